--- a/internal/fleet/control/stack_test.go
+++ b/internal/fleet/control/stack_test.go
@@ -173,8 +173,10 @@
 	r, err := replica.Start(replica.Options{
 		Address: m.address, Directory: m.disk, Founders: founders, Joins: true, Log: zap.NewNop(),
 		Tolerance: replication.Tolerance{Machines: m.stack.tolerance}, Timing: replication.DefaultTiming(),
-		PlaceOf: func(a string) replication.Place { return replication.Place{Zone: a, Known: true, Counts: true} },
-		Peers:   m.stack.peers, Clock: clock, Send: m.sendReplication,
+		PlaceOf: func(a string) replication.Locality {
+			return replication.Locality{Zone: a, Known: true, CountsForQuorum: true}
+		},
+		Peers: m.stack.peers, Clock: clock, Send: m.sendReplication,
 		Committed: m.committed,
 		Viewed: func(view replication.View) {
 			m.step(func(now time.Duration) *dissemination.Output {
@@ -284,7 +286,7 @@
 	})
 }
 
-func (m *machine) sendReplication(to string, nonce uint64, message replication.Encoded) {
+func (m *machine) sendReplication(to string, nonce uint64, message replication.Envelope) {
 	from := replication.Replica{Address: m.address, Nonce: nonce}
 	m.stack.deliver(m.address, to, func(at *machine) {
 		if err := at.current().Deliver(from, message); err != nil {
--- a/internal/fleet/replica/orders.go
+++ b/internal/fleet/replica/orders.go
@@ -154,7 +154,7 @@
 		}
 		c.since = r.options.Clock()
 		r.waiting = append(r.waiting, c)
-		r.carryOut(r.machine.Confirm(c.since))
+		r.carryOut(r.machine.ConfirmLeadership(c.since))
 	})
 	select {
 	case err := <-c.done:
@@ -199,10 +199,10 @@
 	if leading && (committed != r.published || r.table == nil) {
 		r.publish(committed)
 	}
-	confirmed, current := r.machine.Confirmed()
+	confirmed, current := r.machine.LeadershipConfirmedAt()
 	r.settleConfirmations(confirmed, current)
 	r.mu.Lock()
-	r.seen.leading, r.seen.view, r.seen.released = leading && r.table != nil, view, r.machine.Released()
+	r.seen.leading, r.seen.view, r.seen.released = leading && r.table != nil, view, r.machine.MayStop()
 	r.seen.confirmed, r.seen.current = confirmed, current
 	if current {
 		r.seen.lastConfirmed, r.seen.hasConfirmed = confirmed, true
@@ -215,7 +215,7 @@
 
 // publish makes the committed state known. What is stored is committed at this moment.
 func (r *Replica) publish(committed replication.Position) {
-	if r.machine.Busy() {
+	if r.machine.HasPendingProposal() {
 		return
 	}
 	commit := Commit{View: committed.View, Sequence: committed.Sequence, State: r.stored}
--- a/internal/fleet/replica/replica.go
+++ b/internal/fleet/replica/replica.go
@@ -40,9 +40,9 @@
 	Joins     bool     // this machine counts for the quorum
 	Tolerance replication.Tolerance
 	Timing    replication.Timing
-	PlaceOf   func(address string) replication.Place
+	PlaceOf   func(address string) replication.Locality
 	Peers     func() []string // addresses that may know the primary
-	Send      func(to string, nonce uint64, message replication.Encoded)
+	Send      func(to string, nonce uint64, message replication.Envelope)
 	Committed func(Commit)           // called in order, by the replica's goroutine
 	Viewed    func(replication.View) // the same, when a view is learned
 	Clock     func() time.Duration   // steady
@@ -57,8 +57,8 @@
 	ended   chan struct{}
 
 	// Of the replica's goroutine alone:
-	machine   *replication.Machine
-	durable   replication.Durable // as the disk has it
+	machine   *replication.Node
+	durable   replication.HardState // as the disk has it
 	log       *storage.Log
 	stored    *config.State // at the machine's position, committed or not
 	candidate *proposal     // under way
@@ -120,13 +120,13 @@
 }
 
 // restore reads the disk; an empty one, or none, makes a new identity.
-func (r *Replica) restore() (replication.Durable, error) {
+func (r *Replica) restore() (replication.HardState, error) {
 	r.stored = config.EmptyState()
 	nonce := uint64(0)
 	if len(r.options.Founders) == 0 {
 		nonce = rand.Uint64() | 1 // 0 is that of the first start
 	}
-	durable := replication.FirstDurable(r.options.Address, nonce, r.options.Founders)
+	durable := replication.InitialHardState(r.options.Address, nonce, r.options.Founders)
 	if r.options.Directory == "" {
 		return durable, nil
 	}
@@ -135,7 +135,7 @@
 	if errors.As(err, &damaged) {
 		r.options.Log.Error("the log is damaged: this replica starts without what it held, as a new one", zap.Error(err))
 		r.log = log
-		return replication.FirstDurable(r.options.Address, rand.Uint64()|1, nil), nil
+		return replication.InitialHardState(r.options.Address, rand.Uint64()|1, nil), nil
 	}
 	if err != nil {
 		return durable, err
@@ -175,9 +175,9 @@
 }
 
 // build makes the protocol's machine of what the disk holds.
-func (r *Replica) build(durable replication.Durable) {
+func (r *Replica) build(durable replication.HardState) {
 	r.machine = replication.New(r.options.Clock(), durable, replication.Options{
-		Timing: r.options.Timing, Tolerance: r.options.Tolerance, PlaceOf: r.options.PlaceOf,
+		Timing: r.options.Timing, Tolerance: r.options.Tolerance, LocalityOf: r.options.PlaceOf,
 		JoinTargets: r.options.Peers, Joins: r.options.Joins,
 		Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
@@ -211,7 +211,7 @@
 }
 
 // Deliver hands a message over that came for this replica. It is dropped where too many wait.
-func (r *Replica) Deliver(from replication.Replica, encoded replication.Encoded) error {
+func (r *Replica) Deliver(from replication.Replica, encoded replication.Envelope) error {
 	message, err := replication.Decode(encoded)
 	if err != nil {
 		return err
@@ -231,13 +231,13 @@
 	}
 	for _, outgoing := range out.Send {
 		message := outgoing.Message
-		if outgoing.AttachState {
+		if outgoing.AttachSnapshot {
 			snapshot, err := r.stored.Encode()
 			if err != nil {
 				r.options.Log.Error("the state can't be encoded", zap.Error(err))
 				continue
 			}
-			message = replication.WithState(message, snapshot)
+			message = replication.WithSnapshot(message, snapshot)
 		}
 		encoded, err := replication.Encode(message)
 		if err != nil {
@@ -263,18 +263,18 @@
 		r.build(r.durable)
 		return false
 	}
-	r.durable = w.Durable
+	r.durable = w.HardState
 	return true
 }
 
 func (r *Replica) writeLog(w *replication.Write) error {
 	if r.log.Grown() {
-		return r.begin(w.Durable)
+		return r.begin(w.HardState)
 	}
-	return r.log.Append(storage.Record{Durable: w.Durable, Entry: w.Entry, Snapshot: w.Snapshot})
+	return r.log.Append(storage.Record{Durable: w.HardState, Entry: w.Entry, Snapshot: w.Snapshot})
 }
 
-func (r *Replica) begin(durable replication.Durable) error {
+func (r *Replica) begin(durable replication.HardState) error {
 	snapshot, err := r.stored.Encode()
 	if err != nil {
 		return err
--- a/internal/fleet/replica/replica_test.go
+++ b/internal/fleet/replica/replica_test.go
@@ -27,9 +27,11 @@
 	began := time.Now()
 	options := Options{
 		Address: self, Directory: directory, Joins: true, Timing: replication.DefaultTiming(), Log: zap.NewNop(),
-		PlaceOf:   func(string) replication.Place { return replication.Place{Zone: "z", Known: true, Counts: true} },
+		PlaceOf: func(string) replication.Locality {
+			return replication.Locality{Zone: "z", Known: true, CountsForQuorum: true}
+		},
 		Peers:     func() []string { return nil },
-		Send:      func(string, uint64, replication.Encoded) {},
+		Send:      func(string, uint64, replication.Envelope) {},
 		Committed: func(c Commit) { commits <- c }, Viewed: func(replication.View) {},
 		Clock: func() time.Duration { return time.Since(began) },
 	}
--- a/internal/fleet/replication/codec.go
+++ b/internal/fleet/replication/codec.go
@@ -7,23 +7,23 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Encoded is a message as it travels.
-type Encoded struct {
+// Envelope is a message as it travels.
+type Envelope struct {
 	Kind Kind            `cbor:"1,keyasint"`
 	Body cbor.RawMessage `cbor:"2,keyasint"`
 }
 
 // Encode writes a message.
-func Encode(message Message) (Encoded, error) {
+func Encode(message Message) (Envelope, error) {
 	body, err := cbor.Marshal(message)
 	if err != nil {
-		return Encoded{}, merry.Prepend(err, "replication: encode")
+		return Envelope{}, merry.Prepend(err, "replication: encode")
 	}
-	return Encoded{Kind: message.kind(), Body: body}, nil
+	return Envelope{Kind: message.kind(), Body: body}, nil
 }
 
 // Decode reads what Encode wrote.
-func Decode(e Encoded) (Message, error) {
+func Decode(e Envelope) (Message, error) {
 	read, known := decoders[e.Kind]
 	if !known {
 		return nil, fmt.Errorf("replication: unknown kind %d", e.Kind)
@@ -45,23 +45,23 @@
 
 var decoders = map[Kind]func([]byte) (Message, error){
 	KindHeartbeat: decoder[Heartbeat], KindHeartbeatAck: decoder[HeartbeatAck], KindJoin: decoder[Join],
-	KindNewer: decoder[Newer], KindPrepare: decoder[Prepare], KindPromise: decoder[Promise], KindReject: decoder[Reject],
-	KindFetch: decoder[Fetch], KindFetched: decoder[Fetched], KindInstall: decoder[Install],
-	KindInstalled: decoder[Installed], KindAccept: decoder[Accept], KindAccepted: decoder[Accepted],
-	KindStore: decoder[Store], KindStored: decoder[Stored], KindMissing: decoder[Missing],
-	KindResign: decoder[Resign], KindReleased: decoder[Released],
+	KindViewNotice: decoder[ViewNotice], KindPrepare: decoder[Prepare], KindPromise: decoder[Promise], KindReject: decoder[Reject],
+	KindFetchSnapshot: decoder[FetchSnapshot], KindFetchSnapshotReply: decoder[FetchSnapshotReply], KindInstallSnapshot: decoder[InstallSnapshot],
+	KindInstallSnapshotAck: decoder[InstallSnapshotAck], KindAccept: decoder[Accept], KindAcceptAck: decoder[AcceptAck],
+	KindAppend: decoder[Append], KindAppendAck: decoder[AppendAck], KindSnapshotNeeded: decoder[SnapshotNeeded],
+	KindResign: decoder[Resign], KindResignAck: decoder[ResignAck],
 }
 
-// WithState returns a message with a snapshot filled in.
-func WithState(message Message, snapshot []byte) Message {
+// WithSnapshot returns a message with a snapshot filled in.
+func WithSnapshot(message Message, snapshot []byte) Message {
 	switch message := message.(type) {
-	case Fetched:
+	case FetchSnapshotReply:
 		message.Snapshot = snapshot
 		return message
-	case Install:
+	case InstallSnapshot:
 		message.Snapshot = snapshot
 		return message
-	case Store:
+	case Append:
 		message.Snapshot, message.Entry = snapshot, nil
 		return message
 	}
--- a/internal/fleet/replication/composition.go
+++ b/internal/fleet/replication/composition.go
@@ -14,16 +14,16 @@
 // one view.
 
 // witnessTarget is how many witnesses outlive what may be lost at once.
-func (m *Machine) witnessTarget() int {
+func (m *Node) witnessTarget() int {
 	t := m.options.Tolerance
 	return 2*max(t.Machines, t.Zones, t.Regions) + 1
 }
 
 // membersMost bounds the copies: each of them has to store a change before it is acknowledged.
-func (m *Machine) membersMost() int { return m.witnessTarget() }
+func (m *Node) membersMost() int { return m.witnessTarget() }
 
 // live tells whether a replica was heard of within a time.
-func (m *Machine) live(r Replica, within time.Duration) bool {
+func (m *Node) live(r Replica, within time.Duration) bool {
 	if r == m.durable.Self {
 		return true
 	}
@@ -32,13 +32,13 @@
 }
 
 // asksToJoin tells whether a replica wants to be taken in.
-func (m *Machine) asksToJoin(r Replica) bool {
+func (m *Node) asksToJoin(r Replica) bool {
 	at, known := m.joining[r]
-	return known && m.now-at < m.options.Timing.Join*4
+	return known && m.now-at < m.options.Timing.JoinInterval*4
 }
 
 // applicants are the replicas that want to be taken in and are no witnesses yet, in a fixed order.
-func (m *Machine) applicants() []Replica {
+func (m *Node) applicants() []Replica {
 	var all []Replica
 	for r := range m.joining {
 		if m.asksToJoin(r) && !m.durable.View.HasWitness(r) {
@@ -51,7 +51,7 @@
 
 // admissible are the applicants that may become witnesses now. A primary that changes the composition of its own view
 // takes only those in that hold its state already, so that the change takes no longer than a few messages.
-func (m *Machine) admissible(prepared bool) []Replica {
+func (m *Node) admissible(prepared bool) []Replica {
 	return slices.DeleteFunc(m.applicants(), func(r Replica) bool {
 		return m.penalized(r) || m.isSkipped(r) || prepared && !m.isPrepared(r)
 	})
@@ -68,14 +68,14 @@
 	silent           // it was not heard of for some time
 )
 
-func (m *Machine) fitnessOf(r Replica) fitness {
-	place := m.options.PlaceOf(r.Address)
+func (m *Node) fitnessOf(r Replica) fitness {
+	place := m.options.LocalityOf(r.Address)
 	switch {
-	case !m.live(r, m.options.Timing.WitnessGone) && !m.promisedNow(r):
+	case !m.live(r, m.options.Timing.WitnessTimeout) && !m.promisedNow(r):
 		return silent
 	case m.isLeaving(r):
 		return leaver
-	case place.Known && !place.Counts:
+	case place.Known && !place.CountsForQuorum:
 		return outsider
 	}
 	return fit
@@ -83,7 +83,7 @@
 
 // nextWitnesses has applicants take the places of lost replicas of the same machine, then of unfit witnesses, then free
 // places. prepared: only applicants that hold the state already.
-func (m *Machine) nextWitnesses(prepared bool) []Replica {
+func (m *Node) nextWitnesses(prepared bool) []Replica {
 	next := slices.Clone(m.durable.View.Witnesses)
 	newcomers := slices.DeleteFunc(m.admissible(prepared), func(r Replica) bool { return m.replaceFormer(next, r) })
 	for len(newcomers) > 0 {
@@ -102,7 +102,7 @@
 }
 
 // outlivesPlaces tells whether a majority of witnesses is left when a zone or a region is lost, as far as one may be.
-func (m *Machine) outlivesPlaces(witnesses []Replica) bool {
+func (m *Node) outlivesPlaces(witnesses []Replica) bool {
 	t := m.options.Tolerance
 	if t.Zones == 0 && t.Regions == 0 {
 		return true
@@ -111,7 +111,7 @@
 }
 
 // replaceFormer puts an applicant in the place of a witness of the same machine, whose disk was lost.
-func (m *Machine) replaceFormer(witnesses []Replica, applicant Replica) bool {
+func (m *Node) replaceFormer(witnesses []Replica, applicant Replica) bool {
 	at := slices.IndexFunc(witnesses, func(r Replica) bool { return r.Address == applicant.Address })
 	if at >= 0 {
 		witnesses[at] = applicant
@@ -121,7 +121,7 @@
 
 // takeNewcomer removes the newcomer from a list that is to stand beside others: where zones or regions may be lost, one of
 // the zone that has the fewest of them.
-func (m *Machine) takeNewcomer(newcomers *[]Replica, beside []Replica) Replica {
+func (m *Node) takeNewcomer(newcomers *[]Replica, beside []Replica) Replica {
 	best := 0
 	if t := m.options.Tolerance; t.Zones > 0 || t.Regions > 0 {
 		for i, r := range *newcomers {
@@ -136,10 +136,10 @@
 }
 
 // crowd is how many of a list stand in a replica's zone or region.
-func (m *Machine) crowd(r Replica, among []Replica) int {
-	place, count := m.options.PlaceOf(r.Address), 0
+func (m *Node) crowd(r Replica, among []Replica) int {
+	place, count := m.options.LocalityOf(r.Address), 0
 	for _, other := range among {
-		at := m.options.PlaceOf(other.Address)
+		at := m.options.LocalityOf(other.Address)
 		same := at.Zone == place.Zone
 		if m.options.Tolerance.Regions > 0 {
 			same = at.Region == place.Region
@@ -153,7 +153,7 @@
 
 // leastFit is the index of the witness that is to go first; -1: there is none. Of equals, one that is no member and stands
 // in the most crowded zone goes first, and never this replica.
-func (m *Machine) leastFit(witnesses []Replica) int {
+func (m *Node) leastFit(witnesses []Replica) int {
 	worst := -1
 	for i, r := range witnesses {
 		if worst < 0 || m.goesBefore(r, witnesses[worst], witnesses) {
@@ -163,7 +163,7 @@
 	return worst
 }
 
-func (m *Machine) goesBefore(r, other Replica, among []Replica) bool {
+func (m *Node) goesBefore(r, other Replica, among []Replica) bool {
 	if a, b := m.fitnessOf(r), m.fitnessOf(other); a != b {
 		return a > b
 	}
@@ -183,7 +183,7 @@
 
 // trim takes witnesses out beyond the target, and one more where an even number would be left, as long as the others may
 // hold copies enough.
-func (m *Machine) trim(witnesses []Replica) []Replica {
+func (m *Node) trim(witnesses []Replica) []Replica {
 	if slices.ContainsFunc(witnesses, m.isUnplaced) {
 		return witnesses // one that counts could go, and one that doesn't could stay
 	}
@@ -199,25 +199,25 @@
 }
 
 // isUnplaced tells whether nothing is known yet of where a live replica stands.
-func (m *Machine) isUnplaced(r Replica) bool {
-	return !m.options.PlaceOf(r.Address).Known && m.fitnessOf(r) != silent
+func (m *Node) isUnplaced(r Replica) bool {
+	return !m.options.LocalityOf(r.Address).Known && m.fitnessOf(r) != silent
 }
 
 // countsEnough tells whether the rest still has copies enough that count for the quorum, where the whole has.
-func (m *Machine) countsEnough(whole, rest []Replica) bool {
+func (m *Node) countsEnough(whole, rest []Replica) bool {
 	return m.enough(m.counting(rest)) || !m.enough(m.counting(whole))
 }
 
 // counting are the replicas that count for the quorum, or of which it is not known.
-func (m *Machine) counting(replicas []Replica) []Replica {
+func (m *Node) counting(replicas []Replica) []Replica {
 	return slices.DeleteFunc(slices.Clone(replicas), func(r Replica) bool {
-		place := m.options.PlaceOf(r.Address)
-		return place.Known && !place.Counts
+		place := m.options.LocalityOf(r.Address)
+		return place.Known && !place.CountsForQuorum
 	})
 }
 
 // promisedNow tells whether a replica has answered the candidate in this attempt.
-func (m *Machine) promisedNow(r Replica) bool {
+func (m *Node) promisedNow(r Replica) bool {
 	if m.election == nil {
 		return false
 	}
@@ -226,23 +226,23 @@
 }
 
 // isSkipped tells whether the present attempt goes on without a replica.
-func (m *Machine) isSkipped(r Replica) bool {
+func (m *Node) isSkipped(r Replica) bool {
 	return m.election != nil && m.election.skipped[r] && !m.election.installed[r]
 }
 
 // answers tells a candidate whether a replica can take the state: it has promised, or asks to be taken in.
-func (m *Machine) answers(r Replica) bool {
+func (m *Node) answers(r Replica) bool {
 	return (m.promisedNow(r) || m.asksToJoin(r)) && !m.isSkipped(r)
 }
 
 // keepsUp tells a primary whether a replica can take the state: it is heard of, and holds the state where it is no member.
-func (m *Machine) keepsUp(r Replica) bool {
-	return m.live(r, m.options.Timing.Member) && (m.durable.View.HasMember(r) || m.isPrepared(r))
+func (m *Node) keepsUp(r Replica) bool {
+	return m.live(r, m.options.Timing.MemberTimeout) && (m.durable.View.HasMember(r) || m.isPrepared(r))
 }
 
 // nextMembers chooses who holds the state: this replica, then present members, then others, all of them able, of as many
 // zones as can be had. Replicas that were slow are taken where the others don't suffice, and those that leave are not.
-func (m *Machine) nextMembers(witnesses []Replica, isAble func(Replica) bool) []Replica {
+func (m *Node) nextMembers(witnesses []Replica, isAble func(Replica) bool) []Replica {
 	var able, slow []Replica
 	for _, r := range m.staying(witnesses) {
 		switch {
@@ -270,11 +270,11 @@
 }
 
 // spread puts one replica of each zone first.
-func (m *Machine) spread(replicas []Replica) []Replica {
+func (m *Node) spread(replicas []Replica) []Replica {
 	var first, rest []Replica
 	zones := map[string]bool{}
 	for _, r := range replicas {
-		zone := m.options.PlaceOf(r.Address).Zone
+		zone := m.options.LocalityOf(r.Address).Zone
 		if zones[zone] {
 			rest = append(rest, r)
 		} else {
@@ -304,21 +304,21 @@
 	span  time.Duration
 }
 
-func (m *Machine) penalized(r Replica) bool {
+func (m *Node) penalized(r Replica) bool {
 	p := m.penalties[r]
 	return p != nil && m.now < p.until
 }
 
 // penalize keeps a slow replica out, twice as long as the time before.
-func (m *Machine) penalize(r Replica) {
+func (m *Node) penalize(r Replica) {
 	if m.penalized(r) {
 		return
 	}
 	p := m.penalties[r]
 	if p == nil {
-		p = &penalty{span: m.options.Timing.Penalty / 2}
+		p = &penalty{span: m.options.Timing.SlowMemberBackoff / 2}
 		m.penalties[r] = p
 	}
-	p.span = min(2*p.span, 8*m.options.Timing.Penalty)
+	p.span = min(2*p.span, 8*m.options.Timing.SlowMemberBackoff)
 	p.until = m.now + p.span
 }
--- a/internal/fleet/replication/disruption_test.go
+++ b/internal/fleet/replication/disruption_test.go
@@ -73,7 +73,7 @@
 		s.note("%s loses its disk", n.address)
 		n.up = false
 		n.state = nil
-		n.disk = FirstDurable(n.address, s.nonce(), nil)
+		n.disk = InitialHardState(n.address, s.nonce(), nil)
 		s.powerOff(n, s.span(50*time.Millisecond, 3*time.Second))
 	}
 }
--- a/internal/fleet/replication/election.go
+++ b/internal/fleet/replication/election.go
@@ -30,7 +30,7 @@
 const resendEvery = 120 * time.Millisecond
 
 // startElection makes this replica a candidate.
-func (m *Machine) startElection() {
+func (m *Node) startElection() {
 	m.highest = max(m.highest, m.durable.Promised.Round) + 1
 	ballot := Ballot{Round: m.highest, Proposer: m.durable.Self}
 	prepared := m.preparedNow()
@@ -46,7 +46,7 @@
 }
 
 // preparedNow are the replicas beside members that hold this primary's state; nil where this replica is no primary.
-func (m *Machine) preparedNow() map[Replica]bool {
+func (m *Node) preparedNow() map[Replica]bool {
 	if m.status != Leading {
 		return nil
 	}
@@ -58,23 +58,23 @@
 }
 
 // enter begins a step of a view change.
-func (m *Machine) enter(status Status) {
+func (m *Node) enter(status Status) {
 	m.status = status
 	m.election.began, m.election.resend = m.now, m.now+resendEvery
 }
 
 // abandon ends an attempt; the next one comes after a random time.
-func (m *Machine) abandon() {
+func (m *Node) abandon() {
 	m.election = nil
 	m.status = Following
 	t := m.options.Timing
-	pause := time.Duration(m.options.Random.Int64N(int64(t.Stagger) + 1))
-	m.primarySeen = m.now - t.Election + t.Stagger/2 + pause
+	pause := time.Duration(m.options.Random.Int64N(int64(t.ElectionStagger) + 1))
+	m.primarySeen = m.now - t.ElectionTimeout + t.ElectionStagger/2 + pause
 }
 
-func (m *Machine) tickElection() {
+func (m *Node) tickElection() {
 	e := m.election
-	if m.now-e.began > m.options.Timing.Attempt {
+	if m.now-e.began > m.options.Timing.StepTimeout {
 		m.stepTimedOut()
 	}
 	if m.election == e && m.status == Preparing {
@@ -88,10 +88,10 @@
 
 // stepTimedOut waits on for a state that is on its way, goes on without the replicas that did not take theirs, where the
 // others suffice, or gives up.
-func (m *Machine) stepTimedOut() {
+func (m *Node) stepTimedOut() {
 	switch m.status {
 	case Fetching:
-		if !m.live(m.election.holder, m.options.Timing.Attempt) || m.transferOverdue() {
+		if !m.live(m.election.holder, m.options.Timing.StepTimeout) || m.transferOverdue() {
 			m.abandon()
 		}
 	case Installing:
@@ -101,17 +101,19 @@
 	}
 }
 
-func (m *Machine) transferOverdue() bool { return m.now-m.election.began > m.options.Timing.Transfer }
+func (m *Node) transferOverdue() bool {
+	return m.now-m.election.began > m.options.Timing.SnapshotTimeout
+}
 
 // isAsking tells whether a replica has said lately that it lacks the state: it may be on its way.
-func (m *Machine) isAsking(r Replica) bool {
+func (m *Node) isAsking(r Replica) bool {
 	at, asks := m.election.asking[r]
-	return asks && m.now-at < m.options.Timing.Attempt
+	return asks && m.now-at < m.options.Timing.StepTimeout
 }
 
 // installTimedOut leaves out those that have not installed the state. One that is heard of is waited for where the others
 // don't suffice: the whole state may be on its way to it.
-func (m *Machine) installTimedOut() {
+func (m *Node) installTimedOut() {
 	e := m.election
 	missing := slices.DeleteFunc(m.installers(), func(r Replica) bool { return e.installed[r] })
 	for _, r := range missing {
@@ -133,7 +135,7 @@
 	}
 }
 
-func (m *Machine) repeatStep() {
+func (m *Node) repeatStep() {
 	switch m.status {
 	case Preparing:
 		m.sendPrepare()
@@ -153,13 +155,13 @@
 
 // showLife tells the witnesses, while the state is on its way, that they need not stand for election themselves. Those that
 // hear it answer, so that the candidate knows which of them live.
-func (m *Machine) showLife() {
+func (m *Node) showLife() {
 	for _, witness := range m.durable.View.Witnesses {
 		m.send(witness, Prepare{View: m.durable.View, Ballot: m.election.ballot})
 	}
 }
 
-func (m *Machine) sendPrepare() {
+func (m *Node) sendPrepare() {
 	for _, witness := range m.durable.View.Witnesses {
 		if _, done := m.election.promises[witness]; !done {
 			m.send(witness, Prepare{View: m.durable.View, Ballot: m.election.ballot})
@@ -167,7 +169,7 @@
 	}
 }
 
-func (m *Machine) onPromise(from Replica, message Promise) {
+func (m *Node) onPromise(from Replica, message Promise) {
 	m.noteLeaving(from, message.Leaving)
 	e := m.election
 	if e == nil || m.status != Preparing || message.Ballot != e.ballot || message.Number != m.durable.View.Number+1 {
@@ -180,7 +182,7 @@
 	m.countPromises()
 }
 
-func (m *Machine) onReject(message Reject) {
+func (m *Node) onReject(message Reject) {
 	m.highest = max(m.highest, message.Promised.Round)
 	if m.election != nil && message.Number == m.durable.View.Number+1 && m.election.ballot.less(message.Promised) {
 		m.abandon()
@@ -188,7 +190,7 @@
 }
 
 // countPromises goes on once all witnesses have promised, or a majority a while ago.
-func (m *Machine) countPromises() {
+func (m *Node) countPromises() {
 	e := m.election
 	if len(e.promises) < m.durable.View.quorum() {
 		return
@@ -220,7 +222,7 @@
 
 // chooseState finds the newest state that a sealed member of the present view holds. Any of them has all that was
 // acknowledged in that view.
-func (m *Machine) chooseState() {
+func (m *Node) chooseState() {
 	e := m.election
 	e.holder, e.from, e.source = m.durable.Self, m.durable.Position, m.durable.Source
 	for _, member := range m.durable.View.Members {
@@ -239,11 +241,11 @@
 	m.sendFetch()
 }
 
-func (m *Machine) sendFetch() {
-	m.send(m.election.holder, Fetch{Number: m.durable.View.Number + 1, Ballot: m.election.ballot})
+func (m *Node) sendFetch() {
+	m.send(m.election.holder, FetchSnapshot{Number: m.durable.View.Number + 1, Ballot: m.election.ballot})
 }
 
-func (m *Machine) onFetched(message Fetched) {
+func (m *Node) onFetched(message FetchSnapshotReply) {
 	e := m.election
 	if e == nil || m.status != Fetching || message.Ballot != e.ballot || message.Number != m.durable.View.Number+1 {
 		return
@@ -256,7 +258,7 @@
 }
 
 // beginInstalling hands the state to the members of the next view; nil is the state that this replica holds.
-func (m *Machine) beginInstalling(snapshot []byte) {
+func (m *Node) beginInstalling(snapshot []byte) {
 	e := m.election
 	witnesses := m.nextWitnesses(e.prepared != nil)
 	members := m.nextMembers(witnesses, m.answers)
@@ -274,7 +276,7 @@
 }
 
 // nextPrimary is this replica, unless it is no member any more.
-func (m *Machine) nextPrimary(members []Replica) Replica {
+func (m *Node) nextPrimary(members []Replica) Replica {
 	if slices.Contains(members, m.durable.Self) {
 		return m.durable.Self
 	}
@@ -283,23 +285,23 @@
 
 // installers are the replicas that have to hold the state before the view is proposed: its members, and witnesses that are
 // new, which shows that they live and store what they are sent.
-func (m *Machine) installers() []Replica {
+func (m *Node) installers() []Replica {
 	proposal := &m.election.proposal
 	newcomers := slices.DeleteFunc(slices.Clone(proposal.Witnesses), m.durable.View.HasWitness)
 	return union(proposal.Members, newcomers)
 }
 
-func (m *Machine) sendInstall() {
+func (m *Node) sendInstall() {
 	e := m.election
 	for _, replica := range m.installers() {
 		if !e.installed[replica] {
-			m.send(replica, Install{Number: e.proposal.Number, Ballot: e.ballot, Position: m.durable.Position,
+			m.send(replica, InstallSnapshot{Number: e.proposal.Number, Ballot: e.ballot, Position: m.durable.Position,
 				From: e.from, FromSource: e.source})
 		}
 	}
 }
 
-func (m *Machine) onInstalled(from Replica, message Installed) {
+func (m *Node) onInstalled(from Replica, message InstallSnapshotAck) {
 	e := m.election
 	if e == nil || m.status != Installing || message.Ballot != e.ballot || message.Number != e.proposal.Number {
 		return
@@ -309,7 +311,7 @@
 	m.countInstalled()
 }
 
-func (m *Machine) countInstalled() {
+func (m *Node) countInstalled() {
 	for _, replica := range m.installers() {
 		if !m.election.installed[replica] {
 			return
@@ -318,7 +320,7 @@
 	m.beginAccepting()
 }
 
-func (m *Machine) beginAccepting() {
+func (m *Node) beginAccepting() {
 	e := m.election
 	e.accepted = map[Replica]bool{}
 	m.enter(Accepting)
@@ -330,7 +332,7 @@
 	m.countAccepted()
 }
 
-func (m *Machine) sendAccept() {
+func (m *Node) sendAccept() {
 	e := m.election
 	for _, witness := range m.durable.View.Witnesses {
 		if !e.accepted[witness] {
@@ -339,7 +341,7 @@
 	}
 }
 
-func (m *Machine) onAccepted(from Replica, message Accepted) {
+func (m *Node) onAccepted(from Replica, message AcceptAck) {
 	e := m.election
 	if e == nil || m.status != Accepting || message.Ballot != e.ballot || message.Number != e.proposal.Number {
 		return
@@ -351,7 +353,7 @@
 }
 
 // countAccepted puts a view in force that a majority of the former witnesses has accepted.
-func (m *Machine) countAccepted() {
+func (m *Node) countAccepted() {
 	e := m.election
 	if len(e.accepted) < m.durable.View.quorum() {
 		return
@@ -359,16 +361,16 @@
 	former, decided := m.durable.View, e.proposal
 	m.follow(decided)
 	for _, replica := range union(former.Witnesses, decided.Witnesses) {
-		m.send(replica, Newer{View: decided})
+		m.send(replica, ViewNotice{View: decided})
 	}
 }
 
-func (m *Machine) onMissing(from Replica, message Missing) {
+func (m *Node) onMissing(from Replica, message SnapshotNeeded) {
 	e := m.election
 	if e != nil && m.status == Installing && message.Ballot == e.ballot && message.Number == e.proposal.Number {
 		e.asking[from] = m.now
 		if m.transfers.mayBegin(from, m.now) {
-			m.sendState(from, Install{Number: e.proposal.Number, Ballot: e.ballot, Position: m.durable.Position})
+			m.sendState(from, InstallSnapshot{Number: e.proposal.Number, Ballot: e.ballot, Position: m.durable.Position})
 		}
 		return
 	}
--- a/internal/fleet/replication/fuzz_test.go
+++ b/internal/fleet/replication/fuzz_test.go
@@ -13,11 +13,11 @@
 	view := View{Number: 1, Primary: Replica{Address: address(1)}, Members: []Replica{{Address: address(1)}}, Witnesses: []Replica{{Address: address(0)}}}
 	ballot := Ballot{Round: 2, Proposer: Replica{Address: address(1)}}
 	for _, message := range []Message{
-		Heartbeat{View: view, Round: 1}, HeartbeatAck{Number: 1, Round: 1}, Join{Number: 3}, Newer{View: view},
+		Heartbeat{View: view, Round: 1}, HeartbeatAck{Number: 1, Round: 1}, Join{Number: 3}, ViewNotice{View: view},
 		Prepare{View: view, Ballot: ballot}, Promise{Number: 1, Ballot: ballot}, Reject{Number: 1, Promised: ballot},
-		Fetch{Number: 1, Ballot: ballot}, Fetched{Number: 1, Snapshot: []byte{0}}, Install{Number: 1, Ballot: ballot, Snapshot: []byte{0}},
-		Installed{Number: 1}, Accept{Ballot: ballot, Proposal: view}, Accepted{Number: 1}, Store{View: view, Entry: []byte{1, 2}},
-		Stored{Number: 1}, Missing{Number: 1}, Resign{Number: 0}, Released{Number: 9},
+		FetchSnapshot{Number: 1, Ballot: ballot}, FetchSnapshotReply{Number: 1, Snapshot: []byte{0}}, InstallSnapshot{Number: 1, Ballot: ballot, Snapshot: []byte{0}},
+		InstallSnapshotAck{Number: 1}, Accept{Ballot: ballot, Proposal: view}, AcceptAck{Number: 1}, Append{View: view, Entry: []byte{1, 2}},
+		AppendAck{Number: 1}, SnapshotNeeded{Number: 1}, Resign{Number: 0}, ResignAck{Number: 9},
 	} {
 		encoded, err := Encode(message)
 		if err != nil {
@@ -35,13 +35,13 @@
 			from = c.replicas[1].disk.Self
 		}
 		before := target.disk
-		message, err := Decode(Encoded{Kind: Kind(kind), Body: cbor.RawMessage(body)})
+		message, err := Decode(Envelope{Kind: Kind(kind), Body: cbor.RawMessage(body)})
 		if err != nil {
 			return
 		}
 		c.carryOut(target, target.machine.Receive(c.now, from, message))
-		if !known && message.kind() != KindNewer && message.kind() != KindHeartbeat && message.kind() != KindStore &&
-			message.kind() != KindPrepare && message.kind() != KindInstall && message.kind() != KindAccept {
+		if !known && message.kind() != KindViewNotice && message.kind() != KindHeartbeat && message.kind() != KindAppend &&
+			message.kind() != KindPrepare && message.kind() != KindInstallSnapshot && message.kind() != KindAccept {
 			if target.disk.View.Number != before.View.Number || target.disk.Position != before.Position {
 				t.Errorf("a stranger's %T changes what is stored", message)
 			}
--- a/internal/fleet/replication/learners.go
+++ b/internal/fleet/replication/learners.go
@@ -38,7 +38,7 @@
 }
 
 // isPrepared tells whether a replica holds the primary's state though it is no member.
-func (m *Machine) isPrepared(r Replica) bool {
+func (m *Node) isPrepared(r Replica) bool {
 	if m.lead != nil {
 		return m.lead.holds[r] == m.durable.Position
 	}
@@ -46,9 +46,9 @@
 }
 
 // learners are the replicas that the next view would take in if they held the state.
-func (m *Machine) learners() []Replica {
+func (m *Node) learners() []Replica {
 	witnesses := m.nextWitnesses(false)
-	members := m.nextMembers(witnesses, func(r Replica) bool { return m.live(r, m.options.Timing.Member) })
+	members := m.nextMembers(witnesses, func(r Replica) bool { return m.live(r, m.options.Timing.MemberTimeout) })
 	return slices.DeleteFunc(union(witnesses, members), func(r Replica) bool {
 		view := &m.durable.View
 		isIn := view.HasMember(r) || view.HasWitness(r) && !slices.Contains(members, r)
@@ -57,29 +57,29 @@
 }
 
 // teach asks learners whether they hold the state. Those that don't say what they lack.
-func (m *Machine) teach() {
+func (m *Node) teach() {
 	learners := m.learners()
 	m.lead.learners = learners[:min(len(learners), learnersTogether)]
 	for _, r := range m.lead.learners {
 		if m.lead.holds[r] != m.durable.Position && m.now-m.lead.sentAt[r] > resendEvery {
 			m.lead.sentAt[r] = m.now
-			m.send(r, Store{View: m.durable.View, Source: m.durable.Source, Position: m.durable.Position})
+			m.send(r, Append{View: m.durable.View, Source: m.durable.Source, Position: m.durable.Position})
 		}
 	}
 }
 
 // sendMissing sends a replica what it lacks: the changes since its position where they are kept, else the state.
-func (m *Machine) sendMissing(to Replica, held Position, source Ballot) {
+func (m *Node) sendMissing(to Replica, held Position, source Ballot) {
 	if source == m.durable.Source && held.View == m.durable.Position.View {
 		if entries, ok := m.lead.entriesAfter(held.Sequence, m.durable.Position.Sequence); ok {
 			for _, e := range entries {
 				position := Position{View: m.durable.Position.View, Sequence: e.sequence}
-				m.send(to, Store{View: m.durable.View, Source: m.durable.Source, Position: position, Entry: e.entry})
+				m.send(to, Append{View: m.durable.View, Source: m.durable.Source, Position: position, Entry: e.entry})
 			}
 			return
 		}
 	}
 	if m.transfers.mayBegin(to, m.now) {
-		m.sendState(to, Store{View: m.durable.View, Source: m.durable.Source, Position: m.durable.Position})
+		m.sendState(to, Append{View: m.durable.View, Source: m.durable.Source, Position: m.durable.Position})
 	}
 }
--- a/internal/fleet/replication/machine.go
+++ b/internal/fleet/replication/machine.go
@@ -26,39 +26,39 @@
 
 // Timing are the intervals of the protocol. None of them matters for safety.
 type Timing struct {
-	Heartbeat   time.Duration // between a primary's rounds
-	Start       time.Duration // the same, after this replica's own start
-	Election    time.Duration // without a primary, before the first member becomes a candidate
-	Stagger     time.Duration // more for each member after the first
-	Member      time.Duration // of silence after which a primary leaves a member out
-	Store       time.Duration // that a member may take to store a change
-	Attempt     time.Duration // that each step of a view change may take
-	Transfer    time.Duration // the same, where a member that the others can't do without is sent the whole state
-	Join        time.Duration // between requests to be taken in
-	Settle      time.Duration // least time between view changes that only take replicas in
-	Penalty     time.Duration // before a member that was left out for being slow is taken in again; doubles each time
-	WitnessGone time.Duration // of silence after which a witness may be replaced
+	HeartbeatInterval     time.Duration // between a primary's rounds
+	StartupTimeout        time.Duration // the same, after this replica's own start
+	ElectionTimeout       time.Duration // without a primary, before the first member becomes a candidate
+	ElectionStagger       time.Duration // more for each member after the first
+	MemberTimeout         time.Duration // of silence after which a primary leaves a member out
+	AppendTimeout         time.Duration // that a member may take to store a change
+	StepTimeout           time.Duration // that each step of a view change may take
+	SnapshotTimeout       time.Duration // the same, where a member that the others can't do without is sent the whole state
+	JoinInterval          time.Duration // between requests to be taken in
+	MinViewChangeInterval time.Duration // least time between view changes that only take replicas in
+	SlowMemberBackoff     time.Duration // before a member that was left out for being slow is taken in again; doubles each time
+	WitnessTimeout        time.Duration // of silence after which a witness may be replaced
 }
 
 // DefaultTiming suits machines in one region.
 func DefaultTiming() Timing {
 	return Timing{
-		Heartbeat: 150 * time.Millisecond, Start: 180 * time.Millisecond, Election: 700 * time.Millisecond, Stagger: 200 * time.Millisecond,
-		Member: 700 * time.Millisecond, Store: 500 * time.Millisecond, Attempt: 400 * time.Millisecond,
-		Transfer: 12 * time.Second,
-		Join:     250 * time.Millisecond, Settle: 500 * time.Millisecond, Penalty: 3 * time.Second,
-		WitnessGone: 1500 * time.Millisecond,
+		HeartbeatInterval: 150 * time.Millisecond, StartupTimeout: 180 * time.Millisecond, ElectionTimeout: 700 * time.Millisecond, ElectionStagger: 200 * time.Millisecond,
+		MemberTimeout: 700 * time.Millisecond, AppendTimeout: 500 * time.Millisecond, StepTimeout: 400 * time.Millisecond,
+		SnapshotTimeout: 12 * time.Second,
+		JoinInterval:    250 * time.Millisecond, MinViewChangeInterval: 500 * time.Millisecond, SlowMemberBackoff: 3 * time.Second,
+		WitnessTimeout: 1500 * time.Millisecond,
 	}
 }
 
 // Tolerance is what may be lost at once.
 type Tolerance struct{ Machines, Zones, Regions int }
 
-// Place is where a machine stands, and whether it counts for the quorum. Of a machine that is not known nothing is said.
-type Place struct {
-	Zone, Region string
-	Known        bool
-	Counts       bool
+// Locality is where a machine stands, and whether it counts for the quorum. Of a machine that is not known nothing is said.
+type Locality struct {
+	Zone, Region    string
+	Known           bool
+	CountsForQuorum bool
 }
 
 // Options are a machine's surroundings.
@@ -66,19 +66,19 @@
 	Timing    Timing
 	Tolerance Tolerance
 	Random    *rand.Rand
-	// PlaceOf tells where the machine at an address stands, as far as it is known.
-	PlaceOf func(address string) Place
+	// LocalityOf tells where the machine at an address stands, as far as it is known.
+	LocalityOf func(address string) Locality
 	// JoinTargets are addresses to be asked where no primary is known.
 	JoinTargets func() []string
 	// Joins says that this replica asks to be taken in where it is no witness.
 	Joins bool
 }
 
-// Machine is one replica's part of the protocol. Its methods are not safe for concurrent use. Times are of one steady
+// Node is one replica's part of the protocol. Its methods are not safe for concurrent use. Times are of one steady
 // clock.
-type Machine struct {
+type Node struct {
 	options Options
-	durable Durable
+	durable HardState
 	status  Status
 	out     *Output
 
@@ -104,61 +104,61 @@
 
 // New returns a replica as it is after a start, with what its disk holds. A replica that was primary does not go on as
 // primary: what it had sent before its own disk had it can't be told, so that it needs a new view.
-func New(now time.Duration, durable Durable, options Options) *Machine {
-	return &Machine{
+func New(now time.Duration, durable HardState, options Options) *Node {
+	return &Node{
 		options: options, durable: durable, now: now,
-		primarySeen: now - options.Timing.Election + options.Timing.Start, started: now,
+		primarySeen: now - options.Timing.ElectionTimeout + options.Timing.StartupTimeout, started: now,
 		heard: map[Replica]time.Duration{}, joining: map[Replica]time.Duration{}, penalties: map[Replica]*penalty{},
 		highest: durable.Promised.Round, transfers: transfers{}, leavers: map[Replica]bool{}, replaced: map[Replica]time.Duration{},
 	}
 }
 
 // Self is this replica.
-func (m *Machine) Self() Replica { return m.durable.Self }
+func (m *Node) Self() Replica { return m.durable.Self }
 
 // View is the newest view that is known to be decided.
-func (m *Machine) View() View { return m.durable.View }
+func (m *Node) View() View { return m.durable.View }
 
 // Status is what the replica is doing.
-func (m *Machine) Status() Status { return m.status }
+func (m *Node) Status() Status { return m.status }
 
 // Position is that of the state held, committed or not.
-func (m *Machine) Position() Position { return m.durable.Position }
+func (m *Node) Position() Position { return m.durable.Position }
 
-// Durable is what has to be on the disk.
-func (m *Machine) Durable() Durable { return m.durable }
+// HardState is what has to be on the disk.
+func (m *Node) HardState() HardState { return m.durable }
 
 // step begins a step and returns its output.
-func (m *Machine) step(now time.Duration) *Output {
+func (m *Node) step(now time.Duration) *Output {
 	m.now = now
 	m.out = &Output{}
 	return m.out
 }
 
 // persist has the durable part written with this step.
-func (m *Machine) persist() *Write {
+func (m *Node) persist() *Write {
 	if m.out.Write == nil {
 		m.out.Write = &Write{}
 	}
-	m.out.Write.Durable = m.durable
+	m.out.Write.HardState = m.durable
 	return m.out.Write
 }
 
-func (m *Machine) send(to Replica, message Message) {
+func (m *Node) send(to Replica, message Message) {
 	if to.Address != m.durable.Self.Address {
 		m.out.Send = append(m.out.Send, Outgoing{To: to.Address, Message: message})
 	}
 }
 
-func (m *Machine) sendState(to Replica, message Message) {
-	m.out.Send = append(m.out.Send, Outgoing{To: to.Address, Message: message, AttachState: true})
+func (m *Node) sendState(to Replica, message Message) {
+	m.out.Send = append(m.out.Send, Outgoing{To: to.Address, Message: message, AttachSnapshot: true})
 }
 
 // enough tells whether copies on these replicas outlive what may be lost at once.
-func (m *Machine) enough(replicas []Replica) bool {
+func (m *Node) enough(replicas []Replica) bool {
 	zones, regions := map[string]bool{}, map[string]bool{}
 	for _, r := range replicas {
-		place := m.options.PlaceOf(r.Address)
+		place := m.options.LocalityOf(r.Address)
 		zones[place.Zone] = true
 		regions[place.Region] = true
 	}
@@ -167,7 +167,7 @@
 }
 
 // Tick lets time pass.
-func (m *Machine) Tick(now time.Duration) *Output {
+func (m *Node) Tick(now time.Duration) *Output {
 	out := m.step(now)
 	switch m.status {
 	case Following:
@@ -187,7 +187,7 @@
 
 // watchPrimary makes a member a candidate where the primary is silent. Members wait the longer the later they stand in
 // the view, so that the first live one acts, and those that leave wait longest: theirs may be the only copy left.
-func (m *Machine) watchPrimary() {
+func (m *Node) watchPrimary() {
 	rank := slices.Index(m.durable.View.Members, m.durable.Self)
 	if rank < 0 {
 		return
@@ -196,23 +196,23 @@
 		rank += len(m.durable.View.Members)
 	}
 	t := m.options.Timing
-	stagger := t.Stagger
+	stagger := t.ElectionStagger
 	if m.primarySeen <= m.started {
 		stagger /= 4 // nothing was heard yet: all may have just started
 	}
-	if m.now-m.primarySeen > t.Election+time.Duration(rank)*stagger {
+	if m.now-m.primarySeen > t.ElectionTimeout+time.Duration(rank)*stagger {
 		m.startElection()
 	}
 }
 
 // askToJoin asks the primary, or whoever may know it, to take this replica in. A witness that has heard of no primary for
 // long asks too: it may have been replaced while it was away, and whoever knows the newer view answers with it.
-func (m *Machine) askToJoin() {
+func (m *Node) askToJoin() {
 	isIn := m.durable.View.HasWitness(m.durable.Self) && (m.lead != nil || m.now-m.primarySeen < forgottenAfter)
 	if !m.options.Joins || m.leaving || isIn || m.now < m.nextJoin {
 		return
 	}
-	m.nextJoin = m.now + m.options.Timing.Join
+	m.nextJoin = m.now + m.options.Timing.JoinInterval
 	message := Join{Number: m.durable.View.Number}
 	if m.durable.View.Number > 0 {
 		for _, witness := range m.durable.View.Witnesses {
@@ -225,7 +225,7 @@
 }
 
 // follow takes over a decided view. It is the only place where the view changes.
-func (m *Machine) follow(view View) {
+func (m *Node) follow(view View) {
 	for _, r := range m.durable.View.Witnesses {
 		if !view.HasWitness(r) {
 			m.replaced[r] = m.now
@@ -244,7 +244,7 @@
 }
 
 // Receive takes a message from a replica.
-func (m *Machine) Receive(now time.Duration, from Replica, message Message) *Output {
+func (m *Node) Receive(now time.Duration, from Replica, message Message) *Output {
 	out := m.step(now)
 	m.heard[from] = now
 	switch message := message.(type) {
@@ -254,7 +254,7 @@
 		m.onHeartbeatAck(from, message)
 	case Join:
 		m.onJoin(from, message)
-	case Newer:
+	case ViewNotice:
 		m.learn(message.View)
 	case Prepare:
 		m.onPrepare(from, message)
@@ -262,46 +262,46 @@
 		m.onPromise(from, message)
 	case Reject:
 		m.onReject(message)
-	case Fetch:
+	case FetchSnapshot:
 		m.onFetch(from, message)
-	case Fetched:
+	case FetchSnapshotReply:
 		m.onFetched(message)
-	case Install:
+	case InstallSnapshot:
 		m.onInstall(from, message)
-	case Installed:
+	case InstallSnapshotAck:
 		m.onInstalled(from, message)
 	case Accept:
 		m.onAccept(from, message)
-	case Accepted:
+	case AcceptAck:
 		m.onAccepted(from, message)
-	case Store:
+	case Append:
 		m.onStore(from, message)
-	case Stored:
+	case AppendAck:
 		m.onStored(from, message)
-	case Missing:
+	case SnapshotNeeded:
 		m.onMissing(from, message)
 	case Resign:
 		m.onResign(from, message)
-	case Released:
+	case ResignAck:
 		m.onReleased(message)
 	}
 	return out
 }
 
 // learn takes over a view that is newer than the one known. It returns false where the sender's is the older one.
-func (m *Machine) learn(view View) bool {
+func (m *Node) learn(view View) bool {
 	if view.Number > m.durable.View.Number && view.isComplete() {
 		m.follow(view)
 	}
 	return view.Number >= m.durable.View.Number
 }
 
-func (m *Machine) onJoin(from Replica, message Join) {
+func (m *Node) onJoin(from Replica, message Join) {
 	m.joining[from] = m.now
 	if !m.durable.View.HasWitness(from) {
 		m.released = 0 // there is somebody who may take this replica's part over
 	}
 	if message.Number < m.durable.View.Number {
-		m.send(from, Newer{View: m.durable.View})
+		m.send(from, ViewNotice{View: m.durable.View})
 	}
 }
--- a/internal/fleet/replication/messages.go
+++ b/internal/fleet/replication/messages.go
@@ -11,24 +11,24 @@
 	KindHeartbeat Kind = iota + 1
 	KindHeartbeatAck
 	KindJoin
-	KindNewer
+	KindViewNotice
 	KindPrepare
 	KindPromise
 	KindReject
-	KindFetch
-	KindFetched
-	KindInstall
-	KindInstalled
+	KindFetchSnapshot
+	KindFetchSnapshotReply
+	KindInstallSnapshot
+	KindInstallSnapshotAck
 	KindAccept
-	KindAccepted
-	KindStore
-	KindStored
-	KindMissing
+	KindAcceptAck
+	KindAppend
+	KindAppendAck
+	KindSnapshotNeeded
 	KindResign
-	KindReleased
+	KindResignAck
 )
 
-// Heartbeat tells a view's witnesses that its primary lives. ConfirmedAgeMs is how long ago the primary sent the last
+// HeartbeatInterval tells a view's witnesses that its primary lives. ConfirmedAgeMs is how long ago the primary sent the last
 // round that a majority of the witnesses answered; above a bound the primary counts as cut off.
 type Heartbeat struct {
 	View           View   `cbor:"1,keyasint"`
@@ -44,13 +44,13 @@
 	Leaving bool   `cbor:"4,keyasint,omitempty"` // the witness is about to end
 }
 
-// Join asks a primary to be taken in.
+// JoinInterval asks a primary to be taken in.
 type Join struct {
 	Number uint64 `cbor:"1,keyasint"` // of the newest view that the sender knows
 }
 
-// Newer tells of a decided view that the receiver does not know.
-type Newer struct {
+// ViewNotice tells of a decided view that the receiver does not know.
+type ViewNotice struct {
 	View View `cbor:"1,keyasint"`
 }
 
@@ -77,23 +77,23 @@
 	Promised Ballot `cbor:"2,keyasint"`
 }
 
-// Fetch asks a sealed member for its state.
-type Fetch struct {
+// FetchSnapshot asks a sealed member for its state.
+type FetchSnapshot struct {
 	Number uint64 `cbor:"1,keyasint"`
 	Ballot Ballot `cbor:"2,keyasint"`
 }
 
-// Fetched answers Fetch.
-type Fetched struct {
+// FetchSnapshotReply answers Fetch.
+type FetchSnapshotReply struct {
 	Number   uint64   `cbor:"1,keyasint"`
 	Ballot   Ballot   `cbor:"2,keyasint"`
 	Position Position `cbor:"3,keyasint"`
 	Snapshot []byte   `cbor:"4,keyasint"`
 }
 
-// Install hands the state for a view that is to be decided to one of its members. Without a snapshot it is for a member
+// InstallSnapshot hands the state for a view that is to be decided to one of its members. Without a snapshot it is for a member
 // that holds From under FromSource already.
-type Install struct {
+type InstallSnapshot struct {
 	Number     uint64   `cbor:"1,keyasint"`
 	Ballot     Ballot   `cbor:"2,keyasint"`
 	Position   Position `cbor:"3,keyasint"`
@@ -102,8 +102,8 @@
 	Snapshot   []byte   `cbor:"6,keyasint"`
 }
 
-// Installed answers Install.
-type Installed struct {
+// InstallSnapshotAck answers Install.
+type InstallSnapshotAck struct {
 	Number uint64 `cbor:"1,keyasint"`
 	Ballot Ballot `cbor:"2,keyasint"`
 }
@@ -114,15 +114,15 @@
 	Proposal View   `cbor:"2,keyasint"`
 }
 
-// Accepted answers Accept.
-type Accepted struct {
+// AcceptAck answers Accept.
+type AcceptAck struct {
 	Number uint64 `cbor:"1,keyasint"`
 	Ballot Ballot `cbor:"2,keyasint"`
 }
 
-// Store hands a change, or with a snapshot the whole state, to a member of the primary's view. Without either it asks
+// Append hands a change, or with a snapshot the whole state, to a member of the primary's view. Without either it asks
 // whether the member holds Position.
-type Store struct {
+type Append struct {
 	View     View     `cbor:"1,keyasint"`
 	Source   Ballot   `cbor:"2,keyasint"`
 	Position Position `cbor:"3,keyasint"`
@@ -130,14 +130,14 @@
 	Snapshot []byte   `cbor:"5,keyasint"`
 }
 
-// Stored answers Store: the member holds all up to Position, on its disk.
-type Stored struct {
+// AppendAck answers Store: the member holds all up to Position, on its disk.
+type AppendAck struct {
 	Number   uint64   `cbor:"1,keyasint"`
 	Position Position `cbor:"2,keyasint"`
 }
 
-// Missing answers Install or Store where the sender's state is needed, and says which one is held.
-type Missing struct {
+// SnapshotNeeded answers Install or Store where the sender's state is needed, and says which one is held.
+type SnapshotNeeded struct {
 	Number   uint64   `cbor:"1,keyasint"`
 	Ballot   Ballot   `cbor:"2,keyasint"` // of the Install; zero for a Store
 	Position Position `cbor:"3,keyasint"`
@@ -149,26 +149,26 @@
 	Number uint64 `cbor:"1,keyasint"` // of the newest view that the sender knows
 }
 
-// Released answers Resign: the replica may end.
-type Released struct {
+// MayStop answers Resign: the replica may end.
+type ResignAck struct {
 	Number uint64 `cbor:"1,keyasint"`
 }
 
-func (Released) kind() Kind     { return KindReleased }
-func (Resign) kind() Kind       { return KindResign }
-func (Heartbeat) kind() Kind    { return KindHeartbeat }
-func (HeartbeatAck) kind() Kind { return KindHeartbeatAck }
-func (Join) kind() Kind         { return KindJoin }
-func (Newer) kind() Kind        { return KindNewer }
-func (Prepare) kind() Kind      { return KindPrepare }
-func (Promise) kind() Kind      { return KindPromise }
-func (Reject) kind() Kind       { return KindReject }
-func (Fetch) kind() Kind        { return KindFetch }
-func (Fetched) kind() Kind      { return KindFetched }
-func (Install) kind() Kind      { return KindInstall }
-func (Installed) kind() Kind    { return KindInstalled }
-func (Accept) kind() Kind       { return KindAccept }
-func (Accepted) kind() Kind     { return KindAccepted }
-func (Store) kind() Kind        { return KindStore }
-func (Stored) kind() Kind       { return KindStored }
-func (Missing) kind() Kind      { return KindMissing }
+func (ResignAck) kind() Kind          { return KindResignAck }
+func (Resign) kind() Kind             { return KindResign }
+func (Heartbeat) kind() Kind          { return KindHeartbeat }
+func (HeartbeatAck) kind() Kind       { return KindHeartbeatAck }
+func (Join) kind() Kind               { return KindJoin }
+func (ViewNotice) kind() Kind         { return KindViewNotice }
+func (Prepare) kind() Kind            { return KindPrepare }
+func (Promise) kind() Kind            { return KindPromise }
+func (Reject) kind() Kind             { return KindReject }
+func (FetchSnapshot) kind() Kind      { return KindFetchSnapshot }
+func (FetchSnapshotReply) kind() Kind { return KindFetchSnapshotReply }
+func (InstallSnapshot) kind() Kind    { return KindInstallSnapshot }
+func (InstallSnapshotAck) kind() Kind { return KindInstallSnapshotAck }
+func (Accept) kind() Kind             { return KindAccept }
+func (AcceptAck) kind() Kind          { return KindAcceptAck }
+func (Append) kind() Kind             { return KindAppend }
+func (AppendAck) kind() Kind          { return KindAppendAck }
+func (SnapshotNeeded) kind() Kind     { return KindSnapshotNeeded }
--- a/internal/fleet/replication/output.go
+++ b/internal/fleet/replication/output.go
@@ -1,11 +1,11 @@
 package replication
 
-// Outgoing is a message to a replica. With AttachState the sender fills in the snapshot of the state that it holds at
+// Outgoing is a message to a replica. With AttachSnapshot the sender fills in the snapshot of the state that it holds at
 // Position when it sends.
 type Outgoing struct {
-	To          string // address
-	Message     Message
-	AttachState bool
+	To             string // address
+	Message        Message
+	AttachSnapshot bool
 }
 
 // Output is what a step wants done: first Write, then the messages. Where the write fails nothing is sent and the
@@ -17,7 +17,7 @@
 
 // Write is to be made durable in one piece.
 type Write struct {
-	Durable  Durable
-	Entry    []byte // a change of the state that is held; nil: none
-	Snapshot []byte // the state from now on; nil: it stays
+	HardState HardState
+	Entry     []byte // a change of the state that is held; nil: none
+	Snapshot  []byte // the state from now on; nil: it stays
 }
--- a/internal/fleet/replication/planted_test.go
+++ b/internal/fleet/replication/planted_test.go
@@ -61,7 +61,7 @@
 		Right: "if !m.election.installed[replica] {\n\t\t\treturn\n\t\t}\n", Wrong: "_ = replica\n"}}},
 	"a snapshot that is not fenced by its view": {File: "witness.go", Edits: []mutant.Edit{
 		{Right: "if from != m.durable.View.Primary || from == m.durable.Self {\n\t\treturn\n\t}\n\tif !m.durable.Promised", Wrong: "if !m.durable.Promised"},
-		{Right: "if !m.learn(message.View) {\n\t\tm.send(from, Newer{View: m.durable.View})\n\t\treturn\n\t}\n\tif !m.durable.Promised", Wrong: "if !m.durable.Promised"}}},
+		{Right: "if !m.learn(message.View) {\n\t\tm.send(from, ViewNotice{View: m.durable.View})\n\t\treturn\n\t}\n\tif !m.durable.Promised", Wrong: "if !m.durable.Promised"}}},
 	"a newcomer that was never heard of becomes a witness": {File: "election.go", Edits: []mutant.Edit{{
 		Right: "return union(proposal.Members, newcomers)", Wrong: "_ = newcomers\n\treturn proposal.Members"}}},
 	"half of the witnesses decide": {File: "types.go", Edits: []mutant.Edit{{
--- a/internal/fleet/replication/primary.go
+++ b/internal/fleet/replication/primary.go
@@ -36,7 +36,7 @@
 }
 
 // activate makes this replica the primary of the view that it has just taken over.
-func (m *Machine) activate() {
+func (m *Node) activate() {
 	m.status = Activating
 	m.lead = &leadership{
 		began: m.now, holds: map[Replica]Position{m.durable.Self: m.durable.Position},
@@ -47,7 +47,7 @@
 }
 
 // Propose begins a change. It returns false where this replica is not the primary, or another change is under way.
-func (m *Machine) Propose(now time.Duration, entry []byte) (*Output, bool) {
+func (m *Node) Propose(now time.Duration, entry []byte) (*Output, bool) {
 	out := m.step(now)
 	if m.status != Leading || m.lead.pending || !m.durable.Promised.isZero() {
 		return out, false
@@ -66,27 +66,27 @@
 }
 
 // Committed is the position up to which all members hold the state; ok is false on others than a primary.
-func (m *Machine) Committed() (position Position, ok bool) {
+func (m *Node) Committed() (position Position, ok bool) {
 	if m.status != Leading {
 		return Position{}, false
 	}
 	return m.lead.committed, true
 }
 
-// Busy tells whether a change is under way.
-func (m *Machine) Busy() bool { return m.lead != nil && m.lead.pending }
+// HasPendingProposal tells whether a change is under way.
+func (m *Node) HasPendingProposal() bool { return m.lead != nil && m.lead.pending }
 
-// Confirmed is when the primary sent the last round that a majority of the witnesses answered: at that moment no other
+// LeadershipConfirmedAt is when the primary sent the last round that a majority of the witnesses answered: at that moment no other
 // view was in force. ok is false on others than a primary.
-func (m *Machine) Confirmed() (at time.Duration, ok bool) {
+func (m *Node) LeadershipConfirmedAt() (at time.Duration, ok bool) {
 	if m.status != Leading || !m.lead.isCurrent {
 		return 0, false
 	}
 	return m.lead.confirmed, true
 }
 
-// Confirm has a round begin at once.
-func (m *Machine) Confirm(now time.Duration) *Output {
+// ConfirmLeadership has a round begin at once.
+func (m *Node) ConfirmLeadership(now time.Duration) *Output {
 	out := m.step(now)
 	if m.lead != nil {
 		m.sendRound()
@@ -95,13 +95,13 @@
 }
 
 // sendStore brings what members, and learners, lack to them. Messages that were just sent are not repeated.
-func (m *Machine) sendStore() {
+func (m *Node) sendStore() {
 	target := m.durable.Position
 	for _, member := range union(m.durable.View.Members, m.lead.learners) {
 		if m.lead.holds[member] == target {
 			continue
 		}
-		message := Store{View: m.durable.View, Source: m.durable.Source, Position: target}
+		message := Append{View: m.durable.View, Source: m.durable.Source, Position: target}
 		if m.lead.pending {
 			message.Entry = m.lead.entry
 		}
@@ -110,7 +110,7 @@
 	}
 }
 
-func (m *Machine) onStored(from Replica, message Stored) {
+func (m *Node) onStored(from Replica, message AppendAck) {
 	if m.lead == nil || message.Number != m.durable.View.Number {
 		return
 	}
@@ -120,7 +120,7 @@
 }
 
 // countStored commits what all members hold, where enough of them stay.
-func (m *Machine) countStored() {
+func (m *Node) countStored() {
 	if !m.enough(m.staying(m.durable.View.Members)) {
 		return
 	}
@@ -137,10 +137,10 @@
 	}
 }
 
-func (m *Machine) sendRound() {
+func (m *Node) sendRound() {
 	l := m.lead
 	l.round++
-	l.nextRound = m.now + m.options.Timing.Heartbeat
+	l.nextRound = m.now + m.options.Timing.HeartbeatInterval
 	l.rounds[l.round] = &round{sent: m.now, acks: map[Replica]bool{m.durable.Self: true}}
 	delete(l.rounds, l.round-roundsKept)
 	age := m.now - l.began
@@ -154,7 +154,7 @@
 	m.countRound(l.rounds[l.round])
 }
 
-func (m *Machine) onHeartbeatAck(from Replica, message HeartbeatAck) {
+func (m *Node) onHeartbeatAck(from Replica, message HeartbeatAck) {
 	m.noteLeaving(from, message.Leaving)
 	if m.lead == nil || message.Number != m.durable.View.Number {
 		return
@@ -167,7 +167,7 @@
 	m.countRound(r)
 }
 
-func (m *Machine) countRound(r *round) {
+func (m *Node) countRound(r *round) {
 	if len(r.acks) < m.durable.View.quorum() || !m.durable.Promised.isZero() {
 		return
 	}
@@ -176,7 +176,7 @@
 	}
 }
 
-func (m *Machine) tickLeadership() {
+func (m *Node) tickLeadership() {
 	l := m.lead
 	if m.now >= l.nextRound {
 		m.sendRound()
@@ -192,7 +192,7 @@
 	}
 }
 
-func (m *Machine) repeatStore() {
+func (m *Node) repeatStore() {
 	for _, member := range m.durable.View.Members {
 		if m.lead.holds[member] != m.durable.Position && m.now-m.lead.sentAt[member] > resendEvery {
 			m.sendStore()
@@ -203,23 +203,23 @@
 
 // wantsNewView tells whether another composition of the view would be better: without a silent, slow or leaving member,
 // where the rest suffices, or with replicas that hold the state already.
-func (m *Machine) wantsNewView() bool {
+func (m *Node) wantsNewView() bool {
 	if m.lacksMember() {
 		return true
 	}
 	if m.status != Leading || m.lead.pending {
 		return false
 	}
-	return m.mayLoseLeaver() || m.now-m.lead.began > m.options.Timing.Settle && m.couldImprove()
+	return m.mayLoseLeaver() || m.now-m.lead.began > m.options.Timing.MinViewChangeInterval && m.couldImprove()
 }
 
-func (m *Machine) lacksMember() bool {
+func (m *Node) lacksMember() bool {
 	t := m.options.Timing
 	since := m.lead.began
 	if m.lead.pending {
 		since = m.lead.pendingAt
 	}
-	late := (m.lead.pending || m.status == Activating) && m.now-since > t.Store
+	late := (m.lead.pending || m.status == Activating) && m.now-since > t.AppendTimeout
 	silent := false
 	var rest []Replica
 	for _, member := range m.durable.View.Members {
@@ -227,7 +227,7 @@
 		case late && m.lead.holds[member] != m.durable.Position:
 			m.penalize(member)
 			silent = true
-		case m.now-m.lead.began > t.Member && !m.live(member, t.Member):
+		case m.now-m.lead.began > t.MemberTimeout && !m.live(member, t.MemberTimeout):
 			silent = true
 		default:
 			rest = append(rest, member)
@@ -237,10 +237,10 @@
 }
 
 // spares are live witnesses that are no members.
-func (m *Machine) spares() []Replica {
+func (m *Node) spares() []Replica {
 	var all []Replica
 	for _, r := range m.durable.View.Witnesses {
-		if !m.durable.View.HasMember(r) && m.live(r, m.options.Timing.Member) && !m.penalized(r) {
+		if !m.durable.View.HasMember(r) && m.live(r, m.options.Timing.MemberTimeout) && !m.penalized(r) {
 			all = append(all, r)
 		}
 	}
@@ -248,14 +248,14 @@
 }
 
 // mayLoseLeaver tells whether a member that leaves can be done without at once.
-func (m *Machine) mayLoseLeaver() bool {
+func (m *Node) mayLoseLeaver() bool {
 	isMember := slices.ContainsFunc(m.durable.View.Members, m.isLeaving)
 	return isMember && m.enough(m.nextMembers(m.nextWitnesses(true), m.keepsUp))
 }
 
 // couldImprove tells whether a view change would change the composition, and could: all that it would take in hold the
 // state.
-func (m *Machine) couldImprove() bool {
+func (m *Node) couldImprove() bool {
 	view := &m.durable.View
 	witnesses := m.nextWitnesses(true)
 	members := m.nextMembers(witnesses, m.keepsUp)
--- a/internal/fleet/replication/promise_test.go
+++ b/internal/fleet/replication/promise_test.go
@@ -37,12 +37,12 @@
 		Convey("promises no lower one", func() { rejects(low.Proposer, Prepare{View: view, Ballot: low}) })
 		Convey("accepts nothing under a lower one", func() { rejects(low.Proposer, Accept{Ballot: low, Proposal: next}) })
 		Convey("installs nothing under a lower one", func() {
-			rejects(low.Proposer, Install{Number: next.Number, Ballot: low, Position: Position{View: next.Number}, Snapshot: []byte{0}})
+			rejects(low.Proposer, InstallSnapshot{Number: next.Number, Ballot: low, Position: Position{View: next.Number}, Snapshot: []byte{0}})
 		})
 		Convey("stores no more changes of the present primary", func() {
 			position := member.disk.Position
 			position.Sequence++
-			rejects(primary.disk.Self, Store{View: view, Source: member.disk.Source, Position: position, Entry: []byte{9}})
+			rejects(primary.disk.Self, Append{View: view, Source: member.disk.Source, Position: position, Entry: []byte{9}})
 		})
 		Convey("does not confirm the present primary", func() {
 			answer, _ := c.answer(member, primary.disk.Self, Heartbeat{View: view, Round: 1000})
@@ -54,7 +54,7 @@
 		c.run(time.Second)
 		primary := c.leader()
 		c.now += time.Second
-		c.carryOut(primary, primary.machine.Confirm(c.now))
+		c.carryOut(primary, primary.machine.ConfirmLeadership(c.now))
 		number, round := primary.machine.View().Number, primary.machine.lead.round
 		for _, backup := range c.backups() {
 			primary.machine.Receive(c.now, backup.disk.Self, HeartbeatAck{Number: number, Round: round})
@@ -62,7 +62,7 @@
 		for nonce := range uint64(3) {
 			primary.machine.Receive(c.now, Replica{Address: "10.0.9.9:1", Nonce: nonce}, HeartbeatAck{Number: number, Round: round, Current: true})
 		}
-		confirmed, _ := primary.machine.Confirmed()
+		confirmed, _ := primary.machine.LeadershipConfirmedAt()
 		So(confirmed, ShouldBeLessThan, c.now)
 	})
 	Convey("A candidate counts promises of the view's witnesses only", t, func() {
--- a/internal/fleet/replication/search_events_test.go
+++ b/internal/fleet/replication/search_events_test.go
@@ -87,7 +87,7 @@
 	if h.machine.Status() == Leading {
 		w.pending = append(w.pending, wideRead{at: h, since: w.now, length: len(w.acked)})
 		w.now += time.Millisecond
-		w.act(h, h.machine.Confirm(w.now))
+		w.act(h, h.machine.ConfirmLeadership(w.now))
 	}
 }
 
@@ -133,7 +133,7 @@
 	}
 	w.newcomers++
 	w.nonces++
-	h := &host{disk: FirstDurable(address(len(w.replicas)), w.nonces, nil)}
+	h := &host{disk: InitialHardState(address(len(w.replicas)), w.nonces, nil)}
 	w.replicas = append(w.replicas, h)
 	w.restart(h)
 	w.note("%s comes", h.disk.Self.Address)
@@ -150,7 +150,7 @@
 // end ends a leaver that was released: for good where no view that anybody knows has it, else to start again.
 func (w *wideWalk) end(*host) {
 	for _, h := range w.replicas {
-		if h.gone || !w.leaving[h] || !h.machine.Released() {
+		if h.gone || !w.leaving[h] || !h.machine.MayStop() {
 			continue
 		}
 		if w.isOut(h) {
--- a/internal/fleet/replication/search_test.go
+++ b/internal/fleet/replication/search_test.go
@@ -105,7 +105,7 @@
 }
 
 // elect makes the replica a candidate, as when its patience has run out.
-func (m *Machine) elect(now time.Duration) *Output {
+func (m *Node) elect(now time.Duration) *Output {
 	out := m.step(now)
 	m.startElection()
 	return out
--- a/internal/fleet/replication/search_wide_test.go
+++ b/internal/fleet/replication/search_wide_test.go
@@ -77,10 +77,10 @@
 func (w *wideWalk) drawTiming() Timing {
 	t := DefaultTiming()
 	if w.random.IntN(3) == 0 {
-		t.Election, t.Stagger = 0, 400*time.Millisecond
+		t.ElectionTimeout, t.ElectionStagger = 0, 400*time.Millisecond
 	}
 	if w.random.IntN(2) == 0 {
-		t.Attempt, t.Store, t.Member = time.Minute, time.Minute, time.Minute
+		t.StepTimeout, t.AppendTimeout, t.MemberTimeout = time.Minute, time.Minute, time.Minute
 	}
 	return t
 }
@@ -154,7 +154,7 @@
 func (w *wideWalk) checkReads() string {
 	fault := ""
 	w.pending = slices.DeleteFunc(w.pending, func(r wideRead) bool {
-		confirmed, ok := r.at.machine.Confirmed()
+		confirmed, ok := r.at.machine.LeadershipConfirmedAt()
 		if r.at.gone || !ok {
 			return r.at.gone || r.at.machine.Status() != Leading
 		}
@@ -162,7 +162,7 @@
 			return false
 		}
 		w.reads++
-		if len(r.at.state) < r.length && !r.at.machine.Busy() {
+		if len(r.at.state) < r.length && !r.at.machine.HasPendingProposal() {
 			fault = fmt.Sprintf("%s answers a read with %d entries, %d were acknowledged before it", r.at.disk.Self.Address, len(r.at.state), r.length)
 		}
 		return true
--- a/internal/fleet/replication/second_loss_test.go
+++ b/internal/fleet/replication/second_loss_test.go
@@ -12,7 +12,7 @@
 // join adds a machine with an empty disk that asks the others to be taken in.
 func (c *cluster) join(at string) *host {
 	c.nonces++
-	added := &host{disk: FirstDurable(at, c.nonces, nil)}
+	added := &host{disk: InitialHardState(at, c.nonces, nil)}
 	c.replicas = append(c.replicas, added)
 	c.start(added, DefaultTiming())
 	added.machine.options.JoinTargets = c.addresses
--- a/internal/fleet/replication/simulation_test.go
+++ b/internal/fleet/replication/simulation_test.go
@@ -96,7 +96,7 @@
 	for i := range s.machines {
 		n := sim.add(address(i))
 		if i < s.founders {
-			n.disk = FirstDurable(n.address, 0, founders)
+			n.disk = InitialHardState(n.address, 0, founders)
 		}
 		sim.startNode(n)
 	}
@@ -106,7 +106,7 @@
 // add makes a machine whose disk is empty.
 func (s *simulation) add(at string) *node {
 	n := &node{host: &host{}, address: at, zone: fmt.Sprint("zone-", len(s.nodes)%s.setup.zones)}
-	n.disk = FirstDurable(at, s.nonce(), nil)
+	n.disk = InitialHardState(at, s.nonce(), nil)
 	s.nodes = append(s.nodes, n)
 	return n
 }
@@ -121,11 +121,11 @@
 	n.machine = New(s.now, n.disk, Options{
 		Timing: DefaultTiming(), Tolerance: s.setup.tolerance, Joins: true,
 		Random: rand.New(rand.NewPCG(s.random.Uint64(), 1)),
-		PlaceOf: func(a string) Place {
+		LocalityOf: func(a string) Locality {
 			if at := s.nodeAt(a); at != nil {
-				return Place{Zone: at.zone, Region: at.zone, Known: true, Counts: true}
+				return Locality{Zone: at.zone, Region: at.zone, Known: true, CountsForQuorum: true}
 			}
-			return Place{}
+			return Locality{}
 		},
 		JoinTargets: s.addresses,
 	})
@@ -176,7 +176,7 @@
 			n.state = slices.Clone(out.Write.Snapshot[1:])
 		}
 		n.state = append(slices.Clone(n.state), out.Write.Entry...)
-		n.disk = out.Write.Durable
+		n.disk = out.Write.HardState
 		if s.random.IntN(1500) == 0 {
 			s.note("%s loses power between a write and its messages", n.address)
 			s.powerOff(n, s.span(300*time.Millisecond, 4*time.Second))
@@ -188,8 +188,8 @@
 		if s.now < s.slowUntil {
 			delay = s.span(time.Millisecond, slowMost)
 		}
-		if o.AttachState {
-			message = WithState(message, append([]byte{0}, n.state...)) // never nil
+		if o.AttachSnapshot {
+			message = WithSnapshot(message, append([]byte{0}, n.state...)) // never nil
 			delay += s.setup.transfer
 		}
 		s.send(envelope{from: n.machine.Self(), to: o.To, message: message}, delay)
@@ -210,7 +210,7 @@
 // look checks what a machine says of itself after a step.
 func (s *simulation) look(n *node) {
 	committed, leading := n.machine.Committed()
-	if !leading || n.machine.Busy() || committed != n.machine.Position() {
+	if !leading || n.machine.HasPendingProposal() || committed != n.machine.Position() {
 		return
 	}
 	common := min(len(n.state), len(s.acknowledged))
@@ -225,7 +225,7 @@
 
 // checkReads answers reads for which a round has been confirmed that began after them.
 func (s *simulation) checkReads(n *node) {
-	confirmed, ok := n.machine.Confirmed()
+	confirmed, ok := n.machine.LeadershipConfirmedAt()
 	n.reads = slices.DeleteFunc(n.reads, func(r readCheck) bool {
 		if !ok || confirmed < r.since {
 			return false
@@ -283,7 +283,7 @@
 	if !n.up || n.resigned == 0 || s.now-n.resigned < noticeTime {
 		return
 	}
-	released := n.machine.Released()
+	released := n.machine.MayStop()
 	if !released && s.now-n.resigned < graceTime {
 		return
 	}
@@ -379,7 +379,7 @@
 	for _, n := range s.nodes {
 		if n.runs(s.now) && n.machine.Status() == Leading {
 			n.reads = append(n.reads, readCheck{since: s.now, length: len(s.acknowledged)})
-			s.carryOut(n, n.machine.Confirm(s.now))
+			s.carryOut(n, n.machine.ConfirmLeadership(s.now))
 		}
 	}
 }
@@ -444,7 +444,7 @@
 	for _, n := range s.live() {
 		d := &n.disk
 		s.note("%s/%d %s, released %v: view %d, primary %v, members %v, witnesses %v, promised %v, accepted %v, position %v, %d bytes",
-			n.address, d.Self.Nonce, n.machine.Status(), n.machine.Released(), d.View.Number, d.View.Primary, d.View.Members,
+			n.address, d.Self.Nonce, n.machine.Status(), n.machine.MayStop(), d.View.Number, d.View.Primary, d.View.Members,
 			d.View.Witnesses, d.Promised, d.Accepted, d.Position, len(n.state))
 	}
 }
--- a/internal/fleet/replication/timing_test.go
+++ b/internal/fleet/replication/timing_test.go
@@ -67,11 +67,11 @@
 // holdsState tells whether a message carries a whole state.
 func (e *envelope) holdsState() bool {
 	switch message := e.message.(type) {
-	case Install:
+	case InstallSnapshot:
 		return message.Snapshot != nil
-	case Store:
+	case Append:
 		return message.Snapshot != nil
-	case Fetched:
+	case FetchSnapshotReply:
 		return message.Snapshot != nil
 	}
 	return false
@@ -123,7 +123,7 @@
 		return false
 	}
 	c.settle()
-	return slices.Equal(c.acked, h.state) && !h.machine.Busy()
+	return slices.Equal(c.acked, h.state) && !h.machine.HasPendingProposal()
 }
 
 func (c *cluster) powerOff(h *host) { c.down[h.disk.Self.Address] = true }
@@ -222,7 +222,7 @@
 			c.cut = func(from, to string) bool { return from == isolated || to == isolated }
 			cutAt := c.now
 			c.run(3 * time.Second)
-			confirmed, _ := first.machine.Confirmed()
+			confirmed, _ := first.machine.LeadershipConfirmedAt()
 			So(confirmed, ShouldBeLessThanOrEqualTo, cutAt)
 			So(c.leader(), ShouldNotEqual, first)
 			So(c.order(), ShouldBeTrue)
@@ -267,7 +267,7 @@
 		Convey("takes machines in one after another while all former ones are lost", func() {
 			for i := range 3 {
 				c.nonces++
-				added := &host{disk: FirstDurable(address(10+i), c.nonces, nil)}
+				added := &host{disk: InitialHardState(address(10+i), c.nonces, nil)}
 				c.replicas = append(c.replicas, added)
 				c.start(added, DefaultTiming())
 				added.machine.options.JoinTargets = func() []string {
@@ -307,8 +307,8 @@
 		c := newCluster(3, 0)
 		counts := c.replicas[1]
 		for _, h := range c.replicas {
-			h.machine.options.PlaceOf = func(a string) Place {
-				return Place{Zone: a, Known: true, Counts: a == counts.disk.Self.Address}
+			h.machine.options.LocalityOf = func(a string) Locality {
+				return Locality{Zone: a, Known: true, CountsForQuorum: a == counts.disk.Self.Address}
 			}
 		}
 		c.run(3 * time.Second)
@@ -331,7 +331,7 @@
 		c := newCluster(3, 1)
 		outsider := c.replicas[0].disk.Self.Address
 		for _, h := range c.replicas {
-			h.machine.options.PlaceOf = func(a string) Place { return Place{Zone: a, Known: true, Counts: a != outsider} }
+			h.machine.options.LocalityOf = func(a string) Locality { return Locality{Zone: a, Known: true, CountsForQuorum: a != outsider} }
 		}
 		c.run(3 * time.Second)
 		So(len(c.leader().machine.durable.View.Witnesses), ShouldEqual, 3)
@@ -364,10 +364,10 @@
 		ballot := Ballot{Round: 5, Proposer: Replica{Address: "b:1"}}
 		for _, message := range []Message{
 			Heartbeat{View: view, Round: 2, ConfirmedAgeMs: 7}, HeartbeatAck{Number: 3, Round: 2, Current: true}, Join{Number: 1},
-			Newer{View: view}, Prepare{View: view, Ballot: ballot}, Promise{Number: 4, Ballot: ballot, Proposal: view},
-			Reject{Number: 4, Promised: ballot}, Fetch{Number: 4, Ballot: ballot}, Fetched{Number: 4, Snapshot: []byte("s")},
-			Install{Number: 4, Snapshot: []byte("s")}, Installed{Number: 4}, Accept{Ballot: ballot, Proposal: view},
-			Accepted{Number: 4}, Store{View: view, Entry: []byte("e")}, Stored{Number: 3}, Missing{Number: 3}, Resign{Number: 3},
+			ViewNotice{View: view}, Prepare{View: view, Ballot: ballot}, Promise{Number: 4, Ballot: ballot, Proposal: view},
+			Reject{Number: 4, Promised: ballot}, FetchSnapshot{Number: 4, Ballot: ballot}, FetchSnapshotReply{Number: 4, Snapshot: []byte("s")},
+			InstallSnapshot{Number: 4, Snapshot: []byte("s")}, InstallSnapshotAck{Number: 4}, Accept{Ballot: ballot, Proposal: view},
+			AcceptAck{Number: 4}, Append{View: view, Entry: []byte("e")}, AppendAck{Number: 3}, SnapshotNeeded{Number: 3}, Resign{Number: 3},
 		} {
 			encoded, err := Encode(message)
 			So(err, ShouldBeNil)
@@ -380,9 +380,9 @@
 		}
 	})
 	Convey("An unknown kind and a cut body are errors", t, func() {
-		_, err := Decode(Encoded{Kind: 200})
+		_, err := Decode(Envelope{Kind: 200})
 		So(err, ShouldNotBeNil)
-		_, err = Decode(Encoded{Kind: KindPrepare, Body: []byte{0xa2, 0x01}})
+		_, err = Decode(Envelope{Kind: KindPrepare, Body: []byte{0xa2, 0x01}})
 		So(err, ShouldNotBeNil)
 	})
 }
--- a/internal/fleet/replication/types.go
+++ b/internal/fleet/replication/types.go
@@ -71,8 +71,8 @@
 	return cmp.Or(cmp.Compare(p.View, other.View), cmp.Compare(p.Sequence, other.Sequence)) < 0
 }
 
-// Durable is all that a replica has to find on its disk after a restart, beside the state itself.
-type Durable struct {
+// HardState is all that a replica has to find on its disk after a restart, beside the state itself.
+type HardState struct {
 	Self     Replica  `cbor:"1,keyasint"`
 	View     View     `cbor:"2,keyasint"` // the newest that is known to be decided
 	Promised Ballot   `cbor:"3,keyasint"` // for the view after; a member that has promised takes no more changes
@@ -82,10 +82,10 @@
 	Source   Ballot   `cbor:"7,keyasint"` // under which that state was installed
 }
 
-// FirstDurable is what a replica begins with. At the first start of the whole system founders are the addresses of the
+// InitialHardState is what a replica begins with. At the first start of the whole system founders are the addresses of the
 // first witnesses, the same on all machines, and nonce is 0; else founders is empty and nonce is drawn at random.
-func FirstDurable(address string, nonce uint64, founders []string) Durable {
-	d := Durable{Self: Replica{Address: address, Nonce: nonce}}
+func InitialHardState(address string, nonce uint64, founders []string) HardState {
+	d := HardState{Self: Replica{Address: address, Nonce: nonce}}
 	for _, founder := range founders {
 		r := Replica{Address: founder}
 		d.View.Members = append(d.View.Members, r)
--- a/internal/fleet/replication/witness.go
+++ b/internal/fleet/replication/witness.go
@@ -5,27 +5,27 @@
 // What a replica does as a witness and as a member of another replica's view.
 
 // stickiness is how long after a sign of life of the primary a witness promises to nobody else.
-func (m *Machine) stickiness() time.Duration { return m.options.Timing.Election * 9 / 10 }
+func (m *Node) stickiness() time.Duration { return m.options.Timing.ElectionTimeout * 9 / 10 }
 
-func (m *Machine) onHeartbeat(from Replica, message Heartbeat) {
+func (m *Node) onHeartbeat(from Replica, message Heartbeat) {
 	if !m.learn(message.View) {
-		m.send(from, Newer{View: m.durable.View})
+		m.send(from, ViewNotice{View: m.durable.View})
 		return
 	}
 	if from != m.durable.View.Primary || from == m.durable.Self {
 		return
 	}
 	age := time.Duration(message.ConfirmedAgeMs) * time.Millisecond
-	if age < m.options.Timing.Election {
+	if age < m.options.Timing.ElectionTimeout {
 		m.primarySeen = m.now
 	}
 	m.send(from, HeartbeatAck{Number: message.View.Number, Round: message.Round, Current: m.durable.Promised.isZero(),
 		Leaving: m.leaving})
 }
 
-func (m *Machine) onPrepare(from Replica, message Prepare) {
+func (m *Node) onPrepare(from Replica, message Prepare) {
 	if !m.learn(message.View) {
-		m.send(from, Newer{View: m.durable.View})
+		m.send(from, ViewNotice{View: m.durable.View})
 		return
 	}
 	if !m.durable.View.HasWitness(m.durable.Self) {
@@ -45,7 +45,7 @@
 }
 
 // promise binds this replica to a ballot for the next view; as a member it takes no more changes in this one.
-func (m *Machine) promise(ballot Ballot) {
+func (m *Node) promise(ballot Ballot) {
 	m.highest = max(m.highest, ballot.Round)
 	if m.durable.Promised == ballot {
 		return
@@ -59,23 +59,23 @@
 	m.persist()
 }
 
-func (m *Machine) ownPromise() Promise {
+func (m *Node) ownPromise() Promise {
 	return Promise{
 		Number: m.durable.View.Number + 1, Ballot: m.durable.Promised, Accepted: m.durable.Accepted,
 		Proposal: m.durable.Proposal, Position: m.durable.Position, Source: m.durable.Source, Leaving: m.leaving,
 	}
 }
 
-func (m *Machine) onFetch(from Replica, message Fetch) {
+func (m *Node) onFetch(from Replica, message FetchSnapshot) {
 	if message.Number != m.durable.View.Number+1 || message.Ballot != m.durable.Promised {
 		return
 	}
-	m.sendState(from, Fetched{Number: message.Number, Ballot: message.Ballot, Position: m.durable.Position})
+	m.sendState(from, FetchSnapshotReply{Number: message.Number, Ballot: message.Ballot, Position: m.durable.Position})
 }
 
-func (m *Machine) onInstall(from Replica, message Install) {
+func (m *Node) onInstall(from Replica, message InstallSnapshot) {
 	if message.Number <= m.durable.View.Number {
-		m.send(from, Newer{View: m.durable.View})
+		m.send(from, ViewNotice{View: m.durable.View})
 		return
 	}
 	bound := m.durable.Source
@@ -98,16 +98,16 @@
 	if !held {
 		m.hold(message.Position, message.Ballot, message.Snapshot)
 	}
-	m.send(from, Installed{Number: message.Number, Ballot: message.Ballot})
+	m.send(from, InstallSnapshotAck{Number: message.Number, Ballot: message.Ballot})
 }
 
 // sendMissingTo says which state is held, to one that offers another one.
-func (m *Machine) sendMissingTo(to Replica, number uint64, ballot Ballot) {
-	m.send(to, Missing{Number: number, Ballot: ballot, Position: m.durable.Position, Source: m.durable.Source})
+func (m *Node) sendMissingTo(to Replica, number uint64, ballot Ballot) {
+	m.send(to, SnapshotNeeded{Number: number, Ballot: ballot, Position: m.durable.Position, Source: m.durable.Source})
 }
 
 // hold takes over a state; nil is the one that is held already, at another position.
-func (m *Machine) hold(position Position, source Ballot, snapshot []byte) {
+func (m *Node) hold(position Position, source Ballot, snapshot []byte) {
 	m.durable.Position, m.durable.Source = position, source
 	write := m.persist()
 	if snapshot != nil {
@@ -115,10 +115,10 @@
 	}
 }
 
-func (m *Machine) onAccept(from Replica, message Accept) {
+func (m *Node) onAccept(from Replica, message Accept) {
 	number := message.Proposal.Number
 	if number <= m.durable.View.Number {
-		m.send(from, Newer{View: m.durable.View})
+		m.send(from, ViewNotice{View: m.durable.View})
 		return
 	}
 	if number != m.durable.View.Number+1 || !m.durable.View.HasWitness(m.durable.Self) {
@@ -130,18 +130,18 @@
 	}
 	m.promise(message.Ballot)
 	m.accept(message.Ballot, message.Proposal)
-	m.send(from, Accepted{Number: number, Ballot: message.Ballot})
+	m.send(from, AcceptAck{Number: number, Ballot: message.Ballot})
 }
 
-func (m *Machine) accept(ballot Ballot, proposal View) {
+func (m *Node) accept(ballot Ballot, proposal View) {
 	m.durable.Accepted, m.durable.Proposal = ballot, proposal
 	m.persist()
 }
 
 // onStore takes a change over, as a member or as a learner that is to become one.
-func (m *Machine) onStore(from Replica, message Store) {
+func (m *Node) onStore(from Replica, message Append) {
 	if !m.learn(message.View) {
-		m.send(from, Newer{View: m.durable.View})
+		m.send(from, ViewNotice{View: m.durable.View})
 		return
 	}
 	if from != m.durable.View.Primary || from == m.durable.Self {
@@ -164,5 +164,5 @@
 		m.sendMissingTo(from, m.durable.View.Number, Ballot{})
 		return
 	}
-	m.send(from, Stored{Number: m.durable.View.Number, Position: m.durable.Position})
+	m.send(from, AppendAck{Number: m.durable.View.Number, Position: m.durable.Position})
 }
--- a/internal/fleet/replication/world_test.go
+++ b/internal/fleet/replication/world_test.go
@@ -47,8 +47,8 @@
 
 // host is one machine: its replica, and the disk.
 type host struct {
-	machine *Machine
-	disk    Durable
+	machine *Node
+	disk    HardState
 	state   []byte // on the disk: the entries held
 	gone    bool   // for good
 }
@@ -58,8 +58,8 @@
 // searchTiming has no waits that depend on a real clock: the search itself decides what comes late.
 func searchTiming() Timing {
 	return Timing{
-		Heartbeat: time.Hour, Election: 0, Member: time.Hour, Store: time.Hour, Attempt: time.Hour,
-		Join: time.Hour, Settle: 0, Penalty: time.Hour, WitnessGone: time.Hour,
+		HeartbeatInterval: time.Hour, ElectionTimeout: 0, MemberTimeout: time.Hour, AppendTimeout: time.Hour, StepTimeout: time.Hour,
+		JoinInterval: time.Hour, MinViewChangeInterval: 0, SlowMemberBackoff: time.Hour, WitnessTimeout: time.Hour,
 	}
 }
 
@@ -73,7 +73,7 @@
 		founders = append(founders, address(i))
 	}
 	for i := range replicas {
-		h := &host{disk: FirstDurable(address(i), 0, founders)}
+		h := &host{disk: InitialHardState(address(i), 0, founders)}
 		w.replicas = append(w.replicas, h)
 		w.start(h, searchTiming())
 	}
@@ -83,7 +83,7 @@
 func (w *world) start(h *host, timing Timing) {
 	h.machine = New(w.now, h.disk, Options{
 		Timing: timing, Tolerance: w.tolerance, Random: rand.New(rand.NewPCG(1, 2)), Joins: true,
-		PlaceOf:     func(address string) Place { return Place{Zone: address, Known: true, Counts: true} },
+		LocalityOf:  func(address string) Locality { return Locality{Zone: address, Known: true, CountsForQuorum: true} },
 		JoinTargets: func() []string { return nil },
 	})
 }
@@ -95,12 +95,12 @@
 			h.state = slices.Clone(out.Write.Snapshot[1:])
 		}
 		h.state = append(slices.Clone(h.state), out.Write.Entry...)
-		h.disk = out.Write.Durable
+		h.disk = out.Write.HardState
 	}
 	for _, o := range out.Send {
 		message := o.Message
-		if o.AttachState {
-			message = WithState(message, append([]byte{0}, h.state...)) // never nil
+		if o.AttachSnapshot {
+			message = WithSnapshot(message, append([]byte{0}, h.state...)) // never nil
 		}
 		w.send(envelope{from: h.machine.Self(), to: o.To, message: message})
 	}
@@ -158,7 +158,7 @@
 // noteAcknowledged takes note of what a primary acknowledges: the operator has been told of it.
 func (w *world) noteAcknowledged(h *host) {
 	_, leading := h.machine.Committed()
-	if leading && (!h.machine.Busy() || w.mistake == oneCopyAcks) && len(h.state) > len(w.acked) {
+	if leading && (!h.machine.HasPendingProposal() || w.mistake == oneCopyAcks) && len(h.state) > len(w.acked) {
 		w.acked = slices.Clone(h.state)
 	}
 }
@@ -171,9 +171,9 @@
 	w.nonces++
 	former := h.disk
 	h.state = nil
-	h.disk = FirstDurable(former.Self.Address, w.nonces, nil)
+	h.disk = InitialHardState(former.Self.Address, w.nonces, nil)
 	if w.mistake == amnesiac {
-		h.disk = FirstDurable(former.Self.Address, former.Self.Nonce, nil)
+		h.disk = InitialHardState(former.Self.Address, former.Self.Nonce, nil)
 		h.disk.View = former.View
 	}
 	w.start(h, w.timing)
@@ -182,7 +182,7 @@
 // fault says what is wrong; empty: nothing.
 func (w *world) fault() string {
 	for _, h := range w.replicas {
-		if _, leading := h.machine.Committed(); !leading || h.machine.Busy() || h.gone {
+		if _, leading := h.machine.Committed(); !leading || h.machine.HasPendingProposal() || h.gone {
 			continue
 		}
 		if len(h.state) < len(w.acked) && w.isNewest(h) {
--- a/internal/fleet/router/gossip.go
+++ b/internal/fleet/router/gossip.go
@@ -92,7 +92,7 @@
 	if r.replica == nil {
 		return nil
 	}
-	var encoded replication.Encoded
+	var encoded replication.Envelope
 	if err := cbor.Unmarshal(p.Body, &encoded); err != nil {
 		return err
 	}
--- a/internal/fleet/router/router.go
+++ b/internal/fleet/router/router.go
@@ -217,7 +217,7 @@
 			Machines: s.Tolerance.Machines, Zones: s.Tolerance.Zones, Regions: s.Tolerance.Regions,
 		},
 		Timing: replication.DefaultTiming(), PlaceOf: r.placeOf, Peers: r.corePeers,
-		Send: func(to string, nonce uint64, message replication.Encoded) {
+		Send: func(to string, nonce uint64, message replication.Envelope) {
 			r.transport.Send(to, kindReplication, nonce, message)
 		},
 		Committed: r.committed, Viewed: r.viewed, Clock: r.clock, Log: r.log,
@@ -225,14 +225,14 @@
 	return err
 }
 
-func (r *Router) placeOf(address string) replication.Place {
+func (r *Router) placeOf(address string) replication.Locality {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m, known := r.node.Members.Lookup(address)
 	if !known {
-		return replication.Place{Zone: address}
+		return replication.Locality{Zone: address}
 	}
-	return replication.Place{Zone: m.Zone, Region: m.Region, Known: true, Counts: m.Core}
+	return replication.Locality{Zone: m.Zone, Region: m.Region, Known: true, CountsForQuorum: m.Core}
 }
 
 // corePeers are machines that may know the primary.
--- a/internal/fleet/storage/storage.go
+++ b/internal/fleet/storage/storage.go
@@ -30,9 +30,9 @@
 
 // Record is what one write makes durable.
 type Record struct {
-	Durable  replication.Durable `cbor:"1,keyasint"`
-	Entry    []byte              `cbor:"2,keyasint,omitempty"` // a change of the state
-	Snapshot []byte              `cbor:"3,keyasint,omitempty"` // the whole state
+	Durable  replication.HardState `cbor:"1,keyasint"`
+	Entry    []byte                `cbor:"2,keyasint,omitempty"` // a change of the state
+	Snapshot []byte                `cbor:"3,keyasint,omitempty"` // the whole state
 }
 
 // Log is a replica's log on the disk. Its methods are not safe for concurrent use.
@@ -97,7 +97,7 @@
 
 // Begin starts a new generation whose first record holds the whole state, and removes the former ones. After an error
 // it may be called again.
-func (l *Log) Begin(durable replication.Durable, snapshot []byte) error {
+func (l *Log) Begin(durable replication.HardState, snapshot []byte) error {
 	l.Close()
 	l.generation++
 	path := l.path(l.generation)
--- a/internal/fleet/storage/storage_test.go
+++ b/internal/fleet/storage/storage_test.go
@@ -10,8 +10,8 @@
 	"pinelb.example/pinelb/internal/fleet/replication"
 )
 
-func durable(round uint64) replication.Durable {
-	return replication.Durable{
+func durable(round uint64) replication.HardState {
+	return replication.HardState{
 		Self: replication.Replica{Address: "10.0.0.1:1", Nonce: 7}, Promised: replication.Ballot{Round: round},
 	}
 }
