--- a/internal/fleet/replica/replica.go
+++ b/internal/fleet/replica/replica.go
@@ -131,7 +131,7 @@
 		return durable, nil
 	}
 	log, records, err := storage.Open(filepath.Join(r.options.Directory, logFolder))
-	var damaged *storage.DamagedError
+	var damaged *storage.CorruptLogError
 	if errors.As(err, &damaged) {
 		r.options.Log.Error("the log is damaged: this replica starts without what it held, as a new one", zap.Error(err))
 		r.log = log
@@ -145,7 +145,7 @@
 		if err := r.take(record.Entry, record.Snapshot); err != nil {
 			return durable, err
 		}
-		durable = record.Durable
+		durable = record.HardState
 	}
 	return durable, nil
 }
@@ -268,10 +268,10 @@
 }
 
 func (r *Replica) writeLog(w *replication.Write) error {
-	if r.log.Grown() {
+	if r.log.NeedsCompaction() {
 		return r.begin(w.HardState)
 	}
-	return r.log.Append(storage.Record{Durable: w.HardState, Entry: w.Entry, Snapshot: w.Snapshot})
+	return r.log.Append(storage.Record{HardState: w.HardState, Entry: w.Entry, Snapshot: w.Snapshot})
 }
 
 func (r *Replica) begin(durable replication.HardState) error {
@@ -279,5 +279,5 @@
 	if err != nil {
 		return err
 	}
-	return r.log.Begin(durable, snapshot)
+	return r.log.StartGeneration(durable, snapshot)
 }
--- a/internal/fleet/storage/damage_test.go
+++ b/internal/fleet/storage/damage_test.go
@@ -13,9 +13,9 @@
 func written(directory string) string {
 	log, _, err := Open(directory)
 	So(err, ShouldBeNil)
-	So(log.Begin(durable(1), []byte("state")), ShouldBeNil)
-	So(log.Append(Record{Durable: durable(2), Entry: []byte("one")}), ShouldBeNil)
-	So(log.Append(Record{Durable: durable(3), Entry: []byte("two")}), ShouldBeNil)
+	So(log.StartGeneration(durable(1), []byte("state")), ShouldBeNil)
+	So(log.Append(Record{HardState: durable(2), Entry: []byte("one")}), ShouldBeNil)
+	So(log.Append(Record{HardState: durable(3), Entry: []byte("two")}), ShouldBeNil)
 	log.Close()
 	return segment(directory)
 }
@@ -36,7 +36,7 @@
 			spoilt[at] ^= 0x10
 			So(os.WriteFile(path, spoilt, 0o600), ShouldBeNil)
 			log, records, err := Open(directory)
-			var damaged *DamagedError
+			var damaged *CorruptLogError
 			if errors.As(err, &damaged) {
 				found++
 				So(log, ShouldNotBeNil) // it may be begun anew
@@ -53,7 +53,7 @@
 		path := written(directory)
 		whole, err := os.ReadFile(path)
 		So(err, ShouldBeNil)
-		last, err := cbor.Marshal(&Record{Durable: durable(3), Entry: []byte("two")})
+		last, err := cbor.Marshal(&Record{HardState: durable(3), Entry: []byte("two")})
 		So(err, ShouldBeNil)
 		for cut := len(whole) - len(last) - checksumSize; cut < len(whole); cut++ {
 			So(os.WriteFile(path, whole[:cut], 0o600), ShouldBeNil)
@@ -71,7 +71,7 @@
 		So(os.WriteFile(path, whole, 0o600), ShouldBeNil)
 		log, _, err := Open(directory)
 		So(err, ShouldNotBeNil)
-		So(log.Begin(durable(9), []byte("anew")), ShouldBeNil)
+		So(log.StartGeneration(durable(9), []byte("anew")), ShouldBeNil)
 		log.Close()
 		_, records, err := Open(directory)
 		So(err, ShouldBeNil)
@@ -81,7 +81,7 @@
 
 // FuzzReadRecord: nothing that a disk may hold ends the process, or is taken for more than it is.
 func FuzzReadRecord(f *testing.F) {
-	payload, err := cbor.Marshal(&Record{Durable: durable(1), Snapshot: []byte("s")})
+	payload, err := cbor.Marshal(&Record{HardState: durable(1), Snapshot: []byte("s")})
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/fleet/storage/read.go
+++ b/internal/fleet/storage/read.go
@@ -35,14 +35,14 @@
 	return payload, binary.BigEndian.Uint32(sealed) == crc32.Checksum(payload, checksums)
 }
 
-// DamagedError says that a log holds whole records after one that is not: it was synced, and has changed since. What it
+// CorruptLogError says that a log holds whole records after one that is not: it was synced, and has changed since. What it
 // holds is of no use to the replica that wrote it: it may have promised or stored more than can be read.
-type DamagedError struct {
+type CorruptLogError struct {
 	Path   string
 	Offset int // of the first record that can't be read
 }
 
-func (e *DamagedError) Error() string {
+func (e *CorruptLogError) Error() string {
 	return fmt.Sprintf("storage: %s is damaged at byte %d, and goes on after it", e.Path, e.Offset)
 }
 
@@ -63,7 +63,7 @@
 		record, size, ok := readRecord(text[at:])
 		if !ok {
 			if holdsRecord(text[at+1:]) {
-				return nil, &DamagedError{Path: path, Offset: at}
+				return nil, &CorruptLogError{Path: path, Offset: at}
 			}
 			break
 		}
--- a/internal/fleet/storage/storage.go
+++ b/internal/fleet/storage/storage.go
@@ -30,9 +30,9 @@
 
 // Record is what one write makes durable.
 type Record struct {
-	Durable  replication.HardState `cbor:"1,keyasint"`
-	Entry    []byte                `cbor:"2,keyasint,omitempty"` // a change of the state
-	Snapshot []byte                `cbor:"3,keyasint,omitempty"` // the whole state
+	HardState replication.HardState `cbor:"1,keyasint"`
+	Entry     []byte                `cbor:"2,keyasint,omitempty"` // a change of the state
+	Snapshot  []byte                `cbor:"3,keyasint,omitempty"` // the whole state
 }
 
 // Log is a replica's log on the disk. Its methods are not safe for concurrent use.
@@ -46,7 +46,7 @@
 }
 
 // Open reads what a directory holds, in the order in which it was written. No records: the disk is empty. With a
-// DamagedError the log may be begun anew, but not as the replica that wrote it.
+// CorruptLogError the log may be begun anew, but not as the replica that wrote it.
 func Open(directory string) (*Log, []Record, error) {
 	if err := os.MkdirAll(directory, 0o750); err != nil {
 		return nil, nil, merry.Prepend(err, "storage")
@@ -59,7 +59,7 @@
 	for _, generation := range slices.Backward(generations) {
 		l.generation = max(l.generation, generation)
 		records, err := readGeneration(l.path(generation))
-		var damaged *DamagedError
+		var damaged *CorruptLogError
 		if errors.As(err, &damaged) {
 			return l, nil, err
 		}
@@ -95,9 +95,9 @@
 	return filepath.Join(l.directory, fmt.Sprintf("%s%020d", generationPrefix, generation))
 }
 
-// Begin starts a new generation whose first record holds the whole state, and removes the former ones. After an error
+// StartGeneration starts a new generation whose first record holds the whole state, and removes the former ones. After an error
 // it may be called again.
-func (l *Log) Begin(durable replication.HardState, snapshot []byte) error {
+func (l *Log) StartGeneration(durable replication.HardState, snapshot []byte) error {
 	l.Close()
 	l.generation++
 	path := l.path(l.generation)
@@ -106,7 +106,7 @@
 		return merry.Prepend(err, "storage")
 	}
 	l.log, l.index, l.size = log, 0, 0
-	if err := l.append(Record{Durable: durable, Snapshot: snapshot}); err != nil {
+	if err := l.append(Record{HardState: durable, Snapshot: snapshot}); err != nil {
 		l.Close()
 		return err
 	}
@@ -161,8 +161,10 @@
 	return nil
 }
 
-// Grown tells whether a new generation is due.
-func (l *Log) Grown() bool { return l.log == nil || l.size > max(logLeast, logGrowth*l.first) }
+// NeedsCompaction tells whether a new generation is due.
+func (l *Log) NeedsCompaction() bool {
+	return l.log == nil || l.size > max(logLeast, logGrowth*l.first)
+}
 
 // Close lets go of the files.
 func (l *Log) Close() {
--- a/internal/fleet/storage/storage_test.go
+++ b/internal/fleet/storage/storage_test.go
@@ -28,9 +28,9 @@
 		log, records, err := Open(directory)
 		So(err, ShouldBeNil)
 		So(records, ShouldBeEmpty)
-		So(log.Grown(), ShouldBeTrue)
-		So(log.Begin(durable(1), []byte("state")), ShouldBeNil)
-		So(log.Append(Record{Durable: durable(2), Entry: []byte("change")}), ShouldBeNil)
+		So(log.NeedsCompaction(), ShouldBeTrue)
+		So(log.StartGeneration(durable(1), []byte("state")), ShouldBeNil)
+		So(log.Append(Record{HardState: durable(2), Entry: []byte("change")}), ShouldBeNil)
 
 		Convey("is read again as it was written", func() {
 			log.Close()
@@ -39,7 +39,7 @@
 			So(len(records), ShouldEqual, 2)
 			So(string(records[0].Snapshot), ShouldEqual, "state")
 			So(string(records[1].Entry), ShouldEqual, "change")
-			So(records[1].Durable, ShouldResemble, durable(2))
+			So(records[1].HardState, ShouldResemble, durable(2))
 		})
 		Convey("loses what was torn at its end, at any byte, and nothing before", func() {
 			log.Close()
@@ -63,7 +63,7 @@
 			So(len(records), ShouldEqual, 1)
 		})
 		Convey("is followed by a new generation that holds all, and the former one goes", func() {
-			So(log.Begin(durable(3), []byte("later")), ShouldBeNil)
+			So(log.StartGeneration(durable(3), []byte("later")), ShouldBeNil)
 			log.Close()
 			generations, err := filepath.Glob(filepath.Join(directory, generationPrefix+"*"))
 			So(err, ShouldBeNil)
@@ -81,7 +81,7 @@
 			next, records, err := Open(directory)
 			So(err, ShouldBeNil)
 			So(len(records), ShouldEqual, 2)
-			So(next.Begin(durable(4), []byte("on")), ShouldBeNil)
+			So(next.StartGeneration(durable(4), []byte("on")), ShouldBeNil)
 			next.Close()
 			_, records, err = Open(directory)
 			So(err, ShouldBeNil)
@@ -89,15 +89,15 @@
 		})
 		Convey("that could not be written takes nothing until a new generation is begun", func() {
 			So(log.log.Close(), ShouldBeNil)
-			So(log.Append(Record{Durable: durable(5)}), ShouldNotBeNil)
-			So(log.Append(Record{Durable: durable(5)}), ShouldNotBeNil)
-			So(log.Grown(), ShouldBeTrue)
-			So(log.Begin(durable(5), []byte("again")), ShouldBeNil)
+			So(log.Append(Record{HardState: durable(5)}), ShouldNotBeNil)
+			So(log.Append(Record{HardState: durable(5)}), ShouldNotBeNil)
+			So(log.NeedsCompaction(), ShouldBeTrue)
+			So(log.StartGeneration(durable(5), []byte("again")), ShouldBeNil)
 		})
 		Convey("grows only so far", func() {
 			big := make([]byte, logLeast)
-			So(log.Append(Record{Durable: durable(6), Entry: big}), ShouldBeNil)
-			So(log.Grown(), ShouldBeTrue)
+			So(log.Append(Record{HardState: durable(6), Entry: big}), ShouldBeNil)
+			So(log.NeedsCompaction(), ShouldBeTrue)
 		})
 	})
 }
