--- a/internal/fleet/control/stack_test.go
+++ b/internal/fleet/control/stack_test.go
@@ -171,14 +171,14 @@
 	m.clock, m.stop, m.node = clock, stop, node
 	m.mu.Unlock()
 	r, err := replica.Start(replica.Options{
-		Address: m.address, Directory: m.disk, Founders: founders, Joins: true, Log: zap.NewNop(),
+		Address: m.address, Directory: m.disk, BootstrapWitnesses: founders, Votes: true, Log: zap.NewNop(),
 		Tolerance: replication.Tolerance{Machines: m.stack.tolerance}, Timing: replication.DefaultTiming(),
-		PlaceOf: func(a string) replication.Locality {
+		LocalityOf: func(a string) replication.Locality {
 			return replication.Locality{Zone: a, Known: true, CountsForQuorum: true}
 		},
 		Peers: m.stack.peers, Clock: clock, Send: m.sendReplication,
-		Committed: m.committed,
-		Viewed: func(view replication.View) {
+		OnCommit: m.committed,
+		OnViewChange: func(view replication.View) {
 			m.step(func(now time.Duration) *dissemination.Output {
 				if view.Primary.Address != m.address {
 					node.SetView(view.Number, view.Primary.Address)
@@ -235,7 +235,7 @@
 			return
 		case <-ticker.C:
 			m.step(func(now time.Duration) *dissemination.Output {
-				if _, sequence, at, ok := r.Freshness(); ok {
+				if _, sequence, at, ok := r.ReadLease(); ok {
 					m.node.Feed.Renew(sequence, at)
 				}
 				return m.node.Tick(now)
@@ -304,8 +304,8 @@
 
 func (m *machine) committed(c replica.Commit) {
 	var encoded []byte
-	if c.Order != nil {
-		encoded, _ = c.Order.Encode()
+	if c.Change != nil {
+		encoded, _ = c.Change.Encode()
 	}
 	m.step(func(now time.Duration) *dissemination.Output { return m.node.Commit(now, c.Sequence, c.Table, encoded) })
 }
--- a/internal/fleet/replica/orders.go
+++ b/internal/fleet/replica/orders.go
@@ -135,9 +135,9 @@
 	return seen.state.Document, nil
 }
 
-// Confirm returns nil once a majority of the witnesses has answered a round that began after the call: no other replica was
+// ConfirmLeadership returns nil once a majority of the witnesses has answered a round that began after the call: no other replica was
 // the primary meanwhile.
-func (r *Replica) Confirm(ctx context.Context) error {
+func (r *Replica) ConfirmLeadership(ctx context.Context) error {
 	if !r.look().leading {
 		return ErrNotPrimary
 	}
@@ -178,9 +178,9 @@
 	r.do(func() { r.carryOut(r.machine.Resign(r.options.Clock())) })
 }
 
-// Released tells whether a replica that has resigned may end: its copy and its vote are where they have to be, as far as
+// MayStop tells whether a replica that has resigned may end: its copy and its vote are where they have to be, as far as
 // waiting helps.
-func (r *Replica) Released() bool { return r.look().released }
+func (r *Replica) MayStop() bool { return r.look().released }
 
 // settle looks, after a step, at what has been decided.
 func (r *Replica) settle() {
@@ -189,7 +189,7 @@
 		r.viewKnown = view.Number
 		r.options.Log.Info("view", zap.Uint64("number", view.Number), zap.String("primary", view.Primary.Address),
 			zap.Int("members", len(view.Members)), zap.Int("witnesses", len(view.Witnesses)))
-		r.options.Viewed(view)
+		r.options.OnViewChange(view)
 	}
 	committed, leading := r.machine.Committed()
 	if !leading {
@@ -220,7 +220,7 @@
 	}
 	commit := Commit{View: committed.View, Sequence: committed.Sequence, State: r.stored}
 	if p := r.candidate; p != nil && p.position == committed {
-		commit.Table, commit.Order = p.table, p.order
+		commit.Table, commit.Change = p.table, p.order
 		r.candidate = nil
 		defer func() { p.done <- nil }()
 	} else {
@@ -235,7 +235,7 @@
 	r.mu.Lock()
 	r.seen.state, r.seen.table, r.seen.sequence = commit.State, commit.Table, commit.Sequence
 	r.mu.Unlock()
-	r.options.Committed(commit)
+	r.options.OnCommit(commit)
 }
 
 func (r *Replica) settleConfirmations(confirmed time.Duration, current bool) {
@@ -268,17 +268,17 @@
 	return r.seen
 }
 
-// Freshness tells until when this replica is sure that what it last published is the newest: no other view was in force
+// ReadLease tells until when this replica is sure that what it last published is the newest: no other view was in force
 // then. ok is false on others than a primary.
-func (r *Replica) Freshness() (view, sequence uint64, at time.Duration, ok bool) {
+func (r *Replica) ReadLease() (view, sequence uint64, at time.Duration, ok bool) {
 	seen := r.look()
 	return seen.view.Number, seen.sequence, seen.confirmed, seen.leading && seen.current
 }
 
-// Confirmed is a moment at which this replica was the primary and no other view was in force; ok is false where it has not
+// LeadershipConfirmedAt is a moment at which this replica was the primary and no other view was in force; ok is false where it has not
 // been the primary since its start, or knows of another one. Other than Freshness it holds on while the replica changes
 // the composition of its own view.
-func (r *Replica) Confirmed() (at time.Duration, ok bool) {
+func (r *Replica) LeadershipConfirmedAt() (at time.Duration, ok bool) {
 	seen := r.look()
 	return seen.lastConfirmed, seen.hasConfirmed
 }
--- a/internal/fleet/replica/replica.go
+++ b/internal/fleet/replica/replica.go
@@ -29,24 +29,24 @@
 	Sequence uint64
 	State    *config.State
 	Table    *config.Table
-	Order    *config.Order // that made it of the one before; nil: not known
+	Change   *config.Order // that made it of the one before; nil: not known
 }
 
 // Options are a replica's surroundings.
 type Options struct {
-	Address   string   // internal, of this machine
-	Directory string   // empty: no disk
-	Founders  []string // the first witnesses' addresses, at the first start of the whole system; else none
-	Joins     bool     // this machine counts for the quorum
-	Tolerance replication.Tolerance
-	Timing    replication.Timing
-	PlaceOf   func(address string) replication.Locality
-	Peers     func() []string // addresses that may know the primary
-	Send      func(to string, nonce uint64, message replication.Envelope)
-	Committed func(Commit)           // called in order, by the replica's goroutine
-	Viewed    func(replication.View) // the same, when a view is learned
-	Clock     func() time.Duration   // steady
-	Log       *zap.Logger
+	Address            string   // internal, of this machine
+	Directory          string   // empty: no disk
+	BootstrapWitnesses []string // the first witnesses' addresses, at the first start of the whole system; else none
+	Votes              bool     // this machine counts for the quorum
+	Tolerance          replication.Tolerance
+	Timing             replication.Timing
+	LocalityOf         func(address string) replication.Locality
+	Peers              func() []string // addresses that may know the primary
+	Send               func(to string, nonce uint64, message replication.Envelope)
+	OnCommit           func(Commit)           // called in order, by the replica's goroutine
+	OnViewChange       func(replication.View) // the same, when a view is learned
+	Clock              func() time.Duration   // steady
+	Log                *zap.Logger
 }
 
 // Replica is one copy. Its methods may be called by any goroutine.
@@ -123,10 +123,10 @@
 func (r *Replica) restore() (replication.HardState, error) {
 	r.stored = config.EmptyState()
 	nonce := uint64(0)
-	if len(r.options.Founders) == 0 {
+	if len(r.options.BootstrapWitnesses) == 0 {
 		nonce = rand.Uint64() | 1 // 0 is that of the first start
 	}
-	durable := replication.InitialHardState(r.options.Address, nonce, r.options.Founders)
+	durable := replication.InitialHardState(r.options.Address, nonce, r.options.BootstrapWitnesses)
 	if r.options.Directory == "" {
 		return durable, nil
 	}
@@ -177,8 +177,8 @@
 // build makes the protocol's machine of what the disk holds.
 func (r *Replica) build(durable replication.HardState) {
 	r.machine = replication.New(r.options.Clock(), durable, replication.Options{
-		Timing: r.options.Timing, Tolerance: r.options.Tolerance, LocalityOf: r.options.PlaceOf,
-		JoinTargets: r.options.Peers, Joins: r.options.Joins,
+		Timing: r.options.Timing, Tolerance: r.options.Tolerance, LocalityOf: r.options.LocalityOf,
+		JoinTargets: r.options.Peers, Joins: r.options.Votes,
 		Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
 }
--- a/internal/fleet/replica/replica_test.go
+++ b/internal/fleet/replica/replica_test.go
@@ -26,17 +26,17 @@
 	commits := make(chan Commit, 100)
 	began := time.Now()
 	options := Options{
-		Address: self, Directory: directory, Joins: true, Timing: replication.DefaultTiming(), Log: zap.NewNop(),
-		PlaceOf: func(string) replication.Locality {
+		Address: self, Directory: directory, Votes: true, Timing: replication.DefaultTiming(), Log: zap.NewNop(),
+		LocalityOf: func(string) replication.Locality {
 			return replication.Locality{Zone: "z", Known: true, CountsForQuorum: true}
 		},
-		Peers:     func() []string { return nil },
-		Send:      func(string, uint64, replication.Envelope) {},
-		Committed: func(c Commit) { commits <- c }, Viewed: func(replication.View) {},
+		Peers:    func() []string { return nil },
+		Send:     func(string, uint64, replication.Envelope) {},
+		OnCommit: func(c Commit) { commits <- c }, OnViewChange: func(replication.View) {},
 		Clock: func() time.Duration { return time.Since(began) },
 	}
 	if bootstrap {
-		options.Founders = []string{self}
+		options.BootstrapWitnesses = []string{self}
 	}
 	r, err := Start(options)
 	So(err, ShouldBeNil)
@@ -106,7 +106,7 @@
 			So(other, ShouldEqual, ErrConflict)
 		})
 		Convey("knows when it was surely the primary, also while its own view is changing", func() {
-			at, ok := r.Confirmed()
+			at, ok := r.LeadershipConfirmedAt()
 			So(ok, ShouldBeTrue)
 			var held time.Duration
 			var leading bool
@@ -116,8 +116,8 @@
 				r.mu.Lock()
 				r.seen.leading, r.seen.current = false, false
 				r.mu.Unlock()
-				held, ok = r.Confirmed()
-				_, _, _, leading = r.Freshness()
+				held, ok = r.LeadershipConfirmedAt()
+				_, _, _, leading = r.ReadLease()
 			})
 			<-done
 			So(ok, ShouldBeTrue)
--- a/internal/fleet/router/gossip.go
+++ b/internal/fleet/router/gossip.go
@@ -169,7 +169,7 @@
 // tick lets time pass.
 func (r *Router) tick() {
 	if r.replica != nil {
-		if _, sequence, at, ok := r.replica.Freshness(); ok {
+		if _, sequence, at, ok := r.replica.ReadLease(); ok {
 			r.mu.Lock()
 			r.node.Feed.Renew(sequence, at)
 			r.mu.Unlock()
@@ -265,8 +265,8 @@
 // committed takes over a configuration that this router's replica has acknowledged as the primary.
 func (r *Router) committed(c replica.Commit) {
 	var encoded []byte
-	if c.Order != nil {
-		encoded, _ = c.Order.Encode() // without it the others fetch the configuration
+	if c.Change != nil {
+		encoded, _ = c.Change.Encode() // without it the others fetch the configuration
 	}
 	table := c.Table
 	if table.Version == 0 {
--- a/internal/fleet/router/leaves.go
+++ b/internal/fleet/router/leaves.go
@@ -51,7 +51,7 @@
 	ctx, cancel := context.WithTimeout(ctx, leaveTime)
 	defer cancel()
 	if r.replica != nil && primary == r.settings.Internal() {
-		return r.replica.Confirm(ctx)
+		return r.replica.ConfirmLeadership(ctx)
 	}
 	if primary == "" {
 		return errNoPrimary
@@ -71,5 +71,5 @@
 	r.withNode(func(now time.Duration) *dissemination.Output { return r.node.TakeLeave(now, endpoint) })
 	ctx, cancel := context.WithTimeout(r.transport.Context(), leaveTime)
 	defer cancel()
-	return leaveReply{}, r.replica.Confirm(ctx)
+	return leaveReply{}, r.replica.ConfirmLeadership(ctx)
 }
--- a/internal/fleet/router/quota.go
+++ b/internal/fleet/router/quota.go
@@ -306,7 +306,7 @@
 	if r.replica == nil || r.ending.Load() { // one that ends has resigned
 		return nil
 	}
-	confirmed, leading := r.replica.Confirmed()
+	confirmed, leading := r.replica.LeadershipConfirmedAt()
 	if !leading || r.clock()-confirmed > ledgerConfirm {
 		return nil
 	}
--- a/internal/fleet/router/router.go
+++ b/internal/fleet/router/router.go
@@ -212,15 +212,15 @@
 	}
 	var err error
 	r.replica, err = replica.Start(replica.Options{
-		Address: s.Internal(), Directory: s.DataDir, Founders: founders, Joins: s.CountsForQuorum,
+		Address: s.Internal(), Directory: s.DataDir, BootstrapWitnesses: founders, Votes: s.CountsForQuorum,
 		Tolerance: replication.Tolerance{
 			Machines: s.Tolerance.Machines, Zones: s.Tolerance.Zones, Regions: s.Tolerance.Regions,
 		},
-		Timing: replication.DefaultTiming(), PlaceOf: r.placeOf, Peers: r.corePeers,
+		Timing: replication.DefaultTiming(), LocalityOf: r.placeOf, Peers: r.corePeers,
 		Send: func(to string, nonce uint64, message replication.Envelope) {
 			r.transport.Send(to, kindReplication, nonce, message)
 		},
-		Committed: r.committed, Viewed: r.viewed, Clock: r.clock, Log: r.log,
+		OnCommit: r.committed, OnViewChange: r.viewed, Clock: r.clock, Log: r.log,
 	})
 	return err
 }
--- a/internal/fleet/router/status.go
+++ b/internal/fleet/router/status.go
@@ -54,7 +54,7 @@
 		s.LeaseAgeMs = -1
 	}
 	if r.replica != nil {
-		_, _, _, leading := r.replica.Freshness()
+		_, _, _, leading := r.replica.ReadLease()
 		s.Replica = &ReplicaStatus{Leading: leading, View: r.replica.View()}
 	}
 	r.mu.Lock()
