--- a/internal/fleet/config/config_test.go
+++ b/internal/fleet/config/config_test.go
@@ -109,7 +109,7 @@
 		}
 		got := map[string]float64{}
 		for i := range draws {
-			got[route.Pick((float64(i)+0.5)/draws)]++
+			got[route.PickService((float64(i)+0.5)/draws)]++
 		}
 		for i, weight := range weights {
 			if share, expected := got[fmt.Sprint("s", i)]/draws, weight/sum; math.Abs(share-expected) > 1.0/draws {
@@ -127,12 +127,12 @@
 		So(table.Route("h.example", "/a/bc").Name, ShouldEqual, "a")
 		So(table.Route("h.example", "/b/"), ShouldBeNil)
 		So(table.Route("other", "/a/"), ShouldBeNil)
-		So(table.Tenant("k2").Name, ShouldEqual, "t")
-		So(table.Tenant("k3"), ShouldBeNil)
+		So(table.TenantByKey("k2").Name, ShouldEqual, "t")
+		So(table.TenantByKey("k3"), ShouldBeNil)
 		So(table.Route("h.example", "/a/").Idempotent(), ShouldBeTrue)
 		So(table.Route("h.example", "/a/b/").Idempotent(), ShouldBeFalse)
-		So(table.Route("h.example", "/a/b/").Pick(0.95), ShouldEqual, "desk")
-		So(table.Route("h.example", "/a/b/").Pick(0.5), ShouldEqual, "llm")
+		So(table.Route("h.example", "/a/b/").PickService(0.95), ShouldEqual, "desk")
+		So(table.Route("h.example", "/a/b/").PickService(0.5), ShouldEqual, "llm")
 	})
 	Convey("A changed table takes over what stayed", t, func() {
 		former, err := NewTable(document(whole), nil)
@@ -150,8 +150,8 @@
 
 func TestState(t *testing.T) {
 	Convey("A state knows the orders that made it, also after it was copied", t, func() {
-		first := &Order{Replace: true, Base: 0, Body: []byte(whole)}
-		second := &Order{Base: 7, Body: []byte(`{"version":9,"remove":{"routes":["ab"]}}`)}
+		first := &Change{Replace: true, Base: 0, Body: []byte(whole)}
+		second := &Change{Base: 7, Body: []byte(`{"version":9,"remove":{"routes":["ab"]}}`)}
 		state, err := EmptyState().Apply(first)
 		So(err, ShouldBeNil)
 		state, err = state.Apply(second)
@@ -160,16 +160,16 @@
 		So(err, ShouldBeNil)
 		copied, err := DecodeState(text)
 		So(err, ShouldBeNil)
-		So(copied.Taken(first.Digest()), ShouldBeTrue)
-		So(copied.Taken(second.Digest()), ShouldBeTrue)
-		So(copied.Taken((&Order{Base: 9, Body: second.Body}).Digest()), ShouldBeFalse)
+		So(copied.HasApplied(first.Digest()), ShouldBeTrue)
+		So(copied.HasApplied(second.Digest()), ShouldBeTrue)
+		So(copied.HasApplied((&Change{Base: 9, Body: second.Body}).Digest()), ShouldBeFalse)
 		So(copied.Document.Version(), ShouldEqual, 9)
 		So(same(copied.Document.Encode(), state.Document.Encode()), ShouldBeTrue)
 	})
 	Convey("The memory of orders is bounded", t, func() {
 		state := EmptyState()
 		for version := 1; version <= rememberedOrders+10; version++ {
-			next, err := state.Apply(&Order{Base: int64(version - 1), Body: fmt.Appendf(nil, `{"version":%d}`, version)})
+			next, err := state.Apply(&Change{Base: int64(version - 1), Body: fmt.Appendf(nil, `{"version":%d}`, version)})
 			So(err, ShouldBeNil)
 			state = next
 		}
--- a/internal/fleet/config/model.go
+++ b/internal/fleet/config/model.go
@@ -36,19 +36,19 @@
 // Timeout is the longest time that a request may be held.
 func (r *Route) Timeout() time.Duration { return milliseconds(r.TimeoutMs) }
 
-// Target is the time within which an answer earns its full worth.
-func (r *Route) Target() time.Duration { return milliseconds(r.TargetLatencyMs) }
+// TargetLatency is the time within which an answer earns its full worth.
+func (r *Route) TargetLatency() time.Duration { return milliseconds(r.TargetLatencyMs) }
 
-// Gap is the longest pause between events of a stream with which it is in time; 0: no bound.
-func (r *Route) Gap() time.Duration { return milliseconds(r.GapAimMs) }
+// MaxEventGap is the longest pause between events of a stream with which it is in time; 0: no bound.
+func (r *Route) MaxEventGap() time.Duration { return milliseconds(r.GapAimMs) }
 
 // Idempotent tells whether a request may run more than once.
 func (r *Route) Idempotent() bool {
 	return r.Type == Safe || r.Type == Streaming && r.StreamResume
 }
 
-// Attempts is the greatest number of endpoints to which one try may be sent.
-func (r *Route) Attempts() int { return max(1, r.MaxAttempts) }
+// AttemptLimit is the greatest number of endpoints to which one try may be sent.
+func (r *Route) AttemptLimit() int { return max(1, r.MaxAttempts) }
 
 // backends are the services that the route sends to, with their weights.
 func (r *Route) backends() []Backend {
@@ -87,7 +87,7 @@
 	IdleTimeoutMs   float64 `json:"idleTimeoutMs"`
 }
 
-// Tenant is a customer with keys and a quota.
+// TenantByKey is a customer with keys and a quota.
 type Tenant struct {
 	Name        string   `json:"name"`
 	APIKeys     []string `json:"apiKeys"`
--- a/internal/fleet/config/state.go
+++ b/internal/fleet/config/state.go
@@ -12,18 +12,18 @@
 // rememberedOrders is how many of the last orders' digests a state keeps, so that an order that is sent again is known.
 const rememberedOrders = 1024
 
-// Order is one change of the configuration, as the operator sent it.
-type Order struct {
+// Change is one change of the configuration, as the operator sent it.
+type Change struct {
 	Replace bool   `cbor:"1,keyasint"` // a whole configuration; else a change of named items
 	Base    int64  `cbor:"2,keyasint"` // the version that it builds on
 	Body    []byte `cbor:"3,keyasint"`
 }
 
-// OrderDigest identifies an order by its content.
-type OrderDigest [16]byte
+// ChangeDigest identifies an order by its content.
+type ChangeDigest [16]byte
 
 // Digest identifies the order.
-func (o *Order) Digest() OrderDigest {
+func (o *Change) Digest() ChangeDigest {
 	hash := sha256.New()
 	var head [9]byte
 	if o.Replace {
@@ -32,11 +32,11 @@
 	binary.BigEndian.PutUint64(head[1:], uint64(o.Base))
 	hash.Write(head[:])
 	hash.Write(o.Body)
-	return OrderDigest(hash.Sum(nil)[:16])
+	return ChangeDigest(hash.Sum(nil)[:16])
 }
 
 // Encode writes the order as it is replicated.
-func (o *Order) Encode() ([]byte, error) {
+func (o *Change) Encode() ([]byte, error) {
 	text, err := cbor.Marshal(o)
 	if err != nil {
 		return nil, merry.Prepend(err, "config: order")
@@ -44,9 +44,9 @@
 	return text, nil
 }
 
-// DecodeOrder reads what Encode wrote.
-func DecodeOrder(text []byte) (*Order, error) {
-	var o Order
+// DecodeChange reads what Encode wrote.
+func DecodeChange(text []byte) (*Change, error) {
+	var o Change
 	if err := cbor.Unmarshal(text, &o); err != nil {
 		return nil, merry.Prepend(err, "config: order")
 	}
@@ -56,28 +56,28 @@
 // State is what is replicated: the configuration and the last orders that made it. It is never changed.
 type State struct {
 	Document *Document
-	orders   []OrderDigest // the last one last
+	orders   []ChangeDigest // the last one last
 }
 
 // EmptyState is what is replicated before the first order.
 func EmptyState() *State { return &State{Document: EmptyDocument()} }
 
-// Taken tells whether an order is among the last that were taken.
-func (s *State) Taken(digest OrderDigest) bool { return slices.Contains(s.orders, digest) }
+// HasApplied tells whether an order is among the last that were taken.
+func (s *State) HasApplied(digest ChangeDigest) bool { return slices.Contains(s.orders, digest) }
 
 // Apply returns the state after an order. It does not check the order against the present version.
-func (s *State) Apply(o *Order) (*State, error) {
+func (s *State) Apply(o *Change) (*State, error) {
 	document, err := s.documentAfter(o)
 	if err != nil {
 		return nil, err
 	}
 	kept := s.orders[max(0, len(s.orders)-rememberedOrders+1):]
-	orders := make([]OrderDigest, 0, len(kept)+1)
+	orders := make([]ChangeDigest, 0, len(kept)+1)
 	orders = append(append(orders, kept...), o.Digest())
 	return &State{Document: document, orders: orders}, nil
 }
 
-func (s *State) documentAfter(o *Order) (*Document, error) {
+func (s *State) documentAfter(o *Change) (*Document, error) {
 	if o.Replace {
 		return ParseDocument(o.Body)
 	}
@@ -118,9 +118,9 @@
 		return nil, err
 	}
 	s := &State{Document: document}
-	for digest := range slices.Chunk(e.Orders, len(OrderDigest{})) {
-		if len(digest) == len(OrderDigest{}) {
-			s.orders = append(s.orders, OrderDigest(digest))
+	for digest := range slices.Chunk(e.Orders, len(ChangeDigest{})) {
+		if len(digest) == len(ChangeDigest{}) {
+			s.orders = append(s.orders, ChangeDigest(digest))
 		}
 	}
 	return s, nil
--- a/internal/fleet/config/table.go
+++ b/internal/fleet/config/table.go
@@ -9,10 +9,10 @@
 
 // Table is a configuration in the form that requests need. It is never changed.
 type Table struct {
-	Document *Document
-	Version  int64
-	Limits   Limits
-	HasKeys  bool // the configuration has tenants, so that requests carry keys
+	Document       *Document
+	Version        int64
+	Limits         Limits
+	RequiresAPIKey bool // the configuration has tenants, so that requests carry keys
 
 	routes   map[string]*Route
 	services map[string]*Service
@@ -100,7 +100,7 @@
 }
 
 func (t *Table) indexKeys() error {
-	t.HasKeys = len(t.tenants) > 0
+	t.RequiresAPIKey = len(t.tenants) > 0
 	for _, name := range sortedKeys(t.tenants) {
 		tenant := t.tenants[name]
 		for _, key := range tenant.APIKeys {
@@ -144,11 +144,11 @@
 	return nil
 }
 
-// Tenant is the holder of a key; nil where there is none.
-func (t *Table) Tenant(key string) *Tenant { return t.keys[key] }
+// TenantByKey is the holder of a key; nil where there is none.
+func (t *Table) TenantByKey(key string) *Tenant { return t.keys[key] }
 
-// TenantNamed is the tenant of that name; nil where there is none.
-func (t *Table) TenantNamed(name string) *Tenant { return t.tenants[name] }
+// TenantByName is the tenant of that name; nil where there is none.
+func (t *Table) TenantByName(name string) *Tenant { return t.tenants[name] }
 
 // Service is the service of that name; nil where there is none.
 func (t *Table) Service(name string) *Service { return t.services[name] }
@@ -156,8 +156,8 @@
 // Services are the names of all services, sorted.
 func (t *Table) Services() []string { return sortedKeys(t.services) }
 
-// Pick chooses the service of a request; draw is uniform in [0, 1).
-func (r *Route) Pick(draw float64) string {
+// PickService chooses the service of a request; draw is uniform in [0, 1).
+func (r *Route) PickService(draw float64) string {
 	backends := r.backends()
 	sum := 0.0
 	for _, backend := range backends {
--- a/internal/fleet/control/control.go
+++ b/internal/fleet/control/control.go
@@ -31,7 +31,7 @@
 // Core is what the API needs of the rest of the router.
 type Core interface {
 	// Submit has an order taken. Errors are package replica's, or a config.InvalidError.
-	Submit(ctx context.Context, order *config.Order) error
+	Submit(ctx context.Context, order *config.Change) error
 	// Read returns the newest configuration.
 	Read(ctx context.Context) (*config.Document, error)
 	// PrimaryControl is the newest view that is known, and the control address of its primary, which takes orders; empty where
@@ -136,7 +136,7 @@
 		}
 		ctx, cancel := context.WithTimeout(r.Context(), orderTime)
 		defer cancel()
-		s.answerOrder(w, r, s.core.Submit(ctx, &config.Order{Replace: replace, Base: base, Body: body}))
+		s.answerOrder(w, r, s.core.Submit(ctx, &config.Change{Replace: replace, Base: base, Body: body}))
 	}
 }
 
--- a/internal/fleet/control/control_test.go
+++ b/internal/fleet/control/control_test.go
@@ -18,7 +18,7 @@
 // core is the API's surroundings.
 type core struct {
 	err     error
-	orders  []*config.Order
+	orders  []*config.Change
 	primary string
 	view    uint64
 	heard   []registry.Endpoint
@@ -26,7 +26,7 @@
 	service string
 }
 
-func (c *core) Submit(_ context.Context, o *config.Order) error {
+func (c *core) Submit(_ context.Context, o *config.Change) error {
 	c.orders = append(c.orders, o)
 	return c.err
 }
--- a/internal/fleet/control/stack_test.go
+++ b/internal/fleet/control/stack_test.go
@@ -316,7 +316,7 @@
 	replica *replica.Replica
 }
 
-func (c *core) Submit(ctx context.Context, o *config.Order) error { return c.replica.Submit(ctx, o) }
+func (c *core) Submit(ctx context.Context, o *config.Change) error { return c.replica.Submit(ctx, o) }
 func (c *core) Read(ctx context.Context) (*config.Document, error) {
 	return c.replica.Read(ctx)
 }
--- a/internal/fleet/dissemination/feed.go
+++ b/internal/fleet/dissemination/feed.go
@@ -59,7 +59,7 @@
 	if f.Table == nil || sequence != f.Sequence+1 {
 		return false, nil
 	}
-	order, err := config.DecodeOrder(encoded)
+	order, err := config.DecodeChange(encoded)
 	if err != nil {
 		return false, err
 	}
--- a/internal/fleet/dissemination/node_test.go
+++ b/internal/fleet/dissemination/node_test.go
@@ -85,7 +85,7 @@
 
 // commit has the first node acknowledge a configuration.
 func (f *fleet) commit(sequence uint64) {
-	order := &config.Order{Replace: true, Body: fmt.Appendf(nil, `{"version":%d}`, sequence)}
+	order := &config.Change{Replace: true, Body: fmt.Appendf(nil, `{"version":%d}`, sequence)}
 	state, err := config.EmptyState().Apply(order)
 	So(err, ShouldBeNil)
 	table, err := config.NewTable(state.Document, nil)
--- a/internal/fleet/front/forward.go
+++ b/internal/fleet/front/forward.go
@@ -76,7 +76,7 @@
 func (a *answer) call() *placement.Call {
 	q := a.request
 	return &placement.Call{
-		Service: q.service, Target: q.route.Target(), Spent: q.spent + time.Since(q.arrived), Prompt: q.prompt, Exclude: a.tried,
+		Service: q.service, Target: q.route.TargetLatency(), Spent: q.spent + time.Since(q.arrived), Prompt: q.prompt, Exclude: a.tried,
 		Repeat: a.arrived > 0, Final: a.isLast(),
 	}
 }
@@ -117,7 +117,7 @@
 // exhausted tells whether the request may go to no further endpoint.
 func (a *answer) exhausted() bool {
 	route := a.request.route
-	return a.unreached > unreachedMost || a.arrived >= route.Attempts() || a.ran && !route.Idempotent()
+	return a.unreached > unreachedMost || a.arrived >= route.AttemptLimit() || a.ran && !route.Idempotent()
 }
 
 // leave ends a request whose client has closed its connection, or its sending. It may still read: what it gets is no success
@@ -195,7 +195,7 @@
 	}
 	if reply.Status >= http.StatusInternalServerError {
 		s.dispatcher.failed(endpoint)
-		if q.route.Idempotent() && !a.begun && q.route.Attempts() > 1 {
+		if q.route.Idempotent() && !a.begun && q.route.AttemptLimit() > 1 {
 			return mayHaveRun
 		}
 	}
@@ -208,7 +208,7 @@
 // isLast tells whether a failure of the attempt that is about to be made is the request's.
 func (a *answer) isLast() bool {
 	route := a.request.route
-	return !route.Idempotent() || a.arrived+1 >= route.Attempts()
+	return !route.Idempotent() || a.arrived+1 >= route.AttemptLimit()
 }
 
 func success(status int) bool { return status >= 200 && status < 300 }
--- a/internal/fleet/front/planted_test.go
+++ b/internal/fleet/front/planted_test.go
@@ -19,7 +19,7 @@
 	"an answer that names nobody is taken on any connection": {File: "../../upstream/exchange.go", Edits: []mutant.Edit{
 		{Right: "named == \"\" && !c.names", Wrong: "named == \"\""}}},
 	"an unsafe request that may have run is sent again": {File: "forward.go", Edits: []mutant.Edit{
-		{Right: "a.arrived >= route.Attempts() || a.ran && !route.Idempotent()", Wrong: "a.arrived >= route.Attempts()"}}},
+		{Right: "a.arrived >= route.AttemptLimit() || a.ran && !route.Idempotent()", Wrong: "a.arrived >= route.AttemptLimit()"}}},
 	goneOnWith: {File: "forward.go", Edits: []mutant.Edit{
 		{Right: "if a.begun && !(resumable && a.lastID != \"\") {", Wrong: "if false {"}}},
 }
--- a/internal/fleet/front/server.go
+++ b/internal/fleet/front/server.go
@@ -109,13 +109,13 @@
 	if q.route == nil {
 		return http.StatusNotFound
 	}
-	if table.HasKeys && !q.route.Public {
-		if q.tenant = table.Tenant(q.http.Header.Get(headerKey)); q.tenant == nil {
+	if table.RequiresAPIKey && !q.route.Public {
+		if q.tenant = table.TenantByKey(q.http.Header.Get(headerKey)); q.tenant == nil {
 			return http.StatusUnauthorized
 		}
 	}
-	q.service = q.route.Pick(s.dispatcher.uniform())
-	q.prompt = placement.Prompt{Units: 1, Rank: q.priority(), Output: q.output(), Gap: q.route.Gap()}
+	q.service = q.route.PickService(s.dispatcher.uniform())
+	q.prompt = placement.Prompt{Units: 1, Rank: q.priority(), Output: q.output(), Gap: q.route.MaxEventGap()}
 	if text := q.http.Header.Get(headerPrefix); text != "" {
 		q.prompt.Units, q.prompt.Prefixes = readPrefixes(text)
 	}
--- a/internal/fleet/replica/orders.go
+++ b/internal/fleet/replica/orders.go
@@ -25,14 +25,14 @@
 
 // Submit has an order taken. It returns nil once every member of the view holds it, also where that very order was taken
 // before. A config.InvalidError says what is wrong with it.
-func (r *Replica) Submit(ctx context.Context, order *config.Order) error {
+func (r *Replica) Submit(ctx context.Context, order *config.Change) error {
 	digest := order.Digest()
 	for {
 		seen := r.look()
 		if !seen.leading {
 			return ErrNotPrimary
 		}
-		if seen.state.Taken(digest) {
+		if seen.state.HasApplied(digest) {
 			return nil
 		}
 		if order.Base != seen.state.Document.Version() {
@@ -59,7 +59,7 @@
 }
 
 // prepare checks an order against the present state and makes the next one.
-func prepare(state *config.State, table *config.Table, order *config.Order) (*proposal, error) {
+func prepare(state *config.State, table *config.Table, order *config.Change) (*proposal, error) {
 	next, err := state.Apply(order)
 	if err != nil {
 		return nil, err
--- a/internal/fleet/replica/replica.go
+++ b/internal/fleet/replica/replica.go
@@ -29,7 +29,7 @@
 	Sequence uint64
 	State    *config.State
 	Table    *config.Table
-	Change   *config.Order // that made it of the one before; nil: not known
+	Change   *config.Change // that made it of the one before; nil: not known
 }
 
 // Options are a replica's surroundings.
@@ -89,7 +89,7 @@
 // proposal is an order under way.
 type proposal struct {
 	position replication.Position
-	order    *config.Order
+	order    *config.Change
 	state    *config.State
 	table    *config.Table
 	done     chan error
@@ -162,7 +162,7 @@
 	if entry == nil {
 		return nil
 	}
-	order, err := config.DecodeOrder(entry)
+	order, err := config.DecodeChange(entry)
 	if err != nil {
 		return err
 	}
--- a/internal/fleet/replica/replica_test.go
+++ b/internal/fleet/replica/replica_test.go
@@ -43,12 +43,12 @@
 	return r, commits
 }
 
-func order(base int64, body string) *config.Order {
-	return &config.Order{Base: base, Body: []byte(body)}
+func order(base int64, body string) *config.Change {
+	return &config.Change{Base: base, Body: []byte(body)}
 }
 
 // submit sends an order until it is decided, as an operator does.
-func submit(r *Replica, o *config.Order) error {
+func submit(r *Replica, o *config.Change) error {
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	for {
--- a/internal/fleet/router/core.go
+++ b/internal/fleet/router/core.go
@@ -35,7 +35,7 @@
 func (r *Router) Restore(tenant *config.Tenant, units float64) { r.quota.restore(tenant, units) }
 
 // Submit has an order taken.
-func (r *Router) Submit(ctx context.Context, order *config.Order) error {
+func (r *Router) Submit(ctx context.Context, order *config.Change) error {
 	if r.replica == nil {
 		return replica.ErrNotPrimary
 	}
--- a/internal/fleet/router/quota.go
+++ b/internal/fleet/router/quota.go
@@ -291,7 +291,7 @@
 	if table == nil {
 		return quotaGrant{}, false
 	}
-	now, t := r.clock(), table.TenantNamed(name)
+	now, t := r.clock(), table.TenantByName(name)
 	if t == nil {
 		return quotaGrant{}, false
 	}
--- a/internal/fleet/router/shares.go
+++ b/internal/fleet/router/shares.go
@@ -155,7 +155,7 @@
 }
 
 func limitedTenant(table *config.Table, name string) *config.Tenant {
-	if t := table.TenantNamed(name); t != nil && quota.Limited(t) {
+	if t := table.TenantByName(name); t != nil && quota.Limited(t) {
 		return t
 	}
 	return nil
