--- a/internal/fleet/router/core.go
+++ b/internal/fleet/router/core.go
@@ -56,7 +56,7 @@
 	defer r.mu.Unlock()
 	view, address := r.node.Primary()
 	m, known := r.node.Members.Lookup(address)
-	if !known || address == r.settings.Internal() {
+	if !known || address == r.settings.InternalAddress() {
 		return view, ""
 	}
 	return view, m.Control
--- a/internal/fleet/router/gossip.go
+++ b/internal/fleet/router/gossip.go
@@ -287,7 +287,7 @@
 
 // viewed takes over a view that this router's replica has learned.
 func (r *Router) viewed(view replication.View) {
-	if view.Primary.Address != r.settings.Internal() {
+	if view.Primary.Address != r.settings.InternalAddress() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.node.SetView(view.Number, view.Primary.Address)
--- a/internal/fleet/router/leaseholders_test.go
+++ b/internal/fleet/router/leaseholders_test.go
@@ -53,31 +53,31 @@
 		directory := t.TempDir()
 		Convey("withholds what routers that it does not know may have leased", func() {
 			r := leaseTestRouter(directory, time.Second, false)
-			So(r.grantedAfter(span, r.settings.Internal()), ShouldAlmostEqual, begunWith, 0.01)
+			So(r.grantedAfter(span, r.settings.InternalAddress()), ShouldAlmostEqual, begunWith, 0.01)
 		})
 		Convey("does so as well where its disk names routers that have not announced theirs", func() {
 			writeLeaseholders(directory, "10.0.0.1:0", "10.0.0.2:0")
 			r := leaseTestRouter(directory, time.Second, false)
-			So(r.grantedAfter(span, r.settings.Internal()), ShouldAlmostEqual, begunWith, 0.01)
+			So(r.grantedAfter(span, r.settings.InternalAddress()), ShouldAlmostEqual, begunWith, 0.01)
 		})
 		Convey("grants at once when all have that its disk names", func() {
 			writeLeaseholders(directory, "10.0.0.1:0", "10.0.0.2:0")
 			r := leaseTestRouter(directory, time.Second, false)
-			So(r.grantedAfter(span, r.settings.Internal(), "10.0.0.2:0"), ShouldBeGreaterThan, enough)
+			So(r.grantedAfter(span, r.settings.InternalAddress(), "10.0.0.2:0"), ShouldBeGreaterThan, enough)
 		})
 		Convey("has nothing to withhold at the first start of the whole system", func() {
 			r := leaseTestRouter(directory, time.Second, true)
-			So(r.grantedAfter(span, r.settings.Internal()), ShouldBeGreaterThan, enough)
+			So(r.grantedAfter(span, r.settings.InternalAddress()), ShouldBeGreaterThan, enough)
 		})
 		Convey("does not take a list that can't be read for one", func() {
 			So(os.WriteFile(filepath.Join(directory, leaseholdersName), []byte("torn"), 0o600), ShouldBeNil)
 			r := leaseTestRouter(directory, time.Second, false)
-			So(r.grantedAfter(span, r.settings.Internal()), ShouldAlmostEqual, begunWith, 0.01)
+			So(r.grantedAfter(span, r.settings.InternalAddress()), ShouldAlmostEqual, begunWith, 0.01)
 		})
 	})
 	Convey("One that has run for long knows them all", t, func() {
 		r := leaseTestRouter("", membership.DefaultTiming().Forget+time.Second, false)
-		So(r.grantedAfter(span, r.settings.Internal()), ShouldBeGreaterThan, enough)
+		So(r.grantedAfter(span, r.settings.InternalAddress()), ShouldBeGreaterThan, enough)
 	})
 	Convey("A process leaves the routers that it knows to the next, and those that it has not heard of yet", t, func() {
 		directory := t.TempDir()
@@ -88,7 +88,7 @@
 		r.tasks.Wait()
 		var left []string
 		So(newListFile(directory, leaseholdersName, zap.NewNop()).read(&left), ShouldBeTrue)
-		So(left, ShouldResemble, []string{r.settings.Internal(), "10.0.0.2:0", "10.0.0.9:0"})
+		So(left, ShouldResemble, []string{r.settings.InternalAddress(), "10.0.0.2:0", "10.0.0.9:0"})
 	})
 	Convey("A primary whose ledger waits for no announcements any more knows all, and tells others", t, func() {
 		primary := leaseTestRouter("", 10*time.Second, false)
@@ -98,14 +98,14 @@
 		primary.noteAnnounced("10.0.0.2:0")
 		all, complete := primary.mayHoldShares()
 		So(complete, ShouldBeTrue)
-		So(all, ShouldResemble, []string{primary.settings.Internal(), "10.0.0.2:0"})
+		So(all, ShouldResemble, []string{primary.settings.InternalAddress(), "10.0.0.2:0"})
 		other := leaseTestRouter("", time.Second, false)
 		other.learnLeaseholders(nil)
 		So(other.knowsLeaseholders(), ShouldBeFalse)
 		other.learnLeaseholders(append(all, "10.0.0.3:0"))
 		all, complete = other.mayHoldShares()
 		So(complete, ShouldBeTrue)
-		So(all, ShouldResemble, []string{other.settings.Internal(), "10.0.0.2:0", "10.0.0.3:0"})
+		So(all, ShouldResemble, []string{other.settings.InternalAddress(), "10.0.0.2:0", "10.0.0.3:0"})
 	})
 	Convey("A process that may not know all leaves no list", t, func() {
 		directory := t.TempDir()
--- a/internal/fleet/router/leaves.go
+++ b/internal/fleet/router/leaves.go
@@ -28,7 +28,7 @@
 
 // Hear takes an endpoint's word over. An error says that the others may not learn of its leave.
 func (r *Router) Hear(ctx context.Context, endpoint registry.Endpoint) error {
-	endpoint.Owner = r.settings.Internal()
+	endpoint.Owner = r.settings.InternalAddress()
 	r.withNode(func(now time.Duration) *dissemination.Output {
 		out, _ := r.node.Hear(now, endpoint)
 		return out
@@ -50,7 +50,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, leaveTime)
 	defer cancel()
-	if r.replica != nil && primary == r.settings.Internal() {
+	if r.replica != nil && primary == r.settings.InternalAddress() {
 		return r.replica.ConfirmLeadership(ctx)
 	}
 	if primary == "" {
--- a/internal/fleet/router/quota.go
+++ b/internal/fleet/router/quota.go
@@ -135,12 +135,12 @@
 			return grant, true
 		}
 		to := c.router.primary()
-		if to == "" || to == c.router.settings.Internal() {
+		if to == "" || to == c.router.settings.InternalAddress() {
 			return quotaGrant{}, false
 		}
 		message.Origin = ""
 		if peer := c.router.relayPeer(); peer != "" && c.asksPeer(try) {
-			to, message.Origin = peer, c.router.settings.Internal()
+			to, message.Origin = peer, c.router.settings.InternalAddress()
 		}
 		c.router.transport.Send(to, kindQuotaAsk, 0, message)
 		asked := time.Now()
@@ -217,7 +217,7 @@
 	if err := cbor.Unmarshal(p.Body, &grant); err != nil {
 		return err
 	}
-	if grant.Origin != "" && grant.Origin != c.router.settings.Internal() {
+	if grant.Origin != "" && grant.Origin != c.router.settings.InternalAddress() {
 		c.router.transport.Send(grant.Origin, kindQuotaGrant, 0, grant)
 		return nil
 	}
@@ -268,7 +268,7 @@
 
 // handOn hands a router's question on to the primary, which that router does not reach. What was handed on before is not.
 func (r *Router) handOn(p *transport.Packet, origin string, kind transport.Kind, message any) {
-	if primary := r.primary(); origin == p.From && primary != "" && primary != r.settings.Internal() {
+	if primary := r.primary(); origin == p.From && primary != "" && primary != r.settings.InternalAddress() {
 		r.transport.Send(primary, kind, 0, message)
 	}
 }
--- a/internal/fleet/router/router.go
+++ b/internal/fleet/router/router.go
@@ -89,15 +89,15 @@
 	r.dispatcher = front.NewDispatcher(r.clock, retry.Settings{
 		Ratio: s.Bounds.BudgetRatio, Window: s.Bounds.BudgetWindow, Slack: s.Bounds.BudgetSlack,
 	}, max(64, (s.Limits.Descriptors-descriptorsKept)/2))
-	r.relay = newRelay(s.Internal(), s.Zone, s.CountsForQuorum, r.sendAnnouncements)
+	r.relay = newRelay(s.InternalAddress(), s.Zone, s.CountsForQuorum, r.sendAnnouncements)
 	r.dispatcher.Announce = r.relay.announce
 	r.front = front.NewServer(r, r.dispatcher, frontOptions(s))
 	r.node = dissemination.New(r.clock(), dissemination.Options{
 		Self: membership.Member{
-			Address: s.Internal(), Control: s.Control, Zone: s.Zone, Region: s.Region, Core: s.CountsForQuorum,
+			Address: s.InternalAddress(), Control: s.Control, Zone: s.Zone, Region: s.Region, Core: s.CountsForQuorum,
 			Start: rand.Uint64(),
 		},
-		Seeds: s.SeedInternals(), HeartbeatEvery: s.HeartbeatEvery, Timing: membership.DefaultTiming(),
+		Seeds: s.SeedAddresses(), HeartbeatEvery: s.EndpointHeartbeatInterval, Timing: membership.DefaultTiming(),
 		Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
 	return r
@@ -145,7 +145,7 @@
 
 func (r *Router) start() error {
 	var err error
-	r.transport, err = transport.Listen(r.settings.Internal(), fleetID(r.settings), r.receive)
+	r.transport, err = transport.Listen(r.settings.InternalAddress(), fleetID(r.settings), r.receive)
 	if err != nil {
 		return err
 	}
@@ -202,9 +202,9 @@
 	var founders []string
 	isFounder := false
 	if s.Bootstrap {
-		founders = s.SeedInternals()
+		founders = s.SeedAddresses()
 		for _, founder := range founders {
-			isFounder = isFounder || founder == s.Internal()
+			isFounder = isFounder || founder == s.InternalAddress()
 		}
 	}
 	if !s.CountsForQuorum && !isFounder {
@@ -212,7 +212,7 @@
 	}
 	var err error
 	r.replica, err = replica.Start(replica.Options{
-		Address: s.Internal(), Directory: s.DataDir, BootstrapWitnesses: founders, Votes: s.CountsForQuorum,
+		Address: s.InternalAddress(), Directory: s.DataDir, BootstrapWitnesses: founders, Votes: s.CountsForQuorum,
 		Tolerance: replication.Tolerance{
 			Machines: s.Tolerance.Machines, Zones: s.Tolerance.Zones, Regions: s.Tolerance.Regions,
 		},
@@ -242,7 +242,7 @@
 	if cores := r.node.Members.Cores(); len(cores) > 0 {
 		return cores
 	}
-	return r.settings.SeedInternals()
+	return r.settings.SeedAddresses()
 }
 
 func (r *Router) close() {
@@ -260,6 +260,6 @@
 func (r *Router) Reload(s *settings.Settings) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.node.SetSeeds(s.SeedInternals())
+	r.node.SetSeeds(s.SeedAddresses())
 	r.log.Info("settings read again", zap.Strings("seeds", s.Seeds))
 }
--- a/internal/fleet/router/shares.go
+++ b/internal/fleet/router/shares.go
@@ -51,10 +51,10 @@
 		message.Uses[name] = quotaUse(use)
 	}
 	c.mu.Unlock()
-	if primary != c.router.settings.Internal() {
+	if primary != c.router.settings.InternalAddress() {
 		c.router.transport.Send(primary, kindQuotaRenew, 0, message)
 		if peer := c.router.relayPeer(); peer != "" && !wasAnswered {
-			message.Origin = c.router.settings.Internal() // the way to the primary may be cut
+			message.Origin = c.router.settings.InternalAddress() // the way to the primary may be cut
 			c.router.transport.Send(peer, kindQuotaRenew, 0, message)
 		}
 		return
@@ -70,7 +70,7 @@
 	if err := cbor.Unmarshal(p.Body, &answer); err != nil {
 		return err
 	}
-	if answer.Origin != "" && answer.Origin != c.router.settings.Internal() {
+	if answer.Origin != "" && answer.Origin != c.router.settings.InternalAddress() {
 		c.router.transport.Send(answer.Origin, kindQuotaRenewed, 0, answer)
 		return nil
 	}
--- a/internal/fleet/settings/settings.go
+++ b/internal/fleet/settings/settings.go
@@ -42,7 +42,7 @@
 	Tolerance Tolerance
 	Bounds    Bounds
 
-	HeartbeatEvery time.Duration // between an endpoint's heartbeats
+	EndpointHeartbeatInterval time.Duration // between an endpoint's heartbeats
 }
 
 // PortRange holds the first and last port for what routers say to each other.
@@ -124,7 +124,7 @@
 		Front: r.text("listen.front"), Ready: r.text("listen.ready"), Control: r.text("listen.control"),
 		Ports: r.ports("portRange"), Seeds: r.list("seeds"),
 		Bootstrap: r.flag("bootstrap"), CountsForQuorum: r.flag("countsForQuorum"), DataDir: r.text("dataDir"),
-		HeartbeatEvery: r.milliseconds("heartbeatMs", 1200),
+		EndpointHeartbeatInterval: r.milliseconds("heartbeatMs", 1200),
 	}
 	s.Limits = Limits{
 		CPUShare: r.number("limits.cpuShare", 1), Cores: int(r.number("limits.cores", 1)),
@@ -173,11 +173,11 @@
 	return nil
 }
 
-// Internal is the address at which other routers reach this one, by UDP and TCP.
-func (s *Settings) Internal() string { return s.internalAt(s.IP) }
+// InternalAddress is the address at which other routers reach this one, by UDP and TCP.
+func (s *Settings) InternalAddress() string { return s.internalAt(s.IP) }
 
-// SeedInternals are the internal addresses of the seeds, sorted: the same on all machines at the first start.
-func (s *Settings) SeedInternals() []string {
+// SeedAddresses are the internal addresses of the seeds, sorted: the same on all machines at the first start.
+func (s *Settings) SeedAddresses() []string {
 	var addresses []string
 	for _, seed := range s.Seeds {
 		host, _, _ := net.SplitHostPort(seed) // checked when it was read
--- a/internal/fleet/settings/settings_test.go
+++ b/internal/fleet/settings/settings_test.go
@@ -43,8 +43,8 @@
 		So(s.Node, ShouldEqual, "front-a-1")
 		So(s.Zones, ShouldResemble, map[string]string{"a": "south", "b": "south"})
 		So(s.Ports, ShouldResemble, PortRange{7680, 7695})
-		So(s.Internal(), ShouldEqual, "10.1.0.14:7680")
-		So(s.SeedInternals(), ShouldResemble, []string{"10.1.0.14:7680", "10.2.0.32:7680"})
+		So(s.InternalAddress(), ShouldEqual, "10.1.0.14:7680")
+		So(s.SeedAddresses(), ShouldResemble, []string{"10.1.0.14:7680", "10.2.0.32:7680"})
 		So(s.Limits.CPUShare, ShouldEqual, 0.72)
 		So(s.Bounds.Revoke, ShouldEqual, 5*time.Second)
 		So(s.Bounds.Drain, ShouldEqual, 2*time.Second) // its default
