--- a/internal/fleet/quota/account.go
+++ b/internal/fleet/quota/account.go
@@ -34,8 +34,8 @@
 	quietMemory  = 8 * time.Second
 )
 
-// Accounts are one router's credit, by tenant.
-type Accounts struct {
+// LocalQuota are one router's credit, by tenant.
+type LocalQuota struct {
 	settings Settings
 	accounts map[string]*account
 	lease    lease
@@ -56,17 +56,17 @@
 	forgone float64 // units of it that were not used in time, since the last renewal that was answered
 }
 
-// NewAccounts returns accounts without credit.
-func NewAccounts(settings Settings) *Accounts {
-	return &Accounts{settings: settings, accounts: map[string]*account{}}
+// NewLocalQuota returns accounts without credit.
+func NewLocalQuota(settings Settings) *LocalQuota {
+	return &LocalQuota{settings: settings, accounts: map[string]*account{}}
 }
 
-// Limited tells whether a tenant has a quota.
-func Limited(t *config.Tenant) bool { return t.RatePerS > 0 || t.Burst > 0 }
+// HasQuota tells whether a tenant has a quota.
+func HasQuota(t *config.Tenant) bool { return t.RatePerS > 0 || t.Burst > 0 }
 
-// Take uses credit for a request. Where there is too little, ask is what is to be asked of the ledger: at least the
+// Consume uses credit for a request. Where there is too little, ask is what is to be asked of the ledger: at least the
 // request's units.
-func (a *Accounts) Take(now time.Duration, t *config.Tenant, units float64) (ok bool, ask float64) {
+func (a *LocalQuota) Consume(now time.Duration, t *config.Tenant, units float64) (ok bool, ask float64) {
 	c := a.account(now, t)
 	c.use(now, t, units)
 	if now > c.until {
@@ -82,8 +82,8 @@
 	return false, units + c.usage*aheadFor.Seconds()
 }
 
-// Add takes over credit that was granted in answer to a question that was asked at a moment.
-func (a *Accounts) Add(now, asked time.Duration, t *config.Tenant, units float64) {
+// AddGrant takes over credit that was granted in answer to a question that was asked at a moment.
+func (a *LocalQuota) AddGrant(now, asked time.Duration, t *config.Tenant, units float64) {
 	c := a.account(now, t)
 	if now > c.until {
 		c.credit = 0
@@ -92,17 +92,17 @@
 	c.until = asked + creditLife
 }
 
-// Restore gives back the credit of a request that never ran.
-func (a *Accounts) Restore(now time.Duration, t *config.Tenant, units float64) {
+// Refund gives back the credit of a request that never ran.
+func (a *LocalQuota) Refund(now time.Duration, t *config.Tenant, units float64) {
 	c := a.account(now, t)
 	if now <= c.until {
 		c.credit += units
 	}
 }
 
-// TakeFloor uses what a router, one of so many, may use when it has been without the ledger for a time. A request that is larger than that is
+// ConsumeFallback uses what a router, one of so many, may use when it has been without the ledger for a time. A request that is larger than that is
 // let through by chance, so that what all routers use comes out right in the mean; draw is from [0, 1).
-func (a *Accounts) TakeFloor(now time.Duration, t *config.Tenant, units float64, routers int, without time.Duration, draw float64) bool {
+func (a *LocalQuota) ConsumeFallback(now time.Duration, t *config.Tenant, units float64, routers int, without time.Duration, draw float64) bool {
 	c := a.account(now, t)
 	share := 1 / float64(max(1, routers))
 	rate := floorLater * t.RatePerS * share
@@ -139,7 +139,7 @@
 	return min(1, max(0, left/used))
 }
 
-func (a *Accounts) account(now time.Duration, t *config.Tenant) *account {
+func (a *LocalQuota) account(now time.Duration, t *config.Tenant) *account {
 	c := a.accounts[t.Name]
 	if c == nil {
 		c = &account{at: now, floor: bucket{at: now}, steady: t.RatePerS}
--- a/internal/fleet/quota/lease.go
+++ b/internal/fleet/quota/lease.go
@@ -18,25 +18,25 @@
 // Renewal is what a router sends to renew its lease.
 type Renewal struct {
 	Contact uint64
-	Uses    map[string]Use // by tenant
+	Usage   map[string]Usage // by tenant
 	sent    time.Duration
 }
 
-// SetContact has the contacts of this process be told from a former one's at the same address: start is drawn at random.
-func (a *Accounts) SetContact(start uint64) { a.lease.contact = start }
+// SetFirstContact has the contacts of this process be told from a former one's at the same address: start is drawn at random.
+func (a *LocalQuota) SetFirstContact(start uint64) { a.lease.contact = start }
 
-// Renew returns what is to be sent to renew the lease. Where the last renewal was answered, what might have been used since then
+// RenewLease returns what is to be sent to renew the lease. Where the last renewal was answered, what might have been used since then
 // and was not is forgone: the ledger counts from this renewal on.
-func (a *Accounts) Renew(now time.Duration) Renewal {
-	r := Renewal{Contact: a.lease.contact, Uses: map[string]Use{}, sent: now}
+func (a *LocalQuota) BeginRenewal(now time.Duration) Renewal {
+	r := Renewal{Contact: a.lease.contact, Usage: map[string]Usage{}, sent: now}
 	for name, c := range a.accounts {
 		if passed := now - c.at; c.share > 0 || c.spent > 0 || passed < leaseMemory {
 			perS := c.usage / (1 + passed.Seconds()/usageMemory.Seconds())
-			use := Use{PerS: perS, Spent: c.spent}
+			use := Usage{RatePerSecond: perS, Spent: c.spent}
 			if now <= a.lease.until {
 				use.Share = c.share
 			}
-			r.Uses[name] = use
+			r.Usage[name] = use
 		}
 	}
 	if a.lease.answered {
@@ -49,38 +49,38 @@
 // leaseMemory is how long after a tenant's last request it is told of in renewals.
 const leaseMemory = 5 * time.Second
 
-// Renewed takes over the shares that came in answer to a renewal. An answer to another one than the last is of no use.
-func (a *Accounts) Renewed(r Renewal, shares map[string]float64) {
+// CompleteRenewal takes over the shares that came in answer to a renewal. An answer to another one than the last is of no use.
+func (a *LocalQuota) CompleteRenewal(r Renewal, shares map[string]float64) {
 	if r.sent != a.lease.sent || r.Contact != a.lease.contact {
 		return
 	}
 	a.lease.contact++
 	a.lease.answered = true
-	a.lease.from, a.lease.until = max(a.lease.from, r.sent), r.sent+LeaseLife
+	a.lease.from, a.lease.until = max(a.lease.from, r.sent), r.sent+LeaseDuration
 	for name, c := range a.accounts {
-		c.spent = max(0, c.spent-r.Uses[name].Spent)
+		c.spent = max(0, c.spent-r.Usage[name].Spent)
 		c.forgone = 0
 		c.share = shares[name]
 	}
 }
 
-// Answered tells whether the last renewal was answered.
-func (a *Accounts) Answered() bool { return a.lease.answered }
+// RenewalAnswered tells whether the last renewal was answered.
+func (a *LocalQuota) RenewalAnswered() bool { return a.lease.answered }
 
 // HasLease tells whether a renewal was ever answered.
-func (a *Accounts) HasLease() bool { return a.lease.until > 0 }
+func (a *LocalQuota) HasLease() bool { return a.lease.until > 0 }
 
 // floorAfterLease is how much of the floor is left where shares are leased, which add up to the rate already.
 const floorAfterLease = 0.5
 
-// TakeFloorAfterLease uses what a router, one of so many, may use that had a lease and has no share of the tenant's rate.
-func (a *Accounts) TakeFloorAfterLease(now time.Duration, t *config.Tenant, units float64, routers int, draw float64) bool {
-	return a.TakeFloor(now, t, units, int(float64(routers)/floorAfterLease), floorFirst, draw)
+// ConsumeFallbackAfterLease uses what a router, one of so many, may use that had a lease and has no share of the tenant's rate.
+func (a *LocalQuota) ConsumeFallbackAfterLease(now time.Duration, t *config.Tenant, units float64, routers int, draw float64) bool {
+	return a.ConsumeFallback(now, t, units, int(float64(routers)/floorAfterLease), floorFirst, draw)
 }
 
-// TakeShare uses the share of a tenant's rate for a request. Where it does not suffice yet, wait is when it does; ok and wait
+// ConsumeLease uses the share of a tenant's rate for a request. Where it does not suffice yet, wait is when it does; ok and wait
 // are zero where there is no share or the lease has ended.
-func (a *Accounts) TakeShare(now time.Duration, t *config.Tenant, units float64) (ok bool, wait time.Duration) {
+func (a *LocalQuota) ConsumeLease(now time.Duration, t *config.Tenant, units float64) (ok bool, wait time.Duration) {
 	c := a.account(now, t)
 	rate := c.share * t.RatePerS
 	if rate <= 0 || now > a.lease.until {
--- a/internal/fleet/quota/ledger.go
+++ b/internal/fleet/quota/ledger.go
@@ -11,9 +11,9 @@
 
 // Settings are the bounds of the rules.
 type Settings struct {
-	Window time.Duration
-	Over   float64 // share of the allowance that may be exceeded
-	Slack  float64 // and units beside
+	Window         time.Duration
+	OvershootRatio float64 // share of the allowance that may be exceeded
+	OvershootUnits float64 // and units beside
 }
 
 // What of the allowed excess is used where.
@@ -24,14 +24,14 @@
 
 // excess is what a tenant may use in a window beyond its rate and burst.
 func (s Settings) excess(t *config.Tenant) float64 {
-	return s.Over*(t.RatePerS*s.Window.Seconds()+t.Burst) + s.Slack
+	return s.OvershootRatio*(t.RatePerS*s.Window.Seconds()+t.Burst) + s.OvershootUnits
 }
 
 // bucket is what a tenant's bucket holds at most, in units.
 func (s Settings) bucket(t *config.Tenant) float64 { return t.Burst + ledgerShare*s.excess(t) }
 
-// Ledger hands out credit of all tenants' quotas.
-type Ledger struct {
+// Allocator hands out credit of all tenants' quotas.
+type Allocator struct {
 	settings Settings
 	view     uint64
 	since    time.Duration // when it began to act without a break
@@ -54,18 +54,18 @@
 // firstView is the number of the first view that a primary leads: no ledger was before it.
 const firstView = 1
 
-// NewLedger returns a ledger that serves no view.
-func NewLedger(settings Settings) *Ledger {
-	return &Ledger{settings: settings, buckets: map[string]*bucket{}, announced: map[string]bool{}}
+// NewAllocator returns a ledger that serves no view.
+func NewAllocator(settings Settings) *Allocator {
+	return &Allocator{settings: settings, buckets: map[string]*bucket{}, announced: map[string]bool{}}
 }
 
 // View is the view that the ledger acts for.
-func (l *Ledger) View() uint64 { return l.view }
+func (l *Allocator) View() uint64 { return l.view }
 
-// Serve has the ledger act for a view. Buckets are kept where this router was the primary of the view before, too. calm is how
+// Activate has the ledger act for a view. Buckets are kept where this router was the primary of the view before, too. calm is how
 // long the ledger before this one has acted: of one that follows others soon the buckets begin with less, so that ledgers
 // which follow one another within a window begin with little more than one does.
-func (l *Ledger) Serve(now time.Duration, view uint64, keep bool, calm time.Duration) {
+func (l *Allocator) Activate(now time.Duration, view uint64, keep bool, calm time.Duration) {
 	if view != l.view && !keep {
 		l.buckets = map[string]*bucket{}
 		l.announced, l.complete = map[string]bool{}, view <= firstView
@@ -77,7 +77,7 @@
 }
 
 // Grant hands out up to want units, and nothing where least can't be had. wait is when least may be asked for again.
-func (l *Ledger) Grant(now time.Duration, t *config.Tenant, least, want float64) (granted float64, wait time.Duration) {
+func (l *Allocator) Grant(now time.Duration, t *config.Tenant, least, want float64) (granted float64, wait time.Duration) {
 	b := l.bucket(now, t)
 	available := b.level - b.outstanding(now, t) - l.unannounced(now, b)
 	if available < least {
@@ -91,15 +91,15 @@
 	return granted, 0
 }
 
-func (l *Ledger) most(t *config.Tenant) float64 { return l.settings.bucket(t) }
+func (l *Allocator) most(t *config.Tenant) float64 { return l.settings.bucket(t) }
 
-func (l *Ledger) bucket(now time.Duration, t *config.Tenant) *bucket {
+func (l *Allocator) bucket(now time.Duration, t *config.Tenant) *bucket {
 	b := l.buckets[t.Name]
 	if b == nil {
 		b = &bucket{level: l.first * l.settings.excess(t), at: min(l.since, now), holders: map[string]*holder{}}
 		l.buckets[t.Name] = b
 	}
-	if end := l.since + LeaseLife; !l.complete && b.at <= end && now > end {
+	if end := l.since + LeaseDuration; !l.complete && b.at <= end && now > end {
 		l.accrue(end, t, b)
 		b.level -= l.unannounced(end, b) // routers that are cut off may have used it
 	}
@@ -109,7 +109,7 @@
 }
 
 // accrue lets a tenant's rate flow into its bucket until a moment.
-func (l *Ledger) accrue(until time.Duration, t *config.Tenant, b *bucket) {
+func (l *Allocator) accrue(until time.Duration, t *config.Tenant, b *bucket) {
 	if until <= b.at {
 		return
 	}
--- a/internal/fleet/quota/planted_test.go
+++ b/internal/fleet/quota/planted_test.go
@@ -11,7 +11,7 @@
 	"shares that are out are granted too": {File: "ledger.go", Edits: []mutant.Edit{
 		{Right: "b.level - b.outstanding(now, t) - l", Wrong: "b.level - l"}}},
 	"a new ledger knows of no leases of the former one": {File: "share.go", Edits: []mutant.Edit{
-		{Right: "return !l.complete && now-l.since <= LeaseLife", Wrong: "return false"}}},
+		{Right: "return !l.complete && now-l.since <= LeaseDuration", Wrong: "return false"}}},
 	"the first announcement counts for all": {File: "share.go", Edits: []mutant.Edit{
 		{Right: "if !l.announced[r] {\n\t\t\treturn", Wrong: "if !l.announced[r] {\n\t\t\tcontinue"}}},
 	"what routers that did not announce may have used is granted again": {File: "ledger.go", Edits: []mutant.Edit{
--- a/internal/fleet/quota/quota_test.go
+++ b/internal/fleet/quota/quota_test.go
@@ -11,7 +11,7 @@
 	"pinelb.example/pinelb/internal/fleet/config"
 )
 
-var settings = Settings{Window: 8 * time.Second, Over: 0.1, Slack: 140000}
+var settings = Settings{Window: 8 * time.Second, OvershootRatio: 0.1, OvershootUnits: 140000}
 
 func tenant() *config.Tenant {
 	return &config.Tenant{Name: "t", RatePerS: 100000, Burst: 100000, Unit: config.UnitTokens}
@@ -24,8 +24,8 @@
 }
 
 // charge takes a request's units out of a router's credit, or of what a ledger grants; nil: it can't be reached.
-func charge(now time.Duration, a *Accounts, ledger *Ledger, t *config.Tenant, units float64) bool {
-	ok, ask := a.Take(now, t, units)
+func charge(now time.Duration, a *LocalQuota, ledger *Allocator, t *config.Tenant, units float64) bool {
+	ok, ask := a.Consume(now, t, units)
 	if ok || ledger == nil {
 		return ok
 	}
@@ -33,7 +33,7 @@
 	if granted < units {
 		return false
 	}
-	a.Add(now, now, t, granted-units)
+	a.AddGrant(now, now, t, granted-units)
 	return true
 }
 
@@ -56,11 +56,11 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 3))
 		t := tenant()
-		ledger := NewLedger(settings)
-		ledger.Serve(0, 1, false, settings.Window)
-		routers := make([]*Accounts, 12)
+		ledger := NewAllocator(settings)
+		ledger.Activate(0, 1, false, settings.Window)
+		routers := make([]*LocalQuota, 12)
 		for i := range routers {
-			routers[i] = NewAccounts(settings)
+			routers[i] = NewLocalQuota(settings)
 		}
 		var uses []use
 		// Demand comes in spells, so that buckets fill in between and bursts are granted whole. The primary changes right
@@ -70,8 +70,8 @@
 		for now := time.Duration(0); now < 40*time.Second; now += 2 * time.Millisecond {
 			if now >= spell+burst {
 				spell = now + time.Duration(r.IntN(12000))*time.Millisecond
-				ledger = NewLedger(settings)
-				ledger.Serve(now, uint64(now), false, settings.Window)
+				ledger = NewAllocator(settings)
+				ledger.Activate(now, uint64(now), false, settings.Window)
 			}
 			if idle := now < spell && r.IntN(10) > 0; idle {
 				continue
@@ -82,7 +82,7 @@
 				uses = append(uses, use{now, units})
 			}
 		}
-		bound := (t.RatePerS*settings.Window.Seconds()+t.Burst)*(1+settings.Over) + settings.Slack
+		bound := (t.RatePerS*settings.Window.Seconds()+t.Burst)*(1+settings.OvershootRatio) + settings.OvershootUnits
 		if most := mostInWindow(uses, settings.Window); most > bound {
 			rt.Fatalf("%.0f in a window, %.0f are allowed", most, bound)
 		}
@@ -92,8 +92,8 @@
 func TestLedger(t *testing.T) {
 	Convey("A ledger", t, func() {
 		t := tenant()
-		ledger := NewLedger(settings)
-		ledger.Serve(0, 1, false, settings.Window)
+		ledger := NewAllocator(settings)
+		ledger.Activate(0, 1, false, settings.Window)
 		Convey("grants a tenant its rate in the long run", func() {
 			granted := 0.0
 			for now := time.Duration(0); now < 20*time.Second; now += 10 * time.Millisecond {
@@ -127,7 +127,7 @@
 			for granted := 1.0; granted > 0; {
 				granted, _ = ledger.Grant(time.Second, t, 10000, 10000)
 			}
-			ledger.Serve(time.Second, 2, true, settings.Window)
+			ledger.Activate(time.Second, 2, true, settings.Window)
 			granted, _ := ledger.Grant(time.Second, t, 10000, 10000)
 			So(granted, ShouldEqual, 0)
 		})
@@ -137,31 +137,31 @@
 func TestAccounts(t *testing.T) {
 	Convey("A router's account", t, func() {
 		t := tenant()
-		a := NewAccounts(settings)
+		a := NewLocalQuota(settings)
 		Convey("asks for no more than a lone request needs", func() {
-			ok, ask := a.Take(time.Second, t, 7000)
+			ok, ask := a.Consume(time.Second, t, 7000)
 			So(ok, ShouldBeFalse)
 			So(ask, ShouldEqual, 7000)
 		})
 		Convey("asks ahead where requests are dense", func() {
 			ask := 0.0
 			for i := range 200 {
-				_, ask = a.Take(time.Second+time.Duration(i)*5*time.Millisecond, t, 100)
+				_, ask = a.Consume(time.Second+time.Duration(i)*5*time.Millisecond, t, 100)
 			}
 			So(ask, ShouldBeGreaterThan, 1000)
 		})
 		Convey("uses credit, and not after its time", func() {
-			a.Add(0, 0, t, 500)
-			ok, _ := a.Take(creditLife/2, t, 400)
+			a.AddGrant(0, 0, t, 500)
+			ok, _ := a.Consume(creditLife/2, t, 400)
 			So(ok, ShouldBeTrue)
-			ok, _ = a.Take(creditLife*2, t, 100)
+			ok, _ = a.Consume(creditLife*2, t, 100)
 			So(ok, ShouldBeFalse)
 		})
 		Convey("gets credit back for what never ran", func() {
-			a.Add(0, 0, t, 500)
-			a.Take(time.Millisecond, t, 500)
-			a.Restore(2*time.Millisecond, t, 500)
-			ok, _ := a.Take(3*time.Millisecond, t, 500)
+			a.AddGrant(0, 0, t, 500)
+			a.Consume(time.Millisecond, t, 500)
+			a.Refund(2*time.Millisecond, t, 500)
+			ok, _ := a.Consume(3*time.Millisecond, t, 500)
 			So(ok, ShouldBeTrue)
 		})
 		Convey("has a floor without the ledger, small for a tenant that may be at its rate", func() {
@@ -171,7 +171,7 @@
 			used := 0.0
 			random := rand.New(rand.NewPCG(7, 7))
 			for now := time.Second; now < 9*time.Second; now += 10 * time.Millisecond {
-				if a.TakeFloor(now, t, 1000, 12, now-time.Second, random.Float64()) {
+				if a.ConsumeFallback(now, t, 1000, 12, now-time.Second, random.Float64()) {
 					used += 1000
 				}
 			}
@@ -180,7 +180,7 @@
 		})
 		Convey("and larger for one that has been quiet", func() {
 			for now := time.Second; now < 40*time.Second; now += time.Second {
-				a.Take(now, t, 500)
+				a.Consume(now, t, 500)
 			}
 			So(12*floorOf(a, t, 40*time.Second, 100), ShouldBeBetween, 0.5*t.RatePerS, t.RatePerS)
 		})
@@ -188,11 +188,11 @@
 }
 
 // floorOf is what a router uses within a second without the ledger, if requests come all the while.
-func floorOf(a *Accounts, t *config.Tenant, from time.Duration, units float64) float64 {
+func floorOf(a *LocalQuota, t *config.Tenant, from time.Duration, units float64) float64 {
 	used := 0.0
 	random := rand.New(rand.NewPCG(4, 4))
 	for now := from; now < from+time.Second; now += 10 * time.Millisecond {
-		if a.TakeFloor(now, t, units, 12, now-from, random.Float64()) {
+		if a.ConsumeFallback(now, t, units, 12, now-from, random.Float64()) {
 			used += units
 		}
 	}
@@ -205,11 +205,11 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 5))
 		t := &config.Tenant{Name: "t", RatePerS: 600000, Burst: 600000, Unit: config.UnitTokens}
-		ledger := NewLedger(settings)
-		ledger.Serve(0, 1, false, settings.Window)
-		routers := make([]*Accounts, 91)
+		ledger := NewAllocator(settings)
+		ledger.Activate(0, 1, false, settings.Window)
+		routers := make([]*LocalQuota, 91)
 		for i := range routers {
-			routers[i] = NewAccounts(settings)
+			routers[i] = NewLocalQuota(settings)
 		}
 		// The tenant becomes busy a little before the ledger is lost, so that its burst lies in the same window.
 		lost := 12*time.Second + time.Duration(r.IntN(4000))*time.Millisecond
@@ -218,8 +218,8 @@
 		var uses []use
 		for now := time.Duration(0); now < 24*time.Second; now += 5 * time.Millisecond {
 			if now >= back && ledger.View() == 1 {
-				ledger = NewLedger(settings)
-				ledger.Serve(now, 2, false, settings.Window)
+				ledger = NewAllocator(settings)
+				ledger.Activate(now, 2, false, settings.Window)
 			}
 			a, units := routers[r.IntN(len(routers))], float64(500+r.IntN(24000)) // four times the rate
 			if now < busy && r.IntN(30) > 0 {
@@ -229,11 +229,11 @@
 			if now >= lost && now < back {
 				reached = nil
 			}
-			if charge(now, a, reached, t, units) || reached == nil && a.TakeFloor(now, t, units, len(routers), now-lost, r.Float64()) {
+			if charge(now, a, reached, t, units) || reached == nil && a.ConsumeFallback(now, t, units, len(routers), now-lost, r.Float64()) {
 				uses = append(uses, use{now, units})
 			}
 		}
-		bound := (t.RatePerS*settings.Window.Seconds()+t.Burst)*(1+settings.Over) + settings.Slack
+		bound := (t.RatePerS*settings.Window.Seconds()+t.Burst)*(1+settings.OvershootRatio) + settings.OvershootUnits
 		if most := mostInWindow(uses, settings.Window); most > bound {
 			rt.Fatalf("%.0f in a window, %.0f are allowed", most, bound)
 		}
@@ -246,11 +246,11 @@
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 6))
 		away, press := rapid.IntRange(1, 45).Draw(rt, "cut off"), rapid.IntRange(1, 3).Draw(rt, "press")
 		t := &config.Tenant{Name: "t", RatePerS: 600000, Burst: 600000, Unit: config.UnitTokens}
-		ledger := NewLedger(settings)
-		ledger.Serve(0, 1, false, settings.Window)
-		routers := make([]*Accounts, 91)
+		ledger := NewAllocator(settings)
+		ledger.Activate(0, 1, false, settings.Window)
+		routers := make([]*LocalQuota, 91)
 		for i := range routers {
-			routers[i] = NewAccounts(settings)
+			routers[i] = NewLocalQuota(settings)
 		}
 		cut := 12*time.Second + time.Duration(r.IntN(4000))*time.Millisecond
 		busy := cut - time.Duration(r.IntN(6000))*time.Millisecond
@@ -265,12 +265,12 @@
 				if i < away && now >= cut && now < cut+settings.Window {
 					reached = nil
 				}
-				if charge(now, a, reached, t, units) || reached == nil && a.TakeFloor(now, t, units, len(routers), now-cut, r.Float64()) {
+				if charge(now, a, reached, t, units) || reached == nil && a.ConsumeFallback(now, t, units, len(routers), now-cut, r.Float64()) {
 					uses = append(uses, use{now, units})
 				}
 			}
 		}
-		bound := (t.RatePerS*settings.Window.Seconds()+t.Burst)*(1+settings.Over) + settings.Slack
+		bound := (t.RatePerS*settings.Window.Seconds()+t.Burst)*(1+settings.OvershootRatio) + settings.OvershootUnits
 		if most := mostInWindow(uses, settings.Window); most > bound {
 			rt.Fatalf("%.0f in a window, %.0f are allowed", most, bound)
 		}
--- a/internal/fleet/quota/share.go
+++ b/internal/fleet/quota/share.go
@@ -16,9 +16,9 @@
 // that may hold some has not, the rest of the rate counts as leased, for the life of a lease.
 
 const (
-	// LeaseLife is how long after its renewal was sent a lease may be used: a little longer than keys may be used without the
+	// LeaseDuration is how long after its renewal was sent a lease may be used: a little longer than keys may be used without the
 	// core, and than a change of primaries takes.
-	LeaseLife = 4500 * time.Millisecond
+	LeaseDuration = 4500 * time.Millisecond
 
 	renewLeast   = 250 * time.Millisecond
 	renewEach    = 10 * time.Millisecond  // for each router of the fleet: so the ledger has at most a hundred renewals a second
@@ -30,28 +30,28 @@
 	contactsApart = 1 << 20 // contacts of one process: others are another one's
 )
 
-// RenewEvery is the time between a router's renewals, in a fleet of so many.
-func RenewEvery(routers int) time.Duration {
+// RenewInterval is the time between a router's renewals, in a fleet of so many.
+func RenewInterval(routers int) time.Duration {
 	return max(renewLeast, time.Duration(routers)*renewEach)
 }
 
-// LeasesMost is in how large a fleet shares are leased. In larger ones a lease would be renewed so seldom, that what is
+// MaxLeasedRouters is in how large a fleet shares are leased. In larger ones a lease would be renewed so seldom, that what is
 // withheld for it costs more than it brings.
-const LeasesMost = 24
+const MaxLeasedRouters = 24
 
 // leasedMost is how much of a rate is leased in a fleet of so many routers.
 func leasedMost(routers int) float64 {
-	if routers > LeasesMost {
+	if routers > MaxLeasedRouters {
 		return 0
 	}
-	return min(1, ledgerBehind.Seconds()/RenewEvery(routers).Seconds())
+	return min(1, ledgerBehind.Seconds()/RenewInterval(routers).Seconds())
 }
 
-// Use is what a router tells of a tenant with a renewal.
-type Use struct {
-	PerS  float64 // units a second of late
-	Share float64 // that the router holds of the rate; 0: none
-	Spent float64 // units used of the share, since the last renewal that was answered
+// Usage is what a router tells of a tenant with a renewal.
+type Usage struct {
+	RatePerSecond float64 // units a second of late
+	Share         float64 // that the router holds of the rate; 0: none
+	Spent         float64 // units used of the share, since the last renewal that was answered
 }
 
 // holder is a router that has a share, as the ledger knows it.
@@ -70,7 +70,7 @@
 
 // mostSpent is what the holder may have used at most and not told of.
 func (h *holder) mostSpent(now time.Duration, t *config.Tenant) float64 {
-	until := min(now, h.heard+LeaseLife)
+	until := min(now, h.heard+LeaseDuration)
 	return max(0, h.share*t.RatePerS*(until-h.base).Seconds()-h.counted)
 }
 
@@ -87,9 +87,9 @@
 	h.base, h.share, h.counted = at, share, 0
 }
 
-// Renew renews a router's lease of a tenant's rate, in a fleet of so many routers, and returns its share. contact is the number
+// RenewLease renews a router's lease of a tenant's rate, in a fleet of so many routers, and returns its share. contact is the number
 // of renewals of that process that were answered; numbers of different processes lie far apart.
-func (l *Ledger) Renew(now time.Duration, t *config.Tenant, from string, contact uint64, routers int, use Use) float64 {
+func (l *Allocator) RenewLease(now time.Duration, t *config.Tenant, from string, contact uint64, routers int, use Usage) float64 {
 	b := l.bucket(now, t)
 	h := b.holders[from]
 	isNext := h != nil && contact > h.contact && contact-h.contact < contactsApart
@@ -115,7 +115,7 @@
 		h.begin(now, 0)
 	}
 	b.bound(l.most(t))
-	h.contact, h.heard, h.perS, h.lapsed, h.written = contact, now, use.PerS, false, 0
+	h.contact, h.heard, h.perS, h.lapsed, h.written = contact, now, use.RatePerSecond, false, 0
 	if !again {
 		h.given = l.shareFor(now, b, h, leasedMost(routers))
 		h.share = max(h.share, h.given)
@@ -125,7 +125,7 @@
 
 // takeOver takes a router's share over that a former ledger may have leased. What was used of it before this ledger began is
 // the former one's.
-func (l *Ledger) takeOver(now time.Duration, t *config.Tenant, b *bucket, h *holder, use Use) {
+func (l *Allocator) takeOver(now time.Duration, t *config.Tenant, b *bucket, h *holder, use Usage) {
 	h.told = use.Spent
 	if use.Share <= 0 || !l.isNew(now) {
 		h.begin(now, use.Share)
@@ -137,15 +137,15 @@
 }
 
 // SetRouters says how many routers there are. A former ledger leased as much as they allow, and a little more.
-func (l *Ledger) SetRouters(routers int) {
+func (l *Allocator) SetRouters(routers int) {
 	l.formerMost = min(1, fleetSizeSlack*leasedMost(routers))
 }
 
-// Announced notes that a router has renewed all that it holds.
-func (l *Ledger) Announced(from string) { l.announced[from] = true }
+// RecordAnnouncement notes that a router has renewed all that it holds.
+func (l *Allocator) RecordAnnouncement(from string) { l.announced[from] = true }
 
-// Expect says which routers may hold leases of a former ledger. Once all of them have announced theirs, no more are out.
-func (l *Ledger) Expect(routers []string) {
+// ExpectAnnouncements says which routers may hold leases of a former ledger. Once all of them have announced theirs, no more are out.
+func (l *Allocator) ExpectAnnouncements(routers []string) {
 	for _, r := range routers {
 		if !l.announced[r] {
 			return
@@ -177,14 +177,14 @@
 }
 
 // isNew tells whether leases of a former ledger may be out that this one does not know.
-func (l *Ledger) isNew(now time.Duration) bool { return !l.complete && now-l.since <= LeaseLife }
+func (l *Allocator) isNew(now time.Duration) bool { return !l.complete && now-l.since <= LeaseDuration }
 
 // AwaitsAnnouncements tells whether the ledger withholds what routers may hold of a former one's leases.
-func (l *Ledger) AwaitsAnnouncements(now time.Duration) bool { return l.isNew(now) }
+func (l *Allocator) AwaitsAnnouncements(now time.Duration) bool { return l.isNew(now) }
 
 // unannounced is what routers may have used of a former ledger's leases that nobody has announced: their part of what has
 // come into the bucket meanwhile. When the leases have ended it is taken for used up.
-func (l *Ledger) unannounced(now time.Duration, b *bucket) float64 {
+func (l *Allocator) unannounced(now time.Duration, b *bucket) float64 {
 	if !l.isNew(now) {
 		return 0
 	}
@@ -209,7 +209,7 @@
 // expire takes leases that have ended for used up, and forgets old ones.
 func (b *bucket) expire(now time.Duration, t *config.Tenant) {
 	for from, h := range b.holders {
-		if !h.lapsed && now-h.heard > LeaseLife {
+		if !h.lapsed && now-h.heard > LeaseDuration {
 			h.lapsed, h.written = true, h.mostSpent(now, t)
 			b.level -= h.written
 		}
@@ -220,7 +220,7 @@
 }
 
 // shareFor is a holder's next share: by its use, as far as the others leave one.
-func (l *Ledger) shareFor(now time.Duration, b *bucket, h *holder, most float64) float64 {
+func (l *Allocator) shareFor(now time.Duration, b *bucket, h *holder, most float64) float64 {
 	if l.isNew(now) {
 		return h.share // the rest may be somebody's
 	}
--- a/internal/fleet/quota/share_test.go
+++ b/internal/fleet/quota/share_test.go
@@ -17,8 +17,8 @@
 	now     time.Duration
 	view    uint64
 	began   time.Duration // the ledger
-	ledger  *Ledger       // nil: there is none
-	routers []*Accounts
+	ledger  *Allocator    // nil: there is none
+	routers []*LocalQuota
 	next    []time.Duration // when each renews
 	cut     []time.Duration // until when each reaches no ledger
 	deaf    []time.Duration // until when the answers to each are lost
@@ -34,12 +34,12 @@
 		cut: make([]time.Duration, routers), deaf: make([]time.Duration, routers),
 	}
 	for i := range routers {
-		a := NewAccounts(settings)
-		a.SetContact(uint64(i+1) << 32)
+		a := NewLocalQuota(settings)
+		a.SetFirstContact(uint64(i+1) << 32)
 		f.routers = append(f.routers, a)
 	}
-	f.ledger = NewLedger(settings)
-	f.ledger.Serve(0, 1, false, settings.Window)
+	f.ledger = NewAllocator(settings)
+	f.ledger.Activate(0, 1, false, settings.Window)
 	f.tenant = tenant()
 	f.tenant.RatePerS, f.tenant.Burst = 400000, 400000
 	return f
@@ -62,19 +62,19 @@
 		if f.now < f.next[i] {
 			continue
 		}
-		f.next[i] = f.now + RenewEvery(len(f.routers))
-		r := a.Renew(f.now)
+		f.next[i] = f.now + RenewInterval(len(f.routers))
+		r := a.BeginRenewal(f.now)
 		if f.ledger == nil || f.now < f.cut[i] {
 			continue
 		}
 		shares := map[string]float64{}
-		if use, told := r.Uses[t.Name]; told {
-			shares[t.Name] = f.ledger.Renew(f.now, t, f.name(i), r.Contact, len(f.routers), use)
+		if use, told := r.Usage[t.Name]; told {
+			shares[t.Name] = f.ledger.RenewLease(f.now, t, f.name(i), r.Contact, len(f.routers), use)
 		}
-		f.ledger.Announced(f.name(i))
-		f.ledger.Expect(f.names())
+		f.ledger.RecordAnnouncement(f.name(i))
+		f.ledger.ExpectAnnouncements(f.names())
 		if f.now >= f.deaf[i] {
-			a.Renewed(r, shares)
+			a.CompleteRenewal(r, shares)
 		}
 	}
 }
@@ -92,10 +92,10 @@
 	if reached != nil {
 		return false
 	}
-	if ok, wait := a.TakeShare(f.now, t, units); ok || wait > 0 {
+	if ok, wait := a.ConsumeLease(f.now, t, units); ok || wait > 0 {
 		return ok
 	}
-	return a.TakeFloorAfterLease(f.now, t, units, len(f.routers), f.random.Float64())
+	return a.ConsumeFallbackAfterLease(f.now, t, units, len(f.routers), f.random.Float64())
 }
 
 // lose ends the ledger; another one begins later.
@@ -103,8 +103,8 @@
 
 func (f *leasedFleet) begin() {
 	f.view++
-	f.ledger = NewLedger(settings)
-	f.ledger.Serve(f.now, f.view, false, f.now-f.began)
+	f.ledger = NewAllocator(settings)
+	f.ledger.Activate(f.now, f.view, false, f.now-f.began)
 	f.ledger.SetRouters(len(f.routers))
 	f.began = f.now
 }
@@ -115,14 +115,14 @@
 // Guards against use beyond the rule's bound over leases, whoever is cut off, whatever answers are lost, and however often the
 // ledger is lost.
 func TestLeasesStayWithinTheBound(t *testing.T) {
-	for _, routers := range []int{3, 12, LeasesMost} {
+	for _, routers := range []int{3, 12, MaxLeasedRouters} {
 		t.Run(fmt.Sprint(routers, " routers"), func(t *testing.T) {
 			t.Parallel()
 			for seed := range *leaseSeeds {
 				f := newLeasedFleet(routers, uint64(seed))
 				t1 := f.tenant
 				f.restarts = seed%2 == 1
-				bound := (t1.RatePerS*settings.Window.Seconds()+t1.Burst)*(1+settings.Over) + settings.Slack
+				bound := (t1.RatePerS*settings.Window.Seconds()+t1.Burst)*(1+settings.OvershootRatio) + settings.OvershootUnits
 				if most := mostInWindow(f.play(t1, 40*time.Second), settings.Window); most > bound {
 					t.Fatalf("seed %d: %.0f in a window, %.0f are allowed", seed, most, bound)
 				}
@@ -185,7 +185,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newLeasedFleet(3, 1)
 			f.press(6 * time.Second)
-			bound := (f.tenant.RatePerS*settings.Window.Seconds()+f.tenant.Burst)*(1+settings.Over) + settings.Slack
+			bound := (f.tenant.RatePerS*settings.Window.Seconds()+f.tenant.Burst)*(1+settings.OvershootRatio) + settings.OvershootUnits
 			if most := mostInWindow(play(f), settings.Window); most > bound {
 				t.Errorf("%.0f in a window, %.0f are allowed", most, bound)
 			}
@@ -222,8 +222,8 @@
 
 // restart has another process, which knows nothing, take a router's place.
 func (f *leasedFleet) restart(i int) {
-	f.routers[i] = NewAccounts(settings)
-	f.routers[i].SetContact(f.random.Uint64() >> 1)
+	f.routers[i] = NewLocalQuota(settings)
+	f.routers[i].SetFirstContact(f.random.Uint64() >> 1)
 }
 
 // disturb cuts routers off, loses answers, ends the ledger, starts routers again, or has the tenant rest.
@@ -290,7 +290,7 @@
 		})
 		Convey("are not let through without a ledger when leases have ended", func() {
 			f.lose()
-			f.served(t, LeaseLife)
+			f.served(t, LeaseDuration)
 			So(f.served(t, time.Second), ShouldBeLessThan, 0.4) // the floor, and what it allows at once
 		})
 		Convey("serve on where four are cut off, within their leases", func() {
@@ -303,9 +303,9 @@
 			f.begin()
 			for i := range f.routers {
 				f.restart(i)
-				f.ledger.Announced(f.name(i))
+				f.ledger.RecordAnnouncement(f.name(i))
 			}
-			f.ledger.Expect(f.names())
+			f.ledger.ExpectAnnouncements(f.names())
 			So(f.served(t, 5*time.Second), ShouldBeGreaterThan, 0.9)
 		})
 	})
--- a/internal/fleet/router/gossip.go
+++ b/internal/fleet/router/gossip.go
@@ -296,7 +296,7 @@
 	}
 	r.withNode(func(now time.Duration) *dissemination.Output {
 		calm := r.ledgerChanged(view.Primary.Address)
-		r.ledger.Serve(now, view.Number, r.ledger.View()+1 == view.Number, calm)
+		r.ledger.Activate(now, view.Number, r.ledger.View()+1 == view.Number, calm)
 		return r.node.Lead(now, view.Number)
 	})
 }
--- a/internal/fleet/router/leaseholders.go
+++ b/internal/fleet/router/leaseholders.go
@@ -90,7 +90,7 @@
 // complete is false where there may be others. The caller holds the lock.
 func (r *Router) mayHoldShares() (all []string, complete bool) {
 	now := r.clock()
-	recently := quota.LeaseLife + membership.DefaultTiming().Silence
+	recently := quota.LeaseDuration + membership.DefaultTiming().Silence
 	for _, m := range r.node.Members.All() {
 		ended, isOver := r.node.Members.EndedAt(m.Address)
 		if !isOver || now-ended < recently {
--- a/internal/fleet/router/leaseholders_test.go
+++ b/internal/fleet/router/leaseholders_test.go
@@ -34,7 +34,7 @@
 	began := r.clock()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ledger.Serve(began, 5, false, quotaTestWindow)
+	r.ledger.Activate(began, 5, false, quotaTestWindow)
 	for _, address := range announced {
 		r.noteAnnounced(address)
 	}
@@ -94,7 +94,7 @@
 		primary := leaseTestRouter("", 10*time.Second, false)
 		_, complete := primary.mayHoldShares()
 		So(complete, ShouldBeFalse)
-		primary.ledger.Serve(primary.clock()-quota.LeaseLife-time.Second, 5, false, quotaTestWindow)
+		primary.ledger.Activate(primary.clock()-quota.LeaseDuration-time.Second, 5, false, quotaTestWindow)
 		primary.noteAnnounced("10.0.0.2:0")
 		all, complete := primary.mayHoldShares()
 		So(complete, ShouldBeTrue)
--- a/internal/fleet/router/quota.go
+++ b/internal/fleet/router/quota.go
@@ -49,7 +49,7 @@
 	router *Router
 
 	mu       sync.Mutex
-	accounts *quota.Accounts
+	accounts *quota.LocalQuota
 	number   uint64
 	open     map[uint64]chan quotaGrant
 	usual    time.Duration // that an answer takes; 0: none has come
@@ -65,22 +65,22 @@
 }
 
 func newQuotaClient(r *Router, s quota.Settings) *quotaClient {
-	c := &quotaClient{router: r, accounts: quota.NewAccounts(s), open: map[uint64]chan quotaGrant{}, number: rand.Uint64()}
-	c.accounts.SetContact(rand.Uint64() >> 1)
+	c := &quotaClient{router: r, accounts: quota.NewLocalQuota(s), open: map[uint64]chan quotaGrant{}, number: rand.Uint64()}
+	c.accounts.SetFirstContact(rand.Uint64() >> 1)
 	return c
 }
 
 // charge takes units out of a tenant's quota: out of credit, else of what the ledger grants, else, where the ledger can't
 // be reached, of the leased share, else of the floor.
 func (c *quotaClient) charge(ctx context.Context, t *config.Tenant, units float64) (bool, time.Duration) {
-	if !quota.Limited(t) {
+	if !quota.HasQuota(t) {
 		return true, 0
 	}
 	now := c.router.clock()
 	c.mu.Lock()
-	ok, ask := c.accounts.Take(now, t, units)
+	ok, ask := c.accounts.Consume(now, t, units)
 	if !ok && c.isWithout {
-		ok, _ = c.accounts.TakeShare(now, t, units)
+		ok, _ = c.accounts.ConsumeLease(now, t, units)
 	}
 	c.mu.Unlock()
 	if ok {
@@ -96,7 +96,7 @@
 	if grant.Granted < units {
 		return false, max(leastComeBack, time.Duration(grant.WaitMs)*time.Millisecond)
 	}
-	c.accounts.Add(c.router.clock(), now, t, grant.Granted-units)
+	c.accounts.AddGrant(c.router.clock(), now, t, grant.Granted-units)
 	return true, 0
 }
 
@@ -106,22 +106,22 @@
 		c.isWithout, c.without = true, asked
 	}
 	now := c.router.clock()
-	if ok, wait := c.accounts.TakeShare(now, t, units); ok || wait > 0 {
+	if ok, wait := c.accounts.ConsumeLease(now, t, units); ok || wait > 0 {
 		return ok, wait
 	}
 	if c.accounts.HasLease() {
-		return c.accounts.TakeFloorAfterLease(now, t, units, c.router.count(), rand.Float64()), floorComeBack
+		return c.accounts.ConsumeFallbackAfterLease(now, t, units, c.router.count(), rand.Float64()), floorComeBack
 	}
-	return c.accounts.TakeFloor(now, t, units, c.router.count(), asked-c.without, rand.Float64()), floorComeBack
+	return c.accounts.ConsumeFallback(now, t, units, c.router.count(), asked-c.without, rand.Float64()), floorComeBack
 }
 
 func (c *quotaClient) restore(t *config.Tenant, units float64) {
-	if !quota.Limited(t) {
+	if !quota.HasQuota(t) {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.accounts.Restore(c.router.clock(), t, units)
+	c.accounts.Refund(c.router.clock(), t, units)
 }
 
 // ask asks the ledger, again where no answer comes. All tries have one number, so that the ledger grants once.
--- a/internal/fleet/router/router.go
+++ b/internal/fleet/router/router.go
@@ -59,7 +59,7 @@
 	nextEndpoints   time.Duration // when they are looked at again
 	fetches         fetches
 	fetchTime       time.Duration // that the next fetch may take
-	ledger          *quota.Ledger
+	ledger          *quota.Allocator
 	granted         grantedAnswers
 	ledgerOf        string        // the router whose ledger acts
 	ledgerSince     time.Duration // when it began to
@@ -84,7 +84,7 @@
 // New prepares a router; Run starts it.
 func New(s *settings.Settings, log *zap.Logger) *Router {
 	r := &Router{settings: s, log: log, began: time.Now(), abort: make(chan struct{}), fetchTime: fetchLeast}
-	r.ledger = quota.NewLedger(quotaSettings(s))
+	r.ledger = quota.NewAllocator(quotaSettings(s))
 	r.quota = newQuotaClient(r, quotaSettings(s))
 	r.dispatcher = front.NewDispatcher(r.clock, retry.Settings{
 		Ratio: s.Bounds.BudgetRatio, Window: s.Bounds.BudgetWindow, Slack: s.Bounds.BudgetSlack,
@@ -104,7 +104,7 @@
 }
 
 func quotaSettings(s *settings.Settings) quota.Settings {
-	return quota.Settings{Window: s.Bounds.QuotaWindow, Over: s.Bounds.QuotaOver, Slack: s.Bounds.QuotaSlack}
+	return quota.Settings{Window: s.Bounds.QuotaWindow, OvershootRatio: s.Bounds.QuotaOver, OvershootUnits: s.Bounds.QuotaSlack}
 }
 
 func frontOptions(s *settings.Settings) front.Options {
--- a/internal/fleet/router/shares.go
+++ b/internal/fleet/router/shares.go
@@ -12,9 +12,9 @@
 
 // quotaUse is a quota.Use as it travels.
 type quotaUse struct {
-	PerS  float64 `cbor:"1,keyasint,omitempty"`
-	Share float64 `cbor:"2,keyasint,omitempty"`
-	Spent float64 `cbor:"3,keyasint,omitempty"`
+	RatePerSecond float64 `cbor:"1,keyasint,omitempty"`
+	Share         float64 `cbor:"2,keyasint,omitempty"`
+	Spent         float64 `cbor:"3,keyasint,omitempty"`
 }
 
 // quotaRenew renews a router's lease of shares, of all tenants that it has had requests of lately.
@@ -38,16 +38,16 @@
 // tick renews the lease where it is time to, and at once with a new primary, which does not know it.
 func (c *quotaClient) tick(now time.Duration, view uint64, primary string, routers int, asks bool) {
 	c.mu.Lock()
-	if primary == "" || routers > quota.LeasesMost || now < c.nextRenew && view == c.view {
+	if primary == "" || routers > quota.MaxLeasedRouters || now < c.nextRenew && view == c.view {
 		c.mu.Unlock()
 		return
 	}
-	c.nextRenew, c.view = now+quota.RenewEvery(routers), view
-	wasAnswered := c.accounts.Answered()
-	c.renewal = c.accounts.Renew(now)
+	c.nextRenew, c.view = now+quota.RenewInterval(routers), view
+	wasAnswered := c.accounts.RenewalAnswered()
+	c.renewal = c.accounts.BeginRenewal(now)
 	c.renewed++
 	message := quotaRenew{Number: c.renewed, Contact: c.renewal.Contact, Uses: map[string]quotaUse{}, Asks: asks}
-	for name, use := range c.renewal.Uses {
+	for name, use := range c.renewal.Usage {
 		message.Uses[name] = quotaUse(use)
 	}
 	c.mu.Unlock()
@@ -85,7 +85,7 @@
 	if answer.Number != c.renewed {
 		return // of an earlier renewal, or of a process before this one
 	}
-	c.accounts.Renewed(c.renewal, answer.Shares)
+	c.accounts.CompleteRenewal(c.renewal, answer.Shares)
 	c.isWithout = false
 }
 
@@ -118,7 +118,7 @@
 	routers := r.node.Members.Count()
 	for name, use := range renew.Uses {
 		if t := limitedTenant(table, name); t != nil {
-			answer.Shares[name] = r.ledger.Renew(now, t, from, renew.Contact, routers, quota.Use(use))
+			answer.Shares[name] = r.ledger.RenewLease(now, t, from, renew.Contact, routers, quota.Usage(use))
 		}
 	}
 	r.noteAnnounced(from)
@@ -134,9 +134,9 @@
 		r.leaseholders.holds(from)
 		return
 	}
-	r.ledger.Announced(from)
+	r.ledger.RecordAnnouncement(from)
 	if all, complete := r.mayHoldShares(); complete {
-		r.ledger.Expect(all)
+		r.ledger.ExpectAnnouncements(all)
 	}
 }
 
@@ -155,7 +155,7 @@
 }
 
 func limitedTenant(table *config.Table, name string) *config.Tenant {
-	if t := table.TenantByName(name); t != nil && quota.Limited(t) {
+	if t := table.TenantByName(name); t != nil && quota.HasQuota(t) {
 		return t
 	}
 	return nil
