--- a/internal/fleet/front/dispatcher.go
+++ b/internal/fleet/front/dispatcher.go
@@ -105,21 +105,21 @@
 func (d *Dispatcher) first(service string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.budget(service).First()
+	d.budget(service).RecordRequest()
 }
 
 // mayRepeat takes one repeat out of a service's budget.
 func (d *Dispatcher) mayRepeat(service string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.budget(service).Spend()
+	return d.budget(service).Withdraw()
 }
 
 // unspent gives a repeat back that did not reach an endpoint.
 func (d *Dispatcher) unspent(service string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.budget(service).Return()
+	d.budget(service).Refund()
 }
 
 func (d *Dispatcher) budget(service string) *retry.Budget {
--- a/internal/fleet/retry/budget.go
+++ b/internal/fleet/retry/budget.go
@@ -30,13 +30,13 @@
 	return &Budget{settings: settings, level: start, most: max(1, start)}
 }
 
-// First counts a first try.
-func (b *Budget) First() {
+// RecordRequest counts a first try.
+func (b *Budget) RecordRequest() {
 	b.level = min(b.level+shareOfRatio*b.settings.Ratio, b.most)
 }
 
-// Spend takes one repeat; false: none is left.
-func (b *Budget) Spend() bool {
+// Withdraw takes one repeat; false: none is left.
+func (b *Budget) Withdraw() bool {
 	if b.level < 1 {
 		return false
 	}
@@ -44,5 +44,5 @@
 	return true
 }
 
-// Return gives back a repeat that was not sent.
-func (b *Budget) Return() { b.level = min(b.level+1, b.most) }
+// Refund gives back a repeat that was not sent.
+func (b *Budget) Refund() { b.level = min(b.level+1, b.most) }
--- a/internal/fleet/retry/budget_test.go
+++ b/internal/fleet/retry/budget_test.go
@@ -22,13 +22,13 @@
 			}
 			for i := range firsts {
 				b := budgets[i%routers]
-				b.First()
-				for b.Spend() {
+				b.RecordRequest()
+				for b.Withdraw() {
 					repeats++
 				}
 			}
 			for _, b := range budgets {
-				for b.Spend() {
+				for b.Withdraw() {
 					repeats++
 				}
 			}
@@ -43,10 +43,10 @@
 // Guards against repeats that are lost when they were not sent.
 func TestReturnedRepeatMayBeSpentAgain(t *testing.T) {
 	b := New(Settings{Ratio: 0.2, Slack: 8}, 1)
-	for b.Spend() {
+	for b.Withdraw() {
 	}
-	b.Return()
-	if !b.Spend() {
+	b.Refund()
+	if !b.Withdraw() {
 		t.Error("a repeat that was given back can't be spent")
 	}
 }
