--- a/internal/fleet/control/points_test.go
+++ b/internal/fleet/control/points_test.go
@@ -306,7 +306,7 @@
 			continue
 		}
 		m.mu.Lock()
-		held := m.node.Feed.Table
+		held := m.node.Config.Table
 		m.mu.Unlock()
 		if held == nil || held.Version != version {
 			o.stack.fail("%s does not act on version %d at the end", address, version)
--- a/internal/fleet/control/stack_test.go
+++ b/internal/fleet/control/stack_test.go
@@ -164,7 +164,7 @@
 	stop := make(chan struct{})
 	node := dissemination.New(0, dissemination.Options{
 		Self:  membership.Member{Address: m.address, Control: m.address, Zone: m.address, Core: true, Start: uint64(m.stack.number(1 << 60))},
-		Seeds: []string{addressOf(0), addressOf(1), addressOf(2)}, HeartbeatEvery: 1200 * time.Millisecond,
+		Seeds: []string{addressOf(0), addressOf(1), addressOf(2)}, EndpointHeartbeatInterval: 1200 * time.Millisecond,
 		Timing: membership.DefaultTiming(), Random: rand.New(rand.NewPCG(uint64(m.stack.number(1<<30)), 1)),
 	})
 	m.mu.Lock()
@@ -184,7 +184,7 @@
 					node.SetView(view.Number, view.Primary.Address)
 					return &dissemination.Output{}
 				}
-				return node.Lead(now, view.Number)
+				return node.AnnouncePrimary(now, view.Number)
 			})
 		},
 	})
@@ -236,7 +236,7 @@
 		case <-ticker.C:
 			m.step(func(now time.Duration) *dissemination.Output {
 				if _, sequence, at, ok := r.ReadLease(); ok {
-					m.node.Feed.Renew(sequence, at)
+					m.node.Config.Confirm(sequence, at)
 				}
 				return m.node.Tick(now)
 			})
@@ -262,21 +262,21 @@
 
 func (m *machine) fetch(from string) {
 	m.mu.Lock()
-	request, asked := dissemination.FetchRequest{After: m.node.Feed.Sequence}, m.clock()
-	if m.node.Feed.Table == nil {
+	request, asked := dissemination.FetchRequest{After: m.node.Config.Sequence}, m.clock()
+	if m.node.Config.Table == nil {
 		request.After = 0
 	}
 	m.mu.Unlock()
 	m.stack.deliver(m.address, from, func(to *machine) {
 		to.mu.Lock()
-		reply, err := to.node.Feed.Fetch(to.clock(), request)
+		reply, err := to.node.Config.ServeFetch(to.clock(), request)
 		to.mu.Unlock()
 		if err != nil {
 			return
 		}
 		m.stack.deliver(from, m.address, func(m *machine) {
 			m.step(func(now time.Duration) *dissemination.Output {
-				out, _, err := m.node.Fetched(now, asked, reply)
+				out, _, err := m.node.HandleFetchReply(now, asked, reply)
 				if err != nil {
 					m.stack.fail("%s can't read what %s answered: %v", m.address, from, err)
 				}
--- a/internal/fleet/dissemination/feed.go
+++ b/internal/fleet/dissemination/feed.go
@@ -10,8 +10,8 @@
 // ordersKept is how many of the last orders a router holds, for others that are a little behind.
 const ordersKept = 64
 
-// Feed is the configuration that a router acts on, and until when it surely was the newest.
-type Feed struct {
+// Config is the configuration that a router acts on, and until when it surely was the newest.
+type ConfigReplica struct {
 	Sequence uint64
 	Table    *config.Table // nil: none is held
 
@@ -20,11 +20,13 @@
 	orders  [][]byte // the last ones, up to Sequence
 }
 
-// FreshAt is a moment at which no newer configuration had been acknowledged. ok is false where none is known.
-func (f *Feed) FreshAt() (at time.Duration, ok bool) { return f.freshAt, f.fresh && f.Table != nil }
+// ConfirmedAt is a moment at which no newer configuration had been acknowledged. ok is false where none is known.
+func (f *ConfigReplica) ConfirmedAt() (at time.Duration, ok bool) {
+	return f.freshAt, f.fresh && f.Table != nil
+}
 
-// Renew notes that the configuration of a sequence was the newest at a moment.
-func (f *Feed) Renew(sequence uint64, at time.Duration) {
+// Confirm notes that the configuration of a sequence was the newest at a moment.
+func (f *ConfigReplica) Confirm(sequence uint64, at time.Duration) {
 	if f.Table == nil || f.Sequence < sequence {
 		return
 	}
@@ -34,7 +36,7 @@
 }
 
 // Set takes a configuration over whose table is known. order made it of the one before; nil: not known.
-func (f *Feed) Set(sequence uint64, table *config.Table, order []byte) {
+func (f *ConfigReplica) Set(sequence uint64, table *config.Table, order []byte) {
 	if f.Table != nil && sequence <= f.Sequence {
 		return
 	}
@@ -46,7 +48,7 @@
 	f.Sequence, f.Table = sequence, table
 }
 
-func (f *Feed) keep(order []byte) {
+func (f *ConfigReplica) keep(order []byte) {
 	f.orders = append(f.orders, order)
 	if len(f.orders) > ordersKept {
 		f.orders = append([][]byte(nil), f.orders[len(f.orders)-ordersKept:]...)
@@ -55,7 +57,7 @@
 
 // Apply takes over the configuration of a sequence by the order that made it of the one before. It returns false where
 // the one before is not held.
-func (f *Feed) Apply(sequence uint64, encoded []byte) (bool, error) {
+func (f *ConfigReplica) Apply(sequence uint64, encoded []byte) (bool, error) {
 	if f.Table == nil || sequence != f.Sequence+1 {
 		return false, nil
 	}
@@ -76,16 +78,16 @@
 }
 
 // ageMs is how long ago the configuration surely was the newest, rounded up.
-func (f *Feed) ageMs(now time.Duration) (age uint64, fresh bool) {
-	at, fresh := f.FreshAt()
+func (f *ConfigReplica) ageMs(now time.Duration) (age uint64, fresh bool) {
+	at, fresh := f.ConfirmedAt()
 	if !fresh {
 		return 0, false
 	}
 	return uint64((now - at + time.Millisecond - 1) / time.Millisecond), true
 }
 
-// Fetch answers a router that holds the configuration of a sequence.
-func (f *Feed) Fetch(now time.Duration, request FetchRequest) (FetchReply, error) {
+// ServeFetch answers a router that holds the configuration of a sequence.
+func (f *ConfigReplica) ServeFetch(now time.Duration, request FetchRequest) (FetchReply, error) {
 	if f.Table == nil {
 		return FetchReply{}, fmt.Errorf("dissemination: no configuration is held")
 	}
@@ -100,8 +102,8 @@
 	return reply, nil
 }
 
-// Take takes over what another router answered. It returns false where nothing was new.
-func (f *Feed) Take(reply FetchReply) (bool, error) {
+// ApplyReply takes over what another router answered. It returns false where nothing was new.
+func (f *ConfigReplica) ApplyReply(reply FetchReply) (bool, error) {
 	if f.Table != nil && reply.Sequence <= f.Sequence {
 		return false, nil
 	}
--- a/internal/fleet/dissemination/leave_test.go
+++ b/internal/fleet/dissemination/leave_test.go
@@ -17,13 +17,13 @@
 			f := newFleet(size, 3)
 			f.run(10 * time.Second)
 			endpoint := registry.Endpoint{ID: "i-1", Service: "s", Address: "10.1.0.1:1", State: registry.Ready, Sequence: 1, Owner: address(7)}
-			out, _ := f.nodes[address(7)].Hear(f.now, endpoint)
+			out, _ := f.nodes[address(7)].HandleEndpointHeartbeat(f.now, endpoint)
 			f.carryOut(address(7), out)
 			f.run(3 * time.Second)
 			f.lose = 10
 			leaving := endpoint
 			leaving.State, leaving.Sequence = registry.Draining, 2
-			f.carryOut(address(0), f.nodes[address(0)].TakeLeave(f.now, leaving))
+			f.carryOut(address(0), f.nodes[address(0)].HandleEndpointLeave(f.now, leaving))
 			f.run(drain)
 			for _, a := range f.order {
 				known, ok := f.nodes[a].Registry.Lookup("i-1")
@@ -36,11 +36,11 @@
 		f := newFleet(3, 3)
 		f.run(5 * time.Second)
 		endpoint := registry.Endpoint{ID: "i-1", Service: "s", Address: "10.1.0.1:1", State: registry.Ready, Sequence: 1, Owner: address(1)}
-		out, _ := f.nodes[address(1)].Hear(f.now, endpoint)
+		out, _ := f.nodes[address(1)].HandleEndpointHeartbeat(f.now, endpoint)
 		f.carryOut(address(1), out)
 		f.run(time.Second)
 		endpoint.State, endpoint.Sequence = registry.Draining, 2
-		So(len(f.nodes[address(0)].TakeLeave(f.now, endpoint).Send), ShouldEqual, 2)
-		So(len(f.nodes[address(0)].TakeLeave(f.now, endpoint).Send), ShouldEqual, 2)
+		So(len(f.nodes[address(0)].HandleEndpointLeave(f.now, endpoint).Send), ShouldEqual, 2)
+		So(len(f.nodes[address(0)].HandleEndpointLeave(f.now, endpoint).Send), ShouldEqual, 2)
 	})
 }
--- a/internal/fleet/dissemination/messages.go
+++ b/internal/fleet/dissemination/messages.go
@@ -5,9 +5,9 @@
 	"pinelb.example/pinelb/internal/fleet/registry"
 )
 
-// Beat is a router's heartbeat to its monitors, and the answer to one that asks.
-type Beat struct {
-	Ask bool `cbor:"1,keyasint,omitempty"` // the sender has heard nothing for long, and wants one back
+// Heartbeat is a router's heartbeat to its monitors, and the answer to one that asks.
+type Heartbeat struct {
+	WantsReply bool `cbor:"1,keyasint,omitempty"` // the sender has heard nothing for long, and wants one back
 }
 
 // Pull asks a router for what the sender lacks.
@@ -19,8 +19,8 @@
 	Endpoints registry.Digests   `cbor:"5,keyasint"`
 }
 
-// Answer tells a puller how fresh the answerer's configuration is. What the puller lacks beside follows as News.
-type Answer struct {
+// PullReply tells a puller how fresh the answerer's configuration is. What the puller lacks beside follows as News.
+type PullReply struct {
 	Round    uint64 `cbor:"1,keyasint"`
 	Sequence uint64 `cbor:"2,keyasint"`
 	Fresh    bool   `cbor:"3,keyasint"` // AgeMs is set
@@ -29,8 +29,8 @@
 	Primary  string `cbor:"6,keyasint"`
 }
 
-// News is passed on as soon as it is known.
-type News struct {
+// Update is passed on as soon as it is known.
+type Update struct {
 	Members   []membership.Member `cbor:"1,keyasint,omitempty"`
 	Endpoints []registry.Endpoint `cbor:"2,keyasint,omitempty"`
 	Sequence  uint64              `cbor:"3,keyasint,omitempty"` // a configuration that was acknowledged
--- a/internal/fleet/dissemination/node.go
+++ b/internal/fleet/dissemination/node.go
@@ -32,18 +32,18 @@
 
 // Options are a node's surroundings.
 type Options struct {
-	Self           membership.Member
-	Seeds          []string // internal addresses
-	HeartbeatEvery time.Duration
-	Timing         membership.Timing
-	Random         *rand.Rand
+	Self                      membership.Member
+	Seeds                     []string // internal addresses
+	EndpointHeartbeatInterval time.Duration
+	Timing                    membership.Timing
+	Random                    *rand.Rand
 }
 
 // Node is one router's part. Its methods are not safe for concurrent use.
 type Node struct {
 	Members  *membership.List
 	Registry *registry.Table
-	Feed     Feed
+	Config   ConfigReplica
 
 	options   Options
 	now       time.Duration
@@ -79,8 +79,8 @@
 	}
 }
 
-// Lead tells all that this router is the primary of a view, so that they don't ask the former one until the next pull.
-func (n *Node) Lead(now time.Duration, view uint64) *Output {
+// AnnouncePrimary tells all that this router is the primary of a view, so that they don't ask the former one until the next pull.
+func (n *Node) AnnouncePrimary(now time.Duration, view uint64) *Output {
 	out := n.step(now)
 	if view > n.view {
 		n.SetView(view, n.options.Self.Address)
@@ -104,10 +104,10 @@
 	out := n.step(now)
 	step := n.Members.Tick(now)
 	for _, to := range step.Beats {
-		n.send(to, Beat{})
+		n.send(to, Heartbeat{})
 	}
 	for _, to := range step.Probes {
-		n.send(to, Beat{Ask: true})
+		n.send(to, Heartbeat{WantsReply: true})
 	}
 	n.spreadMembers(step.Dead, 0)
 	if now >= n.nextPull {
@@ -116,7 +116,7 @@
 	}
 	if now >= n.nextLapse {
 		n.nextLapse = now + lapseEvery
-		silence := silentBeats * n.options.HeartbeatEvery
+		silence := silentBeats * n.options.EndpointHeartbeatInterval
 		n.spreadEndpoints(n.Registry.Lapse(now, n.options.Self.Address, silence, n.mayHear(silence)), 0)
 		n.Registry.Forget(now, forgetAfter)
 	}
@@ -129,21 +129,21 @@
 	out := n.step(now)
 	n.Members.Heard(now, from)
 	switch message := message.(type) {
-	case Beat:
-		if message.Ask {
-			n.send(from, Beat{})
+	case Heartbeat:
+		if message.WantsReply {
+			n.send(from, Heartbeat{})
 		}
 	case Pull:
 		n.onPull(from, message)
-	case Answer:
+	case PullReply:
 		n.onAnswer(from, message)
-	case News:
+	case Update:
 		n.onNews(from, message)
 	}
 	return out
 }
 
-func (n *Node) onNews(from string, message News) {
+func (n *Node) onNews(from string, message Update) {
 	hops := message.Hops + 1
 	if message.View > n.view {
 		n.SetView(message.View, message.Primary)
@@ -153,11 +153,11 @@
 	news, asserted := n.Registry.Merge(n.now, n.options.Self.Address, message.Endpoints)
 	n.spreadEndpoints(news, hops)
 	n.spreadEndpoints(asserted, 0)
-	if message.Sequence <= n.Feed.Sequence {
+	if message.Sequence <= n.Config.Sequence {
 		return
 	}
 	if message.Order != nil {
-		if applied, err := n.Feed.Apply(message.Sequence, message.Order); err == nil && applied {
+		if applied, err := n.Config.Apply(message.Sequence, message.Order); err == nil && applied {
 			n.spreadOrder(message.Sequence, message.Order, hops)
 			return
 		}
@@ -165,16 +165,16 @@
 	n.out.Fetch = from
 }
 
-// Fetched takes over what a router answered to a fetch that was asked at a moment. It returns whether the configuration
+// HandleFetchReply takes over what a router answered to a fetch that was asked at a moment. It returns whether the configuration
 // changed.
-func (n *Node) Fetched(now, asked time.Duration, reply FetchReply) (*Output, bool, error) {
+func (n *Node) HandleFetchReply(now, asked time.Duration, reply FetchReply) (*Output, bool, error) {
 	out := n.step(now)
-	changed, err := n.Feed.Take(reply)
+	changed, err := n.Config.ApplyReply(reply)
 	if reply.Fresh {
-		n.Feed.Renew(reply.Sequence, asked-time.Duration(reply.AgeMs)*time.Millisecond)
+		n.Config.Confirm(reply.Sequence, asked-time.Duration(reply.AgeMs)*time.Millisecond)
 	}
 	if changed {
-		n.spreadOrder(n.Feed.Sequence, nil, 1)
+		n.spreadOrder(n.Config.Sequence, nil, 1)
 	}
 	return out, changed, err
 }
@@ -182,25 +182,25 @@
 // Commit takes over a configuration that this router, as the primary, has acknowledged.
 func (n *Node) Commit(now time.Duration, sequence uint64, table *config.Table, order []byte) *Output {
 	out := n.step(now)
-	if n.Feed.Table != nil && sequence <= n.Feed.Sequence {
+	if n.Config.Table != nil && sequence <= n.Config.Sequence {
 		return out
 	}
-	n.Feed.Set(sequence, table, order)
+	n.Config.Set(sequence, table, order)
 	n.spreadOrder(sequence, order, 0)
 	return out
 }
 
-// Hear takes an endpoint's own word over; ok is false where it is older than what is known.
-func (n *Node) Hear(now time.Duration, said registry.Endpoint) (out *Output, ok bool) {
+// HandleEndpointHeartbeat takes an endpoint's own word over; ok is false where it is older than what is known.
+func (n *Node) HandleEndpointHeartbeat(now time.Duration, said registry.Endpoint) (out *Output, ok bool) {
 	out = n.step(now)
 	news, ok := n.Registry.Hear(now, said)
 	n.spreadEndpoints(news, 0)
 	return out, ok
 }
 
-// TakeLeave takes over from another router that an endpoint leaves, and tells all, also where it was known here: those who
+// HandleEndpointLeave takes over from another router that an endpoint leaves, and tells all, also where it was known here: those who
 // were told before may have missed it.
-func (n *Node) TakeLeave(now time.Duration, endpoint registry.Endpoint) *Output {
+func (n *Node) HandleEndpointLeave(now time.Duration, endpoint registry.Endpoint) *Output {
 	out := n.step(now)
 	news, _ := n.Registry.Merge(now, n.options.Self.Address, []registry.Endpoint{endpoint})
 	if len(news) == 0 {
@@ -212,8 +212,8 @@
 	return out
 }
 
-// Hint takes over endpoints that a router before this one knew, as reports that any word of their own replaces.
-func (n *Node) Hint(now time.Duration, endpoints []registry.Endpoint) *Output {
+// RestoreEndpoints takes over endpoints that a router before this one knew, as reports that any word of their own replaces.
+func (n *Node) RestoreEndpoints(now time.Duration, endpoints []registry.Endpoint) *Output {
 	out := n.step(now)
 	n.spreadEndpoints(n.Registry.Hint(now, endpoints), 0)
 	return out
--- a/internal/fleet/dissemination/node_test.go
+++ b/internal/fleet/dissemination/node_test.go
@@ -38,7 +38,7 @@
 	for i := range size {
 		f.nodes[address(i)] = New(0, Options{
 			Self:  membership.Member{Address: address(i), Zone: "z", Core: i < cores, Start: uint64(i) + 1},
-			Seeds: []string{address(0), address(1), address(2)}, HeartbeatEvery: 1200 * time.Millisecond,
+			Seeds: []string{address(0), address(1), address(2)}, EndpointHeartbeatInterval: 1200 * time.Millisecond,
 			Timing: membership.DefaultTiming(), Random: rand.New(rand.NewPCG(uint64(i), 9)),
 		})
 		f.order = append(f.order, address(i))
@@ -55,8 +55,8 @@
 		f.mail = append(f.mail, mail{f.now + time.Millisecond, from, o.To, o.Message})
 	}
 	if out.Fetch != "" && (f.cut == nil || !f.cut(from, out.Fetch)) {
-		if reply, err := f.nodes[out.Fetch].Feed.Fetch(f.now, FetchRequest{After: f.nodes[from].Feed.Sequence}); err == nil {
-			next, _, err := f.nodes[from].Fetched(f.now, f.now, reply)
+		if reply, err := f.nodes[out.Fetch].Config.ServeFetch(f.now, FetchRequest{After: f.nodes[from].Config.Sequence}); err == nil {
+			next, _, err := f.nodes[from].HandleFetchReply(f.now, f.now, reply)
 			So(err, ShouldBeNil)
 			f.carryOut(from, next)
 		}
@@ -93,14 +93,14 @@
 	encoded, err := order.Encode()
 	So(err, ShouldBeNil)
 	f.carryOut(address(0), f.nodes[address(0)].Commit(f.now, sequence, table, encoded))
-	f.nodes[address(0)].Feed.Renew(sequence, f.now)
+	f.nodes[address(0)].Config.Confirm(sequence, f.now)
 }
 
 // behind counts the nodes that hold an older configuration.
 func (f *fleet) behind(sequence uint64) int {
 	n := 0
 	for _, node := range f.nodes {
-		if node.Feed.Sequence < sequence {
+		if node.Config.Sequence < sequence {
 			n++
 		}
 	}
@@ -130,12 +130,12 @@
 			})
 			Convey("all know within a second that an endpoint drains", func() {
 				said := registry.Endpoint{ID: "e", Service: "s", Address: "x:1", State: registry.Ready, Sequence: 1, Owner: address(4)}
-				out, ok := f.nodes[address(4)].Hear(f.now, said)
+				out, ok := f.nodes[address(4)].HandleEndpointHeartbeat(f.now, said)
 				So(ok, ShouldBeTrue)
 				f.carryOut(address(4), out)
 				f.run(time.Second)
 				said.State, said.Sequence = registry.Draining, 2
-				out, _ = f.nodes[address(4)].Hear(f.now, said)
+				out, _ = f.nodes[address(4)].HandleEndpointHeartbeat(f.now, said)
 				f.carryOut(address(4), out)
 				f.run(time.Second)
 				for _, node := range f.nodes {
@@ -176,22 +176,22 @@
 
 		Convey("keep it fresh while the primary confirms it", func() {
 			for range 20 {
-				f.nodes[address(0)].Feed.Renew(1, f.now)
+				f.nodes[address(0)].Config.Confirm(1, f.now)
 				f.run(200 * time.Millisecond)
 			}
-			at, fresh := other.Feed.FreshAt()
+			at, fresh := other.Config.ConfirmedAt()
 			So(fresh, ShouldBeTrue)
 			So(f.now-at, ShouldBeLessThan, 2*time.Second)
 		})
 		Convey("let it age from the primary's last confirmation, and not from the last message", func() {
-			confirmed, _ := f.nodes[address(0)].Feed.FreshAt()
+			confirmed, _ := f.nodes[address(0)].Config.ConfirmedAt()
 			f.run(5 * time.Second)
-			at, _ := other.Feed.FreshAt()
+			at, _ := other.Config.ConfirmedAt()
 			So(at, ShouldBeLessThanOrEqualTo, confirmed)
 		})
 		Convey("do not take an answer for fresh that was held up on its way", func() {
 			asked := f.now
-			out := other.Tick(f.now + PullEvery*2)
+			out := other.Tick(f.now + PullInterval*2)
 			var pull Pull
 			for _, o := range out.Send {
 				if p, is := o.Message.(Pull); is {
@@ -200,22 +200,22 @@
 			}
 			So(pull.Round, ShouldBeGreaterThan, 0)
 			late := f.now + 10*time.Second
-			answer := Answer{Round: pull.Round, Sequence: 1, Fresh: true, AgeMs: 0}
+			answer := PullReply{Round: pull.Round, Sequence: 1, Fresh: true, AgeMs: 0}
 			for _, to := range []string{address(0), address(1)} {
 				other.Receive(late, to, answer)
 			}
-			at, _ := other.Feed.FreshAt()
-			So(at, ShouldBeLessThanOrEqualTo, asked+PullEvery*2)
+			at, _ := other.Config.ConfirmedAt()
+			So(at, ShouldBeLessThanOrEqualTo, asked+PullInterval*2)
 		})
 		Convey("do not renew a configuration for which a newer one was told", func() {
-			before, _ := other.Feed.FreshAt()
-			other.Feed.Renew(2, f.now)
-			at, _ := other.Feed.FreshAt()
+			before, _ := other.Config.ConfirmedAt()
+			other.Config.Confirm(2, f.now)
+			at, _ := other.Config.ConfirmedAt()
 			So(at, ShouldEqual, before)
 		})
 		Convey("never go back to an older one", func() {
-			other.Feed.Set(0, other.Feed.Table, nil)
-			So(other.Feed.Sequence, ShouldEqual, 1)
+			other.Config.Set(0, other.Config.Table, nil)
+			So(other.Config.Sequence, ShouldEqual, 1)
 		})
 	})
 }
--- a/internal/fleet/dissemination/pull.go
+++ b/internal/fleet/dissemination/pull.go
@@ -10,11 +10,11 @@
 
 // How what a push missed is found: by comparing digests with one router after another.
 
-// PullEvery is the time between a router's pulls, once its configuration has been confirmed.
-const PullEvery = 500 * time.Millisecond
+// PullInterval is the time between a router's pulls, once its configuration has been confirmed.
+const PullInterval = 500 * time.Millisecond
 
 // firstPullEvery is the time between a router's pulls until then, in a small fleet. In a larger one it grows with the
-// fleet up to PullEvery, so that the core can answer all of a fleet that starts at once.
+// fleet up to PullInterval, so that the core can answer all of a fleet that starts at once.
 const firstPullEvery = 60 * time.Millisecond
 
 const (
@@ -30,10 +30,10 @@
 }
 
 func (n *Node) pullInterval() time.Duration {
-	if _, fresh := n.Feed.FreshAt(); !fresh {
-		return min(PullEvery, firstPullEvery*time.Duration(max(1, n.Members.Count()/directMost)))
+	if _, fresh := n.Config.ConfirmedAt(); !fresh {
+		return min(PullInterval, firstPullEvery*time.Duration(max(1, n.Members.Count()/directMost)))
 	}
-	return PullEvery*9/10 + time.Duration(n.options.Random.Int64N(int64(PullEvery/5)))
+	return PullInterval*9/10 + time.Duration(n.options.Random.Int64N(int64(PullInterval/5)))
 }
 
 func (n *Node) lives(address string) bool {
@@ -60,7 +60,7 @@
 	n.asked[n.round] = question{to: to, at: n.now}
 	delete(n.asked, n.round-roundsKept)
 	n.send(to, Pull{
-		Self: n.Members.Self(), Round: n.round, Sequence: n.Feed.Sequence, Members: n.Members.Digests(),
+		Self: n.Members.Self(), Round: n.round, Sequence: n.Config.Sequence, Members: n.Members.Digests(),
 		Endpoints: n.Registry.Digests(n.round),
 	})
 }
@@ -108,8 +108,8 @@
 	if message.Self.Address == from {
 		n.spreadMembers(n.Members.Merge(n.now, []membership.Member{message.Self}), 0)
 	}
-	answer := Answer{Round: message.Round, Sequence: n.Feed.Sequence, View: n.view, Primary: n.primary}
-	answer.AgeMs, answer.Fresh = n.Feed.ageMs(n.now)
+	answer := PullReply{Round: message.Round, Sequence: n.Config.Sequence, View: n.view, Primary: n.primary}
+	answer.AgeMs, answer.Fresh = n.Config.ageMs(n.now)
 	n.send(from, answer)
 	n.sendMembers(from, portion(n.options.Random, n.Members.Differing(message.Members)), hopsMost)
 	n.sendEndpoints(from, portion(n.options.Random, n.Registry.Differing(message.Endpoints)), hopsMost)
@@ -126,17 +126,17 @@
 
 // onAnswer renews the lease. Its age counts from when the question was sent, so that an answer that was held up on its
 // way never looks fresher than it is.
-func (n *Node) onAnswer(from string, message Answer) {
+func (n *Node) onAnswer(from string, message PullReply) {
 	n.SetView(message.View, message.Primary)
 	asked, known := n.asked[message.Round]
 	if !known || asked.to != from {
 		return
 	}
 	delete(n.asked, message.Round)
-	if n.Feed.Table == nil || message.Sequence > n.Feed.Sequence {
+	if n.Config.Table == nil || message.Sequence > n.Config.Sequence {
 		n.out.Fetch = from
 	}
 	if message.Fresh {
-		n.Feed.Renew(message.Sequence, asked.at-time.Duration(message.AgeMs)*time.Millisecond)
+		n.Config.Confirm(message.Sequence, asked.at-time.Duration(message.AgeMs)*time.Millisecond)
 	}
 }
--- a/internal/fleet/dissemination/rest_test.go
+++ b/internal/fleet/dissemination/rest_test.go
@@ -19,7 +19,7 @@
 			ID: fmt.Sprint("e", e), Service: "s", Address: fmt.Sprintf("10.1.%d.%d:1", e/250, e%250), State: registry.Ready, Sequence: sequence,
 			Owner: owner,
 		}
-		out, _ := f.nodes[owner].Hear(f.now, said)
+		out, _ := f.nodes[owner].HandleEndpointHeartbeat(f.now, said)
 		f.carryOut(owner, out)
 	}
 }
@@ -43,7 +43,7 @@
 		f.run(time.Second)
 		f.commit(1)
 		beat := func() {
-			f.nodes[address(0)].Feed.Renew(1, f.now)
+			f.nodes[address(0)].Config.Confirm(1, f.now)
 			sequence++
 			f.hear(endpoints, sequence)
 		}
@@ -67,7 +67,7 @@
 				e.State = registry.Lapsed
 				silent = append(silent, e)
 			}
-			f.carryOut(address(30), liar.Receive(f.now, address(31), News{Members: dead, Endpoints: silent}))
+			f.carryOut(address(30), liar.Receive(f.now, address(31), Update{Members: dead, Endpoints: silent}))
 			f.perRouter(12*time.Second, beat)
 			So(f.perRouter(6*time.Second, beat), ShouldBeLessThan, 12)
 			for _, n := range f.nodes {
@@ -83,12 +83,12 @@
 		f := newFleet(1, 1)
 		n := f.nodes[address(0)]
 		for e := range 2000 {
-			n.Hear(0, registry.Endpoint{ID: fmt.Sprint("e", e), Address: fmt.Sprint("x:", e), Service: "s", State: registry.Ready, Sequence: 1})
+			n.HandleEndpointHeartbeat(0, registry.Endpoint{ID: fmt.Sprint("e", e), Address: fmt.Sprint("x:", e), Service: "s", State: registry.Ready, Sequence: 1})
 		}
 		out := n.Receive(0, address(1), Pull{Self: membership.Member{Address: address(1)}, Round: 1})
 		items := 0
 		for _, o := range out.Send {
-			if news, is := o.Message.(News); is {
+			if news, is := o.Message.(Update); is {
 				items += len(news.Members) + len(news.Endpoints)
 			}
 		}
@@ -96,9 +96,9 @@
 	})
 	Convey("A router that is asked whether it lives says so", t, func() {
 		f := newFleet(2, 1)
-		out := f.nodes[address(0)].Receive(0, address(1), Beat{Ask: true})
-		So(out.Send, ShouldResemble, []Outgoing{{To: address(1), Message: Beat{}}})
-		So(f.nodes[address(0)].Receive(0, address(1), Beat{}).Send, ShouldBeEmpty)
+		out := f.nodes[address(0)].Receive(0, address(1), Heartbeat{WantsReply: true})
+		So(out.Send, ShouldResemble, []Outgoing{{To: address(1), Message: Heartbeat{}}})
+		So(f.nodes[address(0)].Receive(0, address(1), Heartbeat{}).Send, ShouldBeEmpty)
 	})
 	Convey("A router that was called dead a moment ago may still hear its endpoints", t, func() {
 		f := newFleet(3, 1)
@@ -107,7 +107,7 @@
 		m, known := n.Members.Lookup(address(1))
 		So(known, ShouldBeTrue)
 		m.Status = membership.Dead
-		n.Receive(f.now, address(2), News{Members: []membership.Member{m}})
+		n.Receive(f.now, address(2), Update{Members: []membership.Member{m}})
 		So(n.mayHear(time.Second)(address(1)), ShouldBeTrue)
 		n.now += 2 * time.Second
 		So(n.mayHear(time.Second)(address(1)), ShouldBeFalse)
@@ -120,7 +120,7 @@
 		Convey(fmt.Sprint("A new primary is known to nearly all of ", size, " routers at once, to all with their next pulls"), t, func() {
 			f := newFleet(size, 3)
 			f.run(5 * time.Second)
-			f.carryOut(address(1), f.nodes[address(1)].Lead(f.now, 7))
+			f.carryOut(address(1), f.nodes[address(1)].AnnouncePrimary(f.now, 7))
 			f.run(50 * time.Millisecond)
 			know := func() (count int) {
 				for _, n := range f.nodes {
@@ -134,9 +134,9 @@
 			f.run(2 * time.Second)
 			So(know(), ShouldEqual, size)
 			Convey("and an older one is told to nobody", func() {
-				So(f.nodes[address(2)].Lead(f.now, 6).Send, ShouldBeEmpty)
+				So(f.nodes[address(2)].AnnouncePrimary(f.now, 6).Send, ShouldBeEmpty)
 				sent := f.sent
-				f.carryOut(address(3), f.nodes[address(3)].Receive(f.now, address(2), News{View: 6, Primary: address(2)}))
+				f.carryOut(address(3), f.nodes[address(3)].Receive(f.now, address(2), Update{View: 6, Primary: address(2)}))
 				So(f.sent, ShouldEqual, sent)
 			})
 		})
--- a/internal/fleet/dissemination/spread.go
+++ b/internal/fleet/dissemination/spread.go
@@ -25,7 +25,7 @@
 
 func (n *Node) spreadView(hops uint8) {
 	for _, to := range n.receivers(hops) {
-		n.send(to, News{View: n.view, Primary: n.primary, Hops: hops})
+		n.send(to, Update{View: n.view, Primary: n.primary, Hops: hops})
 	}
 }
 
@@ -62,7 +62,7 @@
 
 func (n *Node) sendMembers(to string, members []membership.Member, hops uint8) {
 	for part := range slices.Chunk(members, itemsMost) {
-		n.send(to, News{Members: part, Hops: hops})
+		n.send(to, Update{Members: part, Hops: hops})
 	}
 }
 
@@ -99,7 +99,7 @@
 
 func (n *Node) sendEndpoints(to string, endpoints []registry.Endpoint, hops uint8) {
 	for part := range slices.Chunk(endpoints, itemsMost) {
-		n.send(to, News{Endpoints: part, Hops: hops})
+		n.send(to, Update{Endpoints: part, Hops: hops})
 	}
 }
 
@@ -108,6 +108,6 @@
 		order = nil
 	}
 	for _, to := range n.receivers(hops) {
-		n.send(to, News{Sequence: sequence, Order: order, Hops: hops})
+		n.send(to, Update{Sequence: sequence, Order: order, Hops: hops})
 	}
 }
--- a/internal/fleet/router/gossip.go
+++ b/internal/fleet/router/gossip.go
@@ -65,13 +65,13 @@
 	case kindReplication:
 		err = r.receiveReplication(p)
 	case kindBeat:
-		err = receiveNode[dissemination.Beat](r, p)
+		err = receiveNode[dissemination.Heartbeat](r, p)
 	case kindPull:
 		err = receiveNode[dissemination.Pull](r, p)
 	case kindAnswer:
-		err = receiveNode[dissemination.Answer](r, p)
+		err = receiveNode[dissemination.PullReply](r, p)
 	case kindNews:
-		err = receiveNode[dissemination.News](r, p)
+		err = receiveNode[dissemination.Update](r, p)
 	case kindAnnounce, kindRelay, kindZoneRelay:
 		err = r.receiveAnnouncements(p)
 	case kindQuotaAsk:
@@ -129,11 +129,11 @@
 
 func kindOf(message any) transport.Kind {
 	switch message.(type) {
-	case dissemination.Beat:
+	case dissemination.Heartbeat:
 		return kindBeat
 	case dissemination.Pull:
 		return kindPull
-	case dissemination.Answer:
+	case dissemination.PullReply:
 		return kindAnswer
 	}
 	return kindNews
@@ -141,8 +141,8 @@
 
 // refresh takes over what requests look at. The caller holds the lock.
 func (r *Router) refresh() {
-	feed := &r.node.Feed
-	at, fresh := feed.FreshAt()
+	feed := &r.node.Config
+	at, fresh := feed.ConfirmedAt()
 	held := r.config.Load()
 	if held == nil || held.table != feed.Table || held.freshAt != at || held.fresh != fresh {
 		if feed.Table != nil {
@@ -171,7 +171,7 @@
 	if r.replica != nil {
 		if _, sequence, at, ok := r.replica.ReadLease(); ok {
 			r.mu.Lock()
-			r.node.Feed.Renew(sequence, at)
+			r.node.Config.Confirm(sequence, at)
 			r.mu.Unlock()
 		}
 	}
@@ -197,8 +197,8 @@
 	r.mu.Lock()
 	ctx, cancel := context.WithTimeout(r.transport.Context(), r.fetchTime)
 	defer cancel()
-	request := dissemination.FetchRequest{After: r.node.Feed.Sequence}
-	if r.node.Feed.Table == nil {
+	request := dissemination.FetchRequest{After: r.node.Config.Sequence}
+	if r.node.Config.Table == nil {
 		request.After = 0
 	}
 	r.mu.Unlock()
@@ -213,7 +213,7 @@
 		return // the next pull finds it again
 	}
 	r.withNode(func(now time.Duration) *dissemination.Output {
-		out, _, err := r.node.Fetched(now, asked, reply)
+		out, _, err := r.node.HandleFetchReply(now, asked, reply)
 		if err != nil {
 			r.log.Error("a configuration that was fetched can't be read", zap.Error(err))
 		}
@@ -259,7 +259,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.node.Feed.Fetch(r.clock(), request)
+	return r.node.Config.ServeFetch(r.clock(), request)
 }
 
 // committed takes over a configuration that this router's replica has acknowledged as the primary.
@@ -297,6 +297,6 @@
 	r.withNode(func(now time.Duration) *dissemination.Output {
 		calm := r.ledgerChanged(view.Primary.Address)
 		r.ledger.Activate(now, view.Number, r.ledger.View()+1 == view.Number, calm)
-		return r.node.Lead(now, view.Number)
+		return r.node.AnnouncePrimary(now, view.Number)
 	})
 }
--- a/internal/fleet/router/hints.go
+++ b/internal/fleet/router/hints.go
@@ -65,7 +65,7 @@
 		if len(r.node.Registry.Ready()) > 0 {
 			return &dissemination.Output{}
 		}
-		return r.node.Hint(now, h.read)
+		return r.node.RestoreEndpoints(now, h.read)
 	})
 	h.read = nil
 }
--- a/internal/fleet/router/leaves.go
+++ b/internal/fleet/router/leaves.go
@@ -30,7 +30,7 @@
 func (r *Router) Hear(ctx context.Context, endpoint registry.Endpoint) error {
 	endpoint.Owner = r.settings.InternalAddress()
 	r.withNode(func(now time.Duration) *dissemination.Output {
-		out, _ := r.node.Hear(now, endpoint)
+		out, _ := r.node.HandleEndpointHeartbeat(now, endpoint)
 		return out
 	})
 	if endpoint.State == registry.Ready {
@@ -68,7 +68,7 @@
 	if r.replica == nil {
 		return nil, errNoPrimary
 	}
-	r.withNode(func(now time.Duration) *dissemination.Output { return r.node.TakeLeave(now, endpoint) })
+	r.withNode(func(now time.Duration) *dissemination.Output { return r.node.HandleEndpointLeave(now, endpoint) })
 	ctx, cancel := context.WithTimeout(r.transport.Context(), leaveTime)
 	defer cancel()
 	return leaveReply{}, r.replica.ConfirmLeadership(ctx)
--- a/internal/fleet/router/router.go
+++ b/internal/fleet/router/router.go
@@ -97,7 +97,7 @@
 			Address: s.InternalAddress(), Control: s.Control, Zone: s.Zone, Region: s.Region, Core: s.CountsForQuorum,
 			Start: rand.Uint64(),
 		},
-		Seeds: s.SeedAddresses(), HeartbeatEvery: s.EndpointHeartbeatInterval, Timing: membership.DefaultTiming(),
+		Seeds: s.SeedAddresses(), EndpointHeartbeatInterval: s.EndpointHeartbeatInterval, Timing: membership.DefaultTiming(),
 		Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
 	return r
