--- a/internal/fleet/control/stack_test.go
+++ b/internal/fleet/control/stack_test.go
@@ -163,7 +163,7 @@
 	clock := func() time.Duration { return time.Since(started) }
 	stop := make(chan struct{})
 	node := dissemination.New(0, dissemination.Options{
-		Self:  membership.Member{Address: m.address, Control: m.address, Zone: m.address, Core: true, Start: uint64(m.stack.number(1 << 60))},
+		Self:  membership.Member{Address: m.address, Control: m.address, Zone: m.address, Core: true, BootID: uint64(m.stack.number(1 << 60))},
 		Seeds: []string{addressOf(0), addressOf(1), addressOf(2)}, EndpointHeartbeatInterval: 1200 * time.Millisecond,
 		Timing: membership.DefaultTiming(), Random: rand.New(rand.NewPCG(uint64(m.stack.number(1<<30)), 1)),
 	})
--- a/internal/fleet/dissemination/node.go
+++ b/internal/fleet/dissemination/node.go
@@ -103,7 +103,7 @@
 func (n *Node) Tick(now time.Duration) *Output {
 	out := n.step(now)
 	step := n.Members.Tick(now)
-	for _, to := range step.Beats {
+	for _, to := range step.Heartbeats {
 		n.send(to, Heartbeat{})
 	}
 	for _, to := range step.Probes {
@@ -127,7 +127,7 @@
 // Receive takes a message of another router.
 func (n *Node) Receive(now time.Duration, from string, message any) *Output {
 	out := n.step(now)
-	n.Members.Heard(now, from)
+	n.Members.RecordContact(now, from)
 	switch message := message.(type) {
 	case Heartbeat:
 		if message.WantsReply {
--- a/internal/fleet/dissemination/node_test.go
+++ b/internal/fleet/dissemination/node_test.go
@@ -37,7 +37,7 @@
 	f := &fleet{nodes: map[string]*Node{}, rng: rand.New(rand.NewPCG(5, 5))}
 	for i := range size {
 		f.nodes[address(i)] = New(0, Options{
-			Self:  membership.Member{Address: address(i), Zone: "z", Core: i < cores, Start: uint64(i) + 1},
+			Self:  membership.Member{Address: address(i), Zone: "z", Core: i < cores, BootID: uint64(i) + 1},
 			Seeds: []string{address(0), address(1), address(2)}, EndpointHeartbeatInterval: 1200 * time.Millisecond,
 			Timing: membership.DefaultTiming(), Random: rand.New(rand.NewPCG(uint64(i), 9)),
 		})
@@ -112,7 +112,7 @@
 		Convey(fmt.Sprintf("%d routers that know three seeds", size), t, func() {
 			f := newFleet(size, 3)
 			f.run(3 * time.Second)
-			So(f.nodes[address(size-1)].Members.Count(), ShouldEqual, size)
+			So(f.nodes[address(size-1)].Members.LiveCount(), ShouldEqual, size)
 
 			Convey("all hold a change within a second, though a twentieth of the messages is lost", func() {
 				f.lose = 5
--- a/internal/fleet/dissemination/pull.go
+++ b/internal/fleet/dissemination/pull.go
@@ -31,7 +31,7 @@
 
 func (n *Node) pullInterval() time.Duration {
 	if _, fresh := n.Config.ConfirmedAt(); !fresh {
-		return min(PullInterval, firstPullEvery*time.Duration(max(1, n.Members.Count()/directMost)))
+		return min(PullInterval, firstPullEvery*time.Duration(max(1, n.Members.LiveCount()/directMost)))
 	}
 	return PullInterval*9/10 + time.Duration(n.options.Random.Int64N(int64(PullInterval/5)))
 }
@@ -66,14 +66,14 @@
 }
 
 func (n *Node) choosePeer() string {
-	live := n.Members.Live()
+	live := n.Members.LiveAddresses()
 	if len(live) == 0 || n.options.Random.IntN(strangerOdds) == 0 {
 		if stranger := n.pick(n.strangers()); stranger != "" {
 			return stranger
 		}
 	}
 	if n.round%2 == 0 {
-		cores := slices.DeleteFunc(n.Members.Cores(), func(a string) bool { return !n.lives(a) })
+		cores := slices.DeleteFunc(n.Members.CoreAddresses(), func(a string) bool { return !n.lives(a) })
 		if core := n.pick(cores); core != "" {
 			return core
 		}
@@ -111,7 +111,7 @@
 	answer := PullReply{Round: message.Round, Sequence: n.Config.Sequence, View: n.view, Primary: n.primary}
 	answer.AgeMs, answer.Fresh = n.Config.ageMs(n.now)
 	n.send(from, answer)
-	n.sendMembers(from, portion(n.options.Random, n.Members.Differing(message.Members)), hopsMost)
+	n.sendMembers(from, portion(n.options.Random, n.Members.MembersDiffering(message.Members)), hopsMost)
 	n.sendEndpoints(from, portion(n.options.Random, n.Registry.Differing(message.Endpoints)), hopsMost)
 }
 
--- a/internal/fleet/dissemination/rest_test.go
+++ b/internal/fleet/dissemination/rest_test.go
@@ -51,7 +51,7 @@
 		Convey("agree, and send little", func() {
 			So(f.perRouter(6*time.Second, beat), ShouldBeLessThan, 12)
 			for _, n := range f.nodes {
-				So(n.Members.Count(), ShouldEqual, 60)
+				So(n.Members.LiveCount(), ShouldEqual, 60)
 				So(len(n.Registry.Ready()), ShouldEqual, endpoints)
 			}
 		})
@@ -71,7 +71,7 @@
 			f.perRouter(12*time.Second, beat)
 			So(f.perRouter(6*time.Second, beat), ShouldBeLessThan, 12)
 			for _, n := range f.nodes {
-				So(n.Members.Count(), ShouldEqual, 60)
+				So(n.Members.LiveCount(), ShouldEqual, 60)
 				So(len(n.Registry.Ready()), ShouldEqual, endpoints)
 			}
 		})
--- a/internal/fleet/dissemination/spread.go
+++ b/internal/fleet/dissemination/spread.go
@@ -31,7 +31,7 @@
 
 // receivers are whom news go to that came over so many hops.
 func (n *Node) receivers(hops uint8) []string {
-	live := n.Members.Live()
+	live := n.Members.LiveAddresses()
 	switch {
 	case len(live) <= directMost && hops > 0, hops >= hopsMost:
 		return nil
@@ -47,7 +47,7 @@
 func (n *Node) spreadMembers(news []membership.Member, hops uint8) {
 	switch {
 	case len(news) == 0 || hops > hopsMost:
-	case n.Members.Count() > directMost:
+	case n.Members.LiveCount() > directMost:
 		n.queued[hops].members = append(n.queued[hops].members, news...)
 	default:
 		n.pushMembers(news, hops)
@@ -70,7 +70,7 @@
 func (n *Node) spreadEndpoints(news []registry.Endpoint, hops uint8) {
 	switch {
 	case len(news) == 0 || hops > hopsMost:
-	case n.Members.Count() > directMost:
+	case n.Members.LiveCount() > directMost:
 		n.queued[hops].endpoints = append(n.queued[hops].endpoints, news...)
 	default:
 		n.pushEndpoints(news, hops)
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -29,7 +29,7 @@
 	Zone        string `cbor:"3,keyasint"`
 	Region      string `cbor:"4,keyasint,omitempty"`
 	Core        bool   `cbor:"5,keyasint,omitempty"` // it counts for the quorum
-	Start       uint64 `cbor:"6,keyasint"`           // drawn at its start
+	BootID      uint64 `cbor:"6,keyasint"`           // drawn at its start
 	Incarnation uint64 `cbor:"7,keyasint"`
 	Status      Status `cbor:"8,keyasint"`
 }
@@ -41,14 +41,14 @@
 
 // Timing are the intervals of the protocol.
 type Timing struct {
-	Heartbeat time.Duration // between a router's heartbeats
-	Silence   time.Duration // after which a monitor declares a router dead
-	Forget    time.Duration // after which one that is dead is forgotten
+	HeartbeatInterval time.Duration // between a router's heartbeats
+	FailureTimeout    time.Duration // after which a monitor declares a router dead
+	TombstoneTTL      time.Duration // after which one that is dead is forgotten
 }
 
 // DefaultTiming finds a silent router in some three seconds.
 func DefaultTiming() Timing {
-	return Timing{Heartbeat: time.Second, Silence: 3200 * time.Millisecond, Forget: 60 * time.Second}
+	return Timing{HeartbeatInterval: time.Second, FailureTimeout: 3200 * time.Millisecond, TombstoneTTL: 60 * time.Second}
 }
 
 // monitors is how many routers watch each.
@@ -150,7 +150,7 @@
 
 // refute raises this router's incarnation above a report that does not describe it as it is.
 func (l *List) refute(report *Member) bool {
-	same := report.Start == l.self.Start && report.Status == l.self.Status
+	same := report.BootID == l.self.BootID && report.Status == l.self.Status
 	if report.Incarnation < l.self.Incarnation || same && report.Incarnation == l.self.Incarnation {
 		return false
 	}
@@ -168,33 +168,33 @@
 	return l.self
 }
 
-// Heard notes a message of a router.
-func (l *List) Heard(now time.Duration, address string) {
+// RecordContact notes a message of a router.
+func (l *List) RecordContact(now time.Duration, address string) {
 	if e := l.members[address]; e != nil {
 		e.heard = now
 	}
 }
 
-// Step is what is to be done as time passes.
-type Step struct {
-	Beats  []string // who is to be sent a heartbeat
-	Probes []string // who is to be asked whether it lives
-	Dead   []Member // who was declared dead just now
+// TickResult is what is to be done as time passes.
+type TickResult struct {
+	Heartbeats []string // who is to be sent a heartbeat
+	Probes     []string // who is to be asked whether it lives
+	Dead       []Member // who was declared dead just now
 }
 
 // Tick lets time pass.
-func (l *List) Tick(now time.Duration) Step {
-	var step Step
+func (l *List) Tick(now time.Duration) TickResult {
+	var step TickResult
 	if now >= l.nextBeat {
-		l.nextBeat = now + l.timing.Heartbeat
-		step.Beats = l.successors(l.self.Address)
+		l.nextBeat = now + l.timing.HeartbeatInterval
+		step.Heartbeats = l.successors(l.self.Address)
 	}
 	l.renewWatch(now)
 	for address := range l.watching {
 		l.watch(now, l.members[address], &step)
 	}
 	for address, e := range l.members {
-		if e.Status != Alive && address != l.self.Address && now-e.ended > l.timing.Forget {
+		if e.Status != Alive && address != l.self.Address && now-e.ended > l.timing.TombstoneTTL {
 			delete(l.members, address)
 		}
 	}
@@ -202,14 +202,14 @@
 }
 
 // watch judges a member's silence.
-func (l *List) watch(now time.Duration, e *entry, step *Step) {
+func (l *List) watch(now time.Duration, e *entry, step *TickResult) {
 	silence := now - e.heard
 	switch {
-	case silence > l.timing.Silence:
+	case silence > l.timing.FailureTimeout:
 		e.Status, e.ended = Dead, now
 		l.place(e)
 		step.Dead = append(step.Dead, e.Member)
-	case silence > l.timing.Silence-probeBefore && now-e.probed >= probeEvery:
+	case silence > l.timing.FailureTimeout-probeBefore && now-e.probed >= probeEvery:
 		e.probed = now
 		step.Probes = append(step.Probes, e.Address)
 	}
@@ -230,7 +230,7 @@
 
 // renewWatch gives time to members that this router did not watch until now, and to all after it stood still itself.
 func (l *List) renewWatch(now time.Duration) {
-	stoodStill := now-l.lastTick > l.timing.Silence/3
+	stoodStill := now-l.lastTick > l.timing.FailureTimeout/3
 	l.lastTick = now
 	watching := map[string]bool{}
 	for _, address := range l.watched() {
@@ -273,8 +273,8 @@
 
 func (e *entry) bucket() int { return int(e.position>>32) % Buckets }
 
-// Differing are the members in the buckets in which the digests of another router differ.
-func (l *List) Differing(theirs Digests) []Member {
+// MembersDiffering are the members in the buckets in which the digests of another router differ.
+func (l *List) MembersDiffering(theirs Digests) []Member {
 	ours := l.Digests()
 	if ours == theirs {
 		return nil
@@ -316,8 +316,8 @@
 	return e.ended, true
 }
 
-// Live are the addresses of the others that live.
-func (l *List) Live() []string {
+// LiveAddresses are the addresses of the others that live.
+func (l *List) LiveAddresses() []string {
 	others := make([]string, 0, len(l.ring))
 	for _, address := range l.ring {
 		if address != l.self.Address {
@@ -327,8 +327,8 @@
 	return others
 }
 
-// Cores are the addresses of the others that count for the quorum, whatever their state.
-func (l *List) Cores() []string {
+// CoreAddresses are the addresses of the others that count for the quorum, whatever their state.
+func (l *List) CoreAddresses() []string {
 	var cores []string
 	for address, e := range l.members {
 		if e.Core && e.Status != Left && address != l.self.Address {
@@ -350,5 +350,5 @@
 	return others
 }
 
-// Count is how many members live, this router included.
-func (l *List) Count() int { return max(1, len(l.ring)) }
+// LiveCount is how many members live, this router included.
+func (l *List) LiveCount() int { return max(1, len(l.ring)) }
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -9,7 +9,7 @@
 )
 
 func member(i int) Member {
-	return Member{Address: fmt.Sprintf("10.0.0.%d:1", i), Zone: "z", Start: uint64(i)}
+	return Member{Address: fmt.Sprintf("10.0.0.%d:1", i), Zone: "z", BootID: uint64(i)}
 }
 
 // fleet is a number of lists whose heartbeats and reports arrive at once, unless a router is silent.
@@ -54,14 +54,14 @@
 				continue
 			}
 			step := l.Tick(f.now)
-			for _, to := range step.Beats {
+			for _, to := range step.Heartbeats {
 				if !f.silent[to] && !f.deaf[to] {
-					f.lists[to].Heard(f.now, address)
+					f.lists[to].RecordContact(f.now, address)
 				}
 			}
 			for _, to := range step.Probes {
 				if !f.silent[to] {
-					l.Heard(f.now, to)
+					l.RecordContact(f.now, to)
 				}
 			}
 			f.spread(step.Dead)
@@ -74,7 +74,7 @@
 		f := newFleet(12)
 		f.run(10 * time.Second)
 		any := f.lists[member(3).Address]
-		So(any.Count(), ShouldEqual, 12)
+		So(any.LiveCount(), ShouldEqual, 12)
 		digest := any.Digests()
 		for _, l := range f.lists {
 			So(l.Digests(), ShouldEqual, digest)
@@ -82,19 +82,19 @@
 		Convey("find a silent one within five seconds, and all know", func() {
 			f.silent[member(5).Address] = true
 			f.run(5 * time.Second)
-			So(any.Count(), ShouldEqual, 11)
+			So(any.LiveCount(), ShouldEqual, 11)
 			Convey("and it refutes that when it hears of it", func() {
 				f.silent[member(5).Address] = false
 				back := f.lists[member(5).Address]
 				dead, _ := any.Lookup(member(5).Address)
 				f.spread(back.Merge(f.now, []Member{dead}))
 				f.run(time.Second)
-				So(any.Count(), ShouldEqual, 12)
+				So(any.LiveCount(), ShouldEqual, 12)
 			})
 		})
 		Convey("take a new start of a router over from the former one", func() {
 			again := member(5)
-			again.Start = 999
+			again.BootID = 999
 			l := New(f.now, again, DefaultTiming())
 			old, _ := any.Lookup(again.Address)
 			news := l.Merge(f.now, []Member{old})
@@ -112,7 +112,7 @@
 		Convey("call nobody dead whose heartbeats go to others, as long as it answers", func() {
 			f.deaf[member(4).Address] = true
 			f.run(20 * time.Second)
-			So(any.Count(), ShouldEqual, 12)
+			So(any.LiveCount(), ShouldEqual, 12)
 		})
 		Convey("ask a silent one a few times, not at each tick", func() {
 			f.silent[member(5).Address] = true
@@ -125,7 +125,7 @@
 					}
 					for other := range f.lists {
 						if !f.silent[other] {
-							l.Heard(f.now, other)
+							l.RecordContact(f.now, other)
 						}
 					}
 					probes += len(l.Tick(f.now).Probes)
@@ -141,7 +141,7 @@
 		})
 		Convey("know of one that leaves", func() {
 			f.spread([]Member{f.lists[member(2).Address].Leave()})
-			So(any.Count(), ShouldEqual, 11)
+			So(any.LiveCount(), ShouldEqual, 11)
 		})
 	})
 }
--- a/internal/fleet/router/leaseholders.go
+++ b/internal/fleet/router/leaseholders.go
@@ -90,7 +90,7 @@
 // complete is false where there may be others. The caller holds the lock.
 func (r *Router) mayHoldShares() (all []string, complete bool) {
 	now := r.clock()
-	recently := quota.LeaseDuration + membership.DefaultTiming().Silence
+	recently := quota.LeaseDuration + membership.DefaultTiming().FailureTimeout
 	for _, m := range r.node.Members.All() {
 		ended, isOver := r.node.Members.EndedAt(m.Address)
 		if !isOver || now-ended < recently {
@@ -113,4 +113,4 @@
 func (r *Router) knowsLeaseholders() bool { return r.leaseholders.known || r.runsLong() }
 
 // runsLong tells whether whoever was there before this process has been heard of by now, or forgotten by all.
-func (r *Router) runsLong() bool { return r.clock() > membership.DefaultTiming().Forget }
+func (r *Router) runsLong() bool { return r.clock() > membership.DefaultTiming().TombstoneTTL }
--- a/internal/fleet/router/leaseholders_test.go
+++ b/internal/fleet/router/leaseholders_test.go
@@ -76,7 +76,7 @@
 		})
 	})
 	Convey("One that has run for long knows them all", t, func() {
-		r := leaseTestRouter("", membership.DefaultTiming().Forget+time.Second, false)
+		r := leaseTestRouter("", membership.DefaultTiming().TombstoneTTL+time.Second, false)
 		So(r.grantedAfter(span, r.settings.InternalAddress()), ShouldBeGreaterThan, enough)
 	})
 	Convey("A process leaves the routers that it knows to the next, and those that it has not heard of yet", t, func() {
--- a/internal/fleet/router/quota.go
+++ b/internal/fleet/router/quota.go
@@ -278,7 +278,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	_, primary := r.node.Primary()
-	live := slices.DeleteFunc(r.node.Members.Live(), func(a string) bool { return a == primary })
+	live := slices.DeleteFunc(r.node.Members.LiveAddresses(), func(a string) bool { return a == primary })
 	if len(live) == 0 {
 		return ""
 	}
@@ -324,5 +324,5 @@
 func (r *Router) count() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.node.Members.Count()
+	return r.node.Members.LiveCount()
 }
--- a/internal/fleet/router/router.go
+++ b/internal/fleet/router/router.go
@@ -95,7 +95,7 @@
 	r.node = dissemination.New(r.clock(), dissemination.Options{
 		Self: membership.Member{
 			Address: s.InternalAddress(), Control: s.Control, Zone: s.Zone, Region: s.Region, Core: s.CountsForQuorum,
-			Start: rand.Uint64(),
+			BootID: rand.Uint64(),
 		},
 		Seeds: s.SeedAddresses(), EndpointHeartbeatInterval: s.EndpointHeartbeatInterval, Timing: membership.DefaultTiming(),
 		Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
@@ -239,7 +239,7 @@
 func (r *Router) corePeers() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if cores := r.node.Members.Cores(); len(cores) > 0 {
+	if cores := r.node.Members.CoreAddresses(); len(cores) > 0 {
 		return cores
 	}
 	return r.settings.SeedAddresses()
--- a/internal/fleet/router/shares.go
+++ b/internal/fleet/router/shares.go
@@ -115,7 +115,7 @@
 	now := r.clock()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	routers := r.node.Members.Count()
+	routers := r.node.Members.LiveCount()
 	for name, use := range renew.Uses {
 		if t := limitedTenant(table, name); t != nil {
 			answer.Shares[name] = r.ledger.RenewLease(now, t, from, renew.Contact, routers, quota.Usage(use))
--- a/internal/fleet/router/status.go
+++ b/internal/fleet/router/status.go
@@ -60,7 +60,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s.View, s.Primary = r.node.Primary()
-	s.Sequence, s.Routers, s.Endpoints = r.node.Config.Sequence, r.node.Members.Count(), r.node.Registry.Ready()
+	s.Sequence, s.Routers, s.Endpoints = r.node.Config.Sequence, r.node.Members.LiveCount(), r.node.Registry.Ready()
 	return s
 }
 
