--- a/internal/fleet/control/control.go
+++ b/internal/fleet/control/control.go
@@ -105,7 +105,7 @@
 }
 
 func (s *Server) deregister(w http.ResponseWriter, r *http.Request) {
-	err := s.core.Hear(r.Context(), registry.Endpoint{ID: mux.Vars(r)["id"], State: registry.Gone})
+	err := s.core.Hear(r.Context(), registry.Endpoint{ID: mux.Vars(r)["id"], State: registry.Deregistered})
 	if err != nil {
 		s.notHeard(w, err)
 		return
--- a/internal/fleet/control/control_test.go
+++ b/internal/fleet/control/control_test.go
@@ -107,7 +107,7 @@
 	Convey("An end is heard", t, func() {
 		core := &core{}
 		So(core.call("POST", "/instances/i-1/deregister", "").Code, ShouldEqual, http.StatusOK)
-		So(core.heard[0].State, ShouldEqual, registry.Gone)
+		So(core.heard[0].State, ShouldEqual, registry.Deregistered)
 	})
 	Convey("A leave that the others may not learn of is not acknowledged, so that another router is told", t, func() {
 		core := &core{deaf: replica.ErrNotPrimary}
--- a/internal/fleet/dissemination/node.go
+++ b/internal/fleet/dissemination/node.go
@@ -42,7 +42,7 @@
 // Node is one router's part. Its methods are not safe for concurrent use.
 type Node struct {
 	Members  *membership.List
-	Registry *registry.Table
+	Registry *registry.Registry
 	Config   ConfigReplica
 
 	options   Options
@@ -117,8 +117,8 @@
 	if now >= n.nextLapse {
 		n.nextLapse = now + lapseEvery
 		silence := silentBeats * n.options.EndpointHeartbeatInterval
-		n.spreadEndpoints(n.Registry.Lapse(now, n.options.Self.Address, silence, n.mayHear(silence)), 0)
-		n.Registry.Forget(now, forgetAfter)
+		n.spreadEndpoints(n.Registry.ExpireSilent(now, n.options.Self.Address, silence, n.mayHear(silence)), 0)
+		n.Registry.Purge(now, forgetAfter)
 	}
 	n.flushQueued()
 	return out
@@ -193,7 +193,7 @@
 // HandleEndpointHeartbeat takes an endpoint's own word over; ok is false where it is older than what is known.
 func (n *Node) HandleEndpointHeartbeat(now time.Duration, said registry.Endpoint) (out *Output, ok bool) {
 	out = n.step(now)
-	news, ok := n.Registry.Hear(now, said)
+	news, ok := n.Registry.ApplyHeartbeat(now, said)
 	n.spreadEndpoints(news, 0)
 	return out, ok
 }
@@ -215,7 +215,7 @@
 // RestoreEndpoints takes over endpoints that a router before this one knew, as reports that any word of their own replaces.
 func (n *Node) RestoreEndpoints(now time.Duration, endpoints []registry.Endpoint) *Output {
 	out := n.step(now)
-	n.spreadEndpoints(n.Registry.Hint(now, endpoints), 0)
+	n.spreadEndpoints(n.Registry.Restore(now, endpoints), 0)
 	return out
 }
 
--- a/internal/fleet/dissemination/pull.go
+++ b/internal/fleet/dissemination/pull.go
@@ -112,7 +112,7 @@
 	answer.AgeMs, answer.Fresh = n.Config.ageMs(n.now)
 	n.send(from, answer)
 	n.sendMembers(from, portion(n.options.Random, n.Members.MembersDiffering(message.Members)), hopsMost)
-	n.sendEndpoints(from, portion(n.options.Random, n.Registry.Differing(message.Endpoints)), hopsMost)
+	n.sendEndpoints(from, portion(n.options.Random, n.Registry.EndpointsDiffering(message.Endpoints)), hopsMost)
 }
 
 // portion is what one answer holds of a list: all of it, or a part that begins anywhere.
--- a/internal/fleet/dissemination/rest_test.go
+++ b/internal/fleet/dissemination/rest_test.go
@@ -64,7 +64,7 @@
 				m.Status = membership.Dead
 				dead = append(dead, m)
 				e, _ := liar.Registry.Lookup(fmt.Sprint("e", i))
-				e.State = registry.Lapsed
+				e.State = registry.Expired
 				silent = append(silent, e)
 			}
 			f.carryOut(address(30), liar.Receive(f.now, address(31), Update{Members: dead, Endpoints: silent}))
--- a/internal/fleet/registry/registry.go
+++ b/internal/fleet/registry/registry.go
@@ -18,8 +18,8 @@
 const (
 	Ready State = iota + 1
 	Draining
-	Lapsed // silent, as its owner says
-	Gone   // it said that it ends, or its address has another endpoint
+	Expired      // silent, as its owner says
+	Deregistered // it said that it ends, or its address has another endpoint
 )
 
 // Endpoint is one start of an endpoint.
@@ -37,10 +37,10 @@
 
 // supersedes tells whether a report replaces another of the same endpoint.
 func (e *Endpoint) supersedes(other *Endpoint) bool {
-	if other.State == Gone {
+	if other.State == Deregistered {
 		return false // an incarnation that has ended does not come back
 	}
-	return e.State == Gone || cmp.Or(cmp.Compare(e.Sequence, other.Sequence), cmp.Compare(e.State, other.State)) > 0
+	return e.State == Deregistered || cmp.Or(cmp.Compare(e.Sequence, other.Sequence), cmp.Compare(e.State, other.State)) > 0
 }
 
 // differs tells whether two reports differ in more than their sequence.
@@ -67,8 +67,8 @@
 	Sums  [Buckets]uint32
 }
 
-// Table is one router's knowledge of all endpoints.
-type Table struct {
+// Registry is one router's knowledge of all endpoints.
+type Registry struct {
 	entries map[string]*entry
 	at      map[string]string // the newest endpoint's id by address
 	version uint64            // rises with each change that requests can see
@@ -87,7 +87,7 @@
 // heartbeat. So are endpoints that have ended, which one router may have forgotten or never known.
 func (e *entry) summarise() {
 	e.sum = 0
-	if e.State < Lapsed {
+	if e.State < Expired {
 		own := e.hash ^ xxhash.Sum64String(e.Owner)*3 ^ uint64(e.State)*0x9e3779b97f4a7c15
 		e.sum = uint32(own ^ own>>32)
 	}
@@ -99,13 +99,13 @@
 func (e *entry) in(d *Digests) bool { return uint8(e.hash>>50)%max(1, d.Parts) == d.Part }
 
 // New returns a table without endpoints.
-func New() *Table { return &Table{entries: map[string]*entry{}, at: map[string]string{}} }
+func New() *Registry { return &Registry{entries: map[string]*entry{}, at: map[string]string{}} }
 
 // Version rises with each change of an endpoint's state, address or service.
-func (t *Table) Version() uint64 { return t.version }
+func (t *Registry) Version() uint64 { return t.version }
 
 // TakeEnded returns the endpoints that have stopped being ready since the last call.
-func (t *Table) TakeEnded() []string {
+func (t *Registry) TakeEnded() []string {
 	ended := t.ended
 	t.ended = nil
 	return ended
@@ -113,7 +113,7 @@
 
 // end changes the state of an endpoint to one in which it gets no requests. It is the only place that does so, beside
 // words of the endpoint itself.
-func (t *Table) end(now time.Duration, e *entry, state State) {
+func (t *Registry) end(now time.Duration, e *entry, state State) {
 	if e.State == Ready {
 		t.ended = append(t.ended, e.ID)
 	}
@@ -122,14 +122,14 @@
 	t.version++
 }
 
-// Hear takes an endpoint's own word over. It returns the reports to be passed on; ok is false where the word is older
+// ApplyHeartbeat takes an endpoint's own word over. It returns the reports to be passed on; ok is false where the word is older
 // than what is known.
-func (t *Table) Hear(now time.Duration, said Endpoint) (news []Endpoint, ok bool) {
+func (t *Registry) ApplyHeartbeat(now time.Duration, said Endpoint) (news []Endpoint, ok bool) {
 	known := t.entries[said.ID]
-	if known != nil && (known.State == Gone || said.Sequence < known.Sequence && said.State != Gone) {
+	if known != nil && (known.State == Deregistered || said.Sequence < known.Sequence && said.State != Deregistered) {
 		return nil, false
 	}
-	if said.State == Gone && known != nil {
+	if said.State == Deregistered && known != nil {
 		said.Service, said.Address, said.Zone, said.Capacity = known.Service, known.Address, known.Zone, known.Capacity
 		said.Sequence = max(said.Sequence, known.Sequence)
 	}
@@ -146,20 +146,20 @@
 }
 
 // replace marks the endpoint that had an address before as gone.
-func (t *Table) replace(now time.Duration, by *Endpoint) []Endpoint {
-	if by.State == Gone {
+func (t *Registry) replace(now time.Duration, by *Endpoint) []Endpoint {
+	if by.State == Deregistered {
 		return nil
 	}
 	former := t.entries[t.at[by.Address]]
 	t.at[by.Address] = by.ID
-	if former == nil || former.ID == by.ID || former.State == Gone {
+	if former == nil || former.ID == by.ID || former.State == Deregistered {
 		return nil
 	}
-	t.end(now, former, Gone)
+	t.end(now, former, Deregistered)
 	return []Endpoint{former.Endpoint}
 }
 
-func (t *Table) put(now time.Duration, said Endpoint) {
+func (t *Registry) put(now time.Duration, said Endpoint) {
 	known := t.entries[said.ID]
 	if known == nil {
 		known = &entry{Endpoint: said, heard: now, hash: xxhash.Sum64String(said.ID)}
@@ -184,14 +184,14 @@
 // Merge takes reports of other routers over and returns those that were new, to be passed on, also where only their
 // sequence is: others may hold something else of a sequence in between. Where one says that an
 // endpoint is silent that this router, self, hears, what this router knows is returned as asserted, to be told to all.
-func (t *Table) Merge(now time.Duration, self string, reports []Endpoint) (news, asserted []Endpoint) {
+func (t *Registry) Merge(now time.Duration, self string, reports []Endpoint) (news, asserted []Endpoint) {
 	for _, report := range reports {
 		known := t.entries[report.ID]
-		if known == nil && report.State >= Lapsed {
+		if known == nil && report.State >= Expired {
 			continue // it is forgotten already
 		}
 		if known != nil && !report.supersedes(&known.Endpoint) {
-			if report.State == Lapsed && known.assert(now, self) {
+			if report.State == Expired && known.assert(now, self) {
 				asserted = append(asserted, known.Endpoint)
 			}
 			continue
@@ -199,7 +199,7 @@
 		changed := known == nil || report.differs(&known.Endpoint)
 		t.put(now, report)
 		news = append(news, report)
-		if changed && report.State < Lapsed && t.at[report.Address] == "" {
+		if changed && report.State < Expired && t.at[report.Address] == "" {
 			t.at[report.Address] = report.ID
 		}
 	}
@@ -208,7 +208,7 @@
 
 // assert tells whether others are to be told that this router hears the endpoint.
 func (e *entry) assert(now time.Duration, self string) bool {
-	if e.Owner != self || e.State >= Lapsed || e.asserted != 0 && now-e.asserted < assertEvery {
+	if e.Owner != self || e.State >= Expired || e.asserted != 0 && now-e.asserted < assertEvery {
 		return false
 	}
 	e.asserted = now
@@ -218,9 +218,9 @@
 // hintLife is how long an endpoint may be used that has not been heard since all routers ended.
 const hintLife = 1500 * time.Millisecond
 
-// Hint takes over endpoints that were known before a restart, where nothing is known of them. They are used for a short
+// Restore takes over endpoints that were known before a restart, where nothing is known of them. They are used for a short
 // time: their next heartbeat replaces the hint.
-func (t *Table) Hint(now time.Duration, endpoints []Endpoint) []Endpoint {
+func (t *Registry) Restore(now time.Duration, endpoints []Endpoint) []Endpoint {
 	var news []Endpoint
 	for _, e := range endpoints {
 		if t.entries[e.ID] != nil || t.at[e.Address] != "" || e.State != Ready {
@@ -234,29 +234,29 @@
 	return news
 }
 
-// Lapse marks the endpoints of an owner that were silent for too long. ownerHears tells whether another router may still
+// ExpireSilent marks the endpoints of an owner that were silent for too long. ownerHears tells whether another router may still
 // hear its endpoints; the endpoints of a router that is gone lapse as this router's own, after twice the time.
-func (t *Table) Lapse(now time.Duration, self string, silence time.Duration, ownerHears func(string) bool) []Endpoint {
+func (t *Registry) ExpireSilent(now time.Duration, self string, silence time.Duration, ownerHears func(string) bool) []Endpoint {
 	var news []Endpoint
 	for _, e := range t.entries {
-		if e.State >= Lapsed {
+		if e.State >= Expired {
 			continue
 		}
 		own := e.Owner == self && now-e.heard > silence
 		orphaned := e.Owner != self && now-e.heard > 2*silence && !ownerHears(e.Owner)
 		unconfirmed := e.Owner == "" && now-e.heard > hintLife
 		if own || orphaned || unconfirmed {
-			t.end(now, e, Lapsed)
+			t.end(now, e, Expired)
 			news = append(news, e.Endpoint)
 		}
 	}
 	return news
 }
 
-// Forget removes endpoints whose end lies some time back.
-func (t *Table) Forget(now time.Duration, after time.Duration) {
+// Purge removes endpoints whose end lies some time back.
+func (t *Registry) Purge(now time.Duration, after time.Duration) {
 	for id, e := range t.entries {
-		if e.State >= Lapsed && now-e.heard > after {
+		if e.State >= Expired && now-e.heard > after {
 			delete(t.entries, id)
 			if t.at[e.Address] == id {
 				delete(t.at, e.Address)
@@ -266,7 +266,7 @@
 }
 
 // Lookup returns what is known of an endpoint.
-func (t *Table) Lookup(id string) (Endpoint, bool) {
+func (t *Registry) Lookup(id string) (Endpoint, bool) {
 	e := t.entries[id]
 	if e == nil {
 		return Endpoint{}, false
@@ -275,7 +275,7 @@
 }
 
 // Ready are the endpoints that may be sent requests, ordered by id.
-func (t *Table) Ready() []Endpoint {
+func (t *Registry) Ready() []Endpoint {
 	var all []Endpoint
 	for _, e := range t.entries {
 		if e.State == Ready {
@@ -287,7 +287,7 @@
 }
 
 // Digests summarise what is known of a part of the endpoints; rounds take turns over the parts.
-func (t *Table) Digests(round uint64) Digests {
+func (t *Registry) Digests(round uint64) Digests {
 	parts := uint64(1)
 	for parts < partsMost && uint64(len(t.entries)) > parts*partSize {
 		parts *= 2
@@ -295,7 +295,7 @@
 	return t.digests(uint8(round%parts), uint8(parts))
 }
 
-func (t *Table) digests(part, parts uint8) Digests {
+func (t *Registry) digests(part, parts uint8) Digests {
 	d := Digests{Part: part, Parts: parts}
 	for _, e := range t.entries {
 		if e.in(&d) {
@@ -305,8 +305,8 @@
 	return d
 }
 
-// Differing are the endpoints in the buckets in which the digests of another router differ.
-func (t *Table) Differing(theirs Digests) []Endpoint {
+// EndpointsDiffering are the endpoints in the buckets in which the digests of another router differ.
+func (t *Registry) EndpointsDiffering(theirs Digests) []Endpoint {
 	ours := t.digests(theirs.Part, theirs.Parts)
 	if ours == theirs {
 		return nil
