--- a/internal/fleet/control/control.go
+++ b/internal/fleet/control/control.go
@@ -28,8 +28,8 @@
 	readTime      = 2 * time.Second
 )
 
-// Core is what the API needs of the rest of the router.
-type Core interface {
+// Delegate is what the API needs of the rest of the router.
+type Delegate interface {
 	// Submit has an order taken. Errors are package replica's, or a config.InvalidError.
 	Submit(ctx context.Context, order *config.Change) error
 	// Read returns the newest configuration.
@@ -37,16 +37,16 @@
 	// PrimaryControl is the newest view that is known, and the control address of its primary, which takes orders; empty where
 	// that is not known.
 	PrimaryControl() (view uint64, address string)
-	// Hear takes an endpoint's word over. An error says that its leave can't be acknowledged: it is not sure that the other
+	// HandleEndpointReport takes an endpoint's word over. An error says that its leave can't be acknowledged: it is not sure that the other
 	// routers learn of it.
-	Hear(ctx context.Context, endpoint registry.Endpoint) error
-	// ServiceOf is the service that an endpoint with that id has named; empty where it is not known.
-	ServiceOf(id string) string
+	HandleEndpointReport(ctx context.Context, endpoint registry.Endpoint) error
+	// EndpointService is the service that an endpoint with that id has named; empty where it is not known.
+	EndpointService(id string) string
 }
 
 // Server answers operators and endpoints.
 type Server struct {
-	core    Core
+	core    Delegate
 	address string // of this API
 	handler *mux.Router
 
@@ -54,7 +54,7 @@
 }
 
 // NewServer returns the API's handler.
-func NewServer(core Core, address string) *Server {
+func NewServer(core Delegate, address string) *Server {
 	s := &Server{core: core, address: address, handler: mux.NewRouter()}
 	s.handler.HandleFunc("/instances/{id}/heartbeat", s.heartbeat).Methods(http.MethodPost)
 	s.handler.HandleFunc("/instances/{id}/deregister", s.deregister).Methods(http.MethodPost)
@@ -89,11 +89,11 @@
 		s.reject(w, http.StatusBadRequest, "the heartbeat lacks a service, an address or a known state")
 		return
 	}
-	if service := s.core.ServiceOf(id); service != "" && service != beat.Service {
+	if service := s.core.EndpointService(id); service != "" && service != beat.Service {
 		s.reject(w, http.StatusBadRequest, "the endpoint belongs to another service")
 		return
 	}
-	err := s.core.Hear(r.Context(), registry.Endpoint{
+	err := s.core.HandleEndpointReport(r.Context(), registry.Endpoint{
 		ID: id, Service: beat.Service, Address: beat.Address, Zone: beat.Zone, Capacity: beat.Capacity, State: state,
 		Sequence: beat.Sequence, WarmupMs: beat.WarmupMs,
 	})
@@ -105,7 +105,7 @@
 }
 
 func (s *Server) deregister(w http.ResponseWriter, r *http.Request) {
-	err := s.core.Hear(r.Context(), registry.Endpoint{ID: mux.Vars(r)["id"], State: registry.Deregistered})
+	err := s.core.HandleEndpointReport(r.Context(), registry.Endpoint{ID: mux.Vars(r)["id"], State: registry.Deregistered})
 	if err != nil {
 		s.notHeard(w, err)
 		return
--- a/internal/fleet/control/control_test.go
+++ b/internal/fleet/control/control_test.go
@@ -32,14 +32,14 @@
 }
 func (c *core) Read(context.Context) (*config.Document, error) { return config.EmptyDocument(), c.err }
 func (c *core) PrimaryControl() (uint64, string)               { return c.view, c.primary }
-func (c *core) Hear(_ context.Context, e registry.Endpoint) error {
+func (c *core) HandleEndpointReport(_ context.Context, e registry.Endpoint) error {
 	c.heard = append(c.heard, e)
 	if e.State == registry.Ready {
 		return nil
 	}
 	return c.deaf
 }
-func (c *core) ServiceOf(string) string { return c.service }
+func (c *core) EndpointService(string) string { return c.service }
 
 const own = "10.0.0.1:9"
 
--- a/internal/fleet/control/stack_test.go
+++ b/internal/fleet/control/stack_test.go
@@ -325,8 +325,8 @@
 	defer c.machine.mu.Unlock()
 	return c.machine.node.Primary()
 }
-func (c *core) Hear(context.Context, registry.Endpoint) error { return nil }
-func (c *core) ServiceOf(string) string                       { return "" }
+func (c *core) HandleEndpointReport(context.Context, registry.Endpoint) error { return nil }
+func (c *core) EndpointService(string) string                                 { return "" }
 
 // answer is what an operator got of a call; status 0: nothing within a second or more.
 type answer struct {
--- a/internal/fleet/router/core.go
+++ b/internal/fleet/router/core.go
@@ -62,8 +62,8 @@
 	return view, m.Control
 }
 
-// ServiceOf is the service of an endpoint.
-func (r *Router) ServiceOf(id string) string {
+// EndpointService is the service of an endpoint.
+func (r *Router) EndpointService(id string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e, _ := r.node.Registry.Lookup(id)
--- a/internal/fleet/router/leaves.go
+++ b/internal/fleet/router/leaves.go
@@ -26,8 +26,8 @@
 // leaveReply answers a router that hands an endpoint's leave on.
 type leaveReply struct{}
 
-// Hear takes an endpoint's word over. An error says that the others may not learn of its leave.
-func (r *Router) Hear(ctx context.Context, endpoint registry.Endpoint) error {
+// HandleEndpointReport takes an endpoint's word over. An error says that the others may not learn of its leave.
+func (r *Router) HandleEndpointReport(ctx context.Context, endpoint registry.Endpoint) error {
 	endpoint.Owner = r.settings.InternalAddress()
 	r.withNode(func(now time.Duration) *dissemination.Output {
 		out, _ := r.node.HandleEndpointHeartbeat(now, endpoint)
