--- a/internal/fleet/front/announce.go
+++ b/internal/fleet/front/announce.go
@@ -57,11 +57,11 @@
 	ReadingMs uint16
 }
 
-func announcement(origin uint32, placed *placement.Placed, call *placement.Call) Announcement {
+func announcement(origin uint32, placed *placement.Placement, call *placement.Call) Announcement {
 	prompt := &call.Prompt
 	a := Announcement{
-		Origin: origin, Endpoint: placed.Endpoint.Name(), Rank: uint8(prompt.Rank), Units: uint32(placed.Units),
-		Prompt: uint32(prompt.Units), Output: uint32(prompt.Output), GapMs: milliseconds(prompt.Gap.Seconds()),
+		Origin: origin, Endpoint: placed.Endpoint.Name(), Rank: uint8(prompt.Priority), Units: uint32(placed.Units),
+		Prompt: uint32(prompt.Units), Output: uint32(prompt.Output), GapMs: milliseconds(prompt.MaxEventGap.Seconds()),
 	}
 	for _, prefix := range prompt.Prefixes {
 		a.Prefixes = append(a.Prefixes, prefix.Hash)
@@ -73,19 +73,19 @@
 	if o == nil {
 		return nil
 	}
-	return &Seen{Endpoint: o.Endpoint, Read: uint32(o.Read), Units: uint32(o.Units), DelayMs: milliseconds(o.Delay), WaitMs: milliseconds(o.Wait)}
+	return &Seen{Endpoint: o.Endpoint, Read: uint32(o.PrefillUnits), Units: uint32(o.Units), DelayMs: milliseconds(o.Delay), WaitMs: milliseconds(o.Wait)}
 }
 
-func pauseOf(p *placement.Pause) *Pause {
+func pauseOf(p *placement.Stall) *Pause {
 	if p == nil {
 		return nil
 	}
-	return &Pause{Endpoint: p.Endpoint, LongestMs: milliseconds(p.Longest), ReadingMs: milliseconds(p.Reading)}
+	return &Pause{Endpoint: p.Endpoint, LongestMs: milliseconds(p.Longest), ReadingMs: milliseconds(p.PrefillTime)}
 }
 
 // pause is what was seen, as it is learned from.
-func (p *Pause) pause() *placement.Pause {
-	return &placement.Pause{Endpoint: p.Endpoint, Longest: float64(p.LongestMs) / 1000, Reading: float64(p.ReadingMs) / 1000}
+func (p *Pause) pause() *placement.Stall {
+	return &placement.Stall{Endpoint: p.Endpoint, Longest: float64(p.LongestMs) / 1000, PrefillTime: float64(p.ReadingMs) / 1000}
 }
 
 // milliseconds rounds a time, which is cut down to what an announcement can tell.
@@ -96,8 +96,8 @@
 // prompt is the prompt that was announced.
 func (a *Announcement) prompt() *placement.Prompt {
 	p := &placement.Prompt{
-		Units: max(1, float64(a.Prompt), float64(a.Units)), Output: float64(a.Output), Rank: int(a.Rank),
-		Gap: time.Duration(a.GapMs) * time.Millisecond,
+		Units: max(1, float64(a.Prompt), float64(a.Units)), Output: float64(a.Output), Priority: int(a.Rank),
+		MaxEventGap: time.Duration(a.GapMs) * time.Millisecond,
 	}
 	for _, hash := range a.Prefixes[:min(len(a.Prefixes), prefixesMost)] {
 		p.Prefixes = append(p.Prefixes, placement.Prefix{Hash: hash})
@@ -108,7 +108,7 @@
 // observation is what was seen, as it is learned from.
 func (s *Seen) observation() *placement.Observation {
 	return &placement.Observation{
-		Endpoint: s.Endpoint, Read: float64(min(s.Read, s.Units)), Units: float64(s.Units), Delay: float64(s.DelayMs) / 1000,
+		Endpoint: s.Endpoint, PrefillUnits: float64(min(s.Read, s.Units)), Units: float64(s.Units), Delay: float64(s.DelayMs) / 1000,
 		Wait: float64(s.WaitMs) / 1000,
 	}
 }
@@ -152,29 +152,29 @@
 			continue
 		}
 		if a.Failures > 0 {
-			d.placer.HeardFailures(now, a.Endpoint, int(a.Failures), a.Overdue)
+			d.placer.RecordRemoteFailures(now, a.Endpoint, int(a.Failures), a.Overdue)
 			continue
 		}
-		d.placer.Heard(now, a.Endpoint, a.prompt(), float64(a.Units))
+		d.placer.RecordRemoteCall(now, a.Endpoint, a.prompt(), float64(a.Units))
 		if a.Seen != nil {
-			d.placer.HeardFirstToken(now, a.Seen.observation())
+			d.placer.RecordRemoteFirstToken(now, a.Seen.observation())
 		}
 		if a.Pause != nil {
-			d.placer.HeardPause(a.Pause.pause())
+			d.placer.RecordRemoteStall(a.Pause.pause())
 		}
 	}
 }
 
 // Learned is what this router has learned of the endpoints, for one that has just started.
-func (d *Dispatcher) Learned() placement.Learned {
+func (d *Dispatcher) Learned() placement.LearnedState {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.placer.Learned(d.clock())
+	return d.placer.ExportLearned(d.clock())
 }
 
 // TakeLearned takes over what another router had learned at a moment. It may be called again when more endpoints are known.
-func (d *Dispatcher) TakeLearned(at time.Duration, learned *placement.Learned) {
+func (d *Dispatcher) TakeLearned(at time.Duration, learned *placement.LearnedState) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.placer.TakeLearned(at, learned)
+	d.placer.ImportLearned(at, learned)
 }
--- a/internal/fleet/front/dispatcher.go
+++ b/internal/fleet/front/dispatcher.go
@@ -35,7 +35,7 @@
 	allowedAt time.Duration
 
 	seen  *placement.Observation // of this router's last first token that was not told yet
-	pause *placement.Pause       // the same of a stream that a prompt has held up
+	pause *placement.Stall       // the same of a stream that a prompt has held up
 
 	failures   float64 // that may be told of
 	failuresAt time.Duration
@@ -62,7 +62,7 @@
 func (d *Dispatcher) Drop(ids []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, e := range d.placer.Drop(ids) {
+	for _, e := range d.placer.Remove(ids) {
 		d.Pool.Remove(balance.EndpointID(e.Number))
 	}
 }
@@ -71,7 +71,7 @@
 func (d *Dispatcher) SetEndpoints(ready []registry.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	added, removed := d.placer.SetReady(ready)
+	added, removed := d.placer.SetEndpoints(ready)
 	for _, e := range added {
 		d.Pool.Set(balance.EndpointID(e.Number), e.Address)
 	}
@@ -84,21 +84,21 @@
 func (d *Dispatcher) Ready(service string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.placer.Ready(service)
+	return d.placer.ReadyCount(service)
 }
 
 // View shows the tables that calls are drawn from.
 func (d *Dispatcher) View() []placement.TableView {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.placer.View()
+	return d.placer.Tables()
 }
 
 // ViewServices shows what is learned of the endpoints.
 func (d *Dispatcher) ViewServices() []placement.ServiceView {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.placer.ViewServices(d.clock())
+	return d.placer.Services(d.clock())
 }
 
 // first counts a request for a service.
@@ -132,7 +132,7 @@
 }
 
 // place draws a call's endpoint, notes that the call goes there, and tells the other routers where it is worth it.
-func (d *Dispatcher) place(call *placement.Call) *placement.Placed {
+func (d *Dispatcher) place(call *placement.Call) *placement.Placement {
 	d.mu.Lock()
 	now := d.clock()
 	placed := d.placer.Place(now, call)
@@ -150,32 +150,38 @@
 	return placed
 }
 
-func (d *Dispatcher) end(placed *placement.Placed) {
+func (d *Dispatcher) end(placed *placement.Placement) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.placer.End(placed)
+	d.placer.Release(placed)
 }
 
-func (d *Dispatcher) firstToken(placed *placement.Placed, delay time.Duration) {
+func (d *Dispatcher) firstToken(placed *placement.Placement, delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	seen := d.placer.FirstToken(d.clock(), placed, delay)
+	seen := d.placer.RecordFirstToken(d.clock(), placed, delay)
 	d.seen = &seen
 }
 
-func (d *Dispatcher) written(placed *placement.Placed, took, longestPause time.Duration) {
+func (d *Dispatcher) written(placed *placement.Placement, took, longestPause time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if pause, ok := d.placer.Written(d.clock(), placed, took, longestPause); ok {
+	if pause, ok := d.placer.RecordStreamEnd(d.clock(), placed, took, longestPause); ok {
 		d.pause = &pause
 	}
 }
 
-func (d *Dispatcher) refused(e *placement.Endpoint) { d.meet(e, (*placement.Placer).Refused, false) }
+func (d *Dispatcher) refused(e *placement.Endpoint) {
+	d.meet(e, (*placement.Placer).RecordConnectFailure, false)
+}
 
-func (d *Dispatcher) failed(e *placement.Endpoint) { d.meet(e, (*placement.Placer).Failed, false) }
+func (d *Dispatcher) failed(e *placement.Endpoint) {
+	d.meet(e, (*placement.Placer).RecordFailure, false)
+}
 
-func (d *Dispatcher) overdue(e *placement.Endpoint) { d.meet(e, (*placement.Placer).Overdue, true) }
+func (d *Dispatcher) overdue(e *placement.Endpoint) {
+	d.meet(e, (*placement.Placer).RecordOverdue, true)
+}
 
 // meet notes a failure that this router has met at an endpoint, and tells the other routers of it.
 func (d *Dispatcher) meet(e *placement.Endpoint, note func(*placement.Placer, time.Duration, *placement.Endpoint), overdue bool) {
--- a/internal/fleet/front/forward.go
+++ b/internal/fleet/front/forward.go
@@ -77,7 +77,7 @@
 	q := a.request
 	return &placement.Call{
 		Service: q.service, Target: q.route.TargetLatency(), Spent: q.spent + time.Since(q.arrived), Prompt: q.prompt, Exclude: a.tried,
-		Repeat: a.arrived > 0, Final: a.isLast(),
+		Retry: a.arrived > 0, LastAttempt: a.isLast(),
 	}
 }
 
@@ -168,7 +168,7 @@
 }
 
 // attempt sends the request to one endpoint.
-func (s *Server) attempt(ctx context.Context, a *answer, placed *placement.Placed) outcome {
+func (s *Server) attempt(ctx context.Context, a *answer, placed *placement.Placement) outcome {
 	q, endpoint := a.request, placed.Endpoint
 	defer s.dispatcher.end(placed)
 	ctx, cancel := context.WithCancel(ctx)
--- a/internal/fleet/front/overdue.go
+++ b/internal/fleet/front/overdue.go
@@ -28,14 +28,14 @@
 // firstToken is what is waited for at an endpoint. Where it is overdue, the endpoint counts as failing, and a request that
 // may run again goes elsewhere: most of the time nothing comes any more from an endpoint that is mute.
 type firstToken struct {
-	placed  *placement.Placed
+	placed  *placement.Placement
 	began   time.Time
 	state   atomic.Int32
 	overdue *time.Timer
 }
 
 // await begins to wait for an attempt's first token. give ends the attempt.
-func (s *Server) await(a *answer, placed *placement.Placed, give context.CancelFunc) *firstToken {
+func (s *Server) await(a *answer, placed *placement.Placement, give context.CancelFunc) *firstToken {
 	f := &firstToken{placed: placed, began: time.Now()}
 	movable := a.isMovable()
 	service := a.request.service
@@ -77,6 +77,6 @@
 	return f.moved()
 }
 
-func overdueAfter(placed *placement.Placed) time.Duration {
+func overdueAfter(placed *placement.Placement) time.Duration {
 	return max(overdueLeast, overdueTimes*placed.Expected)
 }
--- a/internal/fleet/front/overdue_test.go
+++ b/internal/fleet/front/overdue_test.go
@@ -109,7 +109,7 @@
 	})
 	Convey("What comes as an attempt is given up is one or the other", t, func() {
 		for _, first := range []bool{true, false} {
-			f := &firstToken{placed: &placement.Placed{}, overdue: time.NewTimer(time.Hour)}
+			f := &firstToken{placed: &placement.Placement{}, overdue: time.NewTimer(time.Hour)}
 			if first {
 				So(f.came(), ShouldBeTrue)
 				So(f.state.CompareAndSwap(waiting, givenUp), ShouldBeFalse)
--- a/internal/fleet/front/server.go
+++ b/internal/fleet/front/server.go
@@ -115,7 +115,7 @@
 		}
 	}
 	q.service = q.route.PickService(s.dispatcher.uniform())
-	q.prompt = placement.Prompt{Units: 1, Rank: q.priority(), Output: q.output(), Gap: q.route.MaxEventGap()}
+	q.prompt = placement.Prompt{Units: 1, Priority: q.priority(), Output: q.output(), MaxEventGap: q.route.MaxEventGap()}
 	if text := q.http.Header.Get(headerPrefix); text != "" {
 		q.prompt.Units, q.prompt.Prefixes = readPrefixes(text)
 	}
--- a/internal/fleet/placement/draw.go
+++ b/internal/fleet/placement/draw.go
@@ -39,7 +39,7 @@
 
 // draw chooses the endpoint with the least weighted score among those with the least loss, or hardly more. Ejected
 // endpoints are passed over unless there is no other.
-func (s *service) draw(now time.Duration, row []float64, key uint64, call *Call) *Placed {
+func (s *service) draw(now time.Duration, row []float64, key uint64, call *Call) *Placement {
 	candidates := s.candidates(now, row, call)
 	if len(candidates) == 0 {
 		return nil
@@ -63,7 +63,7 @@
 		}
 	}
 	chosen := &candidates[best]
-	return &Placed{
+	return &Placement{
 		Endpoint: chosen.endpoint, Expected: time.Duration(chosen.expected * float64(time.Second)), Units: chosen.work.units,
 		work: chosen.work, wait: chosen.wait, prompt: &call.Prompt,
 	}
@@ -71,7 +71,7 @@
 
 // countSize takes a prompt into the mean of its rank.
 func (s *service) countSize(prompt *Prompt) {
-	mean := &s.meanSizes[min(max(prompt.Rank, 0), ranks-1)]
+	mean := &s.meanSizes[min(max(prompt.Priority, 0), ranks-1)]
 	if *mean == 0 {
 		*mean = prompt.size()
 	}
@@ -80,7 +80,7 @@
 
 // size is what a call is worth, in calls of mean size.
 func (s *service) size(prompt *Prompt) float64 {
-	mean := s.meanSizes[min(max(prompt.Rank, 0), ranks-1)]
+	mean := s.meanSizes[min(max(prompt.Priority, 0), ranks-1)]
 	if mean == 0 {
 		return 1
 	}
@@ -126,7 +126,7 @@
 	switch {
 	case now < e.ejected:
 		return 2
-	case call.Repeat && !e.evidence.clean(now, s.callRate), call.Final && !e.failed.clean(now, s.callRate):
+	case call.Retry && !e.evidence.clean(now, s.callRate), call.LastAttempt && !e.failed.clean(now, s.callRate):
 		return 1
 	}
 	return 0
@@ -148,7 +148,7 @@
 func (d *drawing) expect(e *Endpoint, share float64) candidate {
 	prompt := &d.call.Prompt
 	e.queue.drain(d.now)
-	c := candidate{endpoint: e, share: share, wait: e.queue.before(prompt.Rank)}
+	c := candidate{endpoint: e, share: share, wait: e.queue.before(prompt.Priority)}
 	read := e.kept.uncached(d.now, prompt)
 	c.work = workOf(read, prompt.Units)
 	c.kept = len(prompt.Prefixes) > 0 && read <= prompt.own()
--- a/internal/fleet/placement/draw_test.go
+++ b/internal/fleet/placement/draw_test.go
@@ -17,13 +17,13 @@
 // hear has another router tell of a prompt that takes an endpoint a time to read.
 func hear(p *Placer, now time.Duration, e *Endpoint, reading time.Duration) {
 	units := reading.Seconds() / priorUnitTime
-	p.Heard(now, e.Name(), &Prompt{Units: units}, units)
+	p.RecordRemoteCall(now, e.Name(), &Prompt{Units: units}, units)
 }
 
 // busy has one endpoint keep the shared part, and a queue that takes it a time.
 func busy(p *Placer, shared float64, waiting time.Duration) *Endpoint {
 	placed := p.Place(0, prompt(shared+1, shared))
-	p.End(placed)
+	p.Release(placed)
 	e := placed.Endpoint
 	e.queue = queue{}
 	hear(p, 0, e, waiting)
--- a/internal/fleet/placement/evidence_test.go
+++ b/internal/fleet/placement/evidence_test.go
@@ -68,39 +68,39 @@
 		p.SetRouters(30)
 		home := p.Place(0, call(42, 1000)).Endpoint
 		for at := range 10 {
-			p.HeardFailures(time.Duration(at)*100*time.Millisecond, home.Name(), 1, false)
+			p.RecordRemoteFailures(time.Duration(at)*100*time.Millisecond, home.Name(), 1, false)
 		}
 		So(p.Place(time.Second, call(42, 1000)).Endpoint, ShouldNotEqual, home)
 		for now := time.Minute; now < 10*time.Minute; now += delayRefresh {
-			p.End(p.Place(now, call(7, 1)))
+			p.Release(p.Place(now, call(7, 1)))
 		}
 		So(p.Place(10*time.Minute, call(42, 1000)).Endpoint, ShouldEqual, home)
 	})
 	Convey("Where all endpoints fail alike none is left out", t, func() {
 		p := placer(3)
 		for _, e := range p.service("llm").endpoints {
-			p.HeardFailures(0, e.Name(), 40, false)
+			p.RecordRemoteFailures(0, e.Name(), 40, false)
 		}
 		used := map[string]bool{}
 		for i := range 300 {
 			placed := p.Place(time.Millisecond, call(uint32(i)*7919+1, 10))
 			used[placed.Endpoint.ID] = true
-			p.End(placed)
+			p.Release(placed)
 		}
 		So(len(used), ShouldEqual, 3)
 	})
 	Convey("Failures at an endpoint that is not known are passed over", t, func() {
-		placer(1).HeardFailures(0, 77, 3, false)
+		placer(1).RecordRemoteFailures(0, 77, 3, false)
 	})
 	Convey("An overdue first token counts, and its call goes on", t, func() {
 		p := placer(2)
 		placed := p.Place(0, call(42, 1000))
 		for range 5 {
-			p.Overdue(time.Second, placed.Endpoint)
+			p.RecordOverdue(time.Second, placed.Endpoint)
 		}
 		So(p.Place(time.Second, call(42, 1000)).Endpoint, ShouldNotEqual, placed.Endpoint)
-		p.FirstToken(2*time.Second, placed, 2*time.Second)
-		p.End(placed)
+		p.RecordFirstToken(2*time.Second, placed, 2*time.Second)
+		p.Release(placed)
 	})
 }
 
@@ -109,22 +109,22 @@
 		p := placer(4)
 		all := p.service("llm").endpoints
 		for _, e := range all[:3] {
-			p.HeardFailures(0, e.Name(), 1, false)
+			p.RecordRemoteFailures(0, e.Name(), 1, false)
 		}
-		p.HeardFailures(0, all[3].Name(), 1, true)
+		p.RecordRemoteFailures(0, all[3].Name(), 1, true)
 		places := func(c *Call) map[*Endpoint]bool {
 			seen := map[*Endpoint]bool{}
 			for i := range uint32(40) {
 				c.Prompt.Prefixes = []Prefix{{Hash: 1000 + i, Units: 50}}
 				placed := p.Place(0, c)
 				seen[placed.Endpoint] = true
-				p.FirstToken(0, placed, 20*time.Millisecond)
-				p.End(placed)
+				p.RecordFirstToken(0, placed, 20*time.Millisecond)
+				p.Release(placed)
 			}
 			return seen
 		}
 		final, repeat := call(0, 100), call(0, 100)
-		final.Final, repeat.Repeat = true, true
+		final.LastAttempt, repeat.Retry = true, true
 		Convey("a call whose failure would be final goes to that one", func() {
 			So(places(final), ShouldResemble, map[*Endpoint]bool{all[3]: true})
 		})
--- a/internal/fleet/placement/learned_test.go
+++ b/internal/fleet/placement/learned_test.go
@@ -19,19 +19,19 @@
 	Convey("A router that has just started", t, func() {
 		old := placer(9)
 		first := old.Place(0, long())
-		old.FirstToken(0, first, 700*time.Millisecond)
-		old.End(first)
+		old.RecordFirstToken(0, first, 700*time.Millisecond)
+		old.Release(first)
 		for range 200 {
-			old.HeardFirstToken(0, &Observation{Endpoint: first.Endpoint.Name(), Read: 20000, Units: 20000, Delay: 0.7})
+			old.RecordRemoteFirstToken(0, &Observation{Endpoint: first.Endpoint.Name(), PrefillUnits: 20000, Units: 20000, Delay: 0.7})
 		}
-		text, err := cbor.Marshal(old.Learned(10 * time.Second))
+		text, err := cbor.Marshal(old.ExportLearned(10 * time.Second))
 		So(err, ShouldBeNil)
-		var told Learned
+		var told LearnedState
 		So(cbor.Unmarshal(text, &told), ShouldBeNil)
 
 		fresh := placer(9)
 		fresh.service("llm")
-		fresh.TakeLearned(time.Second, &told)
+		fresh.ImportLearned(time.Second, &told)
 		Convey("sends a shared part where it is kept, and knows how long it takes", func() {
 			placed := fresh.Place(time.Second, long())
 			So(placed.Endpoint.ID, ShouldEqual, first.Endpoint.ID)
@@ -40,11 +40,11 @@
 		})
 		Convey("takes it over for endpoints that it comes to know later, without losing what it has seen", func() {
 			late := New(rand.New(rand.NewPCG(3, 3)))
-			late.SetReady(endpoints(9)[:1])
-			late.TakeLearned(time.Second, &told)
-			late.SetReady(endpoints(9))
-			late.TakeLearned(time.Second, &told)
-			late.TakeLearned(time.Second, &told)
+			late.SetEndpoints(endpoints(9)[:1])
+			late.ImportLearned(time.Second, &told)
+			late.SetEndpoints(endpoints(9))
+			late.ImportLearned(time.Second, &told)
+			late.ImportLearned(time.Second, &told)
 			So(late.Place(2*time.Second, long()).Endpoint.ID, ShouldEqual, first.Endpoint.ID)
 		})
 		Convey("counts on it no longer than the one that told", func() {
@@ -52,9 +52,9 @@
 		})
 		Convey("believes what it has seen itself", func() {
 			seen := fresh.Place(2*time.Second, call(9, 2000))
-			fresh.FirstToken(2*time.Second, seen, 300*time.Millisecond)
+			fresh.RecordFirstToken(2*time.Second, seen, 300*time.Millisecond)
 			before := fresh.service("llm").reading.line()
-			fresh.TakeLearned(2*time.Second, &Learned{Lines: []Line{{Service: "llm", First: 1, UnitTime: 1, PairTime: 1}}})
+			fresh.ImportLearned(2*time.Second, &LearnedState{Models: []LatencyModel{{Service: "llm", Base: 1, PerUnit: 1, PerPair: 1}}})
 			So(fresh.service("llm").reading.line(), ShouldResemble, before)
 		})
 	})
@@ -62,12 +62,12 @@
 		p := placer(2)
 		p.service("llm")
 		e := p.service("llm").endpoints[0]
-		var l Learned
+		var l LearnedState
 		for i := range uint32(3 * keptMost) {
-			l.Kept = append(l.Kept, Kept{Endpoint: e.Name(), Prefix: i}, Kept{Endpoint: 1, Prefix: i, AgeMs: math.MaxUint32})
+			l.Prefixes = append(l.Prefixes, CachedPrefix{Endpoint: e.Name(), Prefix: i}, CachedPrefix{Endpoint: 1, Prefix: i, AgeMs: math.MaxUint32})
 		}
-		l.Lines = []Line{{Service: "llm", First: math.NaN(), UnitTime: math.Inf(1), PairTime: -1}, {Service: "none"}}
-		p.TakeLearned(0, &l)
+		l.Models = []LatencyModel{{Service: "llm", Base: math.NaN(), PerUnit: math.Inf(1), PerPair: -1}, {Service: "none"}}
+		p.ImportLearned(0, &l)
 		So(len(e.kept), ShouldBeLessThanOrEqualTo, prefixesMost)
 		So(p.service("llm").reading.line(), ShouldResemble, line{first: priorFirst, unitTime: mostUnitTime})
 		many := placer(20)
@@ -76,6 +76,6 @@
 				e.kept.remember(0, i)
 			}
 		}
-		So(len(many.Learned(0).Kept), ShouldEqual, keptMost)
+		So(len(many.ExportLearned(0).Prefixes), ShouldEqual, keptMost)
 	})
 }
--- a/internal/fleet/placement/placement.go
+++ b/internal/fleet/placement/placement.go
@@ -49,13 +49,13 @@
 
 // Call is what a draw rests on.
 type Call struct {
-	Service string
-	Target  time.Duration
-	Spent   time.Duration
-	Prompt  Prompt
-	Exclude []string
-	Repeat  bool // another endpoint has failed it: it goes where neither a failure nor an overdue answer is remembered
-	Final   bool // a failure would be the request's: it goes where no failure is remembered, if there is such an endpoint
+	Service     string
+	Target      time.Duration
+	Spent       time.Duration
+	Prompt      Prompt
+	Exclude     []string
+	Retry       bool // another endpoint has failed it: it goes where neither a failure nor an overdue answer is remembered
+	LastAttempt bool // a failure would be the request's: it goes where no failure is remembered, if there is such an endpoint
 }
 
 // key is what the draw hashes: calls with the same one go to the same endpoint.
@@ -66,8 +66,8 @@
 	return random.Uint64()
 }
 
-// Placed is a call on its way to an endpoint.
-type Placed struct {
+// Placement is a call on its way to an endpoint.
+type Placement struct {
 	Endpoint *Endpoint
 	Expected time.Duration // until the first token
 	Units    float64       // that the endpoint has to read for it
@@ -123,8 +123,8 @@
 // SetRouters takes over how many routers share the endpoints.
 func (p *Placer) SetRouters(routers int) { p.routers = max(1, routers) }
 
-// SetReady takes over which endpoints may be sent requests. It returns those that are new and those that no longer may.
-func (p *Placer) SetReady(ready []registry.Endpoint) (added, removed []*Endpoint) {
+// SetEndpoints takes over which endpoints may be sent requests. It returns those that are new and those that no longer may.
+func (p *Placer) SetEndpoints(ready []registry.Endpoint) (added, removed []*Endpoint) {
 	lists := map[string][]*Endpoint{}
 	present := map[string]bool{}
 	for _, reported := range ready {
@@ -197,8 +197,8 @@
 	t.solved = false
 }
 
-// Drop has endpoints get no more calls, before the next list says so. It returns those that were known.
-func (p *Placer) Drop(ids []string) []*Endpoint {
+// Remove has endpoints get no more calls, before the next list says so. It returns those that were known.
+func (p *Placer) Remove(ids []string) []*Endpoint {
 	var dropped []*Endpoint
 	for _, id := range ids {
 		if e := p.byID[id]; e != nil {
@@ -209,8 +209,8 @@
 	return dropped
 }
 
-// Ready is how many endpoints of a service may be sent requests.
-func (p *Placer) Ready(name string) int { return len(p.Endpoints(name)) }
+// ReadyCount is how many endpoints of a service may be sent requests.
+func (p *Placer) ReadyCount(name string) int { return len(p.Endpoints(name)) }
 
 // Endpoints are those of a service that may be sent requests. They stay the placer's own.
 func (p *Placer) Endpoints(name string) []*Endpoint {
@@ -221,7 +221,7 @@
 }
 
 // Place draws a call's endpoint and notes that the call goes there; nil where there is none. End has to follow.
-func (p *Placer) Place(now time.Duration, call *Call) *Placed {
+func (p *Placer) Place(now time.Duration, call *Call) *Placement {
 	s := p.services[call.Service]
 	if s == nil || len(s.endpoints) == 0 {
 		return nil
@@ -248,7 +248,7 @@
 }
 
 // begin notes that a call is sent.
-func (s *service) begin(now time.Duration, placed *Placed, call *Call) {
+func (s *service) begin(now time.Duration, placed *Placement, call *Call) {
 	e := placed.Endpoint
 	e.rate.count(now)
 	e.underWay++
@@ -262,13 +262,13 @@
 	s.prompts = s.prompts || prompt.Units > 1
 	seconds := s.reading.line().reading(w) * e.slowness.times(now)
 	e.readings.add(now, seconds)
-	serial := e.queue.push(now, prompt.Rank, seconds)
+	serial := e.queue.push(now, prompt.Priority, seconds)
 	for _, prefix := range prompt.Prefixes {
 		e.kept.remember(now, prefix.Hash)
 	}
-	if prompt.Gap > 0 && prompt.Output > 0 {
+	if prompt.MaxEventGap > 0 && prompt.Output > 0 {
 		e.streams.add(now, running{
-			from: now + expected, life: s.tokens.life(prompt.Rank, prompt.Output), gap: prompt.Gap, size: s.size(prompt),
+			from: now + expected, life: s.tokens.life(prompt.Priority, prompt.Output), gap: prompt.MaxEventGap, size: s.size(prompt),
 		})
 	}
 	return serial
@@ -286,8 +286,8 @@
 // Name is short for the endpoint's id, the same on all routers.
 func (e *Endpoint) Name() uint32 { return uint32(e.hash) }
 
-// Heard notes a call that another router has sent to an endpoint, where so many units of its prompt have to be read.
-func (p *Placer) Heard(now time.Duration, name uint32, prompt *Prompt, read float64) {
+// RecordRemoteCall notes a call that another router has sent to an endpoint, where so many units of its prompt have to be read.
+func (p *Placer) RecordRemoteCall(now time.Duration, name uint32, prompt *Prompt, read float64) {
 	e := p.byName[name]
 	if e == nil {
 		return
@@ -295,35 +295,35 @@
 	s := p.service(e.Service)
 	e.queue.drain(now)
 	w := workOf(read, prompt.Units)
-	wait := e.queue.before(prompt.Rank) + s.reading.line().expected(w)
+	wait := e.queue.before(prompt.Priority) + s.reading.line().expected(w)
 	s.push(now, e, prompt, w, time.Duration(wait*float64(time.Second)))
 }
 
-// End notes that a call is over.
-func (p *Placer) End(placed *Placed) {
+// Release notes that a call is over.
+func (p *Placer) Release(placed *Placement) {
 	placed.Endpoint.underWay--
 	p.service(placed.Endpoint.Service).underWay--
 }
 
 // Observation is what a call's first token has told of an endpoint's speed.
 type Observation struct {
-	Endpoint uint32  // its Name
-	Read     float64 // units of the prompt that were read
-	Units    float64 // of the prompt in all
-	Delay    float64 // seconds until the first token
-	Wait     float64 // seconds of these that were expected for the reading of other prompts
+	Endpoint     uint32  // its Name
+	PrefillUnits float64 // units of the prompt that were read
+	Units        float64 // of the prompt in all
+	Delay        float64 // seconds until the first token
+	Wait         float64 // seconds of these that were expected for the reading of other prompts
 }
 
-// FirstToken notes how long a call's first token, or answer, took. It returns what other routers can learn from it.
-func (p *Placer) FirstToken(now time.Duration, placed *Placed, delay time.Duration) Observation {
+// RecordFirstToken notes how long a call's first token, or answer, took. It returns what other routers can learn from it.
+func (p *Placer) RecordFirstToken(now time.Duration, placed *Placement, delay time.Duration) Observation {
 	e := placed.Endpoint
 	e.model.observe(e.rate.now(now), delay.Seconds())
 	e.queue.drain(now)
-	e.queue.reached(placed.serial, placed.prompt.Rank)
+	e.queue.reached(placed.serial, placed.prompt.Priority)
 	e.outcome(0)
 	e.failures, e.ejectSpan, e.ejected = 0, 0, 0
 	seen := Observation{
-		Endpoint: e.Name(), Read: placed.Units, Units: placed.prompt.Units, Delay: delay.Seconds(), Wait: placed.wait,
+		Endpoint: e.Name(), PrefillUnits: placed.Units, Units: placed.prompt.Units, Delay: delay.Seconds(), Wait: placed.wait,
 	}
 	placed.first = now
 	p.service(e.Service).accuracy.observe(placed.Units, placed.Expected, delay)
@@ -331,8 +331,8 @@
 	return seen
 }
 
-// HeardFirstToken notes what another router's call has told of an endpoint's speed.
-func (p *Placer) HeardFirstToken(now time.Duration, seen *Observation) {
+// RecordRemoteFirstToken notes what another router's call has told of an endpoint's speed.
+func (p *Placer) RecordRemoteFirstToken(now time.Duration, seen *Observation) {
 	if e := p.byName[seen.Endpoint]; e != nil {
 		p.learn(now, e, seen)
 	}
@@ -344,7 +344,7 @@
 	if seen.Units <= 1 && s.prompts {
 		return // nothing was read: it says nothing of prompts
 	}
-	w := workOf(seen.Read, seen.Units)
+	w := workOf(seen.PrefillUnits, seen.Units)
 	own := max(leastFirst, seen.Delay-seen.Wait)
 	expected := s.reading.line().expected(w)
 	if seen.Wait < expected {
@@ -357,29 +357,29 @@
 	s.reading.observe(w, own, weight)
 }
 
-// Pause is what a stream has told of how prompts that are read beside it hold it up.
-type Pause struct {
-	Endpoint uint32  // its Name
-	Longest  float64 // seconds between two events
-	Reading  float64 // seconds that the longest prompt meanwhile took to read
+// Stall is what a stream has told of how prompts that are read beside it hold it up.
+type Stall struct {
+	Endpoint    uint32  // its Name
+	Longest     float64 // seconds between two events
+	PrefillTime float64 // seconds that the longest prompt meanwhile took to read
 }
 
-// Written notes a stream that has ended: how long it took from its first token, and its longest pause. ok is false where no
+// RecordStreamEnd notes a stream that has ended: how long it took from its first token, and its longest pause. ok is false where no
 // long prompt was read meanwhile, and other routers can't learn from it.
-func (p *Placer) Written(now time.Duration, placed *Placed, took, longest time.Duration) (seen Pause, ok bool) {
+func (p *Placer) RecordStreamEnd(now time.Duration, placed *Placement, took, longest time.Duration) (seen Stall, ok bool) {
 	e := placed.Endpoint
-	p.service(e.Service).tokens.observe(placed.prompt.Rank, took, placed.prompt.Output)
+	p.service(e.Service).tokens.observe(placed.prompt.Priority, took, placed.prompt.Output)
 	reading := e.readings.longest(placed.first, now)
-	if gap := placed.prompt.Gap.Seconds(); gap <= 0 || reading < gap {
-		return Pause{}, false
+	if gap := placed.prompt.MaxEventGap.Seconds(); gap <= 0 || reading < gap {
+		return Stall{}, false
 	}
-	seen = Pause{Endpoint: e.Name(), Longest: longest.Seconds(), Reading: reading}
+	seen = Stall{Endpoint: e.Name(), Longest: longest.Seconds(), PrefillTime: reading}
 	p.service(e.Service).pauses.observe(&seen)
 	return seen, true
 }
 
-// HeardPause notes what another router's stream has told.
-func (p *Placer) HeardPause(seen *Pause) {
+// RecordRemoteStall notes what another router's stream has told.
+func (p *Placer) RecordRemoteStall(seen *Stall) {
 	if e := p.byName[seen.Endpoint]; e != nil {
 		p.service(e.Service).pauses.observe(seen)
 	}
@@ -387,15 +387,15 @@
 
 func (e *Endpoint) outcome(failed float64) { e.fails += (failed - e.fails) / failMemory }
 
-// Refused notes that a connection to an endpoint did not come up.
-func (p *Placer) Refused(now time.Duration, e *Endpoint) {
+// RecordConnectFailure notes that a connection to an endpoint did not come up.
+func (p *Placer) RecordConnectFailure(now time.Duration, e *Endpoint) {
 	e.outcome(1)
 	p.noteFailures(now, e, 1, false)
 	e.eject(now)
 }
 
-// Failed notes a refusal, an error, a reset or a time-out of an endpoint.
-func (p *Placer) Failed(now time.Duration, e *Endpoint) {
+// RecordFailure notes a refusal, an error, a reset or a time-out of an endpoint.
+func (p *Placer) RecordFailure(now time.Duration, e *Endpoint) {
 	e.outcome(1)
 	p.noteFailures(now, e, 1, false)
 	if e.failures++; e.failures >= ejectAfter {
@@ -403,11 +403,11 @@
 	}
 }
 
-// Overdue notes that a call's first token has not come long after it was expected. The call goes on.
-func (p *Placer) Overdue(now time.Duration, e *Endpoint) { p.noteFailures(now, e, 1, true) }
+// RecordOverdue notes that a call's first token has not come long after it was expected. The call goes on.
+func (p *Placer) RecordOverdue(now time.Duration, e *Endpoint) { p.noteFailures(now, e, 1, true) }
 
-// HeardFailures notes failures, or overdue answers, that another router has met at an endpoint.
-func (p *Placer) HeardFailures(now time.Duration, name uint32, count int, overdue bool) {
+// RecordRemoteFailures notes failures, or overdue answers, that another router has met at an endpoint.
+func (p *Placer) RecordRemoteFailures(now time.Duration, name uint32, count int, overdue bool) {
 	if e := p.byName[name]; e != nil {
 		p.noteFailures(now, e, float64(count), overdue)
 	}
--- a/internal/fleet/placement/placement_test.go
+++ b/internal/fleet/placement/placement_test.go
@@ -25,7 +25,7 @@
 
 func placer(n int) *Placer {
 	p := New(rand.New(rand.NewPCG(1, 1)))
-	p.SetReady(endpoints(n))
+	p.SetEndpoints(endpoints(n))
 	return p
 }
 
@@ -131,7 +131,7 @@
 			for prefix := uint32(1); prefix <= 1800; prefix++ {
 				placed := p.Place(time.Duration(prefix)*time.Second, call(prefix*7919, 100))
 				counts[placed.Endpoint.ID]++
-				p.End(placed)
+				p.Release(placed)
 			}
 			So(len(counts), ShouldEqual, 9)
 			for _, count := range counts {
@@ -143,16 +143,16 @@
 			for prefix := uint32(1); prefix <= 200; prefix++ {
 				placed := p.Place(time.Duration(prefix)*time.Second, call(prefix*7919, 100))
 				homes[prefix] = placed.Endpoint.ID
-				p.End(placed)
+				p.Release(placed)
 			}
-			p.SetReady(endpoints(8))
+			p.SetEndpoints(endpoints(8))
 			moved := 0
 			for prefix := uint32(1); prefix <= 200; prefix++ {
 				placed := p.Place(time.Duration(400+prefix)*time.Second, call(prefix*7919, 100))
 				if placed.Endpoint.ID != homes[prefix] && homes[prefix] != "e08" {
 					moved++
 				}
-				p.End(placed)
+				p.Release(placed)
 			}
 			So(moved, ShouldBeLessThan, 10)
 		})
@@ -167,7 +167,7 @@
 		})
 		Convey("keep a long shared part where it is, for a somewhat longer wait", func() {
 			first := p.Place(0, call(42, 20000))
-			p.End(first)
+			p.Release(first)
 			hear(p, time.Second, first.Endpoint, 300*time.Millisecond)
 			So(p.Place(time.Second, call(42, 20000)).Endpoint, ShouldEqual, first.Endpoint)
 		})
@@ -183,24 +183,24 @@
 		})
 		Convey("are left out after a refused connection, and tried again later", func() {
 			home := p.Place(0, call(42, 100)).Endpoint
-			p.Refused(0, home)
+			p.RecordConnectFailure(0, home)
 			So(p.Place(time.Millisecond, call(42, 100)).Endpoint, ShouldNotEqual, home)
 			So(p.Place(ejectFirst+time.Second, call(42, 100)).Endpoint, ShouldEqual, home)
 		})
 		Convey("get no call from the moment on at which they are dropped", func() {
 			home := p.Place(0, call(42, 100)).Endpoint
-			p.Drop([]string{home.ID, "unknown"})
+			p.Remove([]string{home.ID, "unknown"})
 			for range 50 {
 				So(p.Place(0, call(42, 100)).Endpoint, ShouldNotEqual, home)
 			}
 			Convey("and again when a list has them", func() {
-				p.SetReady(endpoints(9))
+				p.SetEndpoints(endpoints(9))
 				So(p.Place(time.Hour, call(42, 100)).Endpoint.ID, ShouldEqual, home.ID)
 			})
 		})
 		Convey("are used even if all are ejected", func() {
 			for _, e := range p.services["llm"].endpoints {
-				p.Refused(0, e)
+				p.RecordConnectFailure(0, e)
 			}
 			So(p.Place(time.Millisecond, call(42, 100)), ShouldNotBeNil)
 		})
@@ -209,7 +209,7 @@
 			for range 200 {
 				placed := p.Place(0, call(0, 1))
 				seen[placed.Endpoint.ID] = true
-				p.End(placed)
+				p.Release(placed)
 			}
 			So(len(seen), ShouldEqual, 9)
 		})
@@ -274,7 +274,7 @@
 			p := placer(n)
 			for i := range b.N {
 				placed := p.Place(time.Duration(i)*time.Millisecond, call(uint32(i%2000)*7919+1, 5000))
-				p.End(placed)
+				p.Release(placed)
 			}
 		})
 	}
--- a/internal/fleet/placement/prompt.go
+++ b/internal/fleet/placement/prompt.go
@@ -4,11 +4,11 @@
 
 // Prompt is what a call has an endpoint read and write. Parts are shared prefixes from the longest to the shortest.
 type Prompt struct {
-	Units    float64 // tokens to read, or 1 where nothing is told
-	Output   float64 // tokens that may be written; 0 where nothing is told
-	Prefixes []Prefix
-	Rank     int           // 0: the most urgent
-	Gap      time.Duration // longest pause between events with which the answer is in time; 0: no bound
+	Units       float64 // tokens to read, or 1 where nothing is told
+	Output      float64 // tokens that may be written; 0 where nothing is told
+	Prefixes    []Prefix
+	Priority    int           // 0: the most urgent
+	MaxEventGap time.Duration // longest pause between events with which the answer is in time; 0: no bound
 }
 
 // Prefix is a shared beginning of prompts.
--- a/internal/fleet/placement/reading_test.go
+++ b/internal/fleet/placement/reading_test.go
@@ -80,14 +80,14 @@
 			if e == slow {
 				delay = 0.4
 			}
-			p.HeardFirstToken(0, &Observation{Endpoint: e.Name(), Read: 2000, Units: 2000, Delay: delay})
+			p.RecordRemoteFirstToken(0, &Observation{Endpoint: e.Name(), PrefillUnits: 2000, Units: 2000, Delay: delay})
 		}
-		p.HeardFirstToken(0, &Observation{Endpoint: 12345, Read: 1, Units: 2000, Delay: 1})
+		p.RecordRemoteFirstToken(0, &Observation{Endpoint: 12345, PrefillUnits: 1, Units: 2000, Delay: 1})
 		for i := range uint32(40) {
 			placed := p.Place(0, call(100+i, 8000))
 			So(placed.Endpoint, ShouldNotEqual, slow)
-			p.FirstToken(0, placed, 200*time.Millisecond)
-			p.End(placed)
+			p.RecordFirstToken(0, placed, 200*time.Millisecond)
+			p.Release(placed)
 		}
 	})
 }
@@ -98,19 +98,19 @@
 		c.Target = 2 * time.Second
 		return c
 	}
-	stream := &Prompt{Units: 1000, Output: 400, Gap: 300 * time.Millisecond}
+	stream := &Prompt{Units: 1000, Output: 400, MaxEventGap: 300 * time.Millisecond}
 	Convey("A long prompt is sent where no stream runs", t, func() {
 		p := placer(4)
 		for i, e := range p.service("llm").endpoints {
 			if i != 2 {
-				p.Heard(0, e.Name(), stream, 1)
+				p.RecordRemoteCall(0, e.Name(), stream, 1)
 			}
 		}
 		for range 10 {
 			placed := p.Place(time.Second, long())
 			So(placed.Endpoint.ID, ShouldEqual, "e02")
-			p.FirstToken(time.Second, placed, 520*time.Millisecond)
-			p.End(placed)
+			p.RecordFirstToken(time.Second, placed, 520*time.Millisecond)
+			p.Release(placed)
 		}
 	})
 	Convey("Streams that have ended, and those that may pause, hold nothing off", t, func() {
@@ -133,25 +133,25 @@
 		e := s.endpoints[0]
 		So(s.pauses.share(), ShouldEqual, priorPauseShare)
 		c := call(0, 10)
-		c.Prompt.Gap, c.Prompt.Output = 300*time.Millisecond, 100
+		c.Prompt.MaxEventGap, c.Prompt.Output = 300*time.Millisecond, 100
 		placed := p.Place(0, c)
-		p.FirstToken(0, placed, 10*time.Millisecond)
-		_, ok := p.Written(time.Second, placed, time.Second, 100*time.Millisecond)
+		p.RecordFirstToken(0, placed, 10*time.Millisecond)
+		_, ok := p.RecordStreamEnd(time.Second, placed, time.Second, 100*time.Millisecond)
 		So(ok, ShouldBeFalse) // no long prompt was read
 		hear(p, time.Second, e, 2*time.Second)
-		seen, ok := p.Written(3*time.Second, placed, 3*time.Second, 200*time.Millisecond)
+		seen, ok := p.RecordStreamEnd(3*time.Second, placed, 3*time.Second, 200*time.Millisecond)
 		So(ok, ShouldBeTrue)
 		So(seen.Longest, ShouldAlmostEqual, 0.2)
 		So(s.pauses.share(), ShouldBeLessThan, priorPauseShare)
 		for range 200 {
-			p.HeardPause(&seen)
+			p.RecordRemoteStall(&seen)
 		}
 		So(s.pauses.share(), ShouldBeBetween, 0.05, 0.2)
-		p.HeardPause(&Pause{Endpoint: 1})
-		p.HeardPause(&Pause{Endpoint: e.Name(), Longest: math.NaN(), Reading: math.NaN()})
-		p.HeardPause(&Pause{Endpoint: e.Name(), Longest: 1e12, Reading: -1})
+		p.RecordRemoteStall(&Stall{Endpoint: 1})
+		p.RecordRemoteStall(&Stall{Endpoint: e.Name(), Longest: math.NaN(), PrefillTime: math.NaN()})
+		p.RecordRemoteStall(&Stall{Endpoint: e.Name(), Longest: 1e12, PrefillTime: -1})
 		for range 200 {
-			p.HeardPause(&Pause{Endpoint: e.Name(), Longest: 1e12, Reading: 1e-9})
+			p.RecordRemoteStall(&Stall{Endpoint: e.Name(), Longest: 1e12, PrefillTime: 1e-9})
 		}
 		So(s.pauses.share(), ShouldBeBetweenOrEqual, 0.9, 1)
 	})
--- a/internal/fleet/placement/resolve.go
+++ b/internal/fleet/placement/resolve.go
@@ -79,8 +79,8 @@
 	PayoffAfter  float64              `json:"payoffAfter"`
 }
 
-// View shows all tables, ordered by service and target.
-func (p *Placer) View() []TableView {
+// Tables shows all tables, ordered by service and target.
+func (p *Placer) Tables() []TableView {
 	var views []TableView
 	for name, s := range p.services {
 		for target, t := range s.tables {
--- a/internal/fleet/placement/streams.go
+++ b/internal/fleet/placement/streams.go
@@ -75,14 +75,14 @@
 	seen bool
 }
 
-func (p *pauseShare) observe(seen *Pause) {
-	if !(seen.Reading > 0 && seen.Longest >= 0) {
+func (p *pauseShare) observe(seen *Stall) {
+	if !(seen.PrefillTime > 0 && seen.Longest >= 0) {
 		return
 	}
 	if !p.seen {
 		p.mean, p.seen = priorPauseShare, true
 	}
-	share := min(max(seen.Longest/seen.Reading, leastPauseShare), 1)
+	share := min(max(seen.Longest/seen.PrefillTime, leastPauseShare), 1)
 	p.mean += (share - p.mean) / pauseMemory
 }
 
--- a/internal/fleet/placement/view.go
+++ b/internal/fleet/placement/view.go
@@ -55,8 +55,8 @@
 	Endpoints   []EndpointView `json:"endpoints"`
 }
 
-// ViewServices shows what is learned of all services' endpoints, ordered by service.
-func (p *Placer) ViewServices(now time.Duration) []ServiceView {
+// Services shows what is learned of all services' endpoints, ordered by service.
+func (p *Placer) Services(now time.Duration) []ServiceView {
 	var views []ServiceView
 	for name, s := range p.services {
 		l := s.reading.line()
--- a/internal/fleet/placement/view_test.go
+++ b/internal/fleet/placement/view_test.go
@@ -11,8 +11,8 @@
 	Convey("What was expected is shown beside what came, by size, and each endpoint's state", t, func() {
 		p := placer(2)
 		placed := p.Place(0, call(7, 8000))
-		p.HeardFailures(0, placed.Endpoint.Name(), 50, false)
-		view := p.ViewServices(0)
+		p.RecordRemoteFailures(0, placed.Endpoint.Name(), 50, false)
+		view := p.Services(0)
 		So(len(view), ShouldEqual, 1)
 		for _, e := range view[0].Endpoints {
 			if e.Endpoint == placed.Endpoint.ID {
@@ -23,8 +23,8 @@
 				So(e.WaitMs, ShouldEqual, 0)
 			}
 		}
-		p.FirstToken(0, placed, 250*time.Millisecond)
-		sizes := p.ViewServices(0)[0].FirstTokens
+		p.RecordFirstToken(0, placed, 250*time.Millisecond)
+		sizes := p.Services(0)[0].FirstTokens
 		So(sizes[0].Calls, ShouldEqual, 0)
 		So(sizes[2], ShouldResemble, SizeView{UnitsBelow: 16000, Calls: 1, ExpectedMs: tenths(placed.Expected.Seconds() * 1e3), ActualMs: 250})
 	})
--- a/internal/fleet/router/learned.go
+++ b/internal/fleet/router/learned.go
@@ -31,17 +31,17 @@
 	file    *listFile // nil: no disk
 	tries   int
 	next    time.Duration // question, or write
-	taken   *placement.Learned
+	taken   *placement.LearnedState
 	version uint64 // of the endpoints to which it was applied last
 
 	mu   sync.Mutex
-	came *placement.Learned // from the disk or another router; nil: nothing yet
-	at   time.Duration      // when
+	came *placement.LearnedState // from the disk or another router; nil: nothing yet
+	at   time.Duration           // when
 }
 
 // offer notes what was learned before this process.
-func (l *learnedState) offer(now time.Duration, learned *placement.Learned) {
-	if len(learned.Kept) == 0 {
+func (l *learnedState) offer(now time.Duration, learned *placement.LearnedState) {
+	if len(learned.Prefixes) == 0 {
 		return // it has just started too
 	}
 	l.mu.Lock()
@@ -49,7 +49,7 @@
 	l.came, l.at = learned, now
 }
 
-func (l *learnedState) offered() (*placement.Learned, time.Duration) {
+func (l *learnedState) offered() (*placement.LearnedState, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.came, l.at
@@ -68,7 +68,7 @@
 		return
 	}
 	r.learned.file = newListFile(r.settings.DataDir, learnedName, r.log)
-	var read placement.Learned
+	var read placement.LearnedState
 	if r.learned.file.read(&read) {
 		r.learned.offer(r.clock(), &read)
 	}
@@ -149,7 +149,7 @@
 func (r *Router) askLearned(from string) {
 	ctx, cancel := context.WithTimeout(r.transport.Context(), learnedWait)
 	defer cancel()
-	var learned placement.Learned
+	var learned placement.LearnedState
 	if err := r.transport.Call(ctx, from, learnedPath, struct{}{}, &learned); err != nil {
 		r.log.Debug("a router has not told what it has learned", zap.String("router", from), zap.Error(err))
 		return
--- a/internal/fleet/router/learned_test.go
+++ b/internal/fleet/router/learned_test.go
@@ -13,10 +13,10 @@
 func TestLearnedState(t *testing.T) {
 	Convey("An answer of a router that has just started is none", t, func() {
 		var l learnedState
-		l.offer(time.Second, &placement.Learned{Lines: []placement.Line{{Service: "s"}}})
+		l.offer(time.Second, &placement.LearnedState{Models: []placement.LatencyModel{{Service: "s"}}})
 		came, _ := l.offered()
 		So(came, ShouldBeNil)
-		l.offer(2*time.Second, &placement.Learned{Kept: []placement.Kept{{Endpoint: 1, Prefix: 2}}})
+		l.offer(2*time.Second, &placement.LearnedState{Prefixes: []placement.CachedPrefix{{Endpoint: 1, Prefix: 2}}})
 		came, at := l.offered()
 		So(came, ShouldNotBeNil)
 		So(at, ShouldEqual, 2*time.Second)
--- a/internal/lab/decision/play.go
+++ b/internal/lab/decision/play.go
@@ -92,7 +92,7 @@
 type router struct {
 	placer *placement.Placer
 	seen   *placement.Observation
-	pause  *placement.Pause
+	pause  *placement.Stall
 }
 
 // Play plays one day without faults. The same configuration gives the same result.
@@ -134,7 +134,7 @@
 	for i := range c.Site.routers() {
 		r := &router{placer: placement.New(rand.New(rand.NewPCG(c.Seed, uint64(i+3))))}
 		r.placer.SetRouters(c.Site.routers())
-		r.placer.SetReady(ready)
+		r.placer.SetEndpoints(ready)
 		w.routers = append(w.routers, r)
 	}
 	return w
@@ -166,8 +166,8 @@
 
 func placementCall(c *call, stride int) *placement.Call {
 	prompt := placement.Prompt{
-		Units: c.prompt, Output: outputTold * c.class.Stream.Pieces.Mean * float64(stride), Rank: c.class.Priority,
-		Gap: milliseconds(c.class.Stream.GapAimMs),
+		Units: c.prompt, Output: outputTold * c.class.Stream.Pieces.Mean * float64(stride), Priority: c.class.Priority,
+		MaxEventGap: milliseconds(c.class.Stream.GapAimMs),
 	}
 	end := 0.0
 	for _, p := range c.parts[:len(c.parts)-1] {
@@ -184,7 +184,7 @@
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 // tell has the other routers hear of a call.
-func (w *world) tell(c *call, placed *placement.Placed) {
+func (w *world) tell(c *call, placed *placement.Placement) {
 	from := w.routers[c.router]
 	seen, pause := from.seen, from.pause
 	from.seen, from.pause = nil, nil
@@ -198,19 +198,19 @@
 			if r == from {
 				continue
 			}
-			r.placer.Heard(w.clock(), placed.Endpoint.Name(), prompt, placed.Units)
+			r.placer.RecordRemoteCall(w.clock(), placed.Endpoint.Name(), prompt, placed.Units)
 			if seen != nil {
-				r.placer.HeardFirstToken(w.clock(), seen)
+				r.placer.RecordRemoteFirstToken(w.clock(), seen)
 			}
 			if pause != nil {
-				r.placer.HeardPause(pause)
+				r.placer.RecordRemoteStall(pause)
 			}
 		}
 	})
 }
 
 // send has an endpoint take a call.
-func (w *world) send(c *call, placed *placement.Placed) {
+func (w *world) send(c *call, placed *placement.Placement) {
 	w.after(w.now+endpointWay, func() {
 		e := w.engines[c.engine]
 		sentAt := w.now - endpointWay
@@ -242,24 +242,24 @@
 }
 
 // first has a call's router learn from its first token.
-func (w *world) first(c *call, placed *placement.Placed, sentAt float64) {
+func (w *world) first(c *call, placed *placement.Placement, sentAt float64) {
 	if placed == nil {
 		return
 	}
 	r := w.routers[c.router]
-	seen := r.placer.FirstToken(w.clock(), placed, time.Duration((w.now+endpointWay-sentAt)*float64(time.Second)))
+	seen := r.placer.RecordFirstToken(w.clock(), placed, time.Duration((w.now+endpointWay-sentAt)*float64(time.Second)))
 	r.seen = &seen
 }
 
-func (w *world) end(c *call, placed *placement.Placed) {
+func (w *world) end(c *call, placed *placement.Placement) {
 	if placed == nil {
 		return
 	}
 	r := w.routers[c.router]
-	if pause, ok := r.placer.Written(w.clock(), placed, seconds(c.endAt-c.firstAt), seconds(c.pause)); ok {
+	if pause, ok := r.placer.RecordStreamEnd(w.clock(), placed, seconds(c.endAt-c.firstAt), seconds(c.pause)); ok {
 		r.pause = &pause
 	}
-	r.placer.End(placed)
+	r.placer.Release(placed)
 }
 
 // What the ideal scheduler counts, in calls that are late.
