--- a/internal/fleet/front/announce.go
+++ b/internal/fleet/front/announce.go
@@ -24,44 +24,44 @@
 
 // Announcement is what a router has just met at an endpoint: a prompt that it sent there, or failures.
 type Announcement struct {
-	_        struct{} `cbor:",toarray"`
-	Origin   uint32   // the router that sent the prompt
-	Endpoint uint32   // placement.Endpoint.Name
-	Rank     uint8
-	Units    uint32 // that have to be read
-	Prefixes []uint32
-	Failures uint8  // 0: a prompt was sent
-	Overdue  bool   // the failures are answers that are overdue
-	Prompt   uint32 // units in all
-	Output   uint32 // tokens that may be written
-	GapMs    uint16 // longest pause between events; 0: no bound
-	Seen     *Seen  // what the router has learned since its last announcement
-	Pause    *Pause // the same
+	_             struct{} `cbor:",toarray"`
+	Origin        uint32   // the router that sent the prompt
+	Endpoint      uint32   // placement.Endpoint.Name
+	Priority      uint8
+	Units         uint32 // that have to be read
+	Prefixes      []uint32
+	Failures      uint8              // 0: a prompt was sent
+	Overdue       bool               // the failures are answers that are overdue
+	Prompt        uint32             // units in all
+	Output        uint32             // tokens that may be written
+	MaxEventGapMs uint16             // longest pause between events; 0: no bound
+	Observation   *ObservationReport // what the router has learned since its last announcement
+	Stall         *StallReport       // the same
 }
 
-// Seen is a placement.Observation as it is told.
-type Seen struct {
-	_        struct{} `cbor:",toarray"`
-	Endpoint uint32
-	Read     uint32
-	Units    uint32
-	DelayMs  uint16
-	WaitMs   uint16
+// ObservationReport is a placement.Observation as it is told.
+type ObservationReport struct {
+	_            struct{} `cbor:",toarray"`
+	Endpoint     uint32
+	PrefillUnits uint32
+	Units        uint32
+	DelayMs      uint16
+	WaitMs       uint16
 }
 
-// Pause is a placement.Pause as it is told.
-type Pause struct {
+// StallReport is a placement.Pause as it is told.
+type StallReport struct {
 	_         struct{} `cbor:",toarray"`
 	Endpoint  uint32
 	LongestMs uint16
-	ReadingMs uint16
+	PrefillMs uint16
 }
 
 func announcement(origin uint32, placed *placement.Placement, call *placement.Call) Announcement {
 	prompt := &call.Prompt
 	a := Announcement{
-		Origin: origin, Endpoint: placed.Endpoint.Name(), Rank: uint8(prompt.Priority), Units: uint32(placed.Units),
-		Prompt: uint32(prompt.Units), Output: uint32(prompt.Output), GapMs: milliseconds(prompt.MaxEventGap.Seconds()),
+		Origin: origin, Endpoint: placed.Endpoint.Name(), Priority: uint8(prompt.Priority), Units: uint32(placed.Units),
+		Prompt: uint32(prompt.Units), Output: uint32(prompt.Output), MaxEventGapMs: milliseconds(prompt.MaxEventGap.Seconds()),
 	}
 	for _, prefix := range prompt.Prefixes {
 		a.Prefixes = append(a.Prefixes, prefix.Hash)
@@ -69,23 +69,23 @@
 	return a
 }
 
-func seenOf(o *placement.Observation) *Seen {
+func seenOf(o *placement.Observation) *ObservationReport {
 	if o == nil {
 		return nil
 	}
-	return &Seen{Endpoint: o.Endpoint, Read: uint32(o.PrefillUnits), Units: uint32(o.Units), DelayMs: milliseconds(o.Delay), WaitMs: milliseconds(o.Wait)}
+	return &ObservationReport{Endpoint: o.Endpoint, PrefillUnits: uint32(o.PrefillUnits), Units: uint32(o.Units), DelayMs: milliseconds(o.Delay), WaitMs: milliseconds(o.Wait)}
 }
 
-func pauseOf(p *placement.Stall) *Pause {
+func pauseOf(p *placement.Stall) *StallReport {
 	if p == nil {
 		return nil
 	}
-	return &Pause{Endpoint: p.Endpoint, LongestMs: milliseconds(p.Longest), ReadingMs: milliseconds(p.PrefillTime)}
+	return &StallReport{Endpoint: p.Endpoint, LongestMs: milliseconds(p.Longest), PrefillMs: milliseconds(p.PrefillTime)}
 }
 
 // pause is what was seen, as it is learned from.
-func (p *Pause) pause() *placement.Stall {
-	return &placement.Stall{Endpoint: p.Endpoint, Longest: float64(p.LongestMs) / 1000, PrefillTime: float64(p.ReadingMs) / 1000}
+func (p *StallReport) pause() *placement.Stall {
+	return &placement.Stall{Endpoint: p.Endpoint, Longest: float64(p.LongestMs) / 1000, PrefillTime: float64(p.PrefillMs) / 1000}
 }
 
 // milliseconds rounds a time, which is cut down to what an announcement can tell.
@@ -96,8 +96,8 @@
 // prompt is the prompt that was announced.
 func (a *Announcement) prompt() *placement.Prompt {
 	p := &placement.Prompt{
-		Units: max(1, float64(a.Prompt), float64(a.Units)), Output: float64(a.Output), Priority: int(a.Rank),
-		MaxEventGap: time.Duration(a.GapMs) * time.Millisecond,
+		Units: max(1, float64(a.Prompt), float64(a.Units)), Output: float64(a.Output), Priority: int(a.Priority),
+		MaxEventGap: time.Duration(a.MaxEventGapMs) * time.Millisecond,
 	}
 	for _, hash := range a.Prefixes[:min(len(a.Prefixes), prefixesMost)] {
 		p.Prefixes = append(p.Prefixes, placement.Prefix{Hash: hash})
@@ -106,9 +106,9 @@
 }
 
 // observation is what was seen, as it is learned from.
-func (s *Seen) observation() *placement.Observation {
+func (s *ObservationReport) observation() *placement.Observation {
 	return &placement.Observation{
-		Endpoint: s.Endpoint, PrefillUnits: float64(min(s.Read, s.Units)), Units: float64(s.Units), Delay: float64(s.DelayMs) / 1000,
+		Endpoint: s.Endpoint, PrefillUnits: float64(min(s.PrefillUnits, s.Units)), Units: float64(s.Units), Delay: float64(s.DelayMs) / 1000,
 		Wait: float64(s.WaitMs) / 1000,
 	}
 }
@@ -141,8 +141,8 @@
 	return true
 }
 
-// Heard takes other routers' announcements over. Its own may be among them, and are known.
-func (d *Dispatcher) Heard(announcements []Announcement) {
+// ApplyAnnouncements takes other routers' announcements over. Its own may be among them, and are known.
+func (d *Dispatcher) ApplyAnnouncements(announcements []Announcement) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.clock()
@@ -156,24 +156,24 @@
 			continue
 		}
 		d.placer.RecordRemoteCall(now, a.Endpoint, a.prompt(), float64(a.Units))
-		if a.Seen != nil {
-			d.placer.RecordRemoteFirstToken(now, a.Seen.observation())
+		if a.Observation != nil {
+			d.placer.RecordRemoteFirstToken(now, a.Observation.observation())
 		}
-		if a.Pause != nil {
-			d.placer.RecordRemoteStall(a.Pause.pause())
+		if a.Stall != nil {
+			d.placer.RecordRemoteStall(a.Stall.pause())
 		}
 	}
 }
 
-// Learned is what this router has learned of the endpoints, for one that has just started.
-func (d *Dispatcher) Learned() placement.LearnedState {
+// ExportLearned is what this router has learned of the endpoints, for one that has just started.
+func (d *Dispatcher) ExportLearned() placement.LearnedState {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.placer.ExportLearned(d.clock())
 }
 
-// TakeLearned takes over what another router had learned at a moment. It may be called again when more endpoints are known.
-func (d *Dispatcher) TakeLearned(at time.Duration, learned *placement.LearnedState) {
+// ImportLearned takes over what another router had learned at a moment. It may be called again when more endpoints are known.
+func (d *Dispatcher) ImportLearned(at time.Duration, learned *placement.LearnedState) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.placer.ImportLearned(at, learned)
--- a/internal/fleet/front/dispatcher.go
+++ b/internal/fleet/front/dispatcher.go
@@ -58,8 +58,8 @@
 	d.placer.SetRouters(routers)
 }
 
-// Drop has endpoints get no more requests from this moment on, also none that wait for a connection.
-func (d *Dispatcher) Drop(ids []string) {
+// Remove has endpoints get no more requests from this moment on, also none that wait for a connection.
+func (d *Dispatcher) Remove(ids []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, e := range d.placer.Remove(ids) {
@@ -80,22 +80,22 @@
 	}
 }
 
-// Ready is how many endpoints of a service may be sent requests.
-func (d *Dispatcher) Ready(service string) int {
+// ReadyCount is how many endpoints of a service may be sent requests.
+func (d *Dispatcher) ReadyCount(service string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.placer.ReadyCount(service)
 }
 
-// View shows the tables that calls are drawn from.
-func (d *Dispatcher) View() []placement.TableView {
+// Tables shows the tables that calls are drawn from.
+func (d *Dispatcher) Tables() []placement.TableView {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.placer.Tables()
 }
 
-// ViewServices shows what is learned of the endpoints.
-func (d *Dispatcher) ViewServices() []placement.ServiceView {
+// Services shows what is learned of the endpoints.
+func (d *Dispatcher) Services() []placement.ServiceView {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.placer.Services(d.clock())
@@ -140,7 +140,7 @@
 	var told Announcement
 	if tell {
 		told = announcement(d.origin, placed, call)
-		told.Seen, told.Pause = seenOf(d.seen), pauseOf(d.pause)
+		told.Observation, told.Stall = seenOf(d.seen), pauseOf(d.pause)
 		d.seen, d.pause = nil, nil
 	}
 	d.mu.Unlock()
--- a/internal/fleet/front/evidence_test.go
+++ b/internal/fleet/front/evidence_test.go
@@ -71,7 +71,7 @@
 				name = e.Name()
 			}
 		}
-		r.front.dispatcher.Heard([]Announcement{{Origin: 1, Endpoint: name, Failures: 200}})
+		r.front.dispatcher.ApplyAnnouncements([]Announcement{{Origin: 1, Endpoint: name, Failures: 200}})
 		_, other, err := r.do("POST", "/u/x", "b", headerPrefix, "a:100,b:5")
 		So(err, ShouldBeNil)
 		So(other, ShouldNotEqual, body)
--- a/internal/fleet/front/forward.go
+++ b/internal/fleet/front/forward.go
@@ -133,12 +133,12 @@
 func (s *Server) giveUp(a *answer, ctx context.Context) {
 	q := a.request
 	if a.begun {
-		s.Broken.Add(1)
+		s.Truncated.Add(1)
 		panic(http.ErrAbortHandler) // the client sees that the answer is not whole
 	}
 	if !a.ran {
 		if q.tenant != nil && q.charged > 0 {
-			s.core.Restore(q.tenant, q.charged)
+			s.core.Refund(q.tenant, q.charged)
 		}
 		s.refuse(a.writer, http.StatusServiceUnavailable, comeBackSoon)
 		return
--- a/internal/fleet/front/front_test.go
+++ b/internal/fleet/front/front_test.go
@@ -140,7 +140,7 @@
 			r.front.durations.observe("st", 6*time.Second)
 			r.front.durations.observe("u", 10*time.Millisecond)
 		}
-		r.front.End(time.Now().Add(4 * time.Second))
+		r.front.BeginDrain(time.Now().Add(4 * time.Second))
 		Convey("takes no request that it could not finish, and says when to come back", func() {
 			response, _, err := r.do("POST", "/st/", "")
 			So(err, ShouldBeNil)
--- a/internal/fleet/front/overdue.go
+++ b/internal/fleet/front/overdue.go
@@ -48,7 +48,7 @@
 			s.dispatcher.unspent(service)
 			return
 		}
-		s.Moved.Add(1)
+		s.Rerouted.Add(1)
 		give()
 	})
 	return f
@@ -57,7 +57,7 @@
 // isMovable tells whether the request may go to another endpoint if this one's first token is overdue.
 func (a *answer) isMovable() bool {
 	q := a.request
-	return q.route.Idempotent() && !a.begun && !a.isLast() && a.server.dispatcher.Ready(q.service) > len(a.tried) &&
+	return q.route.Idempotent() && !a.begun && !a.isLast() && a.server.dispatcher.ReadyCount(q.service) > len(a.tried) &&
 		time.Until(q.deadline) > overdueLeast+moveLeft
 }
 
--- a/internal/fleet/front/planted_test.go
+++ b/internal/fleet/front/planted_test.go
@@ -31,7 +31,7 @@
 	"a success without a stamp is passed on": {File: "forward.go", Edits: []mutant.Edit{
 		{Right: "if success(reply.Status) && reply.Header.Get(headerStamp) == \"\" {", Wrong: "if false {"}}},
 	"an answer that broke off ends as if it were whole": {File: "forward.go", Edits: []mutant.Edit{
-		{Right: "s.Broken.Add(1)\n\t\tpanic(http.ErrAbortHandler)", Wrong: "s.Broken.Add(1)\n\t\treturn"}}},
+		{Right: "s.Truncated.Add(1)\n\t\tpanic(http.ErrAbortHandler)", Wrong: "s.Truncated.Add(1)\n\t\treturn"}}},
 }
 
 // Guards against seeded traffic that would find nothing whatever is wrong.
--- a/internal/fleet/front/server.go
+++ b/internal/fleet/front/server.go
@@ -11,14 +11,14 @@
 	"pinelb.example/pinelb/internal/fleet/placement"
 )
 
-// Core is what the front needs of the rest of the router.
-type Core interface {
+// Delegate is what the front needs of the rest of the router.
+type Delegate interface {
 	// Table is the configuration in force; nil where none is held. fresh is until how long ago it surely was the newest.
 	Table() (table *config.Table, age time.Duration)
 	// Charge takes units out of a tenant's quota. Where it may not, wait is when the client may come back.
 	Charge(ctx context.Context, tenant *config.Tenant, units float64) (ok bool, wait time.Duration)
-	// Restore gives the units of a request back that never ran.
-	Restore(tenant *config.Tenant, units float64)
+	// Refund gives the units of a request back that never ran.
+	Refund(tenant *config.Tenant, units float64)
 }
 
 // Options are the front's bounds.
@@ -29,7 +29,7 @@
 
 // Server answers clients.
 type Server struct {
-	core       Core
+	core       Delegate
 	dispatcher *Dispatcher
 	options    Options
 
@@ -37,12 +37,12 @@
 	durations durations
 
 	// Counters of outcomes since the start.
-	Served, Refused, Failed, Broken atomic.Uint64
-	Moved                           atomic.Uint64 // attempts given up because their first token was overdue
+	Served, Rejected, Failed, Truncated atomic.Uint64
+	Rerouted                            atomic.Uint64 // attempts given up because their first token was overdue
 }
 
 // NewServer returns a handler of clients' requests.
-func NewServer(core Core, dispatcher *Dispatcher, options Options) *Server {
+func NewServer(core Delegate, dispatcher *Dispatcher, options Options) *Server {
 	return &Server{core: core, dispatcher: dispatcher, options: options}
 }
 
@@ -131,8 +131,8 @@
 	return age < s.options.KeyLease
 }
 
-// End has each answer close its connection from now on, and takes no request that would probably not be answered by then.
-func (s *Server) End(at time.Time) { s.ending.Store(&at) }
+// BeginDrain has each answer close its connection from now on, and takes no request that would probably not be answered by then.
+func (s *Server) BeginDrain(at time.Time) { s.ending.Store(&at) }
 
 // endsBefore tells whether the process will probably end before the request's answer does.
 func (s *Server) endsBefore(q *request) bool {
@@ -154,14 +154,14 @@
 
 // refuse promises that the request has not run and never will, and says when the client may come back.
 func (s *Server) refuse(w http.ResponseWriter, status int, wait time.Duration) {
-	s.Refused.Add(1)
+	s.Rejected.Add(1)
 	w.Header().Set(headerRetryAfter, strconv.FormatFloat(max(0.01, wait.Seconds()), 'f', 3, 64))
 	w.WriteHeader(status)
 }
 
 // deny says that the request is at fault.
 func (s *Server) deny(w http.ResponseWriter, status int) {
-	s.Refused.Add(1)
+	s.Rejected.Add(1)
 	w.WriteHeader(status)
 }
 
--- a/internal/fleet/front/standin_test.go
+++ b/internal/fleet/front/standin_test.go
@@ -148,7 +148,7 @@
 	c.charged += units
 	return !c.refuse, 1500 * time.Millisecond
 }
-func (c *core) Restore(_ *config.Tenant, units float64) {
+func (c *core) Refund(_ *config.Tenant, units float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.restored += units
--- a/internal/fleet/router/core.go
+++ b/internal/fleet/router/core.go
@@ -31,8 +31,8 @@
 	return r.quota.charge(ctx, tenant, units)
 }
 
-// Restore gives units back.
-func (r *Router) Restore(tenant *config.Tenant, units float64) { r.quota.restore(tenant, units) }
+// Refund gives units back.
+func (r *Router) Refund(tenant *config.Tenant, units float64) { r.quota.restore(tenant, units) }
 
 // Submit has an order taken.
 func (r *Router) Submit(ctx context.Context, order *config.Change) error {
@@ -87,7 +87,7 @@
 		return false
 	}
 	for _, service := range table.Services() {
-		if r.dispatcher.Ready(service) > 0 {
+		if r.dispatcher.ReadyCount(service) > 0 {
 			return true
 		}
 	}
@@ -104,7 +104,7 @@
 func (r *Router) drain(ticks <-chan time.Time) {
 	end := time.Now().Add(r.settings.Bounds.Grace - endingMargin)
 	r.ending.Store(true)
-	r.front.End(end)
+	r.front.BeginDrain(end)
 	if r.clients != nil {
 		r.clients.SetKeepAlivesEnabled(false) // clients take their next connection elsewhere
 	}
--- a/internal/fleet/router/gossip.go
+++ b/internal/fleet/router/gossip.go
@@ -150,7 +150,7 @@
 		}
 	}
 	if ended := r.node.Registry.TakeEnded(); len(ended) > 0 {
-		r.dispatcher.Drop(ended)
+		r.dispatcher.Remove(ended)
 	}
 }
 
--- a/internal/fleet/router/learned.go
+++ b/internal/fleet/router/learned.go
@@ -90,7 +90,7 @@
 	}
 	if came != l.taken || r.registryVersion != l.version {
 		l.taken, l.version = came, r.registryVersion
-		r.dispatcher.TakeLearned(at, came)
+		r.dispatcher.ImportLearned(at, came)
 	}
 }
 
@@ -116,7 +116,7 @@
 	}
 	l.next = now + learnedEvery
 	if l.file != nil && l.file.isDue(now) {
-		l.file.write(now, r.dispatcher.Learned(), r.tasks.Go)
+		l.file.write(now, r.dispatcher.ExportLearned(), r.tasks.Go)
 	}
 }
 
@@ -158,4 +158,4 @@
 }
 
 // answerLearned tells another router what this one has learned.
-func (r *Router) answerLearned([]byte) (any, error) { return r.dispatcher.Learned(), nil }
+func (r *Router) answerLearned([]byte) (any, error) { return r.dispatcher.ExportLearned(), nil }
--- a/internal/fleet/router/relay.go
+++ b/internal/fleet/router/relay.go
@@ -188,6 +188,6 @@
 	case kindZoneRelay:
 		r.relay.tellZone(announcements)
 	}
-	r.dispatcher.Heard(announcements)
+	r.dispatcher.ApplyAnnouncements(announcements)
 	return nil
 }
--- a/internal/fleet/router/router.go
+++ b/internal/fleet/router/router.go
@@ -140,8 +140,8 @@
 	}
 }
 
-// Abort has Run end at once and tell nobody, as a crash would. It is called once, by rigs that play losses.
-func (r *Router) Abort() { close(r.abort) }
+// Kill has Run end at once and tell nobody, as a crash would. It is called once, by rigs that play losses.
+func (r *Router) Kill() { close(r.abort) }
 
 func (r *Router) start() error {
 	var err error
--- a/internal/fleet/router/status.go
+++ b/internal/fleet/router/status.go
@@ -41,9 +41,9 @@
 func (r *Router) Status() Status {
 	table, age := r.Table()
 	s := Status{
-		Node: r.settings.Node, Ready: r.isReady(), LeaseAgeMs: age.Milliseconds(), Tables: r.dispatcher.View(),
-		Served: r.front.Served.Load(), Refused: r.front.Refused.Load(), Failed: r.front.Failed.Load(),
-		Broken: r.front.Broken.Load(), Moved: r.front.Moved.Load(), Services: r.dispatcher.ViewServices(), UptimeMs: r.clock().Milliseconds(),
+		Node: r.settings.Node, Ready: r.isReady(), LeaseAgeMs: age.Milliseconds(), Tables: r.dispatcher.Tables(),
+		Served: r.front.Served.Load(), Refused: r.front.Rejected.Load(), Failed: r.front.Failed.Load(),
+		Broken: r.front.Truncated.Load(), Moved: r.front.Rerouted.Load(), Services: r.dispatcher.Services(), UptimeMs: r.clock().Milliseconds(),
 	}
 	counters := &r.transport.Counters
 	s.SentDatagrams, s.SentBytes, s.Dropped = counters.SentDatagrams.Load(), counters.SentBytes.Load(), counters.Dropped.Load()
--- a/internal/lab/routers/losses.go
+++ b/internal/lab/routers/losses.go
@@ -59,7 +59,7 @@
 	result := &LossResult{Loss: loss.String(), Lost: len(lost), TakenMs: -1, ForceMs: -1}
 	began := time.Now()
 	for _, i := range lost {
-		f.routers[i].Abort()
+		f.routers[i].Kill()
 	}
 	for _, i := range lost {
 		<-f.ended[i]
