--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -8,13 +8,13 @@
 	"testing"
 	"time"
 
-	"pinelb.example/pinelb/internal/pace"
+	"pinelb.example/pinelb/internal/pacing"
 )
 
 // Guards against a bound on handshakes that counts other users of a host than there are.
 func TestHandshakeLimitCountsTheSameUsers(t *testing.T) {
-	if pace.UsedLeast != usedLeast || pace.UsersWanted != usersWanted {
-		t.Errorf("package pace counts by %d and %d, this one chooses by %d and %d", pace.UsedLeast, pace.UsersWanted, usedLeast, usersWanted)
+	if pacing.UsedLeast != usedLeast || pacing.UsersWanted != usersWanted {
+		t.Errorf("package pace counts by %d and %d, this one chooses by %d and %d", pacing.UsedLeast, pacing.UsersWanted, usedLeast, usersWanted)
 	}
 }
 
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -13,7 +13,7 @@
 
 	"pinelb.example/pinelb/balance"
 	"pinelb.example/pinelb/internal/config"
-	"pinelb.example/pinelb/internal/wire"
+	"pinelb.example/pinelb/internal/simprotocol"
 )
 
 func main() {
@@ -26,7 +26,7 @@
 // run answers batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	d := &drill{instances: map[uint32]*balance.Balancer{}}
-	dec := wire.NewDecoder(bufio.NewReaderSize(in, 1<<16))
+	dec := simprotocol.NewDecoder(bufio.NewReaderSize(in, 1<<16))
 	for {
 		d.enc.Begin()
 		err := dec.Next(d.handle)
@@ -44,16 +44,16 @@
 
 type drill struct {
 	instances map[uint32]*balance.Balancer
-	enc       wire.Encoder
+	enc       simprotocol.Encoder
 	actions   []balance.Action
 }
 
 // handle gives one record to its instance.
-func (d *drill) handle(now time.Duration, rec *wire.Record) error {
+func (d *drill) handle(now time.Duration, rec *simprotocol.Record) error {
 	switch rec.Op {
-	case wire.OpStop:
+	case simprotocol.OpStop:
 		delete(d.instances, rec.Instance)
-	case wire.OpStart:
+	case simprotocol.OpStart:
 		set, err := config.ParseSettings(rec.Settings)
 		if err != nil {
 			return err
@@ -75,7 +75,7 @@
 }
 
 // decide runs the module on one event; a panic there is reported as the module's crash.
-func (d *drill) decide(b *balance.Balancer, now time.Duration, rec *wire.Record) {
+func (d *drill) decide(b *balance.Balancer, now time.Duration, rec *simprotocol.Record) {
 	defer func() {
 		if p := recover(); p != nil {
 			d.enc.Crash(rec.Instance, fmt.Sprint(p))
--- a/cmd/drill/main_test.go
+++ b/cmd/drill/main_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"pinelb.example/pinelb/internal/wire"
+	"pinelb.example/pinelb/internal/simprotocol"
 )
 
 // batch builds a frame of 48-byte records with a tail.
@@ -62,7 +62,7 @@
 func TestPanicIsReported(t *testing.T) {
 	d := &drill{}
 	d.enc.Begin()
-	d.decide(nil, 0, &wire.Record{Instance: 1}) // no Balancer at all: the first use of it panics
+	d.decide(nil, 0, &simprotocol.Record{Instance: 1}) // no Balancer at all: the first use of it panics
 	reply := d.enc.Finish()
 	if reply[8+24] != 66 || !bytes.Contains(reply, []byte("nil pointer")) {
 		t.Errorf("reply %x has no crash with the panic's text", reply)
--- a/cmd/pinelab/asking.go
+++ b/cmd/pinelab/asking.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"pinelb.example/pinelb/internal/lab/asking"
 	"pinelb.example/pinelb/internal/lab/model"
+	"pinelb.example/pinelb/internal/lab/pollsim"
 )
 
 // askingCmd plays how a fleet asks one list service, in virtual time.
@@ -42,18 +42,18 @@
 	}
 	names := c.Policy
 	if len(names) == 0 {
-		names = slices.Sorted(maps.Keys(asking.Policies))
+		names = slices.Sorted(maps.Keys(pollsim.Policies))
 	}
-	fmt.Fprintf(t.out, "%-8s  %5s  %s\n", "rule", "n", asking.Heading)
+	fmt.Fprintf(t.out, "%-8s  %5s  %s\n", "rule", "n", pollsim.Heading)
 	for _, name := range names {
-		policy, known := asking.Policies[name]
+		policy, known := pollsim.Policies[name]
 		if !known {
-			return exit{faulty, fmt.Errorf("--policy: %q is none of %s", name, strings.Join(slices.Sorted(maps.Keys(asking.Policies)), ", "))}
+			return exit{faulty, fmt.Errorf("--policy: %q is none of %s", name, strings.Join(slices.Sorted(maps.Keys(pollsim.Policies)), ", "))}
 		}
 		for _, n := range c.Sizes {
-			var worst asking.Figures
+			var worst pollsim.Figures
 			for seed := range c.Seeds {
-				worst = worst.Worse(asking.Play(asking.Case{Instances: n, Told: int(c.Told * float64(n)), Spread: c.Spread, Rate: c.Rate, Burst: c.Burst,
+				worst = worst.Worse(pollsim.Play(pollsim.Case{Instances: n, Told: int(c.Told * float64(n)), Spread: c.Spread, Rate: c.Rate, Burst: c.Burst,
 					Calls: c.Calls, Call: c.Call, Line: c.Line, Beyond: model.Beyond(c.Beyond), Down: c.Down, Up: c.Up, Off: c.Off, Late: c.Late,
 					News: c.News, Cut: int(c.Cut * float64(n)), CutAt: c.CutAt, CutFor: c.CutFor, Length: c.Length, Seed: uint64(seed + 1)}, policy))
 			}
--- a/cmd/pinelab/distribute.go
+++ b/cmd/pinelab/distribute.go
@@ -8,7 +8,7 @@
 	"path/filepath"
 	"time"
 
-	"pinelb.example/pinelb/internal/lab/distributed"
+	"pinelb.example/pinelb/internal/lab/settingsbench"
 )
 
 // distributeCmd measures how settings reach a fleet.
@@ -26,7 +26,7 @@
 
 // Run writes a JSON line for each case.
 func (c *distributeCmd) Run(ctx context.Context, t *terminal) error {
-	d := distributed.Config{Pinelb: c.Pinelb, Sizes: c.Sizes, Real: c.Real, Changes: c.Changes, Bytes: c.Bytes, Window: c.Window, Only: c.Only,
+	d := settingsbench.Config{Pinelb: c.Pinelb, Sizes: c.Sizes, Real: c.Real, Changes: c.Changes, Bytes: c.Bytes, Window: c.Window, Only: c.Only,
 		Out: t.out, Seed: c.Seed}
 	if d.Pinelb == "" {
 		own, err := os.Executable()
@@ -46,7 +46,7 @@
 		defer f.Close()
 		d.Out = f
 	}
-	err := distributed.Run(ctx, d)
+	err := settingsbench.Run(ctx, d)
 	if errors.Is(err, context.Canceled) {
 		return exit{stopped, err}
 	}
--- a/cmd/pinelab/rehearse.go
+++ b/cmd/pinelab/rehearse.go
@@ -10,10 +10,10 @@
 	"strings"
 	"text/tabwriter"
 
+	"pinelb.example/pinelb/internal/accesslog"
+	"pinelb.example/pinelb/internal/lab/calibration"
 	"pinelb.example/pinelb/internal/lab/experiment"
-	"pinelb.example/pinelb/internal/lab/rehearse"
 	"pinelb.example/pinelb/internal/lab/result"
-	"pinelb.example/pinelb/internal/record"
 )
 
 // otherDraws is how many more plays, of other seeds, show how far a rehearsal scatters by itself.
@@ -29,7 +29,7 @@
 }
 
 func (c *rehearseCmd) Run(ctx context.Context, t *terminal) error {
-	var records []*record.Record
+	var records []*accesslog.Record
 	for _, path := range c.Records {
 		r, err := readRecord(path)
 		if err != nil {
@@ -37,7 +37,7 @@
 		}
 		records = append(records, r)
 	}
-	r, err := rehearse.Fit(records, rehearse.Options{Seed: c.Seed, Evaluations: c.Evaluations})
+	r, err := calibration.Fit(records, calibration.Options{Seed: c.Seed, Evaluations: c.Evaluations})
 	if err != nil {
 		return exit{faulty, fmt.Errorf("%s: %w", strings.Join(c.Records, ", "), err)}
 	}
@@ -57,20 +57,20 @@
 	if err != nil {
 		return err
 	}
-	if !rehearse.Kept(rows) || !rehearse.Kept(played) {
+	if !calibration.Kept(rows) || !calibration.Kept(played) {
 		return exit{broken, errors.New("the rehearsal is beyond its margin of what was recorded")}
 	}
 	return nil
 }
 
 // readRecord reads one file; errors name it and the line.
-func readRecord(path string) (*record.Record, error) {
+func readRecord(path string) (*accesslog.Record, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	r, err := record.Read(f)
+	r, err := accesslog.Read(f)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -78,7 +78,7 @@
 }
 
 // table plays the rehearsal and writes its counts beside the observed ones.
-func (c *rehearseCmd) table(out io.Writer, r *rehearse.Rehearsal) ([]rehearse.Row, error) {
+func (c *rehearseCmd) table(out io.Writer, r *calibration.Rehearsal) ([]calibration.Row, error) {
 	played, err := r.Play(r.Seed)
 	if err != nil {
 		return nil, err
@@ -102,7 +102,7 @@
 
 // play plays the rehearsal once more with judges and report, where a folder or sockets are asked for. On sockets
 // its counts are compared as well.
-func (c *rehearseCmd) play(ctx context.Context, t *terminal, r *rehearse.Rehearsal) ([]rehearse.Row, error) {
+func (c *rehearseCmd) play(ctx context.Context, t *terminal, r *calibration.Rehearsal) ([]calibration.Row, error) {
 	if c.Out == "" && !c.Sockets {
 		return nil, nil
 	}
@@ -125,13 +125,13 @@
 		return nil, err
 	}
 	a := &o.Result.All
-	rows := r.Compare(rehearse.Counts{All: rehearse.Count{Aim: a.Served.Count, Late: a.Late.Count, Refused: a.Refused.Count, Failed: a.Failed.Count}})
+	rows := r.Compare(calibration.Counts{All: calibration.Count{Aim: a.Served.Count, Late: a.Late.Count, Refused: a.Refused.Count, Failed: a.Failed.Count}})
 	fmt.Fprintln(t.out, "\nOn sockets:")
 	return rows, writeRows(t.out, rows, nil)
 }
 
 // writeRows writes counts beside the observed ones; spread, if there is one, is what other draws give for each.
-func writeRows(out io.Writer, rows []rehearse.Row, spread [][2]int) error {
+func writeRows(out io.Writer, rows []calibration.Row, spread [][2]int) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(w, "\n\tobserved\trehearsed\tdifference\tmargin\tkept\t")
 	if spread != nil {
--- a/cmd/pinelab/rehearse_test.go
+++ b/cmd/pinelab/rehearse_test.go
@@ -9,11 +9,11 @@
 	"testing"
 	"time"
 
+	"pinelb.example/pinelb/internal/accesslog"
+	"pinelb.example/pinelb/internal/lab/calibration"
 	"pinelb.example/pinelb/internal/lab/plan"
-	"pinelb.example/pinelb/internal/lab/rehearse"
 	"pinelb.example/pinelb/internal/lab/scenario"
-	"pinelb.example/pinelb/internal/lab/virtual"
-	"pinelb.example/pinelb/internal/record"
+	"pinelb.example/pinelb/internal/lab/simulation"
 )
 
 // recorded writes a virtual run's record to a file.
@@ -28,11 +28,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	log, err := virtual.Play(p)
+	log, err := simulation.Play(p)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := rehearse.Record(p, log, 0)
+	r, err := calibration.Record(p, log, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	if err := record.Write(f, r); err != nil {
+	if err := accesslog.Write(f, r); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/cmd/pinelab/scale.go
+++ b/cmd/pinelab/scale.go
@@ -15,7 +15,7 @@
 
 	"pinelb.example/pinelb/internal/cluster"
 	"pinelb.example/pinelb/internal/config"
-	"pinelb.example/pinelb/internal/lab/hollow"
+	"pinelb.example/pinelb/internal/lab/stubfleet"
 )
 
 // scaleCmd measures what hollow sidecars cost a list service, and how soon a change is in force at the last one.
@@ -59,7 +59,7 @@
 	fmt.Fprintln(w, scaleHead)
 	defer w.Flush()
 	for _, one := range cases {
-		f, err := hollow.Play(ctx, one)
+		f, err := stubfleet.Play(ctx, one)
 		if errors.Is(err, context.Canceled) {
 			return exit{stopped, errors.New("stopped")}
 		}
@@ -78,13 +78,13 @@
 }
 
 // cases are all that is to be played, each checked. A fault names the flag.
-func (c *scaleCmd) cases() ([]hollow.Case, error) {
+func (c *scaleCmd) cases() ([]stubfleet.Case, error) {
 	for key, given := range map[string]int{"scenario": len(c.Scenario), "hosts": len(c.Hosts), "sidecars": len(c.Sidecars)} {
 		if given == 0 {
 			return nil, fmt.Errorf("--%s: must have a value", key)
 		}
 	}
-	m, err := hollow.ThisMachine()
+	m, err := stubfleet.ThisMachine()
 	if err != nil {
 		return nil, err
 	}
@@ -92,20 +92,20 @@
 	if err != nil {
 		return nil, err
 	}
-	var out []hollow.Case
+	var out []stubfleet.Case
 	for _, name := range c.Scenario {
 		for _, hosts := range c.Hosts {
 			for _, sidecars := range c.Sidecars {
 				one := base
 				one.Scenario, one.Hosts, one.Sidecars = name, hosts, sidecars
-				if one.Changes = hollow.Changes(name); c.Changes != nil {
+				if one.Changes = stubfleet.Changes(name); c.Changes != nil {
 					one.Changes = *c.Changes
 				}
 				if section != nil {
 					one.Paced = &cluster.Paced{Fleet: section.Fleet(sidecars + c.Real), Whole: section.Whole.D()}
 				}
 				if err := one.Check(m); err != nil {
-					var key *hollow.KeyError
+					var key *stubfleet.KeyError
 					if errors.As(err, &key) {
 						return nil, fmt.Errorf("--%s: %s", key.Key, key.Why)
 					}
@@ -119,8 +119,8 @@
 }
 
 // base is what all cases share, and the section [discovery] by which the service is asked; nil: there is none.
-func (c *scaleCmd) base() (hollow.Case, *config.Discovery, error) {
-	one := hollow.Case{Real: c.Real, Racks: c.Racks, Seconds: c.Seconds, Spread: c.Spread, Within: c.Within, Down: c.Down, Calls: c.ServiceCalls,
+func (c *scaleCmd) base() (stubfleet.Case, *config.Discovery, error) {
+	one := stubfleet.Case{Real: c.Real, Racks: c.Racks, Seconds: c.Seconds, Spread: c.Spread, Within: c.Within, Down: c.Down, Calls: c.ServiceCalls,
 		Call: c.ServiceCall, Line: c.ServiceLine, Seed: c.Seed, Operator: c.Config}
 	self, err := os.Executable()
 	if err != nil {
@@ -149,7 +149,7 @@
 	"service cores\tCPU ms/s each\tKB each\twrong\tload\t"
 
 // scaleLine words figures.
-func scaleLine(f hollow.Figures) string {
+func scaleLine(f stubfleet.Figures) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s\t%g\t%d\t%d\t%d\t%.3g\t%.1f\t%d\t%d\t%.0f\t%.0f\t", f.Scenario, f.Rate, f.Sidecars, f.Real, f.Hosts, f.Asked, f.CallsPerS, f.Turned,
 		f.Connections, f.BytesEach, f.WorstBytes)
@@ -160,7 +160,7 @@
 }
 
 // realLine words those of the real sidecars of the same play, in the same columns.
-func realLine(f hollow.Figures) string {
+func realLine(f stubfleet.Figures) string {
 	return fmt.Sprintf("(real)\t%g\t-\t%d\t%d\t%.3g\t%.1f\t-\t%d\t%.0f\t-\t%s\t%s\t%s\t%d\t%s\t%s\t%s\t%d\t\t\t\t\t\t", f.Rate, f.Real, f.Hosts, f.Asked,
 		f.RealCallsEach*float64(f.Real), f.RealConnections, f.RealBytesEach, ms(f.RealInForceP50), ms(f.RealInForceP99), ms(f.RealInForceLast), f.RealNever,
 		ms(f.RealFirstP50), ms(f.RealFirstP99), ms(f.RealFirstLast), f.RealFirstNever)
@@ -177,4 +177,4 @@
 type rackCmd struct{}
 
 // Run serves the play that is at the other end of its input and output.
-func (c *rackCmd) Run() error { return hollow.ServeRack(os.Stdin, os.Stdout) }
+func (c *rackCmd) Run() error { return stubfleet.ServeRack(os.Stdin, os.Stdout) }
--- a/cmd/pinelab/slopes_audit.go
+++ b/cmd/pinelab/slopes_audit.go
@@ -7,7 +7,7 @@
 	"path/filepath"
 	"time"
 
-	"pinelb.example/pinelb/internal/lab/gauge"
+	"pinelb.example/pinelb/internal/lab/footprint"
 )
 
 // slopesAuditCmd measures an auditor's rounds.
@@ -24,7 +24,7 @@
 	Mode     string  `json:"mode"` // processes or stand-ins
 	Sidecars int     `json:"sidecars"`
 	Trail    float64 `json:"trail_s"`
-	gauge.Audited
+	footprint.Audited
 }
 
 // check names the first key whose number can't be.
@@ -57,12 +57,12 @@
 	defer os.RemoveAll(dir)
 	for n := range c.Repeat {
 		for _, size := range c.Sidecars {
-			if err := c.one(ctx, t, gauge.Audit{Program: program, Dir: filepath.Join(dir, fmt.Sprint("processes", size, n)), Sidecars: size, Rounds: c.Rounds}); err != nil {
+			if err := c.one(ctx, t, footprint.Audit{Program: program, Dir: filepath.Join(dir, fmt.Sprint("processes", size, n)), Sidecars: size, Rounds: c.Rounds}); err != nil {
 				return err
 			}
 		}
 		for _, size := range c.StandIns {
-			if err := c.one(ctx, t, gauge.Audit{Program: program, Dir: filepath.Join(dir, fmt.Sprint("stand-ins", size, n)), Sidecars: size, Rounds: c.Rounds,
+			if err := c.one(ctx, t, footprint.Audit{Program: program, Dir: filepath.Join(dir, fmt.Sprint("stand-ins", size, n)), Sidecars: size, Rounds: c.Rounds,
 				StandIns: true, Trail: c.Trail}); err != nil {
 				return err
 			}
@@ -72,7 +72,7 @@
 }
 
 // one measures and tells one size.
-func (c *slopesAuditCmd) one(ctx context.Context, t *terminal, a gauge.Audit) error {
+func (c *slopesAuditCmd) one(ctx context.Context, t *terminal, a footprint.Audit) error {
 	if err := os.Mkdir(a.Dir, 0o700); err != nil {
 		return err
 	}
--- a/cmd/pinelab/slopes_module.go
+++ b/cmd/pinelab/slopes_module.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"pinelb.example/pinelb/internal/lab/gauge"
+	"pinelb.example/pinelb/internal/lab/footprint"
 )
 
 // slopesModuleCmd measures the decision module by its own benchmarks.
@@ -56,7 +56,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w: %s%s", cmd, err, text, fault.String())
 	}
-	head.Load = gauge.Load()
+	head.Load = footprint.Load()
 	for line := range strings.Lines(string(text)) {
 		p, ok := benchedAt(line)
 		if !ok || !slices.Contains(c.Sizes, p.Hosts) {
--- a/cmd/pinelab/slopes_page.go
+++ b/cmd/pinelab/slopes_page.go
@@ -5,7 +5,7 @@
 	"os"
 	"path/filepath"
 
-	"pinelb.example/pinelb/internal/lab/slope"
+	"pinelb.example/pinelb/internal/lab/scalefit"
 )
 
 // slopesPageCmd writes the tables of a page from results.
@@ -43,22 +43,22 @@
 }
 
 // readSlopes reads a plan and the results beside it.
-func readSlopes(path string) (*slope.Plan, map[string][]slope.Line, error) {
+func readSlopes(path string) (*scalefit.Plan, map[string][]scalefit.Line, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, nil, fmt.Errorf("--plan: %w", err)
 	}
-	plan, err := slope.ParsePlan(path, text)
+	plan, err := scalefit.ParsePlan(path, text)
 	if err != nil {
 		return nil, nil, err
 	}
-	files := map[string][]slope.Line{}
+	files := map[string][]scalefit.Line{}
 	for _, name := range plan.Files() {
 		text, err := os.ReadFile(filepath.Join(filepath.Dir(path), name))
 		if err != nil {
 			return nil, nil, fmt.Errorf("slopes: %w", err)
 		}
-		if files[name], err = slope.Parse(name, text); err != nil {
+		if files[name], err = scalefit.Parse(name, text); err != nil {
 			return nil, nil, err
 		}
 	}
--- a/cmd/pinelb/audit_test.go
+++ b/cmd/pinelb/audit_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"pinelb.example/pinelb/internal/trail"
+	"pinelb.example/pinelb/internal/auditlog"
 	"pinelb.example/pinelb/internal/version"
 )
 
@@ -29,7 +29,7 @@
 }
 
 // asked is the sidecar's report, or what an order is answered.
-func asked(t *testing.T, at, path, body string) (int, trail.Report, string) {
+func asked(t *testing.T, at, path, body string) (int, auditlog.Report, string) {
 	t.Helper()
 	method := "GET"
 	if body != "" {
@@ -49,9 +49,9 @@
 		t.Fatal(err)
 	}
 	if res.StatusCode != 200 {
-		return res.StatusCode, trail.Report{}, string(text)
+		return res.StatusCode, auditlog.Report{}, string(text)
 	}
-	r, err := trail.ParseReport(text)
+	r, err := auditlog.ParseReport(text)
 	if err != nil {
 		t.Fatalf("%s: %v\n%s", path, err, text)
 	}
@@ -69,7 +69,7 @@
 	config["settings"] = json.RawMessage(strings.Replace(settings, `"n_instances":1`, `"n_instances":2`, 1))
 	file, dir, tmp := configFile(t, config), filepath.Join(t.TempDir(), "state"), t.TempDir()
 	p, at := audited(t, file, dir, tmp)
-	report := func(since uint64) trail.Report {
+	report := func(since uint64) auditlog.Report {
 		t.Helper()
 		_, r, _ := asked(t, at, fmt.Sprint("/admin/audit?since=", since), "")
 		return r
@@ -161,7 +161,7 @@
 	s.change(host("s-1", a.addr, "Gone"), host("s-2", b.addr, "Ready"))
 	p.await(t, "cluster changed")
 	third := report(0)
-	for len(readBack(t, dir, func(e trail.Entry) bool { return e.Life == third.Life && e.Under == third.Under })) == 0 {
+	for len(readBack(t, dir, func(e auditlog.Entry) bool { return e.Life == third.Life && e.Under == third.Under })) == 0 {
 	}
 	_ = p.cmd.Process.Kill()
 	_ = p.cmd.Wait()
@@ -180,11 +180,11 @@
 		n    uint32
 	}
 	lists, sent, crossed := map[under]version.Digest{}, map[string]int{}, 0
-	for _, e := range readBack(t, dir, func(trail.Entry) bool { return true }) {
+	for _, e := range readBack(t, dir, func(auditlog.Entry) bool { return true }) {
 		switch e.Kind {
-		case trail.Adopted:
+		case auditlog.Adopted:
 			lists[under{e.Life, e.Under}] = e.Version.List.Digest
-		case trail.Counted:
+		case auditlog.Counted:
 			crossed += e.Crossed
 			for _, n := range e.Attempts {
 				sent[fmt.Sprint(n.Class, " ", n.Host, " ", lists[under{e.Life, e.Under}] == second.Version.List.Digest)] += n.N
@@ -198,9 +198,9 @@
 }
 
 // readBack are those entries of a trail on the disk that are asked for. The trail has to be whole.
-func readBack(t *testing.T, dir string, which func(trail.Entry) bool) (out []trail.Entry) {
+func readBack(t *testing.T, dir string, which func(auditlog.Entry) bool) (out []auditlog.Entry) {
 	t.Helper()
-	entries, faults, err := trail.ReadDir(dir)
+	entries, faults, err := auditlog.ReadDir(dir)
 	if err != nil || len(faults) > 0 {
 		t.Fatalf("%v, %v", faults, err)
 	}
--- a/cmd/pinelb/command_test.go
+++ b/cmd/pinelb/command_test.go
@@ -13,7 +13,7 @@
 	"testing"
 
 	"pinelb.example/pinelb/balance"
-	"pinelb.example/pinelb/internal/record"
+	"pinelb.example/pinelb/internal/accesslog"
 	"pinelb.example/pinelb/internal/stream"
 )
 
@@ -112,7 +112,7 @@
 	if err := p.cmd.Wait(); err != nil {
 		t.Errorf("a planned end: %v", err)
 	}
-	rec, err := record.Read(&all)
+	rec, err := accesslog.Read(&all)
 	if err != nil || len(rec.Runs) != 1 || len(rec.Runs[0].Streams) != 3 || rec.Skipped != 0 || rec.Other == 0 {
 		t.Fatalf("%+v, %v", rec, err)
 	}
--- a/cmd/pinelb/distribute_bench_test.go
+++ b/cmd/pinelb/distribute_bench_test.go
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
-	"pinelb.example/pinelb/internal/distribute"
-	"pinelb.example/pinelb/internal/distributor"
+	"pinelb.example/pinelb/internal/settingsserver"
+	"pinelb.example/pinelb/internal/settingsstore"
 )
 
 // footprint is what a process has used: CPU time, and resident memory in bytes.
@@ -44,7 +44,7 @@
 
 // follow asks again and again, until the connection is closed.
 func (w *watcher) follow(c net.Conn, name string) {
-	q := distribute.Question{Service: "s", Name: name, Wait: 2 * time.Second}
+	q := settingsstore.Question{Service: "s", Name: name, Wait: 2 * time.Second}
 	in := bufio.NewReader(c)
 	for {
 		text := "GET " + q.Target() + " HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -61,7 +61,7 @@
 		}
 		w.answers.Add(1)
 		w.bytes.Add(int64(len(text) + len(body) + 100)) // heads are about so long
-		if state, err := distribute.Parse(body); err == nil {
+		if state, err := settingsstore.Parse(body); err == nil {
 			q.Since = state.Edition
 			if state.Epoch == w.newest.Load() {
 				w.have.Add(1)
@@ -88,7 +88,7 @@
 	p := launchOn(b, exec.Command(os.Args[0], "distribute", file), "")
 	listening := p.await(b, "distributor listening")
 	pid := p.cmd.Process.Pid
-	o := &distributor.Operator{At: []string{listening.Get("control").Str}, Within: 10 * time.Second}
+	o := &settingsserver.Operator{At: []string{listening.Get("control").Str}, Within: 10 * time.Second}
 	body := []byte(strings.TrimSuffix(settings, "}") + `,"fill":"` + strings.Repeat("x", 4096-len(settings)) + `"}`)
 
 	var w watcher
--- a/cmd/pinelb/published_test.go
+++ b/cmd/pinelb/published_test.go
@@ -13,9 +13,9 @@
 
 	"github.com/tidwall/gjson"
 
+	"pinelb.example/pinelb/internal/auditlog"
 	"pinelb.example/pinelb/internal/config"
-	"pinelb.example/pinelb/internal/distribute"
-	"pinelb.example/pinelb/internal/trail"
+	"pinelb.example/pinelb/internal/settingsstore"
 	"pinelb.example/pinelb/internal/version"
 )
 
@@ -24,23 +24,23 @@
 // standIn is a distributor: it answers with what is published as the real one does, or otherwise as a test wants.
 type standIn struct {
 	addr  string
-	asked chan distribute.Question
+	asked chan settingsstore.Question
 	ended chan struct{} // gets one for each question that has waited without news
 
 	mu      sync.Mutex
-	state   distribute.State
+	state   settingsstore.State
 	changed chan struct{}
 	odd     http.HandlerFunc // nil: none
 }
 
 func newStandIn(t *testing.T) *standIn {
-	d := &standIn{asked: make(chan distribute.Question, 10_000), ended: make(chan struct{}, 10_000), changed: make(chan struct{})}
+	d := &standIn{asked: make(chan settingsstore.Question, 10_000), ended: make(chan struct{}, 10_000), changed: make(chan struct{})}
 	d.addr = listen(t, d)
 	return d
 }
 
 func (d *standIn) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	q, err := distribute.ParseQuestion(r.URL)
+	q, err := settingsstore.ParseQuestion(r.URL)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -57,7 +57,7 @@
 			return
 		}
 		if s.Compare(q.Newest()) > 0 {
-			_, _ = w.Write(distribute.Encode(s))
+			_, _ = w.Write(settingsstore.Encode(s))
 			return
 		}
 		select {
@@ -78,13 +78,13 @@
 func (d *standIn) publish(epoch uint64, settings string, odd http.HandlerFunc) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.state, d.odd = distribute.NewState(service, version.Edition{Epoch: epoch, By: "d1"}, []byte(settings)), odd
+	d.state, d.odd = settingsstore.NewState(service, version.Edition{Epoch: epoch, By: "d1"}, []byte(settings)), odd
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
 // until reads the questions up to one that fits.
-func (d *standIn) until(fits func(distribute.Question) bool) distribute.Question {
+func (d *standIn) until(fits func(settingsstore.Question) bool) settingsstore.Question {
 	for q := range d.asked {
 		if fits(q) {
 			return q
@@ -174,7 +174,7 @@
 		if fault := p.await(t, refused).Get("error").Str; !strings.Contains(fault, c.key) {
 			t.Errorf("the log says %q, want %s", fault, c.key)
 		}
-		d.until(func(q distribute.Question) bool {
+		d.until(func(q settingsstore.Question) bool {
 			return q.Since.Epoch == 1 && q.Refused.Epoch == epoch && strings.Contains(q.Why, c.key)
 		})
 	}
@@ -214,7 +214,7 @@
 	p.await(t, taken)
 	p.ready(t)
 	state := func(service string, epoch uint64) []byte {
-		return distribute.Encode(distribute.NewState(service, version.Edition{Epoch: epoch, By: "d1"}, []byte(with("odd"))))
+		return settingsstore.Encode(settingsstore.NewState(service, version.Edition{Epoch: epoch, By: "d1"}, []byte(with("odd"))))
 	}
 	epoch := uint64(5)
 	for _, c := range []struct {
@@ -225,13 +225,13 @@
 		{state("others", 99), "settings of others were told"},
 		{state(service, 99)[:700], "JSON"},
 		{[]byte(strings.Replace(string(state(service, 99)), `"send_cap":4`, `"send_cap":5`, 1)), "digest"},
-		{append([]byte(strings.Repeat(" ", distribute.StateMost)), state(service, 99)...), "bytes"},
+		{append([]byte(strings.Repeat(" ", settingsstore.StateMost)), state(service, 99)...), "bytes"},
 	} {
 		d.publish(epoch, with("one"), func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(c.answer) })
 		if line := p.await(t, odd); !strings.Contains(line.Get("error").Str, c.why) || line.Get("distributor").Str != d.addr {
 			t.Errorf("the log says %s, want %s", line.Raw, c.why)
 		}
-		d.until(func(q distribute.Question) bool {
+		d.until(func(q settingsstore.Question) bool {
 			return q.Since.Epoch == epoch && q.Refused.None() && strings.Contains(q.Why, c.why)
 		})
 		p.expect(t, c.why, "/odd/1", 404)
@@ -326,7 +326,7 @@
 	p.ready(t)
 	first, other := d, e // which it follows, and which not
 	for watched := false; !watched; {
-		var q distribute.Question
+		var q settingsstore.Question
 		select {
 		case q = <-d.asked:
 			first, other = d, e
@@ -341,7 +341,7 @@
 	p.await(t, taken)
 	p.expect(t, "at the other one", "/two/1", 200)
 	other.publish(2, with("two"), silence)
-	first.until(func(q distribute.Question) bool { return q.Since.Epoch == 2 }) // which is gone back to, for both are silent
+	first.until(func(q settingsstore.Question) bool { return q.Since.Epoch == 2 }) // which is gone back to, for both are silent
 	p.expect(t, "with all silent", "/two/1", 200)
 	first.publish(3, with("three"), nil)
 	p.await(t, taken)
@@ -362,7 +362,7 @@
 			t.Fatal(err)
 		}
 	}
-	d.until(func(q distribute.Question) bool { return q.Since.Epoch == 1 && q.Wait > 0 })
+	d.until(func(q settingsstore.Question) bool { return q.Since.Epoch == 1 && q.Wait > 0 })
 	send(syscall.SIGSTOP)
 	<-d.ended // what it waits for is over meanwhile, and it does not ask again
 	d.publish(2, with("two"), nil)
@@ -426,7 +426,7 @@
 	at := p.await(t, "listening for operators").Get("addr").Str
 	p.ready(t)
 	digest := func(settings string) version.Digest { return (&config.Config{Site: settings}).Digest() }
-	report := func() trail.Report {
+	report := func() auditlog.Report {
 		t.Helper()
 		_, r, _ := asked(t, at, "/admin/audit?since=0", "")
 		return r
@@ -439,7 +439,7 @@
 	r := report()
 	last := r.Entries[len(r.Entries)-1]
 	for _, e := range r.Entries {
-		if e.Kind == trail.Adopted {
+		if e.Kind == auditlog.Adopted {
 			last = e
 		}
 	}
@@ -459,12 +459,12 @@
 	}
 	// The watch tells nothing; who is asked without a wait knows.
 	d.publish(2, with("two"), func(w http.ResponseWriter, r *http.Request) {
-		q, err := distribute.ParseQuestion(r.URL)
+		q, err := settingsstore.ParseQuestion(r.URL)
 		if err != nil || q.Wait > 0 || q.Since.Epoch != 1 {
 			<-r.Context().Done()
 			return
 		}
-		_, _ = w.Write(distribute.Encode(distribute.NewState(service, version.Edition{Epoch: 2, By: "d1"}, []byte(with("two")))))
+		_, _ = w.Write(settingsstore.Encode(settingsstore.NewState(service, version.Edition{Epoch: 2, By: "d1"}, []byte(with("two")))))
 	})
 	floor(1, with("two"))
 	p.await(t, taken)
--- a/cmd/pinelb/settings.go
+++ b/cmd/pinelb/settings.go
@@ -13,8 +13,8 @@
 
 	"github.com/rs/zerolog"
 
-	"pinelb.example/pinelb/internal/distribute"
-	"pinelb.example/pinelb/internal/distributor"
+	"pinelb.example/pinelb/internal/settingsserver"
+	"pinelb.example/pinelb/internal/settingsstore"
 )
 
 // pollEach is the time between two looks at a status that is waited for.
@@ -53,7 +53,7 @@
 	if d.Within <= 0 || d.Wait < 0 {
 		return fmt.Errorf("--within must be above 0, and --wait not below")
 	}
-	if faulty, ok := distribute.CheckName("--service", d.Service).(distribute.FaultyKey); ok {
+	if faulty, ok := settingsstore.CheckName("--service", d.Service).(settingsstore.FaultyKey); ok {
 		return fmt.Errorf("%s %s", faulty.Key, faulty.Why)
 	}
 	return nil
@@ -73,12 +73,12 @@
 		fmt.Fprintln(os.Stderr, "pinelb settings:", err)
 		return statusFaulty
 	}
-	o := &distributor.Operator{At: d.At, Within: d.Within}
+	o := &settingsserver.Operator{At: d.At, Within: d.Within}
 	switch command {
 	case "publish":
-		return d.published(ctx, o, func() (distributor.Published, error) { return o.Publish(ctx, d.Service, contents) })
+		return d.published(ctx, o, func() (settingsserver.Published, error) { return o.Publish(ctx, d.Service, contents) })
 	case "rollback":
-		return d.published(ctx, o, func() (distributor.Published, error) { return o.RollBack(ctx, d.Service) })
+		return d.published(ctx, o, func() (settingsserver.Published, error) { return o.RollBack(ctx, d.Service) })
 	}
 	return d.status(ctx, o)
 }
@@ -94,17 +94,17 @@
 		in = f
 	}
 	defer in.Close()
-	const most = 8 * distribute.SettingsMost // a distributor says how much is too much
+	const most = 8 * settingsstore.SettingsMost // a distributor says how much is too much
 	return io.ReadAll(io.LimitReader(in, most))
 }
 
 // published tells what came of a publish, and waits until it is in force where that is asked for.
-func (d *distributors) published(ctx context.Context, o *distributor.Operator, do func() (distributor.Published, error)) int {
+func (d *distributors) published(ctx context.Context, o *settingsserver.Operator, do func() (settingsserver.Published, error)) int {
 	p, err := do()
 	switch {
-	case errors.Is(err, distributor.ErrNobody):
+	case errors.Is(err, settingsserver.ErrNobody):
 		fmt.Fprintln(os.Stderr, "pinelb settings:", err)
-		return distributor.NobodyThere
+		return settingsserver.NobodyThere
 	case err != nil:
 		fmt.Fprintln(os.Stderr, "pinelb settings:", err)
 		return statusFaulty
@@ -122,12 +122,12 @@
 }
 
 // status tells how sidecars stand, once all have the newest in force or the wait is over.
-func (d *distributors) status(ctx context.Context, o *distributor.Operator) int {
+func (d *distributors) status(ctx context.Context, o *settingsserver.Operator) int {
 	end := time.Now().Add(d.Wait)
-	v := distributor.NewView(o.Statuses(ctx, d.Service))
-	for v.Exit() != distributor.AllInForce && time.Now().Before(end) && ctx.Err() == nil {
+	v := settingsserver.NewView(o.Statuses(ctx, d.Service))
+	for v.Exit() != settingsserver.AllInForce && time.Now().Before(end) && ctx.Err() == nil {
 		time.Sleep(pollEach)
-		v = distributor.NewView(o.Statuses(ctx, d.Service))
+		v = settingsserver.NewView(o.Statuses(ctx, d.Service))
 	}
 	write := v.Table
 	if d.JSON {
@@ -142,7 +142,7 @@
 
 // runDistributor is a distributor's process, and returns the exit status.
 func runDistributor(path string) int {
-	cfg, err := distributor.ReadConfig(path)
+	cfg, err := settingsserver.ReadConfig(path)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "pinelb distribute:", err)
 		return statusFaulty
@@ -150,7 +150,7 @@
 	log := zerolog.New(os.Stderr).Level(zerolog.InfoLevel).Sample(&zerolog.BurstSampler{Burst: 50, Period: time.Second}).With().Timestamp().Logger()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	if err := distributor.Run(ctx, *cfg, log); err != nil {
+	if err := settingsserver.Run(ctx, *cfg, log); err != nil {
 		log.Error().Err(err).Msg("distributor ends")
 		return 1
 	}
--- a/cmd/pinelb/settings_test.go
+++ b/cmd/pinelb/settings_test.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"testing"
 
-	"pinelb.example/pinelb/internal/distribute"
+	"pinelb.example/pinelb/internal/settingsstore"
 )
 
 // distributorFile writes a distributor's file.
@@ -54,7 +54,7 @@
 }
 
 // acknowledge asks as a sidecar does that waits for news, until the distributor has heard it.
-func acknowledge(t *testing.T, asked, called string, q distribute.Question) {
+func acknowledge(t *testing.T, asked, called string, q settingsstore.Question) {
 	t.Helper()
 	c, err := net.Dial("tcp", asked)
 	if err != nil {
@@ -63,11 +63,11 @@
 	t.Cleanup(func() { _ = c.Close() })
 	fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: x\r\n\r\n", q.Target())
 	for {
-		var s distribute.Status
+		var s settingsstore.Status
 		if _, text := get(t, called, "/admin/settings?service="+q.Service); json.Unmarshal([]byte(text), &s) != nil {
 			t.Fatalf("status: %s", text)
 		}
-		if slices.ContainsFunc(s.Sidecars, func(c distribute.Sidecar) bool {
+		if slices.ContainsFunc(s.Sidecars, func(c settingsstore.Sidecar) bool {
 			return c.Name == q.Name && c.InForce == q.Since && c.Refused == q.Refused
 		}) {
 			return
@@ -99,7 +99,7 @@
 		t.Fatal(err)
 	}
 	ask := func(name string, epoch, refused uint64) {
-		q := distribute.Question{Service: "orders", Name: name, Wait: distribute.WaitMost}
+		q := settingsstore.Question{Service: "orders", Name: name, Wait: settingsstore.WaitMost}
 		if epoch > 0 {
 			q.Since.Epoch, q.Since.By = epoch, "d1"
 		}
@@ -168,7 +168,7 @@
 	// A watch is answered at the end, and what was published is there in the next process.
 	answered := make(chan int, 1)
 	go func() {
-		q := distribute.Question{Service: "orders", Name: "n9", Wait: distribute.WaitMost}
+		q := settingsstore.Question{Service: "orders", Name: "n9", Wait: settingsstore.WaitMost}
 		q.Since.Epoch, q.Since.By = 9, "d1"
 		status, _ := get(t, asked, q.Target())
 		answered <- status
--- a/internal/record/bench_test.go
+++ b/internal/accesslog/bench_test.go
@@ -1,4 +1,4 @@
-package record
+package accesslog
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 
 	"pinelb.example/pinelb/balance"
 	"pinelb.example/pinelb/internal/cluster"
-	"pinelb.example/pinelb/internal/engine"
+	"pinelb.example/pinelb/internal/driver"
 	"pinelb.example/pinelb/internal/stream"
 )
 
@@ -31,7 +31,7 @@
 func BenchmarkStream(b *testing.B) {
 	for _, on := range []bool{false, true} {
 		b.Run("record="+strconv.FormatBool(on), func(b *testing.B) {
-			eng, err := engine.New(balance.Settings{Instances: 1, Classes: []balance.Class{{Aim: time.Second, Deadline: time.Second}},
+			eng, err := driver.New(balance.Settings{Instances: 1, Classes: []balance.Class{{Aim: time.Second, Deadline: time.Second}},
 				MaxAttempts: 4, ColdShare: 0.3, ColdFor: time.Second, FallMultiple: 2, FallWindow: time.Second}, 1, noConnections{}, zerolog.Nop())
 			if err != nil {
 				b.Fatal(err)
--- a/internal/record/record.go
+++ b/internal/accesslog/record.go
@@ -1,7 +1,7 @@
 // Package record keeps one line for each stream of a sidecar, and what it knew of its cluster, so that a bad
 // morning can be rehearsed later from the record alone. Recorder writes a record and Read reads it; the lines
 // are JSON objects, each of which begins with its kind.
-package record
+package accesslog
 
 import (
 	"time"
--- a/internal/record/recorder.go
+++ b/internal/accesslog/recorder.go
@@ -1,4 +1,4 @@
-package record
+package accesslog
 
 import (
 	"cmp"
--- a/internal/audit/ask.go
+++ b/internal/audit/ask.go
@@ -14,13 +14,13 @@
 
 	"github.com/tidwall/gjson"
 
+	"pinelb.example/pinelb/internal/auditlog"
 	"pinelb.example/pinelb/internal/cluster"
-	"pinelb.example/pinelb/internal/trail"
 	"pinelb.example/pinelb/internal/version"
 )
 
 const (
-	answerMost = trail.ReportMost // bytes: what a sidecar may have the audit hold, times those asked at a time
+	answerMost = auditlog.ReportMost // bytes: what a sidecar may have the audit hold, times those asked at a time
 	headMost   = 16 << 10
 	listMost   = 8 << 20 // bytes of the list service's answer, as sidecars have it
 	pagesMost  = 8       // calls in a row at one sidecar, for the rest of a long trail
@@ -56,10 +56,10 @@
 
 // Answer is what came of it.
 type Answer struct {
-	Report  *trail.Report  // with the entries of all its pages; nil: not reached
-	Middle  version.Millis // of the last call, Unix time by the auditor's clock
-	Within  version.Millis // of which the sidecar's Now is known: half of that call
-	Back    time.Time      // when it was over, by the auditor's clock
+	Report  *auditlog.Report // with the entries of all its pages; nil: not reached
+	Middle  version.Millis   // of the last call, Unix time by the auditor's clock
+	Within  version.Millis   // of which the sidecar's Now is known: half of that call
+	Back    time.Time        // when it was over, by the auditor's clock
 	Took    time.Duration
 	Err     error // why it was not reached
 	Refused error // why the order was not taken; nil where there was none
@@ -102,9 +102,9 @@
 		from := time.Now()
 		text, err := a.call(ctx, http.MethodGet, fmt.Sprintf("http://%s/admin/audit?since=%d", q.Addr, since), nil, answerMost)
 		half := time.Since(from) / 2
-		var r trail.Report
+		var r auditlog.Report
 		if err == nil {
-			r, err = trail.ParseReport(text)
+			r, err = auditlog.ParseReport(text)
 		}
 		if err != nil {
 			if out.Report == nil {
--- a/internal/audit/ask_test.go
+++ b/internal/audit/ask_test.go
@@ -16,7 +16,7 @@
 	"go.uber.org/goleak"
 	"golang.org/x/sys/unix"
 
-	"pinelb.example/pinelb/internal/trail"
+	"pinelb.example/pinelb/internal/auditlog"
 	"pinelb.example/pinelb/internal/version"
 )
 
@@ -61,13 +61,13 @@
 }
 
 // report is that of a sidecar that acts, and has no trail yet.
-func report(name string) trail.Report {
-	return trail.Report{Name: name, Zone: "z0", Site: "site", Instances: 1, Life: "life " + name, State: "acts", Under: 1, Next: 1, First: 1,
+func report(name string) auditlog.Report {
+	return auditlog.Report{Name: name, Zone: "z0", Site: "site", Instances: 1, Life: "life " + name, State: "acts", Under: 1, Next: 1, First: 1,
 		Version: version.Version{List: version.List{From: "ls", Revision: 7, Digest: 70}, Build: "new"}}
 }
 
 // says answers with a report.
-func says(r trail.Report) http.HandlerFunc {
+func says(r auditlog.Report) http.HandlerFunc {
 	text, err := json.Marshal(r)
 	return func(w http.ResponseWriter, _ *http.Request) {
 		if err != nil {
@@ -185,7 +185,7 @@
 	var orders, pages atomic.Int64
 	long := &script{life: "l"}
 	for range 3 {
-		long.add(1000, trail.Entry{Kind: trail.Counted, Attempts: slices.Repeat([]trail.Attempts{{Class: "c", Host: strings.Repeat("h", 250), N: 1}}, 512)})
+		long.add(1000, auditlog.Entry{Kind: auditlog.Counted, Attempts: slices.Repeat([]auditlog.Attempts{{Class: "c", Host: strings.Repeat("h", 250), N: 1}}, 512)})
 	}
 	addr := sidecarAt(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
@@ -219,7 +219,7 @@
 
 // Guards against a trail that has begun anew, and has grown as long as the former one, being read from its middle.
 func TestBegunAnew(t *testing.T) {
-	s := (&script{life: "m"}).add(100, trail.Entry{Kind: trail.Began}).adopt(200, 1, 5, 50).adopt(300, 2, 6, 60)
+	s := (&script{life: "m"}).add(100, auditlog.Entry{Kind: auditlog.Began}).adopt(200, 1, 5, 50).adopt(300, 2, 6, 60)
 	addr := sidecarAt(t, func(w http.ResponseWriter, r *http.Request) {
 		rep, since := report("a"), 0
 		_, _ = fmt.Sscanf(r.URL.RawQuery, "since=%d", &since)
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
-	"pinelb.example/pinelb/internal/durable"
-	"pinelb.example/pinelb/internal/trail"
+	"pinelb.example/pinelb/internal/auditlog"
+	"pinelb.example/pinelb/internal/persistence"
 	"pinelb.example/pinelb/internal/version"
 )
 
@@ -62,7 +62,7 @@
 
 // memory is what is kept of a sidecar's last answer.
 type memory struct {
-	Report *trail.Report // without its entries
+	Report *auditlog.Report // without its entries
 	Seen   version.Millis
 	Lost   version.Millis // since when it was not reached, 0: it was
 	took   time.Duration
@@ -102,7 +102,7 @@
 
 // clock is a time that goes on while the machine is asleep and that nobody sets or, where there is none, one that nobody sets.
 func (a *Audit) clock() time.Duration {
-	if c := durable.Now(); c.Up > 0 {
+	if c := persistence.Now(); c.Up > 0 {
 		return c.Up
 	}
 	return time.Since(a.began)
@@ -139,7 +139,7 @@
 // decide takes in what was answered, and judges by it, at the moment a.now. at is a moment by that clock.
 func (a *Audit) decide(questions []Question, answers []Answer, demand *version.Demand, at func(time.Time) time.Duration, wall time.Time) (decided version.Round, faults []string) {
 	if a.site == "" {
-		a.site = most(answers, func(r *trail.Report) string { return r.Site })
+		a.site = most(answers, func(r *auditlog.Report) string { return r.Site })
 	}
 	faults = slices.Concat(a.o.Roster.Faults, a.faults(answers))
 	a.take(questions, answers)
@@ -192,11 +192,11 @@
 	if l := a.history.newest(); l.Digest != 0 {
 		return l
 	}
-	return most(answers, func(r *trail.Report) version.List { return r.Version.List })
+	return most(answers, func(r *auditlog.Report) version.List { return r.Version.List })
 }
 
 // most is what most of those who were reached say; of as many the one that was said first.
-func most[T comparable](answers []Answer, of func(r *trail.Report) T) (best T) {
+func most[T comparable](answers []Answer, of func(r *auditlog.Report) T) (best T) {
 	counts := map[T]int{}
 	for i := range answers {
 		if r := answers[i].Report; r != nil {
@@ -303,7 +303,7 @@
 }
 
 func (a *Audit) readDir(name, dir string) {
-	entries, faults, err := trail.ReadDir(dir)
+	entries, faults, err := auditlog.ReadDir(dir)
 	if err != nil {
 		a.unread[name] = fmt.Sprintf("%s: its trail can't be read: %v", name, err)
 		return
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"pinelb.example/pinelb/internal/trail"
+	"pinelb.example/pinelb/internal/auditlog"
 	"pinelb.example/pinelb/internal/version"
 )
 
@@ -23,13 +23,13 @@
 	t  *testing.T
 	mu sync.Mutex
 
-	reports []trail.Report
+	reports []auditlog.Report
 	orders  [][]version.Order
 }
 
 // newFleet has so many, in two zones, all of which act on a list and tell no trail.
 func newFleet(t *testing.T, n int) (*fleet, *Roster) {
-	f := &fleet{t: t, reports: make([]trail.Report, n), orders: make([][]version.Order, n)}
+	f := &fleet{t: t, reports: make([]auditlog.Report, n), orders: make([][]version.Order, n)}
 	r := &Roster{}
 	for i := range n {
 		name := fmt.Sprintf("s%d", i)
@@ -56,7 +56,7 @@
 	says(r)(w, q)
 }
 
-func (f *fleet) set(i int, edit func(r *trail.Report)) {
+func (f *fleet) set(i int, edit func(r *auditlog.Report)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	edit(&f.reports[i])
@@ -89,10 +89,10 @@
 // Guards against stragglers that are taken for up to date, and against who was not reached being counted at all.
 func TestRound(t *testing.T) {
 	f, r := newFleet(t, 6)
-	f.set(1, func(r *trail.Report) { r.Version.List = version.List{From: "ls", Revision: 6, Digest: 60} })
-	f.set(2, func(r *trail.Report) { r.Name = "s9" }) // its address is another one's now
+	f.set(1, func(r *auditlog.Report) { r.Version.List = version.List{From: "ls", Revision: 6, Digest: 60} })
+	f.set(2, func(r *auditlog.Report) { r.Name = "s9" }) // its address is another one's now
 	r.Sidecars[3].Addr = dead(t)
-	f.set(4, func(r *trail.Report) { r.Rank = 0; r.Instances = 8 })
+	f.set(4, func(r *auditlog.Report) { r.Rank = 0; r.Instances = 8 })
 	a := New(options(r))
 	defer a.Close()
 	v := round(t, a)
@@ -139,11 +139,11 @@
 	if v := round(t, a); v.Exit() != AllWell || v.Contradictions != nil || v.Faults != nil {
 		t.Errorf("%d: %s, %q", v.Exit(), v.Verdict(), v.Faults)
 	}
-	f.set(0, func(r *trail.Report) { r.Name = "other" })
+	f.set(0, func(r *auditlog.Report) { r.Name = "other" })
 	if v := round(t, a); v.Exit() != NotWell {
 		t.Error("one of two was not reached")
 	}
-	f.set(1, func(r *trail.Report) { r.Name = "other" })
+	f.set(1, func(r *auditlog.Report) { r.Name = "other" })
 	if v := round(t, a); v.Exit() != NobodyThere || v.row("s1").Seen == 0 || v.row("s1").Version == nil {
 		t.Errorf("%d: %+v", v.Exit(), v.row("s1"))
 	}
@@ -169,7 +169,7 @@
 	if v.Count(Behind) != 3 || v.Reference.Revision != 9 || v.Reference.Digest == 0 {
 		t.Errorf("%s by %+v", v.Verdict(), v.Reference)
 	}
-	f.set(0, func(r *trail.Report) { r.Version.List = v.Reference })
+	f.set(0, func(r *auditlog.Report) { r.Version.List = v.Reference })
 	f.mu.Lock()
 	down = true
 	f.mu.Unlock()
@@ -183,7 +183,7 @@
 	f, r := newFleet(t, 3)
 	o := options(r)
 	o.Raise, o.Builds = true, []string{"new"}
-	f.set(2, func(r *trail.Report) { r.Version.Build = "old" })
+	f.set(2, func(r *auditlog.Report) { r.Version.Build = "old" })
 	var out bytes.Buffer
 	kept := filepath.Join(t.TempDir(), "kept")
 	if exit, err := Run(t.Context(), o, Output{To: &out, Kept: kept, Rounds: 2, Every: time.Millisecond}); exit != NotWell || err != nil {
@@ -331,7 +331,7 @@
 // FuzzMerge has sidecars tell anything, twice: nothing panics, what is held is bounded, and who was not reached is not up to date.
 func FuzzMerge(f *testing.F) {
 	for _, s := range []*script{
-		(&script{life: "l"}).add(100, trail.Entry{Kind: trail.Began}).adopt(200, 1, 5, 50).count(300, 1, 9, 1),
+		(&script{life: "l"}).add(100, auditlog.Entry{Kind: auditlog.Began}).adopt(200, 1, 5, 50).count(300, 1, 9, 1),
 		(&script{life: "m", ahead: -5000}).adopt(900, 1, 6, 60).adopt(950, 2, 4, 40),
 	} {
 		r := s.told(1000, 1).Report
@@ -352,7 +352,7 @@
 			answers := make([]Answer, 2)
 			for j, text := range [][]byte{first, second} {
 				answers[j] = Answer{Back: began, Middle: millis(began), Err: fmt.Errorf("none")}
-				r := trail.Report{}
+				r := auditlog.Report{}
 				if json.Unmarshal(text, &r) == nil && (bothReached || j == i%2) {
 					answers[j].Report = &r
 				}
--- a/internal/audit/history.go
+++ b/internal/audit/history.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"slices"
 
-	"pinelb.example/pinelb/internal/trail"
+	"pinelb.example/pinelb/internal/auditlog"
 	"pinelb.example/pinelb/internal/version"
 )
 
@@ -118,7 +118,7 @@
 			h.note(Hole, name, a.Middle, fmt.Sprintf("asked from entry %d on, of which it says that it has it, it did not tell it", since))
 		}
 	}
-	for _, f := range trail.Check(r.Entries) {
+	for _, f := range auditlog.Check(r.Entries) {
 		h.note(Hole, name, a.Middle, f.String())
 	}
 	h.merge(name, r.Entries, at)
@@ -126,7 +126,7 @@
 }
 
 // MergeDir takes in a trail that was read from the disk of a sidecar that can't be asked.
-func (h *History) MergeDir(name string, entries []trail.Entry, faults []trail.Fault) {
+func (h *History) MergeDir(name string, entries []auditlog.Entry, faults []auditlog.Fault) {
 	p := h.past(name)
 	at := anchor{Within: apart}
 	if n := len(entries); n > 0 {
@@ -143,7 +143,7 @@
 }
 
 // merge adds the entries that are new.
-func (h *History) merge(name string, entries []trail.Entry, at anchor) {
+func (h *History) merge(name string, entries []auditlog.Entry, at anchor) {
 	p := h.past(name)
 	placed := place(entries, at)
 	fresh := 0
@@ -180,7 +180,7 @@
 		if i > 0 && !follows(p.Entries[i-1].Entry, e.Entry) { // what was kept before is lost, rightly or not
 			revisions, epoch = map[string]int64{}, 0
 		}
-		if o := e.Order; e.Kind == trail.Ordered && o != nil && e.Why == "" && i >= first {
+		if o := e.Order; e.Kind == auditlog.Ordered && o != nil && e.Why == "" && i >= first {
 			h.ordered(name, e, o.Floor)
 		}
 		v := e.Version
@@ -202,7 +202,7 @@
 }
 
 // follows tells whether a trail goes from one entry to another.
-func follows(a, b trail.Entry) bool { return b.Seq == a.Seq+1 && b.Prev == a.Sum }
+func follows(a, b auditlog.Entry) bool { return b.Seq == a.Seq+1 && b.Prev == a.Sum }
 
 // served tells whether a list came from a list service, and not from a former process or the configuration.
 func served(l version.List) bool {
--- a/internal/audit/history_test.go
+++ b/internal/audit/history_test.go
@@ -7,19 +7,19 @@
 	"strings"
 	"testing"
 
-	"pinelb.example/pinelb/internal/trail"
+	"pinelb.example/pinelb/internal/auditlog"
 	"pinelb.example/pinelb/internal/version"
 )
 
 // script writes a trail: each call is an entry.
 type script struct {
-	entries []trail.Entry
+	entries []auditlog.Entry
 	life    string
 	epoch   uint64
 	ahead   version.Millis // by how much the wall clock goes before the auditor's
 }
 
-func (s *script) add(at version.Millis, e trail.Entry) *script {
+func (s *script) add(at version.Millis, e auditlog.Entry) *script {
 	e.Seq, e.At, e.Up, e.Life = uint64(len(s.entries)+1), at+s.ahead, at, s.life
 	if n := len(s.entries); n > 0 {
 		e.Prev = s.entries[n-1].Sum
@@ -35,16 +35,16 @@
 }
 
 func (s *script) adopt(at version.Millis, under uint32, revision int64, digest version.Digest) *script {
-	return s.add(at, trail.Entry{Kind: trail.Adopted, Under: under, Version: &version.Version{Epoch: s.epoch, List: version.List{From: "ls", Revision: revision, Digest: digest}}})
+	return s.add(at, auditlog.Entry{Kind: auditlog.Adopted, Under: under, Version: &version.Version{Epoch: s.epoch, List: version.List{From: "ls", Revision: revision, Digest: digest}}})
 }
 
 func (s *script) count(at version.Millis, under uint32, n, never int) *script {
-	return s.add(at, trail.Entry{Kind: trail.Counted, Under: under, Attempts: []trail.Attempts{{Class: "c", Host: "h", N: n, Never: never}}})
+	return s.add(at, auditlog.Entry{Kind: auditlog.Counted, Under: under, Attempts: []auditlog.Attempts{{Class: "c", Host: "h", N: n, Never: never}}})
 }
 
 // told is what is answered at a time to a call for entries from since on.
 func (s *script) told(at version.Millis, since int) Answer {
-	return Answer{Middle: at, Within: 10, Report: &trail.Report{Now: at + s.ahead, Up: at, First: 1, Next: uint64(len(s.entries) + 1),
+	return Answer{Middle: at, Within: 10, Report: &auditlog.Report{Now: at + s.ahead, Up: at, First: 1, Next: uint64(len(s.entries) + 1),
 		Entries: s.entries[since-1:]}}
 }
 
@@ -59,7 +59,7 @@
 // Guards against contradictions that are missed, and against what is none being told as one.
 func TestContradictions(t *testing.T) {
 	start := func() *script {
-		return (&script{life: "l"}).add(100, trail.Entry{Kind: trail.Began}).adopt(200, 1, 5, 50)
+		return (&script{life: "l"}).add(100, auditlog.Entry{Kind: auditlog.Began}).adopt(200, 1, 5, 50)
 	}
 	for name, c := range map[string]struct {
 		play func(h *History)
@@ -94,17 +94,17 @@
 		}, ""},
 		"rewritten": {func(h *History) {
 			h.Merge("a", 1, start().told(1000, 1))
-			h.Merge("a", 2, (&script{life: "l"}).add(100, trail.Entry{Kind: trail.Began}).adopt(300, 1, 5, 50).told(2000, 2))
+			h.Merge("a", 2, (&script{life: "l"}).add(100, auditlog.Entry{Kind: auditlog.Began}).adopt(300, 1, 5, 50).told(2000, 2))
 		}, Rewritten + " a entry 2"},
 		"begun anew": {func(h *History) {
 			h.Merge("a", 1, start().adopt(5000, 2, 6, 60).told(6000, 1))
-			h.Merge("a", 3, (&script{life: "m"}).add(7000, trail.Entry{Kind: trail.Began}).adopt(7100, 1, 5, 50).told(8000, 1))
+			h.Merge("a", 3, (&script{life: "m"}).add(7000, auditlog.Entry{Kind: auditlog.Began}).adopt(7100, 1, 5, 50).told(8000, 1))
 		}, ""},
 		"two processes": {func(h *History) { // the former goes on beside the one that succeeds it
 			s := start()
-			next := &script{entries: append([]trail.Entry(nil), s.entries...), life: "m"}
+			next := &script{entries: append([]auditlog.Entry(nil), s.entries...), life: "m"}
 			h.Merge("a", 1, s.adopt(5000, 2, 6, 60).told(6000, 1))
-			h.Merge("a", 3, next.add(4000, trail.Entry{Kind: trail.Began}).adopt(4100, 1, 5, 50).told(7000, 3))
+			h.Merge("a", 3, next.add(4000, auditlog.Entry{Kind: auditlog.Began}).adopt(4100, 1, 5, 50).told(7000, 3))
 		}, ""},
 		"revision back": {func(h *History) { h.Merge("a", 1, start().adopt(5000, 2, 4, 40).told(6000, 1)) }, Back + " a ls: revision 4 after 5"},
 		"epoch back": {func(h *History) {
@@ -139,7 +139,7 @@
 		"an order before it was raised": {func(h *History) {
 			o := version.Order{Floor: version.Floor{Epoch: 4, By: "me"}}
 			h.Raise(20_000, o.Floor)
-			h.Merge("a", 1, (&script{life: "l"}).add(5000, trail.Entry{Kind: trail.Ordered, Order: &o}).told(30_000, 1))
+			h.Merge("a", 1, (&script{life: "l"}).add(5000, auditlog.Entry{Kind: auditlog.Ordered, Order: &o}).told(30_000, 1))
 		}, Early + " a epoch 4"},
 	} {
 		h := &History{}
@@ -165,18 +165,18 @@
 // was started in between.
 func TestPlace(t *testing.T) {
 	for name, c := range map[string]struct {
-		entries []trail.Entry
+		entries []auditlog.Entry
 		wall    version.Millis
 		want    []version.Millis
 	}{
-		"ahead":                {[]trail.Entry{{At: 15_000, Up: 1000}, {At: 16_000, Up: 2000}}, 25_000, []version.Millis{10_000, 11_000}},
-		"set back between":     {[]trail.Entry{{At: 15_000, Up: 1000}, {At: 11_000, Up: 2000}}, 20_000, []version.Millis{10_000, 11_000}},
-		"set back after":       {[]trail.Entry{{At: 15_000, Up: 1000}, {At: 16_000, Up: 2000}}, 12_000, []version.Millis{10_000, 11_000}},
-		"started in between":   {[]trail.Entry{{At: 5000, Up: 900_000}, {At: 16_000, Up: 2000, Life: "m"}}, 25_000, []version.Millis{0, 11_000}},
-		"and soon":             {[]trail.Entry{{At: 5000, Up: 20_000}, {At: 16_000, Up: 2000, Life: "m"}}, 25_000, []version.Millis{0, 11_000}},
-		"and for long":         {[]trail.Entry{{At: 5000, Up: 1000}, {At: 500_000, Up: 2000, Life: "m"}}, 509_000, []version.Millis{-484_000, 11_000}},
-		"up is not known once": {[]trail.Entry{{At: 15_000, Up: 1000}, {At: 15_500}, {At: 16_000, Up: 2000}}, 25_000, []version.Millis{10_000, 10_500, 11_000}},
-		"up is not known":      {[]trail.Entry{{At: 15_000}, {At: 16_000}}, 25_000, []version.Millis{10_000, 11_000}},
+		"ahead":                {[]auditlog.Entry{{At: 15_000, Up: 1000}, {At: 16_000, Up: 2000}}, 25_000, []version.Millis{10_000, 11_000}},
+		"set back between":     {[]auditlog.Entry{{At: 15_000, Up: 1000}, {At: 11_000, Up: 2000}}, 20_000, []version.Millis{10_000, 11_000}},
+		"set back after":       {[]auditlog.Entry{{At: 15_000, Up: 1000}, {At: 16_000, Up: 2000}}, 12_000, []version.Millis{10_000, 11_000}},
+		"started in between":   {[]auditlog.Entry{{At: 5000, Up: 900_000}, {At: 16_000, Up: 2000, Life: "m"}}, 25_000, []version.Millis{0, 11_000}},
+		"and soon":             {[]auditlog.Entry{{At: 5000, Up: 20_000}, {At: 16_000, Up: 2000, Life: "m"}}, 25_000, []version.Millis{0, 11_000}},
+		"and for long":         {[]auditlog.Entry{{At: 5000, Up: 1000}, {At: 500_000, Up: 2000, Life: "m"}}, 509_000, []version.Millis{-484_000, 11_000}},
+		"up is not known once": {[]auditlog.Entry{{At: 15_000, Up: 1000}, {At: 15_500}, {At: 16_000, Up: 2000}}, 25_000, []version.Millis{10_000, 10_500, 11_000}},
+		"up is not known":      {[]auditlog.Entry{{At: 15_000}, {At: 16_000}}, 25_000, []version.Millis{10_000, 11_000}},
 	} {
 		got := place(c.entries, anchor{Time: 20_000, Within: 3, Wall: c.wall, Up: 11_000})
 		for i := range got {
@@ -191,7 +191,7 @@
 // reached a host.
 func TestLate(t *testing.T) {
 	floor := version.Floor{Epoch: 1, By: "me", List: 60, Revision: 6, Grace: 3000, For: 60_000}
-	s := (&script{life: "l"}).add(100, trail.Entry{Kind: trail.Began}).adopt(200, 1, 5, 50)
+	s := (&script{life: "l"}).add(100, auditlog.Entry{Kind: auditlog.Began}).adopt(200, 1, 5, 50)
 	s.count(9000, 1, 100, 0)                           // before the floor
 	s.count(19_000, 1, 7, 2)                           // over its grace's end, at 13 s
 	s.count(29_000, 1, 20, 3)                          // after
--- a/internal/audit/late.go
+++ b/internal/audit/late.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"pinelb.example/pinelb/internal/trail"
+	"pinelb.example/pinelb/internal/auditlog"
 	"pinelb.example/pinelb/internal/version"
 )
 
@@ -39,7 +39,7 @@
 			if e.From != repeated {
 				began[key] = e.Time
 			}
-		case e.Kind == trail.Counted && versions[key] != nil:
+		case e.Kind == auditlog.Counted && versions[key] != nil:
 			from := began[key]
 			for _, t := range slices.Backward(flushed[e.Life]) {
 				if t < e.Time-slack { // those of one flush stand closer together
--- a/internal/audit/page.go
+++ b/internal/audit/page.go
@@ -9,7 +9,7 @@
 	"maps"
 	"slices"
 
-	"pinelb.example/pinelb/internal/trail"
+	"pinelb.example/pinelb/internal/auditlog"
 	"pinelb.example/pinelb/internal/version"
 )
 
@@ -155,11 +155,11 @@
 // what tells an entry in words.
 func what(e Event) string {
 	switch {
-	case e.Kind == trail.Adopted && e.Version != nil:
+	case e.Kind == auditlog.Adopted && e.Version != nil:
 		v := e.Version
 		return fmt.Sprintf("no. %d: list %s of %s, settings %s, file %s, build %s, epoch %d", e.Under, name(v.List), v.List.From,
 			short(v.Settings), short(v.File), v.Build, v.Epoch)
-	case e.Kind == trail.Ordered && e.Order != nil:
+	case e.Kind == auditlog.Ordered && e.Order != nil:
 		text := fmt.Sprintf("epoch %d by %s", e.Order.Floor.Epoch, e.Order.Floor.By)
 		if e.Order.Ticket != nil {
 			text += fmt.Sprintf(", ticket %d", e.Order.Ticket.No)
@@ -168,13 +168,13 @@
 			text += ", refused: " + e.Why
 		}
 		return text
-	case e.Kind == trail.Judged && e.Why != "":
+	case e.Kind == auditlog.Judged && e.Why != "":
 		return e.State + ": " + e.Why
-	case e.Kind == trail.Judged:
+	case e.Kind == auditlog.Judged:
 		return e.State
-	case e.Kind == trail.Stopped:
+	case e.Kind == auditlog.Stopped:
 		return "for " + span(e.Took)
-	case e.Kind == trail.Lost:
+	case e.Kind == auditlog.Lost:
 		return fmt.Sprintf("%d before it were not kept", e.N)
 	}
 	return e.From
--- a/internal/audit/place.go
+++ b/internal/audit/place.go
@@ -1,7 +1,7 @@
 package audit
 
 import (
-	"pinelb.example/pinelb/internal/trail"
+	"pinelb.example/pinelb/internal/auditlog"
 	"pinelb.example/pinelb/internal/version"
 )
 
@@ -12,7 +12,7 @@
 
 // Placed is an entry on the auditor's time line.
 type Placed struct {
-	trail.Entry
+	auditlog.Entry
 	Time   version.Millis `json:"time_ms"`   // Unix time by the auditor's clock,
 	Within version.Millis `json:"within_ms"` // give or take that
 }
@@ -26,7 +26,7 @@
 // place puts entries, in their order, on the time line. Where the clock since the machine's start is known it alone counts:
 // nobody sets that one, so that a step of the wall clock between two entries moves neither. Over a start of the machine, which
 // shows by that clock going back or, from one life to the next, by a step that nobody sets a clock by, the wall clock counts.
-func place(entries []trail.Entry, a anchor) []Placed {
+func place(entries []auditlog.Entry, a anchor) []Placed {
 	out := make([]Placed, len(entries))
 	shift, wall, up, life := a.Time-a.Wall, a.Wall, a.Up, ""
 	for i := len(entries) - 1; i >= 0; i-- {
--- a/internal/audit/view.go
+++ b/internal/audit/view.go
@@ -6,7 +6,7 @@
 	"maps"
 	"slices"
 
-	"pinelb.example/pinelb/internal/trail"
+	"pinelb.example/pinelb/internal/auditlog"
 	"pinelb.example/pinelb/internal/version"
 )
 
@@ -201,7 +201,7 @@
 	var all []Event
 	for name, p := range h.Sidecars {
 		for _, e := range p.Entries[max(0, len(p.Entries)-eventsMost):] {
-			if e.Kind != trail.Counted {
+			if e.Kind != auditlog.Counted {
 				all = append(all, Event{e, name})
 			}
 		}
@@ -280,4 +280,4 @@
 }
 
 // adopts tells whether an entry is an adoption.
-func adopts(e Placed) bool { return e.Kind == trail.Adopted && e.Version != nil }
+func adopts(e Placed) bool { return e.Kind == auditlog.Adopted && e.Version != nil }
--- a/internal/trail/entry.go
+++ b/internal/auditlog/entry.go
@@ -1,6 +1,6 @@
 // Package trail keeps what one sidecar did under which version: a chain of entries, each with the digest of the one before,
 // bounded in memory and, where there is a disk, on it.
-package trail
+package auditlog
 
 import "pinelb.example/pinelb/internal/version"
 
--- a/internal/trail/file.go
+++ b/internal/auditlog/file.go
@@ -1,4 +1,4 @@
-package trail
+package auditlog
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"pinelb.example/pinelb/internal/durable"
+	"pinelb.example/pinelb/internal/persistence"
 )
 
 const (
@@ -29,7 +29,7 @@
 // not take is written later, as long as the book has it; what that has dropped by then is told by an entry. All but counts
 // are brought to outlast a power cut at once.
 type File struct {
-	Disk durable.Disk
+	Disk persistence.Disk
 	Book *Book
 	// Fault is told when the trail can't be written, again when it can't for another cause, and with nil when it can again.
 	Fault func(err error)
@@ -37,7 +37,7 @@
 	stop, ended chan struct{}
 
 	// Of run alone.
-	file   durable.File
+	file   persistence.File
 	name   string
 	unlock func()
 	size   int
@@ -269,7 +269,7 @@
 
 // Load reads what processes of one sidecar have left on a disk, alive or dead: the entries in order of their numbers, and
 // where the trail is not whole. In which order the lines stand does not matter. Of a last line that is cut off nothing is told: what was not written whole was not promised.
-func Load(d durable.Disk) (entries []Entry, faults []Fault, err error) {
+func Load(d persistence.Disk) (entries []Entry, faults []Fault, err error) {
 	names, err := d.Names()
 	if err != nil {
 		return nil, nil, fmt.Errorf("trail: %w", err)
@@ -297,7 +297,7 @@
 }
 
 // ReadDir reads the trail in a directory, as Load does: of a dead sidecar, or one that runs.
-func ReadDir(path string) ([]Entry, []Fault, error) { return Load(durable.Dir(path)) }
+func ReadDir(path string) ([]Entry, []Fault, error) { return Load(persistence.Dir(path)) }
 
 // decode reads a file's text. A line that is no entry, or not written as entries are, is a fault; one that is cut off at the
 // end is left out.
--- a/internal/trail/full_disk_test.go
+++ b/internal/auditlog/full_disk_test.go
@@ -1,4 +1,4 @@
-package trail
+package auditlog
 
 import (
 	"os"
@@ -6,18 +6,18 @@
 	"strings"
 	"testing"
 
-	"pinelb.example/pinelb/internal/durable"
+	"pinelb.example/pinelb/internal/persistence"
 )
 
 // fullDisk is a directory in which a trail's next file is a device that is always full. All such directories share the
 // device, and with it the lock on the file that is begun.
-func fullDisk(t *testing.T) durable.Disk {
+func fullDisk(t *testing.T) persistence.Disk {
 	t.Helper()
 	path := t.TempDir()
 	if err := os.Symlink("/dev/full", filepath.Join(path, freshName)); err != nil {
 		t.Fatal(err)
 	}
-	return durable.Dir(path)
+	return persistence.Dir(path)
 }
 
 // Guards against a disk that is full and never said to be: the first attempt fails for another reason, the second one for
--- a/internal/trail/report.go
+++ b/internal/auditlog/report.go
@@ -1,4 +1,4 @@
-package trail
+package auditlog
 
 import (
 	"encoding/hex"
--- a/internal/trail/trail_test.go
+++ b/internal/auditlog/trail_test.go
@@ -1,4 +1,4 @@
-package trail
+package auditlog
 
 import (
 	"encoding/json"
@@ -17,13 +17,13 @@
 	"pgregory.net/rapid"
 
 	"pinelb.example/pinelb/balance"
-	"pinelb.example/pinelb/internal/durable"
+	"pinelb.example/pinelb/internal/persistence"
 	"pinelb.example/pinelb/internal/version"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func clock() durable.Clock { return durable.Clock{Wall: time.UnixMilli(5000), Up: time.Second} }
+func clock() persistence.Clock { return persistence.Clock{Wall: time.UnixMilli(5000), Up: time.Second} }
 
 func names(class int, host balance.EndpointID) (string, string) {
 	return fmt.Sprint("class", class), fmt.Sprint("host-", host)
@@ -344,7 +344,7 @@
 	return nil
 }
 
-func (d *disk) Create(name string) (durable.File, error) {
+func (d *disk) Create(name string) (persistence.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.made++
@@ -456,7 +456,7 @@
 }
 
 // writer is a file whose steps are taken one by one.
-func writer(d durable.Disk, b *Book) *File { return &File{Disk: d, Book: b, Fault: func(error) {}} }
+func writer(d persistence.Disk, b *Book) *File { return &File{Disk: d, Book: b, Fault: func(error) {}} }
 
 // Guards against more than the cut line being lost, wherever a file is cut, against a byte that is changed without a fault,
 // and against a next process that does not go on from it.
@@ -711,7 +711,7 @@
 // Guards against files that grow or become many, and against locks and files that the operating system's disk leaves.
 func TestRotation(t *testing.T) {
 	path := t.TempDir()
-	d := durable.Dir(path)
+	d := persistence.Dir(path)
 	b := book("a", nil)
 	f := writer(d, b)
 	for i := range 6000 { // 3 MiB
--- a/internal/cluster/paced.go
+++ b/internal/cluster/paced.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"pinelb.example/pinelb/balance"
-	"pinelb.example/pinelb/internal/pace"
+	"pinelb.example/pinelb/internal/pacing"
 )
 
 // Tunables of a paced watch.
@@ -22,7 +22,7 @@
 
 // Paced is how a list service that a whole fleet asks is to be spared.
 type Paced struct {
-	Fleet pace.Fleet
+	Fleet pacing.Fleet
 	Whole time.Duration // the whole list is asked for anew so often; 0 is never
 	Since int64         // the revision of a list that is held already; 0 is none, and the whole list is asked for
 }
@@ -46,7 +46,7 @@
 type paced struct {
 	*watch
 	Paced
-	pacer     *pace.Pacer
+	pacer     *pacing.Pacer
 	begun     time.Time
 	wholeAt   time.Duration // when the last whole list came
 	doubted   *List         // one that waits for another to say the same
@@ -56,7 +56,7 @@
 
 func (w *watch) paced(how Paced) *paced {
 	p := &paced{watch: w, Paced: how, begun: time.Now()}
-	p.pacer = pace.New(how.Fleet, w.rand, 0)
+	p.pacer = pacing.New(how.Fleet, w.rand, 0)
 	w.revision, w.have, w.sliced = how.Since, how.Since > 0, true
 	p.wholeAt = -time.Duration(w.rand.Float64() * float64(how.Whole))
 	return p
@@ -132,7 +132,7 @@
 
 // ask makes one call and says how it ended. Stopped is for how long the process did not run meanwhile: so much longer the
 // answer was waited for, and the service is not to blame for it.
-func (p *paced) ask(ctx context.Context, q question) (list List, end pace.End, stopped time.Duration, err error) {
+func (p *paced) ask(ctx context.Context, q question) (list List, end pacing.End, stopped time.Duration, err error) {
 	from := p.now()
 	dialled := p.conn == nil
 	limit := p.pacer.Within()
@@ -155,9 +155,9 @@
 	switch {
 	case broken: // the service had nothing to say, and is asked again at the next moment
 		p.hangUp()
-		return list, pace.End{How: pace.Quiet}, stopped, errBroken
+		return list, pacing.End{How: pacing.Quiet}, stopped, errBroken
 	case err == nil && q.wait > 0 && len(list.Members) == 0 && !list.Complete:
-		end.How, end.Took = pace.Quiet, max(0, end.Took-q.wait)
+		end.How, end.Took = pacing.Quiet, max(0, end.Took-q.wait)
 		return list, end, stopped, nil
 	case err == nil:
 		if q.wait > 0 {
@@ -165,15 +165,15 @@
 		}
 		return list, end, stopped, nil
 	case errors.As(err, &turned):
-		end.How, end.RetryAfter = pace.Turned, turned.after
+		end.How, end.RetryAfter = pacing.Turned, turned.after
 	case errors.As(err, &lost) && lost.Op == "dial":
-		end.How = pace.Down
+		end.How = pacing.Down
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		end.How = pace.Silent
+		end.How = pacing.Silent
 	case q.wait > 0 || !dialled: // it had nothing to say, or the connection was an old one
-		end.How = pace.Down
+		end.How = pacing.Down
 	default:
-		end.How = pace.Turned
+		end.How = pacing.Turned
 	}
 	if turned == nil {
 		p.hangUp()
--- a/internal/cluster/paced_test.go
+++ b/internal/cluster/paced_test.go
@@ -15,7 +15,7 @@
 	"github.com/rs/zerolog"
 
 	"pinelb.example/pinelb/balance"
-	"pinelb.example/pinelb/internal/pace"
+	"pinelb.example/pinelb/internal/pacing"
 )
 
 // A paced watch by script: what it asks, what it is answered, and how many hosts the decisions have been told of since.
@@ -75,7 +75,7 @@
 			ctx, end := context.WithCancel(context.Background())
 			ended := make(chan struct{})
 			watcher := Watcher{Addr: a.addr, Table: table, Rand: rand.New(rand.NewPCG(1, 2)), Log: zerolog.Nop(),
-				Paced: &Paced{Fleet: pace.Fleet{Instances: 1, Rate: 1000, Watch: time.Second}, Since: c.since}}
+				Paced: &Paced{Fleet: pacing.Fleet{Instances: 1, Rate: 1000, Watch: time.Second}, Since: c.since}}
 			go func() {
 				watcher.Run(ctx, func() {})
 				close(ended)
@@ -124,7 +124,7 @@
 	ctx, end := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	watcher := Watcher{Addr: a.addr, Table: table, Rand: rand.New(rand.NewPCG(1, 2)), Log: zerolog.Nop(),
-		Paced: &Paced{Fleet: pace.Fleet{Instances: 1, Rate: 1000, Watch: time.Second}}}
+		Paced: &Paced{Fleet: pacing.Fleet{Instances: 1, Rate: 1000, Watch: time.Second}}}
 	go func() {
 		watcher.Run(ctx, func() {})
 		close(ended)
@@ -195,9 +195,9 @@
 	a := newAgent(t)
 	_, table := newWorld()
 	w := &watch{addr: a.addr, table: table, rand: rand.New(rand.NewPCG(1, 2)), log: zerolog.Nop(), whole: &afresh{}}
-	p := w.paced(Paced{Fleet: pace.Fleet{Instances: 1, Rate: 1000, Watch: time.Second}})
+	p := w.paced(Paced{Fleet: pacing.Fleet{Instances: 1, Rate: 1000, Watch: time.Second}})
 	p.doubted, p.doubtEnds = &List{}, p.now() // it is over already: not even a connection is waited for
-	if _, end, _, err := p.ask(context.Background(), question{target: "/catalog/members"}); err == nil || end.How != pace.Down {
+	if _, end, _, err := p.ask(context.Background(), question{target: "/catalog/members"}); err == nil || end.How != pacing.Down {
 		t.Errorf("a call beyond the doubt ended as %+v, %v; it is to end with the dial", end, err)
 	}
 }
--- a/internal/cluster/version_test.go
+++ b/internal/cluster/version_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 
 	"pinelb.example/pinelb/balance"
-	"pinelb.example/pinelb/internal/pace"
+	"pinelb.example/pinelb/internal/pacing"
 	"pinelb.example/pinelb/internal/version"
 )
 
@@ -73,7 +73,7 @@
 
 // Guards against a watch that waits on when the whole list is wanted, and against an answer from before that which counts for it.
 func TestRefresh(t *testing.T) {
-	for name, paced := range map[string]*Paced{"plain": nil, "paced": {Fleet: pace.Fleet{Instances: 1, Rate: 1000, Watch: 10 * time.Second}}} {
+	for name, paced := range map[string]*Paced{"plain": nil, "paced": {Fleet: pacing.Fleet{Instances: 1, Rate: 1000, Watch: 10 * time.Second}}} {
 		t.Run(name, func(t *testing.T) {
 			a := newAgent(t)
 			w, table := newWorld()
--- a/internal/cluster/watch.go
+++ b/internal/cluster/watch.go
@@ -16,7 +16,7 @@
 	"github.com/tidwall/gjson"
 
 	"pinelb.example/pinelb/balance"
-	"pinelb.example/pinelb/internal/pace"
+	"pinelb.example/pinelb/internal/pacing"
 )
 
 // Tunables. A watch that has fallen silent looks like one without news until its wait is over, so that is how late a
@@ -271,7 +271,7 @@
 		defer w.hangUp()
 	}
 	if s := res.StatusCode; s == http.StatusServiceUnavailable || s == http.StatusTooManyRequests {
-		return List{}, &turnedAway{s, pace.Advice(res.Header.Get("Retry-After"))}
+		return List{}, &turnedAway{s, pacing.Advice(res.Header.Get("Retry-After"))}
 	}
 	if res.StatusCode != http.StatusOK || nested(body, nestedMost) || !gjson.ValidBytes(body) {
 		return List{}, fmt.Errorf("cluster: answer %d of %d bytes is no list", res.StatusCode, len(body))
--- a/internal/config/distributed.go
+++ b/internal/config/distributed.go
@@ -9,7 +9,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"pinelb.example/pinelb/internal/distribute"
+	"pinelb.example/pinelb/internal/settingsstore"
 	"pinelb.example/pinelb/internal/tomlfile"
 )
 
@@ -35,8 +35,8 @@
 			return file.Fault("settings.from", "[%d] stands there twice: %q", i, addr)
 		}
 	}
-	if err := distribute.CheckName("", d.Service); err != nil {
-		return file.Fault("settings.service", "must be given: 1 to %d letters, digits, '.', '_' and '-', the first of the first two", distribute.ByMost)
+	if err := settingsstore.CheckName("", d.Service); err != nil {
+		return file.Fault("settings.service", "must be given: 1 to %d letters, digits, '.', '_' and '-', the first of the first two", settingsstore.ByMost)
 	}
 	return nil
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"pinelb.example/pinelb/internal/pace"
+	"pinelb.example/pinelb/internal/pacing"
 	"pinelb.example/pinelb/internal/tomlfile"
 )
 
@@ -105,11 +105,11 @@
 }
 
 // Fleet is the same for the watch of an instance, of whom the settings tell so many.
-func (d *Discovery) Fleet(instances int) pace.Fleet {
+func (d *Discovery) Fleet(instances int) pacing.Fleet {
 	if d.Instances != 0 {
 		instances = d.Instances
 	}
-	return pace.Fleet{Instances: instances, Rate: d.Calls, Burst: d.Burst, Watch: d.Watch.D()}
+	return pacing.Fleet{Instances: instances, Rate: d.Calls, Burst: d.Burst, Watch: d.Watch.D()}
 }
 
 // Fleet is the section [fleet]: how the instances of a tier are told apart.
--- a/internal/peek/peek.go
+++ b/internal/connstate/peek.go
@@ -1,5 +1,5 @@
 // Package peek looks at what the other side of a connection has done, and takes nothing from it.
-package peek
+package connstate
 
 import (
 	"net"
--- a/internal/peek/peek_test.go
+++ b/internal/connstate/peek_test.go
@@ -1,4 +1,4 @@
-package peek
+package connstate
 
 import (
 	"net"
--- a/internal/control/audit.go
+++ b/internal/control/audit.go
@@ -10,7 +10,7 @@
 	"net/url"
 	"strconv"
 
-	"pinelb.example/pinelb/internal/trail"
+	"pinelb.example/pinelb/internal/auditlog"
 	"pinelb.example/pinelb/internal/version"
 )
 
@@ -22,7 +22,7 @@
 // Audit is this process as auditors see it.
 type Audit interface {
 	// Report tells what it acts on, and its trail from that entry on, so many as fit.
-	Report(since uint64) trail.Report
+	Report(since uint64) auditlog.Report
 	// Take takes an order, or refuses it with an error of the kinds that version.Actor.Take returns.
 	Take(o version.Order) error
 }
--- a/internal/control/audit_test.go
+++ b/internal/control/audit_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/rs/zerolog"
 
-	"pinelb.example/pinelb/internal/trail"
+	"pinelb.example/pinelb/internal/auditlog"
 	"pinelb.example/pinelb/internal/version"
 )
 
@@ -21,9 +21,9 @@
 	since  uint64
 }
 
-func (a *auditee) Report(since uint64) trail.Report {
+func (a *auditee) Report(since uint64) auditlog.Report {
 	a.since = since
-	return trail.Report{Name: "n0"}
+	return auditlog.Report{Name: "n0"}
 }
 
 func (a *auditee) Take(o version.Order) error {
--- a/internal/daemon/audit.go
+++ b/internal/daemon/audit.go
@@ -17,10 +17,10 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/rs/zerolog"
 
+	"pinelb.example/pinelb/internal/auditlog"
 	"pinelb.example/pinelb/internal/config"
 	"pinelb.example/pinelb/internal/control"
-	"pinelb.example/pinelb/internal/durable"
-	"pinelb.example/pinelb/internal/trail"
+	"pinelb.example/pinelb/internal/persistence"
 	"pinelb.example/pinelb/internal/version"
 )
 
@@ -43,8 +43,8 @@
 	start   time.Time
 	now     func() time.Duration // since the start, by the monotonic clock, which goes on while the process is stopped
 	wall    func() time.Time
-	book    *trail.Book
-	file    *trail.File // nil: no disk
+	book    *auditlog.Book
+	file    *auditlog.File // nil: no disk
 	log     zerolog.Logger
 
 	refresh func()        // asks the list service for the whole list; set before run
@@ -79,20 +79,20 @@
 	past, from := next.trail(), "former"
 	if len(past) == 0 && keep != nil {
 		from = "disk"
-		var faults []trail.Fault
+		var faults []auditlog.Fault
 		var err error
-		if past, faults, err = trail.Load(keep.disk); err != nil || len(faults) > 0 {
+		if past, faults, err = auditlog.Load(keep.disk); err != nil || len(faults) > 0 {
 			log.Error().Err(err).Stringers("faults", told(faults)).Msg("the trail is not whole")
 		}
 	}
 	if len(past) == 0 {
 		from = ""
 	}
-	epoch, by := trail.LastOrder(past)
+	epoch, by := auditlog.LastOrder(past)
 	a.actor = version.NewActor(0, a.limits(), rand.New(rand.NewPCG(cfg.Seed^rand.Uint64(), auditStream)), epoch, by)
-	a.book = trail.NewBook(a.life, from, past, durable.Now)
+	a.book = auditlog.NewBook(a.life, from, past, persistence.Now)
 	if keep != nil {
-		a.file = &trail.File{Disk: keep.disk, Book: a.book, Fault: func(err error) {
+		a.file = &auditlog.File{Disk: keep.disk, Book: a.book, Fault: func(err error) {
 			if err != nil {
 				log.Error().Err(err).Msg("the trail is not written")
 			} else {
@@ -114,7 +114,7 @@
 }
 
 // told is what the log has of faults: the first ones.
-func told(faults []trail.Fault) (out []fmt.Stringer) {
+func told(faults []auditlog.Fault) (out []fmt.Stringer) {
 	for _, f := range faults[:min(len(faults), 3)] {
 		out = append(out, f)
 	}
@@ -230,7 +230,7 @@
 	stopped := a.actor.Beat(now)
 	a.beat.Store(int64(now))
 	if stopped > 0 {
-		a.book.Note(trail.Entry{Kind: trail.Stopped, Took: millis(stopped)})
+		a.book.Note(auditlog.Entry{Kind: auditlog.Stopped, Took: millis(stopped)})
 		a.log.Warn().Dur("for", stopped).Msg("was stopped; nothing is sent until discovery answers, for a while")
 	}
 }
@@ -239,7 +239,7 @@
 func (a *audited) judge(now time.Duration) {
 	v := a.actor.Verdict(now)
 	if v.State != a.verdict.State || v.Why != a.verdict.Why {
-		a.book.Note(trail.Entry{Kind: trail.Judged, State: v.State, Why: v.Why})
+		a.book.Note(auditlog.Entry{Kind: auditlog.Judged, State: v.State, Why: v.Why})
 		if a.verdict.State != "" {
 			a.log.Warn().Str("state", v.State).Str("why", v.Why).Msg("the audit's verdict has changed")
 		}
@@ -329,7 +329,7 @@
 			a.book.Flush()
 		case <-ctx.Done():
 			a.book.Flush()
-			a.book.Note(trail.Entry{Kind: trail.Ended})
+			a.book.Note(auditlog.Entry{Kind: auditlog.Ended})
 			if a.file != nil {
 				a.file.Close()
 			}
@@ -345,7 +345,7 @@
 	a.lives(now)
 	was := a.actor.Floor(now)
 	err := a.actor.Take(now, time.Duration(a.wall().UnixNano()), o)
-	e := trail.Entry{Kind: trail.Ordered, Order: &o}
+	e := auditlog.Entry{Kind: auditlog.Ordered, Order: &o}
 	switch {
 	case err != nil:
 		e.Why = err.Error()
@@ -366,13 +366,13 @@
 }
 
 // Report is what an auditor is answered, with the trail's entries from that number on.
-func (a *audited) Report(since uint64) trail.Report {
+func (a *audited) Report(since uint64) auditlog.Report {
 	a.tick()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.now()
-	r := trail.Report{Name: a.name, Site: a.site, Rank: a.set.Rank, Instances: max(1, a.set.Instances), Life: a.life,
-		Now: version.Millis(a.wall().UnixMilli()), Up: millis(durable.Now().Up), Since: millis(now - a.since), Heard: -1, State: a.verdict.State, Why: a.verdict.Why,
+	r := auditlog.Report{Name: a.name, Site: a.site, Rank: a.set.Rank, Instances: max(1, a.set.Instances), Life: a.life,
+		Now: version.Millis(a.wall().UnixMilli()), Up: millis(persistence.Now().Up), Since: millis(now - a.since), Heard: -1, State: a.verdict.State, Why: a.verdict.Why,
 		Floor: a.actor.Floor(now), Ticket: a.actor.Ticket(now), Succeed: a.succeed}
 	if z := a.set.Zone; z >= 0 && z < len(a.set.ZoneNames) {
 		r.Zone = a.set.ZoneNames[z]
--- a/internal/daemon/audit_test.go
+++ b/internal/daemon/audit_test.go
@@ -12,14 +12,14 @@
 	"github.com/rs/zerolog"
 
 	"pinelb.example/pinelb/balance"
+	"pinelb.example/pinelb/internal/auditlog"
 	"pinelb.example/pinelb/internal/cluster"
 	"pinelb.example/pinelb/internal/config"
-	"pinelb.example/pinelb/internal/durable"
-	"pinelb.example/pinelb/internal/effects"
-	"pinelb.example/pinelb/internal/engine"
+	"pinelb.example/pinelb/internal/driver"
 	"pinelb.example/pinelb/internal/handover"
+	"pinelb.example/pinelb/internal/inflight"
+	"pinelb.example/pinelb/internal/persistence"
 	"pinelb.example/pinelb/internal/stream"
-	"pinelb.example/pinelb/internal/trail"
 	"pinelb.example/pinelb/internal/version"
 )
 
@@ -29,7 +29,7 @@
 	time  time.Time
 	asked int // for whole lists
 	set   *config.Settings
-	eng   *engine.Engine
+	eng   *driver.Engine
 	table *cluster.Table
 }
 
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	set.Instances, set.RetryAfter = 10, true
-	eng, err := engine.New(set.Settings, 1, noHosts{}, zerolog.Nop())
+	eng, err := driver.New(set.Settings, 1, noHosts{}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -145,10 +145,10 @@
 				}
 			}
 			for _, e := range w.book.Past() {
-				if e.Kind == trail.Stopped {
+				if e.Kind == auditlog.Stopped {
 					stops--
 				}
-				if e.Kind == trail.Judged {
+				if e.Kind == auditlog.Judged {
 					if now := e.State + e.Why; now == last {
 						t.Errorf("%s is noted twice", now)
 					} else {
@@ -165,7 +165,7 @@
 
 // seen notes, of each attempt, the number that the trail is told.
 type seen struct {
-	*trail.Book
+	*auditlog.Book
 	mu  sync.Mutex
 	got map[attempt]int
 	of  func(balance.EndpointID) string
@@ -223,7 +223,7 @@
 	w.book.Flush()
 	held, total, counted := map[uint32]version.List{}, 0, 0
 	for _, e := range w.book.Past() {
-		if e.Kind == trail.Adopted {
+		if e.Kind == auditlog.Adopted {
 			held[e.Under] = e.Version.List
 		}
 		for _, a := range e.Attempts {
@@ -262,9 +262,9 @@
 func TestTrailGoesOn(t *testing.T) {
 	for _, from := range []string{"disk", "former"} {
 		t.Run(from, func(t *testing.T) {
-			disk, w, next := durable.Dir(t.TempDir()), newWorld(t, config.Audit{}), &succession{}
+			disk, w, next := persistence.Dir(t.TempDir()), newWorld(t, config.Audit{}), &succession{}
 			if from == "disk" {
-				w.file = &trail.File{Disk: disk, Book: w.book, Fault: func(err error) { t.Error(err) }}
+				w.file = &auditlog.File{Disk: disk, Book: w.book, Fault: func(err error) { t.Error(err) }}
 				w.file.Begin()
 			}
 			if err := w.Take(version.Order{Floor: version.Floor{Epoch: 7, By: "a", Site: w.site, Grace: 1, For: 1000}}); err != nil {
@@ -272,7 +272,7 @@
 			}
 			w.book.Sent(1, 0, 1, false)
 			if from == "former" {
-				s := &succession{classes: func() []string { return nil }, table: w.table, eng: w.eng, effects: effects.New(1), audited: w.audited}
+				s := &succession{classes: func() []string { return nil }, table: w.table, eng: w.eng, effects: inflight.New(1), audited: w.audited}
 				state, err := s.state()
 				if err != nil {
 					t.Fatal(err)
@@ -290,11 +290,11 @@
 				for _, a := range e.Attempts {
 					counted += a.N
 				}
-				if e.Kind == trail.Began && e.Life == heir.life && e.From != from {
+				if e.Kind == auditlog.Began && e.Life == heir.life && e.From != from {
 					t.Errorf("it begins from %q", e.From)
 				}
 			}
-			if faults := trail.Check(past); len(faults) > 0 || past[0].Life != w.life || past[len(past)-1].Life != heir.life || counted != 1 {
+			if faults := auditlog.Check(past); len(faults) > 0 || past[0].Life != w.life || past[len(past)-1].Life != heir.life || counted != 1 {
 				t.Errorf("%v, %d attempts in %+v", faults, counted, past)
 			}
 			if err := heir.Take(version.Order{Floor: version.Floor{Epoch: 6, By: "a", Site: w.site, Grace: 1, For: 1000}}); err == nil {
--- a/internal/daemon/keep.go
+++ b/internal/daemon/keep.go
@@ -12,8 +12,8 @@
 	"github.com/rs/zerolog"
 
 	"pinelb.example/pinelb/internal/config"
-	"pinelb.example/pinelb/internal/durable"
-	"pinelb.example/pinelb/internal/effects"
+	"pinelb.example/pinelb/internal/inflight"
+	"pinelb.example/pinelb/internal/persistence"
 )
 
 const (
@@ -24,10 +24,10 @@
 // keeper keeps what this process knows on the disk, as [state] asks for. A nil keeper keeps nothing.
 type keeper struct {
 	*config.State
-	disk    durable.Disk
+	disk    persistence.Disk
 	site    string
 	next    *succession
-	journal *durable.Journal // nil: none
+	journal *persistence.Journal // nil: none
 	log     zerolog.Logger
 
 	locked bool // the directory is this process's
@@ -40,7 +40,7 @@
 	if s == nil {
 		return nil
 	}
-	k := &keeper{State: s, disk: durable.Dir(s.Dir), site: siteOf(cfg), next: next, log: log}
+	k := &keeper{State: s, disk: persistence.Dir(s.Dir), site: siteOf(cfg), next: next, log: log}
 	err := os.MkdirAll(s.Dir, 0o700)
 	if err == nil {
 		err = k.lock()
@@ -77,13 +77,13 @@
 	if k == nil || k.next.former != nil {
 		return false
 	}
-	snap, past, err := durable.Load(k.disk, durable.Now(), k.site, k.Oldest.D())
+	snap, past, err := persistence.Load(k.disk, persistence.Now(), k.site, k.Oldest.D())
 	var h handed
 	if err == nil {
 		h, err = k.next.adopt(snap.State, "snapshot", past, cfg.Known)
 	}
 	switch {
-	case errors.Is(err, durable.ErrNone):
+	case errors.Is(err, persistence.ErrNone):
 	case err != nil:
 		k.log.Warn().Err(err).Msg("nothing is remembered")
 	default:
@@ -98,16 +98,16 @@
 	if k == nil || !k.Journal {
 		return nil
 	}
-	notes, skipped, left, alive, err := durable.Effects(k.disk, durable.Now())
+	notes, skipped, left, alive, err := persistence.Effects(k.disk, persistence.Now())
 	if err != nil {
 		k.log.Error().Err(err).Msg("the journal of former processes is not read")
 	}
 	now := time.Now()
-	k.next.effects.Heard(now, effects.Journal, notes)
-	k.next.effects.Gone(now, effects.Journal)
+	k.next.effects.Heard(now, inflight.Journal, notes)
+	k.next.effects.Gone(now, inflight.Journal)
 	past, _ := k.next.effects.Size()
 	k.log.Info().Int("lines", len(notes)).Int("skipped", skipped).Int("alive", alive).Int("effects", past).Msg("journal read")
-	k.journal = &durable.Journal{Disk: k.disk, Table: k.next.effects, Fault: func(err error) {
+	k.journal = &persistence.Journal{Disk: k.disk, Table: k.next.effects, Fault: func(err error) {
 		if err != nil {
 			k.log.Error().Err(err).Msg("the journal is not written")
 		} else {
@@ -157,7 +157,7 @@
 		state, err = json.Marshal(k.next.held())
 	}
 	if err == nil {
-		_, err = durable.Save(k.disk, &durable.Snapshot{Saved: durable.Now(), Site: k.site, State: state})
+		_, err = persistence.Save(k.disk, &persistence.Snapshot{Saved: persistence.Now(), Site: k.site, State: state})
 	}
 	if failed := err != nil; failed != k.failed {
 		k.failed = failed
--- a/internal/daemon/publish.go
+++ b/internal/daemon/publish.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"pinelb.example/pinelb/internal/config"
-	"pinelb.example/pinelb/internal/distribute"
-	"pinelb.example/pinelb/internal/follow"
+	"pinelb.example/pinelb/internal/settingsclient"
+	"pinelb.example/pinelb/internal/settingsstore"
 	"pinelb.example/pinelb/internal/version"
 )
 
@@ -26,7 +26,7 @@
 		done()
 		return settled
 	}
-	t.watch = &follow.Watch{Service: from.Service, Name: cmp.Or(t.cfg.Name, t.cfg.Listen), From: from.From, Log: t.log, Take: t.publish,
+	t.watch = &settingsclient.Watch{Service: from.Service, Name: cmp.Or(t.cfg.Name, t.cfg.Listen), From: from.From, Log: t.log, Take: t.publish,
 		Rand: rand.New(rand.NewPCG(t.cfg.Seed^rand.Uint64(), settingsStream))}
 	if former != nil {
 		t.succeeds(former)
@@ -44,9 +44,9 @@
 
 // succeeds has the settings be in force that the former process had, if they are of the same service and can be used here.
 func (t *tuning) succeeds(former []byte) {
-	s, err := distribute.Parse(former)
+	s, err := settingsstore.Parse(former)
 	if err == nil && s.Service != t.watch.Service {
-		err = distribute.OtherService{Told: s.Service, Asked: t.watch.Service}
+		err = settingsstore.OtherService{Told: s.Service, Asked: t.watch.Service}
 	}
 	if err == nil {
 		err = t.publish(s)
@@ -60,7 +60,7 @@
 }
 
 // publish has settings of a distributor take the place of those in force, whole or not at all.
-func (t *tuning) publish(s distribute.State) error {
+func (t *tuning) publish(s settingsstore.State) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	cfg, err := t.cfg.Published(s.Settings)
@@ -97,5 +97,5 @@
 	if t.published == nil {
 		return nil
 	}
-	return distribute.Encode(*t.published)
+	return settingsstore.Encode(*t.published)
 }
--- a/internal/daemon/retune.go
+++ b/internal/daemon/retune.go
@@ -8,13 +8,13 @@
 
 	"github.com/rs/zerolog"
 
+	"pinelb.example/pinelb/internal/accesslog"
 	"pinelb.example/pinelb/internal/cluster"
 	"pinelb.example/pinelb/internal/config"
-	"pinelb.example/pinelb/internal/distribute"
 	"pinelb.example/pinelb/internal/downstream"
-	"pinelb.example/pinelb/internal/engine"
-	"pinelb.example/pinelb/internal/follow"
-	"pinelb.example/pinelb/internal/record"
+	"pinelb.example/pinelb/internal/driver"
+	"pinelb.example/pinelb/internal/settingsclient"
+	"pinelb.example/pinelb/internal/settingsstore"
 	"pinelb.example/pinelb/internal/stream"
 	"pinelb.example/pinelb/internal/upstream"
 )
@@ -22,20 +22,20 @@
 // tuning has a configuration that is read again take effect.
 type tuning struct {
 	op      *config.Operator
-	eng     *engine.Engine
+	eng     *driver.Engine
 	pool    *upstream.Pool
 	side    *downstream.Side
 	table   *cluster.Table
 	budget  *stream.Budget           // nil: none
-	rec     *record.Recorder         // nil: none
+	rec     *accesslog.Recorder      // nil: none
 	audited *audited                 // nil: nobody audits
-	watch   *follow.Watch            // of published settings; nil: none
+	watch   *settingsclient.Watch    // of published settings; nil: none
 	reclass []func(*config.Settings) // the fronts
 	log     zerolog.Logger
 
 	mu        sync.Mutex
-	cfg       *config.Config    // in force, its classes by the numbers that they have here
-	published *distribute.State // whose settings these are; nil: the file's
+	cfg       *config.Config       // in force, its classes by the numbers that they have here
+	published *settingsstore.State // whose settings these are; nil: the file's
 }
 
 // classes are the names of the classes, by number.
--- a/internal/daemon/retune_test.go
+++ b/internal/daemon/retune_test.go
@@ -13,7 +13,7 @@
 	"pinelb.example/pinelb/internal/cluster"
 	"pinelb.example/pinelb/internal/config"
 	"pinelb.example/pinelb/internal/downstream"
-	"pinelb.example/pinelb/internal/engine"
+	"pinelb.example/pinelb/internal/driver"
 	"pinelb.example/pinelb/internal/upstream"
 )
 
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	eng, err := engine.New(cfg.Settings.Settings, 1, noHosts{}, zerolog.Nop())
+	eng, err := driver.New(cfg.Settings.Settings, 1, noHosts{}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -21,16 +21,16 @@
 	"golang.org/x/sys/unix"
 
 	"pinelb.example/pinelb/balance"
+	"pinelb.example/pinelb/internal/accesslog"
 	"pinelb.example/pinelb/internal/cluster"
 	"pinelb.example/pinelb/internal/config"
 	"pinelb.example/pinelb/internal/control"
 	"pinelb.example/pinelb/internal/downstream"
 	"pinelb.example/pinelb/internal/downstream/thrift"
-	"pinelb.example/pinelb/internal/effects"
-	"pinelb.example/pinelb/internal/engine"
+	"pinelb.example/pinelb/internal/driver"
 	"pinelb.example/pinelb/internal/handover"
-	"pinelb.example/pinelb/internal/pace"
-	"pinelb.example/pinelb/internal/record"
+	"pinelb.example/pinelb/internal/inflight"
+	"pinelb.example/pinelb/internal/pacing"
 	"pinelb.example/pinelb/internal/stream"
 	"pinelb.example/pinelb/internal/upstream"
 )
@@ -70,7 +70,7 @@
 	if err == nil {
 		err = op.Fits(cfg)
 	}
-	var rec *record.Recorder
+	var rec *accesslog.Recorder
 	if err == nil {
 		if op.Fleet != nil && op.Fleet.Numbered {
 			cfg.Settings.Name = ""
@@ -89,20 +89,20 @@
 }
 
 // recorder starts to record, if that is asked for, and returns the log that goes with it.
-func recorder(cfg *config.Config, o *config.Record, log zerolog.Logger) (*record.Recorder, zerolog.Logger) {
+func recorder(cfg *config.Config, o *config.Record, log zerolog.Logger) (*accesslog.Recorder, zerolog.Logger) {
 	if o == nil {
 		return nil, log
 	}
 	if o.Log() {
 		signal.Ignore(syscall.SIGPIPE) // a log that nobody reads any more is no reason to end
 	}
-	rec := record.New(cfg, o, os.Stderr)
+	rec := accesslog.New(cfg, o, os.Stderr)
 	log = newLog(rec.Log())
 	rec.Start(log)
 	return rec, log
 }
 
-func run(cfg *config.Config, op *config.Operator, rec *record.Recorder, hups <-chan os.Signal, log zerolog.Logger) error {
+func run(cfg *config.Config, op *config.Operator, rec *accesslog.Recorder, hups <-chan os.Signal, log zerolog.Logger) error {
 	runtime.GOMAXPROCS(max(1, int(cfg.Limits.Cores)))
 	memory := int64(cfg.Limits.MemoryMB) << 20
 	debug.SetMemoryLimit(int64(memoryShare * float64(memory)))
@@ -114,7 +114,7 @@
 	set := &cfg.Settings
 	pool := upstream.NewPool(set.ConnectTimeout, set.ConnIdle, sockets/2)
 	pool.Guard(handshakeLimit(op.Fleet, set))
-	eng, err := engine.New(set.Settings, cfg.Seed, pool, log)
+	eng, err := driver.New(set.Settings, cfg.Seed, pool, log)
 	if err != nil {
 		return err
 	}
@@ -124,7 +124,7 @@
 		if op.State != nil && op.State.Journal {
 			part = journalPart
 		}
-		streams.Effects = effects.New(int(memory / part / effectBytes))
+		streams.Effects = inflight.New(int(memory / part / effectBytes))
 	}
 	if op.Budget != nil {
 		streams.Budget = stream.NewBudget(op.Budget.Accounts(set), cfg.Seed, aims(set), log)
@@ -280,11 +280,11 @@
 }
 
 // handshakeLimit is the bound on new connections at each upstream host; there is none where the operator's file states none.
-func handshakeLimit(f *config.Fleet, set *config.Settings) pace.HandshakeLimit {
+func handshakeLimit(f *config.Fleet, set *config.Settings) pacing.HandshakeLimit {
 	if f == nil {
-		return pace.HandshakeLimit{}
+		return pacing.HandshakeLimit{}
 	}
-	return pace.HandshakeLimit{Handshakes: f.Handshakes, Instances: set.Instances, Numbered: f.Numbered}
+	return pacing.HandshakeLimit{Handshakes: f.Handshakes, Instances: set.Instances, Numbered: f.Numbered}
 }
 
 // paced is how the list service is asked where the operator's file says that it is one for many. The random numbers are not
@@ -319,7 +319,7 @@
 }
 
 // thriftProxy serves streams over Thrift by the same decisions, on connections of the same pool.
-func thriftProxy(o *config.Thrift, eng *engine.Engine, pool *upstream.Pool, log zerolog.Logger) *stream.Proxy {
+func thriftProxy(o *config.Thrift, eng *driver.Engine, pool *upstream.Pool, log zerolog.Logger) *stream.Proxy {
 	pool.ConnectOnly = o.UpstreamPort == 0
 	return &stream.Proxy{Engine: eng, Log: log, Upstream: &upstream.Thrift{Pool: pool, Port: uint16(o.UpstreamPort),
 		Limits: thrift.Limits(o.MostMessage), TurnedAway: o.TurnedAway}}
--- a/internal/daemon/show.go
+++ b/internal/daemon/show.go
@@ -11,19 +11,19 @@
 	"time"
 
 	"pinelb.example/pinelb/balance"
-	"pinelb.example/pinelb/internal/durable"
+	"pinelb.example/pinelb/internal/persistence"
 )
 
 // Show prints what a file of [state] holds.
 func Show(path string, out io.Writer) error {
 	text, err := os.ReadFile(path)
 	if err == nil {
-		now := durable.Now()
-		snap, fault := durable.Decode(text)
+		now := persistence.Now()
+		snap, fault := persistence.Decode(text)
 		switch {
 		case fault == nil:
 			err = showSnapshot(snap, now, out)
-		case durable.IsJournal(filepath.Base(path)):
+		case persistence.IsJournal(filepath.Base(path)):
 			showJournal(text, now, out)
 		default:
 			err = fault
@@ -35,7 +35,7 @@
 	return nil
 }
 
-func showSnapshot(s *durable.Snapshot, now durable.Clock, out io.Writer) error {
+func showSnapshot(s *persistence.Snapshot, now persistence.Clock, out io.Writer) error {
 	var h handed
 	if err := json.Unmarshal(s.State, &h); err != nil {
 		return err
@@ -83,8 +83,8 @@
 	return time.Duration(s.Sum / s.N * float64(time.Second)).Round(10 * time.Microsecond)
 }
 
-func showJournal(text []byte, now durable.Clock, out io.Writer) {
-	notes, skipped := durable.DecodeJournal(text, now)
+func showJournal(text []byte, now persistence.Clock, out io.Writer) {
+	notes, skipped := persistence.DecodeJournal(text, now)
 	fmt.Fprintf(out, "%d lines, %d more that are cut off or changed\n\n", len(notes), skipped)
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "txn\tclass\tkey\tsent\tkept for\tstate\n")
--- a/internal/daemon/snapshot_bench_test.go
+++ b/internal/daemon/snapshot_bench_test.go
@@ -11,8 +11,8 @@
 	"pinelb.example/pinelb/balance"
 	"pinelb.example/pinelb/internal/cluster"
 	"pinelb.example/pinelb/internal/config"
-	"pinelb.example/pinelb/internal/durable"
-	"pinelb.example/pinelb/internal/engine"
+	"pinelb.example/pinelb/internal/driver"
+	"pinelb.example/pinelb/internal/persistence"
 	"pinelb.example/pinelb/internal/upstream"
 )
 
@@ -30,7 +30,7 @@
 		b.Fatal(err)
 	}
 	pool := upstream.NewPool(time.Second, time.Second, 10)
-	eng, err := engine.New(set.Settings, 1, pool, zerolog.Nop())
+	eng, err := driver.New(set.Settings, 1, pool, zerolog.Nop())
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -56,7 +56,7 @@
 func BenchmarkSnapshot(b *testing.B) {
 	for _, hosts := range []int{14, 100, 1000} {
 		b.Run(fmt.Sprint("hosts=", hosts), func(b *testing.B) {
-			s, d := heir(b, hosts), durable.Dir(b.TempDir())
+			s, d := heir(b, hosts), persistence.Dir(b.TempDir())
 			var put, save, load time.Duration
 			size := 0
 			for b.Loop() {
@@ -65,14 +65,14 @@
 				put += time.Since(from)
 				from = time.Now()
 				if err == nil {
-					size, err = durable.Save(d, &durable.Snapshot{Saved: durable.Now(), Site: "x", State: state})
+					size, err = persistence.Save(d, &persistence.Snapshot{Saved: persistence.Now(), Site: "x", State: state})
 				}
 				save += time.Since(from)
 				if err != nil {
 					b.Fatal(err)
 				}
 				from = time.Now()
-				got, _, err := durable.Load(d, durable.Now(), "x", time.Minute)
+				got, _, err := persistence.Load(d, persistence.Now(), "x", time.Minute)
 				if err == nil {
 					_, err = s.adopt(got.State, "snapshot", 0, cluster.List{})
 				}
--- a/internal/daemon/succession.go
+++ b/internal/daemon/succession.go
@@ -12,13 +12,13 @@
 
 	"github.com/rs/zerolog"
 
+	"pinelb.example/pinelb/internal/auditlog"
 	"pinelb.example/pinelb/internal/cluster"
 	"pinelb.example/pinelb/internal/config"
 	"pinelb.example/pinelb/internal/downstream"
-	"pinelb.example/pinelb/internal/effects"
-	"pinelb.example/pinelb/internal/engine"
+	"pinelb.example/pinelb/internal/driver"
 	"pinelb.example/pinelb/internal/handover"
-	"pinelb.example/pinelb/internal/trail"
+	"pinelb.example/pinelb/internal/inflight"
 	"pinelb.example/pinelb/internal/upstream"
 )
 
@@ -37,7 +37,7 @@
 	sockets int   // for callers and upstream hosts
 	pool    *upstream.Pool
 	side    *downstream.Side
-	eng     *engine.Engine
+	eng     *driver.Engine
 
 	mu     sync.Mutex
 	others int // processes of this sidecar that run beside this one
@@ -60,24 +60,24 @@
 type handed struct {
 	Classes []string
 	Table   cluster.Held
-	Engine  engine.State
-	Effects *known        // nil: the process is of a kind that shares none
-	Trail   []trail.Entry `json:",omitempty"` // of a process that is audited, to the one that succeeds it
+	Engine  driver.State
+	Effects *known           // nil: the process is of a kind that shares none
+	Trail   []auditlog.Entry `json:",omitempty"` // of a process that is audited, to the one that succeeds it
 
 	Published []byte `json:",omitempty"` // a distributor's settings that are in force, as distribute.Encode writes them
 }
 
 // known is what a process knows of requests under way and of their effects.
-type known struct{ Notes []effects.Note }
+type known struct{ Notes []inflight.Note }
 
 // word is what the two tell each other afterwards: an operator's call that one of them has taken, changes of effects, or
 // that the successor takes such.
 type word struct {
 	Name  string
 	Out   bool
-	At    int64          `json:",omitempty"` // when the call was made: nanoseconds of the machine's clock
-	Takes bool           `json:",omitempty"`
-	Notes []effects.Note `json:",omitempty"`
+	At    int64           `json:",omitempty"` // when the call was made: nanoseconds of the machine's clock
+	Takes bool            `json:",omitempty"`
+	Notes []inflight.Note `json:",omitempty"`
 }
 
 // succession is this process's place between the one before it and the one after it.
@@ -85,10 +85,10 @@
 	classes func() []string // by number
 	inForce func() []byte   // published settings that are, and nil where there are none; nil: no settings are published
 	table   *cluster.Table
-	eng     *engine.Engine
+	eng     *driver.Engine
 	former  *handover.Former // nil: none
 	owner   *handover.Owner  // nil: nobody can follow
-	effects *effects.Table
+	effects *inflight.Table
 	audited *audited // nil: nobody audits
 	log     zerolog.Logger
 	calls   calls
@@ -120,15 +120,15 @@
 		return false
 	}
 	if s.shares = h.Effects != nil; s.shares {
-		s.effects.Heard(time.Now(), effects.Former, h.Effects.Notes)
+		s.effects.Heard(time.Now(), inflight.Former, h.Effects.Notes)
 	}
 	s.log.Info().Int("members", len(h.Table.List.Members)).Int("cordoned", len(h.Table.Cordoned)).Msg("taken over")
 	return len(h.Table.List.Members) > 0
 }
 
 // trail is the former process's, where there is one; nil: none.
-func (s *succession) trail() []trail.Entry {
-	var h struct{ Trail []trail.Entry }
+func (s *succession) trail() []auditlog.Entry {
+	var h struct{ Trail []auditlog.Entry }
 	if s.former == nil || json.Unmarshal(s.former.State, &h) != nil { // of a fault there take says what it is
 		return nil
 	}
@@ -179,7 +179,7 @@
 	s.mu.Lock()
 	s.next = next
 	s.mu.Unlock()
-	notes := s.effects.Watch(effects.Next, next.note)
+	notes := s.effects.Watch(inflight.Next, next.note)
 	h := s.held()
 	h.Effects = &known{Notes: latest(notes, notesMost)}
 	if s.inForce != nil {
@@ -192,7 +192,7 @@
 }
 
 // latest are the last of the notes, as many as so many bytes have room for: first come those that are over, the oldest first.
-func latest(notes []effects.Note, most int) []effects.Note {
+func latest(notes []inflight.Note, most int) []inflight.Note {
 	for i := len(notes) - 1; i >= 0; i-- {
 		n := &notes[i]
 		if most -= noteBytes + nameBytes*(len(n.Txn)+len(n.Class)+len(n.Key)); most < 0 {
@@ -204,7 +204,7 @@
 
 // left lets go of a successor that is gone.
 func (s *succession) left() {
-	s.effects.Gone(time.Now(), effects.Next)
+	s.effects.Gone(time.Now(), inflight.Next)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.next != nil {
@@ -223,11 +223,11 @@
 		err = s.owner.Listen()
 	}
 	if s.former != nil {
-		told := func(line []byte) { s.told(line, effects.Former) }
+		told := func(line []byte) { s.told(line, inflight.Former) }
 		if s.shares {
 			s.toFormer([]byte(`{"Takes":true}`))
 			m := newMirror(s.toFormer, s.log)
-			s.effects.Watch(effects.Former, m.note)
+			s.effects.Watch(inflight.Former, m.note)
 			m.start()
 			defer m.stop()
 		}
@@ -236,7 +236,7 @@
 		}
 		wait.Go(func() {
 			s.former.Hear(told)
-			s.effects.Gone(time.Now(), effects.Former)
+			s.effects.Gone(time.Now(), inflight.Former)
 			b.beside(-1)
 			s.log.Info().Msg("the former process has ended")
 		})
@@ -267,7 +267,7 @@
 		}
 	}
 	s.owner = &handover.Owner{Path: path, Listeners: map[string]*net.TCPListener{}, State: s.state, Followed: count,
-		Succeeded: side.Followed, Told: func(line []byte) { s.told(line, effects.Next) }, Log: s.log}
+		Succeeded: side.Followed, Told: func(line []byte) { s.told(line, inflight.Next) }, Log: s.log}
 	for _, f := range fronts {
 		if l, ok := f.Listener.(*net.TCPListener); ok {
 			s.owner.Listeners[f.Addr] = l
@@ -305,7 +305,7 @@
 }
 
 // told takes a word of another process. An operator's that is news here is passed on to the one on the other side.
-func (s *succession) told(line []byte, from effects.Link) {
+func (s *succession) told(line []byte, from inflight.Link) {
 	var w word
 	err := json.Unmarshal(line, &w)
 	news, known := false, false
@@ -323,7 +323,7 @@
 		s.effects.Heard(time.Now(), from, w.Notes)
 	case err != nil || !known:
 		s.log.Warn().Err(err).Str("name", w.Name).Msg("a word of the other process changes nothing")
-	case news && from == effects.Former:
+	case news && from == inflight.Former:
 		s.toNext(line)
 	case news:
 		s.toFormer(line)
--- a/internal/daemon/succession_test.go
+++ b/internal/daemon/succession_test.go
@@ -14,9 +14,9 @@
 	"pinelb.example/pinelb/balance"
 	"pinelb.example/pinelb/internal/cluster"
 	"pinelb.example/pinelb/internal/config"
-	"pinelb.example/pinelb/internal/effects"
-	"pinelb.example/pinelb/internal/engine"
+	"pinelb.example/pinelb/internal/driver"
 	"pinelb.example/pinelb/internal/handover"
+	"pinelb.example/pinelb/internal/inflight"
 )
 
 // process is a sidecar's process with one host.
@@ -26,12 +26,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	eng, err := engine.New(set.Settings, 1, noHosts{}, zerolog.Nop())
+	eng, err := driver.New(set.Settings, 1, noHosts{}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := &succession{classes: func() []string { return set.ClassNames }, table: cluster.NewTable(set.ZoneNames, set.KindNames, noHosts{}, eng),
-		eng: eng, effects: effects.New(20000), log: zerolog.Nop()}
+		eng: eng, effects: inflight.New(20000), log: zerolog.Nop()}
 	s.table.Apply(balance.ListFull, cluster.List{Members: []cluster.Member{{ID: "s-1", Addr: "127.0.0.1:1", State: balance.Ready}}})
 	return s
 }
@@ -62,18 +62,18 @@
 			if !ok || !ok2 {
 				t.Fatal("a call is not taken")
 			}
-			next.told(one, effects.Former)
-			former.told(other, effects.Next)
+			next.told(one, inflight.Former)
+			former.told(other, inflight.Next)
 			if c.twice {
-				former.told(other, effects.Next)
-				next.told(one, effects.Former)
+				former.told(other, inflight.Next)
+				next.told(one, inflight.Former)
 			}
 			for of, s := range map[string]*succession{"former": former, "next": next} {
 				if out := len(s.table.Held().Cordoned) == 1; out != c.holds {
 					t.Errorf("at the %s process the host is out: %v, want %v", of, out, c.holds)
 				}
 			}
-			former.told([]byte(`{"Name":"s-1","Out":false}`), effects.Next) // of a process that stamps none
+			former.told([]byte(`{"Name":"s-1","Out":false}`), inflight.Next) // of a process that stamps none
 			if len(former.table.Held().Cordoned) > 0 {
 				t.Error("a call without a time changes nothing")
 			}
@@ -88,9 +88,9 @@
 	one.table.Cordon("s-1")
 	now := time.Now()
 	wide := strings.Repeat("x", 3200)
-	var last effects.ID
+	var last inflight.ID
 	for i := range 2700 {
-		last = effects.ID{Txn: fmt.Sprint(i), Class: wide, Key: fmt.Sprint(i), Keep: time.Minute}
+		last = inflight.ID{Txn: fmt.Sprint(i), Class: wide, Key: fmt.Sprint(i), Keep: time.Minute}
 		one.effects.Open(now, last)
 		one.effects.Sent(now, last.Txn, 1)
 		one.effects.End(now, last.Txn)
@@ -118,7 +118,7 @@
 		<-goOn
 	}, zerolog.Nop())
 	for _, txn := range []string{"a", "b", "c", "d", "e"} { // some to a line
-		m.note(effects.Note{ID: effects.ID{Txn: txn, Class: strings.Repeat("x", wordMost/2-200)}})
+		m.note(inflight.Note{ID: inflight.ID{Txn: txn, Class: strings.Repeat("x", wordMost/2-200)}})
 	}
 	m.start()
 	<-told
@@ -147,8 +147,8 @@
 // Guards against a second successor that knows of the moments between the first one's copy and its own less than the first did.
 func TestEffectsBetweenTwoSuccessors(t *testing.T) {
 	s, now := process(t), time.Now()
-	begun := effects.ID{Txn: "begun", Class: "look", Keep: time.Minute}
-	over := effects.ID{Txn: "over", Class: "look", Keep: time.Minute}
+	begun := inflight.ID{Txn: "begun", Class: "look", Keep: time.Minute}
+	over := inflight.ID{Txn: "over", Class: "look", Keep: time.Minute}
 	s.effects.Open(now, over)
 	if _, err := s.state(); err != nil {
 		t.Fatal(err)
--- a/internal/downstream/left.go
+++ b/internal/downstream/left.go
@@ -3,7 +3,7 @@
 import (
 	"net"
 
-	"pinelb.example/pinelb/internal/peek"
+	"pinelb.example/pinelb/internal/connstate"
 )
 
 // Left tells whether the other side of a connection has closed it, or its sending, also behind bytes that are not read yet.
@@ -12,10 +12,10 @@
 	if own, ok := conn.(*caller); ok {
 		conn = own.Conn
 	}
-	return peek.Left(conn)
+	return connstate.Left(conn)
 }
 
-func (c *caller) left() bool { return peek.Left(c.Conn) }
+func (c *caller) left() bool { return connstate.Left(c.Conn) }
 
 // unread tells whether something has come that is not read yet.
-func unread(conn net.Conn) bool { return peek.Look(conn) == peek.Unread }
+func unread(conn net.Conn) bool { return connstate.Look(conn) == connstate.Unread }
--- a/internal/engine/engine.go
+++ b/internal/driver/engine.go
@@ -1,6 +1,6 @@
 // Package engine runs the decision module against real time. It owns the Balancer, its clock and its
 // timers, and hands each action to the stream that it is for. It knows nothing of any protocol.
-package engine
+package driver
 
 import (
 	"context"
--- a/internal/engine/stream.go
+++ b/internal/driver/stream.go
@@ -1,4 +1,4 @@
-package engine
+package driver
 
 import (
 	"context"
--- a/internal/fleet/control/planted_test.go
+++ b/internal/fleet/control/planted_test.go
@@ -3,28 +3,28 @@
 import (
 	"testing"
 
-	"pinelb.example/pinelb/internal/lab/mutant"
+	"pinelb.example/pinelb/internal/lab/mutation"
 )
 
 // plantedMistakes are found by TestPoints, each by the runs of one point.
-var plantedMistakes = map[string]map[string]mutant.Mistake{"2": {
-	"digests of orders that are not replicated": {File: "../config/state.go", Edits: []mutant.Edit{
+var plantedMistakes = map[string]map[string]mutation.Mistake{"2": {
+	"digests of orders that are not replicated": {File: "../config/state.go", Edits: []mutation.Edit{
 		{Right: "for _, digest := range s.orders {", Wrong: "for _, digest := range s.orders[:0] {"}}},
-	"an order that is not checked against the version in place": {File: "../replica/orders.go", Edits: []mutant.Edit{
+	"an order that is not checked against the version in place": {File: "../replica/orders.go", Edits: []mutation.Edit{
 		{Right: "if order.Base != seen.state.Document.Version() {", Wrong: "if false {"}}},
 }, "1": {
-	"a stale primary that refuses an order": {File: "../replica/orders.go", Edits: []mutant.Edit{
+	"a stale primary that refuses an order": {File: "../replica/orders.go", Edits: []mutation.Edit{
 		{Right: "if err := r.confirm(ctx); err != nil {\n\t\t\t\treturn err\n\t\t\t}\n\t\t\tif r.look()", Wrong: "if r.look()"}}},
-	"a read that asks no witness": {File: "../replica/orders.go", Edits: []mutant.Edit{
+	"a read that asks no witness": {File: "../replica/orders.go", Edits: []mutation.Edit{
 		{Right: "if err := r.confirm(ctx); err != nil {\n\t\treturn nil, err\n\t}", Wrong: ""}}},
 }, "4": {
-	"a snapshot without the configuration": {File: "../config/state.go", Edits: []mutant.Edit{
+	"a snapshot without the configuration": {File: "../config/state.go", Edits: []mutation.Edit{
 		{Right: "e := encodedState{Document: s.Document.Encode()}", Wrong: "e := encodedState{Document: EmptyDocument().Encode()}"}}},
 }}
 
 // Guards against runs that would find nothing whatever is wrong.
 func TestPointsFindPlantedMistakes(t *testing.T) {
 	for point, mistakes := range plantedMistakes {
-		mutant.ExpectAllFound(t, mistakes, "^TestPoints$/^"+point, "seed ", "-stacks", "40")
+		mutation.ExpectAllFound(t, mistakes, "^TestPoints$/^"+point, "seed ", "-stacks", "40")
 	}
 }
--- a/internal/fleet/front/dispatcher.go
+++ b/internal/fleet/proxy/dispatcher.go
@@ -1,4 +1,4 @@
-package front
+package proxy
 
 import (
 	"math/rand/v2"
--- a/internal/fleet/front/overdue_test.go
+++ b/internal/fleet/proxy/overdue_test.go
@@ -1,4 +1,4 @@
-package front
+package proxy
 
 import (
 	"bufio"
--- a/internal/fleet/front/request.go
+++ b/internal/fleet/proxy/request.go
@@ -1,5 +1,5 @@
 // Package front takes requests from clients, has the decision choose their endpoints, and passes the answers on.
-package front
+package proxy
 
 import (
 	"bytes"
--- a/internal/fleet/replication/planted_test.go
+++ b/internal/fleet/replication/planted_test.go
@@ -4,67 +4,67 @@
 	"maps"
 	"testing"
 
-	"pinelb.example/pinelb/internal/lab/mutant"
+	"pinelb.example/pinelb/internal/lab/mutation"
 )
 
 // plantedMistakes are found by TestSimulation.
-var plantedMistakes = map[string]mutant.Mistake{
-	"an acknowledgement by one copy": {File: "primary.go", Edits: []mutant.Edit{{
+var plantedMistakes = map[string]mutation.Mistake{
+	"an acknowledgement by one copy": {File: "primary.go", Edits: []mutation.Edit{{
 		Right: "if m.lead.holds[member] != m.durable.Position {\n\t\t\treturn\n\t\t}\n\t}\n\tm.lead.committed",
 		Wrong: "_ = member\n\t}\n\tm.lead.committed"}}},
-	"a read without a round": {File: "primary.go", Edits: []mutant.Edit{{Right: "return m.lead.confirmed, true", Wrong: "return m.now, true"}}},
-	"an even set in the middle of an exchange": {File: "composition.go", Edits: []mutant.Edit{
+	"a read without a round": {File: "primary.go", Edits: []mutation.Edit{{Right: "return m.lead.confirmed, true", Wrong: "return m.now, true"}}},
+	"an even set in the middle of an exchange": {File: "composition.go", Edits: []mutation.Edit{
 		{Right: "} else if len(next) >= m.witnessTarget() {", Wrong: "} else if len(next) > m.witnessTarget() {"},
 		{Right: "(len(witnesses) > m.witnessTarget() || len(witnesses)%2 == 0)", Wrong: "len(witnesses) > 9"}}},
-	"a leaver that ends before it is replaced": {File: "leaving.go", Edits: []mutant.Edit{{Right: "return !votes && !holds", Wrong: "return !votes && !holds || true"}}},
-	"a lost disk whose machine is not taken in again": {File: "composition.go", Edits: []mutant.Edit{
+	"a leaver that ends before it is replaced": {File: "leaving.go", Edits: []mutation.Edit{{Right: "return !votes && !holds", Wrong: "return !votes && !holds || true"}}},
+	"a lost disk whose machine is not taken in again": {File: "composition.go", Edits: []mutation.Edit{
 		{Right: "witnesses[at] = applicant", Wrong: "return true"}}},
-	"a change that waits for good": {File: "primary.go", Edits: []mutant.Edit{
+	"a change that waits for good": {File: "primary.go", Edits: []mutation.Edit{
 		{Right: "m.countStored() // a member may have said since that it stays", Wrong: ""}}},
-	"a candidate that overlooks what was accepted": {File: "election.go", Edits: []mutant.Edit{
+	"a candidate that overlooks what was accepted": {File: "election.go", Edits: []mutation.Edit{
 		{Right: "return best.Proposal, !best.Accepted.isZero()", Wrong: "return best.Proposal, false"}}},
-	"a zone that holds the majority": {File: "composition.go", Edits: []mutant.Edit{
+	"a zone that holds the majority": {File: "composition.go", Edits: []mutation.Edit{
 		{Right: "if m.outlivesPlaces(with) || !m.outlivesPlaces(next) {", Wrong: "if true {"}}},
 }
 
 // Guards against a simulation that would find nothing whatever is wrong.
 func TestSimulationFindsPlantedMistakes(t *testing.T) {
-	mutant.ExpectAllFound(t, plantedMistakes, "^TestSimulation$", "seed ", "-simulations", "80")
+	mutation.ExpectAllFound(t, plantedMistakes, "^TestSimulation$", "seed ", "-simulations", "80")
 }
 
 // plantedInElections are mistakes in what a promise binds to.
-var plantedInElections = map[string]mutant.Mistake{
-	"a lower ballot is promised": {File: "witness.go", Edits: []mutant.Edit{{
+var plantedInElections = map[string]mutation.Mistake{
+	"a lower ballot is promised": {File: "witness.go", Edits: []mutation.Edit{{
 		Right: "if message.Ballot.less(m.durable.Promised) {\n\t\tm.send(from, Reject{Number: m.durable.View.Number + 1",
 		Wrong: "if false {\n\t\tm.send(from, Reject{Number: m.durable.View.Number + 1"}}},
-	"a lower ballot is accepted": {File: "witness.go", Edits: []mutant.Edit{{
+	"a lower ballot is accepted": {File: "witness.go", Edits: []mutation.Edit{{
 		Right: "if message.Ballot.less(m.durable.Promised) {\n\t\tm.send(from, Reject{Number: number",
 		Wrong: "if false {\n\t\tm.send(from, Reject{Number: number"}}},
-	"a state is installed under a lower ballot": {File: "witness.go", Edits: []mutant.Edit{{
+	"a state is installed under a lower ballot": {File: "witness.go", Edits: []mutation.Edit{{
 		Right: "if message.Ballot.less(bound) {", Wrong: "if false {"}}},
-	"a member that has promised stores on": {File: "witness.go", Edits: []mutant.Edit{{
+	"a member that has promised stores on": {File: "witness.go", Edits: []mutation.Edit{{
 		Right: "if !m.durable.Promised.isZero() {\n\t\tm.send", Wrong: "if false {\n\t\tm.send"}}},
-	"a witness that has promised confirms the primary": {File: "primary.go", Edits: []mutant.Edit{{
+	"a witness that has promised confirms the primary": {File: "primary.go", Edits: []mutation.Edit{{
 		Right: "if r == nil || !message.Current || !m", Wrong: "if r == nil || !m"}}},
-	"any replica's promise counts": {File: "election.go", Edits: []mutant.Edit{{
+	"any replica's promise counts": {File: "election.go", Edits: []mutation.Edit{{
 		Right: "if !m.durable.View.HasWitness(from) {\n\t\treturn\n\t}\n\te.promises", Wrong: "e.promises"}}},
 }
 
 // Guards against scripts of promises that would find nothing whatever is wrong.
 func TestScriptsFindPlantedMistakes(t *testing.T) {
-	mutant.ExpectAllFound(t, plantedInElections, "^TestPromiseBinds$", "--- FAIL")
+	mutation.ExpectAllFound(t, plantedInElections, "^TestPromiseBinds$", "--- FAIL")
 }
 
 // plantedInWalks are mistakes that the wide search finds, beside an amnesiac that votes (TestSearchFindsPlantedMistakes).
-var plantedInWalks = map[string]mutant.Mistake{
-	"a state is installed by some of the members only": {File: "election.go", Edits: []mutant.Edit{{
+var plantedInWalks = map[string]mutation.Mistake{
+	"a state is installed by some of the members only": {File: "election.go", Edits: []mutation.Edit{{
 		Right: "if !m.election.installed[replica] {\n\t\t\treturn\n\t\t}\n", Wrong: "_ = replica\n"}}},
-	"a snapshot that is not fenced by its view": {File: "witness.go", Edits: []mutant.Edit{
+	"a snapshot that is not fenced by its view": {File: "witness.go", Edits: []mutation.Edit{
 		{Right: "if from != m.durable.View.Primary || from == m.durable.Self {\n\t\treturn\n\t}\n\tif !m.durable.Promised", Wrong: "if !m.durable.Promised"},
 		{Right: "if !m.learn(message.View) {\n\t\tm.send(from, ViewNotice{View: m.durable.View})\n\t\treturn\n\t}\n\tif !m.durable.Promised", Wrong: "if !m.durable.Promised"}}},
-	"a newcomer that was never heard of becomes a witness": {File: "election.go", Edits: []mutant.Edit{{
+	"a newcomer that was never heard of becomes a witness": {File: "election.go", Edits: []mutation.Edit{{
 		Right: "return union(proposal.Members, newcomers)", Wrong: "_ = newcomers\n\treturn proposal.Members"}}},
-	"half of the witnesses decide": {File: "types.go", Edits: []mutant.Edit{{
+	"half of the witnesses decide": {File: "types.go", Edits: []mutation.Edit{{
 		Right: "return len(v.Witnesses)/2 + 1", Wrong: "return max(1, len(v.Witnesses)/2)"}}},
 	"a lower ballot is promised": plantedInElections["a lower ballot is promised"],
 }
@@ -77,5 +77,5 @@
 	} {
 		all[name] = plantedMistakes[name]
 	}
-	mutant.ExpectAllFound(t, all, "^TestWideSearch$/^3_replicas", "walk ", "-wide-walks", "450")
+	mutation.ExpectAllFound(t, all, "^TestWideSearch$/^3_replicas", "walk ", "-wide-walks", "450")
 }
--- a/internal/fleet/router/relay.go
+++ b/internal/fleet/router/relay.go
@@ -9,8 +9,8 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 
-	"pinelb.example/pinelb/internal/fleet/front"
 	"pinelb.example/pinelb/internal/fleet/membership"
+	"pinelb.example/pinelb/internal/fleet/proxy"
 	"pinelb.example/pinelb/internal/fleet/transport"
 )
 
@@ -30,11 +30,11 @@
 	self string
 	zone string
 	core bool // this router counts for the quorum
-	send func(to []string, kind transport.Kind, announcements []front.Announcement)
+	send func(to []string, kind transport.Kind, announcements []proxy.Announcement)
 
 	mu       sync.Mutex
 	routes   relayRoutes
-	gathered []front.Announcement
+	gathered []proxy.Announcement
 	wake     chan struct{} // something is gathered
 }
 
@@ -47,7 +47,7 @@
 	deputies []string // one router of the core in each other zone that has one
 }
 
-func newRelay(self, zone string, core bool, send func([]string, transport.Kind, []front.Announcement)) *relay {
+func newRelay(self, zone string, core bool, send func([]string, transport.Kind, []proxy.Announcement)) *relay {
 	return &relay{self: self, zone: zone, core: core, send: send, wake: make(chan struct{}, 1)}
 }
 
@@ -107,22 +107,22 @@
 }
 
 // announce tells the other routers of a prompt.
-func (l *relay) announce(a front.Announcement) {
+func (l *relay) announce(a proxy.Announcement) {
 	l.mu.Lock()
 	through, peers := l.routes.through, l.routes.peers
 	l.mu.Unlock()
 	switch {
 	case through != "":
-		l.send([]string{through}, kindRelay, []front.Announcement{a})
+		l.send([]string{through}, kindRelay, []proxy.Announcement{a})
 	case len(peers) > directMost:
-		l.gather([]front.Announcement{a})
+		l.gather([]proxy.Announcement{a})
 	default:
-		l.send(peers, kindAnnounce, []front.Announcement{a})
+		l.send(peers, kindAnnounce, []proxy.Announcement{a})
 	}
 }
 
 // gather keeps announcements until they are told.
-func (l *relay) gather(announcements []front.Announcement) {
+func (l *relay) gather(announcements []proxy.Announcement) {
 	l.mu.Lock()
 	l.gathered = append(l.gathered, announcements...)
 	l.mu.Unlock()
@@ -165,20 +165,20 @@
 }
 
 // tellZone tells this router's zone what a router of another zone has gathered.
-func (l *relay) tellZone(announcements []front.Announcement) {
+func (l *relay) tellZone(announcements []proxy.Announcement) {
 	l.mu.Lock()
 	local := l.routes.local
 	l.mu.Unlock()
 	l.send(local, kindAnnounce, announcements)
 }
 
-func (r *Router) sendAnnouncements(to []string, kind transport.Kind, announcements []front.Announcement) {
+func (r *Router) sendAnnouncements(to []string, kind transport.Kind, announcements []proxy.Announcement) {
 	r.transport.SendAll(to, kind, announcements)
 }
 
 // receiveAnnouncements takes other routers' announcements over, and tells others where it is asked to.
 func (r *Router) receiveAnnouncements(p *transport.Packet) error {
-	var announcements []front.Announcement
+	var announcements []proxy.Announcement
 	if err := cbor.Unmarshal(p.Body, &announcements); err != nil {
 		return err
 	}
--- a/internal/fleet/router/relay_test.go
+++ b/internal/fleet/router/relay_test.go
@@ -8,8 +8,8 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"pinelb.example/pinelb/internal/fleet/front"
 	"pinelb.example/pinelb/internal/fleet/membership"
+	"pinelb.example/pinelb/internal/fleet/proxy"
 	"pinelb.example/pinelb/internal/fleet/transport"
 )
 
@@ -34,13 +34,13 @@
 func TestRelay(t *testing.T) {
 	Convey("A router's announcements", t, func() {
 		var messages []sent
-		record := func(to []string, kind transport.Kind, a []front.Announcement) {
+		record := func(to []string, kind transport.Kind, a []proxy.Announcement) {
 			messages = append(messages, sent{to, kind, len(a)})
 		}
 		Convey("go to all others at once in a small fleet", func() {
 			l := newRelay("self", "a", false, record)
 			l.setPeers(fleet(11, 3))
-			l.announce(front.Announcement{Units: 5})
+			l.announce(proxy.Announcement{Units: 5})
 			So(len(messages), ShouldEqual, 1)
 			So(messages[0].kind, ShouldEqual, kindAnnounce)
 			So(len(messages[0].to), ShouldEqual, 11)
@@ -50,7 +50,7 @@
 			live := fleet(89, 8)
 			for range 3 {
 				l.setPeers(live)
-				l.announce(front.Announcement{Units: 5})
+				l.announce(proxy.Announcement{Units: 5})
 				last := messages[len(messages)-1]
 				So(len(last.to), ShouldEqual, 1)
 				So(last.kind, ShouldEqual, kindRelay)
@@ -63,7 +63,7 @@
 		Convey("are gathered by any where no core lives, and told to all", func() {
 			l := newRelay("self", "a", false, record)
 			l.setPeers(fleet(89, 0))
-			l.announce(front.Announcement{Units: 5})
+			l.announce(proxy.Announcement{Units: 5})
 			So(messages, ShouldBeEmpty)
 			l.flush()
 			So(len(messages[0].to), ShouldEqual, 89)
@@ -71,8 +71,8 @@
 		Convey("are gathered by a router of the core, in messages of a bounded size", func() {
 			l := newRelay("self", "a", true, record)
 			l.setPeers(fleet(89, 8))
-			l.announce(front.Announcement{Units: 5})
-			l.gather(make([]front.Announcement, announceOne))
+			l.announce(proxy.Announcement{Units: 5})
+			l.gather(make([]proxy.Announcement, announceOne))
 			So(messages, ShouldBeEmpty)
 			l.flush()
 			So(len(messages), ShouldEqual, 4)
@@ -89,7 +89,7 @@
 				for _, m := range everyone {
 					m.Core = m.Core && m.Zone != withoutCore
 					var l *relay
-					l = newRelay(m.Address, m.Zone, m.Core, func(to []string, kind transport.Kind, a []front.Announcement) {
+					l = newRelay(m.Address, m.Zone, m.Core, func(to []string, kind transport.Kind, a []proxy.Announcement) {
 						for _, address := range to {
 							if relays[address].zone != l.zone {
 								crossing++
@@ -113,7 +113,7 @@
 					relays[m.Address].setPeers(others)
 				}
 				sender := everyone[89]
-				relays[sender.Address].announce(front.Announcement{Units: 5})
+				relays[sender.Address].announce(proxy.Announcement{Units: 5})
 				for _, l := range relays {
 					l.flush()
 				}
--- a/internal/fleet/router/router.go
+++ b/internal/fleet/router/router.go
@@ -18,8 +18,8 @@
 	"pinelb.example/pinelb/internal/fleet/config"
 	"pinelb.example/pinelb/internal/fleet/control"
 	"pinelb.example/pinelb/internal/fleet/dissemination"
-	"pinelb.example/pinelb/internal/fleet/front"
 	"pinelb.example/pinelb/internal/fleet/membership"
+	"pinelb.example/pinelb/internal/fleet/proxy"
 	"pinelb.example/pinelb/internal/fleet/quota"
 	"pinelb.example/pinelb/internal/fleet/replica"
 	"pinelb.example/pinelb/internal/fleet/replication"
@@ -45,8 +45,8 @@
 
 	transport  *transport.Transport
 	replica    *replica.Replica // nil where this machine does not count for the quorum
-	dispatcher *front.Dispatcher
-	front      *front.Server
+	dispatcher *proxy.Dispatcher
+	front      *proxy.Server
 	quota      *quotaClient
 	relay      *relay
 	servers    []*http.Server
@@ -86,12 +86,12 @@
 	r := &Router{settings: s, log: log, began: time.Now(), abort: make(chan struct{}), fetchTime: fetchLeast}
 	r.ledger = quota.NewAllocator(quotaSettings(s))
 	r.quota = newQuotaClient(r, quotaSettings(s))
-	r.dispatcher = front.NewDispatcher(r.clock, retry.Settings{
+	r.dispatcher = proxy.NewDispatcher(r.clock, retry.Settings{
 		Ratio: s.Bounds.BudgetRatio, Window: s.Bounds.BudgetWindow, Slack: s.Bounds.BudgetSlack,
 	}, max(64, (s.Limits.Descriptors-descriptorsKept)/2))
 	r.relay = newRelay(s.InternalAddress(), s.Zone, s.CountsForQuorum, r.sendAnnouncements)
 	r.dispatcher.Announce = r.relay.announce
-	r.front = front.NewServer(r, r.dispatcher, frontOptions(s))
+	r.front = proxy.NewServer(r, r.dispatcher, frontOptions(s))
 	r.node = dissemination.New(r.clock(), dissemination.Options{
 		Self: membership.Member{
 			Address: s.InternalAddress(), Control: s.Control, Zone: s.Zone, Region: s.Region, Core: s.CountsForQuorum,
@@ -107,8 +107,8 @@
 	return quota.Settings{Window: s.Bounds.QuotaWindow, OvershootRatio: s.Bounds.QuotaOver, OvershootUnits: s.Bounds.QuotaSlack}
 }
 
-func frontOptions(s *settings.Settings) front.Options {
-	o := front.Options{Stale: s.Bounds.ConfigApply * 3 / 4}
+func frontOptions(s *settings.Settings) proxy.Options {
+	o := proxy.Options{Stale: s.Bounds.ConfigApply * 3 / 4}
 	if s.Bounds.RevocationStrict {
 		o.KeyLease = max(s.Bounds.Revoke/2, s.Bounds.Revoke-leaseSlack)
 	}
--- a/internal/effects/effects.go
+++ b/internal/inflight/effects.go
@@ -4,7 +4,7 @@
 //
 // It decides nothing. That an id is under way is an answer of the stream's; that an effect may have taken place is an input
 // of the decisions (balance.Event.Ran).
-package effects
+package inflight
 
 import (
 	"cmp"
--- a/internal/effects/effects_test.go
+++ b/internal/inflight/effects_test.go
@@ -1,4 +1,4 @@
-package effects
+package inflight
 
 import (
 	"fmt"
--- a/internal/lab/audited/audited.go
+++ b/internal/lab/auditcheck/audited.go
@@ -1,4 +1,4 @@
-package audited
+package auditcheck
 
 import (
 	"cmp"
@@ -7,10 +7,10 @@
 	"slices"
 	"time"
 
+	"pinelb.example/pinelb/internal/auditlog"
 	"pinelb.example/pinelb/internal/lab/model"
 	"pinelb.example/pinelb/internal/lab/plan"
 	"pinelb.example/pinelb/internal/lab/trace"
-	"pinelb.example/pinelb/internal/trail"
 	"pinelb.example/pinelb/internal/version"
 )
 
@@ -44,7 +44,7 @@
 type count struct{ attempts, unseen, must, may int }
 
 // Judge compares. Trails are by sidecar: all entries that anybody has of it, of all its processes, in their order.
-func Judge(p *plan.Plan, log *trace.Log, trails map[int][]trail.Entry) Verdict {
+func Judge(p *plan.Plan, log *trace.Log, trails map[int][]auditlog.Entry) Verdict {
 	j := judge{p: p, log: log, down: map[string]bool{}, out: Verdict{Unread: []string{}, Stories: []string{}}}
 	for _, e := range p.Events {
 		if e.Kind == plan.BeginFault && e.At <= log.End && (e.Fault.Kind == model.Dead || e.Fault.Kind == model.Vanish) {
@@ -112,7 +112,7 @@
 // compare is of one sidecar. A visit must be in the trail under its list if that can only be one, and under one of those
 // that it can be otherwise; an attempt in the trail must be a visit that may belong to its list, unless it proved never to have
 // come to its box, or was withdrawn.
-func (j *judge) compare(sidecar int, visits []visit, entries []trail.Entry) {
+func (j *judge) compare(sidecar int, visits []visit, entries []auditlog.Entry) {
 	cells := map[cell]*count{}
 	of := func(c cell) *count {
 		if cells[c] == nil {
@@ -185,21 +185,21 @@
 }
 
 // counted are a trail's attempts. What was made under a number that it does not explain is under no list.
-func counted(entries []trail.Entry) map[cell]count {
+func counted(entries []auditlog.Entry) map[cell]count {
 	type number struct {
 		life  string
 		under uint32
 	}
 	lists := map[number]version.Digest{}
 	for i := range entries {
-		if e := &entries[i]; e.Kind == trail.Adopted && e.Version != nil {
+		if e := &entries[i]; e.Kind == auditlog.Adopted && e.Version != nil {
 			lists[number{e.Life, e.Under}] = e.Version.List.Digest
 		}
 	}
 	out := map[cell]count{}
 	for i := range entries {
 		e := &entries[i]
-		if e.Kind != trail.Counted {
+		if e.Kind != auditlog.Counted {
 			continue
 		}
 		for _, a := range e.Attempts {
@@ -213,7 +213,7 @@
 }
 
 // unproven are the times in which what a process did can't be in its trail: from its last count on until it was killed.
-func (j *judge) unproven(sidecar int, entries []trail.Entry) (out [][2]time.Duration) {
+func (j *judge) unproven(sidecar int, entries []auditlog.Entry) (out [][2]time.Duration) {
 	begun := time.Duration(0)
 	for _, c := range j.log.Changes {
 		if c.Sidecar != sidecar {
@@ -232,7 +232,7 @@
 					continue
 				}
 				any = true // a process of which nothing at all is left excuses nothing
-				if entries[i].Kind == trail.Counted {
+				if entries[i].Kind == auditlog.Counted {
 					last = max(last, at)
 				}
 			}
--- a/internal/lab/audited/audited_test.go
+++ b/internal/lab/auditcheck/audited_test.go
@@ -1,4 +1,4 @@
-package audited
+package auditcheck
 
 import (
 	"fmt"
@@ -6,11 +6,11 @@
 	"testing"
 	"time"
 
+	"pinelb.example/pinelb/internal/auditlog"
 	"pinelb.example/pinelb/internal/lab/model"
 	"pinelb.example/pinelb/internal/lab/plan"
 	"pinelb.example/pinelb/internal/lab/scenario"
 	"pinelb.example/pinelb/internal/lab/trace"
-	"pinelb.example/pinelb/internal/trail"
 	"pinelb.example/pinelb/internal/version"
 )
 
@@ -38,7 +38,7 @@
 
 // story is a play of two sidecars: n1 is told list A before the run and B at 5 s, which it has taken over by 6 s; n2 is told A
 // alone. Both ask a box each second, n1 also once at 5.5 s, when nobody can say by which of the two.
-func story(t *testing.T) (*plan.Plan, *trace.Log, map[int][]trail.Entry) {
+func story(t *testing.T) (*plan.Plan, *trace.Log, map[int][]auditlog.Entry) {
 	s, err := scenario.Parse("small.toml", []byte(small))
 	if err != nil {
 		t.Fatal(err)
@@ -66,14 +66,14 @@
 	for _, when := range []float64{1, 2, 7, 8} {
 		visit(1, when)
 	}
-	adopted := func(seq uint64, under uint32, d version.Digest) trail.Entry {
-		return trail.Entry{At: 999_900, Seq: seq, Life: "l", Kind: trail.Adopted, Under: under, Version: &version.Version{List: version.List{Digest: d}}}
+	adopted := func(seq uint64, under uint32, d version.Digest) auditlog.Entry {
+		return auditlog.Entry{At: 999_900, Seq: seq, Life: "l", Kind: auditlog.Adopted, Under: under, Version: &version.Version{List: version.List{Digest: d}}}
 	}
-	made := func(seq uint64, under uint32, n, never int, when float64) trail.Entry {
-		return trail.Entry{Seq: seq, Life: "l", Kind: trail.Counted, Under: under, At: version.Millis(1_000_000 + 1000*when),
-			Attempts: []trail.Attempts{{Class: "c", Host: "t-1", N: n, Never: never}}}
+	made := func(seq uint64, under uint32, n, never int, when float64) auditlog.Entry {
+		return auditlog.Entry{Seq: seq, Life: "l", Kind: auditlog.Counted, Under: under, At: version.Millis(1_000_000 + 1000*when),
+			Attempts: []auditlog.Attempts{{Class: "c", Host: "t-1", N: n, Never: never}}}
 	}
-	return p, log, map[int][]trail.Entry{
+	return p, log, map[int][]auditlog.Entry{
 		0: {adopted(1, 1, listA), made(2, 1, 3, 0, 4), adopted(3, 2, listB), made(4, 2, 4, 1, 9)},
 		1: {adopted(1, 1, listA), made(2, 1, 2, 0, 4), made(3, 1, 2, 0, 9)},
 	}
@@ -85,52 +85,52 @@
 		name                     string
 		wrong, missing, unproven int
 		unread                   []string
-		plant                    func(p *plan.Plan, log *trace.Log, trails map[int][]trail.Entry)
+		plant                    func(p *plan.Plan, log *trace.Log, trails map[int][]auditlog.Entry)
 	}{
-		{name: "nothing", plant: func(*plan.Plan, *trace.Log, map[int][]trail.Entry) {}},
-		{name: "a count raised", wrong: 2, plant: func(_ *plan.Plan, _ *trace.Log, trails map[int][]trail.Entry) {
+		{name: "nothing", plant: func(*plan.Plan, *trace.Log, map[int][]auditlog.Entry) {}},
+		{name: "a count raised", wrong: 2, plant: func(_ *plan.Plan, _ *trace.Log, trails map[int][]auditlog.Entry) {
 			trails[0][1].Attempts[0].N += 2
 		}},
-		{name: "a count lowered", missing: 1, plant: func(_ *plan.Plan, _ *trace.Log, trails map[int][]trail.Entry) {
+		{name: "a count lowered", missing: 1, plant: func(_ *plan.Plan, _ *trace.Log, trails map[int][]auditlog.Entry) {
 			trails[0][1].Attempts[0].N--
 		}},
-		{name: "a count moved to the other list", wrong: 1, missing: 1, plant: func(_ *plan.Plan, _ *trace.Log, trails map[int][]trail.Entry) {
+		{name: "a count moved to the other list", wrong: 1, missing: 1, plant: func(_ *plan.Plan, _ *trace.Log, trails map[int][]auditlog.Entry) {
 			trails[0][1].Attempts[0].N--
 			trails[0][3].Attempts[0].N++
 		}},
-		{name: "a list that it was never told", wrong: 4, missing: 4, plant: func(_ *plan.Plan, _ *trace.Log, trails map[int][]trail.Entry) {
+		{name: "a list that it was never told", wrong: 4, missing: 4, plant: func(_ *plan.Plan, _ *trace.Log, trails map[int][]auditlog.Entry) {
 			trails[1][0].Version.List.Digest = listB
 		}},
-		{name: "the list it was configured with, after it was told another", wrong: 4, missing: 4, plant: func(_ *plan.Plan, _ *trace.Log, trails map[int][]trail.Entry) {
+		{name: "the list it was configured with, after it was told another", wrong: 4, missing: 4, plant: func(_ *plan.Plan, _ *trace.Log, trails map[int][]auditlog.Entry) {
 			trails[1][0].Version.List.Digest = listC
 		}},
-		{name: "another box", wrong: 2, missing: 2, plant: func(_ *plan.Plan, _ *trace.Log, trails map[int][]trail.Entry) {
+		{name: "another box", wrong: 2, missing: 2, plant: func(_ *plan.Plan, _ *trace.Log, trails map[int][]auditlog.Entry) {
 			trails[1][1].Attempts[0].Host = "t-2"
 		}},
-		{name: "an entry cut out", missing: 2, plant: func(_ *plan.Plan, _ *trace.Log, trails map[int][]trail.Entry) {
+		{name: "an entry cut out", missing: 2, plant: func(_ *plan.Plan, _ *trace.Log, trails map[int][]auditlog.Entry) {
 			trails[1] = slices.Delete(trails[1], 1, 2)
 		}},
-		{name: "no trail", unread: []string{"n2"}, plant: func(_ *plan.Plan, _ *trace.Log, trails map[int][]trail.Entry) {
+		{name: "no trail", unread: []string{"n2"}, plant: func(_ *plan.Plan, _ *trace.Log, trails map[int][]auditlog.Entry) {
 			delete(trails, 1)
 		}},
-		{name: "killed before its first count", unproven: 4, plant: func(_ *plan.Plan, log *trace.Log, trails map[int][]trail.Entry) {
+		{name: "killed before its first count", unproven: 4, plant: func(_ *plan.Plan, log *trace.Log, trails map[int][]auditlog.Entry) {
 			log.Changes = append(log.Changes, trace.Change{At: at(9), Sidecar: 1, What: trace.Killed})
 			trails[1] = trails[1][:1]
 		}},
-		{name: "killed after its last count", unproven: 2, plant: func(_ *plan.Plan, log *trace.Log, trails map[int][]trail.Entry) {
+		{name: "killed after its last count", unproven: 2, plant: func(_ *plan.Plan, log *trace.Log, trails map[int][]auditlog.Entry) {
 			log.Changes = append(log.Changes, trace.Change{At: at(9), Sidecar: 1, What: trace.Killed})
 			trails[1] = trails[1][:2]
 		}},
-		{name: "killed, and its trail has lost what was counted before", missing: 1, unproven: 2, plant: func(_ *plan.Plan, log *trace.Log, trails map[int][]trail.Entry) {
+		{name: "killed, and its trail has lost what was counted before", missing: 1, unproven: 2, plant: func(_ *plan.Plan, log *trace.Log, trails map[int][]auditlog.Entry) {
 			log.Changes = append(log.Changes, trace.Change{At: at(9), Sidecar: 1, What: trace.Killed})
 			trails[1] = trails[1][:2]
 			trails[1][1].Attempts[0].N--
 		}},
-		{name: "killed, and nothing is left of that process", missing: 4, plant: func(_ *plan.Plan, log *trace.Log, trails map[int][]trail.Entry) {
+		{name: "killed, and nothing is left of that process", missing: 4, plant: func(_ *plan.Plan, log *trace.Log, trails map[int][]auditlog.Entry) {
 			log.Changes = append(log.Changes, trace.Change{At: at(9), Sidecar: 1, What: trace.Killed})
-			trails[1] = []trail.Entry{{Seq: 1, Life: "m", Kind: trail.Began, At: 1_010_000}}
+			trails[1] = []auditlog.Entry{{Seq: 1, Life: "m", Kind: auditlog.Began, At: 1_010_000}}
 		}},
-		{name: "a box that went down: what was on its way has no end", plant: func(p *plan.Plan, _ *trace.Log, trails map[int][]trail.Entry) {
+		{name: "a box that went down: what was on its way has no end", plant: func(p *plan.Plan, _ *trace.Log, trails map[int][]auditlog.Entry) {
 			p.Events = append(p.Events, plan.Event{Kind: plan.BeginFault, Box: 0, Fault: model.Fault{Kind: model.Dead}})
 			trails[0][1].Attempts[0].N += 2
 		}},
@@ -222,11 +222,11 @@
 		if err != nil || got.Rounds != 9 || got.True != c.isTrue || got.Found != c.found || got.Unasked != c.unasked || got.Hidden != c.hidden || got.False != c.falsly {
 			t.Errorf("%s: %+v %v", c.name, got, err)
 		}
-		log.Trails = map[int][]trail.Entry{}
+		log.Trails = map[int][]auditlog.Entry{}
 		if ends, never := Ends(p, log, at(1)); !slices.Equal(ends, []time.Duration{}) || never != 1 {
 			t.Errorf("%s: it ended after %v, never %d", c.name, ends, never)
 		}
-		log.Trails[1] = []trail.Entry{{Kind: trail.Judged, At: 1_007_500, State: version.Shut}}
+		log.Trails[1] = []auditlog.Entry{{Kind: auditlog.Judged, At: 1_007_500, State: version.Shut}}
 		if ends, never := Ends(p, log, at(1)); !slices.Equal(ends, []time.Duration{at(3)}) || never != 0 {
 			t.Errorf("%s: shut out after %v, never %d", c.name, ends, never)
 		}
--- a/internal/lab/audited/held.go
+++ b/internal/lab/auditcheck/held.go
@@ -1,6 +1,6 @@
 // Package audited says whether what an audit found is true. It is pure: it knows from the trace what each sidecar was told and
 // what each box received, and compares the sidecars' trails and the auditor's findings with that.
-package audited
+package auditcheck
 
 import (
 	"cmp"
--- a/internal/lab/audited/left.go
+++ b/internal/lab/auditcheck/left.go
@@ -1,4 +1,4 @@
-package audited
+package auditcheck
 
 import (
 	"time"
--- a/internal/lab/audited/stragglers.go
+++ b/internal/lab/auditcheck/stragglers.go
@@ -1,4 +1,4 @@
-package audited
+package auditcheck
 
 import (
 	"bytes"
@@ -7,10 +7,10 @@
 	"slices"
 	"time"
 
+	"pinelb.example/pinelb/internal/auditlog"
 	"pinelb.example/pinelb/internal/lab/model"
 	"pinelb.example/pinelb/internal/lab/plan"
 	"pinelb.example/pinelb/internal/lab/trace"
-	"pinelb.example/pinelb/internal/trail"
 	"pinelb.example/pinelb/internal/version"
 )
 
@@ -215,7 +215,7 @@
 	for _, e := range log.Trails[sidecar] {
 		at := e.At.D() - time.Duration(log.Start.UnixMilli())*time.Millisecond
 		now := is && e.Life == life
-		if e.Kind == trail.Judged {
+		if e.Kind == auditlog.Judged {
 			now = e.State == version.Shut
 		}
 		if is && !now {
--- a/internal/lab/rehearse/arrivals.go
+++ b/internal/lab/calibration/arrivals.go
@@ -1,15 +1,15 @@
 // Package rehearse takes sidecars' records and makes a scenario of them that behaves as the recorded hosts
 // did: who asked what and when is the record's, and the boxes and what went wrong with them are fitted to it.
-package rehearse
+package calibration
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"time"
 
+	"pinelb.example/pinelb/internal/accesslog"
 	"pinelb.example/pinelb/internal/lab/plan"
 	"pinelb.example/pinelb/internal/lab/scenario"
-	"pinelb.example/pinelb/internal/record"
 	"pinelb.example/pinelb/internal/stream"
 )
 
@@ -24,7 +24,7 @@
 
 // start is the rehearsal's time 0: the earliest start of a run, or shortly before the first stream if that
 // came much later.
-func start(records ...*record.Record) time.Time {
+func start(records ...*accesslog.Record) time.Time {
 	var first, asked time.Time
 	for _, r := range records {
 		for _, run := range r.Runs {
@@ -47,7 +47,7 @@
 
 // Arrivals are a record's streams as a scenario's clients send them again. Classes are found by name. Clients
 // that left do so again, and of the others as many would have left later as the record makes likely.
-func Arrivals(r *record.Record, s *scenario.Scenario) ([]plan.Arrival, error) {
+func Arrivals(r *accesslog.Record, s *scenario.Scenario) ([]plan.Arrival, error) {
 	zero := start(r)
 	out := []plan.Arrival{}
 	leaves := leaving(r)
@@ -79,7 +79,7 @@
 
 // leaving counts those that left against the time that all waited: what was answered says nothing of when its
 // client would have left later.
-func leaving(r *record.Record) (out rates) {
+func leaving(r *accesslog.Record) (out rates) {
 	var left, waited rates
 	for _, run := range r.Runs {
 		for i := range run.Streams {
@@ -105,7 +105,7 @@
 }
 
 // after draws when a client would have left that had its answer; 0 is never.
-func (r *rates) after(s *record.Stream, rng *rand.Rand) time.Duration {
+func (r *rates) after(s *accesslog.Stream, rng *rand.Rand) time.Duration {
 	need := rng.ExpFloat64()
 	from := float64(s.Answered) / float64(max(s.Left, 1)) * leaveSteps
 	for step := int(from); step < leaveSteps; step++ {
--- a/internal/lab/rehearse/file.go
+++ b/internal/lab/calibration/file.go
@@ -1,4 +1,4 @@
-package rehearse
+package calibration
 
 import (
 	"bytes"
@@ -10,8 +10,8 @@
 
 	"github.com/pelletier/go-toml/v2"
 
+	"pinelb.example/pinelb/internal/accesslog"
 	"pinelb.example/pinelb/internal/lab/scenario"
-	"pinelb.example/pinelb/internal/record"
 )
 
 var (
@@ -48,7 +48,7 @@
 }
 
 // Write leaves a rehearsal in a folder, as a scenario and the record that it plays.
-func (r *Rehearsal) Write(dir string, records []*record.Record) error {
+func (r *Rehearsal) Write(dir string, records []*accesslog.Record) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("rehearse: %w", err)
 	}
@@ -63,7 +63,7 @@
 	if err != nil {
 		return fmt.Errorf("rehearse: %w", err)
 	}
-	if err := record.Write(f, Merge(records)); err != nil {
+	if err := accesslog.Write(f, Merge(records)); err != nil {
 		f.Close()
 		return fmt.Errorf("rehearse: %w", err)
 	}
--- a/internal/lab/rehearse/fit.go
+++ b/internal/lab/calibration/fit.go
@@ -1,4 +1,4 @@
-package rehearse
+package calibration
 
 import (
 	"cmp"
--- a/internal/lab/rehearse/records_test.go
+++ b/internal/lab/calibration/records_test.go
@@ -1,4 +1,4 @@
-package rehearse
+package calibration
 
 import (
 	"flag"
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 
 	"pinelb.example/pinelb/balance"
-	"pinelb.example/pinelb/internal/record"
+	"pinelb.example/pinelb/internal/accesslog"
 	"pinelb.example/pinelb/internal/stream"
 )
 
@@ -38,26 +38,26 @@
 func TestRecordsThatLack(t *testing.T) {
 	whole := short(t)
 	at := strings.LastIndex(whole[:len(whole)*2/3], `"tries"`)
-	cut := fitted(t, []*record.Record{read(t, whole[:at+9])}, direct)
+	cut := fitted(t, []*accesslog.Record{read(t, whole[:at+9])}, direct)
 	noted(t, cut, "1 lines that are not whole were left out")
 	noted(t, cut, "records of 1 sidecars of 2")
 
-	lossy := fitted(t, []*record.Record{read(t, whole+`{"rec":"lost","t":100,"until":900,"rate":300}`+"\n")}, direct)
+	lossy := fitted(t, []*accesslog.Record{read(t, whole+`{"rec":"lost","t":100,"until":900,"rate":300}`+"\n")}, direct)
 	noted(t, lossy, "300 of the streams are missing")
 }
 
 func TestRecordsThatSayNothing(t *testing.T) {
 	whole := short(t)
-	change := func(how func(run *record.Run)) []*record.Record {
+	change := func(how func(run *accesslog.Run)) []*accesslog.Record {
 		r := read(t, whole)
 		how(r.Runs[0])
-		return []*record.Record{r}
+		return []*accesslog.Record{r}
 	}
-	for want, records := range map[string][]*record.Record{
+	for want, records := range map[string][]*accesslog.Record{
 		"no record holds a run": nil,
-		"holds no stream":       change(func(run *record.Run) { run.Streams = nil }),
-		"too short to tell":     change(func(run *record.Run) { run.Streams = run.Streams[:20] }),
-		"only 0 of": change(func(run *record.Run) {
+		"holds no stream":       change(func(run *accesslog.Run) { run.Streams = nil }),
+		"too short to tell":     change(func(run *accesslog.Run) { run.Streams = run.Streams[:20] }),
+		"only 0 of": change(func(run *accesslog.Run) {
 			for i := range run.Streams {
 				run.Streams[i].End = stream.Failed
 				for k := range run.Streams[i].Attempts {
@@ -65,9 +65,9 @@
 				}
 			}
 		}),
-		"15m0s at most": change(func(run *record.Run) { run.Streams[len(run.Streams)-1].Arrival += time.Hour }),
-		"tier 1":        append(change(func(*record.Run) {}), change(func(run *record.Run) { run.Header.Settings.Tier = 1 })...),
-		`class "other", which n1 lacks`: append(change(func(*record.Run) {}), change(func(run *record.Run) {
+		"15m0s at most": change(func(run *accesslog.Run) { run.Streams[len(run.Streams)-1].Arrival += time.Hour }),
+		"tier 1":        append(change(func(*accesslog.Run) {}), change(func(run *accesslog.Run) { run.Header.Settings.Tier = 1 })...),
+		`class "other", which n1 lacks`: append(change(func(*accesslog.Run) {}), change(func(run *accesslog.Run) {
 			run.Header.Settings.ClassNames = append([]string{"other"}, run.Header.Settings.ClassNames[1:]...)
 		})...),
 	} {
@@ -84,7 +84,7 @@
 	first := records[0].Runs[0]
 	second := *first
 	second.Header.Start = first.Header.Start.Add(5 * time.Second)
-	move := func(streams []record.Stream, by time.Duration) (out []record.Stream) {
+	move := func(streams []accesslog.Stream, by time.Duration) (out []accesslog.Stream) {
 		for _, s := range streams {
 			s.Arrival += by
 			out = append(out, s)
@@ -97,7 +97,7 @@
 	}
 	second.Streams = move(first.Streams[n:], 2*time.Second-5*time.Second) // what followed came 2 s later
 	first.Streams = first.Streams[:n]
-	second.Cluster = []record.Cluster{{List: record.Known, Hosts: first.Cluster[0].Hosts}}
+	second.Cluster = []accesslog.Cluster{{List: accesslog.Known, Hosts: first.Cluster[0].Hosts}}
 	quiet := 30 * time.Minute
 	first.Header.Start = first.Header.Start.Add(-quiet)
 	first.Streams = move(first.Streams, quiet)
@@ -107,7 +107,7 @@
 		}
 	}
 	records[0].Runs = append(records[0].Runs, &second)
-	r := fitted(t, []*record.Record{read(t, lines(t, records[0]))}, direct)
+	r := fitted(t, []*accesslog.Record{read(t, lines(t, records[0]))}, direct)
 	noted(t, r, "n1 was not running from")
 	if a := r.Arrivals; a[0].At > 2*time.Second || len(a) != n+len(second.Streams) {
 		t.Errorf("%d of %d streams are played, the first at %v", len(a), n+len(second.Streams), a[0].At)
--- a/internal/lab/rehearse/rehearse.go
+++ b/internal/lab/calibration/rehearse.go
@@ -1,4 +1,4 @@
-package rehearse
+package calibration
 
 import (
 	"errors"
@@ -7,10 +7,10 @@
 	"time"
 
 	"pinelb.example/pinelb/balance"
+	"pinelb.example/pinelb/internal/accesslog"
 	"pinelb.example/pinelb/internal/lab/plan"
 	"pinelb.example/pinelb/internal/lab/scenario"
-	"pinelb.example/pinelb/internal/lab/virtual"
-	"pinelb.example/pinelb/internal/record"
+	"pinelb.example/pinelb/internal/lab/simulation"
 )
 
 // Options bound a fit.
@@ -40,9 +40,9 @@
 }
 
 // Fit makes a rehearsal of sidecars' records, of one tier. The same records and options give the same one.
-func Fit(records []*record.Record, o Options) (*Rehearsal, error) {
+func Fit(records []*accesslog.Record, o Options) (*Rehearsal, error) {
 	records = slices.Clone(records)
-	slices.SortStableFunc(records, func(a, b *record.Record) int { return rank(a) - rank(b) })
+	slices.SortStableFunc(records, func(a, b *accesslog.Record) int { return rank(a) - rank(b) })
 	v, err := look(records)
 	if err != nil {
 		return nil, err
@@ -63,17 +63,17 @@
 }
 
 // Merge puts records together into one, the runs by their starts.
-func Merge(records []*record.Record) *record.Record {
-	out := &record.Record{}
+func Merge(records []*accesslog.Record) *accesslog.Record {
+	out := &accesslog.Record{}
 	for _, r := range records {
 		out.Runs = append(out.Runs, r.Runs...)
 		out.Other, out.Skipped, out.Truncated = out.Other+r.Other, out.Skipped+r.Skipped, out.Truncated || r.Truncated
 	}
-	slices.SortStableFunc(out.Runs, func(a, b *record.Run) int { return a.Header.Start.Compare(b.Header.Start) })
+	slices.SortStableFunc(out.Runs, func(a, b *accesslog.Run) int { return a.Header.Start.Compare(b.Header.Start) })
 	return out
 }
 
-func rank(r *record.Record) int {
+func rank(r *accesslog.Record) int {
 	if len(r.Runs) == 0 {
 		return 0
 	}
@@ -115,11 +115,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("rehearse: %w", err)
 	}
-	log, err := virtual.Play(p)
+	log, err := simulation.Play(p)
 	if err != nil {
 		return nil, fmt.Errorf("rehearse: %w", err)
 	}
-	var records []*record.Record
+	var records []*accesslog.Record
 	for i := range p.Sidecars {
 		rec, err := Record(p, log, i)
 		if err != nil {
--- a/internal/lab/rehearse/rehearse_test.go
+++ b/internal/lab/calibration/rehearse_test.go
@@ -1,4 +1,4 @@
-package rehearse
+package calibration
 
 import (
 	"bytes"
@@ -12,11 +12,11 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 
+	"pinelb.example/pinelb/internal/accesslog"
 	"pinelb.example/pinelb/internal/lab/plan"
 	"pinelb.example/pinelb/internal/lab/scenario"
+	"pinelb.example/pinelb/internal/lab/simulation"
 	"pinelb.example/pinelb/internal/lab/trace"
-	"pinelb.example/pinelb/internal/lab/virtual"
-	"pinelb.example/pinelb/internal/record"
 	"pinelb.example/pinelb/scenarios"
 )
 
@@ -25,7 +25,7 @@
 
 // observe plays a scenario that comes with the program, with more faults and cut short, and returns what the records
 // of its first tier's sidecars say, each read from its text.
-func observe(t testing.TB, name, more string, length time.Duration, seed uint64) ([]*record.Record, *plan.Plan, *trace.Log) {
+func observe(t testing.TB, name, more string, length time.Duration, seed uint64) ([]*accesslog.Record, *plan.Plan, *trace.Log) {
 	t.Helper()
 	text, err := scenarios.Files.ReadFile(name + ".toml")
 	if err != nil {
@@ -47,9 +47,9 @@
 }
 
 // played plays a plan for observe.
-func played(t testing.TB, p *plan.Plan) (out []*record.Record, log *trace.Log) {
+func played(t testing.TB, p *plan.Plan) (out []*accesslog.Record, log *trace.Log) {
 	t.Helper()
-	log, err := virtual.Play(p)
+	log, err := simulation.Play(p)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,25 +67,25 @@
 }
 
 // lines are a record's lines.
-func lines(t testing.TB, r *record.Record) string {
+func lines(t testing.TB, r *accesslog.Record) string {
 	t.Helper()
 	var b bytes.Buffer
-	if err := record.Write(&b, r); err != nil {
+	if err := accesslog.Write(&b, r); err != nil {
 		t.Fatal(err)
 	}
 	return b.String()
 }
 
-func read(t testing.TB, text string) *record.Record {
+func read(t testing.TB, text string) *accesslog.Record {
 	t.Helper()
-	r, err := record.Read(strings.NewReader(text))
+	r, err := accesslog.Read(strings.NewReader(text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-func fitted(t testing.TB, records []*record.Record, o Options) *Rehearsal {
+func fitted(t testing.TB, records []*accesslog.Record, o Options) *Rehearsal {
 	t.Helper()
 	r, err := Fit(records, o)
 	if err != nil {
--- a/internal/lab/rehearse/scan.go
+++ b/internal/lab/calibration/scan.go
@@ -1,4 +1,4 @@
-package rehearse
+package calibration
 
 // run is a part of a sequence, from one place to before another, and how much speaks for it.
 type run struct {
--- a/internal/lab/rehearse/view.go
+++ b/internal/lab/calibration/view.go
@@ -1,4 +1,4 @@
-package rehearse
+package calibration
 
 import (
 	"cmp"
@@ -9,8 +9,8 @@
 	"time"
 
 	"pinelb.example/pinelb/balance"
+	"pinelb.example/pinelb/internal/accesslog"
 	"pinelb.example/pinelb/internal/config"
-	"pinelb.example/pinelb/internal/record"
 	"pinelb.example/pinelb/internal/stream"
 )
 
@@ -74,7 +74,7 @@
 }
 
 // look puts records together.
-func look(records []*record.Record) (*view, error) {
+func look(records []*accesslog.Record) (*view, error) {
 	v := &view{zero: start(records...)}
 	if v.zero.IsZero() {
 		return nil, errors.New("rehearse: no record holds a run")
@@ -106,7 +106,7 @@
 }
 
 // settle takes over a run's settings and numbers its sidecar.
-func (v *view) settle(run *record.Run, classes, known map[string]int) error {
+func (v *view) settle(run *accesslog.Run, classes, known map[string]int) error {
 	h := &run.Header
 	if v.names == nil {
 		v.settings, v.site, v.limits = h.Settings, h.Site, h.Limits
@@ -131,7 +131,7 @@
 }
 
 // run adds one run.
-func (v *view) run(run *record.Run, sidecar int, classes, hosts map[string]int) {
+func (v *view) run(run *accesslog.Run, sidecar int, classes, hosts map[string]int) {
 	offset := run.Header.Start.Sub(v.zero)
 	find := func(name string) int {
 		i, is := hosts[name]
@@ -163,7 +163,7 @@
 		}
 		for i := range v.hosts { // a whole list that lacks a host says that it has gone
 			h := &v.hosts[i]
-			if k := len(h.listed); c.List != record.Change && !listed[i] && k > 0 && h.listed[k-1].state != balance.Gone {
+			if k := len(h.listed); c.List != accesslog.Change && !listed[i] && k > 0 && h.listed[k-1].state != balance.Gone {
 				h.listed = append(h.listed, listing{at: at, sidecar: sidecar, state: balance.Gone})
 			}
 		}
@@ -178,7 +178,7 @@
 		l.to = max(l.to, at+s.Answered)
 		v.streams = append(v.streams, seenStream{at: at, left: s.Left, after: s.Answered, class: class, sidecar: sidecar,
 			end: s.End, attempts: len(s.Attempts)})
-		won := slices.ContainsFunc(s.Attempts, func(a record.Attempt) bool { return a.Status == balance.OK })
+		won := slices.ContainsFunc(s.Attempts, func(a accesslog.Attempt) bool { return a.Status == balance.OK })
 		for _, a := range s.Attempts {
 			if a.Status == balance.Moot { // never sent
 				continue
--- a/internal/lab/rehearse/virtual.go
+++ b/internal/lab/calibration/virtual.go
@@ -1,14 +1,14 @@
-package rehearse
+package calibration
 
 import (
 	"time"
 
 	"pinelb.example/pinelb/balance"
+	"pinelb.example/pinelb/internal/accesslog"
 	"pinelb.example/pinelb/internal/cluster"
 	"pinelb.example/pinelb/internal/config"
 	"pinelb.example/pinelb/internal/lab/plan"
 	"pinelb.example/pinelb/internal/lab/trace"
-	"pinelb.example/pinelb/internal/record"
 	"pinelb.example/pinelb/internal/stream"
 )
 
@@ -17,14 +17,14 @@
 
 // Record is what a sidecar would have recorded of a virtual run, had it gone on to the run's end: what was open
 // then or when it was killed is missing, as in a record.
-func Record(p *plan.Plan, log *trace.Log, sidecar int) (*record.Record, error) {
+func Record(p *plan.Plan, log *trace.Log, sidecar int) (*accesslog.Record, error) {
 	site := p.Settings(sidecar)
 	settings, err := config.ParseSettings(site)
 	if err != nil {
 		return nil, err
 	}
 	f := &p.Scenario.Fleet
-	run := &record.Run{Header: record.Header{Name: p.Sidecars[sidecar].Name, Start: time.Unix(0, int64(epoch)).UTC(),
+	run := &accesslog.Run{Header: accesslog.Header{Name: p.Sidecars[sidecar].Name, Start: time.Unix(0, int64(epoch)).UTC(),
 		Limits: config.Limits{Cores: f.Cores, MemoryMB: f.MemoryMB, Sockets: f.Sockets}, Site: string(site), Settings: settings}}
 	run.Cluster = lists(p, log, sidecar)
 	at := make([]int, len(log.Tries)) // of each try, its stream's place from 1 on
@@ -33,7 +33,7 @@
 		if t.Sidecar != sidecar {
 			continue
 		}
-		run.Streams = append(run.Streams, record.Stream{Arrival: s.Arrived, Class: t.Class, Left: t.Left,
+		run.Streams = append(run.Streams, accesslog.Stream{Arrival: s.Arrived, Class: t.Class, Left: t.Left,
 			Repeated: t.No > 0 || t.Tier == 0 && p.Requests[t.Request].Repeated, End: ending(&s), Answered: s.Answered - s.Arrived,
 			RetryAfter: s.Advice})
 		at[s.Try] = len(run.Streams)
@@ -44,24 +44,24 @@
 			continue
 		}
 		s := &run.Streams[i]
-		s.Attempts = append(s.Attempts, record.Attempt{Host: p.Boxes[a.Box].Name, Began: a.Sent - s.Arrival, Took: a.Took, Status: a.Status})
+		s.Attempts = append(s.Attempts, accesslog.Attempt{Host: p.Boxes[a.Box].Name, Began: a.Sent - s.Arrival, Took: a.Took, Status: a.Status})
 	}
-	return &record.Record{Runs: []*record.Run{run}}, nil
+	return &accesslog.Record{Runs: []*accesslog.Run{run}}, nil
 }
 
 // lists are what discovery told a sidecar: the whole list at its start and then the changes.
-func lists(p *plan.Plan, log *trace.Log, sidecar int) (out []record.Cluster) {
+func lists(p *plan.Plan, log *trace.Log, sidecar int) (out []accesslog.Cluster) {
 	states := [...]balance.Availability{trace.Ready: balance.Ready, trace.Terminating: balance.Draining, trace.Away: balance.Gone}
 	for _, t := range log.Told {
 		if t.Sidecar != sidecar {
 			continue
 		}
 		if n := len(out); n == 0 || out[n-1].At != t.At {
-			list := record.Change
+			list := accesslog.Change
 			if n == 0 {
-				list = record.Whole
+				list = accesslog.Whole
 			}
-			out = append(out, record.Cluster{At: t.At, List: list})
+			out = append(out, accesslog.Cluster{At: t.At, List: list})
 		}
 		b := &p.Boxes[t.Box]
 		m := cluster.Member{ID: b.Name, State: states[t.Phase]}
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -12,16 +12,16 @@
 	"strings"
 	"time"
 
+	"pinelb.example/pinelb/internal/accesslog"
+	"pinelb.example/pinelb/internal/lab/calibration"
 	"pinelb.example/pinelb/internal/lab/judge"
-	"pinelb.example/pinelb/internal/lab/live"
+	"pinelb.example/pinelb/internal/lab/loopback"
 	"pinelb.example/pinelb/internal/lab/plan"
-	"pinelb.example/pinelb/internal/lab/rehearse"
 	"pinelb.example/pinelb/internal/lab/report"
 	"pinelb.example/pinelb/internal/lab/result"
 	"pinelb.example/pinelb/internal/lab/scenario"
+	"pinelb.example/pinelb/internal/lab/simulation"
 	"pinelb.example/pinelb/internal/lab/trace"
-	"pinelb.example/pinelb/internal/lab/virtual"
-	"pinelb.example/pinelb/internal/record"
 )
 
 // Config is what to play and how.
@@ -65,10 +65,10 @@
 	var log *trace.Log
 	var ended error
 	if c.Virtual {
-		log, err = virtual.Play(p)
+		log, err = simulation.Play(p)
 	} else {
 		meta = result.Meta{Player: "sockets", Builds: builds(c.Builds)}
-		log, err = live.Play(ctx, p, live.Options{Builds: c.Builds, Dir: c.Logs, Progress: c.Progress})
+		log, err = loopback.Play(ctx, p, loopback.Options{Builds: c.Builds, Dir: c.Logs, Progress: c.Progress})
 		if log != nil && ctx.Err() != nil {
 			ended, err = ctx.Err(), nil
 		}
@@ -117,11 +117,11 @@
 		return nil, fmt.Errorf("experiment: clients.recorded: %w", err)
 	}
 	defer f.Close()
-	r, err := record.Read(f)
+	r, err := accesslog.Read(f)
 	if err != nil {
 		return nil, fmt.Errorf("experiment: clients.recorded: %s: %w", path, err)
 	}
-	return rehearse.Arrivals(r, s)
+	return calibration.Arrivals(r, s)
 }
 
 // builds names the programs by what they say of themselves and by their bytes.
--- a/internal/lab/fake/fake.go
+++ b/internal/lab/faultysidecar/fake.go
@@ -2,7 +2,7 @@
 // the configuration that the real one reads, takes requests over HTTP/1.1, follows discovery and sends to the
 // listed boxes in turn. Without a fault it keeps the rules, as long as no script stops it in the middle of a
 // run: it ends at once then.
-package fake
+package faultysidecar
 
 import (
 	"context"
--- a/internal/lab/fake/hosts.go
+++ b/internal/lab/faultysidecar/hosts.go
@@ -1,4 +1,4 @@
-package fake
+package faultysidecar
 
 import (
 	"cmp"
--- a/internal/lab/gauge/audit.go
+++ b/internal/lab/footprint/audit.go
@@ -1,4 +1,4 @@
-package gauge
+package footprint
 
 import (
 	"context"
@@ -16,8 +16,8 @@
 
 	"pinelb.example/pinelb/balance"
 	"pinelb.example/pinelb/internal/audit"
-	"pinelb.example/pinelb/internal/durable"
-	"pinelb.example/pinelb/internal/trail"
+	"pinelb.example/pinelb/internal/auditlog"
+	"pinelb.example/pinelb/internal/persistence"
 	"pinelb.example/pinelb/internal/version"
 )
 
@@ -177,10 +177,10 @@
 	if err != nil {
 		return "", nil, fmt.Errorf("gauge: stand-in: %w", err)
 	}
-	now := durable.Now()
+	now := persistence.Now()
 	clock := now
 	clock.Wall, clock.Up = now.Wall.Add(-worked), max(0, now.Up-worked)
-	b := trail.NewBook("life "+name, "", nil, func() durable.Clock { return clock })
+	b := auditlog.NewBook("life "+name, "", nil, func() persistence.Clock { return clock })
 	b.Names(func(class int, host balance.EndpointID) (string, string) {
 		return fmt.Sprintf("class-%03d", class), fmt.Sprintf("host-%04d", host)
 	})
@@ -199,8 +199,8 @@
 	}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		since, _ := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64) // none is 0: all
-		at := durable.Now()
-		report := trail.Report{Name: name, Zone: "here", Site: auditSite, Instances: fleet, Life: "life " + name, State: "acts",
+		at := persistence.Now()
+		report := auditlog.Report{Name: name, Zone: "here", Site: auditSite, Instances: fleet, Life: "life " + name, State: "acts",
 			Now: version.Millis(at.Wall.UnixMilli()), Up: version.Millis(at.Up.Milliseconds()), Since: version.Millis(worked.Milliseconds())}
 		report.Version, report.Under = b.Version()
 		report.Entries, report.Next, report.First = b.Since(since, pageMost)
@@ -245,7 +245,7 @@
 		if err != nil {
 			return 0, fmt.Errorf("gauge: %w", err)
 		}
-		var r trail.Report
+		var r auditlog.Report
 		err = json.NewDecoder(res.Body).Decode(&r)
 		res.Body.Close()
 		if err != nil {
--- a/internal/lab/gauge/gauge_test.go
+++ b/internal/lab/footprint/gauge_test.go
@@ -1,4 +1,4 @@
-package gauge
+package footprint
 
 import (
 	"context"
--- a/internal/lab/gauge/service.go
+++ b/internal/lab/footprint/service.go
@@ -1,6 +1,6 @@
 // Package gauge measures what one sidecar's control costs: real processes against a list service on loopback whose size, news
-// and bytes are known. It fits nothing; internal/lab/slope does.
-package gauge
+// and bytes are known. It fits nothing; internal/lab/scalefit does.
+package footprint
 
 import (
 	"encoding/json"
--- a/internal/lab/live/audit_test.go
+++ b/internal/lab/loopback/audit_test.go
@@ -1,4 +1,4 @@
-package live_test
+package loopback_test
 
 import (
 	"cmp"
--- a/internal/lab/live/bench_test.go
+++ b/internal/lab/loopback/bench_test.go
@@ -1,4 +1,4 @@
-package live_test
+package loopback_test
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"pinelb.example/pinelb/internal/lab/live"
+	"pinelb.example/pinelb/internal/lab/loopback"
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
@@ -38,7 +38,7 @@
 policy = "plain"
 `, benchLength, rate))
 			for b.Loop() {
-				log, err := live.Play(b.Context(), p, live.Options{})
+				log, err := loopback.Play(b.Context(), p, loopback.Options{})
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -92,7 +92,7 @@
 start = "with"
 `, rate, sidecars))
 				for b.Loop() {
-					log, err := live.Play(b.Context(), p, live.Options{Builds: [2]string{sidecar, ""}})
+					log, err := loopback.Play(b.Context(), p, loopback.Options{Builds: [2]string{sidecar, ""}})
 					if err != nil {
 						b.Fatal(err)
 					}
--- a/internal/lab/live/discovery.go
+++ b/internal/lab/loopback/discovery.go
@@ -1,4 +1,4 @@
-package live
+package loopback
 
 import (
 	"encoding/json"
--- a/internal/lab/live/faults_test.go
+++ b/internal/lab/loopback/faults_test.go
@@ -1,4 +1,4 @@
-package live_test
+package loopback_test
 
 import (
 	"context"
@@ -7,17 +7,17 @@
 	"strings"
 	"testing"
 
-	"pinelb.example/pinelb/internal/lab/fake"
+	"pinelb.example/pinelb/internal/lab/faultysidecar"
 	"pinelb.example/pinelb/internal/lab/judge"
-	"pinelb.example/pinelb/internal/lab/live"
+	"pinelb.example/pinelb/internal/lab/loopback"
 	"pinelb.example/pinelb/internal/lab/plan"
 	"pinelb.example/pinelb/internal/lab/scenario"
 )
 
 // TestMain also is the fake sidecar's program: live.Play starts this binary as one.
 func TestMain(m *testing.M) {
-	if os.Getenv(fake.Variable) != "" {
-		os.Exit(fake.Main())
+	if os.Getenv(faultysidecar.Variable) != "" {
+		os.Exit(faultysidecar.Main())
 	}
 	os.Exit(m.Run())
 }
@@ -46,24 +46,24 @@
 // each play is of its kind.
 func TestFaultySidecarsAreCaught(t *testing.T) {
 	for _, c := range []struct {
-		fault fake.Fault
+		fault faultysidecar.Fault
 		rate  int
 		work  string // of a request; a flood of few and heavy ones leaves the machine time to answer them
 		more  string
 		want  []judge.Kind
 	}{
-		{fake.Honest, 100, "1ms", drains, nil},
-		{fake.Honest, 300, "1ms", restarts, nil},
-		{fake.AnswersTwice, 100, "1ms", "", []judge.Kind{judge.AnsweredTwice}},
-		{fake.RepeatsUnsafe, 100, "1ms", "", []judge.Kind{judge.RanTwice}},
-		{fake.IgnoresDrain, 100, "1ms", drains, []judge.Kind{judge.AfterDrain}},
-		{fake.FloodsCold, 150, "6ms", restarts, []judge.Kind{judge.PushedOver}},
-		{fake.Forges, 100, "1ms", "", []judge.Kind{judge.Forged}},
-		{fake.Loses, 100, "1ms", "", []judge.Kind{judge.Lost}},
-		{fake.RefusesAfterRunning, 100, "1ms", "", []judge.Kind{judge.RanTwice, judge.UnsafeRefused}},
+		{faultysidecar.Honest, 100, "1ms", drains, nil},
+		{faultysidecar.Honest, 300, "1ms", restarts, nil},
+		{faultysidecar.AnswersTwice, 100, "1ms", "", []judge.Kind{judge.AnsweredTwice}},
+		{faultysidecar.RepeatsUnsafe, 100, "1ms", "", []judge.Kind{judge.RanTwice}},
+		{faultysidecar.IgnoresDrain, 100, "1ms", drains, []judge.Kind{judge.AfterDrain}},
+		{faultysidecar.FloodsCold, 150, "6ms", restarts, []judge.Kind{judge.PushedOver}},
+		{faultysidecar.Forges, 100, "1ms", "", []judge.Kind{judge.Forged}},
+		{faultysidecar.Loses, 100, "1ms", "", []judge.Kind{judge.Lost}},
+		{faultysidecar.RefusesAfterRunning, 100, "1ms", "", []judge.Kind{judge.RanTwice, judge.UnsafeRefused}},
 	} {
 		t.Run(fmt.Sprintf("%s at %d", c.fault, c.rate), func(t *testing.T) {
-			t.Setenv(fake.Variable, string(c.fault))
+			t.Setenv(faultysidecar.Variable, string(c.fault))
 			t.Setenv("GORACE", "atexit_sleep_ms=0") // or each end of the fake takes a second more under -race
 			v := play(t, fmt.Sprintf(calm, c.work, c.rate, c.more))
 			for _, kind := range c.want {
@@ -88,7 +88,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	log, err := live.Play(context.Background(), p, live.Options{Builds: [2]string{os.Args[0], ""}, Dir: t.TempDir()})
+	log, err := loopback.Play(context.Background(), p, loopback.Options{Builds: [2]string{os.Args[0], ""}, Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/live/links.go
+++ b/internal/lab/loopback/links.go
@@ -1,4 +1,4 @@
-package live
+package loopback
 
 import "pinelb.example/pinelb/internal/lab/plan"
 
--- a/internal/lab/live/live.go
+++ b/internal/lab/loopback/live.go
@@ -1,6 +1,6 @@
 // Package live plays a plan on real sockets: boxes, discovery and clients in this process, the sidecars as
 // processes of their own, all on loopback addresses. It gives the same trace as the virtual player.
-package live
+package loopback
 
 import (
 	"context"
--- a/internal/lab/live/run_test.go
+++ b/internal/lab/loopback/run_test.go
@@ -1,4 +1,4 @@
-package live_test
+package loopback_test
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 
 	"go.uber.org/goleak"
 
-	"pinelb.example/pinelb/internal/lab/live"
+	"pinelb.example/pinelb/internal/lab/loopback"
 	"pinelb.example/pinelb/internal/lab/plan"
 	"pinelb.example/pinelb/internal/lab/scenario"
 	"pinelb.example/pinelb/internal/lab/trace"
@@ -99,7 +99,7 @@
 	var log *trace.Log
 	for range 3 { // a sidecar ends a quarter of a second before its grace does: a machine that stands still for so long has it killed
 		var err error
-		log, err = live.Play(t.Context(), p, live.Options{Builds: [2]string{built}, Dir: t.TempDir(),
+		log, err = loopback.Play(t.Context(), p, loopback.Options{Builds: [2]string{built}, Dir: t.TempDir(),
 			Progress: func(at time.Duration) { told = append(told, at) }})
 		if err != nil {
 			t.Fatal(err)
@@ -151,7 +151,7 @@
 func calledOff(t *testing.T, built string) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	log, err := live.Play(ctx, planned(t, calmDay), live.Options{Builds: [2]string{built},
+	log, err := loopback.Play(ctx, planned(t, calmDay), loopback.Options{Builds: [2]string{built},
 		Progress: func(time.Duration) { cancel() }})
 	if err != context.Canceled || log == nil || len(log.Tries) == 0 {
 		t.Fatalf("%v: %+v", err, log)
@@ -164,7 +164,7 @@
 // A program that can't be started is an error of the rig, after which nothing is left.
 func TestPlayWithoutAProgram(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	_, err := live.Play(t.Context(), planned(t, calmDay), live.Options{Builds: [2]string{"/there/is/none"}})
+	_, err := loopback.Play(t.Context(), planned(t, calmDay), loopback.Options{Builds: [2]string{"/there/is/none"}})
 	if err == nil || !strings.Contains(err.Error(), "/there/is/none") {
 		t.Errorf("error: %v", err)
 	}
@@ -201,7 +201,7 @@
 policy = "plain"
 protocol = "`+protocol+`"
 `)
-	log, err := live.Play(t.Context(), p, live.Options{})
+	log, err := loopback.Play(t.Context(), p, loopback.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/live/throng_test.go
+++ b/internal/lab/loopback/throng_test.go
@@ -1,4 +1,4 @@
-package live_test
+package loopback_test
 
 import (
 	"fmt"
@@ -7,10 +7,10 @@
 	"time"
 
 	"pinelb.example/pinelb/internal/lab/judge"
-	"pinelb.example/pinelb/internal/lab/live"
+	"pinelb.example/pinelb/internal/lab/loopback"
 	"pinelb.example/pinelb/internal/lab/plan"
+	"pinelb.example/pinelb/internal/lab/simulation"
 	"pinelb.example/pinelb/internal/lab/trace"
-	"pinelb.example/pinelb/internal/lab/virtual"
 )
 
 // throng is a day on which boxes join cold under a burst of 2.5 times what all could do if they were warm.
@@ -97,7 +97,7 @@
 	}
 	for _, d := range days {
 		p := d.plan(t)
-		log, err := virtual.Play(p)
+		log, err := simulation.Play(p)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -147,7 +147,7 @@
 	built := program(t)
 	for _, d := range []throng{{numbered, "drain", 20, 1, 2, 6}, {numbered, "vanish", 30, 6, 2, 6}} {
 		p := d.plan(t)
-		log, err := live.Play(t.Context(), p, live.Options{Builds: [2]string{built}, Dir: t.TempDir()})
+		log, err := loopback.Play(t.Context(), p, loopback.Options{Builds: [2]string{built}, Dir: t.TempDir()})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/live/together_test.go
+++ b/internal/lab/loopback/together_test.go
@@ -1,4 +1,4 @@
-package live_test
+package loopback_test
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"testing"
 
 	"pinelb.example/pinelb/internal/lab/judge"
-	"pinelb.example/pinelb/internal/lab/live"
+	"pinelb.example/pinelb/internal/lab/loopback"
 	"pinelb.example/pinelb/internal/lab/result"
 	"pinelb.example/pinelb/internal/lab/trace"
 )
@@ -116,7 +116,7 @@
 	t.Helper()
 	p, o := planned(t, text), &together{t: t, dir: t.TempDir()}
 	var err error
-	if o.played, err = live.Play(context.Background(), p, live.Options{Builds: [2]string{build}, Dir: o.dir}); err != nil {
+	if o.played, err = loopback.Play(context.Background(), p, loopback.Options{Builds: [2]string{build}, Dir: o.dir}); err != nil {
 		t.Fatal(err)
 	}
 	o.verdict = judge.Judge(p, o.played)
--- a/internal/lab/live/trails.go
+++ b/internal/lab/loopback/trails.go
@@ -1,4 +1,4 @@
-package live
+package loopback
 
 import (
 	"bytes"
@@ -14,9 +14,9 @@
 	"syscall"
 	"time"
 
+	"pinelb.example/pinelb/internal/auditlog"
 	"pinelb.example/pinelb/internal/lab/plan"
 	"pinelb.example/pinelb/internal/lab/trace"
-	"pinelb.example/pinelb/internal/trail"
 	"pinelb.example/pinelb/internal/version"
 )
 
@@ -36,7 +36,7 @@
 		return
 	}
 	log := &r.trace.log
-	log.Trails, log.Findings = map[int][]trail.Entry{}, map[string][]byte{}
+	log.Trails, log.Findings = map[int][]auditlog.Entry{}, map[string][]byte{}
 	for _, a := range r.auditors {
 		a.signal(syscall.SIGCONT) // one that is stopped takes no other signal
 		a.signal(syscall.SIGINT)
@@ -47,7 +47,7 @@
 		text, _ := os.ReadFile(a.kept())
 		r.addKept(text)
 	}
-	log.Reports = make([]trail.Report, len(r.plan.Sidecars))
+	log.Reports = make([]auditlog.Report, len(r.plan.Sidecars))
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	for i := range r.plan.Sidecars {
@@ -96,7 +96,7 @@
 func (r *run) addKept(text []byte) {
 	var kept struct {
 		History struct {
-			Sidecars map[string]struct{ Entries []trail.Entry }
+			Sidecars map[string]struct{ Entries []auditlog.Entry }
 		}
 	}
 	if json.Unmarshal(text, &kept) != nil {
@@ -110,15 +110,15 @@
 }
 
 // inOrder is each entry once, in the order of time and numbers.
-func inOrder(entries []trail.Entry) []trail.Entry {
-	slices.SortStableFunc(entries, func(a, b trail.Entry) int {
+func inOrder(entries []auditlog.Entry) []auditlog.Entry {
+	slices.SortStableFunc(entries, func(a, b auditlog.Entry) int {
 		return cmp.Or(cmp.Compare(a.Life, b.Life), cmp.Compare(a.Seq, b.Seq), cmp.Compare(a.Sum, b.Sum))
 	})
-	return slices.CompactFunc(entries, func(a, b trail.Entry) bool { return a.Life == b.Life && a.Seq == b.Seq && a.Sum == b.Sum })
+	return slices.CompactFunc(entries, func(a, b auditlog.Entry) bool { return a.Life == b.Life && a.Seq == b.Seq && a.Sum == b.Sum })
 }
 
 // wholeReport is what a sidecar answers auditors, with its whole trail; empty where nothing answers.
-func (r *run) wholeReport(sidecar int) (last trail.Report, entries []trail.Entry) {
+func (r *run) wholeReport(sidecar int) (last auditlog.Report, entries []auditlog.Entry) {
 	since := uint64(1)
 	for range pagesMost {
 		report, err := r.report(sidecar, since)
@@ -136,7 +136,7 @@
 }
 
 // report asks the process of a sidecar that runs, past any link.
-func (r *run) report(sidecar int, since uint64) (out trail.Report, err error) {
+func (r *run) report(sidecar int, since uint64) (out auditlog.Report, err error) {
 	p := r.fleet.sidecars[sidecar].last()
 	if p == nil || p.control == "" {
 		return out, fmt.Errorf("live: sidecar %d has no process", sidecar)
--- a/internal/lab/mutant/mutant.go
+++ b/internal/lab/mutation/mutant.go
@@ -1,6 +1,6 @@
 // Package mutant builds a package with a mistake planted in its source, or in that of one it imports, and expects its tests to
 // find it. The source itself is not touched: the go command is told of the changed files by an overlay.
-package mutant
+package mutation
 
 import (
 	"encoding/json"
--- a/internal/lab/mutant/mutant_test.go
+++ b/internal/lab/mutation/mutant_test.go
@@ -1,4 +1,4 @@
-package mutant
+package mutation
 
 import (
 	"errors"
--- a/internal/lab/asking/asking.go
+++ b/internal/lab/pollsim/asking.go
@@ -1,7 +1,7 @@
 // Package asking plays in virtual time how a fleet of any size asks one list service: each instance by a policy, the service
 // a queue of bounded capacity that may be down, slow or up and down. It is what pinelab asking prints, and what the choice of
-// internal/pace rests on: the same rule as in the daemon, at sizes that no machine holds as processes.
-package asking
+// internal/pacing rests on: the same rule as in the daemon, at sizes that no machine holds as processes.
+package pollsim
 
 import (
 	"cmp"
@@ -12,20 +12,20 @@
 	"time"
 
 	"pinelb.example/pinelb/internal/lab/model"
-	"pinelb.example/pinelb/internal/pace"
+	"pinelb.example/pinelb/internal/pacing"
 )
 
 // Instance is one that asks. pace.Pacer is one.
 type Instance interface {
 	At() time.Duration
 	Ask(now time.Duration)
-	Ended(now time.Duration, e pace.End)
+	Ended(now time.Duration, e pacing.End)
 	Wait() time.Duration   // of a watch
 	Within() time.Duration // for a list; a watch may take half of it beyond its wait
 }
 
 // Policy makes an instance that starts now; number is its own, from 0.
-type Policy func(f pace.Fleet, number int, r *rand.Rand, now time.Duration) Instance
+type Policy func(f pacing.Fleet, number int, r *rand.Rand, now time.Duration) Instance
 
 // Case is what to play.
 type Case struct {
@@ -77,7 +77,7 @@
 	at  time.Duration
 	seq int
 	who int
-	end *pace.End // nil: it asks
+	end *pacing.End // nil: it asks
 }
 
 type queue []event
@@ -110,7 +110,7 @@
 // Play plays a case by a policy. The same case gives the same figures.
 func Play(c Case, p Policy) Figures {
 	s := &sim{Case: c, service: model.Listing{Calls: c.Calls, Call: c.Call, Line: c.Line, Beyond: c.Beyond}, rand: rand.New(rand.NewPCG(c.Seed, 1))}
-	f := pace.Fleet{Instances: cmp.Or(c.Told, c.Instances), Rate: c.Rate, Burst: c.Burst, Watch: time.Second}
+	f := pacing.Fleet{Instances: cmp.Or(c.Told, c.Instances), Rate: c.Rate, Burst: c.Burst, Watch: time.Second}
 	s.all = make([]instance, c.Instances)
 	for i := range s.all {
 		begun := time.Duration(s.rand.Float64() * float64(c.Spread))
@@ -136,7 +136,7 @@
 func (s *sim) ended(e event) {
 	c := &s.all[e.who]
 	before := c.answered
-	if e.end.How == pace.Told || e.end.How == pace.Quiet {
+	if e.end.How == pacing.Told || e.end.How == pacing.Quiet {
 		c.answered = e.at
 	}
 	if healed := s.CutAt + s.CutFor; e.who < s.Cut && before < healed && c.answered >= healed {
@@ -165,15 +165,15 @@
 func (s *sim) ask(now time.Duration, who int) {
 	c := &s.all[who]
 	c.Ask(now)
-	end := func(at time.Duration, e pace.End) { s.push(event{at: at, who: who, end: &e}) }
+	end := func(at time.Duration, e pacing.End) { s.push(event{at: at, who: who, end: &e}) }
 	if !s.up(now) {
 		s.out.Refused++
-		end(now, pace.End{How: pace.Down})
+		end(now, pacing.End{How: pacing.Down})
 		return
 	}
 	if s.cut(who, now) {
 		s.out.Refused++
-		end(min(now+dialOut, max(now, s.CutAt+s.CutFor)), pace.End{How: pace.Down})
+		end(min(now+dialOut, max(now, s.CutAt+s.CutFor)), pacing.End{How: pacing.Down})
 		return
 	}
 	s.out.Calls++
@@ -190,10 +190,10 @@
 	if !room {
 		s.out.Turned++
 		if s.Beyond == model.Silences {
-			end(now+wait+c.Within(), pace.End{How: pace.Silent, Took: c.Within()})
+			end(now+wait+c.Within(), pacing.End{How: pacing.Silent, Took: c.Within()})
 			return
 		}
-		end(now, pace.End{How: pace.Turned})
+		end(now, pacing.End{How: pacing.Turned})
 		return
 	}
 	took, within := answered-now+s.Late, c.Within()
@@ -202,20 +202,20 @@
 	}
 	switch {
 	case !s.up(answered) || s.cut(who, answered):
-		end(answered, pace.End{How: pace.Down})
+		end(answered, pacing.End{How: pacing.Down})
 	case took > within:
-		end(now+wait+within, pace.End{How: pace.Silent, Took: within})
+		end(now+wait+within, pacing.End{How: pacing.Silent, Took: within})
 	case who < s.Cut && now >= s.CutAt+s.CutFor && c.answered < s.CutAt+s.CutFor: // it has missed news, and has them at once
-		end(now+took, pace.End{How: pace.Told})
+		end(now+took, pacing.End{How: pacing.Told})
 	case s.cut(who, now+max(wait, took)): // it was cut off while it waited
-		end(now+wait+within, pace.End{How: pace.Silent, Took: within})
+		end(now+wait+within, pacing.End{How: pacing.Silent, Took: within})
 	case c.listed < 0:
 		c.listed = now + took
-		end(c.listed, pace.End{How: pace.Told, Took: took})
+		end(c.listed, pacing.End{How: pacing.Told, Took: took})
 	case s.News > 0 && (now/s.News+1)*s.News < now+wait: // the next news come while it waits
-		end((now/s.News+1)*s.News, pace.End{How: pace.Told})
+		end((now/s.News+1)*s.News, pacing.End{How: pacing.Told})
 	default:
-		end(now+max(wait, took), pace.End{How: pace.Quiet, Took: took})
+		end(now+max(wait, took), pacing.End{How: pacing.Quiet, Took: took})
 	}
 }
 
--- a/internal/lab/asking/asking_test.go
+++ b/internal/lab/pollsim/asking_test.go
@@ -1,4 +1,4 @@
-package asking
+package pollsim
 
 import (
 	"testing"
--- a/internal/lab/asking/policies.go
+++ b/internal/lab/pollsim/policies.go
@@ -1,10 +1,10 @@
-package asking
+package pollsim
 
 import (
 	"math/rand/v2"
 	"time"
 
-	"pinelb.example/pinelb/internal/pace"
+	"pinelb.example/pinelb/internal/pacing"
 )
 
 // Policies are the rules that were weighed, by name.
@@ -17,7 +17,9 @@
 	"pace":    paced,   // what the daemon does
 }
 
-func paced(f pace.Fleet, _ int, r *rand.Rand, now time.Duration) Instance { return pace.New(f, r, now) }
+func paced(f pacing.Fleet, _ int, r *rand.Rand, now time.Duration) Instance {
+	return pacing.New(f, r, now)
+}
 
 // plain is what the simple ones share: the next call, and how many in a row have failed.
 type plain struct {
@@ -37,8 +39,8 @@
 	return time.Duration(p.rand.Float64() * float64(d))
 }
 
-func (p *plain) Ended(now time.Duration, e pace.End) {
-	if e.How == pace.Told || e.How == pace.Quiet {
+func (p *plain) Ended(now time.Duration, e pacing.End) {
+	if e.How == pacing.Told || e.How == pacing.Quiet {
 		p.failed, p.next = 0, now
 		return
 	}
@@ -46,14 +48,14 @@
 	p.failed++
 }
 
-func agent(_ pace.Fleet, _ int, r *rand.Rand, now time.Duration) Instance {
+func agent(_ pacing.Fleet, _ int, r *rand.Rand, now time.Duration) Instance {
 	return &plain{next: now, rand: r, watch: time.Second, after: func(p *plain, now time.Duration) time.Duration {
 		wait := min(800*time.Millisecond, 100*time.Millisecond<<min(p.failed, 8))
 		return now + 3*wait/4 + p.upTo(wait/4)
 	}}
 }
 
-func backoff(_ pace.Fleet, _ int, r *rand.Rand, now time.Duration) Instance {
+func backoff(_ pacing.Fleet, _ int, r *rand.Rand, now time.Duration) Instance {
 	p := &plain{rand: r, watch: time.Second, after: func(p *plain, now time.Duration) time.Duration {
 		return now + p.upTo(min(30*time.Second, 100*time.Millisecond<<min(p.failed, 12)))
 	}}
@@ -61,7 +63,7 @@
 	return p
 }
 
-func window(f pace.Fleet, _ int, r *rand.Rand, now time.Duration) Instance {
+func window(f pacing.Fleet, _ int, r *rand.Rand, now time.Duration) Instance {
 	p := &plain{rand: r, watch: max(time.Second, 2*f.Period()), after: func(p *plain, now time.Duration) time.Duration { return now + p.upTo(f.Period()) }}
 	p.next = now + p.upTo(f.Period())
 	return p
@@ -70,20 +72,22 @@
 // ranked asks at its rank's part of each period of the clock.
 type ranked struct {
 	plain
-	f    pace.Fleet
+	f    pacing.Fleet
 	rank int
 }
 
-func (p *ranked) Ended(now time.Duration, e pace.End) {
+func (p *ranked) Ended(now time.Duration, e pacing.End) {
 	period := p.f.Period()
 	own := time.Duration(float64(p.rank) / float64(p.f.Instances) * float64(period))
 	p.next = (now-own+period)/period*period + own
 }
 
-func ranks(f pace.Fleet, number int, r *rand.Rand, now time.Duration) Instance {
+func ranks(f pacing.Fleet, number int, r *rand.Rand, now time.Duration) Instance {
 	p := &ranked{plain: plain{rand: r, watch: max(time.Second, 2*f.Period())}, f: f, rank: number}
-	p.Ended(now, pace.End{})
+	p.Ended(now, pacing.End{})
 	return p
 }
 
-func equal(f pace.Fleet, _ int, r *rand.Rand, now time.Duration) Instance { return ranks(f, 0, r, now) }
+func equal(f pacing.Fleet, _ int, r *rand.Rand, now time.Duration) Instance {
+	return ranks(f, 0, r, now)
+}
--- a/internal/lab/result/audits.go
+++ b/internal/lab/result/audits.go
@@ -4,19 +4,19 @@
 	"slices"
 	"time"
 
-	"pinelb.example/pinelb/internal/lab/audited"
+	"pinelb.example/pinelb/internal/lab/auditcheck"
 )
 
 // Audited compares what the audit of a run found with what is true, and tells what stragglers did. Null where nobody can call the
 // sidecars and nothing was late.
 type Audited struct {
-	Trails   *audited.Verdict              `json:"trails"`   // null: none was read
-	Auditors map[string]audited.Stragglers `json:"auditors"` // by name: what each found of stragglers
-	Faults   []string                      `json:"faults"`   // what could not be compared
-	Ends     *Spread                       `json:"ends"`     // from the list service's telling until a straggler was brought up or shut out
-	Goes     int                           `json:"goes_on"`  // stragglers that were neither by the end
-	Late     int                           `json:"late"`     // attempts at boxes that had left for longer than the grace and a second
-	ByWhom   map[string]int                `json:"late_by"`  // by sidecar
+	Trails   *auditcheck.Verdict              `json:"trails"`   // null: none was read
+	Auditors map[string]auditcheck.Stragglers `json:"auditors"` // by name: what each found of stragglers
+	Faults   []string                         `json:"faults"`   // what could not be compared
+	Ends     *Spread                          `json:"ends"`     // from the list service's telling until a straggler was brought up or shut out
+	Goes     int                              `json:"goes_on"`  // stragglers that were neither by the end
+	Late     int                              `json:"late"`     // attempts at boxes that had left for longer than the grace and a second
+	ByWhom   map[string]int                   `json:"late_by"`  // by sidecar
 }
 
 const (
@@ -37,24 +37,24 @@
 // audits is what the run's audit comes to.
 func (r *run) audits() *Audited {
 	late := r.grace() + lateBeyond
-	out := &Audited{Auditors: map[string]audited.Stragglers{}, Faults: []string{}, ByWhom: map[string]int{}}
-	for sidecar, n := range audited.Left(r.plan, r.log, late) {
+	out := &Audited{Auditors: map[string]auditcheck.Stragglers{}, Faults: []string{}, ByWhom: map[string]int{}}
+	for sidecar, n := range auditcheck.Left(r.plan, r.log, late) {
 		out.Late += n
 		out.ByWhom[r.plan.Sidecars[sidecar].Name] = n
 	}
 	if len(r.log.Trails) > 0 {
-		v := audited.Judge(r.plan, r.log, r.log.Trails)
+		v := auditcheck.Judge(r.plan, r.log, r.log.Trails)
 		out.Trails = &v
 	}
 	for _, a := range r.plan.Scenario.Audit {
-		found, err := audited.Find(r.plan, r.log, r.log.Findings[a.Name], late)
+		found, err := auditcheck.Find(r.plan, r.log, r.log.Findings[a.Name], late)
 		if err != nil {
 			out.Faults = append(out.Faults, err.Error())
 		}
 		out.Auditors[a.Name] = found
 	}
 	slices.Sort(out.Faults)
-	ends, never := audited.Ends(r.plan, r.log, lateBeyond)
+	ends, never := auditcheck.Ends(r.plan, r.log, lateBeyond)
 	out.Ends, out.Goes = spreadOf(ends), never
 	return out
 }
--- a/internal/lab/slope/line.go
+++ b/internal/lab/scalefit/line.go
@@ -1,7 +1,7 @@
 // Package slope fits measurements made at sizes that double: cost = fixed + per host x hosts + per change x changes + ..., with
 // the fit's error, the sizes and how far beyond them an answer lies. It writes the tables of docs/CAPACITY.md. Pure: results in,
 // text out.
-package slope
+package scalefit
 
 import (
 	"bytes"
--- a/internal/lab/slope/table.go
+++ b/internal/lab/scalefit/table.go
@@ -1,4 +1,4 @@
-package slope
+package scalefit
 
 import (
 	"fmt"
--- a/internal/lab/distributed/distributed_test.go
+++ b/internal/lab/settingsbench/distributed_test.go
@@ -1,4 +1,4 @@
-package distributed
+package settingsbench
 
 import (
 	"bytes"
@@ -16,7 +16,7 @@
 	"github.com/rs/zerolog"
 
 	"pinelb.example/pinelb/internal/daemon"
-	"pinelb.example/pinelb/internal/distributor"
+	"pinelb.example/pinelb/internal/settingsserver"
 	"pinelb.example/pinelb/internal/version"
 )
 
@@ -28,9 +28,9 @@
 		os.Exit(m.Run())
 	}
 	if len(os.Args) > 2 && os.Args[1] == "distribute" {
-		cfg, err := distributor.ReadConfig(os.Args[2])
+		cfg, err := settingsserver.ReadConfig(os.Args[2])
 		if err == nil {
-			err = distributor.Run(context.Background(), *cfg, zerolog.New(os.Stderr))
+			err = settingsserver.Run(context.Background(), *cfg, zerolog.New(os.Stderr))
 		}
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
--- a/internal/lab/distributed/distributors.go
+++ b/internal/lab/settingsbench/distributors.go
@@ -1,4 +1,4 @@
-package distributed
+package settingsbench
 
 import (
 	"context"
@@ -15,9 +15,9 @@
 	"syscall"
 	"time"
 
-	"pinelb.example/pinelb/internal/distribute"
-	"pinelb.example/pinelb/internal/distributor"
 	"pinelb.example/pinelb/internal/lab/ports"
+	"pinelb.example/pinelb/internal/settingsserver"
+	"pinelb.example/pinelb/internal/settingsstore"
 	"pinelb.example/pinelb/internal/version"
 )
 
@@ -138,7 +138,7 @@
 
 // publish publishes at one, and returns the edition and when it was called.
 func (f *five) publish(ctx context.Context, at int, settings []byte) (version.Edition, time.Time, error) {
-	o := &distributor.Operator{At: []string{f.control[at]}, Within: callWithin}
+	o := &settingsserver.Operator{At: []string{f.control[at]}, Within: callWithin}
 	from := time.Now()
 	p, err := o.Publish(ctx, Service, settings)
 	if err != nil {
@@ -148,11 +148,11 @@
 }
 
 // status is what one says of the service.
-func (f *five) status(ctx context.Context, at int) (distribute.Status, error) {
-	o := &distributor.Operator{At: []string{f.control[at]}, Within: callWithin}
+func (f *five) status(ctx context.Context, at int) (settingsstore.Status, error) {
+	o := &settingsserver.Operator{At: []string{f.control[at]}, Within: callWithin}
 	all, faults := o.Statuses(ctx, Service)
 	if len(faults) > 0 {
-		return distribute.Status{}, fmt.Errorf("distributed: %w", faults[0])
+		return settingsstore.Status{}, fmt.Errorf("distributed: %w", faults[0])
 	}
 	return all[0], nil
 }
--- a/internal/lab/distributed/hollow.go
+++ b/internal/lab/settingsbench/hollow.go
@@ -1,4 +1,4 @@
-package distributed
+package settingsbench
 
 import (
 	"context"
@@ -12,11 +12,11 @@
 
 	"github.com/rs/zerolog"
 
-	"pinelb.example/pinelb/internal/distribute"
-	"pinelb.example/pinelb/internal/follow"
+	"pinelb.example/pinelb/internal/settingsclient"
+	"pinelb.example/pinelb/internal/settingsstore"
 )
 
-// hollow are followers that take whatever is published: internal/follow without a sidecar around it. What they leave out is in the
+// hollow are followers that take whatever is published: internal/settingsclient without a sidecar around it. What they leave out is in the
 // real ones: reading and checking the settings, and having them take effect.
 type hollow struct {
 	*stamps
@@ -37,9 +37,9 @@
 	ctx, end := context.WithCancel(context.Background())
 	h.end = end
 	for i := range n {
-		w := &follow.Watch{Service: Service, Name: fmt.Sprintf("hollow-%d", i), From: from, Log: zerolog.New(io.Discard),
+		w := &settingsclient.Watch{Service: Service, Name: fmt.Sprintf("hollow-%d", i), From: from, Log: zerolog.New(io.Discard),
 			Rand: rand.New(rand.NewPCG(seed, uint64(i))),
-			Take: func(s distribute.State) error {
+			Take: func(s settingsstore.State) error {
 				h.note(i, s.Edition)
 				return nil
 			},
--- a/internal/lab/distributed/sidecars.go
+++ b/internal/lab/settingsbench/sidecars.go
@@ -1,4 +1,4 @@
-package distributed
+package settingsbench
 
 import (
 	"encoding/json"
--- a/internal/lab/distributed/stamps.go
+++ b/internal/lab/settingsbench/stamps.go
@@ -1,6 +1,6 @@
-// Package distributed measures how settings reach a fleet: real distributors, hollow followers that are internal/follow on real
+// Package distributed measures how settings reach a fleet: real distributors, hollow followers that are internal/settingsclient on real
 // sockets, and real sidecars, on loopback.
-package distributed
+package settingsbench
 
 import (
 	"slices"
--- a/internal/lab/virtual/sidecar.go
+++ b/internal/lab/simulation/sidecar.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"maps"
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/simulation/virtual.go
@@ -4,7 +4,7 @@
 //
 // What it leaves out of a sidecar on sockets: the cost of its own work, its bounds on descriptors and bodies,
 // and bytes that can't be read as such. Its connections, time-outs and watchdog are those of the program.
-package virtual
+package simulation
 
 import (
 	"errors"
--- a/internal/lab/hollow/hollow.go
+++ b/internal/lab/stubfleet/hollow.go
@@ -8,7 +8,7 @@
 // Left out, and to be added from slopes of their own: requests, with engine, balance, pools and connections to upstream hosts;
 // callers' and operators' listeners; the log's lines; [state], [audit] beyond the digests, [record]; what a process costs by
 // being one. A sidecar's memory and CPU here are so those of following the list alone.
-package hollow
+package stubfleet
 
 import (
 	"context"
--- a/internal/lab/hollow/play_test.go
+++ b/internal/lab/stubfleet/play_test.go
@@ -1,4 +1,4 @@
-package hollow
+package stubfleet
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"time"
 
 	"pinelb.example/pinelb/internal/cluster"
-	"pinelb.example/pinelb/internal/pace"
+	"pinelb.example/pinelb/internal/pacing"
 )
 
 // small is a case that any machine bears.
@@ -22,7 +22,7 @@
 func TestScenarios(t *testing.T) {
 	noLeaks(t)
 	for _, name := range Scenarios() {
-		for how, paced := range map[string]*cluster.Paced{"": nil, ", paced": {Fleet: pace.Fleet{Instances: 36, Rate: 100, Burst: 10, Watch: time.Second}}} {
+		for how, paced := range map[string]*cluster.Paced{"": nil, ", paced": {Fleet: pacing.Fleet{Instances: 36, Rate: 100, Burst: 10, Watch: time.Second}}} {
 			t.Run(name+how, func(t *testing.T) {
 				t.Parallel() // they wait, mostly
 				c := small(name)
--- a/internal/lab/hollow/service_test.go
+++ b/internal/lab/stubfleet/service_test.go
@@ -1,4 +1,4 @@
-package hollow
+package stubfleet
 
 import (
 	"context"
--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"pinelb.example/pinelb/balance"
+	"pinelb.example/pinelb/internal/auditlog"
 	"pinelb.example/pinelb/internal/budget"
-	"pinelb.example/pinelb/internal/trail"
 	"pinelb.example/pinelb/internal/version"
 )
 
@@ -241,10 +241,10 @@
 	Dials    []Dialled
 	Samples  []Sample
 	Ordered  []Ordered
-	Reports  []trail.Report        // what sidecars of the first tier answered auditors at the end, by sidecar; empty: nothing
-	Trails   map[int][]trail.Entry // and all entries that anybody has of each
-	Findings map[string][]byte     // what each auditor printed, JSON lines, by name
-	Judged   []Judged              // of the virtual player only
+	Reports  []auditlog.Report        // what sidecars of the first tier answered auditors at the end, by sidecar; empty: nothing
+	Trails   map[int][]auditlog.Entry // and all entries that anybody has of each
+	Findings map[string][]byte        // what each auditor printed, JSON lines, by name
+	Judged   []Judged                 // of the virtual player only
 	Usage    []Usage
 	Lateness []time.Duration // of each first try: when it was sent, less when it was due; players on sockets only
 	Start    time.Time       // the run's, by the wall clock; players on sockets only
--- a/internal/pace/pace.go
+++ b/internal/pacing/pace.go
@@ -9,7 +9,7 @@
 // differ, or a third of the fleet is there. What the service turns away or answers late halves the instance's own rate, and
 // each quick answer gives an eighth of it back: additive increase, multiplicative decrease (Chiu and Jain 1989), at each
 // instance by itself, for a fleet whose number is told wrong or a service that can do less than was stated.
-package pace
+package pacing
 
 import (
 	"math/rand/v2"
--- a/internal/pace/pace_test.go
+++ b/internal/pacing/pace_test.go
@@ -1,4 +1,4 @@
-package pace
+package pacing
 
 import (
 	"math/rand/v2"
--- a/internal/durable/disk.go
+++ b/internal/persistence/disk.go
@@ -1,7 +1,7 @@
 // Package durable keeps what a sidecar knows in a directory, for the process that comes after it: a snapshot of what was
 // learned, which takes the former one's place whole or not at all, and a journal of effects, which grows. It knows neither
 // what the snapshot's state says nor what is worth believing of it.
-package durable
+package persistence
 
 import (
 	"errors"
