--- a/internal/durable/durable_test.go
+++ b/internal/persistence/durable_test.go
@@ -1,4 +1,4 @@
-package durable
+package persistence
 
 import (
 	"bytes"
@@ -18,7 +18,7 @@
 	"go.uber.org/goleak"
 	"pgregory.net/rapid"
 
-	"pinelb.example/pinelb/internal/effects"
+	"pinelb.example/pinelb/internal/inflight"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -220,22 +220,22 @@
 }
 
 // journaled is a table with a journal on a disk.
-func journaled(d Disk) (*effects.Table, *Journal, *[]string) {
+func journaled(d Disk) (*inflight.Table, *Journal, *[]string) {
 	said := &[]string{}
-	table := effects.New(1000)
+	table := inflight.New(1000)
 	j := &Journal{Disk: d, Table: table, Fault: func(err error) { *said = append(*said, fmt.Sprint(err)) }}
 	return table, j, said
 }
 
 // reads has a fresh table read the journal.
-func reads(t interface{ Fatal(...any) }, d Disk, now time.Time) (*effects.Table, []string) {
+func reads(t interface{ Fatal(...any) }, d Disk, now time.Time) (*inflight.Table, []string) {
 	notes, _, left, _, err := Effects(d, Clock{Wall: now})
 	if err != nil {
 		t.Fatal(err)
 	}
-	table := effects.New(1000)
-	table.Heard(now, effects.Journal, notes)
-	table.Gone(now, effects.Journal)
+	table := inflight.New(1000)
+	table.Heard(now, inflight.Journal, notes)
+	table.Gone(now, inflight.Journal)
 	return table, left
 }
 
@@ -249,7 +249,7 @@
 			m.steps = rapid.IntRange(0, 60).Draw(t, "steps")
 			table, names := reads(t, m, now)
 			for txn := range promised {
-				if first, _ := table.Open(now, effects.ID{Txn: txn, Class: "c", Keep: time.Hour}); first.At.IsZero() {
+				if first, _ := table.Open(now, inflight.ID{Txn: txn, Class: "c", Keep: time.Hour}); first.At.IsZero() {
 					t.Fatalf("%s was promised and is forgotten in life %d", txn, life)
 				}
 				table.End(now, txn)
@@ -258,7 +258,7 @@
 			j.Begin(names)
 			defer j.Close()
 			for i := range rapid.IntRange(0, 30).Draw(t, "requests") {
-				id := effects.ID{Txn: fmt.Sprint(life, i), Class: "c", Keep: time.Hour}
+				id := inflight.ID{Txn: fmt.Sprint(life, i), Class: "c", Keep: time.Hour}
 				table.Open(now, id)
 				n, _ := table.Sent(now, id.Txn, 1)
 				kept := j.Kept()
@@ -287,7 +287,7 @@
 	table, j, said := journaled(m)
 	j.Begin(nil)
 	send := func(txn string) {
-		table.Open(time.Now(), effects.ID{Txn: txn, Class: "c", Keep: time.Hour})
+		table.Open(time.Now(), inflight.ID{Txn: txn, Class: "c", Keep: time.Hour})
 		table.Sent(time.Now(), txn, 1)
 	}
 	if send("a"); !j.Kept() {
@@ -311,7 +311,7 @@
 	j.Close()
 	after, _ := reads(t, m.after(0, false), time.Now())
 	for _, txn := range []string{"a", "b", "c"} {
-		if first, _ := after.Open(time.Now(), effects.ID{Txn: txn, Class: "c", Keep: time.Hour}); first.At.IsZero() {
+		if first, _ := after.Open(time.Now(), inflight.ID{Txn: txn, Class: "c", Keep: time.Hour}); first.At.IsZero() {
 			t.Errorf("%s is forgotten", txn)
 		}
 	}
@@ -328,7 +328,7 @@
 	j.Begin(nil)
 	block := make(chan struct{})
 	m.block = block
-	table.Open(time.Now(), effects.ID{Txn: "a", Class: "c", Keep: time.Hour})
+	table.Open(time.Now(), inflight.ID{Txn: "a", Class: "c", Keep: time.Hour})
 	table.Sent(time.Now(), "a", 1)
 	if j.Kept() {
 		t.Error("a disk that is blocked keeps a promise")
@@ -344,7 +344,7 @@
 	}
 	long := strings.Repeat("x", 600)
 	for i := range 10000 { // more than may wait, and than one file takes
-		id := effects.ID{Txn: fmt.Sprint(long, i), Class: "c", Keep: time.Hour}
+		id := inflight.ID{Txn: fmt.Sprint(long, i), Class: "c", Keep: time.Hour}
 		table.Open(time.Now(), id)
 		table.Sent(time.Now(), id.Txn, 1)
 	}
@@ -354,7 +354,7 @@
 	}
 	j.Close()
 	left, _, _, _, err := Effects(m.after(0, false), Now())
-	if err != nil || !slices.ContainsFunc(left, func(n effects.Note) bool { return n.Txn == fmt.Sprint(long, 9999) }) {
+	if err != nil || !slices.ContainsFunc(left, func(n inflight.Note) bool { return n.Txn == fmt.Sprint(long, 9999) }) {
 		t.Errorf("the last of 10000 is not in the journal: %d lines, %v", len(left), err)
 	}
 }
@@ -370,7 +370,7 @@
 	m.block = block
 	m.mu.Unlock()
 	for _, txn := range []string{"a", "b", "c"} {
-		id := effects.ID{Txn: txn, Class: "c", Keep: time.Hour}
+		id := inflight.ID{Txn: txn, Class: "c", Keep: time.Hour}
 		table.Open(time.Now(), id)
 		table.Sent(time.Now(), txn, 1)
 		if j.Kept() {
@@ -388,7 +388,7 @@
 	j.Close()
 	after, _ := reads(t, m.after(0, false), time.Now())
 	for _, txn := range []string{"a", "b", "c"} {
-		if first, _ := after.Open(time.Now(), effects.ID{Txn: txn, Class: "c", Keep: time.Hour}); first.At.IsZero() {
+		if first, _ := after.Open(time.Now(), inflight.ID{Txn: txn, Class: "c", Keep: time.Hour}); first.At.IsZero() {
 			t.Errorf("%s is promised and forgotten", txn)
 		}
 	}
@@ -402,7 +402,7 @@
 	j.wake, j.next = make(chan struct{}, 1), make(chan struct{})
 	j.set(j.begin())
 	for i := range 10000 { // more than may wait
-		id := effects.ID{Txn: fmt.Sprint(i), Class: "c", Keep: time.Hour}
+		id := inflight.ID{Txn: fmt.Sprint(i), Class: "c", Keep: time.Hour}
 		table.Open(time.Now(), id)
 		table.Sent(time.Now(), id.Txn, 1)
 	}
@@ -429,7 +429,7 @@
 	j.Begin(nil)
 	long := strings.Repeat("x", 100)
 	for i := range 30000 {
-		id := effects.ID{Txn: fmt.Sprint(long, i), Class: "c", Keep: time.Hour}
+		id := inflight.ID{Txn: fmt.Sprint(long, i), Class: "c", Keep: time.Hour}
 		table.Open(time.Now(), id)
 		table.Sent(time.Now(), id.Txn, 1)
 		table.End(time.Now(), id.Txn)
@@ -458,8 +458,8 @@
 // Guards against a wall clock that was set back between two processes: an effect's age is what has really passed.
 func TestJournalOverASetClock(t *testing.T) {
 	then := Clock{Wall: time.Unix(5000, 0), Boot: "b", Up: time.Hour}
-	text := appendNote(line(nil, header{then}), effects.Note{ID: effects.ID{Txn: "a", Class: "c", Keep: time.Minute},
-		Trace: effects.Trace{Host: 1, At: then.Wall.Add(time.Second)}})
+	text := appendNote(line(nil, header{then}), inflight.Note{ID: inflight.ID{Txn: "a", Class: "c", Keep: time.Minute},
+		Trace: inflight.Trace{Host: 1, At: then.Wall.Add(time.Second)}})
 	notes, skipped := DecodeJournal(append(text, "0123456789abcdef {}\nhalf a li"...), Clock{Wall: time.Unix(1000, 0), Boot: "b", Up: time.Hour + 10*time.Second})
 	if len(notes) != 1 || skipped != 2 || !notes[0].At.Equal(time.Unix(991, 0)) {
 		t.Errorf("%+v, %d lines left out", notes, skipped)
@@ -482,7 +482,7 @@
 
 // FuzzJournal: whatever a file holds, a table that hears it holds what it has room for, and goes on.
 func FuzzJournal(f *testing.F) {
-	note := effects.Note{ID: effects.ID{Txn: "a", Class: "c", Key: "k", Keep: time.Minute}, Trace: effects.Trace{Host: 1, At: time.Unix(1000, 0)}}
+	note := inflight.Note{ID: inflight.ID{Txn: "a", Class: "c", Key: "k", Keep: time.Minute}, Trace: inflight.Trace{Host: 1, At: time.Unix(1000, 0)}}
 	whole := appendNote(line(nil, header{Clock{Wall: time.Unix(1000, 0)}}), note)
 	f.Add(whole, 3)
 	f.Add(whole[:len(whole)-4], 7)
@@ -492,12 +492,12 @@
 			text = append(line(bytes.Clone(text), json.RawMessage(`{"Txn":"x","Class":"c","At":"9999-01-01T00:00:00Z","Keep":9223372036854775807}`)), text[i:]...)
 		}
 		notes, _ := DecodeJournal(text, Clock{Wall: time.Unix(2000, 0)})
-		table := effects.New(2)
-		table.Heard(time.Unix(2000, 0), effects.Journal, notes)
-		table.Gone(time.Unix(2000, 0), effects.Journal)
+		table := inflight.New(2)
+		table.Heard(time.Unix(2000, 0), inflight.Journal, notes)
+		table.Gone(time.Unix(2000, 0), inflight.Journal)
 		if past, _ := table.Size(); past > 2 {
 			t.Errorf("%d effects of 2 at most", past)
 		}
-		table.Open(time.Unix(2001, 0), effects.ID{Txn: "a", Class: "c"})
+		table.Open(time.Unix(2001, 0), inflight.ID{Txn: "a", Class: "c"})
 	})
 }
--- a/internal/durable/journal.go
+++ b/internal/persistence/journal.go
@@ -1,4 +1,4 @@
-package durable
+package persistence
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"pinelb.example/pinelb/internal/effects"
+	"pinelb.example/pinelb/internal/inflight"
 )
 
 const (
@@ -29,7 +29,7 @@
 // full or slow holds nothing up: what is not kept is counted, and Fault is told.
 type Journal struct {
 	Disk  Disk
-	Table *effects.Table
+	Table *inflight.Table
 	// Fault is told when the journal can't be written, and with nil when it can again.
 	Fault func(err error)
 
@@ -92,7 +92,7 @@
 	j.deaf = false // what comes from here on is not in what is known
 	j.mu.Unlock()
 	text := line(nil, header{Now()})
-	for _, n := range j.Table.Watch(effects.Journal, j.note) {
+	for _, n := range j.Table.Watch(inflight.Journal, j.note) {
 		text = appendNote(text, n)
 	}
 	unlock, err := j.Disk.Lock(name)
@@ -143,7 +143,7 @@
 }
 
 // appendNote appends what is worth keeping of a change: nothing, where the effect may take place any number of times.
-func appendNote(b []byte, n effects.Note) []byte {
+func appendNote(b []byte, n inflight.Note) []byte {
 	if n.Keep == 0 || n.At.IsZero() && !n.Back {
 		return b // nothing of it has begun
 	}
@@ -151,7 +151,7 @@
 }
 
 // note takes a change from the table, and never waits.
-func (j *Journal) note(n effects.Note) {
+func (j *Journal) note(n inflight.Note) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.closed || j.deaf {
@@ -394,7 +394,7 @@
 // Effects returns what the journals say that processes have left which are dead, oldest first, by this moment's clock; how
 // many lines of them could not be read; and the names of their files. Alive is how many others are in use. Whoever calls
 // keeps all others from calling at the same time: by the lock of the directory, or as the successor of whoever has that.
-func Effects(d Disk, now Clock) (notes []effects.Note, skipped int, left []string, alive int, err error) {
+func Effects(d Disk, now Clock) (notes []inflight.Note, skipped int, left []string, alive int, err error) {
 	names, err := d.Names()
 	if err != nil {
 		return nil, 0, nil, 0, fmt.Errorf("durable: journal: %w", err)
@@ -421,10 +421,10 @@
 
 // DecodeJournal reads a journal. Lines that are cut off or changed are counted and left out: what a power cut has left half
 // written had not been promised.
-func DecodeJournal(text []byte, now Clock) (notes []effects.Note, skipped int) {
+func DecodeJournal(text []byte, now Clock) (notes []inflight.Note, skipped int) {
 	var clock *Clock
 	for l := range bytes.Lines(text) {
-		var n effects.Note
+		var n inflight.Note
 		var h header
 		sum, body, found := bytes.Cut(bytes.TrimSuffix(l, []byte{'\n'}), []byte{' '})
 		want, err := strconv.ParseUint(string(sum[:min(len(sum), 17)]), 16, 64)
--- a/internal/durable/snapshot.go
+++ b/internal/persistence/snapshot.go
@@ -1,4 +1,4 @@
-package durable
+package persistence
 
 import (
 	"bytes"
--- a/internal/follow/conn.go
+++ b/internal/settingsclient/conn.go
@@ -1,4 +1,4 @@
-package follow
+package settingsclient
 
 import (
 	"bufio"
@@ -10,16 +10,16 @@
 	"net/http"
 	"time"
 
-	"pinelb.example/pinelb/internal/distribute"
-	"pinelb.example/pinelb/internal/pace"
+	"pinelb.example/pinelb/internal/pacing"
+	"pinelb.example/pinelb/internal/settingsstore"
 )
 
 // answerMost is how many bytes of an answer are read: a state, and its head with the marks of its chunks.
-const answerMost = distribute.StateMost + 16<<10
+const answerMost = settingsstore.StateMost + 16<<10
 
 // answer is what a distributor says. No state: there is nothing new.
 type answer struct {
-	state      *distribute.State
+	state      *settingsstore.State
 	retryAfter time.Duration // 0: none
 }
 
@@ -152,12 +152,12 @@
 
 // read is what a whole answer says.
 func read(res *http.Response, body []byte) (answer, error) {
-	retryAfter := pace.Advice(res.Header.Get("Retry-After"))
+	retryAfter := pacing.Advice(res.Header.Get("Retry-After"))
 	switch res.StatusCode {
 	case http.StatusNoContent:
 		return answer{retryAfter: retryAfter}, nil
 	case http.StatusOK:
-		s, err := distribute.Parse(body)
+		s, err := settingsstore.Parse(body)
 		if err != nil {
 			return answer{}, &unusable{err}
 		}
--- a/internal/follow/follow.go
+++ b/internal/settingsclient/follow.go
@@ -1,6 +1,6 @@
 // Package follow has a sidecar follow its service's settings at the distributors: it makes the calls that distribute.Follower
 // decides on, on net.Conn, and hands on what is to be tried.
-package follow
+package settingsclient
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 
 	"github.com/rs/zerolog"
 
-	"pinelb.example/pinelb/internal/distribute"
+	"pinelb.example/pinelb/internal/settingsstore"
 	"pinelb.example/pinelb/internal/version"
 )
 
@@ -27,10 +27,10 @@
 	// Dial opens connections, as net.Dialer.DialContext does, which it is where this is nil.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 	// Take has settings take effect, whole, or not at all and says why.
-	Take func(distribute.State) error
+	Take func(settingsstore.State) error
 
 	begun time.Time
-	state *distribute.Follower
+	state *settingsstore.Follower
 	conn  conn
 	bad   map[fault]bool // what is in the log, and not yet that it is over
 	none  bool           // it is in the log that nothing is published
@@ -65,7 +65,7 @@
 // Run follows until ctx ends, and calls answered once the first answer has been dealt with.
 func (w *Watch) Run(ctx context.Context, answered func()) {
 	w.begun, w.bad = time.Now(), map[fault]bool{}
-	w.state = distribute.NewFollower(w.Service, w.Name, w.From, w.Rand)
+	w.state = settingsstore.NewFollower(w.Service, w.Name, w.From, w.Rand)
 	w.state.Take(w.Has)
 	if w.conn.open = w.Dial; w.Dial == nil {
 		w.conn.open = (&net.Dialer{}).DialContext
@@ -144,7 +144,7 @@
 }
 
 // take has settings be tried.
-func (w *Watch) take(s distribute.State) {
+func (w *Watch) take(s settingsstore.State) {
 	log := w.Log.With().Str("service", s.Service).Uint64("epoch", s.Epoch).Str("by", s.By).Logger()
 	if err := w.Take(s); err != nil {
 		w.state.Refuse(s.Edition, err)
--- a/internal/follow/follow_test.go
+++ b/internal/settingsclient/follow_test.go
@@ -1,4 +1,4 @@
-package follow
+package settingsclient
 
 import (
 	"bytes"
@@ -19,7 +19,7 @@
 	"go.uber.org/goleak"
 	"golang.org/x/sys/unix"
 
-	"pinelb.example/pinelb/internal/distribute"
+	"pinelb.example/pinelb/internal/settingsstore"
 	"pinelb.example/pinelb/internal/version"
 )
 
@@ -27,23 +27,23 @@
 
 const service = "orders"
 
-func state(epoch uint64) distribute.State {
-	return distribute.NewState(service, version.Edition{Epoch: epoch, By: "d"}, []byte(fmt.Sprintf(`{"n":%d}`, epoch)))
+func state(epoch uint64) settingsstore.State {
+	return settingsstore.NewState(service, version.Edition{Epoch: epoch, By: "d"}, []byte(fmt.Sprintf(`{"n":%d}`, epoch)))
 }
 
 // standIn is a distributor that answers as a test wants.
 type standIn struct {
 	addr   string
-	asked  chan distribute.Question
-	answer func(net.Conn, distribute.Question) bool // false: as a distributor does. Nil: always so
+	asked  chan settingsstore.Question
+	answer func(net.Conn, settingsstore.Question) bool // false: as a distributor does. Nil: always so
 
 	mu      sync.Mutex
-	state   distribute.State
+	state   settingsstore.State
 	changed chan struct{}
 }
 
-func newStandIn(t *testing.T, s distribute.State, answer func(net.Conn, distribute.Question) bool) *standIn {
-	d := &standIn{asked: make(chan distribute.Question, 1000), answer: answer, state: s, changed: make(chan struct{})}
+func newStandIn(t *testing.T, s settingsstore.State, answer func(net.Conn, settingsstore.Question) bool) *standIn {
+	d := &standIn{asked: make(chan settingsstore.Question, 1000), answer: answer, state: s, changed: make(chan struct{})}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -56,7 +56,7 @@
 }
 
 func (d *standIn) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	q, err := distribute.ParseQuestion(r.URL)
+	q, err := settingsstore.ParseQuestion(r.URL)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -90,7 +90,7 @@
 }
 
 // tell answers as a distributor does: nil is nothing new.
-func (d *standIn) tell(q distribute.Question, gone <-chan struct{}, answer func(body []byte)) {
+func (d *standIn) tell(q settingsstore.Question, gone <-chan struct{}, answer func(body []byte)) {
 	late := time.NewTimer(q.Wait)
 	defer late.Stop()
 	for {
@@ -98,7 +98,7 @@
 		s, changed := d.state, d.changed
 		d.mu.Unlock()
 		if s.Compare(q.Newest()) > 0 {
-			answer(distribute.Encode(s))
+			answer(settingsstore.Encode(s))
 			return
 		}
 		select {
@@ -112,7 +112,7 @@
 	}
 }
 
-func (d *standIn) publish(s distribute.State) {
+func (d *standIn) publish(s settingsstore.State) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.state = s
@@ -163,18 +163,18 @@
 
 // run follows the distributors, of which it prefers the first, and returns the watch and the editions that come to be tried; tries
 // says what becomes of them.
-func run(t *testing.T, log *lines, tries func(distribute.State) error, from ...string) (w *Watch, tried <-chan uint64, answered <-chan struct{}) {
+func run(t *testing.T, log *lines, tries func(settingsstore.State) error, from ...string) (w *Watch, tried <-chan uint64, answered <-chan struct{}) {
 	t.Helper()
 	name := ""
 	for i := 0; ; i++ {
 		name = fmt.Sprintf("n%d", i)
-		if c := distribute.NewFollower(service, name, from, rand.New(rand.NewPCG(1, 1))).Next(0); c.To == 0 {
+		if c := settingsstore.NewFollower(service, name, from, rand.New(rand.NewPCG(1, 1))).Next(0); c.To == 0 {
 			break
 		}
 	}
 	epochs, first := make(chan uint64, 1000), make(chan struct{})
 	w = &Watch{Service: service, Name: name, From: from, Rand: rand.New(rand.NewPCG(1, 1)), Log: zerolog.New(log),
-		Take: func(s distribute.State) error {
+		Take: func(s settingsstore.State) error {
 			epochs <- s.Epoch
 			return tries(s)
 		}}
@@ -191,11 +191,11 @@
 	return w, epochs, first
 }
 
-func takes(distribute.State) error { return nil }
+func takes(settingsstore.State) error { return nil }
 
 // Guards against settings that are not found, that come out of order, or that are not acknowledged.
 func TestTakesWhatIsPublished(t *testing.T) {
-	d, log := newStandIn(t, distribute.State{}, nil), &lines{}
+	d, log := newStandIn(t, settingsstore.State{}, nil), &lines{}
 	_, tried, answered := run(t, log, takes, d.addr)
 	<-answered
 	if log.count("no settings are published") != 1 {
@@ -220,10 +220,10 @@
 // Guards against answers that are taken though they are cut, too long, another service's or older, that hold a sidecar up, or that
 // fill its memory; and against a distributor that is not left for it, a fault that is not told, or is logged again and again.
 func TestFaultyAnswers(t *testing.T) {
-	good := distribute.Encode(state(2))
+	good := settingsstore.Encode(state(2))
 	other := state(9)
 	other.Service = "other"
-	large := []byte(`{"a":"` + strings.Repeat("x", distribute.StateMost) + `"}`)
+	large := []byte(`{"a":"` + strings.Repeat("x", settingsstore.StateMost) + `"}`)
 	fill := func(c net.Conn, head, more string) {
 		_, _ = io.WriteString(c, head)
 		for text := []byte(strings.Repeat(more, 4096)); ; {
@@ -249,8 +249,8 @@
 		"cut in its body":     {func(c net.Conn) { _, _ = fmt.Fprintf(c, head+"Content-Length: %d\r\n\r\n%s", len(good), good[:40]) }, "unexpected EOF"},
 		"cut before":          {func(c net.Conn) { send(c, 200, good[:len(good)-3]) }, "JSON"},
 		"spoilt":              {func(c net.Conn) { send(c, 200, bytes.Replace(good, []byte(`"n":2`), []byte(`"n":3`), 1)) }, "digest"},
-		"another service's":   {func(c net.Conn) { send(c, 200, distribute.Encode(other)) }, "settings of other"},
-		"older":               {func(c net.Conn) { send(c, 200, distribute.Encode(state(1))) }, "1 by d was told after 1 by d"},
+		"another service's":   {func(c net.Conn) { send(c, 200, settingsstore.Encode(other)) }, "settings of other"},
+		"older":               {func(c net.Conn) { send(c, 200, settingsstore.Encode(state(1))) }, "1 by d was told after 1 by d"},
 		"too long":            {func(c net.Conn) { send(c, 200, large) }, "bytes"},
 		"an endless head":     {func(c net.Conn) { fill(c, head+"X: ", "x") }, "over"},
 		"heads without end":   {func(c net.Conn) { fill(c, head, "X: y\r\n") }, "over"},
@@ -267,9 +267,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			odd := newStandIn(t, distribute.State{}, func(conn net.Conn, q distribute.Question) bool {
+			odd := newStandIn(t, settingsstore.State{}, func(conn net.Conn, q settingsstore.Question) bool {
 				if q.Since.None() { // the first one
-					send(conn, 200, distribute.Encode(state(1)))
+					send(conn, 200, settingsstore.Encode(state(1)))
 				} else {
 					c.answer(conn)
 				}
@@ -329,8 +329,8 @@
 	}
 	l := listen()
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if q, err := distribute.ParseQuestion(r.URL); err != nil || q.Since.None() {
-			_, _ = w.Write(distribute.Encode(state(1)))
+		if q, err := settingsstore.ParseQuestion(r.URL); err != nil || q.Since.None() {
+			_, _ = w.Write(settingsstore.Encode(state(1)))
 			return
 		}
 		<-r.Context().Done()
@@ -349,7 +349,7 @@
 func TestRefusedSettings(t *testing.T) {
 	d, log := newStandIn(t, state(1), nil), &lines{}
 	bad := errors.New("classes[0].aim must be a number")
-	w, tried, answered := run(t, log, func(s distribute.State) error {
+	w, tried, answered := run(t, log, func(s settingsstore.State) error {
 		if s.Epoch == 1 {
 			return bad
 		}
@@ -389,7 +389,7 @@
 // Guards against a watch that is not broken off when an answer is wanted at once, and against a distributor that is blamed for it.
 func TestAskBreaksOff(t *testing.T) {
 	log := &lines{}
-	d := newStandIn(t, state(1), func(c net.Conn, q distribute.Question) bool {
+	d := newStandIn(t, state(1), func(c net.Conn, q settingsstore.Question) bool {
 		if q.Wait > 0 {
 			<-hungUp(c)
 		}
@@ -415,11 +415,11 @@
 	log := &lines{}
 	var mu sync.Mutex
 	n := 0
-	d := newStandIn(t, state(1), func(c net.Conn, q distribute.Question) bool {
+	d := newStandIn(t, state(1), func(c net.Conn, q settingsstore.Question) bool {
 		mu.Lock()
 		defer mu.Unlock()
 		n++
-		body := distribute.Encode(state(uint64(n)))
+		body := settingsstore.Encode(state(uint64(n)))
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body) // and closes
 		return true
 	})
--- a/internal/distributor/answer.go
+++ b/internal/settingsserver/answer.go
@@ -1,4 +1,4 @@
-package distributor
+package settingsserver
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 	"time"
 
 	"pinelb.example/pinelb/internal/config"
-	"pinelb.example/pinelb/internal/distribute"
+	"pinelb.example/pinelb/internal/settingsstore"
 	"pinelb.example/pinelb/internal/version"
 )
 
@@ -19,7 +19,7 @@
 	rollBackPath = "/admin/rollback"
 	healthPath   = "/admin/health"
 
-	bodyMost    = 4 * distribute.SettingsMost // of settings as an operator writes them, with blanks
+	bodyMost    = 4 * settingsstore.SettingsMost // of settings as an operator writes them, with blanks
 	bodyWithin  = 10 * time.Second
 	againInSecs = "1" // of a Retry-After
 )
@@ -32,7 +32,7 @@
 	case r.ContentLength != 0:
 		w.Header().Set("Connection", "close") // the body is not read
 		refuse(w, http.StatusBadRequest, errors.New("a question has no body"))
-	case r.URL.Path == distribute.PeerPath:
+	case r.URL.Path == settingsstore.PeerPath:
 		d.askedByPeer(w, r)
 	default:
 		d.askedBySidecar(w, r)
@@ -40,7 +40,7 @@
 }
 
 func (d *Distributor) askedBySidecar(w http.ResponseWriter, r *http.Request) {
-	q, err := distribute.ParseQuestion(r.URL)
+	q, err := settingsstore.ParseQuestion(r.URL)
 	if err != nil {
 		refuse(w, http.StatusBadRequest, err)
 		return
@@ -60,7 +60,7 @@
 }
 
 func (d *Distributor) askedByPeer(w http.ResponseWriter, r *http.Request) {
-	q, err := distribute.ParsePeerQuestion(r.URL)
+	q, err := settingsstore.ParsePeerQuestion(r.URL)
 	if err != nil {
 		refuse(w, http.StatusBadRequest, err)
 		return
@@ -100,7 +100,7 @@
 		w.Header().Set("Retry-After", againInSecs)
 	}
 	switch {
-	case errors.Is(err, distribute.ErrStarting):
+	case errors.Is(err, settingsstore.ErrStarting):
 		refuse(w, http.StatusServiceUnavailable, err)
 	case text == nil: // also where there are too many watches
 		w.WriteHeader(http.StatusNoContent)
@@ -183,7 +183,7 @@
 	case len(names) != 1 || len(q) != 1:
 		return "", http.StatusBadRequest, errors.New("the query must be service=NAME")
 	default:
-		return names[0], http.StatusBadRequest, distribute.CheckName("service", names[0])
+		return names[0], http.StatusBadRequest, settingsstore.CheckName("service", names[0])
 	}
 }
 
@@ -198,17 +198,17 @@
 	if err := config.CheckSettings(body); err != nil {
 		return nil, http.StatusBadRequest, err
 	}
-	record, err := d.publish(func() (*distribute.Record, error) { return d.store.Next(service, body) })
+	record, err := d.publish(func() (*settingsstore.Record, error) { return d.store.Next(service, body) })
 	return d.published("settings published", service, record, err)
 }
 
 func (d *Distributor) rollBackCall(service string) (out any, status int, err error) {
-	record, err := d.publish(func() (*distribute.Record, error) { return d.store.RollBack(service) })
+	record, err := d.publish(func() (*settingsstore.Record, error) { return d.store.RollBack(service) })
 	return d.published("settings rolled back", service, record, err)
 }
 
 // published tells of what an operator's call came to.
-func (d *Distributor) published(what, service string, r *distribute.Record, err error) (out any, status int, _ error) {
+func (d *Distributor) published(what, service string, r *settingsstore.Record, err error) (out any, status int, _ error) {
 	if err != nil {
 		d.log.Warn().Str("service", service).Err(err).Msg("settings not published")
 		return nil, statusOf(err), err
@@ -218,12 +218,12 @@
 }
 
 func statusOf(err error) int {
-	var faulty distribute.FaultyKey
+	var faulty settingsstore.FaultyKey
 	var disk notKept
 	switch {
 	case errors.As(err, &faulty):
 		return http.StatusBadRequest
-	case errors.Is(err, distribute.ErrStarting):
+	case errors.Is(err, settingsstore.ErrStarting):
 		return http.StatusServiceUnavailable
 	case errors.As(err, &disk):
 		return http.StatusInternalServerError
@@ -235,12 +235,12 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.store.Starting() {
-		return http.StatusServiceUnavailable, distribute.ErrStarting
+		return http.StatusServiceUnavailable, settingsstore.ErrStarting
 	}
 	return http.StatusOK, nil
 }
 
-func (d *Distributor) status(service string) distribute.Status {
+func (d *Distributor) status(service string) settingsstore.Status {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.store.StatusOf(d.cfg.Region, service, d.now())
--- a/internal/distributor/client.go
+++ b/internal/settingsserver/client.go
@@ -1,4 +1,4 @@
-package distributor
+package settingsserver
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"pinelb.example/pinelb/internal/distribute"
+	"pinelb.example/pinelb/internal/settingsstore"
 )
 
 // statusMost is how many bytes a distributor's status may have: all sidecars that it knows, with the longest names and reasons.
@@ -73,8 +73,8 @@
 }
 
 // Statuses asks all distributors at once what they say of a service. Faults are of those that did not answer.
-func (o *Operator) Statuses(ctx context.Context, service string) (statuses []distribute.Status, faults []error) {
-	all := make([]distribute.Status, len(o.At))
+func (o *Operator) Statuses(ctx context.Context, service string) (statuses []settingsstore.Status, faults []error) {
+	all := make([]settingsstore.Status, len(o.At))
 	errs := make([]error, len(o.At))
 	var wait sync.WaitGroup
 	for i, at := range o.At {
--- a/internal/distributor/config.go
+++ b/internal/settingsserver/config.go
@@ -1,6 +1,6 @@
 // Package distributor is the role that holds services' settings and tells them to sidecars and to other distributors: its sockets
-// and its disk. What it holds and whom it tells is decided by internal/distribute.
-package distributor
+// and its disk. What it holds and whom it tells is decided by internal/settingsstore.
+package settingsserver
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"path/filepath"
 	"slices"
 
-	"pinelb.example/pinelb/internal/distribute"
+	"pinelb.example/pinelb/internal/settingsstore"
 	"pinelb.example/pinelb/internal/tomlfile"
 )
 
@@ -54,7 +54,7 @@
 		names = append(names, struct{ key, name string }{"region", c.Region})
 	}
 	for _, n := range names {
-		if faulty, ok := distribute.CheckName(n.key, n.name).(distribute.FaultyKey); ok {
+		if faulty, ok := settingsstore.CheckName(n.key, n.name).(settingsstore.FaultyKey); ok {
 			return file.Fault(n.key, "%s", faulty.Why)
 		}
 	}
@@ -68,8 +68,8 @@
 		return file.Fault("control", "must be another address than listen")
 	case !filepath.IsAbs(c.Dir):
 		return file.Fault("dir", "must be the absolute path of a directory")
-	case len(c.Peers) >= distribute.PeersMost:
-		return file.Fault("peers", "names %d distributors, %d at most", len(c.Peers), distribute.PeersMost-1)
+	case len(c.Peers) >= settingsstore.PeersMost:
+		return file.Fault("peers", "names %d distributors, %d at most", len(c.Peers), settingsstore.PeersMost-1)
 	}
 	for i, addr := range c.Peers {
 		at, err := netip.ParseAddrPort(addr)
--- a/internal/distributor/distributor.go
+++ b/internal/settingsserver/distributor.go
@@ -1,4 +1,4 @@
-package distributor
+package settingsserver
 
 import (
 	"context"
@@ -14,18 +14,18 @@
 
 	"github.com/rs/zerolog"
 
-	"pinelb.example/pinelb/internal/distribute"
-	"pinelb.example/pinelb/internal/durable"
+	"pinelb.example/pinelb/internal/persistence"
+	"pinelb.example/pinelb/internal/settingsstore"
 )
 
 const (
-	askersMost    = 2 * distribute.WatchesMost // connections of sidecars and distributors: as many idle ones as watches
-	operatorsMost = 24                         // connections of operators
-	headMost      = 8 << 10                    // bytes of a call but for its body
-	headWithin    = 5 * time.Second            // a call's head, from its connection's opening on
-	idleWithin    = time.Minute                // to the next call on a connection
-	writeWithin   = 5 * time.Second            // an answer whole: a slow reader holds it no longer
-	endWithin     = 2 * time.Second            // calls, once all watches have been answered
+	askersMost    = 2 * settingsstore.WatchesMost // connections of sidecars and distributors: as many idle ones as watches
+	operatorsMost = 24                            // connections of operators
+	headMost      = 8 << 10                       // bytes of a call but for its body
+	headWithin    = 5 * time.Second               // a call's head, from its connection's opening on
+	idleWithin    = time.Minute                   // to the next call on a connection
+	writeWithin   = 5 * time.Second               // an answer whole: a slow reader holds it no longer
+	endWithin     = 2 * time.Second               // calls, once all watches have been answered
 )
 
 // Distributor is one.
@@ -35,19 +35,19 @@
 	began time.Time
 
 	mu    sync.Mutex // never held over I/O
-	store *distribute.Store
+	store *settingsstore.Store
 	wake  map[uint64]chan struct{} // watches that are to be answered now; each has room for one
 	dirty map[string]bool          // services that are not kept as they are held
 
 	writing sync.Mutex // of publishing, and of the disk; before mu
-	disk    durable.Disk
+	disk    persistence.Disk
 	keep    chan struct{} // something is dirty; has room for one
 	ending  chan struct{}
 }
 
 // New returns a distributor that holds what is kept on its disk. Without peers, a file that can't be read is an error: nobody else
 // knows what stood in it.
-func New(cfg Config, disk durable.Disk, log zerolog.Logger) (*Distributor, error) {
+func New(cfg Config, disk persistence.Disk, log zerolog.Logger) (*Distributor, error) {
 	d := &Distributor{cfg: cfg, log: log, began: time.Now(), wake: map[uint64]chan struct{}{}, dirty: map[string]bool{},
 		disk: disk, keep: make(chan struct{}, 1), ending: make(chan struct{})}
 	records, faults, err := load(disk)
@@ -60,7 +60,7 @@
 	for _, fault := range faults {
 		log.Error().Err(fault).Msg("kept settings can't be read; other distributors are asked")
 	}
-	d.store = distribute.NewStore(cfg.Name, rand.Text()[:16], cfg.Peers, len(records) > 0 && len(faults) == 0)
+	d.store = settingsstore.NewStore(cfg.Name, rand.Text()[:16], cfg.Peers, len(records) > 0 && len(faults) == 0)
 	for _, r := range records {
 		if _, _, err := d.store.Merge(r); err != nil {
 			return nil, fmt.Errorf("distributor: dir: %w", err)
@@ -74,7 +74,7 @@
 	if err := os.MkdirAll(cfg.Dir, 0o700); err != nil {
 		return fmt.Errorf("distributor: dir: %w", err)
 	}
-	disk := durable.Dir(cfg.Dir)
+	disk := persistence.Dir(cfg.Dir)
 	unlock, err := disk.Lock("lock")
 	if err != nil {
 		return fmt.Errorf("distributor: dir: %w", err)
@@ -107,7 +107,7 @@
 	defer cancel(nil)
 	var all sync.WaitGroup
 	serve := func(l net.Listener, most int, h http.Handler) *http.Server {
-		srv := &http.Server{Handler: h, ReadHeaderTimeout: headWithin, IdleTimeout: idleWithin, WriteTimeout: distribute.WaitMost + writeWithin,
+		srv := &http.Server{Handler: h, ReadHeaderTimeout: headWithin, IdleTimeout: idleWithin, WriteTimeout: settingsstore.WaitMost + writeWithin,
 			MaxHeaderBytes: headMost, DisableGeneralOptionsHandler: true, ErrorLog: stdlog.New(d.log, "", 0)}
 		all.Go(func() {
 			if err := srv.Serve(&limited{Listener: l, room: make(chan struct{}, most)}); err != http.ErrServerClosed {
@@ -143,7 +143,7 @@
 func (d *Distributor) now() time.Duration { return time.Since(d.began) }
 
 // merge takes a record in and has all who wait for it be answered. The disk may be behind.
-func (d *Distributor) merge(r *distribute.Record) error {
+func (d *Distributor) merge(r *settingsstore.Record) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	former := d.store.Record(r.Service)
--- a/internal/distributor/distributor_test.go
+++ b/internal/settingsserver/distributor_test.go
@@ -1,4 +1,4 @@
-package distributor
+package settingsserver
 
 import (
 	"bufio"
@@ -22,8 +22,8 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
-	"pinelb.example/pinelb/internal/distribute"
-	"pinelb.example/pinelb/internal/durable"
+	"pinelb.example/pinelb/internal/persistence"
+	"pinelb.example/pinelb/internal/settingsstore"
 	"pinelb.example/pinelb/internal/version"
 )
 
@@ -57,15 +57,15 @@
 }
 
 // start starts a distributor in a directory, which asks peers at those addresses.
-func start(t *testing.T, name, dir string, disk durable.Disk, peers ...string) *running {
+func start(t *testing.T, name, dir string, disk persistence.Disk, peers ...string) *running {
 	t.Helper()
 	return startAt(t, listen(t), name, dir, disk, peers...)
 }
 
-func startAt(t *testing.T, asked net.Listener, name, dir string, disk durable.Disk, peers ...string) *running {
+func startAt(t *testing.T, asked net.Listener, name, dir string, disk persistence.Disk, peers ...string) *running {
 	t.Helper()
 	if disk == nil {
-		disk = durable.Dir(dir)
+		disk = persistence.Dir(dir)
 	}
 	d, err := New(Config{Name: name, Region: "r", Peers: peers}, disk, zerolog.New(zerolog.NewTestWriter(t)))
 	if err != nil {
@@ -124,18 +124,18 @@
 type reader struct {
 	t    *testing.T
 	name string
-	have distribute.State
+	have settingsstore.State
 }
 
 // ask makes one call, and tells whether there was something newer.
 func (r *reader) ask(addr string, wait time.Duration) bool {
 	r.t.Helper()
-	q := distribute.Question{Service: "s", Since: r.have.Edition, Wait: wait, Name: r.name}
+	q := settingsstore.Question{Service: "s", Since: r.have.Edition, Wait: wait, Name: r.name}
 	status, _, text := call(r.t, "GET", addr, q.Target(), "")
 	if status == http.StatusNoContent {
 		return false
 	}
-	got, err := distribute.Parse([]byte(text))
+	got, err := settingsstore.Parse([]byte(text))
 	if status != 200 || err != nil || got.Compare(r.have.Edition) <= 0 {
 		r.t.Errorf("%s at %s is told %d %.200q, %v", r.name, r.have.Edition, status, text, err)
 		return false
@@ -148,7 +148,7 @@
 func (r *reader) follow(addr string, e version.Edition) {
 	r.t.Helper()
 	for r.have.Compare(e) < 0 {
-		if !r.ask(addr, distribute.WaitMost) {
+		if !r.ask(addr, settingsstore.WaitMost) {
 			r.t.Errorf("%s at %s is not told %s", r.name, r.have.Edition, e)
 			return
 		}
@@ -156,9 +156,9 @@
 }
 
 // until watches the distributor as another one does, until what it holds of the service is as it should be.
-func (r *running) until(what string, is func(*distribute.Record) bool) *distribute.Record {
+func (r *running) until(what string, is func(*settingsstore.Record) bool) *settingsstore.Record {
 	r.t.Helper()
-	q := distribute.PeerQuestion{Name: "test", Wait: distribute.Millis(distribute.WaitMost.Milliseconds())}
+	q := settingsstore.PeerQuestion{Name: "test", Wait: settingsstore.Millis(settingsstore.WaitMost.Milliseconds())}
 	for {
 		r.d.mu.Lock()
 		held := r.d.store.Record("s")
@@ -167,7 +167,7 @@
 			return held
 		}
 		status, _, text := call(r.t, "GET", r.asked, q.Target(), "")
-		news, err := distribute.ParseNews([]byte(text))
+		news, err := settingsstore.ParseNews([]byte(text))
 		if status != 200 || err != nil {
 			r.t.Fatalf("%s never %s: %d, %v", r.name, what, status, err)
 		}
@@ -177,7 +177,7 @@
 
 func (r *running) has(e version.Edition) {
 	r.t.Helper()
-	r.until("has "+e.String(), func(held *distribute.Record) bool { return held.Edition == e })
+	r.until("has "+e.String(), func(held *settingsstore.Record) bool { return held.Edition == e })
 }
 
 // link is the way to a distributor, which can be cut and stalled.
@@ -321,12 +321,12 @@
 	east.set("")
 	west.set("")
 	for _, r := range []*running{a, b} {
-		held := r.until("names the loser", func(held *distribute.Record) bool { return held.Overruled != nil })
+		held := r.until("names the loser", func(held *settingsstore.Record) bool { return held.Overruled != nil })
 		if held.Edition != atB || held.Overruled.Edition != atA || string(held.Overruled.Settings) != contents(1, 0) {
 			t.Errorf("%s holds %s and names %s; of %s and %s the second wins", r.name, held.Edition, held.Overruled.Edition, atA, atB)
 		}
 		_, _, text := call(t, "GET", r.called, settingsPath+"?service=s", "")
-		var status distribute.Status
+		var status settingsstore.Status
 		if err := json.Unmarshal([]byte(text), &status); err != nil || status.Overruled == nil || status.Overruled.Edition != atA {
 			t.Errorf("%s: status %s, %v", r.name, text, err)
 		}
@@ -335,7 +335,7 @@
 	readers[1].follow(a.asked, atB)
 	// Published anew, nothing is named any more, and rolling back is the same at both.
 	after := a.operate("s", contents(4, 0))
-	b.until("names nobody", func(held *distribute.Record) bool { return held.Edition == after && held.Overruled == nil })
+	b.until("names nobody", func(held *settingsstore.Record) bool { return held.Edition == after && held.Overruled == nil })
 	back := b.operate("s", "")
 	a.has(back)
 	readers[1].follow(a.asked, back)
@@ -415,7 +415,7 @@
 		m.links[i].set("")
 		back.has(second)
 	}
-	if last := m.all[2].operate("s", contents(2, 0)); last.Compare(second) <= 0 || m.all[0].until("has the last", func(held *distribute.Record) bool { return held.Edition == last }).Overruled != nil {
+	if last := m.all[2].operate("s", contents(2, 0)); last.Compare(second) <= 0 || m.all[0].until("has the last", func(held *settingsstore.Record) bool { return held.Edition == last }).Overruled != nil {
 		t.Errorf("%s after %s", last, second)
 	}
 }
@@ -451,7 +451,7 @@
 	}
 	lost := m.begin(2, t.TempDir())
 	reader := &reader{t: t, name: "n"}
-	q := distribute.Question{Service: "s", Wait: time.Second}
+	q := settingsstore.Question{Service: "s", Wait: time.Second}
 	if status, head, _ := call(t, "GET", lost.asked, q.Target(), ""); status != http.StatusServiceUnavailable || head.Get("Retry-After") == "" {
 		t.Errorf("without its disk, and alone, it answers %d", status)
 	}
@@ -478,11 +478,11 @@
 // begun waits until the distributor is starting no more.
 func (r *running) begun() {
 	r.t.Helper()
-	q := distribute.PeerQuestion{Name: "test", Wait: 0}
+	q := settingsstore.PeerQuestion{Name: "test", Wait: 0}
 	for status := 0; status != http.StatusNoContent; {
 		var text string
 		status, _, text = call(r.t, "GET", r.asked, q.Target(), "")
-		if news, err := distribute.ParseNews([]byte(text)); err == nil {
+		if news, err := settingsstore.ParseNews([]byte(text)); err == nil {
 			q.Life, q.Since = news.Life, news.At
 		}
 	}
@@ -492,8 +492,8 @@
 // told one that it asked for and then the last, another distributor has the last one too, and none of this is held.
 func TestBurst(t *testing.T) {
 	const many, size, asking = 1000, 4 << 10, 3
-	a := start(t, "a", t.TempDir(), &quick{Disk: durable.Dir(t.TempDir())})
-	b := start(t, "b", t.TempDir(), &quick{Disk: durable.Dir(t.TempDir())}, a.asked)
+	a := start(t, "a", t.TempDir(), &quick{Disk: persistence.Dir(t.TempDir())})
+	b := start(t, "b", t.TempDir(), &quick{Disk: persistence.Dir(t.TempDir())}, a.asked)
 	b.begun()
 	a.operate("s", contents(0, size))
 	slow, err := net.Dial("tcp", a.asked)
@@ -501,7 +501,7 @@
 		t.Fatal(err)
 	}
 	defer slow.Close()
-	q := distribute.Question{Service: "s", Name: "slow", Wait: distribute.WaitMost}
+	q := settingsstore.Question{Service: "s", Name: "slow", Wait: settingsstore.WaitMost}
 	fmt.Fprintf(slow, "GET %s HTTP/1.1\r\nHost: x\r\n\r\n", q.Target()) // is answered at once, and not read
 
 	var before, after runtime.MemStats
@@ -513,7 +513,7 @@
 	for i := range asking {
 		all.Go(func() {
 			r := &reader{t: t, name: fmt.Sprint("n", i)}
-			for r.have.Edition != last && r.ask(a.asked, distribute.WaitMost) {
+			for r.have.Edition != last && r.ask(a.asked, settingsstore.WaitMost) {
 				told.Add(1)
 			}
 			if r.have.Edition != last {
@@ -522,7 +522,7 @@
 		})
 	}
 	for i := range many {
-		if _, err := a.d.publish(func() (*distribute.Record, error) { return a.d.store.Next("s", []byte(contents(i+1, size))) }); err != nil {
+		if _, err := a.d.publish(func() (*settingsstore.Record, error) { return a.d.store.Next("s", []byte(contents(i+1, size))) }); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -541,7 +541,7 @@
 			t.Fatal(err)
 		}
 		text, err := io.ReadAll(res.Body)
-		state, bad := distribute.Parse(text)
+		state, bad := settingsstore.Parse(text)
 		if err != nil || bad != nil || n > 2 {
 			t.Fatalf("answer %d to a slow reader: %v, %v", n, err, bad)
 		}
@@ -558,15 +558,15 @@
 }
 
 // quick is a disk that doesn't wait for the metal, for bursts.
-type quick struct{ durable.Disk }
+type quick struct{ persistence.Disk }
 
 func (quick) Sync() error { return nil }
-func (q quick) Create(name string) (durable.File, error) {
+func (q quick) Create(name string) (persistence.File, error) {
 	f, err := q.Disk.Create(name)
 	return unsynced{f}, err
 }
 
-type unsynced struct{ durable.File }
+type unsynced struct{ persistence.File }
 
 func (unsynced) Sync() error { return nil }
 
@@ -583,7 +583,7 @@
 // Guards against a watch beyond the bound that waits all the same, and against watches that are left open by those who are gone, or at the distributor's end.
 func TestWatchesAreBoundedAndEnd(t *testing.T) {
 	a := start(t, "a", t.TempDir(), nil)
-	q := distribute.Question{Service: "s", Wait: distribute.WaitMost}
+	q := settingsstore.Question{Service: "s", Wait: settingsstore.WaitMost}
 	answered := make(chan int, 1)
 	go func() {
 		res, err := http.Get("http://" + a.asked + q.Target())
@@ -605,7 +605,7 @@
 	_ = left.Close() // whoever leaves holds none
 	a.awaitWatches(1)
 	a.d.mu.Lock()
-	for range distribute.WatchesMost - 1 {
+	for range settingsstore.WatchesMost - 1 {
 		if _, id, err := a.d.store.Ask(0, q); id == 0 || err != nil {
 			t.Fatal(err)
 		}
@@ -613,11 +613,11 @@
 	a.d.mu.Unlock()
 	began := time.Now()
 	status, head, _ := call(t, "GET", a.asked, q.Target(), "")
-	if took := time.Since(began); status != http.StatusNoContent || head.Get("Retry-After") == "" || took >= distribute.WaitMost {
+	if took := time.Since(began); status != http.StatusNoContent || head.Get("Retry-After") == "" || took >= settingsstore.WaitMost {
 		t.Errorf("one more is answered %d, Retry-After %q, after %s", status, head.Get("Retry-After"), took)
 	}
 	a.end()
-	if status := <-answered; status != http.StatusNoContent || time.Since(began) >= distribute.WaitMost {
+	if status := <-answered; status != http.StatusNoContent || time.Since(began) >= settingsstore.WaitMost {
 		t.Errorf("at the end a watch is answered %d after %s", status, time.Since(began))
 	}
 	http.DefaultClient.CloseIdleConnections()
@@ -635,7 +635,7 @@
 		{"POST", settingsPath + "?service=s", `{"n_instances":"3"}`, 400, "settings.n_instances"},
 		{"POST", settingsPath + "?service=s", strings.Replace(good, `"aim":90000000,`, "", 1), 400, "classes[0].aim"},
 		{"POST", settingsPath + "?service=s", good[:len(good)-1], 400, "settings"},
-		{"POST", settingsPath + "?service=s", contents(0, distribute.SettingsMost+1), 400, "settings has 65537 bytes"},
+		{"POST", settingsPath + "?service=s", contents(0, settingsstore.SettingsMost+1), 400, "settings has 65537 bytes"},
 		{"POST", settingsPath + "?service=s", contents(0, bodyMost+1), 413, "settings"},
 		{"POST", settingsPath + "?service=.s", good, 400, "service"},
 		{"POST", settingsPath + "?service=s&service=t", good, 400, "service"},
@@ -682,24 +682,24 @@
 		t.Errorf("was published: %s", text)
 	}
 	a.operate("s", strings.ReplaceAll(good, ",", " ,\n ")) // blanks are no contents
-	if _, _, text := call(t, "GET", a.called, settingsPath, ""); !strings.Contains(text, fmt.Sprintf("%016x", uint64(distribute.DigestOf([]byte(good))))) {
+	if _, _, text := call(t, "GET", a.called, settingsPath, ""); !strings.Contains(text, fmt.Sprintf("%016x", uint64(settingsstore.DigestOf([]byte(good))))) {
 		t.Errorf("was published: %s", text)
 	}
 }
 
 // Guards against a peer's word that was cut, spoilt or mixed up and is taken, and against giving that peer up for it.
 func TestFaultyPeers(t *testing.T) {
-	state := func(service string, epoch uint64) distribute.State {
-		return distribute.NewState(service, version.Edition{Epoch: epoch, By: "p"}, json.RawMessage(contents(int(epoch), 0)))
+	state := func(service string, epoch uint64) settingsstore.State {
+		return settingsstore.NewState(service, version.Edition{Epoch: epoch, By: "p"}, json.RawMessage(contents(int(epoch), 0)))
 	}
-	news := func(name string, records ...*distribute.Record) string {
-		return string((&distribute.News{Name: name, Life: "l", At: 1, Records: records}).Encode())
+	news := func(name string, records ...*settingsstore.Record) string {
+		return string((&settingsstore.News{Name: name, Life: "l", At: 1, Records: records}).Encode())
 	}
-	good := news("p", &distribute.Record{State: state("s", 7)})
+	good := news("p", &settingsstore.Record{State: state("s", 7)})
 	other := state("other", 6)
 	answers := []string{
-		good[:len(good)-7], strings.Replace(good, `"n":7`, `"n":8`, 1), news("a", &distribute.Record{State: state("s", 9)}),
-		news("p", &distribute.Record{State: state("s", 8), Former: &other}), `{}`, strings.Repeat(" ", distribute.NewsMost) + good, good,
+		good[:len(good)-7], strings.Replace(good, `"n":7`, `"n":8`, 1), news("a", &settingsstore.Record{State: state("s", 9)}),
+		news("p", &settingsstore.Record{State: state("s", 8), Former: &other}), `{}`, strings.Repeat(" ", settingsstore.NewsMost) + good, good,
 	}
 	asked := 0
 	peer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -711,7 +711,7 @@
 	}))
 	defer peer.Close()
 	a := start(t, "a", t.TempDir(), nil, peer.Listener.Addr().String())
-	a.until("has anything", func(held *distribute.Record) bool { return true })
+	a.until("has anything", func(held *settingsstore.Record) bool { return true })
 	a.d.mu.Lock()
 	defer a.d.mu.Unlock()
 	if r := a.d.store.Record("s"); r.Epoch != 7 || len(a.d.store.Services()) != 1 || r.Former != nil {
@@ -721,11 +721,11 @@
 
 // failing is a disk that has no room from some time on.
 type failing struct {
-	durable.Disk
+	persistence.Disk
 	full atomic.Bool
 }
 
-func (f *failing) Create(name string) (durable.File, error) {
+func (f *failing) Create(name string) (persistence.File, error) {
 	if f.full.Load() {
 		return nil, errors.New("no room")
 	}
@@ -736,7 +736,7 @@
 // that are lost, or believed though they were spoilt.
 func TestDisk(t *testing.T) {
 	dir := t.TempDir()
-	disk := &failing{Disk: durable.Dir(dir)}
+	disk := &failing{Disk: persistence.Dir(dir)}
 	a := start(t, "a", dir, disk)
 	first := a.operate("s", contents(0, 0))
 	second := a.operate("s", contents(1, 0))
@@ -754,7 +754,7 @@
 		t.Errorf("rolled back as %s after %s and %s", back, first, second)
 	}
 	again.end()
-	if again, err := New(Config{Name: "a"}, durable.Dir(dir), zerolog.Nop()); err != nil || string(again.store.Record("s").Settings) != contents(0, 0) {
+	if again, err := New(Config{Name: "a"}, persistence.Dir(dir), zerolog.Nop()); err != nil || string(again.store.Record("s").Settings) != contents(0, 0) {
 		t.Errorf("%v", err)
 	}
 
@@ -767,10 +767,10 @@
 		if err := os.WriteFile(file, []byte(spoilt), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := New(Config{Name: "a"}, durable.Dir(dir), zerolog.Nop()); err == nil || !strings.Contains(err.Error(), "s.settings") {
+		if _, err := New(Config{Name: "a"}, persistence.Dir(dir), zerolog.Nop()); err == nil || !strings.Contains(err.Error(), "s.settings") {
 			t.Errorf("a file that was %s, and nobody to ask: %v", name, err)
 		}
-		d, err := New(Config{Name: "a", Peers: []string{"127.0.0.1:1"}}, durable.Dir(dir), zerolog.Nop())
+		d, err := New(Config{Name: "a", Peers: []string{"127.0.0.1:1"}}, persistence.Dir(dir), zerolog.Nop())
 		if err != nil || !d.store.Starting() || d.store.Record("s") != nil {
 			t.Errorf("a file that was %s: %v", name, err)
 		}
@@ -778,7 +778,7 @@
 	if err := os.WriteFile(filepath.Join(dir, "t"+fileSuffix), text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := New(Config{Name: "a"}, durable.Dir(dir), zerolog.Nop()); err == nil || !strings.Contains(err.Error(), "t.settings") {
+	if _, err := New(Config{Name: "a"}, persistence.Dir(dir), zerolog.Nop()); err == nil || !strings.Contains(err.Error(), "t.settings") {
 		t.Errorf("another service's file: %v", err)
 	}
 }
@@ -787,7 +787,7 @@
 func TestKeepsWhatPeersTold(t *testing.T) {
 	a := start(t, "a", t.TempDir(), nil)
 	dir := t.TempDir()
-	disk := &failing{Disk: durable.Dir(dir)}
+	disk := &failing{Disk: persistence.Dir(dir)}
 	disk.full.Store(true)
 	b := start(t, "b", dir, disk, a.asked)
 	e := a.operate("s", contents(0, 0))
@@ -795,7 +795,7 @@
 	(&reader{t: t, name: "n"}).follow(b.asked, e)
 	disk.full.Store(false)
 	b.end()
-	if again, err := New(Config{Name: "b"}, durable.Dir(dir), zerolog.Nop()); err != nil || again.store.Record("s") == nil || again.store.Record("s").Edition != e {
+	if again, err := New(Config{Name: "b"}, persistence.Dir(dir), zerolog.Nop()); err != nil || again.store.Record("s") == nil || again.store.Record("s").Edition != e {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/distributor/keep.go
+++ b/internal/settingsserver/keep.go
@@ -1,4 +1,4 @@
-package distributor
+package settingsserver
 
 import (
 	"context"
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"pinelb.example/pinelb/internal/distribute"
-	"pinelb.example/pinelb/internal/durable"
+	"pinelb.example/pinelb/internal/persistence"
+	"pinelb.example/pinelb/internal/settingsstore"
 )
 
 const (
@@ -19,7 +19,7 @@
 )
 
 // load reads the records that a disk holds. Faults are of files that can't be used.
-func load(disk durable.Disk) (records []*distribute.Record, faults []error, err error) {
+func load(disk persistence.Disk) (records []*settingsstore.Record, faults []error, err error) {
 	names, err := disk.Names()
 	if err != nil {
 		return nil, nil, err
@@ -42,21 +42,21 @@
 	return records, faults, nil
 }
 
-func read(disk durable.Disk, name string) (*distribute.Record, error) {
-	text, err := disk.Read(name, distribute.RecordMost+fileHead)
+func read(disk persistence.Disk, name string) (*settingsstore.Record, error) {
+	text, err := disk.Read(name, settingsstore.RecordMost+fileHead)
 	if err != nil {
 		return nil, err
 	}
-	body, err := durable.Unseal(fileKind, fileVersion, text)
+	body, err := persistence.Unseal(fileKind, fileVersion, text)
 	if err != nil {
 		return nil, err
 	}
-	return distribute.ParseRecord(body)
+	return settingsstore.ParseRecord(body)
 }
 
 // write keeps a record. The caller holds writing.
-func (d *Distributor) write(r *distribute.Record) error {
-	return durable.Replace(d.disk, r.Service+fileSuffix, durable.Seal(fileKind, fileVersion, distribute.EncodeRecord(r)))
+func (d *Distributor) write(r *settingsstore.Record) error {
+	return persistence.Replace(d.disk, r.Service+fileSuffix, persistence.Seal(fileKind, fileVersion, settingsstore.EncodeRecord(r)))
 }
 
 // hurry has what is dirty be kept.
@@ -132,7 +132,7 @@
 
 // publish has the record that next makes be kept, and then merged and told: an edition that was told is never given again. The
 // error is next's, or the disk's as a notKept.
-func (d *Distributor) publish(next func() (*distribute.Record, error)) (*distribute.Record, error) {
+func (d *Distributor) publish(next func() (*settingsstore.Record, error)) (*settingsstore.Record, error) {
 	d.writing.Lock()
 	defer d.writing.Unlock()
 	d.mu.Lock()
--- a/internal/distributor/peers.go
+++ b/internal/settingsserver/peers.go
@@ -1,4 +1,4 @@
-package distributor
+package settingsserver
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"net/http"
 	"time"
 
-	"pinelb.example/pinelb/internal/distribute"
+	"pinelb.example/pinelb/internal/settingsstore"
 )
 
 const (
@@ -101,10 +101,10 @@
 }
 
 // ask makes one call; nil is nothing new.
-func (p *peer) ask(ctx context.Context, wait time.Duration) (*distribute.News, error) {
+func (p *peer) ask(ctx context.Context, wait time.Duration) (*settingsstore.News, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+peerWithin)
 	defer cancel()
-	q := distribute.PeerQuestion{Life: p.life, Since: p.at, Name: p.d.cfg.Name, Wait: distribute.Millis(wait.Milliseconds())}
+	q := settingsstore.PeerQuestion{Life: p.life, Since: p.at, Name: p.d.cfg.Name, Wait: settingsstore.Millis(wait.Milliseconds())}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.addr+q.Target(), nil)
 	if err != nil {
 		return nil, fmt.Errorf("distributor: %w", err)
@@ -122,11 +122,11 @@
 		why, _ := io.ReadAll(io.LimitReader(res.Body, whyMost))
 		return nil, fmt.Errorf("distributor: is answered %s: %s", res.Status, why)
 	}
-	text, err := io.ReadAll(io.LimitReader(res.Body, distribute.NewsMost+1))
+	text, err := io.ReadAll(io.LimitReader(res.Body, settingsstore.NewsMost+1))
 	if err != nil {
 		return nil, fmt.Errorf("distributor: the answer is cut off: %w", err)
 	}
-	news, err := distribute.ParseNews(text)
+	news, err := settingsstore.ParseNews(text)
 	if err == nil && news.Name == p.d.cfg.Name {
 		return nil, errors.New("distributor: it has this distributor's name, and editions are told apart by that")
 	}
--- a/internal/distributor/table.go
+++ b/internal/settingsserver/table.go
@@ -1,4 +1,4 @@
-package distributor
+package settingsserver
 
 import (
 	"encoding/json"
@@ -7,7 +7,7 @@
 	"strings"
 	"text/tabwriter"
 
-	"pinelb.example/pinelb/internal/distribute"
+	"pinelb.example/pinelb/internal/settingsstore"
 	"pinelb.example/pinelb/internal/version"
 )
 
@@ -20,16 +20,16 @@
 
 // View is what several distributors say of a service.
 type View struct {
-	distribute.Status // together
-	Each              []distribute.Status
-	Faults            []error // of those that did not answer
+	settingsstore.Status // together
+	Each                 []settingsstore.Status
+	Faults               []error // of those that did not answer
 }
 
 // NewView puts statuses together, of which there may be none.
-func NewView(statuses []distribute.Status, faults []error) *View {
+func NewView(statuses []settingsstore.Status, faults []error) *View {
 	v := &View{Each: statuses, Faults: faults}
 	if len(statuses) > 0 {
-		v.Status = distribute.MergeStatuses(statuses)
+		v.Status = settingsstore.MergeStatuses(statuses)
 	}
 	return v
 }
@@ -40,7 +40,7 @@
 	switch {
 	case len(v.Each) == 0:
 		return NobodyThere
-	case v.None() || len(v.Faults) > 0 || v.Count(distribute.InForce) != len(v.Sidecars):
+	case v.None() || len(v.Faults) > 0 || v.Count(settingsstore.InForce) != len(v.Sidecars):
 		return NotAll
 	}
 	return AllInForce
@@ -48,7 +48,7 @@
 
 // counts are how many sidecars stand so, of all states that there are.
 func (v *View) counts() (out []string) {
-	for _, state := range []string{distribute.InForce, distribute.Behind, distribute.Ahead, distribute.Refused, distribute.Silent} {
+	for _, state := range []string{settingsstore.InForce, settingsstore.Behind, settingsstore.Ahead, settingsstore.Refused, settingsstore.Silent} {
 		out = append(out, fmt.Sprintf("%d %s", v.Count(state), state))
 	}
 	return out
@@ -91,7 +91,7 @@
 	for _, c := range v.Sidecars {
 		if err := e.Encode(struct {
 			Line string `json:"line"`
-			distribute.Sidecar
+			settingsstore.Sidecar
 		}{"sidecar", c}); err != nil {
 			return err
 		}
@@ -129,8 +129,8 @@
 		Silent    int              `json:"silent"`
 		Overruled *version.Edition `json:"overruled,omitempty"`
 		Unreached []string         `json:"unreached"`
-	}{"summary", v.Service, v.Edition, v.Digest, len(v.Sidecars), v.Count(distribute.InForce), v.Count(distribute.Behind),
-		v.Count(distribute.Ahead), v.Count(distribute.Refused), v.Count(distribute.Silent), overruled, unreached})
+	}{"summary", v.Service, v.Edition, v.Digest, len(v.Sidecars), v.Count(settingsstore.InForce), v.Count(settingsstore.Behind),
+		v.Count(settingsstore.Ahead), v.Count(settingsstore.Refused), v.Count(settingsstore.Silent), overruled, unreached})
 }
 
 // plain is text from elsewhere, without what a terminal would act on.
--- a/internal/distribute/follower.go
+++ b/internal/settingsstore/follower.go
@@ -1,4 +1,4 @@
-package distribute
+package settingsstore
 
 import (
 	"cmp"
--- a/internal/distribute/wire.go
+++ b/internal/settingsstore/wire.go
@@ -1,6 +1,6 @@
 // Package distribute decides who is told which settings: what a distributor holds of each service, which of two changes wins,
 // who has acknowledged what, and how that is written between the roles. It is pure: times and events in, values out.
-package distribute
+package settingsstore
 
 import (
 	"bytes"
--- a/internal/wire/wire.go
+++ b/internal/simprotocol/wire.go
@@ -1,6 +1,6 @@
 // Package wire turns the drill's binary frames into balance events and actions back
 // into frames. It decides nothing.
-package wire
+package simprotocol
 
 import (
 	"bytes"
--- a/internal/wire/wire_test.go
+++ b/internal/simprotocol/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simprotocol
 
 import (
 	"bytes"
--- a/internal/stream/left_test.go
+++ b/internal/stream/left_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"pinelb.example/pinelb/balance"
-	"pinelb.example/pinelb/internal/engine"
+	"pinelb.example/pinelb/internal/driver"
 )
 
 // Guards against a request that is sent on for a client that has left, where its front did not notice: a look at the
@@ -76,8 +76,8 @@
 		wanted <- req.Wanted()
 		return balance.Moot, Response{}
 	})}
-	sent := &mute{sends: make(chan engine.Send, 1), sent: true}
-	sent.sends <- engine.Send{}
+	sent := &mute{sends: make(chan driver.Send, 1), sent: true}
+	sent.sends <- driver.Send{}
 	client, leave := context.WithCancel(context.Background())
 	go func() {
 		if !(<-waits).Wanted() {
@@ -113,8 +113,8 @@
 				}
 				return balance.OK, Response{}
 			})}
-			sent := &mute{sends: make(chan engine.Send, 1), sent: true}
-			sent.sends <- engine.Send{}
+			sent := &mute{sends: make(chan driver.Send, 1), sent: true}
+			sent.sends <- driver.Send{}
 			p.live(t.Context(), sent, req, &unbound)
 			<-asked
 		})
@@ -130,13 +130,13 @@
 // decidedFirst is a stream whose final answer was decided as its client, or all, came to its end.
 type decidedFirst struct {
 	mute
-	verdict chan engine.Verdict
+	verdict chan driver.Verdict
 }
 
-func (d *decidedFirst) Verdict() <-chan engine.Verdict { return d.verdict }
+func (d *decidedFirst) Verdict() <-chan driver.Verdict { return d.verdict }
 func (d *decidedFirst) Abandon() (ended, sent bool) {
 	select {
-	case d.verdict <- engine.Verdict{Refused: true}:
+	case d.verdict <- driver.Verdict{Refused: true}:
 	default:
 	}
 	return false, false
@@ -146,7 +146,7 @@
 func TestAnswerBeforeTheEnd(t *testing.T) {
 	ended, end := context.WithCancel(context.Background())
 	end()
-	s := &decidedFirst{verdict: make(chan engine.Verdict, 1)}
+	s := &decidedFirst{verdict: make(chan driver.Verdict, 1)}
 	if res := (&Proxy{uses: map[string]use{}}).live(ended, s, request(1, time.Minute), &unbound); res.Outcome != Refused {
 		t.Errorf("outcome %d, want the answer that was first", res.Outcome)
 	}
--- a/internal/stream/stream.go
+++ b/internal/stream/stream.go
@@ -13,8 +13,8 @@
 
 	"pinelb.example/pinelb/balance"
 	"pinelb.example/pinelb/internal/budget"
-	"pinelb.example/pinelb/internal/effects"
-	"pinelb.example/pinelb/internal/engine"
+	"pinelb.example/pinelb/internal/driver"
+	"pinelb.example/pinelb/internal/inflight"
 )
 
 // Request is one stream's request, decoded. The upstream host gets it as it came.
@@ -148,11 +148,11 @@
 
 // Proxy serves streams.
 type Proxy struct {
-	Engine   *engine.Engine
+	Engine   *driver.Engine
 	Upstream Upstream
-	Observer Observer       // nil: nobody
-	Budget   *Budget        // nil: every tier tries again as it sees fit
-	Effects  *effects.Table // nil: none is remembered, and other processes' are not known
+	Observer Observer        // nil: nobody
+	Budget   *Budget         // nil: every tier tries again as it sees fit
+	Effects  *inflight.Table // nil: none is remembered, and other processes' are not known
 	// Promise is called before an attempt that must not be unknown to whoever comes after this process; it returns once
 	// Effects is kept. Nil: it is not kept.
 	Promise func()
@@ -166,9 +166,9 @@
 
 // decided is a stream as the decisions see it; engine.Stream is one.
 type decided interface {
-	Sends() <-chan engine.Send
-	Verdict() <-chan engine.Verdict
-	Settle(attempt int, o engine.Outcome) (won bool)
+	Sends() <-chan driver.Send
+	Verdict() <-chan driver.Verdict
+	Settle(attempt int, o driver.Outcome) (won bool)
 	Whole()
 	Abandon() (ended, sent bool)
 	Close()
@@ -199,7 +199,7 @@
 		return res
 	}
 	// Attempts must not end with the client by themselves: the decisions withdraw them.
-	call := engine.Call{Class: req.Class, Tenant: req.Tenant, Left: time.Until(req.Deadline), Repeated: req.Repeated, Most: a.Most(), Worth: a.Worth(),
+	call := driver.Call{Class: req.Class, Tenant: req.Tenant, Left: time.Until(req.Deadline), Repeated: req.Repeated, Most: a.Most(), Worth: a.Worth(),
 		Ran: ran.At, RanAt: ran.Host}
 	if req.Upload != nil {
 		call.Left, call.Coming = req.Upload.Left, true
@@ -210,8 +210,8 @@
 
 // identity is what a stream is known by to other processes, and to those that come after it. A repeat comes while its client
 // still waits, which is after the effect's window at the latest.
-func (p *Proxy) identity(req *Request) effects.ID {
-	id := effects.ID{Txn: req.Txn, Class: req.ClassName, Key: req.Key}
+func (p *Proxy) identity(req *Request) inflight.ID {
+	id := inflight.ID{Txn: req.Txn, Class: req.ClassName, Key: req.Key}
 	if p.Effects != nil {
 		if c := p.Engine.Class(req.Class); c.Effect != balance.Safe {
 			id.Keep = max(c.Memory, c.Deadline) + c.Deadline
@@ -248,7 +248,7 @@
 		case send := <-s.Sends():
 			if !req.Wanted() {
 				ended, _ := s.Abandon() // before the outcome, or the decisions would send it elsewhere
-				if s.Settle(send.Attempt, engine.Outcome{Status: balance.Moot}); ended {
+				if s.Settle(send.Attempt, driver.Outcome{Status: balance.Moot}); ended {
 					return Response{Outcome: Gone}
 				}
 				continue
@@ -300,7 +300,7 @@
 
 // attempt is one upstream request, the n-th of its stream. However it ends, its outcome is told once. It has crossed if the
 // version that is acted on has changed since the stream's first.
-func (p *Proxy) attempt(s decided, send engine.Send, crossed bool, req sent, n int, answer chan Response) {
+func (p *Proxy) attempt(s decided, send driver.Send, crossed bool, req sent, n int, answer chan Response) {
 	status, res := balance.Reset, Response{Outcome: Failed} // what a panic leaves: it may have run
 	effect, kept := p.Effects.Sent(time.Now(), req.Txn, send.Host)
 	if p.Trail != nil {
@@ -315,7 +315,7 @@
 		if fault := recover(); fault != nil {
 			p.Log.Error().Interface("panic", fault).Msg("upstream request failed")
 		}
-		if s.Settle(send.Attempt, engine.Outcome{Status: status, Spent: res.Tried.Told || req.Upload.spent(),
+		if s.Settle(send.Attempt, driver.Outcome{Status: status, Spent: res.Tried.Told || req.Upload.spent(),
 			Answers: status == balance.OK || res.Outcome == Rejected || res.Outcome == Unanswered || res.Outcome == Broken}) {
 			answer <- res
 			select {
@@ -339,7 +339,7 @@
 }
 
 // localReply words what the decisions said. A failure near the deadline is one of time.
-func localReply(v engine.Verdict, req *Request) Response {
+func localReply(v driver.Verdict, req *Request) Response {
 	switch {
 	case v.Refused:
 		return Response{Outcome: Refused, RetryAfter: v.RetryAfter}
--- a/internal/stream/stream_test.go
+++ b/internal/stream/stream_test.go
@@ -9,7 +9,7 @@
 	"github.com/rs/zerolog"
 
 	"pinelb.example/pinelb/balance"
-	"pinelb.example/pinelb/internal/engine"
+	"pinelb.example/pinelb/internal/driver"
 )
 
 type noConnections struct{}
@@ -26,7 +26,7 @@
 
 func newProxy(t *testing.T, hosts int, up upstreamFunc) *Proxy {
 	t.Helper()
-	e, err := engine.New(balance.Settings{Instances: 1, Classes: []balance.Class{
+	e, err := driver.New(balance.Settings{Instances: 1, Classes: []balance.Class{
 		{Aim: time.Minute, Deadline: time.Minute, Effect: balance.Safe, Worth: 1},
 		{Aim: time.Minute, Deadline: time.Minute, Effect: balance.Unsafe, Worth: 1},
 	}, MaxAttempts: 4, Cancel: true, ColdShare: 0.3, ColdFor: time.Second, FallMultiple: 2,
@@ -172,14 +172,14 @@
 
 // mute is a stream of which the decisions never say another word.
 type mute struct {
-	sends  chan engine.Send
+	sends  chan driver.Send
 	sent   bool
 	closed bool
 }
 
-func (m *mute) Sends() <-chan engine.Send       { return m.sends }
-func (m *mute) Verdict() <-chan engine.Verdict  { return nil }
-func (m *mute) Settle(int, engine.Outcome) bool { return false }
+func (m *mute) Sends() <-chan driver.Send       { return m.sends }
+func (m *mute) Verdict() <-chan driver.Verdict  { return nil }
+func (m *mute) Settle(int, driver.Outcome) bool { return false }
 func (m *mute) Abandon() (ended, sent bool)     { return true, m.sent }
 func (m *mute) Whole()                          {}
 func (m *mute) Close()                          { m.closed = true }
@@ -189,8 +189,8 @@
 	p := &Proxy{uses: map[string]use{}, Upstream: upstreamFunc(func(context.Context, balance.EndpointID) (balance.Status, Response) {
 		return balance.Timeout, Response{}
 	})}
-	sent := &mute{sends: make(chan engine.Send, 1), sent: true}
-	sent.sends <- engine.Send{}
+	sent := &mute{sends: make(chan driver.Send, 1), sent: true}
+	sent.sends <- driver.Send{}
 	if res := p.live(context.Background(), sent, request(0, 100*time.Millisecond), &unbound); res.Outcome != Expired || !sent.closed {
 		t.Errorf("outcome %d, closed %v; want expired and closed", res.Outcome, sent.closed)
 	}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -18,7 +18,7 @@
 
 	"pinelb.example/pinelb/balance"
 	"pinelb.example/pinelb/internal/budget"
-	"pinelb.example/pinelb/internal/peek"
+	"pinelb.example/pinelb/internal/connstate"
 	"pinelb.example/pinelb/internal/stream"
 )
 
@@ -47,7 +47,7 @@
 	limit *io.LimitedReader // HTTP: what may still come of the present heads
 	names bool              // HTTP: the host's answers name their requests
 	in    *bufio.Reader     // HTTP, from a request's answer on; nil: nothing is read ahead
-	pace  pacing            // HTTP
+	pace  readDeadlines     // HTTP
 	seq   int32             // Thrift: of the last call
 }
 
@@ -79,7 +79,7 @@
 
 // quiet tells whether the other side has neither closed an idle connection nor said anything on it.
 func (c *conn) quiet() bool {
-	return (c.in == nil || c.in.Buffered() == 0) && peek.Look(c.Conn) == peek.Silent
+	return (c.in == nil || c.in.Buffered() == 0) && connstate.Look(c.Conn) == connstate.Silent
 }
 
 // interrupt makes what is under way on the connection return at once.
@@ -88,7 +88,7 @@
 func (c *conn) close() { _ = c.Conn.Close() } // nothing that is still wanted is lost by an error here
 
 // pacing is how long reading may take at present.
-type pacing struct {
+type readDeadlines struct {
 	ctx   context.Context
 	until time.Time     // the latest
 	piece time.Duration // from one piece to the next, once an answer has begun
--- a/internal/upstream/line.go
+++ b/internal/upstream/line.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"pinelb.example/pinelb/balance"
-	"pinelb.example/pinelb/internal/pace"
+	"pinelb.example/pinelb/internal/pacing"
 )
 
 // waitMost is how many connect time-outs an attempt waits for a moment that is sure to come by then. Elsewhere it waits for
@@ -30,7 +30,7 @@
 }
 
 // Guard bounds the new connections at each host from now on.
-func (p *Pool) Guard(d pace.HandshakeLimit) {
+func (p *Pool) Guard(d pacing.HandshakeLimit) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.limit = d
@@ -94,7 +94,7 @@
 }
 
 // patience is how long the last in a line waits.
-func (h *host) patience(share pace.Share, now, timeout time.Duration) time.Duration {
+func (h *host) patience(share pacing.Share, now, timeout time.Duration) time.Duration {
 	before := time.Duration(max(0, len(h.line)-1) / max(1, share.AtOnce)) // periods
 	if h.limit.At(share, now)+before*share.Every <= now+waitMost*timeout {
 		return waitMost * timeout
@@ -168,7 +168,7 @@
 func (p *Pool) newHost(id balance.EndpointID) *host {
 	sum := fnv.New64a()
 	_, _ = sum.Write(strconv.AppendInt(nil, int64(id), 10))
-	h := &host{limit: pace.HandshakeLimiter{Phase: rand.New(rand.NewPCG(p.secret, sum.Sum64())).Float64()}}
+	h := &host{limit: pacing.HandshakeLimiter{Phase: rand.New(rand.NewPCG(p.secret, sum.Sum64())).Float64()}}
 	h.again = time.AfterFunc(time.Hour, func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
--- a/internal/upstream/line_test.go
+++ b/internal/upstream/line_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"pinelb.example/pinelb/internal/pace"
+	"pinelb.example/pinelb/internal/pacing"
 )
 
 // guarded is a pool with one moment in 10 s, and a clock that the test turns, at which none is near.
@@ -14,7 +14,7 @@
 	p = poolFor(newScripted(t).addr, 10)
 	var clock time.Duration
 	p.now = func() time.Time { return p.began.Add(clock) }
-	p.Guard(pace.HandshakeLimit{Handshakes: 1, Instances: 100})
+	p.Guard(pacing.HandshakeLimit{Handshakes: 1, Instances: 100})
 	p.hosts[1].limit.Phase = 0.5
 	return p, func() { // the next one comes
 		p.mu.Lock()
@@ -36,7 +36,7 @@
 		}
 		_, _ = c.Write([]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 		at := <-host.arrivals
-		p.Guard(pace.HandshakeLimit{Handshakes: 1, Instances: 1 << 20}) // no moment is near
+		p.Guard(pacing.HandshakeLimit{Handshakes: 1, Instances: 1 << 20}) // no moment is near
 		next := begin(context.Background(), p, purpose{}, 1)
 		end.end(at.nc)
 		for c.quiet() { // until the kernel has brought it
@@ -145,7 +145,7 @@
 
 // Without a bound, and where an instance is alone, nothing waits.
 func TestNoLine(t *testing.T) {
-	for _, d := range []pace.HandshakeLimit{{}, {Handshakes: 1, Instances: 1}} {
+	for _, d := range []pacing.HandshakeLimit{{}, {Handshakes: 1, Instances: 1}} {
 		p, _ := guarded(t)
 		p.Guard(d)
 		for range 5 {
@@ -179,9 +179,9 @@
 
 // How long an attempt waits: for a moment that comes soon, with those before it, and otherwise for a connect time-out.
 func TestPatience(t *testing.T) {
-	one := pace.Share{AtOnce: 1, Every: time.Second}
+	one := pacing.Share{AtOnce: 1, Every: time.Second}
 	for _, c := range []struct {
-		share pace.Share
+		share pacing.Share
 		line  int
 		now   time.Duration
 		want  time.Duration
@@ -189,10 +189,10 @@
 		{one, 1, 200 * time.Millisecond, 400 * time.Millisecond},
 		{one, 1, 50 * time.Millisecond, 100 * time.Millisecond},
 		{one, 2, 200 * time.Millisecond, 100 * time.Millisecond},
-		{pace.Share{AtOnce: 2, Every: 100 * time.Millisecond}, 9, 0, 400 * time.Millisecond},
-		{pace.Share{AtOnce: 2, Every: 100 * time.Millisecond}, 11, 0, 100 * time.Millisecond},
+		{pacing.Share{AtOnce: 2, Every: 100 * time.Millisecond}, 9, 0, 400 * time.Millisecond},
+		{pacing.Share{AtOnce: 2, Every: 100 * time.Millisecond}, 11, 0, 100 * time.Millisecond},
 	} {
-		h := &host{limit: pace.HandshakeLimiter{Phase: 0.5}, line: make([]*waiter, c.line)}
+		h := &host{limit: pacing.HandshakeLimiter{Phase: 0.5}, line: make([]*waiter, c.line)}
 		if got := h.patience(c.share, c.now, 100*time.Millisecond); got != c.want {
 			t.Errorf("%+v, %d in line at %s: %s, want %s", c.share, c.line, c.now, got, c.want)
 		}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"pinelb.example/pinelb/balance"
-	"pinelb.example/pinelb/internal/pace"
+	"pinelb.example/pinelb/internal/pacing"
 )
 
 const (
@@ -51,8 +51,8 @@
 	ahead  sync.WaitGroup
 
 	mu    sync.Mutex
-	limit pace.HandshakeLimit // the zero value is no bound
-	ended bool                // nothing is opened ahead any more
+	limit pacing.HandshakeLimit // the zero value is no bound
+	ended bool                  // nothing is opened ahead any more
 	open  int
 	hosts map[balance.EndpointID]*host
 }
@@ -79,7 +79,7 @@
 	addr  string
 	shut  bool // nothing new is to go there
 	idle  []*conn
-	limit pace.HandshakeLimiter
+	limit pacing.HandshakeLimiter
 	line  []*waiter   // for a connection, the first first
 	again *time.Timer // when the line is looked at
 }
