--- a/ci/test.sh
+++ b/ci/test.sh
@@ -22,7 +22,7 @@
 out=$(mktemp -d) && trap 'rm -rf "$out"' EXIT
 for s in ci/scenarios/*.toml; do
 	status=0
-	bin/pinelab run "$s" --out "$out" >"$out/summary" 2>&1 || status=$?
+	bin/pinelb-testlab run "$s" --out "$out" >"$out/summary" 2>&1 || status=$?
 	case $status in
 	0) echo "ok  	scenario $s" ;;
 	3) echo "void	scenario $s: the machine was too busy" ;;
--- a/cmd/pinelab/main.go
+++ b/cmd/pinelab/main.go
@@ -1,100 +1,14 @@
-// Command pinelab is the rig: it plays scenarios against real sidecars on loopback sockets, or against the
-// decision module in virtual time, judges what both ends saw, and reports it.
+// Command pinelab is the former name of pinelb-testlab. It works for one more release.
 package main
 
 import (
-	"context"
-	"errors"
 	"fmt"
-	"io"
 	"os"
-	"os/signal"
-	"syscall"
 
-	"github.com/alecthomas/kong"
-	"golang.org/x/term"
+	"pinelb.example/pinelb/internal/lab/cli"
 )
 
-// The exit statuses.
-const (
-	held     = 0
-	broken   = 1   // a rule or an expectation of the scenario
-	faulty   = 2   // the scenario, a file or the arguments
-	void     = 3   // the rig itself ran late: the run says nothing
-	stopped  = 130 // ^C
-	rigFault = 4   // the rig could not play: no program, no free address, no room on the disk
-)
-
-type commands struct {
-	Demo       demoCmd       `cmd:"" default:"withargs" help:"Emulated boxes, one sidecar, ten seconds of load and a failure in the middle."`
-	Run        runCmd        `cmd:"" help:"Play a scenario and judge it."`
-	Sweep      sweepCmd      `cmd:"" help:"Play all combinations of some keys' values and print a table."`
-	Check      checkCmd      `cmd:"" help:"Check a scenario's file without playing it."`
-	List       listCmd       `cmd:"" help:"Name the scenarios that come with the program."`
-	Rehearse   rehearseCmd   `cmd:"" help:"Fit boxes and failures to sidecars' records and play them again."`
-	Diff       diffCmd       `cmd:"" help:"Compare two results."`
-	Asking     askingCmd     `cmd:"" help:"Play in virtual time how a fleet asks one list service, by several rules."`
-	Slopes     slopesCmd     `cmd:"" help:"Measure what control costs at sizes that double, with real sidecars."`
-	Scale      scaleCmd      `cmd:"" help:"Measure what thousands of hollow sidecars cost a list service, and how soon a change is in force at all."`
-	Rack       rackCmd       `cmd:"" hidden:"" help:"A rack of hollow sidecars, as scale starts it."`
-	Distribute distributeCmd `cmd:"" help:"Measure how settings reach sidecars through five distributors: real ones, hollow followers and real sidecars."`
-	Variants   variantsCmd   `cmd:"" help:"Make site files of deployments that nobody has out of one of the bench's."`
-	Routers    routersCmd    `cmd:"" help:"Measure what control costs a fleet of routers, and how soon a configuration is in force at all."`
-	Decide     decideCmd     `cmd:"" help:"Play the routers' decision before a model of the engines, beside a scheduler that knows everything."`
-}
-
-// terminal is where the program writes.
-type terminal struct {
-	out, err io.Writer
-	colour   bool // out is a terminal
-	progress bool // err is a terminal
-}
-
-// exit is an error that carries its status.
-type exit struct {
-	status int
-	err    error
-}
-
-func (e exit) Error() string { return e.err.Error() }
-func (e exit) Unwrap() error { return e.err }
-
 func main() {
-	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	t := &terminal{out: os.Stdout, err: os.Stderr, colour: term.IsTerminal(int(os.Stdout.Fd())), progress: term.IsTerminal(int(os.Stderr.Fd()))}
-	status := run(ctx, os.Args[1:], t)
-	stop()
-	os.Exit(status)
-}
-
-// run is the whole program but for the process.
-func run(ctx context.Context, args []string, t *terminal) (status int) {
-	var c commands
-	done := -1
-	parser, err := kong.New(&c, kong.Name("pinelab"), kong.Writers(t.out, t.err), kong.Exit(func(code int) { done = code }),
-		kong.Description("Plays scenarios against pinelb on loopback sockets or in virtual time, and judges them."),
-		kong.UsageOnError())
-	if err != nil {
-		panic(err) // the commands above are at fault
-	}
-	k, err := parser.Parse(args)
-	if done >= 0 { // help was asked for
-		return done
-	}
-	if err != nil {
-		fmt.Fprintln(t.err, "pinelab:", err)
-		return faulty
-	}
-	k.BindTo(ctx, (*context.Context)(nil))
-	if err := k.Run(t); err != nil {
-		var e exit
-		if !errors.As(err, &e) {
-			e = exit{rigFault, err}
-		}
-		if e.err != nil {
-			fmt.Fprintln(t.err, "pinelab:", e.err)
-		}
-		return e.status
-	}
-	return held
+	fmt.Fprintln(os.Stderr, "pinelab is now called pinelb-testlab; the former name goes away with the next release")
+	os.Exit(cli.Main())
 }
--- a/cmd/pinelab/play.go
+++ b/internal/lab/cli/play.go
@@ -1,4 +1,4 @@
-package main
+package cli
 
 import (
 	"context"
--- a/cmd/pinelab/slopes.go
+++ b/internal/lab/cli/slopes.go
@@ -1,4 +1,4 @@
-package main
+package cli
 
 import (
 	"context"
@@ -65,7 +65,7 @@
 
 // begin is the head of a measurement's lines.
 func (m *measuring) begin(what string) point {
-	return point{What: what, Trial: m.Trial, Command: "pinelab " + strings.Join(os.Args[1:], " "), Load: footprint.Load()}
+	return point{What: what, Trial: m.Trial, Command: programName + " " + strings.Join(os.Args[1:], " "), Load: footprint.Load()}
 }
 
 // write appends a line to the results.
