--- a/internal/fleet/config/config_test.go
+++ b/internal/fleet/config/config_test.go
@@ -35,7 +35,7 @@
 	return string(left) == string(right)
 }
 
-func TestDocument(t *testing.T) {
+func TestDocumentRoundTripAndPatch(t *testing.T) {
 	Convey("A configuration", t, func() {
 		d := document(whole)
 		So(d.Version(), ShouldEqual, 7)
@@ -57,7 +57,7 @@
 	})
 }
 
-func TestInvalid(t *testing.T) {
+func TestInvalidConfigurationsNameTheItem(t *testing.T) {
 	route := `{"name":"x","host":"h","pathPrefix":"/x/","type":"safe","timeoutMs":5,"service":"s"}`
 	build := func(routes, services, tenants string) string {
 		return fmt.Sprintf(`{"version":1,"routes":[%s],"services":[%s],"tenants":[%s]}`, routes, services, tenants)
@@ -99,7 +99,7 @@
 }
 
 // Guards against shares that are off their weights, whatever the weights add up to.
-func TestShares(t *testing.T) {
+func TestPickServiceFollowsWeights(t *testing.T) {
 	const draws = 10000
 	for _, weights := range [][]float64{{90, 10}, {1, 1, 1}, {0, 5, 0.5}, {0.25, 0.75}, {0, 7}, {3, 0}} {
 		route, sum := &Route{}, 0.0
@@ -119,7 +119,7 @@
 	}
 }
 
-func TestTable(t *testing.T) {
+func TestTableLookup(t *testing.T) {
 	Convey("Requests are looked up", t, func() {
 		table, err := NewTable(document(whole), nil)
 		So(err, ShouldBeNil)
@@ -148,7 +148,7 @@
 	})
 }
 
-func TestState(t *testing.T) {
+func TestStateRemembersAppliedChanges(t *testing.T) {
 	Convey("A state knows the orders that made it, also after it was copied", t, func() {
 		first := &Change{Replace: true, Base: 0, Body: []byte(whole)}
 		second := &Change{Base: 7, Body: []byte(`{"version":9,"remove":{"routes":["ab"]}}`)}
@@ -168,12 +168,12 @@
 	})
 	Convey("The memory of orders is bounded", t, func() {
 		state := EmptyState()
-		for version := 1; version <= rememberedOrders+10; version++ {
+		for version := 1; version <= maxAppliedChanges+10; version++ {
 			next, err := state.Apply(&Change{Base: int64(version - 1), Body: fmt.Appendf(nil, `{"version":%d}`, version)})
 			So(err, ShouldBeNil)
 			state = next
 		}
-		So(len(state.orders), ShouldEqual, rememberedOrders)
+		So(len(state.applied), ShouldEqual, maxAppliedChanges)
 	})
 }
 
--- a/internal/fleet/config/model.go
+++ b/internal/fleet/config/model.go
@@ -30,7 +30,7 @@
 	Public          bool      `json:"public"`
 	SessionAffinity bool      `json:"sessionAffinity"`
 	StreamResume    bool      `json:"streamResume"`
-	GapAimMs        float64   `json:"gap_aim_ms"`
+	MaxEventGapMs        float64   `json:"gap_aim_ms"`
 }
 
 // Timeout is the longest time that a request may be held.
@@ -40,7 +40,7 @@
 func (r *Route) TargetLatency() time.Duration { return milliseconds(r.TargetLatencyMs) }
 
 // MaxEventGap is the longest pause between events of a stream with which it is in time; 0: no bound.
-func (r *Route) MaxEventGap() time.Duration { return milliseconds(r.GapAimMs) }
+func (r *Route) MaxEventGap() time.Duration { return milliseconds(r.MaxEventGapMs) }
 
 // Idempotent tells whether a request may run more than once.
 func (r *Route) Idempotent() bool {
--- a/internal/fleet/config/state.go
+++ b/internal/fleet/config/state.go
@@ -9,8 +9,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// rememberedOrders is how many of the last orders' digests a state keeps, so that an order that is sent again is known.
-const rememberedOrders = 1024
+// maxAppliedChanges is how many of the last orders' digests a state keeps, so that an order that is sent again is known.
+const maxAppliedChanges = 1024
 
 // Change is one change of the configuration, as the operator sent it.
 type Change struct {
@@ -56,14 +56,14 @@
 // State is what is replicated: the configuration and the last orders that made it. It is never changed.
 type State struct {
 	Document *Document
-	orders   []ChangeDigest // the last one last
+	applied   []ChangeDigest // the last one last
 }
 
 // EmptyState is what is replicated before the first order.
 func EmptyState() *State { return &State{Document: EmptyDocument()} }
 
 // HasApplied tells whether an order is among the last that were taken.
-func (s *State) HasApplied(digest ChangeDigest) bool { return slices.Contains(s.orders, digest) }
+func (s *State) HasApplied(digest ChangeDigest) bool { return slices.Contains(s.applied, digest) }
 
 // Apply returns the state after an order. It does not check the order against the present version.
 func (s *State) Apply(o *Change) (*State, error) {
@@ -71,10 +71,10 @@
 	if err != nil {
 		return nil, err
 	}
-	kept := s.orders[max(0, len(s.orders)-rememberedOrders+1):]
+	kept := s.applied[max(0, len(s.applied)-maxAppliedChanges+1):]
 	orders := make([]ChangeDigest, 0, len(kept)+1)
 	orders = append(append(orders, kept...), o.Digest())
-	return &State{Document: document, orders: orders}, nil
+	return &State{Document: document, applied: orders}, nil
 }
 
 func (s *State) documentAfter(o *Change) (*Document, error) {
@@ -91,14 +91,14 @@
 // encodedState is a state as it is replicated whole.
 type encodedState struct {
 	Document []byte `cbor:"1,keyasint"`
-	Orders   []byte `cbor:"2,keyasint"`
+	Applied   []byte `cbor:"2,keyasint"`
 }
 
 // Encode writes the state.
 func (s *State) Encode() ([]byte, error) {
 	e := encodedState{Document: s.Document.Encode()}
-	for _, digest := range s.orders {
-		e.Orders = append(e.Orders, digest[:]...)
+	for _, digest := range s.applied {
+		e.Applied = append(e.Applied, digest[:]...)
 	}
 	text, err := cbor.Marshal(&e)
 	if err != nil {
@@ -118,9 +118,9 @@
 		return nil, err
 	}
 	s := &State{Document: document}
-	for digest := range slices.Chunk(e.Orders, len(ChangeDigest{})) {
+	for digest := range slices.Chunk(e.Applied, len(ChangeDigest{})) {
 		if len(digest) == len(ChangeDigest{}) {
-			s.orders = append(s.orders, ChangeDigest(digest))
+			s.applied = append(s.applied, ChangeDigest(digest))
 		}
 	}
 	return s, nil
