--- a/internal/fleet/config/config_test.go
+++ b/internal/fleet/config/config_test.go
@@ -11,7 +11,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-const whole = `{"version":7,
+const validDocument = `{"version":7,
 	"routes":[{"name":"a","host":"h.example","pathPrefix":"/a/","type":"streaming","timeoutMs":3000,"targetLatencyMs":400,
 		"service":"llm","maxAttempts":2,"streamResume":true,"unknown":{"x":1.50}},
 		{"name":"ab","host":"h.example","pathPrefix":"/a/b/","type":"unsafe","timeoutMs":600,
@@ -20,13 +20,13 @@
 	"limits":{"maxBodyBytes":100},
 	"tenants":[{"name":"t","apiKeys":["k1","k2"],"ratePerS":5,"burst":5,"unit":"token_count","plainTokens":200}]}`
 
-func document(text string) *Document {
+func mustParse(text string) *Document {
 	d, err := ParseDocument([]byte(text))
 	So(err, ShouldBeNil)
 	return d
 }
 
-func same(a, b []byte) bool {
+func equalJSON(a, b []byte) bool {
 	var x, y any
 	So(json.Unmarshal(a, &x), ShouldBeNil)
 	So(json.Unmarshal(b, &y), ShouldBeNil)
@@ -37,13 +37,13 @@
 
 func TestDocumentRoundTripAndPatch(t *testing.T) {
 	Convey("A configuration", t, func() {
-		d := document(whole)
+		d := mustParse(validDocument)
 		So(d.Version(), ShouldEqual, 7)
-		Convey("is given back as it was sent, with fields that are not known", func() {
-			So(same(d.Encode(), []byte(whole)), ShouldBeTrue)
+		Convey("is encoded as it was sent, with unknown fields", func() {
+			So(equalJSON(d.Encode(), []byte(validDocument)), ShouldBeTrue)
 			So(string(d.Encode()), ShouldContainSubstring, "1.50")
 		})
-		Convey("is changed by name, and the former one stays", func() {
+		Convey("is patched by name, and the previous one is unchanged", func() {
 			patch, err := ParsePatch([]byte(`{"version":9,"upsert":{"services":[{"name":"new"},{"name":"llm","maxConnections":6}]},
 				"remove":{"routes":["ab"]}}`))
 			So(err, ShouldBeNil)
@@ -52,42 +52,42 @@
 			So(next.Version(), ShouldEqual, 9)
 			So(next.lists[fieldServices].names, ShouldResemble, []string{"llm", "desk", "new"})
 			So(next.lists[fieldRoutes].names, ShouldResemble, []string{"a"})
-			So(same(d.Encode(), []byte(whole)), ShouldBeTrue)
+			So(equalJSON(d.Encode(), []byte(validDocument)), ShouldBeTrue)
 		})
 	})
 }
 
 func TestInvalidConfigurationsNameTheItem(t *testing.T) {
 	route := `{"name":"x","host":"h","pathPrefix":"/x/","type":"safe","timeoutMs":5,"service":"s"}`
-	build := func(routes, services, tenants string) string {
+	documentOf := func(routes, services, tenants string) string {
 		return fmt.Sprintf(`{"version":1,"routes":[%s],"services":[%s],"tenants":[%s]}`, routes, services, tenants)
 	}
 	service := `{"name":"s"}`
-	Convey("Configurations that are invalid name the item at fault", t, func() {
+	Convey("An invalid configuration is an InvalidError that names the item", t, func() {
 		for _, c := range []struct{ text, names string }{
-			{whole[:len(whole)/2], "configuration"},
+			{validDocument[:len(validDocument)/2], "configuration"},
 			{`{"routes":[]}`, "version"},
 			{`{"version":1,"routes":5}`, "routes"},
-			{build(route+","+route, service, ""), "routes x"},
-			{build(route, "", ""), "unknown service s"},
-			{build(route+","+strings.Replace(route, `"x"`, `"y"`, 1), service, ""), "host and prefix"},
-			{build(strings.Replace(route, `"timeoutMs":5`, `"timeoutMs":0`, 1), service, ""), "timeoutMs"},
-			{build(strings.Replace(route, `"service":"s"`, `"backends":[{"service":"s","weight":0}]`, 1), service, ""), "sum to 0"},
-			{build(route, service, `{"name":"a","apiKeys":["k"]},{"name":"b","apiKeys":["k"]}`), "shares a key"},
-			{build(strings.Replace(route, `"safe"`, `"often"`, 1), service, ""), "routes x"},
-			{build(strings.Replace(route, `"/x/"`, `"x"`, 1), service, ""), "routes x"},
+			{documentOf(route+","+route, service, ""), "routes x"},
+			{documentOf(route, "", ""), "unknown service s"},
+			{documentOf(route+","+strings.Replace(route, `"x"`, `"y"`, 1), service, ""), "host and prefix"},
+			{documentOf(strings.Replace(route, `"timeoutMs":5`, `"timeoutMs":0`, 1), service, ""), "timeoutMs"},
+			{documentOf(strings.Replace(route, `"service":"s"`, `"backends":[{"service":"s","weight":0}]`, 1), service, ""), "sum to 0"},
+			{documentOf(route, service, `{"name":"a","apiKeys":["k"]},{"name":"b","apiKeys":["k"]}`), "shares a key"},
+			{documentOf(strings.Replace(route, `"safe"`, `"often"`, 1), service, ""), "routes x"},
+			{documentOf(strings.Replace(route, `"/x/"`, `"x"`, 1), service, ""), "routes x"},
 		} {
-			err := check(c.text)
+			err := validate(c.text)
 			var invalid *InvalidError
 			So(errors.As(err, &invalid), ShouldBeTrue)
 			So(err.Error(), ShouldContainSubstring, c.names)
 		}
-		So(check(build(route, service, "")), ShouldBeNil)
-		So(check(whole), ShouldBeNil)
+		So(validate(documentOf(route, service, "")), ShouldBeNil)
+		So(validate(validDocument), ShouldBeNil)
 	})
 }
 
-func check(text string) error {
+func validate(text string) error {
 	d, err := ParseDocument([]byte(text))
 	if err != nil {
 		return err
@@ -98,7 +98,7 @@
 	return CheckSchema(d, EmptyDocument())
 }
 
-// Guards against shares that are off their weights, whatever the weights add up to.
+// Guards against shares of requests that differ from the weights, whatever the weights sum to.
 func TestPickServiceFollowsWeights(t *testing.T) {
 	const draws = 10000
 	for _, weights := range [][]float64{{90, 10}, {1, 1, 1}, {0, 5, 0.5}, {0.25, 0.75}, {0, 7}, {3, 0}} {
@@ -113,15 +113,15 @@
 		}
 		for i, weight := range weights {
 			if share, expected := got[fmt.Sprint("s", i)]/draws, weight/sum; math.Abs(share-expected) > 1.0/draws {
-				t.Errorf("weights %v: part %d has a share of %v, not %v", weights, i, share, expected)
+				t.Errorf("weights %v: backend %d has a share of %v, not %v", weights, i, share, expected)
 			}
 		}
 	}
 }
 
 func TestTableLookup(t *testing.T) {
-	Convey("Requests are looked up", t, func() {
-		table, err := NewTable(document(whole), nil)
+	Convey("Requests are matched by host, longest prefix and key", t, func() {
+		table, err := NewTable(mustParse(validDocument), nil)
 		So(err, ShouldBeNil)
 		So(table.Route("h.example", "/a/b/c").Name, ShouldEqual, "ab")
 		So(table.Route("h.example", "/a/bc").Name, ShouldEqual, "a")
@@ -134,23 +134,23 @@
 		So(table.Route("h.example", "/a/b/").PickService(0.95), ShouldEqual, "desk")
 		So(table.Route("h.example", "/a/b/").PickService(0.5), ShouldEqual, "llm")
 	})
-	Convey("A changed table takes over what stayed", t, func() {
-		former, err := NewTable(document(whole), nil)
+	Convey("A new table shares unchanged items with the previous one", t, func() {
+		previous, err := NewTable(mustParse(validDocument), nil)
 		So(err, ShouldBeNil)
 		patch, err := ParsePatch([]byte(`{"version":8,"remove":{"routes":["ab"]}}`))
 		So(err, ShouldBeNil)
-		next, err := former.Document.Apply(patch)
+		next, err := previous.Document.Apply(patch)
 		So(err, ShouldBeNil)
-		table, err := NewTable(next, former)
+		table, err := NewTable(next, previous)
 		So(err, ShouldBeNil)
-		So(table.Route("h.example", "/a/"), ShouldEqual, former.Route("h.example", "/a/"))
+		So(table.Route("h.example", "/a/"), ShouldEqual, previous.Route("h.example", "/a/"))
 		So(table.Route("h.example", "/a/b/").Name, ShouldEqual, "a")
 	})
 }
 
 func TestStateRemembersAppliedChanges(t *testing.T) {
-	Convey("A state knows the orders that made it, also after it was copied", t, func() {
-		first := &Change{Replace: true, Base: 0, Body: []byte(whole)}
+	Convey("A state recognises applied changes, also after encoding and decoding", t, func() {
+		first := &Change{Replace: true, Base: 0, Body: []byte(validDocument)}
 		second := &Change{Base: 7, Body: []byte(`{"version":9,"remove":{"routes":["ab"]}}`)}
 		state, err := EmptyState().Apply(first)
 		So(err, ShouldBeNil)
@@ -158,15 +158,15 @@
 		So(err, ShouldBeNil)
 		text, err := state.Encode()
 		So(err, ShouldBeNil)
-		copied, err := DecodeState(text)
+		decoded, err := DecodeState(text)
 		So(err, ShouldBeNil)
-		So(copied.HasApplied(first.Digest()), ShouldBeTrue)
-		So(copied.HasApplied(second.Digest()), ShouldBeTrue)
-		So(copied.HasApplied((&Change{Base: 9, Body: second.Body}).Digest()), ShouldBeFalse)
-		So(copied.Document.Version(), ShouldEqual, 9)
-		So(same(copied.Document.Encode(), state.Document.Encode()), ShouldBeTrue)
+		So(decoded.HasApplied(first.Digest()), ShouldBeTrue)
+		So(decoded.HasApplied(second.Digest()), ShouldBeTrue)
+		So(decoded.HasApplied((&Change{Base: 9, Body: second.Body}).Digest()), ShouldBeFalse)
+		So(decoded.Document.Version(), ShouldEqual, 9)
+		So(equalJSON(decoded.Document.Encode(), state.Document.Encode()), ShouldBeTrue)
 	})
-	Convey("The memory of orders is bounded", t, func() {
+	Convey("The number of remembered changes is bounded", t, func() {
 		state := EmptyState()
 		for version := 1; version <= maxAppliedChanges+10; version++ {
 			next, err := state.Apply(&Change{Base: int64(version - 1), Body: fmt.Appendf(nil, `{"version":%d}`, version)})
@@ -177,9 +177,30 @@
 	})
 }
 
-// Looks for documents that change when they are read and written.
+// Guards against a replicated form that earlier processes, disks and peers can't read: the bytes are those of commit b772427.
+func TestReplicatedFormIsStable(t *testing.T) {
+	Convey("Changes and states are encoded as by earlier releases", t, func() {
+		first := &Change{Replace: true, Body: []byte(`{"version":7,"limits":{"x":1},"services":[{"name":"a"}],"b":[1]}`)}
+		second := &Change{Base: 7, Body: []byte(`{"version":9,"upsert":{"services":[{"name":"b"}]},"remove":{"services":["a"]}}`)}
+		state, err := EmptyState().Apply(first)
+		So(err, ShouldBeNil)
+		state, err = state.Apply(second)
+		So(err, ShouldBeNil)
+		encodedState, err := state.Encode()
+		So(err, ShouldBeNil)
+		encodedChange, err := second.Encode()
+		So(err, ShouldBeNil)
+		digests := fmt.Sprintf("%x%x", first.Digest(), second.Digest())
+		So(digests, ShouldEqual, "a82b245b947a061022ae26c9c7b3fe953adfb55913d82ce462898bd6d5774fef")
+		document := `{"version":9,"b":[1],"limits":{"x":1},"services":[{"name":"b"}]}`
+		So(fmt.Sprintf("%x", encodedState), ShouldEqual, fmt.Sprintf("a2015840%x025820%s", document, digests))
+		So(fmt.Sprintf("%x", encodedChange), ShouldEqual, fmt.Sprintf("a301f4020703584e%x", second.Body))
+	})
+}
+
+// Looks for documents that change when they are encoded and parsed again.
 func FuzzDocument(f *testing.F) {
-	f.Add([]byte(whole))
+	f.Add([]byte(validDocument))
 	f.Add([]byte(`{"version":1,"routes":[{"name":"é","x":[1,2]}],"list":[1],"other":[{"name":"n"},{"name":"n"}]}`))
 	f.Add([]byte(`{"version":1e3}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
--- a/internal/fleet/config/errors.go
+++ b/internal/fleet/config/errors.go
@@ -1,10 +1,24 @@
 package config
 
-import "errors"
+// InvalidError reports an item of a configuration that is at fault, and why. The operator reads its text in the answer of
+// the control API.
+type InvalidError struct {
+	Item   string // "configuration", "change", the name of a field, or list and name as in "routes checkout"
+	Reason string
+	Err    error // the cause that Unwrap returns; nil: Reason says all
+}
 
-var errUnnamed = errors.New("config: an item without a name")
+func (e *InvalidError) Error() string {
+	text := "config: " + e.Item + " " + e.Reason
+	if e.Err != nil {
+		text += ": " + e.Err.Error()
+	}
+	return text
+}
 
-// InvalidError says what is at fault in a configuration, and why.
-type InvalidError struct{ Item, Reason string }
+func (e *InvalidError) Unwrap() error { return e.Err }
 
-func (e *InvalidError) Error() string { return "config: " + e.Item + " " + e.Reason }
+// unreadable returns the error for an item whose JSON can't be decoded.
+func unreadable(item string, err error) *InvalidError {
+	return &InvalidError{Item: item, Reason: "can't be read", Err: err}
+}
--- /dev/null
+++ b/internal/fleet/config/list.go
@@ -0,0 +1,93 @@
+package config
+
+import (
+	"bytes"
+	"encoding/json"
+	"maps"
+	"slices"
+)
+
+// itemList is a list of JSON objects that each have a unique name, in the operator's order.
+type itemList struct {
+	names []string
+	items map[string]json.RawMessage
+}
+
+// isItemField reports whether a field of a document has to be a list of named items.
+func isItemField(field string) bool {
+	return field == fieldRoutes || field == fieldServices || field == fieldTenants
+}
+
+// parseList decodes the value of a field that is a list of named items. Where an unknown field's value is anything else,
+// isList is false; that of a known field, or one with a name twice, is an InvalidError.
+func parseList(field string, value json.RawMessage) (list *itemList, isList bool, err error) {
+	required := isItemField(field)
+	var items []json.RawMessage
+	if err := json.Unmarshal(value, &items); err != nil {
+		if required {
+			return nil, false, &InvalidError{Item: field, Reason: "is no list"}
+		}
+		return nil, false, nil
+	}
+	list = &itemList{items: make(map[string]json.RawMessage, len(items))}
+	for _, item := range items {
+		name := itemName(item)
+		if name == "" && required {
+			return nil, false, &InvalidError{Item: field, Reason: "holds an item without a name"}
+		}
+		if name == "" {
+			return nil, false, nil
+		}
+		if _, duplicate := list.items[name]; duplicate {
+			return nil, false, &InvalidError{Item: field + " " + name, Reason: "stands twice"}
+		}
+		list.put(name, bytes.Clone(item))
+	}
+	return list, true, nil
+}
+
+// itemName returns an item's name; empty: it has none, or is no JSON object.
+func itemName(item json.RawMessage) string {
+	var named struct {
+		Name string `json:"name"`
+	}
+	if err := json.Unmarshal(item, &named); err != nil {
+		return ""
+	}
+	return named.Name
+}
+
+// put replaces the item of that name in its place, or appends it.
+func (l *itemList) put(name string, item json.RawMessage) {
+	if _, known := l.items[name]; !known {
+		l.names = append(l.names, name)
+	}
+	l.items[name] = item
+}
+
+func (l *itemList) remove(name string) {
+	if _, known := l.items[name]; known {
+		delete(l.items, name)
+		l.names = slices.DeleteFunc(l.names, func(n string) bool { return n == name })
+	}
+}
+
+// clone returns a copy that may be changed; that of nil is an empty list.
+func (l *itemList) clone() *itemList {
+	if l == nil {
+		return &itemList{items: map[string]json.RawMessage{}}
+	}
+	return &itemList{names: slices.Clone(l.names), items: maps.Clone(l.items)}
+}
+
+// appendJSON appends the list as a JSON array.
+func (l *itemList) appendJSON(out []byte) []byte {
+	out = append(out, '[')
+	for i, name := range l.names {
+		if i > 0 {
+			out = append(out, ',')
+		}
+		out = append(out, l.items[name]...)
+	}
+	return append(out, ']')
+}
--- /dev/null
+++ b/internal/fleet/config/patch.go
@@ -0,0 +1,62 @@
+package config
+
+import (
+	"bytes"
+	"encoding/json"
+	"maps"
+)
+
+// Patch is a change of named items, as the operator sends it.
+type Patch struct {
+	Version json.RawMessage            `json:"version"` // of the document that results
+	Upsert  map[string]json.RawMessage `json:"upsert"`  // by field: items to insert or replace, or the field's new value
+	Remove  map[string][]string        `json:"remove"`  // by field: names of items
+}
+
+// ParsePatch decodes a change from JSON. An error is an InvalidError.
+func ParsePatch(text []byte) (*Patch, error) {
+	var p Patch
+	if err := json.Unmarshal(text, &p); err != nil {
+		return nil, unreadable("change", err)
+	}
+	return &p, nil
+}
+
+// Apply returns the document that a patch makes of this one: removals first, then insertions. An error is an InvalidError.
+func (d *Document) Apply(p *Patch) (*Document, error) {
+	version, err := parseVersion(p.Version)
+	if err != nil {
+		return nil, err
+	}
+	next := &Document{version: version, fields: maps.Clone(d.fields), lists: maps.Clone(d.lists)}
+	for field, names := range p.Remove {
+		list := next.lists[field].clone()
+		for _, name := range names {
+			list.remove(name)
+		}
+		next.lists[field] = list
+	}
+	for field, value := range p.Upsert {
+		if err := next.upsert(field, value); err != nil {
+			return nil, err
+		}
+	}
+	return next, nil
+}
+
+func (d *Document) upsert(field string, value json.RawMessage) error {
+	changed, isList, err := parseList(field, value)
+	if err != nil {
+		return err
+	}
+	if !isList {
+		d.fields[field] = bytes.Clone(value)
+		return nil
+	}
+	list := d.lists[field].clone()
+	for _, name := range changed.names {
+		list.put(name, changed.items[name])
+	}
+	d.lists[field] = list
+	return nil
+}
--- a/internal/fleet/config/table.go
+++ b/internal/fleet/config/table.go
@@ -7,136 +7,123 @@
 	"strings"
 )
 
-// Table is a configuration in the form that requests need. It is never changed.
+// Table is a configuration indexed for the lookups that requests need. It is immutable.
 type Table struct {
 	Document       *Document
 	Version        int64
 	Limits         Limits
-	RequiresAPIKey bool // the configuration has tenants, so that requests carry keys
+	RequiresAPIKey bool // the configuration has tenants, so that requests carry keys of theirs
 
-	routes   map[string]*Route
-	services map[string]*Service
-	tenants  map[string]*Tenant
-	hosts    map[string][]*Route // longest prefix first
-	keys     map[string]*Tenant
+	routes       map[string]*Route
+	services     map[string]*Service
+	tenants      map[string]*Tenant
+	routesByHost map[string][]*Route // longest prefix first
+	tenantsByKey map[string]*Tenant
 }
 
-// NewTable reads and checks a document. What a former table holds of the same items is taken over; nil is none. An
-// error is an InvalidError.
-func NewTable(document *Document, former *Table) (*Table, error) {
+// NewTable decodes a document and validates what its items say of each other. Items that a previous table has decoded
+// from the same text are shared with it; previous may be nil. An error is an InvalidError.
+func NewTable(document *Document, previous *Table) (*Table, error) {
 	t := &Table{
 		Document: document, Version: document.version,
 		routes: map[string]*Route{}, services: map[string]*Service{}, tenants: map[string]*Tenant{},
-		hosts: map[string][]*Route{}, keys: map[string]*Tenant{},
+		routesByHost: map[string][]*Route{}, tenantsByKey: map[string]*Tenant{},
 	}
-	if former == nil {
-		former = &Table{Document: EmptyDocument()}
+	if previous == nil {
+		previous = &Table{Document: EmptyDocument()}
 	}
-	if err := readItems(document, former.Document, fieldServices, former.services, t.services); err != nil {
+	if err := t.decode(previous); err != nil {
 		return nil, err
 	}
-	if err := readItems(document, former.Document, fieldRoutes, former.routes, t.routes); err != nil {
+	if err := t.indexRoutes(); err != nil {
 		return nil, err
 	}
-	if err := readItems(document, former.Document, fieldTenants, former.tenants, t.tenants); err != nil {
-		return nil, err
-	}
-	if text, given := document.fields[fieldLimits]; given {
-		if err := json.Unmarshal(text, &t.Limits); err != nil {
-			return nil, &InvalidError{Item: fieldLimits, Reason: "can't be read: " + err.Error()}
-		}
-	}
-	if err := t.index(); err != nil {
+	if err := t.indexKeys(); err != nil {
 		return nil, err
 	}
 	return t, nil
 }
 
-// readItems reads the items of one list; those that are the same as before are not read again.
-func readItems[T any](document, before *Document, field string, known map[string]*T, into map[string]*T) error {
-	list := document.lists[field]
-	if list == nil {
+func (t *Table) decode(previous *Table) error {
+	document, before := t.Document, previous.Document
+	if err := decodeItems(document, before, fieldServices, previous.services, t.services); err != nil {
+		return err
+	}
+	if err := decodeItems(document, before, fieldRoutes, previous.routes, t.routes); err != nil {
+		return err
+	}
+	if err := decodeItems(document, before, fieldTenants, previous.tenants, t.tenants); err != nil {
+		return err
+	}
+	text, given := document.fields[fieldLimits]
+	if !given {
 		return nil
 	}
-	var old map[string]json.RawMessage
-	if former := before.lists[field]; former != nil {
-		old = former.items
+	if err := json.Unmarshal(text, &t.Limits); err != nil {
+		return unreadable(fieldLimits, err)
 	}
-	for _, name := range list.names {
-		text := list.items[name]
-		if item := known[name]; item != nil && bytes.Equal(old[name], text) {
+	return nil
+}
+
+// decodeItems decodes the items of one list into a map by name; those whose text is the same as before are taken from
+// decoded, which belongs to that document.
+func decodeItems[T any](document, before *Document, field string, decoded map[string]*T, into map[string]*T) error {
+	items, previous := document.items(field), before.items(field)
+	for _, name := range document.itemNames(field) {
+		text := items[name]
+		if item := decoded[name]; item != nil && bytes.Equal(previous[name], text) {
 			into[name] = item
 			continue
 		}
 		item := new(T)
 		if err := json.Unmarshal(text, item); err != nil {
-			return &InvalidError{Item: field + " " + name, Reason: "can't be read: " + err.Error()}
+			return unreadable(field+" "+name, err)
 		}
 		into[name] = item
 	}
 	return nil
 }
 
-// index orders routes and keys for lookup, and checks what stands between items.
-func (t *Table) index() error {
-	type place struct{ host, prefix string }
-	places := make(map[place]string, len(t.routes))
+// indexRoutes validates routes and orders them for lookup. No two may have the same host and prefix.
+func (t *Table) indexRoutes() error {
+	type match struct{ host, prefix string }
+	names := make(map[match]string, len(t.routes))
 	for _, name := range sortedKeys(t.routes) {
 		route := t.routes[name]
-		if err := t.checkRoute(route); err != nil {
+		if err := route.validate(t.services); err != nil {
 			return err
 		}
-		at := place{route.Host, route.PathPrefix}
-		if other, taken := places[at]; taken {
+		key := match{route.Host, route.PathPrefix}
+		if other, taken := names[key]; taken {
 			return &InvalidError{Item: "route " + name, Reason: "has the host and prefix of " + other}
 		}
-		places[at] = name
-		t.hosts[route.Host] = append(t.hosts[route.Host], route)
+		names[key] = name
+		t.routesByHost[route.Host] = append(t.routesByHost[route.Host], route)
 	}
-	for _, routes := range t.hosts {
+	for _, routes := range t.routesByHost {
 		slices.SortFunc(routes, func(a, b *Route) int { return len(b.PathPrefix) - len(a.PathPrefix) })
 	}
-	return t.indexKeys()
+	return nil
 }
 
+// indexKeys orders tenants by their API keys. No two may share one.
 func (t *Table) indexKeys() error {
 	t.RequiresAPIKey = len(t.tenants) > 0
 	for _, name := range sortedKeys(t.tenants) {
 		tenant := t.tenants[name]
 		for _, key := range tenant.APIKeys {
-			if other := t.keys[key]; other != nil && other != tenant {
+			if other := t.tenantsByKey[key]; other != nil && other != tenant {
 				return &InvalidError{Item: "tenant " + name, Reason: "shares a key with " + other.Name}
 			}
-			t.keys[key] = tenant
-		}
-	}
-	return nil
-}
-
-func (t *Table) checkRoute(route *Route) error {
-	item := "route " + route.Name
-	if route.TimeoutMs <= 0 {
-		return &InvalidError{Item: item, Reason: "has no timeoutMs above 0"}
-	}
-	sum := 0.0
-	for _, backend := range route.backends() {
-		if t.services[backend.Service] == nil {
-			return &InvalidError{Item: item, Reason: "names the unknown service " + backend.Service}
+			t.tenantsByKey[key] = tenant
 		}
-		if backend.Weight < 0 {
-			return &InvalidError{Item: item, Reason: "has a weight below 0"}
-		}
-		sum += backend.Weight
-	}
-	if sum <= 0 {
-		return &InvalidError{Item: item, Reason: "has weights that sum to 0"}
 	}
 	return nil
 }
 
-// Route is the route of a request, by its Host header and path; nil where there is none.
+// Route returns the route of a request by its Host header and path: that of the longest prefix; nil: there is none.
 func (t *Table) Route(host, path string) *Route {
-	for _, route := range t.hosts[host] {
+	for _, route := range t.routesByHost[host] {
 		if strings.HasPrefix(path, route.PathPrefix) {
 			return route
 		}
@@ -144,35 +131,14 @@
 	return nil
 }
 
-// TenantByKey is the holder of a key; nil where there is none.
-func (t *Table) TenantByKey(key string) *Tenant { return t.keys[key] }
+// TenantByKey returns the tenant that owns an API key; nil: nobody does.
+func (t *Table) TenantByKey(key string) *Tenant { return t.tenantsByKey[key] }
 
-// TenantByName is the tenant of that name; nil where there is none.
+// TenantByName returns the tenant of that name; nil: there is none.
 func (t *Table) TenantByName(name string) *Tenant { return t.tenants[name] }
 
-// Service is the service of that name; nil where there is none.
+// Service returns the service of that name; nil: there is none.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Services are the names of all services, sorted.
+// Services returns the names of all services, sorted.
 func (t *Table) Services() []string { return sortedKeys(t.services) }
-
-// PickService chooses the service of a request; draw is uniform in [0, 1).
-func (r *Route) PickService(draw float64) string {
-	backends := r.backends()
-	sum := 0.0
-	for _, backend := range backends {
-		sum += backend.Weight
-	}
-	left := draw * sum
-	for _, backend := range backends {
-		if left -= backend.Weight; left < 0 && backend.Weight > 0 {
-			return backend.Service
-		}
-	}
-	for _, backend := range backends { // rounding
-		if backend.Weight > 0 {
-			return backend.Service
-		}
-	}
-	return r.Service
-}
--- a/internal/fleet/control/planted_test.go
+++ b/internal/fleet/control/planted_test.go
@@ -9,7 +9,7 @@
 // plantedMistakes are found by TestPoints, each by the runs of one point.
 var plantedMistakes = map[string]map[string]mutation.Mistake{"2": {
 	"digests of orders that are not replicated": {File: "../config/state.go", Edits: []mutation.Edit{
-		{Right: "for _, digest := range s.orders {", Wrong: "for _, digest := range s.orders[:0] {"}}},
+		{Right: "for _, digest := range s.applied {", Wrong: "for _, digest := range s.applied[:0] {"}}},
 	"an order that is not checked against the version in place": {File: "../replica/orders.go", Edits: []mutation.Edit{
 		{Right: "if order.Base != seen.state.Document.Version() {", Wrong: "if false {"}}},
 }, "1": {
