--- a/internal/fleet/quota/ledger.go
+++ b/internal/fleet/quota/ledger.go
@@ -18,37 +18,39 @@
 
 // What of the allowed excess is used where.
 const (
-	ledgerShare = 0.65 // by the ledger's buckets, beyond a tenant's burst
-	takeOver    = 0.25 // that a ledger begins with: the one before may have handed out its burst just now
+	bucketOvershootShare  = 0.65 // by the ledger's buckets, beyond a tenant's burst
+	initialOvershootShare = 0.25 // that a ledger begins with: the one before may have handed out its burst just now
 )
 
 // excess is what a tenant may use in a window beyond its rate and burst.
-func (s Settings) excess(t *config.Tenant) float64 {
+func (s Settings) overshoot(t *config.Tenant) float64 {
 	return s.OvershootRatio*(t.RatePerS*s.Window.Seconds()+t.Burst) + s.OvershootUnits
 }
 
 // bucket is what a tenant's bucket holds at most, in units.
-func (s Settings) bucket(t *config.Tenant) float64 { return t.Burst + ledgerShare*s.excess(t) }
+func (s Settings) bucketSize(t *config.Tenant) float64 {
+	return t.Burst + bucketOvershootShare*s.overshoot(t)
+}
 
 // Allocator hands out credit of all tenants' quotas.
 type Allocator struct {
-	settings Settings
-	view     uint64
-	since    time.Duration // when it began to act without a break
-	first    float64       // of the allowed excess, that buckets begin with
-	buckets  map[string]*bucket
+	settings     Settings
+	view         uint64
+	activeSince  time.Duration // when it began to act without a break
+	initialLevel float64       // of the allowed excess, that buckets begin with
+	buckets      map[string]*bucket
 
-	announced map[string]bool // routers that have told what they hold of a former ledger's leases
-	complete  bool            // all that may hold some have
+	announced    map[string]bool // routers that have told what they hold of a former ledger's leases
+	allAnnounced bool            // all that may hold some have
 
-	formerMost float64 // of a rate, that a former ledger may have leased
+	maxFormerShare float64 // of a rate, that a former ledger may have leased
 }
 
 type bucket struct {
-	level   float64
-	at      time.Duration
-	holders map[string]*holder // by router
-	gained  float64            // since the ledger began, while leases of a former one may be out that it does not know
+	level           float64
+	updatedAt       time.Duration
+	leases          map[string]*routerLease // by router
+	unannouncedGain float64                 // since the ledger began, while leases of a former one may be out that it does not know
 }
 
 // firstView is the number of the first view that a primary leads: no ledger was before it.
@@ -68,10 +70,10 @@
 func (l *Allocator) Activate(now time.Duration, view uint64, keep bool, calm time.Duration) {
 	if view != l.view && !keep {
 		l.buckets = map[string]*bucket{}
-		l.announced, l.complete = map[string]bool{}, view <= firstView
-		l.formerMost = 1
-		l.since = now
-		l.first = takeOver * min(1, calm.Seconds()/l.settings.Window.Seconds())
+		l.announced, l.allAnnounced = map[string]bool{}, view <= firstView
+		l.maxFormerShare = 1
+		l.activeSince = now
+		l.initialLevel = initialOvershootShare * min(1, calm.Seconds()/l.settings.Window.Seconds())
 	}
 	l.view = view
 }
@@ -79,7 +81,7 @@
 // Grant hands out up to want units, and nothing where least can't be had. wait is when least may be asked for again.
 func (l *Allocator) Grant(now time.Duration, t *config.Tenant, least, want float64) (granted float64, wait time.Duration) {
 	b := l.bucket(now, t)
-	available := b.level - b.outstanding(now, t) - l.unannounced(now, b)
+	available := b.level - b.maxUnreported(now, t) - l.maxUnannouncedUse(now, b)
 	if available < least {
 		if t.RatePerS <= 0 {
 			return 0, time.Second
@@ -91,33 +93,33 @@
 	return granted, 0
 }
 
-func (l *Allocator) most(t *config.Tenant) float64 { return l.settings.bucket(t) }
+func (l *Allocator) bucketSize(t *config.Tenant) float64 { return l.settings.bucketSize(t) }
 
 func (l *Allocator) bucket(now time.Duration, t *config.Tenant) *bucket {
 	b := l.buckets[t.Name]
 	if b == nil {
-		b = &bucket{level: l.first * l.settings.excess(t), at: min(l.since, now), holders: map[string]*holder{}}
+		b = &bucket{level: l.initialLevel * l.settings.overshoot(t), updatedAt: min(l.activeSince, now), leases: map[string]*routerLease{}}
 		l.buckets[t.Name] = b
 	}
-	if end := l.since + LeaseDuration; !l.complete && b.at <= end && now > end {
+	if end := l.activeSince + LeaseDuration; !l.allAnnounced && b.updatedAt <= end && now > end {
 		l.accrue(end, t, b)
-		b.level -= l.unannounced(end, b) // routers that are cut off may have used it
+		b.level -= l.maxUnannouncedUse(end, b) // routers that are cut off may have used it
 	}
 	l.accrue(now, t, b)
-	b.expire(now, t)
+	b.expireLeases(now, t)
 	return b
 }
 
 // accrue lets a tenant's rate flow into its bucket until a moment.
 func (l *Allocator) accrue(until time.Duration, t *config.Tenant, b *bucket) {
-	if until <= b.at {
+	if until <= b.updatedAt {
 		return
 	}
 	before := b.level
-	b.level += t.RatePerS * (until - b.at).Seconds()
-	b.at = until
-	b.bound(l.most(t))
+	b.level += t.RatePerS * (until - b.updatedAt).Seconds()
+	b.updatedAt = until
+	b.clamp(l.bucketSize(t))
 	if l.isNew(until) {
-		b.gained += max(0, b.level-before)
+		b.unannouncedGain += max(0, b.level-before)
 	}
 }
--- a/internal/fleet/quota/quota_test.go
+++ b/internal/fleet/quota/quota_test.go
@@ -37,8 +37,8 @@
 	return true
 }
 
-// mostInWindow is the largest sum over any span of the window.
-func mostInWindow(uses []use, window time.Duration) float64 {
+// maxInWindow is the largest sum over any span of the window.
+func maxInWindow(uses []use, window time.Duration) float64 {
 	most, sum, from := 0.0, 0.0, 0
 	for _, u := range uses {
 		sum += u.units
@@ -52,7 +52,7 @@
 }
 
 // Guards against use beyond the rule's bound, whoever the primary is and however often it changes.
-func TestUseStaysWithinTheBoundOverFailovers(t *testing.T) {
+func TestUseStaysWithinBoundOverFailovers(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 3))
 		t := tenant()
@@ -83,13 +83,13 @@
 			}
 		}
 		bound := (t.RatePerS*settings.Window.Seconds()+t.Burst)*(1+settings.OvershootRatio) + settings.OvershootUnits
-		if most := mostInWindow(uses, settings.Window); most > bound {
+		if most := maxInWindow(uses, settings.Window); most > bound {
 			rt.Fatalf("%.0f in a window, %.0f are allowed", most, bound)
 		}
 	})
 }
 
-func TestLedger(t *testing.T) {
+func TestAllocator(t *testing.T) {
 	Convey("A ledger", t, func() {
 		t := tenant()
 		ledger := NewAllocator(settings)
@@ -121,7 +121,7 @@
 			lower := *t
 			lower.RatePerS, lower.Burst = 1000, 1000
 			granted, _ := ledger.Grant(5*time.Second, &lower, 90000, 90000)
-			So(granted, ShouldBeLessThanOrEqualTo, lower.Burst+ledgerShare*settings.excess(&lower))
+			So(granted, ShouldBeLessThanOrEqualTo, lower.Burst+bucketOvershootShare*settings.overshoot(&lower))
 		})
 		Convey("keeps its buckets where it acts for the next view too, and only there", func() {
 			for granted := 1.0; granted > 0; {
@@ -134,7 +134,7 @@
 	})
 }
 
-func TestAccounts(t *testing.T) {
+func TestLocalQuota(t *testing.T) {
 	Convey("A router's account", t, func() {
 		t := tenant()
 		a := NewLocalQuota(settings)
@@ -152,9 +152,9 @@
 		})
 		Convey("uses credit, and not after its time", func() {
 			a.AddGrant(0, 0, t, 500)
-			ok, _ := a.Consume(creditLife/2, t, 400)
+			ok, _ := a.Consume(creditTTL/2, t, 400)
 			So(ok, ShouldBeTrue)
-			ok, _ = a.Consume(creditLife*2, t, 100)
+			ok, _ = a.Consume(creditTTL*2, t, 100)
 			So(ok, ShouldBeFalse)
 		})
 		Convey("gets credit back for what never ran", func() {
@@ -165,7 +165,7 @@
 			So(ok, ShouldBeTrue)
 		})
 		Convey("has a floor without the ledger, small for a tenant that may be at its rate", func() {
-			So(12*floorOf(a, t, time.Second, 100), ShouldBeBetween, 0.3*t.RatePerS, 0.6*t.RatePerS+0.15*settings.excess(t))
+			So(12*fallbackUse(a, t, time.Second, 100), ShouldBeBetween, 0.3*t.RatePerS, 0.6*t.RatePerS+0.15*settings.overshoot(t))
 		})
 		Convey("has a floor that all routers together may use for a whole window", func() {
 			used := 0.0
@@ -182,13 +182,13 @@
 			for now := time.Second; now < 40*time.Second; now += time.Second {
 				a.Consume(now, t, 500)
 			}
-			So(12*floorOf(a, t, 40*time.Second, 100), ShouldBeBetween, 0.5*t.RatePerS, t.RatePerS)
+			So(12*fallbackUse(a, t, 40*time.Second, 100), ShouldBeBetween, 0.5*t.RatePerS, t.RatePerS)
 		})
 	})
 }
 
-// floorOf is what a router uses within a second without the ledger, if requests come all the while.
-func floorOf(a *LocalQuota, t *config.Tenant, from time.Duration, units float64) float64 {
+// fallbackUse is what a router uses within a second without the ledger, if requests come all the while.
+func fallbackUse(a *LocalQuota, t *config.Tenant, from time.Duration, units float64) float64 {
 	used := 0.0
 	random := rand.New(rand.NewPCG(4, 4))
 	for now := from; now < from+time.Second; now += 10 * time.Millisecond {
@@ -201,7 +201,7 @@
 
 // Guards against a large fleet whose routers each let a large request through where the ledger is lost: the fleet of 91
 // had been over its bound by 4 in 100 so.
-func TestFloorsOfManyRoutersStayWithinTheBound(t *testing.T) {
+func TestFallbackOfManyRoutersStaysWithinBound(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 5))
 		t := &config.Tenant{Name: "t", RatePerS: 600000, Burst: 600000, Unit: config.UnitTokens}
@@ -234,14 +234,14 @@
 			}
 		}
 		bound := (t.RatePerS*settings.Window.Seconds()+t.Burst)*(1+settings.OvershootRatio) + settings.OvershootUnits
-		if most := mostInWindow(uses, settings.Window); most > bound {
+		if most := maxInWindow(uses, settings.Window); most > bound {
 			rt.Fatalf("%.0f in a window, %.0f are allowed", most, bound)
 		}
 	})
 }
 
 // Guards against routers that are cut off, up to half of a large fleet, from a ledger which goes on to serve the others.
-func TestFloorsBesideTheLedgerStayWithinTheBound(t *testing.T) {
+func TestFallbackBesideAllocatorStaysWithinBound(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 6))
 		away, press := rapid.IntRange(1, 45).Draw(rt, "cut off"), rapid.IntRange(1, 3).Draw(rt, "press")
@@ -271,7 +271,7 @@
 			}
 		}
 		bound := (t.RatePerS*settings.Window.Seconds()+t.Burst)*(1+settings.OvershootRatio) + settings.OvershootUnits
-		if most := mostInWindow(uses, settings.Window); most > bound {
+		if most := maxInWindow(uses, settings.Window); most > bound {
 			rt.Fatalf("%.0f in a window, %.0f are allowed", most, bound)
 		}
 	})
--- a/internal/fleet/router/quota.go
+++ b/internal/fleet/router/quota.go
@@ -66,7 +66,7 @@
 
 func newQuotaClient(r *Router, s quota.Settings) *quotaClient {
 	c := &quotaClient{router: r, accounts: quota.NewLocalQuota(s), open: map[uint64]chan quotaGrant{}, number: rand.Uint64()}
-	c.accounts.SetFirstContact(rand.Uint64() >> 1)
+	c.accounts.StartSession(rand.Uint64() >> 1)
 	return c
 }
 
--- a/internal/fleet/router/shares.go
+++ b/internal/fleet/router/shares.go
@@ -46,7 +46,7 @@
 	wasAnswered := c.accounts.RenewalAnswered()
 	c.renewal = c.accounts.BeginRenewal(now)
 	c.renewed++
-	message := quotaRenew{Number: c.renewed, Contact: c.renewal.Contact, Uses: map[string]quotaUse{}, Asks: asks}
+	message := quotaRenew{Number: c.renewed, Contact: c.renewal.Number, Uses: map[string]quotaUse{}, Asks: asks}
 	for name, use := range c.renewal.Usage {
 		message.Uses[name] = quotaUse(use)
 	}
