--- a/internal/fleet/quota/lease.go
+++ b/internal/fleet/quota/lease.go
@@ -1,110 +1,53 @@
 package quota
 
-import (
-	"time"
-
-	"pinelb.example/pinelb/internal/fleet/config"
+import "time"
+
+// Beside granting credit, the allocator leases each router a share of each tenant's rate, in proportion to the router's use. A
+// router that does not reach the allocator, because it is cut off or there is none at present, uses its shares until the lease
+// expires, and reports that use when it renews the lease. Until then the allocator takes a leased share for used from the last
+// renewal on. So grants and leases stay together within one bucket of the tenant's rate, however many routers are cut off. The
+// price is what may have been used since the last renewals: maxUnreportedSpan of the rate at most, while all routers renew.
+//
+// A new allocator does not know the leases of the former one. Routers announce theirs with their first renewal; as long as one
+// that may have some has not, the rest of the rate counts as leased, for the duration of a lease.
+
+const (
+	// LeaseDuration is how long a lease may be used after its renewal was sent: a little longer than API keys may be used
+	// without the core, and than a change of primaries takes.
+	LeaseDuration = 4500 * time.Millisecond
+
+	// MaxLeasedRouters is the largest fleet in which shares are leased. In a larger one leases are renewed so seldom that what
+	// is withheld for them costs more than they bring.
+	MaxLeasedRouters = 24
+
+	minRenewInterval       = 250 * time.Millisecond
+	renewIntervalPerRouter = 10 * time.Millisecond // so the allocator gets at most a hundred renewals a second
+	maxUnreportedSpan      = 300 * time.Millisecond
+	expiredLeaseRetention  = time.Minute // that an expired lease is remembered, for a router that comes back
+
+	// fleetSizeTolerance is the factor by which a former allocator may have leased more, since it knew of fewer routers.
+	fleetSizeTolerance = 1.25
+
+	// maxSessionRenewals is how far the numbers of one session's renewals may lie apart; farther ones are of another session.
+	maxSessionRenewals = 1 << 20
 )
 
-// lease is a router's side of the shares that the ledger leases.
-type lease struct {
-	number     uint64        // the number of renewals that were answered
-	usableFrom time.Duration // from when on shares may be used
-	expiry     time.Duration // to when
-	sentAt     time.Duration // the last renewal
-	answered   bool          // it was
-}
-
-// Renewal is what a router sends to renew its lease.
-type Renewal struct {
-	Number uint64
-	Usage  map[string]Usage // by tenant
-	sentAt time.Duration
+// RenewInterval returns the time between a router's renewals, in a fleet of so many.
+func RenewInterval(routers int) time.Duration {
+	return max(minRenewInterval, time.Duration(routers)*renewIntervalPerRouter)
 }
 
-// StartSession has the contacts of this process be told from a former one's at the same address: start is drawn at random.
-func (a *LocalQuota) StartSession(start uint64) { a.lease.number = start }
-
-// RenewLease returns what is to be sent to renew the lease. Where the last renewal was answered, what might have been used since then
-// and was not is forgone: the ledger counts from this renewal on.
-func (a *LocalQuota) BeginRenewal(now time.Duration) Renewal {
-	r := Renewal{Number: a.lease.number, Usage: map[string]Usage{}, sentAt: now}
-	for name, c := range a.tenants {
-		if passed := now - c.updatedAt; c.leasedShare > 0 || c.unreported > 0 || passed < usageReportSpan {
-			perS := c.usageRate / (1 + passed.Seconds()/usageTimeConstant.Seconds())
-			use := Usage{RatePerSecond: perS, Spent: c.unreported}
-			if now <= a.lease.expiry {
-				use.Share = c.leasedShare
-			}
-			r.Usage[name] = use
-		}
-	}
-	if a.lease.answered {
-		a.lease.usableFrom = now
+// maxLeasedShare returns the part of a rate that is leased, in a fleet of so many routers.
+func maxLeasedShare(routers int) float64 {
+	if routers > MaxLeasedRouters {
+		return 0
 	}
-	a.lease.sentAt, a.lease.answered = now, false
-	return r
+	return min(1, maxUnreportedSpan.Seconds()/RenewInterval(routers).Seconds())
 }
 
-// usageReportSpan is how long after a tenant's last request it is told of in renewals.
-const usageReportSpan = 5 * time.Second
-
-// CompleteRenewal takes over the shares that came in answer to a renewal. An answer to another one than the last is of no use.
-func (a *LocalQuota) CompleteRenewal(r Renewal, shares map[string]float64) {
-	if r.sentAt != a.lease.sentAt || r.Number != a.lease.number {
-		return
-	}
-	a.lease.number++
-	a.lease.answered = true
-	a.lease.usableFrom, a.lease.expiry = max(a.lease.usableFrom, r.sentAt), r.sentAt+LeaseDuration
-	for name, c := range a.tenants {
-		c.unreported = max(0, c.unreported-r.Usage[name].Spent)
-		c.forfeited = 0
-		c.leasedShare = shares[name]
-	}
-}
-
-// RenewalAnswered tells whether the last renewal was answered.
-func (a *LocalQuota) RenewalAnswered() bool { return a.lease.answered }
-
-// HasLease tells whether a renewal was ever answered.
-func (a *LocalQuota) HasLease() bool { return a.lease.expiry > 0 }
-
-// fallbackAfterLease is how much of the floor is left where shares are leased, which add up to the rate already.
-const fallbackAfterLease = 0.5
-
-// ConsumeFallbackAfterLease uses what a router, one of so many, may use that had a lease and has no share of the tenant's rate.
-func (a *LocalQuota) ConsumeFallbackAfterLease(now time.Duration, t *config.Tenant, units float64, routers int, draw float64) bool {
-	return a.ConsumeFallback(now, t, units, int(float64(routers)/fallbackAfterLease), earlyFallbackSpan, draw)
-}
-
-// ConsumeLease uses the share of a tenant's rate for a request. Where it does not suffice yet, wait is when it does; ok and wait
-// are zero where there is no share or the lease has ended.
-func (a *LocalQuota) ConsumeLease(now time.Duration, t *config.Tenant, units float64) (ok bool, wait time.Duration) {
-	c := a.tenant(now, t)
-	rate := c.leasedShare * t.RatePerS
-	if rate <= 0 || now > a.lease.expiry {
-		return false, 0
-	}
-	lacking := units - c.leaseCredit(rate*(now-a.lease.usableFrom).Seconds(), c.leasedShare*a.settings.bucketSize(t))
-	if lacking <= 0 {
-		c.unreported += units
-		return true, 0
-	}
-	wait = time.Duration(lacking / rate * float64(time.Second))
-	if now+wait > a.lease.expiry {
-		return false, 0
-	}
-	return false, wait
-}
-
-// leaseCredit is what is left of what a share has come to since the lease's last renewal. It is bounded by a bucket, as the
-// ledger's is: what a quiet tenant has not used would else be used at once, beside what the next ledger grants.
-func (c *localTenant) leaseCredit(accrued, most float64) float64 {
-	credit := accrued - c.unreported - c.forfeited
-	if credit > most {
-		c.forfeited += credit - most
-		credit = most
-	}
-	return credit
+// Usage is what a router reports of a tenant with a renewal.
+type Usage struct {
+	RatePerSecond float64 // recent use in units a second
+	Share         float64 // leased share of the tenant's rate; 0: none
+	Spent         float64 // units used of the share since the last renewal that was answered
 }
--- a/internal/fleet/quota/quota_test.go
+++ b/internal/fleet/quota/quota_test.go
@@ -17,241 +17,245 @@
 	return &config.Tenant{Name: "t", RatePerS: 100000, Burst: 100000, Unit: config.UnitTokens}
 }
 
-// use is what was used when.
+// use is a request that was let through.
 type use struct {
 	at    time.Duration
 	units float64
 }
 
-// charge takes a request's units out of a router's credit, or of what a ledger grants; nil: it can't be reached.
-func charge(now time.Duration, a *LocalQuota, ledger *Allocator, t *config.Tenant, units float64) bool {
-	ok, ask := a.Consume(now, t, units)
-	if ok || ledger == nil {
+// charge takes a request's units out of a router's credit, or of a grant; a nil allocator can't be reached.
+func charge(now time.Duration, q *LocalQuota, allocator *Allocator, t *config.Tenant, units float64) bool {
+	ok, want := q.Consume(now, t, units)
+	if ok || allocator == nil {
 		return ok
 	}
-	granted, _ := ledger.Grant(now, t, units, ask)
+	granted, _ := allocator.Grant(now, t, units, want)
 	if granted < units {
 		return false
 	}
-	a.AddGrant(now, now, t, granted-units)
+	q.AddGrant(now, now, t, granted-units)
 	return true
 }
 
-// maxInWindow is the largest sum over any span of the window.
+// maxInWindow returns the largest sum of units over any span of the window.
 func maxInWindow(uses []use, window time.Duration) float64 {
-	most, sum, from := 0.0, 0.0, 0
+	largest, sum, from := 0.0, 0.0, 0
 	for _, u := range uses {
 		sum += u.units
 		for u.at-uses[from].at > window {
 			sum -= uses[from].units
 			from++
 		}
-		most = max(most, sum)
+		largest = max(largest, sum)
 	}
-	return most
+	return largest
 }
 
-// Guards against use beyond the rule's bound, whoever the primary is and however often it changes.
+// allowedInWindow returns the units that a tenant may use in a window: the package's invariant.
+func allowedInWindow(t *config.Tenant) float64 {
+	return (t.RatePerS*settings.Window.Seconds()+t.Burst)*(1+settings.OvershootRatio) + settings.OvershootUnits
+}
+
+// newRouters returns the local quotas of a fleet.
+func newRouters(count int) []*LocalQuota {
+	routers := make([]*LocalQuota, count)
+	for i := range routers {
+		routers[i] = NewLocalQuota(settings)
+	}
+	return routers
+}
+
+// startedAllocator returns a new allocator that acts for a view.
+func startedAllocator(now time.Duration, view uint64) *Allocator {
+	allocator := NewAllocator(settings)
+	allocator.Activate(now, view, false, settings.Window)
+	return allocator
+}
+
+// Guards against use beyond the bound, whoever the primary is and however often it changes.
 func TestUseStaysWithinBoundOverFailovers(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 3))
 		t := tenant()
-		ledger := NewAllocator(settings)
-		ledger.Activate(0, 1, false, settings.Window)
-		routers := make([]*LocalQuota, 12)
-		for i := range routers {
-			routers[i] = NewLocalQuota(settings)
-		}
+		allocator := startedAllocator(0, 1)
+		routers := newRouters(12)
 		var uses []use
-		// Demand comes in spells, so that buckets fill in between and bursts are granted whole. The primary changes right
-		// after a burst: the new one knows nothing of what the former has handed out.
-		spell := time.Duration(4+r.IntN(6)) * time.Second
+		// Demand comes in bursts, so that buckets fill in between and bursts are granted completely. The primary changes right
+		// after a burst: the new one knows nothing of what the former one has granted.
+		burstStart := time.Duration(4+r.IntN(6)) * time.Second
 		burst := time.Duration(100+r.IntN(1500)) * time.Millisecond
 		for now := time.Duration(0); now < 40*time.Second; now += 2 * time.Millisecond {
-			if now >= spell+burst {
-				spell = now + time.Duration(r.IntN(12000))*time.Millisecond
-				ledger = NewAllocator(settings)
-				ledger.Activate(now, uint64(now), false, settings.Window)
+			if now >= burstStart+burst {
+				burstStart = now + time.Duration(r.IntN(12000))*time.Millisecond
+				allocator = startedAllocator(now, uint64(now))
 			}
-			if idle := now < spell && r.IntN(10) > 0; idle {
+			if idle := now < burstStart && r.IntN(10) > 0; idle {
 				continue
 			}
-			a := routers[r.IntN(len(routers))]
+			q := routers[r.IntN(len(routers))]
 			units := float64(500 + r.IntN(20000))
-			if charge(now, a, ledger, t, units) {
+			if charge(now, q, allocator, t, units) {
 				uses = append(uses, use{now, units})
 			}
 		}
-		bound := (t.RatePerS*settings.Window.Seconds()+t.Burst)*(1+settings.OvershootRatio) + settings.OvershootUnits
-		if most := maxInWindow(uses, settings.Window); most > bound {
-			rt.Fatalf("%.0f in a window, %.0f are allowed", most, bound)
+		if got, allowed := maxInWindow(uses, settings.Window), allowedInWindow(t); got > allowed {
+			rt.Fatalf("%.0f in a window, %.0f are allowed", got, allowed)
 		}
 	})
 }
 
 func TestAllocator(t *testing.T) {
-	Convey("A ledger", t, func() {
+	Convey("An allocator", t, func() {
 		t := tenant()
-		ledger := NewAllocator(settings)
-		ledger.Activate(0, 1, false, settings.Window)
+		allocator := startedAllocator(0, 1)
 		Convey("grants a tenant its rate in the long run", func() {
 			granted := 0.0
 			for now := time.Duration(0); now < 20*time.Second; now += 10 * time.Millisecond {
-				units, _ := ledger.Grant(now, t, 5000, 5000)
+				units, _ := allocator.Grant(now, t, 5000, 5000)
 				granted += units
 			}
 			So(granted, ShouldBeGreaterThan, 0.99*20*t.RatePerS)
 		})
-		Convey("says when a refused request may come again, and grants it then", func() {
+		Convey("returns when a rejected request may come again, and grants it then", func() {
 			for granted := 1.0; granted > 0; {
-				granted, _ = ledger.Grant(time.Second, t, 10000, 10000)
+				granted, _ = allocator.Grant(time.Second, t, 10000, 10000)
 			}
-			_, wait := ledger.Grant(time.Second, t, 10000, 10000)
+			_, wait := allocator.Grant(time.Second, t, 10000, 10000)
 			So(wait, ShouldBeGreaterThan, 0)
-			granted, _ := ledger.Grant(time.Second+wait+time.Millisecond, t, 10000, 10000)
+			granted, _ := allocator.Grant(time.Second+wait+time.Millisecond, t, 10000, 10000)
 			So(granted, ShouldEqual, 10000)
 		})
 		Convey("has buckets that fill from its start, not from a tenant's first request", func() {
 			late := 5 * time.Second
-			granted, _ := ledger.Grant(late, t, t.Burst, t.Burst)
+			granted, _ := allocator.Grant(late, t, t.Burst, t.Burst)
 			So(granted, ShouldEqual, t.Burst)
 		})
-		Convey("takes a lower limit over at once", func() {
-			ledger.Grant(5*time.Second, t, 1, 1)
+		Convey("applies a lower limit at once", func() {
+			allocator.Grant(5*time.Second, t, 1, 1)
 			lower := *t
 			lower.RatePerS, lower.Burst = 1000, 1000
-			granted, _ := ledger.Grant(5*time.Second, &lower, 90000, 90000)
+			granted, _ := allocator.Grant(5*time.Second, &lower, 90000, 90000)
 			So(granted, ShouldBeLessThanOrEqualTo, lower.Burst+bucketOvershootShare*settings.overshoot(&lower))
 		})
-		Convey("keeps its buckets where it acts for the next view too, and only there", func() {
+		Convey("retains its buckets where it acts for the next view too", func() {
 			for granted := 1.0; granted > 0; {
-				granted, _ = ledger.Grant(time.Second, t, 10000, 10000)
+				granted, _ = allocator.Grant(time.Second, t, 10000, 10000)
 			}
-			ledger.Activate(time.Second, 2, true, settings.Window)
-			granted, _ := ledger.Grant(time.Second, t, 10000, 10000)
+			allocator.Activate(time.Second, 2, true, settings.Window)
+			granted, _ := allocator.Grant(time.Second, t, 10000, 10000)
 			So(granted, ShouldEqual, 0)
 		})
 	})
 }
 
 func TestLocalQuota(t *testing.T) {
-	Convey("A router's account", t, func() {
+	Convey("A router's local quota", t, func() {
 		t := tenant()
-		a := NewLocalQuota(settings)
-		Convey("asks for no more than a lone request needs", func() {
-			ok, ask := a.Consume(time.Second, t, 7000)
+		q := NewLocalQuota(settings)
+		Convey("asks for no more than an isolated request needs", func() {
+			ok, want := q.Consume(time.Second, t, 7000)
 			So(ok, ShouldBeFalse)
-			So(ask, ShouldEqual, 7000)
+			So(want, ShouldEqual, 7000)
 		})
-		Convey("asks ahead where requests are dense", func() {
-			ask := 0.0
+		Convey("asks ahead where requests are frequent", func() {
+			want := 0.0
 			for i := range 200 {
-				_, ask = a.Consume(time.Second+time.Duration(i)*5*time.Millisecond, t, 100)
+				_, want = q.Consume(time.Second+time.Duration(i)*5*time.Millisecond, t, 100)
 			}
-			So(ask, ShouldBeGreaterThan, 1000)
+			So(want, ShouldBeGreaterThan, 1000)
 		})
-		Convey("uses credit, and not after its time", func() {
-			a.AddGrant(0, 0, t, 500)
-			ok, _ := a.Consume(creditTTL/2, t, 400)
+		Convey("uses credit until it expires", func() {
+			q.AddGrant(0, 0, t, 500)
+			ok, _ := q.Consume(creditTTL/2, t, 400)
 			So(ok, ShouldBeTrue)
-			ok, _ = a.Consume(creditTTL*2, t, 100)
+			ok, _ = q.Consume(creditTTL*2, t, 100)
 			So(ok, ShouldBeFalse)
 		})
-		Convey("gets credit back for what never ran", func() {
-			a.AddGrant(0, 0, t, 500)
-			a.Consume(time.Millisecond, t, 500)
-			a.Refund(2*time.Millisecond, t, 500)
-			ok, _ := a.Consume(3*time.Millisecond, t, 500)
+		Convey("gets credit back for a request that was not executed", func() {
+			q.AddGrant(0, 0, t, 500)
+			q.Consume(time.Millisecond, t, 500)
+			q.Refund(2*time.Millisecond, t, 500)
+			ok, _ := q.Consume(3*time.Millisecond, t, 500)
 			So(ok, ShouldBeTrue)
 		})
-		Convey("has a floor without the ledger, small for a tenant that may be at its rate", func() {
-			So(12*fallbackUse(a, t, time.Second, 100), ShouldBeBetween, 0.3*t.RatePerS, 0.6*t.RatePerS+0.15*settings.overshoot(t))
+		Convey("has a fallback rate without the allocator, small for a tenant that may be at its rate", func() {
+			So(12*fallbackUse(q, t, time.Second, 100), ShouldBeBetween, 0.3*t.RatePerS, 0.6*t.RatePerS+0.15*settings.overshoot(t))
 		})
-		Convey("has a floor that all routers together may use for a whole window", func() {
+		Convey("has a fallback rate that all routers together may use for a window", func() {
 			used := 0.0
 			random := rand.New(rand.NewPCG(7, 7))
 			for now := time.Second; now < 9*time.Second; now += 10 * time.Millisecond {
-				if a.ConsumeFallback(now, t, 1000, 12, now-time.Second, random.Float64()) {
+				if q.ConsumeFallback(now, t, 1000, 12, now-time.Second, random.Float64()) {
 					used += 1000
 				}
 			}
 			So(used, ShouldBeGreaterThan, 0)
 			So(12*used, ShouldBeLessThan, 0.5*8*t.RatePerS)
 		})
-		Convey("and larger for one that has been quiet", func() {
+		Convey("has a larger fallback for a tenant that has been quiet", func() {
 			for now := time.Second; now < 40*time.Second; now += time.Second {
-				a.Consume(now, t, 500)
+				q.Consume(now, t, 500)
 			}
-			So(12*fallbackUse(a, t, 40*time.Second, 100), ShouldBeBetween, 0.5*t.RatePerS, t.RatePerS)
+			So(12*fallbackUse(q, t, 40*time.Second, 100), ShouldBeBetween, 0.5*t.RatePerS, t.RatePerS)
 		})
 	})
 }
 
-// fallbackUse is what a router uses within a second without the ledger, if requests come all the while.
-func fallbackUse(a *LocalQuota, t *config.Tenant, from time.Duration, units float64) float64 {
+// fallbackUse returns what a router uses within a second without the allocator, if requests come all the time.
+func fallbackUse(q *LocalQuota, t *config.Tenant, from time.Duration, units float64) float64 {
 	used := 0.0
 	random := rand.New(rand.NewPCG(4, 4))
 	for now := from; now < from+time.Second; now += 10 * time.Millisecond {
-		if a.ConsumeFallback(now, t, units, 12, now-from, random.Float64()) {
+		if q.ConsumeFallback(now, t, units, 12, now-from, random.Float64()) {
 			used += units
 		}
 	}
 	return used
 }
 
-// Guards against a large fleet whose routers each let a large request through where the ledger is lost: the fleet of 91
-// had been over its bound by 4 in 100 so.
+// Guards against a large fleet whose routers each let a large request through when the allocator fails: the fleet of 91
+// exceeded its bound by 4 % that way.
 func TestFallbackOfManyRoutersStaysWithinBound(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 5))
 		t := &config.Tenant{Name: "t", RatePerS: 600000, Burst: 600000, Unit: config.UnitTokens}
-		ledger := NewAllocator(settings)
-		ledger.Activate(0, 1, false, settings.Window)
-		routers := make([]*LocalQuota, 91)
-		for i := range routers {
-			routers[i] = NewLocalQuota(settings)
-		}
-		// The tenant becomes busy a little before the ledger is lost, so that its burst lies in the same window.
-		lost := 12*time.Second + time.Duration(r.IntN(4000))*time.Millisecond
-		busy := lost - time.Duration(r.IntN(6000))*time.Millisecond
-		back := lost + time.Duration(100+r.IntN(1500))*time.Millisecond
+		allocator := startedAllocator(0, 1)
+		routers := newRouters(91)
+		// The tenant becomes busy a little before the allocator fails, so that its burst lies in the same window.
+		failedAt := 12*time.Second + time.Duration(r.IntN(4000))*time.Millisecond
+		busy := failedAt - time.Duration(r.IntN(6000))*time.Millisecond
+		replacedAt := failedAt + time.Duration(100+r.IntN(1500))*time.Millisecond
 		var uses []use
 		for now := time.Duration(0); now < 24*time.Second; now += 5 * time.Millisecond {
-			if now >= back && ledger.View() == 1 {
-				ledger = NewAllocator(settings)
-				ledger.Activate(now, 2, false, settings.Window)
+			if now >= replacedAt && allocator.View() == 1 {
+				allocator = startedAllocator(now, 2)
 			}
-			a, units := routers[r.IntN(len(routers))], float64(500+r.IntN(24000)) // four times the rate
+			q, units := routers[r.IntN(len(routers))], float64(500+r.IntN(24000)) // four times the rate
 			if now < busy && r.IntN(30) > 0 {
 				continue
 			}
-			reached := ledger
-			if now >= lost && now < back {
-				reached = nil
+			reachable := allocator
+			if now >= failedAt && now < replacedAt {
+				reachable = nil
 			}
-			if charge(now, a, reached, t, units) || reached == nil && a.ConsumeFallback(now, t, units, len(routers), now-lost, r.Float64()) {
+			if charge(now, q, reachable, t, units) || reachable == nil && q.ConsumeFallback(now, t, units, len(routers), now-failedAt, r.Float64()) {
 				uses = append(uses, use{now, units})
 			}
 		}
-		bound := (t.RatePerS*settings.Window.Seconds()+t.Burst)*(1+settings.OvershootRatio) + settings.OvershootUnits
-		if most := maxInWindow(uses, settings.Window); most > bound {
-			rt.Fatalf("%.0f in a window, %.0f are allowed", most, bound)
+		if got, allowed := maxInWindow(uses, settings.Window), allowedInWindow(t); got > allowed {
+			rt.Fatalf("%.0f in a window, %.0f are allowed", got, allowed)
 		}
 	})
 }
 
-// Guards against routers that are cut off, up to half of a large fleet, from a ledger which goes on to serve the others.
+// Guards against routers that are cut off, up to half of a large fleet, from a allocator which goes on to serve the others.
 func TestFallbackBesideAllocatorStaysWithinBound(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 6))
-		away, press := rapid.IntRange(1, 45).Draw(rt, "cut off"), rapid.IntRange(1, 3).Draw(rt, "press")
+		cutOff, requestsPerStep := rapid.IntRange(1, 45).Draw(rt, "cut off"), rapid.IntRange(1, 3).Draw(rt, "requests per step")
 		t := &config.Tenant{Name: "t", RatePerS: 600000, Burst: 600000, Unit: config.UnitTokens}
-		ledger := NewAllocator(settings)
-		ledger.Activate(0, 1, false, settings.Window)
-		routers := make([]*LocalQuota, 91)
-		for i := range routers {
-			routers[i] = NewLocalQuota(settings)
-		}
+		allocator := startedAllocator(0, 1)
+		routers := newRouters(91)
 		cut := 12*time.Second + time.Duration(r.IntN(4000))*time.Millisecond
 		busy := cut - time.Duration(r.IntN(6000))*time.Millisecond
 		var uses []use
@@ -259,20 +263,19 @@
 			if now < busy && r.IntN(30) > 0 {
 				continue
 			}
-			for range press {
+			for range requestsPerStep {
 				i, units := r.IntN(len(routers)), float64(500+r.IntN(24000))
-				a, reached := routers[i], ledger
-				if i < away && now >= cut && now < cut+settings.Window {
-					reached = nil
+				q, reachable := routers[i], allocator
+				if i < cutOff && now >= cut && now < cut+settings.Window {
+					reachable = nil
 				}
-				if charge(now, a, reached, t, units) || reached == nil && a.ConsumeFallback(now, t, units, len(routers), now-cut, r.Float64()) {
+				if charge(now, q, reachable, t, units) || reachable == nil && q.ConsumeFallback(now, t, units, len(routers), now-cut, r.Float64()) {
 					uses = append(uses, use{now, units})
 				}
 			}
 		}
-		bound := (t.RatePerS*settings.Window.Seconds()+t.Burst)*(1+settings.OvershootRatio) + settings.OvershootUnits
-		if most := maxInWindow(uses, settings.Window); most > bound {
-			rt.Fatalf("%.0f in a window, %.0f are allowed", most, bound)
+		if got, allowed := maxInWindow(uses, settings.Window), allowedInWindow(t); got > allowed {
+			rt.Fatalf("%.0f in a window, %.0f are allowed", got, allowed)
 		}
 	})
 }
