--- a/internal/fleet/retry/budget.go
+++ b/internal/fleet/retry/budget.go
@@ -1,48 +1,56 @@
-// Package retry bounds the requests that are sent to a second endpoint: a token bucket a service, filled by the first
-// tries of this router (as Finagle's retry budget), so that no agreement among routers is needed. It is pure.
+// Package retry bounds the retries and hedged requests that routers send: a token bucket for each service, to which each
+// request of a client adds a part of a token and from which each retry takes one. This is the retry budget of Finagle
+// (com.twitter.finagle.service.RetryBudget), with tokens at the start in place of its minimum of retries a second, and a
+// small bucket in place of its expiry of tokens.
+//
+// Each router has budgets of its own, which it fills by the requests that it gets itself, so that no agreement among routers
+// is needed. The package is pure: no I/O, no clock. A Budget is not safe for concurrent use: its owner locks.
 package retry
 
 import "time"
 
-// Settings are what all routers together may spend.
+// Settings are the bounds that the retries of all routers together are held to: in a Window, Ratio times the requests of
+// clients, and Slack beside.
 type Settings struct {
-	Ratio  float64       // repeats a first try
-	Window time.Duration // over which repeats are counted
-	Slack  float64       // repeats beyond the ratio, in a window, of all routers
+	Ratio  float64       // retries for each request
+	Window time.Duration // that the bound is checked over; the bucket holds in any window
+	Slack  float64       // retries beside, of all routers together
 }
 
-// shareOfRatio is spent at most: the window counts what clients sent, and that is not seen in whole.
-const shareOfRatio = 0.6
+const (
+	// usedRatio is the part of Settings.Ratio that is spent: the bound counts requests in a window, of which routers see
+	// only those that reached them.
+	usedRatio = 0.6
 
-// shareOfSlack is what a router begins with, over the number of routers: each start of one begins with it again.
-const shareOfSlack = 0.25
+	// initialSlack is the part of Settings.Slack that all routers together start with. Each process starts with its part
+	// again, so that restarts within a window have to stay within Slack.
+	initialSlack = 0.25
+)
 
-// Budget is one router's for one service. The zero value is not useful.
+// Budget is the retry budget of one router for one service. New makes one.
 type Budget struct {
-	settings Settings
-	level    float64
-	most     float64
+	deposit float64 // tokens that a request adds
+	tokens  float64
+	size    float64 // maximum of tokens
 }
 
 // New returns the budget of one router of so many.
 func New(settings Settings, routers int) *Budget {
-	start := shareOfSlack * settings.Slack / float64(max(1, routers))
-	return &Budget{settings: settings, level: start, most: max(1, start)}
+	initial := initialSlack * settings.Slack / float64(max(1, routers))
+	return &Budget{deposit: usedRatio * settings.Ratio, tokens: initial, size: max(1, initial)}
 }
 
-// RecordRequest counts a first try.
-func (b *Budget) RecordRequest() {
-	b.level = min(b.level+shareOfRatio*b.settings.Ratio, b.most)
-}
+// RecordRequest adds the tokens for a request of a client, when it is sent for the first time.
+func (b *Budget) RecordRequest() { b.tokens = min(b.tokens+b.deposit, b.size) }
 
-// Withdraw takes one repeat; false: none is left.
+// Withdraw takes the token for a retry and reports whether there was one: else the retry may not be sent.
 func (b *Budget) Withdraw() bool {
-	if b.level < 1 {
+	if b.tokens < 1 {
 		return false
 	}
-	b.level--
+	b.tokens--
 	return true
 }
 
-// Refund gives back a repeat that was not sent.
-func (b *Budget) Refund() { b.level = min(b.level+1, b.most) }
+// Refund returns the token of a retry that was not sent.
+func (b *Budget) Refund() { b.tokens = min(b.tokens+1, b.size) }
--- a/internal/fleet/retry/budget_test.go
+++ b/internal/fleet/retry/budget_test.go
@@ -7,46 +7,50 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against repeats of all routers together beyond the rule's bound, also when all are started anew.
-func TestRepeatsStayWithinTheBound(t *testing.T) {
+// withdrawAll takes all tokens and returns their number.
+func withdrawAll(b *Budget) int {
+	retries := 0
+	for b.Withdraw() {
+		retries++
+	}
+	return retries
+}
+
+// Guards against retries of all routers together beyond the bound, also when all routers restart.
+func TestRetriesStayWithinBound(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		settings := Settings{Ratio: 0.2, Window: 10 * time.Second, Slack: 64}
 		routers := rapid.IntRange(1, 100).Draw(rt, "routers")
-		firsts := rapid.IntRange(0, 3000).Draw(rt, "first tries")
+		requests := rapid.IntRange(0, 3000).Draw(rt, "requests")
 		restarts := rapid.IntRange(0, 1).Draw(rt, "restarts")
-		repeats := 0
+		retries := 0
 		budgets := make([]*Budget, routers)
 		for range restarts + 1 {
 			for i := range budgets {
 				budgets[i] = New(settings, routers)
 			}
-			for i := range firsts {
+			for i := range requests {
 				b := budgets[i%routers]
 				b.RecordRequest()
-				for b.Withdraw() {
-					repeats++
-				}
+				retries += withdrawAll(b)
 			}
 			for _, b := range budgets {
-				for b.Withdraw() {
-					repeats++
-				}
+				retries += withdrawAll(b)
 			}
 		}
-		bound := settings.Ratio*float64(firsts*(restarts+1)) + settings.Slack
-		if float64(repeats) > bound {
-			rt.Fatalf("%d repeats, %.0f are allowed", repeats, bound)
+		bound := settings.Ratio*float64(requests*(restarts+1)) + settings.Slack
+		if float64(retries) > bound {
+			rt.Fatalf("%d retries, %.0f are allowed", retries, bound)
 		}
 	})
 }
 
-// Guards against repeats that are lost when they were not sent.
-func TestReturnedRepeatMayBeSpentAgain(t *testing.T) {
+// Guards against tokens that are lost when the retry was not sent.
+func TestRefundedRetryMayBeSentAgain(t *testing.T) {
 	b := New(Settings{Ratio: 0.2, Slack: 8}, 1)
-	for b.Withdraw() {
-	}
+	withdrawAll(b)
 	b.Refund()
 	if !b.Withdraw() {
-		t.Error("a repeat that was given back can't be spent")
+		t.Error("a retry that was refunded can't be sent")
 	}
 }
