--- a/internal/fleet/dissemination/feed.go
+++ b/internal/fleet/dissemination/config_replica.go
@@ -7,22 +7,22 @@
 	"pinelb.example/pinelb/internal/fleet/config"
 )
 
-// ordersKept is how many of the last orders a router holds, for others that are a little behind.
-const ordersKept = 64
+// maxRetainedChanges is how many of the last orders a router holds, for others that are a little behind.
+const maxRetainedChanges = 64
 
 // Config is the configuration that a router acts on, and until when it surely was the newest.
 type ConfigReplica struct {
 	Sequence uint64
 	Table    *config.Table // nil: none is held
 
-	fresh   bool
-	freshAt time.Duration
-	orders  [][]byte // the last ones, up to Sequence
+	confirmed   bool
+	confirmedAt time.Duration
+	changes  [][]byte // the last ones, up to Sequence
 }
 
 // ConfirmedAt is a moment at which no newer configuration had been acknowledged. ok is false where none is known.
 func (f *ConfigReplica) ConfirmedAt() (at time.Duration, ok bool) {
-	return f.freshAt, f.fresh && f.Table != nil
+	return f.confirmedAt, f.confirmed && f.Table != nil
 }
 
 // Confirm notes that the configuration of a sequence was the newest at a moment.
@@ -30,8 +30,8 @@
 	if f.Table == nil || f.Sequence < sequence {
 		return
 	}
-	if !f.fresh || f.freshAt < at {
-		f.fresh, f.freshAt = true, at
+	if !f.confirmed || f.confirmedAt < at {
+		f.confirmed, f.confirmedAt = true, at
 	}
 }
 
@@ -41,17 +41,17 @@
 		return
 	}
 	if order != nil && sequence == f.Sequence+1 {
-		f.keep(order)
+		f.retain(order)
 	} else {
-		f.orders = nil
+		f.changes = nil
 	}
 	f.Sequence, f.Table = sequence, table
 }
 
-func (f *ConfigReplica) keep(order []byte) {
-	f.orders = append(f.orders, order)
-	if len(f.orders) > ordersKept {
-		f.orders = append([][]byte(nil), f.orders[len(f.orders)-ordersKept:]...)
+func (f *ConfigReplica) retain(order []byte) {
+	f.changes = append(f.changes, order)
+	if len(f.changes) > maxRetainedChanges {
+		f.changes = append([][]byte(nil), f.changes[len(f.changes)-maxRetainedChanges:]...)
 	}
 }
 
@@ -94,8 +94,8 @@
 	reply := FetchReply{Sequence: f.Sequence}
 	reply.AgeMs, reply.Fresh = f.ageMs(now)
 	behind := int(f.Sequence - min(f.Sequence, request.After))
-	if request.After > 0 && behind <= len(f.orders) {
-		reply.Orders = f.orders[len(f.orders)-behind:]
+	if request.After > 0 && behind <= len(f.changes) {
+		reply.Changes = f.changes[len(f.changes)-behind:]
 		return reply, nil
 	}
 	reply.Document = f.Table.Document.Encode()
@@ -119,9 +119,9 @@
 		f.Set(reply.Sequence, table, nil)
 		return true, nil
 	}
-	first := reply.Sequence - uint64(len(reply.Orders)) + 1
+	first := reply.Sequence - uint64(len(reply.Changes)) + 1
 	changed := false
-	for i, order := range reply.Orders {
+	for i, order := range reply.Changes {
 		applied, err := f.Apply(first+uint64(i), order)
 		if err != nil {
 			return changed, err
--- a/internal/fleet/dissemination/messages.go
+++ b/internal/fleet/dissemination/messages.go
@@ -34,7 +34,7 @@
 	Members   []membership.Member `cbor:"1,keyasint,omitempty"`
 	Endpoints []registry.Endpoint `cbor:"2,keyasint,omitempty"`
 	Sequence  uint64              `cbor:"3,keyasint,omitempty"` // a configuration that was acknowledged
-	Order     []byte              `cbor:"4,keyasint,omitempty"` // that made it of the one before
+	Change     []byte              `cbor:"4,keyasint,omitempty"` // that made it of the one before
 	Hops      uint8               `cbor:"5,keyasint,omitempty"` // how often it was passed on
 	View      uint64              `cbor:"6,keyasint,omitempty"` // a view that is new
 	Primary   string              `cbor:"7,keyasint,omitempty"` // of the view
@@ -48,7 +48,7 @@
 // FetchReply holds either the orders after the asked sequence or the whole configuration.
 type FetchReply struct {
 	Sequence uint64   `cbor:"1,keyasint"` // after all orders, or of the document
-	Orders   [][]byte `cbor:"2,keyasint,omitempty"`
+	Changes   [][]byte `cbor:"2,keyasint,omitempty"`
 	Document []byte   `cbor:"3,keyasint,omitempty"`
 	Fresh    bool     `cbor:"4,keyasint,omitempty"` // AgeMs is set
 	AgeMs    uint64   `cbor:"5,keyasint,omitempty"` // as in Answer, at the time of this answer
--- a/internal/fleet/dissemination/node.go
+++ b/internal/fleet/dissemination/node.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	forgetAfter = 60 * time.Second
-	silentBeats = 4 // heartbeats after which an endpoint has lapsed
-	lapseEvery  = 500 * time.Millisecond
+	endpointTombstoneTTL = 60 * time.Second
+	missedHeartbeatsToExpire = 4 // heartbeats after which an endpoint has lapsed
+	expiryInterval  = 500 * time.Millisecond
 )
 
 // Outgoing is a message to be sent.
@@ -47,22 +47,22 @@
 
 	options   Options
 	now       time.Duration
-	out       *Output
+	output       *Output
 	round     uint64
-	asked     map[uint64]question
+	pendingPulls     map[uint64]pendingPull
 	nextPull  time.Duration
-	nextLapse time.Duration
+	nextExpiry time.Duration
 	view      uint64
 	primary   string
 	seeds     []string
-	queued    [hopsMost + 1]queue // news for the next tick, by how often they were passed on
+	queues    [maxHops + 1]updateQueue // news for the next tick, by how often they were passed on
 }
 
 // New returns a node that knows itself and its seeds.
 func New(now time.Duration, options Options) *Node {
 	return &Node{
 		Members: membership.New(now, options.Self, options.Timing), Registry: registry.New(),
-		options: options, asked: map[uint64]question{}, seeds: options.Seeds,
+		options: options, pendingPulls: map[uint64]pendingPull{}, seeds: options.Seeds,
 	}
 }
 
@@ -81,27 +81,27 @@
 
 // AnnouncePrimary tells all that this router is the primary of a view, so that they don't ask the former one until the next pull.
 func (n *Node) AnnouncePrimary(now time.Duration, view uint64) *Output {
-	out := n.step(now)
+	out := n.begin(now)
 	if view > n.view {
 		n.SetView(view, n.options.Self.Address)
-		n.spreadView(0)
+		n.disseminateView(0)
 	}
 	return out
 }
 
-func (n *Node) step(now time.Duration) *Output {
+func (n *Node) begin(now time.Duration) *Output {
 	n.now = now
-	n.out = &Output{}
-	return n.out
+	n.output = &Output{}
+	return n.output
 }
 
 func (n *Node) send(to string, message any) {
-	n.out.Send = append(n.out.Send, Outgoing{To: to, Message: message})
+	n.output.Send = append(n.output.Send, Outgoing{To: to, Message: message})
 }
 
 // Tick lets time pass.
 func (n *Node) Tick(now time.Duration) *Output {
-	out := n.step(now)
+	out := n.begin(now)
 	step := n.Members.Tick(now)
 	for _, to := range step.Heartbeats {
 		n.send(to, Heartbeat{})
@@ -109,24 +109,24 @@
 	for _, to := range step.Probes {
 		n.send(to, Heartbeat{WantsReply: true})
 	}
-	n.spreadMembers(step.Dead, 0)
+	n.disseminateMembers(step.Dead, 0)
 	if now >= n.nextPull {
 		n.nextPull = now + n.pullInterval()
 		n.pull()
 	}
-	if now >= n.nextLapse {
-		n.nextLapse = now + lapseEvery
-		silence := silentBeats * n.options.EndpointHeartbeatInterval
-		n.spreadEndpoints(n.Registry.ExpireSilent(now, n.options.Self.Address, silence, n.mayHear(silence)), 0)
-		n.Registry.Purge(now, forgetAfter)
+	if now >= n.nextExpiry {
+		n.nextExpiry = now + expiryInterval
+		silence := missedHeartbeatsToExpire * n.options.EndpointHeartbeatInterval
+		n.disseminateEndpoints(n.Registry.ExpireSilent(now, n.options.Self.Address, silence, n.mayReceiveHeartbeats(silence)), 0)
+		n.Registry.Purge(now, endpointTombstoneTTL)
 	}
-	n.flushQueued()
+	n.flushQueues()
 	return out
 }
 
 // Receive takes a message of another router.
 func (n *Node) Receive(now time.Duration, from string, message any) *Output {
-	out := n.step(now)
+	out := n.begin(now)
 	n.Members.RecordContact(now, from)
 	switch message := message.(type) {
 	case Heartbeat:
@@ -134,94 +134,94 @@
 			n.send(from, Heartbeat{})
 		}
 	case Pull:
-		n.onPull(from, message)
+		n.handlePull(from, message)
 	case PullReply:
-		n.onAnswer(from, message)
+		n.handlePullReply(from, message)
 	case Update:
-		n.onNews(from, message)
+		n.handleUpdate(from, message)
 	}
 	return out
 }
 
-func (n *Node) onNews(from string, message Update) {
+func (n *Node) handleUpdate(from string, message Update) {
 	hops := message.Hops + 1
 	if message.View > n.view {
 		n.SetView(message.View, message.Primary)
-		n.spreadView(hops)
+		n.disseminateView(hops)
 	}
-	n.spreadMembers(n.Members.Merge(n.now, message.Members), hops)
+	n.disseminateMembers(n.Members.Merge(n.now, message.Members), hops)
 	news, asserted := n.Registry.Merge(n.now, n.options.Self.Address, message.Endpoints)
-	n.spreadEndpoints(news, hops)
-	n.spreadEndpoints(asserted, 0)
+	n.disseminateEndpoints(news, hops)
+	n.disseminateEndpoints(asserted, 0)
 	if message.Sequence <= n.Config.Sequence {
 		return
 	}
-	if message.Order != nil {
-		if applied, err := n.Config.Apply(message.Sequence, message.Order); err == nil && applied {
-			n.spreadOrder(message.Sequence, message.Order, hops)
+	if message.Change != nil {
+		if applied, err := n.Config.Apply(message.Sequence, message.Change); err == nil && applied {
+			n.disseminateChange(message.Sequence, message.Change, hops)
 			return
 		}
 	}
-	n.out.Fetch = from
+	n.output.Fetch = from
 }
 
 // HandleFetchReply takes over what a router answered to a fetch that was asked at a moment. It returns whether the configuration
 // changed.
 func (n *Node) HandleFetchReply(now, asked time.Duration, reply FetchReply) (*Output, bool, error) {
-	out := n.step(now)
+	out := n.begin(now)
 	changed, err := n.Config.ApplyReply(reply)
 	if reply.Fresh {
 		n.Config.Confirm(reply.Sequence, asked-time.Duration(reply.AgeMs)*time.Millisecond)
 	}
 	if changed {
-		n.spreadOrder(n.Config.Sequence, nil, 1)
+		n.disseminateChange(n.Config.Sequence, nil, 1)
 	}
 	return out, changed, err
 }
 
 // Commit takes over a configuration that this router, as the primary, has acknowledged.
 func (n *Node) Commit(now time.Duration, sequence uint64, table *config.Table, order []byte) *Output {
-	out := n.step(now)
+	out := n.begin(now)
 	if n.Config.Table != nil && sequence <= n.Config.Sequence {
 		return out
 	}
 	n.Config.Set(sequence, table, order)
-	n.spreadOrder(sequence, order, 0)
+	n.disseminateChange(sequence, order, 0)
 	return out
 }
 
 // HandleEndpointHeartbeat takes an endpoint's own word over; ok is false where it is older than what is known.
 func (n *Node) HandleEndpointHeartbeat(now time.Duration, said registry.Endpoint) (out *Output, ok bool) {
-	out = n.step(now)
+	out = n.begin(now)
 	news, ok := n.Registry.ApplyHeartbeat(now, said)
-	n.spreadEndpoints(news, 0)
+	n.disseminateEndpoints(news, 0)
 	return out, ok
 }
 
 // HandleEndpointLeave takes over from another router that an endpoint leaves, and tells all, also where it was known here: those who
 // were told before may have missed it.
 func (n *Node) HandleEndpointLeave(now time.Duration, endpoint registry.Endpoint) *Output {
-	out := n.step(now)
+	out := n.begin(now)
 	news, _ := n.Registry.Merge(now, n.options.Self.Address, []registry.Endpoint{endpoint})
 	if len(news) == 0 {
 		if known, ok := n.Registry.Lookup(endpoint.ID); ok && known.State != registry.Ready {
 			news = []registry.Endpoint{known}
 		}
 	}
-	n.spreadEndpoints(news, 0)
+	n.disseminateEndpoints(news, 0)
 	return out
 }
 
 // RestoreEndpoints takes over endpoints that a router before this one knew, as reports that any word of their own replaces.
 func (n *Node) RestoreEndpoints(now time.Duration, endpoints []registry.Endpoint) *Output {
-	out := n.step(now)
-	n.spreadEndpoints(n.Registry.Restore(now, endpoints), 0)
+	out := n.begin(now)
+	n.disseminateEndpoints(n.Registry.Restore(now, endpoints), 0)
 	return out
 }
 
 // Leave says that this router ends.
 func (n *Node) Leave(now time.Duration) *Output {
-	out := n.step(now)
+	out := n.begin(now)
 	n.pushMembers([]membership.Member{n.Members.Leave()}, 0)
 	return out
 }
--- a/internal/fleet/dissemination/rest_test.go
+++ b/internal/fleet/dissemination/quiescence_test.go
@@ -92,7 +92,7 @@
 				items += len(news.Members) + len(news.Endpoints)
 			}
 		}
-		So(items, ShouldBeBetweenOrEqual, 1, 2*answerMost)
+		So(items, ShouldBeBetweenOrEqual, 1, 2*maxItemsPerReply)
 	})
 	Convey("A router that is asked whether it lives says so", t, func() {
 		f := newFleet(2, 1)
@@ -108,10 +108,10 @@
 		So(known, ShouldBeTrue)
 		m.Status = membership.Dead
 		n.Receive(f.now, address(2), Update{Members: []membership.Member{m}})
-		So(n.mayHear(time.Second)(address(1)), ShouldBeTrue)
+		So(n.mayReceiveHeartbeats(time.Second)(address(1)), ShouldBeTrue)
 		n.now += 2 * time.Second
-		So(n.mayHear(time.Second)(address(1)), ShouldBeFalse)
-		So(n.mayHear(time.Second)("unknown"), ShouldBeFalse)
+		So(n.mayReceiveHeartbeats(time.Second)(address(1)), ShouldBeFalse)
+		So(n.mayReceiveHeartbeats(time.Second)("unknown"), ShouldBeFalse)
 	})
 }
 
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -52,13 +52,13 @@
 }
 
 // monitors is how many routers watch each.
-const monitors = 2
+const monitorsPerMember = 2
 
 // A member that has been silent for so long before it would be declared dead is asked whether it lives, again and again.
 // Routers whose views of the ring differ would otherwise wait for heartbeats that are sent to others.
 const (
-	probeBefore = 1200 * time.Millisecond
-	probeEvery  = 300 * time.Millisecond
+	probeLeadTime = 1200 * time.Millisecond
+	probeInterval  = 300 * time.Millisecond
 )
 
 // List is one router's knowledge of all.
@@ -67,26 +67,26 @@
 	self     Member
 	members  map[string]*entry
 	ring     []string // addresses of those that live, in the order of the ring
-	nextBeat time.Duration
+	nextHeartbeat time.Duration
 	lastTick time.Duration
-	watching map[string]bool // as of the last tick
+	monitored map[string]bool // as of the last tick
 }
 
 type entry struct {
 	Member
 	position uint64        // on the ring
-	heard    time.Duration // last message, or when it was heard of first
-	probed   time.Duration // when it was asked last whether it lives
-	ended    time.Duration // when it was declared dead or left
+	lastContact    time.Duration // last message, or when it was heard of first
+	lastProbe   time.Duration // when it was asked last whether it lives
+	endedAt    time.Duration // when it was declared dead or left
 }
 
 // New returns the list of a router that knows only itself.
 func New(now time.Duration, self Member, timing Timing) *List {
 	self.Incarnation, self.Status = 1, Alive
 	l := &List{timing: timing, self: self, members: map[string]*entry{}, lastTick: now}
-	own := &entry{Member: self, position: xxhash.Sum64String(self.Address), heard: now}
+	own := &entry{Member: self, position: xxhash.Sum64String(self.Address), lastContact: now}
 	l.members[self.Address] = own
-	l.place(own)
+	l.updateRing(own)
 	return l
 }
 
@@ -94,7 +94,7 @@
 func (l *List) Self() Member { return l.self }
 
 // place moves a member into the ring or out of it, after its status has changed.
-func (l *List) place(e *entry) {
+func (l *List) updateRing(e *entry) {
 	at, found := slices.BinarySearchFunc(l.ring, e, func(address string, e *entry) int {
 		return cmp.Or(cmp.Compare(l.members[address].position, e.position), strings.Compare(address, e.Address))
 	})
@@ -117,34 +117,34 @@
 			}
 			continue
 		}
-		if l.take(now, report) {
+		if l.apply(now, report) {
 			news = append(news, report)
 		}
 	}
 	return news
 }
 
-func (l *List) take(now time.Duration, report Member) bool {
+func (l *List) apply(now time.Duration, report Member) bool {
 	known := l.members[report.Address]
 	if known == nil {
 		if report.Status != Alive {
 			return false // it is forgotten already
 		}
-		added := &entry{Member: report, position: xxhash.Sum64String(report.Address), heard: now}
+		added := &entry{Member: report, position: xxhash.Sum64String(report.Address), lastContact: now}
 		l.members[report.Address] = added
-		l.place(added)
+		l.updateRing(added)
 		return true
 	}
 	if !report.supersedes(&known.Member) {
 		return false
 	}
 	if report.Status == Alive {
-		known.heard = now
+		known.lastContact = now
 	} else {
-		known.ended = now
+		known.endedAt = now
 	}
 	known.Member = report
-	l.place(known)
+	l.updateRing(known)
 	return true
 }
 
@@ -164,14 +164,14 @@
 	l.self.Status = Left
 	own := l.members[l.self.Address]
 	own.Member = l.self
-	l.place(own)
+	l.updateRing(own)
 	return l.self
 }
 
 // RecordContact notes a message of a router.
 func (l *List) RecordContact(now time.Duration, address string) {
 	if e := l.members[address]; e != nil {
-		e.heard = now
+		e.lastContact = now
 	}
 }
 
@@ -185,16 +185,16 @@
 // Tick lets time pass.
 func (l *List) Tick(now time.Duration) TickResult {
 	var step TickResult
-	if now >= l.nextBeat {
-		l.nextBeat = now + l.timing.HeartbeatInterval
+	if now >= l.nextHeartbeat {
+		l.nextHeartbeat = now + l.timing.HeartbeatInterval
 		step.Heartbeats = l.successors(l.self.Address)
 	}
-	l.renewWatch(now)
-	for address := range l.watching {
-		l.watch(now, l.members[address], &step)
+	l.refreshMonitored(now)
+	for address := range l.monitored {
+		l.checkLiveness(now, l.members[address], &step)
 	}
 	for address, e := range l.members {
-		if e.Status != Alive && address != l.self.Address && now-e.ended > l.timing.TombstoneTTL {
+		if e.Status != Alive && address != l.self.Address && now-e.endedAt > l.timing.TombstoneTTL {
 			delete(l.members, address)
 		}
 	}
@@ -202,15 +202,15 @@
 }
 
 // watch judges a member's silence.
-func (l *List) watch(now time.Duration, e *entry, step *TickResult) {
-	silence := now - e.heard
+func (l *List) checkLiveness(now time.Duration, e *entry, step *TickResult) {
+	silence := now - e.lastContact
 	switch {
 	case silence > l.timing.FailureTimeout:
-		e.Status, e.ended = Dead, now
-		l.place(e)
+		e.Status, e.endedAt = Dead, now
+		l.updateRing(e)
 		step.Dead = append(step.Dead, e.Member)
-	case silence > l.timing.FailureTimeout-probeBefore && now-e.probed >= probeEvery:
-		e.probed = now
+	case silence > l.timing.FailureTimeout-probeLeadTime && now-e.lastProbe >= probeInterval:
+		e.lastProbe = now
 		step.Probes = append(step.Probes, e.Address)
 	}
 }
@@ -222,34 +222,34 @@
 		return nil
 	}
 	var next []string
-	for i := 1; i <= min(monitors, len(l.ring)-1); i++ {
+	for i := 1; i <= min(monitorsPerMember, len(l.ring)-1); i++ {
 		next = append(next, l.ring[(at+i)%len(l.ring)])
 	}
 	return next
 }
 
-// renewWatch gives time to members that this router did not watch until now, and to all after it stood still itself.
-func (l *List) renewWatch(now time.Duration) {
+// refreshMonitored gives time to members that this router did not watch until now, and to all after it stood still itself.
+func (l *List) refreshMonitored(now time.Duration) {
 	stoodStill := now-l.lastTick > l.timing.FailureTimeout/3
 	l.lastTick = now
 	watching := map[string]bool{}
-	for _, address := range l.watched() {
+	for _, address := range l.predecessors() {
 		watching[address] = true
-		if stoodStill || !l.watching[address] {
-			l.members[address].heard = now
+		if stoodStill || !l.monitored[address] {
+			l.members[address].lastContact = now
 		}
 	}
-	l.watching = watching
+	l.monitored = watching
 }
 
 // watched are the members that this router monitors: those before it on the ring.
-func (l *List) watched() []string {
+func (l *List) predecessors() []string {
 	at := slices.Index(l.ring, l.self.Address)
 	if at < 0 {
 		return nil
 	}
 	var before []string
-	for i := 1; i <= min(monitors, len(l.ring)-1); i++ {
+	for i := 1; i <= min(monitorsPerMember, len(l.ring)-1); i++ {
 		before = append(before, l.ring[(at-i+len(l.ring))%len(l.ring)])
 	}
 	return before
@@ -313,7 +313,7 @@
 	if e == nil || e.Status == Alive {
 		return 0, false
 	}
-	return e.ended, true
+	return e.endedAt, true
 }
 
 // LiveAddresses are the addresses of the others that live.
--- a/internal/fleet/registry/registry.go
+++ b/internal/fleet/registry/registry.go
@@ -52,73 +52,73 @@
 // Buckets is into how many buckets a digest divides its part of the endpoints.
 const Buckets = 16
 
-// partSize is how many endpoints a digest covers, about: with more of them, digests take turns over parts of them, so
+// targetPartitionSize is how many endpoints a digest covers, about: with more of them, digests take turns over parts of them, so
 // that a bucket in which two routers differ stays small.
 const (
-	partSize  = 128
-	partsMost = 64
+	targetPartitionSize  = 128
+	maxPartitions = 64
 )
 
 // Digests are one number a bucket, which two routers share when they know the same of a part of the endpoints.
 type Digests struct {
 	_     struct{} `cbor:",toarray"`
-	Part  uint8
-	Parts uint8 // a power of two
+	Partition  uint8
+	Partitions uint8 // a power of two
 	Sums  [Buckets]uint32
 }
 
 // Registry is one router's knowledge of all endpoints.
 type Registry struct {
 	entries map[string]*entry
-	at      map[string]string // the newest endpoint's id by address
+	idByAddress      map[string]string // the newest endpoint's id by address
 	version uint64            // rises with each change that requests can see
-	ended   []string          // ids that were ready until lately
+	newlyEnded   []string          // ids that were ready until lately
 }
 
 type entry struct {
 	Endpoint
-	heard    time.Duration // last change, or last heartbeat where this router is the owner
-	asserted time.Duration // when others were told last that this router hears it
-	hash     uint64        // of the id
-	sum      uint32        // what it adds to a digest; 0: it is in none
+	lastUpdate    time.Duration // last change, or last heartbeat where this router is the owner
+	lastAssertion time.Duration // when others were told last that this router hears it
+	idHash     uint64        // of the id
+	digest      uint32        // what it adds to a digest; 0: it is in none
 }
 
 // summarise works out what an endpoint adds to digests, after each change. Sequences are left out: they change with each
 // heartbeat. So are endpoints that have ended, which one router may have forgotten or never known.
-func (e *entry) summarise() {
-	e.sum = 0
+func (e *entry) updateDigest() {
+	e.digest = 0
 	if e.State < Expired {
-		own := e.hash ^ xxhash.Sum64String(e.Owner)*3 ^ uint64(e.State)*0x9e3779b97f4a7c15
-		e.sum = uint32(own ^ own>>32)
+		own := e.idHash ^ xxhash.Sum64String(e.Owner)*3 ^ uint64(e.State)*0x9e3779b97f4a7c15
+		e.digest = uint32(own ^ own>>32)
 	}
 }
 
-func (e *entry) bucket() int { return int(e.hash>>59) % Buckets }
+func (e *entry) bucket() int { return int(e.idHash>>59) % Buckets }
 
 // in tells whether a digest's part covers the endpoint.
-func (e *entry) in(d *Digests) bool { return uint8(e.hash>>50)%max(1, d.Parts) == d.Part }
+func (e *entry) isCoveredBy(d *Digests) bool { return uint8(e.idHash>>50)%max(1, d.Partitions) == d.Partition }
 
 // New returns a table without endpoints.
-func New() *Registry { return &Registry{entries: map[string]*entry{}, at: map[string]string{}} }
+func New() *Registry { return &Registry{entries: map[string]*entry{}, idByAddress: map[string]string{}} }
 
 // Version rises with each change of an endpoint's state, address or service.
 func (t *Registry) Version() uint64 { return t.version }
 
 // TakeEnded returns the endpoints that have stopped being ready since the last call.
 func (t *Registry) TakeEnded() []string {
-	ended := t.ended
-	t.ended = nil
+	ended := t.newlyEnded
+	t.newlyEnded = nil
 	return ended
 }
 
 // end changes the state of an endpoint to one in which it gets no requests. It is the only place that does so, beside
 // words of the endpoint itself.
-func (t *Registry) end(now time.Duration, e *entry, state State) {
+func (t *Registry) endEndpoint(now time.Duration, e *entry, state State) {
 	if e.State == Ready {
-		t.ended = append(t.ended, e.ID)
+		t.newlyEnded = append(t.newlyEnded, e.ID)
 	}
-	e.State, e.heard = state, now
-	e.summarise()
+	e.State, e.lastUpdate = state, now
+	e.updateDigest()
 	t.version++
 }
 
@@ -138,32 +138,32 @@
 		said.State = Draining // it has said that it leaves, and that stays so
 		changed = said.differs(&known.Endpoint)
 	}
-	t.put(now, said)
+	t.store(now, said)
 	if !changed {
 		return nil, true
 	}
-	return append(t.replace(now, &said), said), true
+	return append(t.deregisterFormer(now, &said), said), true
 }
 
 // replace marks the endpoint that had an address before as gone.
-func (t *Registry) replace(now time.Duration, by *Endpoint) []Endpoint {
+func (t *Registry) deregisterFormer(now time.Duration, by *Endpoint) []Endpoint {
 	if by.State == Deregistered {
 		return nil
 	}
-	former := t.entries[t.at[by.Address]]
-	t.at[by.Address] = by.ID
+	former := t.entries[t.idByAddress[by.Address]]
+	t.idByAddress[by.Address] = by.ID
 	if former == nil || former.ID == by.ID || former.State == Deregistered {
 		return nil
 	}
-	t.end(now, former, Deregistered)
+	t.endEndpoint(now, former, Deregistered)
 	return []Endpoint{former.Endpoint}
 }
 
-func (t *Registry) put(now time.Duration, said Endpoint) {
+func (t *Registry) store(now time.Duration, said Endpoint) {
 	known := t.entries[said.ID]
 	if known == nil {
-		known = &entry{Endpoint: said, heard: now, hash: xxhash.Sum64String(said.ID)}
-		known.summarise()
+		known = &entry{Endpoint: said, lastUpdate: now, idHash: xxhash.Sum64String(said.ID)}
+		known.updateDigest()
 		t.entries[said.ID] = known
 		t.version++
 		return
@@ -172,14 +172,14 @@
 		t.version++
 	}
 	if known.State == Ready && (said.State != Ready || said.Address != known.Address) {
-		t.ended = append(t.ended, said.ID)
+		t.newlyEnded = append(t.newlyEnded, said.ID)
 	}
-	known.Endpoint, known.heard = said, now
-	known.summarise()
+	known.Endpoint, known.lastUpdate = said, now
+	known.updateDigest()
 }
 
-// assertEvery is the least time between two assertions of one endpoint.
-const assertEvery = time.Second
+// minAssertionInterval is the least time between two assertions of one endpoint.
+const minAssertionInterval = time.Second
 
 // Merge takes reports of other routers over and returns those that were new, to be passed on, also where only their
 // sequence is: others may hold something else of a sequence in between. Where one says that an
@@ -191,44 +191,44 @@
 			continue // it is forgotten already
 		}
 		if known != nil && !report.supersedes(&known.Endpoint) {
-			if report.State == Expired && known.assert(now, self) {
+			if report.State == Expired && known.shouldAssert(now, self) {
 				asserted = append(asserted, known.Endpoint)
 			}
 			continue
 		}
 		changed := known == nil || report.differs(&known.Endpoint)
-		t.put(now, report)
+		t.store(now, report)
 		news = append(news, report)
-		if changed && report.State < Expired && t.at[report.Address] == "" {
-			t.at[report.Address] = report.ID
+		if changed && report.State < Expired && t.idByAddress[report.Address] == "" {
+			t.idByAddress[report.Address] = report.ID
 		}
 	}
 	return news, asserted
 }
 
 // assert tells whether others are to be told that this router hears the endpoint.
-func (e *entry) assert(now time.Duration, self string) bool {
-	if e.Owner != self || e.State >= Expired || e.asserted != 0 && now-e.asserted < assertEvery {
+func (e *entry) shouldAssert(now time.Duration, self string) bool {
+	if e.Owner != self || e.State >= Expired || e.lastAssertion != 0 && now-e.lastAssertion < minAssertionInterval {
 		return false
 	}
-	e.asserted = now
+	e.lastAssertion = now
 	return true
 }
 
-// hintLife is how long an endpoint may be used that has not been heard since all routers ended.
-const hintLife = 1500 * time.Millisecond
+// restoredEndpointTTL is how long an endpoint may be used that has not been heard since all routers ended.
+const restoredEndpointTTL = 1500 * time.Millisecond
 
 // Restore takes over endpoints that were known before a restart, where nothing is known of them. They are used for a short
 // time: their next heartbeat replaces the hint.
 func (t *Registry) Restore(now time.Duration, endpoints []Endpoint) []Endpoint {
 	var news []Endpoint
 	for _, e := range endpoints {
-		if t.entries[e.ID] != nil || t.at[e.Address] != "" || e.State != Ready {
+		if t.entries[e.ID] != nil || t.idByAddress[e.Address] != "" || e.State != Ready {
 			continue
 		}
 		e.Owner, e.Sequence = "", 0
-		t.put(now, e)
-		t.at[e.Address] = e.ID
+		t.store(now, e)
+		t.idByAddress[e.Address] = e.ID
 		news = append(news, e)
 	}
 	return news
@@ -242,11 +242,11 @@
 		if e.State >= Expired {
 			continue
 		}
-		own := e.Owner == self && now-e.heard > silence
-		orphaned := e.Owner != self && now-e.heard > 2*silence && !ownerHears(e.Owner)
-		unconfirmed := e.Owner == "" && now-e.heard > hintLife
+		own := e.Owner == self && now-e.lastUpdate > silence
+		orphaned := e.Owner != self && now-e.lastUpdate > 2*silence && !ownerHears(e.Owner)
+		unconfirmed := e.Owner == "" && now-e.lastUpdate > restoredEndpointTTL
 		if own || orphaned || unconfirmed {
-			t.end(now, e, Expired)
+			t.endEndpoint(now, e, Expired)
 			news = append(news, e.Endpoint)
 		}
 	}
@@ -256,10 +256,10 @@
 // Purge removes endpoints whose end lies some time back.
 func (t *Registry) Purge(now time.Duration, after time.Duration) {
 	for id, e := range t.entries {
-		if e.State >= Expired && now-e.heard > after {
+		if e.State >= Expired && now-e.lastUpdate > after {
 			delete(t.entries, id)
-			if t.at[e.Address] == id {
-				delete(t.at, e.Address)
+			if t.idByAddress[e.Address] == id {
+				delete(t.idByAddress, e.Address)
 			}
 		}
 	}
@@ -289,17 +289,17 @@
 // Digests summarise what is known of a part of the endpoints; rounds take turns over the parts.
 func (t *Registry) Digests(round uint64) Digests {
 	parts := uint64(1)
-	for parts < partsMost && uint64(len(t.entries)) > parts*partSize {
+	for parts < maxPartitions && uint64(len(t.entries)) > parts*targetPartitionSize {
 		parts *= 2
 	}
 	return t.digests(uint8(round%parts), uint8(parts))
 }
 
 func (t *Registry) digests(part, parts uint8) Digests {
-	d := Digests{Part: part, Parts: parts}
+	d := Digests{Partition: part, Partitions: parts}
 	for _, e := range t.entries {
-		if e.in(&d) {
-			d.Sums[e.bucket()] += e.sum
+		if e.isCoveredBy(&d) {
+			d.Sums[e.bucket()] += e.digest
 		}
 	}
 	return d
@@ -307,13 +307,13 @@
 
 // EndpointsDiffering are the endpoints in the buckets in which the digests of another router differ.
 func (t *Registry) EndpointsDiffering(theirs Digests) []Endpoint {
-	ours := t.digests(theirs.Part, theirs.Parts)
+	ours := t.digests(theirs.Partition, theirs.Partitions)
 	if ours == theirs {
 		return nil
 	}
 	var all []Endpoint
 	for _, e := range t.entries {
-		if b := e.bucket(); e.in(&theirs) && ours.Sums[b] != theirs.Sums[b] {
+		if b := e.bucket(); e.isCoveredBy(&theirs) && ours.Sums[b] != theirs.Sums[b] {
 			all = append(all, e.Endpoint)
 		}
 	}
--- a/internal/fleet/registry/registry_test.go
+++ b/internal/fleet/registry/registry_test.go
@@ -132,7 +132,7 @@
 			differing := a.EndpointsDiffering(a.Digests(round))
 			So(differing, ShouldBeEmpty)
 			digest := a.Digests(round)
-			theirs := b.digests(digest.Part, digest.Parts)
+			theirs := b.digests(digest.Partition, digest.Partitions)
 			found := a.EndpointsDiffering(theirs)
 			moved += len(found)
 			b.Merge(0, "rb", found)
@@ -149,7 +149,7 @@
 		So(moved, ShouldBeBetween, 0, 40)
 	})
 	Convey("A digest of a part that can't be is answered all the same", t, func() {
-		for _, d := range []Digests{{}, {Part: 9, Parts: 3}, {Part: 255, Parts: 255}} {
+		for _, d := range []Digests{{}, {Partition: 9, Partitions: 3}, {Partition: 255, Partitions: 255}} {
 			So(len(a.EndpointsDiffering(d)), ShouldBeLessThanOrEqualTo, 2000)
 		}
 	})
