--- a/internal/fleet/dissemination/config_replica.go
+++ b/internal/fleet/dissemination/config_replica.go
@@ -1,128 +1,126 @@
 package dissemination
 
 import (
-	"fmt"
+	"errors"
 	"time"
 
 	"pinelb.example/pinelb/internal/fleet/config"
 )
 
-// maxRetainedChanges is how many of the last orders a router holds, for others that are a little behind.
+// maxRetainedChanges is how many of the newest changes a router retains, to bring others up to date that are a little behind.
 const maxRetainedChanges = 64
 
-// Config is the configuration that a router acts on, and until when it surely was the newest.
+// ErrNoConfiguration is the error of ServeFetch where this router has received no configuration yet.
+var ErrNoConfiguration = errors.New("dissemination: no configuration is held")
+
+// ConfigReplica is a router's replica of the configuration, and the last moment at which it was confirmed to be the newest.
+// The zero value is empty. Its methods are not safe for concurrent use.
 type ConfigReplica struct {
-	Sequence uint64
-	Table    *config.Table // nil: none is held
+	Sequence uint64        // number of the last change in Table
+	Table    *config.Table // nil: no configuration has been received
 
 	confirmed   bool
 	confirmedAt time.Duration
-	changes  [][]byte // the last ones, up to Sequence
+	changes     [][]byte // the newest encoded changes, up to Sequence
 }
 
-// ConfirmedAt is a moment at which no newer configuration had been acknowledged. ok is false where none is known.
-func (f *ConfigReplica) ConfirmedAt() (at time.Duration, ok bool) {
-	return f.confirmedAt, f.confirmed && f.Table != nil
+// ConfirmedAt returns the last moment at which no newer configuration had been acknowledged. ok is false where none is known.
+func (c *ConfigReplica) ConfirmedAt() (at time.Duration, ok bool) {
+	return c.confirmedAt, c.confirmed && c.Table != nil
 }
 
-// Confirm notes that the configuration of a sequence was the newest at a moment.
-func (f *ConfigReplica) Confirm(sequence uint64, at time.Duration) {
-	if f.Table == nil || f.Sequence < sequence {
+// Confirm records that the configuration with this sequence was the newest at a moment. It has no effect where this replica
+// is older than that.
+func (c *ConfigReplica) Confirm(sequence uint64, at time.Duration) {
+	if c.Table == nil || c.Sequence < sequence {
 		return
 	}
-	if !f.confirmed || f.confirmedAt < at {
-		f.confirmed, f.confirmedAt = true, at
+	if !c.confirmed || c.confirmedAt < at {
+		c.confirmed, c.confirmedAt = true, at
 	}
 }
 
-// Set takes a configuration over whose table is known. order made it of the one before; nil: not known.
-func (f *ConfigReplica) Set(sequence uint64, table *config.Table, order []byte) {
-	if f.Table != nil && sequence <= f.Sequence {
+// Set replaces the configuration by a newer one. change is the encoded change that led to it from its predecessor; nil: not known.
+func (c *ConfigReplica) Set(sequence uint64, table *config.Table, change []byte) {
+	if c.Table != nil && sequence <= c.Sequence {
 		return
 	}
-	if order != nil && sequence == f.Sequence+1 {
-		f.retain(order)
+	if change != nil && sequence == c.Sequence+1 {
+		c.retain(change)
 	} else {
-		f.changes = nil
+		c.changes = nil
 	}
-	f.Sequence, f.Table = sequence, table
+	c.Sequence, c.Table = sequence, table
 }
 
-func (f *ConfigReplica) retain(order []byte) {
-	f.changes = append(f.changes, order)
-	if len(f.changes) > maxRetainedChanges {
-		f.changes = append([][]byte(nil), f.changes[len(f.changes)-maxRetainedChanges:]...)
+func (c *ConfigReplica) retain(change []byte) {
+	c.changes = append(c.changes, change)
+	if surplus := len(c.changes) - maxRetainedChanges; surplus > 0 {
+		c.changes = append([][]byte(nil), c.changes[surplus:]...)
 	}
 }
 
-// Apply takes over the configuration of a sequence by the order that made it of the one before. It returns false where
-// the one before is not held.
-func (f *ConfigReplica) Apply(sequence uint64, encoded []byte) (bool, error) {
-	if f.Table == nil || sequence != f.Sequence+1 {
+// Apply applies the encoded change with this sequence. It returns false where the change's predecessor is missing, and an
+// error where the change can't be decoded or does not fit the configuration.
+func (c *ConfigReplica) Apply(sequence uint64, encoded []byte) (bool, error) {
+	if c.Table == nil || sequence != c.Sequence+1 {
 		return false, nil
 	}
-	order, err := config.DecodeChange(encoded)
+	change, err := config.DecodeChange(encoded)
 	if err != nil {
 		return false, err
 	}
-	state, err := (&config.State{Document: f.Table.Document}).Apply(order)
+	state, err := (&config.State{Document: c.Table.Document}).Apply(change)
 	if err != nil {
 		return false, err
 	}
-	table, err := config.NewTable(state.Document, f.Table)
+	table, err := config.NewTable(state.Document, c.Table)
 	if err != nil {
 		return false, err
 	}
-	f.Set(sequence, table, encoded)
+	c.Set(sequence, table, encoded)
 	return true, nil
 }
 
-// ageMs is how long ago the configuration surely was the newest, rounded up.
-func (f *ConfigReplica) ageMs(now time.Duration) (age uint64, fresh bool) {
-	at, fresh := f.ConfirmedAt()
-	if !fresh {
+// ageMs returns the milliseconds since the configuration was last confirmed, rounded up.
+func (c *ConfigReplica) ageMs(now time.Duration) (age uint64, confirmed bool) {
+	at, confirmed := c.ConfirmedAt()
+	if !confirmed {
 		return 0, false
 	}
 	return uint64((now - at + time.Millisecond - 1) / time.Millisecond), true
 }
 
-// ServeFetch answers a router that holds the configuration of a sequence.
-func (f *ConfigReplica) ServeFetch(now time.Duration, request FetchRequest) (FetchReply, error) {
-	if f.Table == nil {
-		return FetchReply{}, fmt.Errorf("dissemination: no configuration is held")
-	}
-	reply := FetchReply{Sequence: f.Sequence}
-	reply.AgeMs, reply.Fresh = f.ageMs(now)
-	behind := int(f.Sequence - min(f.Sequence, request.After))
-	if request.After > 0 && behind <= len(f.changes) {
-		reply.Changes = f.changes[len(f.changes)-behind:]
+// ServeFetch answers another router's request: with the changes that it lacks where all of them are retained, otherwise with the
+// complete configuration. Its error is ErrNoConfiguration.
+func (c *ConfigReplica) ServeFetch(now time.Duration, request FetchRequest) (FetchReply, error) {
+	if c.Table == nil {
+		return FetchReply{}, ErrNoConfiguration
+	}
+	reply := FetchReply{Sequence: c.Sequence}
+	reply.AgeMs, reply.Fresh = c.ageMs(now)
+	missing := int(c.Sequence - min(c.Sequence, request.After))
+	if request.After > 0 && missing <= len(c.changes) {
+		reply.Changes = c.changes[len(c.changes)-missing:]
 		return reply, nil
 	}
-	reply.Document = f.Table.Document.Encode()
+	reply.Document = c.Table.Document.Encode()
 	return reply, nil
 }
 
-// ApplyReply takes over what another router answered. It returns false where nothing was new.
-func (f *ConfigReplica) ApplyReply(reply FetchReply) (bool, error) {
-	if f.Table != nil && reply.Sequence <= f.Sequence {
+// ApplyReply applies another router's reply to a fetch. It returns whether the configuration changed; the error says why a
+// document or change in the reply can't be used.
+func (c *ConfigReplica) ApplyReply(reply FetchReply) (bool, error) {
+	if c.Table != nil && reply.Sequence <= c.Sequence {
 		return false, nil
 	}
 	if reply.Document != nil {
-		document, err := config.ParseDocument(reply.Document)
-		if err != nil {
-			return false, err
-		}
-		table, err := config.NewTable(document, f.Table)
-		if err != nil {
-			return false, err
-		}
-		f.Set(reply.Sequence, table, nil)
-		return true, nil
+		return c.replaceDocument(reply.Sequence, reply.Document)
 	}
 	first := reply.Sequence - uint64(len(reply.Changes)) + 1
 	changed := false
-	for i, order := range reply.Changes {
-		applied, err := f.Apply(first+uint64(i), order)
+	for i, change := range reply.Changes {
+		applied, err := c.Apply(first+uint64(i), change)
 		if err != nil {
 			return changed, err
 		}
@@ -130,3 +128,16 @@
 	}
 	return changed, nil
 }
+
+func (c *ConfigReplica) replaceDocument(sequence uint64, encoded []byte) (bool, error) {
+	document, err := config.ParseDocument(encoded)
+	if err != nil {
+		return false, err
+	}
+	table, err := config.NewTable(document, c.Table)
+	if err != nil {
+		return false, err
+	}
+	c.Set(sequence, table, nil)
+	return true, nil
+}
--- a/internal/fleet/dissemination/endpoint_leave_test.go
+++ b/internal/fleet/dissemination/endpoint_leave_test.go
@@ -9,21 +9,21 @@
 	"pinelb.example/pinelb/internal/fleet/registry"
 )
 
-// Guards against a leave that the primary has, and that does not reach every router in touch within drainMs.
-func TestLeaveReachesAll(t *testing.T) {
+// Guards against an endpoint's leave that the primary has applied and that does not reach every connected router within drainMs.
+func TestEndpointLeaveReachesAllRouters(t *testing.T) {
 	const drain = 2 * time.Second
 	for _, size := range []int{12, 90} {
-		Convey("A leave that the primary takes over reaches all within drainMs, with a tenth of the datagrams lost", t, func() {
+		Convey("A leave that the primary applies reaches all routers within drainMs, with a tenth of the datagrams lost", t, func() {
 			f := newFleet(size, 3)
 			f.run(10 * time.Second)
 			endpoint := registry.Endpoint{ID: "i-1", Service: "s", Address: "10.1.0.1:1", State: registry.Ready, Sequence: 1, Owner: address(7)}
-			out, _ := f.nodes[address(7)].HandleEndpointHeartbeat(f.now, endpoint)
-			f.carryOut(address(7), out)
+			output, _ := f.nodes[address(7)].HandleEndpointHeartbeat(f.now, endpoint)
+			f.perform(address(7), output)
 			f.run(3 * time.Second)
-			f.lose = 10
+			f.lossPercent = 10
 			leaving := endpoint
 			leaving.State, leaving.Sequence = registry.Draining, 2
-			f.carryOut(address(0), f.nodes[address(0)].HandleEndpointLeave(f.now, leaving))
+			f.perform(address(0), f.nodes[address(0)].HandleEndpointLeave(f.now, leaving))
 			f.run(drain)
 			for _, a := range f.order {
 				known, ok := f.nodes[a].Registry.Lookup("i-1")
@@ -32,12 +32,12 @@
 			}
 		})
 	}
-	Convey("A leave that is handed over again is told again: those who were told before may have missed it", t, func() {
+	Convey("A leave that is reported again is pushed again: the routers it was pushed to before may have missed it", t, func() {
 		f := newFleet(3, 3)
 		f.run(5 * time.Second)
 		endpoint := registry.Endpoint{ID: "i-1", Service: "s", Address: "10.1.0.1:1", State: registry.Ready, Sequence: 1, Owner: address(1)}
-		out, _ := f.nodes[address(1)].HandleEndpointHeartbeat(f.now, endpoint)
-		f.carryOut(address(1), out)
+		output, _ := f.nodes[address(1)].HandleEndpointHeartbeat(f.now, endpoint)
+		f.perform(address(1), output)
 		f.run(time.Second)
 		endpoint.State, endpoint.Sequence = registry.Draining, 2
 		So(len(f.nodes[address(0)].HandleEndpointLeave(f.now, endpoint).Send), ShouldEqual, 2)
--- a/internal/fleet/dissemination/node.go
+++ b/internal/fleet/dissemination/node.go
@@ -1,6 +1,13 @@
-// Package dissemination spreads what all routers have to know: the configuration and how fresh it is, the endpoints, and
-// the routers themselves. What is new is pushed at once; what a push missed is found by comparing digests with one
-// router after another (epidemic algorithms: Demers et al., 1987). It is pure: no I/O, no clock.
+// Package dissemination distributes what every router of a fleet has to know: the configuration and when it was last
+// confirmed, the endpoints, and the routers themselves. Whatever is new is pushed at once; anti-entropy finds what a push
+// missed, by comparing digests with one router after another (A. Demers et al., "Epidemic algorithms for replicated
+// database maintenance", 1987).
+//
+// The package is pure: it does no I/O and reads no clock. The router package calls it, hands it messages and the time, and
+// carries out the Output of each step. Times are durations since the router's start.
+//
+// Invariants: a configuration's sequence never decreases; a confirmation's age is never less than the time since the primary
+// confirmed it, however long messages were delayed; the reply to a pull is bounded.
 package dissemination
 
 import (
@@ -13,24 +20,24 @@
 )
 
 const (
-	endpointTombstoneTTL = 60 * time.Second
-	missedHeartbeatsToExpire = 4 // heartbeats after which an endpoint has lapsed
-	expiryInterval  = 500 * time.Millisecond
+	endpointTombstoneTTL     = 60 * time.Second // after which an endpoint that has ended is purged
+	missedHeartbeatsToExpire = 4                // heartbeat intervals of an endpoint without a heartbeat until it expires
+	expiryInterval           = 500 * time.Millisecond
 )
 
-// Outgoing is a message to be sent.
+// Outgoing is a message to be sent: Heartbeat, Pull, PullReply or Update.
 type Outgoing struct {
-	To      string
+	To      string // internal address
 	Message any
 }
 
-// Output is what a step wants done.
+// Output is what the caller has to do after a step.
 type Output struct {
-	Send  []Outgoing
-	Fetch string // the router to fetch the configuration from; empty: none
+	Send  []Outgoing // in this order
+	Fetch string     // internal address of the router to fetch the configuration from; empty: none
 }
 
-// Options are a node's surroundings.
+// Options configure a node.
 type Options struct {
 	Self                      membership.Member
 	Seeds                     []string // internal addresses
@@ -39,56 +46,64 @@
 	Random                    *rand.Rand
 }
 
-// Node is one router's part. Its methods are not safe for concurrent use.
+// Node is one router's part in the dissemination. Its methods are not safe for concurrent use.
 type Node struct {
 	Members  *membership.List
 	Registry *registry.Registry
 	Config   ConfigReplica
 
-	options   Options
-	now       time.Duration
-	output       *Output
-	round     uint64
-	pendingPulls     map[uint64]pendingPull
-	nextPull  time.Duration
-	nextExpiry time.Duration
-	view      uint64
-	primary   string
-	seeds     []string
-	queues    [maxHops + 1]updateQueue // news for the next tick, by how often they were passed on
+	options Options
+	seeds   []string
+	now     time.Duration // of the current step
+	output  *Output       // of the current step
+
+	round        uint64 // of the last pull
+	pendingPulls map[uint64]pendingPull
+	nextPull     time.Duration
+	nextExpiry   time.Duration
+
+	view    uint64
+	primary string
+
+	queues [maxHops + 1]updateQueue // by how often the updates have been forwarded
 }
 
 // New returns a node that knows itself and its seeds.
 func New(now time.Duration, options Options) *Node {
 	return &Node{
-		Members: membership.New(now, options.Self, options.Timing), Registry: registry.New(),
-		options: options, pendingPulls: map[uint64]pendingPull{}, seeds: options.Seeds,
+		Members:      membership.New(now, options.Self, options.Timing),
+		Registry:     registry.New(),
+		options:      options,
+		pendingPulls: map[uint64]pendingPull{},
+		seeds:        options.Seeds,
 	}
 }
 
-// SetSeeds exchanges the seeds.
+// SetSeeds replaces the seeds, which are internal addresses.
 func (n *Node) SetSeeds(seeds []string) { n.seeds = seeds }
 
-// Primary is the newest view that is known, and its primary's internal address.
+// Primary returns the newest known view and its primary's internal address; 0 and empty: none is known.
 func (n *Node) Primary() (view uint64, address string) { return n.view, n.primary }
 
-// SetView notes a view.
+// SetView records a view and its primary's internal address, unless a newer view is known.
 func (n *Node) SetView(view uint64, primary string) {
 	if view > n.view {
 		n.view, n.primary = view, primary
 	}
 }
 
-// AnnouncePrimary tells all that this router is the primary of a view, so that they don't ask the former one until the next pull.
+// AnnouncePrimary announces to the other routers that this one is the primary of a view, so that they don't ask the former
+// primary until their next pull.
 func (n *Node) AnnouncePrimary(now time.Duration, view uint64) *Output {
-	out := n.begin(now)
+	output := n.begin(now)
 	if view > n.view {
 		n.SetView(view, n.options.Self.Address)
 		n.disseminateView(0)
 	}
-	return out
+	return output
 }
 
+// begin starts a step: what it sends is collected in the output.
 func (n *Node) begin(now time.Duration) *Output {
 	n.now = now
 	n.output = &Output{}
@@ -99,34 +114,39 @@
 	n.output.Send = append(n.output.Send, Outgoing{To: to, Message: message})
 }
 
-// Tick lets time pass.
+// Tick does what is due: heartbeats, probes, the next pull, the expiry of endpoints, and queued updates.
 func (n *Node) Tick(now time.Duration) *Output {
-	out := n.begin(now)
-	step := n.Members.Tick(now)
-	for _, to := range step.Heartbeats {
+	output := n.begin(now)
+	due := n.Members.Tick(now)
+	for _, to := range due.Heartbeats {
 		n.send(to, Heartbeat{})
 	}
-	for _, to := range step.Probes {
+	for _, to := range due.Probes {
 		n.send(to, Heartbeat{WantsReply: true})
 	}
-	n.disseminateMembers(step.Dead, 0)
+	n.disseminateMembers(due.Dead, 0)
 	if now >= n.nextPull {
 		n.nextPull = now + n.pullInterval()
 		n.pull()
 	}
 	if now >= n.nextExpiry {
 		n.nextExpiry = now + expiryInterval
-		silence := missedHeartbeatsToExpire * n.options.EndpointHeartbeatInterval
-		n.disseminateEndpoints(n.Registry.ExpireSilent(now, n.options.Self.Address, silence, n.mayReceiveHeartbeats(silence)), 0)
-		n.Registry.Purge(now, endpointTombstoneTTL)
+		n.expireEndpoints()
 	}
 	n.flushQueues()
-	return out
+	return output
 }
 
-// Receive takes a message of another router.
+func (n *Node) expireEndpoints() {
+	timeout := missedHeartbeatsToExpire * n.options.EndpointHeartbeatInterval
+	expired := n.Registry.ExpireSilent(n.now, n.options.Self.Address, timeout, n.mayReceiveHeartbeats(timeout))
+	n.disseminateEndpoints(expired, 0)
+	n.Registry.Purge(n.now, endpointTombstoneTTL)
+}
+
+// Receive handles another router's message.
 func (n *Node) Receive(now time.Duration, from string, message any) *Output {
-	out := n.begin(now)
+	output := n.begin(now)
 	n.Members.RecordContact(now, from)
 	switch message := message.(type) {
 	case Heartbeat:
@@ -140,88 +160,94 @@
 	case Update:
 		n.handleUpdate(from, message)
 	}
-	return out
+	return output
 }
 
-func (n *Node) handleUpdate(from string, message Update) {
-	hops := message.Hops + 1
-	if message.View > n.view {
-		n.SetView(message.View, message.Primary)
+func (n *Node) handleUpdate(from string, update Update) {
+	hops := update.Hops + 1
+	if update.View > n.view {
+		n.SetView(update.View, update.Primary)
 		n.disseminateView(hops)
 	}
-	n.disseminateMembers(n.Members.Merge(n.now, message.Members), hops)
-	news, asserted := n.Registry.Merge(n.now, n.options.Self.Address, message.Endpoints)
-	n.disseminateEndpoints(news, hops)
+	n.disseminateMembers(n.Members.Merge(n.now, update.Members), hops)
+	changed, asserted := n.Registry.Merge(n.now, n.options.Self.Address, update.Endpoints)
+	n.disseminateEndpoints(changed, hops)
 	n.disseminateEndpoints(asserted, 0)
-	if message.Sequence <= n.Config.Sequence {
+	n.handleConfigUpdate(from, update, hops)
+}
+
+// handleConfigUpdate applies a change that the update brings, and asks for a fetch where that is not possible.
+func (n *Node) handleConfigUpdate(from string, update Update, hops uint8) {
+	if update.Sequence <= n.Config.Sequence {
 		return
 	}
-	if message.Change != nil {
-		if applied, err := n.Config.Apply(message.Sequence, message.Change); err == nil && applied {
-			n.disseminateChange(message.Sequence, message.Change, hops)
+	if update.Change != nil {
+		if applied, err := n.Config.Apply(update.Sequence, update.Change); err == nil && applied {
+			n.disseminateChange(update.Sequence, update.Change, hops)
 			return
 		}
 	}
 	n.output.Fetch = from
 }
 
-// HandleFetchReply takes over what a router answered to a fetch that was asked at a moment. It returns whether the configuration
-// changed.
-func (n *Node) HandleFetchReply(now, asked time.Duration, reply FetchReply) (*Output, bool, error) {
-	out := n.begin(now)
+// HandleFetchReply applies the reply to a fetch that was requested at a moment. It returns whether the configuration changed;
+// the error says why the reply can't be used.
+func (n *Node) HandleFetchReply(now, requestedAt time.Duration, reply FetchReply) (*Output, bool, error) {
+	output := n.begin(now)
 	changed, err := n.Config.ApplyReply(reply)
 	if reply.Fresh {
-		n.Config.Confirm(reply.Sequence, asked-time.Duration(reply.AgeMs)*time.Millisecond)
+		n.Config.Confirm(reply.Sequence, requestedAt-time.Duration(reply.AgeMs)*time.Millisecond)
 	}
 	if changed {
 		n.disseminateChange(n.Config.Sequence, nil, 1)
 	}
-	return out, changed, err
+	return output, changed, err
 }
 
-// Commit takes over a configuration that this router, as the primary, has acknowledged.
-func (n *Node) Commit(now time.Duration, sequence uint64, table *config.Table, order []byte) *Output {
-	out := n.begin(now)
+// Commit records a configuration that this router, as the primary, has acknowledged. change is the encoded change that led to
+// it; nil: others have to fetch the configuration.
+func (n *Node) Commit(now time.Duration, sequence uint64, table *config.Table, change []byte) *Output {
+	output := n.begin(now)
 	if n.Config.Table != nil && sequence <= n.Config.Sequence {
-		return out
+		return output
 	}
-	n.Config.Set(sequence, table, order)
-	n.disseminateChange(sequence, order, 0)
-	return out
+	n.Config.Set(sequence, table, change)
+	n.disseminateChange(sequence, change, 0)
+	return output
 }
 
-// HandleEndpointHeartbeat takes an endpoint's own word over; ok is false where it is older than what is known.
-func (n *Node) HandleEndpointHeartbeat(now time.Duration, said registry.Endpoint) (out *Output, ok bool) {
-	out = n.begin(now)
-	news, ok := n.Registry.ApplyHeartbeat(now, said)
-	n.disseminateEndpoints(news, 0)
-	return out, ok
+// HandleEndpointHeartbeat applies an endpoint's own report; ok is false where it is older than what is known.
+func (n *Node) HandleEndpointHeartbeat(now time.Duration, report registry.Endpoint) (output *Output, ok bool) {
+	output = n.begin(now)
+	changed, ok := n.Registry.ApplyHeartbeat(now, report)
+	n.disseminateEndpoints(changed, 0)
+	return output, ok
 }
 
-// HandleEndpointLeave takes over from another router that an endpoint leaves, and tells all, also where it was known here: those who
-// were told before may have missed it.
+// HandleEndpointLeave applies another router's report that an endpoint leaves. It is pushed also where this router knew of it:
+// those it was pushed to before may have missed it.
 func (n *Node) HandleEndpointLeave(now time.Duration, endpoint registry.Endpoint) *Output {
-	out := n.begin(now)
-	news, _ := n.Registry.Merge(now, n.options.Self.Address, []registry.Endpoint{endpoint})
-	if len(news) == 0 {
+	output := n.begin(now)
+	changed, _ := n.Registry.Merge(now, n.options.Self.Address, []registry.Endpoint{endpoint})
+	if len(changed) == 0 {
 		if known, ok := n.Registry.Lookup(endpoint.ID); ok && known.State != registry.Ready {
-			news = []registry.Endpoint{known}
+			changed = []registry.Endpoint{known}
 		}
 	}
-	n.disseminateEndpoints(news, 0)
-	return out
+	n.disseminateEndpoints(changed, 0)
+	return output
 }
 
-// RestoreEndpoints takes over endpoints that a router before this one knew, as reports that any word of their own replaces.
+// RestoreEndpoints adds endpoints that an earlier process of this router knew. Any report of their own replaces them.
 func (n *Node) RestoreEndpoints(now time.Duration, endpoints []registry.Endpoint) *Output {
-	out := n.begin(now)
+	output := n.begin(now)
 	n.disseminateEndpoints(n.Registry.Restore(now, endpoints), 0)
-	return out
+	return output
 }
 
-// Leave says that this router ends.
+// Leave announces that this router shuts down.
 func (n *Node) Leave(now time.Duration) *Output {
-	out := n.begin(now)
+	output := n.begin(now)
 	n.pushMembers([]membership.Member{n.Members.Leave()}, 0)
-	return out
+	return output
 }
--- a/internal/fleet/dissemination/node_test.go
+++ b/internal/fleet/dissemination/node_test.go
@@ -13,19 +13,19 @@
 	"pinelb.example/pinelb/internal/fleet/registry"
 )
 
-// fleet is a number of nodes on one clock. Messages arrive after a millisecond unless their way is cut.
+// fleet is a number of nodes on one simulated clock. Messages arrive after a millisecond unless they are lost or partitioned off.
 type fleet struct {
-	now   time.Duration
-	nodes map[string]*Node
-	order []string
-	mail  []mail
-	cut   func(from, to string) bool
-	lose  int // percent
-	sent  int
-	rng   *rand.Rand
+	now         time.Duration
+	nodes       map[string]*Node
+	order       []string // of the steps
+	inFlight    []delivery
+	partitioned func(from, to string) bool
+	lossPercent int
+	sent        int
+	rng         *rand.Rand
 }
 
-type mail struct {
+type delivery struct {
 	at       time.Duration
 	from, to string
 	message  any
@@ -46,19 +46,20 @@
 	return f
 }
 
-func (f *fleet) carryOut(from string, out *Output) {
-	for _, o := range out.Send {
+// perform carries out what a node wants done.
+func (f *fleet) perform(from string, output *Output) {
+	for _, o := range output.Send {
 		f.sent++
-		if f.cut != nil && f.cut(from, o.To) || f.rng.IntN(100) < f.lose {
+		if f.partitioned != nil && f.partitioned(from, o.To) || f.rng.IntN(100) < f.lossPercent {
 			continue
 		}
-		f.mail = append(f.mail, mail{f.now + time.Millisecond, from, o.To, o.Message})
+		f.inFlight = append(f.inFlight, delivery{f.now + time.Millisecond, from, o.To, o.Message})
 	}
-	if out.Fetch != "" && (f.cut == nil || !f.cut(from, out.Fetch)) {
-		if reply, err := f.nodes[out.Fetch].Config.ServeFetch(f.now, FetchRequest{After: f.nodes[from].Config.Sequence}); err == nil {
+	if output.Fetch != "" && (f.partitioned == nil || !f.partitioned(from, output.Fetch)) {
+		if reply, err := f.nodes[output.Fetch].Config.ServeFetch(f.now, FetchRequest{After: f.nodes[from].Config.Sequence}); err == nil {
 			next, _, err := f.nodes[from].HandleFetchReply(f.now, f.now, reply)
 			So(err, ShouldBeNil)
-			f.carryOut(from, next)
+			f.perform(from, next)
 		}
 	}
 }
@@ -68,46 +69,46 @@
 		f.now += time.Millisecond
 		if f.now%(50*time.Millisecond) == 0 {
 			for _, a := range f.order {
-				f.carryOut(a, f.nodes[a].Tick(f.now))
+				f.perform(a, f.nodes[a].Tick(f.now))
 			}
 		}
-		due := f.mail
-		f.mail = nil
+		due := f.inFlight
+		f.inFlight = nil
 		for _, m := range due {
 			if m.at > f.now {
-				f.mail = append(f.mail, m)
+				f.inFlight = append(f.inFlight, m)
 				continue
 			}
-			f.carryOut(m.to, f.nodes[m.to].Receive(f.now, m.from, m.message))
+			f.perform(m.to, f.nodes[m.to].Receive(f.now, m.from, m.message))
 		}
 	}
 }
 
 // commit has the first node acknowledge a configuration.
 func (f *fleet) commit(sequence uint64) {
-	order := &config.Change{Replace: true, Body: fmt.Appendf(nil, `{"version":%d}`, sequence)}
-	state, err := config.EmptyState().Apply(order)
+	change := &config.Change{Replace: true, Body: fmt.Appendf(nil, `{"version":%d}`, sequence)}
+	state, err := config.EmptyState().Apply(change)
 	So(err, ShouldBeNil)
 	table, err := config.NewTable(state.Document, nil)
 	So(err, ShouldBeNil)
-	encoded, err := order.Encode()
+	encoded, err := change.Encode()
 	So(err, ShouldBeNil)
-	f.carryOut(address(0), f.nodes[address(0)].Commit(f.now, sequence, table, encoded))
+	f.perform(address(0), f.nodes[address(0)].Commit(f.now, sequence, table, encoded))
 	f.nodes[address(0)].Config.Confirm(sequence, f.now)
 }
 
 // behind counts the nodes that hold an older configuration.
 func (f *fleet) behind(sequence uint64) int {
-	n := 0
+	count := 0
 	for _, node := range f.nodes {
 		if node.Config.Sequence < sequence {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-func TestSpread(t *testing.T) {
+func TestDissemination(t *testing.T) {
 	for _, size := range []int{12, 90} {
 		Convey(fmt.Sprintf("%d routers that know three seeds", size), t, func() {
 			f := newFleet(size, 3)
@@ -115,7 +116,7 @@
 			So(f.nodes[address(size-1)].Members.LiveCount(), ShouldEqual, size)
 
 			Convey("all hold a change within a second, though a twentieth of the messages is lost", func() {
-				f.lose = 5
+				f.lossPercent = 5
 				f.commit(1)
 				f.run(time.Second)
 				So(f.behind(1), ShouldEqual, 0)
@@ -128,15 +129,15 @@
 				f.run(time.Second)
 				So(f.behind(10), ShouldEqual, 0)
 			})
-			Convey("all know within a second that an endpoint drains", func() {
-				said := registry.Endpoint{ID: "e", Service: "s", Address: "x:1", State: registry.Ready, Sequence: 1, Owner: address(4)}
-				out, ok := f.nodes[address(4)].HandleEndpointHeartbeat(f.now, said)
+			Convey("all know within a second that an endpoint is draining", func() {
+				report := registry.Endpoint{ID: "e", Service: "s", Address: "x:1", State: registry.Ready, Sequence: 1, Owner: address(4)}
+				output, ok := f.nodes[address(4)].HandleEndpointHeartbeat(f.now, report)
 				So(ok, ShouldBeTrue)
-				f.carryOut(address(4), out)
+				f.perform(address(4), output)
 				f.run(time.Second)
-				said.State, said.Sequence = registry.Draining, 2
-				out, _ = f.nodes[address(4)].HandleEndpointHeartbeat(f.now, said)
-				f.carryOut(address(4), out)
+				report.State, report.Sequence = registry.Draining, 2
+				output, _ = f.nodes[address(4)].HandleEndpointHeartbeat(f.now, report)
+				f.perform(address(4), output)
 				f.run(time.Second)
 				for _, node := range f.nodes {
 					e, known := node.Registry.Lookup("e")
@@ -144,29 +145,29 @@
 					So(e.State, ShouldEqual, registry.Draining)
 				}
 			})
-			Convey("catch up when they were cut off from the core", func() {
+			Convey("catch up after a partition from the core", func() {
 				isolated := address(size - 1)
-				f.cut = func(from, to string) bool { return from == isolated || to == isolated }
+				f.partitioned = func(from, to string) bool { return from == isolated || to == isolated }
 				f.commit(1)
 				f.run(2 * time.Second)
 				So(f.behind(1), ShouldEqual, 1)
-				f.cut = nil
+				f.partitioned = nil
 				f.run(2 * time.Second)
 				So(f.behind(1), ShouldEqual, 0)
 			})
-			Convey("send little at rest", func() {
+			Convey("send few messages while nothing changes", func() {
 				f.commit(1)
 				f.run(2 * time.Second)
 				f.sent = 0
 				f.run(10 * time.Second)
 				each := float64(f.sent) / float64(size) / 10
-				So(each, ShouldBeLessThan, 8) // heartbeats to two, two pulls and their answers
+				So(each, ShouldBeLessThan, 8) // heartbeats to two monitors, two pulls and their replies
 			})
 		})
 	}
 }
 
-func TestLease(t *testing.T) {
+func TestConfirmation(t *testing.T) {
 	Convey("Three routers that hold a configuration", t, func() {
 		f := newFleet(3, 1)
 		f.run(time.Second)
@@ -174,7 +175,7 @@
 		f.run(time.Second)
 		other := f.nodes[address(2)]
 
-		Convey("keep it fresh while the primary confirms it", func() {
+		Convey("have it confirmed as long as the primary confirms it", func() {
 			for range 20 {
 				f.nodes[address(0)].Config.Confirm(1, f.now)
 				f.run(200 * time.Millisecond)
@@ -183,37 +184,37 @@
 			So(fresh, ShouldBeTrue)
 			So(f.now-at, ShouldBeLessThan, 2*time.Second)
 		})
-		Convey("let it age from the primary's last confirmation, and not from the last message", func() {
+		Convey("count its age from the primary's last confirmation, and not from the last message", func() {
 			confirmed, _ := f.nodes[address(0)].Config.ConfirmedAt()
 			f.run(5 * time.Second)
 			at, _ := other.Config.ConfirmedAt()
 			So(at, ShouldBeLessThanOrEqualTo, confirmed)
 		})
-		Convey("do not take an answer for fresh that was held up on its way", func() {
-			asked := f.now
-			out := other.Tick(f.now + PullInterval*2)
+		Convey("do not count a delayed reply as a recent confirmation", func() {
+			sentAt := f.now
+			output := other.Tick(f.now + PullInterval*2)
 			var pull Pull
-			for _, o := range out.Send {
+			for _, o := range output.Send {
 				if p, is := o.Message.(Pull); is {
 					pull = p
 				}
 			}
 			So(pull.Round, ShouldBeGreaterThan, 0)
 			late := f.now + 10*time.Second
-			answer := PullReply{Round: pull.Round, Sequence: 1, Fresh: true, AgeMs: 0}
+			reply := PullReply{Round: pull.Round, Sequence: 1, Fresh: true, AgeMs: 0}
 			for _, to := range []string{address(0), address(1)} {
-				other.Receive(late, to, answer)
+				other.Receive(late, to, reply)
 			}
 			at, _ := other.Config.ConfirmedAt()
-			So(at, ShouldBeLessThanOrEqualTo, asked+PullInterval*2)
+			So(at, ShouldBeLessThanOrEqualTo, sentAt+PullInterval*2)
 		})
-		Convey("do not renew a configuration for which a newer one was told", func() {
+		Convey("do not confirm a configuration when a newer one is confirmed", func() {
 			before, _ := other.Config.ConfirmedAt()
 			other.Config.Confirm(2, f.now)
 			at, _ := other.Config.ConfirmedAt()
 			So(at, ShouldEqual, before)
 		})
-		Convey("never go back to an older one", func() {
+		Convey("never return to an older one", func() {
 			other.Config.Set(0, other.Config.Table, nil)
 			So(other.Config.Sequence, ShouldEqual, 1)
 		})
--- a/internal/fleet/dissemination/pull.go
+++ b/internal/fleet/dissemination/pull.go
@@ -8,29 +8,29 @@
 	"pinelb.example/pinelb/internal/fleet/membership"
 )
 
-// How what a push missed is found: by comparing digests with one router after another.
+// Anti-entropy: what a push missed is found by comparing digests with one router after another.
 
-// PullInterval is the time between a router's pulls, once its configuration has been confirmed.
+// PullInterval is the mean time between a router's pulls, once its configuration has been confirmed.
 const PullInterval = 500 * time.Millisecond
 
 // initialPullInterval is the time between a router's pulls until then, in a small fleet. In a larger one it grows with the
-// fleet up to PullInterval, so that the core can answer all of a fleet that starts at once.
+// fleet up to PullInterval, so that the core can answer all routers of a fleet that starts at once.
 const initialPullInterval = 60 * time.Millisecond
 
 const (
-	maxItemsPerReply   = 70 // members, and endpoints, with which a pull is answered: the next pulls find the others
-	maxPendingPulls   = 8  // questions that may still be answered
-	recoveryPullOdds = 8  // one in so many pulls goes to a router that is thought dead, or a seed: partitions heal so
+	maxItemsPerReply = 70 // members, and endpoints, in the reply to one pull: later pulls find the others
+	maxPendingPulls  = 8  // pulls whose reply is still accepted
+	recoveryPullOdds = 8  // one pull in so many goes to a router thought dead, or to a seed, so that partitions heal
 )
 
-// question is a pull that may still be answered.
+// pendingPull is a pull whose reply is awaited.
 type pendingPull struct {
-	to string
+	to     string
 	sentAt time.Duration
 }
 
 func (n *Node) pullInterval() time.Duration {
-	if _, fresh := n.Config.ConfirmedAt(); !fresh {
+	if _, confirmed := n.Config.ConfirmedAt(); !confirmed {
 		return min(PullInterval, initialPullInterval*time.Duration(max(1, n.Members.LiveCount()/maxDirectPeers)))
 	}
 	return PullInterval*9/10 + time.Duration(n.options.Random.Int64N(int64(PullInterval/5)))
@@ -41,16 +41,16 @@
 	return known && m.Status == membership.Alive
 }
 
-// mayReceiveHeartbeats tells of a router whether it may still hear its endpoints: it lives, or ended less than a silence ago, so that
-// they have had no time to find another one.
-func (n *Node) mayReceiveHeartbeats(silence time.Duration) func(address string) bool {
+// mayReceiveHeartbeats returns a function that reports whether a router may still receive its endpoints' heartbeats: it is
+// alive, or ended less than a timeout ago, so that the endpoints have had no time to find another router.
+func (n *Node) mayReceiveHeartbeats(timeout time.Duration) func(address string) bool {
 	return func(address string) bool {
-		ended, known := n.Members.EndedAt(address)
-		return n.isAlive(address) || known && n.now-ended < silence
+		endedAt, ended := n.Members.EndedAt(address)
+		return n.isAlive(address) || ended && n.now-endedAt < timeout
 	}
 }
 
-// pull asks one router for news: in turn one of the core, where the configuration is freshest, and any.
+// pull asks one router for updates.
 func (n *Node) pull() {
 	to := n.choosePullPeer()
 	if to == "" {
@@ -65,11 +65,13 @@
 	})
 }
 
+// choosePullPeer alternates between the core, where the configuration was confirmed last, and all live routers; now and then it
+// chooses a router that may have recovered. Empty: there is none.
 func (n *Node) choosePullPeer() string {
 	live := n.Members.LiveAddresses()
 	if len(live) == 0 || n.options.Random.IntN(recoveryPullOdds) == 0 {
-		if stranger := n.pickRandom(n.recoveryCandidates()); stranger != "" {
-			return stranger
+		if candidate := n.pickRandom(n.recoveryCandidates()); candidate != "" {
+			return candidate
 		}
 	}
 	if n.round%2 == 0 {
@@ -81,20 +83,20 @@
 	return n.pickRandom(live)
 }
 
-// strangers are routers that may live though this one does not know it.
+// recoveryCandidates are routers that may be alive though this one does not know it: seeds, and members thought dead.
 func (n *Node) recoveryCandidates() []string {
-	var all []string
+	var candidates []string
 	for _, seed := range n.seeds {
 		if seed != n.options.Self.Address && !n.isAlive(seed) {
-			all = append(all, seed)
+			candidates = append(candidates, seed)
 		}
 	}
 	for _, m := range n.Members.All() {
 		if m.Status == membership.Dead {
-			all = append(all, m.Address)
+			candidates = append(candidates, m.Address)
 		}
 	}
-	return all
+	return candidates
 }
 
 func (n *Node) pickRandom(addresses []string) string {
@@ -104,18 +106,19 @@
 	return addresses[n.options.Random.IntN(len(addresses))]
 }
 
-func (n *Node) handlePull(from string, message Pull) {
-	if message.Self.Address == from {
-		n.disseminateMembers(n.Members.Merge(n.now, []membership.Member{message.Self}), 0)
+func (n *Node) handlePull(from string, pull Pull) {
+	if pull.Self.Address == from {
+		n.disseminateMembers(n.Members.Merge(n.now, []membership.Member{pull.Self}), 0)
 	}
-	answer := PullReply{Round: message.Round, Sequence: n.Config.Sequence, View: n.view, Primary: n.primary}
-	answer.AgeMs, answer.Fresh = n.Config.ageMs(n.now)
-	n.send(from, answer)
-	n.sendMembers(from, sampleForReply(n.options.Random, n.Members.MembersDiffering(message.Members)), maxHops)
-	n.sendEndpoints(from, sampleForReply(n.options.Random, n.Registry.EndpointsDiffering(message.Endpoints)), maxHops)
+	reply := PullReply{Round: pull.Round, Sequence: n.Config.Sequence, View: n.view, Primary: n.primary}
+	reply.AgeMs, reply.Fresh = n.Config.ageMs(n.now)
+	n.send(from, reply)
+	// With maxHops the receiver does not forward them: it alone lacked them.
+	n.sendMembers(from, sampleForReply(n.options.Random, n.Members.MembersDiffering(pull.Members)), maxHops)
+	n.sendEndpoints(from, sampleForReply(n.options.Random, n.Registry.EndpointsDiffering(pull.Endpoints)), maxHops)
 }
 
-// portion is what one answer holds of a list: all of it, or a part that begins anywhere.
+// sampleForReply returns what one reply holds of a list: all of it, or a run of it that starts at a random item and wraps.
 func sampleForReply[T any](random *rand.Rand, list []T) []T {
 	if len(list) <= maxItemsPerReply {
 		return list
@@ -124,19 +127,19 @@
 	return slices.Concat(list[from:], list[:from])[:maxItemsPerReply]
 }
 
-// handlePullReply renews the lease. Its age counts from when the question was sent, so that an answer that was held up on its
-// way never looks fresher than it is.
-func (n *Node) handlePullReply(from string, message PullReply) {
-	n.SetView(message.View, message.Primary)
-	asked, known := n.pendingPulls[message.Round]
-	if !known || asked.to != from {
+// handlePullReply confirms the configuration. Its age counts from when the pull was sent, so that a delayed reply never makes
+// the confirmation look newer than it is.
+func (n *Node) handlePullReply(from string, reply PullReply) {
+	n.SetView(reply.View, reply.Primary)
+	pull, pending := n.pendingPulls[reply.Round]
+	if !pending || pull.to != from {
 		return
 	}
-	delete(n.pendingPulls, message.Round)
-	if n.Config.Table == nil || message.Sequence > n.Config.Sequence {
+	delete(n.pendingPulls, reply.Round)
+	if n.Config.Table == nil || reply.Sequence > n.Config.Sequence {
 		n.output.Fetch = from
 	}
-	if message.Fresh {
-		n.Config.Confirm(message.Sequence, asked.sentAt-time.Duration(message.AgeMs)*time.Millisecond)
+	if reply.Fresh {
+		n.Config.Confirm(reply.Sequence, pull.sentAt-time.Duration(reply.AgeMs)*time.Millisecond)
 	}
 }
--- a/internal/fleet/dissemination/push.go
+++ b/internal/fleet/dissemination/push.go
@@ -7,29 +7,23 @@
 	"pinelb.example/pinelb/internal/fleet/registry"
 )
 
-// How news are passed on: at once to all of a small fleet, over a few hops in a larger one.
+// Updates are pushed at once to all routers of a small fleet, and over several hops in a larger one.
 
 const (
-	maxDirectPeers = 24  // routers up to which news go to all at once, and are not passed on
-	fanout     = 4   // routers that news go to in larger fleets
-	maxHops   = 8   // how often news are passed on
-	maxItemsPerUpdate  = 7   // members or endpoints in one message
-	maxInlineChangeBytes  = 900 // bytes of an order that is sent with the news of it
+	maxDirectPeers       = 24  // other live routers up to which an update goes to all directly, and is not forwarded
+	fanout               = 4   // routers that an update is sent to in larger fleets
+	maxHops              = 8   // how often an update is forwarded
+	maxItemsPerUpdate    = 7   // members or endpoints in one message, which has to fit a datagram
+	maxInlineChangeBytes = 900 // a larger configuration change is fetched
 )
 
-// queue is news that wait for the next tick.
+// updateQueue holds updates until the next tick.
 type updateQueue struct {
 	members   []membership.Member
 	endpoints []registry.Endpoint
 }
 
-func (n *Node) disseminateView(hops uint8) {
-	for _, to := range n.pushTargets(hops) {
-		n.send(to, Update{View: n.view, Primary: n.primary, Hops: hops})
-	}
-}
-
-// receivers are whom news go to that came over so many hops.
+// pushTargets are the routers that an update is sent to that has been forwarded so often.
 func (n *Node) pushTargets(hops uint8) []string {
 	live := n.Members.LiveAddresses()
 	switch {
@@ -42,72 +36,81 @@
 	return live[:fanout]
 }
 
-// disseminateMembers passes news on: in a small fleet at once, in a larger one with the next tick, so that news that come in a
-// rush share messages.
-func (n *Node) disseminateMembers(news []membership.Member, hops uint8) {
+func (n *Node) disseminateView(hops uint8) {
+	n.push(Update{View: n.view, Primary: n.primary, Hops: hops})
+}
+
+func (n *Node) disseminateChange(sequence uint64, change []byte, hops uint8) {
+	if len(change) > maxInlineChangeBytes {
+		change = nil
+	}
+	n.push(Update{Sequence: sequence, Change: change, Hops: hops})
+}
+
+// push sends one update at once.
+func (n *Node) push(update Update) {
+	for _, to := range n.pushTargets(update.Hops) {
+		n.send(to, update)
+	}
+}
+
+// disseminateMembers sends members to other routers: in a small fleet at once, in a larger one with the next tick, so that
+// members that change in quick succession share messages.
+func (n *Node) disseminateMembers(members []membership.Member, hops uint8) {
 	switch {
-	case len(news) == 0 || hops > maxHops:
+	case len(members) == 0 || hops > maxHops:
 	case n.Members.LiveCount() > maxDirectPeers:
-		n.queues[hops].members = append(n.queues[hops].members, news...)
+		n.queues[hops].members = append(n.queues[hops].members, members...)
 	default:
-		n.pushMembers(news, hops)
+		n.pushMembers(members, hops)
 	}
 }
 
-func (n *Node) pushMembers(news []membership.Member, hops uint8) {
+func (n *Node) pushMembers(members []membership.Member, hops uint8) {
 	for _, to := range n.pushTargets(hops) {
-		n.sendMembers(to, news, hops)
+		n.sendMembers(to, members, hops)
 	}
 }
 
 func (n *Node) sendMembers(to string, members []membership.Member, hops uint8) {
-	for part := range slices.Chunk(members, maxItemsPerUpdate) {
-		n.send(to, Update{Members: part, Hops: hops})
+	for chunk := range slices.Chunk(members, maxItemsPerUpdate) {
+		n.send(to, Update{Members: chunk, Hops: hops})
 	}
 }
 
-// disseminateEndpoints passes news on as disseminateMembers does.
-func (n *Node) disseminateEndpoints(news []registry.Endpoint, hops uint8) {
+// disseminateEndpoints sends endpoints to other routers as disseminateMembers does.
+func (n *Node) disseminateEndpoints(endpoints []registry.Endpoint, hops uint8) {
 	switch {
-	case len(news) == 0 || hops > maxHops:
+	case len(endpoints) == 0 || hops > maxHops:
 	case n.Members.LiveCount() > maxDirectPeers:
-		n.queues[hops].endpoints = append(n.queues[hops].endpoints, news...)
+		n.queues[hops].endpoints = append(n.queues[hops].endpoints, endpoints...)
 	default:
-		n.pushEndpoints(news, hops)
+		n.pushEndpoints(endpoints, hops)
 	}
 }
 
-// flushQueues passes on what has gathered since the last tick.
-func (n *Node) flushQueues() {
-	for hops := range n.queues {
-		waiting := n.queues[hops]
-		n.queues[hops] = updateQueue{}
-		if len(waiting.members) > 0 {
-			n.pushMembers(waiting.members, uint8(hops))
-		}
-		if len(waiting.endpoints) > 0 {
-			n.pushEndpoints(waiting.endpoints, uint8(hops))
-		}
-	}
-}
-
-func (n *Node) pushEndpoints(news []registry.Endpoint, hops uint8) {
+func (n *Node) pushEndpoints(endpoints []registry.Endpoint, hops uint8) {
 	for _, to := range n.pushTargets(hops) {
-		n.sendEndpoints(to, news, hops)
+		n.sendEndpoints(to, endpoints, hops)
 	}
 }
 
 func (n *Node) sendEndpoints(to string, endpoints []registry.Endpoint, hops uint8) {
-	for part := range slices.Chunk(endpoints, maxItemsPerUpdate) {
-		n.send(to, Update{Endpoints: part, Hops: hops})
+	for chunk := range slices.Chunk(endpoints, maxItemsPerUpdate) {
+		n.send(to, Update{Endpoints: chunk, Hops: hops})
 	}
 }
 
-func (n *Node) disseminateChange(sequence uint64, order []byte, hops uint8) {
-	if len(order) > maxInlineChangeBytes {
-		order = nil
-	}
-	for _, to := range n.pushTargets(hops) {
-		n.send(to, Update{Sequence: sequence, Change: order, Hops: hops})
+// flushQueues sends what has been queued since the last tick.
+func (n *Node) flushQueues() {
+	for hops := range n.queues {
+		pending := n.queues[hops]
+		n.queues[hops] = updateQueue{}
+		if len(pending.members) > 0 {
+			n.pushMembers(pending.members, uint8(hops))
+		}
+		if len(pending.endpoints) > 0 {
+			n.pushEndpoints(pending.endpoints, uint8(hops))
+		}
 	}
 }
--- a/internal/fleet/dissemination/quiescence_test.go
+++ b/internal/fleet/dissemination/quiescence_test.go
@@ -11,65 +11,65 @@
 	"pinelb.example/pinelb/internal/fleet/registry"
 )
 
-// hear has endpoints say a word at routers, and again after each heartbeat's time.
-func (f *fleet) hear(endpoints int, sequence uint64) {
+// sendHeartbeats has each endpoint send one heartbeat to its router.
+func (f *fleet) sendHeartbeats(endpoints int, sequence uint64) {
 	for e := range endpoints {
 		owner := address(e % len(f.order))
-		said := registry.Endpoint{
+		report := registry.Endpoint{
 			ID: fmt.Sprint("e", e), Service: "s", Address: fmt.Sprintf("10.1.%d.%d:1", e/250, e%250), State: registry.Ready, Sequence: sequence,
 			Owner: owner,
 		}
-		out, _ := f.nodes[owner].HandleEndpointHeartbeat(f.now, said)
-		f.carryOut(owner, out)
+		output, _ := f.nodes[owner].HandleEndpointHeartbeat(f.now, report)
+		f.perform(owner, output)
 	}
 }
 
-// perRouter is how many messages a router sends in a second, from now on.
-func (f *fleet) perRouter(span time.Duration, beat func()) float64 {
+// messageRate returns how many messages a router sends per second over a span that starts now.
+func (f *fleet) messageRate(span time.Duration, heartbeat func()) float64 {
 	before := f.sent
-	for began := f.now; f.now-began < span; f.run(1200 * time.Millisecond) {
-		beat()
+	for startedAt := f.now; f.now-startedAt < span; f.run(1200 * time.Millisecond) {
+		heartbeat()
 	}
 	return float64(f.sent-before) / span.Seconds() / float64(len(f.order))
 }
 
 // Guards against a fleet that exchanges lists without end, each of its routers taking what another one has just dropped.
-func TestLargeFleetComesToRest(t *testing.T) {
+func TestLargeFleetBecomesQuiescent(t *testing.T) {
 	Convey("Sixty routers that start at once, with many endpoints", t, func() {
 		const endpoints = 300
 		f := newFleet(60, 3)
-		f.lose = 2
+		f.lossPercent = 2
 		sequence := uint64(0)
 		f.run(time.Second)
 		f.commit(1)
-		beat := func() {
+		heartbeat := func() {
 			f.nodes[address(0)].Config.Confirm(1, f.now)
 			sequence++
-			f.hear(endpoints, sequence)
+			f.sendHeartbeats(endpoints, sequence)
 		}
-		f.perRouter(12*time.Second, beat)
-		Convey("agree, and send little", func() {
-			So(f.perRouter(6*time.Second, beat), ShouldBeLessThan, 12)
+		f.messageRate(12*time.Second, heartbeat)
+		Convey("agree, and send few messages", func() {
+			So(f.messageRate(6*time.Second, heartbeat), ShouldBeLessThan, 12)
 			for _, n := range f.nodes {
 				So(n.Members.LiveCount(), ShouldEqual, 60)
 				So(len(n.Registry.Ready()), ShouldEqual, endpoints)
 			}
 		})
-		Convey("come to rest again after some of them were called dead and their endpoints silent", func() {
-			liar := f.nodes[address(30)]
+		Convey("become quiescent again after some of them were reported dead and their endpoints expired", func() {
+			mistaken := f.nodes[address(30)]
 			var dead []membership.Member
-			var silent []registry.Endpoint
+			var expired []registry.Endpoint
 			for i := 40; i < 50; i++ {
-				m, _ := liar.Members.Lookup(address(i))
+				m, _ := mistaken.Members.Lookup(address(i))
 				m.Status = membership.Dead
 				dead = append(dead, m)
-				e, _ := liar.Registry.Lookup(fmt.Sprint("e", i))
+				e, _ := mistaken.Registry.Lookup(fmt.Sprint("e", i))
 				e.State = registry.Expired
-				silent = append(silent, e)
+				expired = append(expired, e)
 			}
-			f.carryOut(address(30), liar.Receive(f.now, address(31), Update{Members: dead, Endpoints: silent}))
-			f.perRouter(12*time.Second, beat)
-			So(f.perRouter(6*time.Second, beat), ShouldBeLessThan, 12)
+			f.perform(address(30), mistaken.Receive(f.now, address(31), Update{Members: dead, Endpoints: expired}))
+			f.messageRate(12*time.Second, heartbeat)
+			So(f.messageRate(6*time.Second, heartbeat), ShouldBeLessThan, 12)
 			for _, n := range f.nodes {
 				So(n.Members.LiveCount(), ShouldEqual, 60)
 				So(len(n.Registry.Ready()), ShouldEqual, endpoints)
@@ -78,29 +78,29 @@
 	})
 }
 
-func TestAnswersAreBounded(t *testing.T) {
-	Convey("However much a router lacks, one answer holds a part of it", t, func() {
+func TestRepliesAreBounded(t *testing.T) {
+	Convey("However much a router lacks, one reply holds a bounded part of it", t, func() {
 		f := newFleet(1, 1)
 		n := f.nodes[address(0)]
 		for e := range 2000 {
 			n.HandleEndpointHeartbeat(0, registry.Endpoint{ID: fmt.Sprint("e", e), Address: fmt.Sprint("x:", e), Service: "s", State: registry.Ready, Sequence: 1})
 		}
-		out := n.Receive(0, address(1), Pull{Self: membership.Member{Address: address(1)}, Round: 1})
+		output := n.Receive(0, address(1), Pull{Self: membership.Member{Address: address(1)}, Round: 1})
 		items := 0
-		for _, o := range out.Send {
-			if news, is := o.Message.(Update); is {
-				items += len(news.Members) + len(news.Endpoints)
+		for _, o := range output.Send {
+			if update, is := o.Message.(Update); is {
+				items += len(update.Members) + len(update.Endpoints)
 			}
 		}
 		So(items, ShouldBeBetweenOrEqual, 1, 2*maxItemsPerReply)
 	})
-	Convey("A router that is asked whether it lives says so", t, func() {
+	Convey("A router that is probed replies", t, func() {
 		f := newFleet(2, 1)
-		out := f.nodes[address(0)].Receive(0, address(1), Heartbeat{WantsReply: true})
-		So(out.Send, ShouldResemble, []Outgoing{{To: address(1), Message: Heartbeat{}}})
+		output := f.nodes[address(0)].Receive(0, address(1), Heartbeat{WantsReply: true})
+		So(output.Send, ShouldResemble, []Outgoing{{To: address(1), Message: Heartbeat{}}})
 		So(f.nodes[address(0)].Receive(0, address(1), Heartbeat{}).Send, ShouldBeEmpty)
 	})
-	Convey("A router that was called dead a moment ago may still hear its endpoints", t, func() {
+	Convey("A router that was reported dead a moment ago may still receive heartbeats of its endpoints", t, func() {
 		f := newFleet(3, 1)
 		f.run(5 * time.Second)
 		n := f.nodes[address(0)]
@@ -120,9 +120,9 @@
 		Convey(fmt.Sprint("A new primary is known to nearly all of ", size, " routers at once, to all with their next pulls"), t, func() {
 			f := newFleet(size, 3)
 			f.run(5 * time.Second)
-			f.carryOut(address(1), f.nodes[address(1)].AnnouncePrimary(f.now, 7))
+			f.perform(address(1), f.nodes[address(1)].AnnouncePrimary(f.now, 7))
 			f.run(50 * time.Millisecond)
-			know := func() (count int) {
+			informed := func() (count int) {
 				for _, n := range f.nodes {
 					if view, primary := n.Primary(); view == 7 && primary == address(1) {
 						count++
@@ -130,13 +130,13 @@
 				}
 				return count
 			}
-			So(know(), ShouldBeGreaterThanOrEqualTo, size*9/10)
+			So(informed(), ShouldBeGreaterThanOrEqualTo, size*9/10)
 			f.run(2 * time.Second)
-			So(know(), ShouldEqual, size)
-			Convey("and an older one is told to nobody", func() {
+			So(informed(), ShouldEqual, size)
+			Convey("and an older one is sent to nobody", func() {
 				So(f.nodes[address(2)].AnnouncePrimary(f.now, 6).Send, ShouldBeEmpty)
 				sent := f.sent
-				f.carryOut(address(3), f.nodes[address(3)].Receive(f.now, address(2), Update{View: 6, Primary: address(2)}))
+				f.perform(address(3), f.nodes[address(3)].Receive(f.now, address(2), Update{View: 6, Primary: address(2)}))
 				So(f.sent, ShouldEqual, sent)
 			})
 		})
--- /dev/null
+++ b/internal/fleet/membership/digests.go
@@ -0,0 +1,38 @@
+package membership
+
+// Buckets is the number of buckets that digests divide the members into.
+const Buckets = 16
+
+// Digests hold one sum for each bucket; two routers have equal sums where they know the same.
+type Digests [Buckets]uint32
+
+// goldenRatio is 2^64 divided by the golden ratio, the multiplier of Fibonacci hashing (Knuth, The Art of Computer Programming,
+// volume 3, section 6.4): it distributes small numbers over all bits.
+const goldenRatio = 0x9e3779b97f4a7c15
+
+// Digests summarises what is known of all members.
+func (l *List) Digests() Digests {
+	var sums Digests
+	for _, e := range l.members {
+		digest := e.position ^ (e.Incarnation<<8|uint64(e.Status))*goldenRatio
+		sums[e.bucket()] += uint32(digest ^ digest>>32)
+	}
+	return sums
+}
+
+func (e *entry) bucket() int { return int(e.position>>32) % Buckets }
+
+// MembersDiffering returns the members in the buckets in which another router's digests differ from this router's, in no order.
+func (l *List) MembersDiffering(theirs Digests) []Member {
+	ours := l.Digests()
+	if ours == theirs {
+		return nil
+	}
+	var differing []Member
+	for _, e := range l.members {
+		if b := e.bucket(); ours[b] != theirs[b] {
+			differing = append(differing, e.Member)
+		}
+	}
+	return differing
+}
--- a/internal/fleet/registry/registry_test.go
+++ b/internal/fleet/registry/registry_test.go
@@ -19,94 +19,94 @@
 
 func TestRegistry(t *testing.T) {
 	Convey("A registry with one endpoint", t, func() {
-		table := New()
-		news, ok := table.ApplyHeartbeat(0, endpoint("a", "x:1", 4, Ready))
+		registry := New()
+		changed, ok := registry.ApplyHeartbeat(0, endpoint("a", "x:1", 4, Ready))
 		So(ok, ShouldBeTrue)
-		So(len(news), ShouldEqual, 1)
-		version := table.Version()
+		So(len(changed), ShouldEqual, 1)
+		version := registry.Version()
 
-		Convey("passes a heartbeat that says nothing new on to nobody", func() {
-			news, ok := table.ApplyHeartbeat(time.Second, endpoint("a", "x:1", 5, Ready))
+		Convey("forwards no heartbeat that reports no change", func() {
+			changed, ok := registry.ApplyHeartbeat(time.Second, endpoint("a", "x:1", 5, Ready))
 			So(ok, ShouldBeTrue)
-			So(news, ShouldBeEmpty)
-			So(table.Version(), ShouldEqual, version)
+			So(changed, ShouldBeEmpty)
+			So(registry.Version(), ShouldEqual, version)
 		})
 		Convey("ignores an older heartbeat", func() {
-			_, ok := table.ApplyHeartbeat(time.Second, endpoint("a", "x:1", 3, Draining))
+			_, ok := registry.ApplyHeartbeat(time.Second, endpoint("a", "x:1", 3, Draining))
 			So(ok, ShouldBeFalse)
-			So(len(table.Ready()), ShouldEqual, 1)
+			So(len(registry.Ready()), ShouldEqual, 1)
 		})
-		Convey("sends nothing more to one that drains, and one that drains stays so", func() {
-			So(table.TakeEnded(), ShouldBeEmpty)
-			table.ApplyHeartbeat(time.Second, endpoint("a", "x:1", 5, Draining))
-			So(table.Ready(), ShouldBeEmpty)
-			So(table.TakeEnded(), ShouldResemble, []string{"a"})
-			So(table.TakeEnded(), ShouldBeEmpty)
-			table.ApplyHeartbeat(2*time.Second, endpoint("a", "x:1", 6, Ready))
-			So(table.Ready(), ShouldBeEmpty)
+		Convey("sends no requests to one that is draining, which stays draining", func() {
+			So(registry.TakeEnded(), ShouldBeEmpty)
+			registry.ApplyHeartbeat(time.Second, endpoint("a", "x:1", 5, Draining))
+			So(registry.Ready(), ShouldBeEmpty)
+			So(registry.TakeEnded(), ShouldResemble, []string{"a"})
+			So(registry.TakeEnded(), ShouldBeEmpty)
+			registry.ApplyHeartbeat(2*time.Second, endpoint("a", "x:1", 6, Ready))
+			So(registry.Ready(), ShouldBeEmpty)
 		})
-		Convey("knows that an endpoint has ended whose address another one has", func() {
-			news, _ := table.ApplyHeartbeat(time.Second, endpoint("b", "x:1", 1, Ready))
-			So(len(news), ShouldEqual, 2)
-			So(table.Ready()[0].ID, ShouldEqual, "b")
-			_, ok := table.ApplyHeartbeat(time.Second, endpoint("a", "x:1", 9, Ready))
+		Convey("deregisters an endpoint whose address another one has", func() {
+			changed, _ := registry.ApplyHeartbeat(time.Second, endpoint("b", "x:1", 1, Ready))
+			So(len(changed), ShouldEqual, 2)
+			So(registry.Ready()[0].ID, ShouldEqual, "b")
+			_, ok := registry.ApplyHeartbeat(time.Second, endpoint("a", "x:1", 9, Ready))
 			So(ok, ShouldBeFalse)
 		})
-		Convey("never brings one back that said that it ends", func() {
-			table.ApplyHeartbeat(time.Second, Endpoint{ID: "a", State: Deregistered})
-			news, _ := table.Merge(time.Second, "r1", []Endpoint{endpoint("a", "x:1", 99, Ready)})
-			So(news, ShouldBeEmpty)
-			So(table.Ready(), ShouldBeEmpty)
+		Convey("never takes one back that was deregistered", func() {
+			registry.ApplyHeartbeat(time.Second, Endpoint{ID: "a", State: Deregistered})
+			changed, _ := registry.Merge(time.Second, "r1", []Endpoint{endpoint("a", "x:1", 99, Ready)})
+			So(changed, ShouldBeEmpty)
+			So(registry.Ready(), ShouldBeEmpty)
 		})
-		Convey("lets its own endpoint lapse after silence, and takes it again when it speaks", func() {
-			So(table.ExpireSilent(4*time.Second, "r1", 5*time.Second, always), ShouldBeEmpty)
-			So(len(table.ExpireSilent(6*time.Second, "r1", 5*time.Second, always)), ShouldEqual, 1)
-			So(table.Ready(), ShouldBeEmpty)
-			table.ApplyHeartbeat(7*time.Second, endpoint("a", "x:1", 5, Ready))
-			So(len(table.Ready()), ShouldEqual, 1)
+		Convey("expires its own endpoint after the time-out, and takes it back with its next heartbeat", func() {
+			So(registry.ExpireSilent(4*time.Second, "r1", 5*time.Second, always), ShouldBeEmpty)
+			So(len(registry.ExpireSilent(6*time.Second, "r1", 5*time.Second, always)), ShouldEqual, 1)
+			So(registry.Ready(), ShouldBeEmpty)
+			registry.ApplyHeartbeat(7*time.Second, endpoint("a", "x:1", 5, Ready))
+			So(len(registry.Ready()), ShouldEqual, 1)
 		})
-		Convey("leaves another router's endpoint alone while that lives, and longer after it is gone", func() {
-			So(table.ExpireSilent(9*time.Second, "r2", 5*time.Second, always), ShouldBeEmpty)
-			So(table.ExpireSilent(9*time.Second, "r2", 5*time.Second, never), ShouldBeEmpty)
-			So(len(table.ExpireSilent(11*time.Second, "r2", 5*time.Second, never)), ShouldEqual, 1)
+		Convey("keeps another router's endpoint while that router is alive, and for twice the time-out after it ended", func() {
+			So(registry.ExpireSilent(9*time.Second, "r2", 5*time.Second, always), ShouldBeEmpty)
+			So(registry.ExpireSilent(9*time.Second, "r2", 5*time.Second, never), ShouldBeEmpty)
+			So(len(registry.ExpireSilent(11*time.Second, "r2", 5*time.Second, never)), ShouldEqual, 1)
 		})
-		Convey("forgets the dead after a while, and does not learn of them again", func() {
-			table.ApplyHeartbeat(0, Endpoint{ID: "a", State: Deregistered})
-			table.Purge(61*time.Second, 60*time.Second)
-			news, _ := table.Merge(62*time.Second, "r1", []Endpoint{endpoint("a", "x:1", 9, Deregistered)})
-			So(news, ShouldBeEmpty)
-			_, known := table.Lookup("a")
+		Convey("purges ended ones after their time to live, and does not add them again", func() {
+			registry.ApplyHeartbeat(0, Endpoint{ID: "a", State: Deregistered})
+			registry.Purge(61*time.Second, 60*time.Second)
+			changed, _ := registry.Merge(62*time.Second, "r1", []Endpoint{endpoint("a", "x:1", 9, Deregistered)})
+			So(changed, ShouldBeEmpty)
+			_, known := registry.Lookup("a")
 			So(known, ShouldBeFalse)
 		})
 	})
-	Convey("Hints are used for a short time, and any word replaces them", t, func() {
-		table := New()
-		table.Restore(0, []Endpoint{endpoint("a", "x:1", 50, Ready), endpoint("b", "y:1", 50, Draining)})
-		So(len(table.Ready()), ShouldEqual, 1)
-		table.ApplyHeartbeat(time.Second, endpoint("a", "x:1", 1, Ready))
-		So(table.ExpireSilent(2*time.Second, "r1", 5*time.Second, always), ShouldBeEmpty)
-		table.Restore(2*time.Second, []Endpoint{endpoint("c", "z:1", 50, Ready)})
-		So(len(table.ExpireSilent(4*time.Second, "r1", 5*time.Second, always)), ShouldEqual, 1)
-		So(len(table.Ready()), ShouldEqual, 1)
+	Convey("Restored endpoints are used for a short time, and any report replaces them", t, func() {
+		registry := New()
+		registry.Restore(0, []Endpoint{endpoint("a", "x:1", 50, Ready), endpoint("b", "y:1", 50, Draining)})
+		So(len(registry.Ready()), ShouldEqual, 1)
+		registry.ApplyHeartbeat(time.Second, endpoint("a", "x:1", 1, Ready))
+		So(registry.ExpireSilent(2*time.Second, "r1", 5*time.Second, always), ShouldBeEmpty)
+		registry.Restore(2*time.Second, []Endpoint{endpoint("c", "z:1", 50, Ready)})
+		So(len(registry.ExpireSilent(4*time.Second, "r1", 5*time.Second, always)), ShouldEqual, 1)
+		So(len(registry.Ready()), ShouldEqual, 1)
 	})
 }
 
-// Guards against two routers that exchange all they know and still differ, in whatever order words came to them.
-func TestRoutersConverge(t *testing.T) {
+// Guards against two routers that exchange all they know and still differ, in whatever order heartbeats reached them.
+func TestRegistriesConverge(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
 		a, b := New(), New()
 		for i := range 60 {
-			said := endpoint(string(rune('a'+r.IntN(5))), string(rune('p'+r.IntN(4)))+":1", uint64(i), State(1+r.IntN(2)))
+			report := endpoint(string(rune('a'+r.IntN(5))), string(rune('p'+r.IntN(4)))+":1", uint64(i), State(1+r.IntN(2)))
 			if r.IntN(8) == 0 {
-				said.State = Deregistered
+				report.State = Deregistered
 			}
-			heard, owner := a, "ra"
+			receiver, owner := a, "ra"
 			if r.IntN(2) == 0 {
-				heard, owner = b, "rb"
+				receiver, owner = b, "rb"
 			}
-			said.Owner = owner
-			heard.ApplyHeartbeat(time.Duration(i), said)
+			report.Owner = owner
+			receiver.ApplyHeartbeat(time.Duration(i), report)
 		}
 		for range 3 {
 			b.Merge(time.Second, "rb", a.EndpointsDiffering(b.Digests(0)))
@@ -116,7 +116,7 @@
 			rt.Fatalf("%v and %v", a.Ready(), b.Ready())
 		}
 		if len(a.EndpointsDiffering(b.Digests(0))) != 0 {
-			rt.Fatal("equal tables differ")
+			rt.Fatal("equal registries differ")
 		}
 	})
 }
@@ -126,50 +126,50 @@
 	for i := range 2000 {
 		a.ApplyHeartbeat(0, endpoint(fmt.Sprint("e", i), fmt.Sprint("x:", i), 1, Ready))
 	}
-	Convey("Many endpoints are compared part after part, and found in as many rounds", t, func() {
-		moved := 0
+	Convey("Many endpoints are compared partition after partition, and found in as many rounds", t, func() {
+		transferred := 0
 		for round := range uint64(64) {
 			differing := a.EndpointsDiffering(a.Digests(round))
 			So(differing, ShouldBeEmpty)
 			digest := a.Digests(round)
 			theirs := b.digests(digest.Partition, digest.Partitions)
 			found := a.EndpointsDiffering(theirs)
-			moved += len(found)
+			transferred += len(found)
 			b.Merge(0, "rb", found)
 		}
-		So(moved, ShouldEqual, 2000)
+		So(transferred, ShouldEqual, 2000)
 		So(len(b.Ready()), ShouldEqual, 2000)
 	})
 	Convey("One that differs costs few others", t, func() {
 		a.ApplyHeartbeat(1, endpoint("e77", "x:77", 2, Draining))
-		moved := 0
+		transferred := 0
 		for round := range uint64(16) {
-			moved += len(a.EndpointsDiffering(b.Digests(round)))
+			transferred += len(a.EndpointsDiffering(b.Digests(round)))
 		}
-		So(moved, ShouldBeBetween, 0, 40)
+		So(transferred, ShouldBeBetween, 0, 40)
 	})
-	Convey("A digest of a part that can't be is answered all the same", t, func() {
+	Convey("A digest of a partition that can't be is answered all the same", t, func() {
 		for _, d := range []Digests{{}, {Partition: 9, Partitions: 3}, {Partition: 255, Partitions: 255}} {
 			So(len(a.EndpointsDiffering(d)), ShouldBeLessThanOrEqualTo, 2000)
 		}
 	})
 }
 
-func TestAssertion(t *testing.T) {
-	Convey("A router that hears an endpoint says so when others call it silent, once a second", t, func() {
-		table := New()
-		heard := endpoint("a", "x:1", 9, Ready)
-		heard.Owner = "r1"
-		table.ApplyHeartbeat(0, heard)
+func TestAssertionOfOwnership(t *testing.T) {
+	Convey("A router that receives an endpoint's heartbeats asserts so when others report it expired, once a second", t, func() {
+		registry := New()
+		owned := endpoint("a", "x:1", 9, Ready)
+		owned.Owner = "r1"
+		registry.ApplyHeartbeat(0, owned)
 		stale := endpoint("a", "x:1", 5, Expired)
 		asserts := func(now time.Duration, self string) []Endpoint {
-			news, asserted := table.Merge(now, self, []Endpoint{stale})
-			So(news, ShouldBeEmpty)
+			changed, asserted := registry.Merge(now, self, []Endpoint{stale})
+			So(changed, ShouldBeEmpty)
 			return asserted
 		}
-		So(asserts(time.Second, "r1"), ShouldResemble, []Endpoint{heard})
+		So(asserts(time.Second, "r1"), ShouldResemble, []Endpoint{owned})
 		So(asserts(time.Second, "r1"), ShouldBeEmpty)
-		So(asserts(3*time.Second, "r1"), ShouldResemble, []Endpoint{heard})
+		So(asserts(3*time.Second, "r1"), ShouldResemble, []Endpoint{owned})
 		So(asserts(6*time.Second, "r2"), ShouldBeEmpty)
 	})
 }
