--- a/internal/fleet/router/relay.go
+++ b/internal/fleet/router/announcement_relay.go
@@ -20,39 +20,39 @@
 // not with the fleet, and one copy of each goes from zone to zone.
 
 const (
-	directMost  = 24                    // other routers up to which each is told directly
-	gatherFor   = 30 * time.Millisecond // announcements before they are told
-	announceOne = 13                    // announcements in one datagram, which hold some 84 bytes each at most
+	maxDirectPeers              = 24                    // other routers up to which each is told directly
+	batchDelay                  = 30 * time.Millisecond // announcements before they are told
+	maxAnnouncementsPerDatagram = 13                    // announcements in one datagram, which hold some 84 bytes each at most
 )
 
 // relay is a router's side of the announcements.
-type relay struct {
+type announcementRelay struct {
 	self string
 	zone string
 	core bool // this router counts for the quorum
 	send func(to []string, kind transport.Kind, announcements []proxy.Announcement)
 
-	mu       sync.Mutex
-	routes   relayRoutes
-	gathered []proxy.Announcement
-	wake     chan struct{} // something is gathered
+	mu     sync.Mutex
+	routes announcementRoutes
+	batch  []proxy.Announcement
+	wake   chan struct{} // something is gathered
 }
 
-// relayRoutes are whom a router tells.
-type relayRoutes struct {
-	peers    []string // live routers beside this one
-	through  string   // the router that tells all others; empty: this one does
-	local    []string // those of this router's zone
-	orphans  []string // those of other zones without a router of the core
-	deputies []string // one router of the core in each other zone that has one
+// announcementRoutes are whom a router tells.
+type announcementRoutes struct {
+	peers      []string // live routers beside this one
+	relay      string   // the router that tells all others; empty: this one does
+	local      []string // those of this router's zone
+	remote     []string // those of other zones without a router of the core
+	zoneRelays []string // one router of the core in each other zone that has one
 }
 
-func newRelay(self, zone string, core bool, send func([]string, transport.Kind, []proxy.Announcement)) *relay {
-	return &relay{self: self, zone: zone, core: core, send: send, wake: make(chan struct{}, 1)}
+func newRelay(self, zone string, core bool, send func([]string, transport.Kind, []proxy.Announcement)) *announcementRelay {
+	return &announcementRelay{self: self, zone: zone, core: core, send: send, wake: make(chan struct{}, 1)}
 }
 
 // setPeers takes over which other routers live.
-func (l *relay) setPeers(live []membership.Member) {
+func (l *announcementRelay) setPeers(live []membership.Member) {
 	routes := l.plan(live)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,8 +60,8 @@
 }
 
 // plan works out whom this router tells.
-func (l *relay) plan(live []membership.Member) relayRoutes {
-	var routes relayRoutes
+func (l *announcementRelay) plan(live []membership.Member) announcementRoutes {
+	var routes announcementRoutes
 	var cores []string
 	coresByZone := map[string][]string{}
 	for i := range live {
@@ -71,12 +71,12 @@
 			coresByZone[live[i].Zone] = append(coresByZone[live[i].Zone], live[i].Address)
 		}
 	}
-	if len(live) <= directMost {
+	if len(live) <= maxDirectPeers {
 		return routes
 	}
 	if !l.core {
-		if routes.through = l.choose(coresByZone[l.zone]); routes.through == "" {
-			routes.through = l.choose(cores)
+		if routes.relay = l.chooseCore(coresByZone[l.zone]); routes.relay == "" {
+			routes.relay = l.chooseCore(cores)
 		}
 	}
 	for i := range live {
@@ -84,19 +84,19 @@
 		case zone == l.zone:
 			routes.local = append(routes.local, live[i].Address)
 		case len(coresByZone[zone]) == 0:
-			routes.orphans = append(routes.orphans, live[i].Address)
+			routes.remote = append(routes.remote, live[i].Address)
 		}
 	}
 	for zone, candidates := range coresByZone {
 		if zone != l.zone {
-			routes.deputies = append(routes.deputies, l.choose(candidates))
+			routes.zoneRelays = append(routes.zoneRelays, l.chooseCore(candidates))
 		}
 	}
 	return routes
 }
 
 // choose picks a router of the core, so that their shares are even and few change when one goes. Empty: none lives.
-func (l *relay) choose(cores []string) string {
+func (l *announcementRelay) chooseCore(cores []string) string {
 	best, highest := "", uint64(0)
 	for _, core := range cores {
 		if weight := xxhash.Sum64String(core + " " + l.self); best == "" || weight > highest {
@@ -107,24 +107,24 @@
 }
 
 // announce tells the other routers of a prompt.
-func (l *relay) announce(a proxy.Announcement) {
+func (l *announcementRelay) announce(a proxy.Announcement) {
 	l.mu.Lock()
-	through, peers := l.routes.through, l.routes.peers
+	through, peers := l.routes.relay, l.routes.peers
 	l.mu.Unlock()
 	switch {
 	case through != "":
-		l.send([]string{through}, kindRelay, []proxy.Announcement{a})
-	case len(peers) > directMost:
-		l.gather([]proxy.Announcement{a})
+		l.send([]string{through}, kindAnnouncementRelay, []proxy.Announcement{a})
+	case len(peers) > maxDirectPeers:
+		l.enqueue([]proxy.Announcement{a})
 	default:
-		l.send(peers, kindAnnounce, []proxy.Announcement{a})
+		l.send(peers, kindAnnouncement, []proxy.Announcement{a})
 	}
 }
 
 // gather keeps announcements until they are told.
-func (l *relay) gather(announcements []proxy.Announcement) {
+func (l *announcementRelay) enqueue(announcements []proxy.Announcement) {
 	l.mu.Lock()
-	l.gathered = append(l.gathered, announcements...)
+	l.batch = append(l.batch, announcements...)
 	l.mu.Unlock()
 	select {
 	case l.wake <- struct{}{}:
@@ -133,7 +133,7 @@
 }
 
 // run tells what was gathered, until ctx ends.
-func (l *relay) run(ctx context.Context) {
+func (l *announcementRelay) run(ctx context.Context) {
 	pause := time.NewTimer(0)
 	defer pause.Stop()
 	<-pause.C
@@ -143,7 +143,7 @@
 			return
 		case <-l.wake:
 		}
-		pause.Reset(gatherFor)
+		pause.Reset(batchDelay)
 		select {
 		case <-ctx.Done():
 			return
@@ -153,23 +153,23 @@
 	}
 }
 
-func (l *relay) flush() {
+func (l *announcementRelay) flush() {
 	l.mu.Lock()
-	gathered, routes := l.gathered, l.routes
-	l.gathered = nil
+	gathered, routes := l.batch, l.routes
+	l.batch = nil
 	l.mu.Unlock()
-	for part := range slices.Chunk(gathered, announceOne) {
-		l.send(slices.Concat(routes.local, routes.orphans), kindAnnounce, part)
-		l.send(routes.deputies, kindZoneRelay, part)
+	for part := range slices.Chunk(gathered, maxAnnouncementsPerDatagram) {
+		l.send(slices.Concat(routes.local, routes.remote), kindAnnouncement, part)
+		l.send(routes.zoneRelays, kindAnnouncementZoneRelay, part)
 	}
 }
 
-// tellZone tells this router's zone what a router of another zone has gathered.
-func (l *relay) tellZone(announcements []proxy.Announcement) {
+// forwardToZone tells this router's zone what a router of another zone has gathered.
+func (l *announcementRelay) forwardToZone(announcements []proxy.Announcement) {
 	l.mu.Lock()
 	local := l.routes.local
 	l.mu.Unlock()
-	l.send(local, kindAnnounce, announcements)
+	l.send(local, kindAnnouncement, announcements)
 }
 
 func (r *Router) sendAnnouncements(to []string, kind transport.Kind, announcements []proxy.Announcement) {
@@ -183,10 +183,10 @@
 		return err
 	}
 	switch p.Kind {
-	case kindRelay:
-		r.relay.gather(announcements)
-	case kindZoneRelay:
-		r.relay.tellZone(announcements)
+	case kindAnnouncementRelay:
+		r.relay.enqueue(announcements)
+	case kindAnnouncementZoneRelay:
+		r.relay.forwardToZone(announcements)
 	}
 	r.dispatcher.ApplyAnnouncements(announcements)
 	return nil
--- a/internal/fleet/router/relay_test.go
+++ b/internal/fleet/router/announcement_relay_test.go
@@ -42,7 +42,7 @@
 			l.setPeers(fleet(11, 3))
 			l.announce(proxy.Announcement{Units: 5})
 			So(len(messages), ShouldEqual, 1)
-			So(messages[0].kind, ShouldEqual, kindAnnounce)
+			So(messages[0].kind, ShouldEqual, kindAnnouncement)
 			So(len(messages[0].to), ShouldEqual, 11)
 		})
 		Convey("go to a router of the core in its zone in a large one, and to another when that is gone", func() {
@@ -53,7 +53,7 @@
 				l.announce(proxy.Announcement{Units: 5})
 				last := messages[len(messages)-1]
 				So(len(last.to), ShouldEqual, 1)
-				So(last.kind, ShouldEqual, kindRelay)
+				So(last.kind, ShouldEqual, kindAnnouncementRelay)
 				live = slices.DeleteFunc(live, func(m membership.Member) bool { return m.Address == last.to[0] })
 			}
 			So([]string{messages[0].to[0], messages[1].to[0]}, ShouldContain, "10.0.0.1:1")
@@ -72,23 +72,23 @@
 			l := newRelay("self", "a", true, record)
 			l.setPeers(fleet(89, 8))
 			l.announce(proxy.Announcement{Units: 5})
-			l.gather(make([]proxy.Announcement, announceOne))
+			l.enqueue(make([]proxy.Announcement, maxAnnouncementsPerDatagram))
 			So(messages, ShouldBeEmpty)
 			l.flush()
 			So(len(messages), ShouldEqual, 4)
 			for _, m := range messages {
-				So(m.count, ShouldBeLessThanOrEqualTo, announceOne)
+				So(m.count, ShouldBeLessThanOrEqualTo, maxAnnouncementsPerDatagram)
 			}
 		})
 		Convey("reach every other router once, and each other zone by one message", func() {
 			everyone := fleet(90, 8)
 			for _, withoutCore := range []string{"", "c"} {
-				relays := map[string]*relay{}
+				relays := map[string]*announcementRelay{}
 				got := map[string]int{}
 				crossing := 0
 				for _, m := range everyone {
 					m.Core = m.Core && m.Zone != withoutCore
-					var l *relay
+					var l *announcementRelay
 					l = newRelay(m.Address, m.Zone, m.Core, func(to []string, kind transport.Kind, a []proxy.Announcement) {
 						for _, address := range to {
 							if relays[address].zone != l.zone {
@@ -96,10 +96,10 @@
 							}
 							got[address]++
 							switch kind {
-							case kindRelay:
-								relays[address].gather(a)
-							case kindZoneRelay:
-								relays[address].tellZone(a)
+							case kindAnnouncementRelay:
+								relays[address].enqueue(a)
+							case kindAnnouncementZoneRelay:
+								relays[address].forwardToZone(a)
 							}
 						}
 					})
@@ -134,7 +134,7 @@
 				cores = append(cores, m.Address)
 			}
 			for i := range 600 {
-				counts[newRelay(fmt.Sprint("router", i), "a", false, record).choose(cores)]++
+				counts[newRelay(fmt.Sprint("router", i), "a", false, record).chooseCore(cores)]++
 			}
 			for _, count := range counts {
 				So(count, ShouldBeBetween, 60, 150)
@@ -147,14 +147,14 @@
 func TestPatience(t *testing.T) {
 	Convey("The ledger's answer is waited for as long as answers usually take, and a little at least", t, func() {
 		c := &quotaClient{}
-		So(c.patience(), ShouldEqual, askFirst)
+		So(c.requestTimeout(), ShouldEqual, initialRequestTimeout)
 		for range 50 {
-			c.observe(time.Millisecond)
+			c.observeResponseTime(time.Millisecond)
 		}
-		So(c.patience(), ShouldEqual, askLeast)
+		So(c.requestTimeout(), ShouldEqual, minRequestTimeout)
 		for range 50 {
-			c.observe(45 * time.Millisecond) // another region
+			c.observeResponseTime(45 * time.Millisecond) // another region
 		}
-		So(c.patience(), ShouldBeGreaterThan, 100*time.Millisecond)
+		So(c.requestTimeout(), ShouldBeGreaterThan, 100*time.Millisecond)
 	})
 }
--- a/internal/fleet/router/core.go
+++ b/internal/fleet/router/delegate.go
@@ -11,19 +11,19 @@
 	"pinelb.example/pinelb/internal/fleet/replica"
 )
 
-// neverFresh is the age of a configuration that nothing has confirmed.
-const neverFresh = time.Hour
+// unconfirmedAge is the age of a configuration that nothing has confirmed.
+const unconfirmedAge = time.Hour
 
 // Table is the configuration in force, and how long ago it surely was the newest.
 func (r *Router) Table() (*config.Table, time.Duration) {
-	held := r.config.Load()
+	held := r.activeConfig.Load()
 	if held == nil {
-		return nil, neverFresh
+		return nil, unconfirmedAge
 	}
-	if !held.fresh {
-		return held.table, neverFresh
+	if !held.confirmed {
+		return held.table, unconfirmedAge
 	}
-	return held.table, r.clock() - held.freshAt
+	return held.table, r.clock() - held.confirmedAt
 }
 
 // Charge takes units out of a tenant's quota.
@@ -32,7 +32,7 @@
 }
 
 // Refund gives units back.
-func (r *Router) Refund(tenant *config.Tenant, units float64) { r.quota.restore(tenant, units) }
+func (r *Router) Refund(tenant *config.Tenant, units float64) { r.quota.refund(tenant, units) }
 
 // Submit has an order taken.
 func (r *Router) Submit(ctx context.Context, order *config.Change) error {
@@ -80,7 +80,7 @@
 // isReady: a configuration is held that was confirmed since the start, keys may be used, and there are endpoints.
 func (r *Router) isReady() bool {
 	table, age := r.Table()
-	if r.ending.Load() || table == nil || table.Version == 0 || age >= neverFresh {
+	if r.draining.Load() || table == nil || table.Version == 0 || age >= unconfirmedAge {
 		return false
 	}
 	if lease := frontOptions(r.settings).KeyLease; lease > 0 && age > lease {
@@ -95,32 +95,32 @@
 }
 
 const (
-	noticeTime   = 2500 * time.Millisecond // until the platform has noticed that this router is not ready
-	endingMargin = 250 * time.Millisecond  // before the platform ends the process
+	readinessNoticeTime = 2500 * time.Millisecond // until the platform has noticed that this router is not ready
+	shutdownMargin      = 250 * time.Millisecond  // before the platform ends the process
 )
 
 // drain ends the process in the planned way: another router takes the primary's place, clients are sent elsewhere, and
 // what is under way is finished. All the while this router tells the others what it knows.
 func (r *Router) drain(ticks <-chan time.Time) {
-	end := time.Now().Add(r.settings.Bounds.Grace - endingMargin)
-	r.ending.Store(true)
+	end := time.Now().Add(r.settings.Bounds.Grace - shutdownMargin)
+	r.draining.Store(true)
 	r.front.BeginDrain(end)
-	if r.clients != nil {
-		r.clients.SetKeepAlivesEnabled(false) // clients take their next connection elsewhere
+	if r.frontServer != nil {
+		r.frontServer.SetKeepAlivesEnabled(false) // clients take their next connection elsewhere
 	}
 	r.log.Info("draining")
 	if r.replica != nil {
 		r.replica.Resign()
 	}
-	r.tickUntil(ticks, time.After(noticeTime))
-	r.withNode(r.node.Leave)
+	r.tickUntil(ticks, time.After(readinessNoticeTime))
+	r.stepNode(r.node.Leave)
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
 	finished := make(chan time.Time)
 	go func() {
 		defer close(finished)
-		if r.clients != nil {
-			r.log.Info("drained", zap.Error(r.clients.Shutdown(ctx)))
+		if r.frontServer != nil {
+			r.log.Info("drained", zap.Error(r.frontServer.Shutdown(ctx)))
 		}
 	}()
 	r.tickUntil(ticks, finished)
--- a/internal/fleet/router/gossip.go
+++ b/internal/fleet/router/dissemination.go
@@ -22,30 +22,30 @@
 // Kinds of messages between routers.
 const (
 	kindReplication transport.Kind = iota + 1
-	kindBeat
+	kindHeartbeat
 	kindPull
-	kindAnswer
-	kindNews
-	kindQuotaAsk
+	kindPullReply
+	kindUpdate
+	kindQuotaRequest
 	kindQuotaGrant
-	kindAnnounce // to all routers
-	kindRelay    // to one router, which tells all
-	kindQuotaRenew
-	kindQuotaRenewed
-	kindZoneRelay // to one router, which tells its zone
+	kindAnnouncement      // to all routers
+	kindAnnouncementRelay // to one router, which tells all
+	kindLeaseRenewal
+	kindLeaseRenewalReply
+	kindAnnouncementZoneRelay // to one router, which tells its zone
 )
 
 const (
-	fetchPath  = "/configuration"
-	statusPath = "/status"
-	fetchLeast = 1500 * time.Millisecond // that a fetch may take at first
-	fetchMost  = 12 * time.Second        // the same, after others have taken too long
-	fetchAgain = 500 * time.Millisecond  // after which another router is asked beside the one that has not answered
-	fetchesAt  = 3                       // fetches at a time
+	fetchPath            = "/configuration"
+	statusPath           = "/status"
+	minFetchTimeout      = 1500 * time.Millisecond // that a fetch may take at first
+	maxFetchTimeout      = 12 * time.Second        // the same, after others have taken too long
+	fetchHedgeDelay      = 500 * time.Millisecond  // after which another router is asked beside the one that has not answered
+	maxConcurrentFetches = 3                       // fetches at a time
 
-	// endpointsRest times what it took to take a list of endpoints over, until the next: a twentieth of the processor at most
+	// endpointRefreshRest times what it took to take a list of endpoints over, until the next: a twentieth of the processor at most
 	// goes there, however many come at once.
-	endpointsRest = 20
+	endpointRefreshRest = 20
 )
 
 // fleetID tells the messages of one fleet from another's: it is made of what all machines' settings share.
@@ -64,24 +64,24 @@
 	switch p.Kind {
 	case kindReplication:
 		err = r.receiveReplication(p)
-	case kindBeat:
+	case kindHeartbeat:
 		err = receiveNode[dissemination.Heartbeat](r, p)
 	case kindPull:
 		err = receiveNode[dissemination.Pull](r, p)
-	case kindAnswer:
+	case kindPullReply:
 		err = receiveNode[dissemination.PullReply](r, p)
-	case kindNews:
+	case kindUpdate:
 		err = receiveNode[dissemination.Update](r, p)
-	case kindAnnounce, kindRelay, kindZoneRelay:
+	case kindAnnouncement, kindAnnouncementRelay, kindAnnouncementZoneRelay:
 		err = r.receiveAnnouncements(p)
-	case kindQuotaAsk:
-		err = r.receiveQuotaAsk(p)
+	case kindQuotaRequest:
+		err = r.receiveQuotaRequest(p)
 	case kindQuotaGrant:
 		err = r.quota.receiveGrant(p)
-	case kindQuotaRenew:
-		err = r.receiveQuotaRenew(p)
-	case kindQuotaRenewed:
-		err = r.quota.receiveRenewed(p)
+	case kindLeaseRenewal:
+		err = r.receiveLeaseRenewal(p)
+	case kindLeaseRenewalReply:
+		err = r.quota.receiveRenewalReply(p)
 	}
 	if err != nil {
 		r.transport.Counters.Dropped.Add(1)
@@ -105,15 +105,15 @@
 	if err := cbor.Unmarshal(p.Body, &message); err != nil {
 		return err
 	}
-	r.withNode(func(now time.Duration) *dissemination.Output { return r.node.Receive(now, p.From, message) })
+	r.stepNode(func(now time.Duration) *dissemination.Output { return r.node.Receive(now, p.From, message) })
 	return nil
 }
 
-// withNode lets the dissemination take a step, carries out what it wants done, and takes over what requests look at.
-func (r *Router) withNode(step func(now time.Duration) *dissemination.Output) {
+// stepNode lets the dissemination take a step, carries out what it wants done, and takes over what requests look at.
+func (r *Router) stepNode(step func(now time.Duration) *dissemination.Output) {
 	r.mu.Lock()
 	out := step(r.clock())
-	r.refresh()
+	r.applyConfig()
 	fetch := out.Fetch
 	if fetch != "" && !r.fetches.begin(r.clock()) {
 		fetch = ""
@@ -130,23 +130,23 @@
 func kindOf(message any) transport.Kind {
 	switch message.(type) {
 	case dissemination.Heartbeat:
-		return kindBeat
+		return kindHeartbeat
 	case dissemination.Pull:
 		return kindPull
 	case dissemination.PullReply:
-		return kindAnswer
+		return kindPullReply
 	}
-	return kindNews
+	return kindUpdate
 }
 
 // refresh takes over what requests look at. The caller holds the lock.
-func (r *Router) refresh() {
+func (r *Router) applyConfig() {
 	feed := &r.node.Config
 	at, fresh := feed.ConfirmedAt()
-	held := r.config.Load()
-	if held == nil || held.table != feed.Table || held.freshAt != at || held.fresh != fresh {
+	held := r.activeConfig.Load()
+	if held == nil || held.table != feed.Table || held.confirmedAt != at || held.confirmed != fresh {
 		if feed.Table != nil {
-			r.config.Store(&configInForce{table: feed.Table, freshAt: at, fresh: fresh})
+			r.activeConfig.Store(&confirmedConfig{table: feed.Table, confirmedAt: at, confirmed: fresh})
 		}
 	}
 	if ended := r.node.Registry.TakeEnded(); len(ended) > 0 {
@@ -158,12 +158,12 @@
 // much as all of them. The caller holds the lock.
 func (r *Router) refreshEndpoints() {
 	version, began := r.node.Registry.Version(), r.clock()
-	if version == r.registryVersion || began < r.nextEndpoints {
+	if version == r.appliedRegistryVersion || began < r.nextEndpointRefresh {
 		return
 	}
-	r.registryVersion = version
+	r.appliedRegistryVersion = version
 	r.dispatcher.SetEndpoints(r.node.Registry.Ready())
-	r.nextEndpoints = began + endpointsRest*(r.clock()-began)
+	r.nextEndpointRefresh = began + endpointRefreshRest*(r.clock()-began)
 }
 
 // tick lets time pass.
@@ -175,19 +175,19 @@
 			r.mu.Unlock()
 		}
 	}
-	r.withNode(r.node.Tick)
+	r.stepNode(r.node.Tick)
 	r.mu.Lock()
 	r.refreshEndpoints()
 	r.dispatcher.SetRouters(r.node.Members.LiveCount())
 	live := r.node.Members.LiveMembers()
 	view, primary := r.node.Primary()
 	routers := r.node.Members.LiveCount()
-	r.ledger.SetRouters(routers)
-	asks := !r.knowsLeaseholders()
+	r.allocator.SetRouters(routers)
+	asks := !r.knowsAllLeaseholders()
 	r.mu.Unlock()
 	r.quota.tick(r.clock(), view, primary, routers, asks)
 	r.relay.setPeers(live)
-	r.tickHints()
+	r.tickEndpointCache()
 	r.tickLeaseholders()
 	r.tickLearned()
 }
@@ -195,7 +195,7 @@
 // fetch asks a router for configurations that this one lacks.
 func (r *Router) fetch(from string) {
 	r.mu.Lock()
-	ctx, cancel := context.WithTimeout(r.transport.Context(), r.fetchTime)
+	ctx, cancel := context.WithTimeout(r.transport.Context(), r.fetchTimeout)
 	defer cancel()
 	request := dissemination.FetchRequest{After: r.node.Config.Sequence}
 	if r.node.Config.Table == nil {
@@ -207,12 +207,12 @@
 	err := r.transport.Call(ctx, from, fetchPath, request, &reply)
 	r.mu.Lock()
 	r.fetches.end()
-	r.fetchTime = nextFetchTime(r.fetchTime, r.clock()-asked, err)
+	r.fetchTimeout = nextFetchTimeout(r.fetchTimeout, r.clock()-asked, err)
 	r.mu.Unlock()
 	if err != nil {
 		return // the next pull finds it again
 	}
-	r.withNode(func(now time.Duration) *dissemination.Output {
+	r.stepNode(func(now time.Duration) *dissemination.Output {
 		out, _, err := r.node.HandleFetchReply(now, asked, reply)
 		if err != nil {
 			r.log.Error("a configuration that was fetched can't be read", zap.Error(err))
@@ -223,31 +223,31 @@
 
 // fetches are those under way. One that takes long, because its router is cut off or its link is slow, does not keep others
 // from another router.
-type fetches struct {
-	count int
-	last  time.Duration // when the last one began
+type fetchLimiter struct {
+	inFlight  int
+	lastStart time.Duration // when the last one began
 }
 
 // begin tells whether a fetch may begin now, and notes that it does.
-func (f *fetches) begin(now time.Duration) bool {
-	if f.count >= fetchesAt || f.count > 0 && now-f.last < fetchAgain {
+func (f *fetchLimiter) begin(now time.Duration) bool {
+	if f.inFlight >= maxConcurrentFetches || f.inFlight > 0 && now-f.lastStart < fetchHedgeDelay {
 		return false
 	}
-	f.count++
-	f.last = now
+	f.inFlight++
+	f.lastStart = now
 	return true
 }
 
-func (f *fetches) end() { f.count-- }
+func (f *fetchLimiter) end() { f.inFlight-- }
 
-// nextFetchTime is how long the next fetch may take: longer where one has taken too long, since a large configuration may
+// nextFetchTimeout is how long the next fetch may take: longer where one has taken too long, since a large configuration may
 // need more on a slow link, and little where one has come, since the next router that is asked may be cut off.
-func nextFetchTime(allowed, took time.Duration, err error) time.Duration {
+func nextFetchTimeout(allowed, took time.Duration, err error) time.Duration {
 	switch {
 	case err == nil:
-		return min(max(fetchLeast, 2*took), fetchMost)
+		return min(max(minFetchTimeout, 2*took), maxFetchTimeout)
 	case errors.Is(err, context.DeadlineExceeded):
-		return min(2*allowed, fetchMost)
+		return min(2*allowed, maxFetchTimeout)
 	}
 	return allowed
 }
@@ -263,7 +263,7 @@
 }
 
 // committed takes over a configuration that this router's replica has acknowledged as the primary.
-func (r *Router) committed(c replica.Commit) {
+func (r *Router) handleCommit(c replica.Commit) {
 	var encoded []byte
 	if c.Change != nil {
 		encoded, _ = c.Change.Encode() // without it the others fetch the configuration
@@ -272,7 +272,7 @@
 	if table.Version == 0 {
 		table = emptyTable()
 	}
-	r.withNode(func(now time.Duration) *dissemination.Output {
+	r.stepNode(func(now time.Duration) *dissemination.Output {
 		return r.node.Commit(now, c.Sequence, table, encoded)
 	})
 }
@@ -286,17 +286,17 @@
 }
 
 // viewed takes over a view that this router's replica has learned.
-func (r *Router) viewed(view replication.View) {
+func (r *Router) handleViewChange(view replication.View) {
 	if view.Primary.Address != r.settings.InternalAddress() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.node.SetView(view.Number, view.Primary.Address)
-		r.ledgerChanged(view.Primary.Address)
+		r.allocatorChanged(view.Primary.Address)
 		return
 	}
-	r.withNode(func(now time.Duration) *dissemination.Output {
-		calm := r.ledgerChanged(view.Primary.Address)
-		r.ledger.Activate(now, view.Number, r.ledger.View()+1 == view.Number, calm)
+	r.stepNode(func(now time.Duration) *dissemination.Output {
+		calm := r.allocatorChanged(view.Primary.Address)
+		r.allocator.Activate(now, view.Number, r.allocator.View()+1 == view.Number, calm)
 		return r.node.AnnouncePrimary(now, view.Number)
 	})
 }
--- a/internal/fleet/router/leaves.go
+++ b/internal/fleet/router/endpoint_leave.go
@@ -16,8 +16,8 @@
 // answered the primary since: from there every router learns of it that is in touch with the core.
 
 const (
-	leavePath = "/leave"
-	leaveTime = 700 * time.Millisecond // that the primary may take: the endpoint asks another router after a second
+	leavePath    = "/leave"
+	leaveTimeout = 700 * time.Millisecond // that the primary may take: the endpoint asks another router after a second
 )
 
 // errNoPrimary: no router is known that could tell all others.
@@ -29,18 +29,18 @@
 // HandleEndpointReport takes an endpoint's word over. An error says that the others may not learn of its leave.
 func (r *Router) HandleEndpointReport(ctx context.Context, endpoint registry.Endpoint) error {
 	endpoint.Owner = r.settings.InternalAddress()
-	r.withNode(func(now time.Duration) *dissemination.Output {
+	r.stepNode(func(now time.Duration) *dissemination.Output {
 		out, _ := r.node.HandleEndpointHeartbeat(now, endpoint)
 		return out
 	})
 	if endpoint.State == registry.Ready {
 		return nil
 	}
-	return r.tellPrimary(ctx, endpoint.ID)
+	return r.reportLeave(ctx, endpoint.ID)
 }
 
-// tellPrimary has the primary know what this router knows of an endpoint.
-func (r *Router) tellPrimary(ctx context.Context, id string) error {
+// reportLeave has the primary know what this router knows of an endpoint.
+func (r *Router) reportLeave(ctx context.Context, id string) error {
 	r.mu.Lock()
 	endpoint, known := r.node.Registry.Lookup(id)
 	_, primary := r.node.Primary()
@@ -48,7 +48,7 @@
 	if !known || endpoint.State == registry.Ready {
 		return nil // nobody sends it anything because of this router
 	}
-	ctx, cancel := context.WithTimeout(ctx, leaveTime)
+	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
 	if r.replica != nil && primary == r.settings.InternalAddress() {
 		return r.replica.ConfirmLeadership(ctx)
@@ -68,8 +68,8 @@
 	if r.replica == nil {
 		return nil, errNoPrimary
 	}
-	r.withNode(func(now time.Duration) *dissemination.Output { return r.node.HandleEndpointLeave(now, endpoint) })
-	ctx, cancel := context.WithTimeout(r.transport.Context(), leaveTime)
+	r.stepNode(func(now time.Duration) *dissemination.Output { return r.node.HandleEndpointLeave(now, endpoint) })
+	ctx, cancel := context.WithTimeout(r.transport.Context(), leaveTimeout)
 	defer cancel()
 	return leaveReply{}, r.replica.ConfirmLeadership(ctx)
 }
--- a/internal/fleet/router/learned.go
+++ b/internal/fleet/router/learned_state.go
@@ -17,49 +17,49 @@
 // keep it on the disk, for a time at which all have ended.
 
 const (
-	learnedPath  = "/learned"
-	learnedName  = "learned"
-	learnedEvery = 2 * time.Second        // between writes
-	learnedAgain = 300 * time.Millisecond // between questions
-	learnedWait  = time.Second            // for an answer
-	learnedTries = 10                     // questions, where answers are empty or do not come
-	learnedUntil = 6 * time.Second        // after the start: by then a router has learned itself
+	learnedPath            = "/learned"
+	learnedName            = "learned"
+	learnedWriteInterval   = 2 * time.Second        // between writes
+	learnedRequestInterval = 300 * time.Millisecond // between questions
+	learnedRequestTimeout  = time.Second            // for an answer
+	maxLearnedRequests     = 10                     // questions, where answers are empty or do not come
+	learnedImportWindow    = 6 * time.Second        // after the start: by then a router has learned itself
 )
 
-// learnedState is a router's side of it.
-type learnedState struct {
-	file    *listFile // nil: no disk
-	tries   int
-	next    time.Duration // question, or write
-	taken   *placement.LearnedState
-	version uint64 // of the endpoints to which it was applied last
-
-	mu   sync.Mutex
-	came *placement.LearnedState // from the disk or another router; nil: nothing yet
-	at   time.Duration           // when
+// learnedStateExchange is a router's side of it.
+type learnedStateExchange struct {
+	file            *stateFile // nil: no disk
+	requests        int
+	nextAction      time.Duration // question, or write
+	imported        *placement.LearnedState
+	importedVersion uint64 // of the endpoints to which it was applied last
+
+	mu         sync.Mutex
+	received   *placement.LearnedState // from the disk or another router; nil: nothing yet
+	receivedAt time.Duration           // when
 }
 
 // offer notes what was learned before this process.
-func (l *learnedState) offer(now time.Duration, learned *placement.LearnedState) {
+func (l *learnedStateExchange) receive(now time.Duration, learned *placement.LearnedState) {
 	if len(learned.Prefixes) == 0 {
 		return // it has just started too
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.came, l.at = learned, now
+	l.received, l.receivedAt = learned, now
 }
 
-func (l *learnedState) offered() (*placement.LearnedState, time.Duration) {
+func (l *learnedStateExchange) latest() (*placement.LearnedState, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.came, l.at
+	return l.received, l.receivedAt
 }
 
 // forget gives up the memory of what was offered.
-func (l *learnedState) forget() {
+func (l *learnedStateExchange) discard() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.came, l.taken = nil, nil
+	l.received, l.imported = nil, nil
 }
 
 // startLearned reads what the process before this one has left.
@@ -67,10 +67,10 @@
 	if r.settings.DataDir == "" {
 		return
 	}
-	r.learned.file = newListFile(r.settings.DataDir, learnedName, r.log)
+	r.learned.file = newStateFile(r.settings.DataDir, learnedName, r.log)
 	var read placement.LearnedState
 	if r.learned.file.read(&read) {
-		r.learned.offer(r.clock(), &read)
+		r.learned.receive(r.clock(), &read)
 	}
 }
 
@@ -78,50 +78,50 @@
 // the other: what is told of one that is not known yet is taken over when it is.
 func (r *Router) tickLearned() {
 	l, now := &r.learned, r.clock()
-	if now >= learnedUntil {
-		l.forget()
+	if now >= learnedImportWindow {
+		l.discard()
 		r.writeLearned(now)
 		return
 	}
-	came, at := l.offered()
+	came, at := l.latest()
 	if came == nil {
-		r.askForLearned(now)
+		r.maybeRequestLearned(now)
 		return
 	}
-	if came != l.taken || r.registryVersion != l.version {
-		l.taken, l.version = came, r.registryVersion
+	if came != l.imported || r.appliedRegistryVersion != l.importedVersion {
+		l.imported, l.importedVersion = came, r.appliedRegistryVersion
 		r.dispatcher.ImportLearned(at, came)
 	}
 }
 
-// askForLearned asks another router, unless one was asked just now.
-func (r *Router) askForLearned(now time.Duration) {
+// maybeRequestLearned asks another router, unless one was asked just now.
+func (r *Router) maybeRequestLearned(now time.Duration) {
 	l := &r.learned
-	if now < l.next || l.tries >= learnedTries {
+	if now < l.nextAction || l.requests >= maxLearnedRequests {
 		return
 	}
-	from := r.learnedSource()
+	from := r.chooseLearnedSource()
 	if from == "" {
 		return
 	}
-	l.next = now + learnedAgain
-	l.tries++
-	r.tasks.Go(func() { r.askLearned(from) })
+	l.nextAction = now + learnedRequestInterval
+	l.requests++
+	r.tasks.Go(func() { r.requestLearned(from) })
 }
 
 func (r *Router) writeLearned(now time.Duration) {
 	l := &r.learned
-	if now < l.next {
+	if now < l.nextAction {
 		return
 	}
-	l.next = now + learnedEvery
+	l.nextAction = now + learnedWriteInterval
 	if l.file != nil && l.file.isDue(now) {
 		l.file.write(now, r.dispatcher.ExportLearned(), r.tasks.Go)
 	}
 }
 
-// learnedSource is the router that is asked: one of the core, of this router's zone if there is one; empty: none lives.
-func (r *Router) learnedSource() string {
+// chooseLearnedSource is the router that is asked: one of the core, of this router's zone if there is one; empty: none lives.
+func (r *Router) chooseLearnedSource() string {
 	r.mu.Lock()
 	live := r.node.Members.LiveMembers()
 	r.mu.Unlock()
@@ -145,16 +145,16 @@
 	return best
 }
 
-// askLearned asks a router for what it has learned.
-func (r *Router) askLearned(from string) {
-	ctx, cancel := context.WithTimeout(r.transport.Context(), learnedWait)
+// requestLearned asks a router for what it has learned.
+func (r *Router) requestLearned(from string) {
+	ctx, cancel := context.WithTimeout(r.transport.Context(), learnedRequestTimeout)
 	defer cancel()
 	var learned placement.LearnedState
 	if err := r.transport.Call(ctx, from, learnedPath, struct{}{}, &learned); err != nil {
 		r.log.Debug("a router has not told what it has learned", zap.String("router", from), zap.Error(err))
 		return
 	}
-	r.learned.offer(r.clock(), &learned)
+	r.learned.receive(r.clock(), &learned)
 }
 
 // answerLearned tells another router what this one has learned.
--- a/internal/fleet/router/learned_test.go
+++ b/internal/fleet/router/learned_state_test.go
@@ -12,12 +12,12 @@
 
 func TestLearnedState(t *testing.T) {
 	Convey("An answer of a router that has just started is none", t, func() {
-		var l learnedState
-		l.offer(time.Second, &placement.LearnedState{Models: []placement.LatencyModel{{Service: "s"}}})
-		came, _ := l.offered()
+		var l learnedStateExchange
+		l.receive(time.Second, &placement.LearnedState{Models: []placement.LatencyModel{{Service: "s"}}})
+		came, _ := l.latest()
 		So(came, ShouldBeNil)
-		l.offer(2*time.Second, &placement.LearnedState{Prefixes: []placement.CachedPrefix{{Endpoint: 1, Prefix: 2}}})
-		came, at := l.offered()
+		l.receive(2*time.Second, &placement.LearnedState{Prefixes: []placement.CachedPrefix{{Endpoint: 1, Prefix: 2}}})
+		came, at := l.latest()
 		So(came, ShouldNotBeNil)
 		So(at, ShouldEqual, 2*time.Second)
 	})
--- a/internal/fleet/router/leaseholders.go
+++ b/internal/fleet/router/leaseholders.go
@@ -16,33 +16,33 @@
 // knows when it has kept a ledger for longer than leases of the one before last.
 
 const (
-	leaseholdersName  = "routers"
-	leaseholdersEvery = 500 * time.Millisecond // between looks at whether the list has changed
+	leaseholdersName         = "routers"
+	leaseholderCheckInterval = 500 * time.Millisecond // between looks at whether the list has changed
 )
 
 // leaseholderList is what a process knows of routers from the one before it, and leaves to the next.
 type leaseholderList struct {
-	file    *listFile // nil: no disk
-	former  []string  // that the process before this one knew, or a primary
-	known   bool      // with those that this process knows, they are all
-	written []string
-	next    time.Duration // when the list is looked at again
+	file       *stateFile // nil: no disk
+	restored   []string   // that the process before this one knew, or a primary
+	isComplete bool       // with those that this process knows, they are all
+	written    []string
+	nextCheck  time.Duration // when the list is looked at again
 }
 
 // holds notes that a router has shares of this router's ledger, of which no shares are out that it does not know.
-func (l *leaseholderList) holds(address string) {
-	l.known = true
+func (l *leaseholderList) recordLeaseholder(address string) {
+	l.isComplete = true
 	l.add(address)
 }
 
 func (l *leaseholderList) add(address string) {
-	if !slices.Contains(l.former, address) {
-		l.former = append(slices.Clone(l.former), address)
+	if !slices.Contains(l.restored, address) {
+		l.restored = append(slices.Clone(l.restored), address)
 	}
 }
 
-// learnLeaseholders takes over who may hold shares, as the primary says.
-func (r *Router) learnLeaseholders(all []string) {
+// addLeaseholders takes over who may hold shares, as the primary says.
+func (r *Router) addLeaseholders(all []string) {
 	if len(all) == 0 {
 		return
 	}
@@ -51,32 +51,32 @@
 	for _, address := range all {
 		r.leaseholders.add(address)
 	}
-	r.leaseholders.known = true
+	r.leaseholders.isComplete = true
 }
 
 // startLeaseholders reads what the process before this one has left.
 func (r *Router) startLeaseholders() {
 	l := &r.leaseholders
-	l.known = r.settings.Bootstrap // nobody was before
+	l.isComplete = r.settings.Bootstrap // nobody was before
 	if r.settings.DataDir == "" || !r.settings.CountsForQuorum {
 		return
 	}
-	l.file = newListFile(r.settings.DataDir, leaseholdersName, r.log)
-	if l.file.read(&l.former) {
-		l.known = true
+	l.file = newStateFile(r.settings.DataDir, leaseholdersName, r.log)
+	if l.file.read(&l.restored) {
+		l.isComplete = true
 	}
-	l.written = l.former
+	l.written = l.restored
 }
 
 // tickLeaseholders writes the list where it has changed.
 func (r *Router) tickLeaseholders() {
 	l, now := &r.leaseholders, r.clock()
-	if l.file == nil || now < l.next || !l.file.isDue(now) {
+	if l.file == nil || now < l.nextCheck || !l.file.isDue(now) {
 		return
 	}
-	l.next = now + leaseholdersEvery
+	l.nextCheck = now + leaseholderCheckInterval
 	r.mu.Lock()
-	all, complete := r.mayHoldShares()
+	all, complete := r.possibleLeaseholders()
 	r.mu.Unlock()
 	if !complete || slices.Equal(all, l.written) {
 		return
@@ -85,10 +85,10 @@
 	l.file.write(now, all, r.tasks.Go)
 }
 
-// mayHoldShares are the routers that may hold shares of a former ledger, in order: those that live, those that were lost so
+// possibleLeaseholders are the routers that may hold shares of a former ledger, in order: those that live, those that were lost so
 // lately that they may be cut off instead, and those that the process before this one knew and this one has not heard of.
 // complete is false where there may be others. The caller holds the lock.
-func (r *Router) mayHoldShares() (all []string, complete bool) {
+func (r *Router) possibleLeaseholders() (all []string, complete bool) {
 	now := r.clock()
 	recently := quota.LeaseDuration + membership.DefaultTiming().FailureTimeout
 	for _, m := range r.node.Members.All() {
@@ -97,20 +97,24 @@
 			all = append(all, m.Address)
 		}
 	}
-	if r.runsLong() {
+	if r.hasOutlivedTombstones() {
 		return all, true
 	}
-	for _, address := range r.leaseholders.former {
+	for _, address := range r.leaseholders.restored {
 		if _, heard := r.node.Members.Lookup(address); !heard {
 			all = append(all, address)
 		}
 	}
 	slices.Sort(all)
-	return all, r.knowsLeaseholders()
+	return all, r.knowsAllLeaseholders()
 }
 
-// knowsLeaseholders tells whether mayHoldShares are all. The caller holds the lock.
-func (r *Router) knowsLeaseholders() bool { return r.leaseholders.known || r.runsLong() }
+// knowsAllLeaseholders tells whether possibleLeaseholders are all. The caller holds the lock.
+func (r *Router) knowsAllLeaseholders() bool {
+	return r.leaseholders.isComplete || r.hasOutlivedTombstones()
+}
 
-// runsLong tells whether whoever was there before this process has been heard of by now, or forgotten by all.
-func (r *Router) runsLong() bool { return r.clock() > membership.DefaultTiming().TombstoneTTL }
+// hasOutlivedTombstones tells whether whoever was there before this process has been heard of by now, or forgotten by all.
+func (r *Router) hasOutlivedTombstones() bool {
+	return r.clock() > membership.DefaultTiming().TombstoneTTL
+}
--- a/internal/fleet/router/leaseholders_test.go
+++ b/internal/fleet/router/leaseholders_test.go
@@ -22,7 +22,7 @@
 	s := &settings.Settings{IP: "10.0.0.1", DataDir: directory, CountsForQuorum: true, Bootstrap: bootstrap}
 	s.Bounds.QuotaWindow, s.Bounds.QuotaOver = quotaTestWindow, 0.1
 	r := New(s, zap.NewNop())
-	r.began = time.Now().Add(-ran)
+	r.startedAt = time.Now().Add(-ran)
 	r.startLeaseholders()
 	return r
 }
@@ -34,11 +34,11 @@
 	began := r.clock()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ledger.Activate(began, 5, false, quotaTestWindow)
+	r.allocator.Activate(began, 5, false, quotaTestWindow)
 	for _, address := range announced {
-		r.noteAnnounced(address)
+		r.recordAnnouncement(address)
 	}
-	granted, _ := r.ledger.Grant(began+span, t, 1, 1e9)
+	granted, _ := r.allocator.Grant(began+span, t, 1, 1e9)
 	return granted / t.RatePerS
 }
 
@@ -87,23 +87,23 @@
 		r.tickLeaseholders()
 		r.tasks.Wait()
 		var left []string
-		So(newListFile(directory, leaseholdersName, zap.NewNop()).read(&left), ShouldBeTrue)
+		So(newStateFile(directory, leaseholdersName, zap.NewNop()).read(&left), ShouldBeTrue)
 		So(left, ShouldResemble, []string{r.settings.InternalAddress(), "10.0.0.2:0", "10.0.0.9:0"})
 	})
 	Convey("A primary whose ledger waits for no announcements any more knows all, and tells others", t, func() {
 		primary := leaseTestRouter("", 10*time.Second, false)
-		_, complete := primary.mayHoldShares()
+		_, complete := primary.possibleLeaseholders()
 		So(complete, ShouldBeFalse)
-		primary.ledger.Activate(primary.clock()-quota.LeaseDuration-time.Second, 5, false, quotaTestWindow)
-		primary.noteAnnounced("10.0.0.2:0")
-		all, complete := primary.mayHoldShares()
+		primary.allocator.Activate(primary.clock()-quota.LeaseDuration-time.Second, 5, false, quotaTestWindow)
+		primary.recordAnnouncement("10.0.0.2:0")
+		all, complete := primary.possibleLeaseholders()
 		So(complete, ShouldBeTrue)
 		So(all, ShouldResemble, []string{primary.settings.InternalAddress(), "10.0.0.2:0"})
 		other := leaseTestRouter("", time.Second, false)
-		other.learnLeaseholders(nil)
-		So(other.knowsLeaseholders(), ShouldBeFalse)
-		other.learnLeaseholders(append(all, "10.0.0.3:0"))
-		all, complete = other.mayHoldShares()
+		other.addLeaseholders(nil)
+		So(other.knowsAllLeaseholders(), ShouldBeFalse)
+		other.addLeaseholders(append(all, "10.0.0.3:0"))
+		all, complete = other.possibleLeaseholders()
 		So(complete, ShouldBeTrue)
 		So(all, ShouldResemble, []string{other.settings.InternalAddress(), "10.0.0.2:0", "10.0.0.3:0"})
 	})
@@ -112,7 +112,7 @@
 		r := leaseTestRouter(directory, time.Second, false)
 		r.tickLeaseholders()
 		r.tasks.Wait()
-		So(newListFile(directory, leaseholdersName, zap.NewNop()).read(new([]string)), ShouldBeFalse)
+		So(newStateFile(directory, leaseholdersName, zap.NewNop()).read(new([]string)), ShouldBeFalse)
 	})
 }
 
--- a/internal/fleet/router/router.go
+++ b/internal/fleet/router/router.go
@@ -29,66 +29,66 @@
 )
 
 const (
-	tickEvery       = 50 * time.Millisecond
-	descriptorsKept = 300                    // for files, the other listeners and the runtime
-	leaseSlack      = 600 * time.Millisecond // of revokeMs: what may pass between the look at a lease and the send
-	headerTimeout   = 10 * time.Second
-	idleTimeout     = 60 * time.Second
-	headerBytesMost = 64 << 10
+	tickInterval        = 50 * time.Millisecond
+	reservedDescriptors = 300                    // for files, the other listeners and the runtime
+	keyLeaseMargin      = 600 * time.Millisecond // of revokeMs: what may pass between the look at a lease and the send
+	readHeaderTimeout   = 10 * time.Second
+	idleTimeout         = 60 * time.Second
+	maxHeaderBytes      = 64 << 10
 )
 
 // Router is one machine's process.
 type Router struct {
-	settings *settings.Settings
-	log      *zap.Logger
-	began    time.Time
+	settings  *settings.Settings
+	log       *zap.Logger
+	startedAt time.Time
 
-	transport  *transport.Transport
-	replica    *replica.Replica // nil where this machine does not count for the quorum
-	dispatcher *proxy.Dispatcher
-	front      *proxy.Server
-	quota      *quotaClient
-	relay      *relay
-	servers    []*http.Server
-	clients    *http.Server // one of them; nil: clients are not served
-	tasks      sync.WaitGroup
+	transport   *transport.Transport
+	replica     *replica.Replica // nil where this machine does not count for the quorum
+	dispatcher  *proxy.Dispatcher
+	front       *proxy.Server
+	quota       *quotaClient
+	relay       *announcementRelay
+	servers     []*http.Server
+	frontServer *http.Server // one of them; nil: clients are not served
+	tasks       sync.WaitGroup
 
-	mu              sync.Mutex
-	node            *dissemination.Node
-	registryVersion uint64        // of the endpoints that requests know
-	nextEndpoints   time.Duration // when they are looked at again
-	fetches         fetches
-	fetchTime       time.Duration // that the next fetch may take
-	ledger          *quota.Allocator
-	granted         grantedAnswers
-	ledgerOf        string        // the router whose ledger acts
-	ledgerSince     time.Duration // when it began to
+	mu                     sync.Mutex
+	node                   *dissemination.Node
+	appliedRegistryVersion uint64        // of the endpoints that requests know
+	nextEndpointRefresh    time.Duration // when they are looked at again
+	fetches                fetchLimiter
+	fetchTimeout           time.Duration // that the next fetch may take
+	allocator              *quota.Allocator
+	grants                 grantCache
+	allocatorAddress       string        // the router whose ledger acts
+	allocatorSince         time.Duration // when it began to
 
-	config atomic.Pointer[configInForce]
-	ending atomic.Bool
-	abort  chan struct{}  // closed: the router ends without a word
-	hints  *endpointHints // nil: no disk
+	activeConfig  atomic.Pointer[confirmedConfig]
+	draining      atomic.Bool
+	killed        chan struct{}  // closed: the router ends without a word
+	endpointCache *endpointCache // nil: no disk
 
 	leaseholders leaseholderList
 
-	learned learnedState
+	learned learnedStateExchange
 }
 
-// configInForce is what requests look at.
-type configInForce struct {
-	table   *config.Table
-	freshAt time.Duration
-	fresh   bool
+// confirmedConfig is what requests look at.
+type confirmedConfig struct {
+	table       *config.Table
+	confirmedAt time.Duration
+	confirmed   bool
 }
 
 // New prepares a router; Run starts it.
 func New(s *settings.Settings, log *zap.Logger) *Router {
-	r := &Router{settings: s, log: log, began: time.Now(), abort: make(chan struct{}), fetchTime: fetchLeast}
-	r.ledger = quota.NewAllocator(quotaSettings(s))
+	r := &Router{settings: s, log: log, startedAt: time.Now(), killed: make(chan struct{}), fetchTimeout: minFetchTimeout}
+	r.allocator = quota.NewAllocator(quotaSettings(s))
 	r.quota = newQuotaClient(r, quotaSettings(s))
 	r.dispatcher = proxy.NewDispatcher(r.clock, retry.Settings{
 		Ratio: s.Bounds.BudgetRatio, Window: s.Bounds.BudgetWindow, Slack: s.Bounds.BudgetSlack,
-	}, max(64, (s.Limits.Descriptors-descriptorsKept)/2))
+	}, max(64, (s.Limits.Descriptors-reservedDescriptors)/2))
 	r.relay = newRelay(s.InternalAddress(), s.Zone, s.CountsForQuorum, r.sendAnnouncements)
 	r.dispatcher.Announce = r.relay.announce
 	r.front = proxy.NewServer(r, r.dispatcher, frontOptions(s))
@@ -110,20 +110,20 @@
 func frontOptions(s *settings.Settings) proxy.Options {
 	o := proxy.Options{Stale: s.Bounds.ConfigApply * 3 / 4}
 	if s.Bounds.RevocationStrict {
-		o.KeyLease = max(s.Bounds.Revoke/2, s.Bounds.Revoke-leaseSlack)
+		o.KeyLease = max(s.Bounds.Revoke/2, s.Bounds.Revoke-keyLeaseMargin)
 	}
 	return o
 }
 
 // clock is steady: it takes no notice of the time of day.
-func (r *Router) clock() time.Duration { return time.Since(r.began) }
+func (r *Router) clock() time.Duration { return time.Since(r.startedAt) }
 
 // Run serves until ctx ends, and then brings to an end what is under way.
 func (r *Router) Run(ctx context.Context) error {
 	if err := r.start(); err != nil {
 		return err
 	}
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		r.tick()
@@ -132,7 +132,7 @@
 			r.drain(ticker.C)
 			r.close()
 			return nil
-		case <-r.abort:
+		case <-r.killed:
 			r.close()
 			return nil
 		case <-ticker.C:
@@ -141,7 +141,7 @@
 }
 
 // Kill has Run end at once and tell nobody, as a crash would. It is called once, by rigs that play losses.
-func (r *Router) Kill() { close(r.abort) }
+func (r *Router) Kill() { close(r.killed) }
 
 func (r *Router) start() error {
 	var err error
@@ -156,7 +156,7 @@
 	if err := r.startReplica(); err != nil {
 		return err
 	}
-	r.startHints()
+	r.startEndpointCache()
 	r.startLeaseholders()
 	r.startLearned()
 	if err := r.transport.Serve(); err != nil {
@@ -169,7 +169,7 @@
 		_, err = r.listen(r.settings.Ready, http.HandlerFunc(r.answerReady))
 	}
 	if err == nil && r.settings.Front != "" {
-		r.clients, err = r.listen(r.settings.Front, r.front)
+		r.frontServer, err = r.listen(r.settings.Front, r.front)
 	}
 	r.tasks.Go(func() { r.dispatcher.Pool.Sweep(r.transport.Context()) })
 	r.tasks.Go(func() { r.relay.run(r.transport.Context()) })
@@ -183,7 +183,7 @@
 		return nil, merry.Prepend(err, "router")
 	}
 	server := &http.Server{
-		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: headerBytesMost,
+		Handler: handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: zap.NewStdLog(r.log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel))),
 	}
 	r.servers = append(r.servers, server)
@@ -216,16 +216,16 @@
 		Tolerance: replication.Tolerance{
 			Machines: s.Tolerance.Machines, Zones: s.Tolerance.Zones, Regions: s.Tolerance.Regions,
 		},
-		Timing: replication.DefaultTiming(), LocalityOf: r.placeOf, Peers: r.corePeers,
+		Timing: replication.DefaultTiming(), LocalityOf: r.localityOf, Peers: r.corePeers,
 		Send: func(to string, nonce uint64, message replication.Envelope) {
 			r.transport.Send(to, kindReplication, nonce, message)
 		},
-		OnCommit: r.committed, OnViewChange: r.viewed, Clock: r.clock, Log: r.log,
+		OnCommit: r.handleCommit, OnViewChange: r.handleViewChange, Clock: r.clock, Log: r.log,
 	})
 	return err
 }
 
-func (r *Router) placeOf(address string) replication.Locality {
+func (r *Router) localityOf(address string) replication.Locality {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m, known := r.node.Members.Lookup(address)
--- a/internal/fleet/router/listfile.go
+++ b/internal/fleet/router/state_file.go
@@ -10,23 +10,23 @@
 	"go.uber.org/zap"
 )
 
-// listFileEvery is the least time between writes of a listFile.
-const listFileEvery = 500 * time.Millisecond
+// minWriteInterval is the least time between writes of a stateFile.
+const minWriteInterval = 500 * time.Millisecond
 
-// listFile is a list that is kept on the disk for the process after this one. A failure costs the list, no more.
-type listFile struct {
-	path    string
-	log     *zap.Logger
-	next    time.Duration // when it may be written again
-	writing atomic.Bool
+// stateFile is a list that is kept on the disk for the process after this one. A failure costs the list, no more.
+type stateFile struct {
+	path      string
+	log       *zap.Logger
+	nextWrite time.Duration // when it may be written again
+	writing   atomic.Bool
 }
 
-func newListFile(directory, name string, log *zap.Logger) *listFile {
-	return &listFile{path: filepath.Join(directory, name), log: log}
+func newStateFile(directory, name string, log *zap.Logger) *stateFile {
+	return &stateFile{path: filepath.Join(directory, name), log: log}
 }
 
 // read takes over what the process before this one has left; false: there is nothing of use.
-func (f *listFile) read(into any) bool {
+func (f *stateFile) read(into any) bool {
 	text, err := os.ReadFile(f.path)
 	if err == nil {
 		err = cbor.Unmarshal(text, into)
@@ -38,11 +38,11 @@
 }
 
 // isDue tells whether the list may be written now.
-func (f *listFile) isDue(now time.Duration) bool { return now >= f.next && !f.writing.Load() }
+func (f *stateFile) isDue(now time.Duration) bool { return now >= f.nextWrite && !f.writing.Load() }
 
 // write replaces the list, as a task that start begins.
-func (f *listFile) write(now time.Duration, value any, start func(task func())) {
-	f.next = now + listFileEvery
+func (f *stateFile) write(now time.Duration, value any, start func(task func())) {
+	f.nextWrite = now + minWriteInterval
 	f.writing.Store(true)
 	start(func() {
 		defer f.writing.Store(false)
--- a/internal/fleet/router/status.go
+++ b/internal/fleet/router/status.go
@@ -50,7 +50,7 @@
 	if table != nil {
 		s.Version = table.Version
 	}
-	if age >= neverFresh {
+	if age >= unconfirmedAge {
 		s.LeaseAgeMs = -1
 	}
 	if r.replica != nil {
