--- a/internal/fleet/registry/endpoint.go
+++ b/internal/fleet/registry/endpoint.go
@@ -16,7 +16,8 @@
 // hasEnded reports whether the endpoint serves no requests any more.
 func (s State) hasEnded() bool { return s >= Expired }
 
-// Endpoint is one process of an endpoint as a report describes it. It travels as a CBOR map with the integer keys of its tags.
+// Endpoint is one process of an endpoint as a report describes it. It travels as a CBOR map with the integer keys of its tags;
+// the router's status shows it as JSON under the names of its fields, which therefore stay.
 type Endpoint struct {
 	ID       string `cbor:"1,keyasint"` // of the process: a restarted endpoint has another one
 	Service  string `cbor:"2,keyasint"`
--- a/internal/fleet/router/announcement_relay.go
+++ b/internal/fleet/router/announcement_relay.go
@@ -7,43 +7,42 @@
 	"time"
 
 	"github.com/cespare/xxhash/v2"
-	"github.com/fxamacker/cbor/v2"
 
 	"pinelb.example/pinelb/internal/fleet/membership"
 	"pinelb.example/pinelb/internal/fleet/proxy"
 	"pinelb.example/pinelb/internal/fleet/transport"
 )
 
-// In a small fleet a router tells all others of its prompts itself. In a larger one each router has one of the core, in
-// its own zone where there is one, tell them. It gathers what it is told for a moment and tells its own zone, and one
-// router of the core in each other zone, which tells that zone. So the messages that a router gets grow with the core and
-// not with the fleet, and one copy of each goes from zone to zone.
+// In a small fleet a router announces its prompts to all others itself. In a larger one each router sends them to a relay, a router of
+// the core, in its own zone where there is one. The relay collects announcements for a moment and sends them to its own zone, and to
+// one router of the core in each other zone, which sends them to that zone. So the number of messages that a router receives grows with
+// the core and not with the fleet, and each announcement crosses from zone to zone once.
 
 const (
-	maxDirectPeers              = 24                    // other routers up to which each is told directly
-	batchDelay                  = 30 * time.Millisecond // announcements before they are told
-	maxAnnouncementsPerDatagram = 13                    // announcements in one datagram, which hold some 84 bytes each at most
+	maxDirectPeers              = 24                    // other routers up to which an announcement goes to each directly
+	batchDelay                  = 30 * time.Millisecond // for which a relay collects announcements
+	maxAnnouncementsPerDatagram = 13                    // each has some 84 bytes at most
 )
 
-// relay is a router's side of the announcements.
+// announcementRelay sends this router's announcements, and forwards those of others. Its methods may be called by any goroutine.
 type announcementRelay struct {
-	self string
+	self string // internal address
 	zone string
 	core bool // this router counts for the quorum
 	send func(to []string, kind transport.Kind, announcements []proxy.Announcement)
+	wake chan struct{} // the batch is not empty
 
-	mu     sync.Mutex
+	mu     sync.Mutex // guards what follows
 	routes announcementRoutes
 	batch  []proxy.Announcement
-	wake   chan struct{} // something is gathered
 }
 
-// announcementRoutes are whom a router tells.
+// announcementRoutes are the internal addresses that a router sends announcements to.
 type announcementRoutes struct {
-	peers      []string // live routers beside this one
-	relay      string   // the router that tells all others; empty: this one does
+	peers      []string // other routers that are alive
+	relay      string   // the router that sends this one's announcements to all others; empty: this one does
 	local      []string // those of this router's zone
-	remote     []string // those of other zones without a router of the core
+	remote     []string // those of other zones that have no router of the core
 	zoneRelays []string // one router of the core in each other zone that has one
 }
 
@@ -51,7 +50,7 @@
 	return &announcementRelay{self: self, zone: zone, core: core, send: send, wake: make(chan struct{}, 1)}
 }
 
-// setPeers takes over which other routers live.
+// setPeers records which other routers are alive.
 func (l *announcementRelay) setPeers(live []membership.Member) {
 	routes := l.plan(live)
 	l.mu.Lock()
@@ -59,16 +58,17 @@
 	l.routes = routes
 }
 
-// plan works out whom this router tells.
+// plan works out the routes.
 func (l *announcementRelay) plan(live []membership.Member) announcementRoutes {
 	var routes announcementRoutes
 	var cores []string
 	coresByZone := map[string][]string{}
 	for i := range live {
-		routes.peers = append(routes.peers, live[i].Address)
-		if live[i].Core {
-			cores = append(cores, live[i].Address)
-			coresByZone[live[i].Zone] = append(coresByZone[live[i].Zone], live[i].Address)
+		m := &live[i]
+		routes.peers = append(routes.peers, m.Address)
+		if m.Core {
+			cores = append(cores, m.Address)
+			coresByZone[m.Zone] = append(coresByZone[m.Zone], m.Address)
 		}
 	}
 	if len(live) <= maxDirectPeers {
@@ -95,7 +95,8 @@
 	return routes
 }
 
-// choose picks a router of the core, so that their shares are even and few change when one goes. Empty: none lives.
+// chooseCore picks a router of the core by rendezvous hashing (Thaler, Ravishankar, 1998), so that the load is even and few choices
+// change when one ends; empty: there is none.
 func (l *announcementRelay) chooseCore(cores []string) string {
 	best, highest := "", uint64(0)
 	for _, core := range cores {
@@ -106,14 +107,14 @@
 	return best
 }
 
-// announce tells the other routers of a prompt.
+// announce sends an announcement of this router's to the others.
 func (l *announcementRelay) announce(a proxy.Announcement) {
 	l.mu.Lock()
-	through, peers := l.routes.relay, l.routes.peers
+	relay, peers := l.routes.relay, l.routes.peers
 	l.mu.Unlock()
 	switch {
-	case through != "":
-		l.send([]string{through}, kindAnnouncementRelay, []proxy.Announcement{a})
+	case relay != "":
+		l.send([]string{relay}, kindAnnouncementRelay, []proxy.Announcement{a})
 	case len(peers) > maxDirectPeers:
 		l.enqueue([]proxy.Announcement{a})
 	default:
@@ -121,73 +122,54 @@
 	}
 }
 
-// gather keeps announcements until they are told.
+// enqueue adds announcements to the batch.
 func (l *announcementRelay) enqueue(announcements []proxy.Announcement) {
 	l.mu.Lock()
 	l.batch = append(l.batch, announcements...)
 	l.mu.Unlock()
 	select {
 	case l.wake <- struct{}{}:
-	default: // it is awake already
+	default: // run has been woken already
 	}
 }
 
-// run tells what was gathered, until ctx ends.
+// run sends batches, until ctx ends.
 func (l *announcementRelay) run(ctx context.Context) {
-	pause := time.NewTimer(0)
-	defer pause.Stop()
-	<-pause.C
+	delay := time.NewTimer(0)
+	defer delay.Stop()
+	<-delay.C
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-l.wake:
 		}
-		pause.Reset(batchDelay)
+		delay.Reset(batchDelay)
 		select {
 		case <-ctx.Done():
 			return
-		case <-pause.C:
+		case <-delay.C:
 		}
 		l.flush()
 	}
 }
 
+// flush sends the batch.
 func (l *announcementRelay) flush() {
 	l.mu.Lock()
-	gathered, routes := l.batch, l.routes
+	batch, routes := l.batch, l.routes
 	l.batch = nil
 	l.mu.Unlock()
-	for part := range slices.Chunk(gathered, maxAnnouncementsPerDatagram) {
-		l.send(slices.Concat(routes.local, routes.remote), kindAnnouncement, part)
-		l.send(routes.zoneRelays, kindAnnouncementZoneRelay, part)
+	for chunk := range slices.Chunk(batch, maxAnnouncementsPerDatagram) {
+		l.send(slices.Concat(routes.local, routes.remote), kindAnnouncement, chunk)
+		l.send(routes.zoneRelays, kindAnnouncementZoneRelay, chunk)
 	}
 }
 
-// forwardToZone tells this router's zone what a router of another zone has gathered.
+// forwardToZone sends the batch of another zone's relay to this router's zone.
 func (l *announcementRelay) forwardToZone(announcements []proxy.Announcement) {
 	l.mu.Lock()
 	local := l.routes.local
 	l.mu.Unlock()
 	l.send(local, kindAnnouncement, announcements)
 }
-
-func (r *Router) sendAnnouncements(to []string, kind transport.Kind, announcements []proxy.Announcement) {
-	r.transport.SendAll(to, kind, announcements)
-}
-
-// receiveAnnouncements takes other routers' announcements over, and tells others where it is asked to.
-func (r *Router) receiveAnnouncements(p *transport.Packet) error {
-	var announcements []proxy.Announcement
-	if err := cbor.Unmarshal(p.Body, &announcements); err != nil {
-		return err
-	}
-	switch p.Kind {
-	case kindAnnouncementRelay:
-		r.relay.enqueue(announcements)
-	case kindAnnouncementZoneRelay:
-		r.relay.forwardToZone(announcements)
-	}
-	r.dispatcher.ApplyAnnouncements(announcements)
-	return nil
-}
--- a/internal/fleet/router/announcement_relay_test.go
+++ b/internal/fleet/router/announcement_relay_test.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"slices"
 	"testing"
-	"time"
 
 	. "github.com/smartystreets/goconvey/convey"
 
@@ -13,8 +12,8 @@
 	"pinelb.example/pinelb/internal/fleet/transport"
 )
 
-// sent is one message of a relay.
-type sent struct {
+// sentMessage is one message of a relay.
+type sentMessage struct {
 	to    []string
 	kind  transport.Kind
 	count int
@@ -22,7 +21,7 @@
 
 var zones = []string{"a", "b", "c", "d"}
 
-// fleet are routers spread over four zones, the first of which count for the quorum.
+// fleet returns routers distributed over four zones, the first of which count for the quorum.
 func fleet(routers, cores int) []membership.Member {
 	var all []membership.Member
 	for i := range routers {
@@ -33,9 +32,9 @@
 
 func TestRelay(t *testing.T) {
 	Convey("A router's announcements", t, func() {
-		var messages []sent
+		var messages []sentMessage
 		record := func(to []string, kind transport.Kind, a []proxy.Announcement) {
-			messages = append(messages, sent{to, kind, len(a)})
+			messages = append(messages, sentMessage{to, kind, len(a)})
 		}
 		Convey("go to all others at once in a small fleet", func() {
 			l := newRelay("self", "a", false, record)
@@ -45,7 +44,7 @@
 			So(messages[0].kind, ShouldEqual, kindAnnouncement)
 			So(len(messages[0].to), ShouldEqual, 11)
 		})
-		Convey("go to a router of the core in its zone in a large one, and to another when that is gone", func() {
+		Convey("go to a router of the core in its zone in a large fleet, and to another one when that has ended", func() {
 			l := newRelay("self", "b", false, record)
 			live := fleet(89, 8)
 			for range 3 {
@@ -60,7 +59,7 @@
 			So([]string{messages[0].to[0], messages[1].to[0]}, ShouldContain, "10.0.0.5:1")
 			So(messages[2].to[0], ShouldNotEqual, "")
 		})
-		Convey("are gathered by any where no core lives, and told to all", func() {
+		Convey("are batched by any router where none of the core is alive, and sent to all", func() {
 			l := newRelay("self", "a", false, record)
 			l.setPeers(fleet(89, 0))
 			l.announce(proxy.Announcement{Units: 5})
@@ -68,7 +67,7 @@
 			l.flush()
 			So(len(messages[0].to), ShouldEqual, 89)
 		})
-		Convey("are gathered by a router of the core, in messages of a bounded size", func() {
+		Convey("are batched by a router of the core, in messages of a bounded size", func() {
 			l := newRelay("self", "a", true, record)
 			l.setPeers(fleet(89, 8))
 			l.announce(proxy.Announcement{Units: 5})
@@ -84,17 +83,17 @@
 			everyone := fleet(90, 8)
 			for _, withoutCore := range []string{"", "c"} {
 				relays := map[string]*announcementRelay{}
-				got := map[string]int{}
-				crossing := 0
+				received := map[string]int{}
+				zoneCrossings := 0
 				for _, m := range everyone {
 					m.Core = m.Core && m.Zone != withoutCore
 					var l *announcementRelay
 					l = newRelay(m.Address, m.Zone, m.Core, func(to []string, kind transport.Kind, a []proxy.Announcement) {
 						for _, address := range to {
 							if relays[address].zone != l.zone {
-								crossing++
+								zoneCrossings++
 							}
-							got[address]++
+							received[address]++
 							switch kind {
 							case kindAnnouncementRelay:
 								relays[address].enqueue(a)
@@ -119,15 +118,15 @@
 				}
 				for _, m := range everyone {
 					if m.Address != sender.Address {
-						So(got[m.Address], ShouldEqual, 1)
+						So(received[m.Address], ShouldEqual, 1)
 					}
 				}
 				if withoutCore == "" {
-					So(crossing, ShouldEqual, 3)
+					So(zoneCrossings, ShouldEqual, 3)
 				}
 			}
 		})
-		Convey("spread evenly over the core", func() {
+		Convey("are distributed evenly over the core", func() {
 			counts := map[string]int{}
 			var cores []string
 			for _, m := range fleet(6, 6) {
@@ -143,18 +142,3 @@
 		})
 	})
 }
-
-func TestPatience(t *testing.T) {
-	Convey("The ledger's answer is waited for as long as answers usually take, and a little at least", t, func() {
-		c := &quotaClient{}
-		So(c.requestTimeout(), ShouldEqual, initialRequestTimeout)
-		for range 50 {
-			c.observeResponseTime(time.Millisecond)
-		}
-		So(c.requestTimeout(), ShouldEqual, minRequestTimeout)
-		for range 50 {
-			c.observeResponseTime(45 * time.Millisecond) // another region
-		}
-		So(c.requestTimeout(), ShouldBeGreaterThan, 100*time.Millisecond)
-	})
-}
--- a/internal/fleet/router/delegate.go
+++ b/internal/fleet/router/delegate.go
@@ -2,47 +2,37 @@
 
 import (
 	"context"
-	"net/http"
 	"time"
 
-	"go.uber.org/zap"
-
 	"pinelb.example/pinelb/internal/fleet/config"
+	"pinelb.example/pinelb/internal/fleet/registry"
 	"pinelb.example/pinelb/internal/fleet/replica"
 )
 
-// unconfirmedAge is the age of a configuration that nothing has confirmed.
-const unconfirmedAge = time.Hour
+// What the proxy and the control API ask of the router: proxy.Delegate and control.Delegate.
 
-// Table is the configuration in force, and how long ago it surely was the newest.
-func (r *Router) Table() (*config.Table, time.Duration) {
-	held := r.activeConfig.Load()
-	if held == nil {
-		return nil, unconfirmedAge
-	}
-	if !held.confirmed {
-		return held.table, unconfirmedAge
-	}
-	return held.table, r.clock() - held.confirmedAt
-}
+// Table returns the active configuration, nil where none has been received, and the time since it was last confirmed to be the newest.
+func (r *Router) Table() (*config.Table, time.Duration) { return r.config.load() }
 
-// Charge takes units out of a tenant's quota.
+// Charge takes units out of a tenant's quota. Where that is rejected, the duration is the time until a retry makes sense.
 func (r *Router) Charge(ctx context.Context, tenant *config.Tenant, units float64) (bool, time.Duration) {
 	return r.quota.charge(ctx, tenant, units)
 }
 
-// Refund gives units back.
+// Refund gives units back to a tenant's quota, of a request that never ran.
 func (r *Router) Refund(tenant *config.Tenant, units float64) { r.quota.refund(tenant, units) }
 
-// Submit has an order taken.
-func (r *Router) Submit(ctx context.Context, order *config.Change) error {
+// Submit commits a change of the configuration. Its errors are those of replica.Replica.Submit; replica.ErrNotPrimary where this
+// router has no replica.
+func (r *Router) Submit(ctx context.Context, change *config.Change) error {
 	if r.replica == nil {
 		return replica.ErrNotPrimary
 	}
-	return r.replica.Submit(ctx, order)
+	return r.replica.Submit(ctx, change)
 }
 
-// Read returns the newest configuration.
+// Read returns the newest committed configuration. Its errors are those of replica.Replica.Read; replica.ErrNotPrimary where this
+// router has no replica.
 func (r *Router) Read(ctx context.Context) (*config.Document, error) {
 	if r.replica == nil {
 		return nil, replica.ErrNotPrimary
@@ -50,99 +40,22 @@
 	return r.replica.Read(ctx)
 }
 
-// PrimaryControl is the newest view that is known, and the control address of its primary; empty: not known, or this router.
+// PrimaryControl returns the newest known view, and the control address of its primary; empty: not known, or this router itself.
 func (r *Router) PrimaryControl() (view uint64, control string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	view, address := r.node.Primary()
-	m, known := r.node.Members.Lookup(address)
-	if !known || address == r.settings.InternalAddress() {
+	view, primary, ok := r.gossip.primaryMember()
+	if !ok {
 		return view, ""
 	}
-	return view, m.Control
-}
-
-// EndpointService is the service of an endpoint.
-func (r *Router) EndpointService(id string) string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	e, _ := r.node.Registry.Lookup(id)
-	return e.Service
-}
-
-// answerReady tells the platform whether clients may be sent here.
-func (r *Router) answerReady(w http.ResponseWriter, _ *http.Request) {
-	if !r.isReady() {
-		w.WriteHeader(http.StatusServiceUnavailable)
-	}
-}
-
-// isReady: a configuration is held that was confirmed since the start, keys may be used, and there are endpoints.
-func (r *Router) isReady() bool {
-	table, age := r.Table()
-	if r.draining.Load() || table == nil || table.Version == 0 || age >= unconfirmedAge {
-		return false
-	}
-	if lease := frontOptions(r.settings).KeyLease; lease > 0 && age > lease {
-		return false
-	}
-	for _, service := range table.Services() {
-		if r.dispatcher.ReadyCount(service) > 0 {
-			return true
-		}
-	}
-	return false
-}
-
-const (
-	readinessNoticeTime = 2500 * time.Millisecond // until the platform has noticed that this router is not ready
-	shutdownMargin      = 250 * time.Millisecond  // before the platform ends the process
-)
-
-// drain ends the process in the planned way: another router takes the primary's place, clients are sent elsewhere, and
-// what is under way is finished. All the while this router tells the others what it knows.
-func (r *Router) drain(ticks <-chan time.Time) {
-	end := time.Now().Add(r.settings.Bounds.Grace - shutdownMargin)
-	r.draining.Store(true)
-	r.front.BeginDrain(end)
-	if r.frontServer != nil {
-		r.frontServer.SetKeepAlivesEnabled(false) // clients take their next connection elsewhere
-	}
-	r.log.Info("draining")
-	if r.replica != nil {
-		r.replica.Resign()
-	}
-	r.tickUntil(ticks, time.After(readinessNoticeTime))
-	r.stepNode(r.node.Leave)
-	ctx, cancel := context.WithDeadline(context.Background(), end)
-	defer cancel()
-	finished := make(chan time.Time)
-	go func() {
-		defer close(finished)
-		if r.frontServer != nil {
-			r.log.Info("drained", zap.Error(r.frontServer.Shutdown(ctx)))
-		}
-	}()
-	r.tickUntil(ticks, finished)
-	r.awaitRelease(ticks, end)
+	return view, primary.Control
 }
 
-// awaitRelease lets time pass until this router's replica may end, or the platform ends the process.
-func (r *Router) awaitRelease(ticks <-chan time.Time, end time.Time) {
-	for r.replica != nil && !r.replica.MayStop() && time.Now().Before(end) {
-		<-ticks
-		r.tick()
-	}
+// HandleEndpointReport applies an endpoint's own report. An error means that the other routers may not learn of the endpoint's leave.
+func (r *Router) HandleEndpointReport(ctx context.Context, endpoint registry.Endpoint) error {
+	return r.endpoints.handle(ctx, endpoint)
 }
 
-// tickUntil lets time pass until something is done.
-func (r *Router) tickUntil(ticks, done <-chan time.Time) {
-	for {
-		select {
-		case <-done:
-			return
-		case <-ticks:
-			r.tick()
-		}
-	}
+// EndpointService returns the service of an endpoint; empty: the endpoint is not known.
+func (r *Router) EndpointService(id string) string {
+	endpoint, _ := r.gossip.lookupEndpoint(id)
+	return endpoint.Service
 }
--- a/internal/fleet/router/endpoint_cache.go
+++ b/internal/fleet/router/endpoint_cache.go
@@ -7,65 +7,66 @@
 	"pinelb.example/pinelb/internal/fleet/registry"
 )
 
-// Endpoints are soft state, announced again and again. When all routers have ended at once, though, the first heartbeats
-// take more than a second to come. Machines with disks therefore keep the endpoints' list as a hint for that time.
+// The registry is soft state, which endpoints renew with each heartbeat. After all routers have ended at once, though, the first
+// heartbeats take more than a second to come. Machines with disks therefore cache the list of endpoints for that time.
 
 const (
 	endpointCacheName = "endpoints"
-	restoreDelay      = 150 * time.Millisecond // after the start: by then a router that lives has told what it knows
-	restoreWindow     = 2 * time.Second        // after the start: later the endpoints themselves have spoken
+	restoreDelay      = 150 * time.Millisecond // after the start: by then a router that is alive has sent what it knows
+	restoreWindow     = 2 * time.Second        // after the start: later the endpoints themselves have sent heartbeats
 )
 
-// endpointCache are the endpoints' list on the disk.
+// endpointCache is the list of endpoints on the disk. Only the goroutine of Router.Run uses it.
 type endpointCache struct {
-	file           *stateFile
+	*environment
+	gossip         *gossip
+	file           *stateFile // nil: no disk
 	restored       []registry.Endpoint
-	isRestored     bool
-	writtenVersion uint64 // of the registry, that was written last
+	isRestored     bool   // restored has been used, or it is too late for that
+	writtenVersion uint64 // of the registry
 }
 
-// startEndpointCache reads what the process before this one has left.
-func (r *Router) startEndpointCache() {
-	if r.settings.DataDir == "" {
+// start reads what the process before this one wrote.
+func (c *endpointCache) start() {
+	if c.settings.DataDir == "" {
 		return
 	}
-	r.endpointCache = &endpointCache{file: newStateFile(r.settings.DataDir, endpointCacheName, r.log)}
-	r.endpointCache.file.read(&r.endpointCache.restored)
+	c.file = newStateFile(c.settings.DataDir, endpointCacheName, c.log)
+	c.file.read(&c.restored)
 }
 
-// tickEndpointCache offers the list once, where nothing else is known, and writes it where it has changed.
-func (r *Router) tickEndpointCache() {
-	h, now := r.endpointCache, r.clock()
-	if h == nil || now < restoreDelay {
+// tick restores the endpoints once, where no others are known, and writes them where they have changed.
+func (c *endpointCache) tick() {
+	now := c.clock()
+	if c.file == nil || now < restoreDelay {
 		return
 	}
-	if !h.isRestored {
-		h.isRestored = true
+	if !c.isRestored {
+		c.isRestored = true
 		if now < restoreWindow {
-			r.restoreEndpoints(h)
+			c.restore()
 		}
 	}
-	if now < restoreWindow || !h.file.isDue(now) {
-		return
-	}
-	r.mu.Lock()
-	version := r.node.Registry.Version()
-	if version == h.writtenVersion {
-		r.mu.Unlock()
-		return
+	if now >= restoreWindow && c.file.isDue(now) {
+		c.write(now)
 	}
-	endpoints := r.node.Registry.Ready()
-	r.mu.Unlock()
-	h.writtenVersion = version
-	h.file.write(now, endpoints, r.tasks.Go)
 }
 
-func (r *Router) restoreEndpoints(h *endpointCache) {
-	r.stepNode(func(now time.Duration) *dissemination.Output {
-		if len(r.node.Registry.Ready()) > 0 {
+func (c *endpointCache) restore() {
+	c.gossip.step(func(now time.Duration) *dissemination.Output {
+		if len(c.gossip.node.Registry.Ready()) > 0 {
 			return &dissemination.Output{}
 		}
-		return r.node.RestoreEndpoints(now, h.restored)
+		return c.gossip.node.RestoreEndpoints(now, c.restored)
 	})
-	h.restored = nil
+	c.restored = nil
+}
+
+func (c *endpointCache) write(now time.Duration) {
+	endpoints, version := c.gossip.readyEndpoints(c.writtenVersion)
+	if version == c.writtenVersion {
+		return
+	}
+	c.writtenVersion = version
+	c.file.write(now, endpoints, c.tasks.Go)
 }
--- a/internal/fleet/router/grant_cache.go
+++ b/internal/fleet/router/grant_cache.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// grantTTL is how long a grant is kept at least, for a question that comes again because the answer was late or lost.
+// grantTTL is the minimum time for which a grant is cached, for a request that is retried because the reply was late or lost.
 const grantTTL = time.Second
 
-// grantKey names a question to the ledger.
+// grantKey identifies a request to the allocator.
 type grantKey struct {
-	from   string
+	from   string // internal address of the requesting router
 	number uint64
 }
 
-// grantCache are the ledger's last grants, so that a question that is repeated is granted once. The zero value is
-// empty. Its methods may be called by any goroutine.
+// grantCache holds the allocator's last grants, so that requests are idempotent: a retry is granted once. It has two generations, of
+// which the older is dropped when the current one has reached grantTTL. The zero value is empty. Its methods may be called by any
+// goroutine.
 type grantCache struct {
 	mu                sync.Mutex
 	current, previous map[grantKey]quotaGrant
-	rotatedAt         time.Duration // when recent was begun
+	rotatedAt         time.Duration // when current was started
 }
 
-// find returns what a question was answered.
+// lookup returns the grant that a request got before.
 func (g *grantCache) lookup(now time.Duration, key grantKey) (quotaGrant, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -34,7 +35,7 @@
 	return grant, found
 }
 
-// keep notes an answer. A refusal is none: the same question may be granted a moment later.
+// store caches a grant. A rejection is not cached: the same request may be granted a moment later.
 func (g *grantCache) store(now time.Duration, key grantKey, grant quotaGrant) {
 	if grant.Granted <= 0 {
 		return
@@ -45,7 +46,7 @@
 	g.current[key] = grant
 }
 
-// turn forgets what is old. The caller holds the lock.
+// rotate drops grants that have expired. The caller holds the lock.
 func (g *grantCache) rotate(now time.Duration) {
 	if g.current != nil && now-g.rotatedAt < grantTTL {
 		return
--- a/internal/fleet/router/grant_cache_test.go
+++ b/internal/fleet/router/grant_cache_test.go
@@ -7,8 +7,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestGrantedAnswers(t *testing.T) {
-	Convey("A question that comes again is answered as before, and granted once", t, func() {
+func TestGrantCache(t *testing.T) {
+	Convey("A retried request gets the same reply, and is granted once", t, func() {
 		var g grantCache
 		key := grantKey{from: "10.0.0.1:1", number: 7}
 		_, found := g.lookup(0, key)
@@ -19,23 +19,23 @@
 			So(found, ShouldBeTrue)
 			So(grant.Granted, ShouldEqual, 50)
 		}
-		Convey("but not another one's", func() {
+		Convey("but not another router's request", func() {
 			_, found := g.lookup(0, grantKey{from: "10.0.0.2:1", number: 7})
 			So(found, ShouldBeFalse)
 		})
-		Convey("until it is long past", func() {
+		Convey("until the grant has expired", func() {
 			_, found := g.lookup(3*grantTTL, key)
 			So(found, ShouldBeFalse)
 		})
 	})
-	Convey("A refusal is not kept", t, func() {
+	Convey("A rejection is not cached", t, func() {
 		var g grantCache
 		key := grantKey{from: "10.0.0.1:1", number: 8}
 		g.store(0, key, quotaGrant{Number: 8, WaitMs: 20})
 		_, found := g.lookup(0, key)
 		So(found, ShouldBeFalse)
 	})
-	Convey("What is kept is bounded by time", t, func() {
+	Convey("What is cached is bounded by time", t, func() {
 		var g grantCache
 		for i := range 5000 {
 			g.store(time.Duration(i)*10*time.Millisecond, grantKey{number: uint64(i)}, quotaGrant{Granted: 1})
@@ -44,15 +44,15 @@
 	})
 }
 
-// Guards against an answer that is kept with the way of the first question and sent the way of the second, where nobody waits.
-func TestKeptAnswerGoesTheWayOfItsQuestion(t *testing.T) {
-	Convey("An answer that was kept names the router that asks now, whichever way the question came first", t, func() {
+// Guards against a grant that is cached with the origin of the first attempt and sent with it to the second, where nobody waits.
+func TestCachedGrantFollowsItsRequest(t *testing.T) {
+	Convey("A cached grant names the origin of the present attempt, whichever way the first one came", t, func() {
 		var g grantCache
 		key := grantKey{from: "10.0.0.1:1", number: 7}
 		g.store(0, key, quotaGrant{Number: 7, Granted: 50}.withOrigin(""))
-		kept, _ := g.lookup(0, key)
-		So(kept.withOrigin("10.0.0.1:1").Origin, ShouldEqual, "10.0.0.1:1")
-		So(kept.withOrigin("").Origin, ShouldEqual, "")
-		So(kept.withOrigin("10.0.0.1:1").Granted, ShouldEqual, 50)
+		cached, _ := g.lookup(0, key)
+		So(cached.withOrigin("10.0.0.1:1").Origin, ShouldEqual, "10.0.0.1:1")
+		So(cached.withOrigin("").Origin, ShouldEqual, "")
+		So(cached.withOrigin("10.0.0.1:1").Granted, ShouldEqual, 50)
 	})
 }
--- a/internal/fleet/router/learned_state.go
+++ b/internal/fleet/router/learned_state.go
@@ -10,125 +10,136 @@
 
 	"pinelb.example/pinelb/internal/fleet/membership"
 	"pinelb.example/pinelb/internal/fleet/placement"
+	"pinelb.example/pinelb/internal/fleet/proxy"
 )
 
-// A router that has just started knows nothing of which shared parts of prompts endpoints keep, and would have them read
-// again for as long as its process before it took to learn. It asks a router of the core for what that has learned; those
-// keep it on the disk, for a time at which all have ended.
+// A router that has just started does not know which prefixes the endpoints have cached, and would have prompts prefilled again
+// until it has learned that. It requests the learned state of a router of the core; those write theirs to the disk, for the case
+// that all have ended.
 
 const (
-	learnedPath            = "/learned"
 	learnedName            = "learned"
-	learnedWriteInterval   = 2 * time.Second        // between writes
-	learnedRequestInterval = 300 * time.Millisecond // between questions
-	learnedRequestTimeout  = time.Second            // for an answer
-	maxLearnedRequests     = 10                     // questions, where answers are empty or do not come
-	learnedImportWindow    = 6 * time.Second        // after the start: by then a router has learned itself
+	learnedWriteInterval   = 2 * time.Second
+	learnedRequestInterval = 300 * time.Millisecond
+	learnedRequestTimeout  = time.Second
+	maxLearnedRequests     = 10              // where replies are empty or don't come
+	learnedImportWindow    = 6 * time.Second // after the start: by then a router has learned for itself
 )
 
-// learnedStateExchange is a router's side of it.
+// learnedStateExchange imports what was learned before this process, and exports what this one learns.
 type learnedStateExchange struct {
-	file            *stateFile // nil: no disk
-	requests        int
-	nextAction      time.Duration // question, or write
+	*environment
+	gossip     *gossip
+	dispatcher *proxy.Dispatcher
+
+	// Only the goroutine of Router.Run uses these.
+	file            *stateFile    // nil: no disk
+	requests        int           // sent so far
+	nextAction      time.Duration // earliest time of the next request, or write
 	imported        *placement.LearnedState
-	importedVersion uint64 // of the endpoints to which it was applied last
+	importedVersion uint64 // of the endpoints that it was imported for
 
-	mu         sync.Mutex
-	received   *placement.LearnedState // from the disk or another router; nil: nothing yet
-	receivedAt time.Duration           // when
+	mu         sync.Mutex              // guards what follows
+	received   *placement.LearnedState // from the disk or another router; nil: none, or discarded
+	receivedAt time.Duration
 }
 
-// offer notes what was learned before this process.
+// start reads what the process before this one wrote.
+func (l *learnedStateExchange) start() {
+	if l.settings.DataDir == "" {
+		return
+	}
+	l.file = newStateFile(l.settings.DataDir, learnedName, l.log)
+	var learned placement.LearnedState
+	if l.file.read(&learned) {
+		l.receive(l.clock(), &learned)
+	}
+}
+
+// tick imports what was received, or requests it, while the process is young; later it writes what this router has learned.
+// Endpoints become known one after the other: the state is imported again for those that are new.
+func (l *learnedStateExchange) tick() {
+	now := l.clock()
+	if now >= learnedImportWindow {
+		l.discard()
+		l.write(now)
+		return
+	}
+	received, at := l.latest()
+	if received == nil {
+		l.request(now)
+		return
+	}
+	if version := l.gossip.appliedVersion(); received != l.imported || version != l.importedVersion {
+		l.imported, l.importedVersion = received, version
+		l.dispatcher.ImportLearned(at, received)
+	}
+}
+
+// receive takes over the learned state of another process. One without prefixes is ignored: that process has just started too.
 func (l *learnedStateExchange) receive(now time.Duration, learned *placement.LearnedState) {
 	if len(learned.Prefixes) == 0 {
-		return // it has just started too
+		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.received, l.receivedAt = learned, now
 }
 
+// latest returns the state that was received last, and when; nil: none.
 func (l *learnedStateExchange) latest() (*placement.LearnedState, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.received, l.receivedAt
 }
 
-// forget gives up the memory of what was offered.
+// discard frees the memory of what was received.
 func (l *learnedStateExchange) discard() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.received, l.imported = nil, nil
 }
 
-// startLearned reads what the process before this one has left.
-func (r *Router) startLearned() {
-	if r.settings.DataDir == "" {
-		return
-	}
-	r.learned.file = newStateFile(r.settings.DataDir, learnedName, r.log)
-	var read placement.LearnedState
-	if r.learned.file.read(&read) {
-		r.learned.receive(r.clock(), &read)
-	}
-}
-
-// tickLearned takes over what was learned before this process, and writes what it learns. Endpoints become known one after
-// the other: what is told of one that is not known yet is taken over when it is.
-func (r *Router) tickLearned() {
-	l, now := &r.learned, r.clock()
-	if now >= learnedImportWindow {
-		l.discard()
-		r.writeLearned(now)
-		return
-	}
-	came, at := l.latest()
-	if came == nil {
-		r.maybeRequestLearned(now)
-		return
-	}
-	if came != l.imported || r.appliedRegistryVersion != l.importedVersion {
-		l.imported, l.importedVersion = came, r.appliedRegistryVersion
-		r.dispatcher.ImportLearned(at, came)
-	}
-}
-
-// maybeRequestLearned asks another router, unless one was asked just now.
-func (r *Router) maybeRequestLearned(now time.Duration) {
-	l := &r.learned
+// request asks another router for its state, unless one was asked just now.
+func (l *learnedStateExchange) request(now time.Duration) {
 	if now < l.nextAction || l.requests >= maxLearnedRequests {
 		return
 	}
-	from := r.chooseLearnedSource()
+	from := chooseLearnedSource(l.gossip.liveMembers(), l.settings.Zone)
 	if from == "" {
 		return
 	}
 	l.nextAction = now + learnedRequestInterval
 	l.requests++
-	r.tasks.Go(func() { r.requestLearned(from) })
+	l.tasks.Go(func() { l.requestFrom(from) })
+}
+
+func (l *learnedStateExchange) requestFrom(address string) {
+	ctx, cancel := context.WithTimeout(l.transport.Context(), learnedRequestTimeout)
+	defer cancel()
+	var learned placement.LearnedState
+	if err := l.transport.Call(ctx, address, learnedPath, struct{}{}, &learned); err != nil {
+		l.log.Debug("request for learned state failed", zap.String("router", address), zap.Error(err))
+		return
+	}
+	l.receive(l.clock(), &learned)
 }
 
-func (r *Router) writeLearned(now time.Duration) {
-	l := &r.learned
+func (l *learnedStateExchange) write(now time.Duration) {
 	if now < l.nextAction {
 		return
 	}
 	l.nextAction = now + learnedWriteInterval
 	if l.file != nil && l.file.isDue(now) {
-		l.file.write(now, r.dispatcher.ExportLearned(), r.tasks.Go)
+		l.file.write(now, l.dispatcher.ExportLearned(), l.tasks.Go)
 	}
 }
 
-// chooseLearnedSource is the router that is asked: one of the core, of this router's zone if there is one; empty: none lives.
-func (r *Router) chooseLearnedSource() string {
-	r.mu.Lock()
-	live := r.node.Members.LiveMembers()
-	r.mu.Unlock()
-	return pickLearnedSource(live, r.settings.Zone)
-}
+// serve answers another router's request with what this one has learned.
+func (l *learnedStateExchange) serve([]byte) (any, error) { return l.dispatcher.ExportLearned(), nil }
 
-func pickLearnedSource(live []membership.Member, zone string) string {
+// chooseLearnedSource picks a router at random: one of the core in the zone, else one of the core, else any; empty: there is none.
+func chooseLearnedSource(live []membership.Member, zone string) string {
 	best, highest := "", -1.0
 	for i := range live {
 		weight := rand.Float64()
@@ -144,18 +155,3 @@
 	}
 	return best
 }
-
-// requestLearned asks a router for what it has learned.
-func (r *Router) requestLearned(from string) {
-	ctx, cancel := context.WithTimeout(r.transport.Context(), learnedRequestTimeout)
-	defer cancel()
-	var learned placement.LearnedState
-	if err := r.transport.Call(ctx, from, learnedPath, struct{}{}, &learned); err != nil {
-		r.log.Debug("a router has not told what it has learned", zap.String("router", from), zap.Error(err))
-		return
-	}
-	r.learned.receive(r.clock(), &learned)
-}
-
-// answerLearned tells another router what this one has learned.
-func (r *Router) answerLearned([]byte) (any, error) { return r.dispatcher.ExportLearned(), nil }
--- a/internal/fleet/router/learned_state_test.go
+++ b/internal/fleet/router/learned_state_test.go
@@ -10,23 +10,23 @@
 	"pinelb.example/pinelb/internal/fleet/placement"
 )
 
-func TestLearnedState(t *testing.T) {
-	Convey("An answer of a router that has just started is none", t, func() {
+func TestLearnedStateExchange(t *testing.T) {
+	Convey("The reply of a router that has just started is ignored", t, func() {
 		var l learnedStateExchange
 		l.receive(time.Second, &placement.LearnedState{Models: []placement.LatencyModel{{Service: "s"}}})
-		came, _ := l.latest()
-		So(came, ShouldBeNil)
+		received, _ := l.latest()
+		So(received, ShouldBeNil)
 		l.receive(2*time.Second, &placement.LearnedState{Prefixes: []placement.CachedPrefix{{Endpoint: 1, Prefix: 2}}})
-		came, at := l.latest()
-		So(came, ShouldNotBeNil)
+		received, at := l.latest()
+		So(received, ShouldNotBeNil)
 		So(at, ShouldEqual, 2*time.Second)
 	})
-	Convey("A router of the core is asked, of the same zone if there is one", t, func() {
-		So(pickLearnedSource(nil, "a"), ShouldEqual, "")
+	Convey("A router of the core is chosen, of the same zone if there is one", t, func() {
+		So(chooseLearnedSource(nil, "a"), ShouldEqual, "")
 		live := fleet(20, 8)
 		for range 20 {
-			So([]string{"10.0.0.1:1", "10.0.0.5:1"}, ShouldContain, pickLearnedSource(live, "b"))
+			So([]string{"10.0.0.1:1", "10.0.0.5:1"}, ShouldContain, chooseLearnedSource(live, "b"))
 		}
-		So(pickLearnedSource([]membership.Member{{Address: "x"}}, "b"), ShouldEqual, "x")
+		So(chooseLearnedSource([]membership.Member{{Address: "x"}}, "b"), ShouldEqual, "x")
 	})
 }
--- a/internal/fleet/router/leaseholders.go
+++ b/internal/fleet/router/leaseholders.go
@@ -8,113 +8,125 @@
 	"pinelb.example/pinelb/internal/fleet/quota"
 )
 
-// A new ledger withholds what routers may use of shares that a former one leased, until all that may hold some have
-// announced theirs, or the life of a lease has passed. Who they are a process that has just started does not know: after a
-// loss of power in the core it may know the core alone, while all others use their shares. Machines of the core therefore
-// keep the routers' addresses on the disk, for the process after this one. Where there is no such list, a process that has
-// not run for long takes no number of announcements for all of them, until a primary has told it who they are. A primary
-// knows when it has kept a ledger for longer than leases of the one before last.
+// A new allocator withholds what routers may use of shares that a former one leased, until all possible lease holders have announced
+// theirs, or the duration of a lease has passed. A process that has just started does not know who they are: after a loss of power in
+// the core it may know the core alone, while all others use their shares. Machines of the core therefore write the routers'
+// addresses to the disk, for the process after this one. Where there is no such list, a process that has not run for long treats no
+// number of announcements as complete, until a primary has sent it the list. A primary knows that its list is complete once its
+// allocator has been active for longer than leases of the one before last.
 
 const (
 	leaseholdersName         = "routers"
-	leaseholderCheckInterval = 500 * time.Millisecond // between looks at whether the list has changed
+	leaseholderCheckInterval = 500 * time.Millisecond // between comparisons of the list with the one on the disk
 )
 
-// leaseholderList is what a process knows of routers from the one before it, and leaves to the next.
+// leaseholderList knows the routers that may hold leased shares. The gossip's lock guards restored and isComplete; only the goroutine
+// of Router.Run uses the file and what belongs to it.
 type leaseholderList struct {
-	file       *stateFile // nil: no disk
-	restored   []string   // that the process before this one knew, or a primary
-	isComplete bool       // with those that this process knows, they are all
-	written    []string
-	nextCheck  time.Duration // when the list is looked at again
-}
+	*environment
+	gossip *gossip
 
-// holds notes that a router has shares of this router's ledger, of which no shares are out that it does not know.
-func (l *leaseholderList) recordLeaseholder(address string) {
-	l.isComplete = true
-	l.add(address)
-}
+	restored   []string // known from the process before this one, or from a primary
+	isComplete bool     // restored and the members of the gossip are all
 
-func (l *leaseholderList) add(address string) {
-	if !slices.Contains(l.restored, address) {
-		l.restored = append(slices.Clone(l.restored), address)
-	}
+	file      *stateFile // nil: no disk, or not of the core
+	written   []string
+	nextCheck time.Duration
 }
 
-// addLeaseholders takes over who may hold shares, as the primary says.
-func (r *Router) addLeaseholders(all []string) {
-	if len(all) == 0 {
+// start reads what the process before this one wrote.
+func (l *leaseholderList) start() {
+	l.isComplete = l.settings.Bootstrap // there was no process before
+	if l.settings.DataDir == "" || !l.settings.CountsForQuorum {
 		return
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, address := range all {
-		r.leaseholders.add(address)
-	}
-	r.leaseholders.isComplete = true
-}
-
-// startLeaseholders reads what the process before this one has left.
-func (r *Router) startLeaseholders() {
-	l := &r.leaseholders
-	l.isComplete = r.settings.Bootstrap // nobody was before
-	if r.settings.DataDir == "" || !r.settings.CountsForQuorum {
-		return
-	}
-	l.file = newStateFile(r.settings.DataDir, leaseholdersName, r.log)
+	l.file = newStateFile(l.settings.DataDir, leaseholdersName, l.log)
 	if l.file.read(&l.restored) {
 		l.isComplete = true
 	}
 	l.written = l.restored
 }
 
-// tickLeaseholders writes the list where it has changed.
-func (r *Router) tickLeaseholders() {
-	l, now := &r.leaseholders, r.clock()
+// tick writes the list where it has changed.
+func (l *leaseholderList) tick() {
+	now := l.clock()
 	if l.file == nil || now < l.nextCheck || !l.file.isDue(now) {
 		return
 	}
 	l.nextCheck = now + leaseholderCheckInterval
-	r.mu.Lock()
-	all, complete := r.possibleLeaseholders()
-	r.mu.Unlock()
+	l.gossip.mu.Lock()
+	all, complete := l.possible()
+	l.gossip.mu.Unlock()
 	if !complete || slices.Equal(all, l.written) {
 		return
 	}
 	l.written = all
-	l.file.write(now, all, r.tasks.Go)
+	l.file.write(now, all, l.tasks.Go)
+}
+
+// recordHolder records that a router holds shares of this router's allocator, while no shares of a former one are out. The caller
+// holds the gossip's lock.
+func (l *leaseholderList) recordHolder(address string) {
+	l.isComplete = true
+	l.add(address)
+}
+
+// add adds an address. The caller holds the gossip's lock.
+func (l *leaseholderList) add(address string) {
+	if !slices.Contains(l.restored, address) {
+		l.restored = append(slices.Clone(l.restored), address)
+	}
 }
 
-// possibleLeaseholders are the routers that may hold shares of a former ledger, in order: those that live, those that were lost so
-// lately that they may be cut off instead, and those that the process before this one knew and this one has not heard of.
-// complete is false where there may be others. The caller holds the lock.
-func (r *Router) possibleLeaseholders() (all []string, complete bool) {
-	now := r.clock()
+// addComplete adds the primary's complete list; empty: it has not sent one.
+func (l *leaseholderList) addComplete(addresses []string) {
+	if len(addresses) == 0 {
+		return
+	}
+	l.gossip.mu.Lock()
+	defer l.gossip.mu.Unlock()
+	for _, address := range addresses {
+		l.add(address)
+	}
+	l.isComplete = true
+}
+
+// possible returns the addresses of the routers that may hold shares of a former allocator: those that are alive, those that ended so
+// lately that they may be partitioned off instead, and those that the process before this one knew and this one has not met.
+// complete is false where there may be others. The caller holds the gossip's lock.
+func (l *leaseholderList) possible() (all []string, complete bool) {
+	now, members := l.clock(), l.gossip.node.Members
 	recently := quota.LeaseDuration + membership.DefaultTiming().FailureTimeout
-	for _, m := range r.node.Members.All() {
-		ended, isOver := r.node.Members.EndedAt(m.Address)
-		if !isOver || now-ended < recently {
+	for _, m := range members.All() {
+		endedAt, ended := members.EndedAt(m.Address)
+		if !ended || now-endedAt < recently {
 			all = append(all, m.Address)
 		}
 	}
-	if r.hasOutlivedTombstones() {
+	if l.hasOutlivedTombstones() {
 		return all, true
 	}
-	for _, address := range r.leaseholders.restored {
-		if _, heard := r.node.Members.Lookup(address); !heard {
+	for _, address := range l.restored {
+		if _, known := members.Lookup(address); !known {
 			all = append(all, address)
 		}
 	}
 	slices.Sort(all)
-	return all, r.knowsAllLeaseholders()
+	return all, l.knowsAll()
 }
 
-// knowsAllLeaseholders tells whether possibleLeaseholders are all. The caller holds the lock.
-func (r *Router) knowsAllLeaseholders() bool {
-	return r.leaseholders.isComplete || r.hasOutlivedTombstones()
+// knowsAll reports whether possible returns all. The caller holds the gossip's lock.
+func (l *leaseholderList) knowsAll() bool { return l.isComplete || l.hasOutlivedTombstones() }
+
+// wantsComplete reports whether this router needs the primary's list.
+func (l *leaseholderList) wantsComplete() bool {
+	l.gossip.mu.Lock()
+	defer l.gossip.mu.Unlock()
+	return !l.knowsAll()
 }
 
-// hasOutlivedTombstones tells whether whoever was there before this process has been heard of by now, or forgotten by all.
-func (r *Router) hasOutlivedTombstones() bool {
-	return r.clock() > membership.DefaultTiming().TombstoneTTL
+// hasOutlivedTombstones reports whether this process has run so long that every router that was there before it is either known or
+// forgotten by all.
+func (l *leaseholderList) hasOutlivedTombstones() bool {
+	return l.clock() > membership.DefaultTiming().TombstoneTTL
 }
--- a/internal/fleet/router/leaseholders_test.go
+++ b/internal/fleet/router/leaseholders_test.go
@@ -18,99 +18,101 @@
 const quotaTestWindow = 8 * time.Second
 
 // leaseTestRouter is a router of the core that has run for a time, with nothing of it started.
-func leaseTestRouter(directory string, ran time.Duration, bootstrap bool) *Router {
+func leaseTestRouter(directory string, uptime time.Duration, bootstrap bool) *Router {
 	s := &settings.Settings{IP: "10.0.0.1", DataDir: directory, CountsForQuorum: true, Bootstrap: bootstrap}
 	s.Bounds.QuotaWindow, s.Bounds.QuotaOver = quotaTestWindow, 0.1
 	r := New(s, zap.NewNop())
-	r.startedAt = time.Now().Add(-ran)
-	r.startLeaseholders()
+	r.startedAt = time.Now().Add(-uptime)
+	r.leaseholders.start()
 	return r
 }
 
-// grantedAfter is what the ledger of a new view hands out some time later, in seconds of the rate, when these routers have
-// announced what they hold.
-func (r *Router) grantedAfter(span time.Duration, announced ...string) float64 {
+// grantedAfter is what the allocator of a new view grants some time later, in seconds of the rate, when these routers have
+// announced their leases.
+func (r *Router) grantedAfter(elapsed time.Duration, announced ...string) float64 {
 	t := &config.Tenant{Name: "t", RatePerS: 1000, Burst: 5000}
-	began := r.clock()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.allocator.Activate(began, 5, false, quotaTestWindow)
+	activatedAt := r.clock()
+	r.gossip.mu.Lock()
+	defer r.gossip.mu.Unlock()
+	r.allocator.mu.Lock()
+	defer r.allocator.mu.Unlock()
+	r.allocator.allocations.Activate(activatedAt, 5, false, quotaTestWindow)
 	for _, address := range announced {
-		r.recordAnnouncement(address)
+		r.allocator.recordAnnouncement(address)
 	}
-	granted, _ := r.allocator.Grant(began+span, t, 1, 1e9)
+	granted, _ := r.allocator.allocations.Grant(activatedAt+elapsed, t, 1, 1e9)
 	return granted / t.RatePerS
 }
 
-// begunWith is the quota that a new ledger may hand out at once, in seconds of the rate: a quarter of the excess.
-const begunWith = 0.25 * 0.1 * (8 + 5)
+// initialGrant is the quota that a new allocator may grant at once, in seconds of the rate: a quarter of the excess.
+const initialGrant = 0.25 * 0.1 * (8 + 5)
 
-// Guards against a ledger that hands out what cut off routers still use: a primary that has just started knows few routers.
-func TestNewLedgerOfANewProcess(t *testing.T) {
-	const span = 2 * time.Second
-	const enough = begunWith + 1.9
+// Guards against an allocator that grants what partitioned routers still use: a primary that has just started knows few routers.
+func TestNewAllocatorOfNewProcess(t *testing.T) {
+	const elapsed = 2 * time.Second
+	const enough = initialGrant + 1.9
 	Convey("A primary that has just started", t, func() {
 		directory := t.TempDir()
 		Convey("withholds what routers that it does not know may have leased", func() {
 			r := leaseTestRouter(directory, time.Second, false)
-			So(r.grantedAfter(span, r.settings.InternalAddress()), ShouldAlmostEqual, begunWith, 0.01)
+			So(r.grantedAfter(elapsed, r.settings.InternalAddress()), ShouldAlmostEqual, initialGrant, 0.01)
 		})
 		Convey("does so as well where its disk names routers that have not announced theirs", func() {
 			writeLeaseholders(directory, "10.0.0.1:0", "10.0.0.2:0")
 			r := leaseTestRouter(directory, time.Second, false)
-			So(r.grantedAfter(span, r.settings.InternalAddress()), ShouldAlmostEqual, begunWith, 0.01)
+			So(r.grantedAfter(elapsed, r.settings.InternalAddress()), ShouldAlmostEqual, initialGrant, 0.01)
 		})
-		Convey("grants at once when all have that its disk names", func() {
+		Convey("grants at once when all routers that its disk names have announced theirs", func() {
 			writeLeaseholders(directory, "10.0.0.1:0", "10.0.0.2:0")
 			r := leaseTestRouter(directory, time.Second, false)
-			So(r.grantedAfter(span, r.settings.InternalAddress(), "10.0.0.2:0"), ShouldBeGreaterThan, enough)
+			So(r.grantedAfter(elapsed, r.settings.InternalAddress(), "10.0.0.2:0"), ShouldBeGreaterThan, enough)
 		})
 		Convey("has nothing to withhold at the first start of the whole system", func() {
 			r := leaseTestRouter(directory, time.Second, true)
-			So(r.grantedAfter(span, r.settings.InternalAddress()), ShouldBeGreaterThan, enough)
+			So(r.grantedAfter(elapsed, r.settings.InternalAddress()), ShouldBeGreaterThan, enough)
 		})
 		Convey("does not take a list that can't be read for one", func() {
 			So(os.WriteFile(filepath.Join(directory, leaseholdersName), []byte("torn"), 0o600), ShouldBeNil)
 			r := leaseTestRouter(directory, time.Second, false)
-			So(r.grantedAfter(span, r.settings.InternalAddress()), ShouldAlmostEqual, begunWith, 0.01)
+			So(r.grantedAfter(elapsed, r.settings.InternalAddress()), ShouldAlmostEqual, initialGrant, 0.01)
 		})
 	})
-	Convey("One that has run for long knows them all", t, func() {
+	Convey("A primary that has run for long knows all lease holders", t, func() {
 		r := leaseTestRouter("", membership.DefaultTiming().TombstoneTTL+time.Second, false)
-		So(r.grantedAfter(span, r.settings.InternalAddress()), ShouldBeGreaterThan, enough)
+		So(r.grantedAfter(elapsed, r.settings.InternalAddress()), ShouldBeGreaterThan, enough)
 	})
-	Convey("A process leaves the routers that it knows to the next, and those that it has not heard of yet", t, func() {
+	Convey("A process leaves to the next one the routers that it knows, and those that it has not met yet", t, func() {
 		directory := t.TempDir()
 		writeLeaseholders(directory, "10.0.0.9:0")
 		r := leaseTestRouter(directory, time.Second, false)
-		r.node.Members.Merge(r.clock(), []membership.Member{{Address: "10.0.0.2:0", Incarnation: 1, Status: membership.Alive}})
-		r.tickLeaseholders()
+		r.gossip.node.Members.Merge(r.clock(), []membership.Member{{Address: "10.0.0.2:0", Incarnation: 1, Status: membership.Alive}})
+		r.leaseholders.tick()
 		r.tasks.Wait()
-		var left []string
-		So(newStateFile(directory, leaseholdersName, zap.NewNop()).read(&left), ShouldBeTrue)
-		So(left, ShouldResemble, []string{r.settings.InternalAddress(), "10.0.0.2:0", "10.0.0.9:0"})
+		var written []string
+		So(newStateFile(directory, leaseholdersName, zap.NewNop()).read(&written), ShouldBeTrue)
+		So(written, ShouldResemble, []string{r.settings.InternalAddress(), "10.0.0.2:0", "10.0.0.9:0"})
 	})
-	Convey("A primary whose ledger waits for no announcements any more knows all, and tells others", t, func() {
+	Convey("A primary whose allocator awaits no announcements any more knows all lease holders, and sends them to others", t, func() {
 		primary := leaseTestRouter("", 10*time.Second, false)
-		_, complete := primary.possibleLeaseholders()
+		_, complete := primary.leaseholders.possible()
 		So(complete, ShouldBeFalse)
-		primary.allocator.Activate(primary.clock()-quota.LeaseDuration-time.Second, 5, false, quotaTestWindow)
-		primary.recordAnnouncement("10.0.0.2:0")
-		all, complete := primary.possibleLeaseholders()
+		primary.allocator.allocations.Activate(primary.clock()-quota.LeaseDuration-time.Second, 5, false, quotaTestWindow)
+		primary.allocator.recordAnnouncement("10.0.0.2:0")
+		all, complete := primary.leaseholders.possible()
 		So(complete, ShouldBeTrue)
 		So(all, ShouldResemble, []string{primary.settings.InternalAddress(), "10.0.0.2:0"})
 		other := leaseTestRouter("", time.Second, false)
-		other.addLeaseholders(nil)
-		So(other.knowsAllLeaseholders(), ShouldBeFalse)
-		other.addLeaseholders(append(all, "10.0.0.3:0"))
-		all, complete = other.possibleLeaseholders()
+		other.leaseholders.addComplete(nil)
+		So(other.leaseholders.knowsAll(), ShouldBeFalse)
+		other.leaseholders.addComplete(append(all, "10.0.0.3:0"))
+		all, complete = other.leaseholders.possible()
 		So(complete, ShouldBeTrue)
 		So(all, ShouldResemble, []string{other.settings.InternalAddress(), "10.0.0.2:0", "10.0.0.3:0"})
 	})
 	Convey("A process that may not know all leaves no list", t, func() {
 		directory := t.TempDir()
 		r := leaseTestRouter(directory, time.Second, false)
-		r.tickLeaseholders()
+		r.leaseholders.tick()
 		r.tasks.Wait()
 		So(newStateFile(directory, leaseholdersName, zap.NewNop()).read(new([]string)), ShouldBeFalse)
 	})
--- a/internal/fleet/router/quota_allocator.go
+++ b/internal/fleet/router/quota_allocator.go
@@ -1,159 +1,194 @@
 package router
 
 import (
+	"sync"
 	"time"
 
 	"github.com/fxamacker/cbor/v2"
 
 	"pinelb.example/pinelb/internal/fleet/config"
 	"pinelb.example/pinelb/internal/fleet/quota"
+	"pinelb.example/pinelb/internal/fleet/replication"
+	"pinelb.example/pinelb/internal/fleet/settings"
 	"pinelb.example/pinelb/internal/fleet/transport"
 )
 
-// leaseUsage is a quota.Use as it travels.
-type leaseUsage struct {
-	RatePerSecond float64 `cbor:"1,keyasint,omitempty"`
-	Share         float64 `cbor:"2,keyasint,omitempty"`
-	Spent         float64 `cbor:"3,keyasint,omitempty"`
+// maxLeadershipAge is the age of the primary's confirmation beyond which its allocator is not active: less than the time-out after
+// which witnesses take part in the election of another primary, so that two allocators are never active at once.
+const maxLeadershipAge = 600 * time.Millisecond
+
+// allocatorService is this router's allocator, which grants credit and leases shares to all routers while this router is the primary.
+// Its methods may be called by any goroutine, without the gossip's lock unless they say so.
+type allocatorService struct {
+	*environment
+	gossip       *gossip
+	config       *activeConfig
+	leaseholders *leaseholderList
+	grants       grantCache
+
+	mu            sync.Mutex // guards what follows; where the gossip's lock is needed too, that is taken first
+	allocations   *quota.Allocator
+	activeAddress string        // the router whose allocator is active
+	activeSince   time.Duration // when that became active
 }
 
-// leaseRenewal renews a router's lease of shares, of all tenants that it has had requests of lately.
-type leaseRenewal struct {
-	Number            uint64                `cbor:"1,keyasint"`
-	Contact           uint64                `cbor:"2,keyasint"`
-	Usage             map[string]leaseUsage `cbor:"3,keyasint,omitempty"`
-	Origin            string                `cbor:"4,keyasint,omitempty"` // as in quotaRequest
-	WantsLeaseholders bool                  `cbor:"5,keyasint,omitempty"` // who may hold shares: the sender may not know all
+func newAllocatorService(e *environment, g *gossip, c *activeConfig, l *leaseholderList) *allocatorService {
+	return &allocatorService{
+		environment: e, gossip: g, config: c, leaseholders: l, allocations: quota.NewAllocator(quotaSettings(e.settings)),
+	}
 }
 
-// leaseRenewalReply answers leaseRenewal.
-type leaseRenewalReply struct {
-	Number uint64             `cbor:"1,keyasint"`
-	Shares map[string]float64 `cbor:"2,keyasint,omitempty"`
-	Origin string             `cbor:"3,keyasint,omitempty"` // as in quotaGrant
+func quotaSettings(s *settings.Settings) quota.Settings {
+	return quota.Settings{Window: s.Bounds.QuotaWindow, OvershootRatio: s.Bounds.QuotaOver, OvershootUnits: s.Bounds.QuotaSlack}
+}
 
-	Leaseholders []string `cbor:"4,keyasint,omitempty"` // all that may hold shares; empty: not asked for, or not known
+// setRouters records how many routers are alive.
+func (a *allocatorService) setRouters(routers int) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.allocations.SetRouters(routers)
 }
 
-// tick renews the lease where it is time to, and at once with a new primary, which does not know it.
-func (c *quotaClient) tick(now time.Duration, view uint64, primary string, routers int, asks bool) {
-	c.mu.Lock()
-	if primary == "" || routers > quota.MaxLeasedRouters || now < c.nextRenewal && view == c.view {
-		c.mu.Unlock()
-		return
-	}
-	c.nextRenewal, c.view = now+quota.RenewInterval(routers), view
-	wasAnswered := c.local.RenewalAnswered()
-	c.renewal = c.local.BeginRenewal(now)
-	c.lastRenewal++
-	message := leaseRenewal{Number: c.lastRenewal, Contact: c.renewal.Contact, Usage: map[string]leaseUsage{}, WantsLeaseholders: asks}
-	for name, use := range c.renewal.Usage {
-		message.Usage[name] = leaseUsage(use)
-	}
-	c.mu.Unlock()
-	if primary != c.router.settings.InternalAddress() {
-		c.router.transport.Send(primary, kindLeaseRenewal, 0, message)
-		if peer := c.router.relayPeer(); peer != "" && !wasAnswered {
-			message.Origin = c.router.settings.InternalAddress() // the way to the primary may be cut
-			c.router.transport.Send(peer, kindLeaseRenewal, 0, message)
-		}
-		return
+// activeTable is the configuration by which this router's allocator acts; nil: the allocator is not active.
+func (a *allocatorService) activeTable() *config.Table {
+	if a.replica == nil || a.draining.Load() { // a router that drains has resigned
+		return nil
 	}
-	if answer, acts := c.router.renewLocally(primary, &message); acts {
-		c.applyRenewalReply(answer)
+	confirmedAt, leading := a.replica.LeadershipConfirmedAt()
+	if !leading || a.clock()-confirmedAt > maxLeadershipAge {
+		return nil
 	}
+	table, _ := a.config.load()
+	return table
 }
 
-// receiveRenewalReply takes the primary's answer over.
-func (c *quotaClient) receiveRenewalReply(p *transport.Packet) error {
-	var answer leaseRenewalReply
-	if err := cbor.Unmarshal(p.Body, &answer); err != nil {
-		return err
+// grant grants credit of a tenant's quota; false: the allocator is not active, or does not know the tenant.
+func (a *allocatorService) grant(tenant string, least, want float64) (quotaGrant, bool) {
+	table := a.activeTable()
+	if table == nil {
+		return quotaGrant{}, false
 	}
-	if answer.Origin != "" && answer.Origin != c.router.settings.InternalAddress() {
-		c.router.transport.Send(answer.Origin, kindLeaseRenewalReply, 0, answer)
-		return nil
+	now, t := a.clock(), table.TenantByName(tenant)
+	if t == nil {
+		return quotaGrant{}, false
 	}
-	c.applyRenewalReply(answer)
-	return nil
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	granted, wait := a.allocations.Grant(now, t, least, want)
+	return quotaGrant{Granted: granted, WaitMs: uint64(wait / time.Millisecond)}, true
 }
 
-func (c *quotaClient) applyRenewalReply(answer leaseRenewalReply) {
-	c.router.addLeaseholders(answer.Leaseholders)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if answer.Number != c.lastRenewal {
-		return // of an earlier renewal, or of a process before this one
+// receiveRequest answers a router's request for credit, or forwards it to the primary. A retry gets the reply of the first attempt.
+func (a *allocatorService) receiveRequest(p *transport.Packet) error {
+	var request quotaRequest
+	if err := cbor.Unmarshal(p.Body, &request); err != nil {
+		return err
+	}
+	key := grantKey{from: requester(p, request.Origin), number: request.Number}
+	grant, isRetry := a.grants.lookup(a.clock(), key)
+	if !isRetry {
+		var active bool
+		if grant, active = a.grant(request.Tenant, request.Min, request.Want); !active {
+			a.forwardToPrimary(p, request.Origin, kindQuotaRequest, request)
+			return nil
+		}
+		grant.Number = request.Number
+		a.grants.store(a.clock(), key, grant)
 	}
-	c.local.CompleteRenewal(c.renewal, answer.Shares)
-	c.unanswered = false
+	a.transport.Send(p.From, kindQuotaGrant, 0, grant.withOrigin(request.Origin))
+	return nil
 }
 
-// receiveLeaseRenewal answers a router's renewal, if this one keeps the ledger.
-func (r *Router) receiveLeaseRenewal(p *transport.Packet) error {
-	var renew leaseRenewal
-	if err := cbor.Unmarshal(p.Body, &renew); err != nil {
+// receiveRenewal answers a router's renewal of its lease, or forwards it to the primary.
+func (a *allocatorService) receiveRenewal(p *transport.Packet) error {
+	var renewal leaseRenewal
+	if err := cbor.Unmarshal(p.Body, &renewal); err != nil {
 		return err
 	}
-	answer, acts := r.renewLocally(origin(p, renew.Origin), &renew)
-	if !acts {
-		r.forwardToPrimary(p, renew.Origin, kindLeaseRenewal, renew)
+	reply, active := a.renew(requester(p, renewal.Origin), &renewal)
+	if !active {
+		a.forwardToPrimary(p, renewal.Origin, kindLeaseRenewal, renewal)
 		return nil
 	}
-	answer.Origin = renew.Origin
-	r.transport.Send(p.From, kindLeaseRenewalReply, 0, answer)
+	reply.Origin = renewal.Origin
+	a.transport.Send(p.From, kindLeaseRenewalReply, 0, reply)
 	return nil
 }
 
-// renewLocally has this router's ledger renew a lease; false where it does not act.
-func (r *Router) renewLocally(from string, renew *leaseRenewal) (leaseRenewalReply, bool) {
-	table := r.allocatorTable()
+// forwardToPrimary forwards a message of a router that does not reach the primary. One that has been forwarded before is dropped.
+func (a *allocatorService) forwardToPrimary(p *transport.Packet, origin string, kind transport.Kind, message any) {
+	if origin != p.From {
+		return
+	}
+	if primary := a.gossip.primary(); primary != "" && primary != a.address() {
+		a.transport.Send(primary, kind, 0, message)
+	}
+}
+
+// renew renews a router's lease; false: the allocator is not active.
+func (a *allocatorService) renew(from string, renewal *leaseRenewal) (leaseRenewalReply, bool) {
+	table := a.activeTable()
 	if table == nil {
 		return leaseRenewalReply{}, false
 	}
-	answer := leaseRenewalReply{Number: renew.Number, Shares: map[string]float64{}}
-	now := r.clock()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	routers := r.node.Members.LiveCount()
-	for name, use := range renew.Usage {
-		if t := limitedTenant(table, name); t != nil {
-			answer.Shares[name] = r.allocator.RenewLease(now, t, from, renew.Contact, routers, quota.Usage(use))
+	reply := leaseRenewalReply{Number: renewal.Number, Shares: map[string]float64{}}
+	now := a.clock()
+	a.gossip.mu.Lock()
+	defer a.gossip.mu.Unlock()
+	routers := a.gossip.node.Members.LiveCount()
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for tenant, usage := range renewal.Usage {
+		if t := limitedTenant(table, tenant); t != nil {
+			reply.Shares[tenant] = a.allocations.RenewLease(now, t, from, renewal.Contact, routers, quota.Usage(usage))
 		}
 	}
-	r.recordAnnouncement(from)
-	if renew.WantsLeaseholders && r.knowsAllLeaseholders() {
-		answer.Leaseholders, _ = r.possibleLeaseholders()
+	a.recordAnnouncement(from)
+	if renewal.WantsLeaseholders && a.leaseholders.knowsAll() {
+		reply.Leaseholders, _ = a.leaseholders.possible()
 	}
-	return answer, true
+	return reply, true
 }
 
-// recordAnnouncement notes that a router has renewed all that it holds. The caller holds the lock.
-func (r *Router) recordAnnouncement(from string) {
-	if !r.allocator.AwaitsAnnouncements(r.clock()) {
-		r.leaseholders.recordLeaseholder(from)
+// recordAnnouncement records that a router has renewed all that it holds. The caller holds the gossip's lock and the allocator's.
+func (a *allocatorService) recordAnnouncement(from string) {
+	if !a.allocations.AwaitsAnnouncements(a.clock()) {
+		a.leaseholders.recordHolder(from)
 		return
 	}
-	r.allocator.RecordAnnouncement(from)
-	if all, complete := r.possibleLeaseholders(); complete {
-		r.allocator.ExpectAnnouncements(all)
+	a.allocations.RecordAnnouncement(from)
+	if all, complete := a.leaseholders.possible(); complete {
+		a.allocations.ExpectAnnouncements(all)
 	}
 }
 
-// allocatorChanged notes whose ledger acts from now on, and returns how long the one before has. Of the first one that a process
-// hears of, which may be the one that its disk names, it is not known: it counts as long ago. The caller holds the lock.
-func (r *Router) allocatorChanged(primary string) (calm time.Duration) {
-	now := r.clock()
-	if r.allocatorAddress == "" {
-		r.allocatorAddress, r.allocatorSince = primary, now-quotaSettings(r.settings).Window
+// handleViewChange records whose allocator is active in a new view, and activates this router's where it is the primary. now is the
+// time of the view change.
+func (a *allocatorService) handleViewChange(now time.Duration, view replication.View) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	formerActiveFor := a.setActive(view.Primary.Address)
+	if view.Primary.Address == a.address() {
+		a.allocations.Activate(now, view.Number, a.allocations.View()+1 == view.Number, formerActiveFor)
 	}
-	calm = now - r.allocatorSince
-	if primary != r.allocatorAddress {
-		r.allocatorAddress, r.allocatorSince = primary, now
-	}
-	return calm
 }
 
+// setActive records whose allocator is active from now on, and returns how long the former one has been. For the first one that a
+// process learns of, which may be one that its disk names, that is not known: it counts as a complete window. The caller holds the
+// lock.
+func (a *allocatorService) setActive(address string) (formerActiveFor time.Duration) {
+	now := a.clock()
+	if a.activeAddress == "" {
+		a.activeAddress, a.activeSince = address, now-quotaSettings(a.settings).Window
+	}
+	formerActiveFor = now - a.activeSince
+	if address != a.activeAddress {
+		a.activeAddress, a.activeSince = address, now
+	}
+	return formerActiveFor
+}
+
+// limitedTenant returns the tenant with a name, where it has a quota; else nil.
 func limitedTenant(table *config.Table, name string) *config.Tenant {
 	if t := table.TenantByName(name); t != nil && quota.HasQuota(t) {
 		return t
--- a/internal/fleet/router/quota_client.go
+++ b/internal/fleet/router/quota_client.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"math/rand/v2"
-	"slices"
 	"sync"
 	"time"
 
@@ -15,48 +14,32 @@
 )
 
 const (
-	minRequestTimeout     = 40 * time.Millisecond  // before a question to the ledger is sent again
-	initialRequestTimeout = 120 * time.Millisecond // the same, before an answer has come
-	requestTimeoutFactor  = 3                      // times the usual answer's time
-	responseTimeWindow    = 8                      // answers after which one weighs 1/e
+	minRequestTimeout     = 40 * time.Millisecond  // of one attempt to reach the allocator
+	initialRequestTimeout = 120 * time.Millisecond // the same, before any reply has come
+	requestTimeoutFactor  = 3                      // the time-out, as a multiple of the mean response time
+	responseTimeWindow    = 8                      // replies after which one weighs 1/e in the mean
 	maxRequestAttempts    = 3
-	// maxLeadershipAge is the age of the primary's confirmation beyond which its ledger does not act: less than the silence
-	// after which witnesses take part in the election of another primary, so that two ledgers never act at once.
-	maxLeadershipAge   = 600 * time.Millisecond
-	fallbackRetryDelay = 500 * time.Millisecond
-	minRetryDelay      = 20 * time.Millisecond
+	fallbackRetryDelay    = 500 * time.Millisecond // Retry-After of a request that the fallback rate rejects
+	minRetryDelay         = 20 * time.Millisecond
 )
 
-// quotaRequest asks the ledger for credit.
-type quotaRequest struct {
-	Number uint64  `cbor:"1,keyasint"`
-	Tenant string  `cbor:"2,keyasint"`
-	Min    float64 `cbor:"3,keyasint"`
-	Want   float64 `cbor:"4,keyasint"`
-	Origin string  `cbor:"5,keyasint,omitempty"` // the router that asks, where another one is to hand the question on
-}
-
-// quotaGrant answers quotaRequest.
-type quotaGrant struct {
-	Number  uint64  `cbor:"1,keyasint"`
-	Granted float64 `cbor:"2,keyasint"`
-	WaitMs  uint64  `cbor:"3,keyasint"`           // with nothing granted: when to ask again
-	Origin  string  `cbor:"4,keyasint,omitempty"` // the router that asked, where another one is to hand the answer on
-}
-
-// quotaClient is a router's side of the quotas.
+// quotaClient is a router's side of the quotas: it uses credit that the allocator granted, requests more, renews the lease of shares,
+// and uses the leased share, or the fallback rate, where the allocator can't be reached. Its methods may be called by any goroutine.
 type quotaClient struct {
-	router *Router
+	*environment
+	gossip       *gossip
+	allocator    *allocatorService
+	leaseholders *leaseholderList
 
-	mu               sync.Mutex
+	mu               sync.Mutex // guards what follows; the gossip's lock may be taken while it is held
 	local            *quota.LocalQuota
-	lastRequest      uint64
-	pending          map[uint64]chan quotaGrant
-	meanResponseTime time.Duration // that an answer takes; 0: none has come
+	lastRequest      uint64                     // number of the last request
+	pending          map[uint64]chan quotaGrant // by the request's number
+	meanResponseTime time.Duration              // 0: no reply has come
 
-	viaPeer         bool          // the last answer came by another router: the way to the primary may be cut
-	unanswered      bool          // the ledger did not answer the last question
-	unansweredSince time.Duration // since when
+	viaPeer         bool          // the last reply came through a peer: this router may not reach the primary
+	unanswered      bool          // the allocator did not reply to the last request
+	unansweredSince time.Duration // set with unanswered
 
 	renewal     quota.Renewal // the last one that was sent
 	lastRenewal uint64        // its number
@@ -64,29 +47,27 @@
 	view        uint64 // of the primary that it was sent to
 }
 
-func newQuotaClient(r *Router, s quota.Settings) *quotaClient {
-	c := &quotaClient{router: r, local: quota.NewLocalQuota(s), pending: map[uint64]chan quotaGrant{}, lastRequest: rand.Uint64()}
+func newQuotaClient(e *environment, g *gossip, a *allocatorService, l *leaseholderList) *quotaClient {
+	c := &quotaClient{
+		environment: e, gossip: g, allocator: a, leaseholders: l,
+		local: quota.NewLocalQuota(quotaSettings(e.settings)), pending: map[uint64]chan quotaGrant{}, lastRequest: rand.Uint64(),
+	}
 	c.local.SetFirstContact(rand.Uint64() >> 1)
 	return c
 }
 
-// charge takes units out of a tenant's quota: out of credit, else of what the ledger grants, else, where the ledger can't
-// be reached, of the leased share, else of the floor.
-func (c *quotaClient) charge(ctx context.Context, t *config.Tenant, units float64) (bool, time.Duration) {
+// charge takes units out of a tenant's quota: out of credit, else of what the allocator grants, else, where the allocator can't be
+// reached, of the leased share, else of the fallback rate. Where ok is false, wait is the time until a retry makes sense.
+func (c *quotaClient) charge(ctx context.Context, t *config.Tenant, units float64) (ok bool, wait time.Duration) {
 	if !quota.HasQuota(t) {
 		return true, 0
 	}
-	now := c.router.clock()
-	c.mu.Lock()
-	ok, ask := c.local.Consume(now, t, units)
-	if !ok && c.unanswered {
-		ok, _ = c.local.ConsumeLease(now, t, units)
-	}
-	c.mu.Unlock()
+	now := c.clock()
+	ok, missing := c.consume(now, t, units)
 	if ok {
 		return true, 0
 	}
-	grant, answered := c.request(ctx, t, units, ask)
+	grant, answered := c.request(ctx, t, units, missing)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !answered {
@@ -96,23 +77,36 @@
 	if grant.Granted < units {
 		return false, max(minRetryDelay, time.Duration(grant.WaitMs)*time.Millisecond)
 	}
-	c.local.AddGrant(c.router.clock(), now, t, grant.Granted-units)
+	c.local.AddGrant(c.clock(), now, t, grant.Granted-units)
 	return true, 0
 }
 
-// chargeLocally takes units out of a quota where the ledger did not answer. The caller holds the lock.
-func (c *quotaClient) chargeLocally(asked time.Duration, t *config.Tenant, units float64) (bool, time.Duration) {
+// consume uses credit, or the leased share where the allocator did not reply to the last request. Where neither suffices, want is the
+// number of units to request.
+func (c *quotaClient) consume(now time.Duration, t *config.Tenant, units float64) (ok bool, want float64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	ok, want = c.local.Consume(now, t, units)
+	if !ok && c.unanswered {
+		ok, _ = c.local.ConsumeLease(now, t, units)
+	}
+	return ok, want
+}
+
+// chargeLocally takes units out of a quota where the allocator did not reply. The caller holds the lock.
+func (c *quotaClient) chargeLocally(requestedAt time.Duration, t *config.Tenant, units float64) (bool, time.Duration) {
 	if !c.unanswered {
-		c.unanswered, c.unansweredSince = true, asked
+		c.unanswered, c.unansweredSince = true, requestedAt
 	}
-	now := c.router.clock()
+	now := c.clock()
 	if ok, wait := c.local.ConsumeLease(now, t, units); ok || wait > 0 {
 		return ok, wait
 	}
+	routers := c.gossip.liveCount()
 	if c.local.HasLease() {
-		return c.local.ConsumeFallbackAfterLease(now, t, units, c.router.liveCount(), rand.Float64()), fallbackRetryDelay
+		return c.local.ConsumeFallbackAfterLease(now, t, units, routers, rand.Float64()), fallbackRetryDelay
 	}
-	return c.local.ConsumeFallback(now, t, units, c.router.liveCount(), asked-c.unansweredSince, rand.Float64()), fallbackRetryDelay
+	return c.local.ConsumeFallback(now, t, units, routers, requestedAt-c.unansweredSince, rand.Float64()), fallbackRetryDelay
 }
 
 func (c *quotaClient) refund(t *config.Tenant, units float64) {
@@ -121,32 +115,27 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.local.Refund(c.router.clock(), t, units)
+	c.local.Refund(c.clock(), t, units)
 }
 
-// ask asks the ledger, again where no answer comes. All tries have one number, so that the ledger grants once.
-func (c *quotaClient) request(ctx context.Context, t *config.Tenant, least, want float64) (quotaGrant, bool) {
-	answers := make(chan quotaGrant, maxRequestAttempts)
-	number := c.register(answers)
-	defer c.forget(number)
+// request asks the allocator for credit, and retries where no reply comes; answered is false where none came at all. All attempts
+// have one number, so that the allocator grants once.
+func (c *quotaClient) request(ctx context.Context, t *config.Tenant, least, want float64) (grant quotaGrant, answered bool) {
+	replies := make(chan quotaGrant, maxRequestAttempts)
+	number := c.register(replies)
+	defer c.unregister(number)
 	message := quotaRequest{Number: number, Tenant: t.Name, Min: least, Want: want}
-	for try := range maxRequestAttempts {
-		if grant, answered := c.router.grantLocally(t.Name, least, want); answered {
+	for attempt := range maxRequestAttempts {
+		if grant, answered := c.allocator.grant(t.Name, least, want); answered {
 			return grant, true
 		}
-		to := c.router.primary()
-		if to == "" || to == c.router.settings.InternalAddress() {
+		if !c.send(attempt, message) {
 			return quotaGrant{}, false
 		}
-		message.Origin = ""
-		if peer := c.router.relayPeer(); peer != "" && c.isViaPeer(try) {
-			to, message.Origin = peer, c.router.settings.InternalAddress()
-		}
-		c.router.transport.Send(to, kindQuotaRequest, 0, message)
-		asked := time.Now()
-		grant, answered := c.await(ctx, answers)
+		sentAt := time.Now()
+		grant, answered := c.await(ctx, replies)
 		if answered {
-			c.observeResponseTime(time.Since(asked))
+			c.observeResponseTime(time.Since(sentAt))
 		}
 		if answered || ctx.Err() != nil {
 			return grant, answered
@@ -155,40 +144,52 @@
 	return quotaGrant{}, false
 }
 
-// isViaPeer tells whether a try of a question goes by another router: the last one, or where the last answer came so, all but
-// the second.
-func (c *quotaClient) isViaPeer(try int) bool {
+// send sends one attempt of a request to the primary, or to a peer that forwards it; false: no other router is the primary.
+func (c *quotaClient) send(attempt int, message quotaRequest) bool {
+	to := c.gossip.primary()
+	if to == "" || to == c.address() {
+		return false
+	}
+	if peer := c.gossip.relayPeer(); peer != "" && c.goesViaPeer(attempt) {
+		to, message.Origin = peer, c.address()
+	}
+	c.transport.Send(to, kindQuotaRequest, 0, message)
+	return true
+}
+
+// goesViaPeer reports whether an attempt goes through a peer: the last one, or where the last reply came so, all but the second.
+func (c *quotaClient) goesViaPeer(attempt int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.viaPeer {
-		return try != 1
+		return attempt != 1
 	}
-	return try == maxRequestAttempts-1
+	return attempt == maxRequestAttempts-1
 }
 
-func (c *quotaClient) await(ctx context.Context, answers <-chan quotaGrant) (quotaGrant, bool) {
-	late := time.NewTimer(c.requestTimeout())
-	defer late.Stop()
+func (c *quotaClient) await(ctx context.Context, replies <-chan quotaGrant) (quotaGrant, bool) {
+	timeout := time.NewTimer(c.requestTimeout())
+	defer timeout.Stop()
 	select {
-	case grant := <-answers:
+	case grant := <-replies:
 		return grant, true
-	case <-late.C:
+	case <-timeout.C:
 	case <-ctx.Done():
 	}
 	return quotaGrant{}, false
 }
 
-// observe learns how long answers take: the primary may be in another region.
-func (c *quotaClient) observeResponseTime(took time.Duration) {
+// observeResponseTime updates the mean response time: the primary may be in another region.
+func (c *quotaClient) observeResponseTime(elapsed time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.meanResponseTime == 0 {
-		c.meanResponseTime = took
+		c.meanResponseTime = elapsed
 	}
-	c.meanResponseTime += (took - c.meanResponseTime) / responseTimeWindow
+	c.meanResponseTime += (elapsed - c.meanResponseTime) / responseTimeWindow
 }
 
-// patience is how long an answer is waited for.
+// requestTimeout is how long the reply to one attempt is awaited.
 func (c *quotaClient) requestTimeout() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -198,131 +199,100 @@
 	return max(minRequestTimeout, requestTimeoutFactor*c.meanResponseTime)
 }
 
-func (c *quotaClient) register(answers chan quotaGrant) uint64 {
+func (c *quotaClient) register(replies chan quotaGrant) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastRequest++
-	c.pending[c.lastRequest] = answers
+	c.pending[c.lastRequest] = replies
 	return c.lastRequest
 }
 
-func (c *quotaClient) forget(number uint64) {
+func (c *quotaClient) unregister(number uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.pending, number)
 }
 
+// receiveGrant handles the allocator's reply to a request, or forwards it to the router that this one forwarded the request for.
 func (c *quotaClient) receiveGrant(p *transport.Packet) error {
 	var grant quotaGrant
 	if err := cbor.Unmarshal(p.Body, &grant); err != nil {
 		return err
 	}
-	if grant.Origin != "" && grant.Origin != c.router.settings.InternalAddress() {
-		c.router.transport.Send(grant.Origin, kindQuotaGrant, 0, grant)
+	if c.isForOther(grant.Origin) {
+		c.transport.Send(grant.Origin, kindQuotaGrant, 0, grant)
 		return nil
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.viaPeer = grant.Origin != ""
-	if answers := c.pending[grant.Number]; answers != nil {
+	if replies := c.pending[grant.Number]; replies != nil {
 		delete(c.pending, grant.Number)
-		answers <- grant
-	}
-	return nil
-}
-
-// receiveQuotaRequest answers a router's question, if this one keeps the ledger.
-func (r *Router) receiveQuotaRequest(p *transport.Packet) error {
-	var ask quotaRequest
-	if err := cbor.Unmarshal(p.Body, &ask); err != nil {
-		return err
-	}
-	key := grantKey{from: origin(p, ask.Origin), number: ask.Number}
-	grant, repeated := r.grants.lookup(r.clock(), key)
-	if !repeated {
-		var acts bool
-		if grant, acts = r.grantLocally(ask.Tenant, ask.Min, ask.Want); !acts {
-			r.forwardToPrimary(p, ask.Origin, kindQuotaRequest, ask)
-			return nil
-		}
-		grant.Number = ask.Number
-		r.grants.store(r.clock(), key, grant)
+		replies <- grant
 	}
-	r.transport.Send(p.From, kindQuotaGrant, 0, grant.withOrigin(ask.Origin))
 	return nil
 }
 
-// by is the answer as it goes the way that the question came: a repeated question may come by another way than the first.
-func (g quotaGrant) withOrigin(origin string) quotaGrant {
-	g.Origin = origin
-	return g
-}
+// isForOther reports whether a reply has to be forwarded to its origin.
+func (c *quotaClient) isForOther(origin string) bool { return origin != "" && origin != c.address() }
 
-// origin is the router that asked: the sender, or the one that it hands a question on for.
-func origin(p *transport.Packet, named string) string {
-	if named != "" {
-		return named
+// tick renews the lease where that is due, and at once with a new primary, which does not know the lease.
+func (c *quotaClient) tick(now time.Duration, fleet fleetSnapshot, wantsLeaseholders bool) {
+	message, wasAnswered, due := c.beginRenewal(now, fleet)
+	if !due {
+		return
 	}
-	return p.From
-}
-
-// forwardToPrimary hands a router's question on to the primary, which that router does not reach. What was handed on before is not.
-func (r *Router) forwardToPrimary(p *transport.Packet, origin string, kind transport.Kind, message any) {
-	if primary := r.primary(); origin == p.From && primary != "" && primary != r.settings.InternalAddress() {
-		r.transport.Send(primary, kind, 0, message)
+	message.WantsLeaseholders = wantsLeaseholders
+	if fleet.primary == c.address() {
+		if reply, active := c.allocator.renew(fleet.primary, &message); active {
+			c.applyRenewalReply(reply)
+		}
+		return
 	}
-}
-
-// relayPeer is a router that may reach the primary where this one does not; empty: none is known.
-func (r *Router) relayPeer() string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	_, primary := r.node.Primary()
-	live := slices.DeleteFunc(r.node.Members.LiveAddresses(), func(a string) bool { return a == primary })
-	if len(live) == 0 {
-		return ""
+	c.transport.Send(fleet.primary, kindLeaseRenewal, 0, message)
+	if peer := c.gossip.relayPeer(); peer != "" && !wasAnswered {
+		message.Origin = c.address() // this router may not reach the primary
+		c.transport.Send(peer, kindLeaseRenewal, 0, message)
 	}
-	return live[rand.IntN(len(live))]
 }
 
-// grantLocally has this router's ledger grant credit; false where it is not the primary, or not sure to be.
-func (r *Router) grantLocally(name string, least, want float64) (quotaGrant, bool) {
-	table := r.allocatorTable()
-	if table == nil {
-		return quotaGrant{}, false
-	}
-	now, t := r.clock(), table.TenantByName(name)
-	if t == nil {
-		return quotaGrant{}, false
+// beginRenewal returns the renewal to be sent, and whether the one before was answered; due is false where none is to be sent.
+func (c *quotaClient) beginRenewal(now time.Duration, fleet fleetSnapshot) (message leaseRenewal, wasAnswered, due bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	isNewView := fleet.view != c.view
+	if fleet.primary == "" || fleet.routers > quota.MaxLeasedRouters || now < c.nextRenewal && !isNewView {
+		return leaseRenewal{}, false, false
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	granted, wait := r.allocator.Grant(now, t, least, want)
-	return quotaGrant{Granted: granted, WaitMs: uint64(wait / time.Millisecond)}, true
+	c.nextRenewal, c.view = now+quota.RenewInterval(fleet.routers), fleet.view
+	wasAnswered = c.local.RenewalAnswered()
+	c.renewal = c.local.BeginRenewal(now)
+	c.lastRenewal++
+	message = leaseRenewal{Number: c.lastRenewal, Contact: c.renewal.Contact, Usage: usageMessages(c.renewal.Usage)}
+	return message, wasAnswered, true
 }
 
-// allocatorTable is the configuration by which this router's ledger acts; nil: it does not act.
-func (r *Router) allocatorTable() *config.Table {
-	if r.replica == nil || r.draining.Load() { // one that ends has resigned
-		return nil
+// receiveRenewalReply handles the allocator's reply to a renewal, or forwards it as receiveGrant does.
+func (c *quotaClient) receiveRenewalReply(p *transport.Packet) error {
+	var reply leaseRenewalReply
+	if err := cbor.Unmarshal(p.Body, &reply); err != nil {
+		return err
 	}
-	confirmed, leading := r.replica.LeadershipConfirmedAt()
-	if !leading || r.clock()-confirmed > maxLeadershipAge {
+	if c.isForOther(reply.Origin) {
+		c.transport.Send(reply.Origin, kindLeaseRenewalReply, 0, reply)
 		return nil
 	}
-	table, _ := r.Table()
-	return table
-}
-
-func (r *Router) primary() string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	_, address := r.node.Primary()
-	return address
+	c.applyRenewalReply(reply)
+	return nil
 }
 
-func (r *Router) liveCount() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.node.Members.LiveCount()
+func (c *quotaClient) applyRenewalReply(reply leaseRenewalReply) {
+	c.leaseholders.addComplete(reply.Leaseholders)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if reply.Number != c.lastRenewal {
+		return // of an earlier renewal, or of a process before this one
+	}
+	c.local.CompleteRenewal(c.renewal, reply.Shares)
+	c.unanswered = false
 }
--- /dev/null
+++ b/internal/fleet/router/readiness.go
@@ -0,0 +1,28 @@
+package router
+
+import "net/http"
+
+// serveReady answers the platform's readiness probe: 200, or 503 where no clients should be sent here.
+func (r *Router) serveReady(w http.ResponseWriter, _ *http.Request) {
+	if !r.isReady() {
+		w.WriteHeader(http.StatusServiceUnavailable)
+	}
+}
+
+// isReady reports whether this router can serve clients: it is not draining, its configuration was confirmed since the start and so
+// lately that keys may be used, and there is an endpoint.
+func (r *Router) isReady() bool {
+	table, age := r.Table()
+	if r.draining.Load() || table == nil || table.Version == 0 || age >= unconfirmedAge {
+		return false
+	}
+	if lease := proxyOptions(r.settings).KeyLease; lease > 0 && age > lease {
+		return false
+	}
+	for _, service := range table.Services() {
+		if r.dispatcher.ReadyCount(service) > 0 {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/fleet/router/replica.go
@@ -0,0 +1,93 @@
+package router
+
+import (
+	"slices"
+	"time"
+
+	"pinelb.example/pinelb/internal/fleet/config"
+	"pinelb.example/pinelb/internal/fleet/dissemination"
+	"pinelb.example/pinelb/internal/fleet/replica"
+	"pinelb.example/pinelb/internal/fleet/replication"
+)
+
+// startReplica starts this machine's replica of the configuration, where the machine counts for the quorum, or is a founder: a seed at
+// the first start of the whole system.
+func (r *Router) startReplica() error {
+	s := r.settings
+	var founders []string
+	if s.Bootstrap {
+		founders = s.SeedAddresses()
+	}
+	if !s.CountsForQuorum && !slices.Contains(founders, r.address()) {
+		return nil
+	}
+	var err error
+	r.replica, err = replica.Start(replica.Options{
+		Address:            r.address(),
+		Directory:          s.DataDir,
+		BootstrapWitnesses: founders,
+		Votes:              s.CountsForQuorum,
+		Tolerance: replication.Tolerance{
+			Machines: s.Tolerance.Machines, Zones: s.Tolerance.Zones, Regions: s.Tolerance.Regions,
+		},
+		Timing:     replication.DefaultTiming(),
+		LocalityOf: r.gossip.localityOf,
+		Peers:      r.gossip.corePeers,
+		Send: func(to string, nonce uint64, message replication.Envelope) {
+			r.transport.Send(to, kindReplication, nonce, message)
+		},
+		OnCommit:     r.handleCommit,
+		OnViewChange: r.handleViewChange,
+		Clock:        r.clock,
+		Log:          r.log,
+	})
+	return err
+}
+
+// handleCommit distributes a configuration that this router's replica has acknowledged as the primary.
+func (r *Router) handleCommit(c replica.Commit) {
+	var change []byte
+	if c.Change != nil {
+		change, _ = c.Change.Encode() // without it the others fetch the configuration
+	}
+	table := c.Table
+	if table.Version == 0 {
+		table = emptyTable()
+	}
+	r.gossip.step(func(now time.Duration) *dissemination.Output {
+		return r.gossip.node.Commit(now, c.Sequence, table, change)
+	})
+}
+
+func emptyTable() *config.Table {
+	table, err := config.NewTable(config.EmptyDocument(), nil)
+	if err != nil {
+		panic(err) // an empty configuration is valid
+	}
+	return table
+}
+
+// handleViewChange records a view that this router's replica has learned of, and announces it where this router is the primary.
+func (r *Router) handleViewChange(view replication.View) {
+	if view.Primary.Address != r.address() {
+		r.gossip.mu.Lock()
+		defer r.gossip.mu.Unlock()
+		r.gossip.node.SetView(view.Number, view.Primary.Address)
+		r.allocator.handleViewChange(r.clock(), view)
+		return
+	}
+	r.gossip.step(func(now time.Duration) *dissemination.Output {
+		r.allocator.handleViewChange(now, view)
+		return r.gossip.node.AnnouncePrimary(now, view.Number)
+	})
+}
+
+// confirmAsPrimary records the confirmation of the configuration by this router's replica, where that is the primary.
+func (r *Router) confirmAsPrimary() {
+	if r.replica == nil {
+		return
+	}
+	if _, sequence, at, ok := r.replica.ReadLease(); ok {
+		r.gossip.confirm(sequence, at)
+	}
+}
--- a/internal/fleet/router/router.go
+++ b/internal/fleet/router/router.go
@@ -1,28 +1,36 @@
-// Package router is the role that every machine of a fleet runs: it takes clients' requests, the operator's orders and
-// the endpoints' heartbeats, and keeps what they need in step with the other routers.
+// Package router is the process of one machine of a fleet: it serves clients' requests, the operators' changes of the configuration and
+// the endpoints' heartbeats, and exchanges with the other routers what that takes. The command pinelb and the test lab run it.
+//
+// A Router composes components with one job each:
+//
+//	gossip                the dissemination of configuration, endpoints and members; fetches of the configuration
+//	activeConfig          the configuration that requests are served by
+//	endpointReports       the endpoints' own reports, and the acknowledgement of their leaves
+//	endpointCache         the list of endpoints on the disk
+//	leaseholderList       the routers that may hold leased shares of quotas, on the disk too
+//	learnedStateExchange  the learned state of other routers and of the process before this one
+//	quotaClient           this router's use of quotas
+//	allocatorService      grants and leases to all routers, while this one is the primary; with a grantCache
+//	announcementRelay     announcements of prompts to the other routers
+//	httpServers           the listeners of the clients, the control API and the readiness probe
+//
+// The packages dissemination, membership, registry, quota and placement are pure; I/O, clocks and goroutines are here, in proxy,
+// transport and replica.
+//
+// Locks are taken in this order: quotaClient.mu, gossip.mu, allocatorService.mu, then those of the dispatcher; the locks of the grant
+// cache, the relay and the learned state are taken last and alone. No lock is held while a message is sent or a file is written. What
+// only the goroutine of Run uses has no lock, and says so.
 package router
 
 import (
 	"context"
-	"errors"
-	"math/rand/v2"
-	"net"
 	"net/http"
-	"sync"
-	"sync/atomic"
 	"time"
 
-	"github.com/ansel1/merry/v2"
 	"go.uber.org/zap"
 
-	"pinelb.example/pinelb/internal/fleet/config"
 	"pinelb.example/pinelb/internal/fleet/control"
-	"pinelb.example/pinelb/internal/fleet/dissemination"
-	"pinelb.example/pinelb/internal/fleet/membership"
 	"pinelb.example/pinelb/internal/fleet/proxy"
-	"pinelb.example/pinelb/internal/fleet/quota"
-	"pinelb.example/pinelb/internal/fleet/replica"
-	"pinelb.example/pinelb/internal/fleet/replication"
 	"pinelb.example/pinelb/internal/fleet/retry"
 	"pinelb.example/pinelb/internal/fleet/settings"
 	"pinelb.example/pinelb/internal/fleet/transport"
@@ -30,95 +38,63 @@
 
 const (
 	tickInterval        = 50 * time.Millisecond
-	reservedDescriptors = 300                    // for files, the other listeners and the runtime
-	keyLeaseMargin      = 600 * time.Millisecond // of revokeMs: what may pass between the look at a lease and the send
-	readHeaderTimeout   = 10 * time.Second
-	idleTimeout         = 60 * time.Second
-	maxHeaderBytes      = 64 << 10
+	reservedDescriptors = 300                    // of the limit: for files, the other listeners and the runtime
+	minConnections      = 64                     // to endpoints, however low the limit of descriptors is
+	keyLeaseMargin      = 600 * time.Millisecond // of revokeMs: may pass between the check of the lease and the send
 )
 
-// Router is one machine's process.
+// Router is one machine's process. New, then Run; the other exported methods may be called by any goroutine.
 type Router struct {
-	settings  *settings.Settings
-	log       *zap.Logger
-	startedAt time.Time
+	*environment
+	killed chan struct{} // closed by Kill
+
+	config       *activeConfig
+	gossip       *gossip
+	leaseholders *leaseholderList
+	allocator    *allocatorService
+	quota        *quotaClient
+	relay        *announcementRelay
+	endpoints    *endpointReports
+	cache        *endpointCache
+	learned      *learnedStateExchange
 
-	transport   *transport.Transport
-	replica     *replica.Replica // nil where this machine does not count for the quorum
 	dispatcher  *proxy.Dispatcher
-	front       *proxy.Server
-	quota       *quotaClient
-	relay       *announcementRelay
-	servers     []*http.Server
-	frontServer *http.Server // one of them; nil: clients are not served
-	tasks       sync.WaitGroup
-
-	mu                     sync.Mutex
-	node                   *dissemination.Node
-	appliedRegistryVersion uint64        // of the endpoints that requests know
-	nextEndpointRefresh    time.Duration // when they are looked at again
-	fetches                fetchLimiter
-	fetchTimeout           time.Duration // that the next fetch may take
-	allocator              *quota.Allocator
-	grants                 grantCache
-	allocatorAddress       string        // the router whose ledger acts
-	allocatorSince         time.Duration // when it began to
-
-	activeConfig  atomic.Pointer[confirmedConfig]
-	draining      atomic.Bool
-	killed        chan struct{}  // closed: the router ends without a word
-	endpointCache *endpointCache // nil: no disk
-
-	leaseholders leaseholderList
-
-	learned learnedStateExchange
-}
-
-// confirmedConfig is what requests look at.
-type confirmedConfig struct {
-	table       *config.Table
-	confirmedAt time.Duration
-	confirmed   bool
+	proxy       *proxy.Server
+	servers     *httpServers
+	proxyServer *http.Server // serves proxy; nil: clients are not served
 }
 
 // New prepares a router; Run starts it.
 func New(s *settings.Settings, log *zap.Logger) *Router {
-	r := &Router{settings: s, log: log, startedAt: time.Now(), killed: make(chan struct{}), fetchTimeout: minFetchTimeout}
-	r.allocator = quota.NewAllocator(quotaSettings(s))
-	r.quota = newQuotaClient(r, quotaSettings(s))
-	r.dispatcher = proxy.NewDispatcher(r.clock, retry.Settings{
+	e := &environment{settings: s, log: log, startedAt: time.Now()}
+	r := &Router{environment: e, killed: make(chan struct{})}
+	r.dispatcher = proxy.NewDispatcher(e.clock, retry.Settings{
 		Ratio: s.Bounds.BudgetRatio, Window: s.Bounds.BudgetWindow, Slack: s.Bounds.BudgetSlack,
-	}, max(64, (s.Limits.Descriptors-reservedDescriptors)/2))
-	r.relay = newRelay(s.InternalAddress(), s.Zone, s.CountsForQuorum, r.sendAnnouncements)
+	}, max(minConnections, (s.Limits.Descriptors-reservedDescriptors)/2))
+	r.config = &activeConfig{environment: e}
+	r.gossip = newGossip(e, r.config, r.dispatcher)
+	r.leaseholders = &leaseholderList{environment: e, gossip: r.gossip}
+	r.allocator = newAllocatorService(e, r.gossip, r.config, r.leaseholders)
+	r.quota = newQuotaClient(e, r.gossip, r.allocator, r.leaseholders)
+	r.relay = newRelay(e.address(), s.Zone, s.CountsForQuorum, r.sendAnnouncements)
 	r.dispatcher.Announce = r.relay.announce
-	r.front = proxy.NewServer(r, r.dispatcher, frontOptions(s))
-	r.node = dissemination.New(r.clock(), dissemination.Options{
-		Self: membership.Member{
-			Address: s.InternalAddress(), Control: s.Control, Zone: s.Zone, Region: s.Region, Core: s.CountsForQuorum,
-			BootID: rand.Uint64(),
-		},
-		Seeds: s.SeedAddresses(), EndpointHeartbeatInterval: s.EndpointHeartbeatInterval, Timing: membership.DefaultTiming(),
-		Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-	})
+	r.endpoints = &endpointReports{environment: e, gossip: r.gossip}
+	r.cache = &endpointCache{environment: e, gossip: r.gossip}
+	r.learned = &learnedStateExchange{environment: e, gossip: r.gossip, dispatcher: r.dispatcher}
+	r.proxy = proxy.NewServer(r, r.dispatcher, proxyOptions(s))
+	r.servers = &httpServers{environment: e}
 	return r
 }
 
-func quotaSettings(s *settings.Settings) quota.Settings {
-	return quota.Settings{Window: s.Bounds.QuotaWindow, OvershootRatio: s.Bounds.QuotaOver, OvershootUnits: s.Bounds.QuotaSlack}
-}
-
-func frontOptions(s *settings.Settings) proxy.Options {
-	o := proxy.Options{Stale: s.Bounds.ConfigApply * 3 / 4}
+func proxyOptions(s *settings.Settings) proxy.Options {
+	options := proxy.Options{Stale: s.Bounds.ConfigApply * 3 / 4}
 	if s.Bounds.RevocationStrict {
-		o.KeyLease = max(s.Bounds.Revoke/2, s.Bounds.Revoke-keyLeaseMargin)
+		options.KeyLease = max(s.Bounds.Revoke/2, s.Bounds.Revoke-keyLeaseMargin)
 	}
-	return o
+	return options
 }
 
-// clock is steady: it takes no notice of the time of day.
-func (r *Router) clock() time.Duration { return time.Since(r.startedAt) }
-
-// Run serves until ctx ends, and then brings to an end what is under way.
+// Run serves until ctx ends, and then shuts down gracefully. Its error says what could not be started.
 func (r *Router) Run(ctx context.Context) error {
 	if err := r.start(); err != nil {
 		return err
@@ -140,115 +116,80 @@
 	}
 }
 
-// Kill has Run end at once and tell nobody, as a crash would. It is called once, by rigs that play losses.
+// Kill has Run return at once without informing other routers, as a crash would. It is called once, by tests that inject failures.
 func (r *Router) Kill() { close(r.killed) }
 
+// Reload applies the settings that can change while the router runs: the seeds.
+func (r *Router) Reload(s *settings.Settings) {
+	r.gossip.setSeeds(s.SeedAddresses())
+	r.log.Info("settings reloaded", zap.Strings("seeds", s.Seeds))
+}
+
+// start binds the internal address, starts the replica, reads the state on the disk, and then serves: first other routers, then the
+// control API, the readiness probe and clients.
 func (r *Router) start() error {
 	var err error
-	r.transport, err = transport.Listen(r.settings.InternalAddress(), fleetID(r.settings), r.receive)
+	r.transport, err = transport.Listen(r.address(), fleetID(r.settings), r.receive)
 	if err != nil {
 		return err
 	}
-	r.transport.HandleCall(fetchPath, r.answerFetch)
-	r.transport.HandleCall(leavePath, r.answerLeave)
-	r.transport.HandleCall(learnedPath, r.answerLearned)
-	r.transport.HandleStatus(statusPath, func() any { return r.Status() })
+	r.handleCalls()
 	if err := r.startReplica(); err != nil {
 		return err
 	}
-	r.startEndpointCache()
-	r.startLeaseholders()
-	r.startLearned()
+	r.cache.start()
+	r.leaseholders.start()
+	r.learned.start()
 	if err := r.transport.Serve(); err != nil {
 		return err
 	}
-	if r.settings.Control != "" {
-		_, err = r.listen(r.settings.Control, control.NewServer(r, r.settings.Control))
-	}
-	if err == nil && r.settings.Ready != "" {
-		_, err = r.listen(r.settings.Ready, http.HandlerFunc(r.answerReady))
-	}
-	if err == nil && r.settings.Front != "" {
-		r.frontServer, err = r.listen(r.settings.Front, r.front)
+	if err := r.listen(); err != nil {
+		return err
 	}
 	r.tasks.Go(func() { r.dispatcher.Pool.Sweep(r.transport.Context()) })
 	r.tasks.Go(func() { r.relay.run(r.transport.Context()) })
-	return err
+	return nil
 }
 
-// listen serves HTTP at an address.
-func (r *Router) listen(address string, handler http.Handler) (*http.Server, error) {
-	listener, err := net.Listen("tcp4", address)
-	if err != nil {
-		return nil, merry.Prepend(err, "router")
-	}
-	server := &http.Server{
-		Handler: handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
-		ErrorLog: zap.NewStdLog(r.log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel))),
-	}
-	r.servers = append(r.servers, server)
-	r.tasks.Go(func() {
-		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			r.log.Error("a listener ended", zap.String("address", address), zap.Error(err))
-		}
-	})
-	return server, nil
+// handleCalls registers the calls that other routers and operators make.
+func (r *Router) handleCalls() {
+	r.transport.HandleCall(fetchPath, r.gossip.serveFetch)
+	r.transport.HandleCall(leavePath, r.endpoints.serveLeave)
+	r.transport.HandleCall(learnedPath, r.learned.serve)
+	r.transport.HandleStatus(statusPath, func() any { return r.Status() })
 }
 
-// startReplica starts this machine's copy of the replicated configuration, where it counts for the quorum, or is one of
-// the seeds at the first start of the whole system.
-func (r *Router) startReplica() error {
-	s := r.settings
-	var founders []string
-	isFounder := false
-	if s.Bootstrap {
-		founders = s.SeedAddresses()
-		for _, founder := range founders {
-			isFounder = isFounder || founder == s.InternalAddress()
-		}
+// listen serves the addresses that the settings name.
+func (r *Router) listen() error {
+	var err error
+	if address := r.settings.Control; address != "" {
+		_, err = r.servers.listen(address, control.NewServer(r, address))
 	}
-	if !s.CountsForQuorum && !isFounder {
-		return nil
+	if address := r.settings.Ready; err == nil && address != "" {
+		_, err = r.servers.listen(address, http.HandlerFunc(r.serveReady))
 	}
-	var err error
-	r.replica, err = replica.Start(replica.Options{
-		Address: s.InternalAddress(), Directory: s.DataDir, BootstrapWitnesses: founders, Votes: s.CountsForQuorum,
-		Tolerance: replication.Tolerance{
-			Machines: s.Tolerance.Machines, Zones: s.Tolerance.Zones, Regions: s.Tolerance.Regions,
-		},
-		Timing: replication.DefaultTiming(), LocalityOf: r.localityOf, Peers: r.corePeers,
-		Send: func(to string, nonce uint64, message replication.Envelope) {
-			r.transport.Send(to, kindReplication, nonce, message)
-		},
-		OnCommit: r.handleCommit, OnViewChange: r.handleViewChange, Clock: r.clock, Log: r.log,
-	})
-	return err
-}
-
-func (r *Router) localityOf(address string) replication.Locality {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	m, known := r.node.Members.Lookup(address)
-	if !known {
-		return replication.Locality{Zone: address}
+	if address := r.settings.Front; err == nil && address != "" {
+		r.proxyServer, err = r.servers.listen(address, r.proxy)
 	}
-	return replication.Locality{Zone: m.Zone, Region: m.Region, Known: true, CountsForQuorum: m.Core}
+	return err
 }
 
-// corePeers are machines that may know the primary.
-func (r *Router) corePeers() []string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if cores := r.node.Members.CoreAddresses(); len(cores) > 0 {
-		return cores
-	}
-	return r.settings.SeedAddresses()
+// tick does what is due, in each component.
+func (r *Router) tick() {
+	r.confirmAsPrimary()
+	r.gossip.step(r.gossip.node.Tick)
+	fleet := r.gossip.refresh()
+	r.allocator.setRouters(fleet.routers)
+	r.quota.tick(r.clock(), fleet, r.leaseholders.wantsComplete())
+	r.relay.setPeers(fleet.others)
+	r.cache.tick()
+	r.leaseholders.tick()
+	r.learned.tick()
 }
 
+// close stops everything and waits for the goroutines.
 func (r *Router) close() {
-	for _, server := range r.servers {
-		_ = server.Close() // what was under way has ended or been given up
-	}
+	r.servers.close()
 	if r.replica != nil {
 		r.replica.Close()
 	}
@@ -256,10 +197,6 @@
 	r.tasks.Wait()
 }
 
-// Reload takes over settings that have changed.
-func (r *Router) Reload(s *settings.Settings) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.node.SetSeeds(s.SeedAddresses())
-	r.log.Info("settings read again", zap.Strings("seeds", s.Seeds))
+func (r *Router) sendAnnouncements(to []string, kind transport.Kind, announcements []proxy.Announcement) {
+	r.transport.SendAll(to, kind, announcements)
 }
--- a/internal/fleet/router/state_file.go
+++ b/internal/fleet/router/state_file.go
@@ -1,6 +1,7 @@
 package router
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"sync/atomic"
@@ -10,14 +11,15 @@
 	"go.uber.org/zap"
 )
 
-// minWriteInterval is the least time between writes of a stateFile.
+// minWriteInterval is the minimum time between writes of a stateFile.
 const minWriteInterval = 500 * time.Millisecond
 
-// stateFile is a list that is kept on the disk for the process after this one. A failure costs the list, no more.
+// stateFile is a value in CBOR that a process leaves on the disk for the next one. It is best effort: a failure costs the value and
+// nothing else. One goroutine uses it; writes run in another.
 type stateFile struct {
 	path      string
 	log       *zap.Logger
-	nextWrite time.Duration // when it may be written again
+	nextWrite time.Duration
 	writing   atomic.Bool
 }
 
@@ -25,61 +27,66 @@
 	return &stateFile{path: filepath.Join(directory, name), log: log}
 }
 
-// read takes over what the process before this one has left; false: there is nothing of use.
+// read decodes the value that the process before this one wrote; it returns false where there is none that can be read.
 func (f *stateFile) read(into any) bool {
-	text, err := os.ReadFile(f.path)
+	encoded, err := os.ReadFile(f.path)
 	if err == nil {
-		err = cbor.Unmarshal(text, into)
+		err = cbor.Unmarshal(encoded, into)
 	}
 	if err != nil && !os.IsNotExist(err) {
-		f.log.Info("a list on the disk is of no use", zap.String("path", f.path), zap.Error(err))
+		f.log.Info("state file is unreadable and ignored", zap.String("path", f.path), zap.Error(err))
 	}
 	return err == nil
 }
 
-// isDue tells whether the list may be written now.
+// isDue reports whether the value may be written now.
 func (f *stateFile) isDue(now time.Duration) bool { return now >= f.nextWrite && !f.writing.Load() }
 
-// write replaces the list, as a task that start begins.
-func (f *stateFile) write(now time.Duration, value any, start func(task func())) {
+// write replaces the value, in a goroutine that spawn starts.
+func (f *stateFile) write(now time.Duration, value any, spawn func(task func())) {
 	f.nextWrite = now + minWriteInterval
 	f.writing.Store(true)
-	start(func() {
+	spawn(func() {
 		defer f.writing.Store(false)
 		if err := replaceFile(f.path, value); err != nil {
-			f.log.Debug("a list is not written", zap.String("path", f.path), zap.Error(err))
+			f.log.Debug("state file is not written", zap.String("path", f.path), zap.Error(err))
 		}
 	})
 }
 
-// replaceFile has a path hold a value, or what it held before, whenever power is lost.
+// replaceFile replaces a file's content by an encoded value, atomically and durably: after a loss of power the file holds either the
+// former content or the new one.
 func replaceFile(path string, value any) error {
-	text, err := cbor.Marshal(value)
+	encoded, err := cbor.Marshal(value)
 	if err != nil {
 		return err
 	}
-	fresh := path + ".new"
-	file, err := os.Create(fresh)
-	if err != nil {
+	temporary := path + ".new"
+	if err := writeSynced(temporary, encoded); err != nil {
 		return err
 	}
-	_, err = file.Write(text)
-	if err == nil {
-		err = file.Sync()
-	}
-	if closing := file.Close(); err == nil {
-		err = closing
+	if err := os.Rename(temporary, path); err != nil {
+		return err
 	}
+	return syncDirectory(filepath.Dir(path))
+}
+
+func writeSynced(path string, content []byte) error {
+	file, err := os.Create(path)
 	if err != nil {
 		return err
 	}
-	if err := os.Rename(fresh, path); err != nil {
-		return err
+	_, err = file.Write(content)
+	if err == nil {
+		err = file.Sync()
 	}
-	folder, err := os.Open(filepath.Dir(path))
+	return errors.Join(err, file.Close())
+}
+
+func syncDirectory(path string) error {
+	directory, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	defer folder.Close()
-	return folder.Sync()
+	return errors.Join(directory.Sync(), directory.Close())
 }
--- a/internal/fleet/router/status.go
+++ b/internal/fleet/router/status.go
@@ -6,65 +6,84 @@
 	"pinelb.example/pinelb/internal/fleet/replication"
 )
 
-// Status is what a running router holds, for operators.
+// Status is the state of a running router, for operators: "pinelb router status" shows it as JSON. The names of its fields in JSON are
+// stable; registry.Endpoint has those of its Go fields. The counters count since the start.
 type Status struct {
 	Node          string                  `json:"node"`
 	Ready         bool                    `json:"ready"`
 	View          uint64                  `json:"view"`
-	Primary       string                  `json:"primary"`
-	Version       int64                   `json:"version"`
-	Sequence      uint64                  `json:"sequence"`
-	LeaseAgeMs    int64                   `json:"leaseAgeMs"` // -1: nothing has confirmed the configuration
-	Routers       int                     `json:"routers"`
-	Endpoints     []registry.Endpoint     `json:"endpoints"`
+	Primary       string                  `json:"primary"`    // internal address
+	Version       int64                   `json:"version"`    // of the active configuration, as the operator gave it
+	Sequence      uint64                  `json:"sequence"`   // of the active configuration, in the log
+	LeaseAgeMs    int64                   `json:"leaseAgeMs"` // milliseconds since the configuration was confirmed; -1: never
+	Routers       int                     `json:"routers"`    // alive, this one included
+	Endpoints     []registry.Endpoint     `json:"endpoints"`  // that are ready
 	Tables        []placement.TableView   `json:"tables"`
 	Services      []placement.ServiceView `json:"services"`
 	Replica       *ReplicaStatus          `json:"replica,omitempty"`
-	Served        uint64                  `json:"served"`
-	Refused       uint64                  `json:"refused"`
-	Failed        uint64                  `json:"failed"`
-	Broken        uint64                  `json:"broken"`
-	Moved         uint64                  `json:"moved"` // attempts given up because their first token was overdue
-	SentDatagrams uint64                  `json:"sentDatagrams"`
-	SentBytes     uint64                  `json:"sentBytes"`
-	Dropped       uint64                  `json:"dropped"`
-	UptimeMs      int64                   `json:"uptimeMs"`
+	Served        uint64                  `json:"served"`        // requests
+	Refused       uint64                  `json:"refused"`       // requests that were rejected
+	Failed        uint64                  `json:"failed"`        // requests that failed at the endpoints
+	Broken        uint64                  `json:"broken"`        // responses that were truncated
+	Moved         uint64                  `json:"moved"`         // attempts that were cancelled because their first token was overdue
+	SentDatagrams uint64                  `json:"sentDatagrams"` // to other routers
+	SentBytes     uint64                  `json:"sentBytes"`     // to other routers
+	Dropped       uint64                  `json:"dropped"`       // messages of other routers that were invalid
+	UptimeMs      int64                   `json:"uptimeMs"`      // milliseconds
 }
 
-// ReplicaStatus is what a router's copy of the configuration knows of the views.
+// ReplicaStatus is what a router's replica of the configuration knows of the views.
 type ReplicaStatus struct {
-	Leading bool             `json:"leading"`
+	Leading bool             `json:"leading"` // this router is the primary, as a majority has confirmed lately
 	View    replication.View `json:"view"`
 }
 
-// Status shows what the router holds.
+// Status returns the router's state. It may be called while the router runs.
 func (r *Router) Status() Status {
 	table, age := r.Table()
 	s := Status{
-		Node: r.settings.Node, Ready: r.isReady(), LeaseAgeMs: age.Milliseconds(), Tables: r.dispatcher.Tables(),
-		Served: r.front.Served.Load(), Refused: r.front.Rejected.Load(), Failed: r.front.Failed.Load(),
-		Broken: r.front.Truncated.Load(), Moved: r.front.Rerouted.Load(), Services: r.dispatcher.Services(), UptimeMs: r.clock().Milliseconds(),
+		Node: r.settings.Node, Ready: r.isReady(), LeaseAgeMs: age.Milliseconds(), UptimeMs: r.clock().Milliseconds(),
+		Tables: r.dispatcher.Tables(), Services: r.dispatcher.Services(), Replica: r.replicaStatus(),
 	}
-	counters := &r.transport.Counters
-	s.SentDatagrams, s.SentBytes, s.Dropped = counters.SentDatagrams.Load(), counters.SentBytes.Load(), counters.Dropped.Load()
 	if table != nil {
 		s.Version = table.Version
 	}
 	if age >= unconfirmedAge {
 		s.LeaseAgeMs = -1
 	}
-	if r.replica != nil {
-		_, _, _, leading := r.replica.ReadLease()
-		s.Replica = &ReplicaStatus{Leading: leading, View: r.replica.View()}
-	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	s.View, s.Primary = r.node.Primary()
-	s.Sequence, s.Routers, s.Endpoints = r.node.Config.Sequence, r.node.Members.LiveCount(), r.node.Registry.Ready()
+	r.addCounters(&s)
+	r.gossip.addStatus(&s)
 	return s
 }
 
-// Sent is what the router has sent to others since its start, in bytes of messages and in datagrams.
+func (r *Router) replicaStatus() *ReplicaStatus {
+	if r.replica == nil {
+		return nil
+	}
+	_, _, _, leading := r.replica.ReadLease()
+	return &ReplicaStatus{Leading: leading, View: r.replica.View()}
+}
+
+func (r *Router) addCounters(s *Status) {
+	s.Served = r.proxy.Served.Load()
+	s.Refused = r.proxy.Rejected.Load()
+	s.Failed = r.proxy.Failed.Load()
+	s.Broken = r.proxy.Truncated.Load()
+	s.Moved = r.proxy.Rerouted.Load()
+	s.SentBytes, s.SentDatagrams = r.Sent()
+	s.Dropped = r.transport.Counters.Dropped.Load()
+}
+
+func (g *gossip) addStatus(s *Status) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	s.View, s.Primary = g.node.Primary()
+	s.Sequence = g.node.Config.Sequence
+	s.Routers = g.node.Members.LiveCount()
+	s.Endpoints = g.node.Registry.Ready()
+}
+
+// Sent returns what this router has sent to others since its start, in bytes of messages and in datagrams.
 func (r *Router) Sent() (bytes, datagrams uint64) {
 	if r.transport == nil {
 		return 0, 0
