--- a/internal/fleet/dissemination/node.go
+++ b/internal/fleet/dissemination/node.go
@@ -65,17 +65,20 @@
 	view    uint64
 	primary string
 
-	queues [maxHops + 1]updateQueue // by how often the updates have been forwarded
+	memberUpdates   updateQueue[membership.Member]
+	endpointUpdates updateQueue[registry.Endpoint]
 }
 
 // New returns a node that knows itself and its seeds.
 func New(now time.Duration, options Options) *Node {
 	return &Node{
-		Members:      membership.New(now, options.Self, options.Timing),
-		Registry:     registry.New(),
-		options:      options,
-		pendingPulls: map[uint64]pendingPull{},
-		seeds:        options.Seeds,
+		Members:         membership.New(now, options.Self, options.Timing),
+		Registry:        registry.New(),
+		options:         options,
+		pendingPulls:    map[uint64]pendingPull{},
+		seeds:           options.Seeds,
+		memberUpdates:   newMemberUpdates(),
+		endpointUpdates: newEndpointUpdates(),
 	}
 }
 
@@ -248,6 +251,6 @@
 // Leave announces that this router shuts down.
 func (n *Node) Leave(now time.Duration) *Output {
 	output := n.begin(now)
-	n.pushMembers([]membership.Member{n.Members.Leave()}, 0)
+	n.memberUpdates.push(n, []membership.Member{n.Members.Leave()}, 0)
 	return output
 }
--- a/internal/fleet/dissemination/pull.go
+++ b/internal/fleet/dissemination/pull.go
@@ -114,8 +114,8 @@
 	reply.AgeMs, reply.Fresh = n.Config.ageMs(n.now)
 	n.send(from, reply)
 	// With maxHops the receiver does not forward them: it alone lacked them.
-	n.sendMembers(from, sampleForReply(n.options.Random, n.Members.MembersDiffering(pull.Members)), maxHops)
-	n.sendEndpoints(from, sampleForReply(n.options.Random, n.Registry.EndpointsDiffering(pull.Endpoints)), maxHops)
+	n.memberUpdates.send(n, from, sampleForReply(n.options.Random, n.Members.MembersDiffering(pull.Members)), maxHops)
+	n.endpointUpdates.send(n, from, sampleForReply(n.options.Random, n.Registry.EndpointsDiffering(pull.Endpoints)), maxHops)
 }
 
 // sampleForReply returns what one reply holds of a list: all of it, or a run of it that starts at a random item and wraps.
--- a/internal/fleet/dissemination/push.go
+++ b/internal/fleet/dissemination/push.go
@@ -17,12 +17,6 @@
 	maxInlineChangeBytes = 900 // a larger configuration change is fetched
 )
 
-// updateQueue holds updates until the next tick.
-type updateQueue struct {
-	members   []membership.Member
-	endpoints []registry.Endpoint
-}
-
 // pushTargets are the routers that an update is sent to that has been forwarded so often.
 func (n *Node) pushTargets(hops uint8) []string {
 	live := n.Members.LiveAddresses()
@@ -54,63 +48,71 @@
 	}
 }
 
-// disseminateMembers sends members to other routers: in a small fleet at once, in a larger one with the next tick, so that
-// members that change in quick succession share messages.
 func (n *Node) disseminateMembers(members []membership.Member, hops uint8) {
-	switch {
-	case len(members) == 0 || hops > maxHops:
-	case n.Members.LiveCount() > maxDirectPeers:
-		n.queues[hops].members = append(n.queues[hops].members, members...)
-	default:
-		n.pushMembers(members, hops)
-	}
+	n.memberUpdates.disseminate(n, members, hops)
 }
 
-func (n *Node) pushMembers(members []membership.Member, hops uint8) {
-	for _, to := range n.pushTargets(hops) {
-		n.sendMembers(to, members, hops)
-	}
+func (n *Node) disseminateEndpoints(endpoints []registry.Endpoint, hops uint8) {
+	n.endpointUpdates.disseminate(n, endpoints, hops)
 }
 
-func (n *Node) sendMembers(to string, members []membership.Member, hops uint8) {
-	for chunk := range slices.Chunk(members, maxItemsPerUpdate) {
-		n.send(to, Update{Members: chunk, Hops: hops})
+// flushQueues sends what has been queued since the last tick.
+func (n *Node) flushQueues() {
+	for hops := range uint8(maxHops + 1) {
+		n.memberUpdates.flush(n, hops)
+		n.endpointUpdates.flush(n, hops)
 	}
 }
 
-// disseminateEndpoints sends endpoints to other routers as disseminateMembers does.
-func (n *Node) disseminateEndpoints(endpoints []registry.Endpoint, hops uint8) {
+// updateQueue sends updates about members or endpoints: in a small fleet at once, in a larger one with the next tick, so that items
+// that change in quick succession share messages.
+type updateQueue[T any] struct {
+	update func(items []T, hops uint8) Update
+	queued [maxHops + 1][]T // by how often they have been forwarded
+}
+
+func newMemberUpdates() updateQueue[membership.Member] {
+	return updateQueue[membership.Member]{update: func(members []membership.Member, hops uint8) Update {
+		return Update{Members: members, Hops: hops}
+	}}
+}
+
+func newEndpointUpdates() updateQueue[registry.Endpoint] {
+	return updateQueue[registry.Endpoint]{update: func(endpoints []registry.Endpoint, hops uint8) Update {
+		return Update{Endpoints: endpoints, Hops: hops}
+	}}
+}
+
+// disseminate pushes or queues items; those that have been forwarded too often are dropped.
+func (q *updateQueue[T]) disseminate(n *Node, items []T, hops uint8) {
 	switch {
-	case len(endpoints) == 0 || hops > maxHops:
+	case len(items) == 0 || hops > maxHops:
 	case n.Members.LiveCount() > maxDirectPeers:
-		n.queues[hops].endpoints = append(n.queues[hops].endpoints, endpoints...)
+		q.queued[hops] = append(q.queued[hops], items...)
 	default:
-		n.pushEndpoints(endpoints, hops)
+		q.push(n, items, hops)
 	}
 }
 
-func (n *Node) pushEndpoints(endpoints []registry.Endpoint, hops uint8) {
+// push sends items to all push targets at once.
+func (q *updateQueue[T]) push(n *Node, items []T, hops uint8) {
 	for _, to := range n.pushTargets(hops) {
-		n.sendEndpoints(to, endpoints, hops)
+		q.send(n, to, items, hops)
 	}
 }
 
-func (n *Node) sendEndpoints(to string, endpoints []registry.Endpoint, hops uint8) {
-	for chunk := range slices.Chunk(endpoints, maxItemsPerUpdate) {
-		n.send(to, Update{Endpoints: chunk, Hops: hops})
+// send sends items to one router.
+func (q *updateQueue[T]) send(n *Node, to string, items []T, hops uint8) {
+	for chunk := range slices.Chunk(items, maxItemsPerUpdate) {
+		n.send(to, q.update(chunk, hops))
 	}
 }
 
-// flushQueues sends what has been queued since the last tick.
-func (n *Node) flushQueues() {
-	for hops := range n.queues {
-		pending := n.queues[hops]
-		n.queues[hops] = updateQueue{}
-		if len(pending.members) > 0 {
-			n.pushMembers(pending.members, uint8(hops))
-		}
-		if len(pending.endpoints) > 0 {
-			n.pushEndpoints(pending.endpoints, uint8(hops))
-		}
+// flush pushes the items that are queued for a number of hops.
+func (q *updateQueue[T]) flush(n *Node, hops uint8) {
+	items := q.queued[hops]
+	q.queued[hops] = nil
+	if len(items) > 0 {
+		q.push(n, items, hops)
 	}
 }
