--- /dev/null
+++ b/internal/fleet/dissemination/push.go
@@ -0,0 +1,118 @@
+package dissemination
+
+import (
+	"slices"
+
+	"pinelb.example/pinelb/internal/fleet/membership"
+	"pinelb.example/pinelb/internal/fleet/registry"
+)
+
+// Updates are pushed at once to all routers of a small fleet, and over several hops in a larger one.
+
+const (
+	maxDirectPeers       = 24  // other live routers up to which an update goes to all directly, and is not forwarded
+	fanout               = 4   // routers that an update is sent to in larger fleets
+	maxHops              = 8   // how often an update is forwarded
+	maxItemsPerUpdate    = 7   // members or endpoints in one message, which has to fit a datagram
+	maxInlineChangeBytes = 900 // a larger configuration change is fetched
+)
+
+// pushTargets are the routers that an update is sent to that has been forwarded so often.
+func (n *Node) pushTargets(hops uint8) []string {
+	live := n.Members.LiveAddresses()
+	switch {
+	case len(live) <= maxDirectPeers && hops > 0, hops >= maxHops:
+		return nil
+	case len(live) <= maxDirectPeers:
+		return live
+	}
+	n.options.Random.Shuffle(len(live), func(i, j int) { live[i], live[j] = live[j], live[i] })
+	return live[:fanout]
+}
+
+func (n *Node) disseminateView(hops uint8) {
+	n.push(Update{View: n.view, Primary: n.primary, Hops: hops})
+}
+
+func (n *Node) disseminateChange(sequence uint64, change []byte, hops uint8) {
+	if len(change) > maxInlineChangeBytes {
+		change = nil
+	}
+	n.push(Update{Sequence: sequence, Change: change, Hops: hops})
+}
+
+// push sends one update at once.
+func (n *Node) push(update Update) {
+	for _, to := range n.pushTargets(update.Hops) {
+		n.send(to, update)
+	}
+}
+
+func (n *Node) disseminateMembers(members []membership.Member, hops uint8) {
+	n.memberUpdates.disseminate(n, members, hops)
+}
+
+func (n *Node) disseminateEndpoints(endpoints []registry.Endpoint, hops uint8) {
+	n.endpointUpdates.disseminate(n, endpoints, hops)
+}
+
+// flushQueues sends what has been queued since the last tick.
+func (n *Node) flushQueues() {
+	for hops := range uint8(maxHops + 1) {
+		n.memberUpdates.flush(n, hops)
+		n.endpointUpdates.flush(n, hops)
+	}
+}
+
+// updateQueue sends updates about members or endpoints: in a small fleet at once, in a larger one with the next tick, so that items
+// that change in quick succession share messages.
+type updateQueue[T any] struct {
+	update func(items []T, hops uint8) Update
+	queued [maxHops + 1][]T // by how often they have been forwarded
+}
+
+func newMemberUpdates() updateQueue[membership.Member] {
+	return updateQueue[membership.Member]{update: func(members []membership.Member, hops uint8) Update {
+		return Update{Members: members, Hops: hops}
+	}}
+}
+
+func newEndpointUpdates() updateQueue[registry.Endpoint] {
+	return updateQueue[registry.Endpoint]{update: func(endpoints []registry.Endpoint, hops uint8) Update {
+		return Update{Endpoints: endpoints, Hops: hops}
+	}}
+}
+
+// disseminate pushes or queues items; those that have been forwarded too often are dropped.
+func (q *updateQueue[T]) disseminate(n *Node, items []T, hops uint8) {
+	switch {
+	case len(items) == 0 || hops > maxHops:
+	case n.Members.LiveCount() > maxDirectPeers:
+		q.queued[hops] = append(q.queued[hops], items...)
+	default:
+		q.push(n, items, hops)
+	}
+}
+
+// push sends items to all push targets at once.
+func (q *updateQueue[T]) push(n *Node, items []T, hops uint8) {
+	for _, to := range n.pushTargets(hops) {
+		q.send(n, to, items, hops)
+	}
+}
+
+// send sends items to one router.
+func (q *updateQueue[T]) send(n *Node, to string, items []T, hops uint8) {
+	for chunk := range slices.Chunk(items, maxItemsPerUpdate) {
+		n.send(to, q.update(chunk, hops))
+	}
+}
+
+// flush pushes the items that are queued for a number of hops.
+func (q *updateQueue[T]) flush(n *Node, hops uint8) {
+	items := q.queued[hops]
+	q.queued[hops] = nil
+	if len(items) > 0 {
+		q.push(n, items, hops)
+	}
+}
--- a/internal/fleet/router/gossip.go
+++ b/internal/fleet/router/gossip.go
@@ -1,302 +1,240 @@
 package router
 
 import (
-	"context"
-	"errors"
-	"fmt"
+	"math/rand/v2"
 	"slices"
+	"sync"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
-	"go.uber.org/zap"
 
-	"pinelb.example/pinelb/internal/fleet/config"
 	"pinelb.example/pinelb/internal/fleet/dissemination"
-	"pinelb.example/pinelb/internal/fleet/replica"
+	"pinelb.example/pinelb/internal/fleet/membership"
+	"pinelb.example/pinelb/internal/fleet/proxy"
+	"pinelb.example/pinelb/internal/fleet/registry"
 	"pinelb.example/pinelb/internal/fleet/replication"
-	"pinelb.example/pinelb/internal/fleet/settings"
 	"pinelb.example/pinelb/internal/fleet/transport"
 )
 
-// Kinds of messages between routers.
-const (
-	kindReplication transport.Kind = iota + 1
-	kindBeat
-	kindPull
-	kindAnswer
-	kindNews
-	kindQuotaAsk
-	kindQuotaGrant
-	kindAnnounce // to all routers
-	kindRelay    // to one router, which tells all
-	kindQuotaRenew
-	kindQuotaRenewed
-	kindZoneRelay // to one router, which tells its zone
-)
-
-const (
-	fetchPath  = "/configuration"
-	statusPath = "/status"
-	fetchLeast = 1500 * time.Millisecond // that a fetch may take at first
-	fetchMost  = 12 * time.Second        // the same, after others have taken too long
-	fetchAgain = 500 * time.Millisecond  // after which another router is asked beside the one that has not answered
-	fetchesAt  = 3                       // fetches at a time
-
-	// endpointsRest times what it took to take a list of endpoints over, until the next: a twentieth of the processor at most
-	// goes there, however many come at once.
-	endpointsRest = 20
-)
-
-// fleetID tells the messages of one fleet from another's: it is made of what all machines' settings share.
-func fleetID(s *settings.Settings) uint32 {
-	var zones []string
-	for zone, region := range s.Zones {
-		zones = append(zones, zone+"="+region)
-	}
-	slices.Sort(zones)
-	return uint32(xxhash.Sum64String(fmt.Sprint(zones, s.Ports)))
-}
-
-// receive takes a message of another router.
-func (r *Router) receive(p *transport.Packet) {
-	var err error
-	switch p.Kind {
-	case kindReplication:
-		err = r.receiveReplication(p)
-	case kindBeat:
-		err = receiveNode[dissemination.Heartbeat](r, p)
-	case kindPull:
-		err = receiveNode[dissemination.Pull](r, p)
-	case kindAnswer:
-		err = receiveNode[dissemination.PullReply](r, p)
-	case kindNews:
-		err = receiveNode[dissemination.Update](r, p)
-	case kindAnnounce, kindRelay, kindZoneRelay:
-		err = r.receiveAnnouncements(p)
-	case kindQuotaAsk:
-		err = r.receiveQuotaAsk(p)
-	case kindQuotaGrant:
-		err = r.quota.receiveGrant(p)
-	case kindQuotaRenew:
-		err = r.receiveQuotaRenew(p)
-	case kindQuotaRenewed:
-		err = r.quota.receiveRenewed(p)
-	}
-	if err != nil {
-		r.transport.Counters.Dropped.Add(1)
-	}
-}
-
-func (r *Router) receiveReplication(p *transport.Packet) error {
-	if r.replica == nil {
-		return nil
-	}
-	var encoded replication.Envelope
-	if err := cbor.Unmarshal(p.Body, &encoded); err != nil {
-		return err
-	}
-	return r.replica.Deliver(replication.Replica{Address: p.From, Nonce: p.Nonce}, encoded)
-}
-
-// receiveNode hands a message to the dissemination.
-func receiveNode[M any](r *Router, p *transport.Packet) error {
+// endpointRefreshRest is the pause after the dispatcher took over a list of endpoints, as a multiple of the time that this took: a
+// twentieth of one processor at most goes there, however many endpoints come at once.
+const endpointRefreshRest = 20
+
+// gossip runs the dissemination: it carries out what the node wants done, and makes the configuration and the endpoints that
+// the node knows those that requests are served by. Its methods may be called by any goroutine.
+type gossip struct {
+	*environment
+	config     *activeConfig
+	dispatcher *proxy.Dispatcher
+
+	// mu guards what follows, and the leaseholders. A goroutine that holds it may take the allocator's lock and the dispatcher's; one
+	// that holds the quota client's lock may take mu. It is held while the dispatcher is changed, so that changes keep their order.
+	mu                     sync.Mutex
+	node                   *dissemination.Node
+	fetches                fetchLimiter
+	appliedRegistryVersion uint64        // of the endpoints that the dispatcher has
+	nextEndpointRefresh    time.Duration // earliest time of the next refresh
+}
+
+func newGossip(e *environment, c *activeConfig, d *proxy.Dispatcher) *gossip {
+	s := e.settings
+	return &gossip{
+		environment: e,
+		config:      c,
+		dispatcher:  d,
+		fetches:     fetchLimiter{timeout: minFetchTimeout},
+		node: dissemination.New(e.clock(), dissemination.Options{
+			Self: membership.Member{
+				Address: s.InternalAddress(), Control: s.Control, Zone: s.Zone, Region: s.Region, Core: s.CountsForQuorum,
+				BootID: rand.Uint64(),
+			},
+			Seeds:                     s.SeedAddresses(),
+			EndpointHeartbeatInterval: s.EndpointHeartbeatInterval,
+			Timing:                    membership.DefaultTiming(),
+			Random:                    rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		}),
+	}
+}
+
+// receiveGossip decodes a message for the node and has the node handle it.
+func receiveGossip[M any](g *gossip, p *transport.Packet) error {
 	var message M
 	if err := cbor.Unmarshal(p.Body, &message); err != nil {
 		return err
 	}
-	r.withNode(func(now time.Duration) *dissemination.Output { return r.node.Receive(now, p.From, message) })
+	g.step(func(now time.Duration) *dissemination.Output { return g.node.Receive(now, p.From, message) })
 	return nil
 }
 
-// withNode lets the dissemination take a step, carries out what it wants done, and takes over what requests look at.
-func (r *Router) withNode(step func(now time.Duration) *dissemination.Output) {
-	r.mu.Lock()
-	out := step(r.clock())
-	r.refresh()
-	fetch := out.Fetch
-	if fetch != "" && !r.fetches.begin(r.clock()) {
+// step has the node take a step, with the lock held, and carries out its output.
+func (g *gossip) step(step func(now time.Duration) *dissemination.Output) {
+	g.mu.Lock()
+	output := step(g.clock())
+	g.publish()
+	fetch := output.Fetch
+	if fetch != "" && !g.fetches.begin(g.clock()) {
 		fetch = ""
 	}
-	r.mu.Unlock()
-	for _, outgoing := range out.Send {
-		r.transport.Send(outgoing.To, kindOf(outgoing.Message), 0, outgoing.Message)
+	g.mu.Unlock()
+	for _, outgoing := range output.Send {
+		g.transport.Send(outgoing.To, kindOf(outgoing.Message), 0, outgoing.Message)
 	}
 	if fetch != "" {
-		r.tasks.Go(func() { r.fetch(fetch) })
+		g.tasks.Go(func() { g.fetch(fetch) })
 	}
 }
 
 func kindOf(message any) transport.Kind {
 	switch message.(type) {
 	case dissemination.Heartbeat:
-		return kindBeat
+		return kindHeartbeat
 	case dissemination.Pull:
 		return kindPull
 	case dissemination.PullReply:
-		return kindAnswer
+		return kindPullReply
 	}
-	return kindNews
+	return kindUpdate
 }
 
-// refresh takes over what requests look at. The caller holds the lock.
-func (r *Router) refresh() {
-	feed := &r.node.Config
-	at, fresh := feed.ConfirmedAt()
-	held := r.config.Load()
-	if held == nil || held.table != feed.Table || held.freshAt != at || held.fresh != fresh {
-		if feed.Table != nil {
-			r.config.Store(&configInForce{table: feed.Table, freshAt: at, fresh: fresh})
-		}
-	}
-	if ended := r.node.Registry.TakeEnded(); len(ended) > 0 {
-		r.dispatcher.Remove(ended)
+// publish makes the node's configuration the active one, and has the dispatcher stop the use of endpoints that have ended. The
+// caller holds the lock.
+func (g *gossip) publish() {
+	g.config.update(&g.node.Config)
+	if ended := g.node.Registry.TakeEnded(); len(ended) > 0 {
+		g.dispatcher.Remove(ended)
 	}
 }
 
-// refreshEndpoints takes over endpoints that are new. It is done once a tick: where many come at once, each list costs as
-// much as all of them. The caller holds the lock.
-func (r *Router) refreshEndpoints() {
-	version, began := r.node.Registry.Version(), r.clock()
-	if version == r.registryVersion || began < r.nextEndpoints {
+// fleetSnapshot is what one tick needs to know of the fleet.
+type fleetSnapshot struct {
+	others  []membership.Member // that are alive
+	routers int                 // alive, this one included
+	view    uint64
+	primary string // internal address
+}
+
+// refresh tells the dispatcher of new endpoints and of the number of routers, and returns the fleet as it is now.
+func (g *gossip) refresh() fleetSnapshot {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.refreshEndpoints()
+	fleet := fleetSnapshot{others: g.node.Members.LiveMembers(), routers: g.node.Members.LiveCount()}
+	fleet.view, fleet.primary = g.node.Primary()
+	g.dispatcher.SetRouters(fleet.routers)
+	return fleet
+}
+
+// refreshEndpoints has the dispatcher take over new endpoints. This is done at most once a tick: where many come at once, each list
+// costs as much as all of them. The caller holds the lock.
+func (g *gossip) refreshEndpoints() {
+	version, startedAt := g.node.Registry.Version(), g.clock()
+	if version == g.appliedRegistryVersion || startedAt < g.nextEndpointRefresh {
 		return
 	}
-	r.registryVersion = version
-	r.dispatcher.SetEndpoints(r.node.Registry.Ready())
-	r.nextEndpoints = began + endpointsRest*(r.clock()-began)
+	g.appliedRegistryVersion = version
+	g.dispatcher.SetEndpoints(g.node.Registry.Ready())
+	g.nextEndpointRefresh = startedAt + endpointRefreshRest*(g.clock()-startedAt)
 }
 
-// tick lets time pass.
-func (r *Router) tick() {
-	if r.replica != nil {
-		if _, sequence, at, ok := r.replica.ReadLease(); ok {
-			r.mu.Lock()
-			r.node.Config.Confirm(sequence, at)
-			r.mu.Unlock()
-		}
-	}
-	r.withNode(r.node.Tick)
-	r.mu.Lock()
-	r.refreshEndpoints()
-	r.dispatcher.SetRouters(r.node.Members.LiveCount())
-	live := r.node.Members.LiveMembers()
-	view, primary := r.node.Primary()
-	routers := r.node.Members.LiveCount()
-	r.ledger.SetRouters(routers)
-	asks := !r.knowsLeaseholders()
-	r.mu.Unlock()
-	r.quota.tick(r.clock(), view, primary, routers, asks)
-	r.relay.setPeers(live)
-	r.tickHints()
-	r.tickLeaseholders()
-	r.tickLearned()
+// appliedVersion is the registry's version whose endpoints the dispatcher has.
+func (g *gossip) appliedVersion() uint64 {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.appliedRegistryVersion
 }
 
-// fetch asks a router for configurations that this one lacks.
-func (r *Router) fetch(from string) {
-	r.mu.Lock()
-	ctx, cancel := context.WithTimeout(r.transport.Context(), r.fetchTime)
-	defer cancel()
-	request := dissemination.FetchRequest{After: r.node.Config.Sequence}
-	if r.node.Config.Table == nil {
-		request.After = 0
-	}
-	r.mu.Unlock()
-	var reply dissemination.FetchReply
-	asked := r.clock()
-	err := r.transport.Call(ctx, from, fetchPath, request, &reply)
-	r.mu.Lock()
-	r.fetches.end()
-	r.fetchTime = nextFetchTime(r.fetchTime, r.clock()-asked, err)
-	r.mu.Unlock()
-	if err != nil {
-		return // the next pull finds it again
-	}
-	r.withNode(func(now time.Duration) *dissemination.Output {
-		out, _, err := r.node.HandleFetchReply(now, asked, reply)
-		if err != nil {
-			r.log.Error("a configuration that was fetched can't be read", zap.Error(err))
-		}
-		return out
-	})
+// confirm records that the configuration with a sequence was the newest at a moment.
+func (g *gossip) confirm(sequence uint64, at time.Duration) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.node.Config.Confirm(sequence, at)
 }
 
-// fetches are those under way. One that takes long, because its router is cut off or its link is slow, does not keep others
-// from another router.
-type fetches struct {
-	count int
-	last  time.Duration // when the last one began
+// setSeeds replaces the seeds.
+func (g *gossip) setSeeds(seeds []string) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.node.SetSeeds(seeds)
 }
 
-// begin tells whether a fetch may begin now, and notes that it does.
-func (f *fetches) begin(now time.Duration) bool {
-	if f.count >= fetchesAt || f.count > 0 && now-f.last < fetchAgain {
-		return false
-	}
-	f.count++
-	f.last = now
-	return true
+// primary returns the internal address of the newest known primary; empty: none is known.
+func (g *gossip) primary() string {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	_, address := g.node.Primary()
+	return address
 }
 
-func (f *fetches) end() { f.count-- }
+// primaryMember returns the newest known view and its primary, where that is another router that is known.
+func (g *gossip) primaryMember() (view uint64, primary membership.Member, ok bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	view, address := g.node.Primary()
+	primary, known := g.node.Members.Lookup(address)
+	return view, primary, known && address != g.address()
+}
 
-// nextFetchTime is how long the next fetch may take: longer where one has taken too long, since a large configuration may
-// need more on a slow link, and little where one has come, since the next router that is asked may be cut off.
-func nextFetchTime(allowed, took time.Duration, err error) time.Duration {
-	switch {
-	case err == nil:
-		return min(max(fetchLeast, 2*took), fetchMost)
-	case errors.Is(err, context.DeadlineExceeded):
-		return min(2*allowed, fetchMost)
-	}
-	return allowed
+// liveCount is how many routers are alive, this one included.
+func (g *gossip) liveCount() int {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.node.Members.LiveCount()
 }
 
-func (r *Router) answerFetch(body []byte) (any, error) {
-	var request dissemination.FetchRequest
-	if err := cbor.Unmarshal(body, &request); err != nil {
-		return nil, err
-	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.node.Config.ServeFetch(r.clock(), request)
+// liveMembers are the other routers that are alive.
+func (g *gossip) liveMembers() []membership.Member {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.node.Members.LiveMembers()
 }
 
-// committed takes over a configuration that this router's replica has acknowledged as the primary.
-func (r *Router) committed(c replica.Commit) {
-	var encoded []byte
-	if c.Change != nil {
-		encoded, _ = c.Change.Encode() // without it the others fetch the configuration
+// relayPeer picks a router that may reach the primary where this one does not; empty: none is known.
+func (g *gossip) relayPeer() string {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	_, primary := g.node.Primary()
+	candidates := slices.DeleteFunc(g.node.Members.LiveAddresses(), func(a string) bool { return a == primary })
+	if len(candidates) == 0 {
+		return ""
 	}
-	table := c.Table
-	if table.Version == 0 {
-		table = emptyTable()
+	return candidates[rand.IntN(len(candidates))]
+}
+
+// corePeers are machines that may know the primary: the known core, else the seeds.
+func (g *gossip) corePeers() []string {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if cores := g.node.Members.CoreAddresses(); len(cores) > 0 {
+		return cores
 	}
-	r.withNode(func(now time.Duration) *dissemination.Output {
-		return r.node.Commit(now, c.Sequence, table, encoded)
-	})
+	return g.settings.SeedAddresses()
 }
 
-func emptyTable() *config.Table {
-	table, err := config.NewTable(config.EmptyDocument(), nil)
-	if err != nil {
-		panic(err) // an empty configuration is valid
+// localityOf returns where a machine is. A machine that is not known counts as a zone of its own.
+func (g *gossip) localityOf(address string) replication.Locality {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	m, known := g.node.Members.Lookup(address)
+	if !known {
+		return replication.Locality{Zone: address}
 	}
-	return table
+	return replication.Locality{Zone: m.Zone, Region: m.Region, Known: true, CountsForQuorum: m.Core}
 }
 
-// viewed takes over a view that this router's replica has learned.
-func (r *Router) viewed(view replication.View) {
-	if view.Primary.Address != r.settings.InternalAddress() {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		r.node.SetView(view.Number, view.Primary.Address)
-		r.ledgerChanged(view.Primary.Address)
-		return
+// lookupEndpoint returns what is known of an endpoint.
+func (g *gossip) lookupEndpoint(id string) (registry.Endpoint, bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.node.Registry.Lookup(id)
+}
+
+// readyEndpoints returns the endpoints that are ready, and the registry's version; nil where the version is the known one.
+func (g *gossip) readyEndpoints(knownVersion uint64) ([]registry.Endpoint, uint64) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	version := g.node.Registry.Version()
+	if version == knownVersion {
+		return nil, version
 	}
-	r.withNode(func(now time.Duration) *dissemination.Output {
-		calm := r.ledgerChanged(view.Primary.Address)
-		r.ledger.Activate(now, view.Number, r.ledger.View()+1 == view.Number, calm)
-		return r.node.AnnouncePrimary(now, view.Number)
-	})
+	return g.node.Registry.Ready(), version
 }
--- /dev/null
+++ b/internal/fleet/router/quota_allocator.go
@@ -0,0 +1,197 @@
+package router
+
+import (
+	"sync"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"pinelb.example/pinelb/internal/fleet/config"
+	"pinelb.example/pinelb/internal/fleet/quota"
+	"pinelb.example/pinelb/internal/fleet/replication"
+	"pinelb.example/pinelb/internal/fleet/settings"
+	"pinelb.example/pinelb/internal/fleet/transport"
+)
+
+// maxLeadershipAge is the age of the primary's confirmation beyond which its allocator is not active: less than the time-out after
+// which witnesses take part in the election of another primary, so that two allocators are never active at once.
+const maxLeadershipAge = 600 * time.Millisecond
+
+// allocatorService is this router's allocator, which grants credit and leases shares to all routers while this router is the primary.
+// Its methods may be called by any goroutine, without the gossip's lock unless they say so.
+type allocatorService struct {
+	*environment
+	gossip       *gossip
+	config       *activeConfig
+	leaseholders *leaseholderList
+	grants       grantCache
+
+	mu            sync.Mutex // guards what follows; where the gossip's lock is needed too, that is taken first
+	allocations   *quota.Allocator
+	activeAddress string        // the router whose allocator is active
+	activeSince   time.Duration // when that became active
+}
+
+func newAllocatorService(e *environment, g *gossip, c *activeConfig, l *leaseholderList) *allocatorService {
+	return &allocatorService{
+		environment: e, gossip: g, config: c, leaseholders: l, allocations: quota.NewAllocator(quotaSettings(e.settings)),
+	}
+}
+
+func quotaSettings(s *settings.Settings) quota.Settings {
+	return quota.Settings{Window: s.Bounds.QuotaWindow, OvershootRatio: s.Bounds.QuotaOver, OvershootUnits: s.Bounds.QuotaSlack}
+}
+
+// setRouters records how many routers are alive.
+func (a *allocatorService) setRouters(routers int) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.allocations.SetRouters(routers)
+}
+
+// activeTable is the configuration by which this router's allocator acts; nil: the allocator is not active.
+func (a *allocatorService) activeTable() *config.Table {
+	if a.replica == nil || a.draining.Load() { // a router that drains has resigned
+		return nil
+	}
+	confirmedAt, leading := a.replica.LeadershipConfirmedAt()
+	if !leading || a.clock()-confirmedAt > maxLeadershipAge {
+		return nil
+	}
+	table, _ := a.config.load()
+	return table
+}
+
+// grant grants credit of a tenant's quota; false: the allocator is not active, or does not know the tenant.
+func (a *allocatorService) grant(tenant string, least, want float64) (quotaGrant, bool) {
+	table := a.activeTable()
+	if table == nil {
+		return quotaGrant{}, false
+	}
+	now, t := a.clock(), table.TenantByName(tenant)
+	if t == nil {
+		return quotaGrant{}, false
+	}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	granted, wait := a.allocations.Grant(now, t, least, want)
+	return quotaGrant{Granted: granted, WaitMs: uint64(wait / time.Millisecond)}, true
+}
+
+// receiveRequest answers a router's request for credit, or forwards it to the primary. A retry gets the reply of the first attempt.
+func (a *allocatorService) receiveRequest(p *transport.Packet) error {
+	var request quotaRequest
+	if err := cbor.Unmarshal(p.Body, &request); err != nil {
+		return err
+	}
+	key := grantKey{from: requester(p, request.Origin), number: request.Number}
+	grant, isRetry := a.grants.lookup(a.clock(), key)
+	if !isRetry {
+		var active bool
+		if grant, active = a.grant(request.Tenant, request.Min, request.Want); !active {
+			a.forwardToPrimary(p, request.Origin, kindQuotaRequest, request)
+			return nil
+		}
+		grant.Number = request.Number
+		a.grants.store(a.clock(), key, grant)
+	}
+	a.transport.Send(p.From, kindQuotaGrant, 0, grant.withOrigin(request.Origin))
+	return nil
+}
+
+// receiveRenewal answers a router's renewal of its lease, or forwards it to the primary.
+func (a *allocatorService) receiveRenewal(p *transport.Packet) error {
+	var renewal leaseRenewal
+	if err := cbor.Unmarshal(p.Body, &renewal); err != nil {
+		return err
+	}
+	reply, active := a.renew(requester(p, renewal.Origin), &renewal)
+	if !active {
+		a.forwardToPrimary(p, renewal.Origin, kindLeaseRenewal, renewal)
+		return nil
+	}
+	reply.Origin = renewal.Origin
+	a.transport.Send(p.From, kindLeaseRenewalReply, 0, reply)
+	return nil
+}
+
+// forwardToPrimary forwards a message of a router that does not reach the primary. One that has been forwarded before is dropped.
+func (a *allocatorService) forwardToPrimary(p *transport.Packet, origin string, kind transport.Kind, message any) {
+	if origin != p.From {
+		return
+	}
+	if primary := a.gossip.primary(); primary != "" && primary != a.address() {
+		a.transport.Send(primary, kind, 0, message)
+	}
+}
+
+// renew renews a router's lease; false: the allocator is not active.
+func (a *allocatorService) renew(from string, renewal *leaseRenewal) (leaseRenewalReply, bool) {
+	table := a.activeTable()
+	if table == nil {
+		return leaseRenewalReply{}, false
+	}
+	reply := leaseRenewalReply{Number: renewal.Number, Shares: map[string]float64{}}
+	now := a.clock()
+	a.gossip.mu.Lock()
+	defer a.gossip.mu.Unlock()
+	routers := a.gossip.node.Members.LiveCount()
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for tenant, usage := range renewal.Usage {
+		if t := limitedTenant(table, tenant); t != nil {
+			reply.Shares[tenant] = a.allocations.RenewLease(now, t, from, renewal.Contact, routers, quota.Usage(usage))
+		}
+	}
+	a.recordAnnouncement(from)
+	if renewal.WantsLeaseholders && a.leaseholders.knowsAll() {
+		reply.Leaseholders, _ = a.leaseholders.possible()
+	}
+	return reply, true
+}
+
+// recordAnnouncement records that a router has renewed all that it holds. The caller holds the gossip's lock and the allocator's.
+func (a *allocatorService) recordAnnouncement(from string) {
+	if !a.allocations.AwaitsAnnouncements(a.clock()) {
+		a.leaseholders.recordHolder(from)
+		return
+	}
+	a.allocations.RecordAnnouncement(from)
+	if all, complete := a.leaseholders.possible(); complete {
+		a.allocations.ExpectAnnouncements(all)
+	}
+}
+
+// handleViewChange records whose allocator is active in a new view, and activates this router's where it is the primary. now is the
+// time of the view change.
+func (a *allocatorService) handleViewChange(now time.Duration, view replication.View) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	formerActiveFor := a.setActive(view.Primary.Address)
+	if view.Primary.Address == a.address() {
+		a.allocations.Activate(now, view.Number, a.allocations.View()+1 == view.Number, formerActiveFor)
+	}
+}
+
+// setActive records whose allocator is active from now on, and returns how long the former one has been. For the first one that a
+// process learns of, which may be one that its disk names, that is not known: it counts as a complete window. The caller holds the
+// lock.
+func (a *allocatorService) setActive(address string) (formerActiveFor time.Duration) {
+	now := a.clock()
+	if a.activeAddress == "" {
+		a.activeAddress, a.activeSince = address, now-quotaSettings(a.settings).Window
+	}
+	formerActiveFor = now - a.activeSince
+	if address != a.activeAddress {
+		a.activeAddress, a.activeSince = address, now
+	}
+	return formerActiveFor
+}
+
+// limitedTenant returns the tenant with a name, where it has a quota; else nil.
+func limitedTenant(table *config.Table, name string) *config.Tenant {
+	if t := table.TenantByName(name); t != nil && quota.HasQuota(t) {
+		return t
+	}
+	return nil
+}
