--- a/internal/fleet/placement/model.go
+++ b/internal/fleet/placement/delay.go
@@ -9,14 +9,14 @@
 // Endpoints report late, so that the own rate is what is known at once.
 
 const (
-	memoryCalls  = 200.0            // calls after which an observation weighs 1/e
-	priorCalls   = 6.0              // calls that a prior weighs
-	priorDelay   = 0.15             // seconds, before anything was seen of any endpoint
-	priorSpread  = 0.1              // seconds, the same
-	rateMemory   = 4 * time.Second  // over which the send rate is averaged
-	failMemory   = 30.0             // outcomes after which one weighs 1/e
-	leastSpread  = 0.01             // seconds
-	delayRefresh = 10 * time.Second // between refreshes of what the rows are solved from
+	delayMemory        = 200.0            // calls after which an observation weighs 1/e
+	delayPriorCalls    = 6.0              // calls that a prior weighs
+	priorDelay         = 0.15             // seconds, before anything was seen of any endpoint
+	priorSpread        = 0.1              // seconds, the same
+	rateMemory         = 4 * time.Second  // over which the send rate is averaged
+	failureShareMemory = 30.0             // outcomes after which one weighs 1/e
+	minSpread          = 0.01             // seconds
+	maxSolveInterval   = 10 * time.Second // between refreshes of what the rows are solved from
 )
 
 // delayModel is a weighted least-squares fit of delay (s) by send rate (1/s).
@@ -25,7 +25,7 @@
 }
 
 func (m *delayModel) observe(rate, delay float64) {
-	keep := 1 - 1/memoryCalls
+	keep := 1 - 1/delayMemory
 	m.weight = m.weight*keep + 1
 	m.sumRate = m.sumRate*keep + rate
 	m.sumDelay = m.sumDelay*keep + delay
@@ -45,13 +45,13 @@
 }
 
 // fit is a line with the spread of the calls around it.
-type fit struct{ base, slope, spread float64 }
+type delayFit struct{ base, slope, spread float64 }
 
-// fit returns the line; prior counts as priorCalls calls at its mean.
-func (m *delayModel) fit(prior fit) fit {
-	total := m.weight + priorCalls
+// fit returns the line; prior counts as delayPriorCalls calls at its mean.
+func (m *delayModel) fit(prior delayFit) delayFit {
+	total := m.weight + delayPriorCalls
 	meanRate := m.sumRate / total
-	meanDelay := (m.sumDelay + priorCalls*prior.base) / total
+	meanDelay := (m.sumDelay + delayPriorCalls*prior.base) / total
 	rateVariance := m.sumRateRate/total - meanRate*meanRate
 	covariance := m.sumRateDelay/total - meanRate*(m.sumDelay/total)
 	slope := 0.0
@@ -63,12 +63,12 @@
 		mean := m.sumDelay / m.weight
 		spread = math.Sqrt(max(0, m.sumDelayDelay/m.weight-mean*mean))
 	}
-	return fit{base: meanDelay - slope*meanRate, slope: slope, spread: max(leastSpread, spread)}
+	return delayFit{base: meanDelay - slope*meanRate, slope: slope, spread: max(minSpread, spread)}
 }
 
 // within is the chance that a first token comes within a time, and how it changes with the rate. The delay is taken as
 // logistic.
-func (f fit) within(limit, rate float64) (chance, byRate float64) {
+func (f delayFit) chanceWithin(limit, rate float64) (chance, byRate float64) {
 	scale := f.spread * math.Sqrt(3) / math.Pi
 	chance = 1 / (1 + math.Exp(-(limit-f.base-f.slope*rate)/scale))
 	return chance, -chance * (1 - chance) * f.slope / scale
@@ -76,14 +76,14 @@
 
 // rateMeter averages a rate over the last seconds.
 type rateMeter struct {
-	rate float64 // 1/s
-	at   time.Duration
+	rate      float64 // 1/s
+	updatedAt time.Duration
 }
 
 func (r *rateMeter) decay(now time.Duration) {
-	if now > r.at {
-		r.rate *= math.Exp(-float64(now-r.at) / float64(rateMemory))
-		r.at = now
+	if now > r.updatedAt {
+		r.rate *= math.Exp(-float64(now-r.updatedAt) / float64(rateMemory))
+		r.updatedAt = now
 	}
 }
 
--- a/internal/fleet/placement/draw_test.go
+++ b/internal/fleet/placement/draw_test.go
@@ -45,7 +45,7 @@
 		p := placer(4)
 		kept := busy(p, 4000, 250*time.Millisecond)
 		for range 50 {
-			p.service("llm").countSize(&Prompt{Units: 2000})
+			p.service("llm").recordWeight(&Prompt{Units: 2000})
 		}
 		long := prompt(24000, 4000)
 		So(p.Place(0, long).Endpoint, ShouldNotEqual, kept)
@@ -56,7 +56,7 @@
 			hear(p, 0, e, 6*time.Second)
 		}
 		kept := p.service("llm").endpoints[2]
-		kept.kept.remember(0, 7)
+		kept.prefixes.remember(0, 7)
 		So(p.Place(0, prompt(8500, 8000)).Endpoint, ShouldEqual, kept)
 	})
 	Convey("Lateness grows with what is expected, from nearly none to nearly all", t, func() {
@@ -67,12 +67,12 @@
 	})
 	Convey("A prompt counts by its size within its rank, within bounds", t, func() {
 		s := placer(1).service("llm")
-		So(s.size(&Prompt{Units: 1000}), ShouldEqual, 1)
+		So(s.callWeight(&Prompt{Units: 1000}), ShouldEqual, 1)
 		for range 200 {
-			s.countSize(&Prompt{Units: 1000})
+			s.recordWeight(&Prompt{Units: 1000})
 		}
-		So(s.size(&Prompt{Units: 1000}), ShouldAlmostEqual, 1)
-		So(s.size(&Prompt{Units: 1}), ShouldAlmostEqual, sizeLeast, 0.01)
-		So(s.size(&Prompt{Units: 1e6}), ShouldEqual, sizeMost)
+		So(s.callWeight(&Prompt{Units: 1000}), ShouldAlmostEqual, 1)
+		So(s.callWeight(&Prompt{Units: 1}), ShouldAlmostEqual, minCallWeight, 0.01)
+		So(s.callWeight(&Prompt{Units: 1e6}), ShouldEqual, maxCallWeight)
 	})
 }
--- a/internal/fleet/placement/evidence_test.go
+++ b/internal/fleet/placement/failure_evidence_test.go
@@ -10,39 +10,39 @@
 func TestEvidence(t *testing.T) {
 	const rate = 10.0 // calls a second
 	Convey("Single failures are chance", t, func() {
-		v := evidence{}
+		v := failureEvidence{}
 		for now := time.Second; now < time.Minute; now += 10 * time.Second {
-			v.failed(now, 1, rate)
+			v.record(now, 1, rate)
 			So(v.share(now, rate), ShouldEqual, 0)
 		}
 	})
 	Convey("Half of an endpoint's calls failing is told within a second, and forgotten within seconds", t, func() {
-		v := evidence{}
+		v := failureEvidence{}
 		now := 40 * time.Second
 		for range 5 {
 			now += 200 * time.Millisecond
-			v.failed(now, 1, rate)
+			v.record(now, 1, rate)
 		}
 		So(v.share(now, rate), ShouldBeBetween, 0.1, 0.5)
 		So(v.share(now+8*time.Second, rate), ShouldBeLessThan, 0.02)
 	})
 	Convey("All calls failing is told as such", t, func() {
-		v := evidence{}
+		v := failureEvidence{}
 		for now := time.Second; now <= 3*time.Second; now += 100 * time.Millisecond {
-			v.failed(now, 1, rate)
+			v.record(now, 1, rate)
 		}
 		So(v.share(3*time.Second, rate), ShouldBeGreaterThan, 0.6)
 	})
 	Convey("An endpoint that fails again and again is trusted more slowly each time, until it has been well for long", t, func() {
-		v := evidence{}
+		v := failureEvidence{}
 		now := time.Minute
 		spell := func() (untilWell time.Duration) {
 			for range 20 {
 				now += 50 * time.Millisecond
-				v.failed(now, 1, rate)
+				v.record(now, 1, rate)
 			}
 			began := now
-			for v.share(now, rate) > relapseEnd {
+			for v.share(now, rate) > recoveryThreshold {
 				now += 50 * time.Millisecond
 			}
 			return now - began
@@ -52,13 +52,13 @@
 		third := spell()
 		So(second, ShouldBeGreaterThan, 3*first/2)
 		So(third, ShouldBeGreaterThan, 3*second/2)
-		now += relapseForgiven + time.Second
+		now += relapseResetTime + time.Second
 		So(spell(), ShouldBeBetween, first/2, 3*first/2)
 	})
 	Convey("Few calls are remembered longer, within bounds", t, func() {
-		So(memoryFor(1000), ShouldEqual, evidenceLeast)
+		So(memoryFor(1000), ShouldEqual, minFailureMemory)
 		So(memoryFor(2), ShouldEqual, 4*time.Second)
-		So(memoryFor(0), ShouldEqual, evidenceMost)
+		So(memoryFor(0), ShouldEqual, maxFailureMemory)
 	})
 }
 
@@ -71,7 +71,7 @@
 			p.RecordRemoteFailures(time.Duration(at)*100*time.Millisecond, home.Name(), 1, false)
 		}
 		So(p.Place(time.Second, call(42, 1000)).Endpoint, ShouldNotEqual, home)
-		for now := time.Minute; now < 10*time.Minute; now += delayRefresh {
+		for now := time.Minute; now < 10*time.Minute; now += maxSolveInterval {
 			p.Release(p.Place(now, call(7, 1)))
 		}
 		So(p.Place(10*time.Minute, call(42, 1000)).Endpoint, ShouldEqual, home)
@@ -133,7 +133,7 @@
 		})
 		Convey("both go anywhere again after a while", func() {
 			So(p.Place(time.Minute, repeat), ShouldNotBeNil)
-			So(all[0].failed.clean(time.Minute, 1), ShouldBeTrue)
+			So(all[0].failures.isClean(time.Minute, 1), ShouldBeTrue)
 		})
 	})
 }
--- a/internal/fleet/placement/learned_test.go
+++ b/internal/fleet/placement/learned_test.go
@@ -53,9 +53,9 @@
 		Convey("believes what it has seen itself", func() {
 			seen := fresh.Place(2*time.Second, call(9, 2000))
 			fresh.RecordFirstToken(2*time.Second, seen, 300*time.Millisecond)
-			before := fresh.service("llm").reading.line()
+			before := fresh.service("llm").prefill.line()
 			fresh.ImportLearned(2*time.Second, &LearnedState{Models: []LatencyModel{{Service: "llm", Base: 1, PerUnit: 1, PerPair: 1}}})
-			So(fresh.service("llm").reading.line(), ShouldResemble, before)
+			So(fresh.service("llm").prefill.line(), ShouldResemble, before)
 		})
 	})
 	Convey("Nonsense is bounded, and so is what is told", t, func() {
@@ -63,19 +63,19 @@
 		p.service("llm")
 		e := p.service("llm").endpoints[0]
 		var l LearnedState
-		for i := range uint32(3 * keptMost) {
+		for i := range uint32(3 * maxExportedPrefixes) {
 			l.Prefixes = append(l.Prefixes, CachedPrefix{Endpoint: e.Name(), Prefix: i}, CachedPrefix{Endpoint: 1, Prefix: i, AgeMs: math.MaxUint32})
 		}
 		l.Models = []LatencyModel{{Service: "llm", Base: math.NaN(), PerUnit: math.Inf(1), PerPair: -1}, {Service: "none"}}
 		p.ImportLearned(0, &l)
-		So(len(e.kept), ShouldBeLessThanOrEqualTo, prefixesMost)
-		So(p.service("llm").reading.line(), ShouldResemble, line{first: priorFirst, unitTime: mostUnitTime})
+		So(len(e.prefixes), ShouldBeLessThanOrEqualTo, maxCachedPrefixes)
+		So(p.service("llm").prefill.line(), ShouldResemble, latencyLine{base: priorBase, perUnit: maxUnitTime})
 		many := placer(20)
 		for _, e := range many.service("llm").endpoints {
-			for i := range uint32(prefixesMost) {
-				e.kept.remember(0, i)
+			for i := range uint32(maxCachedPrefixes) {
+				e.prefixes.remember(0, i)
 			}
 		}
-		So(len(many.ExportLearned(0).Prefixes), ShouldEqual, keptMost)
+		So(len(many.ExportLearned(0).Prefixes), ShouldEqual, maxExportedPrefixes)
 	})
 }
--- a/internal/fleet/placement/placement.go
+++ b/internal/fleet/placement/placement.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	solveGap   = 500 * time.Millisecond // least time between solves of a table
-	shiftFit   = 0.2                    // change of an expected delay, relative, that is significant
-	shiftFail  = 0.05                   // and of a share of failures
-	ejectFirst = 400 * time.Millisecond // that an endpoint is left out after it refused a connection
-	ejectMost  = 6 * time.Second
-	ejectAfter = 2 // other failures in a row that eject
+	minSolveInterval         = 500 * time.Millisecond // least time between solves of a table
+	significantDelayChange   = 0.2                    // change of an expected delay, relative, that is significant
+	significantFailureChange = 0.05                   // and of a share of failures
+	baseEjection             = 400 * time.Millisecond // that an endpoint is left out after it refused a connection
+	maxEjection              = 6 * time.Second
+	ejectionThreshold        = 2 // other failures in a row that eject
 )
 
 // Endpoint is one endpoint as this router has experienced it.
@@ -29,22 +29,22 @@
 	registry.Endpoint
 	Number uint32 // this router's own
 
-	hash      uint64 // of the id
-	queue     queue
-	kept      keptPrefixes
-	streams   streams
-	readings  readings
-	slowness  slowness
-	model     delayModel
-	rate      rateMeter
-	fails     float64  // share, of this router's calls
-	evidence  evidence // failures and overdue answers
-	failed    evidence // failures alone: an overdue answer may be one of an endpoint that is busy
-	underWay  int
-	failures  int // in a row
-	ejected   time.Duration
-	ejectSpan time.Duration
-	gone      bool
+	hash                uint64 // of the id
+	queue               queue
+	prefixes            prefixCache
+	streams             streamSet
+	prefills            recentPrefills
+	slowness            slowness
+	delay               delayModel
+	sendRate            rateMeter
+	failureShare        float64         // share, of this router's calls
+	faults              failureEvidence // failures and overdue answers
+	failures            failureEvidence // failures alone: an overdue answer may be one of an endpoint that is busy
+	inFlight            int
+	consecutiveFailures int // in a row
+	ejectedUntil        time.Duration
+	ejection            time.Duration
+	removed             bool
 }
 
 // Call is what a draw rests on.
@@ -72,47 +72,47 @@
 	Expected time.Duration // until the first token
 	Units    float64       // that the endpoint has to read for it
 
-	work   work
-	wait   float64 // seconds of reading that come first
-	prompt *Prompt
-	serial uint64 // in the endpoint's queue
-	first  time.Duration
+	work         work
+	wait         float64 // seconds of reading that come first
+	prompt       *Prompt
+	serial       uint64 // in the endpoint's queue
+	firstTokenAt time.Duration
 }
 
 // Placer holds the tables of all services. Its methods are not safe for concurrent use.
 type Placer struct {
-	random   *rand.Rand
-	services map[string]*service
-	byID     map[string]*Endpoint
-	byName   map[uint32]*Endpoint
-	numbers  uint32
-	routers  int // that share the endpoints, this one included
+	random     *rand.Rand
+	services   map[string]*service
+	byID       map[string]*Endpoint
+	byName     map[uint32]*Endpoint
+	lastNumber uint32
+	routers    int // that share the endpoints, this one included
 }
 
 type service struct {
-	endpoints []*Endpoint // ready ones, by id
-	tables    map[time.Duration]*table
-	underWay  int
-	reading   readingModel
-	accuracy  accuracy
-	pauses    pauseShare
-	tokens    tokenTimes
-	prompts   bool // some call has told what it has read
-	scratch   []candidate
-	calls     rateMeter      // of this router
-	callRate  float64        // calls a second that one endpoint gets from all routers, if they are spread evenly
-	meanSizes [ranks]float64 // of the calls of a rank
+	endpoints   []*Endpoint // ready ones, by id
+	tables      map[time.Duration]*table
+	inFlight    int
+	prefill     prefillModel
+	accuracy    accuracy
+	stalls      stallModel
+	tokens      tokenTimes
+	promptsSeen bool // some call has told what it has read
+	scratch     []candidate
+	calls       rateMeter               // of this router
+	callRate    float64                 // calls a second that one endpoint gets from all routers, if they are spread evenly
+	meanWeights [priorityLevels]float64 // of the calls of a rank
 }
 
 // table is the rows for one target.
 type table struct {
-	rows     rows
-	calls    [bucketCount]rateMeter
-	solvedAt time.Duration
-	solved   bool
-	from     problem // of the last solve
+	rows       rows
+	calls      [bucketCount]rateMeter
+	solvedAt   time.Duration
+	solved     bool
+	solvedFrom problem // of the last solve
 	// Payoff before and after the last solve.
-	before, after float64
+	payoffBefore, payoffAfter float64
 }
 
 // New returns a placer without endpoints.
@@ -129,9 +129,9 @@
 	present := map[string]bool{}
 	for _, reported := range ready {
 		e := p.byID[reported.ID]
-		if e == nil || e.gone || e.Address != reported.Address {
-			p.numbers++
-			e = &Endpoint{Number: p.numbers, hash: xxhash.Sum64String(reported.ID)}
+		if e == nil || e.removed || e.Address != reported.Address {
+			p.lastNumber++
+			e = &Endpoint{Number: p.lastNumber, hash: xxhash.Sum64String(reported.ID)}
 			p.byID[reported.ID], p.byName[e.Name()] = e, e
 			added = append(added, e)
 		}
@@ -141,7 +141,7 @@
 	}
 	for id, e := range p.byID {
 		if !present[id] {
-			e.gone = true
+			e.removed = true
 			removed = append(removed, e)
 			delete(p.byID, id)
 			delete(p.byName, e.Name())
@@ -153,7 +153,7 @@
 		}
 	}
 	for name, list := range lists {
-		p.service(name).set(list)
+		p.service(name).setEndpoints(list)
 	}
 	return added, removed
 }
@@ -168,18 +168,18 @@
 }
 
 // set takes a new list over. Shares move with their endpoints; a new one begins at an even share.
-func (s *service) set(list []*Endpoint) {
+func (s *service) setEndpoints(list []*Endpoint) {
 	former := s.endpoints
 	if slices.Equal(former, list) {
 		return
 	}
 	s.endpoints = list
 	for _, t := range s.tables {
-		t.move(former, list)
+		t.remap(former, list)
 	}
 }
 
-func (t *table) move(former, list []*Endpoint) {
+func (t *table) remap(former, list []*Endpoint) {
 	next := evenRows(len(list))
 	for k := range next {
 		sum := 0.0
@@ -202,7 +202,7 @@
 	var dropped []*Endpoint
 	for _, id := range ids {
 		if e := p.byID[id]; e != nil {
-			e.gone = true
+			e.removed = true
 			dropped = append(dropped, e)
 		}
 	}
@@ -229,15 +229,15 @@
 	t := s.table(call.Target)
 	bucket := 0
 	if call.Target > 0 {
-		bucket = bucketOf(float64(call.Spent) / float64(call.Target))
+		bucket = bucketFor(float64(call.Spent) / float64(call.Target))
 	}
 	t.calls[bucket].count(now)
 	s.calls.count(now)
 	s.callRate = p.callRate(now, s)
-	s.resolve(now, call.Target, t)
+	s.refresh(now, call.Target, t)
 	placed := s.draw(now, t.rows[bucket], call.key(p.random), call)
 	if placed != nil {
-		s.begin(now, placed, call)
+		s.recordSend(now, placed, call)
 	}
 	return placed
 }
@@ -248,27 +248,27 @@
 }
 
 // begin notes that a call is sent.
-func (s *service) begin(now time.Duration, placed *Placement, call *Call) {
+func (s *service) recordSend(now time.Duration, placed *Placement, call *Call) {
 	e := placed.Endpoint
-	e.rate.count(now)
-	e.underWay++
-	s.underWay++
-	s.countSize(&call.Prompt)
-	placed.serial = s.push(now, e, &call.Prompt, placed.work, placed.Expected)
+	e.sendRate.count(now)
+	e.inFlight++
+	s.inFlight++
+	s.recordWeight(&call.Prompt)
+	placed.serial = s.enqueue(now, e, &call.Prompt, placed.work, placed.Expected)
 }
 
 // push notes that an endpoint has a prompt to read, and then a stream to write.
-func (s *service) push(now time.Duration, e *Endpoint, prompt *Prompt, w work, expected time.Duration) uint64 {
-	s.prompts = s.prompts || prompt.Units > 1
-	seconds := s.reading.line().reading(w) * e.slowness.times(now)
-	e.readings.add(now, seconds)
+func (s *service) enqueue(now time.Duration, e *Endpoint, prompt *Prompt, w work, expected time.Duration) uint64 {
+	s.promptsSeen = s.promptsSeen || prompt.Units > 1
+	seconds := s.prefill.line().prefill(w) * e.slowness.factor(now)
+	e.prefills.add(now, seconds)
 	serial := e.queue.push(now, prompt.Priority, seconds)
 	for _, prefix := range prompt.Prefixes {
-		e.kept.remember(now, prefix.Hash)
+		e.prefixes.remember(now, prefix.Hash)
 	}
 	if prompt.MaxEventGap > 0 && prompt.Output > 0 {
-		e.streams.add(now, running{
-			from: now + expected, life: s.tokens.life(prompt.Priority, prompt.Output), gap: prompt.MaxEventGap, size: s.size(prompt),
+		e.streams.add(now, runningStream{
+			firstToken: now + expected, duration: s.tokens.duration(prompt.Priority, prompt.Output), maxEventGap: prompt.MaxEventGap, weight: s.callWeight(prompt),
 		})
 	}
 	return serial
@@ -295,14 +295,14 @@
 	s := p.service(e.Service)
 	e.queue.drain(now)
 	w := workOf(read, prompt.Units)
-	wait := e.queue.before(prompt.Priority) + s.reading.line().expected(w)
-	s.push(now, e, prompt, w, time.Duration(wait*float64(time.Second)))
+	wait := e.queue.waitFor(prompt.Priority) + s.prefill.line().firstToken(w)
+	s.enqueue(now, e, prompt, w, time.Duration(wait*float64(time.Second)))
 }
 
 // Release notes that a call is over.
 func (p *Placer) Release(placed *Placement) {
-	placed.Endpoint.underWay--
-	p.service(placed.Endpoint.Service).underWay--
+	placed.Endpoint.inFlight--
+	p.service(placed.Endpoint.Service).inFlight--
 }
 
 // Observation is what a call's first token has told of an endpoint's speed.
@@ -317,44 +317,44 @@
 // RecordFirstToken notes how long a call's first token, or answer, took. It returns what other routers can learn from it.
 func (p *Placer) RecordFirstToken(now time.Duration, placed *Placement, delay time.Duration) Observation {
 	e := placed.Endpoint
-	e.model.observe(e.rate.now(now), delay.Seconds())
+	e.delay.observe(e.sendRate.now(now), delay.Seconds())
 	e.queue.drain(now)
-	e.queue.reached(placed.serial, placed.prompt.Priority)
-	e.outcome(0)
-	e.failures, e.ejectSpan, e.ejected = 0, 0, 0
+	e.queue.complete(placed.serial, placed.prompt.Priority)
+	e.recordOutcome(0)
+	e.consecutiveFailures, e.ejection, e.ejectedUntil = 0, 0, 0
 	seen := Observation{
 		Endpoint: e.Name(), PrefillUnits: placed.Units, Units: placed.prompt.Units, Delay: delay.Seconds(), Wait: placed.wait,
 	}
-	placed.first = now
+	placed.firstTokenAt = now
 	p.service(e.Service).accuracy.observe(placed.Units, placed.Expected, delay)
-	p.learn(now, e, &seen)
+	p.recordLatency(now, e, &seen)
 	return seen
 }
 
 // RecordRemoteFirstToken notes what another router's call has told of an endpoint's speed.
 func (p *Placer) RecordRemoteFirstToken(now time.Duration, seen *Observation) {
 	if e := p.byName[seen.Endpoint]; e != nil {
-		p.learn(now, e, seen)
+		p.recordLatency(now, e, seen)
 	}
 }
 
 // learn takes an observation into the line of all endpoints and into the endpoint's own factor.
-func (p *Placer) learn(now time.Duration, e *Endpoint, seen *Observation) {
+func (p *Placer) recordLatency(now time.Duration, e *Endpoint, seen *Observation) {
 	s := p.service(e.Service)
-	if seen.Units <= 1 && s.prompts {
+	if seen.Units <= 1 && s.promptsSeen {
 		return // nothing was read: it says nothing of prompts
 	}
 	w := workOf(seen.PrefillUnits, seen.Units)
-	own := max(leastFirst, seen.Delay-seen.Wait)
-	expected := s.reading.line().expected(w)
+	own := max(minBase, seen.Delay-seen.Wait)
+	expected := s.prefill.line().firstToken(w)
 	if seen.Wait < expected {
 		e.slowness.observe(now, own/expected)
 	}
 	weight := 1.0
 	if seen.Wait > 0 {
-		weight = queuedWeight
+		weight = queuedObservationWeight
 	}
-	s.reading.observe(w, own, weight)
+	s.prefill.observe(w, own, weight)
 }
 
 // Stall is what a stream has told of how prompts that are read beside it hold it up.
@@ -369,63 +369,65 @@
 func (p *Placer) RecordStreamEnd(now time.Duration, placed *Placement, took, longest time.Duration) (seen Stall, ok bool) {
 	e := placed.Endpoint
 	p.service(e.Service).tokens.observe(placed.prompt.Priority, took, placed.prompt.Output)
-	reading := e.readings.longest(placed.first, now)
+	reading := e.prefills.longest(placed.firstTokenAt, now)
 	if gap := placed.prompt.MaxEventGap.Seconds(); gap <= 0 || reading < gap {
 		return Stall{}, false
 	}
 	seen = Stall{Endpoint: e.Name(), Longest: longest.Seconds(), PrefillTime: reading}
-	p.service(e.Service).pauses.observe(&seen)
+	p.service(e.Service).stalls.observe(&seen)
 	return seen, true
 }
 
 // RecordRemoteStall notes what another router's stream has told.
 func (p *Placer) RecordRemoteStall(seen *Stall) {
 	if e := p.byName[seen.Endpoint]; e != nil {
-		p.service(e.Service).pauses.observe(seen)
+		p.service(e.Service).stalls.observe(seen)
 	}
 }
 
-func (e *Endpoint) outcome(failed float64) { e.fails += (failed - e.fails) / failMemory }
+func (e *Endpoint) recordOutcome(failed float64) {
+	e.failureShare += (failed - e.failureShare) / failureShareMemory
+}
 
 // RecordConnectFailure notes that a connection to an endpoint did not come up.
 func (p *Placer) RecordConnectFailure(now time.Duration, e *Endpoint) {
-	e.outcome(1)
-	p.noteFailures(now, e, 1, false)
+	e.recordOutcome(1)
+	p.recordFailures(now, e, 1, false)
 	e.eject(now)
 }
 
 // RecordFailure notes a refusal, an error, a reset or a time-out of an endpoint.
 func (p *Placer) RecordFailure(now time.Duration, e *Endpoint) {
-	e.outcome(1)
-	p.noteFailures(now, e, 1, false)
-	if e.failures++; e.failures >= ejectAfter {
+	e.recordOutcome(1)
+	p.recordFailures(now, e, 1, false)
+	if e.consecutiveFailures++; e.consecutiveFailures >= ejectionThreshold {
 		e.eject(now)
 	}
 }
 
 // RecordOverdue notes that a call's first token has not come long after it was expected. The call goes on.
-func (p *Placer) RecordOverdue(now time.Duration, e *Endpoint) { p.noteFailures(now, e, 1, true) }
+func (p *Placer) RecordOverdue(now time.Duration, e *Endpoint) { p.recordFailures(now, e, 1, true) }
 
 // RecordRemoteFailures notes failures, or overdue answers, that another router has met at an endpoint.
 func (p *Placer) RecordRemoteFailures(now time.Duration, name uint32, count int, overdue bool) {
 	if e := p.byName[name]; e != nil {
-		p.noteFailures(now, e, float64(count), overdue)
+		p.recordFailures(now, e, float64(count), overdue)
 	}
 }
 
-func (p *Placer) noteFailures(now time.Duration, e *Endpoint, count float64, overdue bool) {
+func (p *Placer) recordFailures(now time.Duration, e *Endpoint, count float64, overdue bool) {
 	callRate := p.callRate(now, p.service(e.Service))
-	e.evidence.failed(now, count, callRate)
+	e.faults.record(now, count, callRate)
 	if !overdue {
-		e.failed.failed(now, count, callRate)
+		e.failures.record(now, count, callRate)
 	}
 }
 
 // eject leaves an endpoint out, twice as long as the time before.
 func (e *Endpoint) eject(now time.Duration) {
-	if now < e.ejected {
+	if now < e.ejectedUntil {
 		return
 	}
-	e.ejectSpan = min(max(ejectFirst, 2*e.ejectSpan), ejectMost)
-	e.ejected = now + e.ejectSpan
+	e.ejection = min(max(baseEjection, 2*e.ejection), maxEjection)
+	e.ejectedUntil = now + e.ejection
 }
--- a/internal/fleet/placement/placement_test.go
+++ b/internal/fleet/placement/placement_test.go
@@ -41,16 +41,16 @@
 func TestSolveRaisesThePayoff(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(rt, "endpoints")
-		p := problem{target: 0.5, other: make([]float64, n)}
+		p := problem{target: 0.5, otherRates: make([]float64, n)}
 		for k := range p.rates {
 			p.rates[k] = rapid.Float64Range(0, 20).Draw(rt, "rate")
 		}
 		for range n {
-			p.fits = append(p.fits, fit{
+			p.delays = append(p.delays, delayFit{
 				base: rapid.Float64Range(0.02, 1).Draw(rt, "base"), slope: rapid.Float64Range(0, 0.05).Draw(rt, "slope"),
 				spread: rapid.Float64Range(0.02, 0.3).Draw(rt, "spread"),
 			})
-			p.fails = append(p.fails, rapid.Float64Range(0, 0.5).Draw(rt, "fails"))
+			p.failureShares = append(p.failureShares, rapid.Float64Range(0, 0.5).Draw(rt, "fails"))
 		}
 		even := evenRows(n)
 		before := p.payoff(even)
@@ -75,25 +75,25 @@
 
 func TestRows(t *testing.T) {
 	Convey("An endpoint that failed once gets its share again when it is well", t, func() {
-		p := problem{target: 0.5, rates: [bucketCount]float64{10, 1, 1, 1}, other: make([]float64, 4), fails: []float64{0, 0, 0, 0.6}}
-		for range p.other {
-			p.fits = append(p.fits, fit{base: 0.1, spread: 0.05})
+		p := problem{target: 0.5, rates: [bucketCount]float64{10, 1, 1, 1}, otherRates: make([]float64, 4), failureShares: []float64{0, 0, 0, 0.6}}
+		for range p.otherRates {
+			p.delays = append(p.delays, delayFit{base: 0.1, spread: 0.05})
 		}
 		r := p.solve(evenRows(4)).rows
 		So(r[0][3], ShouldBeLessThan, 0.03)
-		p.fails[3] = 0
+		p.failureShares[3] = 0
 		for range 30 {
 			r = p.solve(r).rows
 		}
 		So(r[0][3], ShouldBeGreaterThan, 0.2)
 	})
 	Convey("Rows that came out worse are not taken", t, func() {
-		p := problem{target: 0.5, rates: [bucketCount]float64{20, 20, 20, 20}, other: make([]float64, 12)}
-		for i := range p.other {
-			p.fits = append(p.fits, fit{base: 0.3 + 0.7*float64(i%2), slope: 0.05, spread: 0.02})
-			p.fails = append(p.fails, 0.5)
+		p := problem{target: 0.5, rates: [bucketCount]float64{20, 20, 20, 20}, otherRates: make([]float64, 12)}
+		for i := range p.otherRates {
+			p.delays = append(p.delays, delayFit{base: 0.3 + 0.7*float64(i%2), slope: 0.05, spread: 0.02})
+			p.failureShares = append(p.failureShares, 0.5)
 		}
-		r := evenRows(len(p.other))
+		r := evenRows(len(p.otherRates))
 		for range 20 {
 			before, uneven := p.payoff(r), p.unevenness(r)
 			solved := p.solve(r)
@@ -104,9 +104,9 @@
 		}
 	})
 	Convey("A row leaves an endpoint that is late or fails for the others", t, func() {
-		p := problem{target: 0.5, other: make([]float64, 3), fails: []float64{0, 0, 0.5}}
+		p := problem{target: 0.5, otherRates: make([]float64, 3), failureShares: []float64{0, 0, 0.5}}
 		p.rates = [bucketCount]float64{10, 1, 1, 1}
-		p.fits = []fit{{base: 0.1, spread: 0.05}, {base: 0.9, spread: 0.05}, {base: 0.1, spread: 0.05}}
+		p.delays = []delayFit{{base: 0.1, spread: 0.05}, {base: 0.9, spread: 0.05}, {base: 0.1, spread: 0.05}}
 		rows := evenRows(3)
 		for range 10 {
 			rows = p.solve(rows).rows
@@ -116,10 +116,10 @@
 		So(rows[0][2], ShouldBeLessThan, 0.2)
 	})
 	Convey("Calls are told apart by the share of their target that is spent", t, func() {
-		So(bucketOf(0), ShouldEqual, 0)
-		So(bucketOf(0.2), ShouldEqual, 1)
-		So(bucketOf(0.99), ShouldEqual, bucketCount-1)
-		So(bucketOf(5), ShouldEqual, bucketCount-1)
+		So(bucketFor(0), ShouldEqual, 0)
+		So(bucketFor(0.2), ShouldEqual, 1)
+		So(bucketFor(0.99), ShouldEqual, bucketCount-1)
+		So(bucketFor(5), ShouldEqual, bucketCount-1)
 	})
 }
 
@@ -185,7 +185,7 @@
 			home := p.Place(0, call(42, 100)).Endpoint
 			p.RecordConnectFailure(0, home)
 			So(p.Place(time.Millisecond, call(42, 100)).Endpoint, ShouldNotEqual, home)
-			So(p.Place(ejectFirst+time.Second, call(42, 100)).Endpoint, ShouldEqual, home)
+			So(p.Place(baseEjection+time.Second, call(42, 100)).Endpoint, ShouldEqual, home)
 		})
 		Convey("get no call from the moment on at which they are dropped", func() {
 			home := p.Place(0, call(42, 100)).Endpoint
@@ -225,13 +225,13 @@
 		q.push(0, 1, 0.2)
 		q.push(0, 1, 0.3)
 		q.push(0, 0, 0.1)
-		So(q.before(0), ShouldAlmostEqual, 0.3, 1e-9)
-		So(q.before(1), ShouldAlmostEqual, 0.6, 1e-9)
+		So(q.waitFor(0), ShouldAlmostEqual, 0.3, 1e-9)
+		So(q.waitFor(1), ShouldAlmostEqual, 0.6, 1e-9)
 		q.drain(200 * time.Millisecond)
-		So(q.jobs[0].rank, ShouldEqual, 0)
-		So(q.before(0), ShouldAlmostEqual, 0.1+0.3*(1-0.1/overtakeSurely), 1e-9) // the other one may be begun first
+		So(q.jobs[0].priority, ShouldEqual, 0)
+		So(q.waitFor(0), ShouldAlmostEqual, 0.1+0.3*(1-0.1/certainOvertakeSeconds), 1e-9) // the other one may be begun first
 		q.drain(350 * time.Millisecond)
-		So(q.before(0), ShouldAlmostEqual, 0.25, 1e-9) // the other one is being read
+		So(q.waitFor(0), ShouldAlmostEqual, 0.25, 1e-9) // the other one is being read
 		q.drain(time.Second)
 		So(q.jobs, ShouldBeEmpty)
 	})
@@ -239,31 +239,31 @@
 		var q queue
 		serial := q.push(0, 0, 0.5)
 		q.push(0, 0, 0.003)
-		q.reached(serial, 0)
-		So(q.before(0), ShouldAlmostEqual, 0.003)
+		q.complete(serial, 0)
+		So(q.waitFor(0), ShouldAlmostEqual, 0.003)
 	})
 	Convey("It is bounded", t, func() {
 		var q queue
-		for range 10 * jobsMost {
+		for range 10 * maxQueueJobs {
 			q.push(0, 20, 1e9)
 			q.push(0, -1, 0.01)
 		}
-		So(len(q.jobs), ShouldBeLessThanOrEqualTo, jobsMost)
-		So(q.left(), ShouldBeLessThanOrEqualTo, queueMost+1e-9)
+		So(len(q.jobs), ShouldBeLessThanOrEqualTo, maxQueueJobs)
+		So(q.total(), ShouldBeLessThanOrEqualTo, maxQueueSeconds+1e-9)
 	})
 	Convey("Prefixes are counted on for a while, and their number is bounded", t, func() {
-		var k keptPrefixes
+		var k prefixCache
 		prompt := &Prompt{Units: 100, Prefixes: []Prefix{{Hash: 1, Units: 80}, {Hash: 2, Units: 30}}}
 		So(k.uncached(0, prompt), ShouldEqual, 100)
 		k.remember(0, 2)
 		So(k.uncached(time.Second, prompt), ShouldEqual, 70)
 		k.remember(time.Second, 1)
 		So(k.uncached(time.Second, prompt), ShouldEqual, 20)
-		So(k.uncached(2*prefixLife, prompt), ShouldEqual, 100)
-		for hash := range uint32(2 * prefixesMost) {
+		So(k.uncached(2*prefixTTL, prompt), ShouldEqual, 100)
+		for hash := range uint32(2 * maxCachedPrefixes) {
 			k.remember(2*time.Second, hash+10)
 		}
-		So(len(k), ShouldBeLessThanOrEqualTo, prefixesMost)
+		So(len(k), ShouldBeLessThanOrEqualTo, maxCachedPrefixes)
 	})
 }
 
@@ -284,9 +284,9 @@
 func BenchmarkSolve(b *testing.B) {
 	for _, n := range []int{12, 112, 1400} {
 		b.Run(fmt.Sprint(n, " endpoints"), func(b *testing.B) {
-			p := problem{target: 0.5, rates: [bucketCount]float64{8, 1, 1, 1}, other: make([]float64, n), fails: make([]float64, n)}
+			p := problem{target: 0.5, rates: [bucketCount]float64{8, 1, 1, 1}, otherRates: make([]float64, n), failureShares: make([]float64, n)}
 			for i := range n {
-				p.fits = append(p.fits, fit{base: 0.1 + float64(i%7)*0.02, spread: 0.05})
+				p.delays = append(p.delays, delayFit{base: 0.1 + float64(i%7)*0.02, spread: 0.05})
 			}
 			for range b.N {
 				p.solve(evenRows(n))
--- a/internal/fleet/placement/prompt.go
+++ b/internal/fleet/placement/prompt.go
@@ -17,14 +17,14 @@
 	Units float64 // from the prompt's beginning
 }
 
-// outputUnits is how many units of a prompt a token of output counts for in a call's size (RULES, Worth).
-const outputUnits = 10
+// unitsPerOutputToken is how many units of a prompt a token of output counts for in a call's size (RULES, Worth).
+const unitsPerOutputToken = 10
 
 // size is what a call is worth beside others of its kind, in units.
-func (p *Prompt) size() float64 { return p.Units + outputUnits*p.Output }
+func (p *Prompt) weightUnits() float64 { return p.Units + unitsPerOutputToken*p.Output }
 
 // own is how many units are in no shared part.
-func (p *Prompt) own() float64 {
+func (p *Prompt) unsharedUnits() float64 {
 	if len(p.Prefixes) == 0 {
 		return p.Units
 	}
--- a/internal/fleet/placement/queue.go
+++ b/internal/fleet/placement/queue.go
@@ -10,39 +10,39 @@
 // the same for all readers. A prompt that is being read is read to its end; of those that wait the most urgent is next.
 
 const (
-	ranks          = 10   // of the Priority header
-	queueMost      = 20.0 // seconds of work: beyond, the model is surely wrong
-	overtakeSurely = 0.3  // seconds that are read first with which a more urgent prompt surely passes one that waits
-	jobsMost       = 64   // prompts that are told apart; beyond, they are counted with the last one
+	priorityLevels         = 10   // of the Priority header
+	maxQueueSeconds        = 20.0 // seconds of work: beyond, the model is surely wrong
+	certainOvertakeSeconds = 0.3  // seconds that are read first with which a more urgent prompt surely passes one that waits
+	maxQueueJobs           = 64   // prompts that are told apart; beyond, they are counted with the last one
 )
 
 // job is a prompt that an endpoint has still to read.
 type job struct {
-	serial uint64
-	rank   int
-	left   float64 // seconds
+	serial    uint64
+	priority  int
+	remaining float64 // seconds
 }
 
 // queue is the model of one endpoint. The first job is being read.
 type queue struct {
-	jobs   []job
-	serial uint64 // of the last job
-	at     time.Duration
+	jobs      []job
+	serial    uint64 // of the last job
+	updatedAt time.Duration
 }
 
 // drain lets the endpoint read for the time that has passed.
 func (q *queue) drain(now time.Duration) {
-	if now <= q.at {
+	if now <= q.updatedAt {
 		return
 	}
-	passed := (now - q.at).Seconds()
-	q.at = now
+	passed := (now - q.updatedAt).Seconds()
+	q.updatedAt = now
 	for len(q.jobs) > 0 {
-		if q.jobs[0].left > passed {
-			q.jobs[0].left -= passed
+		if q.jobs[0].remaining > passed {
+			q.jobs[0].remaining -= passed
 			return
 		}
-		passed -= q.jobs[0].left
+		passed -= q.jobs[0].remaining
 		q.remove(0)
 	}
 }
@@ -55,7 +55,7 @@
 	}
 	next := 0
 	for k := range q.jobs {
-		if q.jobs[k].rank < q.jobs[next].rank {
+		if q.jobs[k].priority < q.jobs[next].priority {
 			next = k
 		}
 	}
@@ -66,23 +66,23 @@
 
 // before is how many seconds are expected to be read before a new prompt of a rank. A less urgent prompt that waits may
 // be begun before the new one is there, the sooner the less is read before it; the longest is expected to be.
-func (q *queue) before(rank int) float64 {
+func (q *queue) waitFor(rank int) float64 {
 	ahead, longest := 0.0, 0.0
 	for i := range q.jobs {
-		if i == 0 || q.jobs[i].rank <= rank {
-			ahead += q.jobs[i].left
+		if i == 0 || q.jobs[i].priority <= rank {
+			ahead += q.jobs[i].remaining
 		} else {
-			longest = max(longest, q.jobs[i].left)
+			longest = max(longest, q.jobs[i].remaining)
 		}
 	}
-	return ahead + longest*max(0, 1-ahead/overtakeSurely)
+	return ahead + longest*max(0, 1-ahead/certainOvertakeSeconds)
 }
 
 // left is how many seconds all prompts take.
-func (q *queue) left() float64 {
+func (q *queue) total() float64 {
 	sum := 0.0
 	for i := range q.jobs {
-		sum += q.jobs[i].left
+		sum += q.jobs[i].remaining
 	}
 	return sum
 }
@@ -90,21 +90,21 @@
 // push adds a prompt that takes so many seconds to read. It returns the job's number.
 func (q *queue) push(now time.Duration, rank int, seconds float64) uint64 {
 	q.drain(now)
-	rank = min(max(rank, 0), ranks-1)
-	seconds = min(seconds, max(0, queueMost-q.left()))
-	if len(q.jobs) >= jobsMost {
-		q.jobs[len(q.jobs)-1].left += seconds
+	rank = min(max(rank, 0), priorityLevels-1)
+	seconds = min(seconds, max(0, maxQueueSeconds-q.total()))
+	if len(q.jobs) >= maxQueueJobs {
+		q.jobs[len(q.jobs)-1].remaining += seconds
 		return q.jobs[len(q.jobs)-1].serial
 	}
 	q.serial++
-	q.jobs = append(q.jobs, job{serial: q.serial, rank: rank, left: seconds})
+	q.jobs = append(q.jobs, job{serial: q.serial, priority: rank, remaining: seconds})
 	return q.serial
 }
 
 // reached notes that the first token of a prompt came: what was as urgent and had been pushed by then has been read.
-func (q *queue) reached(serial uint64, rank int) {
+func (q *queue) complete(serial uint64, rank int) {
 	for i := len(q.jobs) - 1; i >= 0; i-- {
-		if q.jobs[i].serial <= serial && q.jobs[i].rank <= rank {
+		if q.jobs[i].serial <= serial && q.jobs[i].priority <= rank {
 			q.remove(i)
 		}
 	}
--- a/internal/fleet/placement/resolve.go
+++ b/internal/fleet/placement/refresh.go
@@ -7,22 +7,22 @@
 )
 
 // resolve solves a table again where an input has shifted significantly, or its inputs are due for a refresh.
-func (s *service) resolve(now, target time.Duration, t *table) {
-	if t.solved && now-t.solvedAt < solveGap {
+func (s *service) refresh(now, target time.Duration, t *table) {
+	if t.solved && now-t.solvedAt < minSolveInterval {
 		return
 	}
-	p := s.problem(now, target, t)
-	if t.solved && now-t.solvedAt < delayRefresh && !p.shifted(&t.from) {
-		t.solvedAt = now - solveGap/2 // looked at again soon
+	p := s.newProblem(now, target, t)
+	if t.solved && now-t.solvedAt < maxSolveInterval && !p.changedSince(&t.solvedFrom) {
+		t.solvedAt = now - minSolveInterval/2 // looked at again soon
 		return
 	}
 	solved := p.solve(t.rows)
-	t.rows, t.before, t.after = solved.rows, solved.before, solved.after
-	t.from, t.solved, t.solvedAt = p, true, now
+	t.rows, t.payoffBefore, t.payoffAfter = solved.rows, solved.before, solved.after
+	t.solvedFrom, t.solved, t.solvedAt = p, true, now
 }
 
 // problem gathers what a table is solved from. An endpoint without calls begins at the mean of the others.
-func (s *service) problem(now, target time.Duration, t *table) problem {
+func (s *service) newProblem(now, target time.Duration, t *table) problem {
 	p := problem{target: target.Seconds()}
 	own := 0.0
 	for k := range t.calls {
@@ -31,33 +31,33 @@
 	}
 	var pooled delayModel
 	for _, e := range s.endpoints {
-		pooled.add(&e.model, 1/float64(len(s.endpoints)))
+		pooled.add(&e.delay, 1/float64(len(s.endpoints)))
 	}
-	prior := pooled.fit(fit{base: priorDelay, spread: priorSpread})
+	prior := pooled.fit(delayFit{base: priorDelay, spread: priorSpread})
 	total := 0.0
 	for _, e := range s.endpoints {
-		p.fits = append(p.fits, e.model.fit(fit{base: prior.base, spread: prior.spread}))
-		p.fails = append(p.fails, max(e.fails, e.evidence.share(now, s.callRate)))
-		total += e.rate.now(now)
+		p.delays = append(p.delays, e.delay.fit(delayFit{base: prior.base, spread: prior.spread}))
+		p.failureShares = append(p.failureShares, max(e.failureShare, e.faults.share(now, s.callRate)))
+		total += e.sendRate.now(now)
 	}
 	for _, e := range s.endpoints {
 		beside := 0.0
 		if total > own && total > 0 {
-			beside = e.rate.rate * (total - own) / total
+			beside = e.sendRate.rate * (total - own) / total
 		}
-		p.other = append(p.other, beside)
+		p.otherRates = append(p.otherRates, beside)
 	}
 	return p
 }
 
 // shifted tells whether an input differs significantly from that of a former problem.
-func (p *problem) shifted(former *problem) bool {
-	if len(p.fits) != len(former.fits) {
+func (p *problem) changedSince(former *problem) bool {
+	if len(p.delays) != len(former.delays) {
 		return true
 	}
-	for e := range p.fits {
-		was, is := former.fits[e], p.fits[e]
-		if math.Abs(is.base-was.base) > shiftFit*was.base+0.01 || math.Abs(p.fails[e]-former.fails[e]) > shiftFail {
+	for e := range p.delays {
+		was, is := former.delays[e], p.delays[e]
+		if math.Abs(is.base-was.base) > significantDelayChange*was.base+0.01 || math.Abs(p.failureShares[e]-former.failureShares[e]) > significantFailureChange {
 			return true
 		}
 	}
@@ -84,7 +84,7 @@
 	var views []TableView
 	for name, s := range p.services {
 		for target, t := range s.tables {
-			v := TableView{Service: name, TargetMs: target.Milliseconds(), PayoffBefore: t.before, PayoffAfter: t.after}
+			v := TableView{Service: name, TargetMs: target.Milliseconds(), PayoffBefore: t.payoffBefore, PayoffAfter: t.payoffAfter}
 			for k, row := range t.rows {
 				for i, share := range row {
 					v.Rows[k] = append(v.Rows[k], Share{Endpoint: s.endpoints[i].ID, Share: share})
--- a/internal/fleet/placement/solve.go
+++ b/internal/fleet/placement/solver.go
@@ -6,10 +6,10 @@
 // endpoint gets, moved toward a higher expected payoff by projected gradient ascent.
 
 const (
-	solveSteps = 20
-	solveStep  = 0.05
-	leastShare = 0.02 // of an even share that each endpoint keeps, so that its model stays fresh
-	evenPull   = 0.02 // payoff that a call gives up for an even row: what failed once comes back when it is well
+	gradientSteps    = 20
+	gradientStepSize = 0.05
+	minShare         = 0.02 // of an even share that each endpoint keeps, so that its model stays fresh
+	evennessPenalty  = 0.02 // payoff that a call gives up for an even row: what failed once comes back when it is well
 )
 
 // bucketEdges are in shares of the target latency that are spent before the draw.
@@ -18,8 +18,8 @@
 // bucketCount is how many rows a table has.
 const bucketCount = len(bucketEdges) + 1
 
-// bucketOf is the row for a call that has spent a share of its target.
-func bucketOf(spentShare float64) int {
+// bucketFor is the row for a call that has spent a share of its target.
+func bucketFor(spentShare float64) int {
 	for i, edge := range bucketEdges {
 		if spentShare < edge {
 			return i
@@ -28,8 +28,8 @@
 	return bucketCount - 1
 }
 
-// spentMiddle is the share of the target that a bucket's calls have spent.
-func spentMiddle(bucket int) float64 {
+// bucketMidpoint is the share of the target that a bucket's calls have spent.
+func bucketMidpoint(bucket int) float64 {
 	low, high := 0.0, 1.0
 	if bucket > 0 {
 		low = bucketEdges[bucket-1]
@@ -42,11 +42,11 @@
 
 // problem is what the rows are solved from.
 type problem struct {
-	target float64              // seconds
-	rates  [bucketCount]float64 // calls a second, by bucket
-	fits   []fit                // by endpoint
-	fails  []float64            // share of calls that fail, by endpoint
-	other  []float64            // calls a second that the endpoints get beside
+	target        float64              // seconds
+	rates         [bucketCount]float64 // calls a second, by bucket
+	delays        []delayFit           // by endpoint
+	failureShares []float64            // share of calls that fail, by endpoint
+	otherRates    []float64            // calls a second that the endpoints get beside
 }
 
 // rows are shares by bucket and endpoint; each sums to one.
@@ -73,7 +73,7 @@
 
 // endpointRates are the calls a second that each endpoint gets under the rows.
 func (p *problem) endpointRates(r rows) []float64 {
-	rates := slices.Clone(p.other)
+	rates := slices.Clone(p.otherRates)
 	for k := range r {
 		for e, share := range r[k] {
 			rates[e] += p.rates[k] * share
@@ -83,7 +83,7 @@
 }
 
 // limit is the time that is left to a bucket's calls.
-func (p *problem) limit(bucket int) float64 { return p.target * (1 - spentMiddle(bucket)) }
+func (p *problem) limit(bucket int) float64 { return p.target * (1 - bucketMidpoint(bucket)) }
 
 // payoff is the share of all calls whose first token is expected in time.
 func (p *problem) payoff(r rows) float64 {
@@ -92,8 +92,8 @@
 	for k := range r {
 		total += p.rates[k]
 		for e, share := range r[k] {
-			chance, _ := p.fits[e].within(p.limit(k), rates[e])
-			sum += p.rates[k] * share * chance * (1 - p.fails[e])
+			chance, _ := p.delays[e].chanceWithin(p.limit(k), rates[e])
+			sum += p.rates[k] * share * chance * (1 - p.failureShares[e])
 		}
 	}
 	if total == 0 {
@@ -112,7 +112,7 @@
 // steeply with the rate; rows that came out worse are not taken.
 func (p *problem) solve(start rows) solution {
 	moved := start.clone()
-	for range solveSteps {
+	for range gradientSteps {
 		p.step(moved)
 	}
 	before, after := p.payoff(start), p.payoff(moved)
@@ -129,7 +129,7 @@
 		total += p.rates[k]
 		even := 1 / float64(len(r[k]))
 		for _, share := range r[k] {
-			sum += p.rates[k] * evenPull / 2 / even * (share - even) * (share - even)
+			sum += p.rates[k] * evennessPenalty / 2 / even * (share - even) * (share - even)
 		}
 	}
 	if total == 0 {
@@ -143,9 +143,9 @@
 	gradient := p.gradient(r, p.endpointRates(r))
 	for k := range r {
 		for e := range r[k] {
-			r[k][e] += solveStep * gradient[k][e]
+			r[k][e] += gradientStepSize * gradient[k][e]
 		}
-		projectOnSimplex(r[k], leastShare/float64(len(r[k])))
+		projectOnSimplex(r[k], minShare/float64(len(r[k])))
 	}
 }
 
@@ -156,15 +156,15 @@
 	for k := range r {
 		g[k] = make([]float64, len(rates))
 		for e, share := range r[k] {
-			chance, byRate := p.fits[e].within(p.limit(k), rates[e])
-			g[k][e] = chance * (1 - p.fails[e])
-			crowding[e] += p.rates[k] * share * byRate * (1 - p.fails[e])
+			chance, byRate := p.delays[e].chanceWithin(p.limit(k), rates[e])
+			g[k][e] = chance * (1 - p.failureShares[e])
+			crowding[e] += p.rates[k] * share * byRate * (1 - p.failureShares[e])
 		}
 	}
 	for k := range g {
 		even := 1 / float64(len(rates))
 		for e := range g[k] {
-			g[k][e] += crowding[e] - evenPull/even*(r[k][e]-even)
+			g[k][e] += crowding[e] - evennessPenalty/even*(r[k][e]-even)
 		}
 	}
 	return g
--- a/internal/fleet/placement/view.go
+++ b/internal/fleet/placement/status.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// accuracyUnits are the sizes that are told apart where what was expected is compared with what came.
-var accuracyUnits = [...]float64{1000, 4000, 16000}
+// accuracyBounds are the sizes that are told apart where what was expected is compared with what came.
+var accuracyBounds = [...]float64{1000, 4000, 16000}
 
-const accuracySizes = len(accuracyUnits) + 1
+const accuracyClasses = len(accuracyBounds) + 1
 
 // accuracy compares this router's first tokens with what was expected, by the units that were read.
-type accuracy [accuracySizes]struct{ calls, expected, actual float64 }
+type accuracy [accuracyClasses]struct{ calls, expected, actual float64 }
 
 func (a *accuracy) observe(units float64, expected, actual time.Duration) {
 	size := 0
-	for size < len(accuracyUnits) && units >= accuracyUnits[size] {
+	for size < len(accuracyBounds) && units >= accuracyBounds[size] {
 		size++
 	}
 	a[size].calls++
@@ -59,12 +59,12 @@
 func (p *Placer) Services(now time.Duration) []ServiceView {
 	var views []ServiceView
 	for name, s := range p.services {
-		l := s.reading.line()
-		v := ServiceView{Service: name, FirstMs: tenths(l.first * 1e3), UnitUs: tenths(l.unitTime * 1e6), PairMs: l.pairTime * 1e3, PauseShare: s.pauses.share()}
+		l := s.prefill.line()
+		v := ServiceView{Service: name, FirstMs: tenths(l.base * 1e3), UnitUs: tenths(l.perUnit * 1e6), PairMs: l.perPair * 1e3, PauseShare: s.stalls.share()}
 		for size, seen := range s.accuracy {
 			each := SizeView{Calls: seen.calls}
-			if size < len(accuracyUnits) {
-				each.UnitsBelow = accuracyUnits[size]
+			if size < len(accuracyBounds) {
+				each.UnitsBelow = accuracyBounds[size]
 			}
 			if seen.calls > 0 {
 				each.ExpectedMs, each.ActualMs = tenths(seen.expected/seen.calls*1e3), tenths(seen.actual/seen.calls*1e3)
@@ -74,8 +74,8 @@
 		for _, e := range s.endpoints {
 			e.queue.drain(now)
 			v.Endpoints = append(v.Endpoints, EndpointView{
-				Endpoint: e.ID, WaitMs: tenths(e.queue.before(ranks-1) * 1e3), Streams: len(e.streams.list), Kept: len(e.kept),
-				Slowness: tenths(e.slowness.times(now)), FailShare: e.evidence.share(now, s.callRate), Ejected: now < e.ejected,
+				Endpoint: e.ID, WaitMs: tenths(e.queue.waitFor(priorityLevels-1) * 1e3), Streams: len(e.streams.running), Kept: len(e.prefixes),
+				Slowness: tenths(e.slowness.factor(now)), FailShare: e.faults.share(now, s.callRate), Ejected: now < e.ejectedUntil,
 			})
 		}
 		views = append(views, v)
--- a/internal/fleet/placement/streams.go
+++ b/internal/fleet/placement/streams.go
@@ -10,110 +10,110 @@
 // longer pauses: one whose pause exceeds its route's bound is late. Long prompts are therefore sent where few streams run.
 
 const (
-	priorTokenTime  = 4 * time.Millisecond // that a stream takes for a token, before anything was seen
-	tokenTimeMemory = 20.0                 // streams after which one weighs 1/e
-	mostTokens      = 1e6                  // the same for what requests say of themselves
-	mostTokenTime   = time.Second          // bounds what odd answers can do
-	streamLifeMost  = time.Minute          // the same for what requests say of themselves
-	streamsMost     = 64                   // an endpoint
-	lifeShape       = 4.0                  // of the distribution of lives: a standard deviation of some 0.45 of their logarithm
-	survivesLeast   = 0.02                 // chance to run still below which a stream is forgotten
-	heldUpLeast     = 1e-3                 // chance of a pause that is too long below which it is none
-	priorPauseShare = 0.6                  // of a prompt's reading, the pause that it makes between events of a stream, before anything was seen
-	leastPauseShare = 0.02                 // bound of the same
-	pauseMemory     = 20.0                 // streams after which one weighs 1/e in it
-	readingsMost    = 16                   // prompts of an endpoint that are remembered
+	priorTokenTime      = 4 * time.Millisecond // that a stream takes for a token, before anything was seen
+	tokenTimeMemory     = 20.0                 // streams after which one weighs 1/e
+	maxOutputTokens     = 1e6                  // the same for what requests say of themselves
+	maxTokenTime        = time.Second          // bounds what odd answers can do
+	maxStreamDuration   = time.Minute          // the same for what requests say of themselves
+	maxStreams          = 64                   // an endpoint
+	streamDurationShape = 4.0                  // of the distribution of lives: a standard deviation of some 0.45 of their logarithm
+	minSurvival         = 0.02                 // chance to run still below which a stream is forgotten
+	minStallChance      = 1e-3                 // chance of a pause that is too long below which it is none
+	priorStallShare     = 0.6                  // of a prompt's reading, the pause that it makes between events of a stream, before anything was seen
+	minStallShare       = 0.02                 // bound of the same
+	stallMemory         = 20.0                 // streams after which one weighs 1/e in it
+	maxRecentPrefills   = 16                   // prompts of an endpoint that are remembered
 )
 
 // running is a stream at an endpoint.
-type running struct {
-	from time.Duration // first token
-	life time.Duration // expected
-	gap  time.Duration // longest pause with which it is in time
-	size float64       // in calls of mean size
+type runningStream struct {
+	firstToken  time.Duration // first token
+	duration    time.Duration // expected
+	maxEventGap time.Duration // longest pause with which it is in time
+	weight      float64       // in calls of mean size
 }
 
 // survives is how likely the stream still runs at a moment: lives are taken as log-logistic.
-func (r *running) survives(at time.Duration) float64 {
-	if at <= r.from || r.life <= 0 {
+func (r *runningStream) survival(at time.Duration) float64 {
+	if at <= r.firstToken || r.duration <= 0 {
 		return 1
 	}
-	return 1 / (1 + math.Pow(float64(at-r.from)/float64(r.life), lifeShape))
+	return 1 / (1 + math.Pow(float64(at-r.firstToken)/float64(r.duration), streamDurationShape))
 }
 
 // streams are those that run at an endpoint, as far as this router knows.
-type streams struct{ list []running }
+type streamSet struct{ running []runningStream }
 
-func (s *streams) add(now time.Duration, r running) {
-	s.list = slices.DeleteFunc(s.list, func(other running) bool { return other.survives(now) < survivesLeast })
-	if len(s.list) >= streamsMost {
+func (s *streamSet) add(now time.Duration, r runningStream) {
+	s.running = slices.DeleteFunc(s.running, func(other runningStream) bool { return other.survival(now) < minSurvival })
+	if len(s.running) >= maxStreams {
 		return
 	}
-	s.list = append(s.list, r)
+	s.running = append(s.running, r)
 }
 
-// heldUp is how many calls of mean size are late because a prompt is read from a moment on for so many seconds.
-func (s *streams) heldUp(from time.Duration, seconds, pauseShare float64) float64 {
+// stalledCalls is how many calls of mean size are late because a prompt is read from a moment on for so many seconds.
+func (s *streamSet) stalledCalls(from time.Duration, seconds, pauseShare float64) float64 {
 	sum, late, gap := 0.0, 0.0, time.Duration(-1)
-	for i := range s.list {
-		r := &s.list[i]
-		if r.gap != gap { // most streams have the one before's
-			gap = r.gap
+	for i := range s.running {
+		r := &s.running[i]
+		if r.maxEventGap != gap { // most streams have the one before's
+			gap = r.maxEventGap
 			late = lateness(pauseShare*seconds, gap.Seconds())
 		}
-		if late > heldUpLeast {
-			sum += r.size * late * r.survives(from)
+		if late > minStallChance {
+			sum += r.weight * late * r.survival(from)
 		}
 	}
 	return sum
 }
 
-// pauseShare is the longest pause that a prompt makes between a stream's events, as a share of the time that it is read.
+// stallShare is the longest pause that a prompt makes between a stream's events, as a share of the time that it is read.
 // Engines read prompts in pieces of different lengths, which nobody tells. The zero value has seen nothing.
-type pauseShare struct {
+type stallModel struct {
 	mean float64
 	seen bool
 }
 
-func (p *pauseShare) observe(seen *Stall) {
+func (p *stallModel) observe(seen *Stall) {
 	if !(seen.PrefillTime > 0 && seen.Longest >= 0) {
 		return
 	}
 	if !p.seen {
-		p.mean, p.seen = priorPauseShare, true
+		p.mean, p.seen = priorStallShare, true
 	}
-	share := min(max(seen.Longest/seen.PrefillTime, leastPauseShare), 1)
-	p.mean += (share - p.mean) / pauseMemory
+	share := min(max(seen.Longest/seen.PrefillTime, minStallShare), 1)
+	p.mean += (share - p.mean) / stallMemory
 }
 
-func (p *pauseShare) share() float64 {
+func (p *stallModel) share() float64 {
 	if !p.seen {
-		return priorPauseShare
+		return priorStallShare
 	}
 	return p.mean
 }
 
 // readings are the last prompts that an endpoint was sent.
-type readings struct {
-	list [readingsMost]promptReading
+type recentPrefills struct {
+	list [maxRecentPrefills]prefillRecord
 	next int
 }
 
-type promptReading struct {
-	at      time.Duration // when it was sent
+type prefillRecord struct {
+	sentAt  time.Duration // when it was sent
 	seconds float64
 }
 
-func (r *readings) add(now time.Duration, seconds float64) {
-	r.list[r.next] = promptReading{now, seconds}
-	r.next = (r.next + 1) % readingsMost
+func (r *recentPrefills) add(now time.Duration, seconds float64) {
+	r.list[r.next] = prefillRecord{now, seconds}
+	r.next = (r.next + 1) % maxRecentPrefills
 }
 
 // longest is the longest of those that were sent in a time; 0: none was, as far as is remembered.
-func (r *readings) longest(from, to time.Duration) float64 {
+func (r *recentPrefills) longest(from, to time.Duration) float64 {
 	longest := 0.0
 	for _, each := range r.list {
-		if each.at >= from && each.at <= to {
+		if each.sentAt >= from && each.sentAt <= to {
 			longest = max(longest, each.seconds)
 		}
 	}
@@ -121,24 +121,24 @@
 }
 
 // tokenTimes are how long streams take for a token of those that they may write, by rank. Most write fewer.
-type tokenTimes [ranks]float64 // seconds; 0: nothing was seen
+type tokenTimes [priorityLevels]float64 // seconds; 0: nothing was seen
 
 func (t *tokenTimes) observe(rank int, took time.Duration, tokens float64) {
 	if tokens < 1 || took <= 0 {
 		return
 	}
-	each := &t[min(max(rank, 0), ranks-1)]
+	each := &t[min(max(rank, 0), priorityLevels-1)]
 	if *each == 0 {
 		*each = priorTokenTime.Seconds()
 	}
-	*each += (min(took.Seconds()/tokens, mostTokenTime.Seconds()) - *each) / tokenTimeMemory
+	*each += (min(took.Seconds()/tokens, maxTokenTime.Seconds()) - *each) / tokenTimeMemory
 }
 
 // life is how long a stream that may write so many tokens runs.
-func (t *tokenTimes) life(rank int, tokens float64) time.Duration {
-	each := t[min(max(rank, 0), ranks-1)]
+func (t *tokenTimes) duration(rank int, tokens float64) time.Duration {
+	each := t[min(max(rank, 0), priorityLevels-1)]
 	if each == 0 {
 		each = priorTokenTime.Seconds()
 	}
-	return min(time.Duration(min(tokens, mostTokens)*each*float64(time.Second)), streamLifeMost)
+	return min(time.Duration(min(tokens, maxOutputTokens)*each*float64(time.Second)), maxStreamDuration)
 }
