--- a/internal/fleet/placement/delay.go
+++ b/internal/fleet/placement/delay.go
@@ -1,25 +1,9 @@
 package placement
 
-import (
-	"math"
-	"time"
-)
+import "math"
 
-// The model of an endpoint's time to first token against this router's own send rate: a line, fitted to the last calls.
-// Endpoints report late, so that the own rate is what is known at once.
-
-const (
-	delayMemory        = 200.0            // calls after which an observation weighs 1/e
-	delayPriorCalls    = 6.0              // calls that a prior weighs
-	priorDelay         = 0.15             // seconds, before anything was seen of any endpoint
-	priorSpread        = 0.1              // seconds, the same
-	rateMemory         = 4 * time.Second  // over which the send rate is averaged
-	failureShareMemory = 30.0             // outcomes after which one weighs 1/e
-	minSpread          = 0.01             // seconds
-	maxSolveInterval   = 10 * time.Second // between refreshes of what the rows are solved from
-)
-
-// delayModel is a weighted least-squares fit of delay (s) by send rate (1/s).
+// delayModel is a weighted least-squares fit of an endpoint's time to first token (seconds) by this router's own send rate
+// (calls a second). Endpoints' reports come late; the own rate is known at once.
 type delayModel struct {
 	weight, sumRate, sumDelay, sumRateRate, sumRateDelay, sumDelayDelay float64
 }
@@ -34,7 +18,7 @@
 	m.sumDelayDelay = m.sumDelayDelay*keep + delay*delay
 }
 
-// add counts another model's observations too.
+// add adds a share of another model's observations.
 func (m *delayModel) add(other *delayModel, share float64) {
 	m.weight += share * other.weight
 	m.sumRate += share * other.sumRate
@@ -44,10 +28,10 @@
 	m.sumDelayDelay += share * other.sumDelayDelay
 }
 
-// fit is a line with the spread of the calls around it.
+// delayFit is the line, base + slope*rate seconds, and the standard deviation of calls around it in seconds.
 type delayFit struct{ base, slope, spread float64 }
 
-// fit returns the line; prior counts as delayPriorCalls calls at its mean.
+// fit returns the line. The prior counts as delayPriorCalls calls at its base.
 func (m *delayModel) fit(prior delayFit) delayFit {
 	total := m.weight + delayPriorCalls
 	meanRate := m.sumRate / total
@@ -55,7 +39,7 @@
 	rateVariance := m.sumRateRate/total - meanRate*meanRate
 	covariance := m.sumRateDelay/total - meanRate*(m.sumDelay/total)
 	slope := 0.0
-	if rateVariance > 1e-6 {
+	if rateVariance > minRateVariance {
 		slope = max(0, covariance/(rateVariance+1))
 	}
 	spread := priorSpread
@@ -66,33 +50,10 @@
 	return delayFit{base: meanDelay - slope*meanRate, slope: slope, spread: max(minSpread, spread)}
 }
 
-// within is the chance that a first token comes within a time, and how it changes with the rate. The delay is taken as
-// logistic.
+// chanceWithin returns the probability that a first token comes within a limit (seconds) at a rate, and its derivative by the
+// rate. The delay is taken as logistic.
 func (f delayFit) chanceWithin(limit, rate float64) (chance, byRate float64) {
 	scale := f.spread * math.Sqrt(3) / math.Pi
 	chance = 1 / (1 + math.Exp(-(limit-f.base-f.slope*rate)/scale))
 	return chance, -chance * (1 - chance) * f.slope / scale
 }
-
-// rateMeter averages a rate over the last seconds.
-type rateMeter struct {
-	rate      float64 // 1/s
-	updatedAt time.Duration
-}
-
-func (r *rateMeter) decay(now time.Duration) {
-	if now > r.updatedAt {
-		r.rate *= math.Exp(-float64(now-r.updatedAt) / float64(rateMemory))
-		r.updatedAt = now
-	}
-}
-
-func (r *rateMeter) count(now time.Duration) {
-	r.decay(now)
-	r.rate += 1 / rateMemory.Seconds()
-}
-
-func (r *rateMeter) now(now time.Duration) float64 {
-	r.decay(now)
-	return r.rate
-}
--- a/internal/fleet/placement/failure_evidence_test.go
+++ b/internal/fleet/placement/failure_evidence_test.go
@@ -7,7 +7,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestEvidence(t *testing.T) {
+func TestFailureEvidence(t *testing.T) {
 	const rate = 10.0 // calls a second
 	Convey("Single failures are chance", t, func() {
 		v := failureEvidence{}
@@ -16,7 +16,7 @@
 			So(v.share(now, rate), ShouldEqual, 0)
 		}
 	})
-	Convey("Half of an endpoint's calls failing is told within a second, and forgotten within seconds", t, func() {
+	Convey("Half of an endpoint's calls failing is detected within a second, and forgotten within seconds", t, func() {
 		v := failureEvidence{}
 		now := 40 * time.Second
 		for range 5 {
@@ -26,44 +26,44 @@
 		So(v.share(now, rate), ShouldBeBetween, 0.1, 0.5)
 		So(v.share(now+8*time.Second, rate), ShouldBeLessThan, 0.02)
 	})
-	Convey("All calls failing is told as such", t, func() {
+	Convey("All calls failing is detected as such", t, func() {
 		v := failureEvidence{}
 		for now := time.Second; now <= 3*time.Second; now += 100 * time.Millisecond {
 			v.record(now, 1, rate)
 		}
 		So(v.share(3*time.Second, rate), ShouldBeGreaterThan, 0.6)
 	})
-	Convey("An endpoint that fails again and again is trusted more slowly each time, until it has been well for long", t, func() {
+	Convey("An endpoint that fails again and again recovers more slowly each time, until it has been healthy for long", t, func() {
 		v := failureEvidence{}
 		now := time.Minute
-		spell := func() (untilWell time.Duration) {
+		outage := func() (recovery time.Duration) {
 			for range 20 {
 				now += 50 * time.Millisecond
 				v.record(now, 1, rate)
 			}
-			began := now
+			last := now
 			for v.share(now, rate) > recoveryThreshold {
 				now += 50 * time.Millisecond
 			}
-			return now - began
+			return now - last
 		}
-		first := spell()
-		second := spell()
-		third := spell()
+		first := outage()
+		second := outage()
+		third := outage()
 		So(second, ShouldBeGreaterThan, 3*first/2)
 		So(third, ShouldBeGreaterThan, 3*second/2)
 		now += relapseResetTime + time.Second
-		So(spell(), ShouldBeBetween, first/2, 3*first/2)
+		So(outage(), ShouldBeBetween, first/2, 3*first/2)
 	})
-	Convey("Few calls are remembered longer, within bounds", t, func() {
-		So(memoryFor(1000), ShouldEqual, minFailureMemory)
-		So(memoryFor(2), ShouldEqual, 4*time.Second)
-		So(memoryFor(0), ShouldEqual, maxFailureMemory)
+	Convey("Failures among few calls are remembered longer, within bounds", t, func() {
+		So(failureMemory(1000), ShouldEqual, minFailureMemory)
+		So(failureMemory(2), ShouldEqual, 4*time.Second)
+		So(failureMemory(0), ShouldEqual, maxFailureMemory)
 	})
 }
 
-func TestSharedEvidence(t *testing.T) {
-	Convey("Failures that other routers tell of turn calls away, also such whose prompt is kept there", t, func() {
+func TestRemoteFailures(t *testing.T) {
+	Convey("Failures that other routers report keep calls away, also such whose prefix is cached there", t, func() {
 		p := placer(6)
 		p.SetRouters(30)
 		home := p.Place(0, call(42, 1000)).Endpoint
@@ -76,7 +76,7 @@
 		}
 		So(p.Place(10*time.Minute, call(42, 1000)).Endpoint, ShouldEqual, home)
 	})
-	Convey("Where all endpoints fail alike none is left out", t, func() {
+	Convey("Where all endpoints fail alike none is avoided", t, func() {
 		p := placer(3)
 		for _, e := range p.service("llm").endpoints {
 			p.RecordRemoteFailures(0, e.Name(), 40, false)
@@ -89,7 +89,7 @@
 		}
 		So(len(used), ShouldEqual, 3)
 	})
-	Convey("Failures at an endpoint that is not known are passed over", t, func() {
+	Convey("Failures at an unknown endpoint are ignored", t, func() {
 		placer(1).RecordRemoteFailures(0, 77, 3, false)
 	})
 	Convey("An overdue first token counts, and its call goes on", t, func() {
@@ -104,7 +104,7 @@
 	})
 }
 
-func TestCallsThatAvoidFailures(t *testing.T) {
+func TestTiersOfEndpoints(t *testing.T) {
 	Convey("Where all endpoints but one have failed, and that one is overdue", t, func() {
 		p := placer(4)
 		all := p.service("llm").endpoints
@@ -123,16 +123,16 @@
 			}
 			return seen
 		}
-		final, repeat := call(0, 100), call(0, 100)
-		final.LastAttempt, repeat.Retry = true, true
-		Convey("a call whose failure would be final goes to that one", func() {
-			So(places(final), ShouldResemble, map[*Endpoint]bool{all[3]: true})
+		last, retry := call(0, 100), call(0, 100)
+		last.LastAttempt, retry.Retry = true, true
+		Convey("a last attempt goes to that one", func() {
+			So(places(last), ShouldResemble, map[*Endpoint]bool{all[3]: true})
 		})
-		Convey("a repeat has no endpoint that nothing speaks against, and goes to any", func() {
-			So(len(places(repeat)), ShouldBeGreaterThan, 1)
+		Convey("a retry has no endpoint without a fault, and goes to any", func() {
+			So(len(places(retry)), ShouldBeGreaterThan, 1)
 		})
 		Convey("both go anywhere again after a while", func() {
-			So(p.Place(time.Minute, repeat), ShouldNotBeNil)
+			So(p.Place(time.Minute, retry), ShouldNotBeNil)
 			So(all[0].failures.isClean(time.Minute, 1), ShouldBeTrue)
 		})
 	})
--- a/internal/fleet/placement/learned.go
+++ b/internal/fleet/placement/learned.go
@@ -1,16 +1,16 @@
 package placement
 
-import (
-	"time"
-)
+import "time"
 
-// What one router has learned can be of use to another that has just started, or to the process after it: which shared
-// parts endpoints keep, and how fast they read. It is bounded in size, and a hint only: what is wrong of it costs time.
-
-// maxExportedPrefixes is how many shared parts are told at most: some 45 KB.
-const maxExportedPrefixes = 3000
+// LearnedState is what a router has learned that is of use to one that has just started, or to its own next process: which
+// prefixes endpoints have cached, and how fast they prefill. It is a hint: where it is wrong it costs time only. Its size is
+// bounded. Routers store it and fetch it from each other in CBOR.
+type LearnedState struct {
+	Prefixes []CachedPrefix `cbor:"1,keyasint,omitempty"`
+	Models   []LatencyModel `cbor:"2,keyasint,omitempty"`
+}
 
-// Prefixes is a shared part that an endpoint is taken to keep.
+// CachedPrefix is a shared prefix that an endpoint is assumed to have cached.
 type CachedPrefix struct {
 	_        struct{} `cbor:",toarray"`
 	Endpoint uint32   // its Name
@@ -18,7 +18,7 @@
 	AgeMs    uint32   // since its last use
 }
 
-// LatencyModel is what is learned of the speed of a service's endpoints.
+// LatencyModel is the time to first token of a service's endpoints by the length of the prompt.
 type LatencyModel struct {
 	_       struct{} `cbor:",toarray"`
 	Service string
@@ -27,30 +27,24 @@
 	PerPair float64 // seconds a million pairs of units
 }
 
-// ExportLearned is what a router has learned.
-type LearnedState struct {
-	Prefixes []CachedPrefix `cbor:"1,keyasint,omitempty"`
-	Models   []LatencyModel `cbor:"2,keyasint,omitempty"`
-}
-
-// ExportLearned returns what this router has learned. Where it knows of more shared parts than can be told, some are left out.
+// ExportLearned returns what this router has learned, with maxExportedPrefixes prefixes at most.
 func (p *Placer) ExportLearned(now time.Duration) LearnedState {
-	var l LearnedState
+	var state LearnedState
 	for name, s := range p.services {
-		if s.prefill.known {
+		if s.prefill.observed {
 			line := s.prefill.line()
-			l.Models = append(l.Models, LatencyModel{Service: name, Base: line.base, PerUnit: line.perUnit, PerPair: line.perPair})
+			state.Models = append(state.Models, LatencyModel{Service: name, Base: line.base, PerUnit: line.perUnit, PerPair: line.perPair})
 		}
 		for _, e := range s.endpoints {
-			l.Prefixes = e.prefixes.export(now, e.Name(), l.Prefixes)
+			state.Prefixes = e.prefixes.export(now, e.Name(), state.Prefixes)
 		}
 	}
-	return l
+	return state
 }
 
-// tell adds an endpoint's shared parts to a list that is not full.
-func (k prefixCache) export(now time.Duration, endpoint uint32, list []CachedPrefix) []CachedPrefix {
-	for hash, used := range k {
+// export appends an endpoint's prefixes to a list, until that has maxExportedPrefixes.
+func (c prefixCache) export(now time.Duration, endpoint uint32, list []CachedPrefix) []CachedPrefix {
+	for hash, used := range c {
 		if len(list) >= maxExportedPrefixes {
 			return list
 		}
@@ -61,22 +55,22 @@
 	return list
 }
 
-// ImportLearned takes over what another router had learned at a moment. What this one has seen itself holds; what is told of
-// endpoints that it does not know yet is left out, so that it may be called again when it does.
-func (p *Placer) ImportLearned(at time.Duration, l *LearnedState) {
-	for _, told := range l.Prefixes[:min(len(l.Prefixes), maxExportedPrefixes)] {
-		e := p.byName[told.Endpoint]
+// ImportLearned takes over what another router had learned by a time. What this router has observed itself stays. What concerns
+// endpoints and services that it does not know yet is ignored, so that it may be called again when it does.
+func (p *Placer) ImportLearned(at time.Duration, state *LearnedState) {
+	for _, cached := range state.Prefixes[:min(len(state.Prefixes), maxExportedPrefixes)] {
+		e := p.byName[cached.Endpoint]
 		if e == nil {
 			continue
 		}
-		used := at - time.Duration(told.AgeMs)*time.Millisecond
-		if known, is := e.prefixes[told.Prefix]; !is || known < used {
-			e.prefixes.remember(used, told.Prefix)
+		used := at - time.Duration(cached.AgeMs)*time.Millisecond
+		if known, found := e.prefixes[cached.Prefix]; !found || known < used {
+			e.prefixes.insert(used, cached.Prefix)
 		}
 	}
-	for _, told := range l.Models {
-		if s := p.services[told.Service]; s != nil && !s.prefill.known {
-			s.prefill.setPrior(latencyLine{base: told.Base, perUnit: told.PerUnit, perPair: told.PerPair})
+	for _, model := range state.Models {
+		if s := p.services[model.Service]; s != nil && !s.prefill.observed {
+			s.prefill.setPrior(latencyLine{base: model.Base, perUnit: model.PerUnit, perPair: model.PerPair})
 		}
 	}
 }
--- a/internal/fleet/placement/learned_test.go
+++ b/internal/fleet/placement/learned_test.go
@@ -10,7 +10,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestLearned(t *testing.T) {
+func TestLearnedState(t *testing.T) {
 	long := func() *Call {
 		c := call(4711, 20000)
 		c.Target = 2 * time.Second
@@ -24,33 +24,33 @@
 		for range 200 {
 			old.RecordRemoteFirstToken(0, &Observation{Endpoint: first.Endpoint.Name(), PrefillUnits: 20000, Units: 20000, Delay: 0.7})
 		}
-		text, err := cbor.Marshal(old.ExportLearned(10 * time.Second))
+		stored, err := cbor.Marshal(old.ExportLearned(10 * time.Second))
 		So(err, ShouldBeNil)
-		var told LearnedState
-		So(cbor.Unmarshal(text, &told), ShouldBeNil)
+		var state LearnedState
+		So(cbor.Unmarshal(stored, &state), ShouldBeNil)
 
 		fresh := placer(9)
 		fresh.service("llm")
-		fresh.ImportLearned(time.Second, &told)
-		Convey("sends a shared part where it is kept, and knows how long it takes", func() {
+		fresh.ImportLearned(time.Second, &state)
+		Convey("sends a prefix where it is cached, and knows how long it takes", func() {
 			placed := fresh.Place(time.Second, long())
 			So(placed.Endpoint.ID, ShouldEqual, first.Endpoint.ID)
 			So(placed.Units, ShouldEqual, 10000)
 			So(placed.Expected, ShouldBeBetween, 250*time.Millisecond, 500*time.Millisecond)
 		})
-		Convey("takes it over for endpoints that it comes to know later, without losing what it has seen", func() {
+		Convey("imports it for endpoints that it comes to know later, without losing its own observations", func() {
 			late := New(rand.New(rand.NewPCG(3, 3)))
 			late.SetEndpoints(endpoints(9)[:1])
-			late.ImportLearned(time.Second, &told)
+			late.ImportLearned(time.Second, &state)
 			late.SetEndpoints(endpoints(9))
-			late.ImportLearned(time.Second, &told)
-			late.ImportLearned(time.Second, &told)
+			late.ImportLearned(time.Second, &state)
+			late.ImportLearned(time.Second, &state)
 			So(late.Place(2*time.Second, long()).Endpoint.ID, ShouldEqual, first.Endpoint.ID)
 		})
-		Convey("counts on it no longer than the one that told", func() {
+		Convey("expires prefixes as the one that exported them", func() {
 			So(fresh.Place(25*time.Second, long()).Units, ShouldEqual, 20000)
 		})
-		Convey("believes what it has seen itself", func() {
+		Convey("prefers its own observations", func() {
 			seen := fresh.Place(2*time.Second, call(9, 2000))
 			fresh.RecordFirstToken(2*time.Second, seen, 300*time.Millisecond)
 			before := fresh.service("llm").prefill.line()
@@ -58,7 +58,7 @@
 			So(fresh.service("llm").prefill.line(), ShouldResemble, before)
 		})
 	})
-	Convey("Nonsense is bounded, and so is what is told", t, func() {
+	Convey("Absurd state is bounded, and so is the export", t, func() {
 		p := placer(2)
 		p.service("llm")
 		e := p.service("llm").endpoints[0]
@@ -73,7 +73,7 @@
 		many := placer(20)
 		for _, e := range many.service("llm").endpoints {
 			for i := range uint32(maxCachedPrefixes) {
-				e.prefixes.remember(0, i)
+				e.prefixes.insert(0, i)
 			}
 		}
 		So(len(many.ExportLearned(0).Prefixes), ShouldEqual, maxExportedPrefixes)
--- /dev/null
+++ b/internal/fleet/placement/placer.go
@@ -0,0 +1,137 @@
+package placement
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"pinelb.example/pinelb/internal/fleet/registry"
+)
+
+// Placer chooses endpoints for the calls of all services. It is not safe for concurrent use.
+type Placer struct {
+	random     *rand.Rand
+	services   map[string]*service
+	byID       map[string]*Endpoint
+	byName     map[uint32]*Endpoint
+	lastNumber uint32
+	routers    int // that share the endpoints, this one included
+}
+
+// New returns a placer without endpoints. It draws for calls without a shared prefix from random.
+func New(random *rand.Rand) *Placer {
+	return &Placer{random: random, services: map[string]*service{}, byID: map[string]*Endpoint{}, byName: map[uint32]*Endpoint{}, routers: 1}
+}
+
+// SetRouters sets how many routers share the endpoints, this one included.
+func (p *Placer) SetRouters(routers int) { p.routers = max(1, routers) }
+
+// SetEndpoints replaces the endpoints that may be sent calls. It returns those that are new and those that were removed. An
+// endpoint with another address is a new one.
+func (p *Placer) SetEndpoints(ready []registry.Endpoint) (added, removed []*Endpoint) {
+	lists := map[string][]*Endpoint{}
+	present := map[string]bool{}
+	for _, reported := range ready {
+		e := p.byID[reported.ID]
+		if e == nil || e.removed || e.Address != reported.Address {
+			e = p.newEndpoint(reported.ID)
+			added = append(added, e)
+		}
+		e.Endpoint = reported
+		lists[reported.Service] = append(lists[reported.Service], e)
+		present[reported.ID] = true
+	}
+	for id, e := range p.byID {
+		if !present[id] {
+			e.removed = true
+			removed = append(removed, e)
+			delete(p.byID, id)
+			delete(p.byName, e.Name())
+		}
+	}
+	for name, s := range p.services {
+		if lists[name] == nil {
+			s.endpoints = nil
+		}
+	}
+	for name, list := range lists {
+		p.service(name).setEndpoints(list)
+	}
+	return added, removed
+}
+
+func (p *Placer) newEndpoint(id string) *Endpoint {
+	p.lastNumber++
+	e := &Endpoint{Number: p.lastNumber, hash: xxhash.Sum64String(id)}
+	p.byID[id], p.byName[e.Name()] = e, e
+	return e
+}
+
+// Remove keeps calls away from endpoints until SetEndpoints lists them again. It returns those that were known.
+func (p *Placer) Remove(ids []string) []*Endpoint {
+	var removed []*Endpoint
+	for _, id := range ids {
+		if e := p.byID[id]; e != nil {
+			e.removed = true
+			removed = append(removed, e)
+		}
+	}
+	return removed
+}
+
+// ReadyCount returns how many endpoints of a service were listed last.
+func (p *Placer) ReadyCount(service string) int { return len(p.Endpoints(service)) }
+
+// Endpoints returns the endpoints of a service that were listed last. The slice belongs to the placer.
+func (p *Placer) Endpoints(service string) []*Endpoint {
+	if s := p.services[service]; s != nil {
+		return s.endpoints
+	}
+	return nil
+}
+
+// service returns the state of a service, which it creates at the first use.
+func (p *Placer) service(name string) *service {
+	s := p.services[name]
+	if s == nil {
+		s = &service{tables: map[time.Duration]*table{}}
+		p.services[name] = s
+	}
+	return s
+}
+
+// Place chooses a call's endpoint and records that the call is sent there. It returns nil where no endpoint may be sent the
+// call. Release has to follow.
+func (p *Placer) Place(now time.Duration, call *Call) *Placement {
+	s := p.services[call.Service]
+	if s == nil || len(s.endpoints) == 0 {
+		return nil
+	}
+	t := s.table(call.Target)
+	bucket := 0
+	if call.Target > 0 {
+		bucket = bucketFor(float64(call.Spent) / float64(call.Target))
+	}
+	t.calls[bucket].count(now)
+	s.calls.count(now)
+	s.callRate = p.callRate(now, s)
+	s.refresh(now, call.Target, t)
+	placed := s.draw(now, t.rows[bucket], call.drawKey(p.random), call)
+	if placed != nil {
+		s.recordSend(now, placed, call)
+	}
+	return placed
+}
+
+// Release records that a call has ended, whatever its outcome.
+func (p *Placer) Release(placed *Placement) {
+	placed.Endpoint.inFlight--
+	p.service(placed.Endpoint.Service).inFlight--
+}
+
+// callRate estimates the calls a second that one endpoint gets from all routers. Clients are assumed to be spread evenly over
+// the routers, and calls over the endpoints.
+func (p *Placer) callRate(now time.Duration, s *service) float64 {
+	return s.calls.now(now) * float64(p.routers) / float64(max(1, len(s.endpoints)))
+}
--- a/internal/fleet/placement/prefill.go
+++ b/internal/fleet/placement/prefill.go
@@ -1,61 +1,38 @@
 package placement
 
-import (
-	"math"
-	"time"
-)
+import "math"
 
-// The model of the time that endpoints take to read prompts. All endpoints of a service share one line, which every router
-// learns from its own calls and from those that others tell of; each endpoint has a factor beside, since some are slow.
-
-const (
-	prefillMemory           = 600.0  // observations after which one weighs 1/e in the shared line
-	prefillPriorWeight      = 1.0    // observations that the prior counts for
-	priorBase               = 0.02   // seconds to the first token without any reading, before anything was seen
-	priorUnitTime           = 10e-6  // seconds a unit, the same
-	minBase                 = 0.001  // bounds of the line: what a burst of odd answers can do
-	maxBase                 = 2.0    // seconds
-	minUnitTime             = 1e-6   // seconds
-	maxUnitTime             = 200e-6 // seconds
-	maxPairTime             = 20e-3  // seconds a million pairs
-	typicalPrefill          = 0.05   // seconds of a prompt whose observation weighs one
-	unitScale               = 1000.0 // scale of the prior's certainty
-	pairScale               = 10.0   // millions of pairs, the same
-	initialOutlierFactor    = 3.0    // times what was expected, or a part of it, that an answer may count as while little was seen
-	outlierFactor           = 1.6    // the same afterwards: the line is near the median, which hidden queues move little
-	initialObservations     = 100.0  // observations that are little
-	queuedObservationWeight = 0.2    // of an answer that waited for others: their part of it is not known well
-)
-
-// line is the time that a prompt's reading takes, in seconds: first + units * perUnit + pairs * perPair.
+// latencyLine is the time to first token of a prompt that is prefilled at once: base + units*perUnit + pairs*perPair seconds,
+// with pairs in millions.
 type latencyLine struct{ base, perUnit, perPair float64 }
 
-// reading is the time that an endpoint reads for.
+// prefill returns the seconds that an endpoint computes for.
 func (l latencyLine) prefill(w work) float64 { return w.units*l.perUnit + w.pairs*l.perPair }
 
-// expected is the time to the first token of a prompt that is read at once.
+// firstToken returns the seconds until the first token.
 func (l latencyLine) firstToken(w work) float64 { return l.base + l.prefill(w) }
 
-// priorLine is what is taken for granted before anything was seen.
+// priorLine is assumed before any observation.
 var priorLine = latencyLine{base: priorBase, perUnit: priorUnitTime}
 
-// prefillModel is a weighted least-squares fit of the line. The zero value has seen nothing.
+// prefillModel is a weighted least-squares fit of the line that all endpoints of a service share. Every router fits it to its
+// own calls and to those that others report. The zero value has no observation.
 type prefillModel struct {
 	moments  [3][3]float64 // of (1, units, pairs)
 	products [3]float64    // of these and the time
 	weight   float64
 	fitted   latencyLine
-	known    bool         // something was observed
-	prior    *latencyLine // what another router has learned; nil: priorLine
+	observed bool
+	prior    *latencyLine // of another router; nil: priorLine
 }
 
-// start takes over what another router has learned, before anything was observed.
+// setPrior takes over what another router has learned. It has to come before the first observation.
 func (m *prefillModel) setPrior(l latencyLine) {
 	bounded := l.bounded()
 	m.prior = &bounded
 }
 
-// given is what is taken for granted.
+// priorOrDefault returns what is assumed before any observation.
 func (m *prefillModel) priorOrDefault() latencyLine {
 	if m.prior != nil {
 		return *m.prior
@@ -63,23 +40,23 @@
 	return priorLine
 }
 
-// line is the fit to what was observed.
+// line returns the fit, or the prior before any observation.
 func (m *prefillModel) line() latencyLine {
-	if !m.known {
+	if !m.observed {
 		return m.priorOrDefault()
 	}
 	return m.fitted
 }
 
-// observe notes how long a first token took, beyond the reading of what came before it. Errors count by their share of
-// what was expected, so that short and long prompts weigh the same.
+// observe records how many seconds a first token took, without the prefills in front of it. Errors count by their share of the
+// expected time, so that short and long prompts weigh the same; answers far from it are cut down to outlierFactor.
 func (m *prefillModel) observe(w work, seconds, weight float64) {
 	expected := m.line().firstToken(w)
-	odd := outlierFactor
+	outlier := outlierFactor
 	if m.weight < initialObservations {
-		odd = initialOutlierFactor
+		outlier = initialOutlierFactor
 	}
-	seconds = min(max(seconds, expected/odd), expected*odd)
+	seconds = min(max(seconds, expected/outlier), expected*outlier)
 	scale := typicalPrefill / max(expected, minBase)
 	m.weight = m.weight*(1-1/prefillMemory) + weight
 	weight *= scale * scale
@@ -91,13 +68,13 @@
 			m.moments[i][j] = m.moments[i][j]*keep + weight*x*y
 		}
 	}
-	m.fitted, m.known = m.fit(), true
+	m.fitted, m.observed = m.fit(), true
 }
 
-// fit solves for the line; the prior keeps terms of which little was seen in place.
+// fit solves for the line. The prior keeps terms in place of which little was observed.
 func (m *prefillModel) fit() latencyLine {
-	given := m.priorOrDefault()
-	prior := [3]float64{given.base, given.perUnit * unitScale, given.perPair * pairScale}
+	assumed := m.priorOrDefault()
+	prior := [3]float64{assumed.base, assumed.perUnit * unitScale, assumed.perPair * pairScale}
 	var matrix [3][3]float64
 	var right [3]float64
 	for i := range matrix {
@@ -107,7 +84,7 @@
 	}
 	solution := solveSymmetric(matrix, right)
 	if solution[2] < 0 {
-		// Time does not grow faster than the length: a line without the term for pairs.
+		// The time does not grow faster than the length: fit without the term for pairs.
 		matrix[2], right[2] = [3]float64{0, 0, 1}, 0
 		matrix[0][2], matrix[1][2] = 0, 0
 		solution = solveSymmetric(matrix, right)
@@ -115,13 +92,13 @@
 	return latencyLine{base: solution[0], perUnit: solution[1] / unitScale, perPair: solution[2] / pairScale}.bounded()
 }
 
-// bounded is the line within what an endpoint's can be. What is no number is the prior's.
+// bounded returns the line within what an endpoint's can be. NaN is replaced by the prior's.
 func (l latencyLine) bounded() latencyLine {
-	within := func(value, least, most, otherwise float64) float64 {
+	within := func(value, low, high, fallback float64) float64 {
 		if math.IsNaN(value) {
-			return otherwise
+			return fallback
 		}
-		return min(max(value, least), most)
+		return min(max(value, low), high)
 	}
 	return latencyLine{
 		base:    within(l.base, minBase, maxBase, priorBase),
@@ -151,52 +128,3 @@
 	}
 	return solution
 }
-
-const (
-	slownessMemory      = 8 * time.Second // after which what was observed of an endpoint's speed weighs 1/e
-	slownessMemoryCalls = 12.0            // the same in calls
-	slownessPriorCalls  = 4.0             // calls at the shared line that are taken for granted
-	maxSlownessSample   = 10.0            // times the shared line that one call may count as
-	slownessDeadband    = 1.3             // times, or a part, up to which an endpoint counts as one of the usual speed
-)
-
-// slowness is how many times as long as the shared line says an endpoint takes. The zero value is an endpoint of the usual
-// speed.
-type slowness struct {
-	weight, sum float64 // of logarithms
-	updatedAt   time.Duration
-}
-
-func (s *slowness) decay(now time.Duration) {
-	if now <= s.updatedAt {
-		return
-	}
-	keep := math.Exp(-float64(now-s.updatedAt) / float64(slownessMemory))
-	s.weight *= keep
-	s.sum *= keep
-	s.updatedAt = now
-}
-
-// observe notes a call that took so many times what the shared line says.
-func (s *slowness) observe(now time.Duration, times float64) {
-	s.decay(now)
-	keep := 1 - 1/slownessMemoryCalls
-	s.weight = s.weight*keep + 1
-	s.sum = s.sum*keep + math.Log(min(max(times, 1/maxSlownessSample), maxSlownessSample))
-}
-
-// times is the factor.
-func (s *slowness) factor(now time.Duration) float64 {
-	if s.weight == 0 {
-		return 1
-	}
-	s.decay(now)
-	times := math.Exp(s.sum / (s.weight + slownessPriorCalls))
-	switch {
-	case times > slownessDeadband:
-		return times / slownessDeadband
-	case times < 1/slownessDeadband:
-		return times * slownessDeadband
-	}
-	return 1
-}
--- /dev/null
+++ b/internal/fleet/placement/prefix_cache_test.go
@@ -0,0 +1,25 @@
+package placement
+
+import (
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+)
+
+func TestPrefixCache(t *testing.T) {
+	Convey("Cached prefixes expire, and their number is bounded", t, func() {
+		var k prefixCache
+		prompt := &Prompt{Units: 100, Prefixes: []Prefix{{Hash: 1, Units: 80}, {Hash: 2, Units: 30}}}
+		So(k.uncached(0, prompt), ShouldEqual, 100)
+		k.insert(0, 2)
+		So(k.uncached(time.Second, prompt), ShouldEqual, 70)
+		k.insert(time.Second, 1)
+		So(k.uncached(time.Second, prompt), ShouldEqual, 20)
+		So(k.uncached(2*prefixTTL, prompt), ShouldEqual, 100)
+		for hash := range uint32(2 * maxCachedPrefixes) {
+			k.insert(2*time.Second, hash+10)
+		}
+		So(len(k), ShouldBeLessThanOrEqualTo, maxCachedPrefixes)
+	})
+}
--- a/internal/fleet/placement/queue.go
+++ b/internal/fleet/placement/queue.go
@@ -5,32 +5,24 @@
 	"time"
 )
 
-// What an endpoint still has to read before a new prompt's first token: a model of its queue, fed with this router's own
-// sends at once and with other routers' as they tell of them. Reports of the endpoint itself would be old on arrival, and
-// the same for all readers. A prompt that is being read is read to its end; of those that wait the most urgent is next.
-
-const (
-	priorityLevels         = 10   // of the Priority header
-	maxQueueSeconds        = 20.0 // seconds of work: beyond, the model is surely wrong
-	certainOvertakeSeconds = 0.3  // seconds that are read first with which a more urgent prompt surely passes one that waits
-	maxQueueJobs           = 64   // prompts that are told apart; beyond, they are counted with the last one
-)
-
-// job is a prompt that an endpoint has still to read.
+// job is a prompt that an endpoint has still to prefill.
 type job struct {
 	serial    uint64
 	priority  int
 	remaining float64 // seconds
 }
 
-// queue is the model of one endpoint. The first job is being read.
+// queue models what an endpoint has still to prefill before a new prompt's first token. It is fed with this router's own sends
+// at once and with other routers' as they report them: reports of the endpoint itself would be old on arrival, and the same
+// for all readers. A prefill that has started runs to its end; then the most urgent job is next, the oldest among equals. The
+// first job is the one that runs.
 type queue struct {
-	jobs      []job
-	serial    uint64 // of the last job
-	updatedAt time.Duration
+	jobs       []job
+	lastSerial uint64
+	updatedAt  time.Duration
 }
 
-// drain lets the endpoint read for the time that has passed.
+// drain lets the endpoint work until now.
 func (q *queue) drain(now time.Duration) {
 	if now <= q.updatedAt {
 		return
@@ -47,7 +39,7 @@
 	}
 }
 
-// remove ends a job. Where it was being read, the most urgent of the others, the oldest among equals, is next.
+// remove ends a job. Where it was the running one, the next is moved to the front.
 func (q *queue) remove(i int) {
 	q.jobs = slices.Delete(q.jobs, i, i+1)
 	if i > 0 || len(q.jobs) < 2 {
@@ -64,12 +56,12 @@
 	q.jobs[0] = chosen
 }
 
-// before is how many seconds are expected to be read before a new prompt of a rank. A less urgent prompt that waits may
-// be begun before the new one is there, the sooner the less is read before it; the longest is expected to be.
-func (q *queue) waitFor(rank int) float64 {
+// waitFor returns how many seconds of prefill are expected in front of a new prompt of a priority. A less urgent job that waits
+// may start before the new prompt arrives, the likelier the less is in front of it; the longest one is taken to.
+func (q *queue) waitFor(priority int) float64 {
 	ahead, longest := 0.0, 0.0
 	for i := range q.jobs {
-		if i == 0 || q.jobs[i].priority <= rank {
+		if i == 0 || q.jobs[i].priority <= priority {
 			ahead += q.jobs[i].remaining
 		} else {
 			longest = max(longest, q.jobs[i].remaining)
@@ -78,7 +70,7 @@
 	return ahead + longest*max(0, 1-ahead/certainOvertakeSeconds)
 }
 
-// left is how many seconds all prompts take.
+// total returns how many seconds all jobs take.
 func (q *queue) total() float64 {
 	sum := 0.0
 	for i := range q.jobs {
@@ -87,24 +79,23 @@
 	return sum
 }
 
-// push adds a prompt that takes so many seconds to read. It returns the job's number.
-func (q *queue) push(now time.Duration, rank int, seconds float64) uint64 {
+// push adds a job that takes so many seconds. It returns the job's serial number.
+func (q *queue) push(now time.Duration, priority int, seconds float64) uint64 {
 	q.drain(now)
-	rank = min(max(rank, 0), priorityLevels-1)
 	seconds = min(seconds, max(0, maxQueueSeconds-q.total()))
 	if len(q.jobs) >= maxQueueJobs {
 		q.jobs[len(q.jobs)-1].remaining += seconds
 		return q.jobs[len(q.jobs)-1].serial
 	}
-	q.serial++
-	q.jobs = append(q.jobs, job{serial: q.serial, priority: rank, remaining: seconds})
-	return q.serial
+	q.lastSerial++
+	q.jobs = append(q.jobs, job{serial: q.lastSerial, priority: priorityClass(priority), remaining: seconds})
+	return q.lastSerial
 }
 
-// reached notes that the first token of a prompt came: what was as urgent and had been pushed by then has been read.
-func (q *queue) complete(serial uint64, rank int) {
+// complete records that the first token of a job came: it and the jobs pushed before it that are as urgent have ended.
+func (q *queue) complete(serial uint64, priority int) {
 	for i := len(q.jobs) - 1; i >= 0; i-- {
-		if q.jobs[i].serial <= serial && q.jobs[i].priority <= rank {
+		if q.jobs[i].serial <= serial && q.jobs[i].priority <= priority {
 			q.remove(i)
 		}
 	}
--- a/internal/fleet/placement/status.go
+++ b/internal/fleet/placement/status.go
@@ -7,25 +7,42 @@
 	"time"
 )
 
-// accuracyBounds are the sizes that are told apart where what was expected is compared with what came.
-var accuracyBounds = [...]float64{1000, 4000, 16000}
-
-const accuracyClasses = len(accuracyBounds) + 1
+// Share is one endpoint's share of a row.
+type Share struct {
+	Endpoint string  `json:"endpoint"`
+	Share    float64 `json:"share"`
+}
 
-// accuracy compares this router's first tokens with what was expected, by the units that were read.
-type accuracy [accuracyClasses]struct{ calls, expected, actual float64 }
+// TableView is a table in the status that operators see.
+type TableView struct {
+	Service      string               `json:"service"`
+	TargetMs     int64                `json:"targetMs"`
+	Rows         [bucketCount][]Share `json:"rows"`
+	PayoffBefore float64              `json:"payoffBefore"` // the last solve: share of calls in time
+	PayoffAfter  float64              `json:"payoffAfter"`
+}
 
-func (a *accuracy) observe(units float64, expected, actual time.Duration) {
-	size := 0
-	for size < len(accuracyBounds) && units >= accuracyBounds[size] {
-		size++
+// Tables returns all tables, ordered by service and target.
+func (p *Placer) Tables() []TableView {
+	var views []TableView
+	for name, s := range p.services {
+		for target, t := range s.tables {
+			v := TableView{Service: name, TargetMs: target.Milliseconds(), PayoffBefore: t.payoffBefore, PayoffAfter: t.payoffAfter}
+			for k, row := range t.rows {
+				for i, share := range row {
+					v.Rows[k] = append(v.Rows[k], Share{Endpoint: s.endpoints[i].ID, Share: share})
+				}
+			}
+			views = append(views, v)
+		}
 	}
-	a[size].calls++
-	a[size].expected += expected.Seconds()
-	a[size].actual += actual.Seconds()
+	slices.SortFunc(views, func(a, b TableView) int {
+		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.TargetMs, b.TargetMs))
+	})
+	return views
 }
 
-// SizeView is what was expected and what came, since the start.
+// SizeView compares expected and actual times to first token since the start, for calls of a class of prefilled units.
 type SizeView struct {
 	UnitsBelow float64 `json:"unitsBelow,omitempty"` // 0: no bound
 	Calls      float64 `json:"calls"`
@@ -33,56 +50,73 @@
 	ActualMs   float64 `json:"actualMs"`   // mean
 }
 
-// EndpointView is an endpoint as this router takes it to be.
+// EndpointView is what this router assumes of an endpoint.
 type EndpointView struct {
 	Endpoint  string  `json:"endpoint"`
-	WaitMs    float64 `json:"waitMs"`    // of a call of the least urgent rank
-	Streams   int     `json:"streams"`   // that may run there
-	Kept      int     `json:"kept"`      // shared parts
-	Slowness  float64 `json:"slowness"`  // times the service's line
+	WaitMs    float64 `json:"waitMs"`    // of a call of the least urgent priority
+	Streams   int     `json:"streams"`   // that probably run there
+	Kept      int     `json:"kept"`      // prefixes cached
+	Slowness  float64 `json:"slowness"`  // times the service's prefill model
 	FailShare float64 `json:"failShare"` // of calls
 	Ejected   bool    `json:"ejected,omitempty"`
 }
 
-// ServiceView is what is learned of a service's endpoints.
+// ServiceView is what this router has learned of a service's endpoints.
 type ServiceView struct {
 	Service     string         `json:"service"`
-	FirstMs     float64        `json:"firstMs"`     // to a first token without any reading
-	UnitUs      float64        `json:"unitUs"`      // more a unit that is read
+	FirstMs     float64        `json:"firstMs"`     // to a first token without prefill
+	UnitUs      float64        `json:"unitUs"`      // more a unit
 	PairMs      float64        `json:"pairMs"`      // more a million pairs of units
-	PauseShare  float64        `json:"pauseShare"`  // of a prompt's reading, between events of streams beside it
-	FirstTokens []SizeView     `json:"firstTokens"` // by size
+	PauseShare  float64        `json:"pauseShare"`  // of a prefill's time, the stall of streams beside it
+	FirstTokens []SizeView     `json:"firstTokens"` // by prefilled units
 	Endpoints   []EndpointView `json:"endpoints"`
 }
 
-// Services shows what is learned of all services' endpoints, ordered by service.
+// Services returns what this router has learned of all services' endpoints, ordered by service.
 func (p *Placer) Services(now time.Duration) []ServiceView {
 	var views []ServiceView
 	for name, s := range p.services {
-		l := s.prefill.line()
-		v := ServiceView{Service: name, FirstMs: tenths(l.base * 1e3), UnitUs: tenths(l.perUnit * 1e6), PairMs: l.perPair * 1e3, PauseShare: s.stalls.share()}
-		for size, seen := range s.accuracy {
-			each := SizeView{Calls: seen.calls}
-			if size < len(accuracyBounds) {
-				each.UnitsBelow = accuracyBounds[size]
-			}
-			if seen.calls > 0 {
-				each.ExpectedMs, each.ActualMs = tenths(seen.expected/seen.calls*1e3), tenths(seen.actual/seen.calls*1e3)
-			}
-			v.FirstTokens = append(v.FirstTokens, each)
+		views = append(views, s.view(now, name))
+	}
+	slices.SortFunc(views, func(a, b ServiceView) int { return cmp.Compare(a.Service, b.Service) })
+	return views
+}
+
+func (s *service) view(now time.Duration, name string) ServiceView {
+	line := s.prefill.line()
+	v := ServiceView{
+		Service: name, FirstMs: tenths(line.base * 1e3), UnitUs: tenths(line.perUnit * 1e6), PairMs: line.perPair * 1e3,
+		PauseShare: s.stalls.share(), FirstTokens: s.accuracy.views(),
+	}
+	for _, e := range s.endpoints {
+		v.Endpoints = append(v.Endpoints, e.view(now, s.callRate))
+	}
+	return v
+}
+
+func (a *accuracy) views() []SizeView {
+	var views []SizeView
+	for class, seen := range a {
+		v := SizeView{Calls: seen.calls}
+		if class < len(accuracyBounds) {
+			v.UnitsBelow = accuracyBounds[class]
 		}
-		for _, e := range s.endpoints {
-			e.queue.drain(now)
-			v.Endpoints = append(v.Endpoints, EndpointView{
-				Endpoint: e.ID, WaitMs: tenths(e.queue.waitFor(priorityLevels-1) * 1e3), Streams: len(e.streams.running), Kept: len(e.prefixes),
-				Slowness: tenths(e.slowness.factor(now)), FailShare: e.faults.share(now, s.callRate), Ejected: now < e.ejectedUntil,
-			})
+		if seen.calls > 0 {
+			v.ExpectedMs = tenths(seen.expected / seen.calls * 1e3)
+			v.ActualMs = tenths(seen.actual / seen.calls * 1e3)
 		}
 		views = append(views, v)
 	}
-	slices.SortFunc(views, func(a, b ServiceView) int { return cmp.Compare(a.Service, b.Service) })
 	return views
 }
 
-// tenths rounds a figure for reading.
+func (e *Endpoint) view(now time.Duration, callRate float64) EndpointView {
+	e.queue.drain(now)
+	return EndpointView{
+		Endpoint: e.ID, WaitMs: tenths(e.queue.waitFor(priorityLevels-1) * 1e3), Streams: len(e.streams.running), Kept: len(e.prefixes),
+		Slowness: tenths(e.slowness.factor(now)), FailShare: e.faults.share(now, callRate), Ejected: now < e.ejectedUntil,
+	}
+}
+
+// tenths rounds a value to one decimal.
 func tenths(value float64) float64 { return math.Round(value*10) / 10 }
--- a/internal/fleet/placement/status_test.go
+++ b/internal/fleet/placement/status_test.go
@@ -7,8 +7,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestViewOfServices(t *testing.T) {
-	Convey("What was expected is shown beside what came, by size, and each endpoint's state", t, func() {
+func TestServiceStatus(t *testing.T) {
+	Convey("Expected and actual delays are shown by prefilled units, and each endpoint's state", t, func() {
 		p := placer(2)
 		placed := p.Place(0, call(7, 8000))
 		p.RecordRemoteFailures(0, placed.Endpoint.Name(), 50, false)
