--- a/internal/fleet/proxy/standin_test.go
+++ b/internal/fleet/proxy/standin_test.go
@@ -31,7 +31,7 @@
 	accepts int
 }
 
-func newStandIn(t *testing.T, id string, script ...func(net.Conn, *http.Request)) *standIn {
+func newStandIn(t testing.TB, id string, script ...func(net.Conn, *http.Request)) *standIn {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -173,7 +173,7 @@
 	server *httptest.Server
 }
 
-func newRig(t *testing.T, endpoints ...*standIn) *rig {
+func newRig(t testing.TB, endpoints ...*standIn) *rig {
 	t.Helper()
 	document, err := config.ParseDocument([]byte(configuration))
 	if err != nil {
