--- /dev/null
+++ b/internal/fleet/placement/status.go
@@ -0,0 +1,122 @@
+package placement
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+)
+
+// Share is one endpoint's share of a row.
+type Share struct {
+	Endpoint string  `json:"endpoint"`
+	Share    float64 `json:"share"`
+}
+
+// TableView is a table in the status that operators see.
+type TableView struct {
+	Service      string               `json:"service"`
+	TargetMs     int64                `json:"targetMs"`
+	Rows         [bucketCount][]Share `json:"rows"`
+	PayoffBefore float64              `json:"payoffBefore"` // the last solve: share of calls in time
+	PayoffAfter  float64              `json:"payoffAfter"`
+}
+
+// Tables returns all tables, ordered by service and target.
+func (p *Placer) Tables() []TableView {
+	var views []TableView
+	for name, s := range p.services {
+		for target, t := range s.tables {
+			v := TableView{Service: name, TargetMs: target.Milliseconds(), PayoffBefore: t.payoffBefore, PayoffAfter: t.payoffAfter}
+			for k, row := range t.rows {
+				for i, share := range row {
+					v.Rows[k] = append(v.Rows[k], Share{Endpoint: s.endpoints[i].ID, Share: share})
+				}
+			}
+			views = append(views, v)
+		}
+	}
+	slices.SortFunc(views, func(a, b TableView) int {
+		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.TargetMs, b.TargetMs))
+	})
+	return views
+}
+
+// SizeView compares expected and actual times to first token since the start, for calls of a class of prefilled units.
+type SizeView struct {
+	UnitsBelow float64 `json:"unitsBelow,omitempty"` // 0: no bound
+	Calls      float64 `json:"calls"`
+	ExpectedMs float64 `json:"expectedMs"` // mean
+	ActualMs   float64 `json:"actualMs"`   // mean
+}
+
+// EndpointView is what this router assumes of an endpoint.
+type EndpointView struct {
+	Endpoint  string  `json:"endpoint"`
+	WaitMs    float64 `json:"waitMs"`    // of a call of the least urgent priority
+	Streams   int     `json:"streams"`   // that probably run there
+	Kept      int     `json:"kept"`      // prefixes cached
+	Slowness  float64 `json:"slowness"`  // times the service's prefill model
+	FailShare float64 `json:"failShare"` // of calls
+	Ejected   bool    `json:"ejected,omitempty"`
+}
+
+// ServiceView is what this router has learned of a service's endpoints.
+type ServiceView struct {
+	Service     string         `json:"service"`
+	FirstMs     float64        `json:"firstMs"`     // to a first token without prefill
+	UnitUs      float64        `json:"unitUs"`      // more a unit
+	PairMs      float64        `json:"pairMs"`      // more a million pairs of units
+	PauseShare  float64        `json:"pauseShare"`  // of a prefill's time, the stall of streams beside it
+	FirstTokens []SizeView     `json:"firstTokens"` // by prefilled units
+	Endpoints   []EndpointView `json:"endpoints"`
+}
+
+// Services returns what this router has learned of all services' endpoints, ordered by service.
+func (p *Placer) Services(now time.Duration) []ServiceView {
+	var views []ServiceView
+	for name, s := range p.services {
+		views = append(views, s.view(now, name))
+	}
+	slices.SortFunc(views, func(a, b ServiceView) int { return cmp.Compare(a.Service, b.Service) })
+	return views
+}
+
+func (s *service) view(now time.Duration, name string) ServiceView {
+	line := s.prefill.line()
+	v := ServiceView{
+		Service: name, FirstMs: tenths(line.base * 1e3), UnitUs: tenths(line.perUnit * 1e6), PairMs: line.perPair * 1e3,
+		PauseShare: s.stalls.share(), FirstTokens: s.accuracy.views(),
+	}
+	for _, e := range s.endpoints {
+		v.Endpoints = append(v.Endpoints, e.view(now, s.callRate))
+	}
+	return v
+}
+
+func (a *accuracy) views() []SizeView {
+	var views []SizeView
+	for class, seen := range a {
+		v := SizeView{Calls: seen.calls}
+		if class < len(accuracyBounds) {
+			v.UnitsBelow = accuracyBounds[class]
+		}
+		if seen.calls > 0 {
+			v.ExpectedMs = tenths(seen.expected / seen.calls * 1e3)
+			v.ActualMs = tenths(seen.actual / seen.calls * 1e3)
+		}
+		views = append(views, v)
+	}
+	return views
+}
+
+func (e *Endpoint) view(now time.Duration, callRate float64) EndpointView {
+	e.queue.drain(now)
+	return EndpointView{
+		Endpoint: e.ID, WaitMs: tenths(e.queue.waitFor(priorityLevels-1) * 1e3), Streams: len(e.streams.running), Kept: len(e.prefixes),
+		Slowness: tenths(e.slowness.factor(now)), FailShare: e.faults.share(now, callRate), Ejected: now < e.ejectedUntil,
+	}
+}
+
+// tenths rounds a value to one decimal.
+func tenths(value float64) float64 { return math.Round(value*10) / 10 }
