--- a/internal/fleet/replication/simulation_test.go
+++ b/internal/fleet/replication/simulation_test.go
@@ -30,6 +30,7 @@
 	slowUntil    time.Duration // messages take up to slowMost until then
 	diskLostBy   *node         // the machine whose disk was lost last, until it has caught up
 	healthySince time.Duration
+	trace        *traceRecorder // nil: none
 }
 
 // setup is the shape of a core.
@@ -171,6 +172,7 @@
 
 // carryOut does what a step wants done. A machine may lose power between the write and the messages.
 func (s *simulation) carryOut(n *node, out *Output) {
+	s.trace.record(n.machine, out)
 	if out.Write != nil {
 		if out.Write.Snapshot != nil {
 			n.state = slices.Clone(out.Write.Snapshot[1:])
--- a/internal/fleet/replication/world_test.go
+++ b/internal/fleet/replication/world_test.go
@@ -28,6 +28,7 @@
 	hop       time.Duration       // that a delivery takes
 	timing    Timing
 	cut       map[[2]string]bool // from, to: nothing passes
+	trace     *traceRecorder     // nil: none
 }
 
 // mistake is one that is planted, to show that the search finds it.
@@ -90,6 +91,7 @@
 
 // carryOut does what a step wants done, as package replica does it.
 func (w *world) carryOut(h *host, out *Output) {
+	w.trace.record(h.machine, out)
 	if out.Write != nil {
 		if out.Write.Snapshot != nil {
 			h.state = slices.Clone(out.Write.Snapshot[1:])
