--- a/internal/fleet/control/points_test.go
+++ b/internal/fleet/control/points_test.go
@@ -244,10 +244,10 @@
 	s.note("%s is told to end", address)
 	m.current().Resign()
 	time.Sleep(2500 * time.Millisecond)
-	for until := time.Now().Add(5 * time.Second); !m.current().MayStop() && time.Now().Before(until); {
+	for until := time.Now().Add(5 * time.Second); !m.current().CanStop() && time.Now().Before(until); {
 		time.Sleep(50 * time.Millisecond)
 	}
-	s.note("%s ends for good, released %v", address, m.current().MayStop())
+	s.note("%s ends for good, released %v", address, m.current().CanStop())
 	m.end()
 	s.mu.Lock()
 	s.order = slices.DeleteFunc(s.order, func(a string) bool { return a == address })
--- a/internal/fleet/replica/orders.go
+++ b/internal/fleet/replica/orders.go
@@ -178,9 +178,9 @@
 	r.do(func() { r.carryOut(r.machine.Resign(r.options.Clock())) })
 }
 
-// MayStop tells whether a replica that has resigned may end: its copy and its vote are where they have to be, as far as
+// CanStop tells whether a replica that has resigned may end: its copy and its vote are where they have to be, as far as
 // waiting helps.
-func (r *Replica) MayStop() bool { return r.look().released }
+func (r *Replica) CanStop() bool { return r.look().released }
 
 // settle looks, after a step, at what has been decided.
 func (r *Replica) settle() {
@@ -202,7 +202,7 @@
 	confirmed, current := r.machine.LeadershipConfirmedAt()
 	r.settleConfirmations(confirmed, current)
 	r.mu.Lock()
-	r.seen.leading, r.seen.view, r.seen.released = leading && r.table != nil, view, r.machine.MayStop()
+	r.seen.leading, r.seen.view, r.seen.released = leading && r.table != nil, view, r.machine.CanStop()
 	r.seen.confirmed, r.seen.current = confirmed, current
 	if current {
 		r.seen.lastConfirmed, r.seen.hasConfirmed = confirmed, true
--- a/internal/fleet/replica/replica.go
+++ b/internal/fleet/replica/replica.go
@@ -178,7 +178,7 @@
 func (r *Replica) build(durable replication.HardState) {
 	r.machine = replication.New(r.options.Clock(), durable, replication.Options{
 		Timing: r.options.Timing, Tolerance: r.options.Tolerance, LocalityOf: r.options.LocalityOf,
-		JoinTargets: r.options.Peers, Joins: r.options.Votes,
+		JoinTargets: r.options.Peers, RequestsJoin: r.options.Votes,
 		Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
 }
--- a/internal/fleet/replication/composition.go
+++ b/internal/fleet/replication/composition.go
@@ -14,34 +14,34 @@
 // one view.
 
 // witnessTarget is how many witnesses outlive what may be lost at once.
-func (m *Node) witnessTarget() int {
-	t := m.options.Tolerance
+func (n *Node) witnessTarget() int {
+	t := n.options.Tolerance
 	return 2*max(t.Machines, t.Zones, t.Regions) + 1
 }
 
-// membersMost bounds the copies: each of them has to store a change before it is acknowledged.
-func (m *Node) membersMost() int { return m.witnessTarget() }
+// maxMembers bounds the copies: each of them has to store a change before it is acknowledged.
+func (n *Node) maxMembers() int { return n.witnessTarget() }
 
 // live tells whether a replica was heard of within a time.
-func (m *Node) live(r Replica, within time.Duration) bool {
-	if r == m.durable.Self {
+func (n *Node) isLive(r Replica, within time.Duration) bool {
+	if r == n.hardState.Self {
 		return true
 	}
-	at, known := m.heard[r]
-	return known && m.now-at < within
+	at, known := n.lastContact[r]
+	return known && n.now-at < within
 }
 
-// asksToJoin tells whether a replica wants to be taken in.
-func (m *Node) asksToJoin(r Replica) bool {
-	at, known := m.joining[r]
-	return known && m.now-at < m.options.Timing.JoinInterval*4
+// hasJoinRequest tells whether a replica wants to be taken in.
+func (n *Node) hasJoinRequest(r Replica) bool {
+	at, known := n.joinRequests[r]
+	return known && n.now-at < n.options.Timing.JoinInterval*4
 }
 
 // applicants are the replicas that want to be taken in and are no witnesses yet, in a fixed order.
-func (m *Node) applicants() []Replica {
+func (n *Node) joiningReplicas() []Replica {
 	var all []Replica
-	for r := range m.joining {
-		if m.asksToJoin(r) && !m.durable.View.HasWitness(r) {
+	for r := range n.joinRequests {
+		if n.hasJoinRequest(r) && !n.hardState.View.HasWitness(r) {
 			all = append(all, r)
 		}
 	}
@@ -51,9 +51,9 @@
 
 // admissible are the applicants that may become witnesses now. A primary that changes the composition of its own view
 // takes only those in that hold its state already, so that the change takes no longer than a few messages.
-func (m *Node) admissible(prepared bool) []Replica {
-	return slices.DeleteFunc(m.applicants(), func(r Replica) bool {
-		return m.penalized(r) || m.isSkipped(r) || prepared && !m.isPrepared(r)
+func (n *Node) admissibleJoiners(prepared bool) []Replica {
+	return slices.DeleteFunc(n.joiningReplicas(), func(r Replica) bool {
+		return n.isPenalized(r) || n.isExcluded(r) || prepared && !n.isCaughtUp(r)
 	})
 }
 
@@ -62,56 +62,56 @@
 
 // The fitness of a witness, from the best to the worst.
 const (
-	fit      fitness = iota
-	outsider         // it does not count for the quorum
-	leaver           // it has said that it ends
-	silent           // it was not heard of for some time
+	healthy      fitness = iota
+	nonVoting         // it does not count for the quorum
+	resigning           // it has said that it ends
+	unresponsive           // it was not heard of for some time
 )
 
-func (m *Node) fitnessOf(r Replica) fitness {
-	place := m.options.LocalityOf(r.Address)
+func (n *Node) fitnessOf(r Replica) fitness {
+	place := n.options.LocalityOf(r.Address)
 	switch {
-	case !m.live(r, m.options.Timing.WitnessTimeout) && !m.promisedNow(r):
-		return silent
-	case m.isLeaving(r):
-		return leaver
+	case !n.isLive(r, n.options.Timing.WitnessTimeout) && !n.hasPromised(r):
+		return unresponsive
+	case n.isResigning(r):
+		return resigning
 	case place.Known && !place.CountsForQuorum:
-		return outsider
+		return nonVoting
 	}
-	return fit
+	return healthy
 }
 
 // nextWitnesses has applicants take the places of lost replicas of the same machine, then of unfit witnesses, then free
 // places. prepared: only applicants that hold the state already.
-func (m *Node) nextWitnesses(prepared bool) []Replica {
-	next := slices.Clone(m.durable.View.Witnesses)
-	newcomers := slices.DeleteFunc(m.admissible(prepared), func(r Replica) bool { return m.replaceFormer(next, r) })
+func (n *Node) nextWitnesses(prepared bool) []Replica {
+	next := slices.Clone(n.hardState.View.Witnesses)
+	newcomers := slices.DeleteFunc(n.admissibleJoiners(prepared), func(r Replica) bool { return n.replaceFormerIncarnation(next, r) })
 	for len(newcomers) > 0 {
 		beside := next
-		if worst := m.leastFit(next); worst >= 0 && m.fitnessOf(next[worst]) > fit {
+		if worst := n.leastFit(next); worst >= 0 && n.fitnessOf(next[worst]) > healthy {
 			beside = slices.Delete(slices.Clone(next), worst, worst+1)
-		} else if len(next) >= m.witnessTarget() {
+		} else if len(next) >= n.witnessTarget() {
 			break
 		}
-		with := append(slices.Clone(beside), m.takeNewcomer(&newcomers, beside))
-		if m.outlivesPlaces(with) || !m.outlivesPlaces(next) {
+		with := append(slices.Clone(beside), n.takeJoiner(&newcomers, beside))
+		if n.survivesLocalityLoss(with) || !n.survivesLocalityLoss(next) {
 			next = with
 		}
 	}
-	return m.trim(next)
+	return n.trim(next)
 }
 
-// outlivesPlaces tells whether a majority of witnesses is left when a zone or a region is lost, as far as one may be.
-func (m *Node) outlivesPlaces(witnesses []Replica) bool {
-	t := m.options.Tolerance
+// survivesLocalityLoss tells whether a majority of witnesses is left when a zone or a region is lost, as far as one may be.
+func (n *Node) survivesLocalityLoss(witnesses []Replica) bool {
+	t := n.options.Tolerance
 	if t.Zones == 0 && t.Regions == 0 {
 		return true
 	}
-	return !slices.ContainsFunc(witnesses, func(r Replica) bool { return 2*m.crowd(r, witnesses) >= len(witnesses) })
+	return !slices.ContainsFunc(witnesses, func(r Replica) bool { return 2*n.localityCount(r, witnesses) >= len(witnesses) })
 }
 
-// replaceFormer puts an applicant in the place of a witness of the same machine, whose disk was lost.
-func (m *Node) replaceFormer(witnesses []Replica, applicant Replica) bool {
+// replaceFormerIncarnation puts an applicant in the place of a witness of the same machine, whose disk was lost.
+func (n *Node) replaceFormerIncarnation(witnesses []Replica, applicant Replica) bool {
 	at := slices.IndexFunc(witnesses, func(r Replica) bool { return r.Address == applicant.Address })
 	if at >= 0 {
 		witnesses[at] = applicant
@@ -119,13 +119,13 @@
 	return at >= 0
 }
 
-// takeNewcomer removes the newcomer from a list that is to stand beside others: where zones or regions may be lost, one of
+// takeJoiner removes the newcomer from a list that is to stand beside others: where zones or regions may be lost, one of
 // the zone that has the fewest of them.
-func (m *Node) takeNewcomer(newcomers *[]Replica, beside []Replica) Replica {
+func (n *Node) takeJoiner(newcomers *[]Replica, beside []Replica) Replica {
 	best := 0
-	if t := m.options.Tolerance; t.Zones > 0 || t.Regions > 0 {
+	if t := n.options.Tolerance; t.Zones > 0 || t.Regions > 0 {
 		for i, r := range *newcomers {
-			if m.crowd(r, beside) < m.crowd((*newcomers)[best], beside) {
+			if n.localityCount(r, beside) < n.localityCount((*newcomers)[best], beside) {
 				best = i
 			}
 		}
@@ -136,12 +136,12 @@
 }
 
 // crowd is how many of a list stand in a replica's zone or region.
-func (m *Node) crowd(r Replica, among []Replica) int {
-	place, count := m.options.LocalityOf(r.Address), 0
+func (n *Node) localityCount(r Replica, among []Replica) int {
+	place, count := n.options.LocalityOf(r.Address), 0
 	for _, other := range among {
-		at := m.options.LocalityOf(other.Address)
+		at := n.options.LocalityOf(other.Address)
 		same := at.Zone == place.Zone
-		if m.options.Tolerance.Regions > 0 {
+		if n.options.Tolerance.Regions > 0 {
 			same = at.Region == place.Region
 		}
 		if same {
@@ -153,29 +153,29 @@
 
 // leastFit is the index of the witness that is to go first; -1: there is none. Of equals, one that is no member and stands
 // in the most crowded zone goes first, and never this replica.
-func (m *Node) leastFit(witnesses []Replica) int {
+func (n *Node) leastFit(witnesses []Replica) int {
 	worst := -1
 	for i, r := range witnesses {
-		if worst < 0 || m.goesBefore(r, witnesses[worst], witnesses) {
+		if worst < 0 || n.lessFit(r, witnesses[worst], witnesses) {
 			worst = i
 		}
 	}
 	return worst
 }
 
-func (m *Node) goesBefore(r, other Replica, among []Replica) bool {
-	if a, b := m.fitnessOf(r), m.fitnessOf(other); a != b {
+func (n *Node) lessFit(r, other Replica, among []Replica) bool {
+	if a, b := n.fitnessOf(r), n.fitnessOf(other); a != b {
 		return a > b
 	}
-	if a, b := r == m.durable.Self, other == m.durable.Self; a != b {
+	if a, b := r == n.hardState.Self, other == n.hardState.Self; a != b {
 		return b
 	}
-	if t := m.options.Tolerance; t.Zones > 0 || t.Regions > 0 {
-		if a, b := m.crowd(r, among), m.crowd(other, among); a != b {
+	if t := n.options.Tolerance; t.Zones > 0 || t.Regions > 0 {
+		if a, b := n.localityCount(r, among), n.localityCount(other, among); a != b {
 			return a > b
 		}
 	}
-	if a, b := m.durable.View.HasMember(r), m.durable.View.HasMember(other); a != b {
+	if a, b := n.hardState.View.HasMember(r), n.hardState.View.HasMember(other); a != b {
 		return b
 	}
 	return compareReplicas(r, other) > 0
@@ -183,14 +183,14 @@
 
 // trim takes witnesses out beyond the target, and one more where an even number would be left, as long as the others may
 // hold copies enough.
-func (m *Node) trim(witnesses []Replica) []Replica {
-	if slices.ContainsFunc(witnesses, m.isUnplaced) {
+func (n *Node) trim(witnesses []Replica) []Replica {
+	if slices.ContainsFunc(witnesses, n.isLocalityUnknown) {
 		return witnesses // one that counts could go, and one that doesn't could stay
 	}
-	for len(witnesses) > 1 && (len(witnesses) > m.witnessTarget() || len(witnesses)%2 == 0) {
-		at := m.leastFit(witnesses)
+	for len(witnesses) > 1 && (len(witnesses) > n.witnessTarget() || len(witnesses)%2 == 0) {
+		at := n.leastFit(witnesses)
 		rest := slices.Delete(slices.Clone(witnesses), at, at+1)
-		if !m.enough(rest) || !m.countsEnough(witnesses, rest) {
+		if !n.survivesLoss(rest) || !n.keepsVotingTolerance(witnesses, rest) {
 			return witnesses
 		}
 		witnesses = rest
@@ -198,83 +198,83 @@
 	return witnesses
 }
 
-// isUnplaced tells whether nothing is known yet of where a live replica stands.
-func (m *Node) isUnplaced(r Replica) bool {
-	return !m.options.LocalityOf(r.Address).Known && m.fitnessOf(r) != silent
+// isLocalityUnknown tells whether nothing is known yet of where a live replica stands.
+func (n *Node) isLocalityUnknown(r Replica) bool {
+	return !n.options.LocalityOf(r.Address).Known && n.fitnessOf(r) != unresponsive
 }
 
-// countsEnough tells whether the rest still has copies enough that count for the quorum, where the whole has.
-func (m *Node) countsEnough(whole, rest []Replica) bool {
-	return m.enough(m.counting(rest)) || !m.enough(m.counting(whole))
+// keepsVotingTolerance tells whether the rest still has copies enough that count for the quorum, where the whole has.
+func (n *Node) keepsVotingTolerance(whole, rest []Replica) bool {
+	return n.survivesLoss(n.voting(rest)) || !n.survivesLoss(n.voting(whole))
 }
 
 // counting are the replicas that count for the quorum, or of which it is not known.
-func (m *Node) counting(replicas []Replica) []Replica {
+func (n *Node) voting(replicas []Replica) []Replica {
 	return slices.DeleteFunc(slices.Clone(replicas), func(r Replica) bool {
-		place := m.options.LocalityOf(r.Address)
+		place := n.options.LocalityOf(r.Address)
 		return place.Known && !place.CountsForQuorum
 	})
 }
 
-// promisedNow tells whether a replica has answered the candidate in this attempt.
-func (m *Node) promisedNow(r Replica) bool {
-	if m.election == nil {
+// hasPromised tells whether a replica has answered the candidate in this attempt.
+func (n *Node) hasPromised(r Replica) bool {
+	if n.election == nil {
 		return false
 	}
-	_, promised := m.election.promises[r]
+	_, promised := n.election.promises[r]
 	return promised
 }
 
-// isSkipped tells whether the present attempt goes on without a replica.
-func (m *Node) isSkipped(r Replica) bool {
-	return m.election != nil && m.election.skipped[r] && !m.election.installed[r]
+// isExcluded tells whether the present attempt goes on without a replica.
+func (n *Node) isExcluded(r Replica) bool {
+	return n.election != nil && n.election.excluded[r] && !n.election.installed[r]
 }
 
 // answers tells a candidate whether a replica can take the state: it has promised, or asks to be taken in.
-func (m *Node) answers(r Replica) bool {
-	return (m.promisedNow(r) || m.asksToJoin(r)) && !m.isSkipped(r)
+func (n *Node) canInstall(r Replica) bool {
+	return (n.hasPromised(r) || n.hasJoinRequest(r)) && !n.isExcluded(r)
 }
 
-// keepsUp tells a primary whether a replica can take the state: it is heard of, and holds the state where it is no member.
-func (m *Node) keepsUp(r Replica) bool {
-	return m.live(r, m.options.Timing.MemberTimeout) && (m.durable.View.HasMember(r) || m.isPrepared(r))
+// isInSync tells a primary whether a replica can take the state: it is heard of, and holds the state where it is no member.
+func (n *Node) isInSync(r Replica) bool {
+	return n.isLive(r, n.options.Timing.MemberTimeout) && (n.hardState.View.HasMember(r) || n.isCaughtUp(r))
 }
 
 // nextMembers chooses who holds the state: this replica, then present members, then others, all of them able, of as many
 // zones as can be had. Replicas that were slow are taken where the others don't suffice, and those that leave are not.
-func (m *Node) nextMembers(witnesses []Replica, isAble func(Replica) bool) []Replica {
+func (n *Node) nextMembers(witnesses []Replica, isAble func(Replica) bool) []Replica {
 	var able, slow []Replica
-	for _, r := range m.staying(witnesses) {
+	for _, r := range n.notResigning(witnesses) {
 		switch {
-		case r != m.durable.Self && !isAble(r):
-		case r != m.durable.Self && m.penalized(r):
+		case r != n.hardState.Self && !isAble(r):
+		case r != n.hardState.Self && n.isPenalized(r):
 			slow = append(slow, r)
 		default:
 			able = append(able, r)
 		}
 	}
-	if !m.enough(able) {
+	if !n.survivesLoss(able) {
 		able = append(able, slow...)
 	}
-	if counting := m.counting(able); m.enough(counting) {
+	if counting := n.voting(able); n.survivesLoss(counting) {
 		able = counting // the others have no disk
 	}
 	slices.SortStableFunc(able, func(a, b Replica) int {
-		return cmp.Or(-compareBool(a == m.durable.Self, b == m.durable.Self),
-			-compareBool(m.durable.View.HasMember(a), m.durable.View.HasMember(b)))
+		return cmp.Or(-compareBool(a == n.hardState.Self, b == n.hardState.Self),
+			-compareBool(n.hardState.View.HasMember(a), n.hardState.View.HasMember(b)))
 	})
-	if m.options.Tolerance.Zones > 0 || m.options.Tolerance.Regions > 0 {
-		able = m.spread(able)
+	if n.options.Tolerance.Zones > 0 || n.options.Tolerance.Regions > 0 {
+		able = n.spreadOverZones(able)
 	}
-	return slices.Clone(able[:min(len(able), m.membersMost())])
+	return slices.Clone(able[:min(len(able), n.maxMembers())])
 }
 
 // spread puts one replica of each zone first.
-func (m *Node) spread(replicas []Replica) []Replica {
+func (n *Node) spreadOverZones(replicas []Replica) []Replica {
 	var first, rest []Replica
 	zones := map[string]bool{}
 	for _, r := range replicas {
-		zone := m.options.LocalityOf(r.Address).Zone
+		zone := n.options.LocalityOf(r.Address).Zone
 		if zones[zone] {
 			rest = append(rest, r)
 		} else {
@@ -301,24 +301,24 @@
 // penalty keeps a replica out of the members, and out of the witnesses that are taken in, for a while.
 type penalty struct {
 	until time.Duration
-	span  time.Duration
+	backoff  time.Duration
 }
 
-func (m *Node) penalized(r Replica) bool {
-	p := m.penalties[r]
-	return p != nil && m.now < p.until
+func (n *Node) isPenalized(r Replica) bool {
+	p := n.penalties[r]
+	return p != nil && n.now < p.until
 }
 
 // penalize keeps a slow replica out, twice as long as the time before.
-func (m *Node) penalize(r Replica) {
-	if m.penalized(r) {
+func (n *Node) penalize(r Replica) {
+	if n.isPenalized(r) {
 		return
 	}
-	p := m.penalties[r]
+	p := n.penalties[r]
 	if p == nil {
-		p = &penalty{span: m.options.Timing.SlowMemberBackoff / 2}
-		m.penalties[r] = p
+		p = &penalty{backoff: n.options.Timing.SlowMemberBackoff / 2}
+		n.penalties[r] = p
 	}
-	p.span = min(2*p.span, 8*m.options.Timing.SlowMemberBackoff)
-	p.until = m.now + p.span
+	p.backoff = min(2*p.backoff, 8*n.options.Timing.SlowMemberBackoff)
+	p.until = n.now + p.backoff
 }
--- a/internal/fleet/replication/learners.go
+++ b/internal/fleet/replication/learners.go
@@ -7,79 +7,79 @@
 
 // Bounds of the changes that a primary keeps for learners that are a little behind.
 const (
-	entriesMost      = 64
-	entryBytesMost   = 1 << 20
-	learnersTogether = 2 // that are brought up at a time
+	maxRetainedEntries      = 64
+	maxRetainedBytes   = 1 << 20
+	maxConcurrentLearners = 2 // that are brought up at a time
 )
 
-// keptEntry is a change, and the sequence that it led to.
-type keptEntry struct {
+// retainedEntry is a change, and the sequence that it led to.
+type retainedEntry struct {
 	sequence uint64
 	entry    []byte
 }
 
-// keepEntry keeps a change for learners.
-func (l *leadership) keepEntry(sequence uint64, entry []byte) {
-	l.entries = append(l.entries, keptEntry{sequence: sequence, entry: entry})
-	l.entryBytes += len(entry)
-	for len(l.entries) > entriesMost || l.entryBytes > entryBytesMost {
-		l.entryBytes -= len(l.entries[0].entry)
-		l.entries = l.entries[1:]
+// retainEntry keeps a change for learners.
+func (l *primaryState) retainEntry(sequence uint64, entry []byte) {
+	l.retained = append(l.retained, retainedEntry{sequence: sequence, entry: entry})
+	l.retainedBytes += len(entry)
+	for len(l.retained) > maxRetainedEntries || l.retainedBytes > maxRetainedBytes {
+		l.retainedBytes -= len(l.retained[0].entry)
+		l.retained = l.retained[1:]
 	}
 }
 
 // entriesAfter are the changes after a sequence; ok is false where one of them is not kept.
-func (l *leadership) entriesAfter(sequence, upTo uint64) (entries []keptEntry, ok bool) {
-	at := slices.IndexFunc(l.entries, func(e keptEntry) bool { return e.sequence == sequence+1 })
+func (l *primaryState) entriesAfter(sequence, upTo uint64) (entries []retainedEntry, ok bool) {
+	at := slices.IndexFunc(l.retained, func(e retainedEntry) bool { return e.sequence == sequence+1 })
 	if at < 0 {
 		return nil, false
 	}
-	return l.entries[at:], l.entries[len(l.entries)-1].sequence == upTo
+	return l.retained[at:], l.retained[len(l.retained)-1].sequence == upTo
 }
 
-// isPrepared tells whether a replica holds the primary's state though it is no member.
-func (m *Node) isPrepared(r Replica) bool {
-	if m.lead != nil {
-		return m.lead.holds[r] == m.durable.Position
+// isCaughtUp tells whether a replica holds the primary's state though it is no member.
+func (n *Node) isCaughtUp(r Replica) bool {
+	if n.primary != nil {
+		return n.primary.matchPosition[r] == n.hardState.Position
 	}
-	return m.election != nil && m.election.prepared[r]
+	return n.election != nil && n.election.caughtUp[r]
 }
 
 // learners are the replicas that the next view would take in if they held the state.
-func (m *Node) learners() []Replica {
-	witnesses := m.nextWitnesses(false)
-	members := m.nextMembers(witnesses, func(r Replica) bool { return m.live(r, m.options.Timing.MemberTimeout) })
+func (n *Node) learners() []Replica {
+	witnesses := n.nextWitnesses(false)
+	members := n.nextMembers(witnesses, func(r Replica) bool { return n.isLive(r, n.options.Timing.MemberTimeout) })
 	return slices.DeleteFunc(union(witnesses, members), func(r Replica) bool {
-		view := &m.durable.View
+		view := &n.hardState.View
 		isIn := view.HasMember(r) || view.HasWitness(r) && !slices.Contains(members, r)
-		return isIn || r == m.durable.Self
+		return isIn || r == n.hardState.Self
 	})
 }
 
 // teach asks learners whether they hold the state. Those that don't say what they lack.
-func (m *Node) teach() {
-	learners := m.learners()
-	m.lead.learners = learners[:min(len(learners), learnersTogether)]
-	for _, r := range m.lead.learners {
-		if m.lead.holds[r] != m.durable.Position && m.now-m.lead.sentAt[r] > resendEvery {
-			m.lead.sentAt[r] = m.now
-			m.send(r, Append{View: m.durable.View, Source: m.durable.Source, Position: m.durable.Position})
+func (n *Node) syncLearners() {
+	learners := n.learners()
+	n.primary.learners = learners[:min(len(learners), maxConcurrentLearners)]
+	for _, r := range n.primary.learners {
+		if n.primary.matchPosition[r] != n.hardState.Position && n.now-n.primary.lastSent[r] > resendInterval {
+			n.primary.lastSent[r] = n.now
+			n.send(r, Append{View: n.hardState.View, Source: n.hardState.Source, Position: n.hardState.Position})
 		}
 	}
 }
 
-// sendMissing sends a replica what it lacks: the changes since its position where they are kept, else the state.
-func (m *Node) sendMissing(to Replica, held Position, source Ballot) {
-	if source == m.durable.Source && held.View == m.durable.Position.View {
-		if entries, ok := m.lead.entriesAfter(held.Sequence, m.durable.Position.Sequence); ok {
+// sendCatchUp sends a replica what it lacks: the changes since its position where they are kept, else the state.
+func (n *Node) sendCatchUp(to Replica, held Position, source Ballot) {
+	if source == n.hardState.Source && held.View == n.hardState.Position.View {
+		if entries, ok := n.primary.entriesAfter(held.Sequence, n.hardState.Position.Sequence); ok {
 			for _, e := range entries {
-				position := Position{View: m.durable.Position.View, Sequence: e.sequence}
-				m.send(to, Append{View: m.durable.View, Source: m.durable.Source, Position: position, Entry: e.entry})
+				position := Position{View: n.hardState.Position.View, Sequence: e.sequence}
+				n.send(to, Append{View: n.hardState.View, Source: n.hardState.Source, Position: position, Entry: e.entry})
 			}
 			return
 		}
 	}
-	if m.transfers.mayBegin(to, m.now) {
-		m.sendState(to, Append{View: m.durable.View, Source: m.durable.Source, Position: m.durable.Position})
+	if n.transfers.tryStart(to, n.now) {
+		n.sendWithSnapshot(to, Append{View: n.hardState.View, Source: n.hardState.Source, Position: n.hardState.Position})
 	}
 }
--- a/internal/fleet/replication/messages.go
+++ b/internal/fleet/replication/messages.go
@@ -149,7 +149,7 @@
 	Number uint64 `cbor:"1,keyasint"` // of the newest view that the sender knows
 }
 
-// MayStop answers Resign: the replica may end.
+// CanStop answers Resign: the replica may end.
 type ResignAck struct {
 	Number uint64 `cbor:"1,keyasint"`
 }
--- a/internal/fleet/replication/machine.go
+++ b/internal/fleet/replication/node.go
@@ -70,238 +70,238 @@
 	LocalityOf func(address string) Locality
 	// JoinTargets are addresses to be asked where no primary is known.
 	JoinTargets func() []string
-	// Joins says that this replica asks to be taken in where it is no witness.
-	Joins bool
+	// RequestsJoin says that this replica asks to be taken in where it is no witness.
+	RequestsJoin bool
 }
 
 // Node is one replica's part of the protocol. Its methods are not safe for concurrent use. Times are of one steady
 // clock.
 type Node struct {
 	options Options
-	durable HardState
+	hardState HardState
 	status  Status
 	out     *Output
 
 	now         time.Duration
 	started     time.Duration
-	primarySeen time.Duration             // when the view's primary last showed that it is not cut off
-	heard       map[Replica]time.Duration // when each replica was last heard of
-	joining     map[Replica]time.Duration // when each last asked to be taken in
+	primaryLastSeen time.Duration             // when the view's primary last showed that it is not cut off
+	lastContact       map[Replica]time.Duration // when each replica was last heard of
+	joinRequests     map[Replica]time.Duration // when each last asked to be taken in
 	penalties   map[Replica]*penalty
 	nextJoin    time.Duration
-	highest     uint64 // round of any ballot seen
-	transfers   transfers
+	highestRound     uint64 // round of any ballot seen
+	transfers   snapshotTransfers
 
-	leaving    bool          // this replica is about to end: it does not ask to be taken in any more
-	released   time.Duration // when the primary said last that it may end; 0: it did not
+	resigning    bool          // this replica is about to end: it does not ask to be taken in any more
+	releasedAt   time.Duration // when the primary said last that it may end; 0: it did not
 	nextResign time.Duration
-	leavers    map[Replica]bool          // the others that have said so
-	replaced   map[Replica]time.Duration // when each former witness went out of the view
+	resigningPeers    map[Replica]bool          // the others that have said so
+	formerWitnesses   map[Replica]time.Duration // when each former witness went out of the view
 
 	election *election
-	lead     *leadership
+	primary     *primaryState
 }
 
 // New returns a replica as it is after a start, with what its disk holds. A replica that was primary does not go on as
 // primary: what it had sent before its own disk had it can't be told, so that it needs a new view.
 func New(now time.Duration, durable HardState, options Options) *Node {
 	return &Node{
-		options: options, durable: durable, now: now,
-		primarySeen: now - options.Timing.ElectionTimeout + options.Timing.StartupTimeout, started: now,
-		heard: map[Replica]time.Duration{}, joining: map[Replica]time.Duration{}, penalties: map[Replica]*penalty{},
-		highest: durable.Promised.Round, transfers: transfers{}, leavers: map[Replica]bool{}, replaced: map[Replica]time.Duration{},
+		options: options, hardState: durable, now: now,
+		primaryLastSeen: now - options.Timing.ElectionTimeout + options.Timing.StartupTimeout, started: now,
+		lastContact: map[Replica]time.Duration{}, joinRequests: map[Replica]time.Duration{}, penalties: map[Replica]*penalty{},
+		highestRound: durable.Promised.Round, transfers: snapshotTransfers{}, resigningPeers: map[Replica]bool{}, formerWitnesses: map[Replica]time.Duration{},
 	}
 }
 
 // Self is this replica.
-func (m *Node) Self() Replica { return m.durable.Self }
+func (n *Node) Self() Replica { return n.hardState.Self }
 
 // View is the newest view that is known to be decided.
-func (m *Node) View() View { return m.durable.View }
+func (n *Node) View() View { return n.hardState.View }
 
 // Status is what the replica is doing.
-func (m *Node) Status() Status { return m.status }
+func (n *Node) Status() Status { return n.status }
 
 // Position is that of the state held, committed or not.
-func (m *Node) Position() Position { return m.durable.Position }
+func (n *Node) Position() Position { return n.hardState.Position }
 
 // HardState is what has to be on the disk.
-func (m *Node) HardState() HardState { return m.durable }
+func (n *Node) HardState() HardState { return n.hardState }
 
 // step begins a step and returns its output.
-func (m *Node) step(now time.Duration) *Output {
-	m.now = now
-	m.out = &Output{}
-	return m.out
+func (n *Node) step(now time.Duration) *Output {
+	n.now = now
+	n.out = &Output{}
+	return n.out
 }
 
 // persist has the durable part written with this step.
-func (m *Node) persist() *Write {
-	if m.out.Write == nil {
-		m.out.Write = &Write{}
+func (n *Node) persist() *Write {
+	if n.out.Write == nil {
+		n.out.Write = &Write{}
 	}
-	m.out.Write.HardState = m.durable
-	return m.out.Write
+	n.out.Write.HardState = n.hardState
+	return n.out.Write
 }
 
-func (m *Node) send(to Replica, message Message) {
-	if to.Address != m.durable.Self.Address {
-		m.out.Send = append(m.out.Send, Outgoing{To: to.Address, Message: message})
+func (n *Node) send(to Replica, message Message) {
+	if to.Address != n.hardState.Self.Address {
+		n.out.Send = append(n.out.Send, Outgoing{To: to.Address, Message: message})
 	}
 }
 
-func (m *Node) sendState(to Replica, message Message) {
-	m.out.Send = append(m.out.Send, Outgoing{To: to.Address, Message: message, AttachSnapshot: true})
+func (n *Node) sendWithSnapshot(to Replica, message Message) {
+	n.out.Send = append(n.out.Send, Outgoing{To: to.Address, Message: message, AttachSnapshot: true})
 }
 
 // enough tells whether copies on these replicas outlive what may be lost at once.
-func (m *Node) enough(replicas []Replica) bool {
+func (n *Node) survivesLoss(replicas []Replica) bool {
 	zones, regions := map[string]bool{}, map[string]bool{}
 	for _, r := range replicas {
-		place := m.options.LocalityOf(r.Address)
+		place := n.options.LocalityOf(r.Address)
 		zones[place.Zone] = true
 		regions[place.Region] = true
 	}
-	t := m.options.Tolerance
+	t := n.options.Tolerance
 	return len(replicas) > t.Machines && len(zones) > t.Zones && len(regions) > t.Regions
 }
 
 // Tick lets time pass.
-func (m *Node) Tick(now time.Duration) *Output {
-	out := m.step(now)
-	switch m.status {
+func (n *Node) Tick(now time.Duration) *Output {
+	out := n.step(now)
+	switch n.status {
 	case Following:
-		m.watchPrimary()
+		n.checkElectionTimeout()
 	case Preparing, Fetching, Installing, Accepting:
-		m.tickElection()
+		n.tickElection()
 	case Activating, Leading:
-		m.tickLeadership()
+		n.tickPrimary()
 	}
-	m.askToJoin()
-	m.sayLeaving()
+	n.requestJoin()
+	n.announceResignation()
 	return out
 }
 
-// forgottenAfter is how long a witness hears of no primary before it asks whether there is a newer view.
-const forgottenAfter = 2 * time.Second
+// primaryUnknownTimeout is how long a witness hears of no primary before it asks whether there is a newer view.
+const primaryUnknownTimeout = 2 * time.Second
 
-// watchPrimary makes a member a candidate where the primary is silent. Members wait the longer the later they stand in
+// checkElectionTimeout makes a member a candidate where the primary is silent. Members wait the longer the later they stand in
 // the view, so that the first live one acts, and those that leave wait longest: theirs may be the only copy left.
-func (m *Node) watchPrimary() {
-	rank := slices.Index(m.durable.View.Members, m.durable.Self)
+func (n *Node) checkElectionTimeout() {
+	rank := slices.Index(n.hardState.View.Members, n.hardState.Self)
 	if rank < 0 {
 		return
 	}
-	if m.leaving {
-		rank += len(m.durable.View.Members)
+	if n.resigning {
+		rank += len(n.hardState.View.Members)
 	}
-	t := m.options.Timing
+	t := n.options.Timing
 	stagger := t.ElectionStagger
-	if m.primarySeen <= m.started {
+	if n.primaryLastSeen <= n.started {
 		stagger /= 4 // nothing was heard yet: all may have just started
 	}
-	if m.now-m.primarySeen > t.ElectionTimeout+time.Duration(rank)*stagger {
-		m.startElection()
+	if n.now-n.primaryLastSeen > t.ElectionTimeout+time.Duration(rank)*stagger {
+		n.startElection()
 	}
 }
 
-// askToJoin asks the primary, or whoever may know it, to take this replica in. A witness that has heard of no primary for
+// requestJoin asks the primary, or whoever may know it, to take this replica in. A witness that has heard of no primary for
 // long asks too: it may have been replaced while it was away, and whoever knows the newer view answers with it.
-func (m *Node) askToJoin() {
-	isIn := m.durable.View.HasWitness(m.durable.Self) && (m.lead != nil || m.now-m.primarySeen < forgottenAfter)
-	if !m.options.Joins || m.leaving || isIn || m.now < m.nextJoin {
+func (n *Node) requestJoin() {
+	isIn := n.hardState.View.HasWitness(n.hardState.Self) && (n.primary != nil || n.now-n.primaryLastSeen < primaryUnknownTimeout)
+	if !n.options.RequestsJoin || n.resigning || isIn || n.now < n.nextJoin {
 		return
 	}
-	m.nextJoin = m.now + m.options.Timing.JoinInterval
-	message := Join{Number: m.durable.View.Number}
-	if m.durable.View.Number > 0 {
-		for _, witness := range m.durable.View.Witnesses {
-			m.send(witness, message)
+	n.nextJoin = n.now + n.options.Timing.JoinInterval
+	message := Join{Number: n.hardState.View.Number}
+	if n.hardState.View.Number > 0 {
+		for _, witness := range n.hardState.View.Witnesses {
+			n.send(witness, message)
 		}
 	}
-	for _, address := range m.options.JoinTargets() {
-		m.send(Replica{Address: address}, message)
+	for _, address := range n.options.JoinTargets() {
+		n.send(Replica{Address: address}, message)
 	}
 }
 
 // follow takes over a decided view. It is the only place where the view changes.
-func (m *Node) follow(view View) {
-	for _, r := range m.durable.View.Witnesses {
+func (n *Node) adoptView(view View) {
+	for _, r := range n.hardState.View.Witnesses {
 		if !view.HasWitness(r) {
-			m.replaced[r] = m.now
+			n.formerWitnesses[r] = n.now
 		}
 	}
-	m.durable.View = view
-	m.durable.Promised, m.durable.Accepted, m.durable.Proposal = Ballot{}, Ballot{}, View{}
-	m.election, m.lead = nil, nil
-	m.status = Following
-	m.primarySeen = m.now
-	m.released = 0 // the primary of this view has to say so again
-	m.persist()
-	if view.Primary == m.durable.Self {
-		m.activate()
+	n.hardState.View = view
+	n.hardState.Promised, n.hardState.Accepted, n.hardState.Proposal = Ballot{}, Ballot{}, View{}
+	n.election, n.primary = nil, nil
+	n.status = Following
+	n.primaryLastSeen = n.now
+	n.releasedAt = 0 // the primary of this view has to say so again
+	n.persist()
+	if view.Primary == n.hardState.Self {
+		n.activate()
 	}
 }
 
 // Receive takes a message from a replica.
-func (m *Node) Receive(now time.Duration, from Replica, message Message) *Output {
-	out := m.step(now)
-	m.heard[from] = now
+func (n *Node) Receive(now time.Duration, from Replica, message Message) *Output {
+	out := n.step(now)
+	n.lastContact[from] = now
 	switch message := message.(type) {
 	case Heartbeat:
-		m.onHeartbeat(from, message)
+		n.onHeartbeat(from, message)
 	case HeartbeatAck:
-		m.onHeartbeatAck(from, message)
+		n.onHeartbeatAck(from, message)
 	case Join:
-		m.onJoin(from, message)
+		n.onJoin(from, message)
 	case ViewNotice:
-		m.learn(message.View)
+		n.observeView(message.View)
 	case Prepare:
-		m.onPrepare(from, message)
+		n.onPrepare(from, message)
 	case Promise:
-		m.onPromise(from, message)
+		n.onPromise(from, message)
 	case Reject:
-		m.onReject(message)
+		n.onReject(message)
 	case FetchSnapshot:
-		m.onFetch(from, message)
+		n.onFetchSnapshot(from, message)
 	case FetchSnapshotReply:
-		m.onFetched(message)
+		n.onFetchSnapshotReply(message)
 	case InstallSnapshot:
-		m.onInstall(from, message)
+		n.onInstallSnapshot(from, message)
 	case InstallSnapshotAck:
-		m.onInstalled(from, message)
+		n.onInstallSnapshotAck(from, message)
 	case Accept:
-		m.onAccept(from, message)
+		n.onAccept(from, message)
 	case AcceptAck:
-		m.onAccepted(from, message)
+		n.onAcceptAck(from, message)
 	case Append:
-		m.onStore(from, message)
+		n.onAppend(from, message)
 	case AppendAck:
-		m.onStored(from, message)
+		n.onAppendAck(from, message)
 	case SnapshotNeeded:
-		m.onMissing(from, message)
+		n.onSnapshotNeeded(from, message)
 	case Resign:
-		m.onResign(from, message)
+		n.onResign(from, message)
 	case ResignAck:
-		m.onReleased(message)
+		n.onResignAck(message)
 	}
 	return out
 }
 
 // learn takes over a view that is newer than the one known. It returns false where the sender's is the older one.
-func (m *Node) learn(view View) bool {
-	if view.Number > m.durable.View.Number && view.isComplete() {
-		m.follow(view)
+func (n *Node) observeView(view View) bool {
+	if view.Number > n.hardState.View.Number && view.isComplete() {
+		n.adoptView(view)
 	}
-	return view.Number >= m.durable.View.Number
+	return view.Number >= n.hardState.View.Number
 }
 
-func (m *Node) onJoin(from Replica, message Join) {
-	m.joining[from] = m.now
-	if !m.durable.View.HasWitness(from) {
-		m.released = 0 // there is somebody who may take this replica's part over
+func (n *Node) onJoin(from Replica, message Join) {
+	n.joinRequests[from] = n.now
+	if !n.hardState.View.HasWitness(from) {
+		n.releasedAt = 0 // there is somebody who may take this replica's part over
 	}
-	if message.Number < m.durable.View.Number {
-		m.send(from, ViewNotice{View: m.durable.View})
+	if message.Number < n.hardState.View.Number {
+		n.send(from, ViewNotice{View: n.hardState.View})
 	}
 }
--- a/internal/fleet/replication/planted_test.go
+++ b/internal/fleet/replication/planted_test.go
@@ -10,21 +10,21 @@
 // plantedMistakes are found by TestSimulation.
 var plantedMistakes = map[string]mutation.Mistake{
 	"an acknowledgement by one copy": {File: "primary.go", Edits: []mutation.Edit{{
-		Right: "if m.lead.holds[member] != m.durable.Position {\n\t\t\treturn\n\t\t}\n\t}\n\tm.lead.committed",
-		Wrong: "_ = member\n\t}\n\tm.lead.committed"}}},
-	"a read without a round": {File: "primary.go", Edits: []mutation.Edit{{Right: "return m.lead.confirmed, true", Wrong: "return m.now, true"}}},
+		Right: "if n.primary.matchPosition[member] != n.hardState.Position {\n\t\t\treturn\n\t\t}\n\t}\n\tn.primary.committed",
+		Wrong: "_ = member\n\t}\n\tn.primary.committed"}}},
+	"a read without a round": {File: "primary.go", Edits: []mutation.Edit{{Right: "return n.primary.confirmedAt, true", Wrong: "return n.now, true"}}},
 	"an even set in the middle of an exchange": {File: "composition.go", Edits: []mutation.Edit{
-		{Right: "} else if len(next) >= m.witnessTarget() {", Wrong: "} else if len(next) > m.witnessTarget() {"},
-		{Right: "(len(witnesses) > m.witnessTarget() || len(witnesses)%2 == 0)", Wrong: "len(witnesses) > 9"}}},
-	"a leaver that ends before it is replaced": {File: "leaving.go", Edits: []mutation.Edit{{Right: "return !votes && !holds", Wrong: "return !votes && !holds || true"}}},
+		{Right: "} else if len(next) >= n.witnessTarget() {", Wrong: "} else if len(next) > n.witnessTarget() {"},
+		{Right: "(len(witnesses) > n.witnessTarget() || len(witnesses)%2 == 0)", Wrong: "len(witnesses) > 9"}}},
+	"a leaver that ends before it is replaced": {File: "resignation.go", Edits: []mutation.Edit{{Right: "return !votes && !holds", Wrong: "return !votes && !holds || true"}}},
 	"a lost disk whose machine is not taken in again": {File: "composition.go", Edits: []mutation.Edit{
 		{Right: "witnesses[at] = applicant", Wrong: "return true"}}},
 	"a change that waits for good": {File: "primary.go", Edits: []mutation.Edit{
-		{Right: "m.countStored() // a member may have said since that it stays", Wrong: ""}}},
+		{Right: "n.advanceCommit() // a member may have said since that it stays", Wrong: ""}}},
 	"a candidate that overlooks what was accepted": {File: "election.go", Edits: []mutation.Edit{
 		{Right: "return best.Proposal, !best.Accepted.isZero()", Wrong: "return best.Proposal, false"}}},
 	"a zone that holds the majority": {File: "composition.go", Edits: []mutation.Edit{
-		{Right: "if m.outlivesPlaces(with) || !m.outlivesPlaces(next) {", Wrong: "if true {"}}},
+		{Right: "if n.survivesLocalityLoss(with) || !n.survivesLocalityLoss(next) {", Wrong: "if true {"}}},
 }
 
 // Guards against a simulation that would find nothing whatever is wrong.
@@ -35,19 +35,19 @@
 // plantedInElections are mistakes in what a promise binds to.
 var plantedInElections = map[string]mutation.Mistake{
 	"a lower ballot is promised": {File: "witness.go", Edits: []mutation.Edit{{
-		Right: "if message.Ballot.less(m.durable.Promised) {\n\t\tm.send(from, Reject{Number: m.durable.View.Number + 1",
-		Wrong: "if false {\n\t\tm.send(from, Reject{Number: m.durable.View.Number + 1"}}},
+		Right: "if message.Ballot.less(n.hardState.Promised) {\n\t\tn.send(from, Reject{Number: n.hardState.View.Number + 1",
+		Wrong: "if false {\n\t\tn.send(from, Reject{Number: n.hardState.View.Number + 1"}}},
 	"a lower ballot is accepted": {File: "witness.go", Edits: []mutation.Edit{{
-		Right: "if message.Ballot.less(m.durable.Promised) {\n\t\tm.send(from, Reject{Number: number",
-		Wrong: "if false {\n\t\tm.send(from, Reject{Number: number"}}},
+		Right: "if message.Ballot.less(n.hardState.Promised) {\n\t\tn.send(from, Reject{Number: number",
+		Wrong: "if false {\n\t\tn.send(from, Reject{Number: number"}}},
 	"a state is installed under a lower ballot": {File: "witness.go", Edits: []mutation.Edit{{
 		Right: "if message.Ballot.less(bound) {", Wrong: "if false {"}}},
 	"a member that has promised stores on": {File: "witness.go", Edits: []mutation.Edit{{
-		Right: "if !m.durable.Promised.isZero() {\n\t\tm.send", Wrong: "if false {\n\t\tm.send"}}},
+		Right: "if !n.hardState.Promised.isZero() {\n\t\tn.send", Wrong: "if false {\n\t\tn.send"}}},
 	"a witness that has promised confirms the primary": {File: "primary.go", Edits: []mutation.Edit{{
-		Right: "if r == nil || !message.Current || !m", Wrong: "if r == nil || !m"}}},
+		Right: "if r == nil || !message.Current || !n", Wrong: "if r == nil || !n"}}},
 	"any replica's promise counts": {File: "election.go", Edits: []mutation.Edit{{
-		Right: "if !m.durable.View.HasWitness(from) {\n\t\treturn\n\t}\n\te.promises", Wrong: "e.promises"}}},
+		Right: "if !n.hardState.View.HasWitness(from) {\n\t\treturn\n\t}\n\te.promises", Wrong: "e.promises"}}},
 }
 
 // Guards against scripts of promises that would find nothing whatever is wrong.
@@ -58,10 +58,10 @@
 // plantedInWalks are mistakes that the wide search finds, beside an amnesiac that votes (TestSearchFindsPlantedMistakes).
 var plantedInWalks = map[string]mutation.Mistake{
 	"a state is installed by some of the members only": {File: "election.go", Edits: []mutation.Edit{{
-		Right: "if !m.election.installed[replica] {\n\t\t\treturn\n\t\t}\n", Wrong: "_ = replica\n"}}},
+		Right: "if !n.election.installed[replica] {\n\t\t\treturn\n\t\t}\n", Wrong: "_ = replica\n"}}},
 	"a snapshot that is not fenced by its view": {File: "witness.go", Edits: []mutation.Edit{
-		{Right: "if from != m.durable.View.Primary || from == m.durable.Self {\n\t\treturn\n\t}\n\tif !m.durable.Promised", Wrong: "if !m.durable.Promised"},
-		{Right: "if !m.learn(message.View) {\n\t\tm.send(from, ViewNotice{View: m.durable.View})\n\t\treturn\n\t}\n\tif !m.durable.Promised", Wrong: "if !m.durable.Promised"}}},
+		{Right: "if from != n.hardState.View.Primary || from == n.hardState.Self {\n\t\treturn\n\t}\n\tif !n.hardState.Promised", Wrong: "if !n.hardState.Promised"},
+		{Right: "if !n.observeView(message.View) {\n\t\tn.send(from, ViewNotice{View: n.hardState.View})\n\t\treturn\n\t}\n\tif !n.hardState.Promised", Wrong: "if !n.hardState.Promised"}}},
 	"a newcomer that was never heard of becomes a witness": {File: "election.go", Edits: []mutation.Edit{{
 		Right: "return union(proposal.Members, newcomers)", Wrong: "_ = newcomers\n\treturn proposal.Members"}}},
 	"half of the witnesses decide": {File: "types.go", Edits: []mutation.Edit{{
--- a/internal/fleet/replication/primary.go
+++ b/internal/fleet/replication/primary.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// roundsKept is how many of the last heartbeat rounds may still be answered.
-const roundsKept = 8
+// maxOpenRounds is how many of the last heartbeat rounds may still be answered.
+const maxOpenRounds = 8
 
 // leadership is what a primary knows.
-type leadership struct {
-	began     time.Duration
-	holds     map[Replica]Position // what each member has on its disk
-	sentAt    map[Replica]time.Duration
+type primaryState struct {
+	startedAt     time.Duration
+	matchPosition     map[Replica]Position // what each member has on its disk
+	lastSent    map[Replica]time.Duration
 	pending   bool // a change waits for members
-	pendingAt time.Duration
+	pendingSince time.Duration
 	committed Position
-	entry     []byte // the last change, for members that have not stored it
+	lastEntry     []byte // the last change, for members that have not stored it
 
 	learners   []Replica   // that are brought up to the state
-	entries    []keptEntry // the last changes, for them
-	entryBytes int
+	retained    []retainedEntry // the last changes, for them
+	retainedBytes int
 
 	round     uint64
 	rounds    map[uint64]*round
 	nextRound time.Duration
-	confirmed time.Duration // when the last round was sent that a majority answered
-	isCurrent bool          // confirmed is set
+	confirmedAt time.Duration // when the last round was sent that a majority answered
+	isConfirmed bool          // confirmed is set
 }
 
 // round is one heartbeat to all witnesses.
@@ -36,230 +36,230 @@
 }
 
 // activate makes this replica the primary of the view that it has just taken over.
-func (m *Node) activate() {
-	m.status = Activating
-	m.lead = &leadership{
-		began: m.now, holds: map[Replica]Position{m.durable.Self: m.durable.Position},
-		sentAt: map[Replica]time.Duration{}, rounds: map[uint64]*round{},
+func (n *Node) activate() {
+	n.status = Activating
+	n.primary = &primaryState{
+		startedAt: n.now, matchPosition: map[Replica]Position{n.hardState.Self: n.hardState.Position},
+		lastSent: map[Replica]time.Duration{}, rounds: map[uint64]*round{},
 	}
-	m.sendStore()
-	m.countStored()
+	n.sendAppend()
+	n.advanceCommit()
 }
 
 // Propose begins a change. It returns false where this replica is not the primary, or another change is under way.
-func (m *Node) Propose(now time.Duration, entry []byte) (*Output, bool) {
-	out := m.step(now)
-	if m.status != Leading || m.lead.pending || !m.durable.Promised.isZero() {
+func (n *Node) Propose(now time.Duration, entry []byte) (*Output, bool) {
+	out := n.step(now)
+	if n.status != Leading || n.primary.pending || !n.hardState.Promised.isZero() {
 		return out, false
 	}
-	if !m.enough(m.staying(m.durable.View.Members)) {
+	if !n.survivesLoss(n.notResigning(n.hardState.View.Members)) {
 		return out, false
 	}
-	m.durable.Position.Sequence++
-	m.lead.holds[m.durable.Self] = m.durable.Position
-	m.lead.pending, m.lead.pendingAt, m.lead.entry = true, now, entry
-	m.lead.keepEntry(m.durable.Position.Sequence, entry)
-	m.persist().Entry = entry
-	m.sendStore()
-	m.countStored()
+	n.hardState.Position.Sequence++
+	n.primary.matchPosition[n.hardState.Self] = n.hardState.Position
+	n.primary.pending, n.primary.pendingSince, n.primary.lastEntry = true, now, entry
+	n.primary.retainEntry(n.hardState.Position.Sequence, entry)
+	n.persist().Entry = entry
+	n.sendAppend()
+	n.advanceCommit()
 	return out, true
 }
 
 // Committed is the position up to which all members hold the state; ok is false on others than a primary.
-func (m *Node) Committed() (position Position, ok bool) {
-	if m.status != Leading {
+func (n *Node) Committed() (position Position, ok bool) {
+	if n.status != Leading {
 		return Position{}, false
 	}
-	return m.lead.committed, true
+	return n.primary.committed, true
 }
 
 // HasPendingProposal tells whether a change is under way.
-func (m *Node) HasPendingProposal() bool { return m.lead != nil && m.lead.pending }
+func (n *Node) HasPendingProposal() bool { return n.primary != nil && n.primary.pending }
 
 // LeadershipConfirmedAt is when the primary sent the last round that a majority of the witnesses answered: at that moment no other
 // view was in force. ok is false on others than a primary.
-func (m *Node) LeadershipConfirmedAt() (at time.Duration, ok bool) {
-	if m.status != Leading || !m.lead.isCurrent {
+func (n *Node) LeadershipConfirmedAt() (at time.Duration, ok bool) {
+	if n.status != Leading || !n.primary.isConfirmed {
 		return 0, false
 	}
-	return m.lead.confirmed, true
+	return n.primary.confirmedAt, true
 }
 
 // ConfirmLeadership has a round begin at once.
-func (m *Node) ConfirmLeadership(now time.Duration) *Output {
-	out := m.step(now)
-	if m.lead != nil {
-		m.sendRound()
+func (n *Node) ConfirmLeadership(now time.Duration) *Output {
+	out := n.step(now)
+	if n.primary != nil {
+		n.sendRound()
 	}
 	return out
 }
 
-// sendStore brings what members, and learners, lack to them. Messages that were just sent are not repeated.
-func (m *Node) sendStore() {
-	target := m.durable.Position
-	for _, member := range union(m.durable.View.Members, m.lead.learners) {
-		if m.lead.holds[member] == target {
+// sendAppend brings what members, and learners, lack to them. Messages that were just sent are not repeated.
+func (n *Node) sendAppend() {
+	target := n.hardState.Position
+	for _, member := range union(n.hardState.View.Members, n.primary.learners) {
+		if n.primary.matchPosition[member] == target {
 			continue
 		}
-		message := Append{View: m.durable.View, Source: m.durable.Source, Position: target}
-		if m.lead.pending {
-			message.Entry = m.lead.entry
+		message := Append{View: n.hardState.View, Source: n.hardState.Source, Position: target}
+		if n.primary.pending {
+			message.Entry = n.primary.lastEntry
 		}
-		m.lead.sentAt[member] = m.now
-		m.send(member, message)
+		n.primary.lastSent[member] = n.now
+		n.send(member, message)
 	}
 }
 
-func (m *Node) onStored(from Replica, message AppendAck) {
-	if m.lead == nil || message.Number != m.durable.View.Number {
+func (n *Node) onAppendAck(from Replica, message AppendAck) {
+	if n.primary == nil || message.Number != n.hardState.View.Number {
 		return
 	}
-	m.lead.holds[from] = message.Position
-	m.transfers.done(from)
-	m.countStored()
+	n.primary.matchPosition[from] = message.Position
+	n.transfers.finish(from)
+	n.advanceCommit()
 }
 
-// countStored commits what all members hold, where enough of them stay.
-func (m *Node) countStored() {
-	if !m.enough(m.staying(m.durable.View.Members)) {
+// advanceCommit commits what all members hold, where enough of them stay.
+func (n *Node) advanceCommit() {
+	if !n.survivesLoss(n.notResigning(n.hardState.View.Members)) {
 		return
 	}
-	for _, member := range m.durable.View.Members {
-		if m.lead.holds[member] != m.durable.Position {
+	for _, member := range n.hardState.View.Members {
+		if n.primary.matchPosition[member] != n.hardState.Position {
 			return
 		}
 	}
-	m.lead.committed = m.durable.Position
-	m.lead.pending = false
-	if m.status == Activating {
-		m.status = Leading
-		m.sendRound()
+	n.primary.committed = n.hardState.Position
+	n.primary.pending = false
+	if n.status == Activating {
+		n.status = Leading
+		n.sendRound()
 	}
 }
 
-func (m *Node) sendRound() {
-	l := m.lead
+func (n *Node) sendRound() {
+	l := n.primary
 	l.round++
-	l.nextRound = m.now + m.options.Timing.HeartbeatInterval
-	l.rounds[l.round] = &round{sent: m.now, acks: map[Replica]bool{m.durable.Self: true}}
-	delete(l.rounds, l.round-roundsKept)
-	age := m.now - l.began
-	if l.isCurrent {
-		age = m.now - l.confirmed
+	l.nextRound = n.now + n.options.Timing.HeartbeatInterval
+	l.rounds[l.round] = &round{sent: n.now, acks: map[Replica]bool{n.hardState.Self: true}}
+	delete(l.rounds, l.round-maxOpenRounds)
+	age := n.now - l.startedAt
+	if l.isConfirmed {
+		age = n.now - l.confirmedAt
 	}
-	message := Heartbeat{View: m.durable.View, Round: l.round, ConfirmedAgeMs: uint64(age / time.Millisecond)}
-	for _, replica := range union(m.durable.View.Witnesses, m.applicants()) {
-		m.send(replica, message)
+	message := Heartbeat{View: n.hardState.View, Round: l.round, ConfirmedAgeMs: uint64(age / time.Millisecond)}
+	for _, replica := range union(n.hardState.View.Witnesses, n.joiningReplicas()) {
+		n.send(replica, message)
 	}
-	m.countRound(l.rounds[l.round])
+	n.countRound(l.rounds[l.round])
 }
 
-func (m *Node) onHeartbeatAck(from Replica, message HeartbeatAck) {
-	m.noteLeaving(from, message.Leaving)
-	if m.lead == nil || message.Number != m.durable.View.Number {
+func (n *Node) onHeartbeatAck(from Replica, message HeartbeatAck) {
+	n.recordResigning(from, message.Leaving)
+	if n.primary == nil || message.Number != n.hardState.View.Number {
 		return
 	}
-	r := m.lead.rounds[message.Round]
-	if r == nil || !message.Current || !m.durable.View.HasWitness(from) {
+	r := n.primary.rounds[message.Round]
+	if r == nil || !message.Current || !n.hardState.View.HasWitness(from) {
 		return
 	}
 	r.acks[from] = true
-	m.countRound(r)
+	n.countRound(r)
 }
 
-func (m *Node) countRound(r *round) {
-	if len(r.acks) < m.durable.View.quorum() || !m.durable.Promised.isZero() {
+func (n *Node) countRound(r *round) {
+	if len(r.acks) < n.hardState.View.quorum() || !n.hardState.Promised.isZero() {
 		return
 	}
-	if !m.lead.isCurrent || m.lead.confirmed < r.sent {
-		m.lead.confirmed, m.lead.isCurrent = r.sent, true
+	if !n.primary.isConfirmed || n.primary.confirmedAt < r.sent {
+		n.primary.confirmedAt, n.primary.isConfirmed = r.sent, true
 	}
 }
 
-func (m *Node) tickLeadership() {
-	l := m.lead
-	if m.now >= l.nextRound {
-		m.sendRound()
+func (n *Node) tickPrimary() {
+	l := n.primary
+	if n.now >= l.nextRound {
+		n.sendRound()
 	}
-	if m.status == Activating || l.pending {
-		m.countStored() // a member may have said since that it stays
-		m.repeatStore()
+	if n.status == Activating || l.pending {
+		n.advanceCommit() // a member may have said since that it stays
+		n.resendAppend()
 	} else {
-		m.teach()
+		n.syncLearners()
 	}
-	if m.wantsNewView() {
-		m.startElection()
+	if n.needsViewChange() {
+		n.startElection()
 	}
 }
 
-func (m *Node) repeatStore() {
-	for _, member := range m.durable.View.Members {
-		if m.lead.holds[member] != m.durable.Position && m.now-m.lead.sentAt[member] > resendEvery {
-			m.sendStore()
+func (n *Node) resendAppend() {
+	for _, member := range n.hardState.View.Members {
+		if n.primary.matchPosition[member] != n.hardState.Position && n.now-n.primary.lastSent[member] > resendInterval {
+			n.sendAppend()
 			return
 		}
 	}
 }
 
-// wantsNewView tells whether another composition of the view would be better: without a silent, slow or leaving member,
+// needsViewChange tells whether another composition of the view would be better: without a silent, slow or leaving member,
 // where the rest suffices, or with replicas that hold the state already.
-func (m *Node) wantsNewView() bool {
-	if m.lacksMember() {
+func (n *Node) needsViewChange() bool {
+	if n.canDropFailedMember() {
 		return true
 	}
-	if m.status != Leading || m.lead.pending {
+	if n.status != Leading || n.primary.pending {
 		return false
 	}
-	return m.mayLoseLeaver() || m.now-m.lead.began > m.options.Timing.MinViewChangeInterval && m.couldImprove()
+	return n.canDropResigningMember() || n.now-n.primary.startedAt > n.options.Timing.MinViewChangeInterval && n.canImproveComposition()
 }
 
-func (m *Node) lacksMember() bool {
-	t := m.options.Timing
-	since := m.lead.began
-	if m.lead.pending {
-		since = m.lead.pendingAt
+func (n *Node) canDropFailedMember() bool {
+	t := n.options.Timing
+	since := n.primary.startedAt
+	if n.primary.pending {
+		since = n.primary.pendingSince
 	}
-	late := (m.lead.pending || m.status == Activating) && m.now-since > t.AppendTimeout
+	late := (n.primary.pending || n.status == Activating) && n.now-since > t.AppendTimeout
 	silent := false
 	var rest []Replica
-	for _, member := range m.durable.View.Members {
+	for _, member := range n.hardState.View.Members {
 		switch {
-		case late && m.lead.holds[member] != m.durable.Position:
-			m.penalize(member)
+		case late && n.primary.matchPosition[member] != n.hardState.Position:
+			n.penalize(member)
 			silent = true
-		case m.now-m.lead.began > t.MemberTimeout && !m.live(member, t.MemberTimeout):
+		case n.now-n.primary.startedAt > t.MemberTimeout && !n.isLive(member, t.MemberTimeout):
 			silent = true
 		default:
 			rest = append(rest, member)
 		}
 	}
-	return silent && m.enough(m.staying(append(rest, m.spares()...)))
+	return silent && n.survivesLoss(n.notResigning(append(rest, n.spareWitnesses()...)))
 }
 
 // spares are live witnesses that are no members.
-func (m *Node) spares() []Replica {
+func (n *Node) spareWitnesses() []Replica {
 	var all []Replica
-	for _, r := range m.durable.View.Witnesses {
-		if !m.durable.View.HasMember(r) && m.live(r, m.options.Timing.MemberTimeout) && !m.penalized(r) {
+	for _, r := range n.hardState.View.Witnesses {
+		if !n.hardState.View.HasMember(r) && n.isLive(r, n.options.Timing.MemberTimeout) && !n.isPenalized(r) {
 			all = append(all, r)
 		}
 	}
 	return all
 }
 
-// mayLoseLeaver tells whether a member that leaves can be done without at once.
-func (m *Node) mayLoseLeaver() bool {
-	isMember := slices.ContainsFunc(m.durable.View.Members, m.isLeaving)
-	return isMember && m.enough(m.nextMembers(m.nextWitnesses(true), m.keepsUp))
+// canDropResigningMember tells whether a member that leaves can be done without at once.
+func (n *Node) canDropResigningMember() bool {
+	isMember := slices.ContainsFunc(n.hardState.View.Members, n.isResigning)
+	return isMember && n.survivesLoss(n.nextMembers(n.nextWitnesses(true), n.isInSync))
 }
 
-// couldImprove tells whether a view change would change the composition, and could: all that it would take in hold the
+// canImproveComposition tells whether a view change would change the composition, and could: all that it would take in hold the
 // state.
-func (m *Node) couldImprove() bool {
-	view := &m.durable.View
-	witnesses := m.nextWitnesses(true)
-	members := m.nextMembers(witnesses, m.keepsUp)
-	if !m.enough(members) {
+func (n *Node) canImproveComposition() bool {
+	view := &n.hardState.View
+	witnesses := n.nextWitnesses(true)
+	members := n.nextMembers(witnesses, n.isInSync)
+	if !n.survivesLoss(members) {
 		return false
 	}
 	better := len(members) > len(view.Members) || slices.ContainsFunc(members, func(r Replica) bool { return !view.HasMember(r) })
--- a/internal/fleet/replication/promise_test.go
+++ b/internal/fleet/replication/promise_test.go
@@ -55,7 +55,7 @@
 		primary := c.leader()
 		c.now += time.Second
 		c.carryOut(primary, primary.machine.ConfirmLeadership(c.now))
-		number, round := primary.machine.View().Number, primary.machine.lead.round
+		number, round := primary.machine.View().Number, primary.machine.primary.round
 		for _, backup := range c.backups() {
 			primary.machine.Receive(c.now, backup.disk.Self, HeartbeatAck{Number: number, Round: round})
 		}
@@ -73,7 +73,7 @@
 		view, ballot := candidate.machine.View(), candidate.machine.election.ballot
 		for nonce := range uint64(3) {
 			promise := Promise{Number: view.Number + 1, Ballot: ballot, Position: candidate.disk.Position}
-			candidate.machine.Receive(c.now+gather, Replica{Address: "10.0.9.9:1", Nonce: nonce}, promise)
+			candidate.machine.Receive(c.now+promiseWait, Replica{Address: "10.0.9.9:1", Nonce: nonce}, promise)
 		}
 		So(candidate.machine.Status(), ShouldEqual, Preparing)
 	})
--- a/internal/fleet/replication/leaving_test.go
+++ b/internal/fleet/replication/resignation_test.go
@@ -41,7 +41,7 @@
 		Convey("release one that only starts again, as soon as it is no member", func() {
 			c.resign(backups[0])
 			c.run(500 * time.Millisecond)
-			So(backups[0].machine.MayStop(), ShouldBeTrue)
+			So(backups[0].machine.CanStop(), ShouldBeTrue)
 			So(len(c.view().Witnesses), ShouldEqual, 3)
 			So(c.view().HasMember(backups[0].disk.Self), ShouldBeFalse)
 			So(c.order(), ShouldBeTrue)
@@ -64,7 +64,7 @@
 			So(len(view.Witnesses), ShouldEqual, 3)
 			So(view.HasWitness(added.disk.Self), ShouldBeTrue)
 			So(view.HasWitness(backups[0].disk.Self), ShouldBeFalse)
-			So(backups[0].machine.MayStop(), ShouldBeTrue)
+			So(backups[0].machine.CanStop(), ShouldBeTrue)
 			So(added.state, ShouldResemble, c.acked)
 		})
 		Convey("do not release it while one that could take its place can't be reached", func() {
@@ -73,7 +73,7 @@
 			c.powerOff(added)
 			c.resign(backups[0])
 			c.run(3 * time.Second)
-			So(backups[0].machine.MayStop(), ShouldBeFalse)
+			So(backups[0].machine.CanStop(), ShouldBeFalse)
 		})
 		Convey("acknowledge nothing on the copy of one that leaves", func() {
 			c.powerOff(backups[1])
@@ -82,12 +82,12 @@
 			c.resign(backups[0])
 			c.run(300 * time.Millisecond)
 			So(c.order(), ShouldBeFalse)
-			So(backups[0].machine.MayStop(), ShouldBeFalse)
+			So(backups[0].machine.CanStop(), ShouldBeFalse)
 			Convey("and go on when another copy is back", func() {
 				c.powerOn(backups[1])
 				c.run(2 * time.Second)
 				So(c.order(), ShouldBeTrue)
-				So(backups[0].machine.MayStop(), ShouldBeTrue)
+				So(backups[0].machine.CanStop(), ShouldBeTrue)
 			})
 		})
 		Convey("release all that end at once", func() {
@@ -95,7 +95,7 @@
 				c.resign(h)
 			}
 			c.run(time.Second)
-			So(c.leader().machine.MayStop(), ShouldBeTrue)
+			So(c.leader().machine.CanStop(), ShouldBeTrue)
 		})
 	})
 	Convey("A core of one hands all over to the machine that replaces it", t, func() {
@@ -107,7 +107,7 @@
 		c.run(time.Second)
 		c.resign(former)
 		c.run(time.Second)
-		So(former.machine.MayStop(), ShouldBeTrue)
+		So(former.machine.CanStop(), ShouldBeTrue)
 		c.powerOff(former)
 		c.run(time.Second)
 		So(c.leader(), ShouldEqual, added)
--- a/internal/fleet/replication/search_events_test.go
+++ b/internal/fleet/replication/search_events_test.go
@@ -150,7 +150,7 @@
 // end ends a leaver that was released: for good where no view that anybody knows has it, else to start again.
 func (w *wideWalk) end(*host) {
 	for _, h := range w.replicas {
-		if h.gone || !w.leaving[h] || !h.machine.MayStop() {
+		if h.gone || !w.leaving[h] || !h.machine.CanStop() {
 			continue
 		}
 		if w.isOut(h) {
--- a/internal/fleet/replication/search_test.go
+++ b/internal/fleet/replication/search_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// askToJoin has a replica that is no witness ask all others to take it in.
+// requestJoin has a replica that is no witness ask all others to take it in.
 func (w *world) askToJoin(h *host) {
 	if view := h.machine.View(); view.HasWitness(h.machine.Self()) {
 		return
@@ -105,9 +105,9 @@
 }
 
 // elect makes the replica a candidate, as when its patience has run out.
-func (m *Node) elect(now time.Duration) *Output {
-	out := m.step(now)
-	m.startElection()
+func (n *Node) elect(now time.Duration) *Output {
+	out := n.step(now)
+	n.startElection()
 	return out
 }
 
--- a/internal/fleet/replication/simulation_test.go
+++ b/internal/fleet/replication/simulation_test.go
@@ -120,7 +120,7 @@
 func (s *simulation) startNode(n *node) {
 	n.up, n.frozen, n.resigned, n.reads = true, 0, 0, nil
 	n.machine = New(s.now, n.disk, Options{
-		Timing: DefaultTiming(), Tolerance: s.setup.tolerance, Joins: true,
+		Timing: DefaultTiming(), Tolerance: s.setup.tolerance, RequestsJoin: true,
 		Random: rand.New(rand.NewPCG(s.random.Uint64(), 1)),
 		LocalityOf: func(a string) Locality {
 			if at := s.nodeAt(a); at != nil {
@@ -285,7 +285,7 @@
 	if !n.up || n.resigned == 0 || s.now-n.resigned < noticeTime {
 		return
 	}
-	released := n.machine.MayStop()
+	released := n.machine.CanStop()
 	if !released && s.now-n.resigned < graceTime {
 		return
 	}
@@ -446,7 +446,7 @@
 	for _, n := range s.live() {
 		d := &n.disk
 		s.note("%s/%d %s, released %v: view %d, primary %v, members %v, witnesses %v, promised %v, accepted %v, position %v, %d bytes",
-			n.address, d.Self.Nonce, n.machine.Status(), n.machine.MayStop(), d.View.Number, d.View.Primary, d.View.Members,
+			n.address, d.Self.Nonce, n.machine.Status(), n.machine.CanStop(), d.View.Number, d.View.Primary, d.View.Members,
 			d.View.Witnesses, d.Promised, d.Accepted, d.Position, len(n.state))
 	}
 }
--- a/internal/fleet/replication/timing_test.go
+++ b/internal/fleet/replication/timing_test.go
@@ -139,7 +139,7 @@
 		c.run(time.Second)
 		first := c.leader()
 		So(first, ShouldNotBeNil)
-		So(len(first.machine.durable.View.Members), ShouldEqual, 3)
+		So(len(first.machine.hardState.View.Members), ShouldEqual, 3)
 		So(c.order(), ShouldBeTrue)
 
 		Convey("elect another primary within two seconds when the primary loses power, and lose nothing", func() {
@@ -152,7 +152,7 @@
 			Convey("and take the former primary in again", func() {
 				c.powerOn(first)
 				c.run(2 * time.Second)
-				So(len(c.leader().machine.durable.View.Members), ShouldEqual, 3)
+				So(len(c.leader().machine.hardState.View.Members), ShouldEqual, 3)
 				So(first.state, ShouldResemble, c.acked)
 			})
 		})
@@ -313,7 +313,7 @@
 		}
 		c.run(3 * time.Second)
 		So(c.leader(), ShouldEqual, counts)
-		So(len(counts.machine.durable.View.Witnesses), ShouldEqual, 1)
+		So(len(counts.machine.hardState.View.Witnesses), ShouldEqual, 1)
 		So(c.order(), ShouldBeTrue)
 		for _, h := range c.replicas {
 			if h != counts {
@@ -334,7 +334,7 @@
 			h.machine.options.LocalityOf = func(a string) Locality { return Locality{Zone: a, Known: true, CountsForQuorum: a != outsider} }
 		}
 		c.run(3 * time.Second)
-		So(len(c.leader().machine.durable.View.Witnesses), ShouldEqual, 3)
+		So(len(c.leader().machine.hardState.View.Witnesses), ShouldEqual, 3)
 	})
 	Convey("Six replicas of which two may be lost acknowledge after two disks are lost at once", t, func() {
 		c := newCluster(6, 2)
--- a/internal/fleet/replication/trace_test.go
+++ b/internal/fleet/replication/trace_test.go
@@ -28,7 +28,7 @@
 	t.steps++
 	committed, isPrimary := node.Committed()
 	confirmed, isConfirmed := node.LeadershipConfirmedAt()
-	t.add(node.HardState(), uint8(node.Status()), committed, isPrimary, int64(confirmed), isConfirmed, node.MayStop(), node.HasPendingProposal())
+	t.add(node.HardState(), uint8(node.Status()), committed, isPrimary, int64(confirmed), isConfirmed, node.CanStop(), node.HasPendingProposal())
 	if out.Write != nil {
 		t.add(out.Write.HardState, out.Write.Entry, out.Write.Snapshot)
 	}
--- a/internal/fleet/replication/witness.go
+++ b/internal/fleet/replication/witness.go
@@ -5,164 +5,164 @@
 // What a replica does as a witness and as a member of another replica's view.
 
 // stickiness is how long after a sign of life of the primary a witness promises to nobody else.
-func (m *Node) stickiness() time.Duration { return m.options.Timing.ElectionTimeout * 9 / 10 }
+func (n *Node) primaryStickiness() time.Duration { return n.options.Timing.ElectionTimeout * 9 / 10 }
 
-func (m *Node) onHeartbeat(from Replica, message Heartbeat) {
-	if !m.learn(message.View) {
-		m.send(from, ViewNotice{View: m.durable.View})
+func (n *Node) onHeartbeat(from Replica, message Heartbeat) {
+	if !n.observeView(message.View) {
+		n.send(from, ViewNotice{View: n.hardState.View})
 		return
 	}
-	if from != m.durable.View.Primary || from == m.durable.Self {
+	if from != n.hardState.View.Primary || from == n.hardState.Self {
 		return
 	}
 	age := time.Duration(message.ConfirmedAgeMs) * time.Millisecond
-	if age < m.options.Timing.ElectionTimeout {
-		m.primarySeen = m.now
+	if age < n.options.Timing.ElectionTimeout {
+		n.primaryLastSeen = n.now
 	}
-	m.send(from, HeartbeatAck{Number: message.View.Number, Round: message.Round, Current: m.durable.Promised.isZero(),
-		Leaving: m.leaving})
+	n.send(from, HeartbeatAck{Number: message.View.Number, Round: message.Round, Current: n.hardState.Promised.isZero(),
+		Leaving: n.resigning})
 }
 
-func (m *Node) onPrepare(from Replica, message Prepare) {
-	if !m.learn(message.View) {
-		m.send(from, ViewNotice{View: m.durable.View})
+func (n *Node) onPrepare(from Replica, message Prepare) {
+	if !n.observeView(message.View) {
+		n.send(from, ViewNotice{View: n.hardState.View})
 		return
 	}
-	if !m.durable.View.HasWitness(m.durable.Self) {
+	if !n.hardState.View.HasWitness(n.hardState.Self) {
 		return
 	}
-	primary := m.durable.View.Primary
-	if from != primary && m.now-m.primarySeen < m.stickiness() && m.durable.Promised.isZero() && primary != (Replica{}) {
+	primary := n.hardState.View.Primary
+	if from != primary && n.now-n.primaryLastSeen < n.primaryStickiness() && n.hardState.Promised.isZero() && primary != (Replica{}) {
 		return // the primary lives: the sender's own links are at fault
 	}
-	if message.Ballot.less(m.durable.Promised) {
-		m.send(from, Reject{Number: m.durable.View.Number + 1, Promised: m.durable.Promised})
+	if message.Ballot.less(n.hardState.Promised) {
+		n.send(from, Reject{Number: n.hardState.View.Number + 1, Promised: n.hardState.Promised})
 		return
 	}
-	m.promise(message.Ballot)
-	m.primarySeen = m.now // the candidate is at work, which may wait for the state to come
-	m.send(from, m.ownPromise())
+	n.promise(message.Ballot)
+	n.primaryLastSeen = n.now // the candidate is at work, which may wait for the state to come
+	n.send(from, n.currentPromise())
 }
 
 // promise binds this replica to a ballot for the next view; as a member it takes no more changes in this one.
-func (m *Node) promise(ballot Ballot) {
-	m.highest = max(m.highest, ballot.Round)
-	if m.durable.Promised == ballot {
+func (n *Node) promise(ballot Ballot) {
+	n.highestRound = max(n.highestRound, ballot.Round)
+	if n.hardState.Promised == ballot {
 		return
 	}
-	m.durable.Promised = ballot
-	if ballot.Proposer != m.durable.Self {
-		m.election, m.lead = nil, nil
-		m.status = Following
-		m.primarySeen = m.now
+	n.hardState.Promised = ballot
+	if ballot.Proposer != n.hardState.Self {
+		n.election, n.primary = nil, nil
+		n.status = Following
+		n.primaryLastSeen = n.now
 	}
-	m.persist()
+	n.persist()
 }
 
-func (m *Node) ownPromise() Promise {
+func (n *Node) currentPromise() Promise {
 	return Promise{
-		Number: m.durable.View.Number + 1, Ballot: m.durable.Promised, Accepted: m.durable.Accepted,
-		Proposal: m.durable.Proposal, Position: m.durable.Position, Source: m.durable.Source, Leaving: m.leaving,
+		Number: n.hardState.View.Number + 1, Ballot: n.hardState.Promised, Accepted: n.hardState.Accepted,
+		Proposal: n.hardState.Proposal, Position: n.hardState.Position, Source: n.hardState.Source, Leaving: n.resigning,
 	}
 }
 
-func (m *Node) onFetch(from Replica, message FetchSnapshot) {
-	if message.Number != m.durable.View.Number+1 || message.Ballot != m.durable.Promised {
+func (n *Node) onFetchSnapshot(from Replica, message FetchSnapshot) {
+	if message.Number != n.hardState.View.Number+1 || message.Ballot != n.hardState.Promised {
 		return
 	}
-	m.sendState(from, FetchSnapshotReply{Number: message.Number, Ballot: message.Ballot, Position: m.durable.Position})
+	n.sendWithSnapshot(from, FetchSnapshotReply{Number: message.Number, Ballot: message.Ballot, Position: n.hardState.Position})
 }
 
-func (m *Node) onInstall(from Replica, message InstallSnapshot) {
-	if message.Number <= m.durable.View.Number {
-		m.send(from, ViewNotice{View: m.durable.View})
+func (n *Node) onInstallSnapshot(from Replica, message InstallSnapshot) {
+	if message.Number <= n.hardState.View.Number {
+		n.send(from, ViewNotice{View: n.hardState.View})
 		return
 	}
-	bound := m.durable.Source
-	if m.durable.Position.View < message.Number {
+	bound := n.hardState.Source
+	if n.hardState.Position.View < message.Number {
 		bound = Ballot{}
 	}
-	if message.Number == m.durable.View.Number+1 && bound.less(m.durable.Promised) {
-		bound = m.durable.Promised
+	if message.Number == n.hardState.View.Number+1 && bound.less(n.hardState.Promised) {
+		bound = n.hardState.Promised
 	}
 	if message.Ballot.less(bound) {
-		m.send(from, Reject{Number: message.Number, Promised: bound})
+		n.send(from, Reject{Number: message.Number, Promised: bound})
 		return
 	}
-	held := m.durable.Position == message.Position && m.durable.Source == message.Ballot
-	same := m.durable.Position == message.From && m.durable.Source == message.FromSource
+	held := n.hardState.Position == message.Position && n.hardState.Source == message.Ballot
+	same := n.hardState.Position == message.From && n.hardState.Source == message.FromSource
 	if !held && !same && message.Snapshot == nil {
-		m.sendMissingTo(from, message.Number, message.Ballot)
+		n.sendSnapshotNeeded(from, message.Number, message.Ballot)
 		return
 	}
 	if !held {
-		m.hold(message.Position, message.Ballot, message.Snapshot)
+		n.installState(message.Position, message.Ballot, message.Snapshot)
 	}
-	m.send(from, InstallSnapshotAck{Number: message.Number, Ballot: message.Ballot})
+	n.send(from, InstallSnapshotAck{Number: message.Number, Ballot: message.Ballot})
 }
 
-// sendMissingTo says which state is held, to one that offers another one.
-func (m *Node) sendMissingTo(to Replica, number uint64, ballot Ballot) {
-	m.send(to, SnapshotNeeded{Number: number, Ballot: ballot, Position: m.durable.Position, Source: m.durable.Source})
+// sendSnapshotNeeded says which state is held, to one that offers another one.
+func (n *Node) sendSnapshotNeeded(to Replica, number uint64, ballot Ballot) {
+	n.send(to, SnapshotNeeded{Number: number, Ballot: ballot, Position: n.hardState.Position, Source: n.hardState.Source})
 }
 
 // hold takes over a state; nil is the one that is held already, at another position.
-func (m *Node) hold(position Position, source Ballot, snapshot []byte) {
-	m.durable.Position, m.durable.Source = position, source
-	write := m.persist()
+func (n *Node) installState(position Position, source Ballot, snapshot []byte) {
+	n.hardState.Position, n.hardState.Source = position, source
+	write := n.persist()
 	if snapshot != nil {
 		write.Snapshot = snapshot
 	}
 }
 
-func (m *Node) onAccept(from Replica, message Accept) {
+func (n *Node) onAccept(from Replica, message Accept) {
 	number := message.Proposal.Number
-	if number <= m.durable.View.Number {
-		m.send(from, ViewNotice{View: m.durable.View})
+	if number <= n.hardState.View.Number {
+		n.send(from, ViewNotice{View: n.hardState.View})
 		return
 	}
-	if number != m.durable.View.Number+1 || !m.durable.View.HasWitness(m.durable.Self) {
+	if number != n.hardState.View.Number+1 || !n.hardState.View.HasWitness(n.hardState.Self) {
 		return
 	}
-	if message.Ballot.less(m.durable.Promised) {
-		m.send(from, Reject{Number: number, Promised: m.durable.Promised})
+	if message.Ballot.less(n.hardState.Promised) {
+		n.send(from, Reject{Number: number, Promised: n.hardState.Promised})
 		return
 	}
-	m.promise(message.Ballot)
-	m.accept(message.Ballot, message.Proposal)
-	m.send(from, AcceptAck{Number: number, Ballot: message.Ballot})
+	n.promise(message.Ballot)
+	n.accept(message.Ballot, message.Proposal)
+	n.send(from, AcceptAck{Number: number, Ballot: message.Ballot})
 }
 
-func (m *Node) accept(ballot Ballot, proposal View) {
-	m.durable.Accepted, m.durable.Proposal = ballot, proposal
-	m.persist()
+func (n *Node) accept(ballot Ballot, proposal View) {
+	n.hardState.Accepted, n.hardState.Proposal = ballot, proposal
+	n.persist()
 }
 
-// onStore takes a change over, as a member or as a learner that is to become one.
-func (m *Node) onStore(from Replica, message Append) {
-	if !m.learn(message.View) {
-		m.send(from, ViewNotice{View: m.durable.View})
+// onAppend takes a change over, as a member or as a learner that is to become one.
+func (n *Node) onAppend(from Replica, message Append) {
+	if !n.observeView(message.View) {
+		n.send(from, ViewNotice{View: n.hardState.View})
 		return
 	}
-	if from != m.durable.View.Primary || from == m.durable.Self {
+	if from != n.hardState.View.Primary || from == n.hardState.Self {
 		return
 	}
-	if !m.durable.Promised.isZero() {
-		m.send(from, Reject{Number: m.durable.View.Number + 1, Promised: m.durable.Promised})
+	if !n.hardState.Promised.isZero() {
+		n.send(from, Reject{Number: n.hardState.View.Number + 1, Promised: n.hardState.Promised})
 		return
 	}
-	m.primarySeen = m.now
-	current := m.durable.Source == message.Source && m.durable.Position.View == message.Position.View
+	n.primaryLastSeen = n.now
+	current := n.hardState.Source == message.Source && n.hardState.Position.View == message.Position.View
 	switch {
-	case current && m.durable.Position.Sequence >= message.Position.Sequence:
-	case current && message.Entry != nil && m.durable.Position.Sequence+1 == message.Position.Sequence:
-		m.durable.Position = message.Position
-		m.persist().Entry = message.Entry
+	case current && n.hardState.Position.Sequence >= message.Position.Sequence:
+	case current && message.Entry != nil && n.hardState.Position.Sequence+1 == message.Position.Sequence:
+		n.hardState.Position = message.Position
+		n.persist().Entry = message.Entry
 	case message.Snapshot != nil:
-		m.hold(message.Position, message.Source, message.Snapshot)
+		n.installState(message.Position, message.Source, message.Snapshot)
 	default:
-		m.sendMissingTo(from, m.durable.View.Number, Ballot{})
+		n.sendSnapshotNeeded(from, n.hardState.View.Number, Ballot{})
 		return
 	}
-	m.send(from, AppendAck{Number: m.durable.View.Number, Position: m.durable.Position})
+	n.send(from, AppendAck{Number: n.hardState.View.Number, Position: n.hardState.Position})
 }
--- a/internal/fleet/replication/world_test.go
+++ b/internal/fleet/replication/world_test.go
@@ -83,7 +83,7 @@
 
 func (w *world) start(h *host, timing Timing) {
 	h.machine = New(w.now, h.disk, Options{
-		Timing: timing, Tolerance: w.tolerance, Random: rand.New(rand.NewPCG(1, 2)), Joins: true,
+		Timing: timing, Tolerance: w.tolerance, Random: rand.New(rand.NewPCG(1, 2)), RequestsJoin: true,
 		LocalityOf:  func(address string) Locality { return Locality{Zone: address, Known: true, CountsForQuorum: true} },
 		JoinTargets: func() []string { return nil },
 	})
--- a/internal/fleet/router/core.go
+++ b/internal/fleet/router/core.go
@@ -129,7 +129,7 @@
 
 // awaitRelease lets time pass until this router's replica may end, or the platform ends the process.
 func (r *Router) awaitRelease(ticks <-chan time.Time, end time.Time) {
-	for r.replica != nil && !r.replica.MayStop() && time.Now().Before(end) {
+	for r.replica != nil && !r.replica.CanStop() && time.Now().Before(end) {
 		<-ticks
 		r.tick()
 	}
