--- a/internal/fleet/replication/learners.go
+++ b/internal/fleet/replication/learners.go
@@ -2,84 +2,84 @@
 
 import "slices"
 
-// Learners are replicas that the next view is to take in. The primary brings them up to its state before that, beside the
-// changes that it takes, so that a view change hands over no whole state, however slow a link is.
+// Learners are replicas that the next view is to add. The primary brings them up to its state before that, beside the
+// changes that it takes, so that a view change transfers no snapshot, however slow a link is.
 
-// Bounds of the changes that a primary keeps for learners that are a little behind.
+// Bounds of what a primary does for learners.
 const (
-	maxRetainedEntries      = 64
-	maxRetainedBytes   = 1 << 20
-	maxConcurrentLearners = 2 // that are brought up at a time
+	maxRetainedEntries    = 64
+	maxRetainedBytes      = 1 << 20
+	maxConcurrentLearners = 2
 )
 
-// retainedEntry is a change, and the sequence that it led to.
+// retainedEntries are the last changes, in their order, for learners that are a little behind.
+type retainedEntries struct {
+	entries []retainedEntry
+	bytes   int
+}
+
+// retainedEntry is a change, and the sequence number that it led to.
 type retainedEntry struct {
 	sequence uint64
 	entry    []byte
 }
 
-// retainEntry keeps a change for learners.
-func (l *primaryState) retainEntry(sequence uint64, entry []byte) {
-	l.retained = append(l.retained, retainedEntry{sequence: sequence, entry: entry})
-	l.retainedBytes += len(entry)
-	for len(l.retained) > maxRetainedEntries || l.retainedBytes > maxRetainedBytes {
-		l.retainedBytes -= len(l.retained[0].entry)
-		l.retained = l.retained[1:]
+// add retains a change, and drops the oldest ones beyond the bounds.
+func (r *retainedEntries) add(sequence uint64, entry []byte) {
+	r.entries = append(r.entries, retainedEntry{sequence: sequence, entry: entry})
+	r.bytes += len(entry)
+	for len(r.entries) > maxRetainedEntries || r.bytes > maxRetainedBytes {
+		r.bytes -= len(r.entries[0].entry)
+		r.entries = r.entries[1:]
 	}
 }
 
-// entriesAfter are the changes after a sequence; ok is false where one of them is not kept.
-func (l *primaryState) entriesAfter(sequence, upTo uint64) (entries []retainedEntry, ok bool) {
-	at := slices.IndexFunc(l.retained, func(e retainedEntry) bool { return e.sequence == sequence+1 })
+// between returns the changes after one sequence number up to another one; ok is false where one of them is not retained.
+func (r *retainedEntries) between(after, upTo uint64) (entries []retainedEntry, ok bool) {
+	at := slices.IndexFunc(r.entries, func(e retainedEntry) bool { return e.sequence == after+1 })
 	if at < 0 {
 		return nil, false
 	}
-	return l.retained[at:], l.retained[len(l.retained)-1].sequence == upTo
-}
-
-// isCaughtUp tells whether a replica holds the primary's state though it is no member.
-func (n *Node) isCaughtUp(r Replica) bool {
-	if n.primary != nil {
-		return n.primary.matchPosition[r] == n.hardState.Position
-	}
-	return n.election != nil && n.election.caughtUp[r]
+	return r.entries[at:], r.entries[len(r.entries)-1].sequence == upTo
 }
 
-// learners are the replicas that the next view would take in if they held the state.
+// learners returns the replicas that the next view would add if they held the state.
 func (n *Node) learners() []Replica {
-	witnesses := n.nextWitnesses(false)
-	members := n.nextMembers(witnesses, func(r Replica) bool { return n.isLive(r, n.options.Timing.MemberTimeout) })
+	view, next := &n.hardState.View, n.composition()
+	witnesses := next.nextWitnesses(false)
+	members := next.nextMembers(witnesses, n.isLiveMember)
 	return slices.DeleteFunc(union(witnesses, members), func(r Replica) bool {
-		view := &n.hardState.View
 		isIn := view.HasMember(r) || view.HasWitness(r) && !slices.Contains(members, r)
 		return isIn || r == n.hardState.Self
 	})
 }
 
-// teach asks learners whether they hold the state. Those that don't say what they lack.
+// syncLearners asks learners whether they hold the state. Those that don't answer with the state that they have.
 func (n *Node) syncLearners() {
 	learners := n.learners()
 	n.primary.learners = learners[:min(len(learners), maxConcurrentLearners)]
 	for _, r := range n.primary.learners {
-		if n.primary.matchPosition[r] != n.hardState.Position && n.now-n.primary.lastSent[r] > resendInterval {
+		if n.primary.needsResend(r, n.hardState.Position, n.now) {
 			n.primary.lastSent[r] = n.now
-			n.send(r, Append{View: n.hardState.View, Source: n.hardState.Source, Position: n.hardState.Position})
+			n.send(r, n.appendMessage(n.hardState.Position))
 		}
 	}
 }
 
-// sendCatchUp sends a replica what it lacks: the changes since its position where they are kept, else the state.
-func (n *Node) sendCatchUp(to Replica, held Position, source Ballot) {
-	if source == n.hardState.Source && held.View == n.hardState.Position.View {
-		if entries, ok := n.primary.entriesAfter(held.Sequence, n.hardState.Position.Sequence); ok {
+// sendCatchUp sends a replica what it lacks: the changes since its position if they are retained, else the snapshot.
+func (n *Node) sendCatchUp(to Replica, position Position, source Ballot) {
+	own := n.hardState.Position
+	if source == n.hardState.Source && position.View == own.View {
+		if entries, ok := n.primary.retained.between(position.Sequence, own.Sequence); ok {
 			for _, e := range entries {
-				position := Position{View: n.hardState.Position.View, Sequence: e.sequence}
-				n.send(to, Append{View: n.hardState.View, Source: n.hardState.Source, Position: position, Entry: e.entry})
+				message := n.appendMessage(Position{View: own.View, Sequence: e.sequence})
+				message.Entry = e.entry
+				n.send(to, message)
 			}
 			return
 		}
 	}
 	if n.transfers.tryStart(to, n.now) {
-		n.sendWithSnapshot(to, Append{View: n.hardState.View, Source: n.hardState.Source, Position: n.hardState.Position})
+		n.sendWithSnapshot(to, n.appendMessage(own))
 	}
 }
--- a/internal/fleet/replication/messages.go
+++ b/internal/fleet/replication/messages.go
@@ -1,9 +1,9 @@
 package replication
 
-// Message is what replicas send each other.
+// Message is what replicas send each other. The keys of the fields are those of the encoding (CBOR), and never change.
 type Message interface{ kind() Kind }
 
-// Kind tells messages apart on the wire.
+// Kind is a message's type on the wire. The numbers never change.
 type Kind uint8
 
 // The kinds of messages.
@@ -28,8 +28,8 @@
 	KindResignAck
 )
 
-// HeartbeatInterval tells a view's witnesses that its primary lives. ConfirmedAgeMs is how long ago the primary sent the last
-// round that a majority of the witnesses answered; above a bound the primary counts as cut off.
+// Heartbeat tells a view's witnesses that its primary lives. ConfirmedAgeMs is how many milliseconds ago the primary sent
+// the last round that a majority of the witnesses answered; above a bound the primary counts as cut off.
 type Heartbeat struct {
 	View           View   `cbor:"1,keyasint"`
 	Round          uint64 `cbor:"2,keyasint"`
@@ -41,20 +41,20 @@
 	Number  uint64 `cbor:"1,keyasint"`
 	Round   uint64 `cbor:"2,keyasint"`
 	Current bool   `cbor:"3,keyasint"`
-	Leaving bool   `cbor:"4,keyasint,omitempty"` // the witness is about to end
+	Leaving bool   `cbor:"4,keyasint,omitempty"` // the witness is resigning
 }
 
-// JoinInterval asks a primary to be taken in.
+// Join asks a primary to add the sender to the view.
 type Join struct {
 	Number uint64 `cbor:"1,keyasint"` // of the newest view that the sender knows
 }
 
-// ViewNotice tells of a decided view that the receiver does not know.
+// ViewNotice carries a decided view that the receiver does not know.
 type ViewNotice struct {
 	View View `cbor:"1,keyasint"`
 }
 
-// Prepare asks a witness of View for its promise to decide the view after it under no lower ballot.
+// Prepare asks a witness of View for its promise to decide the view after it under no lower ballot (Paxos, phase 1).
 type Prepare struct {
 	View   View   `cbor:"1,keyasint"`
 	Ballot Ballot `cbor:"2,keyasint"`
@@ -68,22 +68,22 @@
 	Proposal View     `cbor:"4,keyasint"`
 	Position Position `cbor:"5,keyasint"`
 	Source   Ballot   `cbor:"6,keyasint"`
-	Leaving  bool     `cbor:"7,keyasint,omitempty"` // the witness is about to end
+	Leaving  bool     `cbor:"7,keyasint,omitempty"` // the witness is resigning
 }
 
-// Reject answers what came under too low a ballot.
+// Reject answers a message under too low a ballot.
 type Reject struct {
 	Number   uint64 `cbor:"1,keyasint"`
 	Promised Ballot `cbor:"2,keyasint"`
 }
 
-// FetchSnapshot asks a sealed member for its state.
+// FetchSnapshot asks a member that has promised the sender's ballot for its state.
 type FetchSnapshot struct {
 	Number uint64 `cbor:"1,keyasint"`
 	Ballot Ballot `cbor:"2,keyasint"`
 }
 
-// FetchSnapshotReply answers Fetch.
+// FetchSnapshotReply answers FetchSnapshot.
 type FetchSnapshotReply struct {
 	Number   uint64   `cbor:"1,keyasint"`
 	Ballot   Ballot   `cbor:"2,keyasint"`
@@ -91,8 +91,8 @@
 	Snapshot []byte   `cbor:"4,keyasint"`
 }
 
-// InstallSnapshot hands the state for a view that is to be decided to one of its members. Without a snapshot it is for a member
-// that holds From under FromSource already.
+// InstallSnapshot has a member of a view that is to be decided install the state that the view begins with. Without a
+// snapshot it is for a member that holds From under FromSource already.
 type InstallSnapshot struct {
 	Number     uint64   `cbor:"1,keyasint"`
 	Ballot     Ballot   `cbor:"2,keyasint"`
@@ -102,13 +102,13 @@
 	Snapshot   []byte   `cbor:"6,keyasint"`
 }
 
-// InstallSnapshotAck answers Install.
+// InstallSnapshotAck answers InstallSnapshot: the state is installed, on the disk.
 type InstallSnapshotAck struct {
 	Number uint64 `cbor:"1,keyasint"`
 	Ballot Ballot `cbor:"2,keyasint"`
 }
 
-// Accept asks a witness to accept a view.
+// Accept asks a witness to accept a view (Paxos, phase 2).
 type Accept struct {
 	Ballot   Ballot `cbor:"1,keyasint"`
 	Proposal View   `cbor:"2,keyasint"`
@@ -120,7 +120,7 @@
 	Ballot Ballot `cbor:"2,keyasint"`
 }
 
-// Append hands a change, or with a snapshot the whole state, to a member of the primary's view. Without either it asks
+// Append sends a change, or with a snapshot the whole state, to a member of the primary's view. Without either it asks
 // whether the member holds Position.
 type Append struct {
 	View     View     `cbor:"1,keyasint"`
@@ -130,32 +130,30 @@
 	Snapshot []byte   `cbor:"5,keyasint"`
 }
 
-// AppendAck answers Store: the member holds all up to Position, on its disk.
+// AppendAck answers Append: the member has stored all up to Position, on its disk.
 type AppendAck struct {
 	Number   uint64   `cbor:"1,keyasint"`
 	Position Position `cbor:"2,keyasint"`
 }
 
-// SnapshotNeeded answers Install or Store where the sender's state is needed, and says which one is held.
+// SnapshotNeeded answers InstallSnapshot or Append where the sender's state is needed, and says which one is held.
 type SnapshotNeeded struct {
 	Number   uint64   `cbor:"1,keyasint"`
-	Ballot   Ballot   `cbor:"2,keyasint"` // of the Install; zero for a Store
+	Ballot   Ballot   `cbor:"2,keyasint"` // of the InstallSnapshot; zero for an Append
 	Position Position `cbor:"3,keyasint"`
 	Source   Ballot   `cbor:"4,keyasint"`
 }
 
-// Resign says that a replica is about to end, so that another one may take its place at once.
+// Resign says that a replica is about to shut down, so that another one may replace it at once.
 type Resign struct {
 	Number uint64 `cbor:"1,keyasint"` // of the newest view that the sender knows
 }
 
-// CanStop answers Resign: the replica may end.
+// ResignAck answers Resign: the replica may stop.
 type ResignAck struct {
 	Number uint64 `cbor:"1,keyasint"`
 }
 
-func (ResignAck) kind() Kind          { return KindResignAck }
-func (Resign) kind() Kind             { return KindResign }
 func (Heartbeat) kind() Kind          { return KindHeartbeat }
 func (HeartbeatAck) kind() Kind       { return KindHeartbeatAck }
 func (Join) kind() Kind               { return KindJoin }
@@ -172,3 +170,5 @@
 func (Append) kind() Kind             { return KindAppend }
 func (AppendAck) kind() Kind          { return KindAppendAck }
 func (SnapshotNeeded) kind() Kind     { return KindSnapshotNeeded }
+func (Resign) kind() Kind             { return KindResign }
+func (ResignAck) kind() Kind          { return KindResignAck }
--- a/internal/fleet/replication/node.go
+++ b/internal/fleet/replication/node.go
@@ -1,7 +1,6 @@
 package replication
 
 import (
-	"math/rand/v2"
 	"slices"
 	"time"
 )
@@ -9,133 +8,84 @@
 // Status is what a replica is doing.
 type Status uint8
 
-// The states of a replica. A candidate goes through them in this order; a view change that fails leads back to Following.
+// The states of a replica. A candidate goes through them in this order; an election that fails leads back to Following.
 const (
-	Following  Status = iota // the primary of the view, if there is one, is another replica
-	Preparing                // asks witnesses for promises
-	Fetching                 // asks a member for a newer state than its own
-	Installing               // hands the state to the next view's members
-	Accepting                // has witnesses accept the next view
-	Activating               // is primary, and brings all members to the same content
-	Leading                  // is primary, and may acknowledge changes
+	Following  Status = iota // another replica is the primary of the view, or there is none
+	Preparing                // candidate: collects promises of the witnesses
+	Fetching                 // candidate: fetches a newer state than its own from a member
+	Installing               // candidate: has the next view's members install the state
+	Accepting                // candidate: has the witnesses accept the next view
+	Activating               // primary: brings all members to the same state
+	Leading                  // primary: may commit changes
 )
 
 func (s Status) String() string {
 	return [...]string{"following", "preparing", "fetching", "installing", "accepting", "activating", "leading"}[s]
 }
 
-// Timing are the intervals of the protocol. None of them matters for safety.
-type Timing struct {
-	HeartbeatInterval     time.Duration // between a primary's rounds
-	StartupTimeout        time.Duration // the same, after this replica's own start
-	ElectionTimeout       time.Duration // without a primary, before the first member becomes a candidate
-	ElectionStagger       time.Duration // more for each member after the first
-	MemberTimeout         time.Duration // of silence after which a primary leaves a member out
-	AppendTimeout         time.Duration // that a member may take to store a change
-	StepTimeout           time.Duration // that each step of a view change may take
-	SnapshotTimeout       time.Duration // the same, where a member that the others can't do without is sent the whole state
-	JoinInterval          time.Duration // between requests to be taken in
-	MinViewChangeInterval time.Duration // least time between view changes that only take replicas in
-	SlowMemberBackoff     time.Duration // before a member that was left out for being slow is taken in again; doubles each time
-	WitnessTimeout        time.Duration // of silence after which a witness may be replaced
-}
-
-// DefaultTiming suits machines in one region.
-func DefaultTiming() Timing {
-	return Timing{
-		HeartbeatInterval: 150 * time.Millisecond, StartupTimeout: 180 * time.Millisecond, ElectionTimeout: 700 * time.Millisecond, ElectionStagger: 200 * time.Millisecond,
-		MemberTimeout: 700 * time.Millisecond, AppendTimeout: 500 * time.Millisecond, StepTimeout: 400 * time.Millisecond,
-		SnapshotTimeout: 12 * time.Second,
-		JoinInterval:    250 * time.Millisecond, MinViewChangeInterval: 500 * time.Millisecond, SlowMemberBackoff: 3 * time.Second,
-		WitnessTimeout: 1500 * time.Millisecond,
-	}
-}
-
-// Tolerance is what may be lost at once.
-type Tolerance struct{ Machines, Zones, Regions int }
-
-// Locality is where a machine stands, and whether it counts for the quorum. Of a machine that is not known nothing is said.
-type Locality struct {
-	Zone, Region    string
-	Known           bool
-	CountsForQuorum bool
-}
-
-// Options are a machine's surroundings.
-type Options struct {
-	Timing    Timing
-	Tolerance Tolerance
-	Random    *rand.Rand
-	// LocalityOf tells where the machine at an address stands, as far as it is known.
-	LocalityOf func(address string) Locality
-	// JoinTargets are addresses to be asked where no primary is known.
-	JoinTargets func() []string
-	// RequestsJoin says that this replica asks to be taken in where it is no witness.
-	RequestsJoin bool
-}
-
-// Node is one replica's part of the protocol. Its methods are not safe for concurrent use. Times are of one steady
-// clock.
+// Node is one replica's state machine. It is the one place where a replica's state changes. Its methods are not safe for
+// concurrent use. Times are readings of one monotonic clock.
+//
+// Each method that returns an Output is a step: the Output has to be carried out before the next one.
 type Node struct {
-	options Options
+	options   Options
 	hardState HardState
-	status  Status
-	out     *Output
-
-	now         time.Duration
-	started     time.Duration
-	primaryLastSeen time.Duration             // when the view's primary last showed that it is not cut off
-	lastContact       map[Replica]time.Duration // when each replica was last heard of
-	joinRequests     map[Replica]time.Duration // when each last asked to be taken in
-	penalties   map[Replica]*penalty
-	nextJoin    time.Duration
-	highestRound     uint64 // round of any ballot seen
-	transfers   snapshotTransfers
-
-	resigning    bool          // this replica is about to end: it does not ask to be taken in any more
-	releasedAt   time.Duration // when the primary said last that it may end; 0: it did not
-	nextResign time.Duration
-	resigningPeers    map[Replica]bool          // the others that have said so
-	formerWitnesses   map[Replica]time.Duration // when each former witness went out of the view
-
-	election *election
-	primary     *primaryState
+	status    Status
+	out       *Output // of the present step
+
+	now             time.Duration // of the present step
+	started         time.Duration
+	primaryLastSeen time.Duration // when the view's primary last showed that it is not cut off
+	nextJoinRequest time.Duration
+	highestRound    uint64 // of any ballot seen
+	peers           peerTable
+	penalties       penalties
+	transfers       snapshotTransfers
+	resignation     resignation // of this replica
+
+	election *election     // nil unless this replica is a candidate
+	primary  *primaryState // nil unless this replica is the primary
 }
 
 // New returns a replica as it is after a start, with what its disk holds. A replica that was primary does not go on as
-// primary: what it had sent before its own disk had it can't be told, so that it needs a new view.
-func New(now time.Duration, durable HardState, options Options) *Node {
+// primary: it can't know what it sent before its own disk had it, so that it needs a new view.
+func New(now time.Duration, hardState HardState, options Options) *Node {
 	return &Node{
-		options: options, hardState: durable, now: now,
-		primaryLastSeen: now - options.Timing.ElectionTimeout + options.Timing.StartupTimeout, started: now,
-		lastContact: map[Replica]time.Duration{}, joinRequests: map[Replica]time.Duration{}, penalties: map[Replica]*penalty{},
-		highestRound: durable.Promised.Round, transfers: snapshotTransfers{}, resigningPeers: map[Replica]bool{}, formerWitnesses: map[Replica]time.Duration{},
+		options:         options,
+		hardState:       hardState,
+		now:             now,
+		started:         now,
+		primaryLastSeen: now - options.Timing.ElectionTimeout + options.Timing.StartupTimeout,
+		highestRound:    hardState.Promised.Round,
+		peers:           newPeerTable(),
+		penalties:       penalties{},
+		transfers:       snapshotTransfers{},
 	}
 }
 
-// Self is this replica.
+// Self returns this replica's identity.
 func (n *Node) Self() Replica { return n.hardState.Self }
 
-// View is the newest view that is known to be decided.
+// View returns the newest view that is known to be decided.
 func (n *Node) View() View { return n.hardState.View }
 
-// Status is what the replica is doing.
+// Status returns what the replica is doing.
 func (n *Node) Status() Status { return n.status }
 
-// Position is that of the state held, committed or not.
+// Position returns the position of the state that is stored, committed or not.
 func (n *Node) Position() Position { return n.hardState.Position }
 
-// HardState is what has to be on the disk.
+// HardState returns what has to be on the disk.
 func (n *Node) HardState() HardState { return n.hardState }
 
-// step begins a step and returns its output.
+// step begins a step and returns its output, which is empty yet.
 func (n *Node) step(now time.Duration) *Output {
 	n.now = now
 	n.out = &Output{}
 	return n.out
 }
 
-// persist has the durable part written with this step.
+// persist has the hard state written with this step.
 func (n *Node) persist() *Write {
 	if n.out.Write == nil {
 		n.out.Write = &Write{}
@@ -154,16 +104,13 @@
 	n.out.Send = append(n.out.Send, Outgoing{To: to.Address, Message: message, AttachSnapshot: true})
 }
 
-// enough tells whether copies on these replicas outlive what may be lost at once.
-func (n *Node) survivesLoss(replicas []Replica) bool {
-	zones, regions := map[string]bool{}, map[string]bool{}
-	for _, r := range replicas {
-		place := n.options.LocalityOf(r.Address)
-		zones[place.Zone] = true
-		regions[place.Region] = true
-	}
-	t := n.options.Tolerance
-	return len(replicas) > t.Machines && len(zones) > t.Zones && len(regions) > t.Regions
+func (n *Node) topology() topology {
+	return topology{tolerance: n.options.Tolerance, localityOf: n.options.LocalityOf}
+}
+
+// composition is the choice of the next view's replicas as things are now.
+func (n *Node) composition() composition {
+	return composition{topology: n.topology(), self: n.hardState.Self, view: &n.hardState.View, conditions: n}
 }
 
 // Tick lets time pass.
@@ -182,37 +129,39 @@
 	return out
 }
 
-// primaryUnknownTimeout is how long a witness hears of no primary before it asks whether there is a newer view.
-const primaryUnknownTimeout = 2 * time.Second
+// startupStaggerDivisor shortens the election stagger where no primary was seen since the start: all may have just started.
+const startupStaggerDivisor = 4
 
-// checkElectionTimeout makes a member a candidate where the primary is silent. Members wait the longer the later they stand in
-// the view, so that the first live one acts, and those that leave wait longest: theirs may be the only copy left.
+// checkElectionTimeout makes a member a candidate where the primary is unresponsive. Members wait the longer the later they
+// stand in the view, so that the first live one acts, and resigning ones wait longest: theirs may be the only copy left.
 func (n *Node) checkElectionTimeout() {
 	rank := slices.Index(n.hardState.View.Members, n.hardState.Self)
 	if rank < 0 {
 		return
 	}
-	if n.resigning {
+	if n.resignation.requested {
 		rank += len(n.hardState.View.Members)
 	}
-	t := n.options.Timing
-	stagger := t.ElectionStagger
+	stagger := n.options.Timing.ElectionStagger
 	if n.primaryLastSeen <= n.started {
-		stagger /= 4 // nothing was heard yet: all may have just started
+		stagger /= startupStaggerDivisor
 	}
-	if n.now-n.primaryLastSeen > t.ElectionTimeout+time.Duration(rank)*stagger {
+	if n.now-n.primaryLastSeen > n.options.Timing.ElectionTimeout+time.Duration(rank)*stagger {
 		n.startElection()
 	}
 }
 
-// requestJoin asks the primary, or whoever may know it, to take this replica in. A witness that has heard of no primary for
-// long asks too: it may have been replaced while it was away, and whoever knows the newer view answers with it.
+// primaryUnknownTimeout is how long a witness sees no primary before it asks whether there is a newer view.
+const primaryUnknownTimeout = 2 * time.Second
+
+// requestJoin asks the primary, or whoever may know it, to add this replica to the view. A witness that has seen no primary
+// for long asks too: it may have been replaced while it was away, and whoever knows the newer view answers with it.
 func (n *Node) requestJoin() {
 	isIn := n.hardState.View.HasWitness(n.hardState.Self) && (n.primary != nil || n.now-n.primaryLastSeen < primaryUnknownTimeout)
-	if !n.options.RequestsJoin || n.resigning || isIn || n.now < n.nextJoin {
+	if !n.options.RequestsJoin || n.resignation.requested || isIn || n.now < n.nextJoinRequest {
 		return
 	}
-	n.nextJoin = n.now + n.options.Timing.JoinInterval
+	n.nextJoinRequest = n.now + n.options.Timing.JoinInterval
 	message := Join{Number: n.hardState.View.Number}
 	if n.hardState.View.Number > 0 {
 		for _, witness := range n.hardState.View.Witnesses {
@@ -224,29 +173,45 @@
 	}
 }
 
-// follow takes over a decided view. It is the only place where the view changes.
+// adoptView takes over a decided view. It is the only place where the view changes.
 func (n *Node) adoptView(view View) {
 	for _, r := range n.hardState.View.Witnesses {
 		if !view.HasWitness(r) {
-			n.formerWitnesses[r] = n.now
+			n.peers.formerWitnesses[r] = n.now
 		}
 	}
 	n.hardState.View = view
 	n.hardState.Promised, n.hardState.Accepted, n.hardState.Proposal = Ballot{}, Ballot{}, View{}
-	n.election, n.primary = nil, nil
-	n.status = Following
+	n.stepDown()
 	n.primaryLastSeen = n.now
-	n.releasedAt = 0 // the primary of this view has to say so again
+	n.resignation.revoke() // the primary of this view has to release this replica again
 	n.persist()
 	if view.Primary == n.hardState.Self {
 		n.activate()
 	}
 }
 
-// Receive takes a message from a replica.
+// stepDown ends this replica's part as a candidate or as the primary.
+func (n *Node) stepDown() {
+	n.election, n.primary = nil, nil
+	n.status = Following
+}
+
+// observeView adopts a view that is newer than the one known. It returns false where the sender's is the older one.
+func (n *Node) observeView(view View) bool {
+	if view.Number > n.hardState.View.Number && view.isComplete() {
+		n.adoptView(view)
+	}
+	return view.Number >= n.hardState.View.Number
+}
+
+// sendViewNotice tells a replica of the present view.
+func (n *Node) sendViewNotice(to Replica) { n.send(to, ViewNotice{View: n.hardState.View}) }
+
+// Receive handles a message from a replica.
 func (n *Node) Receive(now time.Duration, from Replica, message Message) *Output {
 	out := n.step(now)
-	n.lastContact[from] = now
+	n.peers.lastContact[from] = now
 	switch message := message.(type) {
 	case Heartbeat:
 		n.onHeartbeat(from, message)
@@ -288,20 +253,27 @@
 	return out
 }
 
-// learn takes over a view that is newer than the one known. It returns false where the sender's is the older one.
-func (n *Node) observeView(view View) bool {
-	if view.Number > n.hardState.View.Number && view.isComplete() {
-		n.adoptView(view)
-	}
-	return view.Number >= n.hardState.View.Number
-}
-
 func (n *Node) onJoin(from Replica, message Join) {
-	n.joinRequests[from] = n.now
+	n.peers.joinRequests[from] = n.now
 	if !n.hardState.View.HasWitness(from) {
-		n.releasedAt = 0 // there is somebody who may take this replica's part over
+		n.resignation.revoke() // there is somebody who may replace this replica
 	}
 	if message.Number < n.hardState.View.Number {
-		n.send(from, ViewNotice{View: n.hardState.View})
+		n.sendViewNotice(from)
+	}
+}
+
+// onSnapshotNeeded answers a replica that lacks the state which it was offered, by a candidate or by the primary.
+func (n *Node) onSnapshotNeeded(from Replica, message SnapshotNeeded) {
+	e := n.election
+	if n.status == Installing && e.proposes(message.Number, message.Ballot) {
+		e.snapshotRequests[from] = n.now
+		if n.transfers.tryStart(from, n.now) {
+			n.sendWithSnapshot(from, InstallSnapshot{Number: message.Number, Ballot: e.ballot, Position: n.hardState.Position})
+		}
+		return
+	}
+	if n.primary != nil && message.Number == n.hardState.View.Number && message.Ballot.isZero() {
+		n.sendCatchUp(from, message.Position, message.Source)
 	}
 }
--- a/internal/fleet/replication/planted_test.go
+++ b/internal/fleet/replication/planted_test.go
@@ -12,19 +12,19 @@
 	"an acknowledgement by one copy": {File: "primary.go", Edits: []mutation.Edit{{
 		Right: "if n.primary.matchPosition[member] != n.hardState.Position {\n\t\t\treturn\n\t\t}\n\t}\n\tn.primary.committed",
 		Wrong: "_ = member\n\t}\n\tn.primary.committed"}}},
-	"a read without a round": {File: "primary.go", Edits: []mutation.Edit{{Right: "return n.primary.confirmedAt, true", Wrong: "return n.now, true"}}},
+	"a read without a round": {File: "primary.go", Edits: []mutation.Edit{{Right: "return n.primary.heartbeats.confirmedAt, true", Wrong: "return n.now, true"}}},
 	"an even set in the middle of an exchange": {File: "composition.go", Edits: []mutation.Edit{
-		{Right: "} else if len(next) >= n.witnessTarget() {", Wrong: "} else if len(next) > n.witnessTarget() {"},
-		{Right: "(len(witnesses) > n.witnessTarget() || len(witnesses)%2 == 0)", Wrong: "len(witnesses) > 9"}}},
-	"a leaver that ends before it is replaced": {File: "resignation.go", Edits: []mutation.Edit{{Right: "return !votes && !holds", Wrong: "return !votes && !holds || true"}}},
+		{Right: "} else if len(next) >= c.witnessTarget() {", Wrong: "} else if len(next) > c.witnessTarget() {"},
+		{Right: "(len(witnesses) > c.witnessTarget() || len(witnesses)%2 == 0)", Wrong: "len(witnesses) > 9"}}},
+	"a leaver that ends before it is replaced": {File: "resignation.go", Edits: []mutation.Edit{{Right: "return !needsVote && !needsCopy", Wrong: "return !needsVote && !needsCopy || true"}}},
 	"a lost disk whose machine is not taken in again": {File: "composition.go", Edits: []mutation.Edit{
-		{Right: "witnesses[at] = applicant", Wrong: "return true"}}},
+		{Right: "witnesses[at] = joiner", Wrong: "return true"}}},
 	"a change that waits for good": {File: "primary.go", Edits: []mutation.Edit{
-		{Right: "n.advanceCommit() // a member may have said since that it stays", Wrong: ""}}},
+		{Right: "n.advanceCommit() // a member may not be resigning any more", Wrong: ""}}},
 	"a candidate that overlooks what was accepted": {File: "election.go", Edits: []mutation.Edit{
 		{Right: "return best.Proposal, !best.Accepted.isZero()", Wrong: "return best.Proposal, false"}}},
 	"a zone that holds the majority": {File: "composition.go", Edits: []mutation.Edit{
-		{Right: "if n.survivesLocalityLoss(with) || !n.survivesLocalityLoss(next) {", Wrong: "if true {"}}},
+		{Right: "if c.survivesLocalityLoss(changed) || !c.survivesLocalityLoss(next) {", Wrong: "if true {"}}},
 }
 
 // Guards against a simulation that would find nothing whatever is wrong.
@@ -35,18 +35,18 @@
 // plantedInElections are mistakes in what a promise binds to.
 var plantedInElections = map[string]mutation.Mistake{
 	"a lower ballot is promised": {File: "witness.go", Edits: []mutation.Edit{{
-		Right: "if message.Ballot.less(n.hardState.Promised) {\n\t\tn.send(from, Reject{Number: n.hardState.View.Number + 1",
-		Wrong: "if false {\n\t\tn.send(from, Reject{Number: n.hardState.View.Number + 1"}}},
+		Right: "if message.Ballot.less(n.hardState.Promised) {\n\t\tn.send(from, Reject{Number: n.nextNumber()",
+		Wrong: "if false {\n\t\tn.send(from, Reject{Number: n.nextNumber()"}}},
 	"a lower ballot is accepted": {File: "witness.go", Edits: []mutation.Edit{{
 		Right: "if message.Ballot.less(n.hardState.Promised) {\n\t\tn.send(from, Reject{Number: number",
 		Wrong: "if false {\n\t\tn.send(from, Reject{Number: number"}}},
-	"a state is installed under a lower ballot": {File: "witness.go", Edits: []mutation.Edit{{
+	"a state is installed under a lower ballot": {File: "member.go", Edits: []mutation.Edit{{
 		Right: "if message.Ballot.less(bound) {", Wrong: "if false {"}}},
-	"a member that has promised stores on": {File: "witness.go", Edits: []mutation.Edit{{
+	"a member that has promised stores on": {File: "member.go", Edits: []mutation.Edit{{
 		Right: "if !n.hardState.Promised.isZero() {\n\t\tn.send", Wrong: "if false {\n\t\tn.send"}}},
 	"a witness that has promised confirms the primary": {File: "primary.go", Edits: []mutation.Edit{{
-		Right: "if r == nil || !message.Current || !n", Wrong: "if r == nil || !n"}}},
-	"any replica's promise counts": {File: "election.go", Edits: []mutation.Edit{{
+		Right: "if round == nil || !message.Current || !n", Wrong: "if round == nil || !n"}}},
+	"any replica's promise counts": {File: "candidate.go", Edits: []mutation.Edit{{
 		Right: "if !n.hardState.View.HasWitness(from) {\n\t\treturn\n\t}\n\te.promises", Wrong: "e.promises"}}},
 }
 
@@ -57,13 +57,13 @@
 
 // plantedInWalks are mistakes that the wide search finds, beside an amnesiac that votes (TestSearchFindsPlantedMistakes).
 var plantedInWalks = map[string]mutation.Mistake{
-	"a state is installed by some of the members only": {File: "election.go", Edits: []mutation.Edit{{
-		Right: "if !n.election.installed[replica] {\n\t\t\treturn\n\t\t}\n", Wrong: "_ = replica\n"}}},
-	"a snapshot that is not fenced by its view": {File: "witness.go", Edits: []mutation.Edit{
+	"a state is installed by some of the members only": {File: "candidate.go", Edits: []mutation.Edit{{
+		Right: "if len(n.election.missingInstalls(&n.hardState.View)) > 0 {\n\t\treturn\n\t}\n", Wrong: ""}}},
+	"a snapshot that is not fenced by its view": {File: "member.go", Edits: []mutation.Edit{
 		{Right: "if from != n.hardState.View.Primary || from == n.hardState.Self {\n\t\treturn\n\t}\n\tif !n.hardState.Promised", Wrong: "if !n.hardState.Promised"},
-		{Right: "if !n.observeView(message.View) {\n\t\tn.send(from, ViewNotice{View: n.hardState.View})\n\t\treturn\n\t}\n\tif !n.hardState.Promised", Wrong: "if !n.hardState.Promised"}}},
+		{Right: "if !n.observeView(message.View) {\n\t\tn.sendViewNotice(from)\n\t\treturn\n\t}\n\tif !n.hardState.Promised", Wrong: "if !n.hardState.Promised"}}},
 	"a newcomer that was never heard of becomes a witness": {File: "election.go", Edits: []mutation.Edit{{
-		Right: "return union(proposal.Members, newcomers)", Wrong: "_ = newcomers\n\treturn proposal.Members"}}},
+		Right: "return union(e.proposal.Members, newWitnesses)", Wrong: "_ = newWitnesses\n\treturn union(e.proposal.Members, nil)"}}},
 	"half of the witnesses decide": {File: "types.go", Edits: []mutation.Edit{{
 		Right: "return len(v.Witnesses)/2 + 1", Wrong: "return max(1, len(v.Witnesses)/2)"}}},
 	"a lower ballot is promised": plantedInElections["a lower ballot is promised"],
--- a/internal/fleet/replication/primary.go
+++ b/internal/fleet/replication/primary.go
@@ -1,71 +1,40 @@
 package replication
 
-import (
-	"slices"
-	"time"
-)
+import "time"
 
-// maxOpenRounds is how many of the last heartbeat rounds may still be answered.
-const maxOpenRounds = 8
-
-// leadership is what a primary knows.
-type primaryState struct {
-	startedAt     time.Duration
-	matchPosition     map[Replica]Position // what each member has on its disk
-	lastSent    map[Replica]time.Duration
-	pending   bool // a change waits for members
-	pendingSince time.Duration
-	committed Position
-	lastEntry     []byte // the last change, for members that have not stored it
-
-	learners   []Replica   // that are brought up to the state
-	retained    []retainedEntry // the last changes, for them
-	retainedBytes int
-
-	round     uint64
-	rounds    map[uint64]*round
-	nextRound time.Duration
-	confirmedAt time.Duration // when the last round was sent that a majority answered
-	isConfirmed bool          // confirmed is set
-}
-
-// round is one heartbeat to all witnesses.
-type round struct {
-	sent time.Duration
-	acks map[Replica]bool
-}
-
-// activate makes this replica the primary of the view that it has just taken over.
+// activate makes this replica the primary of the view that it has just adopted.
 func (n *Node) activate() {
 	n.status = Activating
-	n.primary = &primaryState{
-		startedAt: n.now, matchPosition: map[Replica]Position{n.hardState.Self: n.hardState.Position},
-		lastSent: map[Replica]time.Duration{}, rounds: map[uint64]*round{},
-	}
+	n.primary = newPrimaryState(n.now, &n.hardState)
 	n.sendAppend()
 	n.advanceCommit()
 }
 
-// Propose begins a change. It returns false where this replica is not the primary, or another change is under way.
+// Propose begins a change. It returns false where this replica is not the primary, another change is pending, or too few
+// members would keep it.
 func (n *Node) Propose(now time.Duration, entry []byte) (*Output, bool) {
 	out := n.step(now)
 	if n.status != Leading || n.primary.pending || !n.hardState.Promised.isZero() {
 		return out, false
 	}
-	if !n.survivesLoss(n.notResigning(n.hardState.View.Members)) {
+	if !n.keepsEnoughCopies(n.hardState.View.Members) {
 		return out, false
 	}
 	n.hardState.Position.Sequence++
-	n.primary.matchPosition[n.hardState.Self] = n.hardState.Position
-	n.primary.pending, n.primary.pendingSince, n.primary.lastEntry = true, now, entry
-	n.primary.retainEntry(n.hardState.Position.Sequence, entry)
+	n.primary.setPending(now, n.hardState.Self, n.hardState.Position, entry)
 	n.persist().Entry = entry
 	n.sendAppend()
 	n.advanceCommit()
 	return out, true
 }
 
-// Committed is the position up to which all members hold the state; ok is false on others than a primary.
+// keepsEnoughCopies reports whether the copies on those of some replicas that are not resigning survive the tolerated loss.
+func (n *Node) keepsEnoughCopies(replicas []Replica) bool {
+	c := n.composition()
+	return c.survivesLoss(c.notResigning(replicas))
+}
+
+// Committed returns the position up to which all members hold the state; ok is false on others than a primary.
 func (n *Node) Committed() (position Position, ok bool) {
 	if n.status != Leading {
 		return Position{}, false
@@ -73,43 +42,48 @@
 	return n.primary.committed, true
 }
 
-// HasPendingProposal tells whether a change is under way.
+// HasPendingProposal reports whether a change is pending.
 func (n *Node) HasPendingProposal() bool { return n.primary != nil && n.primary.pending }
 
-// LeadershipConfirmedAt is when the primary sent the last round that a majority of the witnesses answered: at that moment no other
-// view was in force. ok is false on others than a primary.
+// LeadershipConfirmedAt returns when the primary sent the last heartbeat round that a majority of the witnesses answered: at
+// that moment no other view was in force. ok is false on others than a primary, and before the first such round.
 func (n *Node) LeadershipConfirmedAt() (at time.Duration, ok bool) {
-	if n.status != Leading || !n.primary.isConfirmed {
+	if n.status != Leading || !n.primary.heartbeats.isConfirmed {
 		return 0, false
 	}
-	return n.primary.confirmedAt, true
+	return n.primary.heartbeats.confirmedAt, true
 }
 
-// ConfirmLeadership has a round begin at once.
+// ConfirmLeadership has a primary send a heartbeat round at once.
 func (n *Node) ConfirmLeadership(now time.Duration) *Output {
 	out := n.step(now)
 	if n.primary != nil {
-		n.sendRound()
+		n.sendHeartbeats()
 	}
 	return out
 }
 
-// sendAppend brings what members, and learners, lack to them. Messages that were just sent are not repeated.
+// sendAppend sends the last change to the members and learners that lack it.
 func (n *Node) sendAppend() {
 	target := n.hardState.Position
-	for _, member := range union(n.hardState.View.Members, n.primary.learners) {
-		if n.primary.matchPosition[member] == target {
+	for _, r := range union(n.hardState.View.Members, n.primary.learners) {
+		if n.primary.matchPosition[r] == target {
 			continue
 		}
-		message := Append{View: n.hardState.View, Source: n.hardState.Source, Position: target}
+		message := n.appendMessage(target)
 		if n.primary.pending {
 			message.Entry = n.primary.lastEntry
 		}
-		n.primary.lastSent[member] = n.now
-		n.send(member, message)
+		n.primary.lastSent[r] = n.now
+		n.send(r, message)
 	}
 }
 
+// appendMessage is an Append of a position, without a change or a snapshot.
+func (n *Node) appendMessage(position Position) Append {
+	return Append{View: n.hardState.View, Source: n.hardState.Source, Position: position}
+}
+
 func (n *Node) onAppendAck(from Replica, message AppendAck) {
 	if n.primary == nil || message.Number != n.hardState.View.Number {
 		return
@@ -119,9 +93,9 @@
 	n.advanceCommit()
 }
 
-// advanceCommit commits what all members hold, where enough of them stay.
+// advanceCommit commits what all members have stored, if enough of them are not resigning.
 func (n *Node) advanceCommit() {
-	if !n.survivesLoss(n.notResigning(n.hardState.View.Members)) {
+	if !n.keepsEnoughCopies(n.hardState.View.Members) {
 		return
 	}
 	for _, member := range n.hardState.View.Members {
@@ -133,56 +107,51 @@
 	n.primary.pending = false
 	if n.status == Activating {
 		n.status = Leading
-		n.sendRound()
+		n.sendHeartbeats()
 	}
 }
 
-func (n *Node) sendRound() {
-	l := n.primary
-	l.round++
-	l.nextRound = n.now + n.options.Timing.HeartbeatInterval
-	l.rounds[l.round] = &round{sent: n.now, acks: map[Replica]bool{n.hardState.Self: true}}
-	delete(l.rounds, l.round-maxOpenRounds)
-	age := n.now - l.startedAt
-	if l.isConfirmed {
-		age = n.now - l.confirmedAt
+// sendHeartbeats opens a heartbeat round. Joining replicas get it too, to learn of the view.
+func (n *Node) sendHeartbeats() {
+	p := n.primary
+	round := p.heartbeats.start(n.hardState.Self, n.now, n.options.Timing.HeartbeatInterval)
+	message := Heartbeat{
+		View:           n.hardState.View,
+		Round:          p.heartbeats.number,
+		ConfirmedAgeMs: uint64(p.heartbeats.unconfirmedFor(n.now, p.startedAt) / time.Millisecond),
 	}
-	message := Heartbeat{View: n.hardState.View, Round: l.round, ConfirmedAgeMs: uint64(age / time.Millisecond)}
 	for _, replica := range union(n.hardState.View.Witnesses, n.joiningReplicas()) {
 		n.send(replica, message)
 	}
-	n.countRound(l.rounds[l.round])
+	n.countHeartbeatAcks(round)
 }
 
 func (n *Node) onHeartbeatAck(from Replica, message HeartbeatAck) {
-	n.recordResigning(from, message.Leaving)
+	n.peers.setResigning(from, message.Leaving)
 	if n.primary == nil || message.Number != n.hardState.View.Number {
 		return
 	}
-	r := n.primary.rounds[message.Round]
-	if r == nil || !message.Current || !n.hardState.View.HasWitness(from) {
+	round := n.primary.heartbeats.open[message.Round]
+	if round == nil || !message.Current || !n.hardState.View.HasWitness(from) {
 		return
 	}
-	r.acks[from] = true
-	n.countRound(r)
+	round.acks[from] = true
+	n.countHeartbeatAcks(round)
 }
 
-func (n *Node) countRound(r *round) {
-	if len(r.acks) < n.hardState.View.quorum() || !n.hardState.Promised.isZero() {
+func (n *Node) countHeartbeatAcks(round *heartbeatRound) {
+	if len(round.acks) < n.hardState.View.quorum() || !n.hardState.Promised.isZero() {
 		return
 	}
-	if !n.primary.isConfirmed || n.primary.confirmedAt < r.sent {
-		n.primary.confirmedAt, n.primary.isConfirmed = r.sent, true
-	}
+	n.primary.heartbeats.confirm(round)
 }
 
 func (n *Node) tickPrimary() {
-	l := n.primary
-	if n.now >= l.nextRound {
-		n.sendRound()
+	if n.now >= n.primary.heartbeats.nextAt {
+		n.sendHeartbeats()
 	}
-	if n.status == Activating || l.pending {
-		n.advanceCommit() // a member may have said since that it stays
+	if n.status == Activating || n.primary.pending {
+		n.advanceCommit() // a member may not be resigning any more
 		n.resendAppend()
 	} else {
 		n.syncLearners()
@@ -194,74 +163,9 @@
 
 func (n *Node) resendAppend() {
 	for _, member := range n.hardState.View.Members {
-		if n.primary.matchPosition[member] != n.hardState.Position && n.now-n.primary.lastSent[member] > resendInterval {
+		if n.primary.needsResend(member, n.hardState.Position, n.now) {
 			n.sendAppend()
 			return
 		}
 	}
 }
-
-// needsViewChange tells whether another composition of the view would be better: without a silent, slow or leaving member,
-// where the rest suffices, or with replicas that hold the state already.
-func (n *Node) needsViewChange() bool {
-	if n.canDropFailedMember() {
-		return true
-	}
-	if n.status != Leading || n.primary.pending {
-		return false
-	}
-	return n.canDropResigningMember() || n.now-n.primary.startedAt > n.options.Timing.MinViewChangeInterval && n.canImproveComposition()
-}
-
-func (n *Node) canDropFailedMember() bool {
-	t := n.options.Timing
-	since := n.primary.startedAt
-	if n.primary.pending {
-		since = n.primary.pendingSince
-	}
-	late := (n.primary.pending || n.status == Activating) && n.now-since > t.AppendTimeout
-	silent := false
-	var rest []Replica
-	for _, member := range n.hardState.View.Members {
-		switch {
-		case late && n.primary.matchPosition[member] != n.hardState.Position:
-			n.penalize(member)
-			silent = true
-		case n.now-n.primary.startedAt > t.MemberTimeout && !n.isLive(member, t.MemberTimeout):
-			silent = true
-		default:
-			rest = append(rest, member)
-		}
-	}
-	return silent && n.survivesLoss(n.notResigning(append(rest, n.spareWitnesses()...)))
-}
-
-// spares are live witnesses that are no members.
-func (n *Node) spareWitnesses() []Replica {
-	var all []Replica
-	for _, r := range n.hardState.View.Witnesses {
-		if !n.hardState.View.HasMember(r) && n.isLive(r, n.options.Timing.MemberTimeout) && !n.isPenalized(r) {
-			all = append(all, r)
-		}
-	}
-	return all
-}
-
-// canDropResigningMember tells whether a member that leaves can be done without at once.
-func (n *Node) canDropResigningMember() bool {
-	isMember := slices.ContainsFunc(n.hardState.View.Members, n.isResigning)
-	return isMember && n.survivesLoss(n.nextMembers(n.nextWitnesses(true), n.isInSync))
-}
-
-// canImproveComposition tells whether a view change would change the composition, and could: all that it would take in hold the
-// state.
-func (n *Node) canImproveComposition() bool {
-	view := &n.hardState.View
-	witnesses := n.nextWitnesses(true)
-	members := n.nextMembers(witnesses, n.isInSync)
-	if !n.survivesLoss(members) {
-		return false
-	}
-	better := len(members) > len(view.Members) || slices.ContainsFunc(members, func(r Replica) bool { return !view.HasMember(r) })
-	return better || !sameReplicas(witnesses, view.Witnesses)
-}
--- a/internal/fleet/replication/promise_test.go
+++ b/internal/fleet/replication/promise_test.go
@@ -55,7 +55,7 @@
 		primary := c.leader()
 		c.now += time.Second
 		c.carryOut(primary, primary.machine.ConfirmLeadership(c.now))
-		number, round := primary.machine.View().Number, primary.machine.primary.round
+		number, round := primary.machine.View().Number, primary.machine.primary.heartbeats.number
 		for _, backup := range c.backups() {
 			primary.machine.Receive(c.now, backup.disk.Self, HeartbeatAck{Number: number, Round: round})
 		}
--- a/internal/fleet/replication/resignation.go
+++ b/internal/fleet/replication/resignation.go
@@ -5,39 +5,54 @@
 	"time"
 )
 
-// A replica whose machine ends in a planned way says so, whatever its part in the view is, and goes on as a witness and a
-// member until the primary releases it: by then its copy and its vote are where they have to be, as far as waiting helps.
+// A replica whose machine shuts down in a planned way announces it, whatever its part in the view is, and goes on as a
+// witness and a member until the primary releases it: by then its copy and its vote are where they have to be, as far as
+// waiting helps.
 
-// replacementMemory is how long a leaver hopes for a newcomer that it does not hear of any more.
+// replacementMemory is how long a resigning replica is kept in the hope for a replacement that is not in contact any more.
 const replacementMemory = 15 * time.Second
 
-// releaseTTL is how long the primary's word that a replica may end holds: it is asked again, since much may happen until
-// the process has brought its requests to an end.
+// releaseTTL is how long a release by the primary is valid: the replica asks again, since much may happen until its process
+// has drained its requests.
 const releaseTTL = 4 * resendInterval
 
-// Resign says that this replica is about to end. Where it is the primary, another member takes its place; it goes on as the
-// primary until the other has.
+// resignation is the state of a replica's own planned shutdown.
+type resignation struct {
+	requested      bool
+	releasedAt     time.Duration // when the primary last said that the replica may stop; 0: it did not
+	nextAnnounceAt time.Duration
+}
+
+func (r *resignation) release(now time.Duration) { r.releasedAt = now }
+
+func (r *resignation) revoke() { r.releasedAt = 0 }
+
+// isReleased reports whether a release is valid.
+func (r *resignation) isReleased(now time.Duration) bool {
+	return r.requested && r.releasedAt > 0 && now-r.releasedAt < releaseTTL
+}
+
+// Resign says that this replica is about to stop. Where it is the primary, another member replaces it; it goes on as the
+// primary until the other one has.
 func (n *Node) Resign(now time.Duration) *Output {
 	out := n.step(now)
-	n.resigning = true
+	n.resignation.requested = true
 	n.announceResignation()
 	return out
 }
 
-// CanStop tells whether a replica that has resigned may end: nobody needs its copy or its vote, or there is nobody who
+// CanStop reports whether a replica that has resigned may stop: nobody needs its copy or its vote, or there is nobody who
 // could take them over.
-func (n *Node) CanStop() bool {
-	return n.resigning && n.releasedAt > 0 && n.now-n.releasedAt < releaseTTL
-}
+func (n *Node) CanStop() bool { return n.resignation.isReleased(n.now) }
 
-// announceResignation tells the others of the view, again and again. The primary answers itself.
+// announceResignation tells the others of the view, repeatedly. The primary answers itself.
 func (n *Node) announceResignation() {
-	if !n.resigning || n.now < n.nextResign {
+	if !n.resignation.requested || n.now < n.resignation.nextAnnounceAt {
 		return
 	}
-	n.nextResign = n.now + resendInterval
+	n.resignation.nextAnnounceAt = n.now + resendInterval
 	if n.canRelease(n.hardState.Self) {
-		n.releasedAt = n.now
+		n.resignation.release(n.now)
 		return
 	}
 	for _, replica := range union(n.hardState.View.Witnesses, n.hardState.View.Members) {
@@ -47,12 +62,12 @@
 
 func (n *Node) onResign(from Replica, message Resign) {
 	if message.Number < n.hardState.View.Number {
-		n.send(from, ViewNotice{View: n.hardState.View})
+		n.sendViewNotice(from)
 	}
 	if message.Number > n.hardState.View.Number {
 		return
 	}
-	n.recordResigning(from, true)
+	n.peers.setResigning(from, true)
 	if n.canRelease(from) {
 		n.send(from, ResignAck{Number: n.hardState.View.Number})
 		return
@@ -62,10 +77,10 @@
 	}
 }
 
-// succeed has nobody wait for a primary that leaves, and the first member that stays take its place.
+// startSuccession ends the wait for a primary that is resigning, and makes the first member that is not a candidate.
 func (n *Node) startSuccession() {
 	if n.status != Following || !n.hardState.Promised.isZero() {
-		return // a view change is under way
+		return // an election is under way
 	}
 	n.primaryLastSeen = min(n.primaryLastSeen, n.now-n.primaryStickiness())
 	if n.successor() == n.hardState.Self {
@@ -73,80 +88,53 @@
 	}
 }
 
+// successor returns the first member beside the primary that is not resigning; zero: there is none.
+func (n *Node) successor() Replica {
+	for _, member := range n.composition().notResigning(n.hardState.View.Members) {
+		if member != n.hardState.View.Primary {
+			return member
+		}
+	}
+	return Replica{}
+}
+
 func (n *Node) onResignAck(message ResignAck) {
-	if n.resigning && message.Number >= n.hardState.View.Number {
-		n.releasedAt = n.now
+	if n.resignation.requested && message.Number >= n.hardState.View.Number {
+		n.resignation.release(n.now)
 	}
 }
 
-// canRelease tells a primary whether a replica that leaves may end: it has no part in the view, or the next view would give
-// it the same part, because nobody can take it over.
+// canRelease reports to a primary whether a resigning replica may stop: it has no part in the view, or the next view would
+// give it the same part, because nobody can take it over.
 func (n *Node) canRelease(r Replica) bool {
 	if n.status != Leading || n.primary.pending {
 		return false
 	}
-	witnesses := n.nextWitnesses(false)
-	members := n.nextMembers(witnesses, func(r Replica) bool {
-		return n.isLive(r, n.options.Timing.MemberTimeout) && (n.hardState.View.HasMember(r) || !n.isPenalized(r))
+	next := n.composition()
+	witnesses := next.nextWitnesses(false)
+	members := next.nextMembers(witnesses, func(r Replica) bool {
+		return n.isLiveMember(r) && (n.hardState.View.HasMember(r) || !n.isPenalized(r))
 	})
-	votes := n.hardState.View.HasWitness(r) && (!slices.Contains(witnesses, r) || n.hasPossibleReplacement())
-	holds := n.hardState.View.HasMember(r) && (n.survivesLoss(members) || n.hasOtherCopyTarget())
-	return !votes && !holds
+	needsVote := n.hardState.View.HasWitness(r) && (!slices.Contains(witnesses, r) || n.hasPossibleReplacement())
+	needsCopy := n.hardState.View.HasMember(r) && (next.survivesLoss(members) || n.hasPossibleCopyHolder())
+	return !needsVote && !needsCopy
 }
 
-// hasPossibleReplacement tells whether a replica of another machine was heard of lately that may come back, or be reached again,
-// and be taken in.
+// hasPossibleReplacement reports whether a replica of another machine was seen lately that may come back, or be reached
+// again, and join.
 func (n *Node) hasPossibleReplacement() bool {
-	for _, known := range []map[Replica]time.Duration{n.lastContact, n.formerWitnesses} {
-		for r, at := range known {
-			if n.now-at < replacementMemory && n.isPossibleReplacement(r) {
-				return true
-			}
-		}
-	}
-	return false
+	return n.peers.seenSince(n.now-replacementMemory, n.isPossibleReplacement)
 }
 
-// isPossibleReplacement tells whether a replica is of a machine that counts and has no part in the view.
+// isPossibleReplacement reports whether a replica is of a machine that may vote and has no part in the view.
 func (n *Node) isPossibleReplacement(r Replica) bool {
 	isSameMachine := func(w Replica) bool { return w.Address == r.Address }
-	place := n.options.LocalityOf(r.Address)
-	return !slices.ContainsFunc(n.hardState.View.Witnesses, isSameMachine) && (!place.Known || place.CountsForQuorum)
+	return !slices.ContainsFunc(n.hardState.View.Witnesses, isSameMachine) && !n.topology().isNonVoting(r)
 }
 
-// hasOtherCopyTarget tells whether there is a replica that may come back, or may be reached again, and take a copy.
-func (n *Node) hasOtherCopyTarget() bool {
-	others := slices.DeleteFunc(n.notResigning(n.hardState.View.Witnesses), func(r Replica) bool { return r == n.hardState.Self })
-	return len(others) > 0 || n.hasPossibleReplacement()
-}
-
-// recordResigning notes what a replica says of its own end.
-func (n *Node) recordResigning(r Replica, leaving bool) {
-	if leaving {
-		n.resigningPeers[r] = true
-	} else {
-		delete(n.resigningPeers, r)
-	}
-}
-
-func (n *Node) isResigning(r Replica) bool {
-	if r == n.hardState.Self {
-		return n.resigning
-	}
-	return n.resigningPeers[r]
-}
-
-// staying are the replicas of a list that have not said that they end. Only their copies count.
-func (n *Node) notResigning(replicas []Replica) []Replica {
-	return slices.DeleteFunc(slices.Clone(replicas), n.isResigning)
-}
-
-// successor is the first member beside the primary that stays.
-func (n *Node) successor() Replica {
-	for _, member := range n.notResigning(n.hardState.View.Members) {
-		if member != n.hardState.View.Primary {
-			return member
-		}
-	}
-	return Replica{}
+// hasPossibleCopyHolder reports whether there is a replica that may come back, or be reached again, and store a copy.
+func (n *Node) hasPossibleCopyHolder() bool {
+	staying := n.composition().notResigning(n.hardState.View.Witnesses)
+	isOther := func(r Replica) bool { return r != n.hardState.Self }
+	return slices.ContainsFunc(staying, isOther) || n.hasPossibleReplacement()
 }
--- a/internal/fleet/replication/snapshot_transfers.go
+++ b/internal/fleet/replication/snapshot_transfers.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Times of transfers of the whole state. A transfer is repeated only after a time in which it should have come: on a slow
-// link repeats would hold up the first one.
+// Backoff between transfers of the snapshot to one replica.
 const (
 	initialTransferBackoff = time.Second
-	maxTransferBackoff  = 8 * time.Second
+	maxTransferBackoff     = 8 * time.Second
 )
 
-// transfers are the transfers of the state that were begun, by receiver.
-type snapshotTransfers map[Replica]*transfer
+// snapshotTransfers are the transfers of the snapshot that were started, by receiver. A transfer is retried only after a
+// time in which it should have arrived: on a slow link retries would delay the first one.
+type snapshotTransfers map[Replica]*snapshotTransfer
 
-type transfer struct {
-	retryAt  time.Duration // when it may be repeated
+type snapshotTransfer struct {
+	retryAt time.Duration
 	backoff time.Duration
 }
 
-// tryStart tells whether the state may be sent to a replica now, and notes that it is.
+// tryStart reports whether the snapshot may be sent to a replica now, and records that it is.
 func (t snapshotTransfers) tryStart(to Replica, now time.Duration) bool {
 	last := t[to]
 	if last == nil {
-		t[to] = &transfer{retryAt: now + initialTransferBackoff, backoff: initialTransferBackoff}
+		t[to] = &snapshotTransfer{retryAt: now + initialTransferBackoff, backoff: initialTransferBackoff}
 		return true
 	}
 	if now < last.retryAt {
@@ -32,5 +32,5 @@
 	return true
 }
 
-// done notes that a replica holds the state.
+// finish records that a replica holds the state.
 func (t snapshotTransfers) finish(to Replica) { delete(t, to) }
--- a/internal/fleet/replication/types.go
+++ b/internal/fleet/replication/types.go
@@ -1,9 +1,3 @@
-// Package replication keeps one state on several machines: a primary with backups, whose views are decided by
-// witnesses that store only epochs. It is pure: no I/O, no clock, no goroutines. docs/design/router.md explains it.
-//
-// A view is decided by single-decree Paxos among the witnesses of the view before (Vertical Paxos: Lamport, Malkhi,
-// Zhou, 2009; the roles are those of Viewstamped Replication Revisited: Liskov, Cowling, 2012). A replica's identity
-// belongs to its disk, so that one whose disk was lost is another replica and can't vote on what it has forgotten.
 package replication
 
 import (
@@ -12,7 +6,7 @@
 	"strings"
 )
 
-// Replica is one copy's identity: the machine's address, and a number drawn when its disk was empty. At the first start
+// Replica is one replica's identity: the machine's address, and a number drawn when its disk was empty. At the first start
 // of the whole system the number is 0, so that all machines can name the first witnesses.
 type Replica struct {
 	Address string `cbor:"1,keyasint"`
@@ -32,21 +26,21 @@
 	Witnesses []Replica `cbor:"4,keyasint"`
 }
 
-// HasMember tells whether a replica holds the state in this view.
+// HasMember reports whether a replica holds the state in this view.
 func (v *View) HasMember(r Replica) bool { return slices.Contains(v.Members, r) }
 
-// HasWitness tells whether a replica votes on the view after this one.
+// HasWitness reports whether a replica votes on the view after this one.
 func (v *View) HasWitness(r Replica) bool { return slices.Contains(v.Witnesses, r) }
 
-// isComplete tells whether a view that is said to be decided can be one.
+// isComplete reports whether a view that is said to be decided can be one.
 func (v *View) isComplete() bool {
 	return v.Number > 0 && len(v.Members) > 0 && len(v.Witnesses) > 0 && v.HasMember(v.Primary)
 }
 
-// quorum is the least number of witnesses that are a majority.
+// quorum returns the least number of witnesses that are a majority.
 func (v *View) quorum() int { return len(v.Witnesses)/2 + 1 }
 
-// Ballot orders the attempts to decide one view.
+// Ballot is a Paxos ballot number: it orders the attempts to decide one view. The zero Ballot is below all others.
 type Ballot struct {
 	Round    uint64  `cbor:"1,keyasint"`
 	Proposer Replica `cbor:"2,keyasint"`
@@ -60,36 +54,47 @@
 
 func (b Ballot) less(other Ballot) bool { return b.compare(other) < 0 }
 
-// Position names a content of the state: the view in which it was written and the number of changes so far.
+// Position identifies a version of the state: the view in which it was written and the number of changes so far.
 type Position struct {
 	View     uint64 `cbor:"1,keyasint"`
 	Sequence uint64 `cbor:"2,keyasint"`
 }
 
-// Less orders contents by age.
+// Less reports whether a version is older than another one.
 func (p Position) Less(other Position) bool {
 	return cmp.Or(cmp.Compare(p.View, other.View), cmp.Compare(p.Sequence, other.Sequence)) < 0
 }
 
-// HardState is all that a replica has to find on its disk after a restart, beside the state itself.
+// HardState is all that a replica has to find on its disk after a restart, beside the state itself (the term is that of
+// etcd's raft).
 type HardState struct {
 	Self     Replica  `cbor:"1,keyasint"`
 	View     View     `cbor:"2,keyasint"` // the newest that is known to be decided
-	Promised Ballot   `cbor:"3,keyasint"` // for the view after; a member that has promised takes no more changes
-	Accepted Ballot   `cbor:"4,keyasint"` // for the view after
-	Proposal View     `cbor:"5,keyasint"` // what was accepted
-	Position Position `cbor:"6,keyasint"` // of the state that is held
+	Promised Ballot   `cbor:"3,keyasint"` // for the next view; a member that has promised stores no more changes
+	Accepted Ballot   `cbor:"4,keyasint"` // for the next view
+	Proposal View     `cbor:"5,keyasint"` // the view that was accepted
+	Position Position `cbor:"6,keyasint"` // of the state that is stored
 	Source   Ballot   `cbor:"7,keyasint"` // under which that state was installed
 }
 
-// InitialHardState is what a replica begins with. At the first start of the whole system founders are the addresses of the
+// InitialHardState returns what a replica with an empty disk begins with. At the first start of the whole system founders are the addresses of the
 // first witnesses, the same on all machines, and nonce is 0; else founders is empty and nonce is drawn at random.
 func InitialHardState(address string, nonce uint64, founders []string) HardState {
-	d := HardState{Self: Replica{Address: address, Nonce: nonce}}
+	state := HardState{Self: Replica{Address: address, Nonce: nonce}}
 	for _, founder := range founders {
 		r := Replica{Address: founder}
-		d.View.Members = append(d.View.Members, r)
-		d.View.Witnesses = append(d.View.Witnesses, r)
+		state.View.Members = append(state.View.Members, r)
+		state.View.Witnesses = append(state.View.Witnesses, r)
 	}
-	return d
+	return state
 }
+
+// union returns the replicas of two lists, each once, sorted.
+func union(a, b []Replica) []Replica {
+	all := slices.Concat(a, b)
+	slices.SortFunc(all, compareReplicas)
+	return slices.Compact(all)
+}
+
+// sameReplicas reports whether two lists hold the same replicas, in whatever order.
+func sameReplicas(a, b []Replica) bool { return slices.Equal(union(a, nil), union(b, nil)) }
