--- a/internal/fleet/replication/timing_test.go
+++ b/internal/fleet/replication/cluster_test.go
@@ -8,28 +8,28 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// cluster is a world whose messages arrive at once, unless their way is cut, and whose clock ticks.
+// cluster is a world whose messages arrive at once, unless a partition or a rule drops them, and whose clock ticks.
 type cluster struct {
 	*world
-	down map[string]bool            // machines without power
-	cut  func(from, to string) bool // nil: nothing is cut
-	drop func(envelope) bool        // nil: nothing is lost
+	down          map[string]bool            // machines without power
+	isPartitioned func(from, to string) bool // nil: there is no partition
+	isDropped     func(envelope) bool        // nil: nothing is lost
 
-	transfer time.Duration // that a message with a whole state takes
-	slow     []slowMessage
+	transfer     time.Duration // that a message with a snapshot takes
+	slowMessages []slowMessage
 }
 
-// slowMessage is one with a whole state.
+// slowMessage is one with a snapshot.
 type slowMessage struct {
 	at time.Duration
 	envelope
 }
 
-const tick = 30 * time.Millisecond
+const clusterTick = 30 * time.Millisecond
 
 func newCluster(replicas, tolerance int) *cluster {
-	c := &cluster{world: newWorld(replicas, tolerance, none), down: map[string]bool{}}
-	c.intercept = c.sendSlowly
+	c := &cluster{world: newWorld(replicas, tolerance, noMistake), down: map[string]bool{}}
+	c.intercept = c.delaySnapshot
 	for _, h := range c.replicas {
 		c.start(h, DefaultTiming())
 	}
@@ -39,33 +39,33 @@
 // run lets time pass.
 func (c *cluster) run(span time.Duration) {
 	for end := c.now + span; c.now < end; {
-		c.now += tick
+		c.now += clusterTick
 		for _, h := range c.replicas {
 			if !c.down[h.disk.Self.Address] {
-				c.carryOut(h, h.machine.Tick(c.now))
-				c.noteAcknowledged(h)
+				c.apply(h, h.node.Tick(c.now))
+				c.recordAcknowledged(h)
 			}
 		}
-		c.releaseSlow()
+		c.deliverDueSnapshots()
 		c.settle()
 	}
 }
 
-// releaseSlow has messages arrive whose time has come.
-func (c *cluster) releaseSlow() {
-	waiting := c.slow
-	c.slow = nil
+// deliverDueSnapshots has messages arrive whose time has come.
+func (c *cluster) deliverDueSnapshots() {
+	waiting := c.slowMessages
+	c.slowMessages = nil
 	for _, m := range waiting {
 		if m.at <= c.now {
 			c.sent = append(c.sent, m.envelope)
 		} else {
-			c.slow = append(c.slow, m)
+			c.slowMessages = append(c.slowMessages, m)
 		}
 	}
 }
 
-// holdsState tells whether a message carries a whole state.
-func (e *envelope) holdsState() bool {
+// hasSnapshot reports whether a message carries a snapshot.
+func (e *envelope) hasSnapshot() bool {
 	switch message := e.message.(type) {
 	case InstallSnapshot:
 		return message.Snapshot != nil
@@ -77,12 +77,12 @@
 	return false
 }
 
-// sendSlowly holds a message up that carries a whole state; false: it carries none.
-func (c *cluster) sendSlowly(e envelope) bool {
-	if c.transfer == 0 || !e.holdsState() {
+// delaySnapshot holds a message up that carries a whole state; false: it carries none.
+func (c *cluster) delaySnapshot(e envelope) bool {
+	if c.transfer == 0 || !e.hasSnapshot() {
 		return false
 	}
-	c.slow = append(c.slow, slowMessage{at: c.now + c.transfer, envelope: e})
+	c.slowMessages = append(c.slowMessages, slowMessage{at: c.now + c.transfer, envelope: e})
 	return true
 }
 
@@ -92,23 +92,23 @@
 		e := c.sent[0]
 		c.sent = c.sent[1:]
 		clear(c.known)
-		if c.drop != nil && c.drop(e) {
+		if c.isDropped != nil && c.isDropped(e) {
 			continue
 		}
 		h := c.hostAt(e.to)
-		if h == nil || c.down[e.to] || c.down[e.from.Address] || c.cut != nil && c.cut(e.from.Address, e.to) {
+		if h == nil || c.down[e.to] || c.down[e.from.Address] || c.isPartitioned != nil && c.isPartitioned(e.from.Address, e.to) {
 			continue
 		}
-		c.carryOut(h, h.machine.Receive(c.now, e.from, e.message))
-		c.noteAcknowledged(h)
+		c.apply(h, h.node.Receive(c.now, e.from, e.message))
+		c.recordAcknowledged(h)
 	}
 }
 
 func (c *cluster) leader() *host {
 	var newest *host
 	for _, h := range c.replicas {
-		if h.machine.Status() == Leading && !c.down[h.disk.Self.Address] {
-			if newest == nil || newest.machine.View().Number < h.machine.View().Number {
+		if h.node.Status() == Leading && !c.down[h.disk.Self.Address] {
+			if newest == nil || newest.node.View().Number < h.node.View().Number {
 				newest = h
 			}
 		}
@@ -116,14 +116,14 @@
 	return newest
 }
 
-// order has the primary take a change and returns whether it was acknowledged.
-func (c *cluster) order() bool {
+// proposeAndCommit has the primary take a change and reports whether it was acknowledged.
+func (c *cluster) proposeAndCommit() bool {
 	h := c.leader()
 	if h == nil || !c.propose(h) {
 		return false
 	}
 	c.settle()
-	return slices.Equal(c.acked, h.state) && !h.machine.HasPendingProposal()
+	return slices.Equal(c.acknowledged, h.state) && !h.node.HasPendingProposal()
 }
 
 func (c *cluster) powerOff(h *host) { c.down[h.disk.Self.Address] = true }
@@ -139,21 +139,21 @@
 		c.run(time.Second)
 		first := c.leader()
 		So(first, ShouldNotBeNil)
-		So(len(first.machine.hardState.View.Members), ShouldEqual, 3)
-		So(c.order(), ShouldBeTrue)
+		So(len(first.node.hardState.View.Members), ShouldEqual, 3)
+		So(c.proposeAndCommit(), ShouldBeTrue)
 
 		Convey("elect another primary within two seconds when the primary loses power, and lose nothing", func() {
 			c.powerOff(first)
 			c.run(2 * time.Second)
 			So(c.leader(), ShouldNotBeNil)
 			So(c.leader(), ShouldNotEqual, first)
-			So(c.leader().state, ShouldResemble, c.acked)
-			So(c.order(), ShouldBeTrue)
+			So(c.leader().state, ShouldResemble, c.acknowledged)
+			So(c.proposeAndCommit(), ShouldBeTrue)
 			Convey("and take the former primary in again", func() {
 				c.powerOn(first)
 				c.run(2 * time.Second)
-				So(len(c.leader().machine.hardState.View.Members), ShouldEqual, 3)
-				So(first.state, ShouldResemble, c.acked)
+				So(len(c.leader().node.hardState.View.Members), ShouldEqual, 3)
+				So(first.state, ShouldResemble, c.acknowledged)
 			})
 		})
 		Convey("never acknowledge with one copy", func() {
@@ -163,17 +163,17 @@
 				}
 			}
 			c.run(3 * time.Second)
-			So(c.order(), ShouldBeFalse)
+			So(c.proposeAndCommit(), ShouldBeFalse)
 		})
 		Convey("replace a replica whose disk was lost by a new one of the same machine", func() {
 			lost := c.replicas[2]
 			c.wipe(lost)
 			c.start(lost, DefaultTiming())
 			c.run(3 * time.Second)
-			view := c.leader().machine.View()
+			view := c.leader().node.View()
 			So(len(view.Witnesses), ShouldEqual, 3)
 			So(view.HasMember(lost.disk.Self), ShouldBeTrue)
-			So(lost.state, ShouldResemble, c.acked)
+			So(lost.state, ShouldResemble, c.acknowledged)
 		})
 		Convey("outlive the loss of the primary's disk while all others lose power", func() {
 			for _, h := range c.replicas {
@@ -185,8 +185,8 @@
 			}
 			c.run(3 * time.Second)
 			So(c.leader(), ShouldNotBeNil)
-			So(c.leader().state, ShouldResemble, c.acked)
-			So(c.order(), ShouldBeTrue)
+			So(c.leader().state, ShouldResemble, c.acknowledged)
+			So(c.proposeAndCommit(), ShouldBeTrue)
 		})
 		Convey("are led again within half a second when all lost power at once", func() {
 			for _, h := range c.replicas {
@@ -197,48 +197,48 @@
 			}
 			c.run(500 * time.Millisecond)
 			So(c.leader(), ShouldNotBeNil)
-			So(c.leader().state, ShouldResemble, c.acked)
+			So(c.leader().state, ShouldResemble, c.acknowledged)
 		})
 		Convey("are led by another at once when the primary resigns", func() {
-			c.carryOut(first, first.machine.Resign(c.now))
+			c.apply(first, first.node.Resign(c.now))
 			c.settle()
-			c.run(4 * tick)
+			c.run(4 * clusterTick)
 			So(c.leader(), ShouldNotBeNil)
 			So(c.leader(), ShouldNotEqual, first)
-			So(c.order(), ShouldBeTrue)
+			So(c.proposeAndCommit(), ShouldBeTrue)
 		})
 	})
 }
 
-func TestCuts(t *testing.T) {
+func TestPartitions(t *testing.T) {
 	Convey("Three replicas", t, func() {
 		c := newCluster(3, 1)
 		c.run(time.Second)
 		first := c.leader()
-		So(c.order(), ShouldBeTrue)
+		So(c.proposeAndCommit(), ShouldBeTrue)
 		isolated := first.disk.Self.Address
 
 		Convey("whose primary is cut off: it confirms nothing any more, and the others go on", func() {
-			c.cut = func(from, to string) bool { return from == isolated || to == isolated }
+			c.isPartitioned = func(from, to string) bool { return from == isolated || to == isolated }
 			cutAt := c.now
 			c.run(3 * time.Second)
-			confirmed, _ := first.machine.LeadershipConfirmedAt()
+			confirmed, _ := first.node.LeadershipConfirmedAt()
 			So(confirmed, ShouldBeLessThanOrEqualTo, cutAt)
 			So(c.leader(), ShouldNotEqual, first)
-			So(c.order(), ShouldBeTrue)
+			So(c.proposeAndCommit(), ShouldBeTrue)
 			Convey("and it follows them when it is joined again", func() {
-				c.cut = nil
+				c.isPartitioned = nil
 				c.run(2 * time.Second)
-				So(first.machine.Status(), ShouldEqual, Following)
-				So(first.state, ShouldResemble, c.acked)
+				So(first.node.Status(), ShouldEqual, Following)
+				So(first.state, ShouldResemble, c.acknowledged)
 			})
 		})
 		Convey("whose primary can send but hears nothing: another takes over", func() {
-			c.cut = func(_, to string) bool { return to == isolated }
+			c.isPartitioned = func(_, to string) bool { return to == isolated }
 			c.run(4 * time.Second)
 			So(c.leader(), ShouldNotBeNil)
 			So(c.leader(), ShouldNotEqual, first)
-			So(c.order(), ShouldBeTrue)
+			So(c.proposeAndCommit(), ShouldBeTrue)
 		})
 		Convey("of which a backup hears nothing of the primary: it does not unseat the primary", func() {
 			var backup *host
@@ -248,12 +248,12 @@
 				}
 			}
 			deaf := backup.disk.Self.Address
-			c.cut = func(from, to string) bool {
+			c.isPartitioned = func(from, to string) bool {
 				return from == isolated && to == deaf || from == deaf && to == isolated
 			}
 			c.run(3 * time.Second)
 			So(c.leader(), ShouldEqual, first)
-			So(c.order(), ShouldBeTrue)
+			So(c.proposeAndCommit(), ShouldBeTrue)
 		})
 	})
 }
@@ -262,7 +262,7 @@
 	Convey("A core of three, at its first start", t, func() {
 		c := newCluster(3, 1)
 		c.run(time.Second)
-		So(c.order(), ShouldBeTrue)
+		So(c.proposeAndCommit(), ShouldBeTrue)
 
 		Convey("takes machines in one after another while all former ones are lost", func() {
 			for i := range 3 {
@@ -270,25 +270,25 @@
 				added := &host{disk: InitialHardState(address(10+i), c.nonces, nil)}
 				c.replicas = append(c.replicas, added)
 				c.start(added, DefaultTiming())
-				added.machine.options.JoinTargets = func() []string {
+				added.node.options.JoinTargets = func() []string {
 					return []string{address(0), address(1), address(2), address(10), address(11)}
 				}
 				c.run(3 * time.Second)
 				c.powerOff(c.replicas[i])
 				c.run(4 * time.Second)
 				So(c.leader(), ShouldNotBeNil)
-				So(c.order(), ShouldBeTrue)
+				So(c.proposeAndCommit(), ShouldBeTrue)
 			}
-			view := c.leader().machine.View()
+			view := c.leader().node.View()
 			So(len(view.Witnesses), ShouldEqual, 3)
-			So(c.leader().state, ShouldResemble, c.acked)
+			So(c.leader().state, ShouldResemble, c.acknowledged)
 			Convey("and those that come back decide nothing among themselves", func() {
 				for i := range 3 {
 					c.powerOn(c.replicas[i])
 				}
 				c.run(4 * time.Second)
-				So(c.leader().state, ShouldResemble, c.acked)
-				So(c.order(), ShouldBeTrue)
+				So(c.leader().state, ShouldResemble, c.acknowledged)
+				So(c.proposeAndCommit(), ShouldBeTrue)
 			})
 		})
 		Convey("leaves a member out whose disk hangs, and acknowledges without it", func() {
@@ -297,24 +297,24 @@
 				slow = c.replicas[1]
 			}
 			c.down[slow.disk.Self.Address] = true // its loop waits for the disk: it says nothing
-			So(c.order(), ShouldBeFalse)
+			So(c.proposeAndCommit(), ShouldBeFalse)
 			c.run(1500 * time.Millisecond)
-			So(c.leader().state, ShouldResemble, c.acked)
-			So(len(c.acked), ShouldEqual, 2)
+			So(c.leader().state, ShouldResemble, c.acknowledged)
+			So(len(c.acknowledged), ShouldEqual, 2)
 		})
 	})
 	Convey("Seeds of which only one counts for the quorum leave all to it, so that it goes on alone after all were restarted", t, func() {
 		c := newCluster(3, 0)
 		counts := c.replicas[1]
 		for _, h := range c.replicas {
-			h.machine.options.LocalityOf = func(a string) Locality {
+			h.node.options.LocalityOf = func(a string) Locality {
 				return Locality{Zone: a, Known: true, CountsForQuorum: a == counts.disk.Self.Address}
 			}
 		}
 		c.run(3 * time.Second)
 		So(c.leader(), ShouldEqual, counts)
-		So(len(counts.machine.hardState.View.Witnesses), ShouldEqual, 1)
-		So(c.order(), ShouldBeTrue)
+		So(len(counts.node.hardState.View.Witnesses), ShouldEqual, 1)
+		So(c.proposeAndCommit(), ShouldBeTrue)
 		for _, h := range c.replicas {
 			if h != counts {
 				c.powerOff(h)
@@ -324,22 +324,22 @@
 		c.powerOn(counts)
 		c.run(2 * time.Second)
 		So(c.leader(), ShouldEqual, counts)
-		So(c.leader().state, ShouldResemble, c.acked)
-		So(c.order(), ShouldBeTrue)
+		So(c.leader().state, ShouldResemble, c.acknowledged)
+		So(c.proposeAndCommit(), ShouldBeTrue)
 	})
 	Convey("Two that count keep a third witness where one may be lost", t, func() {
 		c := newCluster(3, 1)
 		outsider := c.replicas[0].disk.Self.Address
 		for _, h := range c.replicas {
-			h.machine.options.LocalityOf = func(a string) Locality { return Locality{Zone: a, Known: true, CountsForQuorum: a != outsider} }
+			h.node.options.LocalityOf = func(a string) Locality { return Locality{Zone: a, Known: true, CountsForQuorum: a != outsider} }
 		}
 		c.run(3 * time.Second)
-		So(len(c.leader().machine.hardState.View.Witnesses), ShouldEqual, 3)
+		So(len(c.leader().node.hardState.View.Witnesses), ShouldEqual, 3)
 	})
 	Convey("Six replicas of which two may be lost acknowledge after two disks are lost at once", t, func() {
 		c := newCluster(6, 2)
 		c.run(1500 * time.Millisecond)
-		So(c.order(), ShouldBeTrue)
+		So(c.proposeAndCommit(), ShouldBeTrue)
 		first := c.leader()
 		c.wipe(first)
 		c.start(first, DefaultTiming())
@@ -351,8 +351,8 @@
 		c.start(other, DefaultTiming())
 		c.run(4 * time.Second)
 		So(c.leader(), ShouldNotBeNil)
-		So(c.leader().state, ShouldResemble, c.acked)
-		So(c.order(), ShouldBeTrue)
+		So(c.leader().state, ShouldResemble, c.acknowledged)
+		So(c.proposeAndCommit(), ShouldBeTrue)
 	})
 }
 
--- a/internal/fleet/replication/disruption_test.go
+++ b/internal/fleet/replication/disruption_test.go
@@ -11,151 +11,151 @@
 // disrupt has something happen.
 func (s *simulation) disrupt() {
 	live := s.live()
-	n := live[s.random.IntN(len(live))]
+	m := live[s.random.IntN(len(live))]
 	switch s.random.IntN(12) {
 	case 0:
-		s.note("%s loses power", n.address)
-		s.powerOff(n, s.span(100*time.Millisecond, 5*time.Second))
+		s.logEvent("%s loses power", m.address)
+		s.powerOff(m, s.randomDuration(100*time.Millisecond, 5*time.Second))
 	case 1:
-		s.allLosePower()
+		s.powerOffAll()
 	case 2, 3:
-		s.loseDisk(n, s.random.IntN(3) == 0)
+		s.loseDisk(m, s.random.IntN(3) == 0)
 	case 4, 5:
-		s.replacePlanned(n)
+		s.replaceGracefully(m)
 	case 6:
-		s.replaceLost(n)
+		s.replaceLost(m)
 	case 7:
-		s.restartPlanned(n)
+		s.restartGracefully(m)
 	case 8:
-		s.cutOff(n)
+		s.isolate(m)
 	case 9:
-		s.cutInHalves()
+		s.partitionInHalves()
 	case 10:
-		s.slowUntil = s.now + s.span(500*time.Millisecond, 5*time.Second)
-		s.note("messages are slow until %v", s.slowUntil)
+		s.slowUntil = s.now + s.randomDuration(500*time.Millisecond, 5*time.Second)
+		s.logEvent("messages are slow until %v", s.slowUntil)
 	case 11:
-		n.frozen = s.now + s.span(200*time.Millisecond, 4*time.Second)
-		s.note("%s stands still until %v", n.address, n.frozen)
+		m.frozenUntil = s.now + s.randomDuration(200*time.Millisecond, 4*time.Second)
+		s.logEvent("%s stands still until %v", m.address, m.frozenUntil)
 	}
 }
 
-func (s *simulation) allLosePower() {
-	s.note("all lose power")
-	for _, n := range s.live() {
-		s.powerOff(n, s.span(100*time.Millisecond, 3*time.Second))
+func (s *simulation) powerOffAll() {
+	s.logEvent("all lose power")
+	for _, m := range s.live() {
+		s.powerOff(m, s.randomDuration(100*time.Millisecond, 3*time.Second))
 	}
 }
 
-// mayLoseDisk tells whether one more disk may be lost: with a tolerance of more than one, this many at once.
-func (s *simulation) mayLoseDisk() bool {
-	return s.diskLostBy == nil && s.setup.tolerance != (Tolerance{})
+// canLoseDisk reports whether one more disk may be lost: with a tolerance of more than one, this many at once.
+func (s *simulation) canLoseDisk() bool {
+	return s.diskLost == nil && s.setup.tolerance != (Tolerance{})
 }
 
 // loseDisk takes as many disks as may be lost at once, perhaps while all others lose power.
-func (s *simulation) loseDisk(n *node, withPower bool) {
-	if !s.mayLoseDisk() || len(s.acknowledged) == 0 {
+func (s *simulation) loseDisk(m *machine, withPower bool) {
+	if !s.canLoseDisk() || len(s.acknowledged) == 0 {
 		return
 	}
-	s.loses(n)
-	lost := []*node{n}
+	s.recordLoss(m)
+	lost := []*machine{m}
 	for _, other := range s.live() {
-		if len(lost) < s.setup.tolerance.Machines && other != n {
+		if len(lost) < s.setup.tolerance.Machines && other != m {
 			lost = append(lost, other)
 		}
-		if s.setup.tolerance.Machines == 0 && other != n && other.zone == n.zone {
+		if s.setup.tolerance.Machines == 0 && other != m && other.zone == m.zone {
 			lost = append(lost, other) // a zone is lost whole
 		}
 	}
 	if withPower {
-		s.allLosePower()
+		s.powerOffAll()
 	}
-	for _, n := range lost {
-		s.note("%s loses its disk", n.address)
-		n.up = false
-		n.state = nil
-		n.disk = InitialHardState(n.address, s.nonce(), nil)
-		s.powerOff(n, s.span(50*time.Millisecond, 3*time.Second))
+	for _, m := range lost {
+		s.logEvent("%s loses its disk", m.address)
+		m.isUp = false
+		m.state = nil
+		m.disk = InitialHardState(m.address, s.nonce(), nil)
+		s.powerOff(m, s.randomDuration(50*time.Millisecond, 3*time.Second))
 	}
 }
 
-// replacePlanned has a new machine come, and then ends one.
-func (s *simulation) replacePlanned(n *node) {
-	if !s.mayResign(n) || n.successor != nil {
+// replaceGracefully has a new machine come, and then ends one.
+func (s *simulation) replaceGracefully(m *machine) {
+	if !s.canResign(m) || m.successor != nil {
 		return
 	}
-	added := s.add(address(len(s.nodes)))
-	added.zone = n.zone
-	n.successor, added.isSuccessor = added, true
-	s.startNode(added)
-	s.note("%s comes, to replace %s", added.address, n.address)
-	s.later(s.span(200*time.Millisecond, 3*time.Second), func() { s.resign(n, true) })
+	added := s.add(address(len(s.machines)))
+	added.zone = m.zone
+	m.successor, added.isSuccessor = added, true
+	s.startMachine(added)
+	s.logEvent("%s comes, to replace %s", added.address, m.address)
+	s.schedule(s.randomDuration(200*time.Millisecond, 3*time.Second), func() { s.resign(m, true) })
 }
 
-// restartPlanned ends a machine that comes back with its disk.
-func (s *simulation) restartPlanned(n *node) {
-	if n.successor == nil {
-		s.resign(n, false)
+// restartGracefully ends a machine that comes back with its disk.
+func (s *simulation) restartGracefully(m *machine) {
+	if m.successor == nil {
+		s.resign(m, false)
 	}
 }
 
-// mayResign tells whether a machine may be told to end: it runs, and does not have to take another one's place first.
-func (s *simulation) mayResign(n *node) bool {
-	return n.resigned == 0 && n.runs(s.now) && !n.gone && !n.isSuccessor
+// canResign reports whether a machine may be told to end: it runs, and does not have to take another one's place first.
+func (s *simulation) canResign(m *machine) bool {
+	return m.resignedAt == 0 && m.isRunning(s.now) && !m.gone && !m.isSuccessor
 }
 
-func (s *simulation) resign(n *node, forGood bool) {
-	if !s.mayResign(n) {
-		if n.successor != nil {
-			s.later(time.Second, func() { s.resign(n, forGood) })
+func (s *simulation) resign(m *machine, forGood bool) {
+	if !s.canResign(m) {
+		if m.successor != nil {
+			s.schedule(time.Second, func() { s.resign(m, forGood) })
 		}
 		return
 	}
-	s.note("%s is told to end, for good %v", n.address, forGood)
-	n.resigned, n.forGood = s.now, forGood
-	s.carryOut(n, n.machine.Resign(s.now))
+	s.logEvent("%s is told to end, for good %v", m.address, forGood)
+	m.resignedAt, m.isPermanent = s.now, forGood
+	s.apply(m, m.node.Resign(s.now))
 }
 
 // replaceLost has a machine go for good without a word, and another one come.
-func (s *simulation) replaceLost(n *node) {
-	if !s.mayLoseDisk() || s.setup.tolerance.Machines == 0 && s.setup.zones < s.setup.machines || n.resigned != 0 || n.isSuccessor || n.successor != nil {
+func (s *simulation) replaceLost(m *machine) {
+	if !s.canLoseDisk() || s.setup.tolerance.Machines == 0 && s.setup.zones < s.setup.machineCount || m.resignedAt != 0 || m.isSuccessor || m.successor != nil {
 		return
 	}
-	s.loses(n)
-	s.note("%s goes for good", n.address)
-	n.up, n.gone = false, true
-	s.later(s.span(500*time.Millisecond, 2*time.Second), func() {
-		added := s.add(address(len(s.nodes)))
-		added.zone = n.zone
-		s.startNode(added)
+	s.recordLoss(m)
+	s.logEvent("%s goes for good", m.address)
+	m.isUp, m.gone = false, true
+	s.schedule(s.randomDuration(500*time.Millisecond, 2*time.Second), func() {
+		added := s.add(address(len(s.machines)))
+		added.zone = m.zone
+		s.startMachine(added)
 		s.healthySince = s.now
-		s.note("%s comes in the place of %s", added.address, n.address)
+		s.logEvent("%s comes in the place of %s", added.address, m.address)
 	})
 }
 
-// cutOff cuts a machine from all others, or one way only.
-func (s *simulation) cutOff(n *node) {
-	until := s.now + s.span(300*time.Millisecond, 20*time.Second)
+// isolate partitions a machine from all others, or one way only.
+func (s *simulation) isolate(m *machine) {
+	until := s.now + s.randomDuration(300*time.Millisecond, 20*time.Second)
 	in, out := s.random.IntN(4) > 0, s.random.IntN(4) > 0
-	s.note("%s is cut off until %v: in %v, out %v", n.address, until, in, out)
+	s.logEvent("%s is cut off until %v: in %v, out %v", m.address, until, in, out)
 	for _, other := range s.live() {
 		if in {
-			s.cuts[[2]string{other.address, n.address}] = until
+			s.partitions[[2]string{other.address, m.address}] = until
 		}
 		if out {
-			s.cuts[[2]string{n.address, other.address}] = until
+			s.partitions[[2]string{m.address, other.address}] = until
 		}
 	}
 }
 
-func (s *simulation) cutInHalves() {
-	until := s.now + s.span(300*time.Millisecond, 8*time.Second)
+func (s *simulation) partitionInHalves() {
+	until := s.now + s.randomDuration(300*time.Millisecond, 8*time.Second)
 	live := s.live()
 	s.random.Shuffle(len(live), func(i, j int) { live[i], live[j] = live[j], live[i] })
 	half := len(live) / 2
-	s.note("%s and %d more are cut from the rest until %v", live[0].address, half-1, until)
+	s.logEvent("%s and %d more are cut from the rest until %v", live[0].address, half-1, until)
 	for _, a := range live[:half] {
 		for _, b := range live[half:] {
-			s.cuts[[2]string{a.address, b.address}], s.cuts[[2]string{b.address, a.address}] = until, until
+			s.partitions[[2]string{a.address, b.address}], s.partitions[[2]string{b.address, a.address}] = until, until
 		}
 	}
 }
--- a/internal/fleet/replication/fuzz_test.go
+++ b/internal/fleet/replication/fuzz_test.go
@@ -29,7 +29,7 @@
 	f.Fuzz(func(t *testing.T, kind uint8, body []byte, known bool) {
 		c := newCluster(3, 1)
 		c.run(500 * time.Millisecond)
-		c.order()
+		c.proposeAndCommit()
 		target, from := c.replicas[0], Replica{Address: "10.9.9.9:1", Nonce: 5}
 		if known {
 			from = c.replicas[1].disk.Self
@@ -39,7 +39,7 @@
 		if err != nil {
 			return
 		}
-		c.carryOut(target, target.machine.Receive(c.now, from, message))
+		c.apply(target, target.node.Receive(c.now, from, message))
 		if !known && message.kind() != KindViewNotice && message.kind() != KindHeartbeat && message.kind() != KindAppend &&
 			message.kind() != KindPrepare && message.kind() != KindInstallSnapshot && message.kind() != KindAccept {
 			if target.disk.View.Number != before.View.Number || target.disk.Position != before.Position {
--- a/internal/fleet/replication/promise_test.go
+++ b/internal/fleet/replication/promise_test.go
@@ -9,7 +9,7 @@
 
 // answer has a replica receive a message, and returns its only answer; changed says whether its disk is to hold anything new.
 func (c *cluster) answer(h *host, from Replica, message Message) (answer Message, changed bool) {
-	out := h.machine.Receive(c.now, from, message)
+	out := h.node.Receive(c.now, from, message)
 	So(len(out.Send), ShouldEqual, 1)
 	return out.Send[0].Message, out.Write != nil
 }
@@ -20,9 +20,9 @@
 	Convey("A member that has promised a ballot for the next view", t, func() {
 		c := newCluster(3, 1)
 		c.run(time.Second)
-		So(c.order(), ShouldBeTrue)
+		So(c.proposeAndCommit(), ShouldBeTrue)
 		primary, member, candidate := c.leader(), c.backups()[0], c.backups()[1]
-		view := primary.machine.View()
+		view := primary.node.View()
 		low, high := Ballot{Round: 90, Proposer: primary.disk.Self}, Ballot{Round: 91, Proposer: candidate.disk.Self}
 		c.now += time.Second // the primary is silent
 		_, changed := c.answer(member, candidate.disk.Self, Prepare{View: view, Ballot: high})
@@ -54,27 +54,27 @@
 		c.run(time.Second)
 		primary := c.leader()
 		c.now += time.Second
-		c.carryOut(primary, primary.machine.ConfirmLeadership(c.now))
-		number, round := primary.machine.View().Number, primary.machine.primary.heartbeats.number
+		c.apply(primary, primary.node.ConfirmLeadership(c.now))
+		number, round := primary.node.View().Number, primary.node.primary.heartbeats.number
 		for _, backup := range c.backups() {
-			primary.machine.Receive(c.now, backup.disk.Self, HeartbeatAck{Number: number, Round: round})
+			primary.node.Receive(c.now, backup.disk.Self, HeartbeatAck{Number: number, Round: round})
 		}
 		for nonce := range uint64(3) {
-			primary.machine.Receive(c.now, Replica{Address: "10.0.9.9:1", Nonce: nonce}, HeartbeatAck{Number: number, Round: round, Current: true})
+			primary.node.Receive(c.now, Replica{Address: "10.0.9.9:1", Nonce: nonce}, HeartbeatAck{Number: number, Round: round, Current: true})
 		}
-		confirmed, _ := primary.machine.LeadershipConfirmedAt()
+		confirmed, _ := primary.node.LeadershipConfirmedAt()
 		So(confirmed, ShouldBeLessThan, c.now)
 	})
 	Convey("A candidate counts promises of the view's witnesses only", t, func() {
 		c := newCluster(3, 1)
 		c.run(time.Second)
 		candidate := c.backups()[0]
-		candidate.machine.elect(c.now)
-		view, ballot := candidate.machine.View(), candidate.machine.election.ballot
+		candidate.node.becomeCandidate(c.now)
+		view, ballot := candidate.node.View(), candidate.node.election.ballot
 		for nonce := range uint64(3) {
 			promise := Promise{Number: view.Number + 1, Ballot: ballot, Position: candidate.disk.Position}
-			candidate.machine.Receive(c.now+promiseWait, Replica{Address: "10.0.9.9:1", Nonce: nonce}, promise)
+			candidate.node.Receive(c.now+promiseWait, Replica{Address: "10.0.9.9:1", Nonce: nonce}, promise)
 		}
-		So(candidate.machine.Status(), ShouldEqual, Preparing)
+		So(candidate.node.Status(), ShouldEqual, Preparing)
 	})
 }
--- a/internal/fleet/replication/resignation_test.go
+++ b/internal/fleet/replication/resignation_test.go
@@ -9,13 +9,13 @@
 
 // resign has a replica say that it ends.
 func (c *cluster) resign(h *host) {
-	c.carryOut(h, h.machine.Resign(c.now))
+	c.apply(h, h.node.Resign(c.now))
 	c.settle()
 }
 
 // view is the leader's.
 func (c *cluster) view() *View {
-	view := c.leader().machine.View()
+	view := c.leader().node.View()
 	return &view
 }
 
@@ -31,20 +31,20 @@
 }
 
 // Guards against a leaver whose copy or vote is counted on when it has gone.
-func TestLeaving(t *testing.T) {
+func TestResignation(t *testing.T) {
 	Convey("Three replicas of which one may be lost", t, func() {
 		c := newCluster(3, 1)
 		c.run(time.Second)
-		So(c.order(), ShouldBeTrue)
+		So(c.proposeAndCommit(), ShouldBeTrue)
 		backups := c.backups()
 
 		Convey("release one that only starts again, as soon as it is no member", func() {
 			c.resign(backups[0])
 			c.run(500 * time.Millisecond)
-			So(backups[0].machine.CanStop(), ShouldBeTrue)
+			So(backups[0].node.CanStop(), ShouldBeTrue)
 			So(len(c.view().Witnesses), ShouldEqual, 3)
 			So(c.view().HasMember(backups[0].disk.Self), ShouldBeFalse)
-			So(c.order(), ShouldBeTrue)
+			So(c.proposeAndCommit(), ShouldBeTrue)
 			Convey("and take it in again when it is back", func() {
 				c.powerOff(backups[0])
 				c.run(500 * time.Millisecond)
@@ -60,12 +60,12 @@
 			So(c.view().HasWitness(added.disk.Self), ShouldBeFalse)
 			c.resign(backups[0])
 			c.run(time.Second)
-			view := c.leader().machine.View()
+			view := c.leader().node.View()
 			So(len(view.Witnesses), ShouldEqual, 3)
 			So(view.HasWitness(added.disk.Self), ShouldBeTrue)
 			So(view.HasWitness(backups[0].disk.Self), ShouldBeFalse)
-			So(backups[0].machine.CanStop(), ShouldBeTrue)
-			So(added.state, ShouldResemble, c.acked)
+			So(backups[0].node.CanStop(), ShouldBeTrue)
+			So(added.state, ShouldResemble, c.acknowledged)
 		})
 		Convey("do not release it while one that could take its place can't be reached", func() {
 			added := c.join(address(3))
@@ -73,21 +73,21 @@
 			c.powerOff(added)
 			c.resign(backups[0])
 			c.run(3 * time.Second)
-			So(backups[0].machine.CanStop(), ShouldBeFalse)
+			So(backups[0].node.CanStop(), ShouldBeFalse)
 		})
 		Convey("acknowledge nothing on the copy of one that leaves", func() {
 			c.powerOff(backups[1])
 			c.run(2 * time.Second)
-			So(c.order(), ShouldBeTrue) // the leader and the first backup hold it
+			So(c.proposeAndCommit(), ShouldBeTrue) // the leader and the first backup hold it
 			c.resign(backups[0])
 			c.run(300 * time.Millisecond)
-			So(c.order(), ShouldBeFalse)
-			So(backups[0].machine.CanStop(), ShouldBeFalse)
+			So(c.proposeAndCommit(), ShouldBeFalse)
+			So(backups[0].node.CanStop(), ShouldBeFalse)
 			Convey("and go on when another copy is back", func() {
 				c.powerOn(backups[1])
 				c.run(2 * time.Second)
-				So(c.order(), ShouldBeTrue)
-				So(backups[0].machine.CanStop(), ShouldBeTrue)
+				So(c.proposeAndCommit(), ShouldBeTrue)
+				So(backups[0].node.CanStop(), ShouldBeTrue)
 			})
 		})
 		Convey("release all that end at once", func() {
@@ -95,24 +95,24 @@
 				c.resign(h)
 			}
 			c.run(time.Second)
-			So(c.leader().machine.CanStop(), ShouldBeTrue)
+			So(c.leader().node.CanStop(), ShouldBeTrue)
 		})
 	})
 	Convey("A core of one hands all over to the machine that replaces it", t, func() {
 		c := newCluster(1, 0)
 		c.run(time.Second)
-		So(c.order(), ShouldBeTrue)
+		So(c.proposeAndCommit(), ShouldBeTrue)
 		former := c.replicas[0]
 		added := c.join(address(1))
 		c.run(time.Second)
 		c.resign(former)
 		c.run(time.Second)
-		So(former.machine.CanStop(), ShouldBeTrue)
+		So(former.node.CanStop(), ShouldBeTrue)
 		c.powerOff(former)
 		c.run(time.Second)
 		So(c.leader(), ShouldEqual, added)
-		So(added.state, ShouldResemble, c.acked)
-		So(c.order(), ShouldBeTrue)
+		So(added.state, ShouldResemble, c.acknowledged)
+		So(c.proposeAndCommit(), ShouldBeTrue)
 	})
 }
 
@@ -129,26 +129,26 @@
 		So(c.view().HasWitness(added.disk.Self), ShouldBeTrue)
 		So(c.view().HasWitness(away.disk.Self), ShouldBeFalse)
 		c.powerOn(away)
-		away.machine.options.JoinTargets = c.addresses
+		away.node.options.JoinTargets = c.addresses
 		c.run(4 * time.Second)
 		Convey("it learns the present view, and can take the place of the next one", func() {
-			So(away.machine.View().Number, ShouldEqual, c.leader().machine.View().Number)
+			So(away.node.View().Number, ShouldEqual, c.leader().node.View().Number)
 			c.powerOff(added)
 			c.run(4 * time.Second)
 			So(c.view().HasWitness(away.disk.Self), ShouldBeTrue)
-			So(c.order(), ShouldBeTrue)
+			So(c.proposeAndCommit(), ShouldBeTrue)
 		})
 	})
 }
 
 // Guards against a newcomer that is counted on though it never stored anything, and against one that holds up all.
-func TestNewcomerThatStoresNothing(t *testing.T) {
+func TestJoinerThatStoresNothing(t *testing.T) {
 	Convey("A newcomer asks to be taken in and answers nothing else, while a witness is lost for good", t, func() {
 		c := newCluster(3, 1)
 		c.run(time.Second)
-		So(c.order(), ShouldBeTrue)
+		So(c.proposeAndCommit(), ShouldBeTrue)
 		mute := c.join(address(3))
-		c.drop = func(e envelope) bool {
+		c.isDropped = func(e envelope) bool {
 			_, asks := e.message.(Join)
 			return e.from == mute.disk.Self && !asks
 		}
@@ -156,12 +156,12 @@
 		c.run(4 * time.Second)
 		So(c.leader(), ShouldNotBeNil)
 		So(c.view().HasWitness(mute.disk.Self), ShouldBeFalse)
-		So(c.order(), ShouldBeTrue)
+		So(c.proposeAndCommit(), ShouldBeTrue)
 		Convey("it is taken in when it answers", func() {
-			c.drop = nil
+			c.isDropped = nil
 			c.run(5 * time.Second)
 			So(c.view().HasWitness(mute.disk.Self), ShouldBeTrue)
-			So(mute.state, ShouldResemble, c.acked)
+			So(mute.state, ShouldResemble, c.acknowledged)
 		})
 	})
 }
@@ -173,7 +173,7 @@
 		c := newCluster(3, 1)
 		c.transfer = long
 		c.run(time.Second)
-		So(c.order(), ShouldBeTrue)
+		So(c.proposeAndCommit(), ShouldBeTrue)
 		first := c.leader()
 
 		Convey("bring a replaced disk up to date while changes go on", func() {
@@ -181,29 +181,29 @@
 			c.loseDisk(lost)
 			for range 16 {
 				c.run(500 * time.Millisecond)
-				c.order()
+				c.proposeAndCommit()
 			}
-			So(len(c.acked), ShouldBeGreaterThan, 12)
+			So(len(c.acknowledged), ShouldBeGreaterThan, 12)
 			So(c.view().HasMember(lost.disk.Self), ShouldBeTrue)
-			So(lost.state, ShouldResemble, c.acked)
+			So(lost.state, ShouldResemble, c.acknowledged)
 		})
 		Convey("go on when all but one copy has to be made anew", func() {
 			c.powerOff(c.backups()[0])
 			c.run(2 * time.Second)
-			So(c.order(), ShouldBeTrue) // on two copies
-			away := machineThatIsDown(c, first)
+			So(c.proposeAndCommit(), ShouldBeTrue) // on two copies
+			away := hostThatIsDown(c, first)
 			c.loseDisk(first)
 			c.powerOn(away)
 			c.run(12 * time.Second)
 			So(c.leader(), ShouldNotBeNil)
-			So(c.leader().state, ShouldResemble, c.acked)
-			So(c.order(), ShouldBeTrue)
+			So(c.leader().state, ShouldResemble, c.acknowledged)
+			So(c.proposeAndCommit(), ShouldBeTrue)
 		})
 	})
 }
 
-// machineThatIsDown is the machine that is down.
-func machineThatIsDown(c *cluster, besides *host) *host {
+// hostThatIsDown is the machine that is down.
+func hostThatIsDown(c *cluster, besides *host) *host {
 	for _, h := range c.replicas {
 		if h != besides && c.down[h.disk.Self.Address] {
 			return h
@@ -213,14 +213,14 @@
 }
 
 // Guards against a witness that forgets its promise at a restart, so that two candidates decide one view.
-func TestPromiseOutlivesARestart(t *testing.T) {
+func TestPromiseSurvivesRestart(t *testing.T) {
 	Convey("A witness that has promised a ballot and starts again accepts no lower one", t, func() {
 		c := newCluster(3, 1)
-		view := c.replicas[0].machine.View()
+		view := c.replicas[0].node.View()
 		witness, low, high := c.replicas[0], Ballot{Round: 3, Proposer: c.replicas[1].disk.Self}, Ballot{Round: 4, Proposer: c.replicas[2].disk.Self}
-		c.carryOut(witness, witness.machine.Receive(c.now, high.Proposer, Prepare{View: view, Ballot: high}))
+		c.apply(witness, witness.node.Receive(c.now, high.Proposer, Prepare{View: view, Ballot: high}))
 		c.powerOn(witness)
-		out := witness.machine.Receive(c.now, low.Proposer, Accept{Ballot: low, Proposal: View{Number: 1, Members: view.Members, Witnesses: view.Witnesses}})
+		out := witness.node.Receive(c.now, low.Proposer, Accept{Ballot: low, Proposal: View{Number: 1, Members: view.Members, Witnesses: view.Witnesses}})
 		So(out.Write, ShouldBeNil)
 		So(len(out.Send), ShouldEqual, 1)
 		_, rejected := out.Send[0].Message.(Reject)
--- a/internal/fleet/replication/search_events_test.go
+++ b/internal/fleet/replication/search_events_test.go
@@ -7,22 +7,22 @@
 
 // What may happen in a step of a wide walk.
 
-// act carries a step of a replica out, and looks at what it says then.
-func (w *wideWalk) act(h *host, out *Output) {
-	w.carryOut(h, out)
-	w.noteAcknowledged(h)
+// applyAndRecord carries a step of a replica out, and records what it acknowledges.
+func (w *wideWalk) applyAndRecord(h *host, out *Output) {
+	w.apply(h, out)
+	w.recordAcknowledged(h)
 }
 
 // deliverNext delivers some of the messages that wait, not always in their order. One that is delivered may wait on, to come
 // again.
 func (w *wideWalk) deliverNext(*host) {
-	for range 1 + w.random.IntN(burstMost) {
+	for range 1 + w.random.IntN(maxBurst) {
 		if len(w.waiting) == 0 {
 			return
 		}
 		at := 0
 		if w.random.IntN(3) == 0 {
-			at = w.random.IntN(min(len(w.waiting), reordered))
+			at = w.random.IntN(min(len(w.waiting), reorderWindow))
 		}
 		e := w.waiting[at]
 		if w.random.IntN(20) > 0 {
@@ -44,25 +44,25 @@
 	w.waiting = slices.DeleteFunc(w.waiting, func(envelope) bool { return w.random.IntN(3) == 0 })
 }
 
-// hold has some of the messages that wait come much later.
-func (w *wideWalk) hold(*host) {
+// delaySome delays some of the messages that wait.
+func (w *wideWalk) delaySome(*host) {
 	w.waiting = slices.DeleteFunc(w.waiting, func(e envelope) bool {
 		isHeld := w.random.IntN(3) == 0
 		if isHeld {
-			w.held = append(w.held, e)
+			w.delayed = append(w.delayed, e)
 		}
 		return isHeld
 	})
 }
 
-func (w *wideWalk) letGo(*host) {
-	w.waiting = append(w.waiting, w.held...)
-	w.held = nil
+func (w *wideWalk) releaseDelayed(*host) {
+	w.waiting = append(w.waiting, w.delayed...)
+	w.delayed = nil
 }
 
 func (w *wideWalk) tickOne(h *host) {
 	w.now += time.Duration(w.random.IntN(60)) * time.Millisecond
-	w.act(h, h.machine.Tick(w.now))
+	w.applyAndRecord(h, h.node.Tick(w.now))
 }
 
 // tickAll lets time pass, sometimes much of it.
@@ -73,102 +73,102 @@
 	}
 	w.now += time.Duration(w.random.IntN(most)) * time.Millisecond
 	for _, h := range w.live() {
-		w.act(h, h.machine.Tick(w.now))
+		w.applyAndRecord(h, h.node.Tick(w.now))
 	}
 }
 
-func (w *wideWalk) order(h *host) {
+func (w *wideWalk) proposeOne(h *host) {
 	if w.proposed < 200 {
 		w.propose(h)
 	}
 }
 
 func (w *wideWalk) read(h *host) {
-	if h.machine.Status() == Leading {
-		w.pending = append(w.pending, wideRead{at: h, since: w.now, length: len(w.acked)})
+	if h.node.Status() == Leading {
+		w.pending = append(w.pending, wideRead{at: h, since: w.now, length: len(w.acknowledged)})
 		w.now += time.Millisecond
-		w.act(h, h.machine.ConfirmLeadership(w.now))
+		w.applyAndRecord(h, h.node.ConfirmLeadership(w.now))
 	}
 }
 
-func (w *wideWalk) stand(h *host) {
-	if h.mayStand() {
-		w.act(h, h.machine.elect(w.now))
+func (w *wideWalk) becomeCandidate(h *host) {
+	if h.canBecomeCandidate() {
+		w.applyAndRecord(h, h.node.becomeCandidate(w.now))
 	}
 }
 
-func (w *wideWalk) startAgain(h *host) {
-	w.note("%s starts again", h.disk.Self.Address)
-	w.again(h)
+func (w *wideWalk) restartOne(h *host) {
+	w.logEvent("%s starts again", h.disk.Self.Address)
+	w.restartHost(h)
 }
 
-// again starts a replica with what its disk holds; one that was to leave stays.
-func (w *wideWalk) again(h *host) {
-	delete(w.leaving, h)
+// restartHost starts a replica with what its disk holds; one that was resigning is not any more.
+func (w *wideWalk) restartHost(h *host) {
+	delete(w.resigning, h)
 	w.restart(h)
 }
 
-func (w *wideWalk) losePower(*host) {
-	w.note("all lose power")
-	w.waiting, w.held = nil, nil
+func (w *wideWalk) restartAll(*host) {
+	w.logEvent("all lose power")
+	w.waiting, w.delayed = nil, nil
 	for _, h := range w.live() {
-		w.again(h)
+		w.restartHost(h)
 	}
 }
 
 func (w *wideWalk) loseDisk(h *host) {
-	if w.wipes == 0 || len(w.acked) == 0 {
+	if w.wipes == 0 || len(w.acknowledged) == 0 {
 		return
 	}
 	w.wipes--
-	w.note("%s loses its disk", h.disk.Self.Address)
-	delete(w.leaving, h)
+	w.logEvent("%s loses its disk", h.disk.Self.Address)
+	delete(w.resigning, h)
 	w.wipe(h)
 }
 
-// come has a replica with an empty disk come at another address.
-func (w *wideWalk) come(*host) {
-	if w.newcomers == newcomersMost {
+// addReplica has a replica with an empty disk come at another address.
+func (w *wideWalk) addReplica(*host) {
+	if w.joiners == maxJoiners {
 		return
 	}
-	w.newcomers++
+	w.joiners++
 	w.nonces++
 	h := &host{disk: InitialHardState(address(len(w.replicas)), w.nonces, nil)}
 	w.replicas = append(w.replicas, h)
 	w.restart(h)
-	w.note("%s comes", h.disk.Self.Address)
+	w.logEvent("%s comes", h.disk.Self.Address)
 }
 
-func (w *wideWalk) leave(h *host) {
+func (w *wideWalk) resignOne(h *host) {
 	if len(w.live()) > w.tolerance.Machines+1 {
-		w.note("%s is to leave", h.disk.Self.Address)
-		w.leaving[h] = true
-		w.act(h, h.machine.Resign(w.now))
+		w.logEvent("%s is to leave", h.disk.Self.Address)
+		w.resigning[h] = true
+		w.applyAndRecord(h, h.node.Resign(w.now))
 	}
 }
 
-// end ends a leaver that was released: for good where no view that anybody knows has it, else to start again.
-func (w *wideWalk) end(*host) {
+// stopReleased stops a resigning replica that was released: for good where no view that anybody knows has it, else to start again.
+func (w *wideWalk) stopReleased(*host) {
 	for _, h := range w.replicas {
-		if h.gone || !w.leaving[h] || !h.machine.CanStop() {
+		if h.isRemoved || !w.resigning[h] || !h.node.CanStop() {
 			continue
 		}
 		if w.isOut(h) {
-			w.note("%s is gone", h.disk.Self.Address)
-			h.gone = true
+			w.logEvent("%s is gone", h.disk.Self.Address)
+			h.isRemoved = true
 			return
 		}
-		w.note("%s ends, and starts again", h.disk.Self.Address)
-		w.again(h)
+		w.logEvent("%s ends, and starts again", h.disk.Self.Address)
+		w.restartHost(h)
 		return
 	}
 }
 
-// isOut tells whether the newest view that is known to be decided, and all that may come after it, lacks a replica.
+// isOut reports whether the newest view that is known to be decided, and all that may come after it, lacks a replica.
 func (w *wideWalk) isOut(h *host) bool {
 	var newest View
 	for _, other := range w.replicas {
-		if view := other.machine.View(); view.Number > newest.Number {
+		if view := other.node.View(); view.Number > newest.Number {
 			newest = view
 		}
 	}
@@ -180,79 +180,79 @@
 	})
 }
 
-// cutInTwo cuts some replicas from the others, one way or both.
-func (w *wideWalk) cutInTwo(*host) {
+// partitionRandomly cuts some replicas from the others, one way or both.
+func (w *wideWalk) partitionRandomly(*host) {
 	oneWay := w.random.IntN(3) == 0
 	for _, a := range w.replicas {
 		for _, b := range w.replicas {
 			if a != b && w.random.IntN(2) == 0 {
-				w.cutOff(a, b, oneWay)
+				w.disconnect(a, b, oneWay)
 			}
 		}
 	}
-	w.note("links are cut, one way %v", oneWay)
+	w.logEvent("links are cut, one way %v", oneWay)
 }
 
-func (w *wideWalk) cutOff(a, b *host, oneWay bool) {
-	w.cut[[2]string{a.disk.Self.Address, b.disk.Self.Address}] = true
+func (w *wideWalk) disconnect(a, b *host, oneWay bool) {
+	w.partitions[[2]string{a.disk.Self.Address, b.disk.Self.Address}] = true
 	if !oneWay {
-		w.cut[[2]string{b.disk.Self.Address, a.disk.Self.Address}] = true
+		w.partitions[[2]string{b.disk.Self.Address, a.disk.Self.Address}] = true
 	}
 }
 
-// cutLeader cuts the primary from all others, which go on without it.
-func (w *wideWalk) cutLeader(*host) {
+// isolatePrimary cuts the primary from all others, which go on without it.
+func (w *wideWalk) isolatePrimary(*host) {
 	for _, h := range w.live() {
-		if h.machine.Status() != Leading || !w.isNewest(h) {
+		if h.node.Status() != Leading || !w.isNewest(h) {
 			continue
 		}
-		w.note("the primary %s is cut off", h.disk.Self.Address)
+		w.logEvent("the primary %s is cut off", h.disk.Self.Address)
 		for _, other := range w.replicas {
 			if other != h {
-				w.cutOff(h, other, false)
+				w.disconnect(h, other, false)
 			}
 		}
 	}
 }
 
-func (w *wideWalk) joinAll(*host) {
-	if len(w.cut) > 0 {
-		w.note("all are joined")
-		clear(w.cut)
+func (w *wideWalk) healPartitions(*host) {
+	if len(w.partitions) > 0 {
+		w.logEvent("all are joined")
+		clear(w.partitions)
 	}
 }
 
-// duel has two replicas that don't reach each other stand at once.
-func (w *wideWalk) duel(h *host) {
+// duelCandidates makes two replicas that don't reach each other candidates at once.
+func (w *wideWalk) duelCandidates(h *host) {
 	live := w.live()
 	other := live[w.random.IntN(len(live))]
 	if other == h {
 		return
 	}
-	w.note("%s and %s stand beside each other", h.disk.Self.Address, other.disk.Self.Address)
-	w.cutOff(h, other, false)
-	w.stand(h)
-	w.stand(other)
+	w.logEvent("%s and %s stand beside each other", h.disk.Self.Address, other.disk.Self.Address)
+	w.disconnect(h, other, false)
+	w.becomeCandidate(h)
+	w.becomeCandidate(other)
 }
 
-func (w *wideWalk) join(h *host) { w.askToJoin(h) }
+func (w *wideWalk) requestJoinOne(h *host) { w.requestJoin(h) }
 
-// breakStep cuts a step of a replica off: before its write, or between its write and its messages.
-func (w *wideWalk) breakStep(h *host) {
+// crashInStep cuts a step of a replica off: before its write, or between its write and its messages.
+func (w *wideWalk) crashInStep(h *host) {
 	w.now += time.Millisecond
 	var out *Output
 	if begun := false; w.proposed < 200 {
-		if out, begun = h.machine.Propose(w.now, []byte{w.proposed + 1}); begun {
+		if out, begun = h.node.Propose(w.now, []byte{w.proposed + 1}); begun {
 			w.proposed++
 		}
 	}
 	if out == nil || out.Write == nil {
-		out = h.machine.Tick(w.now)
+		out = h.node.Tick(w.now)
 	}
 	if w.random.IntN(2) == 0 {
 		out.Send = nil
-		w.carryOut(h, out)
+		w.apply(h, out)
 	}
-	w.note("%s ends in the middle of a step, written %v", h.disk.Self.Address, out.Send == nil)
-	w.again(h)
+	w.logEvent("%s ends in the middle of a step, written %v", h.disk.Self.Address, out.Send == nil)
+	w.restartHost(h)
 }
--- a/internal/fleet/replication/search_test.go
+++ b/internal/fleet/replication/search_test.go
@@ -27,9 +27,9 @@
 	h := w.replicas[r.IntN(len(w.replicas))]
 	switch p := r.IntN(100); {
 	case p < 4:
-		if l.elections > 0 && h.mayStand() {
+		if l.elections > 0 && h.canBecomeCandidate() {
 			l.elections--
-			w.carryOut(h, h.machine.elect(w.now))
+			w.apply(h, h.node.becomeCandidate(w.now))
 		}
 	case p < 14:
 		if l.proposals > 0 && w.proposeAnywhere() {
@@ -46,17 +46,17 @@
 			w.wipe(h)
 		}
 	case p < 30:
-		w.letTimePass()
+		w.advanceTime()
 	case p < 34:
-		w.askToJoin(h)
+		w.requestJoin(h)
 	default:
-		w.deliverSome(r)
+		w.deliverRandom(r)
 	}
 }
 
-func (h *host) mayStand() bool {
-	view, status := h.machine.View(), h.machine.Status()
-	return view.HasMember(h.machine.Self()) && (status == Following || status == Leading || status == Accepting)
+func (h *host) canBecomeCandidate() bool {
+	view, status := h.node.View(), h.node.Status()
+	return view.HasMember(h.node.Self()) && (status == Following || status == Leading || status == Accepting)
 }
 
 func (w *world) proposeAnywhere() bool {
@@ -68,28 +68,28 @@
 	return false
 }
 
-// letTimePass lets candidates go on with a majority of promises.
-func (w *world) letTimePass() {
+// advanceTime lets candidates go on with a majority of promises.
+func (w *world) advanceTime() {
 	w.now += time.Second
 	for _, h := range w.replicas {
-		if h.machine.Status() == Preparing {
-			w.carryOut(h, h.machine.Tick(w.now))
+		if h.node.Status() == Preparing {
+			w.apply(h, h.node.Tick(w.now))
 		}
 	}
 }
 
 // requestJoin has a replica that is no witness ask all others to take it in.
-func (w *world) askToJoin(h *host) {
-	if view := h.machine.View(); view.HasWitness(h.machine.Self()) {
+func (w *world) requestJoin(h *host) {
+	if view := h.node.View(); view.HasWitness(h.node.Self()) {
 		return
 	}
 	for _, other := range w.replicas {
-		w.send(envelope{from: h.machine.Self(), to: other.machine.Self().Address, message: Join{}})
+		w.send(envelope{from: h.node.Self(), to: other.node.Self().Address, message: Join{}})
 	}
 }
 
-// deliverSome delivers the next message mostly, loses it sometimes, and else delivers any that was ever sent, late or again.
-func (w *world) deliverSome(r *rand.Rand) {
+// deliverRandom delivers the next message mostly, loses it sometimes, and else delivers any that was ever sent, late or again.
+func (w *world) deliverRandom(r *rand.Rand) {
 	if len(w.sent) == 0 {
 		return
 	}
@@ -104,8 +104,8 @@
 	}
 }
 
-// elect makes the replica a candidate, as when its patience has run out.
-func (n *Node) elect(now time.Duration) *Output {
+// becomeCandidate makes the replica a candidate, as after its election time-out.
+func (n *Node) becomeCandidate(now time.Duration) *Output {
 	out := n.step(now)
 	n.startElection()
 	return out
@@ -119,7 +119,7 @@
 		if fault := walk(w, rand.New(rand.NewPCG(uint64(seed), 7)), l, seen); fault != "" {
 			return fmt.Sprintf("walk %d: %s", seed, fault), len(seen), acknowledged
 		}
-		acknowledged += len(w.acked)
+		acknowledged += len(w.acknowledged)
 	}
 	return "", len(seen), acknowledged
 }
@@ -131,7 +131,7 @@
 		t.Run(fmt.Sprint(c.replicas, " replicas"), func(t *testing.T) {
 			t.Parallel()
 			l := limits{elections: 5, proposals: 3, restarts: 2, wipes: c.tolerance, steps: 90 * c.replicas}
-			fault, states, acknowledged := search(c.replicas, c.tolerance, c.walks, none, l)
+			fault, states, acknowledged := search(c.replicas, c.tolerance, c.walks, noMistake, l)
 			t.Logf("%d states, %d acknowledgements", states, acknowledged)
 			if fault != "" {
 				t.Error(fault)
@@ -145,7 +145,7 @@
 
 // Guards against a search that would find nothing whatever is wrong.
 func TestSearchFindsPlantedMistakes(t *testing.T) {
-	for name, m := range map[string]mistake{"an amnesiac votes": amnesiac, "one copy acknowledges": oneCopyAcks} {
+	for name, m := range map[string]mistake{"an amnesiac votes": reusesIdentity, "one copy acknowledges": singleCopyAcks} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			l := limits{elections: 5, proposals: 3, restarts: 2, wipes: 1, steps: 240}
--- a/internal/fleet/replication/search_wide_test.go
+++ b/internal/fleet/replication/search_wide_test.go
@@ -19,11 +19,11 @@
 var firstWalk = flag.Uint64("first-walk", 0, "the first walk of TestWideSearch")
 
 const (
-	wideSteps     = 250 // of a walk, for each replica at the start
-	wideHop       = 4 * time.Millisecond
-	newcomersMost = 2
-	reordered     = 10 // messages of which any may overtake the others
-	burstMost     = 12 // messages that are delivered in one step
+	wideSteps         = 250 // of a walk, for each replica at the start
+	wideDeliveryDelay = 4 * time.Millisecond
+	maxJoiners        = 2
+	reorderWindow     = 10 // messages of which any may overtake the others
+	maxBurst          = 12 // messages that are delivered in one step
 )
 
 // wideWalk is a random walk through orders of messages, as search has it, in which replicas also come, leave, are replaced at
@@ -33,15 +33,15 @@
 	*world
 	random    *rand.Rand
 	wipes     int // that are left: the disks that may be lost in all
-	newcomers int
-	leaving   map[*host]bool
+	joiners   int
+	resigning map[*host]bool
 	pending   []wideRead
 	reads     int
-	trail     []string
+	script    []string
 	decided   map[uint64]View // by number
 	weights   []int           // of wideEvents, in this walk
 	waiting   []envelope      // that were sent and not delivered
-	held      []envelope      // that are held up on their way
+	delayed   []envelope      // that are held up on their way
 }
 
 // wideRead is a read that waits for a round of the witnesses.
@@ -53,20 +53,20 @@
 
 func newWideWalk(replicas, tolerance int, seed uint64) *wideWalk {
 	w := &wideWalk{
-		world: newWorld(replicas, tolerance, none), random: rand.New(rand.NewPCG(seed, 11)), wipes: tolerance, leaving: map[*host]bool{},
+		world: newWorld(replicas, tolerance, noMistake), random: rand.New(rand.NewPCG(seed, 11)), wipes: tolerance, resigning: map[*host]bool{},
 		decided: map[uint64]View{},
 	}
-	w.hop, w.timing = wideHop, w.drawTiming()
+	w.deliveryDelay, w.timing = wideDeliveryDelay, w.drawTiming()
 	w.drawWeights()
 	for _, h := range w.replicas {
 		w.restart(h)
 	}
-	w.intercept = w.keep
+	w.intercept = w.enqueue
 	return w
 }
 
-// keep has a message wait until it is delivered or lost.
-func (w *wideWalk) keep(e envelope) bool {
+// enqueue has a message wait until it is delivered or lost.
+func (w *wideWalk) enqueue(e envelope) bool {
 	w.waiting = append(w.waiting, e)
 	w.sent = append(w.sent, e)
 	return true
@@ -96,8 +96,8 @@
 	}
 }
 
-func (w *wideWalk) note(format string, values ...any) {
-	w.trail = append(w.trail, fmt.Sprintf("%8.3f  ", w.now.Seconds())+fmt.Sprintf(format, values...))
+func (w *wideWalk) logEvent(format string, values ...any) {
+	w.script = append(w.script, fmt.Sprintf("%8.3f  ", w.now.Seconds())+fmt.Sprintf(format, values...))
 }
 
 // wideEvents are what may happen, with the weight of each.
@@ -108,25 +108,25 @@
 	{700, (*wideWalk).deliverNext},
 	{20, (*wideWalk).deliverAny},
 	{4, (*wideWalk).loseNext},
-	{5, (*wideWalk).hold},
-	{6, (*wideWalk).letGo},
+	{5, (*wideWalk).delaySome},
+	{6, (*wideWalk).releaseDelayed},
 	{60, (*wideWalk).tickOne},
 	{160, (*wideWalk).tickAll},
-	{100, (*wideWalk).order},
+	{100, (*wideWalk).proposeOne},
 	{60, (*wideWalk).read},
-	{3, (*wideWalk).stand},
-	{2, (*wideWalk).startAgain},
-	{1, (*wideWalk).losePower},
+	{3, (*wideWalk).becomeCandidate},
+	{2, (*wideWalk).restartOne},
+	{1, (*wideWalk).restartAll},
 	{2, (*wideWalk).loseDisk},
-	{2, (*wideWalk).come},
-	{2, (*wideWalk).leave},
-	{20, (*wideWalk).end},
-	{3, (*wideWalk).cutInTwo},
-	{6, (*wideWalk).cutLeader},
-	{6, (*wideWalk).joinAll},
-	{4, (*wideWalk).duel},
-	{4, (*wideWalk).join},
-	{2, (*wideWalk).breakStep},
+	{2, (*wideWalk).addReplica},
+	{2, (*wideWalk).resignOne},
+	{20, (*wideWalk).stopReleased},
+	{3, (*wideWalk).partitionRandomly},
+	{6, (*wideWalk).isolatePrimary},
+	{6, (*wideWalk).healPartitions},
+	{4, (*wideWalk).duelCandidates},
+	{4, (*wideWalk).requestJoinOne},
+	{2, (*wideWalk).crashInStep},
 }
 
 // step has one thing happen.
@@ -147,22 +147,22 @@
 }
 
 func (w *wideWalk) live() []*host {
-	return slices.DeleteFunc(slices.Clone(w.replicas), func(h *host) bool { return h.gone })
+	return slices.DeleteFunc(slices.Clone(w.replicas), func(h *host) bool { return h.isRemoved })
 }
 
 // checkReads answers reads for which a round was confirmed that began after them.
 func (w *wideWalk) checkReads() string {
 	fault := ""
 	w.pending = slices.DeleteFunc(w.pending, func(r wideRead) bool {
-		confirmed, ok := r.at.machine.LeadershipConfirmedAt()
-		if r.at.gone || !ok {
-			return r.at.gone || r.at.machine.Status() != Leading
+		confirmed, ok := r.at.node.LeadershipConfirmedAt()
+		if r.at.isRemoved || !ok {
+			return r.at.isRemoved || r.at.node.Status() != Leading
 		}
 		if confirmed <= r.since {
 			return false
 		}
 		w.reads++
-		if len(r.at.state) < r.length && !r.at.machine.HasPendingProposal() {
+		if len(r.at.state) < r.length && !r.at.node.HasPendingProposal() {
 			fault = fmt.Sprintf("%s answers a read with %d entries, %d were acknowledged before it", r.at.disk.Self.Address, len(r.at.state), r.length)
 		}
 		return true
@@ -173,7 +173,7 @@
 // checkViews has all replicas agree on what was decided.
 func (w *wideWalk) checkViews() string {
 	for _, h := range w.replicas {
-		view := h.machine.View()
+		view := h.node.View()
 		known, was := w.decided[view.Number]
 		if was && !sameView(known, view) {
 			return fmt.Sprintf("view %d was decided twice: %v and %v", view.Number, known, view)
@@ -190,24 +190,24 @@
 // recover has all return that may, on the real times of the protocol, and expects a primary that holds all that was
 // acknowledged and takes orders.
 func (w *wideWalk) recover() string {
-	clear(w.cut)
-	w.note("all return")
+	clear(w.partitions)
+	w.logEvent("all return")
 	w.replicas = w.live()
 	c := &cluster{world: w.world, down: map[string]bool{}}
-	w.sent, w.waiting, w.held = nil, nil, nil
+	w.sent, w.waiting, w.delayed = nil, nil, nil
 	w.known = map[uint64]bool{}
-	c.intercept = c.sendSlowly
+	c.intercept = c.delaySnapshot
 	for _, h := range w.replicas {
 		c.start(h, DefaultTiming())
-		h.machine.options.JoinTargets = c.addresses
+		h.node.options.JoinTargets = c.addresses
 	}
-	before := len(w.acked)
+	before := len(w.acknowledged)
 	for range 24 {
 		c.run(500 * time.Millisecond)
 		if fault := w.fault(); fault != "" {
 			return fault
 		}
-		if leader := c.leader(); leader != nil && c.order() && len(w.acked) > before {
+		if leader := c.leader(); leader != nil && c.proposeAndCommit() && len(w.acknowledged) > before {
 			return ""
 		}
 	}
@@ -243,9 +243,9 @@
 			for seed := *firstWalk; seed < *firstWalk+uint64(*wideWalks); seed++ {
 				w := newWideWalk(core.replicas, core.tolerance, seed)
 				if fault := w.play(wideSteps*core.replicas, seen); fault != "" {
-					t.Fatalf("walk %d: %s\n%s", seed, fault, w.text())
+					t.Fatalf("walk %d: %s\n%s", seed, fault, w.scriptText())
 				}
-				acknowledged += len(w.acked)
+				acknowledged += len(w.acknowledged)
 				reads += w.reads
 			}
 			t.Logf("%d walks, %d states, %d changes acknowledged, %d reads answered", *wideWalks, len(seen), acknowledged, reads)
@@ -256,16 +256,16 @@
 	}
 }
 
-// text is the course of the walk, and what the disks hold in the end.
-func (w *wideWalk) text() string {
+// scriptText is the course of the walk, and what the disks hold in the end.
+func (w *wideWalk) scriptText() string {
 	text := ""
-	for _, line := range w.trail {
+	for _, line := range w.script {
 		text += line + "\n"
 	}
 	for _, h := range w.replicas {
 		d := &h.disk
 		text += fmt.Sprintf("%s/%d %s, gone %v: view %d, primary %v, members %v, witnesses %v, promised %v, accepted %v, position %v, %d entries\n",
-			d.Self.Address, d.Self.Nonce, h.machine.Status(), h.gone, d.View.Number, d.View.Primary, d.View.Members, d.View.Witnesses,
+			d.Self.Address, d.Self.Nonce, h.node.Status(), h.isRemoved, d.View.Number, d.View.Primary, d.View.Members, d.View.Witnesses,
 			d.Promised, d.Accepted, d.Position, len(h.state))
 	}
 	return text
--- a/internal/fleet/replication/second_loss_test.go
+++ b/internal/fleet/replication/second_loss_test.go
@@ -7,7 +7,7 @@
 )
 
 // noticed is how long a process goes on at least after it was told to end.
-const noticed = 2500 * time.Millisecond
+const shutdownNotice = 2500 * time.Millisecond
 
 // join adds a machine with an empty disk that asks the others to be taken in.
 func (c *cluster) join(at string) *host {
@@ -15,7 +15,7 @@
 	added := &host{disk: InitialHardState(at, c.nonces, nil)}
 	c.replicas = append(c.replicas, added)
 	c.start(added, DefaultTiming())
-	added.machine.options.JoinTargets = c.addresses
+	added.node.options.JoinTargets = c.addresses
 	return added
 }
 
@@ -31,7 +31,7 @@
 func (c *cluster) loseDisk(h *host) {
 	c.wipe(h)
 	c.start(h, DefaultTiming())
-	h.machine.options.JoinTargets = c.addresses
+	h.node.options.JoinTargets = c.addresses
 }
 
 // Guards against a planned replacement after which a second loss leaves no majority: three replicas of which one may be
@@ -58,19 +58,19 @@
 	c.run(time.Second)
 	c.join(address(3))
 	c.run(time.Second)
-	if !c.order() {
+	if !c.proposeAndCommit() {
 		t.Fatal("no change is taken before the replacement")
 	}
 	leaves := c.replicas[leaver]
-	c.carryOut(leaves, leaves.machine.Resign(c.now))
+	c.apply(leaves, leaves.node.Resign(c.now))
 	c.settle()
-	c.run(noticed)
+	c.run(shutdownNotice)
 	c.powerOff(leaves)
 	c.run(gap)
 	c.loseDisk(c.replicas[wiped])
-	for waited := time.Duration(0); waited < 12*time.Second; waited += tick {
-		c.run(tick)
-		if leader := c.leader(); leader != nil && len(leader.state) >= len(c.acked) && c.order() {
+	for waited := time.Duration(0); waited < 12*time.Second; waited += clusterTick {
+		c.run(clusterTick)
+		if leader := c.leader(); leader != nil && len(leader.state) >= len(c.acknowledged) && c.proposeAndCommit() {
 			return
 		}
 	}
--- a/internal/fleet/replication/seeds_test.go
+++ b/internal/fleet/replication/simulation_seeds_test.go
@@ -17,26 +17,26 @@
 
 // setups are cores of one to six machines.
 var setups = map[string]setup{
-	"one, none may be lost":         {machines: 1, founders: 1},
-	"two, none may be lost":         {machines: 2, founders: 2},
-	"three, one may be lost":        {machines: 3, founders: 3, tolerance: Tolerance{Machines: 1}},
-	"three, slow to send":           {machines: 3, founders: 3, tolerance: Tolerance{Machines: 1}, transfer: 900 * time.Millisecond},
-	"four, one may be lost":         {machines: 4, founders: 3, tolerance: Tolerance{Machines: 1}},
-	"five, one may be lost":         {machines: 5, founders: 3, tolerance: Tolerance{Machines: 1}},
-	"five, two may be lost":         {machines: 5, founders: 3, tolerance: Tolerance{Machines: 2}},
-	"six, two may be lost":          {machines: 6, founders: 3, tolerance: Tolerance{Machines: 2}},
-	"three zones, one may be lost":  {machines: 3, founders: 3, tolerance: Tolerance{Zones: 1}, zones: 3},
-	"six in three zones, one of it": {machines: 6, founders: 3, tolerance: Tolerance{Zones: 1}, zones: 3},
-	"four founders, one lost":       {machines: 4, founders: 4, tolerance: Tolerance{Machines: 1}},
-	"six founders, two lost":        {machines: 6, founders: 6, tolerance: Tolerance{Machines: 2}},
+	"one, none may be lost":         {machineCount: 1, founderCount: 1},
+	"two, none may be lost":         {machineCount: 2, founderCount: 2},
+	"three, one may be lost":        {machineCount: 3, founderCount: 3, tolerance: Tolerance{Machines: 1}},
+	"three, slow to send":           {machineCount: 3, founderCount: 3, tolerance: Tolerance{Machines: 1}, transferTime: 900 * time.Millisecond},
+	"four, one may be lost":         {machineCount: 4, founderCount: 3, tolerance: Tolerance{Machines: 1}},
+	"five, one may be lost":         {machineCount: 5, founderCount: 3, tolerance: Tolerance{Machines: 1}},
+	"five, two may be lost":         {machineCount: 5, founderCount: 3, tolerance: Tolerance{Machines: 2}},
+	"six, two may be lost":          {machineCount: 6, founderCount: 3, tolerance: Tolerance{Machines: 2}},
+	"three zones, one may be lost":  {machineCount: 3, founderCount: 3, tolerance: Tolerance{Zones: 1}, zones: 3},
+	"six in three zones, one of it": {machineCount: 6, founderCount: 3, tolerance: Tolerance{Zones: 1}, zones: 3},
+	"four founders, one lost":       {machineCount: 4, founderCount: 4, tolerance: Tolerance{Machines: 1}},
+	"six founders, two lost":        {machineCount: 6, founderCount: 6, tolerance: Tolerance{Machines: 2}},
 }
 
-// whole fills in what setups leave out.
-func (s setup) whole() setup {
+// withDefaults fills in what setups leave out.
+func (s setup) withDefaults() setup {
 	if s.zones == 0 {
 		s.zones = 1000 // each machine stands in a zone of its own
 	}
-	s.length = 60 * time.Second
+	s.duration = 60 * time.Second
 	return s
 }
 
@@ -51,10 +51,10 @@
 				if found.Load() {
 					return
 				}
-				sim := newSimulation(s.whole(), seed)
+				sim := newSimulation(s.withDefaults(), seed)
 				if fault := sim.run(); fault != "" {
 					found.Store(true)
-					t.Fatalf("seed %d: %s\n%s", seed, fault, sim.text())
+					t.Fatalf("seed %d: %s\n%s", seed, fault, sim.scriptText())
 				}
 				changes += len(sim.acknowledged) / entrySize
 				reads += sim.reads
--- a/internal/fleet/replication/simulation_test.go
+++ b/internal/fleet/replication/simulation_test.go
@@ -10,61 +10,61 @@
 	"time"
 )
 
-// simulation is a core of real machines of the protocol on a fake clock, a network that delays, loses, doubles and cuts, and
-// disks that are lost. A seed decides all that happens; what happened is kept as a script.
+// simulation is a core of replicas on a fake clock, a network that delays, loses, duplicates and partitions, and disks that
+// are lost. A seed decides all that happens; what happened is kept as a script.
 type simulation struct {
-	setup   setup
-	random  *rand.Rand
-	now     time.Duration
-	nodes   []*node // also those that are gone for good
-	queue   []delivery
-	cuts    map[[2]string]time.Duration // from, to: until when nothing passes
-	planned []planned
-	script  []string
-	fault   string
+	setup      setup
+	random     *rand.Rand
+	now        time.Duration
+	machines   []*machine // also those that are gone for good
+	queue      []delivery
+	partitions map[[2]string]time.Duration // from, to: until when nothing passes
+	scheduled  []scheduledAction
+	script     []string
+	fault      string
 
 	acknowledged []byte // entries, in their order, of entrySize bytes each
 	proposed     uint16
 	nonces       uint64
 	reads        int
-	slowUntil    time.Duration // messages take up to slowMost until then
-	diskLostBy   *node         // the machine whose disk was lost last, until it has caught up
+	slowUntil    time.Duration // messages take up to maxSlowDelay until then
+	diskLost     *machine      // the machine whose disk was lost last, until it has caught up
 	healthySince time.Duration
 	trace        *traceRecorder // nil: none
 }
 
 // setup is the shape of a core.
 type setup struct {
-	machines  int // at the start
-	founders  int // of them, the seeds
-	tolerance Tolerance
-	zones     int           // into which machines are divided
-	transfer  time.Duration // that a state takes to be sent
-	length    time.Duration // for which disruptions come
+	machineCount int // at the start
+	founderCount int // of them, the seeds
+	tolerance    Tolerance
+	zones        int           // into which machines are divided
+	transferTime time.Duration // that a state takes to be sent
+	duration     time.Duration // for which disruptions come
 }
 
 const (
-	entrySize   = 2
-	simTick     = 30 * time.Millisecond
-	quickMost   = 25 * time.Millisecond // that a message takes
-	slowMost    = 900 * time.Millisecond
-	catchUp     = 4 * time.Second
-	noticeTime  = 2500 * time.Millisecond // a process ends no sooner after it was told to
-	graceTime   = 7750 * time.Millisecond
-	recoverTime = 12 * time.Second
+	entrySize         = 2
+	simulationTick    = 30 * time.Millisecond
+	maxDelay          = 25 * time.Millisecond // that a message takes
+	maxSlowDelay      = 900 * time.Millisecond
+	catchUpTime       = 4 * time.Second
+	minShutdownNotice = 2500 * time.Millisecond // a process ends no sooner after it was told to
+	maxShutdownGrace  = 7750 * time.Millisecond
+	recoveryTimeout   = 12 * time.Second
 )
 
 // node is one machine of a simulation.
-type node struct {
+type machine struct {
 	*host
 	address     string
 	zone        string
-	up          bool
+	isUp        bool
 	gone        bool          // for good
-	frozen      time.Duration // until when its process stands still
-	resigned    time.Duration // when it was told to end; 0: it was not
-	forGood     bool          // it does not come back after its planned end
-	successor   *node         // that is to take its place
+	frozenUntil time.Duration // until when its process stands still
+	resignedAt  time.Duration // when it was told to end; 0: it was not
+	isPermanent bool          // it does not come back after its planned end
+	successor   *machine      // that is to take its place
 	isSuccessor bool          // it is to take the place of another one, which has not ended
 	reads       []readCheck
 }
@@ -81,35 +81,35 @@
 }
 
 // planned is something that happens later.
-type planned struct {
+type scheduledAction struct {
 	at time.Duration
 	do func()
 }
 
 func newSimulation(s setup, seed uint64) *simulation {
-	sim := &simulation{setup: s, random: rand.New(rand.NewPCG(seed, 48)), cuts: map[[2]string]time.Duration{}}
+	sim := &simulation{setup: s, random: rand.New(rand.NewPCG(seed, 48)), partitions: map[[2]string]time.Duration{}}
 	var founders []string
-	for i := range s.machines {
-		if i < s.founders {
+	for i := range s.machineCount {
+		if i < s.founderCount {
 			founders = append(founders, address(i))
 		}
 	}
-	for i := range s.machines {
-		n := sim.add(address(i))
-		if i < s.founders {
-			n.disk = InitialHardState(n.address, 0, founders)
+	for i := range s.machineCount {
+		m := sim.add(address(i))
+		if i < s.founderCount {
+			m.disk = InitialHardState(m.address, 0, founders)
 		}
-		sim.startNode(n)
+		sim.startMachine(m)
 	}
 	return sim
 }
 
 // add makes a machine whose disk is empty.
-func (s *simulation) add(at string) *node {
-	n := &node{host: &host{}, address: at, zone: fmt.Sprint("zone-", len(s.nodes)%s.setup.zones)}
-	n.disk = InitialHardState(at, s.nonce(), nil)
-	s.nodes = append(s.nodes, n)
-	return n
+func (s *simulation) add(at string) *machine {
+	m := &machine{host: &host{}, address: at, zone: fmt.Sprint("zone-", len(s.machines)%s.setup.zones)}
+	m.disk = InitialHardState(at, s.nonce(), nil)
+	s.machines = append(s.machines, m)
+	return m
 }
 
 func (s *simulation) nonce() uint64 {
@@ -117,13 +117,13 @@
 	return s.nonces
 }
 
-func (s *simulation) startNode(n *node) {
-	n.up, n.frozen, n.resigned, n.reads = true, 0, 0, nil
-	n.machine = New(s.now, n.disk, Options{
+func (s *simulation) startMachine(m *machine) {
+	m.isUp, m.frozenUntil, m.resignedAt, m.reads = true, 0, 0, nil
+	m.node = New(s.now, m.disk, Options{
 		Timing: DefaultTiming(), Tolerance: s.setup.tolerance, RequestsJoin: true,
 		Random: rand.New(rand.NewPCG(s.random.Uint64(), 1)),
 		LocalityOf: func(a string) Locality {
-			if at := s.nodeAt(a); at != nil {
+			if at := s.machineAt(a); at != nil {
 				return Locality{Zone: at.zone, Region: at.zone, Known: true, CountsForQuorum: true}
 			}
 			return Locality{}
@@ -134,69 +134,69 @@
 
 func (s *simulation) addresses() []string {
 	var all []string
-	for _, n := range s.nodes {
-		if !n.gone {
-			all = append(all, n.address)
+	for _, m := range s.machines {
+		if !m.gone {
+			all = append(all, m.address)
 		}
 	}
 	return all
 }
 
-func (s *simulation) nodeAt(a string) *node {
-	for _, n := range s.nodes {
-		if n.address == a {
-			return n
+func (s *simulation) machineAt(a string) *machine {
+	for _, m := range s.machines {
+		if m.address == a {
+			return m
 		}
 	}
 	return nil
 }
 
-func (s *simulation) note(format string, values ...any) {
+func (s *simulation) logEvent(format string, values ...any) {
 	s.script = append(s.script, fmt.Sprintf("%8.3f  ", s.now.Seconds())+fmt.Sprintf(format, values...))
 }
 
 func (s *simulation) fail(format string, values ...any) {
 	if s.fault == "" {
 		s.fault = fmt.Sprintf(format, values...)
-		s.note("FAULT: %s", s.fault)
+		s.logEvent("FAULT: %s", s.fault)
 	}
 }
 
-func (s *simulation) later(after time.Duration, do func()) {
-	s.planned = append(s.planned, planned{at: s.now + after, do: do})
+func (s *simulation) schedule(after time.Duration, do func()) {
+	s.scheduled = append(s.scheduled, scheduledAction{at: s.now + after, do: do})
 }
 
-func (s *simulation) span(least, most time.Duration) time.Duration {
+func (s *simulation) randomDuration(least, most time.Duration) time.Duration {
 	return least + time.Duration(s.random.Int64N(int64(most-least)+1))
 }
 
-// carryOut does what a step wants done. A machine may lose power between the write and the messages.
-func (s *simulation) carryOut(n *node, out *Output) {
-	s.trace.record(n.machine, out)
+// apply does what a step wants done. A machine may lose power between the write and the messages.
+func (s *simulation) apply(m *machine, out *Output) {
+	s.trace.record(m.node, out)
 	if out.Write != nil {
 		if out.Write.Snapshot != nil {
-			n.state = slices.Clone(out.Write.Snapshot[1:])
+			m.state = slices.Clone(out.Write.Snapshot[1:])
 		}
-		n.state = append(slices.Clone(n.state), out.Write.Entry...)
-		n.disk = out.Write.HardState
+		m.state = append(slices.Clone(m.state), out.Write.Entry...)
+		m.disk = out.Write.HardState
 		if s.random.IntN(1500) == 0 {
-			s.note("%s loses power between a write and its messages", n.address)
-			s.powerOff(n, s.span(300*time.Millisecond, 4*time.Second))
+			s.logEvent("%s loses power between a write and its messages", m.address)
+			s.powerOff(m, s.randomDuration(300*time.Millisecond, 4*time.Second))
 			return
 		}
 	}
 	for _, o := range out.Send {
-		message, delay := o.Message, s.span(time.Millisecond, quickMost)
+		message, delay := o.Message, s.randomDuration(time.Millisecond, maxDelay)
 		if s.now < s.slowUntil {
-			delay = s.span(time.Millisecond, slowMost)
+			delay = s.randomDuration(time.Millisecond, maxSlowDelay)
 		}
 		if o.AttachSnapshot {
-			message = WithSnapshot(message, append([]byte{0}, n.state...)) // never nil
-			delay += s.setup.transfer
+			message = WithSnapshot(message, append([]byte{0}, m.state...)) // never nil
+			delay += s.setup.transferTime
 		}
-		s.send(envelope{from: n.machine.Self(), to: o.To, message: message}, delay)
+		s.send(envelope{from: m.node.Self(), to: o.To, message: message}, delay)
 	}
-	s.look(n)
+	s.checkPrimary(m)
 }
 
 func (s *simulation) send(e envelope, delay time.Duration) {
@@ -209,32 +209,32 @@
 	}
 }
 
-// look checks what a machine says of itself after a step.
-func (s *simulation) look(n *node) {
-	committed, leading := n.machine.Committed()
-	if !leading || n.machine.HasPendingProposal() || committed != n.machine.Position() {
+// checkPrimary checks the state of a primary with nothing pending after a step.
+func (s *simulation) checkPrimary(m *machine) {
+	committed, leading := m.node.Committed()
+	if !leading || m.node.HasPendingProposal() || committed != m.node.Position() {
 		return
 	}
-	common := min(len(n.state), len(s.acknowledged))
-	if !bytes.Equal(n.state[:common], s.acknowledged[:common]) {
-		s.fail("%s leads view %d with other content than was acknowledged", n.address, n.machine.View().Number)
+	common := min(len(m.state), len(s.acknowledged))
+	if !bytes.Equal(m.state[:common], s.acknowledged[:common]) {
+		s.fail("%s leads view %d with other content than was acknowledged", m.address, m.node.View().Number)
 	}
-	if len(n.state) > len(s.acknowledged) {
-		s.acknowledged = slices.Clone(n.state)
+	if len(m.state) > len(s.acknowledged) {
+		s.acknowledged = slices.Clone(m.state)
 	}
-	s.checkReads(n)
+	s.checkReads(m)
 }
 
 // checkReads answers reads for which a round has been confirmed that began after them.
-func (s *simulation) checkReads(n *node) {
-	confirmed, ok := n.machine.LeadershipConfirmedAt()
-	n.reads = slices.DeleteFunc(n.reads, func(r readCheck) bool {
+func (s *simulation) checkReads(m *machine) {
+	confirmed, ok := m.node.LeadershipConfirmedAt()
+	m.reads = slices.DeleteFunc(m.reads, func(r readCheck) bool {
 		if !ok || confirmed < r.since {
 			return false
 		}
 		s.reads++
-		if len(n.state) < r.length {
-			s.fail("%s answers a read with %d of the %d bytes that were acknowledged before it", n.address, len(n.state), r.length)
+		if len(m.state) < r.length {
+			s.fail("%s answers a read with %d of the %d bytes that were acknowledged before it", m.address, len(m.state), r.length)
 		}
 		return true
 	})
@@ -242,77 +242,77 @@
 
 // step lets a tick pass.
 func (s *simulation) step() {
-	s.now += simTick
-	due := s.planned
-	s.planned = nil
+	s.now += simulationTick
+	due := s.scheduled
+	s.scheduled = nil
 	for _, p := range due {
 		if p.at <= s.now {
 			p.do()
 		} else {
-			s.planned = append(s.planned, p)
+			s.scheduled = append(s.scheduled, p)
 		}
 	}
-	for _, n := range s.nodes {
-		if n.runs(s.now) {
-			s.carryOut(n, n.machine.Tick(s.now))
+	for _, m := range s.machines {
+		if m.isRunning(s.now) {
+			s.apply(m, m.node.Tick(s.now))
 		}
-		s.endPlanned(n)
+		s.stopResigned(m)
 	}
 	s.deliverDue()
-	s.noteHealth()
+	s.updateHealth()
 }
 
-func (n *node) runs(now time.Duration) bool { return n.up && now >= n.frozen }
+func (m *machine) isRunning(now time.Duration) bool { return m.isUp && now >= m.frozenUntil }
 
 func (s *simulation) deliverDue() {
 	waiting := s.queue
 	s.queue = nil
 	slices.SortStableFunc(waiting, func(a, b delivery) int { return int(a.at - b.at) })
 	for _, d := range waiting {
-		n := s.nodeAt(d.to)
+		m := s.machineAt(d.to)
 		switch {
-		case d.at > s.now || n != nil && n.up && !n.runs(s.now):
+		case d.at > s.now || m != nil && m.isUp && !m.isRunning(s.now):
 			s.queue = append(s.queue, d)
-		case n == nil || !n.up || s.cuts[[2]string{d.from.Address, d.to}] > s.now:
+		case m == nil || !m.isUp || s.partitions[[2]string{d.from.Address, d.to}] > s.now:
 		default:
-			s.carryOut(n, n.machine.Receive(s.now, d.from, d.message))
+			s.apply(m, m.node.Receive(s.now, d.from, d.message))
 		}
 	}
 }
 
-// endPlanned ends a machine that was told to end once it is released, or at the end of its grace.
-func (s *simulation) endPlanned(n *node) {
-	if !n.up || n.resigned == 0 || s.now-n.resigned < noticeTime {
+// stopResigned ends a machine that was told to end once it is released, or at the end of its grace.
+func (s *simulation) stopResigned(m *machine) {
+	if !m.isUp || m.resignedAt == 0 || s.now-m.resignedAt < minShutdownNotice {
 		return
 	}
-	released := n.machine.CanStop()
-	if !released && s.now-n.resigned < graceTime {
+	released := m.node.CanStop()
+	if !released && s.now-m.resignedAt < maxShutdownGrace {
 		return
 	}
-	s.note("%s ends, released %v", n.address, released)
-	n.up = false
-	if n.successor != nil {
-		n.successor.isSuccessor = false
+	s.logEvent("%s ends, released %v", m.address, released)
+	m.isUp = false
+	if m.successor != nil {
+		m.successor.isSuccessor = false
 	}
 	switch {
-	case !n.forGood || released && n.successor.runs(s.now) && s.isWhole():
-	case s.mayLoseDisk():
-		s.loses(n) // it counts as lost
+	case !m.isPermanent || released && m.successor.isRunning(s.now) && s.isConnected():
+	case s.canLoseDisk():
+		s.recordLoss(m) // it counts as lost
 	default:
-		n.forGood = false // that would be one loss too many
+		m.isPermanent = false // that would be one loss too many
 	}
-	n.gone = n.forGood
-	if !n.gone {
-		s.powerOff(n, s.span(100*time.Millisecond, time.Second))
+	m.gone = m.isPermanent
+	if !m.gone {
+		s.powerOff(m, s.randomDuration(100*time.Millisecond, time.Second))
 	}
 }
 
-// loses notes that a machine or its disk is lost, which has to be made up for before the next loss.
-func (s *simulation) loses(n *node) { s.diskLostBy, s.healthySince = n, s.now }
+// recordLoss records that a machine or its disk is lost, which has to be made up for before the next loss.
+func (s *simulation) recordLoss(m *machine) { s.diskLost, s.healthySince = m, s.now }
 
-// isWhole tells whether nothing is cut.
-func (s *simulation) isWhole() bool {
-	for _, until := range s.cuts {
+// isConnected reports whether nothing is cut.
+func (s *simulation) isConnected() bool {
+	for _, until := range s.partitions {
 		if until > s.now {
 			return false
 		}
@@ -320,57 +320,57 @@
 	return true
 }
 
-// noteHealth follows whether the whole core has been up and connected, so that a lost disk has been made up for.
-func (s *simulation) noteHealth() {
-	healthy := s.isWhole() && s.now >= s.slowUntil
-	for _, n := range s.nodes {
-		healthy = healthy && (n.gone || n.runs(s.now) && n.resigned == 0)
+// updateHealth follows whether the whole core has been up and connected, so that a lost disk has been made up for.
+func (s *simulation) updateHealth() {
+	healthy := s.isConnected() && s.now >= s.slowUntil
+	for _, m := range s.machines {
+		healthy = healthy && (m.gone || m.isRunning(s.now) && m.resignedAt == 0)
 	}
 	if !healthy {
 		s.healthySince = s.now
 	}
-	if s.now-s.healthySince >= catchUp {
-		s.diskLostBy = nil
+	if s.now-s.healthySince >= catchUpTime {
+		s.diskLost = nil
 	}
 }
 
-func (s *simulation) powerOff(n *node, span time.Duration) {
-	n.up = false
-	s.later(span, func() {
-		if !n.up && !n.gone {
-			s.startNode(n)
+func (s *simulation) powerOff(m *machine, span time.Duration) {
+	m.isUp = false
+	s.schedule(span, func() {
+		if !m.isUp && !m.gone {
+			s.startMachine(m)
 		}
 	})
 }
 
 // live are the machines that are not gone.
-func (s *simulation) live() []*node {
-	return slices.DeleteFunc(slices.Clone(s.nodes), func(n *node) bool { return n.gone })
+func (s *simulation) live() []*machine {
+	return slices.DeleteFunc(slices.Clone(s.machines), func(m *machine) bool { return m.gone })
 }
 
-func (s *simulation) leader() *node {
-	var newest *node
-	for _, n := range s.nodes {
-		if n.runs(s.now) && n.machine.Status() == Leading {
-			if newest == nil || newest.machine.View().Number < n.machine.View().Number {
-				newest = n
+func (s *simulation) leader() *machine {
+	var newest *machine
+	for _, m := range s.machines {
+		if m.isRunning(s.now) && m.node.Status() == Leading {
+			if newest == nil || newest.node.View().Number < m.node.View().Number {
+				newest = m
 			}
 		}
 	}
 	return newest
 }
 
-// order has some primary take a change, also one that only believes to be it.
-func (s *simulation) order() {
-	for _, n := range s.nodes {
-		if !n.runs(s.now) || n.machine.Status() != Leading {
+// proposeChange has some primary take a change, also one that only believes to be it.
+func (s *simulation) proposeChange() {
+	for _, m := range s.machines {
+		if !m.isRunning(s.now) || m.node.Status() != Leading {
 			continue
 		}
 		entry := binary.BigEndian.AppendUint16(nil, s.proposed+1)
-		out, begun := n.machine.Propose(s.now, entry)
+		out, begun := m.node.Propose(s.now, entry)
 		if begun {
 			s.proposed++
-			s.carryOut(n, out)
+			s.apply(m, out)
 			return
 		}
 	}
@@ -378,25 +378,25 @@
 
 // read asks every machine that believes to be the primary.
 func (s *simulation) read() {
-	for _, n := range s.nodes {
-		if n.runs(s.now) && n.machine.Status() == Leading {
-			n.reads = append(n.reads, readCheck{since: s.now, length: len(s.acknowledged)})
-			s.carryOut(n, n.machine.ConfirmLeadership(s.now))
+	for _, m := range s.machines {
+		if m.isRunning(s.now) && m.node.Status() == Leading {
+			m.reads = append(m.reads, readCheck{since: s.now, length: len(s.acknowledged)})
+			s.apply(m, m.node.ConfirmLeadership(s.now))
 		}
 	}
 }
 
-// text is the script so far.
-func (s *simulation) text() string { return strings.Join(s.script, "\n") }
+// scriptText is the script so far.
+func (s *simulation) scriptText() string { return strings.Join(s.script, "\n") }
 
 // run plays disruptions, then lets all that may return return, and expects service.
 func (s *simulation) run() string {
 	s.runFor(2 * time.Second)
 	next := s.now
-	for s.now < s.setup.length && s.fault == "" {
+	for s.now < s.setup.duration && s.fault == "" {
 		if s.now >= next {
 			s.disrupt()
-			next = s.now + s.span(0, 3*time.Second)
+			next = s.now + s.randomDuration(0, 3*time.Second)
 		}
 		s.work()
 		s.step()
@@ -415,7 +415,7 @@
 // work is the operators' part: orders and reads.
 func (s *simulation) work() {
 	if s.random.IntN(8) == 0 {
-		s.order()
+		s.proposeChange()
 	}
 	if s.random.IntN(12) == 0 {
 		s.read()
@@ -424,29 +424,29 @@
 
 // recover ends all disruptions and expects a primary, that takes orders and holds all, within the time allowed.
 func (s *simulation) recover() {
-	clear(s.cuts)
+	clear(s.partitions)
 	s.slowUntil = 0
-	s.planned = nil
-	for _, n := range s.nodes {
-		n.frozen = 0
-		if !n.gone && (!n.up || n.resigned != 0) {
-			s.startNode(n)
+	s.scheduled = nil
+	for _, m := range s.machines {
+		m.frozenUntil = 0
+		if !m.gone && (!m.isUp || m.resignedAt != 0) {
+			s.startMachine(m)
 		}
 	}
-	s.note("all is back")
+	s.logEvent("all is back")
 	before := len(s.acknowledged)
-	for end := s.now + recoverTime; s.now < end && s.fault == ""; {
+	for end := s.now + recoveryTimeout; s.now < end && s.fault == ""; {
 		s.work()
 		s.step()
 		if leader := s.leader(); leader != nil && len(s.acknowledged) > before && len(leader.state) >= len(s.acknowledged) {
 			return
 		}
 	}
-	s.fail("no change was taken within %v after all were back", recoverTime)
-	for _, n := range s.live() {
-		d := &n.disk
-		s.note("%s/%d %s, released %v: view %d, primary %v, members %v, witnesses %v, promised %v, accepted %v, position %v, %d bytes",
-			n.address, d.Self.Nonce, n.machine.Status(), n.machine.CanStop(), d.View.Number, d.View.Primary, d.View.Members,
-			d.View.Witnesses, d.Promised, d.Accepted, d.Position, len(n.state))
+	s.fail("no change was taken within %v after all were back", recoveryTimeout)
+	for _, m := range s.live() {
+		d := &m.disk
+		s.logEvent("%s/%d %s, released %v: view %d, primary %v, members %v, witnesses %v, promised %v, accepted %v, position %v, %d bytes",
+			m.address, d.Self.Nonce, m.node.Status(), m.node.CanStop(), d.View.Number, d.View.Primary, d.View.Members,
+			d.View.Witnesses, d.Promised, d.Accepted, d.Position, len(m.state))
 	}
 }
--- a/internal/fleet/replication/trace_test.go
+++ b/internal/fleet/replication/trace_test.go
@@ -60,7 +60,7 @@
 func traceSimulations(s setup) string {
 	trace := newTraceRecorder()
 	for seed := range uint64(tracedSimulations) {
-		sim := newSimulation(s.whole(), seed)
+		sim := newSimulation(s.withDefaults(), seed)
 		sim.trace = trace
 		trace.add(sim.run(), sim.acknowledged, sim.reads)
 	}
@@ -72,7 +72,7 @@
 	for seed := range uint64(tracedWideWalks) {
 		w := newWideWalk(replicas, tolerance, seed)
 		w.trace = trace
-		trace.add(w.play(wideSteps*replicas, map[uint64]bool{}), w.acked, w.reads)
+		trace.add(w.play(wideSteps*replicas, map[uint64]bool{}), w.acknowledged, w.reads)
 	}
 	return trace.text()
 }
@@ -80,10 +80,10 @@
 func traceWalks(replicas, tolerance int) string {
 	trace := newTraceRecorder()
 	for seed := range uint64(tracedWalks) {
-		w := newWorld(replicas, tolerance, none)
+		w := newWorld(replicas, tolerance, noMistake)
 		w.trace = trace
 		l := limits{elections: 5, proposals: 3, restarts: 2, wipes: tolerance, steps: 90 * replicas}
-		trace.add(walk(w, rand.New(rand.NewPCG(seed, 7)), l, map[uint64]bool{}), w.acked)
+		trace.add(walk(w, rand.New(rand.NewPCG(seed, 7)), l, map[uint64]bool{}), w.acknowledged)
 	}
 	return trace.text()
 }
--- a/internal/fleet/replication/types.go
+++ b/internal/fleet/replication/types.go
@@ -77,8 +77,9 @@
 	Source   Ballot   `cbor:"7,keyasint"` // under which that state was installed
 }
 
-// InitialHardState returns what a replica with an empty disk begins with. At the first start of the whole system founders are the addresses of the
-// first witnesses, the same on all machines, and nonce is 0; else founders is empty and nonce is drawn at random.
+// InitialHardState returns what a replica with an empty disk begins with. At the first start of the whole system, founders
+// are the addresses of the first witnesses, the same on all machines, and nonce is 0; else founders is empty and nonce is
+// drawn at random.
 func InitialHardState(address string, nonce uint64, founders []string) HardState {
 	state := HardState{Self: Replica{Address: address, Nonce: nonce}}
 	for _, founder := range founders {
--- a/internal/fleet/replication/world_test.go
+++ b/internal/fleet/replication/world_test.go
@@ -14,30 +14,30 @@
 // world is a set of replicas with scripted links and a fake clock. Messages that were sent stay on their way: each may be
 // delivered at any time, often or never.
 type world struct {
-	now       time.Duration
-	tolerance Tolerance
-	replicas  []*host
-	sent      []envelope
-	next      int             // the first of them that has not had its turn
-	known     map[uint64]bool // fingerprints of messages that were sent
-	acked     []byte          // entries, in their order
-	mistake   mistake
-	nonces    uint64
-	proposed  byte
-	intercept func(envelope) bool // takes a message that is sent; nil: all are sent
-	hop       time.Duration       // that a delivery takes
-	timing    Timing
-	cut       map[[2]string]bool // from, to: nothing passes
-	trace     *traceRecorder     // nil: none
+	now           time.Duration
+	tolerance     Tolerance
+	replicas      []*host
+	sent          []envelope
+	next          int             // the first of them that has not had its turn
+	known         map[uint64]bool // fingerprints of messages that were sent
+	acknowledged  []byte          // entries, in their order
+	mistake       mistake
+	nonces        uint64
+	proposed      byte
+	intercept     func(envelope) bool // takes a message that is sent; nil: all are sent
+	deliveryDelay time.Duration       // that a delivery takes
+	timing        Timing
+	partitions    map[[2]string]bool // from, to: nothing passes
+	trace         *traceRecorder     // nil: none
 }
 
 // mistake is one that is planted, to show that the search finds it.
 type mistake int
 
 const (
-	none        mistake = iota
-	amnesiac            // a replica whose disk was lost votes under its former identity
-	oneCopyAcks         // a change counts as acknowledged once the primary itself has it
+	noMistake      mistake = iota
+	reusesIdentity         // a replica whose disk was lost votes under its former identity
+	singleCopyAcks         // a change counts as acknowledged once the primary itself has it
 )
 
 type envelope struct {
@@ -48,10 +48,10 @@
 
 // host is one machine: its replica, and the disk.
 type host struct {
-	machine *Node
-	disk    HardState
-	state   []byte // on the disk: the entries held
-	gone    bool   // for good
+	node      *Node
+	disk      HardState
+	state     []byte // on the disk: the entries held
+	isRemoved bool   // for good
 }
 
 func address(i int) string { return fmt.Sprintf("10.0.0.%d:1", i+1) }
@@ -66,8 +66,8 @@
 
 func newWorld(replicas int, tolerance int, m mistake) *world {
 	w := &world{
-		tolerance: Tolerance{Machines: tolerance}, known: map[uint64]bool{}, mistake: m, hop: 100 * time.Millisecond, timing: searchTiming(),
-		cut: map[[2]string]bool{},
+		tolerance: Tolerance{Machines: tolerance}, known: map[uint64]bool{}, mistake: m, deliveryDelay: 100 * time.Millisecond, timing: searchTiming(),
+		partitions: map[[2]string]bool{},
 	}
 	var founders []string
 	for i := range replicas {
@@ -82,16 +82,16 @@
 }
 
 func (w *world) start(h *host, timing Timing) {
-	h.machine = New(w.now, h.disk, Options{
+	h.node = New(w.now, h.disk, Options{
 		Timing: timing, Tolerance: w.tolerance, Random: rand.New(rand.NewPCG(1, 2)), RequestsJoin: true,
 		LocalityOf:  func(address string) Locality { return Locality{Zone: address, Known: true, CountsForQuorum: true} },
 		JoinTargets: func() []string { return nil },
 	})
 }
 
-// carryOut does what a step wants done, as package replica does it.
-func (w *world) carryOut(h *host, out *Output) {
-	w.trace.record(h.machine, out)
+// apply does what a step wants done, as package replica does it.
+func (w *world) apply(h *host, out *Output) {
+	w.trace.record(h.node, out)
 	if out.Write != nil {
 		if out.Write.Snapshot != nil {
 			h.state = slices.Clone(out.Write.Snapshot[1:])
@@ -104,7 +104,7 @@
 		if o.AttachSnapshot {
 			message = WithSnapshot(message, append([]byte{0}, h.state...)) // never nil
 		}
-		w.send(envelope{from: h.machine.Self(), to: o.To, message: message})
+		w.send(envelope{from: h.node.Self(), to: o.To, message: message})
 	}
 }
 
@@ -128,7 +128,7 @@
 
 func (w *world) hostAt(address string) *host {
 	for _, h := range w.replicas {
-		if h.machine.Self().Address == address {
+		if h.node.Self().Address == address {
 			return h
 		}
 	}
@@ -137,31 +137,31 @@
 
 func (w *world) deliver(e envelope) {
 	h := w.hostAt(e.to)
-	if h == nil || h.gone || w.cut[[2]string{e.from.Address, e.to}] {
+	if h == nil || h.isRemoved || w.partitions[[2]string{e.from.Address, e.to}] {
 		return
 	}
-	w.now += w.hop
-	w.carryOut(h, h.machine.Receive(w.now, e.from, e.message))
-	w.noteAcknowledged(h)
+	w.now += w.deliveryDelay
+	w.apply(h, h.node.Receive(w.now, e.from, e.message))
+	w.recordAcknowledged(h)
 }
 
 // propose has a primary begin a change, if it can.
 func (w *world) propose(h *host) bool {
-	out, begun := h.machine.Propose(w.now, []byte{w.proposed + 1})
+	out, begun := h.node.Propose(w.now, []byte{w.proposed + 1})
 	if !begun {
 		return false
 	}
 	w.proposed++
-	w.carryOut(h, out)
-	w.noteAcknowledged(h)
+	w.apply(h, out)
+	w.recordAcknowledged(h)
 	return true
 }
 
-// noteAcknowledged takes note of what a primary acknowledges: the operator has been told of it.
-func (w *world) noteAcknowledged(h *host) {
-	_, leading := h.machine.Committed()
-	if leading && (!h.machine.HasPendingProposal() || w.mistake == oneCopyAcks) && len(h.state) > len(w.acked) {
-		w.acked = slices.Clone(h.state)
+// recordAcknowledged takes note of what a primary acknowledges: the operator has been told of it.
+func (w *world) recordAcknowledged(h *host) {
+	_, leading := h.node.Committed()
+	if leading && (!h.node.HasPendingProposal() || w.mistake == singleCopyAcks) && len(h.state) > len(w.acknowledged) {
+		w.acknowledged = slices.Clone(h.state)
 	}
 }
 
@@ -174,7 +174,7 @@
 	former := h.disk
 	h.state = nil
 	h.disk = InitialHardState(former.Self.Address, w.nonces, nil)
-	if w.mistake == amnesiac {
+	if w.mistake == reusesIdentity {
 		h.disk = InitialHardState(former.Self.Address, former.Self.Nonce, nil)
 		h.disk.View = former.View
 	}
@@ -184,14 +184,14 @@
 // fault says what is wrong; empty: nothing.
 func (w *world) fault() string {
 	for _, h := range w.replicas {
-		if _, leading := h.machine.Committed(); !leading || h.machine.HasPendingProposal() || h.gone {
+		if _, leading := h.node.Committed(); !leading || h.node.HasPendingProposal() || h.isRemoved {
 			continue
 		}
-		if len(h.state) < len(w.acked) && w.isNewest(h) {
-			return fmt.Sprintf("view %d leads with %v, acknowledged was %v", h.machine.View().Number, h.state, w.acked)
+		if len(h.state) < len(w.acknowledged) && w.isNewest(h) {
+			return fmt.Sprintf("view %d leads with %v, acknowledged was %v", h.node.View().Number, h.state, w.acknowledged)
 		}
-		if common := min(len(h.state), len(w.acked)); !slices.Equal(h.state[:common], w.acked[:common]) {
-			return fmt.Sprintf("view %d holds %v, acknowledged was %v", h.machine.View().Number, h.state, w.acked)
+		if common := min(len(h.state), len(w.acknowledged)); !slices.Equal(h.state[:common], w.acknowledged[:common]) {
+			return fmt.Sprintf("view %d holds %v, acknowledged was %v", h.node.View().Number, h.state, w.acknowledged)
 		}
 	}
 	return ""
@@ -200,7 +200,7 @@
 // isNewest: a primary that was cut off may go on believing in its view, but can't acknowledge or confirm anything.
 func (w *world) isNewest(h *host) bool {
 	for _, other := range w.replicas {
-		if other.machine.View().Number > h.machine.View().Number {
+		if other.node.View().Number > h.node.View().Number {
 			return false
 		}
 	}
@@ -211,13 +211,13 @@
 func (w *world) fingerprint() uint64 {
 	hash := xxhash.New()
 	for _, h := range w.replicas {
-		text, err := cbor.Marshal([]any{h.disk, h.machine.status, h.state})
+		text, err := cbor.Marshal([]any{h.disk, h.node.status, h.state})
 		if err != nil {
 			panic(err)
 		}
 		_, _ = hash.Write(text)
 	}
 	_ = binary.Write(hash, binary.BigEndian, uint64(len(w.sent)))
-	_, _ = hash.Write(w.acked)
+	_, _ = hash.Write(w.acknowledged)
 	return hash.Sum64()
 }
