--- a/internal/fleet/router/delegate.go
+++ b/internal/fleet/router/delegate.go
@@ -51,7 +51,7 @@
 
 // HandleEndpointReport applies an endpoint's own report. An error means that the other routers may not learn of the endpoint's leave.
 func (r *Router) HandleEndpointReport(ctx context.Context, endpoint registry.Endpoint) error {
-	return r.endpoints.handle(ctx, endpoint)
+	return r.endpointReports.handle(ctx, endpoint)
 }
 
 // EndpointService returns the service of an endpoint; empty: the endpoint is not known.
--- a/internal/fleet/router/router.go
+++ b/internal/fleet/router/router.go
@@ -48,15 +48,15 @@
 	*environment
 	killed chan struct{} // closed by Kill
 
-	config       *activeConfig
-	gossip       *gossip
-	leaseholders *leaseholderList
-	allocator    *allocatorService
-	quota        *quotaClient
-	relay        *announcementRelay
-	endpoints    *endpointReports
-	cache        *endpointCache
-	learned      *learnedStateExchange
+	config          *activeConfig
+	gossip          *gossip
+	leaseholders    *leaseholderList
+	allocator       *allocatorService
+	quota           *quotaClient
+	relay           *announcementRelay
+	endpointReports *endpointReports
+	endpointCache   *endpointCache
+	learned         *learnedStateExchange
 
 	dispatcher  *proxy.Dispatcher
 	proxy       *proxy.Server
@@ -78,8 +78,8 @@
 	r.quota = newQuotaClient(e, r.gossip, r.allocator, r.leaseholders)
 	r.relay = newRelay(e.address(), s.Zone, s.CountsForQuorum, r.sendAnnouncements)
 	r.dispatcher.Announce = r.relay.announce
-	r.endpoints = &endpointReports{environment: e, gossip: r.gossip}
-	r.cache = &endpointCache{environment: e, gossip: r.gossip}
+	r.endpointReports = &endpointReports{environment: e, gossip: r.gossip}
+	r.endpointCache = &endpointCache{environment: e, gossip: r.gossip}
 	r.learned = &learnedStateExchange{environment: e, gossip: r.gossip, dispatcher: r.dispatcher}
 	r.proxy = proxy.NewServer(r, r.dispatcher, proxyOptions(s))
 	r.servers = &httpServers{environment: e}
@@ -137,7 +137,7 @@
 	if err := r.startReplica(); err != nil {
 		return err
 	}
-	r.cache.start()
+	r.endpointCache.start()
 	r.leaseholders.start()
 	r.learned.start()
 	if err := r.transport.Serve(); err != nil {
@@ -154,7 +154,7 @@
 // handleCalls registers the calls that other routers and operators make.
 func (r *Router) handleCalls() {
 	r.transport.HandleCall(fetchPath, r.gossip.serveFetch)
-	r.transport.HandleCall(leavePath, r.endpoints.serveLeave)
+	r.transport.HandleCall(leavePath, r.endpointReports.serveLeave)
 	r.transport.HandleCall(learnedPath, r.learned.serve)
 	r.transport.HandleStatus(statusPath, func() any { return r.Status() })
 }
@@ -182,7 +182,7 @@
 	r.allocator.setRouters(fleet.routers)
 	r.quota.tick(r.clock(), fleet, r.leaseholders.wantsComplete())
 	r.relay.setPeers(fleet.others)
-	r.cache.tick()
+	r.endpointCache.tick()
 	r.leaseholders.tick()
 	r.learned.tick()
 }
