--- a/internal/fleet/router/status.go
+++ b/internal/fleet/router/status.go
@@ -23,7 +23,7 @@
 	Replica       *ReplicaStatus          `json:"replica,omitempty"`
 	Served        uint64                  `json:"served"`        // requests
 	Refused       uint64                  `json:"refused"`       // requests that were rejected
-	Failed        uint64                  `json:"failed"`        // requests that failed at the endpoints
+	Failed        uint64                  `json:"failed"`        // requests that may have run and have no response
 	Broken        uint64                  `json:"broken"`        // responses that were truncated
 	Moved         uint64                  `json:"moved"`         // attempts that were cancelled because their first token was overdue
 	SentDatagrams uint64                  `json:"sentDatagrams"` // to other routers
