--- /dev/null
+++ b/balance/golden_test.go
@@ -0,0 +1,205 @@
+package balance
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"encoding/json"
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+// goldenScripts are the settings and the digests of TestGoldenDecisions, taken at commit 945ccb8. Together with
+// TestRecordedDecisions they reach every random draw of the decisions.
+var goldenScripts = []struct {
+	name   string
+	change func(s *Settings)
+	rate   int // requests in a hundred steps
+	digest string
+}{
+	{"anonymous instance", func(s *Settings) {
+		s.Instances, s.Rank, s.Zones = 3, 1, 2
+	}, 30, "4e85197c1693e74f56264d1c017ae89544efba3db7e070b0eb553afd6aab0e66"},
+	{"named instance that polls discovery", func(s *Settings) {
+		s.Name, s.Instances, s.Zones, s.MustAsk, s.PassesDeadline = "n7", 40, 2, true, true
+		s.Tenants = []Tenant{{Share: 0.5, Quota: 400}, {Share: 0.5}}
+	}, 30, "2fdd3f6b41020117836908bd95a0433b702f153ed3ff78c68c246a66aac1fbf2"},
+	{"overload", func(s *Settings) {
+		s.Name, s.Instances, s.Processes, s.MarksRetry = "n2", 2, 2, true
+		s.Tenants = []Tenant{{Share: 0.5, Quota: 20}}
+		s.Classes[0].Worth, s.Classes[2].LateWorth = 5, 0.3
+	}, 70, "11ff04c5a1512e683b49f7651d562d31b8cb1964c1e19d5d567ebce29fff9ffb"},
+	{"second tier with load reports", func(s *Settings) {
+		s.Name, s.Tier, s.Tiers, s.ByWork, s.MarksRetry = "n3", 1, 2, true, true
+		s.LoadFields, s.LoadInline = []LoadField{LoadInFlight, LoadUtilisation}, true
+		s.Classes[1].Scope, s.Classes[0].LateWorth = ScopeZone, 0.5
+	}, 30, "2edf13fd4e3ce254c5afd79d70f3c7697e46847ee565e74a41e5d855e7483df0"},
+	{"one of a thousand instances", func(s *Settings) {
+		s.Name, s.Instances, s.Cancel, s.RetryAfter = "n900", 1000, false, false
+		s.Classes[1].Scope = ScopeAll
+	}, 20, "5df34b4672a9e55bef75c5bfc97d5bff152780ad6f6b73af85ec4a4e7f4e124d"},
+}
+
+// goldenRun is a script with every kind of event: cold and faulty endpoints, cached lists, uploads, changed settings and a
+// hand-over to a successor half-way.
+type goldenRun struct {
+	script
+	settings Settings
+	requests int // per hundred steps
+	next     RequestID
+}
+
+func (g *goldenRun) endpoints(kind ListKind) {
+	var entries []Entry
+	for id := EndpointID(1); id <= 14; id++ {
+		e := Entry{Endpoint: id, State: Ready, Weight: 1 + float64(id%2), Zone: int(id) % 2, Cell: int(id) % 3, Kind: int(id) % 2}
+		switch g.r.IntN(8) {
+		case 0:
+			e.State = Draining
+		case 1:
+			e.State = Gone
+		case 2:
+			e.UpSince = g.now - time.Duration(g.r.IntN(12000)-1000)*ms
+		}
+		e.Guess = kind == ListCached
+		if kind == ListFull || g.r.IntN(3) > 0 {
+			entries = append(entries, e)
+		}
+	}
+	g.event(Event{Kind: EventMembership, List: kind, Entries: entries})
+}
+
+func (g *goldenRun) request() {
+	class := g.r.IntN(len(g.settings.Classes))
+	ev := Event{Kind: EventRequest, Request: g.next, Class: class, Tenant: g.r.IntN(3), Left: g.settings.Classes[class].Deadline,
+		Repeated: g.r.IntN(5) == 0, Coming: g.r.IntN(12) == 0}
+	if g.r.IntN(3) == 0 {
+		ev.Left -= time.Duration(g.r.IntN(500)) * ms
+	}
+	switch g.r.IntN(12) {
+	case 0:
+		ev.Most, ev.Worth = g.r.IntN(4)-1, g.r.Float64()
+	case 1:
+		ev.Ran, ev.Endpoint = g.now-time.Duration(g.r.IntN(700))*ms, EndpointID(1+g.r.IntN(16))
+	}
+	g.next++
+	g.event(ev)
+}
+
+// outcome ends one of the open attempts, by the endpoint that has it: 5 fails in the second quarter of the run, 6 answers
+// nothing in the third, and all are slow for a while in the last.
+func (g *goldenRun) outcome() {
+	if len(g.open) == 0 {
+		return
+	}
+	i := g.r.IntN(len(g.open))
+	a, past := g.open[i], g.now-time.Hour
+	if a.Endpoint == 6 && past > 20*time.Second && past < 30*time.Second && g.r.IntN(40) > 0 {
+		return
+	}
+	g.open = append(g.open[:i], g.open[i+1:]...)
+	ev := Event{Kind: EventOutcome, Request: a.Request, Attempt: a.Attempt, Endpoint: a.Endpoint,
+		Latency: time.Duration(10+g.r.IntN(60)) * ms * time.Duration(1+a.Endpoint%3)}
+	if g.r.IntN(10) == 0 || a.Endpoint == 5 && past > 10*time.Second && past < 20*time.Second {
+		ev.Status = []Status{Error, Full, ConnectFailed, Reset, Timeout, Cancelled, Moot}[g.r.IntN(7)]
+		ev.Final = g.r.IntN(6) == 0
+	}
+	if past > 32*time.Second && past < 35*time.Second {
+		ev.Latency *= 5
+	}
+	ev.Closed = ev.Status == OK && g.r.IntN(3) > 0
+	if g.settings.LoadInline {
+		ev.Load = LoadReport{N: 2, V: [4]float32{float32(g.r.IntN(9)), g.r.Float32()}}
+	}
+	g.event(ev)
+}
+
+// handOver puts a successor in place of the instance, which takes over what it learned as JSON.
+func (g *goldenRun) handOver(t *testing.T) {
+	t.Helper()
+	text, err := json.Marshal(g.b.Learned())
+	if err != nil {
+		t.Fatal(err)
+	}
+	g.digest.Write(text)
+	var learned Learned
+	if err := json.Unmarshal(text, &learned); err != nil {
+		t.Fatal(err)
+	}
+	if g.b, err = New(g.settings, 5); err != nil {
+		t.Fatal(err)
+	}
+	g.timers, g.open = nil, nil
+	g.event(Event{Kind: EventExpect, In: 3 * time.Second})
+	g.request()
+	g.now += time.Second
+	g.endpoints(ListCached)
+	learned.Past = time.Second
+	g.b.Learn(g.now, &learned)
+}
+
+func (g *goldenRun) step(t *testing.T) {
+	t.Helper()
+	g.due()
+	switch p := g.r.IntN(100); {
+	case p < g.requests:
+		g.request()
+	case p < 94:
+		g.outcome()
+	case p == 94:
+		g.event(Event{Kind: EventGone, Request: RequestID(g.r.IntN(int(g.next)))})
+	case p == 95:
+		g.event(Event{Kind: EventWhole, Request: g.next - RequestID(g.r.IntN(20))})
+	case p == 96 && len(g.open) > 0:
+		a := g.open[g.r.IntN(len(g.open))]
+		g.event(Event{Kind: EventFirstByte, Request: a.Request, Attempt: a.Attempt})
+	case p == 97 && g.r.IntN(8) == 0:
+		g.endpoints([]ListKind{ListDelta, ListFull, ListFailed}[g.r.IntN(3)])
+	case p == 98 && g.r.IntN(8) == 0:
+		g.event(Event{Kind: EventCordon, Endpoint: EndpointID(1 + g.r.IntN(14)), Out: g.r.IntN(2) == 0})
+	case p == 99 && g.r.IntN(20) == 0:
+		g.settings.MaxAttempts = 2 + g.r.IntN(3)
+		g.settings.Processes = 1 + g.r.IntN(2)
+		settings := g.settings
+		g.event(Event{Kind: EventSettings, Settings: &settings})
+	}
+}
+
+// Guards against decisions that change while code is renamed or moved: a change that is meant to alter them takes new digests
+// and says in its commit what it alters.
+func TestGoldenDecisions(t *testing.T) {
+	for i, script := range goldenScripts {
+		t.Run(script.name, func(t *testing.T) {
+			settings := testSettings()
+			script.change(&settings)
+			b, err := New(settings, uint64(20+i))
+			if err != nil {
+				t.Fatal(err)
+			}
+			g := &goldenRun{settings: settings, requests: script.rate, next: 1}
+			g.b, g.r, g.now, g.digest = b, rand.New(rand.NewPCG(uint64(i), 77)), time.Hour, sha256.New()
+			g.event(Event{Kind: EventExpect, In: 2 * time.Second})
+			g.request()
+			g.endpoints(ListCached)
+			for handedOver := false; g.now < time.Hour+40*time.Second; g.now += 2 * ms {
+				if !handedOver && g.now > time.Hour+15*time.Second {
+					handedOver = true
+					g.handOver(t)
+				}
+				if g.now == time.Hour+25*time.Second {
+					g.now += 200 * ms // the process is not scheduled
+				}
+				g.step(t)
+			}
+			g.handOver(t)
+			text, err := json.Marshal(g.b.Conditions(nil))
+			if err != nil {
+				t.Fatal(err)
+			}
+			g.digest.Write(text)
+			if got := hex.EncodeToString(g.digest.Sum(nil)); got != script.digest {
+				t.Errorf("%d actions, digest %s, want %s", g.count, got, script.digest)
+			}
+		})
+	}
+}
--- a/balance/recorded_test.go
+++ b/balance/recorded_test.go
@@ -5,6 +5,7 @@
 	"encoding/hex"
 	"fmt"
 	"hash"
+	"io"
 	"math/rand/v2"
 	"testing"
 	"time"
@@ -25,9 +26,16 @@
 	count  int
 }
 
+// recordAction writes an action in the form that the digests were taken in: that of %+v with the names that the fields had
+// then, so that a digest stays the same when a field is renamed.
+func recordAction(out io.Writer, now time.Duration, a *Action) {
+	fmt.Fprintf(out, "%d {Kind:%d Request:%d Endpoint:%d Attempt:%d After:%v Worth:%v Token:%d Peer:%d Data:%v Text:%s}\n",
+		now, a.Kind, a.Request, a.Endpoint, a.Attempt, a.After, a.Worth, a.Token, a.Peer, a.Data, a.Text)
+}
+
 func (s *script) event(ev Event) {
 	for _, a := range s.b.Handle(s.now, &ev, nil) {
-		fmt.Fprintf(s.digest, "%d %+v\n", s.now, a)
+		recordAction(s.digest, s.now, &a)
 		s.count++
 		switch a.Kind {
 		case ActTimer:
