--- a/balance/grey/state.go
+++ b/balance/grey/state.go
@@ -3,29 +3,36 @@
 import "math"
 
 // Count is attempts and how many of them went wrong, or any other number with a sum, for passing on.
-type Count struct{ N, Bad float64 }
+type Count struct {
+	N   float64 `json:"N"`
+	Bad float64 `json:"Bad"`
+}
 
 // Pace is how long answers of a class take, for passing on.
-type Pace struct{ N, Sum, Squares float64 }
+type Pace struct {
+	N       float64 `json:"N"`
+	Sum     float64 `json:"Sum"`
+	Squares float64 `json:"Squares"`
+}
 
 // paceMost bounds the logarithm of an answer's seconds: from 1e-9 to 1e9.
 const paceMost = 20
 
 // State is what is known of a fleet, by class, for passing on to another process.
 type State struct {
-	Classes []Count
-	Paces   []Pace
-	Mute    Count
-	Ups     Count
+	Classes []Count `json:"Classes"`
+	Paces   []Pace  `json:"Paces"`
+	Mute    Count   `json:"Mute"`
+	Ups     Count   `json:"Ups"`
 }
 
 // HostState is what is known of one host, by class.
 type HostState struct {
-	Classes []Count
-	Mute    Count
-	Lately  Count
-	Suspect float64
-	Grey    bool
+	Classes []Count `json:"Classes"`
+	Mute    Count   `json:"Mute"`
+	Lately  Count   `json:"Lately"`
+	Suspect float64 `json:"Suspect"`
+	Grey    bool    `json:"Grey"`
 }
 
 // State is what is known, to be passed on at once: nothing of it has aged.
--- a/balance/learned.go
+++ b/balance/learned.go
@@ -11,38 +11,46 @@
 // Learned is what an instance knows beyond the list, as plain values, for the process that succeeds it: within moments on
 // the same machine, or after a while from a snapshot. Times are left over or past, so that no two clocks have to agree.
 type Learned struct {
-	Past time.Duration // for so long it has not been looked after
-
-	Limit, Able, Uncrowded  float64
-	Known, Bounded, Crowded bool
-	Retries                 float64
-	Served                  Sample // answers, with the aims of their classes
-	Asked                   Sample
-	Classes                 []ClassLearned // by class index
-	Hosts                   []HostLearned
-	Fleet                   grey.State
+	Past time.Duration `json:"Past"` // for so long it has not been looked after
+
+	Limit     float64        `json:"Limit"`
+	Able      float64        `json:"Able"`
+	Uncrowded float64        `json:"Uncrowded"`
+	Known     bool           `json:"Known"`
+	Bounded   bool           `json:"Bounded"`
+	Crowded   bool           `json:"Crowded"`
+	Retries   float64        `json:"Retries"`
+	Served    Sample         `json:"Served"` // answers, with the aims of their classes
+	Asked     Sample         `json:"Asked"`
+	Classes   []ClassLearned `json:"Classes"` // by class index
+	Hosts     []HostLearned  `json:"Hosts"`
+	Fleet     grey.State     `json:"Fleet"`
 }
 
 // Sample is a mean whose samples lose weight with time.
-type Sample struct{ N, Sum float64 }
+type Sample struct {
+	N   float64 `json:"N"`
+	Sum float64 `json:"Sum"`
+}
 
 // ClassLearned is what is known of a class.
 type ClassLearned struct {
-	Delay Sample    // seconds
-	Bins  []float64 // its part of the calls, by the share of their aims that is spent
-	Lefts []time.Duration
+	Delay Sample          `json:"Delay"` // seconds
+	Bins  []float64       `json:"Bins"`  // its part of the calls, by the share of their aims that is spent
+	Lefts []time.Duration `json:"Lefts"`
 }
 
 // HostLearned is what is known of an endpoint.
 type HostLearned struct {
-	Endpoint EndpointID
-	Up, Told time.Duration // its last start, as it counts and as the list had it
-	Delay    Sample        // seconds, scaled to the mean class
-	Ejected  time.Duration // for so long from now
-	Backoff  time.Duration
-	Trial    bool
-	Fails    int
-	Seen     grey.HostState
+	Endpoint EndpointID     `json:"Endpoint"`
+	Up       time.Duration  `json:"Up"`      // its last start, as it counts
+	Told     time.Duration  `json:"Told"`    // the same as the list had it
+	Delay    Sample         `json:"Delay"`   // seconds, scaled to the mean class
+	Ejected  time.Duration  `json:"Ejected"` // for so long from now
+	Backoff  time.Duration  `json:"Backoff"`
+	Trial    bool           `json:"Trial"`
+	Fails    int            `json:"Fails"`
+	Seen     grey.HostState `json:"Seen"`
 }
 
 // For how long a part of it is worth believing that does not age by itself. Curves, shares and suspicions lose weight while
--- a/internal/driver/engine.go
+++ b/internal/driver/engine.go
@@ -144,8 +144,8 @@
 
 // State is what an engine knows beyond the cluster, for the process that succeeds this one.
 type State struct {
-	Back    map[balance.EndpointID]time.Duration // when each host that was out was put back
-	Learned *balance.Learned
+	Back    map[balance.EndpointID]time.Duration `json:"Back"` // when each host that was out was put back
+	Learned *balance.Learned                     `json:"Learned"`
 }
 
 // State returns what is known now.
--- a/internal/inflight/effects.go
+++ b/internal/inflight/effects.go
@@ -18,10 +18,10 @@
 
 // ID is what a request is known by.
 type ID struct {
-	Txn   string // fresh for every request
-	Class string
-	Key   string        // of its effect, where the class carries one; otherwise only its own Txn stands for it
-	Keep  time.Duration // for how long the effect is worth remembering; 0: it may take place any number of times
+	Txn   string        `json:"Txn"` // fresh for every request
+	Class string        `json:"Class"`
+	Key   string        `json:"Key"`  // of its effect, where the class carries one; otherwise only its own Txn stands for it
+	Keep  time.Duration `json:"Keep"` // for how long the effect is worth remembering; 0: it may take place any number of times
 }
 
 // effect is what the ID's effect goes by. Two classes may use one key for two things.
@@ -34,15 +34,15 @@
 
 // Trace is the first attempt of an effect that may have had it.
 type Trace struct {
-	Host balance.EndpointID
-	At   time.Time // zero: none has
+	Host balance.EndpointID `json:"Host"`
+	At   time.Time          `json:"At"` // zero: none has
 }
 
 // Note is one change, for those who keep or share what a Table knows.
 type Note struct {
 	ID
-	Over bool // the request is over; otherwise it is under way
-	Back bool // what was told of its attempts is taken back: none may have run
+	Over bool `json:"Over"` // the request is over; otherwise it is under way
+	Back bool `json:"Back"` // what was told of its attempts is taken back: none may have run
 	Trace
 }
 
