--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -11,13 +11,13 @@
 		"Classes":           func(s *Settings) { s.Classes = nil },
 		"Instances":         func(s *Settings) { s.Instances = 0 },
 		"MaxAttempts":       func(s *Settings) { s.MaxAttempts = 0 },
-		"ColdShare":         func(s *Settings) { s.ColdShare = 0 },
-		"FallMultiple":      func(s *Settings) { s.FallMultiple = 0 },
-		"FallWindow":        func(s *Settings) { s.FallWindow = 0 },
-		"MustAskIn":         func(s *Settings) { s.MustAsk, s.MustAskIn = true, 0 },
-		"Classes[1].Aim":    func(s *Settings) { s.Classes[1].Aim = 0 },
-		"Classes[0].Effect": func(s *Settings) { s.Classes[0].Effect = 9 },
-		"Classes[1].Memory": func(s *Settings) { s.Classes[1].Memory = 0 },
+		"ColdShare":         func(s *Settings) { s.WarmupInitialShare = 0 },
+		"FallMultiple":      func(s *Settings) { s.CollapseMultiple = 0 },
+		"FallWindow":        func(s *Settings) { s.CollapseWindow = 0 },
+		"MustAskIn":         func(s *Settings) { s.PollsDiscovery, s.MaxListAge = true, 0 },
+		"Classes[1].Aim":    func(s *Settings) { s.Classes[1].TargetLatency = 0 },
+		"Classes[0].Effect": func(s *Settings) { s.Classes[0].Idempotency = 9 },
+		"Classes[1].Memory": func(s *Settings) { s.Classes[1].DedupWindow = 0 },
 	} {
 		s := testSettings()
 		spoil(&s)
@@ -40,13 +40,13 @@
 			tenant = 1
 		}
 		w.nextID++
-		w.event(Event{Kind: EventRequest, Request: w.nextID, Class: unsafeClass, Tenant: tenant, Left: time.Second})
-		if w.answer[w.nextID].Kind == ActRefuse {
+		w.event(Event{Kind: EventRequest, Request: w.nextID, Class: unsafeClass, Tenant: tenant, Remaining: time.Second})
+		if w.answer[w.nextID].Kind == ActReject {
 			refused[tenant]++
 		}
 		w.run(5 * ms)
 		for j := range w.sends { // each server answers 20 requests a second
-			if w.b.reqs[w.sends[j].Request] != nil && w.now-w.sentAt[j] > 100*ms {
+			if w.b.requests[w.sends[j].Request] != nil && w.now-w.sentAt[j] > 100*ms {
 				w.end(j, OK, 100*ms)
 			}
 		}
@@ -81,7 +81,7 @@
 	w.run(200 * ms)
 	refused := 0
 	for _, a := range w.answer {
-		if a.Kind == ActRefuse {
+		if a.Kind == ActReject {
 			refused++
 			if a.After <= 0 {
 				t.Error("refused without a retry hint")
@@ -98,8 +98,8 @@
 	w := newWorld(t, testSettings(), 1)
 	w.servers(4)
 	w.serve(300, safeClass, func(EndpointID) time.Duration { return 180 * ms }) // 0.45 of the aim, uncrowded
-	if w.b.limit < limitFirst*4 {
-		t.Errorf("limit %.1f after calm traffic, started at %.1f", w.b.limit, limitFirst*4)
+	if w.b.limit < initialLimit*4 {
+		t.Errorf("limit %.1f after calm traffic, started at %.1f", w.b.limit, initialLimit*4)
 	}
 }
 
@@ -129,13 +129,13 @@
 		w.request(unsafeClass)
 		w.run(10 * ms)
 		for j := range w.sends {
-			if w.b.reqs[w.sends[j].Request] != nil && w.now-w.sentAt[j] >= delay {
+			if w.b.requests[w.sends[j].Request] != nil && w.now-w.sentAt[j] >= delay {
 				w.end(j, OK, delay)
 			}
 		}
 	}
-	if least < 1.5*w.b.part(limitLeast) {
-		t.Errorf("the limit fell to %.1f, hardly over its least, %.1f", least, w.b.part(limitLeast))
+	if least < 1.5*w.b.instancePart(minLimit) {
+		t.Errorf("the limit fell to %.1f, hardly over its least, %.1f", least, w.b.instancePart(minLimit))
 	}
 }
 
@@ -156,10 +156,10 @@
 	for range 10 { // what hangs takes no room of the limit
 		w.request(unsafeClass)
 	}
-	w.b.retries = retryBurst // some went into copies of those that were only slow
+	w.b.retryTokens = maxRetryTokens // some went into copies of those that were only slow
 	sent := len(w.sends)
-	if w.b.loadShare() <= spareShare {
-		t.Fatalf("%.2f of the limit in use shows nothing", w.b.loadShare())
+	if w.b.limitUtilisation() <= maxOverQuotaUse {
+		t.Fatalf("%.2f of the limit in use shows nothing", w.b.limitUtilisation())
 	}
 	w.run(30 * ms)
 	if len(w.sends) == sent {
@@ -172,7 +172,7 @@
 	w := newWorld(t, testSettings(), 1)
 	w.servers(4)
 	before := w.b.limit
-	w.serve(int(limitWindow)-2, safeClass, func(EndpointID) time.Duration { return 300 * ms })
+	w.serve(int(minLimitResponses)-2, safeClass, func(EndpointID) time.Duration { return 300 * ms })
 	if w.b.limit != before {
 		t.Errorf("limit moved to %.1f on fewer answers than it rests on", w.b.limit)
 	}
@@ -202,10 +202,10 @@
 	if lost > 12 {
 		t.Errorf("%d of %d requests went to a server that had fallen silent", lost, len(w.sends)-first)
 	}
-	if w.b.healthy(w.b.servers[0]) {
+	if w.b.healthy(w.b.endpoints[0]) {
 		t.Error("silent for seconds with attempts out, and not suspected")
 	}
-	if !w.b.healthy(w.b.servers[1]) {
+	if !w.b.healthy(w.b.endpoints[1]) {
 		t.Error("an answering server is suspected")
 	}
 }
@@ -263,14 +263,14 @@
 	for range 300 {
 		w.request(safeClass)
 		for range 5 {
-			if n := len(w.sends); w.b.reqs[w.sends[n-1].Request] != nil && w.b.reqs[w.sends[n-1].Request].out > 0 {
+			if n := len(w.sends); w.b.requests[w.sends[n-1].Request] != nil && w.b.requests[w.sends[n-1].Request].openAttempts > 0 {
 				w.run(5 * ms)
 				w.end(n-1, Error, 5*ms)
 			}
 		}
 		w.run(5 * ms)
 	}
-	if most := 300*(1+retryPerCall) + retryBurst; float64(len(w.sends)) > most {
+	if most := 300*(1+retryTokensPerRequest) + maxRetryTokens; float64(len(w.sends)) > most {
 		t.Errorf("%d attempts for 300 requests that all fail, budget %.0f", len(w.sends), most)
 	}
 }
@@ -282,7 +282,7 @@
 	w.servers(4)
 	ask := func(left time.Duration) RequestID {
 		w.nextID++
-		w.event(Event{Kind: EventRequest, Request: w.nextID, Class: safeClass, Left: left})
+		w.event(Event{Kind: EventRequest, Request: w.nextID, Class: safeClass, Remaining: left})
 		w.run(20 * ms)
 		if n := len(w.sends); n > 0 && w.sends[n-1].Request == w.nextID {
 			w.end(n-1, OK, 20*ms)
@@ -299,9 +299,9 @@
 		}
 	}
 	w.nextID++
-	w.event(Event{Kind: EventRequest, Request: w.nextID, Class: safeClass, Left: 300 * ms})
-	r := w.b.reqs[w.nextID]
-	if spent := w.now + r.class.Aim - r.aimAt; spent != 200*ms {
+	w.event(Event{Kind: EventRequest, Request: w.nextID, Class: safeClass, Remaining: 300 * ms})
+	request := w.b.requests[w.nextID]
+	if spent := w.now + request.class.TargetLatency - request.targetAt; spent != 200*ms {
 		t.Errorf("a try with 200 ms less than usual is taken to have spent %v", spent)
 	}
 }
@@ -322,7 +322,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := testSettings()
-			s.SecondCopies = false
+			s.Hedging = false
 			w := newWorld(t, s, 3)
 			w.servers(2)
 			w.serve(40, unsafeClass, func(EndpointID) time.Duration { return 50 * ms })
@@ -343,10 +343,10 @@
 				}
 				w.end(i, status, 50*ms)
 			}
-			w.b.watch() // counts what works
+			w.b.assessPending() // counts what works
 			working := 0
-			for _, s := range w.b.servers {
-				working += s.working
+			for _, endpoint := range w.b.endpoints {
+				working += endpoint.inFlight
 			}
 			if working != c.working {
 				t.Errorf("%d of four count, %d expected", working, c.working)
@@ -378,11 +378,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := testSettings()
-			s.Tiers, s.Tier, s.MarksRetry = 2, c.tier, c.marks
+			s.Tiers, s.Tier, s.MarksRetries = 2, c.tier, c.marks
 			w := newWorld(t, s, 3)
 			w.servers(2)
 			w.serve(40, safeClass, func(EndpointID) time.Duration { return 50 * ms }) // all with 1 s left
-			got := w.b.spent(w.b.classes[safeClass], &Event{Left: c.left, Repeated: c.repeated})
+			got := w.b.timeSpent(w.b.classes[safeClass], &Event{Remaining: c.left, ClientRetry: c.repeated})
 			if got != c.spent {
 				t.Errorf("%v left are taken for %v spent, not %v", c.left, got, c.spent)
 			}
--- a/balance/api.go
+++ b/balance/api.go
@@ -18,14 +18,14 @@
 	Token      uint32
 )
 
-// Effect says how often a class's work may take effect.
-type Effect uint8
+// Idempotency says how often a class's work may take effect.
+type Idempotency uint8
 
 // The effect classes.
 const (
-	Safe   Effect = iota // may run any number of times
-	Keyed                // repeats are dropped by the endpoints of one group, for a while
-	Unsafe               // must not run twice
+	Idempotent      Idempotency = iota // may run any number of times
+	IdempotentByKey                    // repeats are dropped by the endpoints of one group, for a while
+	NonIdempotent                      // must not run twice
 )
 
 // Scope names the endpoints that drop a keyed request's repeats.
@@ -40,15 +40,15 @@
 
 // Class is what the settings say of one request class.
 type Class struct {
-	Aim        time.Duration // full worth when answered within this
-	Deadline   time.Duration // how long a client waits, over all its tries
-	AimStretch float64       // the aim grows by this many times the request's own work
-	Effect     Effect
-	Scope      Scope         // Keyed only
-	Memory     time.Duration // Keyed only: how long repeats are dropped, from the first send that may have run
-	Worth      float64
-	LateWorth  float64 // share of the worth for an answer after the aim
-	Stream     bool
+	TargetLatency        time.Duration // full worth when answered within this
+	Deadline             time.Duration // how long a client waits, over all its tries
+	TargetLatencyStretch float64       // the aim grows by this many times the request's own work
+	Idempotency          Idempotency
+	Scope                Scope         // IdempotentByKey only
+	DedupWindow          time.Duration // IdempotentByKey only: how long repeats are dropped, from the first send that may have run
+	Value                float64
+	LateValue            float64 // share of the worth for an answer after the aim
+	Stream               bool
 }
 
 // Tenant is what the settings say of one tenant.
@@ -76,54 +76,54 @@
 
 // Settings is what an instance is told at its start.
 type Settings struct {
-	Name            string // of the instance, the same after a restart; empty where its rank is to tell it apart
-	Instances, Rank int    // how many instances this tier has, and which one this is
-	Processes       int    // that this one consists of at present, as in an upgrade; 0 is one
-	Tier, Tiers     int    // the tier this instance sends to, and how many there are
-	Zone, Zones     int
-	Kinds           int
-	Classes         []Class
-	Tenants         []Tenant
-	OverShareWorth  float64 // what a request beyond its tenant's share is worth, as a share of its worth
-	ByWork          bool    // worth is counted for each unit of work
-	PassesDeadline  bool    // calls carry the time that their caller has left
-	MarksRetry      bool
-	MustAsk         bool // discovery answers only when asked
-	Weights         bool // listed weights are meaningful
-	LoadFields      []LoadField
-	LoadInline      bool // load reports come with outcomes
-	Prices          Prices
-
-	Quantum        time.Duration // the shortest time between two events' times
+	Name               string // of the instance, the same after a restart; empty where its rank is to tell it apart
+	Instances, Rank    int    // how many instances this tier has, and which one this is
+	Processes          int    // that this one consists of at present, as in an upgrade; 0 is one
+	Tier, Tiers        int    // the tier this instance sends to, and how many there are
+	Zone, Zones        int
+	Kinds              int
+	Classes            []Class
+	Tenants            []Tenant
+	OverQuotaValue     float64 // what a request beyond its tenant's share is worth, as a share of its worth
+	ValueByWork        bool    // worth is counted for each unit of work
+	PropagatesDeadline bool    // calls carry the time that their caller has left
+	MarksRetries       bool
+	PollsDiscovery     bool // discovery answers only when asked
+	Weights            bool // listed weights are meaningful
+	LoadFields         []LoadField
+	LoadInline         bool // load reports come with outcomes
+	Prices             Prices
+
+	TimeResolution time.Duration // the shortest time between two events' times
 	Cancel         bool
-	SecondCopies   bool
-	Probes         bool
-	Peers          bool
+	Hedging        bool
+	HealthChecks   bool
+	PeerMessages   bool
 	RetryAfter     bool
 	MaxRetryAfter  time.Duration
 	MaxAttempts    int
-	MaxHeld        int
+	MaxPending     int
 	ConnectTimeout time.Duration
 
-	AnswerSlack  time.Duration
-	DrainGrace   time.Duration
-	MustAskIn    time.Duration
-	ColdShare    float64
-	ColdFor      time.Duration
-	FallMultiple float64
-	FallWindow   time.Duration
+	ResponseSlack      time.Duration
+	DrainGrace         time.Duration
+	MaxListAge         time.Duration
+	WarmupInitialShare float64
+	WarmupDuration     time.Duration
+	CollapseMultiple   float64
+	CollapseWindow     time.Duration
 }
 
-// Fault is a setting without which decisions cannot be made.
-type Fault struct{ Field string } // as it is named here, such as Classes[1].Deadline
+// SettingError is a setting without which decisions cannot be made.
+type SettingError struct{ Field string } // as it is named here, such as Classes[1].Deadline
 
-func (f *Fault) Error() string {
+func (f *SettingError) Error() string {
 	return fmt.Sprintf("balance: settings: %s is missing or out of range", f.Field)
 }
 
 // Validate names the first field without which decisions cannot be made, as a Fault.
 func (s *Settings) Validate() error {
-	bad := func(field string) error { return &Fault{field} }
+	bad := func(field string) error { return &SettingError{field} }
 	switch {
 	case len(s.Classes) == 0:
 		return bad("Classes")
@@ -131,28 +131,28 @@
 		return bad("Instances")
 	case s.MaxAttempts < 1:
 		return bad("MaxAttempts")
-	case s.Quantum < 0:
+	case s.TimeResolution < 0:
 		return bad("Quantum")
-	case s.ColdShare <= 0 || s.ColdShare > 1:
+	case s.WarmupInitialShare <= 0 || s.WarmupInitialShare > 1:
 		return bad("ColdShare")
-	case s.FallMultiple <= 0:
+	case s.CollapseMultiple <= 0:
 		return bad("FallMultiple")
-	case s.FallWindow <= 0:
+	case s.CollapseWindow <= 0:
 		return bad("FallWindow")
-	case s.MustAsk && s.MustAskIn <= 0:
+	case s.PollsDiscovery && s.MaxListAge <= 0:
 		return bad("MustAskIn")
 	}
 	for i, c := range s.Classes {
 		switch {
-		case c.Aim <= 0:
+		case c.TargetLatency <= 0:
 			return bad(fmt.Sprintf("Classes[%d].Aim", i))
 		case c.Deadline <= 0:
 			return bad(fmt.Sprintf("Classes[%d].Deadline", i))
-		case c.Worth < 0:
+		case c.Value < 0:
 			return bad(fmt.Sprintf("Classes[%d].Worth", i))
-		case c.Effect > Unsafe:
+		case c.Idempotency > NonIdempotent:
 			return bad(fmt.Sprintf("Classes[%d].Effect", i))
-		case c.Effect == Keyed && c.Memory <= 0:
+		case c.Idempotency == IdempotentByKey && c.DedupWindow <= 0:
 			return bad(fmt.Sprintf("Classes[%d].Memory", i))
 		}
 	}
@@ -164,18 +164,18 @@
 
 // The events.
 const (
-	EventRequest    EventKind = iota + 1 // a client's request has arrived
-	EventOutcome                         // an attempt has ended
-	EventFirstByte                       // a streamed answer has begun
-	EventGone                            // the client has left; nothing more is owed
-	EventMembership                      // discovery's view of the endpoints
-	EventProbed                          // a probe has ended
-	EventPeer                            // a message from another instance
-	EventTimer                           // a timer of this instance is due
-	EventWhole                           // the last byte of a request that was still coming has been passed on
-	EventSettings                        // the site's settings have changed
-	EventCordon                          // an operator takes an endpoint out, or puts it back
-	EventExpect                          // when discovery is asked next
+	EventRequest       EventKind = iota + 1 // a client's request has arrived
+	EventOutcome                            // an attempt has ended
+	EventFirstByte                          // a streamed answer has begun
+	EventClientGone                         // the client has left; nothing more is owed
+	EventMembership                         // discovery's view of the endpoints
+	EventHealthChecked                      // a probe has ended
+	EventPeer                               // a message from another instance
+	EventTimer                              // a timer of this instance is due
+	EventUploadDone                         // the last byte of a request that was still coming has been passed on
+	EventSettings                           // the site's settings have changed
+	EventCordon                             // an operator takes an endpoint out, or puts it back
+	EventListExpected                       // when discovery is asked next
 )
 
 // Status is how an attempt or a probe ended.
@@ -185,12 +185,12 @@
 const (
 	OK            Status = iota
 	Error                // the endpoint answered with an error; it may have run
-	Full                 // turned away unseen
+	Rejected             // turned away unseen
 	Timeout              // no answer in time; it may have run
 	ConnectFailed        // never got there
 	Reset                // the connection dropped; it may have run
 	Cancelled            // withdrawn; it may have run
-	Moot                 // never sent
+	NotSent              // never sent
 )
 
 // ListKind says what the entries of a membership event are.
@@ -216,14 +216,14 @@
 
 // Entry is one endpoint of a list.
 type Entry struct {
-	Endpoint EndpointID
-	State    Availability
-	Weight   float64
-	Zone     int
-	Cell     int
-	Kind     int
-	UpSince  time.Duration // when it last started; 0 = long ago
-	Guess    bool          // as an old list has it: it may have started since, and is cold until a list of the present says otherwise
+	Endpoint  EndpointID
+	State     Availability
+	Weight    float64
+	Zone      int
+	Cell      int
+	Kind      int
+	StartedAt time.Duration // when it last started; 0 = long ago
+	Cached    bool          // as an old list has it: it may have started since, and is cold until a list of the present says otherwise
 }
 
 // LoadReport holds the first N of Settings.LoadFields.
@@ -236,31 +236,31 @@
 type Event struct {
 	Kind EventKind
 
-	Request  RequestID
-	Class    int
-	Tenant   int
-	Key      uint64
-	Left     time.Duration // until the client abandons this try
-	Hint     time.Duration // expected work on a standard core; 0 = none
-	Coming   bool          // its message still comes: its time begins with EventWhole, and it has one attempt at a time
-	Repeated bool          // a client's own retry, where clients mark it
-	Write    bool
-	Ran      time.Duration // when the same effect was first asked for, at Endpoint, by an earlier request, and may have taken place; 0 = never
-	Most     int           // attempts that it may make here; 0 = as the settings have it, below 0 = none
-	Worth    float64       // share of its class's worth that it is worth, as a tier above had it; 0 = all of it
-
-	Endpoint EndpointID
-	Out      bool // of a cordon: taken out, and not put back
-	Attempt  int
-	Closed   bool // the request has ended
-	Status   Status
-	Final    bool // of a failure: the tier below has tried again itself, and another attempt would only repeat that
-	Latency  time.Duration
-	Load     LoadReport
-
-	List    ListKind
-	Entries []Entry
-	In      time.Duration // until a list may come, where discovery is not asked all the time
+	Request          RequestID
+	Class            int
+	Tenant           int
+	Key              uint64
+	Remaining        time.Duration // until the client abandons this try
+	WorkHint         time.Duration // expected work on a standard core; 0 = none
+	Uploading        bool          // its message still comes: its time begins with EventUploadDone, and it has one attempt at a time
+	ClientRetry      bool          // a client's own retry, where clients mark it
+	Write            bool
+	EarlierAttemptAt time.Duration // when the same effect was first asked for, at Endpoint, by an earlier request, and may have taken place; 0 = never
+	MaxAttempts      int           // attempts that it may make here; 0 = as the settings have it, below 0 = none
+	ValueShare       float64       // share of its class's worth that it is worth, as a tier above had it; 0 = all of it
+
+	Endpoint     EndpointID
+	Cordoned     bool // of a cordon: taken out, and not put back
+	Attempt      int
+	Closed       bool // the request has ended
+	Status       Status
+	RetriedBelow bool // of a failure: the tier below has tried again itself, and another attempt would only repeat that
+	Latency      time.Duration
+	Load         LoadReport
+
+	List       ListKind
+	Entries    []Entry
+	ExpectedIn time.Duration // until a list may come, where discovery is not asked all the time
 
 	Settings *Settings // the classes that there were keep their places; a new one comes after them
 
@@ -275,30 +275,30 @@
 // The actions.
 const (
 	ActSend        ActionKind = iota + 1 // start an attempt
-	ActRefuse                            // final answer: turned away, a retry is harmless
+	ActReject                            // final answer: turned away, a retry is harmless
 	ActFail                              // final answer: failed, nothing is promised
 	ActCancel                            // stop waiting for an attempt
 	ActTimer                             // ask for an EventTimer
 	ActFetch                             // ask discovery for the whole list
-	ActWatch                             // subscribe to discovery's changes
-	ActProbe                             // examine an endpoint
-	ActTell                              // send Data to a peer
-	ActCloseUnused                       // close idle connections to an endpoint
+	ActSubscribe                         // subscribe to discovery's changes
+	ActHealthCheck                       // examine an endpoint
+	ActSendPeer                          // send Data to a peer
+	ActCloseIdle                         // close idle connections to an endpoint
 	ActLog                               // a line for the operators
 )
 
 // Action is one thing to do; only the fields of its kind are set.
 type Action struct {
-	Kind     ActionKind
-	Request  RequestID
-	Endpoint EndpointID
-	Attempt  int
-	After    time.Duration // ActSend: time-out; ActTimer: from now; ActRefuse: retry hint
-	Worth    float64       // ActSend: share of its class's worth that the request is worth
-	Token    Token
-	Peer     int // ActTell: a rank, or -1 for all
-	Data     []byte
-	Text     string
+	Kind       ActionKind
+	Request    RequestID
+	Endpoint   EndpointID
+	Attempt    int
+	After      time.Duration // ActSend: time-out; ActTimer: from now; ActReject: retry hint
+	ValueShare float64       // ActSend: share of its class's worth that the request is worth
+	Token      Token
+	Peer       int // ActSendPeer: a rank, or -1 for all
+	Data       []byte
+	Text       string
 }
 
 // New returns the decision state of one instance, or an error naming the setting that is missing.
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -13,19 +13,19 @@
 
 func newBalancer(s Settings, seed uint64) *Balancer {
 	b := &Balancer{
-		rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), retries: retryBurst, fleet: grey.New(nil),
-		reqs: map[RequestID]*request{}, byID: map[EndpointID]*server{}, cordoned: map[EndpointID]bool{},
-		groups: map[groupKey]*group{}, able: 1, limit: limitFirst / s.sharers(),
+		random: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), retryTokens: maxRetryTokens, detector: grey.New(nil),
+		requests: map[RequestID]*requestState{}, endpointsByID: map[EndpointID]*endpointState{}, cordoned: map[EndpointID]bool{},
+		groups: map[groupKey]*group{}, capacity: 1, limit: initialLimit / s.processCount(),
 	}
-	b.dither = b.rng.Float64()
-	b.adopt(&s)
+	b.limitDither = b.random.Float64()
+	b.applySettings(&s)
 	return b
 }
 
 // Handle takes one event and appends what is to be done to out.
 func (b *Balancer) Handle(now time.Duration, ev *Event, out []Action) []Action {
-	b.now, b.out = now, out
-	if b.tick == 0 {
+	b.now, b.actions = now, out
+	if b.tickInterval == 0 {
 		b.start()
 	}
 	switch ev.Kind {
@@ -35,27 +35,27 @@
 		b.onOutcome(ev)
 	case EventFirstByte:
 		b.onFirstByte(ev)
-	case EventGone:
-		if r := b.reqs[ev.Request]; r != nil && !r.done {
-			b.end(r)
+	case EventClientGone:
+		if request := b.requests[ev.Request]; request != nil && !request.done {
+			b.complete(request)
 		}
 	case EventMembership:
 		b.onMembership(ev)
-	case EventWhole, EventCordon, EventSettings, EventExpect:
+	case EventUploadDone, EventCordon, EventSettings, EventListExpected:
 		b.onWord(ev)
 	case EventTimer:
-		if ev.Token == tokenTick {
+		if ev.Token == tickToken {
 			b.onTick()
 		}
 	}
-	out, b.out = b.out, nil
+	out, b.actions = b.actions, nil
 	return out
 }
 
 func (b *Balancer) start() {
-	b.tick = max(tickEvery, b.set.Quantum)
-	b.maintainAt, b.refreshAt, b.windowAt = b.now+maintainEvery, b.now+refreshEvery, b.now
+	b.tickInterval = max(minTickInterval, b.settings.TimeResolution)
+	b.nextMaintenance, b.nextBinRefresh, b.latencyWindowStart = b.now+maintenanceInterval, b.now+binRefreshInterval, b.now
 	// Asking in step with every other instance would swamp discovery, so the first call is spread.
-	b.askAt = b.now + b.jitter(time.Second)
-	b.do(Action{Kind: ActTimer, Token: tokenTick, After: b.tick})
+	b.nextSubscribe = b.now + b.jitter(time.Second)
+	b.emit(Action{Kind: ActTimer, Token: tickToken, After: b.tickInterval})
 }
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -30,11 +30,11 @@
 			b.ResetTimer()
 			for i := range b.N {
 				now += time.Millisecond
-				if now >= tick+tickEvery {
+				if now >= tick+minTickInterval {
 					tick = now
-					out = bal.Handle(now, &Event{Kind: EventTimer, Token: tokenTick}, out[:0])
+					out = bal.Handle(now, &Event{Kind: EventTimer, Token: tickToken}, out[:0])
 				}
-				out = bal.Handle(now, &Event{Kind: EventRequest, Request: RequestID(i + 1), Left: time.Second}, out[:0])
+				out = bal.Handle(now, &Event{Kind: EventRequest, Request: RequestID(i + 1), Remaining: time.Second}, out[:0])
 				if i >= open {
 					out = bal.Handle(now, &Event{Kind: EventOutcome, Request: RequestID(i + 1 - open), Status: OK, Closed: true,
 						Latency: open * time.Millisecond}, out[:0])
@@ -72,7 +72,7 @@
 			b.ReportAllocs()
 			for i := range b.N {
 				now := time.Hour + time.Duration(i+1)*time.Millisecond
-				entries[i%hosts].UpSince = now
+				entries[i%hosts].StartedAt = now
 				out = bal.Handle(now, &Event{Kind: EventMembership, List: ListFull, Entries: entries}, out[:0])
 			}
 		})
@@ -88,7 +88,7 @@
 			b.ReportAllocs()
 			for i := range b.N {
 				now := time.Hour + time.Duration(i+1)*time.Millisecond
-				entries[i%hosts].UpSince = now
+				entries[i%hosts].StartedAt = now
 				out = bal.Handle(now, &Event{Kind: EventMembership, List: ListDelta, Entries: entries[i%hosts : i%hosts+1]}, out[:0])
 			}
 		})
@@ -117,7 +117,7 @@
 	b.ReportAllocs()
 	for i := range b.N {
 		now := time.Hour + time.Duration(i)*time.Millisecond
-		entries[i%60].UpSince = now
+		entries[i%60].StartedAt = now
 		out = bal.Handle(now, &Event{Kind: EventMembership, List: ListFull, Entries: entries}, out[:0])
 	}
 }
@@ -128,7 +128,7 @@
 	out := bal.Handle(time.Hour, &Event{Kind: EventMembership, List: ListFull, Entries: entries}, nil)
 	b.ReportAllocs()
 	for i := range b.N {
-		now := time.Hour + time.Duration(i+1)*tickEvery
-		out = bal.Handle(now, &Event{Kind: EventTimer, Token: tokenTick}, out[:0])
+		now := time.Hour + time.Duration(i+1)*minTickInterval
+		out = bal.Handle(now, &Event{Kind: EventTimer, Token: tickToken}, out[:0])
 	}
 }
--- a/balance/coming_test.go
+++ b/balance/coming_test.go
@@ -14,15 +14,15 @@
 	n := len(w.sends)
 	w.nextID++
 	id := w.nextID
-	w.event(Event{Kind: EventRequest, Request: id, Class: keyedClass, Left: time.Second, Coming: true})
+	w.event(Event{Kind: EventRequest, Request: id, Class: keyedClass, Remaining: time.Second, Uploading: true})
 	w.run(20 * time.Second)
-	s := w.b.byID[w.sends[n].Endpoint]
-	if len(w.sends) != n+1 || w.answers[id] != 0 || w.b.working != 0 || !w.b.healthy(s) || s.ejected > 0 {
-		t.Fatalf("after 20 s: %d sends, %d answers, %d in work, healthy %v", len(w.sends)-n, w.answers[id], w.b.working, w.b.healthy(s))
+	endpoint := w.b.endpointsByID[w.sends[n].Endpoint]
+	if len(w.sends) != n+1 || w.answers[id] != 0 || w.b.inFlight != 0 || !w.b.healthy(endpoint) || endpoint.ejectedUntil > 0 {
+		t.Fatalf("after 20 s: %d sends, %d answers, %d in work, healthy %v", len(w.sends)-n, w.answers[id], w.b.inFlight, w.b.healthy(endpoint))
 	}
-	w.event(Event{Kind: EventWhole, Request: id})
-	if w.b.working != 1 {
-		t.Errorf("%d in work once it is whole, want 1", w.b.working)
+	w.event(Event{Kind: EventUploadDone, Request: id})
+	if w.b.inFlight != 1 {
+		t.Errorf("%d in work once it is whole, want 1", w.b.inFlight)
 	}
 	from := w.now
 	for w.answers[id] == 0 && w.now < from+2*time.Second {
@@ -31,8 +31,8 @@
 	if at := w.now - from; w.answers[id] != 1 || at < 300*ms || at > 400*ms || len(w.sends) != n+1 {
 		t.Errorf("without an answer it ends %v after its last byte with %d sends; want just before its aim, without a copy", at, len(w.sends)-n)
 	}
-	if w.b.reqs[id] != nil || w.b.working != 0 {
-		t.Errorf("%d are in work after it", w.b.working)
+	if w.b.requests[id] != nil || w.b.inFlight != 0 {
+		t.Errorf("%d are in work after it", w.b.inFlight)
 	}
 }
 
@@ -43,14 +43,14 @@
 	w.servers(3)
 	w.nextID++
 	id := w.nextID
-	w.event(Event{Kind: EventRequest, Request: id, Class: unsafeClass, Left: time.Second, Coming: true})
+	w.event(Event{Kind: EventRequest, Request: id, Class: unsafeClass, Remaining: time.Second, Uploading: true})
 	w.run(time.Second)
-	w.end(0, Full, time.Second)
-	if len(w.sends) != 2 || w.sends[1].Endpoint == w.sends[0].Endpoint || w.b.working != 0 {
-		t.Fatalf("after it was turned away: sends %+v, %d in work", w.sends, w.b.working)
+	w.end(0, Rejected, time.Second)
+	if len(w.sends) != 2 || w.sends[1].Endpoint == w.sends[0].Endpoint || w.b.inFlight != 0 {
+		t.Fatalf("after it was turned away: sends %+v, %d in work", w.sends, w.b.inFlight)
 	}
-	w.event(Event{Kind: EventOutcome, Request: id, Attempt: 1, Status: ConnectFailed, Final: true})
-	if w.answer[id].Kind != ActRefuse || w.b.working != 0 || len(w.b.reqs) != 0 {
+	w.event(Event{Kind: EventOutcome, Request: id, Attempt: 1, Status: ConnectFailed, RetriedBelow: true})
+	if w.answer[id].Kind != ActReject || w.b.inFlight != 0 || len(w.b.requests) != 0 {
 		t.Errorf("with its body gone it ends with %+v", w.answer[id])
 	}
 }
--- a/balance/cordon_test.go
+++ b/balance/cordon_test.go
@@ -34,7 +34,7 @@
 				w.list(ListDelta, Entry{Endpoint: id, State: state, Weight: 1})
 			case 2:
 				cordoned[id] = true
-				w.event(Event{Kind: EventCordon, Endpoint: id, Out: true})
+				w.event(Event{Kind: EventCordon, Endpoint: id, Cordoned: true})
 			case 3:
 				if cordoned[id] && ready[id] {
 					back[id] = w.now
@@ -43,7 +43,7 @@
 				w.event(Event{Kind: EventCordon, Endpoint: id})
 			case 4:
 				if ended < len(w.sends) {
-					w.end(ended, rapid.SampledFrom([]Status{OK, Error, Full, ConnectFailed, Reset, Timeout}).Draw(rt, "status"), 20*ms)
+					w.end(ended, rapid.SampledFrom([]Status{OK, Error, Rejected, ConnectFailed, Reset, Timeout}).Draw(rt, "status"), 20*ms)
 					ended++
 				}
 			case 5, 6:
@@ -57,8 +57,8 @@
 				}
 			}
 			for id, at := range back {
-				if s := w.b.byID[id]; s != nil && ready[id] && s.UpSince < at && w.now < at+w.b.set.ColdFor {
-					rt.Fatalf("%d was put back at %v and counts as up since %v", id, at, s.UpSince)
+				if endpoint := w.b.endpointsByID[id]; endpoint != nil && ready[id] && endpoint.StartedAt < at && w.now < at+w.b.settings.WarmupDuration {
+					rt.Fatalf("%d was put back at %v and counts as up since %v", id, at, endpoint.StartedAt)
 				}
 				if !ready[id] { // what is gone and listed anew is what the list says
 					delete(back, id)
@@ -75,9 +75,9 @@
 		w := newWorld(t, testSettings(), seed)
 		w.servers(6)
 		w.serve(100, safeClass, func(EndpointID) time.Duration { return 30 * ms })
-		w.event(Event{Kind: EventCordon, Endpoint: 3, Out: true})
+		w.event(Event{Kind: EventCordon, Endpoint: 3, Cordoned: true})
 		w.serve(50, safeClass, func(EndpointID) time.Duration { return 30 * ms })
-		w.event(Event{Kind: EventCordon, Endpoint: 3, Out: true}) // two calls out need one call back
+		w.event(Event{Kind: EventCordon, Endpoint: 3, Cordoned: true}) // two calls out need one call back
 		w.event(Event{Kind: EventCordon, Endpoint: 3})
 		from, n := w.now, 0
 		for sent := len(w.sends); w.now < from+5*time.Second; sent = len(w.sends) {
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -11,8 +11,8 @@
 func Example() {
 	b, err := balance.New(balance.Settings{
 		Instances: 1, Tiers: 1, MaxAttempts: 3,
-		Classes:   []balance.Class{{Aim: 200 * time.Millisecond, Deadline: time.Second, Effect: balance.Safe, Worth: 1}},
-		ColdShare: 0.2, ColdFor: 20 * time.Second, FallMultiple: 3, FallWindow: time.Second,
+		Classes:            []balance.Class{{TargetLatency: 200 * time.Millisecond, Deadline: time.Second, Idempotency: balance.Idempotent, Value: 1}},
+		WarmupInitialShare: 0.2, WarmupDuration: 20 * time.Second, CollapseMultiple: 3, CollapseWindow: time.Second,
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
@@ -22,7 +22,7 @@
 	var buf []balance.Action
 	buf = b.Handle(now, &balance.Event{Kind: balance.EventMembership, List: balance.ListFull,
 		Entries: []balance.Entry{{Endpoint: 7, State: balance.Ready, Weight: 1}}}, buf[:0])
-	buf = b.Handle(now, &balance.Event{Kind: balance.EventRequest, Request: 1, Left: time.Second}, buf[:0])
+	buf = b.Handle(now, &balance.Event{Kind: balance.EventRequest, Request: 1, Remaining: time.Second}, buf[:0])
 	for _, a := range buf {
 		if a.Kind == balance.ActSend {
 			fmt.Println("send request", a.Request, "to endpoint", a.Endpoint)
--- a/balance/expect_test.go
+++ b/balance/expect_test.go
@@ -22,13 +22,13 @@
 	} {
 		w := newWorld(t, testSettings(), 1)
 		w.servers(c.servers)
-		w.event(Event{Kind: EventExpect, In: c.in})
+		w.event(Event{Kind: EventListExpected, ExpectedIn: c.in})
 		id := w.request(safeClass)
 		a, refused := w.answer[id]
 		if refused != c.at {
 			t.Errorf("%s: refused at once: %v", c.name, refused)
 		}
-		if c.at && (a.Kind != ActRefuse || a.After < c.advice || a.After > c.advice+100*ms || a.After > 500*ms) {
+		if c.at && (a.Kind != ActReject || a.After < c.advice || a.After > c.advice+100*ms || a.After > 500*ms) {
 			t.Errorf("%s: %+v", c.name, a)
 		}
 		w.run(2 * time.Second)
@@ -47,7 +47,7 @@
 		w := newWorld(t, s, 1)
 		var es []Entry
 		for id := EndpointID(1); id <= 4; id++ {
-			es = append(es, Entry{Endpoint: id, State: Ready, Weight: 1, Guess: true})
+			es = append(es, Entry{Endpoint: id, State: Ready, Weight: 1, Cached: true})
 		}
 		w.list(ListCached, es...)
 		return w
@@ -70,8 +70,8 @@
 		cold bool
 	}{{"as was guessed", 0, false}, {"started since", time.Hour - time.Second, true}} {
 		w := guess()
-		w.list(ListFull, Entry{Endpoint: 1, State: Ready, Weight: 1, UpSince: c.up})
-		if got := w.b.isCold(w.b.byID[1]); got != c.cold {
+		w.list(ListFull, Entry{Endpoint: 1, State: Ready, Weight: 1, StartedAt: c.up})
+		if got := w.b.isWarmingUp(w.b.endpointsByID[1]); got != c.cold {
 			t.Errorf("%s: cold %v", c.name, got)
 		}
 		for range 10 {
--- a/balance/golden_test.go
+++ b/balance/golden_test.go
@@ -21,18 +21,18 @@
 		s.Instances, s.Rank, s.Zones = 3, 1, 2
 	}, 30, "4e85197c1693e74f56264d1c017ae89544efba3db7e070b0eb553afd6aab0e66"},
 	{"named instance that polls discovery", func(s *Settings) {
-		s.Name, s.Instances, s.Zones, s.MustAsk, s.PassesDeadline = "n7", 40, 2, true, true
+		s.Name, s.Instances, s.Zones, s.PollsDiscovery, s.PropagatesDeadline = "n7", 40, 2, true, true
 		s.Tenants = []Tenant{{Share: 0.5, Quota: 400}, {Share: 0.5}}
 	}, 30, "2fdd3f6b41020117836908bd95a0433b702f153ed3ff78c68c246a66aac1fbf2"},
 	{"overload", func(s *Settings) {
-		s.Name, s.Instances, s.Processes, s.MarksRetry = "n2", 2, 2, true
+		s.Name, s.Instances, s.Processes, s.MarksRetries = "n2", 2, 2, true
 		s.Tenants = []Tenant{{Share: 0.5, Quota: 20}}
-		s.Classes[0].Worth, s.Classes[2].LateWorth = 5, 0.3
+		s.Classes[0].Value, s.Classes[2].LateValue = 5, 0.3
 	}, 70, "11ff04c5a1512e683b49f7651d562d31b8cb1964c1e19d5d567ebce29fff9ffb"},
 	{"second tier with load reports", func(s *Settings) {
-		s.Name, s.Tier, s.Tiers, s.ByWork, s.MarksRetry = "n3", 1, 2, true, true
+		s.Name, s.Tier, s.Tiers, s.ValueByWork, s.MarksRetries = "n3", 1, 2, true, true
 		s.LoadFields, s.LoadInline = []LoadField{LoadInFlight, LoadUtilisation}, true
-		s.Classes[1].Scope, s.Classes[0].LateWorth = ScopeZone, 0.5
+		s.Classes[1].Scope, s.Classes[0].LateValue = ScopeZone, 0.5
 	}, 30, "2edf13fd4e3ce254c5afd79d70f3c7697e46847ee565e74a41e5d855e7483df0"},
 	{"one of a thousand instances", func(s *Settings) {
 		s.Name, s.Instances, s.Cancel, s.RetryAfter = "n900", 1000, false, false
@@ -59,9 +59,9 @@
 		case 1:
 			e.State = Gone
 		case 2:
-			e.UpSince = g.now - time.Duration(g.r.IntN(12000)-1000)*ms
+			e.StartedAt = g.now - time.Duration(g.r.IntN(12000)-1000)*ms
 		}
-		e.Guess = kind == ListCached
+		e.Cached = kind == ListCached
 		if kind == ListFull || g.r.IntN(3) > 0 {
 			entries = append(entries, e)
 		}
@@ -71,16 +71,16 @@
 
 func (g *goldenRun) request() {
 	class := g.r.IntN(len(g.settings.Classes))
-	ev := Event{Kind: EventRequest, Request: g.next, Class: class, Tenant: g.r.IntN(3), Left: g.settings.Classes[class].Deadline,
-		Repeated: g.r.IntN(5) == 0, Coming: g.r.IntN(12) == 0}
+	ev := Event{Kind: EventRequest, Request: g.next, Class: class, Tenant: g.r.IntN(3), Remaining: g.settings.Classes[class].Deadline,
+		ClientRetry: g.r.IntN(5) == 0, Uploading: g.r.IntN(12) == 0}
 	if g.r.IntN(3) == 0 {
-		ev.Left -= time.Duration(g.r.IntN(500)) * ms
+		ev.Remaining -= time.Duration(g.r.IntN(500)) * ms
 	}
 	switch g.r.IntN(12) {
 	case 0:
-		ev.Most, ev.Worth = g.r.IntN(4)-1, g.r.Float64()
+		ev.MaxAttempts, ev.ValueShare = g.r.IntN(4)-1, g.r.Float64()
 	case 1:
-		ev.Ran, ev.Endpoint = g.now-time.Duration(g.r.IntN(700))*ms, EndpointID(1+g.r.IntN(16))
+		ev.EarlierAttemptAt, ev.Endpoint = g.now-time.Duration(g.r.IntN(700))*ms, EndpointID(1+g.r.IntN(16))
 	}
 	g.next++
 	g.event(ev)
@@ -101,8 +101,8 @@
 	ev := Event{Kind: EventOutcome, Request: a.Request, Attempt: a.Attempt, Endpoint: a.Endpoint,
 		Latency: time.Duration(10+g.r.IntN(60)) * ms * time.Duration(1+a.Endpoint%3)}
 	if g.r.IntN(10) == 0 || a.Endpoint == 5 && past > 10*time.Second && past < 20*time.Second {
-		ev.Status = []Status{Error, Full, ConnectFailed, Reset, Timeout, Cancelled, Moot}[g.r.IntN(7)]
-		ev.Final = g.r.IntN(6) == 0
+		ev.Status = []Status{Error, Rejected, ConnectFailed, Reset, Timeout, Cancelled, NotSent}[g.r.IntN(7)]
+		ev.RetriedBelow = g.r.IntN(6) == 0
 	}
 	if past > 32*time.Second && past < 35*time.Second {
 		ev.Latency *= 5
@@ -117,12 +117,12 @@
 // handOver puts a successor in place of the instance, which takes over what it learned as JSON.
 func (g *goldenRun) handOver(t *testing.T) {
 	t.Helper()
-	text, err := json.Marshal(g.b.Learned())
+	text, err := json.Marshal(g.b.LearnedState())
 	if err != nil {
 		t.Fatal(err)
 	}
 	g.digest.Write(text)
-	var learned Learned
+	var learned LearnedState
 	if err := json.Unmarshal(text, &learned); err != nil {
 		t.Fatal(err)
 	}
@@ -130,12 +130,31 @@
 		t.Fatal(err)
 	}
 	g.timers, g.open = nil, nil
-	g.event(Event{Kind: EventExpect, In: 3 * time.Second})
+	g.event(Event{Kind: EventListExpected, ExpectedIn: 3 * time.Second})
 	g.request()
 	g.now += time.Second
 	g.endpoints(ListCached)
-	learned.Past = time.Second
-	g.b.Learn(g.now, &learned)
+	learned.Age = time.Second
+	g.b.Restore(g.now, &learned)
+}
+
+// recordHealth writes the endpoints' health with the names that the fields had when the digests were taken.
+func (g *goldenRun) recordHealth(t *testing.T) {
+	t.Helper()
+	type condition struct {
+		Endpoint      EndpointID
+		Grey, Ejected bool
+		Fails         float64
+	}
+	var conditions []condition
+	for _, h := range g.b.EndpointHealth(nil) {
+		conditions = append(conditions, condition{h.Endpoint, h.Grey, h.Ejected, h.FailureRate})
+	}
+	text, err := json.Marshal(conditions)
+	if err != nil {
+		t.Fatal(err)
+	}
+	g.digest.Write(text)
 }
 
 func (g *goldenRun) step(t *testing.T) {
@@ -147,16 +166,16 @@
 	case p < 94:
 		g.outcome()
 	case p == 94:
-		g.event(Event{Kind: EventGone, Request: RequestID(g.r.IntN(int(g.next)))})
+		g.event(Event{Kind: EventClientGone, Request: RequestID(g.r.IntN(int(g.next)))})
 	case p == 95:
-		g.event(Event{Kind: EventWhole, Request: g.next - RequestID(g.r.IntN(20))})
+		g.event(Event{Kind: EventUploadDone, Request: g.next - RequestID(g.r.IntN(20))})
 	case p == 96 && len(g.open) > 0:
 		a := g.open[g.r.IntN(len(g.open))]
 		g.event(Event{Kind: EventFirstByte, Request: a.Request, Attempt: a.Attempt})
 	case p == 97 && g.r.IntN(8) == 0:
 		g.endpoints([]ListKind{ListDelta, ListFull, ListFailed}[g.r.IntN(3)])
 	case p == 98 && g.r.IntN(8) == 0:
-		g.event(Event{Kind: EventCordon, Endpoint: EndpointID(1 + g.r.IntN(14)), Out: g.r.IntN(2) == 0})
+		g.event(Event{Kind: EventCordon, Endpoint: EndpointID(1 + g.r.IntN(14)), Cordoned: g.r.IntN(2) == 0})
 	case p == 99 && g.r.IntN(20) == 0:
 		g.settings.MaxAttempts = 2 + g.r.IntN(3)
 		g.settings.Processes = 1 + g.r.IntN(2)
@@ -178,7 +197,7 @@
 			}
 			g := &goldenRun{settings: settings, requests: script.rate, next: 1}
 			g.b, g.r, g.now, g.digest = b, rand.New(rand.NewPCG(uint64(i), 77)), time.Hour, sha256.New()
-			g.event(Event{Kind: EventExpect, In: 2 * time.Second})
+			g.event(Event{Kind: EventListExpected, ExpectedIn: 2 * time.Second})
 			g.request()
 			g.endpoints(ListCached)
 			for handedOver := false; g.now < time.Hour+40*time.Second; g.now += 2 * ms {
@@ -192,11 +211,7 @@
 				g.step(t)
 			}
 			g.handOver(t)
-			text, err := json.Marshal(g.b.Conditions(nil))
-			if err != nil {
-				t.Fatal(err)
-			}
-			g.digest.Write(text)
+			g.recordHealth(t)
 			if got := hex.EncodeToString(g.digest.Sum(nil)); got != script.digest {
 				t.Errorf("%d actions, digest %s, want %s", g.count, got, script.digest)
 			}
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -10,15 +10,15 @@
 // testSettings is one tier of a small service with one class of each effect.
 func testSettings() Settings {
 	return Settings{
-		Instances: 1, Tiers: 1, Zones: 1, Kinds: 1, OverShareWorth: 0.1,
+		Instances: 1, Tiers: 1, Zones: 1, Kinds: 1, OverQuotaValue: 0.1,
 		Classes: []Class{
-			{Aim: 400 * ms, Deadline: 1000 * ms, Effect: Safe, Worth: 1},
-			{Aim: 400 * ms, Deadline: 1000 * ms, Effect: Keyed, Scope: ScopeCell, Memory: 600 * ms, Worth: 1},
-			{Aim: 400 * ms, Deadline: 1000 * ms, Effect: Unsafe, Worth: 1},
+			{TargetLatency: 400 * ms, Deadline: 1000 * ms, Idempotency: Idempotent, Value: 1},
+			{TargetLatency: 400 * ms, Deadline: 1000 * ms, Idempotency: IdempotentByKey, Scope: ScopeCell, DedupWindow: 600 * ms, Value: 1},
+			{TargetLatency: 400 * ms, Deadline: 1000 * ms, Idempotency: NonIdempotent, Value: 1},
 		},
-		Quantum: 2 * ms, Cancel: true, SecondCopies: true, RetryAfter: true, MaxRetryAfter: 500 * ms,
-		MaxAttempts: 4, MaxHeld: 1000, AnswerSlack: 8 * ms, DrainGrace: 250 * ms, MustAskIn: 10 * time.Second,
-		ColdShare: 0.2, ColdFor: 10 * time.Second, FallMultiple: 3, FallWindow: time.Second,
+		TimeResolution: 2 * ms, Cancel: true, Hedging: true, RetryAfter: true, MaxRetryAfter: 500 * ms,
+		MaxAttempts: 4, MaxPending: 1000, ResponseSlack: 8 * ms, DrainGrace: 250 * ms, MaxListAge: 10 * time.Second,
+		WarmupInitialShare: 0.2, WarmupDuration: 10 * time.Second, CollapseMultiple: 3, CollapseWindow: time.Second,
 	}
 }
 
@@ -70,7 +70,7 @@
 			w.sends, w.sentAt = append(w.sends, a), append(w.sentAt, w.now)
 			w.attempt = append(w.attempt, w.tries[a.Request])
 			w.tries[a.Request]++
-		case ActRefuse, ActFail:
+		case ActReject, ActFail:
 			w.answers[a.Request]++
 			w.answer[a.Request] = a
 		case ActCancel:
@@ -127,7 +127,7 @@
 
 func (w *world) request(class int) RequestID {
 	w.nextID++
-	w.event(Event{Kind: EventRequest, Request: w.nextID, Class: class, Left: w.b.set.Classes[class].Deadline})
+	w.event(Event{Kind: EventRequest, Request: w.nextID, Class: class, Remaining: w.b.settings.Classes[class].Deadline})
 	return w.nextID
 }
 
--- a/balance/health.go
+++ b/balance/health.go
@@ -3,29 +3,29 @@
 package balance
 
 // failed is a failure of a class at a server; hung is the odds that the server has said nothing.
-func (b *Balancer) failed(s *server, class int, hung float64) {
-	b.fleet.Failed(&s.seen, class, hung)
-	s.fails++
-	if (s.trial || s.fails >= ejectAfter && s.seen.Mostly()) && b.now >= s.ejected {
-		b.eject(s)
+func (b *Balancer) recordFailure(endpoint *endpointState, class int, hung float64) {
+	b.detector.Failed(&endpoint.evidence, class, hung)
+	endpoint.consecutiveFailures++
+	if (endpoint.halfOpen || endpoint.consecutiveFailures >= ejectionThreshold && endpoint.evidence.Mostly()) && b.now >= endpoint.ejectedUntil {
+		b.eject(endpoint)
 	}
 }
 
 // eject leaves a server out for a while, twice as long as the last time, and then tries it gently.
-func (b *Balancer) eject(s *server) {
-	s.backoff = min(ejectMost, max(ejectFirst, 2*s.backoff))
-	s.ejected, s.trial, s.fails, b.dirty = b.now+s.backoff, true, 0, true
+func (b *Balancer) eject(endpoint *endpointState) {
+	endpoint.ejectionBackoff = min(maxEjectionTime, max(baseEjectionTime, 2*endpoint.ejectionBackoff))
+	endpoint.ejectedUntil, endpoint.halfOpen, endpoint.consecutiveFailures, b.solveNeeded = b.now+endpoint.ejectionBackoff, true, 0, true
 }
 
 // healthy tells whether a server is neither ejected nor silent. A vanished server shows only as
 // attempts that stay out while nothing comes back.
-func (b *Balancer) healthy(s *server) bool {
-	if b.now < s.ejected {
+func (b *Balancer) healthy(endpoint *endpointState) bool {
+	if b.now < endpoint.ejectedUntil {
 		return false
 	}
-	return len(s.held) == 0 || !s.held[0].stuck() ||
-		b.ran() < max(s.last, s.held[0].ran)+b.overdue(s.held[0].request.class)
+	return len(endpoint.pending) == 0 || !endpoint.pending[0].likelyHung() ||
+		b.runTime() < max(endpoint.lastSignal, endpoint.pending[0].sentAtRunTime)+b.overdueAfter(endpoint.pending[0].request.class)
 }
 
-// judgeFleet: when most servers look bad, the cause is shared, and none is to be avoided for it.
-func (b *Balancer) judgeFleet() { b.crisis = b.unwell*2 > b.listed }
+// updatePanicMode: when most servers look bad, the cause is shared, and none is to be avoided for it.
+func (b *Balancer) updatePanicMode() { b.panicMode = b.unhealthyCount*2 > b.availableCount }
--- a/balance/learned_test.go
+++ b/balance/learned_test.go
@@ -29,30 +29,30 @@
 // Guards against a successor that knows less, or other things, than the process before it.
 func TestLearnedIsPassedOn(t *testing.T) {
 	old := taught(t, 1)
-	text, err := json.Marshal(old.b.Learned())
+	text, err := json.Marshal(old.b.LearnedState())
 	if err != nil {
 		t.Fatal(err)
 	}
-	var l Learned
+	var l LearnedState
 	if err := json.Unmarshal(text, &l); err != nil {
 		t.Fatal(err)
 	}
 	w := newWorld(t, testSettings(), 2)
 	w.now = old.now
 	w.servers(5)
-	w.b.Learn(w.now, &l)
-	if got, want := w.b.Learned(), old.b.Learned(); !reflect.DeepEqual(got.Hosts, want.Hosts) || !reflect.DeepEqual(got.Fleet, want.Fleet) ||
-		got.Limit != want.Limit || got.Uncrowded != want.Uncrowded {
+	w.b.Restore(w.now, &l)
+	if got, want := w.b.LearnedState(), old.b.LearnedState(); !reflect.DeepEqual(got.Endpoints, want.Endpoints) || !reflect.DeepEqual(got.Detector, want.Detector) ||
+		got.Limit != want.Limit || got.Baseline != want.Baseline {
 		t.Errorf("passed on\n%+v\nwas taken over as\n%+v", want, got)
 	}
 }
 
 // Guards against classes that stand elsewhere at the successor, or not at all.
 func TestLearnedIsReordered(t *testing.T) {
-	l := taught(t, 1).b.Learned()
-	safe, unsafe := l.Classes[safeClass], l.Fleet.Paces[unsafeClass]
-	l.Reorder([]int{1, -1, 0}, 2)
-	if len(l.Classes) != 2 || !reflect.DeepEqual(l.Classes[1], safe) || l.Fleet.Paces[0] != unsafe || len(l.Hosts[0].Seen.Classes) != 2 {
+	l := taught(t, 1).b.LearnedState()
+	safe, unsafe := l.Classes[safeClass], l.Detector.Paces[unsafeClass]
+	l.ReorderClasses([]int{1, -1, 0}, 2)
+	if len(l.Classes) != 2 || !reflect.DeepEqual(l.Classes[1], safe) || l.Detector.Paces[0] != unsafe || len(l.Endpoints[0].Evidence.Classes) != 2 {
 		t.Errorf("reordered: %+v", l)
 	}
 }
@@ -61,26 +61,26 @@
 func TestAbsurdIsNotLearned(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		num := rapid.OneOf(rapid.Float64(), rapid.SampledFrom([]float64{0, -1, 1e300, 1e-300, 5}))
-		sample := func() Sample { return Sample{num.Draw(rt, "n"), num.Draw(rt, "sum")} }
+		sample := func() MeanState { return MeanState{num.Draw(rt, "n"), num.Draw(rt, "sum")} }
 		count := func() grey.Count { return grey.Count{N: num.Draw(rt, "n"), Bad: num.Draw(rt, "bad")} }
 		span := func() time.Duration { return time.Duration(rapid.Int64().Draw(rt, "span")) }
-		l := &Learned{Limit: num.Draw(rt, "limit"), Able: num.Draw(rt, "able"), Uncrowded: num.Draw(rt, "uncrowded"),
-			Retries: num.Draw(rt, "retries"), Served: sample(), Asked: sample(),
-			Fleet: grey.State{Mute: count(), Ups: count()}}
+		l := &LearnedState{Limit: num.Draw(rt, "limit"), Capacity: num.Draw(rt, "able"), Baseline: num.Draw(rt, "uncrowded"),
+			RetryTokens: num.Draw(rt, "retries"), Responses: sample(), Rejections: sample(),
+			Detector: grey.State{Mute: count(), Ups: count()}}
 		for range rapid.IntRange(0, 4).Draw(rt, "classes") {
-			l.Classes = append(l.Classes, ClassLearned{Delay: sample(), Bins: []float64{num.Draw(rt, "bin"), num.Draw(rt, "bin")},
-				Lefts: []time.Duration{span()}})
-			l.Fleet.Classes = append(l.Fleet.Classes, count())
-			l.Fleet.Paces = append(l.Fleet.Paces, grey.Pace{N: num.Draw(rt, "n"), Sum: num.Draw(rt, "sum"), Squares: num.Draw(rt, "squares")})
+			l.Classes = append(l.Classes, ClassState{Latency: sample(), BinShares: []float64{num.Draw(rt, "bin"), num.Draw(rt, "bin")},
+				RecentRemaining: []time.Duration{span()}})
+			l.Detector.Classes = append(l.Detector.Classes, count())
+			l.Detector.Paces = append(l.Detector.Paces, grey.Pace{N: num.Draw(rt, "n"), Sum: num.Draw(rt, "sum"), Squares: num.Draw(rt, "squares")})
 		}
 		for id := range EndpointID(4) {
-			l.Hosts = append(l.Hosts, HostLearned{Endpoint: id, Up: span(), Told: span(), Delay: sample(), Ejected: span(), Backoff: span(),
-				Fails: rapid.Int().Draw(rt, "fails"), Seen: grey.HostState{Classes: []grey.Count{count()}, Mute: count(), Lately: count(),
+			l.Endpoints = append(l.Endpoints, EndpointState{Endpoint: id, StartedAt: span(), ListedStart: span(), Latency: sample(), EjectedFor: span(), EjectionBackoff: span(),
+				ConsecutiveFailures: rapid.Int().Draw(rt, "fails"), Evidence: grey.HostState{Classes: []grey.Count{count()}, Mute: count(), Lately: count(),
 					Suspect: num.Draw(rt, "suspect")}})
 		}
 		w := newWorld(t, testSettings(), 1)
 		w.servers(4)
-		w.b.Learn(w.now, l)
+		w.b.Restore(w.now, l)
 		for range 20 {
 			id := w.request(safeClass)
 			w.run(1200 * ms)
@@ -95,10 +95,10 @@
 // a curve, of an ejection and of the limit.
 func TestLearnedAges(t *testing.T) {
 	old := taught(t, 1)
-	l := old.b.Learned()
-	l.Crowded, l.Limit, l.Known, l.Uncrowded = true, 77, true, 0.2
-	for i := range l.Hosts {
-		l.Hosts[i].Ejected, l.Hosts[i].Fails = 8*time.Second, 2
+	l := old.b.LearnedState()
+	l.Congested, l.Limit, l.BaselineKnown, l.Baseline = true, 77, true, 0.2
+	for i := range l.Endpoints {
+		l.Endpoints[i].EjectedFor, l.Endpoints[i].ConsecutiveFailures = 8*time.Second, 2
 	}
 	for _, c := range []struct {
 		past           time.Duration
@@ -109,24 +109,24 @@
 	}{
 		{0, 1, 8 * time.Second, 2, true, true},
 		{5 * time.Second, 0.3679, 3 * time.Second, 2, true, true},
-		{LimitFor + 1, 0.1353, 0, 0, false, true},
-		{MeasureFor + 1, 6e-6, 0, 0, false, false},
+		{MaxLimitAge + 1, 0.1353, 0, 0, false, true},
+		{MaxBaselineAge + 1, 6e-6, 0, 0, false, false},
 		{-time.Hour, 1, 8 * time.Second, 2, true, true},
 	} {
 		w := newWorld(t, testSettings(), 2)
 		w.now = old.now
 		w.servers(5)
-		fresh := w.b.Learned()
-		l.Past = c.past
-		w.b.Learn(w.now, l)
-		got := w.b.Learned()
-		for i, h := range got.Hosts {
-			if weight := h.Delay.N / l.Hosts[i].Delay.N; weight < c.weight*0.9 || weight > c.weight*1.1 || h.Ejected != c.ejected || h.Fails != c.fails {
-				t.Errorf("after %v host %d: weight %.2g, ejected for %v, %d failures", c.past, h.Endpoint, weight, h.Ejected, h.Fails)
+		fresh := w.b.LearnedState()
+		l.Age = c.past
+		w.b.Restore(w.now, l)
+		got := w.b.LearnedState()
+		for i, h := range got.Endpoints {
+			if weight := h.Latency.N / l.Endpoints[i].Latency.N; weight < c.weight*0.9 || weight > c.weight*1.1 || h.EjectedFor != c.ejected || h.ConsecutiveFailures != c.fails {
+				t.Errorf("after %v host %d: weight %.2g, ejected for %v, %d failures", c.past, h.Endpoint, weight, h.EjectedFor, h.ConsecutiveFailures)
 			}
 		}
-		if limit := got.Limit != fresh.Limit; limit != c.limit || got.Crowded != c.limit || got.Known != c.measure {
-			t.Errorf("after %v: limit %v, crowded %v, measure %v", c.past, got.Limit, got.Crowded, got.Known)
+		if limit := got.Limit != fresh.Limit; limit != c.limit || got.Congested != c.limit || got.BaselineKnown != c.measure {
+			t.Errorf("after %v: limit %v, crowded %v, measure %v", c.past, got.Limit, got.Congested, got.BaselineKnown)
 		}
 	}
 }
--- a/balance/outcomes.go
+++ b/balance/outcomes.go
@@ -8,94 +8,94 @@
 )
 
 func (b *Balancer) onOutcome(ev *Event) {
-	r := b.reqs[ev.Request]
-	if r == nil || ev.Attempt >= len(r.tries) || !r.tries[ev.Attempt].open {
+	request := b.requests[ev.Request]
+	if request == nil || ev.Attempt >= len(request.attempts) || !request.attempts[ev.Attempt].open {
 		return
 	}
-	a := &r.tries[ev.Attempt]
-	a.open, a.mayHave = false, ev.Status != Full && ev.Status != ConnectFailed && ev.Status != Moot
-	r.out, r.final = r.out-1, r.final || ev.Final
-	b.learn(b.unhold(r, a, ev.Status), a.server, ev)
+	attempt := &request.attempts[ev.Attempt]
+	attempt.open, attempt.mayHaveRun = false, ev.Status != Rejected && ev.Status != ConnectFailed && ev.Status != NotSent
+	request.openAttempts, request.retriedBelow = request.openAttempts-1, request.retriedBelow || ev.RetriedBelow
+	b.recordOutcome(b.removePending(request, attempt, ev.Status), attempt.endpoint, ev)
 	switch {
-	case r.done:
-		b.forget(r)
+	case request.done:
+		b.release(request)
 	case ev.Closed:
-		b.end(r)
-	case r.out == 0 && !r.waiting:
-		b.again(r, a.mayHave)
+		b.complete(request)
+	case request.openAttempts == 0 && !request.queued:
+		b.retryOrFinish(request, attempt.mayHaveRun)
 	}
-	b.drain()
+	b.dispatchQueue()
 }
 
 // again decides whether a request whose attempts have all failed gets another.
-func (b *Balancer) again(r *request, mayHave bool) {
-	cost := r.price // of one more
+func (b *Balancer) retryOrFinish(request *requestState, mayHave bool) {
+	cost := request.retryCost // of one more
 	if !mayHave {
-		cost *= retryUnseen
+		cost *= rejectedRetryCost
 	}
-	if r.final || b.retries < cost || b.now > r.aimAt ||
-		!slices.ContainsFunc(b.servers, func(s *server) bool { return b.eligible(r, s) }) {
-		b.finish(r)
+	if request.retriedBelow || b.retryTokens < cost || b.now > request.targetAt ||
+		!slices.ContainsFunc(b.endpoints, func(endpoint *endpointState) bool { return b.eligible(request, endpoint) }) {
+		b.finish(request)
 		return
 	}
-	b.retries -= cost
-	b.hold(r)
+	b.retryTokens -= cost
+	b.enqueue(request)
 }
 
 func (b *Balancer) onFirstByte(ev *Event) {
-	if r := b.reqs[ev.Request]; r != nil && ev.Attempt < len(r.tries) && !r.done {
-		r.tries[ev.Attempt].streamed = true
-		b.end(r) // the stream is the client's: no deadline runs, and no other copy is wanted
+	if request := b.requests[ev.Request]; request != nil && ev.Attempt < len(request.attempts) && !request.done {
+		request.attempts[ev.Attempt].streamed = true
+		b.complete(request) // the stream is the client's: no deadline runs, and no other copy is wanted
 	}
 }
 
 // finish gives the final answer: refused where a client's retry is harmless, failed otherwise.
-func (b *Balancer) finish(r *request) {
-	if r.done {
+func (b *Balancer) finish(request *requestState) {
+	if request.done {
 		return
 	}
-	if b.mayRefuse(r) {
-		b.do(Action{Kind: ActRefuse, Request: r.id, After: b.retryHint(r)})
-		b.asked.sum++
+	if b.canReject(request) {
+		b.emit(Action{Kind: ActReject, Request: request.id, After: b.retryAfter(request)})
+		b.rejections.sum++
 	} else {
-		b.do(Action{Kind: ActFail, Request: r.id})
+		b.emit(Action{Kind: ActFail, Request: request.id})
 	}
-	b.end(r)
+	b.complete(request)
 }
 
-func (b *Balancer) mayRefuse(r *request) bool {
-	if r.class.Effect == Safe || (r.class.Effect == Keyed && r.class.Scope == ScopeAll) {
-		return !r.repeat || b.repeatable(r, &r.before)
+func (b *Balancer) canReject(request *requestState) bool {
+	if request.class.Idempotency == Idempotent || (request.class.Idempotency == IdempotentByKey && request.class.Scope == ScopeAll) {
+		return !request.hasEarlierAttempt || b.withinDedupWindow(request, &request.earlierAttempt)
 	}
-	for range r.ran {
+	for range request.mayHaveRun {
 		return false
 	}
 	return true
 }
 
-// retryHint is when a refused client should come back: the later the more is refused now, and spread, or
+// retryAfter is when a refused client should come back: the later the more is refused now, and spread, or
 // those that were turned away together would come back together.
-func (b *Balancer) retryHint(r *request) time.Duration {
+func (b *Balancer) retryAfter(request *requestState) time.Duration {
 	switch {
-	case !b.set.RetryAfter:
+	case !b.settings.RetryAfter:
 		return 0
-	case r.over:
-		return b.set.MaxRetryAfter
-	case len(b.ready) == 0 && b.expect > b.now: // there is nobody to send to before that
-		return min(b.set.MaxRetryAfter, b.expect-b.now+b.jitter(r.class.Aim/4))
+	case request.overQuota:
+		return b.settings.MaxRetryAfter
+	case len(b.readyEndpoints) == 0 && b.listExpectedAt > b.now: // there is nobody to send to before that
+		return min(b.settings.MaxRetryAfter, b.listExpectedAt-b.now+b.jitter(request.class.TargetLatency/4))
 	}
-	short := 1 / (1 - min(shortMost, b.asked.mean(0, 0)))
-	return min(b.set.MaxRetryAfter, time.Duration(short*(0.5+b.rng.Float64())*float64(r.class.Aim)/4))
+	short := 1 / (1 - min(maxScarcity, b.rejections.mean(0, 0)))
+	return min(b.settings.MaxRetryAfter, time.Duration(short*(0.5+b.random.Float64())*float64(request.class.TargetLatency)/4))
 }
 
 // end marks a request as answered, withdraws what it still has out and lets go of it.
-func (b *Balancer) end(r *request) {
-	r.done = true
-	b.unlive(r)
-	for i := range r.tries {
-		if r.tries[i].open && !r.tries[i].streamed && b.set.Cancel {
-			b.do(Action{Kind: ActCancel, Request: r.id, Attempt: i})
+func (b *Balancer) complete(request *requestState) {
+	request.done = true
+	b.removeUnanswered(request)
+	for i := range request.attempts {
+		if request.attempts[i].open && !request.attempts[i].streamed && b.settings.Cancel {
+			b.emit(Action{Kind: ActCancel, Request: request.id, Attempt: i})
 		}
 	}
-	b.forget(r)
+	b.release(request)
 }
--- a/balance/recorded_test.go
+++ b/balance/recorded_test.go
@@ -30,7 +30,7 @@
 // then, so that a digest stays the same when a field is renamed.
 func recordAction(out io.Writer, now time.Duration, a *Action) {
 	fmt.Fprintf(out, "%d {Kind:%d Request:%d Endpoint:%d Attempt:%d After:%v Worth:%v Token:%d Peer:%d Data:%v Text:%s}\n",
-		now, a.Kind, a.Request, a.Endpoint, a.Attempt, a.After, a.Worth, a.Token, a.Peer, a.Data, a.Text)
+		now, a.Kind, a.Request, a.Endpoint, a.Attempt, a.After, a.ValueShare, a.Token, a.Peer, a.Data, a.Text)
 }
 
 func (s *script) event(ev Event) {
@@ -68,7 +68,7 @@
 	s.open = append(s.open[:i], s.open[i+1:]...)
 	status := OK
 	if s.r.IntN(8) == 0 {
-		status = []Status{Error, Full, ConnectFailed, Reset, Timeout}[s.r.IntN(5)]
+		status = []Status{Error, Rejected, ConnectFailed, Reset, Timeout}[s.r.IntN(5)]
 	}
 	latency := time.Duration(20+s.r.IntN(200)) * ms * time.Duration(1+a.Endpoint%3)
 	s.event(Event{Kind: EventOutcome, Request: a.Request, Attempt: a.Attempt, Endpoint: a.Endpoint, Status: status, Latency: latency})
@@ -101,17 +101,17 @@
 		switch p := s.r.IntN(100); {
 		case p < 30:
 			class := s.r.IntN(3)
-			s.event(Event{Kind: EventRequest, Request: request, Class: class, Key: uint64(request / 3), Left: settings.Classes[class].Deadline,
-				Hint: time.Duration(s.r.IntN(30)) * ms, Repeated: s.r.IntN(10) == 0})
+			s.event(Event{Kind: EventRequest, Request: request, Class: class, Key: uint64(request / 3), Remaining: settings.Classes[class].Deadline,
+				WorkHint: time.Duration(s.r.IntN(30)) * ms, ClientRetry: s.r.IntN(10) == 0})
 			request++
 		case p < 62:
 			s.outcome()
 		case p == 62:
-			s.event(Event{Kind: EventGone, Request: RequestID(s.r.IntN(int(request)))})
+			s.event(Event{Kind: EventClientGone, Request: RequestID(s.r.IntN(int(request)))})
 		case p == 63 && s.r.IntN(20) == 0:
 			s.list()
 		case p == 64 && s.r.IntN(20) == 0:
-			s.event(Event{Kind: EventCordon, Endpoint: EndpointID(1 + s.r.IntN(9)), Out: s.r.IntN(2) == 0})
+			s.event(Event{Kind: EventCordon, Endpoint: EndpointID(1 + s.r.IntN(9)), Cordoned: s.r.IntN(2) == 0})
 		}
 	}
 	if got := hex.EncodeToString(s.digest.Sum(nil)); got != recordedDecisions {
--- a/balance/repeat_test.go
+++ b/balance/repeat_test.go
@@ -35,7 +35,7 @@
 				w.servers(4, 0, 0, 1, 1)
 				w.run(10 * ms)
 				w.nextID++
-				w.event(Event{Kind: EventRequest, Request: w.nextID, Class: c.class, Left: 900 * ms, Endpoint: c.at, Ran: w.now - c.ago})
+				w.event(Event{Kind: EventRequest, Request: w.nextID, Class: c.class, Remaining: 900 * ms, Endpoint: c.at, EarlierAttemptAt: w.now - c.ago})
 				for i := range w.sends {
 					seen[w.sends[i].Endpoint] = true
 				}
--- a/balance/routing.go
+++ b/balance/routing.go
@@ -8,51 +8,51 @@
 )
 
 // binOf is the request's class and the share of its aim that is spent.
-func (b *Balancer) binOf(r *request) int {
-	spent := 1 - float64(r.aimAt-b.now)/float64(r.class.Aim)
+func (b *Balancer) binOf(request *requestState) int {
+	spent := 1 - float64(request.targetAt-b.now)/float64(request.class.TargetLatency)
 	k := 0
-	for k < len(spentEdges) && spent > spentEdges[k] {
+	for k < len(binEdges) && spent > binEdges[k] {
 		k++
 	}
-	return r.ci*spentBuckets + k
+	return request.classIndex*binsPerClass + k
 }
 
 // route draws from the bin's cached row, renormalised over the endpoints now eligible.
-func (b *Balancer) route(r *request) *server {
-	if len(b.servers) == 0 {
+func (b *Balancer) pickEndpoint(request *requestState) *endpointState {
+	if len(b.endpoints) == 0 {
 		return nil
 	}
-	held := 1 + float64(b.working)
-	if held > b.whole(r) && len(r.tries) == 0 {
+	held := 1 + float64(b.inFlight)
+	if held > b.allowedInFlight(request) && len(request.attempts) == 0 {
 		return nil
 	}
-	// Bounded loads: while some endpoint holds less than its share, one that holds more is passed over.
+	// CongestionAvoidance loads: while some endpoint holds less than its share, one that holds more is passed over.
 	// Chance alone would crowd a server now and then, and one that is crowded turns slow and stays so.
-	if s := b.draw(r, b.binOf(r), held); s != nil {
-		return s
+	if endpoint := b.drawEndpoint(request, b.binOf(request), held); endpoint != nil {
+		return endpoint
 	}
-	return b.draw(r, b.binOf(r), math.Inf(1))
+	return b.drawEndpoint(request, b.binOf(request), math.Inf(1))
 }
 
 // draw is one from a bin's row over those eligible that hold less than their share of held: the first of some
 // draws from the whole row that is one of these, or else, where they are few, one of a look through it all.
-func (b *Balancer) draw(r *request, bin int, held float64) *server {
-	most := min(held, limitSlack*b.limit)
+func (b *Balancer) drawEndpoint(request *requestState, bin int, held float64) *endpointState {
+	most := min(held, endpointLimitSlack*b.limit)
 	fits := func(i int) bool {
-		s := b.servers[i]
-		return float64(s.working) < max(1, math.Ceil(most*b.share[i])) && b.eligible(r, s)
+		endpoint := b.endpoints[i]
+		return float64(endpoint.inFlight) < max(1, math.Ceil(most*b.totalShare[i])) && b.eligible(request, endpoint)
 	}
-	for range drawTries {
-		if i, _ := slices.BinarySearch(b.sums[bin], b.rng.Float64()); i < len(b.servers) && fits(i) {
-			return b.servers[i]
+	for range maxDraws {
+		if i, _ := slices.BinarySearch(b.cumulativeRows[bin], b.random.Float64()); i < len(b.endpoints) && fits(i) {
+			return b.endpoints[i]
 		}
 	}
-	drawn, total := (*server)(nil), 0.0
-	for i, p := range b.table[bin] {
+	drawn, total := (*endpointState)(nil), 0.0
+	for i, p := range b.rows[bin] {
 		if p > 0 && fits(i) {
 			total += p
-			if b.rng.Float64()*total < p {
-				drawn = b.servers[i]
+			if b.random.Float64()*total < p {
+				drawn = b.endpoints[i]
 			}
 		}
 	}
@@ -60,9 +60,9 @@
 }
 
 // eligible tells whether an endpoint can take a request, by what is known this moment.
-func (b *Balancer) eligible(r *request, s *server) bool {
-	if !s.used || (!b.healthy(s) && !b.crisis) || (s.trial && len(s.held) > 0) {
+func (b *Balancer) eligible(request *requestState, endpoint *endpointState) bool {
+	if !endpoint.inSubset || (!b.healthy(endpoint) && !b.panicMode) || (endpoint.halfOpen && len(endpoint.pending) > 0) {
 		return false
 	}
-	return b.allowed(r, s) && !slices.ContainsFunc(r.tries, func(a attempt) bool { return a.server == s })
+	return b.canSend(request, endpoint) && !slices.ContainsFunc(request.attempts, func(a attemptState) bool { return a.endpoint == endpoint })
 }
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -9,7 +9,7 @@
 func TestOneAnswerInTime(t *testing.T) {
 	s := testSettings()
 	for i := range s.Classes {
-		s.Classes[i].LateWorth = 0.5 // worth waiting for up to the deadline itself
+		s.Classes[i].LateValue = 0.5 // worth waiting for up to the deadline itself
 	}
 	for _, class := range []int{safeClass, keyedClass, unsafeClass} {
 		for _, n := range []int{0, 1, 3} {
@@ -39,22 +39,24 @@
 	w := newWorld(t, testSettings(), 1)
 	w.servers(1)
 	w.run(50 * ms)
-	s := w.b.servers[0]
-	ready := func() *request { return &request{class: w.b.classes[safeClass], till: w.now + time.Second, most: 4} }
+	endpoint := w.b.endpoints[0]
+	ready := func() *requestState {
+		return &requestState{class: w.b.classes[safeClass], usefulUntil: w.now + time.Second, maxAttempts: 4}
+	}
 	for name, c := range map[string]struct {
-		spoil func(*request)
+		spoil func(*requestState)
 		want  bool
 	}{
-		"fresh":            {func(*request) {}, true},
-		"answered":         {func(r *request) { r.done = true }, false},
-		"at its deadline":  {func(r *request) { r.till = w.now + w.b.margin() }, false},
-		"just before":      {func(r *request) { r.till = w.now + w.b.margin() + 1 }, true},
-		"out of attempts":  {func(r *request) { r.tries = make([]attempt, w.b.set.MaxAttempts) }, false},
-		"one attempt left": {func(r *request) { r.tries = make([]attempt, w.b.set.MaxAttempts-1) }, true},
+		"fresh":            {func(*requestState) {}, true},
+		"answered":         {func(request *requestState) { request.done = true }, false},
+		"at its deadline":  {func(request *requestState) { request.usefulUntil = w.now + w.b.responseMargin() }, false},
+		"just before":      {func(request *requestState) { request.usefulUntil = w.now + w.b.responseMargin() + 1 }, true},
+		"out of attempts":  {func(request *requestState) { request.attempts = make([]attemptState, w.b.settings.MaxAttempts) }, false},
+		"one attempt left": {func(request *requestState) { request.attempts = make([]attemptState, w.b.settings.MaxAttempts-1) }, true},
 	} {
-		r := ready()
-		c.spoil(r)
-		if got := w.b.allowed(r, s); got != c.want {
+		request := ready()
+		c.spoil(request)
+		if got := w.b.canSend(request, endpoint); got != c.want {
 			t.Errorf("%s: allowed %v, want %v", name, got, c.want)
 		}
 	}
@@ -65,12 +67,12 @@
 func TestEndsAtTheAim(t *testing.T) {
 	for _, late := range []float64{0, 0.5} {
 		s := testSettings()
-		s.Classes[unsafeClass].LateWorth = late
+		s.Classes[unsafeClass].LateValue = late
 		w := newWorld(t, s, 1)
 		w.servers(2)
 		id := w.request(unsafeClass)
 		w.run(400 * ms)
-		if ended := w.answers[id] == 1 && w.b.reqs[id] == nil; ended != (late == 0) {
+		if ended := w.answers[id] == 1 && w.b.requests[id] == nil; ended != (late == 0) {
 			t.Errorf("late worth %.1f: ended at the aim with its attempt withdrawn: %v", late, ended)
 		}
 	}
@@ -80,8 +82,8 @@
 	for _, left := range []time.Duration{0, ms, 12 * ms} {
 		w := newWorld(t, testSettings(), 1)
 		w.servers(2)
-		w.event(Event{Kind: EventRequest, Request: 7, Left: left})
-		if len(w.sends) != 0 || w.answer[7].Kind != ActRefuse {
+		w.event(Event{Kind: EventRequest, Request: 7, Remaining: left})
+		if len(w.sends) != 0 || w.answer[7].Kind != ActReject {
 			t.Errorf("with %v left: %d sends, answer %v; want refused unsent", left, len(w.sends), w.answer[7].Kind)
 		}
 	}
@@ -91,10 +93,10 @@
 	w := newWorld(t, testSettings(), 1)
 	w.servers(3)
 	id := w.request(safeClass)
-	w.event(Event{Kind: EventGone, Request: id})
+	w.event(Event{Kind: EventClientGone, Request: id})
 	sent := len(w.sends)
 	w.end(0, Error, 30*ms)
-	w.event(Event{Kind: EventGone, Request: id}) // an id no longer held is passed over
+	w.event(Event{Kind: EventClientGone, Request: id}) // an id no longer held is passed over
 	w.run(2 * time.Second)
 	if len(w.sends) != sent || w.answers[id] != 0 {
 		t.Errorf("%d sends and %d answers after the client left", len(w.sends)-sent, w.answers[id])
@@ -127,15 +129,15 @@
 	}{
 		{safeClass, Error, nil, 30 * ms, retried},
 		{safeClass, Reset, nil, 30 * ms, retried},
-		{safeClass, Full, nil, 30 * ms, retried},
-		{unsafeClass, Full, nil, 30 * ms, retried},
+		{safeClass, Rejected, nil, 30 * ms, retried},
+		{unsafeClass, Rejected, nil, 30 * ms, retried},
 		{unsafeClass, ConnectFailed, nil, 30 * ms, retried},
-		{unsafeClass, Moot, nil, 30 * ms, retried},
+		{unsafeClass, NotSent, nil, 30 * ms, retried},
 		{unsafeClass, Error, nil, 30 * ms, failed},
 		{unsafeClass, Timeout, nil, 30 * ms, failed},
 		{unsafeClass, Reset, nil, 30 * ms, failed},
 		{unsafeClass, Cancelled, nil, 30 * ms, failed},
-		{keyedClass, Full, []int{1, 2, 3}, 30 * ms, retried},
+		{keyedClass, Rejected, []int{1, 2, 3}, 30 * ms, retried},
 		{keyedClass, Error, []int{1, 1, 1}, 30 * ms, retried},
 		{keyedClass, Error, []int{1, 2, 3}, 30 * ms, failed},
 		{keyedClass, Timeout, []int{1, 2, 3}, 30 * ms, failed},
@@ -165,30 +167,30 @@
 // TestEffectAllows checks the guard itself at the edges of group and memory.
 func TestEffectAllows(t *testing.T) {
 	w := newWorld(t, testSettings(), 1)
-	here := &server{Entry: Entry{Endpoint: 1, Cell: 1}}
+	here := &endpointState{Entry: Entry{Endpoint: 1, Cell: 1}}
 	for _, c := range []struct {
 		name string
-		r    request
+		r    requestState
 		to   Entry
 		age  time.Duration
 		want bool
 	}{
-		{"unsafe, may have run", request{class: &class{Class: Class{Effect: Unsafe}}}, here.Entry, 0, false},
-		{"cell, same", request{class: w.b.classes[keyedClass]}, Entry{Cell: 1}, 0, true},
-		{"cell, other", request{class: w.b.classes[keyedClass]}, Entry{Cell: 2}, 0, false},
-		{"cell, just remembered", request{class: w.b.classes[keyedClass]}, Entry{Cell: 1}, 580 * ms, true},
-		{"cell, just forgotten", request{class: w.b.classes[keyedClass]}, Entry{Cell: 1}, 600 * ms, false},
-		{"zone, same", request{class: &class{Class: Class{Effect: Keyed, Scope: ScopeZone, Memory: time.Second}}}, Entry{Cell: 9}, 0, true},
-		{"zone, other", request{class: &class{Class: Class{Effect: Keyed, Scope: ScopeZone, Memory: time.Second}}}, Entry{Zone: 1}, 0, false},
-		{"all", request{class: &class{Class: Class{Effect: Keyed, Scope: ScopeAll, Memory: time.Second}}}, Entry{Zone: 1, Cell: 5}, 0, true},
+		{"unsafe, may have run", requestState{class: &classState{Class: Class{Idempotency: NonIdempotent}}}, here.Entry, 0, false},
+		{"cell, same", requestState{class: w.b.classes[keyedClass]}, Entry{Cell: 1}, 0, true},
+		{"cell, other", requestState{class: w.b.classes[keyedClass]}, Entry{Cell: 2}, 0, false},
+		{"cell, just remembered", requestState{class: w.b.classes[keyedClass]}, Entry{Cell: 1}, 580 * ms, true},
+		{"cell, just forgotten", requestState{class: w.b.classes[keyedClass]}, Entry{Cell: 1}, 600 * ms, false},
+		{"zone, same", requestState{class: &classState{Class: Class{Idempotency: IdempotentByKey, Scope: ScopeZone, DedupWindow: time.Second}}}, Entry{Cell: 9}, 0, true},
+		{"zone, other", requestState{class: &classState{Class: Class{Idempotency: IdempotentByKey, Scope: ScopeZone, DedupWindow: time.Second}}}, Entry{Zone: 1}, 0, false},
+		{"all", requestState{class: &classState{Class: Class{Idempotency: IdempotentByKey, Scope: ScopeAll, DedupWindow: time.Second}}}, Entry{Zone: 1, Cell: 5}, 0, true},
 	} {
-		w.b.now, w.b.tick = time.Hour, 10*ms
-		c.r.tries = []attempt{{server: here, sentAt: w.b.now - c.age, mayHave: true}}
-		if got := w.b.effectAllows(&c.r, &server{Entry: c.to}); got != c.want {
+		w.b.now, w.b.tickInterval = time.Hour, 10*ms
+		c.r.attempts = []attemptState{{endpoint: here, sentAt: w.b.now - c.age, mayHaveRun: true}}
+		if got := w.b.idempotencyAllows(&c.r, &endpointState{Entry: c.to}); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
-		c.r.tries[0].mayHave = false
-		if !w.b.effectAllows(&c.r, &server{Entry: c.to}) {
+		c.r.attempts[0].mayHaveRun = false
+		if !w.b.idempotencyAllows(&c.r, &endpointState{Entry: c.to}) {
 			t.Errorf("%s: forbidden though nothing can have run", c.name)
 		}
 	}
@@ -197,11 +199,11 @@
 // TestMemoryRunsFromTheFirstSend: a later attempt does not renew what the group remembers.
 func TestMemoryRunsFromTheFirstSend(t *testing.T) {
 	w := newWorld(t, testSettings(), 1)
-	w.b.now, w.b.tick = time.Hour, 10*ms
-	s := &server{Entry: Entry{Cell: 1}}
-	r := request{class: w.b.classes[keyedClass], tries: []attempt{
-		{server: s, sentAt: w.b.now - 650*ms, mayHave: true}, {server: s, sentAt: w.b.now - 100*ms, mayHave: true}}}
-	if w.b.effectAllows(&r, s) {
+	w.b.now, w.b.tickInterval = time.Hour, 10*ms
+	endpoint := &endpointState{Entry: Entry{Cell: 1}}
+	r := requestState{class: w.b.classes[keyedClass], attempts: []attemptState{
+		{endpoint: endpoint, sentAt: w.b.now - 650*ms, mayHaveRun: true}, {endpoint: endpoint, sentAt: w.b.now - 100*ms, mayHaveRun: true}}}
+	if w.b.idempotencyAllows(&r, endpoint) {
 		t.Error("sent again after the group has forgotten the first attempt")
 	}
 }
@@ -211,10 +213,10 @@
 	s := testSettings()
 	s.ConnectTimeout = 200 * ms
 	w := newWorld(t, s, 1)
-	w.b.now, w.b.tick = time.Hour, 10*ms
+	w.b.now, w.b.tickInterval = time.Hour, 10*ms
 	for ago, want := range map[time.Duration]bool{300 * ms: true, 450 * ms: false} { // of 600 that it is remembered
-		r := request{class: w.b.classes[keyedClass], tries: []attempt{{server: &server{}, sentAt: w.b.now - ago, mayHave: true}}}
-		if got := w.b.effectAllows(&r, &server{}); got != want {
+		r := requestState{class: w.b.classes[keyedClass], attempts: []attemptState{{endpoint: &endpointState{}, sentAt: w.b.now - ago, mayHaveRun: true}}}
+		if got := w.b.idempotencyAllows(&r, &endpointState{}); got != want {
 			t.Errorf("%v after the first: may be sent again is %v, want %v", ago, got, want)
 		}
 	}
@@ -222,7 +224,7 @@
 
 func TestNoSecondCopyWhereForbidden(t *testing.T) {
 	s := testSettings()
-	s.SecondCopies = false
+	s.Hedging = false
 	w := newWorld(t, s, 1)
 	w.servers(3)
 	w.request(safeClass)
@@ -262,18 +264,18 @@
 }
 
 // TestDiscoveryIsAsked: where discovery must be asked, an instance without a subscription counts as
-// told of what was listed MustAskIn ago, so it has to ask before, also after every failure.
+// told of what was listed MaxListAge ago, so it has to ask before, also after every failure.
 func TestDiscoveryIsAsked(t *testing.T) {
 	s := testSettings()
-	s.MustAsk = true
+	s.PollsDiscovery = true
 	w := newWorld(t, s, 3)
 	w.list(ListCached, Entry{Endpoint: 1, State: Ready, Weight: 1})
 	last, asked := w.now, 0
 	for range 6000 {
 		w.run(10 * ms)
 		for _, a := range w.other {
-			if a.Kind == ActWatch {
-				if w.now-last >= s.MustAskIn {
+			if a.Kind == ActSubscribe {
+				if w.now-last >= s.MaxListAge {
 					t.Fatalf("%v between two calls", w.now-last)
 				}
 				last, asked = w.now, asked+1
@@ -287,7 +289,7 @@
 	if asked < 6 {
 		t.Errorf("asked %d times in a minute of failures", asked)
 	}
-	w.run(s.MustAskIn)
+	w.run(s.MaxListAge)
 	w.list(ListDelta)
 	w.other = nil
 	w.run(30 * time.Second)
@@ -295,7 +297,7 @@
 		t.Errorf("asked again while subscribed: %v", w.other)
 	}
 	w.list(ListFailed) // the subscription dropped
-	w.run(s.MustAskIn - ms)
+	w.run(s.MaxListAge - ms)
 	if len(w.other) == 0 {
 		t.Error("did not subscribe again after the subscription dropped")
 	}
@@ -326,7 +328,7 @@
 		warm := 0.0
 		started := ws[0].now
 		for _, w := range ws {
-			w.list(ListDelta, Entry{Endpoint: 5, State: Ready, Weight: 1, UpSince: started})
+			w.list(ListDelta, Entry{Endpoint: 5, State: Ready, Weight: 1, StartedAt: started})
 			first, done := len(w.sends), len(w.sends)
 			for range int(5 * time.Second / (5 * ms)) {
 				w.request(safeClass)
@@ -350,12 +352,12 @@
 		for from := time.Duration(0); from < 4*time.Second; from += 50 * ms {
 			n := 0
 			for _, x := range at {
-				if x >= from && x < from+s.FallWindow {
+				if x >= from && x < from+s.CollapseWindow {
 					n++
 				}
 			}
-			share := s.ColdShare + (1-s.ColdShare)*float64(from)/float64(s.ColdFor)
-			if budget := s.FallMultiple * share * capacity * s.FallWindow.Seconds(); float64(n) > budget {
+			share := s.WarmupInitialShare + (1-s.WarmupInitialShare)*float64(from)/float64(s.WarmupDuration)
+			if budget := s.CollapseMultiple * share * capacity * s.CollapseWindow.Seconds(); float64(n) > budget {
 				t.Errorf("%d instances: %d sent in the window from %v, budget %.1f", instances, n, from, budget)
 			}
 		}
--- a/balance/sending.go
+++ b/balance/sending.go
@@ -8,43 +8,43 @@
 	"pinelb.example/pinelb/balance/warmup"
 )
 
-func (b *Balancer) send(r *request, s *server) bool {
-	if s == nil || !b.allowed(r, s) {
+func (b *Balancer) send(request *requestState, endpoint *endpointState) bool {
+	if endpoint == nil || !b.canSend(request, endpoint) {
 		return false
 	}
-	if b.isCold(s) {
-		s.cold.Spend()
+	if b.isWarmingUp(endpoint) {
+		endpoint.warmup.Spend()
 	}
-	r.tries = append(r.tries, attempt{server: s, sentAt: b.now, open: true, mayHave: true})
-	r.out++
-	s.held = append(s.held, sent{request: r, at: b.now, ran: b.ran()})
-	b.count(s, r.work())
-	b.sent.add(1)
-	b.do(Action{Kind: ActSend, Request: r.id, Endpoint: s.Endpoint, Worth: r.worth(),
-		After: r.deadline - b.now})
+	request.attempts = append(request.attempts, attemptState{endpoint: endpoint, sentAt: b.now, open: true, mayHaveRun: true})
+	request.openAttempts++
+	endpoint.pending = append(endpoint.pending, pendingAttempt{request: request, sentAt: b.now, sentAtRunTime: b.runTime()})
+	b.addInFlight(endpoint, request.load())
+	b.sends.add(1)
+	b.emit(Action{Kind: ActSend, Request: request.id, Endpoint: endpoint.Endpoint, ValueShare: request.valueShare(),
+		After: request.deadline - b.now})
 	return true
 }
 
 // allowed holds every rule that forbids sending this request to this endpoint now.
-func (b *Balancer) allowed(r *request, s *server) bool {
+func (b *Balancer) canSend(request *requestState, endpoint *endpointState) bool {
 	switch {
-	case r.done || !b.inTime(r) || len(r.tries) >= r.most:
+	case request.done || !b.canFinishInTime(request) || len(request.attempts) >= request.maxAttempts:
 		return false
-	case !s.listed: // draining or gone: the grace is not used
+	case !endpoint.available: // draining or gone: the grace is not used
 		return false
-	case r.out > 0 && (!b.set.SecondCopies || r.once):
+	case request.openAttempts > 0 && (!b.settings.Hedging || request.singleAttempt):
 		return false
-	case b.isCold(s) && !s.cold.Ready(b.now):
+	case b.isWarmingUp(endpoint) && !endpoint.warmup.Ready(b.now):
 		return false
 	}
-	return r.class.Effect == Safe || b.effectAllows(r, s)
+	return request.class.Idempotency == Idempotent || b.idempotencyAllows(request, endpoint)
 }
 
-// effectAllows keeps an effect from happening twice.
-func (b *Balancer) effectAllows(r *request, s *server) bool {
-	for a := range r.ran {
-		if !b.repeatable(r, a) || r.class.Scope == ScopeZone && a.server.Zone != s.Zone ||
-			r.class.Scope == ScopeCell && (a.server.Cell != s.Cell || a.server.Zone != s.Zone) {
+// idempotencyAllows keeps an effect from happening twice.
+func (b *Balancer) idempotencyAllows(request *requestState, endpoint *endpointState) bool {
+	for attempt := range request.mayHaveRun {
+		if !b.withinDedupWindow(request, attempt) || request.class.Scope == ScopeZone && attempt.endpoint.Zone != endpoint.Zone ||
+			request.class.Scope == ScopeCell && (attempt.endpoint.Cell != endpoint.Cell || attempt.endpoint.Zone != endpoint.Zone) {
 			return false
 		}
 	}
@@ -52,34 +52,36 @@
 }
 
 // repeatable tells whether a repeat of what an attempt may have done will come in time to be dropped.
-func (b *Balancer) repeatable(r *request, a *attempt) bool {
-	return r.class.Effect == Keyed && b.now < a.sentAt+r.class.Memory-b.set.ConnectTimeout-b.margin()
+func (b *Balancer) withinDedupWindow(request *requestState, attempt *attemptState) bool {
+	return request.class.Idempotency == IdempotentByKey && b.now < attempt.sentAt+request.class.DedupWindow-b.settings.ConnectTimeout-b.responseMargin()
 }
 
-func (b *Balancer) isCold(s *server) bool { return s.UpSince > 0 && b.now < s.UpSince+b.set.ColdFor }
+func (b *Balancer) isWarmingUp(endpoint *endpointState) bool {
+	return endpoint.StartedAt > 0 && b.now < endpoint.StartedAt+b.settings.WarmupDuration
+}
 
-// earnCold has an answer earn sends to the cold servers like the one that gave it; see package warmup.
-func (b *Balancer) earnCold(from *server) {
-	if b.site.Share < 1 && b.able == float64(len(b.ready)) { // none is cold
+// earnWarmupSends has an answer earn sends to the cold servers like the one that gave it; see package warmup.
+func (b *Balancer) earnWarmupSends(from *endpointState) {
+	if b.warmupConfig.Share < 1 && b.capacity == float64(len(b.readyEndpoints)) { // none is cold
 		return
 	}
 	all := 0.0 // of those that answer: what is dead or hangs would take a part of the gain away for nothing
-	for _, s := range b.servers {
-		if s.group == from.group && (s == from || b.crisis || b.healthy(s)) {
-			all += b.site.Capacity(b.age(s))
+	for _, endpoint := range b.endpoints {
+		if endpoint.group == from.group && (endpoint == from || b.panicMode || b.healthy(endpoint)) {
+			all += b.warmupConfig.Capacity(b.uptime(endpoint))
 		}
 	}
-	for _, s := range b.servers {
-		if s.listed && s.group == from.group && b.isCold(s) {
-			s.cold.Answered(b.now, warmup.Gain*b.site.Capacity(b.age(s))/all, b.rng.Float64())
+	for _, endpoint := range b.endpoints {
+		if endpoint.available && endpoint.group == from.group && b.isWarmingUp(endpoint) {
+			endpoint.warmup.Answered(b.now, warmup.Gain*b.warmupConfig.Capacity(b.uptime(endpoint))/all, b.random.Float64())
 		}
 	}
 }
 
 // age is how long a server has been up; one that says nothing of it has been for long.
-func (b *Balancer) age(s *server) time.Duration {
-	if s.UpSince == 0 {
-		return b.set.ColdFor
+func (b *Balancer) uptime(endpoint *endpointState) time.Duration {
+	if endpoint.StartedAt == 0 {
+		return b.settings.WarmupDuration
 	}
-	return b.now - s.UpSince
+	return b.now - endpoint.StartedAt
 }
--- a/balance/settings_test.go
+++ b/balance/settings_test.go
@@ -16,7 +16,7 @@
 		w := newWorld(t, set, rapid.Uint64().Draw(rt, "seed"))
 		w.servers(4)
 		type held struct {
-			effect Effect
+			effect Idempotency
 			most   int // sends that there may be yet
 			sent   int
 			mayRun bool
@@ -30,8 +30,8 @@
 					set.Classes = append(set.Classes, set.Classes[0])
 				}
 				i := rapid.IntRange(0, len(set.Classes)-1).Draw(rt, "changes")
-				set.Classes[i].Effect = Effect(rapid.IntRange(0, 2).Draw(rt, "effect"))
-				set.Classes[i].Memory = 600 * ms
+				set.Classes[i].Idempotency = Idempotency(rapid.IntRange(0, 2).Draw(rt, "effect"))
+				set.Classes[i].DedupWindow = 600 * ms
 				set.MaxAttempts = rapid.IntRange(1, 4).Draw(rt, "attempts")
 				set.Instances = rapid.IntRange(1, 3).Draw(rt, "instances")
 				changed := set
@@ -41,11 +41,11 @@
 				}
 			case 1, 2:
 				class := rapid.IntRange(0, len(set.Classes)-1).Draw(rt, "class")
-				open[w.nextID+1] = &held{effect: set.Classes[class].Effect, most: set.MaxAttempts}
+				open[w.nextID+1] = &held{effect: set.Classes[class].Idempotency, most: set.MaxAttempts}
 				w.request(class)
 			case 3, 4:
 				if ended < len(w.sends) {
-					status := rapid.SampledFrom([]Status{OK, Error, Full, ConnectFailed, Reset}).Draw(rt, "status")
+					status := rapid.SampledFrom([]Status{OK, Error, Rejected, ConnectFailed, Reset}).Draw(rt, "status")
 					h := open[w.sends[ended].Request]
 					h.mayRun = h.mayRun || status == Error || status == Reset
 					w.end(ended, status, 20*ms)
@@ -68,10 +68,10 @@
 					rt.Fatalf("request %d has had %d attempts, %d too many", id, n[id], -h.most)
 				}
 				h.sent = n[id]
-				if r := w.b.reqs[id]; r != nil && r.class.Effect != h.effect {
-					rt.Fatalf("request %d has effect %d, came with %d", id, r.class.Effect, h.effect)
+				if request := w.b.requests[id]; request != nil && request.class.Idempotency != h.effect {
+					rt.Fatalf("request %d has effect %d, came with %d", id, request.class.Idempotency, h.effect)
 				}
-				if h.effect == Unsafe && h.mayRun && n[id] > 0 && w.b.reqs[id] != nil && !w.b.reqs[id].done {
+				if h.effect == NonIdempotent && h.mayRun && n[id] > 0 && w.b.requests[id] != nil && !w.b.requests[id].done {
 					rt.Fatalf("unsafe request %d goes on though it may have run", id)
 				}
 			}
@@ -88,14 +88,14 @@
 // Guards against a change of the settings that forgets what was learned of classes that stay.
 func TestSettingsKeepWhatWasLearned(t *testing.T) {
 	w := taught(t, 1)
-	before := w.b.Learned()
+	before := w.b.LearnedState()
 	set := testSettings()
 	set.Classes = append(set.Classes, set.Classes[0])
 	set.MaxAttempts = 2
 	w.event(Event{Kind: EventSettings, Settings: &set})
-	after := w.b.Learned()
-	if after.Limit != before.Limit || len(after.Classes) != 4 || after.Classes[0].Delay != before.Classes[0].Delay ||
-		after.Fleet.Paces[1] != before.Fleet.Paces[1] || after.Hosts[0].Delay != before.Hosts[0].Delay {
+	after := w.b.LearnedState()
+	if after.Limit != before.Limit || len(after.Classes) != 4 || after.Classes[0].Latency != before.Classes[0].Latency ||
+		after.Detector.Paces[1] != before.Detector.Paces[1] || after.Endpoints[0].Latency != before.Endpoints[0].Latency {
 		t.Errorf("before\n%+v\nafter\n%+v", before, after)
 	}
 	id := w.request(3)
@@ -108,17 +108,17 @@
 // endpoint's trickle is shared, and what is left alone has the whole again.
 func TestProcessesShare(t *testing.T) {
 	w := taught(t, 1)
-	limit, users := w.b.limit, w.b.users
+	limit, users := w.b.limit, w.b.instancesPerEndpoint
 	set := testSettings()
 	set.Processes = 2
 	w.event(Event{Kind: EventSettings, Settings: &set})
-	if w.b.limit != limit/2 || w.b.users != 2*users {
-		t.Errorf("beside another the limit is %v of %v, and %v use an endpoint of %v", w.b.limit, limit, w.b.users, users)
+	if w.b.limit != limit/2 || w.b.instancesPerEndpoint != 2*users {
+		t.Errorf("beside another the limit is %v of %v, and %v use an endpoint of %v", w.b.limit, limit, w.b.instancesPerEndpoint, users)
 	}
 	next := newWorld(t, set, 2)
 	next.now = w.now
 	next.servers(5)
-	next.b.Learn(next.now, w.b.Learned())
+	next.b.Restore(next.now, w.b.LearnedState())
 	if both := w.b.limit + next.b.limit; both != limit {
 		t.Errorf("both together have %v, want the %v of one", both, limit)
 	}
--- a/balance/silent_test.go
+++ b/balance/silent_test.go
@@ -10,9 +10,9 @@
 func TestTrialThatRunsOutOfTime(t *testing.T) {
 	w := newWorld(t, testSettings(), 1)
 	w.servers(6)
-	bad := w.b.servers[0]
+	bad := w.b.endpoints[0]
 	w.b.eject(bad)
-	w.run(bad.backoff + 10*ms)
+	w.run(bad.ejectionBackoff + 10*ms)
 	for range 200 { // until the trial has one, which is never answered
 		n := len(w.sends)
 		w.request(unsafeClass)
@@ -22,12 +22,12 @@
 		w.run(10 * ms)
 		w.end(n, OK, 10*ms)
 	}
-	if len(bad.held) != 1 {
+	if len(bad.pending) != 1 {
 		t.Fatal("the trial was given nothing")
 	}
-	w.run(w.b.set.Classes[unsafeClass].Deadline)
-	if w.now-time.Hour > 10*time.Second || bad.backoff != 2*ejectFirst || bad.ejected <= w.now-ejectFirst {
-		t.Errorf("after a trial that ran out of time it is left out for %v", bad.backoff)
+	w.run(w.b.settings.Classes[unsafeClass].Deadline)
+	if w.now-time.Hour > 10*time.Second || bad.ejectionBackoff != 2*baseEjectionTime || bad.ejectedUntil <= w.now-baseEjectionTime {
+		t.Errorf("after a trial that ran out of time it is left out for %v", bad.ejectionBackoff)
 	}
 }
 
@@ -36,21 +36,21 @@
 func TestRateLeavesWithTheHosts(t *testing.T) {
 	w := newWorld(t, testSettings(), 1)
 	w.servers(16)
-	w.b.uncrowded, w.b.known, w.b.limit, w.b.served = 0.2, true, 40, average{500, 500 * 0.4}
-	before := w.b.served.sum
+	w.b.baseline, w.b.baselineKnown, w.b.limit, w.b.responses = 0.2, true, 40, decayedMean{500, 500 * 0.4}
+	before := w.b.responses.sum
 	w.servers(8)
-	if part := w.b.served.sum / before; part < 0.49 || part > 0.51 {
+	if part := w.b.responses.sum / before; part < 0.49 || part > 0.51 {
 		t.Errorf("of the rate, %.2f is left with half of the hosts", part)
 	}
 	for range 20 { // a crowd in which all is late
-		for range 2 * int(limitWindow) {
-			w.b.window.add(1)
+		for range 2 * int(minLimitResponses) {
+			w.b.latencyWindow.add(1)
 		}
-		w.b.now += maintainEvery
+		w.b.now += maintenanceInterval
 		w.b.adaptLimit()
 	}
-	floor := rateSlack * crowdedSoon * before / memory // of all 16
-	if w.b.limit > 0.55*floor && w.b.limit > w.b.part(limitLeast)+0.01 {
+	floor := rateSlack * earlyCongestionShare * before / decaySeconds // of all 16
+	if w.b.limit > 0.55*floor && w.b.limit > w.b.instancePart(minLimit)+0.01 {
 		t.Errorf("the limit stays at %.1f, with a floor of %.1f for twice as many hosts", w.b.limit, floor)
 	}
 }
@@ -64,12 +64,12 @@
 	}{{0.25, false}, {0.3, false}, {0.4, true}} {
 		w := newWorld(t, testSettings(), 1)
 		w.servers(16)
-		w.b.uncrowded, w.b.known = 0.25, true
+		w.b.baseline, w.b.baselineKnown = 0.25, true
 		before := w.b.limit
-		for range 2 * int(limitWindow) {
-			w.b.window.add(c.taken)
+		for range 2 * int(minLimitResponses) {
+			w.b.latencyWindow.add(c.taken)
 		}
-		w.b.now += maintainEvery
+		w.b.now += maintenanceInterval
 		w.b.adaptLimit()
 		if cut := w.b.limit < before; cut != c.cut {
 			t.Errorf("answers that take %.2f of their aim, 0.25 uncrowded: limit %.0f to %.0f", c.taken, before, w.b.limit)
--- a/balance/solve_test.go
+++ b/balance/solve_test.go
@@ -33,7 +33,7 @@
 		{[]float64{3}, []float64{1}},
 	} {
 		got := append([]float64(nil), c.in...)
-		project(got)
+		projectToSimplex(got)
 		for i := range got {
 			if math.Abs(got[i]-c.want[i]) > 1e-12 {
 				t.Errorf("project(%v) = %v, want %v", c.in, got, c.want)
@@ -46,7 +46,7 @@
 func TestEvenBeforeTheFirstSolve(t *testing.T) {
 	w := newWorld(t, testSettings(), 1)
 	w.servers(4)
-	for _, row := range w.b.table {
+	for _, row := range w.b.rows {
 		if !reflect.DeepEqual(row, []float64{0.25, 0.25, 0.25, 0.25}) {
 			t.Fatalf("row %v before any solve", row)
 		}
@@ -79,8 +79,8 @@
 		w := newWorld(t, testSettings(), 2)
 		w.servers(3)
 		teach(w)
-		rowIsOnSimplex(t, w.b.table)
-		if s := w.b.share; s[0] >= s[1] || s[0] >= s[2] {
+		rowIsOnSimplex(t, w.b.rows)
+		if s := w.b.totalShare; s[0] >= s[1] || s[0] >= s[2] {
 			t.Errorf("%s: shares %v, want the first one least", name, s)
 		}
 	}
@@ -96,7 +96,7 @@
 		if i%2 == 1 {
 			left = 700 * ms
 		}
-		w.event(Event{Kind: EventRequest, Request: w.nextID, Class: safeClass, Left: left})
+		w.event(Event{Kind: EventRequest, Request: w.nextID, Class: safeClass, Remaining: left})
 		d := 60 * ms
 		if w.sends[len(w.sends)-1].Endpoint == 1 {
 			d = 250 * ms
@@ -104,8 +104,8 @@
 		w.run(d)
 		w.end(len(w.sends)-1, OK, d)
 	}
-	fresh, spent := w.b.table[safeClass*spentBuckets], w.b.table[safeClass*spentBuckets+spentBuckets-1]
-	rowIsOnSimplex(t, w.b.table)
+	fresh, spent := w.b.rows[safeClass*binsPerClass], w.b.rows[safeClass*binsPerClass+binsPerClass-1]
+	rowIsOnSimplex(t, w.b.rows)
 	if !(spent[0] < fresh[0]) {
 		t.Errorf("slow server's share is %g for calls short of time and %g for others", spent[0], fresh[0])
 	}
@@ -132,16 +132,16 @@
 func TestSolveDoesNotSwing(t *testing.T) {
 	w := newWorld(t, testSettings(), 2)
 	w.servers(4)
-	for _, s := range w.b.servers {
-		s.delay = average{50, 50 * 0.18}
-		s.util = report{0.95, true}
+	for _, endpoint := range w.b.endpoints {
+		endpoint.latency = decayedMean{50, 50 * 0.18}
+		endpoint.utilisation = loadValue{0.95, true}
 	}
 	for range 10 {
 		w.b.solve()
-		rowIsOnSimplex(t, w.b.table)
-		for i, p := range w.b.share {
+		rowIsOnSimplex(t, w.b.rows)
+		for i, p := range w.b.totalShare {
 			if math.Abs(p-0.25) > 0.05 {
-				t.Fatalf("like servers' shares %v, server %d", w.b.share, i)
+				t.Fatalf("like servers' shares %v, server %d", w.b.totalShare, i)
 			}
 		}
 	}
@@ -151,11 +151,11 @@
 	w := newWorld(t, testSettings(), 4)
 	w.servers(3)
 	row := []float64{0.6, 0.3, 0.1}
-	for k := range w.b.table {
-		w.b.table[k] = row
+	for k := range w.b.rows {
+		w.b.rows[k] = row
 	}
-	w.b.share = row
-	w.b.sumRows()
+	w.b.totalShare = row
+	w.b.accumulateRows()
 	n := map[EndpointID]float64{}
 	for range 3000 {
 		w.b.limit = 100 // holds nothing back, and nothing is held: the draw alone decides
@@ -178,9 +178,9 @@
 	for range 12 {
 		w.request(safeClass)
 	}
-	for _, s := range w.b.servers {
-		if len(s.held) != 3 {
-			t.Errorf("server %d holds %d of 12 requests on four like servers", s.Endpoint, len(s.held))
+	for _, endpoint := range w.b.endpoints {
+		if len(endpoint.pending) != 3 {
+			t.Errorf("server %d holds %d of 12 requests on four like servers", endpoint.Endpoint, len(endpoint.pending))
 		}
 	}
 }
@@ -196,7 +196,7 @@
 			w.request(i % 3)
 			w.run(15 * ms)
 			if i%4 != 0 {
-				w.end(len(w.sends)-1, []Status{OK, OK, Error, Full}[i%4], 15*ms)
+				w.end(len(w.sends)-1, []Status{OK, OK, Error, Rejected}[i%4], 15*ms)
 			}
 		}
 		return append(w.sends, w.other...)
@@ -244,7 +244,7 @@
 				sent = 0
 			}
 			if i%250 == 0 {
-				rowIsOnSimplex(t, w.b.table)
+				rowIsOnSimplex(t, w.b.rows)
 			}
 		}
 		if sent < 600 { // of 750
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -13,8 +13,8 @@
 
 // Guards against a bound on handshakes that counts other users of a host than there are.
 func TestHandshakeLimitCountsTheSameUsers(t *testing.T) {
-	if pacing.UsedLeast != usedLeast || pacing.UsersWanted != usersWanted {
-		t.Errorf("package pace counts by %d and %d, this one chooses by %d and %d", pacing.UsedLeast, pacing.UsersWanted, usedLeast, usersWanted)
+	if pacing.UsedLeast != minSubsetSize || pacing.UsersWanted != targetInstancesPerEndpoint {
+		t.Errorf("package pace counts by %d and %d, this one chooses by %d and %d", pacing.UsedLeast, pacing.UsersWanted, minSubsetSize, targetInstancesPerEndpoint)
 	}
 }
 
@@ -24,12 +24,12 @@
 	for _, c := range []struct{ instances, servers, least, most int }{
 		{1, 10, 1, 1},
 		{2, 17, 2, 2},
-		{10, 15, usersWanted - 1, usersWanted + 1},
+		{10, 15, targetInstancesPerEndpoint - 1, targetInstancesPerEndpoint + 1},
 		{13, 16, 6, 7}, // by name 2 to 10: of the platform's large fleet the most used were crowded and the least idle
-		{75, 84, usersWanted - 1, usersWanted + 2},
-		{84, 168, usersWanted - 1, usersWanted + 1},
-		{168, 147, usersWanted, usersWanted + 4},
-		{40, 300, usersWanted - 1, usersWanted + 1},
+		{75, 84, targetInstancesPerEndpoint - 1, targetInstancesPerEndpoint + 2},
+		{84, 168, targetInstancesPerEndpoint - 1, targetInstancesPerEndpoint + 1},
+		{168, 147, targetInstancesPerEndpoint, targetInstancesPerEndpoint + 4},
+		{40, 300, targetInstancesPerEndpoint - 1, targetInstancesPerEndpoint + 1},
 	} {
 		users := map[EndpointID]int{}
 		for rank := range c.instances {
@@ -42,7 +42,7 @@
 			}
 			w.list(ListFull, es...)
 			n, other := 0, 0
-			for _, x := range w.b.servers {
+			for _, x := range w.b.endpoints {
 				users[x.Endpoint]++
 				n++
 				other += x.Kind
@@ -65,23 +65,23 @@
 	s.Instances, s.Rank = 50, 7
 	w := newWorld(t, s, 1)
 	w.servers(60)
-	if n := len(w.b.servers); n != usedLeast {
-		t.Fatalf("%d servers used, want %d", n, usedLeast)
+	if n := len(w.b.endpoints); n != minSubsetSize {
+		t.Fatalf("%d servers used, want %d", n, minSubsetSize)
 	}
-	bad := w.b.servers[3]
+	bad := w.b.endpoints[3]
 	w.b.eject(bad)
 	w.run(time.Second)
-	if n := len(w.b.servers); n != usedLeast+1 || !bad.used {
-		t.Fatalf("%d servers used (the ejected one: %v), want a stand-in beside it", n, bad.used)
+	if n := len(w.b.endpoints); n != minSubsetSize+1 || !bad.inSubset {
+		t.Fatalf("%d servers used (the ejected one: %v), want a stand-in beside it", n, bad.inSubset)
 	}
-	bad.trial, bad.ejected, w.b.dirty = false, 0, true // its trial went well
+	bad.halfOpen, bad.ejectedUntil, w.b.solveNeeded = false, 0, true // its trial went well
 	w.run(time.Second)
-	if n := len(w.b.servers); n != usedLeast {
-		t.Fatalf("%d servers used after its return, want %d", n, usedLeast)
+	if n := len(w.b.endpoints); n != minSubsetSize {
+		t.Fatalf("%d servers used after its return, want %d", n, minSubsetSize)
 	}
 	closed := 0
 	for _, a := range w.other {
-		if a.Kind == ActCloseUnused {
+		if a.Kind == ActCloseIdle {
 			closed++
 		}
 	}
@@ -96,11 +96,11 @@
 	s.Instances, s.Rank = 50, 7
 	w := newWorld(t, s, 1)
 	w.servers(60)
-	e := w.b.servers[0].Entry
+	e := w.b.endpoints[0].Entry
 	e.State = Draining
 	w.list(ListDelta, e)
-	if n := len(w.b.servers); n != usedLeast || w.b.servers[0].Endpoint == e.Endpoint {
-		t.Errorf("%d servers used, the draining one among them: %v", n, w.b.servers[0].Endpoint == e.Endpoint)
+	if n := len(w.b.endpoints); n != minSubsetSize || w.b.endpoints[0].Endpoint == e.Endpoint {
+		t.Errorf("%d servers used, the draining one among them: %v", n, w.b.endpoints[0].Endpoint == e.Endpoint)
 	}
 }
 
@@ -112,20 +112,20 @@
 		s.Instances = c.instances
 		w := newWorld(t, s, 1)
 		w.servers(c.servers)
-		if all := w.b.limit * float64(c.instances); all > max(float64(c.instances), limitFirst*float64(c.servers))+0.01 {
+		if all := w.b.limit * float64(c.instances); all > max(float64(c.instances), initialLimit*float64(c.servers))+0.01 {
 			t.Errorf("%d x %d: all together start with %.0f held", c.instances, c.servers, all)
 		}
-		for range int(calmWindow) { // a few quick answers, then nothing but late ones
-			w.b.window.add(min(1, 0.05/0.4))
+		for range int(minBaselineResponses) { // a few quick answers, then nothing but late ones
+			w.b.latencyWindow.add(min(1, 0.05/0.4))
 		}
-		w.run(maintainEvery)
+		w.run(maintenanceInterval)
 		for range 50 {
-			for range int(calmWindow) {
-				w.b.window.add(min(1, 1/0.4))
+			for range int(minBaselineResponses) {
+				w.b.latencyWindow.add(min(1, 1/0.4))
 			}
-			w.run(maintainEvery)
+			w.run(maintenanceInterval)
 		}
-		if all := w.b.limit * float64(c.instances); all > max(float64(c.instances), limitLeast*float64(c.servers))+0.01 {
+		if all := w.b.limit * float64(c.instances); all > max(float64(c.instances), minLimit*float64(c.servers))+0.01 {
 			t.Errorf("%d x %d: with late answers, all together may still hold %.0f", c.instances, c.servers, all)
 		}
 	}
@@ -140,22 +140,22 @@
 		s.Instances = 200
 		w := newWorld(t, s, seed)
 		w.servers(40)
-		w.b.limit = limitSmall + 0.6
-		most += w.b.whole(nil)
+		w.b.limit = smallLimit + 0.6
+		most += w.b.allowedInFlight(nil)
 		grown := w.b.limit
 		for range 5 {
-			for range int(calmWindow) {
-				w.b.window.add(min(1, 0.05/0.4))
+			for range int(minBaselineResponses) {
+				w.b.latencyWindow.add(min(1, 0.05/0.4))
 			}
-			w.b.inUse = average{1000, 1000 * w.b.limit}
-			w.run(maintainEvery)
+			w.b.limitUse = decayedMean{1000, 1000 * w.b.limit}
+			w.run(maintenanceInterval)
 		}
 		if w.b.limit <= grown {
 			t.Fatalf("seed %d: limit still %.2f though it was reached and answers were quick", seed, w.b.limit)
 		}
 	}
-	if mean := most / 200; math.Abs(mean-limitSmall-0.6) > 0.15 {
-		t.Errorf("200 instances with a limit of %.1f hold %.2f each", limitSmall+0.6, mean)
+	if mean := most / 200; math.Abs(mean-smallLimit-0.6) > 0.15 {
+		t.Errorf("200 instances with a limit of %.1f hold %.2f each", smallLimit+0.6, mean)
 	}
 }
 
@@ -204,7 +204,7 @@
 // Where one request comes at a time there is no line to take the best from: the limit has to be kept for them.
 func TestSmallLimitIsForTheBest(t *testing.T) {
 	s := testSettings()
-	s.Classes[keyedClass].Worth = 4
+	s.Classes[keyedClass].Value = 4
 	s.Instances = 1000
 	w := newWorld(t, s, 1)
 	w.servers(20)
@@ -232,20 +232,20 @@
 func TestFirstTriesGoFirstInNeed(t *testing.T) {
 	for refused, need := range map[float64]bool{0: false, 0.1: false, 0.2: true, 1: true} {
 		s := testSettings()
-		s.MarksRetry = true
+		s.MarksRetries = true
 		w := newWorld(t, s, 1)
 		w.servers(1)
-		w.b.asked = average{100, 100 * refused}
-		w.b.limit, w.b.sent.n = limitSmall, 1000
+		w.b.rejections = decayedMean{100, 100 * refused}
+		w.b.limit, w.b.sends.n = smallLimit, 1000
 		for range 10 {
 			w.request(unsafeClass)
 		}
 		w.nextID++
 		repeated := w.nextID
-		w.event(Event{Kind: EventRequest, Request: repeated, Class: unsafeClass, Left: time.Second, Repeated: true})
+		w.event(Event{Kind: EventRequest, Request: repeated, Class: unsafeClass, Remaining: time.Second, ClientRetry: true})
 		first := w.request(unsafeClass)
 		at := func(id RequestID) int {
-			return slices.IndexFunc(w.b.waiting, func(r *request) bool { return r.id == id })
+			return slices.IndexFunc(w.b.queue, func(request *requestState) bool { return request.id == id })
 		}
 		if i, j := at(repeated), at(first); i < 0 || j < 0 || j < i != need {
 			t.Errorf("%.1f refused: the repeated try is at %d of the line, the first at %d", refused, i, j)
@@ -258,11 +258,11 @@
 	advice := func(refused float64) (mean time.Duration, apart int) {
 		w := newWorld(t, testSettings(), 1)
 		w.servers(1)
-		w.b.set.MaxRetryAfter = time.Hour
-		w.b.asked = average{100, 100 * refused}
+		w.b.settings.MaxRetryAfter = time.Hour
+		w.b.rejections = decayedMean{100, 100 * refused}
 		seen := map[time.Duration]bool{}
 		for range 100 {
-			hint := w.b.retryHint(&request{class: w.b.classes[0]})
+			hint := w.b.retryAfter(&requestState{class: w.b.classes[0]})
 			mean += hint / 100
 			seen[hint] = true
 		}
@@ -284,7 +284,7 @@
 		w := newWorld(t, s, seed)
 		w.servers(servers)
 		out := map[EndpointID]bool{}
-		for _, x := range w.b.servers {
+		for _, x := range w.b.endpoints {
 			out[x.Endpoint] = true
 		}
 		return out
@@ -293,7 +293,7 @@
 	for i := range 200 {
 		name := fmt.Sprint("n", i)
 		mine := used(name, 50, 1)
-		if len(mine) != usedLeast || !maps.Equal(mine, used(name, 50, 2)) {
+		if len(mine) != minSubsetSize || !maps.Equal(mine, used(name, 50, 2)) {
 			t.Fatalf("%s uses %d servers, or others after a restart", name, len(mine))
 		}
 		for id := range mine {
@@ -318,31 +318,31 @@
 // A start that is missing, moves back or lies ahead must not make a cold server look warm, nor keep it cold.
 func TestOddStarts(t *testing.T) {
 	w := newWorld(t, testSettings(), 1)
-	entry := Entry{Endpoint: 1, State: Ready, Weight: 1, UpSince: w.now}
+	entry := Entry{Endpoint: 1, State: Ready, Weight: 1, StartedAt: w.now}
 	w.list(ListFull, entry)
-	cold := func() bool { return w.b.isCold(w.b.byID[1]) }
-	for _, told := range []time.Duration{entry.UpSince, 0, entry.UpSince - time.Hour} {
-		entry.UpSince = told
+	cold := func() bool { return w.b.isWarmingUp(w.b.endpointsByID[1]) }
+	for _, told := range []time.Duration{entry.StartedAt, 0, entry.StartedAt - time.Hour} {
+		entry.StartedAt = told
 		if w.list(ListDelta, entry); !cold() {
 			t.Errorf("a start told as %v after %v makes it warm", told, w.now)
 		}
 	}
-	w.run(w.b.set.ColdFor)
+	w.run(w.b.settings.WarmupDuration)
 	if cold() {
 		t.Error("cold for longer than stated")
 	}
-	entry.UpSince = w.now + time.Hour // a clock that is ahead
+	entry.StartedAt = w.now + time.Hour // a clock that is ahead
 	w.list(ListDelta, entry)
 	if !cold() {
 		t.Error("a new start in the future is taken for none")
 	}
-	w.run(w.b.set.ColdFor / 2)
+	w.run(w.b.settings.WarmupDuration / 2)
 	w.list(ListDelta, entry)
-	w.run(w.b.set.ColdFor / 2)
+	w.run(w.b.settings.WarmupDuration / 2)
 	if cold() {
 		t.Error("a start in the future keeps it cold")
 	}
-	entry.UpSince = w.now // and once it is right, another start, though told as earlier than the last
+	entry.StartedAt = w.now // and once it is right, another start, though told as earlier than the last
 	if w.list(ListDelta, entry); !cold() {
 		t.Error("a start is missed after one in the future")
 	}
@@ -353,20 +353,20 @@
 	left := func(answers int, every time.Duration) float64 { // late answers for five seconds
 		w := newWorld(t, testSettings(), 1)
 		w.servers(10)
-		for range int(calmWindow) {
-			w.b.window.add(min(1, 0.05/0.4))
+		for range int(minBaselineResponses) {
+			w.b.latencyWindow.add(min(1, 0.05/0.4))
 		}
-		w.run(maintainEvery)
+		w.run(maintenanceInterval)
 		w.b.limit = 1000
 		for range 5 * time.Second / every {
 			for range answers {
-				w.b.window.add(min(1, 0.39/0.4))
+				w.b.latencyWindow.add(min(1, 0.39/0.4))
 			}
 			w.run(every)
 		}
 		return w.b.limit
 	}
-	often, seldom := left(100, maintainEvery), left(12, 4*maintainEvery)
+	often, seldom := left(100, maintenanceInterval), left(12, 4*maintenanceInterval)
 	if often > 500 || seldom > 500 || seldom > 3*often {
 		t.Errorf("limit 1000 cut to %.0f with many late answers and %.0f with few", often, seldom)
 	}
@@ -396,7 +396,7 @@
 		for _, at := range ids[1:] {
 			w.end(at, ConnectFailed, 60*ms)
 		}
-		ejected := w.b.servers[0].backoff > 0
+		ejected := w.b.endpoints[0].ejectionBackoff > 0
 		if ejected == answers {
 			t.Errorf("other requests answered: %v, server ejected: %v", answers, ejected)
 		}
@@ -413,11 +413,11 @@
 	w.servers(10)
 	w.b.limit = 100
 	for range 20 {
-		for range int(calmWindow) {
-			w.b.window.add(min(1, 0.6*0.4/0.4)) // six tenths of the aim, all the time
+		for range int(minBaselineResponses) {
+			w.b.latencyWindow.add(min(1, 0.6*0.4/0.4)) // six tenths of the aim, all the time
 		}
-		w.b.inUse = average{1000, 1000 * w.b.limit}
-		w.run(maintainEvery)
+		w.b.limitUse = decayedMean{1000, 1000 * w.b.limit}
+		w.run(maintenanceInterval)
 	}
 	if w.b.limit > 50 {
 		t.Errorf("limit %.0f after five seconds of late answers, started at 100", w.b.limit)
@@ -430,22 +430,22 @@
 	s.Instances, s.Rank = 50, 7
 	w := newWorld(t, s, 1)
 	w.servers(60)
-	bad := w.b.servers[3]
+	bad := w.b.endpoints[3]
 	w.b.eject(bad)
 	w.run(time.Second)
 	w.b.limit = 100
 	for range 40 { // every server, the stand-in too, holds some
 		w.request(safeClass)
 	}
-	bad.trial, bad.ejected = false, 0 // its trial went well
-	w.b.relist()
-	var left *server
-	for _, x := range w.b.servers {
-		if !x.used {
+	bad.halfOpen, bad.ejectedUntil = false, 0 // its trial went well
+	w.b.rebuildEndpoints()
+	var left *endpointState
+	for _, x := range w.b.endpoints {
+		if !x.inSubset {
 			left = x
 		}
 	}
-	if left == nil || len(left.held) == 0 {
+	if left == nil || len(left.pending) == 0 {
 		t.Fatal("no server that left and still holds requests")
 	}
 	n := len(w.sends)
@@ -473,11 +473,11 @@
 		w.servers(10)
 		before := w.b.limit
 		for range 5 {
-			for range int(calmWindow) {
-				w.b.window.add(min(1, 0.05/0.4))
+			for range int(minBaselineResponses) {
+				w.b.latencyWindow.add(min(1, 0.05/0.4))
 			}
-			w.b.inUse = average{10000, 10000 * c.use * w.b.limit}
-			w.run(maintainEvery)
+			w.b.limitUse = decayedMean{10000, 10000 * c.use * w.b.limit}
+			w.run(maintenanceInterval)
 		}
 		if w.b.limit > before != c.grows {
 			t.Errorf("limit %.0f to %.0f with %.2f of it in use", before, w.b.limit, c.use)
@@ -496,15 +496,15 @@
 	w.list(ListCached)
 	for round := range 3 {
 		w.list(ListFull, es...)
-		for range 2 * w.b.set.ColdFor / (200 * ms) {
+		for range 2 * w.b.settings.WarmupDuration / (200 * ms) {
 			w.run(200 * ms)
 			w.list(ListFull, es...)
 		}
-		if math.Abs(w.b.limit-12*limitFirst) > 1 {
+		if math.Abs(w.b.limit-12*initialLimit) > 1 {
 			t.Errorf("limit %.1f after %d restarts of all, with nothing learned", w.b.limit, round)
 		}
 		for i := range es {
-			es[i].UpSince = w.now
+			es[i].StartedAt = w.now
 		}
 	}
 }
@@ -513,25 +513,25 @@
 func TestColdOnesEarnInACrisis(t *testing.T) {
 	w := newWorld(t, testSettings(), 1)
 	for i := range 4 {
-		w.list(ListDelta, Entry{Endpoint: EndpointID(i + 1), State: Ready, Weight: 1, UpSince: w.now})
+		w.list(ListDelta, Entry{Endpoint: EndpointID(i + 1), State: Ready, Weight: 1, StartedAt: w.now})
 	}
-	for _, s := range w.b.servers {
-		w.b.eject(s)
+	for _, endpoint := range w.b.endpoints {
+		w.b.eject(endpoint)
 	}
-	w.b.watch()
-	w.b.judgeFleet()
+	w.b.assessPending()
+	w.b.updatePanicMode()
 	for range 20 {
-		w.b.earnCold(w.b.servers[0])
+		w.b.earnWarmupSends(w.b.endpoints[0])
 	}
-	for _, s := range w.b.servers {
+	for _, endpoint := range w.b.endpoints {
 		for n := 0; ; n++ {
-			if !s.cold.Ready(w.now) {
+			if !endpoint.warmup.Ready(w.now) {
 				if n == 0 || n > 15 { // 6 on average
-					t.Errorf("server %d has %d rights after 20 answers of one of 4", s.Endpoint, n)
+					t.Errorf("server %d has %d rights after 20 answers of one of 4", endpoint.Endpoint, n)
 				}
 				break
 			}
-			s.cold.Spend()
+			endpoint.warmup.Spend()
 		}
 	}
 }
@@ -544,21 +544,21 @@
 		s.Instances = 10
 		w := newWorld(t, s, 1)
 		w.servers(4)
-		w.b.uncrowded, w.b.known, w.b.limit = 0.1, true, 2
+		w.b.baseline, w.b.baselineKnown, w.b.limit = 0.1, true, 2
 		look := func(taken float64) {
-			for range 2 * int(limitWindow) {
-				w.b.window.add(taken)
+			for range 2 * int(minLimitResponses) {
+				w.b.latencyWindow.add(taken)
 			}
-			w.b.now += maintainEvery
+			w.b.now += maintenanceInterval
 			w.b.adaptLimit()
 		}
 		if crowd {
 			look(0.9)
 		}
-		w.b.unused = -5
+		w.b.unusedLimit = -5
 		look(0.1)
-		if forgiven := w.b.unused >= 0; forgiven != crowd {
-			t.Errorf("after a crowd: %v, and %.1f is owed", crowd, -w.b.unused)
+		if forgiven := w.b.unusedLimit >= 0; forgiven != crowd {
+			t.Errorf("after a crowd: %v, and %.1f is owed", crowd, -w.b.unusedLimit)
 		}
 	}
 }
--- a/internal/accesslog/bench_test.go
+++ b/internal/accesslog/bench_test.go
@@ -31,8 +31,8 @@
 func BenchmarkStream(b *testing.B) {
 	for _, on := range []bool{false, true} {
 		b.Run("record="+strconv.FormatBool(on), func(b *testing.B) {
-			eng, err := driver.New(balance.Settings{Instances: 1, Classes: []balance.Class{{Aim: time.Second, Deadline: time.Second}},
-				MaxAttempts: 4, ColdShare: 0.3, ColdFor: time.Second, FallMultiple: 2, FallWindow: time.Second}, 1, noConnections{}, zerolog.Nop())
+			eng, err := driver.New(balance.Settings{Instances: 1, Classes: []balance.Class{{TargetLatency: time.Second, Deadline: time.Second}},
+				MaxAttempts: 4, WarmupInitialShare: 0.3, WarmupDuration: time.Second, CollapseMultiple: 2, CollapseWindow: time.Second}, 1, noConnections{}, zerolog.Nop())
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/accesslog/record.go
+++ b/internal/accesslog/record.go
@@ -114,8 +114,8 @@
 	stream.Unanswered: "unanswered", stream.Looped: "looped"}
 
 // statuses are the words for balance.Status.
-var statuses = [...]string{balance.OK: "ok", balance.Error: "error", balance.Full: "full", balance.Timeout: "timeout",
-	balance.ConnectFailed: "connect", balance.Reset: "reset", balance.Cancelled: "cancelled", balance.Moot: "moot"}
+var statuses = [...]string{balance.OK: "ok", balance.Error: "error", balance.Rejected: "full", balance.Timeout: "timeout",
+	balance.ConnectFailed: "connect", balance.Reset: "reset", balance.Cancelled: "cancelled", balance.NotSent: "moot"}
 
 // lists are the words for List.
 var lists = [...]string{Change: "change", Whole: "whole", Known: "known", Held: "held"}
--- a/internal/cluster/paced_test.go
+++ b/internal/cluster/paced_test.go
@@ -67,7 +67,7 @@
 				table.Apply(balance.ListCached, List{Revision: c.since, Members: []Member{member("h0", "127.0.0.1:1", balance.Ready),
 					member("h9", "127.0.0.9:1", balance.Ready)}})
 				for _, e := range <-w.lists {
-					if !e.Guess {
+					if !e.Cached {
 						t.Errorf("%+v of an old list is no guess", e)
 					}
 				}
@@ -102,7 +102,7 @@
 				}
 				if s.again > 0 {
 					again := <-w.lists
-					if len(again) != s.again || slices.ContainsFunc(again, func(e balance.Entry) bool { return e.Guess }) {
+					if len(again) != s.again || slices.ContainsFunc(again, func(e balance.Entry) bool { return e.Cached }) {
 						t.Errorf("step %d: told anew %+v, want %d hosts that are no guess", i, again, s.again)
 					}
 				}
--- a/internal/cluster/table.go
+++ b/internal/cluster/table.go
@@ -115,7 +115,7 @@
 		}
 		entries = append(entries, balance.Entry{
 			Endpoint: id, State: m.State, Weight: m.Weight, Zone: index(t.zones, m.Zone),
-			Cell: m.Cell, Kind: index(t.kinds, m.Kind), UpSince: m.UpSince, Guess: t.Old,
+			Cell: m.Cell, Kind: index(t.kinds, m.Kind), StartedAt: m.UpSince, Cached: t.Old,
 		})
 	}
 	if t.Observer != nil { // before the decisions, whose sends name these hosts
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -95,7 +95,7 @@
 
 func (s *Settings) validate() error {
 	err := s.Validate()
-	if fault := new(balance.Fault); errors.As(err, &fault) {
+	if fault := new(balance.SettingError); errors.As(err, &fault) {
 		return fmt.Errorf("config: LB_CONFIG.settings.%s: %w", keyOf(fault.Field), err)
 	}
 	return err
@@ -219,7 +219,7 @@
 	switch {
 	case s.ConnectTimeout <= 0:
 		return fmt.Errorf("config: LB_CONFIG.settings.allowed.connect_timeout is missing")
-	case s.MaxHeld <= 0:
+	case s.MaxPending <= 0:
 		return fmt.Errorf("config: LB_CONFIG.settings.allowed.most_held is missing")
 	}
 	if s.ConnIdle == 0 {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -46,7 +46,7 @@
 		t.Errorf("the decisions know it as %q", c.Settings.Name)
 	}
 	if c.Name != "n3" || c.Listen != "127.0.0.9:1" || c.Discovery != "127.2.0.1:8500" || c.Seed != 0x8c1f30d27a5be964 ||
-		c.Limits != (Limits{1, 256, 512}) || len(c.Known.Members) != 1 || c.Settings.MaxHeld != 20000 {
+		c.Limits != (Limits{1, 256, 512}) || len(c.Known.Members) != 1 || c.Settings.MaxPending != 20000 {
 		t.Errorf("%+v", c)
 	}
 	if c.Settings.ConnIdle != 30*time.Second {
@@ -159,14 +159,14 @@
 	of := func(names ...string) *Settings {
 		s := &Settings{ClassNames: names}
 		for i := range names {
-			s.Classes = append(s.Classes, balance.Class{Worth: float64(i + 1)})
+			s.Classes = append(s.Classes, balance.Class{Value: float64(i + 1)})
 		}
 		return s
 	}
 	first := of("a", "b", "c")
 	second, err := of("d", "c").After(first)
 	if err != nil || !slices.Equal(second.ClassNames, []string{"a", "b", "c", "d"}) || !slices.Equal(second.Vanished, []bool{true, true, false, false}) ||
-		second.Classes[2].Worth != 2 || second.Classes[3].Worth != 1 || second.Classes[0].Worth != 1 {
+		second.Classes[2].Value != 2 || second.Classes[3].Value != 1 || second.Classes[0].Value != 1 {
 		t.Errorf("%+v, %v", second, err)
 	}
 	third, err := of("b", "d").After(&second)
--- a/internal/config/distributed_test.go
+++ b/internal/config/distributed_test.go
@@ -32,7 +32,7 @@
 	if other, err := b.Published([]byte(more)); err != nil || other.Settings.Rank != 1 || other.Digest() != first.Digest() {
 		t.Errorf("another instance has %+v, %v", other, err)
 	}
-	if back, err := first.Published([]byte(file)); err != nil || back.Settings.Probes || back.Digest() != a.Digest() {
+	if back, err := first.Published([]byte(file)); err != nil || back.Settings.HealthChecks || back.Digest() != a.Digest() {
 		t.Errorf("taken back: %+v, %v", back, err)
 	}
 	for text, key := range map[string]string{
--- a/internal/config/operator_thrift.go
+++ b/internal/config/operator_thrift.go
@@ -120,7 +120,7 @@
 		switch {
 		case i < 0:
 			return t.file.Fault("thrift.default_class", "the settings have no class %q", t.DefaultClass)
-		case set.Classes[i].Effect == balance.Keyed:
+		case set.Classes[i].Idempotency == balance.IdempotentByKey:
 			return t.file.Fault("thrift.default_class", "class %q takes a key, which is not known of any method", t.DefaultClass)
 		}
 	}
@@ -129,9 +129,9 @@
 		switch at := methodAt(i); {
 		case class < 0:
 			return t.file.Fault(at+".class", "the settings have no class %q", m.Class)
-		case set.Classes[class].Effect == balance.Keyed && len(m.Key) == 0:
+		case set.Classes[class].Idempotency == balance.IdempotentByKey && len(m.Key) == 0:
 			return t.file.Fault(at+".key", "is missing: class %q takes one", m.Class)
-		case set.Classes[class].Effect != balance.Keyed && len(m.Key) > 0:
+		case set.Classes[class].Idempotency != balance.IdempotentByKey && len(m.Key) > 0:
 			return t.file.Fault(at+".key", "class %q takes none", m.Class)
 		}
 	}
--- a/internal/config/operator_thrift_test.go
+++ b/internal/config/operator_thrift_test.go
@@ -46,7 +46,7 @@
 // Guards against a start with a table that does not fit the site.
 func TestThriftFitsTheSettings(t *testing.T) {
 	c := &Config{Listen: "127.0.0.1:8080", Settings: Settings{ClassNames: []string{"look", "order"},
-		Settings: balance.Settings{Classes: []balance.Class{{Effect: balance.Safe}, {Effect: balance.Keyed}}}}}
+		Settings: balance.Settings{Classes: []balance.Class{{Idempotency: balance.Idempotent}, {Idempotency: balance.IdempotentByKey}}}}}
 	for text, want := range map[string]string{
 		"[thrift]\nlisten = \"127.0.0.1:8080\"":                                        ":2: thrift.listen: ",
 		thriftListen + "default_class = \"lok\"":                                       ":3: thrift.default_class: ",
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -60,8 +60,8 @@
 	return out, nil
 }
 
-var effects = map[string]balance.Effect{
-	"read_like": balance.Safe, "idempotency_key": balance.Keyed, "non_idempotent": balance.Unsafe,
+var effects = map[string]balance.Idempotency{
+	"read_like": balance.Idempotent, "idempotency_key": balance.IdempotentByKey, "non_idempotent": balance.NonIdempotent,
 }
 
 var scopes = map[string]balance.Scope{
@@ -105,22 +105,22 @@
 	}
 	out := Settings{Settings: balance.Settings{
 		Instances: r.integer("n_instances"), Rank: r.integer("rank"), Tier: r.integer("tier"),
-		Zone: r.integer("locality"), OverShareWorth: r.amountOr("over_share_worth", 1),
-		ByWork: r.text("counted_by") == "work", PassesDeadline: r.flag("family_info.passes_deadline"),
-		MarksRetry: r.flag("clients.marks_retry"), MustAsk: r.text("registry_mode") == "subscribe",
+		Zone: r.integer("locality"), OverQuotaValue: r.amountOr("over_share_worth", 1),
+		ValueByWork: r.text("counted_by") == "work", PropagatesDeadline: r.flag("family_info.passes_deadline"),
+		MarksRetries: r.flag("clients.marks_retry"), PollsDiscovery: r.text("registry_mode") == "subscribe",
 		Weights:    r.text("weight_source") != "off" && r.text("weight_source") != "",
 		LoadInline: r.text("reporting.source") == "inline",
 		Prices: balance.Prices{Waste: r.number("prices.waste"), Handshake: r.number("prices.handshake"),
 			Probe: r.number("prices.probe"), Peer: r.number("prices.peer"),
 			LateFail: r.number("prices.late_fail"), CrossZone: r.number("prices.cross_zone")},
-		Quantum: r.span("quantum"), Cancel: r.flag("allowed.cancel"), SecondCopies: r.flag("allowed.second_copies"),
-		Probes: r.flag("allowed.probing"), Peers: r.flag("allowed.peer_messages"),
+		TimeResolution: r.span("quantum"), Cancel: r.flag("allowed.cancel"), Hedging: r.flag("allowed.second_copies"),
+		HealthChecks: r.flag("allowed.probing"), PeerMessages: r.flag("allowed.peer_messages"),
 		RetryAfter: r.flag("allowed.retry_after"), MaxRetryAfter: r.span("allowed.max_retry_after"),
-		MaxAttempts: r.integer("allowed.send_cap"), MaxHeld: r.integer("allowed.most_held"),
-		ConnectTimeout: r.span("allowed.connect_timeout"), AnswerSlack: r.span("rules.answer_slack"),
-		DrainGrace: r.span("rules.stop_sending_within"), MustAskIn: r.span("rules.must_ask_in"),
-		ColdShare: r.number("rules.cold_share"), ColdFor: r.span("rules.cold"),
-		FallMultiple: r.number("rules.tip_multiple"), FallWindow: r.span("rules.fall"),
+		MaxAttempts: r.integer("allowed.send_cap"), MaxPending: r.integer("allowed.most_held"),
+		ConnectTimeout: r.span("allowed.connect_timeout"), ResponseSlack: r.span("rules.answer_slack"),
+		DrainGrace: r.span("rules.stop_sending_within"), MaxListAge: r.span("rules.must_ask_in"),
+		WarmupInitialShare: r.number("rules.cold_share"), WarmupDuration: r.span("rules.cold"),
+		CollapseMultiple: r.number("rules.tip_multiple"), CollapseWindow: r.span("rules.fall"),
 	}}
 	if out.Rank < 0 { // an index
 		r.fail("rank", "must not be below 0")
@@ -146,8 +146,8 @@
 		}
 		out.ClassNames = append(out.ClassNames, c.text("name"))
 		out.Classes = append(out.Classes, balance.Class{
-			Aim: c.span("aim"), AimStretch: c.amount("aim_stretch"), Deadline: c.span("deadline"), Effect: effect,
-			Scope: scope, Memory: c.span("memory_span"), Worth: c.amount("worth"), LateWorth: c.amount("late_worth"),
+			TargetLatency: c.span("aim"), TargetLatencyStretch: c.amount("aim_stretch"), Deadline: c.span("deadline"), Idempotency: effect,
+			Scope: scope, DedupWindow: c.span("memory_span"), Value: c.amount("worth"), LateValue: c.amount("late_worth"),
 			Stream: c.flag("stream"),
 		})
 	}
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -26,19 +26,19 @@
 		t.Fatal(err)
 	}
 	want := balance.Settings{
-		Instances: 3, Rank: 1, Tier: 1, Tiers: 2, Zones: 1, Kinds: 2, OverShareWorth: 0.05, ByWork: true,
-		PassesDeadline: true, MustAsk: true, Weights: true, LoadInline: true,
+		Instances: 3, Rank: 1, Tier: 1, Tiers: 2, Zones: 1, Kinds: 2, OverQuotaValue: 0.05, ValueByWork: true,
+		PropagatesDeadline: true, PollsDiscovery: true, Weights: true, LoadInline: true,
 		LoadFields: []balance.LoadField{balance.LoadUtilisation, balance.LoadOther},
 		Classes: []balance.Class{
-			{Aim: 1200 * time.Millisecond, Deadline: 3 * time.Second, Effect: balance.Keyed, Scope: balance.ScopeCell,
-				Memory: 5 * time.Second, Worth: 1, LateWorth: 0.5},
-			{Aim: 400 * time.Millisecond, Deadline: time.Second, Effect: balance.Unsafe, Worth: 2},
+			{TargetLatency: 1200 * time.Millisecond, Deadline: 3 * time.Second, Idempotency: balance.IdempotentByKey, Scope: balance.ScopeCell,
+				DedupWindow: 5 * time.Second, Value: 1, LateValue: 0.5},
+			{TargetLatency: 400 * time.Millisecond, Deadline: time.Second, Idempotency: balance.NonIdempotent, Value: 2},
 		},
-		Tenants: []balance.Tenant{{Share: 0.4, Quota: 63}},
-		Quantum: 2 * time.Millisecond, Cancel: true, SecondCopies: true, Peers: true, RetryAfter: true,
-		MaxRetryAfter: 1500 * time.Millisecond, MaxAttempts: 4, MaxHeld: 20000, ConnectTimeout: 60 * time.Millisecond,
-		AnswerSlack: 8 * time.Millisecond, DrainGrace: 250 * time.Millisecond, MustAskIn: 10 * time.Second,
-		ColdShare: 0.13, ColdFor: 23 * time.Second, FallMultiple: 3, FallWindow: 1500 * time.Millisecond,
+		Tenants:        []balance.Tenant{{Share: 0.4, Quota: 63}},
+		TimeResolution: 2 * time.Millisecond, Cancel: true, Hedging: true, PeerMessages: true, RetryAfter: true,
+		MaxRetryAfter: 1500 * time.Millisecond, MaxAttempts: 4, MaxPending: 20000, ConnectTimeout: 60 * time.Millisecond,
+		ResponseSlack: 8 * time.Millisecond, DrainGrace: 250 * time.Millisecond, MaxListAge: 10 * time.Second,
+		WarmupInitialShare: 0.13, WarmupDuration: 23 * time.Second, CollapseMultiple: 3, CollapseWindow: 1500 * time.Millisecond,
 	}
 	if !reflect.DeepEqual(got.Settings, want) {
 		t.Errorf("got  %+v\nwant %+v", got.Settings, want)
--- a/internal/daemon/retune.go
+++ b/internal/daemon/retune.go
@@ -47,7 +47,7 @@
 
 func aims(set *config.Settings) (out []time.Duration) {
 	for _, c := range set.Classes {
-		out = append(out, c.Aim)
+		out = append(out, c.TargetLatency)
 	}
 	return out
 }
--- a/internal/daemon/show.go
+++ b/internal/daemon/show.go
@@ -47,14 +47,14 @@
 	age := now.Since(s.Saved)
 	fmt.Fprintf(out, "saved     %s, %v ago\nsite      %s\nlist      %d hosts, cordoned %q\n", s.Saved.Wall.UTC().Format(time.RFC3339),
 		age.Round(time.Millisecond), s.Site, len(h.Table.List.Members), h.Table.Cordoned)
-	fmt.Fprintf(out, "limit     %.1f requests, crowded %v, %s\nmeasure   %.2f of the aim uncrowded, %s\n", l.Limit, l.Crowded,
-		believed(age, balance.LimitFor), l.Uncrowded, believed(age, balance.MeasureFor))
-	fmt.Fprintf(out, "weight    a curve has %.3f of what it had when it was saved\n", balance.Weight(age))
+	fmt.Fprintf(out, "limit     %.1f requests, crowded %v, %s\nmeasure   %.2f of the aim uncrowded, %s\n", l.Limit, l.Congested,
+		believed(age, balance.MaxLimitAge), l.Baseline, believed(age, balance.MaxBaselineAge))
+	fmt.Fprintf(out, "weight    a curve has %.3f of what it had when it was saved\n", balance.DecayWeight(age))
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "\nclass\tdelay\tanswers\n")
 	for i, c := range l.Classes {
 		if i < len(h.Classes) {
-			fmt.Fprintf(t, "%s\t%v\t%.1f\n", h.Classes[i], mean(c.Delay), c.Delay.N)
+			fmt.Fprintf(t, "%s\t%v\t%.1f\n", h.Classes[i], mean(c.Latency), c.Latency.N)
 		}
 	}
 	names := map[balance.EndpointID]string{}
@@ -62,9 +62,9 @@
 		names[m.Endpoint] = m.ID
 	}
 	fmt.Fprintf(t, "\nhost\tdelay\tanswers\tejected for\ttrial\tsuspect\n")
-	for _, s := range l.Hosts {
-		fmt.Fprintf(t, "%s\t%v\t%.1f\t%v\t%v\t%.1f\n", names[s.Endpoint], mean(s.Delay), s.Delay.N,
-			max(0, s.Ejected-age).Round(time.Millisecond), s.Trial, s.Seen.Suspect)
+	for _, s := range l.Endpoints {
+		fmt.Fprintf(t, "%s\t%v\t%.1f\t%v\t%v\t%.1f\n", names[s.Endpoint], mean(s.Latency), s.Latency.N,
+			max(0, s.EjectedFor-age).Round(time.Millisecond), s.HalfOpen, s.Evidence.Suspect)
 	}
 	return t.Flush()
 }
@@ -76,7 +76,7 @@
 	return fmt.Sprintf("believed for another %v", (most - age).Round(time.Millisecond))
 }
 
-func mean(s balance.Sample) time.Duration {
+func mean(s balance.MeanState) time.Duration {
 	if s.N <= 0 {
 		return 0
 	}
--- a/internal/daemon/snapshot_bench_test.go
+++ b/internal/daemon/snapshot_bench_test.go
@@ -42,10 +42,10 @@
 	}
 	s.table.Apply(balance.ListFull, list)
 	h := s.held()
-	for i := range h.Engine.Learned.Hosts {
-		of := &h.Engine.Learned.Hosts[i]
-		of.Delay = balance.Sample{N: 3.123456789, Sum: 0.987654321}
-		of.Seen.Lately.N, of.Seen.Suspect = 1.23456789, 0.123456789
+	for i := range h.Engine.Learned.Endpoints {
+		of := &h.Engine.Learned.Endpoints[i]
+		of.Latency = balance.MeanState{N: 3.123456789, Sum: 0.987654321}
+		of.Evidence.Lately.N, of.Evidence.Suspect = 1.23456789, 0.123456789
 	}
 	s.eng.Take(h.Engine)
 	return s
--- a/internal/daemon/succession.go
+++ b/internal/daemon/succession.go
@@ -161,8 +161,8 @@
 		for _, name := range h.Classes {
 			to = append(to, slices.Index(names, name))
 		}
-		l.Reorder(to, len(names))
-		l.Past = past
+		l.ReorderClasses(to, len(names))
+		l.Age = past
 	}
 	s.eng.Take(h.Engine)
 	return h, nil
--- a/internal/downstream/end_test.go
+++ b/internal/downstream/end_test.go
@@ -67,8 +67,8 @@
 // its end, by planned end. Endpoints take 2 ms.
 func BenchmarkLoneEnd(b *testing.B) {
 	var n tally
-	set := &config.Settings{ClassNames: []string{"look"}, Settings: balance.Settings{Instances: 1, MaxHeld: 100,
-		Classes: []balance.Class{{Effect: balance.Safe, Deadline: 100 * time.Millisecond}}}}
+	set := &config.Settings{ClassNames: []string{"look"}, Settings: balance.Settings{Instances: 1, MaxPending: 100,
+		Classes: []balance.Class{{Idempotency: balance.Idempotent, Deadline: 100 * time.Millisecond}}}}
 	for b.Loop() {
 		s := New(set, NewSide(set, 1<<20, 100, zerolog.Nop()), handlerFunc(func(context.Context, *stream.Request) stream.Response {
 			time.Sleep(2 * time.Millisecond)
--- a/internal/downstream/message.go
+++ b/internal/downstream/message.go
@@ -33,7 +33,7 @@
 
 type class struct {
 	index    int
-	effect   balance.Effect
+	effect   balance.Idempotency
 	deadline time.Duration
 	until    time.Time // it has vanished and is taken until then; zero: it is there
 }
@@ -166,8 +166,8 @@
 		Org: h.Get("X-Org"), MediaType: h.Get("Content-Type"), Baggage: strings.Join(h["Baggage"], ","),
 	}
 	left, err := strconv.ParseUint(h.Get("X-Remaining-Ms"), 10, 32)
-	method, keyed := http.MethodPost, c.effect == balance.Keyed
-	if c.effect == balance.Safe {
+	method, keyed := http.MethodPost, c.effect == balance.IdempotentByKey
+	if c.effect == balance.Idempotent {
 		method = http.MethodGet
 	}
 	switch {
@@ -184,7 +184,7 @@
 	case !strings.HasPrefix(req.Target, "/") || !isPlain(req.Target, false) || !isPlain(req.Authority, false) ||
 		!isPlain(req.Labels, true) || !isPlain(req.MediaType, true): // upstream hosts hang up on what they can't read
 		return nil, &refusal{http.StatusBadRequest, "the target or a header is malformed"}
-	case c.effect == balance.Safe && r.ContentLength > 0:
+	case c.effect == balance.Idempotent && r.ContentLength > 0:
 		return nil, bodyless
 	}
 	req.Tenant = (*s.tenants.Load())[req.Org]
--- a/internal/downstream/reclass_test.go
+++ b/internal/downstream/reclass_test.go
@@ -24,9 +24,9 @@
 		s.ServeHTTP(w, message(method, target, "", append(headers, "X-Txn", "a", "X-Remaining-Ms", "900")...))
 		return w.Code
 	}
-	set := &config.Settings{Settings: balance.Settings{MaxHeld: 2, Classes: []balance.Class{
-		{Effect: balance.Safe, Deadline: time.Second}, {Effect: balance.Unsafe, Deadline: time.Hour},
-		{Effect: balance.Unsafe, Deadline: time.Second}, {Effect: balance.Safe, Deadline: time.Second}}},
+	set := &config.Settings{Settings: balance.Settings{MaxPending: 2, Classes: []balance.Class{
+		{Idempotency: balance.Idempotent, Deadline: time.Second}, {Idempotency: balance.NonIdempotent, Deadline: time.Hour},
+		{Idempotency: balance.NonIdempotent, Deadline: time.Second}, {Idempotency: balance.Idempotent, Deadline: time.Second}}},
 		ClassNames: []string{"look", "order", "charge", "peek"}, Vanished: []bool{true, false, false, false}}
 	if code := ask("GET", "/peek/1"); code != 404 {
 		t.Errorf("before it appears: %d", code)
@@ -62,7 +62,7 @@
 		got = *req
 		return stream.Response{}
 	})
-	set := &config.Settings{Settings: balance.Settings{MaxHeld: 2, Classes: []balance.Class{{Effect: balance.Safe, Deadline: time.Second}}},
+	set := &config.Settings{Settings: balance.Settings{MaxPending: 2, Classes: []balance.Class{{Idempotency: balance.Idempotent, Deadline: time.Second}}},
 		ClassNames: []string{"look"}, TenantNames: []string{"north", "süd 1"}}
 	s.Reclass(set)
 	for _, c := range []struct {
@@ -91,8 +91,8 @@
 		got = *req
 		return stream.Response{}
 	})
-	safe := balance.Class{Effect: balance.Safe, Deadline: time.Second}
-	s.Reclass(&config.Settings{Settings: balance.Settings{MaxHeld: 2, Classes: []balance.Class{safe, safe, safe}},
+	safe := balance.Class{Idempotency: balance.Idempotent, Deadline: time.Second}
+	s.Reclass(&config.Settings{Settings: balance.Settings{MaxPending: 2, Classes: []balance.Class{safe, safe, safe}},
 		ClassNames: []string{"open", "open/gate", "a.b/c/d"}})
 	for _, c := range []struct {
 		target, lane string
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -52,7 +52,7 @@
 func (s *Server) Reclass(set *config.Settings) {
 	was, is, now := *s.classes.Load(), map[string]class{}, time.Now()
 	for i, name := range set.ClassNames {
-		c := class{index: i, effect: set.Classes[i].Effect, deadline: set.Classes[i].Deadline}
+		c := class{index: i, effect: set.Classes[i].Idempotency, deadline: set.Classes[i].Deadline}
 		if set.Vanished != nil && set.Vanished[i] {
 			if c = was[name]; c.until.IsZero() {
 				c.until = now.Add(c.deadline)
--- a/internal/downstream/server_test.go
+++ b/internal/downstream/server_test.go
@@ -34,9 +34,9 @@
 
 func newServer(h handlerFunc) *Server {
 	set := &config.Settings{
-		Settings: balance.Settings{MaxHeld: 2, Classes: []balance.Class{
-			{Effect: balance.Safe, Deadline: time.Second}, {Effect: balance.Keyed, Deadline: 2 * time.Second},
-			{Effect: balance.Unsafe, Deadline: 3 * time.Second}}},
+		Settings: balance.Settings{MaxPending: 2, Classes: []balance.Class{
+			{Idempotency: balance.Idempotent, Deadline: time.Second}, {Idempotency: balance.IdempotentByKey, Deadline: 2 * time.Second},
+			{Idempotency: balance.NonIdempotent, Deadline: 3 * time.Second}}},
 		ClassNames: []string{"look", "order", "charge"},
 	}
 	return New(set, NewSide(set, 1<<20, 10, zerolog.Nop()), h, zerolog.Nop())
@@ -388,7 +388,7 @@
 	} {
 		s := newServer(func(context.Context, *stream.Request) stream.Response { return stream.Response{} })
 		set := &config.Settings{}
-		set.Instances, set.MaxHeld = c.instances, 100
+		set.Instances, set.MaxPending = c.instances, 100
 		s.Retune(set)
 		s.conns = newConnections(0)
 		s.draining.Store(c.draining)
--- a/internal/downstream/side.go
+++ b/internal/downstream/side.go
@@ -71,7 +71,7 @@
 	for i := range s.Classes {
 		longest = max(longest, s.Classes[i].Deadline)
 	}
-	return &terms{mostHeld: int64(s.MaxHeld), alone: s.Instances == 1, last: s.Instances <= spareAmong,
+	return &terms{mostHeld: int64(s.MaxPending), alone: s.Instances == 1, last: s.Instances <= spareAmong,
 		within: min(longest, longestCounted) + killAfter - endBefore}
 }
 
--- a/internal/downstream/thrift/server_test.go
+++ b/internal/downstream/thrift/server_test.go
@@ -94,8 +94,8 @@
 		t.Fatal(err)
 	}
 	// Three instances, of which one that ends may close connections, and deadlines that no test reaches. A planned end takes 3.65 s at most.
-	set := &config.Settings{Settings: balance.Settings{MaxHeld: held, Instances: 3, Classes: []balance.Class{
-		{Effect: balance.Safe, Deadline: time.Minute}, {Effect: balance.Keyed, Deadline: time.Minute}}},
+	set := &config.Settings{Settings: balance.Settings{MaxPending: held, Instances: 3, Classes: []balance.Class{
+		{Idempotency: balance.Idempotent, Deadline: time.Minute}, {Idempotency: balance.IdempotentByKey, Deadline: time.Minute}}},
 		ClassNames: []string{"look", "order"}}
 	if err := op.Fits(&config.Config{Settings: *set}); err != nil {
 		t.Fatal(err)
@@ -485,10 +485,10 @@
 	form := forms[0]
 	_, _ = c.Write(message(form, thriftwire.Call, "look", 1))
 	before := <-f.streams
-	former := &config.Settings{Settings: balance.Settings{MaxHeld: 100, Instances: 3, Classes: []balance.Class{
-		{Effect: balance.Safe, Deadline: time.Minute}, {Effect: balance.Keyed, Deadline: time.Minute}}}, ClassNames: []string{"look", "order"}}
-	is := &config.Settings{Settings: balance.Settings{MaxHeld: 100, Instances: 3, Classes: []balance.Class{
-		{Effect: balance.Safe, Deadline: time.Hour}, {Effect: balance.Keyed, Deadline: time.Hour}, {Effect: balance.Safe, Deadline: time.Second}}},
+	former := &config.Settings{Settings: balance.Settings{MaxPending: 100, Instances: 3, Classes: []balance.Class{
+		{Idempotency: balance.Idempotent, Deadline: time.Minute}, {Idempotency: balance.IdempotentByKey, Deadline: time.Minute}}}, ClassNames: []string{"look", "order"}}
+	is := &config.Settings{Settings: balance.Settings{MaxPending: 100, Instances: 3, Classes: []balance.Class{
+		{Idempotency: balance.Idempotent, Deadline: time.Hour}, {Idempotency: balance.IdempotentByKey, Deadline: time.Hour}, {Idempotency: balance.Idempotent, Deadline: time.Second}}},
 		ClassNames: []string{"new", "order", "look"}}
 	after, err := is.After(former)
 	if err != nil {
--- a/internal/driver/engine.go
+++ b/internal/driver/engine.go
@@ -96,7 +96,7 @@
 func (e *Engine) Expect(in time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.handle(&balance.Event{Kind: balance.EventExpect, In: in})
+	e.handle(&balance.Event{Kind: balance.EventListExpected, ExpectedIn: in})
 }
 
 // Retune has changed settings take effect, whole or, where they can't be used, not at all. The classes that there were
@@ -136,23 +136,23 @@
 	} else if e.out[id] {
 		delete(e.out, id)
 		now := e.now()
-		maps.DeleteFunc(e.back, func(_ balance.EndpointID, at time.Duration) bool { return now > at+e.settings.ColdFor }) // warm by now
+		maps.DeleteFunc(e.back, func(_ balance.EndpointID, at time.Duration) bool { return now > at+e.settings.WarmupDuration }) // warm by now
 		e.back[id] = now
 	}
-	e.handle(&balance.Event{Kind: balance.EventCordon, Endpoint: id, Out: out})
+	e.handle(&balance.Event{Kind: balance.EventCordon, Endpoint: id, Cordoned: out})
 }
 
 // State is what an engine knows beyond the cluster, for the process that succeeds this one.
 type State struct {
 	Back    map[balance.EndpointID]time.Duration `json:"Back"` // when each host that was out was put back
-	Learned *balance.Learned                     `json:"Learned"`
+	Learned *balance.LearnedState                `json:"Learned"`
 }
 
 // State returns what is known now.
 func (e *Engine) State() State {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return State{Back: maps.Clone(e.back), Learned: e.b.Learned()}
+	return State{Back: maps.Clone(e.back), Learned: e.b.LearnedState()}
 }
 
 // Take takes over what another process knew; the cluster has to be there already.
@@ -197,7 +197,7 @@
 
 func (e *Engine) carryOut(a *balance.Action) {
 	switch a.Kind {
-	case balance.ActSend, balance.ActRefuse, balance.ActFail, balance.ActCancel:
+	case balance.ActSend, balance.ActReject, balance.ActFail, balance.ActCancel:
 		if s := e.streams[a.Request]; s != nil {
 			s.carryOut(a)
 		}
@@ -210,13 +210,13 @@
 				e.handle(&balance.Event{Kind: balance.EventTimer, Token: token})
 			}
 		})
-	case balance.ActProbe:
+	case balance.ActHealthCheck:
 		go e.probe(a.Endpoint, e.life)
-	case balance.ActCloseUnused:
+	case balance.ActCloseIdle:
 		go e.conns.CloseUnused(a.Endpoint)
 	case balance.ActLog:
 		e.log.Info().Msg(a.Text)
-	case balance.ActFetch, balance.ActWatch, balance.ActTell:
+	case balance.ActFetch, balance.ActSubscribe, balance.ActSendPeer:
 		// Discovery is always watched here, and no deployment of ours lets instances talk.
 	}
 }
@@ -227,7 +227,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if life == e.life {
-		e.handle(&balance.Event{Kind: balance.EventProbed, Endpoint: id, Status: status, Latency: time.Since(from)})
+		e.handle(&balance.Event{Kind: balance.EventHealthChecked, Endpoint: id, Status: status, Latency: time.Since(from)})
 	}
 }
 
@@ -236,7 +236,7 @@
 const trustAfter = 10 * time.Second
 
 // salvage is what the decisions that have just failed had learned, or nil where that can't be had or be believed.
-func (e *Engine) salvage() (learned *balance.Learned) {
+func (e *Engine) salvage() (learned *balance.LearnedState) {
 	defer func() {
 		if recover() != nil {
 			learned = nil
@@ -245,12 +245,12 @@
 	if now := e.now(); e.life > 0 && now-e.failed < trustAfter {
 		return nil
 	}
-	return e.b.Learned()
+	return e.b.LearnedState()
 }
 
 // restart begins again with a fresh Balancer, the cluster as it is known and what the old one had learned: after a panic
 // the rest of its state can't be relied on. What was open is answered now; late outcomes of it are told to nobody.
-func (e *Engine) restart(learned *balance.Learned) {
+func (e *Engine) restart(learned *balance.LearnedState) {
 	e.life++
 	e.failed = e.now()
 	old := e.streams
@@ -265,7 +265,7 @@
 }
 
 // renew puts a fresh Balancer in place, and returns whether it takes what it is told.
-func (e *Engine) renew(learned *balance.Learned) bool {
+func (e *Engine) renew(learned *balance.LearnedState) bool {
 	b, err := balance.New(e.settings, e.seed+uint64(e.life))
 	if err != nil {
 		e.log.Error().Err(err).Msg("the decisions do not start anew")
@@ -274,7 +274,7 @@
 	e.b = b
 	events := []balance.Event{{Kind: balance.EventMembership, List: balance.ListFull, Entries: e.entries()}}
 	for id := range e.out {
-		events = append(events, balance.Event{Kind: balance.EventCordon, Endpoint: id, Out: true})
+		events = append(events, balance.Event{Kind: balance.EventCordon, Endpoint: id, Cordoned: true})
 	}
 	for i := range events {
 		if err := e.decide(&events[i]); err != nil {
@@ -289,14 +289,14 @@
 }
 
 // learn has the Balancer take over what another one knew; a panic there becomes an error.
-func (e *Engine) learn(l *balance.Learned) (err error) {
+func (e *Engine) learn(l *balance.LearnedState) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("engine: panic on what was learned: %v", p)
 			e.log.Error().Err(err).Msg("what was learned is not taken over")
 		}
 	}()
-	e.b.Learn(e.now(), l)
+	e.b.Restore(e.now(), l)
 	return nil
 }
 
@@ -304,7 +304,7 @@
 func (e *Engine) entries() []balance.Entry {
 	entries := make([]balance.Entry, 0, len(e.cluster))
 	for _, entry := range e.cluster {
-		entry.UpSince = max(entry.UpSince, e.back[entry.Endpoint])
+		entry.StartedAt = max(entry.StartedAt, e.back[entry.Endpoint])
 		entries = append(entries, entry)
 	}
 	return entries
@@ -339,13 +339,13 @@
 	s := &Stream{e: e, ctx: ctx, id: e.last, life: e.life, sends: make(chan Send, most), verdict: make(chan Verdict, 1),
 		tries: make([]try, 0, most)}
 	e.streams[s.id] = s
-	ev := balance.Event{Kind: balance.EventRequest, Request: s.id, Class: c.Class, Left: c.Left, Coming: c.Coming, Repeated: c.Repeated,
-		Most: c.Most, Worth: c.Worth, Tenant: c.Tenant - 1}
+	ev := balance.Event{Kind: balance.EventRequest, Request: s.id, Class: c.Class, Remaining: c.Left, Uploading: c.Coming, ClientRetry: c.Repeated,
+		MaxAttempts: c.Most, ValueShare: c.Worth, Tenant: c.Tenant - 1}
 	if c.Tenant == 0 {
 		ev.Tenant = len(e.settings.Tenants)
 	}
 	if !c.Ran.IsZero() {
-		ev.Ran, ev.Endpoint = max(1, e.unix+c.Ran.Sub(e.start)), c.RanAt
+		ev.EarlierAttemptAt, ev.Endpoint = max(1, e.unix+c.Ran.Sub(e.start)), c.RanAt
 	}
 	e.handle(&ev)
 	return s
--- a/internal/driver/engine_test.go
+++ b/internal/driver/engine_test.go
@@ -18,7 +18,7 @@
 	e := newEngine(t, 1)
 	asked := make(chan balance.EndpointID)
 	e.conns = askedFor(asked)
-	for i, kind := range []balance.ActionKind{balance.ActProbe, balance.ActCloseUnused} {
+	for i, kind := range []balance.ActionKind{balance.ActHealthCheck, balance.ActCloseIdle} {
 		e.mu.Lock()
 		e.carryOut(&balance.Action{Kind: kind, Endpoint: balance.EndpointID(i + 5)})
 		e.mu.Unlock()
@@ -41,10 +41,10 @@
 func newEngine(t *testing.T, hosts ...balance.EndpointID) *Engine {
 	t.Helper()
 	e, err := New(balance.Settings{Instances: 1, Classes: []balance.Class{
-		{Aim: time.Minute, Deadline: time.Minute, Effect: balance.Safe, Worth: 1},
-		{Aim: time.Minute, Deadline: time.Minute, Effect: balance.Unsafe, Worth: 1},
-	}, MaxAttempts: 4, Cancel: true, SecondCopies: true, ColdShare: 0.3, ColdFor: time.Second, FallMultiple: 2,
-		FallWindow: time.Second}, 1, noConnections{}, zerolog.Nop())
+		{TargetLatency: time.Minute, Deadline: time.Minute, Idempotency: balance.Idempotent, Value: 1},
+		{TargetLatency: time.Minute, Deadline: time.Minute, Idempotency: balance.NonIdempotent, Value: 1},
+	}, MaxAttempts: 4, Cancel: true, Hedging: true, WarmupInitialShare: 0.3, WarmupDuration: time.Second, CollapseMultiple: 2,
+		CollapseWindow: time.Second}, 1, noConnections{}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -170,8 +170,8 @@
 		s.Settle(send.Attempt, Outcome{Status: balance.OK, Answers: true})
 	}
 	known := func() (n float64) {
-		for _, h := range e.State().Learned.Hosts {
-			n += h.Delay.N
+		for _, h := range e.State().Learned.Endpoints {
+			n += h.Latency.N
 		}
 		return n
 	}
--- a/internal/driver/stream.go
+++ b/internal/driver/stream.go
@@ -70,16 +70,16 @@
 		attempt := len(s.tries) - 1
 		if s.ended || attempt >= cap(s.sends) {
 			// Nobody would take it, and the decisions must not wait for its outcome for ever.
-			go s.Settle(attempt, Outcome{Status: balance.Moot})
+			go s.Settle(attempt, Outcome{Status: balance.NotSent})
 			return
 		}
 		s.sent++
-		s.sends <- Send{Attempt: attempt, Under: s.e.under, Host: a.Endpoint, Until: s.e.start.Add(now - s.e.unix + a.After), Worth: a.Worth, Ctx: ctx}
+		s.sends <- Send{Attempt: attempt, Under: s.e.under, Host: a.Endpoint, Until: s.e.start.Add(now - s.e.unix + a.After), Worth: a.ValueShare, Ctx: ctx}
 	case balance.ActCancel:
 		if a.Attempt < len(s.tries) {
 			s.tries[a.Attempt].cancel()
 		}
-	case balance.ActRefuse:
+	case balance.ActReject:
 		s.end(Verdict{Refused: true, RetryAfter: a.After})
 	case balance.ActFail:
 		s.end(Verdict{})
@@ -130,7 +130,7 @@
 	s.ended = s.ended || won
 	if s.life == s.e.life {
 		s.e.handle(&balance.Event{Kind: balance.EventOutcome, Request: s.id, Attempt: attempt,
-			Closed: s.ended, Status: o.Status, Final: o.Spent, Latency: s.e.now() - t.sentAt})
+			Closed: s.ended, Status: o.Status, RetriedBelow: o.Spent, Latency: s.e.now() - t.sentAt})
 	}
 	s.forget()
 	return won
@@ -146,7 +146,7 @@
 		}
 	}
 	if s.life == s.e.life {
-		s.e.handle(&balance.Event{Kind: balance.EventWhole, Request: s.id})
+		s.e.handle(&balance.Event{Kind: balance.EventUploadDone, Request: s.id})
 	}
 }
 
@@ -160,7 +160,7 @@
 	}
 	s.ended = true
 	if s.life == s.e.life {
-		s.e.handle(&balance.Event{Kind: balance.EventGone, Request: s.id})
+		s.e.handle(&balance.Event{Kind: balance.EventClientGone, Request: s.id})
 	}
 	s.forget()
 	return true, s.sent > 0
@@ -175,7 +175,7 @@
 	for {
 		select {
 		case send := <-s.sends:
-			s.settle(send.Attempt, Outcome{Status: balance.Moot})
+			s.settle(send.Attempt, Outcome{Status: balance.NotSent})
 		default:
 			return
 		}
--- a/internal/lab/calibration/build.go
+++ b/internal/lab/calibration/build.go
@@ -54,16 +54,16 @@
 func span(d time.Duration) scenario.Span { return scenario.Span(d.Round(time.Millisecond)) }
 
 func (m *servers) classes(v *view, s *scenario.Scenario) {
-	effects := map[balance.Effect]string{balance.Safe: "safe", balance.Keyed: "keyed", balance.Unsafe: "unsafe"}
+	effects := map[balance.Idempotency]string{balance.Idempotent: "safe", balance.IdempotentByKey: "keyed", balance.NonIdempotent: "unsafe"}
 	asked := make([]int, len(v.settings.Classes))
 	for i := range v.streams {
 		asked[v.streams[i].class]++
 	}
 	for i, c := range v.settings.Classes {
 		l := m.laws[i]
-		k := scenario.Class{Name: v.settings.ClassNames[i], Share: max(float64(asked[i]), 0.001), Aim: scenario.Span(c.Aim),
-			Deadline: scenario.Span(max(c.Deadline, c.Aim)), Worth: max(c.Worth, 0.001), Effect: effects[c.Effect],
-			Window: scenario.Span(c.Memory), Spread: "exp", Answer: 64}
+		k := scenario.Class{Name: v.settings.ClassNames[i], Share: max(float64(asked[i]), 0.001), Aim: scenario.Span(c.TargetLatency),
+			Deadline: scenario.Span(max(c.Deadline, c.TargetLatency)), Worth: max(c.Value, 0.001), Effect: effects[c.Idempotency],
+			Window: scenario.Span(c.DedupWindow), Spread: "exp", Answer: 64}
 		mean := l.mean
 		if l.exp {
 			k.Noise = math.Sqrt(math.Expm1(l.noise * l.noise))
@@ -74,7 +74,7 @@
 			k.Noise = min(math.Sqrt(math.Expm1(variance*(1-withinShare))), 5)
 		}
 		k.Work = scenario.Span(max(time.Duration(mean*float64(time.Second)).Round(time.Microsecond), 10*time.Microsecond))
-		if c.Effect != balance.Safe {
+		if c.Idempotency != balance.Idempotent {
 			k.Body = 64
 		}
 		s.Class = append(s.Class, k)
@@ -129,15 +129,15 @@
 // rules are the settings, as far as a scenario has words for them.
 func rules(s *scenario.Scenario, v *view) {
 	from, r := &v.settings, &s.Rules
-	r.DrainGrace, r.ColdShare, r.ColdFor = scenario.Span(from.DrainGrace), from.ColdShare, scenario.Span(from.ColdFor)
-	r.FallMultiple, r.FallWindow = from.FallMultiple, scenario.Span(from.FallWindow)
-	r.MaxAttempts, r.MaxHeld, r.SecondCopies = from.MaxAttempts, from.MaxHeld, from.SecondCopies
-	r.Cancel, r.Probes, r.RetryAfter = from.Cancel, from.Probes, from.RetryAfter
+	r.DrainGrace, r.ColdShare, r.ColdFor = scenario.Span(from.DrainGrace), from.WarmupInitialShare, scenario.Span(from.WarmupDuration)
+	r.FallMultiple, r.FallWindow = from.CollapseMultiple, scenario.Span(from.CollapseWindow)
+	r.MaxAttempts, r.MaxHeld, r.SecondCopies = from.MaxAttempts, from.MaxPending, from.Hedging
+	r.Cancel, r.Probes, r.RetryAfter = from.Cancel, from.HealthChecks, from.RetryAfter
 	r.MaxRetryAfter, r.ConnectTimeout = scenario.Span(from.MaxRetryAfter), scenario.Span(from.ConnectTimeout)
 	if from.ConnIdle > 0 {
 		r.ConnIdle = scenario.Span(from.ConnIdle)
 	}
-	r.PassesDeadline, r.MarksRetry, r.ByWork = from.PassesDeadline, from.MarksRetry, from.ByWork
+	r.PassesDeadline, r.MarksRetry, r.ByWork = from.PropagatesDeadline, from.MarksRetries, from.ValueByWork
 }
 
 // faults are the script.
--- a/internal/lab/calibration/calibrate.go
+++ b/internal/lab/calibration/calibrate.go
@@ -192,7 +192,7 @@
 		end := 3
 		switch {
 		case s.end == stream.Served:
-			end = b2i(s.after > v.settings.Classes[s.class].Aim)
+			end = b2i(s.after > v.settings.Classes[s.class].TargetLatency)
 		case s.end == stream.Refused:
 			end = 2
 		case s.end == stream.Gone:
--- a/internal/lab/calibration/counts.go
+++ b/internal/lab/calibration/counts.go
@@ -30,7 +30,7 @@
 	All      Count
 	Classes  []Count // in the settings' order
 	Names    []string
-	Attempts [balance.Moot]int // by balance.Status; moot ones were none
+	Attempts [balance.NotSent]int // by balance.Status; moot ones were none
 }
 
 // counts counts a view's streams and attempts.
@@ -42,7 +42,7 @@
 			n.Asked++
 			switch s.end {
 			case stream.Served:
-				if s.after <= v.settings.Classes[s.class].Aim {
+				if s.after <= v.settings.Classes[s.class].TargetLatency {
 					n.Aim++
 				} else {
 					n.Late++
--- a/internal/lab/calibration/fit.go
+++ b/internal/lab/calibration/fit.go
@@ -28,7 +28,7 @@
 func fit(v *view) *servers {
 	m := &servers{cores: 1, slots: defaultSlots, queue: defaultQueue, speed: make([]float64, len(v.hosts)),
 		laws: make([]law, len(v.settings.Classes)),
-		cold: cold{from: min(max(v.settings.ColdShare, leastShare), 1), takes: v.settings.ColdFor}}
+		cold: cold{from: min(max(v.settings.WarmupInitialShare, leastShare), 1), takes: v.settings.WarmupDuration}}
 	usual := v.usual()
 	any := median(slices.DeleteFunc(slices.Clone(usual), func(d time.Duration) bool { return d == 0 }))
 	for h := range m.speed {
@@ -66,7 +66,7 @@
 		for i := range of {
 			out = slices.DeleteFunc(out, func(at time.Duration) bool { return at <= of[i].began })
 			switch {
-			case of[i].status == balance.Full:
+			case of[i].status == balance.Rejected:
 				full = append(full, len(out))
 			case took(of[i].status):
 				out = append(out, of[i].ended)
--- a/internal/lab/calibration/slow.go
+++ b/internal/lab/calibration/slow.go
@@ -84,7 +84,7 @@
 // warming tells whether an attempt was at a host that may still have been cold.
 func (m *servers) warming(v *view, a *attempt) bool {
 	return slices.ContainsFunc(v.hosts[a.host].starts, func(at time.Duration) bool {
-		return a.ended > at && a.began < at+max(m.cold.takes, v.settings.ColdFor)
+		return a.ended > at && a.began < at+max(m.cold.takes, v.settings.WarmupDuration)
 	})
 }
 
@@ -123,7 +123,7 @@
 	from, takes := m.cold.from, m.cold.takes.Seconds()
 	high := func() float64 {
 		m.cold.from, m.cold.takes = from, seconds(takes)
-		sum := -doubt(from, v.settings.ColdShare) - doubt(takes, v.settings.ColdFor.Seconds())
+		sum := -doubt(from, v.settings.WarmupInitialShare) - doubt(takes, v.settings.WarmupDuration.Seconds())
 		for _, h := range of {
 			sum += m.likelihood(v, h)
 		}
--- a/internal/lab/calibration/view.go
+++ b/internal/lab/calibration/view.go
@@ -180,7 +180,7 @@
 			end: s.End, attempts: len(s.Attempts)})
 		won := slices.ContainsFunc(s.Attempts, func(a accesslog.Attempt) bool { return a.Status == balance.OK })
 		for _, a := range s.Attempts {
-			if a.Status == balance.Moot { // never sent
+			if a.Status == balance.NotSent { // never sent
 				continue
 			}
 			v.attempts = append(v.attempts, attempt{host: find(a.Host), class: class, began: at + a.Began, ended: at + a.Began + a.Took,
--- a/internal/lab/calibration/work.go
+++ b/internal/lab/calibration/work.go
@@ -95,7 +95,7 @@
 
 // took tells whether the host took the request.
 func took(s balance.Status) bool {
-	return s != balance.ConnectFailed && s != balance.Full && s != balance.Moot
+	return s != balance.ConnectFailed && s != balance.Rejected && s != balance.NotSent
 }
 
 // likelihood of when a host's attempts ended: that of the works by then, times how fast these grew. Without the
--- a/internal/lab/simulation/boxes.go
+++ b/internal/lab/simulation/boxes.go
@@ -266,7 +266,7 @@
 	case model.Errored:
 		status = balance.Error
 	case model.TurnedAway:
-		status = balance.Full
+		status = balance.Rejected
 	case model.CutOff:
 		status, keep = balance.Reset, false
 	case model.Spoilt:
@@ -328,7 +328,7 @@
 		s.reply(i, trace.Served, 200, 0, a.box)
 	}
 	s.decide(t.sidecar, &balance.Event{Kind: balance.EventOutcome, Request: balance.RequestID(i), Attempt: a.no,
-		Closed: t.decided, Status: status, Final: a.tried.Told && status == balance.Error, Latency: s.now - a.sentAt})
+		Closed: t.decided, Status: status, RetriedBelow: a.tried.Told && status == balance.Error, Latency: s.now - a.sentAt})
 }
 
 // plainOutcome is the answer that a client has straight from a box.
@@ -336,7 +336,7 @@
 	switch status {
 	case balance.OK:
 		s.reply(i, trace.Served, 200, 0, box)
-	case balance.Full:
+	case balance.Rejected:
 		s.reply(i, trace.Refused, 503, 0, box)
 	case balance.ConnectFailed:
 		s.reply(i, trace.NoEntry, 0, 0, -1)
--- a/internal/lab/simulation/sidecar.go
+++ b/internal/lab/simulation/sidecar.go
@@ -34,7 +34,7 @@
 	actions  []balance.Action
 
 	judged     map[int]trace.Judged // the last of each box
-	conditions []balance.Condition
+	conditions []balance.EndpointHealth
 
 	agent  map[int]plan.Listed // what discovery's agent has
 	silent bool
@@ -69,7 +69,7 @@
 
 // Cordon passes on an operator's word.
 func (c *sidecar) Cordon(id balance.EndpointID, out bool) {
-	c.sim.decide(c.index, &balance.Event{Kind: balance.EventCordon, Endpoint: id, Out: out})
+	c.sim.decide(c.index, &balance.Event{Kind: balance.EventCordon, Endpoint: id, Cordoned: out})
 }
 
 func (s *sim) startSidecar(i int) error {
@@ -164,7 +164,7 @@
 		if c.b == nil {
 			continue
 		}
-		c.conditions = c.b.Conditions(c.conditions[:0])
+		c.conditions = c.b.EndpointHealth(c.conditions[:0])
 		for _, k := range c.conditions {
 			box, known := c.hosts[k.Endpoint]
 			now := trace.Judged{At: s.now, Sidecar: i, Box: box, Grey: k.Grey, Ejected: k.Ejected}
@@ -247,13 +247,13 @@
 					s.cancel(k)
 				}
 			}
-		case balance.ActRefuse, balance.ActFail:
-			s.verdict(int(a.Request), a.Kind == balance.ActRefuse, a.After)
+		case balance.ActReject, balance.ActFail:
+			s.verdict(int(a.Request), a.Kind == balance.ActReject, a.After)
 		case balance.ActTimer:
 			s.at(s.now+a.After, event{kind: evTimer, a: int32(i), b: int32(c.life), token: uint32(a.Token)})
-		case balance.ActProbe:
+		case balance.ActHealthCheck:
 			s.probe(c, a.Endpoint)
-		case balance.ActCloseUnused:
+		case balance.ActCloseIdle:
 			if box, known := c.hosts[a.Endpoint]; known {
 				s.closeIdle(box, i)
 			}
@@ -274,15 +274,15 @@
 	s.at(t.deadline+s.delay-watchdogLead, event{kind: evWatchdog, a: int32(i)})
 	r := &s.p.Requests[l.Request]
 	ev := balance.Event{Kind: balance.EventRequest, Request: balance.RequestID(i), Class: l.Class,
-		Left: l.Left, Repeated: l.No > 0 || r.Repeated && t.parent < 0}
+		Remaining: l.Left, ClientRetry: l.No > 0 || r.Repeated && t.parent < 0}
 	if c.accounts != nil {
-		t.account = c.accounts.Open(s.now, t.deadline, t.baggage, ev.Repeated)
+		t.account = c.accounts.Open(s.now, t.deadline, t.baggage, ev.ClientRetry)
 		if t.account.Loop != nil {
 			c.held--
 			s.reply(i, trace.Failed, http.StatusLoopDetected, 0, -1)
 			return
 		}
-		ev.Most, ev.Worth = t.account.Most(), t.account.Worth()
+		ev.MaxAttempts, ev.ValueShare = t.account.Most(), t.account.Worth()
 	}
 	s.decide(l.Sidecar, &ev)
 }
@@ -317,7 +317,7 @@
 	}
 	sent := t.sent > 0
 	s.verdict(i, !sent, 0)
-	s.decide(t.sidecar, &balance.Event{Kind: balance.EventGone, Request: balance.RequestID(i)})
+	s.decide(t.sidecar, &balance.Event{Kind: balance.EventClientGone, Request: balance.RequestID(i)})
 }
 
 // clientGone is a sidecar's seeing that nobody waits any more.
@@ -336,7 +336,7 @@
 	}
 	if c := &s.sidecars[t.sidecar]; t.taken && c.life == t.life && c.b != nil {
 		c.held--
-		s.decide(t.sidecar, &balance.Event{Kind: balance.EventGone, Request: balance.RequestID(i)})
+		s.decide(t.sidecar, &balance.Event{Kind: balance.EventClientGone, Request: balance.RequestID(i)})
 	}
 }
 
@@ -348,13 +348,13 @@
 	until := s.now + a.After
 	if t.decided || t.attempts >= c.set.MaxAttempts || !known {
 		k := s.newAttempt(i, -1, until)
-		s.at(s.now, event{kind: evOutcome, a: int32(k), b: int32(balance.Moot)})
+		s.at(s.now, event{kind: evOutcome, a: int32(k), b: int32(balance.NotSent)})
 		return
 	}
 	t.sent++
 	carried, number := "", 0
 	if t.account != nil {
-		carried, number = c.accounts.Send(t.account, a.Worth)
+		carried, number = c.accounts.Send(t.account, a.ValueShare)
 	}
 	s.startAttempt(i, box, until, carried, number)
 }
--- a/internal/lab/simulation/virtual.go
+++ b/internal/lab/simulation/virtual.go
@@ -300,7 +300,7 @@
 		s.clientGone(i)
 	case evProbe:
 		if c := &s.sidecars[i]; c.life == int(e.b) && c.b != nil {
-			s.decide(i, &balance.Event{Kind: balance.EventProbed, Endpoint: balance.EndpointID(e.token),
+			s.decide(i, &balance.Event{Kind: balance.EventHealthChecked, Endpoint: balance.EndpointID(e.token),
 				Status: balance.Status(e.x), Latency: 2 * s.delay})
 		}
 	case evAble:
--- a/internal/simprotocol/wire.go
+++ b/internal/simprotocol/wire.go
@@ -149,13 +149,13 @@
 			return fmt.Errorf("wire: list entry with unknown availability %d", data[0])
 		}
 		entries = append(entries, balance.Entry{
-			State:    balance.Availability(data[0]),
-			Weight:   float64(math.Float32frombits(u32(data, 1))),
-			Zone:     int(u16(data, 5)),
-			Endpoint: balance.EndpointID(u32(data, 7)),
-			Cell:     int(u16(data, 11)),
-			Kind:     int(data[13]),
-			UpSince:  span(data, 14),
+			State:     balance.Availability(data[0]),
+			Weight:    float64(math.Float32frombits(u32(data, 1))),
+			Zone:      int(u16(data, 5)),
+			Endpoint:  balance.EndpointID(u32(data, 7)),
+			Cell:      int(u16(data, 11)),
+			Kind:      int(data[13]),
+			StartedAt: span(data, 14),
 		})
 	}
 	d.lists[slot] = entries
@@ -173,7 +173,7 @@
 		rec.Op, rec.Seed = OpStart, u64(raw, 1)
 		rec.Settings, err = chunk(raw, tail, 9, 1)
 	case codeGone:
-		ev.Kind, ev.Request = balance.EventGone, balance.RequestID(u64(raw, 1))
+		ev.Kind, ev.Request = balance.EventClientGone, balance.RequestID(u64(raw, 1))
 	case codeSettled:
 		ev.Kind, ev.Request = balance.EventOutcome, balance.RequestID(u64(raw, 1))
 		ev.Endpoint, ev.Attempt = balance.EndpointID(u32(raw, 9)), int(u16(raw, 13))
@@ -182,17 +182,17 @@
 			ev.Load, err = load(raw, 26)
 		}
 	case codeChecked:
-		ev.Kind, ev.Endpoint, ev.Latency = balance.EventProbed, balance.EndpointID(u32(raw, 1)), span(raw, 7)
+		ev.Kind, ev.Endpoint, ev.Latency = balance.EventHealthChecked, balance.EndpointID(u32(raw, 1)), span(raw, 7)
 		if ev.Status, err = status(u16(raw, 5)); err == nil {
 			ev.Load, err = load(raw, 15)
 		}
 	case codeOrder:
 		ev.Kind, ev.Request = balance.EventRequest, balance.RequestID(u64(raw, 1))
-		ev.Class, ev.Tenant, ev.Key, ev.Left = int(u16(raw, 9)), int(u32(raw, 11)), u64(raw, 15), span(raw, 23)
+		ev.Class, ev.Tenant, ev.Key, ev.Remaining = int(u16(raw, 9)), int(u32(raw, 11)), u64(raw, 15), span(raw, 23)
 		if raw[39]&1 != 0 {
-			ev.Hint = span(raw, 31)
+			ev.WorkHint = span(raw, 31)
 		}
-		ev.Repeated, ev.Write = raw[39]&2 != 0, raw[39]&4 != 0
+		ev.ClientRetry, ev.Write = raw[39]&2 != 0, raw[39]&4 != 0
 	case codeMembership:
 		ev.Kind = balance.EventMembership
 		how, slot := raw[9], u16(raw, 10)
@@ -227,7 +227,7 @@
 	case 255:
 		return balance.Error, nil
 	case 254:
-		return balance.Full, nil
+		return balance.Rejected, nil
 	case 253:
 		return balance.Timeout, nil
 	case 252:
@@ -237,7 +237,7 @@
 	case 250:
 		return balance.Cancelled, nil
 	case 249:
-		return balance.Moot, nil
+		return balance.NotSent, nil
 	}
 	return 0, fmt.Errorf("wire: unknown outcome %d", code)
 }
@@ -324,7 +324,7 @@
 		be.PutUint64(r[1:], uint64(a.Request))
 		be.PutUint32(r[9:], uint32(a.Endpoint))
 		be.PutUint64(r[13:], uint64(a.After))
-	case balance.ActRefuse:
+	case balance.ActReject:
 		r := e.record(codeBusy)
 		be.PutUint64(r[1:], uint64(a.Request))
 		be.PutUint64(r[9:], uint64(a.After))
@@ -340,13 +340,13 @@
 		be.PutUint64(r[5:], uint64(a.After))
 	case balance.ActFetch:
 		e.record(codeRefresh)
-	case balance.ActWatch:
+	case balance.ActSubscribe:
 		e.record(codeObserve)[1] = 1
-	case balance.ActProbe:
+	case balance.ActHealthCheck:
 		be.PutUint32(e.record(codeCheck)[1:], uint32(a.Endpoint))
-	case balance.ActCloseUnused:
+	case balance.ActCloseIdle:
 		be.PutUint32(e.record(codeClose)[1:], uint32(a.Endpoint))
-	case balance.ActTell:
+	case balance.ActSendPeer:
 		r := e.record(codeAnnounce)
 		to := uint32(allPeers)
 		if a.Peer >= 0 {
--- a/internal/simprotocol/wire_test.go
+++ b/internal/simprotocol/wire_test.go
@@ -64,9 +64,9 @@
 		03 0009d1b20e6f2b19 +39`))
 	want := []Record{
 		{Instance: 3, Event: balance.Event{Kind: balance.EventRequest, Request: 0x0005a4b45d3a91c4,
-			Key: 0x91f03b7c55d20a64, Left: 240 * time.Millisecond, Hint: 12 * time.Millisecond}},
+			Key: 0x91f03b7c55d20a64, Remaining: 240 * time.Millisecond, WorkHint: 12 * time.Millisecond}},
 		{Instance: 3, Event: balance.Event{Kind: balance.EventTimer, Token: 0x4d}},
-		{Instance: 5, Event: balance.Event{Kind: balance.EventGone, Request: 0x0009d1b20e6f2b19}},
+		{Instance: 5, Event: balance.Event{Kind: balance.EventClientGone, Request: 0x0009d1b20e6f2b19}},
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
@@ -80,7 +80,7 @@
 		want         balance.Event
 	}{
 		"checked": {"05 2c9011f2 0000 0000000000155cc0 02 3f1eb852 41680000 00000000 00000000 +16", "",
-			balance.Event{Kind: balance.EventProbed, Endpoint: 0x2c9011f2, Latency: 1400 * time.Microsecond, Load: report}},
+			balance.Event{Kind: balance.EventHealthChecked, Endpoint: 0x2c9011f2, Latency: 1400 * time.Microsecond, Load: report}},
 		"headers": {"09 0005a4b45d3a91c4 03124a07 00000000008d24d0 0000 +25", "",
 			balance.Event{Kind: balance.EventFirstByte, Request: 0x0005a4b45d3a91c4, Endpoint: 0x03124a07, Latency: 9250 * time.Microsecond}},
 		"inbox": {"0a 0002 00000000 00000004 +37", "68692037",
@@ -114,7 +114,7 @@
 	got := decodeAll(t, frame(3, raw(t, documentLists)))
 	want := balance.Event{Kind: balance.EventMembership, List: balance.ListCached, Entries: []balance.Entry{
 		{Endpoint: 0x03124a07, State: balance.Ready, Weight: 1},
-		{Endpoint: 0x2c9011f2, State: balance.Ready, Weight: 1.5, UpSince: 0x16b969d00},
+		{Endpoint: 0x2c9011f2, State: balance.Ready, Weight: 1.5, StartedAt: 0x16b969d00},
 	}}
 	if len(got) != 1 || !reflect.DeepEqual(got[0].Event, want) {
 		t.Errorf("got %+v, want %+v", got, want)
@@ -165,14 +165,14 @@
 		action balance.Action
 		want   string
 	}{
-		"busy":     {balance.Action{Kind: balance.ActRefuse, Request: 0x0009d1b20e6f2b19, After: 250 * time.Millisecond}, "46 0009d1b20e6f2b19 000000000ee6b280 +7"},
+		"busy":     {balance.Action{Kind: balance.ActReject, Request: 0x0009d1b20e6f2b19, After: 250 * time.Millisecond}, "46 0009d1b20e6f2b19 000000000ee6b280 +7"},
 		"give_up":  {balance.Action{Kind: balance.ActFail, Request: 0x0009d1b20e6f2b19}, "45 0009d1b20e6f2b19 +15"},
 		"refresh":  {balance.Action{Kind: balance.ActFetch}, "4d +23"},
-		"check":    {balance.Action{Kind: balance.ActProbe, Endpoint: 0x2c9011f2}, "41 2c9011f2 +19"},
+		"check":    {balance.Action{Kind: balance.ActHealthCheck, Endpoint: 0x2c9011f2}, "41 2c9011f2 +19"},
 		"call_off": {balance.Action{Kind: balance.ActCancel, Request: 0x0005a4b45d3a91c4}, "47 0005a4b45d3a91c4 0000 +13"},
-		"close":    {balance.Action{Kind: balance.ActCloseUnused, Endpoint: 0x2c9011f2}, "4b 2c9011f2 +19"},
-		"announce": {balance.Action{Kind: balance.ActTell, Peer: -1, Data: []byte("hi 7")}, "49 ffffffff 00000000 00000004 +11"},
-		"observe":  {balance.Action{Kind: balance.ActWatch}, "48 01 +22"},
+		"close":    {balance.Action{Kind: balance.ActCloseIdle, Endpoint: 0x2c9011f2}, "4b 2c9011f2 +19"},
+		"announce": {balance.Action{Kind: balance.ActSendPeer, Peer: -1, Data: []byte("hi 7")}, "49 ffffffff 00000000 00000004 +11"},
+		"observe":  {balance.Action{Kind: balance.ActSubscribe}, "48 01 +22"},
 	} {
 		var e Encoder
 		e.Begin()
--- a/internal/stream/gate_test.go
+++ b/internal/stream/gate_test.go
@@ -70,7 +70,7 @@
 			[]string{"sent 1 0 false", "ended 1 0 true false", "sent 2 0 true", "ended 2 0 false false"}},
 		{"withdrawn", &door{takes: true, sends: 9}, []balance.Status{balance.Cancelled, balance.OK}, Served,
 			[]string{"sent 1 0 false", "ended 1 0 false true", "sent 2 0 true", "ended 2 0 false false"}},
-		{"shut between two attempts", &door{takes: true, sends: 1}, []balance.Status{balance.Full}, Refused,
+		{"shut between two attempts", &door{takes: true, sends: 1}, []balance.Status{balance.Rejected}, Refused,
 			[]string{"sent 1 0 false", "ended 1 0 false false", "sent 2 0 true", "ended 2 0 true false"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -100,7 +100,7 @@
 				t.Errorf("%d streams are kept", p.Out())
 			}
 			for i, a := range life.Attempts {
-				if want := append(c.status, balance.Moot, balance.Moot, balance.Moot, balance.Moot)[i]; a.Status != want {
+				if want := append(c.status, balance.NotSent, balance.NotSent, balance.NotSent, balance.NotSent)[i]; a.Status != want {
 					t.Errorf("attempt %d ends with %d, want %d", i, a.Status, want) // no host is to blame for the gate
 				}
 			}
--- a/internal/stream/left_test.go
+++ b/internal/stream/left_test.go
@@ -24,7 +24,7 @@
 		status []balance.Status // of the visits that there are
 	}{
 		{name: "before its head is read", class: 1, hosts: 1, before: true},
-		{name: "between two attempts", class: 1, hosts: 3, during: 1, status: []balance.Status{balance.Full}},
+		{name: "between two attempts", class: 1, hosts: 3, during: 1, status: []balance.Status{balance.Rejected}},
 		{name: "held for want of a host", class: 1, hosts: 0, after: time.Second},
 		{name: "while its attempt is out", class: 0, hosts: 3, during: 1, status: []balance.Status{balance.Cancelled}},
 	} {
@@ -74,7 +74,7 @@
 		waits <- req
 		<-over
 		wanted <- req.Wanted()
-		return balance.Moot, Response{}
+		return balance.NotSent, Response{}
 	})}
 	sent := &mute{sends: make(chan driver.Send, 1), sent: true}
 	sent.sends <- driver.Send{}
--- a/internal/stream/stream.go
+++ b/internal/stream/stream.go
@@ -213,8 +213,8 @@
 func (p *Proxy) identity(req *Request) inflight.ID {
 	id := inflight.ID{Txn: req.Txn, Class: req.ClassName, Key: req.Key}
 	if p.Effects != nil {
-		if c := p.Engine.Class(req.Class); c.Effect != balance.Safe {
-			id.Keep = max(c.Memory, c.Deadline) + c.Deadline
+		if c := p.Engine.Class(req.Class); c.Idempotency != balance.Idempotent {
+			id.Keep = max(c.DedupWindow, c.Deadline) + c.Deadline
 		}
 	}
 	return id
@@ -248,7 +248,7 @@
 		case send := <-s.Sends():
 			if !req.Wanted() {
 				ended, _ := s.Abandon() // before the outcome, or the decisions would send it elsewhere
-				if s.Settle(send.Attempt, driver.Outcome{Status: balance.Moot}); ended {
+				if s.Settle(send.Attempt, driver.Outcome{Status: balance.NotSent}); ended {
 					return Response{Outcome: Gone}
 				}
 				continue
@@ -308,9 +308,9 @@
 	}
 	defer func() {
 		if p.Trail != nil {
-			p.Trail.Ended(send.Under, req.Class, send.Host, status == balance.ConnectFailed || status == balance.Moot, status == balance.Cancelled)
+			p.Trail.Ended(send.Under, req.Class, send.Host, status == balance.ConnectFailed || status == balance.NotSent, status == balance.Cancelled)
 		}
-		p.Effects.Settled(req.Txn, effect, status != balance.Full && status != balance.ConnectFailed && status != balance.Moot)
+		p.Effects.Settled(req.Txn, effect, status != balance.Rejected && status != balance.ConnectFailed && status != balance.NotSent)
 		p.release(req.Txn, func(l *Life) { l.Attempts[n].Status, l.Attempts[n].Ended = status, time.Now() })
 		if fault := recover(); fault != nil {
 			p.Log.Error().Interface("panic", fault).Msg("upstream request failed")
@@ -331,7 +331,7 @@
 		p.Promise()
 	}
 	if p.Gate != nil && !p.Gate.Sends() {
-		status = balance.Moot
+		status = balance.NotSent
 		return
 	}
 	status, res = p.Upstream.Do(send.Ctx, send.Host, send.Until, req.Request)
--- a/internal/stream/stream_test.go
+++ b/internal/stream/stream_test.go
@@ -27,10 +27,10 @@
 func newProxy(t *testing.T, hosts int, up upstreamFunc) *Proxy {
 	t.Helper()
 	e, err := driver.New(balance.Settings{Instances: 1, Classes: []balance.Class{
-		{Aim: time.Minute, Deadline: time.Minute, Effect: balance.Safe, Worth: 1},
-		{Aim: time.Minute, Deadline: time.Minute, Effect: balance.Unsafe, Worth: 1},
-	}, MaxAttempts: 4, Cancel: true, ColdShare: 0.3, ColdFor: time.Second, FallMultiple: 2,
-		FallWindow: time.Second}, 1, noConnections{}, zerolog.Nop())
+		{TargetLatency: time.Minute, Deadline: time.Minute, Idempotency: balance.Idempotent, Value: 1},
+		{TargetLatency: time.Minute, Deadline: time.Minute, Idempotency: balance.NonIdempotent, Value: 1},
+	}, MaxAttempts: 4, Cancel: true, WarmupInitialShare: 0.3, WarmupDuration: time.Second, CollapseMultiple: 2,
+		CollapseWindow: time.Second}, 1, noConnections{}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,7 +65,7 @@
 		visits int
 	}{
 		{"safe, error", 0, balance.Error, Served, 2},
-		{"unsafe, turned away", 1, balance.Full, Served, 2},
+		{"unsafe, turned away", 1, balance.Rejected, Served, 2},
 		{"unsafe, not connected", 1, balance.ConnectFailed, Served, 2},
 		{"unsafe, error", 1, balance.Error, Failed, 1},
 		{"unsafe, reset", 1, balance.Reset, Failed, 1},
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -221,7 +221,7 @@
 	case a.status == http.StatusOK:
 		return balance.OK
 	case a.turnedAway && (a.status == http.StatusServiceUnavailable || a.status == http.StatusGatewayTimeout):
-		return balance.Full
+		return balance.Rejected
 	}
 	return balance.Error
 }
@@ -233,7 +233,7 @@
 	case ctx.Err() != nil:
 		return balance.Cancelled
 	case errors.Is(err, errUnknownHost), errors.Is(err, errCrowded), errors.Is(err, errHeldBack): // nothing that the host has done
-		return balance.Moot
+		return balance.NotSent
 	}
 	return balance.ConnectFailed
 }
--- a/internal/upstream/request_test.go
+++ b/internal/upstream/request_test.go
@@ -39,10 +39,10 @@
 		t.Errorf("a refused connection gave outcome %d", status)
 	}
 	// A pool that is full is our own doing: the host must not be ejected for it.
-	if status, _ := get(poolFor(refusing, 0), time.Minute); status != balance.Moot {
+	if status, _ := get(poolFor(refusing, 0), time.Minute); status != balance.NotSent {
 		t.Errorf("a pool that is full gave outcome %d", status)
 	}
-	if status, _ := get(NewPool(time.Minute, time.Minute, 1), time.Minute); status != balance.Moot {
+	if status, _ := get(NewPool(time.Minute, time.Minute, 1), time.Minute); status != balance.NotSent {
 		t.Errorf("a host that is not known gave outcome %d", status)
 	}
 	near, far := net.Pipe() // a write on it takes only what is read: this one breaks half-way
@@ -222,14 +222,14 @@
 	p := poolFor(s.addr, 2)
 	open := false
 	p.Sends = func() bool { return open }
-	if status, _ := get(p, time.Second); status != balance.Moot {
+	if status, _ := get(p, time.Second); status != balance.NotSent {
 		t.Errorf("a request that is held back ends with %d", status)
 	}
 	if idle, opened := counts(p, 1); idle != 1 || opened != 1 {
 		t.Errorf("%d connections of %d are idle, want the one", idle, opened)
 	}
 	call := &stream.Request{Operation: "call", Target: "a", MediaType: framedBinary.MediaType(), Body: []byte{0}}
-	if status, _ := (&Thrift{Pool: p}).Do(context.Background(), 1, time.Now().Add(time.Second), call); status != balance.Moot {
+	if status, _ := (&Thrift{Pool: p}).Do(context.Background(), 1, time.Now().Add(time.Second), call); status != balance.NotSent {
 		t.Errorf("over Thrift one that is held back ends with %d", status)
 	}
 	open = true
--- a/internal/upstream/thrift.go
+++ b/internal/upstream/thrift.go
@@ -33,7 +33,7 @@
 	res := stream.Response{Outcome: stream.Failed}
 	form, known := thriftwire.FormOf(req.MediaType)
 	if !known { // no front of ours makes one
-		return balance.Moot, res
+		return balance.NotSent, res
 	}
 	call := thriftwire.Head{Form: form, Kind: thriftwire.Call, Name: req.Target}
 	oneway := req.Operation == thriftwire.Oneway.String()
@@ -100,7 +100,7 @@
 		// The host is well and the call is not: no evidence against the one, and no host for the other.
 		return verdict{balance.Cancelled, stream.Response{Outcome: stream.Rejected, MediaType: media, Body: m.Body}, true}, nil
 	case t.TurnedAway != 0 && e.Type == t.TurnedAway:
-		return verdict{balance.Full, stream.Response{Outcome: stream.Failed}, true}, nil
+		return verdict{balance.Rejected, stream.Response{Outcome: stream.Failed}, true}, nil
 	}
 	return verdict{balance.Error, stream.Response{Outcome: stream.Failed}, false}, nil
 }
--- a/internal/upstream/thrift_test.go
+++ b/internal/upstream/thrift_test.go
@@ -106,7 +106,7 @@
 		"with the service":   {say{text: reply(framedBinary, thriftwire.Reply, "Orders:place", 1, "\x00"), status: balance.OK, reuse: true}, stream.Served},
 		"old form":           {say{text: reply(thriftwire.Form{Encoding: thriftwire.OldBinary, Framed: true}, thriftwire.Reply, "place", 1, "\x00"), status: balance.OK, reuse: true}, stream.Served},
 		"unknown method":     {say{text: exceptionOf(1, 1), status: balance.Cancelled, reuse: true}, stream.Rejected},
-		"turned away":        {say{text: exceptionOf(1, 77), status: balance.Full, reuse: true}, stream.Failed},
+		"turned away":        {say{text: exceptionOf(1, 77), status: balance.Rejected, reuse: true}, stream.Failed},
 		"internal error":     {say{text: exceptionOf(1, 6), status: balance.Error}, stream.Failed},
 		"other sequence id":  {say{text: reply(framedBinary, thriftwire.Reply, "place", 2, "\x00"), status: balance.Error}, stream.Failed},
 		"other method":       {say{text: reply(framedBinary, thriftwire.Reply, "charge", 1, "\x00"), status: balance.Error}, stream.Failed},
@@ -197,7 +197,7 @@
 		t.Errorf("a refused connection gave status %d", e.status)
 	}
 	req.MediaType = "text/plain"
-	if status, _ := up.Do(context.Background(), 1, time.Now().Add(time.Minute), req); status != balance.Moot {
+	if status, _ := up.Do(context.Background(), 1, time.Now().Add(time.Minute), req); status != balance.NotSent {
 		t.Errorf("another protocol's request gave status %d", status)
 	}
 }
--- a/internal/upstream/upload_test.go
+++ b/internal/upstream/upload_test.go
@@ -82,7 +82,7 @@
 			return copy(b, "second"), io.EOF
 		}), length)
 		req.Left = left.Load
-		if status, _ := p.Do(context.Background(), 1, time.Now().Add(time.Hour), req); status != balance.Moot || <-got == nil {
+		if status, _ := p.Do(context.Background(), 1, time.Now().Add(time.Hour), req); status != balance.NotSent || <-got == nil {
 			t.Errorf("length %d: outcome %d, or the host has it whole", length, status)
 		}
 		if idle, open := counts(p, 1); idle != 0 || open != 0 {
@@ -104,7 +104,7 @@
 		status balance.Status
 		end    stream.Outcome
 	}{
-		"turned away":  {"HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n", nil, balance.Full, stream.Failed},
+		"turned away":  {"HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n", nil, balance.Rejected, stream.Failed},
 		"too much":     {"HTTP/1.1 413 Much\r\nContent-Length: 0\r\n\r\n", nil, balance.Cancelled, stream.Rejected},
 		"hung up":      {"", nil, balance.ConnectFailed, stream.Failed},
 		"client's cut": {"-", iotest.ErrReader(errors.New("cut")), balance.Cancelled, stream.Broken},
--- a/internal/upstream/withheld_test.go
+++ b/internal/upstream/withheld_test.go
@@ -26,10 +26,10 @@
 		kept   int
 	}{
 		{"the decisions withdraw it", func(x *crossing) { x.leave() }, balance.Cancelled, 1},
-		{"its client leaves, and the decisions don't know", func(x *crossing) { x.left = true }, balance.Moot, 1},
-		{"its host drains", func(x *crossing) { x.p.Shut(1, true) }, balance.Moot, 1},
-		{"its host is gone", func(x *crossing) { x.p.Remove(1) }, balance.Moot, 0},
-		{"its host moves", func(x *crossing) { x.p.Set(1, "127.0.0.1:1") }, balance.Moot, 0},
+		{"its client leaves, and the decisions don't know", func(x *crossing) { x.left = true }, balance.NotSent, 1},
+		{"its host drains", func(x *crossing) { x.p.Shut(1, true) }, balance.NotSent, 1},
+		{"its host is gone", func(x *crossing) { x.p.Remove(1) }, balance.NotSent, 0},
+		{"its host moves", func(x *crossing) { x.p.Set(1, "127.0.0.1:1") }, balance.NotSent, 0},
 		{"its host drains and is back", func(x *crossing) { x.p.Shut(1, true); x.p.Shut(1, false) }, balance.OK, 1},
 	} {
 		for _, over := range []string{"HTTP", "Thrift"} {
