--- a/balance/admission.go
+++ b/balance/admission.go
@@ -1,27 +1,32 @@
-// Arrival: which requests are taken, held or turned away.
-
 package balance
 
-import (
-	"cmp"
-	"math"
-	"slices"
-	"time"
-)
+import "time"
 
+// onRequest accepts a request into the queue, or rejects it.
 func (b *Balancer) onRequest(ev *Event) {
 	classIndex := min(ev.Class, len(b.classes)-1)
 	class := b.classes[classIndex]
-	request := &requestState{id: ev.Request, class: class, classIndex: classIndex, deadline: b.now + ev.Remaining,
-		targetAt: b.now + class.TargetLatency - b.timeSpent(class, ev), priority: class.priority * valueShare(ev), unansweredIndex: len(b.unanswered)}
-	if request.overQuota = b.takeQuota(ev.Tenant); request.overQuota {
+	request := &requestState{
+		id:              ev.Request,
+		class:           class,
+		classIndex:      classIndex,
+		deadline:        b.now + ev.Remaining,
+		targetAt:        b.now + class.TargetLatency - b.timeSpent(class, ev),
+		priority:        class.priority * valueShare(ev),
+		unansweredIndex: len(b.unanswered),
+	}
+	if b.takeQuota(ev.Tenant) {
+		request.overQuota = true
 		request.priority *= b.settings.OverQuotaValue
 	}
 	b.rejections.add(0)
 	if ev.ClientRetry && b.settings.MarksRetries && b.rejections.mean(0, 0) > scarcityShare {
 		request.priority *= clientRetryPriority
 	}
-	request.maxAttempts, request.retryCost, request.usefulUntil, request.queueUntil = b.maxAttempts(ev), retryCost(ev), request.latestUseful(), b.queueDeadline(request)
+	request.maxAttempts = b.maxAttempts(ev)
+	request.retryCost = retryCost(ev)
+	request.usefulUntil = request.latestUseful()
+	request.queueUntil = b.queueDeadline(request)
 	if ev.Uploading {
 		request.beginUpload(b.now)
 	}
@@ -38,86 +43,67 @@
 	b.dispatchQueue()
 }
 
-// rank is the class's worth per work, where worth is not counted by work already, in powers of two: a
-// finer order would starve a class for a difference that is mostly noise.
-func (b *Balancer) classPriority(class *classState) float64 {
-	worth := class.Value
-	if !b.settings.ValueByWork {
-		worth /= class.latencyFactor
-	}
-	return math.Exp2(math.Round(math.Log2(max(worth, 1e-6))))
-}
-
-// takeQuota takes one request from this instance's part of the tenant's quota and tells whether that
-// was used up. Only the first tier sees all of a tenant; the others finish what it has let in.
-func (b *Balancer) takeQuota(tenant int) bool {
+// takeQuota takes one request from this instance's part of the tenant's quota and reports whether that was used up. Only
+// the first tier sees all of a tenant; the others finish what it has accepted.
+func (b *Balancer) takeQuota(tenant int) (overQuota bool) {
 	if b.settings.Tier > 0 || tenant >= len(b.tenants) || b.tenants[tenant].rate <= 0 {
 		return false
 	}
-	t := &b.tenants[tenant]
-	if t.tokens < 1 {
+	bucket := &b.tenants[tenant]
+	if bucket.tokens < 1 {
 		return true
 	}
-	t.tokens--
+	bucket.tokens--
 	return false
 }
 
-// queueDeadline is the last moment at which sending can still meet the aim; in the first tier, where nothing
-// is sunk yet, it is a part of the aim, so that a line does not eat everyone's time.
+// queueDeadline is the last moment at which a request may be sent and still meet its target. In the first tier, where no
+// work is lost yet, it is a part of the target, so that a queue does not use up everyone's time.
 func (b *Balancer) queueDeadline(request *requestState) time.Duration {
-	till := request.targetAt - b.classLatency(request.class)
+	until := request.targetAt - b.classLatency(request.class)
 	if b.settings.Tier == 0 {
-		till = min(till, b.now+time.Duration(maxQueueShare*float64(request.class.TargetLatency)))
+		until = min(until, b.now+time.Duration(maxQueueShare*float64(request.class.TargetLatency)))
 	}
-	return min(max(till, b.now+b.tickInterval), request.deadline)
+	return min(max(until, b.now+b.tickInterval), request.deadline)
 }
 
-// rejectsEarly tells whether a request is better turned away before any work is done.
+// rejectsEarly reports whether a request is better rejected before any work is done.
 func (b *Balancer) rejectsEarly(request *requestState) bool {
-	blind := len(b.readyEndpoints) == 0 && b.listExpectedAt > request.queueUntil // there is nobody, and will be nobody in time
-	if blind || request.maxAttempts < 1 || !b.canFinishInTime(request) || request.hasEarlierAttempt && !b.withinDedupWindow(request, &request.earlierAttempt) {
+	noEndpointInTime := len(b.readyEndpoints) == 0 && b.listExpectedAt > request.queueUntil
+	switch {
+	case noEndpointInTime, request.maxAttempts < 1, !b.canFinishInTime(request):
 		return true
+	case request.hasEarlierAttempt && !b.withinDedupWindow(request, &request.earlierAttempt):
+		return true
+	case b.settings.Tier > 0:
+		return false
 	}
-	return b.settings.Tier == 0 && (request.overQuota && (len(b.queue) > 0 || b.limitUtilisation() > maxOverQuotaUse) ||
-		b.limit < smallLimit && b.unusedLimit+b.limit*(request.queueUntil-b.now).Seconds() < b.priorityReserve(request) ||
-		b.queuedAhead(request) > 1+b.sends.n/decaySeconds*(request.queueUntil-b.now).Seconds())
+	return b.shedsLoad(request)
 }
 
-// canFinishInTime tells whether an attempt that is sent now can still end in time, if it is as quick as the quickest
+// shedsLoad reports whether a request of the first tier is rejected for want of capacity.
+func (b *Balancer) shedsLoad(request *requestState) bool {
+	queueSeconds := (request.queueUntil - b.now).Seconds()
+	switch {
+	case request.overQuota && (len(b.queue) > 0 || b.limitUtilisation() > maxOverQuotaUse):
+		return true
+	case b.limit < smallLimit && b.unusedLimit+b.limit*queueSeconds < b.priorityReserve(request):
+		return true
+	}
+	sendRate := b.sends.n / decaySeconds
+	return b.queuedAhead(request) > 1+sendRate*queueSeconds
+}
+
+// canFinishInTime reports whether an attempt that is sent now can still end in time, if it is as quick as the quickest
 // tenth of its class.
 func (b *Balancer) canFinishInTime(request *requestState) bool {
 	return b.now+b.detector.Quick(request.classIndex) < request.usefulUntil-b.responseMargin()
 }
 
-// margin is how long before the client's deadline the final answer goes out.
+// responseMargin is how long before the client's deadline the final answer goes out.
 func (b *Balancer) responseMargin() time.Duration { return b.tickInterval + b.settings.TimeResolution }
 
-// limitUtilisation is the part of the limit that is in use.
+// limitUtilisation is the share of the limit that is in use.
 func (b *Balancer) limitUtilisation() float64 {
 	return float64(b.inFlight) / max(1, b.limit+b.burstAllowance())
 }
-
-// hold puts a request in line: the more valuable first, then the one whose aim comes first.
-func (b *Balancer) enqueue(request *requestState) {
-	request.queued = true
-	at, _ := slices.BinarySearchFunc(b.queue, request, func(w, request *requestState) int {
-		return cmp.Or(cmp.Compare(request.priority, w.priority), cmp.Compare(w.targetAt, request.targetAt+1))
-	})
-	b.queue = slices.Insert(b.queue, at, request)
-}
-
-// drain sends what is held, best first. What one fresh request cannot find, no other can; a retry may.
-func (b *Balancer) dispatchQueue() {
-	blocked := false
-	for i := 0; i < len(b.queue); {
-		request := b.queue[i]
-		fresh := len(request.attempts) == 0
-		if fresh && blocked || !b.send(request, b.pickEndpoint(request)) {
-			blocked = blocked || fresh
-			i++
-			continue
-		}
-		request.queued = false
-		b.queue = slices.Delete(b.queue, i, i+1)
-	}
-}
--- a/balance/health.go
+++ b/balance/health.go
@@ -1,31 +1,38 @@
-// Health of single servers and of all.
-
 package balance
 
-// failed is a failure of a class at a server; hung is the odds that the server has said nothing.
-func (b *Balancer) recordFailure(endpoint *endpointState, class int, hung float64) {
-	b.detector.Failed(&endpoint.evidence, class, hung)
+// recordFailure takes in a failed attempt of a class at an endpoint; hangProbability is the odds that the endpoint did not
+// answer at all.
+func (b *Balancer) recordFailure(endpoint *endpointState, classIndex int, hangProbability float64) {
+	b.detector.Failed(&endpoint.evidence, classIndex, hangProbability)
 	endpoint.consecutiveFailures++
-	if (endpoint.halfOpen || endpoint.consecutiveFailures >= ejectionThreshold && endpoint.evidence.Mostly()) && b.now >= endpoint.ejectedUntil {
+	outlier := endpoint.halfOpen || endpoint.consecutiveFailures >= ejectionThreshold && endpoint.evidence.Mostly()
+	if outlier && b.now >= endpoint.ejectedUntil {
 		b.eject(endpoint)
 	}
 }
 
-// eject leaves a server out for a while, twice as long as the last time, and then tries it gently.
+// eject takes an endpoint out of use for twice as long as the last time, after which it is half-open.
 func (b *Balancer) eject(endpoint *endpointState) {
 	endpoint.ejectionBackoff = min(maxEjectionTime, max(baseEjectionTime, 2*endpoint.ejectionBackoff))
-	endpoint.ejectedUntil, endpoint.halfOpen, endpoint.consecutiveFailures, b.solveNeeded = b.now+endpoint.ejectionBackoff, true, 0, true
+	endpoint.ejectedUntil = b.now + endpoint.ejectionBackoff
+	endpoint.halfOpen = true
+	endpoint.consecutiveFailures = 0
+	b.solveNeeded = true
 }
 
-// healthy tells whether a server is neither ejected nor silent. A vanished server shows only as
-// attempts that stay out while nothing comes back.
+// healthy reports whether an endpoint is neither ejected nor unresponsive. One that has vanished shows only as attempts that
+// stay pending while no other answer comes.
 func (b *Balancer) healthy(endpoint *endpointState) bool {
 	if b.now < endpoint.ejectedUntil {
 		return false
 	}
-	return len(endpoint.pending) == 0 || !endpoint.pending[0].likelyHung() ||
-		b.runTime() < max(endpoint.lastSignal, endpoint.pending[0].sentAtRunTime)+b.overdueAfter(endpoint.pending[0].request.class)
+	if len(endpoint.pending) == 0 || !endpoint.pending[0].likelyHung() {
+		return true
+	}
+	oldest := &endpoint.pending[0]
+	return b.runTime() < max(endpoint.lastSignal, oldest.sentAtRunTime)+b.overdueAfter(oldest.request.class)
 }
 
-// updatePanicMode: when most servers look bad, the cause is shared, and none is to be avoided for it.
+// updatePanicMode ignores health when most endpoints look unhealthy: the cause is shared then, and avoiding any of them does
+// not help (Envoy calls it the panic threshold).
 func (b *Balancer) updatePanicMode() { b.panicMode = b.unhealthyCount*2 > b.availableCount }
--- a/balance/outcomes.go
+++ b/balance/outcomes.go
@@ -1,5 +1,3 @@
-// Outcomes of attempts, and the only place that answers a request and lets go of it.
-
 package balance
 
 import (
@@ -7,14 +5,17 @@
 	"time"
 )
 
+// onOutcome takes in the end of an attempt and decides whether its request goes on.
 func (b *Balancer) onOutcome(ev *Event) {
 	request := b.requests[ev.Request]
 	if request == nil || ev.Attempt >= len(request.attempts) || !request.attempts[ev.Attempt].open {
 		return
 	}
 	attempt := &request.attempts[ev.Attempt]
-	attempt.open, attempt.mayHaveRun = false, ev.Status != Rejected && ev.Status != ConnectFailed && ev.Status != NotSent
-	request.openAttempts, request.retriedBelow = request.openAttempts-1, request.retriedBelow || ev.RetriedBelow
+	attempt.open = false
+	attempt.mayHaveRun = ev.Status != Rejected && ev.Status != ConnectFailed && ev.Status != NotSent
+	request.openAttempts--
+	request.retriedBelow = request.retriedBelow || ev.RetriedBelow
 	b.recordOutcome(b.removePending(request, attempt, ev.Status), attempt.endpoint, ev)
 	switch {
 	case request.done:
@@ -27,10 +28,11 @@
 	b.dispatchQueue()
 }
 
-// again decides whether a request whose attempts have all failed gets another.
-func (b *Balancer) retryOrFinish(request *requestState, mayHave bool) {
-	cost := request.retryCost // of one more
-	if !mayHave {
+// retryOrFinish queues a request whose attempts have all failed for a retry, where the retry budget, its time and its
+// idempotency allow one, and else finishes it.
+func (b *Balancer) retryOrFinish(request *requestState, mayHaveRun bool) {
+	cost := request.retryCost
+	if !mayHaveRun {
 		cost *= rejectedRetryCost
 	}
 	if request.retriedBelow || b.retryTokens < cost || b.now > request.targetAt ||
@@ -42,14 +44,24 @@
 	b.enqueue(request)
 }
 
+// onFirstByte completes a request whose answer has begun to stream to the client: no deadline runs any more, and no other
+// attempt is wanted.
 func (b *Balancer) onFirstByte(ev *Event) {
-	if request := b.requests[ev.Request]; request != nil && ev.Attempt < len(request.attempts) && !request.done {
+	request := b.requests[ev.Request]
+	if request != nil && ev.Attempt < len(request.attempts) && !request.done {
 		request.attempts[ev.Attempt].streamed = true
-		b.complete(request) // the stream is the client's: no deadline runs, and no other copy is wanted
+		b.complete(request)
+	}
+}
+
+// onClientGone completes a request whose client has disconnected.
+func (b *Balancer) onClientGone(ev *Event) {
+	if request := b.requests[ev.Request]; request != nil && !request.done {
+		b.complete(request)
 	}
 }
 
-// finish gives the final answer: refused where a client's retry is harmless, failed otherwise.
+// finish gives the final answer: rejected where a client's retry is harmless, failed otherwise.
 func (b *Balancer) finish(request *requestState) {
 	if request.done {
 		return
@@ -63,8 +75,10 @@
 	b.complete(request)
 }
 
+// canReject reports whether a client's retry of the request is harmless.
 func (b *Balancer) canReject(request *requestState) bool {
-	if request.class.Idempotency == Idempotent || (request.class.Idempotency == IdempotentByKey && request.class.Scope == ScopeAll) {
+	class := request.class
+	if class.Idempotency == Idempotent || class.Idempotency == IdempotentByKey && class.Scope == ScopeAll {
 		return !request.hasEarlierAttempt || b.withinDedupWindow(request, &request.earlierAttempt)
 	}
 	for range request.mayHaveRun {
@@ -73,22 +87,23 @@
 	return true
 }
 
-// retryAfter is when a refused client should come back: the later the more is refused now, and spread, or
-// those that were turned away together would come back together.
+// retryAfter is when a rejected client should retry, 0 for no hint: the later the more is rejected now, and with jitter, or
+// clients that were rejected together would come back together.
 func (b *Balancer) retryAfter(request *requestState) time.Duration {
+	target := request.class.TargetLatency
 	switch {
 	case !b.settings.RetryAfter:
 		return 0
 	case request.overQuota:
 		return b.settings.MaxRetryAfter
-	case len(b.readyEndpoints) == 0 && b.listExpectedAt > b.now: // there is nobody to send to before that
-		return min(b.settings.MaxRetryAfter, b.listExpectedAt-b.now+b.jitter(request.class.TargetLatency/4))
+	case len(b.readyEndpoints) == 0 && b.listExpectedAt > b.now: // no endpoint is known before that
+		return min(b.settings.MaxRetryAfter, b.listExpectedAt-b.now+b.jitter(target/4))
 	}
-	short := 1 / (1 - min(maxScarcity, b.rejections.mean(0, 0)))
-	return min(b.settings.MaxRetryAfter, time.Duration(short*(0.5+b.random.Float64())*float64(request.class.TargetLatency)/4))
+	scarcity := 1 / (1 - min(maxScarcity, b.rejections.mean(0, 0)))
+	return min(b.settings.MaxRetryAfter, time.Duration(scarcity*(0.5+b.random.Float64())*float64(target)/4))
 }
 
-// end marks a request as answered, withdraws what it still has out and lets go of it.
+// complete marks a request as answered, cancels its open attempts and forgets it once they have ended.
 func (b *Balancer) complete(request *requestState) {
 	request.done = true
 	b.removeUnanswered(request)
--- a/balance/routing.go
+++ b/balance/routing.go
@@ -1,5 +1,3 @@
-// Routing: the bin of a request, and the server that its row draws.
-
 package balance
 
 import (
@@ -7,7 +5,13 @@
 	"slices"
 )
 
-// binOf is the request's class and the share of its aim that is spent.
+// bin is a part of a class's calls, by the share of their target latency that was spent when they were routed.
+type bin struct {
+	arrivals float64 // since the last refresh
+	share    float64 // of all calls, as of the last refresh
+}
+
+// binOf is the index of a request's bin.
 func (b *Balancer) binOf(request *requestState) int {
 	spent := 1 - float64(request.targetAt-b.now)/float64(request.class.TargetLatency)
 	k := 0
@@ -17,41 +21,54 @@
 	return request.classIndex*binsPerClass + k
 }
 
-// route draws from the bin's cached row, renormalised over the endpoints now eligible.
+// refreshBins takes over the distribution of the calls since the last refresh.
+func (b *Balancer) refreshBins() {
+	total := 0.0
+	for i := range b.bins {
+		total += b.bins[i].arrivals
+	}
+	for i := range b.bins {
+		b.bins[i] = bin{share: b.bins[i].arrivals / max(total, 1)}
+	}
+}
+
+// pickEndpoint draws from the row of the request's bin, renormalised over the endpoints that are eligible now; nil where the
+// limit has no room or none is eligible.
 func (b *Balancer) pickEndpoint(request *requestState) *endpointState {
 	if len(b.endpoints) == 0 {
 		return nil
 	}
-	held := 1 + float64(b.inFlight)
-	if held > b.allowedInFlight(request) && len(request.attempts) == 0 {
+	inFlight := 1 + float64(b.inFlight)
+	if inFlight > b.allowedInFlight(request) && len(request.attempts) == 0 {
 		return nil
 	}
-	// CongestionAvoidance loads: while some endpoint holds less than its share, one that holds more is passed over.
-	// Chance alone would crowd a server now and then, and one that is crowded turns slow and stays so.
-	if endpoint := b.drawEndpoint(request, b.binOf(request), held); endpoint != nil {
+	// Bounded loads (Mirrokni, Thorup and Zadimoghaddam 2018): while some endpoint has less than its share in flight, one that
+	// has more is passed over. Chance alone would congest an endpoint now and then, and a congested one turns slow and stays so.
+	if endpoint := b.drawEndpoint(request, b.binOf(request), inFlight); endpoint != nil {
 		return endpoint
 	}
 	return b.drawEndpoint(request, b.binOf(request), math.Inf(1))
 }
 
-// draw is one from a bin's row over those eligible that hold less than their share of held: the first of some
-// draws from the whole row that is one of these, or else, where they are few, one of a look through it all.
-func (b *Balancer) drawEndpoint(request *requestState, bin int, held float64) *endpointState {
-	most := min(held, endpointLimitSlack*b.limit)
+// drawEndpoint draws one of a bin's row over the eligible endpoints that have less than their share of inFlight in flight: by
+// a few draws from the whole row, or else, where such endpoints are few, by reservoir sampling over it.
+func (b *Balancer) drawEndpoint(request *requestState, bin int, inFlight float64) *endpointState {
+	maxInFlight := min(inFlight, endpointLimitSlack*b.limit)
 	fits := func(i int) bool {
 		endpoint := b.endpoints[i]
-		return float64(endpoint.inFlight) < max(1, math.Ceil(most*b.totalShare[i])) && b.eligible(request, endpoint)
+		return float64(endpoint.inFlight) < max(1, math.Ceil(maxInFlight*b.totalShare[i])) && b.eligible(request, endpoint)
 	}
 	for range maxDraws {
 		if i, _ := slices.BinarySearch(b.cumulativeRows[bin], b.random.Float64()); i < len(b.endpoints) && fits(i) {
 			return b.endpoints[i]
 		}
 	}
-	drawn, total := (*endpointState)(nil), 0.0
-	for i, p := range b.rows[bin] {
-		if p > 0 && fits(i) {
-			total += p
-			if b.random.Float64()*total < p {
+	var drawn *endpointState
+	total := 0.0
+	for i, share := range b.rows[bin] {
+		if share > 0 && fits(i) {
+			total += share
+			if b.random.Float64()*total < share {
 				drawn = b.endpoints[i]
 			}
 		}
@@ -59,10 +76,17 @@
 	return drawn
 }
 
-// eligible tells whether an endpoint can take a request, by what is known this moment.
+// eligible reports whether an endpoint can take a request now.
 func (b *Balancer) eligible(request *requestState, endpoint *endpointState) bool {
-	if !endpoint.inSubset || (!b.healthy(endpoint) && !b.panicMode) || (endpoint.halfOpen && len(endpoint.pending) > 0) {
+	switch {
+	case !endpoint.inSubset:
+		return false
+	case !b.panicMode && !b.healthy(endpoint):
+		return false
+	case endpoint.halfOpen && len(endpoint.pending) > 0:
+		return false
+	case !b.canSend(request, endpoint):
 		return false
 	}
-	return b.canSend(request, endpoint) && !slices.ContainsFunc(request.attempts, func(a attemptState) bool { return a.endpoint == endpoint })
+	return !slices.ContainsFunc(request.attempts, func(attempt attemptState) bool { return attempt.endpoint == endpoint })
 }
--- a/balance/solve.go
+++ b/balance/solve.go
@@ -1,5 +1,3 @@
-// The solve of the rows.
-
 package balance
 
 import (
@@ -7,20 +5,25 @@
 	"slices"
 )
 
-// binWeights is each bin's share of the calls; even over the classes until something has been seen.
-func (b *Balancer) binWeights() []float64 {
-	w := make([]float64, len(b.bins))
-	for i := range b.bins {
-		w[i] = b.bins[i].share + b.bins[i].arrivals*1e-3
-		if i%binsPerClass == 0 {
-			w[i] += 1e-3
-		}
+// solveInputs is what a solve rested on.
+type solveInputs struct {
+	latency      []float64   // by endpoint, in seconds
+	binShares    []float64   // by bin
+	failureRates [][]float64 // by endpoint and class
+}
+
+// recordSolveInputs keeps what this solve rests on.
+func (b *Balancer) recordSolveInputs(binShares []float64) {
+	b.solvedFor = solveInputs{binShares: binShares}
+	b.solvedAt = b.now
+	b.solveNeeded = false
+	for _, endpoint := range b.endpoints {
+		b.solvedFor.latency = append(b.solvedFor.latency, b.meanLatency(endpoint))
+		b.solvedFor.failureRates = append(b.solvedFor.failureRates, b.failureRates(endpoint))
 	}
-	normalise(w)
-	return w
 }
 
-// shifted tells whether an input has moved significantly since the last solve.
+// inputsShifted reports whether an input has moved significantly since the last solve.
 func (b *Balancer) inputsShifted() bool {
 	if len(b.solvedFor.binShares) != len(b.bins) || len(b.solvedFor.latency) != len(b.endpoints) {
 		return true
@@ -32,72 +35,60 @@
 		}
 	}
 	moved := 0.0
-	for i, w := range b.binWeights() {
-		moved += math.Abs(w - b.solvedFor.binShares[i])
+	for i, weight := range b.binWeights() {
+		moved += math.Abs(weight - b.solvedFor.binShares[i])
 	}
 	return moved/2 > binShift
 }
 
-// curve is a server's delay against its share of the calls: alone/(1 - growth*share), with alone
-// the delay that it would have with no load.
-type latencyCurve struct{ unloaded, growth float64 }
-
-func (c *latencyCurve) at(share float64) (delay, slope float64) {
-	free := max(0.05, 1-c.growth*share)
-	return c.unloaded / free, c.unloaded * c.growth / free / free
-}
-
-// curves fits every server's curve through its delay at its present share. The growth is the same
-// for servers of the same speed, and such that the mean server is as busy as the fleet is.
-func (b *Balancer) fitCurves(share []float64) []latencyCurve {
-	n, mean := float64(len(b.endpoints)), decayedMean{}
-	for _, endpoint := range b.endpoints {
-		mean.add(b.meanLatency(endpoint))
-	}
-	busy := b.meanUtilisation()
-	pressure := n * busy / (mean.mean(0, 0) * (1 - busy))
-	cs := make([]latencyCurve, len(b.endpoints))
-	for i, endpoint := range b.endpoints {
-		m := b.meanLatency(endpoint)
-		alone := m / (1 + pressure*m*max(share[i], 0.5/n)) // a small share must not make it look slow
-		cs[i] = latencyCurve{unloaded: alone, growth: pressure * alone}
-	}
-	return cs
-}
-
-// busy is the fleet's utilisation: as reported, or a middling one, at which crowding is felt.
-func (b *Balancer) meanUtilisation() float64 {
-	var told decayedMean
-	for _, endpoint := range b.endpoints {
-		if endpoint.utilisation.known {
-			told.add(endpoint.utilisation.value)
+// binWeights is each bin's share of the calls; even over the classes until some have come.
+func (b *Balancer) binWeights() []float64 {
+	weights := make([]float64, len(b.bins))
+	for i := range b.bins {
+		weights[i] = b.bins[i].share + b.bins[i].arrivals*arrivalWeight
+		if i%binsPerClass == 0 {
+			weights[i] += arrivalWeight
 		}
 	}
-	return min(0.8, max(0.3, told.mean(0.6, 0.1)))
+	normalise(weights)
+	return weights
 }
 
-// solve moves every row by projected gradient toward the most payoff summed over bins.
+// solve moves every row by projected gradient ascent toward the largest payoff summed over the bins.
 func (b *Balancer) solve() {
 	if b.solveNeeded {
 		b.rebuildEndpoints()
 	}
-	weight := b.binWeights()
-	b.recordSolveInputs(weight)
-	n := float64(len(b.endpoints))
-	if n == 0 {
+	weights := b.binWeights()
+	b.recordSolveInputs(weights)
+	if len(b.endpoints) == 0 {
 		return
 	}
-	cs, step := b.fitCurves(b.sumShares(weight)), solveStep
-	for _, row := range b.rows { // from even, or one that had been bad would stay out where all pay alike
+	n := float64(len(b.endpoints))
+	curves := b.fitCurves(b.sumShares(weights))
+	for _, row := range b.rows { // from even, or an endpoint that was bad would stay out where all pay alike
 		for i := range row {
 			row[i] = 1 / n
 		}
 	}
-	best, grad, most := b.rows, [][]float64(nil), math.Inf(-1)
+	b.rows = b.ascend(weights, curves)
+	for _, row := range b.rows {
+		for i := range row {
+			row[i] = (1-exploreShare)*row[i] + exploreShare/n
+		}
+	}
+	b.totalShare = b.sumShares(weights)
+	b.accumulateRows()
+}
+
+// ascend takes solveSteps steps from the present rows and returns the best rows that it met. Where curves are steep a step
+// can pass the top: it goes back then and halves the step, or rows would oscillate.
+func (b *Balancer) ascend(weights []float64, curves []latencyCurve) [][]float64 {
+	step := solveStep
+	best, gradient, bestPayoff := b.rows, [][]float64(nil), math.Inf(-1)
 	for range solveSteps + 1 {
-		// Where curves are steep a step can pass the top: go back and halve it, or rows would swing.
-		if g, payoff := b.gradient(weight, cs); payoff >= most {
-			best, grad, most = b.rows, g, payoff
+		if g, payoff := b.gradient(weights, curves); payoff >= bestPayoff {
+			best, gradient, bestPayoff = b.rows, g, payoff
 		} else {
 			step /= 2
 		}
@@ -105,53 +96,84 @@
 		for k, row := range best {
 			b.rows[k] = slices.Clone(row)
 			for i := range row {
-				b.rows[k][i] += step * grad[k][i]
+				b.rows[k][i] += step * gradient[k][i]
 			}
 			projectToSimplex(b.rows[k])
 		}
 	}
-	b.rows = best
-	for _, row := range b.rows {
-		for i := range row {
-			row[i] = (1-exploreShare)*row[i] + exploreShare/n
-		}
-	}
-	b.totalShare = b.sumShares(weight)
-	b.accumulateRows()
+	return best
 }
 
-// gradient is the summed payoff, and its slope by each share of each row. A call pays its class's worth, in
-// units of the mean worth, times the chance of ending within the time that it has left.
-func (b *Balancer) gradient(weight []float64, cs []latencyCurve) (grad [][]float64, payoff float64) {
-	total, mean := b.sumShares(weight), 0.0
-	for k, w := range weight {
-		mean += w * b.classes[k/binsPerClass].Value
-	}
-	grad = make([][]float64, len(b.bins))
-	crowd := make([]float64, len(cs)) // what one more call on a server costs those already there
+// gradient is the payoff summed over the bins, and its slope by each share of each row. A call pays its class's value, in
+// units of the mean value, times the chance that it ends within the time that it has left.
+func (b *Balancer) gradient(weights []float64, curves []latencyCurve) (gradient [][]float64, payoff float64) {
+	total := b.sumShares(weights)
+	meanValue := 0.0
+	for k, weight := range weights {
+		meanValue += weight * b.classes[k/binsPerClass].Value
+	}
+	gradient = make([][]float64, len(b.bins))
+	congestion := make([]float64, len(curves)) // what one more call on an endpoint costs those already there
 	for k, row := range b.rows {
 		class := b.classes[k/binsPerClass]
-		f, left, lost := class.latencyFactor, class.TargetLatency.Seconds(), 1.0
-		if b.settings.Hedging && class.Idempotency != NonIdempotent {
-			lost -= hedgeSavings
+		lossPerFailure := b.lossPerFailure(class)
+		left := secondsLeft(class, k%binsPerClass)
+		gradient[k] = make([]float64, len(curves))
+		for i := range curves {
+			latency, slope := curves[i].at(total[i])
+			value := class.Value / max(meanValue, 1e-9) * (1 - lossPerFailure*b.solvedFor.failureRates[i][k/binsPerClass])
+			late := math.Exp(-left / (class.latencyFactor * latency))
+			gradient[k][i] = value * (1 - late)
+			payoff += weights[k] * row[i] * gradient[k][i]
+			congestion[i] += weights[k] * value * row[i] * late * left / (class.latencyFactor * latency * latency) * slope
 		}
-		if spent := k % binsPerClass; spent > 0 {
-			left *= 1 - binEdges[spent-1]
+	}
+	for k := range gradient {
+		for i := range congestion {
+			gradient[k][i] -= congestion[i]
 		}
-		grad[k] = make([]float64, len(cs))
-		for i := range cs {
-			m, slope := cs[i].at(total[i])
-			worth := class.Value / max(mean, 1e-9) * (1 - lost*b.solvedFor.failureRates[i][k/binsPerClass])
-			miss := math.Exp(-left / (f * m))
-			grad[k][i] = worth * (1 - miss)
-			payoff += weight[k] * row[i] * grad[k][i]
-			crowd[i] += weight[k] * worth * row[i] * miss * left / (f * m * m) * slope
+	}
+	return gradient, payoff
+}
+
+// lossPerFailure is the share of a call's value that a failed attempt costs: less where it may be hedged.
+func (b *Balancer) lossPerFailure(class *classState) float64 {
+	loss := 1.0
+	if b.settings.Hedging && class.Idempotency != NonIdempotent {
+		loss -= hedgeSavings
+	}
+	return loss
+}
+
+// secondsLeft is the part of a class's target latency that calls of one of its bins have left.
+func secondsLeft(class *classState, bin int) float64 {
+	left := class.TargetLatency.Seconds()
+	if bin > 0 {
+		left *= 1 - binEdges[bin-1]
+	}
+	return left
+}
+
+// sumShares is each endpoint's share of all calls.
+func (b *Balancer) sumShares(weights []float64) []float64 {
+	total := make([]float64, len(b.endpoints))
+	for k, row := range b.rows {
+		for i := range row {
+			total[i] += weights[k] * row[i]
 		}
 	}
-	for k := range grad {
-		for i := range crowd {
-			grad[k][i] -= crowd[i]
+	return total
+}
+
+// accumulateRows computes the prefix sums of each row, so that a draw from it is a binary search.
+func (b *Balancer) accumulateRows() {
+	b.cumulativeRows = make([][]float64, len(b.rows))
+	for k, row := range b.rows {
+		b.cumulativeRows[k] = make([]float64, len(row))
+		sum := 0.0
+		for i, share := range row {
+			sum += share
+			b.cumulativeRows[k][i] = sum
 		}
 	}
-	return grad, payoff
 }
--- /dev/null
+++ b/balance/warmup.go
@@ -0,0 +1,66 @@
+package balance
+
+import (
+	"time"
+
+	"pinelb.example/pinelb/balance/warmup"
+)
+
+// uptime is how long an endpoint has been up; one whose start is unknown counts as warm.
+func (b *Balancer) uptime(endpoint *endpointState) time.Duration {
+	if endpoint.StartedAt == 0 {
+		return b.settings.WarmupDuration
+	}
+	return b.now - endpoint.StartedAt
+}
+
+func (b *Balancer) isWarmingUp(endpoint *endpointState) bool {
+	return endpoint.StartedAt > 0 && b.now < endpoint.StartedAt+b.settings.WarmupDuration
+}
+
+// trickleRate is how many sends a second go to an endpoint that is warming up without an answer of one of its peers.
+func (b *Balancer) trickleRate(endpoint *endpointState) float64 {
+	rate := b.warmupConfig.Trickle(b.uptime(endpoint), b.instancesPerEndpoint)
+	if endpoint.Cached {
+		rate = max(rate, cachedTrickleRate/float64(len(b.endpoints)))
+	}
+	return rate
+}
+
+// seedCachedList gives an instance that starts with a cached list one send at once, to any of its endpoints: the rest is
+// earned by answers.
+func (b *Balancer) seedCachedList() {
+	if b.cachedListSeeded {
+		return
+	}
+	var cached []*endpointState
+	for _, endpoint := range b.endpoints {
+		if endpoint.Cached {
+			cached = append(cached, endpoint)
+		}
+	}
+	if len(cached) > 0 {
+		b.cachedListSeeded = true
+		cached[b.random.IntN(len(cached))].warmup.Answered(b.now, 1, 0)
+	}
+}
+
+// earnWarmupSends has an answer earn sends to the endpoints of its group that are warming up; see package warmup. Only
+// endpoints that answer share in it: one that is down or hangs would take a part of the gain away for nothing.
+func (b *Balancer) earnWarmupSends(from *endpointState) {
+	if b.warmupConfig.Share < 1 && b.capacity == float64(len(b.readyEndpoints)) { // none is warming up
+		return
+	}
+	groupCapacity := 0.0
+	for _, endpoint := range b.endpoints {
+		if endpoint.group == from.group && (endpoint == from || b.panicMode || b.healthy(endpoint)) {
+			groupCapacity += b.warmupConfig.Capacity(b.uptime(endpoint))
+		}
+	}
+	for _, endpoint := range b.endpoints {
+		if endpoint.available && endpoint.group == from.group && b.isWarmingUp(endpoint) {
+			sends := warmup.Gain * b.warmupConfig.Capacity(b.uptime(endpoint)) / groupCapacity
+			endpoint.warmup.Answered(b.now, sends, b.random.Float64())
+		}
+	}
+}
