--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -27,98 +27,98 @@
 	}
 }
 
-// TestTenantsWithinShareComeFirst: a tenant far over its quota is turned away before one within it.
-func TestTenantsWithinShareComeFirst(t *testing.T) {
+// TestTenantsWithinQuotaComeFirst: a tenant far over its quota is rejected before one within it.
+func TestTenantsWithinQuotaComeFirst(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{Share: 0.5, Quota: 20}, {Share: 0.5, Quota: 25}}
-	w := newWorld(t, s, 1)
-	w.servers(2)
-	refused := map[int]int{}
+	w := newTestInstance(t, s, 1)
+	w.listReady(2)
+	rejected := map[int]int{}
 	for i := range 400 {
 		tenant := 0
 		if i%10 == 0 {
 			tenant = 1
 		}
 		w.nextID++
-		w.event(Event{Kind: EventRequest, Request: w.nextID, Class: unsafeClass, Tenant: tenant, Remaining: time.Second})
-		if w.answer[w.nextID].Kind == ActReject {
-			refused[tenant]++
+		w.event(Event{Kind: EventRequest, Request: w.nextID, Class: nonIdempotentClass, Tenant: tenant, Remaining: time.Second})
+		if w.answers[w.nextID].Kind == ActReject {
+			rejected[tenant]++
 		}
-		w.run(5 * ms)
-		for j := range w.sends { // each server answers 20 requests a second
+		w.advance(5 * ms)
+		for j := range w.sends { // each endpoint answers 20 requests a second
 			if w.b.requests[w.sends[j].Request] != nil && w.now-w.sentAt[j] > 100*ms {
-				w.end(j, OK, 100*ms)
+				w.endAttempt(j, OK, 100*ms)
 			}
 		}
 	}
-	if refused[1]*50 > refused[0] {
-		t.Errorf("refused %d of the tenant far over its share and %d of the one within", refused[0], refused[1])
+	if rejected[1]*50 > rejected[0] {
+		t.Errorf("rejected %d of the tenant far over its share and %d of the one within", rejected[0], rejected[1])
 	}
 }
 
-// TestInnerTiersHoldOn: an inner tier does not throw away what upper tiers have paid for.
-func TestInnerTiersHoldOn(t *testing.T) {
+// TestInnerTiersDoNotShedLoad: an inner tier does not throw away what upper tiers have paid for.
+func TestInnerTiersDoNotShedLoad(t *testing.T) {
 	s := testSettings()
 	s.Tier, s.Tiers = 1, 2
 	s.Tenants = []Tenant{{Share: 1, Quota: 1}}
-	w := newWorld(t, s, 1)
-	w.servers(1)
+	w := newTestInstance(t, s, 1)
+	w.listReady(1)
 	for range 40 {
-		w.request(unsafeClass)
+		w.request(nonIdempotentClass)
 	}
-	if len(w.answers) != 0 {
-		t.Errorf("%d of 40 calls refused at once by an inner tier", len(w.answers))
+	if len(w.answerCounts) != 0 {
+		t.Errorf("%d of 40 calls rejected at once by an inner tier", len(w.answerCounts))
 	}
 }
 
-// TestRefusedBeforeTheAimIsLost: what cannot be sent in time is refused early, not failed late.
-func TestRefusedBeforeTheAimIsLost(t *testing.T) {
-	w := newWorld(t, testSettings(), 1)
-	w.servers(1)
+// TestRejectedBeforeTheTargetIsMissed: what cannot be sent in time is rejected early, not failed late.
+func TestRejectedBeforeTheTargetIsMissed(t *testing.T) {
+	w := newTestInstance(t, testSettings(), 1)
+	w.listReady(1)
 	for range 60 {
-		w.request(unsafeClass)
+		w.request(nonIdempotentClass)
 	}
-	w.run(200 * ms)
-	refused := 0
-	for _, a := range w.answer {
+	w.advance(200 * ms)
+	rejected := 0
+	for _, a := range w.answers {
 		if a.Kind == ActReject {
-			refused++
+			rejected++
 			if a.After <= 0 {
-				t.Error("refused without a retry hint")
+				t.Error("rejected without a retry hint")
 			}
 		}
 	}
-	if want := 60 - len(w.sends); refused != want || refused == 0 {
-		t.Errorf("%d refused half an aim after arrival, want the %d unsent", refused, want)
+	if want := 60 - len(w.sends); rejected != want || rejected == 0 {
+		t.Errorf("%d rejected half a target latency after arrival, want the %d unsent", rejected, want)
 	}
 }
 
-// TestLimitSurvivesSlowWork: where work alone takes much of the aim, idle servers must not be starved.
-func TestLimitSurvivesSlowWork(t *testing.T) {
-	w := newWorld(t, testSettings(), 1)
-	w.servers(4)
-	w.serve(300, safeClass, func(EndpointID) time.Duration { return 180 * ms }) // 0.45 of the aim, uncrowded
+// TestLimitKeptWithSlowWork: where work alone takes much of the target latency, idle endpoints must not be starved.
+func TestLimitKeptWithSlowWork(t *testing.T) {
+	w := newTestInstance(t, testSettings(), 1)
+	w.listReady(4)
+	w.serveCalls(300, idempotentClass, func(EndpointID) time.Duration { return 180 * ms }) // 0.45 of the target latency, uncongested
 	if w.b.limit < initialLimit*4 {
 		t.Errorf("limit %.1f after calm traffic, started at %.1f", w.b.limit, initialLimit*4)
 	}
 }
 
-func TestLimitFallsWithCrowding(t *testing.T) {
-	w := newWorld(t, testSettings(), 1)
-	w.servers(4)
-	w.serve(100, safeClass, func(EndpointID) time.Duration { return 40 * ms })
+func TestLimitFallsWithCongestion(t *testing.T) {
+	w := newTestInstance(t, testSettings(), 1)
+	w.listReady(4)
+	w.serveCalls(100, idempotentClass, func(EndpointID) time.Duration { return 40 * ms })
 	calm := w.b.limit
-	w.serve(100, safeClass, func(EndpointID) time.Duration { return 390 * ms })
+	w.serveCalls(100, idempotentClass, func(EndpointID) time.Duration { return 390 * ms })
 	if w.b.limit >= calm {
-		t.Errorf("limit %.1f when crowded, %.1f when calm", w.b.limit, calm)
+		t.Errorf("limit %.1f when congested, %.1f when calm", w.b.limit, calm)
 	}
 }
 
-// TestLimitKeepsThePresentRate: answers that others make slow must not cut the limit below what the rate
-// needs, or the line that grows here makes them slower still.
-func TestLimitKeepsThePresentRate(t *testing.T) {
-	w := newWorld(t, testSettings(), 1)
-	w.servers(2)
+// TestLimitKeepsPresentRate: answers that others make slow must not cut the limit below what the rate
+// needs, or the queue that grows here makes them slower still.
+func TestLimitKeepsPresentRate(t *testing.T) {
+	w := newTestInstance(t, testSettings(), 1)
+	w.listReady(2)
 	least := w.b.limit
 	for step := range 2000 { // 100 requests a second, answered after so long however few are held
 		delay := 40 * ms
@@ -126,11 +126,11 @@
 			delay = 100 * ms
 			least = min(least, w.b.limit)
 		}
-		w.request(unsafeClass)
-		w.run(10 * ms)
+		w.request(nonIdempotentClass)
+		w.advance(10 * ms)
 		for j := range w.sends {
 			if w.b.requests[w.sends[j].Request] != nil && w.now-w.sentAt[j] >= delay {
-				w.end(j, OK, delay)
+				w.endAttempt(j, OK, delay)
 			}
 		}
 	}
@@ -139,57 +139,57 @@
 	}
 }
 
-// TestCopiesInAFullerHour: a request that hangs gets its copy also when more than half of the limit is in use.
-func TestCopiesInAFullerHour(t *testing.T) {
-	w := newWorld(t, testSettings(), 1)
-	w.servers(8)
-	w.serve(100, safeClass, func(EndpointID) time.Duration { return 40 * ms })
+// TestHedgesUnderLoad: a request that hangs gets its hedge also when more than half of the limit is in use.
+func TestHedgesUnderLoad(t *testing.T) {
+	w := newTestInstance(t, testSettings(), 1)
+	w.listReady(8)
+	w.serveCalls(100, idempotentClass, func(EndpointID) time.Duration { return 40 * ms })
 	w.b.limit = 14
 	first := len(w.sends)
 	for range 8 {
-		w.request(safeClass)
+		w.request(idempotentClass)
 	}
-	w.run(3 * 40 * ms)
+	w.advance(3 * 40 * ms)
 	for j := first + 1; j < first+8; j++ {
-		w.end(j, OK, 120*ms) // all but one
+		w.endAttempt(j, OK, 120*ms) // all but one
 	}
 	for range 10 { // what hangs takes no room of the limit
-		w.request(unsafeClass)
+		w.request(nonIdempotentClass)
 	}
-	w.b.retryTokens = maxRetryTokens // some went into copies of those that were only slow
+	w.b.retryTokens = maxRetryTokens // some went into hedges of those that were only slow
 	sent := len(w.sends)
 	if w.b.limitUtilisation() <= maxOverQuotaUse {
 		t.Fatalf("%.2f of the limit in use shows nothing", w.b.limitUtilisation())
 	}
-	w.run(30 * ms)
+	w.advance(30 * ms)
 	if len(w.sends) == sent {
-		t.Error("a request that hangs got no copy")
+		t.Error("a request that hangs got no hedge")
 	}
 }
 
-// TestFirstCalmAnswersSetNoTrap: one quick answer must not make all later ones look crowded.
+// TestLimitNeedsEvidence: one quick answer must not make all later ones look congested.
 func TestLimitNeedsEvidence(t *testing.T) {
-	w := newWorld(t, testSettings(), 1)
-	w.servers(4)
+	w := newTestInstance(t, testSettings(), 1)
+	w.listReady(4)
 	before := w.b.limit
-	w.serve(int(minLimitResponses)-2, safeClass, func(EndpointID) time.Duration { return 300 * ms })
+	w.serveCalls(int(minLimitResponses)-2, idempotentClass, func(EndpointID) time.Duration { return 300 * ms })
 	if w.b.limit != before {
 		t.Errorf("limit moved to %.1f on fewer answers than it rests on", w.b.limit)
 	}
 }
 
-func TestSilentServerIsAvoided(t *testing.T) {
-	w := newWorld(t, testSettings(), 1)
-	w.servers(4)
-	w.serve(80, unsafeClass, func(EndpointID) time.Duration { return 40 * ms })
+func TestUnresponsiveEndpointIsAvoided(t *testing.T) {
+	w := newTestInstance(t, testSettings(), 1)
+	w.listReady(4)
+	w.serveCalls(80, nonIdempotentClass, func(EndpointID) time.Duration { return 40 * ms })
 	first := len(w.sends)
-	for range 120 { // server 1 no longer answers, and nothing says so
+	for range 120 { // endpoint 1 no longer answers, and nothing says so
 		n := len(w.sends)
-		w.request(unsafeClass)
-		w.run(30 * ms)
+		w.request(nonIdempotentClass)
+		w.advance(30 * ms)
 		for j := n; j < len(w.sends); j++ {
 			if w.sends[j].Endpoint != 1 {
-				w.end(j, OK, 30*ms)
+				w.endAttempt(j, OK, 30*ms)
 			}
 		}
 	}
@@ -200,39 +200,39 @@
 		}
 	}
 	if lost > 12 {
-		t.Errorf("%d of %d requests went to a server that had fallen silent", lost, len(w.sends)-first)
+		t.Errorf("%d of %d requests went to an endpoint that had become unresponsive", lost, len(w.sends)-first)
 	}
 	if w.b.healthy(w.b.endpoints[0]) {
-		t.Error("silent for seconds with attempts out, and not suspected")
+		t.Error("unresponsive for seconds with attempts out, and not suspected")
 	}
 	if !w.b.healthy(w.b.endpoints[1]) {
-		t.Error("an answering server is suspected")
+		t.Error("an answering endpoint is suspected")
 	}
 }
 
-func TestFailingServerIsEjectedAndTriedAgain(t *testing.T) {
-	w := newWorld(t, testSettings(), 1)
-	w.servers(4)
-	sick, sent := true, 0
+func TestFailingEndpointIsEjectedAndRecovers(t *testing.T) {
+	w := newTestInstance(t, testSettings(), 1)
+	w.listReady(4)
+	failing, sent := true, 0
 	for i := range 1200 {
 		n := len(w.sends)
-		w.request(unsafeClass)
-		w.run(20 * ms)
+		w.request(nonIdempotentClass)
+		w.advance(20 * ms)
 		for j := n; j < len(w.sends); j++ {
 			status := OK
 			if w.sends[j].Endpoint == 1 {
 				sent++
-				if sick {
+				if failing {
 					status = Error
 				}
 			}
-			w.end(j, status, 20*ms)
+			w.endAttempt(j, status, 20*ms)
 		}
 		if i == 200 {
 			if sent > 40 {
-				t.Errorf("%d of 200 requests sent to a server that fails all", sent)
+				t.Errorf("%d of 200 requests sent to an endpoint that fails all", sent)
 			}
-			sick, sent = false, 0
+			failing, sent = false, 0
 		}
 	}
 	if sent < 50 {
@@ -240,35 +240,35 @@
 	}
 }
 
-// TestSharedFailureEjectsNobody: when every server looks bad, all stay in use.
-func TestSharedFailureEjectsNobody(t *testing.T) {
-	w := newWorld(t, testSettings(), 1)
-	w.servers(4)
+// TestSharedFailureEjectsNone: when every endpoint looks bad, all stay in use.
+func TestSharedFailureEjectsNone(t *testing.T) {
+	w := newTestInstance(t, testSettings(), 1)
+	w.listReady(4)
 	for range 100 {
 		n := len(w.sends)
-		w.request(unsafeClass)
-		w.run(20 * ms)
+		w.request(nonIdempotentClass)
+		w.advance(20 * ms)
 		for j := n; j < len(w.sends); j++ {
-			w.end(j, Error, 20*ms)
+			w.endAttempt(j, Error, 20*ms)
 		}
 	}
 	if len(w.sends) < 60 {
-		t.Errorf("only %d of 100 requests were sent while all servers failed", len(w.sends))
+		t.Errorf("only %d of 100 requests were sent while all endpoints failed", len(w.sends))
 	}
 }
 
-func TestRetriesAreBudgeted(t *testing.T) {
-	w := newWorld(t, testSettings(), 1)
-	w.servers(5)
+func TestRetryBudget(t *testing.T) {
+	w := newTestInstance(t, testSettings(), 1)
+	w.listReady(5)
 	for range 300 {
-		w.request(safeClass)
+		w.request(idempotentClass)
 		for range 5 {
 			if n := len(w.sends); w.b.requests[w.sends[n-1].Request] != nil && w.b.requests[w.sends[n-1].Request].openAttempts > 0 {
-				w.run(5 * ms)
-				w.end(n-1, Error, 5*ms)
+				w.advance(5 * ms)
+				w.endAttempt(n-1, Error, 5*ms)
 			}
 		}
-		w.run(5 * ms)
+		w.advance(5 * ms)
 	}
 	if most := 300*(1+retryTokensPerRequest) + maxRetryTokens; float64(len(w.sends)) > most {
 		t.Errorf("%d attempts for 300 requests that all fail, budget %.0f", len(w.sends), most)
@@ -276,45 +276,45 @@
 }
 
 // A few clients that come with more time than all others must not make these look as if theirs was spent:
-// they would be given up at arrival.
-func TestPatientClientsDoNotAgeOthers(t *testing.T) {
-	w := newWorld(t, testSettings(), 1)
-	w.servers(4)
+// they would be abandoned at arrival.
+func TestPatientClientsDoNotSkewUsualRemaining(t *testing.T) {
+	w := newTestInstance(t, testSettings(), 1)
+	w.listReady(4)
 	ask := func(left time.Duration) RequestID {
 		w.nextID++
-		w.event(Event{Kind: EventRequest, Request: w.nextID, Class: safeClass, Remaining: left})
-		w.run(20 * ms)
+		w.event(Event{Kind: EventRequest, Request: w.nextID, Class: idempotentClass, Remaining: left})
+		w.advance(20 * ms)
 		if n := len(w.sends); n > 0 && w.sends[n-1].Request == w.nextID {
-			w.end(n-1, OK, 20*ms)
+			w.endAttempt(n-1, OK, 20*ms)
 		}
 		return w.nextID
 	}
 	for i := range 100 {
 		left := 500 * ms
 		if i%20 == 10 {
-			left = 1000 * ms // more than an aim longer
+			left = 1000 * ms // more than a target latency longer
 		}
-		if id := ask(left); w.answers[id] != 0 || w.tries[id] != 1 {
-			t.Fatalf("request %d, with %v left: refused or unsent", i, left)
+		if id := ask(left); w.answerCounts[id] != 0 || w.attemptCounts[id] != 1 {
+			t.Fatalf("request %d, with %v left: rejected or unsent", i, left)
 		}
 	}
 	w.nextID++
-	w.event(Event{Kind: EventRequest, Request: w.nextID, Class: safeClass, Remaining: 300 * ms})
+	w.event(Event{Kind: EventRequest, Request: w.nextID, Class: idempotentClass, Remaining: 300 * ms})
 	request := w.b.requests[w.nextID]
 	if spent := w.now + request.class.TargetLatency - request.targetAt; spent != 200*ms {
-		t.Errorf("a try with 200 ms less than usual is taken to have spent %v", spent)
+		t.Errorf("an attempt with 200 ms less than usual is taken to have spent %v", spent)
 	}
 }
 
-// TestStuckAttemptsTakeNoRoom: of attempts that hang at servers which answer others, none counts against the limit,
+// TestHungAttemptsDoNotCountAgainstLimit: of attempts that hang at endpoints which answer others, none counts against the limit,
 // nor has it cut. Where nothing that was sent later is answered, or they are not overdue, all count.
-func TestStuckAttemptsTakeNoRoom(t *testing.T) {
+func TestHungAttemptsDoNotCountAgainstLimit(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		answer  bool          // the servers answer what was sent after the first four
+		answer  bool          // the endpoints answer what was sent after the first four
 		age     time.Duration // of the first four then
 		working int
-		cut     bool // the limit is, when they are given up
+		cut     bool // the limit is, when they are abandoned
 	}{
 		{"passed and overdue", true, 300 * ms, 0, false},
 		{"passed", true, 100 * ms, 4, false},
@@ -323,25 +323,25 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := testSettings()
 			s.Hedging = false
-			w := newWorld(t, s, 3)
-			w.servers(2)
-			w.serve(40, unsafeClass, func(EndpointID) time.Duration { return 50 * ms })
+			w := newTestInstance(t, s, 3)
+			w.listReady(2)
+			w.serveCalls(40, nonIdempotentClass, func(EndpointID) time.Duration { return 50 * ms })
 			w.b.limit = 20
 			for range 4 {
-				w.request(unsafeClass)
+				w.request(nonIdempotentClass)
 			}
 			from := len(w.sends)
-			w.run(5 * ms)
+			w.advance(5 * ms)
 			for range 12 {
-				w.request(unsafeClass)
+				w.request(nonIdempotentClass)
 			}
-			w.run(c.age - 5*ms)
+			w.advance(c.age - 5*ms)
 			for i := from; i < len(w.sends); i++ {
 				status := Cancelled
 				if c.answer {
 					status = OK
 				}
-				w.end(i, status, 50*ms)
+				w.endAttempt(i, status, 50*ms)
 			}
 			w.b.assessPending() // counts what works
 			working := 0
@@ -352,7 +352,7 @@
 				t.Errorf("%d of four count, %d expected", working, c.working)
 			}
 			before := w.b.limit
-			w.run(800 * ms) // until their time is up
+			w.advance(800 * ms) // until their time is up
 			if cut := w.b.limit < before; cut != c.cut {
 				t.Errorf("the limit went from %v to %v", before, w.b.limit)
 			}
@@ -360,29 +360,29 @@
 	}
 }
 
-// TestShortPatienceIsNotSpentTime: callers that give less time than others still get their answers, where they are
-// known for first tries or their aim would be past already. A repeated try has spent the difference.
-func TestShortPatienceIsNotSpentTime(t *testing.T) {
+// TestShortTimeoutIsNotTimeSpent: callers that give less time than others still get their answers, where they are
+// known for first attempts or their target latency would be past already. A retry has spent the difference.
+func TestShortTimeoutIsNotTimeSpent(t *testing.T) {
 	for _, c := range []struct {
 		name            string
 		tier            int
 		marks, repeated bool
 		left, spent     time.Duration
 	}{
-		{"first try at the first tier", 0, true, false, 800 * ms, 0},
+		{"first attempt at the first tier", 0, true, false, 800 * ms, 0},
 		{"unmarked", 0, false, false, 800 * ms, 200 * ms},
 		{"repeated", 0, true, true, 800 * ms, 200 * ms},
-		{"an inner tier's, aim still possible", 1, true, false, 800 * ms, 200 * ms},
-		{"an inner tier's, aim past", 1, true, false, 250 * ms, 0},
-		{"repeated, aim past", 1, true, true, 250 * ms, 750 * ms},
+		{"an inner tier's, target latency still possible", 1, true, false, 800 * ms, 200 * ms},
+		{"an inner tier's, target latency past", 1, true, false, 250 * ms, 0},
+		{"repeated, target latency past", 1, true, true, 250 * ms, 750 * ms},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := testSettings()
 			s.Tiers, s.Tier, s.MarksRetries = 2, c.tier, c.marks
-			w := newWorld(t, s, 3)
-			w.servers(2)
-			w.serve(40, safeClass, func(EndpointID) time.Duration { return 50 * ms }) // all with 1 s left
-			got := w.b.timeSpent(w.b.classes[safeClass], &Event{Remaining: c.left, ClientRetry: c.repeated})
+			w := newTestInstance(t, s, 3)
+			w.listReady(2)
+			w.serveCalls(40, idempotentClass, func(EndpointID) time.Duration { return 50 * ms }) // all with 1 s left
+			got := w.b.timeSpent(w.b.classes[idempotentClass], &Event{Remaining: c.left, ClientRetry: c.repeated})
 			if got != c.spent {
 				t.Errorf("%v left are taken for %v spent, not %v", c.left, got, c.spent)
 			}
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -44,11 +44,11 @@
 	}
 }
 
-// slopeSizes are hosts at which costs are measured for docs/CAPACITY.md.
+// slopeSizes are endpoints at which costs are measured for docs/CAPACITY.md.
 var slopeSizes = []int{12, 106, 212, 425, 850, 1700}
 
-// listed is an instance that knows so many hosts.
-func listed(b *testing.B, hosts int) (*Balancer, []Entry) {
+// newListedBalancer returns an instance that knows so many endpoints.
+func newListedBalancer(b *testing.B, hosts int) (*Balancer, []Entry) {
 	s := testSettings()
 	s.Instances = hosts
 	bal, err := New(s, 1)
@@ -63,11 +63,11 @@
 	return bal, entries
 }
 
-// BenchmarkList is what a whole list costs, of which one host has just restarted.
+// BenchmarkList is what a full list costs, of which one endpoint has just restarted.
 func BenchmarkList(b *testing.B) {
 	for _, hosts := range slopeSizes {
 		b.Run(fmt.Sprint(hosts, "hosts"), func(b *testing.B) {
-			bal, entries := listed(b, hosts)
+			bal, entries := newListedBalancer(b, hosts)
 			var out []Action
 			b.ReportAllocs()
 			for i := range b.N {
@@ -79,11 +79,11 @@
 	}
 }
 
-// BenchmarkChange is what one host's restart costs that comes as a change.
+// BenchmarkChange is what one endpoint's restart costs that comes as a change.
 func BenchmarkChange(b *testing.B) {
 	for _, hosts := range slopeSizes {
 		b.Run(fmt.Sprint(hosts, "hosts"), func(b *testing.B) {
-			bal, entries := listed(b, hosts)
+			bal, entries := newListedBalancer(b, hosts)
 			var out []Action
 			b.ReportAllocs()
 			for i := range b.N {
@@ -95,8 +95,8 @@
 	}
 }
 
-// sixty is an instance of the platform's large fleet, 13 in number, and a list of 60 hosts.
-func sixty(b *testing.B) (*Balancer, []Entry) {
+// newBalancerOf60 returns an instance of the platform's large fleet, 13 in number, and a list of 60 endpoints.
+func newBalancerOf60(b *testing.B) (*Balancer, []Entry) {
 	s := testSettings()
 	s.Instances, s.Rank = 13, 5
 	bal, err := New(s, 1)
@@ -110,9 +110,9 @@
 	return bal, entries
 }
 
-// BenchmarkListOf60 is what a whole list of 60 hosts costs, of which one has just restarted.
+// BenchmarkListOf60 is what a full list of 60 endpoints costs, of which one has just restarted.
 func BenchmarkListOf60(b *testing.B) {
-	bal, entries := sixty(b)
+	bal, entries := newBalancerOf60(b)
 	var out []Action
 	b.ReportAllocs()
 	for i := range b.N {
@@ -122,9 +122,9 @@
 	}
 }
 
-// BenchmarkTickAtRest is a tick with 60 hosts listed and nothing out; every 25th brings the upkeep.
+// BenchmarkTickAtRest is a tick with 60 endpoints listed and nothing out; every 25th brings the upkeep.
 func BenchmarkTickAtRest(b *testing.B) {
-	bal, entries := sixty(b)
+	bal, entries := newBalancerOf60(b)
 	out := bal.Handle(time.Hour, &Event{Kind: EventMembership, List: ListFull, Entries: entries}, nil)
 	b.ReportAllocs()
 	for i := range b.N {
--- a/balance/expect_test.go
+++ b/balance/cached_list_test.go
@@ -5,62 +5,62 @@
 	"time"
 )
 
-// Without any host, and with a list that can't come in time, a request is refused at once and told when to come again;
-// where the list may come in time it is held, and where hosts are listed nothing changes.
-func TestNobodyYet(t *testing.T) {
+// Without any endpoint, and with a list that can't come in time, a request is rejected at once and told when to come again;
+// where the list may come in time it is held, and where endpoints are listed nothing changes.
+func TestNoEndpointsYet(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		in      time.Duration // of the list
 		servers int
-		at      bool // refused at once
+		at      bool // rejected at once
 		advice  time.Duration
 	}{
 		{"a list in 300 ms", 300 * ms, 0, true, 300 * ms},
 		{"one in a minute", time.Minute, 0, true, 500 * ms}, // the site's most
 		{"one in time", 5 * ms, 0, false, 0},
-		{"hosts are listed", time.Minute, 1, false, 0},
+		{"endpoints are listed", time.Minute, 1, false, 0},
 	} {
-		w := newWorld(t, testSettings(), 1)
-		w.servers(c.servers)
+		w := newTestInstance(t, testSettings(), 1)
+		w.listReady(c.servers)
 		w.event(Event{Kind: EventListExpected, ExpectedIn: c.in})
-		id := w.request(safeClass)
-		a, refused := w.answer[id]
-		if refused != c.at {
-			t.Errorf("%s: refused at once: %v", c.name, refused)
+		id := w.request(idempotentClass)
+		a, rejected := w.answers[id]
+		if rejected != c.at {
+			t.Errorf("%s: rejected at once: %v", c.name, rejected)
 		}
 		if c.at && (a.Kind != ActReject || a.After < c.advice || a.After > c.advice+100*ms || a.After > 500*ms) {
 			t.Errorf("%s: %+v", c.name, a)
 		}
-		w.run(2 * time.Second)
-		if c.servers == 0 && w.answers[id] != 1 {
-			t.Errorf("%s: %d answers", c.name, w.answers[id])
+		w.advance(2 * time.Second)
+		if c.servers == 0 && w.answerCounts[id] != 1 {
+			t.Errorf("%s: %d answers", c.name, w.answerCounts[id])
 		}
 	}
 }
 
-// Of an old list: the hosts count as cold, one send goes out at once and the rest is earned; a list of the present that tells
+// Of a cached list: the endpoints count as warming up, one request goes out at once and the rest is earned; a fresh list that says
 // the same start makes them as old as they are, one that tells a later start makes them cold by that.
-func TestOldList(t *testing.T) {
+func TestCachedList(t *testing.T) {
 	s := testSettings()
 	s.Instances = 2
-	guess := func() *world {
-		w := newWorld(t, s, 1)
-		var es []Entry
+	guess := func() *testInstance {
+		w := newTestInstance(t, s, 1)
+		var entries []Entry
 		for id := EndpointID(1); id <= 4; id++ {
-			es = append(es, Entry{Endpoint: id, State: Ready, Weight: 1, Cached: true})
+			entries = append(entries, Entry{Endpoint: id, State: Ready, Weight: 1, Cached: true})
 		}
-		w.list(ListCached, es...)
+		w.list(ListCached, entries...)
 		return w
 	}
 	w := guess()
 	for range 10 {
-		w.request(safeClass)
+		w.request(idempotentClass)
 	}
 	if len(w.sends) != 1 {
-		t.Errorf("%d of ten requests went out at once to hosts of an old list, want 1", len(w.sends))
+		t.Errorf("%d of ten requests went out at once to endpoints of a cached list, want 1", len(w.sends))
 	}
-	w.end(0, OK, 20*ms)
-	w.run(100 * ms)
+	w.endAttempt(0, OK, 20*ms)
+	w.advance(100 * ms)
 	if n := len(w.sends); n < 2 || n > 4 {
 		t.Errorf("%d sends after one answer: the rest is to be earned", n)
 	}
@@ -75,7 +75,7 @@
 			t.Errorf("%s: cold %v", c.name, got)
 		}
 		for range 10 {
-			w.request(safeClass)
+			w.request(idempotentClass)
 		}
 		if sent := len(w.sends); !c.cold && sent < 4 || c.cold && sent > 1 {
 			t.Errorf("%s: %d of ten requests went out", c.name, sent)
--- a/balance/golden_test.go
+++ b/balance/golden_test.go
@@ -43,7 +43,7 @@
 // goldenRun is a script with every kind of event: cold and faulty endpoints, cached lists, uploads, changed settings and a
 // hand-over to a successor half-way.
 type goldenRun struct {
-	script
+	recordedRun
 	settings Settings
 	requests int // per hundred steps
 	next     RequestID
@@ -53,16 +53,16 @@
 	var entries []Entry
 	for id := EndpointID(1); id <= 14; id++ {
 		e := Entry{Endpoint: id, State: Ready, Weight: 1 + float64(id%2), Zone: int(id) % 2, Cell: int(id) % 3, Kind: int(id) % 2}
-		switch g.r.IntN(8) {
+		switch g.random.IntN(8) {
 		case 0:
 			e.State = Draining
 		case 1:
 			e.State = Gone
 		case 2:
-			e.StartedAt = g.now - time.Duration(g.r.IntN(12000)-1000)*ms
+			e.StartedAt = g.now - time.Duration(g.random.IntN(12000)-1000)*ms
 		}
 		e.Cached = kind == ListCached
-		if kind == ListFull || g.r.IntN(3) > 0 {
+		if kind == ListFull || g.random.IntN(3) > 0 {
 			entries = append(entries, e)
 		}
 	}
@@ -70,17 +70,17 @@
 }
 
 func (g *goldenRun) request() {
-	class := g.r.IntN(len(g.settings.Classes))
-	ev := Event{Kind: EventRequest, Request: g.next, Class: class, Tenant: g.r.IntN(3), Remaining: g.settings.Classes[class].Deadline,
-		ClientRetry: g.r.IntN(5) == 0, Uploading: g.r.IntN(12) == 0}
-	if g.r.IntN(3) == 0 {
-		ev.Remaining -= time.Duration(g.r.IntN(500)) * ms
+	class := g.random.IntN(len(g.settings.Classes))
+	ev := Event{Kind: EventRequest, Request: g.next, Class: class, Tenant: g.random.IntN(3), Remaining: g.settings.Classes[class].Deadline,
+		ClientRetry: g.random.IntN(5) == 0, Uploading: g.random.IntN(12) == 0}
+	if g.random.IntN(3) == 0 {
+		ev.Remaining -= time.Duration(g.random.IntN(500)) * ms
 	}
-	switch g.r.IntN(12) {
+	switch g.random.IntN(12) {
 	case 0:
-		ev.MaxAttempts, ev.ValueShare = g.r.IntN(4)-1, g.r.Float64()
+		ev.MaxAttempts, ev.ValueShare = g.random.IntN(4)-1, g.random.Float64()
 	case 1:
-		ev.EarlierAttemptAt, ev.Endpoint = g.now-time.Duration(g.r.IntN(700))*ms, EndpointID(1+g.r.IntN(16))
+		ev.EarlierAttemptAt, ev.Endpoint = g.now-time.Duration(g.random.IntN(700))*ms, EndpointID(1+g.random.IntN(16))
 	}
 	g.next++
 	g.event(ev)
@@ -92,24 +92,24 @@
 	if len(g.open) == 0 {
 		return
 	}
-	i := g.r.IntN(len(g.open))
+	i := g.random.IntN(len(g.open))
 	a, past := g.open[i], g.now-time.Hour
-	if a.Endpoint == 6 && past > 20*time.Second && past < 30*time.Second && g.r.IntN(40) > 0 {
+	if a.Endpoint == 6 && past > 20*time.Second && past < 30*time.Second && g.random.IntN(40) > 0 {
 		return
 	}
 	g.open = append(g.open[:i], g.open[i+1:]...)
 	ev := Event{Kind: EventOutcome, Request: a.Request, Attempt: a.Attempt, Endpoint: a.Endpoint,
-		Latency: time.Duration(10+g.r.IntN(60)) * ms * time.Duration(1+a.Endpoint%3)}
-	if g.r.IntN(10) == 0 || a.Endpoint == 5 && past > 10*time.Second && past < 20*time.Second {
-		ev.Status = []Status{Error, Rejected, ConnectFailed, Reset, Timeout, Cancelled, NotSent}[g.r.IntN(7)]
-		ev.RetriedBelow = g.r.IntN(6) == 0
+		Latency: time.Duration(10+g.random.IntN(60)) * ms * time.Duration(1+a.Endpoint%3)}
+	if g.random.IntN(10) == 0 || a.Endpoint == 5 && past > 10*time.Second && past < 20*time.Second {
+		ev.Status = []Status{Error, Rejected, ConnectFailed, Reset, Timeout, Cancelled, NotSent}[g.random.IntN(7)]
+		ev.RetriedBelow = g.random.IntN(6) == 0
 	}
 	if past > 32*time.Second && past < 35*time.Second {
 		ev.Latency *= 5
 	}
-	ev.Closed = ev.Status == OK && g.r.IntN(3) > 0
+	ev.Closed = ev.Status == OK && g.random.IntN(3) > 0
 	if g.settings.LoadInline {
-		ev.Load = LoadReport{N: 2, V: [4]float32{float32(g.r.IntN(9)), g.r.Float32()}}
+		ev.Load = LoadReport{N: 2, V: [4]float32{float32(g.random.IntN(9)), g.random.Float32()}}
 	}
 	g.event(ev)
 }
@@ -117,7 +117,7 @@
 // handOver puts a successor in place of the instance, which takes over what it learned as JSON.
 func (g *goldenRun) handOver(t *testing.T) {
 	t.Helper()
-	text, err := json.Marshal(g.b.LearnedState())
+	text, err := json.Marshal(g.instance.LearnedState())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -126,7 +126,7 @@
 	if err := json.Unmarshal(text, &learned); err != nil {
 		t.Fatal(err)
 	}
-	if g.b, err = New(g.settings, 5); err != nil {
+	if g.instance, err = New(g.settings, 5); err != nil {
 		t.Fatal(err)
 	}
 	g.timers, g.open = nil, nil
@@ -135,7 +135,7 @@
 	g.now += time.Second
 	g.endpoints(ListCached)
 	learned.Age = time.Second
-	g.b.Restore(g.now, &learned)
+	g.instance.Restore(g.now, &learned)
 }
 
 // recordHealth writes the endpoints' health with the names that the fields had when the digests were taken.
@@ -147,7 +147,7 @@
 		Fails         float64
 	}
 	var conditions []condition
-	for _, h := range g.b.EndpointHealth(nil) {
+	for _, h := range g.instance.EndpointHealth(nil) {
 		conditions = append(conditions, condition{h.Endpoint, h.Grey, h.Ejected, h.FailureRate})
 	}
 	text, err := json.Marshal(conditions)
@@ -159,26 +159,26 @@
 
 func (g *goldenRun) step(t *testing.T) {
 	t.Helper()
-	g.due()
-	switch p := g.r.IntN(100); {
+	g.fireTimers()
+	switch p := g.random.IntN(100); {
 	case p < g.requests:
 		g.request()
 	case p < 94:
 		g.outcome()
 	case p == 94:
-		g.event(Event{Kind: EventClientGone, Request: RequestID(g.r.IntN(int(g.next)))})
+		g.event(Event{Kind: EventClientGone, Request: RequestID(g.random.IntN(int(g.next)))})
 	case p == 95:
-		g.event(Event{Kind: EventUploadDone, Request: g.next - RequestID(g.r.IntN(20))})
+		g.event(Event{Kind: EventUploadDone, Request: g.next - RequestID(g.random.IntN(20))})
 	case p == 96 && len(g.open) > 0:
-		a := g.open[g.r.IntN(len(g.open))]
+		a := g.open[g.random.IntN(len(g.open))]
 		g.event(Event{Kind: EventFirstByte, Request: a.Request, Attempt: a.Attempt})
-	case p == 97 && g.r.IntN(8) == 0:
-		g.endpoints([]ListKind{ListDelta, ListFull, ListFailed}[g.r.IntN(3)])
-	case p == 98 && g.r.IntN(8) == 0:
-		g.event(Event{Kind: EventCordon, Endpoint: EndpointID(1 + g.r.IntN(14)), Cordoned: g.r.IntN(2) == 0})
-	case p == 99 && g.r.IntN(20) == 0:
-		g.settings.MaxAttempts = 2 + g.r.IntN(3)
-		g.settings.Processes = 1 + g.r.IntN(2)
+	case p == 97 && g.random.IntN(8) == 0:
+		g.endpoints([]ListKind{ListDelta, ListFull, ListFailed}[g.random.IntN(3)])
+	case p == 98 && g.random.IntN(8) == 0:
+		g.event(Event{Kind: EventCordon, Endpoint: EndpointID(1 + g.random.IntN(14)), Cordoned: g.random.IntN(2) == 0})
+	case p == 99 && g.random.IntN(20) == 0:
+		g.settings.MaxAttempts = 2 + g.random.IntN(3)
+		g.settings.Processes = 1 + g.random.IntN(2)
 		settings := g.settings
 		g.event(Event{Kind: EventSettings, Settings: &settings})
 	}
@@ -196,7 +196,7 @@
 				t.Fatal(err)
 			}
 			g := &goldenRun{settings: settings, requests: script.rate, next: 1}
-			g.b, g.r, g.now, g.digest = b, rand.New(rand.NewPCG(uint64(i), 77)), time.Hour, sha256.New()
+			g.instance, g.random, g.now, g.digest = b, rand.New(rand.NewPCG(uint64(i), 77)), time.Hour, sha256.New()
 			g.event(Event{Kind: EventListExpected, ExpectedIn: 2 * time.Second})
 			g.request()
 			g.endpoints(ListCached)
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -23,27 +23,27 @@
 }
 
 const (
-	safeClass = iota
+	idempotentClass = iota
 	keyedClass
-	unsafeClass
+	nonIdempotentClass
 )
 
-// world drives one instance as a caller would and keeps what it did.
-type world struct {
-	t       *testing.T
-	b       *Balancer
-	now     time.Duration
-	timers  []timer
-	sends   []Action
-	sentAt  []time.Duration
-	attempt []int // number of each send among its request's
-	answers map[RequestID]int
-	answer  map[RequestID]Action
-	other   []Action
-	cancels []Action
-	nextID  RequestID
-	tries   map[RequestID]int
-	served  map[RequestID]bool
+// testInstance drives one instance as a caller would and records its actions.
+type testInstance struct {
+	t              *testing.T
+	b              *Balancer
+	now            time.Duration
+	timers         []timer
+	sends          []Action
+	sentAt         []time.Duration
+	attemptNumbers []int // number of each send among its request's
+	answerCounts   map[RequestID]int
+	answers        map[RequestID]Action
+	otherActions   []Action
+	cancels        []Action
+	nextID         RequestID
+	attemptCounts  map[RequestID]int
+	served         map[RequestID]bool
 }
 
 type timer struct {
@@ -51,44 +51,44 @@
 	token Token
 }
 
-func newWorld(t *testing.T, s Settings, seed uint64) *world {
+func newTestInstance(t *testing.T, s Settings, seed uint64) *testInstance {
 	t.Helper()
 	b, err := New(s, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &world{t: t, b: b, now: time.Hour, answers: map[RequestID]int{}, answer: map[RequestID]Action{},
-		tries: map[RequestID]int{}, served: map[RequestID]bool{}}
+	return &testInstance{t: t, b: b, now: time.Hour, answerCounts: map[RequestID]int{}, answers: map[RequestID]Action{},
+		attemptCounts: map[RequestID]int{}, served: map[RequestID]bool{}}
 }
 
-func (w *world) event(ev Event) {
+func (w *testInstance) event(ev Event) {
 	for _, a := range w.b.Handle(w.now, &ev, nil) {
 		switch a.Kind {
 		case ActTimer:
 			w.timers = append(w.timers, timer{w.now + a.After, a.Token})
 		case ActSend:
 			w.sends, w.sentAt = append(w.sends, a), append(w.sentAt, w.now)
-			w.attempt = append(w.attempt, w.tries[a.Request])
-			w.tries[a.Request]++
+			w.attemptNumbers = append(w.attemptNumbers, w.attemptCounts[a.Request])
+			w.attemptCounts[a.Request]++
 		case ActReject, ActFail:
-			w.answers[a.Request]++
-			w.answer[a.Request] = a
+			w.answerCounts[a.Request]++
+			w.answers[a.Request] = a
 		case ActCancel:
 			w.cancels = append(w.cancels, a)
 		default:
-			w.other = append(w.other, a)
+			w.otherActions = append(w.otherActions, a)
 		}
 	}
-	for len(w.cancels) > 0 { // a withdrawn attempt ends at once
+	for len(w.cancels) > 0 { // a cancelled attempt ends at once
 		a := w.cancels[0]
 		w.cancels = w.cancels[1:]
 		w.event(Event{Kind: EventOutcome, Request: a.Request, Attempt: a.Attempt, Status: Cancelled,
-			Closed: w.answers[a.Request] > 0 || w.served[a.Request]})
+			Closed: w.answerCounts[a.Request] > 0 || w.served[a.Request]})
 	}
 }
 
-// run lets time pass, firing timers in order.
-func (w *world) run(d time.Duration) {
+// advance lets time pass, firing timers in order.
+func (w *testInstance) advance(d time.Duration) {
 	end := w.now + d
 	for {
 		next := -1
@@ -108,49 +108,49 @@
 	w.now = end
 }
 
-func (w *world) list(kind ListKind, entries ...Entry) {
+func (w *testInstance) list(kind ListKind, entries ...Entry) {
 	w.event(Event{Kind: EventMembership, List: kind, Entries: entries})
 }
 
-// servers lists n ready endpoints, 1 to n, all in cell 0 unless cells says otherwise.
-func (w *world) servers(n int, cells ...int) {
-	var es []Entry
+// listReady lists n ready endpoints, 1 to n, all in cell 0 unless cells says otherwise.
+func (w *testInstance) listReady(n int, cells ...int) {
+	var entries []Entry
 	for i := 1; i <= n; i++ {
 		e := Entry{Endpoint: EndpointID(i), State: Ready, Weight: 1}
 		if i <= len(cells) {
 			e.Cell = cells[i-1]
 		}
-		es = append(es, e)
+		entries = append(entries, e)
 	}
-	w.list(ListFull, es...)
+	w.list(ListFull, entries...)
 }
 
-func (w *world) request(class int) RequestID {
+func (w *testInstance) request(class int) RequestID {
 	w.nextID++
 	w.event(Event{Kind: EventRequest, Request: w.nextID, Class: class, Remaining: w.b.settings.Classes[class].Deadline})
 	return w.nextID
 }
 
-// end reports how the send with this index ended.
-func (w *world) end(i int, status Status, latency time.Duration) {
-	a, n := w.sends[i], w.attempt[i]
+// endAttempt reports how the send with this index ended.
+func (w *testInstance) endAttempt(i int, status Status, latency time.Duration) {
+	a, n := w.sends[i], w.attemptNumbers[i]
 	w.served[a.Request] = w.served[a.Request] || status == OK
 	w.event(Event{Kind: EventOutcome, Request: a.Request, Endpoint: a.Endpoint, Attempt: n, Status: status,
 		Closed: status == OK, Latency: latency})
 }
 
-// serve plays calls one after another on all servers, with a delay for each, and lets outcomes teach.
-func (w *world) serve(calls, class int, delay func(EndpointID) time.Duration) {
+// serveCalls plays calls one after another, each with a delay of its own.
+func (w *testInstance) serveCalls(calls, class int, delay func(EndpointID) time.Duration) {
 	for range calls {
 		n := len(w.sends)
 		w.request(class)
 		if len(w.sends) == n {
-			w.run(20 * ms)
+			w.advance(20 * ms)
 			continue
 		}
 		d := delay(w.sends[n].Endpoint)
-		w.run(d)
-		w.end(n, OK, d)
-		w.run(5 * ms)
+		w.advance(d)
+		w.endAttempt(n, OK, d)
+		w.advance(5 * ms)
 	}
 }
--- a/balance/learned_test.go
+++ b/balance/learned_state_test.go
@@ -11,24 +11,24 @@
 	"pinelb.example/pinelb/balance/grey"
 )
 
-// taught is an instance that has served on servers of which one is slow and one hangs.
-func taught(t *testing.T, seed uint64) *world {
-	w := newWorld(t, testSettings(), seed)
-	w.servers(5)
+// learnedInstance returns an instance that has served on endpoints of which one is slow and one hangs.
+func learnedInstance(t *testing.T, seed uint64) *testInstance {
+	w := newTestInstance(t, testSettings(), seed)
+	w.listReady(5)
 	for i := range 150 {
-		w.serve(1, i%3, func(id EndpointID) time.Duration { return time.Duration(20+60*(id/5)) * ms })
+		w.serveCalls(1, i%3, func(id EndpointID) time.Duration { return time.Duration(20+60*(id/5)) * ms })
 		if i%10 == 0 {
-			w.request(safeClass)
-			w.run(300 * ms)
-			w.end(len(w.sends)-1, Error, 10*ms)
+			w.request(idempotentClass)
+			w.advance(300 * ms)
+			w.endAttempt(len(w.sends)-1, Error, 10*ms)
 		}
 	}
 	return w
 }
 
 // Guards against a successor that knows less, or other things, than the process before it.
-func TestLearnedIsPassedOn(t *testing.T) {
-	old := taught(t, 1)
+func TestLearnedStateRoundTrip(t *testing.T) {
+	old := learnedInstance(t, 1)
 	text, err := json.Marshal(old.b.LearnedState())
 	if err != nil {
 		t.Fatal(err)
@@ -37,20 +37,20 @@
 	if err := json.Unmarshal(text, &l); err != nil {
 		t.Fatal(err)
 	}
-	w := newWorld(t, testSettings(), 2)
+	w := newTestInstance(t, testSettings(), 2)
 	w.now = old.now
-	w.servers(5)
+	w.listReady(5)
 	w.b.Restore(w.now, &l)
 	if got, want := w.b.LearnedState(), old.b.LearnedState(); !reflect.DeepEqual(got.Endpoints, want.Endpoints) || !reflect.DeepEqual(got.Detector, want.Detector) ||
 		got.Limit != want.Limit || got.Baseline != want.Baseline {
-		t.Errorf("passed on\n%+v\nwas taken over as\n%+v", want, got)
+		t.Errorf("handed over\n%+v\nwas taken over as\n%+v", want, got)
 	}
 }
 
 // Guards against classes that stand elsewhere at the successor, or not at all.
-func TestLearnedIsReordered(t *testing.T) {
-	l := taught(t, 1).b.LearnedState()
-	safe, unsafe := l.Classes[safeClass], l.Detector.Paces[unsafeClass]
+func TestReorderClasses(t *testing.T) {
+	l := learnedInstance(t, 1).b.LearnedState()
+	safe, unsafe := l.Classes[idempotentClass], l.Detector.Paces[nonIdempotentClass]
 	l.ReorderClasses([]int{1, -1, 0}, 2)
 	if len(l.Classes) != 2 || !reflect.DeepEqual(l.Classes[1], safe) || l.Detector.Paces[0] != unsafe || len(l.Endpoints[0].Evidence.Classes) != 2 {
 		t.Errorf("reordered: %+v", l)
@@ -58,7 +58,7 @@
 }
 
 // Guards against values that no process can have learned: whatever comes, the decisions go on and keep to the rules.
-func TestAbsurdIsNotLearned(t *testing.T) {
+func TestRestoreIgnoresInvalidValues(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		num := rapid.OneOf(rapid.Float64(), rapid.SampledFrom([]float64{0, -1, 1e300, 1e-300, 5}))
 		sample := func() MeanState { return MeanState{num.Draw(rt, "n"), num.Draw(rt, "sum")} }
@@ -78,14 +78,14 @@
 				ConsecutiveFailures: rapid.Int().Draw(rt, "fails"), Evidence: grey.HostState{Classes: []grey.Count{count()}, Mute: count(), Lately: count(),
 					Suspect: num.Draw(rt, "suspect")}})
 		}
-		w := newWorld(t, testSettings(), 1)
-		w.servers(4)
+		w := newTestInstance(t, testSettings(), 1)
+		w.listReady(4)
 		w.b.Restore(w.now, l)
 		for range 20 {
-			id := w.request(safeClass)
-			w.run(1200 * ms)
-			if w.answers[id] != 1 {
-				rt.Fatalf("request %d has %d answers", id, w.answers[id])
+			id := w.request(idempotentClass)
+			w.advance(1200 * ms)
+			if w.answerCounts[id] != 1 {
+				rt.Fatalf("request %d has %d answers", id, w.answerCounts[id])
 			}
 		}
 	})
@@ -93,8 +93,8 @@
 
 // Guards against a snapshot that is believed for longer than what it says can hold: by its age, what is left of the weight of
 // a curve, of an ejection and of the limit.
-func TestLearnedAges(t *testing.T) {
-	old := taught(t, 1)
+func TestLearnedStateDecays(t *testing.T) {
+	old := learnedInstance(t, 1)
 	l := old.b.LearnedState()
 	l.Congested, l.Limit, l.BaselineKnown, l.Baseline = true, 77, true, 0.2
 	for i := range l.Endpoints {
@@ -113,20 +113,20 @@
 		{MaxBaselineAge + 1, 6e-6, 0, 0, false, false},
 		{-time.Hour, 1, 8 * time.Second, 2, true, true},
 	} {
-		w := newWorld(t, testSettings(), 2)
+		w := newTestInstance(t, testSettings(), 2)
 		w.now = old.now
-		w.servers(5)
+		w.listReady(5)
 		fresh := w.b.LearnedState()
 		l.Age = c.past
 		w.b.Restore(w.now, l)
 		got := w.b.LearnedState()
 		for i, h := range got.Endpoints {
 			if weight := h.Latency.N / l.Endpoints[i].Latency.N; weight < c.weight*0.9 || weight > c.weight*1.1 || h.EjectedFor != c.ejected || h.ConsecutiveFailures != c.fails {
-				t.Errorf("after %v host %d: weight %.2g, ejected for %v, %d failures", c.past, h.Endpoint, weight, h.EjectedFor, h.ConsecutiveFailures)
+				t.Errorf("after %v endpoint %d: weight %.2g, ejected for %v, %d failures", c.past, h.Endpoint, weight, h.EjectedFor, h.ConsecutiveFailures)
 			}
 		}
 		if limit := got.Limit != fresh.Limit; limit != c.limit || got.Congested != c.limit || got.BaselineKnown != c.measure {
-			t.Errorf("after %v: limit %v, crowded %v, measure %v", c.past, got.Limit, got.Congested, got.BaselineKnown)
+			t.Errorf("after %v: limit %v, congested %v, measure %v", c.past, got.Limit, got.Congested, got.BaselineKnown)
 		}
 	}
 }
--- a/balance/settings_test.go
+++ b/balance/reconfigure_test.go
@@ -13,8 +13,8 @@
 func TestSettingsChange(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		set := testSettings()
-		w := newWorld(t, set, rapid.Uint64().Draw(rt, "seed"))
-		w.servers(4)
+		w := newTestInstance(t, set, rapid.Uint64().Draw(rt, "seed"))
+		w.listReady(4)
 		type held struct {
 			effect Idempotency
 			most   int // sends that there may be yet
@@ -48,13 +48,13 @@
 					status := rapid.SampledFrom([]Status{OK, Error, Rejected, ConnectFailed, Reset}).Draw(rt, "status")
 					h := open[w.sends[ended].Request]
 					h.mayRun = h.mayRun || status == Error || status == Reset
-					w.end(ended, status, 20*ms)
+					w.endAttempt(ended, status, 20*ms)
 					ended++
 				}
 			case 5:
-				w.servers(rapid.IntRange(1, 5).Draw(rt, "servers"))
+				w.listReady(rapid.IntRange(1, 5).Draw(rt, "servers"))
 			case 6:
-				w.run(ms * 100)
+				w.advance(ms * 100)
 			}
 			for _, h := range open {
 				h.most, h.sent = h.most+h.sent, 0
@@ -76,9 +76,9 @@
 				}
 			}
 		}
-		w.run(2 * set.Classes[0].Deadline)
+		w.advance(2 * set.Classes[0].Deadline)
 		for id := range open {
-			if got := w.answers[id]; got != 1 && !w.served[id] || got > 1 {
+			if got := w.answerCounts[id]; got != 1 && !w.served[id] || got > 1 {
 				rt.Fatalf("request %d has %d answers", id, got)
 			}
 		}
@@ -86,8 +86,8 @@
 }
 
 // Guards against a change of the settings that forgets what was learned of classes that stay.
-func TestSettingsKeepWhatWasLearned(t *testing.T) {
-	w := taught(t, 1)
+func TestSettingsChangeKeepsLearnedState(t *testing.T) {
+	w := learnedInstance(t, 1)
 	before := w.b.LearnedState()
 	set := testSettings()
 	set.Classes = append(set.Classes, set.Classes[0])
@@ -99,15 +99,15 @@
 		t.Errorf("before\n%+v\nafter\n%+v", before, after)
 	}
 	id := w.request(3)
-	if w.tries[id] != 1 {
-		t.Errorf("a request of the class that appeared was sent %d times at once", w.tries[id])
+	if w.attemptCounts[id] != 1 {
+		t.Errorf("a request of the class that appeared was sent %d times at once", w.attemptCounts[id])
 	}
 }
 
 // Guards against an upgrade that doubles what a sidecar may send: two processes of it have half of the limit each, a cold
 // endpoint's trickle is shared, and what is left alone has the whole again.
-func TestProcessesShare(t *testing.T) {
-	w := taught(t, 1)
+func TestProcessesShareLimit(t *testing.T) {
+	w := learnedInstance(t, 1)
 	limit, users := w.b.limit, w.b.instancesPerEndpoint
 	set := testSettings()
 	set.Processes = 2
@@ -115,9 +115,9 @@
 	if w.b.limit != limit/2 || w.b.instancesPerEndpoint != 2*users {
 		t.Errorf("beside another the limit is %v of %v, and %v use an endpoint of %v", w.b.limit, limit, w.b.instancesPerEndpoint, users)
 	}
-	next := newWorld(t, set, 2)
+	next := newTestInstance(t, set, 2)
 	next.now = w.now
-	next.servers(5)
+	next.listReady(5)
 	next.b.Restore(next.now, w.b.LearnedState())
 	if both := w.b.limit + next.b.limit; both != limit {
 		t.Errorf("both together have %v, want the %v of one", both, limit)
--- a/balance/recorded_test.go
+++ b/balance/recorded_test.go
@@ -15,15 +15,15 @@
 // change that is meant to alter decisions takes a new one, and says in its commit what it alters.
 const recordedDecisions = "eafaf121f4570bb49d73f0b972332acebeaf1d4d3486607ccd2a1c1e7deeeab4"
 
-// script drives one instance through a minute of requests, outcomes and lists, all drawn from one seed.
-type script struct {
-	b      *Balancer
-	r      *rand.Rand
-	now    time.Duration
-	timers []timer
-	open   []Action
-	digest hash.Hash
-	count  int
+// recordedRun drives one instance through a minute of requests, outcomes and lists, all drawn from one seed.
+type recordedRun struct {
+	instance *Balancer
+	random   *rand.Rand
+	now      time.Duration
+	timers   []timer
+	open     []Action
+	digest   hash.Hash
+	count    int
 }
 
 // recordAction writes an action in the form that the digests were taken in: that of %+v with the names that the fields had
@@ -33,8 +33,8 @@
 		now, a.Kind, a.Request, a.Endpoint, a.Attempt, a.After, a.ValueShare, a.Token, a.Peer, a.Data, a.Text)
 }
 
-func (s *script) event(ev Event) {
-	for _, a := range s.b.Handle(s.now, &ev, nil) {
+func (s *recordedRun) event(ev Event) {
+	for _, a := range s.instance.Handle(s.now, &ev, nil) {
 		recordAction(s.digest, s.now, &a)
 		s.count++
 		switch a.Kind {
@@ -47,8 +47,8 @@
 	}
 }
 
-// due fires the timers that have come.
-func (s *script) due() {
+// fireTimers fires the timers that are due.
+func (s *recordedRun) fireTimers() {
 	for i := 0; i < len(s.timers); i++ {
 		if t := s.timers[i]; t.at <= s.now {
 			s.timers = append(s.timers[:i], s.timers[i+1:]...)
@@ -58,27 +58,27 @@
 	}
 }
 
-// outcome ends one of the attempts that are out.
-func (s *script) outcome() {
+// randomOutcome ends one of the open attempts.
+func (s *recordedRun) randomOutcome() {
 	if len(s.open) == 0 {
 		return
 	}
-	i := s.r.IntN(len(s.open))
+	i := s.random.IntN(len(s.open))
 	a := s.open[i]
 	s.open = append(s.open[:i], s.open[i+1:]...)
 	status := OK
-	if s.r.IntN(8) == 0 {
-		status = []Status{Error, Rejected, ConnectFailed, Reset, Timeout}[s.r.IntN(5)]
+	if s.random.IntN(8) == 0 {
+		status = []Status{Error, Rejected, ConnectFailed, Reset, Timeout}[s.random.IntN(5)]
 	}
-	latency := time.Duration(20+s.r.IntN(200)) * ms * time.Duration(1+a.Endpoint%3)
+	latency := time.Duration(20+s.random.IntN(200)) * ms * time.Duration(1+a.Endpoint%3)
 	s.event(Event{Kind: EventOutcome, Request: a.Request, Attempt: a.Attempt, Endpoint: a.Endpoint, Status: status, Latency: latency})
 }
 
-func (s *script) list() {
+func (s *recordedRun) randomList() {
 	var entries []Entry
 	for id := EndpointID(1); id <= 9; id++ {
 		e := Entry{Endpoint: id, State: Ready, Weight: 1, Zone: int(id) % 2, Cell: int(id) % 3}
-		if s.r.IntN(6) == 0 {
+		if s.random.IntN(6) == 0 {
 			e.State = Draining
 		}
 		entries = append(entries, e)
@@ -94,24 +94,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &script{b: b, r: rand.New(rand.NewPCG(4, 2)), now: time.Hour, digest: sha256.New()}
-	s.list()
+	s := &recordedRun{instance: b, random: rand.New(rand.NewPCG(4, 2)), now: time.Hour, digest: sha256.New()}
+	s.randomList()
 	for request := RequestID(1); s.now < time.Hour+time.Minute; s.now += 2 * ms {
-		s.due()
-		switch p := s.r.IntN(100); {
+		s.fireTimers()
+		switch p := s.random.IntN(100); {
 		case p < 30:
-			class := s.r.IntN(3)
+			class := s.random.IntN(3)
 			s.event(Event{Kind: EventRequest, Request: request, Class: class, Key: uint64(request / 3), Remaining: settings.Classes[class].Deadline,
-				WorkHint: time.Duration(s.r.IntN(30)) * ms, ClientRetry: s.r.IntN(10) == 0})
+				WorkHint: time.Duration(s.random.IntN(30)) * ms, ClientRetry: s.random.IntN(10) == 0})
 			request++
 		case p < 62:
-			s.outcome()
+			s.randomOutcome()
 		case p == 62:
-			s.event(Event{Kind: EventClientGone, Request: RequestID(s.r.IntN(int(request)))})
-		case p == 63 && s.r.IntN(20) == 0:
-			s.list()
-		case p == 64 && s.r.IntN(20) == 0:
-			s.event(Event{Kind: EventCordon, Endpoint: EndpointID(1 + s.r.IntN(9)), Cordoned: s.r.IntN(2) == 0})
+			s.event(Event{Kind: EventClientGone, Request: RequestID(s.random.IntN(int(request)))})
+		case p == 63 && s.random.IntN(20) == 0:
+			s.randomList()
+		case p == 64 && s.random.IntN(20) == 0:
+			s.event(Event{Kind: EventCordon, Endpoint: EndpointID(1 + s.random.IntN(9)), Cordoned: s.random.IntN(2) == 0})
 		}
 	}
 	if got := hex.EncodeToString(s.digest.Sum(nil)); got != recordedDecisions {
--- a/balance/rules_test.go
+++ b/balance/sending_test.go
@@ -6,42 +6,42 @@
 	"time"
 )
 
-func TestOneAnswerInTime(t *testing.T) {
+func TestOneFinalAnswerInTime(t *testing.T) {
 	s := testSettings()
 	for i := range s.Classes {
 		s.Classes[i].LateValue = 0.5 // worth waiting for up to the deadline itself
 	}
-	for _, class := range []int{safeClass, keyedClass, unsafeClass} {
+	for _, class := range []int{idempotentClass, keyedClass, nonIdempotentClass} {
 		for _, n := range []int{0, 1, 3} {
-			w := newWorld(t, s, 1)
-			w.servers(n)
+			w := newTestInstance(t, s, 1)
+			w.listReady(n)
 			start := w.now
 			id := w.request(class)
 			var at time.Duration
-			for w.answers[id] == 0 && w.now < start+2*time.Second {
-				w.run(ms)
+			for w.answerCounts[id] == 0 && w.now < start+2*time.Second {
+				w.advance(ms)
 				at = w.now - start
 			}
-			if w.answers[id] != 1 || at > 1000*ms {
-				t.Errorf("class %d, %d servers: %d answers, first after %v, want 1 by the deadline", class, n, w.answers[id], at)
+			if w.answerCounts[id] != 1 || at > 1000*ms {
+				t.Errorf("class %d, %d endpoints: %d answers, first after %v, want 1 by the deadline", class, n, w.answerCounts[id], at)
 			}
 			sent := len(w.sends)
-			w.run(time.Second)
-			if w.answers[id] != 1 || len(w.sends) != sent {
-				t.Errorf("class %d, %d servers: something went out after the answer", class, n)
+			w.advance(time.Second)
+			if w.answerCounts[id] != 1 || len(w.sends) != sent {
+				t.Errorf("class %d, %d endpoints: something went out after the answer", class, n)
 			}
 		}
 	}
 }
 
-// TestSendGuard checks the edges of the one send path.
-func TestSendGuard(t *testing.T) {
-	w := newWorld(t, testSettings(), 1)
-	w.servers(1)
-	w.run(50 * ms)
+// TestCanSend checks the edges of the one send path.
+func TestCanSend(t *testing.T) {
+	w := newTestInstance(t, testSettings(), 1)
+	w.listReady(1)
+	w.advance(50 * ms)
 	endpoint := w.b.endpoints[0]
 	ready := func() *requestState {
-		return &requestState{class: w.b.classes[safeClass], usefulUntil: w.now + time.Second, maxAttempts: 4}
+		return &requestState{class: w.b.classes[idempotentClass], usefulUntil: w.now + time.Second, maxAttempts: 4}
 	}
 	for name, c := range map[string]struct {
 		spoil func(*requestState)
@@ -62,59 +62,59 @@
 	}
 }
 
-// TestEndsAtTheAim: where a later answer is worth nothing, a request ends just before its aim and what
-// it has out is withdrawn; where late answers have worth it goes on.
-func TestEndsAtTheAim(t *testing.T) {
+// TestEndsAtTargetLatency: where a later answer is worth nothing, a request ends just before its target latency and what
+// it has out is cancelled; where late answers have worth it goes on.
+func TestEndsAtTargetLatency(t *testing.T) {
 	for _, late := range []float64{0, 0.5} {
 		s := testSettings()
-		s.Classes[unsafeClass].LateValue = late
-		w := newWorld(t, s, 1)
-		w.servers(2)
-		id := w.request(unsafeClass)
-		w.run(400 * ms)
-		if ended := w.answers[id] == 1 && w.b.requests[id] == nil; ended != (late == 0) {
-			t.Errorf("late worth %.1f: ended at the aim with its attempt withdrawn: %v", late, ended)
+		s.Classes[nonIdempotentClass].LateValue = late
+		w := newTestInstance(t, s, 1)
+		w.listReady(2)
+		id := w.request(nonIdempotentClass)
+		w.advance(400 * ms)
+		if ended := w.answerCounts[id] == 1 && w.b.requests[id] == nil; ended != (late == 0) {
+			t.Errorf("late worth %.1f: ended at the target latency with its attempt cancelled: %v", late, ended)
 		}
 	}
 }
 
-func TestNoTimeLeftIsRefusedUnsent(t *testing.T) {
+func TestNoTimeLeftIsRejectedUnsent(t *testing.T) {
 	for _, left := range []time.Duration{0, ms, 12 * ms} {
-		w := newWorld(t, testSettings(), 1)
-		w.servers(2)
+		w := newTestInstance(t, testSettings(), 1)
+		w.listReady(2)
 		w.event(Event{Kind: EventRequest, Request: 7, Remaining: left})
-		if len(w.sends) != 0 || w.answer[7].Kind != ActReject {
-			t.Errorf("with %v left: %d sends, answer %v; want refused unsent", left, len(w.sends), w.answer[7].Kind)
+		if len(w.sends) != 0 || w.answers[7].Kind != ActReject {
+			t.Errorf("with %v left: %d sends, answer %v; want rejected unsent", left, len(w.sends), w.answers[7].Kind)
 		}
 	}
 }
 
-func TestNothingAfterTheClientLeft(t *testing.T) {
-	w := newWorld(t, testSettings(), 1)
-	w.servers(3)
-	id := w.request(safeClass)
+func TestNothingAfterClientGone(t *testing.T) {
+	w := newTestInstance(t, testSettings(), 1)
+	w.listReady(3)
+	id := w.request(idempotentClass)
 	w.event(Event{Kind: EventClientGone, Request: id})
 	sent := len(w.sends)
-	w.end(0, Error, 30*ms)
+	w.endAttempt(0, Error, 30*ms)
 	w.event(Event{Kind: EventClientGone, Request: id}) // an id no longer held is passed over
-	w.run(2 * time.Second)
-	if len(w.sends) != sent || w.answers[id] != 0 {
-		t.Errorf("%d sends and %d answers after the client left", len(w.sends)-sent, w.answers[id])
+	w.advance(2 * time.Second)
+	if len(w.sends) != sent || w.answerCounts[id] != 0 {
+		t.Errorf("%d sends and %d answers after the client left", len(w.sends)-sent, w.answerCounts[id])
 	}
 }
 
-func TestOutcomeForUnknownIDIsPassedOver(t *testing.T) {
-	w := newWorld(t, testSettings(), 1)
-	w.servers(2)
+func TestOutcomeForUnknownIDIsIgnored(t *testing.T) {
+	w := newTestInstance(t, testSettings(), 1)
+	w.listReady(2)
 	w.event(Event{Kind: EventOutcome, Request: 99, Endpoint: 1, Status: OK})
 	w.event(Event{Kind: EventFirstByte, Request: 99, Endpoint: 1})
-	if id := w.request(safeClass); w.tries[id] != 1 {
+	if id := w.request(idempotentClass); w.attemptCounts[id] != 1 {
 		t.Error("a request after stray events was not sent")
 	}
 }
 
-// TestEffects checks what may follow an attempt's end, for each class of effect.
-func TestEffects(t *testing.T) {
+// TestRetryByIdempotency checks what may follow an attempt's end, for each class of effect.
+func TestRetryByIdempotency(t *testing.T) {
 	const (
 		retried = "retried"
 		refused = "refused"
@@ -127,34 +127,34 @@
 		after  time.Duration
 		want   string
 	}{
-		{safeClass, Error, nil, 30 * ms, retried},
-		{safeClass, Reset, nil, 30 * ms, retried},
-		{safeClass, Rejected, nil, 30 * ms, retried},
-		{unsafeClass, Rejected, nil, 30 * ms, retried},
-		{unsafeClass, ConnectFailed, nil, 30 * ms, retried},
-		{unsafeClass, NotSent, nil, 30 * ms, retried},
-		{unsafeClass, Error, nil, 30 * ms, failed},
-		{unsafeClass, Timeout, nil, 30 * ms, failed},
-		{unsafeClass, Reset, nil, 30 * ms, failed},
-		{unsafeClass, Cancelled, nil, 30 * ms, failed},
+		{idempotentClass, Error, nil, 30 * ms, retried},
+		{idempotentClass, Reset, nil, 30 * ms, retried},
+		{idempotentClass, Rejected, nil, 30 * ms, retried},
+		{nonIdempotentClass, Rejected, nil, 30 * ms, retried},
+		{nonIdempotentClass, ConnectFailed, nil, 30 * ms, retried},
+		{nonIdempotentClass, NotSent, nil, 30 * ms, retried},
+		{nonIdempotentClass, Error, nil, 30 * ms, failed},
+		{nonIdempotentClass, Timeout, nil, 30 * ms, failed},
+		{nonIdempotentClass, Reset, nil, 30 * ms, failed},
+		{nonIdempotentClass, Cancelled, nil, 30 * ms, failed},
 		{keyedClass, Rejected, []int{1, 2, 3}, 30 * ms, retried},
 		{keyedClass, Error, []int{1, 1, 1}, 30 * ms, retried},
 		{keyedClass, Error, []int{1, 2, 3}, 30 * ms, failed},
 		{keyedClass, Timeout, []int{1, 2, 3}, 30 * ms, failed},
 	} {
 		t.Run(fmt.Sprint(c.class, c.status, c.cells), func(t *testing.T) {
-			w := newWorld(t, testSettings(), 1)
-			w.servers(3, c.cells...)
+			w := newTestInstance(t, testSettings(), 1)
+			w.listReady(3, c.cells...)
 			id := w.request(c.class)
-			w.run(c.after)
-			w.end(0, c.status, c.after)
+			w.advance(c.after)
+			w.endAttempt(0, c.status, c.after)
 			got := refused
 			switch {
 			case len(w.sends) > 1:
 				got = retried
-			case w.answer[id].Kind == ActFail:
+			case w.answers[id].Kind == ActFail:
 				got = failed
-			case w.answers[id] == 0:
+			case w.answerCounts[id] == 0:
 				got = "held"
 			}
 			if got != c.want {
@@ -164,9 +164,9 @@
 	}
 }
 
-// TestEffectAllows checks the guard itself at the edges of group and memory.
-func TestEffectAllows(t *testing.T) {
-	w := newWorld(t, testSettings(), 1)
+// TestIdempotencyAllows checks the guard itself at the edges of group and memory.
+func TestIdempotencyAllows(t *testing.T) {
+	w := newTestInstance(t, testSettings(), 1)
 	here := &endpointState{Entry: Entry{Endpoint: 1, Cell: 1}}
 	for _, c := range []struct {
 		name string
@@ -196,9 +196,9 @@
 	}
 }
 
-// TestMemoryRunsFromTheFirstSend: a later attempt does not renew what the group remembers.
-func TestMemoryRunsFromTheFirstSend(t *testing.T) {
-	w := newWorld(t, testSettings(), 1)
+// TestDedupWindowStartsAtFirstSend: a later attempt does not renew what the group remembers.
+func TestDedupWindowStartsAtFirstSend(t *testing.T) {
+	w := newTestInstance(t, testSettings(), 1)
 	w.b.now, w.b.tickInterval = time.Hour, 10*ms
 	endpoint := &endpointState{Entry: Entry{Cell: 1}}
 	r := requestState{class: w.b.classes[keyedClass], attempts: []attemptState{
@@ -208,11 +208,11 @@
 	}
 }
 
-// TestMemoryOutlastsALateConnection: what is sent now may arrive a connect time-out later, and has to be remembered then.
-func TestMemoryOutlastsALateConnection(t *testing.T) {
+// TestDedupWindowCoversConnectTimeout: what is sent now may arrive a connect time-out later, and has to be remembered then.
+func TestDedupWindowCoversConnectTimeout(t *testing.T) {
 	s := testSettings()
 	s.ConnectTimeout = 200 * ms
-	w := newWorld(t, s, 1)
+	w := newTestInstance(t, s, 1)
 	w.b.now, w.b.tickInterval = time.Hour, 10*ms
 	for ago, want := range map[time.Duration]bool{300 * ms: true, 450 * ms: false} { // of 600 that it is remembered
 		r := requestState{class: w.b.classes[keyedClass], attempts: []attemptState{{endpoint: &endpointState{}, sentAt: w.b.now - ago, mayHaveRun: true}}}
@@ -222,35 +222,35 @@
 	}
 }
 
-func TestNoSecondCopyWhereForbidden(t *testing.T) {
+func TestNoHedgeWhereForbidden(t *testing.T) {
 	s := testSettings()
 	s.Hedging = false
-	w := newWorld(t, s, 1)
-	w.servers(3)
-	w.request(safeClass)
-	w.run(800 * ms)
+	w := newTestInstance(t, s, 1)
+	w.listReady(3)
+	w.request(idempotentClass)
+	w.advance(800 * ms)
 	if len(w.sends) != 1 {
 		t.Errorf("%d attempts while the first was out, want 1", len(w.sends))
 	}
 }
 
-// TestDrains: nothing goes to an endpoint that is draining, gone, or missing from a whole list.
-func TestDrains(t *testing.T) {
-	for name, tell := range map[string]func(*world){
-		"draining": func(w *world) { w.list(ListDelta, Entry{Endpoint: 1, State: Draining, Weight: 1}) },
-		"gone":     func(w *world) { w.list(ListDelta, Entry{Endpoint: 1, State: Gone}) },
-		"missing":  func(w *world) { w.list(ListFull, Entry{Endpoint: 2, State: Ready, Weight: 1}) },
+// TestNothingToUnavailableEndpoints: nothing goes to an endpoint that is draining, gone, or missing from a full list.
+func TestNothingToUnavailableEndpoints(t *testing.T) {
+	for name, update := range map[string]func(*testInstance){
+		"draining": func(w *testInstance) { w.list(ListDelta, Entry{Endpoint: 1, State: Draining, Weight: 1}) },
+		"gone":     func(w *testInstance) { w.list(ListDelta, Entry{Endpoint: 1, State: Gone}) },
+		"missing":  func(w *testInstance) { w.list(ListFull, Entry{Endpoint: 2, State: Ready, Weight: 1}) },
 	} {
-		w := newWorld(t, testSettings(), 1)
-		w.servers(2)
+		w := newTestInstance(t, testSettings(), 1)
+		w.listReady(2)
 		for range 6 {
-			w.request(safeClass)
+			w.request(idempotentClass)
 		}
-		tell(w)
+		update(w)
 		sent := len(w.sends)
 		for range 30 {
-			w.request(safeClass)
-			w.run(40 * ms)
+			w.request(idempotentClass)
+			w.advance(40 * ms)
 		}
 		if len(w.sends) == sent {
 			t.Errorf("%s: nothing was sent at all", name)
@@ -263,63 +263,63 @@
 	}
 }
 
-// TestDiscoveryIsAsked: where discovery must be asked, an instance without a subscription counts as
-// told of what was listed MaxListAge ago, so it has to ask before, also after every failure.
-func TestDiscoveryIsAsked(t *testing.T) {
+// TestSubscribesAgain: where discovery must be asked, an instance without a subscription counts as
+// informed of what was listed MaxListAge ago, so it has to ask before, also after every failure.
+func TestSubscribesAgain(t *testing.T) {
 	s := testSettings()
 	s.PollsDiscovery = true
-	w := newWorld(t, s, 3)
+	w := newTestInstance(t, s, 3)
 	w.list(ListCached, Entry{Endpoint: 1, State: Ready, Weight: 1})
 	last, asked := w.now, 0
 	for range 6000 {
-		w.run(10 * ms)
-		for _, a := range w.other {
+		w.advance(10 * ms)
+		for _, a := range w.otherActions {
 			if a.Kind == ActSubscribe {
 				if w.now-last >= s.MaxListAge {
 					t.Fatalf("%v between two calls", w.now-last)
 				}
 				last, asked = w.now, asked+1
-				w.other = nil
+				w.otherActions = nil
 				w.list(ListFailed)
 				break
 			}
 		}
-		w.other = nil
+		w.otherActions = nil
 	}
 	if asked < 6 {
 		t.Errorf("asked %d times in a minute of failures", asked)
 	}
-	w.run(s.MaxListAge)
+	w.advance(s.MaxListAge)
 	w.list(ListDelta)
-	w.other = nil
-	w.run(30 * time.Second)
-	if len(w.other) != 0 {
-		t.Errorf("asked again while subscribed: %v", w.other)
+	w.otherActions = nil
+	w.advance(30 * time.Second)
+	if len(w.otherActions) != 0 {
+		t.Errorf("asked again while subscribed: %v", w.otherActions)
 	}
 	w.list(ListFailed) // the subscription dropped
-	w.run(s.MaxListAge - ms)
-	if len(w.other) == 0 {
+	w.advance(s.MaxListAge - ms)
+	if len(w.otherActions) == 0 {
 		t.Error("did not subscribe again after the subscription dropped")
 	}
 }
 
-// TestColdBudget floods instances that act alike and have a cold endpoint among warm ones, and holds
+// TestWarmupBudget floods instances that act alike and have a warming endpoint among warm ones, and holds
 // what all of them send it in any window against the budget.
-func TestColdBudget(t *testing.T) {
+func TestWarmupBudget(t *testing.T) {
 	for _, instances := range []int{1, 3} {
 		s := testSettings()
 		s.Instances = instances
-		var ws []*world
+		var ws []*testInstance
 		for i := range instances {
-			w := newWorld(t, s, uint64(i+1))
-			w.servers(4)
+			w := newTestInstance(t, s, uint64(i+1))
+			w.listReady(4)
 			// Each warm endpoint answers every 50 ms, to all instances together.
 			gap := time.Duration(instances) * 50 * ms / 4
 			for range int(6 * time.Second / gap) {
-				w.request(safeClass)
-				w.run(gap)
+				w.request(idempotentClass)
+				w.advance(gap)
 				for j := len(w.sends) - 1; j >= max(0, len(w.sends)-1); j-- {
-					w.end(j, OK, 40*ms)
+					w.endAttempt(j, OK, 40*ms)
 				}
 			}
 			ws = append(ws, w)
@@ -331,10 +331,10 @@
 			w.list(ListDelta, Entry{Endpoint: 5, State: Ready, Weight: 1, StartedAt: started})
 			first, done := len(w.sends), len(w.sends)
 			for range int(5 * time.Second / (5 * ms)) {
-				w.request(safeClass)
-				w.run(5 * ms)
+				w.request(idempotentClass)
+				w.advance(5 * ms)
 				for ; done < len(w.sends); done++ { // the cold one too keeps up: only its budget holds it back
-					w.end(done, OK, 40*ms)
+					w.endAttempt(done, OK, 40*ms)
 				}
 			}
 			for j := first; j < len(w.sends); j++ {
@@ -346,7 +346,7 @@
 			}
 		}
 		if len(at) == 0 {
-			t.Errorf("%d instances: the cold endpoint got nothing at all", instances)
+			t.Errorf("%d instances: the warming endpoint got nothing at all", instances)
 		}
 		capacity := warm / 4 / 5 // what a warm endpoint did a second
 		for from := time.Duration(0); from < 4*time.Second; from += 50 * ms {
