--- a/balance/admission.go
+++ b/balance/admission.go
@@ -97,7 +97,7 @@
 // canFinishInTime reports whether an attempt that is sent now can still end in time, if it is as quick as the quickest
 // tenth of its class.
 func (b *Balancer) canFinishInTime(request *requestState) bool {
-	return b.now+b.detector.Quick(request.classIndex) < request.usefulUntil-b.responseMargin()
+	return b.now+b.detector.FastLatency(request.classIndex) < request.usefulUntil-b.responseMargin()
 }
 
 // responseMargin is how long before the client's deadline the final answer goes out.
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -52,7 +52,7 @@
 	congested           bool        // it has been cut, and answers have not been quick since
 
 	// Health.
-	detector       *grey.Fleet
+	detector       *grey.Detector
 	panicMode      bool // most endpoints look unhealthy: health is ignored
 	availableCount int  // available endpoints of the subset, at the last assessment
 	unhealthyCount int  // of them unhealthy
@@ -89,7 +89,7 @@
 	b := &Balancer{
 		random:        rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
 		retryTokens:   maxRetryTokens,
-		detector:      grey.New(nil),
+		detector:      grey.NewDetector(nil),
 		requests:      map[RequestID]*requestState{},
 		endpointsByID: map[EndpointID]*endpointState{},
 		cordoned:      map[EndpointID]bool{},
--- a/balance/endpoint.go
+++ b/balance/endpoint.go
@@ -85,7 +85,7 @@
 	}
 	rates := make([]float64, len(b.classes))
 	for i := range rates {
-		rates[i] = b.detector.Fails(&endpoint.evidence, i, hanging, pending)
+		rates[i] = b.detector.FailureRate(&endpoint.evidence, i, hanging, pending)
 	}
 	return rates
 }
--- a/balance/granted_test.go
+++ b/balance/granted_test.go
@@ -63,7 +63,7 @@
 	w := newTestInstance(t, set, 1)
 	w.listReady(4)
 	w.serveCalls(100, idempotentClass, func(EndpointID) time.Duration { return 60 * ms })
-	quick := w.b.detector.Quick(idempotentClass)
+	quick := w.b.detector.FastLatency(idempotentClass)
 	if quick < 20*ms || quick > 60*ms {
 		t.Fatalf("the quickest tenth takes %v", quick)
 	}
--- a/balance/grey/grey.go
+++ b/balance/grey/grey.go
@@ -18,297 +18,303 @@
 
 // Tunables.
 const (
-	memory     = 10.0 // seconds after which an observation weighs 1/e
-	paceMemory = 20.0 // the same of how long answers take: classes differ for long
-	lateMemory = 5.0  // of whether a host is of any use
-	suspMemory = 60.0 // of the suspicion: a host that is seldom sent to must not seem well for that
-	nowMemory  = 0.5  // and of how all do at this moment
-
-	spreadFirst = 0.6  // of the logarithms of a class's answer times, until known
-	spreadCalls = 20.0 // answers that this first spread counts for
-	spreadLeast = 0.35 // answers are never taken to be more alike than this, or the first odd one would seem to hang
-	tenth       = 1.28 // standard deviations below the mean that the quickest tenth of a normal distribution is
-	paceFirst   = 4.0  // answers that the first mean counts for
-	passedOdds  = 0.4  // chance that an answer of this host which is on its way is overtaken by one sent later
-	passedMost  = 3    // more of them prove no more: what takes long is overtaken by many
-
-	quickMost  = 0.7  // logarithm of how many times its pace an answer takes that is as quick as ever
-	quickCalls = 0.7  // attempts that all being well counts for, at any moment
-	trustFrom  = 0.3  // share of quick answers among all attempts from which silence tells anything of a host,
-	trustTo    = 0.55 // and everything
-
-	muteFirst  = 0.004 // share of a host's attempts that hang, until known
-	muteLeast  = 0.001 // the least: a host that has answered all so far may have just changed
-	muteCalls  = 50.0  // attempts that this counts for, over all hosts
-	failFirst  = 0.01  // share that fails in any way, until known
-	failCalls  = 20.0  // attempts that this counts for, over all other hosts of a class
-	likeCalls  = 6.0   // attempts that a host's likeness to the others counts for
-	classCalls = 8.0   // attempts of a class that its host's likeness to itself counts for
-	shareMost  = 0.98  // a share never gets so high that nothing would be sent
-
-	upFirst    = 0.1   // share of attempts that are out when their time is up, until known, and the least it is taken for
-	upCalls    = 5.0   // attempts that this counts for
-	silentOdds = 0.001 // chance of so many in a row under which a host is called silent
-
-	greyLeast   = 0.05  // the least share that a host is suspected of
-	greyTimes   = 4.0   // or as many times what is usual,
-	greyMost    = 0.3   // but no more than that of the rest of it: what all fail half of tells nothing of one
-	unsureTimes = 1.0   // its standard error, times this, is added to what the others fail: it may be more than was seen
-	usualLeast  = 0.005 // the least that counts as usual: two failures by chance must not be news
-	suspectMost = 7.5   // of the evidence that is kept: it bounds how long a healed host is suspected
-	suspectGrey = 6.0   // evidence (logarithm of the odds) from which a host is called grey
-	suspectLess = 3.0   // until so little is left
+	decaySeconds          = 10.0 // seconds after which an observation weighs 1/e
+	latencyDecaySeconds   = 20.0 // the same of how long answers take: classes differ for long
+	recentDecaySeconds    = 5.0  // of whether a host is of any use
+	suspicionDecaySeconds = 60.0 // of the suspicion: a host that is seldom sent to must not seem well for that
+	momentDecaySeconds    = 0.5  // and of how all do at this moment
+
+	priorSpread          = 0.6  // of the logarithms of a class's answer times, until known
+	priorSpreadWeight    = 20.0 // answers that this first spread counts for
+	minSpread            = 0.35 // answers are never taken to be more alike than this, or the first odd one would seem to hang
+	lowestDecile         = 1.28 // standard deviations below the mean that the quickest tenth of a normal distribution is
+	priorLatencyWeight   = 4.0  // answers that the first mean counts for
+	overtakenProbability = 0.4  // chance that an answer of this host which is on its way is overtaken by one sent later
+	maxOvertaken         = 3    // more of them prove no more: what takes long is overtaken by many
+
+	maxFastLogRatio = 0.7  // logarithm of how many times its pace an answer takes that is as quick as ever
+	priorFastWeight = 0.7  // attempts that all being well counts for, at any moment
+	minTrustShare   = 0.3  // share of quick answers among all attempts from which silence tells anything of a host,
+	fullTrustShare  = 0.55 // and everything
+
+	priorHangRate      = 0.004 // share of a host's attempts that hang, until known
+	minHangRate        = 0.001 // the least: a host that has answered all so far may have just changed
+	priorHangWeight    = 50.0  // attempts that this counts for, over all hosts
+	priorFailureRate   = 0.01  // share that fails in any way, until known
+	priorFailureWeight = 20.0  // attempts that this counts for, over all other hosts of a class
+	peerWeight         = 6.0   // attempts that a host's likeness to the others counts for
+	ownClassWeight     = 8.0   // attempts of a class that its host's likeness to itself counts for
+	maxFailureRate     = 0.98  // a share never gets so high that nothing would be sent
+
+	minTimeoutRate     = 0.1   // share of attempts that are out when their time is up, until known, and the least it is taken for
+	priorTimeoutWeight = 5.0   // attempts that this counts for
+	unresponsiveOdds   = 0.001 // chance of so many in a row under which a host is called silent
+
+	minGreyRate      = 0.05  // the least share that a host is suspected of
+	greyRateFactor   = 4.0   // or as many times what is usual,
+	maxGreyExcess    = 0.3   // but no more than that of the rest of it: what all fail half of tells nothing of one
+	standardErrors   = 1.0   // its standard error, times this, is added to what the others fail: it may be more than was seen
+	minPeerRate      = 0.005 // the least that counts as usual: two failures by chance must not be news
+	maxSuspicion     = 7.5   // of the evidence that is kept: it bounds how long a healed host is suspected
+	greySuspicion    = 6.0   // evidence (logarithm of the odds) from which a host is called grey
+	clearedSuspicion = 3.0   // until so little is left
 )
 
 // tally is attempts and how many of them went wrong, aged.
-type tally struct{ n, bad float64 }
+type decayedCount struct{ attempts, failures float64 }
 
-func (t *tally) add(bad float64)  { t.n, t.bad = t.n+1, max(0, t.bad+bad) }
-func (t *tally) age(keep float64) { t.n, t.bad = t.n*keep, t.bad*keep }
+func (t *decayedCount) add(bad float64) {
+	t.attempts, t.failures = t.attempts+1, max(0, t.failures+bad)
+}
+func (t *decayedCount) decay(keep float64) { t.attempts, t.failures = t.attempts*keep, t.failures*keep }
 
 // share is the part that went wrong, as if it had been like over so many attempts as well.
-func (t *tally) share(like, calls float64) float64 { return (t.bad + like*calls) / (t.n + calls) }
+func (t *decayedCount) rate(like, calls float64) float64 {
+	return (t.failures + like*calls) / (t.attempts + calls)
+}
 
 // pace is how long answers of a class take at hosts that answer: log-normally distributed.
-type pace struct{ first, n, sum, squares float64 }
+type latencyModel struct{ prior, n, sum, squares float64 }
 
 // over is the logarithm of how many times the typical answer's time so many seconds are.
-func (p *pace) over(seconds float64) float64 {
-	return math.Log(max(seconds, 1e-6)) - (p.sum+paceFirst*p.first)/(p.n+paceFirst)
+func (p *latencyModel) logRatio(seconds float64) float64 {
+	return math.Log(max(seconds, 1e-6)) - (p.sum+priorLatencyWeight*p.prior)/(p.n+priorLatencyWeight)
 }
 
 // answered takes in an answer and returns what over said of it before.
-func (p *pace) answered(seconds float64) float64 {
-	x := p.over(seconds)
+func (p *latencyModel) add(seconds float64) float64 {
+	x := p.logRatio(seconds)
 	p.n, p.sum, p.squares = p.n+1, p.sum+math.Log(max(seconds, 1e-6)), p.squares+x*x
 	return x
 }
 
-func (p *pace) age(keep float64) { p.n, p.sum, p.squares = p.n*keep, p.sum*keep, p.squares*keep }
+func (p *latencyModel) decay(keep float64) {
+	p.n, p.sum, p.squares = p.n*keep, p.sum*keep, p.squares*keep
+}
 
 // open is the chance that an answer which will come has not come yet, at an age of which over says x.
-func (p *pace) open(x float64) float64 {
+func (p *latencyModel) survival(x float64) float64 {
 	return 0.5 * math.Erfc(x/(p.spread()*math.Sqrt2))
 }
 
-func (p *pace) spread() float64 {
-	return max(spreadLeast, math.Sqrt((p.squares+spreadCalls*spreadFirst*spreadFirst)/(p.n+spreadCalls)))
+func (p *latencyModel) spread() float64 {
+	return max(minSpread, math.Sqrt((p.squares+priorSpreadWeight*priorSpread*priorSpread)/(p.n+priorSpreadWeight)))
 }
 
 // present is how all hosts do at this moment: by how much answers take longer than their paces, and how many don't.
-type present struct{ n, sum, quick float64 }
+type recentLatency struct{ n, sum, fast float64 }
 
-func (p *present) add(x float64, answered bool) {
-	if !answered && x < quickMost {
+func (p *recentLatency) add(x float64, answered bool) {
+	if !answered && x < maxFastLogRatio {
 		return // given up before it was late: that says nothing
 	}
 	p.n, p.sum = p.n+1, p.sum+x
-	if x < quickMost {
-		p.quick++
+	if x < maxFastLogRatio {
+		p.fast++
 	}
 }
 
-func (p *present) age(keep float64) { p.n, p.sum, p.quick = p.n*keep, p.sum*keep, p.quick*keep }
+func (p *recentLatency) decay(keep float64) { p.n, p.sum, p.fast = p.n*keep, p.sum*keep, p.fast*keep }
 
 // shift is the logarithm of how many times as long answers take, 0 at least.
-func (p *present) shift() float64 { return max(0, p.sum/(p.n+quickCalls)) }
+func (p *recentLatency) slowdown() float64 { return max(0, p.sum/(p.n+priorFastWeight)) }
 
 // trust is how far silence tells of hosts that hang, from 0 to 1: while most answers come as quickly as ever, all of it.
 // Where few do, all are slow or jammed, and no attempt is to be taken for lost. Late is how many are out that should
 // have been answered.
-func (p *present) trust(late float64) float64 {
-	quick := (p.quick + quickCalls) / (p.n + quickCalls + late)
-	return min(1, max(0, (quick-trustFrom)/(trustTo-trustFrom)))
+func (p *recentLatency) trust(late float64) float64 {
+	quick := (p.fast + priorFastWeight) / (p.n + priorFastWeight + late)
+	return min(1, max(0, (quick-minTrustShare)/(fullTrustShare-minTrustShare)))
 }
 
-// Host is what is known of one host. The zero value knows nothing.
+// Restore is what is known of one host. The zero value knows nothing.
 type Host struct {
-	classes []tally
-	mute    tally
-	lately  tally
-	ups     int     // attempts in a row whose time was up, since its last answer
-	suspect float64 // evidence for it to fail more than its like: a sum that never falls below 0 (CUSUM; Page 1954)
-	grey    bool
+	classes        []decayedCount
+	hangs          decayedCount
+	recent         decayedCount
+	timeoutsInARow int     // attempts in a row whose time was up, since its last answer
+	suspicion      float64 // evidence for it to fail more than its like: a sum that never falls below 0 (CUSUM; Page 1954)
+	grey           bool
 }
 
-// Fleet is all hosts of a cluster, so far as this instance sees them.
-type Fleet struct {
-	classes []tally
-	paces   []pace
-	mute    tally
-	ups     tally // of attempts that were answered or out when their time was up, the latter
-	now     present
-	shift   float64
-	trust   float64
-	late    float64
+// Detector is all hosts of a cluster, so far as this instance sees them.
+type Detector struct {
+	classes  []decayedCount
+	paces    []latencyModel
+	hangs    decayedCount
+	timeouts decayedCount // of attempts that were answered or out when their time was up, the latter
+	recent   recentLatency
+	slowdown float64
+	trust    float64
+	overdue  float64
 }
 
-// New returns a fleet that knows nothing yet. First is how many seconds an answer of each class is expected to take.
-func New(first []float64) *Fleet {
-	f := &Fleet{trust: 1}
-	f.Widen(first)
+// NewDetector returns a fleet that knows nothing yet. First is how many seconds an answer of each class is expected to take.
+func NewDetector(first []float64) *Detector {
+	f := &Detector{trust: 1}
+	f.AddClasses(first)
 	return f
 }
 
-// Widen takes in classes that have come since, after those that there are. First is as for New, of all of them.
-func (f *Fleet) Widen(first []float64) {
+// AddClasses takes in classes that have come since, after those that there are. First is as for New, of all of them.
+func (f *Detector) AddClasses(first []float64) {
 	for _, seconds := range first[min(len(f.classes), len(first)):] {
-		f.classes = append(f.classes, tally{})
-		f.paces = append(f.paces, pace{first: math.Log(max(seconds, 1e-6))})
+		f.classes = append(f.classes, decayedCount{})
+		f.paces = append(f.paces, latencyModel{prior: math.Log(max(seconds, 1e-6))})
 	}
 }
 
 // of is what is known of a class at a host.
-func (h *Host) of(class int) tally {
+func (h *Host) class(class int) decayedCount {
 	if class >= len(h.classes) {
-		return tally{}
+		return decayedCount{}
 	}
 	return h.classes[class]
 }
 
-// Answered is an answer that took so many seconds. Hung is what Hangs last said of the attempt: one that was taken to
+// RecordAnswer is an answer that took so many seconds. Hung is what Hangs last said of the attempt: one that was taken to
 // hang and is answered stands for another that was given up for a copy, and did not hang either.
-func (f *Fleet) Answered(h *Host, class int, seconds, hung float64) {
-	f.now.add(f.paces[class].answered(seconds), true)
-	f.ups.add(0)
-	h.ups = 0
+func (f *Detector) RecordAnswer(h *Host, class int, seconds, hung float64) {
+	f.recent.add(f.paces[class].add(seconds), true)
+	f.timeouts.add(0)
+	h.timeoutsInARow = 0
 	wrong := 0.0
 	if hung > 0.5 {
 		wrong = -hung
 	}
-	f.ended(h, class, wrong, wrong)
+	f.recordEnd(h, class, wrong, wrong)
 }
 
-// Failed is an attempt that failed: an error, a reset, a time-out; hung is what Hangs last said of it, or 0 where the
+// RecordFailure is an attempt that failed: an error, a reset, a time-out; hung is what Hangs last said of it, or 0 where the
 // host has said something.
-func (f *Fleet) Failed(h *Host, class int, hung float64) { f.ended(h, class, 1, hung) }
+func (f *Detector) RecordFailure(h *Host, class int, hung float64) { f.recordEnd(h, class, 1, hung) }
 
-// GivenUp is an attempt that was withdrawn after so many seconds.
-func (f *Fleet) GivenUp(h *Host, class int, seconds, hung float64, passed int) {
-	if passed < passedMost {
-		f.now.add(f.paces[class].over(seconds), false)
+// RecordAbandoned is an attempt that was withdrawn after so many seconds.
+func (f *Detector) RecordAbandoned(h *Host, class int, seconds, hung float64, passed int) {
+	if passed < maxOvertaken {
+		f.recent.add(f.paces[class].logRatio(seconds), false)
 	}
-	f.ended(h, class, hung, hung)
+	f.recordEnd(h, class, hung, hung)
 }
 
-// TimeUp takes in an attempt that was out when its request's time was up, and tells whether its host is silent: whether
+// RecordTimeout takes in an attempt that was out when its request's time was up, and tells whether its host is silent: whether
 // so many in a row would hardly be without an answer if the host did as all do at present. It tells in a crowd too,
 // where a single attempt proves nothing and Hangs trusts none.
-func (f *Fleet) TimeUp(h *Host) bool {
-	usual := max(upFirst, f.ups.share(upFirst, upCalls))
-	f.ups.add(1)
-	h.ups++
-	return math.Pow(usual, float64(h.ups)) < silentOdds
+func (f *Detector) RecordTimeout(h *Host) bool {
+	usual := max(minTimeoutRate, f.timeouts.rate(minTimeoutRate, priorTimeoutWeight))
+	f.timeouts.add(1)
+	h.timeoutsInARow++
+	return math.Pow(usual, float64(h.timeoutsInARow)) < unresponsiveOdds
 }
 
-func (f *Fleet) ended(h *Host, class int, failed, hung float64) {
+func (f *Detector) recordEnd(h *Host, class int, failed, hung float64) {
 	for len(h.classes) < len(f.classes) {
-		h.classes = append(h.classes, tally{})
+		h.classes = append(h.classes, decayedCount{})
 	}
-	others := f.others(h, class)
-	usual := others.share(failFirst, failCalls)
-	usual = max(usualLeast, usual+unsureTimes*math.Sqrt(usual*(1-usual)/(others.n+failCalls)))
-	looked := max(greyLeast, usual+min((greyTimes-1)*usual, greyMost*(1-usual)))
+	others := f.peerCounts(h, class)
+	usual := others.rate(priorFailureRate, priorFailureWeight)
+	usual = max(minPeerRate, usual+standardErrors*math.Sqrt(usual*(1-usual)/(others.attempts+priorFailureWeight)))
+	looked := max(minGreyRate, usual+min((greyRateFactor-1)*usual, maxGreyExcess*(1-usual)))
 	news := max(0, failed)
-	h.suspect += news*math.Log(looked/usual) + (1-news)*math.Log((1-looked)/(1-usual))
-	h.suspect = min(suspectMost, max(0, h.suspect))
-	h.grey = h.suspect >= suspectGrey || h.grey && h.suspect > suspectLess
+	h.suspicion += news*math.Log(looked/usual) + (1-news)*math.Log((1-looked)/(1-usual))
+	h.suspicion = min(maxSuspicion, max(0, h.suspicion))
+	h.grey = h.suspicion >= greySuspicion || h.grey && h.suspicion > clearedSuspicion
 	f.classes[class].add(failed)
 	h.classes[class].add(failed)
-	f.mute.add(hung)
-	h.mute.add(hung)
-	h.lately.add(failed)
+	f.hangs.add(hung)
+	h.hangs.add(hung)
+	h.recent.add(failed)
 }
 
 // Age lets so many seconds pass over what is known of the whole.
-func (f *Fleet) Age(seconds float64) {
-	keep, keepPace := math.Exp(-seconds/memory), math.Exp(-seconds/paceMemory)
-	f.mute.age(keep)
-	f.ups.age(math.Exp(-seconds / lateMemory))
-	f.now.age(math.Exp(-seconds / nowMemory))
+func (f *Detector) Age(seconds float64) {
+	keep, keepPace := math.Exp(-seconds/decaySeconds), math.Exp(-seconds/latencyDecaySeconds)
+	f.hangs.decay(keep)
+	f.timeouts.decay(math.Exp(-seconds / recentDecaySeconds))
+	f.recent.decay(math.Exp(-seconds / momentDecaySeconds))
 	for i := range f.classes {
-		f.classes[i].age(keep)
-		f.paces[i].age(keepPace)
+		f.classes[i].decay(keep)
+		f.paces[i].decay(keepPace)
 	}
 }
 
 // Age lets so many seconds pass over what is known of a host.
 func (h *Host) Age(seconds float64) {
-	keep := math.Exp(-seconds / memory)
-	h.mute.age(keep)
-	h.lately.age(math.Exp(-seconds / lateMemory))
-	h.suspect *= math.Exp(-seconds / suspMemory)
-	h.grey = h.grey && h.suspect > suspectLess
+	keep := math.Exp(-seconds / decaySeconds)
+	h.hangs.decay(keep)
+	h.recent.decay(math.Exp(-seconds / recentDecaySeconds))
+	h.suspicion *= math.Exp(-seconds / suspicionDecaySeconds)
+	h.grey = h.grey && h.suspicion > clearedSuspicion
 	for i := range h.classes {
-		h.classes[i].age(keep)
+		h.classes[i].decay(keep)
 	}
 }
 
 // Grey tells whether the host fails more than its like, by evidence that chance hardly brings.
 func (h *Host) Grey() bool { return h.grey }
 
-// Mostly tells whether the host has failed more of late than it has answered.
-func (h *Host) Mostly() bool { return 2*h.lately.bad > h.lately.n }
+// MostlyFailing tells whether the host has failed more of late than it has answered.
+func (h *Host) MostlyFailing() bool { return 2*h.recent.failures > h.recent.attempts }
 
-// Look begins a look at all that is out: Hangs is to be asked of each attempt once.
-func (f *Fleet) Look() {
-	f.shift, f.trust, f.late = f.now.shift(), f.now.trust(f.late), 0
+// BeginAssessment begins a look at all that is out: Hangs is to be asked of each attempt once.
+func (f *Detector) BeginAssessment() {
+	f.slowdown, f.trust, f.overdue = f.recent.slowdown(), f.recent.trust(f.overdue), 0
 }
 
-// Hangs is the chance that an attempt which has been out for so many seconds will never be answered. Slow is by how
+// HangProbability is the chance that an attempt which has been out for so many seconds will never be answered. Slow is by how
 // many times its host takes longer than its like to answer, and passed how many attempts that the host was sent later
 // it has answered.
-func (f *Fleet) Hangs(h *Host, class int, seconds, slow float64, passed int) float64 {
+func (f *Detector) HangProbability(h *Host, class int, seconds, slow float64, passed int) float64 {
 	p := &f.paces[class]
-	x := p.over(seconds)
-	if x > quickMost && passed < passedMost {
-		f.late++
+	x := p.logRatio(seconds)
+	if x > maxFastLogRatio && passed < maxOvertaken {
+		f.overdue++
 	}
-	mute := f.Mute(h)
+	mute := f.HangRate(h)
 	if x < 0 { // younger than half of all answers
 		return f.trust * mute
 	}
-	late := (1 - mute) * p.open(x-f.shift-math.Log(max(1, slow))) * math.Pow(passedOdds, float64(min(passed, passedMost)))
+	late := (1 - mute) * p.survival(x-f.slowdown-math.Log(max(1, slow))) * math.Pow(overtakenProbability, float64(min(passed, maxOvertaken)))
 	return f.trust * mute / max(mute+late, 1e-300)
 }
 
-// Quick is what the quickest tenth of a class's answers take at most; 0 until some have been seen.
-func (f *Fleet) Quick(class int) time.Duration {
+// FastLatency is what the quickest tenth of a class's answers take at most; 0 until some have been seen.
+func (f *Detector) FastLatency(class int) time.Duration {
 	p := &f.paces[class]
-	if p.n < spreadCalls {
+	if p.n < priorSpreadWeight {
 		return 0
 	}
-	x := (p.sum+paceFirst*p.first)/(p.n+paceFirst) - tenth*p.spread()
+	x := (p.sum+priorLatencyWeight*p.prior)/(p.n+priorLatencyWeight) - lowestDecile*p.spread()
 	return time.Duration(math.Exp(x) * float64(time.Second))
 }
 
-// Mute is the share of a host's attempts that hang.
-func (f *Fleet) Mute(h *Host) float64 {
-	return max(muteLeast, h.mute.share(f.mute.share(muteFirst, muteCalls), likeCalls))
+// Hangs is the share of a host's attempts that hang.
+func (f *Detector) HangRate(h *Host) float64 {
+	return max(minHangRate, h.hangs.rate(f.hangs.rate(priorHangRate, priorHangWeight), peerWeight))
 }
 
 // usual is the share that the other hosts fail of a class.
-func (f *Fleet) usual(h *Host, class int) float64 {
-	others := f.others(h, class)
-	return others.share(failFirst, failCalls)
+func (f *Detector) peerFailureRate(h *Host, class int) float64 {
+	others := f.peerCounts(h, class)
+	return others.rate(priorFailureRate, priorFailureWeight)
 }
 
 // others is what is known of a class at all hosts but one.
-func (f *Fleet) others(h *Host, class int) tally {
-	all, own := f.classes[class], h.of(class)
-	return tally{max(0, all.n-own.n), max(0, all.bad-own.bad)}
+func (f *Detector) peerCounts(h *Host, class int) decayedCount {
+	all, own := f.classes[class], h.class(class)
+	return decayedCount{max(0, all.attempts-own.attempts), max(0, all.failures-own.failures)}
 }
 
-// Fails is the share of a host's attempts of a class that come to nothing. Out attempts that are still there are
+// FailureRate is the share of a host's attempts of a class that come to nothing. Out attempts that are still there are
 // counted with those that have ended: hanging is the sum of what Hangs says of them.
-func (f *Fleet) Fails(h *Host, class int, hanging, out float64) float64 {
-	usual := f.usual(h, class)
+func (f *Detector) FailureRate(h *Host, class int, hanging, out float64) float64 {
+	usual := f.peerFailureRate(h, class)
 	excess, n := hanging-out*usual, out
 	for i := range h.classes {
-		excess += h.classes[i].bad - h.classes[i].n*f.usual(h, i)
-		n += h.classes[i].n
+		excess += h.classes[i].failures - h.classes[i].attempts*f.peerFailureRate(h, i)
+		n += h.classes[i].attempts
 	}
-	like := min(shareMost, max(0, usual+excess/(n+likeCalls)))
-	own := h.of(class)
-	return min(shareMost, own.share(like, classCalls))
+	like := min(maxFailureRate, max(0, usual+excess/(n+peerWeight)))
+	own := h.class(class)
+	return min(maxFailureRate, own.rate(like, ownClassWeight))
 }
--- a/balance/grey/grey_test.go
+++ b/balance/grey/grey_test.go
@@ -18,43 +18,43 @@
 	}
 }
 
-const typical = 0.06 // seconds of an answer
+const typicalSeconds = 0.06 // seconds of an answer
 
 // world is hosts of which each fails a share of its attempts by saying nothing, and another by errors.
-type world struct {
-	f     *Fleet
-	hosts []Host
-	mute  []float64
-	fail  []float64
-	slow  float64 // times as long as ever that all take
-	rng   *rand.Rand
-	now   float64
-	aged  float64
+type testCluster struct {
+	f           *Detector
+	hosts       []Host
+	hangRate    []float64
+	failureRate []float64
+	slowdown    float64 // times as long as ever that all take
+	rng         *rand.Rand
+	now         float64
+	aged        float64
 }
 
-func newWorld(hosts int, seed uint64) *world {
-	return &world{f: New([]float64{typical, 2 * typical}), hosts: make([]Host, hosts), mute: make([]float64, hosts),
-		fail: make([]float64, hosts), slow: 1, rng: rand.New(rand.NewPCG(seed, 0))}
+func newTestCluster(hosts int, seed uint64) *testCluster {
+	return &testCluster{f: NewDetector([]float64{typicalSeconds, 2 * typicalSeconds}), hosts: make([]Host, hosts), hangRate: make([]float64, hosts),
+		failureRate: make([]float64, hosts), slowdown: 1, rng: rand.New(rand.NewPCG(seed, 0))}
 }
 
 // attempt has one host take one request, whose sender gives up after ten times the typical.
-func (w *world) attempt(host, class int) {
+func (w *testCluster) attempt(host, class int) {
 	h := &w.hosts[host]
-	took := typical * float64(class+1) * w.slow * math.Exp(0.5*w.rng.NormFloat64())
-	w.f.Look()
+	took := typicalSeconds * float64(class+1) * w.slowdown * math.Exp(0.5*w.rng.NormFloat64())
+	w.f.BeginAssessment()
 	switch x := w.rng.Float64(); {
-	case x < w.mute[host] || took > 10*typical:
-		hung := w.f.Hangs(h, class, 10*typical, 1, 3)
-		w.f.GivenUp(h, class, 10*typical, hung, 3)
-	case x < w.mute[host]+w.fail[host]:
-		w.f.Failed(h, class, 0)
+	case x < w.hangRate[host] || took > 10*typicalSeconds:
+		hung := w.f.HangProbability(h, class, 10*typicalSeconds, 1, 3)
+		w.f.RecordAbandoned(h, class, 10*typicalSeconds, hung, 3)
+	case x < w.hangRate[host]+w.failureRate[host]:
+		w.f.RecordFailure(h, class, 0)
 	default:
-		w.f.Answered(h, class, took, w.f.Hangs(h, class, took, 1, 0))
+		w.f.RecordAnswer(h, class, took, w.f.HangProbability(h, class, took, 1, 0))
 	}
 }
 
 // pass lets time pass and has attempts come at a rate, over all hosts evenly.
-func (w *world) pass(seconds, rate float64, each func(host int)) {
+func (w *testCluster) advance(seconds, rate float64, each func(host int)) {
 	for end := w.now + seconds; ; {
 		w.now += w.rng.ExpFloat64() / rate
 		for ; w.aged+0.25 < math.Min(w.now, end); w.aged += 0.25 {
@@ -76,18 +76,18 @@
 
 // Guards against a calm or slow fleet's hosts being called grey: whatever the rate. Where all fail a good part alike, a
 // few hosts tell little of what is usual, and chance alarms more often.
-func TestFewFalseAlarms(t *testing.T) {
+func TestFewFalsePositives(t *testing.T) {
 	attempts, alarms := map[bool]int{}, map[bool]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.IntRange(2, 20).Draw(t, "hosts"), rapid.Uint64().Draw(t, "seed"))
-		w.slow = rapid.SampledFrom([]float64{1, 1, 2.8}).Draw(t, "slow")
+		w := newTestCluster(rapid.IntRange(2, 20).Draw(t, "hosts"), rapid.Uint64().Draw(t, "seed"))
+		w.slowdown = rapid.SampledFrom([]float64{1, 1, 2.8}).Draw(t, "slow")
 		same := rapid.SampledFrom([]float64{0, 0.001, 0.003, 0.2}).Draw(t, "failing alike")
-		for i := range w.fail {
-			w.fail[i] = same
+		for i := range w.failureRate {
+			w.failureRate[i] = same
 		}
 		rate := rapid.Float64Range(0.2, 50).Draw(t, "rate of a host") * float64(len(w.hosts))
 		was := make([]bool, len(w.hosts))
-		w.pass(4000/rate, rate, func(host int) {
+		w.advance(4000/rate, rate, func(host int) {
 			attempts[same > 0.1]++
 			if w.hosts[host].Grey() && !was[host] {
 				alarms[same > 0.1]++
@@ -103,26 +103,26 @@
 }
 
 // Guards against a host that fails a good part going unseen, or being suspected for long after it has healed.
-func TestNoticedAndHealed(t *testing.T) {
+func TestDetectionAndRecovery(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(8, rapid.Uint64().Draw(t, "seed"))
+		w := newTestCluster(8, rapid.Uint64().Draw(t, "seed"))
 		share := rapid.Float64Range(0.3, 1).Draw(t, "share")
 		if rapid.Bool().Draw(t, "mute") {
-			w.mute[0] = share
+			w.hangRate[0] = share
 		} else {
-			w.fail[0] = share
+			w.failureRate[0] = share
 		}
 		rate := 8 * rapid.Float64Range(2, 50).Draw(t, "rate of a host")
-		healthy := w.f.Fails(&w.hosts[1], 0, 0, 0)
-		w.pass(10, rate, nil)
+		healthy := w.f.FailureRate(&w.hosts[1], 0, 0, 0)
+		w.advance(10, rate, nil)
 		if !w.hosts[0].Grey() {
-			t.Errorf("not noticed: fails %.2f", w.f.Fails(&w.hosts[0], 0, 0, 0))
+			t.Errorf("not noticed: fails %.2f", w.f.FailureRate(&w.hosts[0], 0, 0, 0))
 		}
-		if sick, well := w.f.Fails(&w.hosts[0], 0, 0, 0), w.f.Fails(&w.hosts[1], 0, 0, 0); sick < 0.25*share || well > 0.1 || healthy > 0.05 {
+		if sick, well := w.f.FailureRate(&w.hosts[0], 0, 0, 0), w.f.FailureRate(&w.hosts[1], 0, 0, 0); sick < 0.25*share || well > 0.1 || healthy > 0.05 {
 			t.Errorf("of %.2f: the sick one is taken for %.2f, another for %.2f, before for %.2f", share, sick, well, healthy)
 		}
-		w.mute[0], w.fail[0] = 0, 0
-		w.pass(60, rate, nil)
+		w.hangRate[0], w.failureRate[0] = 0, 0
+		w.advance(60, rate, nil)
 		if w.hosts[0].Grey() {
 			t.Error("still grey a minute after it has healed")
 		}
@@ -130,16 +130,16 @@
 }
 
 // Guards against one class's trouble at all hosts being held against them, and one host's with one class being missed.
-func TestWhoseFault(t *testing.T) {
+func TestFaultIsAttributed(t *testing.T) {
 	for seed := range uint64(5) {
-		w := newWorld(6, seed)
+		w := newTestCluster(6, seed)
 		for range 3000 { // class 1 fails everywhere; host 0 fails class 0 as well
 			host, class := w.rng.IntN(6), w.rng.IntN(2)
 			switch {
 			case class == 1 && w.rng.Float64() < 0.5, class == 0 && host == 0 && w.rng.Float64() < 0.5:
-				w.f.Failed(&w.hosts[host], class, 0)
+				w.f.RecordFailure(&w.hosts[host], class, 0)
 			default:
-				w.f.Answered(&w.hosts[host], class, typical, 0)
+				w.f.RecordAnswer(&w.hosts[host], class, typicalSeconds, 0)
 			}
 		}
 		for host := range w.hosts {
@@ -150,7 +150,7 @@
 				if host == 0 {
 					want = 0.5
 				}
-				if got := w.f.Fails(&w.hosts[host], class, 0, 0); math.Abs(got-want) > 0.08 {
+				if got := w.f.FailureRate(&w.hosts[host], class, 0, 0); math.Abs(got-want) > 0.08 {
 					t.Errorf("seed %d: host %d fails %.2f of class %d, in truth %.2f", seed, host, got, class, want)
 				}
 			}
@@ -159,31 +159,33 @@
 }
 
 // Guards against a jam being taken for hosts that hang: while all are slow, silence says little.
-func TestJamIsNoSilence(t *testing.T) {
-	w := newWorld(4, 1)
-	w.pass(20, 100, nil)
-	w.f.Look()
-	if calm := w.f.Hangs(&w.hosts[0], 0, 8*typical, 1, 0); calm < 0.5 {
+func TestOverloadIsNotTakenForHangs(t *testing.T) {
+	w := newTestCluster(4, 1)
+	w.advance(20, 100, nil)
+	w.f.BeginAssessment()
+	if calm := w.f.HangProbability(&w.hosts[0], 0, 8*typicalSeconds, 1, 0); calm < 0.5 {
 		t.Errorf("calm, and out for 8 times the typical: hangs with odds of %.2f only", calm)
 	}
-	w.slow = 6
-	w.pass(3, 100, nil)
-	w.f.Look()
-	if jam := w.f.Hangs(&w.hosts[0], 0, 8*typical, 1, 0); jam > 0.1 {
+	w.slowdown = 6
+	w.advance(3, 100, nil)
+	w.f.BeginAssessment()
+	if jam := w.f.HangProbability(&w.hosts[0], 0, 8*typicalSeconds, 1, 0); jam > 0.1 {
 		t.Errorf("all are 6 times slower: hangs with odds of %.2f", jam)
 	}
 }
 
 // The odds move with each kind of evidence in its direction and stay odds.
-func TestHangsIsOrdered(t *testing.T) {
+func TestHangProbabilityIsMonotonic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(3, rapid.Uint64().Draw(t, "seed"))
-		w.mute[0] = rapid.Float64Range(0, 0.5).Draw(t, "mute")
-		w.pass(5, 60, nil)
-		w.f.Look()
+		w := newTestCluster(3, rapid.Uint64().Draw(t, "seed"))
+		w.hangRate[0] = rapid.Float64Range(0, 0.5).Draw(t, "mute")
+		w.advance(5, 60, nil)
+		w.f.BeginAssessment()
 		age, passed := rapid.Float64Range(0, 2).Draw(t, "age"), rapid.IntRange(0, 5).Draw(t, "passed")
 		slow := rapid.Float64Range(1, 4).Draw(t, "slow")
-		at := func(age, slow float64, passed int) float64 { return w.f.Hangs(&w.hosts[0], 0, age, slow, passed) }
+		at := func(age, slow float64, passed int) float64 {
+			return w.f.HangProbability(&w.hosts[0], 0, age, slow, passed)
+		}
 		p := at(age, slow, passed)
 		if p < 0 || p > 1 || at(1.5*age, slow, passed) < p-1e-12 || at(age, 2*slow, passed) > p+1e-12 || at(age, slow, passed+1) < p-1e-12 {
 			t.Errorf("%.3f; older %.3f, slower host %.3f, passed once more %.3f", p, at(1.5*age, slow, passed),
@@ -203,12 +205,12 @@
 	for _, rate := range []float64{0.2, 0.5, 2, 10, 50} {
 		alarms, hours := 0, 0.0
 		for seed := range uint64(plays) {
-			w := newWorld(12, seed)
-			for i := range w.fail {
-				w.fail[i] = 0.002
+			w := newTestCluster(12, seed)
+			for i := range w.failureRate {
+				w.failureRate[i] = 0.002
 			}
 			was := false
-			w.pass(most, 12*rate, func(int) {
+			w.advance(most, 12*rate, func(int) {
 				if w.hosts[0].Grey() && !was {
 					alarms++
 				}
@@ -220,12 +222,12 @@
 		for _, share := range []float64{0.05, 0.1, 0.2, 0.5, 1} {
 			var at []float64
 			for seed := range uint64(plays) {
-				w := newWorld(12, seed)
-				w.pass(20, 12*rate, nil)
-				w.mute[0] = share
+				w := newTestCluster(12, seed)
+				w.advance(20, 12*rate, nil)
+				w.hangRate[0] = share
 				from := w.now
 				for w.now < from+most && !w.hosts[0].Grey() {
-					w.pass(0.1, 12*rate, nil)
+					w.advance(0.1, 12*rate, nil)
 				}
 				if w.hosts[0].Grey() {
 					at = append(at, w.now-from)
--- a/balance/grey/silent_test.go
+++ b/balance/grey/silent_test.go
@@ -8,23 +8,23 @@
 // Guards against a host that answers nothing and goes unnoticed since all others are crowded: on the platform's large
 // fleet each sidecar sent such a host a request a second for as long as it hung. By a share of all attempts that run out
 // of time, the silent one has to be found within a few of its own, and hosts that do as the rest seldom called silent.
-func TestSilentInACrowd(t *testing.T) {
+func TestUnresponsiveDuringOverload(t *testing.T) {
 	for _, c := range []struct {
 		up   float64 // share of attempts at the others whose time is up
 		most int     // attempts until the silent one is found
 	}{{0.01, 4}, {0.1, 4}, {0.3, 11}, {0.5, 20}} {
 		calls, wrong := 0, 0
 		for seed := range uint64(50) {
-			f, hosts, found, rng := New([]float64{typical}), make([]Host, 8), 0, rand.New(rand.NewPCG(seed, 1))
+			f, hosts, found, rng := NewDetector([]float64{typicalSeconds}), make([]Host, 8), 0, rand.New(rand.NewPCG(seed, 1))
 			for n := range 800 {
 				h := &hosts[n%8]
 				if n%8 == 0 && n >= 400 { // it falls silent
-					if f.TimeUp(h) && found == 0 {
+					if f.RecordTimeout(h) && found == 0 {
 						found = n/8 - 50 + 1
 					}
 				} else if rng.Float64() >= c.up {
-					f.Answered(h, 0, typical, 0)
-				} else if f.TimeUp(h) && n%8 > 0 {
+					f.RecordAnswer(h, 0, typicalSeconds, 0)
+				} else if f.RecordTimeout(h) && n%8 > 0 {
 					wrong++
 				}
 				calls++
@@ -34,7 +34,7 @@
 				t.Errorf("at a share of %.2f, seed %d: found after %d attempts, want %d at most", c.up, seed, found, c.most)
 			}
 		}
-		if part := float64(wrong) / float64(calls); part > silentOdds {
+		if part := float64(wrong) / float64(calls); part > unresponsiveOdds {
 			t.Errorf("at a share of %.2f, %.3f of attempts called a host silent that does as the others", c.up, part)
 		}
 	}
--- a/balance/health.go
+++ b/balance/health.go
@@ -3,9 +3,9 @@
 // recordFailure takes in a failed attempt of a class at an endpoint; hangProbability is the odds that the endpoint did not
 // answer at all.
 func (b *Balancer) recordFailure(endpoint *endpointState, classIndex int, hangProbability float64) {
-	b.detector.Failed(&endpoint.evidence, classIndex, hangProbability)
+	b.detector.RecordFailure(&endpoint.evidence, classIndex, hangProbability)
 	endpoint.consecutiveFailures++
-	outlier := endpoint.halfOpen || endpoint.consecutiveFailures >= ejectionThreshold && endpoint.evidence.Mostly()
+	outlier := endpoint.halfOpen || endpoint.consecutiveFailures >= ejectionThreshold && endpoint.evidence.MostlyFailing()
 	if outlier && b.now >= endpoint.ejectedUntil {
 		b.eject(endpoint)
 	}
--- a/balance/hedging.go
+++ b/balance/hedging.go
@@ -67,7 +67,7 @@
 		if !findPending(request, attempt).likelyHung() {
 			b.latencyWindow.add(min(1, float64(b.now-attempt.sentAt)/float64(request.class.TargetLatency)))
 		}
-		unresponsive := b.detector.TimeUp(&endpoint.evidence)
+		unresponsive := b.detector.RecordTimeout(&endpoint.evidence)
 		if b.now >= endpoint.ejectedUntil && (unresponsive || endpoint.halfOpen || !b.healthy(endpoint)) && !b.panicMode {
 			b.eject(endpoint)
 		}
--- a/balance/latency.go
+++ b/balance/latency.go
@@ -13,7 +13,7 @@
 	switch ev.Status {
 	case NotSent:
 	case Cancelled: // by this instance: evidence by the odds that it hung
-		b.detector.GivenUp(&endpoint.evidence, classIndex, (b.now - pending.sentAt).Seconds(), pending.hangProbability, pending.overtakenBy)
+		b.detector.RecordAbandoned(&endpoint.evidence, classIndex, (b.now - pending.sentAt).Seconds(), pending.hangProbability, pending.overtakenBy)
 	case OK:
 		b.recordServed(pending, endpoint, ev.Latency)
 	case ConnectFailed:
@@ -44,7 +44,7 @@
 	b.latencyWindow.add(min(1, seconds/class.TargetLatency.Seconds())) // late is late, however much
 	endpoint.group.latency.add(scaled)
 	endpoint.lastSuccess = b.now
-	b.detector.Answered(&endpoint.evidence, classIndex, seconds, pending.hangProbability)
+	b.detector.RecordAnswer(&endpoint.evidence, classIndex, seconds, pending.hangProbability)
 	b.earnWarmupSends(endpoint)
 	b.responses.add(class.TargetLatency.Seconds())
 	if endpoint.halfOpen {
--- a/balance/learned_state.go
+++ b/balance/learned_state.go
@@ -14,18 +14,18 @@
 type LearnedState struct {
 	Age time.Duration `json:"Past"` // since it was taken
 
-	Limit               float64         `json:"Limit"`     // concurrency limit, in requests
-	Capacity            float64         `json:"Able"`      // of the available endpoints, in warm ones
-	Baseline            float64         `json:"Uncrowded"` // share of the target that uncongested answers take
-	BaselineKnown       bool            `json:"Known"`
-	CongestionAvoidance bool            `json:"Bounded"` // the limit has been cut once
-	Congested           bool            `json:"Crowded"`
-	RetryTokens         float64         `json:"Retries"`
-	Responses           MeanState       `json:"Served"`  // target latencies of answers, in seconds
-	Rejections          MeanState       `json:"Asked"`   // per request: 1 is rejected
-	Classes             []ClassState    `json:"Classes"` // by class index
-	Endpoints           []EndpointState `json:"Hosts"`
-	Detector            grey.State      `json:"Fleet"`
+	Limit               float64            `json:"Limit"`     // concurrency limit, in requests
+	Capacity            float64            `json:"Able"`      // of the available endpoints, in warm ones
+	Baseline            float64            `json:"Uncrowded"` // share of the target that uncongested answers take
+	BaselineKnown       bool               `json:"Known"`
+	CongestionAvoidance bool               `json:"Bounded"` // the limit has been cut once
+	Congested           bool               `json:"Crowded"`
+	RetryTokens         float64            `json:"Retries"`
+	Responses           MeanState          `json:"Served"`  // target latencies of answers, in seconds
+	Rejections          MeanState          `json:"Asked"`   // per request: 1 is rejected
+	Classes             []ClassState       `json:"Classes"` // by class index
+	Endpoints           []EndpointState    `json:"Hosts"`
+	Detector            grey.DetectorState `json:"Fleet"`
 }
 
 // MeanState is a mean whose samples lose weight with time: the weight of the samples and their sum.
@@ -148,7 +148,7 @@
 	b.rejections = state.Rejections.restore(DecayWeight(age))
 	b.rejections.sum = min(b.rejections.sum, b.rejections.n)
 	b.restoreClasses(state.Classes, age)
-	b.detector.Take(state.Detector)
+	b.detector.Restore(state.Detector)
 	b.detector.Age(age.Seconds())
 	for i := range state.Endpoints {
 		b.restoreEndpoint(&state.Endpoints[i], age)
@@ -195,7 +195,7 @@
 	endpoint.listedStart = learned.ListedStart
 	endpoint.latency = learned.Latency.restoreLatency(DecayWeight(age))
 	endpoint.halfOpen = learned.HalfOpen
-	endpoint.evidence = learned.Evidence.Host(len(b.classes))
+	endpoint.evidence = learned.Evidence.Restore(len(b.classes))
 	endpoint.evidence.Age(age.Seconds())
 	if age.Seconds() <= decaySeconds {
 		endpoint.consecutiveFailures = max(0, learned.ConsecutiveFailures)
--- a/balance/learned_state_test.go
+++ b/balance/learned_state_test.go
@@ -62,21 +62,23 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		num := rapid.OneOf(rapid.Float64(), rapid.SampledFrom([]float64{0, -1, 1e300, 1e-300, 5}))
 		sample := func() MeanState { return MeanState{num.Draw(rt, "n"), num.Draw(rt, "sum")} }
-		count := func() grey.Count { return grey.Count{N: num.Draw(rt, "n"), Bad: num.Draw(rt, "bad")} }
+		count := func() grey.CountState {
+			return grey.CountState{Attempts: num.Draw(rt, "n"), Failures: num.Draw(rt, "bad")}
+		}
 		span := func() time.Duration { return time.Duration(rapid.Int64().Draw(rt, "span")) }
 		l := &LearnedState{Limit: num.Draw(rt, "limit"), Capacity: num.Draw(rt, "able"), Baseline: num.Draw(rt, "uncrowded"),
 			RetryTokens: num.Draw(rt, "retries"), Responses: sample(), Rejections: sample(),
-			Detector: grey.State{Mute: count(), Ups: count()}}
+			Detector: grey.DetectorState{Hangs: count(), Timeouts: count()}}
 		for range rapid.IntRange(0, 4).Draw(rt, "classes") {
 			l.Classes = append(l.Classes, ClassState{Latency: sample(), BinShares: []float64{num.Draw(rt, "bin"), num.Draw(rt, "bin")},
 				RecentRemaining: []time.Duration{span()}})
 			l.Detector.Classes = append(l.Detector.Classes, count())
-			l.Detector.Paces = append(l.Detector.Paces, grey.Pace{N: num.Draw(rt, "n"), Sum: num.Draw(rt, "sum"), Squares: num.Draw(rt, "squares")})
+			l.Detector.Paces = append(l.Detector.Paces, grey.PaceState{N: num.Draw(rt, "n"), Sum: num.Draw(rt, "sum"), Squares: num.Draw(rt, "squares")})
 		}
 		for id := range EndpointID(4) {
 			l.Endpoints = append(l.Endpoints, EndpointState{Endpoint: id, StartedAt: span(), ListedStart: span(), Latency: sample(), EjectedFor: span(), EjectionBackoff: span(),
-				ConsecutiveFailures: rapid.Int().Draw(rt, "fails"), Evidence: grey.HostState{Classes: []grey.Count{count()}, Mute: count(), Lately: count(),
-					Suspect: num.Draw(rt, "suspect")}})
+				ConsecutiveFailures: rapid.Int().Draw(rt, "fails"), Evidence: grey.HostState{Classes: []grey.CountState{count()}, Hangs: count(), Recent: count(),
+					Suspicion: num.Draw(rt, "suspect")}})
 		}
 		w := newTestInstance(t, testSettings(), 1)
 		w.listReady(4)
--- a/balance/pending.go
+++ b/balance/pending.go
@@ -95,7 +95,7 @@
 		b.pausedTime += late // this process was not scheduled: no pending attempt is blamed for it
 	}
 	b.nextTick = b.now + b.tickInterval
-	b.detector.Look()
+	b.detector.BeginAssessment()
 	b.inFlight, b.availableCount, b.unhealthyCount = 0, 0, 0
 	for _, endpoint := range b.endpoints {
 		endpoint.unhealthy = !b.healthy(endpoint)
@@ -129,7 +129,7 @@
 		if scaled := age / pending.request.class.latencyFactor; scaled > meanLatency {
 			endpoint.overdueLatency.add(scaled)
 		}
-		pending.hangProbability = b.detector.Hangs(&endpoint.evidence, pending.request.classIndex, age,
+		pending.hangProbability = b.detector.HangProbability(&endpoint.evidence, pending.request.classIndex, age,
 			meanLatency/groupLatency, pending.overtakenBy)
 		if !pending.likelyHung() {
 			inFlight++
--- a/balance/reconfigure.go
+++ b/balance/reconfigure.go
@@ -23,7 +23,7 @@
 		changed.Class = class
 		b.classes[i] = &changed
 	}
-	b.detector.Widen(initialLatencies(s.Classes))
+	b.detector.AddClasses(initialLatencies(s.Classes))
 	b.tenants = nil
 	for _, tenant := range s.Tenants {
 		rate := tenant.Quota / s.processCount()
--- a/internal/daemon/show.go
+++ b/internal/daemon/show.go
@@ -64,7 +64,7 @@
 	fmt.Fprintf(t, "\nhost\tdelay\tanswers\tejected for\ttrial\tsuspect\n")
 	for _, s := range l.Endpoints {
 		fmt.Fprintf(t, "%s\t%v\t%.1f\t%v\t%v\t%.1f\n", names[s.Endpoint], mean(s.Latency), s.Latency.N,
-			max(0, s.EjectedFor-age).Round(time.Millisecond), s.HalfOpen, s.Evidence.Suspect)
+			max(0, s.EjectedFor-age).Round(time.Millisecond), s.HalfOpen, s.Evidence.Suspicion)
 	}
 	return t.Flush()
 }
--- a/internal/daemon/snapshot_bench_test.go
+++ b/internal/daemon/snapshot_bench_test.go
@@ -45,7 +45,7 @@
 	for i := range h.Engine.Learned.Endpoints {
 		of := &h.Engine.Learned.Endpoints[i]
 		of.Latency = balance.MeanState{N: 3.123456789, Sum: 0.987654321}
-		of.Evidence.Lately.N, of.Evidence.Suspect = 1.23456789, 0.123456789
+		of.Evidence.Recent.Attempts, of.Evidence.Suspicion = 1.23456789, 0.123456789
 	}
 	s.eng.Take(h.Engine)
 	return s
