--- a/balance/grey/grey_test.go
+++ b/balance/grey/detector_test.go
@@ -20,7 +20,7 @@
 
 const typicalSeconds = 0.06 // seconds of an answer
 
-// world is hosts of which each fails a share of its attempts by saying nothing, and another by errors.
+// testCluster is endpoints of which each fails a share of its attempts by saying nothing, and another by errors.
 type testCluster struct {
 	f           *Detector
 	hosts       []Host
@@ -37,7 +37,7 @@
 		failureRate: make([]float64, hosts), slowdown: 1, rng: rand.New(rand.NewPCG(seed, 0))}
 }
 
-// attempt has one host take one request, whose sender gives up after ten times the typical.
+// attempt has one endpoint take one request, whose sender gives up after ten times the typical.
 func (w *testCluster) attempt(host, class int) {
 	h := &w.hosts[host]
 	took := typicalSeconds * float64(class+1) * w.slowdown * math.Exp(0.5*w.rng.NormFloat64())
@@ -53,7 +53,7 @@
 	}
 }
 
-// pass lets time pass and has attempts come at a rate, over all hosts evenly.
+// advance lets time pass and has attempts come at a rate, over all endpoints evenly.
 func (w *testCluster) advance(seconds, rate float64, each func(host int)) {
 	for end := w.now + seconds; ; {
 		w.now += w.rng.ExpFloat64() / rate
@@ -74,8 +74,8 @@
 	}
 }
 
-// Guards against a calm or slow fleet's hosts being called grey: whatever the rate. Where all fail a good part alike, a
-// few hosts tell little of what is usual, and chance alarms more often.
+// Guards against a calm or slow fleet's endpoints being called grey: whatever the rate. Where all fail a good part alike, a
+// few endpoints tell little of what is usual, and chance alarms more often.
 func TestFewFalsePositives(t *testing.T) {
 	attempts, alarms := map[bool]int{}, map[bool]int{}
 	rapid.Check(t, func(t *rapid.T) {
@@ -85,7 +85,7 @@
 		for i := range w.failureRate {
 			w.failureRate[i] = same
 		}
-		rate := rapid.Float64Range(0.2, 50).Draw(t, "rate of a host") * float64(len(w.hosts))
+		rate := rapid.Float64Range(0.2, 50).Draw(t, "rate of an endpoint") * float64(len(w.hosts))
 		was := make([]bool, len(w.hosts))
 		w.advance(4000/rate, rate, func(host int) {
 			attempts[same > 0.1]++
@@ -102,7 +102,7 @@
 	}
 }
 
-// Guards against a host that fails a good part going unseen, or being suspected for long after it has healed.
+// Guards against an endpoint that fails a good part and goes undetected, or being suspected for long after it has healed.
 func TestDetectionAndRecovery(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newTestCluster(8, rapid.Uint64().Draw(t, "seed"))
@@ -112,14 +112,14 @@
 		} else {
 			w.failureRate[0] = share
 		}
-		rate := 8 * rapid.Float64Range(2, 50).Draw(t, "rate of a host")
+		rate := 8 * rapid.Float64Range(2, 50).Draw(t, "rate of an endpoint")
 		healthy := w.f.FailureRate(&w.hosts[1], 0, 0, 0)
 		w.advance(10, rate, nil)
 		if !w.hosts[0].Grey() {
 			t.Errorf("not noticed: fails %.2f", w.f.FailureRate(&w.hosts[0], 0, 0, 0))
 		}
-		if sick, well := w.f.FailureRate(&w.hosts[0], 0, 0, 0), w.f.FailureRate(&w.hosts[1], 0, 0, 0); sick < 0.25*share || well > 0.1 || healthy > 0.05 {
-			t.Errorf("of %.2f: the sick one is taken for %.2f, another for %.2f, before for %.2f", share, sick, well, healthy)
+		if failing, well := w.f.FailureRate(&w.hosts[0], 0, 0, 0), w.f.FailureRate(&w.hosts[1], 0, 0, 0); failing < 0.25*share || well > 0.1 || healthy > 0.05 {
+			t.Errorf("of %.2f: the failing one is taken for %.2f, another for %.2f, before for %.2f", share, failing, well, healthy)
 		}
 		w.hangRate[0], w.failureRate[0] = 0, 0
 		w.advance(60, rate, nil)
@@ -129,11 +129,11 @@
 	})
 }
 
-// Guards against one class's trouble at all hosts being held against them, and one host's with one class being missed.
+// Guards against one class's trouble at all endpoints being held against them, and one endpoint's with one class being missed.
 func TestFaultIsAttributed(t *testing.T) {
 	for seed := range uint64(5) {
 		w := newTestCluster(6, seed)
-		for range 3000 { // class 1 fails everywhere; host 0 fails class 0 as well
+		for range 3000 { // class 1 fails everywhere; endpoint 0 fails class 0 as well
 			host, class := w.rng.IntN(6), w.rng.IntN(2)
 			switch {
 			case class == 1 && w.rng.Float64() < 0.5, class == 0 && host == 0 && w.rng.Float64() < 0.5:
@@ -144,21 +144,21 @@
 		}
 		for host := range w.hosts {
 			if w.hosts[host].Grey() != (host == 0) {
-				t.Errorf("seed %d: host %d is grey: %v", seed, host, w.hosts[host].Grey())
+				t.Errorf("seed %d: endpoint %d is grey: %v", seed, host, w.hosts[host].Grey())
 			}
 			for class, want := range []float64{0, 0.5} {
 				if host == 0 {
 					want = 0.5
 				}
 				if got := w.f.FailureRate(&w.hosts[host], class, 0, 0); math.Abs(got-want) > 0.08 {
-					t.Errorf("seed %d: host %d fails %.2f of class %d, in truth %.2f", seed, host, got, class, want)
+					t.Errorf("seed %d: endpoint %d fails %.2f of class %d, in truth %.2f", seed, host, got, class, want)
 				}
 			}
 		}
 	}
 }
 
-// Guards against a jam being taken for hosts that hang: while all are slow, silence says little.
+// Guards against overload being taken for endpoints that hang: while all are slow, silence says little.
 func TestOverloadIsNotTakenForHangs(t *testing.T) {
 	w := newTestCluster(4, 1)
 	w.advance(20, 100, nil)
@@ -188,13 +188,13 @@
 		}
 		p := at(age, slow, passed)
 		if p < 0 || p > 1 || at(1.5*age, slow, passed) < p-1e-12 || at(age, 2*slow, passed) > p+1e-12 || at(age, slow, passed+1) < p-1e-12 {
-			t.Errorf("%.3f; older %.3f, slower host %.3f, passed once more %.3f", p, at(1.5*age, slow, passed),
+			t.Errorf("%.3f; older %.3f, slower endpoint %.3f, passed once more %.3f", p, at(1.5*age, slow, passed),
 				at(age, 2*slow, passed), at(age, slow, passed+1))
 		}
 	})
 }
 
-var grid = flag.Bool("grid", false, "print how soon a grey host is noticed, and how often a well one is, for some shares and rates")
+var grid = flag.Bool("grid", false, "print how soon a grey endpoint is noticed, and how often a well one is, for some shares and rates")
 
 // TestGrid prints the table of docs/design/grey-failures.md: go test ./balance/grey -run Grid -grid -v
 func TestGrid(t *testing.T) {
@@ -218,7 +218,7 @@
 			})
 			hours += most / 3600
 		}
-		t.Logf("%4.1f a second: %.2f false alarms an hour of a host", rate, float64(alarms)/hours)
+		t.Logf("%4.1f a second: %.2f false alarms an hour of an endpoint", rate, float64(alarms)/hours)
 		for _, share := range []float64{0.05, 0.1, 0.2, 0.5, 1} {
 			var at []float64
 			for seed := range uint64(plays) {
--- a/balance/grey/state.go
+++ b/balance/grey/state.go
@@ -2,98 +2,110 @@
 
 import "math"
 
-// CountState is attempts and how many of them went wrong, or any other number with a sum, for passing on.
+// CountState is a number of attempts and of failures among them.
 type CountState struct {
 	Attempts float64 `json:"N"`
 	Failures float64 `json:"Bad"`
 }
 
-// PaceState is how long answers of a class take, for passing on.
-type PaceState struct {
+// LatencyState is the distribution of a class's latency: the weight, sum and squared distances of the logarithms of its
+// seconds.
+type LatencyState struct {
 	N       float64 `json:"N"`
 	Sum     float64 `json:"Sum"`
 	Squares float64 `json:"Squares"`
 }
 
-// maxLogSeconds bounds the logarithm of an answer's seconds: from 1e-9 to 1e9.
-const maxLogSeconds = 20
-
-// DetectorState is what is known of a fleet, by class, for passing on to another process.
+// DetectorState is what a Detector knows, as plain values for another process. The JSON names are those of stored snapshots.
 type DetectorState struct {
-	Classes  []CountState `json:"Classes"`
-	Paces    []PaceState  `json:"Paces"`
-	Hangs    CountState   `json:"Mute"`
-	Timeouts CountState   `json:"Ups"`
+	Classes   []CountState   `json:"Classes"` // by class
+	Latencies []LatencyState `json:"Paces"`   // by class
+	Hangs     CountState     `json:"Mute"`
+	Timeouts  CountState     `json:"Ups"`
 }
 
-// HostState is what is known of one host, by class.
+// HostState is the evidence about one host, as plain values for another process.
 type HostState struct {
-	Classes   []CountState `json:"Classes"`
+	Classes   []CountState `json:"Classes"` // by class
 	Hangs     CountState   `json:"Mute"`
 	Recent    CountState   `json:"Lately"`
 	Suspicion float64      `json:"Suspect"`
 	Grey      bool         `json:"Grey"`
 }
 
-// DetectorState is what is known, to be passed on at once: nothing of it has aged.
-func (f *Detector) State() DetectorState {
-	st := DetectorState{Classes: countStates(f.classes), Hangs: f.hangs.state(), Timeouts: f.timeouts.state()}
-	for _, p := range f.paces {
-		st.Paces = append(st.Paces, PaceState{p.n, p.sum, p.squares})
+// Bounds of what a process can have learned.
+const (
+	maxLogSeconds = 20 // of the logarithm of a latency: from 1e-9 to 1e9 seconds
+	maxCount      = 1e9
+)
+
+// State returns what the detector knows.
+func (d *Detector) State() DetectorState {
+	state := DetectorState{Classes: countStates(d.classes), Hangs: d.hangs.state(), Timeouts: d.timeouts.state()}
+	for _, model := range d.latencies {
+		state.Latencies = append(state.Latencies, LatencyState{N: model.n, Sum: model.sum, Squares: model.squares})
 	}
-	return st
+	return state
 }
 
-// Restore takes over what another process knew. What no process can have known is left out.
-func (f *Detector) Restore(st DetectorState) {
-	for i := range f.classes {
-		if i < len(st.Classes) {
-			f.classes[i] = st.Classes[i].restore()
+// Restore takes over what another process knew. Values that no process can have learned are left out.
+func (d *Detector) Restore(state DetectorState) {
+	for i := range d.classes {
+		if i < len(state.Classes) {
+			d.classes[i] = state.Classes[i].restore()
 		}
-		if i < len(st.Paces) {
-			if p := st.Paces[i]; validCount(p.N) && math.Abs(p.Sum) <= maxLogSeconds*p.N && p.Squares >= 0 && p.Squares <= maxLogSeconds*maxLogSeconds*p.N {
-				f.paces[i].n, f.paces[i].sum, f.paces[i].squares = p.N, p.Sum, p.Squares
-			}
+		if i < len(state.Latencies) && state.Latencies[i].valid() {
+			learned := &state.Latencies[i]
+			model := &d.latencies[i]
+			model.n, model.sum, model.squares = learned.N, learned.Sum, learned.Squares
 		}
 	}
-	f.hangs, f.timeouts = st.Hangs.restore(), st.Timeouts.restore()
+	d.hangs = state.Hangs.restore()
+	d.timeouts = state.Timeouts.restore()
 }
 
-// DetectorState is what is known of a host.
+// valid reports whether a process can have learned the distribution.
+func (s *LatencyState) valid() bool {
+	return validCount(s.N) && math.Abs(s.Sum) <= maxLogSeconds*s.N && s.Squares >= 0 && s.Squares <= maxLogSeconds*maxLogSeconds*s.N
+}
+
+// State returns the evidence about the host.
 func (h *Host) State() HostState {
 	return HostState{Classes: countStates(h.classes), Hangs: h.hangs.state(), Recent: h.recent.state(), Suspicion: h.suspicion, Grey: h.grey}
 }
 
-// Restore is one of which so much is known, of that many classes.
-func (st *HostState) Restore(classes int) Host {
-	h := Host{hangs: st.Hangs.restore(), recent: st.Recent.restore(), grey: st.Grey}
-	if validCount(st.Suspicion) {
-		h.suspicion = min(maxSuspicion, st.Suspicion)
+// Restore returns a host of which so much is known, for a detector of that many classes.
+func (s *HostState) Restore(classes int) Host {
+	h := Host{hangs: s.Hangs.restore(), recent: s.Recent.restore(), grey: s.Grey}
+	if validCount(s.Suspicion) {
+		h.suspicion = min(maxSuspicion, s.Suspicion)
 	}
-	if len(st.Classes) > 0 {
+	if len(s.Classes) > 0 {
 		h.classes = make([]decayedCount, classes)
-		for i := range min(classes, len(st.Classes)) {
-			h.classes[i] = st.Classes[i].restore()
+		for i := range min(classes, len(s.Classes)) {
+			h.classes[i] = s.Classes[i].restore()
 		}
 	}
 	return h
 }
 
-func countStates(ts []decayedCount) (out []CountState) {
-	for i := range ts {
-		out = append(out, ts[i].state())
+func countStates(counts []decayedCount) (states []CountState) {
+	for i := range counts {
+		states = append(states, counts[i].state())
 	}
-	return out
+	return states
 }
 
-func (t *decayedCount) state() CountState { return CountState{t.attempts, t.failures} }
+func (c *decayedCount) state() CountState {
+	return CountState{Attempts: c.attempts, Failures: c.failures}
+}
 
-func (c CountState) restore() decayedCount {
-	if !validCount(c.Attempts) || !validCount(c.Failures) || c.Failures > c.Attempts+1 {
+func (s CountState) restore() decayedCount {
+	if !validCount(s.Attempts) || !validCount(s.Failures) || s.Failures > s.Attempts+1 {
 		return decayedCount{}
 	}
-	return decayedCount{attempts: c.Attempts, failures: c.Failures}
+	return decayedCount{attempts: s.Attempts, failures: s.Failures}
 }
 
-// sane tells whether a number can be one of attempts.
-func validCount(x float64) bool { return x >= 0 && x < 1e9 }
+// validCount reports whether a number can be one of attempts; NaN can't.
+func validCount(x float64) bool { return x >= 0 && x < maxCount }
--- a/balance/learned_state.go
+++ b/balance/learned_state.go
@@ -116,7 +116,7 @@
 func (l *LearnedState) ReorderClasses(newIndex []int, n int) {
 	l.Classes = reorder(l.Classes, newIndex, n)
 	l.Detector.Classes = reorder(l.Detector.Classes, newIndex, n)
-	l.Detector.Paces = reorder(l.Detector.Paces, newIndex, n)
+	l.Detector.Latencies = reorder(l.Detector.Latencies, newIndex, n)
 	for i := range l.Endpoints {
 		if evidence := &l.Endpoints[i].Evidence; len(evidence.Classes) > 0 {
 			evidence.Classes = reorder(evidence.Classes, newIndex, n)
--- a/balance/learned_state_test.go
+++ b/balance/learned_state_test.go
@@ -50,9 +50,9 @@
 // Guards against classes that stand elsewhere at the successor, or not at all.
 func TestReorderClasses(t *testing.T) {
 	l := learnedInstance(t, 1).b.LearnedState()
-	safe, unsafe := l.Classes[idempotentClass], l.Detector.Paces[nonIdempotentClass]
+	safe, unsafe := l.Classes[idempotentClass], l.Detector.Latencies[nonIdempotentClass]
 	l.ReorderClasses([]int{1, -1, 0}, 2)
-	if len(l.Classes) != 2 || !reflect.DeepEqual(l.Classes[1], safe) || l.Detector.Paces[0] != unsafe || len(l.Endpoints[0].Evidence.Classes) != 2 {
+	if len(l.Classes) != 2 || !reflect.DeepEqual(l.Classes[1], safe) || l.Detector.Latencies[0] != unsafe || len(l.Endpoints[0].Evidence.Classes) != 2 {
 		t.Errorf("reordered: %+v", l)
 	}
 }
@@ -73,7 +73,7 @@
 			l.Classes = append(l.Classes, ClassState{Latency: sample(), BinShares: []float64{num.Draw(rt, "bin"), num.Draw(rt, "bin")},
 				RecentRemaining: []time.Duration{span()}})
 			l.Detector.Classes = append(l.Detector.Classes, count())
-			l.Detector.Paces = append(l.Detector.Paces, grey.PaceState{N: num.Draw(rt, "n"), Sum: num.Draw(rt, "sum"), Squares: num.Draw(rt, "squares")})
+			l.Detector.Latencies = append(l.Detector.Latencies, grey.LatencyState{N: num.Draw(rt, "n"), Sum: num.Draw(rt, "sum"), Squares: num.Draw(rt, "squares")})
 		}
 		for id := range EndpointID(4) {
 			l.Endpoints = append(l.Endpoints, EndpointState{Endpoint: id, StartedAt: span(), ListedStart: span(), Latency: sample(), EjectedFor: span(), EjectionBackoff: span(),
--- a/balance/reconfigure_test.go
+++ b/balance/reconfigure_test.go
@@ -95,7 +95,7 @@
 	w.event(Event{Kind: EventSettings, Settings: &set})
 	after := w.b.LearnedState()
 	if after.Limit != before.Limit || len(after.Classes) != 4 || after.Classes[0].Latency != before.Classes[0].Latency ||
-		after.Detector.Paces[1] != before.Detector.Paces[1] || after.Endpoints[0].Latency != before.Endpoints[0].Latency {
+		after.Detector.Latencies[1] != before.Detector.Latencies[1] || after.Endpoints[0].Latency != before.Endpoints[0].Latency {
 		t.Errorf("before\n%+v\nafter\n%+v", before, after)
 	}
 	id := w.request(3)
