--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -11,7 +11,7 @@
 // Balancer is the decision state of one instance.
 type Balancer struct {
 	settings     Settings
-	warmupConfig warmup.Site
+	warmupConfig warmup.Config
 	random       *rand.Rand
 	instanceHash uint64 // of the instance's name; 0 is none
 	now          time.Duration
--- a/balance/reconfigure.go
+++ b/balance/reconfigure.go
@@ -12,9 +12,9 @@
 func (b *Balancer) applySettings(s *Settings) {
 	b.settings = *s
 	b.instanceHash = hashName(s.Name)
-	b.warmupConfig = warmup.Site{Share: s.WarmupInitialShare, Warm: s.WarmupDuration, Aim: s.Classes[0].TargetLatency, Sure: s.Name == ""}
+	b.warmupConfig = warmup.Config{InitialShare: s.WarmupInitialShare, Duration: s.WarmupDuration, TargetLatency: s.Classes[0].TargetLatency, InstancesKnown: s.Name == ""}
 	for i, class := range s.Classes {
-		b.warmupConfig.Aim = min(b.warmupConfig.Aim, class.TargetLatency)
+		b.warmupConfig.TargetLatency = min(b.warmupConfig.TargetLatency, class.TargetLatency)
 		if i == len(b.classes) {
 			b.classes = append(b.classes, &classState{})
 			b.bins = append(b.bins, make([]bin, binsPerClass)...)
--- a/balance/sending.go
+++ b/balance/sending.go
@@ -26,7 +26,7 @@
 		return false
 	case request.openAttempts > 0 && (!b.settings.Hedging || request.singleAttempt):
 		return false
-	case b.isWarmingUp(endpoint) && !endpoint.warmup.Ready(b.now):
+	case b.isWarmingUp(endpoint) && !endpoint.warmup.CanSend(b.now):
 		return false
 	}
 	return request.class.Idempotency == Idempotent || b.idempotencyAllows(request, endpoint)
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -525,7 +525,7 @@
 	}
 	for _, endpoint := range w.b.endpoints {
 		for n := 0; ; n++ {
-			if !endpoint.warmup.Ready(w.now) {
+			if !endpoint.warmup.CanSend(w.now) {
 				if n == 0 || n > 15 { // 6 on average
 					t.Errorf("endpoint %d has %d rights after 20 answers of one of 4", endpoint.Endpoint, n)
 				}
--- a/balance/warmup.go
+++ b/balance/warmup.go
@@ -20,7 +20,7 @@
 
 // trickleRate is how many sends a second go to an endpoint that is warming up without an answer of one of its peers.
 func (b *Balancer) trickleRate(endpoint *endpointState) float64 {
-	rate := b.warmupConfig.Trickle(b.uptime(endpoint), b.instancesPerEndpoint)
+	rate := b.warmupConfig.TrickleRate(b.uptime(endpoint), b.instancesPerEndpoint)
 	if endpoint.Cached {
 		rate = max(rate, cachedTrickleRate/float64(len(b.endpoints)))
 	}
@@ -41,14 +41,14 @@
 	}
 	if len(cached) > 0 {
 		b.cachedListSeeded = true
-		cached[b.random.IntN(len(cached))].warmup.Answered(b.now, 1, 0)
+		cached[b.random.IntN(len(cached))].warmup.Earn(b.now, 1, 0)
 	}
 }
 
 // earnWarmupSends has an answer earn sends to the endpoints of its group that are warming up; see package warmup. Only
 // endpoints that answer share in it: one that is down or hangs would take a part of the gain away for nothing.
 func (b *Balancer) earnWarmupSends(from *endpointState) {
-	if b.warmupConfig.Share < 1 && b.capacity == float64(len(b.readyEndpoints)) { // none is warming up
+	if b.warmupConfig.InitialShare < 1 && b.capacity == float64(len(b.readyEndpoints)) { // none is warming up
 		return
 	}
 	groupCapacity := 0.0
@@ -59,8 +59,8 @@
 	}
 	for _, endpoint := range b.endpoints {
 		if endpoint.available && endpoint.group == from.group && b.isWarmingUp(endpoint) {
-			sends := warmup.Gain * b.warmupConfig.Capacity(b.uptime(endpoint)) / groupCapacity
-			endpoint.warmup.Answered(b.now, sends, b.random.Float64())
+			sends := warmup.SendsPerAnswer * b.warmupConfig.Capacity(b.uptime(endpoint)) / groupCapacity
+			endpoint.warmup.Earn(b.now, sends, b.random.Float64())
 		}
 	}
 }
