--- a/internal/accesslog/bench_test.go
+++ b/internal/accesslog/bench_test.go
@@ -37,7 +37,7 @@
 				b.Fatal(err)
 			}
 			eng.Membership(balance.ListFull, []balance.Entry{{Endpoint: 1, State: balance.Ready, Weight: 1}}, 0)
-			p := &stream.Proxy{Engine: eng, Upstream: served{}, Log: zerolog.Nop()}
+			p := &stream.Proxy{Driver: eng, Upstream: served{}, Log: zerolog.Nop()}
 			if on {
 				r := newRecorder(b, "log", 0, io.Discard)
 				r.Listed(balance.ListFull, []cluster.Member{{ID: "front-0001", Endpoint: 1, State: balance.Ready, Weight: 1}})
--- a/internal/daemon/audit_test.go
+++ b/internal/daemon/audit_test.go
@@ -29,7 +29,7 @@
 	time  time.Time
 	asked int // for whole lists
 	set   *config.Settings
-	eng   *driver.Engine
+	eng   *driver.Driver
 	table *cluster.Table
 }
 
@@ -49,7 +49,7 @@
 	w.audited = newAudited(&section, cfg, nil, &succession{}, zerolog.Nop())
 	w.start, w.wall, w.refresh = w.time, func() time.Time { return w.time }, func() { w.asked++ }
 	w.now = func() time.Duration { return w.time.Sub(w.start) }
-	w.begins(cfg, eng.Adopt)
+	w.begins(cfg, eng.SetVersion)
 	w.table.Versions = w
 	w.book.Names(func(class int, host balance.EndpointID) (string, string) {
 		return set.ClassNames[class], w.table.Name(host)
@@ -190,7 +190,7 @@
 	w := newWorld(t, config.Audit{})
 	s := &seen{Book: w.book, got: map[attempt]int{}, of: w.table.Name}
 	var visits atomic.Int64
-	p := &stream.Proxy{Engine: w.eng, Trail: s, Log: zerolog.Nop(), Upstream: upstreamFunc(func() balance.Status {
+	p := &stream.Proxy{Driver: w.eng, Trail: s, Log: zerolog.Nop(), Upstream: upstreamFunc(func() balance.Status {
 		if visits.Add(1)%3 == 0 {
 			return balance.ConnectFailed
 		}
@@ -207,7 +207,7 @@
 	changes.Go(func() {
 		for n := range lists / 2 {
 			cfg := &config.Config{Settings: *w.set, Site: fmt.Sprintf(`{"n":%d}`, n)}
-			w.settings(cfg, "file", func(under uint32) { _ = w.eng.Retune(cfg.Settings.Settings, under) })
+			w.settings(cfg, "file", func(under uint32) { _ = w.eng.UpdateSettings(cfg.Settings.Settings, under) })
 		}
 	})
 	for i := range 4 {
@@ -325,7 +325,7 @@
 		})
 	}
 	for _, on := range []bool{false, true} {
-		p := &stream.Proxy{Engine: w.eng, Log: zerolog.Nop(), Upstream: upstreamFunc(func() balance.Status { return balance.OK })}
+		p := &stream.Proxy{Driver: w.eng, Log: zerolog.Nop(), Upstream: upstreamFunc(func() balance.Status { return balance.OK })}
 		if on {
 			p.Gate, p.Trail = w, w.book
 		}
--- a/internal/daemon/retune.go
+++ b/internal/daemon/retune.go
@@ -22,7 +22,7 @@
 // tuning has a configuration that is read again take effect.
 type tuning struct {
 	op      *config.Operator
-	eng     *driver.Engine
+	eng     *driver.Driver
 	pool    *upstream.Pool
 	side    *downstream.Side
 	table   *cluster.Table
@@ -112,8 +112,8 @@
 	}
 	after.Name = t.cfg.Settings.Name // by which hosts are chosen: the same for as long as the process runs
 	told := *cfg
-	if t.audited.settings(&told, from, func(under uint32) { err = t.eng.Retune(after.Settings, under) }); err != nil {
-		t.audited.settings(t.cfg, from, t.eng.Adopt)
+	if t.audited.settings(&told, from, func(under uint32) { err = t.eng.UpdateSettings(after.Settings, under) }); err != nil {
+		t.audited.settings(t.cfg, from, t.eng.SetVersion)
 		return nil, err
 	}
 	t.table.Retune(after.ZoneNames, after.KindNames)
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -118,7 +118,7 @@
 	if err != nil {
 		return err
 	}
-	streams := &stream.Proxy{Engine: eng, Upstream: pool, Log: log}
+	streams := &stream.Proxy{Driver: eng, Upstream: pool, Log: log}
 	if cfg.Control != "" || op.State != nil && op.State.Journal { // there may be another process beside this one, or after it
 		part := int64(effectsPart)
 		if op.State != nil && op.State.Journal {
@@ -165,7 +165,7 @@
 		audit.book.Names(func(class int, host balance.EndpointID) (string, string) {
 			return tuned.classes()[class], table.Name(host)
 		})
-		audit.begins(cfg, eng.Adopt)
+		audit.begins(cfg, eng.SetVersion)
 		tuned.audited, next.audited, table.Versions = audit, audit, audit
 		for _, p := range []*stream.Proxy{streams, overThrift} {
 			if p != nil {
@@ -319,8 +319,8 @@
 }
 
 // thriftProxy serves streams over Thrift by the same decisions, on connections of the same pool.
-func thriftProxy(o *config.Thrift, eng *driver.Engine, pool *upstream.Pool, log zerolog.Logger) *stream.Proxy {
+func thriftProxy(o *config.Thrift, eng *driver.Driver, pool *upstream.Pool, log zerolog.Logger) *stream.Proxy {
 	pool.ConnectOnly = o.UpstreamPort == 0
-	return &stream.Proxy{Engine: eng, Log: log, Upstream: &upstream.Thrift{Pool: pool, Port: uint16(o.UpstreamPort),
+	return &stream.Proxy{Driver: eng, Log: log, Upstream: &upstream.Thrift{Pool: pool, Port: uint16(o.UpstreamPort),
 		Limits: thrift.Limits(o.MostMessage), TurnedAway: o.TurnedAway}}
 }
--- a/internal/daemon/snapshot_bench_test.go
+++ b/internal/daemon/snapshot_bench_test.go
@@ -47,7 +47,7 @@
 		of.Latency = balance.MeanState{N: 3.123456789, Sum: 0.987654321}
 		of.Evidence.Recent.Attempts, of.Evidence.Suspicion = 1.23456789, 0.123456789
 	}
-	s.eng.Take(h.Engine)
+	s.eng.Restore(h.Engine)
 	return s
 }
 
--- a/internal/daemon/succession.go
+++ b/internal/daemon/succession.go
@@ -37,7 +37,7 @@
 	sockets int   // for callers and upstream hosts
 	pool    *upstream.Pool
 	side    *downstream.Side
-	eng     *driver.Engine
+	eng     *driver.Driver
 
 	mu     sync.Mutex
 	others int // processes of this sidecar that run beside this one
@@ -50,7 +50,7 @@
 	b.others += n
 	parts := int64(1 + b.others)
 	debug.SetMemoryLimit(int64(memoryShare * float64(b.memory/parts)))
-	b.eng.Share(int(parts))
+	b.eng.SetProcesses(int(parts))
 	sockets := b.sockets / int(parts)
 	b.pool.Bound(sockets / 2)
 	b.side.Bound(b.memory/parts/bodiesPart, sockets-sockets/2)
@@ -85,7 +85,7 @@
 	classes func() []string // by number
 	inForce func() []byte   // published settings that are, and nil where there are none; nil: no settings are published
 	table   *cluster.Table
-	eng     *driver.Engine
+	eng     *driver.Driver
 	former  *handover.Former // nil: none
 	owner   *handover.Owner  // nil: nobody can follow
 	effects *inflight.Table
@@ -164,7 +164,7 @@
 		l.ReorderClasses(to, len(names))
 		l.Age = past
 	}
-	s.eng.Take(h.Engine)
+	s.eng.Restore(h.Engine)
 	return h, nil
 }
 
--- a/internal/driver/engine_test.go
+++ b/internal/driver/engine_test.go
@@ -15,9 +15,9 @@
 
 // Guards against a probe whose result never reaches the decisions, or connections kept that they let go.
 func TestConnectionActions(t *testing.T) {
-	e := newEngine(t, 1)
+	e := newTestDriver(t, 1)
 	asked := make(chan balance.EndpointID)
-	e.conns = askedFor(asked)
+	e.conns = recordedCalls(asked)
 	for i, kind := range []balance.ActionKind{balance.ActHealthCheck, balance.ActCloseIdle} {
 		e.mu.Lock()
 		e.carryOut(&balance.Action{Kind: kind, Endpoint: balance.EndpointID(i + 5)})
@@ -28,17 +28,17 @@
 	}
 }
 
-type askedFor chan balance.EndpointID
+type recordedCalls chan balance.EndpointID
 
-func (a askedFor) Probe(id balance.EndpointID) balance.Status { a <- id; return balance.OK }
-func (a askedFor) CloseUnused(id balance.EndpointID)          { a <- id }
+func (a recordedCalls) Probe(id balance.EndpointID) balance.Status { a <- id; return balance.OK }
+func (a recordedCalls) CloseUnused(id balance.EndpointID)          { a <- id }
 
 type noConnections struct{}
 
 func (noConnections) Probe(balance.EndpointID) balance.Status { return balance.OK }
 func (noConnections) CloseUnused(balance.EndpointID)          {}
 
-func newEngine(t *testing.T, hosts ...balance.EndpointID) *Engine {
+func newTestDriver(t *testing.T, hosts ...balance.EndpointID) *Driver {
 	t.Helper()
 	e, err := New(balance.Settings{Instances: 1, Classes: []balance.Class{
 		{TargetLatency: time.Minute, Deadline: time.Minute, Idempotency: balance.Idempotent, Value: 1},
@@ -56,21 +56,21 @@
 	return e
 }
 
-func (e *Engine) open() int {
+func (e *Driver) open() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.streams)
 }
 
 // Guards against a stream with two answers, or an attempt with two outcomes.
-func TestOneAnswer(t *testing.T) {
-	e := newEngine(t, 1, 2)
-	s := e.Open(context.Background(), Call{Left: time.Minute})
+func TestOneFinalAnswer(t *testing.T) {
+	e := newTestDriver(t, 1, 2)
+	s := e.Open(context.Background(), Request{Remaining: time.Minute})
 	send := <-s.Sends()
-	if !s.Settle(send.Attempt, Outcome{Status: balance.OK, Answers: true}) {
+	if !s.ReportOutcome(send.Attempt, Outcome{Status: balance.OK, Final: true}) {
 		t.Error("the first answer was not the stream's")
 	}
-	if s.Settle(send.Attempt, Outcome{Status: balance.OK, Answers: true}) {
+	if s.ReportOutcome(send.Attempt, Outcome{Status: balance.OK, Final: true}) {
 		t.Error("a second outcome of one attempt was taken")
 	}
 	if out := s.outNow(); out != 0 {
@@ -80,15 +80,15 @@
 		t.Error("an answered stream was ended again")
 	}
 	s.Close()
-	if len(s.Verdict()) != 0 || e.open() != 0 {
-		t.Errorf("%d local replies to an answered stream, %d streams open", len(s.Verdict()), e.open())
+	if len(s.LocalReply()) != 0 || e.open() != 0 {
+		t.Errorf("%d local replies to an answered stream, %d streams open", len(s.LocalReply()), e.open())
 	}
 }
 
 // Guards against a late answer reaching a client that was given up, and against the stream being kept.
 func TestLateAnswer(t *testing.T) {
-	e := newEngine(t, 1)
-	s := e.Open(context.Background(), Call{Left: time.Minute})
+	e := newTestDriver(t, 1)
+	s := e.Open(context.Background(), Request{Remaining: time.Minute})
 	send := <-s.Sends()
 	if ended, sent := s.Abandon(); !ended || !sent {
 		t.Errorf("ended %v, sent %v, want both", ended, sent)
@@ -97,7 +97,7 @@
 	if e.open() != 1 {
 		t.Error("the stream was forgotten before its attempt had its outcome")
 	}
-	if s.Settle(send.Attempt, Outcome{Status: balance.OK, Answers: true}) {
+	if s.ReportOutcome(send.Attempt, Outcome{Status: balance.OK, Final: true}) {
 		t.Error("an answer after the end was taken")
 	}
 	if e.open() != 0 {
@@ -106,9 +106,9 @@
 }
 
 // Guards against a send that nobody takes: without an outcome the decisions would count it as out for ever.
-func TestSendsAreSettled(t *testing.T) {
-	e := newEngine(t, 1)
-	s := e.Open(context.Background(), Call{Left: time.Minute})
+func TestUntakenSendsHaveOutcome(t *testing.T) {
+	e := newTestDriver(t, 1)
+	s := e.Open(context.Background(), Request{Remaining: time.Minute})
 	if len(s.Sends()) != 1 {
 		t.Fatalf("%d sends, want 1", len(s.Sends()))
 	}
@@ -128,46 +128,46 @@
 }
 
 func (s *Stream) outNow() int {
-	s.e.mu.Lock()
-	defer s.e.mu.Unlock()
-	return s.out
+	s.driver.mu.Lock()
+	defer s.driver.mu.Unlock()
+	return s.openAttempts
 }
 
 // Guards against a panic in the decisions taking the sidecar, or any stream's answer, with it.
 func TestPanicInDecisions(t *testing.T) {
-	e := newEngine(t, 1, 2)
-	before := e.Open(context.Background(), Call{Class: 1, Left: time.Minute})
+	e := newTestDriver(t, 1, 2)
+	before := e.Open(context.Background(), Request{Class: 1, Remaining: time.Minute})
 	send := <-before.Sends()
 	e.mu.Lock()
-	e.b = nil // the next event panics
+	e.balancer = nil // the next event panics
 	e.mu.Unlock()
-	during := e.Open(context.Background(), Call{Left: time.Minute})
-	if v := <-during.Verdict(); !v.Refused {
+	during := e.Open(context.Background(), Request{Remaining: time.Minute})
+	if v := <-during.LocalReply(); !v.Rejected {
 		t.Error("a stream that was never sent was not refused")
 	}
-	if v := <-before.Verdict(); v.Refused {
+	if v := <-before.LocalReply(); v.Rejected {
 		t.Error("a stream that may have run was refused")
 	}
 	<-send.Ctx.Done()
-	if before.Settle(send.Attempt, Outcome{Status: balance.OK, Answers: true}) {
+	if before.ReportOutcome(send.Attempt, Outcome{Status: balance.OK, Final: true}) {
 		t.Error("a stream that had its answer took another")
 	}
-	after := e.Open(context.Background(), Call{Left: time.Minute})
-	if !after.Settle((<-after.Sends()).Attempt, Outcome{Status: balance.OK, Answers: true}) { // the cluster is still known
+	after := e.Open(context.Background(), Request{Remaining: time.Minute})
+	if !after.ReportOutcome((<-after.Sends()).Attempt, Outcome{Status: balance.OK, Final: true}) { // the cluster is still known
 		t.Error("no stream is served after a panic")
 	}
 }
 
 // Guards against a panic that loses what was learned, and against one that comes of what was learned and is taken along
 // again and again.
-func TestPanicRemembers(t *testing.T) {
-	e := newEngine(t, 1, 2)
+func TestPanicKeepsLearnedState(t *testing.T) {
+	e := newTestDriver(t, 1, 2)
 	serve := func() {
-		s := e.Open(context.Background(), Call{Left: time.Minute})
+		s := e.Open(context.Background(), Request{Remaining: time.Minute})
 		send := <-s.Sends()
 		for from := e.now(); e.now() < from+10*time.Microsecond; { // no real answer is quicker, and such are not believed
 		}
-		s.Settle(send.Attempt, Outcome{Status: balance.OK, Answers: true})
+		s.ReportOutcome(send.Attempt, Outcome{Status: balance.OK, Final: true})
 	}
 	known := func() (n float64) {
 		for _, h := range e.State().Learned.Endpoints {
@@ -175,18 +175,18 @@
 		}
 		return n
 	}
-	panics := func() { e.Open(context.Background(), Call{Class: -1, Left: time.Minute}) }
+	panics := func() { e.Open(context.Background(), Request{Class: -1, Remaining: time.Minute}) }
 	serve()
 	panics()
-	if known() == 0 || e.life != 1 {
-		t.Errorf("after a panic %v answers are known, in life %d", known(), e.life)
+	if known() == 0 || e.generation != 1 {
+		t.Errorf("after a panic %v answers are known, in life %d", known(), e.generation)
 	}
 	panics()
-	if known() != 0 || e.life != 2 {
-		t.Errorf("after another one at once %v answers are known, in life %d", known(), e.life)
+	if known() != 0 || e.generation != 2 {
+		t.Errorf("after another one at once %v answers are known, in life %d", known(), e.generation)
 	}
 	serve()
-	e.failed -= trustAfter
+	e.lastPanic -= minStableTime
 	if panics(); known() == 0 {
 		t.Error("nothing is known after one that comes late")
 	}
@@ -194,7 +194,7 @@
 
 // Guards against a clock that can't be compared with discovery's start times, or that runs backwards.
 func TestClock(t *testing.T) {
-	e := newEngine(t)
+	e := newTestDriver(t)
 	from := time.Duration(time.Now().Add(-time.Minute).UnixNano())
 	a, b := e.now(), e.now()
 	if a < from || a > from+2*time.Minute || b < a {
@@ -204,15 +204,15 @@
 
 // Guards against a send under the number of a version that did not choose its host: each list here has one host, of the same
 // number, and settings change meanwhile, under the number of the list.
-func TestSendsHaveOneVersion(t *testing.T) {
-	e := newEngine(t)
+func TestSendsMatchVersion(t *testing.T) {
+	e := newTestDriver(t)
 	var changes, streams sync.WaitGroup
 	var over atomic.Bool
 	var sends, wrong atomic.Int64
 	changes.Go(func() {
 		for under := uint32(1); under <= 5000; under++ {
 			e.Membership(balance.ListFull, []balance.Entry{{Endpoint: balance.EndpointID(under), State: balance.Ready, Weight: 1}}, under)
-			if err := e.Retune(e.settings, under); err != nil {
+			if err := e.UpdateSettings(e.settings, under); err != nil {
 				t.Error(err)
 			}
 			e.Membership(balance.ListDelta, nil, 0) // changes nothing
@@ -221,14 +221,14 @@
 	for range 4 {
 		streams.Go(func() {
 			for !over.Load() {
-				s := e.Open(context.Background(), Call{Left: time.Minute})
+				s := e.Open(context.Background(), Request{Remaining: time.Minute})
 				select {
 				case send := <-s.Sends():
 					sends.Add(1)
-					if send.Host != balance.EndpointID(send.Under) {
+					if send.Endpoint != balance.EndpointID(send.Version) {
 						wrong.Add(1)
 					}
-					s.Settle(send.Attempt, Outcome{Status: balance.OK, Answers: true})
+					s.ReportOutcome(send.Attempt, Outcome{Status: balance.OK, Final: true})
 				default: // it waits for a host
 				}
 				s.Close()
@@ -247,20 +247,20 @@
 // Guards against a tenant that is turned away for what another has used up, and against requests of none that the settings know
 // being counted as the first one's.
 func TestTenants(t *testing.T) {
-	e := newEngine(t) // nobody to send to, so that what comes waits, and what is over its share is turned away
+	e := newTestDriver(t) // nobody to send to, so that what comes waits, and what is over its share is turned away
 	s := e.settings
 	s.Tenants = []balance.Tenant{{Share: 0.5, Quota: 1}, {Share: 0.5, Quota: 1}}
-	if err := e.Retune(s, 0); err != nil {
+	if err := e.UpdateSettings(s, 0); err != nil {
 		t.Fatal(err)
 	}
 	for i, c := range []struct {
 		tenant int
 		over   bool
 	}{{1, false}, {1, true}, {2, false}, {2, true}, {0, false}, {0, false}, {1, true}} {
-		st := e.Open(context.Background(), Call{Tenant: c.tenant, Left: time.Minute})
+		st := e.Open(context.Background(), Request{Tenant: c.tenant, Remaining: time.Minute})
 		select {
-		case v := <-st.Verdict():
-			if !c.over || !v.Refused {
+		case v := <-st.LocalReply():
+			if !c.over || !v.Rejected {
 				t.Errorf("request %d, of tenant %d: %+v", i, c.tenant, v)
 			}
 		default:
--- a/internal/driver/json_test.go
+++ b/internal/driver/json_test.go
@@ -10,7 +10,7 @@
 
 // Guards against names in snapshots and between processes of two versions that change with an identifier.
 func TestStateJSON(t *testing.T) {
-	got, err := json.Marshal(State{Back: map[balance.EndpointID]time.Duration{3: 5}})
+	got, err := json.Marshal(State{UncordonedAt: map[balance.EndpointID]time.Duration{3: 5}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/stream/gate_test.go
+++ b/internal/stream/gate_test.go
@@ -78,13 +78,13 @@
 			var p *Proxy
 			p = newProxy(t, 3, func(context.Context, balance.EndpointID) (balance.Status, Response) {
 				visits++
-				p.Engine.Adopt(uint32(visits + 1))
+				p.Driver.SetVersion(uint32(visits + 1))
 				if visits > len(c.status) {
 					return balance.Reset, Response{}
 				}
 				return c.status[visits-1], Response{}
 			})
-			p.Engine.Adopt(1)
+			p.Driver.SetVersion(1)
 			trail := &told{}
 			var life Life
 			p.Gate, p.Trail, p.Observer = c.door, trail, observed(func(l *Life) { life = *l })
--- a/internal/stream/left_test.go
+++ b/internal/stream/left_test.go
@@ -130,13 +130,13 @@
 // decidedFirst is a stream whose final answer was decided as its client, or all, came to its end.
 type decidedFirst struct {
 	mute
-	verdict chan driver.Verdict
+	verdict chan driver.LocalReply
 }
 
-func (d *decidedFirst) Verdict() <-chan driver.Verdict { return d.verdict }
+func (d *decidedFirst) LocalReply() <-chan driver.LocalReply { return d.verdict }
 func (d *decidedFirst) Abandon() (ended, sent bool) {
 	select {
-	case d.verdict <- driver.Verdict{Refused: true}:
+	case d.verdict <- driver.LocalReply{Rejected: true}:
 	default:
 	}
 	return false, false
@@ -146,7 +146,7 @@
 func TestAnswerBeforeTheEnd(t *testing.T) {
 	ended, end := context.WithCancel(context.Background())
 	end()
-	s := &decidedFirst{verdict: make(chan driver.Verdict, 1)}
+	s := &decidedFirst{verdict: make(chan driver.LocalReply, 1)}
 	if res := (&Proxy{uses: map[string]use{}}).live(ended, s, request(1, time.Minute), &unbound); res.Outcome != Refused {
 		t.Errorf("outcome %d, want the answer that was first", res.Outcome)
 	}
--- a/internal/stream/stream.go
+++ b/internal/stream/stream.go
@@ -148,7 +148,7 @@
 
 // Proxy serves streams.
 type Proxy struct {
-	Engine   *driver.Engine
+	Driver   *driver.Driver
 	Upstream Upstream
 	Observer Observer        // nil: nobody
 	Budget   *Budget         // nil: every tier tries again as it sees fit
@@ -167,9 +167,9 @@
 // decided is a stream as the decisions see it; engine.Stream is one.
 type decided interface {
 	Sends() <-chan driver.Send
-	Verdict() <-chan driver.Verdict
-	Settle(attempt int, o driver.Outcome) (won bool)
-	Whole()
+	LocalReply() <-chan driver.LocalReply
+	ReportOutcome(attempt int, o driver.Outcome) (won bool)
+	UploadDone()
 	Abandon() (ended, sent bool)
 	Close()
 }
@@ -199,12 +199,12 @@
 		return res
 	}
 	// Attempts must not end with the client by themselves: the decisions withdraw them.
-	call := driver.Call{Class: req.Class, Tenant: req.Tenant, Left: time.Until(req.Deadline), Repeated: req.Repeated, Most: a.Most(), Worth: a.Worth(),
-		Ran: ran.At, RanAt: ran.Host}
+	call := driver.Request{Class: req.Class, Tenant: req.Tenant, Remaining: time.Until(req.Deadline), ClientRetry: req.Repeated, MaxAttempts: a.Most(), ValueShare: a.Worth(),
+		EarlierAttemptAt: ran.At, EarlierEndpoint: ran.Host}
 	if req.Upload != nil {
-		call.Left, call.Coming = req.Upload.Left, true
+		call.Remaining, call.Uploading = req.Upload.Left, true
 	}
-	res = p.live(ctx, p.Engine.Open(context.WithoutCancel(ctx), call), req, a)
+	res = p.live(ctx, p.Driver.Open(context.WithoutCancel(ctx), call), req, a)
 	return res
 }
 
@@ -213,7 +213,7 @@
 func (p *Proxy) identity(req *Request) inflight.ID {
 	id := inflight.ID{Txn: req.Txn, Class: req.ClassName, Key: req.Key}
 	if p.Effects != nil {
-		if c := p.Engine.Class(req.Class); c.Idempotency != balance.Idempotent {
+		if c := p.Driver.Class(req.Class); c.Idempotency != balance.Idempotent {
 			id.Keep = max(c.DedupWindow, c.Deadline) + c.Deadline
 		}
 	}
@@ -241,23 +241,23 @@
 	first := uint32(0) // the number of the version under which the first attempt was decided
 	whole := req.Upload.passed()
 	if whole != nil {
-		req.Upload.told = s.Whole
+		req.Upload.told = s.UploadDone
 	}
 	for {
 		select {
 		case send := <-s.Sends():
 			if !req.Wanted() {
 				ended, _ := s.Abandon() // before the outcome, or the decisions would send it elsewhere
-				if s.Settle(send.Attempt, driver.Outcome{Status: balance.NotSent}); ended {
+				if s.ReportOutcome(send.Attempt, driver.Outcome{Status: balance.NotSent}); ended {
 					return Response{Outcome: Gone}
 				}
 				continue
 			}
 			if first == 0 {
-				first = send.Under
+				first = send.Version
 			}
-			go p.attempt(s, send, send.Under != first, p.Budget.send(a, req, send.Worth), p.begin(req.Txn, send.Host), answer)
-		case v := <-s.Verdict():
+			go p.attempt(s, send, send.Version != first, p.Budget.send(a, req, send.ValueShare), p.begin(req.Txn, send.Endpoint), answer)
+		case v := <-s.LocalReply():
 			return localReply(v, req)
 		case res := <-answer:
 			return res
@@ -302,21 +302,21 @@
 // version that is acted on has changed since the stream's first.
 func (p *Proxy) attempt(s decided, send driver.Send, crossed bool, req sent, n int, answer chan Response) {
 	status, res := balance.Reset, Response{Outcome: Failed} // what a panic leaves: it may have run
-	effect, kept := p.Effects.Sent(time.Now(), req.Txn, send.Host)
+	effect, kept := p.Effects.Sent(time.Now(), req.Txn, send.Endpoint)
 	if p.Trail != nil {
-		p.Trail.Sent(send.Under, req.Class, send.Host, crossed)
+		p.Trail.Sent(send.Version, req.Class, send.Endpoint, crossed)
 	}
 	defer func() {
 		if p.Trail != nil {
-			p.Trail.Ended(send.Under, req.Class, send.Host, status == balance.ConnectFailed || status == balance.NotSent, status == balance.Cancelled)
+			p.Trail.Ended(send.Version, req.Class, send.Endpoint, status == balance.ConnectFailed || status == balance.NotSent, status == balance.Cancelled)
 		}
 		p.Effects.Settled(req.Txn, effect, status != balance.Rejected && status != balance.ConnectFailed && status != balance.NotSent)
 		p.release(req.Txn, func(l *Life) { l.Attempts[n].Status, l.Attempts[n].Ended = status, time.Now() })
 		if fault := recover(); fault != nil {
 			p.Log.Error().Interface("panic", fault).Msg("upstream request failed")
 		}
-		if s.Settle(send.Attempt, driver.Outcome{Status: status, Spent: res.Tried.Told || req.Upload.spent(),
-			Answers: status == balance.OK || res.Outcome == Rejected || res.Outcome == Unanswered || res.Outcome == Broken}) {
+		if s.ReportOutcome(send.Attempt, driver.Outcome{Status: status, RetriedBelow: res.Tried.Told || req.Upload.spent(),
+			Final: status == balance.OK || res.Outcome == Rejected || res.Outcome == Unanswered || res.Outcome == Broken}) {
 			answer <- res
 			select {
 			case <-req.open.over:
@@ -334,14 +334,14 @@
 		status = balance.NotSent
 		return
 	}
-	status, res = p.Upstream.Do(send.Ctx, send.Host, send.Until, req.Request)
+	status, res = p.Upstream.Do(send.Ctx, send.Endpoint, send.Deadline, req.Request)
 	req.ended(res.Tried)
 }
 
 // localReply words what the decisions said. A failure near the deadline is one of time.
-func localReply(v driver.Verdict, req *Request) Response {
+func localReply(v driver.LocalReply, req *Request) Response {
 	switch {
-	case v.Refused:
+	case v.Rejected:
 		return Response{Outcome: Refused, RetryAfter: v.RetryAfter}
 	case time.Until(req.Deadline) < 50*time.Millisecond:
 		return Response{Outcome: Expired}
--- a/internal/stream/stream_test.go
+++ b/internal/stream/stream_test.go
@@ -39,7 +39,7 @@
 		entries = append(entries, balance.Entry{Endpoint: balance.EndpointID(id + 1), State: balance.Ready, Weight: 1})
 	}
 	e.Membership(balance.ListFull, entries, 0)
-	return &Proxy{Engine: e, Upstream: up, Log: zerolog.Nop()}
+	return &Proxy{Driver: e, Upstream: up, Log: zerolog.Nop()}
 }
 
 func request(class int, within time.Duration) *Request {
@@ -177,12 +177,12 @@
 	closed bool
 }
 
-func (m *mute) Sends() <-chan driver.Send       { return m.sends }
-func (m *mute) Verdict() <-chan driver.Verdict  { return nil }
-func (m *mute) Settle(int, driver.Outcome) bool { return false }
-func (m *mute) Abandon() (ended, sent bool)     { return true, m.sent }
-func (m *mute) Whole()                          {}
-func (m *mute) Close()                          { m.closed = true }
+func (m *mute) Sends() <-chan driver.Send              { return m.sends }
+func (m *mute) LocalReply() <-chan driver.LocalReply   { return nil }
+func (m *mute) ReportOutcome(int, driver.Outcome) bool { return false }
+func (m *mute) Abandon() (ended, sent bool)            { return true, m.sent }
+func (m *mute) UploadDone()                            {}
+func (m *mute) Close()                                 { m.closed = true }
 
 // Guards against a stream without an answer where the decisions fail to end it: its deadline does.
 func TestWatchdog(t *testing.T) {
