--- a/internal/driver/stream.go
+++ b/internal/driver/stream.go
@@ -7,43 +7,43 @@
 	"pinelb.example/pinelb/balance"
 )
 
-// Send asks for an upstream request. Whoever takes it owes Settle one outcome.
+// Send asks for an upstream request. Whoever takes it owes ReportOutcome one outcome.
 type Send struct {
 	Attempt    int
-	Version    uint32 // the number of the version by which it was decided; 0: versions have none
+	Version    uint32 // of the configuration by which it was decided; 0: versions have no number
 	Endpoint   balance.EndpointID
 	Deadline   time.Time       // when to stop waiting
-	ValueShare float64         // share of its class's worth that the stream is worth
-	Ctx        context.Context // ends when the decisions withdraw the attempt
+	ValueShare float64         // share of its class's value that the stream has
+	Ctx        context.Context // ends when the decisions cancel the attempt
 }
 
 // Outcome is how an upstream request ended.
 type Outcome struct {
 	Status       balance.Status
 	Final        bool // it brought a final answer
-	RetriedBelow bool // of a failure: the tier below has tried again itself
+	RetriedBelow bool // of a failure: the tier below has retried already
 }
 
-// LocalReply is a final answer that is not an upstream host's: a local reply.
+// LocalReply is a final answer that is not an endpoint's.
 type LocalReply struct {
-	Rejected   bool          // trying again is harmless; otherwise nothing is promised
-	RetryAfter time.Duration // when the client should come back; 0 is no advice
+	Rejected   bool          // a retry is harmless; otherwise the request may have taken effect
+	RetryAfter time.Duration // when the client should retry; 0 is no hint
 }
 
-// Stream is one request as the decisions see it. It gets one final answer: either one Settle returns
-// true, or one Verdict comes, or Abandon returns true. The engine's lock decides which.
+// Stream is one request as the decisions see it. It gets one final answer: either one ReportOutcome returns true, or one
+// LocalReply comes, or Abandon reports that it ended the stream. The driver's lock decides which.
 type Stream struct {
 	driver     *Driver
 	ctx        context.Context // outlives the client: attempts end when the decisions say so
 	id         balance.RequestID
-	generation int
-	sends      chan Send // has room for every attempt there may be, so that the lock's holder never waits
+	generation int       // of the Balancer that knows it
+	sends      chan Send // has capacity for every attempt there may be, so that the lock's holder never waits
 	localReply chan LocalReply
 
-	// Version the engine's lock.
+	// Under the driver's lock.
 	ended        bool
 	openAttempts int
-	sentAttempts int // attempts that somebody has begun, or may have
+	sentAttempts int // that somebody has started, or may have
 	attempts     []attempt
 }
 
@@ -53,28 +53,17 @@
 	open   bool
 }
 
-// Sends gives the upstream requests to start.
+// Sends delivers the upstream requests to start.
 func (s *Stream) Sends() <-chan Send { return s.sends }
 
-// LocalReply gives the local reply, if that is how the stream ends.
+// LocalReply delivers the local reply, if that is how the stream ends.
 func (s *Stream) LocalReply() <-chan LocalReply { return s.localReply }
 
-// carryOut does one action for this stream, with the lock held.
+// carryOut carries out one action for this stream; the caller holds the lock.
 func (s *Stream) carryOut(a *balance.Action) {
 	switch a.Kind {
 	case balance.ActSend:
-		ctx, cancel := context.WithCancel(s.ctx)
-		now := s.driver.now()
-		s.attempts = append(s.attempts, attempt{cancel: cancel, sentAt: now, open: true})
-		s.openAttempts++
-		attempt := len(s.attempts) - 1
-		if s.ended || attempt >= cap(s.sends) {
-			// Nobody would take it, and the decisions must not wait for its outcome for ever.
-			go s.ReportOutcome(attempt, Outcome{Status: balance.NotSent})
-			return
-		}
-		s.sentAttempts++
-		s.sends <- Send{Attempt: attempt, Version: s.driver.version, Endpoint: a.Endpoint, Deadline: s.driver.start.Add(now - s.driver.startUnix + a.After), ValueShare: a.ValueShare, Ctx: ctx}
+		s.send(a)
 	case balance.ActCancel:
 		if a.Attempt < len(s.attempts) {
 			s.attempts[a.Attempt].cancel()
@@ -86,57 +75,90 @@
 	}
 }
 
-// end gives the final local reply unless there has been a final answer.
-func (s *Stream) end(v LocalReply) {
+// send offers a new attempt to whoever receives from Sends; the caller holds the lock.
+func (s *Stream) send(a *balance.Action) {
+	ctx, cancel := context.WithCancel(s.ctx)
+	now := s.driver.now()
+	s.attempts = append(s.attempts, attempt{cancel: cancel, sentAt: now, open: true})
+	s.openAttempts++
+	i := len(s.attempts) - 1
+	if s.ended || i >= cap(s.sends) {
+		// Nobody would take it, and the decisions must not wait for its outcome for ever.
+		go s.ReportOutcome(i, Outcome{Status: balance.NotSent})
+		return
+	}
+	s.sentAttempts++
+	s.sends <- Send{
+		Attempt:    i,
+		Version:    s.driver.version,
+		Endpoint:   a.Endpoint,
+		Deadline:   s.driver.start.Add(now - s.driver.startUnix + a.After),
+		ValueShare: a.ValueShare,
+		Ctx:        ctx,
+	}
+}
+
+// end gives the final local reply unless there has been a final answer; the caller holds the lock.
+func (s *Stream) end(reply LocalReply) {
 	if !s.ended {
 		s.ended = true
-		s.localReply <- v
+		s.localReply <- reply
 		s.release()
 	}
 }
 
-// abandon ends the stream when the decisions no longer know it.
-func (s *Stream) abandon() {
+// abort ends the stream when no Balancer knows it any more; the caller holds the lock.
+func (s *Stream) abort() {
 	s.end(LocalReply{Rejected: s.sentAttempts == 0})
 	for i := range s.attempts {
 		s.attempts[i].cancel()
 	}
 }
 
-// forget lets go of a stream that is over and has nothing out.
+// current reports whether the Balancer that decides now knows the stream; the caller holds the lock.
+func (s *Stream) current() bool { return s.generation == s.driver.generation }
+
+// release forgets a stream that has ended and has no open attempts; the caller holds the lock.
 func (s *Stream) release() {
-	if s.ended && s.openAttempts == 0 && s.generation == s.driver.generation {
+	if s.ended && s.openAttempts == 0 && s.current() {
 		delete(s.driver.streams, s.id)
 	}
 }
 
-// ReportOutcome reports how an attempt ended, once for each. It returns whether its answer is the stream's: the first
-// that comes before any other end.
+// ReportOutcome reports how an attempt ended, once for each. It returns whether its answer is the stream's: the first final
+// one that comes before any other end.
 func (s *Stream) ReportOutcome(attempt int, o Outcome) bool {
 	s.driver.mu.Lock()
 	defer s.driver.mu.Unlock()
 	return s.reportOutcome(attempt, o)
 }
 
-func (s *Stream) reportOutcome(attempt int, o Outcome) bool {
-	t := &s.attempts[attempt]
-	if !t.open {
+func (s *Stream) reportOutcome(i int, o Outcome) bool {
+	ended := &s.attempts[i]
+	if !ended.open {
 		return false
 	}
-	t.open = false
-	t.cancel()
+	ended.open = false
+	ended.cancel()
 	s.openAttempts--
 	won := o.Final && !s.ended
 	s.ended = s.ended || won
-	if s.generation == s.driver.generation {
-		s.driver.handleEvent(&balance.Event{Kind: balance.EventOutcome, Request: s.id, Attempt: attempt,
-			Closed: s.ended, Status: o.Status, RetriedBelow: o.RetriedBelow, Latency: s.driver.now() - t.sentAt})
+	if s.current() {
+		s.driver.handleEvent(&balance.Event{
+			Kind:         balance.EventOutcome,
+			Request:      s.id,
+			Attempt:      i,
+			Closed:       s.ended,
+			Status:       o.Status,
+			RetriedBelow: o.RetriedBelow,
+			Latency:      s.driver.now() - ended.sentAt,
+		})
 	}
 	s.release()
 	return won
 }
 
-// UploadDone says that the last byte of a stream that was still coming has been passed on: its time begins.
+// UploadDone reports that the last byte of an uploading stream has been forwarded: its time begins.
 func (s *Stream) UploadDone() {
 	s.driver.mu.Lock()
 	defer s.driver.mu.Unlock()
@@ -145,13 +167,13 @@
 			s.attempts[i].sentAt = s.driver.now()
 		}
 	}
-	if s.generation == s.driver.generation {
+	if s.current() {
 		s.driver.handleEvent(&balance.Event{Kind: balance.EventUploadDone, Request: s.id})
 	}
 }
 
-// Abandon ends the stream from the outside: the client has left, or its time is up. It returns false if
-// there has been a final answer already. Sent is whether any attempt was ever asked for.
+// Abandon ends the stream from the outside: the client has disconnected, or its time is up. It returns false if there has been
+// a final answer already, and whether any attempt was ever asked for.
 func (s *Stream) Abandon() (ended, sent bool) {
 	s.driver.mu.Lock()
 	defer s.driver.mu.Unlock()
@@ -159,15 +181,15 @@
 		return false, s.sentAttempts > 0
 	}
 	s.ended = true
-	if s.generation == s.driver.generation {
+	if s.current() {
 		s.driver.handleEvent(&balance.Event{Kind: balance.EventClientGone, Request: s.id})
 	}
 	s.release()
 	return true, s.sentAttempts > 0
 }
 
-// Close ends the stream if nothing has, and settles what was asked for and never begun, so that every
-// send has its outcome.
+// Close ends the stream if nothing has, and reports an outcome for what was asked for and never started, so that every Send
+// has one.
 func (s *Stream) Close() {
 	s.Abandon()
 	s.driver.mu.Lock()
