--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -21,34 +21,34 @@
 
 // tree is a chain of tiers with a sidecar before each, whose servers call the next tier so many times for each request.
 // Everything fails at random, and whoever may try again does.
-type tree struct {
-	t      *rapid.T
-	calls  []int // by tier; the last has none
-	shared []*SharedAccounts
-	fails  float64
-	now    time.Duration
-	pots   uint64
-	made   []int // attempts, by tier
-	again  int   // of them not the first of their request at that sidecar
-	held   int   // extra attempts that are in shares and pots
+type chain struct {
+	t           *rapid.T
+	calls       []int // by tier; the last has none
+	pools       []*SharedPools
+	failureRate float64
+	now         time.Duration
+	nextPool    uint64
+	attempts    []int // attempts, by tier
+	retries     int   // of them not the first of their request at that sidecar
+	held        int   // extra attempts that are in shares and pots
 }
 
 // request is one at the sidecar before a tier, with so many extra attempts; it returns whether it was served and what it
 // has not used.
-func (r *tree) request(tier, extra int) (ok bool, unused int) {
+func (r *chain) request(tier, extra int) (ok bool, unused int) {
 	last := tier == len(r.calls)-1
-	share := NewShare(extra, last)
+	share := NewAllowance(extra, last)
 	for n := 0; ; n++ {
-		down, may := share.Attempt()
+		down, may := share.NextAttempt()
 		if !may {
 			return false, share.Unused()
 		}
 		if n > 0 {
-			r.again++
+			r.retries++
 		}
-		r.made[tier]++
+		r.attempts[tier]++
 		ok, tried := r.visit(tier, down)
-		share.Ended(n, tried)
+		share.ReturnUnused(n, tried)
 		if ok {
 			return true, share.Unused()
 		}
@@ -56,73 +56,73 @@
 }
 
 // visit is an attempt at a server, whose answer may say what its calls took.
-func (r *tree) visit(tier, extra int) (ok bool, tried Tried) {
-	r.pots++
-	pot := r.pots
+func (r *chain) visit(tier, extra int) (ok bool, tried AttemptReport) {
+	r.nextPool++
+	pot := r.nextPool
 	ok = true
 	carries := rapid.Bool().Draw(r.t, "carries")
 	for call := range r.calls[tier] {
 		r.now += time.Millisecond
-		l := r.shared[tier+1]
+		l := r.pools[tier+1]
 		got := l.Open(r.now, r.now+time.Second, pot, extra)
 		served, unused := r.request(tier+1, got)
 		if unused < 0 || unused > got {
 			r.t.Fatalf("of %d extra attempts %d are left", got, unused)
 		}
 		l.Close(pot, unused)
-		if t := (Tried{carries, got - unused}); call == 0 {
+		if t := (AttemptReport{carries, got - unused}); call == 0 {
 			tried = t
 		} else {
-			tried = tried.And(t)
+			tried = tried.Add(t)
 		}
 		if ok = served; !ok {
 			break
 		}
 	}
-	return ok && rapid.Float64Range(0, 1).Draw(r.t, "outcome") >= r.fails, tried
+	return ok && rapid.Float64Range(0, 1).Draw(r.t, "outcome") >= r.failureRate, tried
 }
 
 // Guards against attempts being made out of nothing: over random chains, failures and orders no request is repeated more
 // often than it was granted, in all tiers together, so that the bottom sees at most 1 + grant times the plain calls.
-func TestTrees(t *testing.T) {
+func TestRetriesBoundedByGrant(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := &tree{t: t, calls: rapid.SliceOfN(rapid.IntRange(1, 2), 0, 2).Draw(t, "calls"),
-			fails: rapid.SampledFrom([]float64{0, 0.3, 0.7, 1}).Draw(t, "fails")}
+		r := &chain{t: t, calls: rapid.SliceOfN(rapid.IntRange(1, 2), 0, 2).Draw(t, "calls"),
+			failureRate: rapid.SampledFrom([]float64{0, 0.3, 0.7, 1}).Draw(t, "fails")}
 		r.calls = append(r.calls, 0)
-		r.made = make([]int, len(r.calls))
+		r.attempts = make([]int, len(r.calls))
 		plain := 1
 		for _, n := range r.calls {
-			r.shared = append(r.shared, NewSharedAccounts())
+			r.pools = append(r.pools, NewSharedPools())
 			plain *= max(1, n)
 		}
-		extra := rapid.IntRange(0, Most).Draw(t, "extra")
+		extra := rapid.IntRange(0, MaxExtra).Draw(t, "extra")
 		ok, _ := r.request(0, extra)
-		if r.again > extra {
-			t.Errorf("%d attempts were repeated, %d granted", r.again, extra)
+		if r.retries > extra {
+			t.Errorf("%d attempts were repeated, %d granted", r.retries, extra)
 		}
-		if bottom := r.made[len(r.made)-1]; bottom > (1+extra)*plain {
+		if bottom := r.attempts[len(r.attempts)-1]; bottom > (1+extra)*plain {
 			t.Errorf("%d attempts at the bottom of plain %d, %d granted", bottom, plain, extra)
 		}
-		if !ok && r.fails == 0 {
+		if !ok && r.failureRate == 0 {
 			t.Error("failed though nothing did")
 		}
 	})
 }
 
-// Attempts tells beforehand how many Share will allow.
-func TestAttemptsAreForeseen(t *testing.T) {
-	for extra := range 2 * Most {
+// MaxExtra tells beforehand how many Share will allow.
+func TestMaxAttempts(t *testing.T) {
+	for extra := range 2 * MaxExtra {
 		for _, last := range []bool{true, false} {
-			s, n, down := NewShare(extra, last), 0, 0
+			s, n, down := NewAllowance(extra, last), 0, 0
 			for {
-				d, ok := s.Attempt()
+				d, ok := s.NextAttempt()
 				if !ok {
 					break
 				}
 				n, down = n+1, down+d
 			}
-			if n != Attempts(extra, last) || n-1+down+s.Unused() != extra {
-				t.Errorf("%d extra, last %v: %d attempts and %d below, foreseen %d", extra, last, n, down, Attempts(extra, last))
+			if n != MaxAttempts(extra, last) || n-1+down+s.Unused() != extra {
+				t.Errorf("%d extra, last %v: %d attempts and %d below, foreseen %d", extra, last, n, down, MaxAttempts(extra, last))
 			}
 		}
 	}
@@ -130,7 +130,7 @@
 
 // Guards against retries that go on while nothing succeeds: what fails pays for all that it may have used, so that the
 // whole is bounded by what was saved, what first tries earn, and what was out at any one time.
-func TestPurse(t *testing.T) {
+func TestRetryBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := NewRetryBudget(rapid.IntRange(1, 50).Draw(t, "instances"))
 		const want = 3
@@ -139,14 +139,14 @@
 			repeat bool
 		}
 		var out []try
-		full, firsts, used, most := p.Level(), 0.0, 0.0, 0
+		full, firsts, used, most := p.Tokens(), 0.0, 0.0, 0
 		for range rapid.IntRange(1, 500).Draw(t, "events") {
 			switch rapid.IntRange(0, 2).Draw(t, "event") {
 			case 0:
 				firsts++
-				out = append(out, try{p.First(want), false})
+				out = append(out, try{p.GrantFirst(want), false})
 			case 1:
-				if extra, ok := p.Repeat(want); ok {
+				if extra, ok := p.GrantRetry(want); ok {
 					used++
 					out = append(out, try{extra, true})
 				}
@@ -155,30 +155,30 @@
 					i := rapid.IntRange(0, len(out)-1).Draw(t, "which")
 					n := rapid.IntRange(0, out[i].extra).Draw(t, "used")
 					used += float64(n)
-					p.Ended(n, out[i].repeat, false)
+					p.Finish(n, out[i].repeat, false)
 					out = append(out[:i], out[i+1:]...)
 				}
 			}
 			most = max(most, len(out))
 		}
-		if bound := full + Earned*firsts + float64(want*most); used > bound+1e-9 {
+		if bound := full + TokensPerRequest*firsts + float64(want*most); used > bound+1e-9 {
 			t.Errorf("%.1f attempts were made again for %.0f first tries that all failed; at most %.1f", used, firsts, bound)
 		}
 	})
 	p := NewRetryBudget(1)
 	for i := range 1000 { // one in three fails for good, after three attempts
-		if extra := p.First(3); extra < 3 {
+		if extra := p.GrantFirst(3); extra < 3 {
 			t.Fatalf("%d of 3 are granted while they help", extra)
 		}
-		if p.Ended(3, false, i%5 != 0); p.Level() > burst {
-			t.Fatalf("%.1f are saved", p.Level())
+		if p.Finish(3, false, i%5 != 0); p.Tokens() > tierMaxTokens {
+			t.Fatalf("%.1f are saved", p.Tokens())
 		}
 	}
 }
 
 // What one call leaves over serves the next, side by side calls share, and a pot is not filled twice.
-func TestLedger(t *testing.T) {
-	l := NewSharedAccounts()
+func TestSharedPools(t *testing.T) {
+	l := NewSharedPools()
 	if a, b, c := l.Open(0, time.Second, 7, 4), l.Open(0, time.Second, 7, 4), l.Open(0, time.Second, 7, 4); a != 3 || b != 1 || c != 0 {
 		t.Errorf("side by side they get %d, %d, %d", a, b, c)
 	}
@@ -189,13 +189,13 @@
 		t.Errorf("of three left over one call gets %d", n)
 	}
 	l.Close(7, 0)
-	if n := l.Open(2*time.Second, 3*time.Second, 8, 100); n != Most-1 || len(l.pots) != 1 {
+	if n := l.Open(2*time.Second, 3*time.Second, 8, 100); n != MaxExtra-1 || len(l.pots) != 1 {
 		t.Errorf("after the first lapsed: %d pots, a call with 100 gets %d", len(l.pots), n)
 	}
-	for id := range uint64(2 * pots) {
+	for id := range uint64(2 * maxPools) {
 		l.Open(2*time.Second, 3*time.Second, 100+id, 2)
 	}
-	if len(l.pots) > pots {
+	if len(l.pots) > maxPools {
 		t.Errorf("%d pots are kept", len(l.pots))
 	}
 	if n := l.Open(2*time.Second, 3*time.Second, 1, 8); n != 0 {
@@ -204,18 +204,18 @@
 }
 
 // What is written is read again; other members pass on; what is faulty is nobody's word.
-func TestCarried(t *testing.T) {
+func TestGrantRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := Carried{Pot: rapid.Uint64().Draw(t, "pot"), Extra: rapid.IntRange(0, Most).Draw(t, "extra"),
-			Worth: float64(rapid.IntRange(0, 1000).Draw(t, "worth")) / 1000,
-			Path:  rapid.SliceOfN(rapid.StringMatching(`[a-zA-Z0-9_-]{1,24}`), 0, mostPath).Draw(t, "path")}
+		c := Grant{PoolID: rapid.Uint64().Draw(t, "pot"), Extra: rapid.IntRange(0, MaxExtra).Draw(t, "extra"),
+			ValueShare: float64(rapid.IntRange(0, 1000).Draw(t, "worth")) / 1000,
+			Path:       rapid.SliceOfN(rapid.StringMatching(`[a-zA-Z0-9_-]{1,24}`), 0, maxPath).Draw(t, "path")}
 		rest := rapid.SampledFrom([]string{"", "user=1;p", "a=b , c=%20d"}).Draw(t, "rest")
 		header := c.Join(rest)
-		if len(c.String()) > mostMember {
+		if len(c.String()) > maxMember {
 			return // it would not be read: ten services of the longest names
 		}
 		got, others, ok := Split(header)
-		if !ok || got.Pot != c.Pot || got.Extra != c.Extra || got.Worth != c.Worth || !slices.Equal(got.Path, c.Path) {
+		if !ok || got.PoolID != c.PoolID || got.Extra != c.Extra || got.ValueShare != c.ValueShare || !slices.Equal(got.Path, c.Path) {
 			t.Errorf("%q is read as %+v, %v", header, got, ok)
 		}
 		if strings.ReplaceAll(others, " ", "") != strings.ReplaceAll(rest, " ", "") {
@@ -224,28 +224,28 @@
 	})
 	for _, header := range []string{"", "pinelb=", "pinelb=1.a.2.3", "pinelb=2.a.2.3.x", "pinelb=1.a.9.3.x", "pinelb=1.a.2.1001.x",
 		"pinelb=1.a.-2.3.x", "pinelb=1.a.2.3.x y", "pinelb=1.a.2.3.x~", "pinelb=1.zz.2.3.x", "pinelb=1.a.2.3.x,pinelb=1.a.2.3.x",
-		"pinelb=1.a.2.3." + strings.Repeat("x~", mostPath) + "x", "pinelb=1.a.2.3.x" + strings.Repeat(",a=b", 2000), "pinelb"} {
+		"pinelb=1.a.2.3." + strings.Repeat("x~", maxPath) + "x", "pinelb=1.a.2.3.x" + strings.Repeat(",a=b", 2000), "pinelb"} {
 		if c, _, ok := Split(header); ok {
 			t.Errorf("%.60q is taken for %+v", header, c)
 		}
 	}
 }
 
-func TestPath(t *testing.T) {
+func TestLoopDetection(t *testing.T) {
 	for _, c := range []struct {
 		path    string
 		reentry int
 		loop    bool
 	}{{"", 0, false}, {"a b", 0, false}, {"a c b", 0, true}, {"c", 1, false}, {"c c", 1, true}} {
-		if loop := Path(strings.Fields(c.path), "c", c.reentry); loop != c.loop {
+		if loop := HasLoop(strings.Fields(c.path), "c", c.reentry); loop != c.loop {
 			t.Errorf("%q and %d times allowed: %v", c.path, c.reentry, loop)
 		}
 	}
 	path := []string{}
-	for range 3 * mostPath {
-		path = With(path, "s")
+	for range 3 * maxPath {
+		path = AppendService(path, "s")
 	}
-	if len(path) != mostPath {
+	if len(path) != maxPath {
 		t.Errorf("%d services are kept", len(path))
 	}
 }
@@ -266,43 +266,43 @@
 }
 
 // Guards against a caller's word being taken at the edge, a loop passing, and a request that carries nothing being bound.
-func TestBooks(t *testing.T) {
-	edge := NewAccounts(Settings{Service: "front", Edge: true, Instances: 1, Attempts: 3}, 1)
-	forged := Carried{Pot: 1, Extra: Most, Worth: 1, Path: []string{"front"}}
+func TestTracker(t *testing.T) {
+	edge := NewTracker(Settings{Service: "front", Edge: true, Instances: 1, MaxExtra: 3}, 1)
+	forged := Grant{PoolID: 1, Extra: MaxExtra, ValueShare: 1, Path: []string{"front"}}
 	a := edge.Open(0, time.Second, forged.Join("user=7"), false)
-	if a.Loop != nil || a.Most() != 2 {
-		t.Errorf("at the edge %d attempts are granted, loop %v", a.Most(), a.Loop)
+	if a.Loop != nil || a.MaxAttempts() != 2 {
+		t.Errorf("at the edge %d attempts are granted, loop %v", a.MaxAttempts(), a.Loop)
 	}
-	header, _ := edge.Send(a, 0.5)
+	header, _ := edge.NextAttempt(a, 0.5)
 	c, rest, ok := Split(header)
-	if !ok || c.Extra != 2 || c.Worth != 0.5 || rest != "user=7" || !slices.Equal(c.Path, []string{"front"}) {
+	if !ok || c.Extra != 2 || c.ValueShare != 0.5 || rest != "user=7" || !slices.Equal(c.Path, []string{"front"}) {
 		t.Errorf("%q goes down", header)
 	}
-	back := NewAccounts(Settings{Service: "back", Leaf: true, Instances: 1, Attempts: 3}, 2)
+	back := NewTracker(Settings{Service: "back", Leaf: true, Instances: 1, MaxExtra: 3}, 2)
 	b := back.Open(0, time.Second, header, true)
-	if b.Most() != 3 || b.Worth() != 0.5 {
-		t.Errorf("behind it %d attempts at a worth of %v", b.Most(), b.Worth())
+	if b.MaxAttempts() != 3 || b.ValueShare() != 0.5 {
+		t.Errorf("behind it %d attempts at a worth of %v", b.MaxAttempts(), b.ValueShare())
 	}
 	again := back.Open(0, time.Second, header, false)
-	if again.Most() != 1 {
-		t.Errorf("a call beside it may make %d attempts", again.Most())
+	if again.MaxAttempts() != 1 {
+		t.Errorf("a call beside it may make %d attempts", again.MaxAttempts())
 	}
-	ring := NewAccounts(Settings{Service: "front", Instances: 1, Attempts: 3}, 3)
-	from, _ := back.Send(b, 1)
+	ring := NewTracker(Settings{Service: "front", Instances: 1, MaxExtra: 3}, 3)
+	from, _ := back.NextAttempt(b, 1)
 	if l := ring.Open(0, time.Second, from, false); !slices.Equal(l.Loop, []string{"front", "back", "front"}) {
 		t.Errorf("the loop is %v", l.Loop)
 	}
-	if o := back.Open(0, time.Second, "", false); o.Most() != Attempts(3, true) {
-		t.Errorf("one that carries nothing may make %d attempts", o.Most())
+	if o := back.Open(0, time.Second, "", false); o.MaxAttempts() != MaxAttempts(3, true) {
+		t.Errorf("one that carries nothing may make %d attempts", o.MaxAttempts())
 	}
 	edge.Close(a, false)
 	fail := func(repeated bool) int {
 		a := edge.Open(0, time.Second, "", repeated)
-		for range a.Most() {
-			edge.Send(a, 1)
+		for range a.MaxAttempts() {
+			edge.NextAttempt(a, 1)
 		}
 		edge.Close(a, false)
-		return a.Most()
+		return a.MaxAttempts()
 	}
 	for range 200 {
 		fail(false)
@@ -318,17 +318,17 @@
 	}
 }
 
-// BenchmarkAccounts is a request's whole cost in the accounts of a sidecar behind the first tier: its header read, an attempt's
+// BenchmarkTracker is a request's whole cost in the accounts of a sidecar behind the first tier: its header read, an attempt's
 // written, its end.
-func BenchmarkAccounts(b *testing.B) {
-	accounts := NewAccounts(Settings{Service: "order", Instances: 1, Attempts: 6}, 1)
-	header := (&Carried{Pot: 1, Extra: 4, Worth: 1, Path: []string{"front"}}).Join("")
+func BenchmarkTracker(b *testing.B) {
+	accounts := NewTracker(Settings{Service: "order", Instances: 1, MaxExtra: 6}, 1)
+	header := (&Grant{PoolID: 1, Extra: 4, ValueShare: 1, Path: []string{"front"}}).Join("")
 	b.ReportAllocs()
 	for i := range b.N {
 		now := time.Duration(i) * time.Millisecond
 		a := accounts.Open(now, now+time.Second, header, false)
-		down, n := accounts.Send(a, 1)
-		accounts.Ended(a, n, Tried{Told: true})
+		down, n := accounts.NextAttempt(a, 1)
+		accounts.ReportAttempt(a, n, AttemptReport{Known: true})
 		accounts.Close(a, true)
 		if i == 0 {
 			b.ReportMetric(float64(len(down)), "bytes/attempt")
--- a/internal/config/budget.go
+++ b/internal/config/budget.go
@@ -25,10 +25,10 @@
 		b.Attempts = defaultAttempts
 	}
 	switch {
-	case !budget.IsService(b.Service):
+	case !budget.ValidService(b.Service):
 		return file.Fault("budget.service", "must be given: 1 to 24 letters, digits, - and _")
-	case b.Attempts < 0 || b.Attempts > budget.Most:
-		return file.Fault("budget.attempts", "must be 0 to %d", budget.Most)
+	case b.Attempts < 0 || b.Attempts > budget.MaxExtra:
+		return file.Fault("budget.attempts", "must be 0 to %d", budget.MaxExtra)
 	case b.Reentry < 0 || b.Reentry > mostReentry:
 		return file.Fault("budget.reentry", "must be 0 to %d", mostReentry)
 	}
@@ -38,7 +38,7 @@
 // Accounts are what the accounts of the sidecar are kept by, beside the platform's settings.
 func (b *Budget) Accounts(s *Settings) budget.Settings {
 	out := budget.Settings{Service: b.Service, Edge: s.Tier == 0, Leaf: s.Tier == s.Tiers-1, Instances: s.Instances,
-		Attempts: b.Attempts, Reentry: b.Reentry}
+		MaxExtra: b.Attempts, MaxReentries: b.Reentry}
 	if b.Edge != nil {
 		out.Edge = *b.Edge
 	}
--- a/internal/downstream/message.go
+++ b/internal/downstream/message.go
@@ -326,7 +326,7 @@
 // encode writes a stream's final answer.
 func encode(w http.ResponseWriter, r *http.Request, res stream.Response) {
 	if t := res.Tried.String(); t != "" {
-		w.Header().Set(budget.TriedHeader, t)
+		w.Header().Set(budget.ReportHeader, t)
 	}
 	switch res.Outcome {
 	case stream.Served:
--- a/internal/lab/loopback/boxhttp.go
+++ b/internal/lab/loopback/boxhttp.go
@@ -97,7 +97,7 @@
 func (http1) answer(out []byte, what reply, to mark, body []byte, last bool) []byte {
 	out = append(append(out, "HTTP/1.1 "...), replyHeads[what]...)
 	if t := to.tried.String(); t != "" {
-		out = append(append(append(out, budget.TriedHeader+": "...), t...), "\r\n"...)
+		out = append(append(append(out, budget.ReportHeader+": "...), t...), "\r\n"...)
 	}
 	if last {
 		out = append(out, "Connection: close\r\n"...)
--- a/internal/lab/loopback/boxwire.go
+++ b/internal/lab/loopback/boxwire.go
@@ -34,7 +34,7 @@
 	http   bool   // whether that was HTTP, where a box speaks another protocol otherwise
 	method string // of a Thrift call
 	seq    int32
-	tried  budget.Tried // what a box passes up beside its answer
+	tried  budget.AttemptReport // what a box passes up beside its answer
 }
 
 // ask is a request as a box reads it.
--- a/internal/lab/loopback/callhttp.go
+++ b/internal/lab/loopback/callhttp.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return end{}, err
 	}
-	e := end{status: trace.Failed, code: r.StatusCode, body: body, last: r.Close, tried: budget.ReadTried(r.Header.Get(budget.TriedHeader))}
+	e := end{status: trace.Failed, code: r.StatusCode, body: body, last: r.Close, tried: budget.ParseReport(r.Header.Get(budget.ReportHeader))}
 	switch r.StatusCode {
 	case http.StatusOK:
 		e.status = trace.Served
--- a/internal/lab/loopback/calls.go
+++ b/internal/lab/loopback/calls.go
@@ -18,7 +18,7 @@
 	v.stop = stop
 	b.working.Go(func() {
 		defer stop()
-		ok, tried := false, budget.Tried{}
+		ok, tried := false, budget.AttemptReport{}
 		if able {
 			b.run.tiers[q.try.Tier].call(q.try.Txn, v.request)
 			try := b.send(ctx, q)
@@ -62,9 +62,9 @@
 }
 
 // sum adds to what a visit's calls have said, as a box does that passes on what it does not know.
-func (b *box) sum(v *visit, call int, t budget.Tried) {
+func (b *box) sum(v *visit, call int, t budget.AttemptReport) {
 	if call > 0 {
-		t = v.tried.And(t)
+		t = v.tried.Add(t)
 	}
 	if b.carries() {
 		v.tried = t
--- a/internal/lab/loopback/callwire.go
+++ b/internal/lab/loopback/callwire.go
@@ -29,9 +29,9 @@
 // end is a final answer as a caller understands it.
 type end struct {
 	status trace.Status
-	code   int           // see trace.Try
-	advice time.Duration // when to come back; 0 is not said
-	body   []byte        // of one that is served, until the next answer on its line
-	tried  budget.Tried  // what it says of attempts that it took
-	last   bool          // its connection ends with it
+	code   int                  // see trace.Try
+	advice time.Duration        // when to come back; 0 is not said
+	body   []byte               // of one that is served, until the next answer on its line
+	tried  budget.AttemptReport // what it says of attempts that it took
+	last   bool                 // its connection ends with it
 }
--- a/internal/lab/loopback/visit.go
+++ b/internal/lab/loopback/visit.go
@@ -22,8 +22,8 @@
 	peer      *peer
 	withdrawn bool
 	baggage   string
-	tried     budget.Tried       // what its calls have said of attempts that they took
-	stop      context.CancelFunc // of the call that is out; nil if none is
+	tried     budget.AttemptReport // what its calls have said of attempts that they took
+	stop      context.CancelFunc   // of the call that is out; nil if none is
 }
 
 // drop ends a call that nobody needs any more.
--- a/internal/lab/simulation/boxes.go
+++ b/internal/lab/simulation/boxes.go
@@ -36,7 +36,7 @@
 	conn     uint64
 	baggage  string // that it takes along
 	number   int    // in its try's account
-	tried    budget.Tried
+	tried    budget.AttemptReport
 	settled  bool
 	took     time.Duration // until its outcome; 0 while there is none
 	status   balance.Status
@@ -58,7 +58,7 @@
 	until   time.Duration
 	call    int // the try that is out for it; -1 is none
 	calls   int // of it that have ended
-	tried   budget.Tried
+	tried   budget.AttemptReport
 	over    bool
 }
 
@@ -182,7 +182,7 @@
 	if a.baggage == "" {
 		return a.until - s.now
 	}
-	return budget.Time(a.until-a.sentAt, 2*s.delay)
+	return budget.PropagatedTimeout(a.until-a.sentAt, 2*s.delay)
 }
 
 // boxWakes is a box's own time to do something.
@@ -313,7 +313,7 @@
 	t := &s.tries[i]
 	won := status == balance.OK && !t.decided
 	if t.account != nil {
-		s.sidecars[t.sidecar].accounts.Ended(t.account, a.number, a.tried)
+		s.sidecars[t.sidecar].accounts.ReportAttempt(t.account, a.number, a.tried)
 	}
 	if s.sidecars == nil {
 		s.plainOutcome(i, a.box, status)
@@ -328,7 +328,7 @@
 		s.reply(i, trace.Served, 200, 0, a.box)
 	}
 	s.decide(t.sidecar, &balance.Event{Kind: balance.EventOutcome, Request: balance.RequestID(i), Attempt: a.no,
-		Closed: t.decided, Status: status, RetriedBelow: a.tried.Told && status == balance.Error, Latency: s.now - a.sentAt})
+		Closed: t.decided, Status: status, RetriedBelow: a.tried.Known && status == balance.Error, Latency: s.now - a.sentAt})
 }
 
 // plainOutcome is the answer that a client has straight from a box.
@@ -461,7 +461,7 @@
 		left = s.p.Scenario.Class[parent.Class].Deadline.D()
 	}
 	if left <= 0 || s.sidecars != nil && s.boxes[i].sidecar < 0 {
-		s.returned(v, false, budget.Tried{})
+		s.returned(v, false, budget.AttemptReport{})
 		return
 	}
 	t := trace.Try{Txn: s.p.CallTxn(l.Txn, i, state.number, call), Parent: l.Txn, Request: parent.Request, Tier: s.p.Scenario.Next(s.p.Boxes[i].Tier),
@@ -473,11 +473,11 @@
 }
 
 // returned is the end of a box's call.
-func (s *sim) returned(v int, ok bool, t budget.Tried) {
+func (s *sim) returned(v int, ok bool, t budget.AttemptReport) {
 	box := s.log.Visits[v].Box
 	s.visits[v].call = -1
 	if s.visits[v].calls++; s.visits[v].calls > 1 {
-		t = s.visits[v].tried.And(t)
+		t = s.visits[v].tried.Add(t)
 	}
 	if s.p.Scenario.Tier[s.p.Boxes[box].Tier].Carry == "all" {
 		s.visits[v].tried = t
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -32,9 +32,9 @@
 	box      int
 	attempts int // how many, and the last of them
 	attempt  int
-	baggage  string          // that its caller passed on
-	account  *budget.Account // at its sidecar, while it keeps accounts
-	tried    budget.Tried
+	baggage  string                // that its caller passed on
+	account  *budget.RequestBudget // at its sidecar, while it keeps accounts
+	tried    budget.AttemptReport
 }
 
 // arrive is a client's sending of its next try. The first tries follow each other by the plan.
--- a/internal/lab/simulation/sidecar.go
+++ b/internal/lab/simulation/sidecar.go
@@ -27,7 +27,7 @@
 	stopping time.Duration
 	paused   time.Duration // until then
 	held     int           // tries taken and not answered
-	accounts *budget.Accounts
+	accounts *budget.Tracker
 	table    *cluster.Table
 	hosts    map[balance.EndpointID]int // to boxes
 	sim      *sim
@@ -81,7 +81,7 @@
 	c.sim, c.b, c.life, c.able, c.stopping, c.paused, c.held = s, b, c.life+1, false, 0, 0, 0
 	c.accounts = nil
 	if c.budget != nil {
-		c.accounts = budget.NewAccounts(c.budget.Accounts(&c.set), s.p.Sidecars[i].Seed+uint64(c.life))
+		c.accounts = budget.NewTracker(c.budget.Accounts(&c.set), s.p.Sidecars[i].Seed+uint64(c.life))
 	}
 	c.hosts, c.judged = map[balance.EndpointID]int{}, map[int]trace.Judged{}
 	c.table = cluster.NewTable(c.set.ZoneNames, c.set.KindNames, c, c)
@@ -282,7 +282,7 @@
 			s.reply(i, trace.Failed, http.StatusLoopDetected, 0, -1)
 			return
 		}
-		ev.MaxAttempts, ev.ValueShare = t.account.Most(), t.account.Worth()
+		ev.MaxAttempts, ev.ValueShare = t.account.MaxAttempts(), t.account.ValueShare()
 	}
 	s.decide(l.Sidecar, &ev)
 }
@@ -354,7 +354,7 @@
 	t.sent++
 	carried, number := "", 0
 	if t.account != nil {
-		carried, number = c.accounts.Send(t.account, a.ValueShare)
+		carried, number = c.accounts.NextAttempt(t.account, a.ValueShare)
 	}
 	s.startAttempt(i, box, until, carried, number)
 }
--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -48,12 +48,12 @@
 	Left     time.Duration // what the client told: how long it waits, from Sent
 	Answered time.Duration // the last byte of the answer, or when it ended without one
 	Status   Status
-	Code     int           // HTTP's, 0 for none; over Thrift the type of the TApplicationException
-	Advice   time.Duration // Retry-After; 0 is none
-	Box      int           // whose answer it is by its body; -1 is unknown
-	Tried    budget.Tried  // what the answer says of attempts that it took below
-	Forged   bool          // a 200 whose body no box made for this request
-	Answers  int           // whole final answers that came for it: more than 1 breaks a rule
+	Code     int                  // HTTP's, 0 for none; over Thrift the type of the TApplicationException
+	Advice   time.Duration        // Retry-After; 0 is none
+	Box      int                  // whose answer it is by its body; -1 is unknown
+	Tried    budget.AttemptReport // what the answer says of attempts that it took below
+	Forged   bool                 // a 200 whose body no box made for this request
+	Answers  int                  // whole final answers that came for it: more than 1 breaks a rule
 }
 
 // Visit is one attempt as a server saw it.
--- a/internal/stream/budget.go
+++ b/internal/stream/budget.go
@@ -19,14 +19,14 @@
 
 	mu       sync.Mutex
 	aims     []time.Duration // of the classes: what is answered within them has ended well
-	accounts *budget.Accounts
+	accounts *budget.Tracker
 	start    time.Time
 	loops    map[string]bool
 }
 
 // NewBudget returns a budget whose accounts are kept by s.
 func NewBudget(s budget.Settings, seed uint64, aims []time.Duration, log zerolog.Logger) *Budget {
-	return &Budget{aims: aims, Log: log, accounts: budget.NewAccounts(s, seed), start: time.Now(), loops: map[string]bool{}}
+	return &Budget{aims: aims, Log: log, accounts: budget.NewTracker(s, seed), start: time.Now(), loops: map[string]bool{}}
 }
 
 // Retune takes over changed aims.
@@ -37,9 +37,9 @@
 }
 
 // unbound is the account of a stream of which no accounts are kept.
-var unbound budget.Account
+var unbound budget.RequestBudget
 
-func (b *Budget) open(req *Request) *budget.Account {
+func (b *Budget) open(req *Request) *budget.RequestBudget {
 	if b == nil {
 		req.Baggage = "" // what a caller carries goes no further than where it is read
 		return &unbound
@@ -52,29 +52,29 @@
 // sent is a stream's request as one attempt takes it along.
 type sent struct {
 	*Request
-	ended func(budget.Tried) // tells the accounts what the attempt's answer says
+	ended func(budget.AttemptReport) // tells the accounts what the attempt's answer says
 }
 
-func (b *Budget) send(a *budget.Account, req *Request, worth float64) sent {
+func (b *Budget) send(a *budget.RequestBudget, req *Request, worth float64) sent {
 	if b == nil {
-		return sent{req, func(budget.Tried) {}}
+		return sent{req, func(budget.AttemptReport) {}}
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	with := *req
-	header, n := b.accounts.Send(a, worth)
+	header, n := b.accounts.NextAttempt(a, worth)
 	with.Baggage = header
-	return sent{&with, func(t budget.Tried) {
+	return sent{&with, func(t budget.AttemptReport) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		b.accounts.Ended(a, n, t)
+		b.accounts.ReportAttempt(a, n, t)
 	}}
 }
 
 // close ends a stream's account, and tells the tier above what it took.
-func (b *Budget) close(a *budget.Account, req *Request, res *Response) {
+func (b *Budget) close(a *budget.RequestBudget, req *Request, res *Response) {
 	if b == nil {
-		res.Tried = budget.Tried{}
+		res.Tried = budget.AttemptReport{}
 		return
 	}
 	b.mu.Lock()
@@ -84,7 +84,7 @@
 }
 
 // looped is the answer to a request that has been here before. Each loop is logged once.
-func (b *Budget) looped(a *budget.Account) Response {
+func (b *Budget) looped(a *budget.RequestBudget) Response {
 	loop := strings.Join(a.Loop, " > ")
 	b.mu.Lock()
 	told := b.loops[loop] || len(b.loops) >= loopsTold
--- a/internal/stream/budget_test.go
+++ b/internal/stream/budget_test.go
@@ -44,7 +44,7 @@
 // Guards against a caller's word being passed on where nobody reads it, or believed at the edge; and against attempts
 // beyond what was granted.
 func TestBudgetGoesDown(t *testing.T) {
-	forged := (&budget.Carried{Pot: 1, Extra: budget.Most, Worth: 1}).Join("user=7")
+	forged := (&budget.Grant{PoolID: 1, Extra: budget.MaxExtra, ValueShare: 1}).Join("user=7")
 	for _, c := range []struct {
 		name     string
 		settings budget.Settings
@@ -52,8 +52,8 @@
 		carried  string // by the first attempt
 	}{
 		{"off", budget.Settings{}, 4, ""},
-		{"edge", budget.Settings{Service: "front", Edge: true, Instances: 1, Attempts: 1}, 2, "user=7,pinelb=1."},
-		{"behind, granted", budget.Settings{Service: "back", Leaf: true, Instances: 1, Attempts: 1}, 4, "user=7,pinelb=1."},
+		{"edge", budget.Settings{Service: "front", Edge: true, Instances: 1, MaxExtra: 1}, 2, "user=7,pinelb=1."},
+		{"behind, granted", budget.Settings{Service: "back", Leaf: true, Instances: 1, MaxExtra: 1}, 4, "user=7,pinelb=1."},
 	} {
 		p, up := budgeted(t, c.settings, nil, fails)
 		req := request(0, time.Minute)
@@ -62,7 +62,7 @@
 		if len(up.carried) != c.attempts || !strings.HasPrefix(up.carried[0], c.carried) || c.carried == "" && up.carried[0] != "" {
 			t.Errorf("%s: %d attempts that carry %q", c.name, len(up.carried), up.carried)
 		}
-		if res.Tried.Told != (c.carried != "") {
+		if res.Tried.Known != (c.carried != "") {
 			t.Errorf("%s: the answer says %+v", c.name, res.Tried)
 		}
 	}
@@ -70,19 +70,19 @@
 
 // Guards against a trouble being tried again at every tier, and against unused attempts being lost.
 func TestTriedBelowIsNotTriedAgain(t *testing.T) {
-	set := budget.Settings{Service: "front", Edge: true, Instances: 1, Attempts: 4}
+	set := budget.Settings{Service: "front", Edge: true, Instances: 1, MaxExtra: 4}
 	p, up := budgeted(t, set, nil, func(int) (balance.Status, Response) {
-		return balance.Error, Response{Outcome: Failed, Tried: budget.Tried{Told: true, Extra: 1}}
+		return balance.Error, Response{Outcome: Failed, Tried: budget.AttemptReport{Known: true, Extra: 1}}
 	})
 	res := p.Serve(context.Background(), request(0, time.Minute))
-	if len(up.carried) != 1 || res.Outcome == Served || res.Tried != (budget.Tried{Told: true, Extra: 1}) {
+	if len(up.carried) != 1 || res.Outcome == Served || res.Tried != (budget.AttemptReport{Known: true, Extra: 1}) {
 		t.Errorf("%d attempts, %+v", len(up.carried), res)
 	}
 	p, up = budgeted(t, set, nil, func(n int) (balance.Status, Response) {
 		if n == 1 {
 			return fails(n)
 		}
-		return balance.OK, Response{Outcome: Served, Tried: budget.Tried{Told: true}}
+		return balance.OK, Response{Outcome: Served, Tried: budget.AttemptReport{Known: true}}
 	})
 	res = p.Serve(context.Background(), request(0, time.Minute))
 	if res.Outcome != Served || len(up.carried) != 2 || res.Tried.Extra != 4 { // the first took three along and said nothing
@@ -93,11 +93,11 @@
 // Guards against a request going round, and a log line for each.
 func TestLoopEnds(t *testing.T) {
 	var log bytes.Buffer
-	p, up := budgeted(t, budget.Settings{Service: "b", Instances: 1, Attempts: 2}, &log, fails)
+	p, up := budgeted(t, budget.Settings{Service: "b", Instances: 1, MaxExtra: 2}, &log, fails)
 	for range 3 {
 		req := request(0, time.Minute)
-		req.Baggage = (&budget.Carried{Pot: 1, Extra: 2, Worth: 1, Path: []string{"a", "b", "c"}}).Join("")
-		if res := p.Serve(context.Background(), req); res.Outcome != Looped || res.Loop != "a > b > c > b" || !res.Tried.Told {
+		req.Baggage = (&budget.Grant{PoolID: 1, Extra: 2, ValueShare: 1, Path: []string{"a", "b", "c"}}).Join("")
+		if res := p.Serve(context.Background(), req); res.Outcome != Looped || res.Loop != "a > b > c > b" || !res.Tried.Known {
 			t.Errorf("%+v", res)
 		}
 	}
--- a/internal/stream/stream.go
+++ b/internal/stream/stream.go
@@ -111,8 +111,8 @@
 	Rest       Rest   // Served: what follows Body and still comes; nil: nothing does. Whoever has the response closes it
 	Length     int64  // with Rest: bytes of both; below 0: not stated
 	RetryAfter time.Duration
-	Tried      budget.Tried // what it took here and below, for the tier above
-	Loop       string       // Looped: the services that it has come through
+	Tried      budget.AttemptReport // what it took here and below, for the tier above
+	Loop       string               // Looped: the services that it has come through
 }
 
 // Rest is the part of an answer that is passed on as it comes.
@@ -199,7 +199,7 @@
 		return res
 	}
 	// Attempts must not end with the client by themselves: the decisions withdraw them.
-	call := driver.Request{Class: req.Class, Tenant: req.Tenant, Remaining: time.Until(req.Deadline), ClientRetry: req.Repeated, MaxAttempts: a.Most(), ValueShare: a.Worth(),
+	call := driver.Request{Class: req.Class, Tenant: req.Tenant, Remaining: time.Until(req.Deadline), ClientRetry: req.Repeated, MaxAttempts: a.MaxAttempts(), ValueShare: a.ValueShare(),
 		EarlierAttemptAt: ran.At, EarlierEndpoint: ran.Host}
 	if req.Upload != nil {
 		call.Remaining, call.Uploading = req.Upload.Left, true
@@ -225,7 +225,7 @@
 
 // live is one stream's life. The decisions choose every send and may end the stream; the first answer
 // of an upstream host ends it too, and so do the client's leaving and its deadline.
-func (p *Proxy) live(ctx context.Context, s decided, req *Request, a *budget.Account) Response {
+func (p *Proxy) live(ctx context.Context, s decided, req *Request, a *budget.RequestBudget) Response {
 	defer s.Close()
 	answer := make(chan Response, 1) // one answer at most: only one attempt can win
 	req.open = &open{over: make(chan struct{}), since: time.Now()}
@@ -315,7 +315,7 @@
 		if fault := recover(); fault != nil {
 			p.Log.Error().Interface("panic", fault).Msg("upstream request failed")
 		}
-		if s.ReportOutcome(send.Attempt, driver.Outcome{Status: status, RetriedBelow: res.Tried.Told || req.Upload.spent(),
+		if s.ReportOutcome(send.Attempt, driver.Outcome{Status: status, RetriedBelow: res.Tried.Known || req.Upload.spent(),
 			Final: status == balance.OK || res.Outcome == Rejected || res.Outcome == Unanswered || res.Outcome == Broken}) {
 			answer <- res
 			select {
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -120,7 +120,7 @@
 type answer struct {
 	status     int
 	turnedAway bool
-	tried      budget.Tried
+	tried      budget.AttemptReport
 	mediaType  string
 	body       []byte
 	reusable   bool          // the connection may carry another request, once the answer is whole
@@ -162,7 +162,7 @@
 		}
 		a.status, a.length, a.body = res.StatusCode, res.ContentLength, body
 		a.turnedAway, a.mediaType = res.Header.Get("X-Turned-Away") == "1", res.Header.Get("Content-Type")
-		a.tried = budget.ReadTried(res.Header.Get(budget.TriedHeader))
+		a.tried = budget.ParseReport(res.Header.Get(budget.ReportHeader))
 		a.reusable = !res.Close && !more && c.in.Buffered() == 0
 		if more && a.status == http.StatusOK {
 			a.rest, a.keep = res.Body, !res.Close
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -29,7 +29,7 @@
 	}
 	left := time.Until(until)
 	if req.Baggage != "" { // the next tier keeps accounts too, and has to know how long it really has
-		left = budget.Time(left, c.way)
+		left = budget.PropagatedTimeout(left, c.way)
 	}
 	buf := buffers.Get().(*[]byte)
 	var a answer
