--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// tree is a chain of tiers with a sidecar before each, whose servers call the next tier so many times for each request.
-// Everything fails at random, and whoever may try again does.
+// chain is a chain of tiers with a sidecar before each, whose servers call the next tier so many times for each request.
+// Everything fails at random, and whoever may retry does.
 type chain struct {
 	t           *rapid.T
 	calls       []int // by tier; the last has none
@@ -30,13 +30,12 @@
 	nextPool    uint64
 	attempts    []int // attempts, by tier
 	retries     int   // of them not the first of their request at that sidecar
-	held        int   // extra attempts that are in shares and pots
 }
 
 // request is one at the sidecar before a tier, with so many extra attempts; it returns whether it was served and what it
 // has not used.
-func (r *chain) request(tier, extra int) (ok bool, unused int) {
-	last := tier == len(r.calls)-1
+func (c *chain) request(tier, extra int) (ok bool, unused int) {
+	last := tier == len(c.calls)-1
 	share := NewAllowance(extra, last)
 	for n := 0; ; n++ {
 		down, may := share.NextAttempt()
@@ -44,10 +43,10 @@
 			return false, share.Unused()
 		}
 		if n > 0 {
-			r.retries++
+			c.retries++
 		}
-		r.attempts[tier]++
-		ok, tried := r.visit(tier, down)
+		c.attempts[tier]++
+		ok, tried := c.visit(tier, down)
 		share.ReturnUnused(n, tried)
 		if ok {
 			return true, share.Unused()
@@ -56,20 +55,20 @@
 }
 
 // visit is an attempt at a server, whose answer may say what its calls took.
-func (r *chain) visit(tier, extra int) (ok bool, tried AttemptReport) {
-	r.nextPool++
-	pot := r.nextPool
+func (c *chain) visit(tier, extra int) (ok bool, tried AttemptReport) {
+	c.nextPool++
+	poolID := c.nextPool
 	ok = true
-	carries := rapid.Bool().Draw(r.t, "carries")
-	for call := range r.calls[tier] {
-		r.now += time.Millisecond
-		l := r.pools[tier+1]
-		got := l.Open(r.now, r.now+time.Second, pot, extra)
-		served, unused := r.request(tier+1, got)
+	carries := rapid.Bool().Draw(c.t, "carries")
+	for call := range c.calls[tier] {
+		c.now += time.Millisecond
+		pools := c.pools[tier+1]
+		got := pools.Open(c.now, c.now+time.Second, poolID, extra)
+		served, unused := c.request(tier+1, got)
 		if unused < 0 || unused > got {
-			r.t.Fatalf("of %d extra attempts %d are left", got, unused)
+			c.t.Fatalf("of %d extra attempts %d are left", got, unused)
 		}
-		l.Close(pot, unused)
+		pools.Close(poolID, unused)
 		if t := (AttemptReport{carries, got - unused}); call == 0 {
 			tried = t
 		} else {
@@ -79,31 +78,31 @@
 			break
 		}
 	}
-	return ok && rapid.Float64Range(0, 1).Draw(r.t, "outcome") >= r.failureRate, tried
+	return ok && rapid.Float64Range(0, 1).Draw(c.t, "outcome") >= c.failureRate, tried
 }
 
-// Guards against attempts being made out of nothing: over random chains, failures and orders no request is repeated more
+// Guards against more attempts than were granted: over random chains, failures and orders no request is retried more
 // often than it was granted, in all tiers together, so that the bottom sees at most 1 + grant times the plain calls.
 func TestRetriesBoundedByGrant(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := &chain{t: t, calls: rapid.SliceOfN(rapid.IntRange(1, 2), 0, 2).Draw(t, "calls"),
+		c := &chain{t: t, calls: rapid.SliceOfN(rapid.IntRange(1, 2), 0, 2).Draw(t, "calls"),
 			failureRate: rapid.SampledFrom([]float64{0, 0.3, 0.7, 1}).Draw(t, "fails")}
-		r.calls = append(r.calls, 0)
-		r.attempts = make([]int, len(r.calls))
+		c.calls = append(c.calls, 0)
+		c.attempts = make([]int, len(c.calls))
 		plain := 1
-		for _, n := range r.calls {
-			r.pools = append(r.pools, NewSharedPools())
+		for _, n := range c.calls {
+			c.pools = append(c.pools, NewSharedPools())
 			plain *= max(1, n)
 		}
 		extra := rapid.IntRange(0, MaxExtra).Draw(t, "extra")
-		ok, _ := r.request(0, extra)
-		if r.retries > extra {
-			t.Errorf("%d attempts were repeated, %d granted", r.retries, extra)
+		ok, _ := c.request(0, extra)
+		if c.retries > extra {
+			t.Errorf("%d attempts were retries, %d granted", c.retries, extra)
 		}
-		if bottom := r.attempts[len(r.attempts)-1]; bottom > (1+extra)*plain {
+		if bottom := c.attempts[len(c.attempts)-1]; bottom > (1+extra)*plain {
 			t.Errorf("%d attempts at the bottom of plain %d, %d granted", bottom, plain, extra)
 		}
-		if !ok && r.failureRate == 0 {
+		if !ok && c.failureRate == 0 {
 			t.Error("failed though nothing did")
 		}
 	})
@@ -129,81 +128,81 @@
 }
 
 // Guards against retries that go on while nothing succeeds: what fails pays for all that it may have used, so that the
-// whole is bounded by what was saved, what first tries earn, and what was out at any one time.
+// whole is bounded by the full bucket, what first attempts earn, and what was open at any one time.
 func TestRetryBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := NewRetryBudget(rapid.IntRange(1, 50).Draw(t, "instances"))
+		budget := NewRetryBudget(rapid.IntRange(1, 50).Draw(t, "instances"))
 		const want = 3
-		type try struct {
-			extra  int
-			repeat bool
+		type openRequest struct {
+			extra       int
+			clientRetry bool
 		}
-		var out []try
-		full, firsts, used, most := p.Tokens(), 0.0, 0.0, 0
+		var out []openRequest
+		full, firsts, used, most := budget.Tokens(), 0.0, 0.0, 0
 		for range rapid.IntRange(1, 500).Draw(t, "events") {
 			switch rapid.IntRange(0, 2).Draw(t, "event") {
 			case 0:
 				firsts++
-				out = append(out, try{p.GrantFirst(want), false})
+				out = append(out, openRequest{budget.GrantFirst(want), false})
 			case 1:
-				if extra, ok := p.GrantRetry(want); ok {
+				if extra, ok := budget.GrantRetry(want); ok {
 					used++
-					out = append(out, try{extra, true})
+					out = append(out, openRequest{extra, true})
 				}
 			default:
 				if len(out) > 0 {
 					i := rapid.IntRange(0, len(out)-1).Draw(t, "which")
 					n := rapid.IntRange(0, out[i].extra).Draw(t, "used")
 					used += float64(n)
-					p.Finish(n, out[i].repeat, false)
+					budget.Finish(n, out[i].clientRetry, false)
 					out = append(out[:i], out[i+1:]...)
 				}
 			}
 			most = max(most, len(out))
 		}
 		if bound := full + TokensPerRequest*firsts + float64(want*most); used > bound+1e-9 {
-			t.Errorf("%.1f attempts were made again for %.0f first tries that all failed; at most %.1f", used, firsts, bound)
+			t.Errorf("%.1f retries were made for %.0f first attempts that all failed; at most %.1f", used, firsts, bound)
 		}
 	})
-	p := NewRetryBudget(1)
+	budget := NewRetryBudget(1)
 	for i := range 1000 { // one in three fails for good, after three attempts
-		if extra := p.GrantFirst(3); extra < 3 {
+		if extra := budget.GrantFirst(3); extra < 3 {
 			t.Fatalf("%d of 3 are granted while they help", extra)
 		}
-		if p.Finish(3, false, i%5 != 0); p.Tokens() > tierMaxTokens {
-			t.Fatalf("%.1f are saved", p.Tokens())
+		if budget.Finish(3, false, i%5 != 0); budget.Tokens() > tierMaxTokens {
+			t.Fatalf("%.1f tokens are saved", budget.Tokens())
 		}
 	}
 }
 
-// What one call leaves over serves the next, side by side calls share, and a pot is not filled twice.
+// What one call leaves over serves the next, side by side calls share, and a pool is not filled twice.
 func TestSharedPools(t *testing.T) {
-	l := NewSharedPools()
-	if a, b, c := l.Open(0, time.Second, 7, 4), l.Open(0, time.Second, 7, 4), l.Open(0, time.Second, 7, 4); a != 3 || b != 1 || c != 0 {
+	pools := NewSharedPools()
+	if a, b, c := pools.Open(0, time.Second, 7, 4), pools.Open(0, time.Second, 7, 4), pools.Open(0, time.Second, 7, 4); a != 3 || b != 1 || c != 0 {
 		t.Errorf("side by side they get %d, %d, %d", a, b, c)
 	}
-	l.Close(7, 2)
-	l.Close(7, 1)
-	l.Close(7, 0)
-	if n := l.Open(0, time.Second, 7, 4); n != 2 {
+	pools.Close(7, 2)
+	pools.Close(7, 1)
+	pools.Close(7, 0)
+	if n := pools.Open(0, time.Second, 7, 4); n != 2 {
 		t.Errorf("of three left over one call gets %d", n)
 	}
-	l.Close(7, 0)
-	if n := l.Open(2*time.Second, 3*time.Second, 8, 100); n != MaxExtra-1 || len(l.pots) != 1 {
-		t.Errorf("after the first lapsed: %d pots, a call with 100 gets %d", len(l.pots), n)
+	pools.Close(7, 0)
+	if n := pools.Open(2*time.Second, 3*time.Second, 8, 100); n != MaxExtra-1 || len(pools.pools) != 1 {
+		t.Errorf("after the first expired: %d pools, a call with 100 gets %d", len(pools.pools), n)
 	}
 	for id := range uint64(2 * maxPools) {
-		l.Open(2*time.Second, 3*time.Second, 100+id, 2)
+		pools.Open(2*time.Second, 3*time.Second, 100+id, 2)
 	}
-	if len(l.pots) > maxPools {
-		t.Errorf("%d pots are kept", len(l.pots))
+	if len(pools.pools) > maxPools {
+		t.Errorf("%d pools are kept", len(pools.pools))
 	}
-	if n := l.Open(2*time.Second, 3*time.Second, 1, 8); n != 0 {
-		t.Errorf("with no room %d are granted", n)
+	if n := pools.Open(2*time.Second, 3*time.Second, 1, 8); n != 0 {
+		t.Errorf("with no capacity %d are granted", n)
 	}
 }
 
-// What is written is read again; other members pass on; what is faulty is nobody's word.
+// What is written is read again; other members pass on; what is invalid is not trusted.
 func TestGrantRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := Grant{PoolID: rapid.Uint64().Draw(t, "pot"), Extra: rapid.IntRange(0, MaxExtra).Draw(t, "extra"),
@@ -265,7 +264,7 @@
 	})
 }
 
-// Guards against a caller's word being taken at the edge, a loop passing, and a request that carries nothing being bound.
+// Guards against a caller's grant being trusted at the edge, a loop passing, and a request that carries nothing being bound.
 func TestTracker(t *testing.T) {
 	edge := NewTracker(Settings{Service: "front", Edge: true, Instances: 1, MaxExtra: 3}, 1)
 	forged := Grant{PoolID: 1, Extra: MaxExtra, ValueShare: 1, Path: []string{"front"}}
@@ -281,7 +280,7 @@
 	back := NewTracker(Settings{Service: "back", Leaf: true, Instances: 1, MaxExtra: 3}, 2)
 	b := back.Open(0, time.Second, header, true)
 	if b.MaxAttempts() != 3 || b.ValueShare() != 0.5 {
-		t.Errorf("behind it %d attempts at a worth of %v", b.MaxAttempts(), b.ValueShare())
+		t.Errorf("behind it %d attempts at a value share of %v", b.MaxAttempts(), b.ValueShare())
 	}
 	again := back.Open(0, time.Second, header, false)
 	if again.MaxAttempts() != 1 {
@@ -296,8 +295,8 @@
 		t.Errorf("one that carries nothing may make %d attempts", o.MaxAttempts())
 	}
 	edge.Close(a, false)
-	fail := func(repeated bool) int {
-		a := edge.Open(0, time.Second, "", repeated)
+	fail := func(clientRetry bool) int {
+		a := edge.Open(0, time.Second, "", clientRetry)
 		for range a.MaxAttempts() {
 			edge.NextAttempt(a, 1)
 		}
@@ -308,28 +307,28 @@
 		fail(false)
 	}
 	if n := fail(true); n >= 0 {
-		t.Errorf("nothing succeeds, and a client's repeat may make %d attempts", n)
+		t.Errorf("nothing succeeds, and a client's retry may make %d attempts", n)
 	}
 	for range 300 { // it pays its debt
 		edge.Close(edge.Open(0, time.Second, "", false), true)
 	}
 	if n := fail(true); n < 1 {
-		t.Error("all goes well again, and a repeat may make no attempt")
+		t.Error("all succeeds again, and a retry may make no attempt")
 	}
 }
 
-// BenchmarkTracker is a request's whole cost in the accounts of a sidecar behind the first tier: its header read, an attempt's
+// BenchmarkTracker is a request's whole cost in the tracker of a sidecar behind the first tier: its header read, an attempt's
 // written, its end.
 func BenchmarkTracker(b *testing.B) {
-	accounts := NewTracker(Settings{Service: "order", Instances: 1, MaxExtra: 6}, 1)
+	tracker := NewTracker(Settings{Service: "order", Instances: 1, MaxExtra: 6}, 1)
 	header := (&Grant{PoolID: 1, Extra: 4, ValueShare: 1, Path: []string{"front"}}).Join("")
 	b.ReportAllocs()
 	for i := range b.N {
 		now := time.Duration(i) * time.Millisecond
-		a := accounts.Open(now, now+time.Second, header, false)
-		down, n := accounts.NextAttempt(a, 1)
-		accounts.ReportAttempt(a, n, AttemptReport{Known: true})
-		accounts.Close(a, true)
+		a := tracker.Open(now, now+time.Second, header, false)
+		down, n := tracker.NextAttempt(a, 1)
+		tracker.ReportAttempt(a, n, AttemptReport{Known: true})
+		tracker.Close(a, true)
 		if i == 0 {
 			b.ReportMetric(float64(len(down)), "bytes/attempt")
 		}
