--- a/internal/daemon/keep.go
+++ b/internal/daemon/keep.go
@@ -103,9 +103,9 @@
 		k.log.Error().Err(err).Msg("the journal of former processes is not read")
 	}
 	now := time.Now()
-	k.next.effects.Heard(now, inflight.Journal, notes)
-	k.next.effects.Gone(now, inflight.Journal)
-	past, _ := k.next.effects.Size()
+	k.next.effects.Apply(now, inflight.Journal, notes)
+	k.next.effects.Disconnect(now, inflight.Journal)
+	past, _ := k.next.effects.Counts()
 	k.log.Info().Int("lines", len(notes)).Int("skipped", skipped).Int("alive", alive).Int("effects", past).Msg("journal read")
 	k.journal = &persistence.Journal{Disk: k.disk, Table: k.next.effects, Fault: func(err error) {
 		if err != nil {
@@ -139,7 +139,7 @@
 		if n := k.journal.Missed(); n > 0 {
 			k.log.Warn().Int("sends", n).Msg("the journal was too slow, and they did not wait for it")
 		}
-		if _, n := k.next.effects.Size(); n > dropped {
+		if _, n := k.next.effects.Counts(); n > dropped {
 			k.log.Warn().Int("effects", n-dropped).Msg("forgotten before their time, for want of memory")
 			dropped = n
 		}
--- a/internal/daemon/mirror.go
+++ b/internal/daemon/mirror.go
@@ -24,7 +24,7 @@
 	line sync.Mutex // held while a line is told
 
 	mu      sync.Mutex
-	wait    []inflight.Note
+	wait    []inflight.Update
 	lost    int
 	stopped bool
 }
@@ -34,7 +34,7 @@
 }
 
 // note takes a change and never waits.
-func (m *mirror) note(n inflight.Note) {
+func (m *mirror) note(n inflight.Update) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.stopped || len(m.wait) >= mirrorMost {
@@ -103,7 +103,7 @@
 }
 
 // words is a line with the first of the notes, and the rest of them. A line is bounded, whatever stands in an id.
-func words(notes []inflight.Note) (line []byte, rest []inflight.Note) {
+func words(notes []inflight.Update) (line []byte, rest []inflight.Update) {
 	var b bytes.Buffer
 	b.WriteString(`{"Notes":[`)
 	text := json.NewEncoder(&b)
--- a/internal/daemon/show.go
+++ b/internal/daemon/show.go
@@ -91,12 +91,12 @@
 	for _, n := range notes {
 		state := "may have run, and was under way"
 		switch {
-		case n.Back:
+		case n.Retracted:
 			state = "never ran"
-		case n.Over:
+		case n.Done:
 			state = "may have run, and is over"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%v ago\t%v\t%s\n", n.Txn, n.Class, n.Key, now.Wall.Sub(n.At).Round(time.Millisecond), n.Keep, state)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%v ago\t%v\t%s\n", n.Txn, n.Class, n.Key, now.Wall.Sub(n.SentAt).Round(time.Millisecond), n.Retention, state)
 	}
 	_ = t.Flush()
 }
--- a/internal/daemon/succession.go
+++ b/internal/daemon/succession.go
@@ -68,16 +68,16 @@
 }
 
 // known is what a process knows of requests under way and of their effects.
-type known struct{ Notes []inflight.Note }
+type known struct{ Notes []inflight.Update }
 
 // word is what the two tell each other afterwards: an operator's call that one of them has taken, changes of effects, or
 // that the successor takes such.
 type word struct {
 	Name  string
 	Out   bool
-	At    int64           `json:",omitempty"` // when the call was made: nanoseconds of the machine's clock
-	Takes bool            `json:",omitempty"`
-	Notes []inflight.Note `json:",omitempty"`
+	At    int64             `json:",omitempty"` // when the call was made: nanoseconds of the machine's clock
+	Takes bool              `json:",omitempty"`
+	Notes []inflight.Update `json:",omitempty"`
 }
 
 // succession is this process's place between the one before it and the one after it.
@@ -120,7 +120,7 @@
 		return false
 	}
 	if s.shares = h.Effects != nil; s.shares {
-		s.effects.Heard(time.Now(), inflight.Former, h.Effects.Notes)
+		s.effects.Apply(time.Now(), inflight.Predecessor, h.Effects.Notes)
 	}
 	s.log.Info().Int("members", len(h.Table.List.Members)).Int("cordoned", len(h.Table.Cordoned)).Msg("taken over")
 	return len(h.Table.List.Members) > 0
@@ -179,7 +179,7 @@
 	s.mu.Lock()
 	s.next = next
 	s.mu.Unlock()
-	notes := s.effects.Watch(inflight.Next, next.note)
+	notes := s.effects.Subscribe(inflight.Successor, next.note)
 	h := s.held()
 	h.Effects = &known{Notes: latest(notes, notesMost)}
 	if s.inForce != nil {
@@ -192,7 +192,7 @@
 }
 
 // latest are the last of the notes, as many as so many bytes have room for: first come those that are over, the oldest first.
-func latest(notes []inflight.Note, most int) []inflight.Note {
+func latest(notes []inflight.Update, most int) []inflight.Update {
 	for i := len(notes) - 1; i >= 0; i-- {
 		n := &notes[i]
 		if most -= noteBytes + nameBytes*(len(n.Txn)+len(n.Class)+len(n.Key)); most < 0 {
@@ -204,7 +204,7 @@
 
 // left lets go of a successor that is gone.
 func (s *succession) left() {
-	s.effects.Gone(time.Now(), inflight.Next)
+	s.effects.Disconnect(time.Now(), inflight.Successor)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.next != nil {
@@ -223,11 +223,11 @@
 		err = s.owner.Listen()
 	}
 	if s.former != nil {
-		told := func(line []byte) { s.told(line, inflight.Former) }
+		told := func(line []byte) { s.told(line, inflight.Predecessor) }
 		if s.shares {
 			s.toFormer([]byte(`{"Takes":true}`))
 			m := newMirror(s.toFormer, s.log)
-			s.effects.Watch(inflight.Former, m.note)
+			s.effects.Subscribe(inflight.Predecessor, m.note)
 			m.start()
 			defer m.stop()
 		}
@@ -236,7 +236,7 @@
 		}
 		wait.Go(func() {
 			s.former.Hear(told)
-			s.effects.Gone(time.Now(), inflight.Former)
+			s.effects.Disconnect(time.Now(), inflight.Predecessor)
 			b.beside(-1)
 			s.log.Info().Msg("the former process has ended")
 		})
@@ -267,7 +267,7 @@
 		}
 	}
 	s.owner = &handover.Owner{Path: path, Listeners: map[string]*net.TCPListener{}, State: s.state, Followed: count,
-		Succeeded: side.Followed, Told: func(line []byte) { s.told(line, inflight.Next) }, Log: s.log}
+		Succeeded: side.Followed, Told: func(line []byte) { s.told(line, inflight.Successor) }, Log: s.log}
 	for _, f := range fronts {
 		if l, ok := f.Listener.(*net.TCPListener); ok {
 			s.owner.Listeners[f.Addr] = l
@@ -305,7 +305,7 @@
 }
 
 // told takes a word of another process. An operator's that is news here is passed on to the one on the other side.
-func (s *succession) told(line []byte, from inflight.Link) {
+func (s *succession) told(line []byte, from inflight.Source) {
 	var w word
 	err := json.Unmarshal(line, &w)
 	news, known := false, false
@@ -320,10 +320,10 @@
 			s.next.start()
 		}
 	case err == nil && len(w.Notes) > 0:
-		s.effects.Heard(time.Now(), from, w.Notes)
+		s.effects.Apply(time.Now(), from, w.Notes)
 	case err != nil || !known:
 		s.log.Warn().Err(err).Str("name", w.Name).Msg("a word of the other process changes nothing")
-	case news && from == inflight.Former:
+	case news && from == inflight.Predecessor:
 		s.toNext(line)
 	case news:
 		s.toFormer(line)
--- a/internal/daemon/succession_test.go
+++ b/internal/daemon/succession_test.go
@@ -62,18 +62,18 @@
 			if !ok || !ok2 {
 				t.Fatal("a call is not taken")
 			}
-			next.told(one, inflight.Former)
-			former.told(other, inflight.Next)
+			next.told(one, inflight.Predecessor)
+			former.told(other, inflight.Successor)
 			if c.twice {
-				former.told(other, inflight.Next)
-				next.told(one, inflight.Former)
+				former.told(other, inflight.Successor)
+				next.told(one, inflight.Predecessor)
 			}
 			for of, s := range map[string]*succession{"former": former, "next": next} {
 				if out := len(s.table.Held().Cordoned) == 1; out != c.holds {
 					t.Errorf("at the %s process the host is out: %v, want %v", of, out, c.holds)
 				}
 			}
-			former.told([]byte(`{"Name":"s-1","Out":false}`), inflight.Next) // of a process that stamps none
+			former.told([]byte(`{"Name":"s-1","Out":false}`), inflight.Successor) // of a process that stamps none
 			if len(former.table.Held().Cordoned) > 0 {
 				t.Error("a call without a time changes nothing")
 			}
@@ -90,10 +90,10 @@
 	wide := strings.Repeat("x", 3200)
 	var last inflight.ID
 	for i := range 2700 {
-		last = inflight.ID{Txn: fmt.Sprint(i), Class: wide, Key: fmt.Sprint(i), Keep: time.Minute}
-		one.effects.Open(now, last)
-		one.effects.Sent(now, last.Txn, 1)
-		one.effects.End(now, last.Txn)
+		last = inflight.ID{Txn: fmt.Sprint(i), Class: wide, Key: fmt.Sprint(i), Retention: time.Minute}
+		one.effects.Start(now, last)
+		one.effects.AttemptStarted(now, last.Txn, 1)
+		one.effects.Finish(now, last.Txn)
 	}
 	state, err := one.state()
 	if err != nil || len(state) > handover.StateMost {
@@ -104,7 +104,7 @@
 		t.Errorf("the successor knows %+v", other.table.Held())
 	}
 	last.Txn = "again"
-	if first, _ := other.effects.Open(now, last); !first.At.Equal(now) {
+	if first, _ := other.effects.Start(now, last); !first.SentAt.Equal(now) {
 		t.Errorf("of the last effect the successor knows %+v", first)
 	}
 }
@@ -118,7 +118,7 @@
 		<-goOn
 	}, zerolog.Nop())
 	for _, txn := range []string{"a", "b", "c", "d", "e"} { // some to a line
-		m.note(inflight.Note{ID: inflight.ID{Txn: txn, Class: strings.Repeat("x", wordMost/2-200)}})
+		m.note(inflight.Update{ID: inflight.ID{Txn: txn, Class: strings.Repeat("x", wordMost/2-200)}})
 	}
 	m.start()
 	<-told
@@ -147,16 +147,16 @@
 // Guards against a second successor that knows of the moments between the first one's copy and its own less than the first did.
 func TestEffectsBetweenTwoSuccessors(t *testing.T) {
 	s, now := process(t), time.Now()
-	begun := inflight.ID{Txn: "begun", Class: "look", Keep: time.Minute}
-	over := inflight.ID{Txn: "over", Class: "look", Keep: time.Minute}
-	s.effects.Open(now, over)
+	begun := inflight.ID{Txn: "begun", Class: "look", Retention: time.Minute}
+	over := inflight.ID{Txn: "over", Class: "look", Retention: time.Minute}
+	s.effects.Start(now, over)
 	if _, err := s.state(); err != nil {
 		t.Fatal(err)
 	}
-	s.effects.Open(now, begun)
-	s.effects.Sent(now, begun.Txn, 1)
-	s.effects.Sent(now, over.Txn, 1)
-	s.effects.End(now, over.Txn)
+	s.effects.Start(now, begun)
+	s.effects.AttemptStarted(now, begun.Txn, 1)
+	s.effects.AttemptStarted(now, over.Txn, 1)
+	s.effects.Finish(now, over.Txn)
 	s.left() // the first one is gone before it served
 	state, err := s.state()
 	if err != nil {
@@ -165,10 +165,10 @@
 	next := process(t)
 	next.former = &handover.Former{State: state}
 	next.take()
-	if _, free := next.effects.Open(now, begun); free {
+	if _, free := next.effects.Start(now, begun); free {
 		t.Error("a request that is under way is taken again")
 	}
-	if first, free := next.effects.Open(now, over); !free || !first.At.Equal(now) {
+	if first, free := next.effects.Start(now, over); !free || !first.SentAt.Equal(now) {
 		t.Errorf("of a request that may have run the second successor knows %+v, %v", first, free)
 	}
 }
--- a/internal/inflight/effects_test.go
+++ b/internal/inflight/effects_test.go
@@ -13,9 +13,9 @@
 )
 
 // fact is an attempt, as the oracle keeps it: for ever, and in a list.
-type fact struct {
+type recordedAttempt struct {
 	effect string
-	Trace
+	Attempt
 	never bool
 }
 
@@ -24,16 +24,16 @@
 func TestTwoProcesses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tables := []*Table{New(100), New(100)}
-		tables[0].Heard(time.Time{}, Next, tables[1].Watch(Former, func(n Note) { tables[0].Heard(n.At, Next, []Note{n}) }))
-		tables[1].Heard(time.Time{}, Former, tables[0].Watch(Next, func(n Note) { tables[1].Heard(n.At, Former, []Note{n}) }))
+		tables[0].Apply(time.Time{}, Successor, tables[1].Subscribe(Predecessor, func(n Update) { tables[0].Apply(n.SentAt, Successor, []Update{n}) }))
+		tables[1].Apply(time.Time{}, Predecessor, tables[0].Subscribe(Successor, func(n Update) { tables[1].Apply(n.SentAt, Predecessor, []Update{n}) }))
 		now := time.Unix(1000, 0)
-		facts, at := []*fact{}, map[string]int{} // which process a Txn is under way at
+		facts, at := []*recordedAttempt{}, map[string]int{} // which process a Txn is under way at
 		txns := 0
 		t.Repeat(map[string]func(*rapid.T){
 			"open": func(t *rapid.T) {
 				who := rapid.IntRange(0, 1).Draw(t, "process")
 				id := ID{Txn: fmt.Sprint(txns), Class: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "class"),
-					Key: rapid.SampledFrom([]string{"", "k", "l"}).Draw(t, "key"), Keep: time.Hour}
+					Key: rapid.SampledFrom([]string{"", "k", "l"}).Draw(t, "key"), Retention: time.Hour}
 				if again := rapid.IntRange(0, 3).Draw(t, "again"); again == 0 && txns > 0 {
 					id.Txn = fmt.Sprint(rapid.IntRange(0, txns-1).Draw(t, "txn"))
 				}
@@ -41,17 +41,17 @@
 					return // the stream's own list has that
 				}
 				now = now.Add(time.Millisecond)
-				first, free := tables[who].Open(now, id)
+				first, free := tables[who].Start(now, id)
 				if _, open := at[id.Txn]; free == open {
 					t.Fatalf("open %+v: free is %v", id, free)
 				}
 				if !free {
 					return
 				}
-				var want Trace
+				var want Attempt
 				for _, f := range facts {
-					if f.effect == id.effect() && !f.never {
-						want = f.Trace
+					if f.effect == id.effectKey() && !f.never {
+						want = f.Attempt
 						break
 					}
 				}
@@ -62,11 +62,11 @@
 				txns++
 				for range rapid.IntRange(0, 2).Draw(t, "sends") {
 					now = now.Add(time.Millisecond)
-					f := &fact{effect: id.effect(), Trace: Trace{balance.EndpointID(len(facts)), now}}
-					n, _ := tables[who].Sent(now, id.Txn, f.Host)
+					f := &recordedAttempt{effect: id.effectKey(), Attempt: Attempt{balance.EndpointID(len(facts)), now}}
+					n, _ := tables[who].AttemptStarted(now, id.Txn, f.Endpoint)
 					facts = append(facts, f)
 					if rapid.Bool().Draw(t, "never") {
-						tables[who].Settled(id.Txn, n, false)
+						tables[who].AttemptEnded(id.Txn, n, false)
 						f.never = true
 					}
 				}
@@ -76,7 +76,7 @@
 					t.Skip("none is open")
 				}
 				txn := rapid.SampledFrom(slices.Sorted(maps.Keys(at))).Draw(t, "ends")
-				tables[at[txn]].End(now, txn)
+				tables[at[txn]].Finish(now, txn)
 				delete(at, txn)
 			},
 		})
@@ -85,49 +85,49 @@
 
 // Guards against what a process that died had under way being taken for what never ran, or for under way for ever; against
 // effects kept beyond their time, and against more of them than there is room for.
-func TestGoneAndForgotten(t *testing.T) {
+func TestDisconnectAndExpiry(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := New(3)
-	sent := Note{ID: ID{Txn: "a", Class: "c", Keep: time.Second}, Trace: Trace{Host: 7, At: now}}
-	table.Heard(now, Former, []Note{sent, {ID: ID{Txn: "b", Class: "c", Keep: time.Second}}})
+	sent := Update{ID: ID{Txn: "a", Class: "c", Retention: time.Second}, Attempt: Attempt{Endpoint: 7, SentAt: now}}
+	table.Apply(now, Predecessor, []Update{sent, {ID: ID{Txn: "b", Class: "c", Retention: time.Second}}})
 	for _, txn := range []string{"a", "b"} {
-		if _, free := table.Open(now, ID{Txn: txn}); free {
+		if _, free := table.Start(now, ID{Txn: txn}); free {
 			t.Errorf("%s is free while it is under way elsewhere", txn)
 		}
 	}
-	table.Gone(now, Former)
-	if first, free := table.Open(now, sent.ID); !free || first != sent.Trace {
+	table.Disconnect(now, Predecessor)
+	if first, free := table.Start(now, sent.ID); !free || first != sent.Attempt {
 		t.Errorf("of one that may have run: %+v, %v", first, free)
 	}
-	table.End(now, "a")
-	if first, free := table.Open(now, ID{Txn: "b", Class: "c", Keep: time.Second}); !free || !first.At.IsZero() {
+	table.Finish(now, "a")
+	if first, free := table.Start(now, ID{Txn: "b", Class: "c", Retention: time.Second}); !free || !first.SentAt.IsZero() {
 		t.Errorf("of one that had not begun: %+v, %v", first, free)
 	}
-	if first, _ := table.Open(now.Add(time.Second), ID{Txn: "a", Class: "c", Keep: time.Second}); !first.At.IsZero() {
+	if first, _ := table.Start(now.Add(time.Second), ID{Txn: "a", Class: "c", Retention: time.Second}); !first.SentAt.IsZero() {
 		t.Errorf("after its time: %+v", first)
 	}
 	for i := range 5 {
-		id := ID{Txn: fmt.Sprint(i), Class: "c", Keep: time.Second}
-		table.Open(now, id)
-		table.Sent(now, id.Txn, 1)
-		table.End(now, id.Txn)
+		id := ID{Txn: fmt.Sprint(i), Class: "c", Retention: time.Second}
+		table.Start(now, id)
+		table.AttemptStarted(now, id.Txn, 1)
+		table.Finish(now, id.Txn)
 	}
-	if past, dropped := table.Size(); past != 3 || dropped != 2 {
+	if past, dropped := table.Counts(); past != 3 || dropped != 2 {
 		t.Errorf("%d effects are kept of 3 at most, %d dropped", past, dropped)
 	}
-	if first, _ := table.Open(now, ID{Txn: "4", Class: "c", Keep: time.Second}); first.At.IsZero() {
+	if first, _ := table.Start(now, ID{Txn: "4", Class: "c", Retention: time.Second}); first.SentAt.IsZero() {
 		t.Error("the newest was dropped")
 	}
 }
 
 // Guards against a client that gives up and comes again while its first try is still out being taken for another.
-func TestKeyUnderWay(t *testing.T) {
-	now, id := time.Unix(1000, 0), ID{Txn: "a", Class: "c", Key: "k", Keep: time.Second}
+func TestKeyInFlight(t *testing.T) {
+	now, id := time.Unix(1000, 0), ID{Txn: "a", Class: "c", Key: "k", Retention: time.Second}
 	table := New(3)
-	table.Open(now, id)
-	table.Sent(now, "a", 5)
+	table.Start(now, id)
+	table.AttemptStarted(now, "a", 5)
 	id.Txn = "b"
-	if first, free := table.Open(now.Add(time.Millisecond), id); !free || first != (Trace{5, now}) {
+	if first, free := table.Start(now.Add(time.Millisecond), id); !free || first != (Attempt{5, now}) {
 		t.Errorf("%+v, %v", first, free)
 	}
 }
--- a/internal/inflight/json_test.go
+++ b/internal/inflight/json_test.go
@@ -7,9 +7,9 @@
 )
 
 // Guards against names in journals and between processes of two versions that change with an identifier.
-func TestNoteJSON(t *testing.T) {
-	note := Note{ID: ID{Txn: "t", Class: "c", Key: "k", Keep: time.Second}, Over: true, Back: true,
-		Trace: Trace{Host: 7, At: time.Unix(1, 0).UTC()}}
+func TestUpdateJSON(t *testing.T) {
+	note := Update{ID: ID{Txn: "t", Class: "c", Key: "k", Retention: time.Second}, Done: true, Retracted: true,
+		Attempt: Attempt{Endpoint: 7, SentAt: time.Unix(1, 0).UTC()}}
 	got, err := json.Marshal(note)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/persistence/durable_test.go
+++ b/internal/persistence/durable_test.go
@@ -234,8 +234,8 @@
 		t.Fatal(err)
 	}
 	table := inflight.New(1000)
-	table.Heard(now, inflight.Journal, notes)
-	table.Gone(now, inflight.Journal)
+	table.Apply(now, inflight.Journal, notes)
+	table.Disconnect(now, inflight.Journal)
 	return table, left
 }
 
@@ -249,27 +249,27 @@
 			m.steps = rapid.IntRange(0, 60).Draw(t, "steps")
 			table, names := reads(t, m, now)
 			for txn := range promised {
-				if first, _ := table.Open(now, inflight.ID{Txn: txn, Class: "c", Keep: time.Hour}); first.At.IsZero() {
+				if first, _ := table.Start(now, inflight.ID{Txn: txn, Class: "c", Retention: time.Hour}); first.SentAt.IsZero() {
 					t.Fatalf("%s was promised and is forgotten in life %d", txn, life)
 				}
-				table.End(now, txn)
+				table.Finish(now, txn)
 			}
 			j := &Journal{Disk: m, Table: table, Fault: func(error) {}}
 			j.Begin(names)
 			defer j.Close()
 			for i := range rapid.IntRange(0, 30).Draw(t, "requests") {
-				id := inflight.ID{Txn: fmt.Sprint(life, i), Class: "c", Keep: time.Hour}
-				table.Open(now, id)
-				n, _ := table.Sent(now, id.Txn, 1)
+				id := inflight.ID{Txn: fmt.Sprint(life, i), Class: "c", Retention: time.Hour}
+				table.Start(now, id)
+				n, _ := table.AttemptStarted(now, id.Txn, 1)
 				kept := j.Kept()
 				ends := rapid.IntRange(0, 3).Draw(t, "ends")
 				if ends == 0 { // it never ran
-					table.Settled(id.Txn, n, false)
+					table.AttemptEnded(id.Txn, n, false)
 				} else if kept {
 					promised[id.Txn] = true
 				}
 				if ends < 2 {
-					table.End(now, id.Txn)
+					table.Finish(now, id.Txn)
 				}
 			}
 			return m.after(rapid.IntRange(0, 16).Draw(t, "part"), rapid.Bool().Draw(t, "renamed"))
@@ -287,8 +287,8 @@
 	table, j, said := journaled(m)
 	j.Begin(nil)
 	send := func(txn string) {
-		table.Open(time.Now(), inflight.ID{Txn: txn, Class: "c", Keep: time.Hour})
-		table.Sent(time.Now(), txn, 1)
+		table.Start(time.Now(), inflight.ID{Txn: txn, Class: "c", Retention: time.Hour})
+		table.AttemptStarted(time.Now(), txn, 1)
 	}
 	if send("a"); !j.Kept() {
 		t.Fatal("a disk that works keeps nothing")
@@ -311,7 +311,7 @@
 	j.Close()
 	after, _ := reads(t, m.after(0, false), time.Now())
 	for _, txn := range []string{"a", "b", "c"} {
-		if first, _ := after.Open(time.Now(), inflight.ID{Txn: txn, Class: "c", Keep: time.Hour}); first.At.IsZero() {
+		if first, _ := after.Start(time.Now(), inflight.ID{Txn: txn, Class: "c", Retention: time.Hour}); first.SentAt.IsZero() {
 			t.Errorf("%s is forgotten", txn)
 		}
 	}
@@ -328,8 +328,8 @@
 	j.Begin(nil)
 	block := make(chan struct{})
 	m.block = block
-	table.Open(time.Now(), inflight.ID{Txn: "a", Class: "c", Keep: time.Hour})
-	table.Sent(time.Now(), "a", 1)
+	table.Start(time.Now(), inflight.ID{Txn: "a", Class: "c", Retention: time.Hour})
+	table.AttemptStarted(time.Now(), "a", 1)
 	if j.Kept() {
 		t.Error("a disk that is blocked keeps a promise")
 	}
@@ -344,9 +344,9 @@
 	}
 	long := strings.Repeat("x", 600)
 	for i := range 10000 { // more than may wait, and than one file takes
-		id := inflight.ID{Txn: fmt.Sprint(long, i), Class: "c", Keep: time.Hour}
-		table.Open(time.Now(), id)
-		table.Sent(time.Now(), id.Txn, 1)
+		id := inflight.ID{Txn: fmt.Sprint(long, i), Class: "c", Retention: time.Hour}
+		table.Start(time.Now(), id)
+		table.AttemptStarted(time.Now(), id.Txn, 1)
 	}
 	close(block)
 	for !j.Kept() {
@@ -354,7 +354,7 @@
 	}
 	j.Close()
 	left, _, _, _, err := Effects(m.after(0, false), Now())
-	if err != nil || !slices.ContainsFunc(left, func(n inflight.Note) bool { return n.Txn == fmt.Sprint(long, 9999) }) {
+	if err != nil || !slices.ContainsFunc(left, func(n inflight.Update) bool { return n.Txn == fmt.Sprint(long, 9999) }) {
 		t.Errorf("the last of 10000 is not in the journal: %d lines, %v", len(left), err)
 	}
 }
@@ -370,14 +370,14 @@
 	m.block = block
 	m.mu.Unlock()
 	for _, txn := range []string{"a", "b", "c"} {
-		id := inflight.ID{Txn: txn, Class: "c", Keep: time.Hour}
-		table.Open(time.Now(), id)
-		table.Sent(time.Now(), txn, 1)
+		id := inflight.ID{Txn: txn, Class: "c", Retention: time.Hour}
+		table.Start(time.Now(), id)
+		table.AttemptStarted(time.Now(), txn, 1)
 		if j.Kept() {
 			t.Errorf("a disk that is blocked keeps a promise")
 		}
 		after, _ := reads(t, m.after(16, true), time.Now()) // it is killed as the request is sent
-		if first, _ := after.Open(time.Now(), id); first.At.IsZero() {
+		if first, _ := after.Start(time.Now(), id); first.SentAt.IsZero() {
 			t.Errorf("%s is forgotten", txn)
 		}
 	}
@@ -388,7 +388,7 @@
 	j.Close()
 	after, _ := reads(t, m.after(0, false), time.Now())
 	for _, txn := range []string{"a", "b", "c"} {
-		if first, _ := after.Open(time.Now(), inflight.ID{Txn: txn, Class: "c", Keep: time.Hour}); first.At.IsZero() {
+		if first, _ := after.Start(time.Now(), inflight.ID{Txn: txn, Class: "c", Retention: time.Hour}); first.SentAt.IsZero() {
 			t.Errorf("%s is promised and forgotten", txn)
 		}
 	}
@@ -402,9 +402,9 @@
 	j.wake, j.next = make(chan struct{}, 1), make(chan struct{})
 	j.set(j.begin())
 	for i := range 10000 { // more than may wait
-		id := inflight.ID{Txn: fmt.Sprint(i), Class: "c", Keep: time.Hour}
-		table.Open(time.Now(), id)
-		table.Sent(time.Now(), id.Txn, 1)
+		id := inflight.ID{Txn: fmt.Sprint(i), Class: "c", Retention: time.Hour}
+		table.Start(time.Now(), id)
+		table.AttemptStarted(time.Now(), id.Txn, 1)
 	}
 	j.set(j.flush())
 	block, begun := make(chan struct{}), make(chan error)
@@ -429,10 +429,10 @@
 	j.Begin(nil)
 	long := strings.Repeat("x", 100)
 	for i := range 30000 {
-		id := inflight.ID{Txn: fmt.Sprint(long, i), Class: "c", Keep: time.Hour}
-		table.Open(time.Now(), id)
-		table.Sent(time.Now(), id.Txn, 1)
-		table.End(time.Now(), id.Txn)
+		id := inflight.ID{Txn: fmt.Sprint(long, i), Class: "c", Retention: time.Hour}
+		table.Start(time.Now(), id)
+		table.AttemptStarted(time.Now(), id.Txn, 1)
+		table.Finish(time.Now(), id.Txn)
 		if i%100 == 0 && !j.Kept() && i > 10000 && j.Missed() > 250 {
 			t.Fatal("hardly a promise is kept")
 		}
@@ -450,7 +450,7 @@
 		t.Errorf("%d bytes, %v", info.Size(), err)
 	}
 	after, _ := reads(t, d, time.Now())
-	if past, _ := after.Size(); past != 1000 {
+	if past, _ := after.Counts(); past != 1000 {
 		t.Errorf("%d effects are remembered, 1000 at most", past)
 	}
 }
@@ -458,10 +458,10 @@
 // Guards against a wall clock that was set back between two processes: an effect's age is what has really passed.
 func TestJournalOverASetClock(t *testing.T) {
 	then := Clock{Wall: time.Unix(5000, 0), Boot: "b", Up: time.Hour}
-	text := appendNote(line(nil, header{then}), inflight.Note{ID: inflight.ID{Txn: "a", Class: "c", Keep: time.Minute},
-		Trace: inflight.Trace{Host: 1, At: then.Wall.Add(time.Second)}})
+	text := appendNote(line(nil, header{then}), inflight.Update{ID: inflight.ID{Txn: "a", Class: "c", Retention: time.Minute},
+		Attempt: inflight.Attempt{Endpoint: 1, SentAt: then.Wall.Add(time.Second)}})
 	notes, skipped := DecodeJournal(append(text, "0123456789abcdef {}\nhalf a li"...), Clock{Wall: time.Unix(1000, 0), Boot: "b", Up: time.Hour + 10*time.Second})
-	if len(notes) != 1 || skipped != 2 || !notes[0].At.Equal(time.Unix(991, 0)) {
+	if len(notes) != 1 || skipped != 2 || !notes[0].SentAt.Equal(time.Unix(991, 0)) {
 		t.Errorf("%+v, %d lines left out", notes, skipped)
 	}
 }
@@ -482,7 +482,7 @@
 
 // FuzzJournal: whatever a file holds, a table that hears it holds what it has room for, and goes on.
 func FuzzJournal(f *testing.F) {
-	note := inflight.Note{ID: inflight.ID{Txn: "a", Class: "c", Key: "k", Keep: time.Minute}, Trace: inflight.Trace{Host: 1, At: time.Unix(1000, 0)}}
+	note := inflight.Update{ID: inflight.ID{Txn: "a", Class: "c", Key: "k", Retention: time.Minute}, Attempt: inflight.Attempt{Endpoint: 1, SentAt: time.Unix(1000, 0)}}
 	whole := appendNote(line(nil, header{Clock{Wall: time.Unix(1000, 0)}}), note)
 	f.Add(whole, 3)
 	f.Add(whole[:len(whole)-4], 7)
@@ -493,11 +493,11 @@
 		}
 		notes, _ := DecodeJournal(text, Clock{Wall: time.Unix(2000, 0)})
 		table := inflight.New(2)
-		table.Heard(time.Unix(2000, 0), inflight.Journal, notes)
-		table.Gone(time.Unix(2000, 0), inflight.Journal)
-		if past, _ := table.Size(); past > 2 {
+		table.Apply(time.Unix(2000, 0), inflight.Journal, notes)
+		table.Disconnect(time.Unix(2000, 0), inflight.Journal)
+		if past, _ := table.Counts(); past > 2 {
 			t.Errorf("%d effects of 2 at most", past)
 		}
-		table.Open(time.Unix(2001, 0), inflight.ID{Txn: "a", Class: "c"})
+		table.Start(time.Unix(2001, 0), inflight.ID{Txn: "a", Class: "c"})
 	})
 }
--- a/internal/persistence/journal.go
+++ b/internal/persistence/journal.go
@@ -92,7 +92,7 @@
 	j.deaf = false // what comes from here on is not in what is known
 	j.mu.Unlock()
 	text := line(nil, header{Now()})
-	for _, n := range j.Table.Watch(inflight.Journal, j.note) {
+	for _, n := range j.Table.Subscribe(inflight.Journal, j.note) {
 		text = appendNote(text, n)
 	}
 	unlock, err := j.Disk.Lock(name)
@@ -143,15 +143,15 @@
 }
 
 // appendNote appends what is worth keeping of a change: nothing, where the effect may take place any number of times.
-func appendNote(b []byte, n inflight.Note) []byte {
-	if n.Keep == 0 || n.At.IsZero() && !n.Back {
+func appendNote(b []byte, n inflight.Update) []byte {
+	if n.Retention == 0 || n.SentAt.IsZero() && !n.Retracted {
 		return b // nothing of it has begun
 	}
 	return line(b, n)
 }
 
 // note takes a change from the table, and never waits.
-func (j *Journal) note(n inflight.Note) {
+func (j *Journal) note(n inflight.Update) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.closed || j.deaf {
@@ -394,7 +394,7 @@
 // Effects returns what the journals say that processes have left which are dead, oldest first, by this moment's clock; how
 // many lines of them could not be read; and the names of their files. Alive is how many others are in use. Whoever calls
 // keeps all others from calling at the same time: by the lock of the directory, or as the successor of whoever has that.
-func Effects(d Disk, now Clock) (notes []inflight.Note, skipped int, left []string, alive int, err error) {
+func Effects(d Disk, now Clock) (notes []inflight.Update, skipped int, left []string, alive int, err error) {
 	names, err := d.Names()
 	if err != nil {
 		return nil, 0, nil, 0, fmt.Errorf("durable: journal: %w", err)
@@ -421,10 +421,10 @@
 
 // DecodeJournal reads a journal. Lines that are cut off or changed are counted and left out: what a power cut has left half
 // written had not been promised.
-func DecodeJournal(text []byte, now Clock) (notes []inflight.Note, skipped int) {
+func DecodeJournal(text []byte, now Clock) (notes []inflight.Update, skipped int) {
 	var clock *Clock
 	for l := range bytes.Lines(text) {
-		var n inflight.Note
+		var n inflight.Update
 		var h header
 		sum, body, found := bytes.Cut(bytes.TrimSuffix(l, []byte{'\n'}), []byte{' '})
 		want, err := strconv.ParseUint(string(sum[:min(len(sum), 17)]), 16, 64)
@@ -436,8 +436,8 @@
 		case json.Unmarshal(body, &n) != nil || n.Txn == "" || n.Class == "":
 			skipped++
 		default:
-			if clock != nil && !n.At.IsZero() { // however the wall clock has been set since
-				n.At = now.Wall.Add(-now.Since(*clock) + n.At.Sub(clock.Wall))
+			if clock != nil && !n.SentAt.IsZero() { // however the wall clock has been set since
+				n.SentAt = now.Wall.Add(-now.Since(*clock) + n.SentAt.Sub(clock.Wall))
 			}
 			notes = append(notes, n)
 		}
--- a/internal/stream/life.go
+++ b/internal/stream/life.go
@@ -78,7 +78,7 @@
 		p.uses[txn] = u
 	} else {
 		delete(p.uses, txn)
-		p.Effects.End(time.Now(), txn) // before another stream can have the id
+		p.Effects.Finish(time.Now(), txn) // before another stream can have the id
 	}
 	p.mu.Unlock()
 	if u.open == 0 && u.life != nil {
--- a/internal/stream/stream.go
+++ b/internal/stream/stream.go
@@ -187,7 +187,7 @@
 	}
 	res = Response{Outcome: Failed} // what a panic leaves
 	defer func() { p.release(req.Txn, func(l *Life) { l.Response, l.Answered = res, time.Now() }) }()
-	ran, free := p.Effects.Open(time.Now(), p.identity(req))
+	ran, free := p.Effects.Start(time.Now(), p.identity(req))
 	if !free {
 		res = Response{Outcome: Duplicate}
 		return res
@@ -200,7 +200,7 @@
 	}
 	// Attempts must not end with the client by themselves: the decisions withdraw them.
 	call := driver.Request{Class: req.Class, Tenant: req.Tenant, Remaining: time.Until(req.Deadline), ClientRetry: req.Repeated, MaxAttempts: a.MaxAttempts(), ValueShare: a.ValueShare(),
-		EarlierAttemptAt: ran.At, EarlierEndpoint: ran.Host}
+		EarlierAttemptAt: ran.SentAt, EarlierEndpoint: ran.Endpoint}
 	if req.Upload != nil {
 		call.Remaining, call.Uploading = req.Upload.Left, true
 	}
@@ -214,7 +214,7 @@
 	id := inflight.ID{Txn: req.Txn, Class: req.ClassName, Key: req.Key}
 	if p.Effects != nil {
 		if c := p.Driver.Class(req.Class); c.Idempotency != balance.Idempotent {
-			id.Keep = max(c.DedupWindow, c.Deadline) + c.Deadline
+			id.Retention = max(c.DedupWindow, c.Deadline) + c.Deadline
 		}
 	}
 	return id
@@ -302,7 +302,7 @@
 // version that is acted on has changed since the stream's first.
 func (p *Proxy) attempt(s decided, send driver.Send, crossed bool, req sent, n int, answer chan Response) {
 	status, res := balance.Reset, Response{Outcome: Failed} // what a panic leaves: it may have run
-	effect, kept := p.Effects.Sent(time.Now(), req.Txn, send.Endpoint)
+	effect, kept := p.Effects.AttemptStarted(time.Now(), req.Txn, send.Endpoint)
 	if p.Trail != nil {
 		p.Trail.Sent(send.Version, req.Class, send.Endpoint, crossed)
 	}
@@ -310,7 +310,7 @@
 		if p.Trail != nil {
 			p.Trail.Ended(send.Version, req.Class, send.Endpoint, status == balance.ConnectFailed || status == balance.NotSent, status == balance.Cancelled)
 		}
-		p.Effects.Settled(req.Txn, effect, status != balance.Rejected && status != balance.ConnectFailed && status != balance.NotSent)
+		p.Effects.AttemptEnded(req.Txn, effect, status != balance.Rejected && status != balance.ConnectFailed && status != balance.NotSent)
 		p.release(req.Txn, func(l *Life) { l.Attempts[n].Status, l.Attempts[n].Ended = status, time.Now() })
 		if fault := recover(); fault != nil {
 			p.Log.Error().Interface("panic", fault).Msg("upstream request failed")
