--- a/internal/accesslog/encode.go
+++ b/internal/accesslog/encode.go
@@ -104,12 +104,12 @@
 }
 
 // appendStream appends a stream; name gives the hosts' ids.
-func appendStream(b []byte, start time.Time, l *stream.Life, name func(balance.EndpointID) string) []byte {
+func appendStream(b []byte, start time.Time, l *stream.Record, name func(balance.EndpointID) string) []byte {
 	req := l.Request
 	b = ms(key(begin(b, kindStream), "t"), req.Arrived.Sub(start))
 	b = text(key(b, "class"), req.ClassName)
 	b = ms(key(b, "left"), req.Deadline.Sub(req.Arrived))
-	if req.Repeated {
+	if req.ClientRetry {
 		b = append(key(b, "again"), "true"...)
 	}
 	b = number(b, "body", int64(len(req.Body)))
@@ -120,16 +120,16 @@
 		} else {
 			b = append(b, ',')
 		}
-		b = text(append(b, '['), name(a.Host))
-		b = ms(append(b, ','), a.Began.Sub(req.Arrived))
-		b = ms(append(b, ','), a.Ended.Sub(a.Began))
+		b = text(append(b, '['), name(a.Endpoint))
+		b = ms(append(b, ','), a.StartedAt.Sub(req.Arrived))
+		b = ms(append(b, ','), a.EndedAt.Sub(a.StartedAt))
 		b = append(text(append(b, ','), statuses[a.Status]), ']')
 	}
 	if len(l.Attempts) > 0 {
 		b = append(b, ']')
 	}
 	b = text(key(b, "end"), outcomes[l.Response.Outcome])
-	b = ms(key(b, "after"), l.Answered.Sub(req.Arrived))
+	b = ms(key(b, "after"), l.AnsweredAt.Sub(req.Arrived))
 	if l.Response.RetryAfter > 0 {
 		b = ms(key(b, "retry_after"), l.Response.RetryAfter)
 	}
--- a/internal/accesslog/record.go
+++ b/internal/accesslog/record.go
@@ -109,9 +109,9 @@
 }
 
 // outcomes are the words for stream.Outcome.
-var outcomes = [...]string{stream.Served: "served", stream.Refused: "refused", stream.Failed: "failed",
-	stream.Expired: "expired", stream.Gone: "gone", stream.Rejected: "rejected", stream.Duplicate: "duplicate",
-	stream.Unanswered: "unanswered", stream.Looped: "looped"}
+var outcomes = [...]string{stream.Served: "served", stream.RejectedLocally: "refused", stream.Failed: "failed",
+	stream.DeadlineExceeded: "expired", stream.ClientGone: "gone", stream.InvalidRequest: "rejected", stream.Duplicate: "duplicate",
+	stream.Oneway: "unanswered", stream.LoopDetected: "looped"}
 
 // statuses are the words for balance.Status.
 var statuses = [...]string{balance.OK: "ok", balance.Error: "error", balance.Rejected: "full", balance.Timeout: "timeout",
--- a/internal/accesslog/record_test.go
+++ b/internal/accesslog/record_test.go
@@ -40,12 +40,12 @@
 }
 
 // life is a stream that came after that much time, and had two attempts.
-func life(r *Recorder, at time.Duration) *stream.Life {
+func life(r *Recorder, at time.Duration) *stream.Record {
 	from := r.start.Add(at)
-	return &stream.Life{Request: &stream.Request{ClassName: "look", Arrived: from, Deadline: from.Add(2 * time.Second)},
-		Response: stream.Response{Outcome: stream.Served}, Answered: from.Add(9 * time.Millisecond), Attempts: []stream.Attempt{
-			{Host: 1, Began: from.Add(300 * time.Microsecond), Ended: from.Add(30 * time.Millisecond), Status: balance.Cancelled},
-			{Host: 2, Began: from.Add(5 * time.Millisecond), Ended: from.Add(9 * time.Millisecond), Status: balance.OK}}}
+	return &stream.Record{Request: &stream.Request{ClassName: "look", Arrived: from, Deadline: from.Add(2 * time.Second)},
+		Response: stream.Response{Outcome: stream.Served}, AnsweredAt: from.Add(9 * time.Millisecond), Attempts: []stream.Attempt{
+			{Endpoint: 1, StartedAt: from.Add(300 * time.Microsecond), EndedAt: from.Add(30 * time.Millisecond), Status: balance.Cancelled},
+			{Endpoint: 2, StartedAt: from.Add(5 * time.Millisecond), EndedAt: from.Add(9 * time.Millisecond), Status: balance.OK}}}
 }
 
 func read(t *testing.T, text string) *Record {
@@ -104,8 +104,8 @@
 	r.Listed(balance.ListDelta, []cluster.Member{{ID: "s-1", Endpoint: 1, State: balance.Gone}})
 	plain := life(r, 1234567*time.Microsecond)
 	r.Ended(plain)
-	r.Ended(&stream.Life{Request: &stream.Request{ClassName: "b\"uy", Arrived: r.start, Deadline: r.start.Add(time.Second),
-		Repeated: true, Body: []byte("xyz")}, Answered: r.start, Response: stream.Response{Outcome: stream.Refused, RetryAfter: 250 * time.Millisecond}})
+	r.Ended(&stream.Record{Request: &stream.Request{ClassName: "b\"uy", Arrived: r.start, Deadline: r.start.Add(time.Second),
+		ClientRetry: true, Body: []byte("xyz")}, AnsweredAt: r.start, Response: stream.Response{Outcome: stream.RejectedLocally, RetryAfter: 250 * time.Millisecond}})
 	r.Start(zerolog.Nop())
 	log := zerolog.New(r.Log())
 	log.Info().Msg(`{"rec":"stream"`)
@@ -136,7 +136,7 @@
 	}
 	const tenth = 100 * time.Microsecond
 	want := []Stream{
-		{Class: 1, Left: time.Second, Repeated: true, Body: 3, End: stream.Refused, RetryAfter: 250 * time.Millisecond},
+		{Class: 1, Left: time.Second, Repeated: true, Body: 3, End: stream.RejectedLocally, RetryAfter: 250 * time.Millisecond},
 		{Arrival: 12346 * tenth, Left: 2 * time.Second, Answered: 90 * tenth, Attempts: []Attempt{
 			{"s-1", 3 * tenth, 297 * tenth, balance.Cancelled}, {"s\"2\x01", 50 * tenth, 40 * tenth, balance.OK}}},
 	}
--- a/internal/accesslog/recorder.go
+++ b/internal/accesslog/recorder.go
@@ -106,7 +106,7 @@
 }
 
 // Ended records a stream.
-func (r *Recorder) Ended(l *stream.Life) {
+func (r *Recorder) Ended(l *stream.Record) {
 	line := buffers.Get().(*[]byte)
 	r.mu.RLock()
 	*line = appendStream((*line)[:0], r.start, l, r.name)
--- a/internal/accesslog/write.go
+++ b/internal/accesslog/write.go
@@ -37,17 +37,17 @@
 }
 
 // life is a stream as it was observed; its attempts' hosts are their places.
-func (s *Stream) life(h *Header) *stream.Life {
+func (s *Stream) life(h *Header) *stream.Record {
 	arrived := h.Start.Add(s.Arrival)
-	l := &stream.Life{
-		Request: &stream.Request{ClassName: h.Settings.ClassNames[s.Class], Class: s.Class, Repeated: s.Repeated,
+	l := &stream.Record{
+		Request: &stream.Request{ClassName: h.Settings.ClassNames[s.Class], Class: s.Class, ClientRetry: s.Repeated,
 			Body: slices.Repeat([]byte{0}, s.Body), Arrived: arrived, Deadline: arrived.Add(s.Left)},
-		Response: stream.Response{Outcome: s.End, RetryAfter: s.RetryAfter}, Answered: arrived.Add(s.Answered),
+		Response: stream.Response{Outcome: s.End, RetryAfter: s.RetryAfter}, AnsweredAt: arrived.Add(s.Answered),
 	}
 	after := func(d time.Duration) time.Time { return arrived.Add(d) }
 	for i, a := range s.Attempts {
-		l.Attempts = append(l.Attempts, stream.Attempt{Host: balance.EndpointID(i), Began: after(a.Began),
-			Ended: after(a.Began + a.Took), Status: a.Status})
+		l.Attempts = append(l.Attempts, stream.Attempt{Endpoint: balance.EndpointID(i), StartedAt: after(a.Began),
+			EndedAt: after(a.Began + a.Took), Status: a.Status})
 	}
 	return l
 }
--- a/internal/daemon/audit_test.go
+++ b/internal/daemon/audit_test.go
@@ -190,7 +190,7 @@
 	w := newWorld(t, config.Audit{})
 	s := &seen{Book: w.book, got: map[attempt]int{}, of: w.table.Name}
 	var visits atomic.Int64
-	p := &stream.Proxy{Driver: w.eng, Trail: s, Log: zerolog.Nop(), Upstream: upstreamFunc(func() balance.Status {
+	p := &stream.Proxy{Driver: w.eng, AuditLog: s, Log: zerolog.Nop(), Upstream: upstreamFunc(func() balance.Status {
 		if visits.Add(1)%3 == 0 {
 			return balance.ConnectFailed
 		}
@@ -327,7 +327,7 @@
 	for _, on := range []bool{false, true} {
 		p := &stream.Proxy{Driver: w.eng, Log: zerolog.Nop(), Upstream: upstreamFunc(func() balance.Status { return balance.OK })}
 		if on {
-			p.Gate, p.Trail = w, w.book
+			p.Gate, p.AuditLog = w, w.book
 		}
 		measure(fmt.Sprint("stream/on=", on), func() {
 			p.Serve(context.Background(), &stream.Request{Txn: "a", Deadline: time.Now().Add(time.Minute)})
--- a/internal/daemon/retune.go
+++ b/internal/daemon/retune.go
@@ -121,7 +121,7 @@
 	t.pool.Guard(handshakeLimit(t.op.Fleet, &after))
 	t.side.Retune(&after)
 	if t.budget != nil {
-		t.budget.Retune(aims(&after))
+		t.budget.UpdateTargets(aims(&after))
 	}
 	if t.rec != nil { // before the first stream of a new class can end
 		t.rec.Retune(&told)
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -124,7 +124,7 @@
 		if op.State != nil && op.State.Journal {
 			part = journalPart
 		}
-		streams.Effects = inflight.New(int(memory / part / effectBytes))
+		streams.InFlight = inflight.New(int(memory / part / effectBytes))
 	}
 	if op.Budget != nil {
 		streams.Budget = stream.NewBudget(op.Budget.Accounts(set), cfg.Seed, aims(set), log)
@@ -136,18 +136,18 @@
 	if op.Thrift != nil {
 		overThrift = thriftProxy(op.Thrift, eng, pool, log)
 		overThrift.Budget = streams.Budget // one retry budget; a call carries nothing either way
-		overThrift.Effects = streams.Effects
+		overThrift.InFlight = streams.InFlight
 	}
 	if rec != nil {
-		streams.Observer, table.Observer, rec.Open = rec, rec, streams.Out
+		streams.Observer, table.Observer, rec.Open = rec, rec, streams.Active
 		if overThrift != nil {
 			overThrift.Observer = rec
-			rec.Open = func() int { return streams.Out() + overThrift.Out() }
+			rec.Open = func() int { return streams.Active() + overThrift.Active() }
 		}
 	}
 	tuned := &tuning{cfg: cfg, op: op, eng: eng, pool: pool, side: side, table: table, budget: streams.Budget, rec: rec,
 		reclass: []func(*config.Settings){srv.Reclass}, log: log}
-	next := &succession{classes: tuned.classes, inForce: tuned.handed, table: table, eng: eng, former: formerOf(cfg, log), effects: streams.Effects, log: log}
+	next := &succession{classes: tuned.classes, inForce: tuned.handed, table: table, eng: eng, former: formerOf(cfg, log), effects: streams.InFlight, log: log}
 	shares := &bounds{memory: memory, sockets: sockets, pool: pool, side: side, eng: eng}
 	if next.former != nil {
 		shares.beside(1) // before what it hands over, which is its part already
@@ -169,7 +169,7 @@
 		tuned.audited, next.audited, table.Versions = audit, audit, audit
 		for _, p := range []*stream.Proxy{streams, overThrift} {
 			if p != nil {
-				p.Gate, p.Trail = audit, audit.book
+				p.Gate, p.AuditLog = audit, audit.book
 			}
 		}
 		srv.Gate, pool.Sends = audit, audit.Sends
@@ -181,9 +181,9 @@
 	case known: // from none at all the decisions would take a wrong measure
 		table.Apply(balance.ListCached, cfg.Known)
 	}
-	streams.Promise = keep.begin()
+	streams.FlushJournal = keep.begin()
 	if overThrift != nil {
-		overThrift.Promise = streams.Promise
+		overThrift.FlushJournal = streams.FlushJournal
 	}
 	// Before anything listens: from then on the kernel accepts connections, which an end at once would reset.
 	ending, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
--- a/internal/downstream/message.go
+++ b/internal/downstream/message.go
@@ -76,7 +76,7 @@
 	room := s.Enter(here)
 	defer s.Leave()
 	res, bad := s.answer(w, r, at, room)
-	faulty := bad != nil || res.Outcome == stream.Rejected || res.Outcome == stream.Duplicate || res.Outcome == stream.Broken
+	faulty := bad != nil || res.Outcome == stream.InvalidRequest || res.Outcome == stream.Duplicate || res.Outcome == stream.BodyIncomplete
 	if faulty || s.Closing() { // what follows a faulty message need not be a message
 		w.Header().Set("Connection", "close")
 	}
@@ -93,7 +93,7 @@
 	var rest *paced
 	if !room {
 		if bad != nil { // there is no room to find fault with it either
-			return stream.Response{Outcome: stream.Refused}, nil
+			return stream.Response{Outcome: stream.RejectedLocally}, nil
 		}
 		return s.streams.Refuse(req), nil
 	}
@@ -114,7 +114,7 @@
 		return stream.Response{}, bad
 	}
 	if req.Upload != nil {
-		req.Deadline = time.Now().Add(stream.UploadMost)
+		req.Deadline = time.Now().Add(stream.MaxUploadTime)
 		res := s.serve(r, req)
 		if !rest.stop() { // what follows is not a message
 			w.Header().Set("Connection", "close")
@@ -162,8 +162,8 @@
 	}
 	req := &stream.Request{
 		Txn: h.Get("X-Txn"), ClassName: lane, Class: c.index, Operation: r.Method, Target: target(r), Authority: r.Host,
-		Key: h.Get("Idempotency-Key"), Repeated: h.Get("X-Resent") == "1", Labels: h.Get("X-Labels"),
-		Org: h.Get("X-Org"), MediaType: h.Get("Content-Type"), Baggage: strings.Join(h["Baggage"], ","),
+		Key: h.Get("Idempotency-Key"), ClientRetry: h.Get("X-Resent") == "1", Labels: h.Get("X-Labels"),
+		TenantName: h.Get("X-Org"), MediaType: h.Get("Content-Type"), Baggage: strings.Join(h["Baggage"], ","),
 	}
 	left, err := strconv.ParseUint(h.Get("X-Remaining-Ms"), 10, 32)
 	method, keyed := http.MethodPost, c.effect == balance.IdempotentByKey
@@ -187,15 +187,15 @@
 	case c.effect == balance.Idempotent && r.ContentLength > 0:
 		return nil, bodyless
 	}
-	req.Tenant = (*s.tenants.Load())[req.Org]
-	if !isPlain(req.Org, true) { // a name that only the settings can read
-		req.Org = ""
+	req.Tenant = (*s.tenants.Load())[req.TenantName]
+	if !isPlain(req.TenantName, true) { // a name that only the settings can read
+		req.TenantName = ""
 	}
 	if !isPlain(req.Baggage, true) { // nobody's concern but ours: no reason to turn the request away
 		req.Baggage = ""
 	}
 	if own, ok := r.Context().Value(callerKey{}).(*caller); ok {
-		req.Left = own.left
+		req.ClientGone = own.left
 	}
 	req.Arrived = at // for now
 	// An answer within the class's deadline is in time for every client, however long it says it waits.
@@ -325,7 +325,7 @@
 
 // encode writes a stream's final answer.
 func encode(w http.ResponseWriter, r *http.Request, res stream.Response) {
-	if t := res.Tried.String(); t != "" {
+	if t := res.Report.String(); t != "" {
 		w.Header().Set(budget.ReportHeader, t)
 	}
 	switch res.Outcome {
@@ -340,20 +340,20 @@
 		}
 		h.Set("Content-Length", strconv.Itoa(len(res.Body)))
 		_, _ = w.Write(res.Body) // an error here is the client's leaving
-	case stream.Refused:
+	case stream.RejectedLocally:
 		if res.RetryAfter > 0 {
 			w.Header().Set("Retry-After", strconv.FormatFloat(res.RetryAfter.Seconds(), 'f', 3, 64))
 		}
 		say(w, http.StatusServiceUnavailable, "")
-	case stream.Rejected:
+	case stream.InvalidRequest:
 		say(w, http.StatusBadRequest, "an upstream host finds fault with the request")
-	case stream.Broken:
+	case stream.BodyIncomplete:
 		say(w, http.StatusBadRequest, "the body is cut off")
 	case stream.Duplicate:
 		say(w, http.StatusConflict, "a request of this id is under way")
-	case stream.Looped:
+	case stream.LoopDetected:
 		say(w, http.StatusLoopDetected, "loop: "+res.Loop)
-	case stream.Expired:
+	case stream.DeadlineExceeded:
 		say(w, http.StatusGatewayTimeout, "")
 	default: // failed, or nobody is there to read it
 		say(w, http.StatusBadGateway, "")
--- a/internal/downstream/reclass_test.go
+++ b/internal/downstream/reclass_test.go
@@ -78,8 +78,8 @@
 			r.Header.Add("X-Org", org)
 		}
 		w := httptest.NewRecorder()
-		if s.ServeHTTP(w, r); w.Code != c.code || got.Tenant != c.want || got.Org != c.on {
-			t.Errorf("%q: %d, tenant %d, %q goes on; want %d, %d, %q", c.orgs, w.Code, got.Tenant, got.Org, c.code, c.want, c.on)
+		if s.ServeHTTP(w, r); w.Code != c.code || got.Tenant != c.want || got.TenantName != c.on {
+			t.Errorf("%q: %d, tenant %d, %q goes on; want %d, %d, %q", c.orgs, w.Code, got.Tenant, got.TenantName, c.code, c.want, c.on)
 		}
 	}
 }
--- a/internal/downstream/server_test.go
+++ b/internal/downstream/server_test.go
@@ -29,7 +29,7 @@
 }
 
 func (f handlerFunc) Refuse(*stream.Request) stream.Response {
-	return stream.Response{Outcome: stream.Refused}
+	return stream.Response{Outcome: stream.RejectedLocally}
 }
 
 func newServer(h handlerFunc) *Server {
@@ -137,7 +137,7 @@
 	}
 	got.Arrived, got.Deadline = time.Time{}, time.Time{}
 	want := stream.Request{Txn: "9b1f", ClassName: "order", Class: 1, Operation: "POST", Target: "/order/7?a=%20b",
-		Authority: "example.com", Key: "k1", Repeated: true, Labels: "n=1", MediaType: "text/csv", Body: []byte(body)}
+		Authority: "example.com", Key: "k1", ClientRetry: true, Labels: "n=1", MediaType: "text/csv", Body: []byte(body)}
 	if !reflect.DeepEqual(got, want) {
 		got.Body, want.Body = nil, nil
 		t.Errorf("got  %+v\nwant %+v, or another body", got, want)
@@ -153,11 +153,11 @@
 	}{
 		{stream.Response{Outcome: stream.Served, Body: []byte("\x00\r\n"), MediaType: "a/b"}, 200, ""},
 		{stream.Response{Outcome: stream.Served}, 200, ""},
-		{stream.Response{Outcome: stream.Refused, RetryAfter: 300 * time.Millisecond}, 503, "0.300"},
-		{stream.Response{Outcome: stream.Refused}, 503, ""},
+		{stream.Response{Outcome: stream.RejectedLocally, RetryAfter: 300 * time.Millisecond}, 503, "0.300"},
+		{stream.Response{Outcome: stream.RejectedLocally}, 503, ""},
 		{stream.Response{Outcome: stream.Failed}, 502, ""},
-		{stream.Response{Outcome: stream.Expired}, 504, ""},
-		{stream.Response{Outcome: stream.Rejected}, 400, ""},
+		{stream.Response{Outcome: stream.DeadlineExceeded}, 504, ""},
+		{stream.Response{Outcome: stream.InvalidRequest}, 400, ""},
 		{stream.Response{Outcome: stream.Duplicate}, 409, ""},
 	} {
 		w := httptest.NewRecorder()
@@ -213,7 +213,7 @@
 
 func (r *refusals) Refuse(req *stream.Request) stream.Response {
 	r.told = append(r.told, req.Target)
-	return stream.Response{Outcome: stream.Refused}
+	return stream.Response{Outcome: stream.RejectedLocally}
 }
 
 // Guards against refusals that callers see and that nobody is told of, and against faulty messages among them.
@@ -314,7 +314,7 @@
 		if req.Target == "/look/slow" {
 			held <- struct{}{}
 			<-ctx.Done()
-			return stream.Response{Outcome: stream.Gone}
+			return stream.Response{Outcome: stream.ClientGone}
 		}
 		return stream.Response{Body: []byte("whole")}
 	})
@@ -555,7 +555,7 @@
 	s := newServer(func(ctx context.Context, _ *stream.Request) stream.Response {
 		select {
 		case <-ctx.Done():
-			return stream.Response{Outcome: stream.Gone}
+			return stream.Response{Outcome: stream.ClientGone}
 		case <-time.After(ReadWithin + 200*time.Millisecond): // the time itself is what is tested
 			return stream.Response{}
 		}
--- a/internal/downstream/thrift/call.go
+++ b/internal/downstream/thrift/call.go
@@ -101,10 +101,10 @@
 // name alone where that was multiplexed, as Thrift's own servers do.
 func encode(h thriftwire.Head, res stream.Response) []byte {
 	h.Kind = thriftwire.Reply
-	if res.Outcome == stream.Rejected {
+	if res.Outcome == stream.InvalidRequest {
 		h.Kind = thriftwire.Exception
 	}
-	if res.Outcome == stream.Served || res.Outcome == stream.Rejected && len(res.Body) > 0 {
+	if res.Outcome == stream.Served || res.Outcome == stream.InvalidRequest && len(res.Body) > 0 {
 		_, h.Name = h.Method()
 		return thriftwire.Append(make([]byte, 0, headRoom+len(h.Name)+len(res.Body)), h, res.Body)
 	}
@@ -122,17 +122,17 @@
 // localReply words an end that no upstream host's answer was.
 func localReply(res stream.Response) thriftwire.ApplicationException {
 	switch res.Outcome {
-	case stream.Refused:
+	case stream.RejectedLocally:
 		if res.RetryAfter > 0 {
 			return thriftwire.ApplicationException{Type: typeRefused,
 				Message: fmt.Sprintf("pinelb: refused; retry after %.3f s", res.RetryAfter.Seconds())}
 		}
 		return thriftwire.ApplicationException{Type: typeRefused, Message: "pinelb: refused"}
-	case stream.Rejected:
+	case stream.InvalidRequest:
 		return thriftwire.ApplicationException{Type: typeRejected, Message: "pinelb: rejected; an upstream host finds fault with the call"}
 	case stream.Duplicate:
 		return thriftwire.ApplicationException{Type: typeDuplicate, Message: "pinelb: duplicate; a call of this id is under way"}
-	case stream.Expired:
+	case stream.DeadlineExceeded:
 		return thriftwire.ApplicationException{Type: typeExpired, Message: "pinelb: out of time; it may have run"}
 	}
 	// Failed, or nobody is there to read it.
@@ -155,7 +155,7 @@
 	defer func() {
 		if fault := recover(); fault != nil {
 			s.log.Error().Interface("panic", fault).Msg("stream failed")
-			res = stream.Response{Outcome: stream.Refused}
+			res = stream.Response{Outcome: stream.RejectedLocally}
 		}
 	}()
 	return s.streams.Refuse(req)
--- a/internal/downstream/thrift/conn.go
+++ b/internal/downstream/thrift/conn.go
@@ -168,7 +168,7 @@
 		req.Body = append(make([]byte, 0, len(m.Body)), m.Body...)
 		ctx := side.Life() // a oneway's client waits for nothing
 		if k != nil {
-			ctx, req.Left = c.ctx, c.left
+			ctx, req.ClientGone = c.ctx, c.left
 		}
 		go func() {
 			res := c.s.serve(ctx, req)
@@ -183,7 +183,7 @@
 	case bad == nil:
 		c.end(k, encode(head, c.s.refuse(req)))
 	case !room: // nor is there any to find fault with it
-		c.end(k, encode(head, stream.Response{Outcome: stream.Refused}))
+		c.end(k, encode(head, stream.Response{Outcome: stream.RejectedLocally}))
 	default:
 		c.end(k, exception(head, *bad))
 	}
--- a/internal/downstream/thrift/server_test.go
+++ b/internal/downstream/thrift/server_test.go
@@ -75,7 +75,7 @@
 	if f.refused <- req.Target; req.Target == "bug:look" {
 		panic("bug")
 	}
-	return stream.Response{Outcome: stream.Refused}
+	return stream.Response{Outcome: stream.RejectedLocally}
 }
 
 func start(t *testing.T, text string, held int, bodies int64) *front {
@@ -189,7 +189,7 @@
 				t.Errorf("the stream is %+v", s.Request)
 			}
 		}
-		slow.answer <- stream.Response{Outcome: stream.Refused, RetryAfter: 350 * time.Millisecond}
+		slow.answer <- stream.Response{Outcome: stream.RejectedLocally, RetryAfter: 350 * time.Millisecond}
 		if e := c.fault(); e.Type != 100 || !strings.HasSuffix(e.Message, "; retry after 0.350 s") {
 			t.Errorf("%+v", e)
 		}
@@ -208,8 +208,8 @@
 	defer f.stop()
 	form := forms[1]
 	c := f.dial()
-	for outcome, want := range map[stream.Outcome]int32{stream.Refused: 100, stream.Failed: 101, stream.Gone: 101, bug: 101, stream.Expired: 102,
-		stream.Duplicate: 103, stream.Rejected: 104} {
+	for outcome, want := range map[stream.Outcome]int32{stream.RejectedLocally: 100, stream.Failed: 101, stream.ClientGone: 101, bug: 101, stream.DeadlineExceeded: 102,
+		stream.Duplicate: 103, stream.InvalidRequest: 104} {
 		_, _ = c.Write(message(form, thriftwire.Call, "look", 5))
 		(<-f.streams).answer <- stream.Response{Outcome: outcome}
 		if e := c.fault(); e.Type != want {
@@ -284,7 +284,7 @@
 			c.Close()
 		}
 		<-s.ctx.Done()
-		s.answer <- stream.Response{Outcome: stream.Gone}
+		s.answer <- stream.Response{Outcome: stream.ClientGone}
 		for _, n := range notes {
 			if n.Operation != "oneway" || n.ctx.Err() != nil {
 				t.Errorf("a oneway is a %s, and its context says %v", n.Operation, n.ctx.Err())
--- a/internal/downstream/upload_test.go
+++ b/internal/downstream/upload_test.go
@@ -55,7 +55,7 @@
 			}
 			got <- string(req.Body) + string(rest)
 			if err != nil {
-				return stream.Response{Outcome: stream.Broken}
+				return stream.Response{Outcome: stream.BodyIncomplete}
 			}
 			return stream.Response{Body: []byte("ok")}
 		})
@@ -89,7 +89,7 @@
 			_, _ = req.Upload.Read(b) // nothing more comes
 		}()
 		<-reading
-		return stream.Response{Outcome: stream.Refused}
+		return stream.Response{Outcome: stream.RejectedLocally}
 	})
 	conn, in := dial(t, addr)
 	defer conn.Close()
--- a/internal/lab/calibration/arrivals.go
+++ b/internal/lab/calibration/arrivals.go
@@ -62,7 +62,7 @@
 				return nil, fmt.Errorf("rehearse: the record names the class %q, which the scenario lacks", name)
 			}
 			a := plan.Arrival{At: offset + st.Arrival, Class: class, Left: st.Left, Repeated: st.Repeated}
-			if a.Leaves = leaves.after(st, rng); st.End == stream.Gone {
+			if a.Leaves = leaves.after(st, rng); st.End == stream.ClientGone {
 				a.Leaves = st.Answered
 			}
 			if a.Leaves >= st.Left { // its time is up by then
@@ -91,7 +91,7 @@
 			for step := range out {
 				waited[step] += min(max(part-float64(step), 0), 1)
 			}
-			if step := int(part); s.End == stream.Gone && step < leaveSteps {
+			if step := int(part); s.End == stream.ClientGone && step < leaveSteps {
 				left[step]++
 			}
 		}
--- a/internal/lab/calibration/calibrate.go
+++ b/internal/lab/calibration/calibrate.go
@@ -193,9 +193,9 @@
 		switch {
 		case s.end == stream.Served:
 			end = b2i(s.after > v.settings.Classes[s.class].TargetLatency)
-		case s.end == stream.Refused:
+		case s.end == stream.RejectedLocally:
 			end = 2
-		case s.end == stream.Gone:
+		case s.end == stream.ClientGone:
 			continue
 		}
 		k.ends[int(s.at/cell)*4+end]++
--- a/internal/lab/calibration/counts.go
+++ b/internal/lab/calibration/counts.go
@@ -47,9 +47,9 @@
 				} else {
 					n.Late++
 				}
-			case stream.Refused:
+			case stream.RejectedLocally:
 				n.Refused++
-			case stream.Gone:
+			case stream.ClientGone:
 				n.Gone++
 			default:
 				n.Failed++
--- a/internal/lab/calibration/virtual.go
+++ b/internal/lab/calibration/virtual.go
@@ -83,11 +83,11 @@
 	case s.Status == trace.Served:
 		return stream.Served
 	case s.Status == trace.Refused:
-		return stream.Refused
+		return stream.RejectedLocally
 	case s.Status == trace.Gone:
-		return stream.Gone
+		return stream.ClientGone
 	case s.Code == 504:
-		return stream.Expired
+		return stream.DeadlineExceeded
 	}
 	return stream.Failed
 }
--- a/internal/stream/budget_test.go
+++ b/internal/stream/budget_test.go
@@ -15,13 +15,13 @@
 )
 
 // carrier is an upstream side that keeps what each attempt took along.
-type carrier struct {
+type recordingUpstream struct {
 	mu      sync.Mutex
 	carried []string
 	answer  func(n int) (balance.Status, Response)
 }
 
-func (c *carrier) Do(_ context.Context, _ balance.EndpointID, _ time.Time, req *Request) (balance.Status, Response) {
+func (c *recordingUpstream) Do(_ context.Context, _ balance.EndpointID, _ time.Time, req *Request) (balance.Status, Response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.carried = append(c.carried, req.Baggage)
@@ -29,9 +29,9 @@
 }
 
 // budgeted is a proxy that keeps accounts before a service.
-func budgeted(t *testing.T, s budget.Settings, log *bytes.Buffer, answer func(n int) (balance.Status, Response)) (*Proxy, *carrier) {
+func newBudgetedProxy(t *testing.T, s budget.Settings, log *bytes.Buffer, answer func(n int) (balance.Status, Response)) (*Proxy, *recordingUpstream) {
 	p := newProxy(t, 8, nil)
-	c := &carrier{answer: answer}
+	c := &recordingUpstream{answer: answer}
 	p.Upstream = c
 	if s.Service != "" {
 		p.Budget = NewBudget(s, 1, []time.Duration{time.Minute, time.Minute}, zerolog.New(log))
@@ -43,7 +43,7 @@
 
 // Guards against a caller's word being passed on where nobody reads it, or believed at the edge; and against attempts
 // beyond what was granted.
-func TestBudgetGoesDown(t *testing.T) {
+func TestBudgetPropagates(t *testing.T) {
 	forged := (&budget.Grant{PoolID: 1, Extra: budget.MaxExtra, ValueShare: 1}).Join("user=7")
 	for _, c := range []struct {
 		name     string
@@ -55,49 +55,49 @@
 		{"edge", budget.Settings{Service: "front", Edge: true, Instances: 1, MaxExtra: 1}, 2, "user=7,pinelb=1."},
 		{"behind, granted", budget.Settings{Service: "back", Leaf: true, Instances: 1, MaxExtra: 1}, 4, "user=7,pinelb=1."},
 	} {
-		p, up := budgeted(t, c.settings, nil, fails)
+		p, up := newBudgetedProxy(t, c.settings, nil, fails)
 		req := request(0, time.Minute)
 		req.Txn, req.Baggage = "a", forged
 		res := p.Serve(context.Background(), req)
 		if len(up.carried) != c.attempts || !strings.HasPrefix(up.carried[0], c.carried) || c.carried == "" && up.carried[0] != "" {
 			t.Errorf("%s: %d attempts that carry %q", c.name, len(up.carried), up.carried)
 		}
-		if res.Tried.Known != (c.carried != "") {
-			t.Errorf("%s: the answer says %+v", c.name, res.Tried)
+		if res.Report.Known != (c.carried != "") {
+			t.Errorf("%s: the answer says %+v", c.name, res.Report)
 		}
 	}
 }
 
 // Guards against a trouble being tried again at every tier, and against unused attempts being lost.
-func TestTriedBelowIsNotTriedAgain(t *testing.T) {
+func TestRetriedBelowIsNotRetried(t *testing.T) {
 	set := budget.Settings{Service: "front", Edge: true, Instances: 1, MaxExtra: 4}
-	p, up := budgeted(t, set, nil, func(int) (balance.Status, Response) {
-		return balance.Error, Response{Outcome: Failed, Tried: budget.AttemptReport{Known: true, Extra: 1}}
+	p, up := newBudgetedProxy(t, set, nil, func(int) (balance.Status, Response) {
+		return balance.Error, Response{Outcome: Failed, Report: budget.AttemptReport{Known: true, Extra: 1}}
 	})
 	res := p.Serve(context.Background(), request(0, time.Minute))
-	if len(up.carried) != 1 || res.Outcome == Served || res.Tried != (budget.AttemptReport{Known: true, Extra: 1}) {
+	if len(up.carried) != 1 || res.Outcome == Served || res.Report != (budget.AttemptReport{Known: true, Extra: 1}) {
 		t.Errorf("%d attempts, %+v", len(up.carried), res)
 	}
-	p, up = budgeted(t, set, nil, func(n int) (balance.Status, Response) {
+	p, up = newBudgetedProxy(t, set, nil, func(n int) (balance.Status, Response) {
 		if n == 1 {
 			return fails(n)
 		}
-		return balance.OK, Response{Outcome: Served, Tried: budget.AttemptReport{Known: true}}
+		return balance.OK, Response{Outcome: Served, Report: budget.AttemptReport{Known: true}}
 	})
 	res = p.Serve(context.Background(), request(0, time.Minute))
-	if res.Outcome != Served || len(up.carried) != 2 || res.Tried.Extra != 4 { // the first took three along and said nothing
+	if res.Outcome != Served || len(up.carried) != 2 || res.Report.Extra != 4 { // the first took three along and said nothing
 		t.Errorf("%d attempts, %+v", len(up.carried), res)
 	}
 }
 
 // Guards against a request going round, and a log line for each.
-func TestLoopEnds(t *testing.T) {
+func TestLoopDetected(t *testing.T) {
 	var log bytes.Buffer
-	p, up := budgeted(t, budget.Settings{Service: "b", Instances: 1, MaxExtra: 2}, &log, fails)
+	p, up := newBudgetedProxy(t, budget.Settings{Service: "b", Instances: 1, MaxExtra: 2}, &log, fails)
 	for range 3 {
 		req := request(0, time.Minute)
 		req.Baggage = (&budget.Grant{PoolID: 1, Extra: 2, ValueShare: 1, Path: []string{"a", "b", "c"}}).Join("")
-		if res := p.Serve(context.Background(), req); res.Outcome != Looped || res.Loop != "a > b > c > b" || !res.Tried.Known {
+		if res := p.Serve(context.Background(), req); res.Outcome != LoopDetected || res.Loop != "a > b > c > b" || !res.Report.Known {
 			t.Errorf("%+v", res)
 		}
 	}
--- a/internal/stream/gate.go
+++ b/internal/stream/gate.go
@@ -14,11 +14,11 @@
 	Sends() bool
 }
 
-// Trail is told of each attempt when it begins, and when it ends, on the streams' own time and by many goroutines at once.
+// AuditLog is told of each attempt when it begins, and when it ends, on the streams' own time and by many goroutines at once.
 // Under is the number of the version by which it was decided.
-type Trail interface {
+type AuditLog interface {
 	// Sent counts an attempt in. It has crossed if its stream's first attempt was decided under another number.
 	Sent(under uint32, class int, host balance.EndpointID, crossed bool)
-	// Ended tells of one that it never reached its host, or has left it: it was withdrawn, and the host may not have seen it.
+	// EndedAt tells of one that it never reached its host, or has left it: it was withdrawn, and the host may not have seen it.
 	Ended(under uint32, class int, host balance.EndpointID, never, left bool)
 }
--- a/internal/stream/left_test.go
+++ b/internal/stream/left_test.go
@@ -13,7 +13,7 @@
 
 // Guards against a request that is sent on for a client that has left, where its front did not notice: a look at the
 // connection is all that tells. Each case says when that begins to tell it.
-func TestLeftUnseen(t *testing.T) {
+func TestClientGoneUnnoticed(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		class  int
@@ -48,16 +48,16 @@
 				defer leave()
 				from := time.Now()
 				req := request(c.class, time.Minute)
-				req.Left = func() bool { return left.Load() || c.after > 0 && time.Since(from) >= c.after }
+				req.ClientGone = func() bool { return left.Load() || c.after > 0 && time.Since(from) >= c.after }
 				res := p.Serve(client, req)
-				if res.Outcome != Gone || len(visits) != len(c.status) {
+				if res.Outcome != ClientGone || len(visits) != len(c.status) {
 					t.Errorf("outcome %d after %d visits, want gone after %d", res.Outcome, len(visits), len(c.status))
 				}
 				if took := time.Since(from) - c.after; took > 200*time.Millisecond {
 					t.Errorf("it is held for %v after the leave", took)
 				}
 				synctest.Wait()
-				if n := p.Out(); n != 0 {
+				if n := p.Active(); n != 0 {
 					t.Errorf("%d streams are kept", n)
 				}
 			})
@@ -67,25 +67,25 @@
 
 // Guards against an attempt that still waits for its connection going out for a stream that is over, where the settings
 // let nothing be withdrawn.
-func TestOverIsUnwanted(t *testing.T) {
+func TestClientNotWaitingAfterEnd(t *testing.T) {
 	waits, over := make(chan *Request, 1), make(chan struct{})
 	wanted := make(chan bool, 1)
-	p := &Proxy{uses: map[string]use{}, Upstream: doFunc(func(_ context.Context, req *Request) (balance.Status, Response) {
+	p := &Proxy{active: map[string]activeStream{}, Upstream: contextUpstream(func(_ context.Context, req *Request) (balance.Status, Response) {
 		waits <- req
 		<-over
-		wanted <- req.Wanted()
+		wanted <- req.ClientWaiting()
 		return balance.NotSent, Response{}
 	})}
-	sent := &mute{sends: make(chan driver.Send, 1), sent: true}
+	sent := &unresponsiveStream{sends: make(chan driver.Send, 1), sent: true}
 	sent.sends <- driver.Send{}
 	client, leave := context.WithCancel(context.Background())
 	go func() {
-		if !(<-waits).Wanted() {
+		if !(<-waits).ClientWaiting() {
 			t.Error("it is not wanted while its client waits")
 		}
 		leave()
 	}()
-	p.live(client, sent, request(1, time.Minute), &unbound)
+	p.run(client, sent, request(1, time.Minute), &unlimited)
 	close(over)
 	if <-wanted {
 		t.Error("it is wanted although the stream is over")
@@ -94,47 +94,47 @@
 
 // Guards against the last look before an attempt's first byte being spared where its client may have left since the one before,
 // and against one where the client was there a moment ago: looks cost calls to the kernel.
-func TestStillWanted(t *testing.T) {
+func TestClientRecentlyWaiting(t *testing.T) {
 	for _, c := range []struct {
 		waits time.Duration // of the attempt, for its connection
 		looks int64
 		want  bool
-	}{{0, 1, true}, {lookLasts, 1, true}, {lookLasts + time.Nanosecond, 2, false}, {time.Second, 2, false}} {
+	}{{0, 1, true}, {clientCheckValidity, 1, true}, {clientCheckValidity + time.Nanosecond, 2, false}, {time.Second, 2, false}} {
 		synctest.Test(t, func(t *testing.T) {
 			var looks atomic.Int64
 			req := request(1, time.Minute)
-			req.Left = func() bool { return looks.Add(1) > 1 } // it leaves after the first
+			req.ClientGone = func() bool { return looks.Add(1) > 1 } // it leaves after the first
 			asked := make(chan struct{})
-			p := &Proxy{uses: map[string]use{}, Upstream: doFunc(func(_ context.Context, req *Request) (balance.Status, Response) {
+			p := &Proxy{active: map[string]activeStream{}, Upstream: contextUpstream(func(_ context.Context, req *Request) (balance.Status, Response) {
 				defer close(asked)
 				time.Sleep(c.waits)
-				if got := req.StillWanted(); got != c.want || looks.Load() != c.looks {
+				if got := req.ClientRecentlyWaiting(); got != c.want || looks.Load() != c.looks {
 					t.Errorf("after %v it is wanted: %v after %d looks, want %v after %d", c.waits, got, looks.Load(), c.want, c.looks)
 				}
 				return balance.OK, Response{}
 			})}
-			sent := &mute{sends: make(chan driver.Send, 1), sent: true}
+			sent := &unresponsiveStream{sends: make(chan driver.Send, 1), sent: true}
 			sent.sends <- driver.Send{}
-			p.live(t.Context(), sent, req, &unbound)
+			p.run(t.Context(), sent, req, &unlimited)
 			<-asked
 		})
 	}
 }
 
-type doFunc func(ctx context.Context, req *Request) (balance.Status, Response)
+type contextUpstream func(ctx context.Context, req *Request) (balance.Status, Response)
 
-func (f doFunc) Do(ctx context.Context, _ balance.EndpointID, _ time.Time, req *Request) (balance.Status, Response) {
+func (f contextUpstream) Do(ctx context.Context, _ balance.EndpointID, _ time.Time, req *Request) (balance.Status, Response) {
 	return f(ctx, req)
 }
 
-// decidedFirst is a stream whose final answer was decided as its client, or all, came to its end.
-type decidedFirst struct {
-	mute
+// answeredStream is a stream whose final answer was decided as its client, or all, came to its end.
+type answeredStream struct {
+	unresponsiveStream
 	verdict chan driver.LocalReply
 }
 
-func (d *decidedFirst) LocalReply() <-chan driver.LocalReply { return d.verdict }
-func (d *decidedFirst) Abandon() (ended, sent bool) {
+func (d *answeredStream) LocalReply() <-chan driver.LocalReply { return d.verdict }
+func (d *answeredStream) Abandon() (ended, sent bool) {
 	select {
 	case d.verdict <- driver.LocalReply{Rejected: true}:
 	default:
@@ -143,11 +143,11 @@
 }
 
 // Guards against an answer that is thrown away because all ends in the same moment: the client may still be there.
-func TestAnswerBeforeTheEnd(t *testing.T) {
+func TestAnswerBeforeEnd(t *testing.T) {
 	ended, end := context.WithCancel(context.Background())
 	end()
-	s := &decidedFirst{verdict: make(chan driver.LocalReply, 1)}
-	if res := (&Proxy{uses: map[string]use{}}).live(ended, s, request(1, time.Minute), &unbound); res.Outcome != Refused {
+	s := &answeredStream{verdict: make(chan driver.LocalReply, 1)}
+	if res := (&Proxy{active: map[string]activeStream{}}).run(ended, s, request(1, time.Minute), &unlimited); res.Outcome != RejectedLocally {
 		t.Errorf("outcome %d, want the answer that was first", res.Outcome)
 	}
 }
--- a/internal/stream/stream_test.go
+++ b/internal/stream/stream_test.go
@@ -90,10 +90,10 @@
 	visits := 0
 	p := newProxy(t, 3, func(_ context.Context, _ balance.EndpointID) (balance.Status, Response) {
 		visits++
-		return balance.Cancelled, Response{Outcome: Rejected}
+		return balance.Cancelled, Response{Outcome: InvalidRequest}
 	})
 	for i := range 20 {
-		if res := p.Serve(context.Background(), request(0, time.Minute)); res.Outcome != Rejected || visits != i+1 {
+		if res := p.Serve(context.Background(), request(0, time.Minute)); res.Outcome != InvalidRequest || visits != i+1 {
 			t.Fatalf("request %d: outcome %d after %d visits, want rejected after one", i, res.Outcome, visits-i)
 		}
 	}
@@ -141,8 +141,8 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.uses) > 1 {
-		t.Errorf("%d ids are kept", len(p.uses))
+	if len(p.active) > 1 {
+		t.Errorf("%d ids are kept", len(p.active))
 	}
 }
 
@@ -164,37 +164,37 @@
 		close(withdrawn)
 		return balance.Cancelled, Response{}
 	})
-	if res := p.Serve(client, request(0, time.Minute)); res.Outcome != Gone {
+	if res := p.Serve(client, request(0, time.Minute)); res.Outcome != ClientGone {
 		t.Errorf("outcome %d, want gone", res.Outcome)
 	}
 	<-withdrawn
 }
 
 // mute is a stream of which the decisions never say another word.
-type mute struct {
+type unresponsiveStream struct {
 	sends  chan driver.Send
 	sent   bool
 	closed bool
 }
 
-func (m *mute) Sends() <-chan driver.Send              { return m.sends }
-func (m *mute) LocalReply() <-chan driver.LocalReply   { return nil }
-func (m *mute) ReportOutcome(int, driver.Outcome) bool { return false }
-func (m *mute) Abandon() (ended, sent bool)            { return true, m.sent }
-func (m *mute) UploadDone()                            {}
-func (m *mute) Close()                                 { m.closed = true }
+func (m *unresponsiveStream) Sends() <-chan driver.Send              { return m.sends }
+func (m *unresponsiveStream) LocalReply() <-chan driver.LocalReply   { return nil }
+func (m *unresponsiveStream) ReportOutcome(int, driver.Outcome) bool { return false }
+func (m *unresponsiveStream) Abandon() (ended, sent bool)            { return true, m.sent }
+func (m *unresponsiveStream) UploadDone()                            {}
+func (m *unresponsiveStream) Close()                                 { m.closed = true }
 
 // Guards against a stream without an answer where the decisions fail to end it: its deadline does.
 func TestWatchdog(t *testing.T) {
-	p := &Proxy{uses: map[string]use{}, Upstream: upstreamFunc(func(context.Context, balance.EndpointID) (balance.Status, Response) {
+	p := &Proxy{active: map[string]activeStream{}, Upstream: upstreamFunc(func(context.Context, balance.EndpointID) (balance.Status, Response) {
 		return balance.Timeout, Response{}
 	})}
-	sent := &mute{sends: make(chan driver.Send, 1), sent: true}
+	sent := &unresponsiveStream{sends: make(chan driver.Send, 1), sent: true}
 	sent.sends <- driver.Send{}
-	if res := p.live(context.Background(), sent, request(0, 100*time.Millisecond), &unbound); res.Outcome != Expired || !sent.closed {
+	if res := p.run(context.Background(), sent, request(0, 100*time.Millisecond), &unlimited); res.Outcome != DeadlineExceeded || !sent.closed {
 		t.Errorf("outcome %d, closed %v; want expired and closed", res.Outcome, sent.closed)
 	}
-	if res := p.live(context.Background(), &mute{}, request(0, 0), &unbound); res.Outcome != Refused {
+	if res := p.run(context.Background(), &unresponsiveStream{}, request(0, 0), &unlimited); res.Outcome != RejectedLocally {
 		t.Errorf("outcome %d, want refused: it was never sent", res.Outcome)
 	}
 }
--- a/internal/stream/upload.go
+++ b/internal/stream/upload.go
@@ -7,48 +7,48 @@
 	"time"
 )
 
-// UploadMost is how long a body may come at most; its front gives it up sooner where it stands still.
-const UploadMost = 20 * time.Minute
+// MaxUploadTime is how long a body may come at most; its front gives it up sooner where it stands still.
+const MaxUploadTime = 20 * time.Minute
 
 // Upload is the part of a request's body that still comes when the request is passed on. Its bytes are gone once they have
 // been read, so that the request can't be sent again from then on.
 type Upload struct {
-	Length int64         // bytes of the whole body; below 0: not stated
-	Left   time.Duration // the client's wait, from the last byte on
-
-	rest  io.Reader
-	begun atomic.Bool
-	whole chan struct{}
-	once  sync.Once
-	told  func() // the decisions
+	Length        int64         // bytes of the whole body; below 0: not stated
+	ClientTimeout time.Duration // the client's wait, from the last byte on
+
+	rest    io.Reader
+	started atomic.Bool
+	done    chan struct{}
+	once    sync.Once
+	onDone  func() // the decisions
 }
 
 // NewUpload returns an upload whose bytes rest brings.
 func NewUpload(rest io.Reader, length int64, left time.Duration) *Upload {
-	return &Upload{Length: length, Left: left, rest: rest, whole: make(chan struct{}), told: func() {}}
+	return &Upload{Length: length, ClientTimeout: left, rest: rest, done: make(chan struct{}), onDone: func() {}}
 }
 
 // Read reads more of the body. Any error but io.EOF is the client's: it brings no more.
 func (u *Upload) Read(b []byte) (int, error) {
-	u.begun.Store(true)
+	u.started.Store(true)
 	return u.rest.Read(b)
 }
 
-// Whole says that the last byte has been passed on: the client's time, and the host's, begins.
-func (u *Upload) Whole() {
+// Done says that the last byte has been passed on: the client's time, and the host's, begins.
+func (u *Upload) Done() {
 	u.once.Do(func() {
-		u.told()
-		close(u.whole)
+		u.onDone()
+		close(u.done)
 	})
 }
 
 // passed ends when the body has been passed on whole; nil, of none, never does.
-func (u *Upload) passed() <-chan struct{} {
+func (u *Upload) doneChannel() <-chan struct{} {
 	if u == nil {
 		return nil
 	}
-	return u.whole
+	return u.done
 }
 
 // spent tells whether a part of the body is gone, so that the request can't be sent again.
-func (u *Upload) spent() bool { return u != nil && u.begun.Load() }
+func (u *Upload) partlyRead() bool { return u != nil && u.started.Load() }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -223,11 +223,11 @@
 	b = header(b, "X-Lane", req.ClassName)
 	b = number(b, "X-Remaining-Ms", max(1, left.Milliseconds()))
 	b = header(b, "Idempotency-Key", req.Key)
-	b = header(b, "X-Org", req.Org)
+	b = header(b, "X-Org", req.TenantName)
 	b = header(b, "X-Labels", req.Labels)
 	b = header(b, "Content-Type", req.MediaType)
 	b = header(b, "Baggage", req.Baggage)
-	if req.Repeated {
+	if req.ClientRetry {
 		b = header(b, "X-Resent", "1")
 	}
 	switch {
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -35,7 +35,7 @@
 	var a answer
 	var status balance.Status
 	if req.Upload != nil {
-		*buf = encode((*buf)[:0], req, req.Upload.Left)
+		*buf = encode((*buf)[:0], req, req.Upload.ClientTimeout)
 		status, err = p.upload(ctx, c, *buf, req, &a)
 	} else {
 		*buf = encode((*buf)[:0], req, left)
@@ -44,14 +44,14 @@
 	buffers.Put(buf)
 	switch {
 	case err != nil: // nobody's fault but the client's
-		return balance.Cancelled, stream.Response{Outcome: stream.Broken}
+		return balance.Cancelled, stream.Response{Outcome: stream.BodyIncomplete}
 	case status == balance.OK:
 		return status, p.served(c, &a)
 	case rejects(a.status):
 		// The host is well and the request is not: no evidence against the one, and no host for the other.
-		return balance.Cancelled, stream.Response{Outcome: stream.Rejected}
+		return balance.Cancelled, stream.Response{Outcome: stream.InvalidRequest}
 	}
-	return status, stream.Response{Outcome: stream.Failed, Tried: a.tried}
+	return status, stream.Response{Outcome: stream.Failed, Report: a.tried}
 }
 
 // takeToSend takes a connection for a request, which may still go out once that is there.
@@ -62,7 +62,7 @@
 	}
 	// The last look before the first byte: the attempt may have waited, and the world gone on.
 	held := p.Sends != nil && !p.Sends()
-	if err = ctx.Err(); err == nil && (held || !p.takes(c) || !req.StillWanted()) {
+	if err = ctx.Err(); err == nil && (held || !p.takes(c) || !req.ClientRecentlyWaiting()) {
 		err = errHeldBack
 	}
 	if err != nil {
@@ -74,7 +74,7 @@
 
 // served is what a host has answered.
 func (p *Pool) served(c *conn, a *answer) stream.Response {
-	res := stream.Response{Outcome: stream.Served, MediaType: a.mediaType, Body: a.body, Tried: a.tried}
+	res := stream.Response{Outcome: stream.Served, MediaType: a.mediaType, Body: a.body, Report: a.tried}
 	if a.rest != nil { // which is the front's to read: the attempt's context ends with the attempt
 		c.pace.ctx = context.Background()
 		res.Rest, res.Length = &rest{pool: p, conn: c, body: a.rest, keep: a.keep, end: time.Now().Add(restMost)}, a.length
--- a/internal/upstream/request_test.go
+++ b/internal/upstream/request_test.go
@@ -78,7 +78,7 @@
 	host := newScripted(t)
 	p := poolFor(host.addr, 1)
 	req := &stream.Request{Operation: "POST", Target: "/place-order/7?x=%2F&y", Authority: "origin.svc", Txn: "0a1b",
-		ClassName: "place-order", Key: "k1", Body: []byte("two lenses"), Repeated: true, Labels: "a=1", Org: "north", MediaType: "text/plain"}
+		ClassName: "place-order", Key: "k1", Body: []byte("two lenses"), ClientRetry: true, Labels: "a=1", TenantName: "north", MediaType: "text/plain"}
 	ended := make(chan stream.Response, 1)
 	go func() {
 		_, res := p.Do(context.Background(), 1, time.Now().Add(time.Minute), req)
@@ -124,13 +124,13 @@
 
 // Guards against a request that a host finds fault with counting against the host, or being sent on.
 func TestRejected(t *testing.T) {
-	for text, want := range map[string]stream.Outcome{"400 Bad": stream.Rejected, "404 Where": stream.Rejected,
-		"413 Much": stream.Rejected, "408 Slow": stream.Failed, "429 Many": stream.Failed, "500 Oops": stream.Failed} {
+	for text, want := range map[string]stream.Outcome{"400 Bad": stream.InvalidRequest, "404 Where": stream.InvalidRequest,
+		"413 Much": stream.InvalidRequest, "408 Slow": stream.Failed, "429 Many": stream.Failed, "500 Oops": stream.Failed} {
 		host := newScripted(t)
 		p := poolFor(host.addr, 1)
 		go func() { say{text: "HTTP/1.1 " + text + "\r\nContent-Length: 0\r\n\r\n"}.end((<-host.arrivals).nc) }()
 		status, res := get(p, time.Minute)
-		if res.Outcome != want || (status == balance.Cancelled) != (want == stream.Rejected) {
+		if res.Outcome != want || (status == balance.Cancelled) != (want == stream.InvalidRequest) {
 			t.Errorf("%s: outcome %d, status %d", text, res.Outcome, status)
 		}
 	}
--- a/internal/upstream/thrift.go
+++ b/internal/upstream/thrift.go
@@ -50,7 +50,7 @@
 	*buf = thriftwire.Append((*buf)[:0], call, req.Body)
 	status := t.Pool.carry(ctx, c, until, *buf, func() (balance.Status, after, error) {
 		if oneway { // its last byte has left, and nothing more will be known: no evidence for the host either
-			res = stream.Response{Outcome: stream.Unanswered}
+			res = stream.Response{Outcome: stream.Oneway}
 			return balance.Cancelled, idle, nil
 		}
 		m, err := t.read(ctx, c, until, form)
@@ -98,7 +98,7 @@
 		return verdict{}, fmt.Errorf("%w: %w", errBadAnswer, err)
 	case e.Type == thriftwire.TypeUnknownMethod:
 		// The host is well and the call is not: no evidence against the one, and no host for the other.
-		return verdict{balance.Cancelled, stream.Response{Outcome: stream.Rejected, MediaType: media, Body: m.Body}, true}, nil
+		return verdict{balance.Cancelled, stream.Response{Outcome: stream.InvalidRequest, MediaType: media, Body: m.Body}, true}, nil
 	case t.TurnedAway != 0 && e.Type == t.TurnedAway:
 		return verdict{balance.Rejected, stream.Response{Outcome: stream.Failed}, true}, nil
 	}
--- a/internal/upstream/thrift_test.go
+++ b/internal/upstream/thrift_test.go
@@ -105,7 +105,7 @@
 		"reply":              {say{text: ok, status: balance.OK, reuse: true}, stream.Served},
 		"with the service":   {say{text: reply(framedBinary, thriftwire.Reply, "Orders:place", 1, "\x00"), status: balance.OK, reuse: true}, stream.Served},
 		"old form":           {say{text: reply(thriftwire.Form{Encoding: thriftwire.OldBinary, Framed: true}, thriftwire.Reply, "place", 1, "\x00"), status: balance.OK, reuse: true}, stream.Served},
-		"unknown method":     {say{text: exceptionOf(1, 1), status: balance.Cancelled, reuse: true}, stream.Rejected},
+		"unknown method":     {say{text: exceptionOf(1, 1), status: balance.Cancelled, reuse: true}, stream.InvalidRequest},
 		"turned away":        {say{text: exceptionOf(1, 77), status: balance.Rejected, reuse: true}, stream.Failed},
 		"internal error":     {say{text: exceptionOf(1, 6), status: balance.Error}, stream.Failed},
 		"other sequence id":  {say{text: reply(framedBinary, thriftwire.Reply, "place", 2, "\x00"), status: balance.Error}, stream.Failed},
@@ -136,7 +136,7 @@
 		if e.status != c.status || e.res.Outcome != c.outcome {
 			t.Errorf("%s: status %d, outcome %d; want %d, %d", name, e.status, e.res.Outcome, c.status, c.outcome)
 		}
-		if c.outcome == stream.Served && string(e.res.Body) != "\x00" || c.outcome == stream.Rejected && !strings.Contains(string(e.res.Body), "m") {
+		if c.outcome == stream.Served && string(e.res.Body) != "\x00" || c.outcome == stream.InvalidRequest && !strings.Contains(string(e.res.Body), "m") {
 			t.Errorf("%s: the answer is %q", name, e.res.Body)
 		}
 		if idle, open := counts(up.Pool, 1); open != idle || (idle == 1) != c.reuse {
@@ -211,7 +211,7 @@
 		t.Helper()
 		end := up.begin(context.Background(), framedBinary, thriftwire.Oneway)
 		at := <-calls
-		if e := <-end; e.status != balance.Cancelled || e.res.Outcome != stream.Unanswered || at.Kind != thriftwire.Oneway || at.conn != conn {
+		if e := <-end; e.status != balance.Cancelled || e.res.Outcome != stream.Oneway || at.Kind != thriftwire.Oneway || at.conn != conn {
 			t.Errorf("%+v; it came on connection %d, want %d: %+v", e, at.conn, conn, at.Message)
 		}
 		return at
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -49,7 +49,7 @@
 		if len(piece) == 0 { // the last byte has gone: from here on it may have run
 			continue
 		}
-		if !req.StillWanted() {
+		if !req.ClientRecentlyWaiting() {
 			p.drop(c)
 			return neverSent(ctx, errHeldBack), nil
 		}
@@ -60,8 +60,8 @@
 			return p.early(ctx, c, fault, a), nil
 		}
 	}
-	body.Whole()
-	until := time.Now().Add(body.Left)
+	body.Done()
+	until := time.Now().Add(body.ClientTimeout)
 	c.wait(ctx, until)
 	if fault := c.read(ctx, until, a); fault != nil {
 		p.drop(c)
--- a/internal/upstream/upload_test.go
+++ b/internal/upstream/upload_test.go
@@ -81,7 +81,7 @@
 			left.Store(true) // as its last bytes come
 			return copy(b, "second"), io.EOF
 		}), length)
-		req.Left = left.Load
+		req.ClientGone = left.Load
 		if status, _ := p.Do(context.Background(), 1, time.Now().Add(time.Hour), req); status != balance.NotSent || <-got == nil {
 			t.Errorf("length %d: outcome %d, or the host has it whole", length, status)
 		}
@@ -105,9 +105,9 @@
 		end    stream.Outcome
 	}{
 		"turned away":  {"HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n", nil, balance.Rejected, stream.Failed},
-		"too much":     {"HTTP/1.1 413 Much\r\nContent-Length: 0\r\n\r\n", nil, balance.Cancelled, stream.Rejected},
+		"too much":     {"HTTP/1.1 413 Much\r\nContent-Length: 0\r\n\r\n", nil, balance.Cancelled, stream.InvalidRequest},
 		"hung up":      {"", nil, balance.ConnectFailed, stream.Failed},
-		"client's cut": {"-", iotest.ErrReader(errors.New("cut")), balance.Cancelled, stream.Broken},
+		"client's cut": {"-", iotest.ErrReader(errors.New("cut")), balance.Cancelled, stream.BodyIncomplete},
 	} {
 		said, over := make(chan struct{}), make(chan struct{})
 		p := hostOf(t, func(nc net.Conn, in *bufio.Reader) {
--- a/internal/upstream/withheld_test.go
+++ b/internal/upstream/withheld_test.go
@@ -57,11 +57,11 @@
 			var status balance.Status
 			if over == "HTTP" {
 				req := request()
-				req.Left = func() bool { return x.left }
+				req.ClientGone = func() bool { return x.left }
 				status, _ = x.p.Do(ctx, 1, time.Now().Add(time.Minute), req)
 			} else {
 				req := *framed
-				req.Left = func() bool { return x.left }
+				req.ClientGone = func() bool { return x.left }
 				status, _ = (&Thrift{Pool: x.p}).Do(ctx, 1, time.Now().Add(200*time.Millisecond), &req)
 			}
 			mu.Lock()
