--- a/balance/health.go
+++ b/balance/health.go
@@ -1,31 +1,38 @@
-// Health of single servers and of all.
-
 package balance
 
-// failed is a failure of a class at a server; hung is the odds that the server has said nothing.
-func (b *Balancer) failed(s *server, class int, hung float64) {
-	b.fleet.Failed(&s.seen, class, hung)
-	s.fails++
-	if (s.trial || s.fails >= ejectAfter && s.seen.Mostly()) && b.now >= s.ejected {
-		b.eject(s)
+// recordFailure takes in a failed attempt of a class at an endpoint; hangProbability is the odds that the endpoint did not
+// answer at all.
+func (b *Balancer) recordFailure(endpoint *endpointState, classIndex int, hangProbability float64) {
+	b.detector.RecordFailure(&endpoint.evidence, classIndex, hangProbability)
+	endpoint.consecutiveFailures++
+	outlier := endpoint.halfOpen || endpoint.consecutiveFailures >= ejectionThreshold && endpoint.evidence.MostlyFailing()
+	if outlier && b.now >= endpoint.ejectedUntil {
+		b.eject(endpoint)
 	}
 }
 
-// eject leaves a server out for a while, twice as long as the last time, and then tries it gently.
-func (b *Balancer) eject(s *server) {
-	s.backoff = min(ejectMost, max(ejectFirst, 2*s.backoff))
-	s.ejected, s.trial, s.fails, b.dirty = b.now+s.backoff, true, 0, true
+// eject takes an endpoint out of use for twice as long as the last time, after which it is half-open.
+func (b *Balancer) eject(endpoint *endpointState) {
+	endpoint.ejectionBackoff = min(maxEjectionTime, max(baseEjectionTime, 2*endpoint.ejectionBackoff))
+	endpoint.ejectedUntil = b.now + endpoint.ejectionBackoff
+	endpoint.halfOpen = true
+	endpoint.consecutiveFailures = 0
+	b.solveNeeded = true
 }
 
-// healthy tells whether a server is neither ejected nor silent. A vanished server shows only as
-// attempts that stay out while nothing comes back.
-func (b *Balancer) healthy(s *server) bool {
-	if b.now < s.ejected {
+// healthy reports whether an endpoint is neither ejected nor unresponsive. One that has vanished shows only as attempts that
+// stay pending while no other answer comes.
+func (b *Balancer) healthy(endpoint *endpointState) bool {
+	if b.now < endpoint.ejectedUntil {
 		return false
 	}
-	return len(s.held) == 0 || !s.held[0].stuck() ||
-		b.ran() < max(s.last, s.held[0].ran)+b.overdue(s.held[0].request.class)
+	if len(endpoint.pending) == 0 || !endpoint.pending[0].likelyHung() {
+		return true
+	}
+	oldest := &endpoint.pending[0]
+	return b.runTime() < max(endpoint.lastSignal, oldest.sentAtRunTime)+b.overdueAfter(oldest.request.class)
 }
 
-// judgeFleet: when most servers look bad, the cause is shared, and none is to be avoided for it.
-func (b *Balancer) judgeFleet() { b.crisis = b.unwell*2 > b.listed }
+// updatePanicMode ignores health when most endpoints look unhealthy: the cause is shared then, and avoiding any of them does
+// not help (Envoy calls it the panic threshold).
+func (b *Balancer) updatePanicMode() { b.panicMode = b.unhealthyCount*2 > b.availableCount }
--- a/balance/routing.go
+++ b/balance/routing.go
@@ -1,5 +1,3 @@
-// Routing: the bin of a request, and the server that its row draws.
-
 package balance
 
 import (
@@ -7,62 +5,88 @@
 	"slices"
 )
 
-// binOf is the request's class and the share of its aim that is spent.
-func (b *Balancer) binOf(r *request) int {
-	spent := 1 - float64(r.aimAt-b.now)/float64(r.class.Aim)
+// bin is a part of a class's calls, by the share of their target latency that was spent when they were routed.
+type bin struct {
+	arrivals float64 // since the last refresh
+	share    float64 // of all calls, as of the last refresh
+}
+
+// binOf is the index of a request's bin.
+func (b *Balancer) binOf(request *requestState) int {
+	spent := 1 - float64(request.targetAt-b.now)/float64(request.class.TargetLatency)
 	k := 0
-	for k < len(spentEdges) && spent > spentEdges[k] {
+	for k < len(binEdges) && spent > binEdges[k] {
 		k++
 	}
-	return r.ci*spentBuckets + k
+	return request.classIndex*binsPerClass + k
+}
+
+// refreshBins takes over the distribution of the calls since the last refresh.
+func (b *Balancer) refreshBins() {
+	total := 0.0
+	for i := range b.bins {
+		total += b.bins[i].arrivals
+	}
+	for i := range b.bins {
+		b.bins[i] = bin{share: b.bins[i].arrivals / max(total, 1)}
+	}
 }
 
-// route draws from the bin's cached row, renormalised over the endpoints now eligible.
-func (b *Balancer) route(r *request) *server {
-	if len(b.servers) == 0 {
+// pickEndpoint draws from the row of the request's bin, renormalised over the endpoints that are eligible now; nil where the
+// limit has no room or none is eligible.
+func (b *Balancer) pickEndpoint(request *requestState) *endpointState {
+	if len(b.endpoints) == 0 {
 		return nil
 	}
-	held := 1 + float64(b.working)
-	if held > b.whole(r) && len(r.tries) == 0 {
+	inFlight := 1 + float64(b.inFlight)
+	if inFlight > b.allowedInFlight(request) && len(request.attempts) == 0 {
 		return nil
 	}
-	// Bounded loads: while some endpoint holds less than its share, one that holds more is passed over.
-	// Chance alone would crowd a server now and then, and one that is crowded turns slow and stays so.
-	if s := b.draw(r, b.binOf(r), held); s != nil {
-		return s
+	// Bounded loads (Mirrokni, Thorup and Zadimoghaddam 2018): while some endpoint has less than its share in flight, one that
+	// has more is passed over. Chance alone would congest an endpoint now and then, and a congested one turns slow and stays so.
+	if endpoint := b.drawEndpoint(request, b.binOf(request), inFlight); endpoint != nil {
+		return endpoint
 	}
-	return b.draw(r, b.binOf(r), math.Inf(1))
+	return b.drawEndpoint(request, b.binOf(request), math.Inf(1))
 }
 
-// draw is one from a bin's row over those eligible that hold less than their share of held: the first of some
-// draws from the whole row that is one of these, or else, where they are few, one of a look through it all.
-func (b *Balancer) draw(r *request, bin int, held float64) *server {
-	most := min(held, limitSlack*b.limit)
+// drawEndpoint draws one of a bin's row over the eligible endpoints that have less than their share of inFlight in flight: by
+// a few draws from the whole row, or else, where such endpoints are few, by reservoir sampling over it.
+func (b *Balancer) drawEndpoint(request *requestState, bin int, inFlight float64) *endpointState {
+	maxInFlight := min(inFlight, endpointLimitSlack*b.limit)
 	fits := func(i int) bool {
-		s := b.servers[i]
-		return float64(s.working) < max(1, math.Ceil(most*b.share[i])) && b.eligible(r, s)
+		endpoint := b.endpoints[i]
+		return float64(endpoint.inFlight) < max(1, math.Ceil(maxInFlight*b.totalShare[i])) && b.eligible(request, endpoint)
 	}
-	for range drawTries {
-		if i, _ := slices.BinarySearch(b.sums[bin], b.rng.Float64()); i < len(b.servers) && fits(i) {
-			return b.servers[i]
+	for range maxDraws {
+		if i, _ := slices.BinarySearch(b.cumulativeRows[bin], b.random.Float64()); i < len(b.endpoints) && fits(i) {
+			return b.endpoints[i]
 		}
 	}
-	drawn, total := (*server)(nil), 0.0
-	for i, p := range b.table[bin] {
-		if p > 0 && fits(i) {
-			total += p
-			if b.rng.Float64()*total < p {
-				drawn = b.servers[i]
+	var drawn *endpointState
+	total := 0.0
+	for i, share := range b.rows[bin] {
+		if share > 0 && fits(i) {
+			total += share
+			if b.random.Float64()*total < share {
+				drawn = b.endpoints[i]
 			}
 		}
 	}
 	return drawn
 }
 
-// eligible tells whether an endpoint can take a request, by what is known this moment.
-func (b *Balancer) eligible(r *request, s *server) bool {
-	if !s.used || (!b.healthy(s) && !b.crisis) || (s.trial && len(s.held) > 0) {
+// eligible reports whether an endpoint can take a request now.
+func (b *Balancer) eligible(request *requestState, endpoint *endpointState) bool {
+	switch {
+	case !endpoint.inSubset:
+		return false
+	case !b.panicMode && !b.healthy(endpoint):
+		return false
+	case endpoint.halfOpen && len(endpoint.pending) > 0:
+		return false
+	case !b.canSend(request, endpoint):
 		return false
 	}
-	return b.allowed(r, s) && !slices.ContainsFunc(r.tries, func(a attempt) bool { return a.server == s })
+	return !slices.ContainsFunc(request.attempts, func(attempt attemptState) bool { return attempt.endpoint == endpoint })
 }
--- a/balance/sending.go
+++ b/balance/sending.go
@@ -1,85 +1,61 @@
-// Sending: the only place that starts an attempt.
-
 package balance
 
-import (
-	"time"
-
-	"pinelb.example/pinelb/balance/warmup"
-)
-
-func (b *Balancer) send(r *request, s *server) bool {
-	if s == nil || !b.allowed(r, s) {
+// send starts an attempt, and reports whether it could. It is the only place that does.
+func (b *Balancer) send(request *requestState, endpoint *endpointState) bool {
+	if endpoint == nil || !b.canSend(request, endpoint) {
 		return false
 	}
-	if b.isCold(s) {
-		s.cold.Spend()
+	if b.isWarmingUp(endpoint) {
+		endpoint.warmup.Spend()
 	}
-	r.tries = append(r.tries, attempt{server: s, sentAt: b.now, open: true, mayHave: true})
-	r.out++
-	s.held = append(s.held, sent{request: r, at: b.now, ran: b.ran()})
-	b.count(s, r.work())
-	b.sent.add(1)
-	b.do(Action{Kind: ActSend, Request: r.id, Endpoint: s.Endpoint, Worth: r.worth(),
-		After: r.deadline - b.now})
+	request.attempts = append(request.attempts, attemptState{endpoint: endpoint, sentAt: b.now, open: true, mayHaveRun: true})
+	request.openAttempts++
+	b.addPending(request, endpoint)
+	b.sends.add(1)
+	b.emit(Action{Kind: ActSend, Request: request.id, Endpoint: endpoint.Endpoint, ValueShare: request.valueShare(),
+		After: request.deadline - b.now})
 	return true
 }
 
-// allowed holds every rule that forbids sending this request to this endpoint now.
-func (b *Balancer) allowed(r *request, s *server) bool {
+// canSend checks every rule that forbids sending this request to this endpoint now.
+func (b *Balancer) canSend(request *requestState, endpoint *endpointState) bool {
 	switch {
-	case r.done || !b.inTime(r) || len(r.tries) >= r.most:
+	case request.done || !b.canFinishInTime(request) || len(request.attempts) >= request.maxAttempts:
 		return false
-	case !s.listed: // draining or gone: the grace is not used
+	case !endpoint.available: // draining or gone: the grace period is not used
 		return false
-	case r.out > 0 && (!b.set.SecondCopies || r.once):
+	case request.openAttempts > 0 && (!b.settings.Hedging || request.singleAttempt):
 		return false
-	case b.isCold(s) && !s.cold.Ready(b.now):
+	case b.isWarmingUp(endpoint) && !endpoint.warmup.CanSend(b.now):
 		return false
 	}
-	return r.class.Effect == Safe || b.effectAllows(r, s)
+	return request.class.Idempotency == Idempotent || b.idempotencyAllows(request, endpoint)
 }
 
-// effectAllows keeps an effect from happening twice.
-func (b *Balancer) effectAllows(r *request, s *server) bool {
-	for a := range r.ran {
-		if !b.repeatable(r, a) || r.class.Scope == ScopeZone && a.server.Zone != s.Zone ||
-			r.class.Scope == ScopeCell && (a.server.Cell != s.Cell || a.server.Zone != s.Zone) {
+// idempotencyAllows reports whether an attempt at this endpoint can't make an effect take place twice.
+func (b *Balancer) idempotencyAllows(request *requestState, endpoint *endpointState) bool {
+	for earlier := range request.mayHaveRun {
+		if !b.withinDedupWindow(request, earlier) || !sameScope(request.class.Scope, earlier.endpoint, endpoint) {
 			return false
 		}
 	}
 	return true
 }
 
-// repeatable tells whether a repeat of what an attempt may have done will come in time to be dropped.
-func (b *Balancer) repeatable(r *request, a *attempt) bool {
-	return r.class.Effect == Keyed && b.now < a.sentAt+r.class.Memory-b.set.ConnectTimeout-b.margin()
-}
-
-func (b *Balancer) isCold(s *server) bool { return s.UpSince > 0 && b.now < s.UpSince+b.set.ColdFor }
-
-// earnCold has an answer earn sends to the cold servers like the one that gave it; see package warmup.
-func (b *Balancer) earnCold(from *server) {
-	if b.site.Share < 1 && b.able == float64(len(b.ready)) { // none is cold
-		return
-	}
-	all := 0.0 // of those that answer: what is dead or hangs would take a part of the gain away for nothing
-	for _, s := range b.servers {
-		if s.group == from.group && (s == from || b.crisis || b.healthy(s)) {
-			all += b.site.Capacity(b.age(s))
-		}
-	}
-	for _, s := range b.servers {
-		if s.listed && s.group == from.group && b.isCold(s) {
-			s.cold.Answered(b.now, warmup.Gain*b.site.Capacity(b.age(s))/all, b.rng.Float64())
-		}
+// sameScope reports whether one endpoint recognises duplicates of what the other has run.
+func sameScope(scope Scope, x, y *endpointState) bool {
+	switch scope {
+	case ScopeZone:
+		return x.Zone == y.Zone
+	case ScopeCell:
+		return x.Cell == y.Cell && x.Zone == y.Zone
+	default:
+		return true
 	}
 }
 
-// age is how long a server has been up; one that says nothing of it has been for long.
-func (b *Balancer) age(s *server) time.Duration {
-	if s.UpSince == 0 {
-		return b.set.ColdFor
-	}
-	return b.now - s.UpSince
+// withinDedupWindow reports whether a duplicate of an attempt that may have run would still arrive in time to be recognised.
+func (b *Balancer) withinDedupWindow(request *requestState, earlier *attemptState) bool {
+	return request.class.Idempotency == IdempotentByKey &&
+		b.now < earlier.sentAt+request.class.DedupWindow-b.settings.ConnectTimeout-b.responseMargin()
 }
