--- a/internal/fleet/storage/storage_test.go
+++ b/internal/fleet/storage/log_test.go
@@ -10,14 +10,14 @@
 	"pinelb.example/pinelb/internal/fleet/replication"
 )
 
-func durable(round uint64) replication.HardState {
+func testHardState(round uint64) replication.HardState {
 	return replication.HardState{
 		Self: replication.Replica{Address: "10.0.0.1:1", Nonce: 7}, Promised: replication.Ballot{Round: round},
 	}
 }
 
 // segment is the only file of the newest generation.
-func segment(directory string) string {
+func newestSegment(directory string) string {
 	files, _ := filepath.Glob(filepath.Join(directory, generationPrefix+"*", segmentName))
 	return files[len(files)-1]
 }
@@ -29,8 +29,8 @@
 		So(err, ShouldBeNil)
 		So(records, ShouldBeEmpty)
 		So(log.NeedsCompaction(), ShouldBeTrue)
-		So(log.StartGeneration(durable(1), []byte("state")), ShouldBeNil)
-		So(log.Append(Record{HardState: durable(2), Entry: []byte("change")}), ShouldBeNil)
+		So(log.StartGeneration(testHardState(1), []byte("state")), ShouldBeNil)
+		So(log.Append(Record{HardState: testHardState(2), Entry: []byte("change")}), ShouldBeNil)
 
 		Convey("is read again as it was written", func() {
 			log.Close()
@@ -39,31 +39,31 @@
 			So(len(records), ShouldEqual, 2)
 			So(string(records[0].Snapshot), ShouldEqual, "state")
 			So(string(records[1].Entry), ShouldEqual, "change")
-			So(records[1].HardState, ShouldResemble, durable(2))
+			So(records[1].HardState, ShouldResemble, testHardState(2))
 		})
 		Convey("loses what was torn at its end, at any byte, and nothing before", func() {
 			log.Close()
-			path := segment(directory)
-			whole, err := os.ReadFile(path)
+			path := newestSegment(directory)
+			content, err := os.ReadFile(path)
 			So(err, ShouldBeNil)
 			_, firstOnly, err := Open(directory)
 			So(err, ShouldBeNil)
 			So(len(firstOnly), ShouldEqual, 2)
-			for cut := len(whole) - 1; cut > len(whole)-20; cut-- {
-				So(os.WriteFile(path, whole[:cut], 0o600), ShouldBeNil)
+			for cut := len(content) - 1; cut > len(content)-20; cut-- {
+				So(os.WriteFile(path, content[:cut], 0o600), ShouldBeNil)
 				_, records, err := Open(directory)
 				So(err, ShouldBeNil)
 				So(len(records), ShouldEqual, 1)
 			}
-			spoilt := append([]byte(nil), whole...)
-			spoilt[len(spoilt)-2] ^= 0x40
-			So(os.WriteFile(path, spoilt, 0o600), ShouldBeNil)
+			corrupted := append([]byte(nil), content...)
+			corrupted[len(corrupted)-2] ^= 0x40
+			So(os.WriteFile(path, corrupted, 0o600), ShouldBeNil)
 			_, records, err := Open(directory)
 			So(err, ShouldBeNil)
 			So(len(records), ShouldEqual, 1)
 		})
-		Convey("is followed by a new generation that holds all, and the former one goes", func() {
-			So(log.StartGeneration(durable(3), []byte("later")), ShouldBeNil)
+		Convey("is followed by a new generation that holds everything, and the former one is removed", func() {
+			So(log.StartGeneration(testHardState(3), []byte("later")), ShouldBeNil)
 			log.Close()
 			generations, err := filepath.Glob(filepath.Join(directory, generationPrefix+"*"))
 			So(err, ShouldBeNil)
@@ -73,7 +73,7 @@
 			So(len(records), ShouldEqual, 1)
 			So(string(records[0].Snapshot), ShouldEqual, "later")
 		})
-		Convey("is found again where a new generation was begun and never synced", func() {
+		Convey("is found again where a new generation was started and never synced", func() {
 			log.Close()
 			empty := filepath.Join(directory, generationPrefix+"00000000000000000009")
 			So(os.MkdirAll(empty, 0o750), ShouldBeNil)
@@ -81,22 +81,22 @@
 			next, records, err := Open(directory)
 			So(err, ShouldBeNil)
 			So(len(records), ShouldEqual, 2)
-			So(next.StartGeneration(durable(4), []byte("on")), ShouldBeNil)
+			So(next.StartGeneration(testHardState(4), []byte("on")), ShouldBeNil)
 			next.Close()
 			_, records, err = Open(directory)
 			So(err, ShouldBeNil)
 			So(string(records[0].Snapshot), ShouldEqual, "on")
 		})
-		Convey("that could not be written takes nothing until a new generation is begun", func() {
-			So(log.log.Close(), ShouldBeNil)
-			So(log.Append(Record{HardState: durable(5)}), ShouldNotBeNil)
-			So(log.Append(Record{HardState: durable(5)}), ShouldNotBeNil)
+		Convey("that could not be written appends nothing until a new generation is started", func() {
+			So(log.wal.Close(), ShouldBeNil)
+			So(log.Append(Record{HardState: testHardState(5)}), ShouldNotBeNil)
+			So(log.Append(Record{HardState: testHardState(5)}), ShouldEqual, ErrNoGeneration)
 			So(log.NeedsCompaction(), ShouldBeTrue)
-			So(log.StartGeneration(durable(5), []byte("again")), ShouldBeNil)
+			So(log.StartGeneration(testHardState(5), []byte("again")), ShouldBeNil)
 		})
 		Convey("grows only so far", func() {
-			big := make([]byte, logLeast)
-			So(log.Append(Record{HardState: durable(6), Entry: big}), ShouldBeNil)
+			big := make([]byte, minCompactionSize)
+			So(log.Append(Record{HardState: testHardState(6), Entry: big}), ShouldBeNil)
 			So(log.NeedsCompaction(), ShouldBeTrue)
 		})
 	})
