--- a/internal/fleet/replica/replica.go
+++ b/internal/fleet/replica/replica.go
@@ -1,12 +1,17 @@
-// Package replica runs one copy of the replicated configuration: the protocol of package replication on a clock, a disk
-// and a transport, and the operator's orders on it.
+// Package replica runs one replica of the configuration: the protocol of package replication on a clock, a disk and a
+// transport, and the operator's changes on it.
+//
+// Each Replica has one goroutine, which alone drives the protocol and writes to the disk; other goroutines hand it functions
+// to run, and read a status that it publishes after each step. Callbacks (OnCommit, OnViewChange, Send) are called by that
+// goroutine and must not wait for the replica.
+//
+// Invariants: a step's messages are sent after its write is durable; a change is acknowledged after every member of the view
+// has stored it; a read is answered after a majority of the witnesses has confirmed the primary.
 package replica
 
 import (
 	"context"
-	"errors"
 	"math/rand/v2"
-	"path/filepath"
 	"sync"
 	"time"
 
@@ -14,13 +19,11 @@
 
 	"pinelb.example/pinelb/internal/fleet/config"
 	"pinelb.example/pinelb/internal/fleet/replication"
-	"pinelb.example/pinelb/internal/fleet/storage"
 )
 
 const (
-	tickEvery = 30 * time.Millisecond
-	inboxSize = 256
-	logFolder = "control"
+	tickInterval = 30 * time.Millisecond
+	inboxSize    = 256
 )
 
 // Commit is a configuration that has been acknowledged by all members of a view.
@@ -29,7 +32,7 @@
 	Sequence uint64
 	State    *config.State
 	Table    *config.Table
-	Change   *config.Change // that made it of the one before; nil: not known
+	Change   *config.Change // that led to it from the commit before; nil: not known
 }
 
 // Options are a replica's surroundings.
@@ -44,240 +47,160 @@
 	Peers              func() []string // addresses that may know the primary
 	Send               func(to string, nonce uint64, message replication.Envelope)
 	OnCommit           func(Commit)           // called in order, by the replica's goroutine
-	OnViewChange       func(replication.View) // the same, when a view is learned
-	Clock              func() time.Duration   // steady
-	Log                *zap.Logger
+	OnViewChange       func(replication.View) // called in order, by the replica's goroutine
+	Clock              func() time.Duration   // monotonic
+	Log                *zap.Logger            // nil: no log
 }
 
-// Replica is one copy. Its methods may be called by any goroutine.
+// Replica is one replica of the configuration. Its methods may be called by any goroutine.
 type Replica struct {
 	options Options
 	inbox   chan func()
 	cancel  context.CancelFunc
-	ended   chan struct{}
+	done    chan struct{} // closed when the goroutine has ended
 
-	// Of the replica's goroutine alone:
-	machine   *replication.Node
-	durable   replication.HardState // as the disk has it
-	log       *storage.Log
-	stored    *config.State // at the machine's position, committed or not
-	candidate *proposal     // under way
-	published replication.Position
-	table     *config.Table // of the last commit
-	waiting   []*confirmation
-	viewKnown uint64
+	// Owned by the replica's goroutine:
+	node          *replication.Node
+	store         *store
+	pending       *proposal // nil: none
+	published     replication.Position
+	table         *config.Table // of the last commit; nil: not the primary
+	confirmations []*confirmation
+	lastView      uint64 // number of the last view that was announced
 
-	mu   sync.Mutex
-	seen status
+	mu     sync.Mutex
+	status status
 }
 
-// status is what other goroutines may look at.
+// status is what the replica's goroutine publishes for the others.
 type status struct {
-	leading   bool
-	view      replication.View
-	state     *config.State // committed
-	table     *config.Table
-	sequence  uint64
-	confirmed time.Duration
-	current   bool
-	released  bool // it has resigned, and may end
+	isPrimary   bool // and has published a commit
+	view        replication.View
+	state       *config.State // committed
+	table       *config.Table
+	sequence    uint64
+	confirmedAt time.Duration
+	isConfirmed bool
+	canStop     bool // it has resigned, and may stop
 	// The last confirmation, kept while this replica changes the composition of its own view.
-	lastConfirmed time.Duration
-	hasConfirmed  bool
+	lastConfirmedAt  time.Duration
+	hasLastConfirmed bool
 }
 
-// proposal is an order under way.
-type proposal struct {
-	position replication.Position
-	order    *config.Change
-	state    *config.State
-	table    *config.Table
-	done     chan error
-}
-
-// confirmation waits for a round of the witnesses that began later.
-type confirmation struct {
-	since time.Duration
-	done  chan error
-}
-
-// Start reads the disk and begins.
+// Start reads the disk and starts the replica's goroutine, which Close ends.
 func Start(options Options) (*Replica, error) {
-	r := &Replica{options: options, inbox: make(chan func(), inboxSize), ended: make(chan struct{})}
 	if options.Log == nil {
-		r.options.Log = zap.NewNop()
+		options.Log = zap.NewNop()
 	}
-	durable, err := r.restore()
+	store, err := openStore(&options)
 	if err != nil {
 		return nil, err
 	}
-	r.durable = durable
-	r.build(durable)
 	ctx, cancel := context.WithCancel(context.Background())
-	r.cancel = cancel
+	r := &Replica{options: options, store: store, inbox: make(chan func(), inboxSize), cancel: cancel, done: make(chan struct{})}
+	r.buildNode()
 	go r.run(ctx)
 	return r, nil
 }
 
-// restore reads the disk; an empty one, or none, makes a new identity.
-func (r *Replica) restore() (replication.HardState, error) {
-	r.stored = config.EmptyState()
-	nonce := uint64(0)
-	if len(r.options.BootstrapWitnesses) == 0 {
-		nonce = rand.Uint64() | 1 // 0 is that of the first start
-	}
-	durable := replication.InitialHardState(r.options.Address, nonce, r.options.BootstrapWitnesses)
-	if r.options.Directory == "" {
-		return durable, nil
-	}
-	log, records, err := storage.Open(filepath.Join(r.options.Directory, logFolder))
-	var damaged *storage.CorruptLogError
-	if errors.As(err, &damaged) {
-		r.options.Log.Error("the log is damaged: this replica starts without what it held, as a new one", zap.Error(err))
-		r.log = log
-		return replication.InitialHardState(r.options.Address, rand.Uint64()|1, nil), nil
-	}
-	if err != nil {
-		return durable, err
-	}
-	r.log = log
-	for _, record := range records {
-		if err := r.take(record.Entry, record.Snapshot); err != nil {
-			return durable, err
-		}
-		durable = record.HardState
-	}
-	return durable, nil
-}
-
-// take applies what a write holds to the stored state.
-func (r *Replica) take(entry, snapshot []byte) error {
-	if snapshot != nil {
-		state, err := config.DecodeState(snapshot)
-		if err != nil {
-			return err
-		}
-		r.stored = state
-	}
-	if entry == nil {
-		return nil
-	}
-	order, err := config.DecodeChange(entry)
-	if err != nil {
-		return err
-	}
-	state, err := r.stored.Apply(order)
-	if err != nil {
-		return err
-	}
-	r.stored = state
-	return nil
-}
-
-// build makes the protocol's machine of what the disk holds.
-func (r *Replica) build(durable replication.HardState) {
-	r.machine = replication.New(r.options.Clock(), durable, replication.Options{
-		Timing: r.options.Timing, Tolerance: r.options.Tolerance, LocalityOf: r.options.LocalityOf,
-		JoinTargets: r.options.Peers, RequestsJoin: r.options.Votes,
-		Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+// buildNode makes the protocol's state machine from what the disk holds.
+func (r *Replica) buildNode() {
+	r.node = replication.New(r.options.Clock(), r.store.hardState, replication.Options{
+		Timing:       r.options.Timing,
+		Tolerance:    r.options.Tolerance,
+		LocalityOf:   r.options.LocalityOf,
+		JoinTargets:  r.options.Peers,
+		RequestsJoin: r.options.Votes,
+		Random:       rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
 }
 
-// Close ends the replica.
+// Close ends the replica's goroutine and closes the log. What is pending gets ErrUnavailable.
 func (r *Replica) Close() {
 	r.cancel()
-	<-r.ended
+	<-r.done
 }
 
 func (r *Replica) run(ctx context.Context) {
-	defer close(r.ended)
-	ticker := time.NewTicker(tickEvery)
+	defer close(r.done)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			r.failAll(ErrUnavailable)
-			if r.log != nil {
-				r.log.Close()
-			}
+			r.failPending(ErrUnavailable)
+			r.store.close()
 			return
-		case do := <-r.inbox:
-			do()
+		case f := <-r.inbox:
+			f()
 		case <-ticker.C:
-			r.carryOut(r.machine.Tick(r.options.Clock()))
+			r.execute(r.node.Tick(r.options.Clock()))
 		}
-		r.settle()
+		r.publishStep()
 	}
 }
 
-// Deliver hands a message over that came for this replica. It is dropped where too many wait.
+// do has the replica's goroutine run a function. It returns without waiting for that.
+func (r *Replica) do(f func()) {
+	select {
+	case r.inbox <- f:
+	case <-r.done:
+	}
+}
+
+// Deliver hands over a message that came for this replica. It drops the message where the inbox is full. An error says that
+// the message can't be decoded.
 func (r *Replica) Deliver(from replication.Replica, encoded replication.Envelope) error {
 	message, err := replication.Decode(encoded)
 	if err != nil {
 		return err
 	}
 	select {
-	case r.inbox <- func() { r.carryOut(r.machine.Receive(r.options.Clock(), from, message)) }:
+	case r.inbox <- func() { r.execute(r.node.Receive(r.options.Clock(), from, message)) }:
 	default:
 	}
 	return nil
 }
 
-// carryOut makes a step's output durable, and then sends its messages. It returns false where the disk failed: then the
-// replica is as after a restart, with nothing of the step done.
-func (r *Replica) carryOut(out *replication.Output) bool {
-	if out.Write != nil && !r.write(out.Write) {
-		return false
+// execute makes a step's write durable, and then sends its messages. Where the write fails, the replica is as after a
+// restart, with nothing of the step done.
+func (r *Replica) execute(out *replication.Output) {
+	if out.Write != nil {
+		if err := r.store.write(out.Write); err != nil {
+			r.options.Log.Warn("can't write the replica's log", zap.Error(err))
+			r.failPending(ErrUnavailable)
+			r.buildNode()
+			return
+		}
 	}
 	for _, outgoing := range out.Send {
-		message := outgoing.Message
-		if outgoing.AttachSnapshot {
-			snapshot, err := r.stored.Encode()
-			if err != nil {
-				r.options.Log.Error("the state can't be encoded", zap.Error(err))
-				continue
-			}
-			message = replication.WithSnapshot(message, snapshot)
-		}
-		encoded, err := replication.Encode(message)
-		if err != nil {
-			r.options.Log.Error("a message can't be encoded", zap.Error(err))
-			continue
-		}
-		r.options.Send(outgoing.To, r.machine.Self().Nonce, encoded)
+		r.send(outgoing)
 	}
-	return true
 }
 
-// write makes a step's write durable. The state that is held follows it.
-func (r *Replica) write(w *replication.Write) bool {
-	before := r.stored
-	err := r.take(w.Entry, w.Snapshot)
-	if err == nil && r.log != nil {
-		err = r.writeLog(w)
+func (r *Replica) send(outgoing replication.Outgoing) {
+	message := outgoing.Message
+	if outgoing.AttachSnapshot {
+		snapshot, err := r.store.state.Encode()
+		if err != nil {
+			r.options.Log.Error("can't encode the snapshot", zap.Error(err))
+			return
+		}
+		message = replication.WithSnapshot(message, snapshot)
 	}
+	encoded, err := replication.Encode(message)
 	if err != nil {
-		r.options.Log.Warn("what has to be kept can't be written", zap.Error(err))
-		r.stored = before
-		r.failAll(ErrUnavailable)
-		r.build(r.durable)
-		return false
+		r.options.Log.Error("can't encode a message", zap.Error(err))
+		return
 	}
-	r.durable = w.HardState
-	return true
+	r.options.Send(outgoing.To, r.node.Self().Nonce, encoded)
 }
 
-func (r *Replica) writeLog(w *replication.Write) error {
-	if r.log.NeedsCompaction() {
-		return r.begin(w.HardState)
-	}
-	return r.log.Append(storage.Record{HardState: w.HardState, Entry: w.Entry, Snapshot: w.Snapshot})
+// Resign says that this replica's machine is about to shut down, so that others take over its part.
+func (r *Replica) Resign() {
+	r.do(func() { r.execute(r.node.Resign(r.options.Clock())) })
 }
 
-func (r *Replica) begin(durable replication.HardState) error {
-	snapshot, err := r.stored.Encode()
-	if err != nil {
-		return err
-	}
-	return r.log.StartGeneration(durable, snapshot)
-}
+// CanStop reports whether a replica that has resigned may stop: its copy and its vote are where they have to be, as far as
+// waiting helps.
+func (r *Replica) CanStop() bool { return r.currentStatus().canStop }
--- a/internal/fleet/replica/replica_test.go
+++ b/internal/fleet/replica/replica_test.go
@@ -16,17 +16,17 @@
 	"pinelb.example/pinelb/internal/fleet/replication"
 )
 
-const self = "10.0.0.1:1"
+const ownAddress = "10.0.0.1:1"
 
-// patience is how long a test waits at most; a machine however busy gets there.
-const patience = 30 * time.Second
+// submitTimeout is long enough for a busy machine.
+const submitTimeout = 30 * time.Second
 
 // startAlone starts the only replica of a core that may lose none. Commits go to the channel.
 func startAlone(directory string, bootstrap bool) (*Replica, chan Commit) {
 	commits := make(chan Commit, 100)
 	began := time.Now()
 	options := Options{
-		Address: self, Directory: directory, Votes: true, Timing: replication.DefaultTiming(), Log: zap.NewNop(),
+		Address: ownAddress, Directory: directory, Votes: true, Timing: replication.DefaultTiming(), Log: zap.NewNop(),
 		LocalityOf: func(string) replication.Locality {
 			return replication.Locality{Zone: "z", Known: true, CountsForQuorum: true}
 		},
@@ -36,23 +36,23 @@
 		Clock: func() time.Duration { return time.Since(began) },
 	}
 	if bootstrap {
-		options.BootstrapWitnesses = []string{self}
+		options.BootstrapWitnesses = []string{ownAddress}
 	}
 	r, err := Start(options)
 	So(err, ShouldBeNil)
 	return r, commits
 }
 
-func order(base int64, body string) *config.Change {
+func newChange(base int64, body string) *config.Change {
 	return &config.Change{Base: base, Body: []byte(body)}
 }
 
-// submit sends an order until it is decided, as an operator does.
-func submit(r *Replica, o *config.Change) error {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// submit retries a change until its outcome is known, as an operator does.
+func submit(r *Replica, change *config.Change) error {
+	ctx, cancel := context.WithTimeout(context.Background(), submitTimeout)
 	defer cancel()
 	for {
-		err := r.Submit(ctx, o)
+		err := r.Submit(ctx, change)
 		undecided := errors.Is(err, ErrUnavailable) || errors.Is(err, ErrNotPrimary)
 		if !undecided || ctx.Err() != nil {
 			return err
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestOrders(t *testing.T) {
+func TestChanges(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	Convey("A replica alone", t, func() {
 		directory := t.TempDir()
@@ -74,30 +74,30 @@
 			}
 		}
 		Reset(end)
-		first := order(0, `{"version":3,"upsert":{"services":[{"name":"s"}]}}`)
+		first := newChange(0, `{"version":3,"upsert":{"services":[{"name":"s"}]}}`)
 		So(submit(r, first), ShouldBeNil)
 		So((<-commits).Table.Version, ShouldEqual, 0) // what it begins with
 		So((<-commits).Table.Version, ShouldEqual, 3)
 
-		Convey("acknowledges the same order again", func() {
+		Convey("acknowledges the same change again", func() {
 			So(submit(r, first), ShouldBeNil)
-			So(submit(r, order(3, `{"version":4}`)), ShouldBeNil)
+			So(submit(r, newChange(3, `{"version":4}`)), ShouldBeNil)
 			So(submit(r, first), ShouldBeNil)
 		})
-		Convey("refuses one on another version, and an invalid one", func() {
-			So(submit(r, order(0, `{"version":5}`)), ShouldEqual, ErrConflict)
+		Convey("rejects a change of another version, and an invalid one", func() {
+			So(submit(r, newChange(0, `{"version":5}`)), ShouldEqual, ErrConflict)
 			var invalid *config.InvalidError
 			for _, body := range []string{`{"version":3}`, `{"version":2}`, `{"vers`, `{"version":4,"upsert":{"services":[{}]}}`} {
-				So(errors.As(submit(r, order(3, body)), &invalid), ShouldBeTrue)
+				So(errors.As(submit(r, newChange(3, body)), &invalid), ShouldBeTrue)
 			}
 			document, err := r.Read(context.Background())
 			So(err, ShouldBeNil)
 			So(document.Version(), ShouldEqual, 3)
 		})
-		Convey("takes one of two on the same version", func() {
+		Convey("commits one of two changes of the same version", func() {
 			results := make(chan error, 2)
-			go func() { results <- submit(r, order(3, `{"version":10}`)) }()
-			go func() { results <- submit(r, order(3, `{"version":11}`)) }()
+			go func() { results <- submit(r, newChange(3, `{"version":10}`)) }()
+			go func() { results <- submit(r, newChange(3, `{"version":11}`)) }()
 			one, other := <-results, <-results
 			if one != nil {
 				one, other = other, one
@@ -105,26 +105,26 @@
 			So(one, ShouldBeNil)
 			So(other, ShouldEqual, ErrConflict)
 		})
-		Convey("knows when it was surely the primary, also while its own view is changing", func() {
+		Convey("knows when it was confirmed as the primary, also while its own view is changing", func() {
 			at, ok := r.LeadershipConfirmedAt()
 			So(ok, ShouldBeTrue)
-			var held time.Duration
+			var kept time.Duration
 			var leading bool
 			done := make(chan struct{})
 			r.do(func() { // nothing else is done meanwhile
 				defer close(done)
 				r.mu.Lock()
-				r.seen.leading, r.seen.current = false, false
+				r.status.isPrimary, r.status.isConfirmed = false, false
 				r.mu.Unlock()
-				held, ok = r.LeadershipConfirmedAt()
+				kept, ok = r.LeadershipConfirmedAt()
 				_, _, _, leading = r.ReadLease()
 			})
 			<-done
 			So(ok, ShouldBeTrue)
-			So(held, ShouldBeGreaterThanOrEqualTo, at)
+			So(kept, ShouldBeGreaterThanOrEqualTo, at)
 			So(leading, ShouldBeFalse)
 		})
-		Convey("knows all after a restart, and the orders too", func() {
+		Convey("has the configuration after a restart, and knows the changes that led to it", func() {
 			end()
 			again, _ := startAlone(directory, false)
 			defer again.Close()
@@ -133,18 +133,18 @@
 			So(err, ShouldBeNil)
 			So(document.Version(), ShouldEqual, 3)
 		})
-		Convey("acknowledges nothing that its disk does not take, and goes on when it does", func() {
-			folder := filepath.Join(directory, logFolder)
+		Convey("acknowledges nothing while its disk fails, and goes on when it works", func() {
+			folder := filepath.Join(directory, logDirectory)
 			hidden := folder + ".hidden"
 			So(r.breakDisk(), ShouldBeNil)
 			So(os.Rename(folder, hidden), ShouldBeNil)
 			So(os.WriteFile(folder, nil, 0o600), ShouldBeNil) // a file where the folder should be: nothing can be written
 			ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 			defer cancel()
-			So(r.Submit(ctx, order(3, `{"version":6}`)), ShouldNotBeNil)
+			So(r.Submit(ctx, newChange(3, `{"version":6}`)), ShouldNotBeNil)
 			So(os.Remove(folder), ShouldBeNil)
 			So(os.Rename(hidden, folder), ShouldBeNil)
-			So(submit(r, order(3, `{"version":6}`)), ShouldBeNil)
+			So(submit(r, newChange(3, `{"version":6}`)), ShouldBeNil)
 		})
 	})
 }
@@ -152,7 +152,7 @@
 // breakDisk closes the log's files under the replica.
 func (r *Replica) breakDisk() error {
 	done := make(chan struct{})
-	r.do(func() { r.log.Close(); close(done) })
+	r.do(func() { r.store.log.Close(); close(done) })
 	<-done
 	return nil
 }
