--- a/internal/fleet/control/planted_test.go
+++ b/internal/fleet/control/planted_test.go
@@ -10,13 +10,13 @@
 var plantedMistakes = map[string]map[string]mutation.Mistake{"2": {
 	"digests of orders that are not replicated": {File: "../config/state.go", Edits: []mutation.Edit{
 		{Right: "for _, digest := range s.orders {", Wrong: "for _, digest := range s.orders[:0] {"}}},
-	"an order that is not checked against the version in place": {File: "../replica/orders.go", Edits: []mutation.Edit{
-		{Right: "if order.Base != seen.state.Document.Version() {", Wrong: "if false {"}}},
+	"an order that is not checked against the version in place": {File: "../replica/submit.go", Edits: []mutation.Edit{
+		{Right: "if change.Base != current.state.Document.Version() {", Wrong: "if false {"}}},
 }, "1": {
-	"a stale primary that refuses an order": {File: "../replica/orders.go", Edits: []mutation.Edit{
-		{Right: "if err := r.confirm(ctx); err != nil {\n\t\t\t\treturn err\n\t\t\t}\n\t\t\tif r.look()", Wrong: "if r.look()"}}},
-	"a read that asks no witness": {File: "../replica/orders.go", Edits: []mutation.Edit{
-		{Right: "if err := r.confirm(ctx); err != nil {\n\t\treturn nil, err\n\t}", Wrong: ""}}},
+	"a stale primary that refuses an order": {File: "../replica/submit.go", Edits: []mutation.Edit{
+		{Right: "if err := r.confirm(ctx); err != nil {\n\t\t\t\treturn err\n\t\t\t}\n\t\t\tif r.currentStatus()", Wrong: "if r.currentStatus()"}}},
+	"a read that asks no witness": {File: "../replica/submit.go", Edits: []mutation.Edit{
+		{Right: "if err := r.ConfirmLeadership(ctx); err != nil {\n\t\treturn nil, err\n\t}", Wrong: ""}}},
 }, "4": {
 	"a snapshot without the configuration": {File: "../config/state.go", Edits: []mutation.Edit{
 		{Right: "e := encodedState{Document: s.Document.Encode()}", Wrong: "e := encodedState{Document: EmptyDocument().Encode()}"}}},
