--- a/internal/fleet/control/stack_test.go
+++ b/internal/fleet/control/cluster_test.go
@@ -26,25 +26,25 @@
 	"pinelb.example/pinelb/internal/fleet/replication"
 )
 
-// stack is a core of whole control sides: replica, log on a disk, control API and dissemination, on a fake clock
+// cluster is a core of complete control planes: replica, log on a disk, control API and dissemination, on a fake clock
 // (testing/synctest) and a scripted network.
-type stack struct {
+type cluster struct {
 	root      string
 	tolerance int
-	began     time.Time
-
-	mu       sync.Mutex
-	random   *rand.Rand
-	machines map[string]*machine
-	order    []string
-	cuts     map[[2]string]bool
-	script   []string
-	faults   []string
+	startedAt time.Time
+
+	mu         sync.Mutex
+	random     *rand.Rand
+	machines   map[string]*machine
+	order      []string
+	partitions map[[2]string]bool
+	events     []string
+	faults     []string
 }
 
-// machine is one control side. Its process may end and begin again, with its disk or without.
+// machine is one control plane. Its process may be killed and started again, with its disk or without.
 type machine struct {
-	stack   *stack
+	cluster *cluster
 	address string
 	disk    string
 
@@ -57,66 +57,66 @@
 	clock   func() time.Duration
 }
 
-func newStack(root string, seed uint64, machines, tolerance int) *stack {
-	s := &stack{
-		root: root, tolerance: tolerance, began: time.Now(), random: rand.New(rand.NewPCG(seed, 3)),
-		machines: map[string]*machine{}, cuts: map[[2]string]bool{},
+func newCluster(root string, seed uint64, machines, tolerance int) *cluster {
+	c := &cluster{
+		root: root, tolerance: tolerance, startedAt: time.Now(), random: rand.New(rand.NewPCG(seed, 3)),
+		machines: map[string]*machine{}, partitions: map[[2]string]bool{},
 	}
 	var founders []string
 	for i := range machines {
 		founders = append(founders, addressOf(i))
 	}
 	for _, address := range founders {
-		s.add(address)
+		c.addMachine(address)
 	}
 	for _, address := range founders {
-		s.machines[address].start(founders)
+		c.machines[address].start(founders)
 	}
-	return s
+	return c
 }
 
 func addressOf(i int) string { return fmt.Sprintf("10.0.0.%d:1", i+1) }
 
-// add makes a machine with an empty disk that is off.
-func (s *stack) add(address string) *machine {
-	m := &machine{stack: s, address: address, disk: filepath.Join(s.root, strconv.Itoa(len(s.order)))}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.machines[address] = m
-	s.order = append(s.order, address)
+// addMachine adds a machine with an empty disk that is off.
+func (c *cluster) addMachine(address string) *machine {
+	m := &machine{cluster: c, address: address, disk: filepath.Join(c.root, strconv.Itoa(len(c.order)))}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.machines[address] = m
+	c.order = append(c.order, address)
 	return m
 }
 
-func (s *stack) note(format string, values ...any) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.script = append(s.script, fmt.Sprintf("%8.3f  ", time.Since(s.began).Seconds())+fmt.Sprintf(format, values...))
+func (c *cluster) logEvent(format string, values ...any) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.events = append(c.events, fmt.Sprintf("%8.3f  ", time.Since(c.startedAt).Seconds())+fmt.Sprintf(format, values...))
 }
 
-func (s *stack) fail(format string, values ...any) {
-	s.note("FAULT: "+format, values...)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.faults = append(s.faults, fmt.Sprintf(format, values...))
+func (c *cluster) fail(format string, values ...any) {
+	c.logEvent("FAULT: "+format, values...)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.faults = append(c.faults, fmt.Sprintf(format, values...))
 }
 
-func (s *stack) span(least, most time.Duration) time.Duration {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return least + time.Duration(s.random.Int64N(int64(most-least)+1))
+func (c *cluster) randomDuration(shortest, longest time.Duration) time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return shortest + time.Duration(c.random.Int64N(int64(longest-shortest)+1))
 }
 
-func (s *stack) number(below int) int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.random.IntN(below)
+func (c *cluster) randomInt(below int) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.random.IntN(below)
 }
 
-// machine is that at an address; nil: none runs there.
-func (s *stack) running(address string) *machine {
-	s.mu.Lock()
-	m := s.machines[address]
-	s.mu.Unlock()
+// running returns the machine at an address; nil: none runs there.
+func (c *cluster) running(address string) *machine {
+	c.mu.Lock()
+	m := c.machines[address]
+	c.mu.Unlock()
 	if m == nil {
 		return nil
 	}
@@ -128,55 +128,55 @@
 	return m
 }
 
-func (s *stack) isCut(from, to string) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.cuts[[2]string{from, to}]
+func (c *cluster) isPartitioned(from, to string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.partitions[[2]string{from, to}]
 }
 
-// cut cuts machines from all others, or joins them again.
-func (s *stack) cut(addresses []string, isCut bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// setPartitioned cuts machines off from all others, or heals that partition.
+func (c *cluster) setPartitioned(addresses []string, isCut bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for _, a := range addresses {
-		for _, b := range s.order {
-			s.cuts[[2]string{a, b}], s.cuts[[2]string{b, a}] = isCut, isCut
+		for _, b := range c.order {
+			c.partitions[[2]string{a, b}], c.partitions[[2]string{b, a}] = isCut, isCut
 		}
 	}
 }
 
-// deliver has a message arrive after a time, unless it is lost or cut on its way.
-func (s *stack) deliver(from, to string, arrive func(*machine)) {
-	if s.number(100) == 0 {
+// deliver lets a message arrive after a time, unless it is lost or a partition stops it.
+func (c *cluster) deliver(from, to string, arrive func(*machine)) {
+	if c.randomInt(100) == 0 {
 		return
 	}
-	time.AfterFunc(s.span(time.Millisecond, 8*time.Millisecond), func() {
-		if m := s.running(to); m != nil && !s.isCut(from, to) {
+	time.AfterFunc(c.randomDuration(time.Millisecond, 8*time.Millisecond), func() {
+		if m := c.running(to); m != nil && !c.isPartitioned(from, to) {
 			arrive(m)
 		}
 	})
 }
 
-// start begins the machine's process with what its disk holds.
+// start starts the machine's process with what is on its disk.
 func (m *machine) start(founders []string) {
 	started := time.Now()
 	clock := func() time.Duration { return time.Since(started) }
 	stop := make(chan struct{})
 	node := dissemination.New(0, dissemination.Options{
-		Self:  membership.Member{Address: m.address, Control: m.address, Zone: m.address, Core: true, BootID: uint64(m.stack.number(1 << 60))},
+		Self:  membership.Member{Address: m.address, Control: m.address, Zone: m.address, Core: true, BootID: uint64(m.cluster.randomInt(1 << 60))},
 		Seeds: []string{addressOf(0), addressOf(1), addressOf(2)}, EndpointHeartbeatInterval: 1200 * time.Millisecond,
-		Timing: membership.DefaultTiming(), Random: rand.New(rand.NewPCG(uint64(m.stack.number(1<<30)), 1)),
+		Timing: membership.DefaultTiming(), Random: rand.New(rand.NewPCG(uint64(m.cluster.randomInt(1<<30)), 1)),
 	})
 	m.mu.Lock()
 	m.clock, m.stop, m.node = clock, stop, node
 	m.mu.Unlock()
 	r, err := replica.Start(replica.Options{
 		Address: m.address, Directory: m.disk, BootstrapWitnesses: founders, Votes: true, Log: zap.NewNop(),
-		Tolerance: replication.Tolerance{Machines: m.stack.tolerance}, Timing: replication.DefaultTiming(),
+		Tolerance: replication.Tolerance{Machines: m.cluster.tolerance}, Timing: replication.DefaultTiming(),
 		LocalityOf: func(a string) replication.Locality {
 			return replication.Locality{Zone: a, Known: true, CountsForQuorum: true}
 		},
-		Peers: m.stack.peers, Clock: clock, Send: m.sendReplication,
+		Peers: m.cluster.peers, Clock: clock, Send: m.sendReplication,
 		OnCommit: m.committed,
 		OnViewChange: func(view replication.View) {
 			m.step(func(now time.Duration) *dissemination.Output {
@@ -189,24 +189,24 @@
 		},
 	})
 	if err != nil {
-		m.stack.fail("%s does not start: %v", m.address, err)
+		m.cluster.fail("%s does not start: %v", m.address, err)
 		return
 	}
 	m.mu.Lock()
 	m.replica, m.up = r, true
-	m.server = control.NewServer(&core{machine: m, replica: r}, m.address)
+	m.server = control.NewServer(&clusterDelegate{machine: m, replica: r}, m.address)
 	m.mu.Unlock()
 	go m.tick(stop, r)
 }
 
-func (s *stack) peers() []string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return append([]string(nil), s.order...)
+func (c *cluster) peers() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return append([]string(nil), c.order...)
 }
 
-// end ends the process at once.
-func (m *machine) end() {
+// kill ends the process at once.
+func (m *machine) kill() {
 	m.mu.Lock()
 	if !m.up {
 		m.mu.Unlock()
@@ -219,10 +219,10 @@
 	r.Close()
 }
 
-// wipe takes the disk away, of a machine that is off.
+// wipe deletes the disk of a machine that is off.
 func (m *machine) wipe() {
 	if err := os.RemoveAll(m.disk); err != nil {
-		m.stack.fail("%v", err)
+		m.cluster.fail("%v", err)
 	}
 }
 
@@ -244,14 +244,14 @@
 	}
 }
 
-// step lets the dissemination take a step, and sends what it wants sent.
+// step runs a step of the dissemination, and sends its output.
 func (m *machine) step(do func(now time.Duration) *dissemination.Output) {
 	m.mu.Lock()
 	out := do(m.clock())
 	m.mu.Unlock()
 	for _, o := range out.Send {
 		message := o.Message
-		m.stack.deliver(m.address, o.To, func(to *machine) {
+		m.cluster.deliver(m.address, o.To, func(to *machine) {
 			to.step(func(now time.Duration) *dissemination.Output { return to.node.Receive(now, m.address, message) })
 		})
 	}
@@ -267,18 +267,18 @@
 		request.After = 0
 	}
 	m.mu.Unlock()
-	m.stack.deliver(m.address, from, func(to *machine) {
+	m.cluster.deliver(m.address, from, func(to *machine) {
 		to.mu.Lock()
 		reply, err := to.node.Config.ServeFetch(to.clock(), request)
 		to.mu.Unlock()
 		if err != nil {
 			return
 		}
-		m.stack.deliver(from, m.address, func(m *machine) {
+		m.cluster.deliver(from, m.address, func(m *machine) {
 			m.step(func(now time.Duration) *dissemination.Output {
 				out, _, err := m.node.HandleFetchReply(now, asked, reply)
 				if err != nil {
-					m.stack.fail("%s can't read what %s answered: %v", m.address, from, err)
+					m.cluster.fail("%s can't read what %s answered: %v", m.address, from, err)
 				}
 				return out
 			})
@@ -288,14 +288,14 @@
 
 func (m *machine) sendReplication(to string, nonce uint64, message replication.Envelope) {
 	from := replication.Replica{Address: m.address, Nonce: nonce}
-	m.stack.deliver(m.address, to, func(at *machine) {
+	m.cluster.deliver(m.address, to, func(at *machine) {
 		if err := at.current().Deliver(from, message); err != nil {
-			m.stack.fail("%s can't read a message: %v", to, err)
+			m.cluster.fail("%s can't read a message: %v", to, err)
 		}
 	})
 }
 
-// current is the replica of the present process.
+// current returns the replica of the present process.
 func (m *machine) current() *replica.Replica {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -310,25 +310,27 @@
 	m.step(func(now time.Duration) *dissemination.Output { return m.node.Commit(now, c.Sequence, c.Table, encoded) })
 }
 
-// core is what the control API sees of its machine.
-type core struct {
+// clusterDelegate is the control.Delegate of a machine.
+type clusterDelegate struct {
 	machine *machine
 	replica *replica.Replica
 }
 
-func (c *core) Submit(ctx context.Context, o *config.Change) error { return c.replica.Submit(ctx, o) }
-func (c *core) Read(ctx context.Context) (*config.Document, error) {
-	return c.replica.Read(ctx)
+func (d *clusterDelegate) Submit(ctx context.Context, change *config.Change) error {
+	return d.replica.Submit(ctx, change)
+}
+func (d *clusterDelegate) Read(ctx context.Context) (*config.Document, error) {
+	return d.replica.Read(ctx)
 }
-func (c *core) PrimaryControl() (view uint64, address string) {
-	c.machine.mu.Lock()
-	defer c.machine.mu.Unlock()
-	return c.machine.node.Primary()
+func (d *clusterDelegate) PrimaryControl() (view uint64, address string) {
+	d.machine.mu.Lock()
+	defer d.machine.mu.Unlock()
+	return d.machine.node.Primary()
 }
-func (c *core) HandleEndpointReport(context.Context, registry.Endpoint) error { return nil }
-func (c *core) EndpointService(string) string                                 { return "" }
+func (d *clusterDelegate) HandleEndpointReport(context.Context, registry.Endpoint) error { return nil }
+func (d *clusterDelegate) EndpointService(string) string                                 { return "" }
 
-// answer is what an operator got of a call; status 0: nothing within a second or more.
+// answer is what an operator got for a call; status 0: a time-out.
 type answer struct {
 	status   int
 	location string
@@ -336,9 +338,9 @@
 }
 
 // call sends a call to one machine. Its answer may be lost.
-func (s *stack) call(address, method, path, body, base string, lost bool) answer {
-	m := s.running(address)
-	time.Sleep(s.span(3*time.Millisecond, 9*time.Millisecond))
+func (c *cluster) call(address, method, path, body, base string, lost bool) answer {
+	m := c.running(address)
+	time.Sleep(c.randomDuration(3*time.Millisecond, 9*time.Millisecond))
 	if m == nil {
 		time.Sleep(time.Second)
 		return answer{}
@@ -360,7 +362,7 @@
 	}()
 	select {
 	case a := <-got:
-		if lost || s.running(address) != m {
+		if lost || c.running(address) != m {
 			time.Sleep(time.Second)
 			return answer{}
 		}
@@ -370,16 +372,16 @@
 	}
 }
 
-// follow calls a machine, and twice whom it names.
-func (s *stack) follow(address, method, path, body, base string, lost bool) answer {
+// callFollowingRedirects calls a machine and follows up to two redirects.
+func (c *cluster) callFollowingRedirects(address, method, path, body, base string, lost bool) answer {
 	for range 3 {
-		a := s.call(address, method, path, body, base, lost)
+		a := c.call(address, method, path, body, base, lost)
 		if a.status != http.StatusTemporaryRedirect {
 			return a
 		}
 		target, err := url.Parse(a.location)
 		if err != nil {
-			s.fail("%s names %s as the primary: %v", address, a.location, err)
+			c.fail("%s redirects to %s: %v", address, a.location, err)
 			return answer{}
 		}
 		address, path = target.Host, target.RequestURI()
@@ -387,14 +389,14 @@
 	return answer{}
 }
 
-// any is the address of some machine of the operators' list.
-func (s *stack) any() string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.order[s.random.IntN(len(s.order))]
+// anyAddress returns the address of a random machine of the operators' list.
+func (c *cluster) anyAddress() string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.order[c.random.IntN(len(c.order))]
 }
 
-// versionOf reads the version of a configuration.
+// versionOf returns the version of a configuration; -1: it is no JSON.
 func versionOf(text string) int64 {
 	var document struct{ Version int64 }
 	if err := json.Unmarshal([]byte(text), &document); err != nil {
@@ -403,14 +405,14 @@
 	return document.Version
 }
 
-// servicesOf reads the names of a configuration's services.
+// servicesOf returns the names of a configuration's services.
 func servicesOf(text string) map[string]bool {
 	var document struct{ Services []struct{ Name string } }
-	held := map[string]bool{}
+	names := map[string]bool{}
 	if json.Unmarshal([]byte(text), &document) == nil {
 		for _, service := range document.Services {
-			held[service.Name] = true
+			names[service.Name] = true
 		}
 	}
-	return held
+	return names
 }
--- /dev/null
+++ b/internal/fleet/control/configuration.go
@@ -0,0 +1,77 @@
+package control
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"strconv"
+	"time"
+
+	"pinelb.example/pinelb/internal/fleet/config"
+	"pinelb.example/pinelb/internal/fleet/replica"
+)
+
+const (
+	// headerBaseVersion names the header with the version of the configuration that a change builds on.
+	headerBaseVersion = "X-Base-Version"
+
+	maxChangeBytes = 16 << 20
+	submitTimeout  = 3 * time.Second // after which a change is answered with nothing decided
+	readTimeout    = 2 * time.Second
+)
+
+// submitChange returns the handler of changes: of complete configurations, or of named items.
+func (s *Server) submitChange(replace bool) func(http.ResponseWriter, *http.Request) error {
+	return func(w http.ResponseWriter, r *http.Request) error {
+		change, err := readChange(r, replace)
+		if err != nil {
+			return err
+		}
+		ctx, cancel := context.WithTimeout(r.Context(), submitTimeout)
+		defer cancel()
+		if err := s.delegate.Submit(ctx, change); err != nil {
+			return submitError(err)
+		}
+		writeJSON(w, http.StatusOK, struct{}{})
+		return nil
+	}
+}
+
+func readChange(r *http.Request, replace bool) (*config.Change, error) {
+	base, err := strconv.ParseInt(r.Header.Get(headerBaseVersion), 10, 64)
+	if err != nil {
+		return nil, &requestError{status: http.StatusBadRequest, reason: headerBaseVersion + " is missing or no whole number"}
+	}
+	body, err := readBody(r, maxChangeBytes)
+	switch {
+	case errors.Is(err, errTooLong):
+		return nil, &requestError{status: http.StatusRequestEntityTooLarge, reason: "the configuration is too large"}
+	case err != nil:
+		return nil, &requestError{status: http.StatusBadRequest, reason: "the body did not come whole"}
+	}
+	return &config.Change{Replace: replace, Base: base, Body: body}, nil
+}
+
+// submitError returns the error to answer with, for the Delegate's: a requestError where the change itself is at fault.
+func submitError(err error) error {
+	var invalid *config.InvalidError
+	switch {
+	case errors.Is(err, replica.ErrConflict):
+		return &requestError{status: http.StatusPreconditionFailed, reason: "another version is in place"}
+	case errors.As(err, &invalid):
+		return &requestError{status: http.StatusBadRequest, reason: invalid.Error()}
+	}
+	return err
+}
+
+func (s *Server) readConfig(w http.ResponseWriter, r *http.Request) error {
+	ctx, cancel := context.WithTimeout(r.Context(), readTimeout)
+	defer cancel()
+	document, err := s.delegate.Read(ctx)
+	if err != nil {
+		return err
+	}
+	w.Header().Set("Content-Type", "application/json")
+	_, _ = w.Write(document.Encode()) // the connection is lost: the caller calls again
+	return nil
+}
--- a/internal/fleet/control/planted_test.go
+++ b/internal/fleet/control/planted_test.go
@@ -6,25 +6,25 @@
 	"pinelb.example/pinelb/internal/lab/mutation"
 )
 
-// plantedMistakes are found by TestPoints, each by the runs of one point.
+// plantedMistakes by the number of the scenarios that find them.
 var plantedMistakes = map[string]map[string]mutation.Mistake{"2": {
-	"digests of orders that are not replicated": {File: "../config/state.go", Edits: []mutation.Edit{
+	"digests of changes that are not replicated": {File: "../config/state.go", Edits: []mutation.Edit{
 		{Right: "for _, digest := range s.applied {", Wrong: "for _, digest := range s.applied[:0] {"}}},
-	"an order that is not checked against the version in place": {File: "../replica/orders.go", Edits: []mutation.Edit{
+	"a change that is not checked against the version in place": {File: "../replica/orders.go", Edits: []mutation.Edit{
 		{Right: "if order.Base != seen.state.Document.Version() {", Wrong: "if false {"}}},
 }, "1": {
-	"a stale primary that refuses an order": {File: "../replica/orders.go", Edits: []mutation.Edit{
+	"a stale primary that rejects a change": {File: "../replica/orders.go", Edits: []mutation.Edit{
 		{Right: "if err := r.confirm(ctx); err != nil {\n\t\t\t\treturn err\n\t\t\t}\n\t\t\tif r.look()", Wrong: "if r.look()"}}},
-	"a read that asks no witness": {File: "../replica/orders.go", Edits: []mutation.Edit{
+	"a read without confirmation by a majority": {File: "../replica/orders.go", Edits: []mutation.Edit{
 		{Right: "if err := r.confirm(ctx); err != nil {\n\t\treturn nil, err\n\t}", Wrong: ""}}},
 }, "4": {
 	"a snapshot without the configuration": {File: "../config/state.go", Edits: []mutation.Edit{
 		{Right: "e := encodedState{Document: s.Document.Encode()}", Wrong: "e := encodedState{Document: EmptyDocument().Encode()}"}}},
 }}
 
-// Guards against runs that would find nothing whatever is wrong.
-func TestPointsFindPlantedMistakes(t *testing.T) {
-	for point, mistakes := range plantedMistakes {
-		mutation.ExpectAllFound(t, mistakes, "^TestPoints$/^"+point, "seed ", "-stacks", "40")
+// Guards against scenarios that would find nothing whatever is wrong.
+func TestScenariosFindPlantedMistakes(t *testing.T) {
+	for number, mistakes := range plantedMistakes {
+		mutation.ExpectAllFound(t, mistakes, "^TestScenarios$/^"+number, "seed ", "-stacks", "40")
 	}
 }
--- /dev/null
+++ b/internal/fleet/control/scenarios_test.go
@@ -0,0 +1,320 @@
+package control_test
+
+import (
+	"flag"
+	"fmt"
+	"maps"
+	"net/http"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+// scenarioSeeds is how many seeds each scenario is run with; more by a command:
+//
+//	go test ./internal/fleet/control -run TestScenarios -stacks 300
+var scenarioSeeds = flag.Int("stacks", 4, "seeds that TestScenarios runs each scenario with")
+
+// firstSeed is the first of them: with -stacks 1, one seed is run again.
+var firstSeed = flag.Uint64("first-stack", 0, "the first seed that TestScenarios uses")
+
+// operators change and read the configuration, and check the answers against each other.
+type operators struct {
+	cluster *cluster
+
+	mu                sync.Mutex
+	newest            int64            // version that was acknowledged
+	winners           map[int64]string // by base version, the change that was acknowledged
+	acknowledgedCount int
+	readCount         int
+	lastVersion       int64
+	unclear           int // changes of which no answer says what became
+}
+
+// change sends a change, again after answers that decide nothing, until one tells whether it was applied.
+func (o *operators) change(base int64, alone bool, lostPercent int) (version int64, applied bool) {
+	o.mu.Lock()
+	o.lastVersion += 1 + int64(o.cluster.randomInt(3))
+	version = o.lastVersion
+	o.mu.Unlock()
+	name := fmt.Sprintf("s%d", version)
+	body := fmt.Sprintf(`{"version":%d,"upsert":{"services":[{"name":"%s"}]}}`, version, name)
+	for deadline := time.Now().Add(25 * time.Second); time.Now().Before(deadline); {
+		a := o.cluster.callFollowingRedirects(o.cluster.anyAddress(), http.MethodPost, "/config/modify", body, strconv.FormatInt(base, 10), o.cluster.randomInt(100) < lostPercent)
+		switch {
+		case a.status == http.StatusOK:
+			o.recordAcknowledged(base, version, name)
+			return version, true
+		case a.status >= 400 && a.status < 500:
+			if alone {
+				o.cluster.fail("change %d on %d, the only one, is rejected: %d %s", version, base, a.status, a.body)
+			}
+			return version, false
+		}
+		time.Sleep(o.cluster.randomDuration(50*time.Millisecond, 300*time.Millisecond))
+	}
+	o.mu.Lock()
+	o.unclear++
+	o.mu.Unlock()
+	return version, false
+}
+
+func (o *operators) recordAcknowledged(base, version int64, name string) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if winner, won := o.winners[base]; won && winner != name {
+		o.cluster.fail("%s and %s are both acknowledged on top of %d", winner, name, base)
+	}
+	o.winners[base] = name
+	o.newest = max(o.newest, version)
+	o.acknowledgedCount++
+}
+
+// read reads the configuration. The answer must not be older than what was acknowledged before the call.
+func (o *operators) read() (version int64, ok bool) {
+	o.mu.Lock()
+	newest := o.newest
+	names := slices.Collect(maps.Values(o.winners))
+	o.mu.Unlock()
+	a := o.cluster.callFollowingRedirects(o.cluster.anyAddress(), http.MethodGet, "/config/read", "", "", false)
+	if a.status != http.StatusOK {
+		return 0, false
+	}
+	version = versionOf(a.body)
+	o.mu.Lock()
+	o.readCount++
+	o.mu.Unlock()
+	if version < newest {
+		o.cluster.fail("a read answers version %d after %d was acknowledged", version, newest)
+	}
+	services := servicesOf(a.body)
+	for _, name := range names {
+		if !services[name] {
+			o.cluster.fail("a read answers version %d without %s, which was acknowledged", version, name)
+			break
+		}
+	}
+	return version, true
+}
+
+// readVersion reads until an answer has a version.
+func (o *operators) readVersion() int64 {
+	for {
+		if version, ok := o.read(); ok {
+			return version
+		}
+		time.Sleep(200 * time.Millisecond)
+	}
+}
+
+// run changes the configuration until a deadline, alone or in competition with another operator.
+func (o *operators) run(deadline time.Time, rivals, lostPercent int, pause time.Duration) {
+	var changes sync.WaitGroup
+	for time.Now().Before(deadline) {
+		base := o.readVersion()
+		for range rivals {
+			changes.Go(func() { o.change(base, rivals == 1, lostPercent) })
+		}
+		changes.Wait()
+		o.read()
+		time.Sleep(pause)
+	}
+}
+
+// scenario is a sequence of faults beside the operators' work.
+type scenario struct {
+	rivals, lostPercent int // concurrent operators; percent of answers that are lost
+	pause               time.Duration
+	injectFaults        func(c *cluster)
+}
+
+const (
+	scenarioDuration = 30 * time.Second
+	minAcknowledged  = 4 // changes that have to be acknowledged in a run for it to prove anything
+)
+
+// scenarios by name; the number at the front is that of the requirement in docs/design/control-state.md.
+var scenarios = map[string]scenario{
+	"1 a control machine is partitioned for twenty seconds": {rivals: 1, pause: 300 * time.Millisecond, injectFaults: func(c *cluster) {
+		a := []string{c.anyAddress()}
+		c.logEvent("%v is partitioned", a)
+		c.setPartitioned(a, true)
+		time.Sleep(20 * time.Second)
+		c.setPartitioned(a, false)
+		c.logEvent("the partition heals")
+	}},
+	"1 the core is partitioned in halves, and those that were ahead are killed": {rivals: 1, pause: 300 * time.Millisecond, injectFaults: func(c *cluster) {
+		for range 3 {
+			behind := c.anyAddress()
+			c.logEvent("%s misses changes", behind)
+			c.setPartitioned([]string{behind}, true)
+			time.Sleep(c.randomDuration(time.Second, 5*time.Second))
+			c.setPartitioned([]string{behind}, false)
+			for _, a := range c.peers() {
+				if a != behind {
+					c.restart(a, c.randomDuration(100*time.Millisecond, 2*time.Second), false)
+				}
+			}
+			time.Sleep(4 * time.Second)
+		}
+	}},
+	"2 two operators and lost answers": {rivals: 2, lostPercent: 50, pause: 200 * time.Millisecond, injectFaults: func(c *cluster) {
+		for range 4 {
+			time.Sleep(c.randomDuration(2*time.Second, 6*time.Second))
+			c.restart(c.anyAddress(), c.randomDuration(100*time.Millisecond, 2*time.Second), false)
+		}
+	}},
+	"2 changes repeated at another machine while primaries change": {rivals: 1, lostPercent: 60, pause: 100 * time.Millisecond, injectFaults: func(c *cluster) {
+		for range 6 {
+			time.Sleep(c.randomDuration(time.Second, 4*time.Second))
+			a := []string{c.anyAddress()}
+			c.logEvent("%v is partitioned for a moment", a)
+			c.setPartitioned(a, true)
+			time.Sleep(c.randomDuration(500*time.Millisecond, 2*time.Second))
+			c.setPartitioned(a, false)
+		}
+	}},
+	"2 changes repeated at a machine that was restored from a snapshot": {rivals: 1, lostPercent: 55, pause: 50 * time.Millisecond, injectFaults: func(c *cluster) {
+		for range 5 {
+			wiped := c.anyAddress()
+			c.restart(wiped, 200*time.Millisecond, true)
+			time.Sleep(c.randomDuration(1500*time.Millisecond, 2500*time.Millisecond))
+			c.restartOthers(wiped)
+			time.Sleep(c.randomDuration(2*time.Second, 3*time.Second))
+		}
+	}},
+	"3 a second loss after a planned replacement": {rivals: 1, pause: 300 * time.Millisecond, injectFaults: func(c *cluster) {
+		leaver := c.anyAddress()
+		added := c.addMachine(addressOf(len(c.peers())))
+		added.start(nil)
+		c.logEvent("%s starts, to replace %s", added.address, leaver)
+		time.Sleep(c.randomDuration(500*time.Millisecond, 3*time.Second))
+		c.replace(leaver)
+		time.Sleep(c.randomDuration(0, 3*time.Second))
+		for {
+			if wiped := c.anyAddress(); c.running(wiped) != nil {
+				c.restart(wiped, c.randomDuration(50*time.Millisecond, 2*time.Second), true)
+				break
+			}
+		}
+		time.Sleep(12 * time.Second)
+	}},
+	"4 hundreds of changes and returning machines": {rivals: 1, pause: 0, injectFaults: func(c *cluster) {
+		away := c.anyAddress()
+		c.restart(away, 12*time.Second, false)
+		time.Sleep(15 * time.Second)
+		wiped := c.anyAddress()
+		c.restart(wiped, time.Second, true)
+		time.Sleep(5 * time.Second)
+		c.restartOthers(wiped)
+		time.Sleep(7 * time.Second)
+	}},
+}
+
+// restartOthers restarts all other machines, so that a primary is elected that may have been restored from a snapshot.
+func (c *cluster) restartOthers(address string) {
+	for _, a := range c.peers() {
+		if a != address {
+			c.restart(a, c.randomDuration(500*time.Millisecond, 900*time.Millisecond), false)
+		}
+	}
+}
+
+// restart kills a machine, and starts it again after a time.
+func (c *cluster) restart(address string, after time.Duration, wiped bool) {
+	m := c.running(address)
+	if m == nil {
+		return
+	}
+	c.logEvent("%s is killed for %v, its disk lost: %v", address, after, wiped)
+	m.kill()
+	if wiped {
+		m.wipe()
+	}
+	time.AfterFunc(after, func() { m.start(nil) })
+}
+
+// replace shuts a machine down for good once it is released, or after the grace period.
+func (c *cluster) replace(address string) {
+	m := c.running(address)
+	c.logEvent("%s resigns", address)
+	m.current().Resign()
+	time.Sleep(2500 * time.Millisecond)
+	for deadline := time.Now().Add(5 * time.Second); !m.current().MayStop() && time.Now().Before(deadline); {
+		time.Sleep(50 * time.Millisecond)
+	}
+	c.logEvent("%s stops for good, released: %v", address, m.current().MayStop())
+	m.kill()
+	c.mu.Lock()
+	c.order = slices.DeleteFunc(c.order, func(a string) bool { return a == address })
+	c.mu.Unlock()
+}
+
+// Guards against lost, forked or stale configurations under the operators' worst faults. Each run is a complete control plane on
+// a fake clock: replicas with logs on a disk, the control API, and the dissemination to all.
+func TestScenarios(t *testing.T) {
+	for name, s := range scenarios {
+		t.Run(name, func(t *testing.T) {
+			for seed := *firstSeed; seed < *firstSeed+uint64(*scenarioSeeds); seed++ {
+				synctest.Test(t, func(t *testing.T) { s.run(t, seed) })
+			}
+		})
+	}
+}
+
+func (s scenario) run(t *testing.T, seed uint64) {
+	c := newCluster(t.TempDir(), seed, 3, 1)
+	o := &operators{cluster: c, winners: map[int64]string{}}
+	defer func() {
+		for _, m := range c.machines {
+			m.kill()
+		}
+		synctest.Wait()
+	}()
+	time.Sleep(2 * time.Second)
+	var faults sync.WaitGroup
+	faults.Go(func() { s.injectFaults(c) })
+	o.run(time.Now().Add(scenarioDuration), s.rivals, s.lostPercent, s.pause)
+	faults.Wait()
+	time.Sleep(5 * time.Second)
+	o.expectService(t)
+	if len(c.faults) > 0 {
+		t.Fatalf("seed %d: %s\n%s", seed, c.faults[0], strings.Join(c.events, "\n"))
+	}
+	t.Logf("seed %d: %d changes acknowledged, %d reads, %d changes unclear", seed, o.acknowledgedCount, o.readCount, o.unclear)
+	if o.acknowledgedCount < minAcknowledged {
+		t.Errorf("seed %d: only %d changes were acknowledged\n%s", seed, o.acknowledgedCount, strings.Join(c.events, "\n"))
+	}
+}
+
+// expectService checks that a change is applied, that all machines act on it within configApplyMs, and that all of the core are
+// members.
+func (o *operators) expectService(t *testing.T) {
+	version, applied := o.change(o.readVersion(), true, 0)
+	if !applied {
+		o.cluster.fail("change %d is not applied at the end", version)
+		return
+	}
+	time.Sleep(2 * time.Second)
+	for _, address := range o.cluster.peers() {
+		m := o.cluster.running(address)
+		if m == nil {
+			o.cluster.fail("%s is not running at the end", address)
+			continue
+		}
+		m.mu.Lock()
+		table := m.node.Config.Table
+		m.mu.Unlock()
+		if table == nil || table.Version != version {
+			o.cluster.fail("%s does not act on version %d at the end", address, version)
+		}
+		view := m.current().View()
+		if len(view.Members) != 3 {
+			o.cluster.fail("%s knows %d members at the end", address, len(view.Members))
+		}
+	}
+}
--- /dev/null
+++ b/internal/fleet/control/server_test.go
@@ -0,0 +1,166 @@
+package control
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"pinelb.example/pinelb/internal/fleet/config"
+	"pinelb.example/pinelb/internal/fleet/registry"
+	"pinelb.example/pinelb/internal/fleet/replica"
+)
+
+// fakeDelegate records calls and answers them with what a test has set.
+type fakeDelegate struct {
+	err         error
+	changes     []*config.Change
+	primary     string
+	view        uint64
+	reports     []registry.Endpoint
+	reportError error // for reports that end the service
+	service     string
+}
+
+func (d *fakeDelegate) Submit(_ context.Context, change *config.Change) error {
+	d.changes = append(d.changes, change)
+	return d.err
+}
+func (d *fakeDelegate) Read(context.Context) (*config.Document, error) {
+	return config.EmptyDocument(), d.err
+}
+func (d *fakeDelegate) PrimaryControl() (uint64, string) { return d.view, d.primary }
+func (d *fakeDelegate) HandleEndpointReport(_ context.Context, e registry.Endpoint) error {
+	d.reports = append(d.reports, e)
+	if e.State == registry.Ready {
+		return nil
+	}
+	return d.reportError
+}
+func (d *fakeDelegate) EndpointService(string) string { return d.service }
+
+const ownAddress = "10.0.0.1:9"
+
+func (d *fakeDelegate) call(method, path, body string, headers ...string) *httptest.ResponseRecorder {
+	request := httptest.NewRequest(method, path, strings.NewReader(body))
+	for i := 0; i < len(headers); i += 2 {
+		request.Header.Set(headers[i], headers[i+1])
+	}
+	recorder := httptest.NewRecorder()
+	NewServer(d, ownAddress).ServeHTTP(recorder, request)
+	return recorder
+}
+
+func TestConfigChanges(t *testing.T) {
+	Convey("The outcome of a change decides the answer", t, func() {
+		for _, c := range []struct {
+			err     error
+			primary string
+			status  int
+		}{
+			{nil, "", http.StatusOK},
+			{replica.ErrConflict, "", http.StatusPreconditionFailed},
+			{&config.InvalidError{Item: "route x", Reason: "is odd"}, "", http.StatusBadRequest},
+			{replica.ErrNotPrimary, "10.0.0.2:9", http.StatusTemporaryRedirect},
+			{replica.ErrUnavailable, "", http.StatusServiceUnavailable},
+			{replica.ErrUnavailable, ownAddress, http.StatusServiceUnavailable},
+			{errors.New("odd"), "", http.StatusServiceUnavailable},
+		} {
+			delegate := &fakeDelegate{err: c.err, primary: c.primary, view: 3}
+			answer := delegate.call("POST", "/config/modify", `{"version":2}`, "X-Base-Version", "1")
+			So(answer.Code, ShouldEqual, c.status)
+			if c.status == http.StatusTemporaryRedirect {
+				So(answer.Header().Get("Location"), ShouldEqual, "http://10.0.0.2:9/config/modify?view=3")
+			}
+			if c.status == http.StatusBadRequest {
+				So(answer.Body.String(), ShouldContainSubstring, "route x")
+			}
+			So(delegate.changes[0].Base, ShouldEqual, 1)
+			So(delegate.changes[0].Replace, ShouldBeFalse)
+		}
+	})
+	Convey("A change without a base version is rejected", t, func() {
+		delegate := &fakeDelegate{}
+		So(delegate.call("POST", "/config/replace", `{}`).Code, ShouldEqual, http.StatusBadRequest)
+		So(delegate.changes, ShouldBeEmpty)
+	})
+	Convey("The configuration is read, or the caller is redirected", t, func() {
+		answer := (&fakeDelegate{}).call("GET", "/config/read", "")
+		So(answer.Code, ShouldEqual, http.StatusOK)
+		So(answer.Body.String(), ShouldEqual, `{"version":0}`)
+		So((&fakeDelegate{err: replica.ErrNotPrimary, primary: "a:1", view: 3}).call("GET", "/config/read", "").Code, ShouldEqual, 307)
+	})
+}
+
+func TestEndpointReports(t *testing.T) {
+	beat := `{"service":"s","address":"10.0.0.9:1","zone":"z","capacity":8,"state":"draining","warmupMs":5,"sequence":4}`
+	Convey("A heartbeat is reported, and the next one requested here", t, func() {
+		delegate := &fakeDelegate{}
+		answer := delegate.call("POST", "/instances/i-1/heartbeat", beat)
+		So(answer.Code, ShouldEqual, http.StatusOK)
+		So(answer.Body.String(), ShouldContainSubstring, "http://"+ownAddress+"/instances/i-1/heartbeat")
+		So(delegate.reports[0], ShouldResemble, registry.Endpoint{ID: "i-1", Service: "s", Address: "10.0.0.9:1", Zone: "z", Capacity: 8,
+			State: registry.Draining, WarmupMs: 5, Sequence: 4})
+	})
+	Convey("A deregistration is reported", t, func() {
+		delegate := &fakeDelegate{}
+		So(delegate.call("POST", "/instances/i-1/deregister", "").Code, ShouldEqual, http.StatusOK)
+		So(delegate.reports[0].State, ShouldEqual, registry.Deregistered)
+	})
+	Convey("An end that other routers may not learn of is not acknowledged, so that the endpoint tells another router", t, func() {
+		delegate := &fakeDelegate{reportError: replica.ErrNotPrimary}
+		So(delegate.call("POST", "/instances/i-1/heartbeat", beat).Code, ShouldEqual, http.StatusServiceUnavailable)
+		So(delegate.call("POST", "/instances/i-1/deregister", "").Code, ShouldEqual, http.StatusServiceUnavailable)
+		So(len(delegate.reports), ShouldEqual, 2) // this router sends it nothing more all the same
+		Convey("while a report of a ready endpoint is acknowledged", func() {
+			ready := strings.Replace(beat, "draining", "ready", 1)
+			So(delegate.call("POST", "/instances/i-1/heartbeat", ready).Code, ShouldEqual, http.StatusOK)
+		})
+	})
+	Convey("An invalid heartbeat is rejected and not reported", t, func() {
+		for _, invalid := range []string{
+			"", "{", `{"service":"s"}`, strings.Replace(beat, "draining", "odd", 1), strings.Replace(beat, "10.0.0.9:1", "nowhere", 1),
+			`{"service":"` + strings.Repeat("x", maxHeartbeatBytes) + `"}`,
+		} {
+			delegate := &fakeDelegate{}
+			So(delegate.call("POST", "/instances/i-1/heartbeat", invalid).Code, ShouldEqual, http.StatusBadRequest)
+			So(delegate.reports, ShouldBeEmpty)
+		}
+		delegate := &fakeDelegate{service: "other"}
+		So(delegate.call("POST", "/instances/i-1/heartbeat", beat).Code, ShouldEqual, http.StatusBadRequest)
+		So(delegate.reports, ShouldBeEmpty)
+	})
+}
+
+// Guards against two routers that each take the other for the primary and redirect an operator to and fro.
+func TestRedirectsFollowNewerViews(t *testing.T) {
+	Convey("A caller that another router has redirected", t, func() {
+		behind := &fakeDelegate{err: replica.ErrNotPrimary, primary: "10.0.0.2:9", view: 3}
+		send := func(path string) *httptest.ResponseRecorder {
+			return behind.call("POST", path, `{"version":2}`, "X-Base-Version", "1")
+		}
+		Convey("by a newer view is not redirected to the primary of an older one", func() {
+			answer := send("/config/modify?view=4")
+			So(answer.Code, ShouldEqual, http.StatusServiceUnavailable)
+			So(answer.Header().Get("Retry-After"), ShouldNotBeEmpty)
+		})
+		Convey("by this view is not redirected", func() {
+			So(send("/config/modify?view=3").Code, ShouldEqual, http.StatusServiceUnavailable)
+		})
+		Convey("by an older one is redirected, with the number of this view", func() {
+			answer := send("/config/modify?view=2")
+			So(answer.Code, ShouldEqual, http.StatusTemporaryRedirect)
+			So(answer.Header().Get("Location"), ShouldEqual, "http://10.0.0.2:9/config/modify?view=3")
+		})
+		Convey("by what is no number is redirected", func() {
+			So(send("/config/modify?view=x").Code, ShouldEqual, http.StatusTemporaryRedirect)
+		})
+		Convey("reads follow the same rule", func() {
+			So(behind.call("GET", "/config/read?view=4", "").Code, ShouldEqual, http.StatusServiceUnavailable)
+		})
+	})
+}
