--- a/cmd/pinelb/router.go
+++ b/cmd/pinelb/router.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		return statusFaulty, err
 	}
-	log := routerLog().With(zap.String("node", s.Node))
+	log := routerLog().With(zap.String("node", s.NodeName))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	r := router.New(s, log)
--- a/internal/fleet/router/gossip.go
+++ b/internal/fleet/router/gossip.go
@@ -51,7 +51,7 @@
 // fleetID tells the messages of one fleet from another's: it is made of what all machines' settings share.
 func fleetID(s *settings.Settings) uint32 {
 	var zones []string
-	for zone, region := range s.Zones {
+	for zone, region := range s.RegionOfZone {
 		zones = append(zones, zone+"="+region)
 	}
 	slices.Sort(zones)
--- a/internal/fleet/router/leaseholders_test.go
+++ b/internal/fleet/router/leaseholders_test.go
@@ -20,7 +20,7 @@
 // leaseTestRouter is a router of the core that has run for a time, with nothing of it started.
 func leaseTestRouter(directory string, ran time.Duration, bootstrap bool) *Router {
 	s := &settings.Settings{IP: "10.0.0.1", DataDir: directory, CountsForQuorum: true, Bootstrap: bootstrap}
-	s.Bounds.QuotaWindow, s.Bounds.QuotaOver = quotaTestWindow, 0.1
+	s.Bounds.QuotaWindow, s.Bounds.QuotaOvershootRatio = quotaTestWindow, 0.1
 	r := New(s, zap.NewNop())
 	r.began = time.Now().Add(-ran)
 	r.startLeaseholders()
--- a/internal/fleet/router/router.go
+++ b/internal/fleet/router/router.go
@@ -87,14 +87,14 @@
 	r.ledger = quota.NewAllocator(quotaSettings(s))
 	r.quota = newQuotaClient(r, quotaSettings(s))
 	r.dispatcher = proxy.NewDispatcher(r.clock, retry.Settings{
-		Ratio: s.Bounds.BudgetRatio, Window: s.Bounds.BudgetWindow, Slack: s.Bounds.BudgetSlack,
-	}, max(64, (s.Limits.Descriptors-descriptorsKept)/2))
+		Ratio: s.Bounds.RetryBudgetRatio, Window: s.Bounds.RetryBudgetWindow, Slack: s.Bounds.RetryBudgetSlack,
+	}, max(64, (s.Limits.FileDescriptors-descriptorsKept)/2))
 	r.relay = newRelay(s.InternalAddress(), s.Zone, s.CountsForQuorum, r.sendAnnouncements)
 	r.dispatcher.Announce = r.relay.announce
 	r.front = proxy.NewServer(r, r.dispatcher, frontOptions(s))
 	r.node = dissemination.New(r.clock(), dissemination.Options{
 		Self: membership.Member{
-			Address: s.InternalAddress(), Control: s.Control, Zone: s.Zone, Region: s.Region, Core: s.CountsForQuorum,
+			Address: s.InternalAddress(), Control: s.ControlAddress, Zone: s.Zone, Region: s.Region, Core: s.CountsForQuorum,
 			BootID: rand.Uint64(),
 		},
 		Seeds: s.SeedAddresses(), EndpointHeartbeatInterval: s.EndpointHeartbeatInterval, Timing: membership.DefaultTiming(),
@@ -104,13 +104,13 @@
 }
 
 func quotaSettings(s *settings.Settings) quota.Settings {
-	return quota.Settings{Window: s.Bounds.QuotaWindow, OvershootRatio: s.Bounds.QuotaOver, OvershootUnits: s.Bounds.QuotaSlack}
+	return quota.Settings{Window: s.Bounds.QuotaWindow, OvershootRatio: s.Bounds.QuotaOvershootRatio, OvershootUnits: s.Bounds.QuotaOvershootUnits}
 }
 
 func frontOptions(s *settings.Settings) proxy.Options {
 	o := proxy.Options{Stale: s.Bounds.ConfigApply * 3 / 4}
 	if s.Bounds.RevocationStrict {
-		o.KeyLease = max(s.Bounds.Revoke/2, s.Bounds.Revoke-leaseSlack)
+		o.KeyLease = max(s.Bounds.Revocation/2, s.Bounds.Revocation-leaseSlack)
 	}
 	return o
 }
@@ -162,14 +162,14 @@
 	if err := r.transport.Serve(); err != nil {
 		return err
 	}
-	if r.settings.Control != "" {
-		_, err = r.listen(r.settings.Control, control.NewServer(r, r.settings.Control))
+	if r.settings.ControlAddress != "" {
+		_, err = r.listen(r.settings.ControlAddress, control.NewServer(r, r.settings.ControlAddress))
 	}
-	if err == nil && r.settings.Ready != "" {
-		_, err = r.listen(r.settings.Ready, http.HandlerFunc(r.answerReady))
+	if err == nil && r.settings.ReadyAddress != "" {
+		_, err = r.listen(r.settings.ReadyAddress, http.HandlerFunc(r.answerReady))
 	}
-	if err == nil && r.settings.Front != "" {
-		r.clients, err = r.listen(r.settings.Front, r.front)
+	if err == nil && r.settings.FrontAddress != "" {
+		r.clients, err = r.listen(r.settings.FrontAddress, r.front)
 	}
 	r.tasks.Go(func() { r.dispatcher.Pool.Sweep(r.transport.Context()) })
 	r.tasks.Go(func() { r.relay.run(r.transport.Context()) })
--- a/internal/fleet/router/status.go
+++ b/internal/fleet/router/status.go
@@ -41,7 +41,7 @@
 func (r *Router) Status() Status {
 	table, age := r.Table()
 	s := Status{
-		Node: r.settings.Node, Ready: r.isReady(), LeaseAgeMs: age.Milliseconds(), Tables: r.dispatcher.Tables(),
+		Node: r.settings.NodeName, Ready: r.isReady(), LeaseAgeMs: age.Milliseconds(), Tables: r.dispatcher.Tables(),
 		Served: r.front.Served.Load(), Refused: r.front.Rejected.Load(), Failed: r.front.Failed.Load(),
 		Broken: r.front.Truncated.Load(), Moved: r.front.Rerouted.Load(), Services: r.dispatcher.Services(), UptimeMs: r.clock().Milliseconds(),
 	}
--- a/internal/fleet/settings/settings.go
+++ b/internal/fleet/settings/settings.go
@@ -23,14 +23,14 @@
 
 // Settings are what one process is told at its start.
 type Settings struct {
-	Node   string
+	NodeName   string
 	Role   string
 	IP     string
 	Zone   string
 	Region string
-	Zones  map[string]string // regions by zone
+	RegionOfZone  map[string]string // regions by zone
 
-	Front, Ready, Control string // listening addresses; empty: not served
+	FrontAddress, ReadyAddress, ControlAddress string // listening addresses; empty: not served
 	Ports                 PortRange
 	Seeds                 []string // control addresses of some machines
 
@@ -53,7 +53,7 @@
 	CPUShare    float64 // of one core
 	Cores       int
 	MemoryMB    int
-	Descriptors int
+	FileDescriptors int
 	LinkMbps    float64
 	DiskMB      int
 }
@@ -71,13 +71,13 @@
 	Acknowledge      time.Duration
 	CatchUp          time.Duration
 	RevocationStrict bool
-	Revoke           time.Duration
-	BudgetRatio      float64
-	BudgetWindow     time.Duration
-	BudgetSlack      float64
+	Revocation           time.Duration
+	RetryBudgetRatio      float64
+	RetryBudgetWindow     time.Duration
+	RetryBudgetSlack      float64
 	QuotaWindow      time.Duration
-	QuotaOver        float64
-	QuotaSlack       float64
+	QuotaOvershootRatio        float64
+	QuotaOvershootUnits       float64
 	ReuseAfter       time.Duration
 }
 
@@ -109,26 +109,26 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &reader{file: file}
-	s := read(r)
+	r := &fileReader{file: file}
+	s := readSettings(r)
 	if r.err != nil {
 		return nil, r.err
 	}
-	return s, s.check()
+	return s, s.validate()
 }
 
-func read(r *reader) *Settings {
+func readSettings(r *fileReader) *Settings {
 	s := &Settings{
-		Node: r.required("nodeName"), Role: r.text("role"), IP: r.required("ip"), Zone: r.required("zone"),
-		Region: r.text("region"), Zones: r.group("zones."),
-		Front: r.text("listen.front"), Ready: r.text("listen.ready"), Control: r.text("listen.control"),
+		NodeName: r.required("nodeName"), Role: r.text("role"), IP: r.required("ip"), Zone: r.required("zone"),
+		Region: r.text("region"), RegionOfZone: r.group("zones."),
+		FrontAddress: r.text("listen.front"), ReadyAddress: r.text("listen.ready"), ControlAddress: r.text("listen.control"),
 		Ports: r.ports("portRange"), Seeds: r.list("seeds"),
 		Bootstrap: r.flag("bootstrap"), CountsForQuorum: r.flag("countsForQuorum"), DataDir: r.text("dataDir"),
 		EndpointHeartbeatInterval: r.milliseconds("heartbeatMs", 1200),
 	}
 	s.Limits = Limits{
 		CPUShare: r.number("limits.cpuShare", 1), Cores: int(r.number("limits.cores", 1)),
-		MemoryMB: int(r.number("limits.memoryMb", 128)), Descriptors: int(r.number("limits.fdLimit", 1024)),
+		MemoryMB: int(r.number("limits.memoryMb", 128)), FileDescriptors: int(r.number("limits.fdLimit", 1024)),
 		LinkMbps: r.number("limits.linkMbps", 100), DiskMB: int(r.number("limits.diskMb", 0)),
 	}
 	s.Tolerance = Tolerance{
@@ -139,22 +139,22 @@
 	return s
 }
 
-func readBounds(r *reader) Bounds {
+func readBounds(r *fileReader) Bounds {
 	return Bounds{
 		Drain: r.milliseconds("bounds.drainMs", 2000), Grace: r.seconds("bounds.graceS", 8),
 		LossSlack: r.milliseconds("bounds.lossSlackMs", 200), ConfigApply: r.milliseconds("bounds.configApplyMs", 2000),
 		Contact: r.milliseconds("bounds.contactMs", 3000), Acknowledge: r.milliseconds("bounds.ackMs", 4000),
 		CatchUp: r.seconds("bounds.catchUpS", 4), RevocationStrict: r.flag("bounds.revocationStrict"),
-		Revoke: r.milliseconds("bounds.revokeMs", 5000), BudgetRatio: r.number("bounds.budgetRatio", 0.2),
-		BudgetWindow: r.seconds("bounds.budgetWindowS", 10), BudgetSlack: r.number("bounds.budgetSlack", 0),
-		QuotaWindow: r.seconds("bounds.quotaWindowS", 8), QuotaOver: r.number("bounds.quotaOver", 0),
-		QuotaSlack: r.number("bounds.quotaSlack", 0), ReuseAfter: r.seconds("bounds.reuseAfterS", 2),
+		Revocation: r.milliseconds("bounds.revokeMs", 5000), RetryBudgetRatio: r.number("bounds.budgetRatio", 0.2),
+		RetryBudgetWindow: r.seconds("bounds.budgetWindowS", 10), RetryBudgetSlack: r.number("bounds.budgetSlack", 0),
+		QuotaWindow: r.seconds("bounds.quotaWindowS", 8), QuotaOvershootRatio: r.number("bounds.quotaOver", 0),
+		QuotaOvershootUnits: r.number("bounds.quotaSlack", 0), ReuseAfter: r.seconds("bounds.reuseAfterS", 2),
 	}
 }
 
 // check finds settings that contradict each other.
-func (s *Settings) check() error {
-	for key, address := range map[string]string{"listen.front": s.Front, "listen.ready": s.Ready, "listen.control": s.Control} {
+func (s *Settings) validate() error {
+	for key, address := range map[string]string{"listen.front": s.FrontAddress, "listen.ready": s.ReadyAddress, "listen.control": s.ControlAddress} {
 		if address == "" {
 			continue
 		}
@@ -167,27 +167,27 @@
 			return &KeyError{Key: "seeds", Reason: "holds " + strconv.Quote(seed) + ", which is no address and port"}
 		}
 	}
-	if s.Front != "" && s.Ready == "" {
+	if s.FrontAddress != "" && s.ReadyAddress == "" {
 		return &KeyError{Key: "listen.ready", Reason: "is missing while listen.front is given"}
 	}
 	return nil
 }
 
 // InternalAddress is the address at which other routers reach this one, by UDP and TCP.
-func (s *Settings) InternalAddress() string { return s.internalAt(s.IP) }
+func (s *Settings) InternalAddress() string { return s.internalAddressOf(s.IP) }
 
 // SeedAddresses are the internal addresses of the seeds, sorted: the same on all machines at the first start.
 func (s *Settings) SeedAddresses() []string {
 	var addresses []string
 	for _, seed := range s.Seeds {
 		host, _, _ := net.SplitHostPort(seed) // checked when it was read
-		addresses = append(addresses, s.internalAt(host))
+		addresses = append(addresses, s.internalAddressOf(host))
 	}
 	slices.Sort(addresses)
 	return slices.Compact(addresses)
 }
 
-func (s *Settings) internalAt(ip string) string {
+func (s *Settings) internalAddressOf(ip string) string {
 	return net.JoinHostPort(ip, strconv.Itoa(s.Ports.First))
 }
 
@@ -197,20 +197,20 @@
 func (e *KeyError) Error() string { return e.Key + " " + e.Reason }
 
 // reader takes values out of a file and keeps the first fault.
-type reader struct {
+type fileReader struct {
 	file *properties.Properties
 	err  error
 }
 
-func (r *reader) fail(key, reason string) {
+func (r *fileReader) fail(key, reason string) {
 	if r.err == nil {
 		r.err = &KeyError{Key: key, Reason: reason}
 	}
 }
 
-func (r *reader) text(key string) string { return strings.TrimSpace(r.file.GetString(key, "")) }
+func (r *fileReader) text(key string) string { return strings.TrimSpace(r.file.GetString(key, "")) }
 
-func (r *reader) required(key string) string {
+func (r *fileReader) required(key string) string {
 	value := r.text(key)
 	if value == "" {
 		r.fail(key, "is missing")
@@ -218,7 +218,7 @@
 	return value
 }
 
-func (r *reader) list(key string) []string {
+func (r *fileReader) list(key string) []string {
 	var items []string
 	for item := range strings.SplitSeq(r.text(key), ",") {
 		if item = strings.TrimSpace(item); item != "" {
@@ -228,7 +228,7 @@
 	return items
 }
 
-func (r *reader) flag(key string) bool {
+func (r *fileReader) flag(key string) bool {
 	value := r.text(key)
 	if value == "" {
 		return false
@@ -240,7 +240,7 @@
 	return on
 }
 
-func (r *reader) number(key string, otherwise float64) float64 {
+func (r *fileReader) number(key string, otherwise float64) float64 {
 	value := r.text(key)
 	if value == "" {
 		return otherwise
@@ -252,15 +252,15 @@
 	return n
 }
 
-func (r *reader) milliseconds(key string, otherwise float64) time.Duration {
+func (r *fileReader) milliseconds(key string, otherwise float64) time.Duration {
 	return time.Duration(r.number(key, otherwise) * float64(time.Millisecond))
 }
 
-func (r *reader) seconds(key string, otherwise float64) time.Duration {
+func (r *fileReader) seconds(key string, otherwise float64) time.Duration {
 	return time.Duration(r.number(key, otherwise) * float64(time.Second))
 }
 
-func (r *reader) ports(key string) PortRange {
+func (r *fileReader) ports(key string) PortRange {
 	first, last, found := strings.Cut(r.required(key), ",")
 	low, err := strconv.Atoi(strings.TrimSpace(first))
 	high, err2 := strconv.Atoi(strings.TrimSpace(last))
@@ -270,7 +270,7 @@
 	return PortRange{First: low, Last: high}
 }
 
-func (r *reader) group(prefix string) map[string]string {
+func (r *fileReader) group(prefix string) map[string]string {
 	values := map[string]string{}
 	for _, key := range r.file.Keys() {
 		if name, found := strings.CutPrefix(key, prefix); found {
--- a/internal/fleet/settings/settings_test.go
+++ b/internal/fleet/settings/settings_test.go
@@ -11,7 +11,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-const text = `nodeName=front-a-1
+const validFile = `nodeName=front-a-1
 ip=10.1.0.14
 zone=a
 region=south
@@ -36,17 +36,17 @@
 empty=
 `
 
-func TestSettings(t *testing.T) {
+func TestParseSettings(t *testing.T) {
 	Convey("A settings file is read", t, func() {
-		s, err := Parse([]byte(text))
+		s, err := Parse([]byte(validFile))
 		So(err, ShouldBeNil)
-		So(s.Node, ShouldEqual, "front-a-1")
-		So(s.Zones, ShouldResemble, map[string]string{"a": "south", "b": "south"})
+		So(s.NodeName, ShouldEqual, "front-a-1")
+		So(s.RegionOfZone, ShouldResemble, map[string]string{"a": "south", "b": "south"})
 		So(s.Ports, ShouldResemble, PortRange{7680, 7695})
 		So(s.InternalAddress(), ShouldEqual, "10.1.0.14:7680")
 		So(s.SeedAddresses(), ShouldResemble, []string{"10.1.0.14:7680", "10.2.0.32:7680"})
 		So(s.Limits.CPUShare, ShouldEqual, 0.72)
-		So(s.Bounds.Revoke, ShouldEqual, 5*time.Second)
+		So(s.Bounds.Revocation, ShouldEqual, 5*time.Second)
 		So(s.Bounds.Drain, ShouldEqual, 2*time.Second) // its default
 		So(s.Tolerance.Machines, ShouldEqual, 1)
 	})
@@ -58,7 +58,7 @@
 			{"listen.front=10.1.0.14:8662", "listen.front=8662", "listen.front"}, {"seeds=10.2.0.32:8665", "seeds=10.2.0.32", "seeds"},
 			{"listen.ready=10.1.0.14:8663", "", "listen.ready"}, {"bounds.revokeMs=5000", "bounds.revokeMs=-1", "bounds.revokeMs"},
 		} {
-			_, err := Parse([]byte(strings.Replace(text, c.from, c.to, 1)))
+			_, err := Parse([]byte(strings.Replace(validFile, c.from, c.to, 1)))
 			var fault *KeyError
 			So(errors.As(err, &fault), ShouldBeTrue)
 			So(fault.Key, ShouldEqual, c.key)
@@ -68,7 +68,7 @@
 		path := filepath.Join(t.TempDir(), "none.conf")
 		_, err := Load(path)
 		So(err.Error(), ShouldContainSubstring, path)
-		So(os.WriteFile(path, []byte(text), 0o600), ShouldBeNil)
+		So(os.WriteFile(path, []byte(validFile), 0o600), ShouldBeNil)
 		_, err = Load(path)
 		So(err, ShouldBeNil)
 	})
