--- a/internal/fleet/settings/settings_test.go
+++ b/internal/fleet/settings/settings_test.go
@@ -37,7 +37,7 @@
 `
 
 func TestParseSettings(t *testing.T) {
-	Convey("A settings file is read", t, func() {
+	Convey("A settings file is parsed", t, func() {
 		s, err := Parse([]byte(validFile))
 		So(err, ShouldBeNil)
 		So(s.NodeName, ShouldEqual, "front-a-1")
@@ -50,7 +50,7 @@
 		So(s.Bounds.Drain, ShouldEqual, 2*time.Second) // its default
 		So(s.Tolerance.Machines, ShouldEqual, 1)
 	})
-	Convey("A fault names its key", t, func() {
+	Convey("An error names the key at fault", t, func() {
 		for _, c := range []struct{ from, to, key string }{
 			{"nodeName=front-a-1", "", "nodeName"}, {"ip=10.1.0.14\n", "", "ip"}, {"zone=a", "zone=", "zone"},
 			{"portRange=7680,7695", "portRange=7695,7680", "portRange"}, {"portRange=7680,7695", "", "portRange"},
@@ -59,12 +59,12 @@
 			{"listen.ready=10.1.0.14:8663", "", "listen.ready"}, {"bounds.revokeMs=5000", "bounds.revokeMs=-1", "bounds.revokeMs"},
 		} {
 			_, err := Parse([]byte(strings.Replace(validFile, c.from, c.to, 1)))
-			var fault *KeyError
-			So(errors.As(err, &fault), ShouldBeTrue)
-			So(fault.Key, ShouldEqual, c.key)
+			var keyError *KeyError
+			So(errors.As(err, &keyError), ShouldBeTrue)
+			So(keyError.Key, ShouldEqual, c.key)
 		}
 	})
-	Convey("A file that is not there is named", t, func() {
+	Convey("An error names a file that does not exist", t, func() {
 		path := filepath.Join(t.TempDir(), "none.conf")
 		_, err := Load(path)
 		So(err.Error(), ShouldContainSubstring, path)
