--- a/internal/fleet/transport/transport.go
+++ b/internal/fleet/transport/transport.go
@@ -22,15 +22,15 @@
 )
 
 const (
-	datagramMost = 1200     // bytes of a message that goes as a datagram
-	bodyMost     = 32 << 20 // bytes of a message over TCP
-	queueMost    = 16       // large messages on their way to one router
-	dialTimeout  = 500 * time.Millisecond
-	callTimeout  = 2 * time.Second // that a short message or call may take
-	readTimeout  = time.Minute     // that the longest one may take to come
-	slowestLink  = 100_000         // bytes a second that a message over TCP is given time for, beyond callTimeout
-	idleTimeout  = 10 * time.Second
-	messagePath  = "/message"
+	maxDatagramBytes = 1200     // bytes of a message that goes as a datagram
+	maxBodyBytes     = 32 << 20 // bytes of a message over TCP
+	maxInFlight      = 16       // large messages on their way to one router
+	dialTimeout      = 500 * time.Millisecond
+	callTimeout      = 2 * time.Second // that a short message or call may take
+	readTimeout      = time.Minute     // that the longest one may take to come
+	minLinkRate      = 100_000         // bytes a second that a message over TCP is given time for, beyond callTimeout
+	idleTimeout      = 10 * time.Second
+	messagePath      = "/message"
 )
 
 // Kind tells messages apart; the roles number them.
@@ -47,7 +47,7 @@
 
 // Counters are what was sent, received and dropped since the start.
 type Counters struct {
-	SentDatagrams, SentBytes, Received, Dropped, SentLarge atomic.Uint64
+	SentDatagrams, SentBytes, Received, Dropped, SentOverTCP atomic.Uint64
 }
 
 // Transport is one router's. Handle is called for each message, by several goroutines; it must not block for long.
@@ -65,9 +65,9 @@
 	cancel  context.CancelFunc
 	tasks   sync.WaitGroup
 
-	mu    sync.Mutex
-	queue map[string]int
-	peers map[string]netip.AddrPort
+	mu           sync.Mutex
+	inFlight     map[string]int
+	udpAddresses map[string]netip.AddrPort
 }
 
 // Listen takes the address over, by UDP and TCP. Serve has to follow.
@@ -83,13 +83,13 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t := &Transport{
 		fleet: fleet, address: address, handle: handle, udp: udp, router: mux.NewRouter(),
-		ctx: ctx, cancel: cancel, queue: map[string]int{}, peers: map[string]netip.AddrPort{},
+		ctx: ctx, cancel: cancel, inFlight: map[string]int{}, udpAddresses: map[string]netip.AddrPort{},
 	}
 	t.client = &http.Client{Transport: &http.Transport{
 		DialContext:     (&net.Dialer{Timeout: dialTimeout, KeepAlive: -1}).DialContext,
 		IdleConnTimeout: idleTimeout, MaxIdleConnsPerHost: 1, DisableCompression: true,
 	}}
-	t.router.HandleFunc(messagePath, t.receiveLarge).Methods(http.MethodPost)
+	t.router.HandleFunc(messagePath, t.receiveOverTCP).Methods(http.MethodPost)
 	t.server = &http.Server{Handler: t.router, ReadHeaderTimeout: callTimeout, ReadTimeout: readTimeout, IdleTimeout: 2 * idleTimeout}
 	return t, nil
 }
@@ -97,7 +97,7 @@
 // HandleCall has answer called for each call of that path. What it returns is the answer's body.
 func (t *Transport) HandleCall(path string, answer func(body []byte) (any, error)) {
 	t.router.HandleFunc(path, func(w http.ResponseWriter, r *http.Request) {
-		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyMost))
+		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 		if err != nil {
 			t.Counters.Dropped.Add(1)
 			return
@@ -162,8 +162,8 @@
 	}
 }
 
-func (t *Transport) receiveLarge(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyMost))
+func (t *Transport) receiveOverTCP(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		t.Counters.Dropped.Add(1)
 		return
@@ -183,7 +183,7 @@
 
 // Send sends a message, once and without a word of whether it came.
 func (t *Transport) Send(to string, kind Kind, nonce uint64, message any) {
-	t.sendText(to, t.encode(kind, nonce, message))
+	t.sendEncoded(to, t.encode(kind, nonce, message))
 }
 
 func (t *Transport) encode(kind Kind, nonce uint64, message any) []byte {
@@ -198,25 +198,25 @@
 	return text
 }
 
-func (t *Transport) sendText(to string, text []byte) {
-	if len(text) <= datagramMost {
+func (t *Transport) sendEncoded(to string, text []byte) {
+	if len(text) <= maxDatagramBytes {
 		t.sendDatagram(to, text)
 		return
 	}
-	t.sendLarge(to, text)
+	t.sendOverTCP(to, text)
 }
 
 // SendAll sends a message to several routers, once and without a word of whether it came.
 func (t *Transport) SendAll(to []string, kind Kind, message any) {
 	text := t.encode(kind, 0, message)
 	for _, address := range to {
-		t.sendText(address, text)
+		t.sendEncoded(address, text)
 	}
 }
 
 func (t *Transport) sendDatagram(to string, text []byte) {
 	t.mu.Lock()
-	at, known := t.peers[to]
+	at, known := t.udpAddresses[to]
 	t.mu.Unlock()
 	if !known {
 		var err error
@@ -225,7 +225,7 @@
 			return
 		}
 		t.mu.Lock()
-		t.peers[to] = at
+		t.udpAddresses[to] = at
 		t.mu.Unlock()
 	}
 	t.Counters.SentDatagrams.Add(1)
@@ -233,34 +233,34 @@
 	_, _ = t.udp.WriteToUDPAddrPort(text, at) // datagrams may be lost anyway
 }
 
-func (t *Transport) sendLarge(to string, text []byte) {
+func (t *Transport) sendOverTCP(to string, text []byte) {
 	t.mu.Lock()
-	full := t.queue[to] >= queueMost
+	full := t.inFlight[to] >= maxInFlight
 	if !full {
-		t.queue[to]++
+		t.inFlight[to]++
 	}
 	t.mu.Unlock()
 	if full {
 		t.Counters.Dropped.Add(1)
 		return
 	}
-	t.Counters.SentLarge.Add(1)
+	t.Counters.SentOverTCP.Add(1)
 	t.Counters.SentBytes.Add(uint64(len(text)))
 	t.tasks.Go(func() {
-		ctx, cancel := context.WithTimeout(t.ctx, timeToSend(len(text)))
+		ctx, cancel := context.WithTimeout(t.ctx, sendTimeout(len(text)))
 		_, _ = t.post(ctx, to, messagePath, text) // messages may be lost; the protocols repeat them
 		cancel()
 		t.mu.Lock()
-		if t.queue[to]--; t.queue[to] == 0 {
-			delete(t.queue, to)
+		if t.inFlight[to]--; t.inFlight[to] == 0 {
+			delete(t.inFlight, to)
 		}
 		t.mu.Unlock()
 	})
 }
 
-// timeToSend is how long a message of a size may take, also on a slow link.
-func timeToSend(size int) time.Duration {
-	return callTimeout + time.Duration(size)*time.Second/slowestLink
+// sendTimeout is how long a message of a size may take, also on a slow link.
+func sendTimeout(size int) time.Duration {
+	return callTimeout + time.Duration(size)*time.Second/minLinkRate
 }
 
 // Call sends a request to a router and reads the answer into reply, which may take until ctx ends.
@@ -289,7 +289,7 @@
 		return nil, merry.Prepend(err, "transport")
 	}
 	defer response.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(response.Body, bodyMost))
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxBodyBytes))
 	if err != nil {
 		return nil, merry.Prepend(err, "transport")
 	}
--- a/internal/fleet/transport/transport_test.go
+++ b/internal/fleet/transport/transport_test.go
@@ -14,7 +14,7 @@
 )
 
 // free is a loopback address whose port is free by UDP and TCP.
-func free(t *testing.T) string {
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -26,23 +26,23 @@
 
 // inbox collects what came.
 type inbox struct {
-	mu  sync.Mutex
-	got []*Packet
-	new chan struct{}
+	mu      sync.Mutex
+	packets []*Packet
+	arrived chan struct{}
 }
 
-func newInbox() *inbox { return &inbox{new: make(chan struct{}, 100)} }
+func newInbox() *inbox { return &inbox{arrived: make(chan struct{}, 100)} }
 
 func (i *inbox) handle(p *Packet) {
 	i.mu.Lock()
-	i.got = append(i.got, &Packet{Kind: p.Kind, From: p.From, Nonce: p.Nonce, Body: append(cbor.RawMessage(nil), p.Body...)})
+	i.packets = append(i.packets, &Packet{Kind: p.Kind, From: p.From, Nonce: p.Nonce, Body: append(cbor.RawMessage(nil), p.Body...)})
 	i.mu.Unlock()
-	i.new <- struct{}{}
+	i.arrived <- struct{}{}
 }
 
 func listen(t *testing.T, fleet uint32, handle func(*Packet)) (*Transport, string) {
 	t.Helper()
-	address := free(t)
+	address := freeAddress(t)
 	tr, err := Listen(address, fleet, handle)
 	if err != nil {
 		t.Fatal(err)
@@ -50,7 +50,7 @@
 	return tr, address
 }
 
-func TestTransport(t *testing.T) {
+func TestMessagesAndCalls(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	Convey("Two routers of one fleet and one of another", t, func() {
 		in := newInbox()
@@ -77,15 +77,15 @@
 		})
 		Convey("send small messages as datagrams and large ones over TCP", func() {
 			a.Send(bAddress, 3, 9, "small")
-			<-in.new
+			<-in.arrived
 			a.Send(bAddress, 4, 9, strings.Repeat("large ", 5000))
-			<-in.new
+			<-in.arrived
 			So(a.Counters.SentDatagrams.Load(), ShouldEqual, 1)
-			So(a.Counters.SentLarge.Load(), ShouldEqual, 1)
-			So(in.got[0].From, ShouldEqual, aAddress)
-			So(in.got[0].Nonce, ShouldEqual, 9)
+			So(a.Counters.SentOverTCP.Load(), ShouldEqual, 1)
+			So(in.packets[0].From, ShouldEqual, aAddress)
+			So(in.packets[0].Nonce, ShouldEqual, 9)
 			var text string
-			So(cbor.Unmarshal(in.got[1].Body, &text), ShouldBeNil)
+			So(cbor.Unmarshal(in.packets[1].Body, &text), ShouldBeNil)
 			So(len(text), ShouldEqual, 30000)
 		})
 		Convey("drop and count what is cut, is nothing, or is of another fleet", func() {
@@ -101,9 +101,9 @@
 			stranger.Send(bAddress, 3, 0, "odd")
 			_, err = conn.Write(packet)
 			So(err, ShouldBeNil)
-			<-in.new // the whole one, which comes last on its way
+			<-in.arrived // the whole one, which comes last on its way
 			So(b.Counters.Dropped.Load(), ShouldBeGreaterThanOrEqualTo, uint64(len(packet)-1))
-			So(len(in.got), ShouldEqual, 1)
+			So(len(in.packets), ShouldEqual, 1)
 		})
 		Convey("call each other", func() {
 			var reply string
