--- a/internal/fleet/transport/transport_test.go
+++ b/internal/fleet/transport/transport_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"net"
+	"net/http"
 	"strings"
 	"sync"
 	"testing"
@@ -24,7 +25,7 @@
 	return l.Addr().String()
 }
 
-// inbox collects what came.
+// inbox records the packets that arrived.
 type inbox struct {
 	mu      sync.Mutex
 	packets []*Packet
@@ -88,7 +89,7 @@
 			So(cbor.Unmarshal(in.packets[1].Body, &text), ShouldBeNil)
 			So(len(text), ShouldEqual, 30000)
 		})
-		Convey("drop and count what is cut, is nothing, or is of another fleet", func() {
+		Convey("drop and count packets that are truncated, invalid or of another fleet", func() {
 			conn, err := net.Dial("udp4", bAddress)
 			So(err, ShouldBeNil)
 			defer conn.Close()
@@ -101,7 +102,7 @@
 			stranger.Send(bAddress, 3, 0, "odd")
 			_, err = conn.Write(packet)
 			So(err, ShouldBeNil)
-			<-in.arrived // the whole one, which comes last on its way
+			<-in.arrived // the complete one, which was sent last
 			So(b.Counters.Dropped.Load(), ShouldBeGreaterThanOrEqualTo, uint64(len(packet)-1))
 			So(len(in.packets), ShouldEqual, 1)
 		})
@@ -109,20 +110,27 @@
 			var reply string
 			So(a.Call(context.Background(), bAddress, "/double", "xy", &reply), ShouldBeNil)
 			So(reply, ShouldEqual, "xyxy")
-			So(a.Call(context.Background(), bAddress, "/double", "", &reply), ShouldNotBeNil)
-			So(a.Call(context.Background(), bAddress, "/none", "x", &reply), ShouldNotBeNil)
+			for _, c := range []struct {
+				path, request string
+				status        int
+			}{{"/double", "", http.StatusServiceUnavailable}, {"/none", "x", http.StatusNotFound}} {
+				err := a.Call(context.Background(), bAddress, c.path, c.request, &reply)
+				var statusError *StatusError
+				So(errors.As(err, &statusError), ShouldBeTrue)
+				So(statusError.Status, ShouldEqual, c.status)
+			}
 		})
 	})
 }
 
 // Looks for packets on which receiving panics.
 func FuzzReceive(f *testing.F) {
-	whole, err := cbor.Marshal(&Packet{Fleet: 7, Kind: 3, From: "a:1", Body: cbor.RawMessage{0x01}})
+	packet, err := cbor.Marshal(&Packet{Fleet: 7, Kind: 3, From: "a:1", Body: cbor.RawMessage{0x01}})
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(whole)
-	f.Add(whole[:5])
+	f.Add(packet)
+	f.Add(packet[:5])
 	t := &Transport{fleet: 7, handle: func(*Packet) {}}
-	f.Fuzz(func(_ *testing.T, text []byte) { t.receive(text) })
+	f.Fuzz(func(_ *testing.T, encoded []byte) { t.receive(encoded) })
 }
