--- a/internal/fleet/control/configuration.go
+++ b/internal/fleet/control/configuration.go
@@ -21,7 +21,7 @@
 )
 
 // submitChange returns the handler of changes: of complete configurations, or of named items.
-func (s *Server) submitChange(replace bool) func(http.ResponseWriter, *http.Request) error {
+func (s *Server) submitChange(replace bool) callHandler {
 	return func(w http.ResponseWriter, r *http.Request) error {
 		change, err := readChange(r, replace)
 		if err != nil {
--- a/internal/fleet/control/scenarios_test.go
+++ b/internal/fleet/control/scenarios_test.go
@@ -125,7 +125,7 @@
 	}
 }
 
-// scenario is a sequence of faults beside the operators' work.
+// scenario is a sequence of faults during the operators' work.
 type scenario struct {
 	rivals, lostPercent int // concurrent operators; percent of answers that are lost
 	pause               time.Duration
--- a/internal/fleet/control/server.go
+++ b/internal/fleet/control/server.go
@@ -55,8 +55,10 @@
 
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.handler.ServeHTTP(w, r) }
 
-// handle routes calls to a handler. One that returns an error has written nothing: writeError answers in its place.
-func (s *Server) handle(method, path string, handler func(http.ResponseWriter, *http.Request) error) {
+// callHandler serves a call. Where it returns an error it has written nothing: writeError answers in its place.
+type callHandler func(http.ResponseWriter, *http.Request) error
+
+func (s *Server) handle(method, path string, handler callHandler) {
 	s.handler.HandleFunc(path, func(w http.ResponseWriter, r *http.Request) {
 		if err := handler(w, r); err != nil {
 			s.writeError(w, r, err)
--- a/internal/fleet/quota/allocator.go
+++ b/internal/fleet/quota/allocator.go
@@ -58,18 +58,18 @@
 	a.view = view
 }
 
-// Grant takes up to want units out of a tenant's bucket, and nothing where least are not available. wait is the time after
-// which least may be asked for again.
-func (a *Allocator) Grant(now time.Duration, t *config.Tenant, least, want float64) (granted float64, wait time.Duration) {
+// Grant takes up to wanted units out of a tenant's bucket, or none where less than minimum is available. wait is then the time
+// after which minimum will be.
+func (a *Allocator) Grant(now time.Duration, t *config.Tenant, minimum, wanted float64) (granted float64, wait time.Duration) {
 	b := a.bucket(now, t)
 	available := b.level - b.maxUnreported(now, t) - a.maxUnannouncedUse(now, b)
-	if available < least {
+	if available < minimum {
 		if t.RatePerS <= 0 {
 			return 0, noRateWait
 		}
-		return 0, time.Duration((least - available) / t.RatePerS * float64(time.Second))
+		return 0, time.Duration((minimum - available) / t.RatePerS * float64(time.Second))
 	}
-	granted = min(available, max(least, want))
+	granted = min(available, max(minimum, wanted))
 	b.level -= granted
 	return granted, 0
 }
--- a/internal/fleet/quota/lease.go
+++ b/internal/fleet/quota/lease.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Beside granting credit, the allocator leases each router a share of each tenant's rate, in proportion to the router's use. A
+// In addition to granting credit, the allocator leases each router a share of each tenant's rate, in proportion to the router's use. A
 // router that does not reach the allocator, because it is cut off or there is none at present, uses its shares until the lease
 // expires, and reports that use when it renews the lease. Until then the allocator takes a leased share for used from the last
 // renewal on. So grants and leases stay together within one bucket of the tenant's rate, however many routers are cut off. The
--- a/internal/fleet/quota/local.go
+++ b/internal/fleet/quota/local.go
@@ -9,7 +9,7 @@
 
 const (
 	// creditTTL is how long credit may be used. Credit that is granted at the end of one window is used in the next, so that
-	// it has to be short beside the window.
+	// it has to be short compared with the window.
 	creditTTL = 300 * time.Millisecond
 
 	prefetchSpan     = 150 * time.Millisecond // for which credit is asked ahead, where requests come often
--- a/internal/fleet/quota/local_lease.go
+++ b/internal/fleet/quota/local_lease.go
@@ -52,7 +52,7 @@
 	return r
 }
 
-// CompleteRenewal takes over the shares that came in answer to a renewal. The answer to any but the last one is ignored.
+// CompleteRenewal applies the shares that a renewal was answered with. The answer to any but the last one is ignored.
 func (q *LocalQuota) CompleteRenewal(r Renewal, shares map[string]float64) {
 	if r.sentAt != q.lease.sentAt || r.Number != q.lease.number {
 		return
@@ -96,7 +96,7 @@
 }
 
 // leaseCredit returns what is left of the units that a share has accrued since the lease's last renewal. They are bounded by
-// the size of a bucket, as the allocator's are: else a quiet tenant would use all that it has saved up at once, beside what the
+// the size of a bucket, as the allocator's are: else a quiet tenant would use all that it has saved up at once, in addition to what the
 // next allocator grants.
 func (l *localTenant) leaseCredit(accrued, bucketSize float64) float64 {
 	credit := accrued - l.unreported - l.forfeited
--- a/internal/fleet/quota/quota.go
+++ b/internal/fleet/quota/quota.go
@@ -25,11 +25,11 @@
 	"pinelb.example/pinelb/internal/fleet/config"
 )
 
-// Settings are the bounds that quotas are held to.
+// Settings are the bounds on the use of tenants.
 type Settings struct {
 	Window         time.Duration // over which use is bounded
 	OvershootRatio float64       // part of the allowance of a window by which use may exceed it
-	OvershootUnits float64       // units by which use may exceed it beside
+	OvershootUnits float64       // units by which use may exceed it in addition
 }
 
 // How the allowed overshoot of a window is divided.
--- a/internal/fleet/retry/budget.go
+++ b/internal/fleet/retry/budget.go
@@ -10,11 +10,11 @@
 import "time"
 
 // Settings are the bounds that the retries of all routers together are held to: in a Window, Ratio times the requests of
-// clients, and Slack beside.
+// clients, and Slack in addition.
 type Settings struct {
 	Ratio  float64       // retries for each request
-	Window time.Duration // that the bound is checked over; the bucket holds in any window
-	Slack  float64       // retries beside, of all routers together
+	Window time.Duration // over which the bound counts; a Budget, whose bucket is small, keeps it without a clock
+	Slack  float64       // retries in addition, of all routers together
 }
 
 const (
--- a/internal/fleet/settings/settings.go
+++ b/internal/fleet/settings/settings.go
@@ -71,11 +71,11 @@
 
 	RetryBudgetRatio  float64       // retries for each request of a client
 	RetryBudgetWindow time.Duration // over which they are counted
-	RetryBudgetSlack  float64       // retries beside
+	RetryBudgetSlack  float64       // retries in addition
 
 	QuotaWindow         time.Duration // over which a tenant's use is bounded
 	QuotaOvershootRatio float64       // part of the allowance by which it may be exceeded
-	QuotaOvershootUnits float64       // units beside
+	QuotaOvershootUnits float64       // units in addition
 
 	ReuseAfter time.Duration
 }
--- a/internal/fleet/transport/transport_test.go
+++ b/internal/fleet/transport/transport_test.go
@@ -14,7 +14,7 @@
 	"go.uber.org/goleak"
 )
 
-// free is a loopback address whose port is free by UDP and TCP.
+// freeAddress returns a loopback address whose port is free by TCP; that by UDP usually is, too.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
