--- a/internal/fleet/router/gossip.go
+++ b/internal/fleet/router/gossip.go
@@ -45,7 +45,7 @@
 		fetches:     fetchLimiter{timeout: minFetchTimeout},
 		node: dissemination.New(e.clock(), dissemination.Options{
 			Self: membership.Member{
-				Address: s.InternalAddress(), Control: s.Control, Zone: s.Zone, Region: s.Region, Core: s.CountsForQuorum,
+				Address: s.InternalAddress(), Control: s.ControlAddress, Zone: s.Zone, Region: s.Region, Core: s.CountsForQuorum,
 				BootID: rand.Uint64(),
 			},
 			Seeds:                     s.SeedAddresses(),
--- a/internal/fleet/router/messages.go
+++ b/internal/fleet/router/messages.go
@@ -42,7 +42,7 @@
 // machines share.
 func fleetID(s *settings.Settings) uint32 {
 	var zones []string
-	for zone, region := range s.Zones {
+	for zone, region := range s.RegionOfZone {
 		zones = append(zones, zone+"="+region)
 	}
 	slices.Sort(zones)
--- a/internal/fleet/router/quota_allocator.go
+++ b/internal/fleet/router/quota_allocator.go
@@ -39,7 +39,7 @@
 }
 
 func quotaSettings(s *settings.Settings) quota.Settings {
-	return quota.Settings{Window: s.Bounds.QuotaWindow, OvershootRatio: s.Bounds.QuotaOver, OvershootUnits: s.Bounds.QuotaSlack}
+	return quota.Settings{Window: s.Bounds.QuotaWindow, OvershootRatio: s.Bounds.QuotaOvershootRatio, OvershootUnits: s.Bounds.QuotaOvershootUnits}
 }
 
 // setRouters records how many routers are alive.
--- a/internal/fleet/router/router.go
+++ b/internal/fleet/router/router.go
@@ -69,8 +69,8 @@
 	e := &environment{settings: s, log: log, startedAt: time.Now()}
 	r := &Router{environment: e, killed: make(chan struct{})}
 	r.dispatcher = proxy.NewDispatcher(e.clock, retry.Settings{
-		Ratio: s.Bounds.BudgetRatio, Window: s.Bounds.BudgetWindow, Slack: s.Bounds.BudgetSlack,
-	}, max(minConnections, (s.Limits.Descriptors-reservedDescriptors)/2))
+		Ratio: s.Bounds.RetryBudgetRatio, Window: s.Bounds.RetryBudgetWindow, Slack: s.Bounds.RetryBudgetSlack,
+	}, max(minConnections, (s.Limits.FileDescriptors-reservedDescriptors)/2))
 	r.config = &activeConfig{environment: e}
 	r.gossip = newGossip(e, r.config, r.dispatcher)
 	r.leaseholders = &leaseholderList{environment: e, gossip: r.gossip}
@@ -89,7 +89,7 @@
 func proxyOptions(s *settings.Settings) proxy.Options {
 	options := proxy.Options{Stale: s.Bounds.ConfigApply * 3 / 4}
 	if s.Bounds.RevocationStrict {
-		options.KeyLease = max(s.Bounds.Revoke/2, s.Bounds.Revoke-keyLeaseMargin)
+		options.KeyLease = max(s.Bounds.Revocation/2, s.Bounds.Revocation-keyLeaseMargin)
 	}
 	return options
 }
@@ -162,13 +162,13 @@
 // listen serves the addresses that the settings name.
 func (r *Router) listen() error {
 	var err error
-	if address := r.settings.Control; address != "" {
+	if address := r.settings.ControlAddress; address != "" {
 		_, err = r.servers.listen(address, control.NewServer(r, address))
 	}
-	if address := r.settings.Ready; err == nil && address != "" {
+	if address := r.settings.ReadyAddress; err == nil && address != "" {
 		_, err = r.servers.listen(address, http.HandlerFunc(r.serveReady))
 	}
-	if address := r.settings.Front; err == nil && address != "" {
+	if address := r.settings.FrontAddress; err == nil && address != "" {
 		r.proxyServer, err = r.servers.listen(address, r.proxy)
 	}
 	return err
--- a/internal/fleet/router/status.go
+++ b/internal/fleet/router/status.go
@@ -42,7 +42,7 @@
 func (r *Router) Status() Status {
 	table, age := r.Table()
 	s := Status{
-		Node: r.settings.Node, Ready: r.isReady(), LeaseAgeMs: age.Milliseconds(), UptimeMs: r.clock().Milliseconds(),
+		Node: r.settings.NodeName, Ready: r.isReady(), LeaseAgeMs: age.Milliseconds(), UptimeMs: r.clock().Milliseconds(),
 		Tables: r.dispatcher.Tables(), Services: r.dispatcher.Services(), Replica: r.replicaStatus(),
 	}
 	if table != nil {
--- a/internal/fleet/transport/transport_test.go
+++ b/internal/fleet/transport/transport_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"net"
+	"net/http"
 	"strings"
 	"sync"
 	"testing"
@@ -13,8 +14,8 @@
 	"go.uber.org/goleak"
 )
 
-// free is a loopback address whose port is free by UDP and TCP.
-func free(t *testing.T) string {
+// freeAddress returns a loopback address whose port is free by TCP; that by UDP usually is, too.
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -24,25 +25,25 @@
 	return l.Addr().String()
 }
 
-// inbox collects what came.
+// inbox records the packets that arrived.
 type inbox struct {
-	mu  sync.Mutex
-	got []*Packet
-	new chan struct{}
+	mu      sync.Mutex
+	packets []*Packet
+	arrived chan struct{}
 }
 
-func newInbox() *inbox { return &inbox{new: make(chan struct{}, 100)} }
+func newInbox() *inbox { return &inbox{arrived: make(chan struct{}, 100)} }
 
 func (i *inbox) handle(p *Packet) {
 	i.mu.Lock()
-	i.got = append(i.got, &Packet{Kind: p.Kind, From: p.From, Nonce: p.Nonce, Body: append(cbor.RawMessage(nil), p.Body...)})
+	i.packets = append(i.packets, &Packet{Kind: p.Kind, From: p.From, Nonce: p.Nonce, Body: append(cbor.RawMessage(nil), p.Body...)})
 	i.mu.Unlock()
-	i.new <- struct{}{}
+	i.arrived <- struct{}{}
 }
 
 func listen(t *testing.T, fleet uint32, handle func(*Packet)) (*Transport, string) {
 	t.Helper()
-	address := free(t)
+	address := freeAddress(t)
 	tr, err := Listen(address, fleet, handle)
 	if err != nil {
 		t.Fatal(err)
@@ -50,7 +51,7 @@
 	return tr, address
 }
 
-func TestTransport(t *testing.T) {
+func TestMessagesAndCalls(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	Convey("Two routers of one fleet and one of another", t, func() {
 		in := newInbox()
@@ -77,18 +78,18 @@
 		})
 		Convey("send small messages as datagrams and large ones over TCP", func() {
 			a.Send(bAddress, 3, 9, "small")
-			<-in.new
+			<-in.arrived
 			a.Send(bAddress, 4, 9, strings.Repeat("large ", 5000))
-			<-in.new
+			<-in.arrived
 			So(a.Counters.SentDatagrams.Load(), ShouldEqual, 1)
-			So(a.Counters.SentLarge.Load(), ShouldEqual, 1)
-			So(in.got[0].From, ShouldEqual, aAddress)
-			So(in.got[0].Nonce, ShouldEqual, 9)
+			So(a.Counters.SentOverTCP.Load(), ShouldEqual, 1)
+			So(in.packets[0].From, ShouldEqual, aAddress)
+			So(in.packets[0].Nonce, ShouldEqual, 9)
 			var text string
-			So(cbor.Unmarshal(in.got[1].Body, &text), ShouldBeNil)
+			So(cbor.Unmarshal(in.packets[1].Body, &text), ShouldBeNil)
 			So(len(text), ShouldEqual, 30000)
 		})
-		Convey("drop and count what is cut, is nothing, or is of another fleet", func() {
+		Convey("drop and count packets that are truncated, invalid or of another fleet", func() {
 			conn, err := net.Dial("udp4", bAddress)
 			So(err, ShouldBeNil)
 			defer conn.Close()
@@ -101,28 +102,35 @@
 			stranger.Send(bAddress, 3, 0, "odd")
 			_, err = conn.Write(packet)
 			So(err, ShouldBeNil)
-			<-in.new // the whole one, which comes last on its way
+			<-in.arrived // the complete one, which was sent last
 			So(b.Counters.Dropped.Load(), ShouldBeGreaterThanOrEqualTo, uint64(len(packet)-1))
-			So(len(in.got), ShouldEqual, 1)
+			So(len(in.packets), ShouldEqual, 1)
 		})
 		Convey("call each other", func() {
 			var reply string
 			So(a.Call(context.Background(), bAddress, "/double", "xy", &reply), ShouldBeNil)
 			So(reply, ShouldEqual, "xyxy")
-			So(a.Call(context.Background(), bAddress, "/double", "", &reply), ShouldNotBeNil)
-			So(a.Call(context.Background(), bAddress, "/none", "x", &reply), ShouldNotBeNil)
+			for _, c := range []struct {
+				path, request string
+				status        int
+			}{{"/double", "", http.StatusServiceUnavailable}, {"/none", "x", http.StatusNotFound}} {
+				err := a.Call(context.Background(), bAddress, c.path, c.request, &reply)
+				var statusError *StatusError
+				So(errors.As(err, &statusError), ShouldBeTrue)
+				So(statusError.Status, ShouldEqual, c.status)
+			}
 		})
 	})
 }
 
 // Looks for packets on which receiving panics.
 func FuzzReceive(f *testing.F) {
-	whole, err := cbor.Marshal(&Packet{Fleet: 7, Kind: 3, From: "a:1", Body: cbor.RawMessage{0x01}})
+	packet, err := cbor.Marshal(&Packet{Fleet: 7, Kind: 3, From: "a:1", Body: cbor.RawMessage{0x01}})
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(whole)
-	f.Add(whole[:5])
+	f.Add(packet)
+	f.Add(packet[:5])
 	t := &Transport{fleet: 7, handle: func(*Packet) {}}
-	f.Fuzz(func(_ *testing.T, text []byte) { t.receive(text) })
+	f.Fuzz(func(_ *testing.T, encoded []byte) { t.receive(encoded) })
 }
