--- /dev/null
+++ b/internal/fleet/proxy/admission.go
@@ -0,0 +1,72 @@
+package proxy
+
+import (
+	"math/rand/v2"
+	"net/http"
+	"time"
+
+	"pinelb.example/pinelb/internal/fleet/config"
+	"pinelb.example/pinelb/internal/fleet/placement"
+)
+
+// denial is an error of the request itself, with the status that the client gets. The request has not run; sending it again
+// as it is would be of no use.
+type denial int
+
+const (
+	errUnreadableBody denial = http.StatusBadRequest
+	errUnknownAPIKey  denial = http.StatusUnauthorized
+	errNoRoute        denial = http.StatusNotFound
+	errBodyTooLarge   denial = http.StatusRequestEntityTooLarge
+)
+
+// Error returns the status in words.
+func (d denial) Error() string { return "proxy: request denied: " + http.StatusText(int(d)) }
+
+// admit finds a request's route, tenant and service. Its errors are denials.
+func (s *Server) admit(q *request, table *config.Table) error {
+	q.route = table.Route(hostOf(q.http), q.path)
+	if q.route == nil {
+		return errNoRoute
+	}
+	if table.RequiresAPIKey && !q.route.Public {
+		if q.tenant = table.TenantByKey(q.http.Header.Get(headerAPIKey)); q.tenant == nil {
+			return errUnknownAPIKey
+		}
+	}
+	q.service = q.route.PickService(rand.Float64())
+	q.prompt = placement.Prompt{Units: 1, Priority: q.priority(), Output: q.outputTokens(), MaxEventGap: q.route.MaxEventGap()}
+	if text := q.http.Header.Get(headerPrefixHash); text != "" {
+		q.prompt.Units, q.prompt.Prefixes = parsePrefixes(text)
+	}
+	return nil
+}
+
+// apiKeyValid reports whether the configuration is fresh enough to accept the request's API key.
+func (s *Server) apiKeyValid(q *request) bool {
+	if q.tenant == nil || s.options.KeyLease == 0 {
+		return true
+	}
+	_, age := s.delegate.Table()
+	return age < s.options.KeyLease
+}
+
+// charge charges the request to its tenant's quota. Where that is exhausted, wait is when the client may retry.
+func (s *Server) charge(q *request) (wait time.Duration, ok bool) {
+	if q.tenant == nil {
+		return 0, true
+	}
+	units := q.quotaUnits(q.tenant)
+	ok, wait = s.delegate.Charge(q.http.Context(), q.tenant, units)
+	if ok {
+		q.chargedUnits = units
+	}
+	return wait, ok
+}
+
+// refund gives back what was charged for a request that has not run and never will.
+func (s *Server) refund(q *request) {
+	if q.tenant != nil && q.chargedUnits > 0 {
+		s.delegate.Refund(q.tenant, q.chargedUnits)
+	}
+}
--- /dev/null
+++ b/internal/fleet/proxy/attempt.go
@@ -0,0 +1,87 @@
+package proxy
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"time"
+
+	"pinelb.example/pinelb/balance"
+	"pinelb.example/pinelb/internal/fleet/placement"
+	"pinelb.example/pinelb/internal/upstream"
+)
+
+const (
+	maxDrain    = 16 << 10 // bytes of an unusable answer that are read so that its connection can be reused
+	headerBytes = 1024     // expected size of a request's head
+)
+
+// attempt sends the request to one endpoint and passes its answer on.
+func (f *forwarding) attempt(ctx context.Context, placed *placement.Placement) outcome {
+	q, dispatcher := f.request, f.server.dispatcher
+	defer dispatcher.release(placed)
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	wait := f.awaitFirstToken(placed, cancel)
+	defer func() { f.rerouteTaken = wait.stop() }()
+	message := q.encode(make([]byte, 0, headerBytes+len(q.body)), placed.Endpoint.ID, f.response.lastEventID, time.Until(q.deadline))
+	reply, proof, err := dispatcher.Pool.Start(ctx, &upstream.Exchange{
+		Host: balance.EndpointID(placed.Endpoint.Number), ID: q.id, Method: q.http.Method, Until: q.deadline, Message: message,
+	})
+	if err != nil {
+		return f.judgeError(wait, proof)
+	}
+	defer reply.Body.Close()
+	if result, usable := f.judgeHead(placed.Endpoint, reply); !usable {
+		return result
+	}
+	return f.relay(ctx, reply, wait)
+}
+
+// judgeError returns the outcome of an exchange that failed before its answer's head.
+func (f *forwarding) judgeError(wait *firstTokenWait, proof upstream.Proof) outcome {
+	sent := proof != upstream.NeverSent
+	f.mayHaveRun = f.mayHaveRun || sent
+	if f.request.http.Context().Err() != nil {
+		return clientClosed
+	}
+	dispatcher, endpoint := f.server.dispatcher, wait.placement.Endpoint
+	abandoned := wait.isAbandoned() // this router's own doing, which was reported as overdue
+	if !sent {
+		if !abandoned {
+			dispatcher.recordConnectFailure(endpoint)
+		}
+		return notSent
+	}
+	if !abandoned {
+		dispatcher.recordFailure(endpoint)
+	}
+	return unanswered
+}
+
+// judgeHead judges an answer by its head. Where it is not usable, the result is the attempt's outcome.
+func (f *forwarding) judgeHead(endpoint *placement.Endpoint, reply *upstream.Reply) (result outcome, usable bool) {
+	dispatcher, route := f.server.dispatcher, f.request.route
+	if reply.Header.Get(headerNotExecuted) != "" || reply.Status == http.StatusMisdirectedRequest {
+		_, _ = io.CopyN(io.Discard, reply.Body, maxDrain) // only to reuse the connection
+		dispatcher.recordFailure(endpoint)
+		return notExecuted, false
+	}
+	f.mayHaveRun = true
+	if isSuccess(reply.Status) && reply.Header.Get(headerSignature) == "" {
+		dispatcher.recordFailure(endpoint)
+		return unanswered, false
+	}
+	if reply.Status >= http.StatusInternalServerError {
+		dispatcher.recordFailure(endpoint)
+		if route.Idempotent() && !f.response.headSent && route.AttemptLimit() > 1 {
+			return unanswered, false
+		}
+	}
+	if f.response.headSent && !(isSuccess(reply.Status) && isEventStream(reply.Header)) {
+		return unanswered, false // only further events can continue what was passed on
+	}
+	return completed, true
+}
+
+func isSuccess(status int) bool { return status >= 200 && status < 300 }
--- a/internal/fleet/proxy/dispatcher.go
+++ b/internal/fleet/proxy/dispatcher.go
@@ -14,43 +14,43 @@
 
 const (
 	connectTimeout    = 400 * time.Millisecond
-	maxConnectionIdle = 60 * time.Second // that an endpoint's connection may rest where it states nothing itself
+	maxConnectionIdle = 60 * time.Second // where an endpoint states no Keep-Alive time-out
 )
 
-// Dispatcher chooses endpoints and holds the connections to them. Its methods may be called by any goroutine.
+// Dispatcher chooses endpoints and owns the connections to them. It is safe for concurrent use.
 type Dispatcher struct {
 	Pool *upstream.Pool
-	// Announce tells the other routers of a long prompt; nil: they are not told. It is set before requests come.
+	// Announce sends an announcement to the other routers; nil: none are sent. It is set before requests come, and called
+	// without the lock.
 	Announce func(Announcement)
 
 	clock  func() time.Duration
-	origin uint32 // names this router in announcements
+	origin uint32 // identifies this router in announcements
 
-	mu        sync.Mutex
-	placer    *placement.Placer
-	settings  retry.Settings
-	routers   int
-	budgets   map[string]*retry.Budget
-	allowed   float64 // announcements
-	allowedAt time.Duration
+	mu             sync.Mutex
+	placer         *placement.Placer
+	settings       retry.Settings
+	routers        int
+	budgets        map[string]*retry.Budget // by service
+	announcements  tokenBucket
+	failureReports tokenBucket
 
-	unreportedObservation *placement.Observation // of this router's last first token that was not told yet
-	unreportedStall       *placement.Stall       // the same of a stream that a prompt has held up
-
-	failures   float64 // that may be told of
-	failuresAt time.Duration
+	// What other routers have not been told yet, for the next announcement; nil: nothing.
+	unreportedObservation *placement.Observation
+	unreportedStall       *placement.Stall
 }
 
-// NewDispatcher returns a dispatcher without endpoints that opens at most so many connections.
+// NewDispatcher returns a dispatcher without endpoints. It opens at most so many connections. clock is a steady clock.
 func NewDispatcher(clock func() time.Duration, settings retry.Settings, connections int) *Dispatcher {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	return &Dispatcher{
-		Pool: upstream.NewPool(connectTimeout, maxConnectionIdle, connections), clock: clock, origin: rand.Uint32(), placer: placement.New(random),
-		settings: settings, routers: 1, budgets: map[string]*retry.Budget{}, failures: failureReportBurst,
+		Pool: upstream.NewPool(connectTimeout, maxConnectionIdle, connections), clock: clock, origin: rand.Uint32(),
+		placer: placement.New(random), settings: settings, routers: 1, budgets: map[string]*retry.Budget{},
+		failureReports: tokenBucket{level: failureReportBurst},
 	}
 }
 
-// SetRouters takes over how many routers there are.
+// SetRouters sets how many routers share the endpoints, this one included.
 func (d *Dispatcher) SetRouters(routers int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -58,16 +58,7 @@
 	d.placer.SetRouters(routers)
 }
 
-// Remove has endpoints get no more requests from this moment on, also none that wait for a connection.
-func (d *Dispatcher) Remove(ids []string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for _, e := range d.placer.Remove(ids) {
-		d.Pool.Remove(balance.EndpointID(e.Number))
-	}
-}
-
-// SetEndpoints takes over which endpoints may be sent requests.
+// SetEndpoints replaces the endpoints that may be sent requests.
 func (d *Dispatcher) SetEndpoints(ready []registry.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -75,47 +66,99 @@
 	for _, e := range added {
 		d.Pool.Set(balance.EndpointID(e.Number), e.Address)
 	}
-	for _, e := range removed {
+	d.removeConnections(removed)
+}
+
+// Remove keeps requests away from endpoints from now on, also those that wait for a connection, until SetEndpoints lists them
+// again.
+func (d *Dispatcher) Remove(ids []string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.removeConnections(d.placer.Remove(ids))
+}
+
+func (d *Dispatcher) removeConnections(endpoints []*placement.Endpoint) {
+	for _, e := range endpoints {
 		d.Pool.Remove(balance.EndpointID(e.Number))
 	}
 }
 
-// ReadyCount is how many endpoints of a service may be sent requests.
+// ReadyCount returns how many endpoints of a service may be sent requests.
 func (d *Dispatcher) ReadyCount(service string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.placer.ReadyCount(service)
 }
 
-// Tables shows the tables that calls are drawn from.
+// Tables returns the placement's tables, for the status.
 func (d *Dispatcher) Tables() []placement.TableView {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.placer.Tables()
 }
 
-// Services shows what is learned of the endpoints.
+// Services returns what has been learned of the endpoints, for the status.
 func (d *Dispatcher) Services() []placement.ServiceView {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.placer.Services(d.clock())
 }
 
-// first counts a request for a service.
+// ExportLearned returns what this router has learned of the endpoints, for one that has just started.
+func (d *Dispatcher) ExportLearned() placement.LearnedState {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.placer.ExportLearned(d.clock())
+}
+
+// ImportLearned takes over what another router had learned by a time. It may be called again when more endpoints are known.
+func (d *Dispatcher) ImportLearned(at time.Duration, learned *placement.LearnedState) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.placer.ImportLearned(at, learned)
+}
+
+// ApplyAnnouncements records what other routers announce. This router's own announcements may be among them and are ignored.
+func (d *Dispatcher) ApplyAnnouncements(announcements []Announcement) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := d.clock()
+	for i := range announcements {
+		if a := &announcements[i]; a.Origin != d.origin {
+			d.apply(now, a)
+		}
+	}
+}
+
+func (d *Dispatcher) apply(now time.Duration, a *Announcement) {
+	if a.Failures > 0 {
+		d.placer.RecordRemoteFailures(now, a.Endpoint, int(a.Failures), a.Overdue)
+		return
+	}
+	d.placer.RecordRemoteCall(now, a.Endpoint, a.prompt(), float64(a.Units))
+	if a.Observation != nil {
+		d.placer.RecordRemoteFirstToken(now, a.Observation.observation())
+	}
+	if a.Stall != nil {
+		d.placer.RecordRemoteStall(a.Stall.stall())
+	}
+}
+
+// recordRequest counts a request for a service in its retry budget.
 func (d *Dispatcher) recordRequest(service string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.budget(service).RecordRequest()
 }
 
-// takeRetry takes one repeat out of a service's budget.
+// takeRetry takes one retry out of a service's budget. It returns false where none is left.
 func (d *Dispatcher) takeRetry(service string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.budget(service).Withdraw()
 }
 
-// unspent gives a repeat back that did not reach an endpoint.
+// returnRetry returns a retry that reached no endpoint.
 func (d *Dispatcher) returnRetry(service string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -131,21 +174,22 @@
 	return b
 }
 
-// place draws a call's endpoint, notes that the call goes there, and tells the other routers where it is worth it.
+// place chooses a call's endpoint, records that the call is sent there, and announces it where that is worth it. It returns nil
+// where no endpoint may be sent the call; else release has to follow.
 func (d *Dispatcher) place(call *placement.Call) *placement.Placement {
 	d.mu.Lock()
 	now := d.clock()
 	placed := d.placer.Place(now, call)
-	tell := placed != nil && d.Announce != nil && placed.Units >= minAnnouncedUnits && d.takeAnnouncement(now, placed.Units)
-	var told Announcement
-	if tell {
-		told = newAnnouncement(d.origin, placed, call)
-		told.Observation, told.Stall = newObservationReport(d.unreportedObservation), newStallReport(d.unreportedStall)
+	announces := placed != nil && d.Announce != nil && placed.Units >= minAnnouncedUnits && d.takeAnnouncement(now, placed.Units)
+	var a Announcement
+	if announces {
+		a = newAnnouncement(d.origin, placed, call)
+		a.Observation, a.Stall = newObservationReport(d.unreportedObservation), newStallReport(d.unreportedStall)
 		d.unreportedObservation, d.unreportedStall = nil, nil
 	}
 	d.mu.Unlock()
-	if tell {
-		d.Announce(told)
+	if announces {
+		d.Announce(a)
 	}
 	return placed
 }
@@ -163,11 +207,11 @@
 	d.unreportedObservation = &seen
 }
 
-func (d *Dispatcher) recordStreamEnd(placed *placement.Placement, took, longestPause time.Duration) {
+func (d *Dispatcher) recordStreamEnd(placed *placement.Placement, took, longestGap time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if pause, ok := d.placer.RecordStreamEnd(d.clock(), placed, took, longestPause); ok {
-		d.unreportedStall = &pause
+	if stall, ok := d.placer.RecordStreamEnd(d.clock(), placed, took, longestGap); ok {
+		d.unreportedStall = &stall
 	}
 }
 
@@ -183,17 +227,14 @@
 	d.reportFailure(e, (*placement.Placer).RecordOverdue, true)
 }
 
-// meet notes a failure that this router has met at an endpoint, and tells the other routers of it.
-func (d *Dispatcher) reportFailure(e *placement.Endpoint, note func(*placement.Placer, time.Duration, *placement.Endpoint), overdue bool) {
+// reportFailure records a failure that this router has met at an endpoint, and announces it.
+func (d *Dispatcher) reportFailure(e *placement.Endpoint, record func(*placement.Placer, time.Duration, *placement.Endpoint), overdue bool) {
 	d.mu.Lock()
 	now := d.clock()
-	note(d.placer, now, e)
-	tell := d.Announce != nil && d.takeFailureReport(now)
+	record(d.placer, now, e)
+	announces := d.Announce != nil && d.takeFailureReport(now)
 	d.mu.Unlock()
-	if tell {
+	if announces {
 		d.Announce(Announcement{Origin: d.origin, Endpoint: e.Name(), Failures: 1, Overdue: overdue})
 	}
 }
-
-// uniform draws from [0, 1).
-func (d *Dispatcher) uniform() float64 { return rand.Float64() }
--- a/internal/fleet/proxy/durations.go
+++ b/internal/fleet/proxy/durations.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// durations learns how long answers of each route take, so that a router that is about to end takes none that it could
-// not finish.
+// durationMemory is the number of answers after which one weighs 1/e.
+const durationMemory = 50.0
+
+// durations estimates how long answers of each route take, so that a draining router takes no request that it could not
+// finish. It is safe for concurrent use; the zero value has no observation.
 type durations struct {
 	mu     sync.Mutex
 	routes map[string]*routeDuration
 }
 
-// durationMemory is the number of answers after which one weighs 1/e.
-const durationMemory = 50.0
-
-// duration is the mean and the mean deviation of a route's answers, in seconds.
+// routeDuration is the mean and the mean deviation of a route's answers, in seconds.
 type routeDuration struct{ mean, deviation float64 }
 
 func (d *durations) observe(route string, took time.Duration) {
@@ -35,7 +35,7 @@
 	r.deviation += (math.Abs(difference) - r.deviation) / durationMemory
 }
 
-// likely is how long most answers of a route take; 0 where none was seen.
+// estimate returns how long most answers of a route take, mean plus mean deviation; 0 where none was observed.
 func (d *durations) estimate(route string) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- /dev/null
+++ b/internal/fleet/proxy/encode.go
@@ -0,0 +1,54 @@
+package proxy
+
+import (
+	"net/http"
+	"strconv"
+	"time"
+)
+
+// encode appends the request as an endpoint gets it (HTTP/1.1). lastEventID is empty where no stream is resumed; timeLeft is
+// until the deadline. The message is written here and not by net/http, whose client sends a request again on its own after
+// some failures.
+func (q *request) encode(out []byte, instance, lastEventID string, timeLeft time.Duration) []byte {
+	out = append(out, q.http.Method...)
+	out = append(out, ' ')
+	out = append(out, q.http.RequestURI...)
+	out = append(out, " HTTP/1.1\r\nHost: "...)
+	out = append(out, q.http.Host...)
+	out = q.appendClientHeaders(out, lastEventID != "")
+	out = appendHeader(out, headerDeadline, strconv.FormatInt(max(1, timeLeft.Milliseconds()), 10))
+	out = appendHeader(out, headerExpectedInstance, instance)
+	out = appendHeader(out, headerPriority, strconv.Itoa(q.priority()))
+	if q.tenant != nil {
+		out = appendHeader(out, headerTenantID, q.tenant.Name)
+	}
+	if lastEventID != "" {
+		out = appendHeader(out, headerLastEventID, lastEventID)
+	}
+	if len(q.body) > 0 || q.http.Method == http.MethodPost || q.http.Method == http.MethodPut {
+		out = appendHeader(out, "Content-Length", strconv.Itoa(len(q.body)))
+	}
+	out = append(out, "\r\n\r\n"...)
+	return append(out, q.body...)
+}
+
+// appendClientHeaders appends the client's headers that are passed on.
+func (q *request) appendClientHeaders(out []byte, resumed bool) []byte {
+	named := connectionTokens(q.http.Header)
+	for name, values := range q.http.Header {
+		if hopByHopHeaders[name] || routerHeaders[name] || named[name] || resumed && name == headerLastEventID {
+			continue
+		}
+		for _, value := range values {
+			out = appendHeader(out, name, value)
+		}
+	}
+	return out
+}
+
+func appendHeader(out []byte, name, value string) []byte {
+	out = append(out, "\r\n"...)
+	out = append(out, name...)
+	out = append(out, ": "...)
+	return append(out, value...)
+}
--- a/internal/fleet/proxy/events.go
+++ b/internal/fleet/proxy/events.go
@@ -2,7 +2,7 @@
 
 import "bytes"
 
-// eventSplitter divides a stream of events, so that only whole ones are passed on and their ids are known.
+// eventSplitter separates server-sent events, so that only complete ones are passed on and their ids are known.
 type eventSplitter struct{ partial []byte }
 
 var (
@@ -12,10 +12,11 @@
 
 func (e *eventSplitter) reset() { e.partial = e.partial[:0] }
 
+// empty reports whether no part of an event is left over.
 func (e *eventSplitter) empty() bool { return len(e.partial) == 0 }
 
-// whole returns the events that are whole with this piece, and sets last to the id of the last of them.
-func (e *eventSplitter) complete(piece []byte, last *string) []byte {
+// complete returns the events that are complete with a piece, and sets lastID to the id of the last one that has one.
+func (e *eventSplitter) complete(piece []byte, lastID *string) []byte {
 	e.partial = append(e.partial, piece...)
 	end := bytes.LastIndex(e.partial, eventEnd)
 	if end < 0 {
@@ -24,18 +25,18 @@
 	end += len(eventEnd)
 	events := bytes.Clone(e.partial[:end])
 	e.partial = append(e.partial[:0], e.partial[end:]...)
-	if id, found := lastID(events); found {
-		*last = id
+	if id, found := lastEventID(events); found {
+		*lastID = id
 	}
 	return events
 }
 
-// lastEventID is the id of the last event that has one.
-func lastID(events []byte) (string, bool) {
+// lastEventID returns the id of the last event that has one.
+func lastEventID(events []byte) (id string, found bool) {
 	for len(events) > 0 {
 		start := bytes.LastIndexByte(events[:len(events)-1], '\n') + 1
 		line := bytes.TrimRight(events[start:], "\r\n")
-		if value, found := bytes.CutPrefix(line, idField); found {
+		if value, isID := bytes.CutPrefix(line, idField); isID {
 			return string(bytes.TrimSpace(value)), true
 		}
 		events = events[:start]
--- a/internal/fleet/proxy/first_token.go
+++ b/internal/fleet/proxy/first_token.go
@@ -8,25 +8,22 @@
 	"pinelb.example/pinelb/internal/fleet/placement"
 )
 
-// Bounds of the time after which a first token that was expected earlier is overdue.
+// When a first token is overdue, and when that is of use.
 const (
-	minOverdue       = 600 * time.Millisecond
-	overdueFactor    = 3                      // what was expected
-	minTimeToReroute = 300 * time.Millisecond // until the deadline, without which another endpoint is of no use
+	minOverdue       = 600 * time.Millisecond // after the request was sent
+	overdueFactor    = 3                      // times the expected time to first token
+	minTimeToReroute = 300 * time.Millisecond // until the deadline, below which another endpoint is of no use
 )
 
-// tokenState is what became of the waiting for a first token.
-type tokenState = int32
-
-// The states: a first token is waited for until it comes or the attempt is given up, whichever is first.
+// The states of a firstTokenWait: a first token is awaited until it arrives or the attempt is abandoned, whichever is first.
 const (
-	tokenPending tokenState = iota
+	tokenPending int32 = iota
 	tokenArrived
 	attemptAbandoned
 )
 
-// recordFirstToken is what is waited for at an endpoint. Where it is overdue, the endpoint counts as failing, and a request that
-// may run again goes elsewhere: most of the time nothing comes any more from an endpoint that is mute.
+// firstTokenWait watches for the first token of one attempt. Where it is overdue, that counts against the endpoint, and a request
+// that may run again is sent elsewhere: most of the time nothing comes any more from an unresponsive endpoint.
 type firstTokenWait struct {
 	placement *placement.Placement
 	sentAt    time.Time
@@ -34,49 +31,57 @@
 	timer     *time.Timer
 }
 
-// await begins to wait for an attempt's first token. give ends the attempt.
-func (s *Server) awaitFirstToken(a *forwarding, placed *placement.Placement, give context.CancelFunc) *firstTokenWait {
-	f := &firstTokenWait{placement: placed, sentAt: time.Now()}
-	movable := a.canReroute()
-	service := a.request.service
-	f.timer = time.AfterFunc(overdueAfter(placed), func() {
-		s.dispatcher.recordOverdue(placed.Endpoint)
-		if !movable || !s.dispatcher.takeRetry(service) {
-			return
-		}
-		if !f.state.CompareAndSwap(tokenPending, attemptAbandoned) {
-			s.dispatcher.returnRetry(service)
-			return
+// awaitFirstToken starts to watch for an attempt's first token. cancel ends the attempt; stop has to follow.
+func (f *forwarding) awaitFirstToken(placed *placement.Placement, cancel context.CancelFunc) *firstTokenWait {
+	w := &firstTokenWait{placement: placed, sentAt: time.Now()}
+	// The timer's goroutine must not read the forwarding, which goes on.
+	server, service, reroutable := f.server, f.request.service, f.canReroute()
+	w.timer = time.AfterFunc(overdueAfter(placed), func() {
+		server.dispatcher.recordOverdue(placed.Endpoint)
+		if reroutable && w.abandon(server.dispatcher, service) {
+			server.Rerouted.Add(1)
+			cancel()
 		}
-		s.Rerouted.Add(1)
-		give()
 	})
-	return f
+	return w
 }
 
-// canReroute tells whether the request may go to another endpoint if this one's first token is overdue.
-func (a *forwarding) canReroute() bool {
-	q := a.request
-	return q.route.Idempotent() && !a.headSent && !a.isLastAttempt() && a.server.dispatcher.ReadyCount(q.service) > len(a.tried) &&
-		time.Until(q.deadline) > minOverdue+minTimeToReroute
+// overdueAfter returns how long after an attempt's start its first token is overdue.
+func overdueAfter(placed *placement.Placement) time.Duration {
+	return max(minOverdue, overdueFactor*placed.Expected)
 }
 
-// came notes that the first token is here; false: the attempt was given up before.
-func (f *firstTokenWait) arrive() bool {
-	f.timer.Stop()
-	return f.state.CompareAndSwap(tokenPending, tokenArrived)
+// canReroute reports whether the request may be sent to another endpoint if this one's first token is overdue.
+func (f *forwarding) canReroute() bool {
+	q := f.request
+	return q.route.Idempotent() && !f.response.headSent && !f.isLastAttempt() &&
+		f.server.dispatcher.ReadyCount(q.service) > len(f.tried) && time.Until(q.deadline) > minOverdue+minTimeToReroute
 }
 
-// moved tells whether the attempt was given up, with a repeat taken out of the budget for the next.
-func (f *firstTokenWait) isAbandoned() bool { return f.state.Load() == attemptAbandoned }
+// abandon gives the attempt up, with a retry taken out of the budget for the next one. It reports whether it could.
+func (w *firstTokenWait) abandon(dispatcher *Dispatcher, service string) bool {
+	if !dispatcher.takeRetry(service) {
+		return false
+	}
+	if !w.state.CompareAndSwap(tokenPending, attemptAbandoned) {
+		dispatcher.returnRetry(service)
+		return false
+	}
+	return true
+}
 
-// stop ends the waiting. It tells what moved does.
-func (f *firstTokenWait) stop() bool {
-	f.timer.Stop()
-	f.state.CompareAndSwap(tokenPending, tokenArrived)
-	return f.isAbandoned()
+// arrive records that the first token is here. It returns false where the attempt was abandoned before.
+func (w *firstTokenWait) arrive() bool {
+	w.timer.Stop()
+	return w.state.CompareAndSwap(tokenPending, tokenArrived)
 }
 
-func overdueAfter(placed *placement.Placement) time.Duration {
-	return max(minOverdue, overdueFactor*placed.Expected)
+// isAbandoned reports whether the attempt was abandoned, with a retry taken out of the budget for the next one.
+func (w *firstTokenWait) isAbandoned() bool { return w.state.Load() == attemptAbandoned }
+
+// stop ends the watch. It returns what isAbandoned does from now on.
+func (w *firstTokenWait) stop() bool {
+	w.timer.Stop()
+	w.state.CompareAndSwap(tokenPending, tokenArrived)
+	return w.isAbandoned()
 }
--- a/internal/fleet/proxy/first_token_test.go
+++ b/internal/fleet/proxy/first_token_test.go
@@ -104,7 +104,8 @@
 	Convey("A request whose time is up is told so, also where its connection knows it first", t, func() {
 		recorder := httptest.NewRecorder()
 		r := newTestProxy(t)
-		r.proxy.finishUnanswered(&forwarding{server: r.proxy, writer: recorder, request: &request{deadline: time.Now()}, mayHaveRun: true}, context.Background())
+		f := &forwarding{server: r.proxy, response: response{writer: recorder}, request: &request{deadline: time.Now()}, mayHaveRun: true}
+		f.finishUnanswered(context.Background())
 		So(recorder.Code, ShouldEqual, http.StatusGatewayTimeout)
 	})
 	Convey("What comes as an attempt is given up is one or the other", t, func() {
--- a/internal/fleet/proxy/half_closed_client_test.go
+++ b/internal/fleet/proxy/half_closed_client_test.go
@@ -53,7 +53,7 @@
 	Convey("A client that ends its sending before an answer has begun gets no success", t, func() {
 		client, err := newTestProxy(t, newFakeEndpoint(t, "e1", silent)).dialHalfClosed("/u/")
 		So(err, ShouldBeNil)
-		defer client.conn.Close()
+		defer func() { _ = client.conn.Close() }()
 		<-came
 		So(client.conn.CloseWrite(), ShouldBeNil)
 		response, err := http.ReadResponse(client.reader, nil)
@@ -64,7 +64,7 @@
 	Convey("One that does so within an answer gets none that looks whole", t, func() {
 		client, err := newTestProxy(t, newFakeEndpoint(t, "e1", begins)).dialHalfClosed("/st/")
 		So(err, ShouldBeNil)
-		defer client.conn.Close()
+		defer func() { _ = client.conn.Close() }()
 		<-came
 		response, err := http.ReadResponse(client.reader, nil) // the head goes with the first piece: the answer has begun
 		So(err, ShouldBeNil)
@@ -75,7 +75,7 @@
 	Convey("One that does so as its answer begins gets a failure, or none that looks whole", t, func() {
 		client, err := newTestProxy(t, newFakeEndpoint(t, "e1", begins)).dialHalfClosed("/st/")
 		So(err, ShouldBeNil)
-		defer client.conn.Close()
+		defer func() { _ = client.conn.Close() }()
 		<-came
 		So(client.conn.CloseWrite(), ShouldBeNil)
 		response, err := http.ReadResponse(client.reader, nil)
--- a/internal/fleet/proxy/planted_test.go
+++ b/internal/fleet/proxy/planted_test.go
@@ -7,37 +7,37 @@
 	"pinelb.example/pinelb/internal/lab/mutation"
 )
 
-const continuedAfterTruncation = "an answer that breaks off is gone on with"
+const continuedAfterTruncation = "an answer that was truncated is continued"
 
 // plantedMistakes each make a request run twice, or an answer reach another caller.
 var plantedMistakes = map[string]mutation.Mistake{
-	"a kept connection that died is no proof that the request never ran": {File: "../../upstream/exchange.go", Edits: []mutation.Edit{
+	"a reused connection that died is no proof that the request never ran": {File: "../../upstream/exchange.go", Edits: []mutation.Edit{
 		{Right: "p.drop(c)\n\t\treturn nil, MayHaveRun, err", Wrong: "p.drop(c)\n\t\treturn nil, NeverSent, err"}}},
-	"an answer is taken whoever it names": {File: "../../upstream/exchange.go", Edits: []mutation.Edit{
+	"an answer is accepted whatever request it names": {File: "../../upstream/exchange.go", Edits: []mutation.Edit{
 		{Right: "case e.ID == \"\" || named == e.ID || named == \"\" && !c.names:", Wrong: "default:"},
 		{Right: "\t\tdefault:\n\t\t\tif _, err := io.Copy", Wrong: "\t\tcase false:\n\t\t\tif _, err := io.Copy"}}},
-	"an answer that names nobody is taken on any connection": {File: "../../upstream/exchange.go", Edits: []mutation.Edit{
+	"an answer that names no request is accepted on any connection": {File: "../../upstream/exchange.go", Edits: []mutation.Edit{
 		{Right: "named == \"\" && !c.names", Wrong: "named == \"\""}}},
 	"an unsafe request that may have run is sent again": {File: "forward.go", Edits: []mutation.Edit{
-		{Right: "a.attempts >= route.AttemptLimit() || a.mayHaveRun && !route.Idempotent()", Wrong: "a.attempts >= route.AttemptLimit()"}}},
-	continuedAfterTruncation: {File: "forward.go", Edits: []mutation.Edit{
-		{Right: "if a.headSent && !(resumable && a.lastEventID != \"\") {", Wrong: "if false {"}}},
+		{Right: "f.attempts >= route.AttemptLimit() || f.mayHaveRun && !route.Idempotent()", Wrong: "f.attempts >= route.AttemptLimit()"}}},
+	continuedAfterTruncation: {File: "answer.go", Edits: []mutation.Edit{
+		{Right: "if f.response.headSent && !(resumable && f.response.lastEventID != \"\") {", Wrong: "if false {"}}},
 }
 
 // plantedInTraffic are mistakes that the seeded traffic finds by itself, beside those above.
 var plantedInTraffic = map[string]mutation.Mistake{
-	"a refusal after an attempt that may have run": {File: "forward.go", Edits: []mutation.Edit{
-		{Right: "if !a.mayHaveRun {\n\t\tif q.tenant", Wrong: "if true {\n\t\tif q.tenant"}}},
-	"a success without a stamp is passed on": {File: "forward.go", Edits: []mutation.Edit{
+	"a rejection after an attempt that may have run": {File: "forward.go", Edits: []mutation.Edit{
+		{Right: "if !f.mayHaveRun {", Wrong: "if true {"}}},
+	"a success without a signature is passed on": {File: "attempt.go", Edits: []mutation.Edit{
 		{Right: "if isSuccess(reply.Status) && reply.Header.Get(headerSignature) == \"\" {", Wrong: "if false {"}}},
-	"an answer that broke off ends as if it were whole": {File: "forward.go", Edits: []mutation.Edit{
+	"a truncated answer ends as if it were complete": {File: "forward.go", Edits: []mutation.Edit{
 		{Right: "s.Truncated.Add(1)\n\t\tpanic(http.ErrAbortHandler)", Wrong: "s.Truncated.Add(1)\n\t\treturn"}}},
 }
 
 // Guards against seeded traffic that would find nothing whatever is wrong.
 func TestTrafficFindsPlantedMistakes(t *testing.T) {
 	all := maps.Clone(plantedMistakes)
-	delete(all, continuedAfterTruncation) // an attempt that goes on with a plain answer is stopped once more, as it begins: traffic sees no fault
+	delete(all, continuedAfterTruncation) // an attempt that would continue a plain answer is stopped once more by its head: traffic sees no fault
 	maps.Copy(all, plantedInTraffic)
 	mutation.ExpectAllFound(t, all, "^TestTraffic$", "seed ", "-traffic-seeds", "40")
 }
--- a/internal/fleet/proxy/request.go
+++ b/internal/fleet/proxy/request.go
@@ -1,82 +1,65 @@
-// Package front takes requests from clients, has the decision choose their endpoints, and passes the answers on.
 package proxy
 
 import (
 	"bytes"
+	"fmt"
 	"io"
 	"net"
 	"net/http"
-	"slices"
 	"strconv"
 	"strings"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-
 	"pinelb.example/pinelb/internal/fleet/config"
 	"pinelb.example/pinelb/internal/fleet/placement"
 )
 
-// Headers of the protocol.
-const (
-	headerRequestID        = "X-Request-Id"
-	headerDeadline         = "X-Deadline-Ms"
-	headerAPIKey           = "Api-Key"
-	headerTenantID         = "X-Tenant-Id"
-	headerExpectedInstance = "X-Expected-Instance"
-	headerTokenUsage       = "X-Token-Usage"
-	headerPrefixHash       = "X-Prefix-Hash"
-	headerLastEventID      = "Last-Event-Id"
-	headerNotExecuted      = "X-Not-Executed"
-	headerSignature        = "X-Response-Signature"
-	headerRetryAfter       = "Retry-After"
-	headerPriority         = "Priority"
-)
-
-// request is a client's request as it was read.
+// request is a client's request, read completely. Admission fills in the rest.
 type request struct {
-	http         *http.Request
-	body         []byte
-	id           string
-	path         string // as it was sent, without the query
-	receivedAt   time.Time
+	http       *http.Request
+	body       []byte
+	id         string
+	path       string // as it was sent, without the query
+	receivedAt time.Time
+
 	route        *config.Route
-	tenant       *config.Tenant
+	tenant       *config.Tenant // nil on public routes, and where no key is required
 	service      string
-	deadline     time.Time
-	clientSpent  time.Duration // by the client, before it came here
 	prompt       placement.Prompt
-	chargedUnits float64 // units of the tenant's quota
+	deadline     time.Time
+	clientSpent  time.Duration // of the route's time-out, before the request came here
+	chargedUnits float64       // of the tenant's quota
 }
 
-// read reads a request whole. It returns the status of a refusal, or 0.
-func readRequest(r *http.Request, limits config.Limits) (*request, int) {
+// readRequest reads a request completely. Its errors are denials.
+func readRequest(r *http.Request, limits config.Limits) (*request, error) {
 	q := &request{http: r, id: r.Header.Get(headerRequestID), receivedAt: time.Now()}
 	q.path, _, _ = strings.Cut(r.RequestURI, "?")
 	if !strings.HasPrefix(q.path, "/") {
 		q.path = r.URL.EscapedPath()
 	}
-	most := limits.MaxBodyBytes
-	if most > 0 && r.ContentLength > most {
-		return nil, http.StatusRequestEntityTooLarge
+	maxBody := limits.MaxBodyBytes
+	if maxBody > 0 && r.ContentLength > maxBody {
+		return nil, errBodyTooLarge
 	}
 	var err error
-	if q.body, err = readBody(r, most); err != nil {
-		return nil, http.StatusBadRequest
+	if q.body, err = readBody(r, maxBody); err != nil {
+		return nil, fmt.Errorf("%w: %w", errUnreadableBody, err)
 	}
-	if most > 0 && int64(len(q.body)) > most {
-		return nil, http.StatusRequestEntityTooLarge
+	if maxBody > 0 && int64(len(q.body)) > maxBody {
+		return nil, errBodyTooLarge
 	}
-	return q, 0
+	return q, nil
 }
 
-func readBody(r *http.Request, most int64) ([]byte, error) {
+// readBody reads a body, or one byte more than maxBody of it; 0: no bound.
+func readBody(r *http.Request, maxBody int64) ([]byte, error) {
 	if r.ContentLength == 0 {
 		return nil, nil
 	}
 	var from io.Reader = r.Body
-	if most > 0 {
-		from = io.LimitReader(r.Body, most+1)
+	if maxBody > 0 {
+		from = io.LimitReader(r.Body, maxBody+1)
 	}
 	if r.ContentLength > 0 {
 		body := make([]byte, r.ContentLength)
@@ -88,7 +71,7 @@
 	return buffer.Bytes(), err
 }
 
-// hostOf is the Host header without its port.
+// hostOf returns the Host header without its port.
 func hostOf(r *http.Request) string {
 	if host, _, err := net.SplitHostPort(r.Host); err == nil {
 		return host
@@ -96,7 +79,7 @@
 	return r.Host
 }
 
-// setDeadline works out how long the request may be held.
+// setDeadline sets the deadline: the route's time-out, or what the client says that is left of it (X-Deadline-Ms).
 func (q *request) setDeadline() {
 	timeout := q.route.Timeout()
 	q.deadline = q.receivedAt.Add(timeout)
@@ -115,7 +98,7 @@
 	}
 }
 
-// units is what the request counts for in a tenant's quota.
+// quotaUnits returns what the request counts for in a tenant's quota: 1, or its tokens (X-Token-Usage, "PROMPT,OUTPUT").
 func (q *request) quotaUnits(t *config.Tenant) float64 {
 	if t.Unit != config.UnitTokens {
 		return 1
@@ -126,8 +109,8 @@
 	}
 	sum := 0.0
 	for part := range strings.SplitSeq(text, ",") {
-		n, err := strconv.ParseFloat(strings.TrimSpace(part), 64)
-		if err != nil || !(n >= 0 && n < maxTokens) {
+		n, ok := parseTokens(part)
+		if !ok {
 			return t.PlainTokens
 		}
 		sum += n
@@ -135,124 +118,33 @@
 	return sum
 }
 
-// output is how many tokens the request may have written; 0 where it does not say so.
+// outputTokens returns how many tokens the request may have written; 0 where it does not state them.
 func (q *request) outputTokens() float64 {
 	_, text, _ := strings.Cut(q.http.Header.Get(headerTokenUsage), ",")
+	n, _ := parseTokens(text)
+	return n
+}
+
+// parseTokens parses a number of tokens of X-Token-Usage.
+func parseTokens(text string) (tokens float64, ok bool) {
 	n, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
-	if err != nil || !(n >= 0 && n < maxTokens) {
-		return 0
+	if err != nil || !(n >= 0 && n < maxTokens) { // also NaN
+		return 0, false
 	}
-	return n
+	return n, true
 }
 
-// Ranks of the Priority header.
+// Levels of the Priority header: a tenant's priority counts before a route's.
 const (
-	routePriorities = 3 // ranks of routes within one of tenants
+	routePriorities = 3 // levels of routes within one of tenants
 	lowestPriority  = 9
 )
 
-// priority is the request's rank at an endpoint: its tenant's goes before its route's.
+// priority returns the request's priority at an endpoint; 0 is the most urgent.
 func (q *request) priority() int {
-	rank := min(max(0, q.route.Priority), routePriorities-1)
+	priority := min(max(0, q.route.Priority), routePriorities-1)
 	if q.tenant != nil && q.tenant.Priority != nil {
-		rank += routePriorities * max(0, *q.tenant.Priority)
-	}
-	return min(rank, lowestPriority)
-}
-
-// maxTokens bounds what a request may say of itself: more is no number of tokens.
-const maxTokens = 1e9
-
-// maxPrefixes bounds how many shared beginnings of a prompt are told apart.
-const maxPrefixes = 4
-
-// parsePrefixes reads the parts of a prompt, "ID:TOKENS,ID:TOKENS,...": its tokens in all, and its shared beginnings from
-// the longest to the shortest. The last part is the request's own. What can't be read counts as no part.
-func parsePrefixes(header string) (tokens float64, shared []placement.Prefix) {
-	for at := 0; at < len(header); {
-		end := strings.IndexByte(header[at:], ',')
-		last := end < 0
-		if last {
-			end = len(header) - at
-		}
-		_, text, _ := strings.Cut(header[at:at+end], ":")
-		if n, err := strconv.ParseFloat(text, 64); err == nil && n > 0 && n < maxTokens {
-			tokens += n
-		}
-		if !last {
-			shared = append(shared, placement.Prefix{Hash: uint32(xxhash.Sum64String(header[:at+end])), Units: tokens})
-		}
-		at += end + 1
+		priority += routePriorities * max(0, *q.tenant.Priority)
 	}
-	slices.Reverse(shared)
-	return max(1, tokens), shared[:min(len(shared), maxPrefixes)]
-}
-
-// hopByHopHeaders concern a single connection only (RFC 9110, section 7.6.1).
-var hopByHopHeaders = map[string]bool{
-	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
-	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
-}
-
-// routerHeaders are set by the router, whatever the client sent.
-var routerHeaders = map[string]bool{
-	headerAPIKey: true, headerTenantID: true, headerExpectedInstance: true, headerDeadline: true, headerPriority: true, "Content-Length": true, "Expect": true,
-}
-
-// connectionTokens are the headers that a message's Connection header names.
-func connectionTokens(header http.Header) map[string]bool {
-	var named map[string]bool
-	for _, field := range header["Connection"] {
-		for token := range strings.SplitSeq(field, ",") {
-			token = strings.TrimSpace(token)
-			if token == "" {
-				continue
-			}
-			if named == nil {
-				named = map[string]bool{}
-			}
-			named[http.CanonicalHeaderKey(token)] = true
-		}
-	}
-	return named
-}
-
-// encode writes the request as an endpoint gets it. Lines are written here and not by net/http, whose client would send
-// a request again on its own after some failures.
-func (q *request) encode(out []byte, instance, lastEvent string, left time.Duration) []byte {
-	out = append(out, q.http.Method...)
-	out = append(out, ' ')
-	out = append(out, q.http.RequestURI...)
-	out = append(out, " HTTP/1.1\r\nHost: "...)
-	out = append(out, q.http.Host...)
-	named := connectionTokens(q.http.Header)
-	for name, values := range q.http.Header {
-		if hopByHopHeaders[name] || routerHeaders[name] || named[name] || lastEvent != "" && name == headerLastEventID {
-			continue
-		}
-		for _, value := range values {
-			out = appendHeader(out, name, value)
-		}
-	}
-	out = appendHeader(out, headerDeadline, strconv.FormatInt(max(1, left.Milliseconds()), 10))
-	out = appendHeader(out, headerExpectedInstance, instance)
-	out = appendHeader(out, headerPriority, strconv.Itoa(q.priority()))
-	if q.tenant != nil {
-		out = appendHeader(out, headerTenantID, q.tenant.Name)
-	}
-	if lastEvent != "" {
-		out = appendHeader(out, headerLastEventID, lastEvent)
-	}
-	if len(q.body) > 0 || q.http.Method == http.MethodPost || q.http.Method == http.MethodPut {
-		out = appendHeader(out, "Content-Length", strconv.Itoa(len(q.body)))
-	}
-	out = append(out, "\r\n\r\n"...)
-	return append(out, q.body...)
-}
-
-func appendHeader(out []byte, name, value string) []byte {
-	out = append(out, "\r\n"...)
-	out = append(out, name...)
-	out = append(out, ": "...)
-	return append(out, value...)
+	return min(priority, lowestPriority)
 }
--- a/internal/fleet/proxy/traffic_test.go
+++ b/internal/fleet/proxy/traffic_test.go
@@ -149,7 +149,7 @@
 }
 
 func (e *faultyEndpoint) serveConn(conn *net.TCPConn) {
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	in := bufio.NewReader(conn)
 	for {
 		request, err := http.ReadRequest(in)
