--- a/internal/fleet/placement/tuning.go
+++ b/internal/fleet/placement/tuning.go
@@ -12,8 +12,8 @@
 	significantDelayChange   = 0.2                    // relative change of an expected delay that calls for a solve
 	minDelayChange           = 0.01                   // seconds; a change of a short delay has to exceed this too
 	significantFailureChange = 0.05                   // change of a failure share that calls for a solve
-	gradientSteps            = 20                     // a solve moves rows by gradientSteps * gradientStepSize at most
-	gradientStepSize         = 0.05                   // of a row's share by payoff
+	gradientSteps            = 20                     // of a solve
+	gradientStepSize         = 0.05                   // change of a share by payoff, in each step
 	minShare                 = 0.02                   // of an even share: keeps the endpoint's delay model fresh
 	evennessPenalty          = 0.02                   // payoff that a call gives up for an even row: endpoints that failed once come back
 )
@@ -76,7 +76,7 @@
 	priorityLevels         = 10   // of the Priority header
 	maxQueueSeconds        = 20.0 // of prefill; more is surely an error of the model
 	certainOvertakeSeconds = 0.3  // of prefill in front with which a more urgent prompt surely overtakes one that waits
-	maxQueueJobs           = 64   // jobs told apart; further ones are added to the last one
+	maxQueueJobs           = 64   // distinguished jobs; further ones are added to the last one
 )
 
 // Cached prefixes.
@@ -102,7 +102,7 @@
 	pairScale               = 10.0   // millions of pairs; the same of the third
 	initialOutlierFactor    = 3.0    // an answer counts as at most so many times what was expected, or that part of it, at first
 	outlierFactor           = 1.6    // the same later: keeps the line near the median, which hidden queues move little
-	initialObservations     = 100.0  // until when it is "at first"
+	initialObservations     = 100.0  // so many are "at first"
 	queuedObservationWeight = 0.2    // of an answer that waited for others, whose part of it is uncertain
 )
 
--- a/internal/fleet/proxy/doc.go
+++ b/internal/fleet/proxy/doc.go
@@ -12,10 +12,10 @@
 //   - answer.go, events.go: the answer is passed on as it comes.
 //
 // Invariants, each guarded by a test with planted mistakes (planted_test.go): a request that is not idempotent is never sent
-// again once it may have run; a client that gets 503 or 429 knows that its request has not run and never will; an answer reaches
-// the client that it belongs to; an answer that is truncated does not look complete.
+// again once it may have run; a client that gets 503 or 429 without a signature knows that its request has not run and never will;
+// an answer reaches the client that it belongs to; an answer that is truncated does not look complete.
 //
 // A [Dispatcher] holds the placement and the connections for all requests of a router, and exchanges what it observes with other
-// routers' by [Announcement]s, which the router (fleet/router) carries. Its lock is never held during I/O. The package's other
-// state is each request's own.
+// routers' by [Announcement]s, which the router (fleet/router) carries. No request holds its lock during I/O. The package's other
+// state is each request's own, beside the Server's counters and durations.
 package proxy
