--- a/internal/daemon/audit.go
+++ b/internal/daemon/audit.go
@@ -266,14 +266,14 @@
 	}
 }
 
-// Takes tells whether new streams are taken, and where not, when their clients should come again.
-func (a *audited) Takes() (takes bool, again time.Duration) {
+// AcceptsStreams tells whether new streams are taken, and where not, when their clients should come again.
+func (a *audited) AcceptsStreams() (takes bool, again time.Duration) {
 	a.lookAt()
 	return a.takes.Load(), time.Duration(a.again.Load())
 }
 
-// Sends tells whether attempts go out.
-func (a *audited) Sends() bool {
+// AllowsAttempts tells whether attempts go out.
+func (a *audited) AllowsAttempts() bool {
 	a.lookAt()
 	return a.acts.Load()
 }
--- a/internal/daemon/audit_test.go
+++ b/internal/daemon/audit_test.go
@@ -126,8 +126,8 @@
 			for i, s := range c.steps {
 				w.time = w.time.Add(s.after)
 				s.do(w)
-				takes, again := w.Takes()
-				if acts := w.Sends(); takes != s.takes || acts != s.acts || !takes && (again <= 0 || again > 2*time.Second) {
+				takes, again := w.AcceptsStreams()
+				if acts := w.AllowsAttempts(); takes != s.takes || acts != s.acts || !takes && (again <= 0 || again > 2*time.Second) {
 					t.Errorf("step %d: takes %v, acts %v, again %v", i, takes, acts, again)
 				}
 				if got := w.verdict.State; got != s.state {
@@ -333,7 +333,7 @@
 			p.Serve(context.Background(), &stream.Request{Txn: "a", Deadline: time.Now().Add(time.Minute)})
 		})
 	}
-	measure("gate", func() { w.Sends() })
+	measure("gate", func() { w.AllowsAttempts() })
 	measure("trail", func() {
 		w.book.Sent(1, 0, host, false)
 		w.book.Ended(1, 0, host, false, false)
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -172,7 +172,7 @@
 				p.Gate, p.AuditLog = audit, audit.book
 			}
 		}
-		srv.Gate, pool.Sends = audit, audit.Sends
+		srv.Gate, pool.Sends = audit, audit.AllowsAttempts
 		watch.Heard, audit.refresh = audit.listens, watch.Refresh
 	}
 	switch {
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -85,7 +85,7 @@
 	if s.Gate == nil {
 		return true
 	}
-	takes, _ := s.Gate.Takes()
+	takes, _ := s.Gate.AcceptsStreams()
 	return takes
 }
 
--- a/internal/stream/budget_test.go
+++ b/internal/stream/budget_test.go
@@ -14,7 +14,7 @@
 	"pinelb.example/pinelb/internal/budget"
 )
 
-// carrier is an upstream side that keeps what each attempt took along.
+// recordingUpstream is an upstream side that records what each attempt took along.
 type recordingUpstream struct {
 	mu      sync.Mutex
 	carried []string
@@ -28,7 +28,7 @@
 	return c.answer(len(c.carried))
 }
 
-// budgeted is a proxy that keeps accounts before a service.
+// newBudgetedProxy returns a proxy that tracks budgets in front of a service.
 func newBudgetedProxy(t *testing.T, s budget.Settings, log *bytes.Buffer, answer func(n int) (balance.Status, Response)) (*Proxy, *recordingUpstream) {
 	p := newProxy(t, 8, nil)
 	c := &recordingUpstream{answer: answer}
@@ -41,7 +41,7 @@
 
 var fails = func(int) (balance.Status, Response) { return balance.Error, Response{Outcome: Failed} }
 
-// Guards against a caller's word being passed on where nobody reads it, or believed at the edge; and against attempts
+// Guards against a caller's grant being passed on where nobody reads it, or trusted at the edge; and against attempts
 // beyond what was granted.
 func TestBudgetPropagates(t *testing.T) {
 	forged := (&budget.Grant{PoolID: 1, Extra: budget.MaxExtra, ValueShare: 1}).Join("user=7")
@@ -68,7 +68,7 @@
 	}
 }
 
-// Guards against a trouble being tried again at every tier, and against unused attempts being lost.
+// Guards against a fault being retried at every tier, and against unused attempts being lost.
 func TestRetriedBelowIsNotRetried(t *testing.T) {
 	set := budget.Settings{Service: "front", Edge: true, Instances: 1, MaxExtra: 4}
 	p, up := newBudgetedProxy(t, set, nil, func(int) (balance.Status, Response) {
--- a/internal/stream/left_test.go
+++ b/internal/stream/client_gone_test.go
@@ -11,7 +11,7 @@
 	"pinelb.example/pinelb/internal/driver"
 )
 
-// Guards against a request that is sent on for a client that has left, where its front did not notice: a look at the
+// Guards against a request that is forwarded for a client that has disconnected, where its front did not notice: a check of the
 // connection is all that tells. Each case says when that begins to tell it.
 func TestClientGoneUnnoticed(t *testing.T) {
 	for _, c := range []struct {
@@ -25,18 +25,18 @@
 	}{
 		{name: "before its head is read", class: 1, hosts: 1, before: true},
 		{name: "between two attempts", class: 1, hosts: 3, during: 1, status: []balance.Status{balance.Rejected}},
-		{name: "held for want of a host", class: 1, hosts: 0, after: time.Second},
+		{name: "held for want of a endpoint", class: 1, hosts: 0, after: time.Second},
 		{name: "while its attempt is out", class: 0, hosts: 3, during: 1, status: []balance.Status{balance.Cancelled}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				var left atomic.Bool
-				left.Store(c.before)
+				var gone atomic.Bool
+				gone.Store(c.before)
 				visits := make(chan time.Time, 9)
 				p := newProxy(t, c.hosts, func(ctx context.Context, _ balance.EndpointID) (balance.Status, Response) {
 					visits <- time.Now()
 					if len(visits) == c.during {
-						left.Store(true)
+						gone.Store(true)
 					}
 					if n := len(visits); n <= len(c.status) && c.status[n-1] != balance.Cancelled {
 						return c.status[n-1], Response{}
@@ -44,17 +44,17 @@
 					<-ctx.Done()
 					return balance.Cancelled, Response{}
 				})
-				client, leave := context.WithCancel(context.Background())
-				defer leave()
+				client, disconnect := context.WithCancel(context.Background())
+				defer disconnect()
 				from := time.Now()
 				req := request(c.class, time.Minute)
-				req.ClientGone = func() bool { return left.Load() || c.after > 0 && time.Since(from) >= c.after }
+				req.ClientGone = func() bool { return gone.Load() || c.after > 0 && time.Since(from) >= c.after }
 				res := p.Serve(client, req)
 				if res.Outcome != ClientGone || len(visits) != len(c.status) {
 					t.Errorf("outcome %d after %d visits, want gone after %d", res.Outcome, len(visits), len(c.status))
 				}
 				if took := time.Since(from) - c.after; took > 200*time.Millisecond {
-					t.Errorf("it is held for %v after the leave", took)
+					t.Errorf("it is kept for %v after the disconnect", took)
 				}
 				synctest.Wait()
 				if n := p.Active(); n != 0 {
@@ -65,8 +65,8 @@
 	}
 }
 
-// Guards against an attempt that still waits for its connection going out for a stream that is over, where the settings
-// let nothing be withdrawn.
+// Guards against an attempt that still waits for its connection going out for a stream that has ended, where the settings
+// let nothing be cancelled.
 func TestClientNotWaitingAfterEnd(t *testing.T) {
 	waits, over := make(chan *Request, 1), make(chan struct{})
 	wanted := make(chan bool, 1)
@@ -78,22 +78,22 @@
 	})}
 	sent := &unresponsiveStream{sends: make(chan driver.Send, 1), sent: true}
 	sent.sends <- driver.Send{}
-	client, leave := context.WithCancel(context.Background())
+	client, disconnect := context.WithCancel(context.Background())
 	go func() {
 		if !(<-waits).ClientWaiting() {
 			t.Error("it is not wanted while its client waits")
 		}
-		leave()
+		disconnect()
 	}()
 	p.run(client, sent, request(1, time.Minute), &unlimited)
 	close(over)
 	if <-wanted {
-		t.Error("it is wanted although the stream is over")
+		t.Error("it is wanted although the stream has ended")
 	}
 }
 
-// Guards against the last look before an attempt's first byte being spared where its client may have left since the one before,
-// and against one where the client was there a moment ago: looks cost calls to the kernel.
+// Guards against the last check before an attempt's first byte being spared where its client may have left since the one before,
+// and against one where the client was there a moment ago: checks cost calls to the kernel.
 func TestClientRecentlyWaiting(t *testing.T) {
 	for _, c := range []struct {
 		waits time.Duration // of the attempt, for its connection
@@ -101,15 +101,15 @@
 		want  bool
 	}{{0, 1, true}, {clientCheckValidity, 1, true}, {clientCheckValidity + time.Nanosecond, 2, false}, {time.Second, 2, false}} {
 		synctest.Test(t, func(t *testing.T) {
-			var looks atomic.Int64
+			var checks atomic.Int64
 			req := request(1, time.Minute)
-			req.ClientGone = func() bool { return looks.Add(1) > 1 } // it leaves after the first
+			req.ClientGone = func() bool { return checks.Add(1) > 1 } // it leaves after the first
 			asked := make(chan struct{})
 			p := &Proxy{active: map[string]activeStream{}, Upstream: contextUpstream(func(_ context.Context, req *Request) (balance.Status, Response) {
 				defer close(asked)
 				time.Sleep(c.waits)
-				if got := req.ClientRecentlyWaiting(); got != c.want || looks.Load() != c.looks {
-					t.Errorf("after %v it is wanted: %v after %d looks, want %v after %d", c.waits, got, looks.Load(), c.want, c.looks)
+				if got := req.ClientRecentlyWaiting(); got != c.want || checks.Load() != c.looks {
+					t.Errorf("after %v it is wanted: %v after %d checks, want %v after %d", c.waits, got, checks.Load(), c.want, c.looks)
 				}
 				return balance.OK, Response{}
 			})}
--- a/internal/stream/gate_test.go
+++ b/internal/stream/gate_audit_test.go
@@ -11,23 +11,23 @@
 	"pinelb.example/pinelb/balance"
 )
 
-// door is a gate that the test opens and shuts.
+// testGate is a gate that the test opens and shuts.
 type testGate struct {
 	mu    sync.Mutex
 	takes bool
 	sends int // so many attempts more
 }
 
-func (d *testGate) Takes() (bool, time.Duration) { return d.takes, 700 * time.Millisecond }
+func (d *testGate) AcceptsStreams() (bool, time.Duration) { return d.takes, 700 * time.Millisecond }
 
-func (d *testGate) Sends() bool {
+func (d *testGate) AllowsAttempts() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.sends--
 	return d.sends >= 0
 }
 
-// told is what a trail is told, in order.
+// recordedAudit is what an audit log is called with, in order.
 type recordedAudit struct {
 	mu     sync.Mutex
 	events []string
@@ -43,16 +43,16 @@
 	n.record(fmt.Sprint("sent ", under, " ", class, " ", crossed))
 }
 
-func (n *recordedAudit) Ended(under uint32, class int, _ balance.EndpointID, never, left bool) {
-	n.record(fmt.Sprint("ended ", under, " ", class, " ", never, " ", left))
+func (n *recordedAudit) Ended(under uint32, class int, _ balance.EndpointID, never, gone bool) {
+	n.record(fmt.Sprint("ended ", under, " ", class, " ", never, " ", gone))
 }
 
 type observerFunc func(l *Record)
 
 func (f observerFunc) Ended(l *Record) { f(l) }
 
-// Guards against streams and attempts that pass a gate that is shut, or that blame a host for it; and against a trail that is
-// not told of an attempt, by its own number, that it crossed a change, or how it ended.
+// Guards against streams and attempts that pass a gate that is shut, or that blame a endpoint for it; and against an audit log that is
+// missing an attempt, under its own version, that it crossed a change, or how it ended.
 func TestGateAndAuditLog(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -85,23 +85,23 @@
 				return c.status[visits-1], Response{}
 			})
 			p.Driver.SetVersion(1)
-			trail := &recordedAudit{}
-			var life Record
-			p.Gate, p.AuditLog, p.Observer = c.door, trail, observerFunc(func(l *Record) { life = *l })
+			auditLog := &recordedAudit{}
+			var record Record
+			p.Gate, p.AuditLog, p.Observer = c.door, auditLog, observerFunc(func(l *Record) { record = *l })
 			res := p.Serve(context.Background(), request(0, time.Minute))
 			if res.Outcome != c.want || visits != len(c.status) || c.name == "shut" && res.RetryAfter != 700*time.Millisecond {
 				t.Errorf("%+v after %d visits, want %d after %d", res, visits, c.want, len(c.status))
 			}
-			n := min(len(trail.events), len(c.told)) // what a shut gate holds back may be tried again
-			if n < len(c.told) || !reflect.DeepEqual(trail.events[:n], c.told) {
-				t.Errorf("the trail is told %q, want %q", trail.events, c.told)
+			n := min(len(auditLog.events), len(c.told)) // what a shut gate holds back may be retried
+			if n < len(c.told) || !reflect.DeepEqual(auditLog.events[:n], c.told) {
+				t.Errorf("the audit log records %q, want %q", auditLog.events, c.told)
 			}
 			if p.Active() != 0 {
 				t.Errorf("%d streams are kept", p.Active())
 			}
-			for i, a := range life.Attempts {
+			for i, a := range record.Attempts {
 				if want := append(c.status, balance.NotSent, balance.NotSent, balance.NotSent, balance.NotSent)[i]; a.Status != want {
-					t.Errorf("attempt %d ends with %d, want %d", i, a.Status, want) // no host is to blame for the gate
+					t.Errorf("attempt %d ends with %d, want %d", i, a.Status, want) // no endpoint is to blame for the gate
 				}
 			}
 		})
--- a/internal/stream/stream_test.go
+++ b/internal/stream/proxy_test.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// Guards against a request that is itself at fault being tried on every host, and ejecting them all: the
-// first that finds fault with it ends it, and the hosts stay in use.
+// Guards against a request that is itself at fault being tried on every endpoint, and ejecting them all: the
+// first that finds fault with it ends it, and the endpoints stay in use.
 func TestRejected(t *testing.T) {
 	visits := 0
 	p := newProxy(t, 3, func(_ context.Context, _ balance.EndpointID) (balance.Status, Response) {
@@ -106,10 +106,10 @@
 // Guards against a second copy of a request by way of its id: while its stream is open, or an attempt of it
 // still out, the id is not taken again; afterwards it is.
 func TestDuplicate(t *testing.T) {
-	out, release, left := make(chan struct{}), make(chan struct{}), make(chan struct{})
+	out, release, gone := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	p := newProxy(t, 1, func(ctx context.Context, _ balance.EndpointID) (balance.Status, Response) {
 		out <- struct{}{}
-		<-release // it comes back late, though withdrawn
+		<-release // it comes back late, though cancelled
 		return balance.Cancelled, Response{}
 	})
 	same := func() *Request {
@@ -117,19 +117,19 @@
 		r.Txn = "9b1f"
 		return r
 	}
-	client, leave := context.WithCancel(context.Background())
-	defer leave()
+	client, disconnect := context.WithCancel(context.Background())
+	defer disconnect()
 	go func() {
 		p.Serve(client, same())
-		close(left)
+		close(gone)
 	}()
 	<-out
 	for _, when := range []string{"while the stream is open", "while its attempt is out"} {
 		if res := p.Serve(context.Background(), same()); res.Outcome != Duplicate {
 			t.Errorf("%s: outcome %d, want duplicate", when, res.Outcome)
 		}
-		leave()
-		<-left
+		disconnect()
+		<-gone
 	}
 	close(release)
 	go func() { <-out }()
@@ -154,12 +154,12 @@
 	}
 }
 
-// Guards against a client that has left still costing an upstream host work.
+// Guards against a client that has disconnected still costing an upstream endpoint work.
 func TestGone(t *testing.T) {
 	withdrawn := make(chan struct{})
-	client, leave := context.WithCancel(context.Background())
+	client, disconnect := context.WithCancel(context.Background())
 	p := newProxy(t, 1, func(ctx context.Context, _ balance.EndpointID) (balance.Status, Response) {
-		leave()
+		disconnect()
 		<-ctx.Done()
 		close(withdrawn)
 		return balance.Cancelled, Response{}
@@ -170,7 +170,7 @@
 	<-withdrawn
 }
 
-// mute is a stream of which the decisions never say another word.
+// unresponsiveStream is a stream of which the decisions never decide anything more.
 type unresponsiveStream struct {
 	sends  chan driver.Send
 	sent   bool
@@ -195,6 +195,6 @@
 		t.Errorf("outcome %d, closed %v; want expired and closed", res.Outcome, sent.closed)
 	}
 	if res := p.run(context.Background(), &unresponsiveStream{}, request(0, 0), &unlimited); res.Outcome != RejectedLocally {
-		t.Errorf("outcome %d, want refused: it was never sent", res.Outcome)
+		t.Errorf("outcome %d, want rejected: it was never sent", res.Outcome)
 	}
 }
--- a/internal/stream/upload_test.go
+++ b/internal/stream/upload_test.go
@@ -17,14 +17,14 @@
 	return f(req)
 }
 
-func uploadRequest(class int, left time.Duration) *Request {
+func uploadRequest(class int, gone time.Duration) *Request {
 	r := request(class, MaxUploadTime)
-	r.Upload = NewUpload(strings.NewReader("rest"), -1, left)
+	r.Upload = NewUpload(strings.NewReader("rest"), -1, gone)
 	return r
 }
 
 // Guards against half of a body being sent as a whole one: what was read of it is gone, and only what was not may go to
-// another host. Nothing ran in either case, and so it is refused, not failed.
+// another endpoint. Nothing ran in either case, and so it is rejected, not failed.
 func TestPartlyReadUploadIsNotRetried(t *testing.T) {
 	for _, read := range []bool{false, true} {
 		visits := 0
@@ -67,7 +67,7 @@
 	}
 }
 
-// Guards against a cut body counting against its host, or being tried elsewhere.
+// Guards against a cut body counting against its endpoint, or being retried elsewhere.
 func TestIncompleteBody(t *testing.T) {
 	visits := 0
 	p := newProxy(t, 3, nil)
@@ -80,7 +80,7 @@
 	}
 }
 
-// kept is the rest of an answer that knows whether it has been let go of.
+// closableRest is the rest of an answer that knows whether it has been closed.
 type closableRest struct{ closed chan struct{} }
 
 func (k *closableRest) Read([]byte) (int, error) { return 0, errors.New("never read") }
@@ -90,9 +90,9 @@
 // Guards against an answer that comes too late for its stream holding on to its connection.
 func TestLateAnswerIsClosed(t *testing.T) {
 	k := &closableRest{make(chan struct{})}
-	client, leave := context.WithCancel(context.Background())
+	client, disconnect := context.WithCancel(context.Background())
 	p := newProxy(t, 1, func(ctx context.Context, _ balance.EndpointID) (balance.Status, Response) {
-		leave()
+		disconnect()
 		<-ctx.Done()
 		return balance.OK, Response{Rest: k}
 	})
