--- a/internal/simprotocol/wire_test.go
+++ b/internal/simprotocol/simprotocol_test.go
@@ -15,7 +15,7 @@
 	"pinelb.example/pinelb/balance"
 )
 
-// raw turns spaced hexadecimal, with +N for N zero bytes, into bytes, as the wire document writes them.
+// raw turns spaced hexadecimal, with +N for N zero bytes, into bytes, as the protocol document writes them.
 func raw(t testing.TB, text string) []byte {
 	t.Helper()
 	var out []byte
@@ -121,8 +121,8 @@
 	}
 }
 
-// TestListNumbersAreReused: a number means the list that came last before the event.
-func TestListNumbersAreReused(t *testing.T) {
+// TestListSlotsAreReused: a number means the list that came last before the event.
+func TestListSlotsAreReused(t *testing.T) {
 	body := raw(t, `08 00000003 +43
 		02 0000 00000000 00000001 +37
 		07 0000000000000001 01 0000 +36
@@ -184,7 +184,7 @@
 	}
 }
 
-func TestImpossibleFrames(t *testing.T) {
+func TestInvalidBatches(t *testing.T) {
 	huge := frame(1, nil)
 	binary.BigEndian.PutUint32(huge[4:], 0xffffffff)
 	short := frame(0, nil)
@@ -204,7 +204,7 @@
 		"five report values": frame(2, raw(t, "08 00000003 +43 05 00000000 0000 0000000000000000 05 +32")),
 	} {
 		err := NewDecoder(bytes.NewReader(data)).Next(func(time.Duration, *Record) error { return nil })
-		if err == nil || err == io.EOF {
+		if err == nil || err == io.EOF || !errors.Is(err, ErrInvalidBatch) {
 			t.Errorf("%s: error %v", name, err)
 		}
 	}
