--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -120,7 +120,7 @@
 	w := newTestInstance(t, testSettings(), 1)
 	w.listReady(2)
 	least := w.b.limit
-	for step := range 2000 { // 100 requests a second, answered after so long however few are held
+	for step := range 2000 { // 100 requests a second, answered after so long however few are in flight
 		delay := 40 * ms
 		if step > 1000 {
 			delay = 100 * ms
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -65,22 +65,16 @@
 
 // BenchmarkList is what a full list costs, of which one endpoint has just restarted.
 func BenchmarkList(b *testing.B) {
-	for _, hosts := range slopeSizes {
-		b.Run(fmt.Sprint(hosts, "hosts"), func(b *testing.B) {
-			bal, entries := newListedBalancer(b, hosts)
-			var out []Action
-			b.ReportAllocs()
-			for i := range b.N {
-				now := time.Hour + time.Duration(i+1)*time.Millisecond
-				entries[i%hosts].StartedAt = now
-				out = bal.Handle(now, &Event{Kind: EventMembership, List: ListFull, Entries: entries}, out[:0])
-			}
-		})
-	}
+	benchmarkMembership(b, ListFull, func(entries []Entry, _ int) []Entry { return entries })
 }
 
 // BenchmarkChange is what one endpoint's restart costs that comes as a change.
 func BenchmarkChange(b *testing.B) {
+	benchmarkMembership(b, ListDelta, func(entries []Entry, restarted int) []Entry { return entries[restarted : restarted+1] })
+}
+
+// benchmarkMembership has one endpoint after another restart, and sends the part of the list that sent chooses.
+func benchmarkMembership(b *testing.B, kind ListKind, sent func(entries []Entry, restarted int) []Entry) {
 	for _, hosts := range slopeSizes {
 		b.Run(fmt.Sprint(hosts, "hosts"), func(b *testing.B) {
 			bal, entries := newListedBalancer(b, hosts)
@@ -88,8 +82,9 @@
 			b.ReportAllocs()
 			for i := range b.N {
 				now := time.Hour + time.Duration(i+1)*time.Millisecond
-				entries[i%hosts].StartedAt = now
-				out = bal.Handle(now, &Event{Kind: EventMembership, List: ListDelta, Entries: entries[i%hosts : i%hosts+1]}, out[:0])
+				restarted := i % hosts
+				entries[restarted].StartedAt = now
+				out = bal.Handle(now, &Event{Kind: EventMembership, List: kind, Entries: sent(entries, restarted)}, out[:0])
 			}
 		})
 	}
--- a/balance/cached_list_test.go
+++ b/balance/cached_list_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Without any endpoint, and with a list that can't come in time, a request is rejected at once and told when to come again;
-// where the list may come in time it is held, and where endpoints are listed nothing changes.
+// Without any endpoint, and with a list that can't come in time, a request is rejected at once with a retry hint;
+// where the list may come in time it is queued, and where endpoints are listed nothing changes.
 func TestNoEndpointsYet(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -39,7 +39,7 @@
 }
 
 // Of a cached list: the endpoints count as warming up, one request goes out at once and the rest is earned; a fresh list that says
-// the same start makes them as old as they are, one that tells a later start makes them cold by that.
+// the same start makes them as old as they are, one with a later start makes them warm up from that.
 func TestCachedList(t *testing.T) {
 	s := testSettings()
 	s.Instances = 2
@@ -65,19 +65,19 @@
 		t.Errorf("%d sends after one answer: the rest is to be earned", n)
 	}
 	for _, c := range []struct {
-		name string
-		up   time.Duration
-		cold bool
+		name      string
+		up        time.Duration
+		warmingUp bool
 	}{{"as was guessed", 0, false}, {"started since", time.Hour - time.Second, true}} {
 		w := guess()
 		w.list(ListFull, Entry{Endpoint: 1, State: Ready, Weight: 1, StartedAt: c.up})
-		if got := w.b.isWarmingUp(w.b.endpointsByID[1]); got != c.cold {
-			t.Errorf("%s: cold %v", c.name, got)
+		if got := w.b.isWarmingUp(w.b.endpointsByID[1]); got != c.warmingUp {
+			t.Errorf("%s: warming up %v", c.name, got)
 		}
 		for range 10 {
 			w.request(idempotentClass)
 		}
-		if sent := len(w.sends); !c.cold && sent < 4 || c.cold && sent > 1 {
+		if sent := len(w.sends); !c.warmingUp && sent < 4 || c.warmingUp && sent > 1 {
 			t.Errorf("%s: %d of ten requests went out", c.name, sent)
 		}
 	}
--- a/balance/congestion_test.go
+++ b/balance/congestion_test.go
@@ -6,7 +6,7 @@
 )
 
 // Guards against an unresponsive endpoint that is tried again at once after a trial that ran out of time: what was out when the time
-// was up taught nothing during congestion, so that it held one request of each instance for as long as it hung.
+// was up taught nothing during congestion, so that it had one request of each instance for as long as it hung.
 func TestHalfOpenAttemptTimesOut(t *testing.T) {
 	w := newTestInstance(t, testSettings(), 1)
 	w.listReady(6)
@@ -32,7 +32,7 @@
 }
 
 // Guards against a limit that can't fall when endpoints leave: the rate that it may not fall under has to leave with them,
-// or what the rest can't do is held by them, answered late and thrown away.
+// or what the rest can't do is in flight at them, answered late and discarded.
 func TestMinimumRateFollowsCapacity(t *testing.T) {
 	w := newTestInstance(t, testSettings(), 1)
 	w.listReady(16)
--- a/balance/cordon_test.go
+++ b/balance/cordon_test.go
@@ -68,8 +68,8 @@
 	})
 }
 
-// TestUncordonedEndpointIsUsed: an endpoint that was in use before it was cordoned is sent something within 5 s of its return, cold
-// as it is, and no more than one that is warming up may get.
+// TestUncordonedEndpointIsUsed: an endpoint that was in use before it was cordoned is sent something within 5 s of its return, warming
+// up as it is, and no more than one that is warming up may get.
 func TestUncordonedEndpointIsUsed(t *testing.T) {
 	for seed := range uint64(20) {
 		w := newTestInstance(t, testSettings(), seed)
--- a/balance/granted_test.go
+++ b/balance/granted_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// TestValueSharePropagates: what a tier above makes of a request's worth decides here too, and goes on.
+// TestValueSharePropagates: what a tier above makes of a request's value decides here too, and is passed down.
 func TestValueSharePropagates(t *testing.T) {
 	w := newTestInstance(t, testSettings(), 1)
 	w.listReady(1)
@@ -45,13 +45,13 @@
 	if s := w.requestGranted(0, 0, time.Second); len(s) != 1 || s[0].ValueShare != 1 {
 		t.Errorf("%+v", s)
 	}
-	w.b.limit = 1 // no room: what is worth more goes first
+	w.b.limit = 1 // no capacity: what is more valuable goes first
 	for len(w.b.queue) < 2 {
 		w.requestGranted(0, 0.2, time.Second)
 		w.requestGranted(0, 1, time.Second)
 	}
 	if first := w.b.queue[0]; first.valueShare() != 1 {
-		t.Errorf("the first in the queue is worth %v", first.valueShare())
+		t.Errorf("the first in the queue has a value share of %v", first.valueShare())
 	}
 }
 
--- a/balance/grey/detector_test.go
+++ b/balance/grey/detector_test.go
@@ -75,7 +75,7 @@
 }
 
 // Guards against a calm or slow fleet's endpoints being called grey: whatever the rate. Where all fail a good part alike, a
-// few endpoints tell little of what is usual, and chance alarms more often.
+// few endpoints say little about what is usual, and chance alarms more often.
 func TestFewFalsePositives(t *testing.T) {
 	attempts, alarms := map[bool]int{}, map[bool]int{}
 	rapid.Check(t, func(t *rapid.T) {
@@ -116,7 +116,7 @@
 		healthy := w.f.FailureRate(&w.hosts[1], 0, 0, 0)
 		w.advance(10, rate, nil)
 		if !w.hosts[0].Grey() {
-			t.Errorf("not noticed: fails %.2f", w.f.FailureRate(&w.hosts[0], 0, 0, 0))
+			t.Errorf("not detected: fails %.2f", w.f.FailureRate(&w.hosts[0], 0, 0, 0))
 		}
 		if failing, well := w.f.FailureRate(&w.hosts[0], 0, 0, 0), w.f.FailureRate(&w.hosts[1], 0, 0, 0); failing < 0.25*share || well > 0.1 || healthy > 0.05 {
 			t.Errorf("of %.2f: the failing one is taken for %.2f, another for %.2f, before for %.2f", share, failing, well, healthy)
@@ -129,7 +129,7 @@
 	})
 }
 
-// Guards against one class's trouble at all endpoints being held against them, and one endpoint's with one class being missed.
+// Guards against one class's fault at all endpoints being held against them, and one endpoint's with one class being missed.
 func TestFaultIsAttributed(t *testing.T) {
 	for seed := range uint64(5) {
 		w := newTestCluster(6, seed)
@@ -158,7 +158,7 @@
 	}
 }
 
-// Guards against overload being taken for endpoints that hang: while all are slow, silence says little.
+// Guards against overload being taken for endpoints that hang: while all are slow, a missing answer says little.
 func TestOverloadIsNotTakenForHangs(t *testing.T) {
 	w := newTestCluster(4, 1)
 	w.advance(20, 100, nil)
@@ -169,8 +169,8 @@
 	w.slowdown = 6
 	w.advance(3, 100, nil)
 	w.f.BeginAssessment()
-	if jam := w.f.HangProbability(&w.hosts[0], 0, 8*typicalSeconds, 1, 0); jam > 0.1 {
-		t.Errorf("all are 6 times slower: hangs with odds of %.2f", jam)
+	if overloaded := w.f.HangProbability(&w.hosts[0], 0, 8*typicalSeconds, 1, 0); overloaded > 0.1 {
+		t.Errorf("all are 6 times slower: hangs with odds of %.2f", overloaded)
 	}
 }
 
@@ -194,7 +194,7 @@
 	})
 }
 
-var grid = flag.Bool("grid", false, "print how soon a grey endpoint is noticed, and how often a well one is, for some shares and rates")
+var grid = flag.Bool("grid", false, "print how soon a grey endpoint is detected, and how often a healthy one is, for some shares and rates")
 
 // TestGrid prints the table of docs/design/grey-failures.md: go test ./balance/grey -run Grid -grid -v
 func TestGrid(t *testing.T) {
@@ -237,7 +237,7 @@
 			for _, x := range at {
 				mean += x / float64(len(at))
 			}
-			t.Logf("%4.1f a second, mute %3.0f%%: noticed %3.0f%%, after %.1f s", rate, 100*share, 100*float64(len(at))/plays, mean)
+			t.Logf("%4.1f a second, mute %3.0f%%: detected %3.0f%%, after %.1f s", rate, 100*share, 100*float64(len(at))/plays, mean)
 		}
 	}
 }
--- a/balance/reconfigure_test.go
+++ b/balance/reconfigure_test.go
@@ -15,13 +15,13 @@
 		set := testSettings()
 		w := newTestInstance(t, set, rapid.Uint64().Draw(rt, "seed"))
 		w.listReady(4)
-		type held struct {
+		type expected struct {
 			effect Idempotency
 			most   int // sends that there may be yet
 			sent   int
 			mayRun bool
 		}
-		open, ended := map[RequestID]*held{}, 0
+		open, ended := map[RequestID]*expected{}, 0
 		for range rapid.IntRange(10, 60).Draw(rt, "steps") {
 			switch rapid.IntRange(0, 6).Draw(rt, "step") {
 			case 0:
@@ -41,7 +41,7 @@
 				}
 			case 1, 2:
 				class := rapid.IntRange(0, len(set.Classes)-1).Draw(rt, "class")
-				open[w.nextID+1] = &held{effect: set.Classes[class].Idempotency, most: set.MaxAttempts}
+				open[w.nextID+1] = &expected{effect: set.Classes[class].Idempotency, most: set.MaxAttempts}
 				w.request(class)
 			case 3, 4:
 				if ended < len(w.sends) {
@@ -104,8 +104,8 @@
 	}
 }
 
-// Guards against an upgrade that doubles what a sidecar may send: two processes of it have half of the limit each, a cold
-// endpoint's trickle is shared, and what is left alone has the whole again.
+// Guards against an upgrade that doubles what a sidecar may send: two processes of it have half of the limit each, a
+// warming endpoint's trickle is shared, and what is left alone has all of the limit again.
 func TestProcessesShareLimit(t *testing.T) {
 	w := learnedInstance(t, 1)
 	limit, users := w.b.limit, w.b.instancesPerEndpoint
--- a/balance/sending_test.go
+++ b/balance/sending_test.go
@@ -9,7 +9,7 @@
 func TestOneFinalAnswerInTime(t *testing.T) {
 	s := testSettings()
 	for i := range s.Classes {
-		s.Classes[i].LateValue = 0.5 // worth waiting for up to the deadline itself
+		s.Classes[i].LateValue = 0.5 // of value up to the deadline itself
 	}
 	for _, class := range []int{idempotentClass, keyedClass, nonIdempotentClass} {
 		for _, n := range []int{0, 1, 3} {
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestEndsAtTargetLatency: where a later answer is worth nothing, a request ends just before its target latency and what
-// it has out is cancelled; where late answers have worth it goes on.
+// TestEndsAtTargetLatency: where a later answer has no value, a request ends just before its target latency and what
+// its open attempt is cancelled; where late answers have value it goes on.
 func TestEndsAtTargetLatency(t *testing.T) {
 	for _, late := range []float64{0, 0.5} {
 		s := testSettings()
@@ -73,7 +73,7 @@
 		id := w.request(nonIdempotentClass)
 		w.advance(400 * ms)
 		if ended := w.answerCounts[id] == 1 && w.b.requests[id] == nil; ended != (late == 0) {
-			t.Errorf("late worth %.1f: ended at the target latency with its attempt cancelled: %v", late, ended)
+			t.Errorf("late value %.1f: ended at the target latency with its attempt cancelled: %v", late, ended)
 		}
 	}
 }
@@ -96,7 +96,7 @@
 	w.event(Event{Kind: EventClientGone, Request: id})
 	sent := len(w.sends)
 	w.endAttempt(0, Error, 30*ms)
-	w.event(Event{Kind: EventClientGone, Request: id}) // an id no longer held is passed over
+	w.event(Event{Kind: EventClientGone, Request: id}) // an id no longer known is ignored
 	w.advance(2 * time.Second)
 	if len(w.sends) != sent || w.answerCounts[id] != 0 {
 		t.Errorf("%d sends and %d answers after the client left", len(w.sends)-sent, w.answerCounts[id])
@@ -116,9 +116,9 @@
 // TestRetryByIdempotency checks what may follow an attempt's end, for each class of effect.
 func TestRetryByIdempotency(t *testing.T) {
 	const (
-		retried = "retried"
-		refused = "refused"
-		failed  = "failed"
+		retried  = "retried"
+		rejected = "rejected"
+		failed   = "failed"
 	)
 	for _, c := range []struct {
 		class  int
@@ -148,14 +148,14 @@
 			id := w.request(c.class)
 			w.advance(c.after)
 			w.endAttempt(0, c.status, c.after)
-			got := refused
+			got := rejected
 			switch {
 			case len(w.sends) > 1:
 				got = retried
 			case w.answers[id].Kind == ActFail:
 				got = failed
 			case w.answerCounts[id] == 0:
-				got = "held"
+				got = "pending"
 			}
 			if got != c.want {
 				t.Errorf("got %s, want %s", got, c.want)
@@ -257,7 +257,7 @@
 		}
 		for _, a := range w.sends[sent:] {
 			if a.Endpoint == 1 {
-				t.Fatalf("%s: sent to the endpoint after being told", name)
+				t.Fatalf("%s: sent to the endpoint after the update", name)
 			}
 		}
 	}
@@ -303,8 +303,8 @@
 	}
 }
 
-// TestWarmupBudget floods instances that act alike and have a warming endpoint among warm ones, and holds
-// what all of them send it in any window against the budget.
+// TestWarmupBudget floods instances that act alike and have a warming endpoint among warm ones, and compares
+// what all of them send it in any window with the budget.
 func TestWarmupBudget(t *testing.T) {
 	for _, instances := range []int{1, 3} {
 		s := testSettings()
@@ -333,7 +333,7 @@
 			for range int(5 * time.Second / (5 * ms)) {
 				w.request(idempotentClass)
 				w.advance(5 * ms)
-				for ; done < len(w.sends); done++ { // the cold one too keeps up: only its budget holds it back
+				for ; done < len(w.sends); done++ { // the warming one too is fast enough: only its budget limits it
 					w.endAttempt(done, OK, 40*ms)
 				}
 			}
--- a/balance/solve_test.go
+++ b/balance/solve_test.go
@@ -63,7 +63,7 @@
 				return 60 * ms
 			})
 		},
-		"sound endpoint": func(w *testInstance) {
+		"healthy endpoint": func(w *testInstance) {
 			for i := range 150 {
 				w.request(nonIdempotentClass)
 				w.advance(40 * ms)
@@ -158,7 +158,7 @@
 	w.b.accumulateRows()
 	n := map[EndpointID]float64{}
 	for range 3000 {
-		w.b.limit = 100 // holds nothing back, and nothing is held: the draw alone decides
+		w.b.limit = 100 // limits nothing, and nothing is pending: the draw alone decides
 		id := w.request(idempotentClass)
 		n[w.sends[len(w.sends)-1].Endpoint]++
 		w.event(Event{Kind: EventOutcome, Request: id, Endpoint: w.sends[len(w.sends)-1].Endpoint, Status: OK,
@@ -180,7 +180,7 @@
 	}
 	for _, endpoint := range w.b.endpoints {
 		if len(endpoint.pending) != 3 {
-			t.Errorf("endpoint %d holds %d of 12 requests on four like endpoints", endpoint.Endpoint, len(endpoint.pending))
+			t.Errorf("endpoint %d has %d of 12 requests on four like endpoints", endpoint.Endpoint, len(endpoint.pending))
 		}
 	}
 }
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -14,7 +14,7 @@
 // Guards against a bound on handshakes that counts other users of an endpoint than there are.
 func TestHandshakeLimitUsesSameSubsetSize(t *testing.T) {
 	if pacing.UsedLeast != minSubsetSize || pacing.UsersWanted != targetInstancesPerEndpoint {
-		t.Errorf("package pace counts by %d and %d, this one chooses by %d and %d", pacing.UsedLeast, pacing.UsersWanted, minSubsetSize, targetInstancesPerEndpoint)
+		t.Errorf("package pacing counts by %d and %d, this one chooses by %d and %d", pacing.UsedLeast, pacing.UsersWanted, minSubsetSize, targetInstancesPerEndpoint)
 	}
 }
 
@@ -113,7 +113,7 @@
 		w := newTestInstance(t, s, 1)
 		w.listReady(c.servers)
 		if all := w.b.limit * float64(c.instances); all > max(float64(c.instances), initialLimit*float64(c.servers))+0.01 {
-			t.Errorf("%d x %d: all instances together start with %.0f held", c.instances, c.servers, all)
+			t.Errorf("%d x %d: all instances together start with %.0f in flight", c.instances, c.servers, all)
 		}
 		for range int(minBaselineResponses) { // a few quick answers, then nothing but late ones
 			w.b.latencyWindow.add(min(1, 0.05/0.4))
@@ -126,13 +126,13 @@
 			w.advance(maintenanceInterval)
 		}
 		if all := w.b.limit * float64(c.instances); all > max(float64(c.instances), minLimit*float64(c.servers))+0.01 {
-			t.Errorf("%d x %d: with late answers, all instances together may still hold %.0f", c.instances, c.servers, all)
+			t.Errorf("%d x %d: with late answers, all instances together may still have %.0f in flight", c.instances, c.servers, all)
 		}
 	}
 }
 
 // A limit that is not a whole number must still be reached by some instances, and can then grow: with its
-// fraction cut off everywhere, many instances would hold much less than they may, for ever.
+// fraction cut off everywhere, many instances would have much less in flight than they may, for ever.
 func TestFractionOfLimitIsUsed(t *testing.T) {
 	most := 0.0
 	for seed := range uint64(200) {
@@ -155,12 +155,12 @@
 		}
 	}
 	if mean := most / 200; math.Abs(mean-smallLimit-0.6) > 0.15 {
-		t.Errorf("200 instances with a limit of %.1f hold %.2f each", smallLimit+0.6, mean)
+		t.Errorf("200 instances with a limit of %.1f have %.2f in flight each", smallLimit+0.6, mean)
 	}
 }
 
 // measureInFlight has an instance with a fixed limit take a request each so often, answered after 100 ms, for a while,
-// and returns how many it held on average and at most.
+// and returns how many it had in flight on average and at most.
 func measureInFlight(t *testing.T, limit float64, every time.Duration) (mean float64, most int) {
 	s := testSettings()
 	s.Instances = 1000 // whose part of the least is small
@@ -184,20 +184,20 @@
 	return mean, most
 }
 
-// An instance whose share is one request or less must be able to hold two or three for a moment, or most of
-// what comes would find it taken; but on average it holds no more than its share, however much comes.
+// An instance whose share is one request or less must be able to have two or three in flight for a moment, or most of
+// what comes would find it taken; but on average it has no more than its share, however much comes.
 func TestSmallLimitIsKeptOnAverage(t *testing.T) {
 	for _, limit := range []float64{0.3, 1, 2.5} {
 		mean, most := measureInFlight(t, limit, 10*ms)
 		if mean > 1.15*limit || mean < 0.8*limit { // a look may raise it before the next step sets it back
-			t.Errorf("a limit of %.1f holds %.2f on average of all that comes", limit, mean)
+			t.Errorf("a limit of %.1f has %.2f in flight on average of all that comes", limit, mean)
 		}
 		if float64(most) < limit+1 || float64(most) > math.Ceil(2.5*limit+3*math.Sqrt(2.5*limit)) {
-			t.Errorf("a limit of %.1f holds %d at most", limit, most)
+			t.Errorf("a limit of %.1f has at most %d in flight", limit, most)
 		}
 	}
 	if mean, _ := measureInFlight(t, 1, 200*ms); mean < 0.45 {
-		t.Errorf("of 0.5 that come and may be held, %.2f are", mean)
+		t.Errorf("of 0.5 that come and may be in flight, %.2f are", mean)
 	}
 }
 
@@ -210,7 +210,7 @@
 	w.listReady(20)
 	sent, done := [3]int{}, 0
 	class := map[RequestID]int{}
-	for step := range 4000 { // 1.5 of each are offered to hold, and 1 may be held
+	for step := range 4000 { // 1.5 of each are offered, and 1 may be in flight
 		w.b.limit = 1
 		if step%4 < 2 {
 			class[w.request(step%4)] = step % 4
@@ -315,7 +315,7 @@
 	}
 }
 
-// A start that is missing, moves back or lies ahead must not make a warming endpoint look warm, nor keep it cold.
+// A start that is missing, moves back or lies ahead must not make a warming endpoint look warm, nor keep it warming up for ever.
 func TestImplausibleStartTimes(t *testing.T) {
 	w := newTestInstance(t, testSettings(), 1)
 	entry := Entry{Endpoint: 1, State: Ready, Weight: 1, StartedAt: w.now}
@@ -324,12 +324,12 @@
 	for _, start := range []time.Duration{entry.StartedAt, 0, entry.StartedAt - time.Hour} {
 		entry.StartedAt = start
 		if w.list(ListDelta, entry); !warmingUp() {
-			t.Errorf("a start told as %v after %v makes it warm", start, w.now)
+			t.Errorf("a start listed as %v after %v makes it warm", start, w.now)
 		}
 	}
 	w.advance(w.b.settings.WarmupDuration)
 	if warmingUp() {
-		t.Error("cold for longer than stated")
+		t.Error("warming up for longer than stated")
 	}
 	entry.StartedAt = w.now + time.Hour // a clock that is ahead
 	w.list(ListDelta, entry)
@@ -340,15 +340,15 @@
 	w.list(ListDelta, entry)
 	w.advance(w.b.settings.WarmupDuration / 2)
 	if warmingUp() {
-		t.Error("a start in the future keeps it cold")
+		t.Error("a start in the future keeps it warming up")
 	}
-	entry.StartedAt = w.now // and once it is right, another start, though told as earlier than the last
+	entry.StartedAt = w.now // and once it is right, another start, though listed as earlier than the last
 	if w.list(ListDelta, entry); !warmingUp() {
 		t.Error("a start is missed after one in the future")
 	}
 }
 
-// A jam grows with time, not with answers: an instance that sees few of them must cut as deep in a second.
+// Congestion grows with time, not with answers: an instance that sees few of them must cut as deep in a second.
 func TestLimitCutsGrowWithTime(t *testing.T) {
 	left := func(answers int, every time.Duration) float64 { // late answers for five seconds
 		w := newTestInstance(t, testSettings(), 1)
@@ -372,7 +372,7 @@
 	}
 }
 
-// Connects that fail while requests succeed tell of a full connection table, not of a dead endpoint.
+// Connects that fail while requests succeed are evidence of a full connection table, not of a dead endpoint.
 func TestFailedConnectsOfAnsweringEndpoint(t *testing.T) {
 	for _, answers := range []bool{true, false} {
 		w := newTestInstance(t, testSettings(), 1)
@@ -424,7 +424,7 @@
 	}
 }
 
-// A stand-in that is no longer used may still hold requests, but gets no new ones.
+// A stand-in that is no longer used may still have requests, but gets no new ones.
 func TestNothingNewOutsideSubset(t *testing.T) {
 	s := testSettings()
 	s.Instances, s.Rank = 50, 7
@@ -434,7 +434,7 @@
 	w.b.eject(bad)
 	w.advance(time.Second)
 	w.b.limit = 100
-	for range 40 { // every endpoint, the stand-in too, holds some
+	for range 40 { // every endpoint, the stand-in too, has some
 		w.request(idempotentClass)
 	}
 	bad.halfOpen, bad.ejectedUntil = false, 0 // its trial went well
@@ -446,7 +446,7 @@
 		}
 	}
 	if left == nil || len(left.pending) == 0 {
-		t.Fatal("no endpoint that left and still holds requests")
+		t.Fatal("no endpoint that left and still has requests")
 	}
 	n := len(w.sends)
 	for range 60 {
@@ -462,7 +462,7 @@
 	}
 }
 
-// Room that is not used in the mean is not widened, however quick the answers: it would turn into a jam when
+// Room that is not used in the mean is not widened, however quick the answers: it would turn into congestion when
 // something slows.
 func TestLimitGrowsWithMeanUse(t *testing.T) {
 	for _, c := range []struct {
@@ -536,8 +536,8 @@
 	}
 }
 
-// TestLimitDebtForgivenAfterCongestion: an instance with a small limit that held more during congestion does not go on rejecting for seconds
-// once answers are quick again; without congestion it makes up for what it held too much.
+// TestLimitDebtForgivenAfterCongestion: an instance with a small limit that had more in flight during congestion does not go on rejecting for seconds
+// once answers are quick again; without congestion it makes up for what it had too much.
 func TestLimitDebtForgivenAfterCongestion(t *testing.T) {
 	for _, congestion := range []bool{true, false} {
 		s := testSettings()
--- a/balance/upload_test.go
+++ b/balance/upload_test.go
@@ -6,7 +6,7 @@
 )
 
 // Guards against a body that takes its time being taken for a slow or unresponsive endpoint, for work, or for a late request: until
-// its last byte has gone no time runs, and from then on the whole of it does.
+// its last byte has gone no time runs, and from then on all of it does.
 func TestUploadingRequest(t *testing.T) {
 	w := newTestInstance(t, testSettings(), 1)
 	w.listReady(3)
@@ -22,7 +22,7 @@
 	}
 	w.event(Event{Kind: EventUploadDone, Request: id})
 	if w.b.inFlight != 1 {
-		t.Errorf("%d in work once it is whole, want 1", w.b.inFlight)
+		t.Errorf("%d in flight once it is complete, want 1", w.b.inFlight)
 	}
 	from := w.now
 	for w.answerCounts[id] == 0 && w.now < from+2*time.Second {
--- a/balance/warmup/warmup_test.go
+++ b/balance/warmup/warmup_test.go
@@ -31,7 +31,7 @@
 )
 
 // endpoint is a minimal endpoint: first come, first served, requests of equal work, no more of them
-// waiting than half of the target latency allows. What it turns away counts as sent and earns nothing.
+// waiting than half of the target latency allows. What it rejects counts as sent and earns nothing.
 type endpoint struct {
 	fails, hangs     bool          // answers nothing: at once with an error, or ever
 	age              time.Duration // at time 0; Config.Duration or more is warm all along
@@ -50,10 +50,10 @@
 	statedInstances int     // how many instances there are, as stated to them
 	instances       int     // in truth
 	rate            float64 // requests a second of a warm endpoint
-	initialFactor   float64 // true cold share over the settings'
+	initialFactor   float64 // true initial share over the settings'
 	skewed          bool    // the first instance has half of the traffic
-	lateDiscovery   bool    // every other instance learns late of cold endpoints; until then it has them as gone, not as warm
-	preferCold      bool    // cold endpoints are preferred wherever there is a send; otherwise all alike
+	lateDiscovery   bool    // every other instance learns late of endpoints that warm up; until then it has them as gone, not as warm
+	preferCold      bool    // endpoints that warm up are preferred wherever there is a send; otherwise all alike
 	unbounded       bool    // the mutation: always ready
 	before          float64 // demand over the warm capacity
 	silent          time.Duration
@@ -176,7 +176,7 @@
 	}
 }
 
-// pressure is the most that any endpoint was sent in a window while cold, over what it stands: N + 2 root of N + 2, N being the
+// pressure is the most that any endpoint was sent in a window while warming up, over what it withstands: N + 2 root of N + 2, N being the
 // multiple of what its present capacity could do in it, or less by the standard deviations of that: sends are whole numbers by
 // chance, and the trickle comes at random, each with at most the variance of a Poisson number of its mean. A number that is four
 // of these out comes up once in 30,000 windows, and only that is left to fleets that are stated a wrong number of instances.
@@ -252,19 +252,19 @@
 	}
 }
 
-// A fleet that is warming up as a whole comes up with what it can do, and isn't dark after a pause in which all sends expired.
+// A fleet that is warming up as a whole comes up with what it can do, and isn't down after a pause in which all sends expired.
 func TestColdClusterServes(t *testing.T) {
-	for _, silent := range []time.Duration{played, 2 * time.Second} {
+	for _, pause := range []time.Duration{played, 2 * time.Second} {
 		for _, instances := range []int{1, 10, 50} {
 			aim, from, least := 100*time.Millisecond, lag, 0.8
-			if silent < played { // and short requests, of which the trickle brings few: two seconds after it
-				aim, from, least = 500*time.Millisecond, silent+lag+2*time.Second, 0.5
+			if pause < played { // and short requests, of which the trickle brings few: two seconds after it
+				aim, from, least = 500*time.Millisecond, pause+lag+2*time.Second, 0.5
 			}
-			t.Run(fmt.Sprint(instances, " instances, pause from ", silent), func(t *testing.T) {
+			t.Run(fmt.Sprint(instances, " instances, pause from ", pause), func(t *testing.T) {
 				var shares []float64
 				for seed := range uint64(3) {
 					c := newCluster(instances, seed)
-					c.before, c.after, c.silent, c.config.TargetLatency = 0.5, 0.5, silent, aim
+					c.before, c.after, c.silent, c.config.TargetLatency = 0.5, 0.5, pause, aim
 					c.play()
 					n, served, could := int(from/step), 0.0, 0.0
 					for _, e := range c.endpoints {
@@ -303,7 +303,7 @@
 		}
 	}
 	if warm := site.TrickleRate(10*time.Second, 1); math.Abs(one-0.4*warm) > 1e-9 {
-		t.Errorf("it doesn't go by capacity: %v cold, %v warm", one, warm)
+		t.Errorf("it doesn't go by capacity: %v warming up, %v warm", one, warm)
 	}
 }
 
@@ -334,7 +334,7 @@
 		}
 		// A Bernoulli number's standard deviation is at most 0.5: 4 of the sum's.
 		if got := float64(len(b.earned)); math.Abs(got-sends*n) > 4*0.5*math.Sqrt(n) {
-			t.Errorf("%v sends for %v answers worth %v", got, n, sends)
+			t.Errorf("%v sends for %v answers of %v each", got, n, sends)
 		}
 	}
 }
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -108,7 +108,7 @@
 	})
 }
 
-// MaxExtra tells beforehand how many Share will allow.
+// MaxAttempts says beforehand how many attempts an Allowance will allow.
 func TestMaxAttempts(t *testing.T) {
 	for extra := range 2 * MaxExtra {
 		for _, last := range []bool{true, false} {
@@ -127,8 +127,8 @@
 	}
 }
 
-// Guards against retries that go on while nothing succeeds: what fails pays for all that it may have used, so that the
-// whole is bounded by the full bucket, what first attempts earn, and what was open at any one time.
+// Guards against retries that go on while nothing succeeds: what fails pays for all that it may have used, so that
+// all is bounded by the full bucket, what first attempts earn, and what was open at any one time.
 func TestRetryBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget := NewRetryBudget(rapid.IntRange(1, 50).Draw(t, "instances"))
--- a/internal/stream/client_gone_test.go
+++ b/internal/stream/client_gone_test.go
@@ -12,7 +12,7 @@
 )
 
 // Guards against a request that is forwarded for a client that has disconnected, where its front did not notice: a check of the
-// connection is all that tells. Each case says when that begins to tell it.
+// connection is all that shows it. Each case says when it begins to.
 func TestClientGoneUnnoticed(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -25,7 +25,7 @@
 	}{
 		{name: "before its head is read", class: 1, hosts: 1, before: true},
 		{name: "between two attempts", class: 1, hosts: 3, during: 1, status: []balance.Status{balance.Rejected}},
-		{name: "held for want of a endpoint", class: 1, hosts: 0, after: time.Second},
+		{name: "queued for want of an endpoint", class: 1, hosts: 0, after: time.Second},
 		{name: "while its attempt is out", class: 0, hosts: 3, during: 1, status: []balance.Status{balance.Cancelled}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/stream/gate_audit_test.go
+++ b/internal/stream/gate_audit_test.go
@@ -55,11 +55,11 @@
 // missing an attempt, under its own version, that it crossed a change, or how it ended.
 func TestGateAndAuditLog(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		door   *testGate
-		status []balance.Status // of the visits that there are, in order
-		want   Outcome
-		told   []string
+		name    string
+		door    *testGate
+		status  []balance.Status // of the visits that there are, in order
+		outcome Outcome
+		want    []string
 	}{
 		{"shut", &testGate{sends: 9}, nil, RejectedLocally, nil},
 		{"no attempts", &testGate{takes: true}, nil, RejectedLocally, []string{"sent 1 0 false", "ended 1 0 true false"}},
@@ -68,7 +68,7 @@
 			[]string{"sent 1 0 false", "ended 1 0 false false", "sent 2 0 true", "ended 2 0 false false"}},
 		{"not connected", &testGate{takes: true, sends: 9}, []balance.Status{balance.ConnectFailed, balance.OK}, Served,
 			[]string{"sent 1 0 false", "ended 1 0 true false", "sent 2 0 true", "ended 2 0 false false"}},
-		{"withdrawn", &testGate{takes: true, sends: 9}, []balance.Status{balance.Cancelled, balance.OK}, Served,
+		{"cancelled", &testGate{takes: true, sends: 9}, []balance.Status{balance.Cancelled, balance.OK}, Served,
 			[]string{"sent 1 0 false", "ended 1 0 false true", "sent 2 0 true", "ended 2 0 false false"}},
 		{"shut between two attempts", &testGate{takes: true, sends: 1}, []balance.Status{balance.Rejected}, RejectedLocally,
 			[]string{"sent 1 0 false", "ended 1 0 false false", "sent 2 0 true", "ended 2 0 true false"}},
@@ -89,12 +89,12 @@
 			var record Record
 			p.Gate, p.AuditLog, p.Observer = c.door, auditLog, observerFunc(func(l *Record) { record = *l })
 			res := p.Serve(context.Background(), request(0, time.Minute))
-			if res.Outcome != c.want || visits != len(c.status) || c.name == "shut" && res.RetryAfter != 700*time.Millisecond {
-				t.Errorf("%+v after %d visits, want %d after %d", res, visits, c.want, len(c.status))
+			if res.Outcome != c.outcome || visits != len(c.status) || c.name == "shut" && res.RetryAfter != 700*time.Millisecond {
+				t.Errorf("%+v after %d visits, want %d after %d", res, visits, c.outcome, len(c.status))
 			}
-			n := min(len(auditLog.events), len(c.told)) // what a shut gate holds back may be retried
-			if n < len(c.told) || !reflect.DeepEqual(auditLog.events[:n], c.told) {
-				t.Errorf("the audit log records %q, want %q", auditLog.events, c.told)
+			n := min(len(auditLog.events), len(c.want)) // what a shut gate holds back may be retried
+			if n < len(c.want) || !reflect.DeepEqual(auditLog.events[:n], c.want) {
+				t.Errorf("the audit log records %q, want %q", auditLog.events, c.want)
 			}
 			if p.Active() != 0 {
 				t.Errorf("%d streams are kept", p.Active())
--- a/internal/stream/proxy_test.go
+++ b/internal/stream/proxy_test.go
@@ -156,18 +156,18 @@
 
 // Guards against a client that has disconnected still costing an upstream endpoint work.
 func TestGone(t *testing.T) {
-	withdrawn := make(chan struct{})
+	cancelled := make(chan struct{})
 	client, disconnect := context.WithCancel(context.Background())
 	p := newProxy(t, 1, func(ctx context.Context, _ balance.EndpointID) (balance.Status, Response) {
 		disconnect()
 		<-ctx.Done()
-		close(withdrawn)
+		close(cancelled)
 		return balance.Cancelled, Response{}
 	})
 	if res := p.Serve(client, request(0, time.Minute)); res.Outcome != ClientGone {
 		t.Errorf("outcome %d, want gone", res.Outcome)
 	}
-	<-withdrawn
+	<-cancelled
 }
 
 // unresponsiveStream is a stream of which the decisions never decide anything more.
--- a/internal/stream/upload_test.go
+++ b/internal/stream/upload_test.go
@@ -23,7 +23,7 @@
 	return r
 }
 
-// Guards against half of a body being sent as a whole one: what was read of it is gone, and only what was not may go to
+// Guards against half of a body being sent as a complete one: what was read of it is gone, and only what was not may go to
 // another endpoint. Nothing ran in either case, and so it is rejected, not failed.
 func TestPartlyReadUploadIsNotRetried(t *testing.T) {
 	for _, read := range []bool{false, true} {
