--- a/balance/endpoint.go
+++ b/balance/endpoint.go
@@ -1,6 +1,7 @@
 package balance
 
 import (
+	"cmp"
 	"slices"
 	"time"
 
@@ -89,3 +90,36 @@
 	}
 	return rates
 }
+
+// rebuildEndpoints chooses the subset again, drops what is gone and carries the routing weights over; a new endpoint starts
+// with an even share.
+func (b *Balancer) rebuildEndpoints() {
+	oldIndex := map[*endpointState]int{}
+	for i, endpoint := range b.endpoints {
+		oldIndex[endpoint] = i
+	}
+	b.endpoints = nil
+	b.chooseSubset()
+	var unused []EndpointID
+	for id, endpoint := range b.endpointsByID {
+		_, wasUsed := oldIndex[endpoint]
+		mayBeUncordoned := endpoint.State == Ready && b.cordoned[id] // no list need report it then
+		switch {
+		case endpoint.available && endpoint.inSubset || len(endpoint.pending) > 0:
+			b.endpoints = append(b.endpoints, endpoint)
+		case !endpoint.available && !mayBeUncordoned:
+			delete(b.endpointsByID, id)
+		case wasUsed: // its connections are of use to other instances, and what was learned of it goes stale
+			unused = append(unused, endpoint.Endpoint)
+			endpoint.latency = decayedMean{}
+			endpoint.evidence = grey.Host{}
+		}
+	}
+	slices.Sort(unused)
+	for _, id := range unused {
+		b.emit(Action{Kind: ActCloseIdle, Endpoint: id})
+	}
+	slices.SortFunc(b.endpoints, func(x, y *endpointState) int { return cmp.Compare(x.Endpoint, y.Endpoint) })
+	b.seedCachedList()
+	b.carryRowsOver(oldIndex)
+}
--- a/balance/membership.go
+++ b/balance/membership.go
@@ -1,12 +1,6 @@
 package balance
 
-import (
-	"cmp"
-	"slices"
-	"time"
-
-	"pinelb.example/pinelb/balance/grey"
-)
+import "time"
 
 // onMembership takes over a list of discovery's.
 func (b *Balancer) onMembership(ev *Event) {
@@ -87,58 +81,6 @@
 	}
 }
 
-// rebuildEndpoints chooses the subset again, drops what is gone and carries the routing weights over; a new endpoint starts
-// with an even share.
-func (b *Balancer) rebuildEndpoints() {
-	oldIndex := map[*endpointState]int{}
-	for i, endpoint := range b.endpoints {
-		oldIndex[endpoint] = i
-	}
-	b.endpoints = nil
-	b.chooseSubset()
-	var unused []EndpointID
-	for id, endpoint := range b.endpointsByID {
-		_, wasUsed := oldIndex[endpoint]
-		mayBeUncordoned := endpoint.State == Ready && b.cordoned[id] // no list need report it then
-		switch {
-		case endpoint.available && endpoint.inSubset || len(endpoint.pending) > 0:
-			b.endpoints = append(b.endpoints, endpoint)
-		case !endpoint.available && !mayBeUncordoned:
-			delete(b.endpointsByID, id)
-		case wasUsed: // its connections are of use to other instances, and what was learned of it goes stale
-			unused = append(unused, endpoint.Endpoint)
-			endpoint.latency = decayedMean{}
-			endpoint.evidence = grey.Host{}
-		}
-	}
-	slices.Sort(unused)
-	for _, id := range unused {
-		b.emit(Action{Kind: ActCloseIdle, Endpoint: id})
-	}
-	slices.SortFunc(b.endpoints, func(x, y *endpointState) int { return cmp.Compare(x.Endpoint, y.Endpoint) })
-	b.seedCachedList()
-	b.carryRowsOver(oldIndex)
-}
-
-// carryRowsOver gives every endpoint the share that it had at its old index, and a new one an even share.
-func (b *Balancer) carryRowsOver(oldIndex map[*endpointState]int) {
-	rows := make([][]float64, len(b.bins))
-	for k := range rows {
-		rows[k] = make([]float64, len(b.endpoints))
-		for i, endpoint := range b.endpoints {
-			if j, known := oldIndex[endpoint]; known {
-				rows[k][i] = b.rows[k][j]
-			} else {
-				rows[k][i] = 1 / float64(len(b.endpoints))
-			}
-		}
-		normalise(rows[k])
-	}
-	b.rows = rows
-	b.totalShare = b.sumShares(b.binWeights())
-	b.accumulateRows()
-}
-
 const (
 	baseSubscribeBackoff  = 250 * time.Millisecond
 	maxSubscribeDoublings = 5
--- a/balance/solve.go
+++ b/balance/solve.go
@@ -41,19 +41,6 @@
 	return moved/2 > binShift
 }
 
-// binWeights is each bin's share of the calls; even over the classes until some have come.
-func (b *Balancer) binWeights() []float64 {
-	weights := make([]float64, len(b.bins))
-	for i := range b.bins {
-		weights[i] = b.bins[i].share + b.bins[i].arrivals*arrivalWeight
-		if i%binsPerClass == 0 {
-			weights[i] += arrivalWeight
-		}
-	}
-	normalise(weights)
-	return weights
-}
-
 // solve moves every row by projected gradient ascent toward the largest payoff summed over the bins.
 func (b *Balancer) solve() {
 	if b.solveNeeded {
@@ -153,27 +140,3 @@
 	}
 	return left
 }
-
-// sumShares is each endpoint's share of all calls.
-func (b *Balancer) sumShares(weights []float64) []float64 {
-	total := make([]float64, len(b.endpoints))
-	for k, row := range b.rows {
-		for i := range row {
-			total[i] += weights[k] * row[i]
-		}
-	}
-	return total
-}
-
-// accumulateRows computes the prefix sums of each row, so that a draw from it is a binary search.
-func (b *Balancer) accumulateRows() {
-	b.cumulativeRows = make([][]float64, len(b.rows))
-	for k, row := range b.rows {
-		b.cumulativeRows[k] = make([]float64, len(row))
-		sum := 0.0
-		for i, share := range row {
-			sum += share
-			b.cumulativeRows[k][i] = sum
-		}
-	}
-}
