--- a/internal/fleet/replication/candidate.go
+++ b/internal/fleet/replication/candidate.go
@@ -143,7 +143,7 @@
 }
 
 func (n *Node) onPromise(from Replica, message Promise) {
-	n.peers.setResigning(from, message.Leaving)
+	n.peers.setResigning(from, message.Resigning)
 	e := n.election
 	if e == nil || n.status != Preparing || message.Ballot != e.ballot || message.Number != n.nextNumber() {
 		return
--- a/internal/fleet/replication/cluster_test.go
+++ b/internal/fleet/replication/cluster_test.go
@@ -77,7 +77,7 @@
 	return false
 }
 
-// delaySnapshot holds a message up that carries a whole state; false: it carries none.
+// delaySnapshot delays a message that carries a snapshot; false: it carries none.
 func (c *cluster) delaySnapshot(e envelope) bool {
 	if c.transfer == 0 || !e.hasSnapshot() {
 		return false
@@ -149,13 +149,26 @@
 			So(c.leader(), ShouldNotEqual, first)
 			So(c.leader().state, ShouldResemble, c.acknowledged)
 			So(c.proposeAndCommit(), ShouldBeTrue)
-			Convey("and take the former primary in again", func() {
+			Convey("and add the former primary again", func() {
 				c.powerOn(first)
 				c.run(2 * time.Second)
 				So(len(c.leader().node.hardState.View.Members), ShouldEqual, 3)
 				So(first.state, ShouldResemble, c.acknowledged)
 			})
 		})
+	})
+}
+
+// Guards against the loss of what was acknowledged when power or a disk is lost.
+func TestPowerAndDiskLoss(t *testing.T) {
+	Convey("Three replicas of which one may be lost", t, func() {
+		c := newCluster(3, 1)
+		c.run(time.Second)
+		first := c.leader()
+		So(first, ShouldNotBeNil)
+		So(len(first.node.hardState.View.Members), ShouldEqual, 3)
+		So(c.proposeAndCommit(), ShouldBeTrue)
+
 		Convey("never acknowledge with one copy", func() {
 			for _, h := range c.replicas {
 				if h != first {
@@ -175,7 +188,7 @@
 			So(view.HasMember(lost.disk.Self), ShouldBeTrue)
 			So(lost.state, ShouldResemble, c.acknowledged)
 		})
-		Convey("outlive the loss of the primary's disk while all others lose power", func() {
+		Convey("survive the loss of the primary's disk while all others lose power", func() {
 			for _, h := range c.replicas {
 				c.powerOff(h)
 			}
@@ -218,7 +231,7 @@
 		So(c.proposeAndCommit(), ShouldBeTrue)
 		isolated := first.disk.Self.Address
 
-		Convey("whose primary is cut off: it confirms nothing any more, and the others go on", func() {
+		Convey("whose primary is partitioned from the others: it confirms nothing any more, and the others go on", func() {
 			c.isPartitioned = func(from, to string) bool { return from == isolated || to == isolated }
 			cutAt := c.now
 			c.run(3 * time.Second)
@@ -226,21 +239,21 @@
 			So(confirmed, ShouldBeLessThanOrEqualTo, cutAt)
 			So(c.leader(), ShouldNotEqual, first)
 			So(c.proposeAndCommit(), ShouldBeTrue)
-			Convey("and it follows them when it is joined again", func() {
+			Convey("and it follows them when the partition heals", func() {
 				c.isPartitioned = nil
 				c.run(2 * time.Second)
 				So(first.node.Status(), ShouldEqual, Following)
 				So(first.state, ShouldResemble, c.acknowledged)
 			})
 		})
-		Convey("whose primary can send but hears nothing: another takes over", func() {
+		Convey("whose primary can send but receives nothing: another takes over", func() {
 			c.isPartitioned = func(_, to string) bool { return to == isolated }
 			c.run(4 * time.Second)
 			So(c.leader(), ShouldNotBeNil)
 			So(c.leader(), ShouldNotEqual, first)
 			So(c.proposeAndCommit(), ShouldBeTrue)
 		})
-		Convey("of which a backup hears nothing of the primary: it does not unseat the primary", func() {
+		Convey("of which a backup receives nothing from the primary: it does not replace the primary", func() {
 			var backup *host
 			for _, h := range c.replicas {
 				if h != first {
@@ -264,7 +277,7 @@
 		c.run(time.Second)
 		So(c.proposeAndCommit(), ShouldBeTrue)
 
-		Convey("takes machines in one after another while all former ones are lost", func() {
+		Convey("adds machines one after another while all former ones are lost", func() {
 			for i := range 3 {
 				c.nonces++
 				added := &host{disk: InitialHardState(address(10+i), c.nonces, nil)}
@@ -291,7 +304,7 @@
 				So(c.proposeAndCommit(), ShouldBeTrue)
 			})
 		})
-		Convey("leaves a member out whose disk hangs, and acknowledges without it", func() {
+		Convey("removes a member whose disk hangs, and acknowledges without it", func() {
 			slow := c.replicas[2]
 			if slow == c.leader() {
 				slow = c.replicas[1]
@@ -303,7 +316,11 @@
 			So(len(c.acknowledged), ShouldEqual, 2)
 		})
 	})
-	Convey("Seeds of which only one counts for the quorum leave all to it, so that it goes on alone after all were restarted", t, func() {
+}
+
+// Guards against a quorum of replicas that do not count for it, and against one without those that are needed.
+func TestNonVotingReplicas(t *testing.T) {
+	Convey("Seeds of which only one counts for the quorum make it the only witness, so that it goes on alone after all were restarted", t, func() {
 		c := newCluster(3, 0)
 		counts := c.replicas[1]
 		for _, h := range c.replicas {
@@ -336,6 +353,9 @@
 		c.run(3 * time.Second)
 		So(len(c.leader().node.hardState.View.Witnesses), ShouldEqual, 3)
 	})
+}
+
+func TestTwoDisksLost(t *testing.T) {
 	Convey("Six replicas of which two may be lost acknowledge after two disks are lost at once", t, func() {
 		c := newCluster(6, 2)
 		c.run(1500 * time.Millisecond)
@@ -355,34 +375,3 @@
 		So(c.proposeAndCommit(), ShouldBeTrue)
 	})
 }
-
-// Guards against messages that one side writes and the other can't read.
-func TestCodecKeepsMessages(t *testing.T) {
-	Convey("Every kind of message is read as it was written", t, func() {
-		view := View{Number: 3, Primary: Replica{Address: "a:1", Nonce: 4}, Members: []Replica{{Address: "a:1", Nonce: 4}},
-			Witnesses: []Replica{{Address: "b:1"}}}
-		ballot := Ballot{Round: 5, Proposer: Replica{Address: "b:1"}}
-		for _, message := range []Message{
-			Heartbeat{View: view, Round: 2, ConfirmedAgeMs: 7}, HeartbeatAck{Number: 3, Round: 2, Current: true}, Join{Number: 1},
-			ViewNotice{View: view}, Prepare{View: view, Ballot: ballot}, Promise{Number: 4, Ballot: ballot, Proposal: view},
-			Reject{Number: 4, Promised: ballot}, FetchSnapshot{Number: 4, Ballot: ballot}, FetchSnapshotReply{Number: 4, Snapshot: []byte("s")},
-			InstallSnapshot{Number: 4, Snapshot: []byte("s")}, InstallSnapshotAck{Number: 4}, Accept{Ballot: ballot, Proposal: view},
-			AcceptAck{Number: 4}, Append{View: view, Entry: []byte("e")}, AppendAck{Number: 3}, SnapshotNeeded{Number: 3}, Resign{Number: 3},
-		} {
-			encoded, err := Encode(message)
-			So(err, ShouldBeNil)
-			decoded, err := Decode(encoded)
-			So(err, ShouldBeNil)
-			So(decoded.kind(), ShouldEqual, message.kind())
-			again, err := Encode(decoded)
-			So(err, ShouldBeNil)
-			So(again, ShouldResemble, encoded)
-		}
-	})
-	Convey("An unknown kind and a cut body are errors", t, func() {
-		_, err := Decode(Envelope{Kind: 200})
-		So(err, ShouldNotBeNil)
-		_, err = Decode(Envelope{Kind: KindPrepare, Body: []byte{0xa2, 0x01}})
-		So(err, ShouldNotBeNil)
-	})
-}
--- /dev/null
+++ b/internal/fleet/replication/composition_test.go
@@ -0,0 +1,68 @@
+package replication
+
+import (
+	"slices"
+	"testing"
+)
+
+// fixedConditions are the conditions of replicas that a test writes down, by address.
+type fixedConditions struct {
+	joining                                                []Replica
+	unresponsive, resigning, penalized, excluded, caughtUp []string
+}
+
+func (f fixedConditions) joiningReplicas() []Replica { return slices.Clone(f.joining) }
+func (f fixedConditions) isResponsive(r Replica) bool {
+	return !slices.Contains(f.unresponsive, r.Address)
+}
+func (f fixedConditions) isResigning(r Replica) bool { return slices.Contains(f.resigning, r.Address) }
+func (f fixedConditions) isPenalized(r Replica) bool { return slices.Contains(f.penalized, r.Address) }
+func (f fixedConditions) isExcluded(r Replica) bool  { return slices.Contains(f.excluded, r.Address) }
+func (f fixedConditions) isCaughtUp(r Replica) bool  { return slices.Contains(f.caughtUp, r.Address) }
+
+func addressesOf(replicas []Replica) []string {
+	var addresses []string
+	for _, r := range replicas {
+		addresses = append(addresses, r.Address)
+	}
+	return addresses
+}
+
+// Guards against a choice of the next view that does not follow from the present one and the conditions alone.
+func TestCompositionOfThree(t *testing.T) {
+	a, b, c, d := Replica{Address: "a"}, Replica{Address: "b"}, Replica{Address: "c"}, Replica{Address: "d"}
+	current := View{Number: 7, Primary: a, Members: []Replica{a, b, c}, Witnesses: []Replica{a, b, c}}
+	for name, test := range map[string]struct {
+		conditions         fixedConditions
+		onlyCaughtUp       bool
+		witnesses, members []string
+	}{
+		"nothing changes without a reason":                  {fixedConditions{}, false, []string{"a", "b", "c"}, []string{"a", "b", "c"}},
+		"a joiner waits until it can replace a witness":     {fixedConditions{joining: []Replica{d}}, false, []string{"a", "b", "c"}, []string{"a", "b", "c"}},
+		"a joiner replaces an unresponsive witness":         {fixedConditions{joining: []Replica{d}, unresponsive: []string{"b"}}, false, []string{"a", "c", "d"}, []string{"a", "c", "d"}},
+		"a joiner replaces a resigning witness":             {fixedConditions{joining: []Replica{d}, resigning: []string{"c"}}, false, []string{"a", "b", "d"}, []string{"a", "b", "d"}},
+		"a joiner that lacks the state waits":               {fixedConditions{joining: []Replica{d}, resigning: []string{"c"}}, true, []string{"a", "b", "c"}, []string{"a", "b"}},
+		"a joiner that is caught up does not":               {fixedConditions{joining: []Replica{d}, resigning: []string{"c"}, caughtUp: []string{"d"}}, true, []string{"a", "b", "d"}, []string{"a", "b", "d"}},
+		"a former incarnation is replaced at once":          {fixedConditions{joining: []Replica{{Address: "b", Nonce: 5}}}, false, []string{"a", "b", "c"}, []string{"a", "c", "b"}},
+		"a penalized member is left out while two are left": {fixedConditions{penalized: []string{"b"}}, false, []string{"a", "b", "c"}, []string{"a", "c"}},
+		"an excluded joiner is not added":                   {fixedConditions{joining: []Replica{d}, resigning: []string{"c"}, excluded: []string{"d"}}, false, []string{"a", "b", "c"}, []string{"a", "b"}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			next := composition{
+				topology: topology{
+					tolerance:  Tolerance{Machines: 1},
+					localityOf: func(a string) Locality { return Locality{Zone: a, Known: true, CountsForQuorum: true} },
+				},
+				self: a, view: &current, conditions: test.conditions,
+			}
+			witnesses := next.nextWitnesses(test.onlyCaughtUp)
+			if got := addressesOf(witnesses); !slices.Equal(got, test.witnesses) {
+				t.Errorf("the witnesses are %v, expected %v", got, test.witnesses)
+			}
+			isAble := func(r Replica) bool { return test.conditions.isResponsive(r) }
+			if got := addressesOf(next.nextMembers(witnesses, isAble)); !slices.Equal(got, test.members) {
+				t.Errorf("the members are %v, expected %v", got, test.members)
+			}
+		})
+	}
+}
--- a/internal/fleet/replication/disruption_test.go
+++ b/internal/fleet/replication/disruption_test.go
@@ -5,7 +5,7 @@
 )
 
 // The disruptions of a simulation. Machines may lose power, freeze and be cut off in any number at any time. Disks are lost,
-// and machines are lost for good, up to the tolerance: the next one only after the core was whole for the time that a
+// and machines are lost for good, up to the tolerance: the next one only after the core was connected for the time that a
 // machine has to catch up. Planned ends and replacements come at any time, and a disk may be lost in the middle of one.
 
 // disrupt has something happen.
@@ -63,7 +63,7 @@
 			lost = append(lost, other)
 		}
 		if s.setup.tolerance.Machines == 0 && other != m && other.zone == m.zone {
-			lost = append(lost, other) // a zone is lost whole
+			lost = append(lost, other) // with all that is in the zone
 		}
 	}
 	if withPower {
--- a/internal/fleet/replication/messages.go
+++ b/internal/fleet/replication/messages.go
@@ -38,10 +38,10 @@
 
 // HeartbeatAck answers a Heartbeat. Current is false where the witness has promised a later view.
 type HeartbeatAck struct {
-	Number  uint64 `cbor:"1,keyasint"`
-	Round   uint64 `cbor:"2,keyasint"`
-	Current bool   `cbor:"3,keyasint"`
-	Leaving bool   `cbor:"4,keyasint,omitempty"` // the witness is resigning
+	Number    uint64 `cbor:"1,keyasint"`
+	Round     uint64 `cbor:"2,keyasint"`
+	Current   bool   `cbor:"3,keyasint"`
+	Resigning bool   `cbor:"4,keyasint,omitempty"` // the witness is resigning
 }
 
 // Join asks a primary to add the sender to the view.
@@ -62,13 +62,13 @@
 
 // Promise answers Prepare. Accepted is zero where nothing was accepted for the view.
 type Promise struct {
-	Number   uint64   `cbor:"1,keyasint"` // of the view to be decided
-	Ballot   Ballot   `cbor:"2,keyasint"`
-	Accepted Ballot   `cbor:"3,keyasint"`
-	Proposal View     `cbor:"4,keyasint"`
-	Position Position `cbor:"5,keyasint"`
-	Source   Ballot   `cbor:"6,keyasint"`
-	Leaving  bool     `cbor:"7,keyasint,omitempty"` // the witness is resigning
+	Number    uint64   `cbor:"1,keyasint"` // of the view to be decided
+	Ballot    Ballot   `cbor:"2,keyasint"`
+	Accepted  Ballot   `cbor:"3,keyasint"`
+	Proposal  View     `cbor:"4,keyasint"`
+	Position  Position `cbor:"5,keyasint"`
+	Source    Ballot   `cbor:"6,keyasint"`
+	Resigning bool     `cbor:"7,keyasint,omitempty"` // the witness is resigning
 }
 
 // Reject answers a message under too low a ballot.
--- a/internal/fleet/replication/planted_test.go
+++ b/internal/fleet/replication/planted_test.go
@@ -16,8 +16,8 @@
 	"an even set in the middle of an exchange": {File: "composition.go", Edits: []mutation.Edit{
 		{Right: "} else if len(next) >= c.witnessTarget() {", Wrong: "} else if len(next) > c.witnessTarget() {"},
 		{Right: "(len(witnesses) > c.witnessTarget() || len(witnesses)%2 == 0)", Wrong: "len(witnesses) > 9"}}},
-	"a leaver that ends before it is replaced": {File: "resignation.go", Edits: []mutation.Edit{{Right: "return !needsVote && !needsCopy", Wrong: "return !needsVote && !needsCopy || true"}}},
-	"a lost disk whose machine is not taken in again": {File: "composition.go", Edits: []mutation.Edit{
+	"a resigning replica that stops before it is replaced": {File: "resignation.go", Edits: []mutation.Edit{{Right: "return !needsVote && !needsCopy", Wrong: "return !needsVote && !needsCopy || true"}}},
+	"a lost disk whose machine is not added again": {File: "composition.go", Edits: []mutation.Edit{
 		{Right: "witnesses[at] = joiner", Wrong: "return true"}}},
 	"a change that waits for good": {File: "primary.go", Edits: []mutation.Edit{
 		{Right: "n.advanceCommit() // a member may not be resigning any more", Wrong: ""}}},
@@ -62,7 +62,7 @@
 	"a snapshot that is not fenced by its view": {File: "member.go", Edits: []mutation.Edit{
 		{Right: "if from != n.hardState.View.Primary || from == n.hardState.Self {\n\t\treturn\n\t}\n\tif !n.hardState.Promised", Wrong: "if !n.hardState.Promised"},
 		{Right: "if !n.observeView(message.View) {\n\t\tn.sendViewNotice(from)\n\t\treturn\n\t}\n\tif !n.hardState.Promised", Wrong: "if !n.hardState.Promised"}}},
-	"a newcomer that was never heard of becomes a witness": {File: "election.go", Edits: []mutation.Edit{{
+	"a joiner that was never in contact becomes a witness": {File: "election.go", Edits: []mutation.Edit{{
 		Right: "return union(e.proposal.Members, newWitnesses)", Wrong: "_ = newWitnesses\n\treturn union(e.proposal.Members, nil)"}}},
 	"half of the witnesses decide": {File: "types.go", Edits: []mutation.Edit{{
 		Right: "return len(v.Witnesses)/2 + 1", Wrong: "return max(1, len(v.Witnesses)/2)"}}},
--- a/internal/fleet/replication/primary.go
+++ b/internal/fleet/replication/primary.go
@@ -127,7 +127,7 @@
 }
 
 func (n *Node) onHeartbeatAck(from Replica, message HeartbeatAck) {
-	n.peers.setResigning(from, message.Leaving)
+	n.peers.setResigning(from, message.Resigning)
 	if n.primary == nil || message.Number != n.hardState.View.Number {
 		return
 	}
--- a/internal/fleet/replication/promise_test.go
+++ b/internal/fleet/replication/promise_test.go
@@ -24,7 +24,7 @@
 		primary, member, candidate := c.leader(), c.backups()[0], c.backups()[1]
 		view := primary.node.View()
 		low, high := Ballot{Round: 90, Proposer: primary.disk.Self}, Ballot{Round: 91, Proposer: candidate.disk.Self}
-		c.now += time.Second // the primary is silent
+		c.now += time.Second // the primary is unresponsive
 		_, changed := c.answer(member, candidate.disk.Self, Prepare{View: view, Ballot: high})
 		So(changed, ShouldBeTrue)
 		next := View{Number: view.Number + 1, Primary: primary.disk.Self, Members: view.Members, Witnesses: view.Witnesses}
--- a/internal/fleet/replication/resignation_test.go
+++ b/internal/fleet/replication/resignation_test.go
@@ -7,7 +7,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// resign has a replica say that it ends.
+// resign has a replica announce that it shuts down.
 func (c *cluster) resign(h *host) {
 	c.apply(h, h.node.Resign(c.now))
 	c.settle()
@@ -30,7 +30,7 @@
 	return all
 }
 
-// Guards against a leaver whose copy or vote is counted on when it has gone.
+// Guards against a resigning replica whose copy or vote is counted on when it has gone.
 func TestResignation(t *testing.T) {
 	Convey("Three replicas of which one may be lost", t, func() {
 		c := newCluster(3, 1)
@@ -38,14 +38,14 @@
 		So(c.proposeAndCommit(), ShouldBeTrue)
 		backups := c.backups()
 
-		Convey("release one that only starts again, as soon as it is no member", func() {
+		Convey("release one that only restarts, as soon as it is no member", func() {
 			c.resign(backups[0])
 			c.run(500 * time.Millisecond)
 			So(backups[0].node.CanStop(), ShouldBeTrue)
 			So(len(c.view().Witnesses), ShouldEqual, 3)
 			So(c.view().HasMember(backups[0].disk.Self), ShouldBeFalse)
 			So(c.proposeAndCommit(), ShouldBeTrue)
-			Convey("and take it in again when it is back", func() {
+			Convey("and add it again when it is back", func() {
 				c.powerOff(backups[0])
 				c.run(500 * time.Millisecond)
 				c.powerOn(backups[0])
@@ -53,7 +53,7 @@
 				So(c.view().HasMember(backups[0].disk.Self), ShouldBeTrue)
 			})
 		})
-		Convey("exchange it for one that waits to be taken in, in one view", func() {
+		Convey("replace it by one that requests to join, in one view", func() {
 			added := c.join(address(3))
 			c.run(time.Second)
 			So(len(c.view().Witnesses), ShouldEqual, 3)
@@ -75,7 +75,7 @@
 			c.run(3 * time.Second)
 			So(backups[0].node.CanStop(), ShouldBeFalse)
 		})
-		Convey("acknowledge nothing on the copy of one that leaves", func() {
+		Convey("acknowledge nothing on the copy of one that is resigning", func() {
 			c.powerOff(backups[1])
 			c.run(2 * time.Second)
 			So(c.proposeAndCommit(), ShouldBeTrue) // the leader and the first backup hold it
@@ -90,7 +90,7 @@
 				So(backups[0].node.CanStop(), ShouldBeTrue)
 			})
 		})
-		Convey("release all that end at once", func() {
+		Convey("release all that resign at once", func() {
 			for _, h := range c.replicas {
 				c.resign(h)
 			}
@@ -98,6 +98,9 @@
 			So(c.leader().node.CanStop(), ShouldBeTrue)
 		})
 	})
+}
+
+func TestHandoverOfASingleReplica(t *testing.T) {
 	Convey("A core of one hands all over to the machine that replaces it", t, func() {
 		c := newCluster(1, 0)
 		c.run(time.Second)
@@ -141,9 +144,9 @@
 	})
 }
 
-// Guards against a newcomer that is counted on though it never stored anything, and against one that holds up all.
+// Guards against a joiner that is counted on though it never stored anything, and against one that blocks all.
 func TestJoinerThatStoresNothing(t *testing.T) {
-	Convey("A newcomer asks to be taken in and answers nothing else, while a witness is lost for good", t, func() {
+	Convey("A replica requests to join and answers nothing else, while a witness is lost for good", t, func() {
 		c := newCluster(3, 1)
 		c.run(time.Second)
 		So(c.proposeAndCommit(), ShouldBeTrue)
@@ -157,7 +160,7 @@
 		So(c.leader(), ShouldNotBeNil)
 		So(c.view().HasWitness(mute.disk.Self), ShouldBeFalse)
 		So(c.proposeAndCommit(), ShouldBeTrue)
-		Convey("it is taken in when it answers", func() {
+		Convey("it is added when it answers", func() {
 			c.isDropped = nil
 			c.run(5 * time.Second)
 			So(c.view().HasWitness(mute.disk.Self), ShouldBeTrue)
@@ -169,7 +172,7 @@
 // Guards against a state that never arrives because it takes longer than a step of a view change.
 func TestSlowTransfer(t *testing.T) {
 	const long = 3 * time.Second
-	Convey("Three replicas whose whole state takes three seconds to send", t, func() {
+	Convey("Three replicas whose snapshot takes three seconds to send", t, func() {
 		c := newCluster(3, 1)
 		c.transfer = long
 		c.run(time.Second)
--- a/internal/fleet/replication/search_events_test.go
+++ b/internal/fleet/replication/search_events_test.go
@@ -141,7 +141,7 @@
 
 func (w *wideWalk) resignOne(h *host) {
 	if len(w.live()) > w.tolerance.Machines+1 {
-		w.logEvent("%s is to leave", h.disk.Self.Address)
+		w.logEvent("%s resigns", h.disk.Self.Address)
 		w.resigning[h] = true
 		w.applyAndRecord(h, h.node.Resign(w.now))
 	}
--- a/internal/fleet/replication/search_wide_test.go
+++ b/internal/fleet/replication/search_wide_test.go
@@ -26,7 +26,7 @@
 	maxBurst          = 12 // messages that are delivered in one step
 )
 
-// wideWalk is a random walk through orders of messages, as search has it, in which replicas also come, leave, are replaced at
+// wideWalk is a random walk through orders of messages, as search has it, in which replicas also join, resign, are replaced at
 // another address, and are cut off, disks are lost in the middle of all that, and a step may be cut off before its write or
 // between its write and its messages. After it all return that may, and a primary has to come from whatever their disks hold.
 type wideWalk struct {
@@ -85,7 +85,7 @@
 	return t
 }
 
-// drawWeights has each walk favour some events and leave others out nearly (swarm testing: Groce and others, 2012).
+// drawWeights has each walk favour some events and nearly exclude others (swarm testing: Groce and others, 2012).
 func (w *wideWalk) drawWeights() {
 	for i, e := range wideEvents {
 		weight := e.weight * 4
--- a/internal/fleet/replication/second_loss_test.go
+++ b/internal/fleet/replication/second_loss_test.go
@@ -9,7 +9,7 @@
 // noticed is how long a process goes on at least after it was told to end.
 const shutdownNotice = 2500 * time.Millisecond
 
-// join adds a machine with an empty disk that asks the others to be taken in.
+// join adds a machine with an empty disk that requests to join.
 func (c *cluster) join(at string) *host {
 	c.nonces++
 	added := &host{disk: InitialHardState(at, c.nonces, nil)}
@@ -39,21 +39,21 @@
 func TestSecondLossAfterReplacement(t *testing.T) {
 	gaps := []time.Duration{0, 300 * time.Millisecond, 800 * time.Millisecond, 1200 * time.Millisecond, 1600 * time.Millisecond,
 		2400 * time.Millisecond, 4 * time.Second}
-	for leaver := range 3 {
+	for resigning := range 3 {
 		for wiped := range 4 {
-			if wiped == leaver {
+			if wiped == resigning {
 				continue
 			}
 			for _, gap := range gaps {
-				t.Run(fmt.Sprintf("%d leaves, %d is wiped %v later", leaver, wiped, gap), func(t *testing.T) {
-					playSecondLoss(t, leaver, wiped, gap)
+				t.Run(fmt.Sprintf("%d resigns, %d is wiped %v later", resigning, wiped, gap), func(t *testing.T) {
+					playSecondLoss(t, resigning, wiped, gap)
 				})
 			}
 		}
 	}
 }
 
-func playSecondLoss(t *testing.T, leaver, wiped int, gap time.Duration) {
+func playSecondLoss(t *testing.T, resigning, wiped int, gap time.Duration) {
 	c := newCluster(3, 1)
 	c.run(time.Second)
 	c.join(address(3))
@@ -61,11 +61,11 @@
 	if !c.proposeAndCommit() {
 		t.Fatal("no change is taken before the replacement")
 	}
-	leaves := c.replicas[leaver]
-	c.apply(leaves, leaves.node.Resign(c.now))
+	leaving := c.replicas[resigning]
+	c.apply(leaving, leaving.node.Resign(c.now))
 	c.settle()
 	c.run(shutdownNotice)
-	c.powerOff(leaves)
+	c.powerOff(leaving)
 	c.run(gap)
 	c.loseDisk(c.replicas[wiped])
 	for waited := time.Duration(0); waited < 12*time.Second; waited += clusterTick {
--- a/internal/fleet/replication/witness.go
+++ b/internal/fleet/replication/witness.go
@@ -18,10 +18,10 @@
 		n.primaryLastSeen = n.now
 	}
 	n.send(from, HeartbeatAck{
-		Number:  message.View.Number,
-		Round:   message.Round,
-		Current: n.hardState.Promised.isZero(),
-		Leaving: n.resignation.requested,
+		Number:    message.View.Number,
+		Round:     message.Round,
+		Current:   n.hardState.Promised.isZero(),
+		Resigning: n.resignation.requested,
 	})
 }
 
@@ -70,13 +70,13 @@
 // currentPromise is the answer to a candidate under the ballot that this replica has promised.
 func (n *Node) currentPromise() Promise {
 	return Promise{
-		Number:   n.nextNumber(),
-		Ballot:   n.hardState.Promised,
-		Accepted: n.hardState.Accepted,
-		Proposal: n.hardState.Proposal,
-		Position: n.hardState.Position,
-		Source:   n.hardState.Source,
-		Leaving:  n.resignation.requested,
+		Number:    n.nextNumber(),
+		Ballot:    n.hardState.Promised,
+		Accepted:  n.hardState.Accepted,
+		Proposal:  n.hardState.Proposal,
+		Position:  n.hardState.Position,
+		Source:    n.hardState.Source,
+		Resigning: n.resignation.requested,
 	}
 }
 
--- a/internal/fleet/replication/world_test.go
+++ b/internal/fleet/replication/world_test.go
@@ -207,7 +207,7 @@
 	return true
 }
 
-// fingerprint identifies the whole state, the clock apart.
+// fingerprint identifies the state of all replicas, the clock apart.
 func (w *world) fingerprint() uint64 {
 	hash := xxhash.New()
 	for _, h := range w.replicas {
