--- a/internal/fleet/replica/replica_test.go
+++ b/internal/fleet/replica/replica_test.go
@@ -5,6 +5,7 @@
 	"errors"
 	"os"
 	"path/filepath"
+	"sync"
 	"testing"
 	"time"
 
@@ -61,43 +62,53 @@
 	}
 }
 
+// alone is the only replica of a core, which has committed a first change to version 3.
+type alone struct {
+	*Replica
+	directory string
+	first     *config.Change
+	close     func() // may be called twice
+}
+
+// startWithChange starts a replica alone, and closes it at the end of the Convey at the latest.
+func startWithChange(t *testing.T) alone {
+	directory := t.TempDir()
+	r, commits := startAlone(directory, true)
+	a := alone{
+		Replica: r, directory: directory, close: sync.OnceFunc(r.Close),
+		first: newChange(0, `{"version":3,"upsert":{"services":[{"name":"s"}]}}`),
+	}
+	Reset(a.close)
+	So(submit(r, a.first), ShouldBeNil)
+	So((<-commits).Table.Version, ShouldEqual, 0) // what it begins with
+	So((<-commits).Table.Version, ShouldEqual, 3)
+	return a
+}
+
 func TestChanges(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	Convey("A replica alone", t, func() {
-		directory := t.TempDir()
-		r, commits := startAlone(directory, true)
-		closed := false
-		end := func() {
-			if !closed {
-				closed = true
-				r.Close()
-			}
-		}
-		Reset(end)
-		first := newChange(0, `{"version":3,"upsert":{"services":[{"name":"s"}]}}`)
-		So(submit(r, first), ShouldBeNil)
-		So((<-commits).Table.Version, ShouldEqual, 0) // what it begins with
-		So((<-commits).Table.Version, ShouldEqual, 3)
+		a := startWithChange(t)
 
 		Convey("acknowledges the same change again", func() {
-			So(submit(r, first), ShouldBeNil)
-			So(submit(r, newChange(3, `{"version":4}`)), ShouldBeNil)
-			So(submit(r, first), ShouldBeNil)
+			So(submit(a.Replica, a.first), ShouldBeNil)
+			So(submit(a.Replica, newChange(3, `{"version":4}`)), ShouldBeNil)
+			So(submit(a.Replica, a.first), ShouldBeNil)
 		})
 		Convey("rejects a change of another version, and an invalid one", func() {
-			So(submit(r, newChange(0, `{"version":5}`)), ShouldEqual, ErrConflict)
+			So(submit(a.Replica, newChange(0, `{"version":5}`)), ShouldEqual, ErrConflict)
 			var invalid *config.InvalidError
 			for _, body := range []string{`{"version":3}`, `{"version":2}`, `{"vers`, `{"version":4,"upsert":{"services":[{}]}}`} {
-				So(errors.As(submit(r, newChange(3, body)), &invalid), ShouldBeTrue)
+				So(errors.As(submit(a.Replica, newChange(3, body)), &invalid), ShouldBeTrue)
 			}
-			document, err := r.Read(context.Background())
+			document, err := a.Read(context.Background())
 			So(err, ShouldBeNil)
 			So(document.Version(), ShouldEqual, 3)
 		})
 		Convey("commits one of two changes of the same version", func() {
 			results := make(chan error, 2)
-			go func() { results <- submit(r, newChange(3, `{"version":10}`)) }()
-			go func() { results <- submit(r, newChange(3, `{"version":11}`)) }()
+			go func() { results <- submit(a.Replica, newChange(3, `{"version":10}`)) }()
+			go func() { results <- submit(a.Replica, newChange(3, `{"version":11}`)) }()
 			one, other := <-results, <-results
 			if one != nil {
 				one, other = other, one
@@ -105,46 +116,62 @@
 			So(one, ShouldBeNil)
 			So(other, ShouldEqual, ErrConflict)
 		})
+	})
+}
+
+func TestLeadershipConfirmation(t *testing.T) {
+	defer goleak.VerifyNone(t)
+	Convey("A replica alone", t, func() {
+		a := startWithChange(t)
+
 		Convey("knows when it was confirmed as the primary, also while its own view is changing", func() {
-			at, ok := r.LeadershipConfirmedAt()
+			at, ok := a.LeadershipConfirmedAt()
 			So(ok, ShouldBeTrue)
 			var kept time.Duration
 			var leading bool
 			done := make(chan struct{})
-			r.do(func() { // nothing else is done meanwhile
+			a.do(func() { // nothing else is done meanwhile
 				defer close(done)
-				r.mu.Lock()
-				r.status.isPrimary, r.status.isConfirmed = false, false
-				r.mu.Unlock()
-				kept, ok = r.LeadershipConfirmedAt()
-				_, _, _, leading = r.ReadLease()
+				a.mu.Lock()
+				a.status.isPrimary, a.status.isConfirmed = false, false
+				a.mu.Unlock()
+				kept, ok = a.LeadershipConfirmedAt()
+				_, _, _, leading = a.ReadLease()
 			})
 			<-done
 			So(ok, ShouldBeTrue)
 			So(kept, ShouldBeGreaterThanOrEqualTo, at)
 			So(leading, ShouldBeFalse)
 		})
+	})
+}
+
+func TestDisk(t *testing.T) {
+	defer goleak.VerifyNone(t)
+	Convey("A replica alone", t, func() {
+		a := startWithChange(t)
+
 		Convey("has the configuration after a restart, and knows the changes that led to it", func() {
-			end()
-			again, _ := startAlone(directory, false)
+			a.close()
+			again, _ := startAlone(a.directory, false)
 			defer again.Close()
-			So(submit(again, first), ShouldBeNil)
+			So(submit(again, a.first), ShouldBeNil)
 			document, err := again.Read(context.Background())
 			So(err, ShouldBeNil)
 			So(document.Version(), ShouldEqual, 3)
 		})
 		Convey("acknowledges nothing while its disk fails, and goes on when it works", func() {
-			folder := filepath.Join(directory, logDirectory)
+			folder := filepath.Join(a.directory, logDirectory)
 			hidden := folder + ".hidden"
-			So(r.breakDisk(), ShouldBeNil)
+			So(a.breakDisk(), ShouldBeNil)
 			So(os.Rename(folder, hidden), ShouldBeNil)
 			So(os.WriteFile(folder, nil, 0o600), ShouldBeNil) // a file where the folder should be: nothing can be written
 			ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 			defer cancel()
-			So(r.Submit(ctx, newChange(3, `{"version":6}`)), ShouldNotBeNil)
+			So(a.Submit(ctx, newChange(3, `{"version":6}`)), ShouldNotBeNil)
 			So(os.Remove(folder), ShouldBeNil)
 			So(os.Rename(hidden, folder), ShouldBeNil)
-			So(submit(r, newChange(3, `{"version":6}`)), ShouldBeNil)
+			So(submit(a.Replica, newChange(3, `{"version":6}`)), ShouldBeNil)
 		})
 	})
 }
--- a/internal/fleet/replication/cluster_test.go
+++ b/internal/fleet/replication/cluster_test.go
@@ -133,6 +133,18 @@
 	c.start(h, DefaultTiming())
 }
 
+func (c *cluster) powerOffAll() {
+	for _, h := range c.replicas {
+		c.powerOff(h)
+	}
+}
+
+func (c *cluster) powerOnAll() {
+	for _, h := range c.replicas {
+		c.powerOn(h)
+	}
+}
+
 func TestFailover(t *testing.T) {
 	Convey("Three replicas of which one may be lost", t, func() {
 		c := newCluster(3, 1)
@@ -189,25 +201,17 @@
 			So(lost.state, ShouldResemble, c.acknowledged)
 		})
 		Convey("survive the loss of the primary's disk while all others lose power", func() {
-			for _, h := range c.replicas {
-				c.powerOff(h)
-			}
+			c.powerOffAll()
 			c.wipe(first)
-			for _, h := range c.replicas {
-				c.powerOn(h)
-			}
+			c.powerOnAll()
 			c.run(3 * time.Second)
 			So(c.leader(), ShouldNotBeNil)
 			So(c.leader().state, ShouldResemble, c.acknowledged)
 			So(c.proposeAndCommit(), ShouldBeTrue)
 		})
 		Convey("are led again within half a second when all lost power at once", func() {
-			for _, h := range c.replicas {
-				c.powerOff(h)
-			}
-			for _, h := range c.replicas {
-				c.powerOn(h)
-			}
+			c.powerOffAll()
+			c.powerOnAll()
 			c.run(500 * time.Millisecond)
 			So(c.leader(), ShouldNotBeNil)
 			So(c.leader().state, ShouldResemble, c.acknowledged)
--- a/internal/fleet/replication/planted_test.go
+++ b/internal/fleet/replication/planted_test.go
@@ -52,7 +52,7 @@
 
 // Guards against scripts of promises that would find nothing whatever is wrong.
 func TestScriptsFindPlantedMistakes(t *testing.T) {
-	mutation.ExpectAllFound(t, plantedInElections, "^TestPromiseBinds$", "--- FAIL")
+	mutation.ExpectAllFound(t, plantedInElections, "^TestPromise(Binds|Counts)$", "--- FAIL")
 }
 
 // plantedInWalks are mistakes that the wide search finds, beside an amnesiac that votes (TestSearchFindsPlantedMistakes).
--- a/internal/fleet/replication/promise_test.go
+++ b/internal/fleet/replication/promise_test.go
@@ -49,6 +49,10 @@
 			So(answer, ShouldResemble, HeartbeatAck{Number: view.Number, Round: 1000, Current: false})
 		})
 	})
+}
+
+// Guards against a majority that is made of replicas which have no vote, or have given it away.
+func TestPromiseCounts(t *testing.T) {
 	Convey("A primary is not confirmed by witnesses that have promised, nor by others than its witnesses", t, func() {
 		c := newCluster(3, 1)
 		c.run(time.Second)
--- a/internal/fleet/replication/resignation_test.go
+++ b/internal/fleet/replication/resignation_test.go
@@ -75,6 +75,17 @@
 			c.run(3 * time.Second)
 			So(backups[0].node.CanStop(), ShouldBeFalse)
 		})
+	})
+}
+
+// Guards against an acknowledgement that rests on a copy which goes.
+func TestCommitWhileResigning(t *testing.T) {
+	Convey("Three replicas of which one may be lost", t, func() {
+		c := newCluster(3, 1)
+		c.run(time.Second)
+		So(c.proposeAndCommit(), ShouldBeTrue)
+		backups := c.backups()
+
 		Convey("acknowledge nothing on the copy of one that is resigning", func() {
 			c.powerOff(backups[1])
 			c.run(2 * time.Second)
--- a/internal/fleet/storage/log_test.go
+++ b/internal/fleet/storage/log_test.go
@@ -22,15 +22,21 @@
 	return files[len(files)-1]
 }
 
+// openTwoRecords returns a log that holds a snapshot and a change.
+func openTwoRecords(t *testing.T) (directory string, log *Log) {
+	directory = t.TempDir()
+	log, records, err := Open(directory)
+	So(err, ShouldBeNil)
+	So(records, ShouldBeEmpty)
+	So(log.NeedsCompaction(), ShouldBeTrue)
+	So(log.StartGeneration(testHardState(1), []byte("state")), ShouldBeNil)
+	So(log.Append(Record{HardState: testHardState(2), Entry: []byte("change")}), ShouldBeNil)
+	return directory, log
+}
+
 func TestLog(t *testing.T) {
 	Convey("A log with two records", t, func() {
-		directory := t.TempDir()
-		log, records, err := Open(directory)
-		So(err, ShouldBeNil)
-		So(records, ShouldBeEmpty)
-		So(log.NeedsCompaction(), ShouldBeTrue)
-		So(log.StartGeneration(testHardState(1), []byte("state")), ShouldBeNil)
-		So(log.Append(Record{HardState: testHardState(2), Entry: []byte("change")}), ShouldBeNil)
+		directory, log := openTwoRecords(t)
 
 		Convey("is read again as it was written", func() {
 			log.Close()
@@ -62,6 +68,13 @@
 			So(err, ShouldBeNil)
 			So(len(records), ShouldEqual, 1)
 		})
+	})
+}
+
+func TestGenerations(t *testing.T) {
+	Convey("A log with two records", t, func() {
+		directory, log := openTwoRecords(t)
+
 		Convey("is followed by a new generation that holds everything, and the former one is removed", func() {
 			So(log.StartGeneration(testHardState(3), []byte("later")), ShouldBeNil)
 			log.Close()
