--- a/internal/fleet/replication/promise_test.go
+++ b/internal/fleet/replication/promise_test.go
@@ -24,7 +24,7 @@
 		primary, member, candidate := c.leader(), c.backups()[0], c.backups()[1]
 		view := primary.node.View()
 		low, high := Ballot{Round: 90, Proposer: primary.disk.Self}, Ballot{Round: 91, Proposer: candidate.disk.Self}
-		c.now += time.Second // the primary is silent
+		c.now += time.Second // the primary is unresponsive
 		_, changed := c.answer(member, candidate.disk.Self, Prepare{View: view, Ballot: high})
 		So(changed, ShouldBeTrue)
 		next := View{Number: view.Number + 1, Primary: primary.disk.Self, Members: view.Members, Witnesses: view.Witnesses}
@@ -49,6 +49,10 @@
 			So(answer, ShouldResemble, HeartbeatAck{Number: view.Number, Round: 1000, Current: false})
 		})
 	})
+}
+
+// Guards against a majority that is made of replicas which have no vote, or have given it away.
+func TestPromiseCounts(t *testing.T) {
 	Convey("A primary is not confirmed by witnesses that have promised, nor by others than its witnesses", t, func() {
 		c := newCluster(3, 1)
 		c.run(time.Second)
