--- a/internal/lab/auditcheck/audited.go
+++ b/internal/lab/auditcheck/audited.go
@@ -80,12 +80,12 @@
 
 // visits are those that each sidecar of the first tier has made, by sidecar.
 func (j *judge) visits() [][]visit {
-	tries := make(map[uint64]*trace.Try, len(j.log.Tries))
+	tries := make(map[uint64]*trace.ClientAttempt, len(j.log.ClientAttempts))
 	answered := map[[2]int]time.Duration{} // by request and number of the try
-	for i := range j.log.Tries {
-		t := &j.log.Tries[i]
-		if tries[t.Txn] = t; t.Tier == 0 {
-			answered[[2]int{t.Request, t.No}] = t.Answered
+	for i := range j.log.ClientAttempts {
+		t := &j.log.ClientAttempts[i]
+		if tries[t.TransactionID] = t; t.Tier == 0 {
+			answered[[2]int{t.Request, t.Number}] = t.Ended
 		}
 	}
 	out := make([][]visit, 0, len(j.p.Sidecars))
@@ -94,17 +94,17 @@
 			out = append(out, nil)
 		}
 	}
-	for i := range j.log.Visits {
-		v := &j.log.Visits[i]
-		t := tries[v.Txn]
+	for i := range j.log.EndpointRequests {
+		v := &j.log.EndpointRequests[i]
+		t := tries[v.TransactionID]
 		if t == nil || t.Tier != 0 || t.Sidecar >= len(out) {
 			continue
 		}
 		from := t.Due
-		if t.No > 0 { // a retry is sent once the try before it is over
-			from = max(from, answered[[2]int{t.Request, t.No - 1}])
+		if t.Number > 0 { // a retry is sent once the try before it is over
+			from = max(from, answered[[2]int{t.Request, t.Number - 1}])
 		}
-		out[t.Sidecar] = append(out[t.Sidecar], visit{j.p.Scenario.Class[t.Class].Name, j.p.Boxes[v.Box].Name, from, v.Begun})
+		out[t.Sidecar] = append(out[t.Sidecar], visit{j.p.Scenario.Class[t.Class].Name, j.p.Boxes[v.Endpoint].Name, from, v.FirstByte})
 	}
 	return out
 }
@@ -215,16 +215,16 @@
 // unproven are the times in which what a process did can't be in its trail: from its last count on until it was killed.
 func (j *judge) unproven(sidecar int, entries []auditlog.Entry) (out [][2]time.Duration) {
 	begun := time.Duration(0)
-	for _, c := range j.log.Changes {
+	for _, c := range j.log.SidecarEvents {
 		if c.Sidecar != sidecar {
 			continue
 		}
-		switch c.What {
-		case trace.Begun:
+		switch c.Kind {
+		case trace.SidecarStarted:
 			if begun = c.At; begun == 0 { // before the run, which has no time of its own
 				begun = -time.Hour
 			}
-		case trace.Killed, trace.Crashed:
+		case trace.SidecarKilled, trace.SidecarCrashed:
 			last, any := begun, false
 			for i := range entries {
 				at := entries[i].At.D() - time.Duration(j.log.Start.UnixMilli())*time.Millisecond
--- a/internal/lab/auditcheck/audited_test.go
+++ b/internal/lab/auditcheck/audited_test.go
@@ -49,16 +49,16 @@
 	}
 	log := &trace.Log{Start: time.UnixMilli(1_000_000), End: at(10)}
 	for i := range 2 {
-		log.Changes = append(log.Changes, trace.Change{Sidecar: i, What: trace.Begun, Digest: listC})
-		log.Asked = append(log.Asked, trace.Asked{Sidecar: i, Revision: 1, Digest: listA})
+		log.SidecarEvents = append(log.SidecarEvents, trace.SidecarEvent{Sidecar: i, Kind: trace.SidecarStarted, Digest: listC})
+		log.Polls = append(log.Polls, trace.DiscoveryPoll{Sidecar: i, Revision: 1, Digest: listA})
 	}
-	log.Asked = append(log.Asked, trace.Asked{At: at(0.5), Sidecar: 1, Watch: true, Since: 1, How: trace.Left},
-		trace.Asked{At: at(0.5), Sidecar: 0, Watch: true, Since: 1, Told: at(5), Revision: 2, Digest: listB},
-		trace.Asked{At: at(6), Sidecar: 0, Watch: true, Since: 2, How: trace.Left})
+	log.Polls = append(log.Polls, trace.DiscoveryPoll{At: at(0.5), Sidecar: 1, Watch: true, SinceRevision: 1, Outcome: trace.PollAbandoned},
+		trace.DiscoveryPoll{At: at(0.5), Sidecar: 0, Watch: true, SinceRevision: 1, RespondedAt: at(5), Revision: 2, Digest: listB},
+		trace.DiscoveryPoll{At: at(6), Sidecar: 0, Watch: true, SinceRevision: 2, Outcome: trace.PollAbandoned})
 	visit := func(sidecar int, when float64) {
-		txn := uint64(len(log.Tries) + 1)
-		log.Tries = append(log.Tries, trace.Try{Txn: txn, Request: int(txn), Sidecar: sidecar, Due: at(when), Answered: at(when + 0.2)})
-		log.Visits = append(log.Visits, trace.Visit{Txn: txn, Begun: at(when + 0.1)})
+		txn := uint64(len(log.ClientAttempts) + 1)
+		log.ClientAttempts = append(log.ClientAttempts, trace.ClientAttempt{TransactionID: txn, Request: int(txn), Sidecar: sidecar, Due: at(when), Ended: at(when + 0.2)})
+		log.EndpointRequests = append(log.EndpointRequests, trace.EndpointRequest{TransactionID: txn, FirstByte: at(when + 0.1)})
 	}
 	for _, when := range []float64{1, 2, 3, 5.5, 7, 8} {
 		visit(0, when)
@@ -114,20 +114,20 @@
 			delete(trails, 1)
 		}},
 		{name: "killed before its first count", unproven: 4, plant: func(_ *plan.Plan, log *trace.Log, trails map[int][]auditlog.Entry) {
-			log.Changes = append(log.Changes, trace.Change{At: at(9), Sidecar: 1, What: trace.Killed})
+			log.SidecarEvents = append(log.SidecarEvents, trace.SidecarEvent{At: at(9), Sidecar: 1, Kind: trace.SidecarKilled})
 			trails[1] = trails[1][:1]
 		}},
 		{name: "killed after its last count", unproven: 2, plant: func(_ *plan.Plan, log *trace.Log, trails map[int][]auditlog.Entry) {
-			log.Changes = append(log.Changes, trace.Change{At: at(9), Sidecar: 1, What: trace.Killed})
+			log.SidecarEvents = append(log.SidecarEvents, trace.SidecarEvent{At: at(9), Sidecar: 1, Kind: trace.SidecarKilled})
 			trails[1] = trails[1][:2]
 		}},
 		{name: "killed, and its trail has lost what was counted before", missing: 1, unproven: 2, plant: func(_ *plan.Plan, log *trace.Log, trails map[int][]auditlog.Entry) {
-			log.Changes = append(log.Changes, trace.Change{At: at(9), Sidecar: 1, What: trace.Killed})
+			log.SidecarEvents = append(log.SidecarEvents, trace.SidecarEvent{At: at(9), Sidecar: 1, Kind: trace.SidecarKilled})
 			trails[1] = trails[1][:2]
 			trails[1][1].Attempts[0].N--
 		}},
 		{name: "killed, and nothing is left of that process", missing: 4, plant: func(_ *plan.Plan, log *trace.Log, trails map[int][]auditlog.Entry) {
-			log.Changes = append(log.Changes, trace.Change{At: at(9), Sidecar: 1, What: trace.Killed})
+			log.SidecarEvents = append(log.SidecarEvents, trace.SidecarEvent{At: at(9), Sidecar: 1, Kind: trace.SidecarKilled})
 			trails[1] = []auditlog.Entry{{Seq: 1, Life: "m", Kind: auditlog.Began, At: 1_010_000}}
 		}},
 		{name: "a box that went down: what was on its way has no end", plant: func(p *plan.Plan, _ *trace.Log, trails map[int][]auditlog.Entry) {
@@ -152,9 +152,9 @@
 // With a second process beside the first, a call says nothing of what the other one holds until the first has ended.
 func TestTwoProcesses(t *testing.T) {
 	log := &trace.Log{
-		Changes: []trace.Change{{What: trace.Begun, Digest: listA}, {At: at(2), What: trace.Doubled}, {At: at(4), What: trace.Succeeded}},
-		Asked: []trace.Asked{{At: at(0.5), Watch: true, Since: 1, Told: at(3), Revision: 2, Digest: listB},
-			{At: at(3.1), Watch: true, Since: 2}, {At: at(4.1), Watch: true, Since: 2}},
+		SidecarEvents: []trace.SidecarEvent{{Kind: trace.SidecarStarted, Digest: listA}, {At: at(2), Kind: trace.SidecarUpgradeStarted}, {At: at(4), Kind: trace.SidecarUpgradeFinished}},
+		Polls: []trace.DiscoveryPoll{{At: at(0.5), Watch: true, SinceRevision: 1, RespondedAt: at(3), Revision: 2, Digest: listB},
+			{At: at(3.1), Watch: true, SinceRevision: 2}, {At: at(4.1), Watch: true, SinceRevision: 2}},
 	}
 	stretches := held(log, 0)
 	for _, c := range []struct {
@@ -214,19 +214,19 @@
 	} {
 		p, log, _ := story(t)
 		log.End = at(10)
-		for _, r := range []trace.Asked{{Told: at(0.1), Digest: listA}, {Told: at(2), Digest: listA}, {Told: at(4.5), Digest: listB}} {
+		for _, r := range []trace.DiscoveryPoll{{RespondedAt: at(0.1), Digest: listA}, {RespondedAt: at(2), Digest: listA}, {RespondedAt: at(4.5), Digest: listB}} {
 			r.Sidecar = -1
-			log.Asked = append(log.Asked, r)
+			log.Polls = append(log.Polls, r)
 		}
 		got, err := Find(p, log, []byte(print(c.status)+`{"line":"si`), at(3))
 		if err != nil || got.Rounds != 9 || got.True != c.isTrue || got.Found != c.found || got.Unasked != c.unasked || got.Hidden != c.hidden || got.False != c.falsly {
 			t.Errorf("%s: %+v %v", c.name, got, err)
 		}
-		log.Trails = map[int][]auditlog.Entry{}
+		log.AuditLogs = map[int][]auditlog.Entry{}
 		if ends, never := Ends(p, log, at(1)); !slices.Equal(ends, []time.Duration{}) || never != 1 {
 			t.Errorf("%s: it ended after %v, never %d", c.name, ends, never)
 		}
-		log.Trails[1] = []auditlog.Entry{{Kind: auditlog.Judged, At: 1_007_500, State: version.Shut}}
+		log.AuditLogs[1] = []auditlog.Entry{{Kind: auditlog.Judged, At: 1_007_500, State: version.Shut}}
 		if ends, never := Ends(p, log, at(1)); !slices.Equal(ends, []time.Duration{at(3)}) || never != 0 {
 			t.Errorf("%s: shut out after %v, never %d", c.name, ends, never)
 		}
--- a/internal/lab/auditcheck/held.go
+++ b/internal/lab/auditcheck/held.go
@@ -35,26 +35,26 @@
 			now = slices.Insert(slices.Clone(now), at, d)
 		}
 	}
-	for _, c := range log.Changes {
+	for _, c := range log.SidecarEvents {
 		if c.Sidecar != sidecar {
 			continue
 		}
-		switch c.What {
-		case trace.Begun:
+		switch c.Kind {
+		case trace.SidecarStarted:
 			events = append(events, event{c.At, 0, func() { configured = c.Digest; add(c.Digest); add(0) }}) // what it had before may come from its disk
-		case trace.Doubled:
+		case trace.SidecarUpgradeStarted:
 			events = append(events, event{c.At, 0, func() { beside = true }})
-		case trace.Succeeded:
+		case trace.SidecarUpgradeFinished:
 			events = append(events, event{c.At, 2, func() { beside = false }})
 		}
 	}
-	for _, a := range log.Asked {
+	for _, a := range log.Polls {
 		if a.Sidecar != sidecar {
 			continue
 		}
 		if a.Watch {
 			events = append(events, event{a.At, 1, func() {
-				d, told := latest[a.Since]
+				d, told := latest[a.SinceRevision]
 				if !told {
 					d = configured
 				}
@@ -65,7 +65,7 @@
 			}})
 		}
 		if a.Digest != 0 { // it was written
-			events = append(events, event{a.Told, 0, func() { latest[a.Revision] = a.Digest; add(a.Digest) }})
+			events = append(events, event{a.RespondedAt, 0, func() { latest[a.Revision] = a.Digest; add(a.Digest) }})
 		}
 	}
 	slices.SortStableFunc(events, func(a, b event) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.order, b.order)) })
--- a/internal/lab/auditcheck/left.go
+++ b/internal/lab/auditcheck/left.go
@@ -19,20 +19,20 @@
 		}
 		o := boxes[e.Entry.Box]
 		switch {
-		case e.Entry.Phase != trace.Ready && o == nil:
+		case e.Entry.Phase != trace.PhaseReady && o == nil:
 			boxes[e.Entry.Box] = &off{e.At, model.Never}
-		case e.Entry.Phase == trace.Ready && o != nil:
+		case e.Entry.Phase == trace.PhaseReady && o != nil:
 			o.to = min(o.to, e.At)
 		}
 	}
-	tries := map[uint64]*trace.Try{}
-	for i := range log.Tries {
-		tries[log.Tries[i].Txn] = &log.Tries[i]
+	tries := map[uint64]*trace.ClientAttempt{}
+	for i := range log.ClientAttempts {
+		tries[log.ClientAttempts[i].TransactionID] = &log.ClientAttempts[i]
 	}
 	out := map[int]int{}
-	for i := range log.Visits {
-		v := &log.Visits[i]
-		if o, t := boxes[v.Box], tries[v.Txn]; o != nil && t != nil && t.Tier == 0 && v.Begun > o.from+late && v.Begun < o.to {
+	for i := range log.EndpointRequests {
+		v := &log.EndpointRequests[i]
+		if o, t := boxes[v.Endpoint], tries[v.TransactionID]; o != nil && t != nil && t.Tier == 0 && v.FirstByte > o.from+late && v.FirstByte < o.to {
 			out[t.Sidecar]++
 		}
 	}
--- a/internal/lab/auditcheck/stragglers.go
+++ b/internal/lab/auditcheck/stragglers.go
@@ -41,17 +41,17 @@
 
 // reigns are by the time of their first telling.
 func reigns(log *trace.Log) (out []reign) {
-	for _, a := range log.Asked {
+	for _, a := range log.Polls {
 		if a.Sidecar >= 0 || a.Digest == 0 {
 			continue
 		}
 		if n := len(out); n > 0 {
-			out[n-1].to = a.Told
+			out[n-1].to = a.RespondedAt
 			if out[n-1].digest == a.Digest {
 				continue
 			}
 		}
-		out = append(out, reign{a.Digest, a.Told, log.End})
+		out = append(out, reign{a.Digest, a.RespondedAt, log.End})
 	}
 	if n := len(out); n > 0 {
 		out[n-1].to = log.End
@@ -118,14 +118,14 @@
 // alive tells whether one process of the sidecar was there all the time.
 func alive(log *trace.Log, sidecar int, from, to time.Duration) bool {
 	up, since := false, time.Duration(0)
-	for _, c := range log.Changes {
+	for _, c := range log.SidecarEvents {
 		if c.Sidecar != sidecar || c.At > to {
 			continue
 		}
-		switch c.What {
-		case trace.Begun:
+		switch c.Kind {
+		case trace.SidecarStarted:
 			up, since = true, c.At
-		case trace.Killed, trace.Crashed, trace.Ended, trace.Stopping:
+		case trace.SidecarKilled, trace.SidecarCrashed, trace.SidecarExited, trace.SidecarStopping:
 			up = false
 		}
 	}
@@ -212,7 +212,7 @@
 // shut are the times in which a sidecar took nothing new, by its own trail.
 func shut(log *trace.Log, sidecar int) (out [][2]time.Duration) {
 	is, life := false, ""
-	for _, e := range log.Trails[sidecar] {
+	for _, e := range log.AuditLogs[sidecar] {
 		at := e.At.D() - time.Duration(log.Start.UnixMilli())*time.Millisecond
 		now := is && e.Life == life
 		if e.Kind == auditlog.Judged {
--- a/internal/lab/calibration/rehearse_test.go
+++ b/internal/lab/calibration/rehearse_test.go
@@ -202,9 +202,9 @@
 	}
 	m := &servers{cores: 1, slots: 20, queue: 24, cold: cold{from: 1, takes: 1}}
 	did, found := 0.0, 0.0
-	for _, x := range log.Visits {
-		if x.End == trace.OK {
-			did += x.Done.Seconds()
+	for _, x := range log.EndpointRequests {
+		if x.Outcome == trace.OutcomeOK {
+			did += x.Work.Seconds()
 		}
 	}
 	for h := range v.hosts {
--- a/internal/lab/calibration/virtual.go
+++ b/internal/lab/calibration/virtual.go
@@ -27,32 +27,32 @@
 	run := &accesslog.Run{Header: accesslog.Header{Name: p.Sidecars[sidecar].Name, Start: time.Unix(0, int64(epoch)).UTC(),
 		Limits: config.Limits{Cores: f.Cores, MemoryMB: f.MemoryMB, Sockets: f.Sockets}, Site: string(site), Settings: settings}}
 	run.Cluster = lists(p, log, sidecar)
-	at := make([]int, len(log.Tries)) // of each try, its stream's place from 1 on
-	for _, s := range log.Streams {
-		t := &log.Tries[s.Try]
+	at := make([]int, len(log.ClientAttempts)) // of each try, its stream's place from 1 on
+	for _, s := range log.DownstreamRequests {
+		t := &log.ClientAttempts[s.ClientAttempt]
 		if t.Sidecar != sidecar {
 			continue
 		}
-		run.Streams = append(run.Streams, accesslog.Stream{Arrival: s.Arrived, Class: t.Class, Left: t.Left,
-			Repeated: t.No > 0 || t.Tier == 0 && p.Requests[t.Request].Repeated, End: ending(&s), Answered: s.Answered - s.Arrived,
-			RetryAfter: s.Advice})
-		at[s.Try] = len(run.Streams)
+		run.Streams = append(run.Streams, accesslog.Stream{Arrival: s.Arrived, Class: t.Class, Left: t.Timeout,
+			Repeated: t.Number > 0 || t.Tier == 0 && p.Requests[t.Request].Repeated, End: ending(&s), Answered: s.Ended - s.Arrived,
+			RetryAfter: s.RetryAfter})
+		at[s.ClientAttempt] = len(run.Streams)
 	}
-	for _, a := range log.Attempts {
-		i := at[a.Try] - 1
-		if i < 0 || a.Box < 0 {
+	for _, a := range log.UpstreamRequests {
+		i := at[a.ClientAttempt] - 1
+		if i < 0 || a.Endpoint < 0 {
 			continue
 		}
 		s := &run.Streams[i]
-		s.Attempts = append(s.Attempts, accesslog.Attempt{Host: p.Boxes[a.Box].Name, Began: a.Sent - s.Arrival, Took: a.Took, Status: a.Status})
+		s.Attempts = append(s.Attempts, accesslog.Attempt{Host: p.Boxes[a.Endpoint].Name, Began: a.Sent - s.Arrival, Took: a.Duration, Status: a.Status})
 	}
 	return &accesslog.Record{Runs: []*accesslog.Run{run}}, nil
 }
 
 // lists are what discovery told a sidecar: the whole list at its start and then the changes.
 func lists(p *plan.Plan, log *trace.Log, sidecar int) (out []accesslog.Cluster) {
-	states := [...]balance.Availability{trace.Ready: balance.Ready, trace.Terminating: balance.Draining, trace.Away: balance.Gone}
-	for _, t := range log.Told {
+	states := [...]balance.Availability{trace.PhaseReady: balance.Ready, trace.PhaseTerminating: balance.Draining, trace.PhaseGone: balance.Gone}
+	for _, t := range log.Notifications {
 		if t.Sidecar != sidecar {
 			continue
 		}
@@ -63,9 +63,9 @@
 			}
 			out = append(out, accesslog.Cluster{At: t.At, List: list})
 		}
-		b := &p.Boxes[t.Box]
+		b := &p.Boxes[t.Endpoint]
 		m := cluster.Member{ID: b.Name, State: states[t.Phase]}
-		if t.Phase != trace.Away {
+		if t.Phase != trace.PhaseGone {
 			m.Kind, m.Zone, m.Weight = b.Kind, plan.Zone, float64(b.Spec.Cores)
 			if t.UpSince > 0 {
 				m.UpSince = (epoch + t.UpSince).Truncate(time.Millisecond)
@@ -78,13 +78,13 @@
 }
 
 // ending is a stream's outcome in a record's words.
-func ending(s *trace.Stream) stream.Outcome {
+func ending(s *trace.DownstreamRequest) stream.Outcome {
 	switch {
-	case s.Status == trace.Served:
+	case s.Status == trace.StatusServed:
 		return stream.Served
-	case s.Status == trace.Refused:
+	case s.Status == trace.StatusRejected:
 		return stream.Refused
-	case s.Status == trace.Gone:
+	case s.Status == trace.StatusCanceled:
 		return stream.Gone
 	case s.Code == 504:
 		return stream.Expired
--- a/internal/lab/judge/answers.go
+++ b/internal/lab/judge/answers.go
@@ -11,15 +11,15 @@
 
 // answers judges what a client got for a try.
 func (j *judge) answers(try int, visits []int32) {
-	t := &j.log.Tries[try]
-	if t.Answers > 1 {
-		j.breach(of(AnsweredTwice, t.Answered, t, t.Box), "%d final answers came", t.Answers)
+	t := &j.log.ClientAttempts[try]
+	if t.Responses > 1 {
+		j.breach(of(AnsweredTwice, t.Ended, t, t.Endpoint), "%d final answers came", t.Responses)
 	}
 	switch {
 	case t.Forged:
-		j.breach(of(Forged, t.Answered, t, t.Box), "a 200 came whose body no box made for this request")
-	case t.Status == trace.Served && !j.ran(visits):
-		j.breach(of(Forged, t.Answered, t, t.Box), "a 200 came, but no box has run this request")
+		j.breach(of(Forged, t.Ended, t, t.Endpoint), "a 200 came whose body no box made for this request")
+	case t.Status == trace.StatusServed && !j.ran(visits):
+		j.breach(of(Forged, t.Ended, t, t.Endpoint), "a 200 came, but no box has run this request")
 	}
 	j.lost(t)
 }
@@ -27,7 +27,7 @@
 // ran says whether a box has run one of these visits.
 func (j *judge) ran(visits []int32) bool {
 	for _, i := range visits {
-		if v := &j.log.Visits[i]; v.Started != trace.None || v.End == trace.OK {
+		if v := &j.log.EndpointRequests[i]; v.Started != trace.Unset || v.Outcome == trace.OutcomeOK {
 			return true
 		}
 	}
@@ -43,26 +43,26 @@
 }
 
 // lost judges whether a try that was taken had its answer in time.
-func (j *judge) lost(t *trace.Try) {
-	if t.Sent == trace.None || t.Sidecar < 0 || t.Sidecar >= len(j.lives) {
+func (j *judge) lost(t *trace.ClientAttempt) {
+	if t.Sent == trace.Unset || t.Sidecar < 0 || t.Sidecar >= len(j.lives) {
 		return
 	}
-	until := t.Sent + t.Left + j.slack
+	until := t.Sent + t.Timeout + j.slack
 	if j.paused(t.Sidecar, t.Sent, until) {
 		return
 	}
 	switch t.Status {
-	case trace.Silent, trace.Broken:
+	case trace.StatusTimedOut, trace.StatusDisconnected:
 		broke := model.Never
-		if t.Status == trace.Broken {
-			broke = t.Answered
+		if t.Status == trace.StatusDisconnected {
+			broke = t.Ended
 		}
 		if !excused(j.lives[t.Sidecar], t.Sent, until, broke, j.slack) {
-			j.breach(of(Lost, max(t.Sent, t.Answered), t, -1), "sidecar %s took it and never answered: %s", j.sidecar(t.Sidecar), t.Status)
+			j.breach(of(Lost, max(t.Sent, t.Ended), t, -1), "sidecar %s took it and never answered: %s", j.sidecar(t.Sidecar), t.Status)
 		}
-	case trace.Served, trace.Refused, trace.Failed:
-		if t.Answered > until {
-			j.breach(of(Lost, t.Answered, t, t.Box), "overdue: the final answer came late by %s", (t.Answered - t.Sent - t.Left).Round(time.Microsecond))
+	case trace.StatusServed, trace.StatusRejected, trace.StatusFailed:
+		if t.Ended > until {
+			j.breach(of(Lost, t.Ended, t, t.Endpoint), "overdue: the final answer came late by %s", (t.Ended - t.Sent - t.Timeout).Round(time.Microsecond))
 		}
 	}
 }
--- a/internal/lab/judge/effects.go
+++ b/internal/lab/judge/effects.go
@@ -17,40 +17,42 @@
 }
 
 // mayHaveRun is what a sidecar has to assume of an attempt.
-func mayHaveRun(v *trace.Visit) bool { return v.Arrived != trace.None && v.End != trace.TurnedAway }
+func mayHaveRun(v *trace.EndpointRequest) bool {
+	return v.LastByte != trace.Unset && v.Outcome != trace.OutcomeRejected
+}
 
 // effects judges whether what must take effect once was sent again, or refused, when it may have run.
 func (j *judge) effects(try int, visits []int32) {
-	t := &j.log.Tries[try]
+	t := &j.log.ClientAttempts[try]
 	effect := j.effect(t.Class)
 	if effect == "safe" {
 		return
 	}
 	window := j.p.Scenario.Class[t.Class].Window.D() + j.slack // keyed: sends within it have no second effect
-	var first *trace.Visit
+	var first *trace.EndpointRequest
 	for _, i := range visits {
-		v := &j.log.Visits[i]
+		v := &j.log.EndpointRequests[i]
 		blamed := false
-		if first != nil && v.Arrived != trace.None && (effect == "unsafe" || v.Begun > first.Begun+window) {
+		if first != nil && v.LastByte != trace.Unset && (effect == "unsafe" || v.FirstByte > first.FirstByte+window) {
 			blamed = true
-			j.breach(of(RanTwice, v.Begun, t, v.Box), "it was sent to box %s %s after it may have run at box %s%s", j.box(v.Box),
-				(v.Begun - first.Begun).Round(time.Microsecond), j.box(first.Box), again(v))
+			j.breach(of(RanTwice, v.FirstByte, t, v.Endpoint), "it was sent to box %s %s after it may have run at box %s%s", j.box(v.Endpoint),
+				(v.FirstByte - first.FirstByte).Round(time.Microsecond), j.box(first.Endpoint), again(v))
 		}
 		if first == nil && mayHaveRun(v) {
 			first = v
 		}
-		if effect == "unsafe" && t.Tier == 0 && v.Started != trace.None {
+		if effect == "unsafe" && t.Tier == 0 && v.Started != trace.Unset {
 			j.runs = append(j.runs, unsafeRun{t.Request, try, i, blamed})
 		}
 	}
-	if t.Status == trace.Refused && first != nil && first.Begun <= t.Answered &&
-		(effect == "unsafe" || t.Answered > first.Begun+window) {
-		j.breach(of(UnsafeRefused, t.Answered, t, first.Box), "it was refused with %d, though it may have run at box %s", t.Code, j.box(first.Box))
+	if t.Status == trace.StatusRejected && first != nil && first.FirstByte <= t.Ended &&
+		(effect == "unsafe" || t.Ended > first.FirstByte+window) {
+		j.breach(of(UnsafeRefused, t.Ended, t, first.Endpoint), "it was refused with %d, though it may have run at box %s", t.Code, j.box(first.Endpoint))
 	}
 }
 
-func again(v *trace.Visit) string {
-	if v.Started != trace.None && !v.Repeat {
+func again(v *trace.EndpointRequest) string {
+	if v.Started != trace.Unset && !v.Deduplicated {
 		return ", and it ran again"
 	}
 	return ""
@@ -59,7 +61,7 @@
 // rerun judges the runs of unsafe requests over all of a client's tries: it sends another one only after it
 // was told that this is harmless.
 func (j *judge) rerun() {
-	visits := j.log.Visits
+	visits := j.log.EndpointRequests
 	slices.SortFunc(j.runs, func(a, b unsafeRun) int {
 		return cmp.Or(cmp.Compare(a.request, b.request), cmp.Compare(visits[a.visit].Started, visits[b.visit].Started), cmp.Compare(a.visit, b.visit))
 	})
@@ -69,7 +71,7 @@
 			continue
 		}
 		v := &visits[r.visit]
-		j.breach(of(RanTwice, v.Started, &j.log.Tries[r.try], v.Box), "try %d ran at box %s after try %d had run at box %s",
-			j.log.Tries[r.try].No+1, j.box(v.Box), j.log.Tries[before.try].No+1, j.box(visits[before.visit].Box))
+		j.breach(of(RanTwice, v.Started, &j.log.ClientAttempts[r.try], v.Endpoint), "try %d ran at box %s after try %d had run at box %s",
+			j.log.ClientAttempts[r.try].Number+1, j.box(v.Endpoint), j.log.ClientAttempts[before.try].Number+1, j.box(visits[before.visit].Endpoint))
 	}
 }
--- a/internal/lab/judge/heard.go
+++ b/internal/lab/judge/heard.go
@@ -72,11 +72,11 @@
 		return sidecar*h.boxes + box
 	}
 	matters := make([]bool, len(h.first))
-	for i := range log.Told {
-		if t := &log.Told[i]; pair(t.Sidecar, t.Box) >= 0 {
-			at := pair(t.Sidecar, t.Box)
+	for i := range log.Notifications {
+		if t := &log.Notifications[i]; pair(t.Sidecar, t.Endpoint) >= 0 {
+			at := pair(t.Sidecar, t.Endpoint)
 			h.first[at] = min(h.first[at], t.At)
-			matters[at] = matters[at] || t.Phase != trace.Ready
+			matters[at] = matters[at] || t.Phase != trace.PhaseReady
 		}
 	}
 	tells := func(e *plan.Event) int {
@@ -86,7 +86,7 @@
 		return pair(e.Sidecar, e.Entry.Box)
 	}
 	for i := range p.Events {
-		if at := tells(&p.Events[i]); at >= 0 && p.Events[i].Entry.Phase != trace.Ready {
+		if at := tells(&p.Events[i]); at >= 0 && p.Events[i].Entry.Phase != trace.PhaseReady {
 			matters[at] = true
 		}
 	}
@@ -102,13 +102,13 @@
 	}
 	for i := range p.Events {
 		e := &p.Events[i]
-		add(tells(e), e.At, e.Entry.Phase == trace.Ready, agentOff, agentBack)
+		add(tells(e), e.At, e.Entry.Phase == trace.PhaseReady, agentOff, agentBack)
 	}
-	for _, t := range log.Told {
-		add(pair(t.Sidecar, t.Box), t.At, t.Phase == trace.Ready, toldOff, toldBack)
+	for _, t := range log.Notifications {
+		add(pair(t.Sidecar, t.Endpoint), t.At, t.Phase == trace.PhaseReady, toldOff, toldBack)
 	}
-	for _, c := range log.Changes {
-		for box := 0; c.What == trace.Begun && box < h.boxes; box++ {
+	for _, c := range log.SidecarEvents {
+		for box := 0; c.Kind == trace.SidecarStarted && box < h.boxes; box++ {
 			add(pair(c.Sidecar, box), c.At, false, reborn, reborn)
 		}
 	}
--- a/internal/lab/judge/index.go
+++ b/internal/lab/judge/index.go
@@ -23,16 +23,16 @@
 }
 
 func newIndex(log *trace.Log) index {
-	x := index{log: log, tries: make([]entry, len(log.Tries)), places: make([]entry, len(log.Visits)), visits: make([]int32, len(log.Visits))}
-	for i := range log.Tries {
-		x.tries[i] = entry{log.Tries[i].Txn, int32(i)}
+	x := index{log: log, tries: make([]entry, len(log.ClientAttempts)), places: make([]entry, len(log.EndpointRequests)), visits: make([]int32, len(log.EndpointRequests))}
+	for i := range log.ClientAttempts {
+		x.tries[i] = entry{log.ClientAttempts[i].TransactionID, int32(i)}
 	}
-	for i := range log.Visits {
-		x.places[i] = entry{log.Visits[i].Txn, int32(i)}
+	for i := range log.EndpointRequests {
+		x.places[i] = entry{log.EndpointRequests[i].TransactionID, int32(i)}
 	}
 	slices.SortFunc(x.tries, byID)
 	slices.SortFunc(x.places, func(a, b entry) int {
-		return cmp.Or(cmp.Compare(a.id, b.id), cmp.Compare(log.Visits[a.at].Begun, log.Visits[b.at].Begun), cmp.Compare(a.at, b.at))
+		return cmp.Or(cmp.Compare(a.id, b.id), cmp.Compare(log.EndpointRequests[a.at].FirstByte, log.EndpointRequests[b.at].FirstByte), cmp.Compare(a.at, b.at))
 	})
 	for i, e := range x.places {
 		x.visits[i] = e.at
@@ -87,9 +87,9 @@
 // request are the tries of a request, calls of later tiers included, in the order in which they were due.
 func (x *index) request(n int) []int32 {
 	if x.asked == nil {
-		x.asked = make([]entry, len(x.log.Tries))
-		for i := range x.log.Tries {
-			x.asked[i] = entry{uint64(x.log.Tries[i].Request), int32(i)}
+		x.asked = make([]entry, len(x.log.ClientAttempts))
+		for i := range x.log.ClientAttempts {
+			x.asked[i] = entry{uint64(x.log.ClientAttempts[i].Request), int32(i)}
 		}
 		slices.SortFunc(x.asked, byID)
 	}
--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -135,8 +135,8 @@
 }
 
 // of is a breach that a try is about; box is -1 if no box is.
-func of(kind Kind, at time.Duration, t *trace.Try, box int) Breach {
-	return Breach{Kind: kind, At: at, Request: t.Request, Txn: t.Txn, Box: box, Sidecar: t.Sidecar}
+func of(kind Kind, at time.Duration, t *trace.ClientAttempt, box int) Breach {
+	return Breach{Kind: kind, At: at, Request: t.Request, Txn: t.TransactionID, Box: box, Sidecar: t.Sidecar}
 }
 
 // effect is a class's, in the scenario's words.
--- a/internal/lab/judge/judge_test.go
+++ b/internal/lab/judge/judge_test.go
@@ -136,7 +136,7 @@
 		}
 	}
 	if v := Judge(script(t, "sample 0 t1 0 0 cold\nsample 100 t1 200 50 cold\nsample 1100 t1 700 550 cold\nsample 1200 t1 800 600")); math.Abs(v.Boxes[0].Worst-0.44) > 0.001 ||
-		v.Boxes[0].Fell != trace.None || v.Boxes[1].Worst != 0 {
+		v.Boxes[0].Fell != trace.Unset || v.Boxes[1].Worst != 0 {
 		t.Errorf("near miss: %+v, want 550 ms in a window that stands 2.5 x 500 ms", v.Boxes)
 	}
 }
--- a/internal/lab/judge/lives.go
+++ b/internal/lab/judge/lives.go
@@ -26,26 +26,26 @@
 			continue
 		}
 		all := &out[c.Sidecar]
-		if c.What == trace.Begun || len(*all) == 0 {
+		if c.Kind == trace.SidecarStarted || len(*all) == 0 {
 			*all = append(*all, life{c.At, model.Never, model.Never, model.Never})
 		}
 		l := &(*all)[len(*all)-1]
 		switch {
 		case l.over != model.Never:
-		case c.What == trace.Stopping:
+		case c.Kind == trace.SidecarStopping:
 			l.stopped = min(l.stopped, c.At)
-		case c.What == trace.Killed:
+		case c.Kind == trace.SidecarKilled:
 			l.killed, l.over = c.At, c.At
-		case c.What == trace.Ended, c.What == trace.Crashed:
+		case c.Kind == trace.SidecarExited, c.Kind == trace.SidecarCrashed:
 			l.over = c.At
 		}
 	}
 	return out
 }
 
-func sortedChanges(log *trace.Log) []trace.Change {
-	sorted := slices.Clone(log.Changes)
-	slices.SortStableFunc(sorted, func(a, b trace.Change) int { return cmp.Compare(a.At, b.At) })
+func sortedChanges(log *trace.Log) []trace.SidecarEvent {
+	sorted := slices.Clone(log.SidecarEvents)
+	slices.SortStableFunc(sorted, func(a, b trace.SidecarEvent) int { return cmp.Compare(a.At, b.At) })
 	return sorted
 }
 
@@ -73,10 +73,10 @@
 
 // crashes are the sidecars that ended unasked.
 func (j *judge) crashes() {
-	for _, c := range j.log.Changes {
-		if c.What == trace.Crashed {
+	for _, c := range j.log.SidecarEvents {
+		if c.Kind == trace.SidecarCrashed {
 			j.breach(Breach{Kind: Crashed, At: c.At, Request: -1, Box: -1, Sidecar: c.Sidecar},
-				"sidecar %s ended by itself: %s", j.sidecar(c.Sidecar), c.Text)
+				"sidecar %s ended by itself: %s", j.sidecar(c.Sidecar), c.Detail)
 		}
 	}
 }
--- a/internal/lab/judge/pressure.go
+++ b/internal/lab/judge/pressure.go
@@ -28,11 +28,11 @@
 func (j *judge) pressures() {
 	byBox := make([][]trace.Sample, len(j.p.Boxes))
 	for _, s := range j.log.Samples {
-		byBox[s.Box] = append(byBox[s.Box], s)
+		byBox[s.Endpoint] = append(byBox[s.Endpoint], s)
 	}
 	for i, samples := range byBox {
-		r := Pressure{Box: i, Fell: trace.None, Worst: j.worst(&j.p.Boxes[i].Spec, samples)}
-		if n := slices.IndexFunc(samples, func(s trace.Sample) bool { return s.Fallen }); n >= 0 {
+		r := Pressure{Box: i, Fell: trace.Unset, Worst: j.worst(&j.p.Boxes[i].Spec, samples)}
+		if n := slices.IndexFunc(samples, func(s trace.Sample) bool { return s.Collapsed }); n >= 0 {
 			r.Fell = samples[n].At
 			r.ToldShare = j.toldOfStart(i, samples[max(0, n-1)].At, r.Fell)
 			if r.ToldShare >= toldShare {
@@ -50,22 +50,22 @@
 	r := &j.p.Scenario.Rules
 	atStart := spec.ColdFrom * float64(spec.Cores) * spec.Speed
 	for from := 0; from < len(samples); {
-		if !samples[from].Cold {
+		if !samples[from].WarmingUp {
 			from++
 			continue
 		}
 		to := from
-		for to < len(samples) && samples[to].Cold {
+		for to < len(samples) && samples[to].WarmingUp {
 			to++
 		}
 		run := samples[from:min(to+1, len(samples))] // with the one that finds it warm, or fallen
-		before := trace.Sample{At: run[0].At, Box: run[0].Box}
+		before := trace.Sample{At: run[0].At, Endpoint: run[0].Endpoint}
 		if from > 0 {
 			before = samples[from-1]
 		}
 		// It was down until it started: when that was follows from what it could do since.
-		start := max(before.At, run[0].At-time.Duration(float64(run[0].Could-before.Could)/atStart))
-		began := trace.Sample{At: start, Sent: before.Sent, Could: before.Could}
+		start := max(before.At, run[0].At-time.Duration(float64(run[0].PossibleWork-before.PossibleWork)/atStart))
+		began := trace.Sample{At: start, SentWork: before.SentWork, PossibleWork: before.PossibleWork}
 		most = max(most, highest(append([]trace.Sample{began}, run...), r.FallWindow.D(), atStart)/r.FallMultiple)
 		from = to
 	}
@@ -77,7 +77,7 @@
 	first := 0
 	for n := 1; n < len(run); n++ {
 		last, opens := run[n], run[n].At-window
-		sent, could := last.Sent-run[0].Sent, float64(last.Could-run[0].Could)
+		sent, could := last.SentWork-run[0].SentWork, float64(last.PossibleWork-run[0].PossibleWork)
 		if opens <= run[0].At {
 			could += atStart * float64(run[0].At-opens)
 		} else {
@@ -86,8 +86,8 @@
 			}
 			a, b := run[first], run[first+1]
 			part := float64(opens-a.At) / float64(b.At-a.At)
-			sent = last.Sent - a.Sent - time.Duration(part*float64(b.Sent-a.Sent))
-			could = float64(last.Could-a.Could) - part*float64(b.Could-a.Could)
+			sent = last.SentWork - a.SentWork - time.Duration(part*float64(b.SentWork-a.SentWork))
+			could = float64(last.PossibleWork-a.PossibleWork) - part*float64(b.PossibleWork-a.PossibleWork)
 		}
 		if could > 0 {
 			most = max(most, float64(sent)/could)
@@ -102,19 +102,19 @@
 	start := lastStart(j.p, box, by)
 	knows := j.knowsStart(box, start)
 	var told, all time.Duration
-	for i := range j.log.Visits {
-		v := &j.log.Visits[i]
-		if v.Box != box || v.Begun > by || v.Begun < max(start, after-j.p.Scenario.Rules.FallWindow.D()) {
+	for i := range j.log.EndpointRequests {
+		v := &j.log.EndpointRequests[i]
+		if v.Endpoint != box || v.FirstByte > by || v.FirstByte < max(start, after-j.p.Scenario.Rules.FallWindow.D()) {
 			continue
 		}
-		n := j.index.try(v.Txn)
+		n := j.index.try(v.TransactionID)
 		if n < 0 {
 			continue
 		}
-		t := &j.log.Tries[n]
+		t := &j.log.ClientAttempts[n]
 		work := j.p.Requests[t.Request].Work
 		all += work
-		if at, known := knows[t.Sidecar]; known && at <= v.Begun {
+		if at, known := knows[t.Sidecar]; known && at <= v.FirstByte {
 			told += work
 		}
 	}
@@ -139,8 +139,8 @@
 			}
 		}
 	}
-	for _, t := range j.log.Told {
-		if t.Box == box {
+	for _, t := range j.log.Notifications {
+		if t.Endpoint == box {
 			hears(t.Sidecar, t.At, t.UpSince)
 		}
 	}
--- a/internal/lab/judge/property_test.go
+++ b/internal/lab/judge/property_test.go
@@ -40,7 +40,7 @@
 func (c *correct) run() {
 	c.p.Scenario.Rules.SecondCopies = c.odds(50)
 	for s := range 2 {
-		c.log.Changes = append(c.log.Changes, trace.Change{At: -time.Minute, Sidecar: s, What: trace.Begun})
+		c.log.SidecarEvents = append(c.log.SidecarEvents, trace.SidecarEvent{At: -time.Minute, Sidecar: s, Kind: trace.SidecarStarted})
 		c.end[s] = never
 		for box := range 3 {
 			c.off[s][box] = never
@@ -48,13 +48,13 @@
 				at := c.span(4 * time.Second)
 				c.off[s][box] = at
 				phase := trace.Phase(rapid.IntRange(1, 2).Draw(c.T, "phase"))
-				c.log.Told = append(c.log.Told, trace.Told{At: at, Sidecar: s, Box: box, Phase: phase})
+				c.log.Notifications = append(c.log.Notifications, trace.Notification{At: at, Sidecar: s, Endpoint: box, Phase: phase})
 			}
 		}
 	}
 	if c.odds(50) {
 		c.end[1] = time.Second + c.span(3*time.Second)
-		c.log.Changes = append(c.log.Changes, trace.Change{At: c.end[1], Sidecar: 1, What: trace.Killed})
+		c.log.SidecarEvents = append(c.log.SidecarEvents, trace.SidecarEvent{At: c.end[1], Sidecar: 1, Kind: trace.SidecarKilled})
 	}
 	c.request(2, 100*time.Millisecond, true)
 	for range rapid.IntRange(0, 12).Draw(c.T, "requests") {
@@ -67,29 +67,29 @@
 	n := len(c.p.Requests)
 	c.p.Requests = append(c.p.Requests, plan.Request{Due: due, Class: class, Patience: 2 * time.Second, Work: time.Millisecond})
 	for no, at := 0, due; no < 3; no++ {
-		t := trace.Try{Txn: c.p.Txn(n, no), Request: n, No: no, Class: class, Due: due, Sent: at, Left: 500 * time.Millisecond, Box: -1}
+		t := trace.ClientAttempt{TransactionID: c.p.Txn(n, no), Request: n, Number: no, Class: class, Due: due, Sent: at, Timeout: 500 * time.Millisecond, Endpoint: -1}
 		if t.Sidecar = rapid.IntRange(0, 1).Draw(c.T, "sidecar"); plainly || at >= c.end[t.Sidecar] {
 			t.Sidecar = 0
 		}
 		c.try(&t, plainly)
-		c.log.Tries = append(c.log.Tries, t)
-		if t.Status != trace.Refused && (class == 2 || t.Status == trace.Served || t.Status == trace.Gone) ||
-			class == 1 && t.Answered > due+300*time.Millisecond {
+		c.log.ClientAttempts = append(c.log.ClientAttempts, t)
+		if t.Status != trace.StatusRejected && (class == 2 || t.Status == trace.StatusServed || t.Status == trace.StatusCanceled) ||
+			class == 1 && t.Ended > due+300*time.Millisecond {
 			return
 		}
-		at = t.Answered + 10*time.Millisecond
+		at = t.Ended + 10*time.Millisecond
 	}
 }
 
 // try is what a sidecar does with one: up to three attempts, and a final answer in time.
-func (c *correct) try(t *trace.Try, plainly bool) {
+func (c *correct) try(t *trace.ClientAttempt, plainly bool) {
 	now, may, first := t.Sent, false, time.Duration(0)
-	over := t.Sent + t.Left + 50*time.Millisecond // the last moment for an answer, and then some
-	t.Answers = 1
+	over := t.Sent + t.Timeout + 50*time.Millisecond // the last moment for an answer, and then some
+	t.Responses = 1
 	defer func() {
-		if dies := c.end[t.Sidecar]; t.Answered > dies { // with all it holds
-			t.Status, t.Answered, t.Answers = trace.Broken, dies, 0
-			c.log.Visits = slices.DeleteFunc(c.log.Visits, func(v trace.Visit) bool { return v.Txn == t.Txn && v.Begun > dies })
+		if dies := c.end[t.Sidecar]; t.Ended > dies { // with all it holds
+			t.Status, t.Ended, t.Responses = trace.StatusDisconnected, dies, 0
+			c.log.EndpointRequests = slices.DeleteFunc(c.log.EndpointRequests, func(v trace.EndpointRequest) bool { return v.TransactionID == t.TransactionID && v.FirstByte > dies })
 		}
 	}()
 	for attempts := 0; attempts < 3 && now < over-300*time.Millisecond; attempts++ {
@@ -101,87 +101,93 @@
 		if plainly || now > c.off[t.Sidecar][box]+300*time.Millisecond {
 			box = 0
 		}
-		v := trace.Visit{Txn: t.Txn, Box: box, Begun: now, Arrived: now, Started: trace.None, Ended: now, End: trace.TurnedAway}
+		v := trace.EndpointRequest{TransactionID: t.TransactionID, Endpoint: box, FirstByte: now, LastByte: now, Started: trace.Unset, Ended: now, Outcome: trace.OutcomeRejected}
 		if plainly || c.odds(70) {
 			v.Started, v.Ended = now+c.span(time.Millisecond), now+time.Millisecond+c.span(200*time.Millisecond)
-			v.End = rapid.SampledFrom([]trace.End{trace.OK, trace.Errored, trace.Withdrawn}).Draw(c.T, "end")
+			v.Outcome = rapid.SampledFrom([]trace.Outcome{trace.OutcomeOK, trace.OutcomeError, trace.OutcomeCanceled}).Draw(c.T, "end")
 			if plainly {
-				v.End = trace.OK
+				v.Outcome = trace.OutcomeOK
 			}
 			if !may {
 				may, first = true, now
 			}
 		}
-		c.log.Visits = append(c.log.Visits, v)
-		if now = v.Ended; v.End == trace.OK {
-			t.Status, t.Answered, t.Box = trace.Served, now, box
+		c.log.EndpointRequests = append(c.log.EndpointRequests, v)
+		if now = v.Ended; v.Outcome == trace.OutcomeOK {
+			t.Status, t.Ended, t.Endpoint = trace.StatusServed, now, box
 			return
 		}
 	}
-	t.Answered, t.Status = now+time.Millisecond, trace.Failed
+	t.Ended, t.Status = now+time.Millisecond, trace.StatusFailed
 	if t.Class != 2 || !may {
-		t.Status = trace.Refused
+		t.Status = trace.StatusRejected
 	}
 	if c.odds(10) {
-		t.Status, t.Answers = trace.Gone, 0
+		t.Status, t.Responses = trace.StatusCanceled, 0
 	}
 }
 
 // drawn is a correct run and, of it, one unsafe try that was served, with its visit last.
-func drawn(t *rapid.T, p *plan.Plan) (*correct, *trace.Try, *trace.Visit) {
+func drawn(t *rapid.T, p *plan.Plan) (*correct, *trace.ClientAttempt, *trace.EndpointRequest) {
 	c := &correct{T: t, p: p, log: &trace.Log{}}
 	p.Requests = nil
 	c.run()
 	var at []int
-	for i, try := range c.log.Tries {
-		if try.Class == 2 && try.Status == trace.Served {
+	for i, try := range c.log.ClientAttempts {
+		if try.Class == 2 && try.Status == trace.StatusServed {
 			at = append(at, i)
 		}
 	}
-	try := &c.log.Tries[rapid.SampledFrom(at).Draw(t, "try")]
-	i := slices.IndexFunc(c.log.Visits, func(v trace.Visit) bool { return v.Txn == try.Txn && v.End == trace.OK })
-	v := c.log.Visits[i]
-	c.log.Visits = append(slices.Delete(c.log.Visits, i, i+1), v)
-	return c, try, &c.log.Visits[len(c.log.Visits)-1]
+	try := &c.log.ClientAttempts[rapid.SampledFrom(at).Draw(t, "try")]
+	i := slices.IndexFunc(c.log.EndpointRequests, func(v trace.EndpointRequest) bool {
+		return v.TransactionID == try.TransactionID && v.Outcome == trace.OutcomeOK
+	})
+	v := c.log.EndpointRequests[i]
+	c.log.EndpointRequests = append(slices.Delete(c.log.EndpointRequests, i, i+1), v)
+	return c, try, &c.log.EndpointRequests[len(c.log.EndpointRequests)-1]
 }
 
 // What keeps the rules is never blamed, and each way to break them is found, whatever goes on beside it.
 func TestFaultsAreFound(t *testing.T) {
 	base := newPlan(t)
-	mutations := map[Kind]func(*correct, *trace.Try, *trace.Visit){
-		"":            func(*correct, *trace.Try, *trace.Visit) {},
-		AnsweredTwice: func(_ *correct, t *trace.Try, _ *trace.Visit) { t.Answers++ },
-		Forged:        func(_ *correct, t *trace.Try, _ *trace.Visit) { t.Forged = true },
-		Lost: func(c *correct, t *trace.Try, _ *trace.Visit) {
-			t.Sidecar, t.Status, t.Answers, t.Answered = 0, trace.Silent, 0, t.Sent+t.Left
+	mutations := map[Kind]func(*correct, *trace.ClientAttempt, *trace.EndpointRequest){
+		"":            func(*correct, *trace.ClientAttempt, *trace.EndpointRequest) {},
+		AnsweredTwice: func(_ *correct, t *trace.ClientAttempt, _ *trace.EndpointRequest) { t.Responses++ },
+		Forged:        func(_ *correct, t *trace.ClientAttempt, _ *trace.EndpointRequest) { t.Forged = true },
+		Lost: func(c *correct, t *trace.ClientAttempt, _ *trace.EndpointRequest) {
+			t.Sidecar, t.Status, t.Responses, t.Ended = 0, trace.StatusTimedOut, 0, t.Sent+t.Timeout
 		},
-		UnsafeRefused: func(_ *correct, t *trace.Try, _ *trace.Visit) { t.Status, t.Code = trace.Refused, 503 },
-		RanTwice: func(c *correct, _ *trace.Try, v *trace.Visit) {
+		UnsafeRefused: func(_ *correct, t *trace.ClientAttempt, _ *trace.EndpointRequest) {
+			t.Status, t.Code = trace.StatusRejected, 503
+		},
+		RanTwice: func(c *correct, _ *trace.ClientAttempt, v *trace.EndpointRequest) {
 			again := *v
-			again.Begun += c.span(time.Second)
-			again.Arrived, again.Started = again.Begun, trace.None
-			c.log.Visits = append(c.log.Visits, again)
+			again.FirstByte += c.span(time.Second)
+			again.LastByte, again.Started = again.FirstByte, trace.Unset
+			c.log.EndpointRequests = append(c.log.EndpointRequests, again)
+		},
+		TooManyAttempts: func(c *correct, _ *trace.ClientAttempt, v *trace.EndpointRequest) {
+			c.log.EndpointRequests = append(c.log.EndpointRequests, *v, *v, *v)
 		},
-		TooManyAttempts: func(c *correct, _ *trace.Try, v *trace.Visit) { c.log.Visits = append(c.log.Visits, *v, *v, *v) },
-		SecondCopy: func(c *correct, _ *trace.Try, v *trace.Visit) {
+		SecondCopy: func(c *correct, _ *trace.ClientAttempt, v *trace.EndpointRequest) {
 			c.p.Scenario.Rules.SecondCopies = false
-			v.Ended = v.Begun + 200*time.Millisecond
+			v.Ended = v.FirstByte + 200*time.Millisecond
 			again := *v
-			again.Begun, again.Arrived = v.Begun+time.Millisecond, v.Begun+time.Millisecond
-			c.log.Visits = append(c.log.Visits, again)
+			again.FirstByte, again.LastByte = v.FirstByte+time.Millisecond, v.FirstByte+time.Millisecond
+			c.log.EndpointRequests = append(c.log.EndpointRequests, again)
 		},
-		AfterEnd: func(c *correct, t *trace.Try, v *trace.Visit) {
+		AfterEnd: func(c *correct, t *trace.ClientAttempt, v *trace.EndpointRequest) {
 			again := *v
-			again.Begun = t.Answered + 59*time.Millisecond + c.span(time.Second)
-			c.log.Visits = append(c.log.Visits, again)
+			again.FirstByte = t.Ended + 59*time.Millisecond + c.span(time.Second)
+			c.log.EndpointRequests = append(c.log.EndpointRequests, again)
 		},
-		AfterDrain: func(c *correct, t *trace.Try, v *trace.Visit) {
-			at := v.Begun - 351*time.Millisecond - c.span(time.Second)
-			c.log.Told = append(c.log.Told, trace.Told{At: at, Sidecar: t.Sidecar, Box: v.Box, Phase: trace.Terminating})
+		AfterDrain: func(c *correct, t *trace.ClientAttempt, v *trace.EndpointRequest) {
+			at := v.FirstByte - 351*time.Millisecond - c.span(time.Second)
+			c.log.Notifications = append(c.log.Notifications, trace.Notification{At: at, Sidecar: t.Sidecar, Endpoint: v.Endpoint, Phase: trace.PhaseTerminating})
 		},
-		Unknown: func(_ *correct, _ *trace.Try, v *trace.Visit) { v.Txn ^= 1 },
-		Crashed: func(c *correct, t *trace.Try, _ *trace.Visit) {
-			c.log.Changes = append(c.log.Changes, trace.Change{At: 5 * time.Second, Sidecar: t.Sidecar, What: trace.Crashed})
+		Unknown: func(_ *correct, _ *trace.ClientAttempt, v *trace.EndpointRequest) { v.TransactionID ^= 1 },
+		Crashed: func(c *correct, t *trace.ClientAttempt, _ *trace.EndpointRequest) {
+			c.log.SidecarEvents = append(c.log.SidecarEvents, trace.SidecarEvent{At: 5 * time.Second, Sidecar: t.Sidecar, Kind: trace.SidecarCrashed})
 		},
 	}
 	for kind, mutate := range mutations {
@@ -207,15 +213,15 @@
 	for i := range 1_000_000 {
 		at := time.Duration(i) * 10 * time.Microsecond
 		p.Requests = append(p.Requests, plan.Request{Due: at, Class: i % 3})
-		try := trace.Try{Txn: p.Txn(i, 0), Request: i, Class: i % 3, Sent: at, Left: 500 * time.Millisecond, Answered: at + 10*time.Millisecond, Answers: 1}
-		log.Tries = append(log.Tries, try)
-		away := trace.Visit{Txn: try.Txn, Box: 1, Begun: at + 1, Arrived: at + 1, Started: trace.None, Ended: at + 2, End: trace.TurnedAway}
-		log.Visits = append(log.Visits, away, trace.Visit{Txn: try.Txn, Begun: at + 5, Arrived: at + 5, Started: at + 5, Ended: at + 9, End: trace.OK})
+		try := trace.ClientAttempt{TransactionID: p.Txn(i, 0), Request: i, Class: i % 3, Sent: at, Timeout: 500 * time.Millisecond, Ended: at + 10*time.Millisecond, Responses: 1}
+		log.ClientAttempts = append(log.ClientAttempts, try)
+		away := trace.EndpointRequest{TransactionID: try.TransactionID, Endpoint: 1, FirstByte: at + 1, LastByte: at + 1, Started: trace.Unset, Ended: at + 2, Outcome: trace.OutcomeRejected}
+		log.EndpointRequests = append(log.EndpointRequests, away, trace.EndpointRequest{TransactionID: try.TransactionID, FirstByte: at + 5, LastByte: at + 5, Started: at + 5, Ended: at + 9, Outcome: trace.OutcomeOK})
 	}
 	for b.Loop() {
 		if v := Judge(p, log); !v.Held() {
 			b.Fatal(found(v))
 		}
 	}
-	b.ReportMetric(float64(len(log.Tries))*float64(b.N)/b.Elapsed().Seconds(), "tries/s")
+	b.ReportMetric(float64(len(log.ClientAttempts))*float64(b.N)/b.Elapsed().Seconds(), "tries/s")
 }
--- a/internal/lab/judge/script_test.go
+++ b/internal/lab/judge/script_test.go
@@ -70,37 +70,37 @@
 			p.Requests = append(p.Requests, plan.Request{Due: w.ms(1), Class: class, Patience: time.Second, Work: 10 * time.Millisecond})
 			w.try(p, log, 0, 3)
 		case "retry":
-			w.try(p, log, log.Tries[len(log.Tries)-1].No+1, 2)
+			w.try(p, log, log.ClientAttempts[len(log.ClientAttempts)-1].Number+1, 2)
 		case "visit":
 			how := slices.Index([]string{"held", "ok", "error", "away", "spoilt", "withdrawn", "lost"}, w.f[5])
-			log.Visits = append(log.Visits, trace.Visit{Txn: log.Tries[len(log.Tries)-1].Txn, Box: w.number(1), Begun: w.ms(2), Arrived: w.ms(2),
-				Started: w.ms(3), Ended: w.ms(4), End: trace.End(how)})
+			log.EndpointRequests = append(log.EndpointRequests, trace.EndpointRequest{TransactionID: log.ClientAttempts[len(log.ClientAttempts)-1].TransactionID, Endpoint: w.number(1), FirstByte: w.ms(2), LastByte: w.ms(2),
+				Started: w.ms(3), Ended: w.ms(4), Outcome: trace.Outcome(how)})
 		case "end":
-			try := &log.Tries[len(log.Tries)-1]
-			try.Answered, try.Answers = w.ms(1), 1
+			try := &log.ClientAttempts[len(log.ClientAttempts)-1]
+			try.Ended, try.Responses = w.ms(1), 1
 			try.Status = trace.Status(slices.Index([]string{"served", "refused", "failed", "gone", "silent", "broken"}, w.f[2]))
 			if try.Forged = w.has("forged"); w.has("twice") {
-				try.Answers = 2
+				try.Responses = 2
 			}
 		case "stray":
-			log.Visits = append(log.Visits, trace.Visit{Txn: 99, Box: w.number(1), Begun: w.ms(2), Arrived: w.ms(2), Started: w.ms(2), Ended: w.ms(2)})
+			log.EndpointRequests = append(log.EndpointRequests, trace.EndpointRequest{TransactionID: 99, Endpoint: w.number(1), FirstByte: w.ms(2), LastByte: w.ms(2), Started: w.ms(2), Ended: w.ms(2)})
 		case "told":
-			told := trace.Told{At: w.ms(1), Sidecar: w.number(2), Box: w.number(3), Phase: w.phase(4)}
+			told := trace.Notification{At: w.ms(1), Sidecar: w.number(2), Endpoint: w.number(3), Phase: w.phase(4)}
 			if len(w.f) > 5 {
 				told.UpSince = w.ms(5)
 			}
-			log.Told = append(log.Told, told)
+			log.Notifications = append(log.Notifications, told)
 		case "agent":
 			p.Events = append(p.Events, plan.Event{At: w.ms(1), Kind: plan.Tell, Box: -1, Sidecar: w.number(2),
 				Entry: plan.Listed{Box: w.number(3), Phase: w.phase(4)}})
 		case "proc":
 			what := slices.Index([]string{"started", "ready", "stopping", "killed", "ended", "crashed"}, w.f[3])
-			log.Changes = append(log.Changes, trace.Change{At: w.ms(1), Sidecar: w.number(2), What: trace.Happening(what)})
+			log.SidecarEvents = append(log.SidecarEvents, trace.SidecarEvent{At: w.ms(1), Sidecar: w.number(2), Kind: trace.SidecarEventKind(what)})
 		case "start":
 			p.Events = append(p.Events, plan.Event{At: w.ms(1), Kind: plan.StartBox, Box: w.number(2), Sidecar: -1})
 		case "sample":
-			log.Samples = append(log.Samples, trace.Sample{At: w.ms(1), Box: w.number(2), Sent: w.ms(3), Could: w.ms(4),
-				Cold: w.has("cold"), Fallen: w.has("fallen")})
+			log.Samples = append(log.Samples, trace.Sample{At: w.ms(1), Endpoint: w.number(2), SentWork: w.ms(3), PossibleWork: w.ms(4),
+				WarmingUp: w.has("cold"), Collapsed: w.has("fallen")})
 		default:
 			t.Fatalf("%q is no line of a script", text)
 		}
@@ -126,7 +126,7 @@
 
 func (w words) ms(i int) time.Duration {
 	if w.f[i] == "-" {
-		return trace.None
+		return trace.Unset
 	}
 	n, err := strconv.Atoi(w.f[i])
 	if err != nil {
@@ -141,8 +141,8 @@
 
 func (w words) try(p *plan.Plan, log *trace.Log, no, sidecar int) {
 	request := len(p.Requests) - 1
-	log.Tries = append(log.Tries, trace.Try{Txn: p.Txn(request, no), Request: request, No: no, Sidecar: w.number(sidecar),
-		Class: p.Requests[request].Class, Due: p.Requests[request].Due, Sent: w.ms(1), Left: 500 * time.Millisecond, Answered: trace.None, Box: -1})
+	log.ClientAttempts = append(log.ClientAttempts, trace.ClientAttempt{TransactionID: p.Txn(request, no), Request: request, Number: no, Sidecar: w.number(sidecar),
+		Class: p.Requests[request].Class, Due: p.Requests[request].Due, Sent: w.ms(1), Timeout: 500 * time.Millisecond, Ended: trace.Unset, Endpoint: -1})
 }
 
 // found is a verdict's counts in words.
--- a/internal/lab/judge/story.go
+++ b/internal/lab/judge/story.go
@@ -73,64 +73,64 @@
 		s.happens(r.Due, "request %d is due: %s (%s), its client waits %s", n, c.Name, c.Effect, r.Patience)
 	}
 	for _, i := range s.index.request(n) {
-		t := &s.log.Tries[i]
-		name := fmt.Sprintf("try %d", t.No+1)
+		t := &s.log.ClientAttempts[i]
+		name := fmt.Sprintf("try %d", t.Number+1)
 		if t.Tier > 0 {
-			name = fmt.Sprintf("call %016x of tier %s", t.Txn, s.p.Scenario.Tier[t.Tier].Name)
+			name = fmt.Sprintf("call %016x of tier %s", t.TransactionID, s.p.Scenario.Tier[t.Tier].Name)
 		}
 		s.sidecars[t.Sidecar] = true
-		if t.Sent != trace.None {
-			s.happens(t.Sent, "%s is written to sidecar %s, with %s left", name, s.sidecar(t.Sidecar), t.Left)
-			if until := t.Sent + t.Left; t.Answered == trace.None || t.Answered > until {
+		if t.Sent != trace.Unset {
+			s.happens(t.Sent, "%s is written to sidecar %s, with %s left", name, s.sidecar(t.Sidecar), t.Timeout)
+			if until := t.Sent + t.Timeout; t.Ended == trace.Unset || t.Ended > until {
 				s.happens(until, "%s has run out of time", name)
 			}
 		}
-		if t.Answered != trace.None {
-			s.happens(t.Answered, "%s ends: %s", name, s.end(t))
+		if t.Ended != trace.Unset {
+			s.happens(t.Ended, "%s ends: %s", name, s.end(t))
 		}
-		s.visits(t.Txn, "of "+name)
+		s.visits(t.TransactionID, "of "+name)
 	}
 }
 
 // end is a try's, in words.
-func (s *story) end(t *trace.Try) string {
+func (s *story) end(t *trace.ClientAttempt) string {
 	out := t.Status.String()
 	if t.Code != 0 {
 		out += fmt.Sprintf(" (%d)", t.Code)
 	}
-	if t.Box >= 0 {
-		out += ", the answer is of box " + s.box(t.Box)
+	if t.Endpoint >= 0 {
+		out += ", the answer is of box " + s.box(t.Endpoint)
 	}
 	if t.Forged {
 		out += ", with a body that no box made for it"
 	}
-	if t.Answers > 1 {
-		out += fmt.Sprintf(", %d answers", t.Answers)
+	if t.Responses > 1 {
+		out += fmt.Sprintf(", %d answers", t.Responses)
 	}
-	if t.Advice > 0 {
-		out += fmt.Sprintf(", not before %s", t.Advice)
+	if t.RetryAfter > 0 {
+		out += fmt.Sprintf(", not before %s", t.RetryAfter)
 	}
 	return out
 }
 
 func (s *story) visits(txn uint64, whose string) {
 	for _, i := range s.index.of(txn) {
-		v := &s.log.Visits[i]
-		s.boxes[v.Box] = true
-		if v.Arrived == trace.None {
-			s.happens(v.Begun, "box %s gets a part %s, and never the rest", s.box(v.Box), whose)
+		v := &s.log.EndpointRequests[i]
+		s.boxes[v.Endpoint] = true
+		if v.LastByte == trace.Unset {
+			s.happens(v.FirstByte, "box %s gets a part %s, and never the rest", s.box(v.Endpoint), whose)
 		} else {
-			s.happens(v.Arrived, "box %s has an attempt %s, on connection %d, since +%.3f s", s.box(v.Box), whose, v.Conn, v.Begun.Seconds())
+			s.happens(v.LastByte, "box %s has an attempt %s, on connection %d, since +%.3f s", s.box(v.Endpoint), whose, v.ConnectionID, v.FirstByte.Seconds())
 		}
-		if v.Started != trace.None {
+		if v.Started != trace.Unset {
 			how := "begins to run it"
-			if v.Repeat {
+			if v.Deduplicated {
 				how = "knows its key: it has no effect again"
 			}
-			s.happens(v.Started, "box %s %s", s.box(v.Box), how)
+			s.happens(v.Started, "box %s %s", s.box(v.Endpoint), how)
 		}
-		if v.Ended != trace.None {
-			s.happens(v.Ended, "box %s is done with it: %s", s.box(v.Box), v.End)
+		if v.Ended != trace.Unset {
+			s.happens(v.Ended, "box %s is done with it: %s", s.box(v.Endpoint), v.Outcome)
 		}
 	}
 }
@@ -139,10 +139,10 @@
 func (s *story) senders(box int) {
 	knows := s.knowsStart(box, lastStart(s.p, box, s.to))
 	count := map[int]int{}
-	for i := range s.log.Visits {
-		if v := &s.log.Visits[i]; v.Box == box && v.Begun <= s.to && v.Begun >= s.to-s.p.Scenario.Rules.FallWindow.D() {
-			if n := s.index.try(v.Txn); n >= 0 {
-				count[s.log.Tries[n].Sidecar]++
+	for i := range s.log.EndpointRequests {
+		if v := &s.log.EndpointRequests[i]; v.Endpoint == box && v.FirstByte <= s.to && v.FirstByte >= s.to-s.p.Scenario.Rules.FallWindow.D() {
+			if n := s.index.try(v.TransactionID); n >= 0 {
+				count[s.log.ClientAttempts[n].Sidecar]++
 			}
 		}
 	}
@@ -191,22 +191,22 @@
 
 // discovery is what the sidecars were told of the boxes.
 func (s *story) discovery() {
-	last := map[int]*trace.Told{} // by sidecar and box
-	tell := func(t *trace.Told) {
+	last := map[int]*trace.Notification{} // by sidecar and box
+	tell := func(t *trace.Notification) {
 		since := ""
 		if t.UpSince > 0 {
 			since = fmt.Sprintf(", up since +%.3f s", t.UpSince.Seconds())
 		}
-		s.add(t.At, "discovery tells sidecar %s that box %s is %s%s", s.sidecar(t.Sidecar), s.box(t.Box), t.Phase, since)
+		s.add(t.At, "discovery tells sidecar %s that box %s is %s%s", s.sidecar(t.Sidecar), s.box(t.Endpoint), t.Phase, since)
 	}
-	for i := range s.log.Told {
-		t := &s.log.Told[i]
-		if !s.boxes[t.Box] || !s.everyone && !s.sidecars[t.Sidecar] {
+	for i := range s.log.Notifications {
+		t := &s.log.Notifications[i]
+		if !s.boxes[t.Endpoint] || !s.everyone && !s.sidecars[t.Sidecar] {
 			continue
 		}
 		switch {
 		case t.At < s.from:
-			if pair := t.Sidecar*len(s.p.Boxes) + t.Box; last[pair] == nil || last[pair].At <= t.At {
+			if pair := t.Sidecar*len(s.p.Boxes) + t.Endpoint; last[pair] == nil || last[pair].At <= t.At {
 				last[pair] = t
 			}
 		case t.At <= s.to:
@@ -220,9 +220,9 @@
 
 // processes is what became of the sidecars.
 func (s *story) processes() {
-	last := map[int]trace.Change{}
-	tell := func(c trace.Change) {
-		s.add(c.At, "sidecar %s: %s", s.sidecar(c.Sidecar), strings.TrimSpace(c.What.String()+" "+c.Text))
+	last := map[int]trace.SidecarEvent{}
+	tell := func(c trace.SidecarEvent) {
+		s.add(c.At, "sidecar %s: %s", s.sidecar(c.Sidecar), strings.TrimSpace(c.Kind.String()+" "+c.Detail))
 	}
 	for _, c := range sortedChanges(s.log) {
 		switch {
--- a/internal/lab/judge/throng.go
+++ b/internal/lab/judge/throng.go
@@ -30,32 +30,32 @@
 func (j *judge) crest(box int, start time.Duration) (worst float64, where string) {
 	spec, window := &j.p.Boxes[box].Spec, j.p.Scenario.Rules.FallWindow.D()
 	knows := j.knowsStart(box, start)
-	var in []trace.Visit // of the window that ends with the last of them
-	for _, v := range j.log.Visits {
-		if v.Box != box || v.Begun < start || v.Begun > start+spec.ColdFor {
+	var in []trace.EndpointRequest // of the window that ends with the last of them
+	for _, v := range j.log.EndpointRequests {
+		if v.Endpoint != box || v.FirstByte < start || v.FirstByte > start+spec.ColdFor {
 			continue
 		}
-		for in = append(in, v); in[0].Begun <= v.Begun-window; in = in[1:] {
+		for in = append(in, v); in[0].FirstByte <= v.FirstByte-window; in = in[1:] {
 		}
 		told := 0
 		for i := range in {
-			n := j.index.try(in[i].Txn)
+			n := j.index.try(in[i].TransactionID)
 			if n < 0 {
 				continue
 			}
-			if at, known := knows[j.log.Tries[n].Sidecar]; known && at <= in[i].Begun {
+			if at, known := knows[j.log.ClientAttempts[n].Sidecar]; known && at <= in[i].FirstByte {
 				told++
 			}
 		}
 		if float64(told) <= toldShare*float64(len(in)) {
 			continue
 		}
-		age := max(0, v.Begun-window/2-start) // it warms evenly: what it can do in the middle of the window is the mean
+		age := max(0, v.FirstByte-window/2-start) // it warms evenly: what it can do in the middle of the window is the mean
 		able := float64(spec.Cores) * spec.Speed * (spec.ColdFrom + (1-spec.ColdFrom)*float64(age)/float64(spec.ColdFor))
 		allowed := j.p.Scenario.Rules.FallMultiple * able * float64(window) / meanWork(j.p)
 		if over := float64(len(in)) / (allowed + 2*math.Sqrt(allowed) + 2); over > worst {
 			worst = over
-			where = fmt.Sprintf("%v after its start: %d in %v, %d of them told, N is %.1f", v.Begun-start, len(in), window, told, allowed)
+			where = fmt.Sprintf("%v after its start: %d in %v, %d of them told, N is %.1f", v.FirstByte-start, len(in), window, told, allowed)
 		}
 	}
 	return worst, where
--- a/internal/lab/loopback/audit_test.go
+++ b/internal/lab/loopback/audit_test.go
@@ -209,14 +209,14 @@
 }
 
 // each calls f with the tries that were due after a time, and the boxes that have left by then are those of the drain.
-func (o *together) each(after time.Duration, f func(t *trace.Try, v *trace.Visit)) {
-	visits := map[uint64]*trace.Visit{}
-	for i := range o.played.Visits {
-		visits[o.played.Visits[i].Txn] = &o.played.Visits[i]
+func (o *together) each(after time.Duration, f func(t *trace.ClientAttempt, v *trace.EndpointRequest)) {
+	visits := map[uint64]*trace.EndpointRequest{}
+	for i := range o.played.EndpointRequests {
+		visits[o.played.EndpointRequests[i].TransactionID] = &o.played.EndpointRequests[i]
 	}
-	for i := range o.played.Tries {
-		if t := &o.played.Tries[i]; t.Due > after {
-			f(t, visits[t.Txn])
+	for i := range o.played.ClientAttempts {
+		if t := &o.played.ClientAttempts[i]; t.Due > after {
+			f(t, visits[t.TransactionID])
 		}
 	}
 }
@@ -224,9 +224,9 @@
 // left are the boxes that discovery has told to leave.
 func (o *together) left() map[int]bool {
 	out := map[int]bool{}
-	for _, told := range o.played.Told {
-		if told.Phase == trace.Terminating {
-			out[told.Box] = true
+	for _, told := range o.played.Notifications {
+		if told.Phase == trace.PhaseTerminating {
+			out[told.Endpoint] = true
 		}
 	}
 	return out
@@ -235,8 +235,8 @@
 // late counts the requests due after a time that came to a box that had left.
 func (o *together) late(after time.Duration) (n int) {
 	left := o.left()
-	o.each(after, func(_ *trace.Try, v *trace.Visit) {
-		if v != nil && left[v.Box] {
+	o.each(after, func(_ *trace.ClientAttempt, v *trace.EndpointRequest) {
+		if v != nil && left[v.Endpoint] {
 			n++
 		}
 	})
@@ -246,8 +246,8 @@
 // onWaking counts the requests that came while their sidecars were stopped and were sent to boxes that had left.
 func (o *together) onWaking() (n int) {
 	left := o.left()
-	o.each(12*time.Second, func(t *trace.Try, v *trace.Visit) {
-		if v != nil && left[v.Box] && t.Due < 16*time.Second && v.Begun > 16*time.Second {
+	o.each(12*time.Second, func(t *trace.ClientAttempt, v *trace.EndpointRequest) {
+		if v != nil && left[v.Endpoint] && t.Due < 16*time.Second && v.FirstByte > 16*time.Second {
 			n++
 		}
 	})
@@ -257,8 +257,8 @@
 // servedBy is how many sidecars served something that was due after a time.
 func (o *together) servedBy(after time.Duration) int {
 	by := map[int]bool{}
-	o.each(after, func(t *trace.Try, _ *trace.Visit) {
-		if t.Status == trace.Served {
+	o.each(after, func(t *trace.ClientAttempt, _ *trace.EndpointRequest) {
+		if t.Status == trace.StatusServed {
 			by[t.Sidecar] = true
 		}
 	})
@@ -267,8 +267,8 @@
 
 // refusedOrders counts the orders that came again and were refused as old.
 func (o *together) refusedOrders() (n int) {
-	for _, r := range o.played.Ordered {
-		if r.Code == 409 {
+	for _, r := range o.played.ReplayedOrders {
+		if r.StatusCode == 409 {
 			n++
 		}
 	}
--- a/internal/lab/loopback/bench_test.go
+++ b/internal/lab/loopback/bench_test.go
@@ -44,10 +44,10 @@
 				}
 				served := 0
 				var took []time.Duration
-				for _, t := range log.Tries {
-					if t.Status == trace.Served {
+				for _, t := range log.ClientAttempts {
+					if t.Status == trace.StatusServed {
 						served++
-						took = append(took, t.Answered-t.Due)
+						took = append(took, t.Ended-t.Due)
 					}
 				}
 				late := func(l []time.Duration, part float64) float64 {
@@ -98,30 +98,30 @@
 					}
 					begun := make([]time.Duration, sidecars)
 					var ready []time.Duration
-					for _, c := range log.Changes {
-						switch c.What {
-						case trace.Begun:
+					for _, c := range log.SidecarEvents {
+						switch c.Kind {
+						case trace.SidecarStarted:
 							begun[c.Sidecar] = c.At
-						case trace.Able:
+						case trace.SidecarReady:
 							ready = append(ready, c.At-begun[c.Sidecar])
 						}
 					}
 					lists, conns := map[[2]int64]bool{}, map[[2]uint64]bool{}
-					for _, t := range log.Told {
+					for _, t := range log.Notifications {
 						if t.At < time.Second {
 							lists[[2]int64{int64(t.Sidecar), int64(t.At)}] = true
 						}
 					}
-					for _, v := range log.Visits {
-						if v.Begun < time.Second {
-							conns[[2]uint64{uint64(v.Box), v.Conn}] = true
+					for _, v := range log.EndpointRequests {
+						if v.FirstByte < time.Second {
+							conns[[2]uint64{uint64(v.Endpoint), v.ConnectionID}] = true
 						}
 					}
 					memory, cpu, files := 0.0, 0.0, 0
 					for _, u := range log.Usage {
 						memory = max(memory, float64(u.PeakMemory)/(1<<20))
 						cpu += u.CPU.Seconds() / float64(len(log.Usage))
-						files = max(files, u.Descriptors)
+						files = max(files, u.MaxDescriptors)
 					}
 					slices.Sort(ready)
 					b.ReportMetric(float64(ready[len(ready)/2].Microseconds())/1000, "ms-ready-median")
--- a/internal/lab/loopback/box.go
+++ b/internal/lab/loopback/box.go
@@ -22,8 +22,8 @@
 	codec codec
 	idle  time.Duration // after which a connection is closed
 	door  *door
-	send  func(context.Context, query) trace.Try // a call to the next tier
-	fell  func()                                 // called once, when it has fallen over
+	send  func(context.Context, query) trace.ClientAttempt // a call to the next tier
+	fell  func()                                           // called once, when it has fallen over
 
 	ctx     context.Context // until it is closed
 	cancel  context.CancelFunc
@@ -70,7 +70,7 @@
 		idle: r.plan.Scenario.Rules.ConnIdle.D(), model: model.New(p.Spec, p.Seed), armed: model.Never,
 		chance: rand.New(rand.NewPCG(p.Seed, 1)), peers: map[*peer]struct{}{}, jobs: map[uint64]*visit{},
 		visits: map[uint64]int{}, absent: p.Start == "absent"}
-	b.send = func(ctx context.Context, q query) trace.Try { return r.callers.do(ctx, q) }
+	b.send = func(ctx context.Context, q query) trace.ClientAttempt { return r.callers.do(ctx, q) }
 	b.fell = func() { r.fell(index) }
 	b.mu = new(sync.Mutex)
 	if p.Spec.KeyWindow > 0 {
@@ -155,8 +155,8 @@
 	defer b.mu.Unlock()
 	l := b.model.Load(now)
 	b.carryOut()
-	return trace.Sample{At: now, Box: b.index, InWork: l.InWork, Waiting: l.Waiting, Connections: l.Connections,
-		Capacity: l.Capacity, Sent: l.SentWork, Could: l.Could, Did: l.Did, Cold: l.Cold, Fallen: l.Fallen}
+	return trace.Sample{At: now, Endpoint: b.index, Running: l.InWork, Queued: l.Waiting, Connections: l.Connections,
+		Capacity: l.Capacity, SentWork: l.SentWork, PossibleWork: l.Could, DoneWork: l.Did, WarmingUp: l.Cold, Collapsed: l.Fallen}
 }
 
 // close ends it, notes the visits that it still has and waits for all its goroutines.
@@ -165,7 +165,7 @@
 	b.closed = true
 	b.timer.Stop()
 	for _, v := range b.jobs {
-		b.run.trace.visit(v.Visit)
+		b.run.trace.visit(v.EndpointRequest)
 	}
 	clear(b.jobs)
 	b.reset()
@@ -297,7 +297,7 @@
 		return
 	}
 	p.known = true
-	b.run.trace.dialled(trace.Dialled{At: b.run.now(), Box: b.index, Sidecar: -1})
+	b.run.trace.dialled(trace.Connection{At: b.run.now(), Endpoint: b.index, Sidecar: -1})
 	b.working.Go(p.read)
 	b.working.Go(p.write)
 }
--- a/internal/lab/loopback/box_bench_test.go
+++ b/internal/lab/loopback/box_bench_test.go
@@ -17,7 +17,7 @@
 		"callers": func(s *stand) func(query) bool {
 			return func(q query) bool {
 				t := s.callers.do(b.Context(), q)
-				return t.Status == trace.Served && !t.Forged
+				return t.Status == trace.StatusServed && !t.Forged
 			}
 		},
 		"raw": func(s *stand) func(query) bool {
--- a/internal/lab/loopback/box_test.go
+++ b/internal/lab/loopback/box_test.go
@@ -149,7 +149,7 @@
 		}
 		if n--; n < 0 {
 			return query{direct: -1, left: 20 * time.Second, key: r.Key,
-				try: trace.Try{Txn: s.plan.Txn(i, 0), Request: i, Class: r.Class}}
+				try: trace.ClientAttempt{TransactionID: s.plan.Txn(i, 0), Request: i, Class: r.Class}}
 		}
 	}
 	s.t.Fatalf("the plan has no further request of class %s", class)
@@ -222,13 +222,13 @@
 }
 
 // visit waits for an id's visit to be over.
-func (s *stand) visit(txn uint64) (v trace.Visit) {
+func (s *stand) visit(txn uint64) (v trace.EndpointRequest) {
 	s.t.Helper()
 	await(s.t, fmt.Sprintf("the visit of %016x is noted", txn), func() bool {
 		s.trace.mu.Lock()
 		defer s.trace.mu.Unlock()
-		for _, v = range s.trace.log.Visits {
-			if v.Txn == txn {
+		for _, v = range s.trace.log.EndpointRequests {
+			if v.TransactionID == txn {
 				return true
 			}
 		}
@@ -242,7 +242,7 @@
 	s.t.Helper()
 	await(s.t, fmt.Sprintf("%d are in work and %d wait", inWork, waiting), func() bool {
 		l := s.boxes[box].sample(s.now())
-		return l.InWork == inWork && l.Waiting == waiting
+		return l.Running == inWork && l.Queued == waiting
 	})
 }
 
@@ -272,23 +272,23 @@
 		q := s.next(class)
 		s.ask(c, q)
 		_, body := c.expect(http.StatusOK)
-		if box, ok := checkBody(q.try.Txn, body); !ok || box != 0 {
+		if box, ok := checkBody(q.try.TransactionID, body); !ok || box != 0 {
 			t.Errorf("%s: the body is not box 0's", class)
 		}
 		if want := s.plan.Scenario.Class[q.try.Class].Answer; len(body) != want {
 			t.Errorf("%s: the body has %d bytes, not %d", class, len(body), want)
 		}
-		v := s.visit(q.try.Txn)
-		if v.End != trace.OK || v.Key != q.key || v.Repeat || v.Done <= 0 {
+		v := s.visit(q.try.TransactionID)
+		if v.Outcome != trace.OutcomeOK || v.IdempotencyKey != q.key || v.Deduplicated || v.Work <= 0 {
 			t.Errorf("%s: the visit is %+v", class, v)
 		}
-		if v.Begun > v.Arrived || v.Arrived > v.Started || v.Started > v.Ended {
+		if v.FirstByte > v.LastByte || v.LastByte > v.Started || v.Started > v.Ended {
 			t.Errorf("%s: the times are out of order: %+v", class, v)
 		}
-		if i > 0 && v.Conn != conn {
-			t.Errorf("%s: connection %d, after %d", class, v.Conn, conn)
+		if i > 0 && v.ConnectionID != conn {
+			t.Errorf("%s: connection %d, after %d", class, v.ConnectionID, conn)
 		}
-		conn = v.Conn
+		conn = v.ConnectionID
 	}
 }
 
@@ -297,12 +297,12 @@
 	s := newStand(t, standClasses+oneTier)
 	q := s.next("keyed")
 	for box := range 2 {
-		q.try.Txn = s.plan.Txn(q.try.Request, box)
+		q.try.TransactionID = s.plan.Txn(q.try.Request, box)
 		c := s.dial(box)
 		s.ask(c, q)
 		c.expect(http.StatusOK)
-		if v := s.visit(q.try.Txn); v.Repeat != (box > 0) {
-			t.Errorf("at box %d the visit's Repeat is %v", box, v.Repeat)
+		if v := s.visit(q.try.TransactionID); v.Deduplicated != (box > 0) {
+			t.Errorf("at box %d the visit's Repeat is %v", box, v.Deduplicated)
 		}
 	}
 }
@@ -317,10 +317,10 @@
 		}
 		return strings.Replace(good, old, to, 1)
 	}
-	txn := fmt.Sprintf("X-Txn: %016x", q.try.Txn)
+	txn := fmt.Sprintf("X-Txn: %016x", q.try.TransactionID)
 	path := target("keyed", q.try.Request)
 	strays := map[string]string{
-		"another id":     change(txn, fmt.Sprintf("X-Txn: %016x", q.try.Txn+1)),
+		"another id":     change(txn, fmt.Sprintf("X-Txn: %016x", q.try.TransactionID+1)),
 		"a faulty id":    change(txn, "X-Txn: nine"),
 		"another class":  change(path, target("quick", q.try.Request)),
 		"no request":     change(path, target("keyed", len(s.plan.Requests))),
@@ -339,11 +339,11 @@
 		}
 	}
 	s.trace.mu.Lock()
-	if got := len(s.trace.log.Visits); got != len(strays) {
+	if got := len(s.trace.log.EndpointRequests); got != len(strays) {
 		t.Errorf("%d visits of strangers are noted", got)
 	}
-	for _, v := range s.trace.log.Visits {
-		if v.Txn != 0 || v.End != trace.Errored {
+	for _, v := range s.trace.log.EndpointRequests {
+		if v.TransactionID != 0 || v.Outcome != trace.OutcomeError {
 			t.Errorf("a stranger's visit is %+v", v)
 		}
 	}
@@ -394,16 +394,16 @@
 	if res, _ := c.expect(http.StatusServiceUnavailable); res.Header.Get("X-Turned-Away") != "1" {
 		t.Error("it is not said that it was turned away")
 	}
-	if v := s.visit(q.try.Txn); v.End != trace.TurnedAway || v.Started != trace.None || v.Done != 0 {
+	if v := s.visit(q.try.TransactionID); v.Outcome != trace.OutcomeRejected || v.Started != trace.Unset || v.Work != 0 {
 		t.Errorf("the one turned away: %+v", v)
 	}
 	conns[0].Close()
-	if v := s.visit(held[0].try.Txn); v.End != trace.Withdrawn || v.Started == trace.None || v.Done >= 50*time.Second {
+	if v := s.visit(held[0].try.TransactionID); v.Outcome != trace.OutcomeCanceled || v.Started == trace.Unset || v.Work >= 50*time.Second {
 		t.Errorf("the one that ran: %+v", v)
 	}
 	s.loaded(0, 1, 0)
 	conns[1].Conn.(*net.TCPConn).CloseWrite()
-	if v := s.visit(held[1].try.Txn); v.End != trace.Withdrawn || v.Started == trace.None {
+	if v := s.visit(held[1].try.TransactionID); v.Outcome != trace.OutcomeCanceled || v.Started == trace.Unset {
 		t.Errorf("the one that waited, and ran then: %+v", v)
 	}
 	if err := conns[1].says(ample); !isOver(err) {
@@ -419,9 +419,9 @@
 	s.ask(c, q)
 	s.loaded(0, 1, 0)
 	c.Close()
-	v := s.visit(q.try.Txn)
-	if v.End != trace.Withdrawn || v.Done < 300*time.Millisecond || v.Ended-v.Arrived >= 300*time.Millisecond {
-		t.Errorf("given up after %v: %+v", v.Ended-v.Arrived, v)
+	v := s.visit(q.try.TransactionID)
+	if v.Outcome != trace.OutcomeCanceled || v.Work < 300*time.Millisecond || v.Ended-v.LastByte >= 300*time.Millisecond {
+		t.Errorf("given up after %v: %+v", v.Ended-v.LastByte, v)
 	}
 }
 
@@ -445,11 +445,11 @@
 			t.Errorf("once the machine is back, an open connection says %v", err)
 		}
 	}
-	if v := s.visit(q.try.Txn); v.End != trace.LostHere {
+	if v := s.visit(q.try.TransactionID); v.Outcome != trace.OutcomeLost {
 		t.Errorf("what it had: %+v", v)
 	}
 	s.meets(0, "come up", comesUp)
-	if !s.boxes[0].sample(s.now()).Cold {
+	if !s.boxes[0].sample(s.now()).WarmingUp {
 		t.Error("it is back warm")
 	}
 	c, q := s.dial(0), s.next("quick")
@@ -457,8 +457,8 @@
 	c.expect(http.StatusOK)
 	s.trace.mu.Lock()
 	defer s.trace.mu.Unlock()
-	for _, v := range s.trace.log.Visits {
-		if v.Txn == unheard.try.Txn {
+	for _, v := range s.trace.log.EndpointRequests {
+		if v.TransactionID == unheard.try.TransactionID {
 			t.Errorf("it has heard what was written to it while it was not there: %+v", v)
 		}
 	}
@@ -473,7 +473,7 @@
 	if err := c.says(ample); !isReset(err) {
 		t.Errorf("an open connection says %v", err)
 	}
-	if v := s.visit(q.try.Txn); v.End != trace.LostHere {
+	if v := s.visit(q.try.TransactionID); v.Outcome != trace.OutcomeLost {
 		t.Errorf("what it had: %+v", v)
 	}
 	s.meets(0, "are refused", refused)
@@ -483,7 +483,7 @@
 	s.meets(0, "are refused again", refused)
 	end()
 	s.meets(0, "come up", comesUp)
-	if !s.boxes[0].sample(s.now()).Cold {
+	if !s.boxes[0].sample(s.now()).WarmingUp {
 		t.Error("it is back warm")
 	}
 }
@@ -533,7 +533,7 @@
 		t.Errorf("it answers: %v", err)
 	}
 	c.Close()
-	if v := s.visit(late.try.Txn); v.End != trace.Withdrawn || v.Started != trace.None {
+	if v := s.visit(late.try.TransactionID); v.Outcome != trace.OutcomeCanceled || v.Started != trace.Unset {
 		t.Errorf("what came to nothing: %+v", v)
 	}
 	end()
@@ -551,7 +551,7 @@
 	c, q := s.dial(0), s.next("long")
 	s.ask(c, q)
 	c.expect(http.StatusInternalServerError)
-	if v := s.visit(q.try.Txn); v.End != trace.Errored || v.Started != trace.None {
+	if v := s.visit(q.try.TransactionID); v.Outcome != trace.OutcomeError || v.Started != trace.Unset {
 		t.Errorf("the visit is %+v", v)
 	}
 }
@@ -574,7 +574,7 @@
 				if _, err := io.Copy(io.Discard, c); isLate(err) {
 					t.Error("its connection goes on")
 				}
-				if v := s.visit(q.try.Txn); v.End != trace.Spoilt || v.Done <= 0 {
+				if v := s.visit(q.try.TransactionID); v.Outcome != trace.OutcomeCorrupted || v.Work <= 0 {
 					t.Errorf("the visit is %+v", v)
 				}
 			}
@@ -600,7 +600,7 @@
 	}
 	before := s.now()
 	c.Close()
-	if v := s.visit(q.try.Txn); v.End != trace.Spoilt || v.Ended < before {
+	if v := s.visit(q.try.TransactionID); v.Outcome != trace.OutcomeCorrupted || v.Ended < before {
 		t.Errorf("closed after %v, the visit is %+v", before, v)
 	}
 }
@@ -629,7 +629,7 @@
 			if _, err := io.Copy(io.Discard, c); !isReset(err) {
 				t.Errorf("the connection says %v", err)
 			}
-			if v := s.visit(q.try.Txn); v.End != trace.Spoilt {
+			if v := s.visit(q.try.TransactionID); v.Outcome != trace.OutcomeCorrupted {
 				t.Errorf("the visit is %+v", v)
 			}
 		})
@@ -678,12 +678,12 @@
 	if err := c.says(ample); !isReset(err) {
 		t.Errorf("its connection says %v", err)
 	}
-	if v := s.visit(q.try.Txn); v.End != trace.LostHere {
+	if v := s.visit(q.try.TransactionID); v.Outcome != trace.OutcomeLost {
 		t.Errorf("the visit is %+v", v)
 	}
 	<-told
 	s.meets(0, "are refused", refused)
-	if !s.boxes[0].sample(s.now()).Fallen {
+	if !s.boxes[0].sample(s.now()).Collapsed {
 		t.Error("it has not fallen")
 	}
 	if len(told) != 0 {
@@ -696,7 +696,7 @@
 	s.meets(0, "are refused", refused)
 	s.boxes[0].event(s.now(), plan.Event{Kind: plan.StartBox, Box: 0})
 	s.meets(0, "come up", comesUp)
-	if !s.boxes[0].sample(s.now()).Cold {
+	if !s.boxes[0].sample(s.now()).WarmingUp {
 		t.Error("it starts warm")
 	}
 }
@@ -732,7 +732,7 @@
 	c := s.dial(0)
 	c.Write(text[:len(text)-1])
 	c.Close()
-	if v := s.visit(q.try.Txn); v.Arrived != trace.None || v.Started != trace.None || v.End != trace.Withdrawn {
+	if v := s.visit(q.try.TransactionID); v.LastByte != trace.Unset || v.Started != trace.Unset || v.Outcome != trace.OutcomeCanceled {
 		t.Errorf("the visit is %+v", v)
 	}
 }
@@ -744,7 +744,7 @@
 	s.ask(c, q)
 	s.loaded(0, 1, 0)
 	t.Cleanup(func() { // before that of the stand, which closes again
-		if v := s.visit(q.try.Txn); v.End != trace.Held || v.Ended != trace.None || v.Started == trace.None {
+		if v := s.visit(q.try.TransactionID); v.Outcome != trace.OutcomePending || v.Ended != trace.Unset || v.Started == trace.Unset {
 			t.Errorf("the visit is %+v", v)
 		}
 	})
--- a/internal/lab/loopback/callers.go
+++ b/internal/lab/loopback/callers.go
@@ -61,15 +61,15 @@
 
 // do sends one request and waits for its whole answer until q.left after sending, q.leaves or the end of ctx,
 // whatever comes first; then it closes the connection. It returns how that went.
-func (c *callers) do(ctx context.Context, q query) trace.Try {
+func (c *callers) do(ctx context.Context, q query) trace.ClientAttempt {
 	t, _ := c.send(ctx, q)
 	return t
 }
 
 // send is do that also says when it set about sending: from then on it is the other side that may be late.
-func (c *callers) send(ctx context.Context, q query) (t trace.Try, begun time.Duration) {
+func (c *callers) send(ctx context.Context, q query) (t trace.ClientAttempt, begun time.Duration) {
 	t = q.try
-	t.Left, t.Sent, t.Box = q.left, trace.None, -1
+	t.Timeout, t.Sent, t.Endpoint = q.left, trace.Unset, -1
 	to := c.destination(&q)
 	if to == nil {
 		return c.failed(ctx, &q, t), c.now()
@@ -149,17 +149,17 @@
 }
 
 // failed is a try for which nothing was written whole.
-func (c *callers) failed(ctx context.Context, q *query, t trace.Try) trace.Try {
-	t.Status, t.Answered = trace.NoEntry, c.now()
-	if ctx.Err() != nil || t.Answered >= q.leaves {
-		t.Status = trace.Gone
+func (c *callers) failed(ctx context.Context, q *query, t trace.ClientAttempt) trace.ClientAttempt {
+	t.Status, t.Ended = trace.StatusConnectFailed, c.now()
+	if ctx.Err() != nil || t.Ended >= q.leaves {
+		t.Status = trace.StatusCanceled
 	}
 	return t
 }
 
 // exchange carries out one request on a connection, which it keeps or closes afterwards. Unread is a kept
 // connection whose other end was closed before anyone there had read the request.
-func (c *callers) exchange(ctx context.Context, q *query, t trace.Try, to *destination, l *line) (_ trace.Try, unread bool) {
+func (c *callers) exchange(ctx context.Context, q *query, t trace.ClientAttempt, to *destination, l *line) (_ trace.ClientAttempt, unread bool) {
 	leave := context.AfterFunc(ctx, func() { l.conn.Close() }) // what waits on it then fails
 	keep := false
 	defer func() {
@@ -182,38 +182,38 @@
 	l.rest.N = answerMost
 	if _, err := l.in.Peek(1); err != nil {
 		unread = l.used && !timedOut(err) && ctx.Err() == nil && l.unread(err)
-		return c.unanswered(ctx, q, t, err, trace.Broken), unread
+		return c.unanswered(ctx, q, t, err, trace.StatusDisconnected), unread
 	}
 	l.used = true
 	end, err := c.wire.outcome(l, q)
 	if err != nil {
-		return c.unanswered(ctx, q, t, err, trace.Failed), false
+		return c.unanswered(ctx, q, t, err, trace.StatusFailed), false
 	}
-	t.Answered, t.Answers = c.now(), 1
-	t.Code, t.Status, t.Advice, t.Tried = end.code, end.status, end.advice, end.tried
-	if t.Status == trace.Served {
+	t.Ended, t.Responses = c.now(), 1
+	t.Code, t.Status, t.RetryAfter, t.ReportedAttempts = end.code, end.status, end.advice, end.tried
+	if t.Status == trace.StatusServed {
 		var whole bool
-		t.Box, whole = checkBody(t.Txn, end.body)
+		t.Endpoint, whole = checkBody(t.TransactionID, end.body)
 		t.Forged = !whole
 	}
 	if l.in.Buffered() > 0 {
-		t.Answers = 2
+		t.Responses = 2
 		return t, false
 	}
 	keep = !end.last
-	l.last = t.Txn
+	l.last = t.TransactionID
 	return t, false
 }
 
 // unanswered is a try that was written whole and has got no whole answer; broken is its status where it was
 // the other side that ended it.
-func (c *callers) unanswered(ctx context.Context, q *query, t trace.Try, err error, broken trace.Status) trace.Try {
-	t.Answered = c.now()
+func (c *callers) unanswered(ctx context.Context, q *query, t trace.ClientAttempt, err error, broken trace.Status) trace.ClientAttempt {
+	t.Ended = c.now()
 	switch {
-	case ctx.Err() != nil || t.Answered >= q.leaves:
-		t.Status = trace.Gone
-	case timedOut(err) && broken == trace.Broken:
-		t.Status = trace.Silent
+	case ctx.Err() != nil || t.Ended >= q.leaves:
+		t.Status = trace.StatusCanceled
+	case timedOut(err) && broken == trace.StatusDisconnected:
+		t.Status = trace.StatusTimedOut
 	default:
 		t.Status = broken
 	}
--- a/internal/lab/loopback/callers_test.go
+++ b/internal/lab/loopback/callers_test.go
@@ -45,8 +45,8 @@
 				if text := <-got; text != want {
 					t.Errorf("request:\n%q\nwant\n%q", text, want)
 				}
-				if try.Status != trace.Served || try.Code != 200 || try.Box != 3 || try.Forged || try.Answers != 1 ||
-					try.Sent == trace.None || try.Answered < try.Sent || try.Left != q.left {
+				if try.Status != trace.StatusServed || try.Code != 200 || try.Endpoint != 3 || try.Forged || try.Responses != 1 ||
+					try.Sent == trace.Unset || try.Ended < try.Sent || try.Timeout != q.left {
 					t.Errorf("%+v", try)
 				}
 			}
@@ -66,34 +66,34 @@
 		answers int
 		forged  bool
 	}{
-		{"whole", func(l *talk) { l.served(5, 2) }, trace.Served, 200, 0, 1, false},
+		{"whole", func(l *talk) { l.served(5, 2) }, trace.StatusServed, 200, 0, 1, false},
 		{"chunked", func(l *talk) {
 			l.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n18\r\n%s\r\n28\r\n%s\r\n0\r\n\r\n", body[:24], body[24:])
-		}, trace.Served, 200, 0, 1, false},
+		}, trace.StatusServed, 200, 0, 1, false},
 		{"to the end of the connection", func(l *talk) { l.say("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n%s", body) },
-			trace.Served, 200, 0, 1, false},
-		{"interim first", func(l *talk) { l.say("HTTP/1.1 100 Continue\r\n\r\n"); l.served(5, 2) }, trace.Served, 200, 0, 1, false},
-		{"another's", func(l *talk) { l.served(6, 2) }, trace.Served, 200, 0, 1, true},
-		{"made up", func(l *talk) { l.say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok") }, trace.Served, 200, 0, 1, true},
+			trace.StatusServed, 200, 0, 1, false},
+		{"interim first", func(l *talk) { l.say("HTTP/1.1 100 Continue\r\n\r\n"); l.served(5, 2) }, trace.StatusServed, 200, 0, 1, false},
+		{"another's", func(l *talk) { l.served(6, 2) }, trace.StatusServed, 200, 0, 1, true},
+		{"made up", func(l *talk) { l.say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok") }, trace.StatusServed, 200, 0, 1, true},
 		{"refused with advice", func(l *talk) {
 			l.say("HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.25\r\nContent-Length: 0\r\n\r\n")
-		}, trace.Refused, 503, 250 * time.Millisecond, 1, false},
+		}, trace.StatusRejected, 503, 250 * time.Millisecond, 1, false},
 		{"refused with nonsense", func(l *talk) {
 			l.say("HTTP/1.1 429 Too Many Requests\r\nRetry-After: -1\r\nContent-Length: 0\r\n\r\n")
-		}, trace.Refused, 429, 0, 1, false},
-		{"failed", func(l *talk) { l.say("HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n") }, trace.Failed, 502, 0, 1, false},
-		{"half a body", func(l *talk) { l.say("HTTP/1.1 200 OK\r\nContent-Length: 64\r\n\r\n%s", body[:30]) }, trace.Failed, 0, 0, 0, false},
-		{"half a head", func(l *talk) { l.say("HTTP/1.1 200 OK\r\nContent-Le") }, trace.Failed, 0, 0, 0, false},
-		{"no HTTP", func(l *talk) { l.say("good day\r\n\r\n") }, trace.Failed, 0, 0, 0, false},
+		}, trace.StatusRejected, 429, 0, 1, false},
+		{"failed", func(l *talk) { l.say("HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n") }, trace.StatusFailed, 502, 0, 1, false},
+		{"half a body", func(l *talk) { l.say("HTTP/1.1 200 OK\r\nContent-Length: 64\r\n\r\n%s", body[:30]) }, trace.StatusFailed, 0, 0, 0, false},
+		{"half a head", func(l *talk) { l.say("HTTP/1.1 200 OK\r\nContent-Le") }, trace.StatusFailed, 0, 0, 0, false},
+		{"no HTTP", func(l *talk) { l.say("good day\r\n\r\n") }, trace.StatusFailed, 0, 0, 0, false},
 		{"interim without end", func(l *talk) { l.say("%s", strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 50)) },
-			trace.Failed, 0, 0, 0, false},
+			trace.StatusFailed, 0, 0, 0, false},
 		{"a head without end", func(l *talk) {
 			l.say("HTTP/1.1 200 OK\r\n%s", strings.Repeat("X-Filler: "+strings.Repeat("a", 1000)+"\r\n", 1000))
-		}, trace.Failed, 0, 0, 0, false},
+		}, trace.StatusFailed, 0, 0, 0, false},
 		{"a body without end", func(l *talk) { l.say("HTTP/1.1 200 OK\r\n\r\n%s", strings.Repeat("a", answerMost)); l.hold() },
-			trace.Failed, 0, 0, 0, false},
-		{"closed", func(l *talk) {}, trace.Broken, 0, 0, 0, false},
-		{"reset", func(l *talk) { l.conn.SetLinger(0) }, trace.Broken, 0, 0, 0, false},
+			trace.StatusFailed, 0, 0, 0, false},
+		{"closed", func(l *talk) {}, trace.StatusDisconnected, 0, 0, 0, false},
+		{"reset", func(l *talk) { l.conn.SetLinger(0) }, trace.StatusDisconnected, 0, 0, 0, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newScripted(t)
@@ -103,8 +103,8 @@
 				}
 			})
 			got := s.do(t.Context(), s.query("unsafe", 5))
-			if got.Status != c.want || got.Code != c.code || got.Advice != c.advice || got.Answers != c.answers ||
-				got.Forged != c.forged || got.Sent == trace.None {
+			if got.Status != c.want || got.Code != c.code || got.RetryAfter != c.advice || got.Responses != c.answers ||
+				got.Forged != c.forged || got.Sent == trace.Unset {
 				t.Errorf("%+v", got)
 			}
 		})
@@ -121,11 +121,11 @@
 		end   bool
 		want  trace.Status
 	}{
-		{"its time is over", "", func(q *query, _ time.Duration) { q.left = 30 * time.Millisecond }, false, trace.Silent},
+		{"its time is over", "", func(q *query, _ time.Duration) { q.left = 30 * time.Millisecond }, false, trace.StatusTimedOut},
 		{"in the middle of an answer", "HTTP/1.1 200 OK\r\n", func(q *query, _ time.Duration) { q.left = 30 * time.Millisecond },
-			false, trace.Failed},
-		{"it leaves", "", func(q *query, now time.Duration) { q.leaves = now + 30*time.Millisecond }, false, trace.Gone},
-		{"it is called off", "", func(*query, time.Duration) {}, true, trace.Gone},
+			false, trace.StatusFailed},
+		{"it leaves", "", func(q *query, now time.Duration) { q.leaves = now + 30*time.Millisecond }, false, trace.StatusCanceled},
+		{"it is called off", "", func(*query, time.Duration) {}, true, trace.StatusCanceled},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s, ctx, closed := newScripted(t), t.Context(), make(chan struct{})
@@ -143,7 +143,7 @@
 			q := s.query("safe", 5)
 			c.edit(&q, s.now())
 			got := s.do(ctx, q)
-			if got.Status != c.want || got.Sent == trace.None || got.Answers != 0 {
+			if got.Status != c.want || got.Sent == trace.Unset || got.Responses != 0 {
 				t.Errorf("%+v", got)
 			}
 			<-closed
@@ -154,17 +154,17 @@
 // Where no connection comes up, nothing was sent.
 func TestNoEntry(t *testing.T) {
 	s := newScripted(t)
-	if got := s.do(t.Context(), s.query("unsafe", 5)); got.Status != trace.NoEntry || got.Sent != trace.None || got.Box != -1 {
+	if got := s.do(t.Context(), s.query("unsafe", 5)); got.Status != trace.StatusConnectFailed || got.Sent != trace.Unset || got.Endpoint != -1 {
 		t.Errorf("%+v", got)
 	}
 	nobody := s.query("safe", 5)
 	nobody.try.Sidecar = -1
-	if got := s.do(t.Context(), nobody); got.Status != trace.NoEntry || got.Sent != trace.None {
+	if got := s.do(t.Context(), nobody); got.Status != trace.StatusConnectFailed || got.Sent != trace.Unset {
 		t.Errorf("nobody to send to: %+v", got)
 	}
 	ctx, end := context.WithCancel(t.Context())
 	end()
-	if got := s.do(ctx, s.query("unsafe", 5)); got.Status != trace.Gone || got.Sent != trace.None {
+	if got := s.do(ctx, s.query("unsafe", 5)); got.Status != trace.StatusCanceled || got.Sent != trace.Unset {
 		t.Errorf("called off: %+v", got)
 	}
 }
@@ -181,7 +181,7 @@
 			l.say("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s%s", len(body), body, second)
 			l.hold()
 		})
-		if got := s.do(t.Context(), s.query("safe", 5)); got.Answers != 2 || got.Status != trace.Served {
+		if got := s.do(t.Context(), s.query("safe", 5)); got.Responses != 2 || got.Status != trace.StatusServed {
 			t.Errorf("%+v", got)
 		}
 	})
@@ -199,13 +199,13 @@
 				}
 				l.hold()
 			})
-			if got := s.do(t.Context(), s.query("safe", 5)); got.Answers != 1 || got.Status != trace.Served {
+			if got := s.do(t.Context(), s.query("safe", 5)); got.Responses != 1 || got.Status != trace.StatusServed {
 				t.Errorf("%+v", got)
 			}
 			close(first)
 			<-said
 			if again {
-				if got := s.do(t.Context(), s.query("safe", 6)); got.Answers != 1 || got.Status != trace.Served {
+				if got := s.do(t.Context(), s.query("safe", 6)); got.Responses != 1 || got.Status != trace.StatusServed {
 					t.Errorf("the next: %+v", got)
 				}
 			}
@@ -226,10 +226,10 @@
 		l.say("good day\r\nand good night\r\n")
 		l.hold()
 	})
-	if got := s.do(t.Context(), s.query("safe", 5)); got.Status != trace.Served {
+	if got := s.do(t.Context(), s.query("safe", 5)); got.Status != trace.StatusServed {
 		t.Errorf("%+v", got)
 	}
-	if got := s.do(t.Context(), s.query("safe", 6)); got.Status != trace.Failed || got.Answers != 0 {
+	if got := s.do(t.Context(), s.query("safe", 6)); got.Status != trace.StatusFailed || got.Responses != 0 {
 		t.Errorf("%+v", got)
 	}
 	if twice := s.close(); len(twice) != 0 {
@@ -245,9 +245,9 @@
 		second func(l *talk) // of the kept connection, once the first request was answered
 		want   trace.Status
 	}{
-		{"long before", func(l *talk) {}, trace.Served},
-		{"as it comes", func(l *talk) { awaitUnread(l) }, trace.Served},
-		{"once it was read", func(l *talk) { l.request() }, trace.Broken},
+		{"long before", func(l *talk) {}, trace.StatusServed},
+		{"as it comes", func(l *talk) { awaitUnread(l) }, trace.StatusServed},
+		{"once it was read", func(l *talk) { l.request() }, trace.StatusDisconnected},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s, idle := newScripted(t), make(chan struct{})
@@ -261,14 +261,14 @@
 				}
 				l.hold()
 			})
-			if got := s.do(t.Context(), s.query("unsafe", 5)); got.Status != trace.Served || got.Box != 0 {
+			if got := s.do(t.Context(), s.query("unsafe", 5)); got.Status != trace.StatusServed || got.Endpoint != 0 {
 				t.Fatalf("first: %+v", got)
 			}
 			if c.name == "long before" {
 				<-idle
 			}
 			got := s.do(t.Context(), s.query("unsafe", 6))
-			if got.Status != c.want || got.Status == trace.Served && (got.Box != 1 || got.Answers != 1) {
+			if got.Status != c.want || got.Status == trace.StatusServed && (got.Endpoint != 1 || got.Responses != 1) {
 				t.Errorf("second: %+v", got)
 			}
 		})
@@ -348,13 +348,13 @@
 			l.served(txn, n)
 		}
 	})
-	if got := s.do(t.Context(), s.query("safe", 1)); got.Status != trace.Served || got.Box != 0 {
+	if got := s.do(t.Context(), s.query("safe", 1)); got.Status != trace.StatusServed || got.Endpoint != 0 {
 		t.Fatalf("first: %+v", got)
 	}
 	<-arrived
 	fresh := s.query("safe", 2)
 	fresh.fresh = true
-	held := make(chan trace.Try)
+	held := make(chan trace.ClientAttempt)
 	go func() { held <- s.do(t.Context(), fresh) }() // the idle one makes room for it
 	select {
 	case <-arrived:
@@ -363,11 +363,11 @@
 	}
 	late := s.query("safe", 3)
 	late.left = 30 * time.Millisecond
-	if got := s.do(t.Context(), late); got.Status != trace.NoEntry {
+	if got := s.do(t.Context(), late); got.Status != trace.StatusConnectFailed {
 		t.Errorf("beyond the bound: %+v", got)
 	}
 	close(release)
-	if got := <-held; got.Status != trace.Served || got.Box != 1 {
+	if got := <-held; got.Status != trace.StatusServed || got.Endpoint != 1 {
 		t.Errorf("on a new connection: %+v", got)
 	}
 }
--- a/internal/lab/loopback/callhttp.go
+++ b/internal/lab/loopback/callhttp.go
@@ -23,7 +23,7 @@
 		method = http.MethodGet
 	}
 	b = fmt.Appendf(b, "%s %s HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: %016x\r\nX-Lane: %s\r\nX-Remaining-Ms: %d\r\n",
-		method, target(class.Name, q.try.Request), q.try.Txn, class.Name, q.left.Milliseconds())
+		method, target(class.Name, q.try.Request), q.try.TransactionID, class.Name, q.left.Milliseconds())
 	if class.Effect == "keyed" {
 		b = fmt.Appendf(b, "Idempotency-Key: %032x\r\n", q.key)
 	}
@@ -48,12 +48,12 @@
 	if err != nil {
 		return end{}, err
 	}
-	e := end{status: trace.Failed, code: r.StatusCode, body: body, last: r.Close, tried: budget.ReadTried(r.Header.Get(budget.TriedHeader))}
+	e := end{status: trace.StatusFailed, code: r.StatusCode, body: body, last: r.Close, tried: budget.ReadTried(r.Header.Get(budget.TriedHeader))}
 	switch r.StatusCode {
 	case http.StatusOK:
-		e.status = trace.Served
+		e.status = trace.StatusServed
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		e.status, e.advice = trace.Refused, advice(r.Header.Get("Retry-After"))
+		e.status, e.advice = trace.StatusRejected, advice(r.Header.Get("Retry-After"))
 	}
 	return e, nil
 }
--- a/internal/lab/loopback/calls.go
+++ b/internal/lab/loopback/calls.go
@@ -20,10 +20,10 @@
 		defer stop()
 		ok, tried := false, budget.Tried{}
 		if able {
-			b.run.tiers[q.try.Tier].call(q.try.Txn, v.request)
+			b.run.tiers[q.try.Tier].call(q.try.TransactionID, v.request)
 			try := b.send(ctx, q)
 			b.run.trace.try(try)
-			ok, tried = try.Status == trace.Served, try.Tried
+			ok, tried = try.Status == trace.StatusServed, try.ReportedAttempts
 		}
 		b.mu.Lock()
 		defer b.mu.Unlock()
@@ -41,9 +41,9 @@
 	r := &p.Requests[v.request]
 	left := p.Scenario.Class[r.Class].Deadline.D()
 	if p.Scenario.Rules.PassesDeadline && v.left > 0 {
-		left = v.left - (now - v.Arrived)
+		left = v.left - (now - v.LastByte)
 	} else if p.Scenario.Rules.PassesDeadline {
-		left -= now - v.Arrived
+		left -= now - v.LastByte
 	}
 	direct := -1
 	if b.run.rotation != nil {
@@ -55,10 +55,10 @@
 	if b.carries() {
 		baggage = v.baggage
 	}
-	return query{direct: direct, left: left, baggage: baggage, leaves: model.Never, key: r.Key, try: trace.Try{
-		Txn: p.CallTxn(v.Txn, b.index, v.number, call), Parent: v.Txn, Request: v.request, Tier: p.Scenario.Next(b.plan.Tier),
+	return query{direct: direct, left: left, baggage: baggage, leaves: model.Never, key: r.Key, try: trace.ClientAttempt{
+		TransactionID: p.CallTxn(v.TransactionID, b.index, v.number, call), Parent: v.TransactionID, Request: v.request, Tier: p.Scenario.Next(b.plan.Tier),
 		Sidecar: slices.IndexFunc(p.Sidecars, func(s plan.Sidecar) bool { return s.Box == b.index }),
-		Class:   r.Class, Due: now, Answered: trace.None, Box: -1}}, left >= time.Millisecond
+		Class:   r.Class, Due: now, Ended: trace.Unset, Endpoint: -1}}, left >= time.Millisecond
 }
 
 // sum adds to what a visit's calls have said, as a box does that passes on what it does not know.
--- a/internal/lab/loopback/calls_test.go
+++ b/internal/lab/loopback/calls_test.go
@@ -29,13 +29,13 @@
 
 func (s *stand) stub(box int) *stub {
 	u := &stub{make(chan query, 10), make(chan trace.Status, 10), make(chan struct{}, 10)}
-	s.boxes[box].send = func(ctx context.Context, q query) trace.Try {
+	s.boxes[box].send = func(ctx context.Context, q query) trace.ClientAttempt {
 		u.asked <- q
 		t := q.try
 		select {
 		case t.Status = <-u.reply:
 		case <-ctx.Done():
-			t.Status = trace.Gone
+			t.Status = trace.StatusCanceled
 			u.gone <- struct{}{}
 		}
 		return t
@@ -54,7 +54,7 @@
 	for call := range 2 {
 		got := <-u.asked
 		switch {
-		case got.try.Txn != s.plan.CallTxn(q.try.Txn, 0, 0, call), got.try.Request != q.try.Request, got.try.Class != q.try.Class:
+		case got.try.TransactionID != s.plan.CallTxn(q.try.TransactionID, 0, 0, call), got.try.Request != q.try.Request, got.try.Class != q.try.Class:
 			t.Errorf("call %d is another's: %+v", call, got.try)
 		case got.try.Tier != 1 || s.plan.Sidecars[got.try.Sidecar].Box != 0 || got.direct != -1:
 			t.Errorf("call %d goes elsewhere: %+v", call, got)
@@ -69,12 +69,12 @@
 		inner := s.dial(1)
 		s.ask(inner, got)
 		inner.expect(http.StatusOK)
-		u.reply <- trace.Served
+		u.reply <- trace.StatusServed
 	}
 	c.expect(http.StatusOK)
-	s.visit(q.try.Txn)
+	s.visit(q.try.TransactionID)
 	s.trace.mu.Lock()
-	if n := len(s.trace.log.Tries); n != 2 {
+	if n := len(s.trace.log.ClientAttempts); n != 2 {
 		t.Errorf("%d calls are noted", n)
 	}
 	s.trace.mu.Unlock()
@@ -88,11 +88,11 @@
 func TestBoxFailsWithItsCall(t *testing.T) {
 	s := newStand(t, standClasses+twoTiers)
 	u := s.stub(0)
-	u.reply <- trace.Refused
+	u.reply <- trace.StatusRejected
 	c, q := s.dial(0), s.next("quick")
 	s.ask(c, q)
 	c.expect(http.StatusInternalServerError)
-	if v := s.visit(q.try.Txn); v.End != trace.Errored || v.Done <= 0 {
+	if v := s.visit(q.try.TransactionID); v.Outcome != trace.OutcomeError || v.Work <= 0 {
 		t.Errorf("the visit is %+v", v)
 	}
 	if len(u.asked) != 1 {
@@ -113,7 +113,7 @@
 	}
 	c.Close()
 	<-u.gone
-	if v := s.visit(q.try.Txn); v.End != trace.Withdrawn {
+	if v := s.visit(q.try.TransactionID); v.Outcome != trace.OutcomeCanceled {
 		t.Errorf("the visit is %+v", v)
 	}
 }
@@ -124,18 +124,18 @@
 	q := s.next("quick")
 	q.direct, q.try.Sidecar, q.leaves = 0, -1, 1<<62
 	try := s.callers.do(t.Context(), q)
-	if try.Status != trace.Served || try.Box != 0 || try.Forged {
+	if try.Status != trace.StatusServed || try.Endpoint != 0 || try.Forged {
 		t.Errorf("the try is %+v", try)
 	}
-	s.visit(q.try.Txn)
+	s.visit(q.try.TransactionID)
 	s.trace.mu.Lock()
 	defer s.trace.mu.Unlock()
 	boxes := map[int]bool{}
-	for _, try := range s.trace.log.Tries {
-		if try.Status != trace.Served || try.Tier != 1 {
+	for _, try := range s.trace.log.ClientAttempts {
+		if try.Status != trace.StatusServed || try.Tier != 1 {
 			t.Errorf("a call is %+v", try)
 		}
-		boxes[try.Box] = true
+		boxes[try.Endpoint] = true
 	}
 	if len(boxes) != 2 {
 		t.Errorf("calls went to %v, not to both in turn", boxes)
--- a/internal/lab/loopback/callthrift.go
+++ b/internal/lab/loopback/callthrift.go
@@ -21,14 +21,14 @@
 // callHead is the head of a query's call. Its sequence id is the end of its id: seldom one that another call on
 // its connection had.
 func (c thriftCaller) callHead(q *query) thriftHead {
-	return thriftHead{c.plan.Scenario.Class[q.try.Class].Method(), thrift.CALL, int32(q.try.Txn)}
+	return thriftHead{c.plan.Scenario.Class[q.try.Class].Method(), thrift.CALL, int32(q.try.TransactionID)}
 }
 
 func (c thriftCaller) request(out []byte, q *query) []byte {
 	class := &c.plan.Scenario.Class[q.try.Class]
 	return c.form.write(out, c.callHead(q), func(w thriftWriter) {
 		w.fields(func() {
-			w.text(argTxn, fmt.Sprintf("%016x", q.try.Txn))
+			w.text(argTxn, fmt.Sprintf("%016x", q.try.TransactionID))
 			if class.Effect == "keyed" {
 				w.text(argKey, fmt.Sprintf("%032x", q.key))
 			}
@@ -48,7 +48,7 @@
 		case h.method != want.method || h.seq != want.seq:
 			return fmt.Errorf("%w: %s %d for %s %d", errThrift, h.method, h.seq, want.method, want.seq)
 		case h.kind == thrift.REPLY:
-			e.status = trace.Served
+			e.status = trace.StatusServed
 			return thriftFields(p, func(id int16, kind thrift.TType) (bool, error) {
 				if id != resultBody || kind != thrift.STRING {
 					return false, nil
@@ -60,9 +60,9 @@
 		case h.kind == thrift.EXCEPTION:
 			x := thrift.NewTApplicationException(0, "")
 			err := x.Read(context.Background(), p)
-			e.status, e.code = trace.Failed, int(x.TypeId())
+			e.status, e.code = trace.StatusFailed, int(x.TypeId())
 			if e.code == typeRefused {
-				e.status, e.advice = trace.Refused, thriftAdvice(x.Error())
+				e.status, e.advice = trace.StatusRejected, thriftAdvice(x.Error())
 			}
 			return err
 		}
--- a/internal/lab/loopback/catalog.go
+++ b/internal/lab/loopback/catalog.go
@@ -38,7 +38,7 @@
 
 // whole is the list, by box.
 func (c *catalog) whole() []plan.Listed {
-	return c.list(func(e revised) bool { return e.Phase != trace.Away })
+	return c.list(func(e revised) bool { return e.Phase != trace.PhaseGone })
 }
 
 // changes are the entries that are newer than a revision, by box.
--- a/internal/lab/loopback/clients.go
+++ b/internal/lab/loopback/clients.go
@@ -70,7 +70,7 @@
 func (r *run) ask(request, no int) query {
 	p := &r.plan.Requests[request]
 	q := query{
-		try: trace.Try{Txn: r.plan.Txn(request, no), Request: request, No: no, Sidecar: -1, Class: p.Class, Due: p.Due},
+		try: trace.ClientAttempt{TransactionID: r.plan.Txn(request, no), Request: request, Number: no, Sidecar: -1, Class: p.Class, Due: p.Due},
 		key: p.Key, repeated: p.Repeated || no > 0, fresh: p.Fresh, direct: -1,
 		left: r.plan.Left(request, r.now()).Truncate(time.Millisecond),
 	}
--- a/internal/lab/loopback/discovery.go
+++ b/internal/lab/loopback/discovery.go
@@ -63,7 +63,7 @@
 	mux.HandleFunc("GET /catalog/members", a.members)
 	server := &http.Server{Handler: mux, ConnState: func(_ net.Conn, s http.ConnState) {
 		if s == http.StateNew {
-			a.run.trace.dialled(trace.Dialled{At: a.run.now(), Box: -1, Sidecar: a.sidecar})
+			a.run.trace.dialled(trace.Connection{At: a.run.now(), Endpoint: -1, Sidecar: a.sidecar})
 		}
 	}}
 	a.server, a.door, a.addr = server, l, addr
@@ -166,9 +166,9 @@
 		}
 		wait = min(time.Duration(ms)*time.Millisecond, watchMost)
 	}
-	asked := trace.Asked{At: a.run.now(), Sidecar: a.sidecar, Watch: q.Has("since"), Since: since, How: trace.Left}
+	asked := trace.DiscoveryPoll{At: a.run.now(), Sidecar: a.sidecar, Watch: q.Has("since"), SinceRevision: since, Outcome: trace.PollAbandoned}
 	defer func() {
-		asked.Took = a.run.now() - asked.At
+		asked.Duration = a.run.now() - asked.At
 		a.run.trace.asked(asked)
 	}()
 	if !a.admit(w, req, &asked) {
@@ -192,9 +192,9 @@
 	if a.run.plan.Operators() {
 		a.hold(&asked, answer)
 	}
-	asked.Told = a.run.now()
+	asked.RespondedAt = a.run.now()
 	if _, err := w.Write(text); err == nil && http.NewResponseController(w).Flush() == nil {
-		asked.How = trace.Listed
+		asked.Outcome = trace.PollAnswered
 		if wrong || a.sidecar < 0 {
 			return // what no service should have said binds nobody
 		}
@@ -264,12 +264,12 @@
 		}
 	}
 	for box, l := range gone {
-		if l.Phase != trace.Away {
-			a.note(at, plan.Listed{Box: box, Phase: trace.Away})
+		if l.Phase != trace.PhaseGone {
+			a.note(at, plan.Listed{Box: box, Phase: trace.PhaseGone})
 		}
 	}
 }
 
 func (a *agent) note(at time.Duration, l plan.Listed) {
-	a.run.trace.told(trace.Told{At: at, Sidecar: a.sidecar, Box: l.Box, Phase: l.Phase, UpSince: l.UpSince})
+	a.run.trace.told(trace.Notification{At: at, Sidecar: a.sidecar, Endpoint: l.Box, Phase: l.Phase, UpSince: l.UpSince})
 }
--- a/internal/lab/loopback/discovery_test.go
+++ b/internal/lab/loopback/discovery_test.go
@@ -129,11 +129,11 @@
 	await(t, fmt.Sprintf("%d entries are noted", n), func() bool {
 		r.trace.mu.Lock()
 		defer r.trace.mu.Unlock()
-		for _, told := range r.trace.log.Told {
-			out += fmt.Sprintf("%d:%d %v;", told.Sidecar, told.Box, told.Phase)
+		for _, told := range r.trace.log.Notifications {
+			out += fmt.Sprintf("%d:%d %v;", told.Sidecar, told.Endpoint, told.Phase)
 			n--
 		}
-		r.trace.log.Told = nil
+		r.trace.log.Notifications = nil
 		return n <= 0
 	})
 	return out
@@ -157,13 +157,13 @@
 
 	m := a.get("?since=1&timeout_ms=10")
 	check("nothing new", m.text(), "false ")
-	r.agents[0].tell(plan.Listed{Box: 1, Phase: trace.Terminating})
-	r.agents[0].tell(plan.Listed{Box: 0, Phase: trace.Ready, UpSince: time.Second})
+	r.agents[0].tell(plan.Listed{Box: 1, Phase: trace.PhaseTerminating})
+	r.agents[0].tell(plan.Listed{Box: 0, Phase: trace.PhaseReady, UpSince: time.Second})
 	m = a.get("?timeout_ms=20000&since=" + strconv.FormatInt(m.Revision, 10))
 	up := r.start().Add(time.Second).UnixMilli()
 	check("what came in between", m.text(), fmt.Sprintf("false t-1 Ready %d;t-2 Terminating 0;", up))
 	next := a.watch(m.Revision)
-	r.agents[0].tell(plan.Listed{Box: 1, Phase: trace.Away})
+	r.agents[0].tell(plan.Listed{Box: 1, Phase: trace.PhaseGone})
 	m = <-next
 	check("while it waits", m.text(), "false t-2 Gone 0;")
 	for _, unknown := range []string{"999", "0", "-1"} {
@@ -183,7 +183,7 @@
 	m := a.get("")
 	for range 2 {
 		next := a.watch(m.Revision)
-		r.agents[0].tell(plan.Listed{Box: 0, Phase: trace.Away})
+		r.agents[0].tell(plan.Listed{Box: 0, Phase: trace.PhaseGone})
 		m = <-next
 		if got := m.text(); got != "true t-2 Ready 0;" {
 			t.Errorf("the list is %s", got)
@@ -201,7 +201,7 @@
 	revision := a.get("").Revision
 	waits := a.watch(revision)
 	r.agents[0].silence(true)
-	r.agents[0].tell(plan.Listed{Box: 0, Phase: trace.Away})
+	r.agents[0].tell(plan.Listed{Box: 0, Phase: trace.PhaseGone})
 	late := newAsks(t, r.net.agent(0, 0))
 	late.client.Timeout = 100 * time.Millisecond
 	for _, query := range []string{"", "?since=1&timeout_ms=1"} {
@@ -260,7 +260,7 @@
 			told.Go(func() { <-waits })
 		}
 		for _, a := range r.agents {
-			a.tell(plan.Listed{Box: 0, Phase: trace.Ready})
+			a.tell(plan.Listed{Box: 0, Phase: trace.PhaseReady})
 		}
 		told.Wait()
 		revision++
--- a/internal/lab/loopback/faults_test.go
+++ b/internal/lab/loopback/faults_test.go
@@ -92,8 +92,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(log.Tries) == 0 || len(log.Visits) == 0 {
-		t.Fatalf("%d tries, %d visits: nothing was played", len(log.Tries), len(log.Visits))
+	if len(log.ClientAttempts) == 0 || len(log.EndpointRequests) == 0 {
+		t.Fatalf("%d tries, %d visits: nothing was played", len(log.ClientAttempts), len(log.EndpointRequests))
 	}
 	return judge.Judge(p, log)
 }
--- a/internal/lab/loopback/fleet_test.go
+++ b/internal/lab/loopback/fleet_test.go
@@ -67,18 +67,18 @@
 }
 
 // changes are what has happened to a sidecar so far.
-func (r *run) changes(sidecar int) (out []trace.Happening, last string) {
+func (r *run) changes(sidecar int) (out []trace.SidecarEventKind, last string) {
 	r.trace.mu.Lock()
 	defer r.trace.mu.Unlock()
-	for _, c := range r.trace.log.Changes {
+	for _, c := range r.trace.log.SidecarEvents {
 		if c.Sidecar == sidecar {
-			out, last = append(out, c.What), c.Text
+			out, last = append(out, c.Kind), c.Detail
 		}
 	}
 	return out, last
 }
 
-func expect(t *testing.T, r *run, sidecar int, want ...trace.Happening) {
+func expect(t *testing.T, r *run, sidecar int, want ...trace.SidecarEventKind) {
 	t.Helper()
 	if got, _ := r.changes(sidecar); !slices.Equal(got, want) {
 		t.Fatalf("changes of %d: %v, want %v", sidecar, got, want)
@@ -111,7 +111,7 @@
 func TestFleetsLife(t *testing.T) {
 	r := begin(t, 2, roleSidecar)
 	f := r.fleet
-	expect(t, r, 0, trace.Begun, trace.Able)
+	expect(t, r, 0, trace.SidecarStarted, trace.SidecarReady)
 	if !f.admitted(0) || !f.admitted(1) {
 		t.Error("the front does not admit what is ready")
 	}
@@ -122,7 +122,7 @@
 	r.plan.Scenario.Clients.Notice = scenario.Span(time.Hour)
 	f.kill(0)
 	<-f.sidecars[0].last().ended
-	expect(t, r, 0, trace.Begun, trace.Able, trace.Killed)
+	expect(t, r, 0, trace.SidecarStarted, trace.SidecarReady, trace.SidecarKilled)
 	if !f.admitted(0) {
 		t.Error("the front has noticed the death at once")
 	}
@@ -141,10 +141,10 @@
 		t.Errorf("the second start has the first's configuration: %v", err)
 	}
 	f.finish(false)
-	expect(t, r, 0, trace.Begun, trace.Able, trace.Killed, trace.Begun, trace.Able, trace.Stopping, trace.Ended)
-	expect(t, r, 1, trace.Begun, trace.Able, trace.Killed)
+	expect(t, r, 0, trace.SidecarStarted, trace.SidecarReady, trace.SidecarKilled, trace.SidecarStarted, trace.SidecarReady, trace.SidecarStopping, trace.SidecarExited)
+	expect(t, r, 1, trace.SidecarStarted, trace.SidecarReady, trace.SidecarKilled)
 	use := f.sidecars[0].usage()
-	if use.CPU <= 0 || use.PeakMemory < 1<<20 || use.Descriptors < 3 {
+	if use.CPU <= 0 || use.PeakMemory < 1<<20 || use.MaxDescriptors < 3 {
 		t.Errorf("usage: %+v", use)
 	}
 }
@@ -179,18 +179,18 @@
 	if r.fleet.admitted(0) {
 		t.Error("still admitted for connections that died with it")
 	}
-	expect(t, r, 0, trace.Begun, trace.Able, trace.Stopping, trace.Killed)
+	expect(t, r, 0, trace.SidecarStarted, trace.SidecarReady, trace.SidecarStopping, trace.SidecarKilled)
 }
 
 // A sidecar that ends by itself has crashed: how, and the end of its log, are in the trace.
 func TestCrashIsNoticed(t *testing.T) {
 	r := begin(t, 1, roleCrash)
 	got := r.callers.do(t.Context(), query{direct: -1, left: ample, leaves: ample})
-	if got.Status != trace.Broken {
+	if got.Status != trace.StatusDisconnected {
 		t.Errorf("%+v", got)
 	}
 	<-r.fleet.sidecars[0].last().ended
-	expect(t, r, 0, trace.Begun, trace.Able, trace.Crashed)
+	expect(t, r, 0, trace.SidecarStarted, trace.SidecarReady, trace.SidecarCrashed)
 	if _, text := r.changes(0); !strings.Contains(text, "exit status 7") || !strings.Contains(text, "the last words") {
 		t.Errorf("crash: %q", text)
 	}
@@ -200,7 +200,7 @@
 func TestCrashAtTheStart(t *testing.T) {
 	r := begin(t, 1, roleFaulty)
 	<-r.fleet.sidecars[0].last().ended
-	expect(t, r, 0, trace.Begun, trace.Crashed)
+	expect(t, r, 0, trace.SidecarStarted, trace.SidecarCrashed)
 	if _, text := r.changes(0); !strings.Contains(text, "no such key") {
 		t.Errorf("crash: %q", text)
 	}
@@ -256,7 +256,7 @@
 	in = next()
 	hear(r.net.agent(0, 2))
 	hear(r.net.agent(0, 3))
-	if got, _ := r.changes(0); slices.Contains(got, trace.Crashed) {
+	if got, _ := r.changes(0); slices.Contains(got, trace.SidecarCrashed) {
 		t.Errorf("changes: %v", got)
 	}
 }
--- a/internal/lab/loopback/holdings.go
+++ b/internal/lab/loopback/holdings.go
@@ -22,7 +22,7 @@
 
 // hold notes what the sidecar will hold once it has taken an answer over. An answer that it does not take over stays among the
 // holdings, and by its next call nobody takes it for what it holds.
-func (a *agent) hold(asked *trace.Asked, answer list) {
+func (a *agent) hold(asked *trace.DiscoveryPoll, answer list) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.held == nil {
@@ -30,7 +30,7 @@
 	}
 	all := map[string]map[string]any{}
 	if !answer.Complete {
-		base, known := a.held[asked.Since]
+		base, known := a.held[asked.SinceRevision]
 		if !known { // the list that it was started with
 			base = a.started()
 		}
@@ -38,7 +38,7 @@
 	}
 	for _, m := range answer.Members {
 		id := m["id"].(string)
-		if all[id] = m; m["phase"] == trace.Away.String() {
+		if all[id] = m; m["phase"] == trace.PhaseGone.String() {
 			delete(all, id)
 		}
 	}
--- a/internal/lab/loopback/live.go
+++ b/internal/lab/loopback/live.go
@@ -79,50 +79,50 @@
 	}
 	n := min(roomMost, int(each*float64(len(p.Requests))))
 	samples := len(p.Boxes) * int((p.Scenario.Length.D()+openAtMost)/sampleEach)
-	return &collector{log: trace.Log{Tries: make([]trace.Try, 0, n), Visits: make([]trace.Visit, 0, n),
+	return &collector{log: trace.Log{ClientAttempts: make([]trace.ClientAttempt, 0, n), EndpointRequests: make([]trace.EndpointRequest, 0, n),
 		Samples: make([]trace.Sample, 0, min(roomMost, samples)), Lateness: make([]time.Duration, 0, len(p.Requests))}}
 }
 
-func (c *collector) try(t trace.Try) {
+func (c *collector) try(t trace.ClientAttempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.log.Tries = append(c.log.Tries, t)
+	c.log.ClientAttempts = append(c.log.ClientAttempts, t)
 }
 
-func (c *collector) visit(v trace.Visit) {
+func (c *collector) visit(v trace.EndpointRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.log.Visits = append(c.log.Visits, v)
+	c.log.EndpointRequests = append(c.log.EndpointRequests, v)
 }
 
-func (c *collector) told(t trace.Told) {
+func (c *collector) told(t trace.Notification) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.log.Told = append(c.log.Told, t)
+	c.log.Notifications = append(c.log.Notifications, t)
 }
 
-func (c *collector) change(h trace.Change) {
+func (c *collector) change(h trace.SidecarEvent) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.log.Changes = append(c.log.Changes, h)
+	c.log.SidecarEvents = append(c.log.SidecarEvents, h)
 }
 
-func (c *collector) asked(a trace.Asked) {
+func (c *collector) asked(a trace.DiscoveryPoll) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.log.Asked = append(c.log.Asked, a)
+	c.log.Polls = append(c.log.Polls, a)
 }
 
-func (c *collector) dialled(d trace.Dialled) {
+func (c *collector) dialled(d trace.Connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.log.Dials = append(c.log.Dials, d)
+	c.log.Connections = append(c.log.Connections, d)
 }
 
-func (c *collector) ordered(o trace.Ordered) {
+func (c *collector) ordered(o trace.ReplayedOrder) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.log.Ordered = append(c.log.Ordered, o)
+	c.log.ReplayedOrders = append(c.log.ReplayedOrders, o)
 }
 
 func (c *collector) sample(s ...trace.Sample) {
@@ -133,10 +133,10 @@
 
 // query is one request as a caller sends it: a client's try, or a box's call through its own sidecar.
 type query struct {
-	try      trace.Try     // Txn, Request, No, Tier, Sidecar, Class and Due are given; the rest is filled in
-	direct   int           // of the plain policy: the box that gets it, instead of a sidecar; -1 is none
-	left     time.Duration // how long the caller waits from its sending on, as it says in X-Remaining-Ms
-	leaves   time.Duration // the plan's time at which the caller goes away; plan's Never if it stays
+	try      trace.ClientAttempt // Txn, Request, No, Tier, Sidecar, Class and Due are given; the rest is filled in
+	direct   int                 // of the plain policy: the box that gets it, instead of a sidecar; -1 is none
+	left     time.Duration       // how long the caller waits from its sending on, as it says in X-Remaining-Ms
+	leaves   time.Duration       // the plan's time at which the caller goes away; plan's Never if it stays
 	key      uint64
 	repeated bool
 	baggage  string // that the caller passes on
--- a/internal/lab/loopback/peer_test.go
+++ b/internal/lab/loopback/peer_test.go
@@ -102,7 +102,7 @@
 // query asks for a class by its effect.
 func (s *scripted) query(effect string, txn uint64) query {
 	class := s.plan.Scenario.ClassIndex(effect + "-one")
-	return query{try: trace.Try{Txn: txn, Request: 7, Class: class}, direct: -1, left: ample, leaves: model.Never, key: 0xabc}
+	return query{try: trace.ClientAttempt{TransactionID: txn, Request: 7, Class: class}, direct: -1, left: ample, leaves: model.Never, key: 0xabc}
 }
 
 // talk is one connection as the scripted side has it.
--- a/internal/lab/loopback/run.go
+++ b/internal/lab/loopback/run.go
@@ -214,7 +214,7 @@
 
 // broken notes that the rig could not do to a sidecar what the script asks, which spoils the run as a crash does.
 func (r *run) broken(sidecar int, err error) {
-	r.trace.change(trace.Change{At: r.now(), Sidecar: sidecar, What: trace.Crashed, Text: err.Error()})
+	r.trace.change(trace.SidecarEvent{At: r.now(), Sidecar: sidecar, Kind: trace.SidecarCrashed, Detail: err.Error()})
 }
 
 // rotate passes a box's coming and going on to the plain policy's list.
@@ -240,11 +240,11 @@
 	r.rotate(plan.Event{Kind: plan.BeginFault, Box: box, Fault: model.Fault{Kind: model.Dead}})
 	r.after(r.plan.Scenario.Discovery.Notice.D(), func() {
 		if r.whole != nil && r.plan.Boxes[box].Tier == 0 {
-			r.whole.tell(plan.Listed{Box: box, Phase: trace.Away})
+			r.whole.tell(plan.Listed{Box: box, Phase: trace.PhaseGone})
 		}
 		for i := range r.plan.Sidecars {
 			if r.plan.Sidecars[i].Tier == r.plan.Boxes[box].Tier {
-				r.agents[i].tell(plan.Listed{Box: box, Phase: trace.Away})
+				r.agents[i].tell(plan.Listed{Box: box, Phase: trace.PhaseGone})
 			}
 		}
 	})
@@ -296,9 +296,9 @@
 	defer r.trace.mu.Unlock()
 	log := &r.trace.log
 	log.Usage = usage
-	for i := range log.Tries {
-		if twice[log.Tries[i].Txn] {
-			log.Tries[i].Answers++
+	for i := range log.ClientAttempts {
+		if twice[log.ClientAttempts[i].TransactionID] {
+			log.ClientAttempts[i].Responses++
 		}
 	}
 	sortLog(log)
@@ -306,13 +306,13 @@
 }
 
 func sortLog(l *trace.Log) {
-	slices.SortStableFunc(l.Tries, func(a, b trace.Try) int {
-		return cmp.Or(cmp.Compare(a.Due, b.Due), cmp.Compare(a.Request, b.Request), cmp.Compare(a.Tier, b.Tier), cmp.Compare(a.No, b.No))
+	slices.SortStableFunc(l.ClientAttempts, func(a, b trace.ClientAttempt) int {
+		return cmp.Or(cmp.Compare(a.Due, b.Due), cmp.Compare(a.Request, b.Request), cmp.Compare(a.Tier, b.Tier), cmp.Compare(a.Number, b.Number))
 	})
-	slices.SortStableFunc(l.Visits, func(a, b trace.Visit) int { return cmp.Compare(a.Begun, b.Begun) })
-	slices.SortStableFunc(l.Told, func(a, b trace.Told) int { return cmp.Compare(a.At, b.At) })
-	slices.SortStableFunc(l.Asked, func(a, b trace.Asked) int { return cmp.Compare(a.At, b.At) })
-	slices.SortStableFunc(l.Dials, func(a, b trace.Dialled) int { return cmp.Compare(a.At, b.At) })
-	slices.SortStableFunc(l.Changes, func(a, b trace.Change) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(l.EndpointRequests, func(a, b trace.EndpointRequest) int { return cmp.Compare(a.FirstByte, b.FirstByte) })
+	slices.SortStableFunc(l.Notifications, func(a, b trace.Notification) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(l.Polls, func(a, b trace.DiscoveryPoll) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(l.Connections, func(a, b trace.Connection) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(l.SidecarEvents, func(a, b trace.SidecarEvent) int { return cmp.Compare(a.At, b.At) })
 	slices.SortStableFunc(l.Samples, func(a, b trace.Sample) int { return cmp.Compare(a.At, b.At) })
 }
--- a/internal/lab/loopback/run_test.go
+++ b/internal/lab/loopback/run_test.go
@@ -104,46 +104,46 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if log.Changes[len(log.Changes)-1].What != trace.Killed {
+		if log.SidecarEvents[len(log.SidecarEvents)-1].Kind != trace.SidecarKilled {
 			break
 		}
 	}
-	if len(log.Tries) != len(p.Requests) || len(log.Lateness) != len(p.Requests) {
-		t.Fatalf("%d requests, %d tries, %d latenesses", len(p.Requests), len(log.Tries), len(log.Lateness))
+	if len(log.ClientAttempts) != len(p.Requests) || len(log.Lateness) != len(p.Requests) {
+		t.Fatalf("%d requests, %d tries, %d latenesses", len(p.Requests), len(log.ClientAttempts), len(log.Lateness))
 	}
 	if early := slices.Min(log.Lateness); early < 0 {
 		t.Errorf("a request was sent %v before it was due", -early)
 	}
-	visits := map[uint64][]trace.Visit{}
-	for _, v := range log.Visits {
-		visits[v.Txn] = append(visits[v.Txn], v)
+	visits := map[uint64][]trace.EndpointRequest{}
+	for _, v := range log.EndpointRequests {
+		visits[v.TransactionID] = append(visits[v.TransactionID], v)
 	}
-	for i, try := range log.Tries {
-		if try.Request != i || try.Status != trace.Served || try.Forged || try.Answers != 1 || try.Sidecar != 0 {
+	for i, try := range log.ClientAttempts {
+		if try.Request != i || try.Status != trace.StatusServed || try.Forged || try.Responses != 1 || try.Sidecar != 0 {
 			t.Errorf("try %+v", try)
 		}
-		if !slices.ContainsFunc(visits[try.Txn], func(v trace.Visit) bool {
-			return v.Box == try.Box && v.End == trace.OK && v.Begun >= try.Due && v.Ended <= try.Answered
+		if !slices.ContainsFunc(visits[try.TransactionID], func(v trace.EndpointRequest) bool {
+			return v.Endpoint == try.Endpoint && v.Outcome == trace.OutcomeOK && v.FirstByte >= try.Due && v.Ended <= try.Ended
 		}) {
-			t.Errorf("no visit tells of %+v: %+v", try, visits[try.Txn])
+			t.Errorf("no visit tells of %+v: %+v", try, visits[try.TransactionID])
 		}
-		delete(visits, try.Txn)
+		delete(visits, try.TransactionID)
 	}
 	if len(visits) > 0 {
 		t.Errorf("visits that nobody asked for: %v", visits)
 	}
-	var changes []trace.Happening
-	for _, c := range log.Changes {
-		changes = append(changes, c.What)
+	var changes []trace.SidecarEventKind
+	for _, c := range log.SidecarEvents {
+		changes = append(changes, c.Kind)
 	}
-	if want := []trace.Happening{trace.Begun, trace.Able, trace.Stopping, trace.Ended}; !slices.Equal(changes, want) {
-		t.Errorf("changes %v, want %v: %+v", changes, want, log.Changes)
+	if want := []trace.SidecarEventKind{trace.SidecarStarted, trace.SidecarReady, trace.SidecarStopping, trace.SidecarExited}; !slices.Equal(changes, want) {
+		t.Errorf("changes %v, want %v: %+v", changes, want, log.SidecarEvents)
 	}
-	if len(log.Usage) != 1 || log.Usage[0].CPU <= 0 || log.Usage[0].PeakMemory <= 0 || log.Usage[0].Descriptors <= 0 {
+	if len(log.Usage) != 1 || log.Usage[0].CPU <= 0 || log.Usage[0].PeakMemory <= 0 || log.Usage[0].MaxDescriptors <= 0 {
 		t.Errorf("usage: %+v", log.Usage)
 	}
-	if len(log.Samples) < 3 || len(told) == 0 || log.End < p.Scenario.Length.D() || len(log.Told) < 3 {
-		t.Errorf("%d samples, %d of progress, %d told, end %v", len(log.Samples), len(told), len(log.Told), log.End)
+	if len(log.Samples) < 3 || len(told) == 0 || log.End < p.Scenario.Length.D() || len(log.Notifications) < 3 {
+		t.Errorf("%d samples, %d of progress, %d told, end %v", len(log.Samples), len(told), len(log.Notifications), log.End)
 	}
 }
 
@@ -153,11 +153,11 @@
 	defer cancel()
 	log, err := loopback.Play(ctx, planned(t, calmDay), loopback.Options{Builds: [2]string{built},
 		Progress: func(time.Duration) { cancel() }})
-	if err != context.Canceled || log == nil || len(log.Tries) == 0 {
+	if err != context.Canceled || log == nil || len(log.ClientAttempts) == 0 {
 		t.Fatalf("%v: %+v", err, log)
 	}
-	if last := log.Changes[len(log.Changes)-1].What; last != trace.Ended && last != trace.Killed {
-		t.Errorf("the sidecar was left: %+v", log.Changes)
+	if last := log.SidecarEvents[len(log.SidecarEvents)-1].Kind; last != trace.SidecarExited && last != trace.SidecarKilled {
+		t.Errorf("the sidecar was left: %+v", log.SidecarEvents)
 	}
 }
 
@@ -206,13 +206,13 @@
 		t.Fatal(err)
 	}
 	boxes := map[int]int{}
-	for _, try := range log.Tries {
-		if try.Status != trace.Served || try.Sidecar != -1 {
+	for _, try := range log.ClientAttempts {
+		if try.Status != trace.StatusServed || try.Sidecar != -1 {
 			t.Errorf("try %+v", try)
 		}
-		boxes[try.Box]++
+		boxes[try.Endpoint]++
 	}
-	if len(log.Tries) != 2*len(p.Requests) || len(boxes) != len(p.Boxes) {
-		t.Errorf("%d requests, %d tries, by box %v", len(p.Requests), len(log.Tries), boxes)
+	if len(log.ClientAttempts) != 2*len(p.Requests) || len(boxes) != len(p.Boxes) {
+		t.Errorf("%d requests, %d tries, by box %v", len(p.Requests), len(log.ClientAttempts), boxes)
 	}
 }
--- a/internal/lab/loopback/service.go
+++ b/internal/lab/loopback/service.go
@@ -85,7 +85,7 @@
 }
 
 // admit has a call wait for its part of the service's capacity; false if it got none, and has been answered so.
-func (a *agent) admit(w http.ResponseWriter, req *http.Request, asked *trace.Asked) bool {
+func (a *agent) admit(w http.ResponseWriter, req *http.Request, asked *trace.DiscoveryPoll) bool {
 	slow, delay := 1.0, time.Duration(0)
 	a.mu.Lock()
 	for _, f := range a.faults {
@@ -102,7 +102,7 @@
 		answered, room := s.listing.Ask(now, slow)
 		s.mu.Unlock()
 		if !room {
-			asked.How = trace.Turned
+			asked.Outcome = trace.PollRejected
 			switch s.listing.Beyond {
 			case model.Resets:
 				panic(http.ErrAbortHandler)
--- a/internal/lab/loopback/service_test.go
+++ b/internal/lab/loopback/service_test.go
@@ -60,7 +60,7 @@
 	}
 	before := a.get("")
 	turn(plan.BeginList, 1, "list_old")
-	r.agents[0].tell(plan.Listed{Box: 0, Phase: trace.Terminating})
+	r.agents[0].tell(plan.Listed{Box: 0, Phase: trace.PhaseTerminating})
 	if m := a.get(""); m.text() != before.text() {
 		t.Errorf("an old list: %s", m.text())
 	}
@@ -87,8 +87,8 @@
 	turned := func() (n int) {
 		r.trace.mu.Lock()
 		defer r.trace.mu.Unlock()
-		for _, k := range r.trace.log.Asked {
-			if k.How == trace.Turned {
+		for _, k := range r.trace.log.Polls {
+			if k.Outcome == trace.PollRejected {
 				n++
 			}
 		}
--- a/internal/lab/loopback/sidecar.go
+++ b/internal/lab/loopback/sidecar.go
@@ -84,7 +84,7 @@
 	}
 	s.process = p
 	s.lead()
-	s.fleet.trace.change(trace.Change{At: s.fleet.now(), Sidecar: s.id, What: trace.Begun, Digest: s.holds()})
+	s.fleet.trace.change(trace.SidecarEvent{At: s.fleet.now(), Sidecar: s.id, Kind: trace.SidecarStarted, Digest: s.holds()})
 	s.fleet.tasks.Go(func() { s.wait(p) })
 	s.fleet.tasks.Go(func() { s.admit(p) })
 	return nil
@@ -173,16 +173,16 @@
 	defer close(p.ended)
 	if s.process != p { // another one has taken its place, or it has never come so far
 		if !p.stopping && !p.killed {
-			s.note(trace.Crashed, state.String()+"\n"+tail(s.log()))
+			s.note(trace.SidecarCrashed, state.String()+"\n"+tail(s.log()))
 		}
 		return
 	}
 	switch {
 	case p.killed:
 	case p.stopping:
-		s.note(trace.Ended, state.String())
+		s.note(trace.SidecarExited, state.String())
 	default:
-		s.note(trace.Crashed, state.String()+"\n"+tail(s.log()))
+		s.note(trace.SidecarCrashed, state.String()+"\n"+tail(s.log()))
 	}
 	at := *s.standing.Load()
 	at.until = min(at.until, s.fleet.now()+s.fleet.plan.Scenario.Clients.Notice.D())
@@ -201,7 +201,7 @@
 		defer s.mu.Unlock()
 		if s.runs() {
 			s.standing.Store(&standing{able: true, until: model.Never})
-			s.note(trace.Able, "")
+			s.note(trace.SidecarReady, "")
 			if s.fleet.plan.Scenario.Fleet.Audited() {
 				s.fleet.tasks.Go(func() { s.attend(p) })
 			}
@@ -263,7 +263,7 @@
 	}
 	p := s.process
 	p.stopping = true
-	s.note(trace.Stopping, "")
+	s.note(trace.SidecarStopping, "")
 	s.fleet.tasks.Go(func() { s.drain(p) })
 }
 
@@ -274,7 +274,7 @@
 		return
 	}
 	s.process.killed = true
-	s.note(trace.Killed, "")
+	s.note(trace.SidecarKilled, "")
 }
 
 func (s *sidecar) signal(sig syscall.Signal) {
@@ -303,7 +303,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.process == p && s.runs() && p.cmd.Process.Signal(syscall.SIGHUP) == nil {
-			s.note(trace.Reloaded, "")
+			s.note(trace.SidecarReloaded, "")
 		}
 	})
 	return nil
@@ -316,6 +316,6 @@
 	return s.process
 }
 
-func (s *sidecar) note(what trace.Happening, text string) {
-	s.fleet.trace.change(trace.Change{At: s.fleet.now(), Sidecar: s.id, What: what, Text: text})
+func (s *sidecar) note(what trace.SidecarEventKind, text string) {
+	s.fleet.trace.change(trace.SidecarEvent{At: s.fleet.now(), Sidecar: s.id, Kind: what, Detail: text})
 }
--- a/internal/lab/loopback/sidecar_config.go
+++ b/internal/lab/loopback/sidecar_config.go
@@ -110,7 +110,7 @@
 	}
 	var out []plan.Listed
 	for box := range p.Boxes {
-		if l, ok := list[box]; ok && l.Phase != trace.Away {
+		if l, ok := list[box]; ok && l.Phase != trace.PhaseGone {
 			out = append(out, l)
 		}
 	}
--- a/internal/lab/loopback/thrift_test.go
+++ b/internal/lab/loopback/thrift_test.go
@@ -43,19 +43,19 @@
 			shift uint64 // of the id: another is nobody's
 			class string
 			want  end
-			ends  trace.End
+			ends  trace.Outcome
 		}{
-			{"whole", noFault, 0, "keyed", end{status: trace.Served}, trace.OK},
-			{"failed", model.Fail, 0, "quick", end{status: trace.Failed, code: thrift.INTERNAL_ERROR}, trace.Errored},
-			{"a stranger's", noFault, 1, "quick", end{status: trace.Failed, code: thrift.PROTOCOL_ERROR}, trace.Errored},
-			{"turned away", noFault, 0, "quick", end{status: trace.Failed, code: scenario.ThriftTurnedAway}, trace.TurnedAway},
-			{"cut", model.Cut, 0, "quick", end{}, trace.Spoilt},
-			{"spoilt", model.Spoil, 0, "quick", end{}, trace.Spoilt},
-			{"dripped", model.Drip, 0, "quick", end{}, trace.Spoilt},
+			{"whole", noFault, 0, "keyed", end{status: trace.StatusServed}, trace.OutcomeOK},
+			{"failed", model.Fail, 0, "quick", end{status: trace.StatusFailed, code: thrift.INTERNAL_ERROR}, trace.OutcomeError},
+			{"a stranger's", noFault, 1, "quick", end{status: trace.StatusFailed, code: thrift.PROTOCOL_ERROR}, trace.OutcomeError},
+			{"turned away", noFault, 0, "quick", end{status: trace.StatusFailed, code: scenario.ThriftTurnedAway}, trace.OutcomeRejected},
+			{"cut", model.Cut, 0, "quick", end{}, trace.OutcomeCorrupted},
+			{"spoilt", model.Spoil, 0, "quick", end{}, trace.OutcomeCorrupted},
+			{"dripped", model.Drip, 0, "quick", end{}, trace.OutcomeCorrupted},
 		} {
 			t.Run(c.name, func(t *testing.T) {
 				s := newStand(t, standClasses+oneTier+"slots = 1\nqueue = 1\n"+onlyThrift(protocol))
-				for i := 0; i < 2 && c.ends == trace.TurnedAway; i++ {
+				for i := 0; i < 2 && c.ends == trace.OutcomeRejected; i++ {
 					s.ask(s.dial(0), s.next("long"))
 					s.loaded(0, 1, i)
 				}
@@ -63,23 +63,23 @@
 					s.fault(0, c.fault, 1)
 				}
 				q, conn := s.next(c.class), s.dial(0)
-				q.try.Txn += c.shift
+				q.try.TransactionID += c.shift
 				s.ask(conn, q)
 				if c.fault == model.Drip {
 					if _, err := conn.in.Peek(2 * dripBytes); err != nil {
 						t.Error(err)
 					}
 					conn.Close()
-				} else if got, err := s.callers.wire.outcome(&line{in: conn.in}, &q); (err != nil) != (c.ends == trace.Spoilt) ||
+				} else if got, err := s.callers.wire.outcome(&line{in: conn.in}, &q); (err != nil) != (c.ends == trace.OutcomeCorrupted) ||
 					err == nil && (got.status != c.want.status || got.code != c.want.code) {
 					t.Errorf("%+v: %v", got, err)
-				} else if box, ok := checkBody(q.try.Txn, got.body); c.ends == trace.OK && (!ok || box != 0) {
+				} else if box, ok := checkBody(q.try.TransactionID, got.body); c.ends == trace.OutcomeOK && (!ok || box != 0) {
 					t.Error("the body is not box 0's")
 				}
 				if c.shift > 0 {
-					q.try.Txn = 0
+					q.try.TransactionID = 0
 				}
-				if v := s.visit(q.try.Txn); v.End != c.ends {
+				if v := s.visit(q.try.TransactionID); v.Outcome != c.ends {
 					t.Errorf("the visit is %+v", v)
 				}
 			})
@@ -108,7 +108,7 @@
 		for _, class := range []string{"quick", "keyed"} {
 			q := s.next(class)
 			text := wire.request(nil, &q)
-			want := ask{named: true, txn: q.try.Txn, request: q.try.Request, left: q.left, mark: mark{method: class, seq: int32(q.try.Txn)}}
+			want := ask{named: true, txn: q.try.TransactionID, request: q.try.Request, left: q.left, mark: mark{method: class, seq: int32(q.try.TransactionID)}}
 			if class == "keyed" {
 				want.key = q.key
 			}
@@ -135,7 +135,7 @@
 		random, q := rand.New(rand.NewPCG(1, 0)), s.next("quick")
 		for _, size := range []int{bodyLeast, 5000} {
 			for range 300 {
-				text := newCodec(s.plan).spoil(nil, mark{method: "quick", seq: int32(q.try.Txn)}, answerBody(1, 2, 3, size), random)
+				text := newCodec(s.plan).spoil(nil, mark{method: "quick", seq: int32(q.try.TransactionID)}, answerBody(1, 2, 3, size), random)
 				if e, err := s.callers.wire.outcome(&line{in: bufio.NewReader(bytes.NewReader(text))}, &q); err == nil {
 					t.Fatalf("this passes for whole: %+v %q", e, text)
 				}
@@ -164,21 +164,21 @@
 			answers int
 			forged  bool
 		}{
-			{"whole", whole, trace.Served, 0, 0, 1, false},
-			{"two", slices.Concat(whole, whole), trace.Served, 0, 0, 2, false},
-			{"another's", reply("unsafe_one", 5, answerBody(6, 2, 0, 64)), trace.Served, 0, 0, 1, true},
+			{"whole", whole, trace.StatusServed, 0, 0, 1, false},
+			{"two", slices.Concat(whole, whole), trace.StatusServed, 0, 0, 2, false},
+			{"another's", reply("unsafe_one", 5, answerBody(6, 2, 0, 64)), trace.StatusServed, 0, 0, 1, true},
 			{"without a body", form.write(nil, thriftHead{"unsafe_one", thrift.REPLY, 5},
-				func(w thriftWriter) { w.fields(func() { w.number(7, 7) }) }), trace.Served, 0, 0, 1, true},
-			{"refused with advice", exception(100, "refused: no room; retry after 0.250 s"), trace.Refused, 100, 250 * time.Millisecond, 1, false},
-			{"refused", exception(100, "refused"), trace.Refused, 100, 0, 1, false},
-			{"failed", exception(101, "failed; retry after 0.250 s"), trace.Failed, 101, 0, 1, false},
-			{"expired", exception(102, ""), trace.Failed, 102, 0, 1, false},
-			{"unknown method", exception(1, ""), trace.Failed, 1, 0, 1, false},
-			{"another sequence id", reply("unsafe_one", 6, answerBody(5, 2, 0, 64)), trace.Failed, 0, 0, 0, false},
-			{"another method", reply("safe_one", 5, answerBody(5, 2, 0, 64)), trace.Failed, 0, 0, 0, false},
-			{"half a reply", whole[:len(whole)/2], trace.Failed, 0, 0, 0, false},
-			{"HTTP", []byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), trace.Failed, 0, 0, 0, false},
-			{"closed", nil, trace.Broken, 0, 0, 0, false},
+				func(w thriftWriter) { w.fields(func() { w.number(7, 7) }) }), trace.StatusServed, 0, 0, 1, true},
+			{"refused with advice", exception(100, "refused: no room; retry after 0.250 s"), trace.StatusRejected, 100, 250 * time.Millisecond, 1, false},
+			{"refused", exception(100, "refused"), trace.StatusRejected, 100, 0, 1, false},
+			{"failed", exception(101, "failed; retry after 0.250 s"), trace.StatusFailed, 101, 0, 1, false},
+			{"expired", exception(102, ""), trace.StatusFailed, 102, 0, 1, false},
+			{"unknown method", exception(1, ""), trace.StatusFailed, 1, 0, 1, false},
+			{"another sequence id", reply("unsafe_one", 6, answerBody(5, 2, 0, 64)), trace.StatusFailed, 0, 0, 0, false},
+			{"another method", reply("safe_one", 5, answerBody(5, 2, 0, 64)), trace.StatusFailed, 0, 0, 0, false},
+			{"half a reply", whole[:len(whole)/2], trace.StatusFailed, 0, 0, 0, false},
+			{"HTTP", []byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), trace.StatusFailed, 0, 0, 0, false},
+			{"closed", nil, trace.StatusDisconnected, 0, 0, 0, false},
 		} {
 			t.Run(c.name, func(t *testing.T) {
 				s := newScriptedOver(t, protocol)
@@ -189,8 +189,8 @@
 					l.conn.Write(c.answer)
 				})
 				got := s.do(t.Context(), s.query("unsafe", 5))
-				if got.Status != c.want || got.Code != c.code || got.Advice != c.advice || got.Answers != c.answers ||
-					got.Forged != c.forged || got.Sent == trace.None {
+				if got.Status != c.want || got.Code != c.code || got.RetryAfter != c.advice || got.Responses != c.answers ||
+					got.Forged != c.forged || got.Sent == trace.Unset {
 					t.Errorf("%+v", got)
 				}
 			})
--- a/internal/lab/loopback/throng_test.go
+++ b/internal/lab/loopback/throng_test.go
@@ -127,14 +127,14 @@
 		{"in two windows", 34, 2 * time.Second, 34, 0.4, 0.6},
 		{"most untold", 36, time.Second, 10, 0, 0.7},
 	} {
-		log := &trace.Log{Told: []trace.Told{{At: start, Sidecar: 0, Box: box, Phase: trace.Ready, UpSince: start}}}
+		log := &trace.Log{Notifications: []trace.Notification{{At: start, Sidecar: 0, Endpoint: box, Phase: trace.PhaseReady, UpSince: start}}}
 		for n := range c.sent {
 			from := 0
 			if n >= c.told {
 				from = 1
 			}
-			log.Tries = append(log.Tries, trace.Try{Txn: uint64(n), Sidecar: from})
-			log.Visits = append(log.Visits, trace.Visit{Txn: uint64(n), Box: box, Begun: start + c.over*time.Duration(n+1)/time.Duration(c.sent+1)})
+			log.ClientAttempts = append(log.ClientAttempts, trace.ClientAttempt{TransactionID: uint64(n), Sidecar: from})
+			log.EndpointRequests = append(log.EndpointRequests, trace.EndpointRequest{TransactionID: uint64(n), Endpoint: box, FirstByte: start + c.over*time.Duration(n+1)/time.Duration(c.sent+1)})
 		}
 		if over, where := judge.Crest(p, log); over < c.least || over > c.most {
 			t.Errorf("%s: %.2f, want %v to %v: %s", c.name, over, c.least, c.most, where)
--- a/internal/lab/loopback/together_test.go
+++ b/internal/lab/loopback/together_test.go
@@ -59,7 +59,7 @@
 		}},
 		{"a third is killed in the middle, and comes again", spared + nothing, nothing,
 			list("down", "0s", "1s", "") + "[[fault]]\nkind = \"sidecar_kill\"\nat = \"2s\"\nboxes = 4\nback = \"1s\"\n", func(o *together) bool {
-				return o.res.Together.Turned == 0 && o.res.Together.Unready == 0 && o.res.Together.Unheard == 0 && o.count(trace.Begun) == 16
+				return o.res.Together.Turned == 0 && o.res.Together.Unready == 0 && o.res.Together.Unheard == 0 && o.count(trace.SidecarStarted) == 16
 			}},
 		{"down for good, with a list that is known", spared + something, spared + nothing, list("down", "0s", "20s", ""), func(o *together) bool {
 			return o.res.Together.Unready == 0 && o.served() > 0
@@ -124,9 +124,9 @@
 	return o
 }
 
-func (o *together) count(what trace.Happening) (n int) {
-	for _, c := range o.played.Changes {
-		if c.What == what {
+func (o *together) count(what trace.SidecarEventKind) (n int) {
+	for _, c := range o.played.SidecarEvents {
+		if c.Kind == what {
 			n++
 		}
 	}
@@ -137,8 +137,8 @@
 
 // given is how many calls at the service were given up before the run's end.
 func (o *together) given() (n int) {
-	for _, a := range o.played.Asked {
-		if a.How == trace.Left && a.At+a.Took < o.played.End {
+	for _, a := range o.played.Polls {
+		if a.Outcome == trace.PollAbandoned && a.At+a.Duration < o.played.End {
 			n++
 		}
 	}
--- a/internal/lab/loopback/trails.go
+++ b/internal/lab/loopback/trails.go
@@ -36,7 +36,7 @@
 		return
 	}
 	log := &r.trace.log
-	log.Trails, log.Findings = map[int][]auditlog.Entry{}, map[string][]byte{}
+	log.AuditLogs, log.Findings = map[int][]auditlog.Entry{}, map[string][]byte{}
 	for _, a := range r.auditors {
 		a.signal(syscall.SIGCONT) // one that is stopped takes no other signal
 		a.signal(syscall.SIGINT)
@@ -60,12 +60,12 @@
 			mu.Lock()
 			defer mu.Unlock()
 			log.Reports[i] = report
-			log.Trails[i] = append(log.Trails[i], entries...)
+			log.AuditLogs[i] = append(log.AuditLogs[i], entries...)
 		})
 	}
 	all.Wait()
-	for i, entries := range log.Trails {
-		log.Trails[i] = inOrder(entries)
+	for i, entries := range log.AuditLogs {
+		log.AuditLogs[i] = inOrder(entries)
 	}
 }
 
@@ -104,7 +104,7 @@
 	}
 	for i := range r.plan.Sidecars {
 		if s, has := kept.History.Sidecars[r.plan.Sidecars[i].Name]; has && r.plan.Sidecars[i].Box < 0 {
-			r.trace.log.Trails[i] = append(r.trace.log.Trails[i], s.Entries...)
+			r.trace.log.AuditLogs[i] = append(r.trace.log.AuditLogs[i], s.Entries...)
 		}
 	}
 }
@@ -204,6 +204,6 @@
 	o.run.later.Go(func() {
 		at := o.run.now()
 		code, _, _ := o.run.operate(http.MethodPost, "http://"+o.run.operators(e.Sidecar)+"/admin/floor", body) // no answer is code 0
-		o.run.trace.ordered(trace.Ordered{At: at, Sidecar: e.Sidecar, Epoch: order.Floor.Epoch, Code: code})
+		o.run.trace.ordered(trace.ReplayedOrder{At: at, Sidecar: e.Sidecar, Epoch: order.Floor.Epoch, StatusCode: code})
 	})
 }
--- a/internal/lab/loopback/upgrade.go
+++ b/internal/lab/loopback/upgrade.go
@@ -24,7 +24,7 @@
 		return err
 	}
 	close(p.settled)
-	s.note(trace.Doubled, "")
+	s.note(trace.SidecarUpgradeStarted, "")
 	s.fleet.tasks.Go(func() { s.wait(p) })
 	s.fleet.tasks.Go(func() { s.succeed(old, p) })
 	return nil
@@ -35,9 +35,9 @@
 	from := time.Now()
 	for s.fleet.asked("http://"+p.control+"/admin/health") != http.StatusOK {
 		if !s.pause(p, readySoonest) || time.Since(from) > yesWithin {
-			s.note(trace.Crashed, "the new process of an upgrade does not say yes")
+			s.note(trace.SidecarCrashed, "the new process of an upgrade does not say yes")
 			s.end(p)
-			s.note(trace.Succeeded, "")
+			s.note(trace.SidecarUpgradeFinished, "")
 			return
 		}
 	}
@@ -54,7 +54,7 @@
 	case <-s.fleet.life.Done():
 	}
 	s.end(old)
-	s.note(trace.Succeeded, "")
+	s.note(trace.SidecarUpgradeFinished, "")
 }
 
 // end kills a process that is not the sidecar's, if it still runs.
--- a/internal/lab/loopback/usage.go
+++ b/internal/lab/loopback/usage.go
@@ -21,7 +21,7 @@
 	}
 	proc := fmt.Sprintf("/proc/%d/", s.process.cmd.Process.Pid)
 	if fds, err := os.ReadDir(proc + "fd"); err == nil {
-		s.taken.Descriptors = max(s.taken.Descriptors, len(fds))
+		s.taken.MaxDescriptors = max(s.taken.MaxDescriptors, len(fds))
 	}
 	status, _ := os.ReadFile(proc + "status") // it may have just ended
 	for line := range strings.Lines(string(status)) {
--- a/internal/lab/loopback/visit.go
+++ b/internal/lab/loopback/visit.go
@@ -11,7 +11,7 @@
 
 // visit is one attempt at a box, from its last byte on.
 type visit struct {
-	trace.Visit
+	trace.EndpointRequest
 	job       uint64
 	request   int
 	number    int           // of that id at that box
@@ -49,8 +49,8 @@
 	case !a.named:
 		p.out <- output{what: replyUnknown, to: a.mark, last: a.last}
 	case !b.made(a):
-		b.run.trace.visit(trace.Visit{Box: b.index, Conn: p.id, Begun: begun, Arrived: now, Started: trace.None,
-			Ended: now, End: trace.Errored, Key: a.key})
+		b.run.trace.visit(trace.EndpointRequest{Endpoint: b.index, ConnectionID: p.id, FirstByte: begun, LastByte: now, Started: trace.Unset,
+			Ended: now, Outcome: trace.OutcomeError, IdempotencyKey: a.key})
 		p.out <- output{what: replyFaulty, to: a.mark, last: a.last}
 	default:
 		b.take(p, a, begun, now)
@@ -94,8 +94,8 @@
 func (b *box) take(p *peer, a *ask, begun, now time.Duration) {
 	b.numbers++
 	v := &visit{job: b.numbers, request: a.request, number: b.visits[a.txn], left: a.left, last: a.last, mark: a.mark, peer: p, baggage: a.baggage,
-		Visit: trace.Visit{Txn: a.txn, Box: b.index, Conn: p.id, Begun: begun, Arrived: now, Started: trace.None,
-			Ended: trace.None, Key: a.key}}
+		EndpointRequest: trace.EndpointRequest{TransactionID: a.txn, Endpoint: b.index, ConnectionID: p.id, FirstByte: begun, LastByte: now, Started: trace.Unset,
+			Ended: trace.Unset, IdempotencyKey: a.key}}
 	b.visits[a.txn]++
 	v.segments = b.run.plan.Segments(nil, a.request, a.txn, b.index, v.number)
 	b.jobs[v.job] = v
@@ -109,7 +109,7 @@
 // withdraw is a caller's giving up what it has here.
 func (b *box) withdraw(p *peer, now time.Duration) {
 	v := p.held
-	v.withdrawn, v.Ended, v.End = true, now, trace.Withdrawn
+	v.withdrawn, v.Ended, v.Outcome = true, now, trace.OutcomeCanceled
 	v.peer, p.held = nil, nil
 	b.model.Withdraw(now, v.job)
 }
@@ -121,34 +121,34 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	end := trace.Withdrawn
+	end := trace.OutcomeCanceled
 	if p.frozen || p.ended {
-		end = trace.LostHere
+		end = trace.OutcomeLost
 	}
-	b.run.trace.visit(trace.Visit{Txn: a.txn, Box: b.index, Conn: p.id, Begun: begun, Arrived: trace.None,
-		Started: trace.None, Ended: b.run.now(), End: end, Key: a.key})
+	b.run.trace.visit(trace.EndpointRequest{TransactionID: a.txn, Endpoint: b.index, ConnectionID: p.id, FirstByte: begun, LastByte: trace.Unset,
+		Started: trace.Unset, Ended: b.run.now(), Outcome: end, IdempotencyKey: a.key})
 }
 
-var answerEnds = [...]trace.End{model.OK: trace.OK, model.Errored: trace.Errored, model.TurnedAway: trace.TurnedAway,
-	model.CutOff: trace.Spoilt, model.Spoilt: trace.Spoilt, model.Dripped: trace.Spoilt}
+var answerEnds = [...]trace.Outcome{model.OK: trace.OutcomeOK, model.Errored: trace.OutcomeError, model.TurnedAway: trace.OutcomeRejected,
+	model.CutOff: trace.OutcomeCorrupted, model.Spoilt: trace.OutcomeCorrupted, model.Dripped: trace.OutcomeCorrupted}
 
 // effect carries out what the model did with one visit.
 func (b *box) effect(e *model.Effect) {
 	v := b.jobs[e.Job]
 	switch e.Kind {
 	case model.Started:
-		v.Started, v.Repeat = e.At, e.Repeat
+		v.Started, v.Deduplicated = e.At, e.Repeat
 	case model.Calling:
 		b.callNext(v, e.Call)
 	case model.Lost:
 		if !v.withdrawn {
-			v.Ended, v.End = e.At, trace.LostHere
+			v.Ended, v.Outcome = e.At, trace.OutcomeLost
 		}
 		b.over(v, e.Done)
 	case model.Answered:
 		p := v.peer
 		if !v.withdrawn {
-			v.Ended, v.End = e.At, answerEnds[e.Answer]
+			v.Ended, v.Outcome = e.At, answerEnds[e.Answer]
 		}
 		if p != nil && e.Answer == model.Dripped {
 			p.dripping = v // it is out for as long as its connection
@@ -164,19 +164,19 @@
 func (b *box) over(v *visit, done time.Duration) {
 	delete(b.jobs, v.job)
 	v.drop()
-	v.Done = done
+	v.Work = done
 	if v.peer != nil {
 		v.peer.held = nil
 	}
 	if v.peer == nil || v.peer.dripping != v {
-		b.run.trace.visit(v.Visit)
+		b.run.trace.visit(v.EndpointRequest)
 	}
 }
 
 // dripped is the end of an answer that dripped.
 func (b *box) dripped(p *peer, now time.Duration) {
 	p.dripping.Ended = now
-	b.run.trace.visit(p.dripping.Visit)
+	b.run.trace.visit(p.dripping.EndpointRequest)
 	p.dripping = nil
 }
 
@@ -190,7 +190,7 @@
 	case model.TurnedAway:
 		o.what = replyTurnedAway
 	default:
-		o.txn, o.visit = v.Txn, v.number
+		o.txn, o.visit = v.TransactionID, v.number
 		o.size = max(1, b.run.plan.Scenario.Class[b.run.plan.Requests[v.request].Class].Answer)
 		o.chance = [2]uint64{b.chance.Uint64(), b.chance.Uint64()}
 	}
--- a/internal/lab/plan/client.go
+++ b/internal/lab/plan/client.go
@@ -16,17 +16,17 @@
 // Retry is when a client tries again after a try that has ended, if it does. It repeats what is safe after
 // any failure, what is keyed within the window of its first send, and anything else only where nothing can
 // have run: after a refusal, or when no connection came up.
-func (p *Plan) Retry(t *trace.Try, first time.Duration) (at time.Duration, again bool) {
+func (p *Plan) Retry(t *trace.ClientAttempt, first time.Duration) (at time.Duration, again bool) {
 	r := &p.Requests[t.Request]
 	c := &p.Scenario.Class[r.Class]
-	if t.Status == trace.Served || t.Status == trace.Gone || t.No >= r.Retries {
+	if t.Status == trace.StatusServed || t.Status == trace.StatusCanceled || t.Number >= r.Retries {
 		return 0, false
 	}
-	at = t.Answered + p.Scenario.Clients.Backoff.D()
-	if t.Status == trace.Refused && t.Advice > 0 && r.Honours {
-		at = max(at, t.Answered+min(t.Advice, p.Scenario.Rules.MaxRetryAfter.D()))
+	at = t.Ended + p.Scenario.Clients.Backoff.D()
+	if t.Status == trace.StatusRejected && t.RetryAfter > 0 && r.Honours {
+		at = max(at, t.Ended+min(t.RetryAfter, p.Scenario.Rules.MaxRetryAfter.D()))
 	}
-	unseen := t.Status == trace.Refused || t.Status == trace.NoEntry
+	unseen := t.Status == trace.StatusRejected || t.Status == trace.StatusConnectFailed
 	switch c.Effect {
 	case "unsafe":
 		again = unseen
--- a/internal/lab/plan/plan.go
+++ b/internal/lab/plan/plan.go
@@ -511,12 +511,12 @@
 		if how == "stale" {
 			// It names what is not there yet, takes cold ones for warm and lacks some.
 			if i%10 != 9 {
-				out = append(out, Listed{Box: i, Phase: trace.Ready})
+				out = append(out, Listed{Box: i, Phase: trace.PhaseReady})
 			}
 			continue
 		}
 		if b.Start != "absent" {
-			out = append(out, Listed{Box: i, Phase: trace.Ready, UpSince: p.upSince(i)})
+			out = append(out, Listed{Box: i, Phase: trace.PhaseReady, UpSince: p.upSince(i)})
 		}
 	}
 	return out
@@ -535,7 +535,7 @@
 	var out []Listed
 	for i := range p.Boxes {
 		if b := &p.Boxes[i]; b.Tier == tier && b.Start != "absent" {
-			out = append(out, Listed{Box: i, Phase: trace.Ready, UpSince: p.upSince(i)})
+			out = append(out, Listed{Box: i, Phase: trace.PhaseReady, UpSince: p.upSince(i)})
 		}
 	}
 	return out
--- a/internal/lab/plan/plan_test.go
+++ b/internal/lab/plan/plan_test.go
@@ -124,20 +124,20 @@
 	}{
 		"crash, longer than it takes to notice": {`kind = "crash"
 at = "4s"
-for = "3s"`, []heard{{at(5), trace.Away, 0}, {at(7.5), trace.Ready, at(7)}}},
+for = "3s"`, []heard{{at(5), trace.PhaseGone, 0}, {at(7.5), trace.PhaseReady, at(7)}}},
 		"crash, shorter": {`kind = "crash"
 at = "4s"
-for = "500ms"`, []heard{{at(5), trace.Ready, at(4.5)}}},
+for = "500ms"`, []heard{{at(5), trace.PhaseReady, at(4.5)}}},
 		"vanish, unnoticed": {`kind = "vanish"
 at = "4s"
-for = "5s"`, []heard{{at(9.5), trace.Ready, at(9)}}},
+for = "5s"`, []heard{{at(9.5), trace.PhaseReady, at(9)}}},
 		"drain and back": {`kind = "drain"
 at = "4s"
 grace = "4s"
-back = "2s"`, []heard{{at(5), trace.Terminating, 0}, {at(9), trace.Away, 0}, {at(10.5), trace.Ready, at(10)}}},
+back = "2s"`, []heard{{at(5), trace.PhaseTerminating, 0}, {at(9), trace.PhaseGone, 0}, {at(10.5), trace.PhaseReady, at(10)}}},
 		"leaves, its entry stays": {`kind = "leave"
 at = "4s"
-for = "9s"`, []heard{{at(13), trace.Away, 0}}},
+for = "9s"`, []heard{{at(13), trace.PhaseGone, 0}}},
 		"hang, never told": {`kind = "hang"
 at = "4s"`, nil},
 		"flap, faster than it is noticed": {`kind = "flap"
@@ -145,14 +145,14 @@
 at = "4s"
 for = "2s"
 down = "500ms"
-up = "500ms"`, []heard{{at(5), trace.Ready, at(4.5)}, {at(6), trace.Ready, at(5.5)}}},
+up = "500ms"`, []heard{{at(5), trace.PhaseReady, at(4.5)}, {at(6), trace.PhaseReady, at(5.5)}}},
 		"silence holds it back": {`kind = "crash"
 at = "4s"
 for = "500ms"
 [[fault]]
 kind = "discovery_silent"
 at = "3s"
-for = "6s"`, []heard{{at(9), trace.Ready, at(4.5)}}},
+for = "6s"`, []heard{{at(9), trace.PhaseReady, at(4.5)}}},
 	} {
 		s := load(t, "calm", quiet, "[[fault]]", `names = ["order-3"]`, c.fault)
 		got := told(build(t, s, 1), 1, "order-3")
@@ -206,21 +206,21 @@
 		after  time.Duration // from its due time to the try's end
 		again  bool
 	}{
-		{"order-status", trace.Served, 0, time.Millisecond, false},
-		{"order-status", trace.Gone, 0, time.Millisecond, false},
-		{"order-status", trace.Failed, 0, time.Millisecond, true},
-		{"order-status", trace.Failed, 3, time.Millisecond, false},
-		{"order-status", trace.Failed, 0, 1450 * time.Millisecond, false}, // no time is left after the wait
-		{"place-order", trace.Silent, 0, 1400 * time.Millisecond, true},
-		{"remake-charge", trace.Silent, 0, time.Millisecond, false},
-		{"remake-charge", trace.Failed, 0, time.Millisecond, false},
-		{"remake-charge", trace.Broken, 0, time.Millisecond, false},
-		{"remake-charge", trace.Refused, 0, time.Millisecond, true},
-		{"remake-charge", trace.NoEntry, 0, time.Millisecond, true},
+		{"order-status", trace.StatusServed, 0, time.Millisecond, false},
+		{"order-status", trace.StatusCanceled, 0, time.Millisecond, false},
+		{"order-status", trace.StatusFailed, 0, time.Millisecond, true},
+		{"order-status", trace.StatusFailed, 3, time.Millisecond, false},
+		{"order-status", trace.StatusFailed, 0, 1450 * time.Millisecond, false}, // no time is left after the wait
+		{"place-order", trace.StatusTimedOut, 0, 1400 * time.Millisecond, true},
+		{"remake-charge", trace.StatusTimedOut, 0, time.Millisecond, false},
+		{"remake-charge", trace.StatusFailed, 0, time.Millisecond, false},
+		{"remake-charge", trace.StatusDisconnected, 0, time.Millisecond, false},
+		{"remake-charge", trace.StatusRejected, 0, time.Millisecond, true},
+		{"remake-charge", trace.StatusConnectFailed, 0, time.Millisecond, true},
 	} {
 		i := first[c.class]
 		due := p.Requests[i].Due
-		_, again := p.Retry(&trace.Try{Request: i, No: c.no, Status: c.status, Answered: due + c.after}, due)
+		_, again := p.Retry(&trace.ClientAttempt{Request: i, Number: c.no, Status: c.status, Ended: due + c.after}, due)
 		if again != c.again {
 			t.Errorf("%s, try %d, %v: again %v", c.class, c.no, c.status, again)
 		}
@@ -228,7 +228,7 @@
 	i := first["remake-charge"]
 	p.Requests[i].Honours = true
 	due := p.Requests[i].Due
-	at, _ := p.Retry(&trace.Try{Request: i, Status: trace.Refused, Answered: due, Advice: 600 * time.Millisecond}, due)
+	at, _ := p.Retry(&trace.ClientAttempt{Request: i, Status: trace.StatusRejected, Ended: due, RetryAfter: 600 * time.Millisecond}, due)
 	if at != due+600*time.Millisecond {
 		t.Errorf("a client that follows the advice comes back after %v", at-due)
 	}
--- a/internal/lab/plan/script.go
+++ b/internal/lab/plan/script.go
@@ -128,10 +128,10 @@
 func (s *script) down(box int, kind model.FaultKind, from, to, notice time.Duration) {
 	s.between(box, model.Fault{Kind: kind}, from, to)
 	if to == 0 || to-from > notice {
-		s.tell(from+notice, box, trace.Away, 0)
+		s.tell(from+notice, box, trace.PhaseGone, 0)
 	}
 	if to > 0 {
-		s.tell(to+s.Scenario.Discovery.Add.D(), box, trace.Ready, to)
+		s.tell(to+s.Scenario.Discovery.Add.D(), box, trace.PhaseReady, to)
 	}
 }
 
@@ -200,7 +200,7 @@
 	case "leave":
 		s.between(box, model.Fault{Kind: model.Dead}, from, 0)
 		if to > 0 {
-			s.tell(to, box, trace.Away, 0)
+			s.tell(to, box, trace.PhaseGone, 0)
 		}
 	case "drain":
 		grace := f.Grace.D()
@@ -211,7 +211,7 @@
 		if f.Back > 0 {
 			back = ends + f.Back.D()
 		}
-		s.tell(from+d.Notice.D(), box, trace.Terminating, s.upSince(box))
+		s.tell(from+d.Notice.D(), box, trace.PhaseTerminating, s.upSince(box))
 		s.down(box, model.Dead, ends, back, d.Notice.D())
 	case "add":
 		s.Boxes[box].Start, s.Boxes[box].At = "absent", from
@@ -221,7 +221,7 @@
 				s.add(Event{At: from, Kind: StartSidecar, Box: -1, Sidecar: i})
 			}
 		}
-		s.tell(from+d.Add.D(), box, trace.Ready, from)
+		s.tell(from+d.Add.D(), box, trace.PhaseReady, from)
 	case "flap":
 		for at := from; at < to; at += (f.Down + f.Up).D() {
 			back := min(at+f.Down.D(), to)
--- a/internal/lab/result/audits.go
+++ b/internal/lab/result/audits.go
@@ -42,8 +42,8 @@
 		out.Late += n
 		out.ByWhom[r.plan.Sidecars[sidecar].Name] = n
 	}
-	if len(r.log.Trails) > 0 {
-		v := auditcheck.Judge(r.plan, r.log, r.log.Trails)
+	if len(r.log.AuditLogs) > 0 {
+		v := auditcheck.Judge(r.plan, r.log, r.log.AuditLogs)
 		out.Trails = &v
 	}
 	for _, a := range r.plan.Scenario.Audit {
--- a/internal/lab/result/box.go
+++ b/internal/lab/result/box.go
@@ -14,8 +14,8 @@
 func boxesOf(p *plan.Plan, log *trace.Log) []boxLog {
 	out := make([]boxLog, len(p.Boxes))
 	for _, s := range log.Samples {
-		if s.Box >= 0 && s.Box < len(out) {
-			out[s.Box] = append(out[s.Box], s)
+		if s.Endpoint >= 0 && s.Endpoint < len(out) {
+			out[s.Endpoint] = append(out[s.Endpoint], s)
 		}
 	}
 	for i := range out {
@@ -28,16 +28,16 @@
 	of := &p.Boxes[i]
 	out := Box{Name: of.Name, Tier: of.Tier, Kind: of.Kind, Cores: of.Spec.Cores, Samples: len(b), Fallen: b.fell(0, longest),
 		Worst: b.worst(p.Scenario.Rules.FallWindow.D(), 0, longest)}
-	out.Sent = b.perSecond(seconds, func(s *trace.Sample) time.Duration { return s.Sent })
-	out.Could = b.perSecond(seconds, func(s *trace.Sample) time.Duration { return s.Could })
+	out.Sent = b.perSecond(seconds, func(s *trace.Sample) time.Duration { return s.SentWork })
+	out.Could = b.perSecond(seconds, func(s *trace.Sample) time.Duration { return s.PossibleWork })
 	out.InWork, out.Waiting, out.Cold = make([]float64, seconds), make([]float64, seconds), make([]bool, seconds)
 	n := make([]float64, seconds)
 	for j := range b {
 		if at := int(b[j].At / time.Second); at < seconds {
 			n[at]++
-			out.InWork[at] += float64(b[j].InWork)
-			out.Waiting[at] += float64(b[j].Waiting)
-			out.Cold[at] = out.Cold[at] || b[j].Cold
+			out.InWork[at] += float64(b[j].Running)
+			out.Waiting[at] += float64(b[j].Queued)
+			out.Cold[at] = out.Cold[at] || b[j].WarmingUp
 		}
 	}
 	for at := range n {
@@ -71,7 +71,7 @@
 }
 
 func (b boxLog) fell(from, to time.Duration) bool {
-	return slices.ContainsFunc(b, func(s trace.Sample) bool { return s.Fallen && s.At >= from && s.At < to })
+	return slices.ContainsFunc(b, func(s trace.Sample) bool { return s.Collapsed && s.At >= from && s.At < to })
 }
 
 // worst is the highest ratio of the work that reached it in a window to what it could do in that window, over
@@ -82,7 +82,7 @@
 	first, base := -1, 0 // samples: the first of this cold stretch, and the last before the window
 	for i := range b {
 		s := &b[i]
-		if !s.Cold && !(s.Fallen && first >= 0) {
+		if !s.WarmingUp && !(s.Collapsed && first >= 0) {
 			first = -1
 			continue
 		}
@@ -93,17 +93,17 @@
 		for base < i && b[base+1].At <= start {
 			base++
 		}
-		sent, could := s.Sent-b[base].Sent, (s.Could - b[base].Could).Seconds()
+		sent, could := s.SentWork-b[base].SentWork, (s.PossibleWork - b[base].PossibleWork).Seconds()
 		if b[base].At > start || base < first {
-			could = (s.Could - b[first].Could).Seconds() + b[first].Capacity*max(b[first].At-start, 0).Seconds()
+			could = (s.PossibleWork - b[first].PossibleWork).Seconds() + b[first].Capacity*max(b[first].At-start, 0).Seconds()
 			if first == 0 {
-				sent = s.Sent // the run began with it
+				sent = s.SentWork // the run began with it
 			}
 		}
 		if could > 0 && s.At >= from && s.At < to {
 			worst = max(worst, sent.Seconds()/could)
 		}
-		if s.Fallen {
+		if s.Collapsed {
 			first = -1 // it is judged up to its fall
 		}
 	}
--- a/internal/lab/result/fate.go
+++ b/internal/lab/result/fate.go
@@ -62,44 +62,44 @@
 			out[i].worth *= r.Work.Seconds()
 		}
 	}
-	for i := range log.Tries {
-		if t := &log.Tries[i]; t.Tier == 0 && t.Request >= 0 && t.Request < n {
-			out[t.Request].client(log.Tries, i)
+	for i := range log.ClientAttempts {
+		if t := &log.ClientAttempts[i]; t.Tier == 0 && t.Request >= 0 && t.Request < n {
+			out[t.Request].client(log.ClientAttempts, i)
 		}
 	}
 	for i := range out {
-		out[i].decide(log.Tries, s.Class[out[i].class].Aim.D())
+		out[i].decide(log.ClientAttempts, s.Class[out[i].class].Aim.D())
 	}
 	return out, attempts(p, log, out)
 }
 
 // client takes in one of the client's tries.
-func (f *fate) client(tries []trace.Try, i int) {
+func (f *fate) client(tries []trace.ClientAttempt, i int) {
 	t := &tries[i]
 	f.tries++
-	if t.Status == trace.Refused {
+	if t.Status == trace.StatusRejected {
 		f.refusals++
 	}
-	if f.last < 0 || t.No >= tries[f.last].No {
+	if f.last < 0 || t.Number >= tries[f.last].Number {
 		f.last = i
 	}
-	if t.Status == trace.Served && !t.Forged && (f.best < 0 || t.Answered < tries[f.best].Answered) {
+	if t.Status == trace.StatusServed && !t.Forged && (f.best < 0 || t.Ended < tries[f.best].Ended) {
 		f.best = i
 	}
 }
 
 // decide says what came of it. A request with no try at all has failed: nobody carried it.
-func (f *fate) decide(tries []trace.Try, aim time.Duration) {
+func (f *fate) decide(tries []trace.ClientAttempt, aim time.Duration) {
 	switch {
 	case f.best >= 0:
-		f.latency = tries[f.best].Answered - f.due
+		f.latency = tries[f.best].Ended - f.due
 		f.outcome = served
 		if f.latency > aim {
 			f.outcome = late
 		}
-	case f.last >= 0 && tries[f.last].Status == trace.Refused:
+	case f.last >= 0 && tries[f.last].Status == trace.StatusRejected:
 		f.outcome = refused
-	case f.last >= 0 && tries[f.last].Status == trace.Gone:
+	case f.last >= 0 && tries[f.last].Status == trace.StatusCanceled:
 		f.outcome = gone
 	default:
 		f.outcome = failed
@@ -108,41 +108,41 @@
 
 // attempts gives each request its visits and tells which of their work served its client.
 func attempts(p *plan.Plan, log *trace.Log, out []fate) stray {
-	tries := make(map[uint64]int, len(log.Tries))
-	for i := range log.Tries {
-		tries[log.Tries[i].Txn] = i
+	tries := make(map[uint64]int, len(log.ClientAttempts))
+	for i := range log.ClientAttempts {
+		tries[log.ClientAttempts[i].TransactionID] = i
 	}
-	order := make([]int, len(log.Visits))
+	order := make([]int, len(log.EndpointRequests))
 	for i := range order {
 		order[i] = i
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
-		v, w := &log.Visits[a], &log.Visits[b]
-		return cmp.Or(cmp.Compare(v.Txn, w.Txn), cmp.Compare(v.Begun, w.Begun))
+		v, w := &log.EndpointRequests[a], &log.EndpointRequests[b]
+		return cmp.Or(cmp.Compare(v.TransactionID, w.TransactionID), cmp.Compare(v.FirstByte, w.FirstByte))
 	})
 	var lost stray
 	for from, to := 0, 0; from < len(order); from = to {
-		txn := log.Visits[order[from]].Txn
-		for to = from; to < len(order) && log.Visits[order[to]].Txn == txn; to++ {
+		txn := log.EndpointRequests[order[from]].TransactionID
+		for to = from; to < len(order) && log.EndpointRequests[order[to]].TransactionID == txn; to++ {
 		}
 		i, known := tries[txn]
-		if !known || log.Tries[i].Request < 0 || log.Tries[i].Request >= len(out) {
+		if !known || log.ClientAttempts[i].Request < 0 || log.ClientAttempts[i].Request >= len(out) {
 			for _, v := range order[from:to] {
 				lost.visits++
-				lost.work = append(lost.work, moment{log.Visits[v].Begun, log.Visits[v].Done})
+				lost.work = append(lost.work, moment{log.EndpointRequests[v].FirstByte, log.EndpointRequests[v].Work})
 			}
 			continue
 		}
-		t := &log.Tries[i]
+		t := &log.ClientAttempts[i]
 		f := &out[t.Request]
-		f.visited(log.Visits, order[from:to], t, f.useful(p, log.Tries, tries, i))
+		f.visited(log.EndpointRequests, order[from:to], t, f.useful(p, log.ClientAttempts, tries, i))
 	}
 	return lost
 }
 
 // useful tells whether the answer to a try went into what the client got: it is the client's served try itself, or a
 // call by the box whose answer another such try got. By has the tries' places by id.
-func (f *fate) useful(p *plan.Plan, tries []trace.Try, by map[uint64]int, i int) bool {
+func (f *fate) useful(p *plan.Plan, tries []trace.ClientAttempt, by map[uint64]int, i int) bool {
 	t := &tries[i]
 	if f.best < 0 || t.Tier == 0 {
 		return i == f.best
@@ -151,32 +151,32 @@
 	if t.Parent == 0 || !known {
 		parent = f.best
 	}
-	box := tries[parent].Box
-	return t.Status == trace.Served && (t.Sidecar < 0 || t.Sidecar >= len(p.Sidecars) || box < 0 || p.Sidecars[t.Sidecar].Box == box) &&
+	box := tries[parent].Endpoint
+	return t.Status == trace.StatusServed && (t.Sidecar < 0 || t.Sidecar >= len(p.Sidecars) || box < 0 || p.Sidecars[t.Sidecar].Box == box) &&
 		(parent == f.best || f.useful(p, tries, by, parent))
 }
 
 // visited takes in the visits of one try, by Begun.
-func (f *fate) visited(visits []trace.Visit, of []int, t *trace.Try, useful bool) {
+func (f *fate) visited(visits []trace.EndpointRequest, of []int, t *trace.ClientAttempt, useful bool) {
 	answer := -1 // the visit whose answer the try got
 	open := time.Duration(-1)
 	for _, i := range of {
 		v := &visits[i]
 		f.visits[t.Tier]++
-		f.work += v.Done
-		f.wasted += v.Done
-		if v.Begun < open {
+		f.work += v.Work
+		f.wasted += v.Work
+		if v.FirstByte < open {
 			f.copies++
 		}
-		if v.Ended == trace.None {
+		if v.Ended == trace.Unset {
 			open = longest
 		}
 		open = max(open, v.Ended)
-		if v.End == trace.OK && (t.Box < 0 || v.Box == t.Box) && (answer < 0 || v.Ended < visits[answer].Ended) {
+		if v.Outcome == trace.OutcomeOK && (t.Endpoint < 0 || v.Endpoint == t.Endpoint) && (answer < 0 || v.Ended < visits[answer].Ended) {
 			answer = i
 		}
 	}
 	if useful && answer >= 0 {
-		f.wasted -= visits[answer].Done
+		f.wasted -= visits[answer].Work
 	}
 }
--- a/internal/lab/result/notice.go
+++ b/internal/lab/result/notice.go
@@ -28,9 +28,9 @@
 
 func noticeOf(p *plan.Plan, log *trace.Log) Notice {
 	faults := faulty(p, log.End)
-	by := map[pair][]trace.Judged{}
-	for _, j := range log.Judged {
-		k := pair{j.Sidecar, j.Box}
+	by := map[pair][]trace.HealthChange{}
+	for _, j := range log.HealthChanges {
+		k := pair{j.Sidecar, j.Endpoint}
 		by[k] = append(by[k], j)
 	}
 	var out Notice
@@ -73,7 +73,7 @@
 }
 
 // first is when a sidecar suspects a box, or no longer does, from a time on.
-func first(states []trace.Judged, from time.Duration, suspects bool) (time.Duration, bool) {
+func first(states []trace.HealthChange, from time.Duration, suspects bool) (time.Duration, bool) {
 	for i, s := range states {
 		last := i+1 == len(states) || states[i+1].At > from
 		if (s.Grey || s.Ejected) == suspects && last {
--- a/internal/lab/result/of.go
+++ b/internal/lab/result/of.go
@@ -156,7 +156,7 @@
 			name = p.Sidecars[u.Sidecar].Name
 		}
 		out = append(out, Usage{Sidecar: name, Build: u.Build, CPU: tidy(u.CPU.Seconds()), PeakMemory: tidy(float64(u.PeakMemory) / (1 << 20)),
-			Descriptors: u.Descriptors})
+			Descriptors: u.MaxDescriptors})
 	}
 	return out
 }
--- a/internal/lab/result/property_test.go
+++ b/internal/lab/result/property_test.go
@@ -35,10 +35,10 @@
 			for no := range rapid.IntRange(0, 3).Draw(t, "tries") {
 				txn++
 				at := time.Duration(due+rapid.IntRange(0, 300).Draw(t, "after")) * ms
-				status := trace.Status(rapid.IntRange(0, int(trace.NoEntry)).Draw(t, "status"))
-				log.Tries = append(log.Tries, trace.Try{Txn: txn, Request: i, No: no, Answered: at, Status: status, Box: -1, Forged: rapid.Bool().Draw(t, "forged")})
+				status := trace.Status(rapid.IntRange(0, int(trace.StatusConnectFailed)).Draw(t, "status"))
+				log.ClientAttempts = append(log.ClientAttempts, trace.ClientAttempt{TransactionID: txn, Request: i, Number: no, Ended: at, Status: status, Endpoint: -1, Forged: rapid.Bool().Draw(t, "forged")})
 				for range rapid.IntRange(0, 2).Draw(t, "visits") {
-					log.Visits = append(log.Visits, trace.Visit{Txn: txn, Begun: at - ms, Ended: at, End: trace.End(rapid.IntRange(0, int(trace.LostHere)).Draw(t, "end")), Done: ms})
+					log.EndpointRequests = append(log.EndpointRequests, trace.EndpointRequest{TransactionID: txn, FirstByte: at - ms, Ended: at, Outcome: trace.Outcome(rapid.IntRange(0, int(trace.OutcomeLost)).Draw(t, "end")), Work: ms})
 				}
 			}
 		}
--- a/internal/lab/result/result_test.go
+++ b/internal/lab/result/result_test.go
@@ -33,34 +33,34 @@
 	for i, due := range []time.Duration{500, 1500, 2500, 3500, 4500, 5500} {
 		p.Requests = append(p.Requests, plan.Request{Due: due * ms, Class: i / 3, Work: time.Duration(i+1) * ms})
 	}
-	try := func(txn uint64, request, no int, status trace.Status, box int, answered time.Duration) trace.Try {
-		return trace.Try{Txn: txn, Request: request, No: no, Class: request / 3, Due: p.Requests[request].Due, Status: status, Box: box, Answered: answered * ms}
-	}
-	log := &trace.Log{End: 11 * time.Second, Tries: []trace.Try{
-		try(2, 0, 1, trace.Served, 0, 580), try(1, 0, 0, trace.Refused, -1, 510), // out of order, as sockets may have them
-		try(3, 1, 0, trace.Served, 1, 1750),
-		try(4, 2, 0, trace.Failed, 0, 2600), try(5, 2, 1, trace.Refused, -1, 2700),
-		try(6, 3, 0, trace.Served, 0, 3900),
-		try(7, 4, 0, trace.Broken, -1, 4600),
-		try(8, 5, 0, trace.Gone, -1, 5600),
+	try := func(txn uint64, request, no int, status trace.Status, box int, answered time.Duration) trace.ClientAttempt {
+		return trace.ClientAttempt{TransactionID: txn, Request: request, Number: no, Class: request / 3, Due: p.Requests[request].Due, Status: status, Endpoint: box, Ended: answered * ms}
+	}
+	log := &trace.Log{End: 11 * time.Second, ClientAttempts: []trace.ClientAttempt{
+		try(2, 0, 1, trace.StatusServed, 0, 580), try(1, 0, 0, trace.StatusRejected, -1, 510), // out of order, as sockets may have them
+		try(3, 1, 0, trace.StatusServed, 1, 1750),
+		try(4, 2, 0, trace.StatusFailed, 0, 2600), try(5, 2, 1, trace.StatusRejected, -1, 2700),
+		try(6, 3, 0, trace.StatusServed, 0, 3900),
+		try(7, 4, 0, trace.StatusDisconnected, -1, 4600),
+		try(8, 5, 0, trace.StatusCanceled, -1, 5600),
 	}}
-	call := try(20, 0, 0, trace.Served, 2, 570)
+	call := try(20, 0, 0, trace.StatusServed, 2, 570)
 	call.Tier, call.Sidecar = 1, 1
-	other := try(21, 1, 0, trace.Served, 2, 1600)
+	other := try(21, 1, 0, trace.StatusServed, 2, 1600)
 	other.Tier, other.Sidecar = 1, 1 // of the copy at front-1 that did not serve its client
-	log.Tries = append(log.Tries, call, other)
-	visit := func(txn uint64, box int, begun, ended time.Duration, end trace.End, done time.Duration) trace.Visit {
-		return trace.Visit{Txn: txn, Box: box, Begun: begun * ms, Ended: ended * ms, End: end, Done: done * ms}
-	}
-	held := visit(7, 1, 4510, 0, trace.Held, 5)
-	held.Ended = trace.None
-	log.Visits = []trace.Visit{
-		visit(2, 0, 520, 575, trace.OK, 10), visit(20, 2, 530, 565, trace.OK, 4),
-		visit(3, 1, 1510, 1740, trace.OK, 20), visit(3, 0, 1600, 1700, trace.Withdrawn, 8), visit(21, 2, 1610, 1650, trace.OK, 4),
-		visit(4, 0, 2510, 2590, trace.Errored, 7),
-		visit(6, 0, 3510, 3600, trace.Errored, 6), visit(6, 0, 3610, 3890, trace.OK, 30), // one after another: no copy
-		held, visit(7, 0, 4520, 4590, trace.LostHere, 2), // a copy of one that is still held
-		visit(99, 0, 6000, 6010, trace.OK, 4), // nobody sent it
+	log.ClientAttempts = append(log.ClientAttempts, call, other)
+	visit := func(txn uint64, box int, begun, ended time.Duration, end trace.Outcome, done time.Duration) trace.EndpointRequest {
+		return trace.EndpointRequest{TransactionID: txn, Endpoint: box, FirstByte: begun * ms, Ended: ended * ms, Outcome: end, Work: done * ms}
+	}
+	held := visit(7, 1, 4510, 0, trace.OutcomePending, 5)
+	held.Ended = trace.Unset
+	log.EndpointRequests = []trace.EndpointRequest{
+		visit(2, 0, 520, 575, trace.OutcomeOK, 10), visit(20, 2, 530, 565, trace.OutcomeOK, 4),
+		visit(3, 1, 1510, 1740, trace.OutcomeOK, 20), visit(3, 0, 1600, 1700, trace.OutcomeCanceled, 8), visit(21, 2, 1610, 1650, trace.OutcomeOK, 4),
+		visit(4, 0, 2510, 2590, trace.OutcomeError, 7),
+		visit(6, 0, 3510, 3600, trace.OutcomeError, 6), visit(6, 0, 3610, 3890, trace.OutcomeOK, 30), // one after another: no copy
+		held, visit(7, 0, 4520, 4590, trace.OutcomeLost, 2), // a copy of one that is still held
+		visit(99, 0, 6000, 6010, trace.OutcomeOK, 4), // nobody sent it
 	}
 	return p, log
 }
@@ -164,18 +164,18 @@
 	p, log := morning()
 	for i := 0; i <= 40; i++ {
 		at := time.Duration(i) * 100 * ms
-		s := trace.Sample{At: at, Box: 1, InWork: 2, Waiting: i / 10, Capacity: 1, Could: at, Sent: at / 2}
+		s := trace.Sample{At: at, Endpoint: 1, Running: 2, Queued: i / 10, Capacity: 1, PossibleWork: at, SentWork: at / 2}
 		if i >= 10 {
-			s.Could, s.Sent, s.Capacity = time.Second, 500*ms, 0
+			s.PossibleWork, s.SentWork, s.Capacity = time.Second, 500*ms, 0
 		}
 		if i >= 20 {
-			s.Could, s.Sent = time.Second+(at-2*time.Second)/2, 800*ms
-			s.Capacity, s.Cold = 0.5, true
+			s.PossibleWork, s.SentWork = time.Second+(at-2*time.Second)/2, 800*ms
+			s.Capacity, s.WarmingUp = 0.5, true
 		}
 		if i == 20 {
-			s.Sent = 600 * ms
+			s.SentWork = 600 * ms
 		}
-		s.Fallen = i == 30
+		s.Collapsed = i == 30
 		log.Samples = append(log.Samples, s)
 	}
 	r := Of(p, log, nil, Meta{})
@@ -234,8 +234,8 @@
 			t.Errorf("%s: %+v", name, r.All)
 		}
 	}
-	for i := range log.Tries {
-		log.Tries[i].Status = trace.Gone
+	for i := range log.ClientAttempts {
+		log.ClientAttempts[i].Status = trace.StatusCanceled
 	}
 	r := Of(p, log, nil, Meta{})
 	if r.All.Gone.Share != 1 || r.All.Service != 0 || r.All.Wasted != 1 || r.All.Latency != nil {
@@ -297,7 +297,7 @@
 	p, log := morning()
 	most := 0.1
 	p.Scenario.Expect = []scenario.Expect{{What: "late", Most: &most}}
-	log.Usage = []trace.Usage{{CPU: time.Second, PeakMemory: 9 << 20, Descriptors: 40}}
+	log.Usage = []trace.Usage{{CPU: time.Second, PeakMemory: 9 << 20, MaxDescriptors: 40}}
 	log.Lateness = []time.Duration{ms, 2 * ms}
 	var out strings.Builder
 	if err := Summary(&out, Of(p, log, nil, Meta{Player: "sockets"}), Look{Report: "out/report.html"}); err != nil {
--- a/internal/lab/result/room.go
+++ b/internal/lab/result/room.go
@@ -14,7 +14,7 @@
 		could[t] = make([]float64, seconds)
 	}
 	for i := range r.boxes {
-		each := r.boxes[i].perSecond(seconds, func(s *trace.Sample) time.Duration { return s.Could })
+		each := r.boxes[i].perSecond(seconds, func(s *trace.Sample) time.Duration { return s.PossibleWork })
 		for at, v := range each {
 			could[p.Boxes[i].Tier][at] += v
 		}
--- a/internal/lab/result/together.go
+++ b/internal/lab/result/together.go
@@ -60,45 +60,45 @@
 func (r *run) processes() []lifeOf {
 	var out []lifeOf
 	last := map[int]int{} // by sidecar, into out
-	for _, c := range r.log.Changes {
+	for _, c := range r.log.SidecarEvents {
 		at, had := last[c.Sidecar]
-		switch c.What {
-		case trace.Begun:
+		switch c.Kind {
+		case trace.SidecarStarted:
 			last[c.Sidecar] = len(out)
-			out = append(out, lifeOf{sidecar: c.Sidecar, begun: c.At, over: trace.None, able: trace.None, listed: trace.None, asked: trace.None, served: trace.None})
-		case trace.Able:
-			if had && out[at].able == trace.None {
+			out = append(out, lifeOf{sidecar: c.Sidecar, begun: c.At, over: trace.Unset, able: trace.Unset, listed: trace.Unset, asked: trace.Unset, served: trace.Unset})
+		case trace.SidecarReady:
+			if had && out[at].able == trace.Unset {
 				out[at].able = c.At
 			}
-		case trace.Killed, trace.Stopping, trace.Crashed, trace.Ended:
-			if had && out[at].over == trace.None {
+		case trace.SidecarKilled, trace.SidecarStopping, trace.SidecarCrashed, trace.SidecarExited:
+			if had && out[at].over == trace.Unset {
 				out[at].over = c.At
 			}
 		}
 	}
 	of := func(sidecar int, at time.Duration) *lifeOf {
 		for i := range out {
-			if l := &out[i]; l.sidecar == sidecar && l.begun <= at && (l.over == trace.None || at <= l.over) {
+			if l := &out[i]; l.sidecar == sidecar && l.begun <= at && (l.over == trace.Unset || at <= l.over) {
 				return l
 			}
 		}
 		return nil
 	}
-	for _, a := range r.log.Asked {
-		if l := of(a.Sidecar, a.At); l != nil && a.How == trace.Listed && l.listed == trace.None {
-			l.listed = a.At + a.Took
+	for _, a := range r.log.Polls {
+		if l := of(a.Sidecar, a.At); l != nil && a.Outcome == trace.PollAnswered && l.listed == trace.Unset {
+			l.listed = a.At + a.Duration
 		}
 	}
-	for _, t := range r.log.Tries {
+	for _, t := range r.log.ClientAttempts {
 		l := of(t.Sidecar, t.Due)
 		if l == nil {
 			continue
 		}
-		if l.asked == trace.None {
+		if l.asked == trace.Unset {
 			l.asked = t.Due
 		}
-		if t.Status == trace.Served && (l.served == trace.None || t.Answered < l.served) {
-			l.served = t.Answered
+		if t.Status == trace.StatusServed && (l.served == trace.Unset || t.Ended < l.served) {
+			l.served = t.Ended
 		}
 	}
 	return out
@@ -106,24 +106,24 @@
 
 func (r *run) together() *Together {
 	out := &Together{Steps: []int{}, Opened: []int{}}
-	for _, a := range r.log.Asked {
+	for _, a := range r.log.Polls {
 		out.Calls++
-		if a.How == trace.Turned {
+		if a.Outcome == trace.PollRejected {
 			out.Turned++
 		}
 	}
-	out.Steps = steps(len(r.log.Asked), func(i int) time.Duration { return r.log.Asked[i].At })
+	out.Steps = steps(len(r.log.Polls), func(i int) time.Duration { return r.log.Polls[i].At })
 	for _, n := range out.Steps {
 		out.Peak = max(out.Peak, n)
 	}
 	byBox := make([][]time.Duration, len(r.plan.Boxes))
-	for _, d := range r.log.Dials {
-		if d.Box < 0 {
+	for _, d := range r.log.Connections {
+		if d.Endpoint < 0 {
 			out.Dials++
 			continue
 		}
 		out.Total++
-		byBox[d.Box] = append(byBox[d.Box], d.At)
+		byBox[d.Endpoint] = append(byBox[d.Endpoint], d.At)
 	}
 	for _, all := range byBox {
 		for k, n := range steps(len(all), func(i int) time.Duration { return all[i] }) {
@@ -138,15 +138,15 @@
 	for _, l := range r.processes() {
 		add := func(to *[]time.Duration, never *int, at, from time.Duration) {
 			switch {
-			case at != trace.None:
+			case at != trace.Unset:
 				*to = append(*to, at-from)
-			case l.over == trace.None:
+			case l.over == trace.Unset:
 				*never++
 			}
 		}
 		add(&ready, &out.Unready, l.able, l.begun)
 		add(&listed, &out.Unheard, l.listed, l.begun)
-		if l.asked != trace.None {
+		if l.asked != trace.Unset {
 			add(&served, &out.Unfed, l.served, max(l.begun, l.asked))
 		}
 	}
@@ -161,35 +161,35 @@
 		at            time.Duration
 		again, copied int
 	}
-	tries := make(map[uint64]bool, len(r.log.Tries))
-	for i := range r.log.Tries {
-		tries[r.log.Tries[i].Txn] = true
+	tries := make(map[uint64]bool, len(r.log.ClientAttempts))
+	for i := range r.log.ClientAttempts {
+		tries[r.log.ClientAttempts[i].TransactionID] = true
 	}
-	order := make([]*trace.Visit, 0, len(r.log.Visits))
-	for i := range r.log.Visits {
-		if v := &r.log.Visits[i]; tries[v.Txn] {
+	order := make([]*trace.EndpointRequest, 0, len(r.log.EndpointRequests))
+	for i := range r.log.EndpointRequests {
+		if v := &r.log.EndpointRequests[i]; tries[v.TransactionID] {
 			order = append(order, v)
 		}
 	}
-	slices.SortStableFunc(order, func(a, b *trace.Visit) int { return cmp.Compare(a.Begun, b.Begun) })
+	slices.SortStableFunc(order, func(a, b *trace.EndpointRequest) int { return cmp.Compare(a.FirstByte, b.FirstByte) })
 	open := make(map[uint64]time.Duration, len(tries)) // by try that has been sent: until when
 	byBox := make([][]sent, len(r.plan.Boxes))
 	for _, v := range order {
-		s := sent{at: v.Begun}
-		until, was := open[v.Txn]
+		s := sent{at: v.FirstByte}
+		until, was := open[v.TransactionID]
 		if was {
 			s.again = 1
 		}
-		if v.Begun < until {
+		if v.FirstByte < until {
 			s.copied = 1
 		}
 		ended := v.Ended
-		if ended == trace.None {
+		if ended == trace.Unset {
 			ended = longest
 		}
-		open[v.Txn] = max(until, ended)
-		if v.Begun >= from && v.Begun < to {
-			byBox[v.Box] = append(byBox[v.Box], s)
+		open[v.TransactionID] = max(until, ended)
+		if v.FirstByte >= from && v.FirstByte < to {
+			byBox[v.Endpoint] = append(byBox[v.Endpoint], s)
 		}
 	}
 	var out *Peak
@@ -233,12 +233,12 @@
 // measureTogether is one of the measures of processes beside each other, in a window.
 func (r *run) measureTogether(what string, from, to time.Duration) (v float64, known bool) {
 	calls, turned := []time.Duration{}, 0
-	for _, a := range r.log.Asked {
+	for _, a := range r.log.Polls {
 		if a.At < from || a.At >= to {
 			continue
 		}
 		calls = append(calls, a.At)
-		if a.How == trace.Turned {
+		if a.Outcome == trace.PollRejected {
 			turned++
 		}
 	}
@@ -266,9 +266,9 @@
 		return float64(most(calls)), true
 	case "list_dials", "handshakes":
 		at := map[int][]time.Duration{}
-		for _, d := range r.log.Dials {
+		for _, d := range r.log.Connections {
 			if d.At >= from && d.At < to {
-				at[d.Box] = append(at[d.Box], d.At)
+				at[d.Endpoint] = append(at[d.Endpoint], d.At)
 			}
 		}
 		if what == "list_dials" {
@@ -290,17 +290,17 @@
 		case "unlisted":
 			at = l.listed
 		case "unserving":
-			if at, since = l.served, max(l.begun, l.asked, from); l.asked == trace.None {
+			if at, since = l.served, max(l.begun, l.asked, from); l.asked == trace.Unset {
 				continue
 			}
 		}
-		if at == trace.None {
+		if at == trace.Unset {
 			at = l.over
 		}
-		if at == trace.None {
+		if at == trace.Unset {
 			at = r.log.End
 		}
 		v = max(v, min(at, to, r.log.End).Seconds()-since.Seconds())
 	}
-	return tidy(v), len(r.log.Changes) > 0
+	return tidy(v), len(r.log.SidecarEvents) > 0
 }
--- a/internal/lab/simulation/boxes.go
+++ b/internal/lab/simulation/boxes.go
@@ -148,7 +148,7 @@
 	if a.state != underWay {
 		return
 	}
-	b, t := &s.boxes[a.box], &s.log.Tries[a.try]
+	b, t := &s.boxes[a.box], &s.log.ClientAttempts[a.try]
 	switch b.m.Phase(s.now) {
 	case model.Silent: // it goes nowhere; the time-out ends it
 		return
@@ -164,11 +164,11 @@
 		}
 	}
 	key := s.p.Requests[t.Request].Key
-	s.log.Visits = append(s.log.Visits, trace.Visit{Txn: t.Txn, Box: a.box, Conn: uint64(k), Begun: s.now, Arrived: s.now,
-		Started: trace.None, Ended: trace.None, Key: key})
+	s.log.EndpointRequests = append(s.log.EndpointRequests, trace.EndpointRequest{TransactionID: t.TransactionID, Endpoint: a.box, ConnectionID: uint64(k), FirstByte: s.now, LastByte: s.now,
+		Started: trace.Unset, Ended: trace.Unset, IdempotencyKey: key})
 	s.visits = append(s.visits, visit{attempt: k, number: number, until: s.now + s.told(a), call: -1})
 	a.visit = v
-	s.segments = s.p.Segments(s.segments[:0], t.Request, t.Txn, a.box, number)
+	s.segments = s.p.Segments(s.segments[:0], t.Request, t.TransactionID, a.box, number)
 	b.m.Arrive(s.now, model.Job{ID: uint64(v) + 1, Key: key, Segments: s.segments, FirstOn: a.newConn,
 		Class: t.Class + 1, Conn: a.conn})
 	s.act(a.box)
@@ -216,19 +216,19 @@
 		return
 	}
 	v := int(e.Job) - 1
-	l, state := &s.log.Visits[v], &s.visits[v]
+	l, state := &s.log.EndpointRequests[v], &s.visits[v]
 	switch e.Kind {
 	case model.Started:
-		l.Started, l.Repeat = e.At, e.Repeat
+		l.Started, l.Deduplicated = e.At, e.Repeat
 	case model.Answered:
-		l.Done = e.Done
+		l.Work = e.Done
 		s.endVisit(v, e.At, answerEnds[e.Answer])
 		s.respond(state.attempt, e.Answer)
 	case model.Lost:
-		l.Done = e.Done
-		end := trace.Withdrawn
+		l.Work = e.Done
+		end := trace.OutcomeCanceled
 		if b.m.Phase(s.now) != model.Up || !s.attempts[state.attempt].withdraw {
-			end = trace.LostHere
+			end = trace.OutcomeLost
 		}
 		s.endVisit(v, e.At, end)
 	case model.Calling:
@@ -236,15 +236,15 @@
 	}
 }
 
-var answerEnds = [...]trace.End{model.OK: trace.OK, model.Errored: trace.Errored, model.TurnedAway: trace.TurnedAway,
-	model.CutOff: trace.Spoilt, model.Spoilt: trace.Spoilt, model.Dripped: trace.Spoilt}
+var answerEnds = [...]trace.Outcome{model.OK: trace.OutcomeOK, model.Errored: trace.OutcomeError, model.TurnedAway: trace.OutcomeRejected,
+	model.CutOff: trace.OutcomeCorrupted, model.Spoilt: trace.OutcomeCorrupted, model.Dripped: trace.OutcomeCorrupted}
 
-func (s *sim) endVisit(v int, at time.Duration, end trace.End) {
+func (s *sim) endVisit(v int, at time.Duration, end trace.Outcome) {
 	if s.visits[v].over {
 		return
 	}
 	s.visits[v].over = true
-	s.log.Visits[v].Ended, s.log.Visits[v].End = at, end
+	s.log.EndpointRequests[v].Ended, s.log.EndpointRequests[v].Outcome = at, end
 	s.dropCall(v)
 }
 
@@ -254,7 +254,7 @@
 		s.visits[v].call = -1
 		s.tries[call].parent = -1
 		s.tries[call].ended = true
-		s.log.Tries[call].Status, s.log.Tries[call].Answered = trace.Gone, s.now
+		s.log.ClientAttempts[call].Status, s.log.ClientAttempts[call].Ended = trace.StatusCanceled, s.now
 		s.at(s.now+s.delay, event{kind: evGone, a: int32(call)})
 	}
 }
@@ -325,7 +325,7 @@
 	}
 	if won {
 		c.held--
-		s.reply(i, trace.Served, 200, 0, a.box)
+		s.reply(i, trace.StatusServed, 200, 0, a.box)
 	}
 	s.decide(t.sidecar, &balance.Event{Kind: balance.EventOutcome, Request: balance.RequestID(i), Attempt: a.no,
 		Closed: t.decided, Status: status, Final: a.tried.Told && status == balance.Error, Latency: s.now - a.sentAt})
@@ -335,15 +335,15 @@
 func (s *sim) plainOutcome(i, box int, status balance.Status) {
 	switch status {
 	case balance.OK:
-		s.reply(i, trace.Served, 200, 0, box)
+		s.reply(i, trace.StatusServed, 200, 0, box)
 	case balance.Full:
-		s.reply(i, trace.Refused, 503, 0, box)
+		s.reply(i, trace.StatusRejected, 503, 0, box)
 	case balance.ConnectFailed:
-		s.reply(i, trace.NoEntry, 0, 0, -1)
+		s.reply(i, trace.StatusConnectFailed, 0, 0, -1)
 	case balance.Error:
-		s.reply(i, trace.Failed, 500, 0, box)
+		s.reply(i, trace.StatusFailed, 500, 0, box)
 	case balance.Reset:
-		s.reply(i, trace.Broken, 0, 0, -1)
+		s.reply(i, trace.StatusDisconnected, 0, 0, -1)
 	}
 }
 
@@ -397,12 +397,12 @@
 	if s.visits[v].over {
 		return
 	}
-	box := s.log.Visits[v].Box
+	box := s.log.EndpointRequests[v].Endpoint
 	s.boxes[box].m.Withdraw(s.now, uint64(v)+1)
 	s.act(box)
 	if !s.visits[v].over { // the box works on, and so does its call
 		s.visits[v].over = true
-		s.log.Visits[v].Ended, s.log.Visits[v].End = s.now, trace.Withdrawn
+		s.log.EndpointRequests[v].Ended, s.log.EndpointRequests[v].Outcome = s.now, trace.OutcomeCanceled
 	}
 }
 
@@ -438,7 +438,7 @@
 func (s *sim) fell(i int) {
 	for c := range s.sidecars {
 		if s.p.Sidecars[c].Tier == s.p.Boxes[i].Tier {
-			s.tell(c, plan.Listed{Box: i, Phase: trace.Away})
+			s.tell(c, plan.Listed{Box: i, Phase: trace.PhaseGone})
 		}
 	}
 }
@@ -454,8 +454,8 @@
 
 // callNext makes a box's call to the next tier, through its own sidecar.
 func (s *sim) callNext(i, v, call int) {
-	l, state := &s.log.Visits[v], &s.visits[v]
-	parent := &s.log.Tries[s.attempts[state.attempt].try]
+	l, state := &s.log.EndpointRequests[v], &s.visits[v]
+	parent := &s.log.ClientAttempts[s.attempts[state.attempt].try]
 	left := state.until - s.now
 	if !s.p.Scenario.Rules.PassesDeadline {
 		left = s.p.Scenario.Class[parent.Class].Deadline.D()
@@ -464,8 +464,8 @@
 		s.returned(v, false, budget.Tried{})
 		return
 	}
-	t := trace.Try{Txn: s.p.CallTxn(l.Txn, i, state.number, call), Parent: l.Txn, Request: parent.Request, Tier: s.p.Scenario.Next(s.p.Boxes[i].Tier),
-		Class: parent.Class, Due: s.now, Sent: s.now, Left: left, Answered: trace.None, Box: -1, Sidecar: s.boxes[i].sidecar}
+	t := trace.ClientAttempt{TransactionID: s.p.CallTxn(l.TransactionID, i, state.number, call), Parent: l.TransactionID, Request: parent.Request, Tier: s.p.Scenario.Next(s.p.Boxes[i].Tier),
+		Class: parent.Class, Due: s.now, Sent: s.now, Timeout: left, Ended: trace.Unset, Endpoint: -1, Sidecar: s.boxes[i].sidecar}
 	state.call = s.send(t, v)
 	if s.p.Scenario.Tier[s.p.Boxes[i].Tier].Carry == "all" {
 		s.tries[state.call].baggage = s.attempts[state.attempt].baggage
@@ -474,7 +474,7 @@
 
 // returned is the end of a box's call.
 func (s *sim) returned(v int, ok bool, t budget.Tried) {
-	box := s.log.Visits[v].Box
+	box := s.log.EndpointRequests[v].Endpoint
 	s.visits[v].call = -1
 	if s.visits[v].calls++; s.visits[v].calls > 1 {
 		t = s.visits[v].tried.And(t)
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -52,27 +52,27 @@
 	if c.over {
 		return
 	}
-	t := trace.Try{Txn: s.p.Txn(request, no), Request: request, No: no, Class: r.Class, Due: r.Due, Sent: s.now,
-		Left: s.p.Left(request, s.now), Answered: trace.None, Box: -1, Sidecar: -1}
+	t := trace.ClientAttempt{TransactionID: s.p.Txn(request, no), Request: request, Number: no, Class: r.Class, Due: r.Due, Sent: s.now,
+		Timeout: s.p.Left(request, s.now), Ended: trace.Unset, Endpoint: -1, Sidecar: -1}
 	if s.sidecars != nil {
 		t.Sidecar = s.p.Choose(request, no, func(i int) bool { return s.sidecars[i].able })
 	}
 	c.try = s.send(t, -1)
 	if s.sidecars != nil && t.Sidecar < 0 {
-		s.endTry(c.try, trace.NoEntry)
+		s.endTry(c.try, trace.StatusConnectFailed)
 	}
 }
 
 // send starts a try, of a client or of a box.
-func (s *sim) send(t trace.Try, parent int) int {
+func (s *sim) send(t trace.ClientAttempt, parent int) int {
 	i := len(s.tries)
-	s.log.Tries = append(s.log.Tries, t)
-	s.tries = append(s.tries, try{sidecar: t.Sidecar, parent: parent, box: -1, attempt: -1, deadline: t.Sent + t.Left})
+	s.log.ClientAttempts = append(s.log.ClientAttempts, t)
+	s.tries = append(s.tries, try{sidecar: t.Sidecar, parent: parent, box: -1, attempt: -1, deadline: t.Sent + t.Timeout})
 	if s.sidecars != nil && t.Sidecar < 0 {
 		return i
 	}
 	// An answer is in time until the slack is over, as the judges count.
-	s.later(t.Sent+t.Left+s.p.Scenario.Rules.AnswerSlack.D(), t.Class, event{kind: evTryEnd, a: int32(i)})
+	s.later(t.Sent+t.Timeout+s.p.Scenario.Rules.AnswerSlack.D(), t.Class, event{kind: evTryEnd, a: int32(i)})
 	if s.sidecars == nil {
 		s.plainSend(i)
 		return i
@@ -83,7 +83,7 @@
 
 // plainSend has a client go straight to the next listed box.
 func (s *sim) plainSend(i int) {
-	tier := s.log.Tries[i].Tier
+	tier := s.log.ClientAttempts[i].Tier
 	for range s.boxes {
 		s.round = (s.round + 1) % len(s.boxes)
 		if s.listed[s.round] && s.p.Boxes[s.round].Tier == tier {
@@ -91,7 +91,7 @@
 			return
 		}
 	}
-	s.reply(i, trace.NoEntry, 0, 0, -1)
+	s.reply(i, trace.StatusConnectFailed, 0, 0, -1)
 }
 
 // tryRunsOut is the end of a client's patience with a try.
@@ -99,7 +99,7 @@
 	if s.tries[i].ended {
 		return
 	}
-	s.endTry(i, trace.Silent)
+	s.endTry(i, trace.StatusTimedOut)
 	s.at(s.now+s.delay, event{kind: evGone, a: int32(i)})
 }
 
@@ -115,7 +115,7 @@
 		return
 	}
 	i := c.try
-	s.endTry(i, trace.Gone)
+	s.endTry(i, trace.StatusCanceled)
 	s.at(s.now+s.delay, event{kind: evGone, a: int32(i)})
 }
 
@@ -126,33 +126,33 @@
 		return
 	}
 	t.decided, t.at, t.result, t.code, t.advice, t.box = true, s.now, status, code, advice, box
-	s.closeAccount(i, status == trace.Served && s.now <= s.log.Tries[i].Sent+s.p.Scenario.Class[s.log.Tries[i].Class].Aim.D())
+	s.closeAccount(i, status == trace.StatusServed && s.now <= s.log.ClientAttempts[i].Sent+s.p.Scenario.Class[s.log.ClientAttempts[i].Class].Aim.D())
 	s.at(s.now+s.delay, event{kind: evAnswer, a: int32(i)})
 }
 
 // answered is a final answer's arrival.
 func (s *sim) answered(i int) {
-	t, l := &s.tries[i], &s.log.Tries[i]
+	t, l := &s.tries[i], &s.log.ClientAttempts[i]
 	if t.ended {
 		return
 	}
-	l.Code, l.Advice, l.Box, l.Tried = t.code, t.advice, t.box, t.tried
+	l.Code, l.RetryAfter, l.Endpoint, l.ReportedAttempts = t.code, t.advice, t.box, t.tried
 	if t.code > 0 {
-		l.Answers = 1
+		l.Responses = 1
 	}
 	s.endTry(i, t.result)
 }
 
 // endTry is the end of a try for its client, which may try again; or for the box that made the call.
 func (s *sim) endTry(i int, status trace.Status) {
-	t, l := &s.tries[i], &s.log.Tries[i]
+	t, l := &s.tries[i], &s.log.ClientAttempts[i]
 	if t.ended {
 		return
 	}
 	t.ended = true
-	l.Status, l.Answered = status, s.now
+	l.Status, l.Ended = status, s.now
 	if t.parent >= 0 {
-		s.returned(t.parent, status == trace.Served, l.Tried)
+		s.returned(t.parent, status == trace.StatusServed, l.ReportedAttempts)
 		return
 	}
 	c := &s.requests[l.Request]
@@ -161,7 +161,7 @@
 		at, again = 0, false
 	}
 	if again {
-		s.at(at, event{kind: evArrive, a: int32(l.Request), b: int32(l.No + 1)})
+		s.at(at, event{kind: evArrive, a: int32(l.Request), b: int32(l.Number + 1)})
 		return
 	}
 	c.over = true
@@ -172,9 +172,9 @@
 func codeFor(refused bool, left time.Duration) (trace.Status, int) {
 	switch {
 	case refused:
-		return trace.Refused, http.StatusServiceUnavailable
+		return trace.StatusRejected, http.StatusServiceUnavailable
 	case left < 50*time.Millisecond:
-		return trace.Failed, http.StatusGatewayTimeout
+		return trace.StatusFailed, http.StatusGatewayTimeout
 	}
-	return trace.Failed, http.StatusBadGateway
+	return trace.StatusFailed, http.StatusBadGateway
 }
--- a/internal/lab/simulation/seen.go
+++ b/internal/lab/simulation/seen.go
@@ -11,17 +11,17 @@
 	if s.sidecars == nil {
 		return
 	}
-	s.log.Streams = make([]trace.Stream, 0, len(s.tries))
+	s.log.DownstreamRequests = make([]trace.DownstreamRequest, 0, len(s.tries))
 	for i := range s.tries {
-		if t := &s.tries[i]; t.taken && t.decided && t.result != trace.Broken {
-			s.log.Streams = append(s.log.Streams, trace.Stream{Try: i, Arrived: s.log.Tries[i].Sent + s.delay, Answered: t.at,
-				Status: t.result, Code: t.code, Advice: t.advice})
+		if t := &s.tries[i]; t.taken && t.decided && t.result != trace.StatusDisconnected {
+			s.log.DownstreamRequests = append(s.log.DownstreamRequests, trace.DownstreamRequest{ClientAttempt: i, Arrived: s.log.ClientAttempts[i].Sent + s.delay, Ended: t.at,
+				Status: t.result, Code: t.code, RetryAfter: t.advice})
 		}
 	}
-	s.log.Attempts = make([]trace.Attempt, 0, len(s.attempts))
+	s.log.UpstreamRequests = make([]trace.UpstreamRequest, 0, len(s.attempts))
 	for k := range s.attempts {
 		if a := &s.attempts[k]; a.took > 0 || a.status != balance.OK {
-			s.log.Attempts = append(s.log.Attempts, trace.Attempt{Try: a.try, Box: a.box, Sent: a.sentAt, Took: a.took, Status: a.status})
+			s.log.UpstreamRequests = append(s.log.UpstreamRequests, trace.UpstreamRequest{ClientAttempt: a.try, Endpoint: a.box, Sent: a.sentAt, Duration: a.took, Status: a.status})
 		}
 	}
 }
--- a/internal/lab/simulation/sidecar.go
+++ b/internal/lab/simulation/sidecar.go
@@ -33,7 +33,7 @@
 	sim      *sim
 	actions  []balance.Action
 
-	judged     map[int]trace.Judged // the last of each box
+	judged     map[int]trace.HealthChange // the last of each box
 	conditions []balance.Condition
 
 	agent  map[int]plan.Listed // what discovery's agent has
@@ -83,10 +83,10 @@
 	if c.budget != nil {
 		c.accounts = budget.NewAccounts(c.budget.Accounts(&c.set), s.p.Sidecars[i].Seed+uint64(c.life))
 	}
-	c.hosts, c.judged = map[balance.EndpointID]int{}, map[int]trace.Judged{}
+	c.hosts, c.judged = map[balance.EndpointID]int{}, map[int]trace.HealthChange{}
 	c.table = cluster.NewTable(c.set.ZoneNames, c.set.KindNames, c, c)
 	c.table.Old = c.old
-	s.change(i, trace.Begun, "")
+	s.change(i, trace.SidecarStarted, "")
 	if known := s.p.Sidecars[i].Known; len(known) > 0 {
 		c.table.Apply(balance.ListCached, s.list(known))
 	}
@@ -99,7 +99,7 @@
 	for _, l := range entries {
 		b := &s.p.Boxes[l.Box]
 		m := cluster.Member{ID: b.Name, Addr: b.Name, Zone: plan.Zone, Kind: b.Kind, Weight: float64(b.Spec.Cores)}
-		m.State = [...]balance.Availability{trace.Ready: balance.Ready, trace.Terminating: balance.Draining, trace.Away: balance.Gone}[l.Phase]
+		m.State = [...]balance.Availability{trace.PhaseReady: balance.Ready, trace.PhaseTerminating: balance.Draining, trace.PhaseGone: balance.Gone}[l.Phase]
 		if l.UpSince > 0 {
 			m.UpSince = (epoch + l.UpSince).Truncate(time.Millisecond)
 		}
@@ -126,14 +126,14 @@
 
 func (s *sim) note(sidecar int, entries []plan.Listed) {
 	for _, l := range entries {
-		s.log.Told = append(s.log.Told, trace.Told{At: s.now, Sidecar: sidecar, Box: l.Box, Phase: l.Phase, UpSince: l.UpSince})
+		s.log.Notifications = append(s.log.Notifications, trace.Notification{At: s.now, Sidecar: sidecar, Endpoint: l.Box, Phase: l.Phase, UpSince: l.UpSince})
 	}
 }
 
 // tell is a change that reaches a sidecar's agent.
 func (s *sim) tell(i int, l plan.Listed) {
 	c := &s.sidecars[i]
-	if c.agent[l.Box] = l; l.Phase == trace.Away {
+	if c.agent[l.Box] = l; l.Phase == trace.PhaseGone {
 		delete(c.agent, l.Box)
 	}
 	if c.b == nil || c.missed {
@@ -167,11 +167,11 @@
 		c.conditions = c.b.Conditions(c.conditions[:0])
 		for _, k := range c.conditions {
 			box, known := c.hosts[k.Endpoint]
-			now := trace.Judged{At: s.now, Sidecar: i, Box: box, Grey: k.Grey, Ejected: k.Ejected}
+			now := trace.HealthChange{At: s.now, Sidecar: i, Endpoint: box, Grey: k.Grey, Ejected: k.Ejected}
 			last, seen := c.judged[box]
 			if known && (!seen || last.Grey != now.Grey || last.Ejected != now.Ejected) {
 				c.judged[box] = now
-				s.log.Judged = append(s.log.Judged, now)
+				s.log.HealthChanges = append(s.log.HealthChanges, now)
 			}
 		}
 	}
@@ -183,7 +183,7 @@
 		return
 	}
 	c.stopping = s.now
-	s.change(i, trace.Stopping, "")
+	s.change(i, trace.SidecarStopping, "")
 	s.at(s.now+healthEvery, event{kind: evOut, a: int32(i), b: int32(c.life)})
 	s.at(s.now+openLeast, event{kind: evEnded, a: int32(i), b: int32(c.life)})
 }
@@ -196,7 +196,7 @@
 	case c.held > 0:
 		s.at(s.now+10*time.Millisecond, event{kind: evEnded, a: int32(i), b: int32(life)})
 	default:
-		s.change(i, trace.Ended, "")
+		s.change(i, trace.SidecarExited, "")
 		s.down(i)
 	}
 }
@@ -205,7 +205,7 @@
 	if s.sidecars[i].b == nil {
 		return
 	}
-	s.change(i, trace.Killed, "")
+	s.change(i, trace.SidecarKilled, "")
 	s.down(i)
 }
 
@@ -217,11 +217,11 @@
 	for box := range s.boxes {
 		s.closeIdle(box, i)
 	}
-	for t := len(s.tries) - 1; t >= 0 && s.log.Tries[t].Sent >= s.now-s.longest-time.Second; t-- {
+	for t := len(s.tries) - 1; t >= 0 && s.log.ClientAttempts[t].Sent >= s.now-s.longest-time.Second; t-- {
 		if s.tries[t].sidecar != i || s.tries[t].life != c.life || !s.tries[t].taken {
 			continue
 		}
-		s.reply(t, trace.Broken, 0, 0, -1)
+		s.reply(t, trace.StatusDisconnected, 0, 0, -1)
 		for a := s.tries[t].attempt; a >= 0; a = s.attempts[a].before {
 			s.cutOff(a)
 		}
@@ -263,10 +263,10 @@
 
 // tryArrives is a try's arrival at its sidecar.
 func (s *sim) tryArrives(i int) {
-	t, l := &s.tries[i], &s.log.Tries[i]
+	t, l := &s.tries[i], &s.log.ClientAttempts[i]
 	c := &s.sidecars[l.Sidecar]
 	if c.b == nil {
-		s.reply(i, trace.NoEntry, 0, 0, -1)
+		s.reply(i, trace.StatusConnectFailed, 0, 0, -1)
 		return
 	}
 	t.taken, t.life = true, c.life
@@ -274,12 +274,12 @@
 	s.at(t.deadline+s.delay-watchdogLead, event{kind: evWatchdog, a: int32(i)})
 	r := &s.p.Requests[l.Request]
 	ev := balance.Event{Kind: balance.EventRequest, Request: balance.RequestID(i), Class: l.Class,
-		Left: l.Left, Repeated: l.No > 0 || r.Repeated && t.parent < 0}
+		Left: l.Timeout, Repeated: l.Number > 0 || r.Repeated && t.parent < 0}
 	if c.accounts != nil {
 		t.account = c.accounts.Open(s.now, t.deadline, t.baggage, ev.Repeated)
 		if t.account.Loop != nil {
 			c.held--
-			s.reply(i, trace.Failed, http.StatusLoopDetected, 0, -1)
+			s.reply(i, trace.StatusFailed, http.StatusLoopDetected, 0, -1)
 			return
 		}
 		ev.Most, ev.Worth = t.account.Most(), t.account.Worth()
@@ -326,7 +326,7 @@
 	if t.decided {
 		return
 	}
-	t.decided, t.at, t.result = true, s.now, trace.Gone
+	t.decided, t.at, t.result = true, s.now, trace.StatusCanceled
 	s.closeAccount(i, false)
 	if s.sidecars == nil {
 		for a := t.attempt; a >= 0; a = s.attempts[a].before {
--- a/internal/lab/simulation/virtual.go
+++ b/internal/lab/simulation/virtual.go
@@ -156,11 +156,11 @@
 		return nil, errors.New("virtual: the scenario has a list service of bounded capacity, or faults of it or of links: they need processes, on sockets")
 	}
 	s := &sim{p: p, delay: p.Scenario.Network.Delay.D(), requests: make([]client, len(p.Requests))}
-	s.log.Tries = make([]trace.Try, 0, len(p.Requests)*5/4)
-	s.log.Visits = make([]trace.Visit, 0, len(p.Requests)*5/4)
-	s.tries = make([]try, 0, cap(s.log.Tries))
-	s.attempts = make([]attempt, 0, cap(s.log.Tries))
-	s.visits = make([]visit, 0, cap(s.log.Tries))
+	s.log.ClientAttempts = make([]trace.ClientAttempt, 0, len(p.Requests)*5/4)
+	s.log.EndpointRequests = make([]trace.EndpointRequest, 0, len(p.Requests)*5/4)
+	s.tries = make([]try, 0, cap(s.log.ClientAttempts))
+	s.attempts = make([]attempt, 0, cap(s.log.ClientAttempts))
+	s.visits = make([]visit, 0, cap(s.log.ClientAttempts))
 	for i := range p.Scenario.Class {
 		s.longest = max(s.longest, p.Scenario.Class[i].Deadline.D())
 	}
@@ -192,7 +192,7 @@
 				return nil, err
 			}
 			s.sidecars[i].able = true
-			s.change(i, trace.Able, "")
+			s.change(i, trace.SidecarReady, "")
 			s.fetched(i)
 		}
 	}
@@ -306,7 +306,7 @@
 	case evAble:
 		if c := &s.sidecars[i]; c.life == int(e.b) && c.b != nil {
 			c.able = true
-			s.change(i, trace.Able, "")
+			s.change(i, trace.SidecarReady, "")
 		}
 	case evFetch:
 		if c := &s.sidecars[i]; c.life == int(e.b) && c.b != nil {
@@ -331,7 +331,7 @@
 	i := -1
 	switch e.kind {
 	case evTryAtSidecar, evWatchdog, evGone:
-		i = s.log.Tries[e.a].Sidecar
+		i = s.log.ClientAttempts[e.a].Sidecar
 	case evOutcome, evTimeout:
 		i = s.tries[s.attempts[e.a].try].sidecar
 	case evTimer, evProbe, evFetch:
@@ -347,8 +347,8 @@
 	return s.sidecars[i].paused
 }
 
-func (s *sim) change(sidecar int, what trace.Happening, text string) {
-	s.log.Changes = append(s.log.Changes, trace.Change{At: s.now, Sidecar: sidecar, What: what, Text: text})
+func (s *sim) change(sidecar int, what trace.SidecarEventKind, text string) {
+	s.log.SidecarEvents = append(s.log.SidecarEvents, trace.SidecarEvent{At: s.now, Sidecar: sidecar, Kind: what, Detail: text})
 }
 
 // sample notes every box, closes connections that stood idle for too long, and comes again.
@@ -357,8 +357,8 @@
 		b := &s.boxes[i]
 		s.act(i)
 		l := b.m.Load(s.now)
-		s.log.Samples = append(s.log.Samples, trace.Sample{At: s.now, Box: i, InWork: l.InWork, Waiting: l.Waiting,
-			Connections: l.Connections, Capacity: l.Capacity, Sent: l.SentWork, Could: l.Could, Did: l.Did, Cold: l.Cold, Fallen: l.Fallen})
+		s.log.Samples = append(s.log.Samples, trace.Sample{At: s.now, Endpoint: i, Running: l.InWork, Queued: l.Waiting,
+			Connections: l.Connections, Capacity: l.Capacity, SentWork: l.SentWork, PossibleWork: l.Could, DoneWork: l.Did, WarmingUp: l.Cold, Collapsed: l.Fallen})
 		for pool := range b.idle {
 			s.retire(i, pool-1)
 		}
