--- a/internal/lab/simulation/virtual_test.go
+++ b/internal/lab/simulation/virtual_test.go
@@ -60,20 +60,20 @@
 
 // checkTrace holds whatever is played: every try ends once, in order; visits belong to tries; work adds up.
 func checkTrace(t rapid.TB, p *plan.Plan, l *trace.Log) {
-	byTxn := map[uint64]*trace.Try{}
+	byTxn := map[uint64]*trace.ClientAttempt{}
 	tries := make([]int, len(p.Requests))
-	for i := range l.Tries {
-		y := &l.Tries[i]
-		if byTxn[y.Txn] != nil {
-			t.Fatalf("id %x twice", y.Txn)
+	for i := range l.ClientAttempts {
+		y := &l.ClientAttempts[i]
+		if byTxn[y.TransactionID] != nil {
+			t.Fatalf("id %x twice", y.TransactionID)
 		}
-		byTxn[y.Txn] = y
-		if y.Answered == trace.None || y.Answered < y.Sent || y.Answered > y.Sent+y.Left+p.Scenario.Rules.AnswerSlack.D() {
-			t.Fatalf("a try sent at %v with %v left ended at %v, %v", y.Sent, y.Left, y.Answered, y.Status)
+		byTxn[y.TransactionID] = y
+		if y.Ended == trace.Unset || y.Ended < y.Sent || y.Ended > y.Sent+y.Timeout+p.Scenario.Rules.AnswerSlack.D() {
+			t.Fatalf("a try sent at %v with %v left ended at %v, %v", y.Sent, y.Timeout, y.Ended, y.Status)
 		}
 		if y.Tier == 0 {
-			if y.No != tries[y.Request] {
-				t.Fatalf("try %d of request %d comes after %d others", y.No, y.Request, tries[y.Request])
+			if y.Number != tries[y.Request] {
+				t.Fatalf("try %d of request %d comes after %d others", y.Number, y.Request, tries[y.Request])
 			}
 			tries[y.Request]++
 		}
@@ -84,34 +84,34 @@
 		}
 	}
 	attempts := map[uint64]int{}
-	for i := range l.Visits {
-		v := &l.Visits[i]
-		y := byTxn[v.Txn]
-		if y == nil || v.Arrived < y.Sent {
+	for i := range l.EndpointRequests {
+		v := &l.EndpointRequests[i]
+		y := byTxn[v.TransactionID]
+		if y == nil || v.LastByte < y.Sent {
 			t.Fatalf("a visit of nobody's, or before it was sent: %+v", v)
 		}
-		if v.Started != trace.None && v.Started < v.Arrived || v.Ended != trace.None && v.Ended < v.Arrived {
+		if v.Started != trace.Unset && v.Started < v.LastByte || v.Ended != trace.Unset && v.Ended < v.LastByte {
 			t.Fatalf("out of order: %+v", v)
 		}
-		if attempts[v.Txn]++; attempts[v.Txn] > p.Scenario.Rules.MaxAttempts {
-			t.Fatalf("%d attempts of one id", attempts[v.Txn])
+		if attempts[v.TransactionID]++; attempts[v.TransactionID] > p.Scenario.Rules.MaxAttempts {
+			t.Fatalf("%d attempts of one id", attempts[v.TransactionID])
 		}
 	}
 	served := map[uint64]bool{}
-	for i := range l.Visits {
-		served[l.Visits[i].Txn] = served[l.Visits[i].Txn] || l.Visits[i].End == trace.OK
+	for i := range l.EndpointRequests {
+		served[l.EndpointRequests[i].TransactionID] = served[l.EndpointRequests[i].TransactionID] || l.EndpointRequests[i].Outcome == trace.OutcomeOK
 	}
-	for i := range l.Tries {
-		if y := &l.Tries[i]; y.Status == trace.Served && !served[y.Txn] {
+	for i := range l.ClientAttempts {
+		if y := &l.ClientAttempts[i]; y.Status == trace.StatusServed && !served[y.TransactionID] {
 			t.Fatalf("served without a visit that was: %+v", y)
 		}
 	}
 	last := map[int]trace.Sample{}
 	for _, s := range l.Samples {
-		if was := last[s.Box]; s.Sent < was.Sent || s.Did < was.Did || s.Could < was.Could || s.Did > s.Could+time.Millisecond {
-			t.Fatalf("box %d does more than it could, or goes back: %+v after %+v", s.Box, s, was)
+		if was := last[s.Endpoint]; s.SentWork < was.SentWork || s.DoneWork < was.DoneWork || s.PossibleWork < was.PossibleWork || s.DoneWork > s.PossibleWork+time.Millisecond {
+			t.Fatalf("box %d does more than it could, or goes back: %+v after %+v", s.Endpoint, s, was)
 		}
-		last[s.Box] = s
+		last[s.Endpoint] = s
 	}
 }
 
@@ -163,9 +163,9 @@
 // shares counts how the clients' tries ended.
 func shares(l *trace.Log) map[trace.Status]float64 {
 	out := map[trace.Status]float64{}
-	for i := range l.Tries {
-		if l.Tries[i].Tier == 0 {
-			out[l.Tries[i].Status]++
+	for i := range l.ClientAttempts {
+		if l.ClientAttempts[i].Tier == 0 {
+			out[l.ClientAttempts[i].Status]++
 		}
 	}
 	return out
@@ -175,7 +175,7 @@
 	p, l := play(t, load(t, "calm", ""), 1)
 	checkTrace(t, p, l)
 	got := shares(l)
-	if all := float64(len(l.Tries)); (got[trace.Served]+got[trace.Gone])/all < 0.995 {
+	if all := float64(len(l.ClientAttempts)); (got[trace.StatusServed]+got[trace.StatusCanceled])/all < 0.995 {
 		t.Errorf("%v of %v", got, all)
 	}
 }
@@ -184,16 +184,16 @@
 func TestFaultsLeaveTheirTrace(t *testing.T) {
 	calm := shares(func() *trace.Log { _, l := play(t, load(t, "calm", ""), 1); return l }())
 	for fault, seen := range map[string]func(l *trace.Log) bool{
-		"hang":                                        func(l *trace.Log) bool { return ends(l, trace.Withdrawn, 8) > 3 },
-		"mute\"\nsize = 0.5 #\"":                      func(l *trace.Log) bool { return ends(l, trace.Withdrawn, 8) > 3 },
-		"fail\"\nsize = 0.9 #\"":                      func(l *trace.Log) bool { return ends(l, trace.Errored, 8) > 3 },
-		"cut\"\nsize = 0.9 #\"":                       func(l *trace.Log) bool { return ends(l, trace.Spoilt, 8) > 3 },
-		"spoil\"\nsize = 0.9 #\"":                     func(l *trace.Log) bool { return ends(l, trace.Spoilt, 8) > 3 },
-		"drip\"\nsize = 0.9 #\"":                      func(l *trace.Log) bool { return ends(l, trace.Spoilt, 8) > 3 },
-		"mute\"\nsize = 0.5\nby = \"connection\" #\"": func(l *trace.Log) bool { return ends(l, trace.Withdrawn, 8) > 3 },
-		"fail\"\nsize = 0.9\nabove = 1 #\"":           func(l *trace.Log) bool { return ends(l, trace.Errored, 8) > 3 },
+		"hang":                                        func(l *trace.Log) bool { return ends(l, trace.OutcomeCanceled, 8) > 3 },
+		"mute\"\nsize = 0.5 #\"":                      func(l *trace.Log) bool { return ends(l, trace.OutcomeCanceled, 8) > 3 },
+		"fail\"\nsize = 0.9 #\"":                      func(l *trace.Log) bool { return ends(l, trace.OutcomeError, 8) > 3 },
+		"cut\"\nsize = 0.9 #\"":                       func(l *trace.Log) bool { return ends(l, trace.OutcomeCorrupted, 8) > 3 },
+		"spoil\"\nsize = 0.9 #\"":                     func(l *trace.Log) bool { return ends(l, trace.OutcomeCorrupted, 8) > 3 },
+		"drip\"\nsize = 0.9 #\"":                      func(l *trace.Log) bool { return ends(l, trace.OutcomeCorrupted, 8) > 3 },
+		"mute\"\nsize = 0.5\nby = \"connection\" #\"": func(l *trace.Log) bool { return ends(l, trace.OutcomeCanceled, 8) > 3 },
+		"fail\"\nsize = 0.9\nabove = 1 #\"":           func(l *trace.Log) bool { return ends(l, trace.OutcomeError, 8) > 3 },
 		"mute\"\nsize = 0.9\nclass = \"order-status\" #\"": func(l *trace.Log) bool {
-			return ends(l, trace.Withdrawn, 8) > 3 && ends(l, trace.OK, 8) > 3
+			return ends(l, trace.OutcomeCanceled, 8) > 3 && ends(l, trace.OutcomeOK, 8) > 3
 		},
 		"crash":  func(l *trace.Log) bool { return idle(l, 8, 6*time.Second, 9*time.Second) },
 		"vanish": func(l *trace.Log) bool { return idle(l, 8, 6*time.Second, 9*time.Second) },
@@ -210,9 +210,9 @@
 	}
 }
 
-func ends(l *trace.Log, end trace.End, box int) (n int) {
-	for i := range l.Visits {
-		if v := &l.Visits[i]; v.Box == box && v.End == end && v.Arrived > 5*time.Second && v.Arrived < 10*time.Second {
+func ends(l *trace.Log, end trace.Outcome, box int) (n int) {
+	for i := range l.EndpointRequests {
+		if v := &l.EndpointRequests[i]; v.Endpoint == box && v.Outcome == end && v.LastByte > 5*time.Second && v.LastByte < 10*time.Second {
 			n++
 		}
 	}
@@ -223,11 +223,11 @@
 func did(l *trace.Log, box int, from, to time.Duration) float64 {
 	var first, last time.Duration
 	for _, s := range l.Samples {
-		if s.Box == box && s.At <= from {
-			first = s.Did
+		if s.Endpoint == box && s.At <= from {
+			first = s.DoneWork
 		}
-		if s.Box == box && s.At <= to {
-			last = s.Did
+		if s.Endpoint == box && s.At <= to {
+			last = s.DoneWork
 		}
 	}
 	return (last - first).Seconds()
@@ -240,17 +240,17 @@
 	p, l := play(t, load(t, "calm", "\n[[fault]]\nkind = \"sidecar_pause\"\nat = \"5s\"\nfor = \"400ms\"\nshare = 1.0"+
 		"\n[[fault]]\nkind = \"hurry\"\nat = \"10s\"\nfor = \"5s\"\nsize = 0.5\nleft = 0.3"), 1)
 	paused, after, hurried, asked := 0, 0, 0, 0
-	for i := range l.Tries {
-		t := &l.Tries[i]
-		if t.Status == trace.Served && t.Answered > 5*time.Second+time.Millisecond && t.Answered < 5400*time.Millisecond {
+	for i := range l.ClientAttempts {
+		t := &l.ClientAttempts[i]
+		if t.Status == trace.StatusServed && t.Ended > 5*time.Second+time.Millisecond && t.Ended < 5400*time.Millisecond {
 			paused++
 		}
-		if t.Answered >= 5400*time.Millisecond && t.Answered < 5410*time.Millisecond {
+		if t.Ended >= 5400*time.Millisecond && t.Ended < 5410*time.Millisecond {
 			after++
 		}
-		if t.Due > 10*time.Second && t.Due < 15*time.Second && t.No == 0 {
+		if t.Due > 10*time.Second && t.Due < 15*time.Second && t.Number == 0 {
 			asked++
-			if k := p.Scenario.Class[t.Class]; t.Left < time.Duration(0.31*p.Scenario.Clients.TryShare*float64(k.Deadline)) {
+			if k := p.Scenario.Class[t.Class]; t.Timeout < time.Duration(0.31*p.Scenario.Clients.TryShare*float64(k.Deadline)) {
 				hurried++
 			}
 		}
@@ -266,20 +266,20 @@
 // Guards against a planned end that loses tries, and a kill that does not.
 func TestSidecarsEnd(t *testing.T) {
 	_, l := play(t, load(t, "rolling-restart", ""), 1)
-	if got := shares(l); got[trace.Broken] > 0 {
-		t.Errorf("a planned end breaks %v tries", got[trace.Broken])
+	if got := shares(l); got[trace.StatusDisconnected] > 0 {
+		t.Errorf("a planned end breaks %v tries", got[trace.StatusDisconnected])
 	}
 	ended := 0
-	for _, c := range l.Changes {
-		if c.What == trace.Ended {
+	for _, c := range l.SidecarEvents {
+		if c.Kind == trace.SidecarExited {
 			ended++
 		}
 	}
 	if ended != 3 {
-		t.Errorf("%d of 3 ended by themselves: %v", ended, l.Changes)
+		t.Errorf("%d of 3 ended by themselves: %v", ended, l.SidecarEvents)
 	}
 	_, l = play(t, load(t, "calm", "\n[[fault]]\nkind = \"sidecar_kill\"\nat = \"5s\"\nback = \"1s\""), 1)
-	if got := shares(l); got[trace.Broken] == 0 || got[trace.NoEntry] == 0 {
+	if got := shares(l); got[trace.StatusDisconnected] == 0 || got[trace.StatusConnectFailed] == 0 {
 		t.Errorf("after a kill, tries ended %v", got)
 	}
 }
@@ -293,7 +293,7 @@
 			want[e.At]++
 		}
 	}
-	for _, told := range l.Told {
+	for _, told := range l.Notifications {
 		if told.At > 0 {
 			want[told.At]--
 		}
