--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -68,7 +68,7 @@
 		log, err = simulation.Play(p)
 	} else {
 		meta = result.Meta{Player: "sockets", Builds: builds(c.Builds)}
-		log, err = loopback.Play(ctx, p, loopback.Options{Builds: c.Builds, Dir: c.Logs, Progress: c.Progress})
+		log, err = loopback.Play(ctx, p, loopback.Options{Builds: c.Builds, LogDir: c.Logs, Progress: c.Progress})
 		if log != nil && ctx.Err() != nil {
 			ended, err = ctx.Err(), nil
 		}
--- a/internal/lab/loopback/addresses.go
+++ b/internal/lab/loopback/addresses.go
@@ -9,44 +9,44 @@
 // A run has a block 127.a.0.0/16 of its own, so that runs beside each other never meet. All ports are below
 // 32768, where Linux begins to draw those of outgoing connections.
 const (
-	blockFirst, blockLast = 64, 250 // of a; below are addresses that people and other programs use
-	blockTries            = 2000
-
-	lockPort    = 18079
-	boxPort     = 18080
-	sidecarPort = 18081
-	thriftPort  = 18082
-	controlPort = 18084 // and the next with each process
-	controls    = 10
-	listLink    = 18094 // of the links, on the sidecar's host
-	clientLink  = 18095
-	controlLink = 18096
-	boxLinks    = 27000 // and the next for each box
-	agentPort   = 18100 // and the next with each move of discovery
-	agentMoves  = 8000  // after which the ports begin anew
-
-	rowLength = 250 // hosts in a row 127.a.y.1 to 127.a.y.250
+	minBlock, maxBlock = 64, 250 // of a; below are addresses that people and other programs use
+	maxBlockAttempts   = 2000
+
+	lockPort              = 18079
+	endpointPort          = 18080
+	sidecarPort           = 18081
+	thriftPort            = 18082
+	controlPort           = 18084 // and the next with each process
+	controlPortCount      = 10
+	discoveryLinkPort     = 18094 // of the links, on the sidecar's host
+	clientLinkPort        = 18095
+	controlLinkPort       = 18096
+	firstEndpointLinkPort = 27000 // and the next for each box
+	agentPort             = 18100 // and the next with each move of discovery
+	agentPortCount        = 8000  // after which the ports begin anew
+
+	hostsPerRow = 250 // hosts in a row 127.a.y.1 to 127.a.y.250
 )
 
 // Rows of the block. There are at most 1,000 boxes, 400 sidecars in front and one for each box: 1,400.
 const (
-	lockRow    = 0
-	boxRow     = 1
-	sidecarRow = 101
+	lockRow     = 0
+	endpointRow = 1
+	sidecarRow  = 101
 )
 
 // addresses are the loopback addresses of one run.
 type addresses struct {
-	block int
-	lock  net.Listener // as long as it listens, nobody else takes the block
+	block     int
+	blockLock net.Listener // as long as it listens, nobody else takes the block
 }
 
 // newAddresses finds a block that no other run on this machine has.
 func newAddresses() (*addresses, error) {
 	var err error
-	for range blockTries {
-		a := &addresses{block: blockFirst + rand.IntN(blockLast-blockFirst+1)}
-		if a.lock, err = net.Listen("tcp", a.at(lockRow, 0, lockPort)); err == nil {
+	for range maxBlockAttempts {
+		a := &addresses{block: minBlock + rand.IntN(maxBlock-minBlock+1)}
+		if a.blockLock, err = net.Listen("tcp", a.address(lockRow, 0, lockPort)); err == nil {
 			return a, nil
 		}
 	}
@@ -54,24 +54,24 @@
 }
 
 // close gives the block back.
-func (a *addresses) close() { a.lock.Close() }
+func (a *addresses) close() { a.blockLock.Close() }
 
 // box is where a box listens.
-func (a *addresses) box(i int) string { return a.at(boxRow, i, boxPort) }
+func (a *addresses) endpoint(i int) string { return a.address(endpointRow, i, endpointPort) }
 
 // sidecar is where a sidecar listens for HTTP: for callers, and for those who ask for its health.
-func (a *addresses) sidecar(i int) string { return a.at(sidecarRow, i, sidecarPort) }
+func (a *addresses) sidecar(i int) string { return a.address(sidecarRow, i, sidecarPort) }
 
 // thrift is where a sidecar listens for Thrift.
-func (a *addresses) thrift(i int) string { return a.at(sidecarRow, i, thriftPort) }
+func (a *addresses) thrift(i int) string { return a.address(sidecarRow, i, thriftPort) }
 
 // control is where a sidecar's process listens for operators, by the number of its start.
 func (a *addresses) control(i, start int) string {
-	return a.at(sidecarRow, i, controlPort+start%controls)
+	return a.address(sidecarRow, i, controlPort+start%controlPortCount)
 }
 
 // entry is where a sidecar listens for callers that speak a protocol.
-func (a *addresses) entry(i int, protocol string) string {
+func (a *addresses) clientEntry(i int, protocol string) string {
 	if _, ok := thriftForms[protocol]; ok {
 		return a.thrift(i)
 	}
@@ -81,25 +81,25 @@
 // agent is where a sidecar's agent of discovery listens once it has moved so many times. It shares the
 // sidecar's host, as an agent does.
 func (a *addresses) agent(i, moves int) string {
-	return a.at(sidecarRow, i, agentPort+moves%agentMoves)
+	return a.address(sidecarRow, i, agentPort+moves%agentPortCount)
 }
 
 // list is where the list service itself listens, for auditors.
-func (a *addresses) list() string { return a.at(lockRow, 0, agentPort) }
+func (a *addresses) listService() string { return a.address(lockRow, 0, agentPort) }
 
 // link is where a sidecar's link of a kind listens; box is that of "boxes".
 func (a *addresses) link(of string, i, box int) string {
 	switch of {
 	case "list":
-		return a.at(sidecarRow, i, listLink)
+		return a.address(sidecarRow, i, discoveryLinkPort)
 	case "clients":
-		return a.at(sidecarRow, i, clientLink)
+		return a.address(sidecarRow, i, clientLinkPort)
 	case "control":
-		return a.at(sidecarRow, i, controlLink)
+		return a.address(sidecarRow, i, controlLinkPort)
 	}
-	return a.at(sidecarRow, i, boxLinks+box)
+	return a.address(sidecarRow, i, firstEndpointLinkPort+box)
 }
 
-func (a *addresses) at(row, i, port int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", a.block, row+i/rowLength, 1+i%rowLength, port)
+func (a *addresses) address(row, i, port int) string {
+	return fmt.Sprintf("127.%d.%d.%d:%d", a.block, row+i/hostsPerRow, 1+i%hostsPerRow, port)
 }
--- a/internal/lab/loopback/addresses_test.go
+++ b/internal/lab/loopback/addresses_test.go
@@ -27,15 +27,15 @@
 			t.Fatal(err)
 		}
 		defer a.close()
-		take(a.lock.Addr().String())
-		take(a.list())
+		take(a.blockLock.Addr().String())
+		take(a.listService())
 		for i := range boxes {
-			take(a.box(i))
+			take(a.endpoint(i))
 		}
 		for i := range sidecars {
 			take(a.sidecar(i))
 			take(a.thrift(i))
-			for start := range controls {
+			for start := range controlPortCount {
 				take(a.control(i, start))
 			}
 			for _, of := range []string{"list", "clients", "control"} {
@@ -50,13 +50,13 @@
 
 // A block is free again once its run is over.
 func TestAddressesAreGivenBack(t *testing.T) {
-	for range blockLast - blockFirst + 2 {
+	for range maxBlock - minBlock + 2 {
 		a, err := newAddresses()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !strings.HasPrefix(a.box(0), "127.") {
-			t.Fatalf("box at %s", a.box(0))
+		if !strings.HasPrefix(a.endpoint(0), "127.") {
+			t.Fatalf("box at %s", a.endpoint(0))
 		}
 		a.close()
 	}
--- a/internal/lab/loopback/audit_test.go
+++ b/internal/lab/loopback/audit_test.go
@@ -163,7 +163,7 @@
 			return o.res.Audited.Trails != nil && o.log("no space left") == 12 && o.servedBy(8*time.Second) == 12
 		}},
 		{"the list service counts from 1 again", lasts("34s") + audited + trails + auditor + shuts + leaveAt("4s") +
-			list("forget", "10s", "1s", "") + "[[fault]]\nkind = \"crash\"\nat = \"13s\"\nboxes = 1\n", func(o *together) bool {
+			listResponse("forget", "10s", "1s", "") + "[[fault]]\nkind = \"crash\"\nat = \"13s\"\nboxes = 1\n", func(o *together) bool {
 			return o.servedBy(24*time.Second) == 12 && strings.Contains(o.lastRound("a"), `"up_to_date":12`)
 		}},
 		{"one alone, cut off", strings.Replace(lasts("32s")+audited, "sidecars = 12", "sidecars = 1", 1) + trails + auditor + shuts + cutOff + leaves, func(o *together) bool {
--- a/internal/lab/loopback/auditor.go
+++ b/internal/lab/loopback/auditor.go
@@ -19,36 +19,36 @@
 	run  *run
 	plan *scenario.Audit
 
-	mu     sync.Mutex
-	starts int
-	cmd    *exec.Cmd     // of the present process or the last one; nil before the first
-	ended  chan struct{} // closed once that has
+	mu         sync.Mutex
+	startCount int
+	cmd        *exec.Cmd     // of the present process or the last one; nil before the first
+	exited     chan struct{} // closed once that has
 }
 
 func (a *auditor) path(ending string) string {
-	return filepath.Join(a.run.fleet.logs, "audit-"+a.plan.Name+ending)
+	return filepath.Join(a.run.fleet.logDir, "audit-"+a.plan.Name+ending)
 }
 
 // kept is the file by which it goes on where it was stopped.
-func (a *auditor) kept() string { return a.path(".kept") }
+func (a *auditor) statePath() string { return a.path(".kept") }
 
 // found is where it prints to.
-func (a *auditor) found() string { return a.path(".jsonl") }
+func (a *auditor) findingsPath() string { return a.path(".jsonl") }
 
 // start starts a process of it.
 func (a *auditor) start() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	roster := a.path(".toml")
-	if err := os.WriteFile(roster, a.run.roster(), filesMode); err != nil {
+	if err := os.WriteFile(roster, a.run.inventory(), configFileMode); err != nil {
 		return fmt.Errorf("live: roster: %w", err)
 	}
 	how := os.O_CREATE | os.O_WRONLY | os.O_APPEND
 	if a.cmd == nil {
 		how |= os.O_TRUNC
-		os.Remove(a.kept()) // of another run
+		os.Remove(a.statePath()) // of another run
 	}
-	found, err := os.OpenFile(a.found(), how, 0o644)
+	found, err := os.OpenFile(a.findingsPath(), how, 0o644)
 	if err != nil {
 		return fmt.Errorf("live: auditor: %w", err)
 	}
@@ -58,15 +58,15 @@
 		return fmt.Errorf("live: auditor: %w", err)
 	}
 	defer log.Close()
-	a.starts++
+	a.startCount++
 	cmd := exec.Command(a.run.fleet.builds[0], a.args(roster)...)
 	cmd.Stdout, cmd.Stderr = found, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	if err := a.run.fleet.launch(cmd); err != nil {
+	if err := a.run.fleet.spawn(cmd); err != nil {
 		return fmt.Errorf("live: auditor %s: %w", a.plan.Name, err)
 	}
 	ended := make(chan struct{})
-	a.cmd, a.ended = cmd, ended
+	a.cmd, a.exited = cmd, ended
 	a.run.fleet.tasks.Go(func() {
 		defer close(ended)
 		cmd.Wait() // its status tells what it found, and that is in what it prints
@@ -76,13 +76,13 @@
 
 func (a *auditor) args(roster string) []string {
 	p := a.plan
-	args := []string{"audit", roster, "--by=" + fmt.Sprintf("%s-%d", p.Name, a.starts), "--json", "--watch=" + p.Every.D().String(), "--kept=" + a.kept(),
+	args := []string{"audit", roster, "--by=" + fmt.Sprintf("%s-%d", p.Name, a.startCount), "--json", "--watch=" + p.Every.D().String(), "--kept=" + a.statePath(),
 		"--share=" + strconv.FormatFloat(p.Share, 'g', -1, 64)}
 	if p.Within > 0 {
 		args = append(args, "--within="+p.Within.D().String())
 	}
 	if p.List {
-		args = append(args, "--list="+a.run.net.list())
+		args = append(args, "--list="+a.run.addresses.listService())
 	}
 	if p.Raise {
 		args = append(args, "--raise", "--grace="+p.Grace.D().String(), "--spread="+p.Spread.D().String())
@@ -100,7 +100,7 @@
 		return
 	}
 	select {
-	case <-a.ended:
+	case <-a.exited:
 	default:
 		_ = a.cmd.Process.Signal(s) // one that has just ended needs none
 	}
@@ -109,7 +109,7 @@
 // wait waits until the present process, if there is one, has ended.
 func (a *auditor) wait() {
 	a.mu.Lock()
-	ended := a.ended
+	ended := a.exited
 	a.mu.Unlock()
 	if ended != nil {
 		<-ended
@@ -117,20 +117,20 @@
 }
 
 // roster lists the sidecars of the first tier by the addresses at which operators call them.
-func (r *run) roster() []byte {
+func (r *run) inventory() []byte {
 	var out strings.Builder
 	for i := range r.plan.Sidecars {
 		if s := &r.plan.Sidecars[i]; s.Box < 0 {
-			fmt.Fprintf(&out, "[[sidecar]]\nname = %q\naddr = %q\nzone = %q\n", s.Name, r.operators(i), plan.Zone)
+			fmt.Fprintf(&out, "[[sidecar]]\nname = %q\naddr = %q\nzone = %q\n", s.Name, r.controlAddress(i), plan.Zone)
 		}
 	}
 	return []byte(out.String())
 }
 
 // operators is where operators call a sidecar, whichever of its processes runs.
-func (r *run) operators(sidecar int) string {
+func (r *run) controlAddress(sidecar int) string {
 	if r.plan.Linked("control", sidecar) {
-		return r.net.link("control", sidecar, 0)
+		return r.addresses.link("control", sidecar, 0)
 	}
-	return r.net.control(sidecar, 0)
+	return r.addresses.control(sidecar, 0)
 }
--- a/internal/lab/loopback/box_bench_test.go
+++ b/internal/lab/loopback/box_bench_test.go
@@ -13,16 +13,16 @@
 // Requests a second that 32 connections, kept and each with one request at a time, get from a box whose work
 // takes no time to speak of. Callers and box share the process and its cores.
 func BenchmarkBox(b *testing.B) {
-	for name, ask := range map[string]func(s *stand) func(query) bool{
-		"callers": func(s *stand) func(query) bool {
-			return func(q query) bool {
-				t := s.callers.do(b.Context(), q)
+	for name, ask := range map[string]func(s *stand) func(clientRequest) bool{
+		"callers": func(s *stand) func(clientRequest) bool {
+			return func(q clientRequest) bool {
+				t := s.transport.roundTrip(b.Context(), q)
 				return t.Status == trace.StatusServed && !t.Forged
 			}
 		},
-		"raw": func(s *stand) func(query) bool {
+		"raw": func(s *stand) func(clientRequest) bool {
 			c := s.dial(0)
-			return func(q query) bool {
+			return func(q clientRequest) bool {
 				s.ask(c, q)
 				res, _, err := c.answer()
 				return err == nil && res.StatusCode == http.StatusOK
@@ -32,7 +32,7 @@
 		b.Run(name, func(b *testing.B) {
 			s := newStand(b, standClasses+"[[tier]]\nname = \"t\"\n[[tier.kind]]\ncores = 64\nspeed = 1000.0\nslots = 1000\n[fleet]\npolicy = \"plain\"\n")
 			q := s.next("quick")
-			q.direct, q.leaves = 0, time.Hour
+			q.directEndpoint, q.cancelAt = 0, time.Hour
 			var left atomic.Int64
 			left.Store(int64(b.N))
 			var clients sync.WaitGroup
--- a/internal/lab/loopback/box_test.go
+++ b/internal/lab/loopback/box_test.go
@@ -90,38 +90,38 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := &stand{run: &run{plan: p, trace: &collector{}}, t: t, used: map[string]int{}}
+	out := &stand{run: &run{plan: p, recorder: &recorder{}}, t: t, used: map[string]int{}}
 	ctx, cancel := context.WithCancel(context.Background())
-	out.life = ctx
-	if out.net, err = newAddresses(); err != nil {
+	out.ctx = ctx
+	if out.addresses, err = newAddresses(); err != nil {
 		t.Fatal(err)
 	}
-	if out.callers, err = newCallers(p, out.now, out.net); err != nil {
+	if out.transport, err = newTransport(p, out.elapsed, out.addresses); err != nil {
 		t.Fatal(err)
 	}
 	if s.Fleet.Policy == "plain" {
-		out.rotation = newRotation(p)
+		out.roundRobin = newRoundRobin(p)
 	}
 	for i := range p.Boxes {
-		b, err := newBox(out.run, i)
+		b, err := newEndpoint(out.run, i)
 		if err != nil {
 			t.Fatal(err)
 		}
-		out.boxes = append(out.boxes, b)
+		out.endpoints = append(out.endpoints, b)
 	}
 	now := time.Now()
-	out.began.Store(&now)
-	for _, b := range out.boxes {
-		b.begin()
+	out.startTime.Store(&now)
+	for _, b := range out.endpoints {
+		b.start()
 	}
 	t.Cleanup(func() {
-		for _, b := range out.boxes {
+		for _, b := range out.endpoints {
 			b.close()
 		}
 		cancel()
-		out.later.Wait()
-		out.callers.close()
-		out.net.close()
+		out.scheduled.Wait()
+		out.transport.close()
+		out.addresses.close()
 		goleak.VerifyNone(t, leaks)
 	})
 	return out
@@ -130,15 +130,15 @@
 // fault begins one of a kind at a box.
 func (s *stand) fault(box int, kind model.FaultKind, size float64) (end func()) {
 	e := plan.Event{Kind: plan.BeginFault, Box: box, Fault: model.Fault{ID: int(kind), Kind: kind, Size: size}}
-	s.boxes[box].event(s.now(), e)
+	s.endpoints[box].applyEvent(s.elapsed(), e)
 	return func() {
 		e.Kind = plan.EndFault
-		s.boxes[box].event(s.now(), e)
+		s.endpoints[box].applyEvent(s.elapsed(), e)
 	}
 }
 
 // next is a request of a class that has not been asked for yet.
-func (s *stand) next(class string) query {
+func (s *stand) next(class string) clientRequest {
 	s.t.Helper()
 	n := s.used[class]
 	s.used[class]++
@@ -148,12 +148,12 @@
 			continue
 		}
 		if n--; n < 0 {
-			return query{direct: -1, left: 20 * time.Second, key: r.Key,
-				try: trace.ClientAttempt{TransactionID: s.plan.Txn(i, 0), Request: i, Class: r.Class}}
+			return clientRequest{directEndpoint: -1, timeout: 20 * time.Second, idempotencyKey: r.Key,
+				attempt: trace.ClientAttempt{TransactionID: s.plan.Txn(i, 0), Request: i, Class: r.Class}}
 		}
 	}
 	s.t.Fatalf("the plan has no further request of class %s", class)
-	return query{}
+	return clientRequest{}
 }
 
 // raw is a client's connection to a box.
@@ -165,7 +165,7 @@
 
 func (s *stand) dial(box int) *raw {
 	s.t.Helper()
-	c, err := net.DialTimeout("tcp", s.boxes[box].addr(), ample)
+	c, err := net.DialTimeout("tcp", s.endpoints[box].address(), ample)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -174,9 +174,9 @@
 }
 
 // ask writes a request.
-func (s *stand) ask(c *raw, q query) {
+func (s *stand) ask(c *raw, q clientRequest) {
 	s.t.Helper()
-	if _, err := c.Write(s.callers.wire.request(nil, &q)); err != nil {
+	if _, err := c.Write(s.transport.codec.appendRequest(nil, &q)); err != nil {
 		s.t.Fatal(err)
 	}
 }
@@ -225,9 +225,9 @@
 func (s *stand) visit(txn uint64) (v trace.EndpointRequest) {
 	s.t.Helper()
 	await(s.t, fmt.Sprintf("the visit of %016x is noted", txn), func() bool {
-		s.trace.mu.Lock()
-		defer s.trace.mu.Unlock()
-		for _, v = range s.trace.log.EndpointRequests {
+		s.recorder.mu.Lock()
+		defer s.recorder.mu.Unlock()
+		for _, v = range s.recorder.log.EndpointRequests {
 			if v.TransactionID == txn {
 				return true
 			}
@@ -241,7 +241,7 @@
 func (s *stand) loaded(box, inWork, waiting int) {
 	s.t.Helper()
 	await(s.t, fmt.Sprintf("%d are in work and %d wait", inWork, waiting), func() bool {
-		l := s.boxes[box].sample(s.now())
+		l := s.endpoints[box].sample(s.elapsed())
 		return l.Running == inWork && l.Queued == waiting
 	})
 }
@@ -250,7 +250,7 @@
 func (s *stand) meets(box int, what string, like func(error) bool) {
 	s.t.Helper()
 	await(s.t, "new connections "+what, func() bool {
-		c, err := net.DialTimeout("tcp", s.boxes[box].addr(), 100*time.Millisecond)
+		c, err := net.DialTimeout("tcp", s.endpoints[box].address(), 100*time.Millisecond)
 		if err == nil {
 			c.Close()
 		}
@@ -260,7 +260,7 @@
 
 func comesUp(err error) bool { return err == nil }
 func refused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
-func isLate(err error) bool  { return err != nil && timedOut(err) }
+func isLate(err error) bool  { return err != nil && isTimeout(err) }
 func isReset(err error) bool { return errors.Is(err, syscall.ECONNRESET) }
 func isOver(err error) bool  { return isReset(err) || errors.Is(err, io.EOF) }
 
@@ -272,14 +272,14 @@
 		q := s.next(class)
 		s.ask(c, q)
 		_, body := c.expect(http.StatusOK)
-		if box, ok := checkBody(q.try.TransactionID, body); !ok || box != 0 {
+		if box, ok := verifyBody(q.attempt.TransactionID, body); !ok || box != 0 {
 			t.Errorf("%s: the body is not box 0's", class)
 		}
-		if want := s.plan.Scenario.Class[q.try.Class].Answer; len(body) != want {
+		if want := s.plan.Scenario.Class[q.attempt.Class].Answer; len(body) != want {
 			t.Errorf("%s: the body has %d bytes, not %d", class, len(body), want)
 		}
-		v := s.visit(q.try.TransactionID)
-		if v.Outcome != trace.OutcomeOK || v.IdempotencyKey != q.key || v.Deduplicated || v.Work <= 0 {
+		v := s.visit(q.attempt.TransactionID)
+		if v.Outcome != trace.OutcomeOK || v.IdempotencyKey != q.idempotencyKey || v.Deduplicated || v.Work <= 0 {
 			t.Errorf("%s: the visit is %+v", class, v)
 		}
 		if v.FirstByte > v.LastByte || v.LastByte > v.Started || v.Started > v.Ended {
@@ -297,11 +297,11 @@
 	s := newStand(t, standClasses+oneTier)
 	q := s.next("keyed")
 	for box := range 2 {
-		q.try.TransactionID = s.plan.Txn(q.try.Request, box)
+		q.attempt.TransactionID = s.plan.Txn(q.attempt.Request, box)
 		c := s.dial(box)
 		s.ask(c, q)
 		c.expect(http.StatusOK)
-		if v := s.visit(q.try.TransactionID); v.Deduplicated != (box > 0) {
+		if v := s.visit(q.attempt.TransactionID); v.Deduplicated != (box > 0) {
 			t.Errorf("at box %d the visit's Repeat is %v", box, v.Deduplicated)
 		}
 	}
@@ -310,20 +310,20 @@
 func TestBoxKnowsStrangers(t *testing.T) {
 	s := newStand(t, standClasses+oneTier)
 	q := s.next("keyed")
-	good := string(s.callers.wire.request(nil, &q))
+	good := string(s.transport.codec.appendRequest(nil, &q))
 	change := func(old, to string) string {
 		if strings.Count(good, old) != 1 {
 			t.Fatalf("%q is not once in %q", old, good)
 		}
 		return strings.Replace(good, old, to, 1)
 	}
-	txn := fmt.Sprintf("X-Txn: %016x", q.try.TransactionID)
-	path := target("keyed", q.try.Request)
+	txn := fmt.Sprintf("X-Txn: %016x", q.attempt.TransactionID)
+	path := requestPath("keyed", q.attempt.Request)
 	strays := map[string]string{
-		"another id":     change(txn, fmt.Sprintf("X-Txn: %016x", q.try.TransactionID+1)),
+		"another id":     change(txn, fmt.Sprintf("X-Txn: %016x", q.attempt.TransactionID+1)),
 		"a faulty id":    change(txn, "X-Txn: nine"),
-		"another class":  change(path, target("quick", q.try.Request)),
-		"no request":     change(path, target("keyed", len(s.plan.Requests))),
+		"another class":  change(path, requestPath("quick", q.attempt.Request)),
+		"no request":     change(path, requestPath("keyed", len(s.plan.Requests))),
 		"another path":   change(path, path+"?again=1"),
 		"another method": change("POST", "PUT"),
 		"another key":    change("Idempotency-Key: 0000000000000000", "Idempotency-Key: 0000000000000001"),
@@ -338,16 +338,16 @@
 			t.Errorf("%s: %v %v", what, res, err)
 		}
 	}
-	s.trace.mu.Lock()
-	if got := len(s.trace.log.EndpointRequests); got != len(strays) {
+	s.recorder.mu.Lock()
+	if got := len(s.recorder.log.EndpointRequests); got != len(strays) {
 		t.Errorf("%d visits of strangers are noted", got)
 	}
-	for _, v := range s.trace.log.EndpointRequests {
+	for _, v := range s.recorder.log.EndpointRequests {
 		if v.TransactionID != 0 || v.Outcome != trace.OutcomeError {
 			t.Errorf("a stranger's visit is %+v", v)
 		}
 	}
-	s.trace.mu.Unlock()
+	s.recorder.mu.Unlock()
 	io.WriteString(c, change(txn+"\r\n", ""))
 	c.expect(http.StatusNotFound)
 	io.WriteString(c, good)
@@ -382,7 +382,7 @@
 // what it has there.
 func TestBoxTurnsAwayAndLetsGo(t *testing.T) {
 	s := newStand(t, standClasses+oneTier+"slots = 1\nqueue = 1\ncores = 1\n")
-	var held [2]query
+	var held [2]clientRequest
 	var conns [2]*raw
 	for i := range held {
 		held[i], conns[i] = s.next("long"), s.dial(0)
@@ -394,16 +394,16 @@
 	if res, _ := c.expect(http.StatusServiceUnavailable); res.Header.Get("X-Turned-Away") != "1" {
 		t.Error("it is not said that it was turned away")
 	}
-	if v := s.visit(q.try.TransactionID); v.Outcome != trace.OutcomeRejected || v.Started != trace.Unset || v.Work != 0 {
+	if v := s.visit(q.attempt.TransactionID); v.Outcome != trace.OutcomeRejected || v.Started != trace.Unset || v.Work != 0 {
 		t.Errorf("the one turned away: %+v", v)
 	}
 	conns[0].Close()
-	if v := s.visit(held[0].try.TransactionID); v.Outcome != trace.OutcomeCanceled || v.Started == trace.Unset || v.Work >= 50*time.Second {
+	if v := s.visit(held[0].attempt.TransactionID); v.Outcome != trace.OutcomeCanceled || v.Started == trace.Unset || v.Work >= 50*time.Second {
 		t.Errorf("the one that ran: %+v", v)
 	}
 	s.loaded(0, 1, 0)
 	conns[1].Conn.(*net.TCPConn).CloseWrite()
-	if v := s.visit(held[1].try.TransactionID); v.Outcome != trace.OutcomeCanceled || v.Started == trace.Unset {
+	if v := s.visit(held[1].attempt.TransactionID); v.Outcome != trace.OutcomeCanceled || v.Started == trace.Unset {
 		t.Errorf("the one that waited, and ran then: %+v", v)
 	}
 	if err := conns[1].says(ample); !isOver(err) {
@@ -419,7 +419,7 @@
 	s.ask(c, q)
 	s.loaded(0, 1, 0)
 	c.Close()
-	v := s.visit(q.try.TransactionID)
+	v := s.visit(q.attempt.TransactionID)
 	if v.Outcome != trace.OutcomeCanceled || v.Work < 300*time.Millisecond || v.Ended-v.LastByte >= 300*time.Millisecond {
 		t.Errorf("given up after %v: %+v", v.Ended-v.LastByte, v)
 	}
@@ -445,20 +445,20 @@
 			t.Errorf("once the machine is back, an open connection says %v", err)
 		}
 	}
-	if v := s.visit(q.try.TransactionID); v.Outcome != trace.OutcomeLost {
+	if v := s.visit(q.attempt.TransactionID); v.Outcome != trace.OutcomeLost {
 		t.Errorf("what it had: %+v", v)
 	}
 	s.meets(0, "come up", comesUp)
-	if !s.boxes[0].sample(s.now()).WarmingUp {
+	if !s.endpoints[0].sample(s.elapsed()).WarmingUp {
 		t.Error("it is back warm")
 	}
 	c, q := s.dial(0), s.next("quick")
 	s.ask(c, q)
 	c.expect(http.StatusOK)
-	s.trace.mu.Lock()
-	defer s.trace.mu.Unlock()
-	for _, v := range s.trace.log.EndpointRequests {
-		if v.TransactionID == unheard.try.TransactionID {
+	s.recorder.mu.Lock()
+	defer s.recorder.mu.Unlock()
+	for _, v := range s.recorder.log.EndpointRequests {
+		if v.TransactionID == unheard.attempt.TransactionID {
 			t.Errorf("it has heard what was written to it while it was not there: %+v", v)
 		}
 	}
@@ -473,7 +473,7 @@
 	if err := c.says(ample); !isReset(err) {
 		t.Errorf("an open connection says %v", err)
 	}
-	if v := s.visit(q.try.TransactionID); v.Outcome != trace.OutcomeLost {
+	if v := s.visit(q.attempt.TransactionID); v.Outcome != trace.OutcomeLost {
 		t.Errorf("what it had: %+v", v)
 	}
 	s.meets(0, "are refused", refused)
@@ -483,7 +483,7 @@
 	s.meets(0, "are refused again", refused)
 	end()
 	s.meets(0, "come up", comesUp)
-	if !s.boxes[0].sample(s.now()).WarmingUp {
+	if !s.endpoints[0].sample(s.elapsed()).WarmingUp {
 		t.Error("it is back warm")
 	}
 }
@@ -506,7 +506,7 @@
 	first, second := s.dial(0), s.dial(0)
 	s.ask(second, s.next("quick"))
 	second.expect(http.StatusOK)
-	third, err := net.DialTimeout("tcp", s.boxes[0].addr(), ample)
+	third, err := net.DialTimeout("tcp", s.endpoints[0].address(), ample)
 	if err == nil { // otherwise the reset was here before the dial had returned
 		_, err = third.Read(make([]byte, 1))
 		third.Close()
@@ -515,7 +515,7 @@
 		t.Errorf("the third connection says %v", err)
 	}
 	first.Close()
-	await(t, "there is room again", func() bool { return s.boxes[0].sample(s.now()).Connections == 1 })
+	await(t, "there is room again", func() bool { return s.endpoints[0].sample(s.elapsed()).Connections == 1 })
 	c := s.dial(0)
 	s.ask(c, s.next("quick"))
 	c.expect(http.StatusOK)
@@ -533,7 +533,7 @@
 		t.Errorf("it answers: %v", err)
 	}
 	c.Close()
-	if v := s.visit(late.try.TransactionID); v.Outcome != trace.OutcomeCanceled || v.Started != trace.Unset {
+	if v := s.visit(late.attempt.TransactionID); v.Outcome != trace.OutcomeCanceled || v.Started != trace.Unset {
 		t.Errorf("what came to nothing: %+v", v)
 	}
 	end()
@@ -551,7 +551,7 @@
 	c, q := s.dial(0), s.next("long")
 	s.ask(c, q)
 	c.expect(http.StatusInternalServerError)
-	if v := s.visit(q.try.TransactionID); v.Outcome != trace.OutcomeError || v.Started != trace.Unset {
+	if v := s.visit(q.attempt.TransactionID); v.Outcome != trace.OutcomeError || v.Started != trace.Unset {
 		t.Errorf("the visit is %+v", v)
 	}
 }
@@ -574,7 +574,7 @@
 				if _, err := io.Copy(io.Discard, c); isLate(err) {
 					t.Error("its connection goes on")
 				}
-				if v := s.visit(q.try.TransactionID); v.Outcome != trace.OutcomeCorrupted || v.Work <= 0 {
+				if v := s.visit(q.attempt.TransactionID); v.Outcome != trace.OutcomeCorrupted || v.Work <= 0 {
 					t.Errorf("the visit is %+v", v)
 				}
 			}
@@ -595,12 +595,12 @@
 	if _, err := io.ReadFull(c, some[:]); err != nil {
 		t.Fatal(err)
 	}
-	if took := time.Since(begun); took < 2*dripEvery {
+	if took := time.Since(begun); took < 2*dripInterval {
 		t.Errorf("three drops took %v", took)
 	}
-	before := s.now()
+	before := s.elapsed()
 	c.Close()
-	if v := s.visit(q.try.TransactionID); v.Outcome != trace.OutcomeCorrupted || v.Ended < before {
+	if v := s.visit(q.attempt.TransactionID); v.Outcome != trace.OutcomeCorrupted || v.Ended < before {
 		t.Errorf("closed after %v, the visit is %+v", before, v)
 	}
 }
@@ -620,7 +620,7 @@
 			if kind == model.Vanish {
 				s.meets(0, "never come up", isLate)
 				_, _ = c.in.Discard(c.in.Buffered())
-				if err := c.says(2 * dripEvery); !isLate(err) {
+				if err := c.says(2 * dripInterval); !isLate(err) {
 					t.Errorf("it drips on: %v", err)
 				}
 				end()
@@ -629,7 +629,7 @@
 			if _, err := io.Copy(io.Discard, c); !isReset(err) {
 				t.Errorf("the connection says %v", err)
 			}
-			if v := s.visit(q.try.TransactionID); v.Outcome != trace.OutcomeCorrupted {
+			if v := s.visit(q.attempt.TransactionID); v.Outcome != trace.OutcomeCorrupted {
 				t.Errorf("the visit is %+v", v)
 			}
 		})
@@ -639,24 +639,24 @@
 // A box that starts cold with the run is told of anew then: what was said before guessed the time.
 func TestColdBoxIsToldAtTheStart(t *testing.T) {
 	s := newStand(t, standClasses+oneTier+"start = \"cold\"\n")
-	a, err := newAgent(s.run, 0, s.net.agent(0, 0))
+	a, err := newAgent(s.run, 0, s.addresses.agent(0, 0))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer a.close()
 	s.agents = []*agent{a}
-	s.boxes[1].begin()
-	if got := a.catalog.changes(1); len(got) != 1 || got[0].Box != 1 || got[0].UpSince == 0 {
+	s.endpoints[1].start()
+	if got := a.catalog.changesSince(1); len(got) != 1 || got[0].Box != 1 || got[0].UpSince == 0 {
 		t.Errorf("told of %v", got)
 	}
 }
 
 func TestSpoiltBytesAreNoAnswer(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 0))
-	for _, size := range []int{bodyLeast, 64, 5000} {
-		body := answerBody(1, 2, 3, size)
+	for _, size := range []int{minBodySize, 64, 5000} {
+		body := responseBody(1, 2, 3, size)
 		for range 300 {
-			text := http1{}.spoil(nil, mark{}, body, random)
+			text := http1Codec{}.appendMalformed(nil, correlation{}, body, random)
 			res, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(text)), nil)
 			if err == nil {
 				_, err = io.ReadAll(res.Body)
@@ -672,18 +672,18 @@
 func TestBoxFallsOver(t *testing.T) {
 	s := newStand(t, standClasses+oneTier+"start = \"cold\"\ncores = 1\n")
 	told := make(chan struct{}, 2)
-	s.boxes[0].fell = func() { told <- struct{}{} }
+	s.endpoints[0].onCollapse = func() { told <- struct{}{} }
 	c, q := s.dial(0), s.next("long") // 50 s of work within a second
 	s.ask(c, q)
 	if err := c.says(ample); !isReset(err) {
 		t.Errorf("its connection says %v", err)
 	}
-	if v := s.visit(q.try.TransactionID); v.Outcome != trace.OutcomeLost {
+	if v := s.visit(q.attempt.TransactionID); v.Outcome != trace.OutcomeLost {
 		t.Errorf("the visit is %+v", v)
 	}
 	<-told
 	s.meets(0, "are refused", refused)
-	if !s.boxes[0].sample(s.now()).Collapsed {
+	if !s.endpoints[0].sample(s.elapsed()).Collapsed {
 		t.Error("it has not fallen")
 	}
 	if len(told) != 0 {
@@ -694,9 +694,9 @@
 func TestAbsentBoxComes(t *testing.T) {
 	s := newStand(t, standClasses+oneTier+"start = \"absent\"\n")
 	s.meets(0, "are refused", refused)
-	s.boxes[0].event(s.now(), plan.Event{Kind: plan.StartBox, Box: 0})
+	s.endpoints[0].applyEvent(s.elapsed(), plan.Event{Kind: plan.StartBox, Box: 0})
 	s.meets(0, "come up", comesUp)
-	if !s.boxes[0].sample(s.now()).WarmingUp {
+	if !s.endpoints[0].sample(s.elapsed()).WarmingUp {
 		t.Error("it starts warm")
 	}
 }
@@ -728,11 +728,11 @@
 func TestBoxNotesHalfRequests(t *testing.T) {
 	s := newStand(t, standClasses+oneTier)
 	q := s.next("keyed")
-	text := s.callers.wire.request(nil, &q)
+	text := s.transport.codec.appendRequest(nil, &q)
 	c := s.dial(0)
 	c.Write(text[:len(text)-1])
 	c.Close()
-	if v := s.visit(q.try.TransactionID); v.LastByte != trace.Unset || v.Started != trace.Unset || v.Outcome != trace.OutcomeCanceled {
+	if v := s.visit(q.attempt.TransactionID); v.LastByte != trace.Unset || v.Started != trace.Unset || v.Outcome != trace.OutcomeCanceled {
 		t.Errorf("the visit is %+v", v)
 	}
 }
@@ -744,50 +744,50 @@
 	s.ask(c, q)
 	s.loaded(0, 1, 0)
 	t.Cleanup(func() { // before that of the stand, which closes again
-		if v := s.visit(q.try.TransactionID); v.Outcome != trace.OutcomePending || v.Ended != trace.Unset || v.Started == trace.Unset {
+		if v := s.visit(q.attempt.TransactionID); v.Outcome != trace.OutcomePending || v.Ended != trace.Unset || v.Started == trace.Unset {
 			t.Errorf("the visit is %+v", v)
 		}
 	})
-	s.boxes[0].close()
-	s.boxes = s.boxes[1:]
+	s.endpoints[0].close()
+	s.endpoints = s.endpoints[1:]
 }
 
 func TestBodiesAreCheckedInEveryByte(t *testing.T) {
-	for _, size := range []int{0, bodyLeast, 64, 333} {
-		body := answerBody(77, 5, 3, size)
-		if len(body) != max(size, bodyLeast) {
+	for _, size := range []int{0, minBodySize, 64, 333} {
+		body := responseBody(77, 5, 3, size)
+		if len(body) != max(size, minBodySize) {
 			t.Errorf("asked for %d bytes, got %d", size, len(body))
 		}
-		if box, ok := checkBody(77, body); !ok || box != 5 {
+		if box, ok := verifyBody(77, body); !ok || box != 5 {
 			t.Errorf("%d bytes: box %d, %v", size, box, ok)
 		}
-		if _, ok := checkBody(78, body); ok {
+		if _, ok := verifyBody(78, body); ok {
 			t.Errorf("%d bytes pass for another request's", size)
 		}
 		for i := range body {
 			for bit := range 8 {
 				body[i] ^= 1 << bit
-				if _, ok := checkBody(77, body); ok {
+				if _, ok := verifyBody(77, body); ok {
 					t.Errorf("%d bytes: bit %d of byte %d may change", size, bit, i)
 				}
 				body[i] ^= 1 << bit
 			}
-			if _, ok := checkBody(77, body[:i]); ok {
+			if _, ok := verifyBody(77, body[:i]); ok {
 				t.Errorf("%d bytes pass for %d", i, size)
 			}
 		}
-		if _, ok := checkBody(77, append(body, 0)); ok {
+		if _, ok := verifyBody(77, append(body, 0)); ok {
 			t.Errorf("%d bytes and one more pass", size)
 		}
 	}
 }
 
 func TestTargets(t *testing.T) {
-	if request, ok := parseTarget(target("a-class", 12)); !ok || request != 12 {
+	if request, ok := parseRequestPath(requestPath("a-class", 12)); !ok || request != 12 {
 		t.Errorf("request %d, %v", request, ok)
 	}
 	for _, path := range []string{"", "/", "/12", "12", "/a/", "/a/-1", "/a/1x", "/a/99999999999999999999"} {
-		if _, ok := parseTarget(path); ok {
+		if _, ok := parseRequestPath(path); ok {
 			t.Errorf("%q is taken", path)
 		}
 	}
--- a/internal/lab/loopback/boxhttp.go
+++ b/internal/lab/loopback/boxhttp.go
@@ -13,44 +13,44 @@
 	"pinelb.example/pinelb/internal/lab/plan"
 )
 
-// requestBodyMost is the most that a body may hold.
-const requestBodyMost = 64 << 10
+// maxRequestBody is the most that a body may hold.
+const maxRequestBody = 64 << 10
 
 // http1 is HTTP/1.1 as boxes and callers speak it.
-type http1 struct{ plan *plan.Plan }
+type http1Codec struct{ plan *plan.Plan }
 
-func (h http1) read(in *bufio.Reader) (ask, error) {
+func (h http1Codec) readRequest(in *bufio.Reader) (incomingRequest, error) {
 	req, err := http.ReadRequest(in)
 	if err != nil {
-		return ask{}, err
+		return incomingRequest{}, err
 	}
-	a := ask{request: -1, last: req.Close, mark: mark{http: true}}
+	a := incomingRequest{planIndex: -1, closeAfter: req.Close, correlation: correlation{http: true}}
 	if req.Method == http.MethodGet && (req.RequestURI == "/ping" || req.RequestURI == "/_load") {
-		a.probe = true
+		a.healthCheck = true
 		return a, nil
 	}
 	if id := req.Header.Get("X-Txn"); id != "" {
-		a.named = true
-		a.txn, _ = parseHex(id, 16) // a faulty one is 0, which nobody made
+		a.identified = true
+		a.transactionID, _ = parseHex(id, 16) // a faulty one is 0, which nobody made
 	}
 	if ms, err := strconv.ParseUint(req.Header.Get("X-Remaining-Ms"), 10, 31); err == nil {
-		a.left = time.Duration(ms) * time.Millisecond
+		a.timeout = time.Duration(ms) * time.Millisecond
 	}
 	a.baggage = req.Header.Get("Baggage")
-	body, err := io.ReadAll(io.LimitReader(req.Body, requestBodyMost+1))
+	body, err := io.ReadAll(io.LimitReader(req.Body, maxRequestBody+1))
 	if err != nil {
 		return a, err
 	}
-	if len(body) > requestBodyMost {
-		return a, fmt.Errorf("live: a body of more than %d bytes", requestBodyMost)
+	if len(body) > maxRequestBody {
+		return a, fmt.Errorf("live: a body of more than %d bytes", maxRequestBody)
 	}
-	a.request, a.key = h.place(req, body)
+	a.planIndex, a.idempotencyKey = h.identify(req, body)
 	return a, nil
 }
 
 // place is where the plan has a request and its key, if method, path, key and body are as its caller wrote them.
-func (h http1) place(req *http.Request, body []byte) (request int, key uint64) {
-	i, ok := parseTarget(req.RequestURI)
+func (h http1Codec) identify(req *http.Request, body []byte) (request int, key uint64) {
+	i, ok := parseRequestPath(req.RequestURI)
 	if !ok || i >= len(h.plan.Requests) {
 		return -1, 0
 	}
@@ -65,7 +65,7 @@
 			return -1, 0
 		}
 	}
-	if req.Method != method || req.RequestURI != target(class.Name, i) || len(body) != size ||
+	if req.Method != method || req.RequestURI != requestPath(class.Name, i) || len(body) != size ||
 		(text != "") != (class.Effect == "keyed") {
 		return -1, 0
 	}
@@ -86,17 +86,17 @@
 	return v, err == nil
 }
 
-var replyHeads = [...]string{
-	replyServed:     "200 OK\r\n",
-	replyErrored:    "500 Internal Server Error\r\n",
-	replyTurnedAway: "503 Service Unavailable\r\nX-Turned-Away: 1\r\n",
-	replyFaulty:     "400 Bad Request\r\n",
-	replyUnknown:    "404 Not Found\r\n",
+var responseHeads = [...]string{
+	responseOK:         "200 OK\r\n",
+	responseError:      "500 Internal Server Error\r\n",
+	responseRejected:   "503 Service Unavailable\r\nX-Turned-Away: 1\r\n",
+	responseBadRequest: "400 Bad Request\r\n",
+	responseNotFound:   "404 Not Found\r\n",
 }
 
-func (http1) answer(out []byte, what reply, to mark, body []byte, last bool) []byte {
-	out = append(append(out, "HTTP/1.1 "...), replyHeads[what]...)
-	if t := to.tried.String(); t != "" {
+func (http1Codec) appendResponse(out []byte, what responseKind, to correlation, body []byte, last bool) []byte {
+	out = append(append(out, "HTTP/1.1 "...), responseHeads[what]...)
+	if t := to.reportedAttempts.String(); t != "" {
 		out = append(append(append(out, budget.TriedHeader+": "...), t...), "\r\n"...)
 	}
 	if last {
@@ -106,7 +106,7 @@
 	return append(append(out, "\r\n\r\n"...), body...)
 }
 
-func (http1) spoil(out []byte, _ mark, body []byte, random *rand.Rand) []byte {
+func (http1Codec) appendMalformed(out []byte, _ correlation, body []byte, random *rand.Rand) []byte {
 	n := len(body)
 	switch random.IntN(7) {
 	case 0: // noise
--- a/internal/lab/loopback/boxthrift.go
+++ b/internal/lab/loopback/boxthrift.go
@@ -16,51 +16,51 @@
 	"pinelb.example/pinelb/internal/lab/scenario"
 )
 
-// thriftBox is Thrift as the boxes speak it: calls whose method is their class. At the same address a box
+// thriftEndpointCodec is Thrift as the boxes speak it: calls whose method is their class. At the same address a box
 // answers probes over HTTP, as sidecars ask no other way; no Thrift message begins with a letter.
-type thriftBox struct {
+type thriftEndpointCodec struct {
 	form thriftForm
 	plan *plan.Plan
 }
 
-var errNoProbe = errors.New("live: a request over HTTP that is no probe, where calls come over Thrift")
+var errNotHealthCheck = errors.New("live: a request over HTTP that is no probe, where calls come over Thrift")
 
-func (b thriftBox) read(in *bufio.Reader) (ask, error) {
+func (b thriftEndpointCodec) readRequest(in *bufio.Reader) (incomingRequest, error) {
 	first, err := in.Peek(1)
 	if err != nil {
-		return ask{}, err
+		return incomingRequest{}, err
 	}
 	if first[0] == 'G' {
-		a, err := http1{b.plan}.read(in)
-		if err == nil && !a.probe {
-			return ask{}, errNoProbe
+		a, err := http1Codec{b.plan}.readRequest(in)
+		if err == nil && !a.healthCheck {
+			return incomingRequest{}, errNotHealthCheck
 		}
 		return a, err
 	}
-	a, args := ask{request: -1}, thriftArgs{request: -1}
+	a, args := incomingRequest{planIndex: -1}, thriftArgs{request: -1}
 	err = b.form.read(in, func(h thriftHead, p thrift.TProtocol) error {
 		if h.kind != thrift.CALL {
 			return errThrift
 		}
-		a.mark = mark{method: h.method, seq: h.seq}
+		a.correlation = correlation{method: h.method, seq: h.seq}
 		return args.read(p, &a)
 	})
-	if err == nil && args.made(b.plan, a.mark.method) {
-		a.request = args.request
+	if err == nil && args.matchesPlan(b.plan, a.correlation.method) {
+		a.planIndex = args.request
 	}
 	return a, err
 }
 
 // thriftArgs are a call's arguments as far as they tell whether a caller wrote them.
 type thriftArgs struct {
-	request int
-	keyed   bool
-	body    []byte
-	strange bool // there is something that no caller writes
+	request    int
+	keyed      bool
+	body       []byte
+	unexpected bool // there is something that no caller writes
 }
 
 // read reads the arguments; what a box goes by goes to a.
-func (g *thriftArgs) read(p thrift.TProtocol, a *ask) error {
+func (g *thriftArgs) read(p thrift.TProtocol, a *incomingRequest) error {
 	ctx := context.Background()
 	return thriftFields(p, func(id int16, kind thrift.TType) (bool, error) {
 		var err error
@@ -68,22 +68,22 @@
 		switch {
 		case kind == thrift.STRING && id == argTxn:
 			text, err = p.ReadString(ctx)
-			a.txn, _ = parseHex(text, 16) // a faulty one is 0, which nobody made
-			a.named = err == nil && text != ""
+			a.transactionID, _ = parseHex(text, 16) // a faulty one is 0, which nobody made
+			a.identified = err == nil && text != ""
 		case kind == thrift.STRING && id == argKey:
 			text, err = p.ReadString(ctx)
-			a.key, g.keyed = parseHex(text, 32)
-			g.strange = g.strange || !g.keyed
+			a.idempotencyKey, g.keyed = parseHex(text, 32)
+			g.unexpected = g.unexpected || !g.keyed
 		case kind == thrift.I32 && id == argRemaining:
 			number, err = p.ReadI32(ctx)
-			a.left = max(0, time.Duration(number)*time.Millisecond)
+			a.timeout = max(0, time.Duration(number)*time.Millisecond)
 		case kind == thrift.I32 && id == argRequest:
 			number, err = p.ReadI32(ctx)
 			g.request = int(number)
 		case kind == thrift.STRING && id == argBody:
 			g.body, err = p.ReadBinary(ctx)
 		default:
-			g.strange = true
+			g.unexpected = true
 			return false, nil
 		}
 		return true, err
@@ -91,8 +91,8 @@
 }
 
 // made says whether they are a caller's, in just this form.
-func (g *thriftArgs) made(p *plan.Plan, method string) bool {
-	if g.strange || g.request < 0 || g.request >= len(p.Requests) {
+func (g *thriftArgs) matchesPlan(p *plan.Plan, method string) bool {
+	if g.unexpected || g.request < 0 || g.request >= len(p.Requests) {
 		return false
 	}
 	class := &p.Scenario.Class[p.Requests[g.request].Class]
@@ -105,18 +105,18 @@
 	kind    int32
 	message string
 }{
-	replyErrored:    {thrift.INTERNAL_ERROR, "the box failed"},
-	replyTurnedAway: {scenario.ThriftTurnedAway, "turned away"},
-	replyFaulty:     {thrift.PROTOCOL_ERROR, "no caller made this call"},
-	replyUnknown:    {thrift.UNKNOWN_METHOD, "there is no such call here"},
+	responseError:      {thrift.INTERNAL_ERROR, "the box failed"},
+	responseRejected:   {scenario.ThriftTurnedAway, "turned away"},
+	responseBadRequest: {thrift.PROTOCOL_ERROR, "no caller made this call"},
+	responseNotFound:   {thrift.UNKNOWN_METHOD, "there is no such call here"},
 }
 
-func (b thriftBox) answer(out []byte, what reply, to mark, body []byte, last bool) []byte {
+func (b thriftEndpointCodec) appendResponse(out []byte, what responseKind, to correlation, body []byte, last bool) []byte {
 	if to.http {
-		return http1{}.answer(out, what, to, body, last)
+		return http1Codec{}.appendResponse(out, what, to, body, last)
 	}
-	if what == replyServed {
-		return b.form.write(out, thriftHead{to.method, thrift.REPLY, to.seq}, success(body))
+	if what == responseOK {
+		return b.form.write(out, thriftHead{to.method, thrift.REPLY, to.seq}, successResult(body))
 	}
 	e := thriftExceptions[what]
 	return b.form.write(out, thriftHead{to.method, thrift.EXCEPTION, to.seq},
@@ -124,22 +124,22 @@
 }
 
 // success is the result of a call that went well.
-func success(body []byte) func(thriftWriter) {
+func successResult(body []byte) func(thriftWriter) {
 	return func(w thriftWriter) { w.fields(func() { w.bytes(resultBody, body) }) }
 }
 
 // Of what spoils an answer.
 const (
-	spoiltAny    = 7 // sorts of any form
-	spoiltFramed = 3 // and of frames
-	spoiltDepth  = 10_000
+	malformedKinds      = 7 // sorts of any form
+	malformedFrameKinds = 3 // and of frames
+	malformedNesting    = 10_000
 )
 
-func (b thriftBox) spoil(out []byte, to mark, body []byte, random *rand.Rand) []byte {
-	head, result, ctx := thriftHead{to.method, thrift.REPLY, to.seq}, success(body), context.Background()
-	sorts := spoiltAny
+func (b thriftEndpointCodec) appendMalformed(out []byte, to correlation, body []byte, random *rand.Rand) []byte {
+	head, result, ctx := thriftHead{to.method, thrift.REPLY, to.seq}, successResult(body), context.Background()
+	sorts := malformedKinds
 	if b.form.framed {
-		sorts += spoiltFramed
+		sorts += malformedFrameKinds
 	}
 	sort := random.IntN(sorts)
 	switch sort {
@@ -165,7 +165,7 @@
 		}
 	case 6: // structs in each other, without end
 		result = func(w thriftWriter) {
-			for range spoiltDepth {
+			for range malformedNesting {
 				_ = w.WriteStructBegin(ctx, "")
 				_ = w.WriteFieldBegin(ctx, "", thrift.STRUCT, 1)
 			}
@@ -173,11 +173,11 @@
 	}
 	text := b.form.write(nil, head, result)
 	switch size := binary.BigEndian.Uint32(text); sort {
-	case spoiltAny: // a frame of less than nothing
+	case malformedKinds: // a frame of less than nothing
 		binary.BigEndian.PutUint32(text, -size)
-	case spoiltAny + 1: // of 2 GiB
+	case malformedKinds + 1: // of 2 GiB
 		binary.BigEndian.PutUint32(text, math.MaxInt32)
-	case spoiltAny + 2: // with more than its message
+	case malformedKinds + 2: // with more than its message
 		extra := 1 + random.IntN(100)
 		binary.BigEndian.PutUint32(text, size+uint32(extra))
 		text = append(text, make([]byte, extra)...)
--- a/internal/lab/loopback/callers_test.go
+++ b/internal/lab/loopback/callers_test.go
@@ -40,13 +40,13 @@
 			})
 			for range 2 { // the second comes on the same connection, or the script would not go on
 				q := s.query(effect, 0xff)
-				q.repeated = effect == "keyed"
-				try := s.do(t.Context(), q)
+				q.retried = effect == "keyed"
+				try := s.roundTrip(t.Context(), q)
 				if text := <-got; text != want {
 					t.Errorf("request:\n%q\nwant\n%q", text, want)
 				}
 				if try.Status != trace.StatusServed || try.Code != 200 || try.Endpoint != 3 || try.Forged || try.Responses != 1 ||
-					try.Sent == trace.Unset || try.Ended < try.Sent || try.Timeout != q.left {
+					try.Sent == trace.Unset || try.Ended < try.Sent || try.Timeout != q.timeout {
 					t.Errorf("%+v", try)
 				}
 			}
@@ -56,7 +56,7 @@
 
 // What comes back decides the status, and nothing else does.
 func TestAnswersAreJudged(t *testing.T) {
-	body := string(answerBody(5, 2, 0, 64))
+	body := string(responseBody(5, 2, 0, 64))
 	for _, c := range []struct {
 		name    string
 		answer  func(l *talk)
@@ -90,7 +90,7 @@
 		{"a head without end", func(l *talk) {
 			l.say("HTTP/1.1 200 OK\r\n%s", strings.Repeat("X-Filler: "+strings.Repeat("a", 1000)+"\r\n", 1000))
 		}, trace.StatusFailed, 0, 0, 0, false},
-		{"a body without end", func(l *talk) { l.say("HTTP/1.1 200 OK\r\n\r\n%s", strings.Repeat("a", answerMost)); l.hold() },
+		{"a body without end", func(l *talk) { l.say("HTTP/1.1 200 OK\r\n\r\n%s", strings.Repeat("a", maxResponseSize)); l.hold() },
 			trace.StatusFailed, 0, 0, 0, false},
 		{"closed", func(l *talk) {}, trace.StatusDisconnected, 0, 0, 0, false},
 		{"reset", func(l *talk) { l.conn.SetLinger(0) }, trace.StatusDisconnected, 0, 0, 0, false},
@@ -102,7 +102,7 @@
 					c.answer(l)
 				}
 			})
-			got := s.do(t.Context(), s.query("unsafe", 5))
+			got := s.roundTrip(t.Context(), s.query("unsafe", 5))
 			if got.Status != c.want || got.Code != c.code || got.RetryAfter != c.advice || got.Responses != c.answers ||
 				got.Forged != c.forged || got.Sent == trace.Unset {
 				t.Errorf("%+v", got)
@@ -117,15 +117,15 @@
 	for _, c := range []struct {
 		name  string
 		begun string // of the answer
-		edit  func(q *query, now time.Duration)
+		edit  func(q *clientRequest, now time.Duration)
 		end   bool
 		want  trace.Status
 	}{
-		{"its time is over", "", func(q *query, _ time.Duration) { q.left = 30 * time.Millisecond }, false, trace.StatusTimedOut},
-		{"in the middle of an answer", "HTTP/1.1 200 OK\r\n", func(q *query, _ time.Duration) { q.left = 30 * time.Millisecond },
+		{"its time is over", "", func(q *clientRequest, _ time.Duration) { q.timeout = 30 * time.Millisecond }, false, trace.StatusTimedOut},
+		{"in the middle of an answer", "HTTP/1.1 200 OK\r\n", func(q *clientRequest, _ time.Duration) { q.timeout = 30 * time.Millisecond },
 			false, trace.StatusFailed},
-		{"it leaves", "", func(q *query, now time.Duration) { q.leaves = now + 30*time.Millisecond }, false, trace.StatusCanceled},
-		{"it is called off", "", func(*query, time.Duration) {}, true, trace.StatusCanceled},
+		{"it leaves", "", func(q *clientRequest, now time.Duration) { q.cancelAt = now + 30*time.Millisecond }, false, trace.StatusCanceled},
+		{"it is called off", "", func(*clientRequest, time.Duration) {}, true, trace.StatusCanceled},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s, ctx, closed := newScripted(t), t.Context(), make(chan struct{})
@@ -142,7 +142,7 @@
 			})
 			q := s.query("safe", 5)
 			c.edit(&q, s.now())
-			got := s.do(ctx, q)
+			got := s.roundTrip(ctx, q)
 			if got.Status != c.want || got.Sent == trace.Unset || got.Responses != 0 {
 				t.Errorf("%+v", got)
 			}
@@ -154,17 +154,17 @@
 // Where no connection comes up, nothing was sent.
 func TestNoEntry(t *testing.T) {
 	s := newScripted(t)
-	if got := s.do(t.Context(), s.query("unsafe", 5)); got.Status != trace.StatusConnectFailed || got.Sent != trace.Unset || got.Endpoint != -1 {
+	if got := s.roundTrip(t.Context(), s.query("unsafe", 5)); got.Status != trace.StatusConnectFailed || got.Sent != trace.Unset || got.Endpoint != -1 {
 		t.Errorf("%+v", got)
 	}
 	nobody := s.query("safe", 5)
-	nobody.try.Sidecar = -1
-	if got := s.do(t.Context(), nobody); got.Status != trace.StatusConnectFailed || got.Sent != trace.Unset {
+	nobody.attempt.Sidecar = -1
+	if got := s.roundTrip(t.Context(), nobody); got.Status != trace.StatusConnectFailed || got.Sent != trace.Unset {
 		t.Errorf("nobody to send to: %+v", got)
 	}
 	ctx, end := context.WithCancel(t.Context())
 	end()
-	if got := s.do(ctx, s.query("unsafe", 5)); got.Status != trace.StatusCanceled || got.Sent != trace.Unset {
+	if got := s.roundTrip(ctx, s.query("unsafe", 5)); got.Status != trace.StatusCanceled || got.Sent != trace.Unset {
 		t.Errorf("called off: %+v", got)
 	}
 }
@@ -177,11 +177,11 @@
 		s := newScripted(t)
 		s.serve(func(n int, l *talk) {
 			l.request()
-			body := answerBody(5, 2, 0, 64)
+			body := responseBody(5, 2, 0, 64)
 			l.say("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s%s", len(body), body, second)
 			l.hold()
 		})
-		if got := s.do(t.Context(), s.query("safe", 5)); got.Responses != 2 || got.Status != trace.StatusServed {
+		if got := s.roundTrip(t.Context(), s.query("safe", 5)); got.Responses != 2 || got.Status != trace.StatusServed {
 			t.Errorf("%+v", got)
 		}
 	})
@@ -199,13 +199,13 @@
 				}
 				l.hold()
 			})
-			if got := s.do(t.Context(), s.query("safe", 5)); got.Responses != 1 || got.Status != trace.StatusServed {
+			if got := s.roundTrip(t.Context(), s.query("safe", 5)); got.Responses != 1 || got.Status != trace.StatusServed {
 				t.Errorf("%+v", got)
 			}
 			close(first)
 			<-said
 			if again {
-				if got := s.do(t.Context(), s.query("safe", 6)); got.Responses != 1 || got.Status != trace.StatusServed {
+				if got := s.roundTrip(t.Context(), s.query("safe", 6)); got.Responses != 1 || got.Status != trace.StatusServed {
 					t.Errorf("the next: %+v", got)
 				}
 			}
@@ -226,10 +226,10 @@
 		l.say("good day\r\nand good night\r\n")
 		l.hold()
 	})
-	if got := s.do(t.Context(), s.query("safe", 5)); got.Status != trace.StatusServed {
+	if got := s.roundTrip(t.Context(), s.query("safe", 5)); got.Status != trace.StatusServed {
 		t.Errorf("%+v", got)
 	}
-	if got := s.do(t.Context(), s.query("safe", 6)); got.Status != trace.StatusFailed || got.Responses != 0 {
+	if got := s.roundTrip(t.Context(), s.query("safe", 6)); got.Status != trace.StatusFailed || got.Responses != 0 {
 		t.Errorf("%+v", got)
 	}
 	if twice := s.close(); len(twice) != 0 {
@@ -261,13 +261,13 @@
 				}
 				l.hold()
 			})
-			if got := s.do(t.Context(), s.query("unsafe", 5)); got.Status != trace.StatusServed || got.Endpoint != 0 {
+			if got := s.roundTrip(t.Context(), s.query("unsafe", 5)); got.Status != trace.StatusServed || got.Endpoint != 0 {
 				t.Fatalf("first: %+v", got)
 			}
 			if c.name == "long before" {
 				<-idle
 			}
-			got := s.do(t.Context(), s.query("unsafe", 6))
+			got := s.roundTrip(t.Context(), s.query("unsafe", 6))
 			if got.Status != c.want || got.Status == trace.StatusServed && (got.Endpoint != 1 || got.Responses != 1) {
 				t.Errorf("second: %+v", got)
 			}
@@ -304,7 +304,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		l, err := newLine(conn.(*net.TCPConn))
+		l, err := newClientConn(conn.(*net.TCPConn))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -315,12 +315,12 @@
 		}
 		other.Close()
 		if !reads {
-			l.raw.Read(func(uintptr) bool { return l.look() == ended })
+			l.raw.Read(func(uintptr) bool { return l.idleState() == idleClosed })
 			send()
 		}
-		l.rest.N = answerMost
-		_, err = l.in.Peek(1)
-		if got := l.unread(err); got == reads {
+		l.remaining.N = maxResponseSize
+		_, err = l.reader.Peek(1)
+		if got := l.requestUnread(err); got == reads {
 			t.Errorf("read %v, unread %v after %v", reads, got, err)
 		}
 		conn.Close()
@@ -348,22 +348,22 @@
 			l.served(txn, n)
 		}
 	})
-	if got := s.do(t.Context(), s.query("safe", 1)); got.Status != trace.StatusServed || got.Endpoint != 0 {
+	if got := s.roundTrip(t.Context(), s.query("safe", 1)); got.Status != trace.StatusServed || got.Endpoint != 0 {
 		t.Fatalf("first: %+v", got)
 	}
 	<-arrived
 	fresh := s.query("safe", 2)
-	fresh.fresh = true
+	fresh.newConnection = true
 	held := make(chan trace.ClientAttempt)
-	go func() { held <- s.do(t.Context(), fresh) }() // the idle one makes room for it
+	go func() { held <- s.roundTrip(t.Context(), fresh) }() // the idle one makes room for it
 	select {
 	case <-arrived:
 	case got := <-held:
 		t.Fatalf("in the place of an idle one: %+v", got)
 	}
 	late := s.query("safe", 3)
-	late.left = 30 * time.Millisecond
-	if got := s.do(t.Context(), late); got.Status != trace.StatusConnectFailed {
+	late.timeout = 30 * time.Millisecond
+	if got := s.roundTrip(t.Context(), late); got.Status != trace.StatusConnectFailed {
 		t.Errorf("beyond the bound: %+v", got)
 	}
 	close(release)
--- a/internal/lab/loopback/callhttp.go
+++ b/internal/lab/loopback/callhttp.go
@@ -12,25 +12,25 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-const interimMost = 4 // answers of the 100s before the final one
+const maxInterimResponses = 4 // answers of the 100s before the final one
 
-var errNoAnswer = errors.New("live: this is no answer of HTTP/1.1")
+var errMalformedResponse = errors.New("live: this is no answer of HTTP/1.1")
 
-func (h http1) request(b []byte, q *query) []byte {
-	class := &h.plan.Scenario.Class[q.try.Class]
+func (h http1Codec) appendRequest(b []byte, q *clientRequest) []byte {
+	class := &h.plan.Scenario.Class[q.attempt.Class]
 	method := http.MethodPost
 	if class.Effect == "safe" {
 		method = http.MethodGet
 	}
 	b = fmt.Appendf(b, "%s %s HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: %016x\r\nX-Lane: %s\r\nX-Remaining-Ms: %d\r\n",
-		method, target(class.Name, q.try.Request), q.try.TransactionID, class.Name, q.left.Milliseconds())
+		method, requestPath(class.Name, q.attempt.Request), q.attempt.TransactionID, class.Name, q.timeout.Milliseconds())
 	if class.Effect == "keyed" {
-		b = fmt.Appendf(b, "Idempotency-Key: %032x\r\n", q.key)
+		b = fmt.Appendf(b, "Idempotency-Key: %032x\r\n", q.idempotencyKey)
 	}
 	if q.baggage != "" {
 		b = fmt.Appendf(b, "Baggage: %s\r\n", q.baggage)
 	}
-	if q.repeated && h.plan.Scenario.Rules.MarksRetry {
+	if q.retried && h.plan.Scenario.Rules.MarksRetry {
 		b = append(b, "X-Resent: 1\r\n"...)
 	}
 	if class.Effect == "safe" {
@@ -43,25 +43,25 @@
 	return b
 }
 
-func (h http1) outcome(l *line, _ *query) (end, error) {
-	r, body, err := h.final(l)
+func (h http1Codec) readResponse(l *clientConn, _ *clientRequest) (clientResponse, error) {
+	r, body, err := h.readFinal(l)
 	if err != nil {
-		return end{}, err
+		return clientResponse{}, err
 	}
-	e := end{status: trace.StatusFailed, code: r.StatusCode, body: body, last: r.Close, tried: budget.ReadTried(r.Header.Get(budget.TriedHeader))}
+	e := clientResponse{status: trace.StatusFailed, code: r.StatusCode, body: body, closeAfter: r.Close, reportedAttempts: budget.ReadTried(r.Header.Get(budget.TriedHeader))}
 	switch r.StatusCode {
 	case http.StatusOK:
 		e.status = trace.StatusServed
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		e.status, e.advice = trace.StatusRejected, advice(r.Header.Get("Retry-After"))
+		e.status, e.retryAfter = trace.StatusRejected, parseRetryAfter(r.Header.Get("Retry-After"))
 	}
 	return e, nil
 }
 
 // final reads a final answer and its whole body.
-func (http1) final(l *line) (*http.Response, []byte, error) {
-	for range interimMost {
-		r, err := http.ReadResponse(l.in, nil)
+func (http1Codec) readFinal(l *clientConn) (*http.Response, []byte, error) {
+	for range maxInterimResponses {
+		r, err := http.ReadResponse(l.reader, nil)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -72,16 +72,16 @@
 		if _, err := l.body.ReadFrom(r.Body); err != nil {
 			return nil, nil, err
 		}
-		if l.rest.N <= 0 {
-			return nil, nil, errNoAnswer // a body that ends with its connection may have been cut by the bound
+		if l.remaining.N <= 0 {
+			return nil, nil, errMalformedResponse // a body that ends with its connection may have been cut by the bound
 		}
 		return r, l.body.Bytes(), nil
 	}
-	return nil, nil, errNoAnswer
+	return nil, nil, errMalformedResponse
 }
 
 // advice reads Retry-After in whole or decimal seconds; 0 is none.
-func advice(text string) time.Duration {
+func parseRetryAfter(text string) time.Duration {
 	s, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(s > 0) || s > math.MaxInt32 {
 		return 0
--- a/internal/lab/loopback/calls_test.go
+++ b/internal/lab/loopback/calls_test.go
@@ -22,16 +22,16 @@
 
 // stub is the next tier in a test's hands.
 type stub struct {
-	asked chan query
+	asked chan clientRequest
 	reply chan trace.Status
 	gone  chan struct{} // a call was called off
 }
 
 func (s *stand) stub(box int) *stub {
-	u := &stub{make(chan query, 10), make(chan trace.Status, 10), make(chan struct{}, 10)}
-	s.boxes[box].send = func(ctx context.Context, q query) trace.ClientAttempt {
+	u := &stub{make(chan clientRequest, 10), make(chan trace.Status, 10), make(chan struct{}, 10)}
+	s.endpoints[box].send = func(ctx context.Context, q clientRequest) trace.ClientAttempt {
 		u.asked <- q
-		t := q.try
+		t := q.attempt
 		select {
 		case t.Status = <-u.reply:
 		case <-ctx.Done():
@@ -47,23 +47,23 @@
 	s := newStand(t, standClasses+twoTiers)
 	u := s.stub(0)
 	q := s.next("keyed")
-	q.left = 10 * time.Second
+	q.timeout = 10 * time.Second
 	c := s.dial(0)
 	s.ask(c, q)
 	lefts := 10 * time.Second
 	for call := range 2 {
 		got := <-u.asked
 		switch {
-		case got.try.TransactionID != s.plan.CallTxn(q.try.TransactionID, 0, 0, call), got.try.Request != q.try.Request, got.try.Class != q.try.Class:
-			t.Errorf("call %d is another's: %+v", call, got.try)
-		case got.try.Tier != 1 || s.plan.Sidecars[got.try.Sidecar].Box != 0 || got.direct != -1:
+		case got.attempt.TransactionID != s.plan.CallTxn(q.attempt.TransactionID, 0, 0, call), got.attempt.Request != q.attempt.Request, got.attempt.Class != q.attempt.Class:
+			t.Errorf("call %d is another's: %+v", call, got.attempt)
+		case got.attempt.Tier != 1 || s.plan.Sidecars[got.attempt.Sidecar].Box != 0 || got.directEndpoint != -1:
 			t.Errorf("call %d goes elsewhere: %+v", call, got)
-		case got.key != q.key:
-			t.Errorf("call %d has key %x, not %x", call, got.key, q.key)
-		case got.left >= lefts || got.left <= 0:
-			t.Errorf("call %d may take %v, after %v", call, got.left, lefts)
+		case got.idempotencyKey != q.idempotencyKey:
+			t.Errorf("call %d has key %x, not %x", call, got.idempotencyKey, q.idempotencyKey)
+		case got.timeout >= lefts || got.timeout <= 0:
+			t.Errorf("call %d may take %v, after %v", call, got.timeout, lefts)
 		}
-		lefts = got.left
+		lefts = got.timeout
 
 		// The next tier knows it now.
 		inner := s.dial(1)
@@ -72,12 +72,12 @@
 		u.reply <- trace.StatusServed
 	}
 	c.expect(http.StatusOK)
-	s.visit(q.try.TransactionID)
-	s.trace.mu.Lock()
-	if n := len(s.trace.log.ClientAttempts); n != 2 {
+	s.visit(q.attempt.TransactionID)
+	s.recorder.mu.Lock()
+	if n := len(s.recorder.log.ClientAttempts); n != 2 {
 		t.Errorf("%d calls are noted", n)
 	}
-	s.trace.mu.Unlock()
+	s.recorder.mu.Unlock()
 
 	stranger := s.next("keyed")
 	inner := s.dial(1)
@@ -92,7 +92,7 @@
 	c, q := s.dial(0), s.next("quick")
 	s.ask(c, q)
 	c.expect(http.StatusInternalServerError)
-	if v := s.visit(q.try.TransactionID); v.Outcome != trace.OutcomeError || v.Work <= 0 {
+	if v := s.visit(q.attempt.TransactionID); v.Outcome != trace.OutcomeError || v.Work <= 0 {
 		t.Errorf("the visit is %+v", v)
 	}
 	if len(u.asked) != 1 {
@@ -106,14 +106,14 @@
 	s := newStand(t, standClasses+twoTiers+"[rules]\npasses_deadline = false\n")
 	u := s.stub(0)
 	c, q := s.dial(0), s.next("quick")
-	q.left = time.Second
+	q.timeout = time.Second
 	s.ask(c, q)
-	if got := <-u.asked; got.left != 30*time.Second {
-		t.Errorf("%v are left for the call", got.left)
+	if got := <-u.asked; got.timeout != 30*time.Second {
+		t.Errorf("%v are left for the call", got.timeout)
 	}
 	c.Close()
 	<-u.gone
-	if v := s.visit(q.try.TransactionID); v.Outcome != trace.OutcomeCanceled {
+	if v := s.visit(q.attempt.TransactionID); v.Outcome != trace.OutcomeCanceled {
 		t.Errorf("the visit is %+v", v)
 	}
 }
@@ -122,16 +122,16 @@
 func TestBoxesInARow(t *testing.T) {
 	s := newStand(t, standClasses+twoTiers+"[fleet]\npolicy = \"plain\"\n")
 	q := s.next("quick")
-	q.direct, q.try.Sidecar, q.leaves = 0, -1, 1<<62
-	try := s.callers.do(t.Context(), q)
+	q.directEndpoint, q.attempt.Sidecar, q.cancelAt = 0, -1, 1<<62
+	try := s.transport.roundTrip(t.Context(), q)
 	if try.Status != trace.StatusServed || try.Endpoint != 0 || try.Forged {
 		t.Errorf("the try is %+v", try)
 	}
-	s.visit(q.try.TransactionID)
-	s.trace.mu.Lock()
-	defer s.trace.mu.Unlock()
+	s.visit(q.attempt.TransactionID)
+	s.recorder.mu.Lock()
+	defer s.recorder.mu.Unlock()
 	boxes := map[int]bool{}
-	for _, try := range s.trace.log.ClientAttempts {
+	for _, try := range s.recorder.log.ClientAttempts {
 		if try.Status != trace.StatusServed || try.Tier != 1 {
 			t.Errorf("a call is %+v", try)
 		}
--- a/internal/lab/loopback/callthrift.go
+++ b/internal/lab/loopback/callthrift.go
@@ -12,28 +12,28 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-// thriftCaller is Thrift as the callers speak it.
-type thriftCaller struct {
+// thriftClientCodec is Thrift as the callers speak it.
+type thriftClientCodec struct {
 	form thriftForm
 	plan *plan.Plan
 }
 
-// callHead is the head of a query's call. Its sequence id is the end of its id: seldom one that another call on
+// messageHead is the head of a query's call. Its sequence id is the end of its id: seldom one that another call on
 // its connection had.
-func (c thriftCaller) callHead(q *query) thriftHead {
-	return thriftHead{c.plan.Scenario.Class[q.try.Class].Method(), thrift.CALL, int32(q.try.TransactionID)}
+func (c thriftClientCodec) messageHead(q *clientRequest) thriftHead {
+	return thriftHead{c.plan.Scenario.Class[q.attempt.Class].Method(), thrift.CALL, int32(q.attempt.TransactionID)}
 }
 
-func (c thriftCaller) request(out []byte, q *query) []byte {
-	class := &c.plan.Scenario.Class[q.try.Class]
-	return c.form.write(out, c.callHead(q), func(w thriftWriter) {
+func (c thriftClientCodec) appendRequest(out []byte, q *clientRequest) []byte {
+	class := &c.plan.Scenario.Class[q.attempt.Class]
+	return c.form.write(out, c.messageHead(q), func(w thriftWriter) {
 		w.fields(func() {
-			w.text(argTxn, fmt.Sprintf("%016x", q.try.TransactionID))
+			w.text(argTxn, fmt.Sprintf("%016x", q.attempt.TransactionID))
 			if class.Effect == "keyed" {
-				w.text(argKey, fmt.Sprintf("%032x", q.key))
+				w.text(argKey, fmt.Sprintf("%032x", q.idempotencyKey))
 			}
-			w.number(argRemaining, int32(q.left.Milliseconds()))
-			w.number(argRequest, int32(q.try.Request))
+			w.number(argRemaining, int32(q.timeout.Milliseconds()))
+			w.number(argRequest, int32(q.attempt.Request))
 			if class.Body > 0 {
 				w.text(argBody, strings.Repeat("x", class.Body))
 			}
@@ -41,9 +41,9 @@
 	})
 }
 
-func (c thriftCaller) outcome(l *line, q *query) (e end, _ error) {
-	want := c.callHead(q)
-	return e, c.form.read(l.in, func(h thriftHead, p thrift.TProtocol) error {
+func (c thriftClientCodec) readResponse(l *clientConn, q *clientRequest) (e clientResponse, _ error) {
+	want := c.messageHead(q)
+	return e, c.form.read(l.reader, func(h thriftHead, p thrift.TProtocol) error {
 		switch {
 		case h.method != want.method || h.seq != want.seq:
 			return fmt.Errorf("%w: %s %d for %s %d", errThrift, h.method, h.seq, want.method, want.seq)
@@ -61,8 +61,8 @@
 			x := thrift.NewTApplicationException(0, "")
 			err := x.Read(context.Background(), p)
 			e.status, e.code = trace.StatusFailed, int(x.TypeId())
-			if e.code == typeRefused {
-				e.status, e.advice = trace.StatusRejected, thriftAdvice(x.Error())
+			if e.code == exceptionRejected {
+				e.status, e.retryAfter = trace.StatusRejected, parseThriftRetryAfter(x.Error())
 			}
 			return err
 		}
@@ -70,10 +70,10 @@
 	})
 }
 
-// thriftAdvice reads when to come back from a refusal's message, such as "refused: retry after 0.350 s"; 0 is
+// parseThriftRetryAfter reads when to come back from a refusal's message, such as "refused: retry after 0.350 s"; 0 is
 // not said.
-func thriftAdvice(message string) time.Duration {
+func parseThriftRetryAfter(message string) time.Duration {
 	_, after, _ := strings.Cut(message, "retry after ")
 	seconds, _, _ := strings.Cut(after, " s")
-	return advice(seconds)
+	return parseRetryAfter(seconds)
 }
--- a/internal/lab/loopback/catalog.go
+++ b/internal/lab/loopback/catalog.go
@@ -12,41 +12,41 @@
 // Entries that are gone stay, so that they are among the changes.
 type catalog struct {
 	revision int64
-	entries  map[int]revised // by box
+	entries  map[int]catalogEntry // by box
 }
 
-type revised struct {
+type catalogEntry struct {
 	plan.Listed
 	revision int64
 }
 
 func newCatalog(first []plan.Listed) *catalog {
-	c := &catalog{revision: 1, entries: map[int]revised{}}
+	c := &catalog{revision: 1, entries: map[int]catalogEntry{}}
 	for _, l := range first {
-		c.entries[l.Box] = revised{l, c.revision}
+		c.entries[l.Box] = catalogEntry{l, c.revision}
 	}
 	return c
 }
 
-func (c *catalog) tell(l plan.Listed) {
+func (c *catalog) update(l plan.Listed) {
 	c.revision++
-	c.entries[l.Box] = revised{l, c.revision}
+	c.entries[l.Box] = catalogEntry{l, c.revision}
 }
 
 // knows says whether it has ever had a revision, so that changes since then mean something.
-func (c *catalog) knows(revision int64) bool { return revision >= 1 && revision <= c.revision }
+func (c *catalog) hasRevision(revision int64) bool { return revision >= 1 && revision <= c.revision }
 
 // whole is the list, by box.
-func (c *catalog) whole() []plan.Listed {
-	return c.list(func(e revised) bool { return e.Phase != trace.PhaseGone })
+func (c *catalog) members() []plan.Listed {
+	return c.filter(func(e catalogEntry) bool { return e.Phase != trace.PhaseGone })
 }
 
 // changes are the entries that are newer than a revision, by box.
-func (c *catalog) changes(since int64) []plan.Listed {
-	return c.list(func(e revised) bool { return e.revision > since })
+func (c *catalog) changesSince(since int64) []plan.Listed {
+	return c.filter(func(e catalogEntry) bool { return e.revision > since })
 }
 
-func (c *catalog) list(wanted func(revised) bool) []plan.Listed {
+func (c *catalog) filter(wanted func(catalogEntry) bool) []plan.Listed {
 	out := []plan.Listed{} // JSON has no list for nil
 	for _, box := range slices.Sorted(maps.Keys(c.entries)) {
 		if e := c.entries[box]; wanted(e) {
@@ -57,6 +57,6 @@
 }
 
 // copy is a catalog that goes on without what is told from now on.
-func (c *catalog) copy() *catalog {
+func (c *catalog) clone() *catalog {
 	return &catalog{revision: c.revision, entries: maps.Clone(c.entries)}
 }
--- a/internal/lab/loopback/clients.go
+++ b/internal/lab/loopback/clients.go
@@ -11,33 +11,33 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-// leastLeft is the shortest time for which a client still asks: the protocol counts whole milliseconds.
-const leastLeft = time.Millisecond
+// minTimeout is the shortest time for which a client still asks: the protocol counts whole milliseconds.
+const minTimeout = time.Millisecond
 
-// timerLate is by how much Go's timers may be late in a process that has little to do, for the poller that then
+// timerGranularity is by how much Go's timers may be late in a process that has little to do, for the poller that then
 // waits counts whole milliseconds. The dispatcher sleeps the last of them in the kernel.
-const timerLate = time.Millisecond
+const timerGranularity = time.Millisecond
 
 // clients starts every request of the plan when it is due, whatever became of those before (an open loop), and
 // returns when all are over or ctx has ended.
-func (r *run) clients(ctx context.Context) {
+func (r *run) dispatchClients(ctx context.Context) {
 	var all sync.WaitGroup
 	defer all.Wait()
 	for i := range r.plan.Requests {
 		due := r.plan.Requests[i].Due
-		if !r.until(ctx, due-timerLate) {
+		if !r.waitUntil(ctx, due-timerGranularity) {
 			return
 		}
-		for rest := due - r.now(); rest > 0; rest = due - r.now() { // the runtime's signals interrupt it
+		for rest := due - r.elapsed(); rest > 0; rest = due - r.elapsed() { // the runtime's signals interrupt it
 			left := unix.NsecToTimespec(int64(rest))
 			unix.Nanosleep(&left, nil)
 		}
-		all.Go(func() { r.client(ctx, i) })
+		all.Go(func() { r.playClient(ctx, i) })
 	}
 }
 
 // client plays one request over all its tries.
-func (r *run) client(ctx context.Context, request int) {
+func (r *run) playClient(ctx context.Context, request int) {
 	p := &r.plan.Requests[request]
 	leaves := model.Never
 	if p.Leaves > 0 {
@@ -45,46 +45,46 @@
 	}
 	first := time.Duration(0)
 	for no := 0; ; no++ {
-		q := r.ask(request, no)
-		q.leaves = leaves
-		if q.left < leastLeft {
+		q := r.newClientRequest(request, no)
+		q.cancelAt = leaves
+		if q.timeout < minTimeout {
 			if no == 0 { // the rig was so late that there was no point any more
-				r.trace.late(r.now() - p.Due)
+				r.recorder.addLateness(r.elapsed() - p.Due)
 			}
 			return
 		}
-		t, begun := r.callers.send(ctx, q)
+		t, begun := r.transport.timedRoundTrip(ctx, q)
 		if no == 0 {
 			first = begun
-			r.trace.late(begun - p.Due)
+			r.recorder.addLateness(begun - p.Due)
 		}
-		r.trace.try(t)
+		r.recorder.addClientAttempt(t)
 		at, again := r.plan.Retry(&t, first)
-		if !again || at >= leaves || !r.until(ctx, at) {
+		if !again || at >= leaves || !r.waitUntil(ctx, at) {
 			return
 		}
 	}
 }
 
 // ask is a client's try as the front passes it on; to nobody where the front knows of none.
-func (r *run) ask(request, no int) query {
+func (r *run) newClientRequest(request, no int) clientRequest {
 	p := &r.plan.Requests[request]
-	q := query{
-		try: trace.ClientAttempt{TransactionID: r.plan.Txn(request, no), Request: request, Number: no, Sidecar: -1, Class: p.Class, Due: p.Due},
-		key: p.Key, repeated: p.Repeated || no > 0, fresh: p.Fresh, direct: -1,
-		left: r.plan.Left(request, r.now()).Truncate(time.Millisecond),
+	q := clientRequest{
+		attempt:        trace.ClientAttempt{TransactionID: r.plan.Txn(request, no), Request: request, Number: no, Sidecar: -1, Class: p.Class, Due: p.Due},
+		idempotencyKey: p.Key, retried: p.Repeated || no > 0, newConnection: p.Fresh, directEndpoint: -1,
+		timeout: r.plan.Left(request, r.elapsed()).Truncate(time.Millisecond),
 	}
-	if r.rotation != nil {
-		q.direct = r.rotation.next(0)
+	if r.roundRobin != nil {
+		q.directEndpoint = r.roundRobin.next(0)
 	} else {
-		q.try.Sidecar = r.plan.Choose(request, no, r.fleet.admitted)
+		q.attempt.Sidecar = r.plan.Choose(request, no, r.fleet.routable)
 	}
 	return q
 }
 
 // until waits for a time of the plan; false if ctx ends first.
-func (r *run) until(ctx context.Context, at time.Duration) bool {
-	wait := at - r.now()
+func (r *run) waitUntil(ctx context.Context, at time.Duration) bool {
+	wait := at - r.elapsed()
 	if wait <= 0 {
 		return ctx.Err() == nil
 	}
@@ -99,7 +99,7 @@
 }
 
 // late notes by how much a first try was begun too late.
-func (c *collector) late(by time.Duration) {
+func (c *recorder) addLateness(by time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.log.Lateness = append(c.log.Lateness, by)
--- a/internal/lab/loopback/discovery_test.go
+++ b/internal/lab/loopback/discovery_test.go
@@ -52,14 +52,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &run{plan: p, trace: &collector{}}
-	if r.net, err = newAddresses(); err != nil {
+	r := &run{plan: p, recorder: &recorder{}}
+	if r.addresses, err = newAddresses(); err != nil {
 		t.Fatal(err)
 	}
 	now := time.Now()
-	r.began.Store(&now)
+	r.startTime.Store(&now)
 	for i := range sidecars {
-		a, err := newAgent(r, i, r.net.agent(i, 0))
+		a, err := newAgent(r, i, r.addresses.agent(i, 0))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -69,7 +69,7 @@
 		for _, a := range r.agents {
 			a.close()
 		}
-		r.net.close()
+		r.addresses.close()
 		goleak.VerifyNone(t, leaks)
 	})
 	return r
@@ -127,13 +127,13 @@
 	t.Helper()
 	out := ""
 	await(t, fmt.Sprintf("%d entries are noted", n), func() bool {
-		r.trace.mu.Lock()
-		defer r.trace.mu.Unlock()
-		for _, told := range r.trace.log.Notifications {
+		r.recorder.mu.Lock()
+		defer r.recorder.mu.Unlock()
+		for _, told := range r.recorder.log.Notifications {
 			out += fmt.Sprintf("%d:%d %v;", told.Sidecar, told.Endpoint, told.Phase)
 			n--
 		}
-		r.trace.log.Notifications = nil
+		r.recorder.log.Notifications = nil
 		return n <= 0
 	})
 	return out
@@ -141,7 +141,7 @@
 
 func TestAgentTells(t *testing.T) {
 	r := newAgents(t, 1, "")
-	a := newAsks(t, r.net.agent(0, 0))
+	a := newAsks(t, r.addresses.agent(0, 0))
 	check := func(what, got, want string) {
 		t.Helper()
 		if got != want {
@@ -150,20 +150,20 @@
 	}
 	first := a.get("")
 	check("the list", first.text(), "true t-1 Ready 0;t-2 Ready 0;")
-	if first.Members[1].HostPort != r.net.box(1) {
+	if first.Members[1].HostPort != r.addresses.endpoint(1) {
 		t.Errorf("t-2 is said to be at %s", first.Members[1].HostPort)
 	}
 	check("heard", r.heard(t, 2), "0:0 Ready;0:1 Ready;")
 
 	m := a.get("?since=1&timeout_ms=10")
 	check("nothing new", m.text(), "false ")
-	r.agents[0].tell(plan.Listed{Box: 1, Phase: trace.PhaseTerminating})
-	r.agents[0].tell(plan.Listed{Box: 0, Phase: trace.PhaseReady, UpSince: time.Second})
+	r.agents[0].update(plan.Listed{Box: 1, Phase: trace.PhaseTerminating})
+	r.agents[0].update(plan.Listed{Box: 0, Phase: trace.PhaseReady, UpSince: time.Second})
 	m = a.get("?timeout_ms=20000&since=" + strconv.FormatInt(m.Revision, 10))
-	up := r.start().Add(time.Second).UnixMilli()
+	up := r.startOrNow().Add(time.Second).UnixMilli()
 	check("what came in between", m.text(), fmt.Sprintf("false t-1 Ready %d;t-2 Terminating 0;", up))
 	next := a.watch(m.Revision)
-	r.agents[0].tell(plan.Listed{Box: 1, Phase: trace.PhaseGone})
+	r.agents[0].update(plan.Listed{Box: 1, Phase: trace.PhaseGone})
 	m = <-next
 	check("while it waits", m.text(), "false t-2 Gone 0;")
 	for _, unknown := range []string{"999", "0", "-1"} {
@@ -179,11 +179,11 @@
 // Where every change brings the whole list, what is missing from it is heard as gone, once.
 func TestAgentTellsTheWholeList(t *testing.T) {
 	r := newAgents(t, 1, "[discovery]\nwhole = true\n")
-	a := newAsks(t, r.net.agent(0, 0))
+	a := newAsks(t, r.addresses.agent(0, 0))
 	m := a.get("")
 	for range 2 {
 		next := a.watch(m.Revision)
-		r.agents[0].tell(plan.Listed{Box: 0, Phase: trace.PhaseGone})
+		r.agents[0].update(plan.Listed{Box: 0, Phase: trace.PhaseGone})
 		m = <-next
 		if got := m.text(); got != "true t-2 Ready 0;" {
 			t.Errorf("the list is %s", got)
@@ -197,12 +197,12 @@
 
 func TestAgentIsSilent(t *testing.T) {
 	r := newAgents(t, 1, "")
-	a := newAsks(t, r.net.agent(0, 0))
+	a := newAsks(t, r.addresses.agent(0, 0))
 	revision := a.get("").Revision
 	waits := a.watch(revision)
-	r.agents[0].silence(true)
-	r.agents[0].tell(plan.Listed{Box: 0, Phase: trace.PhaseGone})
-	late := newAsks(t, r.net.agent(0, 0))
+	r.agents[0].setUnresponsive(true)
+	r.agents[0].update(plan.Listed{Box: 0, Phase: trace.PhaseGone})
+	late := newAsks(t, r.addresses.agent(0, 0))
 	late.client.Timeout = 100 * time.Millisecond
 	for _, query := range []string{"", "?since=1&timeout_ms=1"} {
 		if m, err := late.try(query); err == nil {
@@ -214,7 +214,7 @@
 		t.Errorf("the call that waits is answered: %s", m.text())
 	default:
 	}
-	r.agents[0].silence(false)
+	r.agents[0].setUnresponsive(false)
 	if m := <-waits; m.text() != "false t-1 Gone 0;" {
 		t.Errorf("afterwards it is answered %s", m.text())
 	}
@@ -222,22 +222,22 @@
 
 func TestAgentMoves(t *testing.T) {
 	r := newAgents(t, 1, "")
-	old := newAsks(t, r.net.agent(0, 0))
+	old := newAsks(t, r.addresses.agent(0, 0))
 	revision := old.get("").Revision
-	if err := r.agents[0].move(r.net.agent(0, 1)); err != nil {
+	if err := r.agents[0].moveTo(r.addresses.agent(0, 1)); err != nil {
 		t.Fatal(err)
 	}
-	if c, err := net.DialTimeout("tcp", r.net.agent(0, 0), ample); !refused(err) {
+	if c, err := net.DialTimeout("tcp", r.addresses.agent(0, 0), ample); !refused(err) {
 		t.Errorf("the old address still takes connections: %v %v", c, err)
 	}
 	waits := old.watch(revision) // on the connection that it has
-	if got := newAsks(t, r.net.agent(0, 1)).get("").text(); got != "true t-1 Ready 0;t-2 Ready 0;" {
+	if got := newAsks(t, r.addresses.agent(0, 1)).get("").text(); got != "true t-1 Ready 0;t-2 Ready 0;" {
 		t.Errorf("the new one says %s", got)
 	}
 	if m, answered := <-waits; answered {
 		t.Errorf("the old one says %s", m.text())
 	}
-	if err := r.agents[0].move(r.net.agent(0, 1)); err == nil {
+	if err := r.agents[0].moveTo(r.addresses.agent(0, 1)); err == nil {
 		t.Error("it moves to an address that is taken")
 	}
 }
@@ -249,7 +249,7 @@
 	r := newAgents(b, agents, "")
 	all := make([]*asks, agents)
 	for i := range all {
-		all[i] = newAsks(b, r.net.agent(i, 0))
+		all[i] = newAsks(b, r.addresses.agent(i, 0))
 		all[i].get("")
 	}
 	revision := int64(1)
@@ -260,7 +260,7 @@
 			told.Go(func() { <-waits })
 		}
 		for _, a := range r.agents {
-			a.tell(plan.Listed{Box: 0, Phase: trace.PhaseReady})
+			a.update(plan.Listed{Box: 0, Phase: trace.PhaseReady})
 		}
 		told.Wait()
 		revision++
--- a/internal/lab/loopback/faults_test.go
+++ b/internal/lab/loopback/faults_test.go
@@ -88,7 +88,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	log, err := loopback.Play(context.Background(), p, loopback.Options{Builds: [2]string{os.Args[0], ""}, Dir: t.TempDir()})
+	log, err := loopback.Play(context.Background(), p, loopback.Options{Builds: [2]string{os.Args[0], ""}, LogDir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/loopback/fleet.go
+++ b/internal/lab/loopback/fleet.go
@@ -17,83 +17,85 @@
 
 // How the fleet is kept.
 const (
-	readyWithin   = 30 * time.Second // for the sidecars that start before the run, as on the platform
-	healthWithin  = time.Second
-	watchEach     = 500 * time.Millisecond
-	longestGraced = 3 * time.Second // of deadlines, for a planned end; a longer one gets no more
-	graceBeyond   = 700 * time.Millisecond
-	hurriedGrace  = 500 * time.Millisecond // where the run was broken off
+	readyTimeout      = 30 * time.Second // for the sidecars that start before the run, as on the platform
+	healthTimeout     = time.Second
+	usageInterval     = 500 * time.Millisecond
+	maxGracedDeadline = 3 * time.Second // of deadlines, for a planned end; a longer one gets no more
+	graceMargin       = 700 * time.Millisecond
+	abortGrace        = 500 * time.Millisecond // where the run was broken off
 )
 
 // fleet is the sidecars of a run, each a process of its own.
 type fleet struct {
 	*run
-	dir, logs string // of the configurations and of the logs
-	builds    [2]string
-	sidecars  []*sidecar
-	front     http.Client // asks for health
-	operators http.Client
-	spawn     chan func()
-	life      context.Context
-	end       context.CancelFunc
-	tasks     sync.WaitGroup
+	configDir, logDir string // of the configurations and of the logs
+	builds            [2]string
+	sidecars          []*sidecar
+	healthClient      http.Client // asks for health
+	controlClient     http.Client
+	spawnRequests     chan func()
+	ctx               context.Context
+	cancel            context.CancelFunc
+	tasks             sync.WaitGroup
 }
 
 // newFleet makes a fleet of which nothing runs yet. Close it in any case.
 func newFleet(r *run) (*fleet, error) {
-	f := &fleet{run: r, logs: r.opts.Dir, builds: r.opts.Builds, spawn: make(chan func())}
+	f := &fleet{run: r, logDir: r.options.LogDir, builds: r.options.Builds, spawnRequests: make(chan func())}
 	if f.builds[1] == "" {
 		f.builds[1] = f.builds[0]
 	}
 	var err error
-	if f.dir, err = os.MkdirTemp("", "pinelab-"); err != nil {
+	if f.configDir, err = os.MkdirTemp("", "pinelab-"); err != nil {
 		return nil, fmt.Errorf("live: %w", err)
 	}
-	if f.logs == "" {
-		f.logs = filepath.Join(f.dir, "logs")
+	if f.logDir == "" {
+		f.logDir = filepath.Join(f.configDir, "logs")
 	}
-	if err := os.MkdirAll(f.logs, 0o755); err != nil {
-		os.RemoveAll(f.dir)
+	if err := os.MkdirAll(f.logDir, 0o755); err != nil {
+		os.RemoveAll(f.configDir)
 		return nil, fmt.Errorf("live: logs: %w", err)
 	}
 	for i := range r.plan.Sidecars {
 		f.sidecars = append(f.sidecars, newSidecar(f, i))
 	}
-	f.front = http.Client{Timeout: healthWithin, Transport: &http.Transport{DisableKeepAlives: true}}
-	f.operators = http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	f.life, f.end = context.WithCancel(context.Background())
-	f.tasks.Go(f.parent)
-	f.tasks.Go(f.watch)
+	f.healthClient = http.Client{Timeout: healthTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+	f.controlClient = http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+	f.ctx, f.cancel = context.WithCancel(context.Background())
+	f.tasks.Go(f.spawnLoop)
+	f.tasks.Go(f.watchUsage)
 	return f, nil
 }
 
 // parent starts the processes. They die with the thread that started them (PR_SET_PDEATHSIG), however this
 // process ends; so it must be one thread that lasts as long as the fleet.
-func (f *fleet) parent() {
+func (f *fleet) spawnLoop() {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	for start := range f.spawn {
+	for start := range f.spawnRequests {
 		start()
 	}
 }
 
 // launch starts a process from the parent's thread.
-func (f *fleet) launch(cmd *exec.Cmd) error {
+func (f *fleet) spawn(cmd *exec.Cmd) error {
 	result := make(chan error)
-	f.spawn <- func() { result <- cmd.Start() }
+	f.spawnRequests <- func() { result <- cmd.Start() }
 	return <-result
 }
 
 // health is the code of the answer to GET /_health; 0 for none.
-func (f *fleet) health(i int) int { return f.asked("http://" + f.net.sidecar(i) + "/_health") }
+func (f *fleet) healthStatus(i int) int {
+	return f.getStatus("http://" + f.addresses.sidecar(i) + "/_health")
+}
 
 // asked is the code of the answer to GET url; 0 for none.
-func (f *fleet) asked(url string) int {
-	req, err := http.NewRequestWithContext(f.life, http.MethodGet, url, nil)
+func (f *fleet) getStatus(url string) int {
+	req, err := http.NewRequestWithContext(f.ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return 0
 	}
-	answer, err := f.front.Do(req)
+	answer, err := f.healthClient.Do(req)
 	if err != nil {
 		return 0
 	}
@@ -102,16 +104,16 @@
 }
 
 // watch notes from time to time what each process takes.
-func (f *fleet) watch() {
-	tick := time.NewTicker(watchEach)
+func (f *fleet) watchUsage() {
+	tick := time.NewTicker(usageInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
 			for _, s := range f.sidecars {
-				s.measure()
+				s.measureUsage()
 			}
-		case <-f.life.Done():
+		case <-f.ctx.Done():
 			return
 		}
 	}
@@ -119,8 +121,8 @@
 
 // begin starts the sidecars that are there before the run and waits until each is ready or has ended, or for
 // 30 s. An error is a program that can't be started, or ctx's.
-func (f *fleet) begin(ctx context.Context) error {
-	within, cancel := context.WithTimeout(ctx, readyWithin)
+func (f *fleet) startInitial(ctx context.Context) error {
+	within, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for i, s := range f.sidecars {
 		if s.plan.Begin < 0 && (s.plan.Box < 0 || f.plan.Boxes[s.plan.Box].Start != "absent") {
@@ -130,7 +132,7 @@
 		}
 	}
 	for _, s := range f.sidecars {
-		p := s.last()
+		p := s.currentProcess()
 		if p == nil {
 			continue
 		}
@@ -159,40 +161,40 @@
 func (f *fleet) signal(i int, s syscall.Signal) { f.sidecars[i].signal(s) }
 
 // hup tells a sidecar the new address of its agent of discovery. One that does not run finds it at its start.
-func (f *fleet) hup(i int, discovery string) error { return f.sidecars[i].hup(discovery) }
+func (f *fleet) reload(i int, discovery string) error { return f.sidecars[i].reload(discovery) }
 
 // admitted says whether the front gives a sidecar something to do. It notices a death late, as the scenario
 // has it. Of one whose health says that it drains, clients go on using the connections they have.
-func (f *fleet) admitted(i int) bool {
-	at := f.sidecars[i].standing.Load()
-	return at.able && !at.out && f.now() < at.until && (!at.draining || f.callers.kept(i))
+func (f *fleet) routable(i int) bool {
+	at := f.sidecars[i].routing.Load()
+	return at.ready && !at.unhealthy && f.elapsed() < at.deadAt && (!at.draining || f.transport.hasIdle(i))
 }
 
 // grace is how long a planned end may take, as on the platform.
-func (f *fleet) grace() (grace time.Duration) {
+func (f *fleet) gracePeriod() (grace time.Duration) {
 	for _, c := range f.plan.Scenario.Class {
 		grace = max(grace, c.Deadline.D())
 	}
-	return min(grace, longestGraced) + graceBeyond
+	return min(grace, maxGracedDeadline) + graceMargin
 }
 
 // finish ends what still runs, as planned: SIGTERM, and SIGKILL after the grace of the platform, or after less
 // in a hurry.
-func (f *fleet) finish(hurry bool) {
-	grace := f.grace()
+func (f *fleet) shutDown(hurry bool) {
+	grace := f.gracePeriod()
 	if hurry {
-		grace = min(grace, hurriedGrace)
+		grace = min(grace, abortGrace)
 	}
 	for _, s := range f.sidecars {
-		s.measure()
+		s.measureUsage()
 		s.stop()
 	}
-	after, cancel := context.WithTimeout(f.life, grace)
+	after, cancel := context.WithTimeout(f.ctx, grace)
 	defer cancel()
 	for _, s := range f.sidecars {
-		if p := s.last(); p != nil {
+		if p := s.currentProcess(); p != nil {
 			select {
-			case <-p.ended:
+			case <-p.exited:
 			case <-after.Done():
 			}
 		}
@@ -205,8 +207,8 @@
 		s.kill()
 	}
 	for _, s := range f.sidecars {
-		if p := s.last(); p != nil {
-			<-p.ended
+		if p := s.currentProcess(); p != nil {
+			<-p.exited
 		}
 	}
 }
@@ -218,9 +220,9 @@
 	for _, s := range f.sidecars {
 		out = append(out, s.usage())
 	}
-	f.end()
-	close(f.spawn)
+	f.cancel()
+	close(f.spawnRequests)
 	f.tasks.Wait()
-	os.RemoveAll(f.dir)
+	os.RemoveAll(f.configDir)
 	return out
 }
--- a/internal/lab/loopback/fleet_test.go
+++ b/internal/lab/loopback/fleet_test.go
@@ -33,13 +33,13 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &run{plan: p, opts: Options{Dir: dir, Builds: [2]string{self}}, trace: &collector{}}
+	r := &run{plan: p, options: Options{LogDir: dir, Builds: [2]string{self}}, recorder: &recorder{}}
 	now := time.Now()
-	r.began.Store(&now)
-	if r.net, err = newAddresses(); err != nil {
+	r.startTime.Store(&now)
+	if r.addresses, err = newAddresses(); err != nil {
 		return nil, err
 	}
-	if r.callers, err = newCallers(p, r.now, r.net); err != nil {
+	if r.transport, err = newTransport(p, r.elapsed, r.addresses); err != nil {
 		return nil, err
 	}
 	r.fleet, err = newFleet(r)
@@ -57,10 +57,10 @@
 	}
 	t.Cleanup(func() {
 		r.fleet.close()
-		r.callers.close()
-		r.net.close()
+		r.transport.close()
+		r.addresses.close()
 	})
-	if err := r.fleet.begin(t.Context()); err != nil {
+	if err := r.fleet.startInitial(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	return r
@@ -68,9 +68,9 @@
 
 // changes are what has happened to a sidecar so far.
 func (r *run) changes(sidecar int) (out []trace.SidecarEventKind, last string) {
-	r.trace.mu.Lock()
-	defer r.trace.mu.Unlock()
-	for _, c := range r.trace.log.SidecarEvents {
+	r.recorder.mu.Lock()
+	defer r.recorder.mu.Unlock()
+	for _, c := range r.recorder.log.SidecarEvents {
 		if c.Sidecar == sidecar {
 			out, last = append(out, c.Kind), c.Detail
 		}
@@ -112,35 +112,35 @@
 	r := begin(t, 2, roleSidecar)
 	f := r.fleet
 	expect(t, r, 0, trace.SidecarStarted, trace.SidecarReady)
-	if !f.admitted(0) || !f.admitted(1) {
+	if !f.routable(0) || !f.routable(1) {
 		t.Error("the front does not admit what is ready")
 	}
-	before, err := os.ReadFile(f.sidecars[0].file())
+	before, err := os.ReadFile(f.sidecars[0].configPath())
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.plan.Scenario.Clients.Notice = scenario.Span(time.Hour)
 	f.kill(0)
-	<-f.sidecars[0].last().ended
+	<-f.sidecars[0].currentProcess().exited
 	expect(t, r, 0, trace.SidecarStarted, trace.SidecarReady, trace.SidecarKilled)
-	if !f.admitted(0) {
+	if !f.routable(0) {
 		t.Error("the front has noticed the death at once")
 	}
 	r.plan.Scenario.Clients.Notice = 0
 	f.kill(1)
-	<-f.sidecars[1].last().ended
-	if f.admitted(1) {
+	<-f.sidecars[1].currentProcess().exited
+	if f.routable(1) {
 		t.Error("the front goes on for longer than it takes to notice")
 	}
 	if err := f.start(0); err != nil {
 		t.Fatal(err)
 	}
-	<-f.sidecars[0].last().settled
-	after, err := os.ReadFile(f.sidecars[0].file())
+	<-f.sidecars[0].currentProcess().settled
+	after, err := os.ReadFile(f.sidecars[0].configPath())
 	if err != nil || string(after) == string(before) {
 		t.Errorf("the second start has the first's configuration: %v", err)
 	}
-	f.finish(false)
+	f.shutDown(false)
 	expect(t, r, 0, trace.SidecarStarted, trace.SidecarReady, trace.SidecarKilled, trace.SidecarStarted, trace.SidecarReady, trace.SidecarStopping, trace.SidecarExited)
 	expect(t, r, 1, trace.SidecarStarted, trace.SidecarReady, trace.SidecarKilled)
 	use := f.sidecars[0].usage()
@@ -154,29 +154,29 @@
 func TestDrainingIsTakenOut(t *testing.T) {
 	r := begin(t, 1, roleDeaf)
 	s := r.fleet.sidecars[0]
-	r.callers.do(t.Context(), query{direct: -1, left: ample, leaves: ample}) // whose connection is kept
+	r.transport.roundTrip(t.Context(), clientRequest{directEndpoint: -1, timeout: ample, cancelAt: ample}) // whose connection is kept
 	r.fleet.stop(0)
-	if !r.fleet.admitted(0) {
+	if !r.fleet.routable(0) {
 		t.Error("taken out before it has said that it drains")
 	}
-	draining := *s.standing.Load()
+	draining := *s.routing.Load()
 	draining.draining = true
-	s.standing.Store(&draining)
-	if !r.fleet.admitted(0) {
+	s.routing.Store(&draining)
+	if !r.fleet.routable(0) {
 		t.Error("taken out although a connection is kept")
 	}
-	r.callers.forget(0)
-	if r.fleet.admitted(0) {
+	r.transport.closeIdle(0)
+	if r.fleet.routable(0) {
 		t.Error("admitted for new connections")
 	}
 	draining.draining = false
-	s.standing.Store(&draining)
-	r.callers.do(t.Context(), query{direct: -1, left: ample, leaves: ample})
-	r.fleet.finish(true)
-	if !s.standing.Load().draining {
+	s.routing.Store(&draining)
+	r.transport.roundTrip(t.Context(), clientRequest{directEndpoint: -1, timeout: ample, cancelAt: ample})
+	r.fleet.shutDown(true)
+	if !s.routing.Load().draining {
 		t.Error("its health was not asked")
 	}
-	if r.fleet.admitted(0) {
+	if r.fleet.routable(0) {
 		t.Error("still admitted for connections that died with it")
 	}
 	expect(t, r, 0, trace.SidecarStarted, trace.SidecarReady, trace.SidecarStopping, trace.SidecarKilled)
@@ -185,11 +185,11 @@
 // A sidecar that ends by itself has crashed: how, and the end of its log, are in the trace.
 func TestCrashIsNoticed(t *testing.T) {
 	r := begin(t, 1, roleCrash)
-	got := r.callers.do(t.Context(), query{direct: -1, left: ample, leaves: ample})
+	got := r.transport.roundTrip(t.Context(), clientRequest{directEndpoint: -1, timeout: ample, cancelAt: ample})
 	if got.Status != trace.StatusDisconnected {
 		t.Errorf("%+v", got)
 	}
-	<-r.fleet.sidecars[0].last().ended
+	<-r.fleet.sidecars[0].currentProcess().exited
 	expect(t, r, 0, trace.SidecarStarted, trace.SidecarReady, trace.SidecarCrashed)
 	if _, text := r.changes(0); !strings.Contains(text, "exit status 7") || !strings.Contains(text, "the last words") {
 		t.Errorf("crash: %q", text)
@@ -199,12 +199,12 @@
 // One that ends before it is ready is not waited for.
 func TestCrashAtTheStart(t *testing.T) {
 	r := begin(t, 1, roleFaulty)
-	<-r.fleet.sidecars[0].last().ended
+	<-r.fleet.sidecars[0].currentProcess().exited
 	expect(t, r, 0, trace.SidecarStarted, trace.SidecarCrashed)
 	if _, text := r.changes(0); !strings.Contains(text, "no such key") {
 		t.Errorf("crash: %q", text)
 	}
-	if r.fleet.admitted(0) {
+	if r.fleet.routable(0) {
 		t.Error("admitted")
 	}
 }
@@ -216,10 +216,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer r.net.close()
+	defer r.addresses.close()
 	defer r.fleet.close()
 	r.fleet.builds[0] = "/there/is/none"
-	if err := r.fleet.begin(t.Context()); err == nil || !strings.Contains(err.Error(), "/there/is/none") {
+	if err := r.fleet.startInitial(t.Context()); err == nil || !strings.Contains(err.Error(), "/there/is/none") {
 		t.Errorf("error: %v", err)
 	}
 }
@@ -237,25 +237,25 @@
 			t.Fatalf("it follows %q, want %q: %v", line, want, err)
 		}
 	}
-	hear(r.net.agent(0, 0))
-	if err := r.fleet.hup(0, r.net.agent(0, 1)); err != nil {
+	hear(r.addresses.agent(0, 0))
+	if err := r.fleet.reload(0, r.addresses.agent(0, 1)); err != nil {
 		t.Fatal(err)
 	}
-	hear(r.net.agent(0, 1))
+	hear(r.addresses.agent(0, 1))
 	r.fleet.kill(0)
-	<-r.fleet.sidecars[0].last().ended
-	if err := r.fleet.hup(0, r.net.agent(0, 2)); err != nil {
+	<-r.fleet.sidecars[0].currentProcess().exited
+	if err := r.fleet.reload(0, r.addresses.agent(0, 2)); err != nil {
 		t.Fatal(err)
 	}
 	if err := r.fleet.start(0); err != nil {
 		t.Fatal(err)
 	}
-	if err := r.fleet.hup(0, r.net.agent(0, 3)); err != nil { // before it can have set up its signals
+	if err := r.fleet.reload(0, r.addresses.agent(0, 3)); err != nil { // before it can have set up its signals
 		t.Fatal(err)
 	}
 	in = next()
-	hear(r.net.agent(0, 2))
-	hear(r.net.agent(0, 3))
+	hear(r.addresses.agent(0, 2))
+	hear(r.addresses.agent(0, 3))
 	if got, _ := r.changes(0); slices.Contains(got, trace.SidecarCrashed) {
 		t.Errorf("changes: %v", got)
 	}
@@ -296,11 +296,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer r.net.close()
+	defer r.addresses.close()
 	defer r.fleet.close()
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if err := r.fleet.begin(ctx); err != context.Canceled {
+	if err := r.fleet.startInitial(ctx); err != context.Canceled {
 		t.Errorf("error: %v", err)
 	}
 }
--- a/internal/lab/loopback/holdings.go
+++ b/internal/lab/loopback/holdings.go
@@ -18,21 +18,21 @@
 
 // holdings are the lists that one sidecar has come to hold, by their revision: by a call for what is newer than a revision a
 // sidecar says which of them it acts on. Of two of one revision the later one counts.
-type holdings map[int64]map[string]map[string]any
+type listVersions map[int64]map[string]map[string]any
 
 // hold notes what the sidecar will hold once it has taken an answer over. An answer that it does not take over stays among the
 // holdings, and by its next call nobody takes it for what it holds.
-func (a *agent) hold(asked *trace.DiscoveryPoll, answer list) {
+func (a *agent) recordVersion(asked *trace.DiscoveryPoll, answer listResponse) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.held == nil {
-		a.held = holdings{}
+	if a.listVersions == nil {
+		a.listVersions = listVersions{}
 	}
 	all := map[string]map[string]any{}
 	if !answer.Complete {
-		base, known := a.held[asked.SinceRevision]
+		base, known := a.listVersions[asked.SinceRevision]
 		if !known { // the list that it was started with
-			base = a.started()
+			base = a.configuredMembers()
 		}
 		maps.Copy(all, base)
 	}
@@ -42,17 +42,17 @@
 			delete(all, id)
 		}
 	}
-	a.held[answer.Revision] = all
+	a.listVersions[answer.Revision] = all
 	asked.Revision, asked.Digest = answer.Revision, digestOf(all)
 }
 
 // started is the list that the sidecar's configuration had at the last start of its process. The lock is held.
-func (a *agent) started() map[string]map[string]any {
+func (a *agent) configuredMembers() map[string]map[string]any {
 	all := map[string]map[string]any{}
 	if a.sidecar < 0 {
 		return all
 	}
-	for _, m := range a.run.fleet.sidecars[a.sidecar].given() {
+	for _, m := range a.run.fleet.sidecars[a.sidecar].configuredMembers() {
 		all[m["id"].(string)] = m
 	}
 	return all
@@ -81,29 +81,29 @@
 }
 
 // holds is the digest of the list that a process is started with; none where no operator calls it. It needs the sidecar's lock.
-func (s *sidecar) holds() version.Digest {
-	if !s.fleet.plan.Operators() || len(s.knows) == 0 {
+func (s *sidecar) configuredDigest() version.Digest {
+	if !s.fleet.plan.Operators() || len(s.members) == 0 {
 		return 0
 	}
 	all := map[string]map[string]any{}
-	for _, m := range s.knows {
+	for _, m := range s.members {
 		all[m["id"].(string)] = m
 	}
 	return digestOf(all)
 }
 
 // given is the list that the sidecar's configuration has, as its process has read it.
-func (s *sidecar) given() []map[string]any {
+func (s *sidecar) configuredMembers() []map[string]any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.knows
+	return s.members
 }
 
 // members are entries as discovery words them to a sidecar.
-func (r *run) members(sidecar int, entries []plan.Listed) []map[string]any {
+func (r *run) memberDocuments(sidecar int, entries []plan.Listed) []map[string]any {
 	out := []map[string]any{} // JSON has no list for nil
 	for _, l := range entries {
-		out = append(out, r.plan.Member(l, r.boxFor(sidecar, l.Box), r.start()))
+		out = append(out, r.plan.Member(l, r.endpointAddress(sidecar, l.Box), r.startOrNow()))
 	}
 	return out
 }
--- a/internal/lab/loopback/line.go
+++ b/internal/lab/loopback/line.go
@@ -12,53 +12,53 @@
 	"golang.org/x/sys/unix"
 )
 
-const bufferSize = 4 << 10
+const readBufferSize = 4 << 10
 
 // line is one connection of a caller, which carries one request at a time.
-type line struct {
-	conn *net.TCPConn
-	raw  syscall.RawConn
-	rest io.LimitedReader // what may still come of the present answer
-	in   *bufio.Reader
-	out  []byte
-	body bytes.Buffer // of an answer over HTTP
-	used bool         // an answer has come on it
-	last uint64       // the request that was answered on it last; 0 while one is under way
+type clientConn struct {
+	conn         *net.TCPConn
+	raw          syscall.RawConn
+	remaining    io.LimitedReader // what may still come of the present answer
+	reader       *bufio.Reader
+	writeBuffer  []byte
+	body         bytes.Buffer // of an answer over HTTP
+	used         bool         // an answer has come on it
+	lastAnswered uint64       // the request that was answered on it last; 0 while one is under way
 }
 
-func newLine(conn *net.TCPConn) (*line, error) {
+func newClientConn(conn *net.TCPConn) (*clientConn, error) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		conn.Close()
 		return nil, fmt.Errorf("live: %w", err)
 	}
-	l := &line{conn: conn, raw: raw, rest: io.LimitedReader{R: conn}}
-	l.in = bufio.NewReaderSize(&l.rest, bufferSize)
+	l := &clientConn{conn: conn, raw: raw, remaining: io.LimitedReader{R: conn}}
+	l.reader = bufio.NewReaderSize(&l.remaining, readBufferSize)
 	return l, nil
 }
 
 // state is what an idle connection is found in.
-type state uint8
+type idleState uint8
 
 const (
-	quiet state = iota // open, with nothing to read
-	talks              // there are bytes that nobody asked for
-	ended              // closed by the other side
+	idleClean          idleState = iota // open, with nothing to read
+	idleUnexpectedData                  // there are bytes that nobody asked for
+	idleClosed                          // closed by the other side
 )
 
 // look finds out without waiting and without reading anything.
-func (l *line) look() state {
-	if l.in.Buffered() > 0 {
-		return talks
+func (l *clientConn) idleState() idleState {
+	if l.reader.Buffered() > 0 {
+		return idleUnexpectedData
 	}
-	found := ended // also where it has been closed here
+	found := idleClosed // also where it has been closed here
 	l.raw.Control(func(fd uintptr) {
 		var b [1]byte
 		switch n, _, err := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT); {
 		case n > 0:
-			found = talks
+			found = idleUnexpectedData
 		case err == unix.EAGAIN:
-			found = quiet
+			found = idleClean
 		}
 	})
 	return found
@@ -67,7 +67,7 @@
 // unread says whether a request that was written whole has been read by nobody, when reading its answer gave
 // err. Linux resets a connection that is closed with bytes unread and answers bytes for a closed one with a
 // reset; a process that has read the request and then closes, or dies, ends the connection in order.
-func (l *line) unread(err error) bool {
+func (l *clientConn) requestUnread(err error) bool {
 	if errors.Is(err, unix.ECONNRESET) || errors.Is(err, unix.EPIPE) {
 		return true
 	}
--- a/internal/lab/loopback/link_test.go
+++ b/internal/lab/loopback/link_test.go
@@ -35,7 +35,7 @@
 		t.Helper()
 		var err error
 		for until := time.Now().Add(ample); near == nil; { // a door that is turned is shut for a moment
-			if near, err = net.DialTimeout("tcp", l.door.addr, ample); err != nil && time.Now().After(until) {
+			if near, err = net.DialTimeout("tcp", l.listener.address, ample); err != nil && time.Now().After(until) {
 				t.Fatal(err)
 			}
 		}
@@ -52,7 +52,7 @@
 	}
 	near, far := connect()
 	for id, f := range []plan.Link{{How: plan.LinkBoth}, {How: plan.LinkThere}, {How: plan.LinkBack}, {How: plan.LinkSlow, Delay: 2 * quiet}} {
-		l.begin(id, f)
+		l.beginFault(id, f)
 		for _, way := range []struct {
 			from, to net.Conn
 			held     bool
@@ -68,7 +68,7 @@
 				t.Errorf("%+v: %v, held back is %v", f, err, way.held)
 			}
 		}
-		l.heal(id)
+		l.endFault(id)
 		for _, way := range []struct {
 			to   net.Conn
 			held bool
@@ -79,17 +79,17 @@
 		}
 		connect() // it comes up again
 	}
-	l.begin(9, plan.Link{How: plan.LinkReset})
+	l.beginFault(9, plan.Link{How: plan.LinkReset})
 	if err := heard(near, ample); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("reset, at the one that connected: %v", err)
 	}
 	if err := heard(far, ample); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("reset, behind it: %v", err)
 	}
-	l.heal(9)
-	l.begin(10, plan.Link{How: plan.LinkBoth})
+	l.endFault(9)
+	l.beginFault(10, plan.Link{How: plan.LinkBoth})
 	for until := time.Now().Add(ample); ; { // the door is turned beside
-		c, err := net.DialTimeout("tcp", l.door.addr, quiet)
+		c, err := net.DialTimeout("tcp", l.listener.address, quiet)
 		if err != nil {
 			break
 		}
--- a/internal/lab/loopback/links.go
+++ b/internal/lab/loopback/links.go
@@ -4,13 +4,13 @@
 
 // linkKey names a link: what a sidecar connects to over it, or who connects to the sidecar.
 type linkKey struct {
-	of      string
-	sidecar int
-	box     int // of "boxes"
+	kind     string
+	sidecar  int
+	endpoint int // of "boxes"
 }
 
-// openLinks makes the links that the plan has faults for. A link costs two more sockets a connection, so others go without.
-func (r *run) openLinks() error {
+// setUpLinks makes the links that the plan has faults for. A link costs two more sockets a connection, so others go without.
+func (r *run) setUpLinks() error {
 	r.links = map[linkKey]*link{}
 	for of, sidecars := range r.plan.Links {
 		for _, i := range sidecars {
@@ -19,16 +19,16 @@
 				boxes = len(r.plan.Boxes)
 			}
 			for box := range boxes {
-				to := r.net.agent(i, 0)
+				to := r.addresses.agent(i, 0)
 				switch of {
 				case "clients":
-					to = r.net.entry(i, r.plan.Scenario.Fleet.Protocol)
+					to = r.addresses.clientEntry(i, r.plan.Scenario.Fleet.Protocol)
 				case "boxes":
-					to = r.net.box(box)
+					to = r.addresses.endpoint(box)
 				case "control":
-					to = r.net.control(i, 0)
+					to = r.addresses.control(i, 0)
 				}
-				l, err := newLink(r.net.link(of, i, box), to)
+				l, err := newLink(r.addresses.link(of, i, box), to)
 				if err != nil {
 					return err
 				}
@@ -39,23 +39,23 @@
 	return nil
 }
 
-// turnLinks is a step of the script at the links of one kind that a sidecar has.
-func (r *run) turnLinks(e plan.Event) {
+// applyLinkEvent is a step of the script at the links of one kind that a sidecar has.
+func (r *run) applyLinkEvent(e plan.Event) {
 	for key, l := range r.links {
 		switch {
-		case key.of != e.Link.Of || key.sidecar != e.Sidecar:
+		case key.kind != e.Link.Of || key.sidecar != e.Sidecar:
 		case e.Kind == plan.BeginLink:
-			l.begin(e.ID, e.Link)
+			l.beginFault(e.ID, e.Link)
 		default:
-			l.heal(e.ID)
+			l.endFault(e.ID)
 		}
 	}
 }
 
-// boxFor is the address at which a sidecar reaches a box.
-func (r *run) boxFor(sidecar, box int) string {
+// endpointAddress is the address at which a sidecar reaches a box.
+func (r *run) endpointAddress(sidecar, box int) string {
 	if r.plan.Linked("boxes", sidecar) {
-		return r.net.link("boxes", sidecar, box)
+		return r.addresses.link("boxes", sidecar, box)
 	}
-	return r.net.box(box)
+	return r.addresses.endpoint(box)
 }
--- a/internal/lab/loopback/peer_test.go
+++ b/internal/lab/loopback/peer_test.go
@@ -22,7 +22,7 @@
 
 // scripted is the other side of callers: a sidecar of which a test says what it does.
 type scripted struct {
-	*callers
+	*transport
 	t    *testing.T
 	net  *addresses
 	wait sync.WaitGroup
@@ -52,11 +52,11 @@
 		t.Fatal(err)
 	}
 	start := time.Now()
-	c, err := newCallers(p, func() time.Duration { return time.Since(start) }, net)
+	c, err := newTransport(p, func() time.Duration { return time.Since(start) }, net)
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := &scripted{callers: c, t: t, net: net}
+	out := &scripted{transport: c, t: t, net: net}
 	t.Cleanup(func() {
 		out.wait.Wait()
 		out.close()
@@ -68,7 +68,7 @@
 // serve has play take each connection, numbered from 0, until it returns; then the connection is closed.
 func (s *scripted) serve(play func(n int, l *talk)) {
 	s.t.Helper()
-	listener, err := net.Listen("tcp", s.net.entry(0, s.plan.Scenario.Fleet.Protocol))
+	listener, err := net.Listen("tcp", s.net.clientEntry(0, s.plan.Scenario.Fleet.Protocol))
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -100,9 +100,9 @@
 }
 
 // query asks for a class by its effect.
-func (s *scripted) query(effect string, txn uint64) query {
+func (s *scripted) query(effect string, txn uint64) clientRequest {
 	class := s.plan.Scenario.ClassIndex(effect + "-one")
-	return query{try: trace.ClientAttempt{TransactionID: txn, Request: 7, Class: class}, direct: -1, left: ample, leaves: model.Never, key: 0xabc}
+	return clientRequest{attempt: trace.ClientAttempt{TransactionID: txn, Request: 7, Class: class}, directEndpoint: -1, timeout: ample, cancelAt: model.Never, idempotencyKey: 0xabc}
 }
 
 // talk is one connection as the scripted side has it.
@@ -137,7 +137,7 @@
 
 // served is a box's whole answer.
 func (l *talk) served(txn uint64, box int) {
-	body := answerBody(txn, box, 0, 64)
+	body := responseBody(txn, box, 0, 64)
 	l.say("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
--- a/internal/lab/loopback/roles_test.go
+++ b/internal/lab/loopback/roles_test.go
@@ -103,7 +103,7 @@
 	if err != nil {
 		return err
 	}
-	if err := r.fleet.begin(context.Background()); err != nil {
+	if err := r.fleet.startInitial(context.Background()); err != nil {
 		return err
 	}
 	select {}
--- a/internal/lab/loopback/rotation_test.go
+++ b/internal/lab/loopback/rotation_test.go
@@ -15,7 +15,7 @@
 	s := scenario.Default()
 	s.Tier = []scenario.Tier{{Name: "a"}, {Name: "b"}}
 	p := &plan.Plan{Scenario: &s, Boxes: []plan.Box{{Tier: 0}, {Tier: 0}, {Tier: 1}, {Tier: 0, Start: "absent"}}}
-	o := newRotation(p)
+	o := newRoundRobin(p)
 	round := func(tier int, want ...int) {
 		t.Helper()
 		seen := map[int]int{}
@@ -28,10 +28,10 @@
 			}
 		}
 	}
-	event := func(kind plan.EventKind, box int, fault model.FaultKind, after time.Duration) noticed {
+	event := func(kind plan.EventKind, box int, fault model.FaultKind, after time.Duration) listChange {
 		t.Helper()
-		n, changes := o.event(plan.Event{Kind: kind, Box: box, Fault: model.Fault{Kind: fault}})
-		if changes != (after > 0) || changes && n.after != after {
+		n, changes := o.applyEvent(plan.Event{Kind: kind, Box: box, Fault: model.Fault{Kind: fault}})
+		if changes != (after > 0) || changes && n.delay != after {
 			t.Fatalf("%v of %d: %+v, %v", kind, box, n, changes)
 		}
 		return n
@@ -39,21 +39,21 @@
 	d := &s.Discovery
 	round(0, 0, 1)
 	round(1, 2)
-	o.notice(event(plan.StartBox, 3, 0, d.Add.D()))
+	o.applyListChange(event(plan.StartBox, 3, 0, d.Add.D()))
 	round(0, 0, 1, 3)
 	gone := event(plan.BeginFault, 1, model.Dead, d.Notice.D())
 	round(0, 0, 1, 3)
-	o.notice(gone)
+	o.applyListChange(gone)
 	round(0, 0, 3)
 	event(plan.BeginFault, 1, model.Vanish, d.Silent.D())
 	event(plan.EndFault, 1, model.Dead, 0) // it is still away
-	o.notice(event(plan.EndFault, 1, model.Vanish, d.Add.D()))
+	o.applyListChange(event(plan.EndFault, 1, model.Vanish, d.Add.D()))
 	round(0, 0, 1, 3)
 	event(plan.BeginFault, 0, model.Slow, 0)
 	brief := event(plan.BeginFault, 2, model.Dead, d.Notice.D())
 	event(plan.EndFault, 2, model.Dead, d.Add.D())
-	o.notice(brief) // by now it is back
+	o.applyListChange(brief) // by now it is back
 	round(1, 2)
-	o.notice(event(plan.BeginFault, 2, model.Dead, d.Notice.D()))
+	o.applyListChange(event(plan.BeginFault, 2, model.Dead, d.Notice.D()))
 	round(1, -1)
 }
--- a/internal/lab/loopback/run_test.go
+++ b/internal/lab/loopback/run_test.go
@@ -99,7 +99,7 @@
 	var log *trace.Log
 	for range 3 { // a sidecar ends a quarter of a second before its grace does: a machine that stands still for so long has it killed
 		var err error
-		log, err = loopback.Play(t.Context(), p, loopback.Options{Builds: [2]string{built}, Dir: t.TempDir(),
+		log, err = loopback.Play(t.Context(), p, loopback.Options{Builds: [2]string{built}, LogDir: t.TempDir(),
 			Progress: func(at time.Duration) { told = append(told, at) }})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/lab/loopback/service.go
+++ b/internal/lab/loopback/service.go
@@ -13,22 +13,22 @@
 )
 
 // service is the list service behind all agents: its capacity is one for all.
-type service struct {
+type serviceCapacity struct {
 	mu         sync.Mutex
-	listing    *model.Listing // nil: it has no bound
+	model      *model.Listing // nil: it has no bound
 	retryAfter time.Duration
 }
 
 // bound gives it the scenario's capacity, if that has one.
-func (s *service) bound(p *plan.Plan) {
+func (s *serviceCapacity) configure(p *plan.Plan) {
 	if v := p.Scenario.Discovery.Service; v != nil {
-		s.listing = &model.Listing{Calls: v.Calls, Call: v.Call.D(), Line: v.Line, Beyond: model.Beyond(v.Beyond)}
+		s.model = &model.Listing{Calls: v.Calls, Call: v.Call.D(), Line: v.Line, Beyond: model.Beyond(v.Beyond)}
 		s.retryAfter = v.RetryAfter.D()
 	}
 }
 
 // fault begins or ends one of the list service's, as this agent's sidecar has it.
-func (a *agent) fault(e plan.Event) error {
+func (a *agent) applyFault(e plan.Event) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.closed {
@@ -38,12 +38,12 @@
 		a.faults[e.ID] = e.List
 		switch e.List.Kind {
 		case "list_down":
-			a.down()
+			a.stopServer()
 		case "list_forget":
-			a.down()
-			a.catalog = newCatalog(a.catalog.whole())
+			a.stopServer()
+			a.catalog = newCatalog(a.catalog.members())
 		case "list_old":
-			a.old = a.catalog.copy()
+			a.staleCatalog = a.catalog.clone()
 		}
 	} else {
 		delete(a.faults, e.ID)
@@ -54,32 +54,32 @@
 		old = old || f.Kind == "list_old"
 	}
 	if !old {
-		a.old = nil
+		a.staleCatalog = nil
 	}
-	a.wake()
+	a.notifyWaiters()
 	if !down && a.server == nil {
-		return a.open(a.addr)
+		return a.listen(a.address)
 	}
 	return nil
 }
 
 // down ends the service's process as this sidecar has it: connections end, and new ones are refused. The lock is held.
-func (a *agent) down() {
+func (a *agent) stopServer() {
 	if a.server != nil {
 		a.server.Close()
 		a.server = nil
 	}
-	if s := &a.run.service; s.listing != nil {
+	if s := &a.run.capacity; s.model != nil {
 		s.mu.Lock()
-		s.listing.Forget()
+		s.model.Forget()
 		s.mu.Unlock()
 	}
 }
 
 // present is the catalog that is told. The lock is held.
-func (a *agent) present() *catalog {
-	if a.old != nil {
-		return a.old
+func (a *agent) servedCatalog() *catalog {
+	if a.staleCatalog != nil {
+		return a.staleCatalog
 	}
 	return a.catalog
 }
@@ -95,19 +95,19 @@
 		}
 	}
 	a.mu.Unlock()
-	s := &a.run.service
-	if s.listing != nil {
+	s := &a.run.capacity
+	if s.model != nil {
 		s.mu.Lock()
-		now := time.Since(started)
-		answered, room := s.listing.Ask(now, slow)
+		now := time.Since(capacityEpoch)
+		answered, room := s.model.Ask(now, slow)
 		s.mu.Unlock()
 		if !room {
 			asked.Outcome = trace.PollRejected
-			switch s.listing.Beyond {
+			switch s.model.Beyond {
 			case model.Resets:
 				panic(http.ErrAbortHandler)
 			case model.Silences:
-				a.pause(req, watchMost)
+				a.sleep(req, maxWatch)
 				panic(http.ErrAbortHandler)
 			}
 			if s.retryAfter > 0 {
@@ -118,17 +118,17 @@
 		}
 		delay += answered - now
 	}
-	if delay > 0 && !a.pause(req, delay) {
+	if delay > 0 && !a.sleep(req, delay) {
 		panic(http.ErrAbortHandler)
 	}
 	return true
 }
 
 // started is a moment before any run, from which the capacity's clock counts: calls come before the run begins, too.
-var started = time.Now()
+var capacityEpoch = time.Now()
 
 // pause waits; false if the caller leaves, or the agent is closed, meanwhile.
-func (a *agent) pause(req *http.Request, d time.Duration) bool {
+func (a *agent) sleep(req *http.Request, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -141,7 +141,7 @@
 }
 
 // spoil makes an answer wrong, where the service is to be; it tells whether it has.
-func (a *agent) spoil(answer *list) bool {
+func (a *agent) corrupt(answer *listResponse) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, f := range a.faults {
@@ -157,7 +157,7 @@
 		case "other":
 			for i, m := range answer.Members {
 				m["id"] = "other-" + m["id"].(string)
-				m["host_port"] = a.run.net.at(lockRow, i%rowLength, 1) // where nobody listens
+				m["host_port"] = a.run.addresses.address(lockRow, i%hostsPerRow, 1) // where nobody listens
 			}
 		}
 		return true
@@ -166,7 +166,7 @@
 }
 
 // cuts draws whether an answer is to be cut off.
-func (a *agent) cuts() bool {
+func (a *agent) shouldCut() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, f := range a.faults {
--- a/internal/lab/loopback/service_test.go
+++ b/internal/lab/loopback/service_test.go
@@ -14,7 +14,7 @@
 // Each fault of the list service shows to a sidecar as its name says, and is over when it ends.
 func TestListFaults(t *testing.T) {
 	r := newAgents(t, 1, "")
-	a := newAsks(t, r.net.agent(0, 0))
+	a := newAsks(t, r.addresses.agent(0, 0))
 	a.client.Timeout = time.Second
 	usual := a.get("").text()
 	two := func(m members) bool {
@@ -33,7 +33,7 @@
 	} {
 		turn := func(kind plan.EventKind) {
 			t.Helper()
-			if err := r.agents[0].fault(plan.Event{Kind: kind, ID: id, List: c.f}); err != nil {
+			if err := r.agents[0].applyFault(plan.Event{Kind: kind, ID: id, List: c.f}); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -51,16 +51,16 @@
 // An old list goes on being told while the true one changes; a restart counts its revisions from 1 and loses no entry.
 func TestListOldAndForgotten(t *testing.T) {
 	r := newAgents(t, 1, "")
-	a := newAsks(t, r.net.agent(0, 0))
+	a := newAsks(t, r.addresses.agent(0, 0))
 	turn := func(kind plan.EventKind, id int, what string) {
 		t.Helper()
-		if err := r.agents[0].fault(plan.Event{Kind: kind, ID: id, List: plan.ListFault{Kind: what}}); err != nil {
+		if err := r.agents[0].applyFault(plan.Event{Kind: kind, ID: id, List: plan.ListFault{Kind: what}}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	before := a.get("")
 	turn(plan.BeginList, 1, "list_old")
-	r.agents[0].tell(plan.Listed{Box: 0, Phase: trace.PhaseTerminating})
+	r.agents[0].update(plan.Listed{Box: 0, Phase: trace.PhaseTerminating})
 	if m := a.get(""); m.text() != before.text() {
 		t.Errorf("an old list: %s", m.text())
 	}
@@ -79,15 +79,15 @@
 // The capacity is one for all sidecars: of ten calls at once, one is in work, two wait and seven are turned away.
 func TestListCapacity(t *testing.T) {
 	r := newAgents(t, 10, "")
-	r.service.listing = &model.Listing{Calls: 1, Call: time.Hour, Line: 2, Beyond: model.Turns}
+	r.capacity.model = &model.Listing{Calls: 1, Call: time.Hour, Line: 2, Beyond: model.Turns}
 	var all sync.WaitGroup
 	for i := range 10 {
-		all.Go(func() { _, _ = newAsks(t, r.net.agent(i, 0)).try("") })
+		all.Go(func() { _, _ = newAsks(t, r.addresses.agent(i, 0)).try("") })
 	}
 	turned := func() (n int) {
-		r.trace.mu.Lock()
-		defer r.trace.mu.Unlock()
-		for _, k := range r.trace.log.Polls {
+		r.recorder.mu.Lock()
+		defer r.recorder.mu.Unlock()
+		for _, k := range r.recorder.log.Polls {
 			if k.Outcome == trace.PollRejected {
 				n++
 			}
@@ -97,7 +97,7 @@
 	await(t, "all but three are turned away", func() bool { return turned() == 7 })
 	for i := range 10 {
 		r.agents[i].mu.Lock()
-		r.agents[i].down()
+		r.agents[i].stopServer()
 		r.agents[i].mu.Unlock()
 	}
 	all.Wait()
--- a/internal/lab/loopback/sidecar.go
+++ b/internal/lab/loopback/sidecar.go
@@ -20,10 +20,10 @@
 
 // How the front asks for a sidecar's health.
 const (
-	readySoonest = 5 * time.Millisecond // after its start, and then ever more seldom
-	readySeldom  = 50 * time.Millisecond
-	attendEach   = 300 * time.Millisecond // where it may shut itself out
-	drainEach    = 200 * time.Millisecond // from SIGTERM on: new connections come for 0.2 to 0.4 s more
+	minReadyInterval = 5 * time.Millisecond // after its start, and then ever more seldom
+	maxReadyInterval = 50 * time.Millisecond
+	healthInterval   = 300 * time.Millisecond // where it may shut itself out
+	drainInterval    = 200 * time.Millisecond // from SIGTERM on: new connections come for 0.2 to 0.4 s more
 )
 
 // sidecar is one instance of the fleet over all its processes, of which there is one at a time.
@@ -32,42 +32,42 @@
 	id    int
 	plan  *plan.Sidecar
 
-	standing atomic.Pointer[standing]
+	routing atomic.Pointer[routingState]
 
-	mu        sync.Mutex
-	discovery string // where its agent is
-	starts    int
-	closing   bool             // the run is over
-	knows     []map[string]any // the list that it was configured with
-	process   *process         // that runs, or the last; nil before the first
-	taken     trace.Usage
+	mu               sync.Mutex
+	discoveryAddress string // where its agent is
+	startCount       int
+	finalSettings    bool             // the run is over
+	members          []map[string]any // the list that it was configured with
+	process          *process         // that runs, or the last; nil before the first
+	used             trace.Usage
 }
 
 // standing is a sidecar as the front sees it.
-type standing struct {
-	able     bool          // its health has said 200 since its start
-	draining bool          // it has said 503 since SIGTERM
-	out      bool          // its health says 503 now
-	until    time.Duration // when the front will have noticed that it has died
+type routingState struct {
+	ready     bool          // its health has said 200 since its start
+	draining  bool          // it has said 503 since SIGTERM
+	unhealthy bool          // its health says 503 now
+	deadAt    time.Duration // when the front will have noticed that it has died
 }
 
 // process is one run of the program. The sidecar's lock guards the flags.
 type process struct {
-	cmd      *exec.Cmd
-	control  string        // where it listens for operators; empty: nowhere
-	stopping bool          // SIGTERM was sent
-	killed   bool          // SIGKILL was
-	settled  chan struct{} // closed once it has been ready, or has ended
-	ended    chan struct{} // closed once it has, and all is noted
+	cmd            *exec.Cmd
+	controlAddress string        // where it listens for operators; empty: nowhere
+	stopping       bool          // SIGTERM was sent
+	killed         bool          // SIGKILL was
+	settled        chan struct{} // closed once it has been ready, or has ended
+	exited         chan struct{} // closed once it has, and all is noted
 }
 
 func newSidecar(f *fleet, id int) *sidecar {
-	s := &sidecar{fleet: f, id: id, plan: &f.plan.Sidecars[id], discovery: f.net.agent(id, 0)}
+	s := &sidecar{fleet: f, id: id, plan: &f.plan.Sidecars[id], discoveryAddress: f.addresses.agent(id, 0)}
 	if f.plan.Linked("list", id) {
-		s.discovery = f.net.link("list", id, 0)
+		s.discoveryAddress = f.addresses.link("list", id, 0)
 	}
-	s.standing.Store(&standing{until: model.Never})
-	s.taken = trace.Usage{Sidecar: id, Build: s.plan.Build}
+	s.routing.Store(&routingState{deadAt: model.Never})
+	s.used = trace.Usage{Sidecar: id, Build: s.plan.Build}
 	return s
 }
 
@@ -75,7 +75,7 @@
 func (s *sidecar) start() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.runs() {
+	if s.running() {
 		return nil
 	}
 	p, err := s.launch()
@@ -83,38 +83,38 @@
 		return err
 	}
 	s.process = p
-	s.lead()
-	s.fleet.trace.change(trace.SidecarEvent{At: s.fleet.now(), Sidecar: s.id, Kind: trace.SidecarStarted, Digest: s.holds()})
+	s.updateControlLink()
+	s.fleet.recorder.addSidecarEvent(trace.SidecarEvent{At: s.fleet.elapsed(), Sidecar: s.id, Kind: trace.SidecarStarted, Digest: s.configuredDigest()})
 	s.fleet.tasks.Go(func() { s.wait(p) })
-	s.fleet.tasks.Go(func() { s.admit(p) })
+	s.fleet.tasks.Go(func() { s.awaitReady(p) })
 	return nil
 }
 
 // launch starts the program. It needs the lock.
 func (s *sidecar) launch() (*process, error) {
-	s.starts++
-	if err := s.configure(); err != nil {
+	s.startCount++
+	if err := s.writeConfig(); err != nil {
 		return nil, err
 	}
-	p := &process{settled: make(chan struct{}), ended: make(chan struct{})}
+	p := &process{settled: make(chan struct{}), exited: make(chan struct{})}
 	switch {
 	case s.fleet.plan.Upgrades(): // two processes at a time
-		p.control = s.fleet.net.control(s.id, s.starts)
+		p.controlAddress = s.fleet.addresses.control(s.id, s.startCount)
 	case s.fleet.plan.Operators():
-		p.control = s.fleet.net.control(s.id, 0)
+		p.controlAddress = s.fleet.addresses.control(s.id, 0)
 	}
-	p.cmd = s.command(p.control)
+	p.cmd = s.command(p.controlAddress)
 	how := os.O_CREATE | os.O_WRONLY | os.O_APPEND
-	if s.starts == 1 {
+	if s.startCount == 1 {
 		how |= os.O_TRUNC
 	}
-	log, err := os.OpenFile(s.log(), how, 0o644)
+	log, err := os.OpenFile(s.logPath(), how, 0o644)
 	if err != nil {
 		return nil, fmt.Errorf("live: log: %w", err)
 	}
 	defer log.Close()
 	p.cmd.Stdout, p.cmd.Stderr = log, log
-	if err := s.fleet.launch(p.cmd); err != nil {
+	if err := s.fleet.spawn(p.cmd); err != nil {
 		return nil, fmt.Errorf("live: sidecar %s: %w", s.plan.Name, err)
 	}
 	// The program counts on the platform's bound; one that needs more is to fail here too.
@@ -124,21 +124,21 @@
 }
 
 // lead has the link of operators, if there is one, pass on to the present process. It needs the lock.
-func (s *sidecar) lead() {
+func (s *sidecar) updateControlLink() {
 	if l := s.fleet.links[linkKey{"control", s.id, 0}]; l != nil {
-		l.leads(s.process.control)
+		l.setTarget(s.process.controlAddress)
 	}
 }
 
 func (s *sidecar) command(control string) *exec.Cmd {
 	cmd := exec.Command(s.fleet.builds[s.plan.Build])
-	if s.operatorText() != "" {
-		cmd.Args = append(cmd.Args, "--config="+s.operator())
+	if s.operatorConfig() != "" {
+		cmd.Args = append(cmd.Args, "--config="+s.operatorPath())
 	}
-	cmd.Env = append(os.Environ(), "LB_CONFIG="+s.file(), "LB_NAME="+s.plan.Name,
-		"LB_LISTEN="+s.fleet.net.sidecar(s.id), "LB_DISCOVERY="+s.discovery)
+	cmd.Env = append(os.Environ(), "LB_CONFIG="+s.configPath(), "LB_NAME="+s.plan.Name,
+		"LB_LISTEN="+s.fleet.addresses.sidecar(s.id), "LB_DISCOVERY="+s.discoveryAddress)
 	if control != "" {
-		cmd.Env = append(cmd.Env, "LB_CONTROL="+control, "TMPDIR="+s.fleet.dir)
+		cmd.Env = append(cmd.Env, "LB_CONTROL="+control, "TMPDIR="+s.fleet.configDir)
 	}
 	cmd.SysProcAttr = &syscall.SysProcAttr{
 		Setpgid:   true,            // ^C is for this process, which then ends them in order
@@ -148,15 +148,15 @@
 }
 
 // log is the file that has its output.
-func (s *sidecar) log() string { return filepath.Join(s.fleet.logs, s.plan.Name+".log") }
+func (s *sidecar) logPath() string { return filepath.Join(s.fleet.logDir, s.plan.Name+".log") }
 
 // runs needs the lock.
-func (s *sidecar) runs() bool {
+func (s *sidecar) running() bool {
 	if s.process == nil {
 		return false
 	}
 	select {
-	case <-s.process.ended:
+	case <-s.process.exited:
 		return false
 	default:
 		return true
@@ -169,41 +169,41 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	state := p.cmd.ProcessState
-	s.taken.CPU += state.UserTime() + state.SystemTime()
-	defer close(p.ended)
+	s.used.CPU += state.UserTime() + state.SystemTime()
+	defer close(p.exited)
 	if s.process != p { // another one has taken its place, or it has never come so far
 		if !p.stopping && !p.killed {
-			s.note(trace.SidecarCrashed, state.String()+"\n"+tail(s.log()))
+			s.addEvent(trace.SidecarCrashed, state.String()+"\n"+tail(s.logPath()))
 		}
 		return
 	}
 	switch {
 	case p.killed:
 	case p.stopping:
-		s.note(trace.SidecarExited, state.String())
+		s.addEvent(trace.SidecarExited, state.String())
 	default:
-		s.note(trace.SidecarCrashed, state.String()+"\n"+tail(s.log()))
+		s.addEvent(trace.SidecarCrashed, state.String()+"\n"+tail(s.logPath()))
 	}
-	at := *s.standing.Load()
-	at.until = min(at.until, s.fleet.now()+s.fleet.plan.Scenario.Clients.Notice.D())
-	s.standing.Store(&at)
-	s.fleet.callers.forget(s.id) // before anyone hears of the end: the front must not count on these
+	at := *s.routing.Load()
+	at.deadAt = min(at.deadAt, s.fleet.elapsed()+s.fleet.plan.Scenario.Clients.Notice.D())
+	s.routing.Store(&at)
+	s.fleet.transport.closeIdle(s.id) // before anyone hears of the end: the front must not count on these
 }
 
 // admit waits until a process is ready and lets the front have it.
-func (s *sidecar) admit(p *process) {
+func (s *sidecar) awaitReady(p *process) {
 	defer close(p.settled)
-	for wait := readySoonest; s.pause(p, wait); wait = min(readySeldom, wait*3/2) {
-		if s.fleet.health(s.id) != http.StatusOK {
+	for wait := minReadyInterval; s.sleep(p, wait); wait = min(maxReadyInterval, wait*3/2) {
+		if s.fleet.healthStatus(s.id) != http.StatusOK {
 			continue
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.runs() {
-			s.standing.Store(&standing{able: true, until: model.Never})
-			s.note(trace.SidecarReady, "")
+		if s.running() {
+			s.routing.Store(&routingState{ready: true, deadAt: model.Never})
+			s.addEvent(trace.SidecarReady, "")
 			if s.fleet.plan.Scenario.Fleet.Audited() {
-				s.fleet.tasks.Go(func() { s.attend(p) })
+				s.fleet.tasks.Go(func() { s.watchHealth(p) })
 			}
 		}
 		return
@@ -212,45 +212,45 @@
 
 // attend has the front look at the health of a process that may shut itself out, until it ends: one that says no gets nothing new.
 // One that does not answer is no matter of this.
-func (s *sidecar) attend(p *process) {
-	for s.pause(p, attendEach) {
-		code := s.fleet.health(s.id)
+func (s *sidecar) watchHealth(p *process) {
+	for s.sleep(p, healthInterval) {
+		code := s.fleet.healthStatus(s.id)
 		s.mu.Lock()
-		at := *s.standing.Load()
-		if out := code == http.StatusServiceUnavailable; code != 0 && out != at.out && s.process == p && !p.stopping {
-			at.out = out
-			s.standing.Store(&at)
+		at := *s.routing.Load()
+		if out := code == http.StatusServiceUnavailable; code != 0 && out != at.unhealthy && s.process == p && !p.stopping {
+			at.unhealthy = out
+			s.routing.Store(&at)
 		}
 		s.mu.Unlock()
 	}
 }
 
 // drain waits until a process says that it drains and takes it from the front.
-func (s *sidecar) drain(p *process) {
-	for s.pause(p, drainEach) {
-		if s.fleet.health(s.id) != http.StatusServiceUnavailable {
+func (s *sidecar) awaitDraining(p *process) {
+	for s.sleep(p, drainInterval) {
+		if s.fleet.healthStatus(s.id) != http.StatusServiceUnavailable {
 			continue
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.process == p && s.runs() {
-			at := *s.standing.Load()
+		if s.process == p && s.running() {
+			at := *s.routing.Load()
 			at.draining = true
-			s.standing.Store(&at)
+			s.routing.Store(&at)
 		}
 		return
 	}
 }
 
 // pause waits; false if the process or the fleet ends meanwhile.
-func (s *sidecar) pause(p *process, d time.Duration) bool {
+func (s *sidecar) sleep(p *process, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return true
-	case <-p.ended:
-	case <-s.fleet.life.Done():
+	case <-p.exited:
+	case <-s.fleet.ctx.Done():
 	}
 	return false
 }
@@ -258,43 +258,43 @@
 func (s *sidecar) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.runs() || s.process.stopping || s.process.killed || s.process.cmd.Process.Signal(syscall.SIGTERM) != nil {
+	if !s.running() || s.process.stopping || s.process.killed || s.process.cmd.Process.Signal(syscall.SIGTERM) != nil {
 		return // it has ended already
 	}
 	p := s.process
 	p.stopping = true
-	s.note(trace.SidecarStopping, "")
-	s.fleet.tasks.Go(func() { s.drain(p) })
+	s.addEvent(trace.SidecarStopping, "")
+	s.fleet.tasks.Go(func() { s.awaitDraining(p) })
 }
 
 func (s *sidecar) kill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.runs() || s.process.killed || s.process.cmd.Process.Kill() != nil {
+	if !s.running() || s.process.killed || s.process.cmd.Process.Kill() != nil {
 		return
 	}
 	s.process.killed = true
-	s.note(trace.SidecarKilled, "")
+	s.addEvent(trace.SidecarKilled, "")
 }
 
 func (s *sidecar) signal(sig syscall.Signal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.runs() {
+	if s.running() {
 		_ = s.process.cmd.Process.Signal(sig) // one that has just ended needs none
 	}
 }
 
 // hup has it follow discovery at another address. One that is down finds that at its next start, and one that
 // is not ready yet is told once it is: before that the signal might end it.
-func (s *sidecar) hup(discovery string) error {
+func (s *sidecar) reload(discovery string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.discovery = discovery
-	if !s.runs() {
+	s.discoveryAddress = discovery
+	if !s.running() {
 		return nil
 	}
-	if err := s.configure(); err != nil {
+	if err := s.writeConfig(); err != nil {
 		return err
 	}
 	p := s.process
@@ -302,20 +302,20 @@
 		<-p.settled
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.process == p && s.runs() && p.cmd.Process.Signal(syscall.SIGHUP) == nil {
-			s.note(trace.SidecarReloaded, "")
+		if s.process == p && s.running() && p.cmd.Process.Signal(syscall.SIGHUP) == nil {
+			s.addEvent(trace.SidecarReloaded, "")
 		}
 	})
 	return nil
 }
 
 // last is the present process or the last one; nil if there has been none.
-func (s *sidecar) last() *process {
+func (s *sidecar) currentProcess() *process {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.process
 }
 
-func (s *sidecar) note(what trace.SidecarEventKind, text string) {
-	s.fleet.trace.change(trace.SidecarEvent{At: s.fleet.now(), Sidecar: s.id, Kind: what, Detail: text})
+func (s *sidecar) addEvent(what trace.SidecarEventKind, text string) {
+	s.fleet.recorder.addSidecarEvent(trace.SidecarEvent{At: s.fleet.elapsed(), Sidecar: s.id, Kind: what, Detail: text})
 }
--- a/internal/lab/loopback/thrift.go
+++ b/internal/lab/loopback/thrift.go
@@ -39,8 +39,8 @@
 	resultBody   = 0                        // binary
 )
 
-// typeRefused is of the sidecar's TApplicationException that says that trying again is harmless.
-const typeRefused = 100
+// exceptionRejected is of the sidecar's TApplicationException that says that trying again is harmless.
+const exceptionRejected = 100
 
 var errThrift = errors.New("live: this is no Thrift message of the form that is expected")
 
@@ -51,7 +51,7 @@
 	seq    int32
 }
 
-var thriftConf = &thrift.TConfiguration{MaxMessageSize: requestMost, MaxContainerSize: 1 << 10,
+var thriftConf = &thrift.TConfiguration{MaxMessageSize: maxRequestSize, MaxContainerSize: 1 << 10,
 	TBinaryStrictRead: thrift.BoolPtr(true), TBinaryStrictWrite: thrift.BoolPtr(true)}
 
 func (f thriftForm) protocol(in io.Reader, out io.Writer) thrift.TProtocol {
@@ -71,7 +71,7 @@
 		if _, err := io.ReadFull(in, size[:]); err != nil {
 			return err
 		}
-		if frame.N = int64(int32(binary.BigEndian.Uint32(size[:]))); frame.N <= 0 || frame.N > answerMost {
+		if frame.N = int64(int32(binary.BigEndian.Uint32(size[:]))); frame.N <= 0 || frame.N > maxResponseSize {
 			return fmt.Errorf("%w: a frame of %d bytes", errThrift, frame.N)
 		}
 		from = &frame
--- a/internal/lab/loopback/thrift_test.go
+++ b/internal/lab/loopback/thrift_test.go
@@ -42,16 +42,16 @@
 			fault model.FaultKind
 			shift uint64 // of the id: another is nobody's
 			class string
-			want  end
+			want  clientResponse
 			ends  trace.Outcome
 		}{
-			{"whole", noFault, 0, "keyed", end{status: trace.StatusServed}, trace.OutcomeOK},
-			{"failed", model.Fail, 0, "quick", end{status: trace.StatusFailed, code: thrift.INTERNAL_ERROR}, trace.OutcomeError},
-			{"a stranger's", noFault, 1, "quick", end{status: trace.StatusFailed, code: thrift.PROTOCOL_ERROR}, trace.OutcomeError},
-			{"turned away", noFault, 0, "quick", end{status: trace.StatusFailed, code: scenario.ThriftTurnedAway}, trace.OutcomeRejected},
-			{"cut", model.Cut, 0, "quick", end{}, trace.OutcomeCorrupted},
-			{"spoilt", model.Spoil, 0, "quick", end{}, trace.OutcomeCorrupted},
-			{"dripped", model.Drip, 0, "quick", end{}, trace.OutcomeCorrupted},
+			{"whole", noFault, 0, "keyed", clientResponse{status: trace.StatusServed}, trace.OutcomeOK},
+			{"failed", model.Fail, 0, "quick", clientResponse{status: trace.StatusFailed, code: thrift.INTERNAL_ERROR}, trace.OutcomeError},
+			{"a stranger's", noFault, 1, "quick", clientResponse{status: trace.StatusFailed, code: thrift.PROTOCOL_ERROR}, trace.OutcomeError},
+			{"turned away", noFault, 0, "quick", clientResponse{status: trace.StatusFailed, code: scenario.ThriftTurnedAway}, trace.OutcomeRejected},
+			{"cut", model.Cut, 0, "quick", clientResponse{}, trace.OutcomeCorrupted},
+			{"spoilt", model.Spoil, 0, "quick", clientResponse{}, trace.OutcomeCorrupted},
+			{"dripped", model.Drip, 0, "quick", clientResponse{}, trace.OutcomeCorrupted},
 		} {
 			t.Run(c.name, func(t *testing.T) {
 				s := newStand(t, standClasses+oneTier+"slots = 1\nqueue = 1\n"+onlyThrift(protocol))
@@ -63,23 +63,23 @@
 					s.fault(0, c.fault, 1)
 				}
 				q, conn := s.next(c.class), s.dial(0)
-				q.try.TransactionID += c.shift
+				q.attempt.TransactionID += c.shift
 				s.ask(conn, q)
 				if c.fault == model.Drip {
 					if _, err := conn.in.Peek(2 * dripBytes); err != nil {
 						t.Error(err)
 					}
 					conn.Close()
-				} else if got, err := s.callers.wire.outcome(&line{in: conn.in}, &q); (err != nil) != (c.ends == trace.OutcomeCorrupted) ||
+				} else if got, err := s.transport.codec.readResponse(&clientConn{reader: conn.in}, &q); (err != nil) != (c.ends == trace.OutcomeCorrupted) ||
 					err == nil && (got.status != c.want.status || got.code != c.want.code) {
 					t.Errorf("%+v: %v", got, err)
-				} else if box, ok := checkBody(q.try.TransactionID, got.body); c.ends == trace.OutcomeOK && (!ok || box != 0) {
+				} else if box, ok := verifyBody(q.attempt.TransactionID, got.body); c.ends == trace.OutcomeOK && (!ok || box != 0) {
 					t.Error("the body is not box 0's")
 				}
 				if c.shift > 0 {
-					q.try.TransactionID = 0
+					q.attempt.TransactionID = 0
 				}
-				if v := s.visit(q.try.TransactionID); v.Outcome != c.ends {
+				if v := s.visit(q.attempt.TransactionID); v.Outcome != c.ends {
 					t.Errorf("the visit is %+v", v)
 				}
 			})
@@ -104,26 +104,26 @@
 func TestThriftGoesRound(t *testing.T) {
 	overThrift(t, func(t *testing.T, protocol string) {
 		s := newStand(t, standClasses+oneTier+onlyThrift(protocol))
-		box, wire := newCodec(s.plan), s.callers.wire
+		box, wire := newEndpointCodec(s.plan), s.transport.codec
 		for _, class := range []string{"quick", "keyed"} {
 			q := s.next(class)
-			text := wire.request(nil, &q)
-			want := ask{named: true, txn: q.try.TransactionID, request: q.try.Request, left: q.left, mark: mark{method: class, seq: int32(q.try.TransactionID)}}
+			text := wire.appendRequest(nil, &q)
+			want := incomingRequest{identified: true, transactionID: q.attempt.TransactionID, planIndex: q.attempt.Request, timeout: q.timeout, correlation: correlation{method: class, seq: int32(q.attempt.TransactionID)}}
 			if class == "keyed" {
-				want.key = q.key
+				want.idempotencyKey = q.idempotencyKey
 			}
 			in := bufio.NewReader(iotest.OneByteReader(bytes.NewReader(slices.Concat(text, text))))
 			for range 2 {
-				if a, err := box.read(in); err != nil || a != want {
+				if a, err := box.readRequest(in); err != nil || a != want {
 					t.Errorf("%+v, want %+v: %v", a, want, err)
 				}
 			}
-			if a, err := box.read(bufio.NewReader(bytes.NewReader(text[:len(text)-1]))); err == nil || !a.named {
+			if a, err := box.readRequest(bufio.NewReader(bytes.NewReader(text[:len(text)-1]))); err == nil || !a.identified {
 				t.Errorf("all but the last byte: %+v, %v", a, err)
 			}
-			l := &line{in: bufio.NewReader(bytes.NewReader(append(box.answer(nil, replyServed, want.mark, []byte("body"), false), 'x')))}
-			if e, err := wire.outcome(l, &q); err != nil || string(e.body) != "body" || l.in.Buffered() != 1 {
-				t.Errorf("%+v, %d left: %v", e, l.in.Buffered(), err)
+			l := &clientConn{reader: bufio.NewReader(bytes.NewReader(append(box.appendResponse(nil, responseOK, want.correlation, []byte("body"), false), 'x')))}
+			if e, err := wire.readResponse(l, &q); err != nil || string(e.body) != "body" || l.reader.Buffered() != 1 {
+				t.Errorf("%+v, %d left: %v", e, l.reader.Buffered(), err)
 			}
 		}
 	})
@@ -133,10 +133,10 @@
 	overThrift(t, func(t *testing.T, protocol string) {
 		s := newStand(t, standClasses+oneTier+onlyThrift(protocol))
 		random, q := rand.New(rand.NewPCG(1, 0)), s.next("quick")
-		for _, size := range []int{bodyLeast, 5000} {
+		for _, size := range []int{minBodySize, 5000} {
 			for range 300 {
-				text := newCodec(s.plan).spoil(nil, mark{method: "quick", seq: int32(q.try.TransactionID)}, answerBody(1, 2, 3, size), random)
-				if e, err := s.callers.wire.outcome(&line{in: bufio.NewReader(bytes.NewReader(text))}, &q); err == nil {
+				text := newEndpointCodec(s.plan).appendMalformed(nil, correlation{method: "quick", seq: int32(q.attempt.TransactionID)}, responseBody(1, 2, 3, size), random)
+				if e, err := s.transport.codec.readResponse(&clientConn{reader: bufio.NewReader(bytes.NewReader(text))}, &q); err == nil {
 					t.Fatalf("this passes for whole: %+v %q", e, text)
 				}
 			}
@@ -149,9 +149,9 @@
 	overThrift(t, func(t *testing.T, protocol string) {
 		form := thriftForms[protocol]
 		reply := func(method string, seq int32, body []byte) []byte {
-			return form.write(nil, thriftHead{method, thrift.REPLY, seq}, success(body))
+			return form.write(nil, thriftHead{method, thrift.REPLY, seq}, successResult(body))
 		}
-		whole := reply("unsafe_one", 5, answerBody(5, 2, 0, 64))
+		whole := reply("unsafe_one", 5, responseBody(5, 2, 0, 64))
 		exception := func(kind int32, message string) []byte {
 			return form.write(nil, thriftHead{"unsafe_one", thrift.EXCEPTION, 5}, func(w thriftWriter) { w.exception(kind, message) })
 		}
@@ -166,7 +166,7 @@
 		}{
 			{"whole", whole, trace.StatusServed, 0, 0, 1, false},
 			{"two", slices.Concat(whole, whole), trace.StatusServed, 0, 0, 2, false},
-			{"another's", reply("unsafe_one", 5, answerBody(6, 2, 0, 64)), trace.StatusServed, 0, 0, 1, true},
+			{"another's", reply("unsafe_one", 5, responseBody(6, 2, 0, 64)), trace.StatusServed, 0, 0, 1, true},
 			{"without a body", form.write(nil, thriftHead{"unsafe_one", thrift.REPLY, 5},
 				func(w thriftWriter) { w.fields(func() { w.number(7, 7) }) }), trace.StatusServed, 0, 0, 1, true},
 			{"refused with advice", exception(100, "refused: no room; retry after 0.250 s"), trace.StatusRejected, 100, 250 * time.Millisecond, 1, false},
@@ -174,8 +174,8 @@
 			{"failed", exception(101, "failed; retry after 0.250 s"), trace.StatusFailed, 101, 0, 1, false},
 			{"expired", exception(102, ""), trace.StatusFailed, 102, 0, 1, false},
 			{"unknown method", exception(1, ""), trace.StatusFailed, 1, 0, 1, false},
-			{"another sequence id", reply("unsafe_one", 6, answerBody(5, 2, 0, 64)), trace.StatusFailed, 0, 0, 0, false},
-			{"another method", reply("safe_one", 5, answerBody(5, 2, 0, 64)), trace.StatusFailed, 0, 0, 0, false},
+			{"another sequence id", reply("unsafe_one", 6, responseBody(5, 2, 0, 64)), trace.StatusFailed, 0, 0, 0, false},
+			{"another method", reply("safe_one", 5, responseBody(5, 2, 0, 64)), trace.StatusFailed, 0, 0, 0, false},
 			{"half a reply", whole[:len(whole)/2], trace.StatusFailed, 0, 0, 0, false},
 			{"HTTP", []byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), trace.StatusFailed, 0, 0, 0, false},
 			{"closed", nil, trace.StatusDisconnected, 0, 0, 0, false},
@@ -188,7 +188,7 @@
 					}
 					l.conn.Write(c.answer)
 				})
-				got := s.do(t.Context(), s.query("unsafe", 5))
+				got := s.roundTrip(t.Context(), s.query("unsafe", 5))
 				if got.Status != c.want || got.Code != c.code || got.RetryAfter != c.advice || got.Responses != c.answers ||
 					got.Forged != c.forged || got.Sent == trace.Unset {
 					t.Errorf("%+v", got)
--- a/internal/lab/loopback/throng_test.go
+++ b/internal/lab/loopback/throng_test.go
@@ -147,7 +147,7 @@
 	built := program(t)
 	for _, d := range []throng{{numbered, "drain", 20, 1, 2, 6}, {numbered, "vanish", 30, 6, 2, 6}} {
 		p := d.plan(t)
-		log, err := loopback.Play(t.Context(), p, loopback.Options{Builds: [2]string{built}, Dir: t.TempDir()})
+		log, err := loopback.Play(t.Context(), p, loopback.Options{Builds: [2]string{built}, LogDir: t.TempDir()})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/loopback/together_test.go
+++ b/internal/lab/loopback/together_test.go
@@ -54,18 +54,18 @@
 		faults  string
 		holds   func(o *together) bool
 	}{
-		{"the service is back after a while", spared + nothing, nothing, list("down", "0s", "1500ms", ""), func(o *together) bool {
+		{"the service is back after a while", spared + nothing, nothing, listResponse("down", "0s", "1500ms", ""), func(o *together) bool {
 			return o.res.Together.Turned == 0 && o.res.Together.Unready == 0 && o.res.Together.Unheard == 0
 		}},
 		{"a third is killed in the middle, and comes again", spared + nothing, nothing,
-			list("down", "0s", "1s", "") + "[[fault]]\nkind = \"sidecar_kill\"\nat = \"2s\"\nboxes = 4\nback = \"1s\"\n", func(o *together) bool {
+			listResponse("down", "0s", "1s", "") + "[[fault]]\nkind = \"sidecar_kill\"\nat = \"2s\"\nboxes = 4\nback = \"1s\"\n", func(o *together) bool {
 				return o.res.Together.Turned == 0 && o.res.Together.Unready == 0 && o.res.Together.Unheard == 0 && o.count(trace.SidecarStarted) == 16
 			}},
-		{"down for good, with a list that is known", spared + something, spared + nothing, list("down", "0s", "20s", ""), func(o *together) bool {
+		{"down for good, with a list that is known", spared + something, spared + nothing, listResponse("down", "0s", "20s", ""), func(o *together) bool {
 			return o.res.Together.Unready == 0 && o.served() > 0
 		}},
 		{"all are stopped in the middle of their first call", spared + nothing, nothing,
-			list("slow", "0s", "5s", "back = \"3s\"") + "[[fault]]\nkind = \"sidecar_pause\"\nat = \"2500ms\"\nshare = 1.0\nfor = \"4s\"\n", func(o *together) bool {
+			listResponse("slow", "0s", "5s", "back = \"3s\"") + "[[fault]]\nkind = \"sidecar_pause\"\nat = \"2500ms\"\nshare = 1.0\nfor = \"4s\"\n", func(o *together) bool {
 				return o.given() == 0 && o.log("was stopped") >= 6
 			}},
 		{"half are cut off from the service, and healed", spared + something, something,
@@ -74,7 +74,7 @@
 			}},
 		// Each asks again 1.5 s after the empty list, and would take it after 2.5 s: most must have come to that.
 		{"an empty list at first", strings.Replace(spared, "calls = 5", "calls = 8", 1) + something, something,
-			list("wrong", "0s", "1s", "of = \"empty\""), func(o *together) bool { return o.log(`"complete":true,"members":0,`) < 6 }},
+			listResponse("wrong", "0s", "1s", "of = \"empty\""), func(o *together) bool { return o.log(`"complete":true,"members":0,`) < 6 }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -99,7 +99,7 @@
 	}
 }
 
-func list(kind, at, dur, more string) string {
+func listResponse(kind, at, dur, more string) string {
 	return "[[fault]]\nkind = \"list_" + kind + "\"\nat = \"" + at + "\"\nfor = \"" + dur + "\"\n" + more + "\n"
 }
 
@@ -116,7 +116,7 @@
 	t.Helper()
 	p, o := planned(t, text), &together{t: t, dir: t.TempDir()}
 	var err error
-	if o.played, err = loopback.Play(context.Background(), p, loopback.Options{Builds: [2]string{build}, Dir: o.dir}); err != nil {
+	if o.played, err = loopback.Play(context.Background(), p, loopback.Options{Builds: [2]string{build}, LogDir: o.dir}); err != nil {
 		t.Fatal(err)
 	}
 	o.verdict = judge.Judge(p, o.played)
--- a/internal/lab/loopback/trails.go
+++ b/internal/lab/loopback/trails.go
@@ -21,31 +21,31 @@
 )
 
 const (
-	reportWithin = 5 * time.Second
-	reportMost   = 4 << 20 // bytes
-	pagesMost    = 1000    // of one trail
-	auditorEnds  = 5 * time.Second
-	countWithin  = 30 * time.Second
-	countEach    = 20 * time.Millisecond
+	reportTimeout      = 5 * time.Second
+	maxReportSize      = 4 << 20 // bytes
+	maxReportPages     = 1000    // of one trail
+	auditorStopTimeout = 5 * time.Second
+	flushTimeout       = 30 * time.Second
+	flushInterval      = 20 * time.Millisecond
 )
 
-// endAudits ends the auditors as an operator does, reads the trails of the sidecars that run, and adds what auditors have of
+// collectAudits ends the auditors as an operator does, reads the trails of the sidecars that run, and adds what auditors have of
 // those that don't any more.
-func (r *run) endAudits() {
+func (r *run) collectAudits() {
 	if !r.plan.Operators() {
 		return
 	}
-	log := &r.trace.log
+	log := &r.recorder.log
 	log.AuditLogs, log.Findings = map[int][]auditlog.Entry{}, map[string][]byte{}
 	for _, a := range r.auditors {
 		a.signal(syscall.SIGCONT) // one that is stopped takes no other signal
 		a.signal(syscall.SIGINT)
-		late := time.AfterFunc(auditorEnds, func() { a.signal(syscall.SIGKILL) })
+		late := time.AfterFunc(auditorStopTimeout, func() { a.signal(syscall.SIGKILL) })
 		a.wait()
 		late.Stop()
-		log.Findings[a.plan.Name], _ = os.ReadFile(a.found()) // one that never started has found nothing
-		text, _ := os.ReadFile(a.kept())
-		r.addKept(text)
+		log.Findings[a.plan.Name], _ = os.ReadFile(a.findingsPath()) // one that never started has found nothing
+		text, _ := os.ReadFile(a.statePath())
+		r.addAuditorState(text)
 	}
 	log.Reports = make([]auditlog.Report, len(r.plan.Sidecars))
 	var mu sync.Mutex
@@ -55,8 +55,8 @@
 			continue
 		}
 		all.Go(func() {
-			r.count(i)
-			report, entries := r.wholeReport(i)
+			r.flushCounts(i)
+			report, entries := r.completeReport(i)
 			mu.Lock()
 			defer mu.Unlock()
 			log.Reports[i] = report
@@ -65,35 +65,35 @@
 	}
 	all.Wait()
 	for i, entries := range log.AuditLogs {
-		log.AuditLogs[i] = inOrder(entries)
+		log.AuditLogs[i] = sortedUnique(entries)
 	}
 }
 
 // count has a sidecar that runs write down what it has counted: settings that differ end the count under the version before.
 // It waits for that until the process has ended or for a while.
-func (r *run) count(sidecar int) {
+func (r *run) flushCounts(sidecar int) {
 	s := r.fleet.sidecars[sidecar]
 	s.signal(syscall.SIGCONT)
-	before, err := r.report(sidecar, 1)
+	before, err := r.fetchReport(sidecar, 1)
 	if err != nil {
 		return
 	}
 	s.mu.Lock()
-	s.closing = true
-	discovery := s.discovery
+	s.finalSettings = true
+	discovery := s.discoveryAddress
 	s.mu.Unlock()
-	if s.hup(discovery) != nil {
+	if s.reload(discovery) != nil {
 		return
 	}
-	for until := time.Now().Add(countWithin); time.Now().Before(until) && s.pause(s.last(), countEach); {
-		if now, err := r.report(sidecar, before.Next); err == nil && now.Version.Settings != before.Version.Settings {
+	for until := time.Now().Add(flushTimeout); time.Now().Before(until) && s.sleep(s.currentProcess(), flushInterval); {
+		if now, err := r.fetchReport(sidecar, before.Next); err == nil && now.Version.Settings != before.Version.Settings {
 			return
 		}
 	}
 }
 
-// addKept adds the entries in what an auditor has kept. One that has kept nothing has none.
-func (r *run) addKept(text []byte) {
+// addAuditorState adds the entries in what an auditor has kept. One that has kept nothing has none.
+func (r *run) addAuditorState(text []byte) {
 	var kept struct {
 		History struct {
 			Sidecars map[string]struct{ Entries []auditlog.Entry }
@@ -104,24 +104,24 @@
 	}
 	for i := range r.plan.Sidecars {
 		if s, has := kept.History.Sidecars[r.plan.Sidecars[i].Name]; has && r.plan.Sidecars[i].Box < 0 {
-			r.trace.log.AuditLogs[i] = append(r.trace.log.AuditLogs[i], s.Entries...)
+			r.recorder.log.AuditLogs[i] = append(r.recorder.log.AuditLogs[i], s.Entries...)
 		}
 	}
 }
 
-// inOrder is each entry once, in the order of time and numbers.
-func inOrder(entries []auditlog.Entry) []auditlog.Entry {
+// sortedUnique is each entry once, in the order of time and numbers.
+func sortedUnique(entries []auditlog.Entry) []auditlog.Entry {
 	slices.SortStableFunc(entries, func(a, b auditlog.Entry) int {
 		return cmp.Or(cmp.Compare(a.Life, b.Life), cmp.Compare(a.Seq, b.Seq), cmp.Compare(a.Sum, b.Sum))
 	})
 	return slices.CompactFunc(entries, func(a, b auditlog.Entry) bool { return a.Life == b.Life && a.Seq == b.Seq && a.Sum == b.Sum })
 }
 
-// wholeReport is what a sidecar answers auditors, with its whole trail; empty where nothing answers.
-func (r *run) wholeReport(sidecar int) (last auditlog.Report, entries []auditlog.Entry) {
+// completeReport is what a sidecar answers auditors, with its whole trail; empty where nothing answers.
+func (r *run) completeReport(sidecar int) (last auditlog.Report, entries []auditlog.Entry) {
 	since := uint64(1)
-	for range pagesMost {
-		report, err := r.report(sidecar, since)
+	for range maxReportPages {
+		report, err := r.fetchReport(sidecar, since)
 		if err != nil {
 			return last, entries
 		}
@@ -136,12 +136,12 @@
 }
 
 // report asks the process of a sidecar that runs, past any link.
-func (r *run) report(sidecar int, since uint64) (out auditlog.Report, err error) {
-	p := r.fleet.sidecars[sidecar].last()
-	if p == nil || p.control == "" {
+func (r *run) fetchReport(sidecar int, since uint64) (out auditlog.Report, err error) {
+	p := r.fleet.sidecars[sidecar].currentProcess()
+	if p == nil || p.controlAddress == "" {
 		return out, fmt.Errorf("live: sidecar %d has no process", sidecar)
 	}
-	_, text, err := r.operate(http.MethodGet, fmt.Sprintf("http://%s/admin/audit?since=%d", p.control, since), nil)
+	_, text, err := r.controlCall(http.MethodGet, fmt.Sprintf("http://%s/admin/audit?since=%d", p.controlAddress, since), nil)
 	if err != nil {
 		return out, err
 	}
@@ -149,51 +149,51 @@
 }
 
 // operate makes an operator's call.
-func (r *run) operate(method, url string, body []byte) (code int, text []byte, err error) {
-	ctx, cancel := context.WithTimeout(r.fleet.life, reportWithin)
+func (r *run) controlCall(method, url string, body []byte) (code int, text []byte, err error) {
+	ctx, cancel := context.WithTimeout(r.fleet.ctx, reportTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
 	}
-	answer, err := r.fleet.operators.Do(req)
+	answer, err := r.fleet.controlClient.Do(req)
 	if err != nil {
 		return 0, nil, err
 	}
 	defer answer.Body.Close()
-	text, err = io.ReadAll(io.LimitReader(answer.Body, reportMost))
+	text, err = io.ReadAll(io.LimitReader(answer.Body, maxReportSize))
 	return answer.StatusCode, text, err
 }
 
 // orders are those that the rig has kept, to give them again.
-type orders struct {
-	run  *run
-	mu   sync.Mutex
-	kept map[int]version.Order
+type orderReplayer struct {
+	run   *run
+	mu    sync.Mutex
+	saved map[int]version.Order
 }
 
 // keep remembers the order in force at a sidecar; none where there is none.
-func (o *orders) keep(e plan.Event) {
-	o.run.later.Go(func() {
-		report, err := o.run.report(e.Sidecar, 1)
+func (o *orderReplayer) save(e plan.Event) {
+	o.run.scheduled.Go(func() {
+		report, err := o.run.fetchReport(e.Sidecar, 1)
 		o.mu.Lock()
 		defer o.mu.Unlock()
-		if o.kept == nil {
-			o.kept = map[int]version.Order{}
+		if o.saved == nil {
+			o.saved = map[int]version.Order{}
 		}
 		if err == nil && report.Floor != nil {
-			o.kept[e.ID] = version.Order{Floor: *report.Floor, Ticket: report.Ticket}
+			o.saved[e.ID] = version.Order{Floor: *report.Floor, Ticket: report.Ticket}
 		}
 	})
 }
 
 // play gives it again.
-func (o *orders) play(e plan.Event) {
+func (o *orderReplayer) replay(e plan.Event) {
 	o.mu.Lock()
-	order, has := o.kept[e.ID]
+	order, has := o.saved[e.ID]
 	o.mu.Unlock()
 	if !has {
-		o.run.broken(e.Sidecar, fmt.Errorf("live: there was no order to be played again"))
+		o.run.recordRigFailure(e.Sidecar, fmt.Errorf("live: there was no order to be played again"))
 		return
 	}
 	order.Floor.Epoch += uint64(e.Raised)
@@ -201,9 +201,9 @@
 	if err != nil {
 		panic(err) // all of it is plain
 	}
-	o.run.later.Go(func() {
-		at := o.run.now()
-		code, _, _ := o.run.operate(http.MethodPost, "http://"+o.run.operators(e.Sidecar)+"/admin/floor", body) // no answer is code 0
-		o.run.trace.ordered(trace.ReplayedOrder{At: at, Sidecar: e.Sidecar, Epoch: order.Floor.Epoch, StatusCode: code})
+	o.run.scheduled.Go(func() {
+		at := o.run.elapsed()
+		code, _, _ := o.run.controlCall(http.MethodPost, "http://"+o.run.controlAddress(e.Sidecar)+"/admin/floor", body) // no answer is code 0
+		o.run.recorder.addReplayedOrder(trace.ReplayedOrder{At: at, Sidecar: e.Sidecar, Epoch: order.Floor.Epoch, StatusCode: code})
 	})
 }
--- a/internal/lab/loopback/upgrade.go
+++ b/internal/lab/loopback/upgrade.go
@@ -8,14 +8,14 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-const yesWithin = 6 * time.Second // the new process of an upgrade is due by then
+const upgradeTimeout = 6 * time.Second // the new process of an upgrade is due by then
 
 // upgrade starts a second process beside the one that runs, and ends that one once the second says yes to operators. The
 // sidecar is in service all the time: nothing excuses what is lost meanwhile.
 func (s *sidecar) upgrade() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.runs() {
+	if !s.running() {
 		return nil
 	}
 	old := s.process
@@ -24,44 +24,44 @@
 		return err
 	}
 	close(p.settled)
-	s.note(trace.SidecarUpgradeStarted, "")
+	s.addEvent(trace.SidecarUpgradeStarted, "")
 	s.fleet.tasks.Go(func() { s.wait(p) })
-	s.fleet.tasks.Go(func() { s.succeed(old, p) })
+	s.fleet.tasks.Go(func() { s.finishUpgrade(old, p) })
 	return nil
 }
 
 // succeed has the new process take the old one's place.
-func (s *sidecar) succeed(old, p *process) {
+func (s *sidecar) finishUpgrade(old, p *process) {
 	from := time.Now()
-	for s.fleet.asked("http://"+p.control+"/admin/health") != http.StatusOK {
-		if !s.pause(p, readySoonest) || time.Since(from) > yesWithin {
-			s.note(trace.SidecarCrashed, "the new process of an upgrade does not say yes")
-			s.end(p)
-			s.note(trace.SidecarUpgradeFinished, "")
+	for s.fleet.getStatus("http://"+p.controlAddress+"/admin/health") != http.StatusOK {
+		if !s.sleep(p, minReadyInterval) || time.Since(from) > upgradeTimeout {
+			s.addEvent(trace.SidecarCrashed, "the new process of an upgrade does not say yes")
+			s.killProcess(p)
+			s.addEvent(trace.SidecarUpgradeFinished, "")
 			return
 		}
 	}
 	s.mu.Lock()
 	s.process, old.stopping = p, true
-	s.lead()
+	s.updateControlLink()
 	_ = old.cmd.Process.Signal(syscall.SIGTERM) // one that has just ended needs none
 	s.mu.Unlock()
-	late := time.NewTimer(s.fleet.grace())
+	late := time.NewTimer(s.fleet.gracePeriod())
 	defer late.Stop()
 	select {
-	case <-old.ended:
+	case <-old.exited:
 	case <-late.C:
-	case <-s.fleet.life.Done():
+	case <-s.fleet.ctx.Done():
 	}
-	s.end(old)
-	s.note(trace.SidecarUpgradeFinished, "")
+	s.killProcess(old)
+	s.addEvent(trace.SidecarUpgradeFinished, "")
 }
 
 // end kills a process that is not the sidecar's, if it still runs.
-func (s *sidecar) end(p *process) {
+func (s *sidecar) killProcess(p *process) {
 	s.mu.Lock()
 	p.killed = true
 	s.mu.Unlock()
 	_ = p.cmd.Process.Kill()
-	<-p.ended
+	<-p.exited
 }
