--- a/internal/lab/loopback/body.go
+++ b/internal/lab/loopback/body.go
@@ -8,49 +8,50 @@
 	"strings"
 )
 
-// An answer's body begins with whom it is for and who made it; the rest is drawn from these and its length,
-// so that a body with a byte changed, added or left out is told from a whole one.
+// The body of a response begins with the request's transaction id, the endpoint and the request's number; the rest is drawn from
+// these and the length, so that a body with a byte changed, added or left out fails verifyBody.
 const (
-	bodyHeaderSize = 16 // bytes: id, box, visit
+	bodyHeaderSize = 16 // bytes: 8 of the id, 4 of the endpoint, 4 of the number
 	minBodySize    = bodyHeaderSize + 8
 )
 
-// target is the path of a request: its class, as the protocol has it, and its place in the plan.
+// requestPath is the path of a request: its class, and its index in the plan.
 func requestPath(class string, request int) string { return "/" + class + "/" + strconv.Itoa(request) }
 
-// parseRequestPath reads the place in the plan. The caller checks that there is such a request, and its class.
+// parseRequestPath reads the index in the plan. The caller checks that there is such a request, and its class.
 func parseRequestPath(path string) (request int, ok bool) {
-	at := strings.LastIndexByte(path, '/')
-	if at < 1 {
+	slash := strings.LastIndexByte(path, '/')
+	if slash < 1 {
 		return 0, false
 	}
-	request, err := strconv.Atoi(path[at+1:])
+	request, err := strconv.Atoi(path[slash+1:])
 	return request, err == nil && request >= 0
 }
 
-// responseBody is the body of a box's 200 for its nth visit of an id, of size bytes or the fewest that it needs.
-func responseBody(txn uint64, box, visit, size int) []byte {
+// responseBody is the body of an endpoint's 200 for its request of that number with a transaction id, of size bytes or minBodySize,
+// whichever is more.
+func responseBody(transactionID uint64, endpoint, number, size int) []byte {
 	body := make([]byte, 0, max(size, minBodySize)+7)
-	body = binary.BigEndian.AppendUint64(body, txn)
-	body = binary.BigEndian.AppendUint32(body, uint32(box))
-	body = binary.BigEndian.AppendUint32(body, uint32(visit))
+	body = binary.BigEndian.AppendUint64(body, transactionID)
+	body = binary.BigEndian.AppendUint32(body, uint32(endpoint))
+	body = binary.BigEndian.AppendUint32(body, uint32(number))
 	size = max(size, minBodySize)
-	fill := rand.NewPCG(txn, uint64(uint32(box))<<32^uint64(uint32(visit))^uint64(size)<<16)
+	fill := rand.NewPCG(transactionID, uint64(uint32(endpoint))<<32^uint64(uint32(number))^uint64(size)<<16)
 	for len(body) < size {
 		body = binary.LittleEndian.AppendUint64(body, fill.Uint64())
 	}
 	return body[:size]
 }
 
-// verifyBody says which box made a body, and whether it is a whole one for this id.
-func verifyBody(txn uint64, body []byte) (box int, ok bool) {
+// verifyBody returns the endpoint that made a body; false if it is not a complete body for this transaction id.
+func verifyBody(transactionID uint64, body []byte) (endpoint int, ok bool) {
 	if len(body) < minBodySize {
 		return -1, false
 	}
-	box = int(binary.BigEndian.Uint32(body[8:]))
-	visit := int(binary.BigEndian.Uint32(body[12:]))
-	if !bytes.Equal(body, responseBody(txn, box, visit, len(body))) {
+	endpoint = int(binary.BigEndian.Uint32(body[8:]))
+	number := int(binary.BigEndian.Uint32(body[12:]))
+	if !bytes.Equal(body, responseBody(transactionID, endpoint, number, len(body))) {
 		return -1, false
 	}
-	return box, true
+	return endpoint, true
 }
--- a/internal/lab/loopback/box_test.go
+++ b/internal/lab/loopback/endpoint_test.go
@@ -591,7 +591,7 @@
 	c, q := s.dial(0), s.next("quick")
 	begun := time.Now()
 	s.ask(c, q)
-	var some [3 * dripBytes]byte
+	var some [3 * dripSize]byte
 	if _, err := io.ReadFull(c, some[:]); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/loopback/door.go
+++ b/internal/lab/loopback/fault_listener.go
@@ -41,100 +41,100 @@
 
 // newFaultListener makes one that is open or shut. Admit takes over each connection that comes up.
 func newFaultListener(addr string, state listenState, admit func(*net.TCPConn)) (*faultListener, error) {
-	d := &faultListener{address: addr, handle: admit, requested: make(chan listenState, 1), done: make(chan struct{}), state: stateRefusing}
+	l := &faultListener{address: addr, handle: admit, requested: make(chan listenState, 1), done: make(chan struct{}), state: stateRefusing}
 	if state == stateAccepting {
-		if err := d.listen(); err != nil {
+		if err := l.listen(); err != nil {
 			return nil, err
 		}
-		d.state = stateAccepting
-		d.startAccepting()
+		l.state = stateAccepting
+		l.startAccepting()
 	}
-	d.goroutines.Go(d.loop)
-	return d, nil
+	l.goroutines.Go(l.loop)
+	return l, nil
 }
 
 // want has it turned soon. Calls must not overlap.
-func (d *faultListener) requestState(e listenState) {
+func (l *faultListener) requestState(state listenState) {
 	select {
-	case <-d.requested:
+	case <-l.requested:
 	default:
 	}
-	d.requested <- e
+	l.requested <- state
 }
 
 // close shuts it and waits for its goroutines.
-func (d *faultListener) close() {
-	close(d.done)
-	d.goroutines.Wait()
+func (l *faultListener) close() {
+	close(l.done)
+	l.goroutines.Wait()
 }
 
-func (d *faultListener) loop() {
+func (l *faultListener) loop() {
 	for {
 		select {
-		case e := <-d.requested:
-			if e != d.state {
-				d.changeState(e)
+		case state := <-l.requested:
+			if state != l.state {
+				l.changeState(state)
 			}
-		case <-d.done:
-			d.stopListening()
+		case <-l.done:
+			l.stopListening()
 			return
 		}
 	}
 }
 
 // turn goes by way of shut, except from open to blind: no connection is to come up or be refused in between.
-func (d *faultListener) changeState(to listenState) {
-	if d.state != stateAccepting {
-		d.stopListening()
+func (l *faultListener) changeState(to listenState) {
+	if l.state != stateAccepting {
+		l.stopListening()
 	}
 	switch to {
 	case stateRefusing:
-		d.stopListening()
+		l.stopListening()
 	case stateAccepting:
-		if !d.retryListen() {
+		if !l.retryListen() {
 			return
 		}
-		d.startAccepting()
+		l.startAccepting()
 	case stateBlackholed:
-		if d.listener == nil && !d.retryListen() {
+		if l.listener == nil && !l.retryListen() {
 			return
 		}
-		d.blackhole()
+		l.blackhole()
 	}
-	d.state = to
+	l.state = to
 }
 
-func (d *faultListener) listen() error {
-	l, err := net.Listen("tcp", d.address)
+func (l *faultListener) listen() error {
+	socket, err := net.Listen("tcp", l.address)
 	if err == nil {
-		d.listener = l.(*net.TCPListener)
+		l.listener = socket.(*net.TCPListener)
 	}
 	return err
 }
 
 // retryListen tries until the address is free: all that may hold it is a socket of ours that is just closing.
 // It returns false if the door is closed meanwhile.
-func (d *faultListener) retryListen() bool {
-	for d.listen() != nil {
+func (l *faultListener) retryListen() bool {
+	for l.listen() != nil {
 		select {
 		case <-time.After(listenRetryInterval):
-		case <-d.done:
+		case <-l.done:
 			return false
 		}
 	}
 	return true
 }
 
-func (d *faultListener) startAccepting() {
-	l, ended := d.listener, make(chan struct{})
-	d.acceptorDone = ended
-	d.goroutines.Go(func() {
+func (l *faultListener) startAccepting() {
+	socket, ended := l.listener, make(chan struct{})
+	l.acceptorDone = ended
+	l.goroutines.Go(func() {
 		defer close(ended)
 		for {
-			c, err := l.AcceptTCP()
+			conn, err := socket.AcceptTCP()
 			switch {
 			case err == nil:
-				d.handle(c)
+				l.handle(conn)
 			case errors.Is(err, net.ErrClosed), errors.Is(err, os.ErrDeadlineExceeded):
 				return
 			default: // out of descriptors, say
@@ -145,37 +145,37 @@
 }
 
 // shut closes the listener, by which the system resets what waits to be accepted.
-func (d *faultListener) stopListening() {
-	if d.listener == nil {
+func (l *faultListener) stopListening() {
+	if l.listener == nil {
 		return
 	}
-	d.listener.Close()
-	if d.acceptorDone != nil {
-		<-d.acceptorDone
-		d.acceptorDone = nil
+	l.listener.Close()
+	if l.acceptorDone != nil {
+		<-l.acceptorDone
+		l.acceptorDone = nil
 	}
-	for _, c := range d.fillers {
-		c.Close()
+	for _, conn := range l.fillers {
+		conn.Close()
 	}
-	d.listener, d.fillers, d.state = nil, nil, stateRefusing
+	l.listener, l.fillers, l.state = nil, nil, stateRefusing
 }
 
 // blind stops accepting and fills the line of those that wait for it: Linux then drops what asks for a
 // connection, as if it had never come.
-func (d *faultListener) blackhole() {
-	if d.acceptorDone != nil {
-		_ = d.listener.SetDeadline(time.Unix(1, 0)) // it fails on a closed listener alone, and this one is open
-		<-d.acceptorDone
-		d.acceptorDone = nil
+func (l *faultListener) blackhole() {
+	if l.acceptorDone != nil {
+		_ = l.listener.SetDeadline(time.Unix(1, 0)) // it fails on a closed listener alone, and this one is open
+		<-l.acceptorDone
+		l.acceptorDone = nil
 	}
-	if raw, err := d.listener.SyscallConn(); err == nil {
+	if raw, err := l.listener.SyscallConn(); err == nil {
 		_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), 0) }) // a longer line is filled all the same
 	}
 	for range maxFillers {
-		c, err := net.DialTimeout("tcp", d.address, fillTimeout)
+		conn, err := net.DialTimeout("tcp", l.address, fillTimeout)
 		if err != nil {
 			return
 		}
-		d.fillers = append(d.fillers, c)
+		l.fillers = append(l.fillers, conn)
 	}
 }
--- a/internal/lab/loopback/boxhttp.go
+++ b/internal/lab/loopback/http_codec.go
@@ -13,10 +13,15 @@
 	"pinelb.example/pinelb/internal/lab/plan"
 )
 
-// maxRequestBody is the most that a body may hold.
-const maxRequestBody = 64 << 10
+const (
+	maxRequestBody  = 64 << 10 // bytes
+	maxNoise        = 512      // bytes of random data in place of a response
+	malformedFiller = 500      // header lines of a head that doesn't end
+)
+
+var errBodyTooLarge = fmt.Errorf("loopback: request body of more than %d bytes", maxRequestBody)
 
-// http1 is HTTP/1.1 as boxes and callers speak it.
+// http1Codec is HTTP/1.1 as endpoints and clients speak it.
 type http1Codec struct{ plan *plan.Plan }
 
 func (h http1Codec) readRequest(in *bufio.Reader) (incomingRequest, error) {
@@ -24,37 +29,38 @@
 	if err != nil {
 		return incomingRequest{}, err
 	}
-	a := incomingRequest{planIndex: -1, closeAfter: req.Close, correlation: correlation{http: true}}
+	request := incomingRequest{planIndex: -1, closeAfter: req.Close, correlation: correlation{http: true}}
 	if req.Method == http.MethodGet && (req.RequestURI == "/ping" || req.RequestURI == "/_load") {
-		a.healthCheck = true
-		return a, nil
+		request.healthCheck = true
+		return request, nil
 	}
 	if id := req.Header.Get("X-Txn"); id != "" {
-		a.identified = true
-		a.transactionID, _ = parseHex(id, 16) // a faulty one is 0, which nobody made
+		request.identified = true
+		request.transactionID, _ = parseHex(id, 16) // a malformed one is 0, which no client uses
 	}
 	if ms, err := strconv.ParseUint(req.Header.Get("X-Remaining-Ms"), 10, 31); err == nil {
-		a.timeout = time.Duration(ms) * time.Millisecond
+		request.timeout = time.Duration(ms) * time.Millisecond
 	}
-	a.baggage = req.Header.Get("Baggage")
+	request.baggage = req.Header.Get("Baggage")
 	body, err := io.ReadAll(io.LimitReader(req.Body, maxRequestBody+1))
 	if err != nil {
-		return a, err
+		return request, err
 	}
 	if len(body) > maxRequestBody {
-		return a, fmt.Errorf("live: a body of more than %d bytes", maxRequestBody)
+		return request, errBodyTooLarge
 	}
-	a.planIndex, a.idempotencyKey = h.identify(req, body)
-	return a, nil
+	request.planIndex, request.idempotencyKey = h.identify(req, body)
+	return request, nil
 }
 
-// place is where the plan has a request and its key, if method, path, key and body are as its caller wrote them.
-func (h http1Codec) identify(req *http.Request, body []byte) (request int, key uint64) {
-	i, ok := parseRequestPath(req.RequestURI)
-	if !ok || i >= len(h.plan.Requests) {
+// identify returns the plan's index of a request and its idempotency key, if method, path, key and body are as a client writes
+// them; otherwise -1.
+func (h http1Codec) identify(req *http.Request, body []byte) (planIndex int, key uint64) {
+	index, ok := parseRequestPath(req.RequestURI)
+	if !ok || index >= len(h.plan.Requests) {
 		return -1, 0
 	}
-	class := &h.plan.Scenario.Class[h.plan.Requests[i].Class]
+	class := &h.plan.Scenario.Class[h.plan.Requests[index].Class]
 	method, size := http.MethodPost, class.Body
 	if class.Effect == "safe" {
 		method, size = http.MethodGet, 0
@@ -65,7 +71,7 @@
 			return -1, 0
 		}
 	}
-	if req.Method != method || req.RequestURI != requestPath(class.Name, i) || len(body) != size ||
+	if req.Method != method || req.RequestURI != requestPath(class.Name, index) || len(body) != size ||
 		(text != "") != (class.Effect == "keyed") {
 		return -1, 0
 	}
@@ -74,18 +80,19 @@
 			return -1, 0
 		}
 	}
-	return i, key
+	return index, key
 }
 
-// parseHex reads a number of exactly so many digits that fits 64 bits.
+// parseHex parses a hexadecimal number of exactly that many digits; false if it is none or exceeds 64 bits.
 func parseHex(text string, digits int) (uint64, bool) {
 	if len(text) != digits {
 		return 0, false
 	}
-	v, err := strconv.ParseUint(text, 16, 64)
-	return v, err == nil
+	value, err := strconv.ParseUint(text, 16, 64)
+	return value, err == nil
 }
 
+// responseHeads are the status lines, after the version, and the fixed headers.
 var responseHeads = [...]string{
 	responseOK:         "200 OK\r\n",
 	responseError:      "500 Internal Server Error\r\n",
@@ -94,12 +101,12 @@
 	responseNotFound:   "404 Not Found\r\n",
 }
 
-func (http1Codec) appendResponse(out []byte, what responseKind, to correlation, body []byte, last bool) []byte {
-	out = append(append(out, "HTTP/1.1 "...), responseHeads[what]...)
-	if t := to.reportedAttempts.String(); t != "" {
-		out = append(append(append(out, budget.TriedHeader+": "...), t...), "\r\n"...)
+func (http1Codec) appendResponse(out []byte, kind responseKind, to correlation, body []byte, closeAfter bool) []byte {
+	out = append(append(out, "HTTP/1.1 "...), responseHeads[kind]...)
+	if attempts := to.reportedAttempts.String(); attempts != "" {
+		out = append(append(append(out, budget.TriedHeader+": "...), attempts...), "\r\n"...)
 	}
-	if last {
+	if closeAfter {
 		out = append(out, "Connection: close\r\n"...)
 	}
 	out = strconv.AppendInt(append(out, "Content-Length: "...), int64(len(body)), 10)
@@ -107,29 +114,34 @@
 }
 
 func (http1Codec) appendMalformed(out []byte, _ correlation, body []byte, random *rand.Rand) []byte {
-	n := len(body)
+	size := len(body)
 	switch random.IntN(7) {
-	case 0: // noise
-		for range 1 + random.IntN(512) {
-			out = append(out, byte(random.Uint32()))
-		}
-		return out
-	case 1: // no status
-		out = fmt.Appendf(out, "HTTP/1.1 2O0 OK\r\nContent-Length: %d\r\n\r\n", n)
-	case 2: // less than it says
-		out = fmt.Appendf(out, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", n+1+random.IntN(1000))
+	case 0:
+		return appendNoise(out, random)
+	case 1: // a status code that is no number
+		out = fmt.Appendf(out, "HTTP/1.1 2O0 OK\r\nContent-Length: %d\r\n\r\n", size)
+	case 2: // a body shorter than its length
+		out = fmt.Appendf(out, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", size+1+random.IntN(1000))
 	case 3: // two lengths
-		out = fmt.Appendf(out, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\nContent-Length: %d\r\n\r\n", n, n+1)
+		out = fmt.Appendf(out, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\nContent-Length: %d\r\n\r\n", size, size+1)
 	case 4: // a length that is no number
-		out = fmt.Appendf(out, "HTTP/1.1 200 OK\r\nContent-Length: -%d\r\n\r\n", n)
+		out = fmt.Appendf(out, "HTTP/1.1 200 OK\r\nContent-Length: -%d\r\n\r\n", size)
 	case 5: // a chunk without a size
 		out = append(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nsize\r\n"...)
 	default: // a head that does not end
 		out = append(out, "HTTP/1.1 200 OK\r\n"...)
-		for i := range 500 {
+		for i := range malformedFiller {
 			out = fmt.Appendf(out, "X-Filler-%d: %064d\r\n", i, i)
 		}
 		return out
 	}
 	return append(out, body...)
 }
+
+// appendNoise appends random bytes.
+func appendNoise(out []byte, random *rand.Rand) []byte {
+	for range 1 + random.IntN(maxNoise) {
+		out = append(out, byte(random.Uint32()))
+	}
+	return out
+}
--- a/internal/lab/loopback/link.go
+++ b/internal/lab/loopback/link.go
@@ -46,8 +46,8 @@
 }
 
 // begin puts a fault on; with end, it goes.
-func (l *link) beginFault(id int, f plan.Link) {
-	l.updateFaults(func() { l.faults[id] = f }, f.How == plan.LinkReset)
+func (l *link) beginFault(id int, fault plan.Link) {
+	l.updateFaults(func() { l.faults[id] = fault }, fault.How == plan.LinkReset)
 }
 
 func (l *link) endFault(id int) { l.updateFaults(func() { delete(l.faults, id) }, false) }
@@ -57,13 +57,13 @@
 	defer l.mu.Unlock()
 	change()
 	if reset {
-		for p := range l.connections {
-			p.reset()
+		for conn := range l.connections {
+			conn.reset()
 		}
 	}
 	want := stateAccepting
-	for _, f := range l.faults {
-		if f.Cuts(true) || f.Cuts(false) {
+	for _, fault := range l.faults {
+		if fault.Cuts(true) || fault.Cuts(false) {
 			want = stateBlackholed // a handshake needs both ways
 		}
 	}
@@ -83,8 +83,8 @@
 	l.cancel()
 	l.listener.close()
 	l.mu.Lock()
-	for p := range l.connections {
-		p.reset()
+	for conn := range l.connections {
+		conn.reset()
 	}
 	l.mu.Unlock()
 	l.goroutines.Wait()
@@ -102,19 +102,19 @@
 			near.Close()
 			return
 		}
-		p := &proxiedConn{near, far}
+		conn := &proxiedConn{near, far}
 		l.mu.Lock()
-		l.connections[p] = struct{}{}
+		l.connections[conn] = struct{}{}
 		if l.ctx.Err() != nil {
-			p.reset()
+			conn.reset()
 		}
 		l.mu.Unlock()
 		var both sync.WaitGroup
-		both.Go(func() { l.copyOneWay(p, far, near, true) })
-		both.Go(func() { l.copyOneWay(p, near, far, false) })
+		both.Go(func() { l.copyOneWay(conn, far, near, true) })
+		both.Go(func() { l.copyOneWay(conn, near, far, false) })
 		both.Wait()
 		l.mu.Lock()
-		delete(l.connections, p)
+		delete(l.connections, conn)
 		l.mu.Unlock()
 		near.Close()
 		far.Close()
@@ -122,19 +122,19 @@
 }
 
 // pump passes on one way's bytes, and its end.
-func (l *link) copyOneWay(p *proxiedConn, to, from net.Conn, there bool) {
+func (l *link) copyOneWay(conn *proxiedConn, to, from net.Conn, there bool) {
 	buf := make([]byte, linkBufferSize)
 	for {
 		n, err := from.Read(buf)
 		if n > 0 || errors.Is(err, io.EOF) {
 			if !l.awaitPassage(there) {
-				p.reset()
+				conn.reset()
 				return
 			}
 		}
 		if n > 0 {
 			if _, err := to.Write(buf[:n]); err != nil {
-				p.reset()
+				conn.reset()
 				return
 			}
 		}
@@ -143,7 +143,7 @@
 			_ = to.(*net.TCPConn).CloseWrite() // where it fails the other way fails too
 			return
 		case err != nil:
-			p.reset()
+			conn.reset()
 			return
 		}
 	}
@@ -154,9 +154,9 @@
 	for {
 		l.mu.Lock()
 		cut, delay, turned := false, time.Duration(0), l.faultsChanged
-		for _, f := range l.faults {
-			cut = cut || f.Cuts(there)
-			delay += f.Delay
+		for _, fault := range l.faults {
+			cut = cut || fault.Cuts(there)
+			delay += fault.Delay
 		}
 		l.mu.Unlock()
 		if !cut {
@@ -182,9 +182,9 @@
 }
 
 // reset breaks both ends.
-func (p *proxiedConn) reset() {
-	for _, c := range []net.Conn{p.client, p.server} {
-		_ = c.(*net.TCPConn).SetLinger(0) // on one that is closed already there is no need
-		c.Close()
+func (c *proxiedConn) reset() {
+	for _, conn := range []net.Conn{c.client, c.server} {
+		_ = conn.(*net.TCPConn).SetLinger(0) // on one that is closed already there is no need
+		conn.Close()
 	}
 }
--- a/internal/lab/loopback/rotation.go
+++ b/internal/lab/loopback/round_robin.go
@@ -46,58 +46,58 @@
 func (o *roundRobin) next(tier int) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	t := &o.tiers[tier]
-	if len(t.endpoints) == 0 {
+	rotation := &o.tiers[tier]
+	if len(rotation.endpoints) == 0 {
 		return -1
 	}
-	t.next = (t.next + 1) % len(t.endpoints)
-	return t.endpoints[t.next]
+	rotation.next = (rotation.next + 1) % len(rotation.endpoints)
+	return rotation.endpoints[rotation.next]
 }
 
 // event is a step of the script. What it changes on the list is to be passed to notice after that time.
-func (o *roundRobin) applyEvent(e plan.Event) (n listChange, changes bool) {
+func (o *roundRobin) applyEvent(e plan.Event) (change listChange, changes bool) {
 	d := &o.plan.Scenario.Discovery
-	n = listChange{endpoint: e.Box, listed: e.Kind != plan.BeginFault, delay: d.Add.D()}
+	change = listChange{endpoint: e.Box, listed: e.Kind != plan.BeginFault, delay: d.Add.D()}
 	if e.Kind == plan.StartBox {
-		return n, true
+		return change, true
 	}
 	notice := d.Notice.D()
 	switch {
 	case e.Kind != plan.BeginFault && e.Kind != plan.EndFault:
-		return n, false
+		return change, false
 	case e.Fault.Kind == model.Vanish:
 		notice = d.Silent.D()
 	case e.Fault.Kind != model.Dead:
-		return n, false
+		return change, false
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if n.listed {
+	if change.listed {
 		o.downFaults[e.Box]--
-		return n, o.downFaults[e.Box] == 0
+		return change, o.downFaults[e.Box] == 0
 	}
 	o.downFaults[e.Box]++
-	n.delay = notice
-	return n, true
+	change.delay = notice
+	return change, true
 }
 
 // notice carries out what was noticed, unless the box is not so any more.
-func (o *roundRobin) applyListChange(n listChange) {
+func (o *roundRobin) applyListChange(change listChange) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if n.listed == (o.downFaults[n.endpoint] == 0) {
-		o.setListed(n.endpoint, n.listed)
+	if change.listed == (o.downFaults[change.endpoint] == 0) {
+		o.setListed(change.endpoint, change.listed)
 	}
 }
 
 // list puts a box on its tier's list or takes it off. It needs the lock.
 func (o *roundRobin) setListed(box int, on bool) {
-	t := &o.tiers[o.plan.Boxes[box].Tier]
-	at, there := slices.BinarySearch(t.endpoints, box)
+	rotation := &o.tiers[o.plan.Boxes[box].Tier]
+	at, there := slices.BinarySearch(rotation.endpoints, box)
 	switch {
 	case on && !there:
-		t.endpoints = slices.Insert(t.endpoints, at, box)
+		rotation.endpoints = slices.Insert(rotation.endpoints, at, box)
 	case !on && there:
-		t.endpoints = slices.Delete(t.endpoints, at, at+1)
+		rotation.endpoints = slices.Delete(rotation.endpoints, at, at+1)
 	}
 }
--- a/internal/lab/loopback/sidecar.go
+++ b/internal/lab/loopback/sidecar.go
@@ -184,9 +184,9 @@
 	default:
 		s.addEvent(trace.SidecarCrashed, state.String()+"\n"+tail(s.logPath()))
 	}
-	at := *s.routing.Load()
-	at.deadAt = min(at.deadAt, s.fleet.elapsed()+s.fleet.plan.Scenario.Clients.Notice.D())
-	s.routing.Store(&at)
+	routing := *s.routing.Load()
+	routing.deadAt = min(routing.deadAt, s.fleet.elapsed()+s.fleet.plan.Scenario.Clients.Notice.D())
+	s.routing.Store(&routing)
 	s.fleet.transport.closeIdle(s.id) // before anyone hears of the end: the front must not count on these
 }
 
@@ -216,10 +216,10 @@
 	for s.sleep(p, healthInterval) {
 		code := s.fleet.healthStatus(s.id)
 		s.mu.Lock()
-		at := *s.routing.Load()
-		if out := code == http.StatusServiceUnavailable; code != 0 && out != at.unhealthy && s.process == p && !p.stopping {
-			at.unhealthy = out
-			s.routing.Store(&at)
+		routing := *s.routing.Load()
+		if out := code == http.StatusServiceUnavailable; code != 0 && out != routing.unhealthy && s.process == p && !p.stopping {
+			routing.unhealthy = out
+			s.routing.Store(&routing)
 		}
 		s.mu.Unlock()
 	}
@@ -234,9 +234,9 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.process == p && s.running() {
-			at := *s.routing.Load()
-			at.draining = true
-			s.routing.Store(&at)
+			routing := *s.routing.Load()
+			routing.draining = true
+			s.routing.Store(&routing)
 		}
 		return
 	}
--- a/internal/lab/loopback/thrift.go
+++ b/internal/lab/loopback/thrift.go
@@ -14,8 +14,8 @@
 	"pinelb.example/pinelb/internal/lab/scenario"
 )
 
-// thriftForm is a form of Thrift's messages. They are read and written by Apache Thrift's own library and not by
-// the sidecar's codec, so that a fault of that shows.
+// thriftForm is a form of Thrift's messages. They are read and written by Apache Thrift's own library and not by the sidecar's
+// codec, so that a mistake in that one shows.
 type thriftForm struct {
 	compact bool // otherwise binary, strict
 	framed  bool // each message after its length
@@ -34,7 +34,7 @@
 	argTxn       = scenario.ThriftTxn       // string, 16 hexadecimal digits
 	argKey       = scenario.ThriftKey       // string, 32 hexadecimal digits; of keyed classes alone
 	argRemaining = scenario.ThriftRemaining // i32, ms
-	argRequest   = 4                        // i32, the place in the plan
+	argRequest   = 4                        // i32, the index in the plan
 	argBody      = 5                        // binary; of classes with a body
 	resultBody   = 0                        // binary
 )
@@ -42,7 +42,10 @@
 // exceptionRejected is of the sidecar's TApplicationException that says that trying again is harmless.
 const exceptionRejected = 100
 
-var errThrift = errors.New("live: this is no Thrift message of the form that is expected")
+var errThrift = errors.New("loopback: malformed or unexpected Thrift message")
+
+// frameHeadSize is the size of a frame's length, in bytes.
+const frameHeadSize = 4
 
 // thriftHead is the head of a message.
 type thriftHead struct {
@@ -62,12 +65,13 @@
 	return thrift.NewTBinaryProtocolConf(transport, thriftConf)
 }
 
-// read reads one message, of which body reads what follows the head. It takes no byte beyond.
-func (f thriftForm) read(in *bufio.Reader, body func(h thriftHead, p thrift.TProtocol) error) error {
+// read reads one message, of which body reads what follows the head. It consumes no byte beyond. Errors are errThrift, wrapped,
+// those of the library and those of in.
+func (f thriftForm) read(in *bufio.Reader, body func(head thriftHead, p thrift.TProtocol) error) error {
 	var from io.Reader = in
 	frame := io.LimitedReader{R: in}
 	if f.framed {
-		var size [4]byte
+		var size [frameHeadSize]byte
 		if _, err := io.ReadFull(in, size[:]); err != nil {
 			return err
 		}
@@ -77,12 +81,11 @@
 		from = &frame
 	}
 	p := f.protocol(from, nil)
-	var h thriftHead
-	var err error
-	if h.method, h.kind, h.seq, err = p.ReadMessageBegin(context.Background()); err != nil {
+	method, kind, seq, err := p.ReadMessageBegin(context.Background())
+	if err != nil {
 		return err
 	}
-	if err := body(h, p); err != nil {
+	if err := body(thriftHead{method, kind, seq}, p); err != nil {
 		return err
 	}
 	if frame.N > 0 {
@@ -92,18 +95,18 @@
 }
 
 // write appends a message, of which body writes what follows the head.
-func (f thriftForm) write(out []byte, h thriftHead, body func(w thriftWriter)) []byte {
-	at := len(out)
+func (f thriftForm) write(out []byte, head thriftHead, body func(w thriftWriter)) []byte {
+	start := len(out)
 	if f.framed {
-		out = append(out, 0, 0, 0, 0)
+		out = append(out, make([]byte, frameHeadSize)...)
 	}
 	b := bytes.NewBuffer(out)
 	p := f.protocol(nil, b)
-	_ = p.WriteMessageBegin(context.Background(), h.method, h.kind, h.seq)
+	_ = p.WriteMessageBegin(context.Background(), head.method, head.kind, head.seq)
 	body(thriftWriter{p})
 	out = b.Bytes()
 	if f.framed {
-		binary.BigEndian.PutUint32(out[at:], uint32(len(out)-at-4))
+		binary.BigEndian.PutUint32(out[start:], uint32(len(out)-start-frameHeadSize))
 	}
 	return out
 }
@@ -111,11 +114,11 @@
 // thriftWriter writes structs to memory, where no write fails.
 type thriftWriter struct{ thrift.TProtocol }
 
-// fields writes a struct whose fields each writes.
-func (w thriftWriter) fields(each func()) {
+// fields writes a struct whose fields writeFields writes.
+func (w thriftWriter) fields(writeFields func()) {
 	ctx := context.Background()
 	_ = w.WriteStructBegin(ctx, "")
-	each()
+	writeFields()
 	_ = w.WriteFieldStop(ctx)
 	_ = w.WriteStructEnd(ctx)
 }
@@ -140,8 +143,8 @@
 	_ = thrift.NewTApplicationException(kind, message).Write(context.Background(), w)
 }
 
-// thriftFields reads a struct. Each reads the value of a field that it knows; the others are passed over.
-func thriftFields(p thrift.TProtocol, each func(id int16, kind thrift.TType) (known bool, err error)) error {
+// thriftFields reads a struct. readField reads the value of a field that it knows; the others are skipped.
+func thriftFields(p thrift.TProtocol, readField func(id int16, kind thrift.TType) (known bool, err error)) error {
 	ctx := context.Background()
 	if _, err := p.ReadStructBegin(ctx); err != nil {
 		return err
@@ -154,7 +157,7 @@
 		if kind == thrift.STOP {
 			return p.ReadStructEnd(ctx)
 		}
-		known, err := each(id, kind)
+		known, err := readField(id, kind)
 		if err == nil && !known {
 			err = p.Skip(ctx, kind)
 		}
--- a/internal/lab/loopback/thrift_test.go
+++ b/internal/lab/loopback/thrift_test.go
@@ -66,7 +66,7 @@
 				q.attempt.TransactionID += c.shift
 				s.ask(conn, q)
 				if c.fault == model.Drip {
-					if _, err := conn.in.Peek(2 * dripBytes); err != nil {
+					if _, err := conn.in.Peek(2 * dripSize); err != nil {
 						t.Error(err)
 					}
 					conn.Close()
