--- a/internal/lab/loopback/addresses.go
+++ b/internal/lab/loopback/addresses.go
@@ -6,42 +6,43 @@
 	"net"
 )
 
-// A run has a block 127.a.0.0/16 of its own, so that runs beside each other never meet. All ports are below
-// 32768, where Linux begins to draw those of outgoing connections.
+// Each run has a block of addresses 127.a.0.0/16 of its own, so that concurrent runs never collide. All ports are below 32768, where
+// the range of outgoing connections begins on Linux (net.ipv4.ip_local_port_range).
 const (
-	minBlock, maxBlock = 64, 250 // of a; below are addresses that people and other programs use
+	minBlock, maxBlock = 64, 250 // of a; people and other programs use lower ones
 	maxBlockAttempts   = 2000
 
 	lockPort              = 18079
 	endpointPort          = 18080
 	sidecarPort           = 18081
 	thriftPort            = 18082
-	controlPort           = 18084 // and the next with each process
+	controlPort           = 18084 // the first; the next one with each process
 	controlPortCount      = 10
-	discoveryLinkPort     = 18094 // of the links, on the sidecar's host
+	discoveryLinkPort     = 18094 // of links, on the sidecar's host
 	clientLinkPort        = 18095
 	controlLinkPort       = 18096
-	firstEndpointLinkPort = 27000 // and the next for each box
-	agentPort             = 18100 // and the next with each move of discovery
-	agentPortCount        = 8000  // after which the ports begin anew
+	firstEndpointLinkPort = 27000 // and the next one for each endpoint
+	agentPort             = 18100 // the first; the next one with each move of discovery
+	agentPortCount        = 8000
 
-	hostsPerRow = 250 // hosts in a row 127.a.y.1 to 127.a.y.250
+	hostsPerRow = 250 // 127.a.y.1 to 127.a.y.250 are row y
 )
 
-// Rows of the block. There are at most 1,000 boxes, 400 sidecars in front and one for each box: 1,400.
+// The first rows of the block's parts. There are at most 1,000 endpoints, 400 sidecars in the first tier and one beside each
+// endpoint: 1,400.
 const (
 	lockRow     = 0
 	endpointRow = 1
 	sidecarRow  = 101
 )
 
-// addresses are the loopback addresses of one run.
+// addresses are the loopback addresses of one run, all host:port.
 type addresses struct {
 	block     int
-	blockLock net.Listener // as long as it listens, nobody else takes the block
+	blockLock net.Listener // while it listens, nobody else takes the block
 }
 
-// newAddresses finds a block that no other run on this machine has.
+// newAddresses finds a block that no other run on this machine has. Its error is that of the last attempt.
 func newAddresses() (*addresses, error) {
 	var err error
 	for range maxBlockAttempts {
@@ -50,56 +51,59 @@
 			return a, nil
 		}
 	}
-	return nil, fmt.Errorf("live: no free block of loopback addresses: %w", err)
+	return nil, fmt.Errorf("loopback: no free block of loopback addresses: %w", err)
 }
 
-// close gives the block back.
+// close releases the block.
 func (a *addresses) close() { a.blockLock.Close() }
 
-// box is where a box listens.
-func (a *addresses) endpoint(i int) string { return a.address(endpointRow, i, endpointPort) }
+// endpoint is where an endpoint listens.
+func (a *addresses) endpoint(endpoint int) string {
+	return a.address(endpointRow, endpoint, endpointPort)
+}
 
-// sidecar is where a sidecar listens for HTTP: for callers, and for those who ask for its health.
-func (a *addresses) sidecar(i int) string { return a.address(sidecarRow, i, sidecarPort) }
+// sidecar is where a sidecar listens for HTTP: requests and health checks.
+func (a *addresses) sidecar(sidecar int) string { return a.address(sidecarRow, sidecar, sidecarPort) }
 
 // thrift is where a sidecar listens for Thrift.
-func (a *addresses) thrift(i int) string { return a.address(sidecarRow, i, thriftPort) }
+func (a *addresses) thrift(sidecar int) string { return a.address(sidecarRow, sidecar, thriftPort) }
 
 // control is where a sidecar's process listens for operators, by the number of its start.
-func (a *addresses) control(i, start int) string {
-	return a.address(sidecarRow, i, controlPort+start%controlPortCount)
+func (a *addresses) control(sidecar, start int) string {
+	return a.address(sidecarRow, sidecar, controlPort+start%controlPortCount)
 }
 
-// entry is where a sidecar listens for callers that speak a protocol.
-func (a *addresses) clientEntry(i int, protocol string) string {
+// clientEntry is where a sidecar listens for clients that speak a protocol.
+func (a *addresses) clientEntry(sidecar int, protocol string) string {
 	if _, ok := thriftForms[protocol]; ok {
-		return a.thrift(i)
+		return a.thrift(sidecar)
 	}
-	return a.sidecar(i)
+	return a.sidecar(sidecar)
 }
 
-// agent is where a sidecar's agent of discovery listens once it has moved so many times. It shares the
-// sidecar's host, as an agent does.
-func (a *addresses) agent(i, moves int) string {
-	return a.address(sidecarRow, i, agentPort+moves%agentPortCount)
+// agent is where a sidecar's agent of discovery listens after that many moves. It shares the sidecar's host, as on the platform.
+func (a *addresses) agent(sidecar, moves int) string {
+	return a.address(sidecarRow, sidecar, agentPort+moves%agentPortCount)
 }
 
-// list is where the list service itself listens, for auditors.
+// listService is where the list service itself listens, for auditors.
 func (a *addresses) listService() string { return a.address(lockRow, 0, agentPort) }
 
-// link is where a sidecar's link of a kind listens; box is that of "boxes".
-func (a *addresses) link(of string, i, box int) string {
-	switch of {
+// link is where a sidecar's link of a kind listens; endpoint is that of kind "boxes".
+func (a *addresses) link(kind string, sidecar, endpoint int) string {
+	port := firstEndpointLinkPort + endpoint
+	switch kind {
 	case "list":
-		return a.address(sidecarRow, i, discoveryLinkPort)
+		port = discoveryLinkPort
 	case "clients":
-		return a.address(sidecarRow, i, clientLinkPort)
+		port = clientLinkPort
 	case "control":
-		return a.address(sidecarRow, i, controlLinkPort)
+		port = controlLinkPort
 	}
-	return a.address(sidecarRow, i, firstEndpointLinkPort+box)
+	return a.address(sidecarRow, sidecar, port)
 }
 
-func (a *addresses) address(row, i, port int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", a.block, row+i/hostsPerRow, 1+i%hostsPerRow, port)
+// address is that of a port on the host with that index in the part that begins with a row.
+func (a *addresses) address(firstRow, host, port int) string {
+	return fmt.Sprintf("127.%d.%d.%d:%d", a.block, firstRow+host/hostsPerRow, 1+host%hostsPerRow, port)
 }
--- a/internal/lab/loopback/auditor.go
+++ b/internal/lab/loopback/auditor.go
@@ -1,7 +1,9 @@
 package loopback
 
 import (
+	"errors"
 	"fmt"
+	"io/fs"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -9,74 +11,78 @@
 	"strings"
 	"sync"
 	"syscall"
+	"time"
 
 	"pinelb.example/pinelb/internal/lab/plan"
 	"pinelb.example/pinelb/internal/lab/scenario"
 )
 
-// auditor is one beside the fleet, over all its processes, of which there is one at a time.
+// auditor is an auditor of the fleet (pinelb audit) over all its processes, of which there is one at a time.
 type auditor struct {
 	run  *run
 	plan *scenario.Audit
 
 	mu         sync.Mutex
 	startCount int
-	cmd        *exec.Cmd     // of the present process or the last one; nil before the first
-	exited     chan struct{} // closed once that has
+	cmd        *exec.Cmd     // of the current process or the last one; nil before the first
+	exited     chan struct{} // closed once that process has exited
 }
 
+// path is a file of the auditor's beside the sidecars' logs.
 func (a *auditor) path(ending string) string {
 	return filepath.Join(a.run.fleet.logDir, "audit-"+a.plan.Name+ending)
 }
 
-// kept is the file by which it goes on where it was stopped.
+// kept is the file with its state, from which the next process goes on.
 func (a *auditor) statePath() string { return a.path(".kept") }
 
-// found is where it prints to.
+// found is the file to which it prints its findings.
 func (a *auditor) findingsPath() string { return a.path(".jsonl") }
 
-// start starts a process of it.
+// start starts a process. An error is that of its files or of the program.
 func (a *auditor) start() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	roster := a.path(".toml")
-	if err := os.WriteFile(roster, a.run.inventory(), configFileMode); err != nil {
-		return fmt.Errorf("live: roster: %w", err)
+	inventory := a.path(".toml")
+	if err := os.WriteFile(inventory, a.run.inventory(), configFileMode); err != nil {
+		return fmt.Errorf("loopback: inventory: %w", err)
 	}
-	how := os.O_CREATE | os.O_WRONLY | os.O_APPEND
+	flags := os.O_CREATE | os.O_WRONLY | os.O_APPEND
 	if a.cmd == nil {
-		how |= os.O_TRUNC
-		os.Remove(a.statePath()) // of another run
+		flags |= os.O_TRUNC
+		if err := os.Remove(a.statePath()); err != nil && !errors.Is(err, fs.ErrNotExist) { // of another run
+			return fmt.Errorf("loopback: auditor: %w", err)
+		}
 	}
-	found, err := os.OpenFile(a.findingsPath(), how, 0o644)
+	findings, err := os.OpenFile(a.findingsPath(), flags, logFileMode)
 	if err != nil {
-		return fmt.Errorf("live: auditor: %w", err)
+		return fmt.Errorf("loopback: auditor: %w", err)
 	}
-	defer found.Close()
-	log, err := os.OpenFile(a.path(".log"), how, 0o644)
+	defer func() { _ = findings.Close() }() // nothing is written here: the process has a descriptor of its own
+	log, err := os.OpenFile(a.path(".log"), flags, logFileMode)
 	if err != nil {
-		return fmt.Errorf("live: auditor: %w", err)
+		return fmt.Errorf("loopback: auditor: %w", err)
 	}
-	defer log.Close()
+	defer func() { _ = log.Close() }()
 	a.startCount++
-	cmd := exec.Command(a.run.fleet.builds[0], a.args(roster)...)
-	cmd.Stdout, cmd.Stderr = found, log
+	cmd := exec.Command(a.run.fleet.builds[0], a.args(inventory)...)
+	cmd.Stdout, cmd.Stderr = findings, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	if err := a.run.fleet.spawn(cmd); err != nil {
-		return fmt.Errorf("live: auditor %s: %w", a.plan.Name, err)
+		return fmt.Errorf("loopback: auditor %s: %w", a.plan.Name, err)
 	}
 	ended := make(chan struct{})
 	a.cmd, a.exited = cmd, ended
 	a.run.fleet.tasks.Go(func() {
 		defer close(ended)
-		cmd.Wait() // its status tells what it found, and that is in what it prints
+		_ = cmd.Wait() // the status repeats what it prints
 	})
 	return nil
 }
 
-func (a *auditor) args(roster string) []string {
+func (a *auditor) args(inventory string) []string {
 	p := a.plan
-	args := []string{"audit", roster, "--by=" + fmt.Sprintf("%s-%d", p.Name, a.startCount), "--json", "--watch=" + p.Every.D().String(), "--kept=" + a.statePath(),
+	args := []string{"audit", inventory, "--by=" + fmt.Sprintf("%s-%d", p.Name, a.startCount), "--json", "--watch=" + p.Every.D().String(), "--kept=" + a.statePath(),
 		"--share=" + strconv.FormatFloat(p.Share, 'g', -1, 64)}
 	if p.Within > 0 {
 		args = append(args, "--within="+p.Within.D().String())
@@ -93,6 +99,7 @@
 	return args
 }
 
+// signal sends a signal to the current process, if it runs.
 func (a *auditor) signal(s syscall.Signal) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -102,11 +109,20 @@
 	select {
 	case <-a.exited:
 	default:
-		_ = a.cmd.Process.Signal(s) // one that has just ended needs none
+		_ = a.cmd.Process.Signal(s) // one that has just exited needs none
 	}
 }
 
-// wait waits until the present process, if there is one, has ended.
+// stop stops the current process as an operator does: SIGINT, and SIGKILL if it takes too long.
+func (a *auditor) stop() {
+	a.signal(syscall.SIGCONT) // one that is stopped handles no other signal
+	a.signal(syscall.SIGINT)
+	timer := time.AfterFunc(auditorStopTimeout, func() { a.signal(syscall.SIGKILL) })
+	defer timer.Stop()
+	a.wait()
+}
+
+// wait waits until the current process, if there is one, has exited.
 func (a *auditor) wait() {
 	a.mu.Lock()
 	ended := a.exited
@@ -118,13 +134,13 @@
 
 // roster lists the sidecars of the first tier by the addresses at which operators call them.
 func (r *run) inventory() []byte {
-	var out strings.Builder
+	var text strings.Builder
 	for i := range r.plan.Sidecars {
 		if s := &r.plan.Sidecars[i]; s.Box < 0 {
-			fmt.Fprintf(&out, "[[sidecar]]\nname = %q\naddr = %q\nzone = %q\n", s.Name, r.controlAddress(i), plan.Zone)
+			fmt.Fprintf(&text, "[[sidecar]]\nname = %q\naddr = %q\nzone = %q\n", s.Name, r.controlAddress(i), plan.Zone)
 		}
 	}
-	return []byte(out.String())
+	return []byte(text.String())
 }
 
 // operators is where operators call a sidecar, whichever of its processes runs.
--- a/internal/lab/loopback/catalog.go
+++ b/internal/lab/loopback/catalog.go
@@ -8,55 +8,55 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-// catalog is what discovery's agent knows of its tier, with the revision at which it learnt of each entry.
-// Entries that are gone stay, so that they are among the changes.
+// catalog is the endpoint list of a tier as an agent has it, with the revision of each entry's last change. Entries that are gone
+// stay, so that they are among the changes.
 type catalog struct {
 	revision int64
-	entries  map[int]catalogEntry // by box
+	entries  map[int]catalogEntry // by endpoint
 }
 
 type catalogEntry struct {
 	plan.Listed
-	revision int64
+	revision int64 // of its last change
 }
 
 func newCatalog(first []plan.Listed) *catalog {
 	c := &catalog{revision: 1, entries: map[int]catalogEntry{}}
-	for _, l := range first {
-		c.entries[l.Box] = catalogEntry{l, c.revision}
+	for _, listed := range first {
+		c.entries[listed.Box] = catalogEntry{listed, c.revision}
 	}
 	return c
 }
 
-func (c *catalog) update(l plan.Listed) {
+func (c *catalog) update(listed plan.Listed) {
 	c.revision++
-	c.entries[l.Box] = catalogEntry{l, c.revision}
+	c.entries[listed.Box] = catalogEntry{listed, c.revision}
 }
 
-// knows says whether it has ever had a revision, so that changes since then mean something.
+// hasRevision reports whether the catalog has had a revision, so that there are changes since then.
 func (c *catalog) hasRevision(revision int64) bool { return revision >= 1 && revision <= c.revision }
 
-// whole is the list, by box.
+// members is the complete list, by endpoint.
 func (c *catalog) members() []plan.Listed {
-	return c.filter(func(e catalogEntry) bool { return e.Phase != trace.PhaseGone })
+	return c.filter(func(entry catalogEntry) bool { return entry.Phase != trace.PhaseGone })
 }
 
-// changes are the entries that are newer than a revision, by box.
+// changesSince are the entries that have changed after a revision, by endpoint.
 func (c *catalog) changesSince(since int64) []plan.Listed {
-	return c.filter(func(e catalogEntry) bool { return e.revision > since })
+	return c.filter(func(entry catalogEntry) bool { return entry.revision > since })
 }
 
 func (c *catalog) filter(wanted func(catalogEntry) bool) []plan.Listed {
-	out := []plan.Listed{} // JSON has no list for nil
-	for _, box := range slices.Sorted(maps.Keys(c.entries)) {
-		if e := c.entries[box]; wanted(e) {
-			out = append(out, e.Listed)
+	list := []plan.Listed{} // not nil, which JSON would encode as null
+	for _, endpoint := range slices.Sorted(maps.Keys(c.entries)) {
+		if entry := c.entries[endpoint]; wanted(entry) {
+			list = append(list, entry.Listed)
 		}
 	}
-	return out
+	return list
 }
 
-// copy is a catalog that goes on without what is told from now on.
+// clone is a copy that further updates don't change.
 func (c *catalog) clone() *catalog {
 	return &catalog{revision: c.revision, entries: maps.Clone(c.entries)}
 }
--- a/internal/lab/loopback/fault_listener.go
+++ b/internal/lab/loopback/fault_listener.go
@@ -9,39 +9,47 @@
 	"time"
 )
 
-// entry is what a box's address does with new connections.
+// listenState is what a faultListener does with new connections.
 type listenState uint8
 
 const (
 	stateAccepting  listenState = iota // they come up
 	stateRefusing                      // they are refused
-	stateBlackholed                    // they never come up, as if the machine were not there
+	stateBlackholed                    // they never come up, as if the host were not there
 )
 
 const (
 	// A connection over loopback comes up within its own system call, so one that has not by now will not.
 	fillTimeout         = 20 * time.Millisecond
-	maxFillers          = 16 // connections that fill a line of no length; on Linux it is one
+	maxFillers          = 16 // connections that fill a backlog of length 0; on Linux it is one
 	listenRetryInterval = 10 * time.Millisecond
 )
 
-// door is a box's listening socket. One goroutine turns it, another accepts, and want doesn't wait for them.
+// faultListener is a TCP listener whose address can be made to refuse or to drop new connections. One goroutine changes its state,
+// another accepts; requestState doesn't wait for them.
 type faultListener struct {
 	address    string
-	handle     func(*net.TCPConn)
-	requested  chan listenState // the latest that has not been met
-	done       chan struct{}
+	handle     func(*net.TCPConn) // takes over each connection that comes up
+	requested  chan listenState   // the latest request that has not been met
+	done       chan struct{}      // closed by close
 	goroutines sync.WaitGroup
 
-	state        listenState
-	listener     *net.TCPListener // nil while it is shut
-	acceptorDone chan struct{}    // closed once the acceptor has ended
-	fillers      []net.Conn       // own connections that take up the whole line while it is blind
+	// Of the goroutine that runs loop.
+	state          listenState
+	listener       *net.TCPListener // nil while it refuses
+	acceptorDone   chan struct{}    // closed once the acceptor has ended; nil if there is none
+	backlogFillers []net.Conn       // own connections that take up the whole backlog while it is blackholed
 }
 
-// newFaultListener makes one that is open or shut. Admit takes over each connection that comes up.
-func newFaultListener(addr string, state listenState, admit func(*net.TCPConn)) (*faultListener, error) {
-	l := &faultListener{address: addr, handle: admit, requested: make(chan listenState, 1), done: make(chan struct{}), state: stateRefusing}
+// newFaultListener makes one that accepts or refuses. An error is that of listening.
+func newFaultListener(address string, state listenState, handle func(*net.TCPConn)) (*faultListener, error) {
+	l := &faultListener{
+		address:   address,
+		handle:    handle,
+		requested: make(chan listenState, 1),
+		done:      make(chan struct{}),
+		state:     stateRefusing,
+	}
 	if state == stateAccepting {
 		if err := l.listen(); err != nil {
 			return nil, err
@@ -53,7 +61,7 @@
 	return l, nil
 }
 
-// want has it turned soon. Calls must not overlap.
+// requestState requests a change of state, in place of one that has not been made yet. Calls must not overlap.
 func (l *faultListener) requestState(state listenState) {
 	select {
 	case <-l.requested:
@@ -62,7 +70,7 @@
 	l.requested <- state
 }
 
-// close shuts it and waits for its goroutines.
+// close stops listening and waits for the goroutines.
 func (l *faultListener) close() {
 	close(l.done)
 	l.goroutines.Wait()
@@ -82,7 +90,7 @@
 	}
 }
 
-// turn goes by way of shut, except from open to blind: no connection is to come up or be refused in between.
+// changeState goes by way of refusing, except from accepting to blackholed: no connection is to come up or be refused in between.
 func (l *faultListener) changeState(to listenState) {
 	if l.state != stateAccepting {
 		l.stopListening()
@@ -105,20 +113,18 @@
 }
 
 func (l *faultListener) listen() error {
-	socket, err := net.Listen("tcp", l.address)
+	listener, err := net.Listen("tcp", l.address)
 	if err == nil {
-		l.listener = socket.(*net.TCPListener)
+		l.listener = listener.(*net.TCPListener)
 	}
 	return err
 }
 
-// retryListen tries until the address is free: all that may hold it is a socket of ours that is just closing.
-// It returns false if the door is closed meanwhile.
+// retryListen listens as soon as the address is free: only a socket of ours that is just closing can have it. It returns false if
+// the listener is closed meanwhile.
 func (l *faultListener) retryListen() bool {
 	for l.listen() != nil {
-		select {
-		case <-time.After(listenRetryInterval):
-		case <-l.done:
+		if !sleep(listenRetryInterval, l.done, nil) {
 			return false
 		}
 	}
@@ -126,56 +132,59 @@
 }
 
 func (l *faultListener) startAccepting() {
-	socket, ended := l.listener, make(chan struct{})
-	l.acceptorDone = ended
+	listener, acceptorDone := l.listener, make(chan struct{})
+	l.acceptorDone = acceptorDone
 	l.goroutines.Go(func() {
-		defer close(ended)
+		defer close(acceptorDone)
 		for {
-			conn, err := socket.AcceptTCP()
+			conn, err := listener.AcceptTCP()
 			switch {
 			case err == nil:
 				l.handle(conn)
 			case errors.Is(err, net.ErrClosed), errors.Is(err, os.ErrDeadlineExceeded):
 				return
-			default: // out of descriptors, say
+			default: // such as EMFILE
 				time.Sleep(listenRetryInterval)
 			}
 		}
 	})
 }
 
-// shut closes the listener, by which the system resets what waits to be accepted.
-func (l *faultListener) stopListening() {
-	if l.listener == nil {
-		return
-	}
-	l.listener.Close()
+// awaitAcceptor waits for the acceptor, if there is one, once its Accept fails.
+func (l *faultListener) awaitAcceptor() {
 	if l.acceptorDone != nil {
 		<-l.acceptorDone
 		l.acceptorDone = nil
 	}
-	for _, conn := range l.fillers {
-		conn.Close()
+}
+
+// stopListening closes the listener, on which the system resets what waits to be accepted.
+func (l *faultListener) stopListening() {
+	if l.listener == nil {
+		return
 	}
-	l.listener, l.fillers, l.state = nil, nil, stateRefusing
+	_ = l.listener.Close() // nothing else closes it
+	l.awaitAcceptor()
+	for _, filler := range l.backlogFillers {
+		_ = filler.Close()
+	}
+	l.listener, l.backlogFillers, l.state = nil, nil, stateRefusing
 }
 
-// blind stops accepting and fills the line of those that wait for it: Linux then drops what asks for a
-// connection, as if it had never come.
+// blackhole stops accepting and fills the backlog: Linux then drops the SYN of a new connection, as if it had never come.
 func (l *faultListener) blackhole() {
 	if l.acceptorDone != nil {
-		_ = l.listener.SetDeadline(time.Unix(1, 0)) // it fails on a closed listener alone, and this one is open
-		<-l.acceptorDone
-		l.acceptorDone = nil
+		_ = l.listener.SetDeadline(pastDeadline) // it fails only on a closed listener, and this one is open
+		l.awaitAcceptor()
 	}
 	if raw, err := l.listener.SyscallConn(); err == nil {
-		_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), 0) }) // a longer line is filled all the same
+		_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), 0) }) // a longer backlog is filled all the same
 	}
 	for range maxFillers {
 		conn, err := net.DialTimeout("tcp", l.address, fillTimeout)
 		if err != nil {
 			return
 		}
-		l.fillers = append(l.fillers, conn)
+		l.backlogFillers = append(l.backlogFillers, conn)
 	}
 }
--- a/internal/lab/loopback/fleet.go
+++ b/internal/lab/loopback/fleet.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"net/http"
 	"os"
@@ -9,66 +10,69 @@
 	"path/filepath"
 	"runtime"
 	"sync"
-	"syscall"
 	"time"
 
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-// How the fleet is kept.
 const (
-	readyTimeout      = 30 * time.Second // for the sidecars that start before the run, as on the platform
+	readyTimeout      = 30 * time.Second // of the sidecars that start before the run, as on the platform
 	healthTimeout     = time.Second
 	usageInterval     = 500 * time.Millisecond
-	maxGracedDeadline = 3 * time.Second // of deadlines, for a planned end; a longer one gets no more
-	graceMargin       = 700 * time.Millisecond
-	abortGrace        = 500 * time.Millisecond // where the run was broken off
+	maxGracedDeadline = 3 * time.Second        // a longer deadline doesn't extend the grace period
+	graceMargin       = 700 * time.Millisecond // of the grace period, beyond the longest deadline
+	abortGrace        = 500 * time.Millisecond // of a run that was cut short
 )
 
-// fleet is the sidecars of a run, each a process of its own.
+// fleet is the sidecars of a run, each with processes of its own.
 type fleet struct {
-	*run
-	configDir, logDir string // of the configurations and of the logs
-	builds            [2]string
-	sidecars          []*sidecar
-	healthClient      http.Client // asks for health
-	controlClient     http.Client
-	spawnRequests     chan func()
-	ctx               context.Context
-	cancel            context.CancelFunc
-	tasks             sync.WaitGroup
+	run           *run
+	configDir     string // temporary; for the configurations
+	logDir        string
+	builds        [2]string
+	sidecars      []*sidecar
+	healthClient  http.Client
+	controlClient http.Client // for operators' calls
+	spawnRequests chan func() // to spawnLoop
+	ctx           context.Context
+	cancel        context.CancelFunc
+	tasks         sync.WaitGroup
 }
 
-// newFleet makes a fleet of which nothing runs yet. Close it in any case.
+// newFleet makes a fleet of which nothing runs yet; close must be called. An error is that of its directories.
 func newFleet(r *run) (*fleet, error) {
-	f := &fleet{run: r, logDir: r.options.LogDir, builds: r.options.Builds, spawnRequests: make(chan func())}
+	f := &fleet{
+		run:           r,
+		logDir:        r.options.LogDir,
+		builds:        r.options.Builds,
+		healthClient:  http.Client{Timeout: healthTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
+		controlClient: http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
+		spawnRequests: make(chan func()),
+	}
 	if f.builds[1] == "" {
 		f.builds[1] = f.builds[0]
 	}
 	var err error
 	if f.configDir, err = os.MkdirTemp("", "pinelab-"); err != nil {
-		return nil, fmt.Errorf("live: %w", err)
+		return nil, fmt.Errorf("loopback: configurations: %w", err)
 	}
 	if f.logDir == "" {
 		f.logDir = filepath.Join(f.configDir, "logs")
 	}
 	if err := os.MkdirAll(f.logDir, 0o755); err != nil {
-		os.RemoveAll(f.configDir)
-		return nil, fmt.Errorf("live: logs: %w", err)
+		return nil, errors.Join(fmt.Errorf("loopback: logs: %w", err), os.RemoveAll(f.configDir))
 	}
 	for i := range r.plan.Sidecars {
 		f.sidecars = append(f.sidecars, newSidecar(f, i))
 	}
-	f.healthClient = http.Client{Timeout: healthTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	f.controlClient = http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	f.ctx, f.cancel = context.WithCancel(context.Background())
 	f.tasks.Go(f.spawnLoop)
 	f.tasks.Go(f.watchUsage)
 	return f, nil
 }
 
-// parent starts the processes. They die with the thread that started them (PR_SET_PDEATHSIG), however this
-// process ends; so it must be one thread that lasts as long as the fleet.
+// spawnLoop starts the processes. They die with the thread that started them (PR_SET_PDEATHSIG, prctl(2)), however this process
+// ends; so it has to be one thread that lasts as long as the fleet.
 func (f *fleet) spawnLoop() {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -77,33 +81,33 @@
 	}
 }
 
-// launch starts a process from the parent's thread.
+// spawn starts a process from spawnLoop's thread.
 func (f *fleet) spawn(cmd *exec.Cmd) error {
 	result := make(chan error)
 	f.spawnRequests <- func() { result <- cmd.Start() }
 	return <-result
 }
 
-// health is the code of the answer to GET /_health; 0 for none.
-func (f *fleet) healthStatus(i int) int {
-	return f.getStatus("http://" + f.addresses.sidecar(i) + "/_health")
+// healthStatus is the status code of the response to a sidecar's GET /_health; 0 if there is none.
+func (f *fleet) healthStatus(sidecar int) int {
+	return f.getStatus("http://" + f.run.addresses.sidecar(sidecar) + "/_health")
 }
 
-// asked is the code of the answer to GET url; 0 for none.
+// getStatus is the status code of the response to GET url; 0 if there is none.
 func (f *fleet) getStatus(url string) int {
 	req, err := http.NewRequestWithContext(f.ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return 0
 	}
-	answer, err := f.healthClient.Do(req)
+	response, err := f.healthClient.Do(req)
 	if err != nil {
 		return 0
 	}
-	answer.Body.Close()
-	return answer.StatusCode
+	response.Body.Close()
+	return response.StatusCode
 }
 
-// watch notes from time to time what each process takes.
+// watchUsage measures regularly what each process takes.
 func (f *fleet) watchUsage() {
 	tick := time.NewTicker(usageInterval)
 	defer tick.Stop()
@@ -119,14 +123,14 @@
 	}
 }
 
-// begin starts the sidecars that are there before the run and waits until each is ready or has ended, or for
-// 30 s. An error is a program that can't be started, or ctx's.
+// startInitial starts the sidecars that are there before the run and waits until each is ready or has exited, for readyTimeout at
+// most. An error is that of a program that can't be started, or ctx's.
 func (f *fleet) startInitial(ctx context.Context) error {
-	within, cancel := context.WithTimeout(ctx, readyTimeout)
+	readyCtx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	for i, s := range f.sidecars {
-		if s.plan.Begin < 0 && (s.plan.Box < 0 || f.plan.Boxes[s.plan.Box].Start != "absent") {
-			if err := f.start(i); err != nil {
+	for _, s := range f.sidecars {
+		if s.startsBeforeRun() {
+			if err := s.start(); err != nil {
 				return err
 			}
 		}
@@ -138,70 +142,54 @@
 		}
 		select {
 		case <-p.settled:
-		case <-within.Done():
-			return ctx.Err() // none if only the time is up: the run begins without it
+		case <-readyCtx.Done():
+			return ctx.Err() // nil if only the time is up: the run begins without it
 		}
 	}
 	return nil
 }
 
-// start starts a sidecar that does not run.
-func (f *fleet) start(i int) error { return f.sidecars[i].start() }
-
-// stop sends SIGTERM.
-func (f *fleet) stop(i int) { f.sidecars[i].stop() }
-
-// upgrade has a sidecar's process be succeeded.
-func (f *fleet) upgrade(i int) error { return f.sidecars[i].upgrade() }
-
-// kill sends SIGKILL.
-func (f *fleet) kill(i int) { f.sidecars[i].kill() }
-
-// signal sends a signal to a sidecar's process, if one runs.
-func (f *fleet) signal(i int, s syscall.Signal) { f.sidecars[i].signal(s) }
-
-// hup tells a sidecar the new address of its agent of discovery. One that does not run finds it at its start.
-func (f *fleet) reload(i int, discovery string) error { return f.sidecars[i].reload(discovery) }
-
-// admitted says whether the front gives a sidecar something to do. It notices a death late, as the scenario
-// has it. Of one whose health says that it drains, clients go on using the connections they have.
-func (f *fleet) routable(i int) bool {
-	at := f.sidecars[i].routing.Load()
-	return at.ready && !at.unhealthy && f.elapsed() < at.deadAt && (!at.draining || f.transport.hasIdle(i))
+// routable reports whether the clients' load balancer routes requests to a sidecar. It notices a death late, as the scenario has it.
+// While a sidecar drains, clients go on using the connections they have.
+func (f *fleet) routable(sidecar int) bool {
+	state := f.sidecars[sidecar].routing.Load()
+	return state.ready && !state.unhealthy && f.run.elapsed() < state.deadAt &&
+		(!state.draining || f.run.transport.hasIdle(sidecar))
 }
 
-// grace is how long a planned end may take, as on the platform.
-func (f *fleet) gracePeriod() (grace time.Duration) {
-	for _, c := range f.plan.Scenario.Class {
-		grace = max(grace, c.Deadline.D())
+// gracePeriod is how long a graceful shutdown may take, as on the platform.
+func (f *fleet) gracePeriod() time.Duration {
+	longest := time.Duration(0)
+	for _, class := range f.run.plan.Scenario.Class {
+		longest = max(longest, class.Deadline.D())
 	}
-	return min(grace, maxGracedDeadline) + graceMargin
+	return min(longest, maxGracedDeadline) + graceMargin
 }
 
-// finish ends what still runs, as planned: SIGTERM, and SIGKILL after the grace of the platform, or after less
-// in a hurry.
-func (f *fleet) shutDown(hurry bool) {
+// shutDown shuts down what still runs: SIGTERM, and SIGKILL after the grace period, which is shorter if the run was cut short.
+func (f *fleet) shutDown(aborted bool) {
 	grace := f.gracePeriod()
-	if hurry {
+	if aborted {
 		grace = min(grace, abortGrace)
 	}
 	for _, s := range f.sidecars {
 		s.measureUsage()
 		s.stop()
 	}
-	after, cancel := context.WithTimeout(f.ctx, grace)
+	graceCtx, cancel := context.WithTimeout(f.ctx, grace)
 	defer cancel()
 	for _, s := range f.sidecars {
 		if p := s.currentProcess(); p != nil {
 			select {
 			case <-p.exited:
-			case <-after.Done():
+			case <-graceCtx.Done():
 			}
 		}
 	}
 	f.killAll()
 }
 
+// killAll sends SIGKILL to all and waits until they have exited.
 func (f *fleet) killAll() {
 	for _, s := range f.sidecars {
 		s.kill()
@@ -213,16 +201,16 @@
 	}
 }
 
-// close ends everything at once, waits for it and returns what each sidecar's processes took.
+// close kills everything, waits for it and returns what each sidecar's processes took.
 func (f *fleet) close() []trace.Usage {
-	out := make([]trace.Usage, 0, len(f.sidecars))
 	f.killAll()
+	usage := make([]trace.Usage, 0, len(f.sidecars))
 	for _, s := range f.sidecars {
-		out = append(out, s.usage())
+		usage = append(usage, s.usage())
 	}
 	f.cancel()
 	close(f.spawnRequests)
 	f.tasks.Wait()
-	os.RemoveAll(f.configDir)
-	return out
+	_ = os.RemoveAll(f.configDir) // a temporary directory that remains does no harm
+	return usage
 }
--- a/internal/lab/loopback/fleet_test.go
+++ b/internal/lab/loopback/fleet_test.go
@@ -120,19 +120,19 @@
 		t.Fatal(err)
 	}
 	r.plan.Scenario.Clients.Notice = scenario.Span(time.Hour)
-	f.kill(0)
+	f.sidecars[0].kill()
 	<-f.sidecars[0].currentProcess().exited
 	expect(t, r, 0, trace.SidecarStarted, trace.SidecarReady, trace.SidecarKilled)
 	if !f.routable(0) {
 		t.Error("the front has noticed the death at once")
 	}
 	r.plan.Scenario.Clients.Notice = 0
-	f.kill(1)
+	f.sidecars[1].kill()
 	<-f.sidecars[1].currentProcess().exited
 	if f.routable(1) {
 		t.Error("the front goes on for longer than it takes to notice")
 	}
-	if err := f.start(0); err != nil {
+	if err := f.sidecars[0].start(); err != nil {
 		t.Fatal(err)
 	}
 	<-f.sidecars[0].currentProcess().settled
@@ -155,7 +155,7 @@
 	r := begin(t, 1, roleDeaf)
 	s := r.fleet.sidecars[0]
 	r.transport.roundTrip(t.Context(), clientRequest{directEndpoint: -1, timeout: ample, cancelAt: ample}) // whose connection is kept
-	r.fleet.stop(0)
+	r.fleet.sidecars[0].stop()
 	if !r.fleet.routable(0) {
 		t.Error("taken out before it has said that it drains")
 	}
@@ -238,19 +238,19 @@
 		}
 	}
 	hear(r.addresses.agent(0, 0))
-	if err := r.fleet.reload(0, r.addresses.agent(0, 1)); err != nil {
+	if err := r.fleet.sidecars[0].reload(r.addresses.agent(0, 1)); err != nil {
 		t.Fatal(err)
 	}
 	hear(r.addresses.agent(0, 1))
-	r.fleet.kill(0)
+	r.fleet.sidecars[0].kill()
 	<-r.fleet.sidecars[0].currentProcess().exited
-	if err := r.fleet.reload(0, r.addresses.agent(0, 2)); err != nil {
+	if err := r.fleet.sidecars[0].reload(r.addresses.agent(0, 2)); err != nil {
 		t.Fatal(err)
 	}
-	if err := r.fleet.start(0); err != nil {
+	if err := r.fleet.sidecars[0].start(); err != nil {
 		t.Fatal(err)
 	}
-	if err := r.fleet.reload(0, r.addresses.agent(0, 3)); err != nil { // before it can have set up its signals
+	if err := r.fleet.sidecars[0].reload(r.addresses.agent(0, 3)); err != nil { // before it can have set up its signals
 		t.Fatal(err)
 	}
 	in = next()
--- a/internal/lab/loopback/link.go
+++ b/internal/lab/loopback/link.go
@@ -13,39 +13,44 @@
 
 const linkBufferSize = 32 << 10
 
-// link is the network between one process and another: an address of its own, whose connections are passed on. While a way
-// is cut, what is written that way is held back until it is healed, as TCP does by sending again; and no new connection
-// comes up. It differs from a wire in two things: where nobody listens behind it, a connection comes up and is then reset;
-// and in the moment in which it is healed one is refused.
+// link is the network between one process and another: a TCP proxy with an address of its own, whose faults are those of the
+// scenario. While one direction is partitioned, what is written in it is held back until the partition heals, as TCP does by
+// retransmission, and no new connection comes up. It differs from a network in two things: where nobody listens behind it, a
+// connection comes up and is then reset; and in the moment in which it heals one is refused.
 type link struct {
-	target     string
 	listener   *faultListener
 	dialer     net.Dialer
 	goroutines sync.WaitGroup
-	ctx        context.Context
+	ctx        context.Context // ends with close
 	cancel     context.CancelFunc
 
 	mu            sync.Mutex
-	faults        map[int]plan.Link // that are on, by number
+	target        string            // address of new connections
+	faults        map[int]plan.Link // in force, by their numbers in the plan
 	connections   map[*proxiedConn]struct{}
-	faultsChanged chan struct{} // closed, and made anew, with every change of the faults
+	faultsChanged chan struct{} // closed and replaced with every change of the faults
 }
 
-// pair is one connection through a link: the caller's end and the called one's.
-type proxiedConn struct{ client, server net.Conn }
+// proxiedConn is one connection through a link: the one that was accepted and the one to the target.
+type proxiedConn struct{ client, server *net.TCPConn }
 
-// newLink listens at an address and passes on to another.
-func newLink(addr, to string) (*link, error) {
-	l := &link{target: to, faults: map[int]plan.Link{}, connections: map[*proxiedConn]struct{}{}, faultsChanged: make(chan struct{})}
+// newLink listens at an address and forwards to another. An error is that of the listener.
+func newLink(address, target string) (*link, error) {
+	l := &link{
+		target:        target,
+		faults:        map[int]plan.Link{},
+		connections:   map[*proxiedConn]struct{}{},
+		faultsChanged: make(chan struct{}),
+	}
 	l.ctx, l.cancel = context.WithCancel(context.Background())
 	var err error
-	if l.listener, err = newFaultListener(addr, stateAccepting, l.forward); err != nil {
+	if l.listener, err = newFaultListener(address, stateAccepting, l.forward); err != nil {
 		return nil, err
 	}
 	return l, nil
 }
 
-// begin puts a fault on; with end, it goes.
+// beginFault puts a fault into force, until endFault is called with its number.
 func (l *link) beginFault(id int, fault plan.Link) {
 	l.updateFaults(func() { l.faults[id] = fault }, fault.How == plan.LinkReset)
 }
@@ -57,52 +62,55 @@
 	defer l.mu.Unlock()
 	change()
 	if reset {
-		for conn := range l.connections {
-			conn.reset()
-		}
+		l.resetAll()
 	}
-	want := stateAccepting
+	state := stateAccepting
 	for _, fault := range l.faults {
 		if fault.Cuts(true) || fault.Cuts(false) {
-			want = stateBlackholed // a handshake needs both ways
+			state = stateBlackholed // a handshake needs both directions
 		}
 	}
-	l.listener.requestState(want)
+	l.listener.requestState(state)
 	close(l.faultsChanged)
 	l.faultsChanged = make(chan struct{})
 }
 
-// leads has it pass new connections on to another address.
-func (l *link) setTarget(to string) {
+// resetAll resets all connections. The lock is held.
+func (l *link) resetAll() {
+	for conn := range l.connections {
+		conn.reset()
+	}
+}
+
+// setTarget has new connections forwarded to another address.
+func (l *link) setTarget(target string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.target = to
+	l.target = target
 }
 
+// close resets all connections and waits for the goroutines.
 func (l *link) close() {
 	l.cancel()
 	l.listener.close()
 	l.mu.Lock()
-	for conn := range l.connections {
-		conn.reset()
-	}
+	l.resetAll()
 	l.mu.Unlock()
 	l.goroutines.Wait()
 }
 
-// admit passes a connection on until both ends have ended.
-func (l *link) forward(near *net.TCPConn) {
+// forward forwards a new connection, in a goroutine, until both directions have ended.
+func (l *link) forward(client *net.TCPConn) {
 	l.mu.Lock()
-	to := l.target
+	target := l.target
 	l.mu.Unlock()
 	l.goroutines.Go(func() {
-		far, err := l.dialer.DialContext(l.ctx, "tcp", to)
+		server, err := l.dialer.DialContext(l.ctx, "tcp", target)
 		if err != nil {
-			_ = near.SetLinger(0)
-			near.Close()
+			resetConn(client)
 			return
 		}
-		conn := &proxiedConn{near, far}
+		conn := &proxiedConn{client, server.(*net.TCPConn)}
 		l.mu.Lock()
 		l.connections[conn] = struct{}{}
 		if l.ctx.Err() != nil {
@@ -110,81 +118,67 @@
 		}
 		l.mu.Unlock()
 		var both sync.WaitGroup
-		both.Go(func() { l.copyOneWay(conn, far, near, true) })
-		both.Go(func() { l.copyOneWay(conn, near, far, false) })
+		both.Go(func() { l.copyOneWay(conn, conn.server, conn.client, true) })
+		both.Go(func() { l.copyOneWay(conn, conn.client, conn.server, false) })
 		both.Wait()
 		l.mu.Lock()
 		delete(l.connections, conn)
 		l.mu.Unlock()
-		near.Close()
-		far.Close()
+		_ = conn.client.Close() // it may be closed already
+		_ = conn.server.Close()
 	})
 }
 
-// pump passes on one way's bytes, and its end.
-func (l *link) copyOneWay(conn *proxiedConn, to, from net.Conn, there bool) {
-	buf := make([]byte, linkBufferSize)
+// copyOneWay copies the bytes of one direction, and its end.
+func (l *link) copyOneWay(conn *proxiedConn, to, from *net.TCPConn, toServer bool) {
+	buffer := make([]byte, linkBufferSize)
 	for {
-		n, err := from.Read(buf)
-		if n > 0 || errors.Is(err, io.EOF) {
-			if !l.awaitPassage(there) {
-				conn.reset()
-				return
-			}
+		n, readErr := from.Read(buffer)
+		ended := errors.Is(readErr, io.EOF)
+		if (n > 0 || ended) && !l.awaitPassage(toServer) {
+			conn.reset()
+			return
 		}
 		if n > 0 {
-			if _, err := to.Write(buf[:n]); err != nil {
+			if _, err := to.Write(buffer[:n]); err != nil {
 				conn.reset()
 				return
 			}
 		}
 		switch {
-		case errors.Is(err, io.EOF):
-			_ = to.(*net.TCPConn).CloseWrite() // where it fails the other way fails too
+		case ended:
+			_ = to.CloseWrite() // where it fails the other direction fails too
 			return
-		case err != nil:
+		case readErr != nil:
 			conn.reset()
 			return
 		}
 	}
 }
 
-// passes waits for as long as a way is cut, and then for its delay; false if the link is closed meanwhile.
-func (l *link) awaitPassage(there bool) bool {
+// awaitPassage waits while a direction is partitioned, and then for its delay; false if the link is closed meanwhile.
+func (l *link) awaitPassage(toServer bool) bool {
 	for {
 		l.mu.Lock()
-		cut, delay, turned := false, time.Duration(0), l.faultsChanged
+		partitioned, delay, changed := false, time.Duration(0), l.faultsChanged
 		for _, fault := range l.faults {
-			cut = cut || fault.Cuts(there)
+			partitioned = partitioned || fault.Cuts(toServer)
 			delay += fault.Delay
 		}
 		l.mu.Unlock()
-		if !cut {
-			return delay == 0 || l.sleep(delay)
+		if !partitioned {
+			return delay == 0 || sleep(delay, l.ctx.Done(), nil)
 		}
 		select {
-		case <-turned:
+		case <-changed:
 		case <-l.ctx.Done():
 			return false
 		}
 	}
 }
 
-func (l *link) sleep(d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-t.C:
-		return true
-	case <-l.ctx.Done():
-		return false
-	}
-}
-
-// reset breaks both ends.
+// reset resets both ends.
 func (c *proxiedConn) reset() {
-	for _, conn := range []net.Conn{c.client, c.server} {
-		_ = conn.(*net.TCPConn).SetLinger(0) // on one that is closed already there is no need
-		conn.Close()
-	}
+	resetConn(c.client)
+	resetConn(c.server)
 }
--- a/internal/lab/loopback/links.go
+++ b/internal/lab/loopback/links.go
@@ -2,60 +2,65 @@
 
 import "pinelb.example/pinelb/internal/lab/plan"
 
-// linkKey names a link: what a sidecar connects to over it, or who connects to the sidecar.
+// linkKey identifies a link.
 type linkKey struct {
-	kind     string
+	kind     string // what a sidecar connects to over it ("list", "boxes"), or who connects to the sidecar ("clients", "control")
 	sidecar  int
-	endpoint int // of "boxes"
+	endpoint int // of kind "boxes"
 }
 
 // setUpLinks makes the links that the plan has faults for. A link costs two more sockets a connection, so others go without.
 func (r *run) setUpLinks() error {
 	r.links = map[linkKey]*link{}
-	for of, sidecars := range r.plan.Links {
-		for _, i := range sidecars {
-			boxes := 1
-			if of == "boxes" {
-				boxes = len(r.plan.Boxes)
+	for kind, sidecars := range r.plan.Links {
+		for _, sidecar := range sidecars {
+			endpoints := 1
+			if kind == "boxes" {
+				endpoints = len(r.plan.Boxes)
 			}
-			for box := range boxes {
-				to := r.addresses.agent(i, 0)
-				switch of {
-				case "clients":
-					to = r.addresses.clientEntry(i, r.plan.Scenario.Fleet.Protocol)
-				case "boxes":
-					to = r.addresses.endpoint(box)
-				case "control":
-					to = r.addresses.control(i, 0)
-				}
-				l, err := newLink(r.addresses.link(of, i, box), to)
+			for endpoint := range endpoints {
+				key := linkKey{kind, sidecar, endpoint}
+				l, err := newLink(r.addresses.link(kind, sidecar, endpoint), r.linkTarget(key))
 				if err != nil {
 					return err
 				}
-				r.links[linkKey{of, i, box}] = l
+				r.links[key] = l
 			}
 		}
 	}
 	return nil
 }
 
-// applyLinkEvent is a step of the script at the links of one kind that a sidecar has.
-func (r *run) applyLinkEvent(e plan.Event) {
+// linkTarget is the address to which a link forwards at first.
+func (r *run) linkTarget(key linkKey) string {
+	switch key.kind {
+	case "clients":
+		return r.addresses.clientEntry(key.sidecar, r.plan.Scenario.Fleet.Protocol)
+	case "boxes":
+		return r.addresses.endpoint(key.endpoint)
+	case "control":
+		return r.addresses.control(key.sidecar, 0)
+	}
+	return r.addresses.agent(key.sidecar, 0)
+}
+
+// applyLinkEvent applies an event of the script that concerns a sidecar's links of one kind.
+func (r *run) applyLinkEvent(event plan.Event) {
 	for key, l := range r.links {
 		switch {
-		case key.kind != e.Link.Of || key.sidecar != e.Sidecar:
-		case e.Kind == plan.BeginLink:
-			l.beginFault(e.ID, e.Link)
+		case key.kind != event.Link.Of || key.sidecar != event.Sidecar:
+		case event.Kind == plan.BeginLink:
+			l.beginFault(event.ID, event.Link)
 		default:
-			l.endFault(e.ID)
+			l.endFault(event.ID)
 		}
 	}
 }
 
-// endpointAddress is the address at which a sidecar reaches a box.
-func (r *run) endpointAddress(sidecar, box int) string {
+// endpointAddress is the address at which a sidecar reaches an endpoint.
+func (r *run) endpointAddress(sidecar, endpoint int) string {
 	if r.plan.Linked("boxes", sidecar) {
-		return r.addresses.link("boxes", sidecar, box)
+		return r.addresses.link("boxes", sidecar, endpoint)
 	}
-	return r.addresses.endpoint(box)
+	return r.addresses.endpoint(endpoint)
 }
--- a/internal/lab/loopback/list_faults.go
+++ b/internal/lab/loopback/list_faults.go
@@ -12,48 +12,42 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-// service is the list service behind all agents: its capacity is one for all.
+// serviceCapacity is the capacity of the list service behind all agents, which they share.
 type serviceCapacity struct {
 	mu         sync.Mutex
-	model      *model.Listing // nil: it has no bound
+	model      *model.Listing // nil if it is unlimited
 	retryAfter time.Duration
 }
 
-// bound gives it the scenario's capacity, if that has one.
-func (s *serviceCapacity) configure(p *plan.Plan) {
-	if v := p.Scenario.Discovery.Service; v != nil {
-		s.model = &model.Listing{Calls: v.Calls, Call: v.Call.D(), Line: v.Line, Beyond: model.Beyond(v.Beyond)}
-		s.retryAfter = v.RetryAfter.D()
+// capacityEpoch is a moment before any run, from which the capacity's clock counts: polls come before a run starts, too.
+var capacityEpoch = time.Now()
+
+// configure sets the scenario's capacity, if it has one.
+func (c *serviceCapacity) configure(p *plan.Plan) {
+	if service := p.Scenario.Discovery.Service; service != nil {
+		c.model = &model.Listing{Calls: service.Calls, Call: service.Call.D(), Line: service.Line, Beyond: model.Beyond(service.Beyond)}
+		c.retryAfter = service.RetryAfter.D()
 	}
 }
 
-// fault begins or ends one of the list service's, as this agent's sidecar has it.
-func (a *agent) applyFault(e plan.Event) error {
+// applyFault begins or ends a fault of the list service, as this agent's sidecar sees it. An error is that of listening again.
+func (a *agent) applyFault(event plan.Event) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.closed {
 		return nil
 	}
-	if e.Kind == plan.BeginList {
-		a.faults[e.ID] = e.List
-		switch e.List.Kind {
-		case "list_down":
-			a.stopServer()
-		case "list_forget":
-			a.stopServer()
-			a.catalog = newCatalog(a.catalog.members())
-		case "list_old":
-			a.staleCatalog = a.catalog.clone()
-		}
+	if event.Kind == plan.BeginList {
+		a.beginFault(event)
 	} else {
-		delete(a.faults, e.ID)
+		delete(a.faults, event.ID)
 	}
-	down, old := false, false
-	for _, f := range a.faults {
-		down = down || f.Kind == "list_down" || f.Kind == "list_forget"
-		old = old || f.Kind == "list_old"
+	down, stale := false, false
+	for _, fault := range a.faults {
+		down = down || fault.Kind == "list_down" || fault.Kind == "list_forget"
+		stale = stale || fault.Kind == "list_old"
 	}
-	if !old {
+	if !stale {
 		a.staleCatalog = nil
 	}
 	a.notifyWaiters()
@@ -63,20 +57,34 @@
 	return nil
 }
 
-// down ends the service's process as this sidecar has it: connections end, and new ones are refused. The lock is held.
+// beginFault puts a fault into force. The lock is held.
+func (a *agent) beginFault(event plan.Event) {
+	a.faults[event.ID] = event.List
+	switch event.List.Kind {
+	case "list_down":
+		a.stopServer()
+	case "list_forget":
+		a.stopServer()
+		a.catalog = newCatalog(a.catalog.members())
+	case "list_old":
+		a.staleCatalog = a.catalog.clone()
+	}
+}
+
+// stopServer ends the service's process as this sidecar sees it: connections end, and new ones are refused. The lock is held.
 func (a *agent) stopServer() {
 	if a.server != nil {
 		a.server.Close()
 		a.server = nil
 	}
-	if s := &a.run.capacity; s.model != nil {
-		s.mu.Lock()
-		s.model.Forget()
-		s.mu.Unlock()
+	if c := &a.run.capacity; c.model != nil {
+		c.mu.Lock()
+		c.model.Forget()
+		c.mu.Unlock()
 	}
 }
 
-// present is the catalog that is told. The lock is held.
+// servedCatalog is the catalog from which polls are answered. The lock is held.
 func (a *agent) servedCatalog() *catalog {
 	if a.staleCatalog != nil {
 		return a.staleCatalog
@@ -84,39 +92,20 @@
 	return a.catalog
 }
 
-// admit has a call wait for its part of the service's capacity; false if it got none, and has been answered so.
-func (a *agent) admit(w http.ResponseWriter, req *http.Request, asked *trace.DiscoveryPoll) bool {
-	slow, delay := 1.0, time.Duration(0)
-	a.mu.Lock()
-	for _, f := range a.faults {
-		if f.Kind == "list_slow" {
-			slow *= max(1, f.Size)
-			delay += f.Delay
-		}
-	}
-	a.mu.Unlock()
-	s := &a.run.capacity
-	if s.model != nil {
-		s.mu.Lock()
+// admit has a poll wait for its part of the service's capacity; false if there is none left, and the poll has been answered.
+func (a *agent) admit(w http.ResponseWriter, req *http.Request, poll *trace.DiscoveryPoll) bool {
+	slowdown, delay := a.slowness()
+	if c := &a.run.capacity; c.model != nil {
+		c.mu.Lock()
 		now := time.Since(capacityEpoch)
-		answered, room := s.model.Ask(now, slow)
-		s.mu.Unlock()
-		if !room {
-			asked.Outcome = trace.PollRejected
-			switch s.model.Beyond {
-			case model.Resets:
-				panic(http.ErrAbortHandler)
-			case model.Silences:
-				a.sleep(req, maxWatch)
-				panic(http.ErrAbortHandler)
-			}
-			if s.retryAfter > 0 {
-				w.Header().Set("Retry-After", strconv.FormatFloat(s.retryAfter.Seconds(), 'f', -1, 64))
-			}
-			http.Error(w, "the list service has no room", http.StatusServiceUnavailable)
+		answeredAt, admitted := c.model.Ask(now, slowdown)
+		c.mu.Unlock()
+		if !admitted {
+			poll.Outcome = trace.PollRejected
+			a.reject(w, req)
 			return false
 		}
-		delay += answered - now
+		delay += answeredAt - now
 	}
 	if delay > 0 && !a.sleep(req, delay) {
 		panic(http.ErrAbortHandler)
@@ -124,40 +113,59 @@
 	return true
 }
 
-// started is a moment before any run, from which the capacity's clock counts: calls come before the run begins, too.
-var capacityEpoch = time.Now()
+// slowness is the factor and the delay of the faults that slow the service.
+func (a *agent) slowness() (factor float64, delay time.Duration) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	factor = 1
+	for _, fault := range a.faults {
+		if fault.Kind == "list_slow" {
+			factor *= max(1, fault.Size)
+			delay += fault.Delay
+		}
+	}
+	return factor, delay
+}
 
-// pause waits; false if the caller leaves, or the agent is closed, meanwhile.
-func (a *agent) sleep(req *http.Request, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-t.C:
-		return true
-	case <-req.Context().Done():
-	case <-a.done:
+// reject answers a poll beyond the capacity, in the way that the scenario has it.
+func (a *agent) reject(w http.ResponseWriter, req *http.Request) {
+	c := &a.run.capacity
+	switch c.model.Beyond {
+	case model.Resets:
+		panic(http.ErrAbortHandler)
+	case model.Silences:
+		a.sleep(req, maxWatch)
+		panic(http.ErrAbortHandler)
 	}
-	return false
+	if c.retryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.FormatFloat(c.retryAfter.Seconds(), 'f', -1, 64))
+	}
+	http.Error(w, "the list service has no room", http.StatusServiceUnavailable)
+}
+
+// sleep waits for d; false if the caller disconnects, or the agent is closed, meanwhile.
+func (a *agent) sleep(req *http.Request, d time.Duration) bool {
+	return sleep(d, req.Context().Done(), a.done)
 }
 
-// spoil makes an answer wrong, where the service is to be; it tells whether it has.
-func (a *agent) corrupt(answer *listResponse) bool {
+// corrupt makes a response wrong, if a fault demands it, and reports whether it has.
+func (a *agent) corrupt(response *listResponse) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, f := range a.faults {
-		if f.Kind != "list_wrong" {
+	for _, fault := range a.faults {
+		if fault.Kind != "list_wrong" {
 			continue
 		}
-		answer.Complete = true
-		switch f.Of {
+		response.Complete = true
+		switch fault.Of {
 		case "empty":
-			answer.Members = []map[string]any{}
+			response.Members = []map[string]any{}
 		case "half":
-			answer.Members = answer.Members[:len(answer.Members)/2]
+			response.Members = response.Members[:len(response.Members)/2]
 		case "other":
-			for i, m := range answer.Members {
-				m["id"] = "other-" + m["id"].(string)
-				m["host_port"] = a.run.addresses.address(lockRow, i%hostsPerRow, 1) // where nobody listens
+			for i, member := range response.Members {
+				member["id"] = "other-" + member["id"].(string)
+				member["host_port"] = a.run.addresses.address(lockRow, i%hostsPerRow, 1) // where nobody listens
 			}
 		}
 		return true
@@ -165,12 +173,12 @@
 	return false
 }
 
-// cuts draws whether an answer is to be cut off.
+// shouldCut draws whether a response is to be cut off.
 func (a *agent) shouldCut() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, f := range a.faults {
-		if f.Kind == "list_cut" && rand.Float64() < f.Size {
+	for _, fault := range a.faults {
+		if fault.Kind == "list_cut" && rand.Float64() < fault.Size {
 			return true
 		}
 	}
--- a/internal/lab/loopback/list_versions.go
+++ b/internal/lab/loopback/list_versions.go
@@ -13,97 +13,99 @@
 	"pinelb.example/pinelb/internal/version"
 )
 
-// phaseNumbers are the phases as a digest has them.
+// phaseNumbers are the phases as a digest encodes them.
 var phaseNumbers = map[string]int64{"Ready": 1, "Terminating": 2}
 
-// holdings are the lists that one sidecar has come to hold, by their revision: by a call for what is newer than a revision a
-// sidecar says which of them it acts on. Of two of one revision the later one counts.
+// listVersions are the endpoint lists that were written to one sidecar, by revision; members are by id. When the sidecar polls for
+// what is newer than a revision, it says which of them it has adopted. Of two of one revision the later one counts.
 type listVersions map[int64]map[string]map[string]any
 
-// hold notes what the sidecar will hold once it has taken an answer over. An answer that it does not take over stays among the
-// holdings, and by its next call nobody takes it for what it holds.
-func (a *agent) recordVersion(asked *trace.DiscoveryPoll, answer listResponse) {
+// recordVersion records the list that the sidecar will have once it has adopted a response. If it doesn't adopt it, its next poll
+// names another revision.
+func (a *agent) recordVersion(poll *trace.DiscoveryPoll, response listResponse) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.listVersions == nil {
 		a.listVersions = listVersions{}
 	}
-	all := map[string]map[string]any{}
-	if !answer.Complete {
-		base, known := a.listVersions[asked.SinceRevision]
-		if !known { // the list that it was started with
+	members := map[string]map[string]any{}
+	if !response.Complete {
+		base, known := a.listVersions[poll.SinceRevision]
+		if !known { // the one in its configuration
 			base = a.configuredMembers()
 		}
-		maps.Copy(all, base)
+		maps.Copy(members, base)
 	}
-	for _, m := range answer.Members {
-		id := m["id"].(string)
-		if all[id] = m; m["phase"] == trace.PhaseGone.String() {
-			delete(all, id)
+	for _, member := range response.Members {
+		id := member["id"].(string)
+		if member["phase"] == trace.PhaseGone.String() {
+			delete(members, id)
+		} else {
+			members[id] = member
 		}
 	}
-	a.listVersions[answer.Revision] = all
-	asked.Revision, asked.Digest = answer.Revision, digestOf(all)
+	a.listVersions[response.Revision] = members
+	poll.Revision, poll.Digest = response.Revision, digestOf(members)
 }
 
-// started is the list that the sidecar's configuration had at the last start of its process. The lock is held.
+// configuredMembers is the list in the sidecar's configuration at the last start of its process, by id.
 func (a *agent) configuredMembers() map[string]map[string]any {
-	all := map[string]map[string]any{}
 	if a.sidecar < 0 {
-		return all
+		return map[string]map[string]any{}
 	}
-	for _, m := range a.run.fleet.sidecars[a.sidecar].configuredMembers() {
-		all[m["id"].(string)] = m
+	return membersByID(a.run.fleet.sidecars[a.sidecar].configuredMembers())
+}
+
+func membersByID(members []map[string]any) map[string]map[string]any {
+	byID := make(map[string]map[string]any, len(members))
+	for _, member := range members {
+		byID[member["id"].(string)] = member
 	}
-	return all
+	return byID
 }
 
-// digestOf is a list's digest by the rule that docs/design/fleet-audit.md has: written here a second time, from the members as
-// they are told, so that the sidecar's own is checked and not repeated.
+// digestOf is the digest of a list by the rule of docs/design/fleet-audit.md. It is written here a second time, from the members as
+// they are sent, so that the sidecar's own code is checked and not repeated.
 func digestOf(members map[string]map[string]any) version.Digest {
 	sum := uint64(0)
-	for _, m := range members {
+	for _, member := range members {
 		var b []byte
 		for _, key := range []string{"id", "locality", "flavor"} {
-			text := m[key].(string)
+			text := member[key].(string)
 			b = append(binary.AppendUvarint(b, uint64(len(text))), text...)
 		}
-		b = binary.AppendVarint(b, phaseNumbers[m["phase"].(string)])
-		b = binary.AppendVarint(b, int64(m["cell"].(int)))
-		b = binary.AppendVarint(b, m["up_since_ms"].(int64)*int64(time.Millisecond))
-		b = binary.BigEndian.AppendUint64(b, math.Float64bits(m["size"].(float64)))
+		b = binary.AppendVarint(b, phaseNumbers[member["phase"].(string)])
+		b = binary.AppendVarint(b, int64(member["cell"].(int)))
+		b = binary.AppendVarint(b, member["up_since_ms"].(int64)*int64(time.Millisecond))
+		b = binary.BigEndian.AppendUint64(b, math.Float64bits(member["size"].(float64)))
 		sum += xxhash.Sum64(b)
 	}
-	if sum == 0 {
+	if sum == 0 { // which is no digest
 		sum = 1
 	}
 	return version.Digest(sum)
 }
 
-// holds is the digest of the list that a process is started with; none where no operator calls it. It needs the sidecar's lock.
+// configuredDigest is the digest of the list that a process is started with; 0 if no operator calls it. The lock is held.
 func (s *sidecar) configuredDigest() version.Digest {
-	if !s.fleet.plan.Operators() || len(s.members) == 0 {
+	if !s.run.plan.Operators() || len(s.members) == 0 {
 		return 0
 	}
-	all := map[string]map[string]any{}
-	for _, m := range s.members {
-		all[m["id"].(string)] = m
-	}
-	return digestOf(all)
+	return digestOf(membersByID(s.members))
 }
 
-// given is the list that the sidecar's configuration has, as its process has read it.
+// configuredMembers is the list in the sidecar's configuration, as its process has read it.
 func (s *sidecar) configuredMembers() []map[string]any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.members
 }
 
-// members are entries as discovery words them to a sidecar.
+// memberDocuments are entries in the form in which discovery sends them to a sidecar.
 func (r *run) memberDocuments(sidecar int, entries []plan.Listed) []map[string]any {
-	out := []map[string]any{} // JSON has no list for nil
-	for _, l := range entries {
-		out = append(out, r.plan.Member(l, r.endpointAddress(sidecar, l.Box), r.startOrNow()))
+	documents := []map[string]any{} // not nil, which JSON would encode as null
+	for _, entry := range entries {
+		documents = append(documents, r.plan.Member(entry, r.endpointAddress(sidecar, entry.Box), r.startOrNow()))
 	}
-	return out
+	return documents
 }
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -228,7 +228,7 @@
 	r.schedule(0, func() {
 		for i := range r.plan.Sidecars {
 			if r.plan.Sidecars[i].Box == endpoint {
-				r.fleet.kill(i)
+				r.fleet.sidecars[i].kill()
 			}
 		}
 	})
--- a/internal/lab/loopback/round_robin.go
+++ b/internal/lab/loopback/round_robin.go
@@ -9,23 +9,24 @@
 	"pinelb.example/pinelb/internal/lab/plan"
 )
 
-// rotation is the plain policy: no sidecars, each request to the next box of its tier's list. There is nobody
-// whom discovery would tell, so the plan has no such events; instead a box is on the list by its own state,
-// Discovery.Notice after its process ends or its machine vanishes, and Discovery.Add after it is up. A drain
-// shows only by its end, and an entry that stays (leave) goes likewise: both flatter nobody but the plain.
+// roundRobin is the plain policy: no sidecars, and each request goes to the next endpoint of its tier's list. As there is nobody whom
+// discovery would notify, the plan has no such events; instead an endpoint is on the list by its own state: it is removed
+// Discovery.Notice after its process ends (Discovery.Silent if its host becomes unresponsive) and added Discovery.Add after it is up.
+// A drain shows only by its end, and so does an entry that is never removed (fault leave): both favour the plain policy.
 type roundRobin struct {
 	mu         sync.Mutex
 	tiers      []tierRotation
-	downFaults []int // of each box: the faults that it is down by
+	downFaults []int // number of faults by which each endpoint is down
 	plan       *plan.Plan
 }
 
+// tierRotation is the list of one tier.
 type tierRotation struct {
-	endpoints []int // boxes, in order
-	next      int
+	endpoints []int // sorted
+	next      int   // index of the one that got the last request
 }
 
-// noticed is what discovery would say of a box that has gone or come, and when.
+// listChange is a change of the list by an endpoint's start or end, which is noticed after a delay.
 type listChange struct {
 	endpoint int
 	listed   bool
@@ -33,20 +34,24 @@
 }
 
 func newRoundRobin(p *plan.Plan) *roundRobin {
-	o := &roundRobin{plan: p, tiers: make([]tierRotation, len(p.Scenario.Tier)), downFaults: make([]int, len(p.Boxes))}
-	for tier := range o.tiers {
-		for _, l := range p.First(tier) {
-			o.setListed(l.Box, true)
+	r := &roundRobin{
+		plan:       p,
+		tiers:      make([]tierRotation, len(p.Scenario.Tier)),
+		downFaults: make([]int, len(p.Boxes)),
+	}
+	for tier := range r.tiers {
+		for _, listed := range p.First(tier) {
+			r.setListed(listed.Box, true)
 		}
 	}
-	return o
+	return r
 }
 
-// next is the box that gets a tier's next request; -1 if the list is empty.
-func (o *roundRobin) next(tier int) int {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	rotation := &o.tiers[tier]
+// next is the endpoint that gets a tier's next request; -1 if the list is empty.
+func (r *roundRobin) next(tier int) int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	rotation := &r.tiers[tier]
 	if len(rotation.endpoints) == 0 {
 		return -1
 	}
@@ -54,50 +59,50 @@
 	return rotation.endpoints[rotation.next]
 }
 
-// event is a step of the script. What it changes on the list is to be passed to notice after that time.
-func (o *roundRobin) applyEvent(e plan.Event) (change listChange, changes bool) {
-	d := &o.plan.Scenario.Discovery
-	change = listChange{endpoint: e.Box, listed: e.Kind != plan.BeginFault, delay: d.Add.D()}
-	if e.Kind == plan.StartBox {
+// applyEvent takes an event of the script. If it changes the list, the change is to be passed to applyListChange after its delay.
+func (r *roundRobin) applyEvent(event plan.Event) (change listChange, changes bool) {
+	discovery := &r.plan.Scenario.Discovery
+	change = listChange{endpoint: event.Box, listed: event.Kind != plan.BeginFault, delay: discovery.Add.D()}
+	if event.Kind == plan.StartBox {
 		return change, true
 	}
-	notice := d.Notice.D()
+	noticeDelay := discovery.Notice.D()
 	switch {
-	case e.Kind != plan.BeginFault && e.Kind != plan.EndFault:
+	case event.Kind != plan.BeginFault && event.Kind != plan.EndFault:
 		return change, false
-	case e.Fault.Kind == model.Vanish:
-		notice = d.Silent.D()
-	case e.Fault.Kind != model.Dead:
+	case event.Fault.Kind == model.Vanish:
+		noticeDelay = discovery.Silent.D()
+	case event.Fault.Kind != model.Dead:
 		return change, false
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	if change.listed {
-		o.downFaults[e.Box]--
-		return change, o.downFaults[e.Box] == 0
+		r.downFaults[event.Box]--
+		return change, r.downFaults[event.Box] == 0
 	}
-	o.downFaults[e.Box]++
-	change.delay = notice
+	r.downFaults[event.Box]++
+	change.delay = noticeDelay
 	return change, true
 }
 
-// notice carries out what was noticed, unless the box is not so any more.
-func (o *roundRobin) applyListChange(change listChange) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if change.listed == (o.downFaults[change.endpoint] == 0) {
-		o.setListed(change.endpoint, change.listed)
+// applyListChange applies a change, unless the endpoint has changed back meanwhile.
+func (r *roundRobin) applyListChange(change listChange) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if change.listed == (r.downFaults[change.endpoint] == 0) {
+		r.setListed(change.endpoint, change.listed)
 	}
 }
 
-// list puts a box on its tier's list or takes it off. It needs the lock.
-func (o *roundRobin) setListed(box int, on bool) {
-	rotation := &o.tiers[o.plan.Boxes[box].Tier]
-	at, there := slices.BinarySearch(rotation.endpoints, box)
+// setListed puts an endpoint on its tier's list or takes it off. The lock is held.
+func (r *roundRobin) setListed(endpoint int, listed bool) {
+	rotation := &r.tiers[r.plan.Boxes[endpoint].Tier]
+	at, found := slices.BinarySearch(rotation.endpoints, endpoint)
 	switch {
-	case on && !there:
-		rotation.endpoints = slices.Insert(rotation.endpoints, at, box)
-	case !on && there:
+	case listed && !found:
+		rotation.endpoints = slices.Insert(rotation.endpoints, at, endpoint)
+	case !listed && found:
 		rotation.endpoints = slices.Delete(rotation.endpoints, at, at+1)
 	}
 }
--- a/internal/lab/loopback/sidecar.go
+++ b/internal/lab/loopback/sidecar.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net/http"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -18,16 +17,9 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-// How the front asks for a sidecar's health.
-const (
-	minReadyInterval = 5 * time.Millisecond // after its start, and then ever more seldom
-	maxReadyInterval = 50 * time.Millisecond
-	healthInterval   = 300 * time.Millisecond // where it may shut itself out
-	drainInterval    = 200 * time.Millisecond // from SIGTERM on: new connections come for 0.2 to 0.4 s more
-)
-
-// sidecar is one instance of the fleet over all its processes, of which there is one at a time.
+// sidecar is one instance of the fleet over all its processes, of which one is in service at a time.
 type sidecar struct {
+	run   *run
 	fleet *fleet
 	id    int
 	plan  *plan.Sidecar
@@ -35,43 +27,50 @@
 	routing atomic.Pointer[routingState]
 
 	mu               sync.Mutex
-	discoveryAddress string // where its agent is
+	discoveryAddress string // of its agent
 	startCount       int
-	finalSettings    bool             // the run is over
-	members          []map[string]any // the list that it was configured with
-	process          *process         // that runs, or the last; nil before the first
+	finalSettings    bool             // the run is over: see settings
+	members          []map[string]any // the endpoint list in its configuration
+	process          *process         // the one in service, or the last one; nil before the first
 	used             trace.Usage
 }
 
-// standing is a sidecar as the front sees it.
-type routingState struct {
-	ready     bool          // its health has said 200 since its start
-	draining  bool          // it has said 503 since SIGTERM
-	unhealthy bool          // its health says 503 now
-	deadAt    time.Duration // when the front will have noticed that it has died
-}
-
 // process is one run of the program. The sidecar's lock guards the flags.
 type process struct {
 	cmd            *exec.Cmd
-	controlAddress string        // where it listens for operators; empty: nowhere
+	controlAddress string        // where it listens for operators; empty if nowhere
 	stopping       bool          // SIGTERM was sent
-	killed         bool          // SIGKILL was
-	settled        chan struct{} // closed once it has been ready, or has ended
-	exited         chan struct{} // closed once it has, and all is noted
+	killed         bool          // SIGKILL was sent
+	settled        chan struct{} // closed once it has been ready, or has exited
+	exited         chan struct{} // closed once it has exited and all is recorded
 }
 
 func newSidecar(f *fleet, id int) *sidecar {
-	s := &sidecar{fleet: f, id: id, plan: &f.plan.Sidecars[id], discoveryAddress: f.addresses.agent(id, 0)}
-	if f.plan.Linked("list", id) {
-		s.discoveryAddress = f.addresses.link("list", id, 0)
+	r := f.run
+	s := &sidecar{
+		run:              r,
+		fleet:            f,
+		id:               id,
+		plan:             &r.plan.Sidecars[id],
+		discoveryAddress: r.addresses.agent(id, 0),
+	}
+	if r.plan.Linked("list", id) {
+		s.discoveryAddress = r.addresses.link("list", id, 0)
 	}
 	s.routing.Store(&routingState{deadAt: model.Never})
 	s.used = trace.Usage{Sidecar: id, Build: s.plan.Build}
 	return s
 }
 
-// start starts a process, unless one runs.
+// startsBeforeRun reports whether the sidecar is there before the run: not by the script, nor with an endpoint that comes later.
+func (s *sidecar) startsBeforeRun() bool {
+	if s.plan.Begin >= 0 {
+		return false
+	}
+	return s.plan.Box < 0 || s.run.plan.Boxes[s.plan.Box].Start != "absent"
+}
+
+// start starts a process, unless one runs. An error is that of its files or of the program.
 func (s *sidecar) start() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,13 +83,18 @@
 	}
 	s.process = p
 	s.updateControlLink()
-	s.fleet.recorder.addSidecarEvent(trace.SidecarEvent{At: s.fleet.elapsed(), Sidecar: s.id, Kind: trace.SidecarStarted, Digest: s.configuredDigest()})
+	s.run.recorder.addSidecarEvent(trace.SidecarEvent{
+		At:      s.run.elapsed(),
+		Sidecar: s.id,
+		Kind:    trace.SidecarStarted,
+		Digest:  s.configuredDigest(),
+	})
 	s.fleet.tasks.Go(func() { s.wait(p) })
 	s.fleet.tasks.Go(func() { s.awaitReady(p) })
 	return nil
 }
 
-// launch starts the program. It needs the lock.
+// launch starts the program. The lock is held.
 func (s *sidecar) launch() (*process, error) {
 	s.startCount++
 	if err := s.writeConfig(); err != nil {
@@ -98,59 +102,60 @@
 	}
 	p := &process{settled: make(chan struct{}), exited: make(chan struct{})}
 	switch {
-	case s.fleet.plan.Upgrades(): // two processes at a time
-		p.controlAddress = s.fleet.addresses.control(s.id, s.startCount)
-	case s.fleet.plan.Operators():
-		p.controlAddress = s.fleet.addresses.control(s.id, 0)
+	case s.run.plan.Upgrades(): // two processes at a time
+		p.controlAddress = s.run.addresses.control(s.id, s.startCount)
+	case s.run.plan.Operators():
+		p.controlAddress = s.run.addresses.control(s.id, 0)
 	}
 	p.cmd = s.command(p.controlAddress)
-	how := os.O_CREATE | os.O_WRONLY | os.O_APPEND
+	flags := os.O_CREATE | os.O_WRONLY | os.O_APPEND
 	if s.startCount == 1 {
-		how |= os.O_TRUNC
+		flags |= os.O_TRUNC
 	}
-	log, err := os.OpenFile(s.logPath(), how, 0o644)
+	log, err := os.OpenFile(s.logPath(), flags, logFileMode)
 	if err != nil {
-		return nil, fmt.Errorf("live: log: %w", err)
+		return nil, fmt.Errorf("loopback: sidecar's log: %w", err)
 	}
-	defer log.Close()
+	defer func() { _ = log.Close() }() // nothing is written here: the process has a descriptor of its own
 	p.cmd.Stdout, p.cmd.Stderr = log, log
 	if err := s.fleet.spawn(p.cmd); err != nil {
-		return nil, fmt.Errorf("live: sidecar %s: %w", s.plan.Name, err)
+		return nil, fmt.Errorf("loopback: sidecar %s: %w", s.plan.Name, err)
 	}
-	// The program counts on the platform's bound; one that needs more is to fail here too.
-	sockets := uint64(s.fleet.plan.Scenario.Fleet.Sockets)
-	unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: sockets, Max: sockets}, nil)
+	// The program relies on the platform's limit; one that needs more has to fail here too. It fails only if the program has
+	// exited already.
+	sockets := uint64(s.run.plan.Scenario.Fleet.Sockets)
+	_ = unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: sockets, Max: sockets}, nil)
 	return p, nil
 }
 
-// lead has the link of operators, if there is one, pass on to the present process. It needs the lock.
+// updateControlLink has the operators' link, if there is one, forward to the process in service. The lock is held.
 func (s *sidecar) updateControlLink() {
-	if l := s.fleet.links[linkKey{"control", s.id, 0}]; l != nil {
+	if l := s.run.links[linkKey{"control", s.id, 0}]; l != nil {
 		l.setTarget(s.process.controlAddress)
 	}
 }
 
-func (s *sidecar) command(control string) *exec.Cmd {
+func (s *sidecar) command(controlAddress string) *exec.Cmd {
 	cmd := exec.Command(s.fleet.builds[s.plan.Build])
 	if s.operatorConfig() != "" {
 		cmd.Args = append(cmd.Args, "--config="+s.operatorPath())
 	}
 	cmd.Env = append(os.Environ(), "LB_CONFIG="+s.configPath(), "LB_NAME="+s.plan.Name,
-		"LB_LISTEN="+s.fleet.addresses.sidecar(s.id), "LB_DISCOVERY="+s.discoveryAddress)
-	if control != "" {
-		cmd.Env = append(cmd.Env, "LB_CONTROL="+control, "TMPDIR="+s.fleet.configDir)
+		"LB_LISTEN="+s.run.addresses.sidecar(s.id), "LB_DISCOVERY="+s.discoveryAddress)
+	if controlAddress != "" {
+		cmd.Env = append(cmd.Env, "LB_CONTROL="+controlAddress, "TMPDIR="+s.fleet.configDir)
 	}
 	cmd.SysProcAttr = &syscall.SysProcAttr{
 		Setpgid:   true,            // ^C is for this process, which then ends them in order
-		Pdeathsig: syscall.SIGKILL, // see fleet.parent
+		Pdeathsig: syscall.SIGKILL, // see fleet.spawnLoop
 	}
 	return cmd
 }
 
-// log is the file that has its output.
+// logPath is the file that has its output.
 func (s *sidecar) logPath() string { return filepath.Join(s.fleet.logDir, s.plan.Name+".log") }
 
-// runs needs the lock.
+// running reports whether the process in service runs. The lock is held.
 func (s *sidecar) running() bool {
 	if s.process == nil {
 		return false
@@ -163,103 +168,41 @@
 	}
 }
 
-// wait sees a process through to its end.
+// wait waits for a process to exit and records how it did.
 func (s *sidecar) wait(p *process) {
-	p.cmd.Wait() // how it ended is in its state
+	_ = p.cmd.Wait() // how it exited is in its ProcessState
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	state := p.cmd.ProcessState
 	s.used.CPU += state.UserTime() + state.SystemTime()
 	defer close(p.exited)
-	if s.process != p { // another one has taken its place, or it has never come so far
-		if !p.stopping && !p.killed {
-			s.addEvent(trace.SidecarCrashed, state.String()+"\n"+tail(s.logPath()))
-		}
+	crashed := !p.stopping && !p.killed
+	if crashed {
+		s.addEvent(trace.SidecarCrashed, state.String()+"\n"+tail(s.logPath()))
+	}
+	if s.process != p { // another one has taken its place, or it never was in service
 		return
 	}
-	switch {
-	case p.killed:
-	case p.stopping:
+	if p.stopping && !p.killed {
 		s.addEvent(trace.SidecarExited, state.String())
-	default:
-		s.addEvent(trace.SidecarCrashed, state.String()+"\n"+tail(s.logPath()))
 	}
 	routing := *s.routing.Load()
-	routing.deadAt = min(routing.deadAt, s.fleet.elapsed()+s.fleet.plan.Scenario.Clients.Notice.D())
+	routing.deadAt = min(routing.deadAt, s.run.elapsed()+s.run.plan.Scenario.Clients.Notice.D())
 	s.routing.Store(&routing)
-	s.fleet.transport.closeIdle(s.id) // before anyone hears of the end: the front must not count on these
-}
-
-// admit waits until a process is ready and lets the front have it.
-func (s *sidecar) awaitReady(p *process) {
-	defer close(p.settled)
-	for wait := minReadyInterval; s.sleep(p, wait); wait = min(maxReadyInterval, wait*3/2) {
-		if s.fleet.healthStatus(s.id) != http.StatusOK {
-			continue
-		}
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		if s.running() {
-			s.routing.Store(&routingState{ready: true, deadAt: model.Never})
-			s.addEvent(trace.SidecarReady, "")
-			if s.fleet.plan.Scenario.Fleet.Audited() {
-				s.fleet.tasks.Go(func() { s.watchHealth(p) })
-			}
-		}
-		return
-	}
-}
-
-// attend has the front look at the health of a process that may shut itself out, until it ends: one that says no gets nothing new.
-// One that does not answer is no matter of this.
-func (s *sidecar) watchHealth(p *process) {
-	for s.sleep(p, healthInterval) {
-		code := s.fleet.healthStatus(s.id)
-		s.mu.Lock()
-		routing := *s.routing.Load()
-		if out := code == http.StatusServiceUnavailable; code != 0 && out != routing.unhealthy && s.process == p && !p.stopping {
-			routing.unhealthy = out
-			s.routing.Store(&routing)
-		}
-		s.mu.Unlock()
-	}
-}
-
-// drain waits until a process says that it drains and takes it from the front.
-func (s *sidecar) awaitDraining(p *process) {
-	for s.sleep(p, drainInterval) {
-		if s.fleet.healthStatus(s.id) != http.StatusServiceUnavailable {
-			continue
-		}
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		if s.process == p && s.running() {
-			routing := *s.routing.Load()
-			routing.draining = true
-			s.routing.Store(&routing)
-		}
-		return
-	}
+	s.run.transport.closeIdle(s.id) // before p.exited is closed: routable must not count on these connections
 }
 
-// pause waits; false if the process or the fleet ends meanwhile.
+// sleep waits for d; false if the process exits or the fleet is closed meanwhile.
 func (s *sidecar) sleep(p *process, d time.Duration) bool {
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-		return true
-	case <-p.exited:
-	case <-s.fleet.ctx.Done():
-	}
-	return false
+	return sleep(d, p.exited, s.fleet.ctx.Done())
 }
 
+// stop sends SIGTERM to the process in service.
 func (s *sidecar) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.running() || s.process.stopping || s.process.killed || s.process.cmd.Process.Signal(syscall.SIGTERM) != nil {
-		return // it has ended already
+		return // it is ending, or has exited
 	}
 	p := s.process
 	p.stopping = true
@@ -267,6 +210,7 @@
 	s.fleet.tasks.Go(func() { s.awaitDraining(p) })
 }
 
+// kill sends SIGKILL to the process in service.
 func (s *sidecar) kill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -277,20 +221,21 @@
 	s.addEvent(trace.SidecarKilled, "")
 }
 
+// signal sends a signal to the process in service, if it runs.
 func (s *sidecar) signal(sig syscall.Signal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.running() {
-		_ = s.process.cmd.Process.Signal(sig) // one that has just ended needs none
+		_ = s.process.cmd.Process.Signal(sig) // one that has just exited needs none
 	}
 }
 
-// hup has it follow discovery at another address. One that is down finds that at its next start, and one that
-// is not ready yet is told once it is: before that the signal might end it.
-func (s *sidecar) reload(discovery string) error {
+// reload has it follow discovery at another address, by SIGHUP. One that is down finds the address at its next start, and one that
+// is not ready yet gets the signal once it is: before that the signal might end it.
+func (s *sidecar) reload(discoveryAddress string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.discoveryAddress = discovery
+	s.discoveryAddress = discoveryAddress
 	if !s.running() {
 		return nil
 	}
@@ -309,13 +254,13 @@
 	return nil
 }
 
-// last is the present process or the last one; nil if there has been none.
+// currentProcess is the process in service or the last one; nil if there has been none.
 func (s *sidecar) currentProcess() *process {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.process
 }
 
-func (s *sidecar) addEvent(what trace.SidecarEventKind, text string) {
-	s.fleet.recorder.addSidecarEvent(trace.SidecarEvent{At: s.fleet.elapsed(), Sidecar: s.id, Kind: what, Detail: text})
+func (s *sidecar) addEvent(kind trace.SidecarEventKind, detail string) {
+	s.run.recorder.addSidecarEvent(trace.SidecarEvent{At: s.run.elapsed(), Sidecar: s.id, Kind: kind, Detail: detail})
 }
--- a/internal/lab/loopback/sidecar_config.go
+++ b/internal/lab/loopback/sidecar_config.go
@@ -16,29 +16,32 @@
 )
 
 const (
-	seedStep       = 0x9e3779b97f4a7c15 // from one start's seed to the next
+	seedStep       = 0x9e3779b97f4a7c15 // from the seed of one start to that of the next: 2^64 over the golden ratio
 	configFileMode = 0o600
+	logFileMode    = 0o644
+	stateDirMode   = 0o700
 )
 
-// file is its configuration.
+// configPath is its configuration file.
 func (s *sidecar) configPath() string { return filepath.Join(s.fleet.configDir, s.plan.Name+".json") }
 
-// operator is its operator's file, where operatorConfig is not empty.
+// operatorPath is its operator's file, written if operatorConfig is not empty.
 func (s *sidecar) operatorPath() string { return filepath.Join(s.fleet.configDir, s.plan.Name+".toml") }
 
+// operatorConfig is the text of its operator's file; empty if it has none.
 func (s *sidecar) operatorConfig() string {
-	p := s.fleet.plan
-	text := p.Scenario.OperatorText(s.fleet.addresses.thrift(s.id), p.Scenario.Tier[s.plan.Tier].Name, s.plan.Accounts)
+	p := s.run.plan
+	text := p.Scenario.OperatorText(s.run.addresses.thrift(s.id), p.Scenario.Tier[s.plan.Tier].Name, s.plan.Accounts)
 	return strings.NewReplacer("/{dir}", s.fleet.configDir, "{name}", s.plan.Name).Replace(text)
 }
 
-// configure writes the configuration anew, as a whole: a sidecar may be reading it. It needs the lock.
+// writeConfig replaces the configuration atomically, as a sidecar may be reading it. The lock is held.
 func (s *sidecar) writeConfig() error {
-	p := s.fleet.plan
+	p := s.run.plan
 	f := &p.Scenario.Fleet
 	doc := map[string]any{
-		"name": s.plan.Name, "listen": s.fleet.addresses.sidecar(s.id), "discovery": s.discoveryAddress,
-		"seed":     fmt.Sprintf("%016x", s.plan.Seed+uint64(s.startCount)*seedStep), // new with each start
+		"name": s.plan.Name, "listen": s.run.addresses.sidecar(s.id), "discovery": s.discoveryAddress,
+		"seed":     fmt.Sprintf("%016x", s.plan.Seed+uint64(s.startCount)*seedStep), // another one with each start
 		"limits":   map[string]any{"cores": f.Cores, "memory_mb": f.MemoryMB, "sockets": f.Sockets},
 		"settings": s.settings(),
 	}
@@ -47,11 +50,11 @@
 	}
 	text, err := json.Marshal(doc)
 	if err != nil {
-		return fmt.Errorf("live: configuration of %s: %w", s.plan.Name, err)
+		return fmt.Errorf("loopback: configuration of %s: %w", s.plan.Name, err)
 	}
 	if text := s.operatorConfig(); text != "" {
 		if err := os.WriteFile(s.operatorPath(), []byte(text), configFileMode); err != nil {
-			return fmt.Errorf("live: %w", err)
+			return fmt.Errorf("loopback: configuration: %w", err)
 		}
 	}
 	if s.plan.Full {
@@ -61,58 +64,59 @@
 	}
 	next := s.configPath() + ".next"
 	if err := os.WriteFile(next, text, configFileMode); err != nil {
-		return fmt.Errorf("live: %w", err)
+		return fmt.Errorf("loopback: configuration: %w", err)
 	}
 	if err := os.Rename(next, s.configPath()); err != nil {
-		return fmt.Errorf("live: %w", err)
+		return fmt.Errorf("loopback: configuration: %w", err)
 	}
 	return nil
 }
 
-// settings are the plan's; at the end of a run a price that decides nothing any more is another one. It needs the lock.
+// settings are the plan's. At the end of a run a price that decides nothing any more is changed, which closes the audit log's present
+// count: see run.flushCounts. The lock is held.
 func (s *sidecar) settings() json.RawMessage {
-	text := s.fleet.plan.Settings(s.id)
+	text := s.run.plan.Settings(s.id)
 	if s.finalSettings {
 		text = bytes.Replace(text, []byte(`"probe":0.01`), []byte(`"probe":0.02`), 1)
 	}
 	return text
 }
 
-// newAuditLog is the file that a process begins its trail in.
+// newAuditLog is the file in the state directory in which a process begins its audit log.
 const newAuditLog = "trail.new"
 
-// fillAuditLogDisk has the disk take no trail: what is written to it goes to a device that is always full.
+// fillAuditLogDisk has every write of the audit log fail for want of space: it goes to /dev/full (full(4)).
 func (s *sidecar) fillAuditLogDisk() error {
-	op, err := config.ParseOperator(s.operatorPath(), []byte(s.operatorConfig()))
+	operator, err := config.ParseOperator(s.operatorPath(), []byte(s.operatorConfig()))
 	if err != nil {
-		return fmt.Errorf("live: %w", err)
+		return fmt.Errorf("loopback: configuration: %w", err)
 	}
-	if err := os.MkdirAll(op.State.Dir, 0o700); err != nil {
-		return fmt.Errorf("live: %w", err)
+	if err := os.MkdirAll(operator.State.Dir, stateDirMode); err != nil {
+		return fmt.Errorf("loopback: configuration: %w", err)
 	}
-	if err := os.Symlink("/dev/full", filepath.Join(op.State.Dir, newAuditLog)); err != nil && !errors.Is(err, fs.ErrExist) {
-		return fmt.Errorf("live: %w", err)
+	if err := os.Symlink("/dev/full", filepath.Join(operator.State.Dir, newAuditLog)); err != nil && !errors.Is(err, fs.ErrExist) {
+		return fmt.Errorf("loopback: configuration: %w", err)
 	}
 	return nil
 }
 
-// known is the list as this sidecar last had it: the plan's, and what its agent has been told since.
+// knownMembers is the endpoint list as this sidecar last had it: the plan's, with its agent's updates since.
 func (s *sidecar) knownMembers() []map[string]any {
-	p, now := s.fleet.plan, s.fleet.elapsed()
-	list := map[int]plan.Listed{}
-	for _, l := range s.plan.Known {
-		list[l.Box] = l
+	p, now := s.run.plan, s.run.elapsed()
+	byEndpoint := map[int]plan.Listed{}
+	for _, listed := range s.plan.Known {
+		byEndpoint[listed.Box] = listed
 	}
-	for _, e := range p.Events {
-		if e.Kind == plan.Tell && e.Sidecar == s.id && e.At <= now && p.Scenario.Fleet.Known != "none" {
-			list[e.Entry.Box] = e.Entry
+	for _, event := range p.Events {
+		if event.Kind == plan.Tell && event.Sidecar == s.id && event.At <= now && p.Scenario.Fleet.Known != "none" {
+			byEndpoint[event.Entry.Box] = event.Entry
 		}
 	}
-	var out []plan.Listed
-	for box := range p.Boxes {
-		if l, ok := list[box]; ok && l.Phase != trace.PhaseGone {
-			out = append(out, l)
+	var list []plan.Listed
+	for endpoint := range p.Boxes {
+		if listed, ok := byEndpoint[endpoint]; ok && listed.Phase != trace.PhaseGone {
+			list = append(list, listed)
 		}
 	}
-	return s.fleet.run.memberDocuments(s.id, out)
+	return s.run.memberDocuments(s.id, list)
 }
--- a/internal/lab/loopback/upgrade.go
+++ b/internal/lab/loopback/upgrade.go
@@ -8,10 +8,10 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-const upgradeTimeout = 6 * time.Second // the new process of an upgrade is due by then
+const upgradeTimeout = 6 * time.Second // until the new process has to be healthy
 
-// upgrade starts a second process beside the one that runs, and ends that one once the second says yes to operators. The
-// sidecar is in service all the time: nothing excuses what is lost meanwhile.
+// upgrade starts a second process beside the one in service, and shuts that one down once the second is healthy by its control
+// address. The sidecar is in service all the time: package judge excuses nothing that is lost meanwhile.
 func (s *sidecar) upgrade() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -30,11 +30,11 @@
 	return nil
 }
 
-// succeed has the new process take the old one's place.
+// finishUpgrade waits for the new process and has it take the old one's place; one that doesn't become healthy is killed.
 func (s *sidecar) finishUpgrade(old, p *process) {
-	from := time.Now()
+	startedAt := time.Now()
 	for s.fleet.getStatus("http://"+p.controlAddress+"/admin/health") != http.StatusOK {
-		if !s.sleep(p, minReadyInterval) || time.Since(from) > upgradeTimeout {
+		if !s.sleep(p, minReadyInterval) || time.Since(startedAt) > upgradeTimeout {
 			s.addEvent(trace.SidecarCrashed, "the new process of an upgrade does not say yes")
 			s.killProcess(p)
 			s.addEvent(trace.SidecarUpgradeFinished, "")
@@ -44,24 +44,18 @@
 	s.mu.Lock()
 	s.process, old.stopping = p, true
 	s.updateControlLink()
-	_ = old.cmd.Process.Signal(syscall.SIGTERM) // one that has just ended needs none
+	_ = old.cmd.Process.Signal(syscall.SIGTERM) // one that has just exited needs none
 	s.mu.Unlock()
-	late := time.NewTimer(s.fleet.gracePeriod())
-	defer late.Stop()
-	select {
-	case <-old.exited:
-	case <-late.C:
-	case <-s.fleet.ctx.Done():
-	}
+	s.sleep(old, s.fleet.gracePeriod())
 	s.killProcess(old)
 	s.addEvent(trace.SidecarUpgradeFinished, "")
 }
 
-// end kills a process that is not the sidecar's, if it still runs.
+// killProcess kills a process that is not in service, if it still runs, and waits for it to exit.
 func (s *sidecar) killProcess(p *process) {
 	s.mu.Lock()
 	p.killed = true
 	s.mu.Unlock()
-	_ = p.cmd.Process.Kill()
+	_ = p.cmd.Process.Kill() // it fails on one that has exited
 	<-p.exited
 }
--- a/internal/lab/loopback/usage.go
+++ b/internal/lab/loopback/usage.go
@@ -10,9 +10,9 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-const maxLogTail = 4 << 10 // bytes of a log that tell a crash
+const maxLogTail = 4 << 10 // bytes of a log that go into the trace of a crash
 
-// measure notes what the process has taken so far.
+// measureUsage measures what the process in service has taken so far, by Linux's /proc (proc(5)).
 func (s *sidecar) measureUsage() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -20,10 +20,10 @@
 		return
 	}
 	proc := fmt.Sprintf("/proc/%d/", s.process.cmd.Process.Pid)
-	if fds, err := os.ReadDir(proc + "fd"); err == nil {
-		s.used.MaxDescriptors = max(s.used.MaxDescriptors, len(fds))
+	if descriptors, err := os.ReadDir(proc + "fd"); err == nil {
+		s.used.MaxDescriptors = max(s.used.MaxDescriptors, len(descriptors))
 	}
-	status, _ := os.ReadFile(proc + "status") // it may have just ended
+	status, _ := os.ReadFile(proc + "status") // empty if it has just exited
 	for line := range strings.Lines(string(status)) {
 		if peak, ok := strings.CutPrefix(line, "VmHWM:"); ok {
 			kb, _ := strconv.ParseInt(strings.TrimSuffix(strings.TrimSpace(peak), " kB"), 10, 64)
@@ -32,24 +32,30 @@
 	}
 }
 
-// usage is what all its processes have taken, once they have ended.
+// usage is what all its processes have taken; complete once they have exited.
 func (s *sidecar) usage() trace.Usage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.used
 }
 
-// tail is the end of a file, from the beginning of a line.
+// tail is the end of a file, from the beginning of a line; the error's text if it can't be read.
 func tail(path string) string {
-	f, err := os.Open(path)
+	file, err := os.Open(path)
 	if err != nil {
 		return err.Error()
 	}
-	defer f.Close()
-	size, _ := f.Seek(0, io.SeekEnd)
-	from := max(0, size-maxLogTail)
-	text, _ := io.ReadAll(io.NewSectionReader(f, from, maxLogTail))
-	if from > 0 {
+	defer func() { _ = file.Close() }() // it was only read
+	size, err := file.Seek(0, io.SeekEnd)
+	if err != nil {
+		return err.Error()
+	}
+	start := max(0, size-maxLogTail)
+	text, err := io.ReadAll(io.NewSectionReader(file, start, maxLogTail))
+	if err != nil {
+		return err.Error()
+	}
+	if start > 0 {
 		_, after, _ := strings.Cut(string(text), "\n")
 		return after
 	}
