--- a/internal/lab/loopback/addresses_test.go
+++ b/internal/lab/loopback/addresses_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Several runs at once, each as large as one may be, never share an address.
-func TestAddressesNeverClash(t *testing.T) {
+// TestAddressesAreUnique checks that concurrent runs, each of the maximum size, share no address.
+func TestAddressesAreUnique(t *testing.T) {
 	const runs, boxes, sidecars, moves = 4, 1000, 1400, 3
 	seen := map[string]bool{}
 	take := func(addr string) {
@@ -48,8 +48,8 @@
 	}
 }
 
-// A block is free again once its run is over.
-func TestAddressesAreGivenBack(t *testing.T) {
+// TestAddressesAreReleased checks that a block is free again after its run.
+func TestAddressesAreReleased(t *testing.T) {
 	for range maxBlock - minBlock + 2 {
 		a, err := newAddresses()
 		if err != nil {
--- a/internal/lab/loopback/agent_test.go
+++ b/internal/lab/loopback/agent_test.go
@@ -18,8 +18,8 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-// members is an answer of discovery's as a sidecar reads it.
-type members struct {
+// memberList is a response of discovery as a sidecar reads it.
+type memberList struct {
 	Revision int64
 	Complete bool
 	Members  []struct {
@@ -31,7 +31,7 @@
 }
 
 // text is the entries in short.
-func (m members) text() string {
+func (m memberList) text() string {
 	out := ""
 	for _, e := range m.Members {
 		out += fmt.Sprintf("%s %s %d;", e.ID, e.Phase, e.UpSince)
@@ -39,11 +39,11 @@
 	return fmt.Sprint(m.Complete, " ", out)
 }
 
-// newAgents are those of a fleet, over a tier of two boxes that nobody plays.
+// newAgents are the agents of a fleet, over a tier of two endpoints that nobody runs.
 func newAgents(t testing.TB, sidecars int, more string) *run {
 	t.Helper()
 	leaks := goleak.IgnoreCurrent()
-	s, err := scenario.Parse("agents.toml", []byte(standClasses+oneTier+more))
+	s, err := scenario.Parse("agents.toml", []byte(fixtureClasses+oneTier+more))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,20 +75,20 @@
 	return r
 }
 
-// asks is a sidecar's connection to its agent.
-type asks struct {
+// poller is a sidecar's connection to its agent.
+type poller struct {
 	t      testing.TB
 	addr   string
 	client http.Client
 }
 
-func newAsks(t testing.TB, addr string) *asks {
-	a := &asks{t: t, addr: addr, client: http.Client{Timeout: ample, Transport: &http.Transport{}}}
+func newPoller(t testing.TB, addr string) *poller {
+	a := &poller{t: t, addr: addr, client: http.Client{Timeout: testTimeout, Transport: &http.Transport{}}}
 	t.Cleanup(a.client.CloseIdleConnections)
 	return a
 }
 
-func (a *asks) try(query string) (m members, err error) {
+func (a *poller) tryPoll(query string) (m memberList, err error) {
 	res, err := a.client.Get("http://" + a.addr + "/catalog/members" + query)
 	if err != nil {
 		return m, err
@@ -100,30 +100,29 @@
 	return m, json.NewDecoder(res.Body).Decode(&m)
 }
 
-func (a *asks) get(query string) members {
+func (a *poller) poll(query string) memberList {
 	a.t.Helper()
-	m, err := a.try(query)
+	m, err := a.tryPoll(query)
 	if err != nil {
 		a.t.Fatal(err)
 	}
 	return m
 }
 
-// watch is a call that waits, under way.
-func (a *asks) watch(since int64) <-chan members {
-	out := make(chan members, 1)
+// watch starts a long poll and returns its response.
+func (a *poller) watch(since int64) <-chan memberList {
+	out := make(chan memberList, 1)
 	go func() {
 		defer close(out)
-		if m, err := a.try("?timeout_ms=20000&since=" + strconv.FormatInt(since, 10)); err == nil {
+		if m, err := a.tryPoll("?timeout_ms=20000&since=" + strconv.FormatInt(since, 10)); err == nil {
 			out <- m
 		}
 	}()
 	return out
 }
 
-// heard is what has been noted as told since the last time, once that is n entries: an answer is there a moment
-// before it is noted.
-func (r *run) heard(t *testing.T, n int) string {
+// notifications are those recorded since the last call, once there are n: a response arrives a moment before they are recorded.
+func (r *run) notifications(t *testing.T, n int) string {
 	t.Helper()
 	out := ""
 	await(t, fmt.Sprintf("%d entries are noted", n), func() bool {
@@ -139,27 +138,27 @@
 	return out
 }
 
-func TestAgentTells(t *testing.T) {
+func TestAgentSendsChanges(t *testing.T) {
 	r := newAgents(t, 1, "")
-	a := newAsks(t, r.addresses.agent(0, 0))
+	a := newPoller(t, r.addresses.agent(0, 0))
 	check := func(what, got, want string) {
 		t.Helper()
 		if got != want {
 			t.Errorf("%s: %s, expected %s", what, got, want)
 		}
 	}
-	first := a.get("")
+	first := a.poll("")
 	check("the list", first.text(), "true t-1 Ready 0;t-2 Ready 0;")
 	if first.Members[1].HostPort != r.addresses.endpoint(1) {
 		t.Errorf("t-2 is said to be at %s", first.Members[1].HostPort)
 	}
-	check("heard", r.heard(t, 2), "0:0 Ready;0:1 Ready;")
+	check("heard", r.notifications(t, 2), "0:0 Ready;0:1 Ready;")
 
-	m := a.get("?since=1&timeout_ms=10")
+	m := a.poll("?since=1&timeout_ms=10")
 	check("nothing new", m.text(), "false ")
 	r.agents[0].update(plan.Listed{Box: 1, Phase: trace.PhaseTerminating})
 	r.agents[0].update(plan.Listed{Box: 0, Phase: trace.PhaseReady, UpSince: time.Second})
-	m = a.get("?timeout_ms=20000&since=" + strconv.FormatInt(m.Revision, 10))
+	m = a.poll("?timeout_ms=20000&since=" + strconv.FormatInt(m.Revision, 10))
 	up := r.startOrNow().Add(time.Second).UnixMilli()
 	check("what came in between", m.text(), fmt.Sprintf("false t-1 Ready %d;t-2 Terminating 0;", up))
 	next := a.watch(m.Revision)
@@ -167,20 +166,20 @@
 	m = <-next
 	check("while it waits", m.text(), "false t-2 Gone 0;")
 	for _, unknown := range []string{"999", "0", "-1"} {
-		m = a.get("?timeout_ms=20000&since=" + unknown)
+		m = a.poll("?timeout_ms=20000&since=" + unknown)
 		check("revision "+unknown, m.text(), fmt.Sprintf("true t-1 Ready %d;", up))
 	}
-	if _, err := a.try("?since=x"); err == nil {
+	if _, err := a.tryPoll("?since=x"); err == nil {
 		t.Error("a revision that is no number is taken")
 	}
-	check("heard", r.heard(t, 3), "0:0 Ready;0:1 Terminating;0:1 Gone;")
+	check("heard", r.notifications(t, 3), "0:0 Ready;0:1 Terminating;0:1 Gone;")
 }
 
-// Where every change brings the whole list, what is missing from it is heard as gone, once.
-func TestAgentTellsTheWholeList(t *testing.T) {
+// TestAgentSendsCompleteLists checks that, where every change sends the complete list, what is missing from it is recorded as gone, once.
+func TestAgentSendsCompleteLists(t *testing.T) {
 	r := newAgents(t, 1, "[discovery]\nwhole = true\n")
-	a := newAsks(t, r.addresses.agent(0, 0))
-	m := a.get("")
+	a := newPoller(t, r.addresses.agent(0, 0))
+	m := a.poll("")
 	for range 2 {
 		next := a.watch(m.Revision)
 		r.agents[0].update(plan.Listed{Box: 0, Phase: trace.PhaseGone})
@@ -189,23 +188,23 @@
 			t.Errorf("the list is %s", got)
 		}
 	}
-	a.get("") // as a sidecar that starts anew
-	if got, want := r.heard(t, 4), "0:0 Ready;0:1 Ready;0:0 Gone;0:1 Ready;"; got != want {
+	a.poll("") // as a sidecar that starts anew
+	if got, want := r.notifications(t, 4), "0:0 Ready;0:1 Ready;0:0 Gone;0:1 Ready;"; got != want {
 		t.Errorf("heard %s, expected %s", got, want)
 	}
 }
 
-func TestAgentIsSilent(t *testing.T) {
+func TestAgentUnresponsive(t *testing.T) {
 	r := newAgents(t, 1, "")
-	a := newAsks(t, r.addresses.agent(0, 0))
-	revision := a.get("").Revision
+	a := newPoller(t, r.addresses.agent(0, 0))
+	revision := a.poll("").Revision
 	waits := a.watch(revision)
 	r.agents[0].setUnresponsive(true)
 	r.agents[0].update(plan.Listed{Box: 0, Phase: trace.PhaseGone})
-	late := newAsks(t, r.addresses.agent(0, 0))
+	late := newPoller(t, r.addresses.agent(0, 0))
 	late.client.Timeout = 100 * time.Millisecond
 	for _, query := range []string{"", "?since=1&timeout_ms=1"} {
-		if m, err := late.try(query); err == nil {
+		if m, err := late.tryPoll(query); err == nil {
 			t.Errorf("%q is answered: %s", query, m.text())
 		}
 	}
@@ -220,18 +219,18 @@
 	}
 }
 
-func TestAgentMoves(t *testing.T) {
+func TestAgentMovesAddress(t *testing.T) {
 	r := newAgents(t, 1, "")
-	old := newAsks(t, r.addresses.agent(0, 0))
-	revision := old.get("").Revision
+	old := newPoller(t, r.addresses.agent(0, 0))
+	revision := old.poll("").Revision
 	if err := r.agents[0].moveTo(r.addresses.agent(0, 1)); err != nil {
 		t.Fatal(err)
 	}
-	if c, err := net.DialTimeout("tcp", r.addresses.agent(0, 0), ample); !refused(err) {
+	if c, err := net.DialTimeout("tcp", r.addresses.agent(0, 0), testTimeout); !isRefused(err) {
 		t.Errorf("the old address still takes connections: %v %v", c, err)
 	}
 	waits := old.watch(revision) // on the connection that it has
-	if got := newAsks(t, r.addresses.agent(0, 1)).get("").text(); got != "true t-1 Ready 0;t-2 Ready 0;" {
+	if got := newPoller(t, r.addresses.agent(0, 1)).poll("").text(); got != "true t-1 Ready 0;t-2 Ready 0;" {
 		t.Errorf("the new one says %s", got)
 	}
 	if m, answered := <-waits; answered {
@@ -242,15 +241,15 @@
 	}
 }
 
-// Many agents cost little: what 200 of them take with a call waiting at each, and how long a change needs.
+// BenchmarkAgents measures what 200 agents cost with a long poll waiting at each, and how long a change takes.
 func BenchmarkAgents(b *testing.B) {
 	const agents = 200
 	before := runtime.NumGoroutine()
 	r := newAgents(b, agents, "")
-	all := make([]*asks, agents)
+	all := make([]*poller, agents)
 	for i := range all {
-		all[i] = newAsks(b, r.addresses.agent(i, 0))
-		all[i].get("")
+		all[i] = newPoller(b, r.addresses.agent(i, 0))
+		all[i].poll("")
 	}
 	revision := int64(1)
 	for b.Loop() {
--- a/internal/lab/loopback/audit_test.go
+++ b/internal/lab/loopback/audit_test.go
@@ -13,12 +13,12 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-// audited is a fleet of twelve before six boxes, of which three are told to leave in the middle of the play and never go: whoever
-// has not heard of it goes on sending to them.
-const audited = `
+// auditedFleet is a fleet of twelve in front of six endpoints, of which three are announced to drain in the middle of the play and never
+// end: a sidecar without that update goes on sending to them.
+const auditedFleet = `
 name = "audited"
 settle = "0s"
-` + classes + `
+` + scenarioClasses + `
 [[class]]
 name = "patient"
 share = 1
@@ -47,12 +47,12 @@
 	half    = "boxes = 6\n"
 )
 
-// leaves is three boxes that are told to leave, a second later.
-const leaves = "[[fault]]\nkind = \"drain\"\nat = \"22s\"\nboxes = 3\ngrace = \"10m\"\n"
+// drainedEndpoints has three endpoints drain, a second later.
+const drainedEndpoints = "[[fault]]\nkind = \"drain\"\nat = \"22s\"\nboxes = 3\ngrace = \"10m\"\n"
 
-func lasts(length string) string { return "length = \"" + length + "\"\n" }
+func lengthLine(length string) string { return "length = \"" + length + "\"\n" }
 
-func leaveAt(at string) string {
+func drainAt(at string) string {
 	return "[[fault]]\nkind = \"drain\"\nat = \"" + at + "\"\nboxes = 3\ngrace = \"10m\"\n"
 }
 
@@ -60,50 +60,50 @@
 	return "[[fault]]\nkind = \"" + kind + "\"\nat = \"" + at + "\"\n" + more + "\n"
 }
 
-// Real processes of the program and of its auditor, with kills, stops, cut links and full disks between them. Each row holds
-// with the mechanism, and fails in the same play with it taken out.
-func TestAuditedProcesses(t *testing.T) {
+// TestAuditWithProcesses plays the program and its auditor as processes, with kills, stops, partitions and full disks. Each row holds
+// with the mechanism, and fails in the same play without it.
+func TestAuditWithProcesses(t *testing.T) {
 	t.Parallel()
 	rows := []struct {
 		name    string
 		with    string
 		without string
-		holds   func(o *together) bool
+		holds   func(o *processPlay) bool
 	}{
-		{"six of twelve are cut off while boxes leave", shutHalf, lasts("36s") + audited + cutOff + half + leaves, func(o *together) bool {
-			return o.late(30*time.Second) == 0 && o.servedBy(30*time.Second) >= 6
+		{"six of twelve are cut off while boxes leave", halfShutOut, lengthLine("36s") + auditedFleet + cutOff + half + drainedEndpoints, func(o *processPlay) bool {
+			return o.countAfterDrain(30*time.Second) == 0 && o.countServed(30*time.Second) >= 6
 		}},
-		{"four are stopped while boxes leave", lasts("22s") + audited + trails + faultAt("sidecar_pause", "10s", "boxes = 4\nfor = \"6s\"") + leaveAt("12s"),
-			lasts("22s") + audited + faultAt("sidecar_pause", "10s", "boxes = 4\nfor = \"6s\"") + leaveAt("12s"), func(o *together) bool {
-				return o.onWaking() == 0
+		{"four are stopped while boxes leave", lengthLine("22s") + auditedFleet + trails + faultAt("sidecar_pause", "10s", "boxes = 4\nfor = \"6s\"") + drainAt("12s"),
+			lengthLine("22s") + auditedFleet + faultAt("sidecar_pause", "10s", "boxes = 4\nfor = \"6s\"") + drainAt("12s"), func(o *processPlay) bool {
+				return o.countAfterResume() == 0
 			}},
-		{"the auditor is killed, and those shut out come back", lasts("46s") + audited + trails + auditor + shuts + "kill = \"32s\"\n" + cutOff + half + leaves,
-			shutHalf, func(o *together) bool {
-				return o.servedBy(40*time.Second) == 12
+		{"the auditor is killed, and those shut out come back", lengthLine("46s") + auditedFleet + trails + auditor + shuts + "kill = \"32s\"\n" + cutOff + half + drainedEndpoints,
+			halfShutOut, func(o *processPlay) bool {
+				return o.countServed(40*time.Second) == 12
 			}},
-		{"an old order comes late", lasts("17s") + audited + trails + auditor + leaveAt("6s") + faultAt("order_again", "5s", "share = 1.0\nback = \"9s\""),
-			lasts("17s") + audited + trails + auditor + leaveAt("6s") + faultAt("order_again", "5s", "share = 1.0\nback = \"9s\"\nsize = 1000"), func(o *together) bool {
-				return o.refusedOrders() == 12
+		{"an old order comes late", lengthLine("17s") + auditedFleet + trails + auditor + drainAt("6s") + faultAt("order_again", "5s", "share = 1.0\nback = \"9s\""),
+			lengthLine("17s") + auditedFleet + trails + auditor + drainAt("6s") + faultAt("order_again", "5s", "share = 1.0\nback = \"9s\"\nsize = 1000"), func(o *processPlay) bool {
+				return o.countRejectedOrders() == 12
 			}},
 		{"an old order comes to a process that has started again",
-			lasts("18s") + audited + onDisk + auditor + "kill = \"10s\"\n" + leaveAt("6s") + restarted,
-			lasts("18s") + audited + trails + auditor + "kill = \"10s\"\n" + leaveAt("6s") + restarted, func(o *together) bool {
-				return o.refusedOrders() == 12
+			lengthLine("18s") + auditedFleet + onDisk + auditor + "kill = \"10s\"\n" + drainAt("6s") + restartedFleet,
+			lengthLine("18s") + auditedFleet + trails + auditor + "kill = \"10s\"\n" + drainAt("6s") + restartedFleet, func(o *processPlay) bool {
+				return o.countRejectedOrders() == 12
 			}},
-		{"all are killed while they adopt", lasts("20s") + audited + onDisk + leaveAt("8s") + faultAt("sidecar_kill", "9s", "share = 1.0\nstep = \"30ms\"\nback = \"1s\""),
-			lasts("20s") + audited + trails + leaveAt("8s") + faultAt("sidecar_kill", "9s", "share = 1.0\nstep = \"30ms\"\nback = \"1s\""), func(o *together) bool {
+		{"all are killed while they adopt", lengthLine("20s") + auditedFleet + onDisk + drainAt("8s") + faultAt("sidecar_kill", "9s", "share = 1.0\nstep = \"30ms\"\nback = \"1s\""),
+			lengthLine("20s") + auditedFleet + trails + drainAt("8s") + faultAt("sidecar_kill", "9s", "share = 1.0\nstep = \"30ms\"\nback = \"1s\""), func(o *processPlay) bool {
 				v := o.res.Audited.Trails
 				return v.Wrong == 0 && v.Missing == 0 && len(v.Unread) == 0 && v.Sure > 0
 			}},
-		{"a floor that nobody meets shuts nobody out", lasts("36s") + audited + trails + auditor + shuts + cutOff + leaves, shutHalf, func(o *together) bool {
-			return o.servedBy(30*time.Second) == 12
+		{"a floor that nobody meets shuts nobody out", lengthLine("36s") + auditedFleet + trails + auditor + shuts + cutOff + drainedEndpoints, halfShutOut, func(o *processPlay) bool {
+			return o.countServed(30*time.Second) == 12
 		}},
 	}
 	texts := map[string]bool{}
 	for _, r := range rows {
 		texts[r.with], texts[r.without] = true, true
 	}
-	plays := playAll(t, slices.Collect(maps.Keys(texts)))
+	plays := playParallel(t, slices.Collect(maps.Keys(texts)))
 	for _, r := range rows {
 		t.Run(r.name, func(t *testing.T) {
 			for how, text := range map[bool]string{true: r.with, false: r.without} {
@@ -115,24 +115,24 @@
 	}
 }
 
-// room is for so many plays at a time, of all tests together: each is a dozen processes and more, which do little.
-var room = make(chan struct{}, 7)
+// playSlots limits the concurrent plays of all tests: each is a dozen processes and more, mostly idle.
+var playSlots = make(chan struct{}, 7)
 
-// playAll plays scenarios, the longest first, and checks what must hold in all of them.
-func playAll(t *testing.T, texts []string) map[string]*together {
-	build := program(t)
+// playParallel plays scenarios, the longest first, and checks what must hold in all of them.
+func playParallel(t *testing.T, texts []string) map[string]*processPlay {
+	build := buildProgram(t)
 	slices.SortFunc(texts, func(a, b string) int {
-		return cmp.Compare(planned(t, b).Scenario.Length, planned(t, a).Scenario.Length)
+		return cmp.Compare(buildPlan(t, b).Scenario.Length, buildPlan(t, a).Scenario.Length)
 	})
 	var mu sync.Mutex
 	var all sync.WaitGroup
-	plays := map[string]*together{}
+	plays := map[string]*processPlay{}
 	for _, text := range texts {
-		room <- struct{}{}
+		playSlots <- struct{}{}
 		all.Go(func() {
-			defer func() { <-room }()
-			o := playTogether(t, build, text)
-			o.wellTold()
+			defer func() { <-playSlots }()
+			o := playProcesses(t, build, text)
+			o.checkFindings()
 			mu.Lock()
 			defer mu.Unlock()
 			plays[text] = o
@@ -145,51 +145,52 @@
 	return plays
 }
 
-// shutHalf is a play in which six of twelve are shut out from about 25 s on.
-const shutHalf = "length = \"46s\"\n" + audited + trails + auditor + shuts + cutOff + half + leaves
+// halfShutOut is a play in which six of twelve are shut out from about 25 s on.
+const halfShutOut = "length = \"46s\"\n" + auditedFleet + trails + auditor + shuts + cutOff + half + drainedEndpoints
 
-const restarted = "[[fault]]\nkind = \"sidecar_kill\"\nat = \"10500ms\"\nshare = 1.0\nback = \"1s\"\n" +
+const restartedFleet = "[[fault]]\nkind = \"sidecar_kill\"\nat = \"10500ms\"\nshare = 1.0\nback = \"1s\"\n" +
 	"[[fault]]\nkind = \"order_again\"\nat = \"5s\"\nshare = 1.0\nback = \"10s\"\n"
 
-// What is owed at a full disk, after the list service has counted from 1 anew, and by one that is alone.
-func TestAuditIsNoOutage(t *testing.T) {
+// TestAuditCausesNoOutage checks that requests are served with a full disk, after the list service has restarted its revisions, and by a
+// single sidecar.
+func TestAuditCausesNoOutage(t *testing.T) {
 	t.Parallel()
 	rows := []struct {
 		name  string
 		text  string
-		holds func(o *together) bool
+		holds func(o *processPlay) bool
 	}{
-		{"the disk is full", lasts("12s") + audited + onDisk + leaveAt("6s") + faultAt("disk_full", "0s", "share = 1.0"), func(o *together) bool {
-			return o.res.Audited.Trails != nil && o.log("no space left") == 12 && o.servedBy(8*time.Second) == 12
+		{"the disk is full", lengthLine("12s") + auditedFleet + onDisk + drainAt("6s") + faultAt("disk_full", "0s", "share = 1.0"), func(o *processPlay) bool {
+			return o.res.Audited.Trails != nil && o.countLogs("no space left") == 12 && o.countServed(8*time.Second) == 12
 		}},
-		{"the list service counts from 1 again", lasts("34s") + audited + trails + auditor + shuts + leaveAt("4s") +
-			listResponse("forget", "10s", "1s", "") + "[[fault]]\nkind = \"crash\"\nat = \"13s\"\nboxes = 1\n", func(o *together) bool {
-			return o.servedBy(24*time.Second) == 12 && strings.Contains(o.lastRound("a"), `"up_to_date":12`)
+		{"the list service counts from 1 again", lengthLine("34s") + auditedFleet + trails + auditor + shuts + drainAt("4s") +
+			listFault("forget", "10s", "1s", "") + "[[fault]]\nkind = \"crash\"\nat = \"13s\"\nboxes = 1\n", func(o *processPlay) bool {
+			return o.countServed(24*time.Second) == 12 && strings.Contains(o.lastRound("a"), `"up_to_date":12`)
 		}},
-		{"one alone, cut off", strings.Replace(lasts("32s")+audited, "sidecars = 12", "sidecars = 1", 1) + trails + auditor + shuts + cutOff + leaves, func(o *together) bool {
-			return o.servedBy(28*time.Second) == 1
+		{"one alone, cut off", strings.Replace(lengthLine("32s")+auditedFleet, "sidecars = 12", "sidecars = 1", 1) + trails + auditor + shuts + cutOff + drainedEndpoints, func(o *processPlay) bool {
+			return o.countServed(28*time.Second) == 1
 		}},
 	}
 	var texts []string
 	for _, r := range rows {
 		texts = append(texts, r.text)
 	}
-	plays := playAll(t, texts)
+	plays := playParallel(t, texts)
 	for _, r := range rows {
 		t.Run(r.name, func(t *testing.T) {
 			if o := plays[r.text]; !r.holds(o) {
 				t.Errorf("%+v; %s; %d said that the disk is full, %d served after 8 s; void: %q",
-					*o.res.Audited, o.lastRound("a"), o.log("no space left"), o.servedBy(8*time.Second), o.res.Rig.Why)
+					*o.res.Audited, o.lastRound("a"), o.countLogs("no space left"), o.countServed(8*time.Second), o.res.Rig.Why)
 			}
 		})
 	}
 }
 
-// wellTold checks what must hold in every play: nobody crashed, and what trails and auditors say is true.
-func (o *together) wellTold() {
+// checkFindings checks what must hold in every play: no crash, and audit logs and findings that are true.
+func (o *processPlay) checkFindings() {
 	o.t.Helper()
 	if o.verdict.Counts[judge.Crashed] > 0 {
-		o.t.Errorf("%v", told(o.verdict))
+		o.t.Errorf("%v", firstStories(o.verdict))
 	}
 	if o.res.Rig.Void {
 		o.t.Logf("the rig ran late: %s", o.res.Rig.Why)
@@ -208,8 +209,8 @@
 	}
 }
 
-// each calls f with the tries that were due after a time, and the boxes that have left by then are those of the drain.
-func (o *together) each(after time.Duration, f func(t *trace.ClientAttempt, v *trace.EndpointRequest)) {
+// eachFirstTierRequest calls f with the client attempts that were due after a time and the request that an endpoint received, nil if none.
+func (o *processPlay) eachFirstTierRequest(after time.Duration, f func(t *trace.ClientAttempt, v *trace.EndpointRequest)) {
 	visits := map[uint64]*trace.EndpointRequest{}
 	for i := range o.played.EndpointRequests {
 		visits[o.played.EndpointRequests[i].TransactionID] = &o.played.EndpointRequests[i]
@@ -221,8 +222,8 @@
 	}
 }
 
-// left are the boxes that discovery has told to leave.
-func (o *together) left() map[int]bool {
+// drainingEndpoints are the endpoints that discovery announced to drain.
+func (o *processPlay) drainingEndpoints() map[int]bool {
 	out := map[int]bool{}
 	for _, told := range o.played.Notifications {
 		if told.Phase == trace.PhaseTerminating {
@@ -232,10 +233,10 @@
 	return out
 }
 
-// late counts the requests due after a time that came to a box that had left.
-func (o *together) late(after time.Duration) (n int) {
-	left := o.left()
-	o.each(after, func(_ *trace.ClientAttempt, v *trace.EndpointRequest) {
+// countAfterDrain counts the requests due after a time that reached a draining endpoint.
+func (o *processPlay) countAfterDrain(after time.Duration) (n int) {
+	left := o.drainingEndpoints()
+	o.eachFirstTierRequest(after, func(_ *trace.ClientAttempt, v *trace.EndpointRequest) {
 		if v != nil && left[v.Endpoint] {
 			n++
 		}
@@ -243,10 +244,10 @@
 	return n
 }
 
-// onWaking counts the requests that came while their sidecars were stopped and were sent to boxes that had left.
-func (o *together) onWaking() (n int) {
-	left := o.left()
-	o.each(12*time.Second, func(t *trace.ClientAttempt, v *trace.EndpointRequest) {
+// countAfterResume counts the requests that came while their sidecars were stopped and were sent to draining endpoints.
+func (o *processPlay) countAfterResume() (n int) {
+	left := o.drainingEndpoints()
+	o.eachFirstTierRequest(12*time.Second, func(t *trace.ClientAttempt, v *trace.EndpointRequest) {
 		if v != nil && left[v.Endpoint] && t.Due < 16*time.Second && v.FirstByte > 16*time.Second {
 			n++
 		}
@@ -254,10 +255,10 @@
 	return n
 }
 
-// servedBy is how many sidecars served something that was due after a time.
-func (o *together) servedBy(after time.Duration) int {
+// countServed counts the sidecars that served a request due after a time.
+func (o *processPlay) countServed(after time.Duration) int {
 	by := map[int]bool{}
-	o.each(after, func(t *trace.ClientAttempt, _ *trace.EndpointRequest) {
+	o.eachFirstTierRequest(after, func(t *trace.ClientAttempt, _ *trace.EndpointRequest) {
 		if t.Status == trace.StatusServed {
 			by[t.Sidecar] = true
 		}
@@ -265,8 +266,8 @@
 	return len(by)
 }
 
-// refusedOrders counts the orders that came again and were refused as old.
-func (o *together) refusedOrders() (n int) {
+// countRejectedOrders counts the replayed orders that were rejected as old.
+func (o *processPlay) countRejectedOrders() (n int) {
 	for _, r := range o.played.ReplayedOrders {
 		if r.StatusCode == 409 {
 			n++
@@ -275,8 +276,8 @@
 	return n
 }
 
-// lastRound is how an auditor summed up its last round.
-func (o *together) lastRound(name string) string {
+// lastRound is an auditor's summary of its last round.
+func (o *processPlay) lastRound(name string) string {
 	lines := strings.Split(strings.TrimSpace(string(o.played.Findings[name])), "\n")
 	return lines[len(lines)-1]
 }
--- a/internal/lab/loopback/auditor.go
+++ b/internal/lab/loopback/auditor.go
@@ -33,10 +33,10 @@
 	return filepath.Join(a.run.fleet.logDir, "audit-"+a.plan.Name+ending)
 }
 
-// kept is the file with its state, from which the next process goes on.
+// statePath is the file with its state, from which the next process goes on.
 func (a *auditor) statePath() string { return a.path(".kept") }
 
-// found is the file to which it prints its findings.
+// findingsPath is the file to which it prints its findings.
 func (a *auditor) findingsPath() string { return a.path(".jsonl") }
 
 // start starts a process. An error is that of its files or of the program.
@@ -132,7 +132,7 @@
 	}
 }
 
-// roster lists the sidecars of the first tier by the addresses at which operators call them.
+// inventory lists the sidecars of the first tier by the addresses at which operators call them.
 func (r *run) inventory() []byte {
 	var text strings.Builder
 	for i := range r.plan.Sidecars {
@@ -143,7 +143,7 @@
 	return []byte(text.String())
 }
 
-// operators is where operators call a sidecar, whichever of its processes runs.
+// controlAddress is where operators call a sidecar, whichever of its processes runs.
 func (r *run) controlAddress(sidecar int) string {
 	if r.plan.Linked("control", sidecar) {
 		return r.addresses.link("control", sidecar, 0)
--- a/internal/lab/loopback/bench_test.go
+++ b/internal/lab/loopback/bench_test.go
@@ -13,17 +13,17 @@
 // benchLength is how long each rate is played.
 const benchLength = 3 * time.Second
 
-// BenchmarkPlain plays clients and boxes with no sidecar between, at fixed rates of arrivals. It reports how
-// late the rig sent (as a run is voided by), how many it served, and in what time from the due time; the rate
-// holds if p99-late is small and served is 1. Run it with -cpu 4 -benchtime 1x.
-func BenchmarkPlain(b *testing.B) {
+// BenchmarkPlainPolicy plays clients and endpoints without sidecars, at fixed rates of arrivals. It reports how late the rig sent (by
+// which a run is void), the share served, and the latency from the due time; a rate is sustained if p99-late is small and served is 1.
+// Run it with -cpu 4 -benchtime 1x.
+func BenchmarkPlainPolicy(b *testing.B) {
 	for _, rate := range []int{5000, 10000, 20000, 30000, 40000} {
 		b.Run(fmt.Sprint(rate), func(b *testing.B) {
-			p := planned(b, fmt.Sprintf(`
+			p := buildPlan(b, fmt.Sprintf(`
 name = "bench"
 length = %q
 settle = "1s"
-`+classes+`
+`+scenarioClasses+`
 [[tier]]
 name = "t"
 [[tier.kind]]
@@ -65,18 +65,18 @@
 	}
 }
 
-// BenchmarkStart starts so many sidecars at one moment, with the clients there already and every box cold, and
-// reports how long they take to be ready, what they ask of discovery and of the boxes in the first second, and
-// what each takes, idle and busy. Run it with -benchtime 1x.
-func BenchmarkStart(b *testing.B) {
-	sidecar := program(b)
+// BenchmarkFleetStart starts sidecars at one moment, with the clients there already and every endpoint cold, and reports how long they
+// take to be ready, their calls to discovery and to the endpoints in the first second, and their resources, idle and busy. Run it with
+// -benchtime 1x.
+func BenchmarkFleetStart(b *testing.B) {
+	sidecar := buildProgram(b)
 	for _, rate := range []int{1, 240} {
 		for _, sidecars := range []int{1, 10, 50} {
 			b.Run(fmt.Sprintf("%d-sidecars-at-%d", sidecars, rate), func(b *testing.B) {
-				p := planned(b, fmt.Sprintf(`
+				p := buildPlan(b, fmt.Sprintf(`
 name = "start"
 length = "10s"
-`+classes+`
+`+scenarioClasses+`
 [[tier]]
 name = "t"
 [[tier.kind]]
--- a/internal/lab/loopback/client_helpers_test.go
+++ b/internal/lab/loopback/client_helpers_test.go
@@ -17,24 +17,24 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-// ample is a bound that nothing in these tests comes near to, unless it hangs.
-const ample = 20 * time.Second
+// testTimeout is a limit that nothing in these tests comes near, unless it hangs.
+const testTimeout = 20 * time.Second
 
-// scripted is the other side of callers: a sidecar of which a test says what it does.
-type scripted struct {
+// transportFixture is a transport and the other side of it: a sidecar whose behaviour the test scripts.
+type transportFixture struct {
 	*transport
 	t    *testing.T
 	net  *addresses
 	wait sync.WaitGroup
 }
 
-func newScripted(t *testing.T) *scripted {
+func newTransportFixture(t *testing.T) *transportFixture {
 	t.Helper()
-	return newScriptedOver(t, "http")
+	return newTransportFixtureOver(t, "http")
 }
 
-// newScriptedOver has callers with one sidecar, at whose address nobody listens yet, and a class of each effect.
-func newScriptedOver(t *testing.T, protocol string) *scripted {
+// newTransportFixtureOver has one sidecar, at whose address nobody listens yet, and a class of each effect.
+func newTransportFixtureOver(t *testing.T, protocol string) *transportFixture {
 	t.Helper()
 	noLeaks(t)
 	s := scenario.Default()
@@ -56,7 +56,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := &scripted{transport: c, t: t, net: net}
+	out := &transportFixture{transport: c, t: t, net: net}
 	t.Cleanup(func() {
 		out.wait.Wait()
 		out.close()
@@ -66,7 +66,7 @@
 }
 
 // serve has play take each connection, numbered from 0, until it returns; then the connection is closed.
-func (s *scripted) serve(play func(n int, l *talk)) {
+func (s *transportFixture) serve(play func(n int, l *scriptedConn)) {
 	s.t.Helper()
 	listener, err := net.Listen("tcp", s.net.clientEntry(0, s.plan.Scenario.Fleet.Protocol))
 	if err != nil {
@@ -85,7 +85,7 @@
 			mu.Unlock()
 			s.wait.Go(func() {
 				defer conn.Close()
-				play(n, &talk{conn: conn.(*net.TCPConn), in: bufio.NewReader(conn)})
+				play(n, &scriptedConn{conn: conn.(*net.TCPConn), in: bufio.NewReader(conn)})
 			})
 		}
 	})
@@ -99,20 +99,20 @@
 	})
 }
 
-// query asks for a class by its effect.
-func (s *scripted) query(effect string, txn uint64) clientRequest {
+// newRequest is a request of the class with that effect.
+func (s *transportFixture) newRequest(effect string, txn uint64) clientRequest {
 	class := s.plan.Scenario.ClassIndex(effect + "-one")
-	return clientRequest{attempt: trace.ClientAttempt{TransactionID: txn, Request: 7, Class: class}, directEndpoint: -1, timeout: ample, cancelAt: model.Never, idempotencyKey: 0xabc}
+	return clientRequest{attempt: trace.ClientAttempt{TransactionID: txn, Request: 7, Class: class}, directEndpoint: -1, timeout: testTimeout, cancelAt: model.Never, idempotencyKey: 0xabc}
 }
 
-// talk is one connection as the scripted side has it.
-type talk struct {
+// scriptedConn is one connection on the scripted side.
+type scriptedConn struct {
 	conn *net.TCPConn
 	in   *bufio.Reader
 }
 
-// request reads one whole request; not ok at the end of the connection.
-func (l *talk) request() (req *http.Request, body string, ok bool) {
+// readRequest reads one complete request; not ok at the end of the connection.
+func (l *scriptedConn) readRequest() (req *http.Request, body string, ok bool) {
 	req, err := http.ReadRequest(l.in)
 	if err != nil {
 		return nil, "", false
@@ -121,8 +121,8 @@
 	return req, string(text), err == nil
 }
 
-// text reads one request without a body as it stands.
-func (l *talk) text() string {
+// readText reads one request without a body, verbatim.
+func (l *scriptedConn) readText() string {
 	var all strings.Builder
 	for {
 		line, err := l.in.ReadString('\n')
@@ -133,13 +133,13 @@
 	}
 }
 
-func (l *talk) say(format string, args ...any) { fmt.Fprintf(l.conn, format, args...) }
+func (l *scriptedConn) write(format string, args ...any) { fmt.Fprintf(l.conn, format, args...) }
 
-// served is a box's whole answer.
-func (l *talk) served(txn uint64, box int) {
-	body := responseBody(txn, box, 0, 64)
-	l.say("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+// writeServed writes an endpoint's complete response.
+func (l *scriptedConn) writeServed(transactionID uint64, endpoint int) {
+	body := responseBody(transactionID, endpoint, 0, 64)
+	l.write("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// hold waits until the caller has closed the connection.
-func (l *talk) hold() { io.Copy(io.Discard, l.in) }
+// discard waits until the client has closed the connection, or reset it.
+func (l *scriptedConn) discard() { _, _ = io.Copy(io.Discard, l.in) }
--- a/internal/lab/loopback/cold_start_test.go
+++ b/internal/lab/loopback/cold_start_test.go
@@ -13,22 +13,22 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-// throng is a day on which boxes join cold under a burst of 2.5 times what all could do if they were warm.
-type throng struct {
+// coldStart is a scenario in which endpoints join cold during a burst of 2.5 times what all could do if they were warm.
+type coldStart struct {
 	operator        string // the operator's file
-	kind            string // how boxes come to join
-	sidecars, boxes int    // boxes: that join, of twelve
+	kind            string // how endpoints come to join
+	sidecars, boxes int    // endpoints: that join, of twelve
 	speed           float64
 	length          int // s
 }
 
-func (d throng) String() string {
+func (d coldStart) String() string {
 	return fmt.Sprintf("%d sidecars, operator's file %q, %d boxes of speed %v %s", d.sidecars, d.operator, d.boxes, d.speed, d.kind)
 }
 
-func (d throng) plan(t testing.TB) *plan.Plan {
+func (d coldStart) plan(t testing.TB) *plan.Plan {
 	able := 12 * d.speed / 0.082 // requests a second, all warm
-	p := planned(t, fmt.Sprintf(`
+	p := buildPlan(t, fmt.Sprintf(`
 name = "throng"
 length = "%ds"
 settle = "3s"
@@ -87,13 +87,13 @@
 
 const numbered = "[fleet]\nnumbered = true"
 
-// Guards against cold boxes that fall because each of twenty or thirty sidecars sends a little too much: one and several that
-// join, with few requests in a window and with many. In virtual time.
-func TestThrong(t *testing.T) {
-	var days []throng
+// TestColdStarts guards against cold endpoints that collapse because each of twenty or thirty sidecars sends a little too much: one and
+// several endpoints, with few requests in a window and with many. It runs in virtual time.
+func TestColdStarts(t *testing.T) {
+	var days []coldStart
 	for _, kind := range []string{"drain", "vanish"} {
-		days = append(days, throng{numbered, kind, 20, 1, 1, 10}, throng{"", kind, 20, 6, 3.3, 10}, throng{"", kind, 30, 1, 3.3, 10},
-			throng{numbered, kind, 30, 6, 1, 10})
+		days = append(days, coldStart{numbered, kind, 20, 1, 1, 10}, coldStart{"", kind, 20, 6, 3.3, 10}, coldStart{"", kind, 30, 1, 3.3, 10},
+			coldStart{numbered, kind, 30, 6, 1, 10})
 	}
 	for _, d := range days {
 		p := d.plan(t)
@@ -109,9 +109,9 @@
 	}
 }
 
-// The check can fail, and counts as the rule does.
-func TestCrest(t *testing.T) {
-	p := throng{"", "drain", 1, 1, 3.3, 6}.plan(t)
+// TestMaxColdLoadRatio checks that the measure can fail, and that it counts as the rule does.
+func TestMaxColdLoadRatio(t *testing.T) {
+	p := coldStart{"", "drain", 1, 1, 3.3, 6}.plan(t)
 	i := slices.IndexFunc(p.Events, func(e plan.Event) bool { return e.Kind == plan.StartBox || e.Kind == plan.EndFault })
 	box, start := p.Events[i].Box, p.Events[i].At
 	// In the first second it is allowed some 22 requests and stands some 33: 2.5 x 3.3 x (0.15 + 0.85 x 0.5 s / 6 s) / 0.082 is 22.2.
@@ -142,10 +142,10 @@
 	}
 }
 
-// The same of processes, over sockets.
-func TestThrongOfProcesses(t *testing.T) {
-	built := program(t)
-	for _, d := range []throng{{numbered, "drain", 20, 1, 2, 6}, {numbered, "vanish", 30, 6, 2, 6}} {
+// TestColdStartsOfProcesses is TestColdStarts with processes, over sockets.
+func TestColdStartsOfProcesses(t *testing.T) {
+	built := buildProgram(t)
+	for _, d := range []coldStart{{numbered, "drain", 20, 1, 2, 6}, {numbered, "vanish", 30, 6, 2, 6}} {
 		p := d.plan(t)
 		log, err := loopback.Play(t.Context(), p, loopback.Options{Builds: [2]string{built}, LogDir: t.TempDir()})
 		if err != nil {
--- a/internal/lab/loopback/endpoint_bench_test.go
+++ b/internal/lab/loopback/endpoint_bench_test.go
@@ -10,28 +10,28 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-// Requests a second that 32 connections, kept and each with one request at a time, get from a box whose work
-// takes no time to speak of. Callers and box share the process and its cores.
-func BenchmarkBox(b *testing.B) {
-	for name, ask := range map[string]func(s *stand) func(clientRequest) bool{
-		"callers": func(s *stand) func(clientRequest) bool {
+// BenchmarkEndpoint measures the requests a second that 32 connections, each with one request at a time, get from an endpoint whose work
+// takes next to no time. Clients and endpoint share the process and its cores.
+func BenchmarkEndpoint(b *testing.B) {
+	for name, ask := range map[string]func(s *fixture) func(clientRequest) bool{
+		"callers": func(s *fixture) func(clientRequest) bool {
 			return func(q clientRequest) bool {
 				t := s.transport.roundTrip(b.Context(), q)
 				return t.Status == trace.StatusServed && !t.Forged
 			}
 		},
-		"raw": func(s *stand) func(clientRequest) bool {
+		"raw": func(s *fixture) func(clientRequest) bool {
 			c := s.dial(0)
 			return func(q clientRequest) bool {
-				s.ask(c, q)
-				res, _, err := c.answer()
+				s.send(c, q)
+				res, _, err := c.readResponse()
 				return err == nil && res.StatusCode == http.StatusOK
 			}
 		},
 	} {
 		b.Run(name, func(b *testing.B) {
-			s := newStand(b, standClasses+"[[tier]]\nname = \"t\"\n[[tier.kind]]\ncores = 64\nspeed = 1000.0\nslots = 1000\n[fleet]\npolicy = \"plain\"\n")
-			q := s.next("quick")
+			s := newFixture(b, fixtureClasses+"[[tier]]\nname = \"t\"\n[[tier.kind]]\ncores = 64\nspeed = 1000.0\nslots = 1000\n[fleet]\npolicy = \"plain\"\n")
+			q := s.nextRequest("quick")
 			q.directEndpoint, q.cancelAt = 0, time.Hour
 			var left atomic.Int64
 			left.Store(int64(b.N))
--- a/internal/lab/loopback/faults_test.go
+++ b/internal/lab/loopback/faulty_sidecar_test.go
@@ -14,7 +14,7 @@
 	"pinelb.example/pinelb/internal/lab/scenario"
 )
 
-// TestMain also is the fake sidecar's program: live.Play starts this binary as one.
+// TestMain is also the program of the faulty sidecar: loopback.Play starts this binary as one.
 func TestMain(m *testing.M) {
 	if os.Getenv(faultysidecar.Variable) != "" {
 		os.Exit(faultysidecar.Main())
@@ -22,8 +22,8 @@
 	os.Exit(m.Run())
 }
 
-// calm is a second of light load that no honest sidecar can get wrong; what makes a fault show is added.
-const calm = `
+// calmScenario is a second of light load that no sidecar without a fault can get wrong; what makes a fault show is added.
+const calmScenario = `
 name = "fault"
 length = "1s"
 class = [
@@ -37,14 +37,14 @@
 %[3]s`
 
 const (
-	drains = "[[fault]]\nkind = \"drain\"\nat = \"200ms\"\nnames = [\"t-2\"]\ngrace = \"3s\"\n"
-	// A crash and a cold start: a box then can do 0.2 standard cores and stands 2.5 times that.
-	restarts = "[[fault]]\nkind = \"crash\"\nat = \"100ms\"\nfor = \"200ms\"\nnames = [\"t-2\"]\n"
+	drainFault = "[[fault]]\nkind = \"drain\"\nat = \"200ms\"\nnames = [\"t-2\"]\ngrace = \"3s\"\n"
+	// A crash and a cold start: an endpoint then can do 0.2 standard cores and stands 2.5 times that.
+	crashFault = "[[fault]]\nkind = \"crash\"\nat = \"100ms\"\nfor = \"200ms\"\nnames = [\"t-2\"]\n"
 )
 
-// The judges catch a sidecar that breaks a rule, on sockets, and not one that doesn't: all that is found in
-// each play is of its kind.
-func TestFaultySidecarsAreCaught(t *testing.T) {
+// TestFaultySidecarsAreDetected checks, on sockets, that the judge detects each sidecar that breaks a rule, and no other: all breaches of
+// a play are of the fault's kind.
+func TestFaultySidecarsAreDetected(t *testing.T) {
 	for _, c := range []struct {
 		fault faultysidecar.Fault
 		rate  int
@@ -52,33 +52,33 @@
 		more  string
 		want  []judge.Kind
 	}{
-		{faultysidecar.Honest, 100, "1ms", drains, nil},
-		{faultysidecar.Honest, 300, "1ms", restarts, nil},
+		{faultysidecar.Honest, 100, "1ms", drainFault, nil},
+		{faultysidecar.Honest, 300, "1ms", crashFault, nil},
 		{faultysidecar.AnswersTwice, 100, "1ms", "", []judge.Kind{judge.AnsweredTwice}},
 		{faultysidecar.RepeatsUnsafe, 100, "1ms", "", []judge.Kind{judge.RanTwice}},
-		{faultysidecar.IgnoresDrain, 100, "1ms", drains, []judge.Kind{judge.AfterDrain}},
-		{faultysidecar.FloodsCold, 150, "6ms", restarts, []judge.Kind{judge.PushedOver}},
+		{faultysidecar.IgnoresDrain, 100, "1ms", drainFault, []judge.Kind{judge.AfterDrain}},
+		{faultysidecar.FloodsCold, 150, "6ms", crashFault, []judge.Kind{judge.PushedOver}},
 		{faultysidecar.Forges, 100, "1ms", "", []judge.Kind{judge.Forged}},
 		{faultysidecar.Loses, 100, "1ms", "", []judge.Kind{judge.Lost}},
 		{faultysidecar.RefusesAfterRunning, 100, "1ms", "", []judge.Kind{judge.RanTwice, judge.UnsafeRefused}},
 	} {
 		t.Run(fmt.Sprintf("%s at %d", c.fault, c.rate), func(t *testing.T) {
 			t.Setenv(faultysidecar.Variable, string(c.fault))
-			t.Setenv("GORACE", "atexit_sleep_ms=0") // or each end of the fake takes a second more under -race
-			v := play(t, fmt.Sprintf(calm, c.work, c.rate, c.more))
+			t.Setenv("GORACE", "atexit_sleep_ms=0") // or each end of the faulty sidecar takes a second more under -race
+			v := playFaulty(t, fmt.Sprintf(calmScenario, c.work, c.rate, c.more))
 			for _, kind := range c.want {
 				if v.Counts[kind] == 0 {
 					t.Errorf("%q was not found", kind)
 				}
 			}
 			if len(v.Counts) != len(c.want) {
-				t.Errorf("found %v, want %q\n%s", v.Counts, c.want, told(v))
+				t.Errorf("found %v, want %q\n%s", v.Counts, c.want, firstStories(v))
 			}
 		})
 	}
 }
 
-func play(t *testing.T, text string) judge.Verdict {
+func playFaulty(t *testing.T, text string) judge.Verdict {
 	t.Helper()
 	s, err := scenario.Parse("fault.toml", []byte(text))
 	if err != nil {
@@ -98,8 +98,8 @@
 	return judge.Judge(p, log)
 }
 
-// told is the first story of each kind.
-func told(v judge.Verdict) string {
+// firstStories is the first story of each kind of breach.
+func firstStories(v judge.Verdict) string {
 	var out strings.Builder
 	seen := map[judge.Kind]bool{}
 	for _, b := range v.Breaches {
--- a/internal/lab/loopback/fleet_test.go
+++ b/internal/lab/loopback/fleet_test.go
@@ -19,8 +19,8 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-// fleetOf is a run with so many sidecars, each this test binary in the role that the environment says.
-func fleetOf(n int, dir string) (*run, error) {
+// newTestRun is a run with n sidecars, each this test binary in the role that the environment names.
+func newTestRun(n int, dir string) (*run, error) {
 	s := scenario.Default()
 	s.Fleet.Sidecars = n
 	s.Class = []scenario.Class{{Name: "c", Effect: "safe", Deadline: scenario.Span(time.Second)}}
@@ -46,12 +46,12 @@
 	return r, err
 }
 
-// begin starts a fleet and ends it with the test.
-func begin(t *testing.T, n int, role string) *run {
+// startFleet starts a fleet and stops it at the end of the test.
+func startFleet(t *testing.T, n int, role string) *run {
 	t.Helper()
 	noLeaks(t)
-	t.Setenv(roleIs, role)
-	r, err := fleetOf(n, t.TempDir())
+	t.Setenv(roleVariable, role)
+	r, err := newTestRun(n, t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,8 +66,8 @@
 	return r
 }
 
-// changes are what has happened to a sidecar so far.
-func (r *run) changes(sidecar int) (out []trace.SidecarEventKind, last string) {
+// sidecarEvents are the events of a sidecar so far, and the detail of the last.
+func (r *run) sidecarEvents(sidecar int) (out []trace.SidecarEventKind, last string) {
 	r.recorder.mu.Lock()
 	defer r.recorder.mu.Unlock()
 	for _, c := range r.recorder.log.SidecarEvents {
@@ -78,21 +78,23 @@
 	return out, last
 }
 
-func expect(t *testing.T, r *run, sidecar int, want ...trace.SidecarEventKind) {
+func expectEvents(t *testing.T, r *run, sidecar int, want ...trace.SidecarEventKind) {
 	t.Helper()
-	if got, _ := r.changes(sidecar); !slices.Equal(got, want) {
+	if got, _ := r.sidecarEvents(sidecar); !slices.Equal(got, want) {
 		t.Fatalf("changes of %d: %v, want %v", sidecar, got, want)
 	}
 }
 
-// witness is the other end of the connections that sidecars keep as long as they live.
-func witness(t *testing.T) (address string, next func() *bufio.Reader) {
+// listenForWitness accepts the connections that sidecars keep as long as they live.
+func listenForWitness(t *testing.T) (address string, next func() *bufio.Reader) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.(*net.TCPListener).SetDeadline(time.Now().Add(ample))
+	if err := l.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout)); err != nil {
+		t.Fatal(err)
+	}
 	t.Cleanup(func() { l.Close() })
 	return l.Addr().String(), func() *bufio.Reader {
 		t.Helper()
@@ -100,18 +102,20 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		conn.SetDeadline(time.Now().Add(ample))
+		if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
+			t.Fatal(err)
+		}
 		t.Cleanup(func() { conn.Close() })
 		return bufio.NewReader(conn)
 	}
 }
 
-// A sidecar's life by the script: started, ready, killed, started again with another seed, stopped; the front
-// has it in between, and no process is left.
-func TestFleetsLife(t *testing.T) {
-	r := begin(t, 2, roleSidecar)
+// TestFleetLifecycle takes a sidecar through the script: started, ready, killed, started again with another seed, stopped. It is routable in
+// between, and no process is left.
+func TestFleetLifecycle(t *testing.T) {
+	r := startFleet(t, 2, roleSidecar)
 	f := r.fleet
-	expect(t, r, 0, trace.SidecarStarted, trace.SidecarReady)
+	expectEvents(t, r, 0, trace.SidecarStarted, trace.SidecarReady)
 	if !f.routable(0) || !f.routable(1) {
 		t.Error("the front does not admit what is ready")
 	}
@@ -122,7 +126,7 @@
 	r.plan.Scenario.Clients.Notice = scenario.Span(time.Hour)
 	f.sidecars[0].kill()
 	<-f.sidecars[0].currentProcess().exited
-	expect(t, r, 0, trace.SidecarStarted, trace.SidecarReady, trace.SidecarKilled)
+	expectEvents(t, r, 0, trace.SidecarStarted, trace.SidecarReady, trace.SidecarKilled)
 	if !f.routable(0) {
 		t.Error("the front has noticed the death at once")
 	}
@@ -141,20 +145,20 @@
 		t.Errorf("the second start has the first's configuration: %v", err)
 	}
 	f.shutDown(false)
-	expect(t, r, 0, trace.SidecarStarted, trace.SidecarReady, trace.SidecarKilled, trace.SidecarStarted, trace.SidecarReady, trace.SidecarStopping, trace.SidecarExited)
-	expect(t, r, 1, trace.SidecarStarted, trace.SidecarReady, trace.SidecarKilled)
+	expectEvents(t, r, 0, trace.SidecarStarted, trace.SidecarReady, trace.SidecarKilled, trace.SidecarStarted, trace.SidecarReady, trace.SidecarStopping, trace.SidecarExited)
+	expectEvents(t, r, 1, trace.SidecarStarted, trace.SidecarReady, trace.SidecarKilled)
 	use := f.sidecars[0].usage()
 	if use.CPU <= 0 || use.PeakMemory < 1<<20 || use.MaxDescriptors < 3 {
 		t.Errorf("usage: %+v", use)
 	}
 }
 
-// Of one that says that it drains, clients use the connections they have and open no new ones; one that does
-// not end is killed.
-func TestDrainingIsTakenOut(t *testing.T) {
-	r := begin(t, 1, roleDeaf)
+// TestDrainingSidecarIsNotRoutable checks that clients use the connections that they have to a draining sidecar and open no new ones, and
+// that one that does not exit is killed.
+func TestDrainingSidecarIsNotRoutable(t *testing.T) {
+	r := startFleet(t, 1, roleDeaf)
 	s := r.fleet.sidecars[0]
-	r.transport.roundTrip(t.Context(), clientRequest{directEndpoint: -1, timeout: ample, cancelAt: ample}) // whose connection is kept
+	r.transport.roundTrip(t.Context(), clientRequest{directEndpoint: -1, timeout: testTimeout, cancelAt: testTimeout}) // whose connection is kept
 	r.fleet.sidecars[0].stop()
 	if !r.fleet.routable(0) {
 		t.Error("taken out before it has said that it drains")
@@ -171,7 +175,7 @@
 	}
 	draining.draining = false
 	s.routing.Store(&draining)
-	r.transport.roundTrip(t.Context(), clientRequest{directEndpoint: -1, timeout: ample, cancelAt: ample})
+	r.transport.roundTrip(t.Context(), clientRequest{directEndpoint: -1, timeout: testTimeout, cancelAt: testTimeout})
 	r.fleet.shutDown(true)
 	if !s.routing.Load().draining {
 		t.Error("its health was not asked")
@@ -179,29 +183,29 @@
 	if r.fleet.routable(0) {
 		t.Error("still admitted for connections that died with it")
 	}
-	expect(t, r, 0, trace.SidecarStarted, trace.SidecarReady, trace.SidecarStopping, trace.SidecarKilled)
+	expectEvents(t, r, 0, trace.SidecarStarted, trace.SidecarReady, trace.SidecarStopping, trace.SidecarKilled)
 }
 
-// A sidecar that ends by itself has crashed: how, and the end of its log, are in the trace.
-func TestCrashIsNoticed(t *testing.T) {
-	r := begin(t, 1, roleCrash)
-	got := r.transport.roundTrip(t.Context(), clientRequest{directEndpoint: -1, timeout: ample, cancelAt: ample})
+// TestCrashIsDetected checks that a sidecar that exits by itself is recorded as crashed, with its status and the end of its log.
+func TestCrashIsDetected(t *testing.T) {
+	r := startFleet(t, 1, roleCrash)
+	got := r.transport.roundTrip(t.Context(), clientRequest{directEndpoint: -1, timeout: testTimeout, cancelAt: testTimeout})
 	if got.Status != trace.StatusDisconnected {
 		t.Errorf("%+v", got)
 	}
 	<-r.fleet.sidecars[0].currentProcess().exited
-	expect(t, r, 0, trace.SidecarStarted, trace.SidecarReady, trace.SidecarCrashed)
-	if _, text := r.changes(0); !strings.Contains(text, "exit status 7") || !strings.Contains(text, "the last words") {
+	expectEvents(t, r, 0, trace.SidecarStarted, trace.SidecarReady, trace.SidecarCrashed)
+	if _, text := r.sidecarEvents(0); !strings.Contains(text, "exit status 7") || !strings.Contains(text, "the last words") {
 		t.Errorf("crash: %q", text)
 	}
 }
 
-// One that ends before it is ready is not waited for.
-func TestCrashAtTheStart(t *testing.T) {
-	r := begin(t, 1, roleFaulty)
+// TestCrashAtStart checks that the start does not wait for a sidecar that exits before it is ready.
+func TestCrashAtStart(t *testing.T) {
+	r := startFleet(t, 1, roleFaulty)
 	<-r.fleet.sidecars[0].currentProcess().exited
-	expect(t, r, 0, trace.SidecarStarted, trace.SidecarCrashed)
-	if _, text := r.changes(0); !strings.Contains(text, "no such key") {
+	expectEvents(t, r, 0, trace.SidecarStarted, trace.SidecarCrashed)
+	if _, text := r.sidecarEvents(0); !strings.Contains(text, "no such key") {
 		t.Errorf("crash: %q", text)
 	}
 	if r.fleet.routable(0) {
@@ -209,10 +213,10 @@
 	}
 }
 
-// A program that is not there is an error, which names it.
-func TestNoProgram(t *testing.T) {
+// TestMissingProgram checks that a missing program is an error that names it.
+func TestMissingProgram(t *testing.T) {
 	noLeaks(t)
-	r, err := fleetOf(1, t.TempDir())
+	r, err := newTestRun(1, t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -224,12 +228,12 @@
 	}
 }
 
-// A move of discovery reaches a sidecar that runs, one that is down at its next start, and one that is just
-// starting once it is ready.
-func TestHup(t *testing.T) {
-	address, next := witness(t)
-	t.Setenv(witnessAt, address)
-	r := begin(t, 1, roleSidecar)
+// TestReload checks that a move of discovery reaches a running sidecar, one that is down at its next start, and one that is just starting
+// once it is ready.
+func TestReload(t *testing.T) {
+	address, next := listenForWitness(t)
+	t.Setenv(witnessVariable, address)
+	r := startFleet(t, 1, roleSidecar)
 	in := next()
 	hear := func(want string) {
 		t.Helper()
@@ -256,22 +260,22 @@
 	in = next()
 	hear(r.addresses.agent(0, 2))
 	hear(r.addresses.agent(0, 3))
-	if got, _ := r.changes(0); slices.Contains(got, trace.SidecarCrashed) {
+	if got, _ := r.sidecarEvents(0); slices.Contains(got, trace.SidecarCrashed) {
 		t.Errorf("changes: %v", got)
 	}
 }
 
-// When pinelab is killed, its sidecars end with it, though nothing tells them to.
-func TestSidecarsEndWithAKilledPinelab(t *testing.T) {
-	address, next := witness(t)
+// TestSidecarsDieWithParent checks that the sidecars die with a pinelab that is killed, though nothing signals them.
+func TestSidecarsDieWithParent(t *testing.T) {
+	address, next := listenForWitness(t)
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), ample)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	lab := exec.CommandContext(ctx, self)
-	lab.Env = append(os.Environ(), roleIs+"="+rolePinelab, witnessAt+"="+address, "TMPDIR="+t.TempDir())
+	lab.Env = append(os.Environ(), roleVariable+"="+rolePinelab, witnessVariable+"="+address, "TMPDIR="+t.TempDir())
 	lab.Stderr = os.Stderr
 	if err := lab.Start(); err != nil {
 		t.Fatal(err)
@@ -280,19 +284,21 @@
 	if _, err := in.ReadString('\n'); err != nil {
 		t.Fatal(err)
 	}
-	lab.Process.Signal(syscall.SIGKILL)
+	if err := lab.Process.Signal(syscall.SIGKILL); err != nil {
+		t.Fatal(err)
+	}
 	// The end of the connection is the end of the sidecar.
 	if _, err := in.ReadByte(); err != io.EOF && !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("the sidecar lives on: %v", err)
 	}
-	lab.Wait()
+	_ = lab.Wait() // it was killed
 }
 
-// A run that is broken off ends its sidecars too.
-func TestBeginIsCalledOff(t *testing.T) {
+// TestStartIsCanceled checks that a run that is cut short stops its sidecars too.
+func TestStartIsCanceled(t *testing.T) {
 	noLeaks(t)
-	t.Setenv(roleIs, roleSidecar)
-	r, err := fleetOf(3, t.TempDir())
+	t.Setenv(roleVariable, roleSidecar)
+	r, err := newTestRun(3, t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/loopback/link_test.go
+++ b/internal/lab/loopback/link_test.go
@@ -11,8 +11,8 @@
 	"pinelb.example/pinelb/internal/lab/plan"
 )
 
-// A link passes all on; cut, it holds back what is written that way until it is healed and lets no new connection come up;
-// late, it is late by its delay; reset, both ends break. Each fault's row fails on a link that passes everything.
+// TestLink checks that a link forwards everything; that a partition holds back what is written in its direction until it heals and lets no
+// new connection come up; that a delay delays; and that a reset breaks both ends. Each row fails on a link that forwards everything.
 func TestLink(t *testing.T) {
 	const quiet = 50 * time.Millisecond
 	noLeaks(t)
@@ -34,8 +34,8 @@
 	connect := func() (near, far net.Conn) {
 		t.Helper()
 		var err error
-		for until := time.Now().Add(ample); near == nil; { // a door that is turned is shut for a moment
-			if near, err = net.DialTimeout("tcp", l.listener.address, ample); err != nil && time.Now().After(until) {
+		for until := time.Now().Add(testTimeout); near == nil; { // a listener that changes its state refuses for a moment
+			if near, err = net.DialTimeout("tcp", l.listener.address, testTimeout); err != nil && time.Now().After(until) {
 				t.Fatal(err)
 			}
 		}
@@ -60,7 +60,7 @@
 			if _, err := way.from.Write([]byte{1}); err != nil {
 				t.Fatal(err)
 			}
-			within := ample
+			within := testTimeout
 			if way.held {
 				within = quiet
 			}
@@ -73,22 +73,22 @@
 			to   net.Conn
 			held bool
 		}{{far, f.Cuts(true) || f.Delay > 0}, {near, f.Cuts(false) || f.Delay > 0}} {
-			if way.held && heard(way.to, ample) != nil {
+			if way.held && heard(way.to, testTimeout) != nil {
 				t.Errorf("%+v: what was held back is lost", f)
 			}
 		}
 		connect() // it comes up again
 	}
 	l.beginFault(9, plan.Link{How: plan.LinkReset})
-	if err := heard(near, ample); !errors.Is(err, syscall.ECONNRESET) {
+	if err := heard(near, testTimeout); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("reset, at the one that connected: %v", err)
 	}
-	if err := heard(far, ample); !errors.Is(err, syscall.ECONNRESET) {
+	if err := heard(far, testTimeout); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("reset, behind it: %v", err)
 	}
 	l.endFault(9)
 	l.beginFault(10, plan.Link{How: plan.LinkBoth})
-	for until := time.Now().Add(ample); ; { // the door is turned beside
+	for until := time.Now().Add(testTimeout); ; { // the listener changes its state in a goroutine
 		c, err := net.DialTimeout("tcp", l.listener.address, quiet)
 		if err != nil {
 			break
--- a/internal/lab/loopback/list_faults_test.go
+++ b/internal/lab/loopback/list_faults_test.go
@@ -11,25 +11,25 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-// Each fault of the list service shows to a sidecar as its name says, and is over when it ends.
+// TestListFaults checks that each fault of the list service shows to a sidecar, and is over when it ends.
 func TestListFaults(t *testing.T) {
 	r := newAgents(t, 1, "")
-	a := newAsks(t, r.addresses.agent(0, 0))
+	a := newPoller(t, r.addresses.agent(0, 0))
 	a.client.Timeout = time.Second
-	usual := a.get("").text()
-	two := func(m members) bool {
+	usual := a.poll("").text()
+	two := func(m memberList) bool {
 		return strings.Count(m.text(), "order-") == 2 && strings.Count(m.text(), "other-") == 0
 	}
 	for id, c := range []struct {
 		f    plan.ListFault
-		want func(m members, err error) bool
+		want func(m memberList, err error) bool
 	}{
-		{plan.ListFault{Kind: "list_down"}, func(_ members, err error) bool { return err != nil }},
-		{plan.ListFault{Kind: "list_slow", Delay: 2 * time.Second}, func(_ members, err error) bool { return err != nil }},
-		{plan.ListFault{Kind: "list_cut", Size: 1}, func(_ members, err error) bool { return err != nil }},
-		{plan.ListFault{Kind: "list_wrong", Of: "empty"}, func(m members, err error) bool { return err == nil && m.Complete && len(m.Members) == 0 }},
-		{plan.ListFault{Kind: "list_wrong", Of: "half"}, func(m members, err error) bool { return err == nil && m.Complete && len(m.Members) == 1 }},
-		{plan.ListFault{Kind: "list_wrong", Of: "other"}, func(m members, err error) bool { return err == nil && len(m.Members) == 2 && !two(m) }},
+		{plan.ListFault{Kind: "list_down"}, func(_ memberList, err error) bool { return err != nil }},
+		{plan.ListFault{Kind: "list_slow", Delay: 2 * time.Second}, func(_ memberList, err error) bool { return err != nil }},
+		{plan.ListFault{Kind: "list_cut", Size: 1}, func(_ memberList, err error) bool { return err != nil }},
+		{plan.ListFault{Kind: "list_wrong", Of: "empty"}, func(m memberList, err error) bool { return err == nil && m.Complete && len(m.Members) == 0 }},
+		{plan.ListFault{Kind: "list_wrong", Of: "half"}, func(m memberList, err error) bool { return err == nil && m.Complete && len(m.Members) == 1 }},
+		{plan.ListFault{Kind: "list_wrong", Of: "other"}, func(m memberList, err error) bool { return err == nil && len(m.Members) == 2 && !two(m) }},
 	} {
 		turn := func(kind plan.EventKind) {
 			t.Helper()
@@ -38,51 +38,52 @@
 			}
 		}
 		turn(plan.BeginList)
-		if m, err := a.try(""); !c.want(m, err) {
+		if m, err := a.tryPoll(""); !c.want(m, err) {
 			t.Errorf("%+v: %s, %v", c.f, m.text(), err)
 		}
 		turn(plan.EndList)
-		if got := a.get("").text(); got != usual {
+		if got := a.poll("").text(); got != usual {
 			t.Errorf("%+v is over: %s, expected %s", c.f, got, usual)
 		}
 	}
 }
 
-// An old list goes on being told while the true one changes; a restart counts its revisions from 1 and loses no entry.
-func TestListOldAndForgotten(t *testing.T) {
+// TestListStaleAndForgotten checks that a stale list goes on being served while the true one changes, and that a restart counts its
+// revisions from 1 and loses no entry.
+func TestListStaleAndForgotten(t *testing.T) {
 	r := newAgents(t, 1, "")
-	a := newAsks(t, r.addresses.agent(0, 0))
+	a := newPoller(t, r.addresses.agent(0, 0))
 	turn := func(kind plan.EventKind, id int, what string) {
 		t.Helper()
 		if err := r.agents[0].applyFault(plan.Event{Kind: kind, ID: id, List: plan.ListFault{Kind: what}}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	before := a.get("")
+	before := a.poll("")
 	turn(plan.BeginList, 1, "list_old")
 	r.agents[0].update(plan.Listed{Box: 0, Phase: trace.PhaseTerminating})
-	if m := a.get(""); m.text() != before.text() {
+	if m := a.poll(""); m.text() != before.text() {
 		t.Errorf("an old list: %s", m.text())
 	}
 	turn(plan.EndList, 1, "list_old")
-	after := a.get("")
+	after := a.poll("")
 	if after.Revision <= before.Revision || after.text() == before.text() {
 		t.Errorf("the true list: %d %s", after.Revision, after.text())
 	}
 	turn(plan.BeginList, 2, "list_forget")
 	turn(plan.EndList, 2, "list_forget")
-	if m := a.get(""); m.Revision != 1 || m.text() != after.text() {
+	if m := a.poll(""); m.Revision != 1 || m.text() != after.text() {
 		t.Errorf("after a restart: %d %s, expected 1 %s", m.Revision, m.text(), after.text())
 	}
 }
 
-// The capacity is one for all sidecars: of ten calls at once, one is in work, two wait and seven are turned away.
+// TestListCapacity checks that the capacity is shared by all sidecars: of ten polls at once, one runs, two wait and seven are rejected.
 func TestListCapacity(t *testing.T) {
 	r := newAgents(t, 10, "")
 	r.capacity.model = &model.Listing{Calls: 1, Call: time.Hour, Line: 2, Beyond: model.Turns}
 	var all sync.WaitGroup
 	for i := range 10 {
-		all.Go(func() { _, _ = newAsks(t, r.addresses.agent(i, 0)).try("") })
+		all.Go(func() { _, _ = newPoller(t, r.addresses.agent(i, 0)).tryPoll("") })
 	}
 	turned := func() (n int) {
 		r.recorder.mu.Lock()
--- a/internal/lab/loopback/next_tier_test.go
+++ b/internal/lab/loopback/next_tier_test.go
@@ -20,15 +20,15 @@
 boxes = 2
 `
 
-// stub is the next tier in a test's hands.
-type stub struct {
+// nextTierStub is the next tier under the control of a test.
+type nextTierStub struct {
 	asked chan clientRequest
 	reply chan trace.Status
-	gone  chan struct{} // a call was called off
+	gone  chan struct{} // a call was canceled
 }
 
-func (s *stand) stub(box int) *stub {
-	u := &stub{make(chan clientRequest, 10), make(chan trace.Status, 10), make(chan struct{}, 10)}
+func (s *fixture) stubNextTier(box int) *nextTierStub {
+	u := &nextTierStub{make(chan clientRequest, 10), make(chan trace.Status, 10), make(chan struct{}, 10)}
 	s.endpoints[box].send = func(ctx context.Context, q clientRequest) trace.ClientAttempt {
 		u.asked <- q
 		t := q.attempt
@@ -43,13 +43,13 @@
 	return u
 }
 
-func TestBoxCallsTheNextTier(t *testing.T) {
-	s := newStand(t, standClasses+twoTiers)
-	u := s.stub(0)
-	q := s.next("keyed")
+func TestEndpointCallsNextTier(t *testing.T) {
+	s := newFixture(t, fixtureClasses+twoTiers)
+	u := s.stubNextTier(0)
+	q := s.nextRequest("keyed")
 	q.timeout = 10 * time.Second
 	c := s.dial(0)
-	s.ask(c, q)
+	s.send(c, q)
 	lefts := 10 * time.Second
 	for call := range 2 {
 		got := <-u.asked
@@ -67,32 +67,32 @@
 
 		// The next tier knows it now.
 		inner := s.dial(1)
-		s.ask(inner, got)
-		inner.expect(http.StatusOK)
+		s.send(inner, got)
+		inner.expectStatus(http.StatusOK)
 		u.reply <- trace.StatusServed
 	}
-	c.expect(http.StatusOK)
-	s.visit(q.attempt.TransactionID)
+	c.expectStatus(http.StatusOK)
+	s.endpointRequest(q.attempt.TransactionID)
 	s.recorder.mu.Lock()
 	if n := len(s.recorder.log.ClientAttempts); n != 2 {
 		t.Errorf("%d calls are noted", n)
 	}
 	s.recorder.mu.Unlock()
 
-	stranger := s.next("keyed")
+	stranger := s.nextRequest("keyed")
 	inner := s.dial(1)
-	s.ask(inner, stranger) // nobody has called with this id
-	inner.expect(http.StatusBadRequest)
+	s.send(inner, stranger) // no call has this id
+	inner.expectStatus(http.StatusBadRequest)
 }
 
-func TestBoxFailsWithItsCall(t *testing.T) {
-	s := newStand(t, standClasses+twoTiers)
-	u := s.stub(0)
+func TestEndpointFailsWithItsCall(t *testing.T) {
+	s := newFixture(t, fixtureClasses+twoTiers)
+	u := s.stubNextTier(0)
 	u.reply <- trace.StatusRejected
-	c, q := s.dial(0), s.next("quick")
-	s.ask(c, q)
-	c.expect(http.StatusInternalServerError)
-	if v := s.visit(q.attempt.TransactionID); v.Outcome != trace.OutcomeError || v.Work <= 0 {
+	c, q := s.dial(0), s.nextRequest("quick")
+	s.send(c, q)
+	c.expectStatus(http.StatusInternalServerError)
+	if v := s.endpointRequest(q.attempt.TransactionID); v.Outcome != trace.OutcomeError || v.Work <= 0 {
 		t.Errorf("the visit is %+v", v)
 	}
 	if len(u.asked) != 1 {
@@ -100,34 +100,34 @@
 	}
 }
 
-// Where its caller leaves, a box calls its own call off; where the deadline isn't passed on, the whole of it
-// is left for each call.
-func TestBoxCallsOff(t *testing.T) {
-	s := newStand(t, standClasses+twoTiers+"[rules]\npasses_deadline = false\n")
-	u := s.stub(0)
-	c, q := s.dial(0), s.next("quick")
+// TestEndpointCancelsItsCall checks that an endpoint cancels its own call when its client disconnects, and that each call has the whole
+// deadline where endpoints do not propagate it.
+func TestEndpointCancelsItsCall(t *testing.T) {
+	s := newFixture(t, fixtureClasses+twoTiers+"[rules]\npasses_deadline = false\n")
+	u := s.stubNextTier(0)
+	c, q := s.dial(0), s.nextRequest("quick")
 	q.timeout = time.Second
-	s.ask(c, q)
+	s.send(c, q)
 	if got := <-u.asked; got.timeout != 30*time.Second {
 		t.Errorf("%v are left for the call", got.timeout)
 	}
 	c.Close()
 	<-u.gone
-	if v := s.visit(q.attempt.TransactionID); v.Outcome != trace.OutcomeCanceled {
+	if v := s.endpointRequest(q.attempt.TransactionID); v.Outcome != trace.OutcomeCanceled {
 		t.Errorf("the visit is %+v", v)
 	}
 }
 
-// Without sidecars, with the callers as they are.
-func TestBoxesInARow(t *testing.T) {
-	s := newStand(t, standClasses+twoTiers+"[fleet]\npolicy = \"plain\"\n")
-	q := s.next("quick")
+// TestTiersWithoutSidecars plays two tiers of endpoints without sidecars, with the real transport.
+func TestTiersWithoutSidecars(t *testing.T) {
+	s := newFixture(t, fixtureClasses+twoTiers+"[fleet]\npolicy = \"plain\"\n")
+	q := s.nextRequest("quick")
 	q.directEndpoint, q.attempt.Sidecar, q.cancelAt = 0, -1, 1<<62
 	try := s.transport.roundTrip(t.Context(), q)
 	if try.Status != trace.StatusServed || try.Endpoint != 0 || try.Forged {
 		t.Errorf("the try is %+v", try)
 	}
-	s.visit(q.attempt.TransactionID)
+	s.endpointRequest(q.attempt.TransactionID)
 	s.recorder.mu.Lock()
 	defer s.recorder.mu.Unlock()
 	boxes := map[int]bool{}
--- a/internal/lab/loopback/overload_test.go
+++ b/internal/lab/loopback/overload_test.go
@@ -13,13 +13,13 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-// crowd is twelve sidecars that start at once, know nothing, and ask one list service of ten calls a second. That a
-// machine that stands still for a moment brings some of them together is what the line is for.
-const crowd = `
+// overloadScenario is twelve sidecars that start at once, know no endpoint, and poll one list service that responses ten calls a second. Its
+// queue is for a machine that stalls for a moment and so brings some of them together.
+const overloadScenario = `
 name = "crowd"
 length = "9s"
 settle = "0s"
-` + classes + `
+` + scenarioClasses + `
 [[tier]]
 name = "t"
 [[tier.kind]]
@@ -36,59 +36,59 @@
 start = "with"
 `
 
-// spared switches the mechanism on.
+// pollLimits switches the mechanism on: the operator's limits on polls.
 const (
-	spared    = "operator = \"\"\"\n[discovery]\ncalls = 5\nburst = 2\nresume = true\n\"\"\"\n"
-	nothing   = "known = \"none\"\n"
-	something = "known = \"fresh\"\n"
+	pollLimits     = "operator = \"\"\"\n[discovery]\ncalls = 5\nburst = 2\nresume = true\n\"\"\"\n"
+	noKnownList    = "known = \"none\"\n"
+	freshKnownList = "known = \"fresh\"\n"
 )
 
-// Several processes of the program and one list service, with faults between them. Each row holds with the mechanism, and
-// fails with it taken out: the same play without the section, or without the list that it is given.
-func TestProcessesTogether(t *testing.T) {
-	build := program(t)
+// TestListServiceOverload plays processes of the program and one list service, with faults between them. Each row holds with the mechanism,
+// and fails without it: the same play without the section, or without the list that it is given.
+func TestListServiceOverload(t *testing.T) {
+	build := buildProgram(t)
 	for _, c := range []struct {
 		name    string
 		with    string // of the fleet
 		without string
 		faults  string
-		holds   func(o *together) bool
+		holds   func(o *processPlay) bool
 	}{
-		{"the service is back after a while", spared + nothing, nothing, listResponse("down", "0s", "1500ms", ""), func(o *together) bool {
+		{"the service is back after a while", pollLimits + noKnownList, noKnownList, listFault("down", "0s", "1500ms", ""), func(o *processPlay) bool {
 			return o.res.Together.Turned == 0 && o.res.Together.Unready == 0 && o.res.Together.Unheard == 0
 		}},
-		{"a third is killed in the middle, and comes again", spared + nothing, nothing,
-			listResponse("down", "0s", "1s", "") + "[[fault]]\nkind = \"sidecar_kill\"\nat = \"2s\"\nboxes = 4\nback = \"1s\"\n", func(o *together) bool {
-				return o.res.Together.Turned == 0 && o.res.Together.Unready == 0 && o.res.Together.Unheard == 0 && o.count(trace.SidecarStarted) == 16
+		{"a third is killed in the middle, and comes again", pollLimits + noKnownList, noKnownList,
+			listFault("down", "0s", "1s", "") + "[[fault]]\nkind = \"sidecar_kill\"\nat = \"2s\"\nboxes = 4\nback = \"1s\"\n", func(o *processPlay) bool {
+				return o.res.Together.Turned == 0 && o.res.Together.Unready == 0 && o.res.Together.Unheard == 0 && o.countEvents(trace.SidecarStarted) == 16
 			}},
-		{"down for good, with a list that is known", spared + something, spared + nothing, listResponse("down", "0s", "20s", ""), func(o *together) bool {
+		{"down for good, with a list that is known", pollLimits + freshKnownList, pollLimits + noKnownList, listFault("down", "0s", "20s", ""), func(o *processPlay) bool {
 			return o.res.Together.Unready == 0 && o.served() > 0
 		}},
-		{"all are stopped in the middle of their first call", spared + nothing, nothing,
-			listResponse("slow", "0s", "5s", "back = \"3s\"") + "[[fault]]\nkind = \"sidecar_pause\"\nat = \"2500ms\"\nshare = 1.0\nfor = \"4s\"\n", func(o *together) bool {
-				return o.given() == 0 && o.log("was stopped") >= 6
+		{"all are stopped in the middle of their first call", pollLimits + noKnownList, noKnownList,
+			listFault("slow", "0s", "5s", "back = \"3s\"") + "[[fault]]\nkind = \"sidecar_pause\"\nat = \"2500ms\"\nshare = 1.0\nfor = \"4s\"\n", func(o *processPlay) bool {
+				return o.canceledPolls() == 0 && o.countLogs("was stopped") >= 6
 			}},
-		{"half are cut off from the service, and healed", spared + something, something,
-			"[[fault]]\nkind = \"link_cut\"\nof = \"list\"\nat = \"500ms\"\nfor = \"4s\"\nboxes = 6\n", func(o *together) bool {
+		{"half are cut off from the service, and healed", pollLimits + freshKnownList, freshKnownList,
+			"[[fault]]\nkind = \"link_cut\"\nof = \"list\"\nat = \"500ms\"\nfor = \"4s\"\nboxes = 6\n", func(o *processPlay) bool {
 				return o.res.Together.Turned == 0 && o.res.Together.Unready == 0 && o.res.Together.Unheard == 0
 			}},
 		// Each asks again 1.5 s after the empty list, and would take it after 2.5 s: most must have come to that.
-		{"an empty list at first", strings.Replace(spared, "calls = 5", "calls = 8", 1) + something, something,
-			listResponse("wrong", "0s", "1s", "of = \"empty\""), func(o *together) bool { return o.log(`"complete":true,"members":0,`) < 6 }},
+		{"an empty list at first", strings.Replace(pollLimits, "calls = 5", "calls = 8", 1) + freshKnownList, freshKnownList,
+			listFault("wrong", "0s", "1s", "of = \"empty\""), func(o *processPlay) bool { return o.countLogs(`"complete":true,"members":0,`) < 6 }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for how, fleet := range map[bool]string{true: c.with, false: c.without} {
-				room <- struct{}{}
-				o := playTogether(t, build, crowd+fleet+c.faults)
-				<-room
+				playSlots <- struct{}{}
+				o := playProcesses(t, build, overloadScenario+fleet+c.faults)
+				<-playSlots
 				if o.verdict.Counts[judge.Crashed] > 0 || o.verdict.Counts[judge.Lost] > 0 {
-					t.Errorf("%v", told(o.verdict))
+					t.Errorf("%v", firstStories(o.verdict))
 				}
 				if o.res.Rig.Void {
 					t.Logf("the rig ran late: %s", o.res.Rig.Why)
 				}
-				if !how && o.res.Rig.Void { // a machine that is too busy for a storm says nothing of what keeps one off
+				if !how && o.res.Rig.Void { // a machine that is too busy for an overload shows nothing of what prevents one
 					continue
 				}
 				if got := c.holds(o); got != how {
@@ -99,12 +99,12 @@
 	}
 }
 
-func listResponse(kind, at, dur, more string) string {
+func listFault(kind, at, dur, more string) string {
 	return "[[fault]]\nkind = \"list_" + kind + "\"\nat = \"" + at + "\"\nfor = \"" + dur + "\"\n" + more + "\n"
 }
 
-// together is a play and what came of it.
-type together struct {
+// processPlay is a play and its results.
+type processPlay struct {
 	t       *testing.T
 	dir     string
 	played  *trace.Log
@@ -112,9 +112,9 @@
 	res     *result.Result
 }
 
-func playTogether(t *testing.T, build, text string) *together {
+func playProcesses(t *testing.T, build, text string) *processPlay {
 	t.Helper()
-	p, o := planned(t, text), &together{t: t, dir: t.TempDir()}
+	p, o := buildPlan(t, text), &processPlay{t: t, dir: t.TempDir()}
 	var err error
 	if o.played, err = loopback.Play(context.Background(), p, loopback.Options{Builds: [2]string{build}, LogDir: o.dir}); err != nil {
 		t.Fatal(err)
@@ -124,7 +124,7 @@
 	return o
 }
 
-func (o *together) count(what trace.SidecarEventKind) (n int) {
+func (o *processPlay) countEvents(what trace.SidecarEventKind) (n int) {
 	for _, c := range o.played.SidecarEvents {
 		if c.Kind == what {
 			n++
@@ -133,10 +133,10 @@
 	return n
 }
 
-func (o *together) served() int { return o.res.All.Served.Count + o.res.All.Late.Count }
+func (o *processPlay) served() int { return o.res.All.Served.Count + o.res.All.Late.Count }
 
-// given is how many calls at the service were given up before the run's end.
-func (o *together) given() (n int) {
+// canceledPolls counts the polls that were canceled before the run's end.
+func (o *processPlay) canceledPolls() (n int) {
 	for _, a := range o.played.Polls {
 		if a.Outcome == trace.PollAbandoned && a.At+a.Duration < o.played.End {
 			n++
@@ -145,8 +145,8 @@
 	return n
 }
 
-// log is how many sidecars have said something.
-func (o *together) log(word string) (n int) {
+// countLogs counts the sidecars whose log has a text.
+func (o *processPlay) countLogs(word string) (n int) {
 	files, err := filepath.Glob(filepath.Join(o.dir, "*.log"))
 	if err != nil {
 		o.t.Fatal(err)
--- a/internal/lab/loopback/roles_test.go
+++ b/internal/lab/loopback/process_roles_test.go
@@ -18,24 +18,24 @@
 
 // The test binary also plays a sidecar and a whole pinelab, where this variable says so.
 const (
-	roleIs      = "PINELAB_TEST_ROLE"
-	witnessAt   = "PINELAB_TEST_WITNESS" // an address to which a sidecar keeps a connection as long as it lives
-	roleSidecar = "sidecar"              // ready at once; answers all, ends on SIGTERM
-	roleDeaf    = "deaf"                 // ready at once; answers all, drains on SIGTERM and never ends
-	roleCrash   = "crash"                // ready at once; ends by itself with a message when it has a first request
-	roleFaulty  = "faulty"               // ends at once
-	rolePinelab = "pinelab"              // a pinelab with one sidecar
+	roleVariable    = "PINELAB_TEST_ROLE"
+	witnessVariable = "PINELAB_TEST_WITNESS" // an address to which a sidecar keeps a connection as long as it lives
+	roleSidecar     = "sidecar"              // ready at once; responses all, ends on SIGTERM
+	roleDeaf        = "deaf"                 // ready at once; responses all, drains on SIGTERM and never ends
+	roleCrash       = "crash"                // ready at once; ends by itself with a message when it has a first request
+	roleFaulty      = "faulty"               // ends at once
+	rolePinelab     = "pinelab"              // a pinelab with one sidecar
 )
 
 func init() {
-	role := os.Getenv(roleIs)
+	role := os.Getenv(roleVariable)
 	if role == "" {
 		return
 	}
 	time.AfterFunc(time.Minute, func() { os.Exit(9) }) // a failed test is not to leave it behind
-	play := playSidecar
+	play := runSidecarRole
 	if role == rolePinelab {
-		play = playPinelab
+		play = runLabRole
 	}
 	if err := play(role); err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -44,14 +44,14 @@
 	os.Exit(0)
 }
 
-// noLeaks fails the test if a goroutine is left when all that it cleans up is cleaned up.
+// noLeaks fails the test if goroutines are left after its cleanup.
 func noLeaks(t *testing.T) {
 	t.Helper()
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 }
 
-func playSidecar(role string) error {
-	if at := os.Getenv(witnessAt); at != "" {
+func runSidecarRole(role string) error {
+	if at := os.Getenv(witnessVariable); at != "" {
 		conn, err := net.Dial("tcp", at)
 		if err != nil {
 			return err
@@ -79,7 +79,7 @@
 		return err
 	}
 	var draining atomic.Bool
-	go http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch {
 		case r.URL.Path != "/_health" && role == roleCrash:
 			fmt.Fprintln(os.Stderr, "the last words")
@@ -87,7 +87,8 @@
 		case draining.Load():
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
-	}))
+	})
+	go func() { _ = http.Serve(l, handler) }() // until the process ends
 	<-terms
 	if role == roleDeaf {
 		draining.Store(true)
@@ -96,10 +97,12 @@
 	return nil
 }
 
-// playPinelab has a fleet of one and waits to be killed.
-func playPinelab(string) error {
-	os.Setenv(roleIs, roleDeaf)
-	r, err := fleetOf(1, "")
+// runLabRole runs a fleet of one and waits to be killed.
+func runLabRole(string) error {
+	if err := os.Setenv(roleVariable, roleDeaf); err != nil {
+		return err
+	}
+	r, err := newTestRun(1, "")
 	if err != nil {
 		return err
 	}
--- a/internal/lab/loopback/round_robin_test.go
+++ b/internal/lab/loopback/round_robin_test.go
@@ -9,9 +9,9 @@
 	"pinelb.example/pinelb/internal/lab/scenario"
 )
 
-// The plain policy goes round the boxes that are listed, and a box that was away for less than discovery needs
-// stays on the list.
-func TestRotation(t *testing.T) {
+// TestRoundRobin checks that the plain policy takes the listed endpoints in turn, and that an endpoint that was away for less than
+// discovery needs stays listed.
+func TestRoundRobin(t *testing.T) {
 	s := scenario.Default()
 	s.Tier = []scenario.Tier{{Name: "a"}, {Name: "b"}}
 	p := &plan.Plan{Scenario: &s, Boxes: []plan.Box{{Tier: 0}, {Tier: 0}, {Tier: 1}, {Tier: 0, Start: "absent"}}}
@@ -46,13 +46,13 @@
 	o.applyListChange(gone)
 	round(0, 0, 3)
 	event(plan.BeginFault, 1, model.Vanish, d.Silent.D())
-	event(plan.EndFault, 1, model.Dead, 0) // it is still away
+	event(plan.EndFault, 1, model.Dead, 0) // it is still down
 	o.applyListChange(event(plan.EndFault, 1, model.Vanish, d.Add.D()))
 	round(0, 0, 1, 3)
 	event(plan.BeginFault, 0, model.Slow, 0)
 	brief := event(plan.BeginFault, 2, model.Dead, d.Notice.D())
 	event(plan.EndFault, 2, model.Dead, d.Add.D())
-	o.applyListChange(brief) // by now it is back
+	o.applyListChange(brief) // it is up again by now
 	round(1, 2)
 	o.applyListChange(event(plan.BeginFault, 2, model.Dead, d.Notice.D()))
 	round(1, -1)
--- a/internal/lab/loopback/run_test.go
+++ b/internal/lab/loopback/run_test.go
@@ -17,8 +17,8 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-// program builds the sidecar.
-func program(t testing.TB) string {
+// buildProgram builds the sidecar.
+func buildProgram(t testing.TB) string {
 	t.Helper()
 	out := filepath.Join(t.TempDir(), "pinelb")
 	cmd := exec.CommandContext(t.Context(), "go", "build", "-o", out, "pinelb.example/pinelb/cmd/pinelb")
@@ -28,8 +28,8 @@
 	return out
 }
 
-// planned is the plan of a scenario's text.
-func planned(t testing.TB, text string) *plan.Plan {
+// buildPlan is the plan of a scenario's text.
+func buildPlan(t testing.TB, text string) *plan.Plan {
 	t.Helper()
 	s, err := scenario.Parse("test.toml", []byte(text))
 	if err != nil {
@@ -42,7 +42,7 @@
 	return p
 }
 
-const classes = `
+const scenarioClasses = `
 [[class]]
 name = "read"
 share = 2
@@ -68,10 +68,10 @@
 body = 100
 `
 
-const calmDay = `
+const calmDayScenario = `
 name = "calm"
 length = "2s"
-` + classes + `
+` + scenarioClasses + `
 [[tier]]
 name = "t"
 [[tier.kind]]
@@ -84,17 +84,17 @@
 
 func TestPlayWithTheProgram(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	built := program(t)
-	t.Run("to its end", func(t *testing.T) { toItsEnd(t, built, calmDay) })
+	built := buildProgram(t)
+	t.Run("to its end", func(t *testing.T) { playToEnd(t, built, calmDayScenario) })
 	t.Run("to its end over Thrift", func(t *testing.T) {
-		toItsEnd(t, built, calmDay+"[fleet]\nprotocol = \"thrift-framed-compact\"\n")
+		playToEnd(t, built, calmDayScenario+"[fleet]\nprotocol = \"thrift-framed-compact\"\n")
 	})
-	t.Run("called off", func(t *testing.T) { calledOff(t, built) })
+	t.Run("called off", func(t *testing.T) { playCanceled(t, built) })
 }
 
-// In a calm run every request is served once, and both ends tell the same story.
-func toItsEnd(t *testing.T, built, text string) {
-	p := planned(t, text)
+// playToEnd checks that in a calm run every request is served once, and that both ends record the same.
+func playToEnd(t *testing.T, built, text string) {
+	p := buildPlan(t, text)
 	var told []time.Duration
 	var log *trace.Log
 	for range 3 { // a sidecar ends a quarter of a second before its grace does: a machine that stands still for so long has it killed
@@ -147,11 +147,11 @@
 	}
 }
 
-// A run that is called off ends in order and gives what there is.
-func calledOff(t *testing.T, built string) {
+// playCanceled checks that a run that is cut short ends in order and returns what there is.
+func playCanceled(t *testing.T, built string) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	log, err := loopback.Play(ctx, planned(t, calmDay), loopback.Options{Builds: [2]string{built},
+	log, err := loopback.Play(ctx, buildPlan(t, calmDayScenario), loopback.Options{Builds: [2]string{built},
 		Progress: func(time.Duration) { cancel() }})
 	if err != context.Canceled || log == nil || len(log.ClientAttempts) == 0 {
 		t.Fatalf("%v: %+v", err, log)
@@ -161,17 +161,17 @@
 	}
 }
 
-// A program that can't be started is an error of the rig, after which nothing is left.
-func TestPlayWithoutAProgram(t *testing.T) {
+// TestPlayMissingProgram checks that a missing program is an error of the rig, after which nothing is left.
+func TestPlayMissingProgram(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	_, err := loopback.Play(t.Context(), planned(t, calmDay), loopback.Options{Builds: [2]string{"/there/is/none"}})
+	_, err := loopback.Play(t.Context(), buildPlan(t, calmDayScenario), loopback.Options{Builds: [2]string{"/there/is/none"}})
 	if err == nil || !strings.Contains(err.Error(), "/there/is/none") {
 		t.Errorf("error: %v", err)
 	}
 }
 
-// With the plain policy there are no sidecars, and clients go round the boxes, also in the second tier.
-func TestPlayPlain(t *testing.T) {
+// TestPlayPlainPolicy checks that the plain policy runs no sidecars, and that clients take the endpoints in turn, also in the second tier.
+func TestPlayPlainPolicy(t *testing.T) {
 	for _, protocol := range []string{"http", "thrift-binary"} {
 		t.Run(protocol, func(t *testing.T) { playPlain(t, protocol) })
 	}
@@ -179,10 +179,10 @@
 
 func playPlain(t *testing.T, protocol string) {
 	defer goleak.VerifyNone(t)
-	p := planned(t, `
+	p := buildPlan(t, `
 name = "plain"
 length = "500ms"
-`+classes+`
+`+scenarioClasses+`
 [[tier]]
 name = "a"
 calls = 1
--- a/internal/lab/loopback/thrift_test.go
+++ b/internal/lab/loopback/thrift_test.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"bytes"
-	"io"
 	"math/rand/v2"
 	"net/http"
 	"slices"
@@ -31,10 +30,10 @@
 	}
 }
 
-func onlyThrift(protocol string) string { return "[fleet]\nprotocol = \"" + protocol + "\"\n" }
+func thriftFleet(protocol string) string { return "[fleet]\nprotocol = \"" + protocol + "\"\n" }
 
-// A box as a client sees it that knows nothing but Thrift.
-func TestBoxSpeaksThrift(t *testing.T) {
+// TestEndpointSpeaksThrift is an endpoint as a client sees it that knows nothing but Thrift.
+func TestEndpointSpeaksThrift(t *testing.T) {
 	const noFault = model.FaultKind(255)
 	overThrift(t, func(t *testing.T, protocol string) {
 		for _, c := range []struct {
@@ -54,17 +53,17 @@
 			{"dripped", model.Drip, 0, "quick", clientResponse{}, trace.OutcomeCorrupted},
 		} {
 			t.Run(c.name, func(t *testing.T) {
-				s := newStand(t, standClasses+oneTier+"slots = 1\nqueue = 1\n"+onlyThrift(protocol))
+				s := newFixture(t, fixtureClasses+oneTier+"slots = 1\nqueue = 1\n"+thriftFleet(protocol))
 				for i := 0; i < 2 && c.ends == trace.OutcomeRejected; i++ {
-					s.ask(s.dial(0), s.next("long"))
-					s.loaded(0, 1, i)
+					s.send(s.dial(0), s.nextRequest("long"))
+					s.awaitLoad(0, 1, i)
 				}
 				if c.fault != noFault {
-					s.fault(0, c.fault, 1)
+					s.beginFault(0, c.fault, 1)
 				}
-				q, conn := s.next(c.class), s.dial(0)
+				q, conn := s.nextRequest(c.class), s.dial(0)
 				q.attempt.TransactionID += c.shift
-				s.ask(conn, q)
+				s.send(conn, q)
 				if c.fault == model.Drip {
 					if _, err := conn.in.Peek(2 * dripSize); err != nil {
 						t.Error(err)
@@ -79,7 +78,7 @@
 				if c.shift > 0 {
 					q.attempt.TransactionID = 0
 				}
-				if v := s.visit(q.attempt.TransactionID); v.Outcome != c.ends {
+				if v := s.endpointRequest(q.attempt.TransactionID); v.Outcome != c.ends {
 					t.Errorf("the visit is %+v", v)
 				}
 			})
@@ -87,26 +86,26 @@
 	})
 }
 
-// A probe is answered over HTTP where calls come over Thrift, and nothing else is.
-func TestBoxOverThriftIsProbed(t *testing.T) {
-	s := newStand(t, standClasses+oneTier+onlyThrift("thrift-compact"))
+// TestEndpointOverThriftHealthCheck checks that an endpoint that serves Thrift responses health checks over HTTP, and nothing else.
+func TestEndpointOverThriftHealthCheck(t *testing.T) {
+	s := newFixture(t, fixtureClasses+oneTier+thriftFleet("thrift-compact"))
 	c := s.dial(0)
-	io.WriteString(c, "GET /ping HTTP/1.1\r\nHost: box\r\n\r\n")
-	c.expect(http.StatusOK)
-	io.WriteString(c, "GET /quick/0 HTTP/1.1\r\nHost: box\r\n\r\n")
-	if err := c.says(ample); !isOver(err) {
+	c.write("GET /ping HTTP/1.1\r\nHost: box\r\n\r\n")
+	c.expectStatus(http.StatusOK)
+	c.write("GET /quick/0 HTTP/1.1\r\nHost: box\r\n\r\n")
+	if err := c.readError(testTimeout); !isEnded(err) {
 		t.Errorf("a request over HTTP: %v", err)
 	}
 }
 
-// What callers write boxes read, in pieces of any size, and the other way round; neither takes a byte of what
+// TestThriftRoundTrip checks that endpoints read what clients write, in pieces of any size, and the reverse; neither takes a byte of what
 // follows.
-func TestThriftGoesRound(t *testing.T) {
+func TestThriftRoundTrip(t *testing.T) {
 	overThrift(t, func(t *testing.T, protocol string) {
-		s := newStand(t, standClasses+oneTier+onlyThrift(protocol))
+		s := newFixture(t, fixtureClasses+oneTier+thriftFleet(protocol))
 		box, wire := newEndpointCodec(s.plan), s.transport.codec
 		for _, class := range []string{"quick", "keyed"} {
-			q := s.next(class)
+			q := s.nextRequest(class)
 			text := wire.appendRequest(nil, &q)
 			want := incomingRequest{identified: true, transactionID: q.attempt.TransactionID, planIndex: q.attempt.Request, timeout: q.timeout, correlation: correlation{method: class, seq: int32(q.attempt.TransactionID)}}
 			if class == "keyed" {
@@ -129,10 +128,10 @@
 	})
 }
 
-func TestSpoiltThriftIsNoAnswer(t *testing.T) {
+func TestMalformedThriftIsNoResponse(t *testing.T) {
 	overThrift(t, func(t *testing.T, protocol string) {
-		s := newStand(t, standClasses+oneTier+onlyThrift(protocol))
-		random, q := rand.New(rand.NewPCG(1, 0)), s.next("quick")
+		s := newFixture(t, fixtureClasses+oneTier+thriftFleet(protocol))
+		random, q := rand.New(rand.NewPCG(1, 0)), s.nextRequest("quick")
 		for _, size := range []int{minBodySize, 5000} {
 			for range 300 {
 				text := newEndpointCodec(s.plan).appendMalformed(nil, correlation{method: "quick", seq: int32(q.attempt.TransactionID)}, responseBody(1, 2, 3, size), random)
@@ -144,8 +143,8 @@
 	})
 }
 
-// What comes back over Thrift decides the status, as over HTTP.
-func TestAnswersOverThriftAreJudged(t *testing.T) {
+// TestResponseStatusOverThrift checks that the response decides the status, as over HTTP.
+func TestResponseStatusOverThrift(t *testing.T) {
 	overThrift(t, func(t *testing.T, protocol string) {
 		form := thriftForms[protocol]
 		reply := func(method string, seq int32, body []byte) []byte {
@@ -181,14 +180,16 @@
 			{"closed", nil, trace.StatusDisconnected, 0, 0, 0, false},
 		} {
 			t.Run(c.name, func(t *testing.T) {
-				s := newScriptedOver(t, protocol)
-				s.serve(func(_ int, l *talk) {
+				s := newTransportFixtureOver(t, protocol)
+				s.serve(func(_ int, l *scriptedConn) {
 					if err := form.read(l.in, func(_ thriftHead, p thrift.TProtocol) error { return p.Skip(t.Context(), thrift.STRUCT) }); err != nil {
 						t.Error(err)
 					}
-					l.conn.Write(c.answer)
+					if _, err := l.conn.Write(c.answer); err != nil {
+						t.Error(err)
+					}
 				})
-				got := s.roundTrip(t.Context(), s.query("unsafe", 5))
+				got := s.roundTrip(t.Context(), s.newRequest("unsafe", 5))
 				if got.Status != c.want || got.Code != c.code || got.RetryAfter != c.advice || got.Responses != c.answers ||
 					got.Forged != c.forged || got.Sent == trace.Unset {
 					t.Errorf("%+v", got)
