--- a/internal/lab/loopback/faulty_sidecar_test.go
+++ b/internal/lab/loopback/faulty_sidecar_test.go
@@ -16,7 +16,7 @@
 
 // TestMain is also the program of the faulty sidecar: loopback.Play starts this binary as one.
 func TestMain(m *testing.M) {
-	if os.Getenv(faultysidecar.Variable) != "" {
+	if os.Getenv(faultysidecar.EnvVariable) != "" {
 		os.Exit(faultysidecar.Main())
 	}
 	os.Exit(m.Run())
@@ -52,18 +52,18 @@
 		more  string
 		want  []judge.Kind
 	}{
-		{faultysidecar.Honest, 100, "1ms", drainFault, nil},
-		{faultysidecar.Honest, 300, "1ms", crashFault, nil},
-		{faultysidecar.AnswersTwice, 100, "1ms", "", []judge.Kind{judge.AnsweredTwice}},
-		{faultysidecar.RepeatsUnsafe, 100, "1ms", "", []judge.Kind{judge.RanTwice}},
+		{faultysidecar.NoFault, 100, "1ms", drainFault, nil},
+		{faultysidecar.NoFault, 300, "1ms", crashFault, nil},
+		{faultysidecar.DuplicatesResponses, 100, "1ms", "", []judge.Kind{judge.AnsweredTwice}},
+		{faultysidecar.RetriesUnsafe, 100, "1ms", "", []judge.Kind{judge.RanTwice}},
 		{faultysidecar.IgnoresDrain, 100, "1ms", drainFault, []judge.Kind{judge.AfterDrain}},
-		{faultysidecar.FloodsCold, 150, "6ms", crashFault, []judge.Kind{judge.PushedOver}},
-		{faultysidecar.Forges, 100, "1ms", "", []judge.Kind{judge.Forged}},
-		{faultysidecar.Loses, 100, "1ms", "", []judge.Kind{judge.Lost}},
-		{faultysidecar.RefusesAfterRunning, 100, "1ms", "", []judge.Kind{judge.RanTwice, judge.UnsafeRefused}},
+		{faultysidecar.OverloadsCold, 150, "6ms", crashFault, []judge.Kind{judge.PushedOver}},
+		{faultysidecar.ForgesResponses, 100, "1ms", "", []judge.Kind{judge.Forged}},
+		{faultysidecar.DropsRequests, 100, "1ms", "", []judge.Kind{judge.Lost}},
+		{faultysidecar.RejectsAfterRunning, 100, "1ms", "", []judge.Kind{judge.RanTwice, judge.UnsafeRefused}},
 	} {
 		t.Run(fmt.Sprintf("%s at %d", c.fault, c.rate), func(t *testing.T) {
-			t.Setenv(faultysidecar.Variable, string(c.fault))
+			t.Setenv(faultysidecar.EnvVariable, string(c.fault))
 			t.Setenv("GORACE", "atexit_sleep_ms=0") // or each end of the faulty sidecar takes a second more under -race
 			v := playFaulty(t, fmt.Sprintf(calmScenario, c.work, c.rate, c.more))
 			for _, kind := range c.want {
