--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -100,9 +100,9 @@
 			continue
 		}
 		b := result.Broken{Kind: string(kind), Count: v.Counts[kind]}
-		for i := range v.Breaches {
-			if r := &v.Breaches[i]; r.Kind == kind {
-				b.Stories = append(b.Stories, append([]string{r.Text}, r.Story...))
+		for i := range v.Violations {
+			if r := &v.Violations[i]; r.Kind == kind {
+				b.Stories = append(b.Stories, append([]string{r.Text}, r.Timeline...))
 			}
 		}
 		out = append(out, b)
--- a/internal/lab/judge/effects.go
+++ b/internal/lab/judge/effects.go
@@ -10,10 +10,10 @@
 
 // unsafeRun is a run of an unsafe request of the first tier, where all tries of a client are of one effect.
 type unsafeRun struct {
-	request int
-	try     int
-	visit   int32
-	blamed  bool // within its own try already
+	request         int
+	attempt         int
+	endpointRequest int32
+	reported        bool // within its own try already
 }
 
 // mayHaveRun is what a sidecar has to assume of an attempt.
@@ -22,21 +22,21 @@
 }
 
 // effects judges whether what must take effect once was sent again, or refused, when it may have run.
-func (j *judge) effects(try int, visits []int32) {
+func (j *evaluation) checkEffects(try int, visits []int32) {
 	t := &j.log.ClientAttempts[try]
 	effect := j.effect(t.Class)
 	if effect == "safe" {
 		return
 	}
-	window := j.p.Scenario.Class[t.Class].Window.D() + j.slack // keyed: sends within it have no second effect
+	window := j.plan.Scenario.Class[t.Class].Window.D() + j.slack // keyed: sends within it have no second effect
 	var first *trace.EndpointRequest
 	for _, i := range visits {
 		v := &j.log.EndpointRequests[i]
 		blamed := false
 		if first != nil && v.LastByte != trace.Unset && (effect == "unsafe" || v.FirstByte > first.FirstByte+window) {
 			blamed = true
-			j.breach(of(RanTwice, v.FirstByte, t, v.Endpoint), "it was sent to box %s %s after it may have run at box %s%s", j.box(v.Endpoint),
-				(v.FirstByte - first.FirstByte).Round(time.Microsecond), j.box(first.Endpoint), again(v))
+			j.report(violationOf(DuplicateExecution, v.FirstByte, t, v.Endpoint), "it was sent to box %s %s after it may have run at box %s%s", j.endpointName(v.Endpoint),
+				(v.FirstByte - first.FirstByte).Round(time.Microsecond), j.endpointName(first.Endpoint), rerunNote(v))
 		}
 		if first == nil && mayHaveRun(v) {
 			first = v
@@ -47,11 +47,11 @@
 	}
 	if t.Status == trace.StatusRejected && first != nil && first.FirstByte <= t.Ended &&
 		(effect == "unsafe" || t.Ended > first.FirstByte+window) {
-		j.breach(of(UnsafeRefused, t.Ended, t, first.Endpoint), "it was refused with %d, though it may have run at box %s", t.Code, j.box(first.Endpoint))
+		j.report(violationOf(UnsafeRejected, t.Ended, t, first.Endpoint), "it was refused with %d, though it may have run at box %s", t.Code, j.endpointName(first.Endpoint))
 	}
 }
 
-func again(v *trace.EndpointRequest) string {
+func rerunNote(v *trace.EndpointRequest) string {
 	if v.Started != trace.Unset && !v.Deduplicated {
 		return ", and it ran again"
 	}
@@ -60,18 +60,18 @@
 
 // rerun judges the runs of unsafe requests over all of a client's tries: it sends another one only after it
 // was told that this is harmless.
-func (j *judge) rerun() {
+func (j *evaluation) checkReruns() {
 	visits := j.log.EndpointRequests
 	slices.SortFunc(j.runs, func(a, b unsafeRun) int {
-		return cmp.Or(cmp.Compare(a.request, b.request), cmp.Compare(visits[a.visit].Started, visits[b.visit].Started), cmp.Compare(a.visit, b.visit))
+		return cmp.Or(cmp.Compare(a.request, b.request), cmp.Compare(visits[a.endpointRequest].Started, visits[b.endpointRequest].Started), cmp.Compare(a.endpointRequest, b.endpointRequest))
 	})
 	for i := 1; i < len(j.runs); i++ {
 		before, r := j.runs[i-1], j.runs[i]
-		if before.request != r.request || r.blamed || before.try == r.try {
+		if before.request != r.request || r.reported || before.attempt == r.attempt {
 			continue
 		}
-		v := &visits[r.visit]
-		j.breach(of(RanTwice, v.Started, &j.log.ClientAttempts[r.try], v.Endpoint), "try %d ran at box %s after try %d had run at box %s",
-			j.log.ClientAttempts[r.try].Number+1, j.box(v.Endpoint), j.log.ClientAttempts[before.try].Number+1, j.box(visits[before.visit].Endpoint))
+		v := &visits[r.endpointRequest]
+		j.report(violationOf(DuplicateExecution, v.Started, &j.log.ClientAttempts[r.attempt], v.Endpoint), "try %d ran at box %s after try %d had run at box %s",
+			j.log.ClientAttempts[r.attempt].Number+1, j.endpointName(v.Endpoint), j.log.ClientAttempts[before.attempt].Number+1, j.endpointName(visits[before.endpointRequest].Endpoint))
 	}
 }
--- a/internal/lab/judge/heard.go
+++ b/internal/lab/judge/heard.go
@@ -12,51 +12,51 @@
 
 // heard is what each sidecar knew of each box from discovery. News counts as told when it was written to the
 // sidecar, or 6 s after discovery's agent had it, or after the start of a process that must ask anew.
-type heard struct {
-	boxes int
-	first []time.Duration // by sidecar and box: when a list first named it; Never if none did
-	off   map[int][]span  // by the same: when it counted as draining or gone
+type discoveryView struct {
+	endpointCount int
+	firstListed   []time.Duration // by sidecar and box: when a list first named it; Never if none did
+	unavailable   map[int][]span  // by the same: when it counted as draining or gone
 }
 
 // span is from one time to another; to may be Never.
 type span struct{ from, to time.Duration }
 
 // news is something that changes what a sidecar takes a box for.
-type news struct {
+type update struct {
 	pair int
 	at   time.Duration
-	what newsKind
+	kind updateKind
 }
 
-type newsKind uint8
+type updateKind uint8
 
 const (
-	reborn    newsKind = iota // a new process of the sidecar
-	agentOff                  // discovery's agent has it as draining or gone
-	agentBack                 // or as ready
-	toldOff                   // the sidecar was told so
-	toldBack
+	sidecarRestarted    updateKind = iota // a new process of the sidecar
+	agentUnavailable                      // discovery's agent has it as draining or gone
+	agentReady                            // or as ready
+	notifiedUnavailable                   // the sidecar was told so
+	notifiedReady
 )
 
-func listen(p *plan.Plan, log *trace.Log) *heard {
-	h := &heard{boxes: len(p.Boxes), first: make([]time.Duration, len(p.Sidecars)*len(p.Boxes)), off: map[int][]span{}}
-	for i := range h.first {
-		h.first[i] = model.Never
+func newDiscoveryView(p *plan.Plan, log *trace.Log) *discoveryView {
+	h := &discoveryView{endpointCount: len(p.Boxes), firstListed: make([]time.Duration, len(p.Sidecars)*len(p.Boxes)), unavailable: map[int][]span{}}
+	for i := range h.firstListed {
+		h.firstListed[i] = model.Never
 	}
 	for s := range p.Sidecars {
 		for _, l := range slices.Concat(p.Sidecars[s].Known, p.First(p.Sidecars[s].Tier)) {
-			h.first[s*h.boxes+l.Box] = 0
+			h.firstListed[s*h.endpointCount+l.Box] = 0
 		}
 	}
-	all := h.gather(p, log)
-	slices.SortStableFunc(all, func(a, b news) int { return cmp.Or(cmp.Compare(a.pair, b.pair), cmp.Compare(a.at, b.at)) })
+	all := h.collect(p, log)
+	slices.SortStableFunc(all, func(a, b update) int { return cmp.Or(cmp.Compare(a.pair, b.pair), cmp.Compare(a.at, b.at)) })
 	for len(all) > 0 {
 		n := 1
 		for n < len(all) && all[n].pair == all[0].pair {
 			n++
 		}
-		if spans := offSpans(all[:n]); len(spans) > 0 {
-			h.off[all[0].pair] = spans
+		if spans := unavailableSpans(all[:n]); len(spans) > 0 {
+			h.unavailable[all[0].pair] = spans
 		}
 		all = all[n:]
 	}
@@ -64,18 +64,18 @@
 }
 
 // gather collects the news of all boxes that a sidecar ever heard to be draining or gone.
-func (h *heard) gather(p *plan.Plan, log *trace.Log) []news {
+func (h *discoveryView) collect(p *plan.Plan, log *trace.Log) []update {
 	pair := func(sidecar, box int) int {
-		if sidecar < 0 || sidecar >= len(p.Sidecars) || box < 0 || box >= h.boxes {
+		if sidecar < 0 || sidecar >= len(p.Sidecars) || box < 0 || box >= h.endpointCount {
 			return -1
 		}
-		return sidecar*h.boxes + box
+		return sidecar*h.endpointCount + box
 	}
-	matters := make([]bool, len(h.first))
+	matters := make([]bool, len(h.firstListed))
 	for i := range log.Notifications {
 		if t := &log.Notifications[i]; pair(t.Sidecar, t.Endpoint) >= 0 {
 			at := pair(t.Sidecar, t.Endpoint)
-			h.first[at] = min(h.first[at], t.At)
+			h.firstListed[at] = min(h.firstListed[at], t.At)
 			matters[at] = matters[at] || t.Phase != trace.PhaseReady
 		}
 	}
@@ -90,52 +90,52 @@
 			matters[at] = true
 		}
 	}
-	var out []news
-	add := func(at int, when time.Duration, ready bool, off, back newsKind) {
+	var out []update
+	add := func(at int, when time.Duration, ready bool, off, back updateKind) {
 		switch {
 		case at < 0 || !matters[at]:
 		case ready:
-			out = append(out, news{at, when, back})
+			out = append(out, update{at, when, back})
 		default:
-			out = append(out, news{at, when, off})
+			out = append(out, update{at, when, off})
 		}
 	}
 	for i := range p.Events {
 		e := &p.Events[i]
-		add(tells(e), e.At, e.Entry.Phase == trace.PhaseReady, agentOff, agentBack)
+		add(tells(e), e.At, e.Entry.Phase == trace.PhaseReady, agentUnavailable, agentReady)
 	}
 	for _, t := range log.Notifications {
-		add(pair(t.Sidecar, t.Endpoint), t.At, t.Phase == trace.PhaseReady, toldOff, toldBack)
+		add(pair(t.Sidecar, t.Endpoint), t.At, t.Phase == trace.PhaseReady, notifiedUnavailable, notifiedReady)
 	}
 	for _, c := range log.SidecarEvents {
-		for box := 0; c.Kind == trace.SidecarStarted && box < h.boxes; box++ {
-			add(pair(c.Sidecar, box), c.At, false, reborn, reborn)
+		for box := 0; c.Kind == trace.SidecarStarted && box < h.endpointCount; box++ {
+			add(pair(c.Sidecar, box), c.At, false, sidecarRestarted, sidecarRestarted)
 		}
 	}
 	return out
 }
 
-// offSpans follows one box at one sidecar. A time-out that has not passed when better news comes counts for nothing.
-func offSpans(all []news) (out []span) {
+// unavailableSpans follows one box at one sidecar. A time-out that has not passed when better news comes counts for nothing.
+func unavailableSpans(all []update) (out []span) {
 	off, from := false, time.Duration(0)
 	for _, n := range all {
 		switch {
-		case (n.what == toldBack || n.what == agentBack) && off:
+		case (n.kind == notifiedReady || n.kind == agentReady) && off:
 			if from < n.at {
 				out = append(out, span{from, n.at})
 			}
 			off = false
-		case n.what == reborn && off:
+		case n.kind == sidecarRestarted && off:
 			if from < n.at {
 				out = append(out, span{from, n.at})
 			}
-			from = n.at + countsTold
-		case n.what == toldOff && off:
+			from = n.at + notificationTimeout
+		case n.kind == notifiedUnavailable && off:
 			from = min(from, n.at)
-		case n.what == toldOff:
+		case n.kind == notifiedUnavailable:
 			off, from = true, n.at
-		case n.what == agentOff && !off:
-			off, from = true, n.at+countsTold
+		case n.kind == agentUnavailable && !off:
+			off, from = true, n.at+notificationTimeout
 		}
 	}
 	if off {
@@ -145,11 +145,13 @@
 }
 
 // named is when a list first named a box to a sidecar; Never if none did.
-func (h *heard) named(sidecar, box int) time.Duration { return h.first[sidecar*h.boxes+box] }
+func (h *discoveryView) firstListedAt(sidecar, box int) time.Duration {
+	return h.firstListed[sidecar*h.endpointCount+box]
+}
 
-// offSince says since when a box has counted as draining or gone for a sidecar at a moment, if it does.
-func (h *heard) offSince(sidecar, box int, now time.Duration) (since time.Duration, off bool) {
-	for _, s := range h.off[sidecar*h.boxes+box] {
+// unavailableSince says since when a box has counted as draining or gone for a sidecar at a moment, if it does.
+func (h *discoveryView) unavailableSince(sidecar, box int, now time.Duration) (since time.Duration, off bool) {
+	for _, s := range h.unavailable[sidecar*h.endpointCount+box] {
 		if s.from <= now && now < s.to {
 			return s.from, true
 		}
--- a/internal/lab/judge/judge_test.go
+++ b/internal/lab/judge/judge_test.go
@@ -79,7 +79,7 @@
 			if got := found(v); got != c.want {
 				t.Errorf("found %q, want %q in\n%s", got, c.want, c.text)
 			}
-			if v.Held() != (c.want == "") {
+			if v.Passed() != (c.want == "") {
 				t.Error("Held says something else")
 			}
 		})
@@ -131,13 +131,13 @@
 		if got := found(v); got != want {
 			t.Errorf("found %q, want %q in\n%s", got, want, text)
 		}
-		if b := v.Boxes[0]; b.Fell != 1300*time.Millisecond || math.Abs(b.Worst-1.2) > 0.001 {
+		if b := v.Endpoints[0]; b.CollapsedAt != 1300*time.Millisecond || math.Abs(b.Max-1.2) > 0.001 {
 			t.Errorf("pressure %+v, want a fall at 1.3 s at 1.2 times its limit", b)
 		}
 	}
-	if v := Judge(script(t, "sample 0 t1 0 0 cold\nsample 100 t1 200 50 cold\nsample 1100 t1 700 550 cold\nsample 1200 t1 800 600")); math.Abs(v.Boxes[0].Worst-0.44) > 0.001 ||
-		v.Boxes[0].Fell != trace.Unset || v.Boxes[1].Worst != 0 {
-		t.Errorf("near miss: %+v, want 550 ms in a window that stands 2.5 x 500 ms", v.Boxes)
+	if v := Judge(script(t, "sample 0 t1 0 0 cold\nsample 100 t1 200 50 cold\nsample 1100 t1 700 550 cold\nsample 1200 t1 800 600")); math.Abs(v.Endpoints[0].Max-0.44) > 0.001 ||
+		v.Endpoints[0].CollapsedAt != trace.Unset || v.Endpoints[1].Max != 0 {
+		t.Errorf("near miss: %+v, want 550 ms in a window that stands 2.5 x 500 ms", v.Endpoints)
 	}
 }
 
@@ -153,8 +153,8 @@
 ask 100 read n2
 visit t3 101 102 110 ok
 end 111 served`))
-	if len(v.Breaches) != 1 {
-		t.Fatalf("%+v", v.Breaches)
+	if len(v.Violations) != 1 {
+		t.Fatalf("%+v", v.Violations)
 	}
 	want := []string{
 		"+  0.000 s  sidecar n1: started",
@@ -170,7 +170,7 @@
 		"+  0.120 s  box t-2 is done with it: ok",
 		"+  0.121 s  try 1 ends: served",
 	}
-	if got := v.Breaches[0].Story; !slices.Equal(got, want) {
+	if got := v.Violations[0].Timeline; !slices.Equal(got, want) {
 		t.Errorf("got\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
 	}
 }
@@ -178,8 +178,8 @@
 // All are counted, the earliest of each kind are told.
 func TestBounds(t *testing.T) {
 	v := Judge(script(t, strings.Repeat("ask 300 read n1\nend 400 broken\n", 30)+"ask 100 read n1\nend 110 broken\nproc 500 n1 crashed"))
-	if v.Counts[Lost] != 31 || len(v.Breaches) != told+1 || v.Breaches[0].Request != 30 || v.Breaches[told].Kind != Crashed {
-		t.Errorf("%d lost, %d told, the first of request %d", v.Counts[Lost], len(v.Breaches), v.Breaches[0].Request)
+	if v.Counts[LostRequest] != 31 || len(v.Violations) != maxRecorded+1 || v.Violations[0].Request != 30 || v.Violations[maxRecorded].Kind != SidecarCrash {
+		t.Errorf("%d lost, %d told, the first of request %d", v.Counts[LostRequest], len(v.Violations), v.Violations[0].Request)
 	}
 }
 
--- a/internal/lab/judge/pressure.go
+++ b/internal/lab/judge/pressure.go
@@ -9,45 +9,45 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-// toldShare of the work that pushed a box over has to come from sidecars that were told of its start, or the
+// minInformedShare of the work that pushed a box over has to come from sidecars that were told of its start, or the
 // fall is nobody's fault.
-const toldShare = 2.0 / 3
+const minInformedShare = 2.0 / 3
 
-// Pressure is what a box stood while it was cold.
-type Pressure struct {
-	Box int
-	// Worst is the most work sent to it in a window of FallWindow, over what it could do in that window times
+// ColdLoad is what a box stood while it was cold.
+type ColdLoad struct {
+	Endpoint int
+	// Max is the most work sent to it in a window of FallWindow, over what it could do in that window times
 	// FallMultiple: at 1 it falls. It is read from samples, so that it may be off by a few hundredths, and
 	// by more where a box falls between two of them. 0 is a box that never was cold.
-	Worst     float64
-	Fell      time.Duration // None if it stands
-	ToldShare float64       // of the work of the window before the fall: from sidecars told of its start
+	Max           float64
+	CollapsedAt   time.Duration // None if it stands
+	InformedShare float64       // of the work of the window before the fall: from sidecars told of its start
 }
 
 // pressures reads every box's samples, and judges those that fell.
-func (j *judge) pressures() {
-	byBox := make([][]trace.Sample, len(j.p.Boxes))
+func (j *evaluation) checkColdLoads() {
+	byBox := make([][]trace.Sample, len(j.plan.Boxes))
 	for _, s := range j.log.Samples {
 		byBox[s.Endpoint] = append(byBox[s.Endpoint], s)
 	}
 	for i, samples := range byBox {
-		r := Pressure{Box: i, Fell: trace.Unset, Worst: j.worst(&j.p.Boxes[i].Spec, samples)}
+		r := ColdLoad{Endpoint: i, CollapsedAt: trace.Unset, Max: j.maxColdLoad(&j.plan.Boxes[i].Spec, samples)}
 		if n := slices.IndexFunc(samples, func(s trace.Sample) bool { return s.Collapsed }); n >= 0 {
-			r.Fell = samples[n].At
-			r.ToldShare = j.toldOfStart(i, samples[max(0, n-1)].At, r.Fell)
-			if r.ToldShare >= toldShare {
-				j.breach(Breach{Kind: PushedOver, At: r.Fell, Request: -1, Box: i, Sidecar: -1},
+			r.CollapsedAt = samples[n].At
+			r.InformedShare = j.informedShare(i, samples[max(0, n-1)].At, r.CollapsedAt)
+			if r.InformedShare >= minInformedShare {
+				j.report(Violation{Kind: ColdOverload, At: r.CollapsedAt, Request: -1, Endpoint: i, Sidecar: -1},
 					"box %s was cold and fell over: in a window of %s it was sent %.2f times what it stands, %.0f%% of it by sidecars that knew of its start",
-					j.box(i), j.p.Scenario.Rules.FallWindow.D(), r.Worst, 100*r.ToldShare)
+					j.endpointName(i), j.plan.Scenario.Rules.FallWindow.D(), r.Max, 100*r.InformedShare)
 			}
 		}
-		j.out.Boxes = append(j.out.Boxes, r)
+		j.verdict.Endpoints = append(j.verdict.Endpoints, r)
 	}
 }
 
 // worst is a box's highest pressure. Before a cold start it counts as able to do what it can right after.
-func (j *judge) worst(spec *model.Spec, samples []trace.Sample) (most float64) {
-	r := &j.p.Scenario.Rules
+func (j *evaluation) maxColdLoad(spec *model.Spec, samples []trace.Sample) (most float64) {
+	r := &j.plan.Scenario.Rules
 	atStart := spec.ColdFrom * float64(spec.Cores) * spec.Speed
 	for from := 0; from < len(samples); {
 		if !samples[from].WarmingUp {
@@ -66,14 +66,14 @@
 		// It was down until it started: when that was follows from what it could do since.
 		start := max(before.At, run[0].At-time.Duration(float64(run[0].PossibleWork-before.PossibleWork)/atStart))
 		began := trace.Sample{At: start, SentWork: before.SentWork, PossibleWork: before.PossibleWork}
-		most = max(most, highest(append([]trace.Sample{began}, run...), r.FallWindow.D(), atStart)/r.FallMultiple)
+		most = max(most, maxWindowLoad(append([]trace.Sample{began}, run...), r.FallWindow.D(), atStart)/r.FallMultiple)
 		from = to
 	}
 	return most
 }
 
 // highest is the most work sent in a window that ends at one of the samples, over what the box could do in it.
-func highest(run []trace.Sample, window time.Duration, atStart float64) (most float64) {
+func maxWindowLoad(run []trace.Sample, window time.Duration, atStart float64) (most float64) {
 	first := 0
 	for n := 1; n < len(run); n++ {
 		last, opens := run[n], run[n].At-window
@@ -96,23 +96,23 @@
 	return most
 }
 
-// toldOfStart is the share of the work sent to a box in the window before its fall, which was between two
+// informedShare is the share of the work sent to a box in the window before its fall, which was between two
 // samples, that came from sidecars told of its last start. Work is the plan's; handshakes are left out.
-func (j *judge) toldOfStart(box int, after, by time.Duration) float64 {
-	start := lastStart(j.p, box, by)
-	knows := j.knowsStart(box, start)
+func (j *evaluation) informedShare(box int, after, by time.Duration) float64 {
+	start := lastStart(j.plan, box, by)
+	knows := j.startKnownAt(box, start)
 	var told, all time.Duration
 	for i := range j.log.EndpointRequests {
 		v := &j.log.EndpointRequests[i]
-		if v.Endpoint != box || v.FirstByte > by || v.FirstByte < max(start, after-j.p.Scenario.Rules.FallWindow.D()) {
+		if v.Endpoint != box || v.FirstByte > by || v.FirstByte < max(start, after-j.plan.Scenario.Rules.FallWindow.D()) {
 			continue
 		}
-		n := j.index.try(v.TransactionID)
+		n := j.index.attempt(v.TransactionID)
 		if n < 0 {
 			continue
 		}
 		t := &j.log.ClientAttempts[n]
-		work := j.p.Requests[t.Request].Work
+		work := j.plan.Requests[t.Request].Work
 		all += work
 		if at, known := knows[t.Sidecar]; known && at <= v.FirstByte {
 			told += work
@@ -124,16 +124,16 @@
 	return float64(told) / float64(all)
 }
 
-// knowsStart is when each sidecar knew of a box's start, for those that did.
-func (j *judge) knowsStart(box int, start time.Duration) map[int]time.Duration {
+// startKnownAt is when each sidecar knew of a box's start, for those that did.
+func (j *evaluation) startKnownAt(box int, start time.Duration) map[int]time.Duration {
 	knows := map[int]time.Duration{}
 	hears := func(sidecar int, at, upSince time.Duration) {
 		if old, known := knows[sidecar]; upSince > 0 && upSince >= start && (!known || at < old) {
 			knows[sidecar] = at
 		}
 	}
-	for i := range j.p.Sidecars {
-		for _, l := range j.p.Sidecars[i].Known {
+	for i := range j.plan.Sidecars {
+		for _, l := range j.plan.Sidecars[i].Known {
 			if l.Box == box {
 				hears(i, 0, l.UpSince)
 			}
@@ -144,9 +144,9 @@
 			hears(t.Sidecar, t.At, t.UpSince)
 		}
 	}
-	for i := range j.p.Events {
-		if e := &j.p.Events[i]; e.Kind == plan.Tell && e.Sidecar >= 0 && e.Entry.Box == box {
-			hears(e.Sidecar, e.At+countsTold, e.Entry.UpSince)
+	for i := range j.plan.Events {
+		if e := &j.plan.Events[i]; e.Kind == plan.Tell && e.Sidecar >= 0 && e.Entry.Box == box {
+			hears(e.Sidecar, e.At+notificationTimeout, e.Entry.UpSince)
 		}
 	}
 	return knows
--- a/internal/lab/judge/property_test.go
+++ b/internal/lab/judge/property_test.go
@@ -151,16 +151,16 @@
 func TestFaultsAreFound(t *testing.T) {
 	base := newPlan(t)
 	mutations := map[Kind]func(*correct, *trace.ClientAttempt, *trace.EndpointRequest){
-		"":            func(*correct, *trace.ClientAttempt, *trace.EndpointRequest) {},
-		AnsweredTwice: func(_ *correct, t *trace.ClientAttempt, _ *trace.EndpointRequest) { t.Responses++ },
-		Forged:        func(_ *correct, t *trace.ClientAttempt, _ *trace.EndpointRequest) { t.Forged = true },
-		Lost: func(c *correct, t *trace.ClientAttempt, _ *trace.EndpointRequest) {
+		"":                func(*correct, *trace.ClientAttempt, *trace.EndpointRequest) {},
+		DuplicateResponse: func(_ *correct, t *trace.ClientAttempt, _ *trace.EndpointRequest) { t.Responses++ },
+		ForgedResponse:    func(_ *correct, t *trace.ClientAttempt, _ *trace.EndpointRequest) { t.Forged = true },
+		LostRequest: func(c *correct, t *trace.ClientAttempt, _ *trace.EndpointRequest) {
 			t.Sidecar, t.Status, t.Responses, t.Ended = 0, trace.StatusTimedOut, 0, t.Sent+t.Timeout
 		},
-		UnsafeRefused: func(_ *correct, t *trace.ClientAttempt, _ *trace.EndpointRequest) {
+		UnsafeRejected: func(_ *correct, t *trace.ClientAttempt, _ *trace.EndpointRequest) {
 			t.Status, t.Code = trace.StatusRejected, 503
 		},
-		RanTwice: func(c *correct, _ *trace.ClientAttempt, v *trace.EndpointRequest) {
+		DuplicateExecution: func(c *correct, _ *trace.ClientAttempt, v *trace.EndpointRequest) {
 			again := *v
 			again.FirstByte += c.span(time.Second)
 			again.LastByte, again.Started = again.FirstByte, trace.Unset
@@ -169,24 +169,24 @@
 		TooManyAttempts: func(c *correct, _ *trace.ClientAttempt, v *trace.EndpointRequest) {
 			c.log.EndpointRequests = append(c.log.EndpointRequests, *v, *v, *v)
 		},
-		SecondCopy: func(c *correct, _ *trace.ClientAttempt, v *trace.EndpointRequest) {
+		ForbiddenHedge: func(c *correct, _ *trace.ClientAttempt, v *trace.EndpointRequest) {
 			c.p.Scenario.Rules.SecondCopies = false
 			v.Ended = v.FirstByte + 200*time.Millisecond
 			again := *v
 			again.FirstByte, again.LastByte = v.FirstByte+time.Millisecond, v.FirstByte+time.Millisecond
 			c.log.EndpointRequests = append(c.log.EndpointRequests, again)
 		},
-		AfterEnd: func(c *correct, t *trace.ClientAttempt, v *trace.EndpointRequest) {
+		AttemptAfterEnd: func(c *correct, t *trace.ClientAttempt, v *trace.EndpointRequest) {
 			again := *v
 			again.FirstByte = t.Ended + 59*time.Millisecond + c.span(time.Second)
 			c.log.EndpointRequests = append(c.log.EndpointRequests, again)
 		},
-		AfterDrain: func(c *correct, t *trace.ClientAttempt, v *trace.EndpointRequest) {
+		AttemptAfterDrain: func(c *correct, t *trace.ClientAttempt, v *trace.EndpointRequest) {
 			at := v.FirstByte - 351*time.Millisecond - c.span(time.Second)
 			c.log.Notifications = append(c.log.Notifications, trace.Notification{At: at, Sidecar: t.Sidecar, Endpoint: v.Endpoint, Phase: trace.PhaseTerminating})
 		},
-		Unknown: func(_ *correct, _ *trace.ClientAttempt, v *trace.EndpointRequest) { v.TransactionID ^= 1 },
-		Crashed: func(c *correct, t *trace.ClientAttempt, _ *trace.EndpointRequest) {
+		UnknownRequest: func(_ *correct, _ *trace.ClientAttempt, v *trace.EndpointRequest) { v.TransactionID ^= 1 },
+		SidecarCrash: func(c *correct, t *trace.ClientAttempt, _ *trace.EndpointRequest) {
 			c.log.SidecarEvents = append(c.log.SidecarEvents, trace.SidecarEvent{At: 5 * time.Second, Sidecar: t.Sidecar, Kind: trace.SidecarCrashed})
 		},
 	}
@@ -196,8 +196,8 @@
 				c, try, visit := drawn(t, base)
 				mutate(c, try, visit)
 				v := Judge(c.p, c.log)
-				if kind == "" && !v.Held() {
-					t.Fatalf("blamed: %s: %+v", found(v), v.Breaches)
+				if kind == "" && !v.Passed() {
+					t.Fatalf("blamed: %s: %+v", found(v), v.Violations)
 				}
 				if kind != "" && v.Counts[kind] == 0 {
 					t.Fatalf("not found, but %q", found(v))
@@ -219,7 +219,7 @@
 		log.EndpointRequests = append(log.EndpointRequests, away, trace.EndpointRequest{TransactionID: try.TransactionID, FirstByte: at + 5, LastByte: at + 5, Started: at + 5, Ended: at + 9, Outcome: trace.OutcomeOK})
 	}
 	for b.Loop() {
-		if v := Judge(p, log); !v.Held() {
+		if v := Judge(p, log); !v.Passed() {
 			b.Fatal(found(v))
 		}
 	}
--- a/internal/lab/loopback/audit_test.go
+++ b/internal/lab/loopback/audit_test.go
@@ -189,7 +189,7 @@
 // checkFindings checks what must hold in every play: no crash, and audit logs and findings that are true.
 func (o *processPlay) checkFindings() {
 	o.t.Helper()
-	if o.verdict.Counts[judge.Crashed] > 0 {
+	if o.verdict.Counts[judge.SidecarCrash] > 0 {
 		o.t.Errorf("%v", firstStories(o.verdict))
 	}
 	if o.res.Rig.Void {
--- a/internal/lab/loopback/cold_start_test.go
+++ b/internal/lab/loopback/cold_start_test.go
@@ -101,7 +101,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		over, where := judge.Crest(p, log)
+		over, where := judge.MaxColdRequestRatio(p, log)
 		t.Logf("%s: %.2f of what they stand, %s", d, over, where)
 		if where == "" || over > 1 {
 			t.Errorf("%s: %.2f of what they stand, %s", d, over, where)
@@ -136,7 +136,7 @@
 			log.ClientAttempts = append(log.ClientAttempts, trace.ClientAttempt{TransactionID: uint64(n), Sidecar: from})
 			log.EndpointRequests = append(log.EndpointRequests, trace.EndpointRequest{TransactionID: uint64(n), Endpoint: box, FirstByte: start + c.over*time.Duration(n+1)/time.Duration(c.sent+1)})
 		}
-		if over, where := judge.Crest(p, log); over < c.least || over > c.most {
+		if over, where := judge.MaxColdRequestRatio(p, log); over < c.least || over > c.most {
 			t.Errorf("%s: %.2f, want %v to %v: %s", c.name, over, c.least, c.most, where)
 		}
 	}
@@ -151,7 +151,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		over, where := judge.Crest(p, log)
+		over, where := judge.MaxColdRequestRatio(p, log)
 		t.Logf("%s: %.2f of what they stand, %s", d, over, where)
 		if where == "" || over > 1 {
 			t.Errorf("%s: %.2f of what they stand, %s", d, over, where)
--- a/internal/lab/loopback/faulty_sidecar_test.go
+++ b/internal/lab/loopback/faulty_sidecar_test.go
@@ -54,13 +54,13 @@
 	}{
 		{faultysidecar.NoFault, 100, "1ms", drainFault, nil},
 		{faultysidecar.NoFault, 300, "1ms", crashFault, nil},
-		{faultysidecar.DuplicatesResponses, 100, "1ms", "", []judge.Kind{judge.AnsweredTwice}},
-		{faultysidecar.RetriesUnsafe, 100, "1ms", "", []judge.Kind{judge.RanTwice}},
-		{faultysidecar.IgnoresDrain, 100, "1ms", drainFault, []judge.Kind{judge.AfterDrain}},
-		{faultysidecar.OverloadsCold, 150, "6ms", crashFault, []judge.Kind{judge.PushedOver}},
-		{faultysidecar.ForgesResponses, 100, "1ms", "", []judge.Kind{judge.Forged}},
-		{faultysidecar.DropsRequests, 100, "1ms", "", []judge.Kind{judge.Lost}},
-		{faultysidecar.RejectsAfterRunning, 100, "1ms", "", []judge.Kind{judge.RanTwice, judge.UnsafeRefused}},
+		{faultysidecar.DuplicatesResponses, 100, "1ms", "", []judge.Kind{judge.DuplicateResponse}},
+		{faultysidecar.RetriesUnsafe, 100, "1ms", "", []judge.Kind{judge.DuplicateExecution}},
+		{faultysidecar.IgnoresDrain, 100, "1ms", drainFault, []judge.Kind{judge.AttemptAfterDrain}},
+		{faultysidecar.OverloadsCold, 150, "6ms", crashFault, []judge.Kind{judge.ColdOverload}},
+		{faultysidecar.ForgesResponses, 100, "1ms", "", []judge.Kind{judge.ForgedResponse}},
+		{faultysidecar.DropsRequests, 100, "1ms", "", []judge.Kind{judge.LostRequest}},
+		{faultysidecar.RejectsAfterRunning, 100, "1ms", "", []judge.Kind{judge.DuplicateExecution, judge.UnsafeRejected}},
 	} {
 		t.Run(fmt.Sprintf("%s at %d", c.fault, c.rate), func(t *testing.T) {
 			t.Setenv(faultysidecar.EnvVariable, string(c.fault))
@@ -102,10 +102,10 @@
 func firstStories(v judge.Verdict) string {
 	var out strings.Builder
 	seen := map[judge.Kind]bool{}
-	for _, b := range v.Breaches {
+	for _, b := range v.Violations {
 		if !seen[b.Kind] {
 			seen[b.Kind] = true
-			fmt.Fprintf(&out, "%s: %s\n  %s\n", b.Kind, b.Text, strings.Join(b.Story, "\n  "))
+			fmt.Fprintf(&out, "%s: %s\n  %s\n", b.Kind, b.Text, strings.Join(b.Timeline, "\n  "))
 		}
 	}
 	return out.String()
--- a/internal/lab/loopback/overload_test.go
+++ b/internal/lab/loopback/overload_test.go
@@ -82,7 +82,7 @@
 				playSlots <- struct{}{}
 				o := playProcesses(t, build, overloadScenario+fleet+c.faults)
 				<-playSlots
-				if o.verdict.Counts[judge.Crashed] > 0 || o.verdict.Counts[judge.Lost] > 0 {
+				if o.verdict.Counts[judge.SidecarCrash] > 0 || o.verdict.Counts[judge.LostRequest] > 0 {
 					t.Errorf("%v", firstStories(o.verdict))
 				}
 				if o.res.Rig.Void {
