--- a/internal/lab/judge/attempts.go
+++ b/internal/lab/judge/attempts.go
@@ -7,63 +7,63 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-// unknown judges visits of an id that no client and no box has sent.
-func (j *evaluation) reportUnknown(visits []int32) {
-	for _, i := range visits {
-		v := &j.log.EndpointRequests[i]
-		j.report(Violation{Kind: UnknownRequest, At: v.FirstByte, Request: -1, TransactionID: v.TransactionID, Endpoint: v.Endpoint, Sidecar: -1},
-			"box %s got a request with id %016x, which nobody sent", j.endpointName(v.Endpoint), v.TransactionID)
+// reportUnknown reports requests with an id that no client and no endpoint has sent.
+func (e *evaluation) reportUnknown(requests []int32) {
+	for _, i := range requests {
+		request := &e.log.EndpointRequests[i]
+		e.report(Violation{Kind: UnknownRequest, At: request.FirstByte, Request: -1, TransactionID: request.TransactionID, Endpoint: request.Endpoint, Sidecar: -1},
+			"box %s got a request with id %016x, which nobody sent", e.endpointName(request.Endpoint), request.TransactionID)
 	}
 }
 
-// attempts judges when and where a sidecar sent a try. An attempt counts from its last byte on.
-func (j *evaluation) checkAttempts(try int, visits []int32) {
-	t := &j.log.ClientAttempts[try]
+// checkAttempts checks when and where a sidecar sent the upstream requests of a client attempt. One counts from its last byte on.
+func (e *evaluation) checkAttempts(attemptIndex int, requests []int32) {
+	attempt := &e.log.ClientAttempts[attemptIndex]
 	count := 0
-	for n, i := range visits {
-		v := &j.log.EndpointRequests[i]
-		j.checkEndpoint(t, v)
-		if t.Ended != trace.Unset && v.FirstByte > t.Ended+j.slack {
-			j.report(violationOf(AttemptAfterEnd, v.FirstByte, t, v.Endpoint), "it was sent to box %s %s after the try was over (%s)",
-				j.endpointName(v.Endpoint), (v.FirstByte - t.Ended).Round(time.Microsecond), t.Status)
+	for earlier, i := range requests {
+		request := &e.log.EndpointRequests[i]
+		e.checkEndpoint(attempt, request)
+		if attempt.Ended != trace.Unset && request.FirstByte > attempt.Ended+e.slack {
+			e.report(violationOf(AttemptAfterEnd, request.FirstByte, attempt, request.Endpoint), "it was sent to box %s %s after the try was over (%s)",
+				e.endpointName(request.Endpoint), (request.FirstByte - attempt.Ended).Round(time.Microsecond), attempt.Status)
 		}
-		if v.LastByte == trace.Unset {
+		if request.LastByte == trace.Unset {
 			continue
 		}
-		if count++; count > j.plan.Scenario.Rules.MaxAttempts {
-			j.report(violationOf(TooManyAttempts, v.FirstByte, t, v.Endpoint), "attempt %d came to box %s; %d are allowed", count, j.endpointName(v.Endpoint), j.plan.Scenario.Rules.MaxAttempts)
+		if count++; count > e.plan.Scenario.Rules.MaxAttempts {
+			e.report(violationOf(TooManyAttempts, request.FirstByte, attempt, request.Endpoint), "attempt %d came to box %s; %d are allowed", count, e.endpointName(request.Endpoint), e.plan.Scenario.Rules.MaxAttempts)
 		}
-		if !j.plan.Scenario.Rules.SecondCopies {
-			j.checkHedges(t, v, visits[:n])
+		if !e.plan.Scenario.Rules.SecondCopies {
+			e.checkHedges(attempt, request, requests[:earlier])
 		}
 	}
 }
 
-// place judges the box that an attempt went to by what its sidecar had been told.
-func (j *evaluation) checkEndpoint(t *trace.ClientAttempt, v *trace.EndpointRequest) {
-	if t.Sidecar < 0 || t.Sidecar >= len(j.plan.Sidecars) || v.Endpoint < 0 || v.Endpoint >= len(j.plan.Boxes) {
+// checkEndpoint checks the endpoint of an upstream request against what its sidecar had been notified of.
+func (e *evaluation) checkEndpoint(attempt *trace.ClientAttempt, request *trace.EndpointRequest) {
+	if attempt.Sidecar < 0 || attempt.Sidecar >= len(e.plan.Sidecars) || request.Endpoint < 0 || request.Endpoint >= len(e.plan.Boxes) {
 		return
 	}
-	if v.FirstByte+j.slack < j.discovery.firstListedAt(t.Sidecar, v.Endpoint) {
-		j.report(violationOf(UnknownRequest, v.FirstByte, t, v.Endpoint), "it was sent to box %s, which no list had named to sidecar %s", j.endpointName(v.Endpoint), j.sidecarName(t.Sidecar))
+	if request.FirstByte+e.slack < e.discovery.firstListedAt(attempt.Sidecar, request.Endpoint) {
+		e.report(violationOf(UnknownRequest, request.FirstByte, attempt, request.Endpoint), "it was sent to box %s, which no list had named to sidecar %s", e.endpointName(request.Endpoint), e.sidecarName(attempt.Sidecar))
 	}
-	grace := j.plan.Scenario.Rules.DrainGrace.D() + drainSlack + 3*j.plan.Scenario.Network.Delay.D() // a connection comes first
-	if since, off := j.discovery.unavailableSince(t.Sidecar, v.Endpoint, v.FirstByte); off && v.FirstByte > since+grace {
-		j.report(violationOf(AttemptAfterDrain, v.FirstByte, t, v.Endpoint), "it was sent to box %s %s after sidecar %s was told that this drains or is gone",
-			j.endpointName(v.Endpoint), (v.FirstByte - since).Round(time.Microsecond), j.sidecarName(t.Sidecar))
+	grace := e.plan.Scenario.Rules.DrainGrace.D() + drainSlack + 3*e.plan.Scenario.Network.Delay.D() // a handshake comes first
+	if since, unavailable := e.discovery.unavailableSince(attempt.Sidecar, request.Endpoint, request.FirstByte); unavailable && request.FirstByte > since+grace {
+		e.report(violationOf(AttemptAfterDrain, request.FirstByte, attempt, request.Endpoint), "it was sent to box %s %s after sidecar %s was told that this drains or is gone",
+			e.endpointName(request.Endpoint), (request.FirstByte - since).Round(time.Microsecond), e.sidecarName(attempt.Sidecar))
 	}
 }
 
-// copies judges whether an earlier attempt was still out, for longer than its end may take to be seen.
-func (j *evaluation) checkHedges(t *trace.ClientAttempt, v *trace.EndpointRequest, earlier []int32) {
+// checkHedges checks that no earlier upstream request of the attempt was in flight, but for as long as its end may take to be seen.
+func (e *evaluation) checkHedges(attempt *trace.ClientAttempt, request *trace.EndpointRequest, earlier []int32) {
 	for _, i := range earlier {
-		o := &j.log.EndpointRequests[i]
-		ended := o.Ended
+		earlierRequest := &e.log.EndpointRequests[i]
+		ended := earlierRequest.Ended
 		if ended == trace.Unset {
 			ended = model.Never
 		}
-		if o.LastByte != trace.Unset && ended-v.LastByte > j.slack {
-			j.report(violationOf(ForbiddenHedge, v.LastByte, t, v.Endpoint), "it came to box %s while it was out at box %s", j.endpointName(v.Endpoint), j.endpointName(o.Endpoint))
+		if earlierRequest.LastByte != trace.Unset && ended-request.LastByte > e.slack {
+			e.report(violationOf(ForbiddenHedge, request.LastByte, attempt, request.Endpoint), "it came to box %s while it was out at box %s", e.endpointName(request.Endpoint), e.endpointName(earlierRequest.Endpoint))
 			return
 		}
 	}
--- a/internal/lab/judge/index.go
+++ b/internal/lab/judge/index.go
@@ -7,23 +7,28 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-// entry is a place in a log under the id, or the number, by which it is looked up.
+// entry is a position in a list of the log, under the id by which it is looked up.
 type entry struct {
 	id       uint64
 	position int32
 }
 
-// index joins the two ends of a log: tries and visits, each in the order of their ids.
+// index joins client attempts and endpoint requests by their transaction ids.
 type index struct {
 	log               *trace.Log
-	attempts          []entry // by Txn
-	requests          []int32 // of log.Visits, by Txn, then by their first byte
-	requestEntries    []entry // of visits, by Txn
-	attemptsByRequest []entry // tries by Request; made when a story first needs it
+	attempts          []entry // by TransactionID
+	requests          []int32 // positions in Log.EndpointRequests, by TransactionID, then FirstByte
+	requestEntries    []entry // the same, with their ids
+	attemptsByRequest []entry // client attempts by Request; made when a timeline first needs it
 }
 
 func newIndex(log *trace.Log) index {
-	x := index{log: log, attempts: make([]entry, len(log.ClientAttempts)), requestEntries: make([]entry, len(log.EndpointRequests)), requests: make([]int32, len(log.EndpointRequests))}
+	x := index{
+		log:            log,
+		attempts:       make([]entry, len(log.ClientAttempts)),
+		requests:       make([]int32, len(log.EndpointRequests)),
+		requestEntries: make([]entry, len(log.EndpointRequests)),
+	}
 	for i := range log.ClientAttempts {
 		x.attempts[i] = entry{log.ClientAttempts[i].TransactionID, int32(i)}
 	}
@@ -44,50 +49,56 @@
 	return cmp.Or(cmp.Compare(a.id, b.id), cmp.Compare(a.position, b.position))
 }
 
-// each calls f for every try with its visits, and for visits of an id that no try has with a try of -1.
-func (x *index) each(f func(try int, visits []int32)) {
-	v := 0
-	stray := func(before uint64, all bool) {
-		for v < len(x.requestEntries) && (all || x.requestEntries[v].id < before) {
-			from := v
-			for v < len(x.requestEntries) && x.requestEntries[v].id == x.requestEntries[from].id {
-				v++
-			}
-			f(-1, x.requests[from:v])
+// compareID compares an entry with an id, for binary searches.
+func compareID(e entry, id uint64) int { return cmp.Compare(e.id, id) }
+
+// each calls f for every client attempt with its endpoint requests, and with an attempt of -1 for requests with an id that no attempt
+// has.
+func (x *index) each(f func(attempt int, requests []int32)) {
+	next := 0
+	take := func() []int32 { // the requests with the next id
+		from := next
+		for next < len(x.requestEntries) && x.requestEntries[next].id == x.requestEntries[from].id {
+			next++
 		}
+		return x.requests[from:next]
 	}
-	for _, t := range x.attempts {
-		stray(t.id, false)
-		from := v
-		for v < len(x.requestEntries) && x.requestEntries[v].id == t.id {
-			v++
+	for _, attempt := range x.attempts {
+		for next < len(x.requestEntries) && x.requestEntries[next].id < attempt.id {
+			f(-1, take())
 		}
-		f(int(t.position), x.requests[from:v])
+		var requests []int32
+		if next < len(x.requestEntries) && x.requestEntries[next].id == attempt.id {
+			requests = take()
+		}
+		f(int(attempt.position), requests)
+	}
+	for next < len(x.requestEntries) {
+		f(-1, take())
 	}
-	stray(0, true)
 }
 
-// of are the visits of an id.
-func (x *index) requestsOf(txn uint64) []int32 {
-	from, _ := slices.BinarySearchFunc(x.requestEntries, txn, func(e entry, txn uint64) int { return cmp.Compare(e.id, txn) })
+// requestsOf are the endpoint requests with a transaction id.
+func (x *index) requestsOf(transactionID uint64) []int32 {
+	from, _ := slices.BinarySearchFunc(x.requestEntries, transactionID, compareID)
 	to := from
-	for to < len(x.requestEntries) && x.requestEntries[to].id == txn {
+	for to < len(x.requestEntries) && x.requestEntries[to].id == transactionID {
 		to++
 	}
 	return x.requests[from:to]
 }
 
-// try is the place of an id's try, or -1.
-func (x *index) attempt(txn uint64) int {
-	i, found := slices.BinarySearchFunc(x.attempts, txn, func(e entry, txn uint64) int { return cmp.Compare(e.id, txn) })
+// attempt is the position of the client attempt with a transaction id, or -1.
+func (x *index) attempt(transactionID uint64) int {
+	i, found := slices.BinarySearchFunc(x.attempts, transactionID, compareID)
 	if !found {
 		return -1
 	}
 	return int(x.attempts[i].position)
 }
 
-// request are the tries of a request, calls of later tiers included, in the order in which they were due.
-func (x *index) attemptsOf(n int) []int32 {
+// attemptsOf are the client attempts of a request of the plan, calls of later tiers included, in the log's order.
+func (x *index) attemptsOf(request int) []int32 {
 	if x.attemptsByRequest == nil {
 		x.attemptsByRequest = make([]entry, len(x.log.ClientAttempts))
 		for i := range x.log.ClientAttempts {
@@ -95,10 +106,11 @@
 		}
 		slices.SortFunc(x.attemptsByRequest, byID)
 	}
-	from, _ := slices.BinarySearchFunc(x.attemptsByRequest, uint64(n), func(e entry, id uint64) int { return cmp.Compare(e.id, id) })
-	var out []int32
-	for ; from < len(x.attemptsByRequest) && x.attemptsByRequest[from].id == uint64(n); from++ {
-		out = append(out, x.attemptsByRequest[from].position)
+	id := uint64(request)
+	from, _ := slices.BinarySearchFunc(x.attemptsByRequest, id, compareID)
+	var positions []int32
+	for ; from < len(x.attemptsByRequest) && x.attemptsByRequest[from].id == id; from++ {
+		positions = append(positions, x.attemptsByRequest[from].position)
 	}
-	return out
+	return positions
 }
--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -1,9 +1,9 @@
-// Package judge says whether the sidecars of a run kept the rules. It sees both ends: what each client sent
-// and got, and what each box was sent and did. It is pure, and takes the traces of the virtual player and of
-// the one on sockets alike: what the two ends of one step may be apart there is within the rules' AnswerSlack.
+// Package judge checks whether the sidecars of a run kept the rules. It sees both ends: what each client sent and got, and what each
+// endpoint was sent and did. It is pure, and takes the traces of package simulation and of package loopback alike: what the two ends
+// of one step may be apart in the latter is within Rules.AnswerSlack. Players, tests and package experiment call it.
 //
-// Where the rules ask what a sidecar knew, it is judged by what was written to it, not by what was true: an
-// attempt that came whole to a box and was not turned away may have run, whether it did or not.
+// Where a rule depends on what a sidecar knew, that is judged by what was written to it, not by what was true: an upstream request
+// that arrived completely at an endpoint and was not rejected may have run, whether it did or not.
 package judge
 
 import (
@@ -16,142 +16,148 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-// Kind is a way to break a rule. The words stand in result files: they don't change.
+// Kind is a way to break a rule. Its text stands in result files and doesn't change.
 type Kind string
 
 // The kinds.
 const (
-	LostRequest        Kind = "lost"              // a request that was taken had no final answer in its time
-	DuplicateResponse  Kind = "answered twice"    // more than one final answer came
-	ForgedResponse     Kind = "forged"            // a 200 that no box made for this request
-	UnsafeRejected     Kind = "unsafe refused"    // a retry was called harmless though an attempt may have run
+	LostRequest        Kind = "lost"              // a request that was accepted had no final response in time
+	DuplicateResponse  Kind = "answered twice"    // more than one final response came
+	ForgedResponse     Kind = "forged"            // a 200 that no endpoint made for this request
+	UnsafeRejected     Kind = "unsafe refused"    // a rejection said that a retry is safe though the request may have run
 	DuplicateExecution Kind = "ran twice"         // sent, or run, again when it may have run
-	TooManyAttempts    Kind = "too many attempts" // beyond max_attempts
-	ForbiddenHedge     Kind = "second copy"       // two attempts out at once where that is not allowed
-	AttemptAfterEnd    Kind = "after the end"     // an attempt was sent after the final answer, or after the client had left
-	AttemptAfterDrain  Kind = "after drain"       // an attempt was sent to a box that was told to be draining or gone
-	ColdOverload       Kind = "pushed over"       // a cold box fell over, and who sent the work had been told that it was cold
-	UnknownRequest     Kind = "unknown request"   // a box got what no client sent, or a sidecar had no list with that box
-	SidecarCrash       Kind = "crashed"           // a sidecar ended by itself
+	TooManyAttempts    Kind = "too many attempts" // beyond Rules.MaxAttempts
+	ForbiddenHedge     Kind = "second copy"       // two upstream requests in flight at once where hedging is not allowed
+	AttemptAfterEnd    Kind = "after the end"     // sent after the final response, or after the client had disconnected
+	AttemptAfterDrain  Kind = "after drain"       // sent to an endpoint that the sidecar knew to be draining or gone
+	ColdOverload       Kind = "pushed over"       // a cold endpoint collapsed under work of sidecars that knew that it was cold
+	UnknownRequest     Kind = "unknown request"   // an endpoint got what no client sent, or a sidecar had no list with that endpoint
+	SidecarCrash       Kind = "crashed"           // a sidecar exited though nobody had asked for it
 )
 
-// Kinds are all of them, in the order in which reports show them.
-var Kinds = []Kind{LostRequest, DuplicateResponse, ForgedResponse, UnsafeRejected, DuplicateExecution, TooManyAttempts, ForbiddenHedge, AttemptAfterEnd, AttemptAfterDrain,
-	ColdOverload, UnknownRequest, SidecarCrash}
+// Kinds are all kinds, in the order in which reports show them.
+var Kinds = []Kind{LostRequest, DuplicateResponse, ForgedResponse, UnsafeRejected, DuplicateExecution, TooManyAttempts, ForbiddenHedge,
+	AttemptAfterEnd, AttemptAfterDrain, ColdOverload, UnknownRequest, SidecarCrash}
 
 const (
-	maxRecorded         = 10 // breaches of each kind that are told in full: the earliest
-	drainSlack          = 50 * time.Millisecond
-	stopTimeout         = 700 * time.Millisecond // after SIGTERM; SIGKILL excuses nothing that came later
-	notificationTimeout = 6 * time.Second        // after which news counts as told that discovery's agent could not hand over
+	maxRecorded         = 10                     // violations of each kind in a verdict: the earliest
+	drainSlack          = 50 * time.Millisecond  // beyond Rules.DrainGrace
+	stopTimeout         = 700 * time.Millisecond // after SIGTERM; a later SIGKILL excuses nothing that came after that
+	notificationTimeout = 6 * time.Second        // after which a sidecar counts as notified of what its agent could not send
 )
 
-// Violation is one broken rule.
+// Violation is one case of a broken rule.
 type Violation struct {
 	Kind          Kind
 	At            time.Duration
 	Request       int    // index into the plan's requests; -1 is none
-	TransactionID uint64 // of the try; 0 is none
+	TransactionID uint64 // of the client attempt; 0 is none
 	Endpoint      int    // -1 is none
 	Sidecar       int    // -1 is none
 	Text          string
-	Timeline      []string // all that both ends saw of it, by time
+	Timeline      []string // everything that both ends saw of it, by time
 }
 
 // Verdict is the judgement of a run.
 type Verdict struct {
-	Violations []Violation  // by time: of each kind the first few
-	Counts     map[Kind]int // all of them
-	Endpoints  []ColdLoad   // by box
+	Violations []Violation  // by time; of each kind the earliest ten
+	Counts     map[Kind]int // of all violations
+	Endpoints  []ColdLoad   // by endpoint
 }
 
-// Passed says whether no rule was broken.
+// Passed reports whether no rule was broken.
 func (v *Verdict) Passed() bool { return len(v.Counts) == 0 }
 
-// judge is one judgement.
+// evaluation is the state of one Judge.
 type evaluation struct {
 	plan         *plan.Plan
 	log          *trace.Log
-	slack        time.Duration // what both ends may be apart, and how late an answer may be
+	slack        time.Duration // what both ends may be apart, and how late a response may be
 	index        index
 	incarnations [][]incarnation // by sidecar
 	discovery    *discoveryView
-	pauses       []plan.Event
+	pauses       []plan.Event // of sidecars, by the script
 	verdict      Verdict
-	recorded     map[Kind][]Violation
+	recorded     map[Kind][]Violation // the earliest of each kind, by time
 	runs         []unsafeRun
 }
 
-// Judge judges a run. It takes time in proportion to n log n of the log's entries.
+// Judge judges a run. It takes O(n log n) time for a log of n entries.
 func Judge(p *plan.Plan, log *trace.Log) Verdict {
-	r := &p.Scenario.Rules
-	j := &evaluation{plan: p, log: log, slack: r.AnswerSlack.D() + 2*p.Scenario.Network.Delay.D(), index: newIndex(log),
-		incarnations: incarnations(p, log), verdict: Verdict{Counts: map[Kind]int{}}, recorded: map[Kind][]Violation{}}
-	j.discovery = newDiscoveryView(p, log)
-	for _, e := range p.Events {
-		if e.Kind == plan.PauseSidecar {
-			j.pauses = append(j.pauses, e)
+	e := &evaluation{
+		plan:         p,
+		log:          log,
+		slack:        p.Scenario.Rules.AnswerSlack.D() + 2*p.Scenario.Network.Delay.D(),
+		index:        newIndex(log),
+		incarnations: incarnations(p, log),
+		discovery:    newDiscoveryView(p, log),
+		verdict:      Verdict{Counts: map[Kind]int{}},
+		recorded:     map[Kind][]Violation{},
+	}
+	for _, event := range p.Events {
+		if event.Kind == plan.PauseSidecar {
+			e.pauses = append(e.pauses, event)
 		}
 	}
-	j.checkColdLoads()
-	if p.Scenario.Fleet.Policy != "plain" { // there, no sidecar is to blame for anything
-		j.index.each(func(try int, visits []int32) {
-			if try < 0 {
-				j.reportUnknown(visits)
+	e.checkColdLoads()
+	if p.Scenario.Fleet.Policy != "plain" { // there are no sidecars to blame then
+		e.index.each(func(attempt int, requests []int32) {
+			if attempt < 0 {
+				e.reportUnknown(requests)
 				return
 			}
-			j.checkResponses(try, visits)
-			j.checkAttempts(try, visits)
-			j.checkEffects(try, visits)
+			e.checkResponses(attempt, requests)
+			e.checkAttempts(attempt, requests)
+			e.checkEffects(attempt, requests)
 		})
-		j.checkReruns()
-		j.checkCrashes()
+		e.checkReruns()
+		e.checkCrashes()
 	}
-	for _, kept := range j.recorded {
-		j.verdict.Violations = append(j.verdict.Violations, kept...)
+	for _, recorded := range e.recorded {
+		e.verdict.Violations = append(e.verdict.Violations, recorded...)
 	}
-	slices.SortStableFunc(j.verdict.Violations, func(a, b Violation) int {
+	slices.SortStableFunc(e.verdict.Violations, func(a, b Violation) int {
 		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.TransactionID, b.TransactionID), cmp.Compare(a.Endpoint, b.Endpoint))
 	})
-	for i := range j.verdict.Violations {
-		j.verdict.Violations[i].Timeline = j.timeline(&j.verdict.Violations[i])
+	for i := range e.verdict.Violations {
+		e.verdict.Violations[i].Timeline = e.timeline(&e.verdict.Violations[i])
 	}
-	return j.verdict
+	return e.verdict
 }
 
-// breach counts one and keeps it if it is among the first of its kind.
-func (j *evaluation) report(b Violation, format string, args ...any) {
-	j.verdict.Counts[b.Kind]++
-	kept := j.recorded[b.Kind]
-	at, _ := slices.BinarySearchFunc(kept, b, func(k, b Violation) int {
-		return cmp.Or(cmp.Compare(k.At, b.At), cmp.Compare(k.TransactionID, b.TransactionID))
+// report counts a violation, and records it if it is among the earliest of its kind.
+func (e *evaluation) report(violation Violation, format string, args ...any) {
+	e.verdict.Counts[violation.Kind]++
+	recorded := e.recorded[violation.Kind]
+	position, _ := slices.BinarySearchFunc(recorded, violation, func(a, b Violation) int {
+		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.TransactionID, b.TransactionID))
 	})
-	if at == maxRecorded {
+	if position == maxRecorded {
 		return
 	}
-	b.Text = fmt.Sprintf(format, args...)
-	kept = slices.Insert(kept, at, b)
-	j.recorded[b.Kind] = kept[:min(len(kept), maxRecorded)]
+	violation.Text = fmt.Sprintf(format, args...)
+	recorded = slices.Insert(recorded, position, violation)
+	e.recorded[violation.Kind] = recorded[:min(len(recorded), maxRecorded)]
 }
 
-// of is a breach that a try is about; box is -1 if no box is.
-func violationOf(kind Kind, at time.Duration, t *trace.ClientAttempt, box int) Violation {
-	return Violation{Kind: kind, At: at, Request: t.Request, TransactionID: t.TransactionID, Endpoint: box, Sidecar: t.Sidecar}
+// violationOf is a violation by a client attempt; endpoint is -1 if it concerns none.
+func violationOf(kind Kind, at time.Duration, attempt *trace.ClientAttempt, endpoint int) Violation {
+	return Violation{Kind: kind, At: at, Request: attempt.Request, TransactionID: attempt.TransactionID, Endpoint: endpoint, Sidecar: attempt.Sidecar}
 }
 
-// effect is a class's, in the scenario's words.
-func (j *evaluation) effect(class int) string { return j.plan.Scenario.Class[class].Effect }
+// effect is a class's effect as the scenario has it: "safe", "keyed" or "unsafe".
+func (e *evaluation) effect(class int) string { return e.plan.Scenario.Class[class].Effect }
 
-func (j *evaluation) endpointName(i int) string {
-	if i < 0 || i >= len(j.plan.Boxes) {
+func (e *evaluation) endpointName(i int) string {
+	if i < 0 || i >= len(e.plan.Boxes) {
 		return fmt.Sprintf("number %d", i)
 	}
-	return j.plan.Boxes[i].Name
+	return e.plan.Boxes[i].Name
 }
 
-func (j *evaluation) sidecarName(i int) string {
-	if i < 0 || i >= len(j.plan.Sidecars) {
+func (e *evaluation) sidecarName(i int) string {
+	if i < 0 || i >= len(e.plan.Sidecars) {
 		return fmt.Sprintf("number %d", i)
 	}
-	return j.plan.Sidecars[i].Name
+	return e.plan.Sidecars[i].Name
 }
--- a/internal/lab/judge/property_test.go
+++ b/internal/lab/judge/property_test.go
@@ -19,42 +19,42 @@
 	}
 }
 
-// correct draws a run in which every sidecar keeps the rules: one step after another, each allowed by what the
-// sidecar knows. Its first request is an unsafe one, served by box 0, so that there is always one of these.
-type correct struct {
+// correctRun draws a run in which every sidecar keeps the rules: one step after another, each allowed by what the sidecar knows. Its
+// first request is an unsafe one, served by endpoint 0, so that there is always one of these.
+type correctRun struct {
 	*rapid.T
-	p   *plan.Plan
-	log *trace.Log
-	off [2][3]time.Duration // when a sidecar is told that a box drains; box 0 never does
-	end [2]time.Duration    // when it is killed
+	p             *plan.Plan
+	log           *trace.Log
+	unavailableAt [2][3]time.Duration // when a sidecar is notified that an endpoint drains; endpoint 0 never does
+	killedAt      [2]time.Duration    // when it is killed
 }
 
 const never = time.Hour
 
-func (c *correct) span(most time.Duration) time.Duration {
+func (c *correctRun) span(most time.Duration) time.Duration {
 	return time.Duration(rapid.Int64Range(int64(time.Microsecond), int64(most)).Draw(c.T, "span"))
 }
 
-func (c *correct) odds(percent int) bool { return rapid.IntRange(0, 99).Draw(c.T, "odds") < percent }
+func (c *correctRun) odds(percent int) bool { return rapid.IntRange(0, 99).Draw(c.T, "odds") < percent }
 
-func (c *correct) run() {
+func (c *correctRun) run() {
 	c.p.Scenario.Rules.SecondCopies = c.odds(50)
 	for s := range 2 {
 		c.log.SidecarEvents = append(c.log.SidecarEvents, trace.SidecarEvent{At: -time.Minute, Sidecar: s, Kind: trace.SidecarStarted})
-		c.end[s] = never
+		c.killedAt[s] = never
 		for box := range 3 {
-			c.off[s][box] = never
+			c.unavailableAt[s][box] = never
 			if box > 0 && c.odds(30) {
 				at := c.span(4 * time.Second)
-				c.off[s][box] = at
+				c.unavailableAt[s][box] = at
 				phase := trace.Phase(rapid.IntRange(1, 2).Draw(c.T, "phase"))
 				c.log.Notifications = append(c.log.Notifications, trace.Notification{At: at, Sidecar: s, Endpoint: box, Phase: phase})
 			}
 		}
 	}
 	if c.odds(50) {
-		c.end[1] = time.Second + c.span(3*time.Second)
-		c.log.SidecarEvents = append(c.log.SidecarEvents, trace.SidecarEvent{At: c.end[1], Sidecar: 1, Kind: trace.SidecarKilled})
+		c.killedAt[1] = time.Second + c.span(3*time.Second)
+		c.log.SidecarEvents = append(c.log.SidecarEvents, trace.SidecarEvent{At: c.killedAt[1], Sidecar: 1, Kind: trace.SidecarKilled})
 	}
 	c.request(2, 100*time.Millisecond, true)
 	for range rapid.IntRange(0, 12).Draw(c.T, "requests") {
@@ -62,16 +62,16 @@
 	}
 }
 
-// request is a client's: it tries again only as it may.
-func (c *correct) request(class int, due time.Duration, plainly bool) {
+// request is a client's: it retries only if it may.
+func (c *correctRun) request(class int, due time.Duration, plainly bool) {
 	n := len(c.p.Requests)
 	c.p.Requests = append(c.p.Requests, plan.Request{Due: due, Class: class, Patience: 2 * time.Second, Work: time.Millisecond})
 	for no, at := 0, due; no < 3; no++ {
 		t := trace.ClientAttempt{TransactionID: c.p.Txn(n, no), Request: n, Number: no, Class: class, Due: due, Sent: at, Timeout: 500 * time.Millisecond, Endpoint: -1}
-		if t.Sidecar = rapid.IntRange(0, 1).Draw(c.T, "sidecar"); plainly || at >= c.end[t.Sidecar] {
+		if t.Sidecar = rapid.IntRange(0, 1).Draw(c.T, "sidecar"); plainly || at >= c.killedAt[t.Sidecar] {
 			t.Sidecar = 0
 		}
-		c.try(&t, plainly)
+		c.attempt(&t, plainly)
 		c.log.ClientAttempts = append(c.log.ClientAttempts, t)
 		if t.Status != trace.StatusRejected && (class == 2 || t.Status == trace.StatusServed || t.Status == trace.StatusCanceled) ||
 			class == 1 && t.Ended > due+300*time.Millisecond {
@@ -81,13 +81,13 @@
 	}
 }
 
-// try is what a sidecar does with one: up to three attempts, and a final answer in time.
-func (c *correct) try(t *trace.ClientAttempt, plainly bool) {
+// attempt is what a sidecar does with one: up to three upstream requests, and a final response in time.
+func (c *correctRun) attempt(t *trace.ClientAttempt, plainly bool) {
 	now, may, first := t.Sent, false, time.Duration(0)
-	over := t.Sent + t.Timeout + 50*time.Millisecond // the last moment for an answer, and then some
+	over := t.Sent + t.Timeout + 50*time.Millisecond // the last moment for a response, and then some
 	t.Responses = 1
 	defer func() {
-		if dies := c.end[t.Sidecar]; t.Ended > dies { // with all it holds
+		if dies := c.killedAt[t.Sidecar]; t.Ended > dies { // with all its requests in flight
 			t.Status, t.Ended, t.Responses = trace.StatusDisconnected, dies, 0
 			c.log.EndpointRequests = slices.DeleteFunc(c.log.EndpointRequests, func(v trace.EndpointRequest) bool { return v.TransactionID == t.TransactionID && v.FirstByte > dies })
 		}
@@ -98,7 +98,7 @@
 		}
 		box := rapid.IntRange(0, 2).Draw(c.T, "box")
 		now += c.span(5 * time.Millisecond)
-		if plainly || now > c.off[t.Sidecar][box]+300*time.Millisecond {
+		if plainly || now > c.unavailableAt[t.Sidecar][box]+300*time.Millisecond {
 			box = 0
 		}
 		v := trace.EndpointRequest{TransactionID: t.TransactionID, Endpoint: box, FirstByte: now, LastByte: now, Started: trace.Unset, Ended: now, Outcome: trace.OutcomeRejected}
@@ -127,9 +127,9 @@
 	}
 }
 
-// drawn is a correct run and, of it, one unsafe try that was served, with its visit last.
-func drawn(t *rapid.T, p *plan.Plan) (*correct, *trace.ClientAttempt, *trace.EndpointRequest) {
-	c := &correct{T: t, p: p, log: &trace.Log{}}
+// drawCorrectRun is a correct run and, of it, one unsafe attempt that was served, with its endpoint request last.
+func drawCorrectRun(t *rapid.T, p *plan.Plan) (*correctRun, *trace.ClientAttempt, *trace.EndpointRequest) {
+	c := &correctRun{T: t, p: p, log: &trace.Log{}}
 	p.Requests = nil
 	c.run()
 	var at []int
@@ -147,67 +147,68 @@
 	return c, try, &c.log.EndpointRequests[len(c.log.EndpointRequests)-1]
 }
 
-// What keeps the rules is never blamed, and each way to break them is found, whatever goes on beside it.
-func TestFaultsAreFound(t *testing.T) {
+// TestMutationsAreDetected checks that what keeps the rules is never blamed, and that each way to break them is detected, whatever goes
+// on beside it.
+func TestMutationsAreDetected(t *testing.T) {
 	base := newPlan(t)
-	mutations := map[Kind]func(*correct, *trace.ClientAttempt, *trace.EndpointRequest){
-		"":                func(*correct, *trace.ClientAttempt, *trace.EndpointRequest) {},
-		DuplicateResponse: func(_ *correct, t *trace.ClientAttempt, _ *trace.EndpointRequest) { t.Responses++ },
-		ForgedResponse:    func(_ *correct, t *trace.ClientAttempt, _ *trace.EndpointRequest) { t.Forged = true },
-		LostRequest: func(c *correct, t *trace.ClientAttempt, _ *trace.EndpointRequest) {
+	mutations := map[Kind]func(*correctRun, *trace.ClientAttempt, *trace.EndpointRequest){
+		"":                func(*correctRun, *trace.ClientAttempt, *trace.EndpointRequest) {},
+		DuplicateResponse: func(_ *correctRun, t *trace.ClientAttempt, _ *trace.EndpointRequest) { t.Responses++ },
+		ForgedResponse:    func(_ *correctRun, t *trace.ClientAttempt, _ *trace.EndpointRequest) { t.Forged = true },
+		LostRequest: func(c *correctRun, t *trace.ClientAttempt, _ *trace.EndpointRequest) {
 			t.Sidecar, t.Status, t.Responses, t.Ended = 0, trace.StatusTimedOut, 0, t.Sent+t.Timeout
 		},
-		UnsafeRejected: func(_ *correct, t *trace.ClientAttempt, _ *trace.EndpointRequest) {
+		UnsafeRejected: func(_ *correctRun, t *trace.ClientAttempt, _ *trace.EndpointRequest) {
 			t.Status, t.Code = trace.StatusRejected, 503
 		},
-		DuplicateExecution: func(c *correct, _ *trace.ClientAttempt, v *trace.EndpointRequest) {
+		DuplicateExecution: func(c *correctRun, _ *trace.ClientAttempt, v *trace.EndpointRequest) {
 			again := *v
 			again.FirstByte += c.span(time.Second)
 			again.LastByte, again.Started = again.FirstByte, trace.Unset
 			c.log.EndpointRequests = append(c.log.EndpointRequests, again)
 		},
-		TooManyAttempts: func(c *correct, _ *trace.ClientAttempt, v *trace.EndpointRequest) {
+		TooManyAttempts: func(c *correctRun, _ *trace.ClientAttempt, v *trace.EndpointRequest) {
 			c.log.EndpointRequests = append(c.log.EndpointRequests, *v, *v, *v)
 		},
-		ForbiddenHedge: func(c *correct, _ *trace.ClientAttempt, v *trace.EndpointRequest) {
+		ForbiddenHedge: func(c *correctRun, _ *trace.ClientAttempt, v *trace.EndpointRequest) {
 			c.p.Scenario.Rules.SecondCopies = false
 			v.Ended = v.FirstByte + 200*time.Millisecond
 			again := *v
 			again.FirstByte, again.LastByte = v.FirstByte+time.Millisecond, v.FirstByte+time.Millisecond
 			c.log.EndpointRequests = append(c.log.EndpointRequests, again)
 		},
-		AttemptAfterEnd: func(c *correct, t *trace.ClientAttempt, v *trace.EndpointRequest) {
+		AttemptAfterEnd: func(c *correctRun, t *trace.ClientAttempt, v *trace.EndpointRequest) {
 			again := *v
 			again.FirstByte = t.Ended + 59*time.Millisecond + c.span(time.Second)
 			c.log.EndpointRequests = append(c.log.EndpointRequests, again)
 		},
-		AttemptAfterDrain: func(c *correct, t *trace.ClientAttempt, v *trace.EndpointRequest) {
+		AttemptAfterDrain: func(c *correctRun, t *trace.ClientAttempt, v *trace.EndpointRequest) {
 			at := v.FirstByte - 351*time.Millisecond - c.span(time.Second)
 			c.log.Notifications = append(c.log.Notifications, trace.Notification{At: at, Sidecar: t.Sidecar, Endpoint: v.Endpoint, Phase: trace.PhaseTerminating})
 		},
-		UnknownRequest: func(_ *correct, _ *trace.ClientAttempt, v *trace.EndpointRequest) { v.TransactionID ^= 1 },
-		SidecarCrash: func(c *correct, t *trace.ClientAttempt, _ *trace.EndpointRequest) {
+		UnknownRequest: func(_ *correctRun, _ *trace.ClientAttempt, v *trace.EndpointRequest) { v.TransactionID ^= 1 },
+		SidecarCrash: func(c *correctRun, t *trace.ClientAttempt, _ *trace.EndpointRequest) {
 			c.log.SidecarEvents = append(c.log.SidecarEvents, trace.SidecarEvent{At: 5 * time.Second, Sidecar: t.Sidecar, Kind: trace.SidecarCrashed})
 		},
 	}
 	for kind, mutate := range mutations {
 		t.Run(string(kind), func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				c, try, visit := drawn(t, base)
+				c, try, visit := drawCorrectRun(t, base)
 				mutate(c, try, visit)
 				v := Judge(c.p, c.log)
 				if kind == "" && !v.Passed() {
-					t.Fatalf("blamed: %s: %+v", found(v), v.Violations)
+					t.Fatalf("blamed: %s: %+v", countsText(v), v.Violations)
 				}
 				if kind != "" && v.Counts[kind] == 0 {
-					t.Fatalf("not found, but %q", found(v))
+					t.Fatalf("not found, but %q", countsText(v))
 				}
 			})
 		})
 	}
 }
 
-// A million tries, each with a visit or two.
+// BenchmarkJudge judges a million client attempts, each with two endpoint requests.
 func BenchmarkJudge(b *testing.B) {
 	p, log := newPlan(b), &trace.Log{}
 	for i := range 1_000_000 {
@@ -220,7 +221,7 @@
 	}
 	for b.Loop() {
 		if v := Judge(p, log); !v.Passed() {
-			b.Fatal(found(v))
+			b.Fatal(countsText(v))
 		}
 	}
 	b.ReportMetric(float64(len(log.ClientAttempts))*float64(b.N)/b.Elapsed().Seconds(), "tries/s")
--- a/internal/lab/judge/script_test.go
+++ b/internal/lab/judge/script_helpers_test.go
@@ -13,9 +13,9 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-// site has three boxes, two sidecars and a class of each effect; whatever waits does so for 500 ms. Drains
-// bind after 300 ms, keys are kept for 400 ms, and cold boxes can do 0.5 standard cores.
-const site = `
+// scenarioText has three endpoints, two sidecars and a class of each effect; every client waits 500 ms. Drains bind after 300 ms, keys
+// are kept for 400 ms, and cold endpoints can do 0.5 standard cores.
+const scenarioText = `
 name = "judged"
 length = "10s"
 class = [
@@ -32,7 +32,7 @@
 
 func newPlan(t testing.TB) *plan.Plan {
 	t.Helper()
-	s, err := scenario.Parse("site", []byte(site))
+	s, err := scenario.Parse("site", []byte(scenarioText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 	return p
 }
 
-// script is a run in words, a line each; times are in ms and "-" is never:
+// parseScript parses a run, a line each; times are in ms and "-" is never:
 //
 //	ask AT CLASS SIDECAR           a new request's first try is written; what follows is about it
 //	retry AT SIDECAR               its client's next try
@@ -56,29 +56,29 @@
 //	proc AT SIDECAR WHAT
 //	start AT BOX                   the script starts a box, cold
 //	sample AT BOX SENT COULD [cold] [fallen]
-func script(t testing.TB, lines string) (*plan.Plan, *trace.Log) {
+func parseScript(t testing.TB, lines string) (*plan.Plan, *trace.Log) {
 	t.Helper()
 	p, log := newPlan(t), &trace.Log{}
 	for text := range strings.Lines(lines) {
 		if strings.TrimSpace(text) == "" {
 			continue
 		}
-		w := words{t, strings.Fields(text)}
-		switch w.f[0] {
+		w := scriptLine{t, strings.Fields(text)}
+		switch w.fields[0] {
 		case "ask":
-			class := p.Scenario.ClassIndex(w.f[2])
+			class := p.Scenario.ClassIndex(w.fields[2])
 			p.Requests = append(p.Requests, plan.Request{Due: w.ms(1), Class: class, Patience: time.Second, Work: 10 * time.Millisecond})
-			w.try(p, log, 0, 3)
+			w.addAttempt(p, log, 0, 3)
 		case "retry":
-			w.try(p, log, log.ClientAttempts[len(log.ClientAttempts)-1].Number+1, 2)
+			w.addAttempt(p, log, log.ClientAttempts[len(log.ClientAttempts)-1].Number+1, 2)
 		case "visit":
-			how := slices.Index([]string{"held", "ok", "error", "away", "spoilt", "withdrawn", "lost"}, w.f[5])
+			how := slices.Index([]string{"held", "ok", "error", "away", "spoilt", "withdrawn", "lost"}, w.fields[5])
 			log.EndpointRequests = append(log.EndpointRequests, trace.EndpointRequest{TransactionID: log.ClientAttempts[len(log.ClientAttempts)-1].TransactionID, Endpoint: w.number(1), FirstByte: w.ms(2), LastByte: w.ms(2),
 				Started: w.ms(3), Ended: w.ms(4), Outcome: trace.Outcome(how)})
 		case "end":
 			try := &log.ClientAttempts[len(log.ClientAttempts)-1]
 			try.Ended, try.Responses = w.ms(1), 1
-			try.Status = trace.Status(slices.Index([]string{"served", "refused", "failed", "gone", "silent", "broken"}, w.f[2]))
+			try.Status = trace.Status(slices.Index([]string{"served", "refused", "failed", "gone", "silent", "broken"}, w.fields[2]))
 			if try.Forged = w.has("forged"); w.has("twice") {
 				try.Responses = 2
 			}
@@ -86,7 +86,7 @@
 			log.EndpointRequests = append(log.EndpointRequests, trace.EndpointRequest{TransactionID: 99, Endpoint: w.number(1), FirstByte: w.ms(2), LastByte: w.ms(2), Started: w.ms(2), Ended: w.ms(2)})
 		case "told":
 			told := trace.Notification{At: w.ms(1), Sidecar: w.number(2), Endpoint: w.number(3), Phase: w.phase(4)}
-			if len(w.f) > 5 {
+			if len(w.fields) > 5 {
 				told.UpSince = w.ms(5)
 			}
 			log.Notifications = append(log.Notifications, told)
@@ -94,7 +94,7 @@
 			p.Events = append(p.Events, plan.Event{At: w.ms(1), Kind: plan.Tell, Box: -1, Sidecar: w.number(2),
 				Entry: plan.Listed{Box: w.number(3), Phase: w.phase(4)}})
 		case "proc":
-			what := slices.Index([]string{"started", "ready", "stopping", "killed", "ended", "crashed"}, w.f[3])
+			what := slices.Index([]string{"started", "ready", "stopping", "killed", "ended", "crashed"}, w.fields[3])
 			log.SidecarEvents = append(log.SidecarEvents, trace.SidecarEvent{At: w.ms(1), Sidecar: w.number(2), Kind: trace.SidecarEventKind(what)})
 		case "start":
 			p.Events = append(p.Events, plan.Event{At: w.ms(1), Kind: plan.StartBox, Box: w.number(2), Sidecar: -1})
@@ -108,45 +108,45 @@
 	return p, log
 }
 
-type words struct {
-	t testing.TB
-	f []string
+type scriptLine struct {
+	t      testing.TB
+	fields []string
 }
 
-func (w words) has(word string) bool { return slices.Contains(w.f, word) }
+func (w scriptLine) has(word string) bool { return slices.Contains(w.fields, word) }
 
 // number reads "n1", "t1" or "1" as 0.
-func (w words) number(i int) int {
-	n, err := strconv.Atoi(strings.TrimLeft(w.f[i], "nt"))
+func (w scriptLine) number(i int) int {
+	n, err := strconv.Atoi(strings.TrimLeft(w.fields[i], "nt"))
 	if err != nil {
-		w.t.Fatalf("%v: %v", w.f, err)
+		w.t.Fatalf("%v: %v", w.fields, err)
 	}
 	return n - 1
 }
 
-func (w words) ms(i int) time.Duration {
-	if w.f[i] == "-" {
+func (w scriptLine) ms(i int) time.Duration {
+	if w.fields[i] == "-" {
 		return trace.Unset
 	}
-	n, err := strconv.Atoi(w.f[i])
+	n, err := strconv.Atoi(w.fields[i])
 	if err != nil {
-		w.t.Fatalf("%v: %v", w.f, err)
+		w.t.Fatalf("%v: %v", w.fields, err)
 	}
 	return time.Duration(n) * time.Millisecond
 }
 
-func (w words) phase(i int) trace.Phase {
-	return trace.Phase(slices.Index([]string{"ready", "draining", "gone"}, w.f[i]))
+func (w scriptLine) phase(i int) trace.Phase {
+	return trace.Phase(slices.Index([]string{"ready", "draining", "gone"}, w.fields[i]))
 }
 
-func (w words) try(p *plan.Plan, log *trace.Log, no, sidecar int) {
+func (w scriptLine) addAttempt(p *plan.Plan, log *trace.Log, no, sidecar int) {
 	request := len(p.Requests) - 1
 	log.ClientAttempts = append(log.ClientAttempts, trace.ClientAttempt{TransactionID: p.Txn(request, no), Request: request, Number: no, Sidecar: w.number(sidecar),
 		Class: p.Requests[request].Class, Due: p.Requests[request].Due, Sent: w.ms(1), Timeout: 500 * time.Millisecond, Ended: trace.Unset, Endpoint: -1})
 }
 
-// found is a verdict's counts in words.
-func found(v Verdict) string {
+// countsText is a verdict's counts in words.
+func countsText(v Verdict) string {
 	var out []string
 	for _, k := range Kinds {
 		if v.Counts[k] > 0 {
