--- a/internal/lab/ports/ports.go
+++ b/internal/lab/ports/ports.go
@@ -1,4 +1,5 @@
-// Package ports finds free ports for programs that have to be told their port before they listen.
+// Package ports finds free TCP and UDP ports for programs that need their port in their configuration before they listen. Tests and
+// the lab's benchmarks call it, the product never does.
 package ports
 
 import (
@@ -9,34 +10,35 @@
 	"strconv"
 )
 
-// Bounds of the ports that are drawn, the last one excluded. They lie below the range from which Linux takes the local
-// ports of outgoing connections (32768 to 60999, net.ipv4.ip_local_port_range), so that no connection of another
-// process takes a port between the draw and the moment at which the program listens.
+// Ports are drawn from minPort to below endPort. That lies below the range from which Linux takes the local ports of outgoing
+// connections (32768 to 60999, net.ipv4.ip_local_port_range), so that no connection of another process takes a port between the
+// draw and the moment at which the program listens.
 const (
-	first = 20000
-	end   = 32000
+	minPort = 20000
+	endPort = 32000
 )
 
-// drawsMost is the number of ports that are tried.
-const drawsMost = 200
+// maxDraws is the number of ports that are tried.
+const maxDraws = 200
 
-// ErrNone says that no free port was found.
-var ErrNone = errors.New("ports: no free port found")
+// ErrNoFreePort reports that none of the drawn ports was free.
+var ErrNoFreePort = errors.New("ports: no free port found")
 
-// Free returns a port on which nobody listens at 127.0.0.1, over TCP or UDP. The error is ErrNone, wrapped.
+// Free returns a random port on which nobody listens at 127.0.0.1, over TCP or UDP. The error is ErrNoFreePort, wrapped with that of
+// the last draw.
 func Free() (int, error) {
-	var last error
-	for range drawsMost {
-		port := first + rand.IntN(end-first)
-		if last = probe(port); last == nil {
+	var lastErr error
+	for range maxDraws {
+		port := minPort + rand.IntN(endPort-minPort)
+		if lastErr = checkFree(port); lastErr == nil {
 			return port, nil
 		}
 	}
-	return 0, fmt.Errorf("%w: %w", ErrNone, last)
+	return 0, fmt.Errorf("%w: %w", ErrNoFreePort, lastErr)
 }
 
-// probe returns an error if the port is taken.
-func probe(port int) error {
+// checkFree returns the error of listening if the port is taken.
+func checkFree(port int) error {
 	address := net.JoinHostPort("127.0.0.1", strconv.Itoa(port))
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
