--- a/internal/lab/auditcheck/audited_test.go
+++ b/internal/lab/auditcheck/audit_logs_test.go
@@ -14,7 +14,7 @@
 	"pinelb.example/pinelb/internal/version"
 )
 
-const small = `
+const scenarioText = `
 name = "small"
 [[class]]
 name = "c"
@@ -34,12 +34,12 @@
 
 const listA, listB, listC = version.Digest(0xa), version.Digest(0xb), version.Digest(0xc)
 
-func at(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
+func seconds(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
 // story is a play of two sidecars: n1 is told list A before the run and B at 5 s, which it has taken over by 6 s; n2 is told A
 // alone. Both ask a box each second, n1 also once at 5.5 s, when nobody can say by which of the two.
-func story(t *testing.T) (*plan.Plan, *trace.Log, map[int][]auditlog.Entry) {
-	s, err := scenario.Parse("small.toml", []byte(small))
+func newRun(t *testing.T) (*plan.Plan, *trace.Log, map[int][]auditlog.Entry) {
+	s, err := scenario.Parse("small.toml", []byte(scenarioText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,18 +47,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	log := &trace.Log{Start: time.UnixMilli(1_000_000), End: at(10)}
+	log := &trace.Log{Start: time.UnixMilli(1_000_000), End: seconds(10)}
 	for i := range 2 {
 		log.SidecarEvents = append(log.SidecarEvents, trace.SidecarEvent{Sidecar: i, Kind: trace.SidecarStarted, Digest: listC})
 		log.Polls = append(log.Polls, trace.DiscoveryPoll{Sidecar: i, Revision: 1, Digest: listA})
 	}
-	log.Polls = append(log.Polls, trace.DiscoveryPoll{At: at(0.5), Sidecar: 1, Watch: true, SinceRevision: 1, Outcome: trace.PollAbandoned},
-		trace.DiscoveryPoll{At: at(0.5), Sidecar: 0, Watch: true, SinceRevision: 1, RespondedAt: at(5), Revision: 2, Digest: listB},
-		trace.DiscoveryPoll{At: at(6), Sidecar: 0, Watch: true, SinceRevision: 2, Outcome: trace.PollAbandoned})
+	log.Polls = append(log.Polls, trace.DiscoveryPoll{At: seconds(0.5), Sidecar: 1, Watch: true, SinceRevision: 1, Outcome: trace.PollAbandoned},
+		trace.DiscoveryPoll{At: seconds(0.5), Sidecar: 0, Watch: true, SinceRevision: 1, RespondedAt: seconds(5), Revision: 2, Digest: listB},
+		trace.DiscoveryPoll{At: seconds(6), Sidecar: 0, Watch: true, SinceRevision: 2, Outcome: trace.PollAbandoned})
 	visit := func(sidecar int, when float64) {
 		txn := uint64(len(log.ClientAttempts) + 1)
-		log.ClientAttempts = append(log.ClientAttempts, trace.ClientAttempt{TransactionID: txn, Request: int(txn), Sidecar: sidecar, Due: at(when), Ended: at(when + 0.2)})
-		log.EndpointRequests = append(log.EndpointRequests, trace.EndpointRequest{TransactionID: txn, FirstByte: at(when + 0.1)})
+		log.ClientAttempts = append(log.ClientAttempts, trace.ClientAttempt{TransactionID: txn, Request: int(txn), Sidecar: sidecar, Due: seconds(when), Ended: seconds(when + 0.2)})
+		log.EndpointRequests = append(log.EndpointRequests, trace.EndpointRequest{TransactionID: txn, FirstByte: seconds(when + 0.1)})
 	}
 	for _, when := range []float64{1, 2, 3, 5.5, 7, 8} {
 		visit(0, when)
@@ -80,7 +80,7 @@
 }
 
 // A trail that is true is found so, and each fault that is planted in it is found with that kind alone.
-func TestTrailsAreCompared(t *testing.T) {
+func TestCompareAuditLogs(t *testing.T) {
 	for _, c := range []struct {
 		name                     string
 		wrong, missing, unproven int
@@ -114,20 +114,20 @@
 			delete(trails, 1)
 		}},
 		{name: "killed before its first count", unproven: 4, plant: func(_ *plan.Plan, log *trace.Log, trails map[int][]auditlog.Entry) {
-			log.SidecarEvents = append(log.SidecarEvents, trace.SidecarEvent{At: at(9), Sidecar: 1, Kind: trace.SidecarKilled})
+			log.SidecarEvents = append(log.SidecarEvents, trace.SidecarEvent{At: seconds(9), Sidecar: 1, Kind: trace.SidecarKilled})
 			trails[1] = trails[1][:1]
 		}},
 		{name: "killed after its last count", unproven: 2, plant: func(_ *plan.Plan, log *trace.Log, trails map[int][]auditlog.Entry) {
-			log.SidecarEvents = append(log.SidecarEvents, trace.SidecarEvent{At: at(9), Sidecar: 1, Kind: trace.SidecarKilled})
+			log.SidecarEvents = append(log.SidecarEvents, trace.SidecarEvent{At: seconds(9), Sidecar: 1, Kind: trace.SidecarKilled})
 			trails[1] = trails[1][:2]
 		}},
 		{name: "killed, and its trail has lost what was counted before", missing: 1, unproven: 2, plant: func(_ *plan.Plan, log *trace.Log, trails map[int][]auditlog.Entry) {
-			log.SidecarEvents = append(log.SidecarEvents, trace.SidecarEvent{At: at(9), Sidecar: 1, Kind: trace.SidecarKilled})
+			log.SidecarEvents = append(log.SidecarEvents, trace.SidecarEvent{At: seconds(9), Sidecar: 1, Kind: trace.SidecarKilled})
 			trails[1] = trails[1][:2]
 			trails[1][1].Attempts[0].N--
 		}},
 		{name: "killed, and nothing is left of that process", missing: 4, plant: func(_ *plan.Plan, log *trace.Log, trails map[int][]auditlog.Entry) {
-			log.SidecarEvents = append(log.SidecarEvents, trace.SidecarEvent{At: at(9), Sidecar: 1, Kind: trace.SidecarKilled})
+			log.SidecarEvents = append(log.SidecarEvents, trace.SidecarEvent{At: seconds(9), Sidecar: 1, Kind: trace.SidecarKilled})
 			trails[1] = []auditlog.Entry{{Seq: 1, Life: "m", Kind: auditlog.Began, At: 1_010_000}}
 		}},
 		{name: "a box that went down: what was on its way has no end", plant: func(p *plan.Plan, _ *trace.Log, trails map[int][]auditlog.Entry) {
@@ -136,13 +136,13 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p, log, trails := story(t)
+			p, log, trails := newRun(t)
 			c.plant(p, log, trails)
-			v := Judge(p, log, trails)
-			if v.Wrong != c.wrong || v.Missing != c.missing || v.Unproven != c.unproven || !slices.Equal(v.Unread, append([]string{}, c.unread...)) {
+			v := CompareAuditLogs(p, log, trails)
+			if v.Contradicted != c.wrong || v.Missing != c.missing || v.Unrecordable != c.unproven || !slices.Equal(v.UnreadSidecars, append([]string{}, c.unread...)) {
 				t.Errorf("%+v", v)
 			}
-			if c.name == "nothing" && (v.Visits != 10 || v.Attempts != 11 || v.Sure != 9 || v.Unseen != 1) {
+			if c.name == "nothing" && (v.EndpointRequests != 10 || v.Attempts != 11 || v.Unambiguous != 9 || v.Unreceived != 1) {
 				t.Errorf("%+v", v)
 			}
 		})
@@ -150,27 +150,27 @@
 }
 
 // With a second process beside the first, a call says nothing of what the other one holds until the first has ended.
-func TestTwoProcesses(t *testing.T) {
+func TestPossibleListsOfTwoProcesses(t *testing.T) {
 	log := &trace.Log{
-		SidecarEvents: []trace.SidecarEvent{{Kind: trace.SidecarStarted, Digest: listA}, {At: at(2), Kind: trace.SidecarUpgradeStarted}, {At: at(4), Kind: trace.SidecarUpgradeFinished}},
-		Polls: []trace.DiscoveryPoll{{At: at(0.5), Watch: true, SinceRevision: 1, RespondedAt: at(3), Revision: 2, Digest: listB},
-			{At: at(3.1), Watch: true, SinceRevision: 2}, {At: at(4.1), Watch: true, SinceRevision: 2}},
+		SidecarEvents: []trace.SidecarEvent{{Kind: trace.SidecarStarted, Digest: listA}, {At: seconds(2), Kind: trace.SidecarUpgradeStarted}, {At: seconds(4), Kind: trace.SidecarUpgradeFinished}},
+		Polls: []trace.DiscoveryPoll{{At: seconds(0.5), Watch: true, SinceRevision: 1, RespondedAt: seconds(3), Revision: 2, Digest: listB},
+			{At: seconds(3.1), Watch: true, SinceRevision: 2}, {At: seconds(4.1), Watch: true, SinceRevision: 2}},
 	}
-	stretches := held(log, 0)
+	stretches := possibleLists(log, 0)
 	for _, c := range []struct {
 		from, to float64
 		want     []version.Digest
 	}{
 		{1, 2, []version.Digest{listA}}, {3.2, 3.9, []version.Digest{listA, listB}}, {4.2, 9, []version.Digest{listB}},
 	} {
-		if got := between(stretches, at(c.from), at(c.to)); !slices.Equal(got, c.want) {
+		if got := listsBetween(stretches, seconds(c.from), seconds(c.to)); !slices.Equal(got, c.want) {
 			t.Errorf("from %v to %v s: %x, expected %x", c.from, c.to, got, c.want)
 		}
 	}
 }
 
 // What an auditor printed is measured by what is true: a straggler that is hidden, and one that is none, are found.
-func TestStragglersAreCompared(t *testing.T) {
+func TestCompareFindings(t *testing.T) {
 	const reached = `{"line":"sidecar","name":"n%d","status":"%s","seen_ms":%d}` + "\n"
 	const summary = `{"line":"summary","at_ms":%d,"took_ms":10,"reference":{"digest":"%016x"}}` + "\n"
 	print := func(status func(sidecar, second int) string) (out string) {
@@ -212,22 +212,22 @@
 			return well(sidecar, second)
 		}},
 	} {
-		p, log, _ := story(t)
-		log.End = at(10)
-		for _, r := range []trace.DiscoveryPoll{{RespondedAt: at(0.1), Digest: listA}, {RespondedAt: at(2), Digest: listA}, {RespondedAt: at(4.5), Digest: listB}} {
+		p, log, _ := newRun(t)
+		log.End = seconds(10)
+		for _, r := range []trace.DiscoveryPoll{{RespondedAt: seconds(0.1), Digest: listA}, {RespondedAt: seconds(2), Digest: listA}, {RespondedAt: seconds(4.5), Digest: listB}} {
 			r.Sidecar = -1
 			log.Polls = append(log.Polls, r)
 		}
-		got, err := Find(p, log, []byte(print(c.status)+`{"line":"si`), at(3))
-		if err != nil || got.Rounds != 9 || got.True != c.isTrue || got.Found != c.found || got.Unasked != c.unasked || got.Hidden != c.hidden || got.False != c.falsly {
+		got, err := CompareFindings(p, log, []byte(print(c.status)+`{"line":"si`), seconds(3))
+		if err != nil || got.Rounds != 9 || got.Actual != c.isTrue || got.Detected != c.found || got.Unreached != c.unasked || got.Missed != c.hidden || got.FalsePositives != c.falsly {
 			t.Errorf("%s: %+v %v", c.name, got, err)
 		}
 		log.AuditLogs = map[int][]auditlog.Entry{}
-		if ends, never := Ends(p, log, at(1)); !slices.Equal(ends, []time.Duration{}) || never != 1 {
+		if ends, never := ResolutionTimes(p, log, seconds(1)); !slices.Equal(ends, []time.Duration{}) || never != 1 {
 			t.Errorf("%s: it ended after %v, never %d", c.name, ends, never)
 		}
 		log.AuditLogs[1] = []auditlog.Entry{{Kind: auditlog.Judged, At: 1_007_500, State: version.Shut}}
-		if ends, never := Ends(p, log, at(1)); !slices.Equal(ends, []time.Duration{at(3)}) || never != 0 {
+		if ends, never := ResolutionTimes(p, log, seconds(1)); !slices.Equal(ends, []time.Duration{seconds(3)}) || never != 0 {
 			t.Errorf("%s: shut out after %v, never %d", c.name, ends, never)
 		}
 	}
--- a/internal/lab/auditcheck/left.go
+++ b/internal/lab/auditcheck/drain.go
@@ -8,9 +8,9 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-// Left counts, by sidecar, the attempts at boxes of the first tier that came later than late after discovery first told anybody that
+// CountAfterDrain counts, by sidecar, the attempts at boxes of the first tier that came later than late after discovery first told anybody that
 // the box leaves or is gone, and before it told that it is back.
-func Left(p *plan.Plan, log *trace.Log, late time.Duration) map[int]int {
+func CountAfterDrain(p *plan.Plan, log *trace.Log, late time.Duration) map[int]int {
 	type off struct{ from, to time.Duration }
 	boxes := map[int]*off{}
 	for _, e := range p.Events { // by time
--- a/internal/lab/auditcheck/stragglers.go
+++ b/internal/lab/auditcheck/findings.go
@@ -16,13 +16,13 @@
 
 // Stragglers says what an auditor found of sidecars that act on an old list, beside what is true.
 type Stragglers struct {
-	Rounds  int      `json:"rounds"`
-	True    int      `json:"true"`    // sidecars and lists of the reference that they can't have held a while after it was told
-	Found   int      `json:"found"`   // of them those that a round found behind or shut out
-	Unasked int      `json:"unasked"` // and those that no round reached in that time
-	Hidden  int      `json:"hidden"`  // and the rest: stragglers that nobody was told of
-	False   int      `json:"false"`   // answers found behind or shut out of sidecars that can only have held the reference
-	Stories []string `json:"stories"`
+	Rounds         int      `json:"rounds"`
+	Actual         int      `json:"true"`    // sidecars and lists of the reference that they can't have held a while after it was told
+	Detected       int      `json:"found"`   // of them those that a round found behind or shut out
+	Unreached      int      `json:"unasked"` // and those that no round reached in that time
+	Missed         int      `json:"hidden"`  // and the rest: stragglers that nobody was told of
+	FalsePositives int      `json:"false"`   // answers found behind or shut out of sidecars that can only have held the reference
+	Details        []string `json:"stories"`
 }
 
 // finding is what one round of an auditor found of one sidecar.
@@ -34,13 +34,13 @@
 }
 
 // reign is a time in which the list service told one list to auditors.
-type reign struct {
+type referenceSpan struct {
 	digest   version.Digest
 	from, to time.Duration
 }
 
 // reigns are by the time of their first telling.
-func reigns(log *trace.Log) (out []reign) {
+func referenceSpans(log *trace.Log) (out []referenceSpan) {
 	for _, a := range log.Polls {
 		if a.Sidecar >= 0 || a.Digest == 0 {
 			continue
@@ -51,7 +51,7 @@
 				continue
 			}
 		}
-		out = append(out, reign{a.Digest, a.RespondedAt, log.End})
+		out = append(out, referenceSpan{a.Digest, a.RespondedAt, log.End})
 	}
 	if n := len(out); n > 0 {
 		out[n-1].to = log.End
@@ -59,41 +59,41 @@
 	return out
 }
 
-// Find compares what an auditor printed, JSON lines, with what is true. A straggler is one that, from when the list service told
+// CompareFindings compares what an auditor printed, JSON lines, with what is true. A straggler is one that, from when the list service told
 // an auditor a list until late after that, can have held neither it nor a later one.
-func Find(p *plan.Plan, log *trace.Log, printed []byte, late time.Duration) (Stragglers, error) {
-	out := Stragglers{Stories: []string{}}
-	found, rounds, err := findings(p, log, printed)
+func CompareFindings(p *plan.Plan, log *trace.Log, printed []byte, late time.Duration) (Stragglers, error) {
+	out := Stragglers{Details: []string{}}
+	found, rounds, err := parseFindings(p, log, printed)
 	if err != nil {
 		return out, err
 	}
 	out.Rounds = rounds
 	tell := func(format string, args ...any) {
-		if len(out.Stories) < storiesMost {
-			out.Stories = append(out.Stories, fmt.Sprintf(format, args...))
+		if len(out.Details) < maxDetails {
+			out.Details = append(out.Details, fmt.Sprintf(format, args...))
 		}
 	}
-	all := reigns(log)
+	all := referenceSpans(log)
 	for sidecar := range p.Sidecars {
 		if p.Sidecars[sidecar].Box >= 0 {
 			continue
 		}
-		stretches, name := held(log, sidecar), p.Sidecars[sidecar].Name
+		stretches, name := possibleLists(log, sidecar), p.Sidecars[sidecar].Name
 		for i, r := range all {
-			if r.to < r.from+late || anyOf(between(stretches, r.from, r.from+late), all[i:]) || !alive(log, sidecar, r.from, r.from+late) {
+			if r.to < r.from+late || containsAny(listsBetween(stretches, r.from, r.from+late), all[i:]) || !isRunning(log, sidecar, r.from, r.from+late) {
 				continue
 			}
-			out.True++
+			out.Actual++
 			mine := slices.DeleteFunc(slices.Clone(found), func(f finding) bool {
 				return f.sidecar != sidecar || f.reference != r.digest || f.to < r.from || f.from > r.to
 			})
 			switch {
 			case slices.ContainsFunc(mine, func(f finding) bool { return f.status == "behind" || f.status == "shut out" }):
-				out.Found++
+				out.Detected++
 			case !slices.ContainsFunc(mine, func(f finding) bool { return f.status != "not reached" }):
-				out.Unasked++
+				out.Unreached++
 			default:
-				out.Hidden++
+				out.Missed++
 				tell("%s held none of the lists from %016x on from %v to %v, and was found up to date", name, uint64(r.digest), r.from, r.from+late)
 			}
 		}
@@ -101,8 +101,8 @@
 			if f.sidecar != sidecar || f.status != "behind" && f.status != "shut out" {
 				continue
 			}
-			if may := between(stretches, f.from, f.to); len(may) == 1 && may[0] == f.reference {
-				out.False++
+			if may := listsBetween(stretches, f.from, f.to); len(may) == 1 && may[0] == f.reference {
+				out.FalsePositives++
 				tell("%s held %016x at %v, and was found %s", name, uint64(f.reference), f.to, f.status)
 			}
 		}
@@ -110,13 +110,13 @@
 	return out, nil
 }
 
-// anyOf tells whether a list is among those told in some reigns.
-func anyOf(lists []version.Digest, in []reign) bool {
-	return slices.ContainsFunc(in, func(r reign) bool { return slices.Contains(lists, r.digest) })
+// containsAny tells whether a list is among those told in some reigns.
+func containsAny(lists []version.Digest, in []referenceSpan) bool {
+	return slices.ContainsFunc(in, func(r referenceSpan) bool { return slices.Contains(lists, r.digest) })
 }
 
 // alive tells whether one process of the sidecar was there all the time.
-func alive(log *trace.Log, sidecar int, from, to time.Duration) bool {
+func isRunning(log *trace.Log, sidecar int, from, to time.Duration) bool {
 	up, since := false, time.Duration(0)
 	for _, c := range log.SidecarEvents {
 		if c.Sidecar != sidecar || c.At > to {
@@ -133,7 +133,7 @@
 }
 
 // findings reads what an auditor printed: a line a sidecar, and one that sums up each round.
-func findings(p *plan.Plan, log *trace.Log, printed []byte) (out []finding, rounds int, err error) {
+func parseFindings(p *plan.Plan, log *trace.Log, printed []byte) (out []finding, rounds int, err error) {
 	sidecars := map[string]int{}
 	for i := range p.Sidecars {
 		sidecars[p.Sidecars[i].Name] = i
@@ -166,7 +166,7 @@
 				if f.status == "not reached" { // it has not been seen in this round
 					f.from, f.to = l.At.D()-start, l.At.D()-start
 				}
-				f.from, f.to, f.reference = f.from-l.Took.D()-clocksApart, f.to+l.Took.D()+clocksApart, l.Reference.Digest
+				f.from, f.to, f.reference = f.from-l.Took.D()-clockTolerance, f.to+l.Took.D()+clockTolerance, l.Reference.Digest
 				out = append(out, f)
 			}
 			round = nil
@@ -175,26 +175,26 @@
 	return out, rounds, nil
 }
 
-// Ends are the times from when the list service told a list until each straggler was brought up to it or had shut itself out, in the
+// ResolutionTimes are the times from when the list service told a list until each straggler was brought up to it or had shut itself out, in the
 // order of the lists, and how many were neither by the end. Who held it within settle is no straggler.
-func Ends(p *plan.Plan, log *trace.Log, settle time.Duration) (ends []time.Duration, never int) {
-	all, over := reigns(log), p.Scenario.Length.D() // when what was cut is healed
+func ResolutionTimes(p *plan.Plan, log *trace.Log, settle time.Duration) (ends []time.Duration, never int) {
+	all, over := referenceSpans(log), p.Scenario.Length.D() // when what was cut is healed
 	for i, r := range all {
 		for sidecar := range p.Sidecars {
-			if p.Sidecars[sidecar].Box >= 0 || !alive(log, sidecar, r.from, r.from+settle) {
+			if p.Sidecars[sidecar].Box >= 0 || !isRunning(log, sidecar, r.from, r.from+settle) {
 				continue
 			}
-			stretches := held(log, sidecar)
-			if anyOf(between(stretches, r.from, r.from+settle), all[i:]) {
+			stretches := possibleLists(log, sidecar)
+			if containsAny(listsBetween(stretches, r.from, r.from+settle), all[i:]) {
 				continue
 			}
 			end := model.Never
 			for _, s := range stretches {
-				if s.from > r.from && s.from < over && anyOf(s.digests, all[i:]) {
+				if s.from > r.from && s.from < over && containsAny(s.digests, all[i:]) {
 					end = min(end, s.from)
 				}
 			}
-			for _, s := range shut(log, sidecar) {
+			for _, s := range shutOutSpans(log, sidecar) {
 				if s[0] < over && s[1] > r.from {
 					end = min(end, max(s[0], r.from))
 				}
@@ -210,7 +210,7 @@
 }
 
 // shut are the times in which a sidecar took nothing new, by its own trail.
-func shut(log *trace.Log, sidecar int) (out [][2]time.Duration) {
+func shutOutSpans(log *trace.Log, sidecar int) (out [][2]time.Duration) {
 	is, life := false, ""
 	for _, e := range log.AuditLogs[sidecar] {
 		at := e.At.D() - time.Duration(log.Start.UnixMilli())*time.Millisecond
--- a/internal/lab/auditcheck/held.go
+++ b/internal/lab/auditcheck/possible_lists.go
@@ -12,7 +12,7 @@
 )
 
 // stretch is a time from which on a sidecar may have acted on these lists and no others, until the next one.
-type stretch struct {
+type listSpan struct {
 	from    time.Duration
 	digests []version.Digest // sorted
 }
@@ -20,7 +20,7 @@
 // held follows what one sidecar may have acted on. A list may be acted on from the moment in which it was written to the
 // sidecar; the lists before it can't be any more once the sidecar asks for what is newer than a revision, for so it says which
 // list it holds. Nothing depends on how long anything took.
-func held(log *trace.Log, sidecar int) []stretch {
+func possibleLists(log *trace.Log, sidecar int) []listSpan {
 	type event struct {
 		at    time.Duration
 		order int // of events at one moment: what widens comes first
@@ -69,21 +69,21 @@
 		}
 	}
 	slices.SortStableFunc(events, func(a, b event) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.order, b.order)) })
-	var out []stretch
+	var out []listSpan
 	for _, e := range events {
 		e.apply()
 		if n := len(out); n > 0 && out[n-1].from == e.at {
 			out[n-1].digests = slices.Clone(now)
 			continue
 		}
-		out = append(out, stretch{e.at, slices.Clone(now)})
+		out = append(out, listSpan{e.at, slices.Clone(now)})
 	}
 	return out
 }
 
 // between are the lists that may have been acted on at some moment from one to another.
-func between(all []stretch, from, to time.Duration) []version.Digest {
-	i, _ := slices.BinarySearchFunc(all, from, func(s stretch, at time.Duration) int { return cmp.Compare(s.from, at+1) })
+func listsBetween(all []listSpan, from, to time.Duration) []version.Digest {
+	i, _ := slices.BinarySearchFunc(all, from, func(s listSpan, at time.Duration) int { return cmp.Compare(s.from, at+1) })
 	i = max(0, i-1) // the stretch in which it begins
 	var out []version.Digest
 	for ; i < len(all) && all[i].from <= to; i++ {
--- a/internal/lab/loopback/audit_test.go
+++ b/internal/lab/loopback/audit_test.go
@@ -93,7 +93,7 @@
 		{"all are killed while they adopt", lengthLine("20s") + auditedFleet + onDisk + drainAt("8s") + faultAt("sidecar_kill", "9s", "share = 1.0\nstep = \"30ms\"\nback = \"1s\""),
 			lengthLine("20s") + auditedFleet + trails + drainAt("8s") + faultAt("sidecar_kill", "9s", "share = 1.0\nstep = \"30ms\"\nback = \"1s\""), func(o *processPlay) bool {
 				v := o.res.Audited.Trails
-				return v.Wrong == 0 && v.Missing == 0 && len(v.Unread) == 0 && v.Sure > 0
+				return v.Contradicted == 0 && v.Missing == 0 && len(v.UnreadSidecars) == 0 && v.Unambiguous > 0
 			}},
 		{"a floor that nobody meets shuts nobody out", lengthLine("36s") + auditedFleet + trails + auditor + shuts + cutOff + drainedEndpoints, halfShutOut, func(o *processPlay) bool {
 			return o.countServed(30*time.Second) == 12
@@ -199,11 +199,11 @@
 	if a == nil {
 		return
 	}
-	if v := a.Trails; v != nil && v.Wrong > 0 {
+	if v := a.Trails; v != nil && v.Contradicted > 0 {
 		o.t.Errorf("trails: %+v", *v)
 	}
 	for name, f := range a.Auditors {
-		if f.Hidden > 0 || f.False > 0 {
+		if f.Missed > 0 || f.FalsePositives > 0 {
 			o.t.Errorf("auditor %s: %+v", name, f)
 		}
 	}
--- a/internal/lab/result/audits.go
+++ b/internal/lab/result/audits.go
@@ -38,23 +38,23 @@
 func (r *run) audits() *Audited {
 	late := r.grace() + lateBeyond
 	out := &Audited{Auditors: map[string]auditcheck.Stragglers{}, Faults: []string{}, ByWhom: map[string]int{}}
-	for sidecar, n := range auditcheck.Left(r.plan, r.log, late) {
+	for sidecar, n := range auditcheck.CountAfterDrain(r.plan, r.log, late) {
 		out.Late += n
 		out.ByWhom[r.plan.Sidecars[sidecar].Name] = n
 	}
 	if len(r.log.AuditLogs) > 0 {
-		v := auditcheck.Judge(r.plan, r.log, r.log.AuditLogs)
+		v := auditcheck.CompareAuditLogs(r.plan, r.log, r.log.AuditLogs)
 		out.Trails = &v
 	}
 	for _, a := range r.plan.Scenario.Audit {
-		found, err := auditcheck.Find(r.plan, r.log, r.log.Findings[a.Name], late)
+		found, err := auditcheck.CompareFindings(r.plan, r.log, r.log.Findings[a.Name], late)
 		if err != nil {
 			out.Faults = append(out.Faults, err.Error())
 		}
 		out.Auditors[a.Name] = found
 	}
 	slices.Sort(out.Faults)
-	ends, never := auditcheck.Ends(r.plan, r.log, lateBeyond)
+	ends, never := auditcheck.ResolutionTimes(r.plan, r.log, lateBeyond)
 	out.Ends, out.Goes = spreadOf(ends), never
 	return out
 }
@@ -77,10 +77,10 @@
 		if a.Trails == nil {
 			return 0, false
 		}
-		return float64(map[string]int{"audit_wrong": a.Trails.Wrong, "audit_missing": a.Trails.Missing + len(a.Trails.Unread)}[what]), true
+		return float64(map[string]int{"audit_wrong": a.Trails.Contradicted, "audit_missing": a.Trails.Missing + len(a.Trails.UnreadSidecars)}[what]), true
 	}
 	for _, f := range a.Auditors {
-		v = max(v, float64(map[string]int{"audit_hidden": f.Hidden + f.Unasked, "audit_false": f.False}[what]))
+		v = max(v, float64(map[string]int{"audit_hidden": f.Missed + f.Unreached, "audit_false": f.FalsePositives}[what]))
 	}
 	return v, len(a.Auditors) > 0 && len(a.Faults) == 0
 }
--- a/internal/lab/result/summary.go
+++ b/internal/lab/result/summary.go
@@ -168,12 +168,12 @@
 	}
 	p.line("Audit     %d attempts at boxes that had left, more than the grace and a second after", a.Late)
 	if t := a.Trails; t != nil {
-		p.line("            trails: %d attempts for %d visits (%d sure); wrong %d, missing %d, unproven %d, unread %d", t.Attempts, t.Visits, t.Sure,
-			t.Wrong, t.Missing, t.Unproven, len(t.Unread))
+		p.line("            trails: %d attempts for %d visits (%d sure); wrong %d, missing %d, unproven %d, unread %d", t.Attempts, t.EndpointRequests, t.Unambiguous,
+			t.Contradicted, t.Missing, t.Unrecordable, len(t.UnreadSidecars))
 	}
 	for _, name := range slices.Sorted(maps.Keys(a.Auditors)) {
 		f := a.Auditors[name]
-		p.line("            %s: %d stragglers in %d rounds: found %d, not reached %d, hidden %d; false %d", name, f.True, f.Rounds, f.Found, f.Unasked, f.Hidden, f.False)
+		p.line("            %s: %d stragglers in %d rounds: found %d, not reached %d, hidden %d; false %d", name, f.Actual, f.Rounds, f.Detected, f.Unreached, f.Missed, f.FalsePositives)
 	}
 	for _, f := range a.Faults {
 		p.line("            %s", p.bad(f))
