--- a/internal/lab/auditcheck/audit_logs.go
+++ b/internal/lab/auditcheck/audit_logs.go
@@ -1,3 +1,6 @@
+// Package auditcheck checks whether what an audit found is true. It knows from the trace which endpoint lists were written to each
+// sidecar and what each endpoint received, and compares the sidecars' audit logs (CompareAuditLogs) and the auditors' findings
+// (CompareFindings, ResolutionTimes) with that. It is pure; package result and tests call it.
 package auditcheck
 
 import (
@@ -15,231 +18,283 @@
 )
 
 const (
-	maxDetails     = 20                   // faults that are told in words
-	clockTolerance = 5 * time.Millisecond // a trail has milliseconds of the wall clock, the trace those of the run
+	maxDetails     = 20                   // mismatches that are described in words
+	clockTolerance = 5 * time.Millisecond // an audit log has milliseconds of the wall clock, the trace those of the run
+	beforeRun      = -time.Hour           // stands for every time before the run's start, which the trace doesn't have
 )
 
-// Verdict compares the trails of the sidecars of the first tier with what boxes received.
+// Verdict is the comparison of the audit logs of the first tier's sidecars with what endpoints received. It stands in result files.
 type Verdict struct {
-	EndpointRequests int      `json:"visits"`   // at boxes, of sidecars whose trails were read
-	Attempts         int      `json:"attempts"` // in trails
-	Unambiguous      int      `json:"sure"`     // visits that can only belong to one list; the others may belong to one of two or more
-	Unrecordable     int      `json:"unproven"` // made after the last count of a process that was killed: its trail can't have them
-	Contradicted     int      `json:"wrong"`    // attempts in trails under a list that the sidecar can't have made them under
-	Unreceived       int      `json:"unseen"`   // attempts that no box may have seen: by the trail, or as the box's process or machine went down in the play
-	Missing          int      `json:"missing"`  // visits in no trail under a list that they may belong to
-	UnreadSidecars   []string `json:"unread"`   // sidecars that sent something and whose trail nobody has
-	Details          []string `json:"stories"`
-}
-
-// cell is what is counted: attempts of a class at a box.
+	EndpointRequests int      `json:"visits"`   // received by endpoints, from sidecars whose audit logs were read
+	Attempts         int      `json:"attempts"` // in audit logs
+	Unambiguous      int      `json:"sure"`     // endpoint requests that can only belong to one list; the others may belong to two or more
+	Unrecordable     int      `json:"unproven"` // made after the last count of a process that was killed: its audit log can't have them
+	Contradicted     int      `json:"wrong"`    // attempts in audit logs under a list under which the sidecar can't have made them
+	Unreceived       int      `json:"unseen"`   // attempts that no endpoint may have received: by the audit log, or as the endpoint went down
+	Missing          int      `json:"missing"`  // endpoint requests in no audit log under a list to which they may belong
+	UnreadSidecars   []string `json:"unread"`   // sidecars that sent something and whose audit log nobody has
+	Details          []string `json:"stories"`  // the first mismatches in words
+}
+
+// bucket is what is counted: attempts of a class at an endpoint under a list.
 type bucket struct {
-	digest   version.Digest
+	digest   version.Digest // 0 stands for all lists
 	class    string
 	endpoint string
 }
 
-// count is of a cell: attempts in a trail, and of them those that may not have come to the box; visits at the box that must
-// belong to the cell, and those that may.
-type tally struct{ attempts, unreceived, certain, possible int }
+func compareBuckets(a, b bucket) int {
+	return cmp.Or(cmp.Compare(a.digest, b.digest), cmp.Compare(a.class, b.class), cmp.Compare(a.endpoint, b.endpoint))
+}
 
-// CompareAuditLogs compares. Trails are by sidecar: all entries that anybody has of it, of all its processes, in their order.
-func CompareAuditLogs(p *plan.Plan, log *trace.Log, trails map[int][]auditlog.Entry) Verdict {
-	j := comparison{plan: p, log: log, downEndpoints: map[string]bool{}, verdict: Verdict{UnreadSidecars: []string{}, Details: []string{}}}
-	for _, e := range p.Events {
-		if e.Kind == plan.BeginFault && e.At <= log.End && (e.Fault.Kind == model.Dead || e.Fault.Kind == model.Vanish) {
-			j.downEndpoints[p.Boxes[e.Box].Name] = true
-		}
-	}
-	for sidecar, visits := range j.requestsBySidecar() {
-		entries := trails[sidecar]
-		if len(entries) == 0 {
-			if len(visits) > 0 {
-				j.verdict.UnreadSidecars = append(j.verdict.UnreadSidecars, p.Sidecars[sidecar].Name)
-			}
-			continue
-		}
-		j.compareSidecar(sidecar, visits, entries)
+// tally is the counts of a bucket.
+type tally struct {
+	attempts   int // in the audit log
+	unreceived int // of them, those that may not have reached the endpoint
+	certain    int // endpoint requests that must belong to the bucket
+	possible   int // endpoint requests that may belong to it
+}
+
+// tallies are tallies by bucket.
+type tallies map[bucket]*tally
+
+// of is the tally of a bucket, which it makes if there is none.
+func (t tallies) of(b bucket) *tally {
+	if t[b] == nil {
+		t[b] = &tally{}
 	}
-	return j.verdict
+	return t[b]
 }
 
+// ofAllLists is the tally of a bucket over all lists.
+func (t tallies) ofAllLists(b bucket) *tally {
+	b.digest = 0
+	return t.of(b)
+}
+
+// span is from one time to another.
+type span struct{ from, to time.Duration }
+
+// comparison is the state of one CompareAuditLogs.
 type comparison struct {
 	plan          *plan.Plan
 	log           *trace.Log
-	downEndpoints map[string]bool // boxes whose process or machine went down
+	downEndpoints map[string]bool // those whose process or host went down
 	verdict       Verdict
 }
 
-// visit is one with the time in which it was decided: not before its client asked, nor after its first byte came.
+// CompareAuditLogs compares audit logs with a trace. They are by sidecar: all entries that anybody has of it, of all its processes,
+// in their order.
+func CompareAuditLogs(p *plan.Plan, log *trace.Log, auditLogs map[int][]auditlog.Entry) Verdict {
+	c := comparison{
+		plan:          p,
+		log:           log,
+		downEndpoints: map[string]bool{},
+		verdict:       Verdict{UnreadSidecars: []string{}, Details: []string{}},
+	}
+	for _, event := range p.Events {
+		if event.Kind == plan.BeginFault && event.At <= log.End && (event.Fault.Kind == model.Dead || event.Fault.Kind == model.Vanish) {
+			c.downEndpoints[p.Boxes[event.Box].Name] = true
+		}
+	}
+	for sidecar, requests := range c.requestsBySidecar() {
+		entries := auditLogs[sidecar]
+		if len(entries) == 0 {
+			if len(requests) > 0 {
+				c.verdict.UnreadSidecars = append(c.verdict.UnreadSidecars, p.Sidecars[sidecar].Name)
+			}
+			continue
+		}
+		c.compareSidecar(sidecar, requests, entries)
+	}
+	return c.verdict
+}
+
+// firstTierRequest is an endpoint request with the span in which its sidecar chose the endpoint: not before the client sent it, nor
+// after its first byte arrived.
 type firstTierRequest struct {
 	class            string
 	endpoint         string
 	earliest, latest time.Duration
 }
 
-// visits are those that each sidecar of the first tier has made, by sidecar.
-func (j *comparison) requestsBySidecar() [][]firstTierRequest {
-	tries := make(map[uint64]*trace.ClientAttempt, len(j.log.ClientAttempts))
-	answered := map[[2]int]time.Duration{} // by request and number of the try
-	for i := range j.log.ClientAttempts {
-		t := &j.log.ClientAttempts[i]
-		if tries[t.TransactionID] = t; t.Tier == 0 {
-			answered[[2]int{t.Request, t.Number}] = t.Ended
+// requestsBySidecar are the endpoint requests of each sidecar of the first tier.
+func (c *comparison) requestsBySidecar() [][]firstTierRequest {
+	type attemptKey struct{ request, number int }
+	attempts := make(map[uint64]*trace.ClientAttempt, len(c.log.ClientAttempts))
+	endedAt := map[attemptKey]time.Duration{}
+	for i := range c.log.ClientAttempts {
+		attempt := &c.log.ClientAttempts[i]
+		attempts[attempt.TransactionID] = attempt
+		if attempt.Tier == 0 {
+			endedAt[attemptKey{attempt.Request, attempt.Number}] = attempt.Ended
 		}
 	}
-	out := make([][]firstTierRequest, 0, len(j.plan.Sidecars))
-	for i := range j.plan.Sidecars {
-		if j.plan.Sidecars[i].Box < 0 {
-			out = append(out, nil)
+	bySidecar := make([][]firstTierRequest, 0, len(c.plan.Sidecars))
+	for i := range c.plan.Sidecars {
+		if c.plan.Sidecars[i].Box < 0 {
+			bySidecar = append(bySidecar, nil)
 		}
 	}
-	for i := range j.log.EndpointRequests {
-		v := &j.log.EndpointRequests[i]
-		t := tries[v.TransactionID]
-		if t == nil || t.Tier != 0 || t.Sidecar >= len(out) {
+	for i := range c.log.EndpointRequests {
+		request := &c.log.EndpointRequests[i]
+		attempt := attempts[request.TransactionID]
+		if attempt == nil || attempt.Tier != 0 || attempt.Sidecar >= len(bySidecar) {
 			continue
 		}
-		from := t.Due
-		if t.Number > 0 { // a retry is sent once the try before it is over
-			from = max(from, answered[[2]int{t.Request, t.Number - 1}])
+		earliest := attempt.Due
+		if attempt.Number > 0 { // a retry is sent once the previous attempt has ended
+			earliest = max(earliest, endedAt[attemptKey{attempt.Request, attempt.Number - 1}])
 		}
-		out[t.Sidecar] = append(out[t.Sidecar], firstTierRequest{j.plan.Scenario.Class[t.Class].Name, j.plan.Boxes[v.Endpoint].Name, from, v.FirstByte})
+		bySidecar[attempt.Sidecar] = append(bySidecar[attempt.Sidecar], firstTierRequest{
+			class:    c.plan.Scenario.Class[attempt.Class].Name,
+			endpoint: c.plan.Boxes[request.Endpoint].Name,
+			earliest: earliest,
+			latest:   request.FirstByte,
+		})
 	}
-	return out
+	return bySidecar
+}
+
+// compareSidecar compares one sidecar's audit log. An endpoint request must be in it under its list if that can only be one, and
+// else under one of its possible lists; an attempt in it must be an endpoint request that may belong to its list, unless it is
+// proved not to have reached its endpoint, or was canceled.
+func (c *comparison) compareSidecar(sidecar int, requests []firstTierRequest, entries []auditlog.Entry) {
+	perList, overall := tallies{}, tallies{}
+	c.tallyAuditLog(entries, perList, overall)
+	c.tallyRequests(sidecar, requests, c.unrecordedSpans(sidecar, entries), perList, overall)
+	missing, contradicted := c.mismatches(sidecar, perList)
+	missingOverall, contradictedOverall := c.mismatches(sidecar, overall)
+	// What is missing under one list is missing overall, unless it stands under another list.
+	c.verdict.Missing += max(missing, missingOverall)
+	c.verdict.Contradicted += max(contradicted, contradictedOverall)
 }
 
-// compare is of one sidecar. A visit must be in the trail under its list if that can only be one, and under one of those
-// that it can be otherwise; an attempt in the trail must be a visit that may belong to its list, unless it proved never to have
-// come to its box, or was withdrawn.
-func (j *comparison) compareSidecar(sidecar int, visits []firstTierRequest, entries []auditlog.Entry) {
-	cells := map[bucket]*tally{}
-	of := func(c bucket) *tally {
-		if cells[c] == nil {
-			cells[c] = &tally{}
+// tallyAuditLog counts the attempts in an audit log.
+func (c *comparison) tallyAuditLog(entries []auditlog.Entry, perList, overall tallies) {
+	for b, counted := range tallyEntries(entries) {
+		if c.downEndpoints[b.endpoint] { // what was in flight then, no endpoint has received and no audit log can tell
+			counted.unreceived = counted.attempts
 		}
-		return cells[c]
+		c.verdict.Attempts += counted.attempts
+		c.verdict.Unreceived += counted.unreceived
+		*perList.of(b) = counted
+		total := overall.ofAllLists(b)
+		total.attempts += counted.attempts
+		total.unreceived += counted.unreceived
 	}
-	all := map[bucket]*tally{} // over all lists
-	whole := func(c bucket) *tally {
-		c.digest = 0
-		if all[c] == nil {
-			all[c] = &tally{}
+}
+
+// tallyRequests counts the requests that endpoints received.
+func (c *comparison) tallyRequests(sidecar int, requests []firstTierRequest, unrecorded []span, perList, overall tallies) {
+	lists := possibleLists(c.log, sidecar)
+	for _, request := range requests {
+		c.verdict.EndpointRequests++
+		possible := listsBetween(lists, request.earliest, request.latest)
+		for _, digest := range possible {
+			perList.of(bucket{digest, request.class, request.endpoint}).possible++
 		}
-		return all[c]
-	}
-	for c, n := range tallyEntries(entries) {
-		if j.downEndpoints[c.endpoint] { // what was on its way then, no box has seen and no trail can tell
-			n.unreceived = n.attempts
-		}
-		j.verdict.Unreceived += n.unreceived
-		*of(c) = n
-		w := whole(c)
-		w.attempts, w.unreceived = w.attempts+n.attempts, w.unreceived+n.unreceived
-		j.verdict.Attempts += n.attempts
-	}
-	stretches, gone := possibleLists(j.log, sidecar), j.unrecordedSpans(sidecar, entries)
-	for _, v := range visits {
-		j.verdict.EndpointRequests++
-		lost := slices.ContainsFunc(gone, func(g [2]time.Duration) bool { return v.latest >= g[0] && v.earliest <= g[1] })
-		may := listsBetween(stretches, v.earliest, v.latest)
-		for _, d := range may {
-			of(bucket{d, v.class, v.endpoint}).possible++
-		}
-		w := whole(bucket{0, v.class, v.endpoint})
-		w.possible++
+		total := overall.ofAllLists(bucket{class: request.class, endpoint: request.endpoint})
+		total.possible++
 		switch {
-		case lost:
-			j.verdict.Unrecordable++
+		case slices.ContainsFunc(unrecorded, func(s span) bool { return request.latest >= s.from && request.earliest <= s.to }):
+			c.verdict.Unrecordable++
 			continue
-		case len(may) == 1:
-			j.verdict.Unambiguous++
-			of(bucket{may[0], v.class, v.endpoint}).certain++
+		case len(possible) == 1:
+			c.verdict.Unambiguous++
+			perList.of(bucket{possible[0], request.class, request.endpoint}).certain++
 		}
-		w.certain++
+		total.certain++
 	}
-	missing, wrong := j.mismatches(sidecar, cells)
-	inAll, tooMany := j.mismatches(sidecar, all)
-	j.verdict.Missing += max(missing, inAll) // what is missing under one list is missing in all, unless it stands under another
-	j.verdict.Contradicted += max(wrong, tooMany)
-}
-
-// faults are the visits that must be in cells and are not, and the attempts that are and can't be.
-func (j *comparison) mismatches(sidecar int, cells map[bucket]*tally) (missing, wrong int) {
-	for _, c := range slices.SortedFunc(maps.Keys(cells), func(a, b bucket) int {
-		return cmp.Or(cmp.Compare(a.digest, b.digest), cmp.Compare(a.class, b.class), cmp.Compare(a.endpoint, b.endpoint))
-	}) {
-		n := cells[c]
-		less, more := max(0, n.certain-n.attempts), max(0, n.attempts-n.unreceived-n.possible)
-		missing, wrong = missing+less, wrong+more
-		if less+more > 0 && len(j.verdict.Details) < maxDetails {
-			under := "all lists"
-			if c.digest != 0 {
-				under = fmt.Sprintf("list %016x", uint64(c.digest))
-			}
-			j.verdict.Details = append(j.verdict.Details, fmt.Sprintf("%s: %s at %s under %s: its trail has %d, of which %d may not have come; %d came for sure, %d perhaps",
-				j.plan.Sidecars[sidecar].Name, c.class, c.endpoint, under, n.attempts, n.unreceived, n.certain, n.possible))
+}
+
+// mismatches counts the endpoint requests that must be in buckets and are not, and the attempts that are and can't be.
+func (c *comparison) mismatches(sidecar int, all tallies) (missing, contradicted int) {
+	for _, b := range slices.SortedFunc(maps.Keys(all), compareBuckets) {
+		t := all[b]
+		tooFew, tooMany := max(0, t.certain-t.attempts), max(0, t.attempts-t.unreceived-t.possible)
+		missing, contradicted = missing+tooFew, contradicted+tooMany
+		if tooFew+tooMany == 0 || len(c.verdict.Details) >= maxDetails {
+			continue
 		}
+		under := "all lists"
+		if b.digest != 0 {
+			under = fmt.Sprintf("list %016x", uint64(b.digest))
+		}
+		c.verdict.Details = append(c.verdict.Details, fmt.Sprintf("%s: %s at %s under %s: its trail has %d, of which %d may not have come; %d came for sure, %d perhaps",
+			c.plan.Sidecars[sidecar].Name, b.class, b.endpoint, under, t.attempts, t.unreceived, t.certain, t.possible))
 	}
-	return missing, wrong
+	return missing, contradicted
 }
 
-// counted are a trail's attempts. What was made under a number that it does not explain is under no list.
+// tallyEntries counts the attempts in an audit log. What was made under a number that it does not explain is under no list.
 func tallyEntries(entries []auditlog.Entry) map[bucket]tally {
-	type number struct {
-		life  string
-		under uint32
+	type listNumber struct {
+		process string
+		under   uint32
 	}
-	lists := map[number]version.Digest{}
+	lists := map[listNumber]version.Digest{}
 	for i := range entries {
-		if e := &entries[i]; e.Kind == auditlog.Adopted && e.Version != nil {
-			lists[number{e.Life, e.Under}] = e.Version.List.Digest
+		if entry := &entries[i]; entry.Kind == auditlog.Adopted && entry.Version != nil {
+			lists[listNumber{entry.Life, entry.Under}] = entry.Version.List.Digest
 		}
 	}
-	out := map[bucket]tally{}
+	counts := map[bucket]tally{}
 	for i := range entries {
-		e := &entries[i]
-		if e.Kind != auditlog.Counted {
+		entry := &entries[i]
+		if entry.Kind != auditlog.Counted {
 			continue
 		}
-		for _, a := range e.Attempts {
-			c := bucket{lists[number{e.Life, e.Under}], a.Class, a.Host}
-			n := out[c]
-			n.attempts, n.unreceived = n.attempts+a.N, n.unreceived+a.Never+a.Left
-			out[c] = n
+		for _, attempts := range entry.Attempts {
+			b := bucket{lists[listNumber{entry.Life, entry.Under}], attempts.Class, attempts.Host}
+			t := counts[b]
+			t.attempts += attempts.N
+			t.unreceived += attempts.Never + attempts.Left
+			counts[b] = t
 		}
 	}
-	return out
+	return counts
 }
 
-// unproven are the times in which what a process did can't be in its trail: from its last count on until it was killed.
-func (j *comparison) unrecordedSpans(sidecar int, entries []auditlog.Entry) (out [][2]time.Duration) {
-	begun := time.Duration(0)
-	for _, c := range j.log.SidecarEvents {
-		if c.Sidecar != sidecar {
+// unrecordedSpans are those in which what a process did can't be in its audit log: from its last count on until it was killed.
+func (c *comparison) unrecordedSpans(sidecar int, entries []auditlog.Entry) (spans []span) {
+	started := time.Duration(0)
+	for _, event := range c.log.SidecarEvents {
+		if event.Sidecar != sidecar {
 			continue
 		}
-		switch c.Kind {
+		switch event.Kind {
 		case trace.SidecarStarted:
-			if begun = c.At; begun == 0 { // before the run, which has no time of its own
-				begun = -time.Hour
+			if started = event.At; started == 0 {
+				started = beforeRun
 			}
 		case trace.SidecarKilled, trace.SidecarCrashed:
-			last, any := begun, false
-			for i := range entries {
-				at := entries[i].At.D() - time.Duration(j.log.Start.UnixMilli())*time.Millisecond
-				if at < begun-clockTolerance || at > c.At+clockTolerance {
-					continue
-				}
-				any = true // a process of which nothing at all is left excuses nothing
-				if entries[i].Kind == auditlog.Counted {
-					last = max(last, at)
-				}
-			}
-			if any {
-				out = append(out, [2]time.Duration{last - clockTolerance, c.At})
+			if last, found := lastCount(c.log, entries, started, event.At); found {
+				spans = append(spans, span{last - clockTolerance, event.At})
 			}
 		}
 	}
-	return out
+	return spans
+}
+
+// lastCount is the time of the last count in an audit log between a process's start and its end, or its start; false if the audit log
+// has nothing at all of that time, which excuses nothing.
+func lastCount(log *trace.Log, entries []auditlog.Entry, started, ended time.Duration) (last time.Duration, found bool) {
+	last = started
+	for i := range entries {
+		at := runTime(log, entries[i].At)
+		if at < started-clockTolerance || at > ended+clockTolerance {
+			continue
+		}
+		found = true
+		if entries[i].Kind == auditlog.Counted {
+			last = max(last, at)
+		}
+	}
+	return last, found
+}
+
+// runTime converts milliseconds of the wall clock to the run's time.
+func runTime(log *trace.Log, at version.Millis) time.Duration {
+	return at.D() - time.Duration(log.Start.UnixMilli())*time.Millisecond
 }
--- a/internal/lab/auditcheck/audit_logs_test.go
+++ b/internal/lab/auditcheck/audit_logs_test.go
@@ -36,8 +36,8 @@
 
 func seconds(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
-// story is a play of two sidecars: n1 is told list A before the run and B at 5 s, which it has taken over by 6 s; n2 is told A
-// alone. Both ask a box each second, n1 also once at 5.5 s, when nobody can say by which of the two.
+// newRun is a play of two sidecars: n1 is sent list A before the run and B at 5 s, which it has adopted by 6 s; n2 is sent A alone. Both
+// send a request each second, n1 also once at 5.5 s, when nobody can say under which of the two.
 func newRun(t *testing.T) (*plan.Plan, *trace.Log, map[int][]auditlog.Entry) {
 	s, err := scenario.Parse("small.toml", []byte(scenarioText))
 	if err != nil {
@@ -79,7 +79,7 @@
 	}
 }
 
-// A trail that is true is found so, and each fault that is planted in it is found with that kind alone.
+// TestCompareAuditLogs checks that a correct audit log passes, and that each mistake planted in it is found, with its kind alone.
 func TestCompareAuditLogs(t *testing.T) {
 	for _, c := range []struct {
 		name                     string
@@ -149,7 +149,8 @@
 	}
 }
 
-// With a second process beside the first, a call says nothing of what the other one holds until the first has ended.
+// TestPossibleListsOfTwoProcesses checks that, with a second process beside the first, a poll says nothing of what the other one holds
+// until the first has exited.
 func TestPossibleListsOfTwoProcesses(t *testing.T) {
 	log := &trace.Log{
 		SidecarEvents: []trace.SidecarEvent{{Kind: trace.SidecarStarted, Digest: listA}, {At: seconds(2), Kind: trace.SidecarUpgradeStarted}, {At: seconds(4), Kind: trace.SidecarUpgradeFinished}},
@@ -169,7 +170,7 @@
 	}
 }
 
-// What an auditor printed is measured by what is true: a straggler that is hidden, and one that is none, are found.
+// TestCompareFindings measures an auditor's output by what is true: a straggler that is missed, and a false positive, are found.
 func TestCompareFindings(t *testing.T) {
 	const reached = `{"line":"sidecar","name":"n%d","status":"%s","seen_ms":%d}` + "\n"
 	const summary = `{"line":"summary","at_ms":%d,"took_ms":10,"reference":{"digest":"%016x"}}` + "\n"
--- a/internal/lab/auditcheck/drain.go
+++ b/internal/lab/auditcheck/drain.go
@@ -8,33 +8,37 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-// CountAfterDrain counts, by sidecar, the attempts at boxes of the first tier that came later than late after discovery first told anybody that
-// the box leaves or is gone, and before it told that it is back.
+// CountAfterDrain counts, by sidecar, the requests at endpoints of the first tier that came later than late after discovery first
+// notified anybody that the endpoint drains or is gone, and before it announced that the endpoint is back.
 func CountAfterDrain(p *plan.Plan, log *trace.Log, late time.Duration) map[int]int {
-	type off struct{ from, to time.Duration }
-	boxes := map[int]*off{}
-	for _, e := range p.Events { // by time
-		if e.Kind != plan.Tell || p.Boxes[e.Entry.Box].Tier != 0 {
+	drains := map[int]*span{}        // by endpoint
+	for _, event := range p.Events { // by time
+		if event.Kind != plan.Tell || p.Boxes[event.Entry.Box].Tier != 0 {
 			continue
 		}
-		o := boxes[e.Entry.Box]
+		ready := event.Entry.Phase == trace.PhaseReady
+		drain := drains[event.Entry.Box]
 		switch {
-		case e.Entry.Phase != trace.PhaseReady && o == nil:
-			boxes[e.Entry.Box] = &off{e.At, model.Never}
-		case e.Entry.Phase == trace.PhaseReady && o != nil:
-			o.to = min(o.to, e.At)
+		case !ready && drain == nil:
+			drains[event.Entry.Box] = &span{event.At, model.Never}
+		case ready && drain != nil:
+			drain.to = min(drain.to, event.At)
 		}
 	}
-	tries := map[uint64]*trace.ClientAttempt{}
+	attempts := map[uint64]*trace.ClientAttempt{}
 	for i := range log.ClientAttempts {
-		tries[log.ClientAttempts[i].TransactionID] = &log.ClientAttempts[i]
+		attempts[log.ClientAttempts[i].TransactionID] = &log.ClientAttempts[i]
 	}
-	out := map[int]int{}
+	counts := map[int]int{}
 	for i := range log.EndpointRequests {
-		v := &log.EndpointRequests[i]
-		if o, t := boxes[v.Endpoint], tries[v.TransactionID]; o != nil && t != nil && t.Tier == 0 && v.FirstByte > o.from+late && v.FirstByte < o.to {
-			out[t.Sidecar]++
+		request := &log.EndpointRequests[i]
+		drain, attempt := drains[request.Endpoint], attempts[request.TransactionID]
+		if drain == nil || attempt == nil || attempt.Tier != 0 {
+			continue
+		}
+		if request.FirstByte > drain.from+late && request.FirstByte < drain.to {
+			counts[attempt.Sidecar]++
 		}
 	}
-	return out
+	return counts
 }
--- a/internal/lab/auditcheck/possible_lists.go
+++ b/internal/lab/auditcheck/possible_lists.go
@@ -1,5 +1,3 @@
-// Package audited says whether what an audit found is true. It is pure: it knows from the trace what each sidecar was told and
-// what each box received, and compares the sidecars' trails and the auditor's findings with that.
 package auditcheck
 
 import (
@@ -11,84 +9,127 @@
 	"pinelb.example/pinelb/internal/version"
 )
 
-// stretch is a time from which on a sidecar may have acted on these lists and no others, until the next one.
+// listSpan is a time from which on a sidecar may have acted on these lists and no others, until the next listSpan.
 type listSpan struct {
 	from    time.Duration
 	digests []version.Digest // sorted
 }
 
-// held follows what one sidecar may have acted on. A list may be acted on from the moment in which it was written to the
-// sidecar; the lists before it can't be any more once the sidecar asks for what is newer than a revision, for so it says which
-// list it holds. Nothing depends on how long anything took.
-func possibleLists(log *trace.Log, sidecar int) []listSpan {
-	type event struct {
-		at    time.Duration
-		order int // of events at one moment: what widens comes first
-		apply func()
+// Order of events at one moment: what adds lists comes before what excludes some.
+const (
+	orderAdds     = 0
+	orderExcludes = 1
+	orderEnds     = 2 // of one of two processes
+)
+
+// listEvent is an event that changes which lists a sidecar may act on.
+type listEvent struct {
+	at    time.Duration
+	order int
+	apply func(*listTracker)
+}
+
+// listTracker follows which lists a sidecar may act on.
+type listTracker struct {
+	possible     []version.Digest // sorted
+	byRevision   map[int64]version.Digest
+	configured   version.Digest // by the configuration of the last process
+	twoProcesses bool           // while an upgrade is under way
+}
+
+// add adds a list to the possible ones. It doesn't change the old slice.
+func (t *listTracker) add(digest version.Digest) {
+	if i, has := slices.BinarySearch(t.possible, digest); !has {
+		t.possible = slices.Insert(slices.Clone(t.possible), i, digest)
+	}
+}
+
+// start is the start of a process. The lists before it may come from its disk, and so may one of which nothing is known.
+func (t *listTracker) start(configured version.Digest) {
+	t.configured = configured
+	t.add(configured)
+	t.add(0)
+}
+
+// poll is a poll for what is newer than a revision, by which the sidecar says which list it holds. While there are two processes, one
+// of them polls, and the other may hold another list.
+func (t *listTracker) poll(since int64) {
+	digest, known := t.byRevision[since]
+	if !known {
+		digest = t.configured
+	}
+	if !t.twoProcesses {
+		t.possible = []version.Digest{digest}
 	}
-	var events []event
-	var now []version.Digest
-	latest := map[int64]version.Digest{} // by revision
-	configured, beside := version.Digest(0), false
-	add := func(d version.Digest) {
-		if at, has := slices.BinarySearch(now, d); !has {
-			now = slices.Insert(slices.Clone(now), at, d)
+	t.add(digest)
+}
+
+// respond is a list that was written to the sidecar.
+func (t *listTracker) respond(revision int64, digest version.Digest) {
+	t.byRevision[revision] = digest
+	t.add(digest)
+}
+
+// possibleLists follows which lists one sidecar may have acted on. A list is possible from the moment in which it was written to the
+// sidecar; earlier ones are excluded once the sidecar polls for what is newer than a revision, as it says then which list it holds.
+// Nothing depends on how long anything took.
+func possibleLists(log *trace.Log, sidecar int) []listSpan {
+	events := listEvents(log, sidecar)
+	slices.SortStableFunc(events, func(a, b listEvent) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.order, b.order)) })
+	tracker := &listTracker{byRevision: map[int64]version.Digest{}}
+	var spans []listSpan
+	for _, event := range events {
+		event.apply(tracker)
+		digests := slices.Clone(tracker.possible)
+		if last := len(spans) - 1; last >= 0 && spans[last].from == event.at {
+			spans[last].digests = digests
+			continue
 		}
+		spans = append(spans, listSpan{event.at, digests})
 	}
-	for _, c := range log.SidecarEvents {
-		if c.Sidecar != sidecar {
+	return spans
+}
+
+// listEvents are the events of one sidecar, in no order.
+func listEvents(log *trace.Log, sidecar int) (events []listEvent) {
+	add := func(at time.Duration, order int, apply func(*listTracker)) {
+		events = append(events, listEvent{at, order, apply})
+	}
+	for _, event := range log.SidecarEvents {
+		if event.Sidecar != sidecar {
 			continue
 		}
-		switch c.Kind {
+		switch event.Kind {
 		case trace.SidecarStarted:
-			events = append(events, event{c.At, 0, func() { configured = c.Digest; add(c.Digest); add(0) }}) // what it had before may come from its disk
+			add(event.At, orderAdds, func(t *listTracker) { t.start(event.Digest) })
 		case trace.SidecarUpgradeStarted:
-			events = append(events, event{c.At, 0, func() { beside = true }})
+			add(event.At, orderAdds, func(t *listTracker) { t.twoProcesses = true })
 		case trace.SidecarUpgradeFinished:
-			events = append(events, event{c.At, 2, func() { beside = false }})
+			add(event.At, orderEnds, func(t *listTracker) { t.twoProcesses = false })
 		}
 	}
-	for _, a := range log.Polls {
-		if a.Sidecar != sidecar {
+	for _, poll := range log.Polls {
+		if poll.Sidecar != sidecar {
 			continue
 		}
-		if a.Watch {
-			events = append(events, event{a.At, 1, func() {
-				d, told := latest[a.SinceRevision]
-				if !told {
-					d = configured
-				}
-				if !beside { // of two processes one asks, and the other may hold another list
-					now = []version.Digest{d}
-				}
-				add(d)
-			}})
+		if poll.Watch {
+			add(poll.At, orderExcludes, func(t *listTracker) { t.poll(poll.SinceRevision) })
 		}
-		if a.Digest != 0 { // it was written
-			events = append(events, event{a.RespondedAt, 0, func() { latest[a.Revision] = a.Digest; add(a.Digest) }})
-		}
-	}
-	slices.SortStableFunc(events, func(a, b event) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.order, b.order)) })
-	var out []listSpan
-	for _, e := range events {
-		e.apply()
-		if n := len(out); n > 0 && out[n-1].from == e.at {
-			out[n-1].digests = slices.Clone(now)
-			continue
+		if poll.Digest != 0 { // it was answered
+			add(poll.RespondedAt, orderAdds, func(t *listTracker) { t.respond(poll.Revision, poll.Digest) })
 		}
-		out = append(out, listSpan{e.at, slices.Clone(now)})
 	}
-	return out
+	return events
 }
 
-// between are the lists that may have been acted on at some moment from one to another.
-func listsBetween(all []listSpan, from, to time.Duration) []version.Digest {
-	i, _ := slices.BinarySearchFunc(all, from, func(s listSpan, at time.Duration) int { return cmp.Compare(s.from, at+1) })
-	i = max(0, i-1) // the stretch in which it begins
-	var out []version.Digest
-	for ; i < len(all) && all[i].from <= to; i++ {
-		out = append(out, all[i].digests...)
+// listsBetween are the lists on which the sidecar may have acted at some moment from one to another, sorted.
+func listsBetween(spans []listSpan, from, to time.Duration) []version.Digest {
+	i, _ := slices.BinarySearchFunc(spans, from, func(s listSpan, at time.Duration) int { return cmp.Compare(s.from, at+1) })
+	i = max(0, i-1) // the span in which it begins
+	var digests []version.Digest
+	for ; i < len(spans) && spans[i].from <= to; i++ {
+		digests = append(digests, spans[i].digests...)
 	}
-	slices.Sort(out)
-	return slices.Compact(out)
+	slices.Sort(digests)
+	return slices.Compact(digests)
 }
