--- a/internal/lab/auditcheck/audit_logs_test.go
+++ b/internal/lab/auditcheck/audit_logs_test.go
@@ -55,16 +55,16 @@
 	log.Polls = append(log.Polls, trace.DiscoveryPoll{At: seconds(0.5), Sidecar: 1, Watch: true, SinceRevision: 1, Outcome: trace.PollAbandoned},
 		trace.DiscoveryPoll{At: seconds(0.5), Sidecar: 0, Watch: true, SinceRevision: 1, RespondedAt: seconds(5), Revision: 2, Digest: listB},
 		trace.DiscoveryPoll{At: seconds(6), Sidecar: 0, Watch: true, SinceRevision: 2, Outcome: trace.PollAbandoned})
-	visit := func(sidecar int, when float64) {
+	request := func(sidecar int, when float64) {
 		txn := uint64(len(log.ClientAttempts) + 1)
 		log.ClientAttempts = append(log.ClientAttempts, trace.ClientAttempt{TransactionID: txn, Request: int(txn), Sidecar: sidecar, Due: seconds(when), Ended: seconds(when + 0.2)})
 		log.EndpointRequests = append(log.EndpointRequests, trace.EndpointRequest{TransactionID: txn, FirstByte: seconds(when + 0.1)})
 	}
 	for _, when := range []float64{1, 2, 3, 5.5, 7, 8} {
-		visit(0, when)
+		request(0, when)
 	}
 	for _, when := range []float64{1, 2, 7, 8} {
-		visit(1, when)
+		request(1, when)
 	}
 	adopted := func(seq uint64, under uint32, d version.Digest) auditlog.Entry {
 		return auditlog.Entry{At: 999_900, Seq: seq, Life: "l", Kind: auditlog.Adopted, Under: under, Version: &version.Version{List: version.List{Digest: d}}}
--- a/internal/lab/judge/property_test.go
+++ b/internal/lab/judge/property_test.go
@@ -42,13 +42,13 @@
 	for s := range 2 {
 		c.log.SidecarEvents = append(c.log.SidecarEvents, trace.SidecarEvent{At: -time.Minute, Sidecar: s, Kind: trace.SidecarStarted})
 		c.killedAt[s] = never
-		for box := range 3 {
-			c.unavailableAt[s][box] = never
-			if box > 0 && c.odds(30) {
+		for endpoint := range 3 {
+			c.unavailableAt[s][endpoint] = never
+			if endpoint > 0 && c.odds(30) {
 				at := c.span(4 * time.Second)
-				c.unavailableAt[s][box] = at
+				c.unavailableAt[s][endpoint] = at
 				phase := trace.Phase(rapid.IntRange(1, 2).Draw(c.T, "phase"))
-				c.log.Notifications = append(c.log.Notifications, trace.Notification{At: at, Sidecar: s, Endpoint: box, Phase: phase})
+				c.log.Notifications = append(c.log.Notifications, trace.Notification{At: at, Sidecar: s, Endpoint: endpoint, Phase: phase})
 			}
 		}
 	}
@@ -96,12 +96,12 @@
 		if may && (t.Class == 2 || t.Class == 1 && now > first+300*time.Millisecond) {
 			break
 		}
-		box := rapid.IntRange(0, 2).Draw(c.T, "box")
+		endpoint := rapid.IntRange(0, 2).Draw(c.T, "box")
 		now += c.span(5 * time.Millisecond)
-		if plainly || now > c.unavailableAt[t.Sidecar][box]+300*time.Millisecond {
-			box = 0
+		if plainly || now > c.unavailableAt[t.Sidecar][endpoint]+300*time.Millisecond {
+			endpoint = 0
 		}
-		v := trace.EndpointRequest{TransactionID: t.TransactionID, Endpoint: box, FirstByte: now, LastByte: now, Started: trace.Unset, Ended: now, Outcome: trace.OutcomeRejected}
+		v := trace.EndpointRequest{TransactionID: t.TransactionID, Endpoint: endpoint, FirstByte: now, LastByte: now, Started: trace.Unset, Ended: now, Outcome: trace.OutcomeRejected}
 		if plainly || c.odds(70) {
 			v.Started, v.Ended = now+c.span(time.Millisecond), now+time.Millisecond+c.span(200*time.Millisecond)
 			v.Outcome = rapid.SampledFrom([]trace.Outcome{trace.OutcomeOK, trace.OutcomeError, trace.OutcomeCanceled}).Draw(c.T, "end")
@@ -114,7 +114,7 @@
 		}
 		c.log.EndpointRequests = append(c.log.EndpointRequests, v)
 		if now = v.Ended; v.Outcome == trace.OutcomeOK {
-			t.Status, t.Ended, t.Endpoint = trace.StatusServed, now, box
+			t.Status, t.Ended, t.Endpoint = trace.StatusServed, now, endpoint
 			return
 		}
 	}
@@ -133,18 +133,18 @@
 	p.Requests = nil
 	c.run()
 	var at []int
-	for i, try := range c.log.ClientAttempts {
-		if try.Class == 2 && try.Status == trace.StatusServed {
+	for i, attempt := range c.log.ClientAttempts {
+		if attempt.Class == 2 && attempt.Status == trace.StatusServed {
 			at = append(at, i)
 		}
 	}
-	try := &c.log.ClientAttempts[rapid.SampledFrom(at).Draw(t, "try")]
+	attempt := &c.log.ClientAttempts[rapid.SampledFrom(at).Draw(t, "try")]
 	i := slices.IndexFunc(c.log.EndpointRequests, func(v trace.EndpointRequest) bool {
-		return v.TransactionID == try.TransactionID && v.Outcome == trace.OutcomeOK
+		return v.TransactionID == attempt.TransactionID && v.Outcome == trace.OutcomeOK
 	})
 	v := c.log.EndpointRequests[i]
 	c.log.EndpointRequests = append(slices.Delete(c.log.EndpointRequests, i, i+1), v)
-	return c, try, &c.log.EndpointRequests[len(c.log.EndpointRequests)-1]
+	return c, attempt, &c.log.EndpointRequests[len(c.log.EndpointRequests)-1]
 }
 
 // TestMutationsAreDetected checks that what keeps the rules is never blamed, and that each way to break them is detected, whatever goes
@@ -194,8 +194,8 @@
 	for kind, mutate := range mutations {
 		t.Run(string(kind), func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				c, try, visit := drawCorrectRun(t, base)
-				mutate(c, try, visit)
+				c, attempt, request := drawCorrectRun(t, base)
+				mutate(c, attempt, request)
 				v := Judge(c.p, c.log)
 				if kind == "" && !v.Passed() {
 					t.Fatalf("blamed: %s: %+v", countsText(v), v.Violations)
@@ -214,10 +214,10 @@
 	for i := range 1_000_000 {
 		at := time.Duration(i) * 10 * time.Microsecond
 		p.Requests = append(p.Requests, plan.Request{Due: at, Class: i % 3})
-		try := trace.ClientAttempt{TransactionID: p.Txn(i, 0), Request: i, Class: i % 3, Sent: at, Timeout: 500 * time.Millisecond, Ended: at + 10*time.Millisecond, Responses: 1}
-		log.ClientAttempts = append(log.ClientAttempts, try)
-		away := trace.EndpointRequest{TransactionID: try.TransactionID, Endpoint: 1, FirstByte: at + 1, LastByte: at + 1, Started: trace.Unset, Ended: at + 2, Outcome: trace.OutcomeRejected}
-		log.EndpointRequests = append(log.EndpointRequests, away, trace.EndpointRequest{TransactionID: try.TransactionID, FirstByte: at + 5, LastByte: at + 5, Started: at + 5, Ended: at + 9, Outcome: trace.OutcomeOK})
+		attempt := trace.ClientAttempt{TransactionID: p.Txn(i, 0), Request: i, Class: i % 3, Sent: at, Timeout: 500 * time.Millisecond, Ended: at + 10*time.Millisecond, Responses: 1}
+		log.ClientAttempts = append(log.ClientAttempts, attempt)
+		away := trace.EndpointRequest{TransactionID: attempt.TransactionID, Endpoint: 1, FirstByte: at + 1, LastByte: at + 1, Started: trace.Unset, Ended: at + 2, Outcome: trace.OutcomeRejected}
+		log.EndpointRequests = append(log.EndpointRequests, away, trace.EndpointRequest{TransactionID: attempt.TransactionID, FirstByte: at + 5, LastByte: at + 5, Started: at + 5, Ended: at + 9, Outcome: trace.OutcomeOK})
 	}
 	for b.Loop() {
 		if v := Judge(p, log); !v.Passed() {
--- a/internal/lab/judge/script_helpers_test.go
+++ b/internal/lab/judge/script_helpers_test.go
@@ -76,11 +76,11 @@
 			log.EndpointRequests = append(log.EndpointRequests, trace.EndpointRequest{TransactionID: log.ClientAttempts[len(log.ClientAttempts)-1].TransactionID, Endpoint: w.number(1), FirstByte: w.ms(2), LastByte: w.ms(2),
 				Started: w.ms(3), Ended: w.ms(4), Outcome: trace.Outcome(how)})
 		case "end":
-			try := &log.ClientAttempts[len(log.ClientAttempts)-1]
-			try.Ended, try.Responses = w.ms(1), 1
-			try.Status = trace.Status(slices.Index([]string{"served", "refused", "failed", "gone", "silent", "broken"}, w.fields[2]))
-			if try.Forged = w.has("forged"); w.has("twice") {
-				try.Responses = 2
+			attempt := &log.ClientAttempts[len(log.ClientAttempts)-1]
+			attempt.Ended, attempt.Responses = w.ms(1), 1
+			attempt.Status = trace.Status(slices.Index([]string{"served", "refused", "failed", "gone", "silent", "broken"}, w.fields[2]))
+			if attempt.Forged = w.has("forged"); w.has("twice") {
+				attempt.Responses = 2
 			}
 		case "stray":
 			log.EndpointRequests = append(log.EndpointRequests, trace.EndpointRequest{TransactionID: 99, Endpoint: w.number(1), FirstByte: w.ms(2), LastByte: w.ms(2), Started: w.ms(2), Ended: w.ms(2)})
--- a/internal/lab/loopback/audit_test.go
+++ b/internal/lab/loopback/audit_test.go
@@ -211,13 +211,13 @@
 
 // eachFirstTierRequest calls f with the client attempts that were due after a time and the request that an endpoint received, nil if none.
 func (o *processPlay) eachFirstTierRequest(after time.Duration, f func(t *trace.ClientAttempt, v *trace.EndpointRequest)) {
-	visits := map[uint64]*trace.EndpointRequest{}
+	requests := map[uint64]*trace.EndpointRequest{}
 	for i := range o.played.EndpointRequests {
-		visits[o.played.EndpointRequests[i].TransactionID] = &o.played.EndpointRequests[i]
+		requests[o.played.EndpointRequests[i].TransactionID] = &o.played.EndpointRequests[i]
 	}
 	for i := range o.played.ClientAttempts {
 		if t := &o.played.ClientAttempts[i]; t.Due > after {
-			f(t, visits[t.TransactionID])
+			f(t, requests[t.TransactionID])
 		}
 	}
 }
--- a/internal/lab/loopback/cold_start_test.go
+++ b/internal/lab/loopback/cold_start_test.go
@@ -113,7 +113,7 @@
 func TestMaxColdLoadRatio(t *testing.T) {
 	p := coldStart{"", "drain", 1, 1, 3.3, 6}.plan(t)
 	i := slices.IndexFunc(p.Events, func(e plan.Event) bool { return e.Kind == plan.StartBox || e.Kind == plan.EndFault })
-	box, start := p.Events[i].Box, p.Events[i].At
+	endpoint, start := p.Events[i].Box, p.Events[i].At
 	// In the first second it is allowed some 22 requests and stands some 33: 2.5 x 3.3 x (0.15 + 0.85 x 0.5 s / 6 s) / 0.082 is 22.2.
 	for _, c := range []struct {
 		name        string
@@ -127,14 +127,14 @@
 		{"in two windows", 34, 2 * time.Second, 34, 0.4, 0.6},
 		{"most untold", 36, time.Second, 10, 0, 0.7},
 	} {
-		log := &trace.Log{Notifications: []trace.Notification{{At: start, Sidecar: 0, Endpoint: box, Phase: trace.PhaseReady, UpSince: start}}}
+		log := &trace.Log{Notifications: []trace.Notification{{At: start, Sidecar: 0, Endpoint: endpoint, Phase: trace.PhaseReady, UpSince: start}}}
 		for n := range c.sent {
 			from := 0
 			if n >= c.told {
 				from = 1
 			}
 			log.ClientAttempts = append(log.ClientAttempts, trace.ClientAttempt{TransactionID: uint64(n), Sidecar: from})
-			log.EndpointRequests = append(log.EndpointRequests, trace.EndpointRequest{TransactionID: uint64(n), Endpoint: box, FirstByte: start + c.over*time.Duration(n+1)/time.Duration(c.sent+1)})
+			log.EndpointRequests = append(log.EndpointRequests, trace.EndpointRequest{TransactionID: uint64(n), Endpoint: endpoint, FirstByte: start + c.over*time.Duration(n+1)/time.Duration(c.sent+1)})
 		}
 		if over, where := judge.MaxColdRequestRatio(p, log); over < c.least || over > c.most {
 			t.Errorf("%s: %.2f, want %v to %v: %s", c.name, over, c.least, c.most, where)
--- a/internal/lab/loopback/endpoint_test.go
+++ b/internal/lab/loopback/endpoint_test.go
@@ -25,7 +25,7 @@
 		q := s.nextRequest(class)
 		s.send(c, q)
 		_, body := c.expectStatus(http.StatusOK)
-		if box, ok := verifyBody(q.attempt.TransactionID, body); !ok || box != 0 {
+		if endpoint, ok := verifyBody(q.attempt.TransactionID, body); !ok || endpoint != 0 {
 			t.Errorf("%s: the body is not box 0's", class)
 		}
 		if want := s.plan.Scenario.Class[q.attempt.Class].Answer; len(body) != want {
@@ -49,13 +49,13 @@
 func TestEndpointsShareKeys(t *testing.T) {
 	s := newFixture(t, fixtureClasses+oneTier)
 	q := s.nextRequest("keyed")
-	for box := range 2 {
-		q.attempt.TransactionID = s.plan.Txn(q.attempt.Request, box)
-		c := s.dial(box)
+	for endpoint := range 2 {
+		q.attempt.TransactionID = s.plan.Txn(q.attempt.Request, endpoint)
+		c := s.dial(endpoint)
 		s.send(c, q)
 		c.expectStatus(http.StatusOK)
-		if v := s.endpointRequest(q.attempt.TransactionID); v.Deduplicated != (box > 0) {
-			t.Errorf("at box %d the visit's Repeat is %v", box, v.Deduplicated)
+		if v := s.endpointRequest(q.attempt.TransactionID); v.Deduplicated != (endpoint > 0) {
+			t.Errorf("at box %d the visit's Repeat is %v", endpoint, v.Deduplicated)
 		}
 	}
 }
@@ -516,8 +516,8 @@
 		if len(body) != max(size, minBodySize) {
 			t.Errorf("asked for %d bytes, got %d", size, len(body))
 		}
-		if box, ok := verifyBody(77, body); !ok || box != 5 {
-			t.Errorf("%d bytes: box %d, %v", size, box, ok)
+		if endpoint, ok := verifyBody(77, body); !ok || endpoint != 5 {
+			t.Errorf("%d bytes: box %d, %v", size, endpoint, ok)
 		}
 		if _, ok := verifyBody(78, body); ok {
 			t.Errorf("%d bytes pass for another request's", size)
--- a/internal/lab/loopback/next_tier_test.go
+++ b/internal/lab/loopback/next_tier_test.go
@@ -27,9 +27,9 @@
 	gone  chan struct{} // a call was canceled
 }
 
-func (s *fixture) stubNextTier(box int) *nextTierStub {
+func (s *fixture) stubNextTier(endpoint int) *nextTierStub {
 	u := &nextTierStub{make(chan clientRequest, 10), make(chan trace.Status, 10), make(chan struct{}, 10)}
-	s.endpoints[box].send = func(ctx context.Context, q clientRequest) trace.ClientAttempt {
+	s.endpoints[endpoint].send = func(ctx context.Context, q clientRequest) trace.ClientAttempt {
 		u.asked <- q
 		t := q.attempt
 		select {
@@ -123,19 +123,19 @@
 	s := newFixture(t, fixtureClasses+twoTiers+"[fleet]\npolicy = \"plain\"\n")
 	q := s.nextRequest("quick")
 	q.directEndpoint, q.attempt.Sidecar, q.cancelAt = 0, -1, 1<<62
-	try := s.transport.roundTrip(t.Context(), q)
-	if try.Status != trace.StatusServed || try.Endpoint != 0 || try.Forged {
-		t.Errorf("the try is %+v", try)
+	attempt := s.transport.roundTrip(t.Context(), q)
+	if attempt.Status != trace.StatusServed || attempt.Endpoint != 0 || attempt.Forged {
+		t.Errorf("the try is %+v", attempt)
 	}
 	s.endpointRequest(q.attempt.TransactionID)
 	s.recorder.mu.Lock()
 	defer s.recorder.mu.Unlock()
 	boxes := map[int]bool{}
-	for _, try := range s.recorder.log.ClientAttempts {
-		if try.Status != trace.StatusServed || try.Tier != 1 {
-			t.Errorf("a call is %+v", try)
+	for _, attempt := range s.recorder.log.ClientAttempts {
+		if attempt.Status != trace.StatusServed || attempt.Tier != 1 {
+			t.Errorf("a call is %+v", attempt)
 		}
-		boxes[try.Endpoint] = true
+		boxes[attempt.Endpoint] = true
 	}
 	if len(boxes) != 2 {
 		t.Errorf("calls went to %v, not to both in turn", boxes)
--- a/internal/lab/loopback/round_robin_test.go
+++ b/internal/lab/loopback/round_robin_test.go
@@ -22,17 +22,17 @@
 		for range 2 * max(1, len(want)) {
 			seen[o.next(tier)]++
 		}
-		for _, box := range want {
-			if seen[box] != 2 {
+		for _, endpoint := range want {
+			if seen[endpoint] != 2 {
 				t.Fatalf("tier %d went to %v, want %v twice", tier, seen, want)
 			}
 		}
 	}
-	event := func(kind plan.EventKind, box int, fault model.FaultKind, after time.Duration) listChange {
+	event := func(kind plan.EventKind, endpoint int, fault model.FaultKind, after time.Duration) listChange {
 		t.Helper()
-		n, changes := o.applyEvent(plan.Event{Kind: kind, Box: box, Fault: model.Fault{Kind: fault}})
+		n, changes := o.applyEvent(plan.Event{Kind: kind, Box: endpoint, Fault: model.Fault{Kind: fault}})
 		if changes != (after > 0) || changes && n.delay != after {
-			t.Fatalf("%v of %d: %+v, %v", kind, box, n, changes)
+			t.Fatalf("%v of %d: %+v, %v", kind, endpoint, n, changes)
 		}
 		return n
 	}
--- a/internal/lab/loopback/run_test.go
+++ b/internal/lab/loopback/run_test.go
@@ -114,23 +114,23 @@
 	if early := slices.Min(log.Lateness); early < 0 {
 		t.Errorf("a request was sent %v before it was due", -early)
 	}
-	visits := map[uint64][]trace.EndpointRequest{}
+	requests := map[uint64][]trace.EndpointRequest{}
 	for _, v := range log.EndpointRequests {
-		visits[v.TransactionID] = append(visits[v.TransactionID], v)
+		requests[v.TransactionID] = append(requests[v.TransactionID], v)
 	}
-	for i, try := range log.ClientAttempts {
-		if try.Request != i || try.Status != trace.StatusServed || try.Forged || try.Responses != 1 || try.Sidecar != 0 {
-			t.Errorf("try %+v", try)
+	for i, attempt := range log.ClientAttempts {
+		if attempt.Request != i || attempt.Status != trace.StatusServed || attempt.Forged || attempt.Responses != 1 || attempt.Sidecar != 0 {
+			t.Errorf("try %+v", attempt)
 		}
-		if !slices.ContainsFunc(visits[try.TransactionID], func(v trace.EndpointRequest) bool {
-			return v.Endpoint == try.Endpoint && v.Outcome == trace.OutcomeOK && v.FirstByte >= try.Due && v.Ended <= try.Ended
+		if !slices.ContainsFunc(requests[attempt.TransactionID], func(v trace.EndpointRequest) bool {
+			return v.Endpoint == attempt.Endpoint && v.Outcome == trace.OutcomeOK && v.FirstByte >= attempt.Due && v.Ended <= attempt.Ended
 		}) {
-			t.Errorf("no visit tells of %+v: %+v", try, visits[try.TransactionID])
+			t.Errorf("no visit tells of %+v: %+v", attempt, requests[attempt.TransactionID])
 		}
-		delete(visits, try.TransactionID)
+		delete(requests, attempt.TransactionID)
 	}
-	if len(visits) > 0 {
-		t.Errorf("visits that nobody asked for: %v", visits)
+	if len(requests) > 0 {
+		t.Errorf("visits that nobody asked for: %v", requests)
 	}
 	var changes []trace.SidecarEventKind
 	for _, c := range log.SidecarEvents {
@@ -206,11 +206,11 @@
 		t.Fatal(err)
 	}
 	boxes := map[int]int{}
-	for _, try := range log.ClientAttempts {
-		if try.Status != trace.StatusServed || try.Sidecar != -1 {
-			t.Errorf("try %+v", try)
+	for _, attempt := range log.ClientAttempts {
+		if attempt.Status != trace.StatusServed || attempt.Sidecar != -1 {
+			t.Errorf("try %+v", attempt)
 		}
-		boxes[try.Endpoint]++
+		boxes[attempt.Endpoint]++
 	}
 	if len(log.ClientAttempts) != 2*len(p.Requests) || len(boxes) != len(p.Boxes) {
 		t.Errorf("%d requests, %d tries, by box %v", len(p.Requests), len(log.ClientAttempts), boxes)
--- a/internal/lab/loopback/thrift_test.go
+++ b/internal/lab/loopback/thrift_test.go
@@ -72,7 +72,7 @@
 				} else if got, err := s.transport.codec.readResponse(&clientConn{reader: conn.in}, &q); (err != nil) != (c.ends == trace.OutcomeCorrupted) ||
 					err == nil && (got.status != c.want.status || got.code != c.want.code) {
 					t.Errorf("%+v: %v", got, err)
-				} else if box, ok := verifyBody(q.attempt.TransactionID, got.body); c.ends == trace.OutcomeOK && (!ok || box != 0) {
+				} else if endpoint, ok := verifyBody(q.attempt.TransactionID, got.body); c.ends == trace.OutcomeOK && (!ok || endpoint != 0) {
 					t.Error("the body is not box 0's")
 				}
 				if c.shift > 0 {
@@ -103,7 +103,7 @@
 func TestThriftRoundTrip(t *testing.T) {
 	overThrift(t, func(t *testing.T, protocol string) {
 		s := newFixture(t, fixtureClasses+oneTier+thriftFleet(protocol))
-		box, wire := newEndpointCodec(s.plan), s.transport.codec
+		endpoint, wire := newEndpointCodec(s.plan), s.transport.codec
 		for _, class := range []string{"quick", "keyed"} {
 			q := s.nextRequest(class)
 			text := wire.appendRequest(nil, &q)
@@ -113,14 +113,14 @@
 			}
 			in := bufio.NewReader(iotest.OneByteReader(bytes.NewReader(slices.Concat(text, text))))
 			for range 2 {
-				if a, err := box.readRequest(in); err != nil || a != want {
+				if a, err := endpoint.readRequest(in); err != nil || a != want {
 					t.Errorf("%+v, want %+v: %v", a, want, err)
 				}
 			}
-			if a, err := box.readRequest(bufio.NewReader(bytes.NewReader(text[:len(text)-1]))); err == nil || !a.identified {
+			if a, err := endpoint.readRequest(bufio.NewReader(bytes.NewReader(text[:len(text)-1]))); err == nil || !a.identified {
 				t.Errorf("all but the last byte: %+v, %v", a, err)
 			}
-			l := &clientConn{reader: bufio.NewReader(bytes.NewReader(append(box.appendResponse(nil, responseOK, want.correlation, []byte("body"), false), 'x')))}
+			l := &clientConn{reader: bufio.NewReader(bytes.NewReader(append(endpoint.appendResponse(nil, responseOK, want.correlation, []byte("body"), false), 'x')))}
 			if e, err := wire.readResponse(l, &q); err != nil || string(e.body) != "body" || l.reader.Buffered() != 1 {
 				t.Errorf("%+v, %d left: %v", e, l.reader.Buffered(), err)
 			}
--- a/internal/lab/loopback/transport_test.go
+++ b/internal/lab/loopback/transport_test.go
@@ -41,13 +41,13 @@
 			for range 2 { // the second comes on the same connection, or the script would not go on
 				q := s.newRequest(effect, 0xff)
 				q.retried = effect == "keyed"
-				try := s.roundTrip(t.Context(), q)
+				attempt := s.roundTrip(t.Context(), q)
 				if text := <-got; text != want {
 					t.Errorf("request:\n%q\nwant\n%q", text, want)
 				}
-				if try.Status != trace.StatusServed || try.Code != 200 || try.Endpoint != 3 || try.Forged || try.Responses != 1 ||
-					try.Sent == trace.Unset || try.Ended < try.Sent || try.Timeout != q.timeout {
-					t.Errorf("%+v", try)
+				if attempt.Status != trace.StatusServed || attempt.Code != 200 || attempt.Endpoint != 3 || attempt.Forged || attempt.Responses != 1 ||
+					attempt.Sent == trace.Unset || attempt.Ended < attempt.Sent || attempt.Timeout != q.timeout {
+					t.Errorf("%+v", attempt)
 				}
 			}
 		})
@@ -212,8 +212,8 @@
 					t.Errorf("the next: %+v", got)
 				}
 			}
-			if twice := s.close(); len(twice) != 1 || twice[0] != 5 {
-				t.Errorf("answered twice: %v", twice)
+			if duplicates := s.close(); len(duplicates) != 1 || duplicates[0] != 5 {
+				t.Errorf("answered twice: %v", duplicates)
 			}
 		})
 	}
@@ -236,8 +236,8 @@
 	if got := s.roundTrip(t.Context(), s.newRequest("safe", 6)); got.Status != trace.StatusFailed || got.Responses != 0 {
 		t.Errorf("%+v", got)
 	}
-	if twice := s.close(); len(twice) != 0 {
-		t.Errorf("answered twice: %v", twice)
+	if duplicates := s.close(); len(duplicates) != 0 {
+		t.Errorf("answered twice: %v", duplicates)
 	}
 }
 
