--- a/internal/lab/auditcheck/audit_logs_test.go
+++ b/internal/lab/auditcheck/audit_logs_test.go
@@ -98,13 +98,13 @@
 			trails[0][1].Attempts[0].N--
 			trails[0][3].Attempts[0].N++
 		}},
-		{name: "a list that it was never told", wrong: 4, missing: 4, plant: func(_ *plan.Plan, _ *trace.Log, trails map[int][]auditlog.Entry) {
+		{name: "a list that it was never sent", wrong: 4, missing: 4, plant: func(_ *plan.Plan, _ *trace.Log, trails map[int][]auditlog.Entry) {
 			trails[1][0].Version.List.Digest = listB
 		}},
-		{name: "the list it was configured with, after it was told another", wrong: 4, missing: 4, plant: func(_ *plan.Plan, _ *trace.Log, trails map[int][]auditlog.Entry) {
+		{name: "the list it was configured with, after it was sent another", wrong: 4, missing: 4, plant: func(_ *plan.Plan, _ *trace.Log, trails map[int][]auditlog.Entry) {
 			trails[1][0].Version.List.Digest = listC
 		}},
-		{name: "another box", wrong: 2, missing: 2, plant: func(_ *plan.Plan, _ *trace.Log, trails map[int][]auditlog.Entry) {
+		{name: "another endpoint", wrong: 2, missing: 2, plant: func(_ *plan.Plan, _ *trace.Log, trails map[int][]auditlog.Entry) {
 			trails[1][1].Attempts[0].Host = "t-2"
 		}},
 		{name: "an entry cut out", missing: 2, plant: func(_ *plan.Plan, _ *trace.Log, trails map[int][]auditlog.Entry) {
@@ -130,7 +130,7 @@
 			log.SidecarEvents = append(log.SidecarEvents, trace.SidecarEvent{At: seconds(9), Sidecar: 1, Kind: trace.SidecarKilled})
 			trails[1] = []auditlog.Entry{{Seq: 1, Life: "m", Kind: auditlog.Began, At: 1_010_000}}
 		}},
-		{name: "a box that went down: what was on its way has no end", plant: func(p *plan.Plan, _ *trace.Log, trails map[int][]auditlog.Entry) {
+		{name: "an endpoint that went down: what was in flight has no end", plant: func(p *plan.Plan, _ *trace.Log, trails map[int][]auditlog.Entry) {
 			p.Events = append(p.Events, plan.Event{Kind: plan.BeginFault, Box: 0, Fault: model.Fault{Kind: model.Dead}})
 			trails[0][1].Attempts[0].N += 2
 		}},
--- a/internal/lab/judge/judge_test.go
+++ b/internal/lab/judge/judge_test.go
@@ -94,7 +94,7 @@
 		p.Boxes[2].Start = "absent"
 		p.Sidecars[0].Known = p.First(0)
 		if got := countsText(Judge(p, log)); got != want {
-			t.Errorf("told %q: found %q, want %q", told, got, want)
+			t.Errorf("notification %q: found %q, want %q", told, got, want)
 		}
 	}
 }
@@ -132,7 +132,7 @@
 			t.Errorf("found %q, want %q in\n%s", got, want, text)
 		}
 		if b := v.Endpoints[0]; b.CollapsedAt != 1300*time.Millisecond || math.Abs(b.Max-1.2) > 0.001 {
-			t.Errorf("pressure %+v, want a fall at 1.3 s at 1.2 times its limit", b)
+			t.Errorf("load %+v, want a collapse at 1.3 s at 1.2 times its limit", b)
 		}
 	}
 	if v := Judge(parseScript(t, "sample 0 t1 0 0 cold\nsample 100 t1 200 50 cold\nsample 1100 t1 700 550 cold\nsample 1200 t1 800 600")); math.Abs(v.Endpoints[0].Max-0.44) > 0.001 ||
@@ -179,7 +179,7 @@
 func TestRecordedViolationsAreLimited(t *testing.T) {
 	v := Judge(parseScript(t, strings.Repeat("ask 300 read n1\nend 400 broken\n", 30)+"ask 100 read n1\nend 110 broken\nproc 500 n1 crashed"))
 	if v.Counts[LostRequest] != 31 || len(v.Violations) != maxRecorded+1 || v.Violations[0].Request != 30 || v.Violations[maxRecorded].Kind != SidecarCrash {
-		t.Errorf("%d lost, %d told, the first of request %d", v.Counts[LostRequest], len(v.Violations), v.Violations[0].Request)
+		t.Errorf("%d lost, %d recorded, the first of request %d", v.Counts[LostRequest], len(v.Violations), v.Violations[0].Request)
 	}
 }
 
--- a/internal/lab/loopback/addresses_test.go
+++ b/internal/lab/loopback/addresses_test.go
@@ -56,7 +56,7 @@
 			t.Fatal(err)
 		}
 		if !strings.HasPrefix(a.endpoint(0), "127.") {
-			t.Fatalf("box at %s", a.endpoint(0))
+			t.Fatalf("endpoint at %s", a.endpoint(0))
 		}
 		a.close()
 	}
--- a/internal/lab/loopback/audit_test.go
+++ b/internal/lab/loopback/audit_test.go
@@ -70,10 +70,10 @@
 		without string
 		holds   func(o *processPlay) bool
 	}{
-		{"six of twelve are cut off while boxes leave", halfShutOut, lengthLine("36s") + auditedFleet + cutOff + half + drainedEndpoints, func(o *processPlay) bool {
+		{"six of twelve are partitioned while endpoints drain", halfShutOut, lengthLine("36s") + auditedFleet + cutOff + half + drainedEndpoints, func(o *processPlay) bool {
 			return o.countAfterDrain(30*time.Second) == 0 && o.countServed(30*time.Second) >= 6
 		}},
-		{"four are stopped while boxes leave", lengthLine("22s") + auditedFleet + trails + faultAt("sidecar_pause", "10s", "boxes = 4\nfor = \"6s\"") + drainAt("12s"),
+		{"four are stopped while endpoints drain", lengthLine("22s") + auditedFleet + trails + faultAt("sidecar_pause", "10s", "boxes = 4\nfor = \"6s\"") + drainAt("12s"),
 			lengthLine("22s") + auditedFleet + faultAt("sidecar_pause", "10s", "boxes = 4\nfor = \"6s\"") + drainAt("12s"), func(o *processPlay) bool {
 				return o.countAfterResume() == 0
 			}},
@@ -95,7 +95,7 @@
 				v := o.res.Audited.Trails
 				return v.Contradicted == 0 && v.Missing == 0 && len(v.UnreadSidecars) == 0 && v.Unambiguous > 0
 			}},
-		{"a floor that nobody meets shuts nobody out", lengthLine("36s") + auditedFleet + trails + auditor + shuts + cutOff + drainedEndpoints, halfShutOut, func(o *processPlay) bool {
+		{"a minimum version that nobody meets shuts nobody out", lengthLine("36s") + auditedFleet + trails + auditor + shuts + cutOff + drainedEndpoints, halfShutOut, func(o *processPlay) bool {
 			return o.countServed(30*time.Second) == 12
 		}},
 	}
--- a/internal/lab/loopback/bench_test.go
+++ b/internal/lab/loopback/bench_test.go
@@ -96,43 +96,48 @@
 					if err != nil {
 						b.Fatal(err)
 					}
-					begun := make([]time.Duration, sidecars)
-					var ready []time.Duration
-					for _, c := range log.SidecarEvents {
-						switch c.Kind {
-						case trace.SidecarStarted:
-							begun[c.Sidecar] = c.At
-						case trace.SidecarReady:
-							ready = append(ready, c.At-begun[c.Sidecar])
-						}
-					}
-					lists, conns := map[[2]int64]bool{}, map[[2]uint64]bool{}
-					for _, t := range log.Notifications {
-						if t.At < time.Second {
-							lists[[2]int64{int64(t.Sidecar), int64(t.At)}] = true
-						}
-					}
-					for _, v := range log.EndpointRequests {
-						if v.FirstByte < time.Second {
-							conns[[2]uint64{uint64(v.Endpoint), v.ConnectionID}] = true
-						}
-					}
-					memory, cpu, files := 0.0, 0.0, 0
-					for _, u := range log.Usage {
-						memory = max(memory, float64(u.PeakMemory)/(1<<20))
-						cpu += u.CPU.Seconds() / float64(len(log.Usage))
-						files = max(files, u.MaxDescriptors)
-					}
-					slices.Sort(ready)
-					b.ReportMetric(float64(ready[len(ready)/2].Microseconds())/1000, "ms-ready-median")
-					b.ReportMetric(float64(ready[len(ready)-1].Microseconds())/1000, "ms-ready-last")
-					b.ReportMetric(float64(len(lists)), "lists-first-s")
-					b.ReportMetric(float64(len(conns)), "handshakes-first-s")
-					b.ReportMetric(memory, "MB-most")
-					b.ReportMetric(1000*cpu/log.End.Seconds(), "ms-CPU/s-each")
-					b.ReportMetric(float64(files), "descriptors-most")
+					reportFleetStart(b, log, sidecars)
 				}
 			})
 		}
 	}
 }
+
+// reportFleetStart reports the metrics of a start.
+func reportFleetStart(b *testing.B, log *trace.Log, sidecars int) {
+	startedAt := make([]time.Duration, sidecars)
+	var ready []time.Duration
+	for _, event := range log.SidecarEvents {
+		switch event.Kind {
+		case trace.SidecarStarted:
+			startedAt[event.Sidecar] = event.At
+		case trace.SidecarReady:
+			ready = append(ready, event.At-startedAt[event.Sidecar])
+		}
+	}
+	lists, conns := map[[2]int64]bool{}, map[[2]uint64]bool{}
+	for _, t := range log.Notifications {
+		if t.At < time.Second {
+			lists[[2]int64{int64(t.Sidecar), int64(t.At)}] = true
+		}
+	}
+	for _, v := range log.EndpointRequests {
+		if v.FirstByte < time.Second {
+			conns[[2]uint64{uint64(v.Endpoint), v.ConnectionID}] = true
+		}
+	}
+	memory, cpu, files := 0.0, 0.0, 0
+	for _, u := range log.Usage {
+		memory = max(memory, float64(u.PeakMemory)/(1<<20))
+		cpu += u.CPU.Seconds() / float64(len(log.Usage))
+		files = max(files, u.MaxDescriptors)
+	}
+	slices.Sort(ready)
+	b.ReportMetric(float64(ready[len(ready)/2].Microseconds())/1000, "ms-ready-median")
+	b.ReportMetric(float64(ready[len(ready)-1].Microseconds())/1000, "ms-ready-last")
+	b.ReportMetric(float64(len(lists)), "lists-first-s")
+	b.ReportMetric(float64(len(conns)), "handshakes-first-s")
+	b.ReportMetric(memory, "MB-most")
+	b.ReportMetric(1000*cpu/log.End.Seconds(), "ms-CPU/s-each")
+	b.ReportMetric(float64(files), "descriptors-most")
+}
--- a/internal/lab/loopback/cold_start_test.go
+++ b/internal/lab/loopback/cold_start_test.go
@@ -23,7 +23,7 @@
 }
 
 func (d coldStart) String() string {
-	return fmt.Sprintf("%d sidecars, operator's file %q, %d boxes of speed %v %s", d.sidecars, d.operator, d.boxes, d.speed, d.kind)
+	return fmt.Sprintf("%d sidecars, operator's file %q, %d endpoints of speed %v %s", d.sidecars, d.operator, d.boxes, d.speed, d.kind)
 }
 
 func (d coldStart) plan(t testing.TB) *plan.Plan {
@@ -87,6 +87,16 @@
 
 const numbered = "[fleet]\nnumbered = true"
 
+// checkRatio checks that the cold endpoints were never sent more than the rule's limit, and that they were sent something.
+func (d coldStart) checkRatio(t *testing.T, p *plan.Plan, log *trace.Log) {
+	t.Helper()
+	ratio, where := judge.MaxColdRequestRatio(p, log)
+	t.Logf("%s: %.2f of the limit, %s", d, ratio, where)
+	if where == "" || ratio > 1 {
+		t.Errorf("%s: %.2f of the limit, %s", d, ratio, where)
+	}
+}
+
 // TestColdStarts guards against cold endpoints that collapse because each of twenty or thirty sidecars sends a little too much: one and
 // several endpoints, with few requests in a window and with many. It runs in virtual time.
 func TestColdStarts(t *testing.T) {
@@ -101,16 +111,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		over, where := judge.MaxColdRequestRatio(p, log)
-		t.Logf("%s: %.2f of what they stand, %s", d, over, where)
-		if where == "" || over > 1 {
-			t.Errorf("%s: %.2f of what they stand, %s", d, over, where)
-		}
+		d.checkRatio(t, p, log)
 	}
 }
 
-// TestMaxColdLoadRatio checks that the measure can fail, and that it counts as the rule does.
-func TestMaxColdLoadRatio(t *testing.T) {
+// TestMaxColdRequestRatio checks that the measure can fail, and that it counts as the rule does.
+func TestMaxColdRequestRatio(t *testing.T) {
 	p := coldStart{"", "drain", 1, 1, 3.3, 6}.plan(t)
 	i := slices.IndexFunc(p.Events, func(e plan.Event) bool { return e.Kind == plan.StartBox || e.Kind == plan.EndFault })
 	endpoint, start := p.Events[i].Box, p.Events[i].At
@@ -151,10 +157,6 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		over, where := judge.MaxColdRequestRatio(p, log)
-		t.Logf("%s: %.2f of what they stand, %s", d, over, where)
-		if where == "" || over > 1 {
-			t.Errorf("%s: %.2f of what they stand, %s", d, over, where)
-		}
+		d.checkRatio(t, p, log)
 	}
 }
--- a/internal/lab/loopback/endpoint_test.go
+++ b/internal/lab/loopback/endpoint_test.go
@@ -26,14 +26,14 @@
 		s.send(c, q)
 		_, body := c.expectStatus(http.StatusOK)
 		if endpoint, ok := verifyBody(q.attempt.TransactionID, body); !ok || endpoint != 0 {
-			t.Errorf("%s: the body is not box 0's", class)
+			t.Errorf("%s: the body is not endpoint 0's", class)
 		}
 		if want := s.plan.Scenario.Class[q.attempt.Class].Answer; len(body) != want {
 			t.Errorf("%s: the body has %d bytes, not %d", class, len(body), want)
 		}
 		v := s.endpointRequest(q.attempt.TransactionID)
 		if v.Outcome != trace.OutcomeOK || v.IdempotencyKey != q.idempotencyKey || v.Deduplicated || v.Work <= 0 {
-			t.Errorf("%s: the visit is %+v", class, v)
+			t.Errorf("%s: the request is %+v", class, v)
 		}
 		if v.FirstByte > v.LastByte || v.LastByte > v.Started || v.Started > v.Ended {
 			t.Errorf("%s: the times are out of order: %+v", class, v)
@@ -55,7 +55,7 @@
 		s.send(c, q)
 		c.expectStatus(http.StatusOK)
 		if v := s.endpointRequest(q.attempt.TransactionID); v.Deduplicated != (endpoint > 0) {
-			t.Errorf("at box %d the visit's Repeat is %v", endpoint, v.Deduplicated)
+			t.Errorf("at endpoint %d the request's Deduplicated is %v", endpoint, v.Deduplicated)
 		}
 	}
 }
@@ -93,11 +93,11 @@
 	}
 	s.recorder.mu.Lock()
 	if got := len(s.recorder.log.EndpointRequests); got != len(strays) {
-		t.Errorf("%d visits of strangers are noted", got)
+		t.Errorf("%d foreign requests are recorded", got)
 	}
 	for _, v := range s.recorder.log.EndpointRequests {
 		if v.TransactionID != 0 || v.Outcome != trace.OutcomeError {
-			t.Errorf("a stranger's visit is %+v", v)
+			t.Errorf("a foreign request is %+v", v)
 		}
 	}
 	s.recorder.mu.Unlock()
@@ -126,7 +126,7 @@
 		c := s.dial(0)
 		fmt.Fprint(c, "GET /ping HTTP/1.1\r\nHost: box\r\n\r\n")
 		if err := c.readError(50 * time.Millisecond); probes && !isTimedOut(err) {
-			t.Errorf("a box that hangs answers a probe: %v", err)
+			t.Errorf("an endpoint that hangs answers a health check: %v", err)
 		}
 	}
 }
@@ -145,10 +145,10 @@
 	c, q := s.dial(0), s.nextRequest("quick")
 	s.send(c, q)
 	if res, _ := c.expectStatus(http.StatusServiceUnavailable); res.Header.Get("X-Turned-Away") != "1" {
-		t.Error("it is not said that it was turned away")
+		t.Error("the response does not say that it was rejected")
 	}
 	if v := s.endpointRequest(q.attempt.TransactionID); v.Outcome != trace.OutcomeRejected || v.Started != trace.Unset || v.Work != 0 {
-		t.Errorf("the one turned away: %+v", v)
+		t.Errorf("the rejected one: %+v", v)
 	}
 	conns[0].Close()
 	if v := s.endpointRequest(held[0].attempt.TransactionID); v.Outcome != trace.OutcomeCanceled || v.Started == trace.Unset || v.Work >= 50*time.Second {
@@ -308,13 +308,13 @@
 	s.send(c, q)
 	c.expectStatus(http.StatusInternalServerError)
 	if v := s.endpointRequest(q.attempt.TransactionID); v.Outcome != trace.OutcomeError || v.Started != trace.Unset {
-		t.Errorf("the visit is %+v", v)
+		t.Errorf("the request is %+v", v)
 	}
 }
 
 // TestEndpointCorruptsResponses checks that no truncated or malformed response passes for a complete one, and that its connection ends.
 func TestEndpointCorruptsResponses(t *testing.T) {
-	for kind, name := range map[model.FaultKind]string{model.Cut: "cut", model.Spoil: "spoilt"} {
+	for kind, name := range map[model.FaultKind]string{model.Cut: "cut off", model.Spoil: "malformed"} {
 		t.Run(name, func(t *testing.T) {
 			s := newFixture(t, fixtureClasses+oneTier)
 			s.beginFault(0, kind, 1)
@@ -324,14 +324,14 @@
 				s.send(c, q)
 				res, body, err := c.readResponse()
 				if err == nil {
-					t.Errorf("it is whole: %v %q", res.Status, body)
+					t.Errorf("it is complete: %v %q", res.Status, body)
 				}
 				ends[isReset(err)]++
 				if _, err := io.Copy(io.Discard, c); isTimedOut(err) {
 					t.Error("its connection goes on")
 				}
 				if v := s.endpointRequest(q.attempt.TransactionID); v.Outcome != trace.OutcomeCorrupted || v.Work <= 0 {
-					t.Errorf("the visit is %+v", v)
+					t.Errorf("the request is %+v", v)
 				}
 			}
 			if kind == model.Cut && len(ends) != 2 {
@@ -357,14 +357,14 @@
 	before := s.elapsed()
 	c.Close()
 	if v := s.endpointRequest(q.attempt.TransactionID); v.Outcome != trace.OutcomeCorrupted || v.Ended < before {
-		t.Errorf("closed after %v, the visit is %+v", before, v)
+		t.Errorf("closed after %v, the request is %+v", before, v)
 	}
 }
 
 // TestEndpointStopsDripping checks that a dripping response is in flight until its endpoint goes down; on a host that becomes
 // unresponsive it stops at once.
 func TestEndpointStopsDripping(t *testing.T) {
-	for kind, name := range map[model.FaultKind]string{model.Vanish: "vanishes", model.Dead: "dies"} {
+	for kind, name := range map[model.FaultKind]string{model.Vanish: "unresponsive", model.Dead: "crashed"} {
 		t.Run(name, func(t *testing.T) {
 			s := newFixture(t, fixtureClasses+oneTier)
 			s.beginFault(0, model.Drip, 1)
@@ -387,7 +387,7 @@
 				t.Errorf("the connection says %v", err)
 			}
 			if v := s.endpointRequest(q.attempt.TransactionID); v.Outcome != trace.OutcomeCorrupted {
-				t.Errorf("the visit is %+v", v)
+				t.Errorf("the request is %+v", v)
 			}
 		})
 	}
@@ -405,7 +405,7 @@
 	s.agents = []*agent{a}
 	s.endpoints[1].start()
 	if got := a.catalog.changesSince(1); len(got) != 1 || got[0].Box != 1 || got[0].UpSince == 0 {
-		t.Errorf("told of %v", got)
+		t.Errorf("notified of %v", got)
 	}
 }
 
@@ -420,7 +420,7 @@
 				_, err = io.ReadAll(res.Body)
 			}
 			if err == nil {
-				t.Fatalf("this passes for whole: %q", text)
+				t.Fatalf("this passes for a complete response: %q", text)
 			}
 		}
 	}
@@ -437,7 +437,7 @@
 		t.Errorf("its connection says %v", err)
 	}
 	if v := s.endpointRequest(q.attempt.TransactionID); v.Outcome != trace.OutcomeLost {
-		t.Errorf("the visit is %+v", v)
+		t.Errorf("the request is %+v", v)
 	}
 	<-told
 	s.awaitDial(0, "are refused", isRefused)
@@ -445,7 +445,7 @@
 		t.Error("it has not fallen")
 	}
 	if len(told) != 0 {
-		t.Error("it is told twice")
+		t.Error("the run is notified twice")
 	}
 }
 
@@ -491,7 +491,7 @@
 	c.write(string(text[:len(text)-1]))
 	c.Close()
 	if v := s.endpointRequest(q.attempt.TransactionID); v.LastByte != trace.Unset || v.Started != trace.Unset || v.Outcome != trace.OutcomeCanceled {
-		t.Errorf("the visit is %+v", v)
+		t.Errorf("the request is %+v", v)
 	}
 }
 
@@ -503,7 +503,7 @@
 	s.awaitLoad(0, 1, 0)
 	t.Cleanup(func() { // before that of the fixture, which closes again
 		if v := s.endpointRequest(q.attempt.TransactionID); v.Outcome != trace.OutcomePending || v.Ended != trace.Unset || v.Started == trace.Unset {
-			t.Errorf("the visit is %+v", v)
+			t.Errorf("the request is %+v", v)
 		}
 	})
 	s.endpoints[0].close()
@@ -517,7 +517,7 @@
 			t.Errorf("asked for %d bytes, got %d", size, len(body))
 		}
 		if endpoint, ok := verifyBody(77, body); !ok || endpoint != 5 {
-			t.Errorf("%d bytes: box %d, %v", size, endpoint, ok)
+			t.Errorf("%d bytes: endpoint %d, %v", size, endpoint, ok)
 		}
 		if _, ok := verifyBody(78, body); ok {
 			t.Errorf("%d bytes pass for another request's", size)
--- a/internal/lab/loopback/faulty_sidecar_test.go
+++ b/internal/lab/loopback/faulty_sidecar_test.go
@@ -93,7 +93,7 @@
 		t.Fatal(err)
 	}
 	if len(log.ClientAttempts) == 0 || len(log.EndpointRequests) == 0 {
-		t.Fatalf("%d tries, %d visits: nothing was played", len(log.ClientAttempts), len(log.EndpointRequests))
+		t.Fatalf("%d client attempts, %d endpoint requests: nothing was played", len(log.ClientAttempts), len(log.EndpointRequests))
 	}
 	return judge.Judge(p, log)
 }
--- a/internal/lab/loopback/link_test.go
+++ b/internal/lab/loopback/link_test.go
@@ -11,91 +11,123 @@
 	"pinelb.example/pinelb/internal/lab/plan"
 )
 
-// TestLink checks that a link forwards everything; that a partition holds back what is written in its direction until it heals and lets no
-// new connection come up; that a delay delays; and that a reset breaks both ends. Each row fails on a link that forwards everything.
-func TestLink(t *testing.T) {
-	const quiet = 50 * time.Millisecond
+// holdTime is how long a test waits to see that nothing comes.
+const holdTime = 50 * time.Millisecond
+
+// linkFixture is a link and a listener behind it.
+type linkFixture struct {
+	*link
+	t      *testing.T
+	behind net.Listener
+}
+
+func newLinkFixture(t *testing.T) *linkFixture {
+	t.Helper()
 	noLeaks(t)
 	behind, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer behind.Close()
-	net1, err := newAddresses()
+	t.Cleanup(func() { behind.Close() })
+	runAddresses, err := newAddresses()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer net1.close()
-	l, err := newLink(net1.link("list", 0, 0), behind.Addr().String())
+	t.Cleanup(runAddresses.close)
+	l, err := newLink(runAddresses.link("list", 0, 0), behind.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.close()
-	connect := func() (near, far net.Conn) {
-		t.Helper()
-		var err error
-		for until := time.Now().Add(testTimeout); near == nil; { // a listener that changes its state refuses for a moment
-			if near, err = net.DialTimeout("tcp", l.listener.address, testTimeout); err != nil && time.Now().After(until) {
-				t.Fatal(err)
-			}
-		}
-		if far, err = behind.Accept(); err != nil {
-			t.Fatal(err)
+	t.Cleanup(l.close)
+	return &linkFixture{l, t, behind}
+}
+
+// connect connects through the link and returns both ends.
+func (f *linkFixture) connect() (client, server net.Conn) {
+	f.t.Helper()
+	var err error
+	for deadline := time.Now().Add(testTimeout); client == nil; { // a listener that changes its state refuses for a moment
+		if client, err = net.DialTimeout("tcp", f.listener.address, testTimeout); err != nil && time.Now().After(deadline) {
+			f.t.Fatal(err)
 		}
-		t.Cleanup(func() { near.Close(); far.Close() })
-		return near, far
 	}
-	heard := func(c net.Conn, within time.Duration) error {
-		_ = c.SetReadDeadline(time.Now().Add(within))
-		_, err := io.ReadFull(c, make([]byte, 1))
-		return err
+	if server, err = f.behind.Accept(); err != nil {
+		f.t.Fatal(err)
 	}
-	near, far := connect()
-	for id, f := range []plan.Link{{How: plan.LinkBoth}, {How: plan.LinkThere}, {How: plan.LinkBack}, {How: plan.LinkSlow, Delay: 2 * quiet}} {
-		l.beginFault(id, f)
-		for _, way := range []struct {
+	f.t.Cleanup(func() { client.Close(); server.Close() })
+	return client, server
+}
+
+// readByte reads one byte within a time.
+func readByte(c net.Conn, within time.Duration) error {
+	_ = c.SetReadDeadline(time.Now().Add(within)) // on a broken connection the read fails
+	_, err := io.ReadFull(c, make([]byte, 1))
+	return err
+}
+
+// TestLink checks that a link forwards everything; that a partition holds back what is written in its direction until it heals and lets
+// no new connection come up; that a delay delays; and that a reset breaks both ends. Each row fails on a link that forwards everything.
+func TestLink(t *testing.T) {
+	f := newLinkFixture(t)
+	client, server := f.connect()
+	for id, fault := range []plan.Link{{How: plan.LinkBoth}, {How: plan.LinkThere}, {How: plan.LinkBack}, {How: plan.LinkSlow, Delay: 2 * holdTime}} {
+		directions := []struct {
 			from, to net.Conn
 			held     bool
-		}{{near, far, f.Cuts(true) || f.Delay > 0}, {far, near, f.Cuts(false) || f.Delay > 0}} {
-			if _, err := way.from.Write([]byte{1}); err != nil {
+		}{
+			{client, server, fault.Cuts(true) || fault.Delay > 0},
+			{server, client, fault.Cuts(false) || fault.Delay > 0},
+		}
+		f.beginFault(id, fault)
+		for _, direction := range directions {
+			if _, err := direction.from.Write([]byte{1}); err != nil {
 				t.Fatal(err)
 			}
 			within := testTimeout
-			if way.held {
-				within = quiet
+			if direction.held {
+				within = holdTime
 			}
-			if err := heard(way.to, within); (err != nil) != way.held {
-				t.Errorf("%+v: %v, held back is %v", f, err, way.held)
+			if err := readByte(direction.to, within); (err != nil) != direction.held {
+				t.Errorf("%+v: %v, held back is %v", fault, err, direction.held)
 			}
 		}
-		l.endFault(id)
-		for _, way := range []struct {
-			to   net.Conn
-			held bool
-		}{{far, f.Cuts(true) || f.Delay > 0}, {near, f.Cuts(false) || f.Delay > 0}} {
-			if way.held && heard(way.to, testTimeout) != nil {
-				t.Errorf("%+v: what was held back is lost", f)
+		f.endFault(id)
+		for _, direction := range directions {
+			if direction.held && readByte(direction.to, testTimeout) != nil {
+				t.Errorf("%+v: what was held back is lost", fault)
 			}
 		}
-		connect() // it comes up again
+		f.connect() // new connections come up again
 	}
-	l.beginFault(9, plan.Link{How: plan.LinkReset})
-	if err := heard(near, testTimeout); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("reset, at the one that connected: %v", err)
+	f.testReset(client, server)
+	f.testNoConnection()
+}
+
+// testReset checks that a reset breaks both ends of a connection.
+func (f *linkFixture) testReset(client, server net.Conn) {
+	f.t.Helper()
+	f.beginFault(9, plan.Link{How: plan.LinkReset})
+	if err := readByte(client, testTimeout); !errors.Is(err, syscall.ECONNRESET) {
+		f.t.Errorf("reset, at the client: %v", err)
 	}
-	if err := heard(far, testTimeout); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("reset, behind it: %v", err)
+	if err := readByte(server, testTimeout); !errors.Is(err, syscall.ECONNRESET) {
+		f.t.Errorf("reset, at the server: %v", err)
 	}
-	l.endFault(9)
-	l.beginFault(10, plan.Link{How: plan.LinkBoth})
-	for until := time.Now().Add(testTimeout); ; { // the listener changes its state in a goroutine
-		c, err := net.DialTimeout("tcp", l.listener.address, quiet)
+	f.endFault(9)
+}
+
+// testNoConnection checks that no connection comes up over a partitioned link.
+func (f *linkFixture) testNoConnection() {
+	f.t.Helper()
+	f.beginFault(10, plan.Link{How: plan.LinkBoth})
+	for deadline := time.Now().Add(testTimeout); ; { // the listener changes its state in a goroutine
+		conn, err := net.DialTimeout("tcp", f.listener.address, holdTime)
 		if err != nil {
-			break
+			return
 		}
-		c.Close()
-		if time.Now().After(until) {
-			t.Fatal("connections come up over a cut link")
+		conn.Close()
+		if time.Now().After(deadline) {
+			f.t.Fatal("connections come up over a partitioned link")
 		}
 	}
 }
--- a/internal/lab/loopback/list_faults_test.go
+++ b/internal/lab/loopback/list_faults_test.go
@@ -95,7 +95,7 @@
 		}
 		return n
 	}
-	await(t, "all but three are turned away", func() bool { return turned() == 7 })
+	await(t, "all but three are rejected", func() bool { return turned() == 7 })
 	for i := range 10 {
 		r.agents[i].mu.Lock()
 		r.agents[i].stopServer()
@@ -103,6 +103,6 @@
 	}
 	all.Wait()
 	if n := turned(); n != 7 {
-		t.Errorf("%d calls were turned away, 7 expected", n)
+		t.Errorf("%d polls were rejected, 7 expected", n)
 	}
 }
--- a/internal/lab/loopback/next_tier_test.go
+++ b/internal/lab/loopback/next_tier_test.go
@@ -93,7 +93,7 @@
 	s.send(c, q)
 	c.expectStatus(http.StatusInternalServerError)
 	if v := s.endpointRequest(q.attempt.TransactionID); v.Outcome != trace.OutcomeError || v.Work <= 0 {
-		t.Errorf("the visit is %+v", v)
+		t.Errorf("the request is %+v", v)
 	}
 	if len(u.asked) != 1 {
 		t.Errorf("%d calls were made", len(u.asked))
@@ -114,7 +114,7 @@
 	c.Close()
 	<-u.gone
 	if v := s.endpointRequest(q.attempt.TransactionID); v.Outcome != trace.OutcomeCanceled {
-		t.Errorf("the visit is %+v", v)
+		t.Errorf("the request is %+v", v)
 	}
 }
 
@@ -125,7 +125,7 @@
 	q.directEndpoint, q.attempt.Sidecar, q.cancelAt = 0, -1, 1<<62
 	attempt := s.transport.roundTrip(t.Context(), q)
 	if attempt.Status != trace.StatusServed || attempt.Endpoint != 0 || attempt.Forged {
-		t.Errorf("the try is %+v", attempt)
+		t.Errorf("the attempt is %+v", attempt)
 	}
 	s.endpointRequest(q.attempt.TransactionID)
 	s.recorder.mu.Lock()
--- a/internal/lab/loopback/run_test.go
+++ b/internal/lab/loopback/run_test.go
@@ -89,7 +89,7 @@
 	t.Run("to its end over Thrift", func(t *testing.T) {
 		playToEnd(t, built, calmDayScenario+"[fleet]\nprotocol = \"thrift-framed-compact\"\n")
 	})
-	t.Run("called off", func(t *testing.T) { playCanceled(t, built) })
+	t.Run("canceled", func(t *testing.T) { playCanceled(t, built) })
 }
 
 // playToEnd checks that in a calm run every request is served once, and that both ends record the same.
@@ -109,7 +109,7 @@
 		}
 	}
 	if len(log.ClientAttempts) != len(p.Requests) || len(log.Lateness) != len(p.Requests) {
-		t.Fatalf("%d requests, %d tries, %d latenesses", len(p.Requests), len(log.ClientAttempts), len(log.Lateness))
+		t.Fatalf("%d requests, %d attempts, %d latenesses", len(p.Requests), len(log.ClientAttempts), len(log.Lateness))
 	}
 	if early := slices.Min(log.Lateness); early < 0 {
 		t.Errorf("a request was sent %v before it was due", -early)
@@ -120,17 +120,17 @@
 	}
 	for i, attempt := range log.ClientAttempts {
 		if attempt.Request != i || attempt.Status != trace.StatusServed || attempt.Forged || attempt.Responses != 1 || attempt.Sidecar != 0 {
-			t.Errorf("try %+v", attempt)
+			t.Errorf("attempt %+v", attempt)
 		}
 		if !slices.ContainsFunc(requests[attempt.TransactionID], func(v trace.EndpointRequest) bool {
 			return v.Endpoint == attempt.Endpoint && v.Outcome == trace.OutcomeOK && v.FirstByte >= attempt.Due && v.Ended <= attempt.Ended
 		}) {
-			t.Errorf("no visit tells of %+v: %+v", attempt, requests[attempt.TransactionID])
+			t.Errorf("no endpoint request matches %+v: %+v", attempt, requests[attempt.TransactionID])
 		}
 		delete(requests, attempt.TransactionID)
 	}
 	if len(requests) > 0 {
-		t.Errorf("visits that nobody asked for: %v", requests)
+		t.Errorf("endpoint requests that no client sent: %v", requests)
 	}
 	var changes []trace.SidecarEventKind
 	for _, c := range log.SidecarEvents {
@@ -143,7 +143,7 @@
 		t.Errorf("usage: %+v", log.Usage)
 	}
 	if len(log.Samples) < 3 || len(told) == 0 || log.End < p.Scenario.Length.D() || len(log.Notifications) < 3 {
-		t.Errorf("%d samples, %d of progress, %d told, end %v", len(log.Samples), len(told), len(log.Notifications), log.End)
+		t.Errorf("%d samples, %d of progress, %d notifications, end %v", len(log.Samples), len(told), len(log.Notifications), log.End)
 	}
 }
 
@@ -208,11 +208,11 @@
 	boxes := map[int]int{}
 	for _, attempt := range log.ClientAttempts {
 		if attempt.Status != trace.StatusServed || attempt.Sidecar != -1 {
-			t.Errorf("try %+v", attempt)
+			t.Errorf("attempt %+v", attempt)
 		}
 		boxes[attempt.Endpoint]++
 	}
 	if len(log.ClientAttempts) != 2*len(p.Requests) || len(boxes) != len(p.Boxes) {
-		t.Errorf("%d requests, %d tries, by box %v", len(p.Requests), len(log.ClientAttempts), boxes)
+		t.Errorf("%d requests, %d attempts, by endpoint %v", len(p.Requests), len(log.ClientAttempts), boxes)
 	}
 }
--- a/internal/lab/loopback/thrift_test.go
+++ b/internal/lab/loopback/thrift_test.go
@@ -44,12 +44,12 @@
 			want  clientResponse
 			ends  trace.Outcome
 		}{
-			{"whole", noFault, 0, "keyed", clientResponse{status: trace.StatusServed}, trace.OutcomeOK},
+			{"complete", noFault, 0, "keyed", clientResponse{status: trace.StatusServed}, trace.OutcomeOK},
 			{"failed", model.Fail, 0, "quick", clientResponse{status: trace.StatusFailed, code: thrift.INTERNAL_ERROR}, trace.OutcomeError},
 			{"a stranger's", noFault, 1, "quick", clientResponse{status: trace.StatusFailed, code: thrift.PROTOCOL_ERROR}, trace.OutcomeError},
-			{"turned away", noFault, 0, "quick", clientResponse{status: trace.StatusFailed, code: scenario.ThriftTurnedAway}, trace.OutcomeRejected},
+			{"rejected", noFault, 0, "quick", clientResponse{status: trace.StatusFailed, code: scenario.ThriftTurnedAway}, trace.OutcomeRejected},
 			{"cut", model.Cut, 0, "quick", clientResponse{}, trace.OutcomeCorrupted},
-			{"spoilt", model.Spoil, 0, "quick", clientResponse{}, trace.OutcomeCorrupted},
+			{"malformed", model.Spoil, 0, "quick", clientResponse{}, trace.OutcomeCorrupted},
 			{"dripped", model.Drip, 0, "quick", clientResponse{}, trace.OutcomeCorrupted},
 		} {
 			t.Run(c.name, func(t *testing.T) {
@@ -73,13 +73,13 @@
 					err == nil && (got.status != c.want.status || got.code != c.want.code) {
 					t.Errorf("%+v: %v", got, err)
 				} else if endpoint, ok := verifyBody(q.attempt.TransactionID, got.body); c.ends == trace.OutcomeOK && (!ok || endpoint != 0) {
-					t.Error("the body is not box 0's")
+					t.Error("the body is not endpoint 0's")
 				}
 				if c.shift > 0 {
 					q.attempt.TransactionID = 0
 				}
 				if v := s.endpointRequest(q.attempt.TransactionID); v.Outcome != c.ends {
-					t.Errorf("the visit is %+v", v)
+					t.Errorf("the request is %+v", v)
 				}
 			})
 		}
@@ -136,7 +136,7 @@
 			for range 300 {
 				text := newEndpointCodec(s.plan).appendMalformed(nil, correlation{method: "quick", seq: int32(q.attempt.TransactionID)}, responseBody(1, 2, 3, size), random)
 				if e, err := s.transport.codec.readResponse(&clientConn{reader: bufio.NewReader(bytes.NewReader(text))}, &q); err == nil {
-					t.Fatalf("this passes for whole: %+v %q", e, text)
+					t.Fatalf("this passes for a complete response: %+v %q", e, text)
 				}
 			}
 		}
@@ -150,7 +150,7 @@
 		reply := func(method string, seq int32, body []byte) []byte {
 			return form.write(nil, thriftHead{method, thrift.REPLY, seq}, successResult(body))
 		}
-		whole := reply("unsafe_one", 5, responseBody(5, 2, 0, 64))
+		complete := reply("unsafe_one", 5, responseBody(5, 2, 0, 64))
 		exception := func(kind int32, message string) []byte {
 			return form.write(nil, thriftHead{"unsafe_one", thrift.EXCEPTION, 5}, func(w thriftWriter) { w.exception(kind, message) })
 		}
@@ -163,8 +163,8 @@
 			answers int
 			forged  bool
 		}{
-			{"whole", whole, trace.StatusServed, 0, 0, 1, false},
-			{"two", slices.Concat(whole, whole), trace.StatusServed, 0, 0, 2, false},
+			{"complete", complete, trace.StatusServed, 0, 0, 1, false},
+			{"two", slices.Concat(complete, complete), trace.StatusServed, 0, 0, 2, false},
 			{"another's", reply("unsafe_one", 5, responseBody(6, 2, 0, 64)), trace.StatusServed, 0, 0, 1, true},
 			{"without a body", form.write(nil, thriftHead{"unsafe_one", thrift.REPLY, 5},
 				func(w thriftWriter) { w.fields(func() { w.number(7, 7) }) }), trace.StatusServed, 0, 0, 1, true},
@@ -175,7 +175,7 @@
 			{"unknown method", exception(1, ""), trace.StatusFailed, 1, 0, 1, false},
 			{"another sequence id", reply("unsafe_one", 6, responseBody(5, 2, 0, 64)), trace.StatusFailed, 0, 0, 0, false},
 			{"another method", reply("safe_one", 5, responseBody(5, 2, 0, 64)), trace.StatusFailed, 0, 0, 0, false},
-			{"half a reply", whole[:len(whole)/2], trace.StatusFailed, 0, 0, 0, false},
+			{"half a reply", complete[:len(complete)/2], trace.StatusFailed, 0, 0, 0, false},
 			{"HTTP", []byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), trace.StatusFailed, 0, 0, 0, false},
 			{"closed", nil, trace.StatusDisconnected, 0, 0, 0, false},
 		} {
--- a/internal/lab/loopback/transport_test.go
+++ b/internal/lab/loopback/transport_test.go
@@ -66,7 +66,7 @@
 		answers int
 		forged  bool
 	}{
-		{"whole", func(l *scriptedConn) { l.writeServed(5, 2) }, trace.StatusServed, 200, 0, 1, false},
+		{"complete", func(l *scriptedConn) { l.writeServed(5, 2) }, trace.StatusServed, 200, 0, 1, false},
 		{"chunked", func(l *scriptedConn) {
 			l.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n18\r\n%s\r\n28\r\n%s\r\n0\r\n\r\n", body[:24], body[24:])
 		}, trace.StatusServed, 200, 0, 1, false},
@@ -128,7 +128,7 @@
 		{"in the middle of an answer", "HTTP/1.1 200 OK\r\n", func(q *clientRequest, _ time.Duration) { q.timeout = 30 * time.Millisecond },
 			false, trace.StatusFailed},
 		{"it leaves", "", func(q *clientRequest, now time.Duration) { q.cancelAt = now + 30*time.Millisecond }, false, trace.StatusCanceled},
-		{"it is called off", "", func(*clientRequest, time.Duration) {}, true, trace.StatusCanceled},
+		{"it is canceled", "", func(*clientRequest, time.Duration) {}, true, trace.StatusCanceled},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s, ctx, closed := newTransportFixture(t), t.Context(), make(chan struct{})
@@ -160,15 +160,15 @@
 	if got := s.roundTrip(t.Context(), s.newRequest("unsafe", 5)); got.Status != trace.StatusConnectFailed || got.Sent != trace.Unset || got.Endpoint != -1 {
 		t.Errorf("%+v", got)
 	}
-	nobody := s.newRequest("safe", 5)
-	nobody.attempt.Sidecar = -1
-	if got := s.roundTrip(t.Context(), nobody); got.Status != trace.StatusConnectFailed || got.Sent != trace.Unset {
-		t.Errorf("nobody to send to: %+v", got)
+	noRecipient := s.newRequest("safe", 5)
+	noRecipient.attempt.Sidecar = -1
+	if got := s.roundTrip(t.Context(), noRecipient); got.Status != trace.StatusConnectFailed || got.Sent != trace.Unset {
+		t.Errorf("no recipient: %+v", got)
 	}
 	ctx, end := context.WithCancel(t.Context())
 	end()
 	if got := s.roundTrip(ctx, s.newRequest("unsafe", 5)); got.Status != trace.StatusCanceled || got.Sent != trace.Unset {
-		t.Errorf("called off: %+v", got)
+		t.Errorf("canceled: %+v", got)
 	}
 }
 
