--- a/internal/lab/auditcheck/audit_logs.go
+++ b/internal/lab/auditcheck/audit_logs.go
@@ -221,7 +221,8 @@
 		if b.digest != 0 {
 			under = fmt.Sprintf("list %016x", uint64(b.digest))
 		}
-		c.verdict.Details = append(c.verdict.Details, fmt.Sprintf("%s: %s at %s under %s: its trail has %d, of which %d may not have come; %d came for sure, %d perhaps",
+		c.verdict.Details = append(c.verdict.Details, fmt.Sprintf(
+			"%s: %s at %s under %s: its trail has %d, of which %d may not have come; %d came for sure, %d perhaps",
 			c.plan.Sidecars[sidecar].Name, b.class, b.endpoint, under, t.attempts, t.unreceived, t.certain, t.possible))
 	}
 	return missing, contradicted
--- a/internal/lab/judge/attempts.go
+++ b/internal/lab/judge/attempts.go
@@ -24,14 +24,17 @@
 		request := &e.log.EndpointRequests[i]
 		e.checkEndpoint(attempt, request)
 		if attempt.Ended != trace.Unset && request.FirstByte > attempt.Ended+e.slack {
-			e.report(violationOf(AttemptAfterEnd, request.FirstByte, attempt, request.Endpoint), "it was sent to box %s %s after the try was over (%s)",
+			e.report(violationOf(AttemptAfterEnd, request.FirstByte, attempt, request.Endpoint),
+				"it was sent to box %s %s after the try was over (%s)",
 				e.endpointName(request.Endpoint), (request.FirstByte - attempt.Ended).Round(time.Microsecond), attempt.Status)
 		}
 		if request.LastByte == trace.Unset {
 			continue
 		}
 		if count++; count > e.plan.Scenario.Rules.MaxAttempts {
-			e.report(violationOf(TooManyAttempts, request.FirstByte, attempt, request.Endpoint), "attempt %d came to box %s; %d are allowed", count, e.endpointName(request.Endpoint), e.plan.Scenario.Rules.MaxAttempts)
+			e.report(violationOf(TooManyAttempts, request.FirstByte, attempt, request.Endpoint),
+				"attempt %d came to box %s; %d are allowed",
+				count, e.endpointName(request.Endpoint), e.plan.Scenario.Rules.MaxAttempts)
 		}
 		if !e.plan.Scenario.Rules.SecondCopies {
 			e.checkHedges(attempt, request, requests[:earlier])
@@ -45,11 +48,14 @@
 		return
 	}
 	if request.FirstByte+e.slack < e.discovery.firstListedAt(attempt.Sidecar, request.Endpoint) {
-		e.report(violationOf(UnknownRequest, request.FirstByte, attempt, request.Endpoint), "it was sent to box %s, which no list had named to sidecar %s", e.endpointName(request.Endpoint), e.sidecarName(attempt.Sidecar))
+		e.report(violationOf(UnknownRequest, request.FirstByte, attempt, request.Endpoint),
+			"it was sent to box %s, which no list had named to sidecar %s",
+			e.endpointName(request.Endpoint), e.sidecarName(attempt.Sidecar))
 	}
 	grace := e.plan.Scenario.Rules.DrainGrace.D() + drainSlack + 3*e.plan.Scenario.Network.Delay.D() // a handshake comes first
 	if since, unavailable := e.discovery.unavailableSince(attempt.Sidecar, request.Endpoint, request.FirstByte); unavailable && request.FirstByte > since+grace {
-		e.report(violationOf(AttemptAfterDrain, request.FirstByte, attempt, request.Endpoint), "it was sent to box %s %s after sidecar %s was told that this drains or is gone",
+		e.report(violationOf(AttemptAfterDrain, request.FirstByte, attempt, request.Endpoint),
+			"it was sent to box %s %s after sidecar %s was told that this drains or is gone",
 			e.endpointName(request.Endpoint), (request.FirstByte - since).Round(time.Microsecond), e.sidecarName(attempt.Sidecar))
 	}
 }
@@ -63,7 +69,9 @@
 			ended = model.Never
 		}
 		if earlierRequest.LastByte != trace.Unset && ended-request.LastByte > e.slack {
-			e.report(violationOf(ForbiddenHedge, request.LastByte, attempt, request.Endpoint), "it came to box %s while it was out at box %s", e.endpointName(request.Endpoint), e.endpointName(earlierRequest.Endpoint))
+			e.report(violationOf(ForbiddenHedge, request.LastByte, attempt, request.Endpoint),
+				"it came to box %s while it was out at box %s",
+				e.endpointName(request.Endpoint), e.endpointName(earlierRequest.Endpoint))
 			return
 		}
 	}
--- a/internal/lab/judge/idempotency.go
+++ b/internal/lab/judge/idempotency.go
@@ -35,7 +35,8 @@
 		reported := false
 		if first != nil && request.LastByte != trace.Unset && (effect == "unsafe" || request.FirstByte > first.FirstByte+window) {
 			reported = true
-			e.report(violationOf(DuplicateExecution, request.FirstByte, attempt, request.Endpoint), "it was sent to box %s %s after it may have run at box %s%s", e.endpointName(request.Endpoint),
+			e.report(violationOf(DuplicateExecution, request.FirstByte, attempt, request.Endpoint),
+				"it was sent to box %s %s after it may have run at box %s%s", e.endpointName(request.Endpoint),
 				(request.FirstByte - first.FirstByte).Round(time.Microsecond), e.endpointName(first.Endpoint), rerunNote(request))
 		}
 		if first == nil && mayHaveRun(request) {
@@ -47,7 +48,8 @@
 	}
 	if attempt.Status == trace.StatusRejected && first != nil && first.FirstByte <= attempt.Ended &&
 		(effect == "unsafe" || attempt.Ended > first.FirstByte+window) {
-		e.report(violationOf(UnsafeRejected, attempt.Ended, attempt, first.Endpoint), "it was refused with %d, though it may have run at box %s", attempt.Code, e.endpointName(first.Endpoint))
+		e.report(violationOf(UnsafeRejected, attempt.Ended, attempt, first.Endpoint),
+			"it was refused with %d, though it may have run at box %s", attempt.Code, e.endpointName(first.Endpoint))
 	}
 }
 
@@ -74,7 +76,8 @@
 			continue
 		}
 		request := &requests[run.endpointRequest]
-		e.report(violationOf(DuplicateExecution, request.Started, &e.log.ClientAttempts[run.attempt], request.Endpoint), "try %d ran at box %s after try %d had run at box %s",
+		e.report(violationOf(DuplicateExecution, request.Started, &e.log.ClientAttempts[run.attempt], request.Endpoint),
+			"try %d ran at box %s after try %d had run at box %s",
 			e.log.ClientAttempts[run.attempt].Number+1, e.endpointName(request.Endpoint), e.log.ClientAttempts[before.attempt].Number+1, e.endpointName(requests[before.endpointRequest].Endpoint))
 	}
 }
--- a/internal/lab/judge/index.go
+++ b/internal/lab/judge/index.go
@@ -37,7 +37,9 @@
 	}
 	slices.SortFunc(x.attempts, byID)
 	slices.SortFunc(x.requestEntries, func(a, b entry) int {
-		return cmp.Or(cmp.Compare(a.id, b.id), cmp.Compare(log.EndpointRequests[a.position].FirstByte, log.EndpointRequests[b.position].FirstByte), cmp.Compare(a.position, b.position))
+		return cmp.Or(cmp.Compare(a.id, b.id),
+			cmp.Compare(log.EndpointRequests[a.position].FirstByte, log.EndpointRequests[b.position].FirstByte),
+			cmp.Compare(a.position, b.position))
 	})
 	for i, e := range x.requestEntries {
 		x.requests[i] = e.position
--- a/internal/lab/judge/responses.go
+++ b/internal/lab/judge/responses.go
@@ -17,7 +17,8 @@
 	}
 	switch {
 	case attempt.Forged:
-		e.report(violationOf(ForgedResponse, attempt.Ended, attempt, attempt.Endpoint), "a 200 came whose body no box made for this request")
+		e.report(violationOf(ForgedResponse, attempt.Ended, attempt, attempt.Endpoint),
+			"a 200 came whose body no box made for this request")
 	case attempt.Status == trace.StatusServed && !e.hasRun(requests):
 		e.report(violationOf(ForgedResponse, attempt.Ended, attempt, attempt.Endpoint), "a 200 came, but no box has run this request")
 	}
@@ -58,11 +59,14 @@
 			disconnectedAt = attempt.Ended
 		}
 		if !isExcused(e.incarnations[attempt.Sidecar], attempt.Sent, until, disconnectedAt, e.slack) {
-			e.report(violationOf(LostRequest, max(attempt.Sent, attempt.Ended), attempt, -1), "sidecar %s took it and never answered: %s", e.sidecarName(attempt.Sidecar), attempt.Status)
+			e.report(violationOf(LostRequest, max(attempt.Sent, attempt.Ended), attempt, -1),
+				"sidecar %s took it and never answered: %s", e.sidecarName(attempt.Sidecar), attempt.Status)
 		}
 	case trace.StatusServed, trace.StatusRejected, trace.StatusFailed:
 		if attempt.Ended > until {
-			e.report(violationOf(LostRequest, attempt.Ended, attempt, attempt.Endpoint), "overdue: the final answer came late by %s", (attempt.Ended - attempt.Sent - attempt.Timeout).Round(time.Microsecond))
+			e.report(violationOf(LostRequest, attempt.Ended, attempt, attempt.Endpoint),
+				"overdue: the final answer came late by %s",
+				(attempt.Ended - attempt.Sent - attempt.Timeout).Round(time.Microsecond))
 		}
 	}
 }
--- a/internal/lab/judge/timeline.go
+++ b/internal/lab/judge/timeline.go
@@ -123,7 +123,8 @@
 		if request.LastByte == trace.Unset {
 			t.extend(request.FirstByte, "box %s gets a part %s, and never the rest", t.endpointName(request.Endpoint), whose)
 		} else {
-			t.extend(request.LastByte, "box %s has an attempt %s, on connection %d, since +%.3f s", t.endpointName(request.Endpoint), whose, request.ConnectionID, request.FirstByte.Seconds())
+			t.extend(request.LastByte, "box %s has an attempt %s, on connection %d, since +%.3f s",
+				t.endpointName(request.Endpoint), whose, request.ConnectionID, request.FirstByte.Seconds())
 		}
 		if request.Started != trace.Unset {
 			how := "begins to run it"
--- a/internal/lab/loopback/auditor.go
+++ b/internal/lab/loopback/auditor.go
@@ -82,8 +82,14 @@
 
 func (a *auditor) args(inventory string) []string {
 	p := a.plan
-	args := []string{"audit", inventory, "--by=" + fmt.Sprintf("%s-%d", p.Name, a.startCount), "--json", "--watch=" + p.Every.D().String(), "--kept=" + a.statePath(),
-		"--share=" + strconv.FormatFloat(p.Share, 'g', -1, 64)}
+	args := []string{
+		"audit", inventory,
+		"--by=" + fmt.Sprintf("%s-%d", p.Name, a.startCount),
+		"--json",
+		"--watch=" + p.Every.D().String(),
+		"--kept=" + a.statePath(),
+		"--share=" + strconv.FormatFloat(p.Share, 'g', -1, 64),
+	}
 	if p.Within > 0 {
 		args = append(args, "--within="+p.Within.D().String())
 	}
--- a/internal/lab/loopback/client_codec.go
+++ b/internal/lab/loopback/client_codec.go
@@ -35,3 +35,13 @@
 	reportedAttempts budget.Tried  // attempts in lower tiers
 	closeAfter       bool          // its connection ends with it
 }
+
+// fill sets what an attempt takes from its response, and checks the body of a served one.
+func (r *clientResponse) fill(attempt *trace.ClientAttempt) {
+	attempt.Code, attempt.Status = r.code, r.status
+	attempt.RetryAfter, attempt.ReportedAttempts = r.retryAfter, r.reportedAttempts
+	if r.status == trace.StatusServed {
+		endpoint, genuine := verifyBody(attempt.TransactionID, r.body)
+		attempt.Endpoint, attempt.Forged = endpoint, !genuine
+	}
+}
--- a/internal/lab/loopback/transport.go
+++ b/internal/lab/loopback/transport.go
@@ -160,7 +160,9 @@
 
 // exchange sends one request on a connection and reads its response; then it puts the connection into the pool or closes it.
 // unread reports that the other end had closed a reused connection before anybody there read the request.
-func (t *transport) exchange(ctx context.Context, request *clientRequest, attempt trace.ClientAttempt, pool *connectionPool, conn *clientConn) (_ trace.ClientAttempt, unread bool) {
+func (t *transport) exchange(
+	ctx context.Context, request *clientRequest, attempt trace.ClientAttempt, pool *connectionPool, conn *clientConn,
+) (_ trace.ClientAttempt, unread bool) {
 	stop := context.AfterFunc(ctx, func() { _ = conn.tcp.Close() }) // reads and writes then fail
 	reusable := false
 	defer func() {
@@ -193,13 +195,7 @@
 		return t.noResponse(ctx, request, attempt, err, trace.StatusFailed), false
 	}
 	attempt.Ended, attempt.Responses = t.now(), 1
-	attempt.Code, attempt.Status = response.code, response.status
-	attempt.RetryAfter, attempt.ReportedAttempts = response.retryAfter, response.reportedAttempts
-	if attempt.Status == trace.StatusServed {
-		var genuine bool
-		attempt.Endpoint, genuine = verifyBody(attempt.TransactionID, response.body)
-		attempt.Forged = !genuine
-	}
+	response.fill(&attempt)
 	if conn.reader.Buffered() > 0 {
 		attempt.Responses = 2
 		return attempt, false
@@ -211,7 +207,9 @@
 
 // noResponse ends an attempt whose request was written completely and got no complete response. disconnected is its status if the
 // other side ended the connection.
-func (t *transport) noResponse(ctx context.Context, request *clientRequest, attempt trace.ClientAttempt, err error, disconnected trace.Status) trace.ClientAttempt {
+func (t *transport) noResponse(
+	ctx context.Context, request *clientRequest, attempt trace.ClientAttempt, err error, disconnected trace.Status,
+) trace.ClientAttempt {
 	attempt.Ended = t.now()
 	switch {
 	case ctx.Err() != nil || attempt.Ended >= request.cancelAt:
