--- a/internal/lab/auditcheck/audited_test.go
+++ b/internal/lab/auditcheck/audit_logs_test.go
@@ -14,7 +14,7 @@
 	"pinelb.example/pinelb/internal/version"
 )
 
-const small = `
+const scenarioText = `
 name = "small"
 [[class]]
 name = "c"
@@ -34,12 +34,12 @@
 
 const listA, listB, listC = version.Digest(0xa), version.Digest(0xb), version.Digest(0xc)
 
-func at(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
+func seconds(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
-// story is a play of two sidecars: n1 is told list A before the run and B at 5 s, which it has taken over by 6 s; n2 is told A
-// alone. Both ask a box each second, n1 also once at 5.5 s, when nobody can say by which of the two.
-func story(t *testing.T) (*plan.Plan, *trace.Log, map[int][]auditlog.Entry) {
-	s, err := scenario.Parse("small.toml", []byte(small))
+// newRun is a play of two sidecars: n1 is sent list A before the run and B at 5 s, which it has adopted by 6 s; n2 is sent A alone. Both
+// send a request each second, n1 also once at 5.5 s, when nobody can say under which of the two.
+func newRun(t *testing.T) (*plan.Plan, *trace.Log, map[int][]auditlog.Entry) {
+	s, err := scenario.Parse("small.toml", []byte(scenarioText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,24 +47,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	log := &trace.Log{Start: time.UnixMilli(1_000_000), End: at(10)}
+	log := &trace.Log{Start: time.UnixMilli(1_000_000), End: seconds(10)}
 	for i := range 2 {
-		log.Changes = append(log.Changes, trace.Change{Sidecar: i, What: trace.Begun, Digest: listC})
-		log.Asked = append(log.Asked, trace.Asked{Sidecar: i, Revision: 1, Digest: listA})
+		log.SidecarEvents = append(log.SidecarEvents, trace.SidecarEvent{Sidecar: i, Kind: trace.SidecarStarted, Digest: listC})
+		log.Polls = append(log.Polls, trace.DiscoveryPoll{Sidecar: i, Revision: 1, Digest: listA})
 	}
-	log.Asked = append(log.Asked, trace.Asked{At: at(0.5), Sidecar: 1, Watch: true, Since: 1, How: trace.Left},
-		trace.Asked{At: at(0.5), Sidecar: 0, Watch: true, Since: 1, Told: at(5), Revision: 2, Digest: listB},
-		trace.Asked{At: at(6), Sidecar: 0, Watch: true, Since: 2, How: trace.Left})
-	visit := func(sidecar int, when float64) {
-		txn := uint64(len(log.Tries) + 1)
-		log.Tries = append(log.Tries, trace.Try{Txn: txn, Request: int(txn), Sidecar: sidecar, Due: at(when), Answered: at(when + 0.2)})
-		log.Visits = append(log.Visits, trace.Visit{Txn: txn, Begun: at(when + 0.1)})
+	log.Polls = append(log.Polls, trace.DiscoveryPoll{At: seconds(0.5), Sidecar: 1, Watch: true, SinceRevision: 1, Outcome: trace.PollAbandoned},
+		trace.DiscoveryPoll{At: seconds(0.5), Sidecar: 0, Watch: true, SinceRevision: 1, RespondedAt: seconds(5), Revision: 2, Digest: listB},
+		trace.DiscoveryPoll{At: seconds(6), Sidecar: 0, Watch: true, SinceRevision: 2, Outcome: trace.PollAbandoned})
+	request := func(sidecar int, when float64) {
+		txn := uint64(len(log.ClientAttempts) + 1)
+		log.ClientAttempts = append(log.ClientAttempts, trace.ClientAttempt{TransactionID: txn, Request: int(txn), Sidecar: sidecar, Due: seconds(when), Ended: seconds(when + 0.2)})
+		log.EndpointRequests = append(log.EndpointRequests, trace.EndpointRequest{TransactionID: txn, FirstByte: seconds(when + 0.1)})
 	}
 	for _, when := range []float64{1, 2, 3, 5.5, 7, 8} {
-		visit(0, when)
+		request(0, when)
 	}
 	for _, when := range []float64{1, 2, 7, 8} {
-		visit(1, when)
+		request(1, when)
 	}
 	adopted := func(seq uint64, under uint32, d version.Digest) auditlog.Entry {
 		return auditlog.Entry{At: 999_900, Seq: seq, Life: "l", Kind: auditlog.Adopted, Under: under, Version: &version.Version{List: version.List{Digest: d}}}
@@ -79,8 +79,8 @@
 	}
 }
 
-// A trail that is true is found so, and each fault that is planted in it is found with that kind alone.
-func TestTrailsAreCompared(t *testing.T) {
+// TestCompareAuditLogs checks that a correct audit log passes, and that each mistake planted in it is found, with its kind alone.
+func TestCompareAuditLogs(t *testing.T) {
 	for _, c := range []struct {
 		name                     string
 		wrong, missing, unproven int
@@ -98,13 +98,13 @@
 			trails[0][1].Attempts[0].N--
 			trails[0][3].Attempts[0].N++
 		}},
-		{name: "a list that it was never told", wrong: 4, missing: 4, plant: func(_ *plan.Plan, _ *trace.Log, trails map[int][]auditlog.Entry) {
+		{name: "a list that it was never sent", wrong: 4, missing: 4, plant: func(_ *plan.Plan, _ *trace.Log, trails map[int][]auditlog.Entry) {
 			trails[1][0].Version.List.Digest = listB
 		}},
-		{name: "the list it was configured with, after it was told another", wrong: 4, missing: 4, plant: func(_ *plan.Plan, _ *trace.Log, trails map[int][]auditlog.Entry) {
+		{name: "the list it was configured with, after it was sent another", wrong: 4, missing: 4, plant: func(_ *plan.Plan, _ *trace.Log, trails map[int][]auditlog.Entry) {
 			trails[1][0].Version.List.Digest = listC
 		}},
-		{name: "another box", wrong: 2, missing: 2, plant: func(_ *plan.Plan, _ *trace.Log, trails map[int][]auditlog.Entry) {
+		{name: "another endpoint", wrong: 2, missing: 2, plant: func(_ *plan.Plan, _ *trace.Log, trails map[int][]auditlog.Entry) {
 			trails[1][1].Attempts[0].Host = "t-2"
 		}},
 		{name: "an entry cut out", missing: 2, plant: func(_ *plan.Plan, _ *trace.Log, trails map[int][]auditlog.Entry) {
@@ -114,63 +114,64 @@
 			delete(trails, 1)
 		}},
 		{name: "killed before its first count", unproven: 4, plant: func(_ *plan.Plan, log *trace.Log, trails map[int][]auditlog.Entry) {
-			log.Changes = append(log.Changes, trace.Change{At: at(9), Sidecar: 1, What: trace.Killed})
+			log.SidecarEvents = append(log.SidecarEvents, trace.SidecarEvent{At: seconds(9), Sidecar: 1, Kind: trace.SidecarKilled})
 			trails[1] = trails[1][:1]
 		}},
 		{name: "killed after its last count", unproven: 2, plant: func(_ *plan.Plan, log *trace.Log, trails map[int][]auditlog.Entry) {
-			log.Changes = append(log.Changes, trace.Change{At: at(9), Sidecar: 1, What: trace.Killed})
+			log.SidecarEvents = append(log.SidecarEvents, trace.SidecarEvent{At: seconds(9), Sidecar: 1, Kind: trace.SidecarKilled})
 			trails[1] = trails[1][:2]
 		}},
 		{name: "killed, and its trail has lost what was counted before", missing: 1, unproven: 2, plant: func(_ *plan.Plan, log *trace.Log, trails map[int][]auditlog.Entry) {
-			log.Changes = append(log.Changes, trace.Change{At: at(9), Sidecar: 1, What: trace.Killed})
+			log.SidecarEvents = append(log.SidecarEvents, trace.SidecarEvent{At: seconds(9), Sidecar: 1, Kind: trace.SidecarKilled})
 			trails[1] = trails[1][:2]
 			trails[1][1].Attempts[0].N--
 		}},
 		{name: "killed, and nothing is left of that process", missing: 4, plant: func(_ *plan.Plan, log *trace.Log, trails map[int][]auditlog.Entry) {
-			log.Changes = append(log.Changes, trace.Change{At: at(9), Sidecar: 1, What: trace.Killed})
+			log.SidecarEvents = append(log.SidecarEvents, trace.SidecarEvent{At: seconds(9), Sidecar: 1, Kind: trace.SidecarKilled})
 			trails[1] = []auditlog.Entry{{Seq: 1, Life: "m", Kind: auditlog.Began, At: 1_010_000}}
 		}},
-		{name: "a box that went down: what was on its way has no end", plant: func(p *plan.Plan, _ *trace.Log, trails map[int][]auditlog.Entry) {
+		{name: "an endpoint that went down: what was in flight has no end", plant: func(p *plan.Plan, _ *trace.Log, trails map[int][]auditlog.Entry) {
 			p.Events = append(p.Events, plan.Event{Kind: plan.BeginFault, Box: 0, Fault: model.Fault{Kind: model.Dead}})
 			trails[0][1].Attempts[0].N += 2
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p, log, trails := story(t)
+			p, log, trails := newRun(t)
 			c.plant(p, log, trails)
-			v := Judge(p, log, trails)
-			if v.Wrong != c.wrong || v.Missing != c.missing || v.Unproven != c.unproven || !slices.Equal(v.Unread, append([]string{}, c.unread...)) {
+			v := CompareAuditLogs(p, log, trails)
+			if v.Contradicted != c.wrong || v.Missing != c.missing || v.Unrecordable != c.unproven || !slices.Equal(v.UnreadSidecars, append([]string{}, c.unread...)) {
 				t.Errorf("%+v", v)
 			}
-			if c.name == "nothing" && (v.Visits != 10 || v.Attempts != 11 || v.Sure != 9 || v.Unseen != 1) {
+			if c.name == "nothing" && (v.EndpointRequests != 10 || v.Attempts != 11 || v.Unambiguous != 9 || v.Unreceived != 1) {
 				t.Errorf("%+v", v)
 			}
 		})
 	}
 }
 
-// With a second process beside the first, a call says nothing of what the other one holds until the first has ended.
-func TestTwoProcesses(t *testing.T) {
+// TestPossibleListsOfTwoProcesses checks that, with a second process beside the first, a poll says nothing of what the other one holds
+// until the first has exited.
+func TestPossibleListsOfTwoProcesses(t *testing.T) {
 	log := &trace.Log{
-		Changes: []trace.Change{{What: trace.Begun, Digest: listA}, {At: at(2), What: trace.Doubled}, {At: at(4), What: trace.Succeeded}},
-		Asked: []trace.Asked{{At: at(0.5), Watch: true, Since: 1, Told: at(3), Revision: 2, Digest: listB},
-			{At: at(3.1), Watch: true, Since: 2}, {At: at(4.1), Watch: true, Since: 2}},
+		SidecarEvents: []trace.SidecarEvent{{Kind: trace.SidecarStarted, Digest: listA}, {At: seconds(2), Kind: trace.SidecarUpgradeStarted}, {At: seconds(4), Kind: trace.SidecarUpgradeFinished}},
+		Polls: []trace.DiscoveryPoll{{At: seconds(0.5), Watch: true, SinceRevision: 1, RespondedAt: seconds(3), Revision: 2, Digest: listB},
+			{At: seconds(3.1), Watch: true, SinceRevision: 2}, {At: seconds(4.1), Watch: true, SinceRevision: 2}},
 	}
-	stretches := held(log, 0)
+	stretches := possibleLists(log, 0)
 	for _, c := range []struct {
 		from, to float64
 		want     []version.Digest
 	}{
 		{1, 2, []version.Digest{listA}}, {3.2, 3.9, []version.Digest{listA, listB}}, {4.2, 9, []version.Digest{listB}},
 	} {
-		if got := between(stretches, at(c.from), at(c.to)); !slices.Equal(got, c.want) {
+		if got := listsBetween(stretches, seconds(c.from), seconds(c.to)); !slices.Equal(got, c.want) {
 			t.Errorf("from %v to %v s: %x, expected %x", c.from, c.to, got, c.want)
 		}
 	}
 }
 
-// What an auditor printed is measured by what is true: a straggler that is hidden, and one that is none, are found.
-func TestStragglersAreCompared(t *testing.T) {
+// TestCompareFindings measures an auditor's output by what is true: a straggler that is missed, and a false positive, are found.
+func TestCompareFindings(t *testing.T) {
 	const reached = `{"line":"sidecar","name":"n%d","status":"%s","seen_ms":%d}` + "\n"
 	const summary = `{"line":"summary","at_ms":%d,"took_ms":10,"reference":{"digest":"%016x"}}` + "\n"
 	print := func(status func(sidecar, second int) string) (out string) {
@@ -212,22 +213,22 @@
 			return well(sidecar, second)
 		}},
 	} {
-		p, log, _ := story(t)
-		log.End = at(10)
-		for _, r := range []trace.Asked{{Told: at(0.1), Digest: listA}, {Told: at(2), Digest: listA}, {Told: at(4.5), Digest: listB}} {
+		p, log, _ := newRun(t)
+		log.End = seconds(10)
+		for _, r := range []trace.DiscoveryPoll{{RespondedAt: seconds(0.1), Digest: listA}, {RespondedAt: seconds(2), Digest: listA}, {RespondedAt: seconds(4.5), Digest: listB}} {
 			r.Sidecar = -1
-			log.Asked = append(log.Asked, r)
+			log.Polls = append(log.Polls, r)
 		}
-		got, err := Find(p, log, []byte(print(c.status)+`{"line":"si`), at(3))
-		if err != nil || got.Rounds != 9 || got.True != c.isTrue || got.Found != c.found || got.Unasked != c.unasked || got.Hidden != c.hidden || got.False != c.falsly {
+		got, err := CompareFindings(p, log, []byte(print(c.status)+`{"line":"si`), seconds(3))
+		if err != nil || got.Rounds != 9 || got.Actual != c.isTrue || got.Detected != c.found || got.Unreached != c.unasked || got.Missed != c.hidden || got.FalsePositives != c.falsly {
 			t.Errorf("%s: %+v %v", c.name, got, err)
 		}
-		log.Trails = map[int][]auditlog.Entry{}
-		if ends, never := Ends(p, log, at(1)); !slices.Equal(ends, []time.Duration{}) || never != 1 {
+		log.AuditLogs = map[int][]auditlog.Entry{}
+		if ends, never := ResolutionTimes(p, log, seconds(1)); !slices.Equal(ends, []time.Duration{}) || never != 1 {
 			t.Errorf("%s: it ended after %v, never %d", c.name, ends, never)
 		}
-		log.Trails[1] = []auditlog.Entry{{Kind: auditlog.Judged, At: 1_007_500, State: version.Shut}}
-		if ends, never := Ends(p, log, at(1)); !slices.Equal(ends, []time.Duration{at(3)}) || never != 0 {
+		log.AuditLogs[1] = []auditlog.Entry{{Kind: auditlog.Judged, At: 1_007_500, State: version.Shut}}
+		if ends, never := ResolutionTimes(p, log, seconds(1)); !slices.Equal(ends, []time.Duration{seconds(3)}) || never != 0 {
 			t.Errorf("%s: shut out after %v, never %d", c.name, ends, never)
 		}
 	}
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -68,7 +68,7 @@
 		log, err = simulation.Play(p)
 	} else {
 		meta = result.Meta{Player: "sockets", Builds: builds(c.Builds)}
-		log, err = loopback.Play(ctx, p, loopback.Options{Builds: c.Builds, Dir: c.Logs, Progress: c.Progress})
+		log, err = loopback.Play(ctx, p, loopback.Options{Builds: c.Builds, LogDir: c.Logs, Progress: c.Progress})
 		if log != nil && ctx.Err() != nil {
 			ended, err = ctx.Err(), nil
 		}
@@ -100,9 +100,9 @@
 			continue
 		}
 		b := result.Broken{Kind: string(kind), Count: v.Counts[kind]}
-		for i := range v.Breaches {
-			if r := &v.Breaches[i]; r.Kind == kind {
-				b.Stories = append(b.Stories, append([]string{r.Text}, r.Story...))
+		for i := range v.Violations {
+			if r := &v.Violations[i]; r.Kind == kind {
+				b.Stories = append(b.Stories, append([]string{r.Text}, r.Timeline...))
 			}
 		}
 		out = append(out, b)
--- a/internal/lab/judge/attempts.go
+++ b/internal/lab/judge/attempts.go
@@ -7,63 +7,71 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-// unknown judges visits of an id that no client and no box has sent.
-func (j *judge) unknown(visits []int32) {
-	for _, i := range visits {
-		v := &j.log.Visits[i]
-		j.breach(Breach{Kind: Unknown, At: v.Begun, Request: -1, Txn: v.Txn, Box: v.Box, Sidecar: -1},
-			"box %s got a request with id %016x, which nobody sent", j.box(v.Box), v.Txn)
+// reportUnknown reports requests with an id that no client and no endpoint has sent.
+func (e *evaluation) reportUnknown(requests []int32) {
+	for _, i := range requests {
+		request := &e.log.EndpointRequests[i]
+		e.report(Violation{Kind: UnknownRequest, At: request.FirstByte, Request: -1, TransactionID: request.TransactionID, Endpoint: request.Endpoint, Sidecar: -1},
+			"box %s got a request with id %016x, which nobody sent", e.endpointName(request.Endpoint), request.TransactionID)
 	}
 }
 
-// attempts judges when and where a sidecar sent a try. An attempt counts from its last byte on.
-func (j *judge) attempts(try int, visits []int32) {
-	t := &j.log.Tries[try]
+// checkAttempts checks when and where a sidecar sent the upstream requests of a client attempt. One counts from its last byte on.
+func (e *evaluation) checkAttempts(attemptIndex int, requests []int32) {
+	attempt := &e.log.ClientAttempts[attemptIndex]
 	count := 0
-	for n, i := range visits {
-		v := &j.log.Visits[i]
-		j.place(t, v)
-		if t.Answered != trace.None && v.Begun > t.Answered+j.slack {
-			j.breach(of(AfterEnd, v.Begun, t, v.Box), "it was sent to box %s %s after the try was over (%s)",
-				j.box(v.Box), (v.Begun - t.Answered).Round(time.Microsecond), t.Status)
+	for earlier, i := range requests {
+		request := &e.log.EndpointRequests[i]
+		e.checkEndpoint(attempt, request)
+		if attempt.Ended != trace.Unset && request.FirstByte > attempt.Ended+e.slack {
+			e.report(violationOf(AttemptAfterEnd, request.FirstByte, attempt, request.Endpoint),
+				"it was sent to box %s %s after the try was over (%s)",
+				e.endpointName(request.Endpoint), (request.FirstByte - attempt.Ended).Round(time.Microsecond), attempt.Status)
 		}
-		if v.Arrived == trace.None {
+		if request.LastByte == trace.Unset {
 			continue
 		}
-		if count++; count > j.p.Scenario.Rules.MaxAttempts {
-			j.breach(of(TooManyAttempts, v.Begun, t, v.Box), "attempt %d came to box %s; %d are allowed", count, j.box(v.Box), j.p.Scenario.Rules.MaxAttempts)
+		if count++; count > e.plan.Scenario.Rules.MaxAttempts {
+			e.report(violationOf(TooManyAttempts, request.FirstByte, attempt, request.Endpoint),
+				"attempt %d came to box %s; %d are allowed",
+				count, e.endpointName(request.Endpoint), e.plan.Scenario.Rules.MaxAttempts)
 		}
-		if !j.p.Scenario.Rules.SecondCopies {
-			j.copies(t, v, visits[:n])
+		if !e.plan.Scenario.Rules.SecondCopies {
+			e.checkHedges(attempt, request, requests[:earlier])
 		}
 	}
 }
 
-// place judges the box that an attempt went to by what its sidecar had been told.
-func (j *judge) place(t *trace.Try, v *trace.Visit) {
-	if t.Sidecar < 0 || t.Sidecar >= len(j.p.Sidecars) || v.Box < 0 || v.Box >= len(j.p.Boxes) {
+// checkEndpoint checks the endpoint of an upstream request against what its sidecar had been notified of.
+func (e *evaluation) checkEndpoint(attempt *trace.ClientAttempt, request *trace.EndpointRequest) {
+	if attempt.Sidecar < 0 || attempt.Sidecar >= len(e.plan.Sidecars) || request.Endpoint < 0 || request.Endpoint >= len(e.plan.Boxes) {
 		return
 	}
-	if v.Begun+j.slack < j.heard.named(t.Sidecar, v.Box) {
-		j.breach(of(Unknown, v.Begun, t, v.Box), "it was sent to box %s, which no list had named to sidecar %s", j.box(v.Box), j.sidecar(t.Sidecar))
+	if request.FirstByte+e.slack < e.discovery.firstListedAt(attempt.Sidecar, request.Endpoint) {
+		e.report(violationOf(UnknownRequest, request.FirstByte, attempt, request.Endpoint),
+			"it was sent to box %s, which no list had named to sidecar %s",
+			e.endpointName(request.Endpoint), e.sidecarName(attempt.Sidecar))
 	}
-	grace := j.p.Scenario.Rules.DrainGrace.D() + drainSlack + 3*j.p.Scenario.Network.Delay.D() // a connection comes first
-	if since, off := j.heard.offSince(t.Sidecar, v.Box, v.Begun); off && v.Begun > since+grace {
-		j.breach(of(AfterDrain, v.Begun, t, v.Box), "it was sent to box %s %s after sidecar %s was told that this drains or is gone",
-			j.box(v.Box), (v.Begun - since).Round(time.Microsecond), j.sidecar(t.Sidecar))
+	grace := e.plan.Scenario.Rules.DrainGrace.D() + drainSlack + 3*e.plan.Scenario.Network.Delay.D() // a handshake comes first
+	if since, unavailable := e.discovery.unavailableSince(attempt.Sidecar, request.Endpoint, request.FirstByte); unavailable && request.FirstByte > since+grace {
+		e.report(violationOf(AttemptAfterDrain, request.FirstByte, attempt, request.Endpoint),
+			"it was sent to box %s %s after sidecar %s was told that this drains or is gone",
+			e.endpointName(request.Endpoint), (request.FirstByte - since).Round(time.Microsecond), e.sidecarName(attempt.Sidecar))
 	}
 }
 
-// copies judges whether an earlier attempt was still out, for longer than its end may take to be seen.
-func (j *judge) copies(t *trace.Try, v *trace.Visit, earlier []int32) {
+// checkHedges checks that no earlier upstream request of the attempt was in flight, but for as long as its end may take to be seen.
+func (e *evaluation) checkHedges(attempt *trace.ClientAttempt, request *trace.EndpointRequest, earlier []int32) {
 	for _, i := range earlier {
-		o := &j.log.Visits[i]
-		ended := o.Ended
-		if ended == trace.None {
+		earlierRequest := &e.log.EndpointRequests[i]
+		ended := earlierRequest.Ended
+		if ended == trace.Unset {
 			ended = model.Never
 		}
-		if o.Arrived != trace.None && ended-v.Arrived > j.slack {
-			j.breach(of(SecondCopy, v.Arrived, t, v.Box), "it came to box %s while it was out at box %s", j.box(v.Box), j.box(o.Box))
+		if earlierRequest.LastByte != trace.Unset && ended-request.LastByte > e.slack {
+			e.report(violationOf(ForbiddenHedge, request.LastByte, attempt, request.Endpoint),
+				"it came to box %s while it was out at box %s",
+				e.endpointName(request.Endpoint), e.endpointName(earlierRequest.Endpoint))
 			return
 		}
 	}
--- a/internal/lab/judge/index.go
+++ b/internal/lab/judge/index.go
@@ -7,96 +7,112 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-// entry is a place in a log under the id, or the number, by which it is looked up.
+// entry is a position in a list of the log, under the id by which it is looked up.
 type entry struct {
-	id uint64
-	at int32
+	id       uint64
+	position int32
 }
 
-// index joins the two ends of a log: tries and visits, each in the order of their ids.
+// index joins client attempts and endpoint requests by their transaction ids.
 type index struct {
-	log    *trace.Log
-	tries  []entry // by Txn
-	visits []int32 // of log.Visits, by Txn, then by their first byte
-	places []entry // of visits, by Txn
-	asked  []entry // tries by Request; made when a story first needs it
+	log               *trace.Log
+	attempts          []entry // by TransactionID
+	requests          []int32 // positions in Log.EndpointRequests, by TransactionID, then FirstByte
+	requestEntries    []entry // the same, with their ids
+	attemptsByRequest []entry // client attempts by Request; made when a timeline first needs it
 }
 
 func newIndex(log *trace.Log) index {
-	x := index{log: log, tries: make([]entry, len(log.Tries)), places: make([]entry, len(log.Visits)), visits: make([]int32, len(log.Visits))}
-	for i := range log.Tries {
-		x.tries[i] = entry{log.Tries[i].Txn, int32(i)}
+	x := index{
+		log:            log,
+		attempts:       make([]entry, len(log.ClientAttempts)),
+		requests:       make([]int32, len(log.EndpointRequests)),
+		requestEntries: make([]entry, len(log.EndpointRequests)),
 	}
-	for i := range log.Visits {
-		x.places[i] = entry{log.Visits[i].Txn, int32(i)}
+	for i := range log.ClientAttempts {
+		x.attempts[i] = entry{log.ClientAttempts[i].TransactionID, int32(i)}
 	}
-	slices.SortFunc(x.tries, byID)
-	slices.SortFunc(x.places, func(a, b entry) int {
-		return cmp.Or(cmp.Compare(a.id, b.id), cmp.Compare(log.Visits[a.at].Begun, log.Visits[b.at].Begun), cmp.Compare(a.at, b.at))
+	for i := range log.EndpointRequests {
+		x.requestEntries[i] = entry{log.EndpointRequests[i].TransactionID, int32(i)}
+	}
+	slices.SortFunc(x.attempts, byID)
+	slices.SortFunc(x.requestEntries, func(a, b entry) int {
+		return cmp.Or(cmp.Compare(a.id, b.id),
+			cmp.Compare(log.EndpointRequests[a.position].FirstByte, log.EndpointRequests[b.position].FirstByte),
+			cmp.Compare(a.position, b.position))
 	})
-	for i, e := range x.places {
-		x.visits[i] = e.at
+	for i, e := range x.requestEntries {
+		x.requests[i] = e.position
 	}
 	return x
 }
 
-func byID(a, b entry) int { return cmp.Or(cmp.Compare(a.id, b.id), cmp.Compare(a.at, b.at)) }
+func byID(a, b entry) int {
+	return cmp.Or(cmp.Compare(a.id, b.id), cmp.Compare(a.position, b.position))
+}
+
+// compareID compares an entry with an id, for binary searches.
+func compareID(e entry, id uint64) int { return cmp.Compare(e.id, id) }
 
-// each calls f for every try with its visits, and for visits of an id that no try has with a try of -1.
-func (x *index) each(f func(try int, visits []int32)) {
-	v := 0
-	stray := func(before uint64, all bool) {
-		for v < len(x.places) && (all || x.places[v].id < before) {
-			from := v
-			for v < len(x.places) && x.places[v].id == x.places[from].id {
-				v++
-			}
-			f(-1, x.visits[from:v])
+// each calls f for every client attempt with its endpoint requests, and with an attempt of -1 for requests with an id that no attempt
+// has.
+func (x *index) each(f func(attempt int, requests []int32)) {
+	next := 0
+	take := func() []int32 { // the requests with the next id
+		from := next
+		for next < len(x.requestEntries) && x.requestEntries[next].id == x.requestEntries[from].id {
+			next++
 		}
+		return x.requests[from:next]
 	}
-	for _, t := range x.tries {
-		stray(t.id, false)
-		from := v
-		for v < len(x.places) && x.places[v].id == t.id {
-			v++
+	for _, attempt := range x.attempts {
+		for next < len(x.requestEntries) && x.requestEntries[next].id < attempt.id {
+			f(-1, take())
 		}
-		f(int(t.at), x.visits[from:v])
+		var requests []int32
+		if next < len(x.requestEntries) && x.requestEntries[next].id == attempt.id {
+			requests = take()
+		}
+		f(int(attempt.position), requests)
+	}
+	for next < len(x.requestEntries) {
+		f(-1, take())
 	}
-	stray(0, true)
 }
 
-// of are the visits of an id.
-func (x *index) of(txn uint64) []int32 {
-	from, _ := slices.BinarySearchFunc(x.places, txn, func(e entry, txn uint64) int { return cmp.Compare(e.id, txn) })
+// requestsOf are the endpoint requests with a transaction id.
+func (x *index) requestsOf(transactionID uint64) []int32 {
+	from, _ := slices.BinarySearchFunc(x.requestEntries, transactionID, compareID)
 	to := from
-	for to < len(x.places) && x.places[to].id == txn {
+	for to < len(x.requestEntries) && x.requestEntries[to].id == transactionID {
 		to++
 	}
-	return x.visits[from:to]
+	return x.requests[from:to]
 }
 
-// try is the place of an id's try, or -1.
-func (x *index) try(txn uint64) int {
-	i, found := slices.BinarySearchFunc(x.tries, txn, func(e entry, txn uint64) int { return cmp.Compare(e.id, txn) })
+// attempt is the position of the client attempt with a transaction id, or -1.
+func (x *index) attempt(transactionID uint64) int {
+	i, found := slices.BinarySearchFunc(x.attempts, transactionID, compareID)
 	if !found {
 		return -1
 	}
-	return int(x.tries[i].at)
+	return int(x.attempts[i].position)
 }
 
-// request are the tries of a request, calls of later tiers included, in the order in which they were due.
-func (x *index) request(n int) []int32 {
-	if x.asked == nil {
-		x.asked = make([]entry, len(x.log.Tries))
-		for i := range x.log.Tries {
-			x.asked[i] = entry{uint64(x.log.Tries[i].Request), int32(i)}
+// attemptsOf are the client attempts of a request of the plan, calls of later tiers included, in the log's order.
+func (x *index) attemptsOf(request int) []int32 {
+	if x.attemptsByRequest == nil {
+		x.attemptsByRequest = make([]entry, len(x.log.ClientAttempts))
+		for i := range x.log.ClientAttempts {
+			x.attemptsByRequest[i] = entry{uint64(x.log.ClientAttempts[i].Request), int32(i)}
 		}
-		slices.SortFunc(x.asked, byID)
+		slices.SortFunc(x.attemptsByRequest, byID)
 	}
-	from, _ := slices.BinarySearchFunc(x.asked, uint64(n), func(e entry, id uint64) int { return cmp.Compare(e.id, id) })
-	var out []int32
-	for ; from < len(x.asked) && x.asked[from].id == uint64(n); from++ {
-		out = append(out, x.asked[from].at)
+	id := uint64(request)
+	from, _ := slices.BinarySearchFunc(x.attemptsByRequest, id, compareID)
+	var positions []int32
+	for ; from < len(x.attemptsByRequest) && x.attemptsByRequest[from].id == id; from++ {
+		positions = append(positions, x.attemptsByRequest[from].position)
 	}
-	return out
+	return positions
 }
--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -1,9 +1,9 @@
-// Package judge says whether the sidecars of a run kept the rules. It sees both ends: what each client sent
-// and got, and what each box was sent and did. It is pure, and takes the traces of the virtual player and of
-// the one on sockets alike: what the two ends of one step may be apart there is within the rules' AnswerSlack.
+// Package judge checks whether the sidecars of a run kept the rules. It sees both ends: what each client sent and got, and what each
+// endpoint was sent and did. It is pure, and takes the traces of package simulation and of package loopback alike: what the two ends
+// of one step may be apart in the latter is within Rules.AnswerSlack. Players, tests and package experiment call it.
 //
-// Where the rules ask what a sidecar knew, it is judged by what was written to it, not by what was true: an
-// attempt that came whole to a box and was not turned away may have run, whether it did or not.
+// Where a rule depends on what a sidecar knew, that is judged by what was written to it, not by what was true: an upstream request
+// that arrived completely at an endpoint and was not rejected may have run, whether it did or not.
 package judge
 
 import (
@@ -16,142 +16,148 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-// Kind is a way to break a rule. The words stand in result files: they don't change.
+// Kind is a way to break a rule. Its text stands in result files and doesn't change.
 type Kind string
 
 // The kinds.
 const (
-	Lost            Kind = "lost"              // a request that was taken had no final answer in its time
-	AnsweredTwice   Kind = "answered twice"    // more than one final answer came
-	Forged          Kind = "forged"            // a 200 that no box made for this request
-	UnsafeRefused   Kind = "unsafe refused"    // a retry was called harmless though an attempt may have run
-	RanTwice        Kind = "ran twice"         // sent, or run, again when it may have run
-	TooManyAttempts Kind = "too many attempts" // beyond max_attempts
-	SecondCopy      Kind = "second copy"       // two attempts out at once where that is not allowed
-	AfterEnd        Kind = "after the end"     // an attempt was sent after the final answer, or after the client had left
-	AfterDrain      Kind = "after drain"       // an attempt was sent to a box that was told to be draining or gone
-	PushedOver      Kind = "pushed over"       // a cold box fell over, and who sent the work had been told that it was cold
-	Unknown         Kind = "unknown request"   // a box got what no client sent, or a sidecar had no list with that box
-	Crashed         Kind = "crashed"           // a sidecar ended by itself
+	LostRequest        Kind = "lost"              // a request that was accepted had no final response in time
+	DuplicateResponse  Kind = "answered twice"    // more than one final response came
+	ForgedResponse     Kind = "forged"            // a 200 that no endpoint made for this request
+	UnsafeRejected     Kind = "unsafe refused"    // a rejection said that a retry is safe though the request may have run
+	DuplicateExecution Kind = "ran twice"         // sent, or run, again when it may have run
+	TooManyAttempts    Kind = "too many attempts" // beyond Rules.MaxAttempts
+	ForbiddenHedge     Kind = "second copy"       // two upstream requests in flight at once where hedging is not allowed
+	AttemptAfterEnd    Kind = "after the end"     // sent after the final response, or after the client had disconnected
+	AttemptAfterDrain  Kind = "after drain"       // sent to an endpoint that the sidecar knew to be draining or gone
+	ColdOverload       Kind = "pushed over"       // a cold endpoint collapsed under work of sidecars that knew that it was cold
+	UnknownRequest     Kind = "unknown request"   // an endpoint got what no client sent, or a sidecar had no list with that endpoint
+	SidecarCrash       Kind = "crashed"           // a sidecar exited though nobody had asked for it
 )
 
-// Kinds are all of them, in the order in which reports show them.
-var Kinds = []Kind{Lost, AnsweredTwice, Forged, UnsafeRefused, RanTwice, TooManyAttempts, SecondCopy, AfterEnd, AfterDrain,
-	PushedOver, Unknown, Crashed}
+// Kinds are all kinds, in the order in which reports show them.
+var Kinds = []Kind{LostRequest, DuplicateResponse, ForgedResponse, UnsafeRejected, DuplicateExecution, TooManyAttempts, ForbiddenHedge,
+	AttemptAfterEnd, AttemptAfterDrain, ColdOverload, UnknownRequest, SidecarCrash}
 
 const (
-	told       = 10 // breaches of each kind that are told in full: the earliest
-	drainSlack = 50 * time.Millisecond
-	stopTakes  = 700 * time.Millisecond // after SIGTERM; SIGKILL excuses nothing that came later
-	countsTold = 6 * time.Second        // after which news counts as told that discovery's agent could not hand over
+	maxRecorded         = 10                     // violations of each kind in a verdict: the earliest
+	drainSlack          = 50 * time.Millisecond  // beyond Rules.DrainGrace
+	stopTimeout         = 700 * time.Millisecond // after SIGTERM; a later SIGKILL excuses nothing that came after that
+	notificationTimeout = 6 * time.Second        // after which a sidecar counts as notified of what its agent could not send
 )
 
-// Breach is one broken rule.
-type Breach struct {
-	Kind    Kind
-	At      time.Duration
-	Request int    // index into the plan's requests; -1 is none
-	Txn     uint64 // of the try; 0 is none
-	Box     int    // -1 is none
-	Sidecar int    // -1 is none
-	Text    string
-	Story   []string // all that both ends saw of it, by time
+// Violation is one case of a broken rule.
+type Violation struct {
+	Kind          Kind
+	At            time.Duration
+	Request       int    // index into the plan's requests; -1 is none
+	TransactionID uint64 // of the client attempt; 0 is none
+	Endpoint      int    // -1 is none
+	Sidecar       int    // -1 is none
+	Text          string
+	Timeline      []string // everything that both ends saw of it, by time
 }
 
 // Verdict is the judgement of a run.
 type Verdict struct {
-	Breaches []Breach     // by time: of each kind the first few
-	Counts   map[Kind]int // all of them
-	Boxes    []Pressure   // by box
+	Violations []Violation  // by time; of each kind the earliest ten
+	Counts     map[Kind]int // of all violations
+	Endpoints  []ColdLoad   // by endpoint
 }
 
-// Held says whether no rule was broken.
-func (v *Verdict) Held() bool { return len(v.Counts) == 0 }
-
-// judge is one judgement.
-type judge struct {
-	p      *plan.Plan
-	log    *trace.Log
-	slack  time.Duration // what both ends may be apart, and how late an answer may be
-	index  index
-	lives  [][]life // by sidecar
-	heard  *heard
-	pauses []plan.Event
-	out    Verdict
-	kept   map[Kind][]Breach
-	runs   []unsafeRun
+// Passed reports whether no rule was broken.
+func (v *Verdict) Passed() bool { return len(v.Counts) == 0 }
+
+// evaluation is the state of one Judge.
+type evaluation struct {
+	plan         *plan.Plan
+	log          *trace.Log
+	slack        time.Duration // what both ends may be apart, and how late a response may be
+	index        index
+	incarnations [][]incarnation // by sidecar
+	discovery    *discoveryView
+	pauses       []plan.Event // of sidecars, by the script
+	verdict      Verdict
+	recorded     map[Kind][]Violation // the earliest of each kind, by time
+	runs         []unsafeRun
 }
 
-// Judge judges a run. It takes time in proportion to n log n of the log's entries.
+// Judge judges a run. It takes O(n log n) time for a log of n entries.
 func Judge(p *plan.Plan, log *trace.Log) Verdict {
-	r := &p.Scenario.Rules
-	j := &judge{p: p, log: log, slack: r.AnswerSlack.D() + 2*p.Scenario.Network.Delay.D(), index: newIndex(log),
-		lives: lives(p, log), out: Verdict{Counts: map[Kind]int{}}, kept: map[Kind][]Breach{}}
-	j.heard = listen(p, log)
-	for _, e := range p.Events {
-		if e.Kind == plan.PauseSidecar {
-			j.pauses = append(j.pauses, e)
+	e := &evaluation{
+		plan:         p,
+		log:          log,
+		slack:        p.Scenario.Rules.AnswerSlack.D() + 2*p.Scenario.Network.Delay.D(),
+		index:        newIndex(log),
+		incarnations: incarnations(p, log),
+		discovery:    newDiscoveryView(p, log),
+		verdict:      Verdict{Counts: map[Kind]int{}},
+		recorded:     map[Kind][]Violation{},
+	}
+	for _, event := range p.Events {
+		if event.Kind == plan.PauseSidecar {
+			e.pauses = append(e.pauses, event)
 		}
 	}
-	j.pressures()
-	if p.Scenario.Fleet.Policy != "plain" { // there, no sidecar is to blame for anything
-		j.index.each(func(try int, visits []int32) {
-			if try < 0 {
-				j.unknown(visits)
+	e.checkColdLoads()
+	if p.Scenario.Fleet.Policy != "plain" { // there are no sidecars to blame then
+		e.index.each(func(attempt int, requests []int32) {
+			if attempt < 0 {
+				e.reportUnknown(requests)
 				return
 			}
-			j.answers(try, visits)
-			j.attempts(try, visits)
-			j.effects(try, visits)
+			e.checkResponses(attempt, requests)
+			e.checkAttempts(attempt, requests)
+			e.checkEffects(attempt, requests)
 		})
-		j.rerun()
-		j.crashes()
+		e.checkReruns()
+		e.checkCrashes()
 	}
-	for _, kept := range j.kept {
-		j.out.Breaches = append(j.out.Breaches, kept...)
+	for _, recorded := range e.recorded {
+		e.verdict.Violations = append(e.verdict.Violations, recorded...)
 	}
-	slices.SortStableFunc(j.out.Breaches, func(a, b Breach) int {
-		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Txn, b.Txn), cmp.Compare(a.Box, b.Box))
+	slices.SortStableFunc(e.verdict.Violations, func(a, b Violation) int {
+		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.TransactionID, b.TransactionID), cmp.Compare(a.Endpoint, b.Endpoint))
 	})
-	for i := range j.out.Breaches {
-		j.out.Breaches[i].Story = j.story(&j.out.Breaches[i])
+	for i := range e.verdict.Violations {
+		e.verdict.Violations[i].Timeline = e.timeline(&e.verdict.Violations[i])
 	}
-	return j.out
+	return e.verdict
 }
 
-// breach counts one and keeps it if it is among the first of its kind.
-func (j *judge) breach(b Breach, format string, args ...any) {
-	j.out.Counts[b.Kind]++
-	kept := j.kept[b.Kind]
-	at, _ := slices.BinarySearchFunc(kept, b, func(k, b Breach) int {
-		return cmp.Or(cmp.Compare(k.At, b.At), cmp.Compare(k.Txn, b.Txn))
+// report counts a violation, and records it if it is among the earliest of its kind.
+func (e *evaluation) report(violation Violation, format string, args ...any) {
+	e.verdict.Counts[violation.Kind]++
+	recorded := e.recorded[violation.Kind]
+	position, _ := slices.BinarySearchFunc(recorded, violation, func(a, b Violation) int {
+		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.TransactionID, b.TransactionID))
 	})
-	if at == told {
+	if position == maxRecorded {
 		return
 	}
-	b.Text = fmt.Sprintf(format, args...)
-	kept = slices.Insert(kept, at, b)
-	j.kept[b.Kind] = kept[:min(len(kept), told)]
+	violation.Text = fmt.Sprintf(format, args...)
+	recorded = slices.Insert(recorded, position, violation)
+	e.recorded[violation.Kind] = recorded[:min(len(recorded), maxRecorded)]
 }
 
-// of is a breach that a try is about; box is -1 if no box is.
-func of(kind Kind, at time.Duration, t *trace.Try, box int) Breach {
-	return Breach{Kind: kind, At: at, Request: t.Request, Txn: t.Txn, Box: box, Sidecar: t.Sidecar}
+// violationOf is a violation by a client attempt; endpoint is -1 if it concerns none.
+func violationOf(kind Kind, at time.Duration, attempt *trace.ClientAttempt, endpoint int) Violation {
+	return Violation{Kind: kind, At: at, Request: attempt.Request, TransactionID: attempt.TransactionID, Endpoint: endpoint, Sidecar: attempt.Sidecar}
 }
 
-// effect is a class's, in the scenario's words.
-func (j *judge) effect(class int) string { return j.p.Scenario.Class[class].Effect }
+// effect is a class's effect as the scenario has it: "safe", "keyed" or "unsafe".
+func (e *evaluation) effect(class int) string { return e.plan.Scenario.Class[class].Effect }
 
-func (j *judge) box(i int) string {
-	if i < 0 || i >= len(j.p.Boxes) {
+func (e *evaluation) endpointName(i int) string {
+	if i < 0 || i >= len(e.plan.Boxes) {
 		return fmt.Sprintf("number %d", i)
 	}
-	return j.p.Boxes[i].Name
+	return e.plan.Boxes[i].Name
 }
 
-func (j *judge) sidecar(i int) string {
-	if i < 0 || i >= len(j.p.Sidecars) {
+func (e *evaluation) sidecarName(i int) string {
+	if i < 0 || i >= len(e.plan.Sidecars) {
 		return fmt.Sprintf("number %d", i)
 	}
-	return j.p.Sidecars[i].Name
+	return e.plan.Sidecars[i].Name
 }
--- a/internal/lab/loopback/run_test.go
+++ b/internal/lab/loopback/run_test.go
@@ -17,8 +17,8 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-// program builds the sidecar.
-func program(t testing.TB) string {
+// buildProgram builds the sidecar.
+func buildProgram(t testing.TB) string {
 	t.Helper()
 	out := filepath.Join(t.TempDir(), "pinelb")
 	cmd := exec.CommandContext(t.Context(), "go", "build", "-o", out, "pinelb.example/pinelb/cmd/pinelb")
@@ -28,8 +28,8 @@
 	return out
 }
 
-// planned is the plan of a scenario's text.
-func planned(t testing.TB, text string) *plan.Plan {
+// buildPlan is the plan of a scenario's text.
+func buildPlan(t testing.TB, text string) *plan.Plan {
 	t.Helper()
 	s, err := scenario.Parse("test.toml", []byte(text))
 	if err != nil {
@@ -42,7 +42,7 @@
 	return p
 }
 
-const classes = `
+const scenarioClasses = `
 [[class]]
 name = "read"
 share = 2
@@ -68,10 +68,10 @@
 body = 100
 `
 
-const calmDay = `
+const calmDayScenario = `
 name = "calm"
 length = "2s"
-` + classes + `
+` + scenarioClasses + `
 [[tier]]
 name = "t"
 [[tier.kind]]
@@ -84,94 +84,94 @@
 
 func TestPlayWithTheProgram(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	built := program(t)
-	t.Run("to its end", func(t *testing.T) { toItsEnd(t, built, calmDay) })
+	built := buildProgram(t)
+	t.Run("to its end", func(t *testing.T) { playToEnd(t, built, calmDayScenario) })
 	t.Run("to its end over Thrift", func(t *testing.T) {
-		toItsEnd(t, built, calmDay+"[fleet]\nprotocol = \"thrift-framed-compact\"\n")
+		playToEnd(t, built, calmDayScenario+"[fleet]\nprotocol = \"thrift-framed-compact\"\n")
 	})
-	t.Run("called off", func(t *testing.T) { calledOff(t, built) })
+	t.Run("canceled", func(t *testing.T) { playCanceled(t, built) })
 }
 
-// In a calm run every request is served once, and both ends tell the same story.
-func toItsEnd(t *testing.T, built, text string) {
-	p := planned(t, text)
+// playToEnd checks that in a calm run every request is served once, and that both ends record the same.
+func playToEnd(t *testing.T, built, text string) {
+	p := buildPlan(t, text)
 	var told []time.Duration
 	var log *trace.Log
 	for range 3 { // a sidecar ends a quarter of a second before its grace does: a machine that stands still for so long has it killed
 		var err error
-		log, err = loopback.Play(t.Context(), p, loopback.Options{Builds: [2]string{built}, Dir: t.TempDir(),
+		log, err = loopback.Play(t.Context(), p, loopback.Options{Builds: [2]string{built}, LogDir: t.TempDir(),
 			Progress: func(at time.Duration) { told = append(told, at) }})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if log.Changes[len(log.Changes)-1].What != trace.Killed {
+		if log.SidecarEvents[len(log.SidecarEvents)-1].Kind != trace.SidecarKilled {
 			break
 		}
 	}
-	if len(log.Tries) != len(p.Requests) || len(log.Lateness) != len(p.Requests) {
-		t.Fatalf("%d requests, %d tries, %d latenesses", len(p.Requests), len(log.Tries), len(log.Lateness))
+	if len(log.ClientAttempts) != len(p.Requests) || len(log.Lateness) != len(p.Requests) {
+		t.Fatalf("%d requests, %d attempts, %d latenesses", len(p.Requests), len(log.ClientAttempts), len(log.Lateness))
 	}
 	if early := slices.Min(log.Lateness); early < 0 {
 		t.Errorf("a request was sent %v before it was due", -early)
 	}
-	visits := map[uint64][]trace.Visit{}
-	for _, v := range log.Visits {
-		visits[v.Txn] = append(visits[v.Txn], v)
+	requests := map[uint64][]trace.EndpointRequest{}
+	for _, v := range log.EndpointRequests {
+		requests[v.TransactionID] = append(requests[v.TransactionID], v)
 	}
-	for i, try := range log.Tries {
-		if try.Request != i || try.Status != trace.Served || try.Forged || try.Answers != 1 || try.Sidecar != 0 {
-			t.Errorf("try %+v", try)
+	for i, attempt := range log.ClientAttempts {
+		if attempt.Request != i || attempt.Status != trace.StatusServed || attempt.Forged || attempt.Responses != 1 || attempt.Sidecar != 0 {
+			t.Errorf("attempt %+v", attempt)
 		}
-		if !slices.ContainsFunc(visits[try.Txn], func(v trace.Visit) bool {
-			return v.Box == try.Box && v.End == trace.OK && v.Begun >= try.Due && v.Ended <= try.Answered
+		if !slices.ContainsFunc(requests[attempt.TransactionID], func(v trace.EndpointRequest) bool {
+			return v.Endpoint == attempt.Endpoint && v.Outcome == trace.OutcomeOK && v.FirstByte >= attempt.Due && v.Ended <= attempt.Ended
 		}) {
-			t.Errorf("no visit tells of %+v: %+v", try, visits[try.Txn])
+			t.Errorf("no endpoint request matches %+v: %+v", attempt, requests[attempt.TransactionID])
 		}
-		delete(visits, try.Txn)
+		delete(requests, attempt.TransactionID)
 	}
-	if len(visits) > 0 {
-		t.Errorf("visits that nobody asked for: %v", visits)
+	if len(requests) > 0 {
+		t.Errorf("endpoint requests that no client sent: %v", requests)
 	}
-	var changes []trace.Happening
-	for _, c := range log.Changes {
-		changes = append(changes, c.What)
+	var changes []trace.SidecarEventKind
+	for _, c := range log.SidecarEvents {
+		changes = append(changes, c.Kind)
 	}
-	if want := []trace.Happening{trace.Begun, trace.Able, trace.Stopping, trace.Ended}; !slices.Equal(changes, want) {
-		t.Errorf("changes %v, want %v: %+v", changes, want, log.Changes)
+	if want := []trace.SidecarEventKind{trace.SidecarStarted, trace.SidecarReady, trace.SidecarStopping, trace.SidecarExited}; !slices.Equal(changes, want) {
+		t.Errorf("changes %v, want %v: %+v", changes, want, log.SidecarEvents)
 	}
-	if len(log.Usage) != 1 || log.Usage[0].CPU <= 0 || log.Usage[0].PeakMemory <= 0 || log.Usage[0].Descriptors <= 0 {
+	if len(log.Usage) != 1 || log.Usage[0].CPU <= 0 || log.Usage[0].PeakMemory <= 0 || log.Usage[0].MaxDescriptors <= 0 {
 		t.Errorf("usage: %+v", log.Usage)
 	}
-	if len(log.Samples) < 3 || len(told) == 0 || log.End < p.Scenario.Length.D() || len(log.Told) < 3 {
-		t.Errorf("%d samples, %d of progress, %d told, end %v", len(log.Samples), len(told), len(log.Told), log.End)
+	if len(log.Samples) < 3 || len(told) == 0 || log.End < p.Scenario.Length.D() || len(log.Notifications) < 3 {
+		t.Errorf("%d samples, %d of progress, %d notifications, end %v", len(log.Samples), len(told), len(log.Notifications), log.End)
 	}
 }
 
-// A run that is called off ends in order and gives what there is.
-func calledOff(t *testing.T, built string) {
+// playCanceled checks that a run that is cut short ends in order and returns what there is.
+func playCanceled(t *testing.T, built string) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	log, err := loopback.Play(ctx, planned(t, calmDay), loopback.Options{Builds: [2]string{built},
+	log, err := loopback.Play(ctx, buildPlan(t, calmDayScenario), loopback.Options{Builds: [2]string{built},
 		Progress: func(time.Duration) { cancel() }})
-	if err != context.Canceled || log == nil || len(log.Tries) == 0 {
+	if err != context.Canceled || log == nil || len(log.ClientAttempts) == 0 {
 		t.Fatalf("%v: %+v", err, log)
 	}
-	if last := log.Changes[len(log.Changes)-1].What; last != trace.Ended && last != trace.Killed {
-		t.Errorf("the sidecar was left: %+v", log.Changes)
+	if last := log.SidecarEvents[len(log.SidecarEvents)-1].Kind; last != trace.SidecarExited && last != trace.SidecarKilled {
+		t.Errorf("the sidecar was left: %+v", log.SidecarEvents)
 	}
 }
 
-// A program that can't be started is an error of the rig, after which nothing is left.
-func TestPlayWithoutAProgram(t *testing.T) {
+// TestPlayMissingProgram checks that a missing program is an error of the rig, after which nothing is left.
+func TestPlayMissingProgram(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	_, err := loopback.Play(t.Context(), planned(t, calmDay), loopback.Options{Builds: [2]string{"/there/is/none"}})
+	_, err := loopback.Play(t.Context(), buildPlan(t, calmDayScenario), loopback.Options{Builds: [2]string{"/there/is/none"}})
 	if err == nil || !strings.Contains(err.Error(), "/there/is/none") {
 		t.Errorf("error: %v", err)
 	}
 }
 
-// With the plain policy there are no sidecars, and clients go round the boxes, also in the second tier.
-func TestPlayPlain(t *testing.T) {
+// TestPlayPlainPolicy checks that the plain policy runs no sidecars, and that clients take the endpoints in turn, also in the second tier.
+func TestPlayPlainPolicy(t *testing.T) {
 	for _, protocol := range []string{"http", "thrift-binary"} {
 		t.Run(protocol, func(t *testing.T) { playPlain(t, protocol) })
 	}
@@ -179,10 +179,10 @@
 
 func playPlain(t *testing.T, protocol string) {
 	defer goleak.VerifyNone(t)
-	p := planned(t, `
+	p := buildPlan(t, `
 name = "plain"
 length = "500ms"
-`+classes+`
+`+scenarioClasses+`
 [[tier]]
 name = "a"
 calls = 1
@@ -206,13 +206,13 @@
 		t.Fatal(err)
 	}
 	boxes := map[int]int{}
-	for _, try := range log.Tries {
-		if try.Status != trace.Served || try.Sidecar != -1 {
-			t.Errorf("try %+v", try)
+	for _, attempt := range log.ClientAttempts {
+		if attempt.Status != trace.StatusServed || attempt.Sidecar != -1 {
+			t.Errorf("attempt %+v", attempt)
 		}
-		boxes[try.Box]++
+		boxes[attempt.Endpoint]++
 	}
-	if len(log.Tries) != 2*len(p.Requests) || len(boxes) != len(p.Boxes) {
-		t.Errorf("%d requests, %d tries, by box %v", len(p.Requests), len(log.Tries), boxes)
+	if len(log.ClientAttempts) != 2*len(p.Requests) || len(boxes) != len(p.Boxes) {
+		t.Errorf("%d requests, %d attempts, by endpoint %v", len(p.Requests), len(log.ClientAttempts), boxes)
 	}
 }
--- a/internal/lab/loopback/sidecar.go
+++ b/internal/lab/loopback/sidecar.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net/http"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -18,64 +17,64 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-// How the front asks for a sidecar's health.
-const (
-	readySoonest = 5 * time.Millisecond // after its start, and then ever more seldom
-	readySeldom  = 50 * time.Millisecond
-	attendEach   = 300 * time.Millisecond // where it may shut itself out
-	drainEach    = 200 * time.Millisecond // from SIGTERM on: new connections come for 0.2 to 0.4 s more
-)
-
-// sidecar is one instance of the fleet over all its processes, of which there is one at a time.
+// sidecar is one instance of the fleet over all its processes, of which one is in service at a time.
 type sidecar struct {
+	run   *run
 	fleet *fleet
 	id    int
 	plan  *plan.Sidecar
 
-	standing atomic.Pointer[standing]
+	routing atomic.Pointer[routingState]
 
-	mu        sync.Mutex
-	discovery string // where its agent is
-	starts    int
-	closing   bool             // the run is over
-	knows     []map[string]any // the list that it was configured with
-	process   *process         // that runs, or the last; nil before the first
-	taken     trace.Usage
-}
-
-// standing is a sidecar as the front sees it.
-type standing struct {
-	able     bool          // its health has said 200 since its start
-	draining bool          // it has said 503 since SIGTERM
-	out      bool          // its health says 503 now
-	until    time.Duration // when the front will have noticed that it has died
+	mu               sync.Mutex
+	discoveryAddress string // of its agent
+	startCount       int
+	finalSettings    bool             // the run is over: see settings
+	members          []map[string]any // the endpoint list in its configuration
+	process          *process         // the one in service, or the last one; nil before the first
+	used             trace.Usage
 }
 
 // process is one run of the program. The sidecar's lock guards the flags.
 type process struct {
-	cmd      *exec.Cmd
-	control  string        // where it listens for operators; empty: nowhere
-	stopping bool          // SIGTERM was sent
-	killed   bool          // SIGKILL was
-	settled  chan struct{} // closed once it has been ready, or has ended
-	ended    chan struct{} // closed once it has, and all is noted
+	cmd            *exec.Cmd
+	controlAddress string        // where it listens for operators; empty if nowhere
+	stopping       bool          // SIGTERM was sent
+	killed         bool          // SIGKILL was sent
+	settled        chan struct{} // closed once it has been ready, or has exited
+	exited         chan struct{} // closed once it has exited and all is recorded
 }
 
 func newSidecar(f *fleet, id int) *sidecar {
-	s := &sidecar{fleet: f, id: id, plan: &f.plan.Sidecars[id], discovery: f.net.agent(id, 0)}
-	if f.plan.Linked("list", id) {
-		s.discovery = f.net.link("list", id, 0)
+	r := f.run
+	s := &sidecar{
+		run:              r,
+		fleet:            f,
+		id:               id,
+		plan:             &r.plan.Sidecars[id],
+		discoveryAddress: r.addresses.agent(id, 0),
+	}
+	if r.plan.Linked("list", id) {
+		s.discoveryAddress = r.addresses.link("list", id, 0)
 	}
-	s.standing.Store(&standing{until: model.Never})
-	s.taken = trace.Usage{Sidecar: id, Build: s.plan.Build}
+	s.routing.Store(&routingState{deadAt: model.Never})
+	s.used = trace.Usage{Sidecar: id, Build: s.plan.Build}
 	return s
 }
 
-// start starts a process, unless one runs.
+// startsBeforeRun reports whether the sidecar is there before the run: not by the script, nor with an endpoint that comes later.
+func (s *sidecar) startsBeforeRun() bool {
+	if s.plan.Begin >= 0 {
+		return false
+	}
+	return s.plan.Box < 0 || s.run.plan.Boxes[s.plan.Box].Start != "absent"
+}
+
+// start starts a process, unless one runs. An error is that of its files or of the program.
 func (s *sidecar) start() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.runs() {
+	if s.running() {
 		return nil
 	}
 	p, err := s.launch()
@@ -83,218 +82,164 @@
 		return err
 	}
 	s.process = p
-	s.lead()
-	s.fleet.trace.change(trace.Change{At: s.fleet.now(), Sidecar: s.id, What: trace.Begun, Digest: s.holds()})
+	s.updateControlLink()
+	s.run.recorder.addSidecarEvent(trace.SidecarEvent{
+		At:      s.run.elapsed(),
+		Sidecar: s.id,
+		Kind:    trace.SidecarStarted,
+		Digest:  s.configuredDigest(),
+	})
 	s.fleet.tasks.Go(func() { s.wait(p) })
-	s.fleet.tasks.Go(func() { s.admit(p) })
+	s.fleet.tasks.Go(func() { s.awaitReady(p) })
 	return nil
 }
 
-// launch starts the program. It needs the lock.
+// launch starts the program. The lock is held.
 func (s *sidecar) launch() (*process, error) {
-	s.starts++
-	if err := s.configure(); err != nil {
+	s.startCount++
+	if err := s.writeConfig(); err != nil {
 		return nil, err
 	}
-	p := &process{settled: make(chan struct{}), ended: make(chan struct{})}
+	p := &process{settled: make(chan struct{}), exited: make(chan struct{})}
 	switch {
-	case s.fleet.plan.Upgrades(): // two processes at a time
-		p.control = s.fleet.net.control(s.id, s.starts)
-	case s.fleet.plan.Operators():
-		p.control = s.fleet.net.control(s.id, 0)
+	case s.run.plan.Upgrades(): // two processes at a time
+		p.controlAddress = s.run.addresses.control(s.id, s.startCount)
+	case s.run.plan.Operators():
+		p.controlAddress = s.run.addresses.control(s.id, 0)
 	}
-	p.cmd = s.command(p.control)
-	how := os.O_CREATE | os.O_WRONLY | os.O_APPEND
-	if s.starts == 1 {
-		how |= os.O_TRUNC
+	p.cmd = s.command(p.controlAddress)
+	flags := os.O_CREATE | os.O_WRONLY | os.O_APPEND
+	if s.startCount == 1 {
+		flags |= os.O_TRUNC
 	}
-	log, err := os.OpenFile(s.log(), how, 0o644)
+	log, err := os.OpenFile(s.logPath(), flags, logFileMode)
 	if err != nil {
-		return nil, fmt.Errorf("live: log: %w", err)
+		return nil, fmt.Errorf("loopback: sidecar's log: %w", err)
 	}
-	defer log.Close()
+	defer func() { _ = log.Close() }() // nothing is written here: the process has a descriptor of its own
 	p.cmd.Stdout, p.cmd.Stderr = log, log
-	if err := s.fleet.launch(p.cmd); err != nil {
-		return nil, fmt.Errorf("live: sidecar %s: %w", s.plan.Name, err)
+	if err := s.fleet.spawn(p.cmd); err != nil {
+		return nil, fmt.Errorf("loopback: sidecar %s: %w", s.plan.Name, err)
 	}
-	// The program counts on the platform's bound; one that needs more is to fail here too.
-	sockets := uint64(s.fleet.plan.Scenario.Fleet.Sockets)
-	unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: sockets, Max: sockets}, nil)
+	// The program relies on the platform's limit; one that needs more has to fail here too. It fails only if the program has
+	// exited already.
+	sockets := uint64(s.run.plan.Scenario.Fleet.Sockets)
+	_ = unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: sockets, Max: sockets}, nil)
 	return p, nil
 }
 
-// lead has the link of operators, if there is one, pass on to the present process. It needs the lock.
-func (s *sidecar) lead() {
-	if l := s.fleet.links[linkKey{"control", s.id, 0}]; l != nil {
-		l.leads(s.process.control)
+// updateControlLink has the operators' link, if there is one, forward to the process in service. The lock is held.
+func (s *sidecar) updateControlLink() {
+	if l := s.run.links[linkKey{"control", s.id, 0}]; l != nil {
+		l.setTarget(s.process.controlAddress)
 	}
 }
 
-func (s *sidecar) command(control string) *exec.Cmd {
+func (s *sidecar) command(controlAddress string) *exec.Cmd {
 	cmd := exec.Command(s.fleet.builds[s.plan.Build])
-	if s.operatorText() != "" {
-		cmd.Args = append(cmd.Args, "--config="+s.operator())
+	if s.operatorConfig() != "" {
+		cmd.Args = append(cmd.Args, "--config="+s.operatorPath())
 	}
-	cmd.Env = append(os.Environ(), "LB_CONFIG="+s.file(), "LB_NAME="+s.plan.Name,
-		"LB_LISTEN="+s.fleet.net.sidecar(s.id), "LB_DISCOVERY="+s.discovery)
-	if control != "" {
-		cmd.Env = append(cmd.Env, "LB_CONTROL="+control, "TMPDIR="+s.fleet.dir)
+	cmd.Env = append(os.Environ(), "LB_CONFIG="+s.configPath(), "LB_NAME="+s.plan.Name,
+		"LB_LISTEN="+s.run.addresses.sidecar(s.id), "LB_DISCOVERY="+s.discoveryAddress)
+	if controlAddress != "" {
+		cmd.Env = append(cmd.Env, "LB_CONTROL="+controlAddress, "TMPDIR="+s.fleet.configDir)
 	}
 	cmd.SysProcAttr = &syscall.SysProcAttr{
 		Setpgid:   true,            // ^C is for this process, which then ends them in order
-		Pdeathsig: syscall.SIGKILL, // see fleet.parent
+		Pdeathsig: syscall.SIGKILL, // see fleet.spawnLoop
 	}
 	return cmd
 }
 
-// log is the file that has its output.
-func (s *sidecar) log() string { return filepath.Join(s.fleet.logs, s.plan.Name+".log") }
+// logPath is the file that has its output.
+func (s *sidecar) logPath() string { return filepath.Join(s.fleet.logDir, s.plan.Name+".log") }
 
-// runs needs the lock.
-func (s *sidecar) runs() bool {
+// running reports whether the process in service runs. The lock is held.
+func (s *sidecar) running() bool {
 	if s.process == nil {
 		return false
 	}
 	select {
-	case <-s.process.ended:
+	case <-s.process.exited:
 		return false
 	default:
 		return true
 	}
 }
 
-// wait sees a process through to its end.
+// wait waits for a process to exit and records how it did.
 func (s *sidecar) wait(p *process) {
-	p.cmd.Wait() // how it ended is in its state
+	_ = p.cmd.Wait() // how it exited is in its ProcessState
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	state := p.cmd.ProcessState
-	s.taken.CPU += state.UserTime() + state.SystemTime()
-	defer close(p.ended)
-	if s.process != p { // another one has taken its place, or it has never come so far
-		if !p.stopping && !p.killed {
-			s.note(trace.Crashed, state.String()+"\n"+tail(s.log()))
-		}
-		return
+	s.used.CPU += state.UserTime() + state.SystemTime()
+	defer close(p.exited)
+	crashed := !p.stopping && !p.killed
+	if crashed {
+		s.addEvent(trace.SidecarCrashed, state.String()+"\n"+tail(s.logPath()))
 	}
-	switch {
-	case p.killed:
-	case p.stopping:
-		s.note(trace.Ended, state.String())
-	default:
-		s.note(trace.Crashed, state.String()+"\n"+tail(s.log()))
-	}
-	at := *s.standing.Load()
-	at.until = min(at.until, s.fleet.now()+s.fleet.plan.Scenario.Clients.Notice.D())
-	s.standing.Store(&at)
-	s.fleet.callers.forget(s.id) // before anyone hears of the end: the front must not count on these
-}
-
-// admit waits until a process is ready and lets the front have it.
-func (s *sidecar) admit(p *process) {
-	defer close(p.settled)
-	for wait := readySoonest; s.pause(p, wait); wait = min(readySeldom, wait*3/2) {
-		if s.fleet.health(s.id) != http.StatusOK {
-			continue
-		}
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		if s.runs() {
-			s.standing.Store(&standing{able: true, until: model.Never})
-			s.note(trace.Able, "")
-			if s.fleet.plan.Scenario.Fleet.Audited() {
-				s.fleet.tasks.Go(func() { s.attend(p) })
-			}
-		}
+	if s.process != p { // another one has taken its place, or it never was in service
 		return
 	}
-}
-
-// attend has the front look at the health of a process that may shut itself out, until it ends: one that says no gets nothing new.
-// One that does not answer is no matter of this.
-func (s *sidecar) attend(p *process) {
-	for s.pause(p, attendEach) {
-		code := s.fleet.health(s.id)
-		s.mu.Lock()
-		at := *s.standing.Load()
-		if out := code == http.StatusServiceUnavailable; code != 0 && out != at.out && s.process == p && !p.stopping {
-			at.out = out
-			s.standing.Store(&at)
-		}
-		s.mu.Unlock()
-	}
-}
-
-// drain waits until a process says that it drains and takes it from the front.
-func (s *sidecar) drain(p *process) {
-	for s.pause(p, drainEach) {
-		if s.fleet.health(s.id) != http.StatusServiceUnavailable {
-			continue
-		}
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		if s.process == p && s.runs() {
-			at := *s.standing.Load()
-			at.draining = true
-			s.standing.Store(&at)
-		}
-		return
+	if p.stopping && !p.killed {
+		s.addEvent(trace.SidecarExited, state.String())
 	}
+	routing := *s.routing.Load()
+	routing.deadAt = min(routing.deadAt, s.run.elapsed()+s.run.plan.Scenario.Clients.Notice.D())
+	s.routing.Store(&routing)
+	s.run.transport.closeIdle(s.id) // before p.exited is closed: routable must not count on these connections
 }
 
-// pause waits; false if the process or the fleet ends meanwhile.
-func (s *sidecar) pause(p *process, d time.Duration) bool {
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-		return true
-	case <-p.ended:
-	case <-s.fleet.life.Done():
-	}
-	return false
+// sleep waits for d; false if the process exits or the fleet is closed meanwhile.
+func (s *sidecar) sleep(p *process, d time.Duration) bool {
+	return sleep(d, p.exited, s.fleet.ctx.Done())
 }
 
+// stop sends SIGTERM to the process in service.
 func (s *sidecar) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.runs() || s.process.stopping || s.process.killed || s.process.cmd.Process.Signal(syscall.SIGTERM) != nil {
-		return // it has ended already
+	if !s.running() || s.process.stopping || s.process.killed || s.process.cmd.Process.Signal(syscall.SIGTERM) != nil {
+		return // it is ending, or has exited
 	}
 	p := s.process
 	p.stopping = true
-	s.note(trace.Stopping, "")
-	s.fleet.tasks.Go(func() { s.drain(p) })
+	s.addEvent(trace.SidecarStopping, "")
+	s.fleet.tasks.Go(func() { s.awaitDraining(p) })
 }
 
+// kill sends SIGKILL to the process in service.
 func (s *sidecar) kill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.runs() || s.process.killed || s.process.cmd.Process.Kill() != nil {
+	if !s.running() || s.process.killed || s.process.cmd.Process.Kill() != nil {
 		return
 	}
 	s.process.killed = true
-	s.note(trace.Killed, "")
+	s.addEvent(trace.SidecarKilled, "")
 }
 
+// signal sends a signal to the process in service, if it runs.
 func (s *sidecar) signal(sig syscall.Signal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.runs() {
-		_ = s.process.cmd.Process.Signal(sig) // one that has just ended needs none
+	if s.running() {
+		_ = s.process.cmd.Process.Signal(sig) // one that has just exited needs none
 	}
 }
 
-// hup has it follow discovery at another address. One that is down finds that at its next start, and one that
-// is not ready yet is told once it is: before that the signal might end it.
-func (s *sidecar) hup(discovery string) error {
+// reload has it follow discovery at another address, by SIGHUP. One that is down finds the address at its next start, and one that
+// is not ready yet gets the signal once it is: before that the signal might end it.
+func (s *sidecar) reload(discoveryAddress string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.discovery = discovery
-	if !s.runs() {
+	s.discoveryAddress = discoveryAddress
+	if !s.running() {
 		return nil
 	}
-	if err := s.configure(); err != nil {
+	if err := s.writeConfig(); err != nil {
 		return err
 	}
 	p := s.process
@@ -302,20 +247,20 @@
 		<-p.settled
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.process == p && s.runs() && p.cmd.Process.Signal(syscall.SIGHUP) == nil {
-			s.note(trace.Reloaded, "")
+		if s.process == p && s.running() && p.cmd.Process.Signal(syscall.SIGHUP) == nil {
+			s.addEvent(trace.SidecarReloaded, "")
 		}
 	})
 	return nil
 }
 
-// last is the present process or the last one; nil if there has been none.
-func (s *sidecar) last() *process {
+// currentProcess is the process in service or the last one; nil if there has been none.
+func (s *sidecar) currentProcess() *process {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.process
 }
 
-func (s *sidecar) note(what trace.Happening, text string) {
-	s.fleet.trace.change(trace.Change{At: s.fleet.now(), Sidecar: s.id, What: what, Text: text})
+func (s *sidecar) addEvent(kind trace.SidecarEventKind, detail string) {
+	s.run.recorder.addSidecarEvent(trace.SidecarEvent{At: s.run.elapsed(), Sidecar: s.id, Kind: kind, Detail: detail})
 }
--- a/internal/lab/loopback/upgrade.go
+++ b/internal/lab/loopback/upgrade.go
@@ -8,14 +8,14 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-const yesWithin = 6 * time.Second // the new process of an upgrade is due by then
+const upgradeTimeout = 6 * time.Second // until the new process has to be healthy
 
-// upgrade starts a second process beside the one that runs, and ends that one once the second says yes to operators. The
-// sidecar is in service all the time: nothing excuses what is lost meanwhile.
+// upgrade starts a second process beside the one in service, and shuts that one down once the second is healthy by its control
+// address. The sidecar is in service all the time: package judge excuses nothing that is lost meanwhile.
 func (s *sidecar) upgrade() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.runs() {
+	if !s.running() {
 		return nil
 	}
 	old := s.process
@@ -24,44 +24,38 @@
 		return err
 	}
 	close(p.settled)
-	s.note(trace.Doubled, "")
+	s.addEvent(trace.SidecarUpgradeStarted, "")
 	s.fleet.tasks.Go(func() { s.wait(p) })
-	s.fleet.tasks.Go(func() { s.succeed(old, p) })
+	s.fleet.tasks.Go(func() { s.finishUpgrade(old, p) })
 	return nil
 }
 
-// succeed has the new process take the old one's place.
-func (s *sidecar) succeed(old, p *process) {
-	from := time.Now()
-	for s.fleet.asked("http://"+p.control+"/admin/health") != http.StatusOK {
-		if !s.pause(p, readySoonest) || time.Since(from) > yesWithin {
-			s.note(trace.Crashed, "the new process of an upgrade does not say yes")
-			s.end(p)
-			s.note(trace.Succeeded, "")
+// finishUpgrade waits for the new process and has it take the old one's place; one that doesn't become healthy is killed.
+func (s *sidecar) finishUpgrade(old, p *process) {
+	startedAt := time.Now()
+	for s.fleet.getStatus("http://"+p.controlAddress+"/admin/health") != http.StatusOK {
+		if !s.sleep(p, minReadyInterval) || time.Since(startedAt) > upgradeTimeout {
+			s.addEvent(trace.SidecarCrashed, "the new process of an upgrade does not say yes")
+			s.killProcess(p)
+			s.addEvent(trace.SidecarUpgradeFinished, "")
 			return
 		}
 	}
 	s.mu.Lock()
 	s.process, old.stopping = p, true
-	s.lead()
-	_ = old.cmd.Process.Signal(syscall.SIGTERM) // one that has just ended needs none
+	s.updateControlLink()
+	_ = old.cmd.Process.Signal(syscall.SIGTERM) // one that has just exited needs none
 	s.mu.Unlock()
-	late := time.NewTimer(s.fleet.grace())
-	defer late.Stop()
-	select {
-	case <-old.ended:
-	case <-late.C:
-	case <-s.fleet.life.Done():
-	}
-	s.end(old)
-	s.note(trace.Succeeded, "")
+	s.sleep(old, s.fleet.gracePeriod())
+	s.killProcess(old)
+	s.addEvent(trace.SidecarUpgradeFinished, "")
 }
 
-// end kills a process that is not the sidecar's, if it still runs.
-func (s *sidecar) end(p *process) {
+// killProcess kills a process that is not in service, if it still runs, and waits for it to exit.
+func (s *sidecar) killProcess(p *process) {
 	s.mu.Lock()
 	p.killed = true
 	s.mu.Unlock()
-	_ = p.cmd.Process.Kill()
-	<-p.ended
+	_ = p.cmd.Process.Kill() // it fails on one that has exited
+	<-p.exited
 }
