--- a/internal/lab/loopback/client_codec.go
+++ b/internal/lab/loopback/client_codec.go
@@ -29,11 +29,11 @@
 // clientResponse is a final response as a client understands it.
 type clientResponse struct {
 	status           trace.Status
-	code             int           // see trace.ClientAttempt
-	retryAfter       time.Duration // 0 if the response has none
-	body             []byte        // of a served one; valid until the next response on its connection
-	reportedAttempts budget.AttemptReport  // attempts in lower tiers
-	closeAfter       bool          // its connection ends with it
+	code             int                  // see trace.ClientAttempt
+	retryAfter       time.Duration        // 0 if the response has none
+	body             []byte               // of a served one; valid until the next response on its connection
+	reportedAttempts budget.AttemptReport // attempts in lower tiers
+	closeAfter       bool                 // its connection ends with it
 }
 
 // fill sets what an attempt takes from its response, and checks the body of a served one.
--- a/internal/lab/loopback/endpoint_request.go
+++ b/internal/lab/loopback/endpoint_request.go
@@ -22,8 +22,8 @@
 	connection       *serverConn     // nil once the sender has canceled the request
 	canceled         bool
 	baggage          string
-	reportedAttempts budget.AttemptReport       // sum of what its calls have reported
-	cancelCall       context.CancelFunc // of the call in flight; nil if there is none
+	reportedAttempts budget.AttemptReport // sum of what its calls have reported
+	cancelCall       context.CancelFunc   // of the call in flight; nil if there is none
 }
 
 // cancel cancels the call in flight, whose result nobody needs any more.
--- a/internal/lab/result/together_test.go
+++ b/internal/lab/result/together_test.go
@@ -40,21 +40,23 @@
 		log         *trace.Log
 	}{
 		{"list_calls", 3, 4, plant(func(l *trace.Log) { l.Polls = append(l.Polls, trace.DiscoveryPoll{At: time.Second}) })},
-		{"list_refused", 0, 0.25, plant(func(l *trace.Log) { l.Polls = append(l.Polls, trace.DiscoveryPoll{At: time.Second, Outcome: trace.PollRejected}) })},
+		{"list_refused", 0, 0.25, plant(func(l *trace.Log) {
+			l.Polls = append(l.Polls, trace.DiscoveryPoll{At: time.Second, Outcome: trace.PollRejected})
+		})},
 		{"list_dials", 3, 4, plant(func(l *trace.Log) { l.Connections = append(l.Connections, trace.Connection{Endpoint: -1}) })},
 		{"list_peak", 1, 2, plant(func(l *trace.Log) { l.Polls = append(l.Polls, trace.DiscoveryPoll{At: 50 * ms}) })},
 		{"handshakes", 1, 3, plant(func(l *trace.Log) {
 			l.Connections = append(l.Connections, trace.Connection{At: 410 * ms}, trace.Connection{At: 499 * ms})
 		})},
-		{"attempts_peak", 1, 2, plant(visit(1, 0, 999*ms))},                                      // within a second of the first, and of the second
-		{"attempts_peak", 1, 1, plant(visit(1, 1, 0))},                                           // at another box
-		{"attempts_peak", 1, 1, plant(visit(9, 0, 0))},                                           // of no try
-		{"again_peak", 0, 1, plant(visit(1, 0, 999*ms))},                                         // the first try's second
-		{"again_peak", 0, 0, plant(visit(3, 0, 999*ms))},                                         // the third's first
-		{"unready", 0.1, 10, plant(func(l *trace.Log) { l.SidecarEvents[3].Kind = trace.SidecarReloaded })},   // the second never serves
-		{"unready", 0.1, 0.1, plant(func(l *trace.Log) { l.SidecarEvents[3].Kind = trace.SidecarKilled })},    // it is killed before it could
-		{"unlisted", 0.42, 10, plant(func(l *trace.Log) { l.Polls[1].Outcome = trace.PollRejected })},      // the second is never told
-		{"unlisted", 0.42, 0.42, plant(func(l *trace.Log) { l.Polls[1].Outcome = trace.PollAnswered })},    // nothing is planted
+		{"attempts_peak", 1, 2, plant(visit(1, 0, 999*ms))},                                                      // within a second of the first, and of the second
+		{"attempts_peak", 1, 1, plant(visit(1, 1, 0))},                                                           // at another box
+		{"attempts_peak", 1, 1, plant(visit(9, 0, 0))},                                                           // of no try
+		{"again_peak", 0, 1, plant(visit(1, 0, 999*ms))},                                                         // the first try's second
+		{"again_peak", 0, 0, plant(visit(3, 0, 999*ms))},                                                         // the third's first
+		{"unready", 0.1, 10, plant(func(l *trace.Log) { l.SidecarEvents[3].Kind = trace.SidecarReloaded })},      // the second never serves
+		{"unready", 0.1, 0.1, plant(func(l *trace.Log) { l.SidecarEvents[3].Kind = trace.SidecarKilled })},       // it is killed before it could
+		{"unlisted", 0.42, 10, plant(func(l *trace.Log) { l.Polls[1].Outcome = trace.PollRejected })},            // the second is never told
+		{"unlisted", 0.42, 0.42, plant(func(l *trace.Log) { l.Polls[1].Outcome = trace.PollAnswered })},          // nothing is planted
 		{"unserving", 0.1, 9.5, plant(func(l *trace.Log) { l.ClientAttempts[2].Status = trace.StatusRejected })}, // the third is asked and serves nothing
 	} {
 		p := &plan.Plan{Scenario: &scenario.Scenario{}, Boxes: make([]plan.Box, 2), Sidecars: make([]plan.Sidecar, 3)}
--- a/internal/lab/trace/client.go
+++ b/internal/lab/trace/client.go
@@ -40,10 +40,10 @@
 	Timeout          time.Duration // that the client announced, from Sent on
 	Ended            time.Duration // the last byte of the response, or when it ended without one
 	Status           Status
-	Code             int           // HTTP status, 0 for none; over Thrift the type of the TApplicationException
-	RetryAfter       time.Duration // 0 is none
-	Endpoint         int           // that made the response, by its body; -1 is unknown
-	ReportedAttempts budget.AttemptReport  // attempts in lower tiers that the response reports
-	Forged           bool          // a 200 whose body no endpoint made for this request
-	Responses        int           // complete final responses: more than 1 breaks a rule
+	Code             int                  // HTTP status, 0 for none; over Thrift the type of the TApplicationException
+	RetryAfter       time.Duration        // 0 is none
+	Endpoint         int                  // that made the response, by its body; -1 is unknown
+	ReportedAttempts budget.AttemptReport // attempts in lower tiers that the response reports
+	Forged           bool                 // a 200 whose body no endpoint made for this request
+	Responses        int                  // complete final responses: more than 1 breaks a rule
 }
