--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -70,7 +70,7 @@
 }
 
 func (w *world) Set(id balance.EndpointID, addr string) { w.addrs[id] = addr }
-func (w *world) Shut(id balance.EndpointID, on bool)    { w.shut[id] = on }
+func (w *world) SetDraining(id balance.EndpointID, on bool)    { w.shut[id] = on }
 func (w *world) Remove(id balance.EndpointID)           { delete(w.addrs, id); w.removed++ }
 func (w *world) Membership(kind balance.ListKind, entries []balance.Entry, _ uint32) {
 	w.kinds = append(w.kinds, kind)
--- a/internal/cluster/table.go
+++ b/internal/cluster/table.go
@@ -18,8 +18,8 @@
 // Hosts is told where each upstream host is to be reached; the connection pools are one.
 type Hosts interface {
 	Set(id balance.EndpointID, addr string)
-	// Shut says whether nothing new is to go to a host that was Set.
-	Shut(id balance.EndpointID, on bool)
+	// SetDraining says whether nothing new is to go to a host that was Set.
+	SetDraining(id balance.EndpointID, on bool)
 	Remove(id balance.EndpointID)
 }
 
@@ -111,7 +111,7 @@
 			}
 			t.listed[m.ID] = *m
 			t.hosts.Set(id, m.Addr)
-			t.hosts.Shut(id, m.State != balance.Ready || t.cordoned[m.ID])
+			t.hosts.SetDraining(id, m.State != balance.Ready || t.cordoned[m.ID])
 		}
 		entries = append(entries, balance.Entry{
 			Endpoint: id, State: m.State, Weight: m.Weight, Zone: index(t.zones, m.Zone),
@@ -170,7 +170,7 @@
 	if !known {
 		return false
 	}
-	t.hosts.Shut(n, out || t.listed[id].State != balance.Ready)
+	t.hosts.SetDraining(n, out || t.listed[id].State != balance.Ready)
 	t.decisions.Cordon(n, out)
 	if out {
 		t.cordoned[id] = true
--- a/internal/daemon/retune.go
+++ b/internal/daemon/retune.go
@@ -117,8 +117,8 @@
 		return nil, err
 	}
 	t.table.Retune(after.ZoneNames, after.KindNames)
-	t.pool.Retune(after.ConnectTimeout, after.ConnIdle)
-	t.pool.Guard(handshakeLimit(t.op.Fleet, &after))
+	t.pool.SetTimeouts(after.ConnectTimeout, after.ConnIdle)
+	t.pool.SetHandshakeLimit(handshakeLimit(t.op.Fleet, &after))
 	t.side.Retune(&after)
 	if t.budget != nil {
 		t.budget.Retune(aims(&after))
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -113,7 +113,7 @@
 
 	set := &cfg.Settings
 	pool := upstream.NewPool(set.ConnectTimeout, set.ConnIdle, sockets/2)
-	pool.Guard(handshakeLimit(op.Fleet, set))
+	pool.SetHandshakeLimit(handshakeLimit(op.Fleet, set))
 	eng, err := driver.New(set.Settings, cfg.Seed, pool, log)
 	if err != nil {
 		return err
@@ -172,7 +172,7 @@
 				p.Gate, p.Trail = audit, audit.book
 			}
 		}
-		srv.Gate, pool.Sends = audit, audit.Sends
+		srv.Gate, pool.CanSend = audit, audit.Sends
 		watch.Heard, audit.refresh = audit.listens, watch.Refresh
 	}
 	switch {
@@ -322,5 +322,5 @@
 func thriftProxy(o *config.Thrift, eng *driver.Engine, pool *upstream.Pool, log zerolog.Logger) *stream.Proxy {
 	pool.ConnectOnly = o.UpstreamPort == 0
 	return &stream.Proxy{Engine: eng, Log: log, Upstream: &upstream.Thrift{Pool: pool, Port: uint16(o.UpstreamPort),
-		Limits: thrift.Limits(o.MostMessage), TurnedAway: o.TurnedAway}}
+		Limits: thrift.Limits(o.MostMessage), OverloadException: o.TurnedAway}}
 }
--- a/internal/daemon/succession.go
+++ b/internal/daemon/succession.go
@@ -52,7 +52,7 @@
 	debug.SetMemoryLimit(int64(memoryShare * float64(b.memory/parts)))
 	b.eng.Share(int(parts))
 	sockets := b.sockets / int(parts)
-	b.pool.Bound(sockets / 2)
+	b.pool.SetMaxConnections(sockets / 2)
 	b.side.Bound(b.memory/parts/bodiesPart, sockets-sockets/2)
 }
 
--- a/internal/fleet/proxy/forward.go
+++ b/internal/fleet/proxy/forward.go
@@ -176,8 +176,8 @@
 	awaited := s.await(a, placed, cancel)
 	defer func() { a.moveTaken = awaited.stop() }()
 	message := q.encode(make([]byte, 0, 1024+len(q.body)), endpoint.ID, a.lastID, time.Until(q.deadline))
-	reply, proof, err := s.dispatcher.Pool.Start(ctx, &upstream.Exchange{
-		Host: balance.EndpointID(endpoint.Number), ID: q.id, Method: q.http.Method, Until: q.deadline, Message: message,
+	reply, proof, err := s.dispatcher.Pool.RoundTrip(ctx, &upstream.Exchange{
+		Host: balance.EndpointID(endpoint.Number), ID: q.id, Method: q.http.Method, Deadline: q.deadline, Message: message,
 	})
 	if err != nil {
 		return s.judgeError(a, awaited, proof)
--- a/internal/fleet/proxy/planted_test.go
+++ b/internal/fleet/proxy/planted_test.go
@@ -12,12 +12,12 @@
 // plantedMistakes each make a request run twice, or an answer reach another caller.
 var plantedMistakes = map[string]mutation.Mistake{
 	"a kept connection that died is no proof that the request never ran": {File: "../../upstream/exchange.go", Edits: []mutation.Edit{
-		{Right: "p.drop(c)\n\t\treturn nil, MayHaveRun, err", Wrong: "p.drop(c)\n\t\treturn nil, NeverSent, err"}}},
+		{Right: "p.discard(c)\n\t\treturn nil, MayHaveRun, err", Wrong: "p.discard(c)\n\t\treturn nil, NeverSent, err"}}},
 	"an answer is taken whoever it names": {File: "../../upstream/exchange.go", Edits: []mutation.Edit{
-		{Right: "case e.ID == \"\" || named == e.ID || named == \"\" && !c.names:", Wrong: "default:"},
+		{Right: "case e.ID == \"\" || named == e.ID || named == \"\" && !c.namesRequests:", Wrong: "default:"},
 		{Right: "\t\tdefault:\n\t\t\tif _, err := io.Copy", Wrong: "\t\tcase false:\n\t\t\tif _, err := io.Copy"}}},
 	"an answer that names nobody is taken on any connection": {File: "../../upstream/exchange.go", Edits: []mutation.Edit{
-		{Right: "named == \"\" && !c.names", Wrong: "named == \"\""}}},
+		{Right: "named == \"\" && !c.namesRequests", Wrong: "named == \"\""}}},
 	"an unsafe request that may have run is sent again": {File: "forward.go", Edits: []mutation.Edit{
 		{Right: "a.arrived >= route.AttemptLimit() || a.ran && !route.Idempotent()", Wrong: "a.arrived >= route.AttemptLimit()"}}},
 	goneOnWith: {File: "forward.go", Edits: []mutation.Edit{
--- a/internal/lab/simulation/sidecar.go
+++ b/internal/lab/simulation/sidecar.go
@@ -47,7 +47,7 @@
 }
 
 // Shut is for attempts that wait for their connections: here the decisions' sends go out at once.
-func (c *sidecar) Shut(balance.EndpointID, bool) {}
+func (c *sidecar) SetDraining(balance.EndpointID, bool) {}
 
 // Remove forgets a host.
 func (c *sidecar) Remove(id balance.EndpointID) {
--- a/internal/lab/stubfleet/hollow.go
+++ b/internal/lab/stubfleet/hollow.go
@@ -71,7 +71,7 @@
 	s.hosts[id] = true
 }
 
-func (s *sink) Shut(id balance.EndpointID, on bool) {
+func (s *sink) SetDraining(id balance.EndpointID, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hosts[id] = !on
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -25,16 +25,16 @@
 // idHeader names the request that an answer belongs to.
 const idHeader = "X-Request-Id"
 
-// strayMost is how many answers to other requests are passed over before a connection counts as spoilt.
-const strayMost = 4
+// maxStrayResponses is how many answers to other requests are passed over before a connection counts as spoilt.
+const maxStrayResponses = 4
 
 // Exchange is one request whose answer is passed on as it comes.
 type Exchange struct {
-	Host    balance.EndpointID
-	ID      string // of the request: answers that name another are passed over; empty: none is
-	Method  string
-	Until   time.Time // when waiting for the answer's head ends
-	Message []byte    // the request, whole
+	Host     balance.EndpointID
+	ID       string // of the request: answers that name another are passed over; empty: none is
+	Method   string
+	Deadline time.Time // when waiting for the answer's head ends
+	Message  []byte    // the request, whole
 }
 
 // Reply is an answer whose body still comes. Its Body has to be closed; read to its end, the connection is kept.
@@ -46,111 +46,111 @@
 	Reused bool // the connection had carried another request before
 }
 
-// ErrStray is an answer that belongs to another request.
-var ErrStray = errors.New("upstream: answers to other requests")
+// ErrMismatchedResponse is an answer that belongs to another request.
+var ErrMismatchedResponse = errors.New("upstream: answers to other requests")
 
-// Start writes a request on one connection and reads the head of its answer. It never sends it again. When ctx ends, the
+// RoundTrip writes a request on one connection and reads the head of its answer. It never sends it again. When ctx ends, the
 // connection is closed, also under the answer's body. The proof counts where there is an error.
-func (p *Pool) Start(ctx context.Context, e *Exchange) (*Reply, Proof, error) {
-	c, err := p.take(ctx, e.Host, e.Until, purpose{named: true})
+func (p *Pool) RoundTrip(ctx context.Context, e *Exchange) (*Reply, Proof, error) {
+	c, err := p.acquire(ctx, e.Host, e.Deadline, connKind{correlated: true})
 	if err != nil {
 		return nil, NeverSent, err
 	}
-	if !p.takes(c) || ctx.Err() != nil {
-		p.put(c)
-		return nil, NeverSent, errHeldBack
+	if !p.accepts(c) || ctx.Err() != nil {
+		p.release(c)
+		return nil, NeverSent, errSendRefused
 	}
 	reused := !c.idleSince.IsZero()
-	_ = c.SetDeadline(e.Until) // on a connection that is broken the write says so
+	_ = c.SetDeadline(e.Deadline) // on a connection that is broken the write says so
 	stop := context.AfterFunc(ctx, c.interrupt)
 	if _, err := c.Write(e.Message); err != nil {
 		stop()
-		p.drop(c)
+		p.discard(c)
 		return nil, NeverSent, fmt.Errorf("upstream: write: %w", err)
 	}
-	response, err := c.head(ctx, e)
+	response, err := c.readHead(ctx, e)
 	if err != nil {
 		stop()
-		p.drop(c)
+		p.discard(c)
 		return nil, MayHaveRun, err
 	}
-	c.idleMost = stated(response.Header)
-	body := &exchangeBody{pool: p, conn: c, body: response.Body, keep: !response.Close, stop: stop}
+	c.maxIdle = keepAliveTimeout(response.Header)
+	body := &responseBody{pool: p, conn: c, body: response.Body, keepAlive: !response.Close, stopInterrupt: stop}
 	return &Reply{Status: response.StatusCode, Header: response.Header, Length: response.ContentLength, Body: body, Reused: reused}, MayHaveRun, nil
 }
 
 // head reads answers' heads up to the one that belongs to the request. One that names no request belongs to it only where
 // the host has named none on this connection before.
-func (c *conn) head(ctx context.Context, e *Exchange) (*http.Response, error) {
-	if c.in == nil {
-		c.in = newReader(c.limit)
+func (c *conn) readHead(ctx context.Context, e *Exchange) (*http.Response, error) {
+	if c.reader == nil {
+		c.reader = newReader(c.headLimit)
 	}
-	c.pace.ctx, c.pace.until, c.pace.piece, c.pace.begun = ctx, e.Until, time.Until(e.Until), false
+	c.deadlines.ctx, c.deadlines.deadline, c.deadlines.stallTimeout, c.deadlines.started = ctx, e.Deadline, time.Until(e.Deadline), false
 	request := &http.Request{Method: e.Method}
-	for range strayMost {
-		c.limit.N = headMost
-		response, err := http.ReadResponse(c.in, request)
+	for range maxStrayResponses {
+		c.headLimit.N = maxHeadBytes
+		response, err := http.ReadResponse(c.reader, request)
 		if err != nil {
-			return nil, c.fault(err)
+			return nil, c.classifyReadError(err)
 		}
-		c.limit.N = 2 * answerMost
+		c.headLimit.N = 2 * maxResponseBody
 		named := response.Header.Get(idHeader)
 		switch {
 		case response.StatusCode < 200:
-		case e.ID == "" || named == e.ID || named == "" && !c.names:
-			c.names = c.names || named != ""
+		case e.ID == "" || named == e.ID || named == "" && !c.namesRequests:
+			c.namesRequests = c.namesRequests || named != ""
 			return response, nil
 		default:
 			if _, err := io.Copy(io.Discard, response.Body); err != nil {
-				return nil, c.fault(err)
+				return nil, c.classifyReadError(err)
 			}
 		}
 	}
-	return nil, ErrStray
+	return nil, ErrMismatchedResponse
 }
 
 // stated is how long a host lets a connection idle, by its Keep-Alive header, less a margin; 0 where it states nothing.
-func stated(header http.Header) time.Duration {
+func keepAliveTimeout(header http.Header) time.Duration {
 	for field := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		text, found := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
 		if seconds, err := strconv.Atoi(text); found && err == nil {
-			return max(1, time.Duration(idleShare*float64(time.Duration(seconds)*time.Second)))
+			return max(1, time.Duration(idleTimeoutFraction*float64(time.Duration(seconds)*time.Second)))
 		}
 	}
 	return 0
 }
 
-// exchangeBody is an answer's body on its connection.
-type exchangeBody struct {
-	pool  *Pool
-	conn  *conn
-	body  io.ReadCloser
-	keep  bool
-	whole bool
-	done  bool
-	stop  func() bool
+// responseBody is an answer's body on its connection.
+type responseBody struct {
+	pool          *Pool
+	conn          *conn
+	body          io.ReadCloser
+	keepAlive     bool
+	complete      bool
+	closed        bool
+	stopInterrupt func() bool
 }
 
 // Read reads what has come. An end that comes early is io.ErrUnexpectedEOF.
-func (b *exchangeBody) Read(buf []byte) (int, error) {
+func (b *responseBody) Read(buf []byte) (int, error) {
 	n, err := b.body.Read(buf)
 	if err == io.EOF {
-		b.whole = true
+		b.complete = true
 	}
 	return n, err
 }
 
 // Close lets go of the connection, which is kept where the answer was read to its end.
-func (b *exchangeBody) Close() error {
-	if b.done {
+func (b *responseBody) Close() error {
+	if b.closed {
 		return nil
 	}
-	b.done = true
-	undisturbed := b.stop()
-	if b.whole && b.keep && undisturbed && b.conn.in.Buffered() == 0 {
-		b.pool.put(b.conn)
+	b.closed = true
+	undisturbed := b.stopInterrupt()
+	if b.complete && b.keepAlive && undisturbed && b.conn.reader.Buffered() == 0 {
+		b.pool.release(b.conn)
 	} else {
-		b.pool.drop(b.conn)
+		b.pool.discard(b.conn)
 	}
 	return nil
 }
--- a/internal/upstream/model_test.go
+++ b/internal/upstream/model_test.go
@@ -179,7 +179,7 @@
 					continue
 				}
 				if arg&1 == 0 {
-					clock = clock.Add(restFor)
+					clock = clock.Add(reuseDelay)
 				}
 				ctx, cancel := context.WithCancel(context.Background())
 				h := held{addr: host.addr, cancel: cancel, ended: make(chan balance.Status, 1)}
@@ -214,7 +214,7 @@
 					end = say{status: balance.Cancelled}
 					h.cancel()
 				} else if end.end(h.at.nc); end.reuse && h.addr == host.addr {
-					idle = append(idle, resting{h.at, clock.Add(restFor)})
+					idle = append(idle, resting{h.at, clock.Add(reuseDelay)})
 				}
 				if got := <-h.ended; got != end.status {
 					t.Fatalf("answer %q gave outcome %d, want %d", end.text, got, end.status)
@@ -232,11 +232,11 @@
 				idle = append(idle[:i:i], idle[i+1:]...)
 				for n := len(idle) + 1; n > len(idle); n, _ = counts(p, id) {
 					runtime.Gosched() // until the kernel has brought it
-					p.retire()
+					p.closeUnusable()
 				}
 			case 6: // time passes
 				clock, idle = clock.Add(8*time.Second), nil
-				p.retire()
+				p.closeUnusable()
 			case 7:
 				p.CloseUnused(id)
 				idle = nil
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -19,17 +19,17 @@
 )
 
 const (
-	idleShare  = 0.8 // of the time that an upstream host lets a connection idle: retired clearly before
-	sweepEvery = time.Second
-	// restFor is how long an HTTP connection rests after an answer. A host that answers twice may do so some milliseconds later,
+	idleTimeoutFraction = 0.8 // of the time that an upstream host lets a connection idle: retired clearly before
+	sweepInterval       = time.Second
+	// reuseDelay is how long an HTTP connection rests after an answer. A host that answers twice may do so some milliseconds later,
 	// and nothing tells that answer from one to the next request on the connection. Thrift's replies name their calls.
-	restFor = 20 * time.Millisecond
+	reuseDelay = 20 * time.Millisecond
 )
 
 var (
-	errUnknownHost = errors.New("upstream: the host is not in the cluster")
-	errCrowded     = errors.New("upstream: no connection is free")
-	errHeldBack    = errors.New("upstream: nothing is to be sent at present")
+	errUnknownHost   = errors.New("upstream: the host is not in the cluster")
+	errPoolExhausted = errors.New("upstream: no connection is free")
+	errSendRefused   = errors.New("upstream: nothing is to be sent at present")
 )
 
 // Pool holds the connections to all upstream hosts of the cluster. Its own requests are HTTP's.
@@ -37,72 +37,72 @@
 	// ConnectOnly is for hosts whose listed ports don't speak HTTP: a probe is a connection that comes up. It
 	// is set before the pool is used.
 	ConnectOnly bool
-	// Sends is asked once a request has its connection, for which it may have waited: without a yes it is never sent. Nil
+	// CanSend is asked once a request has its connection, for which it may have waited: without a yes it is never sent. Nil
 	// is yes. It is set before the pool is used.
-	Sends func() bool
+	CanSend func() bool
 
 	connectTimeout time.Duration
-	idleMost       time.Duration
-	most           int // connections in all, those being opened included
+	maxIdle        time.Duration
+	maxOpen        int // connections in all, those being opened included
 
-	now    func() time.Time
-	began  time.Time // from when handshakes are counted
-	secret uint64    // of the process: by which its moments at hosts are drawn
-	ahead  sync.WaitGroup
+	now         func() time.Time
+	startTime   time.Time // from when handshakes are counted
+	phaseSeed   uint64    // of the process: by which its moments at hosts are drawn
+	preconnects sync.WaitGroup
 
-	mu    sync.Mutex
-	limit pacing.HandshakeLimit // the zero value is no bound
-	ended bool                  // nothing is opened ahead any more
-	open  int
-	hosts map[balance.EndpointID]*host
+	mu             sync.Mutex
+	handshakeLimit pacing.HandshakeLimit // the zero value is no bound
+	stopped        bool                  // nothing is opened ahead any more
+	open           int
+	hosts          map[balance.EndpointID]*host
 }
 
 // purpose is what a connection is used for. A host may tell protocols apart by a connection's first bytes, so
 // that none serves two; HTTP's is the zero value.
-type purpose struct {
-	port     uint16 // 0: the one that discovery lists
-	protocol string
-	oneway   bool // nothing is answered: when the host is done with a request can't be told
-	named    bool // answers name their requests, so that one that comes late or twice is told from the next
+type connKind struct {
+	port       uint16 // 0: the one that discovery lists
+	protocol   string
+	oneway     bool // nothing is answered: when the host is done with a request can't be told
+	correlated bool // answers name their requests, so that one that comes late or twice is told from the next
 }
 
 // rest is how long a connection rests before it may carry another request.
-func (u purpose) rest() time.Duration {
-	if u.protocol != "" || u.named {
+func (u connKind) reuseDelay() time.Duration {
+	if u.protocol != "" || u.correlated {
 		return 0
 	}
-	return restFor
+	return reuseDelay
 }
 
 // host is one upstream host's address and its idle connections, the last used last.
 type host struct {
-	addr  string
-	shut  bool // nothing new is to go there
-	idle  []*conn
-	limit pacing.HandshakeLimiter
-	line  []*waiter   // for a connection, the first first
-	again *time.Timer // when the line is looked at
+	addr       string
+	draining   bool // nothing new is to go there
+	idle       []*conn
+	limiter    pacing.HandshakeLimiter
+	queue      []*waiter   // for a connection, the first first
+	queueTimer *time.Timer // when the line is looked at
 }
 
 // NewPool returns a pool without hosts that opens at most that many connections.
 func NewPool(connectTimeout, connIdle time.Duration, most int) *Pool {
-	return &Pool{connectTimeout: connectTimeout, idleMost: time.Duration(idleShare * float64(connIdle)), most: most,
-		now: time.Now, began: time.Now(), secret: rand.Uint64(), hosts: map[balance.EndpointID]*host{}}
+	return &Pool{connectTimeout: connectTimeout, maxIdle: time.Duration(idleTimeoutFraction * float64(connIdle)), maxOpen: most,
+		now: time.Now, startTime: time.Now(), phaseSeed: rand.Uint64(), hosts: map[balance.EndpointID]*host{}}
 }
 
-// Retune takes over changed settings.
-func (p *Pool) Retune(connectTimeout, connIdle time.Duration) {
+// SetTimeouts takes over changed settings.
+func (p *Pool) SetTimeouts(connectTimeout, connIdle time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.connectTimeout, p.idleMost = connectTimeout, time.Duration(idleShare*float64(connIdle))
+	p.connectTimeout, p.maxIdle = connectTimeout, time.Duration(idleTimeoutFraction*float64(connIdle))
 }
 
-// Bound has so many connections be open at most from now on; idle ones beyond that are closed.
-func (p *Pool) Bound(most int) {
+// SetMaxConnections has so many connections be open at most from now on; idle ones beyond that are closed.
+func (p *Pool) SetMaxConnections(most int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.most = most
-	for p.open > most && p.makeRoom() {
+	p.maxOpen = most
+	for p.open > most && p.evictIdle() {
 	}
 }
 
@@ -121,22 +121,22 @@
 	}
 }
 
-// Shut says whether nothing new is to go to a host, as it drains or is taken out: also not what the decisions have sent
+// SetDraining says whether nothing new is to go to a host, as it drains or is taken out: also not what the decisions have sent
 // before and still waits for its connection. A host that is not known stays so.
-func (p *Pool) Shut(id balance.EndpointID, on bool) {
+func (p *Pool) SetDraining(id balance.EndpointID, on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if h := p.hosts[id]; h != nil {
-		h.shut = on
+		h.draining = on
 	}
 }
 
 // takes tells whether a connection's host may be sent something new at this moment, and is still where it leads.
-func (p *Pool) takes(c *conn) bool {
+func (p *Pool) accepts(c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.hosts[c.host]
-	return h != nil && h.addr == c.addr && !h.shut
+	h := p.hosts[c.endpoint]
+	return h != nil && h.addr == c.addr && !h.draining
 }
 
 // Remove forgets a host. Requests that are out to it go on.
@@ -145,7 +145,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if h := p.hosts[id]; h != nil {
-		h.dismiss()
+		h.failWaiters()
 	}
 	delete(p.hosts, id)
 }
@@ -162,35 +162,35 @@
 // Sweep retires idle connections, until ctx ends: those that have stood too long, and those that the
 // other side has closed, whose descriptors would be held for nothing.
 func (p *Pool) Sweep(ctx context.Context) {
-	t := time.NewTicker(sweepEvery)
+	t := time.NewTicker(sweepInterval)
 	defer t.Stop()
-	defer p.endAhead()
+	defer p.stopPreconnects()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			p.retire()
+			p.closeUnusable()
 		}
 	}
 }
 
-func (p *Pool) retire() {
+func (p *Pool) closeUnusable() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
 	for _, h := range p.hosts {
-		p.closeIdle(h, func(c *conn) bool { return !p.fit(c, now) })
+		p.closeIdle(h, func(c *conn) bool { return !p.usable(c, now) })
 	}
 }
 
 // fit tells whether an idle connection may carry a request: not stood too long, still open, and silent.
-func (p *Pool) fit(c *conn, now time.Time) bool {
-	most := p.idleMost
-	if c.idleMost > 0 {
-		most = min(most, c.idleMost)
+func (p *Pool) usable(c *conn, now time.Time) bool {
+	most := p.maxIdle
+	if c.maxIdle > 0 {
+		most = min(most, c.maxIdle)
 	}
-	return now.Sub(c.idleSince) < most && c.quiet()
+	return now.Sub(c.idleSince) < most && c.peerSilent()
 }
 
 // closeIdle closes the idle connections that unfit picks; the caller holds the lock.
@@ -209,7 +209,7 @@
 }
 
 // take returns an idle connection to the host that is fit for use, or a new one.
-func (p *Pool) take(ctx context.Context, id balance.EndpointID, until time.Time, use purpose) (*conn, error) {
+func (p *Pool) acquire(ctx context.Context, id balance.EndpointID, deadline time.Time, kind connKind) (*conn, error) {
 	p.mu.Lock()
 	h := p.hosts[id]
 	if h == nil {
@@ -217,50 +217,50 @@
 		return nil, errUnknownHost
 	}
 	now := p.now()
-	for c := h.last(use, now); c != nil; c = h.last(use, now) {
-		if p.fit(c, now) {
+	for c := h.takeIdle(kind, now); c != nil; c = h.takeIdle(kind, now) {
+		if p.usable(c, now) {
 			p.mu.Unlock()
 			return c, nil
 		}
 		c.close()
 		p.open--
 	}
-	if p.limit.Handshakes > 0 {
-		if c, err := p.queue(ctx, id, h, until, use); c != nil || err != nil {
+	if p.handshakeLimit.Handshakes > 0 {
+		if c, err := p.waitInQueue(ctx, id, h, deadline, kind); c != nil || err != nil {
 			return c, err
 		}
 		p.mu.Lock()
 	}
-	if p.open >= p.most && !p.makeRoom() {
+	if p.open >= p.maxOpen && !p.evictIdle() {
 		p.mu.Unlock()
-		return nil, errCrowded
+		return nil, errPoolExhausted
 	}
 	p.open++
 	addr, timeout := h.addr, p.connectTimeout
 	p.mu.Unlock()
-	return p.dial(ctx, id, addr, min(timeout, time.Until(until)), use)
+	return p.dial(ctx, id, addr, min(timeout, time.Until(deadline)), kind)
 }
 
 // dial opens a connection that is counted already.
-func (p *Pool) dial(ctx context.Context, id balance.EndpointID, addr string, within time.Duration, use purpose) (*conn, error) {
+func (p *Pool) dial(ctx context.Context, id balance.EndpointID, addr string, within time.Duration, kind connKind) (*conn, error) {
 	from := time.Now()
 	d := net.Dialer{Timeout: max(1, within), KeepAlive: -1}
-	nc, err := d.DialContext(ctx, "tcp", use.at(addr))
+	nc, err := d.DialContext(ctx, "tcp", kind.dialAddr(addr))
 	if err != nil {
-		p.drop(nil)
+		p.discard(nil)
 		return nil, fmt.Errorf("upstream: dial: %w", err)
 	}
-	c := newConn(nc, id, addr, use)
-	c.way = time.Since(from)
+	c := newConn(nc, id, addr, kind)
+	c.connectTime = time.Since(from)
 	return c, nil
 }
 
 // last takes the idle connection out that was used last for that purpose and has rested, if there is one. They lie in the
 // order in which they became idle, so that those that still rest come last.
-func (h *host) last(use purpose, now time.Time) *conn {
-	rested := sort.Search(len(h.idle), func(i int) bool { return now.Sub(h.idle[i].idleSince) < use.rest() })
+func (h *host) takeIdle(kind connKind, now time.Time) *conn {
+	rested := sort.Search(len(h.idle), func(i int) bool { return now.Sub(h.idle[i].idleSince) < kind.reuseDelay() })
 	for i := rested - 1; i >= 0; i-- {
-		if c := h.idle[i]; c.use == use {
+		if c := h.idle[i]; c.kind == kind {
 			h.idle = slices.Delete(h.idle, i, i+1)
 			return c
 		}
@@ -269,7 +269,7 @@
 }
 
 // at is where a host with that listed address serves the purpose.
-func (u purpose) at(addr string) string {
+func (u connKind) dialAddr(addr string) string {
 	host, _, err := net.SplitHostPort(addr)
 	if u.port == 0 || err != nil {
 		return addr
@@ -277,8 +277,8 @@
 	return net.JoinHostPort(host, strconv.Itoa(int(u.port)))
 }
 
-// makeRoom closes one idle connection of any host; the caller holds the lock.
-func (p *Pool) makeRoom() bool {
+// evictIdle closes one idle connection of any host; the caller holds the lock.
+func (p *Pool) evictIdle() bool {
 	for _, h := range p.hosts {
 		if len(h.idle) > 0 {
 			oldest := h.idle[0]
@@ -290,24 +290,24 @@
 }
 
 // put makes a connection idle, unless its host is gone or has moved meanwhile.
-func (p *Pool) put(c *conn) {
-	c.rests()
+func (p *Pool) release(c *conn) {
+	c.releaseReader()
 	p.mu.Lock()
-	h := p.hosts[c.host]
+	h := p.hosts[c.endpoint]
 	if h == nil || h.addr != c.addr {
 		p.mu.Unlock()
-		p.drop(c)
+		p.discard(c)
 		return
 	}
 	c.idleSince = p.now()
-	if !h.hand(c) {
+	if !h.handOver(c) {
 		h.idle = append(h.idle, c)
 	}
 	p.mu.Unlock()
 }
 
 // drop closes a connection that is not to be used again; nil is one that never came up.
-func (p *Pool) drop(c *conn) {
+func (p *Pool) discard(c *conn) {
 	if c != nil {
 		c.close()
 	}
--- a/internal/upstream/line_test.go
+++ b/internal/upstream/queue_test.go
@@ -13,13 +13,13 @@
 func guarded(t *testing.T) (p *Pool, moment func()) {
 	p = poolFor(newScripted(t).addr, 10)
 	var clock time.Duration
-	p.now = func() time.Time { return p.began.Add(clock) }
-	p.Guard(pacing.HandshakeLimit{Handshakes: 1, Instances: 100})
-	p.hosts[1].limit.Phase = 0.5
+	p.now = func() time.Time { return p.startTime.Add(clock) }
+	p.SetHandshakeLimit(pacing.HandshakeLimit{Handshakes: 1, Instances: 100})
+	p.hosts[1].limiter.Phase = 0.5
 	return p, func() { // the next one comes
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		share := p.limit.Share(1)
+		share := p.handshakeLimit.Share(1)
 		clock = clock.Truncate(share.Every) + 3*share.Every/2
 		p.admit(1, p.hosts[1])
 	}
@@ -30,19 +30,19 @@
 	for name, end := range map[string]say{"a second answer": says[0], "the end": {hangUp: true}} {
 		host := newScripted(t)
 		p := poolFor(host.addr, 10)
-		c, err := p.take(context.Background(), 1, time.Now().Add(time.Minute), purpose{})
+		c, err := p.acquire(context.Background(), 1, time.Now().Add(time.Minute), connKind{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		_, _ = c.Write([]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 		at := <-host.arrivals
-		p.Guard(pacing.HandshakeLimit{Handshakes: 1, Instances: 1 << 20}) // no moment is near
-		next := begin(context.Background(), p, purpose{}, 1)
+		p.SetHandshakeLimit(pacing.HandshakeLimit{Handshakes: 1, Instances: 1 << 20}) // no moment is near
+		next := begin(context.Background(), p, connKind{}, 1)
 		end.end(at.nc)
-		for c.quiet() { // until the kernel has brought it
+		for c.peerSilent() { // until the kernel has brought it
 		}
-		p.put(c)
-		if got := <-next; got.c != nil || !errors.Is(got.err, errCrowded) {
+		p.release(c)
+		if got := <-next; got.c != nil || !errors.Is(got.err, errPoolExhausted) {
 			t.Errorf("%s: the next has got %+v", name, got)
 		}
 		if _, open := counts(p, 1); open != 0 {
@@ -57,15 +57,15 @@
 }
 
 // begin takes a connection, and returns when the attempt stands in the line as the nth.
-func begin(ctx context.Context, p *Pool, use purpose, nth int) <-chan taken {
+func begin(ctx context.Context, p *Pool, use connKind, nth int) <-chan taken {
 	out := make(chan taken, 1)
 	go func() {
-		c, err := p.take(ctx, 1, time.Now().Add(time.Minute), use)
+		c, err := p.acquire(ctx, 1, time.Now().Add(time.Minute), use)
 		out <- taken{c, err}
 	}()
 	for n := 0; n < nth; {
 		p.mu.Lock()
-		n = len(p.hosts[1].line)
+		n = len(p.hosts[1].queue)
 		p.mu.Unlock()
 	}
 	return out
@@ -76,15 +76,15 @@
 func TestLine(t *testing.T) {
 	p, moment := guarded(t)
 	ctx, leave := context.WithCancel(context.Background())
-	first := begin(ctx, p, purpose{}, 1)
-	second := begin(context.Background(), p, purpose{}, 2)
-	other := begin(context.Background(), p, purpose{protocol: "x"}, 3)
-	third := begin(context.Background(), p, purpose{}, 4)
+	first := begin(ctx, p, connKind{}, 1)
+	second := begin(context.Background(), p, connKind{}, 2)
+	other := begin(context.Background(), p, connKind{protocol: "x"}, 3)
+	third := begin(context.Background(), p, connKind{}, 4)
 	if _, open := counts(p, 1); open != 0 {
 		t.Fatalf("%d open before any moment", open)
 	}
 	leave()
-	if got := <-first; got.c != nil || !errors.Is(got.err, errCrowded) {
+	if got := <-first; got.c != nil || !errors.Is(got.err, errPoolExhausted) {
 		t.Fatalf("one whose client has left: %+v", got)
 	}
 	moment()
@@ -92,13 +92,13 @@
 	if got.err != nil {
 		t.Fatal(got.err)
 	}
-	p.put(got.c)
+	p.release(got.c)
 	if again := <-third; again.c != got.c {
 		t.Fatalf("the third got %+v, not the connection that was put back", again)
 	}
-	p.drop(got.c)
-	if _, open := counts(p, 1); open != 0 || len(p.hosts[1].line) != 1 {
-		t.Fatalf("%d open, %d wait; want 0 and the one of another protocol", open, len(p.hosts[1].line))
+	p.discard(got.c)
+	if _, open := counts(p, 1); open != 0 || len(p.hosts[1].queue) != 1 {
+		t.Fatalf("%d open, %d wait; want 0 and the one of another protocol", open, len(p.hosts[1].queue))
 	}
 	p.Remove(1)
 	if got := <-other; got.err != errUnknownHost {
@@ -113,29 +113,29 @@
 		back, most, want int
 	}{{0, 0, 0}, {0, 10, 1}, {1, 10, 1}} {
 		p, moment := guarded(t)
-		p.Retune(time.Millisecond, time.Minute)
+		p.SetTimeouts(time.Millisecond, time.Minute)
 		for range 2 {
-			if c, err := p.take(context.Background(), 1, time.Now().Add(time.Minute), purpose{}); c != nil || err != errCrowded {
+			if c, err := p.acquire(context.Background(), 1, time.Now().Add(time.Minute), connKind{}); c != nil || err != errPoolExhausted {
 				t.Fatalf("%v, %v before any moment", c, err)
 			}
 		}
-		if n := len(p.hosts[1].line); n != 1 {
+		if n := len(p.hosts[1].queue); n != 1 {
 			t.Fatalf("%d places are kept", n)
 		}
-		p.Retune(time.Minute, time.Minute)
-		p.Bound(c.most)
+		p.SetTimeouts(time.Minute, time.Minute)
+		p.SetMaxConnections(c.most)
 		for range c.back {
 			p.open++
-			busy, err := p.dial(context.Background(), 1, p.hosts[1].addr, time.Minute, purpose{})
+			busy, err := p.dial(context.Background(), 1, p.hosts[1].addr, time.Minute, connKind{})
 			if err != nil {
 				t.Fatal(err)
 			}
-			p.put(busy)
+			p.release(busy)
 		}
 		moment()
-		p.ahead.Wait()
+		p.preconnects.Wait()
 		moment() // one is enough
-		p.ahead.Wait()
+		p.preconnects.Wait()
 		if idle, open := counts(p, 1); idle != c.want || open != c.want {
 			t.Errorf("%+v: %d idle of %d open", c, idle, open)
 		}
@@ -147,13 +147,13 @@
 func TestNoLine(t *testing.T) {
 	for _, d := range []pacing.HandshakeLimit{{}, {Handshakes: 1, Instances: 1}} {
 		p, _ := guarded(t)
-		p.Guard(d)
+		p.SetHandshakeLimit(d)
 		for range 5 {
-			c, err := p.take(context.Background(), 1, time.Now().Add(time.Minute), purpose{})
+			c, err := p.acquire(context.Background(), 1, time.Now().Add(time.Minute), connKind{})
 			if err != nil {
 				t.Fatalf("%+v: %v", d, err)
 			}
-			defer p.drop(c)
+			defer p.discard(c)
 		}
 	}
 }
@@ -162,13 +162,13 @@
 func TestTurnOfOneThatHasLeft(t *testing.T) {
 	p, _ := guarded(t)
 	p.open++
-	c, err := p.dial(context.Background(), 1, p.hosts[1].addr, time.Minute, purpose{})
+	c, err := p.dial(context.Background(), 1, p.hosts[1].addr, time.Minute, connKind{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, leave := context.WithCancel(context.Background())
 	leave()
-	if got, err := p.taken(ctx, turn{conn: c}); got != nil || !errors.Is(err, context.Canceled) {
+	if got, err := p.accept(ctx, grant{conn: c}); got != nil || !errors.Is(err, context.Canceled) {
 		t.Fatalf("%v, %v", got, err)
 	}
 	if idle, open := counts(p, 1); idle != 1 || open != 1 {
@@ -192,8 +192,8 @@
 		{pacing.Share{AtOnce: 2, Every: 100 * time.Millisecond}, 9, 0, 400 * time.Millisecond},
 		{pacing.Share{AtOnce: 2, Every: 100 * time.Millisecond}, 11, 0, 100 * time.Millisecond},
 	} {
-		h := &host{limit: pacing.HandshakeLimiter{Phase: 0.5}, line: make([]*waiter, c.line)}
-		if got := h.patience(c.share, c.now, 100*time.Millisecond); got != c.want {
+		h := &host{limiter: pacing.HandshakeLimiter{Phase: 0.5}, queue: make([]*waiter, c.line)}
+		if got := h.waitTimeout(c.share, c.now, 100*time.Millisecond); got != c.want {
 			t.Errorf("%+v, %d in line at %s: %s, want %s", c.share, c.line, c.now, got, c.want)
 		}
 	}
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -17,197 +17,197 @@
 
 const probeTimeout = 100 * time.Millisecond
 
-var errBadAnswer = errors.New("upstream: an answer that breaks the protocol")
+var errMalformedResponse = errors.New("upstream: an answer that breaks the protocol")
 
-var buffers = sync.Pool{New: func() any { b := make([]byte, 0, 1<<10); return &b }}
+var requestBuffers = sync.Pool{New: func() any { b := make([]byte, 0, 1<<10); return &b }}
 
 // Do carries out one upstream request on one connection. It never sends it again.
-func (p *Pool) Do(ctx context.Context, id balance.EndpointID, until time.Time, req *stream.Request) (balance.Status, stream.Response) {
-	c, err := p.takeToSend(ctx, id, until, purpose{}, req)
+func (p *Pool) Do(ctx context.Context, id balance.EndpointID, deadline time.Time, req *stream.Request) (balance.Status, stream.Response) {
+	c, err := p.acquireToSend(ctx, id, deadline, connKind{}, req)
 	if err != nil {
-		return neverSent(ctx, err), stream.Response{Outcome: stream.Failed}
+		return notSentStatus(ctx, err), stream.Response{Outcome: stream.Failed}
 	}
-	left := time.Until(until)
+	left := time.Until(deadline)
 	if req.Baggage != "" { // the next tier keeps accounts too, and has to know how long it really has
-		left = budget.Time(left, c.way)
+		left = budget.Time(left, c.connectTime)
 	}
-	buf := buffers.Get().(*[]byte)
-	var a answer
+	buf := requestBuffers.Get().(*[]byte)
+	var a hostResponse
 	var status balance.Status
 	if req.Upload != nil {
-		*buf = encode((*buf)[:0], req, req.Upload.Left)
+		*buf = appendRequest((*buf)[:0], req, req.Upload.Left)
 		status, err = p.upload(ctx, c, *buf, req, &a)
 	} else {
-		*buf = encode((*buf)[:0], req, left)
-		status = p.exchange(ctx, c, until, *buf, &a)
+		*buf = appendRequest((*buf)[:0], req, left)
+		status = p.exchange(ctx, c, deadline, *buf, &a)
 	}
-	buffers.Put(buf)
+	requestBuffers.Put(buf)
 	switch {
 	case err != nil: // nobody's fault but the client's
 		return balance.Cancelled, stream.Response{Outcome: stream.Broken}
 	case status == balance.OK:
-		return status, p.served(c, &a)
-	case rejects(a.status):
+		return status, p.response(c, &a)
+	case rejectsRequest(a.status):
 		// The host is well and the request is not: no evidence against the one, and no host for the other.
 		return balance.Cancelled, stream.Response{Outcome: stream.Rejected}
 	}
-	return status, stream.Response{Outcome: stream.Failed, Tried: a.tried}
+	return status, stream.Response{Outcome: stream.Failed, Tried: a.attempted}
 }
 
-// takeToSend takes a connection for a request, which may still go out once that is there.
-func (p *Pool) takeToSend(ctx context.Context, id balance.EndpointID, until time.Time, use purpose, req *stream.Request) (*conn, error) {
-	c, err := p.take(ctx, id, until, use)
+// acquireToSend takes a connection for a request, which may still go out once that is there.
+func (p *Pool) acquireToSend(ctx context.Context, id balance.EndpointID, deadline time.Time, kind connKind, req *stream.Request) (*conn, error) {
+	c, err := p.acquire(ctx, id, deadline, kind)
 	if err != nil {
 		return nil, err
 	}
 	// The last look before the first byte: the attempt may have waited, and the world gone on.
-	held := p.Sends != nil && !p.Sends()
-	if err = ctx.Err(); err == nil && (held || !p.takes(c) || !req.StillWanted()) {
-		err = errHeldBack
+	held := p.CanSend != nil && !p.CanSend()
+	if err = ctx.Err(); err == nil && (held || !p.accepts(c) || !req.StillWanted()) {
+		err = errSendRefused
 	}
 	if err != nil {
-		p.put(c)
+		p.release(c)
 		return nil, err
 	}
 	return c, nil
 }
 
 // served is what a host has answered.
-func (p *Pool) served(c *conn, a *answer) stream.Response {
-	res := stream.Response{Outcome: stream.Served, MediaType: a.mediaType, Body: a.body, Tried: a.tried}
-	if a.rest != nil { // which is the front's to read: the attempt's context ends with the attempt
-		c.pace.ctx = context.Background()
-		res.Rest, res.Length = &rest{pool: p, conn: c, body: a.rest, keep: a.keep, end: time.Now().Add(restMost)}, a.length
+func (p *Pool) response(c *conn, a *hostResponse) stream.Response {
+	res := stream.Response{Outcome: stream.Served, MediaType: a.mediaType, Body: a.body, Tried: a.attempted}
+	if a.remainder != nil { // which is the front's to read: the attempt's context ends with the attempt
+		c.deadlines.ctx = context.Background()
+		res.Rest, res.Length = &responseStream{pool: p, conn: c, body: a.remainder, keepAlive: a.keepAlive, deadline: time.Now().Add(maxStreamDuration)}, a.contentLength
 	}
 	return res
 }
 
 // Probe asks an upstream host whether it is up.
 func (p *Pool) Probe(id balance.EndpointID) balance.Status {
-	ctx, until := context.Background(), time.Now().Add(probeTimeout)
-	c, err := p.take(ctx, id, until, purpose{})
+	ctx, deadline := context.Background(), time.Now().Add(probeTimeout)
+	c, err := p.acquire(ctx, id, deadline, connKind{})
 	if err != nil {
-		return neverSent(ctx, err)
+		return notSentStatus(ctx, err)
 	}
 	if p.ConnectOnly {
-		p.drop(c)
+		p.discard(c)
 		return balance.OK
 	}
-	var a answer
-	status := p.exchange(ctx, c, until, []byte("GET /ping HTTP/1.1\r\nHost: "+c.addr+"\r\n\r\n"), &a)
-	if status == balance.OK && a.rest != nil {
-		p.drop(c)
+	var a hostResponse
+	status := p.exchange(ctx, c, deadline, []byte("GET /ping HTTP/1.1\r\nHost: "+c.addr+"\r\n\r\n"), &a)
+	if status == balance.OK && a.remainder != nil {
+		p.discard(c)
 	}
 	return status
 }
 
 // exchange writes an HTTP message and reads the answer.
-func (p *Pool) exchange(ctx context.Context, c *conn, until time.Time, message []byte, a *answer) balance.Status {
-	return p.carry(ctx, c, until, message, func() (balance.Status, after, error) {
-		err := c.read(ctx, until, a)
-		return judge(a), a.after(), err
+func (p *Pool) exchange(ctx context.Context, c *conn, deadline time.Time, message []byte, a *hostResponse) balance.Status {
+	return p.roundTrip(ctx, c, deadline, message, func() (balance.Status, disposition, error) {
+		err := c.readResponse(ctx, deadline, a)
+		return responseStatus(a), a.disposition(), err
 	})
 }
 
 // after is what becomes of a connection when an answer has been read.
-type after uint8
+type disposition uint8
 
 const (
-	closed after = iota
-	idle         // it may carry another request
-	busy         // the answer's rest still comes on it
+	closeConn  disposition = iota
+	reuseConn              // it may carry another request
+	streamConn             // the answer's rest still comes on it
 )
 
-func (a *answer) after() after {
+func (a *hostResponse) disposition() disposition {
 	switch {
-	case a.rest != nil:
-		return busy
+	case a.remainder != nil:
+		return streamConn
 	case a.reusable:
-		return idle
+		return reuseConn
 	}
-	return closed
+	return closeConn
 }
 
 // carry writes a message in one piece and has read take the answer, and say what it stands for and what becomes of the
 // connection.
-func (p *Pool) carry(ctx context.Context, c *conn, until time.Time, message []byte, read func() (balance.Status, after, error)) balance.Status {
-	_ = c.SetDeadline(until) // on a connection that is broken the write says so
+func (p *Pool) roundTrip(ctx context.Context, c *conn, deadline time.Time, message []byte, read func() (balance.Status, disposition, error)) balance.Status {
+	_ = c.SetDeadline(deadline) // on a connection that is broken the write says so
 	stop := context.AfterFunc(ctx, c.interrupt)
 	defer stop()
 	if _, err := c.Write(message); err != nil {
-		p.drop(c)
-		return neverSent(ctx, err)
+		p.discard(c)
+		return notSentStatus(ctx, err)
 	}
 	status, then, err := read()
 	if err != nil {
-		p.drop(c)
-		return noAnswer(ctx, err)
+		p.discard(c)
+		return noResponseStatus(ctx, err)
 	}
-	return p.settle(c, !stop(), then, status)
+	return p.dispose(c, !stop(), then, status)
 }
 
 // settle makes a connection idle after an answer, or closes it, and returns what the answer stands for.
-func (p *Pool) settle(c *conn, withdrawn bool, then after, status balance.Status) balance.Status {
+func (p *Pool) dispose(c *conn, withdrawn bool, then disposition, status balance.Status) balance.Status {
 	switch {
-	case withdrawn && then == busy:
-		p.drop(c)
+	case withdrawn && then == streamConn:
+		p.discard(c)
 		return balance.Cancelled
-	case withdrawn || then == closed:
-		p.drop(c)
-	case then == idle:
-		p.put(c)
+	case withdrawn || then == closeConn:
+		p.discard(c)
+	case then == reuseConn:
+		p.release(c)
 	}
 	return status
 }
 
 // rest is the part of an answer that still comes.
-type rest struct {
-	pool  *Pool
-	conn  *conn
-	body  io.ReadCloser
-	keep  bool // the host goes on with the connection
-	end   time.Time
-	whole bool
+type responseStream struct {
+	pool      *Pool
+	conn      *conn
+	body      io.ReadCloser
+	keepAlive bool // the host goes on with the connection
+	deadline  time.Time
+	complete  bool
 
 	mu     sync.Mutex
 	closed bool
 }
 
 // Read reads more, and waits for each piece of it so long and no longer; nor does it read on beyond the end.
-func (r *rest) Read(b []byte) (int, error) {
-	r.conn.pace.until, r.conn.pace.piece = r.end, streamIn
+func (r *responseStream) Read(b []byte) (int, error) {
+	r.conn.deadlines.deadline, r.conn.deadlines.stallTimeout = r.deadline, streamStallTimeout
 	n, err := r.body.Read(b)
-	r.whole = err == io.EOF
-	if err != nil && !r.whole {
+	r.complete = err == io.EOF
+	if err != nil && !r.complete {
 		err = fmt.Errorf("upstream: rest: %w", err)
 	}
 	return n, err
 }
 
 // Interrupt has Read fail from now on.
-func (r *rest) Interrupt() {
+func (r *responseStream) Interrupt() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.closed { // its connection may carry another request by then
-		r.conn.pace.cut.Store(true)
+		r.conn.deadlines.aborted.Store(true)
 		r.conn.interrupt()
 	}
 }
 
 // Close lets go of the connection: it may carry another request where the answer was whole.
-func (r *rest) Close() {
+func (r *responseStream) Close() {
 	r.mu.Lock()
 	r.closed = true
 	r.mu.Unlock()
-	if r.whole && r.keep && r.conn.in.Buffered() == 0 && !r.conn.pace.cut.Load() {
-		r.pool.put(r.conn)
+	if r.complete && r.keepAlive && r.conn.reader.Buffered() == 0 && !r.conn.deadlines.aborted.Load() {
+		r.pool.release(r.conn)
 	} else {
-		r.pool.drop(r.conn)
+		r.pool.discard(r.conn)
 	}
 }
 
 // rejects tells whether a status says that the request is at fault, whoever gets it.
-func rejects(status int) bool {
+func rejectsRequest(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusTooEarly, http.StatusTooManyRequests: // of the moment, or of the host
 		return false
@@ -216,34 +216,34 @@
 }
 
 // judge is the outcome that an answer stands for.
-func judge(a *answer) balance.Status {
+func responseStatus(a *hostResponse) balance.Status {
 	switch {
 	case a.status == http.StatusOK:
 		return balance.OK
-	case a.turnedAway && (a.status == http.StatusServiceUnavailable || a.status == http.StatusGatewayTimeout):
+	case a.shedLoad && (a.status == http.StatusServiceUnavailable || a.status == http.StatusGatewayTimeout):
 		return balance.Full
 	}
 	return balance.Error
 }
 
-// neverSent is the outcome of a request whose last byte was not written: whatever went wrong, it proves
+// notSentStatus is the outcome of a request whose last byte was not written: whatever went wrong, it proves
 // that the request never ran.
-func neverSent(ctx context.Context, err error) balance.Status {
+func notSentStatus(ctx context.Context, err error) balance.Status {
 	switch {
 	case ctx.Err() != nil:
 		return balance.Cancelled
-	case errors.Is(err, errUnknownHost), errors.Is(err, errCrowded), errors.Is(err, errHeldBack): // nothing that the host has done
+	case errors.Is(err, errUnknownHost), errors.Is(err, errPoolExhausted), errors.Is(err, errSendRefused): // nothing that the host has done
 		return balance.Moot
 	}
 	return balance.ConnectFailed
 }
 
-// noAnswer is the outcome of a request that was written whole and got no answer: it may have run.
-func noAnswer(ctx context.Context, err error) balance.Status {
+// noResponseStatus is the outcome of a request that was written whole and got no answer: it may have run.
+func noResponseStatus(ctx context.Context, err error) balance.Status {
 	switch {
 	case ctx.Err() != nil:
 		return balance.Cancelled
-	case errors.Is(err, errBadAnswer):
+	case errors.Is(err, errMalformedResponse):
 		return balance.Error
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return balance.Timeout
--- a/internal/upstream/request_test.go
+++ b/internal/upstream/request_test.go
@@ -52,7 +52,7 @@
 	}()
 	p := poolFor("127.0.0.1:1", 1)
 	p.open = 1
-	if status := p.exchange(context.Background(), newConn(near, 1, "", purpose{}), time.Now().Add(time.Minute), make([]byte, 100), new(answer)); status != balance.ConnectFailed {
+	if status := p.exchange(context.Background(), newConn(near, 1, "", connKind{}), time.Now().Add(time.Minute), make([]byte, 100), new(hostResponse)); status != balance.ConnectFailed {
 		t.Errorf("a break before the last byte gave outcome %d", status)
 	}
 	if p.open != 0 {
@@ -162,13 +162,13 @@
 	}
 	first := ask(0)
 	ask(1, first) // the host's first answer comes once more, after the next request was sent
-	clock = clock.Add(restFor)
+	clock = clock.Add(reuseDelay)
 	last := ask(1)
-	clock = clock.Add(restFor)
+	clock = clock.Add(reuseDelay)
 	_, _ = io.WriteString(last.nc, "HTTP/1.1 200 OK")
 	for idle := 1; idle > 0; idle, _ = counts(p, 1) { // all that is idle has something unasked on it, once the kernel has brought it
 		runtime.Gosched()
-		p.retire()
+		p.closeUnusable()
 	}
 	ask(2)
 }
@@ -207,7 +207,7 @@
 	go func() {
 		at := <-host.arrivals
 		say{text: "HTTP/1.1 103 Early\r\n\r\n"}.end(at.nc)
-		<-time.After(restWithin + 100*time.Millisecond) // the time itself is what is tested
+		<-time.After(thriftReplyTimeout + 100*time.Millisecond) // the time itself is what is tested
 		says[0].end(at.nc)
 	}()
 	if status, _ := get(p, time.Minute); status != balance.OK {
@@ -221,7 +221,7 @@
 	s := newScripted(t)
 	p := poolFor(s.addr, 2)
 	open := false
-	p.Sends = func() bool { return open }
+	p.CanSend = func() bool { return open }
 	if status, _ := get(p, time.Second); status != balance.Moot {
 		t.Errorf("a request that is held back ends with %d", status)
 	}
--- a/internal/upstream/withheld_test.go
+++ b/internal/upstream/send_refused_test.go
@@ -27,10 +27,10 @@
 	}{
 		{"the decisions withdraw it", func(x *crossing) { x.leave() }, balance.Cancelled, 1},
 		{"its client leaves, and the decisions don't know", func(x *crossing) { x.left = true }, balance.Moot, 1},
-		{"its host drains", func(x *crossing) { x.p.Shut(1, true) }, balance.Moot, 1},
+		{"its host drains", func(x *crossing) { x.p.SetDraining(1, true) }, balance.Moot, 1},
 		{"its host is gone", func(x *crossing) { x.p.Remove(1) }, balance.Moot, 0},
 		{"its host moves", func(x *crossing) { x.p.Set(1, "127.0.0.1:1") }, balance.Moot, 0},
-		{"its host drains and is back", func(x *crossing) { x.p.Shut(1, true); x.p.Shut(1, false) }, balance.OK, 1},
+		{"its host drains and is back", func(x *crossing) { x.p.SetDraining(1, true); x.p.SetDraining(1, false) }, balance.OK, 1},
 	} {
 		for _, over := range []string{"HTTP", "Thrift"} {
 			if over == "Thrift" && c.status == balance.OK {
@@ -50,7 +50,7 @@
 			ctx, leave := context.WithCancel(context.Background())
 			x := &crossing{p: poolFor(s.addr, 2), leave: leave}
 			once := sync.OnceFunc(func() { c.happen(x) })
-			x.p.Sends = func() bool { // asked as the connection is there
+			x.p.CanSend = func() bool { // asked as the connection is there
 				once()
 				return true
 			}
--- a/internal/upstream/stream_test.go
+++ b/internal/upstream/stream_test.go
@@ -14,7 +14,7 @@
 // Guards against a long answer that is held back, changed, passed for whole though it was cut, or that keeps its connection:
 // by every framing, the first bytes are there before the rest is sent.
 func TestLongAnswers(t *testing.T) {
-	body := strings.Repeat("a pair of lenses", 3*bodyMost/16)
+	body := strings.Repeat("a pair of lenses", 3*maxBufferedBody/16)
 	chunks := func(b string) string {
 		out := ""
 		for len(b) > 0 {
@@ -23,7 +23,7 @@
 		}
 		return out
 	}
-	long := bodyMost + bodyFirst // of a length that isn't stated, so much has to come before it is passed on
+	long := maxBufferedBody + initialBodyCapacity // of a length that isn't stated, so much has to come before it is passed on
 	for name, c := range map[string]struct {
 		first, rest string
 		hangUp, cut bool
@@ -100,7 +100,7 @@
 	go func() {
 		at := <-host.arrivals
 		for _, piece := range strings.SplitAfter("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlens", "\n") {
-			<-time.After(pieceIn / 4) // the time itself is what is tested
+			<-time.After(readStallTimeout / 4) // the time itself is what is tested
 			say{text: piece}.end(at.nc)
 		}
 	}()
@@ -123,7 +123,7 @@
 	if _, err := res.Rest.Read(make([]byte, 1)); err != nil {
 		t.Fatalf("it is cut off at once: %v", err)
 	}
-	res.Rest.(*rest).end = time.Now()
+	res.Rest.(*responseStream).deadline = time.Now()
 	if _, err := io.Copy(io.Discard, res.Rest); err == nil {
 		t.Error("an answer whose time is over goes on to its end")
 	}
--- a/internal/upstream/thrift.go
+++ b/internal/upstream/thrift.go
@@ -18,18 +18,18 @@
 // serves one form, and either calls or oneways: what a host says to a oneway can then spoil no call's reply, and
 // no call waits behind one.
 type Thrift struct {
-	Pool       *Pool
-	Port       uint16 // of every host; 0: the one that discovery lists
-	Limits     thriftwire.Limits
-	TurnedAway int32 // type of the exception by which a host proves that it has run nothing; 0: none does
+	Pool              *Pool
+	Port              uint16 // of every host; 0: the one that discovery lists
+	Limits            thriftwire.Limits
+	OverloadException int32 // type of the exception by which a host proves that it has run nothing; 0: none does
 }
 
-const readSize = 4 << 10 // of a reply at once
+const thriftReadSize = 4 << 10 // of a reply at once
 
-var reads = sync.Pool{New: func() any { return new([readSize]byte) }}
+var thriftReadBuffers = sync.Pool{New: func() any { return new([thriftReadSize]byte) }}
 
 // Do carries out one call on one connection. It never sends it again.
-func (t *Thrift) Do(ctx context.Context, id balance.EndpointID, until time.Time, req *stream.Request) (balance.Status, stream.Response) {
+func (t *Thrift) Do(ctx context.Context, id balance.EndpointID, deadline time.Time, req *stream.Request) (balance.Status, stream.Response) {
 	res := stream.Response{Outcome: stream.Failed}
 	form, known := thriftwire.FormOf(req.MediaType)
 	if !known { // no front of ours makes one
@@ -40,84 +40,84 @@
 	if oneway {
 		call.Kind = thriftwire.Oneway
 	}
-	c, err := t.Pool.takeToSend(ctx, id, until, purpose{port: t.Port, protocol: req.MediaType, oneway: oneway}, req)
+	c, err := t.Pool.acquireToSend(ctx, id, deadline, connKind{port: t.Port, protocol: req.MediaType, oneway: oneway}, req)
 	if err != nil {
-		return neverSent(ctx, err), res
+		return notSentStatus(ctx, err), res
 	}
-	c.seq++
-	call.Seq = c.seq
-	buf := buffers.Get().(*[]byte)
+	c.lastSeq++
+	call.Seq = c.lastSeq
+	buf := requestBuffers.Get().(*[]byte)
 	*buf = thriftwire.Append((*buf)[:0], call, req.Body)
-	status := t.Pool.carry(ctx, c, until, *buf, func() (balance.Status, after, error) {
+	status := t.Pool.roundTrip(ctx, c, deadline, *buf, func() (balance.Status, disposition, error) {
 		if oneway { // its last byte has left, and nothing more will be known: no evidence for the host either
 			res = stream.Response{Outcome: stream.Unanswered}
-			return balance.Cancelled, idle, nil
+			return balance.Cancelled, reuseConn, nil
 		}
-		m, err := t.read(ctx, c, until, form)
+		m, err := t.readReply(ctx, c, deadline, form)
 		if err != nil {
-			return 0, closed, err
+			return 0, closeConn, err
 		}
-		v, err := t.judge(call, m)
+		v, err := t.interpret(call, m)
 		if err == nil {
-			res = v.res
+			res = v.response
 		}
-		then := closed
+		then := closeConn
 		if v.reusable {
-			then = idle
+			then = reuseConn
 		}
 		return v.status, then, err
 	})
-	buffers.Put(buf)
+	requestBuffers.Put(buf)
 	return status, res
 }
 
 // verdict is what a reply stands for.
-type verdict struct {
+type callResult struct {
 	status   balance.Status
-	res      stream.Response
+	response stream.Response
 	reusable bool // libraries' servers close a connection after most exceptions of their own
 }
 
 // judge is the outcome that a reply stands for; an error says that it is none to this call.
-func (t *Thrift) judge(call thriftwire.Head, m thriftwire.Message) (verdict, error) {
+func (t *Thrift) interpret(call thriftwire.Head, m thriftwire.Message) (callResult, error) {
 	if _, method := call.Method(); m.Seq != call.Seq || m.Name != call.Name && m.Name != method {
-		return verdict{}, fmt.Errorf("%w: a reply to another call", errBadAnswer)
+		return callResult{}, fmt.Errorf("%w: a reply to another call", errMalformedResponse)
 	}
 	media := call.Form.MediaType()
 	switch m.Kind {
 	case thriftwire.Reply:
 		// Also one with an exception that the IDL declares: the result is the caller's.
-		return verdict{balance.OK, stream.Response{Outcome: stream.Served, MediaType: media, Body: m.Body}, true}, nil
+		return callResult{balance.OK, stream.Response{Outcome: stream.Served, MediaType: media, Body: m.Body}, true}, nil
 	case thriftwire.Exception:
 	default:
-		return verdict{}, fmt.Errorf("%w: no reply", errBadAnswer)
+		return callResult{}, fmt.Errorf("%w: no reply", errMalformedResponse)
 	}
 	e, err := thriftwire.ParseException(m.Form.Encoding, m.Body)
 	switch {
 	case err != nil:
-		return verdict{}, fmt.Errorf("%w: %w", errBadAnswer, err)
+		return callResult{}, fmt.Errorf("%w: %w", errMalformedResponse, err)
 	case e.Type == thriftwire.TypeUnknownMethod:
 		// The host is well and the call is not: no evidence against the one, and no host for the other.
-		return verdict{balance.Cancelled, stream.Response{Outcome: stream.Rejected, MediaType: media, Body: m.Body}, true}, nil
-	case t.TurnedAway != 0 && e.Type == t.TurnedAway:
-		return verdict{balance.Full, stream.Response{Outcome: stream.Failed}, true}, nil
+		return callResult{balance.Cancelled, stream.Response{Outcome: stream.Rejected, MediaType: media, Body: m.Body}, true}, nil
+	case t.OverloadException != 0 && e.Type == t.OverloadException:
+		return callResult{balance.Full, stream.Response{Outcome: stream.Failed}, true}, nil
 	}
-	return verdict{balance.Error, stream.Response{Outcome: stream.Failed}, false}, nil
+	return callResult{balance.Error, stream.Response{Outcome: stream.Failed}, false}, nil
 }
 
 // read reads one reply to a call of that form. An error means that there was none, or that it can't be told
 // whole. Once it has begun, read waits for the rest so long and no longer, as one that stops half-way will not
 // go on; and what comes beyond it belongs to nothing.
-func (t *Thrift) read(ctx context.Context, c *conn, until time.Time, form thriftwire.Form) (thriftwire.Message, error) {
-	buf := reads.Get().(*[readSize]byte)
-	defer reads.Put(buf)
+func (t *Thrift) readReply(ctx context.Context, c *conn, deadline time.Time, form thriftwire.Form) (thriftwire.Message, error) {
+	buf := thriftReadBuffers.Get().(*[thriftReadSize]byte)
+	defer thriftReadBuffers.Put(buf)
 	var in *thriftwire.Reader // from where the form is known
 	for got, begun := 0, false; ; {
 		n, err := c.Read(buf[got:])
 		if got += n; n > 0 && !begun {
 			begun = true
-			if rest := time.Now().Add(restWithin); rest.Before(until) {
-				c.wait(ctx, rest)
+			if rest := time.Now().Add(thriftReplyTimeout); rest.Before(deadline) {
+				c.setReadDeadline(ctx, rest)
 			}
 		}
 		if as, told := replyForm(form, buf[:got]); in == nil && told {
@@ -129,9 +129,9 @@
 			m, whole, fault := in.Next()
 			switch {
 			case fault != nil:
-				return m, fmt.Errorf("%w: %w", errBadAnswer, fault)
+				return m, fmt.Errorf("%w: %w", errMalformedResponse, fault)
 			case whole && in.Pending() > 0:
-				return m, fmt.Errorf("%w: more than a reply", errBadAnswer)
+				return m, fmt.Errorf("%w: more than a reply", errMalformedResponse)
 			case whole:
 				return m, nil
 			}
@@ -139,7 +139,7 @@
 		switch {
 		case err == nil:
 		case begun && errors.Is(err, os.ErrDeadlineExceeded):
-			return thriftwire.Message{}, fmt.Errorf("%w: %w", errBadAnswer, err)
+			return thriftwire.Message{}, fmt.Errorf("%w: %w", errMalformedResponse, err)
 		default:
 			return thriftwire.Message{}, fmt.Errorf("upstream: read: %w", err)
 		}
--- a/internal/upstream/thrift_test.go
+++ b/internal/upstream/thrift_test.go
@@ -64,7 +64,7 @@
 var thriftLimits = thriftwire.Limits{Message: 8 << 10, Depth: 64, Values: 8 << 10, Name: 128}
 
 func thriftTo(addr string) *Thrift {
-	return &Thrift{Pool: poolFor(addr, 10), Limits: thriftLimits, TurnedAway: 77}
+	return &Thrift{Pool: poolFor(addr, 10), Limits: thriftLimits, OverloadException: 77}
 }
 
 // ended is how an upstream request ended.
@@ -172,7 +172,7 @@
 			say{text: reply(framedBinary, thriftwire.Reply, "place", 3, "\x00")}.end(at.nc)
 			for n := 1; n > 0; n, _ = counts(up.Pool, 1) {
 				runtime.Gosched() // until the kernel has brought it
-				up.Pool.retire()
+				up.Pool.closeUnusable()
 			}
 		}
 		withdraw()
@@ -219,7 +219,7 @@
 	gone := func() {
 		for n := 2; n > 1; n, _ = counts(up.Pool, 1) {
 			runtime.Gosched()
-			up.Pool.retire()
+			up.Pool.closeUnusable()
 		}
 	}
 	oneway(0)
@@ -250,7 +250,7 @@
 	clock := time.Now()
 	up.Pool.now = func() time.Time { return clock }
 	for range 2 { // each takes up its own connection again
-		clock = clock.Add(restFor)
+		clock = clock.Add(reuseDelay)
 		go func() { says[0].end((<-web.arrivals).nc) }()
 		if status, _ := get(up.Pool, time.Minute); status != balance.OK {
 			t.Errorf("over HTTP: status %d", status)
