--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -69,9 +69,9 @@
 	return w, NewTable([]string{"z0", "z1"}, []string{"k0", "k1"}, w, w)
 }
 
-func (w *world) Set(id balance.EndpointID, addr string) { w.addrs[id] = addr }
-func (w *world) SetDraining(id balance.EndpointID, on bool)    { w.shut[id] = on }
-func (w *world) Remove(id balance.EndpointID)           { delete(w.addrs, id); w.removed++ }
+func (w *world) Set(id balance.EndpointID, addr string)     { w.addrs[id] = addr }
+func (w *world) SetDraining(id balance.EndpointID, on bool) { w.shut[id] = on }
+func (w *world) Remove(id balance.EndpointID)               { delete(w.addrs, id); w.removed++ }
 func (w *world) Membership(kind balance.ListKind, entries []balance.Entry, _ uint32) {
 	w.kinds = append(w.kinds, kind)
 	w.lists <- entries
--- a/internal/daemon/audit_test.go
+++ b/internal/daemon/audit_test.go
@@ -62,7 +62,7 @@
 func (noHosts) Probe(balance.EndpointID) balance.Status { return balance.OK }
 func (noHosts) CloseUnused(balance.EndpointID)          {}
 func (noHosts) Set(balance.EndpointID, string)          {}
-func (noHosts) SetDraining(balance.EndpointID, bool)           {}
+func (noHosts) SetDraining(balance.EndpointID, bool)    {}
 func (noHosts) Remove(balance.EndpointID)               {}
 
 // only is a list of one host.
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -13,44 +13,45 @@
 	"pinelb.example/pinelb/balance"
 )
 
-// Proof is what a failed exchange proves about whether the request ran.
+// Proof is what a failed Exchange proves about whether the request ran.
 type Proof uint8
 
 // The proofs, the strongest first.
 const (
-	NeverSent  Proof = iota // its last byte was not written: it never ran and never will
-	MayHaveRun              // it was written and no answer came
+	NeverSent  Proof = iota // its last byte was not written: it has not run and will not
+	MayHaveRun              // it was written and no response came
 )
 
-// idHeader names the request that an answer belongs to.
+// idHeader names the request that a response belongs to.
 const idHeader = "X-Request-Id"
 
-// maxStrayResponses is how many answers to other requests are passed over before a connection counts as spoilt.
+// maxStrayResponses is how many responses to other requests are skipped before the connection is given up.
 const maxStrayResponses = 4
 
-// Exchange is one request whose answer is passed on as it comes.
+// Exchange is one request whose response is streamed.
 type Exchange struct {
 	Host     balance.EndpointID
-	ID       string // of the request: answers that name another are passed over; empty: none is
+	ID       string // of the request: responses that name another are skipped; empty: none is
 	Method   string
-	Deadline time.Time // when waiting for the answer's head ends
-	Message  []byte    // the request, whole
+	Deadline time.Time // for the head of the response
+	Message  []byte    // the complete request as it is written
 }
 
-// Reply is an answer whose body still comes. Its Body has to be closed; read to its end, the connection is kept.
+// Reply is a response whose body is still to come. The caller closes Body; if it was read to its end, the connection is reused.
 type Reply struct {
 	Status int
 	Header http.Header
-	Length int64 // of the body; below 0: not stated
+	Length int64 // of the body in bytes; negative: not stated
 	Body   io.ReadCloser
 	Reused bool // the connection had carried another request before
 }
 
-// ErrMismatchedResponse is an answer that belongs to another request.
+// ErrMismatchedResponse says that too many responses to other requests came, and none to this one.
 var ErrMismatchedResponse = errors.New("upstream: answers to other requests")
 
-// RoundTrip writes a request on one connection and reads the head of its answer. It never sends it again. When ctx ends, the
-// connection is closed, also under the answer's body. The proof counts where there is an error.
+// RoundTrip writes a request on one connection and reads the head of its response. It never sends the request again. When ctx
+// ends, reading and writing fail, also of the response's body. The proof means something only where there is an error, which
+// is ErrMismatchedResponse, one of the connection, or why nothing could be sent.
 func (p *Pool) RoundTrip(ctx context.Context, e *Exchange) (*Reply, Proof, error) {
 	c, err := p.acquire(ctx, e.Host, e.Deadline, connKind{correlated: true})
 	if err != nil {
@@ -61,7 +62,7 @@
 		return nil, NeverSent, errSendRefused
 	}
 	reused := !c.idleSince.IsZero()
-	_ = c.SetDeadline(e.Deadline) // on a connection that is broken the write says so
+	_ = c.SetDeadline(e.Deadline) // on a broken connection the write returns the error
 	stop := context.AfterFunc(ctx, c.interrupt)
 	if _, err := c.Write(e.Message); err != nil {
 		stop()
@@ -76,16 +77,14 @@
 	}
 	c.maxIdle = keepAliveTimeout(response.Header)
 	body := &responseBody{pool: p, conn: c, body: response.Body, keepAlive: !response.Close, stopInterrupt: stop}
-	return &Reply{Status: response.StatusCode, Header: response.Header, Length: response.ContentLength, Body: body, Reused: reused}, MayHaveRun, nil
+	reply := &Reply{Status: response.StatusCode, Header: response.Header, Length: response.ContentLength, Body: body, Reused: reused}
+	return reply, MayHaveRun, nil
 }
 
-// head reads answers' heads up to the one that belongs to the request. One that names no request belongs to it only where
-// the host has named none on this connection before.
+// readHead reads heads of responses up to the one that belongs to the request. One that names no request belongs to it only
+// where the host has named none on this connection before.
 func (c *conn) readHead(ctx context.Context, e *Exchange) (*http.Response, error) {
-	if c.reader == nil {
-		c.reader = newReader(c.headLimit)
-	}
-	c.deadlines.ctx, c.deadlines.deadline, c.deadlines.stallTimeout, c.deadlines.started = ctx, e.Deadline, time.Until(e.Deadline), false
+	c.startReading(ctx, e.Deadline, time.Until(e.Deadline))
 	request := &http.Request{Method: e.Method}
 	for range maxStrayResponses {
 		c.headLimit.N = maxHeadBytes
@@ -93,10 +92,10 @@
 		if err != nil {
 			return nil, c.classifyReadError(err)
 		}
-		c.headLimit.N = 2 * maxResponseBody
+		c.headLimit.N = maxFramedBody
 		named := response.Header.Get(idHeader)
 		switch {
-		case response.StatusCode < 200:
+		case response.StatusCode < http.StatusOK:
 		case e.ID == "" || named == e.ID || named == "" && !c.namesRequests:
 			c.namesRequests = c.namesRequests || named != ""
 			return response, nil
@@ -109,7 +108,8 @@
 	return nil, ErrMismatchedResponse
 }
 
-// stated is how long a host lets a connection idle, by its Keep-Alive header, less a margin; 0 where it states nothing.
+// keepAliveTimeout is how long a host keeps an idle connection by its Keep-Alive header (RFC 2068, section 19.7.1.1), less a
+// margin; 0 where it states nothing.
 func keepAliveTimeout(header http.Header) time.Duration {
 	for field := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		text, found := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
@@ -120,7 +120,7 @@
 	return 0
 }
 
-// responseBody is an answer's body on its connection.
+// responseBody is the body of a Reply on its connection.
 type responseBody struct {
 	pool          *Pool
 	conn          *conn
@@ -131,7 +131,7 @@
 	stopInterrupt func() bool
 }
 
-// Read reads what has come. An end that comes early is io.ErrUnexpectedEOF.
+// Read reads what has come. An early end of the connection is io.ErrUnexpectedEOF.
 func (b *responseBody) Read(buf []byte) (int, error) {
 	n, err := b.body.Read(buf)
 	if err == io.EOF {
@@ -140,17 +140,13 @@
 	return n, err
 }
 
-// Close lets go of the connection, which is kept where the answer was read to its end.
+// Close lets go of the connection, which is reused where the body was read to its end.
 func (b *responseBody) Close() error {
 	if b.closed {
 		return nil
 	}
 	b.closed = true
-	undisturbed := b.stopInterrupt()
-	if b.complete && b.keepAlive && undisturbed && b.conn.reader.Buffered() == 0 {
-		b.pool.release(b.conn)
-	} else {
-		b.pool.discard(b.conn)
-	}
+	uninterrupted := b.stopInterrupt()
+	b.pool.finish(b.conn, b.complete && b.keepAlive && uninterrupted && b.conn.reader.Buffered() == 0)
 	return nil
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,5 +1,12 @@
-// Package upstream carries out upstream requests, over HTTP/1.1 or Thrift, on connections of its own. What it
-// reports of each is what the decisions rest on: above all whether the request may have run.
+// Package upstream carries out requests to upstream hosts, over HTTP/1.1 or Thrift, on a pool of connections of its own. It
+// never sends a request again by itself: it reports how each attempt ended, above all whether the request may have run, and
+// the decisions (package balance) rest on that.
+//
+// The sidecar (internal/daemon) calls Pool.Do and Thrift.Do with complete messages; the router (internal/fleet/proxy) calls
+// Pool.RoundTrip and streams the response. All methods may be called from several goroutines at once.
+//
+// Invariants: a connection carries one request at a time, and is reused only if its response was read to the end and nothing
+// unexpected has come on it since; no more connections are open than the pool's bound, those being opened included.
 package upstream
 
 import (
@@ -8,9 +15,6 @@
 	"fmt"
 	"math/rand/v2"
 	"net"
-	"slices"
-	"sort"
-	"strconv"
 	"sync"
 	"time"
 
@@ -19,94 +23,66 @@
 )
 
 const (
-	idleTimeoutFraction = 0.8 // of the time that an upstream host lets a connection idle: retired clearly before
+	idleTimeoutFraction = 0.8 // of the time that a host keeps an idle connection, after which it is closed here
 	sweepInterval       = time.Second
-	// reuseDelay is how long an HTTP connection rests after an answer. A host that answers twice may do so some milliseconds later,
-	// and nothing tells that answer from one to the next request on the connection. Thrift's replies name their calls.
-	reuseDelay = 20 * time.Millisecond
 )
 
+// Why a request is not sent. None of them is evidence against the host.
 var (
 	errUnknownHost   = errors.New("upstream: the host is not in the cluster")
 	errPoolExhausted = errors.New("upstream: no connection is free")
 	errSendRefused   = errors.New("upstream: nothing is to be sent at present")
 )
 
-// Pool holds the connections to all upstream hosts of the cluster. Its own requests are HTTP's.
+// Pool is the connections to all upstream hosts of the cluster. Its own requests are over HTTP; Thrift shares it.
 type Pool struct {
-	// ConnectOnly is for hosts whose listed ports don't speak HTTP: a probe is a connection that comes up. It
-	// is set before the pool is used.
+	// ConnectOnly makes a health check succeed as soon as its connection is open, for hosts whose listed ports don't speak
+	// HTTP. It is set before the pool is used.
 	ConnectOnly bool
-	// CanSend is asked once a request has its connection, for which it may have waited: without a yes it is never sent. Nil
-	// is yes. It is set before the pool is used.
+	// CanSend is called once a request has its connection, for which it may have waited; if it returns false the request is
+	// not sent. Nil permits all. It is set before the pool is used.
 	CanSend func() bool
 
 	connectTimeout time.Duration
 	maxIdle        time.Duration
-	maxOpen        int // connections in all, those being opened included
+	maxOpen        int // connections, those being opened included
 
 	now         func() time.Time
-	startTime   time.Time // from when handshakes are counted
-	phaseSeed   uint64    // of the process: by which its moments at hosts are drawn
+	startTime   time.Time // the epoch of the handshake limiters
+	phaseSeed   uint64    // of this process, for the phases of its handshake limiters
 	preconnects sync.WaitGroup
 
 	mu             sync.Mutex
 	handshakeLimit pacing.HandshakeLimit // the zero value is no bound
-	stopped        bool                  // nothing is opened ahead any more
-	open           int
+	stopped        bool                  // no preconnect begins any more
+	open           int                   // connections, those being opened included
 	hosts          map[balance.EndpointID]*host
 }
 
-// purpose is what a connection is used for. A host may tell protocols apart by a connection's first bytes, so
-// that none serves two; HTTP's is the zero value.
-type connKind struct {
-	port       uint16 // 0: the one that discovery lists
-	protocol   string
-	oneway     bool // nothing is answered: when the host is done with a request can't be told
-	correlated bool // answers name their requests, so that one that comes late or twice is told from the next
-}
-
-// rest is how long a connection rests before it may carry another request.
-func (u connKind) reuseDelay() time.Duration {
-	if u.protocol != "" || u.correlated {
-		return 0
-	}
-	return reuseDelay
-}
-
-// host is one upstream host's address and its idle connections, the last used last.
-type host struct {
-	addr       string
-	draining   bool // nothing new is to go there
-	idle       []*conn
-	limiter    pacing.HandshakeLimiter
-	queue      []*waiter   // for a connection, the first first
-	queueTimer *time.Timer // when the line is looked at
-}
-
-// NewPool returns a pool without hosts that opens at most that many connections.
-func NewPool(connectTimeout, connIdle time.Duration, most int) *Pool {
-	return &Pool{connectTimeout: connectTimeout, maxIdle: time.Duration(idleTimeoutFraction * float64(connIdle)), maxOpen: most,
+// NewPool returns a pool without hosts that opens at most maxOpen connections. connIdle is how long hosts keep an idle
+// connection open.
+func NewPool(connectTimeout, connIdle time.Duration, maxOpen int) *Pool {
+	return &Pool{connectTimeout: connectTimeout, maxIdle: time.Duration(idleTimeoutFraction * float64(connIdle)), maxOpen: maxOpen,
 		now: time.Now, startTime: time.Now(), phaseSeed: rand.Uint64(), hosts: map[balance.EndpointID]*host{}}
 }
 
-// SetTimeouts takes over changed settings.
+// SetTimeouts takes over changed settings, as NewPool has them.
 func (p *Pool) SetTimeouts(connectTimeout, connIdle time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.connectTimeout, p.maxIdle = connectTimeout, time.Duration(idleTimeoutFraction*float64(connIdle))
 }
 
-// SetMaxConnections has so many connections be open at most from now on; idle ones beyond that are closed.
-func (p *Pool) SetMaxConnections(most int) {
+// SetMaxConnections changes how many connections may be open. Idle ones beyond that are closed.
+func (p *Pool) SetMaxConnections(maxOpen int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.maxOpen = most
-	for p.open > most && p.evictIdle() {
+	p.maxOpen = maxOpen
+	for p.open > maxOpen && p.evictIdle() {
 	}
 }
 
-// Set makes a host known, or moves it; connections to its former address are of no use.
+// Set adds a host, or changes its address, which closes the idle connections to the former one.
 func (p *Pool) Set(id balance.EndpointID, addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -121,17 +97,17 @@
 	}
 }
 
-// SetDraining says whether nothing new is to go to a host, as it drains or is taken out: also not what the decisions have sent
-// before and still waits for its connection. A host that is not known stays so.
-func (p *Pool) SetDraining(id balance.EndpointID, on bool) {
+// SetDraining sets whether nothing new is to be sent to a host, because it drains or is cordoned. This holds also for attempts
+// that the decisions have started and that still wait for a connection. An unknown host is ignored.
+func (p *Pool) SetDraining(id balance.EndpointID, draining bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if h := p.hosts[id]; h != nil {
-		h.draining = on
+		h.draining = draining
 	}
 }
 
-// takes tells whether a connection's host may be sent something new at this moment, and is still where it leads.
+// accepts reports whether a connection's host may be sent something new now, and still has the connection's address.
 func (p *Pool) accepts(c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -139,7 +115,7 @@
 	return h != nil && h.addr == c.addr && !h.draining
 }
 
-// Remove forgets a host. Requests that are out to it go on.
+// Remove removes a host. Requests that are in flight to it go on.
 func (p *Pool) Remove(id balance.EndpointID) {
 	p.CloseUnused(id)
 	p.mu.Lock()
@@ -159,8 +135,8 @@
 	}
 }
 
-// Sweep retires idle connections, until ctx ends: those that have stood too long, and those that the
-// other side has closed, whose descriptors would be held for nothing.
+// Sweep closes unusable idle connections every sweepInterval, until ctx ends: those that have been idle for too long, and
+// those that the host has closed, whose descriptors would be held for nothing. It returns when all preconnects have ended.
 func (p *Pool) Sweep(ctx context.Context) {
 	t := time.NewTicker(sweepInterval)
 	defer t.Stop()
@@ -184,20 +160,21 @@
 	}
 }
 
-// fit tells whether an idle connection may carry a request: not stood too long, still open, and silent.
+// usable reports whether an idle connection may carry a request: not idle for too long, still open, and nothing unexpected
+// has come on it. The caller holds the lock.
 func (p *Pool) usable(c *conn, now time.Time) bool {
-	most := p.maxIdle
+	maxIdle := p.maxIdle
 	if c.maxIdle > 0 {
-		most = min(most, c.maxIdle)
+		maxIdle = min(maxIdle, c.maxIdle)
 	}
-	return now.Sub(c.idleSince) < most && c.peerSilent()
+	return now.Sub(c.idleSince) < maxIdle && c.peerSilent()
 }
 
-// closeIdle closes the idle connections that unfit picks; the caller holds the lock.
-func (p *Pool) closeIdle(h *host, unfit func(*conn) bool) {
+// closeIdle closes the idle connections for which remove returns true. The caller holds the lock.
+func (p *Pool) closeIdle(h *host, remove func(*conn) bool) {
 	kept := h.idle[:0]
 	for _, c := range h.idle {
-		if unfit(c) {
+		if remove(c) {
 			c.close()
 			p.open--
 		} else {
@@ -208,7 +185,7 @@
 	h.idle = kept
 }
 
-// take returns an idle connection to the host that is fit for use, or a new one.
+// acquire returns a usable idle connection to the host, or a new one.
 func (p *Pool) acquire(ctx context.Context, id balance.EndpointID, deadline time.Time, kind connKind) (*conn, error) {
 	p.mu.Lock()
 	h := p.hosts[id]
@@ -241,43 +218,21 @@
 	return p.dial(ctx, id, addr, min(timeout, time.Until(deadline)), kind)
 }
 
-// dial opens a connection that is counted already.
-func (p *Pool) dial(ctx context.Context, id balance.EndpointID, addr string, within time.Duration, kind connKind) (*conn, error) {
-	from := time.Now()
-	d := net.Dialer{Timeout: max(1, within), KeepAlive: -1}
+// dial opens a connection that is counted as open already.
+func (p *Pool) dial(ctx context.Context, id balance.EndpointID, addr string, timeout time.Duration, kind connKind) (*conn, error) {
+	start := time.Now()
+	d := net.Dialer{Timeout: max(1, timeout), KeepAlive: -1}
 	nc, err := d.DialContext(ctx, "tcp", kind.dialAddr(addr))
 	if err != nil {
 		p.discard(nil)
 		return nil, fmt.Errorf("upstream: dial: %w", err)
 	}
 	c := newConn(nc, id, addr, kind)
-	c.connectTime = time.Since(from)
+	c.connectTime = time.Since(start)
 	return c, nil
 }
 
-// last takes the idle connection out that was used last for that purpose and has rested, if there is one. They lie in the
-// order in which they became idle, so that those that still rest come last.
-func (h *host) takeIdle(kind connKind, now time.Time) *conn {
-	rested := sort.Search(len(h.idle), func(i int) bool { return now.Sub(h.idle[i].idleSince) < kind.reuseDelay() })
-	for i := rested - 1; i >= 0; i-- {
-		if c := h.idle[i]; c.kind == kind {
-			h.idle = slices.Delete(h.idle, i, i+1)
-			return c
-		}
-	}
-	return nil
-}
-
-// at is where a host with that listed address serves the purpose.
-func (u connKind) dialAddr(addr string) string {
-	host, _, err := net.SplitHostPort(addr)
-	if u.port == 0 || err != nil {
-		return addr
-	}
-	return net.JoinHostPort(host, strconv.Itoa(int(u.port)))
-}
-
-// evictIdle closes one idle connection of any host; the caller holds the lock.
+// evictIdle closes one idle connection of any host, and reports whether there was one. The caller holds the lock.
 func (p *Pool) evictIdle() bool {
 	for _, h := range p.hosts {
 		if len(h.idle) > 0 {
@@ -289,7 +244,16 @@
 	return false
 }
 
-// put makes a connection idle, unless its host is gone or has moved meanwhile.
+// finish releases a connection that may be reused, and discards another.
+func (p *Pool) finish(c *conn, reusable bool) {
+	if reusable {
+		p.release(c)
+	} else {
+		p.discard(c)
+	}
+}
+
+// release makes a connection idle, or hands it to a waiter. It closes it where the host was removed or has another address.
 func (p *Pool) release(c *conn) {
 	c.releaseReader()
 	p.mu.Lock()
@@ -306,7 +270,7 @@
 	p.mu.Unlock()
 }
 
-// drop closes a connection that is not to be used again; nil is one that never came up.
+// discard closes a connection that is not to be used again; nil is one that could not be opened.
 func (p *Pool) discard(c *conn) {
 	if c != nil {
 		c.close()
--- a/internal/upstream/queue.go
+++ b/internal/upstream/queue.go
@@ -2,62 +2,59 @@
 
 import (
 	"context"
-	"hash/fnv"
-	"math/rand/v2"
 	"slices"
-	"strconv"
 	"time"
 
 	"pinelb.example/pinelb/balance"
 	"pinelb.example/pinelb/internal/pacing"
 )
 
-// maxWaitTimeouts is how many connect time-outs an attempt waits for a moment that is sure to come by then. Elsewhere it waits for
-// one, in which a connection may be put back: other hosts' moments may be nearer.
+// maxWaitTimeouts is how many connect time-outs an attempt waits where the handshake limit admits it within that time for
+// sure. Otherwise it waits for one time-out, in which a connection may be released: other hosts may admit it sooner.
 const maxWaitTimeouts = 4
 
-// waiter is an attempt that stands in a host's line for a connection, or the place of one that has gone: what is opened at
-// its moment is for whoever comes next.
+// waiter is an attempt in a host's queue for a connection, or the place of one that has given up: the connection that is then
+// opened in its turn is for whichever attempt comes next.
 type waiter struct {
 	kind   connKind
-	result chan grant // nil: nobody is there
+	result chan grant // of capacity 1; nil: the attempt has given up
 }
 
-// turn is what ends a wait: a connection that was put back, that there will be none, or leave to open one.
+// grant ends a wait: with a connection that was released, with an error, or with neither, which permits to open one.
 type grant struct {
 	conn *conn
 	err  error
 }
 
 // SetHandshakeLimit bounds the new connections at each host from now on.
-func (p *Pool) SetHandshakeLimit(d pacing.HandshakeLimit) {
+func (p *Pool) SetHandshakeLimit(limit pacing.HandshakeLimit) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.handshakeLimit = d
+	p.handshakeLimit = limit
 	for id, h := range p.hosts {
 		p.admit(id, h)
 	}
 }
 
-// queue waits until a connection may be opened, or for one that is put back, whichever is first, and for so long
-// and no longer. The caller holds the lock, which is free afterwards. Without a connection nor an error one may be opened.
+// waitInQueue waits until a connection may be opened or one is released, whichever is first, for no longer than the host's
+// waitTimeout. Without a connection or an error the caller may open one. The caller holds the lock, which is released here.
 func (p *Pool) waitInQueue(ctx context.Context, id balance.EndpointID, h *host, deadline time.Time, kind connKind) (*conn, error) {
 	w := &waiter{kind: kind, result: make(chan grant, 1)}
 	h.queue = append(h.queue, w)
 	p.admit(id, h)
 	wait := h.waitTimeout(p.handshakeLimit.Share(len(p.hosts)), p.now().Sub(p.startTime), p.connectTimeout)
-	late := time.NewTimer(min(wait, time.Until(deadline)))
-	defer late.Stop()
+	timeout := time.NewTimer(min(wait, time.Until(deadline)))
+	defer timeout.Stop()
 	p.mu.Unlock()
 	select {
-	case t := <-w.result:
-		return p.accept(ctx, t)
+	case g := <-w.result:
+		return p.accept(ctx, g)
 	case <-ctx.Done():
-	case <-late.C:
+	case <-timeout.C:
 	}
 	p.mu.Lock()
 	i := slices.Index(h.queue, w)
-	if i < 0 { // its turn came in the same moment
+	if i < 0 { // its grant came in the same moment
 		p.mu.Unlock()
 		return p.accept(ctx, <-w.result)
 	}
@@ -70,40 +67,40 @@
 	return nil, errPoolExhausted
 }
 
-// taken is what a turn brings an attempt that may have been withdrawn meanwhile: nothing is to be sent for it. A connection
-// that comes from another request rests first, and may have shown by then that it is of no use.
-func (p *Pool) accept(ctx context.Context, t grant) (*conn, error) {
-	if t.conn == nil {
-		return nil, t.err
+// accept returns what a grant brings to an attempt that may have been cancelled meanwhile, in which case nothing is to be
+// sent. A connection that another request used before waits out its reuse delay, and may have become unusable by then.
+func (p *Pool) accept(ctx context.Context, g grant) (*conn, error) {
+	if g.conn == nil {
+		return nil, g.err
 	}
-	rested := time.NewTimer(t.conn.kind.reuseDelay() - p.now().Sub(t.conn.idleSince))
-	defer rested.Stop()
+	delay := time.NewTimer(g.conn.kind.reuseDelay() - p.now().Sub(g.conn.idleSince))
+	defer delay.Stop()
 	select {
-	case <-rested.C:
+	case <-delay.C:
 	case <-ctx.Done():
 	}
 	switch {
 	case ctx.Err() != nil:
-		p.release(t.conn)
+		p.release(g.conn)
 		return nil, ctx.Err()
-	case !t.conn.peerSilent():
-		p.discard(t.conn)
+	case !g.conn.peerSilent():
+		p.discard(g.conn)
 		return nil, errPoolExhausted
 	}
-	return t.conn, nil
+	return g.conn, nil
 }
 
-// patience is how long the last in a line waits.
-func (h *host) waitTimeout(share pacing.Share, now, timeout time.Duration) time.Duration {
-	before := time.Duration(max(0, len(h.queue)-1) / max(1, share.AtOnce)) // periods
-	if h.limiter.At(share, now)+before*share.Every <= now+maxWaitTimeouts*timeout {
-		return maxWaitTimeouts * timeout
+// waitTimeout is how long the last in the queue waits. The times are since the pool's start.
+func (h *host) waitTimeout(share pacing.Share, now, connectTimeout time.Duration) time.Duration {
+	periodsAhead := time.Duration(max(0, len(h.queue)-1) / max(1, share.AtOnce))
+	if h.limiter.At(share, now)+periodsAhead*share.Every <= now+maxWaitTimeouts*connectTimeout {
+		return maxWaitTimeouts * connectTimeout
 	}
-	return timeout
+	return connectTimeout
 }
 
-// admit has those in a host's line open connections as its limit allows, in their order, and sees to it that the next is
-// looked at in time. The caller holds the lock.
+// admit lets waiters of a host open connections in their order, as many as its limiter permits now, and sets the timer for the
+// next one. The caller holds the lock.
 func (p *Pool) admit(id balance.EndpointID, h *host) {
 	h.queue = slices.DeleteFunc(h.queue, func(w *waiter) bool { return w.result == nil && h.hasIdle(w.kind) })
 	for share := p.handshakeLimit.Share(len(p.hosts)); len(h.queue) > 0; {
@@ -117,19 +114,24 @@
 		if w.result != nil {
 			w.result <- grant{}
 		} else if p.open < p.maxOpen && !p.stopped {
-			p.open++
-			addr, timeout := h.addr, p.connectTimeout
-			p.preconnects.Go(func() {
-				if c, err := p.dial(context.Background(), id, addr, timeout, w.kind); err == nil {
-					p.release(c)
-				}
-			})
+			p.preconnect(id, h, w.kind)
 		}
 	}
 	h.queueTimer.Stop()
 }
 
-// stopPreconnects waits for what is being opened for nobody yet, after which nothing is any more.
+// preconnect opens a connection that no attempt waits for. The caller holds the lock.
+func (p *Pool) preconnect(id balance.EndpointID, h *host, kind connKind) {
+	p.open++
+	addr, timeout := h.addr, p.connectTimeout
+	p.preconnects.Go(func() {
+		if c, err := p.dial(context.Background(), id, addr, timeout, kind); err == nil {
+			p.release(c)
+		}
+	})
+}
+
+// stopPreconnects waits for the preconnects that are under way, after which none begins.
 func (p *Pool) stopPreconnects() {
 	p.mu.Lock()
 	p.stopped = true
@@ -137,7 +139,7 @@
 	p.preconnects.Wait()
 }
 
-// hand gives a connection that is put back to the first that waits for one of its kind. The caller holds the lock.
+// handOver gives a released connection to the first waiter for its kind, if there is one. The caller holds the lock.
 func (h *host) handOver(c *conn) bool {
 	i := slices.IndexFunc(h.queue, func(w *waiter) bool { return w.result != nil && w.kind == c.kind })
 	if i < 0 {
@@ -148,7 +150,7 @@
 	return true
 }
 
-// dismiss ends all waits for a host that is gone. The caller holds the lock.
+// failWaiters ends all waits for a host that is removed. The caller holds the lock.
 func (h *host) failWaiters() {
 	for _, w := range h.queue {
 		if w.result != nil {
@@ -158,22 +160,3 @@
 	h.queue = nil
 	h.queueTimer.Stop()
 }
-
-// has tells whether a connection for that purpose is idle.
-func (h *host) hasIdle(kind connKind) bool {
-	return slices.ContainsFunc(h.idle, func(c *conn) bool { return c.kind == kind })
-}
-
-// newHost is a host that nothing is known of. Its moments are drawn by the process and are the same when it comes back.
-func (p *Pool) newHost(id balance.EndpointID) *host {
-	sum := fnv.New64a()
-	_, _ = sum.Write(strconv.AppendInt(nil, int64(id), 10))
-	h := &host{limiter: pacing.HandshakeLimiter{Phase: rand.New(rand.NewPCG(p.phaseSeed, sum.Sum64())).Float64()}}
-	h.queueTimer = time.AfterFunc(time.Hour, func() {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		p.admit(id, h)
-	})
-	h.queueTimer.Stop()
-	return h
-}
--- a/internal/upstream/queue_test.go
+++ b/internal/upstream/queue_test.go
@@ -9,14 +9,15 @@
 	"pinelb.example/pinelb/internal/pacing"
 )
 
-// guarded is a pool with one moment in 10 s, and a clock that the test turns, at which none is near.
-func guarded(t *testing.T) (p *Pool, moment func()) {
-	p = poolFor(newScripted(t).addr, 10)
+// newLimitedPool returns a pool that may open one connection in 10 s, with a clock that stands far from the next permitted
+// time. Calling advance moves it beyond that time.
+func newLimitedPool(t *testing.T) (p *Pool, advance func()) {
+	p = newTestPool(newScriptedHost(t).addr, 10)
 	var clock time.Duration
 	p.now = func() time.Time { return p.startTime.Add(clock) }
 	p.SetHandshakeLimit(pacing.HandshakeLimit{Handshakes: 1, Instances: 100})
 	p.hosts[1].limiter.Phase = 0.5
-	return p, func() { // the next one comes
+	return p, func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		share := p.handshakeLimit.Share(1)
@@ -25,43 +26,44 @@
 	}
 }
 
-// Guards against a connection that goes from one request to the next at once, and with it what its host says once more, or its end.
-func TestHandedOnRested(t *testing.T) {
-	for name, end := range map[string]say{"a second answer": says[0], "the end": {hangUp: true}} {
-		host := newScripted(t)
-		p := poolFor(host.addr, 10)
+// Guards against a connection that is handed to the next request at once, and with it a second response to the last one, or
+// its end.
+func TestHandOverWaitsForReuseDelay(t *testing.T) {
+	for name, end := range map[string]reaction{"a second response": reactions[0], "the end": {closes: true}} {
+		host := newScriptedHost(t)
+		p := newTestPool(host.addr, 10)
 		c, err := p.acquire(context.Background(), 1, time.Now().Add(time.Minute), connKind{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		_, _ = c.Write([]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 		at := <-host.arrivals
-		p.SetHandshakeLimit(pacing.HandshakeLimit{Handshakes: 1, Instances: 1 << 20}) // no moment is near
-		next := begin(context.Background(), p, connKind{}, 1)
-		end.end(at.nc)
+		p.SetHandshakeLimit(pacing.HandshakeLimit{Handshakes: 1, Instances: 1 << 20}) // no connection is permitted for long
+		next := startAcquire(context.Background(), p, connKind{}, 1)
+		end.apply(at.nc)
 		for c.peerSilent() { // until the kernel has brought it
 		}
 		p.release(c)
 		if got := <-next; got.c != nil || !errors.Is(got.err, errPoolExhausted) {
 			t.Errorf("%s: the next has got %+v", name, got)
 		}
-		if _, open := counts(p, 1); open != 0 {
+		if _, open := connCounts(p, 1); open != 0 {
 			t.Errorf("%s: %d connections are open", name, open)
 		}
 	}
 }
 
-type taken struct {
+type acquired struct {
 	c   *conn
 	err error
 }
 
-// begin takes a connection, and returns when the attempt stands in the line as the nth.
-func begin(ctx context.Context, p *Pool, use connKind, nth int) <-chan taken {
-	out := make(chan taken, 1)
+// startAcquire acquires a connection, and returns when the attempt is the nth in the queue.
+func startAcquire(ctx context.Context, p *Pool, use connKind, nth int) <-chan acquired {
+	out := make(chan acquired, 1)
 	go func() {
 		c, err := p.acquire(ctx, 1, time.Now().Add(time.Minute), use)
-		out <- taken{c, err}
+		out <- acquired{c, err}
 	}()
 	for n := 0; n < nth; {
 		p.mu.Lock()
@@ -71,60 +73,60 @@
 	return out
 }
 
-// Attempts that find no connection wait for a moment or for one that is put back, in their order, and each wait ends once:
-// by a client that leaves, a host that goes, one's own purpose, or for good.
-func TestLine(t *testing.T) {
-	p, moment := guarded(t)
-	ctx, leave := context.WithCancel(context.Background())
-	first := begin(ctx, p, connKind{}, 1)
-	second := begin(context.Background(), p, connKind{}, 2)
-	other := begin(context.Background(), p, connKind{protocol: "x"}, 3)
-	third := begin(context.Background(), p, connKind{}, 4)
-	if _, open := counts(p, 1); open != 0 {
-		t.Fatalf("%d open before any moment", open)
+// Attempts that find no connection wait until they may open one or one of their kind is released, in their order; a wait also
+// ends when the client leaves or the host is removed.
+func TestQueueOrder(t *testing.T) {
+	p, advance := newLimitedPool(t)
+	ctx, cancel := context.WithCancel(context.Background())
+	first := startAcquire(ctx, p, connKind{}, 1)
+	second := startAcquire(context.Background(), p, connKind{}, 2)
+	other := startAcquire(context.Background(), p, connKind{protocol: "x"}, 3)
+	third := startAcquire(context.Background(), p, connKind{}, 4)
+	if _, open := connCounts(p, 1); open != 0 {
+		t.Fatalf("%d open before it is permitted", open)
 	}
-	leave()
+	cancel()
 	if got := <-first; got.c != nil || !errors.Is(got.err, errPoolExhausted) {
-		t.Fatalf("one whose client has left: %+v", got)
+		t.Fatalf("an attempt whose client has left: %+v", got)
 	}
-	moment()
+	advance()
 	got := <-second // and not the third
 	if got.err != nil {
 		t.Fatal(got.err)
 	}
 	p.release(got.c)
 	if again := <-third; again.c != got.c {
-		t.Fatalf("the third got %+v, not the connection that was put back", again)
+		t.Fatalf("the third got %+v, not the connection that was released", again)
 	}
 	p.discard(got.c)
-	if _, open := counts(p, 1); open != 0 || len(p.hosts[1].queue) != 1 {
-		t.Fatalf("%d open, %d wait; want 0 and the one of another protocol", open, len(p.hosts[1].queue))
+	if _, open := connCounts(p, 1); open != 0 || len(p.hosts[1].queue) != 1 {
+		t.Fatalf("%d open, %d wait; want 0, and the one of another protocol waiting", open, len(p.hosts[1].queue))
 	}
 	p.Remove(1)
 	if got := <-other; got.err != errUnknownHost {
-		t.Fatalf("the host is gone: %+v", got)
+		t.Fatalf("after the host's removal: %+v", got)
 	}
 }
 
-// An attempt whose time is up ends as one that was never sent, and what is opened at its moment lies ready for the next: one,
-// and none where another has been put back meanwhile or the pool is full.
-func TestPlaceIsKept(t *testing.T) {
+// An attempt whose wait times out ends as one that was never sent, and in its turn a connection is opened for the next
+// attempt: one, and none where another has been released meanwhile or the pool is full.
+func TestAbandonedTurnPreconnects(t *testing.T) {
 	for _, c := range []struct {
-		back, most, want int
+		released, maxOpen, want int
 	}{{0, 0, 0}, {0, 10, 1}, {1, 10, 1}} {
-		p, moment := guarded(t)
+		p, advance := newLimitedPool(t)
 		p.SetTimeouts(time.Millisecond, time.Minute)
 		for range 2 {
 			if c, err := p.acquire(context.Background(), 1, time.Now().Add(time.Minute), connKind{}); c != nil || err != errPoolExhausted {
-				t.Fatalf("%v, %v before any moment", c, err)
+				t.Fatalf("%v, %v before it is permitted", c, err)
 			}
 		}
 		if n := len(p.hosts[1].queue); n != 1 {
-			t.Fatalf("%d places are kept", n)
+			t.Fatalf("%d places in the queue", n)
 		}
 		p.SetTimeouts(time.Minute, time.Minute)
-		p.SetMaxConnections(c.most)
-		for range c.back {
+		p.SetMaxConnections(c.maxOpen)
+		for range c.released {
 			p.open++
 			busy, err := p.dial(context.Background(), 1, p.hosts[1].addr, time.Minute, connKind{})
 			if err != nil {
@@ -132,11 +134,11 @@
 			}
 			p.release(busy)
 		}
-		moment()
+		advance()
 		p.preconnects.Wait()
-		moment() // one is enough
+		advance() // one is enough
 		p.preconnects.Wait()
-		if idle, open := counts(p, 1); idle != c.want || open != c.want {
+		if idle, open := connCounts(p, 1); idle != c.want || open != c.want {
 			t.Errorf("%+v: %d idle of %d open", c, idle, open)
 		}
 		p.CloseUnused(1)
@@ -144,9 +146,9 @@
 }
 
 // Without a bound, and where an instance is alone, nothing waits.
-func TestNoLine(t *testing.T) {
+func TestNoQueueWithoutLimit(t *testing.T) {
 	for _, d := range []pacing.HandshakeLimit{{}, {Handshakes: 1, Instances: 1}} {
-		p, _ := guarded(t)
+		p, _ := newLimitedPool(t)
 		p.SetHandshakeLimit(d)
 		for range 5 {
 			c, err := p.acquire(context.Background(), 1, time.Now().Add(time.Minute), connKind{})
@@ -158,27 +160,27 @@
 	}
 }
 
-// A connection that comes when the client has left is not used, and stays.
-func TestTurnOfOneThatHasLeft(t *testing.T) {
-	p, _ := guarded(t)
+// A connection that is granted when the client has left is not used, and becomes idle.
+func TestGrantAfterCancellation(t *testing.T) {
+	p, _ := newLimitedPool(t)
 	p.open++
 	c, err := p.dial(context.Background(), 1, p.hosts[1].addr, time.Minute, connKind{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, leave := context.WithCancel(context.Background())
-	leave()
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
 	if got, err := p.accept(ctx, grant{conn: c}); got != nil || !errors.Is(err, context.Canceled) {
 		t.Fatalf("%v, %v", got, err)
 	}
-	if idle, open := counts(p, 1); idle != 1 || open != 1 {
+	if idle, open := connCounts(p, 1); idle != 1 || open != 1 {
 		t.Fatalf("%d idle of %d open, want one", idle, open)
 	}
 	p.CloseUnused(1)
 }
 
-// How long an attempt waits: for a moment that comes soon, with those before it, and otherwise for a connect time-out.
-func TestPatience(t *testing.T) {
+// An attempt waits longer where its turn comes soon, after those ahead of it, and otherwise for one connect time-out.
+func TestWaitTimeout(t *testing.T) {
 	one := pacing.Share{AtOnce: 1, Every: time.Second}
 	for _, c := range []struct {
 		share pacing.Share
@@ -194,7 +196,7 @@
 	} {
 		h := &host{limiter: pacing.HandshakeLimiter{Phase: 0.5}, queue: make([]*waiter, c.line)}
 		if got := h.waitTimeout(c.share, c.now, 100*time.Millisecond); got != c.want {
-			t.Errorf("%+v, %d in line at %s: %s, want %s", c.share, c.line, c.now, got, c.want)
+			t.Errorf("%+v, %d in the queue at %s: %s, want %s", c.share, c.line, c.now, got, c.want)
 		}
 	}
 }
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -3,9 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
-	"io"
-	"net/http"
 	"os"
 	"sync"
 	"time"
@@ -15,54 +12,56 @@
 	"pinelb.example/pinelb/internal/stream"
 )
 
-const probeTimeout = 100 * time.Millisecond
-
-var errMalformedResponse = errors.New("upstream: an answer that breaks the protocol")
+const (
+	probeTimeout      = 100 * time.Millisecond
+	requestBufferSize = 1 << 10 // bytes
+)
 
-var requestBuffers = sync.Pool{New: func() any { b := make([]byte, 0, 1<<10); return &b }}
+var requestBuffers = sync.Pool{New: func() any { b := make([]byte, 0, requestBufferSize); return &b }}
 
-// Do carries out one upstream request on one connection. It never sends it again.
+// Do carries out one attempt over HTTP on one connection. It never sends the request again by itself. The status is the
+// evidence for the decisions: what the attempt says of the host, and whether the request may have run.
 func (p *Pool) Do(ctx context.Context, id balance.EndpointID, deadline time.Time, req *stream.Request) (balance.Status, stream.Response) {
 	c, err := p.acquireToSend(ctx, id, deadline, connKind{}, req)
 	if err != nil {
 		return notSentStatus(ctx, err), stream.Response{Outcome: stream.Failed}
 	}
-	left := time.Until(deadline)
-	if req.Baggage != "" { // the next tier keeps accounts too, and has to know how long it really has
-		left = budget.Time(left, c.connectTime)
+	remaining := time.Until(deadline)
+	if req.Baggage != "" { // the next tier has a budget too, and has to know how long it really has
+		remaining = budget.Time(remaining, c.connectTime)
 	}
 	buf := requestBuffers.Get().(*[]byte)
-	var a hostResponse
+	var resp hostResponse
 	var status balance.Status
 	if req.Upload != nil {
 		*buf = appendRequest((*buf)[:0], req, req.Upload.Left)
-		status, err = p.upload(ctx, c, *buf, req, &a)
+		status, err = p.upload(ctx, c, *buf, req, &resp)
 	} else {
-		*buf = appendRequest((*buf)[:0], req, left)
-		status = p.exchange(ctx, c, deadline, *buf, &a)
+		*buf = appendRequest((*buf)[:0], req, remaining)
+		status = p.exchange(ctx, c, deadline, *buf, &resp)
 	}
 	requestBuffers.Put(buf)
 	switch {
-	case err != nil: // nobody's fault but the client's
+	case err != nil: // the client's fault alone
 		return balance.Cancelled, stream.Response{Outcome: stream.Broken}
 	case status == balance.OK:
-		return status, p.response(c, &a)
-	case rejectsRequest(a.status):
-		// The host is well and the request is not: no evidence against the one, and no host for the other.
+		return status, p.response(c, &resp)
+	case rejectsRequest(resp.status):
+		// The host is healthy and the request is not: no evidence against the host, and no other host for the request.
 		return balance.Cancelled, stream.Response{Outcome: stream.Rejected}
 	}
-	return status, stream.Response{Outcome: stream.Failed, Tried: a.attempted}
+	return status, stream.Response{Outcome: stream.Failed, Tried: resp.attempted}
 }
 
-// acquireToSend takes a connection for a request, which may still go out once that is there.
+// acquireToSend returns a connection for a request, if that may still be sent once the connection is there.
 func (p *Pool) acquireToSend(ctx context.Context, id balance.EndpointID, deadline time.Time, kind connKind, req *stream.Request) (*conn, error) {
 	c, err := p.acquire(ctx, id, deadline, kind)
 	if err != nil {
 		return nil, err
 	}
-	// The last look before the first byte: the attempt may have waited, and the world gone on.
-	held := p.CanSend != nil && !p.CanSend()
-	if err = ctx.Err(); err == nil && (held || !p.accepts(c) || !req.StillWanted()) {
+	// The attempt may have waited for its connection, and what it was decided on may have changed.
+	paused := p.CanSend != nil && !p.CanSend()
+	if err = ctx.Err(); err == nil && (paused || !p.accepts(c) || !req.StillWanted()) {
 		err = errSendRefused
 	}
 	if err != nil {
@@ -72,17 +71,18 @@
 	return c, nil
 }
 
-// served is what a host has answered.
-func (p *Pool) response(c *conn, a *hostResponse) stream.Response {
-	res := stream.Response{Outcome: stream.Served, MediaType: a.mediaType, Body: a.body, Tried: a.attempted}
-	if a.remainder != nil { // which is the front's to read: the attempt's context ends with the attempt
+// response makes a stream's response of a host's successful one.
+func (p *Pool) response(c *conn, resp *hostResponse) stream.Response {
+	res := stream.Response{Outcome: stream.Served, MediaType: resp.mediaType, Body: resp.body, Tried: resp.attempted}
+	if resp.remainder != nil { // the front reads it, after the attempt and its context have ended
 		c.deadlines.ctx = context.Background()
-		res.Rest, res.Length = &responseStream{pool: p, conn: c, body: a.remainder, keepAlive: a.keepAlive, deadline: time.Now().Add(maxStreamDuration)}, a.contentLength
+		res.Rest = &responseStream{pool: p, conn: c, body: resp.remainder, keepAlive: resp.keepAlive, deadline: time.Now().Add(maxStreamDuration)}
+		res.Length = resp.contentLength
 	}
 	return res
 }
 
-// Probe asks an upstream host whether it is up.
+// Probe carries out one health check of an upstream host.
 func (p *Pool) Probe(id balance.EndpointID) balance.Status {
 	ctx, deadline := context.Background(), time.Now().Add(probeTimeout)
 	c, err := p.acquire(ctx, id, deadline, connKind{})
@@ -93,45 +93,26 @@
 		p.discard(c)
 		return balance.OK
 	}
-	var a hostResponse
-	status := p.exchange(ctx, c, deadline, []byte("GET /ping HTTP/1.1\r\nHost: "+c.addr+"\r\n\r\n"), &a)
-	if status == balance.OK && a.remainder != nil {
+	var resp hostResponse
+	status := p.exchange(ctx, c, deadline, []byte("GET /ping HTTP/1.1\r\nHost: "+c.addr+"\r\n\r\n"), &resp)
+	if status == balance.OK && resp.remainder != nil {
 		p.discard(c)
 	}
 	return status
 }
 
-// exchange writes an HTTP message and reads the answer.
-func (p *Pool) exchange(ctx context.Context, c *conn, deadline time.Time, message []byte, a *hostResponse) balance.Status {
-	return p.roundTrip(ctx, c, deadline, message, func() (balance.Status, disposition, error) {
-		err := c.readResponse(ctx, deadline, a)
-		return responseStatus(a), a.disposition(), err
+// exchange writes an HTTP request and reads its response.
+func (p *Pool) exchange(ctx context.Context, c *conn, deadline time.Time, message []byte, resp *hostResponse) balance.Status {
+	return p.roundTrip(ctx, c, deadline, message, func() (balance.Status, connDisposition, error) {
+		err := c.readResponse(ctx, deadline, resp)
+		return responseStatus(resp), resp.disposition(), err
 	})
 }
 
-// after is what becomes of a connection when an answer has been read.
-type disposition uint8
-
-const (
-	closeConn  disposition = iota
-	reuseConn              // it may carry another request
-	streamConn             // the answer's rest still comes on it
-)
-
-func (a *hostResponse) disposition() disposition {
-	switch {
-	case a.remainder != nil:
-		return streamConn
-	case a.reusable:
-		return reuseConn
-	}
-	return closeConn
-}
-
-// carry writes a message in one piece and has read take the answer, and say what it stands for and what becomes of the
-// connection.
-func (p *Pool) roundTrip(ctx context.Context, c *conn, deadline time.Time, message []byte, read func() (balance.Status, disposition, error)) balance.Status {
-	_ = c.SetDeadline(deadline) // on a connection that is broken the write says so
+// roundTrip writes a message with a single Write and calls read for the response. read returns what that stands for, and what
+// becomes of the connection.
+func (p *Pool) roundTrip(ctx context.Context, c *conn, deadline time.Time, message []byte, read func() (balance.Status, connDisposition, error)) balance.Status {
+	_ = c.SetDeadline(deadline) // on a broken connection the write returns the error
 	stop := context.AfterFunc(ctx, c.interrupt)
 	defer stop()
 	if _, err := c.Write(message); err != nil {
@@ -146,13 +127,13 @@
 	return p.dispose(c, !stop(), then, status)
 }
 
-// settle makes a connection idle after an answer, or closes it, and returns what the answer stands for.
-func (p *Pool) dispose(c *conn, withdrawn bool, then disposition, status balance.Status) balance.Status {
+// dispose makes a connection idle after a response, or closes it, and returns what the response stands for.
+func (p *Pool) dispose(c *conn, cancelled bool, then connDisposition, status balance.Status) balance.Status {
 	switch {
-	case withdrawn && then == streamConn:
+	case cancelled && then == streamConn:
 		p.discard(c)
 		return balance.Cancelled
-	case withdrawn || then == closeConn:
+	case cancelled || then == closeConn:
 		p.discard(c)
 	case then == reuseConn:
 		p.release(c)
@@ -160,85 +141,19 @@
 	return status
 }
 
-// rest is the part of an answer that still comes.
-type responseStream struct {
-	pool      *Pool
-	conn      *conn
-	body      io.ReadCloser
-	keepAlive bool // the host goes on with the connection
-	deadline  time.Time
-	complete  bool
-
-	mu     sync.Mutex
-	closed bool
-}
-
-// Read reads more, and waits for each piece of it so long and no longer; nor does it read on beyond the end.
-func (r *responseStream) Read(b []byte) (int, error) {
-	r.conn.deadlines.deadline, r.conn.deadlines.stallTimeout = r.deadline, streamStallTimeout
-	n, err := r.body.Read(b)
-	r.complete = err == io.EOF
-	if err != nil && !r.complete {
-		err = fmt.Errorf("upstream: rest: %w", err)
-	}
-	return n, err
-}
-
-// Interrupt has Read fail from now on.
-func (r *responseStream) Interrupt() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if !r.closed { // its connection may carry another request by then
-		r.conn.deadlines.aborted.Store(true)
-		r.conn.interrupt()
-	}
-}
-
-// Close lets go of the connection: it may carry another request where the answer was whole.
-func (r *responseStream) Close() {
-	r.mu.Lock()
-	r.closed = true
-	r.mu.Unlock()
-	if r.complete && r.keepAlive && r.conn.reader.Buffered() == 0 && !r.conn.deadlines.aborted.Load() {
-		r.pool.release(r.conn)
-	} else {
-		r.pool.discard(r.conn)
-	}
-}
-
-// rejects tells whether a status says that the request is at fault, whoever gets it.
-func rejectsRequest(status int) bool {
-	switch status {
-	case http.StatusRequestTimeout, http.StatusTooEarly, http.StatusTooManyRequests: // of the moment, or of the host
-		return false
-	}
-	return status >= 400 && status < 500
-}
-
-// judge is the outcome that an answer stands for.
-func responseStatus(a *hostResponse) balance.Status {
-	switch {
-	case a.status == http.StatusOK:
-		return balance.OK
-	case a.shedLoad && (a.status == http.StatusServiceUnavailable || a.status == http.StatusGatewayTimeout):
-		return balance.Full
-	}
-	return balance.Error
-}
-
-// notSentStatus is the outcome of a request whose last byte was not written: whatever went wrong, it proves
-// that the request never ran.
+// notSentStatus is the outcome of a request whose last byte was not written. Whatever went wrong, that proves that the
+// request never ran.
 func notSentStatus(ctx context.Context, err error) balance.Status {
 	switch {
 	case ctx.Err() != nil:
 		return balance.Cancelled
-	case errors.Is(err, errUnknownHost), errors.Is(err, errPoolExhausted), errors.Is(err, errSendRefused): // nothing that the host has done
+	case errors.Is(err, errUnknownHost), errors.Is(err, errPoolExhausted), errors.Is(err, errSendRefused): // no evidence against the host
 		return balance.Moot
 	}
 	return balance.ConnectFailed
 }
 
-// noResponseStatus is the outcome of a request that was written whole and got no answer: it may have run.
+// noResponseStatus is the outcome of a request that was written to its end and got no response: it may have run.
 func noResponseStatus(ctx context.Context, err error) balance.Status {
 	switch {
 	case ctx.Err() != nil:
--- a/internal/upstream/request_test.go
+++ b/internal/upstream/request_test.go
@@ -20,26 +20,26 @@
 	return &stream.Request{Operation: "GET", Target: "/a/b?c=%20d", Authority: "origin.svc", Txn: "0a", ClassName: "a"}
 }
 
-func poolFor(addr string, most int) *Pool {
+func newTestPool(addr string, most int) *Pool {
 	p := NewPool(time.Minute, time.Minute, most)
 	p.Set(1, addr)
 	return p
 }
 
-// Guards against taking what proves that a request never ran for something that may have run: the
-// decisions could not send it again, and an unsafe one would fail for nothing.
-func TestNeverSent(t *testing.T) {
+// Guards against taking what proves that a request never ran for one that may have run: the decisions could not retry it, and
+// one that is not idempotent would fail for nothing.
+func TestNotSentStatus(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	refusing := l.Addr().String()
 	l.Close()
-	if status, _ := get(poolFor(refusing, 1), time.Minute); status != balance.ConnectFailed {
+	if status, _ := get(newTestPool(refusing, 1), time.Minute); status != balance.ConnectFailed {
 		t.Errorf("a refused connection gave outcome %d", status)
 	}
 	// A pool that is full is our own doing: the host must not be ejected for it.
-	if status, _ := get(poolFor(refusing, 0), time.Minute); status != balance.Moot {
+	if status, _ := get(newTestPool(refusing, 0), time.Minute); status != balance.Moot {
 		t.Errorf("a pool that is full gave outcome %d", status)
 	}
 	if status, _ := get(NewPool(time.Minute, time.Minute, 1), time.Minute); status != balance.Moot {
@@ -50,7 +50,7 @@
 		_, _ = far.Read(make([]byte, 10))
 		far.Close()
 	}()
-	p := poolFor("127.0.0.1:1", 1)
+	p := newTestPool("127.0.0.1:1", 1)
 	p.open = 1
 	if status := p.exchange(context.Background(), newConn(near, 1, "", connKind{}), time.Now().Add(time.Minute), make([]byte, 100), new(hostResponse)); status != balance.ConnectFailed {
 		t.Errorf("a break before the last byte gave outcome %d", status)
@@ -60,23 +60,23 @@
 	}
 }
 
-// Guards against a silent host holding its attempt, or its descriptor, beyond the time-out.
+// Guards against an unresponsive host holding its attempt, or its descriptor, beyond the time-out.
 func TestTimeout(t *testing.T) {
-	host := newScripted(t)
-	p := poolFor(host.addr, 1)
+	host := newScriptedHost(t)
+	p := newTestPool(host.addr, 1)
 	go func() { <-host.arrivals }()
 	if status, _ := get(p, 2*time.Second); status != balance.Timeout {
-		t.Errorf("silence gave outcome %d", status)
+		t.Errorf("an unresponsive host gave outcome %d", status)
 	}
-	if idle, open := counts(p, 1); idle+open != 0 {
+	if idle, open := connCounts(p, 1); idle+open != 0 {
 		t.Errorf("%d idle of %d connections open, want none", idle, open)
 	}
 }
 
 // Guards against a message that is not what the client sent.
-func TestMessage(t *testing.T) {
-	host := newScripted(t)
-	p := poolFor(host.addr, 1)
+func TestRequestMessage(t *testing.T) {
+	host := newScriptedHost(t)
+	p := newTestPool(host.addr, 1)
 	req := &stream.Request{Operation: "POST", Target: "/place-order/7?x=%2F&y", Authority: "origin.svc", Txn: "0a1b",
 		ClassName: "place-order", Key: "k1", Body: []byte("two lenses"), Repeated: true, Labels: "a=1", Org: "north", MediaType: "text/plain"}
 	ended := make(chan stream.Response, 1)
@@ -98,37 +98,39 @@
 	if left, err := time.ParseDuration(h.Get("X-Remaining-Ms") + "ms"); err != nil || left <= 0 || left > time.Minute {
 		t.Errorf("X-Remaining-Ms is %q", h.Get("X-Remaining-Ms"))
 	}
-	say{text: "HTTP/1.1 200 OK\r\nContent-Type: text/csv\r\nContent-Length: 4\r\n\r\n\x00\r\nz"}.end(at.nc)
+	reaction{text: "HTTP/1.1 200 OK\r\nContent-Type: text/csv\r\nContent-Length: 4\r\n\r\n\x00\r\nz"}.apply(at.nc)
 	if res := <-ended; string(res.Body) != "\x00\r\nz" || res.MediaType != "text/csv" {
-		t.Errorf("answer %q of type %q", res.Body, res.MediaType)
+		t.Errorf("response %q of type %q", res.Body, res.MediaType)
 	}
 }
 
-// Guards against descriptors running out: an idle connection gives way to one for another host.
-func TestRoomIsMade(t *testing.T) {
-	a, b := newScripted(t), newScripted(t)
-	p := poolFor(a.addr, 1)
-	go func() { says[0].end((<-a.arrivals).nc) }()
+// Guards against descriptors running out: an idle connection is evicted for one to another host.
+func TestIdleConnectionIsEvicted(t *testing.T) {
+	a, b := newScriptedHost(t), newScriptedHost(t)
+	p := newTestPool(a.addr, 1)
+	go func() { reactions[0].apply((<-a.arrivals).nc) }()
 	if status, _ := get(p, time.Minute); status != balance.OK {
 		t.Fatalf("outcome %d", status)
 	}
 	p.Set(2, b.addr)
-	go func() { says[0].end((<-b.arrivals).nc) }()
+	go func() { reactions[0].apply((<-b.arrivals).nc) }()
 	if status := p.Probe(2); status != balance.OK {
 		t.Errorf("a probe with all connections idle elsewhere gave outcome %d", status)
 	}
-	if idle, open := counts(p, 1); idle != 0 || open != 1 {
+	if idle, open := connCounts(p, 1); idle != 0 || open != 1 {
 		t.Errorf("%d idle at the first host of %d open, want none of 1", idle, open)
 	}
 }
 
-// Guards against a request that a host finds fault with counting against the host, or being sent on.
-func TestRejected(t *testing.T) {
+// Guards against a request that a host rejects counting against the host, or being retried.
+func TestRejectedRequest(t *testing.T) {
 	for text, want := range map[string]stream.Outcome{"400 Bad": stream.Rejected, "404 Where": stream.Rejected,
 		"413 Much": stream.Rejected, "408 Slow": stream.Failed, "429 Many": stream.Failed, "500 Oops": stream.Failed} {
-		host := newScripted(t)
-		p := poolFor(host.addr, 1)
-		go func() { say{text: "HTTP/1.1 " + text + "\r\nContent-Length: 0\r\n\r\n"}.end((<-host.arrivals).nc) }()
+		host := newScriptedHost(t)
+		p := newTestPool(host.addr, 1)
+		go func() {
+			reaction{text: "HTTP/1.1 " + text + "\r\nContent-Length: 0\r\n\r\n"}.apply((<-host.arrivals).nc)
+		}()
 		status, res := get(p, time.Minute)
 		if res.Outcome != want || (status == balance.Cancelled) != (want == stream.Rejected) {
 			t.Errorf("%s: outcome %d, status %d", text, res.Outcome, status)
@@ -136,14 +138,14 @@
 	}
 }
 
-// Guards against an answer to the last request, which its host gives once more some milliseconds later, being served to the
-// next: that goes out on another connection until the first has rested, and then has shown what came on it.
-func TestLateSecondAnswer(t *testing.T) {
-	host := newScripted(t)
-	p := poolFor(host.addr, 9)
+// Guards against a second response to the last request, which comes some milliseconds later, being served to the next one: that
+// goes out on another connection until the reuse delay is over, and by then the first has shown what came on it.
+func TestLateDuplicateResponse(t *testing.T) {
+	host := newScriptedHost(t)
+	p := newTestPool(host.addr, 9)
 	clock := time.Now()
 	p.now = func() time.Time { return clock }
-	ask := func(want int, more ...arrival) arrival {
+	send := func(want int, more ...receivedRequest) receivedRequest {
 		t.Helper()
 		body := make(chan string, 1)
 		go func() {
@@ -156,30 +158,29 @@
 		}
 		_, _ = io.WriteString(at.nc, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnew")
 		if got := <-body; got != "new" || at.conn != want {
-			t.Errorf("served with %q on connection %d, want its own answer on %d", got, at.conn, want)
+			t.Errorf("served with %q on connection %d, want its own response on %d", got, at.conn, want)
 		}
 		return at
 	}
-	first := ask(0)
-	ask(1, first) // the host's first answer comes once more, after the next request was sent
+	first := send(0)
+	send(1, first) // the first response comes a second time, after the next request was sent
 	clock = clock.Add(reuseDelay)
-	last := ask(1)
+	last := send(1)
 	clock = clock.Add(reuseDelay)
 	_, _ = io.WriteString(last.nc, "HTTP/1.1 200 OK")
-	for idle := 1; idle > 0; idle, _ = counts(p, 1) { // all that is idle has something unasked on it, once the kernel has brought it
+	for idle := 1; idle > 0; idle, _ = connCounts(p, 1) { // until the kernel has delivered the unexpected bytes
 		runtime.Gosched()
 		p.closeUnusable()
 	}
-	ask(2)
+	send(2)
 }
 
-// Guards against a host at an address used before meeting a connection of the former one, whichever news
-// comes first.
-func TestAddressUsedAgain(t *testing.T) {
+// Guards against a host at an address used before getting a connection of the former host, whichever update comes first.
+func TestAddressReuse(t *testing.T) {
 	for _, goneFirst := range []bool{true, false} {
-		host := newScripted(t)
-		p := poolFor(host.addr, 9)
-		go func() { says[0].end((<-host.arrivals).nc) }()
+		host := newScriptedHost(t)
+		p := newTestPool(host.addr, 9)
+		go func() { reactions[0].apply((<-host.arrivals).nc) }()
 		get(p, time.Minute)
 		if goneFirst {
 			p.Remove(1)
@@ -189,48 +190,48 @@
 		go func() {
 			at := <-host.arrivals
 			came <- at.conn
-			says[0].end(at.nc)
+			reactions[0].apply(at.nc)
 		}()
 		if status := p.Probe(2); status != balance.OK {
 			t.Errorf("outcome %d", status)
 		}
 		if conn := <-came; conn != 1 {
-			t.Errorf("the new host was asked on connection %d, want a new one", conn)
+			t.Errorf("the new host was probed on connection %d, want a new one", conn)
 		}
 	}
 }
 
-// Guards against an answer that is announced early being given up like one that has stopped half-way.
-func TestAnnouncedAnswer(t *testing.T) {
-	host := newScripted(t)
-	p := poolFor(host.addr, 1)
+// Guards against a response after an informational one (1xx) being aborted like one that has stalled.
+func TestInformationalResponse(t *testing.T) {
+	host := newScriptedHost(t)
+	p := newTestPool(host.addr, 1)
 	go func() {
 		at := <-host.arrivals
-		say{text: "HTTP/1.1 103 Early\r\n\r\n"}.end(at.nc)
+		reaction{text: "HTTP/1.1 103 Early\r\n\r\n"}.apply(at.nc)
 		<-time.After(thriftReplyTimeout + 100*time.Millisecond) // the time itself is what is tested
-		says[0].end(at.nc)
+		reactions[0].apply(at.nc)
 	}()
 	if status, _ := get(p, time.Minute); status != balance.OK {
 		t.Errorf("outcome %d", status)
 	}
 }
 
-// Guards against a request that goes out, or blames its host, although the process was stopped while it waited for its
-// connection: the gate is shut when that is there. The connection is kept.
-func TestHeldBack(t *testing.T) {
-	s := newScripted(t)
-	p := poolFor(s.addr, 2)
+// Guards against a request that is sent, or counts against its host, although CanSend returns false once its connection is
+// there. The connection is kept.
+func TestCanSend(t *testing.T) {
+	s := newScriptedHost(t)
+	p := newTestPool(s.addr, 2)
 	open := false
 	p.CanSend = func() bool { return open }
 	if status, _ := get(p, time.Second); status != balance.Moot {
-		t.Errorf("a request that is held back ends with %d", status)
+		t.Errorf("a request that must not be sent ends with %d", status)
 	}
-	if idle, opened := counts(p, 1); idle != 1 || opened != 1 {
+	if idle, opened := connCounts(p, 1); idle != 1 || opened != 1 {
 		t.Errorf("%d connections of %d are idle, want the one", idle, opened)
 	}
 	call := &stream.Request{Operation: "call", Target: "a", MediaType: framedBinary.MediaType(), Body: []byte{0}}
 	if status, _ := (&Thrift{Pool: p}).Do(context.Background(), 1, time.Now().Add(time.Second), call); status != balance.Moot {
-		t.Errorf("over Thrift one that is held back ends with %d", status)
+		t.Errorf("over Thrift one that must not be sent ends with %d", status)
 	}
 	open = true
 	go func() {
--- a/internal/upstream/stream_test.go
+++ b/internal/upstream/response_stream_test.go
@@ -11,9 +11,9 @@
 	"pinelb.example/pinelb/balance"
 )
 
-// Guards against a long answer that is held back, changed, passed for whole though it was cut, or that keeps its connection:
-// by every framing, the first bytes are there before the rest is sent.
-func TestLongAnswers(t *testing.T) {
+// Guards against a long response that is buffered, changed, taken for complete though it was cut off, or that holds its
+// connection: by every framing, the first bytes are there before the rest is sent.
+func TestStreamedResponses(t *testing.T) {
 	body := strings.Repeat("a pair of lenses", 3*maxBufferedBody/16)
 	chunks := func(b string) string {
 		out := ""
@@ -23,7 +23,7 @@
 		}
 		return out
 	}
-	long := maxBufferedBody + initialBodyCapacity // of a length that isn't stated, so much has to come before it is passed on
+	long := maxBufferedBody + initialBodyCapacity // of unknown length, so much has to come before it is streamed
 	for name, c := range map[string]struct {
 		first, rest string
 		hangUp, cut bool
@@ -36,15 +36,15 @@
 		"stated, cut":    {"HTTP/1.1 200 OK\r\nContent-Length: " + fmt.Sprint(len(body)) + "\r\n\r\n" + body[:9], body[9 : len(body)-1], true, true, false},
 		"chunked, cut":   {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks(body[:long]), chunks(body[long:]), true, true, false},
 	} {
-		host := newScripted(t)
-		p := poolFor(host.addr, 1)
+		host := newScriptedHost(t)
+		p := newTestPool(host.addr, 1)
 		going, done := make(chan struct{}), make(chan struct{})
 		go func() {
 			defer close(done)
 			at := <-host.arrivals
-			say{text: c.first}.end(at.nc)
+			reaction{text: c.first}.apply(at.nc)
 			<-going
-			say{text: c.rest, hangUp: c.hangUp}.end(at.nc)
+			reaction{text: c.rest, closes: c.hangUp}.apply(at.nc)
 		}()
 		status, res := get(p, time.Minute)
 		if status != balance.OK || res.Rest == nil || len(res.Body) == 0 {
@@ -57,17 +57,19 @@
 			t.Errorf("%s: %d and %d bytes of %d, %v", name, len(res.Body), len(got), len(body), err)
 		}
 		res.Rest.Close()
-		if idle, open := counts(p, 1); (idle == 1) != c.reuse || open != idle {
+		if idle, open := connCounts(p, 1); (idle == 1) != c.reuse || open != idle {
 			t.Errorf("%s: %d idle of %d connections open", name, idle, open)
 		}
 	}
 }
 
-// Guards against an answer that stops, or whose client has left, holding its connection: its reading ends at once.
-func TestLongAnswerIsGivenUp(t *testing.T) {
-	host := newScripted(t)
-	p := poolFor(host.addr, 1)
-	go func() { say{text: "HTTP/1.1 200 OK\r\nContent-Length: 90000\r\n\r\nx"}.end((<-host.arrivals).nc) }()
+// Guards against a response that stalls, or whose client has left, holding its connection: reading it ends at once.
+func TestStreamInterrupt(t *testing.T) {
+	host := newScriptedHost(t)
+	p := newTestPool(host.addr, 1)
+	go func() {
+		reaction{text: "HTTP/1.1 200 OK\r\nContent-Length: 90000\r\n\r\nx"}.apply((<-host.arrivals).nc)
+	}()
 	_, res := get(p, time.Minute)
 	ended := make(chan error)
 	go func() {
@@ -76,32 +78,32 @@
 	}()
 	res.Rest.Interrupt()
 	if err := <-ended; err == nil {
-		t.Error("an answer that was given up is whole")
+		t.Error("an interrupted response is complete")
 	}
 	res.Rest.Close()
-	if idle, open := counts(p, 1); idle+open != 0 {
+	if idle, open := connCounts(p, 1); idle+open != 0 {
 		t.Errorf("%d idle of %d connections open, want none", idle, open)
 	}
-	// A withdrawn attempt whose answer begins at that moment leaves nothing behind either.
+	// Nor does a cancelled attempt whose response starts at that moment leave a connection open.
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if status, res := p.Do(ctx, 1, time.Now().Add(time.Minute), request()); status != balance.Cancelled || res.Rest != nil {
-		t.Errorf("outcome %d of a withdrawn attempt", status)
+		t.Errorf("outcome %d of a cancelled attempt", status)
 	}
-	if idle, open := counts(p, 1); idle+open != 0 {
+	if idle, open := connCounts(p, 1); idle+open != 0 {
 		t.Errorf("%d idle of %d connections open, want none", idle, open)
 	}
 }
 
-// Guards against slow hosts being taken for ones that have stopped: an answer in pieces takes longer than one piece may.
-func TestPieces(t *testing.T) {
-	host := newScripted(t)
-	p := poolFor(host.addr, 1)
+// Guards against slow hosts being taken for stalled ones: the complete response takes longer than the stall time-out.
+func TestSlowResponse(t *testing.T) {
+	host := newScriptedHost(t)
+	p := newTestPool(host.addr, 1)
 	go func() {
 		at := <-host.arrivals
 		for _, piece := range strings.SplitAfter("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlens", "\n") {
 			<-time.After(readStallTimeout / 4) // the time itself is what is tested
-			say{text: piece}.end(at.nc)
+			reaction{text: piece}.apply(at.nc)
 		}
 	}()
 	if status, res := get(p, time.Minute); status != balance.OK || string(res.Body) != "lens" {
@@ -109,26 +111,26 @@
 	}
 }
 
-// Guards against an answer that never ends, however it drips, holding its client and a connection for ever.
-func TestEndlessAnswer(t *testing.T) {
-	host := newScripted(t)
-	p := poolFor(host.addr, 1)
+// Guards against a response that never ends, however slowly it comes, holding its client and a connection for ever.
+func TestMaxStreamDuration(t *testing.T) {
+	host := newScriptedHost(t)
+	p := newTestPool(host.addr, 1)
 	go func() {
 		at := <-host.arrivals
-		say{text: "HTTP/1.1 200 OK\r\nContent-Length: 60000000\r\n\r\n"}.end(at.nc)
+		reaction{text: "HTTP/1.1 200 OK\r\nContent-Length: 60000000\r\n\r\n"}.apply(at.nc)
 		for _, err := io.WriteString(at.nc, "x"); err == nil; _, err = io.WriteString(at.nc, "x") {
 		}
 	}()
 	_, res := get(p, time.Minute)
 	if _, err := res.Rest.Read(make([]byte, 1)); err != nil {
-		t.Fatalf("it is cut off at once: %v", err)
+		t.Fatalf("it is aborted at once: %v", err)
 	}
 	res.Rest.(*responseStream).deadline = time.Now()
 	if _, err := io.Copy(io.Discard, res.Rest); err == nil {
-		t.Error("an answer whose time is over goes on to its end")
+		t.Error("a response beyond its deadline goes on to its end")
 	}
 	res.Rest.Close()
-	if idle, open := counts(p, 1); idle+open != 0 {
+	if idle, open := connCounts(p, 1); idle+open != 0 {
 		t.Errorf("%d idle of %d connections open, want none", idle, open)
 	}
 }
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	writeStallTimeout    = 5 * time.Second        // a host takes nothing of a body for so long at most
-	earlyResponseTimeout = 100 * time.Millisecond // a host that has closed may have said why
+	writeStallTimeout    = 5 * time.Second        // that a host may accept no byte of a body
+	earlyResponseTimeout = 100 * time.Millisecond // for the response of a host that ends an upload
 	uploadChunkSize      = 32 << 10               // bytes
 )
 
 var uploadBuffers = sync.Pool{New: func() any { return new([uploadChunkSize]byte) }}
 
-// upload writes a message whose body still comes, and reads the answer. A host that takes no more, or answers before it
-// has all, has never run the request, nor does it where the client leaves before the last piece. The error is the client's, who
-// brings no more.
-func (p *Pool) upload(ctx context.Context, c *conn, head []byte, req *stream.Request, a *hostResponse) (status balance.Status, err error) {
+// upload writes a request whose body is still coming, and reads the response. A host that accepts no more, or responds before
+// it has the complete request, has never run it; nor has one whose client leaves before the last chunk. The error is the
+// client's, whose body breaks off.
+func (p *Pool) upload(ctx context.Context, c *conn, head []byte, req *stream.Request, resp *hostResponse) (status balance.Status, err error) {
 	body := req.Upload
 	stop := context.AfterFunc(ctx, c.interrupt)
 	defer stop()
-	if fault := c.writeChunk(ctx, head); fault != nil {
+	if writeErr := c.writeChunk(ctx, head); writeErr != nil {
 		p.discard(c)
-		return notSentStatus(ctx, fault), nil
+		return notSentStatus(ctx, writeErr), nil
 	}
 	buf, framed := uploadBuffers.Get().(*[uploadChunkSize]byte), []byte(nil)
 	defer uploadBuffers.Put(buf)
@@ -39,14 +39,14 @@
 			p.discard(c)
 			return balance.Cancelled, fmt.Errorf("upstream: body: %w", err)
 		}
-		piece := buf[:n]
+		chunk := buf[:n]
 		if body.Length < 0 {
-			if framed = appendChunk(framed[:0], piece); err == io.EOF {
+			if framed = appendChunk(framed[:0], chunk); err == io.EOF {
 				framed = append(framed, "0\r\n\r\n"...)
 			}
-			piece = framed
+			chunk = framed
 		}
-		if len(piece) == 0 { // the last byte has gone: from here on it may have run
+		if len(chunk) == 0 { // the last byte has gone before: the request may have run
 			continue
 		}
 		if !req.StillWanted() {
@@ -54,25 +54,25 @@
 			return notSentStatus(ctx, errSendRefused), nil
 		}
 		if !c.peerSilent() {
-			return p.earlyResponse(ctx, c, nil, a), nil
+			return p.earlyResponse(ctx, c, nil, resp), nil
 		}
-		if fault := c.writeChunk(ctx, piece); fault != nil {
-			return p.earlyResponse(ctx, c, fault, a), nil
+		if writeErr := c.writeChunk(ctx, chunk); writeErr != nil {
+			return p.earlyResponse(ctx, c, writeErr, resp), nil
 		}
 	}
 	body.Whole()
 	deadline := time.Now().Add(body.Left)
 	c.setReadDeadline(ctx, deadline)
-	if fault := c.readResponse(ctx, deadline, a); fault != nil {
+	if readErr := c.readResponse(ctx, deadline, resp); readErr != nil {
 		p.discard(c)
-		return noResponseStatus(ctx, fault), nil
+		return noResponseStatus(ctx, readErr), nil
 	}
-	return p.dispose(c, !stop(), a.disposition(), responseStatus(a)), nil
+	return p.dispose(c, !stop(), resp.disposition(), responseStatus(resp)), nil
 }
 
-// piece writes a part of a message.
+// writeChunk writes a part of a request within writeStallTimeout.
 func (c *conn) writeChunk(ctx context.Context, b []byte) error {
-	_ = c.SetWriteDeadline(time.Now().Add(writeStallTimeout)) // on a connection that is broken the write says so
+	_ = c.SetWriteDeadline(time.Now().Add(writeStallTimeout)) // on a broken connection the write returns the error
 	if ctx.Err() != nil {
 		c.interrupt()
 	}
@@ -80,20 +80,21 @@
 	return err
 }
 
-// early reads what a host says that has not had all of a request, or has closed. Where that is nothing, it never ran.
-func (p *Pool) earlyResponse(ctx context.Context, c *conn, fault error, a *hostResponse) balance.Status {
+// earlyResponse reads the response of a host that has not had the complete request, or has closed the connection; writeErr is
+// nil if the last write succeeded. Without a response the request never ran.
+func (p *Pool) earlyResponse(ctx context.Context, c *conn, writeErr error, resp *hostResponse) balance.Status {
 	defer p.discard(c)
 	deadline := time.Now().Add(earlyResponseTimeout)
 	c.setReadDeadline(ctx, deadline)
-	err := c.readResponse(ctx, deadline, a)
+	err := c.readResponse(ctx, deadline, resp)
 	switch {
-	case err == nil && a.status == http.StatusOK: // to a request that it has not had: another's, said twice or late; but who knows
-		*a = hostResponse{}
+	case err == nil && resp.status == http.StatusOK: // to another request, sent twice or late; it can't be this one's, but that is no proof
+		*resp = hostResponse{}
 		return balance.Error
 	case err == nil:
-		return responseStatus(a)
-	case fault == nil:
-		fault = err
+		return responseStatus(resp)
+	case writeErr == nil:
+		writeErr = err
 	}
-	return notSentStatus(ctx, fault)
+	return notSentStatus(ctx, writeErr)
 }
