--- a/internal/connstate/peek.go
+++ b/internal/connstate/connstate.go
@@ -14,56 +14,56 @@
 
 // The states.
 const (
-	Silent State = iota // nothing that is not read yet: it has neither said anything more nor closed
-	Unread              // bytes that are not read yet
-	Ended               // it has closed the connection, or its sending; or the connection was closed here
-	Unseen              // such a connection can't be looked at
+	NoData      State = iota // nothing that is not read yet: it has neither said anything more nor closed
+	DataPending              // bytes that are not read yet
+	Closed                   // it has closed the connection, or its sending; or the connection was closed here
+	Unknown                  // such a connection can't be looked at
 )
 
-// Look is one call to the kernel.
-func Look(conn net.Conn) State {
-	l := lookers.Get().(*looker)
-	defer lookers.Put(l)
-	if l.state = Ended; !control(conn, l.look) {
-		return Unseen
+// Peek is one call to the kernel.
+func Peek(conn net.Conn) State {
+	l := peekers.Get().(*peeker)
+	defer peekers.Put(l)
+	if l.state = Closed; !control(conn, l.look) {
+		return Unknown
 	}
 	return l.state
 }
 
 // looker spares a look what it would allocate.
-type looker struct {
+type peeker struct {
 	state State
 	one   [1]byte
 	look  func(fd uintptr)
 }
 
-var lookers = sync.Pool{New: func() any {
-	l := &looker{}
+var peekers = sync.Pool{New: func() any {
+	l := &peeker{}
 	l.look = l.peek
 	return l
 }}
 
-func (l *looker) peek(fd uintptr) {
+func (l *peeker) peek(fd uintptr) {
 	switch n, _, err := syscall.Recvfrom(int(fd), l.one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT); {
 	case err == syscall.EAGAIN || err == syscall.EINTR:
-		l.state = Silent
+		l.state = NoData
 	case n > 0:
-		l.state = Unread
+		l.state = DataPending
 	}
 }
 
-// Left tells whether the other side has closed the connection, or its sending, also behind bytes that are not read yet.
-func Left(conn net.Conn) bool {
-	switch Look(conn) {
-	case Ended:
+// PeerClosed tells whether the other side has closed the connection, or its sending, also behind bytes that are not read yet.
+func PeerClosed(conn net.Conn) bool {
+	switch Peek(conn) {
+	case Closed:
 		return true
-	case Unread: // another request, a stray byte or a body's beginning: the end may lie behind it
-		return hungUp(conn)
+	case DataPending: // another request, a stray byte or a body's beginning: the end may lie behind it
+		return peerHungUp(conn)
 	}
 	return false
 }
 
-func hungUp(conn net.Conn) (up bool) {
+func peerHungUp(conn net.Conn) (up bool) {
 	control(conn, func(fd uintptr) {
 		p := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 		n, err := unix.Poll(p, 0)
--- a/internal/connstate/peek_test.go
+++ b/internal/connstate/connstate_test.go
@@ -20,13 +20,13 @@
 		want State
 		left bool
 	}{
-		{"silent", "", nil, Silent, false},
-		{"it has said something", "a", nil, Unread, false},
-		{"it closes", "", func(there *net.TCPConn, _ net.Conn) { there.Close() }, Ended, true},
-		{"it ends its sending", "", func(there *net.TCPConn, _ net.Conn) { _ = there.CloseWrite() }, Ended, true},
-		{"it resets", "", func(there *net.TCPConn, _ net.Conn) { _ = there.SetLinger(0); there.Close() }, Ended, true},
-		{"it closes behind a byte", "a", func(there *net.TCPConn, _ net.Conn) { there.Close() }, Unread, true},
-		{"closed here", "a", func(_ *net.TCPConn, here net.Conn) { here.Close() }, Ended, true},
+		{"silent", "", nil, NoData, false},
+		{"it has said something", "a", nil, DataPending, false},
+		{"it closes", "", func(there *net.TCPConn, _ net.Conn) { there.Close() }, Closed, true},
+		{"it ends its sending", "", func(there *net.TCPConn, _ net.Conn) { _ = there.CloseWrite() }, Closed, true},
+		{"it resets", "", func(there *net.TCPConn, _ net.Conn) { _ = there.SetLinger(0); there.Close() }, Closed, true},
+		{"it closes behind a byte", "a", func(there *net.TCPConn, _ net.Conn) { there.Close() }, DataPending, true},
+		{"closed here", "a", func(_ *net.TCPConn, here net.Conn) { here.Close() }, Closed, true},
 	} {
 		there, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
@@ -40,10 +40,10 @@
 		if c.ends != nil {
 			c.ends(there.(*net.TCPConn), here)
 		}
-		for Look(here) != c.want || Left(here) != c.left { // it comes over the loopback; what never shows runs into the tests' time-out
+		for Peek(here) != c.want || PeerClosed(here) != c.left { // it comes over the loopback; what never shows runs into the tests' time-out
 			runtime.Gosched()
 		}
-		if c.want == Unread {
+		if c.want == DataPending {
 			got := make([]byte, 2)
 			if n, _ := here.Read(got); string(got[:n]) != c.says {
 				t.Errorf("%s: %q is left to be read, want %q", c.name, got[:n], c.says)
@@ -53,7 +53,7 @@
 		here.Close()
 	}
 	near, _ := net.Pipe()
-	if Look(near) != Unseen || Left(near) {
+	if Peek(near) != Unknown || PeerClosed(near) {
 		t.Error("one of which nothing can be seen shows something")
 	}
 }
@@ -72,7 +72,7 @@
 	defer there.Close()
 	b.ReportAllocs()
 	for b.Loop() {
-		if Look(there) != Silent {
+		if Peek(there) != NoData {
 			b.Fatal("it is not silent")
 		}
 	}
--- a/internal/daemon/retune.go
+++ b/internal/daemon/retune.go
@@ -24,7 +24,7 @@
 	op      *config.Operator
 	eng     *driver.Engine
 	pool    *upstream.Pool
-	side    *downstream.Side
+	side    *downstream.Manager
 	table   *cluster.Table
 	budget  *stream.Budget           // nil: none
 	rec     *accesslog.Recorder      // nil: none
@@ -119,7 +119,7 @@
 	t.table.Retune(after.ZoneNames, after.KindNames)
 	t.pool.SetTimeouts(after.ConnectTimeout, after.ConnIdle)
 	t.pool.SetHandshakeLimit(handshakeLimit(t.op.Fleet, &after))
-	t.side.Retune(&after)
+	t.side.UpdateSettings(&after)
 	if t.budget != nil {
 		t.budget.Retune(aims(&after))
 	}
--- a/internal/daemon/retune_test.go
+++ b/internal/daemon/retune_test.go
@@ -42,7 +42,7 @@
 	}
 	set := &cfg.Settings
 	tuned := &tuning{cfg: cfg, op: &config.Operator{}, eng: eng, pool: upstream.NewPool(set.ConnectTimeout, set.ConnIdle, 10),
-		side: downstream.NewSide(set, 1<<20, 10, zerolog.Nop()), table: cluster.NewTable(set.ZoneNames, set.KindNames, noHosts{}, eng), log: zerolog.Nop()}
+		side: downstream.NewManager(set, 1<<20, 10, zerolog.Nop()), table: cluster.NewTable(set.ZoneNames, set.KindNames, noHosts{}, eng), log: zerolog.Nop()}
 	ctx, end := context.WithCancel(t.Context())
 	hups, moves, ended := make(chan os.Signal), make(chan string), make(chan struct{})
 	go func() {
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -129,7 +129,7 @@
 	if op.Budget != nil {
 		streams.Budget = stream.NewBudget(op.Budget.Accounts(set), cfg.Seed, aims(set), log)
 	}
-	side := downstream.NewSide(set, memory/bodiesPart, sockets-sockets/2, log)
+	side := downstream.NewManager(set, memory/bodiesPart, sockets-sockets/2, log)
 	srv := downstream.New(set, side, streams, log)
 	table := cluster.NewTable(set.ZoneNames, set.KindNames, pool, eng)
 	var overThrift *stream.Proxy
@@ -146,7 +146,7 @@
 		}
 	}
 	tuned := &tuning{cfg: cfg, op: op, eng: eng, pool: pool, side: side, table: table, budget: streams.Budget, rec: rec,
-		reclass: []func(*config.Settings){srv.Reclass}, log: log}
+		reclass: []func(*config.Settings){srv.UpdateClasses}, log: log}
 	next := &succession{classes: tuned.classes, inForce: tuned.handed, table: table, eng: eng, former: formerOf(cfg, log), effects: streams.Effects, log: log}
 	shares := &bounds{memory: memory, sockets: sockets, pool: pool, side: side, eng: eng}
 	if next.former != nil {
@@ -192,7 +192,7 @@
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	fronts := []downstream.Front{srv.Front(l)}
+	fronts := []downstream.Frontend{srv.Frontend(l)}
 	fronts[0].Addr = cfg.Listen
 	if overThrift != nil {
 		tl, err := open(next.former, cfg, op.Thrift.Listen)
@@ -201,8 +201,8 @@
 		}
 		log.Info().Stringer("addr", tl.Addr()).Msg("listening for Thrift")
 		server := thrift.New(op.Thrift, set, side, overThrift, log)
-		tuned.reclass = append(tuned.reclass, server.Reclass)
-		front := server.Front(tl)
+		tuned.reclass = append(tuned.reclass, server.UpdateClasses)
+		front := server.Frontend(tl)
 		front.Addr = op.Thrift.Listen
 		fronts = append(fronts, front)
 	}
@@ -215,7 +215,7 @@
 		if err != nil {
 			return fmt.Errorf("listen: LB_CONTROL: %w", err)
 		}
-		operators := control.New(srv.Takes, next, audit.calls(), log)
+		operators := control.New(srv.AcceptsStreams, next, audit.calls(), log)
 		defer operators.Close() // calls are answered for as long as the process runs
 		go func() { _ = operators.Serve(control.Listener(cl)) }()
 		log.Info().Stringer("addr", cl.Addr()).Msg("listening for operators")
@@ -233,7 +233,7 @@
 			<-settled // soon
 			next.serves(life, func() {
 				close(up)
-				srv.Ready()
+				srv.SetReady()
 			}, shares)
 		})
 	})
@@ -270,7 +270,7 @@
 		keep.end(followed.Load())
 	}()
 	err = side.Run(ending, fronts...)
-	followed.Store(side.IsFollowed())
+	followed.Store(side.IsSucceeded())
 	end()
 	select {
 	case <-kept:
--- a/internal/daemon/succession.go
+++ b/internal/daemon/succession.go
@@ -36,7 +36,7 @@
 	memory  int64 // bytes
 	sockets int   // for callers and upstream hosts
 	pool    *upstream.Pool
-	side    *downstream.Side
+	side    *downstream.Manager
 	eng     *driver.Engine
 
 	mu     sync.Mutex
@@ -53,7 +53,7 @@
 	b.eng.Share(int(parts))
 	sockets := b.sockets / int(parts)
 	b.pool.SetMaxConnections(sockets / 2)
-	b.side.Bound(b.memory/parts/bodiesPart, sockets-sockets/2)
+	b.side.SetLimits(b.memory/parts/bodiesPart, sockets-sockets/2)
 }
 
 // handed is what a process tells its successor. Classes stand by name, for the two may number them differently.
@@ -253,7 +253,7 @@
 }
 
 // wait has successors find this process once it serves.
-func (s *succession) wait(cfg *config.Config, fronts []downstream.Front, side *downstream.Side, b *bounds) {
+func (s *succession) wait(cfg *config.Config, fronts []downstream.Frontend, side *downstream.Manager, b *bounds) {
 	path := handover.Path(cfg.Listen)
 	if cfg.Control == "" || path == "" {
 		return
@@ -267,7 +267,7 @@
 		}
 	}
 	s.owner = &handover.Owner{Path: path, Listeners: map[string]*net.TCPListener{}, State: s.state, Followed: count,
-		Succeeded: side.Followed, Told: func(line []byte) { s.told(line, inflight.Next) }, Log: s.log}
+		Succeeded: side.SetSucceeded, Told: func(line []byte) { s.told(line, inflight.Next) }, Log: s.log}
 	for _, f := range fronts {
 		if l, ok := f.Listener.(*net.TCPListener); ok {
 			s.owner.Listeners[f.Addr] = l
--- a/internal/downstream/reclass_test.go
+++ b/internal/downstream/classes_test.go
@@ -31,7 +31,7 @@
 	if code := ask("GET", "/peek/1"); code != 404 {
 		t.Errorf("before it appears: %d", code)
 	}
-	s.Reclass(set)
+	s.UpdateClasses(set)
 	if code := ask("GET", "/peek/1"); code != 200 || got.Class != 3 {
 		t.Errorf("a class that appeared: %d, class %d", code, got.Class)
 	}
@@ -44,12 +44,12 @@
 	if code := ask("GET", "/look/1"); code != 200 || got.Class != 0 {
 		t.Errorf("a class that has just vanished: %d, class %d", code, got.Class)
 	}
-	s.Reclass(set) // told twice, it goes no later
+	s.UpdateClasses(set) // told twice, it goes no later
 	if _, taken := s.class("look", time.Now().Add(time.Second)); taken {
 		t.Error("a class that vanished is taken beyond its deadline")
 	}
 	set.Vanished = []bool{false, false, false, false}
-	s.Reclass(set)
+	s.UpdateClasses(set)
 	if _, taken := s.class("look", time.Now().Add(time.Hour)); !taken {
 		t.Error("a class that came back is not taken")
 	}
@@ -64,7 +64,7 @@
 	})
 	set := &config.Settings{Settings: balance.Settings{MaxHeld: 2, Classes: []balance.Class{{Effect: balance.Safe, Deadline: time.Second}}},
 		ClassNames: []string{"look"}, TenantNames: []string{"north", "süd 1"}}
-	s.Reclass(set)
+	s.UpdateClasses(set)
 	for _, c := range []struct {
 		orgs []string
 		code int
@@ -92,7 +92,7 @@
 		return stream.Response{}
 	})
 	safe := balance.Class{Effect: balance.Safe, Deadline: time.Second}
-	s.Reclass(&config.Settings{Settings: balance.Settings{MaxHeld: 2, Classes: []balance.Class{safe, safe, safe}},
+	s.UpdateClasses(&config.Settings{Settings: balance.Settings{MaxHeld: 2, Classes: []balance.Class{safe, safe, safe}},
 		ClassNames: []string{"open", "open/gate", "a.b/c/d"}})
 	for _, c := range []struct {
 		target, lane string
--- a/internal/downstream/connections.go
+++ b/internal/downstream/connections.go
@@ -14,63 +14,63 @@
 	"golang.org/x/sys/unix"
 )
 
-// silentLeast is how long a new connection may be silent before it is shed ahead of one that has already
+// newConnGracePeriod is how long a new connection may be silent before it is shed ahead of one that has already
 // brought a request: whoever has one to bring has sent it by then.
-const silentLeast = 100 * time.Millisecond
+const newConnGracePeriod = 100 * time.Millisecond
 
-// stalledLeast is how long a message's head may stand still before its connection is shed like a silent one: clients
+// headStallTimeout is how long a message's head may stand still before its connection is shed like a silent one: clients
 // that are slow write a head in pieces.
-const stalledLeast = 700 * time.Millisecond
+const headStallTimeout = 700 * time.Millisecond
 
-// lingerFor is how long a connection whose sending has ended is left to its client: there and back, and time to wake up. A
+// lingerTimeout is how long a connection whose sending has ended is left to its client: there and back, and time to wake up. A
 // planned end has it after what is answered last.
-const lingerFor = cutBefore - endBefore
+const lingerTimeout = cancelStreamsBefore - exitBefore
 
 // connections bounds how many callers' connections are open, so that they never take the descriptors of
 // the upstream side. When all are in use, one on which no request is under way is shed for a new one.
-type connections struct {
-	mu      sync.Mutex
-	free    *sync.Cond
-	most    int
-	open    int
-	quiet   map[net.Conn]quiet
-	leaving bool // whatever falls idle is closed
-	shut    bool // and whatever is new
-	over    bool // no close waits for its client any more
-	now     func() time.Time
+type connLimiter struct {
+	mu               sync.Mutex
+	free             *sync.Cond
+	maxOpen          int
+	open             int
+	inactive         map[net.Conn]inactivity
+	closeIdleConns   bool // whatever falls idle is closed
+	closeNewConns    bool // and whatever is new
+	lingeringStopped bool // no close waits for its client any more
+	now              func() time.Time
 }
 
 // quiet is a connection that is idle, or new and silent so far.
-type quiet struct {
+type inactivity struct {
 	state http.ConnState
 	since time.Time
 }
 
-func newConnections(most int) *connections {
-	c := &connections{most: most, quiet: map[net.Conn]quiet{}, now: time.Now}
+func newConnLimiter(most int) *connLimiter {
+	c := &connLimiter{maxOpen: most, inactive: map[net.Conn]inactivity{}, now: time.Now}
 	c.free = sync.NewCond(&c.mu)
 	return c
 }
 
 // changed follows net/http's states.
-func (c *connections) changed(conn net.Conn, state http.ConnState) {
+func (c *connLimiter) setState(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.quiet, conn)
-	own, ok := conn.(*caller)
+	delete(c.inactive, conn)
+	own, ok := conn.(*clientConn)
 	if ok {
-		own.begun = false
+		own.requestStarted = false
 	}
 	switch state {
 	case http.StateActive:
 		if ok {
-			own.asked.Add(1)
-			own.keep()
+			own.requests.Add(1)
+			own.cancelExpiry()
 		}
 	case http.StateNew, http.StateIdle:
-		c.quiet[conn] = quiet{state, c.now()}
-		if c.shut || c.leaving && state == http.StateIdle {
-			retire(conn)
+		c.inactive[conn] = inactivity{state, c.now()}
+		if c.closeNewConns || c.closeIdleConns && state == http.StateIdle {
+			expireRead(conn)
 		}
 		c.free.Signal()
 	case http.StateClosed, http.StateHijacked:
@@ -80,50 +80,50 @@
 }
 
 // claim waits until there is room for one more connection.
-func (c *connections) claim() {
+func (c *connLimiter) acquire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for c.open >= c.most {
-		c.shed()
+	for c.open >= c.maxOpen {
+		c.evict()
 		c.free.Wait()
 	}
 	c.open++
 }
 
 // shed closes one quiet connection, if there is one; the caller holds the lock.
-func (c *connections) shed() bool {
-	conn := c.toShed()
+func (c *connLimiter) evict() bool {
+	conn := c.evictionCandidate()
 	if conn != nil {
-		retire(conn) // between requests, or before the first: the client takes another
+		expireRead(conn) // between requests, or before the first: the client takes another
 	}
 	return conn != nil
 }
 
 // retire has a quiet connection be closed by whoever reads it, once nothing is left to be read: a message may have come that
 // its state does not show yet. The caller holds the lock.
-func retire(conn net.Conn) {
-	own, ok := conn.(*caller)
+func expireRead(conn net.Conn) {
+	own, ok := conn.(*clientConn)
 	switch {
-	case ok && !own.retired:
-		own.retired = true
-		_ = own.Conn.SetReadDeadline(past) // on a connection that is broken the read says so
+	case ok && !own.readExpired:
+		own.readExpired = true
+		_ = own.Conn.SetReadDeadline(expiredDeadline) // on a connection that is broken the read says so
 	case !ok:
 		_ = conn.Close()
 	}
 }
 
 // bound has so many connections be open at most from now on. Quiet ones beyond that are closed, busy ones end by themselves.
-func (c *connections) bound(most int) {
+func (c *connLimiter) setMax(most int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.most = most
-	for over := c.open - most; over > 0 && c.shed(); over-- {
+	c.maxOpen = most
+	for over := c.open - most; over > 0 && c.evict(); over-- {
 	}
 	c.free.Broadcast()
 }
 
 // none tells when no connection is open any more.
-func (c *connections) none() <-chan struct{} {
+func (c *connLimiter) allClosed() <-chan struct{} {
 	none := make(chan struct{})
 	go func() {
 		defer close(none)
@@ -136,24 +136,24 @@
 	return none
 }
 
-// toShed picks the quiet connection that goes first: the oldest of those that have been silent from the start or whose
+// evictionCandidate picks the quiet connection that goes first: the oldest of those that have been silent from the start or whose
 // message stands still, then of the idle ones those that have brought one message, for a crowd asks once and stays,
 // then the others, the longest idle first, and last those whose message still comes. The caller holds the lock.
-func (c *connections) toShed() net.Conn {
+func (c *connLimiter) evictionCandidate() net.Conn {
 	now := c.now()
-	rank := func(conn net.Conn, q quiet) (int, time.Time) {
+	rank := func(conn net.Conn, q inactivity) (int, time.Time) {
 		heard, asked, idle := int64(0), int64(0), q.state == http.StateIdle
-		if own, ok := conn.(*caller); ok {
-			heard, asked, idle = own.heard.Load(), own.asked.Load(), idle && !own.begun
+		if own, ok := conn.(*clientConn); ok {
+			heard, asked, idle = own.lastRead.Load(), own.requests.Load(), idle && !own.requestStarted
 		}
 		switch at := time.Unix(0, heard); {
 		case idle && asked <= 1:
 			return 1, q.since
 		case idle:
 			return 2, q.since
-		case heard == 0 && now.Sub(q.since) >= silentLeast:
+		case heard == 0 && now.Sub(q.since) >= newConnGracePeriod:
 			return 0, q.since
-		case heard > 0 && now.Sub(at) >= stalledLeast:
+		case heard > 0 && now.Sub(at) >= headStallTimeout:
 			return 0, at
 		case heard > 0:
 			return 3, at
@@ -163,8 +163,8 @@
 	var best net.Conn
 	var least int
 	var first time.Time
-	for conn, q := range c.quiet {
-		if own, ok := conn.(*caller); ok && own.retired {
+	for conn, q := range c.inactive {
+		if own, ok := conn.(*clientConn); ok && own.readExpired {
 			continue
 		}
 		if n, at := rank(conn, q); best == nil || n < least || n == least && at.Before(first) {
@@ -175,10 +175,10 @@
 }
 
 // spare is how many of the connections to an address are free for another request.
-func (c *connections) spare(at net.Addr) (n int) {
+func (c *connLimiter) countInactive(at net.Addr) (n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for conn := range c.quiet {
+	for conn := range c.inactive {
 		if conn.LocalAddr().String() == at.String() {
 			n++
 		}
@@ -187,112 +187,112 @@
 }
 
 // fresh tells whether a connection is new, and its first request may be on its way. The caller holds the lock.
-func (c *connections) fresh(q quiet) bool {
-	return q.state == http.StateNew && c.now().Sub(q.since) < silentLeast
+func (c *connLimiter) isFresh(q inactivity) bool {
+	return q.state == http.StateNew && c.now().Sub(q.since) < newConnGracePeriod
 }
 
 // closeIdle closes every connection that waits for another request or has long been silent, and from now on each that has
 // answered its last. Those that are new are left to bring their request.
-func (c *connections) closeIdle() {
+func (c *connLimiter) closeIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leaving = true
-	for conn, q := range c.quiet {
-		if own, ok := conn.(*caller); (!ok || !own.begun) && !c.fresh(q) {
-			retire(conn)
+	c.closeIdleConns = true
+	for conn, q := range c.inactive {
+		if own, ok := conn.(*clientConn); (!ok || !own.requestStarted) && !c.isFresh(q) {
+			expireRead(conn)
 		}
 	}
 }
 
-// closeQuiet closes every connection on which no request has begun, and from now on each that has answered its last.
-func (c *connections) closeQuiet() {
+// closeInactive closes every connection on which no request has begun, and from now on each that has answered its last.
+func (c *connLimiter) closeInactive() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leaving, c.shut = true, true
-	for conn := range c.quiet {
-		if own, ok := conn.(*caller); !ok || !own.begun {
-			retire(conn)
+	c.closeIdleConns, c.closeNewConns = true, true
+	for conn := range c.inactive {
+		if own, ok := conn.(*clientConn); !ok || !own.requestStarted {
+			expireRead(conn)
 		}
 	}
 }
 
 // abandon has no close wait for its client from now on.
-func (c *connections) abandon() {
+func (c *connLimiter) stopLingering() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.over = true
+	c.lingeringStopped = true
 }
 
 // past is a deadline by which a read returns at once.
-var past = time.Unix(1, 0)
+var expiredDeadline = time.Unix(1, 0)
 
 // caller is a caller's connection. It knows when something last came on it, and whether anything ever has. One that is
 // retired reads as if its time were over, unless more has come: net/http tells of a message only once its head is whole.
-type caller struct {
+type clientConn struct {
 	net.Conn
-	heard atomic.Int64 // Unix nanoseconds; 0: never
-	asked atomic.Int64 // messages
+	lastRead atomic.Int64 // Unix nanoseconds; 0: never
+	requests atomic.Int64 // messages
 
-	conns   *connections // whose lock guards the rest
-	begun   bool         // something has come since its last state
-	retired bool
-	closing bool      // somebody is about to close it, or it is to be reset
-	until   time.Time // for reading, as it was last set
+	limiter        *connLimiter // whose lock guards the rest
+	requestStarted bool         // something has come since its last state
+	readExpired    bool
+	closing        bool      // somebody is about to close it, or it is to be reset
+	readDeadline   time.Time // for reading, as it was last set
 }
 
-func (c *caller) Read(b []byte) (int, error) {
+func (c *clientConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if errors.Is(err, os.ErrDeadlineExceeded) && c.spared() {
+	if errors.Is(err, os.ErrDeadlineExceeded) && c.shouldRetryRead() {
 		n, err = c.Conn.Read(b)
 	}
 	if n > 0 {
-		c.conns.mu.Lock()
-		defer c.conns.mu.Unlock()
-		c.heard.Store(time.Now().UnixNano())
-		c.begun = true
-		c.keep()
+		c.limiter.mu.Lock()
+		defer c.limiter.mu.Unlock()
+		c.lastRead.Store(time.Now().UnixNano())
+		c.requestStarted = true
+		c.cancelExpiry()
 	}
 	return n, err
 }
 
 // Write gives a client so long to take what it is answered: one that sends on and reads nothing would hold its connection for ever.
-func (c *caller) Write(b []byte) (int, error) {
-	_ = c.SetWriteDeadline(time.Now().Add(takeFor)) // on a connection that is broken the write says so
+func (c *clientConn) Write(b []byte) (int, error) {
+	_ = c.SetWriteDeadline(time.Now().Add(writeStallTimeout)) // on a connection that is broken the write says so
 	return c.Conn.Write(b)
 }
 
 // spared tells whether something waits to be read on a retired connection, which is kept by reading it. Otherwise its reader
 // closes it.
-func (c *caller) spared() bool {
-	c.conns.mu.Lock()
-	defer c.conns.mu.Unlock()
-	if c.retired = c.retired && unread(c.Conn); c.retired {
-		_ = c.Conn.SetReadDeadline(c.until)
+func (c *clientConn) shouldRetryRead() bool {
+	c.limiter.mu.Lock()
+	defer c.limiter.mu.Unlock()
+	if c.readExpired = c.readExpired && hasUnread(c.Conn); c.readExpired {
+		_ = c.Conn.SetReadDeadline(c.readDeadline)
 	}
-	return c.retired
+	return c.readExpired
 }
 
 // keep has a connection that was retired go on. Another may have to be shed for it. The caller holds the lock.
-func (c *caller) keep() {
-	if c.retired {
-		c.retired = false
-		_ = c.Conn.SetReadDeadline(c.until)
-		c.conns.free.Signal()
+func (c *clientConn) cancelExpiry() {
+	if c.readExpired {
+		c.readExpired = false
+		_ = c.Conn.SetReadDeadline(c.readDeadline)
+		c.limiter.free.Signal()
 	}
 }
 
 // SetReadDeadline takes effect once the connection is not retired.
-func (c *caller) SetReadDeadline(until time.Time) error {
-	c.conns.mu.Lock()
-	defer c.conns.mu.Unlock()
-	if c.until = until; c.retired {
+func (c *clientConn) SetReadDeadline(until time.Time) error {
+	c.limiter.mu.Lock()
+	defer c.limiter.mu.Unlock()
+	if c.readDeadline = until; c.readExpired {
 		return nil
 	}
 	return c.Conn.SetReadDeadline(until)
 }
 
 // CloseWrite ends our sending alone, where the connection can.
-func (c *caller) CloseWrite() error {
+func (c *clientConn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
 	}
@@ -302,11 +302,11 @@
 // Close ends our sending first, and leaves a client that may have something on its way so long to end the connection itself:
 // a close over bytes that nobody has read resets the connection, and takes an answer with it that the client is yet to read.
 // What comes then is not read, for it can't be answered.
-func (c *caller) Close() error {
-	if sc, ok := c.Conn.(syscall.Conn); ok && c.lingers() && c.CloseWrite() == nil {
+func (c *clientConn) Close() error {
+	if sc, ok := c.Conn.(syscall.Conn); ok && c.shouldLinger() && c.CloseWrite() == nil {
 		if raw, err := sc.SyscallConn(); err == nil {
-			_ = c.Conn.SetReadDeadline(time.Now().Add(lingerFor))
-			_ = raw.Read(func(uintptr) bool { return Left(c.Conn) }) // or its time is over
+			_ = c.Conn.SetReadDeadline(time.Now().Add(lingerTimeout))
+			_ = raw.Read(func(uintptr) bool { return PeerClosed(c.Conn) }) // or its time is over
 		}
 	}
 	return c.Conn.Close()
@@ -314,17 +314,17 @@
 
 // lingers tells whether a client may have something on its way as its connection is closed: because something is here, or
 // because clients are not told of a planned end before it. It does so once.
-func (c *caller) lingers() bool {
-	c.conns.mu.Lock()
-	defer c.conns.mu.Unlock()
+func (c *clientConn) shouldLinger() bool {
+	c.limiter.mu.Lock()
+	defer c.limiter.mu.Unlock()
 	first := !c.closing
 	c.closing = true
-	return first && !c.conns.over && (c.conns.leaving || unread(c.Conn))
+	return first && !c.limiter.lingeringStopped && (c.limiter.closeIdleConns || hasUnread(c.Conn))
 }
 
-// Unread is how many bytes have come on a connection that are not read yet; 0 where that can't be told.
-func Unread(conn net.Conn) (n int) {
-	if own, ok := conn.(*caller); ok {
+// UnreadBytes is how many bytes have come on a connection that are not read yet; 0 where that can't be told.
+func UnreadBytes(conn net.Conn) (n int) {
+	if own, ok := conn.(*clientConn); ok {
 		conn = own.Conn
 	}
 	sc, ok := conn.(syscall.Conn)
@@ -343,55 +343,55 @@
 }
 
 // reset has the connection end with a reset, whatever has come.
-func (c *caller) reset() {
-	c.conns.mu.Lock()
+func (c *clientConn) forceReset() {
+	c.limiter.mu.Lock()
 	c.closing = true
-	c.conns.mu.Unlock()
+	c.limiter.mu.Unlock()
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
 }
 
-type callerKey struct{}
+type connContextKey struct{}
 
 // withConn is for http.Server.ConnContext.
 func withConn(ctx context.Context, conn net.Conn) context.Context {
-	return context.WithValue(ctx, callerKey{}, conn)
+	return context.WithValue(ctx, connContextKey{}, conn)
 }
 
 // cut ends a message's connection in a way that can't pass for the end of an answer, whatever its framing.
-func cut(ctx context.Context) {
-	if c, ok := ctx.Value(callerKey{}).(*caller); ok {
-		c.reset() // also where the end of the connection would be the end of the answer
+func abortResponse(ctx context.Context) {
+	if c, ok := ctx.Value(connContextKey{}).(*clientConn); ok {
+		c.forceReset() // also where the end of the connection would be the end of the answer
 	}
 	panic(http.ErrAbortHandler)
 }
 
 // limited is a listener whose connections wait until there is room for them.
-type limited struct {
+type limitedListener struct {
 	net.Listener
-	conns *connections
-	ends  atomic.Bool
+	limiter *connLimiter
+	closing atomic.Bool
 }
 
-func (l *limited) Accept() (net.Conn, error) {
+func (l *limitedListener) Accept() (net.Conn, error) {
 	conn, err := l.accept()
 	if err != nil {
 		return nil, err
 	}
-	l.conns.claim()
-	return &caller{Conn: conn, conns: l.conns}, nil
+	l.limiter.acquire()
+	return &clientConn{Conn: conn, limiter: l.limiter}, nil
 }
 
 // accept goes on after Close, until the kernel's queue is empty.
-func (l *limited) accept() (net.Conn, error) {
+func (l *limitedListener) accept() (net.Conn, error) {
 	for {
-		if l.ends.Load() {
-			if !queued(l.Listener) {
+		if l.closing.Load() {
+			if !hasQueuedConn(l.Listener) {
 				_ = l.Listener.Close()
 				return nil, net.ErrClosed
 			}
-			_ = l.Listener.(timed).SetDeadline(time.Now().Add(lingerFor)) // another process may take what is there
+			_ = l.Listener.(pollableListener).SetDeadline(time.Now().Add(lingerTimeout)) // another process may take what is there
 		}
 		if conn, err := l.Listener.Accept(); !errors.Is(err, os.ErrDeadlineExceeded) {
 			return conn, err
@@ -400,25 +400,25 @@
 }
 
 // timed is a listener whose queue can be looked at.
-type timed interface {
+type pollableListener interface {
 	syscall.Conn
 	SetDeadline(t time.Time) error
 }
 
 // Close has Accept return what is in the kernel's queue yet, and then let go of the address: those connections are this
 // machine's already, and would be reset with what their clients have written.
-func (l *limited) Close() error {
-	t, ok := l.Listener.(timed)
+func (l *limitedListener) Close() error {
+	t, ok := l.Listener.(pollableListener)
 	if !ok {
 		return l.Listener.Close()
 	}
-	l.ends.Store(true)
-	return t.SetDeadline(past)
+	l.closing.Store(true)
+	return t.SetDeadline(expiredDeadline)
 }
 
 // queued tells whether a connection waits to be accepted.
-func queued(l net.Listener) (waits bool) {
-	raw, err := l.(timed).SyscallConn()
+func hasQueuedConn(l net.Listener) (waits bool) {
+	raw, err := l.(pollableListener).SyscallConn()
 	if err != nil {
 		return false
 	}
--- a/internal/downstream/end_test.go
+++ b/internal/downstream/drain_bench_test.go
@@ -70,7 +70,7 @@
 	set := &config.Settings{ClassNames: []string{"look"}, Settings: balance.Settings{Instances: 1, MaxHeld: 100,
 		Classes: []balance.Class{{Effect: balance.Safe, Deadline: 100 * time.Millisecond}}}}
 	for b.Loop() {
-		s := New(set, NewSide(set, 1<<20, 100, zerolog.Nop()), handlerFunc(func(context.Context, *stream.Request) stream.Response {
+		s := New(set, NewManager(set, 1<<20, 100, zerolog.Nop()), handlerFunc(func(context.Context, *stream.Request) stream.Response {
 			time.Sleep(2 * time.Millisecond)
 			return stream.Response{Body: []byte("whole")}
 		}), zerolog.Nop())
@@ -84,7 +84,7 @@
 			clients.Go(func() { n.ask(l.Addr().String()) })
 		}
 		end()
-		if err := s.Run(ctx, s.Front(l)); err != nil {
+		if err := s.Run(ctx, s.Frontend(l)); err != nil {
 			b.Fatal(err)
 		}
 		clients.Wait()
--- a/internal/downstream/crossing_test.go
+++ b/internal/downstream/drain_race_test.go
@@ -124,12 +124,12 @@
 		c.serve()
 		return stream.Response{Body: []byte("whole")}
 	})
-	c.terms.Store(&terms{mostHeld: 10, within: time.Minute})
-	c.conns = newConnections(most)
+	c.settings.Store(&managerSettings{maxStreams: 10, drainTimeout: time.Minute})
+	c.limiter = newConnLimiter(most)
 	c.After = func(time.Duration) <-chan time.Time { return c.steps }
 	ctx, end := context.WithCancel(context.Background())
 	c.end = end
-	go func() { c.ended <- c.Run(ctx, c.Front(c.gate)) }()
+	go func() { c.ended <- c.Run(ctx, c.Frontend(c.gate)) }()
 	t.Cleanup(func() { l.Close() })
 	return c
 }
@@ -198,7 +198,7 @@
 						now, later = raw[:20], raw[20:]
 					}
 					io.WriteString(conn, now)
-					for !unread(g) { // on its way
+					for !hasUnread(g) { // on its way
 						runtime.Gosched()
 					}
 					for range at {
@@ -267,8 +267,8 @@
 		<-release
 		return stream.Response{Body: []byte("whole")}
 	})
-	s.terms.Store(&terms{mostHeld: 10, within: time.Minute})
-	s.conns = newConnections(1)
+	s.settings.Store(&managerSettings{maxStreams: 10, drainTimeout: time.Minute})
+	s.limiter = newConnLimiter(1)
 	steps := make(chan time.Time)
 	s.After = func(time.Duration) <-chan time.Time { return steps }
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -277,7 +277,7 @@
 	}
 	ctx, end := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- s.Run(ctx, s.Front(l)) }()
+	go func() { ended <- s.Run(ctx, s.Frontend(l)) }()
 	var all []*bufio.Reader // one is served, one waits for room, the others in the queue
 	for range 4 {
 		conn, in := dial(t, l.Addr())
@@ -289,9 +289,9 @@
 	steps <- time.Now()
 	steps <- time.Now() // it leaves
 	for leaving := false; !leaving; runtime.Gosched() {
-		s.conns.mu.Lock()
-		leaving = s.conns.leaving
-		s.conns.mu.Unlock()
+		s.limiter.mu.Lock()
+		leaving = s.limiter.closeIdleConns
+		s.limiter.mu.Unlock()
 	}
 	close(release)
 	for i, in := range all {
@@ -312,12 +312,12 @@
 func TestRequestOfANewConnectionCrossesEnd(t *testing.T) {
 	c := newCrossing(t, 3)
 	clock := time.Now()
-	c.conns.now = func() time.Time { return clock }
+	c.limiter.now = func() time.Time { return clock }
 	kept, keptIn, _ := c.dial(false)
 	io.WriteString(kept, raw)
 	c.whole(keptIn, false)
 	fresh, freshIn, _ := c.dial(false)
-	for c.conns.spare(c.gate.Addr()) < 2 {
+	for c.limiter.countInactive(c.gate.Addr()) < 2 {
 		runtime.Gosched()
 	}
 	c.end()
@@ -327,16 +327,16 @@
 		t.Errorf("an idle connection reads %v, want its end", err)
 	}
 	kept.Close()
-	c.conns.mu.Lock()
-	quiets := slices.Collect(maps.Keys(c.conns.quiet))
-	c.conns.mu.Unlock()
+	c.limiter.mu.Lock()
+	quiets := slices.Collect(maps.Keys(c.limiter.inactive))
+	c.limiter.mu.Unlock()
 	for _, conn := range quiets { // as another front does with all that it has
-		c.Retire(conn)
-		c.conns.mu.Lock()
-		if own := conn.(*caller); own.retired && own.RemoteAddr().String() == fresh.LocalAddr().String() {
+		c.ExpireRead(conn)
+		c.limiter.mu.Lock()
+		if own := conn.(*clientConn); own.readExpired && own.RemoteAddr().String() == fresh.LocalAddr().String() {
 			t.Error("a connection that has just come is to be closed")
 		}
-		c.conns.mu.Unlock()
+		c.limiter.mu.Unlock()
 	}
 	io.WriteString(fresh, raw)
 	c.whole(freshIn, true)
@@ -368,7 +368,7 @@
 	conn, in, g := c.dial(false)
 	io.WriteString(conn, raw)
 	c.whole(in, false)
-	for c.conns.spare(c.gate.Addr()) == 0 {
+	for c.limiter.countInactive(c.gate.Addr()) == 0 {
 		runtime.Gosched()
 	}
 	g.stopsEnd.Store(true)
@@ -376,7 +376,7 @@
 	close(c.steps)
 	<-g.held
 	io.WriteString(conn, raw)
-	for !unread(g) {
+	for !hasUnread(g) {
 		runtime.Gosched()
 	}
 	g.goOn <- struct{}{}
@@ -396,7 +396,7 @@
 	}
 	defer l.Close()
 	far, in := dial(t, l.Addr())
-	near, err := (&limited{Listener: l, conns: newConnections(1)}).Accept()
+	near, err := (&limitedListener{Listener: l, limiter: newConnLimiter(1)}).Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/downstream/left_test.go
+++ b/internal/downstream/peer_test.go
@@ -46,24 +46,24 @@
 			t.Fatal(err)
 		}
 		_, _ = client.Write([]byte(c.says))
-		if Left(here) {
+		if PeerClosed(here) {
 			t.Errorf("%s: it has left before it does", c.name)
 		}
 		if c.ends != nil {
 			c.ends(client.(*net.TCPConn), here)
 		}
-		own := &caller{Conn: here}
-		for c.left && !Left(own) { // it comes over the loopback; a leave that is never seen runs into the tests' time-out
+		own := &clientConn{Conn: here}
+		for c.left && !PeerClosed(own) { // it comes over the loopback; a leave that is never seen runs into the tests' time-out
 			runtime.Gosched()
 		}
-		if Left(own) != c.left {
+		if PeerClosed(own) != c.left {
 			t.Errorf("%s: left is %v", c.name, !c.left)
 		}
 		client.Close()
 		here.Close()
 	}
 	near, _ := net.Pipe()
-	if Left(near) {
+	if PeerClosed(near) {
 		t.Error("one of which nothing can be seen has left")
 	}
 }
@@ -75,8 +75,8 @@
 		defer client.Close()
 		from := time.Now()
 		time.AfterFunc(time.Hour, func() { here.Close() })
-		if _, err := (&caller{Conn: here}).Write([]byte("an answer")); err == nil || time.Since(from) > takeFor {
-			t.Errorf("a write that nobody takes ends after %v with %v, want %v", time.Since(from), err, takeFor)
+		if _, err := (&clientConn{Conn: here}).Write([]byte("an answer")); err == nil || time.Since(from) > writeStallTimeout {
+			t.Errorf("a write that nobody takes ends after %v with %v, want %v", time.Since(from), err, writeStallTimeout)
 		}
 	})
 }
@@ -95,19 +95,19 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newServer(func(context.Context, *stream.Request) stream.Response { return stream.Response{} })
-				s.held.Add(c.held)
+				s.activeStreams.Add(c.held)
 				l := make(pipes, 1)
 				here, client := net.Pipe()
 				l <- here
-				server := s.Front(l).Server
-				go func() { _ = server.Serve(&limited{Listener: l, conns: s.conns}) }()
+				server := s.Frontend(l).Server
+				go func() { _ = server.Serve(&limitedListener{Listener: l, limiter: s.limiter}) }()
 				from := time.Now()
 				time.AfterFunc(time.Hour, func() { client.Close() })
 				go func() {
 					_, _ = io.WriteString(client, c.message+" HTTP/1.1\r\nHost: x\r\nX-Txn: a\r\nX-Remaining-Ms: 900\r\nContent-Length: 9\r\n\r\nhalf")
 				}()
 				got, _ := io.ReadAll(client)
-				if took := time.Since(from); took > 2*bodyFor || len(got) < len(c.answer) || string(got[:len(c.answer)]) != c.answer {
+				if took := time.Since(from); took > 2*bodyTimeout || len(got) < len(c.answer) || string(got[:len(c.answer)]) != c.answer {
 					t.Errorf("%.20q, and the connection is held for %v", got, took)
 				}
 				_ = server.Close()
--- a/internal/downstream/pass_test.go
+++ b/internal/downstream/response_stream_test.go
@@ -51,7 +51,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	go func() { _ = s.Run(context.Background(), s.Front(l)) }()
+	go func() { _ = s.Run(context.Background(), s.Frontend(l)) }()
 	for _, c := range []struct {
 		version string
 		length  int64
@@ -122,13 +122,13 @@
 				s := newServer(func(context.Context, *stream.Request) stream.Response {
 					return stream.Response{Outcome: stream.Served, Body: []byte("one "), Rest: rest, Length: -1}
 				})
-				s.terms.Store(&terms{mostHeld: 10, within: kill - endBefore})
+				s.settings.Store(&managerSettings{maxStreams: 10, drainTimeout: kill - exitBefore})
 				l := &oncePipes{pipes: make(pipes, 1)}
 				here, client := net.Pipe()
 				l.pipes <- here
 				ctx, end := context.WithCancel(context.Background())
 				ended := make(chan error, 1)
-				go func() { ended <- s.Run(ctx, s.Front(l)) }()
+				go func() { ended <- s.Run(ctx, s.Frontend(l)) }()
 				go func() { _, _ = io.WriteString(client, raw) }()
 				res, err := http.ReadResponse(bufio.NewReader(client), nil)
 				if err != nil {
@@ -137,8 +137,8 @@
 				_, _ = io.ReadFull(res.Body, make([]byte, len("one ")))
 				from := time.Now()
 				end()
-				time.Sleep(kill - cutBefore + after)
-				if s.Life().Err() == nil {
+				time.Sleep(kill - cancelStreamsBefore + after)
+				if s.StreamContext().Err() == nil {
 					t.Fatal("all is not cut yet")
 				}
 				if whole {
@@ -149,7 +149,7 @@
 				if whole && (string(got) != "two " || err != nil) {
 					t.Errorf("what came after the cut reads %q, %v", got, err)
 				}
-				if !whole && (err == nil || time.Since(from) >= kill-endBefore) {
+				if !whole && (err == nil || time.Since(from) >= kill-exitBefore) {
 					t.Errorf("an answer that goes on ends after %v with %v", time.Since(from), err)
 				}
 				client.Close()
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -17,7 +17,7 @@
 	"pinelb.example/pinelb/internal/stream"
 )
 
-const headerMost = 16 << 10
+const maxHeaderBytes = 16 << 10
 
 // Handler answers streams.
 type Handler interface {
@@ -28,34 +28,34 @@
 
 // Server takes streams over HTTP.
 type Server struct {
-	*Side
+	*Manager
 	Gate stream.Gate // says whether the sidecar takes streams at present; nil: it does
 
 	classes atomic.Pointer[map[string]class]
 	tenants atomic.Pointer[map[string]int] // as stream.Request has them
-	streams Handler
+	handler Handler
 	log     zerolog.Logger
 	ready   atomic.Bool
 }
 
 // New returns a server that is not ready yet.
-func New(s *config.Settings, side *Side, streams Handler, log zerolog.Logger) *Server {
-	srv := &Server{Side: side, streams: streams, log: log}
+func New(s *config.Settings, side *Manager, streams Handler, log zerolog.Logger) *Server {
+	srv := &Server{Manager: side, handler: streams, log: log}
 	srv.classes.Store(&map[string]class{})
 	srv.tenants.Store(&map[string]int{})
-	srv.Reclass(s)
+	srv.UpdateClasses(s)
 	return srv
 }
 
-// Reclass takes over changed tenants and classes, by their names; the decisions know them already. One that has vanished is taken for
+// UpdateClasses takes over changed tenants and classes, by their names; the decisions know them already. One that has vanished is taken for
 // as long as its deadline: whoever calls, and was told at another moment, still has requests of it under way.
-func (s *Server) Reclass(set *config.Settings) {
+func (s *Server) UpdateClasses(set *config.Settings) {
 	was, is, now := *s.classes.Load(), map[string]class{}, time.Now()
 	for i, name := range set.ClassNames {
 		c := class{index: i, effect: set.Classes[i].Effect, deadline: set.Classes[i].Deadline}
 		if set.Vanished != nil && set.Vanished[i] {
-			if c = was[name]; c.until.IsZero() {
-				c.until = now.Add(c.deadline)
+			if c = was[name]; c.removedAt.IsZero() {
+				c.removedAt = now.Add(c.deadline)
 			}
 		}
 		is[name] = c
@@ -71,14 +71,14 @@
 // class finds one by its name, at that time.
 func (s *Server) class(name string, at time.Time) (class, bool) {
 	c, known := (*s.classes.Load())[name]
-	return c, known && (c.until.IsZero() || at.Before(c.until))
+	return c, known && (c.removedAt.IsZero() || at.Before(c.removedAt))
 }
 
-// Ready lets the front send streams.
-func (s *Server) Ready() { s.ready.Store(true) }
+// SetReady lets the front send streams.
+func (s *Server) SetReady() { s.ready.Store(true) }
 
-// Takes tells whether the front is to send streams: the sidecar is ready, not about to end, and its gate lets them in.
-func (s *Server) Takes() bool {
+// AcceptsStreams tells whether the front is to send streams: the sidecar is ready, not about to end, and its gate lets them in.
+func (s *Server) AcceptsStreams() bool {
 	if !s.ready.Load() || s.draining.Load() {
 		return false
 	}
@@ -89,37 +89,37 @@
 	return takes
 }
 
-// Front is the server on l.
-func (s *Server) Front(l net.Listener) Front {
-	return Front{Listener: l, Server: &server{conns: s.conns, served: make(chan struct{}), Server: &http.Server{
-		ConnContext: withConn, Handler: s, ReadHeaderTimeout: HeadWithin, IdleTimeout: IdleWithin,
-		MaxHeaderBytes: headerMost, DisableGeneralOptionsHandler: true,
-		BaseContext: func(net.Listener) context.Context { return s.life }, ConnState: s.Changed, ErrorLog: stdlog.New(s.log, "", 0)}}}
+// Frontend is the server on l.
+func (s *Server) Frontend(l net.Listener) Frontend {
+	return Frontend{Listener: l, Server: &httpServer{limiter: s.limiter, serveDone: make(chan struct{}), Server: &http.Server{
+		ConnContext: withConn, Handler: s, ReadHeaderTimeout: HeaderTimeout, IdleTimeout: IdleTimeout,
+		MaxHeaderBytes: maxHeaderBytes, DisableGeneralOptionsHandler: true,
+		BaseContext: func(net.Listener) context.Context { return s.streamCtx }, ConnState: s.ConnStateChanged, ErrorLog: stdlog.New(s.log, "", 0)}}}
 }
 
 // server is net/http's with another Shutdown: its own hangs up on every message whose head becomes whole later, and on every
 // connection that is idle by its state.
-type server struct {
+type httpServer struct {
 	*http.Server
-	conns  *connections
-	served chan struct{} // closed once Serve has returned, and every connection that it took is counted
+	limiter   *connLimiter
+	serveDone chan struct{} // closed once Serve has returned, and every connection that it took is counted
 }
 
-func (s *server) Serve(l net.Listener) error {
-	defer close(s.served)
+func (s *httpServer) Serve(l net.Listener) error {
+	defer close(s.serveDone)
 	return s.Server.Serve(l)
 }
 
-// Shutdown waits for connections that end by themselves, as closeQuiet has them do, once its listener is closed.
-func (s *server) Shutdown(ctx context.Context) error {
+// Shutdown waits for connections that end by themselves, as closeInactive has them do, once its listener is closed.
+func (s *httpServer) Shutdown(ctx context.Context) error {
 	select {
-	case <-s.served:
+	case <-s.serveDone:
 		select {
-		case <-s.conns.none():
+		case <-s.limiter.allClosed():
 		case <-ctx.Done():
 		}
 	case <-ctx.Done():
 	}
-	s.conns.abandon() // net/http closes while it holds its lock
+	s.limiter.stopLingering() // net/http closes while it holds its lock
 	return s.Server.Shutdown(ctx)
 }
--- a/internal/downstream/server_test.go
+++ b/internal/downstream/server_test.go
@@ -39,7 +39,7 @@
 			{Effect: balance.Unsafe, Deadline: 3 * time.Second}}},
 		ClassNames: []string{"look", "order", "charge"},
 	}
-	return New(set, NewSide(set, 1<<20, 10, zerolog.Nop()), h, zerolog.Nop())
+	return New(set, NewManager(set, 1<<20, 10, zerolog.Nop()), h, zerolog.Nop())
 }
 
 func message(method, target, body string, headers ...string) *http.Request {
@@ -67,7 +67,7 @@
 	cut := message("POST", "/charge/1", "four", id, "a", left, "9")
 	cut.ContentLength = 5
 	huge := message("POST", "/charge/1", "x", id, "a", left, "9")
-	huge.ContentLength = uploadMost + 1
+	huge.ContentLength = maxUploadBytes + 1
 	twice := func(name string) *http.Request {
 		r := message("POST", "/order/1", "", id, "a", left, "9", "Idempotency-Key", "k", "X-Lane", "order", "X-Labels", "a=1")
 		r.Header.Add(name, r.Header.Get(name))
@@ -92,7 +92,7 @@
 		{message("GET", "/look/1", "", id, "a", left, "9", "Content-Type", "\xfftext"), 400},
 		{message("GET", "/look/1", "", left, "9"), 400},
 		{message("GET", "/look/1", "", id, "a b", left, "9"), 400},
-		{message("GET", "/look/1", "", id, strings.Repeat("a", nameMost+1), left, "9"), 400},
+		{message("GET", "/look/1", "", id, strings.Repeat("a", maxNameBytes+1), left, "9"), 400},
 		{message("GET", "/look/1", "", id, "a"), 400},
 		{message("GET", "/look/1", "", id, "a", left, "soon"), 400},
 		{message("GET", "/look/1", "", id, "a", left, "-5"), 400},
@@ -125,7 +125,7 @@
 		got = *req
 		return stream.Response{}
 	})
-	body := strings.Repeat("x", bodyMost)
+	body := strings.Repeat("x", maxBufferedBody)
 	from := time.Now()
 	s.ServeHTTP(httptest.NewRecorder(), message("POST", "/order/7?a=%20b", body, "X-Txn", "9b1f", "X-Lane", "order",
 		"X-Remaining-Ms", "1500", "Idempotency-Key", "k1", "X-Resent", "1", "X-Labels", "n=1", "Content-Type", "text/csv"))
@@ -219,10 +219,10 @@
 // Guards against refusals that callers see and that nobody is told of, and against faulty messages among them.
 func TestRefusalsAreTold(t *testing.T) {
 	s, r := newServer(nil), &refusals{}
-	s.streams = r
-	s.bodiesMost.Store(1)
+	s.handler = r
+	s.maxBodyBytes.Store(1)
 	for i, target := range []string{"/charge/1", "/unheard-of", "/charge/2"} {
-		s.held.Store(s.terms.Load().mostHeld * int64(1-i/2)) // only for the last there is room, but not for its body
+		s.activeStreams.Store(s.settings.Load().maxStreams * int64(1-i/2)) // only for the last there is room, but not for its body
 		w := httptest.NewRecorder()
 		if s.ServeHTTP(w, message("POST", target, "xx", "X-Txn", "a", "X-Remaining-Ms", "9")); w.Code != 503 {
 			t.Errorf("answered %d, want 503", w.Code)
@@ -266,7 +266,7 @@
 		<-release
 		return stream.Response{Body: []byte("whole")}
 	})
-	s.terms.Store(&terms{mostHeld: 10, within: time.Minute})
+	s.settings.Store(&managerSettings{maxStreams: 10, drainTimeout: time.Minute})
 	steps := make(chan time.Time)
 	s.After = func(time.Duration) <-chan time.Time { return steps }
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -275,7 +275,7 @@
 	}
 	ctx, end := context.WithCancel(context.Background())
 	ended := make(chan error)
-	go func() { ended <- s.Run(ctx, s.Front(l)) }()
+	go func() { ended <- s.Run(ctx, s.Frontend(l)) }()
 	taken, takenIn := dial(t, l.Addr())
 	_, idleIn := dial(t, l.Addr())
 	io.WriteString(taken, raw)
@@ -318,7 +318,7 @@
 		}
 		return stream.Response{Body: []byte("whole")}
 	})
-	s.terms.Store(&terms{mostHeld: 10, alone: true, within: time.Minute})
+	s.settings.Store(&managerSettings{maxStreams: 10, alone: true, drainTimeout: time.Minute})
 	steps := make(chan time.Time)
 	s.After = func(time.Duration) <-chan time.Time { return steps }
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -327,7 +327,7 @@
 	}
 	ctx, end := context.WithCancel(context.Background())
 	ended := make(chan error)
-	go func() { ended <- s.Run(ctx, s.Front(l)) }()
+	go func() { ended <- s.Run(ctx, s.Frontend(l)) }()
 	kept, keptIn := dial(t, l.Addr())
 	slow, slowIn := dial(t, l.Addr())
 	io.WriteString(kept, raw)
@@ -346,7 +346,7 @@
 	io.WriteString(slow, strings.Replace(raw, "/look/1", "/look/slow", 1))
 	<-held
 	steps <- time.Now() // it is about to leave
-	for !s.Closing() {
+	for !s.ClosesConnections() {
 		runtime.Gosched()
 	}
 	io.WriteString(told, raw)
@@ -382,25 +382,25 @@
 		held               int64
 		free, want         int
 	}{
-		{1, true, false, spareFrom, spareLeast - 1, 503}, {1, true, false, spareFrom, spareLeast, 200}, {1, true, false, 1, 0, 200},
-		{2, true, false, spareFrom, spareLeast - 1, 503}, {2, true, false, spareFrom, spareLeast, 200}, {2, true, false, 1, 0, 200},
-		{1, false, false, spareFrom, 0, 200}, {2, true, true, spareFrom, 0, 200}, {3, true, false, spareFrom, 0, 200},
+		{1, true, false, spareMinStreams, minSpareConns - 1, 503}, {1, true, false, spareMinStreams, minSpareConns, 200}, {1, true, false, 1, 0, 200},
+		{2, true, false, spareMinStreams, minSpareConns - 1, 503}, {2, true, false, spareMinStreams, minSpareConns, 200}, {2, true, false, 1, 0, 200},
+		{1, false, false, spareMinStreams, 0, 200}, {2, true, true, spareMinStreams, 0, 200}, {3, true, false, spareMinStreams, 0, 200},
 	} {
 		s := newServer(func(context.Context, *stream.Request) stream.Response { return stream.Response{} })
 		set := &config.Settings{}
 		set.Instances, set.MaxHeld = c.instances, 100
-		s.Retune(set)
-		s.conns = newConnections(0)
+		s.UpdateSettings(set)
+		s.limiter = newConnLimiter(0)
 		s.draining.Store(c.draining)
-		s.Followed(c.followed)
-		s.held.Store(c.held)
+		s.SetSucceeded(c.followed)
+		s.activeStreams.Store(c.held)
 		for range c.free {
 			conn, _ := net.Pipe()
-			s.conns.changed(conn, http.StateIdle)
+			s.limiter.setState(conn, http.StateIdle)
 		}
-		for range spareLeast { // another front's are of no use to these clients
+		for range minSpareConns { // another front's are of no use to these clients
 			conn, _ := net.Pipe()
-			s.conns.changed(elsewhere{conn}, http.StateIdle)
+			s.limiter.setState(elsewhere{conn}, http.StateIdle)
 		}
 		w := httptest.NewRecorder()
 		if s.ServeHTTP(w, message("GET", "/look/1", "", "X-Txn", "a", "X-Remaining-Ms", "9")); w.Code != c.want {
@@ -415,7 +415,7 @@
 		3 * time.Second: 3650 * time.Millisecond, 20 * time.Second: 3650 * time.Millisecond, time.Second: 1650 * time.Millisecond,
 	} {
 		set := &config.Settings{Settings: balance.Settings{Classes: []balance.Class{{Deadline: longest}}}, ClassNames: []string{"a"}}
-		if got := NewSide(set, 0, 0, zerolog.Nop()).terms.Load().within; got != want {
+		if got := NewManager(set, 0, 0, zerolog.Nop()).settings.Load().drainTimeout; got != want {
 			t.Errorf("with a longest deadline of %v it takes %v, want %v", longest, got, want)
 		}
 	}
@@ -423,17 +423,17 @@
 
 // Guards against a planned end that waits for a connection on which nothing has come.
 func TestQuietConnectionsAreClosed(t *testing.T) {
-	c := newConnections(3)
+	c := newConnLimiter(3)
 	silent, far := net.Pipe()
 	idle, farIdle := net.Pipe()
 	busy, farBusy := net.Pipe()
-	c.changed(silent, http.StateNew)
-	c.changed(idle, http.StateNew)
-	c.changed(idle, http.StateActive)
-	c.changed(idle, http.StateIdle)
-	c.changed(busy, http.StateNew)
-	c.changed(busy, http.StateActive)
-	c.closeQuiet()
+	c.setState(silent, http.StateNew)
+	c.setState(idle, http.StateNew)
+	c.setState(idle, http.StateActive)
+	c.setState(idle, http.StateIdle)
+	c.setState(busy, http.StateNew)
+	c.setState(busy, http.StateActive)
+	c.closeInactive()
 	for _, end := range []net.Conn{far, farIdle} {
 		if _, err := end.Read(make([]byte, 1)); err != io.EOF {
 			t.Errorf("a quiet connection reads %v, want its end", err)
@@ -449,21 +449,21 @@
 // oldest of these is shed first, then what asked once and stayed, then clients that come again, then even a message that
 // still comes; never one that has come.
 func TestWhichIsShed(t *testing.T) {
-	c := newConnections(0)
+	c := newConnLimiter(0)
 	clock := time.Now()
 	c.now = func() time.Time { return clock }
 	conns := map[net.Conn]string{}
 	add := func(name string, heard bool, states ...http.ConnState) {
 		near, _ := net.Pipe()
-		conn := &caller{Conn: near}
+		conn := &clientConn{Conn: near}
 		conns[conn] = name
 		for _, state := range states {
-			c.changed(conn, state)
+			c.setState(conn, state)
 		}
 		if heard {
-			conn.heard.Store(clock.UnixNano())
+			conn.lastRead.Store(clock.UnixNano())
 		}
-		clock = clock.Add(silentLeast)
+		clock = clock.Add(newConnGracePeriod)
 	}
 	fresh, asked := http.StateNew, []http.ConnState{http.StateNew, http.StateActive, http.StateIdle}
 	add("came again", true, append(asked, http.StateActive, http.StateIdle)...)
@@ -473,16 +473,16 @@
 	add("busy", true, fresh, http.StateActive)
 	add("silent last", false, fresh)
 	add("asked last", true, asked...)
-	clock = clock.Add(stalledLeast - 4*silentLeast)
+	clock = clock.Add(headStallTimeout - 4*newConnGracePeriod)
 	add("still comes", true, fresh)
 	add("fresh", false, fresh)
-	clock = clock.Add(-silentLeast)
+	clock = clock.Add(-newConnGracePeriod)
 	for _, want := range []string{"stopped", "silent first", "silent last", "asked first", "asked last", "came again", "still comes", "fresh", ""} {
-		conn := c.toShed()
+		conn := c.evictionCandidate()
 		if conns[conn] != want {
 			t.Errorf("%q is shed, want %q", conns[conn], want)
 		}
-		delete(c.quiet, conn)
+		delete(c.inactive, conn)
 	}
 }
 
@@ -498,7 +498,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	go func() { _ = s.Run(context.Background(), s.Front(l)) }()
+	go func() { _ = s.Run(context.Background(), s.Frontend(l)) }()
 	var ins []*bufio.Reader
 	from := time.Now()
 	for _, text := range []string{"", raw[:20],
@@ -507,10 +507,10 @@
 		io.WriteString(c, text)
 		ins = append(ins, in)
 	}
-	for s.bodies.Load() == 0 {
+	for s.bodyBytes.Load() == 0 {
 		runtime.Gosched()
 	}
-	if n := s.bodies.Load(); n > bodyFirst {
+	if n := s.bodyBytes.Load(); n > initialBodyCapacity {
 		t.Errorf("four bytes of a body take %d", n)
 	}
 	for _, in := range ins {
@@ -520,10 +520,10 @@
 			}
 		}
 	}
-	if took := time.Since(from); took < ReadWithin {
+	if took := time.Since(from); took < MessageTimeout {
 		t.Errorf("they were ended after %v, sooner than a slow client may take", took)
 	}
-	if n := s.bodies.Load(); n != 0 {
+	if n := s.bodyBytes.Load(); n != 0 {
 		t.Errorf("%d bytes of bodies are held", n)
 	}
 }
@@ -531,20 +531,20 @@
 // Guards against many bodies at once exhausting the memory: what goes beyond is refused.
 func TestBodiesAreBounded(t *testing.T) {
 	s := newServer(func(context.Context, *stream.Request) stream.Response { return stream.Response{} })
-	s.bodiesMost.Store(bodyMost + bodyFirst)
+	s.maxBodyBytes.Store(maxBufferedBody + initialBodyCapacity)
 	ask := func(size int) int {
 		w := httptest.NewRecorder()
 		s.ServeHTTP(w, message("POST", "/charge/1", strings.Repeat("x", size), "X-Txn", "a", "X-Remaining-Ms", "9"))
 		return w.Code
 	}
-	s.bodies.Add(2 * bodyFirst) // held by others
-	for size, want := range map[int]int{bodyFirst: 200, bodyMost: 503, 0: 200} {
-		if code := ask(size); code != want || s.bodies.Load() != 2*bodyFirst {
-			t.Errorf("%d bytes were answered %d, with %d held afterwards", size, code, s.bodies.Load())
+	s.bodyBytes.Add(2 * initialBodyCapacity) // held by others
+	for size, want := range map[int]int{initialBodyCapacity: 200, maxBufferedBody: 503, 0: 200} {
+		if code := ask(size); code != want || s.bodyBytes.Load() != 2*initialBodyCapacity {
+			t.Errorf("%d bytes were answered %d, with %d held afterwards", size, code, s.bodyBytes.Load())
 		}
 	}
-	s.bodies.Store(0)
-	if code := ask(bodyMost); code != 200 {
+	s.bodyBytes.Store(0)
+	if code := ask(maxBufferedBody); code != 200 {
 		t.Errorf("a large body alone was answered %d", code)
 	}
 }
@@ -556,7 +556,7 @@
 		select {
 		case <-ctx.Done():
 			return stream.Response{Outcome: stream.Gone}
-		case <-time.After(ReadWithin + 200*time.Millisecond): // the time itself is what is tested
+		case <-time.After(MessageTimeout + 200*time.Millisecond): // the time itself is what is tested
 			return stream.Response{}
 		}
 	})
@@ -565,7 +565,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	go func() { _ = s.Run(context.Background(), s.Front(l)) }()
+	go func() { _ = s.Run(context.Background(), s.Frontend(l)) }()
 	c, in := dial(t, l.Addr())
 	io.WriteString(c, raw)
 	if res := answer(t, in); res.StatusCode != 200 {
@@ -581,8 +581,8 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	s.conns = newConnections(2)
-	go func() { _ = s.Run(context.Background(), s.Front(l)) }()
+	s.limiter = newConnLimiter(2)
+	go func() { _ = s.Run(context.Background(), s.Frontend(l)) }()
 	var first *bufio.Reader
 	for i := range 5 {
 		c, in := dial(t, l.Addr())
@@ -592,7 +592,7 @@
 		}
 		if first == nil {
 			first = in
-			for s.conns.spare(l.Addr()) == 0 { // it is idle some time after its answer
+			for s.limiter.countInactive(l.Addr()) == 0 { // it is idle some time after its answer
 				runtime.Gosched()
 			}
 		}
@@ -614,7 +614,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	go func() { _ = s.Run(context.Background(), s.Front(l)) }()
+	go func() { _ = s.Run(context.Background(), s.Frontend(l)) }()
 	chunked := "0\r\n\r\n" + raw
 	for _, head := range []string{
 		"POST /charge/1 HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: %d",
--- a/internal/downstream/thrift/call.go
+++ b/internal/downstream/thrift/call.go
@@ -26,7 +26,7 @@
 	class              int
 	className          string
 	deadline           time.Duration // where the call tells no time
-	longest            time.Duration // the class's
+	maxDeadline        time.Duration // the class's
 	oneway             bool          // some clients' libraries send what the IDL calls oneway as a call
 	id, key, remaining []int16       // where they stand in the arguments
 }
@@ -40,7 +40,7 @@
 	if _, name := h.Method(); t.methods[name] != nil {
 		return t.methods[name]
 	}
-	return t.other
+	return t.defaultMethod
 }
 
 // decode makes a request of a call of that method that came at that time, without its body, or says why it is none.
@@ -55,15 +55,15 @@
 		return &thriftwire.ApplicationException{Type: typeRejected, Message: "pinelb: rejected; " + what}
 	}
 	if len(of.id) == 0 {
-		req.Txn = fmt.Sprintf("%016x-%x", s.ids, s.made.Add(1))
-	} else if id, ok := word(m, of.id); ok {
+		req.Txn = fmt.Sprintf("%016x-%x", s.idPrefix, s.idCount.Add(1))
+	} else if id, ok := nameAt(m, of.id); ok {
 		req.Txn = m.Name + "/" + id // two methods may count alike
 	} else {
 		return nil, fault("the id is missing, empty or too long")
 	}
 	if len(of.key) > 0 {
 		var ok bool
-		if req.Key, ok = word(m, of.key); !ok {
+		if req.Key, ok = nameAt(m, of.key); !ok {
 			return nil, fault("the key is missing, empty or too long")
 		}
 	}
@@ -74,17 +74,17 @@
 			return nil, fault("the remaining time is malformed")
 		case v.Present:
 			// An answer within the class's deadline is in time for every client, however long it says it waits.
-			req.Deadline = at.Add(time.Duration(min(v.Number, of.longest.Milliseconds())) * time.Millisecond)
+			req.Deadline = at.Add(time.Duration(min(v.Number, of.maxDeadline.Milliseconds())) * time.Millisecond)
 		}
 	}
 	return req, nil
 }
 
 // word is the id or key at a path, as a plain word: numbers in decimal, and bytes that are none in hexadecimal.
-func word(m thriftwire.Message, path []int16) (string, bool) {
+func nameAt(m thriftwire.Message, path []int16) (string, bool) {
 	v, err := thriftwire.Lookup(m.Form.Encoding, m.Body, path)
 	switch {
-	case err != nil || !v.Present || v.IsText && (len(v.Text) == 0 || len(v.Text) > nameMost):
+	case err != nil || !v.Present || v.IsText && (len(v.Text) == 0 || len(v.Text) > maxNameBytes):
 		return "", false
 	case !v.IsText:
 		return strconv.FormatInt(v.Number, 10), true
@@ -99,22 +99,22 @@
 
 // encode makes the message that answers a call: in the call's form, with its sequence id, and with the method's
 // name alone where that was multiplexed, as Thrift's own servers do.
-func encode(h thriftwire.Head, res stream.Response) []byte {
+func encodeReply(h thriftwire.Head, res stream.Response) []byte {
 	h.Kind = thriftwire.Reply
 	if res.Outcome == stream.Rejected {
 		h.Kind = thriftwire.Exception
 	}
 	if res.Outcome == stream.Served || res.Outcome == stream.Rejected && len(res.Body) > 0 {
 		_, h.Name = h.Method()
-		return thriftwire.Append(make([]byte, 0, headRoom+len(h.Name)+len(res.Body)), h, res.Body)
+		return thriftwire.Append(make([]byte, 0, maxHeadSize+len(h.Name)+len(res.Body)), h, res.Body)
 	}
-	return exception(h, localReply(res))
+	return encodeException(h, localReply(res))
 }
 
-const headRoom = 4 + 12 // what stands before a body at most, but for the name
+const maxHeadSize = 4 + 12 // what stands before a body at most, but for the name
 
 // exception makes the message that answers a call with a local reply.
-func exception(h thriftwire.Head, e thriftwire.ApplicationException) []byte {
+func encodeException(h thriftwire.Head, e thriftwire.ApplicationException) []byte {
 	_, h.Name = h.Method()
 	return thriftwire.AppendException(nil, h, e)
 }
@@ -140,23 +140,23 @@
 }
 
 // serve keeps a panic in one stream from all others: the client still gets an answer.
-func (s *Server) serve(ctx context.Context, req *stream.Request) (res stream.Response) {
+func (s *Server) serveStream(ctx context.Context, req *stream.Request) (res stream.Response) {
 	defer func() {
 		if fault := recover(); fault != nil {
 			s.log.Error().Interface("panic", fault).Msg("stream failed")
 			res = stream.Response{Outcome: stream.Failed}
 		}
 	}()
-	return s.streams.Serve(ctx, req)
+	return s.handler.Serve(ctx, req)
 }
 
 // refuse does so for a stream that is turned away: without its answer the connection would wait for ever.
-func (s *Server) refuse(req *stream.Request) (res stream.Response) {
+func (s *Server) refuseStream(req *stream.Request) (res stream.Response) {
 	defer func() {
 		if fault := recover(); fault != nil {
 			s.log.Error().Interface("panic", fault).Msg("stream failed")
 			res = stream.Response{Outcome: stream.Refused}
 		}
 	}()
-	return s.streams.Refuse(req)
+	return s.handler.Refuse(req)
 }
--- a/internal/downstream/thrift/state.go
+++ b/internal/downstream/thrift/conn_state.go
@@ -10,39 +10,39 @@
 	"pinelb.example/pinelb/internal/thriftwire"
 )
 
-// goOn tells whether another read is wanted, and sets how long it may take. The last ones are for what had come by then.
-func (c *conn) goOn() bool {
+// prepareRead tells whether another read is wanted, and sets how long it may take. The last ones are for what had come by then.
+func (c *conn) prepareRead() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.stopping && c.begun.IsZero() {
-		if c.owed <= 0 {
+	if c.stopping && c.messageStart.IsZero() {
+		if c.unreadAtStop <= 0 {
 			return false
 		}
-		c.final = true
-		c.s.side.Retire(c.Conn)
+		c.finalRead = true
+		c.server.manager.ExpireRead(c.Conn)
 		return true
 	}
 	var until time.Time // while calls are under way, the client may wait for them
 	switch {
-	case !c.begun.IsZero():
-		until = c.begun.Add(downstream.ReadWithin)
+	case !c.messageStart.IsZero():
+		until = c.messageStart.Add(downstream.MessageTimeout)
 	case !c.busy():
-		until = time.Now().Add(downstream.IdleWithin)
+		until = time.Now().Add(downstream.IdleTimeout)
 	}
 	_ = c.SetReadDeadline(until) // on a connection that is broken the read says so
 	return true
 }
 
 // took counts what a read has brought of what had come by the end.
-func (c *conn) took(n int) {
+func (c *conn) countRead(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case !c.stopping:
 	case n > 0:
-		c.owed -= n
-	case c.final: // there is nothing
-		c.owed = 0
+		c.unreadAtStop -= n
+	case c.finalRead: // there is nothing
+		c.unreadAtStop = 0
 	}
 }
 
@@ -50,51 +50,51 @@
 func (c *conn) busy() bool { return len(c.calls) > 0 || c.oneways > 0 || c.writing }
 
 // silent tells whether a read took too long because nothing is going on.
-func (c *conn) silent() bool {
+func (c *conn) idleTimedOut() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.stopping && c.begun.IsZero() && !c.busy()
+	return !c.stopping && c.messageStart.IsZero() && !c.busy()
 }
 
 // slow tells whether a read took too long because a message does not become whole.
-func (c *conn) slow() bool {
+func (c *conn) messageTimedOut() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.begun.IsZero() && time.Since(c.begun) >= downstream.ReadWithin
+	return !c.messageStart.IsZero() && time.Since(c.messageStart) >= downstream.MessageTimeout
 }
 
 // reading notes how many bytes there are of a message that is not whole, and returns when the first came.
-func (c *conn) reading(pending int) time.Time {
+func (c *conn) setPending(pending int) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if pending == 0 {
-		c.begun = time.Time{}
-	} else if c.begun.IsZero() {
-		c.begun = time.Now()
-		c.mark()
+		c.messageStart = time.Time{}
+	} else if c.messageStart.IsZero() {
+		c.messageStart = time.Now()
+		c.updateState()
 	}
-	return c.begun
+	return c.messageStart
 }
 
 // mark tells the shared bounds whether the connection may be shed; the caller holds the lock.
-func (c *conn) mark() {
-	if active := c.busy() || !c.begun.IsZero() || c.over; active != c.active {
+func (c *conn) updateState() {
+	if active := c.busy() || !c.messageStart.IsZero() || c.discarding; active != c.active {
 		c.active = active
 		state := http.StateIdle
 		if active {
 			state = http.StateActive
 		}
-		c.s.side.Changed(c.Conn, state)
+		c.server.manager.ConnStateChanged(c.Conn, state)
 	}
 }
 
-// begin waits until fewer than aheadMost calls are under way and adds one, whose answer end gives; nil is a
+// begin waits until fewer than maxPipelined calls are under way and adds one, whose answer end gives; nil is a
 // oneway.
-func (c *conn) begin(h thriftwire.Head) (k *call) {
+func (c *conn) addCall(h thriftwire.Head) (k *call) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for len(c.calls)+c.oneways >= aheadMost {
-		c.settled.Wait()
+	for len(c.calls)+c.oneways >= maxPipelined {
+		c.callDone.Wait()
 	}
 	if h.Kind == thriftwire.Oneway {
 		c.oneways++
@@ -102,32 +102,32 @@
 		k = &call{head: h}
 		c.calls = append(c.calls, k)
 	}
-	c.mark()
+	c.updateState()
 	return k
 }
 
 // end gives a call's answer, and writes all that are next; of a oneway there is none.
-func (c *conn) end(k *call, answer []byte) {
+func (c *conn) completeCall(k *call, answer []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if k == nil {
 		c.oneways--
 	} else {
-		k.answer = answer
-		c.s.side.Owe(len(answer))
+		k.reply = answer
+		c.server.manager.ChargeBytes(len(answer))
 		c.flush()
 	}
-	c.settled.Broadcast()
-	if c.s.side.Closing() {
-		c.halt()
+	c.callDone.Broadcast()
+	if c.server.manager.ClosesConnections() {
+		c.stopLocked()
 	}
 	switch {
-	case c.over:
+	case c.discarding:
 		c.linger()
-	case !c.busy() && c.begun.IsZero() && !c.stopping:
-		_ = c.SetReadDeadline(time.Now().Add(downstream.IdleWithin))
+	case !c.busy() && c.messageStart.IsZero() && !c.stopping:
+		_ = c.SetReadDeadline(time.Now().Add(downstream.IdleTimeout))
 	}
-	c.mark()
+	c.updateState()
 }
 
 // flush writes the answers that are next in the order of the calls, unless somebody does. The caller holds the
@@ -137,21 +137,21 @@
 		return
 	}
 	c.writing = true
-	for len(c.calls) > 0 && c.calls[0].answer != nil {
+	for len(c.calls) > 0 && c.calls[0].reply != nil {
 		var out net.Buffers
 		n := 0
-		for len(out) < len(c.calls) && c.calls[len(out)].answer != nil {
-			n += len(c.calls[len(out)].answer)
-			out = append(out, c.calls[len(out)].answer)
+		for len(out) < len(c.calls) && c.calls[len(out)].reply != nil {
+			n += len(c.calls[len(out)].reply)
+			out = append(out, c.calls[len(out)].reply)
 		}
 		done := len(out)
 		c.mu.Unlock()
-		_ = c.SetWriteDeadline(time.Now().Add(writeWithin))
+		_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := out.WriteTo(c.Conn); err != nil { // the client has left, or takes nothing
-			c.leave()
+			c.cancel()
 			_ = c.Close()
 		}
-		c.s.side.Free(n)
+		c.server.manager.ReleaseBytes(n)
 		c.mu.Lock()
 		c.calls = slices.Delete(c.calls, 0, done) // which forgets them, or an idle connection would keep its last answers
 	}
@@ -162,15 +162,15 @@
 func (c *conn) stop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.halt()
+	c.stopLocked()
 }
 
 // halt is stop, where the caller holds the lock.
-func (c *conn) halt() {
+func (c *conn) stopLocked() {
 	if !c.stopping {
-		c.stopping, c.owed = true, downstream.Unread(c.Conn)+readSize // which the reader may have in hand
-		if c.begun.IsZero() && !c.over {
-			c.s.side.Retire(c.Conn) // the reader may be waiting for another
+		c.stopping, c.unreadAtStop = true, downstream.UnreadBytes(c.Conn)+readBufferSize // which the reader may have in hand
+		if c.messageStart.IsZero() && !c.discarding {
+			c.server.manager.ExpireRead(c.Conn) // the reader may be waiting for another
 		}
 	}
 }
@@ -185,5 +185,5 @@
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		_ = half.CloseWrite() // it fails where the client has left
 	}
-	_ = c.SetReadDeadline(time.Now().Add(lingerFor))
+	_ = c.SetReadDeadline(time.Now().Add(lingerTimeout))
 }
--- a/internal/downstream/thrift/crossing_test.go
+++ b/internal/downstream/thrift/drain_race_test.go
@@ -63,7 +63,7 @@
 	c := f.dial()
 	var all []byte
 	n := int32(0)
-	for ; len(all) < 4*readSize; n++ { // each of 32 bytes, so that no read ends within a call
+	for ; len(all) < 4*readBufferSize; n++ { // each of 32 bytes, so that no read ends within a call
 		all = append(all, message(forms[0], thriftwire.Call, strings.Repeat("A", 14)+":look", n)...)
 	}
 	_, _ = c.Write(all)
@@ -73,7 +73,7 @@
 	for k = range f.server.conns {
 	}
 	f.server.mu.Unlock()
-	for downstream.Unread(k.Conn) < len(all) { // on its way
+	for downstream.UnreadBytes(k.Conn) < len(all) { // on its way
 		runtime.Gosched()
 	}
 	f.end()
@@ -178,7 +178,7 @@
 				<-g.held
 				f.end()
 				steps <- time.Now()
-				for !f.side.Closing() {
+				for !f.side.ClosesConnections() {
 					runtime.Gosched()
 				}
 				s.answer <- stream.Response{Body: []byte{0}}
@@ -194,7 +194,7 @@
 				}
 				g.goOn <- struct{}{}
 			case "claim":
-				f.side.Bound(1<<20, 1)
+				f.side.SetLimits(1<<20, 1)
 				s := <-f.streams
 				last = f.dial()
 				call(last, 2)
--- a/internal/downstream/thrift/server.go
+++ b/internal/downstream/thrift/server.go
@@ -23,56 +23,56 @@
 )
 
 const (
-	depthMost = 64                    // of structs and containers in each other
-	nameMost  = 128                   // bytes of a method's name, and of an id or a key
-	acceptGap = 10 * time.Millisecond // after an accept that failed for want of something
+	maxDepth            = 64                    // of structs and containers in each other
+	maxNameBytes        = 128                   // bytes of a method's name, and of an id or a key
+	acceptRetryInterval = 10 * time.Millisecond // after an accept that failed for want of something
 )
 
 // Limits are the bounds on a message of that many bytes; there is no value that takes none.
 func Limits(most config.Size) thriftwire.Limits {
-	return thriftwire.Limits{Message: int(most), Depth: depthMost, Values: int(most), Name: nameMost}
+	return thriftwire.Limits{Message: int(most), Depth: maxDepth, Values: int(most), Name: maxNameBytes}
 }
 
 // Server takes streams over Thrift. It has the methods that a downstream.Front needs.
 type Server struct {
-	side    *downstream.Side
-	streams downstream.Handler
-	log     zerolog.Logger
-	form    *thriftwire.Form // nil: by the first bytes
-	limits  thriftwire.Limits
-	section *config.Thrift
-	table   atomic.Pointer[table]
-	ids     uint64 // begins the ids made here, so that nobody outside can name one
-	made    atomic.Uint64
-
-	mu       sync.Mutex
-	listener net.Listener
-	conns    map[*conn]struct{}
-	how      func(*conn)    // each connection is to end; nil: it is not
-	open     sync.WaitGroup // connections
-	served   chan struct{}  // closed once Serve has returned, and every connection that it took is among them
+	manager  *downstream.Manager
+	handler  downstream.Handler
+	log      zerolog.Logger
+	form     *thriftwire.Form // nil: by the first bytes
+	limits   thriftwire.Limits
+	section  *config.Thrift
+	table    atomic.Pointer[methodTable]
+	idPrefix uint64 // begins the ids made here, so that nobody outside can name one
+	idCount  atomic.Uint64
+
+	mu        sync.Mutex
+	listener  net.Listener
+	conns     map[*conn]struct{}
+	endConn   func(*conn)    // each connection is to end; nil: it is not
+	openConns sync.WaitGroup // connections
+	serveDone chan struct{}  // closed once Serve has returned, and every connection that it took is among them
 }
 
 // table is the operator's methods with the classes that the settings have at present.
-type table struct {
-	methods map[string]*method
-	other   *method // of names that it lacks; nil: they are unknown
+type methodTable struct {
+	methods       map[string]*method
+	defaultMethod *method // of names that it lacks; nil: they are unknown
 }
 
 // New returns a server for the operator's section, which fits the settings.
-func New(t *config.Thrift, set *config.Settings, side *downstream.Side, streams downstream.Handler, log zerolog.Logger) *Server {
-	s := &Server{side: side, streams: streams, log: log, limits: Limits(t.MostMessage), section: t,
-		ids: rand.Uint64(), conns: map[*conn]struct{}{}, served: make(chan struct{})}
+func New(t *config.Thrift, set *config.Settings, side *downstream.Manager, streams downstream.Handler, log zerolog.Logger) *Server {
+	s := &Server{manager: side, handler: streams, log: log, limits: Limits(t.MostMessage), section: t,
+		idPrefix: rand.Uint64(), conns: map[*conn]struct{}{}, serveDone: make(chan struct{})}
 	if form, known := thriftwire.ParseForm(t.Form); known {
 		s.form = &form
 	}
-	s.Reclass(set)
+	s.UpdateClasses(set)
 	return s
 }
 
-// Reclass takes over changed classes; the section fits them, and the decisions know them already.
-func (s *Server) Reclass(set *config.Settings) {
-	t, is := s.section, &table{methods: map[string]*method{}}
+// UpdateClasses takes over changed classes; the section fits them, and the decisions know them already.
+func (s *Server) UpdateClasses(set *config.Settings) {
+	t, is := s.section, &methodTable{methods: map[string]*method{}}
 	of := func(class string, m config.ThriftMethod) *method {
 		i := slices.Index(set.ClassNames, class)
 		deadline := set.Classes[i].Deadline
@@ -82,21 +82,21 @@
 				break
 			}
 		}
-		return &method{class: i, className: class, deadline: deadline, longest: set.Classes[i].Deadline,
+		return &method{class: i, className: class, deadline: deadline, maxDeadline: set.Classes[i].Deadline,
 			oneway: m.Oneway, id: m.ID, key: m.Key, remaining: m.RemainingMS}
 	}
 	for _, m := range t.Methods {
 		is.methods[m.Name] = of(m.Class, *m)
 	}
 	if t.DefaultClass != "" {
-		is.other = of(t.DefaultClass, config.ThriftMethod{})
+		is.defaultMethod = of(t.DefaultClass, config.ThriftMethod{})
 	}
 	s.table.Store(is)
 }
 
-// Front is the server on l.
-func (s *Server) Front(l net.Listener) downstream.Front {
-	return downstream.Front{Listener: l, Server: s}
+// Frontend is the server on l.
+func (s *Server) Frontend(l net.Listener) downstream.Frontend {
+	return downstream.Frontend{Listener: l, Server: s}
 }
 
 // Serve takes connections from l until Shutdown or Close.
@@ -104,15 +104,15 @@
 	s.mu.Lock()
 	s.listener = l
 	s.mu.Unlock()
-	defer close(s.served)
+	defer close(s.serveDone)
 	for {
 		nc, err := l.Accept()
 		var lack net.Error
 		switch {
 		case err == nil:
-			s.take(nc)
+			s.startConn(nc)
 		case errors.As(err, &lack) && !errors.Is(err, net.ErrClosed): // a client that has gone, or descriptors
-			time.Sleep(acceptGap)
+			time.Sleep(acceptRetryInterval)
 		default:
 			return fmt.Errorf("thrift: %w", err)
 		}
@@ -120,33 +120,33 @@
 }
 
 // take begins to serve a connection.
-func (s *Server) take(nc net.Conn) {
-	s.side.Changed(nc, http.StateNew)
+func (s *Server) startConn(nc net.Conn) {
+	s.manager.ConnStateChanged(nc, http.StateNew)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := newConn(s, nc)
 	s.conns[c] = struct{}{}
-	if s.how != nil { // it was accepted, and waited for room
-		s.how(c)
+	if s.endConn != nil { // it was accepted, and waited for room
+		s.endConn(c)
 	}
-	s.open.Add(1)
+	s.openConns.Add(1)
 	go c.run()
 }
 
 // gone forgets a connection that is closed, and all of whose streams have ended.
-func (s *Server) gone(c *conn) {
-	s.side.Changed(c.Conn, http.StateClosed)
+func (s *Server) connClosed(c *conn) {
+	s.manager.ConnStateChanged(c.Conn, http.StateClosed)
 	s.mu.Lock()
 	delete(s.conns, c)
 	s.mu.Unlock()
-	s.open.Done()
+	s.openConns.Done()
 }
 
 // end stops listening, and has each connection end as how says.
-func (s *Server) end(how func(*conn)) {
+func (s *Server) endConns(how func(*conn)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.how = how
+	s.endConn = how
 	if s.listener != nil {
 		_ = s.listener.Close()
 	}
@@ -158,11 +158,11 @@
 // Shutdown stops listening and takes no more calls. It returns when those that were taken are answered and their
 // connections closed, or with ctx's error.
 func (s *Server) Shutdown(ctx context.Context) error {
-	s.end((*conn).stop)
+	s.endConns((*conn).stop)
 	done := make(chan struct{})
 	go func() {
-		<-s.served
-		s.open.Wait()
+		<-s.serveDone
+		s.openConns.Wait()
 		close(done)
 	}()
 	select {
@@ -175,6 +175,6 @@
 
 // Close stops listening and closes all connections.
 func (s *Server) Close() error {
-	s.end(func(c *conn) { _ = c.Close() })
+	s.endConns(func(c *conn) { _ = c.Close() })
 	return nil
 }
--- a/internal/downstream/thrift/server_test.go
+++ b/internal/downstream/thrift/server_test.go
@@ -50,7 +50,7 @@
 type front struct {
 	t       *testing.T
 	addr    string
-	side    *downstream.Side
+	side    *downstream.Manager
 	server  *Server
 	streams chan served
 	refused chan string
@@ -100,11 +100,11 @@
 	if err := op.Fits(&config.Config{Settings: *set}); err != nil {
 		t.Fatal(err)
 	}
-	f := &front{t: t, addr: l.Addr().String(), side: downstream.NewSide(set, bodies, 10, zerolog.Nop()),
+	f := &front{t: t, addr: l.Addr().String(), side: downstream.NewManager(set, bodies, 10, zerolog.Nop()),
 		streams: make(chan served, 100), refused: make(chan string, 100), ended: make(chan error, 1)}
 	ctx, end := context.WithCancel(context.Background())
 	f.server, f.end = New(op.Thrift, set, f.side, f, zerolog.Nop()), end
-	go func() { f.ended <- f.side.Run(ctx, f.server.Front(l)) }()
+	go func() { f.ended <- f.side.Run(ctx, f.server.Frontend(l)) }()
 	return f
 }
 
@@ -334,7 +334,7 @@
 	s := <-f.streams
 	from := time.Now()
 	_, _ = half.Write(message(forms[1], thriftwire.Call, "look", 1)[:9])
-	if e := half.fault(); e.Type != thriftwire.TypeProtocolError || time.Since(from) < downstream.ReadWithin {
+	if e := half.fault(); e.Type != thriftwire.TypeProtocolError || time.Since(from) < downstream.MessageTimeout {
 		t.Errorf("%+v after %v", e, time.Since(from))
 	}
 	s.answer <- stream.Response{Body: []byte{0}}
@@ -385,12 +385,12 @@
 	c := f.dial()
 	const more = 5
 	var all []byte
-	for i := range aheadMost + more {
+	for i := range maxPipelined + more {
 		all = append(all, message(forms[0], thriftwire.Call, "look", int32(i))...)
 	}
 	_, _ = c.Write(all)
 	var taken []served
-	for range aheadMost {
+	for range maxPipelined {
 		taken = append(taken, <-f.streams)
 	}
 	if len(f.streams) > 0 {
@@ -402,7 +402,7 @@
 	for range more {
 		(<-f.streams).answer <- stream.Response{Body: []byte{0}}
 	}
-	for i := range aheadMost + more {
+	for i := range maxPipelined + more {
 		if m, ok := c.next(); !ok || m.Seq != int32(i) {
 			t.Errorf("answer %d is %+v", i, m)
 		}
@@ -412,7 +412,7 @@
 	for k := range f.server.conns {
 		k.mu.Lock()
 		for k.busy() { // the last answer is read before its writer is done
-			k.settled.Wait()
+			k.callDone.Wait()
 		}
 		if slices.ContainsFunc(k.calls[:cap(k.calls)], func(k *call) bool { return k != nil }) {
 			t.Error("an idle connection keeps answers that were written")
@@ -433,17 +433,17 @@
 	idle.next()
 	const more = 4 // than are under way at once: they have been read when the end comes
 	var all []byte
-	for i := range aheadMost + more {
+	for i := range maxPipelined + more {
 		all = append(all, message(form, thriftwire.Call, "look", int32(i))...)
 	}
 	_, _ = busy.Write(all)
 	var taken []served
-	for range aheadMost {
+	for range maxPipelined {
 		taken = append(taken, <-f.streams)
 	}
 	f.end()
 	steps <- time.Now() // from now on clients are sent elsewhere
-	for !f.side.Closing() {
+	for !f.side.ClosesConnections() {
 		runtime.Gosched()
 	}
 	taken[0].answer <- stream.Response{Outcome: stream.Failed}
@@ -456,7 +456,7 @@
 	late := f.dial() // connections still come, and their calls are answered
 	_, _ = late.Write(message(form, thriftwire.Call, "look", 3))
 	(<-f.streams).answer <- stream.Response{Body: []byte{0}}
-	for c, want := range map[*client]int{busy: aheadMost + more, late: 1, idle: 0} {
+	for c, want := range map[*client]int{busy: maxPipelined + more, late: 1, idle: 0} {
 		for range want {
 			if _, ok := c.next(); !ok {
 				t.Error("what was taken was not answered")
@@ -494,7 +494,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.server.Reclass(&after)
+	f.server.UpdateClasses(&after)
 	_, _ = c.Write(message(form, thriftwire.Call, "look", 2))
 	later := <-f.streams
 	for _, s := range []served{before, later} {
--- a/internal/downstream/upload_test.go
+++ b/internal/downstream/upload_test.go
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	s := newServer(h)
-	go func() { _ = s.Run(context.Background(), s.Front(l)) }()
+	go func() { _ = s.Run(context.Background(), s.Frontend(l)) }()
 	t.Cleanup(func() { l.Close() })
 	return l.Addr()
 }
@@ -31,16 +31,16 @@
 // Guards against a long body that is held back, changed, or passed for whole when it was cut, by either framing, and
 // against a connection that is not kept, or that is kept with half of a body on it.
 func TestLongBodies(t *testing.T) {
-	body := strings.Repeat("two lenses, please; ", bodyMost/10)
-	chunks := fmt.Sprintf("%x;why=not\r\n%s\r\n%x\r\n%s\r\n", bodyMost+1, body[:bodyMost+1], len(body)-bodyMost-1, body[bodyMost+1:])
+	body := strings.Repeat("two lenses, please; ", maxBufferedBody/10)
+	chunks := fmt.Sprintf("%x;why=not\r\n%s\r\n%x\r\n%s\r\n", maxBufferedBody+1, body[:maxBufferedBody+1], len(body)-maxBufferedBody-1, body[maxBufferedBody+1:])
 	for name, c := range map[string]struct {
 		head, first, rest string
 		cut               bool
 	}{
 		"stated":       {fmt.Sprintf("Content-Length: %d\r\n\r\n", len(body)), body[:10], body[10:], false},
 		"stated, cut":  {fmt.Sprintf("Content-Length: %d\r\n\r\n", len(body)), body[:10], body[10 : len(body)-1], true},
-		"chunked":      {"Transfer-Encoding: chunked\r\nTrailer: X-End\r\n\r\n", chunks[:bodyMost+100], chunks[bodyMost+100:] + "0\r\nX-End: 1\r\n\r\n", false},
-		"chunked, cut": {"Transfer-Encoding: chunked\r\n\r\n", chunks[:bodyMost+100], chunks[bodyMost+100:], true},
+		"chunked":      {"Transfer-Encoding: chunked\r\nTrailer: X-End\r\n\r\n", chunks[:maxBufferedBody+100], chunks[maxBufferedBody+100:] + "0\r\nX-End: 1\r\n\r\n", false},
+		"chunked, cut": {"Transfer-Encoding: chunked\r\n\r\n", chunks[:maxBufferedBody+100], chunks[maxBufferedBody+100:], true},
 	} {
 		begun, got := make(chan struct{}), make(chan string, 1)
 		addr := uploads(t, func(_ context.Context, req *stream.Request) stream.Response {
@@ -93,7 +93,7 @@
 	})
 	conn, in := dial(t, addr)
 	defer conn.Close()
-	fmt.Fprintf(conn, "%sContent-Length: %d\r\n\r\n0123456789", upload, 2*bodyMost)
+	fmt.Fprintf(conn, "%sContent-Length: %d\r\n\r\n0123456789", upload, 2*maxBufferedBody)
 	res, err := http.ReadResponse(bufio.NewReader(in), nil)
 	if err != nil || res.StatusCode != 503 || !res.Close {
 		t.Fatalf("answered %+v, %v", res, err)
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -62,7 +62,7 @@
 
 // peerSilent reports whether the host has neither closed the connection nor sent anything that is not read yet.
 func (c *conn) peerSilent() bool {
-	return (c.reader == nil || c.reader.Buffered() == 0) && connstate.Look(c.Conn) == connstate.Silent
+	return (c.reader == nil || c.reader.Buffered() == 0) && connstate.Peek(c.Conn) == connstate.NoData
 }
 
 // interrupt makes any read and write that is under way return at once.
