--- a/internal/connstate/connstate.go
+++ b/internal/connstate/connstate.go
@@ -1,4 +1,6 @@
-// Package peek looks at what the other side of a connection has done, and takes nothing from it.
+// Package connstate looks at what the peer of a TCP connection has done, without consuming anything that is to be read from the
+// connection. It keeps no state. The packages that own connections (upstream, downstream) call it, from any goroutine, also
+// beside a Read or a Close.
 package connstate
 
 import (
@@ -9,77 +11,79 @@
 	"golang.org/x/sys/unix"
 )
 
-// State is what there is to see of a connection's other side.
+// State is what is to be seen of a connection's peer.
 type State uint8
 
 // The states.
 const (
-	NoData      State = iota // nothing that is not read yet: it has neither said anything more nor closed
-	DataPending              // bytes that are not read yet
-	Closed                   // it has closed the connection, or its sending; or the connection was closed here
-	Unknown                  // such a connection can't be looked at
+	NoData      State = iota // nothing is unread: the peer has neither sent anything more nor closed
+	DataPending              // bytes have come that are not read yet
+	Closed                   // the peer has closed the connection or its sending side, or the connection was closed here
+	Unknown                  // a connection of this type has no descriptor to look at
 )
 
-// Peek is one call to the kernel.
+// Peek returns the state of a connection. It makes one system call, recvfrom with MSG_PEEK, and allocates nothing.
 func Peek(conn net.Conn) State {
-	l := peekers.Get().(*peeker)
-	defer peekers.Put(l)
-	if l.state = Closed; !control(conn, l.look) {
+	p := peekers.Get().(*peeker)
+	defer peekers.Put(p)
+	if p.state = Closed; !control(conn, p.peek) {
 		return Unknown
 	}
-	return l.state
+	return p.state
 }
 
-// looker spares a look what it would allocate.
+// peeker holds what a Peek would otherwise allocate.
 type peeker struct {
 	state State
-	one   [1]byte
-	look  func(fd uintptr)
+	buf   [1]byte
+	peek  func(fd uintptr) // the method recv, bound once
 }
 
 var peekers = sync.Pool{New: func() any {
-	l := &peeker{}
-	l.look = l.peek
-	return l
+	p := &peeker{}
+	p.peek = p.recv
+	return p
 }}
 
-func (l *peeker) peek(fd uintptr) {
-	switch n, _, err := syscall.Recvfrom(int(fd), l.one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT); {
+func (p *peeker) recv(fd uintptr) {
+	switch n, _, err := syscall.Recvfrom(int(fd), p.buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT); {
 	case err == syscall.EAGAIN || err == syscall.EINTR:
-		l.state = NoData
+		p.state = NoData
 	case n > 0:
-		l.state = DataPending
+		p.state = DataPending
 	}
 }
 
-// PeerClosed tells whether the other side has closed the connection, or its sending, also behind bytes that are not read yet.
+// PeerClosed reports whether the peer has closed the connection or its sending side, also where bytes before that are not read
+// yet. It is true for a connection that was closed here, and false where nothing can be seen.
 func PeerClosed(conn net.Conn) bool {
 	switch Peek(conn) {
 	case Closed:
 		return true
-	case DataPending: // another request, a stray byte or a body's beginning: the end may lie behind it
+	case DataPending: // a pipelined request, a stray byte or the beginning of a body: the end may have come after it
 		return peerHungUp(conn)
 	}
 	return false
 }
 
-func peerHungUp(conn net.Conn) (up bool) {
+func peerHungUp(conn net.Conn) (hungUp bool) {
 	control(conn, func(fd uintptr) {
-		p := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-		n, err := unix.Poll(p, 0)
-		up = err == nil && n > 0 && p[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+		n, err := unix.Poll(fds, 0)
+		hungUp = err == nil && n > 0 && fds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 	})
-	return up
+	return hungUp
 }
 
-// control has do look at the connection's descriptor, unless it was closed here. It returns whether there can be one.
-func control(conn net.Conn, do func(fd uintptr)) bool {
+// control calls f with the connection's descriptor, unless it was closed here. It reports whether the connection's type has
+// descriptors.
+func control(conn net.Conn, f func(fd uintptr)) bool {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
 		return false
 	}
 	if raw, err := sc.SyscallConn(); err == nil {
-		_ = raw.Control(do) // an error says that it was closed here
+		_ = raw.Control(f) // an error says that the connection was closed here
 	}
 	return true
 }
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -1,6 +1,11 @@
-// Package downstream takes streams over HTTP/1.1 and answers them. It also tells the front whether the
-// sidecar is ready, and lets it end without losing what it has taken. Side is what fronts for other protocols,
-// in packages of their own, share with it.
+// Package downstream serves the clients of a sidecar: it accepts connections, reads requests over HTTP/1.1, hands each to a
+// Handler as a stream.Request and writes the response. Manager has what the frontends of all protocols share: bounds on what
+// clients can make the sidecar hold, and draining. Frontends of other protocols are in packages of their own.
+//
+// internal/daemon wires it up. The package does network I/O; it decides nothing about upstream hosts.
+//
+// Invariants: a request that was read gets one response; while draining, a connection is closed only once nothing unread is on
+// it; what clients can make the process hold is bounded, whatever they send or don't read.
 package downstream
 
 import (
@@ -13,54 +18,65 @@
 
 	"github.com/rs/zerolog"
 
+	"pinelb.example/pinelb/balance"
 	"pinelb.example/pinelb/internal/config"
 	"pinelb.example/pinelb/internal/stream"
 )
 
 const maxHeaderBytes = 16 << 10
 
-// Handler answers streams.
+// Handler serves streams.
 type Handler interface {
+	// Serve returns a stream's response. ctx ends when the client leaves.
 	Serve(ctx context.Context, req *stream.Request) stream.Response
-	// Refuse answers one for which there is no room here.
+	// Refuse returns the response to a stream that was rejected for want of capacity here.
 	Refuse(req *stream.Request) stream.Response
 }
 
-// Server takes streams over HTTP.
+// Server is the frontend for HTTP.
 type Server struct {
 	*Manager
-	Gate stream.Gate // says whether the sidecar takes streams at present; nil: it does
+	Gate stream.Gate // whether the sidecar accepts streams at present; nil: it does. Set before Run
 
 	classes atomic.Pointer[map[string]class]
-	tenants atomic.Pointer[map[string]int] // as stream.Request has them
+	tenants atomic.Pointer[map[string]int] // numbers as stream.Request.Tenant has them
 	handler Handler
 	log     zerolog.Logger
 	ready   atomic.Bool
 }
 
 // New returns a server that is not ready yet.
-func New(s *config.Settings, side *Manager, streams Handler, log zerolog.Logger) *Server {
-	srv := &Server{Manager: side, handler: streams, log: log}
+func New(s *config.Settings, manager *Manager, handler Handler, log zerolog.Logger) *Server {
+	srv := &Server{Manager: manager, handler: handler, log: log}
 	srv.classes.Store(&map[string]class{})
 	srv.tenants.Store(&map[string]int{})
 	srv.UpdateClasses(s)
 	return srv
 }
 
-// UpdateClasses takes over changed tenants and classes, by their names; the decisions know them already. One that has vanished is taken for
-// as long as its deadline: whoever calls, and was told at another moment, still has requests of it under way.
+// class is a traffic class of the settings.
+type class struct {
+	index       int // in the settings
+	effect      balance.Effect
+	deadline    time.Duration
+	servedUntil time.Time // it has left the settings and is served until then; zero: the settings have it
+}
+
+// UpdateClasses takes over changed classes and tenants, by their names; the decisions have them already. A class that has left
+// the settings is served for as long as its deadline: clients get the change at other moments, and still have requests of it in
+// flight.
 func (s *Server) UpdateClasses(set *config.Settings) {
-	was, is, now := *s.classes.Load(), map[string]class{}, time.Now()
+	old, classes, now := *s.classes.Load(), map[string]class{}, time.Now()
 	for i, name := range set.ClassNames {
 		c := class{index: i, effect: set.Classes[i].Effect, deadline: set.Classes[i].Deadline}
 		if set.Vanished != nil && set.Vanished[i] {
-			if c = was[name]; c.removedAt.IsZero() {
-				c.removedAt = now.Add(c.deadline)
+			if c = old[name]; c.servedUntil.IsZero() {
+				c.servedUntil = now.Add(c.deadline)
 			}
 		}
-		is[name] = c
+		classes[name] = c
 	}
-	s.classes.Store(&is)
+	s.classes.Store(&classes)
 	tenants := map[string]int{}
 	for i, name := range set.TenantNames {
 		tenants[name] = i + 1
@@ -68,16 +84,16 @@
 	s.tenants.Store(&tenants)
 }
 
-// class finds one by its name, at that time.
+// class returns the class of a name that is served at that time.
 func (s *Server) class(name string, at time.Time) (class, bool) {
 	c, known := (*s.classes.Load())[name]
-	return c, known && (c.removedAt.IsZero() || at.Before(c.removedAt))
+	return c, known && (c.servedUntil.IsZero() || at.Before(c.servedUntil))
 }
 
-// SetReady lets the front send streams.
+// SetReady makes health checks succeed.
 func (s *Server) SetReady() { s.ready.Store(true) }
 
-// AcceptsStreams tells whether the front is to send streams: the sidecar is ready, not about to end, and its gate lets them in.
+// AcceptsStreams reports whether health checks succeed: the sidecar is ready, does not drain, and its gate admits streams.
 func (s *Server) AcceptsStreams() bool {
 	if !s.ready.Load() || s.draining.Load() {
 		return false
@@ -85,24 +101,31 @@
 	if s.Gate == nil {
 		return true
 	}
-	takes, _ := s.Gate.Takes()
-	return takes
+	admits, _ := s.Gate.Takes()
+	return admits
 }
 
-// Frontend is the server on l.
+// Frontend returns the server's frontend on l.
 func (s *Server) Frontend(l net.Listener) Frontend {
 	return Frontend{Listener: l, Server: &httpServer{limiter: s.limiter, serveDone: make(chan struct{}), Server: &http.Server{
-		ConnContext: withConn, Handler: s, ReadHeaderTimeout: HeaderTimeout, IdleTimeout: IdleTimeout,
-		MaxHeaderBytes: maxHeaderBytes, DisableGeneralOptionsHandler: true,
-		BaseContext: func(net.Listener) context.Context { return s.streamCtx }, ConnState: s.ConnStateChanged, ErrorLog: stdlog.New(s.log, "", 0)}}}
+		Handler:                      s,
+		BaseContext:                  func(net.Listener) context.Context { return s.streamCtx },
+		ConnContext:                  withConn,
+		ConnState:                    s.ConnStateChanged,
+		ReadHeaderTimeout:            HeaderTimeout,
+		IdleTimeout:                  IdleTimeout,
+		MaxHeaderBytes:               maxHeaderBytes,
+		DisableGeneralOptionsHandler: true,
+		ErrorLog:                     stdlog.New(s.log, "", 0),
+	}}}
 }
 
-// server is net/http's with another Shutdown: its own hangs up on every message whose head becomes whole later, and on every
-// connection that is idle by its state.
+// httpServer is a http.Server with another Shutdown: net/http's closes every connection that is idle by its state, also where a
+// request has come on it, and every one on which the head of a request is complete only later.
 type httpServer struct {
 	*http.Server
 	limiter   *connLimiter
-	serveDone chan struct{} // closed once Serve has returned, and every connection that it took is counted
+	serveDone chan struct{} // closed once Serve has returned, and every connection that it accepted is counted
 }
 
 func (s *httpServer) Serve(l net.Listener) error {
@@ -110,7 +133,7 @@
 	return s.Server.Serve(l)
 }
 
-// Shutdown waits for connections that end by themselves, as closeInactive has them do, once its listener is closed.
+// Shutdown waits, once the listener is closed, for the connections to end as the limiter makes them.
 func (s *httpServer) Shutdown(ctx context.Context) error {
 	select {
 	case <-s.serveDone:
@@ -120,6 +143,6 @@
 		}
 	case <-ctx.Done():
 	}
-	s.limiter.stopLingering() // net/http closes while it holds its lock
+	s.limiter.stopLingering() // net/http closes connections while it holds its lock
 	return s.Server.Shutdown(ctx)
 }
