--- a/internal/downstream/thrift/call.go
+++ b/internal/downstream/thrift/call.go
@@ -11,27 +11,31 @@
 	"pinelb.example/pinelb/internal/thriftwire"
 )
 
-// The types of the local replies, which are TApplicationExceptions. docs/operate/thrift.md has what they promise;
-// clients may rely on them.
+// The types of the local replies, which are TApplicationExceptions. docs/operate/thrift.md has what they promise; clients may
+// rely on them.
 const (
-	typeRefused   int32 = 100 // trying again is harmless
-	typeFailed    int32 = 101 // nothing is promised
-	typeExpired   int32 = 102 // nothing is promised, the time was up
+	typeRefused   int32 = 100 // a retry is safe
+	typeFailed    int32 = 101 // the call may have run
+	typeExpired   int32 = 102 // the call may have run; its deadline is over
 	typeDuplicate int32 = 103
-	typeRejected  int32 = 104 // the call itself is at fault; nothing ran
+	typeRejected  int32 = 104 // the call itself is at fault and has not run
 )
 
-// method is what the operator's file says of a method, with its class from the settings.
+// maxHeadSize is how many bytes the head of a reply has beside the method's name, at most: a frame's length and a strict binary
+// head.
+const maxHeadSize = 4 + 12
+
+// method is an entry of the operator's table of methods, with its class from the settings.
 type method struct {
 	class              int
 	className          string
-	deadline           time.Duration // where the call tells no time
-	maxDeadline        time.Duration // the class's
-	oneway             bool          // some clients' libraries send what the IDL calls oneway as a call
-	id, key, remaining []int16       // where they stand in the arguments
+	deadline           time.Duration // of a call that states none
+	maxDeadline        time.Duration // of the class
+	oneway             bool          // some clients' libraries send what the IDL declares oneway as a call
+	id, key, remaining []int16       // paths of field ids in the arguments; empty: there is none
 }
 
-// method finds a name in the table; nil: there is no class for it.
+// method returns the table's entry for a call, by its full name or without the service; nil if there is no class for it.
 func (s *Server) method(h thriftwire.Head) *method {
 	t := s.table.Load()
 	if m := t.methods[h.Name]; m != nil {
@@ -43,44 +47,48 @@
 	return t.defaultMethod
 }
 
-// decode makes a request of a call of that method that came at that time, without its body, or says why it is none.
-func (s *Server) decode(m thriftwire.Message, of *method, at time.Time) (*stream.Request, *thriftwire.ApplicationException) {
-	if of == nil {
+// decode makes a stream of a call that came at that time, without its body, or returns the exception to reply. meth is nil for
+// an unknown method.
+func (s *Server) decode(m thriftwire.Message, meth *method, arrived time.Time) (*stream.Request, *thriftwire.ApplicationException) {
+	if meth == nil {
 		return nil, &thriftwire.ApplicationException{Type: thriftwire.TypeUnknownMethod,
 			Message: fmt.Sprintf("pinelb: unknown method %q", m.Name)}
 	}
-	req := &stream.Request{ClassName: of.className, Class: of.class, Operation: m.Kind.String(), Target: m.Name,
-		MediaType: m.Form.MediaType(), Arrived: at, Deadline: at.Add(of.deadline)}
-	fault := func(what string) *thriftwire.ApplicationException {
-		return &thriftwire.ApplicationException{Type: typeRejected, Message: "pinelb: rejected; " + what}
-	}
-	if len(of.id) == 0 {
+	req := &stream.Request{ClassName: meth.className, Class: meth.class, Operation: m.Kind.String(), Target: m.Name,
+		MediaType: m.Form.MediaType(), Arrived: arrived, Deadline: arrived.Add(meth.deadline)}
+	if len(meth.id) == 0 {
 		req.Txn = fmt.Sprintf("%016x-%x", s.idPrefix, s.idCount.Add(1))
-	} else if id, ok := nameAt(m, of.id); ok {
-		req.Txn = m.Name + "/" + id // two methods may count alike
+	} else if id, ok := nameAt(m, meth.id); ok {
+		req.Txn = m.Name + "/" + id // the ids of two methods may be equal
 	} else {
-		return nil, fault("the id is missing, empty or too long")
+		return nil, rejection("the id is missing, empty or too long")
 	}
-	if len(of.key) > 0 {
+	if len(meth.key) > 0 {
 		var ok bool
-		if req.Key, ok = nameAt(m, of.key); !ok {
-			return nil, fault("the key is missing, empty or too long")
+		if req.Key, ok = nameAt(m, meth.key); !ok {
+			return nil, rejection("the key is missing, empty or too long")
 		}
 	}
-	if len(of.remaining) > 0 {
-		v, err := thriftwire.Lookup(m.Form.Encoding, m.Body, of.remaining)
+	if len(meth.remaining) > 0 {
+		v, err := thriftwire.Lookup(m.Form.Encoding, m.Body, meth.remaining)
 		switch {
 		case err != nil || v.Present && (v.IsText || v.Number < 0):
-			return nil, fault("the remaining time is malformed")
+			return nil, rejection("the remaining time is malformed")
 		case v.Present:
-			// An answer within the class's deadline is in time for every client, however long it says it waits.
-			req.Deadline = at.Add(time.Duration(min(v.Number, of.maxDeadline.Milliseconds())) * time.Millisecond)
+			// A reply within the class's deadline is in time for every client, however long it says it waits.
+			req.Deadline = arrived.Add(time.Duration(min(v.Number, meth.maxDeadline.Milliseconds())) * time.Millisecond)
 		}
 	}
 	return req, nil
 }
 
-// word is the id or key at a path, as a plain word: numbers in decimal, and bytes that are none in hexadecimal.
+// rejection is the exception for a call whose arguments are at fault.
+func rejection(reason string) *thriftwire.ApplicationException {
+	return &thriftwire.ApplicationException{Type: typeRejected, Message: "pinelb: rejected; " + reason}
+}
+
+// nameAt returns the id or key at a path of field ids as visible ASCII: numbers in decimal, and texts with other bytes in
+// hexadecimal.
 func nameAt(m thriftwire.Message, path []int16) (string, bool) {
 	v, err := thriftwire.Lookup(m.Form.Encoding, m.Body, path)
 	switch {
@@ -97,8 +105,8 @@
 	return string(v.Text), true
 }
 
-// encode makes the message that answers a call: in the call's form, with its sequence id, and with the method's
-// name alone where that was multiplexed, as Thrift's own servers do.
+// encodeReply returns the message that replies to a call: in the call's form, with its sequence id, and without the service's
+// name where the call was multiplexed, as Thrift's own servers do.
 func encodeReply(h thriftwire.Head, res stream.Response) []byte {
 	h.Kind = thriftwire.Reply
 	if res.Outcome == stream.Rejected {
@@ -111,15 +119,13 @@
 	return encodeException(h, localReply(res))
 }
 
-const maxHeadSize = 4 + 12 // what stands before a body at most, but for the name
-
-// exception makes the message that answers a call with a local reply.
+// encodeException returns the message that replies to a call with an exception.
 func encodeException(h thriftwire.Head, e thriftwire.ApplicationException) []byte {
 	_, h.Name = h.Method()
 	return thriftwire.AppendException(nil, h, e)
 }
 
-// localReply words an end that no upstream host's answer was.
+// localReply is the exception for an outcome that is not an upstream host's reply.
 func localReply(res stream.Response) thriftwire.ApplicationException {
 	switch res.Outcome {
 	case stream.Refused:
@@ -135,28 +141,27 @@
 	case stream.Expired:
 		return thriftwire.ApplicationException{Type: typeExpired, Message: "pinelb: out of time; it may have run"}
 	}
-	// Failed, or nobody is there to read it.
+	// Failed, or the client has left.
 	return thriftwire.ApplicationException{Type: typeFailed, Message: "pinelb: failed; it may have run"}
 }
 
-// serve keeps a panic in one stream from all others: the client still gets an answer.
+// serveStream calls the handler. A panic fails the stream alone: the client still gets a reply.
 func (s *Server) serveStream(ctx context.Context, req *stream.Request) (res stream.Response) {
-	defer func() {
-		if fault := recover(); fault != nil {
-			s.log.Error().Interface("panic", fault).Msg("stream failed")
-			res = stream.Response{Outcome: stream.Failed}
-		}
-	}()
+	defer s.recoverStream(&res, stream.Failed)
 	return s.handler.Serve(ctx, req)
 }
 
-// refuse does so for a stream that is turned away: without its answer the connection would wait for ever.
+// refuseStream calls the handler for a stream that is rejected. After a panic, too, there is a reply: without it the connection
+// would wait for ever.
 func (s *Server) refuseStream(req *stream.Request) (res stream.Response) {
-	defer func() {
-		if fault := recover(); fault != nil {
-			s.log.Error().Interface("panic", fault).Msg("stream failed")
-			res = stream.Response{Outcome: stream.Refused}
-		}
-	}()
+	defer s.recoverStream(&res, stream.Refused)
 	return s.handler.Refuse(req)
 }
+
+// recoverStream is deferred by a handler's caller. After a panic it logs it and sets the response to the outcome.
+func (s *Server) recoverStream(res *stream.Response, outcome stream.Outcome) {
+	if fault := recover(); fault != nil {
+		s.log.Error().Interface("panic", fault).Msg("stream failed")
+		*res = stream.Response{Outcome: outcome}
+	}
+}
--- a/internal/downstream/thrift/conn.go
+++ b/internal/downstream/thrift/conn.go
@@ -15,20 +15,21 @@
 )
 
 const (
-	maxPipelined   = 16                     // calls of one connection that are under way at once
-	readBufferSize = 4 << 10                // bytes at once, and of a beginning message that are not counted
-	writeTimeout   = 5 * time.Second        // answers that lie ready: a client that does not take them has gone
-	lingerTimeout  = 250 * time.Millisecond // after the last answer, for the client to read it and hang up
+	maxPipelined   = 16                     // calls of one connection that are in flight at once
+	readBufferSize = 4 << 10                // bytes; so much of an incomplete message is not counted as a body
+	writeTimeout   = 5 * time.Second        // for replies: a client that does not read them has gone
+	lingerTimeout  = 250 * time.Millisecond // after the last reply, for the client to read it and close
 )
 
+// Why a connection is closed with an exception. Their texts are part of it.
 var (
 	errMessageTimeout      = errors.New("the message was not whole in time")
 	errNotACall            = errors.New("the message is neither a call nor a oneway")
 	errBodyMemoryExhausted = errors.New("too many bodies at once")
 )
 
-// conn is one connection. Its reader is the goroutine of run; every call has one of its own, and whichever
-// finds the next answers ready writes them.
+// conn is one client connection. The goroutine of run reads it; every call has a goroutine of its own, and whichever completes
+// the next reply in order writes all that are ready.
 type conn struct {
 	net.Conn
 	server *Server
@@ -36,26 +37,26 @@
 	cancel context.CancelFunc
 
 	mu           sync.Mutex
-	callDone     *sync.Cond // something that was under way has ended
-	calls        []*call    // answers that are owed, in the order of the calls
-	oneways      int        // under way
-	writing      bool       // somebody writes answers
-	active       bool       // as the shared bounds know it
-	messageStart time.Time  // when the message came that is being read; zero: none is
-	stopping     bool       // no more calls are taken than have come
-	unreadAtStop int        // bytes that had come by then, at most
+	callDone     *sync.Cond // signalled when something in flight has ended
+	calls        []*call    // without a written reply, in the order in which they came
+	oneways      int        // in flight
+	writing      bool       // a goroutine writes replies
+	active       bool       // the state that the manager was told last
+	messageStart time.Time  // when the message that is being read came; zero: none is
+	stopping     bool       // no more calls are accepted than had come by then
+	unreadAtStop int        // bytes of them that are still to be read, at most
 	finalRead    bool       // a read has begun that is only for those
-	discarding   bool       // nothing more is read: what still comes is dropped
+	discarding   bool       // what still comes is dropped
 
-	// The reader's.
+	// Used by the reading goroutine alone.
 	reader        *thriftwire.Reader
-	reservedBytes int // bytes counted for the message that is being read
+	reservedBytes int // for the message that is being read
 }
 
-// call is an answer that is owed.
+// call is a call whose reply is not written yet.
 type call struct {
 	head  thriftwire.Head
-	reply []byte // nil: not yet there
+	reply []byte // nil: the call is in flight
 }
 
 func newConn(s *Server, nc net.Conn) *conn {
@@ -65,16 +66,16 @@
 	return c
 }
 
-// run serves the connection until the client leaves, falls silent, breaks the protocol or is to go elsewhere.
-// In the last two cases its calls are seen through first. A oneway is seen through in any case: its client waits
-// for nothing, so that its leaving says nothing.
+// run serves the connection until the client leaves, is idle for too long or breaks the protocol, or the server stops. In the
+// last two cases its calls are completed first. A oneway is completed in any case: its client waits for nothing, so that its
+// leaving means nothing.
 func (c *conn) run() {
 	defer c.server.connClosed(c)
 	if c.readCalls(make([]byte, readBufferSize)) {
 		c.finish()
 	}
 	c.cancel()
-	_ = c.Close() // what was owed is written, or can't be
+	_ = c.Close() // all replies are written, or can't be
 	c.server.manager.ReleaseBytes(c.reservedBytes)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,21 +84,20 @@
 	}
 }
 
-// take reads calls and starts them. It returns whether the client may still be there. A panic ends this
-// connection alone.
-func (c *conn) readCalls(buf []byte) (there bool) {
+// readCalls reads calls and starts them. It reports whether the client may still be there. A panic ends this connection alone.
+func (c *conn) readCalls(buf []byte) (connected bool) {
 	defer func() {
 		if fault := recover(); fault != nil {
 			c.server.log.Error().Interface("panic", fault).Msg("stream failed")
-			there = false
+			connected = false
 		}
 	}()
 	for c.prepareRead() {
 		n, err := c.Read(buf)
 		c.countRead(n)
 		if n > 0 {
-			if fault := c.feed(buf[:n]); fault != nil {
-				c.protocolError(fault)
+			if malformed := c.feed(buf[:n]); malformed != nil {
+				c.protocolError(malformed)
 				return true
 			}
 		}
@@ -115,37 +115,37 @@
 	return true
 }
 
-// feed takes bytes that came, and every call that they make whole.
+// feed parses bytes that were read, and starts every call that they complete.
 func (c *conn) feed(b []byte) error {
-	at := c.setPending(len(b))
+	arrived := c.setPending(len(b))
 	c.reader.Feed(b)
 	for {
-		m, whole, err := c.reader.Next()
+		m, complete, err := c.reader.Next()
 		switch {
 		case err != nil:
 			return err
-		case !whole:
+		case !complete:
 			c.setPending(c.reader.Pending())
 			return c.reserve(c.reader.Pending())
 		case m.Kind != thriftwire.Call && m.Kind != thriftwire.Oneway:
 			return errNotACall
 		}
 		c.setPending(0)
-		c.startCall(m, at) // also at the end: what has been read is taken
-		at = time.Now()    // what follows came with this one
+		c.startCall(m, arrived) // also while draining: what was read is served
+		arrived = time.Now()    // the next one came with this one
 	}
 }
 
-// keep counts the bytes of a message that is not whole yet.
-func (c *conn) reserve(n int) error {
-	n = max(0, n-readBufferSize)
+// reserve counts the bytes of an incomplete message.
+func (c *conn) reserve(pending int) error {
+	n := max(0, pending-readBufferSize)
 	if n > c.reservedBytes && !c.server.manager.ReserveBytes(n-c.reservedBytes) {
 		return errBodyMemoryExhausted
 	}
 	if n < c.reservedBytes {
 		c.server.manager.ReleaseBytes(c.reservedBytes - n)
 	}
-	if n == 0 && c.reservedBytes > 0 && c.reader.Pending() == 0 { // or an idle connection would keep the room for it
+	if n == 0 && c.reservedBytes > 0 && c.reader.Pending() == 0 { // or an idle connection would keep the large buffer
 		if form, known := c.reader.Form(); known {
 			c.reader = thriftwire.NewReader(c.server.limits, &form)
 		}
@@ -154,62 +154,62 @@
 	return nil
 }
 
-// call begins a call that came at that time, once fewer than so many are under way, and answers it when it ends.
-func (c *conn) startCall(m thriftwire.Message, at time.Time) {
-	of := c.server.method(m.Head)
-	if of != nil && of.oneway {
+// startCall starts a call that came at that time, once fewer than maxPipelined are in flight. Its reply follows when it ends.
+func (c *conn) startCall(m thriftwire.Message, arrived time.Time) {
+	meth := c.server.method(m.Head)
+	if meth != nil && meth.oneway {
 		m.Kind = thriftwire.Oneway
 	}
-	req, bad := c.server.decode(m, of, at)
+	req, invalid := c.server.decode(m, meth, arrived)
 	k := c.addCall(m.Head)
-	side, head := c.server.manager, m.Head
-	room := side.StartStream(c.LocalAddr())
-	if room && bad == nil && side.ReserveBytes(len(m.Body)) {
+	manager, head := c.server.manager, m.Head
+	admitted := manager.StartStream(c.LocalAddr())
+	if admitted && invalid == nil && manager.ReserveBytes(len(m.Body)) {
 		req.Body = append(make([]byte, 0, len(m.Body)), m.Body...)
-		ctx := side.StreamContext() // a oneway's client waits for nothing
+		ctx := manager.StreamContext() // a oneway's client waits for nothing
 		if k != nil {
 			ctx, req.Left = c.ctx, c.clientClosed
 		}
 		go func() {
 			res := c.server.serveStream(ctx, req)
-			side.ReleaseBytes(len(req.Body))
-			side.EndStream()
+			manager.ReleaseBytes(len(req.Body))
+			manager.EndStream()
 			c.completeCall(k, encodeReply(head, res))
 		}()
 		return
 	}
-	side.EndStream()
+	manager.EndStream()
 	switch {
-	case bad == nil:
+	case invalid == nil:
 		c.completeCall(k, encodeReply(head, c.server.refuseStream(req)))
-	case !room: // nor is there any to find fault with it
+	case !admitted: // nor is there capacity to report the fault
 		c.completeCall(k, encodeReply(head, stream.Response{Outcome: stream.Refused}))
 	default:
-		c.completeCall(k, encodeException(head, *bad))
+		c.completeCall(k, encodeException(head, *invalid))
 	}
 }
 
-// fault answers what is no call, and ends the connection after what is owed before: what follows need not be a
-// message. Where no form is known it is the commonest one, whose text can be read in other protocols' logs.
-func (c *conn) protocolError(fault error) {
+// protocolError replies to what is no call, after the replies before it; the connection ends with it, as what follows need not
+// be a message. Where no form is known the reply has the most common one, whose text is readable in other protocols' logs.
+func (c *conn) protocolError(cause error) {
 	form, _ := c.reader.Form()
-	e := thriftwire.ApplicationException{Type: thriftwire.TypeProtocolError, Message: "pinelb: protocol error; " + fault.Error()}
-	if fault == errBodyMemoryExhausted {
-		e = thriftwire.ApplicationException{Type: typeRefused, Message: "pinelb: refused; " + fault.Error()}
+	e := thriftwire.ApplicationException{Type: thriftwire.TypeProtocolError, Message: "pinelb: protocol error; " + cause.Error()}
+	if errors.Is(cause, errBodyMemoryExhausted) {
+		e = thriftwire.ApplicationException{Type: typeRefused, Message: "pinelb: refused; " + cause.Error()}
 	}
 	k := c.addCall(thriftwire.Head{Form: form, Kind: thriftwire.Call})
 	c.completeCall(k, encodeException(k.head, e))
 }
 
-// left tells whether the client has gone, which the reader may be too busy to notice.
+// clientClosed reports whether the client has left, also where the reading goroutine is too busy to notice.
 func (c *conn) clientClosed() bool { return downstream.PeerClosed(c.Conn) }
 
-// finish sees through what is owed. What still comes is dropped, so that closing does not reset the connection
-// under an answer that its client is yet to read, and the client's leaving is noticed.
+// finish completes the calls in flight. What still comes is discarded, so that closing does not reset the connection under a
+// reply that its client is yet to read, and so that the client's leaving is noticed.
 func (c *conn) finish() {
 	c.mu.Lock()
 	c.discarding = true
 	c.linger()
 	c.mu.Unlock()
-	_, _ = io.Copy(io.Discard, c.Conn) // until the client hangs up, or the time for it is over
+	_, _ = io.Copy(io.Discard, c.Conn) // until the client closes, or the deadline that linger has set
 }
--- a/internal/downstream/thrift/conn_state.go
+++ b/internal/downstream/thrift/conn_state.go
@@ -10,7 +10,8 @@
 	"pinelb.example/pinelb/internal/thriftwire"
 )
 
-// prepareRead tells whether another read is wanted, and sets how long it may take. The last ones are for what had come by then.
+// prepareRead reports whether another read is wanted, and sets its deadline. While stopping, reads go on only for what had come
+// by then.
 func (c *conn) prepareRead() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -22,18 +23,18 @@
 		c.server.manager.ExpireRead(c.Conn)
 		return true
 	}
-	var until time.Time // while calls are under way, the client may wait for them
+	var deadline time.Time // none while calls are in flight: the client may wait for them
 	switch {
 	case !c.messageStart.IsZero():
-		until = c.messageStart.Add(downstream.MessageTimeout)
+		deadline = c.messageStart.Add(downstream.MessageTimeout)
 	case !c.busy():
-		until = time.Now().Add(downstream.IdleTimeout)
+		deadline = time.Now().Add(downstream.IdleTimeout)
 	}
-	_ = c.SetReadDeadline(until) // on a connection that is broken the read says so
+	_ = c.SetReadDeadline(deadline) // on a broken connection the read returns the error
 	return true
 }
 
-// took counts what a read has brought of what had come by the end.
+// countRead counts n bytes that a read has returned against those that had come when the connection began to stop.
 func (c *conn) countRead(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -41,29 +42,29 @@
 	case !c.stopping:
 	case n > 0:
 		c.unreadAtStop -= n
-	case c.finalRead: // there is nothing
+	case c.finalRead: // nothing is left
 		c.unreadAtStop = 0
 	}
 }
 
-// busy tells whether anything is under way; the caller holds the lock.
+// busy reports whether anything is in flight. The caller holds the lock.
 func (c *conn) busy() bool { return len(c.calls) > 0 || c.oneways > 0 || c.writing }
 
-// silent tells whether a read took too long because nothing is going on.
+// idleTimedOut reports whether a read timed out because the connection is idle.
 func (c *conn) idleTimedOut() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.stopping && c.messageStart.IsZero() && !c.busy()
 }
 
-// slow tells whether a read took too long because a message does not become whole.
+// messageTimedOut reports whether a read timed out because a message is not complete in time.
 func (c *conn) messageTimedOut() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.messageStart.IsZero() && time.Since(c.messageStart) >= downstream.MessageTimeout
 }
 
-// reading notes how many bytes there are of a message that is not whole, and returns when the first came.
+// setPending records how many bytes of an incomplete message there are, and returns when the first of them came.
 func (c *conn) setPending(pending int) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,7 +77,8 @@
 	return c.messageStart
 }
 
-// mark tells the shared bounds whether the connection may be shed; the caller holds the lock.
+// updateState reports a change between active and idle to the manager, which may evict an idle connection. The caller holds the
+// lock.
 func (c *conn) updateState() {
 	if active := c.busy() || !c.messageStart.IsZero() || c.discarding; active != c.active {
 		c.active = active
@@ -88,7 +90,7 @@
 	}
 }
 
-// begin waits until fewer than maxPipelined calls are under way and adds one, whose answer end gives; nil is a
+// addCall waits until fewer than maxPipelined calls are in flight and adds one, which completeCall ends; nil stands for a
 // oneway.
 func (c *conn) addCall(h thriftwire.Head) (k *call) {
 	c.mu.Lock()
@@ -106,15 +108,15 @@
 	return k
 }
 
-// end gives a call's answer, and writes all that are next; of a oneway there is none.
-func (c *conn) completeCall(k *call, answer []byte) {
+// completeCall sets a call's reply, and writes all replies that are next in order. A oneway has none.
+func (c *conn) completeCall(k *call, reply []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if k == nil {
 		c.oneways--
 	} else {
-		k.reply = answer
-		c.server.manager.ChargeBytes(len(answer))
+		k.reply = reply
+		c.server.manager.ChargeBytes(len(reply))
 		c.flush()
 	}
 	c.callDone.Broadcast()
@@ -130,53 +132,54 @@
 	c.updateState()
 }
 
-// flush writes the answers that are next in the order of the calls, unless somebody does. The caller holds the
-// lock, which is released meanwhile.
+// flush writes the replies that are next in the order of the calls, unless another goroutine does. The caller holds the lock,
+// which is released while writing.
 func (c *conn) flush() {
 	if c.writing {
 		return
 	}
 	c.writing = true
 	for len(c.calls) > 0 && c.calls[0].reply != nil {
-		var out net.Buffers
-		n := 0
-		for len(out) < len(c.calls) && c.calls[len(out)].reply != nil {
-			n += len(c.calls[len(out)].reply)
-			out = append(out, c.calls[len(out)].reply)
+		var replies net.Buffers
+		size := 0
+		for len(replies) < len(c.calls) && c.calls[len(replies)].reply != nil {
+			size += len(c.calls[len(replies)].reply)
+			replies = append(replies, c.calls[len(replies)].reply)
 		}
-		done := len(out)
+		written := len(replies)
 		c.mu.Unlock()
 		_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
-		if _, err := out.WriteTo(c.Conn); err != nil { // the client has left, or takes nothing
+		if _, err := replies.WriteTo(c.Conn); err != nil { // the client has left, or reads nothing
 			c.cancel()
 			_ = c.Close()
 		}
-		c.server.manager.ReleaseBytes(n)
+		c.server.manager.ReleaseBytes(size)
 		c.mu.Lock()
-		c.calls = slices.Delete(c.calls, 0, done) // which forgets them, or an idle connection would keep its last answers
+		c.calls = slices.Delete(c.calls, 0, written) // which clears them, or an idle connection would keep its last replies
 	}
 	c.writing = false
 }
 
-// stop has the connection take no more calls than have come, and one that has begun to, and close after its answers.
+// stop makes the connection accept no more calls than have come, the one that is being read included, and close after their
+// replies.
 func (c *conn) stop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stopLocked()
 }
 
-// halt is stop, where the caller holds the lock.
+// stopLocked is stop for a caller that holds the lock.
 func (c *conn) stopLocked() {
 	if !c.stopping {
-		c.stopping, c.unreadAtStop = true, downstream.UnreadBytes(c.Conn)+readBufferSize // which the reader may have in hand
+		c.stopping, c.unreadAtStop = true, downstream.UnreadBytes(c.Conn)+readBufferSize // a read may have returned so much just now
 		if c.messageStart.IsZero() && !c.discarding {
-			c.server.manager.ExpireRead(c.Conn) // the reader may be waiting for another
+			c.server.manager.ExpireRead(c.Conn) // the reading goroutine may wait for another call
 		}
 	}
 }
 
-// linger sets how long the rest of what comes is dropped: while answers are owed, and then until the client has
-// had time to read them. The caller holds the lock.
+// linger sets how long what comes is discarded: while replies are not written, and then for lingerTimeout. The caller holds the
+// lock.
 func (c *conn) linger() {
 	if len(c.calls) > 0 || c.writing {
 		_ = c.SetReadDeadline(time.Time{})
