--- a/internal/connstate/connstate_test.go
+++ b/internal/connstate/connstate_test.go
@@ -7,7 +7,7 @@
 )
 
 // Guards against a look that takes what it sees, or that takes one state for another.
-func TestLook(t *testing.T) {
+func TestPeek(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -58,8 +58,8 @@
 	}
 }
 
-// BenchmarkLook is what a look costs: there are two in an attempt.
-func BenchmarkLook(b *testing.B) {
+// BenchmarkPeek is what a look costs: there are two in an attempt.
+func BenchmarkPeek(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
--- a/internal/downstream/classes_test.go
+++ b/internal/downstream/classes_test.go
@@ -11,9 +11,9 @@
 	"pinelb.example/pinelb/internal/stream"
 )
 
-// Guards against classes that are not taken once they have appeared, that change their effect for what is said of them,
-// or that vanish before those who were told later have had their answers.
-func TestReclass(t *testing.T) {
+// Guards against classes that are not served once they are added, that keep their old effect, or that are removed before
+// clients that get the change later have had their responses.
+func TestUpdateClasses(t *testing.T) {
 	var got stream.Request
 	s := newServer(func(_ context.Context, req *stream.Request) stream.Response {
 		got = *req
@@ -21,7 +21,7 @@
 	})
 	ask := func(method, target string, headers ...string) int {
 		w := httptest.NewRecorder()
-		s.ServeHTTP(w, message(method, target, "", append(headers, "X-Txn", "a", "X-Remaining-Ms", "900")...))
+		s.ServeHTTP(w, newRequest(method, target, "", append(headers, "X-Txn", "a", "X-Remaining-Ms", "900")...))
 		return w.Code
 	}
 	set := &config.Settings{Settings: balance.Settings{MaxHeld: 2, Classes: []balance.Class{
@@ -29,11 +29,11 @@
 		{Effect: balance.Unsafe, Deadline: time.Second}, {Effect: balance.Safe, Deadline: time.Second}}},
 		ClassNames: []string{"look", "order", "charge", "peek"}, Vanished: []bool{true, false, false, false}}
 	if code := ask("GET", "/peek/1"); code != 404 {
-		t.Errorf("before it appears: %d", code)
+		t.Errorf("before it is added: %d", code)
 	}
 	s.UpdateClasses(set)
 	if code := ask("GET", "/peek/1"); code != 200 || got.Class != 3 {
-		t.Errorf("a class that appeared: %d, class %d", code, got.Class)
+		t.Errorf("an added class: %d, class %d", code, got.Class)
 	}
 	if code := ask("POST", "/order/1", "Idempotency-Key", "k"); code != 400 {
 		t.Errorf("a key for a class that takes none any more: %d", code)
@@ -42,20 +42,20 @@
 		t.Errorf("a class that has become unsafe: %d, class %d", code, got.Class)
 	}
 	if code := ask("GET", "/look/1"); code != 200 || got.Class != 0 {
-		t.Errorf("a class that has just vanished: %d, class %d", code, got.Class)
+		t.Errorf("a class that was just removed: %d, class %d", code, got.Class)
 	}
-	s.UpdateClasses(set) // told twice, it goes no later
+	s.UpdateClasses(set) // a second update does not serve it longer
 	if _, taken := s.class("look", time.Now().Add(time.Second)); taken {
-		t.Error("a class that vanished is taken beyond its deadline")
+		t.Error("a removed class is served beyond its deadline")
 	}
 	set.Vanished = []bool{false, false, false, false}
 	s.UpdateClasses(set)
 	if _, taken := s.class("look", time.Now().Add(time.Hour)); !taken {
-		t.Error("a class that came back is not taken")
+		t.Error("a class that was added again is not served")
 	}
 }
 
-// Guards against requests of one tenant passing for another's: by their header, of names that the settings have.
+// Guards against requests of one tenant being taken for another's: by their header, of names that the settings have.
 func TestTenants(t *testing.T) {
 	var got stream.Request
 	s := newServer(func(_ context.Context, req *stream.Request) stream.Response {
@@ -69,17 +69,17 @@
 		orgs []string
 		code int
 		want int
-		on   string // what goes on to the host
+		org  string // what is forwarded to the host
 	}{{nil, 200, 0, ""}, {[]string{"north"}, 200, 1, "north"}, {[]string{"süd 1"}, 200, 2, ""}, {[]string{"East"}, 200, 0, "East"},
 		{[]string{"North"}, 200, 0, "North"}, {[]string{"north", "süd 1"}, 400, 0, ""}} {
 		got = stream.Request{}
-		r := message("GET", "/look/1", "", "X-Txn", "a", "X-Remaining-Ms", "900")
+		r := newRequest("GET", "/look/1", "", "X-Txn", "a", "X-Remaining-Ms", "900")
 		for _, org := range c.orgs {
 			r.Header.Add("X-Org", org)
 		}
 		w := httptest.NewRecorder()
-		if s.ServeHTTP(w, r); w.Code != c.code || got.Tenant != c.want || got.Org != c.on {
-			t.Errorf("%q: %d, tenant %d, %q goes on; want %d, %d, %q", c.orgs, w.Code, got.Tenant, got.Org, c.code, c.want, c.on)
+		if s.ServeHTTP(w, r); w.Code != c.code || got.Tenant != c.want || got.Org != c.org {
+			t.Errorf("%q: %d, tenant %d, %q is forwarded; want %d, %d, %q", c.orgs, w.Code, got.Tenant, got.Org, c.code, c.want, c.org)
 		}
 	}
 }
@@ -104,7 +104,7 @@
 		{"/a.b/c/d/x/y", "a.b/c/d", 200, "a.b/c/d"}, {"/a.b/c", "", 404, ""}, {"/a.b/c", "a.b/c", 404, ""}, {"/opened/1", "", 404, ""},
 	} {
 		got = stream.Request{}
-		r := message("GET", c.target, "", "X-Txn", "a", "X-Remaining-Ms", "900")
+		r := newRequest("GET", c.target, "", "X-Txn", "a", "X-Remaining-Ms", "900")
 		if c.lane != "" {
 			r.Header.Set("X-Lane", c.lane)
 		}
--- a/internal/downstream/drain_bench_test.go
+++ b/internal/downstream/drain_bench_test.go
@@ -18,12 +18,12 @@
 	"pinelb.example/pinelb/internal/stream"
 )
 
-// tally is what clients of a sidecar that ends have met.
-type tally struct{ whole, refused, failed, unanswered, lost atomic.Int64 }
+// clientResults counts how the requests of a draining sidecar's clients ended.
+type clientResults struct{ complete, refused, failed, unanswered, lost atomic.Int64 }
 
-// ask has a client ask again as soon as it is answered, on one connection for as long as that stays open, until it can't
-// connect. A request without an answer goes once more on a new connection, and is lost where it finds none there either.
-func (n *tally) ask(addr string) {
+// run is a client that sends its next request as soon as it has a response, on one connection for as long as that stays open,
+// until it can't connect. A request without a response is retried once on a new connection, and lost where that fails, too.
+func (n *clientResults) run(addr string) {
 	again := false
 	for {
 		conn, err := net.Dial("tcp", addr)
@@ -35,7 +35,7 @@
 		}
 		in := bufio.NewReader(conn)
 		for open := true; open; {
-			_, _ = io.WriteString(conn, raw) // a connection that is broken brings no answer
+			_, _ = io.WriteString(conn, rawRequest) // on a broken connection no response comes
 			res, err := http.ReadResponse(in, nil)
 			if err == nil {
 				_, err = io.Copy(io.Discard, res.Body)
@@ -51,7 +51,7 @@
 				again = true
 				continue
 			case res.StatusCode == http.StatusOK:
-				n.whole.Add(1)
+				n.complete.Add(1)
 			case res.StatusCode == http.StatusServiceUnavailable:
 				n.refused.Add(1)
 			default:
@@ -63,10 +63,10 @@
 	}
 }
 
-// BenchmarkLoneEnd ends a sidecar that has no other beside it under 24 clients, and reports what they met from its start to
-// its end, by planned end. Endpoints take 2 ms.
-func BenchmarkLoneEnd(b *testing.B) {
-	var n tally
+// BenchmarkDrainAlone drains a sidecar that has no other beside it under 24 clients, and reports how their requests ended from
+// its start to its end. Endpoints take 2 ms.
+func BenchmarkDrainAlone(b *testing.B) {
+	var n clientResults
 	set := &config.Settings{ClassNames: []string{"look"}, Settings: balance.Settings{Instances: 1, MaxHeld: 100,
 		Classes: []balance.Class{{Effect: balance.Safe, Deadline: 100 * time.Millisecond}}}}
 	for b.Loop() {
@@ -74,14 +74,11 @@
 			time.Sleep(2 * time.Millisecond)
 			return stream.Response{Body: []byte("whole")}
 		}), zerolog.Nop())
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			b.Fatal(err)
-		}
+		l := listen(b)
 		ctx, end := context.WithCancel(context.Background())
 		var clients sync.WaitGroup
 		for range 24 {
-			clients.Go(func() { n.ask(l.Addr().String()) })
+			clients.Go(func() { n.run(l.Addr().String()) })
 		}
 		end()
 		if err := s.Run(ctx, s.Frontend(l)); err != nil {
@@ -89,7 +86,7 @@
 		}
 		clients.Wait()
 	}
-	for what, count := range map[string]int64{"whole": n.whole.Load(), "refused": n.refused.Load(), "failed": n.failed.Load(),
+	for what, count := range map[string]int64{"whole": n.complete.Load(), "refused": n.refused.Load(), "failed": n.failed.Load(),
 		"unanswered": n.unanswered.Load(), "lost": n.lost.Load()} {
 		b.ReportMetric(float64(count)/float64(b.N), what+"/end")
 	}
--- a/internal/downstream/drain_race_test.go
+++ b/internal/downstream/drain_race_test.go
@@ -18,397 +18,374 @@
 	"pinelb.example/pinelb/internal/stream"
 )
 
-// gate is a listener whose connections stop before and after each read, from when they are told to.
-type gate struct {
+// gatedListener is a listener whose connections block before and after each read, once blockReads is set.
+type gatedListener struct {
 	net.Listener
-	last     *gated
+	last     *gatedConn
 	accepted chan struct{}
-	closed   chan struct{} // gets something at each Close
+	closed   chan struct{} // receives at each Close
 }
 
-func (g *gate) Accept() (net.Conn, error) {
+func (g *gatedListener) Accept() (net.Conn, error) {
 	conn, err := g.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	g.last = &gated{TCPConn: conn.(*net.TCPConn), held: make(chan struct{}), goOn: make(chan struct{}), ended: make(chan struct{}, 9)}
+	g.last = &gatedConn{TCPConn: conn.(*net.TCPConn), blocked: make(chan struct{}), resume: make(chan struct{}), closed: make(chan struct{}, 9)}
 	g.accepted <- struct{}{}
 	<-g.accepted
 	return g.last, nil
 }
 
-func (g *gate) Close() error {
+func (g *gatedListener) Close() error {
 	err := g.Listener.Close()
 	g.closed <- struct{}{}
 	return err
 }
 
-type gated struct {
+type gatedConn struct {
 	*net.TCPConn
-	stops, watched atomic.Bool
-	stopsEnd       atomic.Bool // before its sending or all of it is closed, once
-	held, goOn     chan struct{}
-	ended          chan struct{} // gets something as the watched connection is closed, or its reads are
+	blockReads, reportClose atomic.Bool
+	blockClose              atomic.Bool // before the next CloseWrite or Close
+	blocked, resume         chan struct{}
+	closed                  chan struct{} // receives when reportClose is set and the connection is closed, or its read expired
 }
 
-func (g *gated) hold() {
-	if g.stops.Load() {
-		g.held <- struct{}{}
-		<-g.goOn
+func (g *gatedConn) block() {
+	if g.blockReads.Load() {
+		g.blocked <- struct{}{}
+		<-g.resume
 	}
 }
 
-func (g *gated) Read(b []byte) (int, error) {
-	if len(b) == 1 { // net/http's while it serves a request
+func (g *gatedConn) Read(b []byte) (int, error) {
+	if len(b) == 1 { // net/http's background read while it serves a request
 		return g.TCPConn.Read(b)
 	}
-	g.hold()
+	g.block()
 	n, err := g.TCPConn.Read(b)
 	if n > 0 {
-		g.hold()
+		g.block()
 	}
 	return n, err
 }
 
-func (g *gated) end() {
-	if g.watched.Load() {
-		g.ended <- struct{}{}
+func (g *gatedConn) notifyClosed() {
+	if g.reportClose.Load() {
+		g.closed <- struct{}{}
 	}
 }
 
-func (g *gated) holdEnd() {
-	if g.stopsEnd.CompareAndSwap(true, false) {
-		g.held <- struct{}{}
-		<-g.goOn
+func (g *gatedConn) blockOnClose() {
+	if g.blockClose.CompareAndSwap(true, false) {
+		g.blocked <- struct{}{}
+		<-g.resume
 	}
 }
 
-func (g *gated) CloseWrite() error {
-	g.holdEnd()
+func (g *gatedConn) CloseWrite() error {
+	g.blockOnClose()
 	return g.TCPConn.CloseWrite()
 }
 
-func (g *gated) Close() error {
-	g.end()
-	g.holdEnd()
+func (g *gatedConn) Close() error {
+	g.notifyClosed()
+	g.blockOnClose()
 	return g.TCPConn.Close()
 }
 
-func (g *gated) SetReadDeadline(t time.Time) error {
+func (g *gatedConn) SetReadDeadline(t time.Time) error {
 	err := g.TCPConn.SetReadDeadline(t)
-	if t.Equal(time.Unix(1, 0)) {
-		g.end()
+	if t.Equal(expiredDeadline) {
+		g.notifyClosed()
 	}
 	return err
 }
 
-// crossing is a server behind a gate, and what a test needs of its planned end.
-type crossing struct {
-	*Server
-	t     *testing.T
-	gate  *gate
-	serve func() // within each request
-	steps chan time.Time
-	end   context.CancelFunc
-	ended chan error
+// drainRace is a server behind a gatedListener, whose draining the test steps through.
+type drainRace struct {
+	*drainTest
+	t        *testing.T
+	listener *gatedListener
+	serve    func() // called within each request
 }
 
-func newCrossing(t *testing.T, most int) *crossing {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	c := &crossing{t: t, gate: &gate{Listener: l, accepted: make(chan struct{}), closed: make(chan struct{}, 9)}, serve: func() {},
-		steps: make(chan time.Time), ended: make(chan error, 1)}
-	c.Server = newServer(func(context.Context, *stream.Request) stream.Response {
-		c.serve()
-		return stream.Response{Body: []byte("whole")}
+func newDrainRace(t *testing.T, maxConns int) *drainRace {
+	r := &drainRace{t: t, serve: func() {},
+		listener: &gatedListener{Listener: listen(t), accepted: make(chan struct{}), closed: make(chan struct{}, 9)}}
+	s := newServer(func(context.Context, *stream.Request) stream.Response {
+		r.serve()
+		return stream.Response{Body: []byte("complete")}
 	})
-	c.settings.Store(&managerSettings{maxStreams: 10, drainTimeout: time.Minute})
-	c.limiter = newConnLimiter(most)
-	c.After = func(time.Duration) <-chan time.Time { return c.steps }
-	ctx, end := context.WithCancel(context.Background())
-	c.end = end
-	go func() { c.ended <- c.Run(ctx, c.Frontend(c.gate)) }()
-	t.Cleanup(func() { l.Close() })
-	return c
+	s.limiter = newConnLimiter(maxConns)
+	r.drainTest = newDrainTest(s, r.listener, false)
+	return r
 }
 
-// dial makes a connection that is accepted, and that stops before its first read where it is to.
-func (c *crossing) dial(stops bool) (net.Conn, *bufio.Reader, *gated) {
-	conn, in := dial(c.t, c.gate.Addr())
-	<-c.gate.accepted
-	at := c.gate.last
-	at.stops.Store(stops)
-	c.gate.accepted <- struct{}{}
-	return conn, in, at
+// dial opens a connection that is accepted, and that blocks before its first read if blockReads is true.
+func (c *drainRace) dial(blockReads bool) (net.Conn, *bufio.Reader, *gatedConn) {
+	conn, in := dial(c.t, c.listener.Addr())
+	<-c.listener.accepted
+	g := c.listener.last
+	g.blockReads.Store(blockReads)
+	c.listener.accepted <- struct{}{}
+	return conn, in, g
 }
 
-// leave has the planned end go on to where quiet connections are closed.
-func (c *crossing) leave(silent *bufio.Reader) {
-	c.end()
+// drain runs draining to where inactive connections are closed.
+func (c *drainRace) drain(silent *bufio.Reader) {
+	c.stop()
 	close(c.steps)
 	if _, err := silent.ReadByte(); err != io.EOF {
 		c.t.Errorf("a silent connection reads %v, want its end", err)
 	}
 }
 
-// whole reads the answer to a request that was taken.
-func (c *crossing) whole(in *bufio.Reader, closes bool) {
+// expectResponse reads the complete response to a request.
+func (c *drainRace) expectResponse(in *bufio.Reader, closes bool) {
 	c.t.Helper()
 	if res, err := http.ReadResponse(in, nil); err != nil {
-		c.t.Errorf("a request that was taken: %v", err)
+		c.t.Errorf("a request got no response: %v", err)
 	} else if res.StatusCode != 200 || res.Close != closes {
-		c.t.Errorf("a request that was taken was answered %d, closing %v", res.StatusCode, res.Close)
+		c.t.Errorf("a request got status %d, closing %v", res.StatusCode, res.Close)
 	} else if _, err := io.Copy(io.Discard, res.Body); err != nil {
 		c.t.Error(err)
 	}
 }
 
-// Guards against a request lost whose first bytes cross our own closing of its connection, which passes for quiet
-// until net/http has read a whole head: in a planned end, and where it is shed for another.
-func TestRequestCrossesClose(t *testing.T) {
-	const half = 2
-	for at, name := range []string{"unread", "read", "half"} { // as the closing comes; each is one more stop passed than the one before
-		for _, kept := range []bool{false, true} {
-			for _, crowd := range []bool{false, true} {
-				if at == half && crowd {
-					continue // the half may be shed
+// Guards against a request lost whose first bytes race our own close of its connection, which counts as inactive until net/http
+// has read a complete head: while draining, and where it is evicted for another.
+func TestRequestRacesClose(t *testing.T) {
+	for resumes, name := range []string{"unread", "read", "half"} { // how far the request is as the close comes; each needs one more resume
+		for _, reused := range []bool{false, true} {
+			for _, overload := range []bool{false, true} {
+				if name == "half" && overload {
+					continue // half a request may be evicted
 				}
-				t.Run(fmt.Sprintf("%s,kept=%v,crowd=%v", name, kept, crowd), func(t *testing.T) {
-					most := 2
-					if crowd {
-						most = 1
-					}
-					c := newCrossing(t, most)
-					var silent *bufio.Reader
-					if !crowd {
-						_, silent, _ = c.dial(false)
-					}
-					conn, in, g := c.dial(!kept)
-					if kept {
-						c.serve = func() { g.stops.Store(true) }
-						io.WriteString(conn, raw)
-						c.whole(in, false)
-						c.serve = func() {}
-					}
-					<-g.held
-					now, later := raw, ""
-					if at == half {
-						now, later = raw[:20], raw[20:]
-					}
-					io.WriteString(conn, now)
-					for !hasUnread(g) { // on its way
-						runtime.Gosched()
-					}
-					for range at {
-						g.goOn <- struct{}{}
-						<-g.held
-					}
-					g.watched.Store(true)
-					var other *bufio.Reader
-					if crowd {
-						var to net.Conn
-						to, other, _ = c.dial(false)
-						io.WriteString(to, raw)
-						<-g.ended
-					} else {
-						c.leave(silent)
-					}
-					io.WriteString(conn, later)
-					g.stops.Store(false)
-					g.goOn <- struct{}{}
-					c.whole(in, !crowd)
-					if crowd {
-						c.whole(other, false)
-						c.end()
-						close(c.steps)
-					}
-					if err := <-c.ended; err != nil {
-						t.Error(err)
-					}
+				t.Run(fmt.Sprintf("%s,reused=%v,overload=%v", name, reused, overload), func(t *testing.T) {
+					testRequestRacesClose(t, resumes, name == "half", reused, overload)
 				})
 			}
 		}
 	}
 }
 
-// Guards against a request lost because its connection was accepted and still waited for room as the planned end closed
-// the listener.
-func TestClaimCrossesEnd(t *testing.T) {
-	c := newCrossing(t, 1)
+func testRequestRacesClose(t *testing.T, resumes int, half, reused, overload bool) {
+	maxConns := 2
+	if overload {
+		maxConns = 1
+	}
+	c := newDrainRace(t, maxConns)
+	var silent *bufio.Reader
+	if !overload {
+		_, silent, _ = c.dial(false)
+	}
+	conn, in, g := c.dial(!reused)
+	if reused {
+		c.serve = func() { g.blockReads.Store(true) }
+		send(conn, rawRequest)
+		c.expectResponse(in, false)
+		c.serve = func() {}
+	}
+	<-g.blocked
+	now, later := rawRequest, ""
+	if half {
+		now, later = rawRequest[:20], rawRequest[20:]
+	}
+	send(conn, now)
+	for !hasUnread(g) { // until the kernel has delivered it
+		runtime.Gosched()
+	}
+	for range resumes {
+		g.resume <- struct{}{}
+		<-g.blocked
+	}
+	g.reportClose.Store(true)
+	var other *bufio.Reader
+	if overload {
+		var evictor net.Conn
+		evictor, other, _ = c.dial(false)
+		send(evictor, rawRequest)
+		<-g.closed
+	} else {
+		c.drain(silent)
+	}
+	send(conn, later)
+	g.blockReads.Store(false)
+	g.resume <- struct{}{}
+	c.expectResponse(in, !overload)
+	if overload {
+		c.expectResponse(other, false)
+		c.stop()
+		close(c.steps)
+	}
+	if err := <-c.done; err != nil {
+		t.Error(err)
+	}
+}
+
+// Guards against a request lost because its connection was accepted and still waited for the limiter as draining closed the
+// listener.
+func TestAcceptRacesDrain(t *testing.T) {
+	c := newDrainRace(t, 1)
 	held, release := make(chan struct{}, 2), make(chan struct{})
 	c.serve = func() {
 		held <- struct{}{}
 		<-release
 	}
 	first, firstIn, _ := c.dial(false)
-	io.WriteString(first, raw)
+	send(first, rawRequest)
 	<-held
 	second, secondIn, _ := c.dial(false)
-	io.WriteString(second, raw)
-	c.end()
+	send(second, rawRequest)
+	c.stop()
 	close(c.steps)
-	<-c.gate.closed
+	<-c.listener.closed
 	close(release)
-	c.whole(firstIn, true)
-	c.whole(secondIn, true)
-	if err := <-c.ended; err != nil {
+	c.expectResponse(firstIn, true)
+	c.expectResponse(secondIn, true)
+	if err := <-c.done; err != nil {
 		t.Error(err)
 	}
 }
 
-// Guards against connections that the kernel has accepted, and that wait behind a full bound, being reset with what their
-// clients have written as the listener closes.
-func TestQueueCrossesEnd(t *testing.T) {
+// Guards against connections in the kernel's accept queue, whose limit is reached, being reset with what their clients have
+// written as the listener closes.
+func TestAcceptQueueRacesDrain(t *testing.T) {
 	held, release := make(chan struct{}, 9), make(chan struct{})
 	s := newServer(func(context.Context, *stream.Request) stream.Response {
 		held <- struct{}{}
 		<-release
-		return stream.Response{Body: []byte("whole")}
+		return stream.Response{Body: []byte("complete")}
 	})
-	s.settings.Store(&managerSettings{maxStreams: 10, drainTimeout: time.Minute})
 	s.limiter = newConnLimiter(1)
-	steps := make(chan time.Time)
-	s.After = func(time.Duration) <-chan time.Time { return steps }
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	ctx, end := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- s.Run(ctx, s.Frontend(l)) }()
-	var all []*bufio.Reader // one is served, one waits for room, the others in the queue
+	d := newDrainTest(s, listen(t), false)
+	var all []*bufio.Reader // one is served, one waits for the limiter, the others are in the accept queue
 	for range 4 {
-		conn, in := dial(t, l.Addr())
-		io.WriteString(conn, raw)
+		conn, in := dial(t, d.addr)
+		send(conn, rawRequest)
 		all = append(all, in)
 	}
 	<-held
-	end()
-	steps <- time.Now()
-	steps <- time.Now() // it leaves
-	for leaving := false; !leaving; runtime.Gosched() {
+	d.stop()
+	d.steps <- time.Now()
+	d.steps <- time.Now() // the listener closes
+	for closing := false; !closing; runtime.Gosched() {
 		s.limiter.mu.Lock()
-		leaving = s.limiter.closeIdleConns
+		closing = s.limiter.closeIdleConns
 		s.limiter.mu.Unlock()
 	}
 	close(release)
 	for i, in := range all {
-		if res := answer(t, in); res.StatusCode != 200 || !res.Close {
-			t.Errorf("connection %d was answered %d, closing %v", i, res.StatusCode, res.Close)
+		if res := readResponse(t, in); res.StatusCode != 200 || !res.Close {
+			t.Errorf("connection %d got status %d, closing %v", i, res.StatusCode, res.Close)
 		}
 	}
-	close(steps)
-	if err := <-ended; err != nil {
+	close(d.steps)
+	if err := <-d.done; err != nil {
 		t.Error(err)
 	}
-	if _, err := net.Dial("tcp", l.Addr().String()); err == nil {
+	if _, err := net.Dial("tcp", d.addr.String()); err == nil {
 		t.Error("the listener is still open")
 	}
 }
 
-// Guards against a connection that has just come, and whose request is on its way, passing for an idle one as those are closed.
-func TestRequestOfANewConnectionCrossesEnd(t *testing.T) {
-	c := newCrossing(t, 3)
+// Guards against a new connection whose request is on its way being taken for an idle one as those are closed.
+func TestNewConnectionRacesDrain(t *testing.T) {
+	c := newDrainRace(t, 3)
 	clock := time.Now()
 	c.limiter.now = func() time.Time { return clock }
-	kept, keptIn, _ := c.dial(false)
-	io.WriteString(kept, raw)
-	c.whole(keptIn, false)
+	idle, idleIn, _ := c.dial(false)
+	send(idle, rawRequest)
+	c.expectResponse(idleIn, false)
 	fresh, freshIn, _ := c.dial(false)
-	for c.limiter.countInactive(c.gate.Addr()) < 2 {
+	for c.limiter.countInactive(c.listener.Addr()) < 2 {
 		runtime.Gosched()
 	}
-	c.end()
+	c.stop()
 	c.steps <- time.Now()
-	c.steps <- time.Now() // it leaves
-	if _, err := keptIn.ReadByte(); err != io.EOF {
+	c.steps <- time.Now() // the listener closes
+	if _, err := idleIn.ReadByte(); err != io.EOF {
 		t.Errorf("an idle connection reads %v, want its end", err)
 	}
-	kept.Close()
+	_ = idle.Close()
 	c.limiter.mu.Lock()
-	quiets := slices.Collect(maps.Keys(c.limiter.inactive))
+	inactive := slices.Collect(maps.Keys(c.limiter.inactive))
 	c.limiter.mu.Unlock()
-	for _, conn := range quiets { // as another front does with all that it has
+	for _, conn := range inactive { // as another frontend does with all of its connections
 		c.ExpireRead(conn)
 		c.limiter.mu.Lock()
-		if own := conn.(*clientConn); own.readExpired && own.RemoteAddr().String() == fresh.LocalAddr().String() {
-			t.Error("a connection that has just come is to be closed")
+		if client := conn.(*clientConn); client.readExpired && client.RemoteAddr().String() == fresh.LocalAddr().String() {
+			t.Error("a new connection is to be closed")
 		}
 		c.limiter.mu.Unlock()
 	}
-	io.WriteString(fresh, raw)
-	c.whole(freshIn, true)
+	send(fresh, rawRequest)
+	c.expectResponse(freshIn, true)
 	close(c.steps)
-	if err := <-c.ended; err != nil {
+	if err := <-c.done; err != nil {
 		t.Error(err)
 	}
 }
 
-// Guards against a reset where bytes come in the moment in which their connection is closed: it takes an answer with it that
-// its client is yet to read. In a planned end they come as late as they can, and otherwise behind a message that ends its
-// connection.
-func TestBytesCrossClose(t *testing.T) {
-	end := func(in *bufio.Reader) {
+// Guards against a reset where bytes come at the moment in which their connection is closed: the client loses a response that
+// it has yet to read. While draining the bytes come as late as possible, and otherwise after a request that ends its connection.
+func TestBytesRaceClose(t *testing.T) {
+	expectEOF := func(in *bufio.Reader) {
 		if _, err := in.ReadByte(); err != io.EOF {
 			t.Errorf("the connection reads %v, want its end", err)
 		}
 	}
-	c := newCrossing(t, 2)
+	c := newDrainRace(t, 2)
 	conn, in, _ := c.dial(false)
-	io.WriteString(conn, "GET /look/1 HTTP/1.1\r\nHost: x\r\n\r\n"+strings.Repeat(raw, 200)) // the first has no id
+	send(conn, "GET /look/1 HTTP/1.1\r\nHost: x\r\n\r\n"+strings.Repeat(rawRequest, 200)) // the first has no id
 	if res, err := http.ReadResponse(in, nil); err != nil || res.StatusCode != 400 {
-		t.Errorf("a faulty request is answered %+v, %v", res, err)
+		t.Errorf("a faulty request got %+v, %v", res, err)
 	} else if _, err := io.Copy(io.Discard, res.Body); err != nil {
 		t.Error(err)
 	}
-	end(in)
-	conn.Close()
+	expectEOF(in)
+	_ = conn.Close()
 	conn, in, g := c.dial(false)
-	io.WriteString(conn, raw)
-	c.whole(in, false)
-	for c.limiter.countInactive(c.gate.Addr()) == 0 {
+	send(conn, rawRequest)
+	c.expectResponse(in, false)
+	for c.limiter.countInactive(c.listener.Addr()) == 0 {
 		runtime.Gosched()
 	}
-	g.stopsEnd.Store(true)
-	c.end()
+	g.blockClose.Store(true)
+	c.stop()
 	close(c.steps)
-	<-g.held
-	io.WriteString(conn, raw)
+	<-g.blocked
+	send(conn, rawRequest)
 	for !hasUnread(g) {
 		runtime.Gosched()
 	}
-	g.goOn <- struct{}{}
-	end(in)
-	conn.Close()
-	if err := <-c.ended; err != nil {
+	g.resume <- struct{}{}
+	expectEOF(in)
+	_ = conn.Close()
+	if err := <-c.done; err != nil {
 		t.Error(err)
 	}
 }
 
-// Guards against a half close that net/http or Thrift's front can't make: the client would learn only from the whole close that
-// no answer follows, and lose what it sent until then.
+// Guards against connections on which net/http or the frontend for Thrift can't close the sending side alone: the client would
+// learn only from the complete close that no response follows, and lose what it sent until then.
 func TestHalfClose(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	far, in := dial(t, l.Addr())
-	near, err := (&limitedListener{Listener: l, limiter: newConnLimiter(1)}).Accept()
+	l := listen(t)
+	client, in := dial(t, l.Addr())
+	server, err := (&limitedListener{Listener: l, limiter: newConnLimiter(1)}).Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer near.Close()
-	if half, ok := near.(interface{ CloseWrite() error }); !ok || half.CloseWrite() != nil {
-		t.Fatal("a caller's connection can't be closed by half")
+	defer func() { _ = server.Close() }()
+	if half, ok := server.(interface{ CloseWrite() error }); !ok || half.CloseWrite() != nil {
+		t.Fatal("the sending side of a client's connection can't be closed")
 	}
 	if _, err := in.ReadByte(); err != io.EOF {
 		t.Errorf("the client reads %v, want the end", err)
 	}
-	io.WriteString(far, "x")
-	if n, err := near.Read(make([]byte, 1)); n != 1 {
+	send(client, "x")
+	if n, err := server.Read(make([]byte, 1)); n != 1 {
 		t.Errorf("nothing more can be read: %v", err)
 	}
 }
--- a/internal/downstream/peer_test.go
+++ b/internal/downstream/peer_test.go
@@ -13,26 +13,22 @@
 	"pinelb.example/pinelb/internal/stream"
 )
 
-// Guards against a client that is taken to be there after it has left, which a byte that nobody has read can hide, and
-// against one that is taken to have left while it waits.
-func TestLeft(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
+// Guards against a client that is taken to be connected after it has left, which an unread byte can hide, and against one that
+// is taken to have left while it waits.
+func TestPeerClosed(t *testing.T) {
+	l := listen(t)
 	for _, c := range []struct {
-		name string
-		says string
-		ends func(client *net.TCPConn, here net.Conn)
-		left bool
+		name   string
+		data   string
+		change func(client *net.TCPConn, here net.Conn)
+		closed bool
 	}{
 		{"it waits", "", nil, false},
 		{"it has sent another request ahead", "GET", nil, false},
-		{"it closes", "", func(c *net.TCPConn, _ net.Conn) { c.Close() }, true},
-		{"it closes behind a byte", "G", func(c *net.TCPConn, _ net.Conn) { c.Close() }, true},
-		{"it resets", "", func(c *net.TCPConn, _ net.Conn) { _ = c.SetLinger(0); c.Close() }, true},
-		{"it resets behind a byte", "G", func(c *net.TCPConn, _ net.Conn) { _ = c.SetLinger(0); c.Close() }, true},
+		{"it closes", "", func(c *net.TCPConn, _ net.Conn) { _ = c.Close() }, true},
+		{"it closes behind a byte", "G", func(c *net.TCPConn, _ net.Conn) { _ = c.Close() }, true},
+		{"it resets", "", func(c *net.TCPConn, _ net.Conn) { _ = c.SetLinger(0); _ = c.Close() }, true},
+		{"it resets behind a byte", "G", func(c *net.TCPConn, _ net.Conn) { _ = c.SetLinger(0); _ = c.Close() }, true},
 		{"it ends its sending", "", func(c *net.TCPConn, _ net.Conn) { _ = c.CloseWrite() }, true},
 		{"it ends its sending behind a byte", "G", func(c *net.TCPConn, _ net.Conn) { _ = c.CloseWrite() }, true},
 		{"this side has closed", "", func(_ *net.TCPConn, here net.Conn) { here.Close() }, true},
@@ -45,58 +41,58 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, _ = client.Write([]byte(c.says))
+		_, _ = client.Write([]byte(c.data))
 		if PeerClosed(here) {
-			t.Errorf("%s: it has left before it does", c.name)
+			t.Errorf("%s: closed too early", c.name)
 		}
-		if c.ends != nil {
-			c.ends(client.(*net.TCPConn), here)
+		if c.change != nil {
+			c.change(client.(*net.TCPConn), here)
 		}
-		own := &clientConn{Conn: here}
-		for c.left && !PeerClosed(own) { // it comes over the loopback; a leave that is never seen runs into the tests' time-out
+		wrapped := &clientConn{Conn: here}
+		for c.closed && !PeerClosed(wrapped) { // until the kernel has delivered it; a close that is never seen runs into the tests' time-out
 			runtime.Gosched()
 		}
-		if PeerClosed(own) != c.left {
-			t.Errorf("%s: left is %v", c.name, !c.left)
+		if PeerClosed(wrapped) != c.closed {
+			t.Errorf("%s: closed is %v", c.name, !c.closed)
 		}
 		client.Close()
 		here.Close()
 	}
 	near, _ := net.Pipe()
 	if PeerClosed(near) {
-		t.Error("one of which nothing can be seen has left")
+		t.Error("a connection without a descriptor is closed")
 	}
 }
 
-// Guards against a client that sends on and takes no answers holding its connection for ever.
-func TestNothingIsTaken(t *testing.T) {
+// Guards against a client that goes on sending and reads no responses holding its connection for ever.
+func TestWriteStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		here, client := net.Pipe()
 		defer client.Close()
 		from := time.Now()
 		time.AfterFunc(time.Hour, func() { here.Close() })
-		if _, err := (&clientConn{Conn: here}).Write([]byte("an answer")); err == nil || time.Since(from) > writeStallTimeout {
-			t.Errorf("a write that nobody takes ends after %v with %v, want %v", time.Since(from), err, writeStallTimeout)
+		if _, err := (&clientConn{Conn: here}).Write([]byte("a response")); err == nil || time.Since(from) > writeStallTimeout {
+			t.Errorf("a write that nobody reads ends after %v with %v, want %v", time.Since(from), err, writeStallTimeout)
 		}
 	})
 }
 
-// Guards against a body that never comes whole holding its connection for ever, where nobody here reads it.
+// Guards against an incomplete body holding its connection for ever, where nothing here reads it.
 func TestUnreadBody(t *testing.T) {
 	for name, c := range map[string]struct {
 		held    int64
 		message string
 		answer  string
 	}{
-		"health":                      {0, "GET /_health", "HTTP/1.1 400"},
-		"a stream that finds no room": {2, "POST /charge/1", "HTTP/1.1 503"},
-		"a class that nobody knows":   {0, "POST /unheard-of/1", "HTTP/1.1 404"},
+		"health":            {0, "GET /_health", "HTTP/1.1 400"},
+		"a rejected stream": {2, "POST /charge/1", "HTTP/1.1 503"},
+		"an unknown class":  {0, "POST /unheard-of/1", "HTTP/1.1 404"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newServer(func(context.Context, *stream.Request) stream.Response { return stream.Response{} })
 				s.activeStreams.Add(c.held)
-				l := make(pipes, 1)
+				l := make(pipeListener, 1)
 				here, client := net.Pipe()
 				l <- here
 				server := s.Frontend(l).Server
@@ -116,10 +112,10 @@
 	}
 }
 
-// pipes is a listener whose connections a test makes.
-type pipes chan net.Conn
+// pipeListener is a listener that accepts what a test sends on it.
+type pipeListener chan net.Conn
 
-func (p pipes) Accept() (net.Conn, error) {
+func (p pipeListener) Accept() (net.Conn, error) {
 	conn, open := <-p
 	if !open {
 		return nil, errors.New("closed")
@@ -127,5 +123,5 @@
 	return conn, nil
 }
 
-func (p pipes) Close() error   { close(p); return nil }
-func (p pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p pipeListener) Close() error   { close(p); return nil }
+func (p pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
--- a/internal/downstream/server_test.go
+++ b/internal/downstream/server_test.go
@@ -22,60 +22,27 @@
 	"pinelb.example/pinelb/internal/stream"
 )
 
-type handlerFunc func(ctx context.Context, req *stream.Request) stream.Response
-
-func (f handlerFunc) Serve(ctx context.Context, req *stream.Request) stream.Response {
-	return f(ctx, req)
-}
-
-func (f handlerFunc) Refuse(*stream.Request) stream.Response {
-	return stream.Response{Outcome: stream.Refused}
-}
-
-func newServer(h handlerFunc) *Server {
-	set := &config.Settings{
-		Settings: balance.Settings{MaxHeld: 2, Classes: []balance.Class{
-			{Effect: balance.Safe, Deadline: time.Second}, {Effect: balance.Keyed, Deadline: 2 * time.Second},
-			{Effect: balance.Unsafe, Deadline: 3 * time.Second}}},
-		ClassNames: []string{"look", "order", "charge"},
-	}
-	return New(set, NewManager(set, 1<<20, 10, zerolog.Nop()), h, zerolog.Nop())
-}
-
-func message(method, target, body string, headers ...string) *http.Request {
-	r := httptest.NewRequest(method, target, strings.NewReader(body))
-	conn, _ := net.Pipe()
-	r = r.WithContext(context.WithValue(r.Context(), http.LocalAddrContextKey, conn.LocalAddr()))
-	if body == "" {
-		r.Body, r.ContentLength = http.NoBody, 0
-	}
-	for i := 0; i < len(headers); i += 2 {
-		r.Header.Set(headers[i], headers[i+1])
-	}
-	return r
-}
-
-// Guards against a message that is no valid stream being forwarded, or ending the sidecar.
-func TestBadMessages(t *testing.T) {
+// Guards against a request that is no valid stream being forwarded, or crashing the sidecar.
+func TestInvalidRequests(t *testing.T) {
 	const id, left = "X-Txn", "X-Remaining-Ms"
 	s := newServer(func(_ context.Context, req *stream.Request) stream.Response {
 		t.Errorf("%s %s was forwarded", req.Operation, req.Target)
 		return stream.Response{}
 	})
-	chunked := message("GET", "/look/1", "x", id, "a", left, "9") // a body where the class takes none
+	chunked := newRequest("GET", "/look/1", "x", id, "a", left, "9") // a body where the class takes none
 	chunked.ContentLength, chunked.TransferEncoding = -1, []string{"chunked"}
-	cut := message("POST", "/charge/1", "four", id, "a", left, "9")
+	cut := newRequest("POST", "/charge/1", "four", id, "a", left, "9")
 	cut.ContentLength = 5
-	huge := message("POST", "/charge/1", "x", id, "a", left, "9")
+	huge := newRequest("POST", "/charge/1", "x", id, "a", left, "9")
 	huge.ContentLength = maxUploadBytes + 1
 	twice := func(name string) *http.Request {
-		r := message("POST", "/order/1", "", id, "a", left, "9", "Idempotency-Key", "k", "X-Lane", "order", "X-Labels", "a=1")
+		r := newRequest("POST", "/order/1", "", id, "a", left, "9", "Idempotency-Key", "k", "X-Lane", "order", "X-Labels", "a=1")
 		r.Header.Add(name, r.Header.Get(name))
 		return r
 	}
-	odd := message("GET", "/look/1", "", id, "a", left, "9")
+	odd := newRequest("GET", "/look/1", "", id, "a", left, "9")
 	odd.Host = "x\xff"
-	tail := message("GET", "/look/1", "", id, "a", left, "9")
+	tail := newRequest("GET", "/look/1", "", id, "a", left, "9")
 	tail.RequestURI = "/look/\xe9"
 	for _, c := range []struct {
 		r    *http.Request
@@ -88,26 +55,26 @@
 		{twice("X-Labels"), 400},
 		{odd, 400},
 		{tail, 400},
-		{message("GET", "/look/1", "", id, "a", left, "9", "X-Labels", "a=\x80"), 400},
-		{message("GET", "/look/1", "", id, "a", left, "9", "Content-Type", "\xfftext"), 400},
-		{message("GET", "/look/1", "", left, "9"), 400},
-		{message("GET", "/look/1", "", id, "a b", left, "9"), 400},
-		{message("GET", "/look/1", "", id, strings.Repeat("a", maxNameBytes+1), left, "9"), 400},
-		{message("GET", "/look/1", "", id, "a"), 400},
-		{message("GET", "/look/1", "", id, "a", left, "soon"), 400},
-		{message("GET", "/look/1", "", id, "a", left, "-5"), 400},
-		{message("GET", "/look/1", "", id, "a", left, "99999999999999999999"), 400},
-		{message("GET", "/look/1", "", id, "a", left, "9", "Idempotency-Key", "k"), 400},
-		{message("GET", "/look/1", "", id, "a", left, "9", "X-Lane", "order"), 400},
-		{message("GET", "/look/1", "body", id, "a", left, "9"), 400},
-		{message("POST", "/look/1", "", id, "a", left, "9"), 400},
-		{message("POST", "/order/1", "", id, "a", left, "9"), 400},
-		{message("GET", "/order/1", "", id, "a", left, "9", "Idempotency-Key", "k"), 400},
-		{message("POST", "/charge/1", "", id, "a", left, "9", "Idempotency-Key", "k"), 400},
-		{message("DELETE", "/charge/1", "", id, "a", left, "9"), 400},
-		{message("GET", "/unheard-of/1", "", id, "a", left, "9"), 404},
-		{message("GET", "/look/1", "", id, "a", left, "9", "X-Lane", "unheard-of"), 404},
-		{message("GET", "/", "", id, "a", left, "9"), 404},
+		{newRequest("GET", "/look/1", "", id, "a", left, "9", "X-Labels", "a=\x80"), 400},
+		{newRequest("GET", "/look/1", "", id, "a", left, "9", "Content-Type", "\xfftext"), 400},
+		{newRequest("GET", "/look/1", "", left, "9"), 400},
+		{newRequest("GET", "/look/1", "", id, "a b", left, "9"), 400},
+		{newRequest("GET", "/look/1", "", id, strings.Repeat("a", maxNameBytes+1), left, "9"), 400},
+		{newRequest("GET", "/look/1", "", id, "a"), 400},
+		{newRequest("GET", "/look/1", "", id, "a", left, "soon"), 400},
+		{newRequest("GET", "/look/1", "", id, "a", left, "-5"), 400},
+		{newRequest("GET", "/look/1", "", id, "a", left, "99999999999999999999"), 400},
+		{newRequest("GET", "/look/1", "", id, "a", left, "9", "Idempotency-Key", "k"), 400},
+		{newRequest("GET", "/look/1", "", id, "a", left, "9", "X-Lane", "order"), 400},
+		{newRequest("GET", "/look/1", "body", id, "a", left, "9"), 400},
+		{newRequest("POST", "/look/1", "", id, "a", left, "9"), 400},
+		{newRequest("POST", "/order/1", "", id, "a", left, "9"), 400},
+		{newRequest("GET", "/order/1", "", id, "a", left, "9", "Idempotency-Key", "k"), 400},
+		{newRequest("POST", "/charge/1", "", id, "a", left, "9", "Idempotency-Key", "k"), 400},
+		{newRequest("DELETE", "/charge/1", "", id, "a", left, "9"), 400},
+		{newRequest("GET", "/unheard-of/1", "", id, "a", left, "9"), 404},
+		{newRequest("GET", "/look/1", "", id, "a", left, "9", "X-Lane", "unheard-of"), 404},
+		{newRequest("GET", "/", "", id, "a", left, "9"), 404},
 		{huge, 413},
 		{chunked, 400},
 		{cut, 400},
@@ -119,7 +86,7 @@
 	}
 }
 
-func TestDecode(t *testing.T) {
+func TestDecodeRequest(t *testing.T) {
 	var got stream.Request
 	s := newServer(func(_ context.Context, req *stream.Request) stream.Response {
 		got = *req
@@ -127,13 +94,13 @@
 	})
 	body := strings.Repeat("x", maxBufferedBody)
 	from := time.Now()
-	s.ServeHTTP(httptest.NewRecorder(), message("POST", "/order/7?a=%20b", body, "X-Txn", "9b1f", "X-Lane", "order",
+	s.ServeHTTP(httptest.NewRecorder(), newRequest("POST", "/order/7?a=%20b", body, "X-Txn", "9b1f", "X-Lane", "order",
 		"X-Remaining-Ms", "1500", "Idempotency-Key", "k1", "X-Resent", "1", "X-Labels", "n=1", "Content-Type", "text/csv"))
 	if left := got.Deadline.Sub(from); left < 1500*time.Millisecond || left > 2*time.Second {
-		t.Errorf("the time left is %v", left)
+		t.Errorf("the remaining time is %v", left)
 	}
 	if got.Arrived.Before(from) || got.Arrived.After(got.Deadline) {
-		t.Errorf("it came at %v", got.Arrived)
+		t.Errorf("it arrived at %v", got.Arrived)
 	}
 	got.Arrived, got.Deadline = time.Time{}, time.Time{}
 	want := stream.Request{Txn: "9b1f", ClassName: "order", Class: 1, Operation: "POST", Target: "/order/7?a=%20b",
@@ -144,8 +111,8 @@
 	}
 }
 
-// Guards against a failed stream answered like a refused one: clients would repeat what may have run.
-func TestAnswers(t *testing.T) {
+// Guards against a failed stream reported as a refused one: clients would retry what may have run.
+func TestResponses(t *testing.T) {
 	for _, c := range []struct {
 		res   stream.Response
 		code  int
@@ -162,7 +129,7 @@
 	} {
 		w := httptest.NewRecorder()
 		newServer(func(context.Context, *stream.Request) stream.Response { return c.res }).
-			ServeHTTP(w, message("GET", "/look/1", "", "X-Txn", "a", "X-Remaining-Ms", "9"))
+			ServeHTTP(w, newRequest("GET", "/look/1", "", "X-Txn", "a", "X-Remaining-Ms", "9"))
 		if w.Code != c.code || c.code == 200 && !bytes.Equal(w.Body.Bytes(), c.res.Body) || w.Header().Get("Retry-After") != c.retry ||
 			w.Header().Get("Content-Length") != fmt.Sprint(w.Body.Len()) {
 			t.Errorf("%+v became %d %v %q", c.res, w.Code, w.Header(), w.Body)
@@ -170,217 +137,167 @@
 	}
 	w := httptest.NewRecorder()
 	newServer(func(context.Context, *stream.Request) stream.Response { panic("bug") }).
-		ServeHTTP(w, message("GET", "/look/1", "", "X-Txn", "a", "X-Remaining-Ms", "9"))
-	if w.Code != 502 { // Guards against a panic ending a connection without an answer.
-		t.Errorf("a panic was answered %d", w.Code)
+		ServeHTTP(w, newRequest("GET", "/look/1", "", "X-Txn", "a", "X-Remaining-Ms", "9"))
+	if w.Code != 502 { // Guards against a panic ending a connection without a response.
+		t.Errorf("a panic gave status %d", w.Code)
 	}
 }
 
-// Guards against holding more than the site permits.
-func TestMostHeld(t *testing.T) {
-	release, held := make(chan struct{}), make(chan struct{})
+// Guards against more active streams than the settings permit.
+func TestMaxStreams(t *testing.T) {
+	release, started := make(chan struct{}), make(chan struct{})
 	s := newServer(func(context.Context, *stream.Request) stream.Response {
-		held <- struct{}{}
+		started <- struct{}{}
 		<-release
 		return stream.Response{}
 	})
-	ask := func() int {
+	request := func() int {
 		w := httptest.NewRecorder()
-		s.ServeHTTP(w, message("GET", "/look/1", "", "X-Txn", "a", "X-Remaining-Ms", "9"))
+		s.ServeHTTP(w, newRequest("GET", "/look/1", "", "X-Txn", "a", "X-Remaining-Ms", "9"))
 		return w.Code
 	}
 	codes := make(chan int)
 	for range 2 {
-		go func() { codes <- ask() }()
-		<-held
+		go func() { codes <- request() }()
+		<-started
 	}
-	if code := ask(); code != 503 {
-		t.Errorf("one too many was answered %d", code)
+	if code := request(); code != 503 {
+		t.Errorf("one too many got status %d", code)
 	}
 	close(release)
 	for range 2 {
 		if code := <-codes; code != 200 {
-			t.Errorf("one that was held was answered %d", code)
+			t.Errorf("an admitted one got status %d", code)
 		}
 	}
 }
 
-// refusals is a handler that keeps whom the front turns away.
-type refusals struct {
+// refusalRecorder is a handler that records the targets of rejected requests.
+type refusalRecorder struct {
 	Handler
-	told []string
+	targets []string
 }
 
-func (r *refusals) Refuse(req *stream.Request) stream.Response {
-	r.told = append(r.told, req.Target)
+func (r *refusalRecorder) Refuse(req *stream.Request) stream.Response {
+	r.targets = append(r.targets, req.Target)
 	return stream.Response{Outcome: stream.Refused}
 }
 
-// Guards against refusals that callers see and that nobody is told of, and against faulty messages among them.
-func TestRefusalsAreTold(t *testing.T) {
-	s, r := newServer(nil), &refusals{}
+// Guards against rejections that clients see and the handler does not, and against faulty requests among them.
+func TestHandlerSeesRefusals(t *testing.T) {
+	s, r := newServer(nil), &refusalRecorder{}
 	s.handler = r
 	s.maxBodyBytes.Store(1)
 	for i, target := range []string{"/charge/1", "/unheard-of", "/charge/2"} {
-		s.activeStreams.Store(s.settings.Load().maxStreams * int64(1-i/2)) // only for the last there is room, but not for its body
+		s.activeStreams.Store(s.settings.Load().maxStreams * int64(1-i/2)) // only the last is admitted, but its body is not
 		w := httptest.NewRecorder()
-		if s.ServeHTTP(w, message("POST", target, "xx", "X-Txn", "a", "X-Remaining-Ms", "9")); w.Code != 503 {
-			t.Errorf("answered %d, want 503", w.Code)
+		if s.ServeHTTP(w, newRequest("POST", target, "xx", "X-Txn", "a", "X-Remaining-Ms", "9")); w.Code != 503 {
+			t.Errorf("status %d, want 503", w.Code)
 		}
 	}
-	if !reflect.DeepEqual(r.told, []string{"/charge/1", "/charge/2"}) {
-		t.Errorf("told of %q", r.told)
-	}
-}
-
-const raw = "GET /look/1 HTTP/1.1\r\nHost: x\r\nX-Txn: a\r\nX-Remaining-Ms: 900\r\n\r\n"
-
-func dial(t *testing.T, addr net.Addr) (net.Conn, *bufio.Reader) {
-	t.Helper()
-	c, err := net.Dial("tcp", addr.String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { c.Close() })
-	return c, bufio.NewReader(c)
-}
-
-func answer(t *testing.T, in *bufio.Reader) *http.Response {
-	t.Helper()
-	res, err := http.ReadResponse(in, nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if _, err := io.Copy(io.Discard, res.Body); err != nil {
-		t.Fatal(err)
+	if !reflect.DeepEqual(r.targets, []string{"/charge/1", "/charge/2"}) {
+		t.Errorf("the handler got %q", r.targets)
 	}
-	return res
 }
 
-// Guards against a planned end that loses what was taken, or that resets connections while they still
-// come: those get answers, and are then closed.
+// Guards against draining that loses requests, or that resets connections while new ones still come: those get responses, and
+// are then closed.
 func TestDrain(t *testing.T) {
-	held, release := make(chan struct{}), make(chan struct{})
+	started, release := make(chan struct{}), make(chan struct{})
 	s := newServer(func(context.Context, *stream.Request) stream.Response {
-		held <- struct{}{}
+		started <- struct{}{}
 		<-release
 		return stream.Response{Body: []byte("whole")}
 	})
-	s.settings.Store(&managerSettings{maxStreams: 10, drainTimeout: time.Minute})
-	steps := make(chan time.Time)
-	s.After = func(time.Duration) <-chan time.Time { return steps }
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	ctx, end := context.WithCancel(context.Background())
-	ended := make(chan error)
-	go func() { ended <- s.Run(ctx, s.Frontend(l)) }()
-	taken, takenIn := dial(t, l.Addr())
-	_, idleIn := dial(t, l.Addr())
-	io.WriteString(taken, raw)
-	<-held
-	end()
-	for !s.draining.Load() {
-		runtime.Gosched()
-	}
-	late, lateIn := dial(t, l.Addr())
-	io.WriteString(late, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"+raw)
-	if res := answer(t, lateIn); res.StatusCode != 503 {
-		t.Errorf("a sidecar that ends says %d of its health", res.StatusCode)
-	}
-	<-held
-	close(steps) // the listener closes, and every connection that has brought nothing
+	d := newDrainTest(s, listen(t), false)
+	taken, takenIn := dial(t, d.addr)
+	_, idleIn := dial(t, d.addr)
+	send(taken, rawRequest)
+	<-started
+	d.startDraining()
+	late, lateIn := dial(t, d.addr)
+	send(late, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"+rawRequest)
+	if res := readResponse(t, lateIn); res.StatusCode != 503 {
+		t.Errorf("a draining sidecar's health check has status %d", res.StatusCode)
+	}
+	<-started
+	close(d.steps) // the listener closes, and every connection without a request
 	if _, err := idleIn.ReadByte(); err == nil {
-		t.Error("a silent connection was told something")
+		t.Error("a silent connection got a byte")
 	}
 	close(release)
 	for _, in := range []*bufio.Reader{takenIn, lateIn} {
-		if res := answer(t, in); res.StatusCode != 200 || !res.Close {
-			t.Errorf("what was taken was answered %d, closing %v", res.StatusCode, res.Close)
+		if res := readResponse(t, in); res.StatusCode != 200 || !res.Close {
+			t.Errorf("an admitted request got status %d, closing %v", res.StatusCode, res.Close)
 		}
 	}
-	if err := <-ended; err != nil {
+	if err := <-d.done; err != nil {
 		t.Error(err)
 	}
 }
 
-// Guards against a planned end that turns clients away who have no other sidecar: they are served on the
-// connections that they have for as long as that can be, and what can't be answered by then is failed in
-// time, not lost.
+// Guards against draining that rejects clients who have no other sidecar: they are served on the connections that they have for
+// as long as possible, and streams without a response by then fail in time and are not lost.
 func TestDrainAlone(t *testing.T) {
-	held := make(chan struct{})
+	started := make(chan struct{})
 	s := newServer(func(ctx context.Context, req *stream.Request) stream.Response {
 		if req.Target == "/look/slow" {
-			held <- struct{}{}
+			started <- struct{}{}
 			<-ctx.Done()
 			return stream.Response{Outcome: stream.Gone}
 		}
 		return stream.Response{Body: []byte("whole")}
 	})
-	s.settings.Store(&managerSettings{maxStreams: 10, alone: true, drainTimeout: time.Minute})
-	steps := make(chan time.Time)
-	s.After = func(time.Duration) <-chan time.Time { return steps }
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	ctx, end := context.WithCancel(context.Background())
-	ended := make(chan error)
-	go func() { ended <- s.Run(ctx, s.Frontend(l)) }()
-	kept, keptIn := dial(t, l.Addr())
-	slow, slowIn := dial(t, l.Addr())
-	io.WriteString(kept, raw)
-	answer(t, keptIn)
-	end()
-	for !s.draining.Load() {
-		runtime.Gosched()
-	}
+	d := newDrainTest(s, listen(t), true)
+	idle, idleIn := dial(t, d.addr)
+	slow, slowIn := dial(t, d.addr)
+	send(idle, rawRequest)
+	readResponse(t, idleIn)
+	d.startDraining()
 	for range 3 {
-		io.WriteString(kept, raw)
-		if res := answer(t, keptIn); res.StatusCode != 200 || res.Close {
-			t.Errorf("a client with nowhere to go was answered %d, closing %v", res.StatusCode, res.Close)
+		send(idle, rawRequest)
+		if res := readResponse(t, idleIn); res.StatusCode != 200 || res.Close {
+			t.Errorf("a client without another sidecar got status %d, closing %v", res.StatusCode, res.Close)
 		}
 	}
-	told, toldIn := dial(t, l.Addr())
-	io.WriteString(slow, strings.Replace(raw, "/look/1", "/look/slow", 1))
-	<-held
-	steps <- time.Now() // it is about to leave
+	redirected, redirectedIn := dial(t, d.addr)
+	send(slow, strings.Replace(rawRequest, "/look/1", "/look/slow", 1))
+	<-started
+	d.steps <- time.Now() // the listener is about to close
 	for !s.ClosesConnections() {
 		runtime.Gosched()
 	}
-	io.WriteString(told, raw)
-	if res := answer(t, toldIn); res.StatusCode != 200 || !res.Close {
-		t.Errorf("shortly before all is closed a client was answered %d, closing %v", res.StatusCode, res.Close)
+	send(redirected, rawRequest)
+	if res := readResponse(t, redirectedIn); res.StatusCode != 200 || !res.Close {
+		t.Errorf("shortly before the close a client got status %d, closing %v", res.StatusCode, res.Close)
 	}
-	steps <- time.Now() // it leaves
-	if _, err := keptIn.ReadByte(); err == nil {
+	d.steps <- time.Now() // the listener closes
+	if _, err := idleIn.ReadByte(); err == nil {
 		t.Error("an idle connection is still open")
 	}
-	steps <- time.Now() // and cuts what is left
-	if res := answer(t, slowIn); res.StatusCode != 502 {
-		t.Errorf("what could not be answered in time was answered %d", res.StatusCode)
+	d.steps <- time.Now() // streams are cancelled
+	if res := readResponse(t, slowIn); res.StatusCode != 502 {
+		t.Errorf("a cancelled stream got status %d", res.StatusCode)
 	}
-	if err := <-ended; err != nil {
+	if err := <-d.done; err != nil {
 		t.Error(err)
 	}
 }
 
-// elsewhere is a connection to another address.
-type elsewhere struct{ net.Conn }
+// otherAddrConn is a connection to another address.
+type otherAddrConn struct{ net.Conn }
 
-func (elsewhere) LocalAddr() net.Addr { return &net.TCPAddr{} }
+func (otherAddrConn) LocalAddr() net.Addr { return &net.TCPAddr{} }
 
-// Guards against clients of a sidecar that ends finding all connections busy, and taking it for dead
-// while it could still serve them, and the only other one may be about to start: in a crowd the last free ones are
-// not put to work. A few clients with a connection each are served, though, and all whose next connection a successor takes,
-// or one of several others.
-func TestSomeConnectionsStayFree(t *testing.T) {
+// Guards against clients of a draining sidecar finding all connections busy, and taking it for dead while it could still serve
+// them, and the only other one may be about to start: in an overload the last free ones serve no request. A few clients with a
+// connection each are served, though, and all whose next connection a successor accepts, or one of several others.
+func TestSpareConnections(t *testing.T) {
 	for _, c := range []struct {
-		instances          int
-		draining, followed bool
-		held               int64
-		free, want         int
+		instances           int
+		draining, succeeded bool
+		active              int64
+		free, want          int
 	}{
 		{1, true, false, spareMinStreams, minSpareConns - 1, 503}, {1, true, false, spareMinStreams, minSpareConns, 200}, {1, true, false, 1, 0, 200},
 		{2, true, false, spareMinStreams, minSpareConns - 1, 503}, {2, true, false, spareMinStreams, minSpareConns, 200}, {2, true, false, 1, 0, 200},
@@ -392,25 +309,25 @@
 		s.UpdateSettings(set)
 		s.limiter = newConnLimiter(0)
 		s.draining.Store(c.draining)
-		s.SetSucceeded(c.followed)
-		s.activeStreams.Store(c.held)
+		s.SetSucceeded(c.succeeded)
+		s.activeStreams.Store(c.active)
 		for range c.free {
 			conn, _ := net.Pipe()
 			s.limiter.setState(conn, http.StateIdle)
 		}
-		for range minSpareConns { // another front's are of no use to these clients
+		for range minSpareConns { // another frontend's are of no use to these clients
 			conn, _ := net.Pipe()
-			s.limiter.setState(elsewhere{conn}, http.StateIdle)
+			s.limiter.setState(otherAddrConn{conn}, http.StateIdle)
 		}
 		w := httptest.NewRecorder()
-		if s.ServeHTTP(w, message("GET", "/look/1", "", "X-Txn", "a", "X-Remaining-Ms", "9")); w.Code != c.want {
-			t.Errorf("%+v: answered %d", c, w.Code)
+		if s.ServeHTTP(w, newRequest("GET", "/look/1", "", "X-Txn", "a", "X-Remaining-Ms", "9")); w.Code != c.want {
+			t.Errorf("%+v: status %d", c, w.Code)
 		}
 	}
 }
 
-// Guards against a planned end that ends after SIGKILL, or waits for what the settings don't have.
-func TestEndIsInTime(t *testing.T) {
+// Guards against draining that ends after SIGKILL, or that waits longer than the settings need.
+func TestDrainTimeout(t *testing.T) {
 	for longest, want := range map[time.Duration]time.Duration{
 		3 * time.Second: 3650 * time.Millisecond, 20 * time.Second: 3650 * time.Millisecond, time.Second: 1650 * time.Millisecond,
 	} {
@@ -421,8 +338,8 @@
 	}
 }
 
-// Guards against a planned end that waits for a connection on which nothing has come.
-func TestQuietConnectionsAreClosed(t *testing.T) {
+// Guards against draining that waits for a connection on which nothing has come.
+func TestInactiveConnectionsAreClosed(t *testing.T) {
 	c := newConnLimiter(3)
 	silent, far := net.Pipe()
 	idle, farIdle := net.Pipe()
@@ -436,19 +353,19 @@
 	c.closeInactive()
 	for _, end := range []net.Conn{far, farIdle} {
 		if _, err := end.Read(make([]byte, 1)); err != io.EOF {
-			t.Errorf("a quiet connection reads %v, want its end", err)
+			t.Errorf("an inactive connection reads %v, want its end", err)
 		}
 	}
-	go busy.Write([]byte{1})
+	go func() { _, _ = busy.Write([]byte{1}) }()
 	if _, err := farBusy.Read(make([]byte, 1)); err != nil {
-		t.Errorf("a busy connection reads %v", err)
+		t.Errorf("an active connection reads %v", err)
 	}
 }
 
-// Guards against silent connections, and those that stop half-way, keeping out clients that have something to say: the
-// oldest of these is shed first, then what asked once and stayed, then clients that come again, then even a message that
-// still comes; never one that has come.
-func TestWhichIsShed(t *testing.T) {
+// Guards against silent connections, and those whose request stalls, keeping out clients that have a request: the oldest of
+// these is evicted first, then those idle after one request, then those that were reused, then even one whose request is
+// arriving; never one whose request is complete.
+func TestEvictionOrder(t *testing.T) {
 	c := newConnLimiter(0)
 	clock := time.Now()
 	c.now = func() time.Time { return clock }
@@ -480,31 +397,26 @@
 	for _, want := range []string{"stopped", "silent first", "silent last", "asked first", "asked last", "came again", "still comes", "fresh", ""} {
 		conn := c.evictionCandidate()
 		if conns[conn] != want {
-			t.Errorf("%q is shed, want %q", conns[conn], want)
+			t.Errorf("%q is evicted, want %q", conns[conn], want)
 		}
 		delete(c.inactive, conn)
 	}
 }
 
-// Guards against half of a message, a silent connection, or a stated length without a body holding on to
-// anything: each is ended in time, and takes no memory for what has not come.
-func TestSlowMessages(t *testing.T) {
+// Guards against half a request, a silent connection, or a stated length without a body holding resources: each is closed in
+// time, and takes no memory for what has not come.
+func TestSlowRequests(t *testing.T) {
 	s := newServer(func(context.Context, *stream.Request) stream.Response {
-		t.Error("half a message was served")
+		t.Error("half a request was served")
 		return stream.Response{}
 	})
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	go func() { _ = s.Run(context.Background(), s.Frontend(l)) }()
+	addr := serve(t, s)
 	var ins []*bufio.Reader
 	from := time.Now()
-	for _, text := range []string{"", raw[:20],
+	for _, text := range []string{"", rawRequest[:20],
 		"POST /charge/1 HTTP/1.1\r\nHost: x\r\nX-Txn: a\r\nX-Remaining-Ms: 900\r\nContent-Length: 65536\r\n\r\nhalf"} {
-		c, in := dial(t, l.Addr())
-		io.WriteString(c, text)
+		c, in := dial(t, addr)
+		send(c, text)
 		ins = append(ins, in)
 	}
 	for s.bodyBytes.Load() == 0 {
@@ -521,37 +433,36 @@
 		}
 	}
 	if took := time.Since(from); took < MessageTimeout {
-		t.Errorf("they were ended after %v, sooner than a slow client may take", took)
+		t.Errorf("they were closed after %v, sooner than a slow client may take", took)
 	}
 	if n := s.bodyBytes.Load(); n != 0 {
-		t.Errorf("%d bytes of bodies are held", n)
+		t.Errorf("%d bytes of bodies are reserved", n)
 	}
 }
 
-// Guards against many bodies at once exhausting the memory: what goes beyond is refused.
-func TestBodiesAreBounded(t *testing.T) {
+// Guards against many bodies at once exhausting the memory: those beyond the bound are rejected.
+func TestMaxBodyBytes(t *testing.T) {
 	s := newServer(func(context.Context, *stream.Request) stream.Response { return stream.Response{} })
 	s.maxBodyBytes.Store(maxBufferedBody + initialBodyCapacity)
-	ask := func(size int) int {
+	request := func(size int) int {
 		w := httptest.NewRecorder()
-		s.ServeHTTP(w, message("POST", "/charge/1", strings.Repeat("x", size), "X-Txn", "a", "X-Remaining-Ms", "9"))
+		s.ServeHTTP(w, newRequest("POST", "/charge/1", strings.Repeat("x", size), "X-Txn", "a", "X-Remaining-Ms", "9"))
 		return w.Code
 	}
-	s.bodyBytes.Add(2 * initialBodyCapacity) // held by others
+	s.bodyBytes.Add(2 * initialBodyCapacity) // of other requests
 	for size, want := range map[int]int{initialBodyCapacity: 200, maxBufferedBody: 503, 0: 200} {
-		if code := ask(size); code != want || s.bodyBytes.Load() != 2*initialBodyCapacity {
-			t.Errorf("%d bytes were answered %d, with %d held afterwards", size, code, s.bodyBytes.Load())
+		if code := request(size); code != want || s.bodyBytes.Load() != 2*initialBodyCapacity {
+			t.Errorf("%d bytes got status %d, with %d reserved afterwards", size, code, s.bodyBytes.Load())
 		}
 	}
 	s.bodyBytes.Store(0)
-	if code := ask(maxBufferedBody); code != 200 {
-		t.Errorf("a large body alone was answered %d", code)
+	if code := request(maxBufferedBody); code != 200 {
+		t.Errorf("a large body alone got status %d", code)
 	}
 }
 
-// Guards against the time for reading a message passing for the client's leaving when it runs out during
-// the stream.
-func TestReadingTimeEnds(t *testing.T) {
+// Guards against a read deadline that expires during the stream being taken for the client's leaving.
+func TestReadDeadlineEnds(t *testing.T) {
 	s := newServer(func(ctx context.Context, _ *stream.Request) stream.Response {
 		select {
 		case <-ctx.Done():
@@ -560,39 +471,29 @@
 			return stream.Response{}
 		}
 	})
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	go func() { _ = s.Run(context.Background(), s.Frontend(l)) }()
-	c, in := dial(t, l.Addr())
-	io.WriteString(c, raw)
-	if res := answer(t, in); res.StatusCode != 200 {
-		t.Errorf("a long stream was answered %d", res.StatusCode)
+	addr := serve(t, s)
+	c, in := dial(t, addr)
+	send(c, rawRequest)
+	if res := readResponse(t, in); res.StatusCode != 200 {
+		t.Errorf("a long stream got status %d", res.StatusCode)
 	}
 }
 
-// Guards against callers' connections taking all descriptors: an idle one is shed for a new one.
-func TestConnectionsAreBounded(t *testing.T) {
+// Guards against client connections taking all descriptors: an idle one is evicted for a new one.
+func TestMaxConnections(t *testing.T) {
 	s := newServer(func(context.Context, *stream.Request) stream.Response { return stream.Response{} })
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
 	s.limiter = newConnLimiter(2)
-	go func() { _ = s.Run(context.Background(), s.Frontend(l)) }()
+	addr := serve(t, s)
 	var first *bufio.Reader
 	for i := range 5 {
-		c, in := dial(t, l.Addr())
-		io.WriteString(c, raw)
-		if res := answer(t, in); res.StatusCode != 200 {
-			t.Errorf("connection %d was answered %d", i, res.StatusCode)
+		c, in := dial(t, addr)
+		send(c, rawRequest)
+		if res := readResponse(t, in); res.StatusCode != 200 {
+			t.Errorf("connection %d got status %d", i, res.StatusCode)
 		}
 		if first == nil {
 			first = in
-			for s.limiter.countInactive(l.Addr()) == 0 { // it is idle some time after its answer
+			for s.limiter.countInactive(addr) == 0 { // it becomes idle some time after its response
 				runtime.Gosched()
 			}
 		}
@@ -602,20 +503,15 @@
 	}
 }
 
-// Guards against a request that stands inside the body of another: whichever of two framings is believed,
-// one answer comes, an error, and the connection ends. Nothing of it is passed on.
-func TestHiddenRequest(t *testing.T) {
+// Guards against a request inside the body of another (request smuggling): whichever of two framings is believed, one response
+// comes, an error, and the connection ends. Nothing of it is forwarded.
+func TestRequestSmuggling(t *testing.T) {
 	s := newServer(func(_ context.Context, req *stream.Request) stream.Response {
-		t.Errorf("%s %s was passed on", req.Operation, req.Target)
+		t.Errorf("%s %s was forwarded", req.Operation, req.Target)
 		return stream.Response{}
 	})
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	go func() { _ = s.Run(context.Background(), s.Frontend(l)) }()
-	chunked := "0\r\n\r\n" + raw
+	addr := serve(t, s)
+	chunked := "0\r\n\r\n" + rawRequest
 	for _, head := range []string{
 		"POST /charge/1 HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: %d",
 		"POST /charge/1 HTTP/1.1\r\nContent-Length: %d\r\nTransfer-Encoding: chunked",
@@ -625,10 +521,10 @@
 		"POST /look/1 HTTP/1.1\r\nContent-Length: %d", // a body where the class takes none
 		"POST /charge/1 HTTP/1.0\r\nConnection: keep-alive\r\nX-Length: %d\r\nTransfer-Encoding: chunked",
 	} {
-		c, in := dial(t, l.Addr())
+		c, in := dial(t, addr)
 		fmt.Fprintf(c, head+"\r\nHost: x\r\nX-Remaining-Ms: 900\r\n\r\n%s", len(chunked), chunked)
-		if res := answer(t, in); res.StatusCode < 400 || res.StatusCode == 503 {
-			t.Errorf("%s: answered %d", head, res.StatusCode)
+		if res := readResponse(t, in); res.StatusCode < 400 || res.StatusCode == 503 {
+			t.Errorf("%s: status %d", head, res.StatusCode)
 		}
 		if rest, _ := io.ReadAll(in); len(rest) > 0 {
 			t.Errorf("%s: the connection went on with %q", head, rest)
--- a/internal/downstream/upload_test.go
+++ b/internal/downstream/upload_test.go
@@ -13,24 +13,17 @@
 	"pinelb.example/pinelb/internal/stream"
 )
 
-// uploads is a server whose handler the test plays.
-func uploads(t *testing.T, h handlerFunc) net.Addr {
+// startUploadServer runs a server with that handler.
+func startUploadServer(t *testing.T, h handlerFunc) net.Addr {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	s := newServer(h)
-	go func() { _ = s.Run(context.Background(), s.Frontend(l)) }()
-	t.Cleanup(func() { l.Close() })
-	return l.Addr()
+	return serve(t, newServer(h))
 }
 
-const upload = "POST /charge/1 HTTP/1.1\r\nHost: x\r\nX-Txn: a\r\nX-Remaining-Ms: 900\r\n"
+const uploadHead = "POST /charge/1 HTTP/1.1\r\nHost: x\r\nX-Txn: a\r\nX-Remaining-Ms: 900\r\n"
 
-// Guards against a long body that is held back, changed, or passed for whole when it was cut, by either framing, and
-// against a connection that is not kept, or that is kept with half of a body on it.
-func TestLongBodies(t *testing.T) {
+// Guards against a long body that is buffered, changed, or taken for complete when it was cut off, by either framing, and
+// against a connection that is closed without need, or reused with half of a body on it.
+func TestStreamedBodies(t *testing.T) {
 	body := strings.Repeat("two lenses, please; ", maxBufferedBody/10)
 	chunks := fmt.Sprintf("%x;why=not\r\n%s\r\n%x\r\n%s\r\n", maxBufferedBody+1, body[:maxBufferedBody+1], len(body)-maxBufferedBody-1, body[maxBufferedBody+1:])
 	for name, c := range map[string]struct {
@@ -43,9 +36,9 @@
 		"chunked, cut": {"Transfer-Encoding: chunked\r\n\r\n", chunks[:maxBufferedBody+100], chunks[maxBufferedBody+100:], true},
 	} {
 		begun, got := make(chan struct{}), make(chan string, 1)
-		addr := uploads(t, func(_ context.Context, req *stream.Request) stream.Response {
+		addr := startUploadServer(t, func(_ context.Context, req *stream.Request) stream.Response {
 			if req.Upload == nil {
-				t.Errorf("%s: %d bytes were held whole", name, len(req.Body))
+				t.Errorf("%s: %d bytes were buffered", name, len(req.Body))
 				return stream.Response{}
 			}
 			close(begun)
@@ -60,7 +53,7 @@
 			return stream.Response{Body: []byte("ok")}
 		})
 		conn, in := dial(t, addr)
-		_, _ = io.WriteString(conn, upload+c.head+c.first)
+		_, _ = io.WriteString(conn, uploadHead+c.head+c.first)
 		<-begun // before the rest has been sent
 		_, _ = io.WriteString(conn, c.rest)
 		if c.cut {
@@ -69,19 +62,19 @@
 		if all := <-got; !c.cut && all != body {
 			t.Errorf("%s: %d bytes of %d, or others", name, len(all), len(body))
 		}
-		res := answer(t, in)
+		res := readResponse(t, in)
 		if want := map[bool]int{false: 200, true: 400}[c.cut]; res.StatusCode != want {
-			t.Errorf("%s: answered %d, want %d", name, res.StatusCode, want)
+			t.Errorf("%s: status %d, want %d", name, res.StatusCode, want)
 		}
 		conn.Close()
 	}
 }
 
-// Guards against an answer that waits for a body that stands still: what is given up is answered at once, and the rest
-// of the body is not taken for another message.
-func TestAnswerBeforeTheBody(t *testing.T) {
+// Guards against a response that waits for a stalled body: what is refused is so at once, and the rest of the body is not taken
+// for another request.
+func TestResponseBeforeBodyEnds(t *testing.T) {
 	reading := make(chan struct{})
-	addr := uploads(t, func(_ context.Context, req *stream.Request) stream.Response {
+	addr := startUploadServer(t, func(_ context.Context, req *stream.Request) stream.Response {
 		go func() {
 			b := make([]byte, 10)
 			_, _ = req.Upload.Read(b)
@@ -93,9 +86,9 @@
 	})
 	conn, in := dial(t, addr)
 	defer conn.Close()
-	fmt.Fprintf(conn, "%sContent-Length: %d\r\n\r\n0123456789", upload, 2*maxBufferedBody)
+	fmt.Fprintf(conn, "%sContent-Length: %d\r\n\r\n0123456789", uploadHead, 2*maxBufferedBody)
 	res, err := http.ReadResponse(bufio.NewReader(in), nil)
 	if err != nil || res.StatusCode != 503 || !res.Close {
-		t.Fatalf("answered %+v, %v", res, err)
+		t.Fatalf("got %+v, %v", res, err)
 	}
 }
