--- a/internal/connstate/connstate_test.go
+++ b/internal/connstate/connstate_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Guards against a look that takes what it sees, or that takes one state for another.
+// Guards against a Peek that consumes what it sees, or that takes one state for another.
 func TestPeek(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -14,21 +14,21 @@
 	}
 	defer l.Close()
 	for _, c := range []struct {
-		name string
-		says string
-		ends func(there *net.TCPConn, here net.Conn)
-		want State
-		left bool
+		name   string
+		data   string
+		act    func(peer *net.TCPConn, here net.Conn)
+		want   State
+		closed bool
 	}{
 		{"silent", "", nil, NoData, false},
-		{"it has said something", "a", nil, DataPending, false},
-		{"it closes", "", func(there *net.TCPConn, _ net.Conn) { there.Close() }, Closed, true},
-		{"it ends its sending", "", func(there *net.TCPConn, _ net.Conn) { _ = there.CloseWrite() }, Closed, true},
-		{"it resets", "", func(there *net.TCPConn, _ net.Conn) { _ = there.SetLinger(0); there.Close() }, Closed, true},
-		{"it closes behind a byte", "a", func(there *net.TCPConn, _ net.Conn) { there.Close() }, DataPending, true},
-		{"closed here", "a", func(_ *net.TCPConn, here net.Conn) { here.Close() }, Closed, true},
+		{"it has sent something", "a", nil, DataPending, false},
+		{"it closes", "", func(peer *net.TCPConn, _ net.Conn) { _ = peer.Close() }, Closed, true},
+		{"it closes its sending side", "", func(peer *net.TCPConn, _ net.Conn) { _ = peer.CloseWrite() }, Closed, true},
+		{"it resets", "", func(peer *net.TCPConn, _ net.Conn) { _ = peer.SetLinger(0); _ = peer.Close() }, Closed, true},
+		{"it closes after a byte", "a", func(peer *net.TCPConn, _ net.Conn) { _ = peer.Close() }, DataPending, true},
+		{"closed here", "a", func(_ *net.TCPConn, here net.Conn) { _ = here.Close() }, Closed, true},
 	} {
-		there, err := net.Dial("tcp", l.Addr().String())
+		peer, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -36,44 +36,44 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, _ = there.Write([]byte(c.says))
-		if c.ends != nil {
-			c.ends(there.(*net.TCPConn), here)
+		_, _ = peer.Write([]byte(c.data))
+		if c.act != nil {
+			c.act(peer.(*net.TCPConn), here)
 		}
-		for Peek(here) != c.want || PeerClosed(here) != c.left { // it comes over the loopback; what never shows runs into the tests' time-out
+		for Peek(here) != c.want || PeerClosed(here) != c.closed { // until the kernel has delivered it; what never shows runs into the tests' time-out
 			runtime.Gosched()
 		}
 		if c.want == DataPending {
 			got := make([]byte, 2)
-			if n, _ := here.Read(got); string(got[:n]) != c.says {
-				t.Errorf("%s: %q is left to be read, want %q", c.name, got[:n], c.says)
+			if n, _ := here.Read(got); string(got[:n]) != c.data {
+				t.Errorf("%s: %q remains to be read, want %q", c.name, got[:n], c.data)
 			}
 		}
-		there.Close()
-		here.Close()
+		_ = peer.Close()
+		_ = here.Close()
 	}
 	near, _ := net.Pipe()
 	if Peek(near) != Unknown || PeerClosed(near) {
-		t.Error("one of which nothing can be seen shows something")
+		t.Error("a connection without a descriptor has a state")
 	}
 }
 
-// BenchmarkPeek is what a look costs: there are two in an attempt.
+// BenchmarkPeek measures a Peek: an attempt makes two.
 func BenchmarkPeek(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer l.Close()
-	there, err := net.Dial("tcp", l.Addr().String())
+	peer, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer there.Close()
+	defer peer.Close()
 	b.ReportAllocs()
 	for b.Loop() {
-		if Peek(there) != NoData {
-			b.Fatal("it is not silent")
+		if Peek(peer) != NoData {
+			b.Fatal("the connection is not silent")
 		}
 	}
 }
--- a/internal/downstream/thrift/drain_race_test.go
+++ b/internal/downstream/thrift/drain_race_test.go
@@ -17,12 +17,13 @@
 	"pinelb.example/pinelb/internal/thriftwire"
 )
 
-// gate is a listener of whose connections one stops, when it is told to, before a read for which something has come.
+// gatedListener is a listener of whose connections one blocks, once blockRead is set, before a read for which something has come.
 type gatedListener struct {
 	net.Listener
 	blockRead       atomic.Bool
 	blocked, resume chan struct{}
-	ready, closed   chan struct{} // get something at each connection, where it is not nil, once that has brought something, and at Close
+	ready           chan struct{} // receives for each connection once something has come on it; nil: it does not
+	closed          chan struct{} // receives at each Close
 }
 
 func (g *gatedListener) Accept() (net.Conn, error) {
@@ -49,47 +50,36 @@
 	gate *gatedListener
 }
 
-// Guards against calls lost that a client has sent ahead, as many as there is room for, when its connection is to end.
+// Guards against pipelined calls lost when their connection is to be closed, also more than two reads of them.
 func TestPipelinedCallsRaceDrain(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	g := &gatedListener{Listener: l, blocked: make(chan struct{}), resume: make(chan struct{}), closed: make(chan struct{}, 9)}
-	g.blockRead.Store(true)
-	f := startServerOn(t, g, section, 100, 1<<20)
-	steps := make(chan time.Time)
-	f.manager.After = func(time.Duration) <-chan time.Time { return steps }
-	c := f.dial()
+	r := newCallRace(t, false)
+	r.listener.blockRead.Store(true)
+	c := r.dial()
 	var all []byte
 	n := int32(0)
 	for ; len(all) < 4*readBufferSize; n++ { // each of 32 bytes, so that no read ends within a call
 		all = append(all, encodeMessage(forms[0], thriftwire.Call, strings.Repeat("A", 14)+":look", n)...)
 	}
-	_, _ = c.Write(all)
-	<-g.blocked
-	var k *conn
-	f.server.mu.Lock()
-	for k = range f.server.conns {
+	c.send(all)
+	<-r.listener.blocked
+	var serverConn *conn
+	r.server.mu.Lock()
+	for serverConn = range r.server.conns {
 	}
-	f.server.mu.Unlock()
-	for downstream.UnreadBytes(k.Conn) < len(all) { // on its way
+	r.server.mu.Unlock()
+	for downstream.UnreadBytes(serverConn.Conn) < len(all) { // until the kernel has delivered them
 		runtime.Gosched()
 	}
-	f.stop()
-	close(steps)
-	for stopping := false; !stopping; runtime.Gosched() {
-		k.mu.Lock()
-		stopping = k.stopping
-		k.mu.Unlock()
-	}
-	g.resume <- struct{}{}
+	r.stop()
+	close(r.steps)
+	r.waitStopping()
+	r.listener.resume <- struct{}{}
 	done := make(chan struct{})
 	defer close(done)
 	go func() {
 		for {
 			select {
-			case s := <-f.streams:
+			case s := <-r.streams:
 				s.reply <- stream.Response{Body: []byte{0}}
 			case <-done:
 				return
@@ -98,19 +88,19 @@
 	}()
 	for i := range n {
 		if m, ok := c.nextReply(); !ok || m.Seq != i {
-			t.Fatalf("call %d of %d that had come was answered %+v", i, n, m)
+			t.Fatalf("call %d of %d that had come got %+v", i, n, m)
 		}
 	}
 	if _, ok := c.nextReply(); ok {
 		t.Error("the connection goes on")
 	}
-	c.Close()
-	if err := <-f.done; err != nil {
+	_ = c.Close()
+	if err := <-r.done; err != nil {
 		t.Error(err)
 	}
 }
 
-// await waits until something can be read, or the time for reading is over. It returns which.
+// waitReadable waits until something can be read, or the read deadline is over. It reports whether something can be read.
 func (c *gatedConn) waitReadable() bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -131,102 +121,131 @@
 	return c.TCPConn.Read(b)
 }
 
-func (f *testServer) serveNext() { (<-f.streams).reply <- stream.Response{Body: []byte{0}} }
+func (ts *testServer) serveNext() { (<-ts.streams).reply <- stream.Response{Body: []byte{0}} }
 
-// Guards against a call lost that has come and is not read yet as its connection is to end: with the planned end, with the
-// answer before it, and where the connection has waited for room until then.
-func TestCallRacesDrain(t *testing.T) {
-	for _, name := range []string{"end", "answer", "claim"} {
-		t.Run(name, func(t *testing.T) {
-			l, err := net.Listen("tcp", "127.0.0.1:0")
-			if err != nil {
-				t.Fatal(err)
-			}
-			g := &gatedListener{Listener: l, blocked: make(chan struct{}), resume: make(chan struct{}), closed: make(chan struct{}, 9)}
-			if name == "claim" {
-				g.ready = make(chan struct{}, 2)
-			}
-			f := startServerOn(t, g, section, 100, 1<<20)
-			steps := make(chan time.Time)
-			f.manager.After = func(time.Duration) <-chan time.Time { return steps }
-			call := func(c *testClient, seq int32) { _, _ = c.Write(encodeMessage(forms[1], thriftwire.Call, "look", seq)) }
-			var silent *testClient
-			if name == "end" {
-				silent = f.dial()
-			}
-			c := f.dial()
-			call(c, 1)
-			last := c
-			switch name {
-			case "end":
-				f.serveNext()
-				c.nextReply()
-				g.blockRead.Store(true)
-				call(c, 2)
-				<-g.blocked
-				f.stop()
-				close(steps)
-				if _, err := silent.Read(make([]byte, 1)); err != io.EOF {
-					t.Errorf("a silent connection reads %v, want its end", err)
-				}
-				silent.Close()
-				g.resume <- struct{}{}
-			case "answer":
-				s := <-f.streams
-				g.blockRead.Store(true)
-				call(c, 2)
-				<-g.blocked
-				f.stop()
-				steps <- time.Now()
-				for !f.manager.ClosesConnections() {
-					runtime.Gosched()
-				}
-				s.reply <- stream.Response{Body: []byte{0}}
-				c.nextReply()
-				for stopping := false; !stopping; {
-					f.server.mu.Lock()
-					for k := range f.server.conns {
-						k.mu.Lock()
-						stopping = k.stopping
-						k.mu.Unlock()
-					}
-					f.server.mu.Unlock()
-				}
-				g.resume <- struct{}{}
-			case "claim":
-				f.manager.SetLimits(1<<20, 1)
-				s := <-f.streams
-				last = f.dial()
-				call(last, 2)
-				<-g.ready
-				<-g.ready
-				f.stop()
-				close(steps)
-				<-g.closed
-				s.reply <- stream.Response{Body: []byte{0}}
-				c.nextReply()
-				c.Close()
-			}
-			select {
-			case s := <-f.streams:
-				s.reply <- stream.Response{Body: []byte{0}}
-				if m, ok := last.nextReply(); !ok || m.Seq != 2 {
-					t.Errorf("a call that had come was answered %+v", m)
-				}
-				if _, ok := last.nextReply(); ok {
-					t.Error("its connection goes on")
-				}
-			case <-time.After(3 * time.Second):
-				t.Error("a call that had come was not served")
-			}
-			last.Close()
-			if name == "answer" {
-				close(steps)
-			}
-			if err := <-f.done; err != nil {
-				t.Error(err)
-			}
-			goleak.VerifyNone(t)
-		})
+// callRace is a server on a gatedListener, whose draining the test steps through.
+type callRace struct {
+	*testServer
+	listener *gatedListener
+	steps    chan time.Time
+}
+
+func newCallRace(t *testing.T, reportReady bool) *callRace {
+	g := &gatedListener{Listener: listen(t), blocked: make(chan struct{}), resume: make(chan struct{}), closed: make(chan struct{}, 9)}
+	if reportReady {
+		g.ready = make(chan struct{}, 2)
+	}
+	r := &callRace{testServer: startServerOn(t, g, section, 100, 1<<20), listener: g, steps: make(chan time.Time)}
+	r.manager.After = func(time.Duration) <-chan time.Time { return r.steps }
+	return r
+}
+
+func (r *callRace) call(c *testClient, seq int32) {
+	c.send(encodeMessage(forms[1], thriftwire.Call, "look", seq))
+}
+
+// sendBlocked sends a call that comes, and is not read until the listener resumes.
+func (r *callRace) sendBlocked(c *testClient, seq int32) {
+	r.listener.blockRead.Store(true)
+	r.call(c, seq)
+	<-r.listener.blocked
+}
+
+// waitStopping waits until a connection is stopping.
+func (r *callRace) waitStopping() {
+	for stopping := false; !stopping; runtime.Gosched() {
+		r.server.mu.Lock()
+		for c := range r.server.conns {
+			c.mu.Lock()
+			stopping = c.stopping
+			c.mu.Unlock()
+		}
+		r.server.mu.Unlock()
+	}
+}
+
+// expectServed expects that call 2 is served and then the connection closed.
+func (r *callRace) expectServed(c *testClient) {
+	r.t.Helper()
+	select {
+	case s := <-r.streams:
+		s.reply <- stream.Response{Body: []byte{0}}
+		if m, ok := c.nextReply(); !ok || m.Seq != 2 {
+			r.t.Errorf("a call that had come got %+v", m)
+		}
+		if _, ok := c.nextReply(); ok {
+			r.t.Error("its connection goes on")
+		}
+	case <-time.After(3 * time.Second):
+		r.t.Error("a call that had come was not served")
+	}
+	_ = c.Close()
+}
+
+// expectDrained expects that the server ends without an error and leaves no goroutine behind.
+func (r *callRace) expectDrained() {
+	r.t.Helper()
+	if err := <-r.done; err != nil {
+		r.t.Error(err)
 	}
+	goleak.VerifyNone(r.t)
+}
+
+// Guards against a call lost that has come and is not read yet as its connection is to be closed.
+func TestCallRacesDrain(t *testing.T) {
+	t.Run("drain", func(t *testing.T) { // while the connection is idle
+		r := newCallRace(t, false)
+		silent, c := r.dial(), r.dial()
+		r.call(c, 1)
+		r.serveNext()
+		c.nextReply()
+		r.sendBlocked(c, 2)
+		r.stop()
+		close(r.steps)
+		if _, err := silent.Read(make([]byte, 1)); err != io.EOF {
+			t.Errorf("a silent connection reads %v, want its end", err)
+		}
+		_ = silent.Close()
+		r.listener.resume <- struct{}{}
+		r.expectServed(c)
+		r.expectDrained()
+	})
+	t.Run("reply", func(t *testing.T) { // with the reply to the call before
+		r := newCallRace(t, false)
+		c := r.dial()
+		r.call(c, 1)
+		first := <-r.streams
+		r.sendBlocked(c, 2)
+		r.stop()
+		r.steps <- time.Now()
+		for !r.manager.ClosesConnections() {
+			runtime.Gosched()
+		}
+		first.reply <- stream.Response{Body: []byte{0}}
+		c.nextReply()
+		r.waitStopping()
+		r.listener.resume <- struct{}{}
+		r.expectServed(c)
+		close(r.steps)
+		r.expectDrained()
+	})
+	t.Run("accept", func(t *testing.T) { // where the connection has waited for the limiter until then
+		r := newCallRace(t, true)
+		c := r.dial()
+		r.call(c, 1)
+		r.manager.SetLimits(1<<20, 1)
+		first := <-r.streams
+		waiting := r.dial()
+		r.call(waiting, 2)
+		<-r.listener.ready
+		<-r.listener.ready
+		r.stop()
+		close(r.steps)
+		<-r.listener.closed
+		first.reply <- stream.Response{Body: []byte{0}}
+		c.nextReply()
+		_ = c.Close()
+		r.expectServed(waiting)
+		r.expectDrained()
+	})
 }
--- a/internal/downstream/thrift/server_test.go
+++ b/internal/downstream/thrift/server_test.go
@@ -39,14 +39,14 @@
 oneway = true
 `
 
-// served is a request that the front has handed on, and where its answer goes.
+// servedStream is a request that the server has handed to its handler, and where the response goes.
 type servedStream struct {
 	*stream.Request
 	ctx   context.Context
 	reply chan stream.Response
 }
 
-// front is a server whose streams the test answers.
+// testServer is a server whose handler the test is.
 type testServer struct {
 	t       *testing.T
 	addr    string
@@ -58,9 +58,9 @@
 	done    chan error
 }
 
-func (f *testServer) Serve(ctx context.Context, req *stream.Request) stream.Response {
+func (ts *testServer) Serve(ctx context.Context, req *stream.Request) stream.Response {
 	s := servedStream{req, ctx, make(chan stream.Response)}
-	f.streams <- s
+	ts.streams <- s
 	res := <-s.reply
 	if res.Outcome == panicOutcome {
 		panic("bug")
@@ -68,70 +68,81 @@
 	return res
 }
 
-// bug is an outcome by which a test has a stream panic.
+// panicOutcome is an outcome by which a test makes a stream panic.
 const panicOutcome stream.Outcome = 99
 
-func (f *testServer) Refuse(req *stream.Request) stream.Response {
-	if f.refused <- req.Target; req.Target == "bug:look" {
+func (ts *testServer) Refuse(req *stream.Request) stream.Response {
+	if ts.refused <- req.Target; req.Target == "bug:look" {
 		panic("bug")
 	}
 	return stream.Response{Outcome: stream.Refused}
 }
 
-func startServer(t *testing.T, text string, held int, bodies int64) *testServer {
+// listen returns a listener on a local address that is closed at the end of the test.
+func listen(t *testing.T) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return startServerOn(t, l, text, held, bodies)
+	t.Cleanup(func() { _ = l.Close() })
+	return l
 }
 
-func startServerOn(t *testing.T, l net.Listener, text string, held int, bodies int64) *testServer {
+// startServer runs a server for the operator's section, which admits so many streams and bytes of bodies.
+func startServer(t *testing.T, text string, maxStreams int, maxBodyBytes int64) *testServer {
+	t.Helper()
+	return startServerOn(t, listen(t), text, maxStreams, maxBodyBytes)
+}
+
+func startServerOn(t *testing.T, l net.Listener, text string, maxStreams int, maxBodyBytes int64) *testServer {
 	t.Helper()
 	op, err := config.ParseOperator("operator.toml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Three instances, of which one that ends may close connections, and deadlines that no test reaches. A planned end takes 3.65 s at most.
-	set := &config.Settings{Settings: balance.Settings{MaxHeld: held, Instances: 3, Classes: []balance.Class{
+	// With three instances one that drains may close connections; no test reaches these deadlines. Draining takes 3.65 s at most.
+	set := &config.Settings{Settings: balance.Settings{MaxHeld: maxStreams, Instances: 3, Classes: []balance.Class{
 		{Effect: balance.Safe, Deadline: time.Minute}, {Effect: balance.Keyed, Deadline: time.Minute}}},
 		ClassNames: []string{"look", "order"}}
 	if err := op.Fits(&config.Config{Settings: *set}); err != nil {
 		t.Fatal(err)
 	}
-	f := &testServer{t: t, addr: l.Addr().String(), manager: downstream.NewManager(set, bodies, 10, zerolog.Nop()),
+	ts := &testServer{t: t, addr: l.Addr().String(), manager: downstream.NewManager(set, maxBodyBytes, 10, zerolog.Nop()),
 		streams: make(chan servedStream, 100), refused: make(chan string, 100), done: make(chan error, 1)}
 	ctx, end := context.WithCancel(context.Background())
-	f.server, f.stop = New(op.Thrift, set, f.manager, f, zerolog.Nop()), end
-	go func() { f.done <- f.manager.Run(ctx, f.server.Frontend(l)) }()
-	return f
+	ts.server, ts.stop = New(op.Thrift, set, ts.manager, ts, zerolog.Nop()), end
+	go func() { ts.done <- ts.manager.Run(ctx, ts.server.Frontend(l)) }()
+	return ts
 }
 
-// stop ends the front at once, and waits until nothing of it is left.
-func (f *testServer) close() {
-	_ = f.server.Close()
-	<-f.done
-	goleak.VerifyNone(f.t)
+// close closes the server at once, and waits until no goroutine of it is left.
+func (ts *testServer) close() {
+	_ = ts.server.Close()
+	<-ts.done
+	goleak.VerifyNone(ts.t)
 }
 
-// client is a scripted client.
+// testClient is a scripted client.
 type testClient struct {
 	net.Conn
 	t  *testing.T
 	in *thriftwire.Reader
 }
 
-func (f *testServer) dial() *testClient {
-	c, err := net.Dial("tcp", f.addr)
+func (ts *testServer) dial() *testClient {
+	c, err := net.Dial("tcp", ts.addr)
 	if err != nil {
-		f.t.Fatal(err)
+		ts.t.Fatal(err)
 	}
-	f.t.Cleanup(func() { c.Close() })
-	return &testClient{Conn: c, t: f.t, in: thriftwire.NewReader(Limits(1<<20), nil)}
+	ts.t.Cleanup(func() { _ = c.Close() })
+	return &testClient{Conn: c, t: ts.t, in: thriftwire.NewReader(Limits(1<<20), nil)}
 }
 
-// next reads the next answer; ok is false where the connection ends without one.
+// send writes bytes. An error shows in what is read.
+func (c *testClient) send(b []byte) { _, _ = c.Write(b) }
+
+// nextReply reads the next reply; ok is false where the connection ends without one.
 func (c *testClient) nextReply() (m thriftwire.Message, ok bool) {
 	c.t.Helper()
 	for buf := make([]byte, 4096); ; {
@@ -150,7 +161,7 @@
 	}
 }
 
-// fault reads the next answer, which is an exception.
+// nextException reads the next reply, which is an exception.
 func (c *testClient) nextException() thriftwire.ApplicationException {
 	c.t.Helper()
 	m, _ := c.nextReply()
@@ -164,26 +175,26 @@
 var forms = []thriftwire.Form{{Encoding: thriftwire.Binary}, {Encoding: thriftwire.Binary, Framed: true},
 	{Encoding: thriftwire.Compact}, {Encoding: thriftwire.Compact, Framed: true}}
 
-// message is one whose arguments are empty.
+// encodeMessage returns a message whose arguments are empty.
 func encodeMessage(form thriftwire.Form, kind thriftwire.Kind, name string, seq int32) []byte {
 	return thriftwire.Append(nil, thriftwire.Head{Form: form, Kind: kind, Name: name, Seq: seq}, []byte{0})
 }
 
-// Guards against a call that is not seen whole because of how it comes, against answers in another order than
-// the calls, and against one slow call holding up the others' work.
+// Guards against a call that is taken for incomplete because of how it comes, against replies in another order than the calls,
+// and against one slow call delaying the others' streams.
 func TestPipelined(t *testing.T) {
-	f := startServer(t, section, 100, 1<<20)
-	defer f.close()
+	ts := startServer(t, section, 100, 1<<20)
+	defer ts.close()
 	for _, form := range forms {
-		c := f.dial()
+		c := ts.dial()
 		first := encodeMessage(form, thriftwire.Call, "look", 1)
 		for _, b := range first {
-			_, _ = c.Write([]byte{b})
+			c.send([]byte{b})
 		}
-		slow := <-f.streams
-		_, _ = c.Write(append(encodeMessage(form, thriftwire.Call, "look", 7), encodeMessage(form, thriftwire.Call, "A:look", -3)...))
-		for range 2 { // their answers are ready first
-			s := <-f.streams
+		slow := <-ts.streams
+		c.send(append(encodeMessage(form, thriftwire.Call, "look", 7), encodeMessage(form, thriftwire.Call, "A:look", -3)...))
+		for range 2 { // their replies are ready first
+			s := <-ts.streams
 			s.reply <- stream.Response{Body: []byte{0}}
 			if s.MediaType != form.MediaType() || s.Operation != "call" || len(s.Body) != 1 || s.Key != "" {
 				t.Errorf("the stream is %+v", s.Request)
@@ -195,42 +206,42 @@
 		}
 		for _, want := range []int32{7, -3} {
 			if m, ok := c.nextReply(); !ok || m.Kind != thriftwire.Reply || m.Seq != want || m.Name != "look" || m.Form != form {
-				t.Errorf("%+v, want the answer to %d", m, want)
+				t.Errorf("%+v, want the reply to %d", m, want)
 			}
 		}
-		c.Close()
+		_ = c.Close()
 	}
 }
 
-// Guards against an outcome that is told as another: clients would repeat what may have run.
+// Guards against an outcome that is reported as another: clients would retry what may have run.
 func TestReplies(t *testing.T) {
-	f := startServer(t, section, 100, 1<<20)
-	defer f.close()
+	ts := startServer(t, section, 100, 1<<20)
+	defer ts.close()
 	form := forms[1]
-	c := f.dial()
+	c := ts.dial()
 	for outcome, want := range map[stream.Outcome]int32{stream.Refused: 100, stream.Failed: 101, stream.Gone: 101, panicOutcome: 101, stream.Expired: 102,
 		stream.Duplicate: 103, stream.Rejected: 104} {
-		_, _ = c.Write(encodeMessage(form, thriftwire.Call, "look", 5))
-		(<-f.streams).reply <- stream.Response{Outcome: outcome}
+		c.send(encodeMessage(form, thriftwire.Call, "look", 5))
+		(<-ts.streams).reply <- stream.Response{Outcome: outcome}
 		if e := c.nextException(); e.Type != want {
 			t.Errorf("outcome %d became %+v, want type %d", outcome, e, want)
 		}
 	}
-	_, _ = c.Write(encodeMessage(form, thriftwire.Call, "Orders:place", 6)) // without id and key
+	c.send(encodeMessage(form, thriftwire.Call, "Orders:place", 6)) // without id and key
 	if e := c.nextException(); e.Type != 104 {
 		t.Errorf("an id that is missing: %+v", e)
 	}
 }
 
-// Guards against arguments that are read wrongly, or that are told otherwise to the upstream side.
+// Guards against arguments that are read wrongly, or that are forwarded otherwise.
 func TestArguments(t *testing.T) {
-	f := startServer(t, section, 100, 1<<20)
-	defer f.close()
+	ts := startServer(t, section, 100, 1<<20)
+	defer ts.close()
 	form := forms[1]
 	args := []byte{10, 0, 1, 0, 0, 0, 0, 0, 0, 0, 9, 11, 0, 2, 0, 0, 0, 2, 'k', 0xff, 0} // i64 9, and a key of two bytes
-	c := f.dial()
-	_, _ = c.Write(thriftwire.Append(nil, thriftwire.Head{Form: form, Kind: thriftwire.Call, Name: "Orders:place"}, args))
-	s := <-f.streams
+	c := ts.dial()
+	c.send(thriftwire.Append(nil, thriftwire.Head{Form: form, Kind: thriftwire.Call, Name: "Orders:place"}, args))
+	s := <-ts.streams
 	if s.Txn != "Orders:place/9" || s.Key != "0x6bff" || s.Class != 1 || s.ClassName != "order" || s.Target != "Orders:place" ||
 		string(s.Body) != string(args) || s.Deadline.Sub(s.Arrived) != time.Second {
 		t.Errorf("the stream is %+v", s.Request)
@@ -242,8 +253,8 @@
 	}
 	ids := map[string]bool{}
 	for ms, want := range map[int32]time.Duration{700: 700 * time.Millisecond, 90000: time.Minute, 0: 0} {
-		_, _ = c.Write(thriftwire.Append(nil, thriftwire.Head{Form: form, Kind: thriftwire.Call, Name: "look"}, left(ms)))
-		s := <-f.streams
+		c.send(thriftwire.Append(nil, thriftwire.Head{Form: form, Kind: thriftwire.Call, Name: "look"}, left(ms)))
+		s := <-ts.streams
 		if got := s.Deadline.Sub(s.Arrived); got != want || ids[s.Txn] {
 			t.Errorf("with %d ms left the stream has %v and the id %s", ms, got, s.Txn)
 		}
@@ -251,37 +262,37 @@
 		s.reply <- stream.Response{Body: []byte{0}}
 		c.nextReply()
 	}
-	_, _ = c.Write(thriftwire.Append(nil, thriftwire.Head{Form: form, Kind: thriftwire.Call, Name: "look"}, left(-1)))
+	c.send(thriftwire.Append(nil, thriftwire.Head{Form: form, Kind: thriftwire.Call, Name: "look"}, left(-1)))
 	if e := c.nextException(); e.Type != 104 {
 		t.Errorf("a negative time: %+v", e)
 	}
 }
 
-// Guards against a oneway that is answered, that holds answers up, or that is withdrawn with a client that
-// has nothing to wait for; and against a call going on for a client that has left, or will read no more.
+// Guards against a oneway that gets a reply, that delays replies, or that is cancelled with a client that has nothing to wait
+// for; and against a call going on for a client that has left, or will read no more.
 func TestOnewayAndDisconnect(t *testing.T) {
-	f := startServer(t, section, 100, 1<<20)
-	defer f.close()
+	ts := startServer(t, section, 100, 1<<20)
+	defer ts.close()
 	for _, half := range []bool{false, true} {
 		form := forms[2]
-		c := f.dial()
+		c := ts.dial()
 		var notes []servedStream
 		for i, kind := range []thriftwire.Kind{thriftwire.Oneway, thriftwire.Call} { // as such, and by the table
-			_, _ = c.Write(encodeMessage(form, kind, []string{"look", "note"}[i], 1))
-			notes = append(notes, <-f.streams)
+			c.send(encodeMessage(form, kind, []string{"look", "note"}[i], 1))
+			notes = append(notes, <-ts.streams)
 		}
-		_, _ = c.Write(encodeMessage(form, thriftwire.Oneway, "unheard", 1)) // nobody to tell
-		_, _ = c.Write(encodeMessage(form, thriftwire.Call, "look", 2))
-		(<-f.streams).reply <- stream.Response{Body: []byte{0}}
+		c.send(encodeMessage(form, thriftwire.Oneway, "unheard", 1)) // no reply is due
+		c.send(encodeMessage(form, thriftwire.Call, "look", 2))
+		(<-ts.streams).reply <- stream.Response{Body: []byte{0}}
 		if m, ok := c.nextReply(); !ok || m.Seq != 2 {
-			t.Errorf("the answer is %+v", m)
+			t.Errorf("the reply is %+v", m)
 		}
-		_, _ = c.Write(encodeMessage(form, thriftwire.Call, "look", 3))
-		s := <-f.streams
+		c.send(encodeMessage(form, thriftwire.Call, "look", 3))
+		s := <-ts.streams
 		if half {
 			_ = c.Conn.(*net.TCPConn).CloseWrite()
 		} else {
-			c.Close()
+			_ = c.Close()
 		}
 		<-s.ctx.Done()
 		s.reply <- stream.Response{Outcome: stream.Gone}
@@ -294,17 +305,17 @@
 	}
 }
 
-// Guards against bytes that are no call being passed on, waited for or held against anyone: what came before
-// is answered, then the fault is told and the connection ends. What else is no message, thriftwire's tests have.
+// Guards against bytes that are no call being forwarded or waited for: calls before them get replies, then an exception follows
+// and the connection ends. The tests of thriftwire have other malformed messages.
 func TestMalformedBytes(t *testing.T) {
-	f := startServer(t, section, 100, 1<<20)
-	defer f.close()
+	ts := startServer(t, section, 100, 1<<20)
+	defer ts.close()
 	for name, text := range map[string]string{
 		"HTTP": "GET / HTTP/1.1\r\nHost: x\r\n\r\n", "a frame of 2 GB": "\x7f\xff\xff\xff\x80\x01\x00\x01",
 		"a reply":           string(encodeMessage(forms[0], thriftwire.Reply, "look", 1)),
 		"10,000 structures": string(encodeMessage(forms[0], thriftwire.Call, "look", 1)[:16]) + strings.Repeat("\x0c\x00\x01", 10000),
 	} {
-		c := f.dial()
+		c := ts.dial()
 		_, _ = io.WriteString(c, text)
 		if e := c.nextException(); e.Type != thriftwire.TypeProtocolError || !strings.HasPrefix(e.Message, "pinelb: protocol error") {
 			t.Errorf("%s: %+v", name, e)
@@ -313,178 +324,178 @@
 			t.Errorf("%s: the connection went on with %+v", name, m)
 		}
 	}
-	c := f.dial()
-	_, _ = c.Write(append(encodeMessage(forms[0], thriftwire.Call, "look", 4), "GET / HTTP/1.1\r\n\r\n"...))
-	(<-f.streams).reply <- stream.Response{Body: []byte{0}}
+	c := ts.dial()
+	c.send(append(encodeMessage(forms[0], thriftwire.Call, "look", 4), "GET / HTTP/1.1\r\n\r\n"...))
+	(<-ts.streams).reply <- stream.Response{Body: []byte{0}}
 	if m, ok := c.nextReply(); !ok || m.Seq != 4 {
-		t.Errorf("the call before was answered %+v", m)
+		t.Errorf("the call before got %+v", m)
 	}
 	c.nextException()
-	if len(f.streams)+len(f.refused) > 0 {
-		t.Error("hostile bytes became a stream")
+	if len(ts.streams)+len(ts.refused) > 0 {
+		t.Error("malformed bytes became a stream")
 	}
 }
 
-// Guards against half a message holding its connection for ever, and a slow answer passing for one.
+// Guards against half a message holding its connection for ever, and a slow stream being taken for one.
 func TestSlowMessage(t *testing.T) {
-	f := startServer(t, section, 100, 1<<20)
-	defer f.close()
-	half, waits := f.dial(), f.dial()
-	_, _ = waits.Write(encodeMessage(forms[0], thriftwire.Call, "look", 1))
-	s := <-f.streams
-	from := time.Now()
-	_, _ = half.Write(encodeMessage(forms[1], thriftwire.Call, "look", 1)[:9])
-	if e := half.nextException(); e.Type != thriftwire.TypeProtocolError || time.Since(from) < downstream.MessageTimeout {
-		t.Errorf("%+v after %v", e, time.Since(from))
+	ts := startServer(t, section, 100, 1<<20)
+	defer ts.close()
+	half, waiting := ts.dial(), ts.dial()
+	waiting.send(encodeMessage(forms[0], thriftwire.Call, "look", 1))
+	s := <-ts.streams
+	start := time.Now()
+	half.send(encodeMessage(forms[1], thriftwire.Call, "look", 1)[:9])
+	if e := half.nextException(); e.Type != thriftwire.TypeProtocolError || time.Since(start) < downstream.MessageTimeout {
+		t.Errorf("%+v after %v", e, time.Since(start))
 	}
 	s.reply <- stream.Response{Body: []byte{0}}
-	if m, ok := waits.nextReply(); !ok || m.Seq != 1 {
-		t.Errorf("who waits for an answer got %+v", m)
+	if m, ok := waiting.nextReply(); !ok || m.Seq != 1 {
+		t.Errorf("a client that waits for its reply got %+v", m)
 	}
 }
 
-// Guards against holding more streams, calls of one connection, or bytes than are permitted.
+// Guards against more streams, calls of one connection, or bytes of bodies than are permitted.
 func TestLimits(t *testing.T) {
-	f := startServer(t, section, 2, 100)
-	defer f.close()
+	ts := startServer(t, section, 2, 100)
+	defer ts.close()
 	form := forms[0]
-	busy, c := f.dial(), f.dial()
-	_, _ = busy.Write(append(encodeMessage(form, thriftwire.Call, "look", 1), encodeMessage(form, thriftwire.Call, "look", 2)...))
-	held := []servedStream{<-f.streams, <-f.streams}
-	_, _ = c.Write(encodeMessage(form, thriftwire.Call, "look", 3))
-	if e := c.nextException(); e.Type != 100 || <-f.refused != "look" {
+	busy, c := ts.dial(), ts.dial()
+	busy.send(append(encodeMessage(form, thriftwire.Call, "look", 1), encodeMessage(form, thriftwire.Call, "look", 2)...))
+	pending := []servedStream{<-ts.streams, <-ts.streams}
+	c.send(encodeMessage(form, thriftwire.Call, "look", 3))
+	if e := c.nextException(); e.Type != 100 || <-ts.refused != "look" {
 		t.Errorf("one too many: %+v", e)
 	}
-	_, _ = c.Write(encodeMessage(form, thriftwire.Call, "bug:look", 3))
-	if e := c.nextException(); e.Type != 100 || <-f.refused != "bug:look" {
+	c.send(encodeMessage(form, thriftwire.Call, "bug:look", 3))
+	if e := c.nextException(); e.Type != 100 || <-ts.refused != "bug:look" {
 		t.Errorf("one too many, with a panic: %+v", e)
 	}
-	for _, s := range held {
+	for _, s := range pending {
 		s.reply <- stream.Response{Body: []byte{0}}
 	}
-	for range held {
+	for range pending {
 		busy.nextReply()
 	}
 	body := append(append([]byte{11, 0, 1, 0, 0, 0, 200}, make([]byte, 200)...), 0)
-	_, _ = c.Write(thriftwire.Append(nil, thriftwire.Head{Form: form, Kind: thriftwire.Call, Name: "look", Seq: 4}, body))
-	if e := c.nextException(); e.Type != 100 || <-f.refused != "look" {
+	c.send(thriftwire.Append(nil, thriftwire.Head{Form: form, Kind: thriftwire.Call, Name: "look", Seq: 4}, body))
+	if e := c.nextException(); e.Type != 100 || <-ts.refused != "look" {
 		t.Errorf("too many bytes: %+v", e)
 	}
-	body[5], body[6] = 200, 0 // 51,200 bytes that do not come whole: they are not waited for
-	_, _ = c.Write(thriftwire.Append(nil, thriftwire.Head{Form: form, Kind: thriftwire.Call, Name: "look", Seq: 4}, append(body, make([]byte, 9000)...)))
+	body[5], body[6] = 200, 0 // 51,200 bytes that are incomplete: they are not waited for
+	c.send(thriftwire.Append(nil, thriftwire.Head{Form: form, Kind: thriftwire.Call, Name: "look", Seq: 4}, append(body, make([]byte, 9000)...)))
 	if e := c.nextException(); e.Type != 100 {
-		t.Errorf("too many bytes of a beginning: %+v", e)
+		t.Errorf("too many bytes of an incomplete message: %+v", e)
 	}
 }
 
-// Guards against one connection putting any number of calls to work, against answers that are lost by that, and
-// against their memory staying with a connection that is idle again.
+// Guards against one connection starting any number of streams, against replies that are lost by the bound, and against their
+// memory staying with a connection that is idle again.
 func TestMaxPipelined(t *testing.T) {
-	f := startServer(t, section, 100, 1<<20)
-	defer f.close()
-	c := f.dial()
+	ts := startServer(t, section, 100, 1<<20)
+	defer ts.close()
+	c := ts.dial()
 	const more = 5
 	var all []byte
 	for i := range maxPipelined + more {
 		all = append(all, encodeMessage(forms[0], thriftwire.Call, "look", int32(i))...)
 	}
-	_, _ = c.Write(all)
-	var taken []servedStream
+	c.send(all)
+	var pending []servedStream
 	for range maxPipelined {
-		taken = append(taken, <-f.streams)
+		pending = append(pending, <-ts.streams)
 	}
-	if len(f.streams) > 0 {
-		t.Error("more calls are under way than may be")
+	if len(ts.streams) > 0 {
+		t.Error("more calls are in flight than may be")
 	}
-	for _, s := range taken {
+	for _, s := range pending {
 		s.reply <- stream.Response{Body: []byte{0}}
 	}
 	for range more {
-		(<-f.streams).reply <- stream.Response{Body: []byte{0}}
+		(<-ts.streams).reply <- stream.Response{Body: []byte{0}}
 	}
 	for i := range maxPipelined + more {
 		if m, ok := c.nextReply(); !ok || m.Seq != int32(i) {
-			t.Errorf("answer %d is %+v", i, m)
+			t.Errorf("reply %d is %+v", i, m)
 		}
 	}
-	f.server.mu.Lock()
-	defer f.server.mu.Unlock()
-	for k := range f.server.conns {
+	ts.server.mu.Lock()
+	defer ts.server.mu.Unlock()
+	for k := range ts.server.conns {
 		k.mu.Lock()
-		for k.busy() { // the last answer is read before its writer is done
+		for k.busy() { // the last reply is read before its writer is done
 			k.callDone.Wait()
 		}
 		if slices.ContainsFunc(k.calls[:cap(k.calls)], func(k *call) bool { return k != nil }) {
-			t.Error("an idle connection keeps answers that were written")
+			t.Error("an idle connection keeps replies that were written")
 		}
 		k.mu.Unlock()
 	}
 }
 
-// Guards against a planned end that loses what was taken, or leaves connections open or goroutines behind.
+// Guards against draining that loses calls, or leaves connections open or goroutines behind.
 func TestDrain(t *testing.T) {
-	f := startServer(t, section, 100, 1<<20)
+	ts := startServer(t, section, 100, 1<<20)
 	steps := make(chan time.Time)
-	f.manager.After = func(time.Duration) <-chan time.Time { return steps }
+	ts.manager.After = func(time.Duration) <-chan time.Time { return steps }
 	form := forms[3]
-	busy, idle := f.dial(), f.dial()
-	_, _ = idle.Write(encodeMessage(form, thriftwire.Call, "look", 1))
-	(<-f.streams).reply <- stream.Response{Body: []byte{0}}
+	busy, idle := ts.dial(), ts.dial()
+	idle.send(encodeMessage(form, thriftwire.Call, "look", 1))
+	(<-ts.streams).reply <- stream.Response{Body: []byte{0}}
 	idle.nextReply()
-	const more = 4 // than are under way at once: they have been read when the end comes
+	const more = 4 // than are in flight at once: they have been read when draining begins
 	var all []byte
 	for i := range maxPipelined + more {
 		all = append(all, encodeMessage(form, thriftwire.Call, "look", int32(i))...)
 	}
-	_, _ = busy.Write(all)
-	var taken []servedStream
+	busy.send(all)
+	var pending []servedStream
 	for range maxPipelined {
-		taken = append(taken, <-f.streams)
+		pending = append(pending, <-ts.streams)
 	}
-	f.stop()
-	steps <- time.Now() // from now on clients are sent elsewhere
-	for !f.manager.ClosesConnections() {
+	ts.stop()
+	steps <- time.Now() // from now on clients are redirected
+	for !ts.manager.ClosesConnections() {
 		runtime.Gosched()
 	}
-	taken[0].reply <- stream.Response{Outcome: stream.Failed}
-	for _, s := range taken[1:] {
+	pending[0].reply <- stream.Response{Outcome: stream.Failed}
+	for _, s := range pending[1:] {
 		s.reply <- stream.Response{Body: []byte{0}}
 	}
 	for range more {
-		(<-f.streams).reply <- stream.Response{Body: []byte{0}}
+		(<-ts.streams).reply <- stream.Response{Body: []byte{0}}
 	}
-	late := f.dial() // connections still come, and their calls are answered
-	_, _ = late.Write(encodeMessage(form, thriftwire.Call, "look", 3))
-	(<-f.streams).reply <- stream.Response{Body: []byte{0}}
+	late := ts.dial() // connections still come, and their calls get replies
+	late.send(encodeMessage(form, thriftwire.Call, "look", 3))
+	(<-ts.streams).reply <- stream.Response{Body: []byte{0}}
 	for c, want := range map[*testClient]int{busy: maxPipelined + more, late: 1, idle: 0} {
 		for range want {
 			if _, ok := c.nextReply(); !ok {
-				t.Error("what was taken was not answered")
+				t.Error("a call got no reply")
 			}
 		}
 		if c == idle {
-			close(steps) // the listener closes, and every connection on which nothing is under way
+			close(steps) // the listener closes, and every connection on which nothing is in flight
 		}
 		if m, ok := c.nextReply(); ok {
 			t.Errorf("the connection went on with %+v", m)
 		}
-		c.Close()
+		_ = c.Close()
 	}
-	if err := <-f.done; err != nil {
+	if err := <-ts.done; err != nil {
 		t.Error(err)
 	}
 	goleak.VerifyNone(t)
 }
 
-// Guards against a call that is counted to another class, or held to another time, because its method's class has changed at SIGHUP
-// as it came: calls keep what they began with, later ones have the new.
+// Guards against a call that is counted to another class, or gets another deadline, because its method's class changes at SIGHUP
+// as it comes: calls keep what they started with, later ones have the new.
 func TestUpdateClassesDuringCalls(t *testing.T) {
-	f := startServer(t, section, 100, 1<<20)
-	defer f.close()
-	c := f.dial()
+	ts := startServer(t, section, 100, 1<<20)
+	defer ts.close()
+	c := ts.dial()
 	form := forms[0]
-	_, _ = c.Write(encodeMessage(form, thriftwire.Call, "look", 1))
-	before := <-f.streams
+	c.send(encodeMessage(form, thriftwire.Call, "look", 1))
+	before := <-ts.streams
 	former := &config.Settings{Settings: balance.Settings{MaxHeld: 100, Instances: 3, Classes: []balance.Class{
 		{Effect: balance.Safe, Deadline: time.Minute}, {Effect: balance.Keyed, Deadline: time.Minute}}}, ClassNames: []string{"look", "order"}}
 	is := &config.Settings{Settings: balance.Settings{MaxHeld: 100, Instances: 3, Classes: []balance.Class{
@@ -494,9 +505,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.server.UpdateClasses(&after)
-	_, _ = c.Write(encodeMessage(form, thriftwire.Call, "look", 2))
-	later := <-f.streams
+	ts.server.UpdateClasses(&after)
+	c.send(encodeMessage(form, thriftwire.Call, "look", 2))
+	later := <-ts.streams
 	for _, s := range []servedStream{before, later} {
 		if s.Class != 0 || s.ClassName != "look" {
 			t.Errorf("a call of %s has class %d", s.ClassName, s.Class)
@@ -509,7 +520,7 @@
 	}
 	for want := range int32(2) {
 		if m, ok := c.nextReply(); !ok || m.Seq != want+1 {
-			t.Errorf("answer %d is %+v", want+1, m)
+			t.Errorf("reply %d is %+v", want+1, m)
 		}
 	}
 }
