--- a/internal/thriftwire/apache_test.go
+++ b/internal/thriftwire/apache_reference_test.go
@@ -52,19 +52,19 @@
 
 // chooser is read like a protocol: a struct of all types that its bytes lead through, with nothing more to come
 // where they end. Numbers and the like are read from them as in binary.
-type chooser struct {
+type choiceReader struct {
 	thrift.TProtocol
 	mem    *thrift.TMemoryBuffer
 	depth  int
 	fields []int // to come in each struct that is open
 }
 
-func newChooser(choices []byte) *chooser {
+func newChoiceReader(choices []byte) *choiceReader {
 	mem := inMemory(choices)
-	return &chooser{TProtocol: apacheProtocol(Binary, mem), mem: mem}
+	return &choiceReader{TProtocol: apacheProtocol(Binary, mem), mem: mem}
 }
 
-func (c *chooser) choose(below int) int {
+func (c *choiceReader) choose(below int) int {
 	b, _ := c.mem.ReadByte() // 0 at the end
 	return int(b) % below
 }
@@ -73,27 +73,27 @@
 	thrift.STRING, thrift.UUID, thrift.STRUCT, thrift.MAP, thrift.SET, thrift.LIST}
 
 // kind chooses a type, only plain ones when it is deep already.
-func (c *chooser) kind() thrift.TType {
+func (c *choiceReader) kind() thrift.TType {
 	if c.depth > 10 {
 		return apacheTypes[c.choose(8)]
 	}
 	return apacheTypes[c.choose(len(apacheTypes))]
 }
 
-func (c *chooser) ReadBinary(context.Context) ([]byte, error) {
+func (c *choiceReader) ReadBinary(context.Context) ([]byte, error) {
 	return make([]byte, c.choose(256)), nil
 }
-func (c *chooser) ReadListBegin(context.Context) (thrift.TType, int, error) {
+func (c *choiceReader) ReadListBegin(context.Context) (thrift.TType, int, error) {
 	return c.kind(), c.choose(32), nil
 }
-func (c *chooser) ReadMapBegin(context.Context) (key, val thrift.TType, n int, err error) {
+func (c *choiceReader) ReadMapBegin(context.Context) (key, val thrift.TType, n int, err error) {
 	return c.kind(), c.kind(), c.choose(8), nil
 }
-func (c *chooser) ReadStructBegin(context.Context) (string, error) {
+func (c *choiceReader) ReadStructBegin(context.Context) (string, error) {
 	c.fields = append(c.fields, c.choose(8))
 	return "", nil
 }
-func (c *chooser) ReadFieldBegin(context.Context) (string, thrift.TType, int16, error) {
+func (c *choiceReader) ReadFieldBegin(context.Context) (string, thrift.TType, int16, error) {
 	left := &c.fields[len(c.fields)-1]
 	if *left--; *left < 0 {
 		c.fields = c.fields[:len(c.fields)-1]
@@ -101,7 +101,7 @@
 	}
 	return "", c.kind(), int16(int8(c.choose(256))) << c.choose(9), nil // small ids and large ones
 }
-func (c *chooser) ReadStructEnd(context.Context) error { return nil }
+func (c *choiceReader) ReadStructEnd(context.Context) error { return nil }
 
 // choices are for chooser: a struct has its number of fields, then of each its type (as in apacheTypes), id, the
 // id's shift and the value; containers begin with their types and size.
@@ -114,13 +114,13 @@
 }
 
 // corpus has a message of each of the choices, and an exception.
-func corpus(t testing.TB, form Form) (out [][]byte) {
+func messageCorpus(t testing.TB, form Form) (out [][]byte) {
 	for i, c := range choices {
 		h := Head{Form: form, Kind: Kind(1 + i%4), Name: "service:method"[i:], Seq: int32(-i) << 20}
 		mem := thrift.NewTMemoryBuffer()
 		p := apacheProtocol(form.Encoding, mem)
 		p.WriteMessageBegin(ctx, h.Name, thrift.TMessageType(h.Kind), h.Seq)
-		pass(newChooser(raw(t, c)), p, thrift.STRUCT)
+		copyValue(newChoiceReader(parseHex(t, c)), p, thrift.STRUCT)
 		b := mem.Bytes()
 		if form.Framed {
 			framed := thrift.NewTMemoryBuffer()
@@ -137,40 +137,40 @@
 }
 
 // pass passes a value on, and so brings it to the form in which apache/thrift writes it.
-func pass(in, out thrift.TProtocol, t thrift.TType) {
-	if c, ok := in.(*chooser); ok {
+func copyValue(in, out thrift.TProtocol, t thrift.TType) {
+	if c, ok := in.(*choiceReader); ok {
 		c.depth++
 		defer func() { c.depth-- }()
 	}
 	switch t {
 	case thrift.BOOL:
-		plainly(in.ReadBool, out.WriteBool)
+		copyScalar(in.ReadBool, out.WriteBool)
 	case thrift.BYTE:
-		plainly(in.ReadByte, out.WriteByte)
+		copyScalar(in.ReadByte, out.WriteByte)
 	case thrift.I16:
-		plainly(in.ReadI16, out.WriteI16)
+		copyScalar(in.ReadI16, out.WriteI16)
 	case thrift.I32:
-		plainly(in.ReadI32, out.WriteI32)
+		copyScalar(in.ReadI32, out.WriteI32)
 	case thrift.I64:
-		plainly(in.ReadI64, out.WriteI64)
+		copyScalar(in.ReadI64, out.WriteI64)
 	case thrift.DOUBLE:
-		plainly(in.ReadDouble, out.WriteDouble)
+		copyScalar(in.ReadDouble, out.WriteDouble)
 	case thrift.UUID:
-		plainly(in.ReadUUID, out.WriteUUID)
+		copyScalar(in.ReadUUID, out.WriteUUID)
 	case thrift.STRING:
-		plainly(in.ReadBinary, out.WriteBinary)
+		copyScalar(in.ReadBinary, out.WriteBinary)
 	case thrift.LIST, thrift.SET: // alike in both encodings
 		of, n, _ := in.ReadListBegin(ctx)
 		out.WriteListBegin(ctx, of, n)
 		for range n {
-			pass(in, out, of)
+			copyValue(in, out, of)
 		}
 	case thrift.MAP:
 		key, val, n, _ := in.ReadMapBegin(ctx)
 		out.WriteMapBegin(ctx, key, val, n)
 		for range n {
-			pass(in, out, key)
-			pass(in, out, val)
+			copyValue(in, out, key)
+			copyValue(in, out, val)
 		}
 	case thrift.STRUCT:
 		in.ReadStructBegin(ctx)
@@ -181,7 +181,7 @@
 				break
 			}
 			out.WriteFieldBegin(ctx, "", of, id)
-			pass(in, out, of)
+			copyValue(in, out, of)
 		}
 		in.ReadStructEnd(ctx)
 		out.WriteFieldStop(ctx)
@@ -189,14 +189,14 @@
 	}
 }
 
-func plainly[T any](read func(context.Context) (T, error), write func(context.Context, T) error) {
+func copyScalar[T any](read func(context.Context) (T, error), write func(context.Context, T) error) {
 	v, _ := read(ctx)
 	write(ctx, v)
 }
 
 // passed is the body that apache/thrift makes of in.
-func passed(in thrift.TProtocol, e Encoding) []byte {
+func transcode(in thrift.TProtocol, e Encoding) []byte {
 	mem := thrift.NewTMemoryBuffer()
-	pass(in, apacheProtocol(e, mem), thrift.STRUCT)
+	copyValue(in, apacheProtocol(e, mem), thrift.STRUCT)
 	return mem.Bytes()
 }
--- a/internal/thriftwire/append.go
+++ b/internal/thriftwire/append.go
@@ -2,8 +2,8 @@
 
 import "encoding/binary"
 
-// frameLength is how many bytes tell a frame's length, a signed number in big endian that they don't count in.
-const frameLength = 4
+// frameLengthSize is how many bytes tell a frame's length, a signed number in big endian that they don't count in.
+const frameLengthSize = 4
 
 // Append appends a message in h's form, with its frame if it has one. The body is in h's encoding already: it
 // may be the one that a Reader returned, under a head with another sequence id.
@@ -27,7 +27,7 @@
 // closeFrame fills in the length of the frame that began at start.
 func closeFrame(b []byte, start int, h Head) []byte {
 	if h.Form.Framed {
-		binary.BigEndian.PutUint32(b[start:], uint32(len(b)-start-frameLength))
+		binary.BigEndian.PutUint32(b[start:], uint32(len(b)-start-frameLengthSize))
 	}
 	return b
 }
--- a/internal/thriftwire/bench_test.go
+++ b/internal/thriftwire/bench_test.go
@@ -12,10 +12,10 @@
 // double. (A row has 59 bytes in binary, 37 in compact.)
 func benchBody(b *testing.B, e Encoding, size int) []byte {
 	if e == Compact {
-		return raw(b, fmt.Sprintf("19fc %x %d*16c69a0c2812%x11150e17000000000000000000 00",
+		return parseHex(b, fmt.Sprintf("19fc %x %d*16c69a0c2812%x11150e17000000000000000000 00",
 			[]byte{byte(size/37)&0x7f | 0x80, byte(size / 37 >> 7)}, size/37, "acetylsalicylicacd"))
 	}
-	return raw(b, fmt.Sprintf("0f00010c %08x %d*0a000100000000000f42430b000200000012%x02000301080004000000070400050000000000000000"+
+	return parseHex(b, fmt.Sprintf("0f00010c %08x %d*0a000100000000000f42430b000200000012%x02000301080004000000070400050000000000000000"+
 		"00 00", size/59, size/59, "acetylsalicylicacd"))
 }
 
@@ -35,12 +35,12 @@
 					}
 				})
 			}
-			r := NewReader(generous, nil)
+			r := NewReader(wideLimits, nil)
 			run("reader", func() error {
 				r.Feed(message)
 				_, ok, err := r.Next()
 				if r.Next(); !ok && err == nil {
-					return errMore
+					return errNeedMore
 				}
 				return err
 			})
--- a/internal/thriftwire/binary.go
+++ b/internal/thriftwire/binary_protocol.go
@@ -14,70 +14,70 @@
 	typeString: {4, false}, typeStruct: {1, false}, typeMap: {6, false}, typeSet: {5, false}, typeList: {5, false},
 }
 
-// binaryHead reads a head at p, strict or old, and returns where its body begins.
-func (r *Reader) binaryHead(b []byte, p int) (Head, int, error) {
+// binaryHeadHex reads a head at p, strict or old, and returns where its body begins.
+func (r *Reader) readBinaryHead(b []byte, p int) (Head, int, error) {
 	h := Head{Form: r.form}
 	if r.form.Encoding == Binary {
 		// Two bytes tell whether there is anything to wait for.
 		if len(b)-p >= 2 && binary.BigEndian.Uint16(b[p:]) != binaryVersion {
-			return h, 0, ErrForm
+			return h, 0, ErrUnknownForm
 		}
 		if len(b)-p < 4 {
-			return h, 0, errMore
+			return h, 0, errNeedMore
 		}
 		h.Kind = Kind(b[p+3])
-		if !h.Kind.known() {
-			return h, 0, ErrBroken
+		if !h.Kind.isValid() {
+			return h, 0, ErrMalformed
 		}
 		p += 4
 	}
 	if len(b)-p < 4 {
-		return h, 0, errMore
+		return h, 0, errNeedMore
 	}
 	n := int32(binary.BigEndian.Uint32(b[p:]))
 	if n < 0 && r.form.Encoding == OldBinary {
-		return h, 0, ErrForm // a strict message begins so
+		return h, 0, ErrUnknownForm // a strict message begins so
 	}
 	p += 4
-	name, p, err := r.name(b, p, int(n))
+	name, p, err := r.readName(b, p, int(n))
 	if err != nil {
 		return h, 0, err
 	}
 	if r.form.Encoding == OldBinary {
 		if len(b) <= p {
-			return h, 0, errMore
+			return h, 0, errNeedMore
 		}
 		h.Kind = Kind(b[p])
-		if !h.Kind.known() {
-			return h, 0, ErrBroken
+		if !h.Kind.isValid() {
+			return h, 0, ErrMalformed
 		}
 		p++
 	}
 	if len(b)-p < 4 {
-		return h, 0, errMore
+		return h, 0, errNeedMore
 	}
 	h.Seq = int32(binary.BigEndian.Uint32(b[p:]))
-	h.Name = r.intern(name)
+	h.Name = r.internName(name)
 	return h, p + 4, nil
 }
 
-func binaryField(b []byte, p int, f *field) error {
+func readBinaryField(b []byte, p int, f *field) error {
 	t := b[p]
 	if t == typeStop {
-		f.value = p + 1
+		f.valueStart = p + 1
 		return nil
 	}
 	if int(t) >= len(binaryWidths) || binaryWidths[t].min == 0 {
-		return ErrBroken
+		return ErrMalformed
 	}
 	if len(b)-p < 3 {
-		return errMore
+		return errNeedMore
 	}
-	f.kind, f.id, f.value = t, int16(binary.BigEndian.Uint16(b[p+1:])), p+3
+	f.kind, f.id, f.valueStart = t, int16(binary.BigEndian.Uint16(b[p+1:])), p+3
 	return nil
 }
 
-func (w *walker) binaryValue(b []byte, p int, t uint8) (int, error) {
+func (w *walker) walkBinaryValue(b []byte, p int, t uint8) (int, error) {
 	head, per := 0, 1
 	switch t {
 	case typeString:
@@ -87,19 +87,19 @@
 	case typeMap:
 		head, per = 6, 2
 	default:
-		return w.over(p, int(binaryWidths[t].min))
+		return w.skip(p, int(binaryWidths[t].min))
 	}
 	if len(b)-p < head {
-		return 0, errMore
+		return 0, errNeedMore
 	}
 	n := int32(binary.BigEndian.Uint32(b[p+head-4:]))
 	if n < 0 {
-		return 0, ErrBroken
+		return 0, ErrMalformed
 	}
 	if t == typeString {
-		return w.over(p+head, int(n))
+		return w.skip(p+head, int(n))
 	}
-	return w.open(p+head, int(n), per, b[p], b[p+per-1], &binaryWidths)
+	return w.enterContainer(p+head, int(n), per, b[p], b[p+per-1], &binaryWidths)
 }
 
 func appendBinaryHead(b []byte, h Head) []byte {
@@ -114,7 +114,7 @@
 	return binary.BigEndian.AppendUint32(b, uint32(h.Seq))
 }
 
-func binaryNumber(b []byte, t uint8) int64 {
+func decodeBinaryNumber(b []byte, t uint8) int64 {
 	switch t {
 	case typeBool:
 		if b[0] == 1 { // as apache/thrift reads it
--- a/internal/thriftwire/compact.go
+++ b/internal/thriftwire/compact_protocol.go
@@ -34,7 +34,7 @@
 
 // varint reads a number of so many bits, in 5 bytes at most (10 for 64 bits), and returns where it ends. next is
 // 0 where it is not whole, and -1 where it is too long or has bits beyond those.
-func varint(b []byte, p int, bits uint) (v uint64, next int) {
+func readVarint(b []byte, p int, bits uint) (v uint64, next int) {
 	if p < len(b) && b[p] < 0x80 {
 		return uint64(b[p]), p + 1 // as most are
 	}
@@ -61,122 +61,122 @@
 }
 
 // cut says why a varint has no end.
-func cut(next int) error {
+func varintError(next int) error {
 	if next < 0 {
-		return ErrBroken
+		return ErrMalformed
 	}
-	return errMore
+	return errNeedMore
 }
 
 // unzigzag turns 0, 1, 2, 3 into 0, -1, 1, -2.
 func unzigzag(v uint64) int64 { return int64(v>>1) ^ -int64(v&1) }
 
-// compactHead reads a head at p, and returns where its body begins.
-func (r *Reader) compactHead(b []byte, p int) (Head, int, error) {
+// compactHeadHex reads a head at p, and returns where its body begins.
+func (r *Reader) readCompactHead(b []byte, p int) (Head, int, error) {
 	h := Head{Form: r.form}
 	if len(b) > p && b[p] != compactID {
-		return h, 0, ErrForm
+		return h, 0, ErrUnknownForm
 	}
 	if len(b)-p < 2 {
-		return h, 0, errMore
+		return h, 0, errNeedMore
 	}
 	if b[p+1]&0x1f != compactVersion {
-		return h, 0, ErrForm
+		return h, 0, ErrUnknownForm
 	}
 	h.Kind = Kind(b[p+1] >> 5)
-	if !h.Kind.known() {
-		return h, 0, ErrBroken
+	if !h.Kind.isValid() {
+		return h, 0, ErrMalformed
 	}
-	seq, q := varint(b, p+2, 32)
+	seq, q := readVarint(b, p+2, 32)
 	if q <= 0 {
-		return h, 0, cut(q)
+		return h, 0, varintError(q)
 	}
 	h.Seq = int32(uint32(seq))
-	n, p := varint(b, q, 31)
+	n, p := readVarint(b, q, 31)
 	if p <= 0 {
-		return h, 0, cut(p)
+		return h, 0, varintError(p)
 	}
-	name, p, err := r.name(b, p, int(n))
+	name, p, err := r.readName(b, p, int(n))
 	if err != nil {
 		return h, 0, err
 	}
-	h.Name = r.intern(name)
+	h.Name = r.internName(name)
 	return h, p, nil
 }
 
-func compactField(b []byte, p int, last int16, f *field) error {
+func readCompactField(b []byte, p int, last int16, f *field) error {
 	c := b[p]
 	if c&0x0f == 0 {
-		f.value = p + 1
+		f.valueStart = p + 1
 		return nil
 	}
-	f.kind, f.value = compactTypes[c&0x0f], p+1
+	f.kind, f.valueStart = compactTypes[c&0x0f], p+1
 	if f.kind == typeStop {
-		return ErrBroken
+		return ErrMalformed
 	}
 	if delta := int(c >> 4); delta != 0 {
 		id := int(last) + delta
 		if id > math.MaxInt16 {
-			return ErrBroken
+			return ErrMalformed
 		}
 		f.id = int16(id)
 	} else {
-		id, q := varint(b, p+1, 16)
+		id, q := readVarint(b, p+1, 16)
 		if q <= 0 {
-			return cut(q)
+			return varintError(q)
 		}
-		f.id, f.value = int16(unzigzag(id)), q
+		f.id, f.valueStart = int16(unzigzag(id)), q
 	}
-	f.whole, f.truth = f.kind == typeBool, c&0x0f == compactTrue
+	f.inline, f.boolValue = f.kind == typeBool, c&0x0f == compactTrue
 	return nil
 }
 
-func (w *walker) compactValue(b []byte, p int, t uint8) (int, error) {
+func (w *walker) walkCompactValue(b []byte, p int, t uint8) (int, error) {
 	switch t {
 	case typeI16, typeI32, typeI64:
-		_, q := varint(b, p, compactBits(t))
+		_, q := readVarint(b, p, integerBits(t))
 		if q <= 0 {
-			return 0, cut(q)
+			return 0, varintError(q)
 		}
 		return q, nil
 	case typeString:
-		n, q := varint(b, p, 31)
+		n, q := readVarint(b, p, 31)
 		if q <= 0 {
-			return 0, cut(q)
+			return 0, varintError(q)
 		}
-		return w.over(q, int(n))
+		return w.skip(q, int(n))
 	case typeSet, typeList:
 		if p >= len(b) {
-			return 0, errMore
+			return 0, errNeedMore
 		}
 		n, q, c := uint64(b[p]>>4), p+1, b[p]&0x0f
 		if n == 15 {
-			if n, q = varint(b, q, 31); q <= 0 {
-				return 0, cut(q)
+			if n, q = readVarint(b, q, 31); q <= 0 {
+				return 0, varintError(q)
 			}
 		}
 		if c > compactLast {
-			return 0, ErrBroken
+			return 0, ErrMalformed
 		}
-		return w.open(q, int(n), 1, compactTypes[c], compactTypes[c], &compactWidths)
+		return w.enterContainer(q, int(n), 1, compactTypes[c], compactTypes[c], &compactWidths)
 	case typeMap:
-		n, q := varint(b, p, 31)
+		n, q := readVarint(b, p, 31)
 		if q <= 0 {
-			return 0, cut(q)
+			return 0, varintError(q)
 		}
 		if n == 0 {
 			return q, nil // without types
 		}
 		if q >= len(b) {
-			return 0, errMore
+			return 0, errNeedMore
 		}
-		return w.open(q+1, int(n), 2, compactTypes[b[q]>>4], compactTypes[b[q]&0x0f], &compactWidths)
+		return w.enterContainer(q+1, int(n), 2, compactTypes[b[q]>>4], compactTypes[b[q]&0x0f], &compactWidths)
 	}
-	return w.over(p, int(compactWidths[t].min))
+	return w.skip(p, int(compactWidths[t].min))
 }
 
-// compactBits is how many bits an integer type has.
-func compactBits(t uint8) uint {
+// integerBits is how many bits an integer type has.
+func integerBits(t uint8) uint {
 	switch t {
 	case typeI16:
 		return 16
@@ -193,11 +193,11 @@
 	return append(b, h.Name...)
 }
 
-// compactNumber reads what is no field's bool.
-func compactNumber(b []byte, t uint8) int64 {
+// decodeCompactNumber reads what is no field's bool.
+func decodeCompactNumber(b []byte, t uint8) int64 {
 	if t == typeByte {
 		return int64(int8(b[0]))
 	}
-	v, _ := varint(b, 0, compactBits(t))
+	v, _ := readVarint(b, 0, integerBits(t))
 	return unzigzag(v)
 }
--- a/internal/thriftwire/exception.go
+++ b/internal/thriftwire/exception.go
@@ -38,16 +38,16 @@
 // ParseException reads the body of a message of kind Exception. As in apache/thrift, what is missing or of
 // another type is empty and TypeUnknown, and other fields are passed over.
 func ParseException(e Encoding, body []byte) (ApplicationException, error) {
-	message, err := last(e, body, exceptionMessage, 1<<typeString)
+	message, err := findLast(e, body, exceptionMessage, 1<<typeString)
 	if err != nil {
 		return ApplicationException{}, err
 	}
-	number, err := last(e, body, exceptionType, 1<<typeI32)
+	number, err := findLast(e, body, exceptionType, 1<<typeI32)
 	if err != nil {
 		return ApplicationException{}, err
 	}
 	return ApplicationException{
-		Type:    int32(number.read(e).Number),
-		Message: string(message.read(e).Text),
+		Type:    int32(number.value(e).Number),
+		Message: string(message.value(e).Text),
 	}, nil
 }
--- a/internal/thriftwire/names.go
+++ b/internal/thriftwire/form.go
@@ -36,8 +36,8 @@
 	return ""
 }
 
-// FormOf returns the form that a MediaType names.
-func FormOf(media string) (Form, bool) {
+// ParseMediaType returns the form that a MediaType names.
+func ParseMediaType(media string) (Form, bool) {
 	for i := range formNames {
 		if formNames[i].media == media {
 			return formNames[i].Form, true
--- a/internal/thriftwire/fuzz_test.go
+++ b/internal/thriftwire/fuzz_test.go
@@ -15,15 +15,15 @@
 // was read is read again from what Append makes of it.
 func FuzzReader(f *testing.F) {
 	for i, form := range forms {
-		for _, b := range corpus(f, form) {
+		for _, b := range messageCorpus(f, form) {
 			f.Add(byte(i), byte(1), b)
 		}
 	}
-	for _, c := range handMade {
-		f.Add(byte(255), byte(3), raw(f, c.text))
+	for _, c := range handMadeMessages {
+		f.Add(byte(255), byte(3), parseHex(f, c.text))
 	}
-	for _, c := range hostile {
-		f.Add(byte(255), byte(2), raw(f, c.text))
+	for _, c := range malformedMessages {
+		f.Add(byte(255), byte(2), parseHex(f, c.text))
 	}
 	f.Fuzz(func(t *testing.T, which, piece byte, b []byte) {
 		var form *Form
@@ -62,32 +62,32 @@
 // and of any others.
 func FuzzSkip(f *testing.F) {
 	for e := range Compact + 1 {
-		for _, b := range corpus(f, Form{Encoding: e}) {
+		for _, b := range messageCorpus(f, Form{Encoding: e}) {
 			f.Add(byte(e), false, b)
 		}
 		for _, c := range choices {
-			f.Add(byte(e), true, raw(f, c))
+			f.Add(byte(e), true, parseHex(f, c))
 		}
-		for _, c := range hostile {
-			f.Add(byte(e), false, raw(f, c.text))
+		for _, c := range malformedMessages {
+			f.Add(byte(e), false, parseHex(f, c.text))
 		}
 	}
 	for depth := 62; depth < 66; depth++ { // apache's is 64
-		f.Add(byte(Compact), false, raw(f, fmt.Sprintf("82210000 %d*1c %d*00", depth, depth+1)))
-		f.Add(byte(Compact), false, raw(f, fmt.Sprintf("82210000 %d*1c 11 %d*00", depth, depth+1)))
-		f.Add(byte(Compact), false, raw(f, fmt.Sprintf("82210000 19 %d*19 03 00", depth)))
-		f.Add(byte(Binary), false, raw(f, fmt.Sprintf("%s %d*0f000000010f 0f00000000 00", "80010001 8*00 0f0001", depth)))
+		f.Add(byte(Compact), false, parseHex(f, fmt.Sprintf("82210000 %d*1c %d*00", depth, depth+1)))
+		f.Add(byte(Compact), false, parseHex(f, fmt.Sprintf("82210000 %d*1c 11 %d*00", depth, depth+1)))
+		f.Add(byte(Compact), false, parseHex(f, fmt.Sprintf("82210000 19 %d*19 03 00", depth)))
+		f.Add(byte(Binary), false, parseHex(f, fmt.Sprintf("%s %d*0f000000010f 0f00000000 00", "80010001 8*00 0f0001", depth)))
 	}
 	f.Fuzz(func(t *testing.T, which byte, made bool, b []byte) {
 		e := Encoding(which) % (Compact + 1)
 		if made {
-			b = Append(nil, Head{Form: Form{Encoding: e}, Kind: Call, Name: "m", Seq: 1}, passed(newChooser(b), e))
+			b = Append(nil, Head{Form: Form{Encoding: e}, Kind: Call, Name: "m", Seq: 1}, transcode(newChoiceReader(b), e))
 		}
-		if len(b) > generous.Message/2 {
+		if len(b) > wideLimits.Message/2 {
 			return
 		}
 		h, body, end, apacheErr := apacheSkip(e, b)
-		r := NewReader(generous, &Form{Encoding: e})
+		r := NewReader(wideLimits, &Form{Encoding: e})
 		r.Feed(b)
 		m, ok, err := r.Next()
 		if made && (!ok || end != len(b)) {
@@ -101,34 +101,34 @@
 				t.Fatalf("%v, %d left; apache %v, %d left", m, r.Pending(), h, len(b)-end)
 			}
 			if len(m.Body) < 4096 { // as it walks once for each field
-				sameFields(t, m)
+				expectSameFields(t, m)
 			}
 		case apacheErr == nil:
-			stricter(t, e, h, b[:end], b[body:end], err)
+			expectStricter(t, e, h, b[:end], b[body:end], err)
 		}
 
 		// In a frame every verdict is final.
-		framed := NewReader(generous, &Form{Encoding: e, Framed: true})
+		framed := NewReader(wideLimits, &Form{Encoding: e, Framed: true})
 		framed.Feed(binary.BigEndian.AppendUint32(nil, uint32(len(b))))
 		framed.Feed(b)
 		_, okFramed, errFramed := framed.Next()
 		switch whole := ok && end == len(b); {
-		case okFramed != whole, !okFramed && errFramed == nil, ok && !whole && errFramed != ErrTrailing:
+		case okFramed != whole, !okFramed && errFramed == nil, ok && !whole && errFramed != ErrTrailingBytes:
 			t.Fatalf("in a frame %v, %v; without %v, %v", okFramed, errFramed, ok, err)
 		}
 	})
 }
 
 // stricter checks that a message that apache/thrift alone passes is one of those in walker's table.
-func stricter(t *testing.T, e Encoding, h Head, whole, body []byte, err error) {
+func expectStricter(t *testing.T, e Encoding, h Head, whole, body []byte, err error) {
 	t.Helper()
 	switch {
-	case !h.Kind.known() && err == ErrBroken:
-	case len(h.Name) > generous.Name && err == ErrTooLong:
-	case e == OldBinary && whole[0] >= 0x80 && err == ErrForm:
-	case e == Compact && err == ErrBroken:
+	case !h.Kind.isValid() && err == ErrMalformed:
+	case len(h.Name) > wideLimits.Name && err == ErrTooLong:
+	case e == OldBinary && whole[0] >= 0x80 && err == ErrUnknownForm:
+	case e == Compact && err == ErrMalformed:
 		// Its varints and ids are at fault: as apache/thrift itself writes the same message, it passes.
-		r, again := NewReader(generous, nil), Append(nil, h, passed(apacheProtocol(e, inMemory(body)), e))
+		r, again := NewReader(wideLimits, nil), Append(nil, h, transcode(apacheProtocol(e, inMemory(body)), e))
 		r.Feed(again)
 		if _, ok, err := r.Next(); !ok || bytes.Equal(again, whole) {
 			t.Fatalf("refuses %x, and %x: %v", whole, again, err)
@@ -138,8 +138,8 @@
 	}
 }
 
-// sameFields checks that Lookup finds what apache/thrift reads last.
-func sameFields(t *testing.T, m Message) {
+// expectSameFields checks that Lookup finds what apache/thrift reads last.
+func expectSameFields(t *testing.T, m Message) {
 	t.Helper()
 	p := apacheProtocol(m.Form.Encoding, inMemory(m.Body))
 	want := map[int16]Value{}
@@ -151,13 +151,13 @@
 			truth, _ := p.ReadBool(ctx)
 			want[id] = Value{Number: map[bool]int64{true: 1}[truth], Present: true}
 		case thrift.BYTE:
-			want[id] = number(p.ReadByte)
+			want[id] = readNumber(p.ReadByte)
 		case thrift.I16:
-			want[id] = number(p.ReadI16)
+			want[id] = readNumber(p.ReadI16)
 		case thrift.I32:
-			want[id] = number(p.ReadI32)
+			want[id] = readNumber(p.ReadI32)
 		case thrift.I64:
-			want[id] = number(p.ReadI64)
+			want[id] = readNumber(p.ReadI64)
 		case thrift.STRING:
 			text, _ := p.ReadBinary(ctx)
 			want[id] = Value{Text: text, IsText: true, Present: true}
@@ -173,7 +173,7 @@
 	}
 }
 
-func number[T int8 | int16 | int32 | int64](read func(context.Context) (T, error)) Value {
+func readNumber[T int8 | int16 | int32 | int64](read func(context.Context) (T, error)) Value {
 	n, _ := read(ctx)
 	return Value{Number: int64(n), Present: true}
 }
--- a/internal/thriftwire/lookup.go
+++ b/internal/thriftwire/lookup.go
@@ -3,10 +3,10 @@
 import "math"
 
 // types is a set of types, one bit each.
-type types uint32
+type typeMask uint32
 
 // plain are the types that a Value can hold. A double is no whole number and an uuid no text: they are not plain.
-const plain types = 1<<typeBool | 1<<typeByte | 1<<typeI16 | 1<<typeI32 | 1<<typeI64 | 1<<typeString
+const scalarTypes typeMask = 1<<typeBool | 1<<typeByte | 1<<typeI16 | 1<<typeI32 | 1<<typeI64 | 1<<typeString
 
 // Lookup returns the field at that path of ids, through structs alone, of a body that a Reader has passed. The
 // Value is not Present where the field is absent or not plain; its Text shares memory with body.
@@ -15,74 +15,74 @@
 // over the one before: who sends it twice cannot have one value judged here and another one served. Those of
 // a type that cannot be meant (no struct on the way, nothing plain at the end) are passed over, as they are there.
 //
-// For a body that no Reader has passed it may return ErrBroken or a Value, but does nothing worse.
+// For a body that no Reader has passed it may return ErrMalformed or a Value, but does nothing worse.
 func Lookup(e Encoding, body []byte, path []int16) (Value, error) {
 	if len(path) == 0 {
 		return Value{}, nil
 	}
 	for _, id := range path[:len(path)-1] {
-		f, err := last(e, body, id, 1<<typeStruct)
+		f, err := findLast(e, body, id, 1<<typeStruct)
 		if err != nil || f.kind == typeStop {
 			return Value{}, err
 		}
 		body = f.bytes
 	}
-	f, err := last(e, body, path[len(path)-1], plain)
-	return f.read(e), err
+	f, err := findLast(e, body, path[len(path)-1], scalarTypes)
+	return f.value(e), err
 }
 
 // found is a field with the bytes of its value; its kind is typeStop where there is none.
-type found struct {
+type foundField struct {
 	field
 	bytes []byte
 }
 
 // last returns the last field of the struct that begins b with that id and one of those types.
-func last(e Encoding, b []byte, id int16, of types) (f found, err error) {
+func findLast(e Encoding, b []byte, id int16, of typeMask) (f foundField, err error) {
 	w := walker{encoding: e, framed: true}
-	w.begin(0, len(b), Limits{Depth: math.MaxInt, Values: math.MaxInt})
-	open := found{}
-	for w.at > 0 {
+	w.reset(0, len(b), Limits{Depth: math.MaxInt, Values: math.MaxInt})
+	open := foundField{}
+	for w.depth > 0 {
 		if w.pos >= len(b) {
-			return found{}, ErrBroken
+			return foundField{}, ErrMalformed
 		}
-		if w.at == 1 {
+		if w.depth == 1 {
 			if open.kind != typeStop {
-				f, open = open, found{}
-				f.bytes = b[f.value:w.pos]
+				f, open = open, foundField{}
+				f.bytes = b[f.valueStart:w.pos]
 			}
 			var head field
-			if err := w.field(b, w.pos, w.room[0].last, &head); err == nil && head.id == id && of&(1<<head.kind) != 0 && head.kind != typeStop {
+			if err := w.readField(b, w.pos, w.levels[0].last, &head); err == nil && head.id == id && of&(1<<head.kind) != 0 && head.kind != typeStop {
 				open.field = head
 			}
 		}
 		if err := w.step(b); err != nil {
-			if err == errMore {
-				err = ErrBroken
+			if err == errNeedMore {
+				err = ErrMalformed
 			}
-			return found{}, err
+			return foundField{}, err
 		}
 	}
 	return f, nil
 }
 
 // read returns the field's value.
-func (f found) read(e Encoding) Value {
+func (f foundField) value(e Encoding) Value {
 	switch {
 	case f.kind == typeStop:
 		return Value{}
 	case f.kind == typeString:
 		n := 4
 		if e == Compact {
-			_, n = varint(f.bytes, 0, 31)
+			_, n = readVarint(f.bytes, 0, 31)
 		}
 		return Value{Text: f.bytes[n:], IsText: true, Present: true}
-	case f.whole && f.truth:
+	case f.inline && f.boolValue:
 		return Value{Number: 1, Present: true}
-	case f.whole:
+	case f.inline:
 		return Value{Present: true}
 	case e == Compact:
-		return Value{Number: compactNumber(f.bytes, f.kind), Present: true}
+		return Value{Number: decodeCompactNumber(f.bytes, f.kind), Present: true}
 	}
-	return Value{Number: binaryNumber(f.bytes, f.kind), Present: true}
+	return Value{Number: decodeBinaryNumber(f.bytes, f.kind), Present: true}
 }
--- a/internal/thriftwire/api.go
+++ b/internal/thriftwire/message.go
@@ -58,12 +58,12 @@
 
 // The errors of a Reader. After one of them the bytes that follow mean nothing: the connection is to be closed.
 var (
-	ErrForm     = errors.New("thriftwire: no Thrift message begins so, or not one of the form that is read")
-	ErrTooLong  = errors.New("thriftwire: the message is too long")
-	ErrTooDeep  = errors.New("thriftwire: the message is nested too deep")
-	ErrTooMany  = errors.New("thriftwire: the message has too many values")
-	ErrBroken   = errors.New("thriftwire: the message breaks the protocol")
-	ErrTrailing = errors.New("thriftwire: the frame holds more than its message")
+	ErrUnknownForm   = errors.New("thriftwire: no Thrift message begins so, or not one of the form that is read")
+	ErrTooLong       = errors.New("thriftwire: the message is too long")
+	ErrTooDeep       = errors.New("thriftwire: the message is nested too deep")
+	ErrTooManyValues = errors.New("thriftwire: the message has too many values")
+	ErrMalformed     = errors.New("thriftwire: the message breaks the protocol")
+	ErrTrailingBytes = errors.New("thriftwire: the frame holds more than its message")
 )
 
 // Value is a field's value, where it is a number, a flag or a string.
--- a/internal/thriftwire/reader_test.go
+++ b/internal/thriftwire/reader_test.go
@@ -13,7 +13,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-var generous = Limits{Message: 1 << 20, Depth: 64, Values: 1 << 20, Name: 1 << 10}
+var wideLimits = Limits{Message: 1 << 20, Depth: 64, Values: 1 << 20, Name: 1 << 10}
 
 // forms are all that there are.
 var forms = []Form{
@@ -21,7 +21,7 @@
 }
 
 // raw reads bytes as hex, or as text in quotes, spaces between; 3*x is x three times.
-func raw(t testing.TB, text string) []byte {
+func parseHex(t testing.TB, text string) []byte {
 	t.Helper()
 	var out []byte
 	for _, word := range strings.Fields(text) {
@@ -64,7 +64,7 @@
 			m.Body = bytes.Clone(m.Body)
 			out = append(out, m)
 		}
-		if kept, most := r.Pending(), r.limits.Message+frameLength; kept > most || cap(r.buf) > most+piece {
+		if kept, most := r.Pending(), r.limits.Message+frameLengthSize; kept > most || cap(r.buf) > most+piece {
 			t.Fatalf("keeps %d bytes in a buffer of %d, %d at most", kept, cap(r.buf), most)
 		}
 		if b = b[n:]; len(b) == 0 {
@@ -74,7 +74,7 @@
 }
 
 // Hand-made messages, by the specifications: ping(1: "ab", 2: true, 3: -2 as i32).
-var handMade = []struct {
+var handMadeMessages = []struct {
 	form Form
 	text string
 }{
@@ -86,14 +86,14 @@
 	{Form{Compact, true}, "00000010 82 21 07 04 'ping' 18 02 'ab' 11 15 03 00"},
 }
 
-func TestHandMade(t *testing.T) {
-	for _, c := range handMade {
-		b := raw(t, c.text)
+func TestHandMadeMessages(t *testing.T) {
+	for _, c := range handMadeMessages {
+		b := parseHex(t, c.text)
 		form := &c.form
 		if form.Encoding != OldBinary {
 			form = nil // it has to be found
 		}
-		r := NewReader(generous, form)
+		r := NewReader(wideLimits, form)
 		got, err := readAll(t, r, b, len(b))
 		if err != nil || len(got) != 1 {
 			t.Errorf("%v: %v, %v", c.form, got, err)
@@ -117,7 +117,7 @@
 		}
 		other := m.Head
 		other.Seq = -1 << 31
-		if again, err := readAll(t, NewReader(generous, form), Append(nil, other, m.Body), 1); err != nil ||
+		if again, err := readAll(t, NewReader(wideLimits, form), Append(nil, other, m.Body), 1); err != nil ||
 			again[0].Head != other || !bytes.Equal(again[0].Body, m.Body) {
 			t.Errorf("%v: with another sequence id: %v, %v", c.form, again, err)
 		}
@@ -125,17 +125,17 @@
 }
 
 // Every message of the corpus, cut anywhere and in pieces, gives the same.
-func TestPieces(t *testing.T) {
+func TestPartialReads(t *testing.T) {
 	for _, form := range forms {
 		var all []byte
 		var want []Message
-		for i, b := range corpus(t, form) {
-			m, err := readAll(t, NewReader(generous, &form), b, len(b))
+		for i, b := range messageCorpus(t, form) {
+			m, err := readAll(t, NewReader(wideLimits, &form), b, len(b))
 			if err != nil || len(m) != 1 || !bytes.Equal(Append(nil, m[0].Head, m[0].Body), b) {
 				t.Fatalf("%v: message %d: %v, %v", form, i, m, err)
 			}
 			for cut := range b {
-				r := NewReader(generous, &form)
+				r := NewReader(wideLimits, &form)
 				if early, err := readAll(t, r, b[:cut], max(1, cut)); len(early) != 0 || err != nil || r.Pending() != cut {
 					t.Fatalf("%v: message %d cut at %d: %v, %v, %d pending", form, i, cut, early, err, r.Pending())
 				}
@@ -146,7 +146,7 @@
 			all, want = append(all, b...), append(want, m...)
 		}
 		for _, piece := range []int{1, 2, 3, 7, len(all)} {
-			if got, err := readAll(t, NewReader(generous, &form), all, piece); err != nil || !cmp.Equal(got, want) {
+			if got, err := readAll(t, NewReader(wideLimits, &form), all, piece); err != nil || !cmp.Equal(got, want) {
 				t.Errorf("%v in pieces of %d: %s, %v", form, piece, cmp.Diff(want, got), err)
 			}
 		}
@@ -154,79 +154,79 @@
 }
 
 // tight are the limits for hostile.
-var tight = Limits{Message: 4096, Depth: 8, Values: 100, Name: 16}
+var narrowLimits = Limits{Message: 4096, Depth: 8, Values: 100, Name: 16}
 
-const binaryHead, compactHead = "80010001 00000000 00000000 ", "82 21 00 00 "
+const binaryHeadHex, compactHeadHex = "80010001 00000000 00000000 ", "82 21 00 00 "
 
-var hostile = []struct {
+var malformedMessages = []struct {
 	what, text string
 	want       error
 }{
 	{"frame of 2 GB", "7fffffff", ErrTooLong},
 	{"frame one byte too long", "00001001", ErrTooLong},
-	{"second frame negative", "00000011 " + binaryHead + "00 ffffffff", ErrTrailing},
-	{"second frame negative", "0000000d " + binaryHead + "00 ffffffff", ErrBroken},
-	{"empty frame", "00000000", ErrForm},
-	{"second frame empty", "0000000d " + binaryHead + "00 00000000", ErrBroken},
-	{"frame ends in the head", "00000005 " + binaryHead, ErrBroken},
-	{"frame ends in the body", "0000000f " + binaryHead + "0b0001", ErrBroken},
-	{"frame ends in a string", "00000014 " + binaryHead + "0b0001 00000002", ErrBroken},
-	{"HTTP", "'GET' 20 '/'", ErrForm},
+	{"second frame negative", "00000011 " + binaryHeadHex + "00 ffffffff", ErrTrailingBytes},
+	{"second frame negative", "0000000d " + binaryHeadHex + "00 ffffffff", ErrMalformed},
+	{"empty frame", "00000000", ErrUnknownForm},
+	{"second frame empty", "0000000d " + binaryHeadHex + "00 00000000", ErrMalformed},
+	{"frame ends in the head", "00000005 " + binaryHeadHex, ErrMalformed},
+	{"frame ends in the body", "0000000f " + binaryHeadHex + "0b0001", ErrMalformed},
+	{"frame ends in a string", "00000014 " + binaryHeadHex + "0b0001 00000002", ErrMalformed},
+	{"HTTP", "'GET' 20 '/'", ErrUnknownForm},
 	{"TLS", "16030100", ErrTooLong},
-	{"negative", "ffffffff", ErrForm},
-	{"old binary", "00000004 'ping' 01 00000007 00", ErrForm},
-	{"another binary version", "80020001", ErrForm},
-	{"another compact version", "82 22", ErrForm},
-	{"form changes", binaryHead + "00 82", nil},
-	{"form changes", binaryHead + "00 8221", ErrForm},
-	{"kind 0", "80010000", ErrBroken},
-	{"kind 5", "80010005", ErrBroken},
-	{"kind 5, compact", "82 a1", ErrBroken},
-	{"name negative", "80010001 ffffffff", ErrBroken},
+	{"negative", "ffffffff", ErrUnknownForm},
+	{"old binary", "00000004 'ping' 01 00000007 00", ErrUnknownForm},
+	{"another binary version", "80020001", ErrUnknownForm},
+	{"another compact version", "82 22", ErrUnknownForm},
+	{"form changes", binaryHeadHex + "00 82", nil},
+	{"form changes", binaryHeadHex + "00 8221", ErrUnknownForm},
+	{"kind 0", "80010000", ErrMalformed},
+	{"kind 5", "80010005", ErrMalformed},
+	{"kind 5, compact", "82 a1", ErrMalformed},
+	{"name negative", "80010001 ffffffff", ErrMalformed},
 	{"name too long", "80010001 00000011", ErrTooLong},
 	{"name too long, compact", "82 21 00 11", ErrTooLong},
-	{"sequence id overlong", "82 21 5*80", ErrBroken},
-	{"sequence id of 33 bits", "82 21 4*ff 10", ErrBroken},
-	{"unknown type", binaryHead + "01", ErrBroken},
-	{"unknown type, compact", compactHead + "1e", ErrBroken},
-	{"string negative", binaryHead + "0b0001 80000000", ErrBroken},
-	{"string too long", binaryHead + "0b0001 00001000", ErrTooLong},
-	{"string of 2^31, compact", compactHead + "18 8080808008", ErrBroken},
-	{"list of 2^31", binaryHead + "0f0001 03 80000000", ErrBroken},
-	{"list of 2^31-1", binaryHead + "0f0001 02 7fffffff", ErrTooMany},
-	{"list of 2^31-1 empty structs", compactHead + "19 fc ffffffff07", ErrTooMany},
-	{"list of 2^31-1 bools", compactHead + "19 f1 ffffffff07", ErrTooMany},
-	{"map of 51", binaryHead + "0d0001 0202 00000033", ErrTooMany},
-	{"map of uuids", binaryHead + "0d0001 1010 00000031 1568*77 00", nil},
-	{"list beyond the message", "0000001f " + binaryHead + "0f0001 0a 00000002", ErrBroken},
-	{"101 fields", compactHead + "101*11", ErrTooMany},
-	{"list of stops", binaryHead + "0f0001 00 00000001", ErrBroken},
-	{"list of unknown", binaryHead + "0f0001 11 00000001", ErrBroken},
-	{"empty list of unknown", binaryHead + "0f0001 11 00000000 00", nil},
-	{"empty list of unknown, compact", compactHead + "19 0e", ErrBroken},
-	{"empty map, compact", compactHead + "1b 00 00", nil},
-	{"map of unknown, compact", compactHead + "1b 01 1f", ErrBroken},
-	{"10,000 structs", binaryHead + "10000*0c0001", ErrTooDeep},
-	{"10,000 structs, compact", compactHead + "10000*1c", ErrTooDeep},
-	{"10,000 lists", compactHead + "19 10000*19", ErrTooDeep},
-	{"8 levels", compactHead + "7*1c 8*00", nil},
-	{"9 levels", compactHead + "7*1c 11", ErrTooDeep},
-	{"i32 of 6 bytes", compactHead + "15 5*80", ErrBroken},
-	{"i32 of 33 bits", compactHead + "15 4*80 10", ErrBroken},
-	{"i32 with needless zeros", compactHead + "15 4*80 00 00", nil},
-	{"i16 of 17 bits", compactHead + "14 8080 04", ErrBroken},
-	{"i64 of 11 bytes", compactHead + "16 10*80", ErrBroken},
-	{"i64 of 65 bits", compactHead + "16 9*80 02", ErrBroken},
-	{"i64 of 64 bits", compactHead + "16 9*ff 01 00", nil},
-	{"field id beyond 32,767", compactHead + "01 feff03 11", ErrBroken},
-	{"uuid", compactHead + "1d 16*77 00", nil},
+	{"sequence id overlong", "82 21 5*80", ErrMalformed},
+	{"sequence id of 33 bits", "82 21 4*ff 10", ErrMalformed},
+	{"unknown type", binaryHeadHex + "01", ErrMalformed},
+	{"unknown type, compact", compactHeadHex + "1e", ErrMalformed},
+	{"string negative", binaryHeadHex + "0b0001 80000000", ErrMalformed},
+	{"string too long", binaryHeadHex + "0b0001 00001000", ErrTooLong},
+	{"string of 2^31, compact", compactHeadHex + "18 8080808008", ErrMalformed},
+	{"list of 2^31", binaryHeadHex + "0f0001 03 80000000", ErrMalformed},
+	{"list of 2^31-1", binaryHeadHex + "0f0001 02 7fffffff", ErrTooManyValues},
+	{"list of 2^31-1 empty structs", compactHeadHex + "19 fc ffffffff07", ErrTooManyValues},
+	{"list of 2^31-1 bools", compactHeadHex + "19 f1 ffffffff07", ErrTooManyValues},
+	{"map of 51", binaryHeadHex + "0d0001 0202 00000033", ErrTooManyValues},
+	{"map of uuids", binaryHeadHex + "0d0001 1010 00000031 1568*77 00", nil},
+	{"list beyond the message", "0000001f " + binaryHeadHex + "0f0001 0a 00000002", ErrMalformed},
+	{"101 fields", compactHeadHex + "101*11", ErrTooManyValues},
+	{"list of stops", binaryHeadHex + "0f0001 00 00000001", ErrMalformed},
+	{"list of unknown", binaryHeadHex + "0f0001 11 00000001", ErrMalformed},
+	{"empty list of unknown", binaryHeadHex + "0f0001 11 00000000 00", nil},
+	{"empty list of unknown, compact", compactHeadHex + "19 0e", ErrMalformed},
+	{"empty map, compact", compactHeadHex + "1b 00 00", nil},
+	{"map of unknown, compact", compactHeadHex + "1b 01 1f", ErrMalformed},
+	{"10,000 structs", binaryHeadHex + "10000*0c0001", ErrTooDeep},
+	{"10,000 structs, compact", compactHeadHex + "10000*1c", ErrTooDeep},
+	{"10,000 lists", compactHeadHex + "19 10000*19", ErrTooDeep},
+	{"8 levels", compactHeadHex + "7*1c 8*00", nil},
+	{"9 levels", compactHeadHex + "7*1c 11", ErrTooDeep},
+	{"i32 of 6 bytes", compactHeadHex + "15 5*80", ErrMalformed},
+	{"i32 of 33 bits", compactHeadHex + "15 4*80 10", ErrMalformed},
+	{"i32 with needless zeros", compactHeadHex + "15 4*80 00 00", nil},
+	{"i16 of 17 bits", compactHeadHex + "14 8080 04", ErrMalformed},
+	{"i64 of 11 bytes", compactHeadHex + "16 10*80", ErrMalformed},
+	{"i64 of 65 bits", compactHeadHex + "16 9*80 02", ErrMalformed},
+	{"i64 of 64 bits", compactHeadHex + "16 9*ff 01 00", nil},
+	{"field id beyond 32,767", compactHeadHex + "01 feff03 11", ErrMalformed},
+	{"uuid", compactHeadHex + "1d 16*77 00", nil},
 }
 
-func TestHostile(t *testing.T) {
-	for _, c := range hostile {
-		b := raw(t, c.text)
+func TestMalformedMessages(t *testing.T) {
+	for _, c := range malformedMessages {
+		b := parseHex(t, c.text)
 		for _, piece := range []int{1, 7, len(b)} {
-			if _, err := readAll(t, NewReader(tight, nil), b, piece); !errors.Is(err, c.want) {
+			if _, err := readAll(t, NewReader(narrowLimits, nil), b, piece); !errors.Is(err, c.want) {
 				t.Errorf("%s in pieces of %d: %v, not %v", c.what, piece, err, c.want)
 			}
 		}
@@ -236,7 +236,7 @@
 // A MiB byte by byte allocates nothing but the growing buffer, and takes no more than a moment: were the message
 // walked from its beginning for each byte, it would take minutes.
 func TestByteByByte(t *testing.T) {
-	body := append(raw(t, "19 f8 ffff1f"), bytes.Repeat([]byte{1, 'a'}, 1<<19-1)...)
+	body := append(parseHex(t, "19 f8 ffff1f"), bytes.Repeat([]byte{1, 'a'}, 1<<19-1)...)
 	b := append(Append(nil, Head{Form: Form{Compact, false}, Kind: Call}, body), 0)
 	limits := Limits{Message: 2 << 20, Depth: 3, Values: 1 << 20}
 	r := NewReader(limits, nil)
@@ -251,20 +251,20 @@
 }
 
 // Beyond the levels that a walker has room for, they move in memory while it is in them.
-func TestDeep(t *testing.T) {
-	b := raw(t, compactHead+"16*1c 0cf0ff03 1c 00 00 f1")
-	if _, err := readAll(t, NewReader(generous, nil), b, len(b)); err != ErrBroken {
+func TestDeepNesting(t *testing.T) {
+	b := parseHex(t, compactHeadHex+"16*1c 0cf0ff03 1c 00 00 f1")
+	if _, err := readAll(t, NewReader(wideLimits, nil), b, len(b)); err != ErrMalformed {
 		t.Errorf("id 32,760 and 15 more: %v", err)
 	}
 }
 
 // What a large message took is given back once nothing is kept; small ones use the same buffer again.
-func TestRoom(t *testing.T) {
-	r, h := NewReader(generous, nil), Head{Form: Form{Binary, true}, Kind: Call}
-	for _, size := range []int{100, keptRoom / 2, 4 * keptRoom} {
+func TestBufferIsReleased(t *testing.T) {
+	r, h := NewReader(wideLimits, nil), Head{Form: Form{Binary, true}, Kind: Call}
+	for _, size := range []int{100, maxIdleBufferSize / 2, 4 * maxIdleBufferSize} {
 		body := append(binary.BigEndian.AppendUint32([]byte{typeString, 0, 1}, uint32(size)), make([]byte, size+1)...)
 		b := Append(nil, h, body)
-		if got, err := readAll(t, r, b, 1000); err != nil || len(got) != 1 || cap(r.buf) > keptRoom {
+		if got, err := readAll(t, r, b, 1000); err != nil || len(got) != 1 || cap(r.buf) > maxIdleBufferSize {
 			t.Errorf("%d bytes: %d messages, %v, %d bytes kept", size, len(got), err, cap(r.buf))
 		}
 	}
@@ -290,14 +290,14 @@
 		{"a list on the way", Binary, "0f0001 0c 00000001 00 00", []int16{1, 1}, Value{}},
 		{"no path", Binary, "00", nil, Value{}},
 	} {
-		if got, err := Lookup(c.e, raw(t, c.text), c.path); err != nil || !cmp.Equal(got, c.want) {
+		if got, err := Lookup(c.e, parseHex(t, c.text), c.path); err != nil || !cmp.Equal(got, c.want) {
 			t.Errorf("%s: %v, %v", c.what, got, err)
 		}
 	}
-	if _, err := Lookup(Binary, raw(t, "0b0001 00000009"), []int16{1}); err != ErrBroken {
+	if _, err := Lookup(Binary, parseHex(t, "0b0001 00000009"), []int16{1}); err != ErrMalformed {
 		t.Errorf("broken body: %v", err)
 	}
-	body := raw(t, "1c 7803 'xyz' 00 11 00")
+	body := parseHex(t, "1c 7803 'xyz' 00 11 00")
 	if n := testing.AllocsPerRun(100, func() { Lookup(Compact, body, []int16{1, 7}) }); n > 0 {
 		t.Errorf("%v allocations", n)
 	}
@@ -309,7 +309,7 @@
 			{TypeUnknownMethod, "no such method"}, {-1 << 31, ""}, {1<<31 - 1, strings.Repeat("x", 300)},
 		} {
 			h := Head{Form: form, Kind: Call, Name: "s:m", Seq: -5}
-			got, err := readAll(t, NewReader(generous, &form), AppendException(nil, h, e), 1)
+			got, err := readAll(t, NewReader(wideLimits, &form), AppendException(nil, h, e), 1)
 			if err != nil || len(got) != 1 {
 				t.Fatalf("%v: %v, %v", form, got, err)
 			}
--- a/internal/thriftwire/walk.go
+++ b/internal/thriftwire/walker.go
@@ -19,8 +19,8 @@
 	typeUUID   uint8 = 16 // bare 16 bytes in both encodings, since apache/thrift v0.20
 )
 
-// errMore stops a walk where the bytes end: the step is taken again from its beginning when there are more.
-var errMore = errors.New("thriftwire: more bytes are needed")
+// errNeedMore stops a walk where the bytes end: the step is taken again from its beginning when there are more.
+var errNeedMore = errors.New("thriftwire: more bytes are needed")
 
 // width is what a value of a type takes in an encoding: at least min bytes, and exactly so many if fixed. A min
 // of 0 stands for a type that does not exist.
@@ -31,9 +31,9 @@
 
 // level is a struct, list, set or map that the walk is in.
 type level struct {
-	left     uint32 // values to come, of a map keys and values both; of a struct always 1
-	last     int16  // of a struct: the id of the field before, to which compact adds
-	key, val uint8  // the types of the elements, of a list or set both the same; of a struct typeStop
+	remaining uint32 // values to come, of a map keys and values both; of a struct always 1
+	last      int16  // of a struct: the id of the field before, to which compact adds
+	key, val  uint8  // the types of the elements, of a list or set both the same; of a struct typeStop
 }
 
 // walker finds the end of a struct without recursion, and goes on where the bytes ended before. What is not
@@ -44,16 +44,16 @@
 // Where its verdict is not that of apache/thrift v0.25.0 (ReadMessageBegin and Skip in lib/go/thrift):
 //
 //	                                                       apache          here
-//	kind of message outside of 1..4                        passes          ErrBroken
-//	varint of an i16, i32, size or sequence id with        cut to the      ErrBroken
+//	kind of message outside of 1..4                        passes          ErrMalformed
+//	varint of an i16, i32, size or sequence id with        cut to the      ErrMalformed
 //	  more than 5 bytes, or with bits beyond the type      type's bits
-//	varint of an i64 with bits beyond 64                   cut to 64       ErrBroken
-//	compact field id that a delta takes beyond 32,767      wraps           ErrBroken
-//	more values than Limits.Values                         passes          ErrTooMany
+//	varint of an i64 with bits beyond 64                   cut to 64       ErrMalformed
+//	compact field id that a delta takes beyond 32,767      wraps           ErrMalformed
+//	more values than Limits.Values                         passes          ErrTooManyValues
 //	name longer than Limits.Name                           passes          ErrTooLong
-//	strict message where old ones are read, or old where   passes          ErrForm
+//	strict message where old ones are read, or old where   passes          ErrUnknownForm
 //	  strict ones are
-//	bytes after the body in the frame                      next message    ErrTrailing
+//	bytes after the body in the frame                      next message    ErrTrailingBytes
 //	nested deeper than 64                                  refuses         Limits.Depth alone decides
 //	containers and strings beyond 100 MiB, its default     refuses         Limits.Message alone decides
 //
@@ -62,45 +62,45 @@
 // 0 there); any byte is a bool; any compact byte with a low half of 0 ends a struct; the third byte of a strict
 // head means nothing; varints may end in needless zeros.
 type walker struct {
-	encoding Encoding
-	framed   bool
-	pos, end int // offsets into what is walked
-	depth    int
-	values   int // that may still come
-	at       int // how many levels the walk is in
-	room     [16]level
-	deeper   []level // those beyond room
+	encoding   Encoding
+	framed     bool
+	pos, end   int // offsets into what is walked
+	maxDepth   int
+	valuesLeft int // that may still come
+	depth      int // how many levels the walk is in
+	levels     [16]level
+	moreLevels []level // those beyond room
 }
 
 // beyond says what it means that a message goes on beyond end.
-func (w *walker) beyond() error {
+func (w *walker) truncatedError() error {
 	if w.framed {
-		return ErrBroken
+		return ErrMalformed
 	}
 	return ErrTooLong
 }
 
 // begin sets the walker before a struct at pos that has to end by end.
-func (w *walker) begin(pos, end int, limits Limits) {
-	w.pos, w.end, w.depth, w.values = pos, end, limits.Depth, limits.Values
-	w.at = 0
-	w.enter(level{left: 1})
+func (w *walker) reset(pos, end int, limits Limits) {
+	w.pos, w.end, w.maxDepth, w.valuesLeft = pos, end, limits.Depth, limits.Values
+	w.depth = 0
+	w.enter(level{remaining: 1})
 }
 
 // level returns the i-th level, counted from 0.
-func (w *walker) level(i int) *level {
-	if i < len(w.room) {
-		return &w.room[i]
+func (w *walker) levelAt(i int) *level {
+	if i < len(w.levels) {
+		return &w.levels[i]
 	}
-	return &w.deeper[i-len(w.room)]
+	return &w.moreLevels[i-len(w.levels)]
 }
 
 // run walks to the struct's end, which is then at pos. b ends at the walker's end if not before. It returns
-// errMore where b is too short.
+// errNeedMore where b is too short.
 func (w *walker) run(b []byte) error {
-	for w.at > 0 {
+	for w.depth > 0 {
 		if w.pos >= len(b) {
-			return errMore
+			return errNeedMore
 		}
 		if err := w.step(b); err != nil {
 			return err
@@ -110,102 +110,102 @@
 }
 
 // step walks over one field's head or element, with its value if that is plain. pos has to be within b. When it
-// fails with errMore, nothing has changed.
+// fails with errNeedMore, nothing has changed.
 func (w *walker) step(b []byte) error {
-	at := w.at - 1 // where value enters a level, this one may move in memory
-	top := w.level(at)
-	if top.left == 0 {
-		w.at--
+	at := w.depth - 1 // where value enters a level, this one may move in memory
+	top := w.levelAt(at)
+	if top.remaining == 0 {
+		w.depth--
 		return nil
 	}
 	if top.key != typeStop {
 		t := top.key
-		if top.left%2 == 1 {
+		if top.remaining%2 == 1 {
 			t = top.val // of a map, in which keys and values take turns
 		}
-		next, err := w.value(b, w.pos, t)
+		next, err := w.walkValue(b, w.pos, t)
 		if err != nil {
 			return err
 		}
-		w.level(at).left--
+		w.levelAt(at).remaining--
 		w.pos = next
 		return nil
 	}
 
 	var f field
-	if err := w.field(b, w.pos, top.last, &f); err != nil {
+	if err := w.readField(b, w.pos, top.last, &f); err != nil {
 		return err
 	}
 	if f.kind == typeStop {
-		w.pos = f.value
-		w.at--
+		w.pos = f.valueStart
+		w.depth--
 		return nil
 	}
 	switch {
-	case w.at >= w.depth:
+	case w.depth >= w.maxDepth:
 		return ErrTooDeep
-	case w.values <= 0:
-		return ErrTooMany
+	case w.valuesLeft <= 0:
+		return ErrTooManyValues
 	}
-	w.values--
-	next := f.value
-	if !f.whole {
+	w.valuesLeft--
+	next := f.valueStart
+	if !f.inline {
 		var err error
-		if next, err = w.value(b, f.value, f.kind); err != nil {
-			if err == errMore {
-				w.values++
+		if next, err = w.walkValue(b, f.valueStart, f.kind); err != nil {
+			if err == errNeedMore {
+				w.valuesLeft++
 			}
 			return err
 		}
 	}
-	w.level(at).last = f.id
+	w.levelAt(at).last = f.id
 	w.pos = next
 	return nil
 }
 
 // enter goes one level deeper.
 func (w *walker) enter(in level) {
-	if w.at-len(w.room) == len(w.deeper) {
-		w.deeper = append(w.deeper, level{})
+	if w.depth-len(w.levels) == len(w.moreLevels) {
+		w.moreLevels = append(w.moreLevels, level{})
 	}
-	*w.level(w.at) = in
-	w.at++
+	*w.levelAt(w.depth) = in
+	w.depth++
 }
 
 // field is the head of a struct's field.
 type field struct {
-	kind  uint8 // its value's type; typeStop where the struct ends
-	id    int16
-	value int  // where its value begins; after a stop, where the struct has ended
-	whole bool // the head holds the value: compact's bools
-	truth bool // that value
+	kind       uint8 // its value's type; typeStop where the struct ends
+	id         int16
+	valueStart int  // where its value begins; after a stop, where the struct has ended
+	inline     bool // the head holds the value: compact's bools
+	boolValue  bool // that value
 }
 
 // field reads the head at p into f, which is empty. (It is not returned, as copying it costs more than reading.)
-func (w *walker) field(b []byte, p int, last int16, f *field) error {
+func (w *walker) readField(b []byte, p int, last int16, f *field) error {
 	if w.encoding == Compact {
-		return compactField(b, p, last, f)
+		return readCompactField(b, p, last, f)
 	}
-	return binaryField(b, p, f)
+	return readBinaryField(b, p, f)
 }
 
 // value reads the beginning of a value of type t at p, and returns where to go on: after the value, or in it,
 // and then it has entered its level.
-func (w *walker) value(b []byte, p int, t uint8) (next int, err error) {
+func (w *walker) walkValue(b []byte, p int, t uint8) (next int, err error) {
 	if t == typeStruct {
-		w.enter(level{left: 1})
+		w.enter(level{remaining: 1})
 		return p, nil
 	}
 	if w.encoding == Compact {
-		return w.compactValue(b, p, t)
+		return w.walkCompactValue(b, p, t)
 	}
-	return w.binaryValue(b, p, t)
+	return w.walkBinaryValue(b, p, t)
 }
 
 // over steps over n bytes from p.
-func (w *walker) over(p, n int) (int, error) {
+func (w *walker) skip(p, n int) (int, error) {
 	if n > w.end-p {
-		return 0, w.beyond()
+		return 0, w.truncatedError()
 	}
 	return p + n, nil
 }
@@ -213,17 +213,17 @@
 // open begins a list, set or map of n entries that follow at p, each of per values. Its bounds are checked here
 // for all of them: what cannot fit is refused before any of it comes. It is the last thing that is asked of a
 // step, as it takes from the values that may come.
-func (w *walker) open(p, n, per int, key, val uint8, widths *[17]width) (int, error) {
+func (w *walker) enterContainer(p, n, per int, key, val uint8, widths *[17]width) (int, error) {
 	if n == 0 {
 		return p, nil
 	}
 	if int(key) >= len(widths) || int(val) >= len(widths) || widths[key].min == 0 || widths[val].min == 0 {
-		return 0, ErrBroken
+		return 0, ErrMalformed
 	}
-	if n > w.values/per {
-		return 0, ErrTooMany
+	if n > w.valuesLeft/per {
+		return 0, ErrTooManyValues
 	}
-	if w.at+2 > w.depth {
+	if w.depth+2 > w.maxDepth {
 		return 0, ErrTooDeep
 	}
 	entry := int(widths[key].min)
@@ -231,12 +231,12 @@
 		entry += int(widths[val].min)
 	}
 	if n > (w.end-p)/entry {
-		return 0, w.beyond()
+		return 0, w.truncatedError()
 	}
-	w.values -= n * per
+	w.valuesLeft -= n * per
 	if widths[key].fixed && widths[val].fixed {
 		return p + n*entry, nil
 	}
-	w.enter(level{left: uint32(n * per), key: key, val: val})
+	w.enter(level{remaining: uint32(n * per), key: key, val: val})
 	return p, nil
 }
--- a/internal/upstream/thrift.go
+++ b/internal/upstream/thrift.go
@@ -35,7 +35,7 @@
 // Do carries out one attempt of a call on one connection, as Pool.Do does over HTTP.
 func (t *Thrift) Do(ctx context.Context, id balance.EndpointID, deadline time.Time, req *stream.Request) (balance.Status, stream.Response) {
 	res := stream.Response{Outcome: stream.Failed}
-	form, known := thriftwire.FormOf(req.MediaType)
+	form, known := thriftwire.ParseMediaType(req.MediaType)
 	if !known { // no front makes such a request
 		return balance.Moot, res
 	}
