--- a/internal/thriftwire/apache_reference_test.go
+++ b/internal/thriftwire/apache_reference_test.go
@@ -11,7 +11,7 @@
 
 var ctx = context.Background()
 
-// apacheProtocol is apache/thrift's protocol of an encoding, without limits of its own.
+// apacheProtocol returns apache/thrift's protocol of an encoding, without limits of its own.
 func apacheProtocol(e Encoding, mem *thrift.TMemoryBuffer) thrift.TProtocol {
 	strict := e == Binary
 	conf := &thrift.TConfiguration{
@@ -50,13 +50,13 @@
 	return ApplicationException{x.TypeId(), x.Error()}
 }
 
-// chooser is read like a protocol: a struct of all types that its bytes lead through, with nothing more to come
-// where they end. Numbers and the like are read from them as in binary.
+// choiceReader is a protocol that reads a struct of all types, as its bytes choose them; where they end, it ends. Scalars are
+// read from the bytes as in the binary protocol.
 type choiceReader struct {
 	thrift.TProtocol
 	mem    *thrift.TMemoryBuffer
 	depth  int
-	fields []int // to come in each struct that is open
+	fields []int // yet to come in each open struct
 }
 
 func newChoiceReader(choices []byte) *choiceReader {
@@ -72,7 +72,7 @@
 var apacheTypes = []thrift.TType{thrift.BOOL, thrift.BYTE, thrift.DOUBLE, thrift.I16, thrift.I32, thrift.I64,
 	thrift.STRING, thrift.UUID, thrift.STRUCT, thrift.MAP, thrift.SET, thrift.LIST}
 
-// kind chooses a type, only plain ones when it is deep already.
+// kind chooses a type, a scalar one where it is nested deep already.
 func (c *choiceReader) kind() thrift.TType {
 	if c.depth > 10 {
 		return apacheTypes[c.choose(8)]
@@ -103,29 +103,29 @@
 }
 func (c *choiceReader) ReadStructEnd(context.Context) error { return nil }
 
-// choices are for chooser: a struct has its number of fields, then of each its type (as in apacheTypes), id, the
+// choices are for a choiceReader: a struct has its number of fields, then of each its type (as in apacheTypes), id, the
 // id's shift and the value; containers begin with their types and size.
 var choices = []string{
 	"",
-	"07 00010001 010200c8 020300 8*40 030400fffe 048508 4*81 05c808 8*7f 060900c8", // plain ones
+	"07 00010001 010200c8 020300 8*40 030400fffe 048508 4*81 05c808 8*7f 060900c8", // scalars
 	"06 070100 16*77 080200 02 00010001 06020005 090300 0604 02 01 4*05 02 4*05 090400 0102 01 9*08 0a0500 0502 16*ff" +
 		" 0b0600 001f 31*01", // the others
 	"04 080100 01 0b0100 0b02 0b02 0801 01 00010001 0500 0901 0909 00 090202 0908 03 0000 00 0b0300 0612 18*03 0a0400 0b00",
 }
 
-// corpus has a message of each of the choices, and an exception.
+// messageCorpus has a message of each of the choices, and an exception.
 func messageCorpus(t testing.TB, form Form) (out [][]byte) {
 	for i, c := range choices {
 		h := Head{Form: form, Kind: Kind(1 + i%4), Name: "service:method"[i:], Seq: int32(-i) << 20}
 		mem := thrift.NewTMemoryBuffer()
 		p := apacheProtocol(form.Encoding, mem)
-		p.WriteMessageBegin(ctx, h.Name, thrift.TMessageType(h.Kind), h.Seq)
+		_ = p.WriteMessageBegin(ctx, h.Name, thrift.TMessageType(h.Kind), h.Seq)
 		copyValue(newChoiceReader(parseHex(t, c)), p, thrift.STRUCT)
 		b := mem.Bytes()
 		if form.Framed {
 			framed := thrift.NewTMemoryBuffer()
 			ft := thrift.NewTFramedTransportConf(framed, nil)
-			ft.Write(b)
+			_, _ = ft.Write(b)
 			if err := ft.Flush(ctx); err != nil {
 				t.Fatal(err)
 			}
@@ -136,7 +136,7 @@
 	return append(out, AppendException(nil, Head{Form: form, Name: "m"}, ApplicationException{TypeInternalError, "x"}))
 }
 
-// pass passes a value on, and so brings it to the form in which apache/thrift writes it.
+// copyValue copies a value, and so transforms it to the form in which apache/thrift writes it.
 func copyValue(in, out thrift.TProtocol, t thrift.TType) {
 	if c, ok := in.(*choiceReader); ok {
 		c.depth++
@@ -161,40 +161,40 @@
 		copyScalar(in.ReadBinary, out.WriteBinary)
 	case thrift.LIST, thrift.SET: // alike in both encodings
 		of, n, _ := in.ReadListBegin(ctx)
-		out.WriteListBegin(ctx, of, n)
+		_ = out.WriteListBegin(ctx, of, n)
 		for range n {
 			copyValue(in, out, of)
 		}
 	case thrift.MAP:
 		key, val, n, _ := in.ReadMapBegin(ctx)
-		out.WriteMapBegin(ctx, key, val, n)
+		_ = out.WriteMapBegin(ctx, key, val, n)
 		for range n {
 			copyValue(in, out, key)
 			copyValue(in, out, val)
 		}
 	case thrift.STRUCT:
-		in.ReadStructBegin(ctx)
-		out.WriteStructBegin(ctx, "")
+		_, _ = in.ReadStructBegin(ctx)
+		_ = out.WriteStructBegin(ctx, "")
 		for {
 			_, of, id, _ := in.ReadFieldBegin(ctx)
 			if of == thrift.STOP {
 				break
 			}
-			out.WriteFieldBegin(ctx, "", of, id)
+			_ = out.WriteFieldBegin(ctx, "", of, id)
 			copyValue(in, out, of)
 		}
-		in.ReadStructEnd(ctx)
-		out.WriteFieldStop(ctx)
-		out.WriteStructEnd(ctx)
+		_ = in.ReadStructEnd(ctx)
+		_ = out.WriteFieldStop(ctx)
+		_ = out.WriteStructEnd(ctx)
 	}
 }
 
 func copyScalar[T any](read func(context.Context) (T, error), write func(context.Context, T) error) {
 	v, _ := read(ctx)
-	write(ctx, v)
+	_ = write(ctx, v)
 }
 
-// passed is the body that apache/thrift makes of in.
+// transcode returns the body that apache/thrift makes of in.
 func transcode(in thrift.TProtocol, e Encoding) []byte {
 	mem := thrift.NewTMemoryBuffer()
 	copyValue(in, apacheProtocol(e, mem), thrift.STRUCT)
--- a/internal/thriftwire/append.go
+++ b/internal/thriftwire/append.go
@@ -2,17 +2,17 @@
 
 import "encoding/binary"
 
-// frameLengthSize is how many bytes tell a frame's length, a signed number in big endian that they don't count in.
+// frameLengthSize is the size in bytes of a frame's length, a signed big-endian number that does not count itself.
 const frameLengthSize = 4
 
-// Append appends a message in h's form, with its frame if it has one. The body is in h's encoding already: it
-// may be the one that a Reader returned, under a head with another sequence id.
+// Append appends a message in h's form, with its frame if it has one. The body is in h's encoding already, such as one that a
+// Reader has returned.
 func Append(b []byte, h Head, body []byte) []byte {
 	b, start := appendHead(b, h)
 	return closeFrame(append(b, body...), start, h)
 }
 
-// appendHead appends a head, after room for the frame's length if there is one, and returns where that is.
+// appendHead appends a head, after a placeholder for the frame's length if there is one, and returns the offset of that.
 func appendHead(b []byte, h Head) (_ []byte, start int) {
 	start = len(b)
 	if h.Form.Framed {
--- a/internal/thriftwire/bench_test.go
+++ b/internal/thriftwire/bench_test.go
@@ -19,7 +19,7 @@
 		"00 00", size/59, size/59, "acetylsalicylicacd"))
 }
 
-// BenchmarkReader is beside apache/thrift's Skip on the same message, in memory and in no frame.
+// BenchmarkReader is compared to apache/thrift's Skip on the same message, in memory and without a frame.
 func BenchmarkReader(b *testing.B) {
 	for _, size := range []int{300, 20_000} {
 		for _, form := range []Form{{Binary, true}, {Binary, false}, {Compact, true}, {Compact, false}} {
@@ -39,7 +39,8 @@
 			run("reader", func() error {
 				r.Feed(message)
 				_, ok, err := r.Next()
-				if r.Next(); !ok && err == nil {
+				_, _, _ = r.Next() // which releases a large buffer
+				if !ok && err == nil {
 					return errNeedMore
 				}
 				return err
--- a/internal/thriftwire/binary_protocol.go
+++ b/internal/thriftwire/binary_protocol.go
@@ -4,21 +4,21 @@
 
 // The binary protocol (doc/specs/thrift-binary-protocol.md): big endian, types in a byte, sizes in 4.
 
-// binaryVersion stands in the first two bytes of a strict message.
+// binaryVersion is in the first two bytes of a strict message.
 const binaryVersion = 0x8001
 
-// binaryWidths by type.
+// binaryWidths are the widths of values by type.
 var binaryWidths = [17]width{
 	typeBool: {1, true}, typeByte: {1, true}, typeDouble: {8, true},
 	typeI16: {2, true}, typeI32: {4, true}, typeI64: {8, true}, typeUUID: {16, true},
 	typeString: {4, false}, typeStruct: {1, false}, typeMap: {6, false}, typeSet: {5, false}, typeList: {5, false},
 }
 
-// binaryHeadHex reads a head at p, strict or old, and returns where its body begins.
+// readBinaryHead reads a head at p, strict or old, and returns where its body begins.
 func (r *Reader) readBinaryHead(b []byte, p int) (Head, int, error) {
 	h := Head{Form: r.form}
 	if r.form.Encoding == Binary {
-		// Two bytes tell whether there is anything to wait for.
+		// Two bytes show whether the rest is worth waiting for.
 		if len(b)-p >= 2 && binary.BigEndian.Uint16(b[p:]) != binaryVersion {
 			return h, 0, ErrUnknownForm
 		}
@@ -114,6 +114,7 @@
 	return binary.BigEndian.AppendUint32(b, uint32(h.Seq))
 }
 
+// decodeBinaryNumber decodes a number or a bool.
 func decodeBinaryNumber(b []byte, t uint8) int64 {
 	switch t {
 	case typeBool:
--- a/internal/thriftwire/compact_protocol.go
+++ b/internal/thriftwire/compact_protocol.go
@@ -19,21 +19,21 @@
 	compactLast   = 13 // the highest type that exists
 )
 
-// compactTypes translates types; 0 stands for those that do not exist, and for the stop.
+// compactTypes translates types to those of the binary protocol; 0 stands for those that do not exist, and for the stop.
 var compactTypes = [16]uint8{
 	compactTrue: typeBool, compactFalse: typeBool, 3: typeByte, 4: typeI16, compactI32: typeI32, 6: typeI64, 7: typeDouble,
 	compactString: typeString, 9: typeList, 10: typeSet, 11: typeMap, 12: typeStruct, compactLast: typeUUID,
 }
 
-// compactWidths by type, as elements.
+// compactWidths are the widths of elements by type.
 var compactWidths = [17]width{
 	typeBool: {1, true}, typeByte: {1, true}, typeDouble: {8, true}, typeUUID: {16, true},
 	typeI16: {1, false}, typeI32: {1, false}, typeI64: {1, false},
 	typeString: {1, false}, typeStruct: {1, false}, typeMap: {1, false}, typeSet: {1, false}, typeList: {1, false},
 }
 
-// varint reads a number of so many bits, in 5 bytes at most (10 for 64 bits), and returns where it ends. next is
-// 0 where it is not whole, and -1 where it is too long or has bits beyond those.
+// readVarint reads a number of up to that many bits at p, in at most 5 bytes (10 for 64 bits), and returns where it ends. next is
+// 0 where it is incomplete, and -1 where it has more bytes or bits.
 func readVarint(b []byte, p int, bits uint) (v uint64, next int) {
 	if p < len(b) && b[p] < 0x80 {
 		return uint64(b[p]), p + 1 // as most are
@@ -60,7 +60,7 @@
 	}
 }
 
-// cut says why a varint has no end.
+// varintError is the error for a next of 0 or -1 that readVarint has returned.
 func varintError(next int) error {
 	if next < 0 {
 		return ErrMalformed
@@ -68,10 +68,10 @@
 	return errNeedMore
 }
 
-// unzigzag turns 0, 1, 2, 3 into 0, -1, 1, -2.
+// unzigzag decodes 0, 1, 2, 3 as 0, -1, 1, -2.
 func unzigzag(v uint64) int64 { return int64(v>>1) ^ -int64(v&1) }
 
-// compactHeadHex reads a head at p, and returns where its body begins.
+// readCompactHead reads a head at p, and returns where its body begins.
 func (r *Reader) readCompactHead(b []byte, p int) (Head, int, error) {
 	h := Head{Form: r.form}
 	if len(b) > p && b[p] != compactID {
@@ -175,7 +175,7 @@
 	return w.skip(p, int(compactWidths[t].min))
 }
 
-// integerBits is how many bits an integer type has.
+// integerBits is the size of an integer type in bits.
 func integerBits(t uint8) uint {
 	switch t {
 	case typeI16:
@@ -193,7 +193,7 @@
 	return append(b, h.Name...)
 }
 
-// decodeCompactNumber reads what is no field's bool.
+// decodeCompactNumber decodes a number, or a bool that is an element.
 func decodeCompactNumber(b []byte, t uint8) int64 {
 	if t == typeByte {
 		return int64(int8(b[0]))
--- a/internal/thriftwire/exception.go
+++ b/internal/thriftwire/exception.go
@@ -2,7 +2,7 @@
 
 import "encoding/binary"
 
-// The fields of a TApplicationException.
+// The field ids of a TApplicationException.
 const (
 	exceptionMessage int16 = 1
 	exceptionType    int16 = 2
@@ -35,8 +35,8 @@
 	return closeFrame(append(b, typeStop), start, h)
 }
 
-// ParseException reads the body of a message of kind Exception. As in apache/thrift, what is missing or of
-// another type is empty and TypeUnknown, and other fields are passed over.
+// ParseException parses the body of a message of kind Exception. As in apache/thrift, fields that are missing or of another
+// type are empty and TypeUnknown, and other fields are skipped. The error is ErrMalformed.
 func ParseException(e Encoding, body []byte) (ApplicationException, error) {
 	message, err := findLast(e, body, exceptionMessage, 1<<typeString)
 	if err != nil {
--- a/internal/thriftwire/form.go
+++ b/internal/thriftwire/form.go
@@ -1,9 +1,9 @@
 package thriftwire
 
-// mediaType begins the media type of a body; the form's name follows.
+// mediaType is the prefix of a body's media type.
 const mediaType = "application/vnd.apache.thrift"
 
-// formNames has the words for every form: as an operator writes it, and as a body's media type.
+// formNames are the names of every form: in the operator's file, and as a body's media type.
 var formNames = []struct {
 	Form
 	name, media string
@@ -26,7 +26,7 @@
 	return Form{}, false
 }
 
-// MediaType names the form where no Thrift type is known. Each form has one of its own.
+// MediaType is the form's name in code that knows no Thrift. It is different for each form.
 func (f Form) MediaType() string {
 	for i := range formNames {
 		if formNames[i].Form == f {
@@ -36,7 +36,7 @@
 	return ""
 }
 
-// ParseMediaType returns the form that a MediaType names.
+// ParseMediaType returns the form of a MediaType.
 func ParseMediaType(media string) (Form, bool) {
 	for i := range formNames {
 		if formNames[i].media == media {
@@ -46,7 +46,7 @@
 	return Form{}, false
 }
 
-// String is "call", "reply", "exception" or "oneway".
+// String returns "call", "reply", "exception", "oneway" or "unknown".
 func (k Kind) String() string {
 	switch k {
 	case Call:
--- a/internal/thriftwire/fuzz_test.go
+++ b/internal/thriftwire/fuzz_test.go
@@ -11,8 +11,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// FuzzReader: no panic, never more kept than the limit (readAll looks), pieces read as the whole does, and what
-// was read is read again from what Append makes of it.
+// FuzzReader checks that nothing panics, that no more is buffered than the limit (in readAll), that a message gives the same
+// however it is split, and that what was read is read again from what Append makes of it.
 func FuzzReader(f *testing.F) {
 	for i, form := range forms {
 		for _, b := range messageCorpus(f, form) {
@@ -51,15 +51,15 @@
 				AppendException(nil, m.Head, x)
 			}
 		}
-		// Of bytes that nobody has looked at, too.
+		// It must not panic on bytes that no Reader has returned, either.
 		for e := range Compact + 1 {
-			Lookup(e, b, []int16{1, 1})
+			_, _ = Lookup(e, b, []int16{1, 1})
 		}
 	})
 }
 
-// FuzzSkip: the same verdict and the same end as apache/thrift's Skip, of bytes that apache/thrift wrote (made)
-// and of any others.
+// FuzzSkip compares the verdict and the end with those of apache/thrift's Skip, for bytes that apache/thrift wrote (made) and
+// for any others.
 func FuzzSkip(f *testing.F) {
 	for e := range Compact + 1 {
 		for _, b := range messageCorpus(f, Form{Encoding: e}) {
@@ -119,7 +119,7 @@
 	})
 }
 
-// stricter checks that a message that apache/thrift alone passes is one of those in walker's table.
+// expectStricter checks that a message that apache/thrift alone accepts is one of those in walker's table.
 func expectStricter(t *testing.T, e Encoding, h Head, whole, body []byte, err error) {
 	t.Helper()
 	switch {
@@ -143,7 +143,7 @@
 	t.Helper()
 	p := apacheProtocol(m.Form.Encoding, inMemory(m.Body))
 	want := map[int16]Value{}
-	p.ReadStructBegin(ctx)
+	_, _ = p.ReadStructBegin(ctx)
 	_, of, id, _ := p.ReadFieldBegin(ctx)
 	for ; of != thrift.STOP; _, of, id, _ = p.ReadFieldBegin(ctx) {
 		switch of {
@@ -162,8 +162,10 @@
 			text, _ := p.ReadBinary(ctx)
 			want[id] = Value{Text: text, IsText: true, Present: true}
 		default:
-			want[id] = want[id]
-			thrift.SkipDefaultDepth(ctx, p, of)
+			if _, found := want[id]; !found { // a Value that is not Present
+				want[id] = Value{}
+			}
+			_ = thrift.SkipDefaultDepth(ctx, p, of)
 		}
 	}
 	for id, v := range want {
--- a/internal/thriftwire/lookup.go
+++ b/internal/thriftwire/lookup.go
@@ -2,20 +2,20 @@
 
 import "math"
 
-// types is a set of types, one bit each.
+// typeMask is a set of types, one bit each.
 type typeMask uint32
 
-// plain are the types that a Value can hold. A double is no whole number and an uuid no text: they are not plain.
+// scalarTypes are the types that a Value can hold. A double is no integer and a uuid no text: they are not among them.
 const scalarTypes typeMask = 1<<typeBool | 1<<typeByte | 1<<typeI16 | 1<<typeI32 | 1<<typeI64 | 1<<typeString
 
-// Lookup returns the field at that path of ids, through structs alone, of a body that a Reader has passed. The
-// Value is not Present where the field is absent or not plain; its Text shares memory with body.
+// Lookup returns the field at a path of field ids, through structs alone, of a body that a Reader has returned. The Value is not
+// Present where there is no such field or it is not of a scalar type; its Text shares memory with body.
 //
-// Where a field stands more than once in a struct, the last one counts, as in generated code, which reads each
-// over the one before: who sends it twice cannot have one value judged here and another one served. Those of
-// a type that cannot be meant (no struct on the way, nothing plain at the end) are passed over, as they are there.
+// Where a field is in a struct more than once, the last one counts, as in generated code, which reads each over the one before:
+// a client that sends it twice cannot have one value checked here and another one used by the host. Those of a type that can't
+// be meant (no struct on the way, nothing scalar at the end) are skipped, as generated code does.
 //
-// For a body that no Reader has passed it may return ErrMalformed or a Value, but does nothing worse.
+// For a body that no Reader has returned the error may be ErrMalformed, and the Value wrong.
 func Lookup(e Encoding, body []byte, path []int16) (Value, error) {
 	if len(path) == 0 {
 		return Value{}, nil
@@ -31,13 +31,13 @@
 	return f.value(e), err
 }
 
-// found is a field with the bytes of its value; its kind is typeStop where there is none.
+// foundField is a field with the bytes of its value; its kind is typeStop where there is none.
 type foundField struct {
 	field
 	bytes []byte
 }
 
-// last returns the last field of the struct that begins b with that id and one of those types.
+// findLast returns the last field of the struct that begins b with that id and one of those types.
 func findLast(e Encoding, b []byte, id int16, of typeMask) (f foundField, err error) {
 	w := walker{encoding: e, framed: true}
 	w.reset(0, len(b), Limits{Depth: math.MaxInt, Values: math.MaxInt})
@@ -66,7 +66,7 @@
 	return f, nil
 }
 
-// read returns the field's value.
+// value decodes the field's value.
 func (f foundField) value(e Encoding) Value {
 	switch {
 	case f.kind == typeStop:
--- a/internal/thriftwire/message.go
+++ b/internal/thriftwire/message.go
@@ -1,12 +1,17 @@
-// Package thriftwire reads and writes Thrift messages: the head of each, and where its body ends. It walks a
-// body without building it, so that it passes on as it came, byte for byte. It does no I/O; what a peer can
-// make it keep or walk is bounded. Source: the Thrift binary and compact protocol specifications of the Apache
-// Thrift project (doc/specs), and its framed transport.
+// Package thriftwire parses and writes Thrift messages: the head of each, and where its body ends. It walks a body without
+// building values, so that a body can be forwarded byte for byte. Source: the specifications of the binary and the compact
+// protocol of the Apache Thrift project (doc/specs), and its framed transport.
+//
+// The package is pure: it does no I/O and has no state beside a Reader's. The frontend (internal/downstream/thrift) and the
+// upstream side (internal/upstream) feed it what they read.
+//
+// Invariants: what a peer can make a Reader buffer or walk is bounded by Limits; parsing takes linear time, however a message
+// is split; where its verdict differs from that of Apache Thrift is listed at walker.
 package thriftwire
 
 import "errors"
 
-// Encoding is how a message's values are written.
+// Encoding is the Thrift protocol in which a message's values are written.
 type Encoding uint8
 
 // The encodings.
@@ -16,13 +21,13 @@
 	Compact
 )
 
-// Form is an encoding and whether each message stands in a frame that tells its length.
+// Form is an encoding, and whether each message is in a frame that states its length.
 type Form struct {
 	Encoding Encoding
 	Framed   bool
 }
 
-// Kind is what a message is.
+// Kind is a message's type.
 type Kind uint8
 
 // The kinds, as both encodings number them.
@@ -30,33 +35,33 @@
 	Call      Kind = 1
 	Reply     Kind = 2
 	Exception Kind = 3 // its body is a TApplicationException
-	Oneway    Kind = 4 // nothing is answered
+	Oneway    Kind = 4 // it has no reply
 )
 
-// Head is what stands before a message's body.
+// Head is what precedes a message's body.
 type Head struct {
 	Form Form
 	Kind Kind
-	Name string // of the method; multiplexed ones have "service:method"
+	Name string // of the method; "service:method" where it is multiplexed
 	Seq  int32
 }
 
-// Message is one message. Body is the struct that follows the head, as it came; it may share memory with what
-// was read, until the next call of the Reader.
+// Message is one message. Body is the struct that follows the head, as it came. It shares memory with the Reader, and is valid
+// until the next call of Feed.
 type Message struct {
 	Head
 	Body []byte
 }
 
-// Limits bound what a peer can make a Reader keep and walk.
+// Limits bound what a peer can make a Reader buffer and walk.
 type Limits struct {
-	Message int // bytes of a message, its head included, its frame's length not
-	Depth   int // of structs and containers in each other
-	Values  int // fields and elements walked in a message, empty ones too
+	Message int // bytes of a message with its head, without its frame's length
+	Depth   int // of nested structs and containers
+	Values  int // fields and elements in a message, empty ones included
 	Name    int // bytes of a method's name
 }
 
-// The errors of a Reader. After one of them the bytes that follow mean nothing: the connection is to be closed.
+// The errors of a Reader. After one of them the bytes that follow can't be parsed, and the connection is to be closed.
 var (
 	ErrUnknownForm   = errors.New("thriftwire: no Thrift message begins so, or not one of the form that is read")
 	ErrTooLong       = errors.New("thriftwire: the message is too long")
@@ -66,9 +71,9 @@
 	ErrTrailingBytes = errors.New("thriftwire: the frame holds more than its message")
 )
 
-// Value is a field's value, where it is a number, a flag or a string.
+// Value is the value of a field that is an integer, a bool or a string.
 type Value struct {
-	Number  int64 // of a bool 0 or 1
+	Number  int64 // 0 or 1 of a bool
 	Text    []byte
 	IsText  bool
 	Present bool
@@ -76,11 +81,11 @@
 
 // ApplicationException is the body of a message of kind Exception.
 type ApplicationException struct {
-	Type    int32 // see the Type constants; others are allowed
+	Type    int32 // one of the Type constants, or an application's own
 	Message string
 }
 
-// The types that the Apache Thrift project defines.
+// The types of an ApplicationException that the Apache Thrift project defines.
 const (
 	TypeUnknown        int32 = 0
 	TypeUnknownMethod  int32 = 1
--- a/internal/thriftwire/reader.go
+++ b/internal/thriftwire/reader.go
@@ -6,21 +6,19 @@
 )
 
 const (
-	// initialBufferSize is the first buffer's size in bytes, so that a slow beginning does not grow it in tiny steps.
+	// initialBufferSize is the first buffer's size in bytes, so that a message that comes slowly does not grow it in tiny steps.
 	initialBufferSize = 512
 
-	// maxIdleBufferSize is how large a buffer a Reader keeps, in bytes, while it holds nothing: enough that common
-	// messages need no new one, little enough that some hundred idle connections fit beside the daemon.
+	// maxIdleBufferSize is how large a buffer a Reader keeps while it is empty, in bytes: enough that common messages need no
+	// new one, little enough for some hundred idle connections.
 	maxIdleBufferSize = 32 << 10
 
-	// nameCacheSize is how many names a Reader remembers, so that the calls of a connection that repeat a few
-	// methods cost no new strings.
+	// nameCacheSize is how many names a Reader caches, so that calls of the same few methods allocate no strings.
 	nameCacheSize = 4
 )
 
-// Reader finds the messages in the bytes of one connection's direction. It keeps no more than Limits.Message and
-// a few bytes besides what the last Feed brought, if Next is called until it has no more before the next Feed.
-// It is not safe for use by several goroutines at once.
+// Reader parses the messages of one direction of a connection. It buffers no more than Limits.Message and a few bytes beside
+// what the last Feed brought, if Next is called until it returns !ok before the next Feed. It is not safe for concurrent use.
 type Reader struct {
 	limits    Limits
 	form      Form
@@ -30,19 +28,19 @@
 	buf   []byte
 	start int // of the message that is being read, in buf
 
-	// Of that message, once its head has been read; offsets from start.
+	// Of that message, once its head was read; offsets are from start.
 	head      Head
-	bodyStart int // 0 before
+	bodyStart int // 0: the head was not read yet
 	walker    walker
 
 	nameCache  [nameCacheSize]string
-	oldestName int // the name to be forgotten next
+	oldestName int // index of the name to be replaced next
 }
 
-// NewReader returns a Reader of messages in form. Where form is nil, the first message tells, and the form stays:
-// a length and then 0x80 0x01 are framed binary, a length and 0x82 framed compact, 0x80 0x01 unframed binary, 0x82
-// unframed compact. Old binary is read only where form says so: it begins with nothing but a length, so that
-// most of what was never meant as Thrift would pass for it, too.
+// NewReader returns a Reader of messages in a form. Where form is nil the first message determines it, and it stays: a frame's
+// length and then 0x80 0x01 is framed binary, a length and 0x82 framed compact, 0x80 0x01 unframed binary, 0x82 unframed
+// compact. Old binary is read only where form says so: it begins with a length alone, so that most of what was never meant as
+// Thrift would be taken for it.
 func NewReader(limits Limits, form *Form) *Reader {
 	r := &Reader{limits: limits}
 	if form != nil {
@@ -51,7 +49,7 @@
 	return r
 }
 
-// Feed takes bytes that came. b may be used again after it. What Next returned before is no longer valid.
+// Feed adds bytes that were read; b may be reused afterwards. Bodies that Next has returned are no longer valid.
 func (r *Reader) Feed(b []byte) {
 	if r.err != nil {
 		return
@@ -60,7 +58,7 @@
 	need := kept + len(b)
 	switch {
 	case need > cap(r.buf):
-		// Double, so that all of the growing is linear, but not beyond what a message may need.
+		// Doubling makes all copying linear; a message needs no more than the limit.
 		room := max(need, min(max(2*cap(r.buf), initialBufferSize), r.limits.Message+frameLengthSize))
 		grown := make([]byte, kept, room)
 		copy(grown, r.buf[r.start:])
@@ -71,8 +69,8 @@
 	r.buf = append(r.buf, b...)
 }
 
-// Next returns the next whole message, !ok where more bytes are needed, or one of this package's errors, and
-// then always that one. The Body is valid until the next call of Feed.
+// Next returns the next complete message, !ok where more bytes are needed, or one of this package's errors, and then always
+// that one.
 func (r *Reader) Next() (m Message, ok bool, err error) {
 	if r.err != nil {
 		return Message{}, false, r.err
@@ -101,10 +99,10 @@
 // Form returns the form, once it is known.
 func (r *Reader) Form() (Form, bool) { return r.form, r.formKnown }
 
-// Pending returns how many bytes are kept that belong to no message that Next has returned.
+// Pending returns how many buffered bytes belong to no message that Next has returned.
 func (r *Reader) Pending() int { return len(r.buf) - r.start }
 
-// read goes on with the message that begins b; nil when it is whole, and ends at walk.pos.
+// readMessage continues with the message that begins b. It returns nil when the message is complete, ending at walker.pos.
 func (r *Reader) readMessage(b []byte) error {
 	if !r.formKnown {
 		form, err := detectForm(b, r.limits)
@@ -129,7 +127,7 @@
 	return err
 }
 
-// begin reads a frame's length and the head, and sets the walker before the body.
+// readHead reads a frame's length and the head, and sets the walker to the beginning of the body.
 func (r *Reader) readHead(b []byte) error {
 	p, end := 0, r.limits.Message
 	r.walker.encoding, r.walker.framed = r.form.Encoding, r.form.Framed
@@ -160,7 +158,7 @@
 	return nil
 }
 
-// find tells a message's form by its first bytes.
+// detectForm determines a message's form by its first bytes.
 func detectForm(b []byte, limits Limits) (Form, error) {
 	switch {
 	case len(b) == 0:
@@ -176,13 +174,13 @@
 	case err != nil:
 		return Form{}, err
 	case n == 0:
-		return Form{}, ErrUnknownForm // what follows is no part of it
+		return Form{}, ErrUnknownForm // no message is that short
 	}
 	encoding, err := detectEncoding(b[frameLengthSize:])
 	return Form{Encoding: encoding, Framed: true}, err
 }
 
-// mark tells an encoding by the bytes that begin its messages.
+// detectEncoding determines an encoding by the first bytes of a message.
 func detectEncoding(b []byte) (Encoding, error) {
 	switch {
 	case len(b) == 0:
@@ -199,7 +197,7 @@
 	return Binary, nil
 }
 
-// readFrameSize reads how long a frame is, its length not counted.
+// readFrameSize reads a frame's length.
 func readFrameSize(b []byte, limits Limits) (int, error) {
 	n := int32(binary.BigEndian.Uint32(b))
 	switch {
@@ -208,7 +206,7 @@
 	case int(n) <= limits.Message:
 		return int(n), nil
 	case isPrintable(b[:frameLengthSize]):
-		return 0, ErrUnknownForm // 512 MiB and more; rather it is HTTP
+		return 0, ErrUnknownForm // a length of 512 MiB and more is more likely to be HTTP
 	}
 	return 0, ErrTooLong
 }
@@ -222,7 +220,7 @@
 	return true
 }
 
-// name returns the n bytes of a name at p, and where it ends.
+// readName returns the n bytes of a name at p, and where it ends.
 func (r *Reader) readName(b []byte, p, n int) ([]byte, int, error) {
 	switch {
 	case n < 0:
@@ -235,7 +233,7 @@
 	return b[p : p+n], p + n, nil
 }
 
-// intern returns b as a string, one that is remembered if it can.
+// internName returns b as a string, without allocating where the cache has it.
 func (r *Reader) internName(b []byte) string {
 	for _, s := range r.nameCache {
 		if s == string(b) {
@@ -248,11 +246,11 @@
 	return s
 }
 
-// known tells whether there is such a kind.
+// isValid reports whether there is such a kind.
 func (k Kind) isValid() bool { return k >= Call && k <= Oneway }
 
-// Method takes a multiplexed name apart ("service:method", as apache/thrift's TMultiplexedProtocol writes it, at
-// the first colon). The service is "" where the name is not multiplexed.
+// Method splits a multiplexed name at its first colon ("service:method", as apache/thrift's TMultiplexedProtocol writes it).
+// The service is empty where the name is not multiplexed.
 func (h Head) Method() (service, method string) {
 	service, method, found := strings.Cut(h.Name, ":")
 	if !found {
--- a/internal/thriftwire/reader_test.go
+++ b/internal/thriftwire/reader_test.go
@@ -15,12 +15,12 @@
 
 var wideLimits = Limits{Message: 1 << 20, Depth: 64, Values: 1 << 20, Name: 1 << 10}
 
-// forms are all that there are.
+// forms are all forms.
 var forms = []Form{
 	{Binary, false}, {Binary, true}, {OldBinary, false}, {OldBinary, true}, {Compact, false}, {Compact, true},
 }
 
-// raw reads bytes as hex, or as text in quotes, spaces between; 3*x is x three times.
+// parseHex parses bytes in hex, or as text in quotes, separated by spaces; 3*x is x three times.
 func parseHex(t testing.TB, text string) []byte {
 	t.Helper()
 	var out []byte
@@ -73,7 +73,7 @@
 	}
 }
 
-// Hand-made messages, by the specifications: ping(1: "ab", 2: true, 3: -2 as i32).
+// handMadeMessages are written by the specifications: ping(1: "ab", 2: true, 3: -2 as i32).
 var handMadeMessages = []struct {
 	form Form
 	text string
@@ -124,7 +124,7 @@
 	}
 }
 
-// Every message of the corpus, cut anywhere and in pieces, gives the same.
+// Every message of the corpus gives the same wherever it is split.
 func TestPartialReads(t *testing.T) {
 	for _, form := range forms {
 		var all []byte
@@ -153,7 +153,7 @@
 	}
 }
 
-// tight are the limits for hostile.
+// narrowLimits are the limits for malformedMessages.
 var narrowLimits = Limits{Message: 4096, Depth: 8, Values: 100, Name: 16}
 
 const binaryHeadHex, compactHeadHex = "80010001 00000000 00000000 ", "82 21 00 00 "
@@ -233,8 +233,8 @@
 	}
 }
 
-// A MiB byte by byte allocates nothing but the growing buffer, and takes no more than a moment: were the message
-// walked from its beginning for each byte, it would take minutes.
+// A MiB that comes byte by byte allocates nothing but the growing buffer, and is walked in linear time: from its beginning for
+// each byte it would take minutes.
 func TestByteByByte(t *testing.T) {
 	body := append(parseHex(t, "19 f8 ffff1f"), bytes.Repeat([]byte{1, 'a'}, 1<<19-1)...)
 	b := append(Append(nil, Head{Form: Form{Compact, false}, Kind: Call}, body), 0)
@@ -250,7 +250,7 @@
 	}
 }
 
-// Beyond the levels that a walker has room for, they move in memory while it is in them.
+// Levels beyond those in the walker's array move in memory while it is in them.
 func TestDeepNesting(t *testing.T) {
 	b := parseHex(t, compactHeadHex+"16*1c 0cf0ff03 1c 00 00 f1")
 	if _, err := readAll(t, NewReader(wideLimits, nil), b, len(b)); err != ErrMalformed {
@@ -258,7 +258,7 @@
 	}
 }
 
-// What a large message took is given back once nothing is kept; small ones use the same buffer again.
+// The buffer of a large message is released once it is empty; small ones reuse theirs.
 func TestBufferIsReleased(t *testing.T) {
 	r, h := NewReader(wideLimits, nil), Head{Form: Form{Binary, true}, Kind: Call}
 	for _, size := range []int{100, maxIdleBufferSize / 2, 4 * maxIdleBufferSize} {
@@ -298,7 +298,7 @@
 		t.Errorf("broken body: %v", err)
 	}
 	body := parseHex(t, "1c 7803 'xyz' 00 11 00")
-	if n := testing.AllocsPerRun(100, func() { Lookup(Compact, body, []int16{1, 7}) }); n > 0 {
+	if n := testing.AllocsPerRun(100, func() { _, _ = Lookup(Compact, body, []int16{1, 7}) }); n > 0 {
 		t.Errorf("%v allocations", n)
 	}
 }
--- a/internal/thriftwire/walker.go
+++ b/internal/thriftwire/walker.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// The types of values. Both encodings are walked in the binary protocol's numbers; compact's are translated.
+// The types of values, as the binary protocol numbers them. Those of the compact protocol are translated.
 const (
 	typeStop   uint8 = 0
 	typeBool   uint8 = 2
@@ -19,11 +19,11 @@
 	typeUUID   uint8 = 16 // bare 16 bytes in both encodings, since apache/thrift v0.20
 )
 
-// errNeedMore stops a walk where the bytes end: the step is taken again from its beginning when there are more.
+// errNeedMore interrupts a walk where the bytes end: the step is repeated from its beginning when there are more.
 var errNeedMore = errors.New("thriftwire: more bytes are needed")
 
-// width is what a value of a type takes in an encoding: at least min bytes, and exactly so many if fixed. A min
-// of 0 stands for a type that does not exist.
+// width is the size of a type's values in an encoding: at least min bytes, and exactly min if fixed. A min of 0 stands for a
+// type that does not exist.
 type width struct {
 	min   uint8
 	fixed bool
@@ -31,17 +31,17 @@
 
 // level is a struct, list, set or map that the walk is in.
 type level struct {
-	remaining uint32 // values to come, of a map keys and values both; of a struct always 1
-	last      int16  // of a struct: the id of the field before, to which compact adds
-	key, val  uint8  // the types of the elements, of a list or set both the same; of a struct typeStop
+	remaining uint32 // values to come, a map's keys included; of a struct always 1
+	last      int16  // of a struct: the id of the field before, to which the compact protocol adds
+	key, val  uint8  // the types of the elements, equal for a list or set; typeStop for a struct
 }
 
-// walker finds the end of a struct without recursion, and goes on where the bytes ended before. What is not
-// whole when they end (a field's head with its value's length, 25 bytes at most) is read again, so that a body
-// that comes byte by byte still costs linear time. The contents of strings and of lists of fixed width are
-// stepped over in one go: pos may then be beyond the bytes that have come, though never beyond end.
+// walker finds the end of a struct without recursion, and continues where the bytes ended before. What is incomplete when they
+// end (a field's head with its value's length, 25 bytes at most) is read again, so that a body that comes byte by byte still
+// costs linear time. The contents of strings and of lists of fixed width are skipped at once: pos may then be beyond the bytes
+// that have come, though never beyond end.
 //
-// Where its verdict is not that of apache/thrift v0.25.0 (ReadMessageBegin and Skip in lib/go/thrift):
+// It differs from apache/thrift v0.25.0 (ReadMessageBegin and Skip in lib/go/thrift) in:
 //
 //	                                                       apache          here
 //	kind of message outside of 1..4                        passes          ErrMalformed
@@ -57,22 +57,22 @@
 //	nested deeper than 64                                  refuses         Limits.Depth alone decides
 //	containers and strings beyond 100 MiB, its default     refuses         Limits.Message alone decides
 //
-// Alike, though one might expect otherwise: a level of depth is counted for every value, a number in the body
-// being at 2; an empty list, set or map of the binary protocol may name types that do not exist (some writers put
-// 0 there); any byte is a bool; any compact byte with a low half of 0 ends a struct; the third byte of a strict
-// head means nothing; varints may end in needless zeros.
+// It does not differ, though one might expect so, in: a level of depth is counted for every value, a number in the body being at
+// 2; an empty list, set or map of the binary protocol may state types that do not exist (some writers put 0 there); any byte is
+// a bool; any compact byte with a low half of 0 ends a struct; the third byte of a strict head is ignored; varints may end in
+// needless zeros.
 type walker struct {
 	encoding   Encoding
 	framed     bool
-	pos, end   int // offsets into what is walked
+	pos, end   int // offsets into the bytes
 	maxDepth   int
 	valuesLeft int // that may still come
-	depth      int // how many levels the walk is in
+	depth      int // number of levels that were entered
 	levels     [16]level
-	moreLevels []level // those beyond room
+	moreLevels []level // those beyond levels
 }
 
-// beyond says what it means that a message goes on beyond end.
+// truncatedError is the error for a message that continues beyond end.
 func (w *walker) truncatedError() error {
 	if w.framed {
 		return ErrMalformed
@@ -80,14 +80,14 @@
 	return ErrTooLong
 }
 
-// begin sets the walker before a struct at pos that has to end by end.
+// reset sets the walker to a struct at pos that has to end by end.
 func (w *walker) reset(pos, end int, limits Limits) {
 	w.pos, w.end, w.maxDepth, w.valuesLeft = pos, end, limits.Depth, limits.Values
 	w.depth = 0
 	w.enter(level{remaining: 1})
 }
 
-// level returns the i-th level, counted from 0.
+// levelAt returns the i-th level, counted from 0.
 func (w *walker) levelAt(i int) *level {
 	if i < len(w.levels) {
 		return &w.levels[i]
@@ -95,8 +95,8 @@
 	return &w.moreLevels[i-len(w.levels)]
 }
 
-// run walks to the struct's end, which is then at pos. b ends at the walker's end if not before. It returns
-// errNeedMore where b is too short.
+// run walks to the struct's end, which pos is then. b ends at the walker's end if not before. Where b is too short the error is
+// errNeedMore.
 func (w *walker) run(b []byte) error {
 	for w.depth > 0 {
 		if w.pos >= len(b) {
@@ -109,10 +109,10 @@
 	return nil
 }
 
-// step walks over one field's head or element, with its value if that is plain. pos has to be within b. When it
-// fails with errNeedMore, nothing has changed.
+// step walks over one field's head or element, with its value if that is a scalar. pos has to be within b. Where the error is
+// errNeedMore, nothing has changed.
 func (w *walker) step(b []byte) error {
-	at := w.depth - 1 // where value enters a level, this one may move in memory
+	at := w.depth - 1 // where walkValue enters a level, top may move in memory
 	top := w.levelAt(at)
 	if top.remaining == 0 {
 		w.depth--
@@ -121,7 +121,7 @@
 	if top.key != typeStop {
 		t := top.key
 		if top.remaining%2 == 1 {
-			t = top.val // of a map, in which keys and values take turns
+			t = top.val // of a map, in which keys and values alternate
 		}
 		next, err := w.walkValue(b, w.pos, t)
 		if err != nil {
@@ -177,11 +177,11 @@
 	kind       uint8 // its value's type; typeStop where the struct ends
 	id         int16
 	valueStart int  // where its value begins; after a stop, where the struct has ended
-	inline     bool // the head holds the value: compact's bools
+	inline     bool // the head contains the value: bools of the compact protocol
 	boolValue  bool // that value
 }
 
-// field reads the head at p into f, which is empty. (It is not returned, as copying it costs more than reading.)
+// readField reads the head at p into f, which is empty. (It is not returned, as copying it costs more than reading it.)
 func (w *walker) readField(b []byte, p int, last int16, f *field) error {
 	if w.encoding == Compact {
 		return readCompactField(b, p, last, f)
@@ -189,8 +189,8 @@
 	return readBinaryField(b, p, f)
 }
 
-// value reads the beginning of a value of type t at p, and returns where to go on: after the value, or in it,
-// and then it has entered its level.
+// walkValue reads the beginning of a value of type t at p, and returns where to continue: after the value, or in it once its
+// level was entered.
 func (w *walker) walkValue(b []byte, p int, t uint8) (next int, err error) {
 	if t == typeStruct {
 		w.enter(level{remaining: 1})
@@ -202,7 +202,7 @@
 	return w.walkBinaryValue(b, p, t)
 }
 
-// over steps over n bytes from p.
+// skip returns the offset n bytes after p.
 func (w *walker) skip(p, n int) (int, error) {
 	if n > w.end-p {
 		return 0, w.truncatedError()
@@ -210,9 +210,8 @@
 	return p + n, nil
 }
 
-// open begins a list, set or map of n entries that follow at p, each of per values. Its bounds are checked here
-// for all of them: what cannot fit is refused before any of it comes. It is the last thing that is asked of a
-// step, as it takes from the values that may come.
+// enterContainer enters a list, set or map of n entries at p, each of per values. It checks the bounds for all of them: what can't
+// fit is refused before any of it comes. It has to be the last check of a step, as it reduces valuesLeft.
 func (w *walker) enterContainer(p, n, per int, key, val uint8, widths *[17]width) (int, error) {
 	if n == 0 {
 		return p, nil
