--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -144,7 +144,7 @@
 			members = append(members, member(id, "x:1", balance.Ready))
 		}
 		table.Apply(balance.ListFull, List{Members: members})
-		return table.ids
+		return table.numbers
 	}
 	one, other := numbers(a, "c", b), numbers(b, a, "c")
 	if !reflect.DeepEqual(one, other) || one[a] == one[b] {
@@ -279,8 +279,8 @@
 func TestFailuresAreAskedAfterLessOften(t *testing.T) {
 	last := time.Duration(0)
 	for failures := range 70 {
-		d := redialAfter(failures)
-		if d < last || d > redialLast || failures == 0 && d >= 200*time.Millisecond || failures > 3 && d != redialLast {
+		d := retryDelay(failures)
+		if d < last || d > maxRetryDelay || failures == 0 && d >= 200*time.Millisecond || failures > 3 && d != maxRetryDelay {
 			t.Errorf("after %d failures %v, before that %v", failures, d, last)
 		}
 		last = d
@@ -292,7 +292,7 @@
 	one, other := &watch{rand: rand.New(rand.NewPCG(1, 2))}, &watch{rand: rand.New(rand.NewPCG(2, 2))}
 	same := 0
 	for range 100 {
-		x, y := one.spread(time.Second), other.spread(time.Second)
+		x, y := one.jitter(time.Second), other.jitter(time.Second)
 		if x < 750*time.Millisecond || x > time.Second {
 			t.Fatalf("a wait of %v", x)
 		}
@@ -316,7 +316,7 @@
 	ended := make(chan struct{})
 	synced := 0
 	go func() {
-		(&Watcher{Addr: first.addr, Moves: moves, Table: table, Rand: rand.New(rand.NewPCG(1, 2)), Log: zerolog.Nop()}).Run(ctx, func() { synced++ })
+		(&Watcher{Addr: first.addr, AddrChanges: moves, Table: table, Rand: rand.New(rand.NewPCG(1, 2)), Log: zerolog.Nop()}).Run(ctx, func() { synced++ })
 		close(ended)
 	}()
 	(<-first.calls).answer(document)
@@ -409,7 +409,7 @@
 // against one that is back and gets nothing.
 func TestShut(t *testing.T) {
 	w, table := newWorld()
-	id := table.number("h")
+	id := table.assignNumber("h")
 	list := func(state balance.Availability) {
 		table.Apply(balance.ListDelta, List{Members: []Member{{ID: "h", Addr: "127.0.0.1:1", State: state}}})
 		<-w.lists
--- a/internal/cluster/failures_test.go
+++ b/internal/cluster/failures_test.go
@@ -171,7 +171,7 @@
 	for {
 		select {
 		case <-w.lists:
-			if held := table.Held().List.Members; !slices.ContainsFunc(held, func(m Member) bool { return m.ID == "s-5be2a07c" && m.State == balance.Ready }) {
+			if held := table.Snapshot().List.Members; !slices.ContainsFunc(held, func(m Member) bool { return m.ID == "s-5be2a07c" && m.State == balance.Ready }) {
 				return time.Now()
 			}
 		case <-late:
@@ -193,7 +193,7 @@
 	moves, ended := make(chan string), make(chan struct{})
 	go func() {
 		defer close(ended)
-		(&Watcher{Addr: agents[0].addr, Moves: moves, Table: table, Rand: rand.New(rand.NewPCG(1, 2)), Log: zerolog.Nop()}).Run(ctx, func() {})
+		(&Watcher{Addr: agents[0].addr, AddrChanges: moves, Table: table, Rand: rand.New(rand.NewPCG(1, 2)), Log: zerolog.Nop()}).Run(ctx, func() {})
 	}()
 	<-w.lists
 	from := time.Now()
--- a/internal/cluster/list.go
+++ b/internal/cluster/list.go
@@ -39,8 +39,8 @@
 	"Ready": balance.Ready, "Terminating": balance.Draining, "Gone": balance.Gone,
 }
 
-// latestMS is the last start that there can be: one beyond it would come round to before all others, and be warm.
-const latestMS = int64(math.MaxInt64 / time.Millisecond)
+// maxUpSinceMS is the last start that there can be: one beyond it would come round to before all others, and be warm.
+const maxUpSinceMS = int64(math.MaxInt64 / time.Millisecond)
 
 // ParseList decodes a list. One that cannot be right is refused whole: half of a change, taken for all
 // of it, would leave a drain unseen.
@@ -58,7 +58,7 @@
 		member := Member{
 			ID: m.Get("id").Str, Addr: m.Get("host_port").Str, Zone: m.Get("locality").Str, Kind: m.Get("flavor").Str,
 			Cell: int(m.Get("cell").Int()), State: state, Weight: m.Get("size").Num,
-			UpSince: time.Duration(min(max(0, m.Get("up_since_ms").Int()), latestMS)) * time.Millisecond,
+			UpSince: time.Duration(min(max(0, m.Get("up_since_ms").Int()), maxUpSinceMS)) * time.Millisecond,
 		}
 		if member.ID == "" {
 			return List{}, fmt.Errorf("cluster: members[%d].id is missing", i)
--- a/internal/cluster/paced_test.go
+++ b/internal/cluster/paced_watch_test.go
@@ -63,7 +63,7 @@
 			a := newAgent(t)
 			w, table := newWorld()
 			if c.since > 0 {
-				table.Old = true
+				table.StaleCache = true
 				table.Apply(balance.ListCached, List{Revision: c.since, Members: []Member{member("h0", "127.0.0.1:1", balance.Ready),
 					member("h9", "127.0.0.9:1", balance.Ready)}})
 				for _, e := range <-w.lists {
@@ -75,7 +75,7 @@
 			ctx, end := context.WithCancel(context.Background())
 			ended := make(chan struct{})
 			watcher := Watcher{Addr: a.addr, Table: table, Rand: rand.New(rand.NewPCG(1, 2)), Log: zerolog.Nop(),
-				Paced: &Paced{Fleet: pacing.Fleet{Instances: 1, Rate: 1000, Watch: time.Second}, Since: c.since}}
+				Pacing: &Pacing{Fleet: pacing.Fleet{Instances: 1, Rate: 1000, Watch: time.Second}, Revision: c.since}}
 			go func() {
 				watcher.Run(ctx, func() {})
 				close(ended)
@@ -124,7 +124,7 @@
 	ctx, end := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	watcher := Watcher{Addr: a.addr, Table: table, Rand: rand.New(rand.NewPCG(1, 2)), Log: zerolog.Nop(),
-		Paced: &Paced{Fleet: pacing.Fleet{Instances: 1, Rate: 1000, Watch: time.Second}}}
+		Pacing: &Pacing{Fleet: pacing.Fleet{Instances: 1, Rate: 1000, Watch: time.Second}}}
 	go func() {
 		watcher.Run(ctx, func() {})
 		close(ended)
@@ -139,7 +139,7 @@
 	if got := len(<-w.lists); got != 0 {
 		t.Errorf("%d hosts were told", got)
 	}
-	if took := time.Since(from); took < doubtMost/2 {
+	if took := time.Since(from); took < maxConfirmDelay/2 {
 		t.Errorf("the list was taken after %s already", took)
 	}
 	go func() { // the calls that go on
@@ -170,20 +170,20 @@
 	if len(s.stops) == 0 {
 		return 0, os.ErrDeadlineExceeded
 	}
-	time.Sleep(slice + s.stops[0])
+	time.Sleep(readSlice + s.stops[0])
 	s.stops = s.stops[1:]
 	return 0, os.ErrDeadlineExceeded
 }
 
 // A stop of the process is added to the time in which an answer may come, and told apart from the service's slowness.
 func TestStopsAreNotSilence(t *testing.T) {
-	l := &late{ctx: context.Background(), conn: &sleepy{stops: []time.Duration{0, stopLeast + 200*time.Millisecond}}, end: time.Now().Add(slice + slice/2)}
+	l := &stopDetector{ctx: context.Background(), conn: &sleepy{stops: []time.Duration{0, minStop + 200*time.Millisecond}}, deadline: time.Now().Add(readSlice + readSlice/2)}
 	_, err := l.Read(make([]byte, 1))
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Error(err)
 	}
-	if l.lost < stopLeast {
-		t.Errorf("%s were lost to a stop of 600 ms", l.lost)
+	if l.stopped < minStop {
+		t.Errorf("%s were lost to a stop of 600 ms", l.stopped)
 	}
 	if n := l.conn.(*sleepy).reads; n < 3 {
 		t.Errorf("it was read %d times: not again after the stop", n)
@@ -194,10 +194,10 @@
 func TestDoubtBoundsTheCall(t *testing.T) {
 	a := newAgent(t)
 	_, table := newWorld()
-	w := &watch{addr: a.addr, table: table, rand: rand.New(rand.NewPCG(1, 2)), log: zerolog.Nop(), whole: &afresh{}}
-	p := w.paced(Paced{Fleet: pacing.Fleet{Instances: 1, Rate: 1000, Watch: time.Second}})
-	p.doubted, p.doubtEnds = &List{}, p.now() // it is over already: not even a connection is waited for
-	if _, end, _, err := p.ask(context.Background(), question{target: "/catalog/members"}); err == nil || end.How != pacing.Down {
+	w := &watch{addr: a.addr, table: table, rand: rand.New(rand.NewPCG(1, 2)), log: zerolog.Nop(), refresh: &refreshRequests{}}
+	p := w.newPacedWatch(Pacing{Fleet: pacing.Fleet{Instances: 1, Rate: 1000, Watch: time.Second}})
+	p.unconfirmed, p.confirmDeadline = &List{}, p.now() // it is over already: not even a connection is waited for
+	if _, end, _, err := p.poll(context.Background(), pollRequest{target: "/catalog/members"}); err == nil || end.How != pacing.Down {
 		t.Errorf("a call beyond the doubt ended as %+v, %v; it is to end with the dial", end, err)
 	}
 }
--- a/internal/cluster/crossings_test.go
+++ b/internal/cluster/silence_test.go
@@ -204,7 +204,7 @@
 // states are the hosts that are held.
 func states(t *Table) string {
 	var all []string
-	for _, m := range t.Held().List.Members {
+	for _, m := range t.Snapshot().List.Members {
 		all = append(all, fmt.Sprint(m.ID, " ", m.State))
 	}
 	return strings.Join(all, " ")
@@ -213,7 +213,7 @@
 // Guards against moves that wait for the first call, and hold up whoever hands them on; and against a new agent being asked
 // since the old one's revision.
 func TestMovesBeforeTheFirstCall(t *testing.T) {
-	for name, paced := range map[string]*Paced{"at once": nil, "paced": {Since: 41}} {
+	for name, paced := range map[string]*Pacing{"at once": nil, "paced": {Revision: 41}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				_, table := newWorld()
@@ -221,7 +221,7 @@
 				ctx, end := context.WithCancel(t.Context())
 				ended := make(chan struct{})
 				go func() {
-					(&Watcher{Addr: "a", Moves: moves, After: 5 * time.Second, Table: table, Rand: rand.New(longest{}), Log: zerolog.Nop(), Paced: paced,
+					(&Watcher{Addr: "a", AddrChanges: moves, InitialDelay: 5 * time.Second, Table: table, Rand: rand.New(longest{}), Log: zerolog.Nop(), Pacing: paced,
 						dial: func(_ context.Context, _, addr string) (net.Conn, error) {
 							ours, theirs := net.Pipe()
 							go func() {
@@ -253,14 +253,14 @@
 // Guards against an answer that ends the process: what checks JSON goes as deep as the text does, until the stack is used up.
 func TestDeepAnswers(t *testing.T) {
 	a := newAgent(t)
-	w := &watch{addr: a.addr, rand: rand.New(longest{}), log: zerolog.Nop(), whole: &afresh{}}
-	defer w.hangUp()
-	go func() { (<-a.calls).answer(`{"members":` + strings.Repeat("[", listMost-100)) }()
-	if _, err := w.call(t.Context(), "/catalog/members", answerIn); err == nil || !strings.Contains(err.Error(), "is no list") {
+	w := &watch{addr: a.addr, rand: rand.New(longest{}), log: zerolog.Nop(), refresh: &refreshRequests{}}
+	defer w.disconnect()
+	go func() { (<-a.calls).answer(`{"members":` + strings.Repeat("[", maxListBytes-100)) }()
+	if _, err := w.fetch(t.Context(), "/catalog/members", maxCallTimeout); err == nil || !strings.Contains(err.Error(), "is no list") {
 		t.Errorf("the answer is taken: %v", err)
 	}
 	for text, want := range map[string]int{`7`: 0, `[]`: 1, `[[],[]]`: 2, `[[[]]]`: 3, `[{"[[[\\":[]},[]]`: 3, `["[[[\"[[[",[]]`: 2, `{"{{":{}}`: 2, document: 4} {
-		if nested([]byte(text), want) || want > 0 && !nested([]byte(text), want-1) {
+		if exceedsDepth([]byte(text), want) || want > 0 && !exceedsDepth([]byte(text), want-1) {
 			t.Errorf("%s is not %d deep", text, want)
 		}
 	}
--- a/internal/cluster/table_test.go
+++ b/internal/cluster/table_test.go
@@ -34,7 +34,7 @@
 				t.Errorf("a host is told as %v last, want %v", state, last)
 			}
 		}
-		if got := table.Held().List.Members; last == balance.Gone && len(got)+len(w.addrs) > 0 || last != balance.Gone &&
+		if got := table.Snapshot().List.Members; last == balance.Gone && len(got)+len(w.addrs) > 0 || last != balance.Gone &&
 			(len(got) != 8 || len(w.addrs) != 8 || slices.ContainsFunc(got, func(m Member) bool { return m.State != last })) {
 			t.Errorf("after %v it holds %v and %v", last, got, w.addrs)
 		}
@@ -45,7 +45,7 @@
 // told because they are before the first list.
 func TestRetuneAmongNews(t *testing.T) {
 	w, table := newWorld()
-	if table.Retune([]string{"z9"}, nil); len(w.lists) > 0 {
+	if table.UpdateNames([]string{"z9"}, nil); len(w.lists) > 0 {
 		t.Error("a list was told before there was one")
 	}
 	w.lists = make(chan []balance.Entry, 300)
@@ -58,7 +58,7 @@
 		zone := []string{fmt.Sprint("z", i)}
 		var retuned sync.WaitGroup
 		told := len(w.kinds)
-		retuned.Go(func() { table.Retune(zone, nil) })
+		retuned.Go(func() { table.UpdateNames(zone, nil) })
 		for done := false; !done; { // the news comes as soon as it can be taken after the zones are renamed
 			if !table.mu.TryLock() {
 				continue
@@ -73,7 +73,7 @@
 			table.mu.Unlock()
 		}
 		retuned.Wait()
-		if got := table.Held().List.Members[slices.IndexFunc(table.Held().List.Members, func(m Member) bool { return m.ID == h.ID })]; got.State != balance.Draining {
+		if got := table.Snapshot().List.Members[slices.IndexFunc(table.Snapshot().List.Members, func(m Member) bool { return m.ID == h.ID })]; got.State != balance.Draining {
 			t.Fatalf("host %s is held as %v after its drain was told", h.ID, got.State)
 		}
 	}
@@ -81,7 +81,7 @@
 
 // Guards against numbers of a list that come round: a host that starts in the far future would be one of long ago, and warm.
 func TestNumbersOutOfRange(t *testing.T) {
-	const latest = time.Duration(latestMS) * time.Millisecond
+	const latest = time.Duration(maxUpSinceMS) * time.Millisecond
 	for number, want := range map[string]time.Duration{"0": 0, "-7": 0, "1": time.Millisecond, "9223372036854": latest, "9223372036855": latest,
 		"14000000000000": latest, "1e15": latest, "null": 0, `"7"`: 7 * time.Millisecond} {
 		list, err := ParseList(gjson.Parse(fmt.Sprintf(`{"revision":-1,"members":[{"id":"a","host_port":"127.0.0.1:1","phase":"Ready",
--- a/internal/cluster/version_test.go
+++ b/internal/cluster/version_test.go
@@ -51,9 +51,9 @@
 				m.Cell = rapid.IntRange(0, 1).Draw(rt, "cell")
 				list.Members = append(list.Members, m)
 			}
-			was := table.Held().List
+			was := table.Snapshot().List
 			table.Apply(kind, list)
-			is := table.Held().List
+			is := table.Snapshot().List
 			now := (*told)[len(*told)-1]
 			if want := (version.List{From: list.From, Revision: list.Revision, Digest: is.Digest()}); now != want {
 				rt.Fatalf("told %+v, held %+v", now, want)
@@ -73,15 +73,15 @@
 
 // Guards against a watch that waits on when the whole list is wanted, and against an answer from before that which counts for it.
 func TestRefresh(t *testing.T) {
-	for name, paced := range map[string]*Paced{"plain": nil, "paced": {Fleet: pacing.Fleet{Instances: 1, Rate: 1000, Watch: 10 * time.Second}}} {
+	for name, paced := range map[string]*Pacing{"plain": nil, "paced": {Fleet: pacing.Fleet{Instances: 1, Rate: 1000, Watch: 10 * time.Second}}} {
 		t.Run(name, func(t *testing.T) {
 			a := newAgent(t)
 			w, table := newWorld()
 			ctx, end := context.WithCancel(context.Background())
 			ended, heard := make(chan struct{}), make(chan time.Time, 10)
 			var log bytes.Buffer
-			watcher := &Watcher{Addr: a.addr, Table: table, Rand: rand.New(rand.NewPCG(1, 2)), Log: zerolog.New(&log), Paced: paced,
-				Heard: func(asked time.Time) { heard <- asked }}
+			watcher := &Watcher{Addr: a.addr, Table: table, Rand: rand.New(rand.NewPCG(1, 2)), Log: zerolog.New(&log), Pacing: paced,
+				OnUpdate: func(asked time.Time) { heard <- asked }}
 			go func() {
 				watcher.Run(ctx, func() {})
 				close(ended)
--- a/internal/cluster/watch.go
+++ b/internal/cluster/watcher.go
@@ -22,79 +22,79 @@
 // Tunables. A watch that has fallen silent looks like one without news until its wait is over, so that is how late a
 // release is learned of at worst.
 const (
-	watchWait  = 1000 * time.Millisecond // how long discovery may hold a call that waits, at most
-	watchGrace = 300 * time.Millisecond  // and how long beyond that it may be silent
-	answerSoon = 600 * time.Millisecond  // how long a first call, and one after a failure, may take: an agent answers at once
-	answerIn   = 2 * time.Second         // and one after several failures: an agent may be slow, and not silent
-	redialMost = 100 * time.Millisecond  // after a failure: well within the 200 ms that keep a watch going
-	redialLast = 180 * time.Millisecond  // and after many in a row: an agent that is back counts what it has as told at once
-	turnedLast = 800 * time.Millisecond  // the same where it says that it has no room: it is not to be asked harder the worse it does
-	listMost   = 8 << 20                 // bytes of an answer
-	nestedMost = 100                     // objects and lists within one another there: reading them takes stack
+	maxWatchWait     = 1000 * time.Millisecond // how long discovery may hold a call that waits, at most
+	watchGracePeriod = 300 * time.Millisecond  // and how long beyond that it may be silent
+	minCallTimeout   = 600 * time.Millisecond  // how long a first call, and one after a failure, may take: an agent answers at once
+	maxCallTimeout   = 2 * time.Second         // and one after several failures: an agent may be slow, and not silent
+	baseRetryDelay   = 100 * time.Millisecond  // after a failure: well within the 200 ms that keep a watch going
+	maxRetryDelay    = 180 * time.Millisecond  // and after many in a row: an agent that is back counts what it has as told at once
+	maxOverloadDelay = 800 * time.Millisecond  // the same where it says that it has no room: it is not to be asked harder the worse it does
+	maxListBytes     = 8 << 20                 // bytes of an answer
+	maxJSONDepth     = 100                     // objects and lists within one another there: reading them takes stack
 )
 
 // Watcher follows discovery over HTTP/1.1 and applies what it hears.
 type Watcher struct {
-	Addr  string
-	Moves <-chan string // addresses that take the place of Addr, one after the other
-	After time.Duration // the first call is made then, and not at once
-	Table *Table
-	Rand  *rand.Rand // spreads the calls, so that those of many sidecars don't fall into step
-	Log   zerolog.Logger
-	Paced *Paced // spares a list service that a whole fleet asks; nil: an agent of the machine's own is asked
-	// Heard is told that an answer has been taken over, to a question that was asked at that time. Nil: nobody is.
-	Heard func(asked time.Time)
+	Addr         string
+	AddrChanges  <-chan string // addresses that take the place of Addr, one after the other
+	InitialDelay time.Duration // the first call is made then, and not at once
+	Table        *Table
+	Rand         *rand.Rand // spreads the calls, so that those of many sidecars don't fall into step
+	Log          zerolog.Logger
+	Pacing       *Pacing // spares a list service that a whole fleet asks; nil: an agent of the machine's own is asked
+	// OnUpdate is told that an answer has been taken over, to a question that was asked at that time. Nil: nobody is.
+	OnUpdate func(asked time.Time)
 
-	whole afresh
-	dial  dial // nil: the machine's
+	refresh refreshRequests
+	dial    dialFunc // nil: the machine's
 }
 
 // dial opens a connection, as net.Dialer does.
-type dial func(ctx context.Context, network, addr string) (net.Conn, error)
+type dialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
 // Refresh has the whole list be asked for out of turn: at once, or of a list service that is spared, at this instance's next
 // moment. What is waited for meanwhile is broken off.
-func (w *Watcher) Refresh() { w.whole.want() }
+func (w *Watcher) Refresh() { w.refresh.request() }
 
 // Run follows discovery until ctx ends, and calls synced after the first fetch. When discovery moves, the
 // old watch is left at once and all is asked anew: the new agent's revisions may not compare with the old
 // one's. The list that is held stays in force meanwhile.
 func (w *Watcher) Run(ctx context.Context, synced func()) {
 	once := sync.OnceFunc(synced)
-	paced := w.Paced
-	addr := w.first(ctx)
+	paced := w.Pacing
+	addr := w.waitInitialDelay(ctx)
 	if paced != nil && addr != w.Addr {
-		paced = paced.elsewhere()
+		paced = paced.withoutRevision()
 	}
 	for addr != "" {
 		life, leave := context.WithCancel(ctx)
 		left := make(chan struct{})
 		go func() {
 			defer close(left)
-			at := &watch{addr: addr, table: w.Table, rand: w.Rand, log: w.Log, whole: &w.whole, heard: w.Heard, dial: w.dial}
+			at := &watch{addr: addr, table: w.Table, rand: w.Rand, log: w.Log, refresh: &w.refresh, onUpdate: w.OnUpdate, dial: w.dial}
 			if paced == nil {
-				at.follow(life, once)
+				at.run(life, once)
 				return
 			}
-			at.paced(*paced).follow(life, once)
+			at.newPacedWatch(*paced).run(life, once)
 		}()
-		addr = w.moved(ctx, addr)
+		addr = w.waitAddrChange(ctx, addr)
 		leave()
 		<-left
 		if paced != nil {
-			paced = paced.elsewhere()
+			paced = paced.withoutRevision()
 		}
 	}
 }
 
 // first waits for the time of the first call, and returns where discovery is by then; the empty address says that ctx has
 // ended. Who hands on a move is not held up until then.
-func (w *Watcher) first(ctx context.Context) string {
-	after := time.NewTimer(w.After)
+func (w *Watcher) waitInitialDelay(ctx context.Context) string {
+	after := time.NewTimer(w.InitialDelay)
 	defer after.Stop()
 	for addr := w.Addr; ; {
 		select {
-		case addr = <-w.Moves:
+		case addr = <-w.AddrChanges:
 		case <-after.C:
 			return addr
 		case <-ctx.Done():
@@ -104,10 +104,10 @@
 }
 
 // moved waits until discovery has another address; the empty one says that ctx has ended.
-func (w *Watcher) moved(ctx context.Context, from string) string {
+func (w *Watcher) waitAddrChange(ctx context.Context, from string) string {
 	for {
 		select {
-		case to := <-w.Moves:
+		case to := <-w.AddrChanges:
 			if to != from {
 				w.Log.Info().Str("from", from).Str("to", to).Msg("discovery moves")
 				return to
@@ -120,113 +120,115 @@
 
 // watch is what is kept of one agent: its address, the connection to it and its revision.
 type watch struct {
-	addr     string
-	table    *Table
-	rand     *rand.Rand
-	log      zerolog.Logger
-	conn     net.Conn
-	in       *bufio.Reader
-	late     *late // of a paced watch: what in reads from
-	sliced   bool  // there is to be one
-	revision int64
-	have     bool // the whole list has come from this agent
-	whole    *afresh
-	heard    func(asked time.Time) // nil: nobody
-	dial     dial                  // nil: the machine's
+	addr        string
+	table       *Table
+	rand        *rand.Rand
+	log         zerolog.Logger
+	conn        net.Conn
+	reader      *bufio.Reader
+	stops       *stopDetector // of a paced watch: what in reads from
+	detectStops bool          // there is to be one
+	revision    int64
+	synced      bool // the whole list has come from this agent
+	refresh     *refreshRequests
+	onUpdate    func(asked time.Time) // nil: nobody
+	dial        dialFunc              // nil: the machine's
 }
 
 var (
-	errForgotten = errors.New("cluster: the revision has gone back")
-	errPart      = errors.New("cluster: a part of the list instead of the whole")
+	errRevisionWentBack = errors.New("cluster: the revision has gone back")
+	errIncompleteList   = errors.New("cluster: a part of the list instead of the whole")
 )
 
 // follow fetches the list and then watches its changes until ctx ends. A silent or broken agent costs
 // nothing but its news.
-func (w *watch) follow(ctx context.Context, synced func()) {
-	defer w.hangUp()
+func (w *watch) run(ctx context.Context, synced func()) {
+	defer w.disconnect()
 	failures := 0 // in a row
 	fail := func(err error) {
-		w.hangUp()
+		w.disconnect()
 		if failures == 0 { // once, not ten times a second for as long as it is down
 			w.log.Warn().Err(err).Msg("discovery did not answer")
 		}
-		pause := redialAfter(failures)
-		if turned := (*turnedAway)(nil); errors.As(err, &turned) {
-			pause = min(turnedLast, redialMost<<min(failures, 8))
+		pause := retryDelay(failures)
+		if turned := (*overloadError)(nil); errors.As(err, &turned) {
+			pause = min(maxOverloadDelay, baseRetryDelay<<min(failures, 8))
 		}
-		sleep(ctx, w.spread(pause))
+		sleep(ctx, w.jitter(pause))
 		failures++
 	}
 	for ctx.Err() == nil {
-		target, within := "/catalog/members", patience(failures)
-		due, waits := w.whole.due(), false
-		if w.have && due == 0 {
-			wait := w.spread(watchWait)
+		target, within := "/catalog/members", callTimeout(failures)
+		due, waits := w.refresh.pending(), false
+		if w.synced && due == 0 {
+			wait := w.jitter(maxWatchWait)
 			if failures > 0 { // what was missed is there already
-				wait = min(wait, within-watchGrace)
+				wait = min(wait, within-watchGracePeriod)
 			}
 			waits = true
 			target = fmt.Sprintf("/catalog/members?since=%d&timeout_ms=%d", w.revision, wait.Milliseconds())
-			within = wait + watchGrace
+			within = wait + watchGracePeriod
 		}
 		asked := time.Now()
-		list, broken, err := w.interruptible(ctx, waits, target, within)
+		list, broken, err := w.fetchInterruptible(ctx, waits, target, within)
 		switch {
 		case ctx.Err() != nil: // an agent that was left has no more say
 			return
 		case broken:
-			w.hangUp()
+			w.disconnect()
 			continue
 		case err != nil:
 			fail(err)
 			continue
-		case w.have && list.Revision < w.revision:
+		case w.synced && list.Revision < w.revision:
 			// The agent has begun anew and names nobody who went meanwhile, or this is a late answer: another connection tells.
-			w.have = false
-			fail(errForgotten)
+			w.synced = false
+			fail(errRevisionWentBack)
 			continue
 		}
-		w.apply(list)
+		w.applyList(list)
 		if !waits && !list.Complete { // its news counts, but whoever it leaves out would stay for ever
 			synced()
-			fail(errPart)
+			fail(errIncompleteList)
 			continue
 		}
 		if failures > 0 {
 			failures = 0
 			w.log.Info().Msg("discovery answers again")
 		}
-		w.whole.done(due)
-		w.hear(asked)
+		w.refresh.complete(due)
+		w.notifyUpdate(asked)
 		synced()
 	}
 }
 
 // hear passes on that an answer to a question of that time has been taken over.
-func (w *watch) hear(asked time.Time) {
-	if w.heard != nil {
-		w.heard(asked)
+func (w *watch) notifyUpdate(asked time.Time) {
+	if w.onUpdate != nil {
+		w.onUpdate(asked)
 	}
 }
 
-// redialAfter is how long at most discovery is left alone after so many failures in a row before the last: twice as long
-// each time, up to redialLast.
-func redialAfter(failures int) time.Duration { return min(redialLast, redialMost<<min(failures, 8)) }
+// retryDelay is how long at most discovery is left alone after so many failures in a row before the last: twice as long
+// each time, up to maxRetryDelay.
+func retryDelay(failures int) time.Duration {
+	return min(maxRetryDelay, baseRetryDelay<<min(failures, 8))
+}
 
 // patience is how long a call that finds news there may take after so many failures in a row: twice as long each time from the
-// third on, up to answerIn. Several silences in a row so cost well under the 4 s after which what a new agent has counts as
+// third on, up to maxCallTimeout. Several silences in a row so cost well under the 4 s after which what a new agent has counts as
 // told, and the 6 s of a watch that has fallen silent.
-func patience(failures int) time.Duration {
-	return min(answerIn, answerSoon<<min(max(0, failures-2), 8))
+func callTimeout(failures int) time.Duration {
+	return min(maxCallTimeout, minCallTimeout<<min(max(0, failures-2), 8))
 }
 
 // spread is a random time between three quarters of most and most.
-func (w *watch) spread(most time.Duration) time.Duration {
+func (w *watch) jitter(most time.Duration) time.Duration {
 	return time.Duration((0.75 + 0.25*w.rand.Float64()) * float64(most))
 }
 
 // apply takes over an answer.
-func (w *watch) apply(list List) {
+func (w *watch) applyList(list List) {
 	kind := balance.ListDelta
 	if list.Complete {
 		kind = balance.ListFull
@@ -236,20 +238,20 @@
 		w.log.Info().Int64("revision", list.Revision).Bool("complete", list.Complete).
 			Int("members", len(list.Members)).Msg("cluster changed")
 	}
-	w.revision, w.have = list.Revision, w.have || list.Complete
+	w.revision, w.synced = list.Revision, w.synced || list.Complete
 }
 
 // call makes one call on the kept connection, or a new one.
-func (w *watch) call(ctx context.Context, target string, within time.Duration) (List, error) {
+func (w *watch) fetch(ctx context.Context, target string, within time.Duration) (List, error) {
 	end := time.Now().Add(within) // of the connect as well, or an agent that is slow to take one would be silent for twice as long
 	if w.conn == nil {
 		if err := w.connect(ctx, end); err != nil {
 			return List{}, fmt.Errorf("cluster: dial: %w", err)
 		}
 	}
-	if w.late != nil { // how long a service of many takes to be reached is no part of how long it takes to answer
+	if w.stops != nil { // how long a service of many takes to be reached is no part of how long it takes to answer
 		end = time.Now().Add(within)
-		w.late.ctx, w.late.end, w.late.lost = ctx, end, 0
+		w.stops.ctx, w.stops.deadline, w.stops.stopped = ctx, end, 0
 	}
 	if err := w.conn.SetDeadline(end); err != nil {
 		return List{}, fmt.Errorf("cluster: deadline: %w", err)
@@ -258,34 +260,34 @@
 	if _, err := fmt.Fprintf(w.conn, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", target, w.addr); err != nil {
 		return List{}, fmt.Errorf("cluster: write: %w", err)
 	}
-	res, err := http.ReadResponse(w.in, nil)
+	res, err := http.ReadResponse(w.reader, nil)
 	if err != nil {
 		return List{}, fmt.Errorf("cluster: read: %w", err)
 	}
 	defer res.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(res.Body, listMost))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxListBytes))
 	if err != nil {
 		return List{}, fmt.Errorf("cluster: read: %w", err)
 	}
 	if res.Close && res.StatusCode != http.StatusOK {
-		defer w.hangUp()
+		defer w.disconnect()
 	}
 	if s := res.StatusCode; s == http.StatusServiceUnavailable || s == http.StatusTooManyRequests {
-		return List{}, &turnedAway{s, pacing.Advice(res.Header.Get("Retry-After"))}
+		return List{}, &overloadError{s, pacing.Advice(res.Header.Get("Retry-After"))}
 	}
-	if res.StatusCode != http.StatusOK || nested(body, nestedMost) || !gjson.ValidBytes(body) {
+	if res.StatusCode != http.StatusOK || exceedsDepth(body, maxJSONDepth) || !gjson.ValidBytes(body) {
 		return List{}, fmt.Errorf("cluster: answer %d of %d bytes is no list", res.StatusCode, len(body))
 	}
 	list, err := ParseList(gjson.ParseBytes(body))
 	list.From = w.addr
 	if err == nil && res.Close {
-		w.hangUp()
+		w.disconnect()
 	}
 	return list, err
 }
 
 // nested tells whether more objects and lists than that stand within one another in a JSON text, which may be a faulty one.
-func nested(text []byte, most int) bool {
+func exceedsDepth(text []byte, most int) bool {
 	depth, quoted := 0, false
 	for i := 0; i < len(text); i++ {
 		switch c := text[i]; {
@@ -305,10 +307,10 @@
 	return false
 }
 
-// connect opens the connection, until end; a paced watch until answerIn from now.
+// connect opens the connection, until end; a paced watch until maxCallTimeout from now.
 func (w *watch) connect(ctx context.Context, end time.Time) error {
-	if w.sliced {
-		end = time.Now().Add(answerIn)
+	if w.detectStops {
+		end = time.Now().Add(maxCallTimeout)
 	}
 	ctx, over := context.WithDeadline(ctx, end)
 	defer over()
@@ -320,10 +322,10 @@
 	if err != nil {
 		return err
 	}
-	w.conn, w.in = conn, bufio.NewReader(conn)
-	if w.sliced {
-		w.late = &late{conn: conn}
-		w.in.Reset(w.late)
+	w.conn, w.reader = conn, bufio.NewReader(conn)
+	if w.detectStops {
+		w.stops = &stopDetector{conn: conn}
+		w.reader.Reset(w.stops)
 	}
 	return nil
 }
@@ -343,10 +345,10 @@
 	}
 }
 
-func (w *watch) hangUp() {
+func (w *watch) disconnect() {
 	if w.conn != nil {
 		_ = w.conn.Close() // nothing is lost: all that it said has been read
-		w.conn, w.in, w.late = nil, nil, nil
+		w.conn, w.reader, w.stops = nil, nil, nil
 	}
 }
 
--- a/internal/daemon/audit_test.go
+++ b/internal/daemon/audit_test.go
@@ -311,7 +311,7 @@
 	w.now = func() time.Duration { return time.Since(w.start) }
 	w.beat.Store(1 << 62) // nobody beats here
 	w.table.Apply(balance.ListFull, only(1))
-	host := w.table.Held().List.Members[0].Endpoint
+	host := w.table.Snapshot().List.Members[0].Endpoint
 	measure := func(name string, do func()) {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
--- a/internal/daemon/retune.go
+++ b/internal/daemon/retune.go
@@ -116,7 +116,7 @@
 		t.audited.settings(t.cfg, from, t.eng.Adopt)
 		return nil, err
 	}
-	t.table.Retune(after.ZoneNames, after.KindNames)
+	t.table.UpdateNames(after.ZoneNames, after.KindNames)
 	t.pool.SetTimeouts(after.ConnectTimeout, after.ConnIdle)
 	t.pool.SetHandshakeLimit(handshakeLimit(t.op.Fleet, &after))
 	t.side.UpdateSettings(&after)
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -155,9 +155,9 @@
 	known := len(cfg.Known.Members) > 0
 	cfg.Known.From = "known"
 	// What a process hands over is of the present; and one instance alone pushes nobody over.
-	table.Old = op.Discovery != nil && next.former == nil && set.Instances > 1
+	table.StaleCache = op.Discovery != nil && next.former == nil && set.Instances > 1
 	moves := make(chan string)
-	watch := &cluster.Watcher{Addr: cfg.Discovery, Moves: moves, Table: table, Log: log,
+	watch := &cluster.Watcher{Addr: cfg.Discovery, AddrChanges: moves, Table: table, Log: log,
 		Rand: rand.New(rand.NewPCG(cfg.Seed, discoveryStream))}
 	keep := newKeeper(op.State, cfg, next, log)
 	audit := newAudited(op.Audit, cfg, keep, next, log)
@@ -173,7 +173,7 @@
 			}
 		}
 		srv.Gate, pool.CanSend = audit, audit.Sends
-		watch.Heard, audit.refresh = audit.listens, watch.Refresh
+		watch.OnUpdate, audit.refresh = audit.listens, watch.Refresh
 	}
 	switch {
 	case next.former != nil && next.take(), keep.remember(cfg):
@@ -247,10 +247,10 @@
 	}
 	go tuned.follow(life, hups, moves)
 	if op.Discovery != nil {
-		watch.Paced, watch.Rand = paced(op.Discovery, cfg, table)
+		watch.Pacing, watch.Rand = paced(op.Discovery, cfg, table)
 	}
 	if fleet := op.Fleet; fleet != nil && known {
-		watch.After = time.Duration(rand.Float64() * float64(fleet.Spread.D()))
+		watch.InitialDelay = time.Duration(rand.Float64() * float64(fleet.Spread.D()))
 	}
 	go watch.Run(life, ready)
 	if next.former != nil { // which serves them until then
@@ -289,10 +289,10 @@
 
 // paced is how the list service is asked where the operator's file says that it is one for many. The random numbers are not
 // the seed's alone: sidecars that were given the same one must not ask in the same moments.
-func paced(d *config.Discovery, cfg *config.Config, table *cluster.Table) (*cluster.Paced, *rand.Rand) {
-	p := &cluster.Paced{Whole: d.Whole.D(), Fleet: d.Fleet(cfg.Settings.Instances)}
+func paced(d *config.Discovery, cfg *config.Config, table *cluster.Table) (*cluster.Pacing, *rand.Rand) {
+	p := &cluster.Pacing{ResyncInterval: d.Whole.D(), Fleet: d.Fleet(cfg.Settings.Instances)}
 	if d.Resume {
-		p.Since = table.Held().List.Revision
+		p.Revision = table.Snapshot().List.Revision
 	}
 	return p, rand.New(rand.NewPCG(cfg.Seed^rand.Uint64(), discoveryStream))
 }
--- a/internal/daemon/succession.go
+++ b/internal/daemon/succession.go
@@ -59,7 +59,7 @@
 // handed is what a process tells its successor. Classes stand by name, for the two may number them differently.
 type handed struct {
 	Classes []string
-	Table   cluster.Held
+	Table   cluster.Snapshot
 	Engine  driver.State
 	Effects *known           // nil: the process is of a kind that shares none
 	Trail   []auditlog.Entry `json:",omitempty"` // of a process that is audited, to the one that succeeds it
@@ -154,7 +154,7 @@
 	if len(list.Members) > 0 {
 		h.Table.List = list
 	}
-	s.table.Take(h.Table)
+	s.table.Restore(h.Table)
 	if l := h.Engine.Learned; l != nil {
 		var to []int
 		names := s.classes()
@@ -170,7 +170,7 @@
 
 // held is what this process knows.
 func (s *succession) held() handed {
-	return handed{Classes: s.classes(), Table: s.table.Held(), Engine: s.eng.State()}
+	return handed{Classes: s.classes(), Table: s.table.Snapshot(), Engine: s.eng.State()}
 }
 
 // state is the same for a successor. What changes of effects from here on waits until that has said that it takes such.
--- a/internal/daemon/succession_test.go
+++ b/internal/daemon/succession_test.go
@@ -69,12 +69,12 @@
 				next.told(one, inflight.Former)
 			}
 			for of, s := range map[string]*succession{"former": former, "next": next} {
-				if out := len(s.table.Held().Cordoned) == 1; out != c.holds {
+				if out := len(s.table.Snapshot().Cordoned) == 1; out != c.holds {
 					t.Errorf("at the %s process the host is out: %v, want %v", of, out, c.holds)
 				}
 			}
 			former.told([]byte(`{"Name":"s-1","Out":false}`), inflight.Next) // of a process that stamps none
-			if len(former.table.Held().Cordoned) > 0 {
+			if len(former.table.Snapshot().Cordoned) > 0 {
 				t.Error("a call without a time changes nothing")
 			}
 		})
@@ -100,8 +100,8 @@
 		t.Errorf("%d bytes are handed over, which nobody takes: %v", len(state), err)
 	}
 	other.former = &handover.Former{State: state}
-	if !other.take() || !slices.Equal(other.table.Held().Cordoned, []string{"s-1"}) {
-		t.Errorf("the successor knows %+v", other.table.Held())
+	if !other.take() || !slices.Equal(other.table.Snapshot().Cordoned, []string{"s-1"}) {
+		t.Errorf("the successor knows %+v", other.table.Snapshot())
 	}
 	last.Txn = "again"
 	if first, _ := other.effects.Open(now, last); !first.At.Equal(now) {
--- a/internal/lab/simulation/sidecar.go
+++ b/internal/lab/simulation/sidecar.go
@@ -85,7 +85,7 @@
 	}
 	c.hosts, c.judged = map[balance.EndpointID]int{}, map[int]trace.Judged{}
 	c.table = cluster.NewTable(c.set.ZoneNames, c.set.KindNames, c, c)
-	c.table.Old = c.old
+	c.table.StaleCache = c.old
 	s.change(i, trace.Begun, "")
 	if known := s.p.Sidecars[i].Known; len(known) > 0 {
 		c.table.Apply(balance.ListCached, s.list(known))
--- a/internal/lab/stubfleet/case.go
+++ b/internal/lab/stubfleet/case.go
@@ -46,13 +46,13 @@
 	Seconds  int     // that are measured
 	Spread   time.Duration
 	Seed     uint64
-	Paced    *cluster.Paced // nil: the service is asked as an agent of the machine's own
-	Operator string         // the real sidecars' operator's file; empty: none
-	Calls    int            // that the service does at a time; 0: it has no bound
-	Call     time.Duration  // that each takes
-	Line     int            // that may wait
-	Down     time.Duration  // in the scenarios down-*: for which the service is away from the start on
-	Within   time.Duration  // after the measured time: for which the last change may still be waited for
+	Paced    *cluster.Pacing // nil: the service is asked as an agent of the machine's own
+	Operator string          // the real sidecars' operator's file; empty: none
+	Calls    int             // that the service does at a time; 0: it has no bound
+	Call     time.Duration   // that each takes
+	Line     int             // that may wait
+	Down     time.Duration   // in the scenarios down-*: for which the service is away from the start on
+	Within   time.Duration   // after the measured time: for which the last change may still be waited for
 
 	Rack    func() *exec.Cmd // makes a rack's process, which has to call ServeRack
 	Program string           // the daemon's; for Real
--- a/internal/lab/stubfleet/hollow.go
+++ b/internal/lab/stubfleet/hollow.go
@@ -44,10 +44,10 @@
 
 // Told is what the sidecars of a fleet are told at their start.
 type Told struct {
-	Discovery string         // the list service's address
-	Paced     *cluster.Paced // nil: it is asked as an agent of the machine's own
-	Seed      uint64         // of the first sidecar; each has one of its own
-	Spread    time.Duration  // over which they start
+	Discovery string          // the list service's address
+	Paced     *cluster.Pacing // nil: it is asked as an agent of the machine's own
+	Seed      uint64          // of the first sidecar; each has one of its own
+	Spread    time.Duration   // over which they start
 }
 
 // Acted is that a sidecar has come to act on a list.
@@ -119,8 +119,8 @@
 	life, end := context.WithCancel(context.Background())
 	c := &sidecar{sink: &sink{hosts: map[balance.EndpointID]bool{}}, begun: clock(), end: end, ended: make(chan struct{})}
 	table := cluster.NewTable(zoneNames, kindNames, c.sink, c.sink)
-	table.Versions, table.Old = c.sink, told.Paced != nil
-	w := &cluster.Watcher{Addr: told.Discovery, Table: table, Log: zerolog.Nop(), Paced: told.Paced,
+	table.Versions, table.StaleCache = c.sink, told.Paced != nil
+	w := &cluster.Watcher{Addr: told.Discovery, Table: table, Log: zerolog.Nop(), Pacing: told.Paced,
 		Rand: rand.New(rand.NewPCG(told.Seed+uint64(number), discoveryStream))}
 	if told.Paced != nil { // as in the daemon: sidecars of one seed must not ask in the same moments
 		w.Rand = rand.New(rand.NewPCG((told.Seed+uint64(number))^rand.Uint64(), discoveryStream))
--- a/internal/lab/stubfleet/likeness_test.go
+++ b/internal/lab/stubfleet/likeness_test.go
@@ -94,7 +94,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel() // they wait, mostly
 			dir, file := t.TempDir(), ""
-			var paced *cluster.Paced
+			var paced *cluster.Pacing
 			if operator != "" {
 				file = filepath.Join(dir, "operator.toml")
 				if err := os.WriteFile(file, []byte(operator), 0o600); err != nil {
@@ -104,7 +104,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				paced = &cluster.Paced{Fleet: op.Discovery.Fleet(1), Whole: op.Discovery.Whole.D()}
+				paced = &cluster.Pacing{Fleet: op.Discovery.Fleet(1), ResyncInterval: op.Discovery.Whole.D()}
 			}
 			real := hear(t, func(told Told) func() {
 				r, err := launchReal(build, file, dir, told, 0, 1)
