--- a/internal/cluster/digest.go
+++ b/internal/cluster/digest.go
@@ -10,27 +10,27 @@
 	"pinelb.example/pinelb/internal/version"
 )
 
-// Digest tells lists apart by what they say of which hosts: the order of the members, where each sidecar reaches them, and
-// whether one that is gone is still named make no difference.
+// Digest identifies a list by what it says of which hosts. Lists that differ only in the order of members, in hosts' addresses,
+// or in whether a host that is gone is named, have the same digest. It is never 0.
 func (l List) Digest() version.Digest {
-	sum := uint64(0) // a sum knows no order
+	sum := uint64(0) // a sum does not depend on the order
 	for i := range l.Members {
 		sum += l.Members[i].digest()
 	}
-	if sum == 0 { // which would be none
+	if sum == 0 { // which stands for no list
 		sum = 1
 	}
 	return version.Digest(sum)
 }
 
-// digest is a member's part in the sum, 0 where it is gone.
+// digest is a member's summand, 0 where it is gone.
 func (m *Member) digest() uint64 {
 	if m.State == balance.Gone {
 		return 0
 	}
-	var room [160]byte // enough for common names: nothing is allocated
-	b := room[:0]
-	for _, text := range [...]string{m.ID, m.Zone, m.Kind} { // each with its length, so that no two run into each other
+	var buf [160]byte // enough for common names without an allocation
+	b := buf[:0]
+	for _, text := range [...]string{m.ID, m.Zone, m.Kind} { // each with its length, or "a"+"bc" would equal "ab"+"c"
 		b = append(binary.AppendUvarint(b, uint64(len(text))), text...)
 	}
 	b = binary.AppendVarint(b, int64(m.State))
--- a/internal/cluster/list.go
+++ b/internal/cluster/list.go
@@ -1,8 +1,15 @@
-// Package cluster follows discovery: it decodes its lists, keeps the table of upstream hosts that they
-// name, and passes each change on to the decisions.
+// Package cluster follows discovery: it fetches and decodes its lists, maintains the table of upstream hosts that they name, and
+// passes each change to the decisions and to the connection pool.
+//
+// internal/daemon runs a Watcher, and the control server cordons hosts in the Table. The table is pure but for the interfaces
+// that it calls (Hosts, Decisions, Observer, Versions); the Watcher does network I/O.
+//
+// Invariants: a list is taken over completely or not at all; discovery's failures change nothing that is known; the number of a
+// host depends on its id alone.
 package cluster
 
 import (
+	"errors"
 	"fmt"
 	"math"
 	"net/netip"
@@ -13,45 +20,50 @@
 	"pinelb.example/pinelb/balance"
 )
 
-// Member is one upstream host as discovery lists it.
+// Member is one upstream host as discovery lists it. It is stored as JSON: its fields keep their names.
 type Member struct {
 	ID      string // the same at every sidecar, and over restarts of the host
-	Addr    string // may differ from one sidecar to the next
+	Addr    string // may differ between sidecars
 	Zone    string
 	Kind    string
 	Cell    int
 	State   balance.Availability
 	Weight  float64
-	UpSince time.Duration // its last start, as Unix time; 0 is long ago
+	UpSince time.Duration // the Unix time of its last start; 0 is long ago
 
-	Endpoint balance.EndpointID // its number, once the table has taken it over
+	Endpoint balance.EndpointID // its number, once the table has taken the list over
 }
 
-// List is one answer of discovery: the whole cluster, or the members that have changed.
+// List is one response of discovery: the complete cluster, or the members that have changed. It is stored as JSON: its fields
+// keep their names.
 type List struct {
-	From     string `json:"-"` // who told it, as version.List has it
+	From     string `json:"-"` // the address that it came from, as in version.List
 	Revision int64
 	Complete bool
 	Members  []Member
 }
 
-var phases = map[string]balance.Availability{
+// availabilities are discovery's phases of a host's life.
+var availabilities = map[string]balance.Availability{
 	"Ready": balance.Ready, "Terminating": balance.Draining, "Gone": balance.Gone,
 }
 
-// maxUpSinceMS is the last start that there can be: one beyond it would come round to before all others, and be warm.
+// maxUpSinceMS is the latest start that a Duration can represent: a later one would overflow to before all others, and the host
+// would count as warmed up.
 const maxUpSinceMS = int64(math.MaxInt64 / time.Millisecond)
 
-// ParseList decodes a list. One that cannot be right is refused whole: half of a change, taken for all
-// of it, would leave a drain unseen.
+var errNoMembers = errors.New("cluster: no list of members")
+
+// ParseList decodes a list. One with any invalid member is an error, which names the field: half of a change that was taken for
+// all of it would leave a drain unseen.
 func ParseList(v gjson.Result) (List, error) {
 	members := v.Get("members")
 	if !v.IsObject() || !members.IsArray() {
-		return List{}, fmt.Errorf("cluster: no list of members")
+		return List{}, errNoMembers
 	}
-	out := List{Revision: v.Get("revision").Int(), Complete: v.Get("complete").Bool()}
+	list := List{Revision: v.Get("revision").Int(), Complete: v.Get("complete").Bool()}
 	for i, m := range members.Array() {
-		state, known := phases[m.Get("phase").Str]
+		state, known := availabilities[m.Get("phase").Str]
 		if !known {
 			return List{}, fmt.Errorf("cluster: members[%d].phase %q is unknown", i, m.Get("phase").Str)
 		}
@@ -66,7 +78,7 @@
 		if _, err := netip.ParseAddrPort(member.Addr); err != nil && state != balance.Gone {
 			return List{}, fmt.Errorf("cluster: members[%d].host_port: %w", i, err)
 		}
-		out.Members = append(out.Members, member)
+		list.Members = append(list.Members, member)
 	}
-	return out, nil
+	return list, nil
 }
--- a/internal/cluster/refresh.go
+++ b/internal/cluster/refresh.go
@@ -6,68 +6,69 @@
 	"time"
 )
 
-// afresh is that the whole list is wanted out of turn.
+// refreshRequests counts requests for the complete list out of turn.
 type refreshRequests struct {
 	mu         sync.Mutex
-	requested  uint64             // so often
-	completed  uint64             // of them that many have been
-	cancelWait context.CancelFunc // breaks off a call that waits for news; nil: none does
+	requested  uint64             // number of the last request
+	completed  uint64             // number of the last request that was fulfilled
+	cancelWait context.CancelFunc // interrupts a call that waits for changes; nil: none does
 }
 
-// want says that it is wanted, as it is from now on: a call that is under way may have been answered before.
-func (a *refreshRequests) request() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.requested++
-	if a.cancelWait != nil {
-		a.cancelWait()
+// request requests the complete list as it is from now on: a call that is in flight may have been answered before.
+func (r *refreshRequests) request() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.requested++
+	if r.cancelWait != nil {
+		r.cancelWait()
 	}
 }
 
-// due tells whether it is wanted; not 0 is for done, once it has come.
-func (a *refreshRequests) pending() (n uint64) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.requested == a.completed {
+// pending returns the number of the last request, for complete once the list has come; 0 if none is pending.
+func (r *refreshRequests) pending() (n uint64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.requested == r.completed {
 		return 0
 	}
-	return a.requested
+	return r.requested
 }
 
-// done says that what was wanted as n has come; 0 is nothing.
-func (a *refreshRequests) complete(n uint64) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.completed = max(a.completed, n)
+// complete records that requests up to number n are fulfilled; 0 is none.
+func (r *refreshRequests) complete(n uint64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.completed = max(r.completed, n)
 }
 
-// begin is the context of a call that waits for news. It ends as soon as the whole list is wanted.
-func (a *refreshRequests) startWait(ctx context.Context) context.Context {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	ctx, a.cancelWait = context.WithCancel(ctx)
-	if a.requested != a.completed {
-		a.cancelWait()
+// startWait returns the context of a call that waits for changes. It ends when a request comes.
+func (r *refreshRequests) startWait(ctx context.Context) context.Context {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	ctx, r.cancelWait = context.WithCancel(ctx)
+	if r.requested != r.completed {
+		r.cancelWait()
 	}
 	return ctx
 }
 
-func (a *refreshRequests) endWait() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.cancelWait()
-	a.cancelWait = nil
+// endWait releases the context of startWait.
+func (r *refreshRequests) endWait() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.cancelWait()
+	r.cancelWait = nil
 }
 
-// interruptible makes a call, and breaks off one that waits when the whole list is wanted.
-func (w *watch) fetchInterruptible(ctx context.Context, waits bool, target string, within time.Duration) (list List, broken bool, err error) {
+// fetchInterruptible is fetch, where a call that waits for changes is interrupted when the complete list is requested.
+func (w *watch) fetchInterruptible(ctx context.Context, waits bool, target string, timeout time.Duration) (list List, interrupted bool, err error) {
 	if !waits {
-		list, err = w.fetch(ctx, target, within)
+		list, err = w.fetch(ctx, target, timeout)
 		return list, false, err
 	}
-	waiting := w.refresh.startWait(ctx)
-	list, err = w.fetch(waiting, target, within)
-	broken = err != nil && waiting.Err() != nil && ctx.Err() == nil
+	waitCtx := w.refresh.startWait(ctx)
+	list, err = w.fetch(waitCtx, target, timeout)
+	interrupted = err != nil && waitCtx.Err() != nil && ctx.Err() == nil
 	w.refresh.endWait()
-	return list, broken, err
+	return list, interrupted, err
 }
--- a/internal/cluster/table.go
+++ b/internal/cluster/table.go
@@ -15,80 +15,84 @@
 // minRecentNames is how many names of former hosts are kept at least.
 const minRecentNames = 1024
 
-// Hosts is told where each upstream host is to be reached; the connection pools are one.
+// Hosts gets the address of each upstream host. The connection pool is one.
 type Hosts interface {
 	Set(id balance.EndpointID, addr string)
-	// SetDraining says whether nothing new is to go to a host that was Set.
-	SetDraining(id balance.EndpointID, on bool)
+	// SetDraining sets whether nothing new is to be sent to a host that was Set.
+	SetDraining(id balance.EndpointID, draining bool)
 	Remove(id balance.EndpointID)
 }
 
-// Decisions is told what discovery says, and operators.
+// Decisions gets what discovery lists and what operators cordon.
 type Decisions interface {
-	// Membership takes over a list, and the number of the version with it under which is decided from then on; 0 is none,
-	// or the same as before.
+	// Membership takes over a list, and the number of the version that the decisions rest on from then on; 0 means none, or
+	// the same as before.
 	Membership(kind balance.ListKind, entries []balance.Entry, under uint32)
 	Cordon(id balance.EndpointID, out bool)
-	Expect(in time.Duration) // a list may come then, and not before
+	// Expect says that the next list may come after that time, and not before.
+	Expect(in time.Duration)
 }
 
-// Observer is told each list that the table takes over, its members numbered and in the order of their ids. It
-// must not keep them.
+// Observer gets each list that the table takes over, its members numbered and ordered by their ids. It must not retain them.
 type Observer interface {
 	Listed(kind balance.ListKind, members []Member)
 }
 
-// Versions numbers what is acted on.
+// Versions numbers the versions that the decisions rest on.
 type Versions interface {
-	// Listed notes that another list is acted on from now on, and calls apply with the number of the version that it makes,
+	// Listed records that another list is in force from now on, and calls apply with the number of the version that it makes,
 	// before any other change of the version.
 	Listed(l version.List, apply func(under uint32))
 }
 
-// Table turns discovery's names into the decisions' numbers. The number of a host follows from its
-// discovery id alone, so that every sidecar numbers the cluster alike and a ring of it is the same for all.
+// Table is the state of the cluster: it maps discovery's ids to the decisions' numbers. A host's number follows from its id
+// alone, so that every sidecar numbers the cluster alike and a hash ring of it is the same for all. Its methods may be called
+// from several goroutines at once.
 type Table struct {
-	Observer Observer // nil: nobody; set before the first list
-	Versions Versions // nil: nobody; set before the first list
-	// StaleCache says that cached lists may be: whoever they name may have started since. Set before the first list.
+	Observer Observer // nil: none. Set before the first list
+	Versions Versions // nil: none. Set before the first list
+	// StaleCache says that a cached list may be out of date: hosts that it names may have started since. Set before the first
+	// list.
 	StaleCache bool
 
 	hosts     Hosts
 	decisions Decisions
 
-	mu           sync.Mutex // discovery and operators come at once
+	mu           sync.Mutex
 	zones, kinds []string
-	numbers      map[string]balance.EndpointID // of those listed, and those cordoned
-	ids          map[balance.EndpointID]string
+	numbers      map[string]balance.EndpointID // of hosts that are listed or cordoned
+	ids          map[balance.EndpointID]string // the reverse
 	listed       map[string]Member
 	cordoned     map[string]bool
 	revision     int64 // of the last list
 	from         string
 
-	// Where versions are numbered.
-	digest      uint64                        // the sum of those of the members that are listed
-	published   version.List                  // that Versions has been told
-	recentNames map[balance.EndpointID]string // of those in taken, and of former ones, whose last attempts may still be out
+	// Used where versions are numbered.
+	digest      uint64                        // the sum of the listed members' digests
+	published   version.List                  // that Versions got last
+	recentNames map[balance.EndpointID]string // those in ids, and of former hosts, whose last attempts may still be in flight
 }
 
-// NewTable returns an empty table; zones and kinds are the settings' names, in their order.
+// NewTable returns an empty table. zones and kinds are the settings' names, in their order.
 func NewTable(zones, kinds []string, hosts Hosts, decisions Decisions) *Table {
 	return &Table{zones: zones, kinds: kinds, hosts: hosts, decisions: decisions,
 		numbers: map[string]balance.EndpointID{}, ids: map[balance.EndpointID]string{}, listed: map[string]Member{},
 		cordoned: map[string]bool{}}
 }
 
-// Apply takes over a list. A host is made reachable before the decisions hear of it, and dropped after.
+// Apply takes over a list. A host gets its address before the decisions get the host, and loses it after them.
 func (t *Table) Apply(kind balance.ListKind, list List) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.apply(kind, list)
 }
 
+// apply is Apply for a caller that holds the lock.
 func (t *Table) apply(kind balance.ListKind, list List) {
 	t.revision, t.from = list.Revision, list.From
-	t.StaleCache = t.StaleCache && kind == balance.ListCached // from a list of the present on, what is held is no guess
-	// In the order of ids, or two that collide would be numbered by the order in which they came. Of one id the last word counts.
+	t.StaleCache = t.StaleCache && kind == balance.ListCached // discovery's own lists are up to date
+	// In the order of ids, or two whose hashes collide would be numbered in the order in which they came. Of several members
+	// of one id the last one counts.
 	slices.SortStableFunc(list.Members, func(a, b Member) int { return strings.Compare(a.ID, b.ID) })
 	entries := make([]balance.Entry, 0, len(list.Members))
 	gone := map[string]bool{}
@@ -99,24 +103,14 @@
 	}
 	for i := range list.Members {
 		m := &list.Members[i]
-		id := t.assignNumber(m.ID)
-		m.Endpoint = id
+		m.Endpoint = t.assignNumber(m.ID)
 		delete(gone, m.ID)
 		if m.State == balance.Gone {
 			gone[m.ID] = true
 		} else {
-			t.updateDigest(m.ID, m)
-			if was, listed := t.listed[m.ID]; listed && m.UpSince > was.UpSince {
-				t.hosts.Remove(id) // a new process: what is open leads to the former one, which may never have said that it ended
-			}
-			t.listed[m.ID] = *m
-			t.hosts.Set(id, m.Addr)
-			t.hosts.SetDraining(id, m.State != balance.Ready || t.cordoned[m.ID])
+			t.applyMember(m)
 		}
-		entries = append(entries, balance.Entry{
-			Endpoint: id, State: m.State, Weight: m.Weight, Zone: indexOrLen(t.zones, m.Zone),
-			Cell: m.Cell, Kind: indexOrLen(t.kinds, m.Kind), UpSince: m.UpSince, Guess: t.StaleCache,
-		})
+		entries = append(entries, t.entry(m))
 	}
 	if t.Observer != nil { // before the decisions, whose sends name these hosts
 		t.Observer.Listed(kind, list.Members)
@@ -132,35 +126,53 @@
 	}
 }
 
-// sum keeps the digest in step: a member takes the place of the one that was listed under that id, or nil does.
+// applyMember takes over a member that is not gone.
+func (t *Table) applyMember(m *Member) {
+	t.updateDigest(m.ID, m)
+	if old, listed := t.listed[m.ID]; listed && m.UpSince > old.UpSince {
+		t.hosts.Remove(m.Endpoint) // a new process: open connections lead to the former one, which may never have closed them
+	}
+	t.listed[m.ID] = *m
+	t.hosts.Set(m.Endpoint, m.Addr)
+	t.hosts.SetDraining(m.Endpoint, m.State != balance.Ready || t.cordoned[m.ID])
+}
+
+// entry is a member as the decisions get it.
+func (t *Table) entry(m *Member) balance.Entry {
+	return balance.Entry{
+		Endpoint: m.Endpoint, State: m.State, Weight: m.Weight, Zone: indexOrLen(t.zones, m.Zone),
+		Cell: m.Cell, Kind: indexOrLen(t.kinds, m.Kind), UpSince: m.UpSince, Guess: t.StaleCache,
+	}
+}
+
+// updateDigest replaces a listed member in the digest; nil removes it.
 func (t *Table) updateDigest(id string, m *Member) {
 	if t.Versions == nil {
 		return
 	}
-	if was, listed := t.listed[id]; listed {
-		t.digest -= was.digest()
+	if old, listed := t.listed[id]; listed {
+		t.digest -= old.digest()
 	}
 	if m != nil {
 		t.digest += m.digest()
 	}
 }
 
-// numbered has a list that is not the one that was adopted last take effect with a number of its own.
+// publish calls apply with a version's number: a new one if the list is not the one that was published last, or else 0.
 func (t *Table) publish(apply func(under uint32)) {
-	now := version.List{From: t.from, Revision: t.revision, Digest: version.Digest(max(1, t.digest))} // as List.Digest
-	if t.Versions == nil || now == t.published {
+	list := version.List{From: t.from, Revision: t.revision, Digest: version.Digest(max(1, t.digest))} // as List.Digest
+	if t.Versions == nil || list == t.published {
 		apply(0)
 		return
 	}
-	t.published = now
-	t.Versions.Listed(now, apply)
+	t.published = list
+	t.Versions.Listed(list, apply)
 }
 
-// Cordon takes a host out for as long as it takes until Uncordon, whatever discovery lists meanwhile. It returns false
-// where nobody has such a host.
+// Cordon takes a host out of service until Uncordon, whatever discovery lists meanwhile. It returns false for an unknown host.
 func (t *Table) Cordon(id string) bool { return t.setCordon(id, true) }
 
-// Uncordon puts a host back. One that is not out stays as it is; it returns false where nobody has it.
+// Uncordon puts a host back into service. One that is not cordoned stays as it is. It returns false for an unknown host.
 func (t *Table) Uncordon(id string) bool { return t.setCordon(id, false) }
 
 func (t *Table) setCordon(id string, out bool) bool {
@@ -181,24 +193,24 @@
 	return true
 }
 
-// UpdateNames takes over changed names of zones and kinds; the decisions are told of the cluster anew where they have changed.
+// UpdateNames takes over changed names of zones and kinds. Where they have changed the decisions get the cluster again.
 func (t *Table) UpdateNames(zones, kinds []string) {
-	t.mu.Lock() // to the end: a drain that is told meanwhile would be undone by what was held before
+	t.mu.Lock() // to the end, or a drain that comes meanwhile would be undone by the snapshot
 	defer t.mu.Unlock()
 	same := slices.Equal(t.zones, zones) && slices.Equal(t.kinds, kinds)
 	t.zones, t.kinds = zones, kinds
-	if !same && len(t.listed) > 0 { // as in Take
+	if !same && len(t.listed) > 0 {
 		t.apply(balance.ListCached, t.snapshot().List)
 	}
 }
 
-// Snapshot is what a table knows, for the process that succeeds this one.
+// Snapshot is a table's state, for the process that succeeds this one. It is stored as JSON.
 type Snapshot struct {
 	List     List
 	Cordoned []string
 }
 
-// Snapshot returns what is known now.
+// Snapshot returns the present state.
 func (t *Table) Snapshot() Snapshot {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -206,43 +218,62 @@
 }
 
 func (t *Table) snapshot() Snapshot {
-	h := Snapshot{List: List{From: t.from, Revision: t.revision, Complete: true, Members: slices.Collect(maps.Values(t.listed))}, Cordoned: slices.Collect(maps.Keys(t.cordoned))}
-	slices.SortFunc(h.List.Members, func(a, b Member) int { return strings.Compare(a.ID, b.ID) })
-	slices.Sort(h.Cordoned)
-	return h
+	s := Snapshot{
+		List:     List{From: t.from, Revision: t.revision, Complete: true, Members: slices.Collect(maps.Values(t.listed))},
+		Cordoned: slices.Collect(maps.Keys(t.cordoned)),
+	}
+	slices.SortFunc(s.List.Members, func(a, b Member) int { return strings.Compare(a.ID, b.ID) })
+	slices.Sort(s.Cordoned)
+	return s
 }
 
-// Restore takes over what another process knew. Its cordons hold before its list does.
-func (t *Table) Restore(h Snapshot) {
+// Restore takes over another process's state. Its cordons take effect before its list.
+func (t *Table) Restore(s Snapshot) {
 	t.mu.Lock()
-	for _, id := range h.Cordoned {
+	for _, id := range s.Cordoned {
 		t.cordoned[id] = true
 		t.decisions.Cordon(t.assignNumber(id), true)
 	}
 	t.mu.Unlock()
-	if len(h.List.Members) > 0 {
-		t.Apply(balance.ListCached, h.List)
+	if len(s.List.Members) > 0 {
+		t.Apply(balance.ListCached, s.List)
 	}
 }
 
-// forget lets go of a number that neither discovery nor a cordon needs.
-func (t *Table) releaseNumber(id string) {
-	if _, listed := t.listed[id]; !listed && !t.cordoned[id] {
-		delete(t.ids, t.numbers[id])
-		delete(t.numbers, id)
+// countReady counts the listed hosts that are ready, and how many of these a list has as ready, too. Two hosts are the same if
+// their ids or their addresses are: discovery may assign new ids.
+func (t *Table) countReady(list List) (listed, both int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	ids, addrs := map[string]bool{}, map[string]bool{}
+	for _, m := range list.Members {
+		if m.State == balance.Ready {
+			ids[m.ID], addrs[m.Addr] = true, true
+		}
+	}
+	for _, m := range t.listed {
+		if m.State != balance.Ready {
+			continue
+		}
+		listed++
+		if ids[m.ID] || addrs[m.Addr] {
+			both++
+		}
 	}
+	return listed, both
 }
 
-// number is the host's, hashed from its id; where that is another's, the id is hashed with a mark added.
+// assignNumber returns a host's number, the FNV-1a hash of its id. Where that is another host's, the id is hashed with a zero
+// byte appended.
 func (t *Table) assignNumber(id string) balance.EndpointID {
 	if n, known := t.numbers[id]; known {
 		return n
 	}
 	h := fnv.New32a()
-	h.Write([]byte(id))
+	_, _ = h.Write([]byte(id))
 	n := balance.EndpointID(h.Sum32())
 	for t.ids[n] != "" {
-		h.Write([]byte{0})
+		_, _ = h.Write([]byte{0})
 		n = balance.EndpointID(h.Sum32())
 	}
 	t.numbers[id], t.ids[n] = n, id
@@ -255,14 +286,22 @@
 	return n
 }
 
-// Name is discovery's id of a host, also of one that has lately been listed; known where Versions is set.
+// releaseNumber removes the number of a host that is neither listed nor cordoned.
+func (t *Table) releaseNumber(id string) {
+	if _, listed := t.listed[id]; !listed && !t.cordoned[id] {
+		delete(t.ids, t.numbers[id])
+		delete(t.numbers, id)
+	}
+}
+
+// Name returns discovery's id of a host, also of one that was listed lately. It is empty for others, and where Versions is nil.
 func (t *Table) Name(n balance.EndpointID) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.recentNames[n]
 }
 
-// index is the place of a name in the settings' list; names that the settings lack share the next number.
+// indexOrLen returns the index of a name in the settings' list; names that are not in it share the next number.
 func indexOrLen(names []string, name string) int {
 	if i := slices.Index(names, name); i >= 0 {
 		return i
