--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -1,12 +1,10 @@
 package cluster
 
 import (
-	"bufio"
 	"context"
 	"fmt"
 	"math/rand/v2"
 	"net"
-	"net/http"
 	"reflect"
 	"slices"
 	"strings"
@@ -38,8 +36,8 @@
 	}
 }
 
-// Guards against a list that is taken in part: what it leaves out would count as gone.
-func TestBadLists(t *testing.T) {
+// Guards against a list that is taken over in part: what it leaves out would count as gone.
+func TestInvalidLists(t *testing.T) {
 	for text, names := range map[string]string{
 		`[]`:            "members",
 		`{"members":1}`: "members",
@@ -53,66 +51,26 @@
 	}
 }
 
-// world records what a table tells its two sides.
-type world struct {
-	addrs map[balance.EndpointID]string
-	lists chan []balance.Entry
-	kinds []balance.ListKind
+// listObserver is an Observer that records the last list.
+type listObserver []Member
 
-	cordons []cordon
-	shut    map[balance.EndpointID]bool
-	removed int
-}
-
-func newWorld() (*world, *Table) {
-	w := &world{addrs: map[balance.EndpointID]string{}, shut: map[balance.EndpointID]bool{}, lists: make(chan []balance.Entry, 10)}
-	return w, NewTable([]string{"z0", "z1"}, []string{"k0", "k1"}, w, w)
-}
-
-func (w *world) Set(id balance.EndpointID, addr string)     { w.addrs[id] = addr }
-func (w *world) SetDraining(id balance.EndpointID, on bool) { w.shut[id] = on }
-func (w *world) Remove(id balance.EndpointID)               { delete(w.addrs, id); w.removed++ }
-func (w *world) Membership(kind balance.ListKind, entries []balance.Entry, _ uint32) {
-	w.kinds = append(w.kinds, kind)
-	w.lists <- entries
-}
-
-func (w *world) Cordon(id balance.EndpointID, out bool) {
-	w.cordons = append(w.cordons, cordon{id, out})
-}
-
-func (w *world) Expect(time.Duration) {}
-
-// cordon is what a table says of one.
-type cordon struct {
-	id  balance.EndpointID
-	out bool
-}
-
-func member(id, addr string, state balance.Availability) Member {
-	return Member{ID: id, Addr: addr, State: state, Zone: "z1", Kind: "k1"}
-}
-
-// listed is an observer that keeps the last list.
-type listed []Member
-
-func (l *listed) Listed(_ balance.ListKind, members []Member) { *l = slices.Clone(members) }
+func (l *listObserver) Listed(_ balance.ListKind, members []Member) { *l = slices.Clone(members) }
 
-// Guards against an observer that can't tell which host a number stands for.
+// Guards against an observer that can't map a number to its host.
 func TestObserver(t *testing.T) {
-	w, table := newWorld()
-	seen := &listed{}
+	w, table := newRecorder()
+	seen := &listObserver{}
 	table.Observer = seen
 	table.Apply(balance.ListCached, List{Members: []Member{member("b", "x:1", balance.Ready), member("a", "x:2", balance.Ready)}})
 	for i, e := range <-w.lists {
 		if m := (*seen)[i]; m.ID != []string{"a", "b"}[i] || m.Endpoint != e.Endpoint {
-			t.Errorf("told of %+v for entry %+v", m, e)
+			t.Errorf("got %+v for entry %+v", m, e)
 		}
 	}
 }
 
 func TestTable(t *testing.T) {
-	w, table := newWorld()
+	w, table := newRecorder()
 	table.Apply(balance.ListFull, List{Members: []Member{member("a", "x:1", balance.Ready), member("b", "x:2", balance.Ready)}})
 	first := <-w.lists
 	if len(first) != 2 || first[0].Zone != 1 || first[0].Kind != 1 || w.addrs[first[0].Endpoint] != "x:1" {
@@ -125,7 +83,7 @@
 	table.Apply(balance.ListFull, List{Members: []Member{member("a", "y:9", balance.Ready)}})
 	<-w.lists
 	if len(w.addrs) != 1 {
-		t.Errorf("a host that a whole list leaves out is still known: %v", w.addrs)
+		t.Errorf("a host that a complete list leaves out is still known: %v", w.addrs)
 	}
 	table.Apply(balance.ListDelta, List{Members: []Member{member("a", "", balance.Gone)}})
 	if e := (<-w.lists)[0]; e.State != balance.Gone || e.Endpoint != first[0].Endpoint || len(w.addrs) != 0 {
@@ -133,12 +91,12 @@
 	}
 }
 
-// Guards against two sidecars numbering the cluster differently, also where two ids hash alike: these two
-// do (FNV-1a, 32 bits). The module's ring has to be the same everywhere.
-func TestNumbersAreTheSameEverywhere(t *testing.T) {
+// Guards against two sidecars numbering the cluster differently, also where the hashes of two ids collide: these two do (FNV-1a,
+// 32 bits). The hash ring has to be the same everywhere.
+func TestNumbersAreDeterministic(t *testing.T) {
 	const a, b = "costarring", "liquid"
 	numbers := func(ids ...string) map[string]balance.EndpointID {
-		_, table := newWorld()
+		_, table := newRecorder()
 		var members []Member
 		for _, id := range ids {
 			members = append(members, member(id, "x:1", balance.Ready))
@@ -155,74 +113,26 @@
 	}
 }
 
-// agent plays discovery: each call is handed to the test, which answers it.
-type agent struct {
-	addr  string
-	calls chan call
-}
-
-type call struct {
-	target string
-	conn   net.Conn
-}
-
-func newAgent(t *testing.T) *agent {
-	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { l.Close() })
-	a := &agent{addr: l.Addr().String(), calls: make(chan call)}
-	go func() {
-		for {
-			conn, err := l.Accept()
-			if err != nil {
-				return
-			}
-			go func() {
-				in := bufio.NewReader(conn)
-				for {
-					req, err := http.ReadRequest(in)
-					if err != nil {
-						return
-					}
-					a.calls <- call{req.RequestURI, conn}
-				}
-			}()
-		}
-	}()
-	return a
-}
-
-func (c call) answer(body string) {
-	fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-}
-
-// Guards against a watch that isn't continued, and against news lost where discovery breaks off or talks
-// nonsense: the next call asks from the last revision that was taken over.
+// Guards against a watch that isn't continued, and against changes lost where discovery closes the connection or sends an invalid
+// response: the next call is for changes since the last revision that was taken over.
 func TestWatch(t *testing.T) {
-	a := newAgent(t)
-	w, table := newWorld()
-	ctx, end := context.WithCancel(context.Background())
-	synced, ended := make(chan struct{}), make(chan struct{})
-	go func() {
-		(&Watcher{Addr: a.addr, Table: table, Rand: rand.New(rand.NewPCG(1, 2)), Log: zerolog.Nop()}).Run(ctx, func() { close(synced) })
-		close(ended)
-	}()
+	a := newScriptedAgent(t)
+	w, table := newRecorder()
+	synced := make(chan struct{})
+	stop := startWatcher(newTestWatcher(a.addr, table), func() { close(synced) })
 	first := <-a.calls
 	if first.target != "/catalog/members" {
 		t.Errorf("the first call is %s", first.target)
 	}
-	first.answer(document)
+	first.respond(document)
 	<-w.lists
 	<-synced
 	const since41 = "/catalog/members?since=41&timeout_ms="
-	for _, broken := range []func(call){
-		func(c call) { c.conn.Close() },
-		func(c call) { c.answer("nonsense") },
-		func(c call) { c.answer(`{"revision":50,"members":[{"id":"a"}]}`) },
-		func(c call) { fmt.Fprint(c.conn, "HTTP/1.1 500 Down\r\nContent-Length: 0\r\n\r\n") },
+	for _, broken := range []func(agentCall){
+		func(c agentCall) { c.conn.Close() },
+		func(c agentCall) { c.respond("nonsense") },
+		func(c agentCall) { c.respond(`{"revision":50,"members":[{"id":"a"}]}`) },
+		func(c agentCall) { fmt.Fprint(c.conn, "HTTP/1.1 500 Down\r\nContent-Length: 0\r\n\r\n") },
 	} {
 		c := <-a.calls
 		if !strings.HasPrefix(c.target, since41) {
@@ -230,53 +140,46 @@
 		}
 		broken(c)
 	}
-	(<-a.calls).answer(`{"revision":43,"complete":false,"members":[{"id":"s-5be2a07c","host_port":"127.0.1.18:8080","phase":"Terminating"}]}`)
+	(<-a.calls).respond(`{"revision":43,"complete":false,"members":[{"id":"s-5be2a07c","host_port":"127.0.1.18:8080","phase":"Terminating"}]}`)
 	if e := <-w.lists; len(e) != 1 || e[0].State != balance.Draining {
 		t.Errorf("the change came as %+v", e)
 	}
 	if c := <-a.calls; !strings.Contains(c.target, "since=43&") {
 		t.Errorf("the call after a change is %s", c.target)
 	}
-	end() // while discovery is silent
-	<-ended
+	stop() // while discovery holds the call
 	if want := []balance.ListKind{balance.ListFull, balance.ListDelta}; !reflect.DeepEqual(w.kinds, want) {
 		t.Errorf("lists of kinds %v, want %v", w.kinds, want)
 	}
 }
 
-// Guards against a watch that has fallen silent and is waited for: a release went by unseen for 22 s, for a silent watch
-// looks like one without news until its wait is over. The agent has the news and answers whoever asks again.
-func TestSilentWatch(t *testing.T) {
-	a := newAgent(t)
-	w, table := newWorld()
-	ctx, end := context.WithCancel(context.Background())
-	ended := make(chan struct{})
-	go func() {
-		(&Watcher{Addr: a.addr, Table: table, Rand: rand.New(rand.NewPCG(1, 2)), Log: zerolog.Nop()}).Run(ctx, func() {})
-		close(ended)
-	}()
-	(<-a.calls).answer(document)
+// Guards against waiting for a watch that has become unresponsive: a release was not seen for 22 s, for such a watch looks like
+// one without changes until its wait is over. The agent has the changes and responds to another call.
+func TestUnresponsiveWatch(t *testing.T) {
+	a := newScriptedAgent(t)
+	w, table := newRecorder()
+	stop := startWatcher(newTestWatcher(a.addr, table), func() {})
+	(<-a.calls).respond(document)
 	<-w.lists
 	silent := <-a.calls
 	var wait int
 	if _, err := fmt.Sscanf(silent.target, "/catalog/members?since=41&timeout_ms=%d", &wait); err != nil || wait > 1000 {
-		t.Errorf("the watch is %s: silence would go unnoticed for long (%v)", silent.target, err)
+		t.Errorf("the watch is %s: a time-out would take too long (%v)", silent.target, err)
 	}
-	again := <-a.calls // though the first was never answered
+	again := <-a.calls // though the first got no response
 	if !strings.HasPrefix(again.target, "/catalog/members?since=41&") || again.conn == silent.conn {
-		t.Errorf("after the silence the call is %s, on the silent connection: %v", again.target, again.conn == silent.conn)
+		t.Errorf("after the time-out the call is %s, on the unresponsive connection: %v", again.target, again.conn == silent.conn)
 	}
-	again.answer(`{"revision":43,"complete":false,"members":[{"id":"s-5be2a07c","host_port":"127.0.1.18:8080","phase":"Terminating"}]}`)
+	again.respond(`{"revision":43,"complete":false,"members":[{"id":"s-5be2a07c","host_port":"127.0.1.18:8080","phase":"Terminating"}]}`)
 	if e := <-w.lists; len(e) != 1 || e[0].State != balance.Draining {
 		t.Errorf("the change came as %+v", e)
 	}
-	end()
-	<-ended
+	stop()
 }
 
-// Guards against an agent that is asked ten times a second, by each sidecar, for as long as it refuses: not harder the
-// worse it does, but the first time within the 200 ms that keep a watch going.
-func TestFailuresAreAskedAfterLessOften(t *testing.T) {
+// Guards against an agent that is called ten times a second, by each sidecar, for as long as it refuses: not harder the worse it
+// does, but the first time within the 200 ms that keep a watch alive.
+func TestRetryDelay(t *testing.T) {
 	last := time.Duration(0)
 	for failures := range 70 {
 		d := retryDelay(failures)
@@ -287,8 +190,8 @@
 	}
 }
 
-// Guards against sidecars that ask in step: two with seeds of their own don't wait for the same times.
-func TestWatchesAreSpread(t *testing.T) {
+// Guards against sidecars that make their calls in step: two with different seeds don't wait for the same times.
+func TestJitter(t *testing.T) {
 	one, other := &watch{rand: rand.New(rand.NewPCG(1, 2))}, &watch{rand: rand.New(rand.NewPCG(2, 2))}
 	same := 0
 	for range 100 {
@@ -305,63 +208,58 @@
 	}
 }
 
-// Guards against a move of discovery that waits for the old agent, believes what it still says, asks the
-// new one for changes since a revision that isn't its own, or drops the list that is held. An address that
-// is given again moves nothing.
-func TestDiscoveryMoves(t *testing.T) {
-	first, second := newAgent(t), newAgent(t)
-	w, table := newWorld()
+// Guards against a change of discovery's address that waits for the old agent, takes over what it still sends, requests changes
+// since the old agent's revision from the new one, or drops the present list. The same address again changes nothing.
+func TestAddrChange(t *testing.T) {
+	first, second := newScriptedAgent(t), newScriptedAgent(t)
+	w, table := newRecorder()
 	moves := make(chan string)
-	ctx, end := context.WithCancel(context.Background())
-	ended := make(chan struct{})
 	synced := 0
-	go func() {
-		(&Watcher{Addr: first.addr, AddrChanges: moves, Table: table, Rand: rand.New(rand.NewPCG(1, 2)), Log: zerolog.Nop()}).Run(ctx, func() { synced++ })
-		close(ended)
-	}()
-	(<-first.calls).answer(document)
+	stop := startWatcher(&Watcher{Addr: first.addr, AddrChanges: moves, Table: table, Rand: rand.New(rand.NewPCG(1, 2)), Log: zerolog.Nop()}, func() { synced++ })
+	(<-first.calls).respond(document)
 	<-w.lists
 	waiting := <-first.calls
 	moves <- first.addr
 	moves <- second.addr
-	c := <-second.calls // while the old agent holds its call
+	c := <-second.calls // while the old agent still holds its call
 	if c.target != "/catalog/members" {
-		t.Errorf("the new agent was asked for %s", c.target)
+		t.Errorf("the new agent's call was %s", c.target)
 	}
 	if _, err := waiting.conn.Read(make([]byte, 1)); err == nil {
-		t.Error("the old agent was asked again")
+		t.Error("the old agent was called again")
 	}
-	waiting.answer(`{"revision":99,"complete":true,"members":[]}`)
+	waiting.respond(`{"revision":99,"complete":true,"members":[]}`)
 	if len(w.addrs) != 1 || len(w.kinds) != 1 {
-		t.Errorf("while discovery moves, %v is known after lists of kinds %v", w.addrs, w.kinds)
+		t.Errorf("while the address changes, %v is known after lists of kinds %v", w.addrs, w.kinds)
 	}
-	c.answer(`{"revision":7,"complete":true,"members":[{"id":"s-3","host_port":"127.0.1.19:8080","phase":"Ready"}]}`)
+	c.respond(`{"revision":7,"complete":true,"members":[{"id":"s-3","host_port":"127.0.1.19:8080","phase":"Ready"}]}`)
 	<-w.lists
 	if c := <-second.calls; !strings.Contains(c.target, "since=7&") {
-		t.Errorf("the new agent was asked for %s", c.target)
+		t.Errorf("the new agent's call was %s", c.target)
 	}
 	moves <- first.addr
 	if c := <-first.calls; c.target != "/catalog/members" {
-		t.Errorf("an agent that came back was asked for %s", c.target)
+		t.Errorf("the first call of an agent that came back was %s", c.target)
 	}
-	end()
-	<-ended
+	stop()
 	if synced != 1 {
 		t.Errorf("synced %d times", synced)
 	}
 }
 
-// Guards against a cordon of what nobody has, one that is lost while its host is away, and one whose number goes to
-// another host meanwhile.
-func TestCordons(t *testing.T) {
-	w, table := newWorld()
+// Guards against a cordon of an unknown host, one that is lost while its host is away, and one whose number goes to another host
+// meanwhile.
+func TestCordon(t *testing.T) {
+	w, table := newRecorder()
 	if table.Cordon("a") || table.Uncordon("a") || len(w.cordons) > 0 {
-		t.Errorf("an unknown host was taken out or put back: %v", w.cordons)
+		t.Errorf("an unknown host was cordoned or uncordoned: %v", w.cordons)
 	}
 	table.Apply(balance.ListFull, List{Members: []Member{member("a", "x:1", balance.Ready), member("b", "x:2", balance.Ready)}})
 	a := (<-w.lists)[0].Endpoint
-	if !table.Cordon("a") || !table.Cordon("a") {
-		t.Error("a listed host was not taken out")
+	for range 2 { // the second changes nothing
+		if !table.Cordon("a") {
+			t.Error("a listed host was not cordoned")
+		}
 	}
 	table.Apply(balance.ListFull, List{Members: []Member{member("b", "x:2", balance.Ready)}})
 	<-w.lists
@@ -372,43 +270,43 @@
 	table.Apply(balance.ListDelta, List{Members: []Member{{ID: "a", State: balance.Gone}}})
 	<-w.lists
 	if !table.Uncordon("a") || table.Uncordon("a") || table.Cordon("a") {
-		t.Error("a host that is out and away is to be put back once, and then nobody has it")
+		t.Error("a cordoned host that is gone is to be uncordoned once, and then unknown")
 	}
-	if want := []cordon{{a, true}, {a, true}, {a, false}}; !slices.Equal(w.cordons, want) {
-		t.Errorf("the decisions were told %v, want %v", w.cordons, want)
+	if want := []cordonCall{{a, true}, {a, true}, {a, false}}; !slices.Equal(w.cordons, want) {
+		t.Errorf("the decisions got %v, want %v", w.cordons, want)
 	}
 }
 
-// slowToStop is a connection that takes its time to be interrupted.
-type slowToStop struct {
+// slowInterruptConn is a connection of which an interruption takes time.
+type slowInterruptConn struct {
 	net.Conn
 	began   chan struct{}
 	stopped bool
 }
 
-func (c *slowToStop) SetDeadline(time.Time) error {
+func (c *slowInterruptConn) SetDeadline(time.Time) error {
 	close(c.began)
-	time.Sleep(20 * time.Millisecond) // whoever doesn't wait for it is gone by then
+	time.Sleep(20 * time.Millisecond) // a release that doesn't wait has returned by then
 	c.stopped = true
 	return nil
 }
 
-// Guards against a call that ends while it is being interrupted: what comes late would find no connection, or another call's.
-func TestInterruptIsWaitedFor(t *testing.T) {
+// Guards against a call that ends while it is being interrupted: the interruption would hit no connection, or another call's.
+func TestInterruptRelease(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	c := &slowToStop{began: make(chan struct{})}
+	c := &slowInterruptConn{began: make(chan struct{})}
 	release := interrupt(ctx, c)
 	cancel()
 	<-c.began
 	if release(); !c.stopped {
-		t.Error("the connection was let go of before")
+		t.Error("the connection was released before")
 	}
 }
 
-// Guards against a host that drains or is taken out still getting what was sent there before and waits for its connection, and
-// against one that is back and gets nothing.
-func TestShut(t *testing.T) {
-	w, table := newWorld()
+// Guards against a host that drains or is cordoned still getting attempts that wait for their connection, and against one that is
+// back and gets nothing.
+func TestSetDraining(t *testing.T) {
+	w, table := newRecorder()
 	id := table.assignNumber("h")
 	list := func(state balance.Availability) {
 		table.Apply(balance.ListDelta, List{Members: []Member{{ID: "h", Addr: "127.0.0.1:1", State: state}}})
@@ -428,16 +326,16 @@
 		{func() { list(balance.Ready) }, false},
 		{func() { table.Cordon("h"); table.Uncordon("h") }, false},
 	} {
-		if step.do(); w.shut[id] != step.want {
-			t.Errorf("step %d: shut is %v", i, w.shut[id])
+		if step.do(); w.draining[id] != step.want {
+			t.Errorf("step %d: draining is %v", i, w.draining[id])
 		}
 	}
 }
 
-// Guards against connections to a former process of a host being kept: a machine that vanished never closed them, and what is
-// sent on one once it is back ends as a reset, which may have run.
-func TestNewProcess(t *testing.T) {
-	w, table := newWorld()
+// Guards against connections to a former process of a host being reused: a machine that vanished never closed them, and what is
+// sent on one once it is back ends as a reset, after which it may have run.
+func TestHostRestart(t *testing.T) {
+	w, table := newRecorder()
 	for i, step := range []struct {
 		up   time.Duration
 		want int
@@ -445,7 +343,7 @@
 		table.Apply(balance.ListDelta, List{Members: []Member{{ID: "h", Addr: "127.0.0.1:1", State: balance.Ready, UpSince: step.up}}})
 		<-w.lists
 		if w.removed != step.want || len(w.addrs) != 1 {
-			t.Errorf("step %d: its connections were let go of %d times, want %d; %d hosts are reachable", i, w.removed, step.want, len(w.addrs))
+			t.Errorf("step %d: its connections were closed %d times, want %d; %d hosts are reachable", i, w.removed, step.want, len(w.addrs))
 		}
 	}
 }
--- a/internal/cluster/digest_test.go
+++ b/internal/cluster/digest_test.go
@@ -7,7 +7,7 @@
 	"pinelb.example/pinelb/balance"
 )
 
-// Guards against sidecars that hold the same list and seem not to, and against the reverse.
+// Guards against equal lists with different digests, and against the reverse.
 func TestDigest(t *testing.T) {
 	members := func() []Member {
 		return []Member{
--- a/internal/cluster/version_test.go
+++ b/internal/cluster/version_test.go
@@ -2,9 +2,7 @@
 
 import (
 	"bytes"
-	"context"
 	"fmt"
-	"math/rand/v2"
 	"strings"
 	"testing"
 	"time"
@@ -17,30 +15,30 @@
 	"pinelb.example/pinelb/internal/version"
 )
 
-// numbers are the versions that a table has told of.
-type numbers []version.List
+// versionRecorder records the versions that a table publishes.
+type versionRecorder []version.List
 
-func (n *numbers) Listed(l version.List, apply func(under uint32)) {
+func (n *versionRecorder) Listed(l version.List, apply func(under uint32)) {
 	*n = append(*n, l)
 	apply(uint32(len(*n)))
 }
 
-// unders are the numbers that the decisions have been told.
-type unders struct {
-	*world
+// numberRecorder records the numbers that the decisions get.
+type numberRecorder struct {
+	*recorder
 	got []uint32
 }
 
-func (u *unders) Membership(_ balance.ListKind, _ []balance.Entry, under uint32) {
+func (u *numberRecorder) Membership(_ balance.ListKind, _ []balance.Entry, under uint32) {
 	u.got = append(u.got, under)
 }
 
-// Guards against a digest that is not that of what is held, whatever changes came in what order; against a number for what has
-// changed nothing, and none for what has; and against hosts whose names are lost with them.
+// Guards against a digest that is not that of the present list, whatever changes came in what order; against a number for a list
+// that has changed nothing, and none for one that has; and against hosts whose names are lost with them.
 func TestVersions(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w, _ := newWorld()
-		u, told := &unders{world: w}, &numbers{}
+		w, _ := newRecorder()
+		u, told := &numberRecorder{recorder: w}, &versionRecorder{}
 		table := NewTable([]string{"z0"}, nil, w, u)
 		table.Versions = told
 		for range rapid.IntRange(1, 8).Draw(rt, "lists") {
@@ -56,7 +54,7 @@
 			is := table.Snapshot().List
 			now := (*told)[len(*told)-1]
 			if want := (version.List{From: list.From, Revision: list.Revision, Digest: is.Digest()}); now != want {
-				rt.Fatalf("told %+v, held %+v", now, want)
+				rt.Fatalf("published %+v, want %+v", now, want)
 			}
 			same := len(u.got) > 1 && was.From == is.From && was.Revision == is.Revision && was.Digest() == is.Digest()
 			if got := u.got[len(u.got)-1]; same != (got == 0) || !same && got != uint32(len(*told)) {
@@ -71,61 +69,58 @@
 	})
 }
 
-// Guards against a watch that waits on when the whole list is wanted, and against an answer from before that which counts for it.
+// Guards against a watch that goes on waiting when the complete list is requested, and against a response to an earlier call that
+// counts for the request.
 func TestRefresh(t *testing.T) {
 	for name, paced := range map[string]*Pacing{"plain": nil, "paced": {Fleet: pacing.Fleet{Instances: 1, Rate: 1000, Watch: 10 * time.Second}}} {
 		t.Run(name, func(t *testing.T) {
-			a := newAgent(t)
-			w, table := newWorld()
-			ctx, end := context.WithCancel(context.Background())
-			ended, heard := make(chan struct{}), make(chan time.Time, 10)
+			a := newScriptedAgent(t)
+			w, table := newRecorder()
+			updates := make(chan time.Time, 10)
 			var log bytes.Buffer
-			watcher := &Watcher{Addr: a.addr, Table: table, Rand: rand.New(rand.NewPCG(1, 2)), Log: zerolog.New(&log), Pacing: paced,
-				OnUpdate: func(asked time.Time) { heard <- asked }}
-			go func() {
-				watcher.Run(ctx, func() {})
-				close(ended)
-			}()
+			watcher := newTestWatcher(a.addr, table)
+			watcher.Log, watcher.Pacing = zerolog.New(&log), paced
+			watcher.OnUpdate = func(sentAt time.Time) { updates <- sentAt }
+			stop := startWatcher(watcher, func() {})
 			const whole = "/catalog/members"
 			list := func(n int) string { return fmt.Sprintf(`{"revision":%d,"complete":true,"members":[]}`, n) }
 			first := <-a.calls
-			first.answer(list(1))
+			first.respond(list(1))
 			<-w.lists
-			<-heard
-			waits := <-a.calls
-			if waits.target == whole {
-				t.Fatalf("it asks %s", waits.target)
+			<-updates
+			waiting := <-a.calls
+			if waiting.target == whole {
+				t.Fatalf("the call is %s", waiting.target)
 			}
-			wanted := time.Now()
+			requested := time.Now()
 			watcher.Refresh()
 			again := <-a.calls
 			if again.target != whole {
-				t.Fatalf("when the whole list is wanted it asks %s", again.target)
+				t.Fatalf("after a refresh the call is %s", again.target)
 			}
-			watcher.Refresh() // and once more, while that is under way
-			again.answer(list(2))
+			watcher.Refresh() // and again, while that call is in flight
+			again.respond(list(2))
 			<-w.lists
-			if asked := <-heard; asked.Before(wanted) {
-				t.Errorf("what was asked %v before is heard", wanted.Sub(asked))
+			if sentAt := <-updates; sentAt.Before(requested) {
+				t.Errorf("a call that was sent %v before counts", requested.Sub(sentAt))
 			}
 			if last := <-a.calls; last.target != whole {
-				t.Errorf("then it asks %s", last.target)
+				t.Errorf("then the call is %s", last.target)
 			} else {
-				last.answer(list(3))
+				last.respond(list(3))
 			}
 			if got := <-a.calls; got.target == whole {
-				t.Error("it goes on asking for the whole list")
+				t.Error("the complete list is fetched again")
 			}
-			end()
-			<-ended
-			if strings.Contains(log.String(), "did not answer") { // its watch ran out, and was not broken off
+			stop()
+			if strings.Contains(log.String(), "did not answer") { // the interruption counts as a failure
 				t.Errorf("the log says\n%s", &log)
 			}
 		})
 	}
 }
 
-// BenchmarkDigest is what a change of one host, and a list of all, cost a table that numbers its versions and one that does not.
+// BenchmarkDigest measures a change of one host, and a complete list, for a table that numbers its versions and one that does not.
 func BenchmarkDigest(b *testing.B) {
 	for _, hosts := range []int{60, 5000} {
 		var all []Member
@@ -135,10 +130,10 @@
 		for _, kind := range []balance.ListKind{balance.ListDelta, balance.ListFull} {
 			for _, on := range []bool{false, true} {
 				b.Run(fmt.Sprintf("hosts=%d/whole=%v/versions=%v", hosts, kind == balance.ListFull, on), func(b *testing.B) {
-					w, _ := newWorld()
-					table := NewTable([]string{"z0"}, []string{"k0"}, w, &unders{world: w})
+					w, _ := newRecorder()
+					table := NewTable([]string{"z0"}, []string{"k0"}, w, &numberRecorder{recorder: w})
 					if on {
-						table.Versions = &numbers{}
+						table.Versions = &versionRecorder{}
 					}
 					table.Apply(balance.ListFull, List{Members: all})
 					for n := range b.N {
