--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -13,8 +13,8 @@
 
 // Guards against a bound on handshakes that counts other users of a host than there are.
 func TestHandshakeLimitCountsTheSameUsers(t *testing.T) {
-	if pacing.UsedLeast != usedLeast || pacing.UsersWanted != usersWanted {
-		t.Errorf("package pace counts by %d and %d, this one chooses by %d and %d", pacing.UsedLeast, pacing.UsersWanted, usedLeast, usersWanted)
+	if pacing.MinHostsPerInstance != usedLeast || pacing.TargetInstancesPerHost != usersWanted {
+		t.Errorf("package pace counts by %d and %d, this one chooses by %d and %d", pacing.MinHostsPerInstance, pacing.TargetInstancesPerHost, usedLeast, usersWanted)
 	}
 }
 
--- a/internal/cluster/client.go
+++ b/internal/cluster/client.go
@@ -68,7 +68,7 @@
 		defer w.disconnect()
 	}
 	if status := res.StatusCode; status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
-		return List{}, &overloadError{status, pacing.Advice(res.Header.Get("Retry-After"))}
+		return List{}, &overloadError{status, pacing.ParseRetryAfter(res.Header.Get("Retry-After"))}
 	}
 	if res.StatusCode != http.StatusOK || exceedsDepth(body, maxJSONDepth) || !gjson.ValidBytes(body) {
 		return List{}, fmt.Errorf("cluster: answer %d of %d bytes is no list", res.StatusCode, len(body))
--- a/internal/cluster/paced_watch.go
+++ b/internal/cluster/paced_watch.go
@@ -62,7 +62,7 @@
 	for p.waitForTurn(ctx) {
 		if late := p.now() - p.pacer.At(); late > minStop { // the process was stopped, and others with it
 			p.log.Info().Dur("late", late).Msg("was stopped; discovery is asked a little later")
-			p.pacer.Woke(p.now())
+			p.pacer.Resumed(p.now())
 			continue
 		}
 		request := p.nextRequest()
@@ -77,7 +77,7 @@
 		}
 		if stopped > 0 {
 			p.log.Info().Dur("stopped", stopped).Msg("was stopped while discovery was asked")
-			p.pacer.Woke(p.now())
+			p.pacer.Resumed(p.now())
 		}
 		if err != nil {
 			if !failing {
@@ -123,7 +123,7 @@
 
 // poll makes one call and returns how it ended. stopped is for how long the process was stopped meanwhile: the time-out is
 // extended by it, and it does not count against the service.
-func (p *pacedWatch) poll(ctx context.Context, r pollRequest) (list List, end pacing.End, stopped time.Duration, err error) {
+func (p *pacedWatch) poll(ctx context.Context, r pollRequest) (list List, end pacing.Result, stopped time.Duration, err error) {
 	start := p.now()
 	connected := p.conn != nil
 	timeout := p.pacer.Within()
@@ -143,7 +143,7 @@
 	took := max(0, p.now()-start-stopped)
 	if interrupted { // the service had no changes, and is called again in the next turn
 		p.disconnect()
-		return list, pacing.End{How: pacing.Quiet}, stopped, errInterrupted
+		return list, pacing.Result{Outcome: pacing.NoChange}, stopped, errInterrupted
 	}
 	if err == nil {
 		return list, responseEnd(list, r, took), stopped, nil
@@ -157,32 +157,32 @@
 }
 
 // responseEnd is how a call with a list ended.
-func responseEnd(list List, r pollRequest, took time.Duration) pacing.End {
+func responseEnd(list List, r pollRequest, took time.Duration) pacing.Result {
 	switch {
 	case r.wait > 0 && len(list.Members) == 0 && !list.Complete:
-		return pacing.End{How: pacing.Quiet, Took: max(0, took-r.wait)}
+		return pacing.Result{Outcome: pacing.NoChange, Latency: max(0, took-r.wait)}
 	case r.wait > 0:
-		return pacing.End{How: pacing.Told} // how long a change took to come can't be known
+		return pacing.Result{Outcome: pacing.Answered} // how long a change took to come can't be known
 	}
-	return pacing.End{How: pacing.Told, Took: took}
+	return pacing.Result{Outcome: pacing.Answered, Latency: took}
 }
 
 // failureEnd is how a call without a list ended. connected says whether the connection was opened by an earlier call.
-func failureEnd(err error, r pollRequest, took time.Duration, connected bool) pacing.End {
-	end := pacing.End{Took: took}
+func failureEnd(err error, r pollRequest, took time.Duration, connected bool) pacing.Result {
+	end := pacing.Result{Latency: took}
 	var overload *overloadError
 	var op *net.OpError
 	switch {
 	case errors.As(err, &overload):
-		end.How, end.RetryAfter = pacing.Turned, overload.retryAfter
+		end.Outcome, end.RetryAfter = pacing.Overloaded, overload.retryAfter
 	case errors.As(err, &op) && op.Op == "dial":
-		end.How = pacing.Down
+		end.Outcome = pacing.Unreachable
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		end.How = pacing.Silent
+		end.Outcome = pacing.TimedOut
 	case r.wait > 0 || connected: // it had no changes, or it had closed the connection
-		end.How = pacing.Down
+		end.Outcome = pacing.Unreachable
 	default:
-		end.How = pacing.Turned
+		end.Outcome = pacing.Overloaded
 	}
 	return end
 }
--- a/internal/cluster/paced_watch_test.go
+++ b/internal/cluster/paced_watch_test.go
@@ -73,7 +73,7 @@
 				}
 			}
 			watcher := Watcher{Addr: a.addr, Table: table, Rand: rand.New(rand.NewPCG(1, 2)), Log: zerolog.Nop(),
-				Pacing: &Pacing{Fleet: pacing.Fleet{Instances: 1, Rate: 1000, Watch: time.Second}, Revision: c.since}}
+				Pacing: &Pacing{Fleet: pacing.Fleet{Instances: 1, Rate: 1000, MinWatchWait: time.Second}, Revision: c.since}}
 			stop := startWatcher(&watcher, func() {})
 			var conn net.Conn
 			for i, s := range c.steps {
@@ -116,7 +116,7 @@
 	a := newScriptedAgent(t)
 	w, table := newRecorder()
 	watcher := Watcher{Addr: a.addr, Table: table, Rand: rand.New(rand.NewPCG(1, 2)), Log: zerolog.Nop(),
-		Pacing: &Pacing{Fleet: pacing.Fleet{Instances: 1, Rate: 1000, Watch: time.Second}}}
+		Pacing: &Pacing{Fleet: pacing.Fleet{Instances: 1, Rate: 1000, MinWatchWait: time.Second}}}
 	stop := startWatcher(&watcher, func() {})
 	(<-a.calls).respond(document)
 	<-w.lists
@@ -184,9 +184,9 @@
 	a := newScriptedAgent(t)
 	_, table := newRecorder()
 	w := &watch{addr: a.addr, table: table, rand: rand.New(rand.NewPCG(1, 2)), log: zerolog.Nop(), refresh: &refreshRequests{}}
-	p := w.newPacedWatch(Pacing{Fleet: pacing.Fleet{Instances: 1, Rate: 1000, Watch: time.Second}})
+	p := w.newPacedWatch(Pacing{Fleet: pacing.Fleet{Instances: 1, Rate: 1000, MinWatchWait: time.Second}})
 	p.unconfirmed, p.confirmDeadline = &List{}, p.now() // the deadline is over already: not even connecting is waited for
-	if _, end, _, err := p.poll(context.Background(), pollRequest{target: "/catalog/members"}); err == nil || end.How != pacing.Down {
+	if _, end, _, err := p.poll(context.Background(), pollRequest{target: "/catalog/members"}); err == nil || end.Outcome != pacing.Unreachable {
 		t.Errorf("a call beyond the deadline ended as %+v, %v; it is to end with the dial", end, err)
 	}
 }
--- a/internal/cluster/version_test.go
+++ b/internal/cluster/version_test.go
@@ -72,7 +72,7 @@
 // Guards against a watch that goes on waiting when the complete list is requested, and against a response to an earlier call that
 // counts for the request.
 func TestRefresh(t *testing.T) {
-	for name, paced := range map[string]*Pacing{"plain": nil, "paced": {Fleet: pacing.Fleet{Instances: 1, Rate: 1000, Watch: 10 * time.Second}}} {
+	for name, paced := range map[string]*Pacing{"plain": nil, "paced": {Fleet: pacing.Fleet{Instances: 1, Rate: 1000, MinWatchWait: 10 * time.Second}}} {
 		t.Run(name, func(t *testing.T) {
 			a := newScriptedAgent(t)
 			w, table := newRecorder()
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -109,7 +109,7 @@
 	if d.Instances != 0 {
 		instances = d.Instances
 	}
-	return pacing.Fleet{Instances: instances, Rate: d.Calls, Burst: d.Burst, Watch: d.Watch.D()}
+	return pacing.Fleet{Instances: instances, Rate: d.Calls, Burst: d.Burst, MinWatchWait: d.Watch.D()}
 }
 
 // Fleet is the section [fleet]: how the instances of a tier are told apart.
@@ -235,7 +235,7 @@
 		return fmt.Errorf("config: LB_CONTROL: audit needs an address for operators, which auditors call")
 	}
 	if o.Audit != nil && o.Audit.Lease > 0 && o.Discovery != nil {
-		longest := o.Discovery.Fleet(c.Settings.Instances).Longest().Round(time.Millisecond)
+		longest := o.Discovery.Fleet(c.Settings.Instances).MaxWatchWait().Round(time.Millisecond)
 		if o.Audit.Lease.D() < longest+leastLease {
 			return fmt.Errorf("config: audit.lease must be %s or more: beside [discovery] a call waits for news for up to %s", longest+leastLease, longest)
 		}
--- a/internal/control/audit.go
+++ b/internal/control/audit.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	auditPath = "/admin/audit"
-	floorPath = "/admin/floor"
+	auditPath      = "/admin/audit"
+	minVersionPath = "/admin/floor"
 )
 
 // Audit is this process as auditors see it.
@@ -29,21 +29,21 @@
 
 // audited answers an auditor's call: with JSON, or a line that says what is wrong. They come every second or so and stand in
 // the trail, and so not in the log.
-func (c *calls) audited(w http.ResponseWriter, r *http.Request) {
+func (c *handler) serveAudit(w http.ResponseWriter, r *http.Request) {
 	status, since, fault := http.StatusOK, uint64(math.MaxUint64), error(nil) // after an order no entries
 	switch {
 	case r.URL.Path == auditPath && r.Method != http.MethodGet:
 		status, fault = http.StatusMethodNotAllowed, errors.New("the method must be "+http.MethodGet)
-	case r.URL.Path == floorPath && r.Method != http.MethodPost:
+	case r.URL.Path == minVersionPath && r.Method != http.MethodPost:
 		status, fault = http.StatusMethodNotAllowed, errors.New("the method must be "+http.MethodPost)
 	case r.URL.Path == auditPath:
-		if since, fault = sinceOf(r); fault != nil {
+		if since, fault = parseSince(r); fault != nil {
 			status = http.StatusBadRequest
 		}
 	default:
-		status, fault = c.order(r)
+		status, fault = c.takeOrder(r)
 	}
-	called(r.Context()) // with its body: one that stops half-way is shed
+	markComplete(r.Context()) // with its body: one that stops half-way is shed
 	if fault != nil {
 		w.Header().Set("Content-Type", "text/plain")
 		w.WriteHeader(status)
@@ -55,7 +55,7 @@
 }
 
 // order has the order in a call's body be taken.
-func (c *calls) order(r *http.Request) (status int, fault error) {
+func (c *handler) takeOrder(r *http.Request) (status int, fault error) {
 	text, err := io.ReadAll(io.LimitReader(r.Body, version.OrderMost+1))
 	if err != nil {
 		return http.StatusBadRequest, fmt.Errorf("the body is cut off: %w", err)
@@ -77,8 +77,8 @@
 	return http.StatusBadRequest, err
 }
 
-// sinceOf is the entry from which on a report is asked for; without one all are.
-func sinceOf(r *http.Request) (uint64, error) {
+// parseSince is the entry from which on a report is asked for; without one all are.
+func parseSince(r *http.Request) (uint64, error) {
 	q, err := url.ParseQuery(r.URL.RawQuery)
 	switch seqs := q["since"]; {
 	case err != nil:
--- a/internal/control/audit_test.go
+++ b/internal/control/audit_test.go
@@ -16,17 +16,17 @@
 )
 
 // auditee refuses orders of the epochs 1 and 2, and counts.
-type auditee struct {
+type auditRecorder struct {
 	orders int
 	since  uint64
 }
 
-func (a *auditee) Report(since uint64) auditlog.Report {
+func (a *auditRecorder) Report(since uint64) auditlog.Report {
 	a.since = since
 	return auditlog.Report{Name: "n0"}
 }
 
-func (a *auditee) Take(o version.Order) error {
+func (a *auditRecorder) Take(o version.Order) error {
 	switch o.Floor.Epoch {
 	case 1:
 		return version.Older{Why: "of yesterday"}
@@ -38,16 +38,16 @@
 }
 
 // Guards against an auditor's call that is answered wrongly, or that a process without [audit] answers at all.
-func TestAuditorsCalls(t *testing.T) {
-	a := &auditee{}
+func TestAuditCalls(t *testing.T) {
+	a := &auditRecorder{}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	srv := New(func() bool { return true }, &hosts{}, a, zerolog.Nop())
-	go func() { _ = srv.Serve(Listener(l)) }()
+	srv := New(func() bool { return true }, &hostRecorder{}, a, zerolog.Nop())
+	go func() { _ = srv.Serve(NewListener(l)) }()
 	t.Cleanup(func() { _ = srv.Close() })
-	off := serve(t, &hosts{}, true)
+	off := serve(t, &hostRecorder{}, true)
 	order := func(epoch int) string {
 		return fmt.Sprintf(`{"floor":{"epoch":%d,"by":"a","site":"here","grace_ms":0,"spread_ms":0,"for_ms":1000}}`, epoch)
 	}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// Most is how many connections there are at once. One more takes the place of the oldest that has no whole call yet,
+	// MaxConnections is how many connections there are at once. One more takes the place of the oldest that has no whole call yet,
 	// so that those who hold connections keep no call out; a call that comes whole is answered long before its turn.
-	Most = 24
+	MaxConnections = 24
 
-	readWithin = 2 * time.Second // a call whole, from its connection's opening on
-	headMost   = 4 << 10         // bytes of a call
-	nameMost   = 256             // bytes of an endpoint's id
+	readTimeout    = 2 * time.Second // a call whole, from its connection's opening on
+	maxHeaderBytes = 4 << 10         // bytes of a call
+	maxNameBytes   = 256             // bytes of an endpoint's id
 )
 
 // Hosts are the upstream hosts by the ids that discovery gives them. Both return false where nobody has such a host, and
@@ -33,14 +33,14 @@
 // New returns a server for a listener that Listener has made; ready tells whether this process takes clients. With no audit
 // auditors' calls are unknown paths.
 func New(ready func() bool, hosts Hosts, audit Audit, log zerolog.Logger) *http.Server {
-	c := &calls{ready: ready, hosts: hosts, audit: audit, log: log}
-	srv := &http.Server{Handler: c, ReadTimeout: readWithin, WriteTimeout: 2 * readWithin, MaxHeaderBytes: headMost,
+	c := &handler{ready: ready, hosts: hosts, audit: audit, log: log}
+	srv := &http.Server{Handler: c, ReadTimeout: readTimeout, WriteTimeout: 2 * readTimeout, MaxHeaderBytes: maxHeaderBytes,
 		DisableGeneralOptionsHandler: true, ConnContext: withConn, ErrorLog: stdlog.New(log, "", 0)}
 	srv.SetKeepAlivesEnabled(false)
 	return srv
 }
 
-type calls struct {
+type handler struct {
 	ready func() bool
 	hosts Hosts
 	audit Audit // nil: there is none
@@ -48,13 +48,13 @@
 }
 
 // ServeHTTP answers one call with a line: 2xx is yes, 4xx or 5xx is no and says why.
-func (c *calls) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if c.audit != nil && (r.URL.Path == auditPath || r.URL.Path == floorPath) {
-		c.audited(w, r)
+func (c *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if c.audit != nil && (r.URL.Path == auditPath || r.URL.Path == minVersionPath) {
+		c.serveAudit(w, r)
 		return
 	}
-	called(r.Context())
-	status, line := c.answer(r)
+	markComplete(r.Context())
+	status, line := c.handle(r)
 	if r.URL.Path != "/admin/health" {
 		c.log.Info().Str("call", r.Method+" "+r.URL.RequestURI()).Int("status", status).Str("answer", line).Msg("operator's call")
 	}
@@ -63,7 +63,7 @@
 	_, _ = fmt.Fprintln(w, line) // an error here is the caller's leaving
 }
 
-func (c *calls) answer(r *http.Request) (status int, line string) {
+func (c *handler) handle(r *http.Request) (status int, line string) {
 	var method string
 	var do func(id string) bool
 	switch r.URL.Path {
@@ -86,7 +86,7 @@
 	case do == nil:
 		return http.StatusOK, "ok"
 	}
-	id, err := name(r.URL.RawQuery)
+	id, err := endpointName(r.URL.RawQuery)
 	switch {
 	case err != nil:
 		return http.StatusBadRequest, err.Error()
@@ -97,7 +97,7 @@
 }
 
 // name is the endpoint's id that a query gives.
-func name(query string) (string, error) {
+func endpointName(query string) (string, error) {
 	q, err := url.ParseQuery(query)
 	switch ids := q["name"]; {
 	case err != nil:
@@ -106,12 +106,12 @@
 		return "", fmt.Errorf("name is missing")
 	case len(ids) > 1:
 		return "", fmt.Errorf("name stands more than once")
-	case len(ids[0]) > nameMost:
-		return "", fmt.Errorf("name is longer than %d bytes", nameMost)
+	case len(ids[0]) > maxNameBytes:
+		return "", fmt.Errorf("name is longer than %d bytes", maxNameBytes)
 	default:
 		return ids[0], nil
 	}
 }
 
-// Listener bounds the connections of l to Most.
-func Listener(l net.Listener) net.Listener { return &listener{Listener: l} }
+// NewListener bounds the connections of l to Most.
+func NewListener(l net.Listener) net.Listener { return &listener{Listener: l} }
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -14,16 +14,16 @@
 )
 
 // hosts knows one host and keeps what is said of it.
-type hosts struct{ said []string }
+type hostRecorder struct{ calls []string }
 
-func (h *hosts) Cordon(id string) bool   { return h.say("out ", id) }
-func (h *hosts) Uncordon(id string) bool { return h.say("back ", id) }
+func (h *hostRecorder) Cordon(id string) bool   { return h.record("out ", id) }
+func (h *hostRecorder) Uncordon(id string) bool { return h.record("back ", id) }
 
-func (h *hosts) say(what, id string) bool {
+func (h *hostRecorder) record(what, id string) bool {
 	if id != "s 1" {
 		return false
 	}
-	h.said = append(h.said, what+id)
+	h.calls = append(h.calls, what+id)
 	return true
 }
 
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	srv := New(func() bool { return ready }, h, nil, zerolog.Nop())
-	go func() { _ = srv.Serve(Listener(l)) }()
+	go func() { _ = srv.Serve(NewListener(l)) }()
 	t.Cleanup(func() { _ = srv.Close() })
 	return l.Addr().String()
 }
@@ -63,7 +63,7 @@
 
 // Guards against a faulty call that changes anything, or whose answer doesn't name the fault in one line.
 func TestCalls(t *testing.T) {
-	h := &hosts{}
+	h := &hostRecorder{}
 	addr := serve(t, h, true)
 	for _, c := range []struct {
 		text   string
@@ -91,8 +91,8 @@
 			text, rest = t+with+" HTTP/1.1\r\nHost: x\r\n", "Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n"
 		}
 		status, line := call(t, addr, text+rest)
-		if status != c.status || !strings.Contains(line, c.names) || strings.Count(line, "\n") != 1 || len(h.said) > 0 {
-			t.Errorf("%.60s: %d %q after %q, want %d and a line that names %q", c.text, status, line, h.said, c.status, c.names)
+		if status != c.status || !strings.Contains(line, c.names) || strings.Count(line, "\n") != 1 || len(h.calls) > 0 {
+			t.Errorf("%.60s: %d %q after %q, want %d and a line that names %q", c.text, status, line, h.calls, c.status, c.names)
 		}
 	}
 	for _, c := range []string{"/admin/cordon?name=s%201", "/admin/uncordon?name=s+1"} {
@@ -100,8 +100,8 @@
 			t.Errorf("%s: %d %q", c, status, line)
 		}
 	}
-	if len(h.said) != 2 || h.said[0] != "out s 1" || h.said[1] != "back s 1" {
-		t.Errorf("the hosts were told %q", h.said)
+	if len(h.calls) != 2 || h.calls[0] != "out s 1" || h.calls[1] != "back s 1" {
+		t.Errorf("the hosts were told %q", h.calls)
 	}
 	if status, _ := call(t, serve(t, h, false), "GET /admin/health HTTP/1.1\r\nHost: x\r\n\r\n"); status != 503 {
 		t.Errorf("a process that takes no clients says %d", status)
@@ -110,9 +110,9 @@
 
 // Guards against callers who hold connections without a whole call and so keep out those who have one: five times as
 // many as there may be, and calls between them.
-func TestHoldersKeepNobodyOut(t *testing.T) {
-	addr := serve(t, &hosts{}, true)
-	for i := range 5 * Most {
+func TestIncompleteCallsAreEvicted(t *testing.T) {
+	addr := serve(t, &hostRecorder{}, true)
+	for i := range 5 * MaxConnections {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -131,11 +131,11 @@
 
 // Guards against a call that waits for those who hold connections, or for a flood of calls: each is answered, and the test
 // tells how soon (docs/design/daily-service.md). Holders come in bursts, so that a call has many before it and after it.
-func TestCallsInAFlood(t *testing.T) {
-	addr := serve(t, &hosts{}, true)
+func TestCallLatencyUnderFlood(t *testing.T) {
+	addr := serve(t, &hostRecorder{}, true)
 	var took []time.Duration
 	for range 40 {
-		for range Most {
+		for range MaxConnections {
 			c, err := net.Dial("tcp", addr)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/control/connections.go
+++ b/internal/control/listener.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// leastFor is how long a connection has at least to bring its call.
-const leastFor = 20 * time.Millisecond
+// minConnTime is how long a connection has at least to bring its call.
+const minConnTime = 20 * time.Millisecond
 
 // listener holds Most connections at most.
 type listener struct {
@@ -22,9 +22,9 @@
 // conn is one caller's connection.
 type conn struct {
 	net.Conn
-	l      *listener
-	since  time.Time
-	called bool // a whole call has come: it is about to be answered
+	listener *listener
+	since    time.Time
+	complete bool // a whole call has come: it is about to be answered
 }
 
 // Accept returns the next connection, and closes another for it where there are too many.
@@ -33,7 +33,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: nc, l: l, since: time.Now()}
+	c := &conn{Conn: nc, listener: l, since: time.Now()}
 	for wait := l.add(c); wait > 0; wait = l.add(c) {
 		time.Sleep(wait) // callers wait in the queue meanwhile
 	}
@@ -45,9 +45,9 @@
 func (l *listener) add(c *conn) (wait time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.open) >= Most {
-		i := max(0, slices.IndexFunc(l.open, func(c *conn) bool { return !c.called }))
-		if wait = leastFor - time.Since(l.open[i].since); wait > 0 {
+	if len(l.open) >= MaxConnections {
+		i := max(0, slices.IndexFunc(l.open, func(c *conn) bool { return !c.complete }))
+		if wait = minConnTime - time.Since(l.open[i].since); wait > 0 {
 			return wait
 		}
 		_ = l.open[i].Conn.Close()
@@ -59,11 +59,11 @@
 
 // Close is net/http's, at the end of a connection, or the second one of a connection that was shed.
 func (c *conn) Close() error {
-	c.l.mu.Lock()
-	if i := slices.Index(c.l.open, c); i >= 0 {
-		c.l.open = slices.Delete(c.l.open, i, i+1)
+	c.listener.mu.Lock()
+	if i := slices.Index(c.listener.open, c); i >= 0 {
+		c.listener.open = slices.Delete(c.listener.open, i, i+1)
 	}
-	c.l.mu.Unlock()
+	c.listener.mu.Unlock()
 	return c.Conn.Close()
 }
 
@@ -75,10 +75,10 @@
 }
 
 // called marks the connection of a call that has come whole: it is not shed.
-func called(ctx context.Context) {
+func markComplete(ctx context.Context) {
 	if c, ok := ctx.Value(connKey{}).(*conn); ok {
-		c.l.mu.Lock()
-		c.called = true
-		c.l.mu.Unlock()
+		c.listener.mu.Lock()
+		c.complete = true
+		c.listener.mu.Unlock()
 	}
 }
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -108,7 +108,7 @@
 	debug.SetMemoryLimit(int64(memoryShare * float64(memory)))
 	sockets := cfg.Limits.Sockets - socketsKept
 	if cfg.Control != "" {
-		sockets -= control.Most
+		sockets -= control.MaxConnections
 	}
 
 	set := &cfg.Settings
@@ -217,7 +217,7 @@
 		}
 		operators := control.New(srv.AcceptsStreams, next, audit.calls(), log)
 		defer operators.Close() // calls are answered for as long as the process runs
-		go func() { _ = operators.Serve(control.Listener(cl)) }()
+		go func() { _ = operators.Serve(control.NewListener(cl)) }()
 		log.Info().Stringer("addr", cl.Addr()).Msg("listening for operators")
 	}
 	life, end := context.WithCancel(context.Background()) // discovery is heard until the last stream has ended
--- a/internal/lab/pollsim/asking.go
+++ b/internal/lab/pollsim/asking.go
@@ -19,7 +19,7 @@
 type Instance interface {
 	At() time.Duration
 	Ask(now time.Duration)
-	Ended(now time.Duration, e pacing.End)
+	Ended(now time.Duration, e pacing.Result)
 	Wait() time.Duration   // of a watch
 	Within() time.Duration // for a list; a watch may take half of it beyond its wait
 }
@@ -77,7 +77,7 @@
 	at  time.Duration
 	seq int
 	who int
-	end *pacing.End // nil: it asks
+	end *pacing.Result // nil: it asks
 }
 
 type queue []event
@@ -110,7 +110,7 @@
 // Play plays a case by a policy. The same case gives the same figures.
 func Play(c Case, p Policy) Figures {
 	s := &sim{Case: c, service: model.Listing{Calls: c.Calls, Call: c.Call, Line: c.Line, Beyond: c.Beyond}, rand: rand.New(rand.NewPCG(c.Seed, 1))}
-	f := pacing.Fleet{Instances: cmp.Or(c.Told, c.Instances), Rate: c.Rate, Burst: c.Burst, Watch: time.Second}
+	f := pacing.Fleet{Instances: cmp.Or(c.Told, c.Instances), Rate: c.Rate, Burst: c.Burst, MinWatchWait: time.Second}
 	s.all = make([]instance, c.Instances)
 	for i := range s.all {
 		begun := time.Duration(s.rand.Float64() * float64(c.Spread))
@@ -136,7 +136,7 @@
 func (s *sim) ended(e event) {
 	c := &s.all[e.who]
 	before := c.answered
-	if e.end.How == pacing.Told || e.end.How == pacing.Quiet {
+	if e.end.Outcome == pacing.Answered || e.end.Outcome == pacing.NoChange {
 		c.answered = e.at
 	}
 	if healed := s.CutAt + s.CutFor; e.who < s.Cut && before < healed && c.answered >= healed {
@@ -165,15 +165,15 @@
 func (s *sim) ask(now time.Duration, who int) {
 	c := &s.all[who]
 	c.Ask(now)
-	end := func(at time.Duration, e pacing.End) { s.push(event{at: at, who: who, end: &e}) }
+	end := func(at time.Duration, e pacing.Result) { s.push(event{at: at, who: who, end: &e}) }
 	if !s.up(now) {
 		s.out.Refused++
-		end(now, pacing.End{How: pacing.Down})
+		end(now, pacing.Result{Outcome: pacing.Unreachable})
 		return
 	}
 	if s.cut(who, now) {
 		s.out.Refused++
-		end(min(now+dialOut, max(now, s.CutAt+s.CutFor)), pacing.End{How: pacing.Down})
+		end(min(now+dialOut, max(now, s.CutAt+s.CutFor)), pacing.Result{Outcome: pacing.Unreachable})
 		return
 	}
 	s.out.Calls++
@@ -190,10 +190,10 @@
 	if !room {
 		s.out.Turned++
 		if s.Beyond == model.Silences {
-			end(now+wait+c.Within(), pacing.End{How: pacing.Silent, Took: c.Within()})
+			end(now+wait+c.Within(), pacing.Result{Outcome: pacing.TimedOut, Latency: c.Within()})
 			return
 		}
-		end(now, pacing.End{How: pacing.Turned})
+		end(now, pacing.Result{Outcome: pacing.Overloaded})
 		return
 	}
 	took, within := answered-now+s.Late, c.Within()
@@ -202,20 +202,20 @@
 	}
 	switch {
 	case !s.up(answered) || s.cut(who, answered):
-		end(answered, pacing.End{How: pacing.Down})
+		end(answered, pacing.Result{Outcome: pacing.Unreachable})
 	case took > within:
-		end(now+wait+within, pacing.End{How: pacing.Silent, Took: within})
+		end(now+wait+within, pacing.Result{Outcome: pacing.TimedOut, Latency: within})
 	case who < s.Cut && now >= s.CutAt+s.CutFor && c.answered < s.CutAt+s.CutFor: // it has missed news, and has them at once
-		end(now+took, pacing.End{How: pacing.Told})
+		end(now+took, pacing.Result{Outcome: pacing.Answered})
 	case s.cut(who, now+max(wait, took)): // it was cut off while it waited
-		end(now+wait+within, pacing.End{How: pacing.Silent, Took: within})
+		end(now+wait+within, pacing.Result{Outcome: pacing.TimedOut, Latency: within})
 	case c.listed < 0:
 		c.listed = now + took
-		end(c.listed, pacing.End{How: pacing.Told, Took: took})
+		end(c.listed, pacing.Result{Outcome: pacing.Answered, Latency: took})
 	case s.News > 0 && (now/s.News+1)*s.News < now+wait: // the next news come while it waits
-		end((now/s.News+1)*s.News, pacing.End{How: pacing.Told})
+		end((now/s.News+1)*s.News, pacing.Result{Outcome: pacing.Answered})
 	default:
-		end(now+max(wait, took), pacing.End{How: pacing.Quiet, Took: took})
+		end(now+max(wait, took), pacing.Result{Outcome: pacing.NoChange, Latency: took})
 	}
 }
 
--- a/internal/lab/pollsim/policies.go
+++ b/internal/lab/pollsim/policies.go
@@ -39,8 +39,8 @@
 	return time.Duration(p.rand.Float64() * float64(d))
 }
 
-func (p *plain) Ended(now time.Duration, e pacing.End) {
-	if e.How == pacing.Told || e.How == pacing.Quiet {
+func (p *plain) Ended(now time.Duration, e pacing.Result) {
+	if e.Outcome == pacing.Answered || e.Outcome == pacing.NoChange {
 		p.failed, p.next = 0, now
 		return
 	}
@@ -76,7 +76,7 @@
 	rank int
 }
 
-func (p *ranked) Ended(now time.Duration, e pacing.End) {
+func (p *ranked) Ended(now time.Duration, e pacing.Result) {
 	period := p.f.Period()
 	own := time.Duration(float64(p.rank) / float64(p.f.Instances) * float64(period))
 	p.next = (now-own+period)/period*period + own
@@ -84,7 +84,7 @@
 
 func ranks(f pacing.Fleet, number int, r *rand.Rand, now time.Duration) Instance {
 	p := &ranked{plain: plain{rand: r, watch: max(time.Second, 2*f.Period())}, f: f, rank: number}
-	p.Ended(now, pacing.End{})
+	p.Ended(now, pacing.Result{})
 	return p
 }
 
--- a/internal/lab/stubfleet/play.go
+++ b/internal/lab/stubfleet/play.go
@@ -181,7 +181,7 @@
 	if p.Paced == nil {
 		return settleFor
 	}
-	return max(settleFor, p.Paced.Fleet.Longest())
+	return max(settleFor, p.Paced.Fleet.MaxWatchWait())
 }
 
 // measure goes through the measured time and returns the revisions of the changes that were made.
--- a/internal/lab/stubfleet/play_test.go
+++ b/internal/lab/stubfleet/play_test.go
@@ -22,7 +22,7 @@
 func TestScenarios(t *testing.T) {
 	noLeaks(t)
 	for _, name := range Scenarios() {
-		for how, paced := range map[string]*cluster.Pacing{"": nil, ", paced": {Fleet: pacing.Fleet{Instances: 36, Rate: 100, Burst: 10, Watch: time.Second}}} {
+		for how, paced := range map[string]*cluster.Pacing{"": nil, ", paced": {Fleet: pacing.Fleet{Instances: 36, Rate: 100, Burst: 10, MinWatchWait: time.Second}}} {
 			t.Run(name+how, func(t *testing.T) {
 				t.Parallel() // they wait, mostly
 				c := small(name)
--- a/internal/pacing/handshakes.go
+++ b/internal/pacing/handshake_limit.go
@@ -7,14 +7,14 @@
 
 // Tunables of the handshake limit.
 const (
-	handshakeSpan = 100 * time.Millisecond // that the bound counts in
-	handshakeLate = 10 * time.Millisecond  // after its moment that an instance may open: more than a timer is late
+	handshakeWindow      = 100 * time.Millisecond // that the bound counts in
+	maxHandshakeLateness = 10 * time.Millisecond  // after its moment that an instance may open: more than a timer is late
 )
 
 // By which an instance chooses its hosts: usedLeast and usersWanted of package balance, whose tests compare them.
 const (
-	UsedLeast   = 8
-	UsersWanted = 6
+	MinHostsPerInstance    = 8
+	TargetInstancesPerHost = 6
 )
 
 // HandshakeLimit is a bound on new connections at one upstream host, from all instances together.
@@ -30,20 +30,20 @@
 	Numbered   bool // ranks and Instances are right, so that hosts are used evenly
 }
 
-// Users is how many instances open connections to one of so many hosts. Where hosts are chosen by names these may be equal or
+// InstancesPerHost is how many instances open connections to one of so many hosts. Where hosts are chosen by names these may be equal or
 // hash unevenly, so that a host may have any number of them: all are counted.
-func (d HandshakeLimit) Users(hosts int) float64 {
+func (d HandshakeLimit) InstancesPerHost(hosts int) float64 {
 	if !d.Numbered || hosts < 1 {
 		return float64(d.Instances)
 	}
-	used := max(UsedLeast, (UsersWanted*hosts+d.Instances-1)/d.Instances)
+	used := max(MinHostsPerInstance, (TargetInstancesPerHost*hosts+d.Instances-1)/d.Instances)
 	return float64(d.Instances) * float64(min(hosts, used)) / float64(hosts)
 }
 
 // Share is an instance's part of a bound.
 type Share struct {
-	AtOnce int           // connections in any Every; 0: no bound
-	Every  time.Duration // more than 100 ms: at a moment of it
+	Burst    int           // connections in any Every; 0: no bound
+	Interval time.Duration // more than 100 ms: at a moment of it
 }
 
 // Share is what one instance may open to one of so many hosts. One that is alone is not bounded.
@@ -51,11 +51,11 @@
 	if d.Handshakes <= 0 || d.Instances <= 1 {
 		return Share{}
 	}
-	users, most := d.Users(hosts), float64(d.Handshakes)
+	users, most := d.InstancesPerHost(hosts), float64(d.Handshakes)
 	if users <= most {
-		return Share{AtOnce: int(most / max(1, users)), Every: handshakeSpan}
+		return Share{Burst: int(most / max(1, users)), Interval: handshakeWindow}
 	}
-	return Share{AtOnce: 1, Every: time.Duration(math.Ceil(users / most * float64(handshakeSpan)))}
+	return Share{Burst: 1, Interval: time.Duration(math.Ceil(users / most * float64(handshakeWindow)))}
 }
 
 // HandshakeLimiter is one instance's at one host. Times are of a clock that never goes back.
@@ -65,38 +65,38 @@
 	opened []time.Duration // the last ones, oldest first
 }
 
-// At is when the next connection may be opened: now, or no more than a period later, two where the share has changed.
-func (d *HandshakeLimiter) At(s Share, now time.Duration) time.Duration {
-	if s.AtOnce == 0 {
+// Next is when the next connection may be opened: now, or no more than a period later, two where the share has changed.
+func (d *HandshakeLimiter) Next(s Share, now time.Duration) time.Duration {
+	if s.Burst == 0 {
 		return now
 	}
 	from := now // when the last ones allow it
-	if n := len(d.opened); n >= s.AtOnce {
-		from = max(now, d.opened[n-s.AtOnce]+s.Every)
+	if n := len(d.opened); n >= s.Burst {
+		from = max(now, d.opened[n-s.Burst]+s.Interval)
 	}
-	if s.Every <= handshakeSpan {
+	if s.Interval <= handshakeWindow {
 		return from
 	}
 	if n := len(d.opened); n > 0 { // a late one does not cost the next moment
-		from = max(now, d.opened[n-1]+s.Every-handshakeLate)
+		from = max(now, d.opened[n-1]+s.Interval-maxHandshakeLateness)
 	}
-	first := time.Duration(d.Phase * float64(s.Every))
-	gone := ((from-first)%s.Every + s.Every) % s.Every // since the moment before
-	if gone <= handshakeLate && (len(d.opened) == 0 || from-gone > d.opened[len(d.opened)-1]) {
+	first := time.Duration(d.Phase * float64(s.Interval))
+	gone := ((from-first)%s.Interval + s.Interval) % s.Interval // since the moment before
+	if gone <= maxHandshakeLateness && (len(d.opened) == 0 || from-gone > d.opened[len(d.opened)-1]) {
 		return from
 	}
-	return from - gone + s.Every
+	return from - gone + s.Interval
 }
 
-// Open tells whether a connection may be opened now, and notes that it is.
-func (d *HandshakeLimiter) Open(s Share, now time.Duration) bool {
-	if s.AtOnce == 0 {
+// Allow tells whether a connection may be opened now, and notes that it is.
+func (d *HandshakeLimiter) Allow(s Share, now time.Duration) bool {
+	if s.Burst == 0 {
 		return true
 	}
-	if d.At(s, now) > now {
+	if d.Next(s, now) > now {
 		return false
 	}
-	if extra := len(d.opened) + 1 - s.AtOnce; extra > 0 {
+	if extra := len(d.opened) + 1 - s.Burst; extra > 0 {
 		d.opened = append(d.opened[:0], d.opened[extra:]...)
 	}
 	d.opened = append(d.opened, now)
--- a/internal/pacing/handshakes_test.go
+++ b/internal/pacing/handshake_limit_test.go
@@ -15,7 +15,7 @@
 // moments no instance opens two within a period, less what it may be late, so that the mean does not, and the crest is
 // that of independent draws: a Poisson stream's, which exceeds the mean by five of its roots less than once in 1e4 windows. A
 // number told wrong by a factor of five is a bound wrong by that factor.
-func TestHandshakesOfAFleet(t *testing.T) {
+func TestFleetHandshakeRate(t *testing.T) {
 	for _, c := range []struct {
 		name                        string
 		up, told, hosts, handshakes int
@@ -32,7 +32,7 @@
 	} {
 		crest := c.most
 		share := HandshakeLimit{Handshakes: c.handshakes, Instances: c.told, Numbered: c.numbered}.Share(c.hosts)
-		if share.Every > handshakeSpan {
+		if share.Interval > handshakeWindow {
 			crest = 1.1*c.most + 5*math.Sqrt(1.1*c.most) // 100 ms and what a moment may be late
 		}
 		for seed := range uint64(3) {
@@ -42,24 +42,24 @@
 				d, now := HandshakeLimiter{Phase: r.Float64()}, time.Duration(r.Float64()*float64(time.Second))
 				var own []time.Duration
 				for now < 30*time.Second {
-					if at := d.At(share, now); at < now || at > now+share.Every {
-						t.Fatalf("%s: at %s the next is at %s, a period is %s", c.name, now, at, share.Every)
+					if at := d.Next(share, now); at < now || at > now+share.Interval {
+						t.Fatalf("%s: at %s the next is at %s, a period is %s", c.name, now, at, share.Interval)
 					} else if r.IntN(3) > 0 { // it waits for that, and is a little late
-						now = at + time.Duration(r.Float64()*1.2*float64(handshakeLate))
+						now = at + time.Duration(r.Float64()*1.2*float64(maxHandshakeLateness))
 					}
 					if now > 5*time.Second && now < 6*time.Second {
 						now = 6 * time.Second // a reset: all want one at once, and again
 					}
-					if d.Open(share, now) {
+					if d.Allow(share, now) {
 						own = append(own, now)
 					}
 					if r.IntN(8) == 0 {
 						now += time.Duration(r.Float64() * float64(time.Second))
 					}
 				}
-				for i := share.AtOnce; i < len(own); i++ {
-					if gap := own[i] - own[i-share.AtOnce]; gap < min(share.Every, max(handshakeSpan, share.Every-handshakeLate)) {
-						t.Fatalf("%s: one instance opens %d more in %s", c.name, share.AtOnce, gap)
+				for i := share.Burst; i < len(own); i++ {
+					if gap := own[i] - own[i-share.Burst]; gap < min(share.Interval, max(handshakeWindow, share.Interval-maxHandshakeLateness)) {
+						t.Fatalf("%s: one instance opens %d more in %s", c.name, share.Burst, gap)
 					}
 				}
 				all = append(all, own...)
@@ -67,7 +67,7 @@
 			slices.Sort(all)
 			worst, from := 0, 0
 			for i, at := range all {
-				for at-all[from] >= handshakeSpan {
+				for at-all[from] >= handshakeWindow {
 					from++
 				}
 				worst = max(worst, i-from+1)
@@ -81,34 +81,34 @@
 
 // A plain, slow oracle of a limiter: the first millisecond of the next ones in which its rule, as it is stated, lets one through.
 // It holds while the share changes with the list, too; and nobody waits longer than two periods.
-func TestHandshakeLimiterAt(t *testing.T) {
+func TestHandshakeLimiterNext(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := HandshakeLimiter{Phase: rapid.Float64Range(0, 0.999).Draw(t, "phase")}
 		now := span(t, "start", 0, time.Hour).Truncate(time.Millisecond)
 		var opened []time.Duration
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
-			s := Share{AtOnce: 1, Every: span(t, "every", 2*handshakeSpan, 3*time.Second).Truncate(time.Millisecond)}
+			s := Share{Burst: 1, Interval: span(t, "every", 2*handshakeWindow, 3*time.Second).Truncate(time.Millisecond)}
 			if rapid.Bool().Draw(t, "whole") {
-				s = Share{AtOnce: rapid.IntRange(1, 5).Draw(t, "at once"), Every: handshakeSpan}
+				s = Share{Burst: rapid.IntRange(1, 5).Draw(t, "at once"), Interval: handshakeWindow}
 			}
 			may := func(at time.Duration) bool {
 				n := len(opened)
-				if s.Every == handshakeSpan {
-					return n < s.AtOnce || at-opened[n-s.AtOnce] >= handshakeSpan
+				if s.Interval == handshakeWindow {
+					return n < s.Burst || at-opened[n-s.Burst] >= handshakeWindow
 				}
-				moment := time.Duration(d.Phase * float64(s.Every))
-				moment += time.Duration(math.Floor(float64(at-moment)/float64(s.Every))) * s.Every
-				return at-moment <= handshakeLate && (n == 0 || opened[n-1] < moment && at-opened[n-1] >= s.Every-handshakeLate)
+				moment := time.Duration(d.Phase * float64(s.Interval))
+				moment += time.Duration(math.Floor(float64(at-moment)/float64(s.Interval))) * s.Interval
+				return at-moment <= maxHandshakeLateness && (n == 0 || opened[n-1] < moment && at-opened[n-1] >= s.Interval-maxHandshakeLateness)
 			}
 			want := now
 			for !may(want) {
 				want += time.Millisecond
 			}
-			got := d.At(s, now)
-			if got > want || got <= want-time.Millisecond || got > now+2*s.Every {
+			got := d.Next(s, now)
+			if got > want || got <= want-time.Millisecond || got > now+2*s.Interval {
 				t.Fatalf("phase %v, %+v, opened %v, now %s: at %s, want %s", d.Phase, s, opened, now, got, want)
 			}
-			if d.Open(s, now) != (want == now) {
+			if d.Allow(s, now) != (want == now) {
 				t.Fatalf("open at %s, and may be at %s", now, want)
 			} else if want == now {
 				opened = append(opened, now)
@@ -119,7 +119,7 @@
 }
 
 // What an instance is told, and what is its part.
-func TestShares(t *testing.T) {
+func TestShare(t *testing.T) {
 	for _, c := range []struct {
 		limit HandshakeLimit
 		hosts int
@@ -127,8 +127,8 @@
 	}{
 		{HandshakeLimit{Instances: 300}, 12, Share{}},
 		{HandshakeLimit{Handshakes: 10, Instances: 1}, 12, Share{}},
-		{HandshakeLimit{Handshakes: 10, Instances: 3}, 12, Share{3, handshakeSpan}},
-		{HandshakeLimit{Handshakes: 10, Instances: 10}, 12, Share{1, handshakeSpan}},
+		{HandshakeLimit{Handshakes: 10, Instances: 3}, 12, Share{3, handshakeWindow}},
+		{HandshakeLimit{Handshakes: 10, Instances: 10}, 12, Share{1, handshakeWindow}},
 		{HandshakeLimit{Handshakes: 10, Instances: 200}, 48, Share{1, 2 * time.Second}},
 		{HandshakeLimit{Handshakes: 10, Instances: 300, Numbered: true}, 48, Share{1, 500 * time.Millisecond}}, // eight of 48 hosts each
 		{HandshakeLimit{Handshakes: 1, Instances: 10, Numbered: true}, 100, Share{1, 600 * time.Millisecond}},  // six each
--- a/internal/pacing/pace_test.go
+++ b/internal/pacing/pacer_test.go
@@ -10,7 +10,7 @@
 
 var fleets = rapid.Custom(func(t *rapid.T) Fleet {
 	return Fleet{Instances: rapid.IntRange(0, 5000).Draw(t, "instances"), Rate: rapid.Float64Range(1, 2000).Draw(t, "rate"),
-		Burst: rapid.IntRange(0, 500).Draw(t, "burst"), Watch: time.Second}
+		Burst: rapid.IntRange(0, 500).Draw(t, "burst"), MinWatchWait: time.Second}
 })
 
 func span(t *rapid.T, name string, least, most time.Duration) time.Duration {
@@ -32,14 +32,14 @@
 				t.Fatalf("after %s the next call is %s away; 0 to %s may be", after, wait, most)
 			}
 		}
-		waits("the start", f.window())
+		waits("the start", f.startWindow())
 		asked := time.Duration(-1)
-		slowest := max(period, waitMost/2)
+		slowest := max(period, maxCallInterval/2)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = p.At() + span(t, "late", 0, period/16)
 			if rapid.IntRange(0, 9).Draw(t, "stop") == 0 {
 				now += span(t, "stopped", time.Second, time.Minute)
-				p.Woke(now)
+				p.Resumed(now)
 				waits("a stop", 2*slowest)
 				continue
 			}
@@ -48,37 +48,37 @@
 			}
 			asked = now
 			p.Ask(now)
-			e := End{How: How(rapid.IntRange(0, int(Silent)).Draw(t, "how")), Took: span(t, "took", 0, 5*time.Second)}
-			if e.How == Turned {
+			e := Result{Outcome: Outcome(rapid.IntRange(0, int(TimedOut)).Draw(t, "how")), Latency: span(t, "took", 0, 5*time.Second)}
+			if e.Outcome == Overloaded {
 				e.RetryAfter = span(t, "advice", 0, 2*time.Minute)
 			}
-			now += e.Took
-			if e.How == Quiet {
+			now += e.Latency
+			if e.Outcome == NoChange {
 				now += p.Wait()
 			}
 			p.Ended(now, e)
-			waits("a call", max(2*slowest, min(adviceTop, e.RetryAfter)+slowest, againTop))
-			if e.RetryAfter > 0 && p.At() < now+min(adviceTop, e.RetryAfter) {
+			waits("a call", max(2*slowest, min(maxRetryAfter, e.RetryAfter)+slowest, maxRetryDelay))
+			if e.RetryAfter > 0 && p.At() < now+min(maxRetryAfter, e.RetryAfter) {
 				t.Fatalf("it asks after %s, and was told %s", p.At()-now, e.RetryAfter)
 			}
-			if w := p.Within(); w < within || w > withinTop {
+			if w := p.Within(); w < initialTimeout || w > maxTimeout {
 				t.Fatalf("an answer is waited for for %s", w)
 			}
-			if w := p.Wait(); w < f.Watch/2 || w > watchMost {
+			if w := p.Wait(); w < f.MinWatchWait/2 || w > maxWatchWait {
 				t.Fatalf("a watch waits for %s", w)
-			} else if p.rate == 1 && w > f.Longest() {
-				t.Fatalf("a watch waits for %s, longer than the longest, %s", w, f.Longest())
+			} else if p.rate == 1 && w > f.MaxWatchWait() {
+				t.Fatalf("a watch waits for %s, longer than the longest, %s", w, f.MaxWatchWait())
 			}
 		}
 	})
 }
 
 // A plain, slow oracle of an instance's moments: one period after the other from the first, until one fits.
-func TestMoments(t *testing.T) {
+func TestNextTurn(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := Fleet{Instances: rapid.IntRange(1, 300).Draw(t, "instances"), Rate: 100, Watch: time.Second}
+		f := Fleet{Instances: rapid.IntRange(1, 300).Draw(t, "instances"), Rate: 100, MinWatchWait: time.Second}
 		p := New(f, rand.New(rand.NewPCG(1, 1)), 0)
-		p.slot, p.next = span(t, "slot", 0, 10*time.Second), 0
+		p.turn, p.next = span(t, "slot", 0, 10*time.Second), 0
 		now := span(t, "now", 0, 10*time.Second)
 		from := now
 		if rapid.Bool().Draw(t, "asked") {
@@ -87,45 +87,45 @@
 			p.Ask(at)
 			from = max(now, at+f.Period())
 		}
-		want := p.slot
+		want := p.turn
 		for want < from {
 			want += f.Period()
 		}
 		for want-f.Period() >= from {
 			want -= f.Period()
 		}
-		if got := p.moment(now); got != want {
-			t.Fatalf("slot %s, now %s, from %s: %s, want %s", p.slot, now, from, got, want)
+		if got := p.nextTurn(now); got != want {
+			t.Fatalf("slot %s, now %s, from %s: %s, want %s", p.turn, now, from, got, want)
 		}
 	})
 }
 
 // What an instance does of its own rate: half after each call that is turned away or not answered, less after slow ones, an
 // eighth back with each quick answer, and nothing where nobody listens.
-func TestOwnRate(t *testing.T) {
-	quick, slow := End{How: Told}, End{How: Told, Took: time.Second}
-	turned, silent, down := End{How: Turned}, End{How: Silent}, End{How: Down}
+func TestAdaptiveRate(t *testing.T) {
+	quick, slow := Result{Outcome: Answered}, Result{Outcome: Answered, Latency: time.Second}
+	turned, silent, down := Result{Outcome: Overloaded}, Result{Outcome: TimedOut}, Result{Outcome: Unreachable}
 	for _, c := range []struct {
 		name   string
-		ends   []End
+		ends   []Result
 		rate   float64
 		within time.Duration
 	}{
-		{"down is free", []End{down, down, down}, 1, within},
-		{"turned away", []End{turned, turned}, 0.25, within},
-		{"never less than a sixteenth", []End{turned, turned, turned, turned, turned, turned}, rateLeast, within},
-		{"quick answers give it back", []End{turned, turned, quick, quick}, 0.5, within},
-		{"slow answers take some, and are waited for", []End{slow}, 0.75, within},
-		{"silence doubles the wait", []End{silent, silent}, 0.25, withinTop},
-		{"and a quick answer ends that", []End{silent, quick}, 0.625, within},
+		{"down is free", []Result{down, down, down}, 1, initialTimeout},
+		{"turned away", []Result{turned, turned}, 0.25, initialTimeout},
+		{"never less than a sixteenth", []Result{turned, turned, turned, turned, turned, turned}, minRate, initialTimeout},
+		{"quick answers give it back", []Result{turned, turned, quick, quick}, 0.5, initialTimeout},
+		{"slow answers take some, and are waited for", []Result{slow}, 0.75, initialTimeout},
+		{"silence doubles the wait", []Result{silent, silent}, 0.25, maxTimeout},
+		{"and a quick answer ends that", []Result{silent, quick}, 0.625, initialTimeout},
 	} {
-		p := New(Fleet{Instances: 100, Rate: 100, Watch: time.Second}, rand.New(rand.NewPCG(1, 1)), 0)
+		p := New(Fleet{Instances: 100, Rate: 100, MinWatchWait: time.Second}, rand.New(rand.NewPCG(1, 1)), 0)
 		for _, e := range c.ends {
 			p.Ask(p.At())
-			p.Ended(p.At()+e.Took, e)
+			p.Ended(p.At()+e.Latency, e)
 		}
-		if p.rate != c.rate || p.within != c.within {
-			t.Errorf("%s: rate %v, an answer is waited for for %s; want %v, %s", c.name, p.rate, p.within, c.rate, c.within)
+		if p.rate != c.rate || p.timeout != c.within {
+			t.Errorf("%s: rate %v, an answer is waited for for %s; want %v, %s", c.name, p.rate, p.timeout, c.rate, c.within)
 		}
 	}
 }
--- a/internal/pacing/advice.go
+++ b/internal/pacing/retry_after.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Advice reads a Retry-After in seconds, whole or decimal. Any other, and more than a day, is none.
-func Advice(text string) time.Duration {
+// ParseRetryAfter reads a Retry-After in seconds, whole or decimal. Any other, and more than a day, is none.
+func ParseRetryAfter(text string) time.Duration {
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(seconds > 0 && seconds <= 86400) { // NaN is neither
 		return 0
--- a/internal/settingsclient/conn.go
+++ b/internal/settingsclient/conn.go
@@ -152,7 +152,7 @@
 
 // read is what a whole answer says.
 func read(res *http.Response, body []byte) (answer, error) {
-	retryAfter := pacing.Advice(res.Header.Get("Retry-After"))
+	retryAfter := pacing.ParseRetryAfter(res.Header.Get("Retry-After"))
 	switch res.StatusCode {
 	case http.StatusNoContent:
 		return answer{retryAfter: retryAfter}, nil
--- a/internal/upstream/queue.go
+++ b/internal/upstream/queue.go
@@ -92,8 +92,8 @@
 
 // waitTimeout is how long the last in the queue waits. The times are since the pool's start.
 func (h *host) waitTimeout(share pacing.Share, now, connectTimeout time.Duration) time.Duration {
-	periodsAhead := time.Duration(max(0, len(h.queue)-1) / max(1, share.AtOnce))
-	if h.limiter.At(share, now)+periodsAhead*share.Every <= now+maxWaitTimeouts*connectTimeout {
+	periodsAhead := time.Duration(max(0, len(h.queue)-1) / max(1, share.Burst))
+	if h.limiter.Next(share, now)+periodsAhead*share.Interval <= now+maxWaitTimeouts*connectTimeout {
 		return maxWaitTimeouts * connectTimeout
 	}
 	return connectTimeout
@@ -105,8 +105,8 @@
 	h.queue = slices.DeleteFunc(h.queue, func(w *waiter) bool { return w.result == nil && h.hasIdle(w.kind) })
 	for share := p.handshakeLimit.Share(len(p.hosts)); len(h.queue) > 0; {
 		now := p.now().Sub(p.startTime)
-		if !h.limiter.Open(share, now) {
-			h.queueTimer.Reset(h.limiter.At(share, now) - now)
+		if !h.limiter.Allow(share, now) {
+			h.queueTimer.Reset(h.limiter.Next(share, now) - now)
 			return
 		}
 		w := h.queue[0]
--- a/internal/upstream/queue_test.go
+++ b/internal/upstream/queue_test.go
@@ -21,7 +21,7 @@
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		share := p.handshakeLimit.Share(1)
-		clock = clock.Truncate(share.Every) + 3*share.Every/2
+		clock = clock.Truncate(share.Interval) + 3*share.Interval/2
 		p.admit(1, p.hosts[1])
 	}
 }
@@ -181,7 +181,7 @@
 
 // An attempt waits longer where its turn comes soon, after those ahead of it, and otherwise for one connect time-out.
 func TestWaitTimeout(t *testing.T) {
-	one := pacing.Share{AtOnce: 1, Every: time.Second}
+	one := pacing.Share{Burst: 1, Interval: time.Second}
 	for _, c := range []struct {
 		share pacing.Share
 		line  int
@@ -191,8 +191,8 @@
 		{one, 1, 200 * time.Millisecond, 400 * time.Millisecond},
 		{one, 1, 50 * time.Millisecond, 100 * time.Millisecond},
 		{one, 2, 200 * time.Millisecond, 100 * time.Millisecond},
-		{pacing.Share{AtOnce: 2, Every: 100 * time.Millisecond}, 9, 0, 400 * time.Millisecond},
-		{pacing.Share{AtOnce: 2, Every: 100 * time.Millisecond}, 11, 0, 100 * time.Millisecond},
+		{pacing.Share{Burst: 2, Interval: 100 * time.Millisecond}, 9, 0, 400 * time.Millisecond},
+		{pacing.Share{Burst: 2, Interval: 100 * time.Millisecond}, 11, 0, 100 * time.Millisecond},
 	} {
 		h := &host{limiter: pacing.HandshakeLimiter{Phase: 0.5}, queue: make([]*waiter, c.line)}
 		if got := h.waitTimeout(c.share, c.now, 100*time.Millisecond); got != c.want {
