--- a/internal/pacing/handshake_limit_test.go
+++ b/internal/pacing/handshake_limit_test.go
@@ -10,41 +10,41 @@
 	"pgregory.net/rapid"
 )
 
-// A fleet whose instances start at any time, want connections at random, and all at once where the host resets them. A plain
-// count of each 100 ms is the oracle. While instances have whole numbers of connections in 100 ms nothing exceeds the bound; with
-// moments no instance opens two within a period, less what it may be late, so that the mean does not, and the crest is
-// that of independent draws: a Poisson stream's, which exceeds the mean by five of its roots less than once in 1e4 windows. A
-// number told wrong by a factor of five is a bound wrong by that factor.
+// A fleet whose instances start at any time, want connections at random, and all at once where the host resets them. A count of
+// each 100 ms is the oracle. While instances have whole numbers of connections in 100 ms nothing exceeds the bound; with turns no
+// instance opens two within a period, less what it may be late, so that the mean does not, and the maximum is that of independent
+// draws: of a Poisson process, which exceeds the mean by five of its roots less than once in 1e4 windows. A configured number that
+// is wrong by a factor of five makes the bound wrong by that factor.
 func TestFleetHandshakeRate(t *testing.T) {
 	for _, c := range []struct {
-		name                        string
-		up, told, hosts, handshakes int
-		numbered                    bool
-		most                        float64 // on average, in 100 ms
+		name                                   string
+		running, configured, hosts, handshakes int
+		numbered                               bool
+		maxMean                                float64 // in 100 ms
 	}{
 		{"whole numbers", 5, 5, 12, 20, true, 20},
 		{"one each", 20, 20, 12, 20, true, 20},
-		{"moments", 200, 200, 12, 10, false, 10},
+		{"turns", 200, 200, 12, 10, false, 10},
 		{"a subset of 48 hosts", 34, 200, 48, 10, true, 10},
 		{"a third up", 100, 300, 12, 10, false, 10 / 3.},
-		{"told a fifth", 200, 40, 12, 10, false, 50},
-		{"told five times as many", 40, 200, 12, 10, false, 2},
+		{"a fifth configured", 200, 40, 12, 10, false, 50},
+		{"five times as many configured", 40, 200, 12, 10, false, 2},
 	} {
-		crest := c.most
-		share := HandshakeLimit{Handshakes: c.handshakes, Instances: c.told, Numbered: c.numbered}.Share(c.hosts)
+		maxPeak := c.maxMean
+		share := HandshakeLimit{Handshakes: c.handshakes, Instances: c.configured, Numbered: c.numbered}.Share(c.hosts)
 		if share.Interval > handshakeWindow {
-			crest = 1.1*c.most + 5*math.Sqrt(1.1*c.most) // 100 ms and what a moment may be late
+			maxPeak = 1.1*c.maxMean + 5*math.Sqrt(1.1*c.maxMean) // 100 ms and what a turn may be late
 		}
 		for seed := range uint64(3) {
 			r := rand.New(rand.NewPCG(seed, 1))
 			var all []time.Duration
-			for range c.up {
+			for range c.running {
 				d, now := HandshakeLimiter{Phase: r.Float64()}, time.Duration(r.Float64()*float64(time.Second))
 				var own []time.Duration
 				for now < 30*time.Second {
 					if at := d.Next(share, now); at < now || at > now+share.Interval {
-						t.Fatalf("%s: at %s the next is at %s, a period is %s", c.name, now, at, share.Interval)
-					} else if r.IntN(3) > 0 { // it waits for that, and is a little late
+						t.Fatalf("%s: at %s the next is at %s, the period is %s", c.name, now, at, share.Interval)
+					} else if r.IntN(3) > 0 { // it waits for its turn, and is a little late
 						now = at + time.Duration(r.Float64()*1.2*float64(maxHandshakeLateness))
 					}
 					if now > 5*time.Second && now < 6*time.Second {
@@ -72,36 +72,36 @@
 				}
 				worst = max(worst, i-from+1)
 			}
-			if float64(worst) > crest || float64(worst) < c.most/2 {
-				t.Errorf("%s, seed %d: %d in 100 ms, %.1f may be", c.name, seed, worst, crest)
+			if float64(worst) > maxPeak || float64(worst) < c.maxMean/2 {
+				t.Errorf("%s, seed %d: %d in 100 ms, want %.1f at most", c.name, seed, worst, maxPeak)
 			}
 		}
 	}
 }
 
-// A plain, slow oracle of a limiter: the first millisecond of the next ones in which its rule, as it is stated, lets one through.
-// It holds while the share changes with the list, too; and nobody waits longer than two periods.
+// A simple, slow oracle of a limiter: the first of the next milliseconds in which its rule, as it is stated, allows a connection.
+// It holds while the share changes with the list, too; and no connection waits longer than two periods.
 func TestHandshakeLimiterNext(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := HandshakeLimiter{Phase: rapid.Float64Range(0, 0.999).Draw(t, "phase")}
-		now := span(t, "start", 0, time.Hour).Truncate(time.Millisecond)
+		now := drawDuration(t, "start", 0, time.Hour).Truncate(time.Millisecond)
 		var opened []time.Duration
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
-			s := Share{Burst: 1, Interval: span(t, "every", 2*handshakeWindow, 3*time.Second).Truncate(time.Millisecond)}
+			s := Share{Burst: 1, Interval: drawDuration(t, "every", 2*handshakeWindow, 3*time.Second).Truncate(time.Millisecond)}
 			if rapid.Bool().Draw(t, "whole") {
 				s = Share{Burst: rapid.IntRange(1, 5).Draw(t, "at once"), Interval: handshakeWindow}
 			}
-			may := func(at time.Duration) bool {
+			allowed := func(at time.Duration) bool {
 				n := len(opened)
 				if s.Interval == handshakeWindow {
 					return n < s.Burst || at-opened[n-s.Burst] >= handshakeWindow
 				}
-				moment := time.Duration(d.Phase * float64(s.Interval))
-				moment += time.Duration(math.Floor(float64(at-moment)/float64(s.Interval))) * s.Interval
-				return at-moment <= maxHandshakeLateness && (n == 0 || opened[n-1] < moment && at-opened[n-1] >= s.Interval-maxHandshakeLateness)
+				turn := time.Duration(d.Phase * float64(s.Interval))
+				turn += time.Duration(math.Floor(float64(at-turn)/float64(s.Interval))) * s.Interval
+				return at-turn <= maxHandshakeLateness && (n == 0 || opened[n-1] < turn && at-opened[n-1] >= s.Interval-maxHandshakeLateness)
 			}
 			want := now
-			for !may(want) {
+			for !allowed(want) {
 				want += time.Millisecond
 			}
 			got := d.Next(s, now)
@@ -109,16 +109,16 @@
 				t.Fatalf("phase %v, %+v, opened %v, now %s: at %s, want %s", d.Phase, s, opened, now, got, want)
 			}
 			if d.Allow(s, now) != (want == now) {
-				t.Fatalf("open at %s, and may be at %s", now, want)
+				t.Fatalf("allowed at %s, want %s", now, want)
 			} else if want == now {
 				opened = append(opened, now)
 			}
-			now += span(t, "pass", 0, 4*time.Second).Truncate(time.Millisecond)
+			now += drawDuration(t, "pass", 0, 4*time.Second).Truncate(time.Millisecond)
 		}
 	})
 }
 
-// What an instance is told, and what is its part.
+// The configured numbers, and an instance's share.
 func TestShare(t *testing.T) {
 	for _, c := range []struct {
 		limit HandshakeLimit
--- a/internal/pacing/pacer.go
+++ b/internal/pacing/pacer.go
@@ -1,14 +1,16 @@
-// Package pace decides when one instance of a fleet asks the list service, and for how long it may be kept waiting there; and
-// when it opens a connection to an upstream host (HandshakeLimit). It
-// is pure: times and answers in, times out. No instance knows of another one: what a fleet may ask together follows from
-// what the settings tell each of them, and from the service's own answers.
+// Package pacing decides when one instance of a fleet calls the shared list service, and for how long a call may wait there
+// (Pacer); and when it opens a connection to an upstream host (HandshakeLimiter). The cluster and upstream packages call it.
 //
-// Time is divided into slots. An instance has one moment in each period of instances / rate seconds, drawn at random, and
-// asks at such moments alone: whatever happens, two of its calls are seven eighths of a period apart at least, so that n
-// instances make no more than n calls in that time. Moments drawn at random, and not by rank, hold where ranks are equal or missing, clocks
-// differ, or a third of the fleet is there. What the service turns away or answers late halves the instance's own rate, and
-// each quick answer gives an eighth of it back: additive increase, multiplicative decrease (Chiu and Jain 1989), at each
-// instance by itself, for a fleet whose number is told wrong or a service that can do less than was stated.
+// It is pure: times and results of calls in, times out; random draws come from the caller's source. No instance knows of another
+// one: how often a fleet may call together follows from what the settings tell each instance, and from the service's own
+// responses. The types are not safe for concurrent use.
+//
+// Each instance has one turn in each period of instances / rate seconds, drawn at random, and calls at its turns alone: whatever
+// happens, two of its calls are at least seven eighths of a period apart, so that n instances make no more than n calls in that
+// time. Turns that are drawn at random, and not by rank, work where ranks are equal or missing, clocks differ, or only a third of
+// the fleet is up. A call that the service rejects or answers late halves the instance's own rate, and each quick response gives
+// an eighth of it back: additive increase, multiplicative decrease (Chiu and Jain 1989), at each instance by itself, for a fleet
+// whose size is configured wrong or a service that can do less than was stated.
 package pacing
 
 import (
@@ -16,81 +18,84 @@
 	"time"
 )
 
-// Tunables.
 const (
-	watchRateShare   = 0.5                    // of the rate, for watches that end without news
-	maxWatchWait     = 55 * time.Second       // that a watch waits; the protocol allows 60 s
-	maxCallInterval  = 15 * time.Second       // between two calls, whatever the service answers, but for what it asks for itself
-	maxRetryAfter    = time.Minute            // that a Retry-After is followed
-	minRate          = 1.0 / 16               // of an instance's own part of the rate
-	maxLateness      = 1.0 / 8                // of a period that a call may go out late
-	maxDrift         = 1.0 / 16               // of a period by which a moment drifts with each call but the first for which nobody was there
-	rateIncrease     = 1.0 / 8                // that a quick answer gives back
-	slowResponse     = 500 * time.Millisecond // an answer that takes longer tells of a line, whatever the service is
-	slowDecrease     = 0.75                   // of the rate after such an answer
-	overloadDecrease = 0.5                    // and after one that was turned away
-	initialTimeout   = 5 * time.Second        // a list is waited for so long at first, for to ask again costs the service as much again,
-	maxTimeout       = 16 * time.Second       // and up to so long where the service is seen to be slow
-	baseRetryDelay   = 100 * time.Millisecond // after a failure, for a fleet so small that a period is less,
-	maxRetryDelay    = 800 * time.Millisecond // and after many in a row
+	watchRateShare  = 0.5              // of the rate, for watches that end without changes
+	maxWatchWait    = 55 * time.Second // the protocol allows 60 s
+	maxCallInterval = 15 * time.Second // whatever the service responds, but for a Retry-After
+	maxRetryAfter   = time.Minute      // that is followed
+	maxLateness     = 1.0 / 8          // of a period, by which a call may be late without losing the next turn
+	maxDrift        = 1.0 / 16         // of a period, by which the turn drifts with each call but the first that found nobody listening
+
+	minRate          = 1.0 / 16               // of an instance's own share of the rate
+	rateIncrease     = 1.0 / 8                // with a quick response
+	slowResponse     = 500 * time.Millisecond // a response that takes longer shows a queue, at any service
+	slowDecrease     = 0.75                   // factor of the rate after such a response
+	overloadDecrease = 0.5                    // and after a call that was rejected or timed out
+
+	initialTimeout = 5 * time.Second        // of a list: a retry costs the service as much again,
+	maxTimeout     = 16 * time.Second       // and where the service is seen to be slow
+	baseRetryDelay = 100 * time.Millisecond // after a failure, for a fleet so small that a period is less,
+	maxRetryDelay  = 800 * time.Millisecond // and after many in a row
+
+	maxBackoffShift = 8 // of the exponential backoff
 )
 
-// Fleet is what an instance is told.
+// Fleet is what the settings tell an instance of its fleet.
 type Fleet struct {
-	Instances    int           // that ask the same service
-	Rate         float64       // calls a second that all of them may make together
-	Burst        int           // calls at once that the service has room for
-	MinWatchWait time.Duration // that a watch waits at least
+	Instances    int     // that call the same service
+	Rate         float64 // calls a second that all of them may make together
+	Burst        int     // simultaneous calls for which the service has capacity
+	MinWatchWait time.Duration
 }
 
-// Period is the time in which each instance may ask once.
+// Period is the time in which each instance may make one call.
 func (f Fleet) Period() time.Duration {
 	return time.Duration(float64(max(1, f.Instances)) / f.Rate * float64(time.Second))
 }
 
-// MaxWatchWait is how long a watch waits for news at most, while the service is quick.
+// MaxWatchWait is how long a watch waits for changes at most, while the service is quick.
 func (f Fleet) MaxWatchWait() time.Duration {
 	return min(maxWatchWait, max(f.MinWatchWait, time.Duration(float64(f.Period())/watchRateShare))+f.Period())
 }
 
-// window is the time over which first calls are spread: what the service has room for at once need not be.
+// startWindow is the time over which first calls are spread: those for which the service has capacity at once need not be.
 func (f Fleet) startWindow() time.Duration {
 	return time.Duration(float64(max(0, f.Instances-f.Burst)) / f.Rate * float64(time.Second))
 }
 
-// Outcome says how a call ended.
+// Outcome is how a call ended.
 type Outcome uint8
 
-// The ends of a call.
+// The outcomes.
 const (
-	Answered    Outcome = iota // a list, or changes: to a question that does not wait, or news
-	NoChange                   // a watch ran out with no news
-	Overloaded                 // the service had no room: it said so, or broke off a question that does not wait
-	Unreachable                // nobody listens there, or the connection was lost while there was nothing to say
-	TimedOut                   // no answer in time
+	Answered    Outcome = iota // with a list, or with changes
+	NoChange                   // a watch timed out without changes
+	Overloaded                 // the service rejected the call, or closed the connection of one that does not wait
+	Unreachable                // nobody listens, or the connection of a watch was lost
+	TimedOut
 )
 
-// Result is how a call ended.
+// Result is how a call ended, and how long it took.
 type Result struct {
 	Outcome    Outcome
-	Latency    time.Duration // the service's: less the wait that a watch asked for, and the time for which this process was stopped
-	RetryAfter time.Duration // that the service asks for; 0 is nothing
+	Latency    time.Duration // of the service: without the wait of a watch, and without the time for which this process was stopped
+	RetryAfter time.Duration // that the service has asked for; 0: none
 }
 
-// Pacer is one instance's. Times are of a clock that never goes back.
+// Pacer decides when one instance makes its calls. Its times are of a monotonic clock.
 type Pacer struct {
 	fleet    Fleet
 	rand     *rand.Rand
-	rate     float64 // of its own part
-	timeout  time.Duration
-	failures int // in a row
-	called   bool
-	lastCall time.Duration // when it asked last
-	turn     time.Duration // one of its moments
-	next     time.Duration
+	rate     float64       // share of the instance's own rate, from minRate to 1
+	timeout  time.Duration // of a list
+	failures int           // in a row
+	called   bool          // lastCall is set
+	lastCall time.Duration
+	turn     time.Duration // one of its turns; the others are periods away
+	next     time.Duration // when the next call is to be made
 }
 
-// New returns an instance's that asks for the first time within the window from now on.
+// New returns the pacer of an instance that makes its first call within the start window from now on.
 func New(f Fleet, r *rand.Rand, now time.Duration) *Pacer {
 	p := &Pacer{fleet: f, rand: r, rate: 1, timeout: initialTimeout}
 	p.next = now + p.randomUpTo(f.startWindow())
@@ -98,38 +103,56 @@
 	return p
 }
 
-// Next is when the next call goes out.
+// At returns when the next call is to be made.
 func (p *Pacer) At() time.Duration { return p.next }
 
-// WatchWait is how long the next watch is to wait for news: so long that all watches together take a part of the rate, and a
-// little less than a number of periods, so that its end comes before the instance's next moment.
+// Wait returns how long the next watch is to wait for changes: so long that all watches together take watchRateShare of the rate,
+// and a little less than a number of periods, so that it ends before the instance's next turn.
 func (p *Pacer) Wait() time.Duration {
 	period := p.period()
 	long := min(maxWatchWait, max(p.fleet.MinWatchWait, time.Duration(float64(period)/watchRateShare)))
-	if period < p.fleet.MinWatchWait/4 { // moments are everywhere, and what is drawn spreads the ends
+	if period < p.fleet.MinWatchWait/4 { // turns are so frequent that the jitter alone spreads the ends of watches
 		return p.jitter(long)
 	}
 	return min(maxWatchWait, (long+period-1)/period*period-period/16)
 }
 
-// Timeout is how long a list may take. Half of it is what a watch may take beyond its wait.
+// Within returns the time-out of a list. Half of it is the time-out of a watch beyond its wait.
 func (p *Pacer) Within() time.Duration { return p.timeout }
 
-// Sent notes that a call goes out. One that goes out a little after its moment does not cost the instance the next one.
+// Ask records that a call is made. One that is a little late does not cost the instance its next turn.
 func (p *Pacer) Ask(now time.Duration) {
 	p.called, p.lastCall = true, max(p.next, now-time.Duration(maxLateness*float64(p.period())))
 }
 
-// Done takes how the call ended, after which At says when the next one goes out.
-func (p *Pacer) Ended(now time.Duration, e Result) {
-	failed := p.failures
+// Ended records how the call ended, after which At returns when the next one is to be made.
+func (p *Pacer) Ended(now time.Duration, r Result) {
+	failuresBefore := p.failures
+	p.adapt(r)
+	switch {
+	case r.Outcome == Overloaded || r.Outcome == TimedOut: // others had the same turn, perhaps: this one draws another
+		p.turn = now + p.randomUpTo(p.period())
+	case r.Outcome == Unreachable && failuresBefore > 0: // nor may the turn be in step with a service that comes and goes
+		p.turn = p.lastCall + p.period() + p.randomUpTo(time.Duration(maxDrift*float64(p.period())))
+	}
+	p.next = p.nextTurn(now)
+	if p.failures > 0 {
+		p.next = max(p.next, now+p.jitter(min(maxRetryDelay, baseRetryDelay<<min(failuresBefore, maxBackoffShift))))
+	}
+	if r.RetryAfter > 0 {
+		p.next = max(p.next, now+min(maxRetryAfter, r.RetryAfter)+p.randomUpTo(p.period()))
+	}
+}
+
+// adapt changes the rate and the time-out by how a call ended. An unreachable service changes neither: the call cost it nothing.
+func (p *Pacer) adapt(r Result) {
 	p.failures++
-	switch e.Outcome {
+	switch r.Outcome {
 	case Answered, NoChange:
 		p.failures = 0
-		if e.Latency > slowResponse {
+		if r.Latency > slowResponse {
 			p.rate *= slowDecrease
-			p.timeout = min(maxTimeout, max(p.timeout, 2*e.Latency))
+			p.timeout = min(maxTimeout, max(p.timeout, 2*r.Latency))
 		} else {
 			p.rate += rateIncrease
 			p.timeout = initialTimeout
@@ -139,38 +162,24 @@
 	case TimedOut:
 		p.rate *= overloadDecrease
 		p.timeout = min(maxTimeout, 2*p.timeout)
-	case Unreachable: // it costs the service nothing to be asked, so that the instance need not stand back
-		if failed > 0 { // nor may it be in step with a service that comes and goes
-			p.turn = p.lastCall + p.period() + p.randomUpTo(time.Duration(maxDrift*float64(p.period())))
-		}
 	}
 	p.rate = max(minRate, min(1, p.rate))
-	if e.Outcome == Overloaded || e.Outcome == TimedOut { // others had the same moment, perhaps: it draws another
-		p.turn = now + p.randomUpTo(p.period())
-	}
-	p.next = p.nextTurn(now)
-	if p.failures > 0 {
-		p.next = max(p.next, now+p.jitter(min(maxRetryDelay, baseRetryDelay<<min(failed, 8))))
-	}
-	if e.RetryAfter > 0 {
-		p.next = max(p.next, now+min(maxRetryAfter, e.RetryAfter)+p.randomUpTo(p.period()))
-	}
 }
 
-// Resumed says that the process has not run for a while: whoever was stopped with it wakes now, too, and each draws another
-// moment.
+// Resumed records that the process was stopped for a while: instances that were stopped with it resume now, too, and each draws
+// another turn.
 func (p *Pacer) Resumed(now time.Duration) {
 	p.turn = now + p.randomUpTo(p.period())
 	p.next = p.nextTurn(now)
 }
 
-// period is the present time between two calls.
+// period returns the present time between two calls.
 func (p *Pacer) period() time.Duration {
 	own := p.fleet.Period()
 	return max(own, min(maxCallInterval/2, time.Duration(float64(own)/p.rate)))
 }
 
-// moment is the instance's first one that is no sooner than now, and a period after its last call.
+// nextTurn returns the instance's first turn that is not before now, nor less than a period after its last call.
 func (p *Pacer) nextTurn(now time.Duration) time.Duration {
 	period := p.period()
 	if p.called {
@@ -182,10 +191,10 @@
 	return now + (period-(now-p.turn)%period)%period
 }
 
-// randomUpTo is a random time from 0 to most.
-func (p *Pacer) randomUpTo(most time.Duration) time.Duration {
-	return time.Duration(p.rand.Float64() * float64(most))
+// randomUpTo returns a random time from 0 to d.
+func (p *Pacer) randomUpTo(d time.Duration) time.Duration {
+	return time.Duration(p.rand.Float64() * float64(d))
 }
 
-// spread is a random time between three quarters of most and most.
-func (p *Pacer) jitter(most time.Duration) time.Duration { return 3*most/4 + p.randomUpTo(most/4) }
+// jitter returns a random time between three quarters of d and d.
+func (p *Pacer) jitter(d time.Duration) time.Duration { return 3*d/4 + p.randomUpTo(d/4) }
--- a/internal/pacing/pacer_test.go
+++ b/internal/pacing/pacer_test.go
@@ -13,56 +13,56 @@
 		Burst: rapid.IntRange(0, 500).Draw(t, "burst"), MinWatchWait: time.Second}
 })
 
-func span(t *rapid.T, name string, least, most time.Duration) time.Duration {
-	return time.Duration(rapid.Int64Range(int64(least), int64(most)).Draw(t, name))
+func drawDuration(t *rapid.T, name string, minimum, maximum time.Duration) time.Duration {
+	return time.Duration(rapid.Int64Range(int64(minimum), int64(maximum)).Draw(t, name))
 }
 
-// However calls end and the process is stopped, and though calls go out up to a sixteenth of a period late, an instance
-// leaves three quarters of a period between any two, so that n of them make n calls in that time at most; and none waits
-// longer than stated for its next one: two periods, or what the service asks for and a period.
+// However calls end and the process is stopped, and though calls are made up to a sixteenth of a period late, an instance leaves
+// three quarters of a period between any two, so that n of them make n calls in that time at most; and none waits longer than
+// stated for its next one: two periods, or the Retry-After and a period.
 func TestSpacing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := fleets.Draw(t, "fleet")
 		period := f.Period()
-		now := span(t, "start", 0, 1<<50)
+		now := drawDuration(t, "start", 0, 1<<50)
 		p := New(f, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)), now)
-		waits := func(after string, most time.Duration) {
+		expectWait := func(after string, maximum time.Duration) {
 			t.Helper()
-			if wait := p.At() - now; wait < 0 || wait > most {
-				t.Fatalf("after %s the next call is %s away; 0 to %s may be", after, wait, most)
+			if wait := p.At() - now; wait < 0 || wait > maximum {
+				t.Fatalf("after %s the next call is %s away, want 0 to %s", after, wait, maximum)
 			}
 		}
-		waits("the start", f.startWindow())
-		asked := time.Duration(-1)
+		expectWait("the start", f.startWindow())
+		lastCall := time.Duration(-1)
 		slowest := max(period, maxCallInterval/2)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			now = p.At() + span(t, "late", 0, period/16)
+			now = p.At() + drawDuration(t, "late", 0, period/16)
 			if rapid.IntRange(0, 9).Draw(t, "stop") == 0 {
-				now += span(t, "stopped", time.Second, time.Minute)
+				now += drawDuration(t, "stopped", time.Second, time.Minute)
 				p.Resumed(now)
-				waits("a stop", 2*slowest)
+				expectWait("a stop", 2*slowest)
 				continue
 			}
-			if asked >= 0 && now-asked < 3*period/4 {
-				t.Fatalf("calls at %s and %s, a period is %s", asked, now, period)
+			if lastCall >= 0 && now-lastCall < 3*period/4 {
+				t.Fatalf("calls at %s and %s, a period is %s", lastCall, now, period)
 			}
-			asked = now
+			lastCall = now
 			p.Ask(now)
-			e := Result{Outcome: Outcome(rapid.IntRange(0, int(TimedOut)).Draw(t, "how")), Latency: span(t, "took", 0, 5*time.Second)}
+			e := Result{Outcome: Outcome(rapid.IntRange(0, int(TimedOut)).Draw(t, "how")), Latency: drawDuration(t, "took", 0, 5*time.Second)}
 			if e.Outcome == Overloaded {
-				e.RetryAfter = span(t, "advice", 0, 2*time.Minute)
+				e.RetryAfter = drawDuration(t, "advice", 0, 2*time.Minute)
 			}
 			now += e.Latency
 			if e.Outcome == NoChange {
 				now += p.Wait()
 			}
 			p.Ended(now, e)
-			waits("a call", max(2*slowest, min(maxRetryAfter, e.RetryAfter)+slowest, maxRetryDelay))
+			expectWait("a call", max(2*slowest, min(maxRetryAfter, e.RetryAfter)+slowest, maxRetryDelay))
 			if e.RetryAfter > 0 && p.At() < now+min(maxRetryAfter, e.RetryAfter) {
-				t.Fatalf("it asks after %s, and was told %s", p.At()-now, e.RetryAfter)
+				t.Fatalf("the next call is after %s, the Retry-After was %s", p.At()-now, e.RetryAfter)
 			}
 			if w := p.Within(); w < initialTimeout || w > maxTimeout {
-				t.Fatalf("an answer is waited for for %s", w)
+				t.Fatalf("the time-out is %s", w)
 			}
 			if w := p.Wait(); w < f.MinWatchWait/2 || w > maxWatchWait {
 				t.Fatalf("a watch waits for %s", w)
@@ -73,16 +73,16 @@
 	})
 }
 
-// A plain, slow oracle of an instance's moments: one period after the other from the first, until one fits.
+// A simple, slow oracle of an instance's turns: one period after the other from the first, until one fits.
 func TestNextTurn(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := Fleet{Instances: rapid.IntRange(1, 300).Draw(t, "instances"), Rate: 100, MinWatchWait: time.Second}
 		p := New(f, rand.New(rand.NewPCG(1, 1)), 0)
-		p.turn, p.next = span(t, "slot", 0, 10*time.Second), 0
-		now := span(t, "now", 0, 10*time.Second)
+		p.turn, p.next = drawDuration(t, "slot", 0, 10*time.Second), 0
+		now := drawDuration(t, "now", 0, 10*time.Second)
 		from := now
 		if rapid.Bool().Draw(t, "asked") {
-			at := span(t, "last", 0, now)
+			at := drawDuration(t, "last", 0, now)
 			p.next = at
 			p.Ask(at)
 			from = max(now, at+f.Period())
@@ -100,8 +100,8 @@
 	})
 }
 
-// What an instance does of its own rate: half after each call that is turned away or not answered, less after slow ones, an
-// eighth back with each quick answer, and nothing where nobody listens.
+// How an instance adapts its rate: it halves after each call that is rejected or times out, falls less after slow ones, rises by
+// an eighth with each quick response, and stays where nobody listens.
 func TestAdaptiveRate(t *testing.T) {
 	quick, slow := Result{Outcome: Answered}, Result{Outcome: Answered, Latency: time.Second}
 	turned, silent, down := Result{Outcome: Overloaded}, Result{Outcome: TimedOut}, Result{Outcome: Unreachable}
@@ -111,13 +111,13 @@
 		rate   float64
 		within time.Duration
 	}{
-		{"down is free", []Result{down, down, down}, 1, initialTimeout},
-		{"turned away", []Result{turned, turned}, 0.25, initialTimeout},
+		{"an unreachable service changes nothing", []Result{down, down, down}, 1, initialTimeout},
+		{"overload", []Result{turned, turned}, 0.25, initialTimeout},
 		{"never less than a sixteenth", []Result{turned, turned, turned, turned, turned, turned}, minRate, initialTimeout},
-		{"quick answers give it back", []Result{turned, turned, quick, quick}, 0.5, initialTimeout},
-		{"slow answers take some, and are waited for", []Result{slow}, 0.75, initialTimeout},
-		{"silence doubles the wait", []Result{silent, silent}, 0.25, maxTimeout},
-		{"and a quick answer ends that", []Result{silent, quick}, 0.625, initialTimeout},
+		{"quick responses give it back", []Result{turned, turned, quick, quick}, 0.5, initialTimeout},
+		{"slow responses take some, and are waited for", []Result{slow}, 0.75, initialTimeout},
+		{"a time-out doubles the time-out", []Result{silent, silent}, 0.25, maxTimeout},
+		{"and a quick response ends that", []Result{silent, quick}, 0.625, initialTimeout},
 	} {
 		p := New(Fleet{Instances: 100, Rate: 100, MinWatchWait: time.Second}, rand.New(rand.NewPCG(1, 1)), 0)
 		for _, e := range c.ends {
@@ -125,7 +125,7 @@
 			p.Ended(p.At()+e.Latency, e)
 		}
 		if p.rate != c.rate || p.timeout != c.within {
-			t.Errorf("%s: rate %v, an answer is waited for for %s; want %v, %s", c.name, p.rate, p.timeout, c.rate, c.within)
+			t.Errorf("%s: rate %v, the time-out is %s; want %v, %s", c.name, p.rate, p.timeout, c.rate, c.within)
 		}
 	}
 }
--- a/internal/pacing/retry_after.go
+++ b/internal/pacing/retry_after.go
@@ -5,10 +5,13 @@
 	"time"
 )
 
-// ParseRetryAfter reads a Retry-After in seconds, whole or decimal. Any other, and more than a day, is none.
+const maxAdviceSeconds = 24 * 60 * 60
+
+// ParseRetryAfter parses a Retry-After header (RFC 9110, section 10.2.3) in seconds, whole or decimal. It returns 0 for a date,
+// any other text, and more than a day.
 func ParseRetryAfter(text string) time.Duration {
 	seconds, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(seconds > 0 && seconds <= 86400) { // NaN is neither
+	if err != nil || !(seconds > 0 && seconds <= maxAdviceSeconds) { // false for NaN, too
 		return 0
 	}
 	return time.Duration(seconds * float64(time.Second))
