--- a/internal/control/audit_test.go
+++ b/internal/control/audit_test.go
@@ -4,18 +4,15 @@
 	"encoding/json"
 	"fmt"
 	"math"
-	"net"
 	"net/http"
 	"strings"
 	"testing"
 
-	"github.com/rs/zerolog"
-
 	"pinelb.example/pinelb/internal/auditlog"
 	"pinelb.example/pinelb/internal/version"
 )
 
-// auditee refuses orders of the epochs 1 and 2, and counts.
+// auditRecorder refuses orders of the epochs 1 and 2, and counts the others.
 type auditRecorder struct {
 	orders int
 	since  uint64
@@ -37,17 +34,11 @@
 	return nil
 }
 
-// Guards against an auditor's call that is answered wrongly, or that a process without [audit] answers at all.
+// Guards against a wrong response to an auditor's call, or any in a process without [audit].
 func TestAuditCalls(t *testing.T) {
 	a := &auditRecorder{}
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	srv := New(func() bool { return true }, &hostRecorder{}, a, zerolog.Nop())
-	go func() { _ = srv.Serve(NewListener(l)) }()
-	t.Cleanup(func() { _ = srv.Close() })
-	off := serve(t, &hostRecorder{}, true)
+	addr := serve(t, &hostRecorder{}, a, true)
+	withoutAudit := serve(t, &hostRecorder{}, nil, true)
 	order := func(epoch int) string {
 		return fmt.Sprintf(`{"floor":{"epoch":%d,"by":"a","site":"here","grace_ms":0,"spread_ms":0,"for_ms":1000}}`, epoch)
 	}
@@ -75,18 +66,18 @@
 	} {
 		text := fmt.Sprintf("%s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", c.call, len(c.body), c.body)
 		a.since = 0
-		status, answer := call(t, l.Addr().String(), text)
+		status, answer := call(t, addr, text)
 		if status != c.status || !strings.Contains(answer, c.names) || strings.Count(answer, "\n") != 1 || a.since != c.since {
 			t.Errorf("%s %s: %d %q, since %d, want %d and %q", c.call, c.body, status, answer, a.since, c.status, c.names)
 		}
 		if status == http.StatusOK && !json.Valid([]byte(answer)) {
 			t.Errorf("%s: %q", c.call, answer)
 		}
-		if status, answer := call(t, off, text); status != 404 || !strings.Contains(answer, "/admin/uncordon") {
-			t.Errorf("without [audit] %s is answered %d %q", c.call, status, answer)
+		if status, answer := call(t, withoutAudit, text); status != 404 || !strings.Contains(answer, "/admin/uncordon") {
+			t.Errorf("without [audit] %s gets %d %q", c.call, status, answer)
 		}
 	}
 	if a.orders != 1 {
-		t.Errorf("%d orders were taken", a.orders)
+		t.Errorf("%d orders were taken over", a.orders)
 	}
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,11 +1,14 @@
-// Package control is where operators call: an HTTP/1.1 server on an address of its own, one call to a connection, with
-// connections set aside that the clients' side never has. It decides nothing; it tells the table of upstream hosts.
+// Package control is the control endpoint of a process: an HTTP/1.1 server on an address of its own, with one call to a
+// connection, and with connections reserved that clients never have. Operators cordon upstream hosts there, and auditors read and
+// set what the process acts on. internal/daemon wires it up. The package decides nothing: it calls Hosts and Audit.
+//
+// Invariants: a complete call gets a response of one line, or JSON; connections without a complete call keep no call out.
 package control
 
 import (
+	"errors"
 	"fmt"
 	stdlog "log"
-	"net"
 	"net/http"
 	"net/url"
 	"time"
@@ -14,28 +17,52 @@
 )
 
 const (
-	// MaxConnections is how many connections there are at once. One more takes the place of the oldest that has no whole call yet,
-	// so that those who hold connections keep no call out; a call that comes whole is answered long before its turn.
+	// MaxConnections is how many connections are open at once. One more evicts the oldest without a complete call, so that
+	// clients who hold connections keep no call out; a complete call gets its response long before its turn.
 	MaxConnections = 24
 
-	readTimeout    = 2 * time.Second // a call whole, from its connection's opening on
-	maxHeaderBytes = 4 << 10         // bytes of a call
-	maxNameBytes   = 256             // bytes of an endpoint's id
+	readTimeout    = 2 * time.Second // of a complete call, from its connection's opening on
+	writeTimeout   = 2 * readTimeout // of its response, from its head on
+	maxHeaderBytes = 4 << 10
+	maxNameBytes   = 256 // of an endpoint's id
 )
 
-// Hosts are the upstream hosts by the ids that discovery gives them. Both return false where nobody has such a host, and
-// have taken effect when they return.
+// The paths.
+const (
+	healthPath     = "/admin/health"
+	cordonPath     = "/admin/cordon"
+	uncordonPath   = "/admin/uncordon"
+	auditPath      = "/admin/audit"
+	minVersionPath = "/admin/floor"
+)
+
+// Why a call is invalid. The texts are part of the response.
+var (
+	errUnexpectedBody = errors.New("a call has no body")
+	errNoName         = errors.New("name is missing")
+	errRepeatedName   = errors.New("name stands more than once")
+	errNameTooLong    = fmt.Errorf("name is longer than %d bytes", maxNameBytes)
+)
+
+// Hosts are the upstream hosts by discovery's ids. Both methods return false for an unknown host, and have taken effect when they
+// return.
 type Hosts interface {
 	Cordon(id string) bool
 	Uncordon(id string) bool
 }
 
-// New returns a server for a listener that Listener has made; ready tells whether this process takes clients. With no audit
-// auditors' calls are unknown paths.
+// New returns a server for a listener that NewListener has made. ready reports whether the process accepts clients. With a nil
+// audit, auditors' paths are unknown.
 func New(ready func() bool, hosts Hosts, audit Audit, log zerolog.Logger) *http.Server {
-	c := &handler{ready: ready, hosts: hosts, audit: audit, log: log}
-	srv := &http.Server{Handler: c, ReadTimeout: readTimeout, WriteTimeout: 2 * readTimeout, MaxHeaderBytes: maxHeaderBytes,
-		DisableGeneralOptionsHandler: true, ConnContext: withConn, ErrorLog: stdlog.New(log, "", 0)}
+	srv := &http.Server{
+		Handler:                      &handler{ready: ready, hosts: hosts, audit: audit, log: log},
+		ReadTimeout:                  readTimeout,
+		WriteTimeout:                 writeTimeout,
+		MaxHeaderBytes:               maxHeaderBytes,
+		DisableGeneralOptionsHandler: true,
+		ConnContext:                  withConn,
+		ErrorLog:                     stdlog.New(log, "", 0),
+	}
 	srv.SetKeepAlivesEnabled(false)
 	return srv
 }
@@ -47,71 +74,70 @@
 	log   zerolog.Logger
 }
 
-// ServeHTTP answers one call with a line: 2xx is yes, 4xx or 5xx is no and says why.
-func (c *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if c.audit != nil && (r.URL.Path == auditPath || r.URL.Path == minVersionPath) {
-		c.serveAudit(w, r)
+// ServeHTTP responds to one call with a line: a status of 2xx means that it was carried out; otherwise the line says why it was
+// not.
+func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if h.audit != nil && (r.URL.Path == auditPath || r.URL.Path == minVersionPath) {
+		h.serveAudit(w, r)
 		return
 	}
 	markComplete(r.Context())
-	status, line := c.handle(r)
-	if r.URL.Path != "/admin/health" {
-		c.log.Info().Str("call", r.Method+" "+r.URL.RequestURI()).Int("status", status).Str("answer", line).Msg("operator's call")
+	status, line := h.handle(r)
+	if r.URL.Path != healthPath {
+		h.log.Info().Str("call", r.Method+" "+r.URL.RequestURI()).Int("status", status).Str("answer", line).Msg("operator's call")
 	}
 	w.Header().Set("Content-Type", "text/plain")
 	w.WriteHeader(status)
-	_, _ = fmt.Fprintln(w, line) // an error here is the caller's leaving
+	_, _ = fmt.Fprintln(w, line) // an error says that the caller has left
 }
 
-func (c *handler) handle(r *http.Request) (status int, line string) {
+// handle carries out an operator's call.
+func (h *handler) handle(r *http.Request) (status int, line string) {
 	var method string
-	var do func(id string) bool
+	var action func(id string) bool // nil: a health check
 	switch r.URL.Path {
-	case "/admin/health":
+	case healthPath:
 		method = http.MethodGet
-	case "/admin/cordon":
-		method, do = http.MethodPost, c.hosts.Cordon
-	case "/admin/uncordon":
-		method, do = http.MethodPost, c.hosts.Uncordon
+	case cordonPath:
+		method, action = http.MethodPost, h.hosts.Cordon
+	case uncordonPath:
+		method, action = http.MethodPost, h.hosts.Uncordon
 	default:
-		return http.StatusNotFound, "unknown path: there are /admin/health, /admin/cordon and /admin/uncordon"
+		return http.StatusNotFound, "unknown path: there are " + healthPath + ", " + cordonPath + " and " + uncordonPath
 	}
 	switch {
 	case r.Method != method:
 		return http.StatusMethodNotAllowed, "the method must be " + method
 	case r.ContentLength != 0:
-		return http.StatusBadRequest, "a call has no body"
-	case do == nil && !c.ready():
+		return http.StatusBadRequest, errUnexpectedBody.Error()
+	case action == nil && !h.ready():
 		return http.StatusServiceUnavailable, "this process takes no clients"
-	case do == nil:
+	case action == nil:
 		return http.StatusOK, "ok"
 	}
 	id, err := endpointName(r.URL.RawQuery)
 	switch {
 	case err != nil:
 		return http.StatusBadRequest, err.Error()
-	case !do(id):
+	case !action(id):
 		return http.StatusNotFound, fmt.Sprintf("name: nobody has an endpoint %q", id)
 	}
 	return http.StatusOK, "ok"
 }
 
-// name is the endpoint's id that a query gives.
+// endpointName returns the endpoint's id of a query.
 func endpointName(query string) (string, error) {
 	q, err := url.ParseQuery(query)
 	switch ids := q["name"]; {
 	case err != nil:
 		return "", fmt.Errorf("the query is malformed: %w", err)
 	case len(ids) == 0 || ids[0] == "":
-		return "", fmt.Errorf("name is missing")
+		return "", errNoName
 	case len(ids) > 1:
-		return "", fmt.Errorf("name stands more than once")
+		return "", errRepeatedName
 	case len(ids[0]) > maxNameBytes:
-		return "", fmt.Errorf("name is longer than %d bytes", maxNameBytes)
+		return "", errNameTooLong
 	default:
 		return ids[0], nil
 	}
 }
-
-// NewListener bounds the connections of l to Most.
-func NewListener(l net.Listener) net.Listener { return &listener{Listener: l} }
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -13,7 +13,7 @@
 	"github.com/rs/zerolog"
 )
 
-// hosts knows one host and keeps what is said of it.
+// hostRecorder has one host, and records the calls for it.
 type hostRecorder struct{ calls []string }
 
 func (h *hostRecorder) Cordon(id string) bool   { return h.record("out ", id) }
@@ -27,26 +27,27 @@
 	return true
 }
 
-func serve(t *testing.T, h Hosts, ready bool) string {
+// serve runs a server until the end of the test, and returns its address. A nil audit turns auditors' calls off.
+func serve(t *testing.T, h Hosts, audit Audit, ready bool) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	srv := New(func() bool { return ready }, h, nil, zerolog.Nop())
+	srv := New(func() bool { return ready }, h, audit, zerolog.Nop())
 	go func() { _ = srv.Serve(NewListener(l)) }()
 	t.Cleanup(func() { _ = srv.Close() })
 	return l.Addr().String()
 }
 
-// call sends so many bytes and returns the status and the line of the answer.
+// call sends a text and returns the status and the line of the response.
 func call(t *testing.T, addr, text string) (status int, line string) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
 	}
@@ -61,10 +62,10 @@
 	return res.StatusCode, string(body)
 }
 
-// Guards against a faulty call that changes anything, or whose answer doesn't name the fault in one line.
+// Guards against an invalid call that changes anything, or whose response doesn't name the error in one line.
 func TestCalls(t *testing.T) {
 	h := &hostRecorder{}
-	addr := serve(t, h, true)
+	addr := serve(t, h, nil, true)
 	for _, c := range []struct {
 		text   string
 		status int
@@ -101,38 +102,38 @@
 		}
 	}
 	if len(h.calls) != 2 || h.calls[0] != "out s 1" || h.calls[1] != "back s 1" {
-		t.Errorf("the hosts were told %q", h.calls)
+		t.Errorf("the hosts got %q", h.calls)
 	}
-	if status, _ := call(t, serve(t, h, false), "GET /admin/health HTTP/1.1\r\nHost: x\r\n\r\n"); status != 503 {
-		t.Errorf("a process that takes no clients says %d", status)
+	if status, _ := call(t, serve(t, h, nil, false), "GET /admin/health HTTP/1.1\r\nHost: x\r\n\r\n"); status != 503 {
+		t.Errorf("a process that accepts no clients has status %d", status)
 	}
 }
 
-// Guards against callers who hold connections without a whole call and so keep out those who have one: five times as
-// many as there may be, and calls between them.
+// Guards against callers who hold connections without a complete call and so keep out those who have one: five times as many as
+// there may be, and calls between them.
 func TestIncompleteCallsAreEvicted(t *testing.T) {
-	addr := serve(t, &hostRecorder{}, true)
+	addr := serve(t, &hostRecorder{}, nil, true)
 	for i := range 5 * MaxConnections {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 		if _, err := io.WriteString(c, "POST /admin/cordon?name="[:i%24]); err != nil {
 			t.Fatal(err)
 		}
 		if i%7 == 0 {
 			if status, _ := call(t, addr, "POST /admin/cordon?name=s%201 HTTP/1.1\r\nHost: x\r\n\r\n"); status != 200 {
-				t.Errorf("after %d holders a call gets %d", i+1, status)
+				t.Errorf("after %d such connections a call gets %d", i+1, status)
 			}
 		}
 	}
 }
 
-// Guards against a call that waits for those who hold connections, or for a flood of calls: each is answered, and the test
-// tells how soon (docs/design/daily-service.md). Holders come in bursts, so that a call has many before it and after it.
+// Guards against a call that waits for connections without one: each call gets a response, and the test reports how soon
+// (docs/design/daily-service.md). The connections come in bursts, so that a call has many before it and after it.
 func TestCallLatencyUnderFlood(t *testing.T) {
-	addr := serve(t, &hostRecorder{}, true)
+	addr := serve(t, &hostRecorder{}, nil, true)
 	var took []time.Duration
 	for range 40 {
 		for range MaxConnections {
@@ -140,7 +141,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer c.Close()
+			defer func() { _ = c.Close() }()
 		}
 		from := time.Now()
 		if status, _ := call(t, addr, "POST /admin/cordon?name=s%201 HTTP/1.1\r\nHost: x\r\n\r\n"); status != 200 {
--- a/internal/control/listener.go
+++ b/internal/control/listener.go
@@ -11,7 +11,9 @@
 // minConnTime is how long a connection has at least to bring its call.
 const minConnTime = 20 * time.Millisecond
 
-// listener holds Most connections at most.
+// NewListener returns a listener with at most MaxConnections connections of l.
+func NewListener(l net.Listener) net.Listener { return &listener{Listener: l} }
+
 type listener struct {
 	net.Listener
 
@@ -24,10 +26,10 @@
 	net.Conn
 	listener *listener
 	since    time.Time
-	complete bool // a whole call has come: it is about to be answered
+	complete bool // a complete call has come, and is about to get its response
 }
 
-// Accept returns the next connection, and closes another for it where there are too many.
+// Accept returns the next connection, and evicts another one for it where there are too many.
 func (l *listener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err != nil {
@@ -35,13 +37,13 @@
 	}
 	c := &conn{Conn: nc, listener: l, since: time.Now()}
 	for wait := l.add(c); wait > 0; wait = l.add(c) {
-		time.Sleep(wait) // callers wait in the queue meanwhile
+		time.Sleep(wait) // callers wait in the accept queue meanwhile
 	}
 	return c, nil
 }
 
-// add takes a connection in, in the place of another where there are too many, or says how long that other one is to be
-// left yet: where many come at once, a whole call among them must have been read before its turn comes.
+// add adds a connection and evicts another one where there are too many, or returns how long that one is still to be left open:
+// where many come at once, each must have had time to bring a complete call.
 func (l *listener) add(c *conn) (wait time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,7 +59,7 @@
 	return 0
 }
 
-// Close is net/http's, at the end of a connection, or the second one of a connection that was shed.
+// Close closes the connection. net/http calls it also for one that was evicted.
 func (c *conn) Close() error {
 	c.listener.mu.Lock()
 	if i := slices.Index(c.listener.open, c); i >= 0 {
@@ -69,12 +71,12 @@
 
 type connKey struct{}
 
-// withConn is for http.Server.ConnContext.
+// withConn adds a connection to the context of its call. It is an http.Server.ConnContext.
 func withConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// called marks the connection of a call that has come whole: it is not shed.
+// markComplete records that a call is complete: its connection is evicted only after those without one.
 func markComplete(ctx context.Context) {
 	if c, ok := ctx.Value(connKey{}).(*conn); ok {
 		c.listener.mu.Lock()
