--- a/internal/cluster/failures_test.go
+++ b/internal/cluster/failures_test.go
@@ -168,7 +168,7 @@
 	for {
 		select {
 		case <-w.lists:
-			if held := table.Snapshot().List.Members; !slices.ContainsFunc(held, func(m Member) bool { return m.ID == "s-5be2a07c" && m.State == balance.Ready }) {
+			if listed := table.Snapshot().List.Members; !slices.ContainsFunc(listed, func(m Member) bool { return m.ID == "s-5be2a07c" && m.State == balance.Ready }) {
 				return time.Now()
 			}
 		case <-late:
--- a/internal/cluster/paced_watch_test.go
+++ b/internal/cluster/paced_watch_test.go
@@ -35,29 +35,29 @@
 		again   int  // hosts in the list that the decisions get after that, none of them a guess; 0: there is none
 		newConn bool // the call comes on another connection than the one before
 	}
-	const whole, busy = "/catalog/members", "503 Busy\r\nRetry-After: 0.1"
-	first := step{target: whole, body: list(41, true, 4, "Ready"), hosts: 4}
+	const fullList, busy = "/catalog/members", "503 Busy\r\nRetry-After: 0.1"
+	first := step{target: fullList, body: list(41, true, 4, "Ready"), hosts: 4}
 	for name, c := range map[string]struct {
 		since int64
 		steps []step
 	}{
-		"overload keeps the connection": {0, []step{{target: whole, status: busy, hosts: -1}, {target: whole, status: busy, hosts: -1}, first}},
-		"an invalid response does not":  {0, []step{{target: whole, body: "nonsense", hosts: -1}, {target: whole, body: list(41, true, 4, "Ready"), hosts: 4, newConn: true}}},
-		"a cached list is not fetched again": {41, []step{{target: whole + "?since=41&timeout_ms=0", body: list(43, false, 1, "Terminating"), hosts: 1, again: 2},
-			{target: whole + "?since=43&timeout_ms=", body: list(43, false, 0, ""), hosts: 0}}},
-		"a service that does not know the revision sends the complete list": {41, []step{{target: whole + "?since=41&timeout_ms=0", body: list(7, true, 4, "Ready"), hosts: 4},
-			{target: whole + "?since=7&", body: list(7, false, 0, ""), hosts: 0}}},
-		"one that has forgotten it and sends changes gets another call": {41, []step{{target: whole + "?since=41&timeout_ms=0", body: list(3, false, 0, ""), hosts: -1},
-			{target: whole, body: list(3, true, 4, "Ready"), hosts: 4}}},
-		"so does one in the middle of a watch": {0, []step{first, {target: whole + "?since=41&", body: list(2, false, 0, ""), hosts: -1},
-			{target: whole, body: list(2, true, 4, "Ready"), hosts: 4}}},
-		"an empty list is confirmed, and not taken over when it was a mistake": {0, []step{first, {target: whole + "?since=41&", body: list(44, true, 0, ""), hosts: -1},
-			{target: whole, body: list(42, true, 4, "Ready"), hosts: 4}}},
-		"and taken over when it comes twice": {0, []step{first, {target: whole + "?since=41&", body: list(44, true, 0, ""), hosts: -1}, {target: whole, body: list(44, true, 0, ""), hosts: 0}}},
-		"a list of a quarter is suspicious":  {0, []step{first, {target: whole + "?since=41&", body: list(44, true, 1, "Ready"), hosts: -1}, {target: whole, body: list(44, true, 4, "Ready"), hosts: 4}}},
-		"one of half is not":                 {0, []step{first, {target: whole + "?since=41&", body: list(44, true, 2, "Ready"), hosts: 2}}},
-		"an older list is suspicious":        {0, []step{first, {target: whole + "?since=41&", body: list(40, true, 4, "Ready"), hosts: -1}, {target: whole, body: list(41, true, 4, "Ready"), hosts: 4}}},
-		"drains by changes are not":          {0, []step{first, {target: whole + "?since=41&", body: list(44, false, 4, "Terminating"), hosts: 4}}},
+		"overload keeps the connection": {0, []step{{target: fullList, status: busy, hosts: -1}, {target: fullList, status: busy, hosts: -1}, first}},
+		"an invalid response does not":  {0, []step{{target: fullList, body: "nonsense", hosts: -1}, {target: fullList, body: list(41, true, 4, "Ready"), hosts: 4, newConn: true}}},
+		"a cached list is not fetched again": {41, []step{{target: fullList + "?since=41&timeout_ms=0", body: list(43, false, 1, "Terminating"), hosts: 1, again: 2},
+			{target: fullList + "?since=43&timeout_ms=", body: list(43, false, 0, ""), hosts: 0}}},
+		"a service that does not know the revision sends the complete list": {41, []step{{target: fullList + "?since=41&timeout_ms=0", body: list(7, true, 4, "Ready"), hosts: 4},
+			{target: fullList + "?since=7&", body: list(7, false, 0, ""), hosts: 0}}},
+		"one that has forgotten it and sends changes gets another call": {41, []step{{target: fullList + "?since=41&timeout_ms=0", body: list(3, false, 0, ""), hosts: -1},
+			{target: fullList, body: list(3, true, 4, "Ready"), hosts: 4}}},
+		"so does one in the middle of a watch": {0, []step{first, {target: fullList + "?since=41&", body: list(2, false, 0, ""), hosts: -1},
+			{target: fullList, body: list(2, true, 4, "Ready"), hosts: 4}}},
+		"an empty list is confirmed, and not taken over when it was a mistake": {0, []step{first, {target: fullList + "?since=41&", body: list(44, true, 0, ""), hosts: -1},
+			{target: fullList, body: list(42, true, 4, "Ready"), hosts: 4}}},
+		"and taken over when it comes twice": {0, []step{first, {target: fullList + "?since=41&", body: list(44, true, 0, ""), hosts: -1}, {target: fullList, body: list(44, true, 0, ""), hosts: 0}}},
+		"a list of a quarter is suspicious":  {0, []step{first, {target: fullList + "?since=41&", body: list(44, true, 1, "Ready"), hosts: -1}, {target: fullList, body: list(44, true, 4, "Ready"), hosts: 4}}},
+		"one of half is not":                 {0, []step{first, {target: fullList + "?since=41&", body: list(44, true, 2, "Ready"), hosts: 2}}},
+		"an older list is suspicious":        {0, []step{first, {target: fullList + "?since=41&", body: list(40, true, 4, "Ready"), hosts: -1}, {target: fullList, body: list(41, true, 4, "Ready"), hosts: 4}}},
+		"drains by changes are not":          {0, []step{first, {target: fullList + "?since=41&", body: list(44, false, 4, "Terminating"), hosts: 4}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a := newScriptedAgent(t)
@@ -78,7 +78,7 @@
 			var conn net.Conn
 			for i, s := range c.steps {
 				at := <-a.calls
-				if !strings.HasPrefix(at.target, s.target) || s.target == whole && at.target != whole {
+				if !strings.HasPrefix(at.target, s.target) || s.target == fullList && at.target != fullList {
 					t.Fatalf("step %d: the call is %s, want %s", i, at.target, s.target)
 				}
 				if i > 0 && (at.conn != conn) != s.newConn {
--- a/internal/cluster/stall_test.go
+++ b/internal/cluster/stall_test.go
@@ -48,9 +48,9 @@
 const drainUpdate = `{"revision":43,"complete":false,"members":[{"id":"s-5be2a07c","host_port":"127.0.1.18:8080","phase":"Terminating"}]}`
 
 // serve is an agent's side of one connection: it responds to as many calls as there are responses, and stalls at the next.
-func (s stall) serve(conn net.Conn, answers ...string) {
+func (s stall) serve(conn net.Conn, responses ...string) {
 	in := bufio.NewReader(conn)
-	for _, body := range answers {
+	for _, body := range responses {
 		if _, err := http.ReadRequest(in); err != nil {
 			return
 		}
@@ -108,10 +108,10 @@
 				return nil, ctx.Err()
 			}
 			ours, theirs := net.Pipe()
-			answers := map[int][]string{0: {document}, len(row): {drainUpdate}}
+			responses := map[int][]string{0: {document}, len(row): {drainUpdate}}
 			go func() {
 				defer theirs.Close()
-				s.serve(theirs, answers[n]...)
+				s.serve(theirs, responses[n]...)
 				left.Store(time.Now().UnixNano())
 			}()
 			return ours, nil
@@ -132,30 +132,30 @@
 // and a drain would be undone.
 func TestUnexpectedResponses(t *testing.T) {
 	const (
-		whole = "/catalog/members"
-		empty = `{"revision":%d,"complete":false,"members":[]}`
-		other = `{"revision":5,"complete":true,"members":[{"id":"b","host_port":"127.0.1.19:8080","phase":"Ready"}]}`
+		fullList = "/catalog/members"
+		empty    = `{"revision":%d,"complete":false,"members":[]}`
+		other    = `{"revision":5,"complete":true,"members":[{"id":"b","host_port":"127.0.1.19:8080","phase":"Ready"}]}`
 	)
 	type step struct {
-		target    string // prefix of the call's target; whole is all of it
+		target    string // prefix of the call's target; fullList is all of it
 		responses []string
 		listed    string // the hosts that are listed from then on, and their states
 	}
 	const ready, draining, both = "s-5be2a07c 1", "s-5be2a07c 2", "b 1 s-5be2a07c 1"
-	first := step{whole, []string{document}, ready}
+	first := step{fullList, []string{document}, ready}
 	for name, steps := range map[string][]step{
-		"a change from before":       {first, {whole + "?since=41&", []string{fmt.Sprintf(empty, 7)}, ready}, {whole, []string{other}, "b 1"}, {whole + "?since=5&", nil, ""}},
-		"a change with no revision":  {first, {whole + "?since=41&", []string{`{"members":[]}`}, ready}, {whole, []string{other}, "b 1"}, {whole + "?since=5&", nil, ""}},
-		"a change that says nothing": {first, {whole + "?since=41&", []string{fmt.Sprintf(empty, 41)}, ready}, {whole + "?since=41&", nil, ""}},
-		"a change that skips some":   {first, {whole + "?since=41&", []string{drainUpdate}, draining}, {whole + "?since=43&", nil, ""}},
-		"a late answer after the true one": {first, {whole + "?since=41&", []string{drainUpdate, document}, draining}, {whole + "?since=43&", nil, draining},
-			{whole, []string{strings.Replace(drainUpdate, "false", "true", 1)}, draining}, {whole + "?since=43&", nil, ""}},
-		"the same answer twice": {first, {whole + "?since=41&", []string{drainUpdate, drainUpdate}, draining}, {whole + "?since=43&", nil, draining},
-			{whole + "?since=43&", nil, ""}},
-		"a part for the whole": {{whole, []string{strings.Replace(document, "true", "false", 1)}, ready}, {whole, []string{other}, "b 1"},
-			{whole + "?since=5&", nil, ""}},
-		"a part of another agent's": {first, {whole + "?since=41&", []string{strings.NewReplacer("5,", "42,", "true", "false").Replace(other)}, both},
-			{whole + "?since=42&", nil, ""}},
+		"a change from before":      {first, {fullList + "?since=41&", []string{fmt.Sprintf(empty, 7)}, ready}, {fullList, []string{other}, "b 1"}, {fullList + "?since=5&", nil, ""}},
+		"a change with no revision": {first, {fullList + "?since=41&", []string{`{"members":[]}`}, ready}, {fullList, []string{other}, "b 1"}, {fullList + "?since=5&", nil, ""}},
+		"an empty change":           {first, {fullList + "?since=41&", []string{fmt.Sprintf(empty, 41)}, ready}, {fullList + "?since=41&", nil, ""}},
+		"a change that skips some":  {first, {fullList + "?since=41&", []string{drainUpdate}, draining}, {fullList + "?since=43&", nil, ""}},
+		"a late response after the current one": {first, {fullList + "?since=41&", []string{drainUpdate, document}, draining}, {fullList + "?since=43&", nil, draining},
+			{fullList, []string{strings.Replace(drainUpdate, "false", "true", 1)}, draining}, {fullList + "?since=43&", nil, ""}},
+		"the same response twice": {first, {fullList + "?since=41&", []string{drainUpdate, drainUpdate}, draining}, {fullList + "?since=43&", nil, draining},
+			{fullList + "?since=43&", nil, ""}},
+		"a part instead of the complete list": {{fullList, []string{strings.Replace(document, "true", "false", 1)}, ready}, {fullList, []string{other}, "b 1"},
+			{fullList + "?since=5&", nil, ""}},
+		"a part of another agent's": {first, {fullList + "?since=41&", []string{strings.NewReplacer("5,", "42,", "true", "false").Replace(other)}, both},
+			{fullList + "?since=42&", nil, ""}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a := newScriptedAgent(t)
@@ -164,7 +164,7 @@
 			listed := ""
 			for i, s := range steps {
 				c := <-a.calls // by then the responses before are taken over, or are not
-				if !strings.HasPrefix(c.target, s.target) || s.target == whole && c.target != whole {
+				if !strings.HasPrefix(c.target, s.target) || s.target == fullList && c.target != fullList {
 					t.Fatalf("step %d: the call is %s, want %s", i, c.target, s.target)
 				}
 				if got := memberStates(table); got != listed {
--- a/internal/cluster/version_test.go
+++ b/internal/cluster/version_test.go
@@ -82,20 +82,20 @@
 			watcher.Log, watcher.Pacing = zerolog.New(&log), paced
 			watcher.OnUpdate = func(sentAt time.Time) { updates <- sentAt }
 			stop := startWatcher(watcher, func() {})
-			const whole = "/catalog/members"
+			const fullList = "/catalog/members"
 			list := func(n int) string { return fmt.Sprintf(`{"revision":%d,"complete":true,"members":[]}`, n) }
 			first := <-a.calls
 			first.respond(list(1))
 			<-w.lists
 			<-updates
 			waiting := <-a.calls
-			if waiting.target == whole {
+			if waiting.target == fullList {
 				t.Fatalf("the call is %s", waiting.target)
 			}
 			requested := time.Now()
 			watcher.Refresh()
 			again := <-a.calls
-			if again.target != whole {
+			if again.target != fullList {
 				t.Fatalf("after a refresh the call is %s", again.target)
 			}
 			watcher.Refresh() // and again, while that call is in flight
@@ -104,12 +104,12 @@
 			if sentAt := <-updates; sentAt.Before(requested) {
 				t.Errorf("a call that was sent %v before counts", requested.Sub(sentAt))
 			}
-			if last := <-a.calls; last.target != whole {
+			if last := <-a.calls; last.target != fullList {
 				t.Errorf("then the call is %s", last.target)
 			} else {
 				last.respond(list(3))
 			}
-			if got := <-a.calls; got.target == whole {
+			if got := <-a.calls; got.target == fullList {
 				t.Error("the complete list is fetched again")
 			}
 			stop()
--- a/internal/downstream/drain_bench_test.go
+++ b/internal/downstream/drain_bench_test.go
@@ -72,7 +72,7 @@
 	for b.Loop() {
 		s := New(set, NewManager(set, 1<<20, 100, zerolog.Nop()), handlerFunc(func(context.Context, *stream.Request) stream.Response {
 			time.Sleep(2 * time.Millisecond)
-			return stream.Response{Body: []byte("whole")}
+			return stream.Response{Body: []byte("complete")}
 		}), zerolog.Nop())
 		l := listen(b)
 		ctx, end := context.WithCancel(context.Background())
@@ -86,8 +86,8 @@
 		}
 		clients.Wait()
 	}
-	for what, count := range map[string]int64{"whole": n.complete.Load(), "refused": n.refused.Load(), "failed": n.failed.Load(),
+	for result, count := range map[string]int64{"complete": n.complete.Load(), "refused": n.refused.Load(), "failed": n.failed.Load(),
 		"unanswered": n.unanswered.Load(), "lost": n.lost.Load()} {
-		b.ReportMetric(float64(count)/float64(b.N), what+"/end")
+		b.ReportMetric(float64(count)/float64(b.N), result+"/end")
 	}
 }
--- a/internal/downstream/drain_race_test.go
+++ b/internal/downstream/drain_race_test.go
@@ -228,14 +228,14 @@
 // listener.
 func TestAcceptRacesDrain(t *testing.T) {
 	c := newDrainRace(t, 1)
-	held, release := make(chan struct{}, 2), make(chan struct{})
+	serving, release := make(chan struct{}, 2), make(chan struct{})
 	c.serve = func() {
-		held <- struct{}{}
+		serving <- struct{}{}
 		<-release
 	}
 	first, firstIn, _ := c.dial(false)
 	send(first, rawRequest)
-	<-held
+	<-serving
 	second, secondIn, _ := c.dial(false)
 	send(second, rawRequest)
 	c.stop()
@@ -252,9 +252,9 @@
 // Guards against connections in the kernel's accept queue, whose limit is reached, being reset with what their clients have
 // written as the listener closes.
 func TestAcceptQueueRacesDrain(t *testing.T) {
-	held, release := make(chan struct{}, 9), make(chan struct{})
+	serving, release := make(chan struct{}, 9), make(chan struct{})
 	s := newServer(func(context.Context, *stream.Request) stream.Response {
-		held <- struct{}{}
+		serving <- struct{}{}
 		<-release
 		return stream.Response{Body: []byte("complete")}
 	})
@@ -266,7 +266,7 @@
 		send(conn, rawRequest)
 		all = append(all, in)
 	}
-	<-held
+	<-serving
 	d.stop()
 	d.steps <- time.Now()
 	d.steps <- time.Now() // the listener closes
--- a/internal/downstream/peer_test.go
+++ b/internal/downstream/peer_test.go
@@ -80,7 +80,7 @@
 // Guards against an incomplete body holding its connection for ever, where nothing here reads it.
 func TestUnreadBody(t *testing.T) {
 	for name, c := range map[string]struct {
-		held    int64
+		active  int64
 		message string
 		answer  string
 	}{
@@ -91,7 +91,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newServer(func(context.Context, *stream.Request) stream.Response { return stream.Response{} })
-				s.activeStreams.Add(c.held)
+				s.activeStreams.Add(c.active)
 				l := make(pipeListener, 1)
 				here, client := net.Pipe()
 				l <- here
@@ -104,7 +104,7 @@
 				}()
 				got, _ := io.ReadAll(client)
 				if took := time.Since(from); took > 2*bodyTimeout || len(got) < len(c.answer) || string(got[:len(c.answer)]) != c.answer {
-					t.Errorf("%.20q, and the connection is held for %v", got, took)
+					t.Errorf("%.20q, and the connection stays open for %v", got, took)
 				}
 				_ = server.Close()
 			})
--- a/internal/downstream/response_stream_test.go
+++ b/internal/downstream/response_stream_test.go
@@ -110,8 +110,8 @@
 // beyond draining, or is taken for complete then.
 func TestStreamedResponseRacesDrain(t *testing.T) {
 	const kill, after = time.Second, 10 * time.Millisecond
-	for _, whole := range []bool{true, false} {
-		t.Run(fmt.Sprintf("whole=%v", whole), func(t *testing.T) {
+	for _, complete := range []bool{true, false} {
+		t.Run(fmt.Sprintf("complete=%v", complete), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				rest := &scriptedStream{make(chan string, 1), io.EOF, make(chan struct{}), make(chan struct{})}
 				s := newServer(func(context.Context, *stream.Request) stream.Response {
@@ -136,15 +136,15 @@
 				if s.StreamContext().Err() == nil {
 					t.Fatal("streams are not cancelled yet")
 				}
-				if whole {
+				if complete {
 					rest.chunks <- "two "
 					close(rest.chunks)
 				}
 				got, err := io.ReadAll(res.Body)
-				if whole && (string(got) != "two " || err != nil) {
+				if complete && (string(got) != "two " || err != nil) {
 					t.Errorf("what came after the cancellation reads %q, %v", got, err)
 				}
-				if !whole && (err == nil || time.Since(from) >= kill-exitBefore) {
+				if !complete && (err == nil || time.Since(from) >= kill-exitBefore) {
 					t.Errorf("a response that goes on ends after %v with %v", time.Since(from), err)
 				}
 				client.Close()
--- a/internal/downstream/server_test.go
+++ b/internal/downstream/server_test.go
@@ -207,7 +207,7 @@
 	s := newServer(func(context.Context, *stream.Request) stream.Response {
 		started <- struct{}{}
 		<-release
-		return stream.Response{Body: []byte("whole")}
+		return stream.Response{Body: []byte("complete")}
 	})
 	d := newDrainTest(s, listen(t), false)
 	taken, takenIn := dial(t, d.addr)
@@ -246,7 +246,7 @@
 			<-ctx.Done()
 			return stream.Response{Outcome: stream.Gone}
 		}
-		return stream.Response{Body: []byte("whole")}
+		return stream.Response{Body: []byte("complete")}
 	})
 	d := newDrainTest(s, listen(t), true)
 	idle, idleIn := dial(t, d.addr)
@@ -370,31 +370,31 @@
 	clock := time.Now()
 	c.now = func() time.Time { return clock }
 	conns := map[net.Conn]string{}
-	add := func(name string, heard bool, states ...http.ConnState) {
+	add := func(name string, hasRead bool, states ...http.ConnState) {
 		near, _ := net.Pipe()
 		conn := &clientConn{Conn: near}
 		conns[conn] = name
 		for _, state := range states {
 			c.setState(conn, state)
 		}
-		if heard {
+		if hasRead {
 			conn.lastRead.Store(clock.UnixNano())
 		}
 		clock = clock.Add(newConnGracePeriod)
 	}
-	fresh, asked := http.StateNew, []http.ConnState{http.StateNew, http.StateActive, http.StateIdle}
-	add("came again", true, append(asked, http.StateActive, http.StateIdle)...)
-	add("asked first", true, asked...)
-	add("stopped", true, fresh)
+	fresh, once := http.StateNew, []http.ConnState{http.StateNew, http.StateActive, http.StateIdle}
+	add("reused", true, append(once, http.StateActive, http.StateIdle)...)
+	add("idle first", true, once...)
+	add("stalled", true, fresh)
 	add("silent first", false, fresh)
-	add("busy", true, fresh, http.StateActive)
+	add("active", true, fresh, http.StateActive)
 	add("silent last", false, fresh)
-	add("asked last", true, asked...)
+	add("idle last", true, once...)
 	clock = clock.Add(headStallTimeout - 4*newConnGracePeriod)
-	add("still comes", true, fresh)
+	add("receiving", true, fresh)
 	add("fresh", false, fresh)
 	clock = clock.Add(-newConnGracePeriod)
-	for _, want := range []string{"stopped", "silent first", "silent last", "asked first", "asked last", "came again", "still comes", "fresh", ""} {
+	for _, want := range []string{"stalled", "silent first", "silent last", "idle first", "idle last", "reused", "receiving", "fresh", ""} {
 		conn := c.evictionCandidate()
 		if conns[conn] != want {
 			t.Errorf("%q is evicted, want %q", conns[conn], want)
--- a/internal/downstream/thrift/conn.go
+++ b/internal/downstream/thrift/conn.go
@@ -41,7 +41,7 @@
 	calls        []*call    // without a written reply, in the order in which they came
 	oneways      int        // in flight
 	writing      bool       // a goroutine writes replies
-	active       bool       // the state that the manager was told last
+	active       bool       // the state that was reported to the manager last
 	messageStart time.Time  // when the message that is being read came; zero: none is
 	stopping     bool       // no more calls are accepted than had come by then
 	unreadAtStop int        // bytes of them that are still to be read, at most
--- a/internal/upstream/model_test.go
+++ b/internal/upstream/model_test.go
@@ -68,7 +68,7 @@
 		for _, step := range steps[:min(len(steps), 40)] {
 			arg := int(step >> 4)
 			switch step & 7 {
-			case 0: // a request begins, on the last idle connection that has rested or a new one; mostly all have
+			case 0: // a request begins, on the last idle connection that whose reuse delay is over or a new one; mostly all are eligible
 				if len(busy) == 8 {
 					continue
 				}
@@ -117,7 +117,7 @@
 			case 3: // the host moves: what is idle is of no use, what is busy is not kept afterwards
 				host, idle, opened = newScriptedHost(t), nil, 0
 				p.Set(id, host.addr)
-			case 4, 5: // the host closes an idle connection, or says something unasked on it
+			case 4, 5: // the host closes an idle connection, or writes something unexpected on it
 				if len(idle) == 0 {
 					continue
 				}
--- a/internal/upstream/thrift_test.go
+++ b/internal/upstream/thrift_test.go
@@ -93,7 +93,7 @@
 		"with the service":   {reaction{text: reply(framedBinary, thriftwire.Reply, "Orders:place", 1, "\x00"), status: balance.OK, reuse: true}, stream.Served},
 		"old form":           {reaction{text: reply(thriftwire.Form{Encoding: thriftwire.OldBinary, Framed: true}, thriftwire.Reply, "place", 1, "\x00"), status: balance.OK, reuse: true}, stream.Served},
 		"unknown method":     {reaction{text: exceptionReply(1, 1), status: balance.Cancelled, reuse: true}, stream.Rejected},
-		"turned away":        {reaction{text: exceptionReply(1, 77), status: balance.Full, reuse: true}, stream.Failed},
+		"overload":           {reaction{text: exceptionReply(1, 77), status: balance.Full, reuse: true}, stream.Failed},
 		"internal error":     {reaction{text: exceptionReply(1, 6), status: balance.Error}, stream.Failed},
 		"other sequence id":  {reaction{text: reply(framedBinary, thriftwire.Reply, "place", 2, "\x00"), status: balance.Error}, stream.Failed},
 		"other method":       {reaction{text: reply(framedBinary, thriftwire.Reply, "charge", 1, "\x00"), status: balance.Error}, stream.Failed},
