--- a/internal/cluster/table_test.go
+++ b/internal/cluster/table_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"reflect"
 	"slices"
 	"sync"
 	"testing"
@@ -92,3 +93,140 @@
 		}
 	}
 }
+
+// listObserver is an Observer that records the last list.
+type listObserver []Member
+
+func (l *listObserver) Listed(_ balance.ListKind, members []Member) { *l = slices.Clone(members) }
+
+// Guards against an observer that can't map a number to its host.
+func TestObserver(t *testing.T) {
+	w, table := newRecorder()
+	seen := &listObserver{}
+	table.Observer = seen
+	table.Apply(balance.ListCached, List{Members: []Member{member("b", "x:1", balance.Ready), member("a", "x:2", balance.Ready)}})
+	for i, e := range <-w.lists {
+		if m := (*seen)[i]; m.ID != []string{"a", "b"}[i] || m.Endpoint != e.Endpoint {
+			t.Errorf("got %+v for entry %+v", m, e)
+		}
+	}
+}
+
+func TestTable(t *testing.T) {
+	w, table := newRecorder()
+	table.Apply(balance.ListFull, List{Members: []Member{member("a", "x:1", balance.Ready), member("b", "x:2", balance.Ready)}})
+	first := <-w.lists
+	if len(first) != 2 || first[0].Zone != 1 || first[0].Kind != 1 || w.addrs[first[0].Endpoint] != "x:1" {
+		t.Fatalf("entries %+v, addresses %v", first, w.addrs)
+	}
+	table.Apply(balance.ListDelta, List{Members: []Member{member("a", "y:9", balance.Draining)}})
+	if e := (<-w.lists)[0]; e.Endpoint != first[0].Endpoint || e.State != balance.Draining || w.addrs[e.Endpoint] != "y:9" {
+		t.Errorf("after a drain and a move: %+v, addresses %v", e, w.addrs)
+	}
+	table.Apply(balance.ListFull, List{Members: []Member{member("a", "y:9", balance.Ready)}})
+	<-w.lists
+	if len(w.addrs) != 1 {
+		t.Errorf("a host that a complete list leaves out is still known: %v", w.addrs)
+	}
+	table.Apply(balance.ListDelta, List{Members: []Member{member("a", "", balance.Gone)}})
+	if e := (<-w.lists)[0]; e.State != balance.Gone || e.Endpoint != first[0].Endpoint || len(w.addrs) != 0 {
+		t.Errorf("after its end: %+v, addresses %v", e, w.addrs)
+	}
+}
+
+// Guards against two sidecars numbering the cluster differently, also where the hashes of two ids collide: these two do (FNV-1a,
+// 32 bits). The hash ring has to be the same everywhere.
+func TestNumbersAreDeterministic(t *testing.T) {
+	const a, b = "costarring", "liquid"
+	numbers := func(ids ...string) map[string]balance.EndpointID {
+		_, table := newRecorder()
+		var members []Member
+		for _, id := range ids {
+			members = append(members, member(id, "x:1", balance.Ready))
+		}
+		table.Apply(balance.ListFull, List{Members: members})
+		return table.numbers
+	}
+	one, other := numbers(a, "c", b), numbers(b, a, "c")
+	if !reflect.DeepEqual(one, other) || one[a] == one[b] {
+		t.Errorf("%v and %v", one, other)
+	}
+	if alone := numbers(b); alone[b] != one[a] {
+		t.Errorf("%q and %q no longer collide, so this test shows nothing: %v %v", a, b, alone, one)
+	}
+}
+
+// Guards against a cordon of an unknown host, one that is lost while its host is away, and one whose number goes to another host
+// meanwhile.
+func TestCordon(t *testing.T) {
+	w, table := newRecorder()
+	if table.Cordon("a") || table.Uncordon("a") || len(w.cordons) > 0 {
+		t.Errorf("an unknown host was cordoned or uncordoned: %v", w.cordons)
+	}
+	table.Apply(balance.ListFull, List{Members: []Member{member("a", "x:1", balance.Ready), member("b", "x:2", balance.Ready)}})
+	a := (<-w.lists)[0].Endpoint
+	for range 2 { // the second changes nothing
+		if !table.Cordon("a") {
+			t.Error("a listed host was not cordoned")
+		}
+	}
+	table.Apply(balance.ListFull, List{Members: []Member{member("b", "x:2", balance.Ready)}})
+	<-w.lists
+	table.Apply(balance.ListDelta, List{Members: []Member{member("a", "y:1", balance.Ready)}})
+	if e := (<-w.lists)[0]; e.Endpoint != a || w.addrs[a] != "y:1" {
+		t.Errorf("after its return the host is %d at %v, was %d", e.Endpoint, w.addrs, a)
+	}
+	table.Apply(balance.ListDelta, List{Members: []Member{{ID: "a", State: balance.Gone}}})
+	<-w.lists
+	if !table.Uncordon("a") || table.Uncordon("a") || table.Cordon("a") {
+		t.Error("a cordoned host that is gone is to be uncordoned once, and then unknown")
+	}
+	if want := []cordonCall{{a, true}, {a, true}, {a, false}}; !slices.Equal(w.cordons, want) {
+		t.Errorf("the decisions got %v, want %v", w.cordons, want)
+	}
+}
+
+// Guards against a host that drains or is cordoned still getting attempts that wait for their connection, and against one that is
+// back and gets nothing.
+func TestSetDraining(t *testing.T) {
+	w, table := newRecorder()
+	id := table.assignNumber("h")
+	list := func(state balance.Availability) {
+		table.Apply(balance.ListDelta, List{Members: []Member{{ID: "h", Addr: "127.0.0.1:1", State: state}}})
+		<-w.lists
+	}
+	for i, step := range []struct {
+		do   func()
+		want bool
+	}{
+		{func() { list(balance.Ready) }, false},
+		{func() { list(balance.Draining) }, true},
+		{func() { list(balance.Ready) }, false},
+		{func() { table.Cordon("h") }, true},
+		{func() { list(balance.Ready) }, true}, // whatever is listed meanwhile
+		{func() { list(balance.Draining) }, true},
+		{func() { table.Uncordon("h") }, true}, // it drains still
+		{func() { list(balance.Ready) }, false},
+		{func() { table.Cordon("h"); table.Uncordon("h") }, false},
+	} {
+		if step.do(); w.draining[id] != step.want {
+			t.Errorf("step %d: draining is %v", i, w.draining[id])
+		}
+	}
+}
+
+// Guards against connections to a former process of a host being reused: a machine that vanished never closed them, and what is
+// sent on one once it is back ends as a reset, after which it may have run.
+func TestHostRestart(t *testing.T) {
+	w, table := newRecorder()
+	for i, step := range []struct {
+		up   time.Duration
+		want int
+	}{{0, 0}, {time.Second, 1}, {time.Second, 1}, {0, 1}, {time.Minute, 2}} {
+		table.Apply(balance.ListDelta, List{Members: []Member{{ID: "h", Addr: "127.0.0.1:1", State: balance.Ready, UpSince: step.up}}})
+		<-w.lists
+		if w.removed != step.want || len(w.addrs) != 1 {
+			t.Errorf("step %d: its connections were closed %d times, want %d; %d hosts are reachable", i, w.removed, step.want, len(w.addrs))
+		}
+	}
+}
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -74,7 +74,7 @@
 // response makes a stream's response of a host's successful one.
 func (p *Pool) response(c *conn, resp *hostResponse) stream.Response {
 	res := stream.Response{Outcome: stream.Served, MediaType: resp.mediaType, Body: resp.body, Tried: resp.attempted}
-	if resp.remainder != nil { // the front reads it, after the attempt and its context have ended
+	if resp.remainder != nil { // the frontend reads it, after the attempt and its context have ended
 		c.deadlines.ctx = context.Background()
 		res.Rest = &responseStream{pool: p, conn: c, body: resp.remainder, keepAlive: resp.keepAlive, deadline: time.Now().Add(maxStreamDuration)}
 		res.Length = resp.contentLength
--- a/internal/upstream/thrift.go
+++ b/internal/upstream/thrift.go
@@ -36,7 +36,7 @@
 func (t *Thrift) Do(ctx context.Context, id balance.EndpointID, deadline time.Time, req *stream.Request) (balance.Status, stream.Response) {
 	res := stream.Response{Outcome: stream.Failed}
 	form, known := thriftwire.ParseMediaType(req.MediaType)
-	if !known { // no front makes such a request
+	if !known { // no frontend makes such a request
 		return balance.Moot, res
 	}
 	call := thriftwire.Head{Form: form, Kind: thriftwire.Call, Name: req.Target}
