--- a/internal/cluster/stall_test.go
+++ b/internal/cluster/stall_test.go
@@ -132,9 +132,8 @@
 // and a drain would be undone.
 func TestUnexpectedResponses(t *testing.T) {
 	const (
-		fullList = "/catalog/members"
-		empty    = `{"revision":%d,"complete":false,"members":[]}`
-		other    = `{"revision":5,"complete":true,"members":[{"id":"b","host_port":"127.0.1.19:8080","phase":"Ready"}]}`
+		empty = `{"revision":%d,"complete":false,"members":[]}`
+		other = `{"revision":5,"complete":true,"members":[{"id":"b","host_port":"127.0.1.19:8080","phase":"Ready"}]}`
 	)
 	type step struct {
 		target    string // prefix of the call's target; fullList is all of it
--- a/internal/cluster/version_test.go
+++ b/internal/cluster/version_test.go
@@ -82,7 +82,6 @@
 			watcher.Log, watcher.Pacing = zerolog.New(&log), paced
 			watcher.OnUpdate = func(sentAt time.Time) { updates <- sentAt }
 			stop := startWatcher(watcher, func() {})
-			const fullList = "/catalog/members"
 			list := func(n int) string { return fmt.Sprintf(`{"revision":%d,"complete":true,"members":[]}`, n) }
 			first := <-a.calls
 			first.respond(list(1))
--- a/internal/pacing/handshake_limit_test.go
+++ b/internal/pacing/handshake_limit_test.go
@@ -39,39 +39,9 @@
 			r := rand.New(rand.NewPCG(seed, 1))
 			var all []time.Duration
 			for range c.running {
-				d, now := HandshakeLimiter{Phase: r.Float64()}, time.Duration(r.Float64()*float64(time.Second))
-				var own []time.Duration
-				for now < 30*time.Second {
-					if at := d.Next(share, now); at < now || at > now+share.Interval {
-						t.Fatalf("%s: at %s the next is at %s, the period is %s", c.name, now, at, share.Interval)
-					} else if r.IntN(3) > 0 { // it waits for its turn, and is a little late
-						now = at + time.Duration(r.Float64()*1.2*float64(maxHandshakeLateness))
-					}
-					if now > 5*time.Second && now < 6*time.Second {
-						now = 6 * time.Second // a reset: all want one at once, and again
-					}
-					if d.Allow(share, now) {
-						own = append(own, now)
-					}
-					if r.IntN(8) == 0 {
-						now += time.Duration(r.Float64() * float64(time.Second))
-					}
-				}
-				for i := share.Burst; i < len(own); i++ {
-					if gap := own[i] - own[i-share.Burst]; gap < min(share.Interval, max(handshakeWindow, share.Interval-maxHandshakeLateness)) {
-						t.Fatalf("%s: one instance opens %d more in %s", c.name, share.Burst, gap)
-					}
-				}
-				all = append(all, own...)
-			}
-			slices.Sort(all)
-			worst, from := 0, 0
-			for i, at := range all {
-				for at-all[from] >= handshakeWindow {
-					from++
-				}
-				worst = max(worst, i-from+1)
+				all = append(all, playInstance(t, c.name, r, share)...)
 			}
+			worst := maxInWindow(all)
 			if float64(worst) > maxPeak || float64(worst) < c.maxMean/2 {
 				t.Errorf("%s, seed %d: %d in 100 ms, want %.1f at most", c.name, seed, worst, maxPeak)
 			}
@@ -79,6 +49,46 @@
 	}
 }
 
+// playInstance plays one instance for 30 s, and returns when it opened connections.
+func playInstance(t *testing.T, name string, r *rand.Rand, share Share) (opened []time.Duration) {
+	l, now := HandshakeLimiter{Phase: r.Float64()}, time.Duration(r.Float64()*float64(time.Second))
+	for now < 30*time.Second {
+		if at := l.Next(share, now); at < now || at > now+share.Interval {
+			t.Fatalf("%s: at %s the next is at %s, the period is %s", name, now, at, share.Interval)
+		} else if r.IntN(3) > 0 { // it waits for its turn, and is a little late
+			now = at + time.Duration(r.Float64()*1.2*float64(maxHandshakeLateness))
+		}
+		if now > 5*time.Second && now < 6*time.Second {
+			now = 6 * time.Second // a reset: all want one at once, and again
+		}
+		if l.Allow(share, now) {
+			opened = append(opened, now)
+		}
+		if r.IntN(8) == 0 {
+			now += time.Duration(r.Float64() * float64(time.Second))
+		}
+	}
+	for i := share.Burst; i < len(opened); i++ {
+		if gap := opened[i] - opened[i-share.Burst]; gap < min(share.Interval, max(handshakeWindow, share.Interval-maxHandshakeLateness)) {
+			t.Fatalf("%s: one instance opens %d more in %s", name, share.Burst, gap)
+		}
+	}
+	return opened
+}
+
+// maxInWindow sorts times, and returns how many are in one window at most.
+func maxInWindow(all []time.Duration) int {
+	slices.Sort(all)
+	worst, from := 0, 0
+	for i, at := range all {
+		for at-all[from] >= handshakeWindow {
+			from++
+		}
+		worst = max(worst, i-from+1)
+	}
+	return worst
+}
+
 // A simple, slow oracle of a limiter: the first of the next milliseconds in which its rule, as it is stated, allows a connection.
 // It holds while the share changes with the list, too; and no connection waits longer than two periods.
 func TestHandshakeLimiterNext(t *testing.T) {
--- a/internal/upstream/send_refused_test.go
+++ b/internal/upstream/send_refused_test.go
@@ -10,71 +10,78 @@
 	"pinelb.example/pinelb/internal/stream"
 )
 
+// pendingAttempt is an attempt that has its connection and is about to be sent.
+type pendingAttempt struct {
+	pool       *Pool
+	cancel     context.CancelFunc
+	clientLeft bool
+}
+
 // Guards against an attempt that is sent although what it was decided on has changed between its connection and its first
 // byte. The connection is kept where it can be.
 func TestSendRefused(t *testing.T) {
-	type crossing struct {
-		p          *Pool
-		cancel     context.CancelFunc
-		clientLeft bool
-	}
-	framed := &stream.Request{Operation: "call", Target: "a", MediaType: framedBinary.MediaType(), Body: []byte{0}}
 	for _, c := range []struct {
 		name   string
-		change func(x *crossing)
+		change func(a *pendingAttempt)
 		status balance.Status
 		kept   int
 	}{
-		{"the decisions cancel it", func(x *crossing) { x.cancel() }, balance.Cancelled, 1},
-		{"its client leaves, and the decisions don't know", func(x *crossing) { x.clientLeft = true }, balance.Moot, 1},
-		{"its host drains", func(x *crossing) { x.p.SetDraining(1, true) }, balance.Moot, 1},
-		{"its host is gone", func(x *crossing) { x.p.Remove(1) }, balance.Moot, 0},
-		{"its host moves", func(x *crossing) { x.p.Set(1, "127.0.0.1:1") }, balance.Moot, 0},
-		{"its host drains and is back", func(x *crossing) { x.p.SetDraining(1, true); x.p.SetDraining(1, false) }, balance.OK, 1},
+		{"the decisions cancel it", func(a *pendingAttempt) { a.cancel() }, balance.Cancelled, 1},
+		{"its client leaves, and the decisions don't know", func(a *pendingAttempt) { a.clientLeft = true }, balance.Moot, 1},
+		{"its host drains", func(a *pendingAttempt) { a.pool.SetDraining(1, true) }, balance.Moot, 1},
+		{"its host is gone", func(a *pendingAttempt) { a.pool.Remove(1) }, balance.Moot, 0},
+		{"its host moves", func(a *pendingAttempt) { a.pool.Set(1, "127.0.0.1:1") }, balance.Moot, 0},
+		{"its host drains and is back", func(a *pendingAttempt) { a.pool.SetDraining(1, true); a.pool.SetDraining(1, false) }, balance.OK, 1},
 	} {
-		for _, over := range []string{"HTTP", "Thrift"} {
-			if over == "Thrift" && c.status == balance.OK {
-				continue // which would take a reply
+		for _, protocol := range []string{"HTTP", "Thrift"} {
+			if protocol == "Thrift" && c.status == balance.OK {
+				continue // a reply would have to come
 			}
-			s := newScriptedHost(t)
-			var mu sync.Mutex
-			requests := 0
-			go func() {
-				for a := range s.arrivals {
-					mu.Lock()
-					requests++
-					mu.Unlock()
-					reactions[0].apply(a.nc)
-				}
-			}()
-			ctx, cancel := context.WithCancel(context.Background())
-			x := &crossing{p: newTestPool(s.addr, 2), cancel: cancel}
-			once := sync.OnceFunc(func() { c.change(x) })
-			x.p.CanSend = func() bool { // called once the connection is there
-				once()
-				return true
+			status, requests, open := attemptWithChange(t, protocol, c.change)
+			if want := map[bool]int{true: 1}[c.status == balance.OK]; status != c.status || requests != want {
+				t.Errorf("%s, over %s: status %d after %d requests, want %d after %d", c.name, protocol, status, requests, c.status, want)
 			}
-			var status balance.Status
-			if over == "HTTP" {
-				req := request()
-				req.Left = func() bool { return x.clientLeft }
-				status, _ = x.p.Do(ctx, 1, time.Now().Add(time.Minute), req)
-			} else {
-				req := *framed
-				req.Left = func() bool { return x.clientLeft }
-				status, _ = (&Thrift{Pool: x.p}).Do(ctx, 1, time.Now().Add(200*time.Millisecond), &req)
+			if open != c.kept {
+				t.Errorf("%s, over %s: %d connections are open, want %d", c.name, protocol, open, c.kept)
 			}
+		}
+	}
+}
+
+// attemptWithChange makes an attempt, with a change once its connection is there. It returns the attempt's status, how many
+// requests the host got, and how many connections are open after it.
+func attemptWithChange(t *testing.T, protocol string, change func(a *pendingAttempt)) (status balance.Status, requests, open int) {
+	host := newScriptedHost(t)
+	var mu sync.Mutex
+	count := 0
+	go func() {
+		for r := range host.arrivals {
 			mu.Lock()
-			if want := map[bool]int{true: 1}[c.status == balance.OK]; status != c.status || requests != want {
-				t.Errorf("%s, over %s: status %d after %d visits, want %d after %d", c.name, over, status, requests, c.status, want)
-			}
+			count++
 			mu.Unlock()
-			x.p.mu.Lock()
-			if x.p.open != c.kept {
-				t.Errorf("%s, over %s: %d connections are open, want %d", c.name, over, x.p.open, c.kept)
-			}
-			x.p.mu.Unlock()
-			cancel()
+			reactions[0].apply(r.nc)
 		}
+	}()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	a := &pendingAttempt{pool: newTestPool(host.addr, 2), cancel: cancel}
+	once := sync.OnceFunc(func() { change(a) })
+	a.pool.CanSend = func() bool { // called once the connection is there
+		once()
+		return true
+	}
+	if protocol == "HTTP" {
+		req := request()
+		req.Left = func() bool { return a.clientLeft }
+		status, _ = a.pool.Do(ctx, 1, time.Now().Add(time.Minute), req)
+	} else {
+		req := &stream.Request{Operation: "call", Target: "a", MediaType: framedBinary.MediaType(), Body: []byte{0}}
+		req.Left = func() bool { return a.clientLeft }
+		status, _ = (&Thrift{Pool: a.pool}).Do(ctx, 1, time.Now().Add(200*time.Millisecond), req)
 	}
+	mu.Lock()
+	defer mu.Unlock()
+	a.pool.mu.Lock()
+	defer a.pool.mu.Unlock()
+	return status, count, a.pool.open
 }
