--- a/internal/connstate/connstate.go
+++ b/internal/connstate/connstate.go
@@ -22,7 +22,7 @@
 	Unknown                  // a connection of this type has no descriptor to look at
 )
 
-// Peek returns the state of a connection. It makes one system call, recvfrom with MSG_PEEK, and allocates nothing.
+// Peek returns the state of a connection. It makes one system call, recvfrom with MSG_PEEK.
 func Peek(conn net.Conn) State {
 	p := peekers.Get().(*peeker)
 	defer peekers.Put(p)
@@ -32,7 +32,7 @@
 	return p.state
 }
 
-// peeker holds what a Peek would otherwise allocate.
+// peeker has the state and the method value of a Peek, which each would otherwise allocate.
 type peeker struct {
 	state State
 	buf   [1]byte
