--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -13,8 +13,8 @@
 
 // Guards against a bound on handshakes that counts other users of an endpoint than there are.
 func TestHandshakeLimitUsesSameSubsetSize(t *testing.T) {
-	if pacing.UsedLeast != minSubsetSize || pacing.UsersWanted != targetInstancesPerEndpoint {
-		t.Errorf("package pacing counts by %d and %d, this one chooses by %d and %d", pacing.UsedLeast, pacing.UsersWanted, minSubsetSize, targetInstancesPerEndpoint)
+	if pacing.MinHostsPerInstance != minSubsetSize || pacing.TargetInstancesPerHost != targetInstancesPerEndpoint {
+		t.Errorf("package pacing counts by %d and %d, this one chooses by %d and %d", pacing.MinHostsPerInstance, pacing.TargetInstancesPerHost, minSubsetSize, targetInstancesPerEndpoint)
 	}
 }
 
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -13,40 +13,41 @@
 	"github.com/rs/zerolog"
 )
 
-// hosts knows one host and keeps what is said of it.
-type hosts struct{ said []string }
+// hostRecorder has one host, and records the calls for it.
+type hostRecorder struct{ calls []string }
 
-func (h *hosts) Cordon(id string) bool   { return h.say("out ", id) }
-func (h *hosts) Uncordon(id string) bool { return h.say("back ", id) }
+func (h *hostRecorder) Cordon(id string) bool   { return h.record("out ", id) }
+func (h *hostRecorder) Uncordon(id string) bool { return h.record("back ", id) }
 
-func (h *hosts) say(what, id string) bool {
+func (h *hostRecorder) record(what, id string) bool {
 	if id != "s 1" {
 		return false
 	}
-	h.said = append(h.said, what+id)
+	h.calls = append(h.calls, what+id)
 	return true
 }
 
-func serve(t *testing.T, h Hosts, ready bool) string {
+// serve runs a server until the end of the test, and returns its address. A nil audit turns auditors' calls off.
+func serve(t *testing.T, h Hosts, audit Audit, ready bool) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	srv := New(func() bool { return ready }, h, nil, zerolog.Nop())
-	go func() { _ = srv.Serve(Listener(l)) }()
+	srv := New(func() bool { return ready }, h, audit, zerolog.Nop())
+	go func() { _ = srv.Serve(NewListener(l)) }()
 	t.Cleanup(func() { _ = srv.Close() })
 	return l.Addr().String()
 }
 
-// call sends so many bytes and returns the status and the line of the answer.
+// call sends a text and returns the status and the line of the response.
 func call(t *testing.T, addr, text string) (status int, line string) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
 	}
@@ -61,10 +62,10 @@
 	return res.StatusCode, string(body)
 }
 
-// Guards against a faulty call that changes anything, or whose answer doesn't name the fault in one line.
+// Guards against an invalid call that changes anything, or whose response doesn't name the error in one line.
 func TestCalls(t *testing.T) {
-	h := &hosts{}
-	addr := serve(t, h, true)
+	h := &hostRecorder{}
+	addr := serve(t, h, nil, true)
 	for _, c := range []struct {
 		text   string
 		status int
@@ -91,8 +92,8 @@
 			text, rest = t+with+" HTTP/1.1\r\nHost: x\r\n", "Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n"
 		}
 		status, line := call(t, addr, text+rest)
-		if status != c.status || !strings.Contains(line, c.names) || strings.Count(line, "\n") != 1 || len(h.said) > 0 {
-			t.Errorf("%.60s: %d %q after %q, want %d and a line that names %q", c.text, status, line, h.said, c.status, c.names)
+		if status != c.status || !strings.Contains(line, c.names) || strings.Count(line, "\n") != 1 || len(h.calls) > 0 {
+			t.Errorf("%.60s: %d %q after %q, want %d and a line that names %q", c.text, status, line, h.calls, c.status, c.names)
 		}
 	}
 	for _, c := range []string{"/admin/cordon?name=s%201", "/admin/uncordon?name=s+1"} {
@@ -100,47 +101,47 @@
 			t.Errorf("%s: %d %q", c, status, line)
 		}
 	}
-	if len(h.said) != 2 || h.said[0] != "out s 1" || h.said[1] != "back s 1" {
-		t.Errorf("the hosts were told %q", h.said)
+	if len(h.calls) != 2 || h.calls[0] != "out s 1" || h.calls[1] != "back s 1" {
+		t.Errorf("the hosts got %q", h.calls)
 	}
-	if status, _ := call(t, serve(t, h, false), "GET /admin/health HTTP/1.1\r\nHost: x\r\n\r\n"); status != 503 {
-		t.Errorf("a process that takes no clients says %d", status)
+	if status, _ := call(t, serve(t, h, nil, false), "GET /admin/health HTTP/1.1\r\nHost: x\r\n\r\n"); status != 503 {
+		t.Errorf("a process that accepts no clients has status %d", status)
 	}
 }
 
-// Guards against callers who hold connections without a whole call and so keep out those who have one: five times as
-// many as there may be, and calls between them.
-func TestHoldersKeepNobodyOut(t *testing.T) {
-	addr := serve(t, &hosts{}, true)
-	for i := range 5 * Most {
+// Guards against callers who hold connections without a complete call and so keep out those who have one: five times as many as
+// there may be, and calls between them.
+func TestIncompleteCallsAreEvicted(t *testing.T) {
+	addr := serve(t, &hostRecorder{}, nil, true)
+	for i := range 5 * MaxConnections {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 		if _, err := io.WriteString(c, "POST /admin/cordon?name="[:i%24]); err != nil {
 			t.Fatal(err)
 		}
 		if i%7 == 0 {
 			if status, _ := call(t, addr, "POST /admin/cordon?name=s%201 HTTP/1.1\r\nHost: x\r\n\r\n"); status != 200 {
-				t.Errorf("after %d holders a call gets %d", i+1, status)
+				t.Errorf("after %d such connections a call gets %d", i+1, status)
 			}
 		}
 	}
 }
 
-// Guards against a call that waits for those who hold connections, or for a flood of calls: each is answered, and the test
-// tells how soon (docs/design/daily-service.md). Holders come in bursts, so that a call has many before it and after it.
-func TestCallsInAFlood(t *testing.T) {
-	addr := serve(t, &hosts{}, true)
+// Guards against a call that waits for connections without one: each call gets a response, and the test reports how soon
+// (docs/design/daily-service.md). The connections come in bursts, so that a call has many before it and after it.
+func TestCallLatencyUnderFlood(t *testing.T) {
+	addr := serve(t, &hostRecorder{}, nil, true)
 	var took []time.Duration
 	for range 40 {
-		for range Most {
+		for range MaxConnections {
 			c, err := net.Dial("tcp", addr)
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer c.Close()
+			defer func() { _ = c.Close() }()
 		}
 		from := time.Now()
 		if status, _ := call(t, addr, "POST /admin/cordon?name=s%201 HTTP/1.1\r\nHost: x\r\n\r\n"); status != 200 {
--- a/internal/daemon/audit_test.go
+++ b/internal/daemon/audit_test.go
@@ -62,7 +62,7 @@
 func (noHosts) Probe(balance.EndpointID) balance.Status { return balance.OK }
 func (noHosts) CloseUnused(balance.EndpointID)          {}
 func (noHosts) Set(balance.EndpointID, string)          {}
-func (noHosts) Shut(balance.EndpointID, bool)           {}
+func (noHosts) SetDraining(balance.EndpointID, bool)    {}
 func (noHosts) Remove(balance.EndpointID)               {}
 
 // only is a list of one host.
@@ -311,7 +311,7 @@
 	w.now = func() time.Duration { return time.Since(w.start) }
 	w.beat.Store(1 << 62) // nobody beats here
 	w.table.Apply(balance.ListFull, only(1))
-	host := w.table.Held().List.Members[0].Endpoint
+	host := w.table.Snapshot().List.Members[0].Endpoint
 	measure := func(name string, do func()) {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
--- a/internal/daemon/retune.go
+++ b/internal/daemon/retune.go
@@ -24,7 +24,7 @@
 	op      *config.Operator
 	eng     *driver.Driver
 	pool    *upstream.Pool
-	side    *downstream.Side
+	side    *downstream.Manager
 	table   *cluster.Table
 	budget  *stream.Budget           // nil: none
 	rec     *accesslog.Recorder      // nil: none
@@ -116,10 +116,10 @@
 		t.audited.settings(t.cfg, from, t.eng.SetVersion)
 		return nil, err
 	}
-	t.table.Retune(after.ZoneNames, after.KindNames)
-	t.pool.Retune(after.ConnectTimeout, after.ConnIdle)
-	t.pool.Guard(handshakeLimit(t.op.Fleet, &after))
-	t.side.Retune(&after)
+	t.table.UpdateNames(after.ZoneNames, after.KindNames)
+	t.pool.SetTimeouts(after.ConnectTimeout, after.ConnIdle)
+	t.pool.SetHandshakeLimit(handshakeLimit(t.op.Fleet, &after))
+	t.side.UpdateSettings(&after)
 	if t.budget != nil {
 		t.budget.UpdateTargets(aims(&after))
 	}
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -108,12 +108,12 @@
 	debug.SetMemoryLimit(int64(memoryShare * float64(memory)))
 	sockets := cfg.Limits.Sockets - socketsKept
 	if cfg.Control != "" {
-		sockets -= control.Most
+		sockets -= control.MaxConnections
 	}
 
 	set := &cfg.Settings
 	pool := upstream.NewPool(set.ConnectTimeout, set.ConnIdle, sockets/2)
-	pool.Guard(handshakeLimit(op.Fleet, set))
+	pool.SetHandshakeLimit(handshakeLimit(op.Fleet, set))
 	eng, err := driver.New(set.Settings, cfg.Seed, pool, log)
 	if err != nil {
 		return err
@@ -129,7 +129,7 @@
 	if op.Budget != nil {
 		streams.Budget = stream.NewBudget(op.Budget.Accounts(set), cfg.Seed, aims(set), log)
 	}
-	side := downstream.NewSide(set, memory/bodiesPart, sockets-sockets/2, log)
+	side := downstream.NewManager(set, memory/bodiesPart, sockets-sockets/2, log)
 	srv := downstream.New(set, side, streams, log)
 	table := cluster.NewTable(set.ZoneNames, set.KindNames, pool, eng)
 	var overThrift *stream.Proxy
@@ -146,7 +146,7 @@
 		}
 	}
 	tuned := &tuning{cfg: cfg, op: op, eng: eng, pool: pool, side: side, table: table, budget: streams.Budget, rec: rec,
-		reclass: []func(*config.Settings){srv.Reclass}, log: log}
+		reclass: []func(*config.Settings){srv.UpdateClasses}, log: log}
 	next := &succession{classes: tuned.classes, inForce: tuned.handed, table: table, eng: eng, former: formerOf(cfg, log), effects: streams.InFlight, log: log}
 	shares := &bounds{memory: memory, sockets: sockets, pool: pool, side: side, eng: eng}
 	if next.former != nil {
@@ -155,9 +155,9 @@
 	known := len(cfg.Known.Members) > 0
 	cfg.Known.From = "known"
 	// What a process hands over is of the present; and one instance alone pushes nobody over.
-	table.Old = op.Discovery != nil && next.former == nil && set.Instances > 1
+	table.StaleCache = op.Discovery != nil && next.former == nil && set.Instances > 1
 	moves := make(chan string)
-	watch := &cluster.Watcher{Addr: cfg.Discovery, Moves: moves, Table: table, Log: log,
+	watch := &cluster.Watcher{Addr: cfg.Discovery, AddrChanges: moves, Table: table, Log: log,
 		Rand: rand.New(rand.NewPCG(cfg.Seed, discoveryStream))}
 	keep := newKeeper(op.State, cfg, next, log)
 	audit := newAudited(op.Audit, cfg, keep, next, log)
@@ -172,8 +172,8 @@
 				p.Gate, p.AuditLog = audit, audit.book
 			}
 		}
-		srv.Gate, pool.Sends = audit, audit.AllowsAttempts
-		watch.Heard, audit.refresh = audit.listens, watch.Refresh
+		srv.Gate, pool.CanSend = audit, audit.AllowsAttempts
+		watch.OnUpdate, audit.refresh = audit.listens, watch.Refresh
 	}
 	switch {
 	case next.former != nil && next.take(), keep.remember(cfg):
@@ -192,7 +192,7 @@
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	fronts := []downstream.Front{srv.Front(l)}
+	fronts := []downstream.Frontend{srv.Frontend(l)}
 	fronts[0].Addr = cfg.Listen
 	if overThrift != nil {
 		tl, err := open(next.former, cfg, op.Thrift.Listen)
@@ -201,8 +201,8 @@
 		}
 		log.Info().Stringer("addr", tl.Addr()).Msg("listening for Thrift")
 		server := thrift.New(op.Thrift, set, side, overThrift, log)
-		tuned.reclass = append(tuned.reclass, server.Reclass)
-		front := server.Front(tl)
+		tuned.reclass = append(tuned.reclass, server.UpdateClasses)
+		front := server.Frontend(tl)
 		front.Addr = op.Thrift.Listen
 		fronts = append(fronts, front)
 	}
@@ -215,9 +215,9 @@
 		if err != nil {
 			return fmt.Errorf("listen: LB_CONTROL: %w", err)
 		}
-		operators := control.New(srv.Takes, next, audit.calls(), log)
+		operators := control.New(srv.AcceptsStreams, next, audit.calls(), log)
 		defer operators.Close() // calls are answered for as long as the process runs
-		go func() { _ = operators.Serve(control.Listener(cl)) }()
+		go func() { _ = operators.Serve(control.NewListener(cl)) }()
 		log.Info().Stringer("addr", cl.Addr()).Msg("listening for operators")
 	}
 	life, end := context.WithCancel(context.Background()) // discovery is heard until the last stream has ended
@@ -233,7 +233,7 @@
 			<-settled // soon
 			next.serves(life, func() {
 				close(up)
-				srv.Ready()
+				srv.SetReady()
 			}, shares)
 		})
 	})
@@ -247,10 +247,10 @@
 	}
 	go tuned.follow(life, hups, moves)
 	if op.Discovery != nil {
-		watch.Paced, watch.Rand = paced(op.Discovery, cfg, table)
+		watch.Pacing, watch.Rand = paced(op.Discovery, cfg, table)
 	}
 	if fleet := op.Fleet; fleet != nil && known {
-		watch.After = time.Duration(rand.Float64() * float64(fleet.Spread.D()))
+		watch.InitialDelay = time.Duration(rand.Float64() * float64(fleet.Spread.D()))
 	}
 	go watch.Run(life, ready)
 	if next.former != nil { // which serves them until then
@@ -270,7 +270,7 @@
 		keep.end(followed.Load())
 	}()
 	err = side.Run(ending, fronts...)
-	followed.Store(side.IsFollowed())
+	followed.Store(side.IsSucceeded())
 	end()
 	select {
 	case <-kept:
@@ -289,10 +289,10 @@
 
 // paced is how the list service is asked where the operator's file says that it is one for many. The random numbers are not
 // the seed's alone: sidecars that were given the same one must not ask in the same moments.
-func paced(d *config.Discovery, cfg *config.Config, table *cluster.Table) (*cluster.Paced, *rand.Rand) {
-	p := &cluster.Paced{Whole: d.Whole.D(), Fleet: d.Fleet(cfg.Settings.Instances)}
+func paced(d *config.Discovery, cfg *config.Config, table *cluster.Table) (*cluster.Pacing, *rand.Rand) {
+	p := &cluster.Pacing{ResyncInterval: d.Whole.D(), Fleet: d.Fleet(cfg.Settings.Instances)}
 	if d.Resume {
-		p.Since = table.Held().List.Revision
+		p.Revision = table.Snapshot().List.Revision
 	}
 	return p, rand.New(rand.NewPCG(cfg.Seed^rand.Uint64(), discoveryStream))
 }
@@ -322,5 +322,5 @@
 func thriftProxy(o *config.Thrift, eng *driver.Driver, pool *upstream.Pool, log zerolog.Logger) *stream.Proxy {
 	pool.ConnectOnly = o.UpstreamPort == 0
 	return &stream.Proxy{Driver: eng, Log: log, Upstream: &upstream.Thrift{Pool: pool, Port: uint16(o.UpstreamPort),
-		Limits: thrift.Limits(o.MostMessage), TurnedAway: o.TurnedAway}}
+		Limits: thrift.Limits(o.MostMessage), OverloadException: o.TurnedAway}}
 }
--- a/internal/daemon/succession.go
+++ b/internal/daemon/succession.go
@@ -36,7 +36,7 @@
 	memory  int64 // bytes
 	sockets int   // for callers and upstream hosts
 	pool    *upstream.Pool
-	side    *downstream.Side
+	side    *downstream.Manager
 	eng     *driver.Driver
 
 	mu     sync.Mutex
@@ -52,14 +52,14 @@
 	debug.SetMemoryLimit(int64(memoryShare * float64(b.memory/parts)))
 	b.eng.SetProcesses(int(parts))
 	sockets := b.sockets / int(parts)
-	b.pool.Bound(sockets / 2)
-	b.side.Bound(b.memory/parts/bodiesPart, sockets-sockets/2)
+	b.pool.SetMaxConnections(sockets / 2)
+	b.side.SetLimits(b.memory/parts/bodiesPart, sockets-sockets/2)
 }
 
 // handed is what a process tells its successor. Classes stand by name, for the two may number them differently.
 type handed struct {
 	Classes []string
-	Table   cluster.Held
+	Table   cluster.Snapshot
 	Engine  driver.State
 	Effects *known           // nil: the process is of a kind that shares none
 	Trail   []auditlog.Entry `json:",omitempty"` // of a process that is audited, to the one that succeeds it
@@ -154,7 +154,7 @@
 	if len(list.Members) > 0 {
 		h.Table.List = list
 	}
-	s.table.Take(h.Table)
+	s.table.Restore(h.Table)
 	if l := h.Engine.Learned; l != nil {
 		var to []int
 		names := s.classes()
@@ -170,7 +170,7 @@
 
 // held is what this process knows.
 func (s *succession) held() handed {
-	return handed{Classes: s.classes(), Table: s.table.Held(), Engine: s.eng.State()}
+	return handed{Classes: s.classes(), Table: s.table.Snapshot(), Engine: s.eng.State()}
 }
 
 // state is the same for a successor. What changes of effects from here on waits until that has said that it takes such.
@@ -253,7 +253,7 @@
 }
 
 // wait has successors find this process once it serves.
-func (s *succession) wait(cfg *config.Config, fronts []downstream.Front, side *downstream.Side, b *bounds) {
+func (s *succession) wait(cfg *config.Config, fronts []downstream.Frontend, side *downstream.Manager, b *bounds) {
 	path := handover.Path(cfg.Listen)
 	if cfg.Control == "" || path == "" {
 		return
@@ -267,7 +267,7 @@
 		}
 	}
 	s.owner = &handover.Owner{Path: path, Listeners: map[string]*net.TCPListener{}, State: s.state, Followed: count,
-		Succeeded: side.Followed, Told: func(line []byte) { s.told(line, inflight.Successor) }, Log: s.log}
+		Succeeded: side.SetSucceeded, Told: func(line []byte) { s.told(line, inflight.Successor) }, Log: s.log}
 	for _, f := range fronts {
 		if l, ok := f.Listener.(*net.TCPListener); ok {
 			s.owner.Listeners[f.Addr] = l
--- a/internal/fleet/proxy/attempt.go
+++ b/internal/fleet/proxy/attempt.go
@@ -25,8 +25,8 @@
 	wait := f.awaitFirstToken(placed, cancel)
 	defer func() { f.rerouteTaken = wait.stop() }()
 	message := q.encode(make([]byte, 0, headerBytes+len(q.body)), placed.Endpoint.ID, f.response.lastEventID, time.Until(q.deadline))
-	reply, proof, err := dispatcher.Pool.Start(ctx, &upstream.Exchange{
-		Host: balance.EndpointID(placed.Endpoint.Number), ID: q.id, Method: q.http.Method, Until: q.deadline, Message: message,
+	reply, proof, err := dispatcher.Pool.RoundTrip(ctx, &upstream.Exchange{
+		Host: balance.EndpointID(placed.Endpoint.Number), ID: q.id, Method: q.http.Method, Deadline: q.deadline, Message: message,
 	})
 	if err != nil {
 		return f.judgeError(wait, proof)
--- a/internal/lab/simulation/sidecar.go
+++ b/internal/lab/simulation/sidecar.go
@@ -47,7 +47,7 @@
 }
 
 // Shut is for attempts that wait for their connections: here the decisions' sends go out at once.
-func (c *sidecar) Shut(balance.EndpointID, bool) {}
+func (c *sidecar) SetDraining(balance.EndpointID, bool) {}
 
 // Remove forgets a host.
 func (c *sidecar) Remove(id balance.EndpointID) {
@@ -85,7 +85,7 @@
 	}
 	c.hosts, c.judged = map[balance.EndpointID]int{}, map[int]trace.HealthChange{}
 	c.table = cluster.NewTable(c.set.ZoneNames, c.set.KindNames, c, c)
-	c.table.Old = c.old
+	c.table.StaleCache = c.old
 	s.change(i, trace.SidecarStarted, "")
 	if known := s.p.Sidecars[i].Known; len(known) > 0 {
 		c.table.Apply(balance.ListCached, s.list(known))
--- /dev/null
+++ b/internal/pacing/handshake_limit_test.go
@@ -0,0 +1,151 @@
+package pacing
+
+import (
+	"math"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// A fleet whose instances start at any time, want connections at random, and all at once where the host resets them. A count of
+// each 100 ms is the oracle. While instances have whole numbers of connections in 100 ms nothing exceeds the bound; with turns no
+// instance opens two within a period, less what it may be late, so that the mean does not, and the maximum is that of independent
+// draws: of a Poisson process, which exceeds the mean by five of its roots less than once in 1e4 windows. A configured number that
+// is wrong by a factor of five makes the bound wrong by that factor.
+func TestFleetHandshakeRate(t *testing.T) {
+	for _, c := range []struct {
+		name                                   string
+		running, configured, hosts, handshakes int
+		numbered                               bool
+		maxMean                                float64 // in 100 ms
+	}{
+		{"whole numbers", 5, 5, 12, 20, true, 20},
+		{"one each", 20, 20, 12, 20, true, 20},
+		{"turns", 200, 200, 12, 10, false, 10},
+		{"a subset of 48 hosts", 34, 200, 48, 10, true, 10},
+		{"a third up", 100, 300, 12, 10, false, 10 / 3.},
+		{"a fifth configured", 200, 40, 12, 10, false, 50},
+		{"five times as many configured", 40, 200, 12, 10, false, 2},
+	} {
+		maxPeak := c.maxMean
+		share := HandshakeLimit{Handshakes: c.handshakes, Instances: c.configured, Numbered: c.numbered}.Share(c.hosts)
+		if share.Interval > handshakeWindow {
+			maxPeak = 1.1*c.maxMean + 5*math.Sqrt(1.1*c.maxMean) // 100 ms and what a turn may be late
+		}
+		for seed := range uint64(3) {
+			r := rand.New(rand.NewPCG(seed, 1))
+			var all []time.Duration
+			for range c.running {
+				all = append(all, playInstance(t, c.name, r, share)...)
+			}
+			worst := maxInWindow(all)
+			if float64(worst) > maxPeak || float64(worst) < c.maxMean/2 {
+				t.Errorf("%s, seed %d: %d in 100 ms, want %.1f at most", c.name, seed, worst, maxPeak)
+			}
+		}
+	}
+}
+
+// playInstance plays one instance for 30 s, and returns when it opened connections.
+func playInstance(t *testing.T, name string, r *rand.Rand, share Share) (opened []time.Duration) {
+	l, now := HandshakeLimiter{Phase: r.Float64()}, time.Duration(r.Float64()*float64(time.Second))
+	for now < 30*time.Second {
+		if at := l.Next(share, now); at < now || at > now+share.Interval {
+			t.Fatalf("%s: at %s the next is at %s, the period is %s", name, now, at, share.Interval)
+		} else if r.IntN(3) > 0 { // it waits for its turn, and is a little late
+			now = at + time.Duration(r.Float64()*1.2*float64(maxHandshakeLateness))
+		}
+		if now > 5*time.Second && now < 6*time.Second {
+			now = 6 * time.Second // a reset: all want one at once, and again
+		}
+		if l.Allow(share, now) {
+			opened = append(opened, now)
+		}
+		if r.IntN(8) == 0 {
+			now += time.Duration(r.Float64() * float64(time.Second))
+		}
+	}
+	for i := share.Burst; i < len(opened); i++ {
+		if gap := opened[i] - opened[i-share.Burst]; gap < min(share.Interval, max(handshakeWindow, share.Interval-maxHandshakeLateness)) {
+			t.Fatalf("%s: one instance opens %d more in %s", name, share.Burst, gap)
+		}
+	}
+	return opened
+}
+
+// maxInWindow sorts times, and returns how many are in one window at most.
+func maxInWindow(all []time.Duration) int {
+	slices.Sort(all)
+	worst, from := 0, 0
+	for i, at := range all {
+		for at-all[from] >= handshakeWindow {
+			from++
+		}
+		worst = max(worst, i-from+1)
+	}
+	return worst
+}
+
+// A simple, slow oracle of a limiter: the first of the next milliseconds in which its rule, as it is stated, allows a connection.
+// It holds while the share changes with the list, too; and no connection waits longer than two periods.
+func TestHandshakeLimiterNext(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		d := HandshakeLimiter{Phase: rapid.Float64Range(0, 0.999).Draw(t, "phase")}
+		now := drawDuration(t, "start", 0, time.Hour).Truncate(time.Millisecond)
+		var opened []time.Duration
+		for range rapid.IntRange(1, 30).Draw(t, "steps") {
+			s := Share{Burst: 1, Interval: drawDuration(t, "every", 2*handshakeWindow, 3*time.Second).Truncate(time.Millisecond)}
+			if rapid.Bool().Draw(t, "whole") {
+				s = Share{Burst: rapid.IntRange(1, 5).Draw(t, "at once"), Interval: handshakeWindow}
+			}
+			allowed := func(at time.Duration) bool {
+				n := len(opened)
+				if s.Interval == handshakeWindow {
+					return n < s.Burst || at-opened[n-s.Burst] >= handshakeWindow
+				}
+				turn := time.Duration(d.Phase * float64(s.Interval))
+				turn += time.Duration(math.Floor(float64(at-turn)/float64(s.Interval))) * s.Interval
+				return at-turn <= maxHandshakeLateness && (n == 0 || opened[n-1] < turn && at-opened[n-1] >= s.Interval-maxHandshakeLateness)
+			}
+			want := now
+			for !allowed(want) {
+				want += time.Millisecond
+			}
+			got := d.Next(s, now)
+			if got > want || got <= want-time.Millisecond || got > now+2*s.Interval {
+				t.Fatalf("phase %v, %+v, opened %v, now %s: at %s, want %s", d.Phase, s, opened, now, got, want)
+			}
+			if d.Allow(s, now) != (want == now) {
+				t.Fatalf("allowed at %s, want %s", now, want)
+			} else if want == now {
+				opened = append(opened, now)
+			}
+			now += drawDuration(t, "pass", 0, 4*time.Second).Truncate(time.Millisecond)
+		}
+	})
+}
+
+// The configured numbers, and an instance's share.
+func TestShare(t *testing.T) {
+	for _, c := range []struct {
+		limit HandshakeLimit
+		hosts int
+		want  Share
+	}{
+		{HandshakeLimit{Instances: 300}, 12, Share{}},
+		{HandshakeLimit{Handshakes: 10, Instances: 1}, 12, Share{}},
+		{HandshakeLimit{Handshakes: 10, Instances: 3}, 12, Share{3, handshakeWindow}},
+		{HandshakeLimit{Handshakes: 10, Instances: 10}, 12, Share{1, handshakeWindow}},
+		{HandshakeLimit{Handshakes: 10, Instances: 200}, 48, Share{1, 2 * time.Second}},
+		{HandshakeLimit{Handshakes: 10, Instances: 300, Numbered: true}, 48, Share{1, 500 * time.Millisecond}}, // eight of 48 hosts each
+		{HandshakeLimit{Handshakes: 1, Instances: 10, Numbered: true}, 100, Share{1, 600 * time.Millisecond}},  // six each
+		{HandshakeLimit{Handshakes: 10, Instances: 300, Numbered: true}, 0, Share{1, 3 * time.Second}},
+	} {
+		if got := c.limit.Share(c.hosts); got != c.want {
+			t.Errorf("%+v, %d hosts: %+v, want %+v", c.limit, c.hosts, got, c.want)
+		}
+	}
+}
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -3,9 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
-	"io"
-	"net/http"
 	"os"
 	"sync"
 	"time"
@@ -15,235 +12,153 @@
 	"pinelb.example/pinelb/internal/stream"
 )
 
-const probeTimeout = 100 * time.Millisecond
-
-var errBadAnswer = errors.New("upstream: an answer that breaks the protocol")
+const (
+	probeTimeout      = 100 * time.Millisecond
+	requestBufferSize = 1 << 10 // bytes
+)
 
-var buffers = sync.Pool{New: func() any { b := make([]byte, 0, 1<<10); return &b }}
+var requestBuffers = sync.Pool{New: func() any { b := make([]byte, 0, requestBufferSize); return &b }}
 
-// Do carries out one upstream request on one connection. It never sends it again.
-func (p *Pool) Do(ctx context.Context, id balance.EndpointID, until time.Time, req *stream.Request) (balance.Status, stream.Response) {
-	c, err := p.takeToSend(ctx, id, until, purpose{}, req)
+// Do carries out one attempt over HTTP on one connection. It never sends the request again by itself. The status is the
+// evidence for the decisions: what the attempt says of the host, and whether the request may have run.
+func (p *Pool) Do(ctx context.Context, id balance.EndpointID, deadline time.Time, req *stream.Request) (balance.Status, stream.Response) {
+	c, err := p.acquireToSend(ctx, id, deadline, connKind{}, req)
 	if err != nil {
-		return neverSent(ctx, err), stream.Response{Outcome: stream.Failed}
+		return notSentStatus(ctx, err), stream.Response{Outcome: stream.Failed}
 	}
-	left := time.Until(until)
-	if req.Baggage != "" { // the next tier keeps accounts too, and has to know how long it really has
-		left = budget.PropagatedTimeout(left, c.way)
+	remaining := time.Until(deadline)
+	if req.Baggage != "" { // the next tier has a budget too, and has to know how long it really has
+		remaining = budget.PropagatedTimeout(remaining, c.connectTime)
 	}
-	buf := buffers.Get().(*[]byte)
-	var a answer
+	buf := requestBuffers.Get().(*[]byte)
+	var resp hostResponse
 	var status balance.Status
 	if req.Upload != nil {
-		*buf = encode((*buf)[:0], req, req.Upload.ClientTimeout)
-		status, err = p.upload(ctx, c, *buf, req, &a)
+		*buf = appendRequest((*buf)[:0], req, req.Upload.ClientTimeout)
+		status, err = p.upload(ctx, c, *buf, req, &resp)
 	} else {
-		*buf = encode((*buf)[:0], req, left)
-		status = p.exchange(ctx, c, until, *buf, &a)
+		*buf = appendRequest((*buf)[:0], req, remaining)
+		status = p.exchange(ctx, c, deadline, *buf, &resp)
 	}
-	buffers.Put(buf)
+	requestBuffers.Put(buf)
 	switch {
-	case err != nil: // nobody's fault but the client's
+	case err != nil: // the client's fault alone
 		return balance.Cancelled, stream.Response{Outcome: stream.BodyIncomplete}
 	case status == balance.OK:
-		return status, p.served(c, &a)
-	case rejects(a.status):
-		// The host is well and the request is not: no evidence against the one, and no host for the other.
+		return status, p.response(c, &resp)
+	case rejectsRequest(resp.status):
+		// The host is healthy and the request is not: no evidence against the host, and no other host for the request.
 		return balance.Cancelled, stream.Response{Outcome: stream.InvalidRequest}
 	}
-	return status, stream.Response{Outcome: stream.Failed, Report: a.tried}
+	return status, stream.Response{Outcome: stream.Failed, Report: resp.attempted}
 }
 
-// takeToSend takes a connection for a request, which may still go out once that is there.
-func (p *Pool) takeToSend(ctx context.Context, id balance.EndpointID, until time.Time, use purpose, req *stream.Request) (*conn, error) {
-	c, err := p.take(ctx, id, until, use)
+// acquireToSend returns a connection for a request, if that may still be sent once the connection is there.
+func (p *Pool) acquireToSend(ctx context.Context, id balance.EndpointID, deadline time.Time, kind connKind, req *stream.Request) (*conn, error) {
+	c, err := p.acquire(ctx, id, deadline, kind)
 	if err != nil {
 		return nil, err
 	}
-	// The last look before the first byte: the attempt may have waited, and the world gone on.
-	held := p.Sends != nil && !p.Sends()
-	if err = ctx.Err(); err == nil && (held || !p.takes(c) || !req.ClientRecentlyWaiting()) {
-		err = errHeldBack
+	// The attempt may have waited for its connection, and what it was decided on may have changed.
+	paused := p.CanSend != nil && !p.CanSend()
+	if err = ctx.Err(); err == nil && (paused || !p.accepts(c) || !req.ClientRecentlyWaiting()) {
+		err = errSendRefused
 	}
 	if err != nil {
-		p.put(c)
+		p.release(c)
 		return nil, err
 	}
 	return c, nil
 }
 
-// served is what a host has answered.
-func (p *Pool) served(c *conn, a *answer) stream.Response {
-	res := stream.Response{Outcome: stream.Served, MediaType: a.mediaType, Body: a.body, Report: a.tried}
-	if a.rest != nil { // which is the front's to read: the attempt's context ends with the attempt
-		c.pace.ctx = context.Background()
-		res.Rest, res.Length = &rest{pool: p, conn: c, body: a.rest, keep: a.keep, end: time.Now().Add(restMost)}, a.length
+// response makes a stream's response of a host's successful one.
+func (p *Pool) response(c *conn, resp *hostResponse) stream.Response {
+	res := stream.Response{Outcome: stream.Served, MediaType: resp.mediaType, Body: resp.body, Report: resp.attempted}
+	if resp.remainder != nil { // the frontend reads it, after the attempt and its context have ended
+		c.deadlines.ctx = context.Background()
+		res.Rest = &responseStream{pool: p, conn: c, body: resp.remainder, keepAlive: resp.keepAlive, deadline: time.Now().Add(maxStreamDuration)}
+		res.Length = resp.contentLength
 	}
 	return res
 }
 
-// Probe asks an upstream host whether it is up.
+// Probe carries out one health check of an upstream host.
 func (p *Pool) Probe(id balance.EndpointID) balance.Status {
-	ctx, until := context.Background(), time.Now().Add(probeTimeout)
-	c, err := p.take(ctx, id, until, purpose{})
+	ctx, deadline := context.Background(), time.Now().Add(probeTimeout)
+	c, err := p.acquire(ctx, id, deadline, connKind{})
 	if err != nil {
-		return neverSent(ctx, err)
+		return notSentStatus(ctx, err)
 	}
 	if p.ConnectOnly {
-		p.drop(c)
+		p.discard(c)
 		return balance.OK
 	}
-	var a answer
-	status := p.exchange(ctx, c, until, []byte("GET /ping HTTP/1.1\r\nHost: "+c.addr+"\r\n\r\n"), &a)
-	if status == balance.OK && a.rest != nil {
-		p.drop(c)
+	var resp hostResponse
+	status := p.exchange(ctx, c, deadline, []byte("GET /ping HTTP/1.1\r\nHost: "+c.addr+"\r\n\r\n"), &resp)
+	if status == balance.OK && resp.remainder != nil {
+		p.discard(c)
 	}
 	return status
 }
 
-// exchange writes an HTTP message and reads the answer.
-func (p *Pool) exchange(ctx context.Context, c *conn, until time.Time, message []byte, a *answer) balance.Status {
-	return p.carry(ctx, c, until, message, func() (balance.Status, after, error) {
-		err := c.read(ctx, until, a)
-		return judge(a), a.after(), err
+// exchange writes an HTTP request and reads its response.
+func (p *Pool) exchange(ctx context.Context, c *conn, deadline time.Time, message []byte, resp *hostResponse) balance.Status {
+	return p.roundTrip(ctx, c, deadline, message, func() (balance.Status, connDisposition, error) {
+		err := c.readResponse(ctx, deadline, resp)
+		return responseStatus(resp), resp.disposition(), err
 	})
 }
 
-// after is what becomes of a connection when an answer has been read.
-type after uint8
-
-const (
-	closed after = iota
-	idle         // it may carry another request
-	busy         // the answer's rest still comes on it
-)
-
-func (a *answer) after() after {
-	switch {
-	case a.rest != nil:
-		return busy
-	case a.reusable:
-		return idle
-	}
-	return closed
-}
-
-// carry writes a message in one piece and has read take the answer, and say what it stands for and what becomes of the
-// connection.
-func (p *Pool) carry(ctx context.Context, c *conn, until time.Time, message []byte, read func() (balance.Status, after, error)) balance.Status {
-	_ = c.SetDeadline(until) // on a connection that is broken the write says so
+// roundTrip writes a message with a single Write and calls read for the response. read returns what that stands for, and what
+// becomes of the connection.
+func (p *Pool) roundTrip(ctx context.Context, c *conn, deadline time.Time, message []byte, read func() (balance.Status, connDisposition, error)) balance.Status {
+	_ = c.SetDeadline(deadline) // on a broken connection the write returns the error
 	stop := context.AfterFunc(ctx, c.interrupt)
 	defer stop()
 	if _, err := c.Write(message); err != nil {
-		p.drop(c)
-		return neverSent(ctx, err)
+		p.discard(c)
+		return notSentStatus(ctx, err)
 	}
 	status, then, err := read()
 	if err != nil {
-		p.drop(c)
-		return noAnswer(ctx, err)
+		p.discard(c)
+		return noResponseStatus(ctx, err)
 	}
-	return p.settle(c, !stop(), then, status)
+	return p.dispose(c, !stop(), then, status)
 }
 
-// settle makes a connection idle after an answer, or closes it, and returns what the answer stands for.
-func (p *Pool) settle(c *conn, withdrawn bool, then after, status balance.Status) balance.Status {
+// dispose makes a connection idle after a response, or closes it, and returns what the response stands for.
+func (p *Pool) dispose(c *conn, cancelled bool, then connDisposition, status balance.Status) balance.Status {
 	switch {
-	case withdrawn && then == busy:
-		p.drop(c)
+	case cancelled && then == streamConn:
+		p.discard(c)
 		return balance.Cancelled
-	case withdrawn || then == closed:
-		p.drop(c)
-	case then == idle:
-		p.put(c)
+	case cancelled || then == closeConn:
+		p.discard(c)
+	case then == reuseConn:
+		p.release(c)
 	}
 	return status
 }
 
-// rest is the part of an answer that still comes.
-type rest struct {
-	pool  *Pool
-	conn  *conn
-	body  io.ReadCloser
-	keep  bool // the host goes on with the connection
-	end   time.Time
-	whole bool
-
-	mu     sync.Mutex
-	closed bool
-}
-
-// Read reads more, and waits for each piece of it so long and no longer; nor does it read on beyond the end.
-func (r *rest) Read(b []byte) (int, error) {
-	r.conn.pace.until, r.conn.pace.piece = r.end, streamIn
-	n, err := r.body.Read(b)
-	r.whole = err == io.EOF
-	if err != nil && !r.whole {
-		err = fmt.Errorf("upstream: rest: %w", err)
-	}
-	return n, err
-}
-
-// Interrupt has Read fail from now on.
-func (r *rest) Interrupt() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if !r.closed { // its connection may carry another request by then
-		r.conn.pace.cut.Store(true)
-		r.conn.interrupt()
-	}
-}
-
-// Close lets go of the connection: it may carry another request where the answer was whole.
-func (r *rest) Close() {
-	r.mu.Lock()
-	r.closed = true
-	r.mu.Unlock()
-	if r.whole && r.keep && r.conn.in.Buffered() == 0 && !r.conn.pace.cut.Load() {
-		r.pool.put(r.conn)
-	} else {
-		r.pool.drop(r.conn)
-	}
-}
-
-// rejects tells whether a status says that the request is at fault, whoever gets it.
-func rejects(status int) bool {
-	switch status {
-	case http.StatusRequestTimeout, http.StatusTooEarly, http.StatusTooManyRequests: // of the moment, or of the host
-		return false
-	}
-	return status >= 400 && status < 500
-}
-
-// judge is the outcome that an answer stands for.
-func judge(a *answer) balance.Status {
-	switch {
-	case a.status == http.StatusOK:
-		return balance.OK
-	case a.turnedAway && (a.status == http.StatusServiceUnavailable || a.status == http.StatusGatewayTimeout):
-		return balance.Rejected
-	}
-	return balance.Error
-}
-
-// neverSent is the outcome of a request whose last byte was not written: whatever went wrong, it proves
-// that the request never ran.
-func neverSent(ctx context.Context, err error) balance.Status {
+// notSentStatus is the outcome of a request whose last byte was not written. Whatever went wrong, that proves that the
+// request never ran.
+func notSentStatus(ctx context.Context, err error) balance.Status {
 	switch {
 	case ctx.Err() != nil:
 		return balance.Cancelled
-	case errors.Is(err, errUnknownHost), errors.Is(err, errCrowded), errors.Is(err, errHeldBack): // nothing that the host has done
+	case errors.Is(err, errUnknownHost), errors.Is(err, errPoolExhausted), errors.Is(err, errSendRefused): // no evidence against the host
 		return balance.NotSent
 	}
 	return balance.ConnectFailed
 }
 
-// noAnswer is the outcome of a request that was written whole and got no answer: it may have run.
-func noAnswer(ctx context.Context, err error) balance.Status {
+// noResponseStatus is the outcome of a request that was written to its end and got no response: it may have run.
+func noResponseStatus(ctx context.Context, err error) balance.Status {
 	switch {
 	case ctx.Err() != nil:
 		return balance.Cancelled
-	case errors.Is(err, errBadAnswer):
+	case errors.Is(err, errMalformedResponse):
 		return balance.Error
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return balance.Timeout
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -13,66 +13,66 @@
 )
 
 const (
-	takeIn    = 5 * time.Second        // a host takes nothing of a body for so long at most
-	lastWords = 100 * time.Millisecond // a host that has closed may have said why
-	pieceMost = 32 << 10               // bytes
+	writeStallTimeout    = 5 * time.Second        // that a host may accept no byte of a body
+	earlyResponseTimeout = 100 * time.Millisecond // for the response of a host that ends an upload
+	uploadChunkSize      = 32 << 10               // bytes
 )
 
-var pieces = sync.Pool{New: func() any { return new([pieceMost]byte) }}
+var uploadBuffers = sync.Pool{New: func() any { return new([uploadChunkSize]byte) }}
 
-// upload writes a message whose body still comes, and reads the answer. A host that takes no more, or answers before it
-// has all, has never run the request, nor does it where the client leaves before the last piece. The error is the client's, who
-// brings no more.
-func (p *Pool) upload(ctx context.Context, c *conn, head []byte, req *stream.Request, a *answer) (status balance.Status, err error) {
+// upload writes a request whose body is still coming, and reads the response. A host that accepts no more, or responds before
+// it has the complete request, has never run it; nor has one whose client leaves before the last chunk. The error is the
+// client's, whose body breaks off.
+func (p *Pool) upload(ctx context.Context, c *conn, head []byte, req *stream.Request, resp *hostResponse) (status balance.Status, err error) {
 	body := req.Upload
 	stop := context.AfterFunc(ctx, c.interrupt)
 	defer stop()
-	if fault := c.piece(ctx, head); fault != nil {
-		p.drop(c)
-		return neverSent(ctx, fault), nil
+	if writeErr := c.writeChunk(ctx, head); writeErr != nil {
+		p.discard(c)
+		return notSentStatus(ctx, writeErr), nil
 	}
-	buf, framed := pieces.Get().(*[pieceMost]byte), []byte(nil)
-	defer pieces.Put(buf)
+	buf, framed := uploadBuffers.Get().(*[uploadChunkSize]byte), []byte(nil)
+	defer uploadBuffers.Put(buf)
 	for err != io.EOF {
 		var n int
 		if n, err = body.Read(buf[:]); err != nil && err != io.EOF {
-			p.drop(c)
+			p.discard(c)
 			return balance.Cancelled, fmt.Errorf("upstream: body: %w", err)
 		}
-		piece := buf[:n]
+		chunk := buf[:n]
 		if body.Length < 0 {
-			if framed = chunk(framed[:0], piece); err == io.EOF {
+			if framed = appendChunk(framed[:0], chunk); err == io.EOF {
 				framed = append(framed, "0\r\n\r\n"...)
 			}
-			piece = framed
+			chunk = framed
 		}
-		if len(piece) == 0 { // the last byte has gone: from here on it may have run
+		if len(chunk) == 0 { // the last byte has gone before: the request may have run
 			continue
 		}
 		if !req.ClientRecentlyWaiting() {
-			p.drop(c)
-			return neverSent(ctx, errHeldBack), nil
+			p.discard(c)
+			return notSentStatus(ctx, errSendRefused), nil
 		}
-		if !c.quiet() {
-			return p.early(ctx, c, nil, a), nil
+		if !c.peerSilent() {
+			return p.earlyResponse(ctx, c, nil, resp), nil
 		}
-		if fault := c.piece(ctx, piece); fault != nil {
-			return p.early(ctx, c, fault, a), nil
+		if writeErr := c.writeChunk(ctx, chunk); writeErr != nil {
+			return p.earlyResponse(ctx, c, writeErr, resp), nil
 		}
 	}
 	body.Done()
-	until := time.Now().Add(body.ClientTimeout)
-	c.wait(ctx, until)
-	if fault := c.read(ctx, until, a); fault != nil {
-		p.drop(c)
-		return noAnswer(ctx, fault), nil
+	deadline := time.Now().Add(body.ClientTimeout)
+	c.setReadDeadline(ctx, deadline)
+	if readErr := c.readResponse(ctx, deadline, resp); readErr != nil {
+		p.discard(c)
+		return noResponseStatus(ctx, readErr), nil
 	}
-	return p.settle(c, !stop(), a.after(), judge(a)), nil
+	return p.dispose(c, !stop(), resp.disposition(), responseStatus(resp)), nil
 }
 
-// piece writes a part of a message.
-func (c *conn) piece(ctx context.Context, b []byte) error {
-	_ = c.SetWriteDeadline(time.Now().Add(takeIn)) // on a connection that is broken the write says so
+// writeChunk writes a part of a request within writeStallTimeout.
+func (c *conn) writeChunk(ctx context.Context, b []byte) error {
+	_ = c.SetWriteDeadline(time.Now().Add(writeStallTimeout)) // on a broken connection the write returns the error
 	if ctx.Err() != nil {
 		c.interrupt()
 	}
@@ -80,20 +80,21 @@
 	return err
 }
 
-// early reads what a host says that has not had all of a request, or has closed. Where that is nothing, it never ran.
-func (p *Pool) early(ctx context.Context, c *conn, fault error, a *answer) balance.Status {
-	defer p.drop(c)
-	until := time.Now().Add(lastWords)
-	c.wait(ctx, until)
-	err := c.read(ctx, until, a)
+// earlyResponse reads the response of a host that has not had the complete request, or has closed the connection; writeErr is
+// nil if the last write succeeded. Without a response the request never ran.
+func (p *Pool) earlyResponse(ctx context.Context, c *conn, writeErr error, resp *hostResponse) balance.Status {
+	defer p.discard(c)
+	deadline := time.Now().Add(earlyResponseTimeout)
+	c.setReadDeadline(ctx, deadline)
+	err := c.readResponse(ctx, deadline, resp)
 	switch {
-	case err == nil && a.status == http.StatusOK: // to a request that it has not had: another's, said twice or late; but who knows
-		*a = answer{}
+	case err == nil && resp.status == http.StatusOK: // to another request, sent twice or late; it can't be this one's, but that is no proof
+		*resp = hostResponse{}
 		return balance.Error
 	case err == nil:
-		return judge(a)
-	case fault == nil:
-		fault = err
+		return responseStatus(resp)
+	case writeErr == nil:
+		writeErr = err
 	}
-	return neverSent(ctx, fault)
+	return notSentStatus(ctx, writeErr)
 }
