--- a/cmd/pinelb/main.go
+++ b/cmd/pinelb/main.go
@@ -90,7 +90,7 @@
 }
 
 func show(path string, out io.Writer) int {
-	if err := daemon.Show(path, out); err != nil {
+	if err := daemon.PrintState(path, out); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return statusFaulty
 	}
--- a/internal/daemon/audit.go
+++ b/internal/daemon/audit.go
@@ -25,88 +25,88 @@
 )
 
 const (
-	beatEvery   = 100 * time.Millisecond // the actor's beats, and its moments are looked at
-	flushEvery  = 10 * time.Second       // attempts are noted; what a kill loses of them
-	refusedGap  = 10 * time.Second       // between two lines in the log about refused orders: two auditors may go on for long
-	reportBytes = 192 << 10              // of entries in a report: with the rest of it below trail.ReportMost
-	siteMost    = 128                    // bytes of a site's name
+	heartbeatInterval   = 100 * time.Millisecond // the actor's beats, and its moments are looked at
+	flushInterval  = 10 * time.Second       // attempts are noted; what a kill loses of them
+	rejectionLogInterval  = 10 * time.Second       // between two lines in the log about refused orders: two auditors may go on for long
+	maxReportEntryBytes = 192 << 10              // of entries in a report: with the rest of it below trail.ReportMost
+	maxSiteBytes    = 128                    // bytes of a site's name
 )
 
 // audited is this process as auditors see it: what it acts on, the trail of that, and what it may do. It owns the actor, keeps
 // the events in order, and carries out what the actor wants.
-type audited struct {
-	section *config.Audit
-	build   string
+type auditAgent struct {
+	options *config.Audit
+	buildID   string
 	site    string
-	life    string
+	incarnation    string
 	name    string
 	start   time.Time
 	now     func() time.Duration // since the start, by the monotonic clock, which goes on while the process is stopped
-	wall    func() time.Time
-	book    *auditlog.Book
-	file    *auditlog.File // nil: no disk
+	wallClock    func() time.Time
+	auditLog    *auditlog.Book
+	auditFile    *auditlog.File // nil: no disk
 	log     zerolog.Logger
 
-	refresh func()        // asks the list service for the whole list; set before run
-	reread  chan struct{} // has the configuration be read again
+	refreshList func()        // asks the list service for the whole list; set before run
+	rereadConfig  chan struct{} // has the configuration be read again
 
 	// What the gate looks at, so that a request takes no lock.
-	beat, until atomic.Int64 // when the last beat was, and up to when the verdict holds
-	takes, acts atomic.Bool  // new streams are taken; attempts go out
-	again       atomic.Int64 // a refused client is told to wait
+	lastHeartbeat, verdictExpiry atomic.Int64 // when the last beat was, and up to when the verdict holds
+	acceptsStreams, sendsAttempts atomic.Bool  // new streams are taken; attempts go out
+	retryAfter       atomic.Int64 // a refused client is told to wait
 
 	mu      sync.Mutex // before the book's and the engine's, after the table's
 	actor   *version.Actor
-	set     *config.Settings
+	settings     *config.Settings
 	verdict version.Verdict
-	since   time.Duration // when the version was adopted
-	under   uint32
-	heard   time.Duration // when the list service was heard last; below 0 is never
-	succeed bool          // it has to be succeeded
-	refused time.Duration // when a refused order was logged last
+	adoptedAt   time.Duration // when the version was adopted
+	versionID   uint32
+	listHeardAt   time.Duration // when the list service was heard last; below 0 is never
+	needsSuccessor bool          // it has to be succeeded
+	rejectionLoggedAt time.Duration // when a refused order was logged last
 	round   int           // beats
 }
 
-// newAudited returns nil where the operator's file does not ask for it. The trail goes on from the former process's, or where
+// newAuditAgent returns nil where the operator's file does not ask for it. The trail goes on from the former process's, or where
 // there is none from what the disk has.
-func newAudited(op *config.Audit, cfg *config.Config, keep *keeper, next *succession, log zerolog.Logger) *audited {
+func newAuditAgent(op *config.Audit, cfg *config.Config, keep *statePersister, next *succession, log zerolog.Logger) *auditAgent {
 	if op == nil {
 		return nil
 	}
-	a := &audited{section: op, build: build(), site: siteName(cfg), life: fmt.Sprintf("%016x", rand.Uint64()), name: cmp.Or(cfg.Name, cfg.Listen),
-		start: time.Now(), wall: time.Now, log: log, reread: make(chan struct{}, 1), set: &cfg.Settings, heard: -1}
+	a := &auditAgent{options: op, buildID: buildID(), site: siteName(cfg), incarnation: fmt.Sprintf("%016x", rand.Uint64()), name: cmp.Or(cfg.Name, cfg.Listen),
+		start: time.Now(), wallClock: time.Now, log: log, rereadConfig: make(chan struct{}, 1), settings: &cfg.Settings, listHeardAt: -1}
 	a.now = func() time.Duration { return time.Since(a.start) }
-	past, from := next.trail(), "former"
+	past, from := next.inheritedAuditLog(), "former"
 	if len(past) == 0 && keep != nil {
 		from = "disk"
 		var faults []auditlog.Fault
 		var err error
 		if past, faults, err = auditlog.Load(keep.disk); err != nil || len(faults) > 0 {
-			log.Error().Err(err).Stringers("faults", told(faults)).Msg("the trail is not whole")
+			log.Error().Err(err).Stringers("faults", firstFaults(faults)).Msg("the trail is not whole")
 		}
 	}
 	if len(past) == 0 {
 		from = ""
 	}
 	epoch, by := auditlog.LastOrder(past)
-	a.actor = version.NewActor(0, a.limits(), rand.New(rand.NewPCG(cfg.Seed^rand.Uint64(), auditStream)), epoch, by)
-	a.book = auditlog.NewBook(a.life, from, past, persistence.Now)
+	a.actor = version.NewActor(0, a.actorLimits(), rand.New(rand.NewPCG(cfg.Seed^rand.Uint64(), auditStream)), epoch, by)
+	a.auditLog = auditlog.NewBook(a.incarnation, from, past, persistence.Now)
 	if keep != nil {
-		a.file = &auditlog.File{Disk: keep.disk, Book: a.book, Fault: func(err error) {
+		a.auditFile = &auditlog.File{Disk: keep.disk, Book: a.auditLog, Fault: func(err error) {
 			if err != nil {
 				log.Error().Err(err).Msg("the trail is not written")
 			} else {
 				log.Info().Msg("the trail is written again")
 			}
 		}}
-		a.file.Begin()
+		a.auditFile.Begin()
 	}
-	a.judge(0)
+	a.applyVerdict(0)
 	return a
 }
 
 // calls is for auditors.
-func (a *audited) calls() control.Audit {
+func (a *auditAgent) controlAudit() control.Audit {
 	if a == nil {
 		return nil
 	}
@@ -114,16 +114,16 @@
 }
 
 // told is what the log has of faults: the first ones.
-func told(faults []auditlog.Fault) (out []fmt.Stringer) {
+func firstFaults(faults []auditlog.Fault) (out []fmt.Stringer) {
 	for _, f := range faults[:min(len(faults), 3)] {
 		out = append(out, f)
 	}
 	return out
 }
 
-// siteName is siteOf as orders have it, where it is not too long. It stays the same for as long as the process runs.
+// siteName is siteFingerprint as orders have it, where it is not too long. It stays the same for as long as the process runs.
 func siteName(cfg *config.Config) string {
-	if site := siteOf(cfg); len(site) > siteMost {
+	if site := siteFingerprint(cfg); len(site) > maxSiteBytes {
 		return fmt.Sprintf("tier %d of %d, %016x", cfg.Settings.Tier, cfg.Settings.Tiers, xxhash.Sum64String(site))
 	} else {
 		return site
@@ -131,7 +131,7 @@
 }
 
 // build names what runs: the revision that the build noted, or where it noted none, or one with changes, what the file holds.
-func build() string {
+func buildID() string {
 	noted := map[string]string{}
 	if info, ok := debug.ReadBuildInfo(); ok {
 		for _, s := range info.Settings {
@@ -157,142 +157,142 @@
 	return fmt.Sprintf("%s%016x", revision, sum.Sum64())
 }
 
-func (a *audited) limits() version.Limits {
-	return version.Limits{Site: a.site, Share: a.section.Share, Instances: a.set.Instances, Rank: a.set.Rank, Lease: a.section.Lease.D(),
-		Closed: a.section.Closed()}
+func (a *auditAgent) actorLimits() version.Limits {
+	return version.Limits{Site: a.site, Share: a.options.Share, Instances: a.settings.Instances, Rank: a.settings.Rank, Lease: a.options.Lease.D(),
+		Closed: a.options.Closed()}
 }
 
 // at is a time by the actor's clock.
-func (a *audited) at(t time.Time) time.Duration { return t.Sub(a.start) }
+func (a *auditAgent) sinceStart(t time.Time) time.Duration { return t.Sub(a.start) }
 
 // change has another version take effect; nobody else changes it meanwhile. Where nothing is audited there are no numbers.
-func (a *audited) change(edit func(*version.Version), from string, apply func(under uint32)) {
+func (a *auditAgent) change(edit func(*version.Version), from string, apply func(under uint32)) {
 	if a == nil {
 		apply(0)
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.changed(edit, from, apply)
+	a.changeLocked(edit, from, apply)
 }
 
-func (a *audited) changed(edit func(*version.Version), from string, apply func(under uint32)) {
-	a.book.Change(edit, from, apply)
+func (a *auditAgent) changeLocked(edit func(*version.Version), from string, apply func(under uint32)) {
+	a.auditLog.Change(edit, from, apply)
 	now := a.now()
-	v, under := a.book.Version()
-	if under != a.under {
-		a.under, a.since = under, now
+	v, under := a.auditLog.Version()
+	if under != a.versionID {
+		a.versionID, a.adoptedAt = under, now
 	}
 	a.actor.Adopt(now, v)
-	a.judge(now)
+	a.applyVerdict(now)
 }
 
 // Listed is for cluster.Versions.
-func (a *audited) Listed(l version.List, apply func(under uint32)) {
+func (a *auditAgent) Listed(l version.List, apply func(under uint32)) {
 	a.change(func(v *version.Version) { v.List = l }, l.From, apply)
 }
 
 // begins has the version of a process that starts be the first one.
-func (a *audited) begins(cfg *config.Config, apply func(under uint32)) {
+func (a *auditAgent) recordStart(cfg *config.Config, apply func(under uint32)) {
 	a.change(func(v *version.Version) {
-		v.Settings, v.File, v.Build = cfg.Digest(), a.section.File, a.build
+		v.Settings, v.File, v.Build = cfg.Digest(), a.options.File, a.buildID
 	}, "start", apply)
 }
 
 // settings has other settings take effect, from the file or a distributor.
-func (a *audited) settings(cfg *config.Config, from string, apply func(under uint32)) {
+func (a *auditAgent) changeSettings(cfg *config.Config, from string, apply func(under uint32)) {
 	if a == nil {
 		apply(0)
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.set = &cfg.Settings
-	a.actor.Retune(a.limits())
-	a.changed(func(v *version.Version) { v.Settings = cfg.Digest() }, from, apply)
+	a.settings = &cfg.Settings
+	a.actor.Retune(a.actorLimits())
+	a.changeLocked(func(v *version.Version) { v.Settings = cfg.Digest() }, from, apply)
 }
 
 // listens tells that the list service has answered what it was asked at that time, and that the answer has been taken over.
-func (a *audited) listens(asked time.Time) {
+func (a *auditAgent) confirmList(asked time.Time) {
 	a.tick() // it may be what tells of a stop
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.now()
-	a.actor.Heard(now, a.at(asked))
-	a.judge(now)
+	a.actor.Heard(now, a.sinceStart(asked))
+	a.applyVerdict(now)
 	if a.verdict.State != version.Waking { // what came from before a stop says nothing of now
-		a.heard = now
+		a.listHeardAt = now
 	}
 }
 
 // lives is a beat.
-func (a *audited) lives(now time.Duration) {
+func (a *auditAgent) heartbeat(now time.Duration) {
 	stopped := a.actor.Beat(now)
-	a.beat.Store(int64(now))
+	a.lastHeartbeat.Store(int64(now))
 	if stopped > 0 {
-		a.book.Note(auditlog.Entry{Kind: auditlog.Stopped, Took: millis(stopped)})
+		a.auditLog.Note(auditlog.Entry{Kind: auditlog.Stopped, Took: millis(stopped)})
 		a.log.Warn().Dur("for", stopped).Msg("was stopped; nothing is sent until discovery answers, for a while")
 	}
 }
 
 // judge takes the actor's verdict over. A change of it is noted and logged.
-func (a *audited) judge(now time.Duration) {
+func (a *auditAgent) applyVerdict(now time.Duration) {
 	v := a.actor.Verdict(now)
 	if v.State != a.verdict.State || v.Why != a.verdict.Why {
-		a.book.Note(auditlog.Entry{Kind: auditlog.Judged, State: v.State, Why: v.Why})
+		a.auditLog.Note(auditlog.Entry{Kind: auditlog.Judged, State: v.State, Why: v.Why})
 		if a.verdict.State != "" {
 			a.log.Warn().Str("state", v.State).Str("why", v.Why).Msg("the audit's verdict has changed")
 		}
 	}
 	a.verdict = v
-	a.until.Store(int64(v.Until))
-	a.takes.Store(v.Takes())
-	a.acts.Store(v.Sends())
+	a.verdictExpiry.Store(int64(v.Until))
+	a.acceptsStreams.Store(v.Takes())
+	a.sendsAttempts.Store(v.Sends())
 	again := v.Again
-	if most := a.set.MaxRetryAfter; most > 0 {
+	if most := a.settings.MaxRetryAfter; most > 0 {
 		again = min(again, most)
 	}
-	if !a.set.RetryAfter {
+	if !a.settings.RetryAfter {
 		again = 0
 	}
-	a.again.Store(int64(again))
+	a.retryAfter.Store(int64(again))
 }
 
-// lookAt is for the gate: whatever time alone has changed is looked at first.
-func (a *audited) lookAt() {
+// refreshVerdict is for the gate: whatever time alone has changed is looked at first.
+func (a *auditAgent) refreshVerdict() {
 	now := int64(a.now())
-	if now-a.beat.Load() > int64(version.Gap) || now >= a.until.Load() {
+	if now-a.lastHeartbeat.Load() > int64(version.Gap) || now >= a.verdictExpiry.Load() {
 		a.tick()
 	}
 }
 
 // Takes tells whether new streams are taken, and where not, when their clients should come again.
-func (a *audited) Takes() (takes bool, again time.Duration) {
-	a.lookAt()
-	return a.takes.Load(), time.Duration(a.again.Load())
+func (a *auditAgent) Takes() (takes bool, again time.Duration) {
+	a.refreshVerdict()
+	return a.acceptsStreams.Load(), time.Duration(a.retryAfter.Load())
 }
 
 // Sends tells whether attempts go out.
-func (a *audited) Sends() bool {
-	a.lookAt()
-	return a.acts.Load()
+func (a *auditAgent) Sends() bool {
+	a.refreshVerdict()
+	return a.sendsAttempts.Load()
 }
 
 // tick is a beat, and carries out what the actor wants.
-func (a *audited) tick() {
+func (a *auditAgent) tick() {
 	a.mu.Lock()
 	now := a.now()
-	a.lives(now)
-	a.judge(now)
+	a.heartbeat(now)
+	a.applyVerdict(now)
 	wants := a.actor.Wants(now)
-	a.succeeds(now, wants)
+	a.updateNeedsSuccessor(now, wants)
 	a.mu.Unlock()
 	if wants.List {
-		a.refresh()
+		a.refreshList()
 	}
 	if wants.Config {
 		select {
-		case a.reread <- struct{}{}:
+		case a.rereadConfig <- struct{}{}:
 		default: // it is about to be
 		}
 	}
@@ -300,25 +300,25 @@
 
 // succeeds tells once that this process can't come up to the floor: its build is what it is, and the operator's file is read at
 // the start alone.
-func (a *audited) succeeds(now time.Duration, wants version.Wants) {
-	was := a.succeed
+func (a *auditAgent) updateNeedsSuccessor(now time.Duration, wants version.Wants) {
+	was := a.needsSuccessor
 	f := a.actor.Floor(now)
-	a.succeed = wants.Succeed || f != nil && f.File != 0 && f.File != a.section.File
-	if a.succeed && !was {
-		a.log.Warn().Str("build", a.build).Strs("floor", f.Builds).Stringer("file", hex(f.File)).Msg("this process has to be succeeded by one that meets the floor")
+	a.needsSuccessor = wants.Succeed || f != nil && f.File != 0 && f.File != a.options.File
+	if a.needsSuccessor && !was {
+		a.log.Warn().Str("build", a.buildID).Strs("floor", f.Builds).Stringer("file", hexDigest(f.File)).Msg("this process has to be succeeded by one that meets the floor")
 	}
 }
 
-type hex version.Digest
+type hexDigest version.Digest
 
-func (h hex) String() string { return fmt.Sprintf("%016x", uint64(h)) }
+func (h hexDigest) String() string { return fmt.Sprintf("%016x", uint64(h)) }
 
 // run beats until ctx ends, and ends the trail.
-func (a *audited) run(ctx context.Context) {
+func (a *auditAgent) run(ctx context.Context) {
 	if a == nil {
 		return
 	}
-	beats, flush := time.NewTicker(beatEvery), time.NewTicker(flushEvery)
+	beats, flush := time.NewTicker(heartbeatInterval), time.NewTicker(flushInterval)
 	defer beats.Stop()
 	defer flush.Stop()
 	for {
@@ -326,12 +326,12 @@
 		case <-beats.C:
 			a.tick()
 		case <-flush.C:
-			a.book.Flush()
+			a.auditLog.Flush()
 		case <-ctx.Done():
-			a.book.Flush()
-			a.book.Note(auditlog.Entry{Kind: auditlog.Ended})
-			if a.file != nil {
-				a.file.Close()
+			a.auditLog.Flush()
+			a.auditLog.Note(auditlog.Entry{Kind: auditlog.Ended})
+			if a.auditFile != nil {
+				a.auditFile.Close()
 			}
 			return
 		}
@@ -339,18 +339,18 @@
 }
 
 // Take takes an auditor's order, or refuses it, as version.Actor does.
-func (a *audited) Take(o version.Order) error {
+func (a *auditAgent) Take(o version.Order) error {
 	a.mu.Lock()
 	now := a.now()
-	a.lives(now)
+	a.heartbeat(now)
 	was := a.actor.Floor(now)
-	err := a.actor.Take(now, time.Duration(a.wall().UnixNano()), o)
+	err := a.actor.Take(now, time.Duration(a.wallClock().UnixNano()), o)
 	e := auditlog.Entry{Kind: auditlog.Ordered, Order: &o}
 	switch {
 	case err != nil:
 		e.Why = err.Error()
-		if a.refused == 0 || now-a.refused > refusedGap {
-			a.refused = now
+		if a.rejectionLoggedAt == 0 || now-a.rejectionLoggedAt > rejectionLogInterval {
+			a.rejectionLoggedAt = now
 			a.log.Warn().Err(err).Str("by", o.Floor.By).Msg("an auditor's order is refused")
 		}
 	case was == nil || was.Epoch != o.Floor.Epoch || was.By != o.Floor.By:
@@ -359,29 +359,29 @@
 	if err == nil {
 		a.actor.Vouched(now)
 	}
-	a.book.Note(e)
+	a.auditLog.Note(e)
 	a.mu.Unlock()
 	a.tick() // what it wants may be due at once
 	return err
 }
 
 // Report is what an auditor is answered, with the trail's entries from that number on.
-func (a *audited) Report(since uint64) auditlog.Report {
+func (a *auditAgent) Report(since uint64) auditlog.Report {
 	a.tick()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.now()
-	r := auditlog.Report{Name: a.name, Site: a.site, Rank: a.set.Rank, Instances: max(1, a.set.Instances), Life: a.life,
-		Now: version.Millis(a.wall().UnixMilli()), Up: millis(persistence.Now().Up), Since: millis(now - a.since), Heard: -1, State: a.verdict.State, Why: a.verdict.Why,
-		Floor: a.actor.Floor(now), Ticket: a.actor.Ticket(now), Succeed: a.succeed}
-	if z := a.set.Zone; z >= 0 && z < len(a.set.ZoneNames) {
-		r.Zone = a.set.ZoneNames[z]
+	r := auditlog.Report{Name: a.name, Site: a.site, Rank: a.settings.Rank, Instances: max(1, a.settings.Instances), Life: a.incarnation,
+		Now: version.Millis(a.wallClock().UnixMilli()), Up: millis(persistence.Now().Up), Since: millis(now - a.adoptedAt), Heard: -1, State: a.verdict.State, Why: a.verdict.Why,
+		Floor: a.actor.Floor(now), Ticket: a.actor.Ticket(now), Succeed: a.needsSuccessor}
+	if z := a.settings.Zone; z >= 0 && z < len(a.settings.ZoneNames) {
+		r.Zone = a.settings.ZoneNames[z]
 	}
-	if a.heard >= 0 {
-		r.Heard = millis(now - a.heard)
+	if a.listHeardAt >= 0 {
+		r.Heard = millis(now - a.listHeardAt)
 	}
-	r.Version, r.Under = a.book.Version()
-	r.Entries, r.Next, r.First = a.book.Since(min(since, math.MaxInt64), reportBytes)
+	r.Version, r.Under = a.auditLog.Version()
+	r.Entries, r.Next, r.First = a.auditLog.Since(min(since, math.MaxInt64), maxReportEntryBytes)
 	return r
 }
 
--- a/internal/daemon/audit_test.go
+++ b/internal/daemon/audit_test.go
@@ -25,7 +25,7 @@
 
 // world is an audited process without sockets. Its time passes as the test says.
 type world struct {
-	*audited
+	*auditAgent
 	time  time.Time
 	asked int // for whole lists
 	set   *config.Settings
@@ -46,12 +46,12 @@
 	}
 	w := &world{time: time.Now(), set: &set, eng: eng, table: cluster.NewTable(set.ZoneNames, set.KindNames, noHosts{}, eng)}
 	cfg := &config.Config{Name: "n0", Settings: set, Site: settings}
-	w.audited = newAudited(&section, cfg, nil, &succession{}, zerolog.Nop())
-	w.start, w.wall, w.refresh = w.time, func() time.Time { return w.time }, func() { w.asked++ }
+	w.auditAgent = newAuditAgent(&section, cfg, nil, &succession{}, zerolog.Nop())
+	w.start, w.wallClock, w.refreshList = w.time, func() time.Time { return w.time }, func() { w.asked++ }
 	w.now = func() time.Duration { return w.time.Sub(w.start) }
-	w.begins(cfg, eng.Adopt)
+	w.recordStart(cfg, eng.Adopt)
 	w.table.Versions = w
-	w.book.Names(func(class int, host balance.EndpointID) (string, string) {
+	w.auditLog.Names(func(class int, host balance.EndpointID) (string, string) {
 		return set.ClassNames[class], w.table.Name(host)
 	})
 	return w
@@ -89,7 +89,7 @@
 		}
 	}
 	hear := func(ago time.Duration) func(w *world) {
-		return func(w *world) { w.listens(w.time.Add(-ago)) }
+		return func(w *world) { w.confirmList(w.time.Add(-ago)) }
 	}
 	beat := func(w *world) { w.tick() }
 	stop := func(*world) {} // nothing runs until the next step
@@ -144,7 +144,7 @@
 					stops++
 				}
 			}
-			for _, e := range w.book.Past() {
+			for _, e := range w.auditLog.Past() {
 				if e.Kind == auditlog.Stopped {
 					stops--
 				}
@@ -188,7 +188,7 @@
 func TestAttemptsHaveOneVersion(t *testing.T) {
 	const lists = 300
 	w := newWorld(t, config.Audit{})
-	s := &seen{Book: w.book, got: map[attempt]int{}, of: w.table.Name}
+	s := &seen{Book: w.auditLog, got: map[attempt]int{}, of: w.table.Name}
 	var visits atomic.Int64
 	p := &stream.Proxy{Engine: w.eng, Trail: s, Log: zerolog.Nop(), Upstream: upstreamFunc(func() balance.Status {
 		if visits.Add(1)%3 == 0 {
@@ -207,7 +207,7 @@
 	changes.Go(func() {
 		for n := range lists / 2 {
 			cfg := &config.Config{Settings: *w.set, Site: fmt.Sprintf(`{"n":%d}`, n)}
-			w.settings(cfg, "file", func(under uint32) { _ = w.eng.Retune(cfg.Settings.Settings, under) })
+			w.changeSettings(cfg, "file", func(under uint32) { _ = w.eng.Retune(cfg.Settings.Settings, under) })
 		}
 	})
 	for i := range 4 {
@@ -220,9 +220,9 @@
 	changes.Wait()
 	over.Store(true)
 	streams.Wait()
-	w.book.Flush()
+	w.auditLog.Flush()
 	held, total, counted := map[uint32]version.List{}, 0, 0
-	for _, e := range w.book.Past() {
+	for _, e := range w.auditLog.Past() {
 		if e.Kind == auditlog.Adopted {
 			held[e.Under] = e.Version.List
 		}
@@ -243,7 +243,7 @@
 	if wrong > 0 || total == 0 || total != int(visits.Load()) {
 		t.Errorf("%d of %d numbers with attempts are of another list; %d attempts, %d visits", wrong, len(s.got), total, visits.Load())
 	}
-	if v, _ := w.book.Version(); v.List.Revision != lists+1 || v.Settings != (&config.Config{Site: fmt.Sprintf(`{"n":%d}`, lists/2-1)}).Digest() {
+	if v, _ := w.auditLog.Version(); v.List.Revision != lists+1 || v.Settings != (&config.Config{Site: fmt.Sprintf(`{"n":%d}`, lists/2-1)}).Digest() {
 		t.Errorf("in the end it acts on %+v", v)
 	} else if err := w.Take(version.Order{Floor: version.Floor{Epoch: 1, By: "a", Site: w.site, List: v.List.Digest, Settings: v.Settings, For: 1000}}); err != nil || w.verdict.State != version.Acts {
 		t.Errorf("%v; of the actor, which has to know, it is %+v", err, w.verdict) // the events came to it in their order
@@ -264,37 +264,37 @@
 		t.Run(from, func(t *testing.T) {
 			disk, w, next := persistence.Dir(t.TempDir()), newWorld(t, config.Audit{}), &succession{}
 			if from == "disk" {
-				w.file = &auditlog.File{Disk: disk, Book: w.book, Fault: func(err error) { t.Error(err) }}
-				w.file.Begin()
+				w.auditFile = &auditlog.File{Disk: disk, Book: w.auditLog, Fault: func(err error) { t.Error(err) }}
+				w.auditFile.Begin()
 			}
 			if err := w.Take(version.Order{Floor: version.Floor{Epoch: 7, By: "a", Site: w.site, Grace: 1, For: 1000}}); err != nil {
 				t.Fatal(err)
 			}
-			w.book.Sent(1, 0, 1, false)
+			w.auditLog.Sent(1, 0, 1, false)
 			if from == "former" {
-				s := &succession{classes: func() []string { return nil }, table: w.table, eng: w.eng, effects: inflight.New(1), audited: w.audited}
-				state, err := s.state()
+				s := &succession{classNames: func() []string { return nil }, table: w.table, engine: w.eng, effects: inflight.New(1), audit: w.auditAgent}
+				state, err := s.handoverState()
 				if err != nil {
 					t.Fatal(err)
 				}
-				next.former = &handover.Former{State: state}
+				next.predecessor = &handover.Predecessor{State: state}
 			}
 			ctx, end := context.WithCancel(context.Background())
 			end()
 			w.run(ctx)
-			heir := newAudited(&config.Audit{}, &config.Config{Name: "n0", Settings: *w.set, Site: settings}, &keeper{disk: disk}, next, zerolog.Nop())
-			past := heir.book.Past()
-			heir.file.Close()
+			heir := newAuditAgent(&config.Audit{}, &config.Config{Name: "n0", Settings: *w.set, Site: settings}, &statePersister{disk: disk}, next, zerolog.Nop())
+			past := heir.auditLog.Past()
+			heir.auditFile.Close()
 			counted := 0
 			for _, e := range past {
 				for _, a := range e.Attempts {
 					counted += a.N
 				}
-				if e.Kind == auditlog.Began && e.Life == heir.life && e.From != from {
+				if e.Kind == auditlog.Began && e.Life == heir.incarnation && e.From != from {
 					t.Errorf("it begins from %q", e.From)
 				}
 			}
-			if faults := auditlog.Check(past); len(faults) > 0 || past[0].Life != w.life || past[len(past)-1].Life != heir.life || counted != 1 {
+			if faults := auditlog.Check(past); len(faults) > 0 || past[0].Life != w.incarnation || past[len(past)-1].Life != heir.incarnation || counted != 1 {
 				t.Errorf("%v, %d attempts in %+v", faults, counted, past)
 			}
 			if err := heir.Take(version.Order{Floor: version.Floor{Epoch: 6, By: "a", Site: w.site, Grace: 1, For: 1000}}); err == nil {
@@ -309,7 +309,7 @@
 func BenchmarkAudit(b *testing.B) {
 	w := newWorld(b, config.Audit{})
 	w.now = func() time.Duration { return time.Since(w.start) }
-	w.beat.Store(1 << 62) // nobody beats here
+	w.lastHeartbeat.Store(1 << 62) // nobody beats here
 	w.table.Apply(balance.ListFull, only(1))
 	host := w.table.Held().List.Members[0].Endpoint
 	measure := func(name string, do func()) {
@@ -327,7 +327,7 @@
 	for _, on := range []bool{false, true} {
 		p := &stream.Proxy{Engine: w.eng, Log: zerolog.Nop(), Upstream: upstreamFunc(func() balance.Status { return balance.OK })}
 		if on {
-			p.Gate, p.Trail = w, w.book
+			p.Gate, p.Trail = w, w.auditLog
 		}
 		measure(fmt.Sprint("stream/on=", on), func() {
 			p.Serve(context.Background(), &stream.Request{Txn: "a", Deadline: time.Now().Add(time.Minute)})
@@ -335,7 +335,7 @@
 	}
 	measure("gate", func() { w.Sends() })
 	measure("trail", func() {
-		w.book.Sent(1, 0, host, false)
-		w.book.Ended(1, 0, host, false, false)
+		w.auditLog.Sent(1, 0, host, false)
+		w.auditLog.Ended(1, 0, host, false, false)
 	})
 }
--- a/internal/daemon/retune.go
+++ b/internal/daemon/retune.go
@@ -20,17 +20,17 @@
 )
 
 // tuning has a configuration that is read again take effect.
-type tuning struct {
-	op      *config.Operator
-	eng     *driver.Engine
+type configUpdater struct {
+	operator      *config.Operator
+	engine     *driver.Engine
 	pool    *upstream.Pool
 	side    *downstream.Side
 	table   *cluster.Table
 	budget  *stream.Budget           // nil: none
-	rec     *accesslog.Recorder      // nil: none
-	audited *audited                 // nil: nobody audits
+	recorder     *accesslog.Recorder      // nil: none
+	audit *auditAgent                 // nil: nobody audits
 	watch   *settingsclient.Watch    // of published settings; nil: none
-	reclass []func(*config.Settings) // the fronts
+	onClassesChanged []func(*config.Settings) // the fronts
 	log     zerolog.Logger
 
 	mu        sync.Mutex
@@ -39,13 +39,13 @@
 }
 
 // classes are the names of the classes, by number.
-func (t *tuning) classes() []string {
+func (t *configUpdater) classNames() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.cfg.Settings.ClassNames
 }
 
-func aims(set *config.Settings) (out []time.Duration) {
+func targetLatencies(set *config.Settings) (out []time.Duration) {
 	for _, c := range set.Classes {
 		out = append(out, c.Aim)
 	}
@@ -54,29 +54,29 @@
 
 // follow reads the configuration again at each SIGHUP, and when a floor wants it, until ctx ends, and hands on where discovery is then. One that
 // can't be used changes nothing. Addresses and the machine's limits take a restart.
-func (t *tuning) follow(ctx context.Context, hups <-chan os.Signal, moves chan<- string) {
+func (t *configUpdater) run(ctx context.Context, hups <-chan os.Signal, moves chan<- string) {
 	for {
 		var floor <-chan struct{}
-		if t.audited != nil {
-			floor = t.audited.reread
+		if t.audit != nil {
+			floor = t.audit.rereadConfig
 		}
 		select {
 		case <-hups:
 		case <-floor:
-			t.ask(false)
+			t.pollDistributors(false)
 			if !t.differs(os.Getenv) {
 				continue // it will be looked at again while the floor is in force
 			}
 		case <-ctx.Done():
 			return
 		}
-		cfg, err := t.retune(os.Getenv)
+		cfg, err := t.reload(os.Getenv)
 		if err != nil {
 			t.log.Error().Err(err).Msg("the new configuration is not taken")
 			continue
 		}
-		t.ask(true) // what was refused beside the former file may be right beside this one
-		t.log.Info().Str("discovery", cfg.Discovery).Stringer("published", t.edition()).Strs("classes", cfg.Settings.ClassNames).Int("attempts", cfg.Settings.MaxAttempts).
+		t.pollDistributors(true) // what was refused beside the former file may be right beside this one
+		t.log.Info().Str("discovery", cfg.Discovery).Stringer("published", t.publishedEdition()).Strs("classes", cfg.Settings.ClassNames).Int("attempts", cfg.Settings.MaxAttempts).
 			Msg("configuration read again")
 		select {
 		case moves <- cfg.Discovery:
@@ -87,7 +87,7 @@
 }
 
 // retune reads the configuration and has its settings take effect, whole or not at all. Published ones stay in force.
-func (t *tuning) retune(getenv func(string) string) (*config.Config, error) {
+func (t *configUpdater) reload(getenv func(string) string) (*config.Config, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	cfg, err := config.Reload(getenv, t.cfg)
@@ -97,13 +97,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return t.adopt(cfg, "file")
+	return t.apply(cfg, "file")
 }
 
 // adopt has settings take effect, whole or not at all, and returns the configuration with the classes as it has them: the decisions
 // go first, for they have to know a class before a request of it comes.
-func (t *tuning) adopt(cfg *config.Config, from string) (*config.Config, error) {
-	if err := t.op.Fits(cfg); err != nil {
+func (t *configUpdater) apply(cfg *config.Config, from string) (*config.Config, error) {
+	if err := t.operator.Fits(cfg); err != nil {
 		return nil, err
 	}
 	after, err := cfg.Settings.After(&t.cfg.Settings)
@@ -112,21 +112,21 @@
 	}
 	after.Name = t.cfg.Settings.Name // by which hosts are chosen: the same for as long as the process runs
 	told := *cfg
-	if t.audited.settings(&told, from, func(under uint32) { err = t.eng.Retune(after.Settings, under) }); err != nil {
-		t.audited.settings(t.cfg, from, t.eng.Adopt)
+	if t.audit.changeSettings(&told, from, func(under uint32) { err = t.engine.Retune(after.Settings, under) }); err != nil {
+		t.audit.changeSettings(t.cfg, from, t.engine.Adopt)
 		return nil, err
 	}
 	t.table.Retune(after.ZoneNames, after.KindNames)
 	t.pool.Retune(after.ConnectTimeout, after.ConnIdle)
-	t.pool.Guard(handshakeLimit(t.op.Fleet, &after))
+	t.pool.Guard(handshakeLimit(t.operator.Fleet, &after))
 	t.side.Retune(&after)
 	if t.budget != nil {
-		t.budget.Retune(aims(&after))
+		t.budget.Retune(targetLatencies(&after))
 	}
-	if t.rec != nil { // before the first stream of a new class can end
-		t.rec.Retune(&told)
+	if t.recorder != nil { // before the first stream of a new class can end
+		t.recorder.Retune(&told)
 	}
-	for _, reclass := range t.reclass {
+	for _, reclass := range t.onClassesChanged {
 		reclass(&after)
 	}
 	cfg.Settings = after
@@ -136,7 +136,7 @@
 
 // differs tells whether the settings that are there to be read are not those in force; a file that can't be used is told of.
 // Published ones are not the file's to differ from.
-func (t *tuning) differs(getenv func(string) string) bool {
+func (t *configUpdater) differs(getenv func(string) string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.published != nil {
--- a/internal/daemon/retune_test.go
+++ b/internal/daemon/retune_test.go
@@ -41,12 +41,12 @@
 		t.Fatal(err)
 	}
 	set := &cfg.Settings
-	tuned := &tuning{cfg: cfg, op: &config.Operator{}, eng: eng, pool: upstream.NewPool(set.ConnectTimeout, set.ConnIdle, 10),
+	tuned := &configUpdater{cfg: cfg, operator: &config.Operator{}, engine: eng, pool: upstream.NewPool(set.ConnectTimeout, set.ConnIdle, 10),
 		side: downstream.NewSide(set, 1<<20, 10, zerolog.Nop()), table: cluster.NewTable(set.ZoneNames, set.KindNames, noHosts{}, eng), log: zerolog.Nop()}
 	ctx, end := context.WithCancel(t.Context())
 	hups, moves, ended := make(chan os.Signal), make(chan string), make(chan struct{})
 	go func() {
-		tuned.follow(ctx, hups, moves)
+		tuned.run(ctx, hups, moves)
 		close(ended)
 	}()
 	for _, c := range []struct{ old, new string }{{`"send_cap":4`, `"send_cap":0`}, {`"send_cap":4`, `"x":4`}, {`"zones":["moonah"]`, `"zones":[1]`}, {`"deadline":`, `"deadline":-`}} {
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -36,13 +36,13 @@
 )
 
 const (
-	socketsKept = 32                     // for discovery, the listener and the runtime
-	memoryShare = 0.7                    // of the limit, for the heap: the rest is stacks and the kernel's
-	effectsPart = 64                     // of the limit, for effects that are remembered
-	journalPart = 16                     // the same where a journal promises to know them
-	effectBytes = 512                    // of one, about
-	bodiesPart  = 16                     // of the limit, for the bodies of callers' requests; attempts copy them
-	syncWithin  = 300 * time.Millisecond // after which the known list has to do
+	reservedSockets = 32                     // for discovery, the listener and the runtime
+	heapFraction = 0.7                    // of the limit, for the heap: the rest is stacks and the kernel's
+	effectsDivisor = 64                     // of the limit, for effects that are remembered
+	journalEffectsDivisor = 16                     // the same where a journal promises to know them
+	bytesPerEffect = 512                    // of one, about
+	bodiesDivisor  = 16                     // of the limit, for the bodies of callers' requests; attempts copy them
+	syncTimeout  = 300 * time.Millisecond // after which the known list has to do
 
 	discoveryStream = 2 // of the random numbers that the seed gives, the one that spreads calls to discovery
 	auditStream     = 3 // and the one that spreads what a floor wants
@@ -75,7 +75,7 @@
 		if op.Fleet != nil && op.Fleet.Numbered {
 			cfg.Settings.Name = ""
 		}
-		rec, log = recorder(cfg, op.Record, log)
+		rec, log = startRecorder(cfg, op.Record, log)
 		log = log.With().Str("name", cfg.Name).Logger()
 		err = run(cfg, op, rec, hups, log)
 	}
@@ -89,7 +89,7 @@
 }
 
 // recorder starts to record, if that is asked for, and returns the log that goes with it.
-func recorder(cfg *config.Config, o *config.Record, log zerolog.Logger) (*accesslog.Recorder, zerolog.Logger) {
+func startRecorder(cfg *config.Config, o *config.Record, log zerolog.Logger) (*accesslog.Recorder, zerolog.Logger) {
 	if o == nil {
 		return nil, log
 	}
@@ -105,8 +105,8 @@
 func run(cfg *config.Config, op *config.Operator, rec *accesslog.Recorder, hups <-chan os.Signal, log zerolog.Logger) error {
 	runtime.GOMAXPROCS(max(1, int(cfg.Limits.Cores)))
 	memory := int64(cfg.Limits.MemoryMB) << 20
-	debug.SetMemoryLimit(int64(memoryShare * float64(memory)))
-	sockets := cfg.Limits.Sockets - socketsKept
+	debug.SetMemoryLimit(int64(heapFraction * float64(memory)))
+	sockets := cfg.Limits.Sockets - reservedSockets
 	if cfg.Control != "" {
 		sockets -= control.Most
 	}
@@ -120,16 +120,16 @@
 	}
 	streams := &stream.Proxy{Engine: eng, Upstream: pool, Log: log}
 	if cfg.Control != "" || op.State != nil && op.State.Journal { // there may be another process beside this one, or after it
-		part := int64(effectsPart)
+		part := int64(effectsDivisor)
 		if op.State != nil && op.State.Journal {
-			part = journalPart
+			part = journalEffectsDivisor
 		}
-		streams.Effects = inflight.New(int(memory / part / effectBytes))
+		streams.Effects = inflight.New(int(memory / part / bytesPerEffect))
 	}
 	if op.Budget != nil {
-		streams.Budget = stream.NewBudget(op.Budget.Accounts(set), cfg.Seed, aims(set), log)
+		streams.Budget = stream.NewBudget(op.Budget.Accounts(set), cfg.Seed, targetLatencies(set), log)
 	}
-	side := downstream.NewSide(set, memory/bodiesPart, sockets-sockets/2, log)
+	side := downstream.NewSide(set, memory/bodiesDivisor, sockets-sockets/2, log)
 	srv := downstream.New(set, side, streams, log)
 	table := cluster.NewTable(set.ZoneNames, set.KindNames, pool, eng)
 	var overThrift *stream.Proxy
@@ -145,69 +145,69 @@
 			rec.Open = func() int { return streams.Out() + overThrift.Out() }
 		}
 	}
-	tuned := &tuning{cfg: cfg, op: op, eng: eng, pool: pool, side: side, table: table, budget: streams.Budget, rec: rec,
-		reclass: []func(*config.Settings){srv.Reclass}, log: log}
-	next := &succession{classes: tuned.classes, inForce: tuned.handed, table: table, eng: eng, former: formerOf(cfg, log), effects: streams.Effects, log: log}
-	shares := &bounds{memory: memory, sockets: sockets, pool: pool, side: side, eng: eng}
-	if next.former != nil {
-		shares.beside(1) // before what it hands over, which is its part already
+	tuned := &configUpdater{cfg: cfg, operator: op, engine: eng, pool: pool, side: side, table: table, budget: streams.Budget, recorder: rec,
+		onClassesChanged: []func(*config.Settings){srv.Reclass}, log: log}
+	next := &succession{classNames: tuned.classNames, encodePublished: tuned.encodePublished, table: table, engine: eng, predecessor: connectPredecessor(cfg, log), effects: streams.Effects, log: log}
+	shares := &resourceLimits{memory: memory, sockets: sockets, pool: pool, side: side, engine: eng}
+	if next.predecessor != nil {
+		shares.addProcesses(1) // before what it hands over, which is its part already
 	}
 	known := len(cfg.Known.Members) > 0
 	cfg.Known.From = "known"
 	// What a process hands over is of the present; and one instance alone pushes nobody over.
-	table.Old = op.Discovery != nil && next.former == nil && set.Instances > 1
+	table.Old = op.Discovery != nil && next.predecessor == nil && set.Instances > 1
 	moves := make(chan string)
 	watch := &cluster.Watcher{Addr: cfg.Discovery, Moves: moves, Table: table, Log: log,
 		Rand: rand.New(rand.NewPCG(cfg.Seed, discoveryStream))}
-	keep := newKeeper(op.State, cfg, next, log)
-	audit := newAudited(op.Audit, cfg, keep, next, log)
+	keep := newStatePersister(op.State, cfg, next, log)
+	audit := newAuditAgent(op.Audit, cfg, keep, next, log)
 	if audit != nil {
-		audit.book.Names(func(class int, host balance.EndpointID) (string, string) {
-			return tuned.classes()[class], table.Name(host)
+		audit.auditLog.Names(func(class int, host balance.EndpointID) (string, string) {
+			return tuned.classNames()[class], table.Name(host)
 		})
-		audit.begins(cfg, eng.Adopt)
-		tuned.audited, next.audited, table.Versions = audit, audit, audit
+		audit.recordStart(cfg, eng.Adopt)
+		tuned.audit, next.audit, table.Versions = audit, audit, audit
 		for _, p := range []*stream.Proxy{streams, overThrift} {
 			if p != nil {
-				p.Gate, p.Trail = audit, audit.book
+				p.Gate, p.Trail = audit, audit.auditLog
 			}
 		}
 		srv.Gate, pool.Sends = audit, audit.Sends
-		watch.Heard, audit.refresh = audit.listens, watch.Refresh
+		watch.Heard, audit.refreshList = audit.confirmList, watch.Refresh
 	}
 	switch {
-	case next.former != nil && next.take(), keep.remember(cfg):
+	case next.predecessor != nil && next.takeOver(), keep.restore(cfg):
 		known = true
 	case known: // from none at all the decisions would take a wrong measure
 		table.Apply(balance.ListCached, cfg.Known)
 	}
-	streams.Promise = keep.begin()
+	streams.Promise = keep.startJournal()
 	if overThrift != nil {
 		overThrift.Promise = streams.Promise
 	}
 	// Before anything listens: from then on the kernel accepts connections, which an end at once would reset.
 	ending, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	l, err := open(next.former, cfg, cfg.Listen)
+	l, err := openListener(next.predecessor, cfg, cfg.Listen)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
 	fronts := []downstream.Front{srv.Front(l)}
 	fronts[0].Addr = cfg.Listen
 	if overThrift != nil {
-		tl, err := open(next.former, cfg, op.Thrift.Listen)
+		tl, err := openListener(next.predecessor, cfg, op.Thrift.Listen)
 		if err != nil {
 			return fmt.Errorf("listen: thrift.listen: %w", err)
 		}
 		log.Info().Stringer("addr", tl.Addr()).Msg("listening for Thrift")
 		server := thrift.New(op.Thrift, set, side, overThrift, log)
-		tuned.reclass = append(tuned.reclass, server.Reclass)
+		tuned.onClassesChanged = append(tuned.onClassesChanged, server.Reclass)
 		front := server.Front(tl)
 		front.Addr = op.Thrift.Listen
 		fronts = append(fronts, front)
 	}
-	if next.former != nil {
-		next.former.CloseUnused() // of a front that this process doesn't have
+	if next.predecessor != nil {
+		next.predecessor.CloseUnused() // of a front that this process doesn't have
 	}
 	log.Info().Stringer("addr", l.Addr()).Msg("listening")
 	if cfg.Control != "" {
@@ -215,7 +215,7 @@
 		if err != nil {
 			return fmt.Errorf("listen: LB_CONTROL: %w", err)
 		}
-		operators := control.New(srv.Takes, next, audit.calls(), log)
+		operators := control.New(srv.Takes, next, audit.controlAudit(), log)
 		defer operators.Close() // calls are answered for as long as the process runs
 		go func() { _ = operators.Serve(control.Listener(cl)) }()
 		log.Info().Stringer("addr", cl.Addr()).Msg("listening for operators")
@@ -224,36 +224,36 @@
 	defer end()
 	go pool.Sweep(life)
 	up := make(chan struct{})
-	next.wait(cfg, fronts, side, shares)
+	next.newServer(cfg, fronts, side, shares)
 	var served sync.WaitGroup
 	defer served.Wait()
-	settled := tuned.watched(life, op.Settings, next.published())
+	settled := tuned.watchPublished(life, op.Settings, next.inheritedSettings())
 	ready := sync.OnceFunc(func() {
 		served.Go(func() {
 			<-settled // soon
-			next.serves(life, func() {
+			next.run(life, func() {
 				close(up)
 				srv.Ready()
 			}, shares)
 		})
 	})
 	if known { // without any host there is nothing to be ready for
-		within := syncWithin
+		within := syncTimeout
 		if op.Discovery != nil { // it may be long until the service is asked
 			within = 0
 		}
 		late := time.AfterFunc(within, ready)
 		defer late.Stop()
 	}
-	go tuned.follow(life, hups, moves)
+	go tuned.run(life, hups, moves)
 	if op.Discovery != nil {
-		watch.Paced, watch.Rand = paced(op.Discovery, cfg, table)
+		watch.Paced, watch.Rand = newPaced(op.Discovery, cfg, table)
 	}
 	if fleet := op.Fleet; fleet != nil && known {
 		watch.After = time.Duration(rand.Float64() * float64(fleet.Spread.D()))
 	}
 	go watch.Run(life, ready)
-	if next.former != nil { // which serves them until then
+	if next.predecessor != nil { // which serves them until then
 		select {
 		case <-up:
 		case <-ending.Done():
@@ -267,14 +267,14 @@
 		defer noted.Wait()
 		noted.Go(func() { audit.run(life) })
 		keep.run(life)
-		keep.end(followed.Load())
+		keep.close(followed.Load())
 	}()
 	err = side.Run(ending, fronts...)
 	followed.Store(side.IsFollowed())
 	end()
 	select {
 	case <-kept:
-	case <-time.After(endWithin): // the disk is slow
+	case <-time.After(finalWriteTimeout): // the disk is slow
 	}
 	return err
 }
@@ -289,7 +289,7 @@
 
 // paced is how the list service is asked where the operator's file says that it is one for many. The random numbers are not
 // the seed's alone: sidecars that were given the same one must not ask in the same moments.
-func paced(d *config.Discovery, cfg *config.Config, table *cluster.Table) (*cluster.Paced, *rand.Rand) {
+func newPaced(d *config.Discovery, cfg *config.Config, table *cluster.Table) (*cluster.Paced, *rand.Rand) {
 	p := &cluster.Paced{Whole: d.Whole.D(), Fleet: d.Fleet(cfg.Settings.Instances)}
 	if d.Resume {
 		p.Since = table.Held().List.Revision
@@ -299,9 +299,9 @@
 
 // open opens an address for clients, or takes it over. Where operators can call, it may be shared with a process that
 // can't hand it over.
-func open(former *handover.Former, cfg *config.Config, addr string) (net.Listener, error) {
+func openListener(former *handover.Predecessor, cfg *config.Config, addr string) (net.Listener, error) {
 	if former != nil {
-		if l := former.Take(addr); l != nil {
+		if l := former.TakeListener(addr); l != nil {
 			return l, nil
 		}
 	}
--- a/internal/daemon/show.go
+++ b/internal/daemon/show.go
@@ -14,8 +14,8 @@
 	"pinelb.example/pinelb/internal/persistence"
 )
 
-// Show prints what a file of [state] holds.
-func Show(path string, out io.Writer) error {
+// PrintState prints what a file of [state] holds.
+func PrintState(path string, out io.Writer) error {
 	text, err := os.ReadFile(path)
 	if err == nil {
 		now := persistence.Now()
@@ -36,7 +36,7 @@
 }
 
 func showSnapshot(s *persistence.Snapshot, now persistence.Clock, out io.Writer) error {
-	var h handed
+	var h processState
 	if err := json.Unmarshal(s.State, &h); err != nil {
 		return err
 	}
@@ -48,13 +48,13 @@
 	fmt.Fprintf(out, "saved     %s, %v ago\nsite      %s\nlist      %d hosts, cordoned %q\n", s.Saved.Wall.UTC().Format(time.RFC3339),
 		age.Round(time.Millisecond), s.Site, len(h.Table.List.Members), h.Table.Cordoned)
 	fmt.Fprintf(out, "limit     %.1f requests, crowded %v, %s\nmeasure   %.2f of the aim uncrowded, %s\n", l.Limit, l.Crowded,
-		believed(age, balance.LimitFor), l.Uncrowded, believed(age, balance.MeasureFor))
+		formatValidity(age, balance.LimitFor), l.Uncrowded, formatValidity(age, balance.MeasureFor))
 	fmt.Fprintf(out, "weight    a curve has %.3f of what it had when it was saved\n", balance.Weight(age))
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "\nclass\tdelay\tanswers\n")
 	for i, c := range l.Classes {
 		if i < len(h.Classes) {
-			fmt.Fprintf(t, "%s\t%v\t%.1f\n", h.Classes[i], mean(c.Delay), c.Delay.N)
+			fmt.Fprintf(t, "%s\t%v\t%.1f\n", h.Classes[i], meanDelay(c.Delay), c.Delay.N)
 		}
 	}
 	names := map[balance.EndpointID]string{}
@@ -63,20 +63,20 @@
 	}
 	fmt.Fprintf(t, "\nhost\tdelay\tanswers\tejected for\ttrial\tsuspect\n")
 	for _, s := range l.Hosts {
-		fmt.Fprintf(t, "%s\t%v\t%.1f\t%v\t%v\t%.1f\n", names[s.Endpoint], mean(s.Delay), s.Delay.N,
+		fmt.Fprintf(t, "%s\t%v\t%.1f\t%v\t%v\t%.1f\n", names[s.Endpoint], meanDelay(s.Delay), s.Delay.N,
 			max(0, s.Ejected-age).Round(time.Millisecond), s.Trial, s.Seen.Suspect)
 	}
 	return t.Flush()
 }
 
-func believed(age, most time.Duration) string {
+func formatValidity(age, most time.Duration) string {
 	if age > most {
 		return fmt.Sprintf("no longer believed after %v", most)
 	}
 	return fmt.Sprintf("believed for another %v", (most - age).Round(time.Millisecond))
 }
 
-func mean(s balance.Sample) time.Duration {
+func meanDelay(s balance.Sample) time.Duration {
 	if s.N <= 0 {
 		return 0
 	}
--- a/internal/daemon/snapshot_bench_test.go
+++ b/internal/daemon/snapshot_bench_test.go
@@ -34,20 +34,20 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	s := &succession{classes: func() []string { return set.ClassNames }, table: cluster.NewTable(set.ZoneNames, set.KindNames, pool, eng), eng: eng, log: zerolog.Nop()}
+	s := &succession{classNames: func() []string { return set.ClassNames }, table: cluster.NewTable(set.ZoneNames, set.KindNames, pool, eng), engine: eng, log: zerolog.Nop()}
 	list := cluster.List{Complete: true}
 	for i := range hosts {
 		list.Members = append(list.Members, cluster.Member{ID: fmt.Sprintf("front-std-%d", i), Addr: fmt.Sprintf("127.0.0.1:%d", 10000+i),
 			Zone: "moonah", Kind: "front-std", State: balance.Ready, Weight: 1})
 	}
 	s.table.Apply(balance.ListFull, list)
-	h := s.held()
+	h := s.snapshot()
 	for i := range h.Engine.Learned.Hosts {
 		of := &h.Engine.Learned.Hosts[i]
 		of.Delay = balance.Sample{N: 3.123456789, Sum: 0.987654321}
 		of.Seen.Lately.N, of.Seen.Suspect = 1.23456789, 0.123456789
 	}
-	s.eng.Take(h.Engine)
+	s.engine.Take(h.Engine)
 	return s
 }
 
@@ -61,7 +61,7 @@
 			size := 0
 			for b.Loop() {
 				from := time.Now()
-				state, err := json.Marshal(s.held())
+				state, err := json.Marshal(s.snapshot())
 				put += time.Since(from)
 				from = time.Now()
 				if err == nil {
--- a/internal/daemon/succession.go
+++ b/internal/daemon/succession.go
@@ -22,57 +22,57 @@
 	"pinelb.example/pinelb/internal/upstream"
 )
 
-// followWithin is how long a process waits for one that has another successor: it is due in 6 s.
-const followWithin = 3 * time.Second
+// predecessorTimeout is how long a process waits for one that has another successor: it is due in 6 s.
+const predecessorTimeout = 3 * time.Second
 
 const (
-	notesMost = handover.StateMost * 3 / 4 // bytes of the effects that are handed over: more, and not even the cordons are
-	noteBytes = 250                        // of one, about, beside its names
-	nameBytes = 6                          // of a character of a name, at most: JSON may escape it
+	maxNotesBytes = handover.MaxStateBytes * 3 / 4 // bytes of the effects that are handed over: more, and not even the cordons are
+	noteOverheadBytes = 250                        // of one, about, beside its names
+	maxBytesPerChar = 6                          // of a character of a name, at most: JSON may escape it
 )
 
 // bounds are what a sidecar may use, shared by its processes while there is more than one.
-type bounds struct {
+type resourceLimits struct {
 	memory  int64 // bytes
 	sockets int   // for callers and upstream hosts
 	pool    *upstream.Pool
 	side    *downstream.Side
-	eng     *driver.Engine
+	engine     *driver.Engine
 
 	mu     sync.Mutex
-	others int // processes of this sidecar that run beside this one
+	otherProcesses int // processes of this sidecar that run beside this one
 }
 
 // beside counts other processes in or out, and takes this one's part.
-func (b *bounds) beside(n int) {
+func (b *resourceLimits) addProcesses(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.others += n
-	parts := int64(1 + b.others)
-	debug.SetMemoryLimit(int64(memoryShare * float64(b.memory/parts)))
-	b.eng.Share(int(parts))
+	b.otherProcesses += n
+	parts := int64(1 + b.otherProcesses)
+	debug.SetMemoryLimit(int64(heapFraction * float64(b.memory/parts)))
+	b.engine.Share(int(parts))
 	sockets := b.sockets / int(parts)
 	b.pool.Bound(sockets / 2)
-	b.side.Bound(b.memory/parts/bodiesPart, sockets-sockets/2)
+	b.side.Bound(b.memory/parts/bodiesDivisor, sockets-sockets/2)
 }
 
 // handed is what a process tells its successor. Classes stand by name, for the two may number them differently.
-type handed struct {
+type processState struct {
 	Classes []string
 	Table   cluster.Held
 	Engine  driver.State
-	Effects *known           // nil: the process is of a kind that shares none
+	Effects *effectState           // nil: the process is of a kind that shares none
 	Trail   []auditlog.Entry `json:",omitempty"` // of a process that is audited, to the one that succeeds it
 
 	Published []byte `json:",omitempty"` // a distributor's settings that are in force, as distribute.Encode writes them
 }
 
 // known is what a process knows of requests under way and of their effects.
-type known struct{ Notes []inflight.Note }
+type effectState struct{ Notes []inflight.Note }
 
 // word is what the two tell each other afterwards: an operator's call that one of them has taken, changes of effects, or
 // that the successor takes such.
-type word struct {
+type peerMessage struct {
 	Name  string
 	Out   bool
 	At    int64           `json:",omitempty"` // when the call was made: nanoseconds of the machine's clock
@@ -82,30 +82,30 @@
 
 // succession is this process's place between the one before it and the one after it.
 type succession struct {
-	classes func() []string // by number
-	inForce func() []byte   // published settings that are, and nil where there are none; nil: no settings are published
+	classNames func() []string // by number
+	encodePublished func() []byte   // published settings that are, and nil where there are none; nil: no settings are published
 	table   *cluster.Table
-	eng     *driver.Engine
-	former  *handover.Former // nil: none
-	owner   *handover.Owner  // nil: nobody can follow
+	engine     *driver.Engine
+	predecessor  *handover.Predecessor // nil: none
+	server   *handover.Server  // nil: nobody can follow
 	effects *inflight.Table
-	audited *audited // nil: nobody audits
+	audit *auditAgent // nil: nobody audits
 	log     zerolog.Logger
-	calls   calls
+	cordons   cordonCalls
 
 	mu     sync.Mutex
-	shares bool    // the former process shares effects
-	next   *mirror // of effects, to the successor that has come; nil: there is none
+	sharesEffects bool    // the former process shares effects
+	successor   *effectMirror // of effects, to the successor that has come; nil: there is none
 }
 
-// formerOf looks for a process that already serves the configuration's clients. What can't be taken over from it is left,
+// connectPredecessor looks for a process that already serves the configuration's clients. What can't be taken over from it is left,
 // for it serves on.
-func formerOf(cfg *config.Config, log zerolog.Logger) *handover.Former {
-	path := handover.Path(cfg.Listen)
+func connectPredecessor(cfg *config.Config, log zerolog.Logger) *handover.Predecessor {
+	path := handover.SocketPath(cfg.Listen)
 	if cfg.Control == "" || path == "" {
 		return nil
 	}
-	f, err := handover.Follow(path, followWithin)
+	f, err := handover.Connect(path, predecessorTimeout)
 	if err != nil {
 		log.Error().Err(err).Msg("nothing is taken over")
 	}
@@ -113,13 +113,13 @@
 }
 
 // take takes over what the former process knew, and returns whether that holds a list.
-func (s *succession) take() (listed bool) {
-	h, err := s.adopt(s.former.State, "former", 0, cluster.List{})
+func (s *succession) takeOver() (listed bool) {
+	h, err := s.adopt(s.predecessor.State, "former", 0, cluster.List{})
 	if err != nil {
 		s.log.Error().Err(fmt.Errorf("handover: state: %w", err)).Msg("nothing is taken over")
 		return false
 	}
-	if s.shares = h.Effects != nil; s.shares {
+	if s.sharesEffects = h.Effects != nil; s.sharesEffects {
 		s.effects.Heard(time.Now(), inflight.Former, h.Effects.Notes)
 	}
 	s.log.Info().Int("members", len(h.Table.List.Members)).Int("cordoned", len(h.Table.Cordoned)).Msg("taken over")
@@ -127,18 +127,18 @@
 }
 
 // trail is the former process's, where there is one; nil: none.
-func (s *succession) trail() []auditlog.Entry {
+func (s *succession) inheritedAuditLog() []auditlog.Entry {
 	var h struct{ Trail []auditlog.Entry }
-	if s.former == nil || json.Unmarshal(s.former.State, &h) != nil { // of a fault there take says what it is
+	if s.predecessor == nil || json.Unmarshal(s.predecessor.State, &h) != nil { // of a fault there take says what it is
 		return nil
 	}
 	return h.Trail
 }
 
 // published are the settings of distributors that the former process has in force; nil: none.
-func (s *succession) published() []byte {
+func (s *succession) inheritedSettings() []byte {
 	var h struct{ Published []byte }
-	if s.former == nil || json.Unmarshal(s.former.State, &h) != nil { // of a fault there take says what it is
+	if s.predecessor == nil || json.Unmarshal(s.predecessor.State, &h) != nil { // of a fault there take says what it is
 		return nil
 	}
 	return h.Published
@@ -146,7 +146,7 @@
 
 // adopt takes over what a process knew that long ago, whose name is from. A list goes before the one that it had, where there
 // is one.
-func (s *succession) adopt(state []byte, from string, past time.Duration, list cluster.List) (h handed, err error) {
+func (s *succession) adopt(state []byte, from string, past time.Duration, list cluster.List) (h processState, err error) {
 	if err := json.Unmarshal(state, &h); err != nil {
 		return h, err
 	}
@@ -157,45 +157,45 @@
 	s.table.Take(h.Table)
 	if l := h.Engine.Learned; l != nil {
 		var to []int
-		names := s.classes()
+		names := s.classNames()
 		for _, name := range h.Classes {
 			to = append(to, slices.Index(names, name))
 		}
 		l.Reorder(to, len(names))
 		l.Past = past
 	}
-	s.eng.Take(h.Engine)
+	s.engine.Take(h.Engine)
 	return h, nil
 }
 
 // held is what this process knows.
-func (s *succession) held() handed {
-	return handed{Classes: s.classes(), Table: s.table.Held(), Engine: s.eng.State()}
+func (s *succession) snapshot() processState {
+	return processState{Classes: s.classNames(), Table: s.table.Held(), Engine: s.engine.State()}
 }
 
 // state is the same for a successor. What changes of effects from here on waits until that has said that it takes such.
-func (s *succession) state() ([]byte, error) {
-	next := newMirror(s.toNext, s.log)
+func (s *succession) handoverState() ([]byte, error) {
+	next := newEffectMirror(s.sendToSuccessor, s.log)
 	s.mu.Lock()
-	s.next = next
+	s.successor = next
 	s.mu.Unlock()
-	notes := s.effects.Watch(inflight.Next, next.note)
-	h := s.held()
-	h.Effects = &known{Notes: latest(notes, notesMost)}
-	if s.inForce != nil {
-		h.Published = s.inForce()
+	notes := s.effects.Watch(inflight.Next, next.enqueue)
+	h := s.snapshot()
+	h.Effects = &effectState{Notes: newestNotes(notes, maxNotesBytes)}
+	if s.encodePublished != nil {
+		h.Published = s.encodePublished()
 	}
-	if s.audited != nil {
-		h.Trail = s.audited.book.Past()
+	if s.audit != nil {
+		h.Trail = s.audit.auditLog.Past()
 	}
 	return json.Marshal(h)
 }
 
 // latest are the last of the notes, as many as so many bytes have room for: first come those that are over, the oldest first.
-func latest(notes []inflight.Note, most int) []inflight.Note {
+func newestNotes(notes []inflight.Note, most int) []inflight.Note {
 	for i := len(notes) - 1; i >= 0; i-- {
 		n := &notes[i]
-		if most -= noteBytes + nameBytes*(len(n.Txn)+len(n.Class)+len(n.Key)); most < 0 {
+		if most -= noteOverheadBytes + maxBytesPerChar*(len(n.Txn)+len(n.Class)+len(n.Key)); most < 0 {
 			return notes[i+1:]
 		}
 	}
@@ -203,48 +203,48 @@
 }
 
 // left lets go of a successor that is gone.
-func (s *succession) left() {
+func (s *succession) dropSuccessor() {
 	s.effects.Gone(time.Now(), inflight.Next)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.next != nil {
-		s.next.stop()
-		s.next = nil
+	if s.successor != nil {
+		s.successor.stop()
+		s.successor = nil
 	}
 }
 
 // serves tells the former process, if there is one, that this one serves, and waits for its end; and then waits for
 // successors. It returns when ctx ends.
-func (s *succession) serves(ctx context.Context, up func(), b *bounds) {
+func (s *succession) run(ctx context.Context, up func(), b *resourceLimits) {
 	var wait sync.WaitGroup
 	defer wait.Wait()
 	var err error
-	if s.owner != nil {
-		err = s.owner.Listen()
+	if s.server != nil {
+		err = s.server.Listen()
 	}
-	if s.former != nil {
-		told := func(line []byte) { s.told(line, inflight.Former) }
-		if s.shares {
-			s.toFormer([]byte(`{"Takes":true}`))
-			m := newMirror(s.toFormer, s.log)
-			s.effects.Watch(inflight.Former, m.note)
+	if s.predecessor != nil {
+		told := func(line []byte) { s.receive(line, inflight.Former) }
+		if s.sharesEffects {
+			s.sendToPredecessor([]byte(`{"Takes":true}`))
+			m := newEffectMirror(s.sendToPredecessor, s.log)
+			s.effects.Watch(inflight.Former, m.enqueue)
 			m.start()
 			defer m.stop()
 		}
-		if err := s.former.Ready(told); err != nil {
+		if err := s.predecessor.Ready(told); err != nil {
 			s.log.Warn().Err(err).Msg("the former process has taken no notice")
 		}
 		wait.Go(func() {
-			s.former.Hear(told)
+			s.predecessor.Receive(told)
 			s.effects.Gone(time.Now(), inflight.Former)
-			b.beside(-1)
+			b.addProcesses(-1)
 			s.log.Info().Msg("the former process has ended")
 		})
-		defer context.AfterFunc(ctx, s.former.Close)()
+		defer context.AfterFunc(ctx, s.predecessor.Close)()
 	}
 	up()
-	if s.owner != nil && err == nil {
-		err = s.owner.Serve(ctx)
+	if s.server != nil && err == nil {
+		err = s.server.Serve(ctx)
 	}
 	if err != nil {
 		s.log.Warn().Err(err).Msg("no successor can take over")
@@ -253,51 +253,51 @@
 }
 
 // wait has successors find this process once it serves.
-func (s *succession) wait(cfg *config.Config, fronts []downstream.Front, side *downstream.Side, b *bounds) {
-	path := handover.Path(cfg.Listen)
+func (s *succession) newServer(cfg *config.Config, fronts []downstream.Front, side *downstream.Side, b *resourceLimits) {
+	path := handover.SocketPath(cfg.Listen)
 	if cfg.Control == "" || path == "" {
 		return
 	}
 	count := func(on bool) {
 		if on {
-			b.beside(1)
+			b.addProcesses(1)
 		} else {
-			b.beside(-1)
-			s.left()
+			b.addProcesses(-1)
+			s.dropSuccessor()
 		}
 	}
-	s.owner = &handover.Owner{Path: path, Listeners: map[string]*net.TCPListener{}, State: s.state, Followed: count,
-		Succeeded: side.Followed, Told: func(line []byte) { s.told(line, inflight.Next) }, Log: s.log}
+	s.server = &handover.Server{Path: path, Listeners: map[string]*net.TCPListener{}, State: s.handoverState, OnConnected: count,
+		OnServing: side.Followed, OnLine: func(line []byte) { s.receive(line, inflight.Next) }, Log: s.log}
 	for _, f := range fronts {
 		if l, ok := f.Listener.(*net.TCPListener); ok {
-			s.owner.Listeners[f.Addr] = l
+			s.server.Listeners[f.Addr] = l
 		}
 	}
 }
 
 // Cordon and Uncordon are an operator's call at this process. The others of the sidecar are told.
-func (s *succession) Cordon(id string) bool   { return s.called(word{Name: id, Out: true}) }
-func (s *succession) Uncordon(id string) bool { return s.called(word{Name: id}) }
+func (s *succession) Cordon(id string) bool   { return s.cordonCall(peerMessage{Name: id, Out: true}) }
+func (s *succession) Uncordon(id string) bool { return s.cordonCall(peerMessage{Name: id}) }
 
-func (s *succession) called(w word) bool {
-	line, known := s.call(w)
+func (s *succession) cordonCall(w peerMessage) bool {
+	line, known := s.applyCall(w)
 	if line != nil {
-		s.toNext(line)
-		s.toFormer(line)
+		s.sendToSuccessor(line)
+		s.sendToPredecessor(line)
 	}
 	return known
 }
 
 // call has a call take effect here. It returns the line by which the others are told, and whether there is such a host.
-func (s *succession) call(w word) (line []byte, known bool) {
-	if w, known = s.calls.here(w, s.apply); !known {
+func (s *succession) applyCall(w peerMessage) (line []byte, known bool) {
+	if w, known = s.cordons.applyLocal(w, s.applyCordon); !known {
 		return nil, false
 	}
 	line, _ = json.Marshal(w) // it holds here in any case
 	return line, true
 }
 
-func (s *succession) apply(w word) bool {
+func (s *succession) applyCordon(w peerMessage) bool {
 	if w.Out {
 		return s.table.Cordon(w.Name)
 	}
@@ -305,39 +305,39 @@
 }
 
 // told takes a word of another process. An operator's that is news here is passed on to the one on the other side.
-func (s *succession) told(line []byte, from inflight.Link) {
-	var w word
+func (s *succession) receive(line []byte, from inflight.Link) {
+	var w peerMessage
 	err := json.Unmarshal(line, &w)
 	news, known := false, false
 	if err == nil && !w.Takes && len(w.Notes) == 0 {
-		news, known = s.calls.there(w, s.apply)
+		news, known = s.cordons.applyRemote(w, s.applyCordon)
 	}
 	switch {
 	case err == nil && w.Takes:
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.next != nil {
-			s.next.start()
+		if s.successor != nil {
+			s.successor.start()
 		}
 	case err == nil && len(w.Notes) > 0:
 		s.effects.Heard(time.Now(), from, w.Notes)
 	case err != nil || !known:
 		s.log.Warn().Err(err).Str("name", w.Name).Msg("a word of the other process changes nothing")
 	case news && from == inflight.Former:
-		s.toNext(line)
+		s.sendToSuccessor(line)
 	case news:
-		s.toFormer(line)
+		s.sendToPredecessor(line)
 	}
 }
 
-func (s *succession) toNext(line []byte) {
-	if s.owner != nil {
-		s.owner.Tell(line)
+func (s *succession) sendToSuccessor(line []byte) {
+	if s.server != nil {
+		s.server.Send(line)
 	}
 }
 
-func (s *succession) toFormer(line []byte) {
-	if s.former != nil {
-		s.former.Tell(line)
+func (s *succession) sendToPredecessor(line []byte) {
+	if s.predecessor != nil {
+		s.predecessor.Send(line)
 	}
 }
--- a/internal/daemon/succession_test.go
+++ b/internal/daemon/succession_test.go
@@ -30,8 +30,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &succession{classes: func() []string { return set.ClassNames }, table: cluster.NewTable(set.ZoneNames, set.KindNames, noHosts{}, eng),
-		eng: eng, effects: inflight.New(20000), log: zerolog.Nop()}
+	s := &succession{classNames: func() []string { return set.ClassNames }, table: cluster.NewTable(set.ZoneNames, set.KindNames, noHosts{}, eng),
+		engine: eng, effects: inflight.New(20000), log: zerolog.Nop()}
 	s.table.Apply(balance.ListFull, cluster.List{Members: []cluster.Member{{ID: "s-1", Addr: "127.0.0.1:1", State: balance.Ready}}})
 	return s
 }
@@ -55,25 +55,25 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			former, next := process(t), process(t)
-			former.calls.clock = func() int64 { return c.former }
-			next.calls.clock = func() int64 { return c.next }
-			one, ok := former.call(word{Name: "s-1", Out: c.formerOut})
-			other, ok2 := next.call(word{Name: "s-1", Out: !c.formerOut})
+			former.cordons.clock = func() int64 { return c.former }
+			next.cordons.clock = func() int64 { return c.next }
+			one, ok := former.applyCall(peerMessage{Name: "s-1", Out: c.formerOut})
+			other, ok2 := next.applyCall(peerMessage{Name: "s-1", Out: !c.formerOut})
 			if !ok || !ok2 {
 				t.Fatal("a call is not taken")
 			}
-			next.told(one, inflight.Former)
-			former.told(other, inflight.Next)
+			next.receive(one, inflight.Former)
+			former.receive(other, inflight.Next)
 			if c.twice {
-				former.told(other, inflight.Next)
-				next.told(one, inflight.Former)
+				former.receive(other, inflight.Next)
+				next.receive(one, inflight.Former)
 			}
 			for of, s := range map[string]*succession{"former": former, "next": next} {
 				if out := len(s.table.Held().Cordoned) == 1; out != c.holds {
 					t.Errorf("at the %s process the host is out: %v, want %v", of, out, c.holds)
 				}
 			}
-			former.told([]byte(`{"Name":"s-1","Out":false}`), inflight.Next) // of a process that stamps none
+			former.receive([]byte(`{"Name":"s-1","Out":false}`), inflight.Next) // of a process that stamps none
 			if len(former.table.Held().Cordoned) > 0 {
 				t.Error("a call without a time changes nothing")
 			}
@@ -95,12 +95,12 @@
 		one.effects.Sent(now, last.Txn, 1)
 		one.effects.End(now, last.Txn)
 	}
-	state, err := one.state()
-	if err != nil || len(state) > handover.StateMost {
+	state, err := one.handoverState()
+	if err != nil || len(state) > handover.MaxStateBytes {
 		t.Errorf("%d bytes are handed over, which nobody takes: %v", len(state), err)
 	}
-	other.former = &handover.Former{State: state}
-	if !other.take() || !slices.Equal(other.table.Held().Cordoned, []string{"s-1"}) {
+	other.predecessor = &handover.Predecessor{State: state}
+	if !other.takeOver() || !slices.Equal(other.table.Held().Cordoned, []string{"s-1"}) {
 		t.Errorf("the successor knows %+v", other.table.Held())
 	}
 	last.Txn = "again"
@@ -113,12 +113,12 @@
 // from before that, a request would be under way at the former process for as long as that runs.
 func TestNotesCrossASuccessorsEnd(t *testing.T) {
 	told, goOn, ended := make(chan []byte, 9), make(chan struct{}), make(chan struct{})
-	m := newMirror(func(line []byte) {
+	m := newEffectMirror(func(line []byte) {
 		told <- line
 		<-goOn
 	}, zerolog.Nop())
 	for _, txn := range []string{"a", "b", "c", "d", "e"} { // some to a line
-		m.note(inflight.Note{ID: inflight.ID{Txn: txn, Class: strings.Repeat("x", wordMost/2-200)}})
+		m.enqueue(inflight.Note{ID: inflight.ID{Txn: txn, Class: strings.Repeat("x", maxMessageBytes/2-200)}})
 	}
 	m.start()
 	<-told
@@ -150,21 +150,21 @@
 	begun := inflight.ID{Txn: "begun", Class: "look", Keep: time.Minute}
 	over := inflight.ID{Txn: "over", Class: "look", Keep: time.Minute}
 	s.effects.Open(now, over)
-	if _, err := s.state(); err != nil {
+	if _, err := s.handoverState(); err != nil {
 		t.Fatal(err)
 	}
 	s.effects.Open(now, begun)
 	s.effects.Sent(now, begun.Txn, 1)
 	s.effects.Sent(now, over.Txn, 1)
 	s.effects.End(now, over.Txn)
-	s.left() // the first one is gone before it served
-	state, err := s.state()
+	s.dropSuccessor() // the first one is gone before it served
+	state, err := s.handoverState()
 	if err != nil {
 		t.Fatal(err)
 	}
 	next := process(t)
-	next.former = &handover.Former{State: state}
-	next.take()
+	next.predecessor = &handover.Predecessor{State: state}
+	next.takeOver()
 	if _, free := next.effects.Open(now, begun); free {
 		t.Error("a request that is under way is taken again")
 	}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -27,23 +27,23 @@
 const (
 	version   = 1
 	greeting  = "pinelb hand-over 1\n"
-	within    = time.Second            // each step of the talk: the new process is due within a few seconds
-	lineMost  = 64 << 10               // bytes of a line afterwards
-	most      = 8                      // listeners
-	pathMost  = 100                    // bytes of a Unix socket's path, which the kernel bounds at 108
-	lookEvery = 250 * time.Millisecond // whether the path is still this process's
-	againIn   = 10 * time.Millisecond  // after an owner that was busy
-	readyWord = "ready"
-	ackWord   = "yours"
+	stepTimeout    = time.Second            // each step of the talk: the new process is due within a few seconds
+	maxLineBytes  = 64 << 10               // bytes of a line afterwards
+	maxListeners      = 8                      // listeners
+	maxPathBytes  = 100                    // bytes of a Unix socket's path, which the kernel bounds at 108
+	pathCheckInterval = 250 * time.Millisecond // whether the path is still this process's
+	busyRetryInterval   = 10 * time.Millisecond  // after an owner that was busy
+	readyLine = "ready"
+	ackLine   = "yours"
 )
 
-// StateMost bounds the message to a successor, in bytes: one that is longer is not taken at all.
-const StateMost = 8 << 20
+// MaxStateBytes bounds the message to a successor, in bytes: one that is longer is not taken at all.
+const MaxStateBytes = 8 << 20
 
-// Path is where a sidecar of that address waits for its successor; empty where there is no place for it.
-func Path(listen string) string {
+// SocketPath is where a sidecar of that address waits for its successor; empty where there is no place for it.
+func SocketPath(listen string) string {
 	dir := os.Getenv("TMPDIR")
-	if path := filepath.Join(dir, "pinelb-"+listen+".sock"); dir != "" && len(path) <= pathMost {
+	if path := filepath.Join(dir, "pinelb-"+listen+".sock"); dir != "" && len(path) <= maxPathBytes {
 		return path
 	}
 	return ""
@@ -56,39 +56,39 @@
 	State     json.RawMessage `json:"state"`
 }
 
-// Owner is a running process, as its successor sees it.
-type Owner struct {
+// Server is a running process, as its successor sees it.
+type Server struct {
 	Path      string
 	Listeners map[string]*net.TCPListener // by their addresses as configured
 	State     func() ([]byte, error)      // as JSON
-	Followed  func(on bool)               // a successor has come, or is gone
-	Succeeded func(on bool)               // it serves; or it did and is gone
-	Told      func(line []byte)           // a line of the successor's
+	OnConnected  func(on bool)               // a successor has come, or is gone
+	OnServing func(on bool)               // it serves; or it did and is gone
+	OnLine      func(line []byte)           // a line of the successor's
 	Log       zerolog.Logger
 
-	first *place // where Listen has been called
+	listener *socket // where Listen has been called
 
 	mu   sync.Mutex
-	next net.Conn // the successor
+	successor net.Conn // the successor
 }
 
 // Listen takes the path, so that whoever comes from then on waits for Serve; without it Serve does. A successor calls it
 // before it says that it serves: there is no moment at which nobody is at the path.
-func (o *Owner) Listen() (err error) {
-	o.first, err = listen(o.Path)
+func (o *Server) Listen() (err error) {
+	o.listener, err = listen(o.Path)
 	return err
 }
 
 // Serve waits for successors until ctx ends, one after the other. An error means that none can come.
-func (o *Owner) Serve(ctx context.Context) error {
+func (o *Server) Serve(ctx context.Context) error {
 	defer func() {
-		if o.first != nil {
-			_ = o.first.Close()
+		if o.listener != nil {
+			_ = o.listener.Close()
 		}
 	}()
 	for ctx.Err() == nil {
-		l, err := o.first, error(nil)
-		if o.first = nil; l == nil {
+		l, err := o.listener, error(nil)
+		if o.listener = nil; l == nil {
 			if l, err = listen(o.Path); err != nil {
 				return err
 			}
@@ -98,18 +98,18 @@
 		stop()
 		if err == nil && conn == nil { // another process serves, which this one has not handed anything to
 			_ = l.Close()
-			o.Followed(true)
-			o.Succeeded(true)
-			o.wait(ctx)
-			o.Followed(false)
-			o.Succeeded(false)
+			o.OnConnected(true)
+			o.OnServing(true)
+			o.waitForOther(ctx)
+			o.OnConnected(false)
+			o.OnServing(false)
 			continue
 		}
 		if err != nil {
 			_ = l.Close()
-			return ended(ctx, err)
+			return acceptError(ctx, err)
 		}
-		in := o.give(ctx, conn)
+		in := o.transfer(ctx, conn)
 		if in == nil { // it may have taken the path already
 			err = o.Listen()
 		}
@@ -120,60 +120,60 @@
 		if in == nil {
 			continue
 		}
-		o.Succeeded(true)
-		if _, err = io.WriteString(conn, ackWord+"\n"); err == nil {
+		o.OnServing(true)
+		if _, err = io.WriteString(conn, ackLine+"\n"); err == nil {
 			stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
-			hear(conn, in, o.Told)
+			receiveLines(conn, in, o.OnLine)
 			stop()
 		}
 		// Where that one had been succeeded itself, this process still is, and the path is not its own.
-		o.wait(ctx)
-		o.leave(conn)
-		o.Succeeded(false)
+		o.waitForOther(ctx)
+		o.disconnect(conn)
+		o.OnServing(false)
 	}
 	return nil
 }
 
 // wait waits for as long as another process is at the path.
-func (o *Owner) wait(ctx context.Context) {
-	for ctx.Err() == nil && taken(o.Path) {
+func (o *Server) waitForOther(ctx context.Context) {
+	for ctx.Err() == nil && isServed(o.Path) {
 		select {
-		case <-time.After(lookEvery):
+		case <-time.After(pathCheckInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
 // place is a listener at the path, for as long as the path leads to it.
-type place struct {
+type socket struct {
 	*net.UnixListener
 	file os.FileInfo
 }
 
 // accept returns the next connection, or nil once the path leads to another process.
-func (l *place) accept(path string) (*net.UnixConn, error) {
+func (l *socket) accept(path string) (*net.UnixConn, error) {
 	for {
-		_ = l.SetDeadline(time.Now().Add(lookEvery))
+		_ = l.SetDeadline(time.Now().Add(pathCheckInterval))
 		conn, err := l.AcceptUnix()
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return conn, err
 		}
-		if now, err := os.Stat(path); err == nil && !os.SameFile(now, l.file) && taken(path) {
+		if now, err := os.Stat(path); err == nil && !os.SameFile(now, l.file) && isServed(path) {
 			return nil, nil
 		}
 	}
 }
 
 // taken tells whether a process waits at the path.
-func taken(path string) bool {
-	c, err := net.DialTimeout("unix", path, within)
+func isServed(path string) bool {
+	c, err := net.DialTimeout("unix", path, stepTimeout)
 	if err == nil {
 		_ = c.Close()
 	}
 	return err == nil
 }
 
-func ended(ctx context.Context, err error) error {
+func acceptError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
 	}
@@ -182,73 +182,73 @@
 
 // give hands all over to one that has come, and waits until it serves. It returns what is read from it then, or nil where
 // it doesn't.
-func (o *Owner) give(ctx context.Context, conn *net.UnixConn) *lines {
+func (o *Server) transfer(ctx context.Context, conn *net.UnixConn) *lineReader {
 	defer context.AfterFunc(ctx, func() { _ = conn.Close() })()
-	_ = conn.SetDeadline(time.Now().Add(within))
+	_ = conn.SetDeadline(time.Now().Add(stepTimeout))
 	hello := make([]byte, len(greeting))
 	if _, err := io.ReadFull(conn, hello); err != nil || string(hello) != greeting {
 		o.Log.Warn().Err(err).Msg("a successor of another kind")
 		_ = conn.Close()
 		return nil
 	}
-	o.Followed(true)
-	if err := o.hand(conn); err != nil {
+	o.OnConnected(true)
+	if err := o.sendState(conn); err != nil {
 		o.Log.Error().Err(err).Msg("the successor was given nothing")
-		o.leave(conn)
+		o.disconnect(conn)
 		return nil
 	}
 	_ = conn.SetReadDeadline(time.Time{}) // for writing, each line sets its own
 	// It brings itself up, which may take it a while; lines may come before.
-	in := newLines(conn)
+	in := newLineReader(conn)
 	for {
 		line, err := in.next()
 		if err != nil {
-			o.leave(conn)
+			o.disconnect(conn)
 			o.Log.Warn().Msg("the successor is gone before it served")
 			return nil
 		}
-		if string(line) == readyWord+"\n" {
+		if string(line) == readyLine+"\n" {
 			return in
 		}
-		o.Told(line)
+		o.OnLine(line)
 	}
 }
 
 // hand sends all, and has lines go there from then on: whatever changes is in the one or among the others.
-func (o *Owner) hand(conn *net.UnixConn) error {
+func (o *Server) sendState(conn *net.UnixConn) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.next = conn
-	return o.send(conn)
+	o.successor = conn
+	return o.writeMessage(conn)
 }
 
-func (o *Owner) leave(conn net.Conn) {
+func (o *Server) disconnect(conn net.Conn) {
 	o.mu.Lock()
-	o.next = nil
+	o.successor = nil
 	o.mu.Unlock()
 	_ = conn.Close()
-	o.Followed(false)
+	o.OnConnected(false)
 }
 
-// Tell passes a line to the successor, if there is one.
-func (o *Owner) Tell(line []byte) {
+// Send passes a line to the successor, if there is one.
+func (o *Server) Send(line []byte) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.next != nil {
-		write(o.next, line)
+	if o.successor != nil {
+		writeLine(o.successor, line)
 	}
 }
 
 // lines reads lines of a bounded length. A read that takes too long loses nothing of a line that has come in part.
-type lines struct {
+type lineReader struct {
 	in   *bufio.Reader
 	part []byte
 }
 
-func newLines(conn net.Conn) *lines { return &lines{in: bufio.NewReaderSize(conn, lineMost)} }
+func newLineReader(conn net.Conn) *lineReader { return &lineReader{in: bufio.NewReaderSize(conn, maxLineBytes)} }
 
 // next returns the next line with its end, until the next call.
-func (l *lines) next() ([]byte, error) {
+func (l *lineReader) next() ([]byte, error) {
 	line, err := l.in.ReadSlice('\n')
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		l.part = append(l.part, line...)
@@ -257,36 +257,36 @@
 	if len(l.part) > 0 {
 		line, l.part = append(l.part, line...), nil
 	}
-	if len(line) > lineMost {
+	if len(line) > maxLineBytes {
 		return nil, bufio.ErrBufferFull
 	}
 	return line, err
 }
 
 // hear passes on lines until the connection ends. The word that this process's Ready waited for may come among them.
-func hear(conn net.Conn, in *lines, told func([]byte)) {
+func receiveLines(conn net.Conn, in *lineReader, told func([]byte)) {
 	_ = conn.SetReadDeadline(time.Time{})
 	for {
 		line, err := in.next()
 		if err != nil {
 			return
 		}
-		if string(line) != ackWord+"\n" {
+		if string(line) != ackLine+"\n" {
 			told(line)
 		}
 	}
 }
 
 // write sends a line, and hangs up where the other side takes none: it can't be told any more.
-func write(conn net.Conn, line []byte) {
-	_ = conn.SetWriteDeadline(time.Now().Add(within))
+func writeLine(conn net.Conn, line []byte) {
+	_ = conn.SetWriteDeadline(time.Now().Add(stepTimeout))
 	if _, err := conn.Write(append(line, '\n')); err != nil {
 		_ = conn.Close()
 	}
 }
 
 // send writes the message: its length with the descriptors, then the rest.
-func (o *Owner) send(conn *net.UnixConn) error {
+func (o *Server) writeMessage(conn *net.UnixConn) error {
 	state, err := o.State()
 	if err != nil {
 		return fmt.Errorf("handover: state: %w", err)
@@ -323,7 +323,7 @@
 }
 
 // listen takes the path over, from whoever had it: who can't be reached there any more needs it no longer.
-func listen(path string) (*place, error) {
+func listen(path string) (*socket, error) {
 	own := fmt.Sprintf("%s.%d", path, os.Getpid())
 	_ = os.Remove(own) // of a former process of this number
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: own, Net: "unix"})
@@ -342,29 +342,29 @@
 		_ = l.Close()
 		return nil, fmt.Errorf("handover: listen: %w", err)
 	}
-	return &place{l, file}, nil
+	return &socket{l, file}, nil
 }
 
-// Former is the process that runs already, as its successor sees it.
-type Former struct {
+// Predecessor is the process that runs already, as its successor sees it.
+type Predecessor struct {
 	State     []byte // as JSON
 	Listeners map[string]net.Listener
 
 	conn net.Conn
-	in   *lines
+	in   *lineReader
 	mu   sync.Mutex // of writing
 }
 
 // errBusy says that a process is at the path and gives nothing: it has to do with another successor, or is one.
 var errBusy = errors.New("handover: the process is busy")
 
-// Follow takes all over from the process that waits at the path. It returns nil where there is none. One that has another
+// Connect takes all over from the process that waits at the path. It returns nil where there is none. One that has another
 // successor is waited for, or that successor is, as long as patience lasts. An error is one of what it gave: the caller
 // starts afresh.
-func Follow(path string, patience time.Duration) (f *Former, err error) {
+func Connect(path string, patience time.Duration) (f *Predecessor, err error) {
 	busy := false
-	for until := time.Now().Add(patience); ; time.Sleep(againIn) {
-		f, err = meet(path)
+	for until := time.Now().Add(patience); ; time.Sleep(busyRetryInterval) {
+		f, err = dial(path)
 		busy = busy || errors.Is(err, errBusy)
 		if f != nil || err != nil && !errors.Is(err, errBusy) || !busy || !time.Now().Before(until) {
 			return f, err
@@ -372,8 +372,8 @@
 	}
 }
 
-func meet(path string) (*Former, error) {
-	d := net.Dialer{Timeout: within}
+func dial(path string) (*Predecessor, error) {
+	d := net.Dialer{Timeout: stepTimeout}
 	c, err := d.Dial("unix", path)
 	if err != nil {
 		if errors.Is(err, syscall.ENOENT) || errors.Is(err, syscall.ECONNREFUSED) {
@@ -382,7 +382,7 @@
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	conn := c.(*net.UnixConn)
-	f, err := follow(conn)
+	f, err := receiveState(conn)
 	if err != nil {
 		_ = conn.Close()
 		return nil, err
@@ -390,12 +390,12 @@
 	return f, nil
 }
 
-func follow(conn *net.UnixConn) (*Former, error) {
-	_ = conn.SetDeadline(time.Now().Add(within))
+func receiveState(conn *net.UnixConn) (*Predecessor, error) {
+	_ = conn.SetDeadline(time.Now().Add(stepTimeout))
 	if _, err := io.WriteString(conn, greeting); err != nil {
 		return nil, fmt.Errorf("%w: %w", errBusy, err)
 	}
-	head, rights := make([]byte, 4), make([]byte, syscall.CmsgSpace(most*4))
+	head, rights := make([]byte, 4), make([]byte, syscall.CmsgSpace(maxListeners*4))
 	n, nRights, _, _, err := conn.ReadMsgUnix(head, rights)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errBusy, err)
@@ -413,7 +413,7 @@
 		return nil, fmt.Errorf("handover: read: %w", err)
 	}
 	size := binary.BigEndian.Uint32(head)
-	if size > StateMost {
+	if size > MaxStateBytes {
 		return nil, fmt.Errorf("handover: a message of %d bytes", size)
 	}
 	body, err := io.ReadAll(io.LimitReader(conn, int64(size)))
@@ -427,7 +427,7 @@
 	if m.Version != version || len(m.Listeners) != len(files) {
 		return nil, fmt.Errorf("handover: a message of version %d with %d listeners, and %d descriptors", m.Version, len(m.Listeners), len(files))
 	}
-	f := &Former{State: m.State, Listeners: map[string]net.Listener{}, conn: conn, in: newLines(conn)}
+	f := &Predecessor{State: m.State, Listeners: map[string]net.Listener{}, conn: conn, in: newLineReader(conn)}
 	for i, addr := range m.Listeners {
 		l, err := net.FileListener(files[i])
 		if err != nil {
@@ -439,15 +439,15 @@
 	return f, nil
 }
 
-// Take returns the listener for an address, once; nil: there is none.
-func (f *Former) Take(addr string) net.Listener {
+// TakeListener returns the listener for an address, once; nil: there is none.
+func (f *Predecessor) TakeListener(addr string) net.Listener {
 	l := f.Listeners[addr]
 	delete(f.Listeners, addr)
 	return l
 }
 
 // CloseUnused closes the listeners that nobody has taken: connections would wait in their queues for ever.
-func (f *Former) CloseUnused() {
+func (f *Predecessor) CloseUnused() {
 	for _, l := range f.Listeners {
 		_ = l.Close()
 	}
@@ -473,30 +473,30 @@
 
 // Ready says that this process serves. It returns when the former one has taken notice, or has not within a second: then Hear
 // goes on where it has stopped.
-func (f *Former) Ready(told func(line []byte)) error {
-	f.Tell([]byte(readyWord))
-	_ = f.conn.SetReadDeadline(time.Now().Add(within))
+func (f *Predecessor) Ready(told func(line []byte)) error {
+	f.Send([]byte(readyLine))
+	_ = f.conn.SetReadDeadline(time.Now().Add(stepTimeout))
 	for {
 		line, err := f.in.next()
 		if err != nil {
 			return fmt.Errorf("handover: ready: %w", err)
 		}
-		if string(line) == ackWord+"\n" {
+		if string(line) == ackLine+"\n" {
 			return nil
 		}
 		told(line)
 	}
 }
 
-// Hear passes on the former process's lines until it has ended.
-func (f *Former) Hear(told func(line []byte)) { hear(f.conn, f.in, told) }
+// Receive passes on the former process's lines until it has ended.
+func (f *Predecessor) Receive(told func(line []byte)) { receiveLines(f.conn, f.in, told) }
 
 // Close lets go of the former process.
-func (f *Former) Close() { _ = f.conn.Close() }
+func (f *Predecessor) Close() { _ = f.conn.Close() }
 
-// Tell passes a line to the former process.
-func (f *Former) Tell(line []byte) {
+// Send passes a line to the former process.
+func (f *Predecessor) Send(line []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	write(f.conn, line)
+	writeLine(f.conn, line)
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -23,7 +23,7 @@
 
 // owned is an owner with one listener, and what it was told, in order.
 type owned struct {
-	*Owner
+	*Server
 	l     *net.TCPListener
 	said  chan string
 	ended chan error
@@ -38,9 +38,9 @@
 	}
 	o := &owned{l: l.(*net.TCPListener), said: make(chan string, 100), ended: make(chan error, 1)}
 	on := map[bool]string{true: "+", false: "-"}
-	o.Owner = &Owner{Path: path, Listeners: map[string]*net.TCPListener{"clients": o.l},
-		State: func() ([]byte, error) { return []byte(state), nil }, Followed: func(is bool) { o.said <- "followed" + on[is] },
-		Succeeded: func(is bool) { o.said <- "succeeded" + on[is] }, Told: func(line []byte) { o.said <- strings.TrimSpace(string(line)) },
+	o.Server = &Server{Path: path, Listeners: map[string]*net.TCPListener{"clients": o.l},
+		State: func() ([]byte, error) { return []byte(state), nil }, OnConnected: func(is bool) { o.said <- "followed" + on[is] },
+		OnServing: func(is bool) { o.said <- "succeeded" + on[is] }, OnLine: func(line []byte) { o.said <- strings.TrimSpace(string(line)) },
 		Log: zerolog.Nop()}
 	ctx, stop := context.WithCancel(context.Background())
 	o.stop = func() {
@@ -70,7 +70,7 @@
 // Guards against a hand-over that loses a connection in the queue, a line of either side, or the end of either.
 func TestHandOver(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.sock")
-	if f, err := Follow(path, 0); f != nil || err != nil {
+	if f, err := Connect(path, 0); f != nil || err != nil {
 		t.Fatalf("with nobody there: %v, %v", f, err)
 	}
 	o := own(t, path, `{"a":1}`)
@@ -80,16 +80,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f, err := Follow(path, 0)
+		f, err := Connect(path, 0)
 		for f == nil && err == nil { // after a successor's end the owner takes the path again
-			f, err = Follow(path, 0)
+			f, err = Connect(path, 0)
 		}
 		if err != nil || string(f.State) != `{"a":1}` {
 			t.Fatalf("round %d: %v, %+v", round, err, f)
 		}
 		o.expect(t, "followed+")
-		o.Tell([]byte("early"))
-		f.Tell([]byte("mine"))
+		o.Send([]byte("early"))
+		f.Send([]byte("mine"))
 		var told []string
 		if err := f.Ready(func(line []byte) { told = append(told, string(line)) }); err != nil {
 			t.Fatal(err)
@@ -104,7 +104,7 @@
 		}
 		got.Close()
 		queued.Close()
-		f.Tell([]byte("late"))
+		f.Send([]byte("late"))
 		o.expect(t, "late")
 		f.CloseUnused()
 		f.Close()
@@ -128,14 +128,14 @@
 		t.Fatal(err)
 	}
 	c.Close()
-	f, err := Follow(path, time.Minute)
+	f, err := Connect(path, time.Minute)
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.CloseUnused()
 	f.Close()
 	o.expect(t, "followed+", "followed-")
-	if f, err = Follow(path, time.Minute); err != nil {
+	if f, err = Connect(path, time.Minute); err != nil {
 		t.Fatal(err)
 	}
 	f.CloseUnused()
@@ -147,10 +147,10 @@
 func TestLineCrossesReady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
-		f := &Former{conn: near, in: newLines(near)}
+		f := &Predecessor{conn: near, in: newLineReader(near)}
 		go func() {
 			defer far.Close()
-			for _, s := range []string{"one\ntw", "o\n" + ackWord + "\nthree\n"} {
+			for _, s := range []string{"one\ntw", "o\n" + ackLine + "\nthree\n"} {
 				_, _ = io.ReadAtLeast(far, make([]byte, 99), 1) // that it serves, and later that the test goes on
 				_, _ = io.WriteString(far, s)
 			}
@@ -160,8 +160,8 @@
 		if err := f.Ready(told); !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("Ready says %v", err)
 		}
-		f.Tell([]byte("go on"))
-		f.Hear(told)
+		f.Send([]byte("go on"))
+		f.Receive(told)
 		f.Close()
 		if want := []string{"one\n", "two\n", "three\n"}; !slices.Equal(heard, want) {
 			t.Errorf("heard %q, want %q", heard, want)
@@ -173,7 +173,7 @@
 func TestAbandonedPath(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.sock")
 	own(t, path, `{}`).stop()
-	if f, err := Follow(path, 0); f != nil || err != nil {
+	if f, err := Connect(path, 0); f != nil || err != nil {
 		t.Fatalf("after its end: %v, %v", f, err)
 	}
 	o := own(t, path, `{}`)
@@ -208,7 +208,7 @@
 			_, _ = c.Write(head)
 			_, _ = c.Write(body)
 		}()
-		got, err := Follow(path, 0)
+		got, err := Connect(path, 0)
 		<-done
 		if err == nil && !bytes.Contains(append(head, body...), got.State) {
 			t.Errorf("state %q out of %q %q", got.State, head, body)
--- a/internal/handover/model_test.go
+++ b/internal/handover/model_test.go
@@ -16,8 +16,8 @@
 type proc struct {
 	id        int
 	l         *net.TCPListener
-	owner     *Owner
-	former    *Former
+	owner     *Server
+	former    *Predecessor
 	serving   bool
 	dead      bool
 	after     *proc       // whom it follows
@@ -30,19 +30,19 @@
 func launch(t *testing.T, path string, id int, after *proc) *proc {
 	t.Helper()
 	p := &proc{id: id, ended: make(chan error, 1), after: after}
-	f, err := Follow(path, time.Minute)
+	f, err := Connect(path, time.Minute)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var l net.Listener
 	if p.former = f; f != nil {
-		l = f.Take("clients")
+		l = f.TakeListener("clients")
 	} else if l, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
 	p.l = l.(*net.TCPListener)
-	p.owner = &Owner{Path: path, Listeners: map[string]*net.TCPListener{"clients": p.l}, Log: zerolog.Nop(), Told: func([]byte) {},
-		State: func() ([]byte, error) { return fmt.Append(nil, id), nil }, Followed: func(bool) {}, Succeeded: p.succeeded.Store}
+	p.owner = &Server{Path: path, Listeners: map[string]*net.TCPListener{"clients": p.l}, Log: zerolog.Nop(), OnLine: func([]byte) {},
+		State: func() ([]byte, error) { return fmt.Append(nil, id), nil }, OnConnected: func(bool) {}, OnServing: p.succeeded.Store}
 	return p
 }
 
@@ -89,7 +89,7 @@
 	f.Add([]byte{0, 1, 0, 1, 2 + 4, 0, 1, 2, 2}) // a successor that dies after it serves, and the next
 	f.Fuzz(func(t *testing.T, script []byte) {
 		path := filepath.Join(t.TempDir(), "s.sock")
-		if len(path) > pathMost {
+		if len(path) > maxPathBytes {
 			t.Skip("no path of that length")
 		}
 		var all []*proc // by age
@@ -136,8 +136,8 @@
 		return
 	}
 	youngest := all[len(all)-1]
-	f, err := Follow(path, time.Minute)
-	for ; f == nil && err == nil; f, err = Follow(path, time.Minute) { // the path goes back to an owner whose successor has died
+	f, err := Connect(path, time.Minute)
+	for ; f == nil && err == nil; f, err = Connect(path, time.Minute) { // the path goes back to an owner whose successor has died
 		time.Sleep(time.Millisecond)
 	}
 	if err != nil || string(f.State) != fmt.Sprint(youngest.id) {
