--- a/internal/daemon/audit_test.go
+++ b/internal/daemon/audit_agent_test.go
@@ -23,31 +23,31 @@
 	"pinelb.example/pinelb/internal/version"
 )
 
-// world is an audited process without sockets. Its time passes as the test says.
-type world struct {
+// agentFixture is an audit agent without sockets, by a clock that the test sets.
+type agentFixture struct {
 	*auditAgent
-	time  time.Time
-	asked int // for whole lists
-	set   *config.Settings
-	eng   *driver.Engine
-	table *cluster.Table
+	time          time.Time
+	listRefreshes int // for whole lists
+	settings      *config.Settings
+	engine        *driver.Engine
+	table         *cluster.Table
 }
 
-func newWorld(t testing.TB, section config.Audit) *world {
+func newAgentFixture(t testing.TB, section config.Audit) *agentFixture {
 	t.Helper()
-	set, err := config.ParseSettings([]byte(settings))
+	set, err := config.ParseSettings([]byte(testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
 	set.Instances, set.RetryAfter = 10, true
-	eng, err := driver.New(set.Settings, 1, noHosts{}, zerolog.Nop())
+	eng, err := driver.New(set.Settings, 1, noConnections{}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{time: time.Now(), set: &set, eng: eng, table: cluster.NewTable(set.ZoneNames, set.KindNames, noHosts{}, eng)}
-	cfg := &config.Config{Name: "n0", Settings: set, Site: settings}
+	w := &agentFixture{time: time.Now(), settings: &set, engine: eng, table: cluster.NewTable(set.ZoneNames, set.KindNames, noConnections{}, eng)}
+	cfg := &config.Config{Name: "n0", Settings: set, Site: testSettings}
 	w.auditAgent = newAuditAgent(&section, cfg, nil, &succession{}, zerolog.Nop())
-	w.start, w.wallClock, w.refreshList = w.time, func() time.Time { return w.time }, func() { w.asked++ }
+	w.start, w.wallClock, w.refreshList = w.time, func() time.Time { return w.time }, func() { w.listRefreshes++ }
 	w.now = func() time.Duration { return w.time.Sub(w.start) }
 	w.recordStart(cfg, eng.Adopt)
 	w.table.Versions = w
@@ -57,16 +57,16 @@
 	return w
 }
 
-type noHosts struct{}
+type noConnections struct{}
 
-func (noHosts) Probe(balance.EndpointID) balance.Status { return balance.OK }
-func (noHosts) CloseUnused(balance.EndpointID)          {}
-func (noHosts) Set(balance.EndpointID, string)          {}
-func (noHosts) Shut(balance.EndpointID, bool)           {}
-func (noHosts) Remove(balance.EndpointID)               {}
+func (noConnections) Probe(balance.EndpointID) balance.Status { return balance.OK }
+func (noConnections) CloseUnused(balance.EndpointID)          {}
+func (noConnections) Set(balance.EndpointID, string)          {}
+func (noConnections) Shut(balance.EndpointID, bool)           {}
+func (noConnections) Remove(balance.EndpointID)               {}
 
-// only is a list of one host.
-func only(revision int64) cluster.List {
+// singleEndpointList is a list of one endpoint, whose name has the revision.
+func singleEndpointList(revision int64) cluster.List {
 	return cluster.List{From: "a:1", Revision: revision, Complete: true, Members: []cluster.Member{{ID: fmt.Sprint("h", revision), Addr: "127.0.0.1:1",
 		Zone: "moonah", Kind: "front-std", State: balance.Ready, Weight: 1}}}
 }
@@ -74,8 +74,8 @@
 // Guards against a gate that lets through what must not go, or holds up what may: by script, one step after the other.
 func TestGate(t *testing.T) {
 	const ms = time.Millisecond
-	order := func(epoch uint64, list version.Digest, ticket time.Duration) func(w *world) {
-		return func(w *world) {
+	order := func(epoch uint64, list version.Digest, ticket time.Duration) func(w *agentFixture) {
+		return func(w *agentFixture) {
 			o := version.Order{Floor: version.Floor{Epoch: epoch, By: "a", Site: w.site, List: list, Revision: 1 << 40, Grace: 1000, For: 60000}}
 			if list == 0 {
 				o.Floor.Revision = 0
@@ -88,14 +88,14 @@
 			}
 		}
 	}
-	hear := func(ago time.Duration) func(w *world) {
-		return func(w *world) { w.confirmList(w.time.Add(-ago)) }
+	hear := func(ago time.Duration) func(w *agentFixture) {
+		return func(w *agentFixture) { w.confirmList(w.time.Add(-ago)) }
 	}
-	beat := func(w *world) { w.tick() }
-	stop := func(*world) {} // nothing runs until the next step
+	beat := func(w *agentFixture) { w.tick() }
+	stop := func(*agentFixture) {} // nothing runs until the next step
 	type step struct {
 		after       time.Duration
-		do          func(w *world)
+		do          func(w *agentFixture)
 		takes, acts bool
 		state       string
 	}
@@ -114,15 +114,15 @@
 			{500 * ms, stop, true, true, version.Behind}, {100 * ms, beat, true, true, version.Behind}}, 1},
 		"a ticket, which lapses": {config.Audit{Share: 0.1}, []step{{0, order(1, 99, 3*time.Second), true, true, version.Acts}, {900 * ms, beat, true, true, version.Acts},
 			{100 * ms, stop, false, true, version.Shut}, {1900 * ms, beat, false, true, version.Shut}, {100 * ms, stop, true, true, version.Behind}}, 2},
-		"a ticket, and the list": {config.Audit{Share: 0.1}, []step{{0, order(1, only(3).Digest(), 3*time.Second), true, true, version.Acts}, {1000 * ms, beat, false, true, version.Shut},
-			{0, func(w *world) { w.table.Apply(balance.ListFull, only(3)) }, true, true, version.Acts}}, 1},
+		"a ticket, and the list": {config.Audit{Share: 0.1}, []step{{0, order(1, singleEndpointList(3).Digest(), 3*time.Second), true, true, version.Acts}, {1000 * ms, beat, false, true, version.Shut},
+			{0, func(w *agentFixture) { w.table.Apply(balance.ListFull, singleEndpointList(3)) }, true, true, version.Acts}}, 1},
 		"a share of none": {config.Audit{Share: 0.05}, []step{{0, order(1, 99, 3*time.Second), true, true, version.Acts}, {1000 * ms, beat, true, true, version.Behind}}, 1},
 		"alone, open":     {config.Audit{Share: 0.1, Lease: 2e9, Silence: "open"}, []step{{1000 * ms, beat, true, true, version.Acts}, {1000 * ms, beat, true, true, version.Acts}}, 0},
 		"alone, closed": {config.Audit{Share: 0.1, Lease: 2e9, Silence: "closed"}, []step{{1900 * ms, beat, true, true, version.Acts}, {100 * ms, stop, false, true, version.Shut},
 			{100 * ms, hear(10 * ms), true, true, version.Acts}, {1900 * ms, order(1, 0, 0), true, true, version.Acts}, {1900 * ms, beat, true, true, version.Acts}}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, c.section)
+			w := newAgentFixture(t, c.section)
 			for i, s := range c.steps {
 				w.time = w.time.Add(s.after)
 				s.do(w)
@@ -134,8 +134,8 @@
 					t.Errorf("step %d: %s, want %s", i, got, s.state)
 				}
 			}
-			if w.asked != c.asked {
-				t.Errorf("the whole list is asked for %d times, want %d", w.asked, c.asked)
+			if w.listRefreshes != c.asked {
+				t.Errorf("the whole list is asked for %d times, want %d", w.listRefreshes, c.asked)
 			}
 			// What was judged is noted, once each.
 			last, stops := "", 0
@@ -163,12 +163,12 @@
 	}
 }
 
-// seen notes, of each attempt, the number that the trail is told.
-type seen struct {
+// attemptCounter counts attempts by the version that the audit log is given for each, and by endpoint.
+type attemptCounter struct {
 	*auditlog.Book
-	mu  sync.Mutex
-	got map[attempt]int
-	of  func(balance.EndpointID) string
+	mu           sync.Mutex
+	counts       map[attempt]int
+	endpointName func(balance.EndpointID) string
 }
 
 type attempt struct {
@@ -176,38 +176,38 @@
 	host  string
 }
 
-func (s *seen) Sent(under uint32, class int, host balance.EndpointID, crossed bool) {
+func (s *attemptCounter) Sent(under uint32, class int, host balance.EndpointID, crossed bool) {
 	s.Book.Sent(under, class, host, crossed)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.got[attempt{under, s.of(host)}]++
+	s.counts[attempt{under, s.endpointName(host)}]++
 }
 
 // Guards against an attempt that stands under a version which did not choose its host: lists, each of another host, and
 // settings change while streams come. The last changes of all and the trail's totals are looked at, too.
 func TestAttemptsHaveOneVersion(t *testing.T) {
 	const lists = 300
-	w := newWorld(t, config.Audit{})
-	s := &seen{Book: w.auditLog, got: map[attempt]int{}, of: w.table.Name}
+	w := newAgentFixture(t, config.Audit{})
+	s := &attemptCounter{Book: w.auditLog, counts: map[attempt]int{}, endpointName: w.table.Name}
 	var visits atomic.Int64
-	p := &stream.Proxy{Engine: w.eng, Trail: s, Log: zerolog.Nop(), Upstream: upstreamFunc(func() balance.Status {
+	p := &stream.Proxy{Engine: w.engine, Trail: s, Log: zerolog.Nop(), Upstream: upstreamFunc(func() balance.Status {
 		if visits.Add(1)%3 == 0 {
 			return balance.ConnectFailed
 		}
 		return balance.OK
 	})}
-	w.table.Apply(balance.ListFull, only(1))
+	w.table.Apply(balance.ListFull, singleEndpointList(1))
 	var changes, streams sync.WaitGroup
 	var over atomic.Bool
 	changes.Go(func() {
 		for n := range int64(lists) {
-			w.table.Apply(balance.ListFull, only(n+2))
+			w.table.Apply(balance.ListFull, singleEndpointList(n+2))
 		}
 	})
 	changes.Go(func() {
 		for n := range lists / 2 {
-			cfg := &config.Config{Settings: *w.set, Site: fmt.Sprintf(`{"n":%d}`, n)}
-			w.changeSettings(cfg, "file", func(under uint32) { _ = w.eng.Retune(cfg.Settings.Settings, under) })
+			cfg := &config.Config{Settings: *w.settings, Site: fmt.Sprintf(`{"n":%d}`, n)}
+			w.changeSettings(cfg, "file", func(under uint32) { _ = w.engine.Retune(cfg.Settings.Settings, under) })
 		}
 	})
 	for i := range 4 {
@@ -234,21 +234,21 @@
 		}
 	}
 	wrong := 0
-	for at, n := range s.got {
+	for at, n := range s.counts {
 		total += n
 		if l, kept := held[at.under]; kept && at.host != fmt.Sprint("h", l.Revision) {
 			wrong++
 		}
 	}
 	if wrong > 0 || total == 0 || total != int(visits.Load()) {
-		t.Errorf("%d of %d numbers with attempts are of another list; %d attempts, %d visits", wrong, len(s.got), total, visits.Load())
+		t.Errorf("%d of %d numbers with attempts are of another list; %d attempts, %d visits", wrong, len(s.counts), total, visits.Load())
 	}
 	if v, _ := w.auditLog.Version(); v.List.Revision != lists+1 || v.Settings != (&config.Config{Site: fmt.Sprintf(`{"n":%d}`, lists/2-1)}).Digest() {
 		t.Errorf("in the end it acts on %+v", v)
 	} else if err := w.Take(version.Order{Floor: version.Floor{Epoch: 1, By: "a", Site: w.site, List: v.List.Digest, Settings: v.Settings, For: 1000}}); err != nil || w.verdict.State != version.Acts {
 		t.Errorf("%v; of the actor, which has to know, it is %+v", err, w.verdict) // the events came to it in their order
 	}
-	t.Logf("%d attempts under %d numbers, %d of them still in the ring", total, len(s.got), counted)
+	t.Logf("%d attempts under %d numbers, %d of them still in the ring", total, len(s.counts), counted)
 }
 
 type upstreamFunc func() balance.Status
@@ -257,12 +257,12 @@
 	return f(), stream.Response{}
 }
 
-// Guards against a successor that does not go on where the former process was: with its trail, its epoch, and a life of its own;
+// Guards against a successor that does not go on where its predecessor was: with its audit log, its epoch, and an incarnation of its own;
 // handed over or read from a disk.
-func TestTrailGoesOn(t *testing.T) {
+func TestAuditLogContinues(t *testing.T) {
 	for _, from := range []string{"disk", "former"} {
 		t.Run(from, func(t *testing.T) {
-			disk, w, next := persistence.Dir(t.TempDir()), newWorld(t, config.Audit{}), &succession{}
+			disk, w, next := persistence.Dir(t.TempDir()), newAgentFixture(t, config.Audit{}), &succession{}
 			if from == "disk" {
 				w.auditFile = &auditlog.File{Disk: disk, Book: w.auditLog, Fault: func(err error) { t.Error(err) }}
 				w.auditFile.Begin()
@@ -272,7 +272,7 @@
 			}
 			w.auditLog.Sent(1, 0, 1, false)
 			if from == "former" {
-				s := &succession{classNames: func() []string { return nil }, table: w.table, engine: w.eng, effects: inflight.New(1), audit: w.auditAgent}
+				s := &succession{classNames: func() []string { return nil }, table: w.table, engine: w.engine, effects: inflight.New(1), audit: w.auditAgent}
 				state, err := s.handoverState()
 				if err != nil {
 					t.Fatal(err)
@@ -282,7 +282,7 @@
 			ctx, end := context.WithCancel(context.Background())
 			end()
 			w.run(ctx)
-			heir := newAuditAgent(&config.Audit{}, &config.Config{Name: "n0", Settings: *w.set, Site: settings}, &statePersister{disk: disk}, next, zerolog.Nop())
+			heir := newAuditAgent(&config.Audit{}, &config.Config{Name: "n0", Settings: *w.settings, Site: testSettings}, &statePersister{disk: disk}, next, zerolog.Nop())
 			past := heir.auditLog.Past()
 			heir.auditFile.Close()
 			counted := 0
@@ -307,10 +307,10 @@
 // BenchmarkAudit is what a stream of one attempt costs between the front and the upstream side, with and without an audit, and
 // what of that the gate and the trail are. On a machine that does other things, too, the processor's time tells more.
 func BenchmarkAudit(b *testing.B) {
-	w := newWorld(b, config.Audit{})
+	w := newAgentFixture(b, config.Audit{})
 	w.now = func() time.Duration { return time.Since(w.start) }
 	w.lastHeartbeat.Store(1 << 62) // nobody beats here
-	w.table.Apply(balance.ListFull, only(1))
+	w.table.Apply(balance.ListFull, singleEndpointList(1))
 	host := w.table.Held().List.Members[0].Endpoint
 	measure := func(name string, do func()) {
 		b.Run(name, func(b *testing.B) {
@@ -325,7 +325,7 @@
 		})
 	}
 	for _, on := range []bool{false, true} {
-		p := &stream.Proxy{Engine: w.eng, Log: zerolog.Nop(), Upstream: upstreamFunc(func() balance.Status { return balance.OK })}
+		p := &stream.Proxy{Engine: w.engine, Log: zerolog.Nop(), Upstream: upstreamFunc(func() balance.Status { return balance.OK })}
 		if on {
 			p.Gate, p.Trail = w, w.auditLog
 		}
--- a/internal/daemon/retune.go
+++ b/internal/daemon/config_updater.go
@@ -19,32 +19,33 @@
 	"pinelb.example/pinelb/internal/upstream"
 )
 
-// tuning has a configuration that is read again take effect.
+// configUpdater applies a configuration that is read again, or settings that a distributor publishes, to the running parts.
 type configUpdater struct {
-	operator      *config.Operator
-	engine     *driver.Engine
-	pool    *upstream.Pool
-	side    *downstream.Side
-	table   *cluster.Table
-	budget  *stream.Budget           // nil: none
-	recorder     *accesslog.Recorder      // nil: none
-	audit *auditAgent                 // nil: nobody audits
-	watch   *settingsclient.Watch    // of published settings; nil: none
-	onClassesChanged []func(*config.Settings) // the fronts
-	log     zerolog.Logger
+	operator         *config.Operator
+	engine           *driver.Engine
+	pool             *upstream.Pool
+	side             *downstream.Side
+	table            *cluster.Table
+	budget           *stream.Budget           // nil: no retry budget
+	recorder         *accesslog.Recorder      // nil: no access log
+	audit            *auditAgent              // nil: no audit
+	watch            *settingsclient.Watch    // nil: no distributors
+	onClassesChanged []func(*config.Settings) // one of each front
+	log              zerolog.Logger
 
 	mu        sync.Mutex
-	cfg       *config.Config       // in force, its classes by the numbers that they have here
-	published *settingsstore.State // whose settings these are; nil: the file's
+	cfg       *config.Config       // in force; its classes have the numbers that they have here
+	published *settingsstore.State // the settings in force; nil: they are the file's
 }
 
-// classes are the names of the classes, by number.
+// classNames returns the names of the classes, by number.
 func (t *configUpdater) classNames() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.cfg.Settings.ClassNames
 }
 
+// targetLatencies returns each class's, by number.
 func targetLatencies(set *config.Settings) (out []time.Duration) {
 	for _, c := range set.Classes {
 		out = append(out, c.Aim)
@@ -52,20 +53,20 @@
 	return out
 }
 
-// follow reads the configuration again at each SIGHUP, and when a floor wants it, until ctx ends, and hands on where discovery is then. One that
-// can't be used changes nothing. Addresses and the machine's limits take a restart.
+// run reads the configuration again at each SIGHUP, and when the audit asks for it, until ctx is done, and sends discovery's
+// address on moves. A configuration that is invalid changes nothing. Addresses and the machine's limits need a restart.
 func (t *configUpdater) run(ctx context.Context, hups <-chan os.Signal, moves chan<- string) {
 	for {
-		var floor <-chan struct{}
+		var requested <-chan struct{}
 		if t.audit != nil {
-			floor = t.audit.rereadConfig
+			requested = t.audit.rereadConfig
 		}
 		select {
 		case <-hups:
-		case <-floor:
+		case <-requested:
 			t.pollDistributors(false)
 			if !t.differs(os.Getenv) {
-				continue // it will be looked at again while the floor is in force
+				continue // the audit asks again for as long as its order is in force
 			}
 		case <-ctx.Done():
 			return
@@ -75,7 +76,7 @@
 			t.log.Error().Err(err).Msg("the new configuration is not taken")
 			continue
 		}
-		t.pollDistributors(true) // what was refused beside the former file may be right beside this one
+		t.pollDistributors(true) // what was rejected with the former file may be valid with this one
 		t.log.Info().Str("discovery", cfg.Discovery).Stringer("published", t.publishedEdition()).Strs("classes", cfg.Settings.ClassNames).Int("attempts", cfg.Settings.MaxAttempts).
 			Msg("configuration read again")
 		select {
@@ -86,7 +87,8 @@
 	}
 }
 
-// retune reads the configuration and has its settings take effect, whole or not at all. Published ones stay in force.
+// reload reads the configuration and applies its settings, completely or, with an error, not at all. Published ones stay in
+// force.
 func (t *configUpdater) reload(getenv func(string) string) (*config.Config, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -100,8 +102,8 @@
 	return t.apply(cfg, "file")
 }
 
-// adopt has settings take effect, whole or not at all, and returns the configuration with the classes as it has them: the decisions
-// go first, for they have to know a class before a request of it comes.
+// apply applies settings, completely or, with an error, not at all, and returns the configuration as it was read. The engine
+// goes first, for it has to know a class before a request of that class comes. The caller holds mu.
 func (t *configUpdater) apply(cfg *config.Config, from string) (*config.Config, error) {
 	if err := t.operator.Fits(cfg); err != nil {
 		return nil, err
@@ -110,9 +112,10 @@
 	if err != nil {
 		return nil, err
 	}
-	after.Name = t.cfg.Settings.Name // by which hosts are chosen: the same for as long as the process runs
-	told := *cfg
-	if t.audit.changeSettings(&told, from, func(under uint32) { err = t.engine.Retune(after.Settings, under) }); err != nil {
+	after.Name = t.cfg.Settings.Name // endpoints are chosen by it: it is the same for as long as the process runs
+	asRead := *cfg
+	t.audit.changeSettings(&asRead, from, func(versionID uint32) { err = t.engine.Retune(after.Settings, versionID) })
+	if err != nil {
 		t.audit.changeSettings(t.cfg, from, t.engine.Adopt)
 		return nil, err
 	}
@@ -124,18 +127,18 @@
 		t.budget.Retune(targetLatencies(&after))
 	}
 	if t.recorder != nil { // before the first stream of a new class can end
-		t.recorder.Retune(&told)
+		t.recorder.Retune(&asRead)
 	}
 	for _, reclass := range t.onClassesChanged {
 		reclass(&after)
 	}
 	cfg.Settings = after
 	t.cfg = cfg
-	return &told, nil
+	return &asRead, nil
 }
 
-// differs tells whether the settings that are there to be read are not those in force; a file that can't be used is told of.
-// Published ones are not the file's to differ from.
+// differs reports whether the settings in the file are not those in force, or can't be read, in which case reload logs why.
+// Published settings are not compared with the file's.
 func (t *configUpdater) differs(getenv func(string) string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/daemon/retune_test.go
+++ b/internal/daemon/config_updater_test.go
@@ -19,13 +19,13 @@
 
 // Guards against a file that is turned down for its settings and moves discovery all the same, and against a move that is
 // lost behind it.
-func TestFaultyFilesMoveNothing(t *testing.T) {
+func TestInvalidFilesChangeNothing(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	put := func(old, new, discovery string) {
-		if !strings.Contains(settings, old) {
+		if !strings.Contains(testSettings, old) {
 			t.Fatalf("%q is not in the settings", old)
 		}
-		text := `{"listen":"127.0.0.4:8080","discovery":"` + discovery + `","settings":` + strings.Replace(settings, old, new, 1) + `}`
+		text := `{"listen":"127.0.0.4:8080","discovery":"` + discovery + `","settings":` + strings.Replace(testSettings, old, new, 1) + `}`
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -36,13 +36,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	eng, err := driver.New(cfg.Settings.Settings, 1, noHosts{}, zerolog.Nop())
+	eng, err := driver.New(cfg.Settings.Settings, 1, noConnections{}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	set := &cfg.Settings
 	tuned := &configUpdater{cfg: cfg, operator: &config.Operator{}, engine: eng, pool: upstream.NewPool(set.ConnectTimeout, set.ConnIdle, 10),
-		side: downstream.NewSide(set, 1<<20, 10, zerolog.Nop()), table: cluster.NewTable(set.ZoneNames, set.KindNames, noHosts{}, eng), log: zerolog.Nop()}
+		side: downstream.NewSide(set, 1<<20, 10, zerolog.Nop()), table: cluster.NewTable(set.ZoneNames, set.KindNames, noConnections{}, eng), log: zerolog.Nop()}
 	ctx, end := context.WithCancel(t.Context())
 	hups, moves, ended := make(chan os.Signal), make(chan string), make(chan struct{})
 	go func() {
--- a/internal/daemon/mirror.go
+++ b/internal/daemon/effect_mirror.go
@@ -11,21 +11,22 @@
 )
 
 const (
-	maxMirrorQueue = 2048     // notes that wait; what comes beyond is lost, for no stream waits for the other process
-	maxMessageBytes   = 32 << 10 // bytes of a line, about
+	maxMirrorQueue  = 2048     // notes; those beyond are dropped, for no stream waits for the other process
+	maxMessageBytes = 32 << 10 // of a line, about
 )
 
-// mirror tells another process of changes, some milliseconds behind them.
+// effectMirror sends changes of effects to another process, some milliseconds behind them. Its goroutine runs from start until
+// stop.
 type effectMirror struct {
-	send func(line []byte)
-	log  zerolog.Logger
-	wake chan struct{}
-	once sync.Once  // of start
-	sending sync.Mutex // held while a line is told
+	send    func(line []byte)
+	log     zerolog.Logger
+	wake    chan struct{}
+	once    sync.Once  // of start
+	sending sync.Mutex // held while a line is sent
 
 	mu      sync.Mutex
-	queue    []inflight.Note
-	dropped    int
+	queue   []inflight.Note
+	dropped int
 	stopped bool
 }
 
@@ -33,7 +34,7 @@
 	return &effectMirror{send: tell, log: log, wake: make(chan struct{}, 1)}
 }
 
-// note takes a change and never waits.
+// enqueue takes a change, and never waits.
 func (m *effectMirror) enqueue(n inflight.Note) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -52,7 +53,7 @@
 	}
 }
 
-// start begins to tell, once.
+// start begins to send, once.
 func (m *effectMirror) start() {
 	m.once.Do(func() {
 		go m.run()
@@ -60,17 +61,17 @@
 	})
 }
 
-// stop ends it: no line is told once it has returned, for by then there may be another process in the first one's place.
+// stop ends the mirror. No line is sent once it has returned, for by then another process may have taken the first one's place.
 func (m *effectMirror) stop() {
 	m.mu.Lock()
 	m.stopped, m.queue = true, nil
 	m.signal()
 	m.mu.Unlock()
-	m.sending.Lock() // until the one that is being told is over
+	m.sending.Lock() // waits until the line that is under way has been sent
 	defer m.sending.Unlock()
 }
 
-// put tells a line, unless it has been stopped.
+// sendUnlessStopped sends a line, unless stop has been called.
 func (m *effectMirror) sendUnlessStopped(line []byte) {
 	m.sending.Lock()
 	defer m.sending.Unlock()
@@ -102,18 +103,18 @@
 	}
 }
 
-// words is a line with the first of the notes, and the rest of them. A line is bounded, whatever stands in an id.
+// encodeNotes returns a line with the first of the notes, and the rest of them. A line is bounded, whatever an id consists of.
 func encodeNotes(notes []inflight.Note) (line []byte, rest []inflight.Note) {
 	var b bytes.Buffer
 	b.WriteString(`{"Notes":[`)
-	text := json.NewEncoder(&b)
-	text.SetEscapeHTML(false)
+	encoder := json.NewEncoder(&b)
+	encoder.SetEscapeHTML(false)
 	for len(notes) > 0 && b.Len() < maxMessageBytes {
-		from := b.Len()
-		if err := text.Encode(notes[0]); err != nil || b.Len()-from > maxMessageBytes/2 {
-			b.Truncate(from) // of a class whose name has kilobytes
+		start := b.Len()
+		if err := encoder.Encode(notes[0]); err != nil || b.Len()-start > maxMessageBytes/2 {
+			b.Truncate(start) // a note of a class whose name has kilobytes is dropped
 		} else {
-			b.Truncate(b.Len() - 1) // the end of the line
+			b.Truncate(b.Len() - 1) // the encoder's newline
 			b.WriteByte(',')
 		}
 		notes = notes[1:]
--- a/internal/daemon/publish.go
+++ b/internal/daemon/published_settings.go
@@ -13,26 +13,27 @@
 	"pinelb.example/pinelb/internal/version"
 )
 
-// distributorTimeout is how long a start waits for distributors, after which the file's settings have to do until they answer.
+// distributorTimeout is how long a start waits for distributors, after which the settings in force have to do until one
+// answers.
 const distributorTimeout = 300 * time.Millisecond
 
-// watched starts to follow published settings until ctx ends, where the operator's file asks for that. Those that the former process
-// has in force are until then: the order that clients see must not go back with an upgrade. What it returns is closed as soon as
-// distributors have been heard, or are no longer waited for.
-func (t *configUpdater) watchPublished(ctx context.Context, from *config.Distributed, former []byte) <-chan struct{} {
+// watchPublished starts to follow published settings until ctx is done, if the operator's file names distributors. The
+// predecessor's settings, inherited, apply first: an upgrade must not take clients back to older ones. The returned channel is
+// closed as soon as a distributor has answered, or distributorTimeout is over.
+func (t *configUpdater) watchPublished(ctx context.Context, options *config.Distributed, inherited []byte) <-chan struct{} {
 	settled := make(chan struct{})
 	done := sync.OnceFunc(func() { close(settled) })
-	if from == nil {
+	if options == nil {
 		done()
 		return settled
 	}
-	t.watch = &settingsclient.Watch{Service: from.Service, Name: cmp.Or(t.cfg.Name, t.cfg.Listen), From: from.From, Log: t.log, Take: t.applyPublished,
+	t.watch = &settingsclient.Watch{Service: options.Service, Name: cmp.Or(t.cfg.Name, t.cfg.Listen), From: options.From, Log: t.log, Take: t.applyPublished,
 		Rand: rand.New(rand.NewPCG(t.cfg.Seed^rand.Uint64(), settingsStream))}
-	if former != nil {
-		t.applyInherited(former)
+	if inherited != nil {
+		t.applyInherited(inherited)
 	}
 	late := time.AfterFunc(distributorTimeout, func() {
-		t.log.Warn().Str("service", from.Service).Stringer("in_force", t.publishedEdition()).Msg("no distributor has answered; what is in force stays")
+		t.log.Warn().Str("service", options.Service).Stringer("in_force", t.publishedEdition()).Msg("no distributor has answered; what is in force stays")
 		done()
 	})
 	go t.watch.Run(ctx, func() {
@@ -42,9 +43,9 @@
 	return settled
 }
 
-// succeeds has the settings be in force that the former process had, if they are of the same service and can be used here.
-func (t *configUpdater) applyInherited(former []byte) {
-	s, err := settingsstore.Parse(former)
+// applyInherited applies the predecessor's published settings, if they are of the same service and valid here.
+func (t *configUpdater) applyInherited(inherited []byte) {
+	s, err := settingsstore.Parse(inherited)
 	if err == nil && s.Service != t.watch.Service {
 		err = settingsstore.OtherService{Told: s.Service, Asked: t.watch.Service}
 	}
@@ -59,7 +60,7 @@
 	t.log.Info().Stringer("in_force", s.Edition).Msg("the former process's settings are in force")
 }
 
-// publish has settings of a distributor take the place of those in force, whole or not at all.
+// applyPublished replaces the settings in force by a distributor's, completely or, with an error, not at all.
 func (t *configUpdater) applyPublished(s settingsstore.State) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -73,14 +74,14 @@
 	return err
 }
 
-// ask has distributors be asked at once, if settings come from such; retry has them tell again what was refused.
+// pollDistributors asks distributors at once, if settings come from such. With retry, they send again what was rejected here.
 func (t *configUpdater) pollDistributors(retry bool) {
 	if t.watch != nil {
 		t.watch.Ask(retry)
 	}
 }
 
-// edition is that of the published settings that are in force; none: they are the file's.
+// publishedEdition returns the edition of the published settings in force; zero: the file's are in force.
 func (t *configUpdater) publishedEdition() version.Edition {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -90,7 +91,7 @@
 	return t.published.Edition
 }
 
-// handed are the published settings that are in force, for a successor; nil: there are none.
+// encodePublished returns the published settings in force, for a successor; nil: there are none.
 func (t *configUpdater) encodePublished() []byte {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/daemon/snapshot_bench_test.go
+++ b/internal/daemon/snapshot_bench_test.go
@@ -17,15 +17,15 @@
 )
 
 // settings are a site's, as small as can be.
-const settings = `{"n_instances":1,"allowed":{"connect_timeout":5000000000,"most_held":20000,"send_cap":4},"kinds":["front-std"],"zones":["moonah"],
+const testSettings = `{"n_instances":1,"allowed":{"connect_timeout":5000000000,"most_held":20000,"send_cap":4},"kinds":["front-std"],"zones":["moonah"],
  "classes":[{"name":"order-status","aim":30000000000,"deadline":60000000000,"idempotency":"read_like","worth":3},
   {"name":"place-order","aim":30000000000,"deadline":60000000000,"idempotency":"idempotency_key","memory_span":90000000000,"worth":10},
   {"name":"remake-charge","aim":30000000000,"deadline":60000000000,"idempotency":"non_idempotent","worth":3}],
  "rules":{"cold":9000000000,"cold_share":0.3,"fall":1000000000,"tip_multiple":2.5}}`
 
-// heir is a succession of that many hosts, all of which it has been taught.
-func heir(b *testing.B, hosts int) *succession {
-	set, err := config.ParseSettings([]byte(settings))
+// newLearnedSuccession returns a succession with so many endpoints, about each of which something was learned.
+func newLearnedSuccession(b *testing.B, hosts int) *succession {
+	set, err := config.ParseSettings([]byte(testSettings))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -56,7 +56,7 @@
 func BenchmarkSnapshot(b *testing.B) {
 	for _, hosts := range []int{14, 100, 1000} {
 		b.Run(fmt.Sprint("hosts=", hosts), func(b *testing.B) {
-			s, d := heir(b, hosts), persistence.Dir(b.TempDir())
+			s, d := newLearnedSuccession(b, hosts), persistence.Dir(b.TempDir())
 			var put, save, load time.Duration
 			size := 0
 			for b.Loop() {
--- a/internal/daemon/keep.go
+++ b/internal/daemon/state_persister.go
@@ -6,7 +6,6 @@
 	"errors"
 	"fmt"
 	"os"
-	"strings"
 	"time"
 
 	"github.com/rs/zerolog"
@@ -17,25 +16,26 @@
 )
 
 const (
-	lockName  = "lock"
-	finalWriteTimeout = 300 * time.Millisecond // the last writes may take, for SIGKILL may be near
+	lockName          = "lock"
+	finalWriteTimeout = 300 * time.Millisecond // for the last writes: SIGKILL may follow soon
 )
 
-// keeper keeps what this process knows on the disk, as [state] asks for. A nil keeper keeps nothing.
+// statePersister writes what this process knows to the directory of [state]: snapshots of what it has learned, and a journal of
+// effects. A nil one persists nothing.
 type statePersister struct {
 	*config.State
-	disk    persistence.Disk
-	site    string
-	succession    *succession
-	journal *persistence.Journal // nil: none
-	log     zerolog.Logger
+	disk       persistence.Disk
+	site       string
+	succession *succession
+	journal    *persistence.Journal // nil: none
+	log        zerolog.Logger
 
-	ownsDirectory bool // the directory is this process's
+	ownsDirectory  bool // the directory is this process's
 	lastSaveFailed bool // the last snapshot could not be written
 }
 
-// newStatePersister returns the keeper that the operator's file asks for; nil, and a line in the log, where the directory can't be
-// used. The one of a process that succeeds another has the directory once that has ended.
+// newStatePersister returns the persister that the operator's file asks for; nil, with a line in the log, where the directory
+// can't be used. With a predecessor, the directory is this process's once that has ended.
 func newStatePersister(s *config.State, cfg *config.Config, next *succession, log zerolog.Logger) *statePersister {
 	if s == nil {
 		return nil
@@ -55,13 +55,7 @@
 	return k
 }
 
-// siteFingerprint tells one site's state from another's: learned elsewhere it would mislead.
-func siteFingerprint(cfg *config.Config) string {
-	s := &cfg.Settings
-	return fmt.Sprintf("tier %d of %d, kinds %s, zones %s", s.Tier, s.Tiers, strings.Join(s.KindNames, " "), strings.Join(s.ZoneNames, " "))
-}
-
-// lock has the directory be this process's for as long as it runs, if it is nobody else's.
+// tryLock locks the directory for as long as the process runs, unless another process has locked it.
 func (k *statePersister) tryLock() error {
 	if k.ownsDirectory {
 		return nil
@@ -71,8 +65,8 @@
 	return err
 }
 
-// remember takes over what a process that has ended has left, unless one that runs has handed over more. It returns whether
-// that holds a list.
+// restore applies the snapshot of a process that has ended, unless a running predecessor has handed over more. It reports
+// whether that has a list.
 func (k *statePersister) restore(cfg *config.Config) (listed bool) {
 	if k == nil || k.succession.predecessor != nil {
 		return false
@@ -92,8 +86,8 @@
 	return err == nil && len(h.Table.List.Members) > 0
 }
 
-// begin begins the journal, where there is to be one, with what those that are dead have left. It returns what keeps a
-// promise, or nil.
+// startJournal reads the journals of processes that have ended and starts this one's, if [state] asks for one. It returns the
+// function that waits until what the table of effects knows is on the disk; nil: there is no journal.
 func (k *statePersister) startJournal() func() {
 	if k == nil || !k.Journal {
 		return nil
@@ -118,17 +112,17 @@
 	return func() { k.journal.Kept() }
 }
 
-// run writes snapshots until ctx ends.
+// run writes snapshots until ctx is done.
 func (k *statePersister) run(ctx context.Context) {
 	if k == nil {
 		return
 	}
-	dropped := 0
-	every := time.NewTicker(k.Every.D())
-	defer every.Stop()
+	reportedDrops := 0
+	ticker := time.NewTicker(k.Every.D())
+	defer ticker.Stop()
 	for {
 		select {
-		case <-every.C:
+		case <-ticker.C:
 			k.save()
 		case <-ctx.Done():
 			return
@@ -139,18 +133,18 @@
 		if n := k.journal.Missed(); n > 0 {
 			k.log.Warn().Int("sends", n).Msg("the journal was too slow, and they did not wait for it")
 		}
-		if _, n := k.succession.effects.Size(); n > dropped {
-			k.log.Warn().Int("effects", n-dropped).Msg("forgotten before their time, for want of memory")
-			dropped = n
+		if _, n := k.succession.effects.Size(); n > reportedDrops {
+			k.log.Warn().Int("effects", n-reportedDrops).Msg("forgotten before their time, for want of memory")
+			reportedDrops = n
 		}
 	}
 }
 
-// save writes a snapshot, once the directory is this process's.
+// save writes a snapshot, once the directory is this process's. A change between success and failure is logged.
 func (k *statePersister) save() {
 	err := k.tryLock()
 	if err == nil && !k.ownsDirectory {
-		return // the former process's, for as long as it runs
+		return // it is the predecessor's for as long as that runs
 	}
 	var state []byte
 	if err == nil {
@@ -169,15 +163,15 @@
 	}
 }
 
-// end writes the last snapshot, unless a successor has taken over, and ends the journal.
-func (k *statePersister) close(followed bool) {
+// close closes the journal, and writes the last snapshot unless a successor has taken over.
+func (k *statePersister) close(succeeded bool) {
 	if k == nil {
 		return
 	}
 	if k.journal != nil {
 		k.journal.Close()
 	}
-	if !followed {
+	if !succeeded {
 		k.save()
 	}
 }
--- a/internal/daemon/succession_test.go
+++ b/internal/daemon/succession_test.go
@@ -19,18 +19,18 @@
 	"pinelb.example/pinelb/internal/inflight"
 )
 
-// process is a sidecar's process with one host.
-func process(t *testing.T) *succession {
+// newTestSuccession returns the succession of a process with one endpoint.
+func newTestSuccession(t *testing.T) *succession {
 	t.Helper()
-	set, err := config.ParseSettings([]byte(settings))
+	set, err := config.ParseSettings([]byte(testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	eng, err := driver.New(set.Settings, 1, noHosts{}, zerolog.Nop())
+	eng, err := driver.New(set.Settings, 1, noConnections{}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &succession{classNames: func() []string { return set.ClassNames }, table: cluster.NewTable(set.ZoneNames, set.KindNames, noHosts{}, eng),
+	s := &succession{classNames: func() []string { return set.ClassNames }, table: cluster.NewTable(set.ZoneNames, set.KindNames, noConnections{}, eng),
 		engine: eng, effects: inflight.New(20000), log: zerolog.Nop()}
 	s.table.Apply(balance.ListFull, cluster.List{Members: []cluster.Member{{ID: "s-1", Addr: "127.0.0.1:1", State: balance.Ready}}})
 	return s
@@ -38,7 +38,7 @@
 
 // Guards against two processes of an upgrade that end with each other's call, where operators call one of them each at
 // the same time: the later call holds at both, and where neither is later, the one that takes the host out.
-func TestCallsCross(t *testing.T) {
+func TestConcurrentCordonCalls(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		former, next int64 // the clock at each call
@@ -54,11 +54,11 @@
 		{"at once, the other way", 10, 10, false, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			former, next := process(t), process(t)
+			former, next := newTestSuccession(t), newTestSuccession(t)
 			former.cordons.clock = func() int64 { return c.former }
 			next.cordons.clock = func() int64 { return c.next }
-			one, ok := former.applyCall(peerMessage{Name: "s-1", Out: c.formerOut})
-			other, ok2 := next.applyCall(peerMessage{Name: "s-1", Out: !c.formerOut})
+			one, ok := former.applyCall(peerMessage{Endpoint: "s-1", Cordoned: c.formerOut})
+			other, ok2 := next.applyCall(peerMessage{Endpoint: "s-1", Cordoned: !c.formerOut})
 			if !ok || !ok2 {
 				t.Fatal("a call is not taken")
 			}
@@ -83,8 +83,8 @@
 
 // Guards against a cordon that is lost in an upgrade because the process remembers so many effects that its successor takes
 // nothing at all.
-func TestManyEffectsAreHandedOver(t *testing.T) {
-	one, other := process(t), process(t)
+func TestHandoverOfManyEffects(t *testing.T) {
+	one, other := newTestSuccession(t), newTestSuccession(t)
 	one.table.Cordon("s-1")
 	now := time.Now()
 	wide := strings.Repeat("x", 3200)
@@ -111,7 +111,7 @@
 
 // Guards against a second successor that is told what the first one was still to be told: its own copy is younger, and by a note
 // from before that, a request would be under way at the former process for as long as that runs.
-func TestNotesCrossASuccessorsEnd(t *testing.T) {
+func TestMirrorSendsNothingAfterStop(t *testing.T) {
 	told, goOn, ended := make(chan []byte, 9), make(chan struct{}), make(chan struct{})
 	m := newEffectMirror(func(line []byte) {
 		told <- line
@@ -145,8 +145,8 @@
 }
 
 // Guards against a second successor that knows of the moments between the first one's copy and its own less than the first did.
-func TestEffectsBetweenTwoSuccessors(t *testing.T) {
-	s, now := process(t), time.Now()
+func TestEffectsBetweenSuccessors(t *testing.T) {
+	s, now := newTestSuccession(t), time.Now()
 	begun := inflight.ID{Txn: "begun", Class: "look", Keep: time.Minute}
 	over := inflight.ID{Txn: "over", Class: "look", Keep: time.Minute}
 	s.effects.Open(now, over)
@@ -162,7 +162,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := process(t)
+	next := newTestSuccession(t)
 	next.predecessor = &handover.Predecessor{State: state}
 	next.takeOver()
 	if _, free := next.effects.Open(now, begun); free {
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -21,26 +21,26 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// owned is an owner with one listener, and what it was told, in order.
-type owned struct {
+// serverFixture is a server with one listener, and its callbacks in their order.
+type serverFixture struct {
 	*Server
-	l     *net.TCPListener
-	said  chan string
-	ended chan error
-	stop  context.CancelFunc
+	listener *net.TCPListener
+	events   chan string
+	ended    chan error
+	stop     context.CancelFunc
 }
 
-func own(t *testing.T, path, state string) *owned {
+func startServer(t *testing.T, path, state string) *serverFixture {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := &owned{l: l.(*net.TCPListener), said: make(chan string, 100), ended: make(chan error, 1)}
+	o := &serverFixture{listener: l.(*net.TCPListener), events: make(chan string, 100), ended: make(chan error, 1)}
 	on := map[bool]string{true: "+", false: "-"}
-	o.Server = &Server{Path: path, Listeners: map[string]*net.TCPListener{"clients": o.l},
-		State: func() ([]byte, error) { return []byte(state), nil }, OnConnected: func(is bool) { o.said <- "followed" + on[is] },
-		OnServing: func(is bool) { o.said <- "succeeded" + on[is] }, OnLine: func(line []byte) { o.said <- strings.TrimSpace(string(line)) },
+	o.Server = &Server{Path: path, Listeners: map[string]*net.TCPListener{"clients": o.listener},
+		State: func() ([]byte, error) { return []byte(state), nil }, OnConnected: func(is bool) { o.events <- "followed" + on[is] },
+		OnServing: func(is bool) { o.events <- "succeeded" + on[is] }, OnLine: func(line []byte) { o.events <- strings.TrimSpace(string(line)) },
 		Log: zerolog.Nop()}
 	ctx, stop := context.WithCancel(context.Background())
 	o.stop = func() {
@@ -58,30 +58,30 @@
 	}
 }
 
-func (o *owned) expect(t *testing.T, want ...string) {
+func (o *serverFixture) expect(t *testing.T, want ...string) {
 	t.Helper()
 	for _, w := range want {
-		if got := <-o.said; got != w {
-			t.Fatalf("the owner was told %q, want %q", got, w)
+		if got := <-o.events; got != w {
+			t.Fatalf("the server's event is %q, want %q", got, w)
 		}
 	}
 }
 
 // Guards against a hand-over that loses a connection in the queue, a line of either side, or the end of either.
-func TestHandOver(t *testing.T) {
+func TestHandover(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.sock")
 	if f, err := Connect(path, 0); f != nil || err != nil {
 		t.Fatalf("with nobody there: %v, %v", f, err)
 	}
-	o := own(t, path, `{"a":1}`)
+	o := startServer(t, path, `{"a":1}`)
 	defer o.stop()
-	for round := range 2 { // a successor that ends leaves the owner as it was
-		queued, err := net.Dial("tcp", o.l.Addr().String())
+	for round := range 2 { // a successor that ends leaves the server as it was
+		queued, err := net.Dial("tcp", o.listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		f, err := Connect(path, 0)
-		for f == nil && err == nil { // after a successor's end the owner takes the path again
+		for f == nil && err == nil { // after a successor's end the server takes the path again
 			f, err = Connect(path, 0)
 		}
 		if err != nil || string(f.State) != `{"a":1}` {
@@ -90,13 +90,13 @@
 		o.expect(t, "followed+")
 		o.Send([]byte("early"))
 		f.Send([]byte("mine"))
-		var told []string
-		if err := f.Ready(func(line []byte) { told = append(told, string(line)) }); err != nil {
+		var received []string
+		if err := f.Ready(func(line []byte) { received = append(received, string(line)) }); err != nil {
 			t.Fatal(err)
 		}
 		o.expect(t, "mine", "succeeded+")
-		if len(told) != 1 || told[0] != "early\n" {
-			t.Errorf("the successor was told %q", told)
+		if len(received) != 1 || received[0] != "early\n" {
+			t.Errorf("the successor received %q", received)
 		}
 		got, err := f.Listeners["clients"].Accept()
 		if err != nil {
@@ -113,9 +113,9 @@
 }
 
 // Guards against a successor that is gone, or of another kind, before it serves: the next one is served all the same.
-func TestSuccessorsThatDont(t *testing.T) {
+func TestSuccessorsThatNeverServe(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.sock")
-	o := own(t, path, `{}`)
+	o := startServer(t, path, `{}`)
 	defer o.stop()
 	c, err := net.Dial("unix", path)
 	if err != nil {
@@ -142,9 +142,9 @@
 	f.Close()
 }
 
-// Guards against a line of the former process that is lost, or heard as two, because Ready's time is over in the middle of it,
-// and against its word that comes after that being heard as a line.
-func TestLineCrossesReady(t *testing.T) {
+// Guards against a line of the predecessor that is lost, or received as two, because Ready's time is over in the middle of it,
+// and against its acknowledgement that comes after that being taken for a line.
+func TestLineAcrossReadyTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
 		f := &Predecessor{conn: near, in: newLineReader(near)}
@@ -155,34 +155,34 @@
 				_, _ = io.WriteString(far, s)
 			}
 		}()
-		var heard []string
-		told := func(line []byte) { heard = append(heard, string(line)) }
-		if err := f.Ready(told); !errors.Is(err, os.ErrDeadlineExceeded) {
+		var received []string
+		onLine := func(line []byte) { received = append(received, string(line)) }
+		if err := f.Ready(onLine); !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("Ready says %v", err)
 		}
 		f.Send([]byte("go on"))
-		f.Receive(told)
+		f.Receive(onLine)
 		f.Close()
-		if want := []string{"one\n", "two\n", "three\n"}; !slices.Equal(heard, want) {
-			t.Errorf("heard %q, want %q", heard, want)
+		if want := []string{"one\n", "two\n", "three\n"}; !slices.Equal(received, want) {
+			t.Errorf("received %q, want %q", received, want)
 		}
 	})
 }
 
 // Guards against a process that takes the path over without having succeeded: whoever listens last has it.
-func TestAbandonedPath(t *testing.T) {
+func TestPathOfEndedProcess(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.sock")
-	own(t, path, `{}`).stop()
+	startServer(t, path, `{}`).stop()
 	if f, err := Connect(path, 0); f != nil || err != nil {
 		t.Fatalf("after its end: %v, %v", f, err)
 	}
-	o := own(t, path, `{}`)
+	o := startServer(t, path, `{}`)
 	o.stop()
 }
 
-// FuzzFollow: whatever comes in place of the message is an error, or a state that stands in it; and no descriptor that
+// FuzzConnect: whatever comes in place of the message is an error, or a state that stands in it; and no descriptor that
 // came with it stays open.
-func FuzzFollow(f *testing.F) {
+func FuzzConnect(f *testing.F) {
 	whole := []byte(`{"version":1,"listeners":[],"state":{}}`)
 	f.Add(binary.BigEndian.AppendUint32(nil, uint32(len(whole))), whole)
 	f.Add(binary.BigEndian.AppendUint32(nil, uint32(len(whole))), whole[:20])
--- a/internal/handover/model_test.go
+++ b/internal/handover/succession_model_test.go
@@ -12,63 +12,63 @@
 	"github.com/rs/zerolog"
 )
 
-// proc is a process of a sidecar, as the model has it: it owns a copy of the listener, follows, serves and ends.
-type proc struct {
-	id        int
-	l         *net.TCPListener
-	owner     *Server
-	former    *Predecessor
-	serving   bool
-	dead      bool
-	after     *proc       // whom it follows
-	succeeded atomic.Bool // as it has been told
-	stop      context.CancelFunc
-	ended     chan error
+// testProcess is a process of a sidecar in the model: it has a copy of the listener, connects, serves and ends.
+type testProcess struct {
+	id          int
+	listener    *net.TCPListener
+	server      *Server
+	predecessor *Predecessor
+	serving     bool
+	dead        bool
+	parent      *testProcess // its predecessor
+	succeeded   atomic.Bool  // as it has been told
+	stop        context.CancelFunc
+	ended       chan error
 }
 
-// launch starts one: it follows whoever is there, or begins with a listener of its own.
-func launch(t *testing.T, path string, id int, after *proc) *proc {
+// launch starts one: it connects to whichever process serves, or begins with a listener of its own.
+func launch(t *testing.T, path string, id int, after *testProcess) *testProcess {
 	t.Helper()
-	p := &proc{id: id, ended: make(chan error, 1), after: after}
+	p := &testProcess{id: id, ended: make(chan error, 1), parent: after}
 	f, err := Connect(path, time.Minute)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var l net.Listener
-	if p.former = f; f != nil {
+	if p.predecessor = f; f != nil {
 		l = f.TakeListener("clients")
 	} else if l, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	p.l = l.(*net.TCPListener)
-	p.owner = &Server{Path: path, Listeners: map[string]*net.TCPListener{"clients": p.l}, Log: zerolog.Nop(), OnLine: func([]byte) {},
+	p.listener = l.(*net.TCPListener)
+	p.server = &Server{Path: path, Listeners: map[string]*net.TCPListener{"clients": p.listener}, Log: zerolog.Nop(), OnLine: func([]byte) {},
 		State: func() ([]byte, error) { return fmt.Append(nil, id), nil }, OnConnected: func(bool) {}, OnServing: p.succeeded.Store}
 	return p
 }
 
-// ready has it serve.
-func (p *proc) ready(t *testing.T) {
+// ready announces that it serves.
+func (p *testProcess) ready(t *testing.T) {
 	t.Helper()
-	if err := p.owner.Listen(); err != nil {
+	if err := p.server.Listen(); err != nil {
 		t.Fatal(err)
 	}
-	if p.former != nil {
-		if err := p.former.Ready(func([]byte) {}); err != nil && !p.after.dead {
+	if p.predecessor != nil {
+		if err := p.predecessor.Ready(func([]byte) {}); err != nil && !p.parent.dead {
 			t.Fatal(err)
 		}
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	p.stop, p.serving = stop, true
-	go func() { p.ended <- p.owner.Serve(ctx) }()
+	go func() { p.ended <- p.server.Serve(ctx) }()
 }
 
-// end is its end, however it comes: all that it has open is closed.
-func (p *proc) end(t *testing.T) {
+// end closes all that it has open, as an exit of any kind does.
+func (p *testProcess) end(t *testing.T) {
 	t.Helper()
 	p.dead = true
-	p.l.Close()
-	if p.former != nil {
-		p.former.Close()
+	p.listener.Close()
+	if p.predecessor != nil {
+		p.predecessor.Close()
 	}
 	if p.serving {
 		p.stop()
@@ -79,25 +79,25 @@
 }
 
 // FuzzSuccession plays processes that start, serve and end in any order, up to four at once. Whatever the order: while any
-// process serves, a connection finds one; the youngest that serves is whom the next one follows, and no other; a process
+// process serves, a connection finds one; the youngest that serves is the next one's predecessor, and no other; a process
 // takes itself for succeeded while, and only while, a younger one serves that it led to.
 func FuzzSuccession(f *testing.F) {
 	f.Add([]byte{0, 1, 0, 1, 2, 0, 1, 2})        // one upgrade after the other
 	f.Add([]byte{0, 1, 0, 2 + 4, 0, 1, 2})       // a successor that dies before it serves
 	f.Add([]byte{0, 1, 0, 1, 0, 1, 2 + 4, 2, 0}) // three, and the middle one dies
-	f.Add([]byte{0, 1, 0, 2, 1, 0, 1, 2})        // an owner that dies before its successor serves
+	f.Add([]byte{0, 1, 0, 2, 1, 0, 1, 2})        // a server that dies before its successor serves
 	f.Add([]byte{0, 1, 0, 1, 2 + 4, 0, 1, 2, 2}) // a successor that dies after it serves, and the next
 	f.Fuzz(func(t *testing.T, script []byte) {
 		path := filepath.Join(t.TempDir(), "s.sock")
 		if len(path) > maxPathBytes {
 			t.Skip("no path of that length")
 		}
-		var all []*proc // by age
-		var coming *proc
+		var all []*testProcess // by age
+		var coming *testProcess
 		for n, b := range script[:min(len(script), 12)] {
 			switch of := int(b / 4); {
 			case b%4 == 0 && coming == nil && len(all) < 4:
-				var after *proc
+				var after *testProcess
 				if len(all) > 0 {
 					after = all[len(all)-1]
 				}
@@ -112,7 +112,7 @@
 				all[of].end(t)
 				all = append(all[:of:of], all[of+1:]...)
 			}
-			check(t, path, all, coming)
+			checkInvariants(t, path, all, coming)
 		}
 		if coming != nil {
 			coming.end(t)
@@ -123,7 +123,7 @@
 	})
 }
 
-func check(t *testing.T, path string, all []*proc, coming *proc) {
+func checkInvariants(t *testing.T, path string, all []*testProcess, coming *testProcess) {
 	t.Helper()
 	for i, p := range all {
 		for within := time.Now().Add(5 * time.Second); p.succeeded.Load() != (i < len(all)-1); time.Sleep(time.Millisecond) {
@@ -137,35 +137,35 @@
 	}
 	youngest := all[len(all)-1]
 	f, err := Connect(path, time.Minute)
-	for ; f == nil && err == nil; f, err = Connect(path, time.Minute) { // the path goes back to an owner whose successor has died
+	for ; f == nil && err == nil; f, err = Connect(path, time.Minute) { // the path goes back to a server whose successor has died
 		time.Sleep(time.Millisecond)
 	}
 	if err != nil || string(f.State) != fmt.Sprint(youngest.id) {
-		t.Fatalf("who follows now follows %s, not %d: %v", f.State, youngest.id, err)
+		t.Fatalf("the next process's predecessor is %s, not %d: %v", f.State, youngest.id, err)
 	}
 	defer f.Close()
 	defer f.CloseUnused()
-	c, err := net.Dial("tcp", youngest.l.Addr().String())
+	c, err := net.Dial("tcp", youngest.listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	got, err := youngest.l.Accept()
+	got, err := youngest.listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	got.Close()
 }
 
-// Guards against a second successor that comes during a hand-over and starts as if there were nobody: it follows the first
-// one, or the owner again where the first one dies.
-func TestHandOverDuringOne(t *testing.T) {
+// Guards against a second successor that comes during a hand-over and starts as if there were nobody: its predecessor is the first
+// one, or the server again where the first one dies.
+func TestConnectDuringHandover(t *testing.T) {
 	for _, dies := range []bool{true, false} {
 		path := filepath.Join(t.TempDir(), "s.sock")
 		a := launch(t, path, 1, nil)
 		a.ready(t)
 		b := launch(t, path, 2, a)
-		came := make(chan *proc)
+		came := make(chan *testProcess)
 		go func() {
 			defer close(came)
 			came <- launch(t, path, 3, b)
@@ -181,8 +181,8 @@
 		if c == nil {
 			t.Fatal("the second successor did not start")
 		}
-		if c.former == nil || string(c.former.State) != want {
-			t.Errorf("the second successor has %+v, want %s's state", c.former, want)
+		if c.predecessor == nil || string(c.predecessor.State) != want {
+			t.Errorf("the second successor has %+v, want %s's state", c.predecessor, want)
 		}
 		c.end(t)
 		if !dies {
