--- a/internal/auditlog/book.go
+++ b/internal/auditlog/book.go
@@ -23,7 +23,7 @@
 // nothing. It may be used by many goroutines at once.
 type Book struct {
 	life   string
-	clock  func() persistence.Clock
+	clock  func() persistence.Timestamp
 	counts counts
 
 	// Woken has a value where there are entries that whoever writes them has not looked at.
@@ -44,7 +44,7 @@
 
 // NewBook returns the book of a process that goes on from a past, which a disk had or a former process handed over; nil where
 // there is none. Life is the process's own, from says whose past it is. The epoch of the last order that was taken holds on.
-func NewBook(life, from string, past []Entry, clock func() persistence.Clock) *Book {
+func NewBook(life, from string, past []Entry, clock func() persistence.Timestamp) *Book {
 	b := &Book{life: life, clock: clock, Woken: make(chan struct{}, 1)}
 	past = slices.Clone(past)
 	slices.SortStableFunc(past, bySeq) // no number is given again
--- a/internal/auditlog/trail_test.go
+++ b/internal/auditlog/trail_test.go
@@ -23,7 +23,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func clock() persistence.Clock { return persistence.Clock{Wall: time.UnixMilli(5000), Up: time.Second} }
+func clock() persistence.Timestamp {
+	return persistence.Timestamp{Wall: time.UnixMilli(5000), Up: time.Second}
+}
 
 func names(class int, host balance.EndpointID) (string, string) {
 	return fmt.Sprint("class", class), fmt.Sprint("host-", host)
--- a/internal/daemon/print_state.go
+++ b/internal/daemon/print_state.go
@@ -32,7 +32,7 @@
 
 func printState(path string, text []byte, out io.Writer) error {
 	now := persistence.Now()
-	snapshot, err := persistence.Decode(text)
+	snapshot, err := persistence.DecodeSnapshot(text)
 	switch {
 	case err == nil:
 		return printSnapshot(snapshot, now, out)
@@ -44,7 +44,7 @@
 	}
 }
 
-func printSnapshot(snapshot *persistence.Snapshot, now persistence.Clock, out io.Writer) error {
+func printSnapshot(snapshot *persistence.Snapshot, now persistence.Timestamp, out io.Writer) error {
 	var state processState
 	if err := json.Unmarshal(snapshot.State, &state); err != nil {
 		return err
@@ -102,7 +102,7 @@
 	return time.Duration(s.Sum / s.N * float64(time.Second)).Round(10 * time.Microsecond)
 }
 
-func printJournal(text []byte, now persistence.Clock, out io.Writer) {
+func printJournal(text []byte, now persistence.Timestamp, out io.Writer) {
 	notes, skipped := persistence.DecodeJournal(text, now)
 	fmt.Fprintf(out, "%d lines, %d more that are cut off or changed\n\n", len(notes), skipped)
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
--- a/internal/daemon/snapshot_bench_test.go
+++ b/internal/daemon/snapshot_bench_test.go
@@ -65,14 +65,14 @@
 				put += time.Since(from)
 				from = time.Now()
 				if err == nil {
-					size, err = persistence.Save(d, &persistence.Snapshot{Saved: persistence.Now(), Site: "x", State: state})
+					size, err = persistence.SaveSnapshot(d, &persistence.Snapshot{Saved: persistence.Now(), Site: "x", State: state})
 				}
 				save += time.Since(from)
 				if err != nil {
 					b.Fatal(err)
 				}
 				from = time.Now()
-				got, _, err := persistence.Load(d, persistence.Now(), "x", time.Minute)
+				got, _, err := persistence.LoadSnapshot(d, persistence.Now(), "x", time.Minute)
 				if err == nil {
 					_, err = s.adopt(got.State, "snapshot", 0, cluster.List{})
 				}
--- a/internal/daemon/state_persister.go
+++ b/internal/daemon/state_persister.go
@@ -71,13 +71,13 @@
 	if k == nil || k.succession.predecessor != nil {
 		return false
 	}
-	snap, past, err := persistence.Load(k.disk, persistence.Now(), k.site, k.Oldest.D())
+	snap, past, err := persistence.LoadSnapshot(k.disk, persistence.Now(), k.site, k.Oldest.D())
 	var h processState
 	if err == nil {
 		h, err = k.succession.adopt(snap.State, "snapshot", past, cfg.Known)
 	}
 	switch {
-	case errors.Is(err, persistence.ErrNone):
+	case errors.Is(err, persistence.ErrNoSnapshot):
 	case err != nil:
 		k.log.Warn().Err(err).Msg("nothing is remembered")
 	default:
@@ -92,7 +92,7 @@
 	if k == nil || !k.Journal {
 		return nil
 	}
-	notes, skipped, left, alive, err := persistence.Effects(k.disk, persistence.Now())
+	notes, skipped, left, alive, err := persistence.RecoverEffects(k.disk, persistence.Now())
 	if err != nil {
 		k.log.Error().Err(err).Msg("the journal of former processes is not read")
 	}
@@ -101,15 +101,15 @@
 	k.succession.effects.Gone(now, inflight.Journal)
 	past, _ := k.succession.effects.Size()
 	k.log.Info().Int("lines", len(notes)).Int("skipped", skipped).Int("alive", alive).Int("effects", past).Msg("journal read")
-	k.journal = &persistence.Journal{Disk: k.disk, Table: k.succession.effects, Fault: func(err error) {
+	k.journal = &persistence.Journal{Disk: k.disk, Table: k.succession.effects, OnFault: func(err error) {
 		if err != nil {
 			k.log.Error().Err(err).Msg("the journal is not written")
 		} else {
 			k.log.Info().Msg("the journal is written again")
 		}
 	}}
-	k.journal.Begin(left)
-	return func() { k.journal.Kept() }
+	k.journal.Start(left)
+	return func() { k.journal.WaitDurable() }
 }
 
 // run writes snapshots until ctx is done.
@@ -130,7 +130,7 @@
 		if k.journal == nil {
 			continue
 		}
-		if n := k.journal.Missed(); n > 0 {
+		if n := k.journal.TakeMissed(); n > 0 {
 			k.log.Warn().Int("sends", n).Msg("the journal was too slow, and they did not wait for it")
 		}
 		if _, n := k.succession.effects.Size(); n > reportedDrops {
@@ -151,7 +151,7 @@
 		state, err = json.Marshal(k.succession.snapshot())
 	}
 	if err == nil {
-		_, err = persistence.Save(k.disk, &persistence.Snapshot{Saved: persistence.Now(), Site: k.site, State: state})
+		_, err = persistence.SaveSnapshot(k.disk, &persistence.Snapshot{Saved: persistence.Now(), Site: k.site, State: state})
 	}
 	if failed := err != nil; failed != k.lastSaveFailed {
 		k.lastSaveFailed = failed
--- a/internal/lab/footprint/audit.go
+++ b/internal/lab/footprint/audit.go
@@ -180,7 +180,7 @@
 	now := persistence.Now()
 	clock := now
 	clock.Wall, clock.Up = now.Wall.Add(-worked), max(0, now.Up-worked)
-	b := auditlog.NewBook("life "+name, "", nil, func() persistence.Clock { return clock })
+	b := auditlog.NewBook("life "+name, "", nil, func() persistence.Timestamp { return clock })
 	b.Names(func(class int, host balance.EndpointID) (string, string) {
 		return fmt.Sprintf("class-%03d", class), fmt.Sprintf("host-%04d", host)
 	})
--- a/internal/persistence/disk.go
+++ b/internal/persistence/disk.go
@@ -39,19 +39,19 @@
 }
 
 // dir is a directory of the operating system.
-type dir string
+type directory string
 
 // Dir is the directory at path.
-func Dir(path string) Disk { return dir(path) }
+func Dir(path string) Disk { return directory(path) }
 
-func (d dir) at(name string) string { return filepath.Join(string(d), name) }
+func (d directory) path(name string) string { return filepath.Join(string(d), name) }
 
-func (d dir) Create(name string) (File, error) {
-	return os.OpenFile(d.at(name), os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
+func (d directory) Create(name string) (File, error) {
+	return os.OpenFile(d.path(name), os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 }
 
-func (d dir) Read(name string, most int64) ([]byte, error) {
-	f, err := os.Open(d.at(name))
+func (d directory) Read(name string, most int64) ([]byte, error) {
+	f, err := os.Open(d.path(name))
 	if err != nil {
 		return nil, err
 	}
@@ -59,10 +59,10 @@
 	return io.ReadAll(io.LimitReader(f, most))
 }
 
-func (d dir) Rename(from, to string) error { return os.Rename(d.at(from), d.at(to)) }
-func (d dir) Remove(name string) error     { return os.Remove(d.at(name)) }
+func (d directory) Rename(from, to string) error { return os.Rename(d.path(from), d.path(to)) }
+func (d directory) Remove(name string) error     { return os.Remove(d.path(name)) }
 
-func (d dir) Names() (names []string, err error) {
+func (d directory) Names() (names []string, err error) {
 	entries, err := os.ReadDir(string(d))
 	for _, e := range entries {
 		names = append(names, e.Name())
@@ -70,7 +70,7 @@
 	return names, err
 }
 
-func (d dir) Sync() error {
+func (d directory) Sync() error {
 	f, err := os.Open(string(d))
 	if err != nil {
 		return err
@@ -79,10 +79,10 @@
 	return f.Sync()
 }
 
-func (d dir) Lock(name string) (unlock func(), err error) {
-	fd, err := unix.Open(d.at(name), unix.O_RDWR|unix.O_CREAT|unix.O_CLOEXEC, 0o600)
+func (d directory) Lock(name string) (unlock func(), err error) {
+	fd, err := unix.Open(d.path(name), unix.O_RDWR|unix.O_CREAT|unix.O_CLOEXEC, 0o600)
 	if err != nil {
-		return nil, &os.PathError{Op: "open", Path: d.at(name), Err: err}
+		return nil, &os.PathError{Op: "open", Path: d.path(name), Err: err}
 	}
 	unlock = func() { _ = unix.Close(fd) }
 	if err = unix.Flock(fd, unix.LOCK_EX|unix.LOCK_NB); err == nil {
@@ -92,19 +92,19 @@
 	if errors.Is(err, unix.EWOULDBLOCK) {
 		return nil, nil
 	}
-	return nil, fmt.Errorf("lock %s: %w", d.at(name), err)
+	return nil, fmt.Errorf("lock %s: %w", d.path(name), err)
 }
 
-// Clock is a moment by the wall, and by the time since the machine's start, which no step of the wall's moves.
-type Clock struct {
+// Timestamp is a moment by the wall, and by the time since the machine's start, which no step of the wall's moves.
+type Timestamp struct {
 	Wall time.Time
 	Boot string // which start of the machine it was; empty: not known
 	Up   time.Duration
 }
 
 // Now is this moment.
-func Now() Clock {
-	c := Clock{Wall: time.Now()}
+func Now() Timestamp {
+	c := Timestamp{Wall: time.Now()}
 	var up unix.Timespec
 	id, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err == nil && unix.ClockGettime(unix.CLOCK_BOOTTIME, &up) == nil {
@@ -114,7 +114,7 @@
 }
 
 // Since is how long ago a former moment was, below 0 where its clock was ahead of this one.
-func (c Clock) Since(former Clock) time.Duration {
+func (c Timestamp) Since(former Timestamp) time.Duration {
 	if c.Boot != "" && c.Boot == former.Boot {
 		return c.Up - former.Up
 	}
--- a/internal/persistence/journal.go
+++ b/internal/persistence/journal.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	journalName = "effects-"
-	journalMost = 4 << 20                // bytes, from which on the next file is begun
-	readMost    = 4 * journalMost        // bytes of a file that are read
-	waitMost    = 1 << 20                // bytes that wait to be written
-	keptWithin  = 50 * time.Millisecond  // a stream waits no longer: a disk that is slow must not hold orders up
-	againAfter  = time.Second            // a disk that has failed is tried again
-	closeWithin = 200 * time.Millisecond // the last write may take
+	journalPrefix   = "effects-"
+	maxJournalBytes = 4 << 20                // bytes, from which on the next file is begun
+	maxReadBytes    = 4 * maxJournalBytes    // bytes of a file that are read
+	maxPendingBytes = 1 << 20                // bytes that wait to be written
+	syncTimeout     = 50 * time.Millisecond  // a stream waits no longer: a disk that is slow must not hold orders up
+	retryInterval   = time.Second            // a disk that has failed is tried again
+	closeTimeout    = 200 * time.Millisecond // the last write may take
 )
 
 // Journal writes what a table of effects is told, so that it is on the disk before anything is sent. What comes while the disk
@@ -30,27 +30,27 @@
 type Journal struct {
 	Disk  Disk
 	Table *inflight.Table
-	// Fault is told when the journal can't be written, and with nil when it can again.
-	Fault func(err error)
+	// OnFault is told when the journal can't be written, and with nil when it can again.
+	OnFault func(err error)
 
-	wake  chan struct{}
-	ended chan struct{}
+	wake chan struct{}
+	done chan struct{}
 
-	mu      sync.Mutex
-	wait    []byte
-	noted   int           // changes that have waited, ever
-	written int           // of those, that are in a file
-	write   chan struct{} // closed once more are; nil: nobody waits for that
-	stuck   bool          // somebody has waited too long for that
-	behind  bool          // some are in a file that is not synced yet, nor being synced
-	next    chan struct{} // closed once those and what waits are settled
-	writing chan struct{} // the same of what is being synced; nil: nothing is
-	slow    bool          // somebody has waited too long for it
-	failed  error
-	deaf    bool // nothing is to be written: the next file begins with all that is known
-	overrun bool // changes came faster than the disk takes them, and some are in no file yet
-	closed  bool
-	missed  int // promises that were not given
+	mu            sync.Mutex
+	pending       []byte
+	enqueued      int           // changes that have waited, ever
+	written       int           // of those, that are in a file
+	writtenSignal chan struct{} // closed once more are; nil: nobody waits for that
+	writeStalled  bool          // somebody has waited too long for that
+	unsynced      bool          // some are in a file that is not synced yet, nor being synced
+	nextSync      chan struct{} // closed once those and what waits are settled
+	syncing       chan struct{} // the same of what is being synced; nil: nothing is
+	syncStalled   bool          // somebody has waited too long for it
+	lastErr       error
+	discarding    bool // nothing is to be written: the next file begins with all that is known
+	overflowed    bool // changes came faster than the disk takes them, and some are in no file yet
+	closed        bool
+	missed        int // promises that were not given
 
 	// Of run, and of follow while run waits for it.
 	file   File
@@ -60,14 +60,14 @@
 }
 
 // header is a journal's first line: the clock by which its times are.
-type header struct{ Clock Clock }
+type header struct{ Clock Timestamp }
 
-// Begin writes a first file with all that the table knows and has further changes follow, until Close. Files that former
+// Start writes a first file with all that the table knows and has further changes follow, until Close. Files that former
 // processes have left are removed once theirs is in it.
-func (j *Journal) Begin(left []string) {
-	j.wake, j.next, j.ended = make(chan struct{}, 1), make(chan struct{}), make(chan struct{})
-	j.set(j.begin())
-	if j.failed == nil {
+func (j *Journal) Start(left []string) {
+	j.wake, j.nextSync, j.done = make(chan struct{}, 1), make(chan struct{}), make(chan struct{})
+	j.setResult(j.rotate())
+	if j.lastErr == nil {
 		for _, name := range left {
 			_ = j.Disk.Remove(name) // read again it would tell the same
 		}
@@ -76,23 +76,23 @@
 }
 
 // begin begins a file, and leaves the one before it only when that is on the disk.
-func (j *Journal) begin() error {
+func (j *Journal) rotate() error {
 	names, err := j.Disk.Names()
 	if err != nil {
 		return fmt.Errorf("durable: journal: %w", err)
 	}
 	last := 0
 	for _, n := range names {
-		if i, err := strconv.Atoi(strings.TrimPrefix(n, journalName)); err == nil && IsJournal(n) {
+		if i, err := strconv.Atoi(strings.TrimPrefix(n, journalPrefix)); err == nil && IsJournal(n) {
 			last = max(last, i)
 		}
 	}
-	name := fmt.Sprintf("%s%09d", journalName, last+1)
+	name := fmt.Sprintf("%s%09d", journalPrefix, last+1)
 	j.mu.Lock()
-	j.deaf = false // what comes from here on is not in what is known
+	j.discarding = false // what comes from here on is not in what is known
 	j.mu.Unlock()
-	text := line(nil, header{Now()})
-	for _, n := range j.Table.Watch(inflight.Journal, j.note) {
+	text := appendLine(nil, header{Now()})
+	for _, n := range j.Table.Watch(inflight.Journal, j.enqueue) {
 		text = appendNote(text, n)
 	}
 	unlock, err := j.Disk.Lock(name)
@@ -125,16 +125,16 @@
 	}
 	j.file, j.name, j.unlock, j.size = f, name, unlock, len(text)
 	j.mu.Lock()
-	j.overrun = j.deaf // again, meanwhile
+	j.overflowed = j.discarding // again, meanwhile
 	j.mu.Unlock()
 	return nil
 }
 
 // IsJournal tells whether a file of that name is a journal of effects.
-func IsJournal(name string) bool { return strings.HasPrefix(name, journalName) }
+func IsJournal(name string) bool { return strings.HasPrefix(name, journalPrefix) }
 
 // line appends a line: the sum of a value's text, and the text.
-func line(b []byte, v any) []byte {
+func appendLine(b []byte, v any) []byte {
 	text, err := json.Marshal(v)
 	if err != nil {
 		return b // it has no such values
@@ -147,29 +147,29 @@
 	if n.Keep == 0 || n.At.IsZero() && !n.Back {
 		return b // nothing of it has begun
 	}
-	return line(b, n)
+	return appendLine(b, n)
 }
 
 // note takes a change from the table, and never waits.
-func (j *Journal) note(n inflight.Note) {
+func (j *Journal) enqueue(n inflight.Note) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if j.closed || j.deaf {
+	if j.closed || j.discarding {
 		return
 	}
-	if len(j.wait) > waitMost {
-		j.deaf, j.overrun = true, true
+	if len(j.pending) > maxPendingBytes {
+		j.discarding, j.overflowed = true, true
 		return
 	}
-	was := len(j.wait)
-	if j.wait = appendNote(j.wait, n); len(j.wait) > was {
-		j.noted++
-		j.rouse()
+	was := len(j.pending)
+	if j.pending = appendNote(j.pending, n); len(j.pending) > was {
+		j.enqueued++
+		j.signal()
 	}
 }
 
 // rouse has run go on; the caller holds the lock.
-func (j *Journal) rouse() {
+func (j *Journal) signal() {
 	if j.closed {
 		return
 	}
@@ -179,19 +179,19 @@
 	}
 }
 
-// Kept waits until all that the table has been told is on the disk. It returns false where that takes too long or can't be; on
+// WaitDurable waits until all that the table has been told is on the disk. It returns false where that takes too long or can't be; on
 // a disk that is slow, once it is written, so that it is lost with the machine at most.
-func (j *Journal) Kept() bool {
+func (j *Journal) WaitDurable() bool {
 	j.mu.Lock()
-	wait, ok := j.writing, j.failed == nil && !j.closed && !j.overrun
-	if len(j.wait) > 0 || j.behind {
-		wait = j.next
+	wait, ok := j.syncing, j.lastErr == nil && !j.closed && !j.overflowed
+	if len(j.pending) > 0 || j.unsynced {
+		wait = j.nextSync
 	}
-	if !ok || wait != nil && j.slow {
+	if !ok || wait != nil && j.syncStalled {
 		j.missed++
 		j.mu.Unlock()
 		if ok {
-			j.awaitWrite()
+			j.waitWritten()
 		}
 		return false
 	}
@@ -199,49 +199,49 @@
 	if wait == nil {
 		return true
 	}
-	late := time.NewTimer(keptWithin)
+	late := time.NewTimer(syncTimeout)
 	defer late.Stop()
 	select {
 	case <-wait:
 		j.mu.Lock()
 		defer j.mu.Unlock()
-		if j.failed != nil {
+		if j.lastErr != nil {
 			j.missed++
 		}
-		return j.failed == nil
+		return j.lastErr == nil
 	case <-late.C:
 		j.mu.Lock()
 		defer j.mu.Unlock()
-		j.slow = j.writing != nil
+		j.syncStalled = j.syncing != nil
 		j.missed++
 		return false
 	}
 }
 
-// awaitWrite waits until all that the table has been told is in a file, but not for a disk that takes no writes either.
-func (j *Journal) awaitWrite() {
+// waitWritten waits until all that the table has been told is in a file, but not for a disk that takes no writes either.
+func (j *Journal) waitWritten() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	late := time.NewTimer(keptWithin)
+	late := time.NewTimer(syncTimeout)
 	defer late.Stop()
-	for upTo := j.noted; j.written < upTo && j.failed == nil && !j.stuck; {
-		if j.write == nil {
-			j.write = make(chan struct{})
+	for upTo := j.enqueued; j.written < upTo && j.lastErr == nil && !j.writeStalled; {
+		if j.writtenSignal == nil {
+			j.writtenSignal = make(chan struct{})
 		}
-		write := j.write
+		write := j.writtenSignal
 		j.mu.Unlock()
 		select {
 		case <-write:
 			j.mu.Lock()
 		case <-late.C:
 			j.mu.Lock()
-			j.stuck = true
+			j.writeStalled = true
 		}
 	}
 }
 
-// Missed is how many times Kept returned false since it was last asked.
-func (j *Journal) Missed() (n int) {
+// TakeMissed is how many times Kept returned false since it was last asked.
+func (j *Journal) TakeMissed() (n int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	n, j.missed = j.missed, 0
@@ -254,33 +254,33 @@
 	j.closed = true
 	j.mu.Unlock()
 	close(j.wake)
-	late := time.NewTimer(closeWithin)
+	late := time.NewTimer(closeTimeout)
 	defer late.Stop()
 	select {
-	case <-j.ended:
+	case <-j.done:
 	case <-late.C:
 	}
 }
 
 func (j *Journal) run() {
-	defer close(j.ended)
+	defer close(j.done)
 	for open := true; open; {
 		var again <-chan time.Time
-		if j.failed != nil { // only run changes it
-			again = time.After(againAfter)
+		if j.lastErr != nil { // only run changes it
+			again = time.After(retryInterval)
 		}
 		select {
 		case _, open = <-j.wake:
-			if j.set(j.flush()); j.failed == nil && j.full() {
-				j.set(j.begin())
+			if j.setResult(j.sync()); j.lastErr == nil && j.needsRotation() {
+				j.setResult(j.rotate())
 			}
 			j.mu.Lock()
-			if len(j.wait) > 0 || j.behind {
-				j.rouse() // follow has been roused in its place
+			if len(j.pending) > 0 || j.unsynced {
+				j.signal() // follow has been roused in its place
 			}
 			j.mu.Unlock()
 		case <-again:
-			j.set(j.begin())
+			j.setResult(j.rotate())
 		}
 	}
 	if j.file != nil {
@@ -290,48 +290,48 @@
 }
 
 // full tells whether another file is to be begun.
-func (j *Journal) full() bool {
+func (j *Journal) needsRotation() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.overrun || j.size > journalMost
+	return j.overflowed || j.size > maxJournalBytes
 }
 
 // set takes in how the last write went, lets those go on that waited for it, and tells of a change between working and not.
-func (j *Journal) set(err error) {
+func (j *Journal) setResult(err error) {
 	j.mu.Lock()
-	was := j.failed
-	j.failed = err
-	if j.writing != nil {
-		close(j.writing)
-		j.writing, j.slow = nil, false
+	was := j.lastErr
+	j.lastErr = err
+	if j.syncing != nil {
+		close(j.syncing)
+		j.syncing, j.syncStalled = nil, false
 	}
 	if err != nil {
-		j.deaf, j.wait, j.behind = true, nil, false
-		j.wrote(j.noted)
-		close(j.next)
-		j.next = make(chan struct{})
+		j.discarding, j.pending, j.unsynced = true, nil, false
+		j.markWritten(j.enqueued)
+		close(j.nextSync)
+		j.nextSync = make(chan struct{})
 	}
 	j.mu.Unlock()
 	if (err == nil) != (was == nil) {
-		j.Fault(err)
+		j.OnFault(err)
 	}
 }
 
 // flush writes what waits, and has the disk take all that is written.
-func (j *Journal) flush() error {
+func (j *Journal) sync() error {
 	j.mu.Lock()
-	batch, upTo := j.wait, j.noted
-	if j.failed != nil || len(batch) == 0 && !j.behind {
+	batch, upTo := j.pending, j.enqueued
+	if j.lastErr != nil || len(batch) == 0 && !j.unsynced {
 		defer j.mu.Unlock()
-		return j.failed
+		return j.lastErr
 	}
-	j.wait, j.behind, j.next, j.writing = nil, false, make(chan struct{}), j.next
+	j.pending, j.unsynced, j.nextSync, j.syncing = nil, false, make(chan struct{}), j.nextSync
 	j.mu.Unlock()
-	if err := j.append(batch, upTo); err != nil {
+	if err := j.writeBatch(batch, upTo); err != nil {
 		return err
 	}
 	stop, followed := make(chan struct{}), make(chan error, 1)
-	go func() { followed <- j.follow(stop) }()
+	go func() { followed <- j.writeDuringSync(stop) }()
 	err := j.file.Sync()
 	close(stop)
 	if fault := <-followed; err == nil && fault != nil {
@@ -344,7 +344,7 @@
 }
 
 // follow writes what comes, as far as there is room in the file, until stop is closed.
-func (j *Journal) follow(stop <-chan struct{}) error {
+func (j *Journal) writeDuringSync(stop <-chan struct{}) error {
 	for {
 		select {
 		case _, open := <-j.wake:
@@ -355,21 +355,21 @@
 			return nil
 		}
 		j.mu.Lock()
-		batch, upTo := j.wait, j.noted
-		if len(batch) == 0 || j.size > journalMost {
+		batch, upTo := j.pending, j.enqueued
+		if len(batch) == 0 || j.size > maxJournalBytes {
 			j.mu.Unlock()
 			continue
 		}
-		j.wait, j.behind = nil, true
+		j.pending, j.unsynced = nil, true
 		j.mu.Unlock()
-		if err := j.append(batch, upTo); err != nil {
+		if err := j.writeBatch(batch, upTo); err != nil {
 			return err
 		}
 	}
 }
 
 // append writes changes, up to that one, at the file's end.
-func (j *Journal) append(batch []byte, upTo int) error {
+func (j *Journal) writeBatch(batch []byte, upTo int) error {
 	if len(batch) > 0 {
 		if _, err := j.file.Write(batch); err != nil {
 			return fmt.Errorf("durable: journal: %w", err)
@@ -378,23 +378,23 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.size += len(batch)
-	j.wrote(upTo)
+	j.markWritten(upTo)
 	return nil
 }
 
 // wrote notes that changes up to that one are in a file, and lets those go on that wait for it; the caller holds the lock.
-func (j *Journal) wrote(upTo int) {
-	j.written, j.stuck = upTo, false
-	if j.write != nil {
-		close(j.write)
-		j.write = nil
+func (j *Journal) markWritten(upTo int) {
+	j.written, j.writeStalled = upTo, false
+	if j.writtenSignal != nil {
+		close(j.writtenSignal)
+		j.writtenSignal = nil
 	}
 }
 
-// Effects returns what the journals say that processes have left which are dead, oldest first, by this moment's clock; how
+// RecoverEffects returns what the journals say that processes have left which are dead, oldest first, by this moment's clock; how
 // many lines of them could not be read; and the names of their files. Alive is how many others are in use. Whoever calls
 // keeps all others from calling at the same time: by the lock of the directory, or as the successor of whoever has that.
-func Effects(d Disk, now Clock) (notes []inflight.Note, skipped int, left []string, alive int, err error) {
+func RecoverEffects(d Disk, now Timestamp) (notes []inflight.Note, skipped int, left []string, alive int, err error) {
 	names, err := d.Names()
 	if err != nil {
 		return nil, 0, nil, 0, fmt.Errorf("durable: journal: %w", err)
@@ -409,7 +409,7 @@
 			continue
 		}
 		unlock()
-		text, err := d.Read(name, readMost)
+		text, err := d.Read(name, maxReadBytes)
 		if err != nil {
 			return nil, 0, nil, 0, fmt.Errorf("durable: journal: %w", err)
 		}
@@ -421,8 +421,8 @@
 
 // DecodeJournal reads a journal. Lines that are cut off or changed are counted and left out: what a power cut has left half
 // written had not been promised.
-func DecodeJournal(text []byte, now Clock) (notes []inflight.Note, skipped int) {
-	var clock *Clock
+func DecodeJournal(text []byte, now Timestamp) (notes []inflight.Note, skipped int) {
+	var clock *Timestamp
 	for l := range bytes.Lines(text) {
 		var n inflight.Note
 		var h header
--- a/internal/persistence/snapshot.go
+++ b/internal/persistence/snapshot.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	snapshotName = "snapshot"
-	NewSuffix    = ".new" // of a file's name while Replace writes what is to be there
-	kind         = "snapshot"
-	version      = 1
-	snapshotMost = 8 << 20 // bytes
-	headMost     = 64
-	aheadMost    = 2 * time.Second // that a snapshot may seem to come from later: clocks are set by so much all the time
+	snapshotName     = "snapshot"
+	TempSuffix       = ".new" // of a file's name while Replace writes what is to be there
+	snapshotKind     = "snapshot"
+	snapshotVersion  = 1
+	maxSnapshotBytes = 8 << 20 // bytes
+	maxHeaderBytes   = 64
+	maxClockSkew     = 2 * time.Second // that a snapshot may seem to come from later: clocks are set by so much all the time
 )
 
 // Snapshot is what a process knew at a moment.
 type Snapshot struct {
-	Saved Clock
+	Saved Timestamp
 	Site  string          // whose it is
 	State json.RawMessage // as JSON
 }
 
-// ErrNone says that there is no snapshot.
-var ErrNone = errors.New("durable: no snapshot")
+// ErrNoSnapshot says that there is no snapshot.
+var ErrNoSnapshot = errors.New("durable: no snapshot")
 
 // encode is a snapshot's text.
 func (s *Snapshot) encode() ([]byte, error) {
@@ -37,23 +37,23 @@
 	if err != nil {
 		return nil, fmt.Errorf("durable: snapshot: %w", err)
 	}
-	if len(body) > snapshotMost-headMost {
-		return nil, fmt.Errorf("durable: a snapshot of %d bytes, %d at most", len(body), snapshotMost-headMost)
+	if len(body) > maxSnapshotBytes-maxHeaderBytes {
+		return nil, fmt.Errorf("durable: a snapshot of %d bytes, %d at most", len(body), maxSnapshotBytes-maxHeaderBytes)
 	}
-	return Seal(kind, version, body), nil
+	return Frame(snapshotKind, snapshotVersion, body), nil
 }
 
-// Seal is a file's text: a line that says what it is, of which version, how long the rest is and what it hashes to; and the rest.
-func Seal(kind string, version int, body []byte) []byte {
+// Frame is a file's text: a line that says what it is, of which version, how long the rest is and what it hashes to; and the rest.
+func Frame(kind string, version int, body []byte) []byte {
 	return append(fmt.Appendf(nil, "pinelb %s %d %d %016x\n", kind, version, len(body), xxhash.Sum64(body)), body...)
 }
 
-// Unseal is what a text was sealed over. What is cut off, changed, or of another version is an error that says so.
-func Unseal(kind string, version int, text []byte) (body []byte, err error) {
+// Unframe is what a text was sealed over. What is cut off, changed, or of another version is an error that says so.
+func Unframe(kind string, version int, text []byte) (body []byte, err error) {
 	head, body, found := bytes.Cut(text, []byte{'\n'})
 	var v, size int
 	var sum uint64
-	if n, err := fmt.Sscanf(string(head[:min(len(head), headMost)]), "pinelb "+kind+" %d %d %x", &v, &size, &sum); n < 1 || v < 1 {
+	if n, err := fmt.Sscanf(string(head[:min(len(head), maxHeaderBytes)]), "pinelb "+kind+" %d %d %x", &v, &size, &sum); n < 1 || v < 1 {
 		return nil, fmt.Errorf("durable: not a %s: %w", kind, err)
 	} else if v != version {
 		return nil, fmt.Errorf("durable: a %s of version %d, %d is read", kind, v, version)
@@ -66,9 +66,9 @@
 	return body, nil
 }
 
-// Decode reads a snapshot's text. What is cut off, changed, or of another version is an error that says so.
-func Decode(text []byte) (*Snapshot, error) {
-	body, err := Unseal(kind, version, text[:min(len(text), snapshotMost)])
+// DecodeSnapshot reads a snapshot's text. What is cut off, changed, or of another version is an error that says so.
+func DecodeSnapshot(text []byte) (*Snapshot, error) {
+	body, err := Unframe(snapshotKind, snapshotVersion, text[:min(len(text), maxSnapshotBytes)])
 	if err != nil {
 		return nil, err
 	}
@@ -79,24 +79,24 @@
 	return s, nil
 }
 
-// Save has a snapshot take the former one's place: whatever happens meanwhile, one of the two is there whole.
-func Save(d Disk, s *Snapshot) (size int, err error) {
+// SaveSnapshot has a snapshot take the former one's place: whatever happens meanwhile, one of the two is there whole.
+func SaveSnapshot(d Disk, s *Snapshot) (size int, err error) {
 	text, err := s.encode()
 	if err != nil {
 		return 0, err
 	}
-	if err = Replace(d, snapshotName, text); err != nil {
+	if err = ReplaceFile(d, snapshotName, text); err != nil {
 		return 0, fmt.Errorf("durable: snapshot: %w", err)
 	}
 	return len(text), nil
 }
 
-// Replace has a text take a file's place: whatever happens meanwhile, the former one or this is there whole. What it has not
-// finished stands under the name with NewSuffix, and may be overwritten.
-func Replace(d Disk, name string, text []byte) error {
-	err := create(d, name+NewSuffix, text)
+// ReplaceFile has a text take a file's place: whatever happens meanwhile, the former one or this is there whole. What it has not
+// finished stands under the name with TempSuffix, and may be overwritten.
+func ReplaceFile(d Disk, name string, text []byte) error {
+	err := createFile(d, name+TempSuffix, text)
 	if err == nil {
-		err = d.Rename(name+NewSuffix, name)
+		err = d.Rename(name+TempSuffix, name)
 	}
 	if err == nil {
 		err = d.Sync()
@@ -105,7 +105,7 @@
 }
 
 // create writes a file whole.
-func create(d Disk, name string, text []byte) error {
+func createFile(d Disk, name string, text []byte) error {
 	f, err := d.Create(name)
 	if err != nil {
 		return err
@@ -116,16 +116,16 @@
 	return errors.Join(err, f.Close())
 }
 
-// Load returns the snapshot and how old it is. One that is not this site's, from later than now or older than oldest is an
-// error, as one that can't be read is; where there is none it is ErrNone.
-func Load(d Disk, now Clock, site string, oldest time.Duration) (*Snapshot, time.Duration, error) {
-	text, err := d.Read(snapshotName, snapshotMost+1)
+// LoadSnapshot returns the snapshot and how old it is. One that is not this site's, from later than now or older than oldest is an
+// error, as one that can't be read is; where there is none it is ErrNoSnapshot.
+func LoadSnapshot(d Disk, now Timestamp, site string, oldest time.Duration) (*Snapshot, time.Duration, error) {
+	text, err := d.Read(snapshotName, maxSnapshotBytes+1)
 	if errors.Is(err, os.ErrNotExist) {
-		return nil, 0, ErrNone
+		return nil, 0, ErrNoSnapshot
 	} else if err != nil {
 		return nil, 0, fmt.Errorf("durable: snapshot: %w", err)
 	}
-	s, err := Decode(text)
+	s, err := DecodeSnapshot(text)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -133,7 +133,7 @@
 	switch {
 	case s.Site != site:
 		return nil, age, fmt.Errorf("durable: a snapshot of another site, %q", s.Site)
-	case age < -aheadMost:
+	case age < -maxClockSkew:
 		return nil, age, fmt.Errorf("durable: a snapshot of %v from now: the clock was set back", -age)
 	case age > oldest:
 		return nil, age, fmt.Errorf("durable: a snapshot of %v ago, %v at most", age.Round(time.Second), oldest)
--- a/internal/settingsserver/keep.go
+++ b/internal/settingsserver/keep.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, err
 	}
-	body, err := persistence.Unseal(fileKind, fileVersion, text)
+	body, err := persistence.Unframe(fileKind, fileVersion, text)
 	if err != nil {
 		return nil, err
 	}
@@ -56,7 +56,7 @@
 
 // write keeps a record. The caller holds writing.
 func (d *Distributor) write(r *settingsstore.Record) error {
-	return persistence.Replace(d.disk, r.Service+fileSuffix, persistence.Seal(fileKind, fileVersion, settingsstore.EncodeRecord(r)))
+	return persistence.ReplaceFile(d.disk, r.Service+fileSuffix, persistence.Frame(fileKind, fileVersion, settingsstore.EncodeRecord(r)))
 }
 
 // hurry has what is dirty be kept.
