--- a/internal/daemon/state_persister.go
+++ b/internal/daemon/state_persister.go
@@ -92,15 +92,15 @@
 	if k == nil || !k.Journal {
 		return nil
 	}
-	notes, skipped, left, alive, err := persistence.RecoverEffects(k.disk, persistence.Now())
+	recovered, err := persistence.RecoverEffects(k.disk, persistence.Now())
 	if err != nil {
 		k.log.Error().Err(err).Msg("the journal of former processes is not read")
 	}
 	now := time.Now()
-	k.succession.effects.Heard(now, inflight.Journal, notes)
+	k.succession.effects.Heard(now, inflight.Journal, recovered.Notes)
 	k.succession.effects.Gone(now, inflight.Journal)
 	past, _ := k.succession.effects.Size()
-	k.log.Info().Int("lines", len(notes)).Int("skipped", skipped).Int("alive", alive).Int("effects", past).Msg("journal read")
+	k.log.Info().Int("lines", len(recovered.Notes)).Int("skipped", recovered.Skipped).Int("alive", recovered.Alive).Int("effects", past).Msg("journal read")
 	k.journal = &persistence.Journal{Disk: k.disk, Table: k.succession.effects, OnFault: func(err error) {
 		if err != nil {
 			k.log.Error().Err(err).Msg("the journal is not written")
@@ -108,7 +108,7 @@
 			k.log.Info().Msg("the journal is written again")
 		}
 	}}
-	k.journal.Start(left)
+	k.journal.Start(recovered.Files)
 	return func() { k.journal.WaitDurable() }
 }
 
--- a/internal/persistence/disk.go
+++ b/internal/persistence/disk.go
@@ -1,6 +1,13 @@
-// Package durable keeps what a sidecar knows in a directory, for the process that comes after it: a snapshot of what was
-// learned, which takes the former one's place whole or not at all, and a journal of effects, which grows. It knows neither
-// what the snapshot's state says nor what is worth believing of it.
+// Package persistence keeps what a sidecar knows in a directory, for the process that comes after it: a snapshot of what was
+// learned, which replaces the one before it atomically, and a journal of effects (an append-only log in rotated files), which is
+// synced before a request is sent. It interprets neither the snapshot's state nor decides how long that is valid.
+//
+// Package daemon uses all of it; package auditlog writes its log by Disk, and package settingsserver keeps its store by
+// ReplaceFile. Everything goes through a Disk, which tests replace by one that loses power. DecodeSnapshot, DecodeJournal, Frame and
+// Unframe are pure. A Journal may be used by several goroutines, the rest by one at a time.
+//
+// What is written here is read by later releases, and by earlier ones after a downgrade: names and forms stay. Errors begin with
+// "durable:", as they always have, for they stand in the sidecar's log.
 package persistence
 
 import (
@@ -9,39 +16,39 @@
 	"io"
 	"os"
 	"path/filepath"
-	"strings"
-	"time"
 
 	"golang.org/x/sys/unix"
 )
 
-// File is an open file that is written.
+// File is a file that is open for writing.
 type File interface {
 	io.Writer
 	Sync() error
 	Close() error
 }
 
-// Disk is the little of a file system that is used: a directory of its own.
+// Disk is what is used of a file system: one directory. Errors are the operating system's; os.ErrNotExist says that there is no
+// such file.
 type Disk interface {
-	// Create opens an empty file for writing.
+	// Create opens an empty file for writing; what was there is gone.
 	Create(name string) (File, error)
-	// Read returns a file's first bytes, so many at most.
-	Read(name string, most int64) ([]byte, error)
+	// Read returns at most the first maxBytes of a file.
+	Read(name string, maxBytes int64) ([]byte, error)
 	Rename(from, to string) error
 	Remove(name string) error
-	// Names are the files that there are, in order.
+	// Names returns the files' names, sorted.
 	Names() ([]string, error)
-	// Sync has what was created, renamed and removed outlast a power cut.
+	// Sync makes what was created, renamed and removed durable over a power cut.
 	Sync() error
-	// Lock has a file be this process's until it unlocks it, or ends. Unlock is nil while it is another's.
+	// Lock locks a file for this process until unlock is called, or the process ends. Unlock is nil while another process has
+	// the lock.
 	Lock(name string) (unlock func(), err error)
 }
 
-// dir is a directory of the operating system.
+// directory is one of the operating system's.
 type directory string
 
-// Dir is the directory at path.
+// Dir returns the directory at path, which must exist.
 func Dir(path string) Disk { return directory(path) }
 
 func (d directory) path(name string) string { return filepath.Join(string(d), name) }
@@ -50,13 +57,13 @@
 	return os.OpenFile(d.path(name), os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 }
 
-func (d directory) Read(name string, most int64) ([]byte, error) {
+func (d directory) Read(name string, maxBytes int64) ([]byte, error) {
 	f, err := os.Open(d.path(name))
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	return io.ReadAll(io.LimitReader(f, most))
+	defer func() { _ = f.Close() }()
+	return io.ReadAll(io.LimitReader(f, maxBytes))
 }
 
 func (d directory) Rename(from, to string) error { return os.Rename(d.path(from), d.path(to)) }
@@ -75,7 +82,7 @@
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	return f.Sync()
 }
 
@@ -94,29 +101,3 @@
 	}
 	return nil, fmt.Errorf("lock %s: %w", d.path(name), err)
 }
-
-// Timestamp is a moment by the wall, and by the time since the machine's start, which no step of the wall's moves.
-type Timestamp struct {
-	Wall time.Time
-	Boot string // which start of the machine it was; empty: not known
-	Up   time.Duration
-}
-
-// Now is this moment.
-func Now() Timestamp {
-	c := Timestamp{Wall: time.Now()}
-	var up unix.Timespec
-	id, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
-	if err == nil && unix.ClockGettime(unix.CLOCK_BOOTTIME, &up) == nil {
-		c.Boot, c.Up = strings.TrimSpace(string(id)), time.Duration(up.Nano())
-	}
-	return c
-}
-
-// Since is how long ago a former moment was, below 0 where its clock was ahead of this one.
-func (c Timestamp) Since(former Timestamp) time.Duration {
-	if c.Boot != "" && c.Boot == former.Boot {
-		return c.Up - former.Up
-	}
-	return c.Wall.Sub(former.Wall)
-}
--- a/internal/persistence/durable_test.go
+++ b/internal/persistence/persistence_test.go
@@ -23,13 +23,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// memory is a disk that can lose power: what was not synced is then there, there in part or not there.
+// memoryDisk is a disk that can lose power: what was not synced is then there, there in part or not there.
 type memoryDisk struct {
 	mu          sync.Mutex
-	files       map[string]*[2][]byte // by name: what is on the disk for sure, and what has been written
-	syncedNames map[string]*[2][]byte // the directory as it is on the disk for sure
+	files       map[string]*[2][]byte // by name: what was synced, and what was written
+	syncedNames map[string]*[2][]byte // the directory as it was synced
 	stepsLeft   int                   // until all fails; below 0: never
-	block       chan struct{}         // syncs wait for it; nil: they don't
+	block       chan struct{}         // syncs wait for it; nil: they don't wait
 }
 
 var errPower = errors.New("no power, or no room")
@@ -126,8 +126,8 @@
 
 func (o *memoryFile) Close() error { return nil }
 
-// after is the disk after a power cut: the share of what was not synced that is there, in sixteenths, and whether renames
-// that were not synced are.
+// afterPowerCut returns the disk after a power cut: the share of what was not synced that is there, in sixteenths, and whether
+// renames that were not synced are.
 func (m *memoryDisk) afterPowerCut(sixteenths int, renamed bool) *memoryDisk {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -160,7 +160,7 @@
 			for _, renamed := range []bool{true, false} {
 				got, _, fault := LoadSnapshot(m.afterPowerCut(part, renamed), Timestamp{Wall: time.Unix(1001, 0)}, "here", time.Minute)
 				if steps < 5 && errors.Is(fault, ErrNoSnapshot) {
-					continue // the first was not whole yet
+					continue // the first was not complete yet
 				}
 				if fault != nil || string(got.State) != `"old"` && string(got.State) != `"new"` {
 					t.Fatalf("after %d steps, with %d/16 of the rest: %+v, %v", steps, part, got, fault)
@@ -176,10 +176,10 @@
 	}
 }
 
-// Guards against a snapshot that is believed and must not be, and against a message that does not say why.
-func TestSuspicion(t *testing.T) {
+// Guards against an invalid snapshot that is accepted, and against an error that doesn't say why it is not.
+func TestInvalidSnapshots(t *testing.T) {
 	now := Timestamp{Wall: time.Unix(1060, 0), Boot: "b", Up: time.Hour}
-	whole, err := testSnapshot(`{"a":1}`).encode()
+	valid, err := testSnapshot(`{"a":1}`).encode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -189,68 +189,68 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	flipped := bytes.Clone(whole)
+	flipped := bytes.Clone(valid)
 	flipped[len(flipped)-3] ^= 1
 	for name, c := range map[string]struct {
-		text   []byte
-		now    Timestamp
-		site   string
-		oldest time.Duration
-		says   string
+		text    []byte
+		now     Timestamp
+		site    string
+		maxAge  time.Duration
+		wantErr string
 	}{
-		"whole":                  {whole, now, "here", time.Hour, ""},
+		"valid":                  {valid, now, "here", time.Hour, ""},
 		"set back, same start":   {booted, now, "here", time.Hour, ""},
-		"too old":                {whole, now, "here", 59 * time.Second, "1m0s ago"},
-		"set back":               {whole, Timestamp{Wall: time.Unix(900, 0)}, "here", time.Hour, "set back"},
-		"another site's":         {whole, now, "there", time.Hour, "another site"},
-		"cut off":                {whole[:len(whole)-1], now, "here", time.Hour, "cut off"},
+		"too old":                {valid, now, "here", 59 * time.Second, "1m0s ago"},
+		"set back":               {valid, Timestamp{Wall: time.Unix(900, 0)}, "here", time.Hour, "set back"},
+		"another site's":         {valid, now, "there", time.Hour, "another site"},
+		"cut off":                {valid[:len(valid)-1], now, "here", time.Hour, "cut off"},
 		"a bit flipped":          {flipped, now, "here", time.Hour, "has changed"},
-		"newer":                  {bytes.Replace(whole, []byte("snapshot 1"), []byte("snapshot 2"), 1), now, "here", time.Hour, "version 2"},
+		"newer":                  {bytes.Replace(valid, []byte("snapshot 1"), []byte("snapshot 2"), 1), now, "here", time.Hour, "version 2"},
 		"empty":                  {nil, now, "here", time.Hour, "not a snapshot"},
 		"of another kind":        {[]byte("{}\n"), now, "here", time.Hour, "not a snapshot"},
 		"a head without its end": {[]byte("pinelb " + snapshotKind + " 1"), now, "here", time.Hour, "cut off"},
 	} {
 		m := newMemoryDisk(-1)
 		m.files[snapshotName] = &[2][]byte{c.text, c.text}
-		s, age, err := LoadSnapshot(m, c.now, c.site, c.oldest)
-		if c.says == "" && (err != nil || age != time.Minute || s == nil) || c.says != "" && (err == nil || !strings.Contains(err.Error(), c.says)) {
+		s, age, err := LoadSnapshot(m, c.now, c.site, c.maxAge)
+		if c.wantErr == "" && (err != nil || age != time.Minute || s == nil) || c.wantErr != "" && (err == nil || !strings.Contains(err.Error(), c.wantErr)) {
 			t.Errorf("%s: %+v, %v, %v", name, s, age, err)
 		}
 	}
 }
 
-// journaled is a table with a journal on a disk.
+// newJournaledTable returns a table with a journal on a disk, and what OnFault was called with.
 func newJournaledTable(d Disk) (*inflight.Table, *Journal, *[]string) {
-	said := &[]string{}
+	faults := &[]string{}
 	table := inflight.New(1000)
-	j := &Journal{Disk: d, Table: table, OnFault: func(err error) { *said = append(*said, fmt.Sprint(err)) }}
-	return table, j, said
+	j := &Journal{Disk: d, Table: table, OnFault: func(err error) { *faults = append(*faults, fmt.Sprint(err)) }}
+	return table, j, faults
 }
 
-// reads has a fresh table read the journal.
+// recoverTable returns a fresh table that has read the journals, and their names.
 func recoverTable(t interface{ Fatal(...any) }, d Disk, now time.Time) (*inflight.Table, []string) {
-	notes, _, left, _, err := RecoverEffects(d, Timestamp{Wall: now})
+	recovered, err := RecoverEffects(d, Timestamp{Wall: now})
 	if err != nil {
 		t.Fatal(err)
 	}
 	table := inflight.New(1000)
-	table.Heard(now, inflight.Journal, notes)
+	table.Heard(now, inflight.Journal, recovered.Notes)
 	table.Gone(now, inflight.Journal)
-	return table, left
+	return table, recovered.Files
 }
 
-// Guards against an effect that was promised to be kept and is not, however often a process is killed or the power cut, in
-// the middle of whatever: each time a successor reads what is left, and goes on.
-func TestKilledAtRandom(t *testing.T) {
+// Guards against an effect that WaitDurable has confirmed and that is lost, however often a process is killed or the power cut, in
+// the middle of whatever: each time a successor reads what is there, and goes on.
+func TestRandomKills(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
-		promised := map[string]bool{}
-		live := func(m *memoryDisk, life int) (left *memoryDisk) {
+		confirmed := map[string]bool{}
+		run := func(m *memoryDisk, incarnation int) (left *memoryDisk) {
 			m.stepsLeft = rapid.IntRange(0, 60).Draw(t, "steps")
 			table, names := recoverTable(t, m, now)
-			for txn := range promised {
+			for txn := range confirmed {
 				if first, _ := table.Open(now, inflight.ID{Txn: txn, Class: "c", Keep: time.Hour}); first.At.IsZero() {
-					t.Fatalf("%s was promised and is forgotten in life %d", txn, life)
+					t.Fatalf("%s was confirmed and is lost in incarnation %d", txn, incarnation)
 				}
 				table.End(now, txn)
 			}
@@ -258,15 +258,15 @@
 			j.Start(names)
 			defer j.Close()
 			for i := range rapid.IntRange(0, 30).Draw(t, "requests") {
-				id := inflight.ID{Txn: fmt.Sprint(life, i), Class: "c", Keep: time.Hour}
+				id := inflight.ID{Txn: fmt.Sprint(incarnation, i), Class: "c", Keep: time.Hour}
 				table.Open(now, id)
 				n, _ := table.Sent(now, id.Txn, 1)
-				kept := j.WaitDurable()
+				durable := j.WaitDurable()
 				ends := rapid.IntRange(0, 3).Draw(t, "ends")
 				if ends == 0 { // it never ran
 					table.Settled(id.Txn, n, false)
-				} else if kept {
-					promised[id.Txn] = true
+				} else if durable {
+					confirmed[id.Txn] = true
 				}
 				if ends < 2 {
 					table.End(now, id.Txn)
@@ -275,8 +275,8 @@
 			return m.afterPowerCut(rapid.IntRange(0, 16).Draw(t, "part"), rapid.Bool().Draw(t, "renamed"))
 		}
 		disk := newMemoryDisk(-1)
-		for life := range 4 {
-			disk = live(disk, life)
+		for incarnation := range 4 {
+			disk = run(disk, incarnation)
 		}
 	})
 }
@@ -284,23 +284,23 @@
 // Guards against a disk that fails and holds requests up, or is not tried again, or loses what came while it failed.
 func TestFailingDisk(t *testing.T) {
 	m := newMemoryDisk(-1)
-	table, j, said := newJournaledTable(m)
+	table, j, faults := newJournaledTable(m)
 	j.Start(nil)
 	send := func(txn string) {
 		table.Open(time.Now(), inflight.ID{Txn: txn, Class: "c", Keep: time.Hour})
 		table.Sent(time.Now(), txn, 1)
 	}
 	if send("a"); !j.WaitDurable() {
-		t.Fatal("a disk that works keeps nothing")
+		t.Fatal("a disk that works confirms nothing")
 	}
 	m.mu.Lock()
 	m.stepsLeft = 0
 	m.mu.Unlock()
 	if send("b"); j.WaitDurable() {
-		t.Error("a disk that fails keeps a promise")
+		t.Error("a disk that fails confirms a write")
 	}
 	if send("c"); j.WaitDurable() {
-		t.Error("a disk that has failed keeps a promise")
+		t.Error("a disk that has failed confirms a write")
 	}
 	m.mu.Lock()
 	m.stepsLeft = -1
@@ -315,13 +315,13 @@
 			t.Errorf("%s is forgotten", txn)
 		}
 	}
-	if len(*said) != 2 || (*said)[1] != "<nil>" || j.TakeMissed() < 2 {
-		t.Errorf("told %q", *said)
+	if len(*faults) != 2 || (*faults)[1] != "<nil>" || j.TakeMissed() < 2 {
+		t.Errorf("told %q", *faults)
 	}
 }
 
 // Guards against a slow disk that holds up every request, not just the first that finds it so, and against changes that
-// come faster than it takes them being promised and lost.
+// come faster than it takes them being confirmed and lost.
 func TestSlowDisk(t *testing.T) {
 	m := newMemoryDisk(-1)
 	table, j, _ := newJournaledTable(m)
@@ -331,12 +331,12 @@
 	table.Open(time.Now(), inflight.ID{Txn: "a", Class: "c", Keep: time.Hour})
 	table.Sent(time.Now(), "a", 1)
 	if j.WaitDurable() {
-		t.Error("a disk that is blocked keeps a promise")
+		t.Error("a disk that is blocked confirms a write")
 	}
 	from := time.Now()
 	for range 100 {
 		if j.WaitDurable() {
-			t.Error("a disk that is blocked keeps a promise")
+			t.Error("a disk that is blocked confirms a write")
 		}
 	}
 	if took := time.Since(from); took > 50*syncTimeout {
@@ -353,15 +353,15 @@
 		time.Sleep(time.Millisecond)
 	}
 	j.Close()
-	left, _, _, _, err := RecoverEffects(m.afterPowerCut(0, false), Now())
-	if err != nil || !slices.ContainsFunc(left, func(n inflight.Note) bool { return n.Txn == fmt.Sprint(long, 9999) }) {
-		t.Errorf("the last of 10000 is not in the journal: %d lines, %v", len(left), err)
+	recovered, err := RecoverEffects(m.afterPowerCut(0, false), Now())
+	if err != nil || !slices.ContainsFunc(recovered.Notes, func(n inflight.Note) bool { return n.Txn == fmt.Sprint(long, 9999) }) {
+		t.Errorf("the last of 10000 is not in the journal: %d lines, %v", len(recovered.Notes), err)
 	}
 }
 
 // Guards against a request that a killed process had sent, and that is in no file: a disk that is slow to sync takes writes all
 // the same, and the kernel keeps those.
-func TestKilledOnASlowDisk(t *testing.T) {
+func TestKillOnSlowDisk(t *testing.T) {
 	m := newMemoryDisk(-1)
 	table, j, _ := newJournaledTable(m)
 	j.Start(nil)
@@ -374,7 +374,7 @@
 		table.Open(time.Now(), id)
 		table.Sent(time.Now(), txn, 1)
 		if j.WaitDurable() {
-			t.Errorf("a disk that is blocked keeps a promise")
+			t.Errorf("a disk that is blocked confirms a write")
 		}
 		after, _ := recoverTable(t, m.afterPowerCut(16, true), time.Now()) // it is killed as the request is sent
 		if first, _ := after.Open(time.Now(), id); first.At.IsZero() {
@@ -389,14 +389,14 @@
 	after, _ := recoverTable(t, m.afterPowerCut(0, false), time.Now())
 	for _, txn := range []string{"a", "b", "c"} {
 		if first, _ := after.Open(time.Now(), inflight.ID{Txn: txn, Class: "c", Keep: time.Hour}); first.At.IsZero() {
-			t.Errorf("%s is promised and forgotten", txn)
+			t.Errorf("%s is confirmed and lost", txn)
 		}
 	}
 }
 
-// Guards against a promise for what did not fit, given while the file that is to have it is not on the disk yet: the steps of
+// Guards against a confirmation of what did not fit, while the file that is to have it is not on the disk yet: the steps of
 // run are taken one by one.
-func TestNoPromiseBeforeTheNextFile(t *testing.T) {
+func TestNotDurableBeforeNextFile(t *testing.T) {
 	m := newMemoryDisk(-1)
 	table, j, _ := newJournaledTable(m)
 	j.wake, j.nextSync = make(chan struct{}, 1), make(chan struct{})
@@ -414,18 +414,18 @@
 		runtime.Gosched()
 	}
 	if j.WaitDurable() {
-		t.Error("what is in no file yet is promised")
+		t.Error("what is in no file yet is confirmed")
 	}
 	close(block)
 	if err := <-begun; err != nil || !j.WaitDurable() {
-		t.Errorf("once it is there nothing is promised: %v", err)
+		t.Errorf("once it is there nothing is confirmed: %v", err)
 	}
 }
 
 // Guards against journals that grow without end, and against locks and files that the operating system's disk leaves.
 func TestRotation(t *testing.T) {
 	d := Dir(t.TempDir())
-	table, j, said := newJournaledTable(d)
+	table, j, faults := newJournaledTable(d)
 	j.Start(nil)
 	long := strings.Repeat("x", 100)
 	for i := range 30000 {
@@ -434,16 +434,16 @@
 		table.Sent(time.Now(), id.Txn, 1)
 		table.End(time.Now(), id.Txn)
 		if i%100 == 0 && !j.WaitDurable() && i > 10000 && j.TakeMissed() > 250 {
-			t.Fatal("hardly a promise is kept")
+			t.Fatal("hardly a write is confirmed")
 		}
 	}
-	if _, _, left, alive, err := RecoverEffects(d, Now()); err != nil || len(left) > 0 || alive != 1 {
-		t.Errorf("while it runs: %q, %d alive, %v", left, alive, err)
+	if r, err := RecoverEffects(d, Now()); err != nil || len(r.Files) > 0 || r.Alive != 1 {
+		t.Errorf("while it runs: %q, %d alive, %v", r.Files, r.Alive, err)
 	}
 	j.Close()
 	names, err := d.Names()
-	if err != nil || len(names) != 1 || names[0] == journalPrefix+"000000001" || len(*said) > 0 {
-		t.Fatalf("%q, %v, %q", names, err, *said)
+	if err != nil || len(names) != 1 || names[0] == journalPrefix+"000000001" || len(*faults) > 0 {
+		t.Fatalf("%q, %v, %q", names, err, *faults)
 	}
 	info, err := os.Stat(filepath.Join(string(d.(directory)), names[0]))
 	if err != nil || info.Size() > maxJournalBytes+maxPendingBytes {
@@ -456,9 +456,9 @@
 }
 
 // Guards against a wall clock that was set back between two processes: an effect's age is what has really passed.
-func TestJournalOverASetClock(t *testing.T) {
+func TestJournalAfterClockStep(t *testing.T) {
 	then := Timestamp{Wall: time.Unix(5000, 0), Boot: "b", Up: time.Hour}
-	text := appendNote(appendLine(nil, header{then}), inflight.Note{ID: inflight.ID{Txn: "a", Class: "c", Keep: time.Minute},
+	text := appendNote(appendLine(nil, journalHeader{then}), inflight.Note{ID: inflight.ID{Txn: "a", Class: "c", Keep: time.Minute},
 		Trace: inflight.Trace{Host: 1, At: then.Wall.Add(time.Second)}})
 	notes, skipped := DecodeJournal(append(text, "0123456789abcdef {}\nhalf a li"...), Timestamp{Wall: time.Unix(1000, 0), Boot: "b", Up: time.Hour + 10*time.Second})
 	if len(notes) != 1 || skipped != 2 || !notes[0].At.Equal(time.Unix(991, 0)) {
@@ -466,11 +466,11 @@
 	}
 }
 
-// FuzzDecode: whatever a file holds is an error, or what was saved.
-func FuzzDecode(f *testing.F) {
-	whole, _ := testSnapshot(`{"a":[1,2]}`).encode()
-	f.Add(whole)
-	f.Add(whole[:20])
+// FuzzDecodeSnapshot: whatever a file holds is an error, or what was saved.
+func FuzzDecodeSnapshot(f *testing.F) {
+	valid, _ := testSnapshot(`{"a":[1,2]}`).encode()
+	f.Add(valid)
+	f.Add(valid[:20])
 	f.Add([]byte("pinelb snapshot 1 5 0000000000000000\n12345"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		s, err := DecodeSnapshot(text)
@@ -480,14 +480,14 @@
 	})
 }
 
-// FuzzJournal: whatever a file holds, a table that hears it holds what it has room for, and goes on.
-func FuzzJournal(f *testing.F) {
+// FuzzDecodeJournal: whatever a file holds, a table that hears it holds what it has room for, and goes on.
+func FuzzDecodeJournal(f *testing.F) {
 	note := inflight.Note{ID: inflight.ID{Txn: "a", Class: "c", Key: "k", Keep: time.Minute}, Trace: inflight.Trace{Host: 1, At: time.Unix(1000, 0)}}
-	whole := appendNote(appendLine(nil, header{Timestamp{Wall: time.Unix(1000, 0)}}), note)
-	f.Add(whole, 3)
-	f.Add(whole[:len(whole)-4], 7)
+	valid := appendNote(appendLine(nil, journalHeader{Timestamp{Wall: time.Unix(1000, 0)}}), note)
+	f.Add(valid, 3)
+	f.Add(valid[:len(valid)-4], 7)
 	f.Fuzz(func(t *testing.T, text []byte, at int) {
-		if len(text) > 0 { // a line that is whole but for its sum is none
+		if len(text) > 0 { // a line that is valid but for its checksum is none
 			i := max(0, at) % len(text)
 			text = append(appendLine(bytes.Clone(text), json.RawMessage(`{"Txn":"x","Class":"c","At":"9999-01-01T00:00:00Z","Keep":9223372036854775807}`)), text[i:]...)
 		}
