--- a/cmd/pinelb/distribute_bench_test.go
+++ b/cmd/pinelb/distribute_bench_test.go
@@ -44,7 +44,7 @@
 
 // follow asks again and again, until the connection is closed.
 func (w *watcher) follow(c net.Conn, name string) {
-	q := settingsstore.Question{Service: "s", Name: name, Wait: 2 * time.Second}
+	q := settingsstore.Request{Service: "s", Name: name, Wait: 2 * time.Second}
 	in := bufio.NewReader(c)
 	for {
 		text := "GET " + q.Target() + " HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -88,7 +88,7 @@
 	p := launchOn(b, exec.Command(os.Args[0], "distribute", file), "")
 	listening := p.await(b, "distributor listening")
 	pid := p.cmd.Process.Pid
-	o := &settingsserver.Operator{At: []string{listening.Get("control").Str}, Within: 10 * time.Second}
+	o := &settingsserver.OperatorClient{Addresses: []string{listening.Get("control").Str}, Timeout: 10 * time.Second}
 	body := []byte(strings.TrimSuffix(settings, "}") + `,"fill":"` + strings.Repeat("x", 4096-len(settings)) + `"}`)
 
 	var w watcher
--- a/cmd/pinelb/published_test.go
+++ b/cmd/pinelb/published_test.go
@@ -24,7 +24,7 @@
 // standIn is a distributor: it answers with what is published as the real one does, or otherwise as a test wants.
 type standIn struct {
 	addr  string
-	asked chan settingsstore.Question
+	asked chan settingsstore.Request
 	ended chan struct{} // gets one for each question that has waited without news
 
 	mu      sync.Mutex
@@ -34,13 +34,13 @@
 }
 
 func newStandIn(t *testing.T) *standIn {
-	d := &standIn{asked: make(chan settingsstore.Question, 10_000), ended: make(chan struct{}, 10_000), changed: make(chan struct{})}
+	d := &standIn{asked: make(chan settingsstore.Request, 10_000), ended: make(chan struct{}, 10_000), changed: make(chan struct{})}
 	d.addr = listen(t, d)
 	return d
 }
 
 func (d *standIn) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	q, err := settingsstore.ParseQuestion(r.URL)
+	q, err := settingsstore.ParseRequest(r.URL)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -56,7 +56,7 @@
 			odd(w, r)
 			return
 		}
-		if s.Compare(q.Newest()) > 0 {
+		if s.Compare(q.NewestSeen()) > 0 {
 			_, _ = w.Write(settingsstore.Encode(s))
 			return
 		}
@@ -84,7 +84,7 @@
 }
 
 // until reads the questions up to one that fits.
-func (d *standIn) until(fits func(settingsstore.Question) bool) settingsstore.Question {
+func (d *standIn) until(fits func(settingsstore.Request) bool) settingsstore.Request {
 	for q := range d.asked {
 		if fits(q) {
 			return q
@@ -174,8 +174,8 @@
 		if fault := p.await(t, refused).Get("error").Str; !strings.Contains(fault, c.key) {
 			t.Errorf("the log says %q, want %s", fault, c.key)
 		}
-		d.until(func(q settingsstore.Question) bool {
-			return q.Since.Epoch == 1 && q.Refused.Epoch == epoch && strings.Contains(q.Why, c.key)
+		d.until(func(q settingsstore.Request) bool {
+			return q.Since.Epoch == 1 && q.Rejected.Epoch == epoch && strings.Contains(q.Reason, c.key)
 		})
 	}
 	p.expect(t, "after faulty ones", "/one/1", 200)
@@ -225,14 +225,14 @@
 		{state("others", 99), "settings of others were told"},
 		{state(service, 99)[:700], "JSON"},
 		{[]byte(strings.Replace(string(state(service, 99)), `"send_cap":4`, `"send_cap":5`, 1)), "digest"},
-		{append([]byte(strings.Repeat(" ", settingsstore.StateMost)), state(service, 99)...), "bytes"},
+		{append([]byte(strings.Repeat(" ", settingsstore.MaxStateBytes)), state(service, 99)...), "bytes"},
 	} {
 		d.publish(epoch, with("one"), func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(c.answer) })
 		if line := p.await(t, odd); !strings.Contains(line.Get("error").Str, c.why) || line.Get("distributor").Str != d.addr {
 			t.Errorf("the log says %s, want %s", line.Raw, c.why)
 		}
-		d.until(func(q settingsstore.Question) bool {
-			return q.Since.Epoch == epoch && q.Refused.None() && strings.Contains(q.Why, c.why)
+		d.until(func(q settingsstore.Request) bool {
+			return q.Since.Epoch == epoch && q.Rejected.None() && strings.Contains(q.Reason, c.why)
 		})
 		p.expect(t, c.why, "/odd/1", 404)
 		p.expect(t, c.why, "/one/1", 200)
@@ -326,7 +326,7 @@
 	p.ready(t)
 	first, other := d, e // which it follows, and which not
 	for watched := false; !watched; {
-		var q settingsstore.Question
+		var q settingsstore.Request
 		select {
 		case q = <-d.asked:
 			first, other = d, e
@@ -341,7 +341,7 @@
 	p.await(t, taken)
 	p.expect(t, "at the other one", "/two/1", 200)
 	other.publish(2, with("two"), silence)
-	first.until(func(q settingsstore.Question) bool { return q.Since.Epoch == 2 }) // which is gone back to, for both are silent
+	first.until(func(q settingsstore.Request) bool { return q.Since.Epoch == 2 }) // which is gone back to, for both are silent
 	p.expect(t, "with all silent", "/two/1", 200)
 	first.publish(3, with("three"), nil)
 	p.await(t, taken)
@@ -362,7 +362,7 @@
 			t.Fatal(err)
 		}
 	}
-	d.until(func(q settingsstore.Question) bool { return q.Since.Epoch == 1 && q.Wait > 0 })
+	d.until(func(q settingsstore.Request) bool { return q.Since.Epoch == 1 && q.Wait > 0 })
 	send(syscall.SIGSTOP)
 	<-d.ended // what it waits for is over meanwhile, and it does not ask again
 	d.publish(2, with("two"), nil)
@@ -459,7 +459,7 @@
 	}
 	// The watch tells nothing; who is asked without a wait knows.
 	d.publish(2, with("two"), func(w http.ResponseWriter, r *http.Request) {
-		q, err := settingsstore.ParseQuestion(r.URL)
+		q, err := settingsstore.ParseRequest(r.URL)
 		if err != nil || q.Wait > 0 || q.Since.Epoch != 1 {
 			<-r.Context().Done()
 			return
--- a/cmd/pinelb/settings.go
+++ b/cmd/pinelb/settings.go
@@ -53,8 +53,8 @@
 	if d.Within <= 0 || d.Wait < 0 {
 		return fmt.Errorf("--within must be above 0, and --wait not below")
 	}
-	if faulty, ok := settingsstore.CheckName("--service", d.Service).(settingsstore.FaultyKey); ok {
-		return fmt.Errorf("%s %s", faulty.Key, faulty.Why)
+	if faulty, ok := settingsstore.CheckName("--service", d.Service).(settingsstore.KeyError); ok {
+		return fmt.Errorf("%s %s", faulty.Key, faulty.Reason)
 	}
 	return nil
 }
@@ -73,12 +73,12 @@
 		fmt.Fprintln(os.Stderr, "pinelb settings:", err)
 		return statusFaulty
 	}
-	o := &settingsserver.Operator{At: d.At, Within: d.Within}
+	o := &settingsserver.OperatorClient{Addresses: d.At, Timeout: d.Within}
 	switch command {
 	case "publish":
-		return d.published(ctx, o, func() (settingsserver.Published, error) { return o.Publish(ctx, d.Service, contents) })
+		return d.published(ctx, o, func() (settingsserver.PublishResult, error) { return o.Publish(ctx, d.Service, contents) })
 	case "rollback":
-		return d.published(ctx, o, func() (settingsserver.Published, error) { return o.RollBack(ctx, d.Service) })
+		return d.published(ctx, o, func() (settingsserver.PublishResult, error) { return o.RollBack(ctx, d.Service) })
 	}
 	return d.status(ctx, o)
 }
@@ -94,17 +94,17 @@
 		in = f
 	}
 	defer in.Close()
-	const most = 8 * settingsstore.SettingsMost // a distributor says how much is too much
+	const most = 8 * settingsstore.MaxSettingsBytes // a distributor says how much is too much
 	return io.ReadAll(io.LimitReader(in, most))
 }
 
 // published tells what came of a publish, and waits until it is in force where that is asked for.
-func (d *distributors) published(ctx context.Context, o *settingsserver.Operator, do func() (settingsserver.Published, error)) int {
+func (d *distributors) published(ctx context.Context, o *settingsserver.OperatorClient, do func() (settingsserver.PublishResult, error)) int {
 	p, err := do()
 	switch {
-	case errors.Is(err, settingsserver.ErrNobody):
+	case errors.Is(err, settingsserver.ErrNoneReached):
 		fmt.Fprintln(os.Stderr, "pinelb settings:", err)
-		return settingsserver.NobodyThere
+		return settingsserver.ExitNoneReached
 	case err != nil:
 		fmt.Fprintln(os.Stderr, "pinelb settings:", err)
 		return statusFaulty
@@ -122,10 +122,10 @@
 }
 
 // status tells how sidecars stand, once all have the newest in force or the wait is over.
-func (d *distributors) status(ctx context.Context, o *settingsserver.Operator) int {
+func (d *distributors) status(ctx context.Context, o *settingsserver.OperatorClient) int {
 	end := time.Now().Add(d.Wait)
 	v := settingsserver.NewView(o.Statuses(ctx, d.Service))
-	for v.Exit() != settingsserver.AllInForce && time.Now().Before(end) && ctx.Err() == nil {
+	for v.Exit() != settingsserver.ExitAllInForce && time.Now().Before(end) && ctx.Err() == nil {
 		time.Sleep(pollEach)
 		v = settingsserver.NewView(o.Statuses(ctx, d.Service))
 	}
--- a/cmd/pinelb/settings_test.go
+++ b/cmd/pinelb/settings_test.go
@@ -54,7 +54,7 @@
 }
 
 // acknowledge asks as a sidecar does that waits for news, until the distributor has heard it.
-func acknowledge(t *testing.T, asked, called string, q settingsstore.Question) {
+func acknowledge(t *testing.T, asked, called string, q settingsstore.Request) {
 	t.Helper()
 	c, err := net.Dial("tcp", asked)
 	if err != nil {
@@ -68,7 +68,7 @@
 			t.Fatalf("status: %s", text)
 		}
 		if slices.ContainsFunc(s.Sidecars, func(c settingsstore.Sidecar) bool {
-			return c.Name == q.Name && c.InForce == q.Since && c.Refused == q.Refused
+			return c.Name == q.Name && c.InForce == q.Since && c.Rejected == q.Rejected
 		}) {
 			return
 		}
@@ -99,12 +99,12 @@
 		t.Fatal(err)
 	}
 	ask := func(name string, epoch, refused uint64) {
-		q := settingsstore.Question{Service: "orders", Name: name, Wait: settingsstore.WaitMost}
+		q := settingsstore.Request{Service: "orders", Name: name, Wait: settingsstore.MaxWait}
 		if epoch > 0 {
 			q.Since.Epoch, q.Since.By = epoch, "d1"
 		}
 		if refused > 0 {
-			q.Refused.Epoch, q.Refused.By, q.Why = refused, "d1", "settings.aim\x1b is odd"
+			q.Rejected.Epoch, q.Rejected.By, q.Reason = refused, "d1", "settings.aim\x1b is odd"
 		}
 		acknowledge(t, asked, called, q)
 	}
@@ -168,7 +168,7 @@
 	// A watch is answered at the end, and what was published is there in the next process.
 	answered := make(chan int, 1)
 	go func() {
-		q := settingsstore.Question{Service: "orders", Name: "n9", Wait: settingsstore.WaitMost}
+		q := settingsstore.Request{Service: "orders", Name: "n9", Wait: settingsstore.MaxWait}
 		q.Since.Epoch, q.Since.By = 9, "d1"
 		status, _ := get(t, asked, q.Target())
 		answered <- status
--- a/internal/config/distributed.go
+++ b/internal/config/distributed.go
@@ -36,7 +36,7 @@
 		}
 	}
 	if err := settingsstore.CheckName("", d.Service); err != nil {
-		return file.Fault("settings.service", "must be given: 1 to %d letters, digits, '.', '_' and '-', the first of the first two", settingsstore.ByMost)
+		return file.Fault("settings.service", "must be given: 1 to %d letters, digits, '.', '_' and '-', the first of the first two", settingsstore.MaxNameBytes)
 	}
 	return nil
 }
--- a/internal/daemon/config_updater.go
+++ b/internal/daemon/config_updater.go
@@ -29,7 +29,7 @@
 	budget           *stream.Budget           // nil: no retry budget
 	recorder         *accesslog.Recorder      // nil: no access log
 	audit            *auditAgent              // nil: no audit
-	watch            *settingsclient.Watch    // nil: no distributors
+	watch            *settingsclient.Client   // nil: no distributors
 	onClassesChanged []func(*config.Settings) // one of each front
 	log              zerolog.Logger
 
--- a/internal/daemon/published_settings.go
+++ b/internal/daemon/published_settings.go
@@ -27,7 +27,7 @@
 		done()
 		return settled
 	}
-	t.watch = &settingsclient.Watch{Service: options.Service, Name: cmp.Or(t.cfg.Name, t.cfg.Listen), From: options.From, Log: t.log, Take: t.applyPublished,
+	t.watch = &settingsclient.Client{Service: options.Service, Name: cmp.Or(t.cfg.Name, t.cfg.Listen), Distributors: options.From, Log: t.log, Apply: t.applyPublished,
 		Rand: rand.New(rand.NewPCG(t.cfg.Seed^rand.Uint64(), settingsStream))}
 	if inherited != nil {
 		t.applyInherited(inherited)
@@ -47,7 +47,7 @@
 func (t *configUpdater) applyInherited(inherited []byte) {
 	s, err := settingsstore.Parse(inherited)
 	if err == nil && s.Service != t.watch.Service {
-		err = settingsstore.OtherService{Told: s.Service, Asked: t.watch.Service}
+		err = settingsstore.WrongServiceError{Got: s.Service, Want: t.watch.Service}
 	}
 	if err == nil {
 		err = t.applyPublished(s)
@@ -56,7 +56,7 @@
 		t.log.Error().Err(err).Msg("the former process's settings are not taken")
 		return
 	}
-	t.watch.Has = s.Edition
+	t.watch.InForce = s.Edition
 	t.log.Info().Stringer("in_force", s.Edition).Msg("the former process's settings are in force")
 }
 
@@ -77,7 +77,7 @@
 // pollDistributors asks distributors at once, if settings come from such. With retry, they send again what was rejected here.
 func (t *configUpdater) pollDistributors(retry bool) {
 	if t.watch != nil {
-		t.watch.Ask(retry)
+		t.watch.Poll(retry)
 	}
 }
 
--- a/internal/lab/settingsbench/distributors.go
+++ b/internal/lab/settingsbench/distributors.go
@@ -138,7 +138,7 @@
 
 // publish publishes at one, and returns the edition and when it was called.
 func (f *five) publish(ctx context.Context, at int, settings []byte) (version.Edition, time.Time, error) {
-	o := &settingsserver.Operator{At: []string{f.control[at]}, Within: callWithin}
+	o := &settingsserver.OperatorClient{Addresses: []string{f.control[at]}, Timeout: callWithin}
 	from := time.Now()
 	p, err := o.Publish(ctx, Service, settings)
 	if err != nil {
@@ -149,7 +149,7 @@
 
 // status is what one says of the service.
 func (f *five) status(ctx context.Context, at int) (settingsstore.Status, error) {
-	o := &settingsserver.Operator{At: []string{f.control[at]}, Within: callWithin}
+	o := &settingsserver.OperatorClient{Addresses: []string{f.control[at]}, Timeout: callWithin}
 	all, faults := o.Statuses(ctx, Service)
 	if len(faults) > 0 {
 		return settingsstore.Status{}, fmt.Errorf("distributed: %w", faults[0])
--- a/internal/lab/settingsbench/hollow.go
+++ b/internal/lab/settingsbench/hollow.go
@@ -37,9 +37,9 @@
 	ctx, end := context.WithCancel(context.Background())
 	h.end = end
 	for i := range n {
-		w := &settingsclient.Watch{Service: Service, Name: fmt.Sprintf("hollow-%d", i), From: from, Log: zerolog.New(io.Discard),
+		w := &settingsclient.Client{Service: Service, Name: fmt.Sprintf("hollow-%d", i), Distributors: from, Log: zerolog.New(io.Discard),
 			Rand: rand.New(rand.NewPCG(seed, uint64(i))),
-			Take: func(s settingsstore.State) error {
+			Apply: func(s settingsstore.State) error {
 				h.note(i, s.Edition)
 				return nil
 			},
--- a/internal/settingsclient/conn.go
+++ b/internal/settingsclient/conn.go
@@ -14,8 +14,8 @@
 	"pinelb.example/pinelb/internal/settingsstore"
 )
 
-// answerMost is how many bytes of an answer are read: a state, and its head with the marks of its chunks.
-const answerMost = settingsstore.StateMost + 16<<10
+// maxAnswerBytes is how many bytes of an answer are read: a state, and its head with the marks of its chunks.
+const maxAnswerBytes = settingsstore.MaxStateBytes + 16<<10
 
 // answer is what a distributor says. No state: there is nothing new.
 type answer struct {
@@ -23,68 +23,68 @@
 	retryAfter time.Duration // 0: none
 }
 
-// turnedAway is an answer that is none: no room, or nothing to say yet.
-type turnedAway struct {
+// statusError is an answer that is none: no room, or nothing to say yet.
+type statusError struct {
 	status     int
 	retryAfter time.Duration
 }
 
-func (e *turnedAway) Error() string { return fmt.Sprintf("follow: answered %d", e.status) }
+func (e *statusError) Error() string { return fmt.Sprintf("follow: answered %d", e.status) }
 
 // unusable is an answer that began and can't be used.
-type unusable struct{ err error }
+type invalidAnswerError struct{ err error }
 
-func (e *unusable) Error() string {
+func (e *invalidAnswerError) Error() string {
 	return fmt.Sprintf("follow: an answer that can't be used: %v", e.err)
 }
-func (e *unusable) Unwrap() error { return e.err }
+func (e *invalidAnswerError) Unwrap() error { return e.err }
 
 var (
-	errDropped = errors.New("follow: a kept connection was lost")
-	errLong    = fmt.Errorf("over %d bytes", answerMost)
+	errConnectionLost = errors.New("follow: a kept connection was lost")
+	errAnswerTooLong  = fmt.Errorf("over %d bytes", maxAnswerBytes)
 )
 
 // conn is the connection to a distributor, kept from one call to the next.
 type conn struct {
-	open func(ctx context.Context, network, addr string) (net.Conn, error)
-	addr string // empty: there is none
+	dialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
+	addr     string // empty: there is none
 	net.Conn
-	in   *bufio.Reader
-	room int   // bytes that may still be read of the answer
-	lost error // that reading it met; who parses what came before may make another one of it
+	in        *bufio.Reader
+	remaining int   // bytes that may still be read of the answer
+	readErr   error // that reading it met; who parses what came before may make another one of it
 }
 
 // Read reads what there is room for: an answer without an end would fill the memory before its time was up.
 func (c *conn) Read(b []byte) (int, error) {
-	if c.room <= 0 {
-		c.lost = errLong
-		return 0, errLong
+	if c.remaining <= 0 {
+		c.readErr = errAnswerTooLong
+		return 0, errAnswerTooLong
 	}
-	n, err := c.Conn.Read(b[:min(len(b), c.room)])
-	c.room -= n
-	c.lost = err
+	n, err := c.Conn.Read(b[:min(len(b), c.remaining)])
+	c.remaining -= n
+	c.readErr = err
 	return n, err
 }
 
 // call asks for a target on the kept connection or a new one, and hangs up unless the answer was whole. The time is the connect's
 // as well. It returns at once when ctx ends.
-func (c *conn) call(ctx context.Context, addr, target string, within time.Duration) (answer, error) {
+func (c *conn) do(ctx context.Context, addr, target string, within time.Duration) (answer, error) {
 	end := time.Now().Add(within)
 	kept := c.addr == addr
 	if !kept {
-		c.hangUp()
+		c.disconnect()
 		if err := c.dial(ctx, addr, end); err != nil {
 			return answer{}, fmt.Errorf("follow: dial: %w", err)
 		}
 	}
 	release := c.closeWith(ctx)
-	a, again, err := c.exchange(target, end)
+	a, again, err := c.roundTrip(target, end)
 	if !release() || !again || err != nil {
-		c.hangUp()
+		c.disconnect()
 	}
 	var late net.Error
-	if kept && errors.Is(err, errNothing) && !(errors.As(err, &late) && late.Timeout()) {
-		err = errDropped
+	if kept && errors.Is(err, errNoAnswer) && !(errors.As(err, &late) && late.Timeout()) {
+		err = errConnectionLost
 	}
 	return a, err
 }
@@ -92,7 +92,7 @@
 func (c *conn) dial(ctx context.Context, addr string, end time.Time) error {
 	ctx, over := context.WithDeadline(ctx, end)
 	defer over()
-	conn, err := c.open(ctx, "tcp", addr)
+	conn, err := c.dialFunc(ctx, "tcp", addr)
 	if err != nil {
 		return err
 	}
@@ -110,48 +110,48 @@
 	return context.AfterFunc(ctx, func() { _ = open.Close() }) // what is read of it then fails, which is looked at
 }
 
-// errNothing is wrapped by what failed before the answer began.
-var errNothing = errors.New("no answer")
+// errNoAnswer is wrapped by what failed before the answer began.
+var errNoAnswer = errors.New("no answer")
 
 // exchange asks and reads the answer; again tells whether the connection can be used once more.
-func (c *conn) exchange(target string, end time.Time) (a answer, again bool, err error) {
-	c.room, c.lost = answerMost, nil
+func (c *conn) roundTrip(target string, end time.Time) (a answer, again bool, err error) {
+	c.remaining, c.readErr = maxAnswerBytes, nil
 	if err := c.SetDeadline(end); err != nil {
-		return a, false, fmt.Errorf("follow: %w: %w", errNothing, err)
+		return a, false, fmt.Errorf("follow: %w: %w", errNoAnswer, err)
 	}
 	if _, err := fmt.Fprintf(c.Conn, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", target, c.addr); err != nil {
-		return a, false, fmt.Errorf("follow: %w: %w", errNothing, err)
+		return a, false, fmt.Errorf("follow: %w: %w", errNoAnswer, err)
 	}
 	res, err := http.ReadResponse(c.in, nil)
 	if err != nil {
-		if c.room == answerMost {
-			return a, false, fmt.Errorf("follow: %w: %w", errNothing, err)
+		if c.remaining == maxAnswerBytes {
+			return a, false, fmt.Errorf("follow: %w: %w", errNoAnswer, err)
 		}
-		return a, false, c.spoilt(err)
+		return a, false, c.answerError(err)
 	}
 	defer res.Body.Close()
 	body, err := io.ReadAll(res.Body)
 	if err != nil {
-		return a, false, c.spoilt(err)
+		return a, false, c.answerError(err)
 	}
-	a, err = read(res, body)
+	a, err = parseAnswer(res, body)
 	return a, !res.Close && c.in.Buffered() == 0, err
 }
 
 // spoilt is an answer that broke off; one that was only not there in time may be a slow distributor's.
-func (c *conn) spoilt(err error) error {
+func (c *conn) answerError(err error) error {
 	var late net.Error
 	switch {
-	case errors.As(c.lost, &late) && late.Timeout():
-		return fmt.Errorf("follow: %w", c.lost)
-	case c.lost == errLong:
-		err = errLong
+	case errors.As(c.readErr, &late) && late.Timeout():
+		return fmt.Errorf("follow: %w", c.readErr)
+	case c.readErr == errAnswerTooLong:
+		err = errAnswerTooLong
 	}
-	return &unusable{err}
+	return &invalidAnswerError{err}
 }
 
 // read is what a whole answer says.
-func read(res *http.Response, body []byte) (answer, error) {
+func parseAnswer(res *http.Response, body []byte) (answer, error) {
 	retryAfter := pacing.Advice(res.Header.Get("Retry-After"))
 	switch res.StatusCode {
 	case http.StatusNoContent:
@@ -159,14 +159,14 @@
 	case http.StatusOK:
 		s, err := settingsstore.Parse(body)
 		if err != nil {
-			return answer{}, &unusable{err}
+			return answer{}, &invalidAnswerError{err}
 		}
 		return answer{state: &s}, nil
 	}
-	return answer{}, &turnedAway{res.StatusCode, retryAfter}
+	return answer{}, &statusError{res.StatusCode, retryAfter}
 }
 
-func (c *conn) hangUp() {
+func (c *conn) disconnect() {
 	if c.addr != "" {
 		_ = c.Close() // nothing is lost: all that it said has been read
 		c.addr, c.Conn = "", nil
--- a/internal/settingsclient/follow.go
+++ b/internal/settingsclient/follow.go
@@ -16,35 +16,35 @@
 	"pinelb.example/pinelb/internal/version"
 )
 
-// Watch follows one service's settings. Distributors that are dead, silent or talk nonsense cost nothing but their news.
-type Watch struct {
-	Service string
-	Name    string          // by which distributors remember what is in force here
-	From    []string        // the distributors' addresses, one at least
-	Has     version.Edition // in force from the start; none: settings that no distributor gave
-	Rand    *rand.Rand
-	Log     zerolog.Logger
+// Client follows one service's settings. Distributors that are dead, silent or talk nonsense cost nothing but their news.
+type Client struct {
+	Service      string
+	Name         string          // by which distributors remember what is in force here
+	Distributors []string        // the distributors' addresses, one at least
+	InForce      version.Edition // in force from the start; none: settings that no distributor gave
+	Rand         *rand.Rand
+	Log          zerolog.Logger
 	// Dial opens connections, as net.Dialer.DialContext does, which it is where this is nil.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
-	// Take has settings take effect, whole, or not at all and says why.
-	Take func(settingsstore.State) error
-
-	begun time.Time
-	state *settingsstore.Follower
-	conn  conn
-	bad   map[fault]bool // what is in the log, and not yet that it is over
-	none  bool           // it is in the log that nothing is published
-
-	mu     sync.Mutex
-	hurry  bool // the next question is not to wait,
-	retry  bool // and what was refused is to be tried once more
-	leaves context.CancelFunc
+	// Apply has settings take effect, whole, or not at all and says why.
+	Apply func(settingsstore.State) error
+
+	start          time.Time
+	follower       *settingsstore.Follower
+	conn           conn
+	reportedFaults map[fault]bool // what is in the log, and not yet that it is over
+	reportedNone   bool           // it is in the log that nothing is published
+
+	mu            sync.Mutex
+	pollNow       bool // the next question is not to wait,
+	retryRejected bool // and what was refused is to be tried once more
+	cancelTurn    context.CancelFunc
 }
 
 // fault is what is wrong with a distributor.
 type fault struct {
-	who     int
-	message string
+	distributor int
+	message     string
 }
 
 const (
@@ -52,25 +52,25 @@
 	badAnswer = "a distributor's answer is not taken"
 )
 
-// Ask has the distributors be asked at once; what is waited for is broken off. Retry has what was refused be tried once more.
-func (w *Watch) Ask(retry bool) {
+// Poll has the distributors be asked at once; what is waited for is broken off. Retry has what was refused be tried once more.
+func (w *Client) Poll(retry bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.hurry, w.retry = true, w.retry || retry
-	if w.leaves != nil {
-		w.leaves()
+	w.pollNow, w.retryRejected = true, w.retryRejected || retry
+	if w.cancelTurn != nil {
+		w.cancelTurn()
 	}
 }
 
 // Run follows until ctx ends, and calls answered once the first answer has been dealt with.
-func (w *Watch) Run(ctx context.Context, answered func()) {
-	w.begun, w.bad = time.Now(), map[fault]bool{}
-	w.state = settingsstore.NewFollower(w.Service, w.Name, w.From, w.Rand)
-	w.state.Take(w.Has)
-	if w.conn.open = w.Dial; w.Dial == nil {
-		w.conn.open = (&net.Dialer{}).DialContext
+func (w *Client) Run(ctx context.Context, answered func()) {
+	w.start, w.reportedFaults = time.Now(), map[fault]bool{}
+	w.follower = settingsstore.NewFollower(w.Service, w.Name, w.Distributors, w.Rand)
+	w.follower.Applied(w.InForce)
+	if w.conn.dialFunc = w.Dial; w.Dial == nil {
+		w.conn.dialFunc = (&net.Dialer{}).DialContext
 	}
-	defer w.conn.hangUp()
+	defer w.conn.disconnect()
 	once := sync.OnceFunc(answered)
 	for ctx.Err() == nil {
 		if w.turn(ctx) {
@@ -79,116 +79,116 @@
 	}
 }
 
-func (w *Watch) now() time.Duration { return time.Since(w.begun) }
+func (w *Client) now() time.Duration { return time.Since(w.start) }
 
 // turn makes one call, and returns whether it was answered with what can be used.
-func (w *Watch) turn(ctx context.Context) bool {
-	ctx = w.begin(ctx)
-	defer w.end()
-	c := w.state.Next(w.now())
-	sleep(ctx, c.At-w.now())
+func (w *Client) turn(ctx context.Context) bool {
+	ctx = w.startTurn(ctx)
+	defer w.endTurn()
+	c := w.follower.Next(w.now())
+	sleep(ctx, c.NotBefore-w.now())
 	if ctx.Err() != nil {
 		return false
 	}
-	w.state.Ask(w.now(), c)
-	a, err := w.conn.call(ctx, w.From[c.To], c.Question.Target(), c.Within)
+	w.follower.Sent(w.now(), c)
+	a, err := w.conn.do(ctx, w.Distributors[c.Distributor], c.Request.Target(), c.Timeout)
 	if err != nil && ctx.Err() != nil {
 		return false // it was broken off
 	}
 	if err != nil {
-		w.fails(c.To, err)
+		w.handleError(c.Distributor, err)
 		return false
 	}
 	if a.state != nil {
-		if err := w.state.Hear(w.now(), *a.state); err != nil {
-			w.told(c.To, err, badAnswer)
+		if err := w.follower.ReceiveState(w.now(), *a.state); err != nil {
+			w.logFault(c.Distributor, err, badAnswer)
 			return false
 		}
-		w.take(*a.state)
+		w.apply(*a.state)
 	} else {
-		w.state.Quiet(w.now(), a.retryAfter)
-		if w.state.InForce().None() && c.Question.Refused.None() && !w.none {
-			w.none = true
+		w.follower.ReceiveNothing(w.now(), a.retryAfter)
+		if w.follower.InForce().None() && c.Request.Rejected.None() && !w.reportedNone {
+			w.reportedNone = true
 			w.Log.Info().Str("service", w.Service).Msg("no settings are published; the file's are in force")
 		}
 	}
-	no, bad := fault{c.To, noAnswer}, fault{c.To, badAnswer}
-	if w.bad[no] || w.bad[bad] {
-		delete(w.bad, no)
-		delete(w.bad, bad)
-		w.Log.Info().Str("distributor", w.From[c.To]).Msg("the distributor answers again")
+	no, bad := fault{c.Distributor, noAnswer}, fault{c.Distributor, badAnswer}
+	if w.reportedFaults[no] || w.reportedFaults[bad] {
+		delete(w.reportedFaults, no)
+		delete(w.reportedFaults, bad)
+		w.Log.Info().Str("distributor", w.Distributors[c.Distributor]).Msg("the distributor answers again")
 	}
 	return true
 }
 
 // begin is the context of a turn, which ends as soon as something else is wanted.
-func (w *Watch) begin(ctx context.Context) context.Context {
+func (w *Client) startTurn(ctx context.Context) context.Context {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.hurry {
-		w.state.Hurry()
+	if w.pollNow {
+		w.follower.SkipWait()
 	}
-	if w.retry {
-		w.state.Retry()
+	if w.retryRejected {
+		w.follower.RetryRejected()
 	}
-	w.hurry, w.retry = false, false
-	ctx, w.leaves = context.WithCancel(ctx)
+	w.pollNow, w.retryRejected = false, false
+	ctx, w.cancelTurn = context.WithCancel(ctx)
 	return ctx
 }
 
-func (w *Watch) end() {
+func (w *Client) endTurn() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.leaves()
-	w.leaves = nil
+	w.cancelTurn()
+	w.cancelTurn = nil
 }
 
 // take has settings be tried.
-func (w *Watch) take(s settingsstore.State) {
+func (w *Client) apply(s settingsstore.State) {
 	log := w.Log.With().Str("service", s.Service).Uint64("epoch", s.Epoch).Str("by", s.By).Logger()
-	if err := w.Take(s); err != nil {
-		w.state.Refuse(s.Edition, err)
+	if err := w.Apply(s); err != nil {
+		w.follower.Rejected(s.Edition, err)
 		log.Error().Err(err).Msg("published settings are not taken")
 		return
 	}
-	w.state.Take(s.Edition)
+	w.follower.Applied(s.Edition)
 	log.Info().Msg("published settings are in force")
 }
 
 // fails tells the follower how a call failed.
-func (w *Watch) fails(who int, err error) {
+func (w *Client) handleError(who int, err error) {
 	now := w.now()
-	var away *turnedAway
-	var unusable *unusable
+	var away *statusError
+	var unusable *invalidAnswerError
 	var late net.Error
 	switch {
 	case errors.As(err, &unusable):
-		w.state.Reject(now, err)
-		w.told(who, err, badAnswer)
+		w.follower.RejectAnswer(now, err)
+		w.logFault(who, err, badAnswer)
 		return
 	case errors.As(err, &away):
-		w.state.Fail(now, away.retryAfter)
-	case errors.Is(err, errDropped):
-		w.state.Drop(now)
+		w.follower.Failed(now, away.retryAfter)
+	case errors.Is(err, errConnectionLost):
+		w.follower.ConnectionLost(now)
 		return
 	case errors.As(err, &late) && late.Timeout():
-		if !w.state.Silent(now) {
+		if !w.follower.TimedOut(now) {
 			w.Log.Info().Msg("was stopped, it seems; the distributor is asked again")
 			return
 		}
 	default:
-		w.state.Fail(now, 0)
+		w.follower.Failed(now, 0)
 	}
-	w.told(who, err, noAnswer)
+	w.logFault(who, err, noAnswer)
 }
 
 // told logs a distributor's fault: once, and not every time that it is gone back to.
-func (w *Watch) told(who int, err error, message string) {
+func (w *Client) logFault(who int, err error, message string) {
 	f := fault{who, message}
-	if !w.bad[f] {
-		w.Log.Warn().Str("distributor", w.From[who]).Err(err).Msg(message)
+	if !w.reportedFaults[f] {
+		w.Log.Warn().Str("distributor", w.Distributors[who]).Err(err).Msg(message)
 	}
-	w.bad[f] = true
+	w.reportedFaults[f] = true
 }
 
 func sleep(ctx context.Context, d time.Duration) {
--- a/internal/settingsclient/follow_test.go
+++ b/internal/settingsclient/follow_test.go
@@ -34,16 +34,16 @@
 // standIn is a distributor that answers as a test wants.
 type standIn struct {
 	addr   string
-	asked  chan settingsstore.Question
-	answer func(net.Conn, settingsstore.Question) bool // false: as a distributor does. Nil: always so
+	asked  chan settingsstore.Request
+	answer func(net.Conn, settingsstore.Request) bool // false: as a distributor does. Nil: always so
 
 	mu      sync.Mutex
 	state   settingsstore.State
 	changed chan struct{}
 }
 
-func newStandIn(t *testing.T, s settingsstore.State, answer func(net.Conn, settingsstore.Question) bool) *standIn {
-	d := &standIn{asked: make(chan settingsstore.Question, 1000), answer: answer, state: s, changed: make(chan struct{})}
+func newStandIn(t *testing.T, s settingsstore.State, answer func(net.Conn, settingsstore.Request) bool) *standIn {
+	d := &standIn{asked: make(chan settingsstore.Request, 1000), answer: answer, state: s, changed: make(chan struct{})}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -56,7 +56,7 @@
 }
 
 func (d *standIn) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	q, err := settingsstore.ParseQuestion(r.URL)
+	q, err := settingsstore.ParseRequest(r.URL)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -90,14 +90,14 @@
 }
 
 // tell answers as a distributor does: nil is nothing new.
-func (d *standIn) tell(q settingsstore.Question, gone <-chan struct{}, answer func(body []byte)) {
+func (d *standIn) tell(q settingsstore.Request, gone <-chan struct{}, answer func(body []byte)) {
 	late := time.NewTimer(q.Wait)
 	defer late.Stop()
 	for {
 		d.mu.Lock()
 		s, changed := d.state, d.changed
 		d.mu.Unlock()
-		if s.Compare(q.Newest()) > 0 {
+		if s.Compare(q.NewestSeen()) > 0 {
 			answer(settingsstore.Encode(s))
 			return
 		}
@@ -163,18 +163,18 @@
 
 // run follows the distributors, of which it prefers the first, and returns the watch and the editions that come to be tried; tries
 // says what becomes of them.
-func run(t *testing.T, log *lines, tries func(settingsstore.State) error, from ...string) (w *Watch, tried <-chan uint64, answered <-chan struct{}) {
+func run(t *testing.T, log *lines, tries func(settingsstore.State) error, from ...string) (w *Client, tried <-chan uint64, answered <-chan struct{}) {
 	t.Helper()
 	name := ""
 	for i := 0; ; i++ {
 		name = fmt.Sprintf("n%d", i)
-		if c := settingsstore.NewFollower(service, name, from, rand.New(rand.NewPCG(1, 1))).Next(0); c.To == 0 {
+		if c := settingsstore.NewFollower(service, name, from, rand.New(rand.NewPCG(1, 1))).Next(0); c.Distributor == 0 {
 			break
 		}
 	}
 	epochs, first := make(chan uint64, 1000), make(chan struct{})
-	w = &Watch{Service: service, Name: name, From: from, Rand: rand.New(rand.NewPCG(1, 1)), Log: zerolog.New(log),
-		Take: func(s settingsstore.State) error {
+	w = &Client{Service: service, Name: name, Distributors: from, Rand: rand.New(rand.NewPCG(1, 1)), Log: zerolog.New(log),
+		Apply: func(s settingsstore.State) error {
 			epochs <- s.Epoch
 			return tries(s)
 		}}
@@ -223,7 +223,7 @@
 	good := settingsstore.Encode(state(2))
 	other := state(9)
 	other.Service = "other"
-	large := []byte(`{"a":"` + strings.Repeat("x", settingsstore.StateMost) + `"}`)
+	large := []byte(`{"a":"` + strings.Repeat("x", settingsstore.MaxStateBytes) + `"}`)
 	fill := func(c net.Conn, head, more string) {
 		_, _ = io.WriteString(c, head)
 		for text := []byte(strings.Repeat(more, 4096)); ; {
@@ -267,7 +267,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			odd := newStandIn(t, settingsstore.State{}, func(conn net.Conn, q settingsstore.Question) bool {
+			odd := newStandIn(t, settingsstore.State{}, func(conn net.Conn, q settingsstore.Request) bool {
 				if q.Since.None() { // the first one
 					send(conn, 200, settingsstore.Encode(state(1)))
 				} else {
@@ -280,7 +280,7 @@
 			if a, b := <-tried, <-tried; a != 1 || b != 2 {
 				t.Fatalf("epochs %d and %d are tried, want 1 and 2", a, b)
 			}
-			if q := <-well.asked; q.Since.Epoch != 1 || !q.Refused.None() || !strings.Contains(q.Why, c.why) || (q.Why == "") != (c.why == "") {
+			if q := <-well.asked; q.Since.Epoch != 1 || !q.Rejected.None() || !strings.Contains(q.Reason, c.why) || (q.Reason == "") != (c.why == "") {
 				t.Errorf("the next one is asked with %+v, want why %q", q, c.why)
 			}
 			if n := log.count(odd.addr, `"level":"warn"`); n != 1 {
@@ -329,7 +329,7 @@
 	}
 	l := listen()
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if q, err := settingsstore.ParseQuestion(r.URL); err != nil || q.Since.None() {
+		if q, err := settingsstore.ParseRequest(r.URL); err != nil || q.Since.None() {
 			_, _ = w.Write(settingsstore.Encode(state(1)))
 			return
 		}
@@ -361,14 +361,14 @@
 	}
 	<-d.asked
 	for range 2 { // it has watched twice without being told the same again
-		if q := <-d.asked; q.Refused.Epoch != 1 || q.Why != bad.Error() || !q.Since.None() {
+		if q := <-d.asked; q.Rejected.Epoch != 1 || q.Reason != bad.Error() || !q.Since.None() {
 			t.Fatalf("asked with %+v", q)
 		}
 	}
 	if len(tried) > 0 {
 		t.Errorf("epoch %d is tried once more", <-tried)
 	}
-	w.Ask(true)
+	w.Poll(true)
 	if got := <-tried; got != 1 {
 		t.Errorf("epoch %d is tried, want 1 once more", got)
 	}
@@ -377,7 +377,7 @@
 		t.Errorf("epoch %d is tried", got)
 	}
 	for q := range d.asked {
-		if q.Since.Epoch == 2 && q.Refused.None() && q.Why == "" {
+		if q.Since.Epoch == 2 && q.Rejected.None() && q.Reason == "" {
 			break
 		}
 	}
@@ -389,7 +389,7 @@
 // Guards against a watch that is not broken off when an answer is wanted at once, and against a distributor that is blamed for it.
 func TestAskBreaksOff(t *testing.T) {
 	log := &lines{}
-	d := newStandIn(t, state(1), func(c net.Conn, q settingsstore.Question) bool {
+	d := newStandIn(t, state(1), func(c net.Conn, q settingsstore.Request) bool {
 		if q.Wait > 0 {
 			<-hungUp(c)
 		}
@@ -400,7 +400,7 @@
 	for round := range 3 {
 		for q := <-d.asked; q.Wait == 0; q = <-d.asked {
 		}
-		w.Ask(false)
+		w.Poll(false)
 		if q := <-d.asked; q.Wait != 0 {
 			t.Errorf("round %d: asked with %+v", round, q)
 		}
@@ -415,7 +415,7 @@
 	log := &lines{}
 	var mu sync.Mutex
 	n := 0
-	d := newStandIn(t, state(1), func(c net.Conn, q settingsstore.Question) bool {
+	d := newStandIn(t, state(1), func(c net.Conn, q settingsstore.Request) bool {
 		mu.Lock()
 		defer mu.Unlock()
 		n++
--- a/internal/settingsserver/client.go
+++ b/internal/settingsserver/client.go
@@ -16,44 +16,46 @@
 	"pinelb.example/pinelb/internal/settingsstore"
 )
 
-// statusMost is how many bytes a distributor's status may have: all sidecars that it knows, with the longest names and reasons.
-const statusMost = 32 << 20
+// maxStatusBytes is how many bytes a distributor's status may have: all sidecars that it knows, with the longest names and reasons.
+const maxStatusBytes = 32 << 20
 
-// Operator calls distributors as operators do, each call on a connection of its own.
-type Operator struct {
-	At     []string      // addresses where operators call
-	Within time.Duration // a call at most
+// OperatorClient calls distributors as operators do, each call on a connection of its own.
+type OperatorClient struct {
+	Addresses []string      // addresses where operators call
+	Timeout   time.Duration // a call at most
 }
 
-// Refusal is a distributor's word that it does not do what it was called for.
-type Refusal struct {
-	At     string
-	Status int
-	Why    string
+// StatusError is a distributor's word that it does not do what it was called for.
+type StatusError struct {
+	Address string
+	Status  int
+	Message string
 }
 
-func (e Refusal) Error() string { return fmt.Sprintf("%s answers %d: %s", e.At, e.Status, e.Why) }
+func (e StatusError) Error() string {
+	return fmt.Sprintf("%s answers %d: %s", e.Address, e.Status, e.Message)
+}
 
-// ErrNobody says that no distributor was reached, or all were starting.
-var ErrNobody = errors.New("distributor: nobody was reached")
+// ErrNoneReached says that no distributor was reached, or all were starting.
+var ErrNoneReached = errors.New("distributor: nobody was reached")
 
 // Publish publishes settings at the first distributor that takes them. The next one is called only where one could not be reached
-// or is starting: the same settings published twice do no harm. Errors are ErrNobody and of type Refusal.
-func (o *Operator) Publish(ctx context.Context, service string, settings []byte) (Published, error) {
+// or is starting: the same settings published twice do no harm. Errors are ErrNoneReached and of type Refusal.
+func (o *OperatorClient) Publish(ctx context.Context, service string, settings []byte) (PublishResult, error) {
 	return o.first(ctx, settingsPath, service, settings)
 }
 
 // RollBack publishes the service's former settings anew, as Publish does. Where a call's answer is lost the next one is not
 // called: it would take the way back back.
-func (o *Operator) RollBack(ctx context.Context, service string) (Published, error) {
+func (o *OperatorClient) RollBack(ctx context.Context, service string) (PublishResult, error) {
 	return o.first(ctx, rollBackPath, service, nil)
 }
 
-func (o *Operator) first(ctx context.Context, path, service string, body []byte) (out Published, err error) {
+func (o *OperatorClient) first(ctx context.Context, path, service string, body []byte) (out PublishResult, err error) {
 	var faults []error
-	for _, at := range o.At {
+	for _, at := range o.Addresses {
 		text, err := o.call(ctx, http.MethodPost, at, path, service, body)
-		var refusal Refusal
+		var refusal StatusError
 		var dial *net.OpError
 		refused := errors.As(err, &refusal)
 		switch {
@@ -69,15 +71,15 @@
 		}
 		faults = append(faults, err)
 	}
-	return out, fmt.Errorf("%w: %w", ErrNobody, errors.Join(faults...))
+	return out, fmt.Errorf("%w: %w", ErrNoneReached, errors.Join(faults...))
 }
 
 // Statuses asks all distributors at once what they say of a service. Faults are of those that did not answer.
-func (o *Operator) Statuses(ctx context.Context, service string) (statuses []settingsstore.Status, faults []error) {
-	all := make([]settingsstore.Status, len(o.At))
-	errs := make([]error, len(o.At))
+func (o *OperatorClient) Statuses(ctx context.Context, service string) (statuses []settingsstore.Status, faults []error) {
+	all := make([]settingsstore.Status, len(o.Addresses))
+	errs := make([]error, len(o.Addresses))
 	var wait sync.WaitGroup
-	for i, at := range o.At {
+	for i, at := range o.Addresses {
 		wait.Go(func() {
 			text, err := o.call(ctx, http.MethodGet, at, settingsPath, service, nil)
 			if err == nil {
@@ -97,8 +99,8 @@
 	return statuses, faults
 }
 
-func (o *Operator) call(ctx context.Context, method, at, path, service string, body []byte) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, o.Within)
+func (o *OperatorClient) call(ctx context.Context, method, at, path, service string, body []byte) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, o.Timeout)
 	defer cancel()
 	target := "http://" + at + path + "?" + url.Values{"service": {service}}.Encode()
 	req, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(body))
@@ -113,12 +115,12 @@
 		return nil, fmt.Errorf("distributor: %w", err)
 	}
 	defer res.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(res.Body, statusMost))
+	text, err := io.ReadAll(io.LimitReader(res.Body, maxStatusBytes))
 	if err != nil {
 		return nil, fmt.Errorf("distributor: %s: the answer is cut off: %w", at, err)
 	}
 	if res.StatusCode != http.StatusOK {
-		return nil, Refusal{at, res.StatusCode, string(bytes.TrimSpace(text[:min(len(text), whyMost)]))}
+		return nil, StatusError{at, res.StatusCode, string(bytes.TrimSpace(text[:min(len(text), maxErrorBytes)]))}
 	}
 	return text, nil
 }
--- a/internal/settingsserver/config.go
+++ b/internal/settingsserver/config.go
@@ -23,7 +23,7 @@
 	Peers   []string `toml:"peers"`   // the other distributors' addresses
 }
 
-const fileMost = 1 << 20 // bytes
+const maxFileBytes = 1 << 20 // bytes
 
 // ReadConfig reads a distributor's file. The error names the file, the line and the key.
 func ReadConfig(path string) (*Config, error) {
@@ -36,8 +36,8 @@
 
 // ParseConfig reads a distributor's file's text; path is its name in errors.
 func ParseConfig(path string, text []byte) (*Config, error) {
-	if len(text) > fileMost {
-		return nil, fmt.Errorf("distributor: %s has over %d bytes", path, fileMost)
+	if len(text) > maxFileBytes {
+		return nil, fmt.Errorf("distributor: %s has over %d bytes", path, maxFileBytes)
 	}
 	c := &Config{}
 	file, err := tomlfile.Decode(path, text, c)
@@ -54,8 +54,8 @@
 		names = append(names, struct{ key, name string }{"region", c.Region})
 	}
 	for _, n := range names {
-		if faulty, ok := settingsstore.CheckName(n.key, n.name).(settingsstore.FaultyKey); ok {
-			return file.Fault(n.key, "%s", faulty.Why)
+		if faulty, ok := settingsstore.CheckName(n.key, n.name).(settingsstore.KeyError); ok {
+			return file.Fault(n.key, "%s", faulty.Reason)
 		}
 	}
 	for _, a := range []struct{ key, addr string }{{"listen", c.Listen}, {"control", c.Control}} {
@@ -68,8 +68,8 @@
 		return file.Fault("control", "must be another address than listen")
 	case !filepath.IsAbs(c.Dir):
 		return file.Fault("dir", "must be the absolute path of a directory")
-	case len(c.Peers) >= settingsstore.PeersMost:
-		return file.Fault("peers", "names %d distributors, %d at most", len(c.Peers), settingsstore.PeersMost-1)
+	case len(c.Peers) >= settingsstore.MaxPeers:
+		return file.Fault("peers", "names %d distributors, %d at most", len(c.Peers), settingsstore.MaxPeers-1)
 	}
 	for i, addr := range c.Peers {
 		at, err := netip.ParseAddrPort(addr)
--- a/internal/settingsserver/distributor.go
+++ b/internal/settingsserver/distributor.go
@@ -19,38 +19,38 @@
 )
 
 const (
-	askersMost    = 2 * settingsstore.WatchesMost // connections of sidecars and distributors: as many idle ones as watches
-	operatorsMost = 24                            // connections of operators
-	headMost      = 8 << 10                       // bytes of a call but for its body
-	headWithin    = 5 * time.Second               // a call's head, from its connection's opening on
-	idleWithin    = time.Minute                   // to the next call on a connection
-	writeWithin   = 5 * time.Second               // an answer whole: a slow reader holds it no longer
-	endWithin     = 2 * time.Second               // calls, once all watches have been answered
+	maxClientConns   = 2 * settingsstore.MaxWatches // connections of sidecars and distributors: as many idle ones as watches
+	maxOperatorConns = 24                           // connections of operators
+	maxHeaderBytes   = 8 << 10                      // bytes of a call but for its body
+	headerTimeout    = 5 * time.Second              // a call's head, from its connection's opening on
+	idleTimeout      = time.Minute                  // to the next call on a connection
+	writeTimeout     = 5 * time.Second              // an answer whole: a slow reader holds it no longer
+	shutdownTimeout  = 2 * time.Second              // calls, once all watches have been answered
 )
 
 // Distributor is one.
 type Distributor struct {
 	cfg   Config
 	log   zerolog.Logger
-	began time.Time
+	start time.Time
 
-	mu    sync.Mutex // never held over I/O
-	store *settingsstore.Store
-	wake  map[uint64]chan struct{} // watches that are to be answered now; each has room for one
-	dirty map[string]bool          // services that are not kept as they are held
+	mu         sync.Mutex // never held over I/O
+	store      *settingsstore.Store
+	watchWakes map[uint64]chan struct{} // watches that are to be answered now; each has room for one
+	dirty      map[string]bool          // services that are not kept as they are held
 
-	writing sync.Mutex // of publishing, and of the disk; before mu
-	disk    persistence.Disk
-	keep    chan struct{} // something is dirty; has room for one
-	ending  chan struct{}
+	writeMu        sync.Mutex // of publishing, and of the disk; before mu
+	disk           persistence.Disk
+	writeRequested chan struct{} // something is dirty; has room for one
+	shuttingDown   chan struct{}
 }
 
 // New returns a distributor that holds what is kept on its disk. Without peers, a file that can't be read is an error: nobody else
 // knows what stood in it.
 func New(cfg Config, disk persistence.Disk, log zerolog.Logger) (*Distributor, error) {
-	d := &Distributor{cfg: cfg, log: log, began: time.Now(), wake: map[uint64]chan struct{}{}, dirty: map[string]bool{},
-		disk: disk, keep: make(chan struct{}, 1), ending: make(chan struct{})}
-	records, faults, err := load(disk)
+	d := &Distributor{cfg: cfg, log: log, start: time.Now(), watchWakes: map[uint64]chan struct{}{}, dirty: map[string]bool{},
+		disk: disk, writeRequested: make(chan struct{}, 1), shuttingDown: make(chan struct{})}
+	records, faults, err := loadRecords(disk)
 	if err != nil {
 		return nil, fmt.Errorf("distributor: dir: %w", err)
 	}
@@ -107,24 +107,24 @@
 	defer cancel(nil)
 	var all sync.WaitGroup
 	serve := func(l net.Listener, most int, h http.Handler) *http.Server {
-		srv := &http.Server{Handler: h, ReadHeaderTimeout: headWithin, IdleTimeout: idleWithin, WriteTimeout: settingsstore.WaitMost + writeWithin,
-			MaxHeaderBytes: headMost, DisableGeneralOptionsHandler: true, ErrorLog: stdlog.New(d.log, "", 0)}
+		srv := &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, WriteTimeout: settingsstore.MaxWait + writeTimeout,
+			MaxHeaderBytes: maxHeaderBytes, DisableGeneralOptionsHandler: true, ErrorLog: stdlog.New(d.log, "", 0)}
 		all.Go(func() {
-			if err := srv.Serve(&limited{Listener: l, room: make(chan struct{}, most)}); err != http.ErrServerClosed {
+			if err := srv.Serve(&limitedListener{Listener: l, slots: make(chan struct{}, most)}); err != http.ErrServerClosed {
 				cancel(fmt.Errorf("distributor: %w", err))
 			}
 		})
 		return srv
 	}
-	servers := []*http.Server{serve(asked, askersMost, http.HandlerFunc(d.asked)), serve(operators, operatorsMost, http.HandlerFunc(d.operated))}
+	servers := []*http.Server{serve(asked, maxClientConns, http.HandlerFunc(d.handleRequest)), serve(operators, maxOperatorConns, http.HandlerFunc(d.handleControl))}
 	for _, addr := range d.cfg.Peers {
-		all.Go(func() { d.follow(ctx, addr) })
+		all.Go(func() { d.followPeer(ctx, addr) })
 	}
-	all.Go(func() { d.keepAll(ctx) })
+	all.Go(func() { d.runWriter(ctx) })
 
 	<-ctx.Done()
-	close(d.ending)
-	within, stop := context.WithTimeout(context.WithoutCancel(ctx), endWithin)
+	close(d.shuttingDown)
+	within, stop := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 	defer stop()
 	for _, srv := range servers {
 		if srv.Shutdown(within) != nil {
@@ -140,7 +140,7 @@
 }
 
 // now is the time since its beginning.
-func (d *Distributor) now() time.Duration { return time.Since(d.began) }
+func (d *Distributor) now() time.Duration { return time.Since(d.start) }
 
 // merge takes a record in and has all who wait for it be answered. The disk may be behind.
 func (d *Distributor) merge(r *settingsstore.Record) error {
@@ -151,9 +151,9 @@
 	if err != nil || keep == nil {
 		return err
 	}
-	d.answer(told)
+	d.wakeWatches(told)
 	d.dirty[r.Service] = true
-	d.hurry()
+	d.requestWrite()
 	if o := keep.Overruled; o != nil && (former == nil || former.Overruled == nil || former.Overruled.Edition != o.Edition) {
 		d.log.Warn().Str("service", r.Service).Stringer("overruled", o.Edition).Stringer("by", keep.Edition).
 			Msg("of two changes made apart one has lost")
@@ -162,56 +162,56 @@
 }
 
 // answer has watches be answered. The caller holds mu.
-func (d *Distributor) answer(told []uint64) {
+func (d *Distributor) wakeWatches(told []uint64) {
 	for _, id := range told {
 		select {
-		case d.wake[id] <- struct{}{}:
+		case d.watchWakes[id] <- struct{}{}:
 		default: // it has been woken, or has ended
 		}
 	}
 }
 
 // wait waits for a watch to be told, for its time to be over, for who asked to leave, or for the distributor's end.
-func (d *Distributor) wait(ctx context.Context, wake <-chan struct{}, most time.Duration) {
+func (d *Distributor) waitForWatch(ctx context.Context, wake <-chan struct{}, most time.Duration) {
 	timer := time.NewTimer(most)
 	defer timer.Stop()
 	select {
 	case <-wake:
 	case <-timer.C:
 	case <-ctx.Done():
-	case <-d.ending:
+	case <-d.shuttingDown:
 	}
 }
 
 // limited holds so many connections at most as room has; one more is closed at once.
-type limited struct {
+type limitedListener struct {
 	net.Listener
-	room chan struct{}
+	slots chan struct{}
 }
 
 // Accept returns the next connection that there is room for.
-func (l *limited) Accept() (net.Conn, error) {
+func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
 		select {
-		case l.room <- struct{}{}:
-			return &counted{Conn: c, left: sync.OnceFunc(func() { <-l.room })}, nil
+		case l.slots <- struct{}{}:
+			return &limitedConn{Conn: c, release: sync.OnceFunc(func() { <-l.slots })}, nil
 		default:
 			_ = c.Close()
 		}
 	}
 }
 
-type counted struct {
+type limitedConn struct {
 	net.Conn
-	left func()
+	release func()
 }
 
 // Close closes the connection, and makes room for another one.
-func (c *counted) Close() error {
-	defer c.left()
+func (c *limitedConn) Close() error {
+	defer c.release()
 	return c.Conn.Close()
 }
--- a/internal/settingsserver/distributor_test.go
+++ b/internal/settingsserver/distributor_test.go
@@ -113,7 +113,7 @@
 		path = rollBackPath
 	}
 	status, _, text := call(r.t, "POST", r.called, path+"?service="+service, settings)
-	var out Published
+	var out PublishResult
 	if err := json.Unmarshal([]byte(text), &out); status != 200 || err != nil || out.Service != service || out.Distributor != r.name {
 		r.t.Fatalf("%s at %s: %d %q, %v", path, r.name, status, text, err)
 	}
@@ -130,7 +130,7 @@
 // ask makes one call, and tells whether there was something newer.
 func (r *reader) ask(addr string, wait time.Duration) bool {
 	r.t.Helper()
-	q := settingsstore.Question{Service: "s", Since: r.have.Edition, Wait: wait, Name: r.name}
+	q := settingsstore.Request{Service: "s", Since: r.have.Edition, Wait: wait, Name: r.name}
 	status, _, text := call(r.t, "GET", addr, q.Target(), "")
 	if status == http.StatusNoContent {
 		return false
@@ -148,7 +148,7 @@
 func (r *reader) follow(addr string, e version.Edition) {
 	r.t.Helper()
 	for r.have.Compare(e) < 0 {
-		if !r.ask(addr, settingsstore.WaitMost) {
+		if !r.ask(addr, settingsstore.MaxWait) {
 			r.t.Errorf("%s at %s is not told %s", r.name, r.have.Edition, e)
 			return
 		}
@@ -158,7 +158,7 @@
 // until watches the distributor as another one does, until what it holds of the service is as it should be.
 func (r *running) until(what string, is func(*settingsstore.Record) bool) *settingsstore.Record {
 	r.t.Helper()
-	q := settingsstore.PeerQuestion{Name: "test", Wait: settingsstore.Millis(settingsstore.WaitMost.Milliseconds())}
+	q := settingsstore.PeerRequest{Name: "test", Wait: settingsstore.Millis(settingsstore.MaxWait.Milliseconds())}
 	for {
 		r.d.mu.Lock()
 		held := r.d.store.Record("s")
@@ -167,11 +167,11 @@
 			return held
 		}
 		status, _, text := call(r.t, "GET", r.asked, q.Target(), "")
-		news, err := settingsstore.ParseNews([]byte(text))
+		news, err := settingsstore.ParseUpdate([]byte(text))
 		if status != 200 || err != nil {
 			r.t.Fatalf("%s never %s: %d, %v", r.name, what, status, err)
 		}
-		q.Life, q.Since = news.Life, news.At
+		q.Incarnation, q.Since = news.Incarnation, news.Sequence
 	}
 }
 
@@ -333,7 +333,7 @@
 	}
 	readers[0].follow(a.asked, atB)
 	readers[1].follow(a.asked, atB)
-	// Published anew, nothing is named any more, and rolling back is the same at both.
+	// PublishResult anew, nothing is named any more, and rolling back is the same at both.
 	after := a.operate("s", contents(4, 0))
 	b.until("names nobody", func(held *settingsstore.Record) bool { return held.Edition == after && held.Overruled == nil })
 	back := b.operate("s", "")
@@ -451,7 +451,7 @@
 	}
 	lost := m.begin(2, t.TempDir())
 	reader := &reader{t: t, name: "n"}
-	q := settingsstore.Question{Service: "s", Wait: time.Second}
+	q := settingsstore.Request{Service: "s", Wait: time.Second}
 	if status, head, _ := call(t, "GET", lost.asked, q.Target(), ""); status != http.StatusServiceUnavailable || head.Get("Retry-After") == "" {
 		t.Errorf("without its disk, and alone, it answers %d", status)
 	}
@@ -478,12 +478,12 @@
 // begun waits until the distributor is starting no more.
 func (r *running) begun() {
 	r.t.Helper()
-	q := settingsstore.PeerQuestion{Name: "test", Wait: 0}
+	q := settingsstore.PeerRequest{Name: "test", Wait: 0}
 	for status := 0; status != http.StatusNoContent; {
 		var text string
 		status, _, text = call(r.t, "GET", r.asked, q.Target(), "")
-		if news, err := settingsstore.ParseNews([]byte(text)); err == nil {
-			q.Life, q.Since = news.Life, news.At
+		if news, err := settingsstore.ParseUpdate([]byte(text)); err == nil {
+			q.Incarnation, q.Since = news.Incarnation, news.Sequence
 		}
 	}
 }
@@ -501,7 +501,7 @@
 		t.Fatal(err)
 	}
 	defer slow.Close()
-	q := settingsstore.Question{Service: "s", Name: "slow", Wait: settingsstore.WaitMost}
+	q := settingsstore.Request{Service: "s", Name: "slow", Wait: settingsstore.MaxWait}
 	fmt.Fprintf(slow, "GET %s HTTP/1.1\r\nHost: x\r\n\r\n", q.Target()) // is answered at once, and not read
 
 	var before, after runtime.MemStats
@@ -513,7 +513,7 @@
 	for i := range asking {
 		all.Go(func() {
 			r := &reader{t: t, name: fmt.Sprint("n", i)}
-			for r.have.Edition != last && r.ask(a.asked, settingsstore.WaitMost) {
+			for r.have.Edition != last && r.ask(a.asked, settingsstore.MaxWait) {
 				told.Add(1)
 			}
 			if r.have.Edition != last {
@@ -583,7 +583,7 @@
 // Guards against a watch beyond the bound that waits all the same, and against watches that are left open by those who are gone, or at the distributor's end.
 func TestWatchesAreBoundedAndEnd(t *testing.T) {
 	a := start(t, "a", t.TempDir(), nil)
-	q := settingsstore.Question{Service: "s", Wait: settingsstore.WaitMost}
+	q := settingsstore.Request{Service: "s", Wait: settingsstore.MaxWait}
 	answered := make(chan int, 1)
 	go func() {
 		res, err := http.Get("http://" + a.asked + q.Target())
@@ -605,19 +605,19 @@
 	_ = left.Close() // whoever leaves holds none
 	a.awaitWatches(1)
 	a.d.mu.Lock()
-	for range settingsstore.WatchesMost - 1 {
-		if _, id, err := a.d.store.Ask(0, q); id == 0 || err != nil {
+	for range settingsstore.MaxWatches - 1 {
+		if _, id, err := a.d.store.Poll(0, q); id == 0 || err != nil {
 			t.Fatal(err)
 		}
 	}
 	a.d.mu.Unlock()
 	began := time.Now()
 	status, head, _ := call(t, "GET", a.asked, q.Target(), "")
-	if took := time.Since(began); status != http.StatusNoContent || head.Get("Retry-After") == "" || took >= settingsstore.WaitMost {
+	if took := time.Since(began); status != http.StatusNoContent || head.Get("Retry-After") == "" || took >= settingsstore.MaxWait {
 		t.Errorf("one more is answered %d, Retry-After %q, after %s", status, head.Get("Retry-After"), took)
 	}
 	a.end()
-	if status := <-answered; status != http.StatusNoContent || time.Since(began) >= settingsstore.WaitMost {
+	if status := <-answered; status != http.StatusNoContent || time.Since(began) >= settingsstore.MaxWait {
 		t.Errorf("at the end a watch is answered %d after %s", status, time.Since(began))
 	}
 	http.DefaultClient.CloseIdleConnections()
@@ -635,8 +635,8 @@
 		{"POST", settingsPath + "?service=s", `{"n_instances":"3"}`, 400, "settings.n_instances"},
 		{"POST", settingsPath + "?service=s", strings.Replace(good, `"aim":90000000,`, "", 1), 400, "classes[0].aim"},
 		{"POST", settingsPath + "?service=s", good[:len(good)-1], 400, "settings"},
-		{"POST", settingsPath + "?service=s", contents(0, settingsstore.SettingsMost+1), 400, "settings has 65537 bytes"},
-		{"POST", settingsPath + "?service=s", contents(0, bodyMost+1), 413, "settings"},
+		{"POST", settingsPath + "?service=s", contents(0, settingsstore.MaxSettingsBytes+1), 400, "settings has 65537 bytes"},
+		{"POST", settingsPath + "?service=s", contents(0, maxBodyBytes+1), 413, "settings"},
 		{"POST", settingsPath + "?service=.s", good, 400, "service"},
 		{"POST", settingsPath + "?service=s&service=t", good, 400, "service"},
 		{"POST", settingsPath + "?service=s&other=t", good, 400, "service"},
@@ -693,13 +693,13 @@
 		return settingsstore.NewState(service, version.Edition{Epoch: epoch, By: "p"}, json.RawMessage(contents(int(epoch), 0)))
 	}
 	news := func(name string, records ...*settingsstore.Record) string {
-		return string((&settingsstore.News{Name: name, Life: "l", At: 1, Records: records}).Encode())
+		return string((&settingsstore.Update{Name: name, Incarnation: "l", Sequence: 1, Records: records}).Encode())
 	}
 	good := news("p", &settingsstore.Record{State: state("s", 7)})
 	other := state("other", 6)
 	answers := []string{
 		good[:len(good)-7], strings.Replace(good, `"n":7`, `"n":8`, 1), news("a", &settingsstore.Record{State: state("s", 9)}),
-		news("p", &settingsstore.Record{State: state("s", 8), Former: &other}), `{}`, strings.Repeat(" ", settingsstore.NewsMost) + good, good,
+		news("p", &settingsstore.Record{State: state("s", 8), Previous: &other}), `{}`, strings.Repeat(" ", settingsstore.MaxUpdateBytes) + good, good,
 	}
 	asked := 0
 	peer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -714,7 +714,7 @@
 	a.until("has anything", func(held *settingsstore.Record) bool { return true })
 	a.d.mu.Lock()
 	defer a.d.mu.Unlock()
-	if r := a.d.store.Record("s"); r.Epoch != 7 || len(a.d.store.Services()) != 1 || r.Former != nil {
+	if r := a.d.store.Record("s"); r.Epoch != 7 || len(a.d.store.Services()) != 1 || r.Previous != nil {
 		t.Errorf("%+v of %v", r, a.d.store.Services())
 	}
 }
@@ -802,7 +802,7 @@
 
 // Guards against connections without bound, and against ones that are never given back.
 func TestConnectionsAreBounded(t *testing.T) {
-	l := &limited{Listener: listen(t), room: make(chan struct{}, 1)}
+	l := &limitedListener{Listener: listen(t), slots: make(chan struct{}, 1)}
 	defer l.Close()
 	accepted := make(chan net.Conn)
 	go func() {
--- a/internal/settingsserver/keep.go
+++ b/internal/settingsserver/keep.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	fileKind    = "settings"
-	fileVersion = 1
-	fileSuffix  = ".settings"
-	fileHead    = 128 // bytes
-	keepAgain   = time.Second
+	fileKind           = "settings"
+	fileVersion        = 1
+	fileSuffix         = ".settings"
+	maxFrameBytes      = 128 // bytes
+	writeRetryInterval = time.Second
 )
 
 // load reads the records that a disk holds. Faults are of files that can't be used.
-func load(disk persistence.Disk) (records []*settingsstore.Record, faults []error, err error) {
+func loadRecords(disk persistence.Disk) (records []*settingsstore.Record, faults []error, err error) {
 	names, err := disk.Names()
 	if err != nil {
 		return nil, nil, err
@@ -29,7 +29,7 @@
 		if !ours {
 			continue
 		}
-		r, err := read(disk, name)
+		r, err := readRecord(disk, name)
 		if err == nil && r.Service != service {
 			err = fmt.Errorf("is of the service %s", r.Service)
 		}
@@ -42,8 +42,8 @@
 	return records, faults, nil
 }
 
-func read(disk persistence.Disk, name string) (*settingsstore.Record, error) {
-	text, err := disk.Read(name, settingsstore.RecordMost+fileHead)
+func readRecord(disk persistence.Disk, name string) (*settingsstore.Record, error) {
+	text, err := disk.Read(name, settingsstore.MaxRecordBytes+maxFrameBytes)
 	if err != nil {
 		return nil, err
 	}
@@ -55,38 +55,38 @@
 }
 
 // write keeps a record. The caller holds writing.
-func (d *Distributor) write(r *settingsstore.Record) error {
+func (d *Distributor) writeRecord(r *settingsstore.Record) error {
 	return persistence.ReplaceFile(d.disk, r.Service+fileSuffix, persistence.Frame(fileKind, fileVersion, settingsstore.EncodeRecord(r)))
 }
 
 // hurry has what is dirty be kept.
-func (d *Distributor) hurry() {
+func (d *Distributor) requestWrite() {
 	select {
-	case d.keep <- struct{}{}:
+	case d.writeRequested <- struct{}{}:
 	default:
 	}
 }
 
-// keepAll keeps what others told, until ctx ends and once more then. Of a service that changes faster than the disk takes it the
+// runWriter keeps what others told, until ctx ends and once more then. Of a service that changes faster than the disk takes it the
 // newest is kept.
-func (d *Distributor) keepAll(ctx context.Context) {
+func (d *Distributor) runWriter(ctx context.Context) {
 	failed := false
 	for {
-		err := d.keepDirty()
+		err := d.writeDirty()
 		if (err != nil) != failed {
 			failed = err != nil
 			d.log.Error().Err(err).Bool("kept", !failed).Msg("settings on the disk")
 		}
-		again := time.NewTimer(keepAgain)
+		again := time.NewTimer(writeRetryInterval)
 		if !failed {
 			again.Stop()
 		}
 		select {
 		case <-again.C:
-		case <-d.keep:
+		case <-d.writeRequested:
 		case <-ctx.Done():
 			again.Stop()
-			if err := d.keepDirty(); err != nil {
+			if err := d.writeDirty(); err != nil {
 				d.log.Error().Err(err).Bool("kept", false).Msg("settings on the disk")
 			}
 			return
@@ -95,8 +95,8 @@
 	}
 }
 
-// keepDirty keeps all that is dirty; what fails stays so.
-func (d *Distributor) keepDirty() (failed error) {
+// writeDirty keeps all that is dirty; what fails stays so.
+func (d *Distributor) writeDirty() (failed error) {
 	d.mu.Lock()
 	services := make([]string, 0, len(d.dirty))
 	for service := range d.dirty {
@@ -104,16 +104,16 @@
 	}
 	d.mu.Unlock()
 	for _, service := range services {
-		if err := d.keepOne(service); err != nil {
+		if err := d.writeService(service); err != nil {
 			failed = err
 		}
 	}
 	return failed
 }
 
-func (d *Distributor) keepOne(service string) error {
-	d.writing.Lock()
-	defer d.writing.Unlock()
+func (d *Distributor) writeService(service string) error {
+	d.writeMu.Lock()
+	defer d.writeMu.Unlock()
 	d.mu.Lock()
 	r, dirty := d.store.Record(service), d.dirty[service]
 	delete(d.dirty, service)
@@ -121,7 +121,7 @@
 	if !dirty {
 		return nil
 	}
-	err := d.write(r)
+	err := d.writeRecord(r)
 	if err != nil {
 		d.mu.Lock()
 		d.dirty[service] = true
@@ -131,18 +131,18 @@
 }
 
 // publish has the record that next makes be kept, and then merged and told: an edition that was told is never given again. The
-// error is next's, or the disk's as a notKept.
+// error is next's, or the disk's as a diskError.
 func (d *Distributor) publish(next func() (*settingsstore.Record, error)) (*settingsstore.Record, error) {
-	d.writing.Lock()
-	defer d.writing.Unlock()
+	d.writeMu.Lock()
+	defer d.writeMu.Unlock()
 	d.mu.Lock()
 	r, err := next()
 	d.mu.Unlock()
 	if err != nil {
 		return nil, err
 	}
-	if err := d.write(r); err != nil {
-		return nil, notKept{err}
+	if err := d.writeRecord(r); err != nil {
+		return nil, diskError{err}
 	}
 	if err := d.merge(r); err != nil {
 		return nil, err
@@ -155,9 +155,9 @@
 	return r, nil
 }
 
-// notKept is a disk's refusal: nothing was published.
-type notKept struct{ error }
+// diskError is a disk's refusal: nothing was published.
+type diskError struct{ error }
 
-func (e notKept) Error() string {
+func (e diskError) Error() string {
 	return "distributor: not published, for it can't be kept: " + e.error.Error()
 }
--- a/internal/settingsserver/peers.go
+++ b/internal/settingsserver/peers.go
@@ -13,38 +13,38 @@
 )
 
 const (
-	peerWait   = 2 * time.Second        // that a watch of a peer waits for news
-	peerWithin = time.Second            // beyond that it is silent: lost
-	peerGap    = 20 * time.Millisecond  // between two calls: changes that come faster are told together
-	peerAgain  = 500 * time.Millisecond // after a failure
-	startAgain = 250 * time.Millisecond // while one of the two is starting
-	whyMost    = 1 << 10                // bytes of a refusal that are read
+	peerWait            = 2 * time.Second        // that a watch of a peer waits for news
+	peerTimeout         = time.Second            // beyond that it is silent: lost
+	peerInterval        = 20 * time.Millisecond  // between two calls: changes that come faster are told together
+	peerRetryInterval   = 500 * time.Millisecond // after a failure
+	startupPeerInterval = 250 * time.Millisecond // while one of the two is starting
+	maxErrorBytes       = 1 << 10                // bytes of a refusal that are read
 )
 
 // peer is the watch of one of the other distributors.
 type peer struct {
-	d    *Distributor
-	addr string
-	http *http.Client
-	life string
-	at   uint64
+	d           *Distributor
+	addr        string
+	client      *http.Client
+	incarnation string
+	sequence    uint64
 }
 
 // follow watches a peer, and merges what it tells, until ctx ends.
-func (d *Distributor) follow(ctx context.Context, addr string) {
-	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: peerWithin}).DialContext, MaxConnsPerHost: 1, DisableCompression: true,
-		MaxResponseHeaderBytes: headMost, IdleConnTimeout: idleWithin}
+func (d *Distributor) followPeer(ctx context.Context, addr string) {
+	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: peerTimeout}).DialContext, MaxConnsPerHost: 1, DisableCompression: true,
+		MaxResponseHeaderBytes: maxHeaderBytes, IdleConnTimeout: idleTimeout}
 	defer transport.CloseIdleConnections()
-	p := &peer{d: d, addr: addr, http: &http.Client{Transport: transport,
+	p := &peer{d: d, addr: addr, client: &http.Client{Transport: transport,
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
 	lost := false
 	for {
-		again, err := p.call(ctx)
+		again, err := p.poll(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			again = peerAgain
+			again = peerRetryInterval
 			d.mu.Lock()
 			d.store.PeerLost(addr)
 			d.mu.Unlock()
@@ -64,7 +64,7 @@
 }
 
 // call asks once, and returns when to ask again.
-func (p *peer) call(ctx context.Context) (again time.Duration, err error) {
+func (p *peer) poll(ctx context.Context) (again time.Duration, err error) {
 	d := p.d
 	d.mu.Lock()
 	starting := d.store.Starting()
@@ -73,7 +73,7 @@
 	if starting { // nothing new is an answer too
 		wait = 0
 	}
-	news, err := p.ask(ctx, wait)
+	news, err := p.request(ctx, wait)
 	if err != nil {
 		return 0, err
 	}
@@ -83,33 +83,33 @@
 				d.log.Error().Str("peer", p.addr).Str("service", r.Service).Err(err).Msg("settings not taken")
 			}
 		}
-		p.life, p.at = news.Life, news.At
+		p.incarnation, p.sequence = news.Incarnation, news.Sequence
 		if news.More {
 			return 0, nil
 		}
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.answer(d.store.PeerTold(p.addr, news != nil && news.Starting))
+	d.wakeWatches(d.store.PeerSynced(p.addr, news != nil && news.Starting))
 	if starting && !d.store.Starting() {
 		d.log.Info().Int("services", len(d.store.Services())).Msg("distributor has all settings")
 	}
 	if starting || news != nil && news.Starting {
-		return startAgain, nil
+		return startupPeerInterval, nil
 	}
-	return peerGap, nil
+	return peerInterval, nil
 }
 
 // ask makes one call; nil is nothing new.
-func (p *peer) ask(ctx context.Context, wait time.Duration) (*settingsstore.News, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+peerWithin)
+func (p *peer) request(ctx context.Context, wait time.Duration) (*settingsstore.Update, error) {
+	ctx, cancel := context.WithTimeout(ctx, wait+peerTimeout)
 	defer cancel()
-	q := settingsstore.PeerQuestion{Life: p.life, Since: p.at, Name: p.d.cfg.Name, Wait: settingsstore.Millis(wait.Milliseconds())}
+	q := settingsstore.PeerRequest{Incarnation: p.incarnation, Since: p.sequence, Name: p.d.cfg.Name, Wait: settingsstore.Millis(wait.Milliseconds())}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.addr+q.Target(), nil)
 	if err != nil {
 		return nil, fmt.Errorf("distributor: %w", err)
 	}
-	res, err := p.http.Do(req)
+	res, err := p.client.Do(req)
 	if err != nil {
 		return nil, fmt.Errorf("distributor: %w", err)
 	}
@@ -119,14 +119,14 @@
 		return nil, nil
 	case http.StatusOK:
 	default:
-		why, _ := io.ReadAll(io.LimitReader(res.Body, whyMost))
+		why, _ := io.ReadAll(io.LimitReader(res.Body, maxErrorBytes))
 		return nil, fmt.Errorf("distributor: is answered %s: %s", res.Status, why)
 	}
-	text, err := io.ReadAll(io.LimitReader(res.Body, settingsstore.NewsMost+1))
+	text, err := io.ReadAll(io.LimitReader(res.Body, settingsstore.MaxUpdateBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("distributor: the answer is cut off: %w", err)
 	}
-	news, err := settingsstore.ParseNews(text)
+	news, err := settingsstore.ParseUpdate(text)
 	if err == nil && news.Name == p.d.cfg.Name {
 		return nil, errors.New("distributor: it has this distributor's name, and editions are told apart by that")
 	}
--- a/internal/settingsserver/table.go
+++ b/internal/settingsserver/table.go
@@ -13,21 +13,21 @@
 
 // Exit statuses of a status.
 const (
-	AllInForce  = 0
-	NotAll      = 1
-	NobodyThere = 3
+	ExitAllInForce  = 0
+	ExitNotAll      = 1
+	ExitNoneReached = 3
 )
 
 // View is what several distributors say of a service.
 type View struct {
 	settingsstore.Status // together
-	Each                 []settingsstore.Status
-	Faults               []error // of those that did not answer
+	Statuses             []settingsstore.Status
+	Unreached            []error // of those that did not answer
 }
 
 // NewView puts statuses together, of which there may be none.
 func NewView(statuses []settingsstore.Status, faults []error) *View {
-	v := &View{Each: statuses, Faults: faults}
+	v := &View{Statuses: statuses, Unreached: faults}
 	if len(statuses) > 0 {
 		v.Status = settingsstore.MergeStatuses(statuses)
 	}
@@ -38,18 +38,18 @@
 // reached knows of sidecars may be that they have something else.
 func (v *View) Exit() int {
 	switch {
-	case len(v.Each) == 0:
-		return NobodyThere
-	case v.None() || len(v.Faults) > 0 || v.Count(settingsstore.InForce) != len(v.Sidecars):
-		return NotAll
+	case len(v.Statuses) == 0:
+		return ExitNoneReached
+	case v.None() || len(v.Unreached) > 0 || v.CountIn(settingsstore.InForce) != len(v.Sidecars):
+		return ExitNotAll
 	}
-	return AllInForce
+	return ExitAllInForce
 }
 
 // counts are how many sidecars stand so, of all states that there are.
 func (v *View) counts() (out []string) {
-	for _, state := range []string{settingsstore.InForce, settingsstore.Behind, settingsstore.Ahead, settingsstore.Refused, settingsstore.Silent} {
-		out = append(out, fmt.Sprintf("%d %s", v.Count(state), state))
+	for _, state := range []string{settingsstore.InForce, settingsstore.Behind, settingsstore.Ahead, settingsstore.Rejected, settingsstore.Unresponsive} {
+		out = append(out, fmt.Sprintf("%d %s", v.CountIn(state), state))
 	}
 	return out
 }
@@ -57,27 +57,27 @@
 // Table writes a view for people: how many sidecars stand so, and those that don't have the newest in force.
 func (v *View) Table(out io.Writer) error {
 	var b strings.Builder
-	for _, fault := range v.Faults {
-		fmt.Fprintf(&b, "not reached: %s\n", plain(fault.Error()))
+	for _, fault := range v.Unreached {
+		fmt.Fprintf(&b, "not reached: %s\n", printable(fault.Error()))
 	}
-	for _, s := range v.Each {
+	for _, s := range v.Statuses {
 		if s.Edition != v.Edition || s.Starting {
-			fmt.Fprintf(&b, "distributor %s (%s) has %s%s\n", plain(s.Distributor), plain(s.Region), plain(s.Edition.String()), map[bool]string{true: ", and is starting"}[s.Starting])
+			fmt.Fprintf(&b, "distributor %s (%s) has %s%s\n", printable(s.Distributor), printable(s.Region), printable(s.Edition.String()), map[bool]string{true: ", and is starting"}[s.Starting])
 		}
 	}
-	if len(v.Each) > 0 {
-		fmt.Fprintf(&b, "%s: edition %s, digest %016x; of %d sidecars %s\n", plain(v.Service), plain(v.Edition.String()), uint64(v.Digest),
+	if len(v.Statuses) > 0 {
+		fmt.Fprintf(&b, "%s: edition %s, digest %016x; of %d sidecars %s\n", printable(v.Service), printable(v.Edition.String()), uint64(v.Digest),
 			len(v.Sidecars), strings.Join(v.counts(), ", "))
 	}
 	if v.Overruled != nil {
 		fmt.Fprintf(&b, "overruled: edition %s, digest %016x, made apart from the newest; publish it again if it is to stand\n",
-			plain(v.Overruled.Edition.String()), uint64(v.Overruled.Digest))
+			printable(v.Overruled.Edition.String()), uint64(v.Overruled.Digest))
 	}
-	if wanting := v.Wanting(); len(wanting) > 0 {
+	if wanting := v.NotInForce(); len(wanting) > 0 {
 		t := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
 		fmt.Fprint(t, "\nsidecar\tstate\tin force\theard\twhy\n")
 		for _, c := range wanting {
-			fmt.Fprintf(t, "%s\t%s\t%s\t%v\t%s\n", plain(c.Name), c.State, plain(c.InForce.String()), c.Heard.D(), plain(c.Why))
+			fmt.Fprintf(t, "%s\t%s\t%s\t%v\t%s\n", printable(c.Name), c.State, printable(c.InForce.String()), c.LastRequestAgo.D(), printable(c.Reason))
 		}
 		_ = t.Flush() // into b, which takes all
 	}
@@ -96,7 +96,7 @@
 			return err
 		}
 	}
-	for _, s := range v.Each {
+	for _, s := range v.Statuses {
 		s.Sidecars, s.Settings = nil, nil
 		if err := e.Encode(struct {
 			Line        string `json:"line"`
@@ -109,7 +109,7 @@
 		}
 	}
 	unreached := []string{}
-	for _, fault := range v.Faults {
+	for _, fault := range v.Unreached {
 		unreached = append(unreached, fault.Error())
 	}
 	var overruled *version.Edition
@@ -129,12 +129,12 @@
 		Silent    int              `json:"silent"`
 		Overruled *version.Edition `json:"overruled,omitempty"`
 		Unreached []string         `json:"unreached"`
-	}{"summary", v.Service, v.Edition, v.Digest, len(v.Sidecars), v.Count(settingsstore.InForce), v.Count(settingsstore.Behind),
-		v.Count(settingsstore.Ahead), v.Count(settingsstore.Refused), v.Count(settingsstore.Silent), overruled, unreached})
+	}{"summary", v.Service, v.Edition, v.Digest, len(v.Sidecars), v.CountIn(settingsstore.InForce), v.CountIn(settingsstore.Behind),
+		v.CountIn(settingsstore.Ahead), v.CountIn(settingsstore.Rejected), v.CountIn(settingsstore.Unresponsive), overruled, unreached})
 }
 
 // plain is text from elsewhere, without what a terminal would act on.
-func plain(text string) string {
+func printable(text string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r == 0x7f || 0x80 <= r && r < 0xa0 {
 			return '?'
--- a/internal/settingsstore/follower_test.go
+++ b/internal/settingsstore/follower_test.go
@@ -92,28 +92,28 @@
 	for p.now < until {
 		decided := p.now
 		c := p.f.Next(p.now)
-		if c.At < p.begun+callGap {
-			p.t.Fatalf("a call at %s, after one at %s", c.At, p.begun)
+		if c.NotBefore < p.begun+minCallInterval {
+			p.t.Fatalf("a call at %s, after one at %s", c.NotBefore, p.begun)
 		}
-		if c.At > p.now+max(callGap, adviceMost) {
-			p.t.Fatalf("no call before %s, at %s", c.At, p.now)
+		if c.NotBefore > p.now+max(minCallInterval, maxRetryAfter) {
+			p.t.Fatalf("no call before %s, at %s", c.NotBefore, p.now)
 		}
 		for i := range p.avoided {
-			if p.avoided[c.To] > decided && p.avoided[i] <= decided {
-				p.t.Fatalf("%d is asked at %s and is to be avoided until %s; %d is not", c.To, decided, p.avoided[c.To], i)
+			if p.avoided[c.Distributor] > decided && p.avoided[i] <= decided {
+				p.t.Fatalf("%d is asked at %s and is to be avoided until %s; %d is not", c.Distributor, decided, p.avoided[c.Distributor], i)
 			}
 		}
-		p.now, p.begun = c.At, c.At
+		p.now, p.begun = c.NotBefore, c.NotBefore
 		p.calls++
-		p.f.Ask(p.now, c)
+		p.f.Sent(p.now, c)
 		p.one(c)
 	}
 }
 
 // one plays a call: a distributor is of the kind that it is at its beginning, unless it falls silent before the answer.
 func (p *play) one(c Call) {
-	k := p.kind(c.To, p.now)
-	seen, wait, end := c.Question.Newest().Epoch, c.Question.Wait, p.now+c.Within
+	k := p.kind(c.Distributor, p.now)
+	seen, wait, end := c.Request.NewestSeen().Epoch, c.Request.Wait, p.now+c.Timeout
 	if k == full {
 		wait = 0
 	}
@@ -124,7 +124,7 @@
 			break
 		}
 	}
-	if !k.bad() && p.kind(c.To, answer).bad() { // it dies before: the call hangs
+	if !k.bad() && p.kind(c.Distributor, answer).bad() { // it dies before: the call hangs
 		k = silent
 	}
 	took := sent
@@ -133,29 +133,29 @@
 	}
 	switch {
 	case k == dead:
-		p.f.Fail(p.now, 0)
-		p.avoided[c.To] = p.now + avoidFor
+		p.f.Failed(p.now, 0)
+		p.avoided[c.Distributor] = p.now + avoidDuration
 	case k == silent || k == slow:
 		p.now = end
-		if !p.f.Silent(p.now) {
+		if !p.f.TimedOut(p.now) {
 			p.t.Fatal("who was silent is not avoided")
 		}
-		p.avoided[c.To] = p.now + avoidFor
+		p.avoided[c.Distributor] = p.now + avoidDuration
 	case k == absurd || k == behind:
 		p.now += sent
 		p.odd(k, c)
-		p.avoided[c.To] = p.now + avoidFor
+		p.avoided[c.Distributor] = p.now + avoidDuration
 	case p.newest(answer) > seen:
 		p.now = answer + took
 		p.hear(edition(p.newest(answer), "d"))
-		p.avoided[c.To] = 0
+		p.avoided[c.Distributor] = 0
 	default:
-		p.now, p.avoided[c.To] = answer+took, 0
+		p.now, p.avoided[c.Distributor] = answer+took, 0
 		if k == full {
-			p.f.Quiet(p.now, time.Hour)
-			p.avoided[c.To] = p.now + adviceMost
+			p.f.ReceiveNothing(p.now, time.Hour)
+			p.avoided[c.Distributor] = p.now + maxRetryAfter
 		} else {
-			p.f.Quiet(p.now, 0)
+			p.f.ReceiveNothing(p.now, 0)
 		}
 	}
 }
@@ -165,15 +165,15 @@
 	was := p.f.InForce()
 	s := State{Service: "other", Edition: edition(1<<40, "z")}
 	if k == behind {
-		s = State{Service: asked, Edition: c.Question.Newest()}
+		s = State{Service: asked, Edition: c.Request.NewestSeen()}
 	}
-	var other OtherService
-	var older Older
-	err := p.f.Hear(p.now, s)
+	var other WrongServiceError
+	var older StaleError
+	err := p.f.ReceiveState(p.now, s)
 	if k == absurd && !errors.As(err, &other) || k == behind && !errors.As(err, &older) {
 		p.t.Fatalf("%+v: %v", s, err)
 	}
-	if next := p.f.Next(p.now); next.Question.Why != err.Error() || !next.Question.Refused.None() || p.f.InForce() != was {
+	if next := p.f.Next(p.now); next.Request.Reason != err.Error() || !next.Request.Rejected.None() || p.f.InForce() != was {
 		p.t.Fatalf("after %v: %+v, %s in force", err, next, p.f.InForce())
 	}
 }
@@ -181,10 +181,10 @@
 // hear has news be taken.
 func (p *play) hear(e version.Edition) {
 	was := p.f.InForce()
-	if err := p.f.Hear(p.now, State{Service: asked, Edition: e}); err != nil || e.Compare(was) <= 0 {
+	if err := p.f.ReceiveState(p.now, State{Service: asked, Edition: e}); err != nil || e.Compare(was) <= 0 {
 		p.t.Fatalf("%s after %s: %v", e, was, err)
 	}
-	p.f.Take(e)
+	p.f.Applied(e)
 	for uint64(len(p.told)) < e.Epoch {
 		p.told = append(p.told, p.now)
 	}
@@ -230,12 +230,12 @@
 		p.run(long)
 		for i, at := range changes {
 			// A call that a distributor was bad at the beginning of stays so.
-			bound := followWait + time.Duration(n)*followGrace
-			bad := p.bad(at-followWait-followGrace, at+bound)
+			bound := pollWait + time.Duration(n)*pollGrace
+			bad := p.bad(at-pollWait-pollGrace, at+bound)
 			if bad == n || at+bound > long {
 				continue
 			}
-			bound = followWait + time.Duration(bad)*followGrace + 2*(callGap+tardy)
+			bound = pollWait + time.Duration(bad)*pollGrace + 2*(minCallInterval+tardy)
 			if i >= len(p.told) || p.told[i] > at+bound {
 				t.Fatalf("edition %d of %s, %d of %d bad, in force at %v", i+1, at, bad, n, p.told)
 			}
@@ -256,7 +256,7 @@
 			}
 			p := newPlay(t, make([]kind, 5), turns, []time.Duration{falls + time.Millisecond})
 			p.run(long)
-			if took := p.told[0] - falls; took > most*time.Millisecond+callGap+10*sent {
+			if took := p.told[0] - falls; took > most*time.Millisecond+minCallInterval+10*sent {
 				t.Fatalf("%d of 5 silent: in force after %s", bad, took)
 			}
 		})
@@ -266,7 +266,7 @@
 		back := time.Duration(rapid.IntRange(0, 40_000).Draw(t, "back ms")) * time.Millisecond
 		p := newPlay(t, all, []turn{{back, rapid.IntRange(0, 4).Draw(t, "who"), good}}, []time.Duration{back})
 		p.run(long)
-		if took := p.told[0] - back; took > 5*followGrace+10*sent {
+		if took := p.told[0] - back; took > 5*pollGrace+10*sent {
 			t.Fatalf("all silent, one back: in force after %s", took)
 		}
 	})
@@ -277,7 +277,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPlay(t, make([]kind, 5), nil, nil)
 		p.run(time.Minute)
-		if most := int(time.Minute/(followWait*3/4)) + 2; p.calls > most {
+		if most := int(time.Minute/(pollWait*3/4)) + 2; p.calls > most {
 			t.Fatalf("%d calls in a minute without news, %d at most", p.calls, most)
 		}
 	})
@@ -291,37 +291,37 @@
 	now := time.Duration(0)
 	hear := func(s State) error {
 		c := f.Next(now)
-		now = c.At
-		f.Ask(now, c)
-		return f.Hear(now, s)
+		now = c.NotBefore
+		f.Sent(now, c)
+		return f.ReceiveState(now, s)
 	}
 	if err := hear(state(3)); err != nil {
 		t.Fatal(err)
 	}
-	f.Take(edition(3, "d"))
+	f.Applied(edition(3, "d"))
 	if err := hear(state(5)); err != nil {
 		t.Fatal(err)
 	}
-	f.Refuse(edition(5, "d"), errors.New("classes[0].aim is wrong"))
-	q := f.Next(now).Question
-	if q.Since != edition(3, "d") || q.Refused != edition(5, "d") || q.Why != "classes[0].aim is wrong" || q.Newest() != edition(5, "d") {
+	f.Rejected(edition(5, "d"), errors.New("classes[0].aim is wrong"))
+	q := f.Next(now).Request
+	if q.Since != edition(3, "d") || q.Rejected != edition(5, "d") || q.Reason != "classes[0].aim is wrong" || q.NewestSeen() != edition(5, "d") {
 		t.Errorf("asked with %+v", q)
 	}
 	for _, epoch := range []uint64{4, 5} {
-		if err := hear(state(epoch)); !errors.As(err, &Older{}) {
+		if err := hear(state(epoch)); !errors.As(err, &StaleError{}) {
 			t.Errorf("epoch %d after 5 was refused: %v", epoch, err)
 		}
 	}
-	f.Retry()
+	f.RetryRejected()
 	if err := hear(state(5)); err != nil {
 		t.Errorf("once more: %v", err)
 	}
-	f.Refuse(edition(5, "d"), errors.New("as before"))
+	f.Rejected(edition(5, "d"), errors.New("as before"))
 	if err := hear(state(6)); err != nil {
 		t.Errorf("a newer one: %v", err)
 	}
-	f.Take(edition(6, "d"))
-	if q := f.Next(now).Question; q.Since != edition(6, "d") || !q.Refused.None() || q.Why != "" {
+	f.Applied(edition(6, "d"))
+	if q := f.Next(now).Request; q.Since != edition(6, "d") || !q.Rejected.None() || q.Reason != "" {
 		t.Errorf("asked with %+v", q)
 	}
 }
@@ -330,20 +330,20 @@
 func TestFollowerWasStopped(t *testing.T) {
 	f := NewFollower(asked, "n", []string{"a", "b"}, rand.New(rand.NewPCG(1, 1)))
 	c := f.Next(0)
-	f.Ask(0, c)
-	f.Quiet(0, 0)
+	f.Sent(0, c)
+	f.ReceiveNothing(0, 0)
 	watch := f.Next(0)
-	f.Ask(watch.At, watch)
-	now := watch.At + time.Minute
-	if f.Silent(now) {
+	f.Sent(watch.NotBefore, watch)
+	now := watch.NotBefore + time.Minute
+	if f.TimedOut(now) {
 		t.Error("a distributor is avoided for a stop of this process")
 	}
 	again := f.Next(now)
-	if again.To != watch.To || again.At != now || again.Question.Wait != 0 {
+	if again.Distributor != watch.Distributor || again.NotBefore != now || again.Request.Wait != 0 {
 		t.Errorf("after a stop: %+v", again)
 	}
-	f.Ask(now, again)
-	if !f.Silent(now+time.Minute) || f.Next(now+time.Minute).To == watch.To {
+	f.Sent(now, again)
+	if !f.TimedOut(now+time.Minute) || f.Next(now+time.Minute).Distributor == watch.Distributor {
 		t.Error("who is silent again is not left")
 	}
 }
@@ -356,11 +356,11 @@
 	for i := range n {
 		f := NewFollower(asked, fmt.Sprintf("sidecar-%d", i), from, rand.New(rand.NewPCG(1, 1)))
 		c := f.Next(0)
-		first[c.To]++
-		f.Ask(0, c)
-		f.Fail(0, 0)
-		if c.To == 0 {
-			second[f.Next(0).To]++
+		first[c.Distributor]++
+		f.Sent(0, c)
+		f.Failed(0, 0)
+		if c.Distributor == 0 {
+			second[f.Next(0).Distributor]++
 		}
 	}
 	for i := range from {
--- a/internal/settingsstore/status.go
+++ b/internal/settingsstore/status.go
@@ -11,31 +11,31 @@
 
 // How a sidecar stands to the newest settings of its service.
 const (
-	InForce = "in force"
-	Behind  = "behind"  // it has older ones in force, and has not said anything of the newest
-	Ahead   = "ahead"   // it has newer ones in force, of a distributor that was not asked
-	Refused = "refused" // it has said why it does not take the newest
-	Silent  = "silent"  // it has not asked since its last question ended
+	InForce      = "in force"
+	Behind       = "behind"  // it has older ones in force, and has not said anything of the newest
+	Ahead        = "ahead"   // it has newer ones in force, of a distributor that was not asked
+	Rejected     = "refused" // it has said why it does not take the newest
+	Unresponsive = "silent"  // it has not asked since its last question ended
 )
 
 // Sidecar is what one has acknowledged.
 type Sidecar struct {
-	Name    string          `json:"name"`
-	State   string          `json:"state"`
-	InForce version.Edition `json:"in_force"`
-	Refused version.Edition `json:"refused,omitzero"`
-	Why     string          `json:"why,omitempty"`
-	Heard   Millis          `json:"heard_ms"` // ago it asked last
-	Silent  bool            `json:"-"`
+	Name           string          `json:"name"`
+	State          string          `json:"state"`
+	InForce        version.Edition `json:"in_force"`
+	Rejected       version.Edition `json:"refused,omitzero"`
+	Reason         string          `json:"why,omitempty"`
+	LastRequestAgo Millis          `json:"heard_ms"` // ago it asked last
+	Unresponsive   bool            `json:"-"`
 }
 
 // stand is how it stands to the newest settings.
-func (s *Sidecar) stand(newest version.Edition) string {
+func (s *Sidecar) standing(newest version.Edition) string {
 	switch c := s.InForce.Compare(newest); {
-	case s.Silent:
-		return Silent
-	case s.Refused.Compare(newest) >= 0 && !s.Refused.None():
-		return Refused
+	case s.Unresponsive:
+		return Unresponsive
+	case s.Rejected.Compare(newest) >= 0 && !s.Rejected.None():
+		return Rejected
 	case c < 0:
 		return Behind
 	case c > 0:
@@ -58,7 +58,7 @@
 	Starting    bool      `json:"starting"`
 	Service     string    `json:"service"`
 	Contents              // the newest; of the edition none where the service has never been published
-	Former      *Contents `json:"former,omitempty"`
+	Previous    *Contents `json:"former,omitempty"`
 	Overruled   *Contents `json:"overruled,omitempty"`
 	Sidecars    []Sidecar `json:"sidecars"`
 }
@@ -75,7 +75,7 @@
 func (s *Store) StatusOf(region, service string, now time.Duration) Status {
 	out := Status{Distributor: s.name, Region: region, Starting: s.starting, Service: service, Sidecars: s.Sidecars(now, service)}
 	if r := s.Record(service); r != nil {
-		out.Contents, out.Former, out.Overruled = *contents(&r.State), contents(r.Former), contents(r.Overruled)
+		out.Contents, out.Previous, out.Overruled = *contents(&r.State), contents(r.Previous), contents(r.Overruled)
 	}
 	return out
 }
@@ -90,8 +90,8 @@
 			out = s
 		}
 		for _, c := range s.Sidecars {
-			c.Silent = c.State == Silent
-			if known, ok := latest[c.Name]; !ok || c.Heard < known.Heard {
+			c.Unresponsive = c.State == Unresponsive
+			if known, ok := latest[c.Name]; !ok || c.LastRequestAgo < known.LastRequestAgo {
 				latest[c.Name] = c
 			}
 		}
@@ -104,14 +104,14 @@
 	out.Sidecars = nil
 	for _, name := range sortedNames(latest) {
 		c := latest[name]
-		c.State = c.stand(out.Edition)
+		c.State = c.standing(out.Edition)
 		out.Sidecars = append(out.Sidecars, c)
 	}
 	return out
 }
 
-// Count is how many sidecars stand so.
-func (s *Status) Count(state string) (n int) {
+// CountIn is how many sidecars stand so.
+func (s *Status) CountIn(state string) (n int) {
 	for _, c := range s.Sidecars {
 		if c.State == state {
 			n++
@@ -120,8 +120,8 @@
 	return n
 }
 
-// Wanting are the sidecars that have not the newest settings in force, those of one state together.
-func (s *Status) Wanting() []Sidecar {
+// NotInForce are the sidecars that have not the newest settings in force, those of one state together.
+func (s *Status) NotInForce() []Sidecar {
 	out := slices.DeleteFunc(slices.Clone(s.Sidecars), func(c Sidecar) bool { return c.State == InForce })
 	slices.SortStableFunc(out, func(a, b Sidecar) int { return cmp.Compare(a.State, b.State) })
 	return out
--- a/internal/settingsstore/store_test.go
+++ b/internal/settingsstore/store_test.go
@@ -45,14 +45,14 @@
 	r, err := w.stores[at].Next("s", []byte(contents))
 	if back {
 		r, err = w.stores[at].RollBack("s")
-		if held == nil || held.Former == nil {
-			if !errors.Is(err, ErrNoFormer) {
+		if held == nil || held.Previous == nil {
+			if !errors.Is(err, ErrNoPrevious) {
 				w.t.Fatalf("rolled back to nothing: %v", err)
 			}
 			return
 		}
-		if string(r.Settings) != string(held.Former.Settings) {
-			w.t.Fatalf("rolled back to %s, not %s", r.Settings, held.Former.Settings)
+		if string(r.Settings) != string(held.Previous.Settings) {
+			w.t.Fatalf("rolled back to %s, not %s", r.Settings, held.Previous.Settings)
 		}
 	}
 	if err != nil {
@@ -88,7 +88,7 @@
 }
 
 func (w *world) ask(reader, at int) {
-	text, id, err := w.stores[at].Ask(0, Question{Service: "s", Since: w.readers[reader]})
+	text, id, err := w.stores[at].Poll(0, Request{Service: "s", Since: w.readers[reader]})
 	if err != nil || id != 0 {
 		w.t.Fatalf("a question that doesn't wait: watch %d, %v", id, err)
 	}
@@ -169,7 +169,7 @@
 		first := w.stores[0].Record("s")
 		for i, store := range w.stores {
 			r := store.Record("s")
-			if r.Edition != won || !reflect.DeepEqual(r.State, w.made[won].record.State) || !reflect.DeepEqual(r.Former, w.made[won].record.Former) {
+			if r.Edition != won || !reflect.DeepEqual(r.State, w.made[won].record.State) || !reflect.DeepEqual(r.Previous, w.made[won].record.Previous) {
 				t.Fatalf("distributor %d holds %+v, %+v won", i, r, w.made[won].record)
 			}
 			if !r.Same(first) {
@@ -203,10 +203,10 @@
 		st := NewStore("d", "l", nil, true)
 		now, open := time.Duration(0), map[uint64]waiter{}
 		newest, history := map[string]State{}, map[string][]version.Edition{}
-		said := map[sidecarKey]Question{}
+		said := map[sidecarKey]Request{}
 		when := map[sidecarKey]time.Duration{}
 		end := func(id uint64) {
-			text, want := st.End(id), newest[open[id].service]
+			text, want := st.EndWatch(id), newest[open[id].service]
 			if want.Compare(open[id].seen) <= 0 {
 				if text != nil {
 					t.Fatalf("%+v is answered %s, there is nothing newer", open[id], text)
@@ -242,20 +242,20 @@
 					t.Fatalf("%v are told, want %v", told, want)
 				}
 			case 1, 2:
-				q := Question{Service: service, Name: fmt.Sprint("n", pick("name", 4)), Wait: time.Duration(pick("wait", 4)) * s}
+				q := Request{Service: service, Name: fmt.Sprint("n", pick("name", 4)), Wait: time.Duration(pick("wait", 4)) * s}
 				seen := append([]version.Edition{{}}, history[service]...)
 				q.Since = seen[pick("since", len(seen))]
 				if pick("refuses", 3) == 0 {
-					q.Refused, q.Why = seen[pick("refused", len(seen))], "why"
+					q.Rejected, q.Reason = seen[pick("refused", len(seen))], "why"
 				}
-				text, id, err := st.Ask(now, q)
+				text, id, err := st.Poll(now, q)
 				said[sidecarKey{service, q.Name}], when[sidecarKey{service, q.Name}] = q, now
-				news := newest[service].Edition.Compare(q.Since) > 0 && newest[service].Edition.Compare(q.Refused) > 0
+				news := newest[service].Edition.Compare(q.Since) > 0 && newest[service].Edition.Compare(q.Rejected) > 0
 				if err != nil || news != (text != nil) || (id != 0) != (!news && q.Wait > 0) {
 					t.Fatalf("%+v: %s, watch %d, %v; the newest is %s", q, text, id, err, newest[service].Edition)
 				}
 				if id != 0 {
-					open[id] = waiter{service, q.Newest()}
+					open[id] = waiter{service, q.NewestSeen()}
 				}
 			case 3:
 				for id := range open {
@@ -271,13 +271,13 @@
 				want := InForce
 				switch n := newest[service].Edition; {
 				case now > at+q.Wait+s:
-					want = Silent
-				case !n.None() && q.Refused == n:
-					want = Refused
+					want = Unresponsive
+				case !n.None() && q.Rejected == n:
+					want = Rejected
 				case q.Since != n:
 					want = Behind
 				}
-				if c.State != want || c.InForce != q.Since || c.Refused != q.Refused || c.Why != q.Why || c.Heard.D() != now-at {
+				if c.State != want || c.InForce != q.Since || c.Rejected != q.Rejected || c.Reason != q.Reason || c.LastRequestAgo.D() != now-at {
 					t.Fatalf("%+v, want %s of %+v at %s", c, want, q, at)
 				}
 			}
@@ -300,47 +300,47 @@
 // Guards against a store that grows without bound, and against one whose bound keeps its distributors' watches out.
 func TestStoreBounds(t *testing.T) {
 	st := NewStore("d", "l", nil, true)
-	for i := range SidecarsMost + 10 {
-		if _, _, err := st.Ask(time.Duration(i), Question{Service: "s", Name: fmt.Sprint("n", i)}); err != nil {
+	for i := range MaxSidecars + 10 {
+		if _, _, err := st.Poll(time.Duration(i), Request{Service: "s", Name: fmt.Sprint("n", i)}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if got := st.Sidecars(SidecarsMost+10, "s"); len(got) != SidecarsMost || slices.ContainsFunc(got, func(c Sidecar) bool { return c.Name == "n9" }) {
+	if got := st.Sidecars(MaxSidecars+10, "s"); len(got) != MaxSidecars || slices.ContainsFunc(got, func(c Sidecar) bool { return c.Name == "n9" }) {
 		t.Errorf("%d sidecars are known", len(got))
 	}
-	if got := st.Sidecars(SidecarsMost+10+forgetAfter, "s"); len(got) != 0 {
-		t.Errorf("%d sidecars are known after %s of silence", len(got), forgetAfter)
+	if got := st.Sidecars(MaxSidecars+10+sidecarTTL, "s"); len(got) != 0 {
+		t.Errorf("%d sidecars are known after %s of silence", len(got), sidecarTTL)
 	}
-	for i := range WatchesMost + 2 {
-		text, id, err := st.Ask(0, Question{Service: fmt.Sprint("s", i%3), Wait: s})
-		if text != nil || (id != 0) != (i < WatchesMost) || errors.Is(err, ErrFull) != (i >= WatchesMost) {
+	for i := range MaxWatches + 2 {
+		text, id, err := st.Poll(0, Request{Service: fmt.Sprint("s", i%3), Wait: s})
+		if text != nil || (id != 0) != (i < MaxWatches) || errors.Is(err, ErrTooManyWatches) != (i >= MaxWatches) {
 			t.Fatalf("watch %d: %d, %v", i, id, err)
 		}
 	}
-	for i := range PeersMost + 1 {
-		_, id, err := st.AskPeer(PeerQuestion{Life: "l", Name: "p", Wait: 1})
-		if (id != 0) != (i < PeersMost) || errors.Is(err, ErrFull) != (i >= PeersMost) {
+	for i := range MaxPeers + 1 {
+		_, id, err := st.PollPeer(PeerRequest{Incarnation: "l", Name: "p", Wait: 1})
+		if (id != 0) != (i < MaxPeers) || errors.Is(err, ErrTooManyWatches) != (i >= MaxPeers) {
 			t.Fatalf("distributor's watch %d: %d, %v", i, id, err)
 		}
 	}
-	for id := range uint64(WatchesMost) {
-		st.End(id + 1)
-		st.End(id + 1) // once more is nothing
+	for id := range uint64(MaxWatches) {
+		st.EndWatch(id + 1)
+		st.EndWatch(id + 1) // once more is nothing
 	}
-	for id := range uint64(PeersMost) {
-		st.EndPeer(WatchesMost + id + 1)
+	for id := range uint64(MaxPeers) {
+		st.EndPeerWatch(MaxWatches + id + 1)
 	}
-	if sidecars, peers := st.Watches(); sidecars != 0 || peers != 0 || len(st.watches) != 0 || len(st.waiting) != 0 {
-		t.Errorf("%d and %d watches are open in the end: %v, %v", sidecars, peers, st.watches, st.waiting)
+	if sidecars, peers := st.Watches(); sidecars != 0 || peers != 0 || len(st.watches) != 0 || len(st.watchesByService) != 0 {
+		t.Errorf("%d and %d watches are open in the end: %v, %v", sidecars, peers, st.watches, st.watchesByService)
 	}
-	for i := range ServicesMost {
+	for i := range MaxServices {
 		publish(t, st, fmt.Sprint("s", i), `{}`)
 	}
-	if _, err := st.Next("one-more", []byte(`{}`)); !errors.Is(err, ErrServices) {
+	if _, err := st.Next("one-more", []byte(`{}`)); !errors.Is(err, ErrTooManyServices) {
 		t.Errorf("one service more: %v", err)
 	}
 	other := NewStore("e", "m", nil, true)
-	if _, _, err := st.Merge(publish(t, other, "one-more", `{}`)); !errors.Is(err, ErrServices) || len(st.Services()) != ServicesMost {
+	if _, _, err := st.Merge(publish(t, other, "one-more", `{}`)); !errors.Is(err, ErrTooManyServices) || len(st.Services()) != MaxServices {
 		t.Errorf("one service more of another distributor: %v", err)
 	}
 	if _, err := st.Next("s0", []byte(`{}`)); err != nil {
@@ -351,21 +351,21 @@
 // Guards against news that leave a service out, tell it twice for nothing, or grow beyond a page.
 func TestNews(t *testing.T) {
 	from, to := NewStore("d", "l", nil, true), NewStore("e", "m", nil, true)
-	large := `{"a":"` + strings.Repeat("x", SettingsMost-8) + `"}`
+	large := `{"a":"` + strings.Repeat("x", MaxSettingsBytes-8) + `"}`
 	for round := range 3 {
 		for i := range 12 {
 			publish(t, from, fmt.Sprint("s", i), strings.Replace(large, "x", fmt.Sprint(round), 1))
 		}
 	}
-	q := PeerQuestion{Name: "e"}
+	q := PeerRequest{Name: "e"}
 	pages, records := 0, 0
 	for more := true; more; pages++ {
-		n, _, err := from.AskPeer(q)
+		n, _, err := from.PollPeer(q)
 		if err != nil || n == nil {
 			t.Fatalf("%+v: %v", n, err)
 		}
 		text := n.Encode()
-		again, err := ParseNews(text)
+		again, err := ParseUpdate(text)
 		if err != nil || !reflect.DeepEqual(again, n) {
 			t.Fatalf("%v: %d bytes", err, len(text))
 		}
@@ -374,33 +374,33 @@
 				t.Fatal(err)
 			}
 		}
-		more, records, q.Life, q.Since = n.More, records+len(n.Records), n.Life, n.At
+		more, records, q.Incarnation, q.Since = n.More, records+len(n.Records), n.Incarnation, n.Sequence
 	}
 	if records != 12 || pages < 2 || len(to.Services()) != 12 {
 		t.Errorf("%d records in %d pages, %d services", records, pages, len(to.Services()))
 	}
 	for _, name := range from.Services() {
-		if !from.Record(name).Same(to.Record(name)) || to.Record(name).Former == nil {
+		if !from.Record(name).Same(to.Record(name)) || to.Record(name).Previous == nil {
 			t.Errorf("%s differs", name)
 		}
 	}
-	if n, id, err := from.AskPeer(q); n != nil || id != 0 || err != nil {
+	if n, id, err := from.PollPeer(q); n != nil || id != 0 || err != nil {
 		t.Errorf("nothing has changed: %+v, %d, %v", n, id, err)
 	}
 	q.Wait = 1000
-	_, id, _ := from.AskPeer(q)
+	_, id, _ := from.PollPeer(q)
 	r, _ := from.Next("s3", []byte(`{}`))
 	if _, told, _ := from.Merge(r); !slices.Equal(told, []uint64{id}) {
 		t.Errorf("%v are told, want %d", told, id)
 	}
-	if n := from.EndPeer(id); n == nil || len(n.Records) != 1 || n.Records[0].Edition != r.Edition {
+	if n := from.EndPeerWatch(id); n == nil || len(n.Records) != 1 || n.Records[0].Edition != r.Edition {
 		t.Errorf("%+v", n)
 	}
 	if keep, told, err := from.Merge(r); keep != nil || told != nil || err != nil {
 		t.Errorf("the same once more: %+v, %v, %v", keep, told, err)
 	}
-	q.Life = "former" // it has restarted
-	if n, _, _ := from.AskPeer(q); n == nil || len(n.Records) == 0 {
+	q.Incarnation = "former" // it has restarted
+	if n, _, _ := from.PollPeer(q); n == nil || len(n.Records) == 0 {
 		t.Errorf("another life: %+v", n)
 	}
 }
@@ -412,8 +412,8 @@
 	refuses := func(st *Store) bool {
 		_, publish := st.Next("s", []byte(`{}`))
 		_, back := st.RollBack("s")
-		_, _, ask := st.Ask(0, Question{Service: "s", Wait: s})
-		n, _, _ := st.AskPeer(PeerQuestion{Life: "l", Name: "e", Wait: 1})
+		_, _, ask := st.Poll(0, Request{Service: "s", Wait: s})
+		n, _, _ := st.PollPeer(PeerRequest{Incarnation: "l", Name: "e", Wait: 1})
 		all := errors.Is(publish, ErrStarting) && errors.Is(back, ErrStarting) && errors.Is(ask, ErrStarting) && n != nil && n.Starting
 		if all != st.Starting() {
 			t.Errorf("starting %v: %v, %v, %v, %+v", st.Starting(), publish, back, ask, n)
@@ -421,18 +421,18 @@
 		return all
 	}
 	st := begin()
-	st.PeerTold("p1", true)
+	st.PeerSynced("p1", true)
 	if st.PeerLost("p1"); !refuses(st) {
 		t.Error("one is starting and lost")
 	}
-	if st.PeerTold("p2", true); !refuses(st) {
+	if st.PeerSynced("p2", true); !refuses(st) {
 		t.Error("one is lost, the other one is starting")
 	}
-	if st.PeerTold("p1", true); refuses(st) {
+	if st.PeerSynced("p1", true); refuses(st) {
 		t.Error("all are starting, and nobody begins")
 	}
 	st = begin()
-	if st.PeerTold("p2", false); refuses(st) {
+	if st.PeerSynced("p2", false); refuses(st) {
 		t.Error("one has told all")
 	}
 	if refuses(NewStore("d", "l", nil, false)) {
@@ -447,20 +447,20 @@
 // that uses up all epochs.
 func TestEpochsFollowSidecars(t *testing.T) {
 	st := NewStore("d", "l", nil, true)
-	_, _, _ = st.Ask(0, Question{Service: "s", Name: "a", Since: edition(7, "gone")})
-	_, _, _ = st.Ask(0, Question{Service: "s", Name: "b", Since: edition(version.EpochMost, "gone")})
-	_, _, _ = st.Ask(0, Question{Service: "t", Name: "c", Since: edition(70, "gone")})
+	_, _, _ = st.Poll(0, Request{Service: "s", Name: "a", Since: edition(7, "gone")})
+	_, _, _ = st.Poll(0, Request{Service: "s", Name: "b", Since: edition(version.EpochMost, "gone")})
+	_, _, _ = st.Poll(0, Request{Service: "t", Name: "c", Since: edition(70, "gone")})
 	if r := publish(t, st, "s", `{}`); r.Epoch != 8 {
 		t.Errorf("published under epoch %d", r.Epoch)
 	}
-	if got := st.StatusOf("r", "s", 0); got.Count(Behind) != 1 || got.Count(Ahead) != 1 {
+	if got := st.StatusOf("r", "s", 0); got.CountIn(Behind) != 1 || got.CountIn(Ahead) != 1 {
 		t.Errorf("%+v", got.Sidecars)
 	}
 	top := &Record{State: NewState("u", edition(version.EpochMost, "x"), []byte(`{}`))}
 	if _, _, err := st.Merge(top); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := st.Next("u", []byte(`{}`)); !errors.Is(err, ErrEpochs) {
+	if _, err := st.Next("u", []byte(`{}`)); !errors.Is(err, ErrEpochsExhausted) {
 		t.Errorf("after the last epoch: %v", err)
 	}
 }
@@ -468,10 +468,10 @@
 // Guards against a record that names distributors without end, or forgets the wrong ones.
 func TestIncludesBound(t *testing.T) {
 	var r *Record
-	for i := range 3 * includesMost {
-		r = r.next(NewState("s", edition(uint64(i+1), fmt.Sprint("d", i)), []byte(`{}`)))
+	for i := range 3 * maxIncludes {
+		r = r.successor(NewState("s", edition(uint64(i+1), fmt.Sprint("d", i)), []byte(`{}`)))
 	}
-	if len(r.Includes) != includesMost || !r.includes(r.Edition) || !r.includes(edition(r.Epoch-includesMost+1, fmt.Sprint("d", r.Epoch-includesMost))) {
+	if len(r.Includes) != maxIncludes || !r.includes(r.Edition) || !r.includes(edition(r.Epoch-maxIncludes+1, fmt.Sprint("d", r.Epoch-maxIncludes))) {
 		t.Errorf("%v", r.Includes)
 	}
 	if again, err := ParseRecord(EncodeRecord(r)); err != nil || !reflect.DeepEqual(again, r) {
@@ -484,22 +484,22 @@
 	contents := func(epoch uint64) Contents { return Contents{Edition: edition(epoch, "d")} }
 	got := MergeStatuses([]Status{
 		{Distributor: "a", Contents: contents(6), Sidecars: []Sidecar{
-			{Name: "x", State: Silent, InForce: edition(5, "d"), Heard: 60000}, {Name: "y", State: Ahead, InForce: edition(7, "d"), Heard: 10},
-			{Name: "z", State: InForce, InForce: edition(6, "d"), Heard: 5}}},
+			{Name: "x", State: Unresponsive, InForce: edition(5, "d"), LastRequestAgo: 60000}, {Name: "y", State: Ahead, InForce: edition(7, "d"), LastRequestAgo: 10},
+			{Name: "z", State: InForce, InForce: edition(6, "d"), LastRequestAgo: 5}}},
 		{Distributor: "b", Contents: contents(7), Sidecars: []Sidecar{
-			{Name: "w", State: Refused, InForce: edition(6, "d"), Refused: edition(7, "d"), Why: "aim", Heard: 9},
-			{Name: "x", State: InForce, InForce: edition(7, "d"), Heard: 100}, {Name: "z", State: Silent, InForce: edition(5, "d"), Heard: 9000}}},
+			{Name: "w", State: Rejected, InForce: edition(6, "d"), Rejected: edition(7, "d"), Reason: "aim", LastRequestAgo: 9},
+			{Name: "x", State: InForce, InForce: edition(7, "d"), LastRequestAgo: 100}, {Name: "z", State: Unresponsive, InForce: edition(5, "d"), LastRequestAgo: 9000}}},
 		{Distributor: "c", Contents: Contents{Edition: edition(7, "d")}, Overruled: &Contents{Edition: edition(4, "e")}},
 	})
 	states := map[string]string{}
 	for _, c := range got.Sidecars {
 		states[c.Name] = c.State
 	}
-	want := map[string]string{"w": Refused, "x": InForce, "y": InForce, "z": Behind}
+	want := map[string]string{"w": Rejected, "x": InForce, "y": InForce, "z": Behind}
 	if !reflect.DeepEqual(states, want) || got.Edition != edition(7, "d") || got.Overruled == nil {
 		t.Errorf("%+v", got)
 	}
-	if w := got.Wanting(); len(w) != 2 || w[0].Name != "z" || w[1].Name != "w" || got.Count(InForce) != 2 {
+	if w := got.NotInForce(); len(w) != 2 || w[0].Name != "z" || w[1].Name != "w" || got.CountIn(InForce) != 2 {
 		t.Errorf("wanting %+v", w)
 	}
 }
@@ -512,14 +512,14 @@
 		_, _, _ = st.Merge(r)
 		f.Add(EncodeRecord(r))
 	}
-	n, _, _ := st.AskPeer(PeerQuestion{})
+	n, _, _ := st.PollPeer(PeerRequest{})
 	f.Add(n.Encode())
 	f.Add([]byte(`{"name":"d","life":"l","records":[null,{"newest":null,"includes":{"":0}}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		n, err := ParseNews(text)
+		n, err := ParseUpdate(text)
 		if err != nil {
 			keyOf(t, err)
-		} else if again, err := ParseNews(n.Encode()); err != nil || !reflect.DeepEqual(again.Records, n.Records) {
+		} else if again, err := ParseUpdate(n.Encode()); err != nil || !reflect.DeepEqual(again.Records, n.Records) {
 			t.Errorf("%+v, %v, want %+v", again, err, n)
 		}
 		r, err := ParseRecord(text)
--- a/internal/settingsstore/wire.go
+++ b/internal/settingsstore/wire.go
@@ -21,22 +21,22 @@
 
 // Bounds on what passes between the roles, in bytes but for the wait. They are the same at all of them.
 const (
-	SettingsMost = 64 << 10                // a service's settings, as JSON
-	headMost     = 1 << 10                 // what stands beside them in a state
-	StateMost    = SettingsMost + headMost // a state as Encode writes it
-	NameMost     = 256                     // a sidecar's name
-	ByMost       = 64                      // a service's name, and a distributor's
-	WhyMost      = 256                     // why settings were refused
-	WaitMost     = 30 * time.Second        // that a question may wait for news
+	MaxSettingsBytes    = 64 << 10                            // a service's settings, as JSON
+	maxEnvelopeBytes    = 1 << 10                             // what stands beside them in a state
+	MaxStateBytes       = MaxSettingsBytes + maxEnvelopeBytes // a state as Encode writes it
+	MaxSidecarNameBytes = 256                                 // a sidecar's name
+	MaxNameBytes        = 64                                  // a service's name, and a distributor's
+	MaxReasonBytes      = 256                                 // why settings were refused
+	MaxWait             = 30 * time.Second                    // that a question may wait for news
 )
 
 // Path is where services' settings are asked for; the service's name follows it.
 const Path = "/settings/"
 
-// FaultyKey is a message that can't be: Key as its JSON or its query has it.
-type FaultyKey struct{ Key, Why string }
+// KeyError is a message that can't be: Key as its JSON or its query has it.
+type KeyError struct{ Key, Reason string }
 
-func (e FaultyKey) Error() string { return fmt.Sprintf("distribute: %s %s", e.Key, e.Why) }
+func (e KeyError) Error() string { return fmt.Sprintf("distribute: %s %s", e.Key, e.Reason) }
 
 // State is what a service's settings are under one edition.
 type State struct {
@@ -66,16 +66,16 @@
 
 // Encode writes a state that Check finds no fault with: the answer to a question. Settings stand in it byte for byte.
 func Encode(s State) []byte {
-	text := make([]byte, 0, len(s.Settings)+headMost)
+	text := make([]byte, 0, len(s.Settings)+maxEnvelopeBytes)
 	text = fmt.Appendf(text, `{"service":%q,"epoch":%d,"by":%q,"digest":"%016x","settings":`, s.Service, s.Epoch, s.By, uint64(s.Digest))
 	return append(append(text, s.Settings...), '}')
 }
 
 // Parse reads a state, strictly: unknown keys are faults, as are contents that are not those of the digest. Errors are of type
-// FaultyKey and name the key; that of a text that is no single JSON object is "JSON".
+// KeyError and name the key; that of a text that is no single JSON object is "JSON".
 func Parse(text []byte) (State, error) {
 	var w wireState
-	if err := decode(text, StateMost, &w); err != nil {
+	if err := decodeStrict(text, MaxStateBytes, &w); err != nil {
 		return State{}, err
 	}
 	return w.state()
@@ -84,7 +84,7 @@
 func (w *wireState) state() (State, error) {
 	s := State{Service: w.Service, Edition: w.Edition, Settings: w.Settings}
 	if err := s.Digest.UnmarshalText([]byte(w.Digest)); err != nil {
-		return State{}, FaultyKey{"digest", "must have 16 hexadecimal digits"}
+		return State{}, KeyError{"digest", "must have 16 hexadecimal digits"}
 	}
 	if err := s.Check(); err != nil {
 		return State{}, err
@@ -92,7 +92,7 @@
 	return s, nil
 }
 
-// Check returns a FaultyKey for what can be no state, or nil.
+// Check returns a KeyError for what can be no state, or nil.
 func (s *State) Check() error {
 	if err := CheckName("service", s.Service); err != nil {
 		return err
@@ -101,101 +101,101 @@
 		return err
 	}
 	if s.None() {
-		return FaultyKey{"epoch", "is missing"}
+		return KeyError{"epoch", "is missing"}
 	}
 	if err := CheckSettings(s.Settings); err != nil {
 		return err
 	}
 	if got := DigestOf(s.Settings); got != s.Digest {
-		return FaultyKey{"digest", fmt.Sprintf("is %016x, that of the settings is %016x: they were changed on their way", uint64(s.Digest), uint64(got))}
+		return KeyError{"digest", fmt.Sprintf("is %016x, that of the settings is %016x: they were changed on their way", uint64(s.Digest), uint64(got))}
 	}
 	return nil
 }
 
-// CheckSettings returns a FaultyKey for what can be nobody's settings, whatever they say.
+// CheckSettings returns a KeyError for what can be nobody's settings, whatever they say.
 func CheckSettings(settings []byte) error {
 	switch {
-	case len(settings) > SettingsMost:
-		return FaultyKey{"settings", fmt.Sprintf("has %d bytes, %d at most", len(settings), SettingsMost)}
+	case len(settings) > MaxSettingsBytes:
+		return KeyError{"settings", fmt.Sprintf("has %d bytes, %d at most", len(settings), MaxSettingsBytes)}
 	case len(settings) == 0 || settings[0] != '{' || !json.Valid(settings):
-		return FaultyKey{"settings", "must be a JSON object"}
+		return KeyError{"settings", "must be a JSON object"}
 	}
 	return nil
 }
 
-// CheckName returns a FaultyKey for what can be no name of a service or a distributor: 1 to 64 of letters, digits, '.', '_' and
+// CheckName returns a KeyError for what can be no name of a service or a distributor: 1 to 64 of letters, digits, '.', '_' and
 // '-', of which the first is a letter or a digit.
 func CheckName(key, name string) error {
-	if len(name) < 1 || len(name) > ByMost {
-		return FaultyKey{key, fmt.Sprintf("must have 1 to %d bytes", ByMost)}
+	if len(name) < 1 || len(name) > MaxNameBytes {
+		return KeyError{key, fmt.Sprintf("must have 1 to %d bytes", MaxNameBytes)}
 	}
 	for i, c := range []byte(name) {
 		plain := 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9'
 		if !plain && (i == 0 || !strings.ContainsRune("._-", rune(c))) {
-			return FaultyKey{key, "must be of letters, digits, '.', '_' and '-', and begin with one of the first two"}
+			return KeyError{key, "must be of letters, digits, '.', '_' and '-', and begin with one of the first two"}
 		}
 	}
 	return nil
 }
 
-// checkEdition returns a FaultyKey for what can be no edition; none is one.
+// checkEdition returns a KeyError for what can be no edition; none is one.
 func checkEdition(epoch, by string, e version.Edition) error {
 	switch {
 	case e.None():
 		return nil
 	case e.Epoch < 1 || e.Epoch > version.EpochMost:
-		return FaultyKey{epoch, fmt.Sprintf("must be from 1 to %d", uint64(version.EpochMost))}
+		return KeyError{epoch, fmt.Sprintf("must be from 1 to %d", uint64(version.EpochMost))}
 	}
 	return CheckName(by, e.By)
 }
 
 // decode reads one JSON object of so many bytes at most.
-func decode(text []byte, most int, v any) error {
+func decodeStrict(text []byte, most int, v any) error {
 	if len(text) > most {
-		return FaultyKey{"JSON", fmt.Sprintf("has %d bytes, %d at most", len(text), most)}
+		return KeyError{"JSON", fmt.Sprintf("has %d bytes, %d at most", len(text), most)}
 	}
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(v); err != nil {
 		var kind *json.UnmarshalTypeError
 		if errors.As(err, &kind) && kind.Field != "" {
-			return FaultyKey{strings.ReplaceAll(kind.Field, "Edition.", ""), "is no " + kind.Type.String()}
+			return KeyError{strings.ReplaceAll(kind.Field, "Edition.", ""), "is no " + kind.Type.String()}
 		}
 		if quoted, ok := strings.CutPrefix(err.Error(), "json: unknown field "); ok {
 			if key, err := strconv.Unquote(quoted); err == nil && key != "" {
-				return FaultyKey{key, "is not known"}
+				return KeyError{key, "is not known"}
 			}
 		}
-		return FaultyKey{"JSON", err.Error()}
+		return KeyError{"JSON", err.Error()}
 	}
 	if _, err := d.Token(); err != io.EOF {
-		return FaultyKey{"JSON", "goes on after its end"}
+		return KeyError{"JSON", "goes on after its end"}
 	}
 	return nil
 }
 
-// Question is what a sidecar asks a distributor: for the settings of a service that are newer than what it has in force and what
+// Request is what a sidecar asks a distributor: for the settings of a service that are newer than what it has in force and what
 // it has refused. It acknowledges both. The answer is a state as Encode writes it, with status 200; or nothing, with status 204,
 // where there was nothing newer after Wait.
-type Question struct {
-	Service string
-	Since   version.Edition // in force; none: settings that no distributor gave
-	Refused version.Edition // the newest that was not taken; none where a newer one is in force
-	Why     string          // it was not taken; without one, why the last answer could not be used. Target cuts it to WhyMost bytes
-	Wait    time.Duration   // for news, in whole milliseconds; 0: the answer is to come at once
-	Name    string          // of the sidecar; "": whoever asks is not to be remembered
+type Request struct {
+	Service  string
+	Since    version.Edition // in force; none: settings that no distributor gave
+	Rejected version.Edition // the newest that was not taken; none where a newer one is in force
+	Reason   string          // it was not taken; without one, why the last answer could not be used. Target cuts it to MaxReasonBytes bytes
+	Wait     time.Duration   // for news, in whole milliseconds; 0: the answer is to come at once
+	Name     string          // of the sidecar; "": whoever asks is not to be remembered
 }
 
-// Newest is the newest edition that whoever asks has seen: only newer ones are news.
-func (q *Question) Newest() version.Edition {
-	if q.Refused.Compare(q.Since) > 0 {
-		return q.Refused
+// NewestSeen is the newest edition that whoever asks has seen: only newer ones are news.
+func (q *Request) NewestSeen() version.Edition {
+	if q.Rejected.Compare(q.Since) > 0 {
+		return q.Rejected
 	}
 	return q.Since
 }
 
 // Target is the question as the target of a GET request.
-func (q *Question) Target() string {
+func (q *Request) Target() string {
 	v := url.Values{"since": {strconv.FormatUint(q.Since.Epoch, 10)}, "timeout_ms": {strconv.FormatInt(q.Wait.Milliseconds(), 10)}}
 	if !q.Since.None() {
 		v.Set("by", q.Since.By)
@@ -203,18 +203,18 @@
 	if q.Name != "" {
 		v.Set("name", q.Name)
 	}
-	if !q.Refused.None() {
-		v.Set("refused", strconv.FormatUint(q.Refused.Epoch, 10))
-		v.Set("refused_by", q.Refused.By)
+	if !q.Rejected.None() {
+		v.Set("refused", strconv.FormatUint(q.Rejected.Epoch, 10))
+		v.Set("refused_by", q.Rejected.By)
 	}
-	if q.Why != "" {
-		v.Set("why", cut(q.Why, WhyMost))
+	if q.Reason != "" {
+		v.Set("why", truncate(q.Reason, MaxReasonBytes))
 	}
 	return Path + url.PathEscape(q.Service) + "?" + v.Encode()
 }
 
 // cut is the beginning of a text, of whole runes that fit.
-func cut(text string, most int) string {
+func truncate(text string, most int) string {
 	text = strings.ToValidUTF8(text, "?")
 	for len(text) > most {
 		_, size := utf8.DecodeLastRuneInString(text)
@@ -223,72 +223,72 @@
 	return text
 }
 
-// ParseQuestion reads a question, strictly. Errors are of type FaultyKey and name the key.
-func ParseQuestion(u *url.URL) (Question, error) {
+// ParseRequest reads a question, strictly. Errors are of type KeyError and name the key.
+func ParseRequest(u *url.URL) (Request, error) {
 	service, ok := strings.CutPrefix(u.Path, Path)
 	if !ok {
-		return Question{}, FaultyKey{"path", "must begin with " + Path}
+		return Request{}, KeyError{"path", "must begin with " + Path}
 	}
 	if err := CheckName("service", service); err != nil {
-		return Question{}, err
+		return Request{}, err
 	}
-	q := Question{Service: service}
+	q := Request{Service: service}
 	f, err := parseFields(u.RawQuery, "since", "by", "refused", "refused_by", "why", "timeout_ms", "name")
 	if err != nil {
-		return Question{}, err
+		return Request{}, err
 	}
 	if q.Since, err = f.edition("since", "by"); err != nil {
-		return Question{}, err
+		return Request{}, err
 	}
-	if q.Refused, err = f.edition("refused", "refused_by"); err != nil {
-		return Question{}, err
+	if q.Rejected, err = f.edition("refused", "refused_by"); err != nil {
+		return Request{}, err
 	}
 	if q.Wait, err = f.wait("timeout_ms"); err != nil {
-		return Question{}, err
+		return Request{}, err
 	}
-	if q.Name, err = f.text("name", NameMost); err != nil {
-		return Question{}, err
+	if q.Name, err = f.text("name", MaxSidecarNameBytes); err != nil {
+		return Request{}, err
 	}
-	if q.Why, err = f.text("why", WhyMost); err != nil {
-		return Question{}, err
+	if q.Reason, err = f.text("why", MaxReasonBytes); err != nil {
+		return Request{}, err
 	}
 	return q, nil
 }
 
 // fields are a query's, each once.
-type fields map[string]string
+type queryFields map[string]string
 
-func parseFields(query string, known ...string) (fields, error) {
+func parseFields(query string, known ...string) (queryFields, error) {
 	v, err := url.ParseQuery(query)
 	if err != nil {
-		return nil, FaultyKey{"query", "is malformed: " + err.Error()}
+		return nil, KeyError{"query", "is malformed: " + err.Error()}
 	}
-	f := fields{}
+	f := queryFields{}
 	for _, key := range known {
 		if len(v[key]) > 1 {
-			return nil, FaultyKey{key, "stands more than once"}
+			return nil, KeyError{key, "stands more than once"}
 		}
 		f[key] = v.Get(key)
 		delete(v, key)
 	}
 	for key := range v {
-		return nil, FaultyKey{strconv.Quote(cut(key, ByMost)), "is not known"}
+		return nil, KeyError{strconv.Quote(truncate(key, MaxNameBytes)), "is not known"}
 	}
 	return f, nil
 }
 
-func (f fields) number(key string) (uint64, error) {
+func (f queryFields) number(key string) (uint64, error) {
 	if f[key] == "" {
 		return 0, nil
 	}
 	n, err := strconv.ParseUint(f[key], 10, 64)
 	if err != nil {
-		return 0, FaultyKey{key, "must be a whole number from 0 on"}
+		return 0, KeyError{key, "must be a whole number from 0 on"}
 	}
 	return n, nil
 }
 
-func (f fields) edition(epoch, by string) (version.Edition, error) {
+func (f queryFields) edition(epoch, by string) (version.Edition, error) {
 	n, err := f.number(epoch)
 	if err != nil {
 		return version.Edition{}, err
@@ -297,17 +297,17 @@
 	return e, checkEdition(epoch, by, e)
 }
 
-func (f fields) wait(key string) (time.Duration, error) {
+func (f queryFields) wait(key string) (time.Duration, error) {
 	n, err := f.number(key)
-	if most := uint64(WaitMost.Milliseconds()); err == nil && n > most {
-		err = FaultyKey{key, fmt.Sprintf("must be from 0 to %d", most)}
+	if most := uint64(MaxWait.Milliseconds()); err == nil && n > most {
+		err = KeyError{key, fmt.Sprintf("must be from 0 to %d", most)}
 	}
 	return time.Duration(n) * time.Millisecond, err
 }
 
-func (f fields) text(key string, most int) (string, error) {
+func (f queryFields) text(key string, most int) (string, error) {
 	if len(f[key]) > most || !utf8.ValidString(f[key]) {
-		return "", FaultyKey{key, fmt.Sprintf("must be text of %d bytes at most", most)}
+		return "", KeyError{key, fmt.Sprintf("must be text of %d bytes at most", most)}
 	}
 	return f[key], nil
 }
--- a/internal/settingsstore/wire_test.go
+++ b/internal/settingsstore/wire_test.go
@@ -17,7 +17,7 @@
 
 func keyOf(t *testing.T, err error) string {
 	t.Helper()
-	var faulty FaultyKey
+	var faulty KeyError
 	if !errors.As(err, &faulty) || faulty.Key == "" {
 		t.Fatalf("error %v names no key", err)
 	}
@@ -38,9 +38,9 @@
 			t.Fatalf("taken, cut to %d of %d bytes", n, len(text))
 		}
 	}
-	large := Encode(NewState("s", edition(1, "d"), json.RawMessage(`{"a":"`+strings.Repeat("x", SettingsMost)+`"}`)))
-	most := json.RawMessage(`{"a":"` + strings.Repeat("x", SettingsMost-8) + `"}`)
-	name := strings.Repeat("n", ByMost)
+	large := Encode(NewState("s", edition(1, "d"), json.RawMessage(`{"a":"`+strings.Repeat("x", MaxSettingsBytes)+`"}`)))
+	most := json.RawMessage(`{"a":"` + strings.Repeat("x", MaxSettingsBytes-8) + `"}`)
+	name := strings.Repeat("n", MaxNameBytes)
 	if _, err := Parse(Encode(NewState(name, edition(version.EpochMost, name), most))); err != nil {
 		t.Errorf("the largest: %v", err)
 	}
@@ -57,7 +57,7 @@
 		{`{}`, "service"}, {`{"service":"s","epoch":1,"by":"d","settings":{}}`, "digest"},
 		{string(large), "settings"},
 		{`{"service":"s","epoch":1,"by":"d","digest":"0000000000000001","settings":[]}`, "settings"},
-		{strings.Repeat(" ", StateMost) + string(text), "JSON"},
+		{strings.Repeat(" ", MaxStateBytes) + string(text), "JSON"},
 	} {
 		_, err := Parse([]byte(c.text))
 		if key := keyOf(t, err); key != c.key {
@@ -68,26 +68,26 @@
 
 // Guards against a question that is understood as another one.
 func TestQuestions(t *testing.T) {
-	long := strings.Repeat("é", WhyMost)
-	for _, q := range []Question{
+	long := strings.Repeat("é", MaxReasonBytes)
+	for _, q := range []Request{
 		{Service: "s"},
 		{Service: "s", Since: edition(3, "d1"), Wait: 2 * time.Second, Name: "a b&c=d/é"},
-		{Service: "s-2", Since: edition(3, "d1"), Refused: edition(4, "d0"), Why: "settings.aim is wrong & \x00", Name: "x"},
-		{Service: "s", Since: edition(3, "d1"), Why: "settings of t were told"},
-		{Service: "s", Refused: edition(version.EpochMost, "d0"), Wait: WaitMost},
+		{Service: "s-2", Since: edition(3, "d1"), Rejected: edition(4, "d0"), Reason: "settings.aim is wrong & \x00", Name: "x"},
+		{Service: "s", Since: edition(3, "d1"), Reason: "settings of t were told"},
+		{Service: "s", Rejected: edition(version.EpochMost, "d0"), Wait: MaxWait},
 	} {
 		u, err := url.ParseRequestURI(q.Target())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := ParseQuestion(u); err != nil || got != q {
+		if got, err := ParseRequest(u); err != nil || got != q {
 			t.Errorf("%s: %+v, %v, want %+v", u, got, err, q)
 		}
 	}
-	q := Question{Service: "s", Refused: edition(1, "d"), Why: long + "\xff"}
+	q := Request{Service: "s", Rejected: edition(1, "d"), Reason: long + "\xff"}
 	u, _ := url.ParseRequestURI(q.Target())
-	if got, err := ParseQuestion(u); err != nil || got.Why != long[:WhyMost] {
-		t.Errorf("a long reason: %q, %v", got.Why, err)
+	if got, err := ParseRequest(u); err != nil || got.Reason != long[:MaxReasonBytes] {
+		t.Errorf("a long reason: %q, %v", got.Reason, err)
 	}
 	for _, c := range []struct{ target, key string }{
 		{"/list", "path"}, {"/settings/", "service"}, {"/settings/a/b", "service"}, {"/settings/.a", "service"},
@@ -95,13 +95,13 @@
 		{"/settings/a?since=9007199254740992&by=d", "since"}, {"/settings/a?since=1&since=2&by=d", "since"},
 		{"/settings/a?refused=1", "refused_by"}, {"/settings/a?why=%ff", "why"}, {"/settings/a?why=x&why=y", "why"}, {"/settings/a?timeout_ms=30001", "timeout_ms"},
 		{"/settings/a?timeout_ms=-1", "timeout_ms"}, {"/settings/a?other=1", `"other"`}, {"/settings/a?%2", "query"},
-		{"/settings/a?name=" + strings.Repeat("n", NameMost+1), "name"}, {"/settings/a?name=%ff", "name"},
+		{"/settings/a?name=" + strings.Repeat("n", MaxSidecarNameBytes+1), "name"}, {"/settings/a?name=%ff", "name"},
 	} {
 		u, err := url.Parse(c.target)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, err = ParseQuestion(u)
+		_, err = ParseRequest(u)
 		if key := keyOf(t, err); key != c.key {
 			t.Errorf("%s: %v, want %s", c.target, err, c.key)
 		}
@@ -136,18 +136,18 @@
 		if err != nil {
 			return
 		}
-		q, err := ParseQuestion(u)
+		q, err := ParseRequest(u)
 		if err != nil {
 			keyOf(t, err)
 			return
 		}
-		if len(q.Name) > NameMost || len(q.Why) > WhyMost || q.Wait > WaitMost || !utf8.ValidString(q.Why) {
+		if len(q.Name) > MaxSidecarNameBytes || len(q.Reason) > MaxReasonBytes || q.Wait > MaxWait || !utf8.ValidString(q.Reason) {
 			t.Errorf("%+v is beyond the bounds", q)
 		}
 		if u, err = url.ParseRequestURI(q.Target()); err != nil {
 			t.Fatal(err)
 		}
-		if again, err := ParseQuestion(u); err != nil || again != q {
+		if again, err := ParseRequest(u); err != nil || again != q {
 			t.Errorf("%+v, %v, want %+v", again, err, q)
 		}
 	})
