--- a/internal/settingsclient/follow_test.go
+++ b/internal/settingsclient/client_test.go
@@ -27,12 +27,12 @@
 
 const service = "orders"
 
-func state(epoch uint64) settingsstore.State {
+func testState(epoch uint64) settingsstore.State {
 	return settingsstore.NewState(service, version.Edition{Epoch: epoch, By: "d"}, []byte(fmt.Sprintf(`{"n":%d}`, epoch)))
 }
 
-// standIn is a distributor that answers as a test wants.
-type standIn struct {
+// fakeDistributor is a distributor that answers as a test wants.
+type fakeDistributor struct {
 	addr   string
 	asked  chan settingsstore.Request
 	answer func(net.Conn, settingsstore.Request) bool // false: as a distributor does. Nil: always so
@@ -42,8 +42,8 @@
 	changed chan struct{}
 }
 
-func newStandIn(t *testing.T, s settingsstore.State, answer func(net.Conn, settingsstore.Request) bool) *standIn {
-	d := &standIn{asked: make(chan settingsstore.Request, 1000), answer: answer, state: s, changed: make(chan struct{})}
+func newFakeDistributor(t *testing.T, s settingsstore.State, answer func(net.Conn, settingsstore.Request) bool) *fakeDistributor {
+	d := &fakeDistributor{asked: make(chan settingsstore.Request, 1000), answer: answer, state: s, changed: make(chan struct{})}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -55,7 +55,7 @@
 	return d
 }
 
-func (d *standIn) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *fakeDistributor) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	q, err := settingsstore.ParseRequest(r.URL)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -71,7 +71,7 @@
 		if d.answer(c, q) {
 			return
 		}
-		d.tell(q, hungUp(c), func(body []byte) {
+		d.tell(q, closedSignal(c), func(body []byte) {
 			if body == nil {
 				_, _ = io.WriteString(c, "HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n")
 				return
@@ -90,7 +90,7 @@
 }
 
 // tell answers as a distributor does: nil is nothing new.
-func (d *standIn) tell(q settingsstore.Request, gone <-chan struct{}, answer func(body []byte)) {
+func (d *fakeDistributor) tell(q settingsstore.Request, gone <-chan struct{}, answer func(body []byte)) {
 	late := time.NewTimer(q.Wait)
 	defer late.Stop()
 	for {
@@ -112,7 +112,7 @@
 	}
 }
 
-func (d *standIn) publish(s settingsstore.State) {
+func (d *fakeDistributor) publish(s settingsstore.State) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.state = s
@@ -120,8 +120,8 @@
 	d.changed = make(chan struct{})
 }
 
-// hungUp is closed once the other side has.
-func hungUp(c net.Conn) <-chan struct{} {
+// closedSignal is closed once the other side has.
+func closedSignal(c net.Conn) <-chan struct{} {
 	gone := make(chan struct{})
 	go func() {
 		defer close(gone)
@@ -135,18 +135,18 @@
 }
 
 // lines is a log whose lines a test reads.
-type lines struct {
+type logLines struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logLines) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
-func (l *lines) count(what ...string) (n int) {
+func (l *logLines) count(what ...string) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for line := range strings.Lines(l.text.String()) {
@@ -163,7 +163,7 @@
 
 // run follows the distributors, of which it prefers the first, and returns the watch and the editions that come to be tried; tries
 // says what becomes of them.
-func run(t *testing.T, log *lines, tries func(settingsstore.State) error, from ...string) (w *Client, tried <-chan uint64, answered <-chan struct{}) {
+func startClient(t *testing.T, log *logLines, tries func(settingsstore.State) error, from ...string) (w *Client, tried <-chan uint64, answered <-chan struct{}) {
 	t.Helper()
 	name := ""
 	for i := 0; ; i++ {
@@ -191,18 +191,18 @@
 	return w, epochs, first
 }
 
-func takes(settingsstore.State) error { return nil }
+func acceptAll(settingsstore.State) error { return nil }
 
 // Guards against settings that are not found, that come out of order, or that are not acknowledged.
-func TestTakesWhatIsPublished(t *testing.T) {
-	d, log := newStandIn(t, settingsstore.State{}, nil), &lines{}
-	_, tried, answered := run(t, log, takes, d.addr)
+func TestAppliesPublishedSettings(t *testing.T) {
+	d, log := newFakeDistributor(t, settingsstore.State{}, nil), &logLines{}
+	_, tried, answered := startClient(t, log, acceptAll, d.addr)
 	<-answered
 	if log.count("no settings are published") != 1 {
 		t.Error("the log does not say that the file's are in force")
 	}
 	for epoch := uint64(1); epoch < 4; epoch++ {
-		d.publish(state(epoch))
+		d.publish(testState(epoch))
 		if got := <-tried; got != epoch {
 			t.Fatalf("epoch %d is tried, want %d", got, epoch)
 		}
@@ -219,9 +219,9 @@
 
 // Guards against answers that are taken though they are cut, too long, another service's or older, that hold a sidecar up, or that
 // fill its memory; and against a distributor that is not left for it, a fault that is not told, or is logged again and again.
-func TestFaultyAnswers(t *testing.T) {
-	good := settingsstore.Encode(state(2))
-	other := state(9)
+func TestInvalidAnswers(t *testing.T) {
+	good := settingsstore.Encode(testState(2))
+	other := testState(9)
 	other.Service = "other"
 	large := []byte(`{"a":"` + strings.Repeat("x", settingsstore.MaxStateBytes) + `"}`)
 	fill := func(c net.Conn, head, more string) {
@@ -239,7 +239,7 @@
 			}
 			time.Sleep(10 * time.Millisecond) // so slow it is
 		}
-		<-hungUp(c)
+		<-closedSignal(c)
 	}
 	const head = "HTTP/1.1 200 OK\r\n"
 	for name, c := range map[string]struct {
@@ -250,7 +250,7 @@
 		"cut before":          {func(c net.Conn) { send(c, 200, good[:len(good)-3]) }, "JSON"},
 		"spoilt":              {func(c net.Conn) { send(c, 200, bytes.Replace(good, []byte(`"n":2`), []byte(`"n":3`), 1)) }, "digest"},
 		"another service's":   {func(c net.Conn) { send(c, 200, settingsstore.Encode(other)) }, "settings of other"},
-		"older":               {func(c net.Conn) { send(c, 200, settingsstore.Encode(state(1))) }, "1 by d was told after 1 by d"},
+		"older":               {func(c net.Conn) { send(c, 200, settingsstore.Encode(testState(1))) }, "1 by d was told after 1 by d"},
 		"too long":            {func(c net.Conn) { send(c, 200, large) }, "bytes"},
 		"an endless head":     {func(c net.Conn) { fill(c, head+"X: ", "x") }, "over"},
 		"heads without end":   {func(c net.Conn) { fill(c, head, "X: y\r\n") }, "over"},
@@ -258,25 +258,25 @@
 		"no HTTP":             {func(c net.Conn) { _, _ = io.WriteString(c, "+OK\r\n") }, "malformed"},
 		"turned away":         {func(c net.Conn) { send(c, 503, nil) }, ""},
 		"broken off":          {func(net.Conn) {}, ""},
-		"silent":              {func(c net.Conn) { <-hungUp(c) }, ""},
-		"silent in its head":  {func(c net.Conn) { _, _ = io.WriteString(c, head); <-hungUp(c) }, ""},
-		"silent in its body":  {func(c net.Conn) { _, _ = io.WriteString(c, head+"\r\n{"); <-hungUp(c) }, ""},
+		"silent":              {func(c net.Conn) { <-closedSignal(c) }, ""},
+		"silent in its head":  {func(c net.Conn) { _, _ = io.WriteString(c, head); <-closedSignal(c) }, ""},
+		"silent in its body":  {func(c net.Conn) { _, _ = io.WriteString(c, head+"\r\n{"); <-closedSignal(c) }, ""},
 		"byte by byte":        {func(c net.Conn) { byBytes(c, head+"Content-Length: 900\r\n\r\n"+strings.Repeat(" ", 900)) }, ""},
 		"its head, by bytes":  {func(c net.Conn) { byBytes(c, head+strings.Repeat("A: b\r\n", 200)) }, ""},
-		"an interim response": {func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n"); <-hungUp(c) }, ""},
+		"an interim response": {func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n"); <-closedSignal(c) }, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			odd := newStandIn(t, settingsstore.State{}, func(conn net.Conn, q settingsstore.Request) bool {
+			odd := newFakeDistributor(t, settingsstore.State{}, func(conn net.Conn, q settingsstore.Request) bool {
 				if q.Since.None() { // the first one
-					send(conn, 200, settingsstore.Encode(state(1)))
+					send(conn, 200, settingsstore.Encode(testState(1)))
 				} else {
 					c.answer(conn)
 				}
 				return true
 			})
-			well, log := newStandIn(t, state(2), nil), &lines{}
-			_, tried, _ := run(t, log, takes, odd.addr, well.addr)
+			well, log := newFakeDistributor(t, testState(2), nil), &logLines{}
+			_, tried, _ := startClient(t, log, acceptAll, odd.addr, well.addr)
 			if a, b := <-tried, <-tried; a != 1 || b != 2 {
 				t.Fatalf("epochs %d and %d are tried, want 1 and 2", a, b)
 			}
@@ -286,7 +286,7 @@
 			if n := log.count(odd.addr, `"level":"warn"`); n != 1 {
 				t.Errorf("the log has %d lines of it:\n%s", n, &log.text)
 			}
-			well.publish(state(3))
+			well.publish(testState(3))
 			if got := <-tried; got != 3 {
 				t.Errorf("then epoch %d is tried, want 3", got)
 			}
@@ -322,15 +322,15 @@
 // Guards against dead distributors that end what follows them, that are logged again and again, or whose return is not found.
 func TestAllDead(t *testing.T) {
 	addr, listen := reserve(t)
-	log := &lines{}
-	_, tried, _ := run(t, log, takes, addr, "127.0.0.1:1")
+	log := &logLines{}
+	_, tried, _ := startClient(t, log, acceptAll, addr, "127.0.0.1:1")
 	for log.count("did not answer") < 2 {
 		time.Sleep(time.Millisecond)
 	}
 	l := listen()
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if q, err := settingsstore.ParseRequest(r.URL); err != nil || q.Since.None() {
-			_, _ = w.Write(settingsstore.Encode(state(1)))
+			_, _ = w.Write(settingsstore.Encode(testState(1)))
 			return
 		}
 		<-r.Context().Done()
@@ -346,10 +346,10 @@
 }
 
 // Guards against settings that are refused again and again, or without being told, or never tried again though that is asked for.
-func TestRefusedSettings(t *testing.T) {
-	d, log := newStandIn(t, state(1), nil), &lines{}
+func TestRejectedSettings(t *testing.T) {
+	d, log := newFakeDistributor(t, testState(1), nil), &logLines{}
 	bad := errors.New("classes[0].aim must be a number")
-	w, tried, answered := run(t, log, func(s settingsstore.State) error {
+	w, tried, answered := startClient(t, log, func(s settingsstore.State) error {
 		if s.Epoch == 1 {
 			return bad
 		}
@@ -372,7 +372,7 @@
 	if got := <-tried; got != 1 {
 		t.Errorf("epoch %d is tried, want 1 once more", got)
 	}
-	d.publish(state(2))
+	d.publish(testState(2))
 	if got := <-tried; got != 2 {
 		t.Errorf("epoch %d is tried", got)
 	}
@@ -387,15 +387,15 @@
 }
 
 // Guards against a watch that is not broken off when an answer is wanted at once, and against a distributor that is blamed for it.
-func TestAskBreaksOff(t *testing.T) {
-	log := &lines{}
-	d := newStandIn(t, state(1), func(c net.Conn, q settingsstore.Request) bool {
+func TestPollCancelsWait(t *testing.T) {
+	log := &logLines{}
+	d := newFakeDistributor(t, testState(1), func(c net.Conn, q settingsstore.Request) bool {
 		if q.Wait > 0 {
-			<-hungUp(c)
+			<-closedSignal(c)
 		}
 		return q.Wait > 0
 	})
-	w, tried, _ := run(t, log, takes, d.addr)
+	w, tried, _ := startClient(t, log, acceptAll, d.addr)
 	<-tried
 	for round := range 3 {
 		for q := <-d.asked; q.Wait == 0; q = <-d.asked {
@@ -411,19 +411,19 @@
 }
 
 // Guards against a distributor that is left for 30 s because it was restarted, or because it closes each connection.
-func TestKeptConnectionIsLost(t *testing.T) {
-	log := &lines{}
+func TestKeptConnectionLost(t *testing.T) {
+	log := &logLines{}
 	var mu sync.Mutex
 	n := 0
-	d := newStandIn(t, state(1), func(c net.Conn, q settingsstore.Request) bool {
+	d := newFakeDistributor(t, testState(1), func(c net.Conn, q settingsstore.Request) bool {
 		mu.Lock()
 		defer mu.Unlock()
 		n++
-		body := settingsstore.Encode(state(uint64(n)))
+		body := settingsstore.Encode(testState(uint64(n)))
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body) // and closes
 		return true
 	})
-	_, tried, _ := run(t, log, takes, d.addr, "127.0.0.1:1")
+	_, tried, _ := startClient(t, log, acceptAll, d.addr, "127.0.0.1:1")
 	for epoch := uint64(1); epoch < 4; epoch++ {
 		if got := <-tried; got != epoch {
 			t.Fatalf("epoch %d is tried, want %d", got, epoch)
--- a/internal/settingsclient/conn.go
+++ b/internal/settingsclient/conn.go
@@ -14,16 +14,16 @@
 	"pinelb.example/pinelb/internal/settingsstore"
 )
 
-// maxAnswerBytes is how many bytes of an answer are read: a state, and its head with the marks of its chunks.
+// maxAnswerBytes bounds an answer: a state, and its HTTP header with the framing of chunks.
 const maxAnswerBytes = settingsstore.MaxStateBytes + 16<<10
 
-// answer is what a distributor says. No state: there is nothing new.
+// answer is a distributor's valid answer. Without a state there is nothing newer.
 type answer struct {
 	state      *settingsstore.State
 	retryAfter time.Duration // 0: none
 }
 
-// statusError is an answer that is none: no room, or nothing to say yet.
+// statusError is an answer that declines the request: the distributor is overloaded, or is starting.
 type statusError struct {
 	status     int
 	retryAfter time.Duration
@@ -31,7 +31,7 @@
 
 func (e *statusError) Error() string { return fmt.Sprintf("follow: answered %d", e.status) }
 
-// unusable is an answer that began and can't be used.
+// invalidAnswerError is an answer that began and is invalid.
 type invalidAnswerError struct{ err error }
 
 func (e *invalidAnswerError) Error() string {
@@ -47,14 +47,14 @@
 // conn is the connection to a distributor, kept from one call to the next.
 type conn struct {
 	dialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
-	addr     string // empty: there is none
+	addr     string // empty: not connected
 	net.Conn
 	in        *bufio.Reader
-	remaining int   // bytes that may still be read of the answer
-	readErr   error // that reading it met; who parses what came before may make another one of it
+	remaining int   // bytes of the answer that may still be read
+	readErr   error // of the last Read; the parser may replace it by one of its own
 }
 
-// Read reads what there is room for: an answer without an end would fill the memory before its time was up.
+// Read reads within maxAnswerBytes: an answer without an end would fill the memory before its time-out.
 func (c *conn) Read(b []byte) (int, error) {
 	if c.remaining <= 0 {
 		c.readErr = errAnswerTooLong
@@ -66,32 +66,32 @@
 	return n, err
 }
 
-// call asks for a target on the kept connection or a new one, and hangs up unless the answer was whole. The time is the connect's
-// as well. It returns at once when ctx ends.
-func (c *conn) do(ctx context.Context, addr, target string, within time.Duration) (answer, error) {
-	end := time.Now().Add(within)
+// do sends a request on the kept connection or on a new one, which it keeps if the answer was complete. The time-out includes
+// connecting. It returns at once when ctx is done.
+func (c *conn) do(ctx context.Context, addr, target string, timeout time.Duration) (answer, error) {
+	deadline := time.Now().Add(timeout)
 	kept := c.addr == addr
 	if !kept {
 		c.disconnect()
-		if err := c.dial(ctx, addr, end); err != nil {
+		if err := c.dial(ctx, addr, deadline); err != nil {
 			return answer{}, fmt.Errorf("follow: dial: %w", err)
 		}
 	}
 	release := c.closeWith(ctx)
-	a, again, err := c.roundTrip(target, end)
-	if !release() || !again || err != nil {
+	a, reusable, err := c.roundTrip(target, deadline)
+	if !release() || !reusable || err != nil {
 		c.disconnect()
 	}
-	var late net.Error
-	if kept && errors.Is(err, errNoAnswer) && !(errors.As(err, &late) && late.Timeout()) {
+	var netErr net.Error
+	if kept && errors.Is(err, errNoAnswer) && !(errors.As(err, &netErr) && netErr.Timeout()) {
 		err = errConnectionLost
 	}
 	return a, err
 }
 
-func (c *conn) dial(ctx context.Context, addr string, end time.Time) error {
-	ctx, over := context.WithDeadline(ctx, end)
-	defer over()
+func (c *conn) dial(ctx context.Context, addr string, deadline time.Time) error {
+	ctx, cancel := context.WithDeadline(ctx, deadline)
+	defer cancel()
 	conn, err := c.dialFunc(ctx, "tcp", addr)
 	if err != nil {
 		return err
@@ -104,19 +104,19 @@
 	return nil
 }
 
-// closeWith closes the connection when ctx ends, until release is called, which returns whether it is still open.
+// closeWith closes the connection when ctx is done, until release is called, which reports whether it is still open.
 func (c *conn) closeWith(ctx context.Context) (release func() bool) {
 	open := c.Conn
-	return context.AfterFunc(ctx, func() { _ = open.Close() }) // what is read of it then fails, which is looked at
+	return context.AfterFunc(ctx, func() { _ = open.Close() }) // the error is that of the Read which then fails
 }
 
-// errNoAnswer is wrapped by what failed before the answer began.
+// errNoAnswer is wrapped by errors from before the answer began.
 var errNoAnswer = errors.New("no answer")
 
-// exchange asks and reads the answer; again tells whether the connection can be used once more.
-func (c *conn) roundTrip(target string, end time.Time) (a answer, again bool, err error) {
+// roundTrip sends the request and reads the answer, and reports whether the connection can be used again.
+func (c *conn) roundTrip(target string, deadline time.Time) (a answer, reusable bool, err error) {
 	c.remaining, c.readErr = maxAnswerBytes, nil
-	if err := c.SetDeadline(end); err != nil {
+	if err := c.SetDeadline(deadline); err != nil {
 		return a, false, fmt.Errorf("follow: %w: %w", errNoAnswer, err)
 	}
 	if _, err := fmt.Fprintf(c.Conn, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", target, c.addr); err != nil {
@@ -129,7 +129,7 @@
 		}
 		return a, false, c.answerError(err)
 	}
-	defer res.Body.Close()
+	defer func() { _ = res.Body.Close() }()
 	body, err := io.ReadAll(res.Body)
 	if err != nil {
 		return a, false, c.answerError(err)
@@ -138,11 +138,11 @@
 	return a, !res.Close && c.in.Buffered() == 0, err
 }
 
-// spoilt is an answer that broke off; one that was only not there in time may be a slow distributor's.
+// answerError returns the error for an answer that was cut off. One that was only too slow isn't invalid.
 func (c *conn) answerError(err error) error {
-	var late net.Error
+	var netErr net.Error
 	switch {
-	case errors.As(c.readErr, &late) && late.Timeout():
+	case errors.As(c.readErr, &netErr) && netErr.Timeout():
 		return fmt.Errorf("follow: %w", c.readErr)
 	case c.readErr == errAnswerTooLong:
 		err = errAnswerTooLong
@@ -150,7 +150,7 @@
 	return &invalidAnswerError{err}
 }
 
-// read is what a whole answer says.
+// parseAnswer returns what a complete answer says.
 func parseAnswer(res *http.Response, body []byte) (answer, error) {
 	retryAfter := pacing.Advice(res.Header.Get("Retry-After"))
 	switch res.StatusCode {
@@ -168,7 +168,7 @@
 
 func (c *conn) disconnect() {
 	if c.addr != "" {
-		_ = c.Close() // nothing is lost: all that it said has been read
+		_ = c.Close() // its answer has been read
 		c.addr, c.Conn = "", nil
 	}
 }
--- a/internal/settingsserver/config.go
+++ b/internal/settingsserver/config.go
@@ -1,5 +1,11 @@
-// Package distributor is the role that holds services' settings and tells them to sidecars and to other distributors: its sockets
-// and its disk. What it holds and whom it tells is decided by internal/settingsstore.
+// Package settingsserver is a distributor: the process that keeps services' settings and serves them to sidecars and to other
+// distributors. Here are its listeners, its disk and its connections to its peers; what it keeps and whom it answers is decided
+// by package settingsstore. The command "pinelb distribute" runs it, and "pinelb settings" calls it by OperatorClient.
+//
+// A published edition is on the disk before anybody is sent it; what other distributors send is written afterwards, for they
+// have it too. Locks: writeMu before mu; mu is never held over I/O.
+//
+// Errors begin with "distributor:", as they always have, for operators read them.
 package settingsserver
 
 import (
@@ -15,11 +21,11 @@
 
 // Config is a distributor's file.
 type Config struct {
-	Name    string   `toml:"name"`    // no other distributor's, now or ever
-	Region  string   `toml:"region"`  // for the status alone
-	Listen  string   `toml:"listen"`  // where sidecars and other distributors ask
-	Control string   `toml:"control"` // where operators call
-	Dir     string   `toml:"dir"`     // absolute, and this distributor's alone
+	Name    string   `toml:"name"`    // unique among distributors, also among former ones
+	Region  string   `toml:"region"`  // shown in the status only
+	Listen  string   `toml:"listen"`  // address for sidecars and other distributors
+	Control string   `toml:"control"` // address for operators
+	Dir     string   `toml:"dir"`     // absolute path of a directory that no other process uses
 	Peers   []string `toml:"peers"`   // the other distributors' addresses
 }
 
@@ -34,7 +40,7 @@
 	return ParseConfig(path, text)
 }
 
-// ParseConfig reads a distributor's file's text; path is its name in errors.
+// ParseConfig parses a distributor's file; path is its name in errors.
 func ParseConfig(path string, text []byte) (*Config, error) {
 	if len(text) > maxFileBytes {
 		return nil, fmt.Errorf("distributor: %s has over %d bytes", path, maxFileBytes)
@@ -47,7 +53,7 @@
 	return c, c.check(file)
 }
 
-// check names the first key that can't be used.
+// check returns an error for the first key that is invalid.
 func (c *Config) check(file *tomlfile.File) error {
 	names := []struct{ key, name string }{{"name", c.Name}}
 	if c.Region != "" {
--- a/internal/settingsserver/answer.go
+++ b/internal/settingsserver/control_handler.go
@@ -19,109 +19,12 @@
 	rollBackPath = "/admin/rollback"
 	healthPath   = "/admin/health"
 
-	maxBodyBytes      = 4 * settingsstore.MaxSettingsBytes // of settings as an operator writes them, with blanks
+	maxBodyBytes      = 4 * settingsstore.MaxSettingsBytes // of settings as an operator writes them, white space included
 	bodyTimeout       = 10 * time.Second
 	retryAfterSeconds = "1" // of a Retry-After
 )
 
-// asked answers a sidecar's or a distributor's question.
-func (d *Distributor) handleRequest(w http.ResponseWriter, r *http.Request) {
-	switch {
-	case r.Method != http.MethodGet:
-		writeError(w, http.StatusMethodNotAllowed, errors.New("the method must be GET"))
-	case r.ContentLength != 0:
-		w.Header().Set("Connection", "close") // the body is not read
-		writeError(w, http.StatusBadRequest, errors.New("a question has no body"))
-	case r.URL.Path == settingsstore.PeerPath:
-		d.handlePeerPoll(w, r)
-	default:
-		d.handlePoll(w, r)
-	}
-}
-
-func (d *Distributor) handlePoll(w http.ResponseWriter, r *http.Request) {
-	q, err := settingsstore.ParseRequest(r.URL)
-	if err != nil {
-		writeError(w, http.StatusBadRequest, err)
-		return
-	}
-	d.mu.Lock()
-	text, id, err := d.store.Poll(d.now(), q)
-	wake := d.addWatch(id)
-	d.mu.Unlock()
-	if id != 0 {
-		d.waitForWatch(r.Context(), wake, q.Wait)
-		d.mu.Lock()
-		text = d.store.EndWatch(id)
-		delete(d.watchWakes, id)
-		d.mu.Unlock()
-	}
-	reply(w, text, err)
-}
-
-func (d *Distributor) handlePeerPoll(w http.ResponseWriter, r *http.Request) {
-	q, err := settingsstore.ParsePeerRequest(r.URL)
-	if err != nil {
-		writeError(w, http.StatusBadRequest, err)
-		return
-	}
-	d.mu.Lock()
-	news, id, err := d.store.PollPeer(q)
-	wake := d.addWatch(id)
-	d.mu.Unlock()
-	if id != 0 {
-		d.waitForWatch(r.Context(), wake, q.Wait.D())
-		d.mu.Lock()
-		news = d.store.EndPeerWatch(id)
-		delete(d.watchWakes, id)
-		d.mu.Unlock()
-	}
-	var text []byte
-	if news != nil {
-		text = news.Encode()
-	}
-	reply(w, text, err)
-}
-
-// watch is how a watch is woken; nil of none. The caller holds mu.
-func (d *Distributor) addWatch(id uint64) chan struct{} {
-	if id == 0 {
-		return nil
-	}
-	wake := make(chan struct{}, 1)
-	d.watchWakes[id] = wake
-	return wake
-}
-
-// tell answers a question with a text, which all who are answered alike may share, or with nothing new.
-func reply(w http.ResponseWriter, text []byte, err error) {
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout)) // without it that of the server stands
-	if err != nil {
-		w.Header().Set("Retry-After", retryAfterSeconds)
-	}
-	switch {
-	case errors.Is(err, settingsstore.ErrStarting):
-		writeError(w, http.StatusServiceUnavailable, err)
-	case text == nil: // also where there are too many watches
-		w.WriteHeader(http.StatusNoContent)
-	default:
-		writeJSON(w, text)
-	}
-}
-
-func writeJSON(w http.ResponseWriter, text []byte) {
-	w.Header().Set("Content-Type", "application/json")
-	w.Header().Set("Content-Length", fmt.Sprint(len(text)))
-	_, _ = w.Write(text) // an error here is the caller's leaving
-}
-
-func writeError(w http.ResponseWriter, status int, err error) {
-	w.Header().Set("Content-Type", "text/plain")
-	w.WriteHeader(status)
-	_, _ = fmt.Fprintln(w, err)
-}
-
-// PublishResult is the answer to publishing and to rolling back.
+// PublishResult is the answer to Publish and RollBack.
 type PublishResult struct {
 	Distributor string `json:"distributor"`
 	Service     string `json:"service"`
@@ -129,7 +32,7 @@
 	Digest version.Digest `json:"digest"`
 }
 
-// ServiceSummary is what a distributor holds of one service, as the list of all has it.
+// ServiceSummary is what a distributor has of one service, in the list of all.
 type ServiceSummary struct {
 	Service string `json:"service"`
 	version.Edition
@@ -137,14 +40,14 @@
 	Overruled version.Edition `json:"overruled,omitzero"`
 }
 
-// operated answers an operator's call.
+// handleControl answers an operator's call.
 func (d *Distributor) handleControl(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Connection", "close")
-	known := map[string]string{settingsPath: "GET or POST", rollBackPath: "POST", healthPath: "GET"}
+	methods := map[string]string{settingsPath: "GET or POST", rollBackPath: "POST", healthPath: "GET"}
 	var out any
 	service, status, err := parseService(r)
 	switch call := r.Method + " " + r.URL.Path; {
-	case known[r.URL.Path] == "":
+	case methods[r.URL.Path] == "":
 		status, err = http.StatusNotFound, fmt.Errorf("unknown path: there are %s, %s and %s", settingsPath, rollBackPath, healthPath)
 	case err != nil:
 	case call == "POST "+settingsPath:
@@ -159,7 +62,7 @@
 		status, err = d.health()
 		out = struct{}{}
 	default:
-		status, err = http.StatusMethodNotAllowed, errors.New("the method must be "+known[r.URL.Path])
+		status, err = http.StatusMethodNotAllowed, errors.New("the method must be "+methods[r.URL.Path])
 	}
 	if err != nil {
 		writeError(w, status, err)
@@ -167,12 +70,12 @@
 	}
 	text, err := json.Marshal(out)
 	if err != nil {
-		panic(err) // what was read as JSON can be written
+		panic(err) // all of it was decoded from JSON, or is plain
 	}
 	writeJSON(w, append(text, '\n'))
 }
 
-// parseService is the service that a call names; "" where it need not.
+// parseService returns the service that a call names; "" where it needs none. The status applies if there is an error.
 func parseService(r *http.Request) (service string, status int, err error) {
 	q, err := url.ParseQuery(r.URL.RawQuery)
 	switch names := q["service"]; {
@@ -207,7 +110,7 @@
 	return d.publishResult("settings rolled back", service, record, err)
 }
 
-// published tells of what an operator's call came to.
+// publishResult logs what a call came to and returns its answer.
 func (d *Distributor) publishResult(what, service string, r *settingsstore.Record, err error) (out any, status int, _ error) {
 	if err != nil {
 		d.log.Warn().Str("service", service).Err(err).Msg("settings not published")
@@ -217,6 +120,7 @@
 	return PublishResult{d.cfg.Name, service, r.Edition, r.Digest}, http.StatusOK, nil
 }
 
+// errorStatus returns the HTTP status for an error of publishing.
 func errorStatus(err error) int {
 	var faulty settingsstore.KeyError
 	var disk diskError
--- a/internal/settingsserver/keep.go
+++ b/internal/settingsserver/disk.go
@@ -18,7 +18,7 @@
 	writeRetryInterval = time.Second
 )
 
-// load reads the records that a disk holds. Faults are of files that can't be used.
+// loadRecords reads the records on a disk. Faults are of files that can't be used.
 func loadRecords(disk persistence.Disk) (records []*settingsstore.Record, faults []error, err error) {
 	names, err := disk.Names()
 	if err != nil {
@@ -54,12 +54,12 @@
 	return settingsstore.ParseRecord(body)
 }
 
-// write keeps a record. The caller holds writing.
+// writeRecord makes a record durable. The caller holds writeMu.
 func (d *Distributor) writeRecord(r *settingsstore.Record) error {
 	return persistence.ReplaceFile(d.disk, r.Service+fileSuffix, persistence.Frame(fileKind, fileVersion, settingsstore.EncodeRecord(r)))
 }
 
-// hurry has what is dirty be kept.
+// requestWrite has runWriter write what is dirty.
 func (d *Distributor) requestWrite() {
 	select {
 	case d.writeRequested <- struct{}{}:
@@ -67,8 +67,8 @@
 	}
 }
 
-// runWriter keeps what others told, until ctx ends and once more then. Of a service that changes faster than the disk takes it the
-// newest is kept.
+// runWriter writes what other distributors have sent, until ctx is done and once more then. Of a service that changes faster
+// than the disk takes it, the newest record is written.
 func (d *Distributor) runWriter(ctx context.Context) {
 	failed := false
 	for {
@@ -95,7 +95,7 @@
 	}
 }
 
-// writeDirty keeps all that is dirty; what fails stays so.
+// writeDirty writes all that is dirty. What fails stays dirty; the error is one of those.
 func (d *Distributor) writeDirty() (failed error) {
 	d.mu.Lock()
 	services := make([]string, 0, len(d.dirty))
@@ -111,6 +111,7 @@
 	return failed
 }
 
+// writeService writes a service's record, if it is dirty.
 func (d *Distributor) writeService(service string) error {
 	d.writeMu.Lock()
 	defer d.writeMu.Unlock()
@@ -130,8 +131,8 @@
 	return err
 }
 
-// publish has the record that next makes be kept, and then merged and told: an edition that was told is never given again. The
-// error is next's, or the disk's as a diskError.
+// publish makes the record durable that next returns, and then merges it and answers those that wait for it: an edition that
+// somebody was sent is never assigned again. The error is next's, or a diskError.
 func (d *Distributor) publish(next func() (*settingsstore.Record, error)) (*settingsstore.Record, error) {
 	d.writeMu.Lock()
 	defer d.writeMu.Unlock()
@@ -148,14 +149,14 @@
 		return nil, err
 	}
 	d.mu.Lock()
-	if d.store.Record(r.Service).Same(r) { // else a peer's word came between, and both have to be kept
+	if d.store.Record(r.Service).Same(r) { // otherwise a peer's update came in between, and the merged record is to be written
 		delete(d.dirty, r.Service)
 	}
 	d.mu.Unlock()
 	return r, nil
 }
 
-// diskError is a disk's refusal: nothing was published.
+// diskError says that nothing was published, for it could not be made durable.
 type diskError struct{ error }
 
 func (e diskError) Error() string {
--- a/internal/settingsserver/distributor.go
+++ b/internal/settingsserver/distributor.go
@@ -19,16 +19,16 @@
 )
 
 const (
-	maxClientConns   = 2 * settingsstore.MaxWatches // connections of sidecars and distributors: as many idle ones as watches
-	maxOperatorConns = 24                           // connections of operators
-	maxHeaderBytes   = 8 << 10                      // bytes of a call but for its body
-	headerTimeout    = 5 * time.Second              // a call's head, from its connection's opening on
+	maxClientConns   = 2 * settingsstore.MaxWatches // of sidecars and distributors: as many idle ones as watches
+	maxOperatorConns = 24                           // of operators
+	maxHeaderBytes   = 8 << 10                      // of a call, without its body
+	headerTimeout    = 5 * time.Second              // for a call's header, from the start of its connection
 	idleTimeout      = time.Minute                  // to the next call on a connection
-	writeTimeout     = 5 * time.Second              // an answer whole: a slow reader holds it no longer
-	shutdownTimeout  = 2 * time.Second              // calls, once all watches have been answered
+	writeTimeout     = 5 * time.Second              // for a whole answer: bounds slow readers
+	shutdownTimeout  = 2 * time.Second              // for calls, once all watches have been answered
 )
 
-// Distributor is one.
+// Distributor serves the settings that it keeps on a disk.
 type Distributor struct {
 	cfg   Config
 	log   zerolog.Logger
@@ -36,17 +36,17 @@
 
 	mu         sync.Mutex // never held over I/O
 	store      *settingsstore.Store
-	watchWakes map[uint64]chan struct{} // watches that are to be answered now; each has room for one
-	dirty      map[string]bool          // services that are not kept as they are held
+	watchWakes map[uint64]chan struct{} // by watch; signalled when it is to be answered, buffered
+	dirty      map[string]bool          // services whose record on the disk is out of date
 
-	writeMu        sync.Mutex // of publishing, and of the disk; before mu
+	writeMu        sync.Mutex // of publishing, and of the disk; taken before mu
 	disk           persistence.Disk
-	writeRequested chan struct{} // something is dirty; has room for one
+	writeRequested chan struct{} // something is dirty; buffered
 	shuttingDown   chan struct{}
 }
 
-// New returns a distributor that holds what is kept on its disk. Without peers, a file that can't be read is an error: nobody else
-// knows what stood in it.
+// New returns a distributor with the records on its disk. Without peers, a file that can't be read is an error, for nobody else
+// has what was in it.
 func New(cfg Config, disk persistence.Disk, log zerolog.Logger) (*Distributor, error) {
 	d := &Distributor{cfg: cfg, log: log, start: time.Now(), watchWakes: map[uint64]chan struct{}{}, dirty: map[string]bool{},
 		disk: disk, writeRequested: make(chan struct{}, 1), shuttingDown: make(chan struct{})}
@@ -69,7 +69,7 @@
 	return d, nil
 }
 
-// Run is a distributor's life by its file, until ctx ends. An error says why it could not start, or went on no more.
+// Run runs a distributor until ctx is done. An error says why it could not start, or ended earlier.
 func Run(ctx context.Context, cfg Config, log zerolog.Logger) error {
 	if err := os.MkdirAll(cfg.Dir, 0o700); err != nil {
 		return fmt.Errorf("distributor: dir: %w", err)
@@ -87,36 +87,36 @@
 	if err != nil {
 		return err
 	}
-	asked, err := net.Listen("tcp", cfg.Listen)
+	clients, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
 		return fmt.Errorf("distributor: listen: %w", err)
 	}
 	operators, err := net.Listen("tcp", cfg.Control)
 	if err != nil {
-		return fmt.Errorf("distributor: control: %w", errors.Join(err, asked.Close()))
+		return fmt.Errorf("distributor: control: %w", errors.Join(err, clients.Close()))
 	}
-	return d.Serve(ctx, asked, operators)
+	return d.Serve(ctx, clients, operators)
 }
 
-// Serve answers sidecars and distributors at one listener and operators at the other, and asks its peers, until ctx ends: then all
-// watches are answered at once. It closes the listeners. An error is that of a listener.
-func (d *Distributor) Serve(ctx context.Context, asked, operators net.Listener) error {
-	d.log.Info().Stringer("addr", asked.Addr()).Stringer("control", operators.Addr()).Str("name", d.cfg.Name).
+// Serve serves sidecars and distributors at one listener and operators at the other, and follows its peers, until ctx is done:
+// then it answers all watches at once. It closes the listeners. An error is that of a listener.
+func (d *Distributor) Serve(ctx context.Context, clients, operators net.Listener) error {
+	d.log.Info().Stringer("addr", clients.Addr()).Stringer("control", operators.Addr()).Str("name", d.cfg.Name).
 		Int("services", len(d.store.Services())).Bool("starting", d.store.Starting()).Msg("distributor listening")
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	var all sync.WaitGroup
-	serve := func(l net.Listener, most int, h http.Handler) *http.Server {
+	serve := func(l net.Listener, maxConns int, h http.Handler) *http.Server {
 		srv := &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, WriteTimeout: settingsstore.MaxWait + writeTimeout,
 			MaxHeaderBytes: maxHeaderBytes, DisableGeneralOptionsHandler: true, ErrorLog: stdlog.New(d.log, "", 0)}
 		all.Go(func() {
-			if err := srv.Serve(&limitedListener{Listener: l, slots: make(chan struct{}, most)}); err != http.ErrServerClosed {
+			if err := srv.Serve(&limitedListener{Listener: l, slots: make(chan struct{}, maxConns)}); !errors.Is(err, http.ErrServerClosed) {
 				cancel(fmt.Errorf("distributor: %w", err))
 			}
 		})
 		return srv
 	}
-	servers := []*http.Server{serve(asked, maxClientConns, http.HandlerFunc(d.handleRequest)), serve(operators, maxOperatorConns, http.HandlerFunc(d.handleControl))}
+	servers := []*http.Server{serve(clients, maxClientConns, http.HandlerFunc(d.handleRequest)), serve(operators, maxOperatorConns, http.HandlerFunc(d.handleControl))}
 	for _, addr := range d.cfg.Peers {
 		all.Go(func() { d.followPeer(ctx, addr) })
 	}
@@ -124,10 +124,10 @@
 
 	<-ctx.Done()
 	close(d.shuttingDown)
-	within, stop := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
+	shutdownCtx, stop := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 	defer stop()
 	for _, srv := range servers {
-		if srv.Shutdown(within) != nil {
+		if srv.Shutdown(shutdownCtx) != nil {
 			_ = srv.Close()
 		}
 	}
@@ -139,41 +139,42 @@
 	return nil
 }
 
-// now is the time since its beginning.
+// now returns the time since the start, as the store counts it.
 func (d *Distributor) now() time.Duration { return time.Since(d.start) }
 
-// merge takes a record in and has all who wait for it be answered. The disk may be behind.
+// merge merges a record and answers all that wait for it. It is written to the disk afterwards.
 func (d *Distributor) merge(r *settingsstore.Record) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	former := d.store.Record(r.Service)
-	keep, told, err := d.store.Merge(r)
-	if err != nil || keep == nil {
+	before := d.store.Record(r.Service)
+	changed, ready, err := d.store.Merge(r)
+	if err != nil || changed == nil {
 		return err
 	}
-	d.wakeWatches(told)
+	d.wakeWatches(ready)
 	d.dirty[r.Service] = true
 	d.requestWrite()
-	if o := keep.Overruled; o != nil && (former == nil || former.Overruled == nil || former.Overruled.Edition != o.Edition) {
-		d.log.Warn().Str("service", r.Service).Stringer("overruled", o.Edition).Stringer("by", keep.Edition).
+	if o := changed.Overruled; o != nil && (before == nil || before.Overruled == nil || before.Overruled.Edition != o.Edition) {
+		d.log.Warn().Str("service", r.Service).Stringer("overruled", o.Edition).Stringer("by", changed.Edition).
 			Msg("of two changes made apart one has lost")
 	}
 	return nil
 }
 
-// answer has watches be answered. The caller holds mu.
-func (d *Distributor) wakeWatches(told []uint64) {
-	for _, id := range told {
+// wakeWatches has watches be answered. The caller holds mu.
+func (d *Distributor) wakeWatches(ids []uint64) {
+	for _, id := range ids {
 		select {
 		case d.watchWakes[id] <- struct{}{}:
-		default: // it has been woken, or has ended
+		default: // it was signalled already, or has ended
 		}
 	}
 }
 
-// wait waits for a watch to be told, for its time to be over, for who asked to leave, or for the distributor's end.
-func (d *Distributor) waitForWatch(ctx context.Context, wake <-chan struct{}, most time.Duration) {
-	timer := time.NewTimer(most)
+// waitForWatch returns when a watch is to be answered, its time is over, its request is cancelled, or the distributor shuts
+// down.
+func (d *Distributor) waitForWatch(ctx context.Context, wake <-chan struct{}, limit time.Duration) {
+	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
 	case <-wake:
@@ -182,36 +183,3 @@
 	case <-d.shuttingDown:
 	}
 }
-
-// limited holds so many connections at most as room has; one more is closed at once.
-type limitedListener struct {
-	net.Listener
-	slots chan struct{}
-}
-
-// Accept returns the next connection that there is room for.
-func (l *limitedListener) Accept() (net.Conn, error) {
-	for {
-		c, err := l.Listener.Accept()
-		if err != nil {
-			return nil, err
-		}
-		select {
-		case l.slots <- struct{}{}:
-			return &limitedConn{Conn: c, release: sync.OnceFunc(func() { <-l.slots })}, nil
-		default:
-			_ = c.Close()
-		}
-	}
-}
-
-type limitedConn struct {
-	net.Conn
-	release func()
-}
-
-// Close closes the connection, and makes room for another one.
-func (c *limitedConn) Close() error {
-	defer c.release()
-	return c.Conn.Close()
-}
--- a/internal/settingsserver/distributor_test.go
+++ b/internal/settingsserver/distributor_test.go
@@ -30,14 +30,14 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // contents are settings that a sidecar could start with, told apart by n and filled up to size bytes.
-func contents(n, size int) string {
+func testSettings(n, size int) string {
 	text := fmt.Sprintf(`{"n_instances":3,"n":%d,"classes":[{"name":"a","aim":90000000,"deadline":400000000,"idempotency":"non_idempotent","worth":0.5}],`+
 		`"allowed":{"connect_timeout":40000000,"most_held":50,"send_cap":1},"rules":{"cold_share":1,"tip_multiple":1.5,"fall":300000000},"fill":"`, n)
 	return text + strings.Repeat("x", max(0, size-len(text)-2)) + `"}`
 }
 
 // running is a distributor on loopback sockets.
-type running struct {
+type testDistributor struct {
 	t      *testing.T
 	d      *Distributor
 	name   string
@@ -57,12 +57,12 @@
 }
 
 // start starts a distributor in a directory, which asks peers at those addresses.
-func start(t *testing.T, name, dir string, disk persistence.Disk, peers ...string) *running {
+func startDistributor(t *testing.T, name, dir string, disk persistence.Disk, peers ...string) *testDistributor {
 	t.Helper()
-	return startAt(t, listen(t), name, dir, disk, peers...)
+	return startDistributorAt(t, listen(t), name, dir, disk, peers...)
 }
 
-func startAt(t *testing.T, asked net.Listener, name, dir string, disk persistence.Disk, peers ...string) *running {
+func startDistributorAt(t *testing.T, asked net.Listener, name, dir string, disk persistence.Disk, peers ...string) *testDistributor {
 	t.Helper()
 	if disk == nil {
 		disk = persistence.Dir(dir)
@@ -75,7 +75,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- d.Serve(ctx, asked, operators) }()
-	r := &running{t, d, name, dir, asked.Addr().String(), operators.Addr().String(), sync.OnceFunc(func() {
+	r := &testDistributor{t, d, name, dir, asked.Addr().String(), operators.Addr().String(), sync.OnceFunc(func() {
 		cancel()
 		if err := <-done; err != nil {
 			t.Error(err)
@@ -106,7 +106,7 @@
 }
 
 // operate makes an operator's call that publishes, or rolls back where there are no contents.
-func (r *running) operate(service, settings string) version.Edition {
+func (r *testDistributor) operate(service, settings string) version.Edition {
 	r.t.Helper()
 	path := settingsPath
 	if settings == "" {
@@ -121,14 +121,14 @@
 }
 
 // reader is a sidecar's way to ask, which fails the test when it is told to go back.
-type reader struct {
+type testSidecar struct {
 	t    *testing.T
 	name string
 	have settingsstore.State
 }
 
 // ask makes one call, and tells whether there was something newer.
-func (r *reader) ask(addr string, wait time.Duration) bool {
+func (r *testSidecar) ask(addr string, wait time.Duration) bool {
 	r.t.Helper()
 	q := settingsstore.Request{Service: "s", Since: r.have.Edition, Wait: wait, Name: r.name}
 	status, _, text := call(r.t, "GET", addr, q.Target(), "")
@@ -145,7 +145,7 @@
 }
 
 // follow asks until it has that edition.
-func (r *reader) follow(addr string, e version.Edition) {
+func (r *testSidecar) follow(addr string, e version.Edition) {
 	r.t.Helper()
 	for r.have.Compare(e) < 0 {
 		if !r.ask(addr, settingsstore.MaxWait) {
@@ -156,7 +156,7 @@
 }
 
 // until watches the distributor as another one does, until what it holds of the service is as it should be.
-func (r *running) until(what string, is func(*settingsstore.Record) bool) *settingsstore.Record {
+func (r *testDistributor) until(what string, is func(*settingsstore.Record) bool) *settingsstore.Record {
 	r.t.Helper()
 	q := settingsstore.PeerRequest{Name: "test", Wait: settingsstore.Millis(settingsstore.MaxWait.Milliseconds())}
 	for {
@@ -175,13 +175,13 @@
 	}
 }
 
-func (r *running) has(e version.Edition) {
+func (r *testDistributor) has(e version.Edition) {
 	r.t.Helper()
 	r.until("has "+e.String(), func(held *settingsstore.Record) bool { return held.Edition == e })
 }
 
 // link is the way to a distributor, which can be cut and stalled.
-type link struct {
+type testLink struct {
 	net.Listener
 	to string
 
@@ -192,8 +192,8 @@
 	all   sync.WaitGroup
 }
 
-func newLink(t *testing.T) *link {
-	l := &link{Listener: listen(t), open: map[net.Conn]bool{}}
+func newTestLink(t *testing.T) *testLink {
+	l := &testLink{Listener: listen(t), open: map[net.Conn]bool{}}
 	l.again = sync.NewCond(&l.mu)
 	l.all.Go(func() {
 		for {
@@ -212,10 +212,10 @@
 	return l
 }
 
-func (l *link) addr() string { return l.Listener.Addr().String() }
+func (l *testLink) addr() string { return l.Listener.Addr().String() }
 
 // set cuts, stalls or mends the link.
-func (l *link) set(state string) {
+func (l *testLink) set(state string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.state = state
@@ -228,14 +228,14 @@
 }
 
 // leads has the link lead to an address.
-func (l *link) leads(to string) {
+func (l *testLink) leads(to string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.to = to
 }
 
 // hold takes a connection in; false where the link is cut.
-func (l *link) hold(c net.Conn) bool {
+func (l *testLink) hold(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.state == "cut" {
@@ -246,14 +246,14 @@
 	return true
 }
 
-func (l *link) drop(c net.Conn) {
+func (l *testLink) drop(c net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.open, c)
 	_ = c.Close()
 }
 
-func (l *link) carry(from net.Conn) {
+func (l *testLink) carry(from net.Conn) {
 	if !l.hold(from) {
 		return
 	}
@@ -276,7 +276,7 @@
 }
 
 // pass passes bytes on as long as the link carries.
-func (l *link) pass(from, to net.Conn) {
+func (l *testLink) pass(from, to net.Conn) {
 	defer from.Close()
 	defer to.Close()
 	buf := make([]byte, 32<<10)
@@ -295,23 +295,23 @@
 
 // Guards against regions that don't come to one state after they were apart with changes on both sides, against a loser that is
 // not named at both, and against sidecars that go back to an older state, or miss what was published on their side meanwhile.
-func TestRegionsApartAndJoined(t *testing.T) {
-	east, west := newLink(t), newLink(t)
-	a := start(t, "a", t.TempDir(), nil, west.addr())
-	b := start(t, "b", t.TempDir(), nil, east.addr())
+func TestPartitionAndHeal(t *testing.T) {
+	east, west := newTestLink(t), newTestLink(t)
+	a := startDistributor(t, "a", t.TempDir(), nil, west.addr())
+	b := startDistributor(t, "b", t.TempDir(), nil, east.addr())
 	east.leads(a.asked)
 	west.leads(b.asked)
 	a.begun()
 	b.begun()
-	before := a.operate("s", contents(0, 0))
+	before := a.operate("s", testSettings(0, 0))
 	b.has(before)
 
 	east.set("cut")
 	west.set("cut")
-	readers := []*reader{{t: t, name: "at a"}, {t: t, name: "at b"}}
-	atA := a.operate("s", contents(1, 0))
-	b.operate("s", contents(2, 0))
-	atB := b.operate("s", contents(3, 0))
+	readers := []*testSidecar{{t: t, name: "at a"}, {t: t, name: "at b"}}
+	atA := a.operate("s", testSettings(1, 0))
+	b.operate("s", testSettings(2, 0))
+	atB := b.operate("s", testSettings(3, 0))
 	readers[0].follow(a.asked, atA)
 	readers[1].follow(b.asked, atB)
 	if readers[0].have.Edition != atA || readers[1].have.Edition != atB {
@@ -320,9 +320,9 @@
 
 	east.set("")
 	west.set("")
-	for _, r := range []*running{a, b} {
+	for _, r := range []*testDistributor{a, b} {
 		held := r.until("names the loser", func(held *settingsstore.Record) bool { return held.Overruled != nil })
-		if held.Edition != atB || held.Overruled.Edition != atA || string(held.Overruled.Settings) != contents(1, 0) {
+		if held.Edition != atB || held.Overruled.Edition != atA || string(held.Overruled.Settings) != testSettings(1, 0) {
 			t.Errorf("%s holds %s and names %s; of %s and %s the second wins", r.name, held.Edition, held.Overruled.Edition, atA, atB)
 		}
 		_, _, text := call(t, "GET", r.called, settingsPath+"?service=s", "")
@@ -334,28 +334,28 @@
 	readers[0].follow(a.asked, atB)
 	readers[1].follow(a.asked, atB)
 	// PublishResult anew, nothing is named any more, and rolling back is the same at both.
-	after := a.operate("s", contents(4, 0))
+	after := a.operate("s", testSettings(4, 0))
 	b.until("names nobody", func(held *settingsstore.Record) bool { return held.Edition == after && held.Overruled == nil })
 	back := b.operate("s", "")
 	a.has(back)
 	readers[1].follow(a.asked, back)
-	if string(readers[1].have.Settings) != contents(3, 0) {
+	if string(readers[1].have.Settings) != testSettings(3, 0) {
 		t.Errorf("rolled back to %s", readers[1].have.Settings)
 	}
 }
 
 // mesh is some distributors that all ask all, each reached by the others over a link of its own.
-type mesh struct {
+type testMesh struct {
 	t     *testing.T
-	links []*link
-	all   []*running
+	links []*testLink
+	all   []*testDistributor
 }
 
-// newMesh starts so many distributors, whose links are cut yet.
-func newMesh(t *testing.T, n int) *mesh {
-	m := &mesh{t: t}
+// newTestMesh starts so many distributors, whose links are cut yet.
+func newTestMesh(t *testing.T, n int) *testMesh {
+	m := &testMesh{t: t}
 	for range n {
-		m.links = append(m.links, newLink(t))
+		m.links = append(m.links, newTestLink(t))
 	}
 	m.set("cut")
 	for i := range m.links {
@@ -365,7 +365,7 @@
 }
 
 // begin starts one, in a directory.
-func (m *mesh) begin(i int, dir string) *running {
+func (m *testMesh) begin(i int, dir string) *testDistributor {
 	m.t.Helper()
 	var peers []string
 	for other, l := range m.links {
@@ -373,12 +373,12 @@
 			peers = append(peers, l.addr())
 		}
 	}
-	r := start(m.t, fmt.Sprint("d", i), dir, nil, peers...)
+	r := startDistributor(m.t, fmt.Sprint("d", i), dir, nil, peers...)
 	m.links[i].leads(r.asked)
 	return r
 }
 
-func (m *mesh) set(state string) {
+func (m *testMesh) set(state string) {
 	for _, l := range m.links {
 		l.set(state)
 	}
@@ -387,13 +387,13 @@
 // Guards against a change that the loss of two of five distributors holds up, for sidecars that were at one of those too, and
 // against the two bringing back what they had.
 func TestTwoOfFiveLost(t *testing.T) {
-	m := newMesh(t, 5)
+	m := newTestMesh(t, 5)
 	m.set("")
 	for _, r := range m.all {
 		r.begun()
 	}
-	first := m.all[0].operate("s", contents(0, 0))
-	sidecar := &reader{t: t, name: "n"}
+	first := m.all[0].operate("s", testSettings(0, 0))
+	sidecar := &testSidecar{t: t, name: "n"}
 	sidecar.follow(m.all[3].asked, first)
 	for _, r := range m.all {
 		r.has(first)
@@ -402,7 +402,7 @@
 		m.links[i].set("cut")
 		m.all[i].end()
 	}
-	second := m.all[1].operate("s", contents(1, 0))
+	second := m.all[1].operate("s", testSettings(1, 0))
 	for _, r := range m.all[:3] {
 		r.has(second)
 	}
@@ -415,18 +415,18 @@
 		m.links[i].set("")
 		back.has(second)
 	}
-	if last := m.all[2].operate("s", contents(2, 0)); last.Compare(second) <= 0 || m.all[0].until("has the last", func(held *settingsstore.Record) bool { return held.Edition == last }).Overruled != nil {
+	if last := m.all[2].operate("s", testSettings(2, 0)); last.Compare(second) <= 0 || m.all[0].until("has the last", func(held *settingsstore.Record) bool { return held.Edition == last }).Overruled != nil {
 		t.Errorf("%s after %s", last, second)
 	}
 }
 
 // Guards against a change that waits for a distributor that is dead or silent, and against one that comes back with less than the
 // others hold, or answers before it knows better.
-func TestOneDeadSlowAndWithoutItsDisk(t *testing.T) {
-	m := newMesh(t, 3)
+func TestDeadSlowAndDisklessPeer(t *testing.T) {
+	m := newTestMesh(t, 3)
 	links, all := m.links, m.all
 	// All are new, and wait for each other's word.
-	if status, _, text := call(t, "POST", all[0].called, settingsPath+"?service=s", contents(0, 0)); status != http.StatusServiceUnavailable {
+	if status, _, text := call(t, "POST", all[0].called, settingsPath+"?service=s", testSettings(0, 0)); status != http.StatusServiceUnavailable {
 		t.Fatalf("publishing before anybody was reached: %d %s", status, text)
 	}
 	for _, l := range links {
@@ -435,14 +435,14 @@
 	for _, r := range all {
 		r.begun()
 	}
-	first := all[0].operate("s", contents(0, 0))
+	first := all[0].operate("s", testSettings(0, 0))
 	all[2].has(first)
 
 	links[2].set("stalled") // slow, and not dead
-	second := all[0].operate("s", contents(1, 0))
+	second := all[0].operate("s", testSettings(1, 0))
 	all[1].has(second)
 	links[2].set("cut") // dead
-	third := all[1].operate("s", contents(2, 0))
+	third := all[1].operate("s", testSettings(2, 0))
 	all[0].has(third)
 
 	all[2].end()
@@ -450,13 +450,13 @@
 		l.set("cut")
 	}
 	lost := m.begin(2, t.TempDir())
-	reader := &reader{t: t, name: "n"}
+	reader := &testSidecar{t: t, name: "n"}
 	q := settingsstore.Request{Service: "s", Wait: time.Second}
 	if status, head, _ := call(t, "GET", lost.asked, q.Target(), ""); status != http.StatusServiceUnavailable || head.Get("Retry-After") == "" {
 		t.Errorf("without its disk, and alone, it answers %d", status)
 	}
 	for _, target := range []string{settingsPath, rollBackPath} {
-		if status, _, _ := call(t, "POST", lost.called, target+"?service=s", contents(9, 0)); status != http.StatusServiceUnavailable {
+		if status, _, _ := call(t, "POST", lost.called, target+"?service=s", testSettings(9, 0)); status != http.StatusServiceUnavailable {
 			t.Errorf("without its disk, and alone, %s is answered %d", target, status)
 		}
 	}
@@ -467,7 +467,7 @@
 	lost.has(third)
 	lost.begun()
 	reader.follow(lost.asked, third)
-	if next := lost.operate("s", contents(3, 0)); next.Compare(third) <= 0 {
+	if next := lost.operate("s", testSettings(3, 0)); next.Compare(third) <= 0 {
 		t.Errorf("published as %s after %s", next, third)
 	}
 	if status, _, _ := call(t, "GET", lost.called, healthPath, ""); status != http.StatusOK {
@@ -476,7 +476,7 @@
 }
 
 // begun waits until the distributor is starting no more.
-func (r *running) begun() {
+func (r *testDistributor) begun() {
 	r.t.Helper()
 	q := settingsstore.PeerRequest{Name: "test", Wait: 0}
 	for status := 0; status != http.StatusNoContent; {
@@ -492,10 +492,10 @@
 // told one that it asked for and then the last, another distributor has the last one too, and none of this is held.
 func TestBurst(t *testing.T) {
 	const many, size, asking = 1000, 4 << 10, 3
-	a := start(t, "a", t.TempDir(), &quick{Disk: persistence.Dir(t.TempDir())})
-	b := start(t, "b", t.TempDir(), &quick{Disk: persistence.Dir(t.TempDir())}, a.asked)
+	a := startDistributor(t, "a", t.TempDir(), &unsyncedDisk{Disk: persistence.Dir(t.TempDir())})
+	b := startDistributor(t, "b", t.TempDir(), &unsyncedDisk{Disk: persistence.Dir(t.TempDir())}, a.asked)
 	b.begun()
-	a.operate("s", contents(0, size))
+	a.operate("s", testSettings(0, size))
 	slow, err := net.Dial("tcp", a.asked)
 	if err != nil {
 		t.Fatal(err)
@@ -512,7 +512,7 @@
 	var told atomic.Int64
 	for i := range asking {
 		all.Go(func() {
-			r := &reader{t: t, name: fmt.Sprint("n", i)}
+			r := &testSidecar{t: t, name: fmt.Sprint("n", i)}
 			for r.have.Edition != last && r.ask(a.asked, settingsstore.MaxWait) {
 				told.Add(1)
 			}
@@ -522,7 +522,7 @@
 		})
 	}
 	for i := range many {
-		if _, err := a.d.publish(func() (*settingsstore.Record, error) { return a.d.store.Next("s", []byte(contents(i+1, size))) }); err != nil {
+		if _, err := a.d.publish(func() (*settingsstore.Record, error) { return a.d.store.Next("s", []byte(testSettings(i+1, size))) }); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -558,20 +558,20 @@
 }
 
 // quick is a disk that doesn't wait for the metal, for bursts.
-type quick struct{ persistence.Disk }
+type unsyncedDisk struct{ persistence.Disk }
 
-func (quick) Sync() error { return nil }
-func (q quick) Create(name string) (persistence.File, error) {
+func (unsyncedDisk) Sync() error { return nil }
+func (q unsyncedDisk) Create(name string) (persistence.File, error) {
 	f, err := q.Disk.Create(name)
-	return unsynced{f}, err
+	return unsyncedFile{f}, err
 }
 
-type unsynced struct{ persistence.File }
+type unsyncedFile struct{ persistence.File }
 
-func (unsynced) Sync() error { return nil }
+func (unsyncedFile) Sync() error { return nil }
 
 // awaitWatches waits until so many sidecars' watches are open.
-func (r *running) awaitWatches(want int) {
+func (r *testDistributor) awaitWatches(want int) {
 	for open := -1; open != want; {
 		runtime.Gosched()
 		r.d.mu.Lock()
@@ -581,8 +581,8 @@
 }
 
 // Guards against a watch beyond the bound that waits all the same, and against watches that are left open by those who are gone, or at the distributor's end.
-func TestWatchesAreBoundedAndEnd(t *testing.T) {
-	a := start(t, "a", t.TempDir(), nil)
+func TestWatchLimits(t *testing.T) {
+	a := startDistributor(t, "a", t.TempDir(), nil)
 	q := settingsstore.Request{Service: "s", Wait: settingsstore.MaxWait}
 	answered := make(chan int, 1)
 	go func() {
@@ -624,9 +624,9 @@
 }
 
 // Guards against settings that no sidecar could use and that are told all the same, and against calls that are misread.
-func TestFaultyCalls(t *testing.T) {
-	a := start(t, "a", t.TempDir(), nil)
-	good := contents(0, 0)
+func TestInvalidCalls(t *testing.T) {
+	a := startDistributor(t, "a", t.TempDir(), nil)
+	good := testSettings(0, 0)
 	for _, c := range []struct {
 		method, target, body string
 		status               int
@@ -635,8 +635,8 @@
 		{"POST", settingsPath + "?service=s", `{"n_instances":"3"}`, 400, "settings.n_instances"},
 		{"POST", settingsPath + "?service=s", strings.Replace(good, `"aim":90000000,`, "", 1), 400, "classes[0].aim"},
 		{"POST", settingsPath + "?service=s", good[:len(good)-1], 400, "settings"},
-		{"POST", settingsPath + "?service=s", contents(0, settingsstore.MaxSettingsBytes+1), 400, "settings has 65537 bytes"},
-		{"POST", settingsPath + "?service=s", contents(0, maxBodyBytes+1), 413, "settings"},
+		{"POST", settingsPath + "?service=s", testSettings(0, settingsstore.MaxSettingsBytes+1), 400, "settings has 65537 bytes"},
+		{"POST", settingsPath + "?service=s", testSettings(0, maxBodyBytes+1), 413, "settings"},
 		{"POST", settingsPath + "?service=.s", good, 400, "service"},
 		{"POST", settingsPath + "?service=s&service=t", good, 400, "service"},
 		{"POST", settingsPath + "?service=s&other=t", good, 400, "service"},
@@ -690,7 +690,7 @@
 // Guards against a peer's word that was cut, spoilt or mixed up and is taken, and against giving that peer up for it.
 func TestFaultyPeers(t *testing.T) {
 	state := func(service string, epoch uint64) settingsstore.State {
-		return settingsstore.NewState(service, version.Edition{Epoch: epoch, By: "p"}, json.RawMessage(contents(int(epoch), 0)))
+		return settingsstore.NewState(service, version.Edition{Epoch: epoch, By: "p"}, json.RawMessage(testSettings(int(epoch), 0)))
 	}
 	news := func(name string, records ...*settingsstore.Record) string {
 		return string((&settingsstore.Update{Name: name, Incarnation: "l", Sequence: 1, Records: records}).Encode())
@@ -710,7 +710,7 @@
 		_, _ = io.WriteString(w, answers[asked-1])
 	}))
 	defer peer.Close()
-	a := start(t, "a", t.TempDir(), nil, peer.Listener.Addr().String())
+	a := startDistributor(t, "a", t.TempDir(), nil, peer.Listener.Addr().String())
 	a.until("has anything", func(held *settingsstore.Record) bool { return true })
 	a.d.mu.Lock()
 	defer a.d.mu.Unlock()
@@ -720,12 +720,12 @@
 }
 
 // failing is a disk that has no room from some time on.
-type failing struct {
+type failingDisk struct {
 	persistence.Disk
 	full atomic.Bool
 }
 
-func (f *failing) Create(name string) (persistence.File, error) {
+func (f *failingDisk) Create(name string) (persistence.File, error) {
 	if f.full.Load() {
 		return nil, errors.New("no room")
 	}
@@ -736,25 +736,25 @@
 // that are lost, or believed though they were spoilt.
 func TestDisk(t *testing.T) {
 	dir := t.TempDir()
-	disk := &failing{Disk: persistence.Dir(dir)}
-	a := start(t, "a", dir, disk)
-	first := a.operate("s", contents(0, 0))
-	second := a.operate("s", contents(1, 0))
+	disk := &failingDisk{Disk: persistence.Dir(dir)}
+	a := startDistributor(t, "a", dir, disk)
+	first := a.operate("s", testSettings(0, 0))
+	second := a.operate("s", testSettings(1, 0))
 	disk.full.Store(true)
-	if status, _, text := call(t, "POST", a.called, settingsPath+"?service=s", contents(2, 0)); status != 500 || !strings.Contains(text, "no room") {
+	if status, _, text := call(t, "POST", a.called, settingsPath+"?service=s", testSettings(2, 0)); status != 500 || !strings.Contains(text, "no room") {
 		t.Errorf("without room: %d %s", status, text)
 	}
 	a.has(second)
 	a.end()
 
-	other := start(t, "b", t.TempDir(), nil, newLink(t).addr()) // of a peer that is not there
-	again := start(t, "a", dir, nil, other.asked)
+	other := startDistributor(t, "b", t.TempDir(), nil, newTestLink(t).addr()) // of a peer that is not there
+	again := startDistributor(t, "a", dir, nil, other.asked)
 	again.has(second)
 	if back := again.operate("s", ""); back.Compare(second) <= 0 {
 		t.Errorf("rolled back as %s after %s and %s", back, first, second)
 	}
 	again.end()
-	if again, err := New(Config{Name: "a"}, persistence.Dir(dir), zerolog.Nop()); err != nil || string(again.store.Record("s").Settings) != contents(0, 0) {
+	if again, err := New(Config{Name: "a"}, persistence.Dir(dir), zerolog.Nop()); err != nil || string(again.store.Record("s").Settings) != testSettings(0, 0) {
 		t.Errorf("%v", err)
 	}
 
@@ -784,15 +784,15 @@
 }
 
 // Guards against what others told being lost with the process, and against a disk that is slow holding up what is told.
-func TestKeepsWhatPeersTold(t *testing.T) {
-	a := start(t, "a", t.TempDir(), nil)
+func TestPeerUpdatesAreWritten(t *testing.T) {
+	a := startDistributor(t, "a", t.TempDir(), nil)
 	dir := t.TempDir()
-	disk := &failing{Disk: persistence.Dir(dir)}
+	disk := &failingDisk{Disk: persistence.Dir(dir)}
 	disk.full.Store(true)
-	b := start(t, "b", dir, disk, a.asked)
-	e := a.operate("s", contents(0, 0))
+	b := startDistributor(t, "b", dir, disk, a.asked)
+	e := a.operate("s", testSettings(0, 0))
 	b.has(e)
-	(&reader{t: t, name: "n"}).follow(b.asked, e)
+	(&testSidecar{t: t, name: "n"}).follow(b.asked, e)
 	disk.full.Store(false)
 	b.end()
 	if again, err := New(Config{Name: "b"}, persistence.Dir(dir), zerolog.Nop()); err != nil || again.store.Record("s") == nil || again.store.Record("s").Edition != e {
@@ -801,7 +801,7 @@
 }
 
 // Guards against connections without bound, and against ones that are never given back.
-func TestConnectionsAreBounded(t *testing.T) {
+func TestConnectionLimits(t *testing.T) {
 	l := &limitedListener{Listener: listen(t), slots: make(chan struct{}, 1)}
 	defer l.Close()
 	accepted := make(chan net.Conn)
--- a/internal/settingsserver/client.go
+++ b/internal/settingsserver/operator_client.go
@@ -16,16 +16,16 @@
 	"pinelb.example/pinelb/internal/settingsstore"
 )
 
-// maxStatusBytes is how many bytes a distributor's status may have: all sidecars that it knows, with the longest names and reasons.
+// maxStatusBytes bounds a distributor's status: all sidecars that it knows, with the longest names and reasons.
 const maxStatusBytes = 32 << 20
 
 // OperatorClient calls distributors as operators do, each call on a connection of its own.
 type OperatorClient struct {
-	Addresses []string      // addresses where operators call
-	Timeout   time.Duration // a call at most
+	Addresses []string      // the distributors' control addresses, in order of preference
+	Timeout   time.Duration // of one call
 }
 
-// StatusError is a distributor's word that it does not do what it was called for.
+// StatusError is a distributor's answer that declines a call.
 type StatusError struct {
 	Address string
 	Status  int
@@ -39,14 +39,15 @@
 // ErrNoneReached says that no distributor was reached, or all were starting.
 var ErrNoneReached = errors.New("distributor: nobody was reached")
 
-// Publish publishes settings at the first distributor that takes them. The next one is called only where one could not be reached
-// or is starting: the same settings published twice do no harm. Errors are ErrNoneReached and of type Refusal.
+// Publish publishes settings at the first distributor that accepts them. It tries the next one only where a distributor can't
+// be reached or is starting: to publish the same settings twice does no harm (the call is idempotent). Errors are
+// ErrNoneReached and of type StatusError.
 func (o *OperatorClient) Publish(ctx context.Context, service string, settings []byte) (PublishResult, error) {
 	return o.first(ctx, settingsPath, service, settings)
 }
 
-// RollBack publishes the service's former settings anew, as Publish does. Where a call's answer is lost the next one is not
-// called: it would take the way back back.
+// RollBack publishes the service's previous settings anew, as Publish does. Where a call's answer is lost it tries no other
+// distributor: a second roll-back would revert the first (the call is not idempotent).
 func (o *OperatorClient) RollBack(ctx context.Context, service string) (PublishResult, error) {
 	return o.first(ctx, rollBackPath, service, nil)
 }
@@ -74,7 +75,8 @@
 	return out, fmt.Errorf("%w: %w", ErrNoneReached, errors.Join(faults...))
 }
 
-// Statuses asks all distributors at once what they say of a service. Faults are of those that did not answer.
+// Statuses returns what all distributors, which are asked concurrently, report of a service. Faults are of those that did not
+// answer.
 func (o *OperatorClient) Statuses(ctx context.Context, service string) (statuses []settingsstore.Status, faults []error) {
 	all := make([]settingsstore.Status, len(o.Addresses))
 	errs := make([]error, len(o.Addresses))
@@ -114,7 +116,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("distributor: %w", err)
 	}
-	defer res.Body.Close()
+	defer func() { _ = res.Body.Close() }()
 	text, err := io.ReadAll(io.LimitReader(res.Body, maxStatusBytes))
 	if err != nil {
 		return nil, fmt.Errorf("distributor: %s: the answer is cut off: %w", at, err)
--- a/internal/settingsserver/peers.go
+++ b/internal/settingsserver/peer.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	peerWait            = 2 * time.Second        // that a watch of a peer waits for news
-	peerTimeout         = time.Second            // beyond that it is silent: lost
-	peerInterval        = 20 * time.Millisecond  // between two calls: changes that come faster are told together
-	peerRetryInterval   = 500 * time.Millisecond // after a failure
-	startupPeerInterval = 250 * time.Millisecond // while one of the two is starting
-	maxErrorBytes       = 1 << 10                // bytes of a refusal that are read
+	peerWait            = 2 * time.Second        // of a long poll
+	peerTimeout         = time.Second            // beyond peerWait, after which the peer is lost
+	peerInterval        = 20 * time.Millisecond  // between two polls: changes that come faster are sent together
+	peerRetryInterval   = 500 * time.Millisecond // after a poll has failed
+	startupPeerInterval = 250 * time.Millisecond // between two polls while one of the two is starting
+	maxErrorBytes       = 1 << 10                // of an error's body that are read
 )
 
-// peer is the watch of one of the other distributors.
+// peer follows one of the other distributors.
 type peer struct {
 	d           *Distributor
 	addr        string
@@ -30,7 +30,7 @@
 	sequence    uint64
 }
 
-// follow watches a peer, and merges what it tells, until ctx ends.
+// followPeer polls a peer and merges its updates until ctx is done.
 func (d *Distributor) followPeer(ctx context.Context, addr string) {
 	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: peerTimeout}).DialContext, MaxConnsPerHost: 1, DisableCompression: true,
 		MaxResponseHeaderBytes: maxHeaderBytes, IdleConnTimeout: idleTimeout}
@@ -63,14 +63,14 @@
 	}
 }
 
-// call asks once, and returns when to ask again.
+// poll makes one poll, and returns how long to wait until the next.
 func (p *peer) poll(ctx context.Context) (again time.Duration, err error) {
 	d := p.d
 	d.mu.Lock()
 	starting := d.store.Starting()
 	d.mu.Unlock()
 	wait := peerWait
-	if starting { // nothing new is an answer too
+	if starting { // an answer without updates tells something, too
 		wait = 0
 	}
 	news, err := p.request(ctx, wait)
@@ -79,7 +79,7 @@
 	}
 	if news != nil {
 		for _, r := range news.Records {
-			if err := d.merge(r); err != nil { // there is no room for this service; the others are not to suffer from it
+			if err := d.merge(r); err != nil { // there are too many services; the update's other records are merged nonetheless
 				d.log.Error().Str("peer", p.addr).Str("service", r.Service).Err(err).Msg("settings not taken")
 			}
 		}
@@ -100,7 +100,7 @@
 	return peerInterval, nil
 }
 
-// ask makes one call; nil is nothing new.
+// request sends one request; a nil update is nothing new.
 func (p *peer) request(ctx context.Context, wait time.Duration) (*settingsstore.Update, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+peerTimeout)
 	defer cancel()
@@ -113,7 +113,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("distributor: %w", err)
 	}
-	defer res.Body.Close()
+	defer func() { _ = res.Body.Close() }()
 	switch res.StatusCode {
 	case http.StatusNoContent:
 		return nil, nil
--- a/internal/settingsserver/table.go
+++ b/internal/settingsserver/view.go
@@ -11,21 +11,21 @@
 	"pinelb.example/pinelb/internal/version"
 )
 
-// Exit statuses of a status.
+// Exit statuses of "pinelb settings status".
 const (
 	ExitAllInForce  = 0
 	ExitNotAll      = 1
 	ExitNoneReached = 3
 )
 
-// View is what several distributors say of a service.
+// View is what several distributors report of a service.
 type View struct {
-	settingsstore.Status // together
+	settingsstore.Status // combined
 	Statuses             []settingsstore.Status
-	Unreached            []error // of those that did not answer
+	Unreached            []error // why distributors did not answer
 }
 
-// NewView puts statuses together, of which there may be none.
+// NewView combines statuses, of which there may be none.
 func NewView(statuses []settingsstore.Status, faults []error) *View {
 	v := &View{Statuses: statuses, Unreached: faults}
 	if len(statuses) > 0 {
@@ -34,8 +34,8 @@
 	return v
 }
 
-// Exit is the exit status that a view means. A service without settings has none in force; and what a distributor that was not
-// reached knows of sidecars may be that they have something else.
+// Exit returns the exit status of a view. A service without settings has none in force; and sidecars may have reported other
+// settings to a distributor that was not reached.
 func (v *View) Exit() int {
 	switch {
 	case len(v.Statuses) == 0:
@@ -46,7 +46,7 @@
 	return ExitAllInForce
 }
 
-// counts are how many sidecars stand so, of all states that there are.
+// counts returns how many sidecars are in each state.
 func (v *View) counts() (out []string) {
 	for _, state := range []string{settingsstore.InForce, settingsstore.Behind, settingsstore.Ahead, settingsstore.Rejected, settingsstore.Unresponsive} {
 		out = append(out, fmt.Sprintf("%d %s", v.CountIn(state), state))
@@ -54,7 +54,7 @@
 	return out
 }
 
-// Table writes a view for people: how many sidecars stand so, and those that don't have the newest in force.
+// Table writes a view for people: how many sidecars are in each state, and those that don't have the newest settings in force.
 func (v *View) Table(out io.Writer) error {
 	var b strings.Builder
 	for _, fault := range v.Unreached {
@@ -85,7 +85,7 @@
 	return err
 }
 
-// JSON writes a line for each sidecar, one for each distributor, and one for all of it.
+// JSON writes a line for each sidecar, one for each distributor, and a summary.
 func (v *View) JSON(out io.Writer) error {
 	e := json.NewEncoder(out)
 	for _, c := range v.Sidecars {
@@ -133,7 +133,7 @@
 		v.CountIn(settingsstore.Ahead), v.CountIn(settingsstore.Rejected), v.CountIn(settingsstore.Unresponsive), overruled, unreached})
 }
 
-// plain is text from elsewhere, without what a terminal would act on.
+// printable returns text from elsewhere with control characters replaced, which a terminal would act on.
 func printable(text string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r == 0x7f || 0x80 <= r && r < 0xa0 {
--- a/internal/settingsstore/wire_test.go
+++ b/internal/settingsstore/encoding_test.go
@@ -15,7 +15,7 @@
 
 func edition(epoch uint64, by string) version.Edition { return version.Edition{Epoch: epoch, By: by} }
 
-func keyOf(t *testing.T, err error) string {
+func errorKey(t *testing.T, err error) string {
 	t.Helper()
 	var faulty KeyError
 	if !errors.As(err, &faulty) || faulty.Key == "" {
@@ -60,14 +60,14 @@
 		{strings.Repeat(" ", MaxStateBytes) + string(text), "JSON"},
 	} {
 		_, err := Parse([]byte(c.text))
-		if key := keyOf(t, err); key != c.key {
+		if key := errorKey(t, err); key != c.key {
 			t.Errorf("%.80s: %v, want %s", c.text, err, c.key)
 		}
 	}
 }
 
 // Guards against a question that is understood as another one.
-func TestQuestions(t *testing.T) {
+func TestRequests(t *testing.T) {
 	long := strings.Repeat("é", MaxReasonBytes)
 	for _, q := range []Request{
 		{Service: "s"},
@@ -102,7 +102,7 @@
 			t.Fatal(err)
 		}
 		_, err = ParseRequest(u)
-		if key := keyOf(t, err); key != c.key {
+		if key := errorKey(t, err); key != c.key {
 			t.Errorf("%s: %v, want %s", c.target, err, c.key)
 		}
 	}
@@ -117,7 +117,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		s, err := Parse(text)
 		if err != nil {
-			keyOf(t, err)
+			errorKey(t, err)
 			return
 		}
 		if again, err := Parse(Encode(s)); err != nil || !reflect.DeepEqual(again, s) {
@@ -127,7 +127,7 @@
 }
 
 // What is read as a question can be written, is the same then, and is bounded.
-func FuzzParseQuestion(f *testing.F) {
+func FuzzParseRequest(f *testing.F) {
 	f.Add("/settings/s?since=3&by=d1&timeout_ms=2000&name=n")
 	f.Add("/settings/s?since=3&by=d1&refused=4&refused_by=d0&why=a%20b")
 	f.Add("/settings/%2e%2e?since=%31")
@@ -138,7 +138,7 @@
 		}
 		q, err := ParseRequest(u)
 		if err != nil {
-			keyOf(t, err)
+			errorKey(t, err)
 			return
 		}
 		if len(q.Name) > MaxSidecarNameBytes || len(q.Reason) > MaxReasonBytes || q.Wait > MaxWait || !utf8.ValidString(q.Reason) {
--- a/internal/settingsstore/follower.go
+++ b/internal/settingsstore/follower.go
@@ -12,65 +12,65 @@
 	"pinelb.example/pinelb/internal/version"
 )
 
-// Tunables of whoever follows a service. With k distributors bad, however many there are, a change that a good one has is asked
-// for within pollWait + k x pollGrace: one of the bad is found so by a watch that had just begun, the others by questions that
-// don't wait. For five that is 2.5 s with one bad, 3 s with two, and 4 s with all but one.
+// Time-outs of a Follower. With k faulty distributors, however many there are, a change that a healthy one has is requested within
+// pollWait + k x pollGrace: one of the faulty ones is detected by a long poll that had just begun, the others by requests that
+// don't wait. For five that is 2.5 s with one faulty, 3 s with two, and 4 s with all but one.
 const (
-	pollWait        = 2 * time.Second        // that a question waits for news, at most: a silent distributor looks like one without news until then
-	pollGrace       = 500 * time.Millisecond // silence beyond the wait
-	minCallInterval = 100 * time.Millisecond // between the beginnings of two calls, whatever is answered
-	avoidDuration   = 30 * time.Second       // one that failed, was silent or told nonsense is not gone back to, while there is another
-	maxRetryAfter   = 2 * time.Second        // of a Retry-After: a change is found by then as by a watch
-	minStopDuration = 400 * time.Millisecond // that a call must end after its time for this process to have been stopped, which is nobody's fault
+	pollWait        = 2 * time.Second        // of a long poll, at most: until then an unresponsive distributor looks like one without anything newer
+	pollGrace       = 500 * time.Millisecond // for the answer, beyond the wait
+	minCallInterval = 100 * time.Millisecond // between the beginnings of two calls, whatever the answers
+	avoidDuration   = 30 * time.Second       // for a distributor that failed, timed out or gave an invalid answer, while there is another
+	maxRetryAfter   = 2 * time.Second        // that a Retry-After is followed: as long as a long poll takes to detect a change
+	minStopDuration = 400 * time.Millisecond // by which a call must exceed its time-out for this process itself to have been stopped
 )
 
-// StaleError is an answer that is no newer than what whoever asked has seen.
+// StaleError says that an answer isn't newer than what the sidecar has seen.
 type StaleError struct{ Got, Seen version.Edition }
 
 func (e StaleError) Error() string {
 	return fmt.Sprintf("distribute: %s was told after %s", e.Got, e.Seen)
 }
 
-// WrongServiceError is an answer about another service than the one that was asked for.
+// WrongServiceError says that an answer is about another service than the requested one.
 type WrongServiceError struct{ Got, Want string }
 
 func (e WrongServiceError) Error() string {
 	return fmt.Sprintf("distribute: settings of %s were told, those of %s asked for", e.Got, e.Want)
 }
 
-// Call is what is to be asked next.
+// Call is what is to be requested next.
 type Call struct {
-	Distributor int           // the distributor's place in the list
-	NotBefore   time.Duration // and not before
+	Distributor int           // its index
+	NotBefore   time.Duration // when the call may begin
 	Request     Request
-	Timeout     time.Duration // of its beginning the answer has to be there; the connect is part of it
+	Timeout     time.Duration // for all of it, the connect included
 }
 
-// Follower decides which distributor a sidecar asks, when, and what it takes of the answers. Times are of a clock that never goes
-// back. Its owner makes one call at a time: Next, Ask, and then how it ended: Hear, Quiet, Silent, Fail, Reject or Drop; nothing
-// where it was broken off.
+// Follower decides which distributor a sidecar polls, when, and which answers it accepts. Times are of a monotonic clock. Its
+// owner makes one call at a time: Next, Sent, and then the call's outcome, which is one of ReceiveState, ReceiveNothing,
+// TimedOut, Failed, RejectAnswer and ConnectionLost; none where the call was cancelled.
 type Follower struct {
 	service, name string
 	rand          *rand.Rand
-	order         []int           // distributors, as this sidecar prefers them
-	avoidUntil    []time.Duration // by distributor: up to when it is
-	notBefore     []time.Duration // by distributor: it asked not to be asked before
-	current       int             // the one whose last answer was good; -1: it is to be seen
-	lastCalled    int             // the one that was asked last
-	calledAt      time.Duration   // when
+	order         []int           // distributors, in this sidecar's order of preference
+	avoidUntil    []time.Duration // by distributor
+	notBefore     []time.Duration // by distributor, from its Retry-After
+	current       int             // the distributor whose last answer was valid; -1: none is
+	lastCalled    int             // the distributor
+	calledAt      time.Duration
 	timeout       time.Duration
 	started       bool
-	stopAssumed   bool // the last silence was taken for a stop of this process
+	stopAssumed   bool // the last time-out was taken for a stop of this process
 
-	inForce      version.Edition // none: settings that no distributor gave
-	rejected     version.Edition // the newest one; none where one in force is newer
-	rejectReason string          // it was refused
-	answerFault  string          // of the last answer that could not be used, until a distributor has been told
+	inForce      version.Edition // zero: settings that are no distributor's
+	rejected     version.Edition // the newest one; zero where the one in force is newer
+	rejectReason string          // why it was rejected
+	answerFault  string          // of the last invalid answer, until a distributor has been sent it
 }
 
-// NewFollower returns that of a sidecar that holds no published settings yet. The distributors are preferred in an order that its
-// name and their addresses give (rendezvous hashing, Thaler and Ravishankar 1998): each is the first for about as many sidecars,
-// and those whose first is bad spread over the others.
+// NewFollower returns the follower of a sidecar that has no published settings yet. The sidecar's name and the distributors'
+// addresses give its order of preference (rendezvous hashing, Thaler and Ravishankar 1998): each distributor is the first
+// choice of about as many sidecars, and those of one that has failed spread over the others.
 func NewFollower(service, name string, distributors []string, r *rand.Rand) *Follower {
 	f := &Follower{service: service, name: truncate(name, MaxSidecarNameBytes), rand: r, current: -1,
 		avoidUntil: make([]time.Duration, len(distributors)), notBefore: make([]time.Duration, len(distributors))}
@@ -83,10 +83,10 @@
 	return f
 }
 
-// InForce is the edition that was taken last; none where none was.
+// InForce returns the edition that was applied last; zero: none.
 func (f *Follower) InForce() version.Edition { return f.inForce }
 
-// Next is the next call, as things stand.
+// Next returns the next call.
 func (f *Follower) Next(now time.Duration) Call {
 	c := Call{Distributor: f.choose(now), NotBefore: now, Timeout: pollGrace}
 	if f.started {
@@ -94,14 +94,14 @@
 	}
 	c.NotBefore = max(c.NotBefore, f.notBefore[c.Distributor])
 	c.Request = Request{Service: f.service, Name: f.name, Since: f.inForce, Rejected: f.rejected, Reason: f.faultReport()}
-	if c.Distributor == f.current { // any other has to show first that it is there
+	if c.Distributor == f.current { // any other has to show first that it responds
 		c.Request.Wait = f.jitter(pollWait).Truncate(time.Millisecond)
 		c.Timeout += c.Request.Wait
 	}
 	return c
 }
 
-// complaint is what a distributor is told of what was not taken.
+// faultReport returns what a distributor is sent about answers and settings that were rejected.
 func (f *Follower) faultReport() string {
 	if f.rejectReason != "" && f.answerFault != "" {
 		return f.answerFault + "; " + f.rejectReason
@@ -109,7 +109,7 @@
 	return f.answerFault + f.rejectReason
 }
 
-// choose is the first distributor that is not avoided, or where all are the one that is to be so for the shortest time.
+// choose returns the first distributor that isn't avoided, or where all are, the one that is avoided for the shortest time.
 func (f *Follower) choose(now time.Duration) int {
 	best := f.order[0]
 	for _, i := range f.order {
@@ -123,13 +123,13 @@
 	return best
 }
 
-// Sent says that the call goes out.
+// Sent records that the call begins.
 func (f *Follower) Sent(now time.Duration, c Call) {
 	f.lastCalled, f.calledAt, f.timeout, f.started = c.Distributor, now, c.Timeout, true
 }
 
-// ReceiveState takes an answer that is a state. Nil: its settings are to be tried, and then Take or Refuse told. An error is of type
-// StaleError or WrongServiceError, and the distributor is avoided for it.
+// ReceiveState handles an answer that is a state. Where it returns nil the settings are to be tried, and then Applied or
+// Rejected called. An error is a StaleError or a WrongServiceError, and the distributor is avoided.
 func (f *Follower) ReceiveState(now time.Duration, s State) error {
 	var err error
 	switch seen := f.newestSeen(); {
@@ -145,39 +145,41 @@
 	return err
 }
 
-// newest is the newest edition that was seen.
+// newestSeen returns the newest edition that was applied or rejected.
 func (f *Follower) newestSeen() version.Edition {
 	q := Request{Since: f.inForce, Rejected: f.rejected}
 	return q.NewestSeen()
 }
 
-// Applied says that an edition is in force.
+// Applied records that an edition is in force.
 func (f *Follower) Applied(e version.Edition) {
 	f.inForce, f.rejected, f.rejectReason = e, version.Edition{}, ""
 }
 
-// Rejected says why an edition can't be used. That is told, and the edition not tried again until Retry.
+// Rejected records why an edition can't be used. Distributors are sent that, and the edition isn't tried again until
+// RetryRejected.
 func (f *Follower) Rejected(e version.Edition, why error) {
 	f.rejected, f.rejectReason = e, why.Error()
 }
 
-// RetryRejected has what was refused be tried once more.
+// RetryRejected has the rejected edition be requested and tried once more.
 func (f *Follower) RetryRejected() { f.rejected, f.rejectReason = version.Edition{}, "" }
 
-// SkipWait has the next question not wait for news.
+// SkipWait has the next request return at once.
 func (f *Follower) SkipWait() { f.current = -1 }
 
-// ReceiveNothing takes an answer without news; retryAfter is how long the distributor asks to be left alone, 0 is not at all.
+// ReceiveNothing handles an answer without anything newer; retryAfter is the distributor's Retry-After, 0: none.
 func (f *Follower) ReceiveNothing(now, retryAfter time.Duration) {
 	f.recordSuccess(now)
 	f.applyRetryAfter(now, retryAfter)
 }
 
+// recordSuccess makes the distributor that was called the current one.
 func (f *Follower) recordSuccess(now time.Duration) {
 	f.current, f.avoidUntil[f.lastCalled], f.notBefore[f.lastCalled], f.answerFault, f.stopAssumed = f.lastCalled, now, now, "", false
 }
 
-// heed leaves the distributor alone for as long as it asks, within bounds.
+// applyRetryAfter leaves the distributor alone for as long as it asks for, but no longer than maxRetryAfter.
 func (f *Follower) applyRetryAfter(now, retryAfter time.Duration) {
 	if retryAfter <= 0 {
 		return
@@ -187,8 +189,8 @@
 	f.avoidUntil[f.lastCalled] = f.notBefore[f.lastCalled]
 }
 
-// TimedOut says that there was no answer in time, and returns whether the distributor is avoided for it: not where this process
-// seems to have been stopped meanwhile.
+// TimedOut records that no answer came in time, and returns whether the distributor is avoided for it: it isn't where this
+// process seems to have been stopped meanwhile.
 func (f *Follower) TimedOut(now time.Duration) (avoided bool) {
 	if !f.stopAssumed && now > f.calledAt+f.timeout+minStopDuration {
 		f.current, f.stopAssumed = -1, true
@@ -198,19 +200,20 @@
 	return true
 }
 
-// Failed says that the distributor could not be reached, broke off, or had no answer; retryAfter is as Quiet has it.
+// Failed records that the distributor could not be reached, closed the connection, or had no answer; retryAfter is as for
+// ReceiveNothing.
 func (f *Follower) Failed(now, retryAfter time.Duration) {
 	f.current, f.avoidUntil[f.lastCalled] = -1, now+avoidDuration
 	f.applyRetryAfter(now, retryAfter)
 }
 
-// RejectAnswer says that the answer could not be used. The next distributor is told why.
+// RejectAnswer records that the answer is invalid. The next distributor is sent the reason.
 func (f *Follower) RejectAnswer(now time.Duration, why error) {
 	f.answerFault = why.Error()
 	f.Failed(now, 0)
 }
 
-// ConnectionLost says that a connection that had been kept was lost, as by a distributor's restart: it may be there again.
+// ConnectionLost records that a kept connection was lost, as by a distributor's restart: that distributor may be there again.
 func (f *Follower) ConnectionLost(now time.Duration) {
 	if f.lastCalled != f.current {
 		f.Failed(now, 0)
@@ -219,7 +222,8 @@
 	f.current = -1
 }
 
-// spread is a random time between three quarters of most and most: sidecars that were answered at once must not ask in step for ever.
-func (f *Follower) jitter(most time.Duration) time.Duration {
-	return 3*most/4 + time.Duration(f.rand.Int64N(int64(most/4)))
+// jitter returns a random time between three quarters of limit and limit, so that sidecars which were answered at once don't
+// poll in step.
+func (f *Follower) jitter(limit time.Duration) time.Duration {
+	return 3*limit/4 + time.Duration(f.rand.Int64N(int64(limit/4)))
 }
--- a/internal/settingsstore/follower_test.go
+++ b/internal/settingsstore/follower_test.go
@@ -43,7 +43,7 @@
 }
 
 // play is a follower and its distributors in virtual time.
-type play struct {
+type followerSimulation struct {
 	t       *rapid.T
 	now     time.Duration
 	first   []kind
@@ -57,17 +57,17 @@
 	told    []time.Duration // when each edition was in force
 }
 
-func newPlay(t *rapid.T, first []kind, turns []turn, changes []time.Duration) *play {
+func newFollowerSimulation(t *rapid.T, first []kind, turns []turn, changes []time.Duration) *followerSimulation {
 	var from []string
 	for i := range first {
 		from = append(from, fmt.Sprintf("10.0.0.%d:8600", i+1))
 	}
 	seed := rapid.Uint64().Draw(t, "seed")
-	return &play{t: t, first: first, turns: turns, changes: changes, begun: -time.Hour, avoided: make([]time.Duration, len(first)),
+	return &followerSimulation{t: t, first: first, turns: turns, changes: changes, begun: -time.Hour, avoided: make([]time.Duration, len(first)),
 		f: NewFollower(asked, fmt.Sprintf("n%d", seed%1000), from, rand.New(rand.NewPCG(seed, 0)))}
 }
 
-func (p *play) kind(who int, at time.Duration) kind {
+func (p *followerSimulation) kind(who int, at time.Duration) kind {
 	k := p.first[who]
 	for _, t := range p.turns { // in their order
 		if t.who == who && t.at <= at {
@@ -78,7 +78,7 @@
 }
 
 // newest is the edition that is published by then.
-func (p *play) newest(at time.Duration) (epoch uint64) {
+func (p *followerSimulation) newest(at time.Duration) (epoch uint64) {
 	for _, t := range p.changes {
 		if t <= at {
 			epoch++
@@ -88,7 +88,7 @@
 }
 
 // run plays one call after the other until then.
-func (p *play) run(until time.Duration) {
+func (p *followerSimulation) run(until time.Duration) {
 	for p.now < until {
 		decided := p.now
 		c := p.f.Next(p.now)
@@ -111,7 +111,7 @@
 }
 
 // one plays a call: a distributor is of the kind that it is at its beginning, unless it falls silent before the answer.
-func (p *play) one(c Call) {
+func (p *followerSimulation) one(c Call) {
 	k := p.kind(c.Distributor, p.now)
 	seen, wait, end := c.Request.NewestSeen().Epoch, c.Request.Wait, p.now+c.Timeout
 	if k == full {
@@ -161,7 +161,7 @@
 }
 
 // odd has an answer be heard that is not to be taken.
-func (p *play) odd(k kind, c Call) {
+func (p *followerSimulation) odd(k kind, c Call) {
 	was := p.f.InForce()
 	s := State{Service: "other", Edition: edition(1<<40, "z")}
 	if k == behind {
@@ -179,7 +179,7 @@
 }
 
 // hear has news be taken.
-func (p *play) hear(e version.Edition) {
+func (p *followerSimulation) hear(e version.Edition) {
 	was := p.f.InForce()
 	if err := p.f.ReceiveState(p.now, State{Service: asked, Edition: e}); err != nil || e.Compare(was) <= 0 {
 		p.t.Fatalf("%s after %s: %v", e, was, err)
@@ -191,7 +191,7 @@
 }
 
 // bad is how many distributors are bad at some time from one to the other.
-func (p *play) bad(from, to time.Duration) (n int) {
+func (p *followerSimulation) bad(from, to time.Duration) (n int) {
 	for i := range p.first {
 		bad := p.kind(i, from).bad()
 		for _, t := range p.turns {
@@ -226,7 +226,7 @@
 			at += time.Duration(rapid.IntRange(0, 12_000).Draw(t, "after ms")) * time.Millisecond
 			changes = append(changes, at)
 		}
-		p := newPlay(t, first, turns, changes)
+		p := newFollowerSimulation(t, first, turns, changes)
 		p.run(long)
 		for i, at := range changes {
 			// A call that a distributor was bad at the beginning of stays so.
@@ -254,7 +254,7 @@
 			for _, who := range rapid.Permutation([]int{0, 1, 2, 3, 4}).Draw(t, "order")[:bad] {
 				turns = append(turns, turn{falls, who, silent})
 			}
-			p := newPlay(t, make([]kind, 5), turns, []time.Duration{falls + time.Millisecond})
+			p := newFollowerSimulation(t, make([]kind, 5), turns, []time.Duration{falls + time.Millisecond})
 			p.run(long)
 			if took := p.told[0] - falls; took > most*time.Millisecond+minCallInterval+10*sent {
 				t.Fatalf("%d of 5 silent: in force after %s", bad, took)
@@ -264,7 +264,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		all := []kind{silent, silent, silent, silent, silent}
 		back := time.Duration(rapid.IntRange(0, 40_000).Draw(t, "back ms")) * time.Millisecond
-		p := newPlay(t, all, []turn{{back, rapid.IntRange(0, 4).Draw(t, "who"), good}}, []time.Duration{back})
+		p := newFollowerSimulation(t, all, []turn{{back, rapid.IntRange(0, 4).Draw(t, "who"), good}}, []time.Duration{back})
 		p.run(long)
 		if took := p.told[0] - back; took > 5*pollGrace+10*sent {
 			t.Fatalf("all silent, one back: in force after %s", took)
@@ -273,9 +273,9 @@
 }
 
 // Guards against calls at rest that are more than a watch needs.
-func TestFollowerRests(t *testing.T) {
+func TestFollowerPausesBetweenCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newPlay(t, make([]kind, 5), nil, nil)
+		p := newFollowerSimulation(t, make([]kind, 5), nil, nil)
 		p.run(time.Minute)
 		if most := int(time.Minute/(pollWait*3/4)) + 2; p.calls > most {
 			t.Fatalf("%d calls in a minute without news, %d at most", p.calls, most)
@@ -285,7 +285,7 @@
 
 // Guards against an edition that is tried again and again once it was refused, against one that is refused and not told, and
 // against one that is taken after a newer one was refused.
-func TestFollowerRemembersRefusals(t *testing.T) {
+func TestFollowerRemembersRejections(t *testing.T) {
 	f := NewFollower(asked, "n", []string{"a", "b"}, rand.New(rand.NewPCG(1, 1)))
 	state := func(epoch uint64) State { return State{Service: asked, Edition: edition(epoch, "d")} }
 	now := time.Duration(0)
@@ -327,7 +327,7 @@
 }
 
 // Guards against a distributor that is blamed for a stop of this process, or that is never left on a machine where all is late.
-func TestFollowerWasStopped(t *testing.T) {
+func TestFollowerAfterProcessStop(t *testing.T) {
 	f := NewFollower(asked, "n", []string{"a", "b"}, rand.New(rand.NewPCG(1, 1)))
 	c := f.Next(0)
 	f.Sent(0, c)
--- a/internal/settingsstore/record.go
+++ b/internal/settingsstore/record.go
@@ -4,14 +4,12 @@
 	"encoding/json"
 	"fmt"
 	"maps"
-	"net/url"
 	"slices"
-	"strconv"
 
 	"pinelb.example/pinelb/internal/version"
 )
 
-// Bounds on what passes between distributors, in bytes but for the first.
+// Bounds on what distributors exchange.
 const (
 	maxIncludes    = 16 // distributors that a record names as included; each has published under an epoch of its own
 	MaxRecordBytes = 3*MaxStateBytes + 4<<10
@@ -19,35 +17,32 @@
 	maxPageBytes   = MaxUpdateBytes - MaxRecordBytes
 )
 
-// PeerPath is where distributors ask each other for news of all services.
-const PeerPath = "/settings"
-
-// Record is what a distributor holds of a service.
+// Record is what a distributor has of a service. Records are immutable once they are merged.
 type Record struct {
 	State // the newest
-	// Includes is by distributor the highest epoch under which it published what the newest was made after: such a state is a
-	// former one and was not overruled. Those of the lowest epochs are left out beyond maxIncludes.
+	// Includes has, by distributor, the highest epoch of its states that the newest state's publisher knew (a version vector):
+	// such a state was replaced, and not overruled. Beyond maxIncludes those of the lowest epochs are left out.
 	Includes map[string]uint64
-	// Lost is the same of all that was overruled: whoever publishes next has known it, and what it was made after. What Includes
-	// has is left out; nil: nothing was.
+	// Lost is the same of all states that were overruled, and of what they included: the next publisher will have known them.
+	// What Includes has is left out; nil: nothing was overruled.
 	Lost      map[string]uint64
 	Previous  *State // the contents before the newest, as its publisher had them: what rolling back publishes; nil: none
 	Overruled *State // the newest state that lost to one whose publisher didn't know it; nil: none
 }
 
-// includes tells whether the newest is that edition, or was made after it.
+// includes reports whether the newest state is of that edition, or was published by somebody who knew it.
 func (r *Record) includes(e version.Edition) bool {
 	return r.Edition == e || r.Includes[e.By] >= e.Epoch
 }
 
-// before orders states: of two under one edition, which only a fault can make, all distributors have to hold the same.
+// less orders states. Under one edition there are two contents only by a fault; all distributors have to keep the same ones.
 func (s *State) less(o *State) bool {
 	c := s.Compare(o.Edition)
 	return c < 0 || c == 0 && s.Digest < o.Digest
 }
 
-// merge is what a distributor holds that has known both records; either may be nil. The order of merges is of no matter to the
-// newest. Of several that were overruled the newest is kept, so that with three sides apart one may be forgotten.
+// merge returns what a distributor has that knows both records; either may be nil. The order of merges doesn't matter to the
+// newest state. Of several overruled states the newest is kept, so that of three partitions' states one may be forgotten.
 func merge(a, b *Record) *Record {
 	if a == nil || b != nil && a.less(&b.State) {
 		a, b = b, a
@@ -72,7 +67,7 @@
 	return &out
 }
 
-// next is the record that a distributor publishes over what it holds, which may be nil.
+// successor returns the record that a distributor publishes over what it has, which may be nil.
 func (r *Record) successor(s State) *Record {
 	out := &Record{State: s}
 	if r != nil {
@@ -81,7 +76,7 @@
 			out.Includes = addEdition(out.Includes, version.Edition{Epoch: epoch, By: by})
 		}
 		out.Includes = addEdition(out.Includes, r.Edition)
-		if out.Previous = r.Previous; r.Digest != s.Digest { // the same once more is nothing to go back to
+		if out.Previous = r.Previous; r.Digest != s.Digest { // the same contents once more are nothing to roll back to
 			former := r.State
 			out.Previous = &former
 		}
@@ -90,7 +85,7 @@
 	return out
 }
 
-// include notes an edition in what may be nil, and returns it.
+// addEdition adds an edition to epochs by distributor, which may be nil, and returns them.
 func addEdition(known map[string]uint64, e version.Edition) map[string]uint64 {
 	if known == nil {
 		known = map[string]uint64{}
@@ -109,7 +104,7 @@
 	return known
 }
 
-// EncodeRecord writes a record, for another distributor or for a file. Settings stand in it byte for byte.
+// EncodeRecord encodes a record, for another distributor or for a file. Settings stand in it byte for byte.
 func EncodeRecord(r *Record) []byte {
 	text := append([]byte(`{"newest":`), Encode(r.State)...)
 	text = append(append(text, `,"includes":`...), encodeEpochs(r.Includes)...)
@@ -128,7 +123,7 @@
 func encodeEpochs(known map[string]uint64) []byte {
 	text, err := json.Marshal(known)
 	if err != nil {
-		panic(err) // a map of texts and numbers can be written
+		panic(err) // a map of strings and numbers has no value that JSON can't encode
 	}
 	return text
 }
@@ -142,7 +137,7 @@
 	Overruled *wireState        `json:"overruled"`
 }
 
-// ParseRecord reads a record, as strictly as Parse does.
+// ParseRecord decodes a record, as strictly as Parse does.
 func ParseRecord(text []byte) (*Record, error) {
 	var w wireRecord
 	if err := decodeStrict(text, MaxRecordBytes, &w); err != nil {
@@ -188,7 +183,7 @@
 	return r, nil
 }
 
-// under reads a state that stands under a key; nil is none.
+// stateUnder decodes the state at a key; nil is none.
 func (w *wireState) stateUnder(key string) (*State, error) {
 	if w == nil {
 		return nil, nil
@@ -200,106 +195,5 @@
 	return &s, err
 }
 
-// Update is what a distributor tells another one.
-type Update struct {
-	Name        string    // of the distributor: no two may have one, for editions are told apart by it
-	Incarnation string    // which process of the distributor it is: At counts within one
-	Sequence    uint64    // of its changes the last that is in this page; what is asked for next time is what comes after it
-	Starting    bool      // it has nobody yet of whom it could know what is newest
-	More        bool      // there is more behind At already
-	Records     []*Record // of the services that have changed
-}
-
-// Encode writes news.
-func (n *Update) Encode() []byte {
-	text := fmt.Appendf(nil, `{"name":%q,"life":%q,"at":%d,"starting":%t,"more":%t,"records":[`, n.Name, n.Incarnation, n.Sequence, n.Starting, n.More)
-	for i, r := range n.Records {
-		if i > 0 {
-			text = append(text, ',')
-		}
-		text = append(text, EncodeRecord(r)...)
-	}
-	return append(text, ']', '}')
-}
-
-// ParseUpdate reads news, as strictly as Parse does.
-func ParseUpdate(text []byte) (*Update, error) {
-	var w struct {
-		Name     string        `json:"name"`
-		Life     string        `json:"life"`
-		At       uint64        `json:"at"`
-		Starting bool          `json:"starting"`
-		More     bool          `json:"more"`
-		Records  []*wireRecord `json:"records"`
-	}
-	if err := decodeStrict(text, MaxUpdateBytes, &w); err != nil {
-		return nil, err
-	}
-	if err := CheckName("name", w.Name); err != nil {
-		return nil, err
-	}
-	if err := CheckName("life", w.Life); err != nil {
-		return nil, err
-	}
-	n := &Update{Name: w.Name, Incarnation: w.Life, Sequence: w.At, Starting: w.Starting, More: w.More}
-	for i, one := range w.Records {
-		key := fmt.Sprintf("records[%d]", i)
-		if one == nil {
-			return nil, KeyError{key, "is missing"}
-		}
-		r, err := one.record()
-		if faulty, ok := err.(KeyError); ok {
-			return nil, KeyError{key + "." + faulty.Key, faulty.Reason}
-		}
-		n.Records = append(n.Records, r)
-	}
-	return n, nil
-}
-
-// PeerRequest is what a distributor asks another one: for all that has changed there after Since. The answer is News, with
-// status 200: at once where there is some, where Life is not that of the process that answers, or where that one is starting;
-// or nothing, with status 204, after Wait.
-type PeerRequest struct {
-	Incarnation string // as the last news had it; "": there was none
-	Since       uint64
-	Name        string // of the distributor that asks
-	Wait        Millis
-}
-
-// Millis is a time in milliseconds.
-type Millis = version.Millis
-
-// Target is the question as the target of a GET request.
-func (q *PeerRequest) Target() string {
-	v := url.Values{"since": {strconv.FormatUint(q.Since, 10)}, "timeout_ms": {strconv.FormatInt(int64(q.Wait), 10)}, "name": {q.Name}}
-	if q.Incarnation != "" {
-		v.Set("life", q.Incarnation)
-	}
-	return PeerPath + "?" + v.Encode()
-}
-
-// ParsePeerRequest reads a distributor's question, strictly. Errors are of type KeyError and name the key.
-func ParsePeerRequest(u *url.URL) (PeerRequest, error) {
-	f, err := parseFields(u.RawQuery, "life", "since", "timeout_ms", "name")
-	if err != nil {
-		return PeerRequest{}, err
-	}
-	q := PeerRequest{Incarnation: f["life"], Name: f["name"]}
-	if q.Since, err = f.number("since"); err != nil {
-		return PeerRequest{}, err
-	}
-	wait, err := f.wait("timeout_ms")
-	if err != nil {
-		return PeerRequest{}, err
-	}
-	q.Wait = Millis(wait.Milliseconds())
-	if q.Incarnation != "" {
-		if err := CheckName("life", q.Incarnation); err != nil {
-			return PeerRequest{}, err
-		}
-	}
-	return q, CheckName("name", q.Name)
-}
-
-// sortedNames are a map's names in order.
+// sortedNames returns a map's keys, sorted.
 func sortedNames[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/settingsstore/status.go
+++ b/internal/settingsstore/status.go
@@ -9,27 +9,27 @@
 	"pinelb.example/pinelb/internal/version"
 )
 
-// How a sidecar stands to the newest settings of its service.
+// A sidecar's state relative to the newest settings of its service. The values stand in the status JSON.
 const (
 	InForce      = "in force"
-	Behind       = "behind"  // it has older ones in force, and has not said anything of the newest
-	Ahead        = "ahead"   // it has newer ones in force, of a distributor that was not asked
-	Rejected     = "refused" // it has said why it does not take the newest
-	Unresponsive = "silent"  // it has not asked since its last question ended
+	Behind       = "behind"  // older settings are in force, and it has reported nothing about the newest
+	Ahead        = "ahead"   // newer settings are in force, from a distributor that was not asked
+	Rejected     = "refused" // it has reported why it doesn't apply the newest settings
+	Unresponsive = "silent"  // it has sent no request since its last one ended
 )
 
-// Sidecar is what one has acknowledged.
+// Sidecar is what a sidecar has acknowledged.
 type Sidecar struct {
 	Name           string          `json:"name"`
 	State          string          `json:"state"`
 	InForce        version.Edition `json:"in_force"`
 	Rejected       version.Edition `json:"refused,omitzero"`
 	Reason         string          `json:"why,omitempty"`
-	LastRequestAgo Millis          `json:"heard_ms"` // ago it asked last
+	LastRequestAgo Millis          `json:"heard_ms"` // since its last request
 	Unresponsive   bool            `json:"-"`
 }
 
-// stand is how it stands to the newest settings.
+// standing returns the sidecar's state relative to the newest settings.
 func (s *Sidecar) standing(newest version.Edition) string {
 	switch c := s.InForce.Compare(newest); {
 	case s.Unresponsive:
@@ -44,26 +44,26 @@
 	return InForce
 }
 
-// Contents are settings as a status has them.
+// Contents are settings in a Status.
 type Contents struct {
 	version.Edition
 	Digest   version.Digest  `json:"digest"`
 	Settings json.RawMessage `json:"settings,omitempty"`
 }
 
-// Status is what one distributor says of one service.
+// Status is what one distributor reports of one service.
 type Status struct {
 	Distributor string    `json:"distributor"`
 	Region      string    `json:"region"`
 	Starting    bool      `json:"starting"`
 	Service     string    `json:"service"`
-	Contents              // the newest; of the edition none where the service has never been published
+	Contents              // the newest; the zero edition where the service has never been published
 	Previous    *Contents `json:"former,omitempty"`
 	Overruled   *Contents `json:"overruled,omitempty"`
 	Sidecars    []Sidecar `json:"sidecars"`
 }
 
-// contents are a state's; nil of nil.
+// contents returns a state's; nil of nil.
 func contents(s *State) *Contents {
 	if s == nil {
 		return nil
@@ -71,7 +71,7 @@
 	return &Contents{s.Edition, s.Digest, s.Settings}
 }
 
-// StatusOf is what the store says of a service.
+// StatusOf returns what the store knows of a service.
 func (s *Store) StatusOf(region, service string, now time.Duration) Status {
 	out := Status{Distributor: s.name, Region: region, Starting: s.starting, Service: service, Sidecars: s.Sidecars(now, service)}
 	if r := s.Record(service); r != nil {
@@ -80,8 +80,8 @@
 	return out
 }
 
-// MergeStatuses is what several distributors say together: of each sidecar the word of the one that heard it last, judged by the
-// newest settings that any of them holds. There is at least one status, all of one service.
+// MergeStatuses combines what several distributors report of one service: of each sidecar the latest report, relative to the
+// newest settings that any of them has. There is at least one status.
 func MergeStatuses(statuses []Status) Status {
 	out := statuses[0]
 	latest := map[string]Sidecar{}
@@ -96,7 +96,7 @@
 			}
 		}
 	}
-	for _, s := range statuses { // who holds the newest may not have heard yet of what it won against
+	for _, s := range statuses { // a distributor that has the newest state may not know yet what it overruled
 		if o := s.Overruled; o != nil && s.Edition == out.Edition && (out.Overruled == nil || o.Compare(out.Overruled.Edition) > 0) {
 			out.Overruled = o
 		}
@@ -110,7 +110,7 @@
 	return out
 }
 
-// CountIn is how many sidecars stand so.
+// CountIn returns how many sidecars are in that state.
 func (s *Status) CountIn(state string) (n int) {
 	for _, c := range s.Sidecars {
 		if c.State == state {
@@ -120,7 +120,7 @@
 	return n
 }
 
-// NotInForce are the sidecars that have not the newest settings in force, those of one state together.
+// NotInForce returns the sidecars that don't have the newest settings in force, ordered by state.
 func (s *Status) NotInForce() []Sidecar {
 	out := slices.DeleteFunc(slices.Clone(s.Sidecars), func(c Sidecar) bool { return c.State == InForce })
 	slices.SortStableFunc(out, func(a, b Sidecar) int { return cmp.Compare(a.State, b.State) })
--- a/internal/settingsstore/store_test.go
+++ b/internal/settingsstore/store_test.go
@@ -23,7 +23,7 @@
 }
 
 // world is some distributors, what was really published, and readers that ask any of them.
-type world struct {
+type distributorSimulation struct {
 	t       *rapid.T
 	stores  []*Store
 	made    map[version.Edition]made
@@ -31,7 +31,7 @@
 	readers []version.Edition
 }
 
-func (w *world) merge(at int, r *Record) {
+func (w *distributorSimulation) merge(at int, r *Record) {
 	w.t.Helper()
 	if _, _, err := w.stores[at].Merge(r); err != nil {
 		w.t.Fatal(err)
@@ -40,7 +40,7 @@
 }
 
 // publish has a distributor publish, or roll back, over what it holds.
-func (w *world) publish(at int, contents string, back bool) {
+func (w *distributorSimulation) publish(at int, contents string, back bool) {
 	held := w.stores[at].Record("s")
 	r, err := w.stores[at].Next("s", []byte(contents))
 	if back {
@@ -70,7 +70,7 @@
 }
 
 // known are the editions that whoever holds a record has had in it, or before.
-func (w *world) known(held *Record) map[version.Edition]bool {
+func (w *distributorSimulation) known(held *Record) map[version.Edition]bool {
 	out := map[version.Edition]bool{}
 	if held == nil {
 		return out
@@ -87,7 +87,7 @@
 	return out
 }
 
-func (w *world) ask(reader, at int) {
+func (w *distributorSimulation) ask(reader, at int) {
 	text, id, err := w.stores[at].Poll(0, Request{Service: "s", Since: w.readers[reader]})
 	if err != nil || id != 0 {
 		w.t.Fatalf("a question that doesn't wait: watch %d, %v", id, err)
@@ -103,7 +103,7 @@
 }
 
 // exchange has all tell all, until nothing changes.
-func (w *world) exchange() {
+func (w *distributorSimulation) exchange() {
 	for changed := true; changed; {
 		changed = false
 		for from, store := range w.stores {
@@ -128,7 +128,7 @@
 func TestMergesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pick := func(name string, n int) int { return rapid.IntRange(0, n-1).Draw(t, name) }
-		w := &world{t: t, made: map[version.Edition]made{}, readers: make([]version.Edition, 3)}
+		w := &distributorSimulation{t: t, made: map[version.Edition]made{}, readers: make([]version.Edition, 3)}
 		for i := range 2 + pick("distributors", 3) {
 			w.stores = append(w.stores, NewStore(fmt.Sprint("d", i), fmt.Sprint("l", i), nil, true))
 		}
@@ -197,7 +197,7 @@
 
 // A watch is told exactly when there is something newer for it, its answer is the newest of the moment at which it ends, and
 // sidecars stand as a plain reading of what they said last has it.
-func TestWatchesAgainstOracle(t *testing.T) {
+func TestWatchesAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pick := func(name string, n int) int { return rapid.IntRange(0, n-1).Draw(t, name) }
 		st := NewStore("d", "l", nil, true)
@@ -349,7 +349,7 @@
 }
 
 // Guards against news that leave a service out, tell it twice for nothing, or grow beyond a page.
-func TestNews(t *testing.T) {
+func TestUpdates(t *testing.T) {
 	from, to := NewStore("d", "l", nil, true), NewStore("e", "m", nil, true)
 	large := `{"a":"` + strings.Repeat("x", MaxSettingsBytes-8) + `"}`
 	for round := range 3 {
@@ -505,7 +505,7 @@
 }
 
 // What is read as news can be written, and is the same then; and so with a record.
-func FuzzParseNews(f *testing.F) {
+func FuzzParseUpdate(f *testing.F) {
 	st := NewStore("d", "l", nil, true)
 	for i := range 3 {
 		r, _ := st.Next("s", fmt.Appendf(nil, `{"n":%d}`, i))
@@ -518,13 +518,13 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		n, err := ParseUpdate(text)
 		if err != nil {
-			keyOf(t, err)
+			errorKey(t, err)
 		} else if again, err := ParseUpdate(n.Encode()); err != nil || !reflect.DeepEqual(again.Records, n.Records) {
 			t.Errorf("%+v, %v, want %+v", again, err, n)
 		}
 		r, err := ParseRecord(text)
 		if err != nil {
-			keyOf(t, err)
+			errorKey(t, err)
 		} else if again, err := ParseRecord(EncodeRecord(r)); err != nil || !again.Same(r) {
 			t.Errorf("%+v, %v, want %+v", again, err, r)
 		}
@@ -533,7 +533,7 @@
 
 // Guards against a state being named as overruled that the newest was made after, by way of one that was overruled itself: d2
 // publishes over a state of d1, made after d0's, that had lost to d2's own.
-func TestWhatLostWasMadeAfterIsIncluded(t *testing.T) {
+func TestPublisherIncludesOverruled(t *testing.T) {
 	var stores []*Store
 	for i := range 3 {
 		stores = append(stores, NewStore(fmt.Sprint("d", i), "l", nil, true))
