--- a/cmd/pinelb/audit_test.go
+++ b/cmd/pinelb/audit_test.go
@@ -88,8 +88,8 @@
 	p.await(t, "cluster changed")
 	expect("after a change", "b", 200)
 	second := report(0)
-	if first.Version.List == second.Version.List || second.Under != first.Under+1 || second.Version.List.From != s.addr || second.State != version.Acts ||
-		second.Heard < 0 || second.Instances != 2 || second.Up <= 0 || second.Up < first.Up {
+	if first.Version.List == second.Version.List || second.VersionID != first.VersionID+1 || second.Version.List.From != s.addr || second.State != version.Active ||
+		second.ListAge < 0 || second.Instances != 2 || second.Up <= 0 || second.Up < first.Up {
 		t.Errorf("a change of the list: %+v\n%+v", first, second)
 	}
 	r := report(0)
@@ -119,7 +119,7 @@
 		t.Errorf("under a floor: %+v", got)
 	}
 	expect("behind, without a ticket", "b", 200)
-	if _, got, _ := asked(t, at, "/admin/floor", order(8, fmt.Sprintf(`,"ticket":{"no":0,"issued_ms":%d,"for_ms":5000}`, time.Now().UnixMilli()), nowhere)); got.State != version.Shut || got.Ticket == nil {
+	if _, got, _ := asked(t, at, "/admin/floor", order(8, fmt.Sprintf(`,"ticket":{"no":0,"issued_ms":%d,"for_ms":5000}`, time.Now().UnixMilli()), nowhere)); got.State != version.ShutOut || got.Permit == nil {
 		t.Errorf("with a ticket: %+v", got)
 	}
 	if res, _ := p.call(t, "GET", "/order-status/1", ""); res.StatusCode != 503 {
@@ -130,7 +130,7 @@
 			t.Errorf("shut out, %s is %d", path, got)
 		}
 	}
-	if _, got, _ := asked(t, at, "/admin/floor", order(9, "", "")); got.State != version.Acts {
+	if _, got, _ := asked(t, at, "/admin/floor", order(9, "", "")); got.State != version.Active {
 		t.Errorf("under a floor that it meets: %+v", got)
 	}
 	expect("back", "b", 200)
@@ -141,7 +141,7 @@
 	write(t, file, config)
 	asked(t, at, "/admin/floor", order(10, "", `"settings":"00000000000000ff",`))
 	p.await(t, "configuration read again")
-	if is := report(0); is.Under != was.Under+1 || is.Version.Settings == was.Version.Settings {
+	if is := report(0); is.VersionID != was.VersionID+1 || is.Version.Settings == was.Version.Settings {
 		t.Errorf("other settings: %+v", is)
 	}
 	expect("with them", "b", 200)
@@ -154,14 +154,16 @@
 	_ = p.cmd.Wait()
 	p, at = q, next
 	expect("after an upgrade", "b", 200)
-	if is := report(0); is.Life == was.Life || is.Version.Epoch != 10 || is.Version.Settings == was.Version.Settings {
+	if is := report(0); is.Incarnation == was.Incarnation || is.Version.Epoch != 10 || is.Version.Settings == was.Version.Settings {
 		t.Errorf("after an upgrade: %+v", is)
 	}
 	// And killed, once what it has done is on the disk.
 	s.change(host("s-1", a.addr, "Gone"), host("s-2", b.addr, "Ready"))
 	p.await(t, "cluster changed")
 	third := report(0)
-	for len(readBack(t, dir, func(e auditlog.Entry) bool { return e.Life == third.Life && e.Under == third.Under })) == 0 {
+	for len(readBack(t, dir, func(e auditlog.Entry) bool {
+		return e.Incarnation == third.Incarnation && e.VersionID == third.VersionID
+	})) == 0 {
 	}
 	_ = p.cmd.Process.Kill()
 	_ = p.cmd.Wait()
@@ -183,11 +185,11 @@
 	for _, e := range readBack(t, dir, func(auditlog.Entry) bool { return true }) {
 		switch e.Kind {
 		case auditlog.Adopted:
-			lists[under{e.Life, e.Under}] = e.Version.List.Digest
+			lists[under{e.Incarnation, e.VersionID}] = e.Version.List.Digest
 		case auditlog.Counted:
 			crossed += e.Crossed
 			for _, n := range e.Attempts {
-				sent[fmt.Sprint(n.Class, " ", n.Host, " ", lists[under{e.Life, e.Under}] == second.Version.List.Digest)] += n.N
+				sent[fmt.Sprint(n.Class, " ", n.Host, " ", lists[under{e.Incarnation, e.VersionID}] == second.Version.List.Digest)] += n.N
 			}
 		}
 	}
--- a/internal/audit/ask.go
+++ b/internal/audit/ask.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	answerMost = auditlog.ReportMost // bytes: what a sidecar may have the audit hold, times those asked at a time
+	answerMost = auditlog.MaxReportBytes // bytes: what a sidecar may have the audit hold, times those asked at a time
 	headMost   = 16 << 10
 	listMost   = 8 << 20 // bytes of the list service's answer, as sidecars have it
 	pagesMost  = 8       // calls in a row at one sidecar, for the rest of a long trail
--- a/internal/audit/ask_test.go
+++ b/internal/audit/ask_test.go
@@ -62,7 +62,7 @@
 
 // report is that of a sidecar that acts, and has no trail yet.
 func report(name string) auditlog.Report {
-	return auditlog.Report{Name: name, Zone: "z0", Site: "site", Instances: 1, Life: "life " + name, State: "acts", Under: 1, Next: 1, First: 1,
+	return auditlog.Report{Name: name, Zone: "z0", Site: "site", Instances: 1, Incarnation: "life " + name, State: "acts", VersionID: 1, Next: 1, Oldest: 1,
 		Version: version.Version{List: version.List{From: "ls", Revision: 7, Digest: 70}, Build: "new"}}
 }
 
@@ -191,7 +191,7 @@
 		if r.Method == http.MethodPost {
 			orders.Add(1)
 			var o version.Order
-			if err := json.NewDecoder(r.Body).Decode(&o); err != nil || r.URL.Path != "/admin/floor" || o.Floor.Epoch != 7 {
+			if err := json.NewDecoder(r.Body).Decode(&o); err != nil || r.URL.Path != "/admin/floor" || o.Minimum.Epoch != 7 {
 				t.Errorf("%s: %+v, %v", r.URL, o, err)
 			}
 			http.Error(w, "an older epoch", http.StatusConflict)
@@ -208,7 +208,7 @@
 	})
 	a := NewAsker(1, 10*time.Second)
 	defer a.Close()
-	got := a.Ask(t.Context(), []Question{{Addr: addr, Since: 2, Order: &version.Order{Floor: version.Floor{Epoch: 7}}}})[0]
+	got := a.Ask(t.Context(), []Question{{Addr: addr, Since: 2, Order: &version.Order{Minimum: version.MinimumVersion{Epoch: 7}}}})[0]
 	if got.Refused == nil || !strings.Contains(got.Refused.Error(), "409") || orders.Load() != 1 {
 		t.Errorf("%d orders, %v", orders.Load(), got.Refused)
 	}
@@ -219,7 +219,7 @@
 
 // Guards against a trail that has begun anew, and has grown as long as the former one, being read from its middle.
 func TestBegunAnew(t *testing.T) {
-	s := (&script{life: "m"}).add(100, auditlog.Entry{Kind: auditlog.Began}).adopt(200, 1, 5, 50).adopt(300, 2, 6, 60)
+	s := (&script{life: "m"}).add(100, auditlog.Entry{Kind: auditlog.Started}).adopt(200, 1, 5, 50).adopt(300, 2, 6, 60)
 	addr := sidecarAt(t, func(w http.ResponseWriter, r *http.Request) {
 		rep, since := report("a"), 0
 		_, _ = fmt.Sscanf(r.URL.RawQuery, "since=%d", &since)
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -40,7 +40,7 @@
 
 // rules are the deciding part's.
 func (o *Options) rules(site string) version.Rules {
-	return version.Rules{By: o.By, Site: site, Share: o.Share, Grace: o.Grace, Spread: o.Spread, For: o.For, Raise: o.Raise, ShutOut: o.ShutOut}
+	return version.Rules{By: o.By, Site: site, Share: o.Share, Grace: o.Grace, Spread: o.Spread, Validity: o.For, RaisesMinimum: o.Raise, IssuesPermits: o.ShutOut}
 }
 
 // Check returns an error that names what can't be ordered, or nil.
@@ -137,7 +137,7 @@
 }
 
 // decide takes in what was answered, and judges by it, at the moment a.now. at is a moment by that clock.
-func (a *Audit) decide(questions []Question, answers []Answer, demand *version.Demand, at func(time.Time) time.Duration, wall time.Time) (decided version.Round, faults []string) {
+func (a *Audit) decide(questions []Question, answers []Answer, demand *version.Reference, at func(time.Time) time.Duration, wall time.Time) (decided version.RoundResult, faults []string) {
 	if a.site == "" {
 		a.site = most(answers, func(r *auditlog.Report) string { return r.Site })
 	}
@@ -148,15 +148,15 @@
 		faults = append(faults, a.unread[name])
 	}
 	if a.o.List == "" {
-		demand.List, demand.At = a.reference(answers), a.now
+		demand.List, demand.RequestedAt = a.reference(answers), a.now
 	}
 	if a.auditor == nil && a.site != "" {
 		a.auditor = version.NewAuditor(a.o.rules(a.site), a.epoch)
 	}
 	if a.auditor == nil {
-		return version.Round{}, faults
+		return version.RoundResult{}, faults
 	}
-	seen := make([]version.Seen, len(answers))
+	seen := make([]version.Observation, len(answers))
 	for i := range answers {
 		seen[i] = a.seen(&a.o.Roster.Sidecars[i], &answers[i], at(answers[i].Back))
 	}
@@ -172,8 +172,8 @@
 }
 
 // demand is what everybody has to act on. Where the list service does not answer it is nil: the last one stays.
-func (a *Audit) demand(ctx context.Context, now time.Duration) *version.Demand {
-	d := &version.Demand{At: now, Settings: a.o.Settings, File: a.o.File, Builds: a.o.Builds}
+func (a *Audit) demand(ctx context.Context, now time.Duration) *version.Reference {
+	d := &version.Reference{RequestedAt: now, Settings: a.o.Settings, File: a.o.File, Builds: a.o.Builds}
 	if a.o.List == "" {
 		return d
 	}
@@ -313,11 +313,11 @@
 }
 
 // seen is a sidecar as the deciding part has it. Who was not reached has nothing but its name and zone.
-func (a *Audit) seen(s *Sidecar, answer *Answer, at time.Duration) version.Seen {
-	out := version.Seen{Name: s.Name, Zone: a.zone(s)}
+func (a *Audit) seen(s *Sidecar, answer *Answer, at time.Duration) version.Observation {
+	out := version.Observation{Name: s.Name, Zone: a.zone(s)}
 	if r := answer.Report; r != nil {
-		out.Reached, out.At, out.Life, out.Site, out.Instances = true, at, r.Life, r.Site, r.Instances
-		out.Version, out.Floor, out.State = r.Version, r.Floor, r.State
+		out.Reached, out.AnsweredAt, out.Incarnation, out.Site, out.Instances = true, at, r.Incarnation, r.Site, r.Instances
+		out.Version, out.Minimum, out.State = r.Version, r.Minimum, r.State
 	}
 	return out
 }
@@ -331,9 +331,9 @@
 }
 
 // order gives the orders at once, and takes in what is answered to them. It returns why they were refused, by name.
-func (a *Audit) order(ctx context.Context, now version.Millis, decided *version.Round) map[string]string {
-	if decided.Floor != nil {
-		a.history.Raise(now, *decided.Floor)
+func (a *Audit) order(ctx context.Context, now version.Millis, decided *version.RoundResult) map[string]string {
+	if decided.Minimum != nil {
+		a.history.Raise(now, *decided.Minimum)
 	}
 	byName := map[string]*version.Order{}
 	for i := range decided.Orders {
@@ -360,9 +360,9 @@
 }
 
 // view puts together what is shown.
-func (a *Audit) view(answers []Answer, decided *version.Round, at time.Time) *View {
+func (a *Audit) view(answers []Answer, decided *version.RoundResult, at time.Time) *View {
 	wall, now := millis(at), a.now
-	v := &View{At: wall, Round: a.round, Site: a.site, By: a.o.By, Floor: decided.Floor, Standing: cmp.Or(decided.Loser, decided.Why),
+	v := &View{At: wall, Round: a.round, Site: a.site, By: a.o.By, Floor: decided.Minimum, Standing: cmp.Or(decided.Superseded, decided.NoPermitReason),
 		Contradictions: a.history.Found, Unkept: a.history.Unkept}
 	switch n := len(a.history.Told); {
 	case a.o.List != "" && n > 0:
@@ -380,12 +380,12 @@
 	for i := range answers {
 		s := &a.o.Roster.Sidecars[i]
 		m, stands := a.memory(s.Name), standings[s.Name]
-		row := Row{Name: s.Name, Zone: a.zone(s), Addr: s.Addr, Status: Status(stands.State), Why: stands.Why, Seen: m.Seen, Late: a.history.Late(s.Name)}
+		row := Row{Name: s.Name, Zone: a.zone(s), Addr: s.Addr, Status: Status(stands.State), Why: stands.Reason, Seen: m.Seen, Late: a.history.Late(s.Name)}
 		if p := a.history.Sidecars[s.Name]; p != nil {
 			row.Dropped, row.Clock, row.ClockBy = p.Dropped, -p.Shift, p.Within
 		}
 		if r := m.Report; r != nil {
-			row.State, row.Version, row.Acted, row.Heard, row.Ticket, row.Succeed = r.State, &r.Version, r.Since, r.Heard, r.Ticket, r.Succeed
+			row.State, row.Version, row.Acted, row.Heard, row.Ticket, row.Succeed = r.State, &r.Version, r.VersionAge, r.ListAge, r.Permit, r.NeedsSuccessor
 		}
 		if row.Status == "" && answers[i].Report != nil { // there is nobody to decide
 			row.Status, row.Why = Unknown, "nobody tells a site"
@@ -398,8 +398,8 @@
 			if since := a.history.behind(s.Name, v.Reference, known); since > 0 && since < row.Since {
 				row.Since = since
 			}
-			if r := answers[i].Report; r != nil && r.Why != "" {
-				row.Why += "; it says: " + r.Why
+			if r := answers[i].Report; r != nil && r.Reason != "" {
+				row.Why += "; it says: " + r.Reason
 			}
 		case NotReached, "":
 			row.Status, row.Since, row.State, row.Ticket = NotReached, m.Lost, "", nil
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -50,7 +50,7 @@
 			f.t.Error(err)
 		}
 		f.orders[i] = append(f.orders[i], o)
-		f.reports[i].Floor, f.reports[i].Version.Epoch = &o.Floor, o.Floor.Epoch
+		f.reports[i].Minimum, f.reports[i].Version.Epoch = &o.Minimum, o.Minimum.Epoch
 	}
 	r.Now = millis(time.Now())
 	says(r)(w, q)
@@ -192,12 +192,12 @@
 	f.mu.Lock()
 	epoch := uint64(0)
 	for i, orders := range f.orders {
-		if len(orders) != 1 || orders[0].Floor.Builds[0] != "new" || orders[0].Floor.Site != "site" || orders[0].Floor.List != 70 || orders[0].Ticket != nil {
+		if len(orders) != 1 || orders[0].Minimum.Builds[0] != "new" || orders[0].Minimum.Site != "site" || orders[0].Minimum.List != 70 || orders[0].Permit != nil {
 			t.Errorf("sidecar %d: %+v", i, orders)
 			continue
 		}
-		epoch = orders[0].Floor.Epoch
-		f.reports[i].Floor, f.reports[i].Version.Epoch = nil, 0 // all have forgotten it
+		epoch = orders[0].Minimum.Epoch
+		f.reports[i].Minimum, f.reports[i].Version.Epoch = nil, 0 // all have forgotten it
 	}
 	f.mu.Unlock()
 	// Who continues goes on from the epoch that was given.
@@ -207,7 +207,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if got := f.orders[0]; len(got) != 2 || got[1].Floor.Epoch <= epoch {
+	if got := f.orders[0]; len(got) != 2 || got[1].Minimum.Epoch <= epoch {
 		t.Errorf("after epoch %d: %+v", epoch, got)
 	}
 }
@@ -303,8 +303,8 @@
 			at := func(t time.Time) time.Duration { return time.Duration(t.UnixNano()) }
 			round := func() {
 				a.now += time.Second
-				a.history.Raise(60_000, version.Floor{Epoch: 1, List: 9, Revision: 1 << 40, For: 600_000})
-				decided, _ := a.decide(questions, answers, &version.Demand{}, at, time.UnixMilli(600_000))
+				a.history.Raise(60_000, version.MinimumVersion{Epoch: 1, List: 9, Revision: 1 << 40, Validity: 600_000})
+				decided, _ := a.decide(questions, answers, &version.Reference{}, at, time.UnixMilli(600_000))
 				if v := a.view(answers, &decided, time.UnixMilli(600_000)); len(v.Rows) != fleet {
 					b.Fatal(v.Verdict())
 				}
@@ -331,7 +331,7 @@
 // FuzzMerge has sidecars tell anything, twice: nothing panics, what is held is bounded, and who was not reached is not up to date.
 func FuzzMerge(f *testing.F) {
 	for _, s := range []*script{
-		(&script{life: "l"}).add(100, auditlog.Entry{Kind: auditlog.Began}).adopt(200, 1, 5, 50).count(300, 1, 9, 1),
+		(&script{life: "l"}).add(100, auditlog.Entry{Kind: auditlog.Started}).adopt(200, 1, 5, 50).count(300, 1, 9, 1),
 		(&script{life: "m", ahead: -5000}).adopt(900, 1, 6, 60).adopt(950, 2, 4, 40),
 	} {
 		r := s.told(1000, 1).Report
@@ -359,7 +359,7 @@
 			}
 			at := began.Add(time.Duration(i) * time.Second)
 			a.now = time.Duration(i) * time.Second
-			decided, _ := a.decide([]Question{a.question(roster.Sidecars[0], nil), a.question(roster.Sidecars[1], nil)}, answers, &version.Demand{},
+			decided, _ := a.decide([]Question{a.question(roster.Sidecars[0], nil), a.question(roster.Sidecars[1], nil)}, answers, &version.Reference{},
 				func(m time.Time) time.Duration { return m.Sub(began) }, at)
 			v := a.view(answers, &decided, at)
 			for j := range answers {
--- a/internal/audit/history.go
+++ b/internal/audit/history.go
@@ -56,9 +56,9 @@
 
 // raised is a floor and when the first sidecar took it or, where this audit raised it, it did.
 type raised struct {
-	Floor version.Floor  `json:"floor"`
-	At    version.Millis `json:"at_ms"`
-	Ours  bool           `json:"ours"`
+	Floor version.MinimumVersion `json:"floor"`
+	At    version.Millis         `json:"at_ms"`
+	Ours  bool                   `json:"ours"`
 }
 
 // named is the content that a list's name was first seen with, and at whom.
@@ -112,7 +112,7 @@
 	p.Shift, p.Within, p.Known = shift, a.Within, true
 	if len(r.Entries) == 0 || r.Entries[0].Seq > since {
 		switch held := len(p.Entries) > 0; {
-		case r.First > since:
+		case r.Oldest > since:
 			p.Dropped = true
 		case held && r.Next > since, len(r.Entries) > 0:
 			h.note(Hole, name, a.Middle, fmt.Sprintf("asked from entry %d on, of which it says that it has it, it did not tell it", since))
@@ -149,12 +149,12 @@
 	fresh := 0
 	for _, e := range placed {
 		i := len(p.Entries) - 1 // what comes again is the last, or of a trail that is read anew
-		for i >= 0 && (p.Entries[i].Seq != e.Seq || p.Entries[i].Life != e.Life) {
+		for i >= 0 && (p.Entries[i].Seq != e.Seq || p.Entries[i].Incarnation != e.Incarnation) {
 			i--
 		}
 		switch {
 		case i < 0:
-			if n := len(p.Entries); n > 0 && p.Entries[n-1].Life == e.Life && p.Entries[n-1].Seq+1 == e.Seq && p.Entries[n-1].Sum != e.Prev {
+			if n := len(p.Entries); n > 0 && p.Entries[n-1].Incarnation == e.Incarnation && p.Entries[n-1].Seq+1 == e.Seq && p.Entries[n-1].Sum != e.Prev {
 				h.note(Rewritten, name, e.Time, fmt.Sprintf("entry %d does not follow the entry %d that was read before", e.Seq, e.Seq-1))
 			}
 			p.Entries = append(p.Entries, e)
@@ -180,8 +180,8 @@
 		if i > 0 && !follows(p.Entries[i-1].Entry, e.Entry) { // what was kept before is lost, rightly or not
 			revisions, epoch = map[string]int64{}, 0
 		}
-		if o := e.Order; e.Kind == auditlog.Ordered && o != nil && e.Why == "" && i >= first {
-			h.ordered(name, e, o.Floor)
+		if o := e.Order; e.Kind == auditlog.Ordered && o != nil && e.Reason == "" && i >= first {
+			h.ordered(name, e, o.Minimum)
 		}
 		v := e.Version
 		if !adopts(e) {
@@ -265,10 +265,10 @@
 }
 
 // Raise notes a floor that this audit raises.
-func (h *History) Raise(now version.Millis, f version.Floor) { h.raise(raised{f, now, true}) }
+func (h *History) Raise(now version.Millis, f version.MinimumVersion) { h.raise(raised{f, now, true}) }
 
 // ordered notes a floor that a sidecar took.
-func (h *History) ordered(name string, e Placed, f version.Floor) {
+func (h *History) ordered(name string, e Placed, f version.MinimumVersion) {
 	i := slices.IndexFunc(h.Raised, func(r raised) bool { return r.Floor.Epoch == f.Epoch && r.Floor.By == f.By })
 	switch {
 	case i < 0:
@@ -303,6 +303,6 @@
 }
 
 // compareFloors orders floors: the one that is less loses.
-func compareFloors(a, b version.Floor) int {
+func compareFloors(a, b version.MinimumVersion) int {
 	return cmp.Or(cmp.Compare(a.Epoch, b.Epoch), cmp.Compare(a.By, b.By))
 }
--- a/internal/audit/history_test.go
+++ b/internal/audit/history_test.go
@@ -20,7 +20,7 @@
 }
 
 func (s *script) add(at version.Millis, e auditlog.Entry) *script {
-	e.Seq, e.At, e.Up, e.Life = uint64(len(s.entries)+1), at+s.ahead, at, s.life
+	e.Seq, e.At, e.Up, e.Incarnation = uint64(len(s.entries)+1), at+s.ahead, at, s.life
 	if n := len(s.entries); n > 0 {
 		e.Prev = s.entries[n-1].Sum
 	}
@@ -35,16 +35,16 @@
 }
 
 func (s *script) adopt(at version.Millis, under uint32, revision int64, digest version.Digest) *script {
-	return s.add(at, auditlog.Entry{Kind: auditlog.Adopted, Under: under, Version: &version.Version{Epoch: s.epoch, List: version.List{From: "ls", Revision: revision, Digest: digest}}})
+	return s.add(at, auditlog.Entry{Kind: auditlog.Adopted, VersionID: under, Version: &version.Version{Epoch: s.epoch, List: version.List{From: "ls", Revision: revision, Digest: digest}}})
 }
 
 func (s *script) count(at version.Millis, under uint32, n, never int) *script {
-	return s.add(at, auditlog.Entry{Kind: auditlog.Counted, Under: under, Attempts: []auditlog.Attempts{{Class: "c", Host: "h", N: n, Never: never}}})
+	return s.add(at, auditlog.Entry{Kind: auditlog.Counted, VersionID: under, Attempts: []auditlog.Attempts{{Class: "c", Host: "h", N: n, Unsent: never}}})
 }
 
 // told is what is answered at a time to a call for entries from since on.
 func (s *script) told(at version.Millis, since int) Answer {
-	return Answer{Middle: at, Within: 10, Report: &auditlog.Report{Now: at + s.ahead, Up: at, First: 1, Next: uint64(len(s.entries) + 1),
+	return Answer{Middle: at, Within: 10, Report: &auditlog.Report{Now: at + s.ahead, Up: at, Oldest: 1, Next: uint64(len(s.entries) + 1),
 		Entries: s.entries[since-1:]}}
 }
 
@@ -59,7 +59,7 @@
 // Guards against contradictions that are missed, and against what is none being told as one.
 func TestContradictions(t *testing.T) {
 	start := func() *script {
-		return (&script{life: "l"}).add(100, auditlog.Entry{Kind: auditlog.Began}).adopt(200, 1, 5, 50)
+		return (&script{life: "l"}).add(100, auditlog.Entry{Kind: auditlog.Started}).adopt(200, 1, 5, 50)
 	}
 	for name, c := range map[string]struct {
 		play func(h *History)
@@ -79,7 +79,7 @@
 		}, Hole + " a"},
 		"changed": {func(h *History) {
 			s := start()
-			s.entries[1].Under = 7
+			s.entries[1].VersionID = 7
 			h.Merge("a", 1, s.told(6000, 1))
 		}, Hole + " a entry 2: changed"},
 		"not told": {func(h *History) {
@@ -89,22 +89,22 @@
 		"dropped": {func(h *History) {
 			h.Merge("a", 1, start().told(1000, 1))
 			a := start().adopt(5000, 2, 6, 60).told(6000, 3)
-			a.Report.First = 3
+			a.Report.Oldest = 3
 			h.Merge("a", 2, a)
 		}, ""},
 		"rewritten": {func(h *History) {
 			h.Merge("a", 1, start().told(1000, 1))
-			h.Merge("a", 2, (&script{life: "l"}).add(100, auditlog.Entry{Kind: auditlog.Began}).adopt(300, 1, 5, 50).told(2000, 2))
+			h.Merge("a", 2, (&script{life: "l"}).add(100, auditlog.Entry{Kind: auditlog.Started}).adopt(300, 1, 5, 50).told(2000, 2))
 		}, Rewritten + " a entry 2"},
 		"begun anew": {func(h *History) {
 			h.Merge("a", 1, start().adopt(5000, 2, 6, 60).told(6000, 1))
-			h.Merge("a", 3, (&script{life: "m"}).add(7000, auditlog.Entry{Kind: auditlog.Began}).adopt(7100, 1, 5, 50).told(8000, 1))
+			h.Merge("a", 3, (&script{life: "m"}).add(7000, auditlog.Entry{Kind: auditlog.Started}).adopt(7100, 1, 5, 50).told(8000, 1))
 		}, ""},
 		"two processes": {func(h *History) { // the former goes on beside the one that succeeds it
 			s := start()
 			next := &script{entries: append([]auditlog.Entry(nil), s.entries...), life: "m"}
 			h.Merge("a", 1, s.adopt(5000, 2, 6, 60).told(6000, 1))
-			h.Merge("a", 3, next.add(4000, auditlog.Entry{Kind: auditlog.Began}).adopt(4100, 1, 5, 50).told(7000, 3))
+			h.Merge("a", 3, next.add(4000, auditlog.Entry{Kind: auditlog.Started}).adopt(4100, 1, 5, 50).told(7000, 3))
 		}, ""},
 		"revision back": {func(h *History) { h.Merge("a", 1, start().adopt(5000, 2, 4, 40).told(6000, 1)) }, Back + " a ls: revision 4 after 5"},
 		"epoch back": {func(h *History) {
@@ -137,8 +137,8 @@
 			h.Merge("a", 1, (&script{life: "l"}).adopt(12_000, 1, 6, 60).told(30_000, 1))
 		}, ""},
 		"an order before it was raised": {func(h *History) {
-			o := version.Order{Floor: version.Floor{Epoch: 4, By: "me"}}
-			h.Raise(20_000, o.Floor)
+			o := version.Order{Minimum: version.MinimumVersion{Epoch: 4, By: "me"}}
+			h.Raise(20_000, o.Minimum)
 			h.Merge("a", 1, (&script{life: "l"}).add(5000, auditlog.Entry{Kind: auditlog.Ordered, Order: &o}).told(30_000, 1))
 		}, Early + " a epoch 4"},
 	} {
@@ -172,9 +172,9 @@
 		"ahead":                {[]auditlog.Entry{{At: 15_000, Up: 1000}, {At: 16_000, Up: 2000}}, 25_000, []version.Millis{10_000, 11_000}},
 		"set back between":     {[]auditlog.Entry{{At: 15_000, Up: 1000}, {At: 11_000, Up: 2000}}, 20_000, []version.Millis{10_000, 11_000}},
 		"set back after":       {[]auditlog.Entry{{At: 15_000, Up: 1000}, {At: 16_000, Up: 2000}}, 12_000, []version.Millis{10_000, 11_000}},
-		"started in between":   {[]auditlog.Entry{{At: 5000, Up: 900_000}, {At: 16_000, Up: 2000, Life: "m"}}, 25_000, []version.Millis{0, 11_000}},
-		"and soon":             {[]auditlog.Entry{{At: 5000, Up: 20_000}, {At: 16_000, Up: 2000, Life: "m"}}, 25_000, []version.Millis{0, 11_000}},
-		"and for long":         {[]auditlog.Entry{{At: 5000, Up: 1000}, {At: 500_000, Up: 2000, Life: "m"}}, 509_000, []version.Millis{-484_000, 11_000}},
+		"started in between":   {[]auditlog.Entry{{At: 5000, Up: 900_000}, {At: 16_000, Up: 2000, Incarnation: "m"}}, 25_000, []version.Millis{0, 11_000}},
+		"and soon":             {[]auditlog.Entry{{At: 5000, Up: 20_000}, {At: 16_000, Up: 2000, Incarnation: "m"}}, 25_000, []version.Millis{0, 11_000}},
+		"and for long":         {[]auditlog.Entry{{At: 5000, Up: 1000}, {At: 500_000, Up: 2000, Incarnation: "m"}}, 509_000, []version.Millis{-484_000, 11_000}},
 		"up is not known once": {[]auditlog.Entry{{At: 15_000, Up: 1000}, {At: 15_500}, {At: 16_000, Up: 2000}}, 25_000, []version.Millis{10_000, 10_500, 11_000}},
 		"up is not known":      {[]auditlog.Entry{{At: 15_000}, {At: 16_000}}, 25_000, []version.Millis{10_000, 11_000}},
 	} {
@@ -190,8 +190,8 @@
 // Guards against attempts under an old version that don't show, and against those being counted that were in time, or never
 // reached a host.
 func TestLate(t *testing.T) {
-	floor := version.Floor{Epoch: 1, By: "me", List: 60, Revision: 6, Grace: 3000, For: 60_000}
-	s := (&script{life: "l"}).add(100, auditlog.Entry{Kind: auditlog.Began}).adopt(200, 1, 5, 50)
+	floor := version.MinimumVersion{Epoch: 1, By: "me", List: 60, Revision: 6, Grace: 3000, Validity: 60_000}
+	s := (&script{life: "l"}).add(100, auditlog.Entry{Kind: auditlog.Started}).adopt(200, 1, 5, 50)
 	s.count(9000, 1, 100, 0)                           // before the floor
 	s.count(19_000, 1, 7, 2)                           // over its grace's end, at 13 s
 	s.count(29_000, 1, 20, 3)                          // after
@@ -207,7 +207,7 @@
 	}
 	// A floor that is raised anew gives no second time of grace.
 	again := floor
-	again.Epoch, again.For = 2, 42_000
+	again.Epoch, again.Validity = 2, 42_000
 	h.Raise(28_000, again)
 	if got := h.Late("a"); len(got) != 1 || got[0] != (Late{Host: "h", N: 21, Perhaps: 5}) {
 		t.Errorf("raised anew: %+v", got)
--- a/internal/audit/late.go
+++ b/internal/audit/late.go
@@ -32,7 +32,7 @@
 	flushed := map[string][]version.Millis{} // of each life
 	sums := map[string]Late{}
 	for _, e := range p.Entries {
-		key := adoption{e.Life, e.Under}
+		key := adoption{e.Incarnation, e.VersionID}
 		switch {
 		case adopts(e):
 			versions[key] = e.Version
@@ -41,13 +41,13 @@
 			}
 		case e.Kind == auditlog.Counted && versions[key] != nil:
 			from := began[key]
-			for _, t := range slices.Backward(flushed[e.Life]) {
+			for _, t := range slices.Backward(flushed[e.Incarnation]) {
 				if t < e.Time-slack { // those of one flush stand closer together
 					from = max(from, t)
 					break
 				}
 			}
-			flushed[e.Life] = append(flushed[e.Life], e.Time)
+			flushed[e.Incarnation] = append(flushed[e.Incarnation], e.Time)
 			ended, over := h.ended(versions[key], e.Time+e.Within)
 			if !over {
 				continue
@@ -55,9 +55,9 @@
 			for _, a := range e.Attempts {
 				s := sums[a.Host]
 				if s.Host = a.Host; from-e.Within >= ended {
-					s.N += max(0, a.N-a.Never)
+					s.N += max(0, a.N-a.Unsent)
 				} else {
-					s.Perhaps += max(0, a.N-a.Never)
+					s.Perhaps += max(0, a.N-a.Unsent)
 				}
 				sums[a.Host] = s
 			}
@@ -72,7 +72,7 @@
 // where it was raised while one stood that the version did not meet either, that one's grace counts.
 func (h *History) ended(v *version.Version, at version.Millis) (since version.Millis, over bool) {
 	i := len(h.Raised) - 1
-	for ; i >= 0 && (at < h.Raised[i].At || at >= h.Raised[i].At+h.Raised[i].Floor.For); i-- {
+	for ; i >= 0 && (at < h.Raised[i].At || at >= h.Raised[i].At+h.Raised[i].Floor.Validity); i-- {
 	}
 	if i < 0 || meets(&h.Raised[i].Floor, v) {
 		return 0, false
@@ -80,7 +80,7 @@
 	since = h.Raised[i].At + h.Raised[i].Floor.Grace
 	for ; i > 0; i-- {
 		former := &h.Raised[i-1]
-		if former.At+former.Floor.For < h.Raised[i].At || meets(&former.Floor, v) {
+		if former.At+former.Floor.Validity < h.Raised[i].At || meets(&former.Floor, v) {
 			break
 		}
 		since = min(since, former.At+former.Floor.Grace)
@@ -89,7 +89,7 @@
 }
 
 // meets tells whether a version meets all of a floor.
-func meets(f *version.Floor, v *version.Version) bool {
-	list, settings, file, build := f.Meets(v)
+func meets(f *version.MinimumVersion, v *version.Version) bool {
+	list, settings, file, build := f.MetBy(v)
 	return list && settings && file && build
 }
--- a/internal/audit/page.go
+++ b/internal/audit/page.go
@@ -157,23 +157,23 @@
 	switch {
 	case e.Kind == auditlog.Adopted && e.Version != nil:
 		v := e.Version
-		return fmt.Sprintf("no. %d: list %s of %s, settings %s, file %s, build %s, epoch %d", e.Under, name(v.List), v.List.From,
+		return fmt.Sprintf("no. %d: list %s of %s, settings %s, file %s, build %s, epoch %d", e.VersionID, name(v.List), v.List.From,
 			short(v.Settings), short(v.File), v.Build, v.Epoch)
 	case e.Kind == auditlog.Ordered && e.Order != nil:
-		text := fmt.Sprintf("epoch %d by %s", e.Order.Floor.Epoch, e.Order.Floor.By)
-		if e.Order.Ticket != nil {
-			text += fmt.Sprintf(", ticket %d", e.Order.Ticket.No)
+		text := fmt.Sprintf("epoch %d by %s", e.Order.Minimum.Epoch, e.Order.Minimum.By)
+		if e.Order.Permit != nil {
+			text += fmt.Sprintf(", ticket %d", e.Order.Permit.Number)
 		}
-		if e.Why != "" {
-			text += ", refused: " + e.Why
+		if e.Reason != "" {
+			text += ", refused: " + e.Reason
 		}
 		return text
-	case e.Kind == auditlog.Judged && e.Why != "":
-		return e.State + ": " + e.Why
-	case e.Kind == auditlog.Judged:
+	case e.Kind == auditlog.VerdictChanged && e.Reason != "":
+		return e.State + ": " + e.Reason
+	case e.Kind == auditlog.VerdictChanged:
 		return e.State
 	case e.Kind == auditlog.Stopped:
-		return "for " + span(e.Took)
+		return "for " + span(e.Duration)
 	case e.Kind == auditlog.Lost:
 		return fmt.Sprintf("%d before it were not kept", e.N)
 	}
--- a/internal/audit/place.go
+++ b/internal/audit/place.go
@@ -32,12 +32,12 @@
 	for i := len(entries) - 1; i >= 0; i-- {
 		e := entries[i]
 		if e.Up > 0 {
-			if step := (wall - e.At) - (up - e.Up); up > 0 && e.Up <= up && !(life != "" && e.Life != life && max(step, -step) > rebootStep) {
+			if step := (wall - e.At) - (up - e.Up); up > 0 && e.Up <= up && !(life != "" && e.Incarnation != life && max(step, -step) > rebootStep) {
 				shift += step
 			}
 			wall, up = e.At, e.Up
 		}
-		life = e.Life
+		life = e.Incarnation
 		out[i] = Placed{Entry: e, Time: e.At + shift, Within: a.Within}
 	}
 	return out
--- a/internal/audit/view.go
+++ b/internal/audit/view.go
@@ -17,7 +17,7 @@
 const (
 	UpToDate   Status = version.UpToDate
 	Behind     Status = version.Behind
-	Shut       Status = version.Shut
+	Shut       Status = version.ShutOut
 	NotReached Status = version.NotReached
 	Unknown    Status = version.Unknown // it answers, but there is nothing to measure it by
 )
@@ -43,7 +43,7 @@
 	Acted   version.Millis   `json:"acted_ms"`           // for how long it had acted on that when it answered
 	Heard   version.Millis   `json:"heard_ms"`           // how long ago it had then heard the list service; -1 is never
 	Seen    version.Millis   `json:"seen_ms,omitempty"`  // Unix time of its last answer; 0 is never
-	Ticket  *version.Ticket  `json:"ticket,omitempty"`   // held
+	Ticket  *version.Permit  `json:"ticket,omitempty"`   // held
 	Succeed bool             `json:"succeed,omitempty"`  // its build has to be succeeded
 	Late    []Late           `json:"late,omitempty"`     // by host
 	Dropped bool             `json:"dropped,omitempty"`  // its trail's beginning could not be read
@@ -71,21 +71,21 @@
 
 // View is what an audit found, as it is shown.
 type View struct {
-	At             version.Millis  // Unix time
-	Took           version.Millis  // of the round
-	Round          int             // from 1
-	Site           string          // of most sidecars
-	By             string          // the auditor's name
-	Reference      version.List    // none: Digest 0
-	Measure        string          // what the reference is
-	Floor          *version.Floor  // the one this audit raises
-	Standing       string          // why it shuts nobody out, or orders nothing; empty otherwise
-	Rows           []Row           // the worst first, then by name
-	Faults         []string        // of the roster
-	Contradictions []Contradiction // the oldest first
-	Unkept         int             // contradictions beyond those
-	Lists          []Listed        // the newest first
-	Events         []Event         // the newest first
+	At             version.Millis          // Unix time
+	Took           version.Millis          // of the round
+	Round          int                     // from 1
+	Site           string                  // of most sidecars
+	By             string                  // the auditor's name
+	Reference      version.List            // none: Digest 0
+	Measure        string                  // what the reference is
+	Floor          *version.MinimumVersion // the one this audit raises
+	Standing       string                  // why it shuts nobody out, or orders nothing; empty otherwise
+	Rows           []Row                   // the worst first, then by name
+	Faults         []string                // of the roster
+	Contradictions []Contradiction         // the oldest first
+	Unkept         int                     // contradictions beyond those
+	Lists          []Listed                // the newest first
+	Events         []Event                 // the newest first
 }
 
 // Count is how many sidecars have a status.
--- a/internal/auditlog/chain.go
+++ b/internal/auditlog/chain.go
@@ -11,12 +11,12 @@
 	"pinelb.example/pinelb/internal/version"
 )
 
-// seqMost keeps a number that somebody has made up from running over.
-const seqMost = 1 << 62
+// maxSeq keeps a number that somebody has made up from running over.
+const maxSeq = 1 << 62
 
 // seal makes an entry the one after another. It is brought to what is read back of it first, so that its sum is the same
 // there: JSON has no text that is not UTF-8.
-func seal(prev Entry, e Entry) (Entry, []byte, error) {
+func link(prev Entry, e Entry) (Entry, []byte, error) {
 	e.Seq, e.Prev, e.Sum = prev.Seq+1, prev.Sum, ""
 	text, err := json.Marshal(&e)
 	if err != nil {
@@ -26,13 +26,13 @@
 	if err := json.Unmarshal(text, &e); err != nil {
 		return e, nil, fmt.Errorf("trail: entry: %w", err)
 	}
-	e.Sum = sum(e)
+	e.Sum = checksum(e)
 	text, err = json.Marshal(e)
 	return e, text, err
 }
 
 // sum is the first 16 bytes of the SHA-256 of an entry's JSON, in which Sum is empty and Prev stands.
-func sum(e Entry) string {
+func checksum(e Entry) string {
 	e.Sum = ""
 	text, err := json.Marshal(e)
 	if err != nil {
@@ -42,51 +42,53 @@
 	return hex.EncodeToString(h[:16])
 }
 
-// Flaw says what is wrong with a trail.
-type Flaw string
+// Kind says what is wrong with a trail.
+type FaultKind string
 
 // The flaws. None of them is that a trail begins after its first entry: older ones are dropped.
 const (
-	Changed    Flaw = "changed"    // an entry is not what its sum was made of
-	Hole       Flaw = "hole"       // N entries before this one are missing, and no entry tells that they were lost
-	Unchained  Flaw = "unchained"  // the entry before it is there and another than it was made after
-	Disordered Flaw = "disordered" // it stands after one of its own process that came later, or twice
-	Unreadable Flaw = "unreadable" // a line of a file is no entry
+	Changed    FaultKind = "changed"    // an entry is not what its sum was made of
+	Missing    FaultKind = "hole"       // Count entries before this one are missing, and no entry tells that they were lost
+	Unchained  FaultKind = "unchained"  // the entry before it is there and another than it was made after
+	Disordered FaultKind = "disordered" // it stands after one of its own process that came later, or twice
+	Unreadable FaultKind = "unreadable" // a line of a file is no entry
 )
 
-// Fault is a place at which a trail is not whole.
+// OnFault is a place at which a trail is not whole.
 type Fault struct {
-	Seq  uint64 `json:"seq"` // of the entry at which it shows; 0 where that can't be said
-	Flaw Flaw   `json:"flaw"`
-	N    uint64 `json:"n,omitempty"`    // Hole: how many are missing
-	File string `json:"file,omitempty"` // Unreadable: where
-	Line int    `json:"line,omitempty"` // Unreadable: from 1
+	Seq   uint64    `json:"seq"` // of the entry at which it shows; 0 where that can't be said
+	Kind  FaultKind `json:"flaw"`
+	Count uint64    `json:"n,omitempty"`    // Missing: how many are missing
+	File  string    `json:"file,omitempty"` // Unreadable: where
+	Line  int       `json:"line,omitempty"` // Unreadable: from 1
 }
 
 func (f Fault) String() string {
-	switch f.Flaw {
-	case Hole:
-		return fmt.Sprintf("entry %d: a hole, %d before it are missing", f.Seq, f.N)
+	switch f.Kind {
+	case Missing:
+		return fmt.Sprintf("entry %d: a hole, %d before it are missing", f.Seq, f.Count)
 	case Unreadable:
 		return fmt.Sprintf("%s, line %d: unreadable", f.File, f.Line)
 	}
-	return fmt.Sprintf("entry %d: %s", f.Seq, f.Flaw)
+	return fmt.Sprintf("entry %d: %s", f.Seq, f.Kind)
 }
 
 // Check returns where a trail, in order of its numbers, is not whole. A process that succeeds another goes on from what that
 // had handed over, while that goes on itself, so the chain may fork, but only at the first entry of a process. What was cut
 // off its end, or made anew from some place on to the end, does not show in a trail itself: whoever has seen more of it knows.
 func Check(entries []Entry) (faults []Fault) {
-	fault := func(seq uint64, flaw Flaw, n uint64) { faults = append(faults, Fault{Seq: seq, Flaw: flaw, N: n}) }
+	fault := func(seq uint64, flaw FaultKind, n uint64) {
+		faults = append(faults, Fault{Seq: seq, Kind: flaw, Count: n})
+	}
 	last := map[string]Entry{}    // of each process
 	sums := map[uint64][]string{} // by number: more than one where the chain has forked
-	gone := losses(entries)
+	gone := lostRuns(entries)
 	high := uint64(0)
 	for i, e := range entries {
-		if sum(e) != e.Sum {
+		if checksum(e) != e.Sum {
 			fault(e.Seq, Changed, 0)
 		}
-		from, going := last[e.Life]
+		from, going := last[e.Incarnation]
 		before := sums[e.Seq-1]
 		if going {
 			before = []string{from.Sum}
@@ -106,23 +108,23 @@
 				fault(e.Seq, Unchained, 0)
 			}
 		case going && e.Seq > from.Seq+1, !going && len(before) == 0:
-			if e.Seq > from.Seq+1 && !told(gone, from.Seq+1, e.Seq-1) {
-				fault(e.Seq, Hole, e.Seq-1-from.Seq)
+			if e.Seq > from.Seq+1 && !covers(gone, from.Seq+1, e.Seq-1) {
+				fault(e.Seq, Missing, e.Seq-1-from.Seq)
 			}
-		case !slices.Contains(before, e.Prev), !going && e.Kind != Began:
+		case !slices.Contains(before, e.Prev), !going && e.Kind != Started:
 			fault(e.Seq, Unchained, 0)
 		}
-		last[e.Life], high = e, max(high, e.Seq)
+		last[e.Incarnation], high = e, max(high, e.Seq)
 		sums[e.Seq] = append(sums[e.Seq], e.Sum)
 	}
 	return faults
 }
 
 // losses are the entries that others tell were lost, the first and the last of each run, in order.
-func losses(entries []Entry) (runs [][2]uint64) {
+func lostRuns(entries []Entry) (runs [][2]uint64) {
 	for _, e := range entries {
-		if e.Kind == Lost && e.N > 0 && e.Upto >= uint64(e.N) && e.Upto < e.Seq {
-			runs = append(runs, [2]uint64{e.Upto - uint64(e.N) + 1, e.Upto})
+		if e.Kind == Lost && e.N > 0 && e.UpTo >= uint64(e.N) && e.UpTo < e.Seq {
+			runs = append(runs, [2]uint64{e.UpTo - uint64(e.N) + 1, e.UpTo})
 		}
 	}
 	slices.SortFunc(runs, func(a, b [2]uint64) int { return cmp.Compare(a[0], b[0]) })
@@ -130,7 +132,7 @@
 }
 
 // told says whether runs hold all numbers of a span.
-func told(runs [][2]uint64, from, to uint64) bool {
+func covers(runs [][2]uint64, from, to uint64) bool {
 	for _, r := range runs {
 		if r[0] <= from && r[1] >= from {
 			from = r[1] + 1
@@ -148,7 +150,7 @@
 		if e.Version != nil && e.Version.Epoch > epoch {
 			epoch, by = e.Version.Epoch, ""
 		}
-		if f := e.taken(); f != nil && (f.Epoch > epoch || f.Epoch == epoch && f.By > by) {
+		if f := e.acceptedMinimum(); f != nil && (f.Epoch > epoch || f.Epoch == epoch && f.By > by) {
 			epoch, by = f.Epoch, f.By
 		}
 	}
@@ -156,9 +158,9 @@
 }
 
 // taken is the floor of an order that was taken; nil: the entry tells of none.
-func (e *Entry) taken() *version.Floor {
-	if e.Kind != Ordered || e.Order == nil || e.Why != "" {
+func (e *Entry) acceptedMinimum() *version.MinimumVersion {
+	if e.Kind != Ordered || e.Order == nil || e.Reason != "" {
 		return nil
 	}
-	return &e.Order.Floor
+	return &e.Order.Minimum
 }
--- a/internal/auditlog/file.go
+++ b/internal/auditlog/file.go
@@ -15,62 +15,62 @@
 )
 
 const (
-	fileName    = "trail-"
-	freshName   = "trail.new"
-	fileMost    = 1 << 20                // bytes, from which on the next file is begun; one before it is kept
-	readMost    = 4 * fileMost           // bytes of a file that are read
-	filesMost   = 16                     // files that are read: two of each process, of which one or two are alive
-	batchMost   = 256 << 10              // bytes that are written at once
-	againAfter  = time.Second            // a disk that has failed is tried again
-	closeWithin = 200 * time.Millisecond // the last write may take
+	filePrefix    = "trail-"
+	tempName      = "trail.new"
+	maxFileBytes  = 1 << 20                // bytes, from which on the next file is begun; one before it is kept
+	maxReadBytes  = 4 * maxFileBytes       // bytes of a file that are read
+	maxFiles      = 16                     // files that are read: two of each process, of which one or two are alive
+	maxBatchBytes = 256 << 10              // bytes that are written at once
+	retryInterval = time.Second            // a disk that has failed is tried again
+	closeTimeout  = 200 * time.Millisecond // the last write may take
 )
 
-// File writes a book's entries to a disk, in the background: a disk that is slow, full or gone holds nothing up. What it does
+// Writer writes a book's entries to a disk, in the background: a disk that is slow, full or gone holds nothing up. What it does
 // not take is written later, as long as the book has it; what that has dropped by then is told by an entry. All but counts
 // are brought to outlast a power cut at once.
-type File struct {
+type Writer struct {
 	Disk persistence.Disk
-	Book *Book
-	// Fault is told when the trail can't be written, again when it can't for another cause, and with nil when it can again.
-	Fault func(err error)
+	Log  *Log
+	// OnFault is told when the trail can't be written, again when it can't for another cause, and with nil when it can again.
+	OnFault func(err error)
 
-	stop, ended chan struct{}
+	stop, done chan struct{}
 
 	// Of run alone.
-	file   persistence.File
-	name   string
-	unlock func()
-	size   int
-	next   uint64 // the number of the first entry that is not written; 0: nothing has been
-	failed error
+	file    persistence.File
+	name    string
+	unlock  func()
+	size    int
+	nextSeq uint64 // the number of the first entry that is not written; 0: nothing has been
+	lastErr error
 }
 
-// Begin has the book's entries be written until Close.
-func (f *File) Begin() {
-	f.stop, f.ended = make(chan struct{}), make(chan struct{})
+// Start has the book's entries be written until Close.
+func (f *Writer) Start() {
+	f.stop, f.done = make(chan struct{}), make(chan struct{})
 	go f.run()
 }
 
 // Close writes what is left, within moments.
-func (f *File) Close() {
+func (f *Writer) Close() {
 	close(f.stop)
-	late := time.NewTimer(closeWithin)
+	late := time.NewTimer(closeTimeout)
 	defer late.Stop()
 	select {
-	case <-f.ended:
+	case <-f.done:
 	case <-late.C:
 	}
 }
 
-func (f *File) run() {
-	defer close(f.ended)
+func (f *Writer) run() {
+	defer close(f.done)
 	renew := true
 	for open := true; open; {
-		f.set(f.write(renew))
+		f.setResult(f.write(renew))
 		var again <-chan time.Time
-		woken := f.Book.Woken
-		if renew = f.failed != nil; renew {
-			again, woken = time.After(againAfter), nil
+		woken := f.Log.Updated
+		if renew = f.lastErr != nil; renew {
+			again, woken = time.After(retryInterval), nil
 		}
 		select {
 		case <-woken:
@@ -79,8 +79,8 @@
 			open = false
 		}
 	}
-	if f.failed == nil {
-		f.set(f.write(false))
+	if f.lastErr == nil {
+		f.setResult(f.write(false))
 	}
 	if f.file != nil {
 		_ = f.file.Close()
@@ -89,11 +89,11 @@
 }
 
 // set notes how the last write went, and tells of it where that is news.
-func (f *File) set(err error) {
-	was := f.failed
-	f.failed = err
+func (f *Writer) setResult(err error) {
+	was := f.lastErr
+	f.lastErr = err
 	if cause(err) != cause(was) {
-		f.Fault(err)
+		f.OnFault(err)
 	}
 }
 
@@ -107,15 +107,15 @@
 }
 
 // write writes what is in no file yet, to a new one if it has to be renewed.
-func (f *File) write(renew bool) error {
+func (f *Writer) write(renew bool) error {
 	for {
-		if renew || f.size > fileMost {
-			if err := f.begin(); err != nil {
+		if renew || f.size > maxFileBytes {
+			if err := f.rotate(); err != nil {
 				return err
 			}
 			renew = false
 		}
-		text, to, sync := f.lacks(nil)
+		text, to, sync := f.unwritten(nil)
 		if len(text) == 0 {
 			return nil
 		}
@@ -127,7 +127,7 @@
 			return fmt.Errorf("trail: %w", err)
 		}
 		f.size += len(text)
-		f.wrote(to)
+		f.markWritten(to)
 	}
 }
 
@@ -136,8 +136,8 @@
 
 // lacks is the text of entries that are not written, but for those whose sums are given, and whether it has to outlast a
 // power cut at once.
-func (f *File) lacks(have map[string]bool) (text []byte, to span, sync bool) {
-	entries, next, first := f.Book.Since(f.next, batchMost)
+func (f *Writer) unwritten(have map[string]bool) (text []byte, to span, sync bool) {
+	entries, next, first := f.Log.EntriesSince(f.nextSeq, maxBatchBytes)
 	for _, e := range entries {
 		if !have[e.Sum] {
 			text, sync = appendLine(text, e), sync || e.Kind != Counted
@@ -147,11 +147,11 @@
 }
 
 // wrote takes in what has been written, and tells of what came to no file while the book had it.
-func (f *File) wrote(to span) {
-	if f.next > 0 && f.next < to.first {
-		f.Book.Note(Entry{Kind: Lost, N: int(to.first - f.next), Upto: to.first - 1})
+func (f *Writer) markWritten(to span) {
+	if f.nextSeq > 0 && f.nextSeq < to.first {
+		f.Log.Append(Entry{Kind: Lost, N: int(to.first - f.nextSeq), UpTo: to.first - 1})
 	}
-	f.next = to.next
+	f.nextSeq = to.next
 }
 
 // appendLine appends an entry's line.
@@ -166,30 +166,30 @@
 // begin begins a file. It takes the lines of the last one over, where that is of another process or has failed and is not
 // full, so that many short lives need no more files than a long one; then all but one that are nobody's are removed. Until
 // the new file has its name, the others stand.
-func (f *File) begin() error {
-	unlock, err := f.Disk.Lock(freshName)
+func (f *Writer) rotate() error {
+	unlock, err := f.Disk.Lock(tempName)
 	if err == nil && unlock == nil {
 		err = fmt.Errorf("another process begins a file")
 	}
 	if err != nil {
 		return fmt.Errorf("trail: %w", err)
 	}
-	if err = f.fresh(unlock); err != nil {
+	if err = f.writeNewFile(unlock); err != nil {
 		unlock()
 		return fmt.Errorf("trail: %w", err)
 	}
 	return nil
 }
 
-func (f *File) fresh(unlock func()) error {
-	names, high, err := f.ours()
+func (f *Writer) writeNewFile(unlock func()) error {
+	names, high, err := f.ownFiles()
 	if err != nil {
 		return err
 	}
 	var text []byte
 	have, keep := map[string]bool{}, 1
 	for i, name := range names[max(0, len(names)-2):] {
-		old, err := f.Disk.Read(name, readMost)
+		old, err := f.Disk.Read(name, maxReadBytes)
 		if err != nil {
 			continue // it is kept, if it is the last
 		}
@@ -198,22 +198,22 @@
 		for _, e := range entries {
 			have[e.Sum] = true
 		}
-		if i == min(len(names), 2)-1 && len(old) < fileMost { // the last
+		if i == min(len(names), 2)-1 && len(old) < maxFileBytes { // the last
 			text, keep = old, 2
 		}
 	}
-	lacking, to, _ := f.lacks(have)
+	lacking, to, _ := f.unwritten(have)
 	text = append(text, lacking...)
-	file, err := f.Disk.Create(freshName)
+	file, err := f.Disk.Create(tempName)
 	if err != nil {
 		return err
 	}
 	if _, err = file.Write(text); err == nil {
 		err = file.Sync()
 	}
-	at, name := freshName, fmt.Sprintf("%s%09d", fileName, high+1)
+	at, name := tempName, fmt.Sprintf("%s%09d", filePrefix, high+1)
 	if err == nil {
-		err = f.Disk.Rename(freshName, name)
+		err = f.Disk.Rename(tempName, name)
 	}
 	if err == nil {
 		at = name
@@ -232,15 +232,15 @@
 		}
 	}
 	f.file, f.name, f.unlock, f.size = file, name, unlock, len(text)
-	f.wrote(to)
+	f.markWritten(to)
 	return nil
 }
 
 // ours are the files of trails that no other process writes, in order, and the highest number of any.
-func (f *File) ours() (names []string, high int, err error) {
+func (f *Writer) ownFiles() (names []string, high int, err error) {
 	all, err := f.Disk.Names()
 	for _, name := range all {
-		n, ok := number(name)
+		n, ok := fileNumber(name)
 		if !ok {
 			continue
 		}
@@ -258,14 +258,14 @@
 }
 
 // number is that of a trail's file.
-func number(name string) (n int, ok bool) {
-	digits, ok := strings.CutPrefix(name, fileName)
+func fileNumber(name string) (n int, ok bool) {
+	digits, ok := strings.CutPrefix(name, filePrefix)
 	n, err := strconv.Atoi(digits)
 	return n, ok && err == nil && n > 0
 }
 
-// IsTrail tells whether a file of that name is one of a trail.
-func IsTrail(name string) bool { _, ok := number(name); return ok }
+// IsLogFile tells whether a file of that name is one of a trail.
+func IsLogFile(name string) bool { _, ok := fileNumber(name); return ok }
 
 // Load reads what processes of one sidecar have left on a disk, alive or dead: the entries in order of their numbers, and
 // where the trail is not whole. In which order the lines stand does not matter. Of a last line that is cut off nothing is told: what was not written whole was not promised.
@@ -274,10 +274,10 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("trail: %w", err)
 	}
-	names = slices.DeleteFunc(names, func(name string) bool { return !IsTrail(name) })
+	names = slices.DeleteFunc(names, func(name string) bool { return !IsLogFile(name) })
 	known := map[string]bool{}
-	for _, name := range names[max(0, len(names)-filesMost):] {
-		text, err := d.Read(name, readMost)
+	for _, name := range names[max(0, len(names)-maxFiles):] {
+		text, err := d.Read(name, maxReadBytes)
 		if errors.Is(err, os.ErrNotExist) {
 			continue // a process that runs has removed it since
 		} else if err != nil {
@@ -286,7 +286,7 @@
 		read, bad := decode(text, name)
 		faults = append(faults, bad...)
 		for _, e := range read {
-			if line := sum(e) + e.Sum; !known[line] { // files begin with what others held, and those may still be there
+			if line := checksum(e) + e.Sum; !known[line] { // files begin with what others held, and those may still be there
 				known[line] = true
 				entries = append(entries, e)
 			}
@@ -311,7 +311,7 @@
 		}
 		var e Entry
 		if json.Unmarshal(whole, &e) != nil || e.check() != nil || !bytes.Equal(appendLine(nil, e), l) {
-			faults = append(faults, Fault{Flaw: Unreadable, File: name, Line: n})
+			faults = append(faults, Fault{Kind: Unreadable, File: name, Line: n})
 			continue
 		}
 		entries = append(entries, e)
--- a/internal/auditlog/full_disk_test.go
+++ b/internal/auditlog/full_disk_test.go
@@ -14,7 +14,7 @@
 func fullDisk(t *testing.T) persistence.Disk {
 	t.Helper()
 	path := t.TempDir()
-	if err := os.Symlink("/dev/full", filepath.Join(path, freshName)); err != nil {
+	if err := os.Symlink("/dev/full", filepath.Join(path, tempName)); err != nil {
 		t.Fatal(err)
 	}
 	return persistence.Dir(path)
@@ -23,24 +23,24 @@
 // Guards against a disk that is full and never said to be: the first attempt fails for another reason, the second one for
 // want of space, and an operator has to read of both.
 func TestEachCauseIsTold(t *testing.T) {
-	unlock, err := fullDisk(t).Lock(freshName)
+	unlock, err := fullDisk(t).Lock(tempName)
 	if err != nil || unlock == nil {
 		t.Fatal("the lock is not to be had", err)
 	}
 	b := book("a", nil)
 	list(b, 1)
 	var told []string
-	f := &File{Disk: fullDisk(t), Book: b, Fault: func(err error) { told = append(told, err.Error()) }}
-	f.set(f.write(true))
+	f := &Writer{Disk: fullDisk(t), Log: b, OnFault: func(err error) { told = append(told, err.Error()) }}
+	f.setResult(f.write(true))
 	if len(told) != 1 || !strings.Contains(told[0], "another process") {
 		t.Fatalf("with the lock held elsewhere: %q", told)
 	}
 	unlock()
-	f.set(f.write(true))
+	f.setResult(f.write(true))
 	if len(told) != 2 || !strings.Contains(told[1], "no space left") {
 		t.Fatalf("on a full disk: %q", told)
 	}
-	f.set(f.failed)
+	f.setResult(f.lastErr)
 	if len(told) != 2 {
 		t.Errorf("the same cause is told again: %q", told)
 	}
--- a/internal/auditlog/report_test.go
+++ b/internal/auditlog/report_test.go
@@ -16,10 +16,10 @@
 func report() Report {
 	b := book("a", nil)
 	busy(b, 1)
-	r := Report{Name: "n", Zone: "z", Site: "s", Instances: 3, Life: "a", Heard: -1, State: "shut", Why: "old",
-		Floor: &version.Floor{Epoch: 1}, Ticket: &version.Ticket{No: 1}}
-	r.Version, r.Under = b.Version()
-	r.Entries, r.Next, r.First = b.Since(0, 10000)
+	r := Report{Name: "n", Zone: "z", Site: "s", Instances: 3, Incarnation: "a", ListAge: -1, State: "shut", Reason: "old",
+		Minimum: &version.MinimumVersion{Epoch: 1}, Permit: &version.Permit{Number: 1}}
+	r.Version, r.VersionID = b.Version()
+	r.Entries, r.Next, r.Oldest = b.EntriesSince(0, 10000)
 	return r
 }
 
@@ -35,7 +35,7 @@
 	for _, c := range []struct{ old, new, says string }{
 		{`"name":"n",`, ``, "name is missing"},
 		{`"name":"n"`, `"name":""`, "name is"},
-		{`"name":"n"`, `"name":"` + strings.Repeat("x", nameMost+1) + `"`, "name is"},
+		{`"name":"n"`, `"name":"` + strings.Repeat("x", maxNameBytes+1) + `"`, "name is"},
 		{`"name":"n"`, `"name":null`, "name is missing"},
 		{`"rank":0`, `"rank":-1`, "rank is"},
 		{`"instances":3`, `"instances":"3"`, "instances: "},
@@ -48,11 +48,11 @@
 		{`"first":1`, `"first":0`, "first is"},
 		{`"seq":2`, `"seq":0`, "entries[1]: seq is"},
 		{`"kind":"adopted"`, `"kind":""`, "entries[1]: kind is"},
-		{`"class":"class0"`, `"class":"` + strings.Repeat("x", nameMost+1) + `"`, "attempts[0] "},
-		{`"by":"a"`, `"by":"` + strings.Repeat("x", orderMost+1) + `"`, "entries[3]: order is"},
+		{`"class":"class0"`, `"class":"` + strings.Repeat("x", maxNameBytes+1) + `"`, "attempts[0] "},
+		{`"by":"a"`, `"by":"` + strings.Repeat("x", maxOrderBytes+1) + `"`, "entries[3]: order is"},
 		{`"sum":"`, `"sum":"0`, "entries[0]: sum is"},
 		{`{"name"`, `{"name`, "report: "},
-		{`"why":"old"`, `"why":"` + strings.Repeat("x", ReportMost) + `"`, "bytes"},
+		{`"why":"old"`, `"why":"` + strings.Repeat("x", MaxReportBytes) + `"`, "bytes"},
 	} {
 		text := strings.Replace(string(good), c.old, c.new, 1)
 		if _, err := ParseReport([]byte(text)); text == string(good) || err == nil || !strings.Contains(err.Error(), c.says) {
@@ -77,7 +77,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := ParseReport(again); len(again) <= ReportMost && (err != nil || !reflect.DeepEqual(got, r)) {
+		if got, err := ParseReport(again); len(again) <= MaxReportBytes && (err != nil || !reflect.DeepEqual(got, r)) {
 			t.Errorf("%+v\nthen %+v, %v", r, got, err)
 		}
 	})
@@ -88,7 +88,7 @@
 	b := book("a", nil)
 	busy(b, 1)
 	var text []byte
-	for _, e := range b.Past() {
+	for _, e := range b.Entries() {
 		text = appendLine(text, e)
 	}
 	f.Add(text, text[:len(text)/2])
@@ -96,8 +96,8 @@
 	f.Add([]byte("{}\n"), []byte(`{"seq":4611686018427387904}`+"\n"))
 	f.Fuzz(func(t *testing.T, one, two []byte) {
 		d := newDisk(-1)
-		d.files[fileName+"1"] = &content{one, one}
-		d.files[fileName+"2"] = &content{two, two}
+		d.files[filePrefix+"1"] = &content{one, one}
+		d.files[filePrefix+"2"] = &content{two, two}
 		past, faults, err := Load(d)
 		if err != nil || !slices.IsSortedFunc(past, bySeq) {
 			t.Fatal(err)
@@ -117,7 +117,7 @@
 // BenchmarkCount is what an attempt costs on a request's path: with 12 hosts and three classes, a flush now and then.
 func BenchmarkCount(b *testing.B) {
 	for _, nobody := range []bool{true, false} {
-		var k *Book
+		var k *Log
 		if !nobody {
 			k = book("a", nil)
 		}
@@ -158,7 +158,7 @@
 				}
 				first := k.last.Seq
 				k.Flush()
-				entries, _, _ := k.Since(first+1, ringBytes)
+				entries, _, _ := k.EntriesSince(first+1, maxRingBytes)
 				size = 0
 				for _, e := range entries {
 					size += len(appendLine(nil, e))
--- a/internal/auditlog/trail_test.go
+++ b/internal/auditlog/trail_test.go
@@ -32,35 +32,35 @@
 }
 
 // book is one that goes on from a past.
-func book(life string, past []Entry) *Book {
-	b := NewBook(life, "test", past, clock)
+func book(life string, past []Entry) *Log {
+	b := NewLog(life, "test", past, clock)
 	b.Names(names)
 	return b
 }
 
 // list has a book adopt a list.
-func list(b *Book, revision int64) {
+func list(b *Log, revision int64) {
 	b.Change(func(v *version.Version) { v.List.Revision = revision }, "list", func(uint32) {})
 }
 
 // busy notes something of each kind.
-func busy(b *Book, n int) {
+func busy(b *Log, n int) {
 	for i := range n {
 		list(b, int64(i+1))
 		_, under := b.Version()
 		b.Sent(under, 0, 7, i%2 == 1)
 		b.Ended(under, 0, 7, true, false)
-		b.Note(Entry{Kind: Judged, State: "behind", Why: "w\xff"})
-		order := version.Order{Floor: version.Floor{Epoch: uint64(i + 1), By: "a", Builds: []string{}}}
-		b.Note(Entry{Kind: Ordered, Order: &order})
+		b.Append(Entry{Kind: VerdictChanged, State: "behind", Reason: "w\xff"})
+		order := version.Order{Minimum: version.MinimumVersion{Epoch: uint64(i + 1), By: "a", Builds: []string{}}}
+		b.Append(Entry{Kind: Ordered, Order: &order})
 	}
 	b.Flush()
 }
 
 // has are the flaws of faults.
-func has(faults []Fault) (flaws []Flaw) {
+func has(faults []Fault) (flaws []FaultKind) {
 	for _, f := range faults {
-		flaws = append(flaws, f.Flaw)
+		flaws = append(flaws, f.Kind)
 	}
 	return flaws
 }
@@ -69,12 +69,12 @@
 func TestCheck(t *testing.T) {
 	former := book("a", nil)
 	busy(former, 4)
-	handed := former.Past()
+	handed := former.Entries()
 	next := book("b", handed)
 	busy(next, 2)
 	busy(former, 1) // beside its successor
 	n := len(handed)
-	both := append(next.Past(), former.Past()[n:]...)
+	both := append(next.Entries(), former.Entries()[n:]...)
 	slices.SortStableFunc(both, bySeq)
 	change := func(i int, edit func(*Entry)) []Entry {
 		out := slices.Clone(handed)
@@ -82,33 +82,33 @@
 		return out
 	}
 	remade := func(i int, edit func(*Entry)) []Entry {
-		return change(i, func(e *Entry) { edit(e); e.Sum = sum(*e) })
+		return change(i, func(e *Entry) { edit(e); e.Sum = checksum(*e) })
 	}
 	told := slices.Clone(handed)
-	e, _, _ := seal(handed[n-1], Entry{Life: "a", Kind: Lost, N: 2, Upto: 6})
+	e, _, _ := link(handed[n-1], Entry{Incarnation: "a", Kind: Lost, N: 2, UpTo: 6})
 	told = append(slices.Delete(told, 4, 6), e)
 	for name, c := range map[string]struct {
 		entries []Entry
-		want    []Flaw
+		want    []FaultKind
 	}{
 		"whole":                        {handed, nil},
 		"none":                         {nil, nil},
-		"succeeded":                    {next.Past(), nil},
+		"succeeded":                    {next.Entries(), nil},
 		"two processes":                {both, nil},
 		"older ones dropped":           {handed[3:], nil},
-		"one missing":                  {slices.Delete(slices.Clone(handed), 3, 4), []Flaw{Hole}},
-		"a whole life missing":         {append(slices.Clone(handed[:3]), next.Past()[n:]...), []Flaw{Hole}},
+		"one missing":                  {slices.Delete(slices.Clone(handed), 3, 4), []FaultKind{Missing}},
+		"a whole life missing":         {append(slices.Clone(handed[:3]), next.Entries()[n:]...), []FaultKind{Missing}},
 		"missing, and told so":         {told, nil},
-		"missing, and one more":        {slices.Delete(slices.Clone(told), 6, 7), []Flaw{Hole}},
-		"twice":                        {slices.Insert(slices.Clone(handed), 3, handed[2]), []Flaw{Disordered}},
-		"changed":                      {change(3, func(e *Entry) { e.At++ }), []Flaw{Changed}},
-		"another sum":                  {change(3, func(e *Entry) { e.Sum = handed[2].Sum }), []Flaw{Changed, Unchained}},
-		"made anew":                    {remade(3, func(e *Entry) { e.At++ }), []Flaw{Unchained}},
-		"another life's":               {remade(3, func(e *Entry) { e.Life = "x" }), []Flaw{Unchained, Hole}},
-		"the first goes on":            {remade(0, func(e *Entry) { e.Prev = handed[2].Sum }), []Flaw{Unchained, Unchained}},
-		"a later one that goes on":     {remade(0, func(e *Entry) { e.Seq = 2; e.Kind = Judged })[:1], []Flaw{Unchained}},
-		"a fork from nothing known":    {append(slices.Clone(handed[:3]), remade(3, func(e *Entry) { e.Life, e.Kind, e.Prev = "x", Began, e.Sum })[3]), []Flaw{Unchained}},
-		"another life's begins from 1": {append(slices.Clone(handed), book("c", nil).Past()...), nil},
+		"missing, and one more":        {slices.Delete(slices.Clone(told), 6, 7), []FaultKind{Missing}},
+		"twice":                        {slices.Insert(slices.Clone(handed), 3, handed[2]), []FaultKind{Disordered}},
+		"changed":                      {change(3, func(e *Entry) { e.At++ }), []FaultKind{Changed}},
+		"another sum":                  {change(3, func(e *Entry) { e.Sum = handed[2].Sum }), []FaultKind{Changed, Unchained}},
+		"made anew":                    {remade(3, func(e *Entry) { e.At++ }), []FaultKind{Unchained}},
+		"another life's":               {remade(3, func(e *Entry) { e.Incarnation = "x" }), []FaultKind{Unchained, Missing}},
+		"the first goes on":            {remade(0, func(e *Entry) { e.Prev = handed[2].Sum }), []FaultKind{Unchained, Unchained}},
+		"a later one that goes on":     {remade(0, func(e *Entry) { e.Seq = 2; e.Kind = VerdictChanged })[:1], []FaultKind{Unchained}},
+		"a fork from nothing known":    {append(slices.Clone(handed[:3]), remade(3, func(e *Entry) { e.Incarnation, e.Kind, e.Prev = "x", Started, e.Sum })[3]), []FaultKind{Unchained}},
+		"another life's begins from 1": {append(slices.Clone(handed), book("c", nil).Entries()...), nil},
 	} {
 		if got := has(Check(c.entries)); !slices.Equal(got, c.want) {
 			t.Errorf("%s: %v, not %v", name, Check(c.entries), c.want)
@@ -134,7 +134,7 @@
 // Guards against numbers that come in another order than what is applied under them, against attempts that are counted twice,
 // not at all, or under another number, and against a lock that is held where names are asked for.
 func TestNumbersUnderConcurrency(t *testing.T) {
-	b := NewBook("a", "test", nil, clock)
+	b := NewLog("a", "test", nil, clock)
 	b.Names(func(class int, host balance.EndpointID) (string, string) {
 		b.Flush() // what gives names may wait for a Change
 		return names(class, host)
@@ -164,15 +164,15 @@
 	}
 	wait.Wait()
 	b.Flush()
-	entries := b.Past()
+	entries := b.Entries()
 	if !slices.IsSorted(applied) || len(applied) != 320 || Check(entries) != nil {
 		t.Fatalf("%d changes, in order %v, %v", len(applied), slices.IsSorted(applied), Check(entries))
 	}
 	counted, of := map[string]int{}, map[string]int{}
 	for _, e := range entries {
 		for _, a := range e.Attempts {
-			counted[fmt.Sprint(e.Under, a.Class)] += a.N
-			counted["ended"] += a.Never + a.Left
+			counted[fmt.Sprint(e.VersionID, a.Class)] += a.N
+			counted["ended"] += a.Unsent + a.Withdrawn
 		}
 	}
 	for g := range sent {
@@ -194,10 +194,10 @@
 	list(b, 2)
 	b.Sent(2, 0, 7, true)
 	b.Ended(1, 0, 7, false, true)
-	b.Note(Entry{Kind: Ended})
+	b.Append(Entry{Kind: Ended})
 	said := ""
-	for _, e := range b.Past() {
-		said += fmt.Sprintf("%s %d %v %d\n", e.Kind, e.Under, e.Attempts, e.Crossed)
+	for _, e := range b.Entries() {
+		said += fmt.Sprintf("%s %d %v %d\n", e.Kind, e.VersionID, e.Attempts, e.Crossed)
 	}
 	want := "began 0 [] 0\nadopted 1 [] 0\ncounted 1 [{class0 host-7 1 0 0}] 0\nadopted 2 [] 0\n" +
 		"counted 1 [{class0 host-7 0 0 1}] 0\ncounted 2 [{class0 host-7 1 0 0}] 1\nended 0 [] 0\n"
@@ -209,7 +209,7 @@
 // Guards against a process that takes an order which a former one would not have.
 func TestLastOrder(t *testing.T) {
 	entry := func(epoch uint64, by, why string) Entry {
-		return Entry{Kind: Ordered, Why: why, Order: &version.Order{Floor: version.Floor{Epoch: epoch, By: by}}}
+		return Entry{Kind: Ordered, Reason: why, Order: &version.Order{Minimum: version.MinimumVersion{Epoch: epoch, By: by}}}
 	}
 	adopted := Entry{Kind: Adopted, Version: &version.Version{Epoch: 8}}
 	for _, c := range []struct {
@@ -230,15 +230,15 @@
 
 // Guards against a nil book that does not let changes through.
 func TestNoBook(t *testing.T) {
-	var b *Book
+	var b *Log
 	under := uint32(9)
 	b.Change(func(*version.Version) { t.Error("edited") }, "x", func(u uint32) { under = u })
 	b.Sent(1, 2, 3, true)
 	b.Ended(1, 2, 3, true, false)
-	b.Note(Entry{Kind: Ended})
+	b.Append(Entry{Kind: Ended})
 	b.Flush()
-	entries, next, first := b.Since(0, 100)
-	if under != 0 || entries != nil || next != 1 || first != 1 || b.Past() != nil {
+	entries, next, first := b.EntriesSince(0, 100)
+	if under != 0 || entries != nil || next != 1 || first != 1 || b.Entries() != nil {
 		t.Errorf("%d, %v, %d, %d", under, entries, next, first)
 	}
 }
@@ -249,36 +249,36 @@
 	b := book("a", nil)
 	list(b, 1)
 	order := func(epoch uint64, no int, issued version.Millis, why string) {
-		b.Note(Entry{Kind: Ordered, Why: why, Order: &version.Order{Floor: version.Floor{Epoch: epoch, By: "z"},
-			Ticket: &version.Ticket{No: no, Issued: issued}}})
+		b.Append(Entry{Kind: Ordered, Reason: why, Order: &version.Order{Minimum: version.MinimumVersion{Epoch: epoch, By: "z"},
+			Permit: &version.Permit{Number: no, Issued: issued}}})
 	}
 	for i := range 100 {
 		order(7, 0, version.Millis(i), "")
 		order(5, 0, version.Millis(i), "older")
 		list(b, 1)
 	}
-	if seq := b.last.Seq; seq != 4 || b.under != 1 {
-		t.Errorf("renewals make %d entries, number %d", seq, b.under)
+	if seq := b.last.Seq; seq != 4 || b.versionID != 1 {
+		t.Errorf("renewals make %d entries, number %d", seq, b.versionID)
 	}
 	order(7, 1, 0, "")
 	for i := range 20000 {
 		b.Sent(1, i%200, balance.EndpointID(i), false)
 		if i%50 == 0 {
-			b.Note(Entry{Kind: Stopped, Took: 3000, Why: strings.Repeat("x", 10000)})
+			b.Append(Entry{Kind: Stopped, Duration: 3000, Reason: strings.Repeat("x", 10000)})
 			b.Flush()
 		}
 	}
-	past := b.Past()
-	next := NewBook("b", "former", past, clock)
+	past := b.Entries()
+	next := NewLog("b", "former", past, clock)
 	v, _ := next.Version()
-	epoch, by := LastOrder(next.Past())
+	epoch, by := LastOrder(next.Entries())
 	held := slices.ContainsFunc(past, func(e Entry) bool { return e.Kind == Adopted && e.Version.List.Revision == 1 })
-	if b.size > ringBytes || past[0].Seq == 1 || Check(next.Past()) != nil || v.Epoch != 7 || epoch != 7 || by != "z" || !held {
+	if b.size > maxRingBytes || past[0].Seq == 1 || Check(next.Entries()) != nil || v.Epoch != 7 || epoch != 7 || by != "z" || !held {
 		t.Errorf("%d bytes from %d, epochs %d and %d %s, adopted %v", b.size, past[0].Seq, v.Epoch, epoch, by, held)
 	}
 	var got []Entry
 	for seq := uint64(0); ; {
-		entries, to, first := b.Since(seq, 50000)
+		entries, to, first := b.EntriesSince(seq, 50000)
 		text, _ := json.Marshal(entries)
 		if len(text) > 51000 || first != past[0].Seq {
 			t.Fatalf("an answer of %d bytes, first %d", len(text), first)
@@ -298,13 +298,13 @@
 	var c counts
 	c.names = names
 	n := 0
-	for i := range 3 * countedMost {
-		c.at(countKey{1, 0, balance.EndpointID(i)}).N++
+	for i := range 3 * maxCells {
+		c.lockedCell(countKey{1, 0, balance.EndpointID(i)}).N++
 		c.mu.Unlock()
 	}
 	size := len(c.cells)
 	for _, e := range c.take() {
-		if text, _ := json.Marshal(e); len(text) > 2*entryBytes {
+		if text, _ := json.Marshal(e); len(text) > 2*maxCountsBytes {
 			t.Errorf("an entry of %d bytes", len(text))
 		}
 		for _, a := range e.Attempts {
@@ -313,7 +313,7 @@
 	}
 	c.take()
 	c.take()
-	if n != 3*countedMost || size > countedMost+1 || len(c.cells) != 0 {
+	if n != 3*maxCells || size > maxCells+1 || len(c.cells) != 0 {
 		t.Errorf("%d counted, %d cells, then %d", n, size, len(c.cells))
 	}
 }
@@ -458,7 +458,9 @@
 }
 
 // writer is a file whose steps are taken one by one.
-func writer(d persistence.Disk, b *Book) *File { return &File{Disk: d, Book: b, Fault: func(error) {}} }
+func writer(d persistence.Disk, b *Log) *Writer {
+	return &Writer{Disk: d, Log: b, OnFault: func(error) {}}
+}
 
 // Guards against more than the cut line being lost, wherever a file is cut, against a byte that is changed without a fault,
 // and against a next process that does not go on from it.
@@ -466,13 +468,13 @@
 	b := book("a", nil)
 	busy(b, 1)
 	var text []byte
-	entries := b.Past()
+	entries := b.Entries()
 	for _, e := range entries {
 		text = appendLine(text, e)
 	}
 	load := func(text []byte) ([]Entry, []Fault) {
 		d := newDisk(-1)
-		d.files[fileName+"000000003"] = &content{text, text}
+		d.files[filePrefix+"000000003"] = &content{text, text}
 		got, faults, err := Load(d)
 		if err != nil {
 			t.Fatal(err)
@@ -495,12 +497,12 @@
 		}
 		next := book("b", got)
 		d := newDisk(-1)
-		d.files[fileName+"000000003"] = &content{flipped, flipped}
+		d.files[filePrefix+"000000003"] = &content{flipped, flipped}
 		if err := writer(d, next).write(true); err != nil {
 			t.Fatal(err)
 		}
 		after, still, _ := Load(d)
-		if after[len(after)-1].Kind != Began || i < len(text)-1 && len(still) < 1 {
+		if after[len(after)-1].Kind != Started || i < len(text)-1 && len(still) < 1 {
 			t.Fatalf("byte %d is flipped: the next process has %v after %v", i, still, faults)
 		}
 	}
@@ -523,10 +525,10 @@
 		sure, failed := past[len(past)-1].Seq, false
 		for i := range 3 {
 			list(b, int64(100+i))
-			if f.failed = f.write(i == 0 || f.failed != nil); f.failed == nil {
+			if f.lastErr = f.write(i == 0 || f.lastErr != nil); f.lastErr == nil {
 				sure = b.last.Seq
 			}
-			failed = failed || f.failed != nil
+			failed = failed || f.lastErr != nil
 		}
 		for quarters := range 5 {
 			for _, renamed := range []bool{false, true} {
@@ -534,14 +536,14 @@
 				if err != nil || faults != nil || got[len(got)-1].Seq < sure {
 					t.Fatalf("%d steps, %d quarters, renamed %v: up to %d of %d, %v, %v", steps, quarters, renamed, got[len(got)-1].Seq, sure, faults, err)
 				}
-				next := book("c", got).Past()
-				if e := next[len(next)-1]; e.Kind != Began || e.Life != "c" || Check(next) != nil {
+				next := book("c", got).Entries()
+				if e := next[len(next)-1]; e.Kind != Started || e.Incarnation != "c" || Check(next) != nil {
 					t.Fatalf("%d steps: the next process begins with %+v", steps, e)
 				}
 			}
 		}
 		d.steps = -1 // there is room again
-		if err := f.write(f.failed != nil); err != nil {
+		if err := f.write(f.lastErr != nil); err != nil {
 			t.Fatal(err)
 		}
 		got, faults, _ := Load(d.after(0, false))
@@ -561,15 +563,15 @@
 	d.block = make(chan struct{})
 	b := book("a", nil)
 	said := []string{}
-	f := &File{Disk: d, Book: b, Fault: func(err error) {
+	f := &Writer{Disk: d, Log: b, OnFault: func(err error) {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		said = append(said, fmt.Sprint(err))
 	}}
-	f.Begin()
+	f.Start()
 	list(b, 1) // and what follows returns while the first write hangs
-	for range 2 * ringEntries {
-		b.Note(Entry{Kind: Stopped})
+	for range 2 * maxRingEntries {
+		b.Append(Entry{Kind: Stopped})
 	}
 	d.mu.Lock()
 	d.steps = 0
@@ -583,9 +585,9 @@
 		d.mu.Unlock()
 		time.Sleep(time.Millisecond)
 	}
-	b.Note(Entry{Kind: Ended})
+	b.Append(Entry{Kind: Ended})
 	f.Close()
-	<-f.ended // however busy the machine is
+	<-f.done // however busy the machine is
 	got, faults, _ := Load(d)
 	if e := got[len(got)-1]; faults != nil || e.Kind != Ended || len(said) != 2 || said[1] != "<nil>" {
 		t.Errorf("ends with %+v, %v, told %q", e, faults, said)
@@ -593,9 +595,9 @@
 }
 
 // lacks tells whether a book's last entry is not on the disk.
-func (d *disk) lacks(b *Book) bool {
+func (d *disk) lacks(b *Log) bool {
 	got, _, _ := Load(d)
-	entries, _, _ := b.Since(0, ringBytes)
+	entries, _, _ := b.EntriesSince(0, maxRingBytes)
 	return len(got) == 0 || got[len(got)-1].Seq < entries[len(entries)-1].Seq
 }
 
@@ -608,8 +610,8 @@
 		t.Fatal(err)
 	}
 	d.steps = 0
-	for i := range 2 * ringEntries {
-		b.Note(Entry{Kind: Stopped})
+	for i := range 2 * maxRingEntries {
+		b.Append(Entry{Kind: Stopped})
 		if i%512 == 0 && f.write(true) == nil {
 			t.Fatal("a disk that fails takes entries")
 		}
@@ -620,10 +622,10 @@
 	}
 	got, faults, _ := Load(d)
 	e := got[len(got)-1]
-	if faults != nil || e.Kind != Lost || e.N != ringEntries || e.Upto != ringEntries+1 {
+	if faults != nil || e.Kind != Lost || e.N != maxRingEntries || e.UpTo != maxRingEntries+1 {
 		t.Errorf("%+v, %v", e, faults)
 	}
-	if faults = Check(got[:len(got)-1]); !slices.Equal(has(faults), []Flaw{Hole}) || faults[0].N != ringEntries {
+	if faults = Check(got[:len(got)-1]); !slices.Equal(has(faults), []FaultKind{Missing}) || faults[0].Count != maxRingEntries {
 		t.Errorf("without that entry: %v", faults)
 	}
 }
@@ -658,17 +660,17 @@
 			case 2: // both write for a while
 				d.locks = map[string]bool{f.name: true}
 				former := f
-				b = book(next, b.Past())
+				b = book(next, b.Entries())
 				f = writer(d, b)
 				if err := f.write(true); err != nil {
 					t.Fatal(err)
 				}
 				d.locks = map[string]bool{f.name: true}
-				former.Book.Note(Entry{Kind: Ended})
+				former.Log.Append(Entry{Kind: Ended})
 				if err := former.write(former.file == nil); err != nil {
 					t.Fatal(err)
 				}
-				kept[former.Book.last.Sum] = life
+				kept[former.Log.last.Sum] = life
 				d.locks = map[string]bool{}
 				continue
 			}
@@ -717,7 +719,7 @@
 	b := book("a", nil)
 	f := writer(d, b)
 	for i := range 6000 { // 3 MiB
-		b.Note(Entry{Kind: Stopped, Why: strings.Repeat("x", textMost)})
+		b.Append(Entry{Kind: Stopped, Reason: strings.Repeat("x", maxTextBytes)})
 		if i%100 == 0 {
 			if err := f.write(i == 0); err != nil {
 				t.Fatal(err)
@@ -726,8 +728,8 @@
 	}
 	got, faults, err := Load(d)
 	all, _ := d.Names()
-	text, _ := d.Read(all[0], 2*fileMost)
-	if len(all) != 2 || len(text) < fileMost || len(text) > fileMost+batchMost || faults != nil || err != nil || got[0].Seq == 1 {
+	text, _ := d.Read(all[0], 2*maxFileBytes)
+	if len(all) != 2 || len(text) < maxFileBytes || len(text) > maxFileBytes+maxBatchBytes || faults != nil || err != nil || got[0].Seq == 1 {
 		t.Errorf("%q, %d bytes in the first, from %d, %v, %v", all, len(text), got[0].Seq, faults, err)
 	}
 	if unlock, _ := d.Lock(all[1]); unlock != nil {
@@ -737,10 +739,10 @@
 	_ = f.file.Close()
 	next := book("b", got)
 	f = writer(d, next)
-	f.Begin()
-	next.Note(Entry{Kind: Ended})
+	f.Start()
+	next.Append(Entry{Kind: Ended})
 	f.Close()
-	<-f.ended // however busy the machine is
+	<-f.done // however busy the machine is
 	all, _ = d.Names()
 	after, faults, err := ReadDir(path)
 	if e := after[len(after)-1]; len(all) != 2 || faults != nil || err != nil || e.Kind != Ended || after[0].Seq != got[0].Seq {
--- a/internal/control/audit.go
+++ b/internal/control/audit.go
@@ -56,7 +56,7 @@
 
 // order has the order in a call's body be taken.
 func (c *calls) order(r *http.Request) (status int, fault error) {
-	text, err := io.ReadAll(io.LimitReader(r.Body, version.OrderMost+1))
+	text, err := io.ReadAll(io.LimitReader(r.Body, version.MaxOrderBytes+1))
 	if err != nil {
 		return http.StatusBadRequest, fmt.Errorf("the body is cut off: %w", err)
 	}
@@ -64,8 +64,8 @@
 	if err == nil {
 		err = c.audit.Take(o)
 	}
-	var older version.Older
-	var other version.OtherSite
+	var older version.StaleOrderError
+	var other version.WrongSiteError
 	switch {
 	case err == nil:
 		return http.StatusOK, nil
--- a/internal/control/audit_test.go
+++ b/internal/control/audit_test.go
@@ -27,11 +27,11 @@
 }
 
 func (a *auditee) Take(o version.Order) error {
-	switch o.Floor.Epoch {
+	switch o.Minimum.Epoch {
 	case 1:
-		return version.Older{Why: "of yesterday"}
+		return version.StaleOrderError{Reason: "of yesterday"}
 	case 2:
-		return version.OtherSite{Site: "there", Own: "here"}
+		return version.WrongSiteError{Site: "there", Own: "here"}
 	}
 	a.orders++
 	return nil
@@ -70,7 +70,7 @@
 		{"POST /admin/floor", order(-3), 400, "epoch", 0},
 		{"POST /admin/floor", order(1), 409, "yesterday", 0},
 		{"POST /admin/floor", order(2), 403, "there", 0},
-		{"POST /admin/floor", order(3) + strings.Repeat(" ", version.OrderMost), 400, "at most", 0},
+		{"POST /admin/floor", order(3) + strings.Repeat(" ", version.MaxOrderBytes), 400, "at most", 0},
 		{"POST /admin/floor", order(3), 200, "n0", math.MaxUint64},
 	} {
 		text := fmt.Sprintf("%s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", c.call, len(c.body), c.body)
--- a/internal/daemon/audit_agent.go
+++ b/internal/daemon/audit_agent.go
@@ -38,8 +38,8 @@
 	start       time.Time
 	now         func() time.Duration // since the start, by the monotonic clock, which goes on while the process is stopped
 	wallClock   func() time.Time
-	auditLog    *auditlog.Book
-	auditFile   *auditlog.File // nil: no disk
+	auditLog    *auditlog.Log
+	auditFile   *auditlog.Writer // nil: no disk
 	log         zerolog.Logger
 
 	refreshList  func()        // requests the complete list from discovery
@@ -87,7 +87,7 @@
 	entries, source := inheritedEntries(persister, s, log)
 	epoch, by := auditlog.LastOrder(entries)
 	a.actor = version.NewActor(0, a.actorLimits(), rand.New(rand.NewPCG(cfg.Seed^rand.Uint64(), auditStream)), epoch, by)
-	a.auditLog = auditlog.NewBook(a.incarnation, source, entries, persistence.Now)
+	a.auditLog = auditlog.NewLog(a.incarnation, source, entries, persistence.Now)
 	if persister != nil {
 		a.openFile(persister.disk)
 	}
@@ -116,14 +116,14 @@
 
 // openFile has the audit log written to the disk from here on.
 func (a *auditAgent) openFile(disk persistence.Disk) {
-	a.auditFile = &auditlog.File{Disk: disk, Book: a.auditLog, Fault: func(err error) {
+	a.auditFile = &auditlog.Writer{Disk: disk, Log: a.auditLog, OnFault: func(err error) {
 		if err != nil {
 			a.log.Error().Err(err).Msg("the trail is not written")
 		} else {
 			a.log.Info().Msg("the trail is written again")
 		}
 	}}
-	a.auditFile.Begin()
+	a.auditFile.Start()
 }
 
 // firstFaults returns those that are logged.
@@ -188,7 +188,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.settings = &cfg.Settings
-	a.actor.Retune(a.actorLimits())
+	a.actor.SetLimits(a.actorLimits())
 	a.changeLocked(func(v *version.Version) { v.Settings = cfg.Digest() }, from, apply)
 }
 
@@ -198,19 +198,19 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.now()
-	a.actor.Heard(now, a.sinceStart(asked))
+	a.actor.ConfirmList(now, a.sinceStart(asked))
 	a.applyVerdict(now)
-	if a.verdict.State != version.Waking { // an answer from before a stop says nothing about now
+	if a.verdict.State != version.Resuming { // an answer from before a stop says nothing about now
 		a.listHeardAt = now
 	}
 }
 
 // heartbeat records that the process runs, and if it had been stopped, for how long; the caller holds mu.
 func (a *auditAgent) heartbeat(now time.Duration) {
-	stopped := a.actor.Beat(now)
+	stopped := a.actor.Heartbeat(now)
 	a.lastHeartbeat.Store(int64(now))
 	if stopped > 0 {
-		a.auditLog.Note(auditlog.Entry{Kind: auditlog.Stopped, Took: millis(stopped)})
+		a.auditLog.Append(auditlog.Entry{Kind: auditlog.Stopped, Duration: millis(stopped)})
 		a.log.Warn().Dur("for", stopped).Msg("was stopped; nothing is sent until discovery answers, for a while")
 	}
 }
@@ -221,13 +221,13 @@
 	now := a.now()
 	a.heartbeat(now)
 	a.applyVerdict(now)
-	wants := a.actor.Wants(now)
+	wants := a.actor.Actions(now)
 	a.updateNeedsSuccessor(now, wants)
 	a.mu.Unlock()
-	if wants.List {
+	if wants.RefreshList {
 		a.refreshList()
 	}
-	if wants.Config {
+	if wants.RereadConfig {
 		select {
 		case a.rereadConfig <- struct{}{}:
 		default: // a request is pending already
@@ -237,10 +237,10 @@
 
 // updateNeedsSuccessor logs once that this process can't meet the minimum version: neither its build nor the operator's file,
 // which is read at the start only, can change. The caller holds mu.
-func (a *auditAgent) updateNeedsSuccessor(now time.Duration, wants version.Wants) {
+func (a *auditAgent) updateNeedsSuccessor(now time.Duration, wants version.Actions) {
 	was := a.needsSuccessor
-	f := a.actor.Floor(now)
-	a.needsSuccessor = wants.Succeed || f != nil && f.File != 0 && f.File != a.options.File
+	f := a.actor.Minimum(now)
+	a.needsSuccessor = wants.NeedsSuccessor || f != nil && f.File != 0 && f.File != a.options.File
 	if a.needsSuccessor && !was {
 		a.log.Warn().Str("build", a.buildID).Strs("floor", f.Builds).Stringer("file", hexDigest(f.File)).Msg("this process has to be succeeded by one that meets the floor")
 	}
@@ -267,7 +267,7 @@
 			a.auditLog.Flush()
 		case <-ctx.Done():
 			a.auditLog.Flush()
-			a.auditLog.Note(auditlog.Entry{Kind: auditlog.Ended})
+			a.auditLog.Append(auditlog.Entry{Kind: auditlog.Ended})
 			if a.auditFile != nil {
 				a.auditFile.Close()
 			}
--- a/internal/daemon/audit_agent_test.go
+++ b/internal/daemon/audit_agent_test.go
@@ -76,12 +76,12 @@
 	const ms = time.Millisecond
 	order := func(epoch uint64, list version.Digest, ticket time.Duration) func(w *agentFixture) {
 		return func(w *agentFixture) {
-			o := version.Order{Floor: version.Floor{Epoch: epoch, By: "a", Site: w.site, List: list, Revision: 1 << 40, Grace: 1000, For: 60000}}
+			o := version.Order{Minimum: version.MinimumVersion{Epoch: epoch, By: "a", Site: w.site, List: list, Revision: 1 << 40, Grace: 1000, Validity: 60000}}
 			if list == 0 {
-				o.Floor.Revision = 0
+				o.Minimum.Revision = 0
 			}
 			if ticket > 0 {
-				o.Ticket = &version.Ticket{Issued: version.Millis(w.time.UnixMilli()), For: millis(ticket)}
+				o.Permit = &version.Permit{Issued: version.Millis(w.time.UnixMilli()), Validity: millis(ticket)}
 			}
 			if err := w.Take(o); err != nil {
 				t.Error(err)
@@ -104,22 +104,22 @@
 		steps   []step
 		asked   int // for the whole list
 	}{
-		"a stop, and a fresh list": {config.Audit{}, []step{{100 * ms, beat, true, true, version.Acts}, {6 * time.Second, stop, false, false, version.Waking},
-			{10 * ms, hear(20 * ms), false, false, version.Waking}, {30 * ms, hear(20 * ms), true, true, version.Acts}}, 1},
-		"a stop, and a dead list service": {config.Audit{}, []step{{6 * time.Second, stop, false, false, version.Waking}, {1400 * ms, beat, false, false, version.Waking},
-			{200 * ms, stop, true, true, version.Acts}}, 1},
-		"a stop that an answer wakes from": {config.Audit{}, []step{{6 * time.Second, hear(6100 * ms), false, false, version.Waking}}, 1},
-		"a busy machine":                   {config.Audit{}, []step{{1900 * ms, stop, true, true, version.Acts}}, 0},
-		"a floor, no ticket": {config.Audit{Share: 0.1}, []step{{0, order(1, 99, 0), true, true, version.Acts}, {500 * ms, beat, true, true, version.Acts},
+		"a stop, and a fresh list": {config.Audit{}, []step{{100 * ms, beat, true, true, version.Active}, {6 * time.Second, stop, false, false, version.Resuming},
+			{10 * ms, hear(20 * ms), false, false, version.Resuming}, {30 * ms, hear(20 * ms), true, true, version.Active}}, 1},
+		"a stop, and a dead list service": {config.Audit{}, []step{{6 * time.Second, stop, false, false, version.Resuming}, {1400 * ms, beat, false, false, version.Resuming},
+			{200 * ms, stop, true, true, version.Active}}, 1},
+		"a stop that an answer wakes from": {config.Audit{}, []step{{6 * time.Second, hear(6100 * ms), false, false, version.Resuming}}, 1},
+		"a busy machine":                   {config.Audit{}, []step{{1900 * ms, stop, true, true, version.Active}}, 0},
+		"a floor, no ticket": {config.Audit{Share: 0.1}, []step{{0, order(1, 99, 0), true, true, version.Active}, {500 * ms, beat, true, true, version.Active},
 			{500 * ms, stop, true, true, version.Behind}, {100 * ms, beat, true, true, version.Behind}}, 1},
-		"a ticket, which lapses": {config.Audit{Share: 0.1}, []step{{0, order(1, 99, 3*time.Second), true, true, version.Acts}, {900 * ms, beat, true, true, version.Acts},
-			{100 * ms, stop, false, true, version.Shut}, {1900 * ms, beat, false, true, version.Shut}, {100 * ms, stop, true, true, version.Behind}}, 2},
-		"a ticket, and the list": {config.Audit{Share: 0.1}, []step{{0, order(1, singleEndpointList(3).Digest(), 3*time.Second), true, true, version.Acts}, {1000 * ms, beat, false, true, version.Shut},
-			{0, func(w *agentFixture) { w.table.Apply(balance.ListFull, singleEndpointList(3)) }, true, true, version.Acts}}, 1},
-		"a share of none": {config.Audit{Share: 0.05}, []step{{0, order(1, 99, 3*time.Second), true, true, version.Acts}, {1000 * ms, beat, true, true, version.Behind}}, 1},
-		"alone, open":     {config.Audit{Share: 0.1, Lease: 2e9, Silence: "open"}, []step{{1000 * ms, beat, true, true, version.Acts}, {1000 * ms, beat, true, true, version.Acts}}, 0},
-		"alone, closed": {config.Audit{Share: 0.1, Lease: 2e9, Silence: "closed"}, []step{{1900 * ms, beat, true, true, version.Acts}, {100 * ms, stop, false, true, version.Shut},
-			{100 * ms, hear(10 * ms), true, true, version.Acts}, {1900 * ms, order(1, 0, 0), true, true, version.Acts}, {1900 * ms, beat, true, true, version.Acts}}, 0},
+		"a ticket, which lapses": {config.Audit{Share: 0.1}, []step{{0, order(1, 99, 3*time.Second), true, true, version.Active}, {900 * ms, beat, true, true, version.Active},
+			{100 * ms, stop, false, true, version.ShutOut}, {1900 * ms, beat, false, true, version.ShutOut}, {100 * ms, stop, true, true, version.Behind}}, 2},
+		"a ticket, and the list": {config.Audit{Share: 0.1}, []step{{0, order(1, singleEndpointList(3).Digest(), 3*time.Second), true, true, version.Active}, {1000 * ms, beat, false, true, version.ShutOut},
+			{0, func(w *agentFixture) { w.table.Apply(balance.ListFull, singleEndpointList(3)) }, true, true, version.Active}}, 1},
+		"a share of none": {config.Audit{Share: 0.05}, []step{{0, order(1, 99, 3*time.Second), true, true, version.Active}, {1000 * ms, beat, true, true, version.Behind}}, 1},
+		"alone, open":     {config.Audit{Share: 0.1, Lease: 2e9, Silence: "open"}, []step{{1000 * ms, beat, true, true, version.Active}, {1000 * ms, beat, true, true, version.Active}}, 0},
+		"alone, closed": {config.Audit{Share: 0.1, Lease: 2e9, Silence: "closed"}, []step{{1900 * ms, beat, true, true, version.Active}, {100 * ms, stop, false, true, version.ShutOut},
+			{100 * ms, hear(10 * ms), true, true, version.Active}, {1900 * ms, order(1, 0, 0), true, true, version.Active}, {1900 * ms, beat, true, true, version.Active}}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newAgentFixture(t, c.section)
@@ -140,23 +140,23 @@
 			// What was judged is noted, once each.
 			last, stops := "", 0
 			for _, s := range c.steps {
-				if s.after > version.Gap {
+				if s.after > version.StopThreshold {
 					stops++
 				}
 			}
-			for _, e := range w.auditLog.Past() {
+			for _, e := range w.auditLog.Entries() {
 				if e.Kind == auditlog.Stopped {
 					stops--
 				}
-				if e.Kind == auditlog.Judged {
-					if now := e.State + e.Why; now == last {
+				if e.Kind == auditlog.VerdictChanged {
+					if now := e.State + e.Reason; now == last {
 						t.Errorf("%s is noted twice", now)
 					} else {
 						last = now
 					}
 				}
 			}
-			if want := w.verdict.State + w.verdict.Why; last != want || stops != 0 {
+			if want := w.verdict.State + w.verdict.Reason; last != want || stops != 0 {
 				t.Errorf("noted last is %q, want %q; of its stops %d are not", last, want, stops)
 			}
 		})
@@ -165,7 +165,7 @@
 
 // attemptCounter counts attempts by the version that the audit log is given for each, and by endpoint.
 type attemptCounter struct {
-	*auditlog.Book
+	*auditlog.Log
 	mu           sync.Mutex
 	counts       map[attempt]int
 	endpointName func(balance.EndpointID) string
@@ -177,7 +177,7 @@
 }
 
 func (s *attemptCounter) Sent(under uint32, class int, host balance.EndpointID, crossed bool) {
-	s.Book.Sent(under, class, host, crossed)
+	s.Log.Sent(under, class, host, crossed)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts[attempt{under, s.endpointName(host)}]++
@@ -188,7 +188,7 @@
 func TestAttemptsHaveOneVersion(t *testing.T) {
 	const lists = 300
 	w := newAgentFixture(t, config.Audit{})
-	s := &attemptCounter{Book: w.auditLog, counts: map[attempt]int{}, endpointName: w.table.Name}
+	s := &attemptCounter{Log: w.auditLog, counts: map[attempt]int{}, endpointName: w.table.Name}
 	var visits atomic.Int64
 	p := &stream.Proxy{Engine: w.engine, Trail: s, Log: zerolog.Nop(), Upstream: upstreamFunc(func() balance.Status {
 		if visits.Add(1)%3 == 0 {
@@ -222,13 +222,13 @@
 	streams.Wait()
 	w.auditLog.Flush()
 	held, total, counted := map[uint32]version.List{}, 0, 0
-	for _, e := range w.auditLog.Past() {
+	for _, e := range w.auditLog.Entries() {
 		if e.Kind == auditlog.Adopted {
-			held[e.Under] = e.Version.List
+			held[e.VersionID] = e.Version.List
 		}
 		for _, a := range e.Attempts {
 			counted += a.N
-			if l, kept := held[e.Under]; kept && a.Host != fmt.Sprint("h", l.Revision) {
+			if l, kept := held[e.VersionID]; kept && a.Host != fmt.Sprint("h", l.Revision) {
 				t.Errorf("the trail has %s under revision %d", a.Host, l.Revision)
 			}
 		}
@@ -245,7 +245,7 @@
 	}
 	if v, _ := w.auditLog.Version(); v.List.Revision != lists+1 || v.Settings != (&config.Config{Site: fmt.Sprintf(`{"n":%d}`, lists/2-1)}).Digest() {
 		t.Errorf("in the end it acts on %+v", v)
-	} else if err := w.Take(version.Order{Floor: version.Floor{Epoch: 1, By: "a", Site: w.site, List: v.List.Digest, Settings: v.Settings, For: 1000}}); err != nil || w.verdict.State != version.Acts {
+	} else if err := w.Take(version.Order{Minimum: version.MinimumVersion{Epoch: 1, By: "a", Site: w.site, List: v.List.Digest, Settings: v.Settings, Validity: 1000}}); err != nil || w.verdict.State != version.Active {
 		t.Errorf("%v; of the actor, which has to know, it is %+v", err, w.verdict) // the events came to it in their order
 	}
 	t.Logf("%d attempts under %d numbers, %d of them still in the ring", total, len(s.counts), counted)
@@ -264,10 +264,10 @@
 		t.Run(from, func(t *testing.T) {
 			disk, w, next := persistence.Dir(t.TempDir()), newAgentFixture(t, config.Audit{}), &succession{}
 			if from == "disk" {
-				w.auditFile = &auditlog.File{Disk: disk, Book: w.auditLog, Fault: func(err error) { t.Error(err) }}
-				w.auditFile.Begin()
+				w.auditFile = &auditlog.Writer{Disk: disk, Log: w.auditLog, OnFault: func(err error) { t.Error(err) }}
+				w.auditFile.Start()
 			}
-			if err := w.Take(version.Order{Floor: version.Floor{Epoch: 7, By: "a", Site: w.site, Grace: 1, For: 1000}}); err != nil {
+			if err := w.Take(version.Order{Minimum: version.MinimumVersion{Epoch: 7, By: "a", Site: w.site, Grace: 1, Validity: 1000}}); err != nil {
 				t.Fatal(err)
 			}
 			w.auditLog.Sent(1, 0, 1, false)
@@ -283,21 +283,21 @@
 			end()
 			w.run(ctx)
 			heir := newAuditAgent(&config.Audit{}, &config.Config{Name: "n0", Settings: *w.settings, Site: testSettings}, &statePersister{disk: disk}, next, zerolog.Nop())
-			past := heir.auditLog.Past()
+			past := heir.auditLog.Entries()
 			heir.auditFile.Close()
 			counted := 0
 			for _, e := range past {
 				for _, a := range e.Attempts {
 					counted += a.N
 				}
-				if e.Kind == auditlog.Began && e.Life == heir.incarnation && e.From != from {
+				if e.Kind == auditlog.Started && e.Incarnation == heir.incarnation && e.From != from {
 					t.Errorf("it begins from %q", e.From)
 				}
 			}
-			if faults := auditlog.Check(past); len(faults) > 0 || past[0].Life != w.incarnation || past[len(past)-1].Life != heir.incarnation || counted != 1 {
+			if faults := auditlog.Check(past); len(faults) > 0 || past[0].Incarnation != w.incarnation || past[len(past)-1].Incarnation != heir.incarnation || counted != 1 {
 				t.Errorf("%v, %d attempts in %+v", faults, counted, past)
 			}
-			if err := heir.Take(version.Order{Floor: version.Floor{Epoch: 6, By: "a", Site: w.site, Grace: 1, For: 1000}}); err == nil {
+			if err := heir.Take(version.Order{Minimum: version.MinimumVersion{Epoch: 6, By: "a", Site: w.site, Grace: 1, Validity: 1000}}); err == nil {
 				t.Error("an older order is taken after that")
 			}
 		})
--- a/internal/daemon/audit_control.go
+++ b/internal/daemon/audit_control.go
@@ -23,23 +23,23 @@
 	a.mu.Lock()
 	now := a.now()
 	a.heartbeat(now)
-	was := a.actor.Floor(now)
-	err := a.actor.Take(now, time.Duration(a.wallClock().UnixNano()), o)
+	was := a.actor.Minimum(now)
+	err := a.actor.Accept(now, time.Duration(a.wallClock().UnixNano()), o)
 	e := auditlog.Entry{Kind: auditlog.Ordered, Order: &o}
 	switch {
 	case err != nil:
-		e.Why = err.Error()
+		e.Reason = err.Error()
 		if a.rejectionLoggedAt == 0 || now-a.rejectionLoggedAt > rejectionLogInterval {
 			a.rejectionLoggedAt = now
-			a.log.Warn().Err(err).Str("by", o.Floor.By).Msg("an auditor's order is refused")
+			a.log.Warn().Err(err).Str("by", o.Minimum.By).Msg("an auditor's order is refused")
 		}
-	case was == nil || was.Epoch != o.Floor.Epoch || was.By != o.Floor.By:
-		a.log.Info().Uint64("epoch", o.Floor.Epoch).Str("by", o.Floor.By).Dur("grace", o.Floor.Grace.D()).Msg("a floor is in force")
+	case was == nil || was.Epoch != o.Minimum.Epoch || was.By != o.Minimum.By:
+		a.log.Info().Uint64("epoch", o.Minimum.Epoch).Str("by", o.Minimum.By).Dur("grace", o.Minimum.Grace.D()).Msg("a floor is in force")
 	}
 	if err == nil {
-		a.actor.Vouched(now)
+		a.actor.ConfirmByAuditor(now)
 	}
-	a.auditLog.Note(e)
+	a.auditLog.Append(e)
 	a.mu.Unlock()
 	a.tick() // what it asks for may be due at once
 	return err
@@ -51,16 +51,16 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.now()
-	r := auditlog.Report{Name: a.name, Site: a.site, Rank: a.settings.Rank, Instances: max(1, a.settings.Instances), Life: a.incarnation,
-		Now: version.Millis(a.wallClock().UnixMilli()), Up: millis(persistence.Now().Up), Since: millis(now - a.adoptedAt), Heard: -1, State: a.verdict.State, Why: a.verdict.Why,
-		Floor: a.actor.Floor(now), Ticket: a.actor.Ticket(now), Succeed: a.needsSuccessor}
+	r := auditlog.Report{Name: a.name, Site: a.site, Rank: a.settings.Rank, Instances: max(1, a.settings.Instances), Incarnation: a.incarnation,
+		Now: version.Millis(a.wallClock().UnixMilli()), Up: millis(persistence.Now().Up), VersionAge: millis(now - a.adoptedAt), ListAge: -1, State: a.verdict.State, Reason: a.verdict.Reason,
+		Minimum: a.actor.Minimum(now), Permit: a.actor.Permit(now), NeedsSuccessor: a.needsSuccessor}
 	if z := a.settings.Zone; z >= 0 && z < len(a.settings.ZoneNames) {
 		r.Zone = a.settings.ZoneNames[z]
 	}
 	if a.listHeardAt >= 0 {
-		r.Heard = millis(now - a.listHeardAt)
+		r.ListAge = millis(now - a.listHeardAt)
 	}
-	r.Version, r.Under = a.auditLog.Version()
-	r.Entries, r.Next, r.First = a.auditLog.Since(min(since, math.MaxInt64), maxReportEntryBytes)
+	r.Version, r.VersionID = a.auditLog.Version()
+	r.Entries, r.Next, r.Oldest = a.auditLog.EntriesSince(min(since, math.MaxInt64), maxReportEntryBytes)
 	return r
 }
--- a/internal/daemon/audit_gate.go
+++ b/internal/daemon/audit_gate.go
@@ -10,17 +10,17 @@
 // applyVerdict publishes the actor's verdict to the gate. A change of it is logged. The caller holds mu.
 func (a *auditAgent) applyVerdict(now time.Duration) {
 	v := a.actor.Verdict(now)
-	if v.State != a.verdict.State || v.Why != a.verdict.Why {
-		a.auditLog.Note(auditlog.Entry{Kind: auditlog.Judged, State: v.State, Why: v.Why})
+	if v.State != a.verdict.State || v.Reason != a.verdict.Reason {
+		a.auditLog.Append(auditlog.Entry{Kind: auditlog.VerdictChanged, State: v.State, Reason: v.Reason})
 		if a.verdict.State != "" {
-			a.log.Warn().Str("state", v.State).Str("why", v.Why).Msg("the audit's verdict has changed")
+			a.log.Warn().Str("state", v.State).Str("why", v.Reason).Msg("the audit's verdict has changed")
 		}
 	}
 	a.verdict = v
 	a.verdictExpiry.Store(int64(v.Until))
-	a.acceptsStreams.Store(v.Takes())
-	a.sendsAttempts.Store(v.Sends())
-	retryAfter := v.Again
+	a.acceptsStreams.Store(v.AcceptsStreams())
+	a.sendsAttempts.Store(v.SendsAttempts())
+	retryAfter := v.RetryAfter
 	if limit := a.settings.MaxRetryAfter; limit > 0 {
 		retryAfter = min(retryAfter, limit)
 	}
@@ -34,7 +34,7 @@
 // process may have been stopped. It takes no lock otherwise.
 func (a *auditAgent) refreshVerdict() {
 	now := int64(a.now())
-	if now-a.lastHeartbeat.Load() > int64(version.Gap) || now >= a.verdictExpiry.Load() {
+	if now-a.lastHeartbeat.Load() > int64(version.StopThreshold) || now >= a.verdictExpiry.Load() {
 		a.tick()
 	}
 }
--- a/internal/daemon/process_state.go
+++ b/internal/daemon/process_state.go
@@ -88,7 +88,7 @@
 		h.PublishedSettings = s.encodePublished()
 	}
 	if s.audit != nil {
-		h.AuditLog = s.audit.auditLog.Past()
+		h.AuditLog = s.audit.auditLog.Entries()
 	}
 	return json.Marshal(h)
 }
--- a/internal/lab/auditcheck/audited.go
+++ b/internal/lab/auditcheck/audited.go
@@ -193,7 +193,7 @@
 	lists := map[number]version.Digest{}
 	for i := range entries {
 		if e := &entries[i]; e.Kind == auditlog.Adopted && e.Version != nil {
-			lists[number{e.Life, e.Under}] = e.Version.List.Digest
+			lists[number{e.Incarnation, e.VersionID}] = e.Version.List.Digest
 		}
 	}
 	out := map[cell]count{}
@@ -203,9 +203,9 @@
 			continue
 		}
 		for _, a := range e.Attempts {
-			c := cell{lists[number{e.Life, e.Under}], a.Class, a.Host}
+			c := cell{lists[number{e.Incarnation, e.VersionID}], a.Class, a.Host}
 			n := out[c]
-			n.attempts, n.unseen = n.attempts+a.N, n.unseen+a.Never+a.Left
+			n.attempts, n.unseen = n.attempts+a.N, n.unseen+a.Unsent+a.Withdrawn
 			out[c] = n
 		}
 	}
--- a/internal/lab/auditcheck/audited_test.go
+++ b/internal/lab/auditcheck/audited_test.go
@@ -67,11 +67,11 @@
 		visit(1, when)
 	}
 	adopted := func(seq uint64, under uint32, d version.Digest) auditlog.Entry {
-		return auditlog.Entry{At: 999_900, Seq: seq, Life: "l", Kind: auditlog.Adopted, Under: under, Version: &version.Version{List: version.List{Digest: d}}}
+		return auditlog.Entry{At: 999_900, Seq: seq, Incarnation: "l", Kind: auditlog.Adopted, VersionID: under, Version: &version.Version{List: version.List{Digest: d}}}
 	}
 	made := func(seq uint64, under uint32, n, never int, when float64) auditlog.Entry {
-		return auditlog.Entry{Seq: seq, Life: "l", Kind: auditlog.Counted, Under: under, At: version.Millis(1_000_000 + 1000*when),
-			Attempts: []auditlog.Attempts{{Class: "c", Host: "t-1", N: n, Never: never}}}
+		return auditlog.Entry{Seq: seq, Incarnation: "l", Kind: auditlog.Counted, VersionID: under, At: version.Millis(1_000_000 + 1000*when),
+			Attempts: []auditlog.Attempts{{Class: "c", Host: "t-1", N: n, Unsent: never}}}
 	}
 	return p, log, map[int][]auditlog.Entry{
 		0: {adopted(1, 1, listA), made(2, 1, 3, 0, 4), adopted(3, 2, listB), made(4, 2, 4, 1, 9)},
@@ -128,7 +128,7 @@
 		}},
 		{name: "killed, and nothing is left of that process", missing: 4, plant: func(_ *plan.Plan, log *trace.Log, trails map[int][]auditlog.Entry) {
 			log.Changes = append(log.Changes, trace.Change{At: at(9), Sidecar: 1, What: trace.Killed})
-			trails[1] = []auditlog.Entry{{Seq: 1, Life: "m", Kind: auditlog.Began, At: 1_010_000}}
+			trails[1] = []auditlog.Entry{{Seq: 1, Incarnation: "m", Kind: auditlog.Started, At: 1_010_000}}
 		}},
 		{name: "a box that went down: what was on its way has no end", plant: func(p *plan.Plan, _ *trace.Log, trails map[int][]auditlog.Entry) {
 			p.Events = append(p.Events, plan.Event{Kind: plan.BeginFault, Box: 0, Fault: model.Fault{Kind: model.Dead}})
@@ -226,7 +226,7 @@
 		if ends, never := Ends(p, log, at(1)); !slices.Equal(ends, []time.Duration{}) || never != 1 {
 			t.Errorf("%s: it ended after %v, never %d", c.name, ends, never)
 		}
-		log.Trails[1] = []auditlog.Entry{{Kind: auditlog.Judged, At: 1_007_500, State: version.Shut}}
+		log.Trails[1] = []auditlog.Entry{{Kind: auditlog.VerdictChanged, At: 1_007_500, State: version.ShutOut}}
 		if ends, never := Ends(p, log, at(1)); !slices.Equal(ends, []time.Duration{at(3)}) || never != 0 {
 			t.Errorf("%s: shut out after %v, never %d", c.name, ends, never)
 		}
--- a/internal/lab/auditcheck/stragglers.go
+++ b/internal/lab/auditcheck/stragglers.go
@@ -214,9 +214,9 @@
 	is, life := false, ""
 	for _, e := range log.Trails[sidecar] {
 		at := e.At.D() - time.Duration(log.Start.UnixMilli())*time.Millisecond
-		now := is && e.Life == life
-		if e.Kind == auditlog.Judged {
-			now = e.State == version.Shut
+		now := is && e.Incarnation == life
+		if e.Kind == auditlog.VerdictChanged {
+			now = e.State == version.ShutOut
 		}
 		if is && !now {
 			out[len(out)-1][1] = at
@@ -224,7 +224,7 @@
 		if now && !is {
 			out = append(out, [2]time.Duration{at, model.Never})
 		}
-		is, life = now, e.Life
+		is, life = now, e.Incarnation
 	}
 	return out
 }
--- a/internal/lab/footprint/audit.go
+++ b/internal/lab/footprint/audit.go
@@ -180,7 +180,7 @@
 	now := persistence.Now()
 	clock := now
 	clock.Wall, clock.Up = now.Wall.Add(-worked), max(0, now.Up-worked)
-	b := auditlog.NewBook("life "+name, "", nil, func() persistence.Timestamp { return clock })
+	b := auditlog.NewLog("life "+name, "", nil, func() persistence.Timestamp { return clock })
 	b.Names(func(class int, host balance.EndpointID) (string, string) {
 		return fmt.Sprintf("class-%03d", class), fmt.Sprintf("host-%04d", host)
 	})
@@ -200,10 +200,10 @@
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		since, _ := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64) // none is 0: all
 		at := persistence.Now()
-		report := auditlog.Report{Name: name, Zone: "here", Site: auditSite, Instances: fleet, Life: "life " + name, State: "acts",
-			Now: version.Millis(at.Wall.UnixMilli()), Up: version.Millis(at.Up.Milliseconds()), Since: version.Millis(worked.Milliseconds())}
-		report.Version, report.Under = b.Version()
-		report.Entries, report.Next, report.First = b.Since(since, pageMost)
+		report := auditlog.Report{Name: name, Zone: "here", Site: auditSite, Instances: fleet, Incarnation: "life " + name, State: "acts",
+			Now: version.Millis(at.Wall.UnixMilli()), Up: version.Millis(at.Up.Milliseconds()), VersionAge: version.Millis(worked.Milliseconds())}
+		report.Version, report.VersionID = b.Version()
+		report.Entries, report.Next, report.Oldest = b.EntriesSince(since, pageMost)
 		text, _ := json.Marshal(report) // all of it is plain
 		_, _ = w.Write(text)            // who has gone needs none
 	})}
--- a/internal/lab/loopback/trails.go
+++ b/internal/lab/loopback/trails.go
@@ -112,9 +112,11 @@
 // inOrder is each entry once, in the order of time and numbers.
 func inOrder(entries []auditlog.Entry) []auditlog.Entry {
 	slices.SortStableFunc(entries, func(a, b auditlog.Entry) int {
-		return cmp.Or(cmp.Compare(a.Life, b.Life), cmp.Compare(a.Seq, b.Seq), cmp.Compare(a.Sum, b.Sum))
+		return cmp.Or(cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Seq, b.Seq), cmp.Compare(a.Sum, b.Sum))
+	})
+	return slices.CompactFunc(entries, func(a, b auditlog.Entry) bool {
+		return a.Incarnation == b.Incarnation && a.Seq == b.Seq && a.Sum == b.Sum
 	})
-	return slices.CompactFunc(entries, func(a, b auditlog.Entry) bool { return a.Life == b.Life && a.Seq == b.Seq && a.Sum == b.Sum })
 }
 
 // wholeReport is what a sidecar answers auditors, with its whole trail; empty where nothing answers.
@@ -181,8 +183,8 @@
 		if o.kept == nil {
 			o.kept = map[int]version.Order{}
 		}
-		if err == nil && report.Floor != nil {
-			o.kept[e.ID] = version.Order{Floor: *report.Floor, Ticket: report.Ticket}
+		if err == nil && report.Minimum != nil {
+			o.kept[e.ID] = version.Order{Minimum: *report.Minimum, Permit: report.Permit}
 		}
 	})
 }
@@ -196,7 +198,7 @@
 		o.run.broken(e.Sidecar, fmt.Errorf("live: there was no order to be played again"))
 		return
 	}
-	order.Floor.Epoch += uint64(e.Raised)
+	order.Minimum.Epoch += uint64(e.Raised)
 	body, err := json.Marshal(order)
 	if err != nil {
 		panic(err) // all of it is plain
@@ -204,6 +206,6 @@
 	o.run.later.Go(func() {
 		at := o.run.now()
 		code, _, _ := o.run.operate(http.MethodPost, "http://"+o.run.operators(e.Sidecar)+"/admin/floor", body) // no answer is code 0
-		o.run.trace.ordered(trace.Ordered{At: at, Sidecar: e.Sidecar, Epoch: order.Floor.Epoch, Code: code})
+		o.run.trace.ordered(trace.Ordered{At: at, Sidecar: e.Sidecar, Epoch: order.Minimum.Epoch, Code: code})
 	})
 }
--- a/internal/settingsstore/acknowledgements.go
+++ b/internal/settingsstore/acknowledgements.go
@@ -27,7 +27,7 @@
 	}
 	for e := s.byLastRequest.Front(); e != nil; e = e.Next() {
 		a := e.Value.(*acknowledgement)
-		if a.service == service && a.inForce.Epoch <= version.EpochMost/2 {
+		if a.service == service && a.inForce.Epoch <= version.MaxEpoch/2 {
 			epoch = max(epoch, a.inForce.Epoch)
 		}
 	}
--- a/internal/settingsstore/encoding_test.go
+++ b/internal/settingsstore/encoding_test.go
@@ -41,7 +41,7 @@
 	large := Encode(NewState("s", edition(1, "d"), json.RawMessage(`{"a":"`+strings.Repeat("x", MaxSettingsBytes)+`"}`)))
 	most := json.RawMessage(`{"a":"` + strings.Repeat("x", MaxSettingsBytes-8) + `"}`)
 	name := strings.Repeat("n", MaxNameBytes)
-	if _, err := Parse(Encode(NewState(name, edition(version.EpochMost, name), most))); err != nil {
+	if _, err := Parse(Encode(NewState(name, edition(version.MaxEpoch, name), most))); err != nil {
 		t.Errorf("the largest: %v", err)
 	}
 	for _, c := range []struct{ text, key string }{
@@ -74,7 +74,7 @@
 		{Service: "s", Since: edition(3, "d1"), Wait: 2 * time.Second, Name: "a b&c=d/é"},
 		{Service: "s-2", Since: edition(3, "d1"), Rejected: edition(4, "d0"), Reason: "settings.aim is wrong & \x00", Name: "x"},
 		{Service: "s", Since: edition(3, "d1"), Reason: "settings of t were told"},
-		{Service: "s", Rejected: edition(version.EpochMost, "d0"), Wait: MaxWait},
+		{Service: "s", Rejected: edition(version.MaxEpoch, "d0"), Wait: MaxWait},
 	} {
 		u, err := url.ParseRequestURI(q.Target())
 		if err != nil {
--- a/internal/settingsstore/state.go
+++ b/internal/settingsstore/state.go
@@ -138,8 +138,8 @@
 	switch {
 	case e.None():
 		return nil
-	case e.Epoch < 1 || e.Epoch > version.EpochMost:
-		return KeyError{epoch, fmt.Sprintf("must be from 1 to %d", uint64(version.EpochMost))}
+	case e.Epoch < 1 || e.Epoch > version.MaxEpoch:
+		return KeyError{epoch, fmt.Sprintf("must be from 1 to %d", uint64(version.MaxEpoch))}
 	}
 	return CheckName(by, e.By)
 }
--- a/internal/settingsstore/store.go
+++ b/internal/settingsstore/store.go
@@ -126,7 +126,7 @@
 		return nil, ErrTooManyServices
 	}
 	epoch := s.highestEpoch(service, current) + 1
-	if epoch > version.EpochMost {
+	if epoch > version.MaxEpoch {
 		return nil, ErrEpochsExhausted
 	}
 	return current.successor(NewState(service, version.Edition{Epoch: epoch, By: s.name}, settings)), nil
--- a/internal/settingsstore/store_test.go
+++ b/internal/settingsstore/store_test.go
@@ -448,7 +448,7 @@
 func TestEpochsFollowSidecars(t *testing.T) {
 	st := NewStore("d", "l", nil, true)
 	_, _, _ = st.Poll(0, Request{Service: "s", Name: "a", Since: edition(7, "gone")})
-	_, _, _ = st.Poll(0, Request{Service: "s", Name: "b", Since: edition(version.EpochMost, "gone")})
+	_, _, _ = st.Poll(0, Request{Service: "s", Name: "b", Since: edition(version.MaxEpoch, "gone")})
 	_, _, _ = st.Poll(0, Request{Service: "t", Name: "c", Since: edition(70, "gone")})
 	if r := publish(t, st, "s", `{}`); r.Epoch != 8 {
 		t.Errorf("published under epoch %d", r.Epoch)
@@ -456,7 +456,7 @@
 	if got := st.StatusOf("r", "s", 0); got.CountIn(Behind) != 1 || got.CountIn(Ahead) != 1 {
 		t.Errorf("%+v", got.Sidecars)
 	}
-	top := &Record{State: NewState("u", edition(version.EpochMost, "x"), []byte(`{}`))}
+	top := &Record{State: NewState("u", edition(version.MaxEpoch, "x"), []byte(`{}`))}
 	if _, _, err := st.Merge(top); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/version/actor.go
+++ b/internal/version/actor.go
@@ -9,10 +9,10 @@
 
 // Tunables of a sidecar that looks at itself.
 const (
-	Gap       = 2 * time.Second         // between two beats: a stop that may hide that a host was told to leave. Shorter ones are a busy machine's
-	wakeMost  = 1500 * time.Millisecond // that it waits for the list service after a stop: a watch of 1 s, and its answer. Then it acts: a list service that is down must not be an outage
-	againLeas = 2 * time.Second         // between two times that the same is asked for because of a floor, so that a floor that can't be met is no load
-	shutAgain = time.Second             // that a client of a shut sidecar is told to wait: it can be back with the list service's next answer
+	StopThreshold      = 2 * time.Second         // between two beats: a stop that may hide that a host was told to leave. Shorter ones are a busy machine's
+	maxWakeWait        = 1500 * time.Millisecond // that it waits for the list service after a stop: a watch of 1 s, and its answer. Then it acts: a list service that is down must not be an outage
+	minRequestInterval = 2 * time.Second         // between two times that the same is asked for because of a floor, so that a floor that can't be met is no load
+	shutOutRetryAfter  = time.Second             // that a client of a shut sidecar is told to wait: it can be back with the list service's next answer
 )
 
 // Forever is when a verdict ends that time alone doesn't end.
@@ -31,18 +31,18 @@
 // most is how many numbers of tickets count, and how many may shut themselves out because they are alone. The two happen at the
 // same time to different sidecars, and nobody who is alone can be asked: each has its part of the share, so that no auditor can
 // bring the fleet beyond it.
-func (l Limits) most() (tickets, alone int) {
-	tickets = Most(l.Share, l.Instances)
+func (l Limits) shutOutLimits() (tickets, alone int) {
+	tickets = MaxShutOut(l.Share, l.Instances)
 	if l.Closed && l.Lease > 0 {
 		alone = (tickets + 1) / 2
 	}
 	return tickets - alone, alone
 }
 
-// mayBeAlone tells whether the sidecar is one of those that shut themselves out when they are alone. They are spread evenly over
+// mayShutOutAlone tells whether the sidecar is one of those that shut themselves out when they are alone. They are spread evenly over
 // the ranks, which zones commonly are as well.
-func (l Limits) mayBeAlone() bool {
-	_, alone := l.most()
+func (l Limits) mayShutOutAlone() bool {
+	_, alone := l.shutOutLimits()
 	if alone == 0 || l.Rank < 0 || l.Rank >= l.Instances {
 		return false
 	}
@@ -50,97 +50,97 @@
 	return l.Rank%step == 0 && l.Rank/step < alone
 }
 
-// Order's refusals, beside FaultyKey.
+// Order's refusals, beside KeyError.
 type (
-	// Older is an order that a later one has overtaken, or that comes too late.
-	Older struct{ Why string }
-	// OtherSite is an order for another site.
-	OtherSite struct{ Site, Own string }
+	// StaleOrderError is an order that a later one has overtaken, or that comes too late.
+	StaleOrderError struct{ Reason string }
+	// WrongSiteError is an order for another site.
+	WrongSiteError struct{ Site, Own string }
 )
 
-func (e Older) Error() string { return "version: the order is old: " + e.Why }
-func (e OtherSite) Error() string {
+func (e StaleOrderError) Error() string { return "version: the order is old: " + e.Reason }
+func (e WrongSiteError) Error() string {
 	return fmt.Sprintf("version: the order is for the site %q, this is %q", e.Site, e.Own)
 }
 
 // The states of a sidecar.
 const (
-	Acts   = "acts"
-	Behind = "behind" // under the floor, and its grace is over
-	Waking = "waking" // it was stopped and has not heard the list service since
-	Shut   = "shut"
+	Active   = "acts"
+	Behind   = "behind" // under the floor, and its grace is over
+	Resuming = "waking" // it was stopped and has not heard the list service since
+	ShutOut  = "shut"
 )
 
 // Verdict is what a sidecar may do.
 type Verdict struct {
-	State string
-	Why   string        // empty where it simply acts
-	Since time.Duration // the time at which that began
-	Until time.Duration // up to then it holds, unless something happens or a beat is Gap late
-	Again time.Duration // after which a refused client may come again
+	State      string
+	Reason     string        // empty where it simply acts
+	Since      time.Duration // the time at which that began
+	Until      time.Duration // up to then it holds, unless something happens or a beat is Gap late
+	RetryAfter time.Duration // after which a refused client may come again
 }
 
-// Takes tells whether new streams are taken.
-func (v Verdict) Takes() bool { return v.State != Shut && v.State != Waking }
+// AcceptsStreams tells whether new streams are taken.
+func (v Verdict) AcceptsStreams() bool { return v.State != ShutOut && v.State != Resuming }
 
-// Sends tells whether attempts go out. One that is shut out answers what it has taken, from whatever list it has.
-func (v Verdict) Sends() bool { return v.State != Waking }
+// SendsAttempts tells whether attempts go out. One that is shut out answers what it has taken, from whatever list it has.
+func (v Verdict) SendsAttempts() bool { return v.State != Resuming }
 
-// Wants is what the sidecar has to do to come up to the floor.
-type Wants struct {
-	List    bool // ask the list service for the whole list, now
-	Config  bool // read the configuration again, now
-	Succeed bool // its build is under the floor: it can but tell that it has to be succeeded
+// Actions is what the sidecar has to do to come up to the floor.
+type Actions struct {
+	RefreshList    bool // ask the list service for the whole list, now
+	RereadConfig   bool // read the configuration again, now
+	NeedsSuccessor bool // its build is under the floor: it can but tell that it has to be succeeded
 }
 
 // Actor is what a sidecar knows of floors and of itself, and what follows. Its owner keeps the events in order.
 type Actor struct {
-	limits Limits
-	rand   *rand.Rand
-	now    Version
-	epoch  uint64 // of the last order taken,
-	by     string // and whose
-
-	floor  *Floor // nil: none
-	lapses time.Duration
-	ripe   time.Duration // from when on it is behind, if it is under the floor
-	under  bool
-
-	ticket *Ticket // the last one, perhaps lapsed; nil: none
-	from   time.Duration
-	until  time.Duration
-
-	beat    time.Duration
-	waking  bool
-	woke    time.Duration
-	contact time.Duration // when it heard or was vouched for last
-
-	list, config moment
+	limits  Limits
+	rand    *rand.Rand
+	current Version
+	epoch   uint64 // of the last order taken,
+	by      string // and whose
+
+	minimum       *MinimumVersion // nil: none
+	minimumExpiry time.Duration
+	graceEnd      time.Duration // from when on it is behind, if it is under the floor
+	belowMinimum  bool
+
+	permit       *Permit // the last one, perhaps lapsed; nil: none
+	permitStart  time.Duration
+	permitExpiry time.Duration
+
+	lastHeartbeat time.Duration
+	resuming      bool
+	resumedAt     time.Duration
+	lastContact   time.Duration // when it heard or was vouched for last
+
+	listRequests, configRequests requestSchedule
 }
 
 // moment is when something is asked for. It has its own place in the spread and keeps it, so that a fleet stays spread.
-type moment struct {
+type requestSchedule struct {
 	wanted bool
 	next   time.Duration
 	last   time.Duration // 0: never
 }
 
 // want says whether the floor makes the thing wanted; where it was not before, its moment is drawn.
-func (m *moment) want(wanted bool, now time.Duration, f *Floor, r *rand.Rand) {
+func (m *requestSchedule) update(wanted bool, now time.Duration, f *MinimumVersion, r *rand.Rand) {
 	if wanted && !m.wanted {
 		m.next = now
 		if f.Spread > 0 {
 			m.next += time.Duration(r.Int64N(int64(f.Spread.D())))
 		}
 		if m.last != 0 {
-			m.next = max(m.next, m.last+f.pause())
+			m.next = max(m.next, m.last+f.requestInterval())
 		}
 	}
 	m.wanted = wanted
 }
 
 // due tells whether the moment has come, and sets the next one.
-func (m *moment) due(now, pause time.Duration) bool {
+func (m *requestSchedule) due(now, pause time.Duration) bool {
 	if now < m.next {
 		return false
 	}
@@ -150,34 +150,34 @@
 
 // NewActor returns that of a process that starts now and last took the order of this epoch and auditor.
 func NewActor(now time.Duration, l Limits, r *rand.Rand, epoch uint64, by string) *Actor {
-	a := &Actor{limits: l, rand: r, epoch: epoch, by: by, beat: now, contact: now}
-	a.now.Epoch = epoch
+	a := &Actor{limits: l, rand: r, epoch: epoch, by: by, lastHeartbeat: now, lastContact: now}
+	a.current.Epoch = epoch
 	return a
 }
 
-// Last is the last order that was taken, for the next process.
-func (a *Actor) Last() (epoch uint64, by string) { return a.epoch, a.by }
+// LastOrder is the last order that was taken, for the next process.
+func (a *Actor) LastOrder() (epoch uint64, by string) { return a.epoch, a.by }
 
-// Floor is the floor in force, or nil; what it points to stays as it is.
-func (a *Actor) Floor(now time.Duration) *Floor {
-	if a.floor == nil || now >= a.lapses {
+// Minimum is the floor in force, or nil; what it points to stays as it is.
+func (a *Actor) Minimum(now time.Duration) *MinimumVersion {
+	if a.minimum == nil || now >= a.minimumExpiry {
 		return nil
 	}
-	return a.floor
+	return a.minimum
 }
 
-// Ticket is the ticket in force, or nil.
-func (a *Actor) Ticket(now time.Duration) *Ticket {
-	if tickets, _ := a.limits.most(); a.ticket == nil || now >= a.until || a.ticket.No >= tickets {
+// Permit is the ticket in force, or nil.
+func (a *Actor) Permit(now time.Duration) *Permit {
+	if tickets, _ := a.limits.shutOutLimits(); a.permit == nil || now >= a.permitExpiry || a.permit.Number >= tickets {
 		return nil
 	}
-	return a.ticket
+	return a.permit
 }
 
-// Retune takes other limits. What was ordered for another site holds no more.
-func (a *Actor) Retune(l Limits) {
+// SetLimits takes other limits. What was ordered for another site holds no more.
+func (a *Actor) SetLimits(l Limits) {
 	if l.Site != a.limits.Site {
-		a.floor, a.ticket, a.under = nil, nil, false
+		a.minimum, a.permit, a.belowMinimum = nil, nil, false
 	}
 	a.limits = l
 }
@@ -185,165 +185,167 @@
 // Adopt says what the sidecar acts on from now on; the epoch in it is not looked at.
 func (a *Actor) Adopt(now time.Duration, v Version) {
 	v.Epoch = a.epoch
-	a.now = v
-	a.judge(now)
+	a.current = v
+	a.evaluate(now)
 }
 
 // judge looks whether it is under the floor. The grace runs from when it came under one: who was under the one before gets no
 // new grace, for one floor after the other would be a grace without end.
-func (a *Actor) judge(now time.Duration) {
-	f := a.Floor(now)
+func (a *Actor) evaluate(now time.Duration) {
+	f := a.Minimum(now)
 	if f == nil {
-		a.under, a.list.wanted, a.config.wanted = false, false, false
+		a.belowMinimum, a.listRequests.wanted, a.configRequests.wanted = false, false, false
 		return
 	}
-	list, settings, file, build := f.Meets(&a.now)
+	list, settings, file, build := f.MetBy(&a.current)
 	under := !(list && settings && file && build)
-	if ripe := now + f.Grace.D(); under && (!a.under || ripe < a.ripe) {
-		a.ripe = ripe
+	if ripe := now + f.Grace.D(); under && (!a.belowMinimum || ripe < a.graceEnd) {
+		a.graceEnd = ripe
 	}
-	a.under = under
-	a.list.want(!list, now, f, a.rand)
-	a.config.want(!(settings && file), now, f, a.rand)
+	a.belowMinimum = under
+	a.listRequests.update(!list, now, f, a.rand)
+	a.configRequests.update(!(settings && file), now, f, a.rand)
 }
 
-// Heard says that the list service answered what it was asked at the time asked, which proves the list fresh. What was asked
+// ConfirmList says that the list service answered what it was asked at the time asked, which proves the list fresh. What was asked
 // before a stop may have been answered before it as well, and proves nothing of now.
-func (a *Actor) Heard(now, asked time.Duration) {
-	a.Beat(now)
-	if a.waking && asked < a.woke {
-		a.contact = max(a.contact, asked)
+func (a *Actor) ConfirmList(now, asked time.Duration) {
+	a.Heartbeat(now)
+	if a.resuming && asked < a.resumedAt {
+		a.lastContact = max(a.lastContact, asked)
 		return
 	}
-	a.waking, a.contact = false, now
+	a.resuming, a.lastContact = false, now
 }
 
-// Vouched says that an auditor has seen it.
-func (a *Actor) Vouched(now time.Duration) { a.contact = max(a.contact, now) }
+// ConfirmByAuditor says that an auditor has seen it.
+func (a *Actor) ConfirmByAuditor(now time.Duration) { a.lastContact = max(a.lastContact, now) }
 
-// Beat says that the process runs, and returns for how long it did not: 0 unless that may hide something.
-func (a *Actor) Beat(now time.Duration) time.Duration {
-	gap := now - a.beat
-	a.beat = max(a.beat, now)
-	if gap <= Gap {
+// Heartbeat says that the process runs, and returns for how long it did not: 0 unless that may hide something.
+func (a *Actor) Heartbeat(now time.Duration) time.Duration {
+	gap := now - a.lastHeartbeat
+	a.lastHeartbeat = max(a.lastHeartbeat, now)
+	if gap <= StopThreshold {
 		return 0
 	}
-	a.waking, a.woke = true, now
-	a.list.next = now
+	a.resuming, a.resumedAt = true, now
+	a.listRequests.next = now
 	return gap
 }
 
-// Take takes an order, or refuses it with an error of type FaultyKey, OtherSite or Older and leaves all as it was. wall is the Unix
+// Accept takes an order, or refuses it with an error of type KeyError, WrongSiteError or Older and leaves all as it was. wall is the Unix
 // time by the own clock. A ticket is taken back by an order of a higher epoch without one; within an epoch it lapses, for an order
 // without one that comes late looks the same.
-func (a *Actor) Take(now, wall time.Duration, o Order) error {
+func (a *Actor) Accept(now, wall time.Duration, o Order) error {
 	if err := o.Check(); err != nil {
 		return err
 	}
-	f := o.Floor
+	f := o.Minimum
 	if f.Site != a.limits.Site {
-		return OtherSite{f.Site, a.limits.Site}
+		return WrongSiteError{f.Site, a.limits.Site}
 	}
 	order := compare(f.Epoch, f.By, a.epoch, a.by)
 	if order < 0 {
-		return Older{fmt.Sprintf("epoch %d by %q, after %d by %q", f.Epoch, f.By, a.epoch, a.by)}
+		return StaleOrderError{fmt.Sprintf("epoch %d by %q, after %d by %q", f.Epoch, f.By, a.epoch, a.by)}
 	}
-	if order == 0 && a.floor != nil && !f.same(a.floor) {
-		return FaultyKey{"floor.epoch", "was given to another floor"}
+	if order == 0 && a.minimum != nil && !f.equal(a.minimum) {
+		return KeyError{"floor.epoch", "was given to another floor"}
 	}
 	var age time.Duration
-	if t := o.Ticket; t != nil {
+	if t := o.Permit; t != nil {
 		age = wall - t.Issued.D()
-		if age >= t.For.D()+slack || age < -slack {
-			return Older{fmt.Sprintf("its ticket for %s was issued %s ago by this clock", t.For.D(), age)}
+		if age >= t.Validity.D()+maxClockSkew || age < -maxClockSkew {
+			return StaleOrderError{fmt.Sprintf("its ticket for %s was issued %s ago by this clock", t.Validity.D(), age)}
 		}
-		if order == 0 && a.ticket != nil && t.Issued < a.ticket.Issued {
-			return Older{"a later ticket has been taken"}
+		if order == 0 && a.permit != nil && t.Issued < a.permit.Issued {
+			return StaleOrderError{"a later ticket has been taken"}
 		}
 	}
 	if order != 0 {
-		a.ticket = nil
+		a.permit = nil
 	}
-	if order != 0 || a.floor == nil {
-		a.raise(now, f)
+	if order != 0 || a.minimum == nil {
+		a.adoptMinimum(now, f)
 	}
 	// The same one once more prolongs nothing.
-	if t := o.Ticket; t != nil && (a.ticket == nil || t.Issued > a.ticket.Issued) {
-		if a.ticket == nil || now >= a.until {
-			a.from = now
+	if t := o.Permit; t != nil && (a.permit == nil || t.Issued > a.permit.Issued) {
+		if a.permit == nil || now >= a.permitExpiry {
+			a.permitStart = now
 		}
-		a.ticket, a.until = &Ticket{t.No, t.Issued, t.For}, now+min(t.For.D(), t.For.D()+slack-age)
+		a.permit, a.permitExpiry = &Permit{t.Number, t.Issued, t.Validity}, now+min(t.Validity.D(), t.Validity.D()+maxClockSkew-age)
 	}
 	return nil
 }
 
 // raise takes a floor.
-func (a *Actor) raise(now time.Duration, f Floor) {
-	if a.Floor(now) == nil {
-		a.under = false // what was under one that has lapsed begins anew
+func (a *Actor) adoptMinimum(now time.Duration, f MinimumVersion) {
+	if a.Minimum(now) == nil {
+		a.belowMinimum = false // what was under one that has lapsed begins anew
 	}
-	a.epoch, a.by, a.now.Epoch = f.Epoch, f.By, f.Epoch
-	a.floor, a.lapses = &f, now+f.For.D()
-	a.judge(now)
+	a.epoch, a.by, a.current.Epoch = f.Epoch, f.By, f.Epoch
+	a.minimum, a.minimumExpiry = &f, now+f.Validity.D()
+	a.evaluate(now)
 }
 
 // pause is the least time between two times that a sidecar under the floor asks for the same.
-func (f *Floor) pause() time.Duration { return max(againLeas, f.Spread.D()) }
+func (f *MinimumVersion) requestInterval() time.Duration {
+	return max(minRequestInterval, f.Spread.D())
+}
 
 // Verdict is what the sidecar may do now.
 func (a *Actor) Verdict(now time.Duration) Verdict {
-	if a.waking || now-a.beat > Gap {
-		woke := a.woke
-		if now-a.beat > Gap {
+	if a.resuming || now-a.lastHeartbeat > StopThreshold {
+		woke := a.resumedAt
+		if now-a.lastHeartbeat > StopThreshold {
 			woke = now // and its owner has not even noticed
 		}
-		if end := woke + wakeMost; now < end {
-			return Verdict{State: Waking, Why: "was stopped and has not heard the list service since", Since: woke, Until: end, Again: end - now}
+		if end := woke + maxWakeWait; now < end {
+			return Verdict{State: Resuming, Reason: "was stopped and has not heard the list service since", Since: woke, Until: end, RetryAfter: end - now}
 		}
 	}
-	v := Verdict{State: Acts, Since: a.contact, Until: Forever}
+	v := Verdict{State: Active, Since: a.lastContact, Until: Forever}
 	if l := a.limits; l.Lease > 0 {
-		end := a.contact + l.Lease
+		end := a.lastContact + l.Lease
 		switch {
 		case now < end:
 			v.Until = end
-		case l.mayBeAlone():
-			return Verdict{State: Shut, Why: "alone", Since: end, Until: Forever, Again: shutAgain}
+		case l.mayShutOutAlone():
+			return Verdict{State: ShutOut, Reason: "alone", Since: end, Until: Forever, RetryAfter: shutOutRetryAfter}
 		default:
-			v.Why, v.Since = "alone", end
+			v.Reason, v.Since = "alone", end
 		}
 	}
-	f := a.Floor(now)
+	f := a.Minimum(now)
 	if f == nil {
 		return v
 	}
-	v.Until = min(v.Until, a.lapses)
-	if !a.under {
+	v.Until = min(v.Until, a.minimumExpiry)
+	if !a.belowMinimum {
 		return v
 	}
-	if now < a.ripe {
-		v.Until = min(v.Until, a.ripe)
+	if now < a.graceEnd {
+		v.Until = min(v.Until, a.graceEnd)
 		return v
 	}
-	v.State, v.Since, v.Why = Behind, a.ripe, "under the floor: "+f.lacks(&a.now)
-	if a.Ticket(now) != nil {
-		v.State, v.Since, v.Again = Shut, max(a.ripe, a.from), shutAgain
-		v.Until = min(v.Until, a.until)
+	v.State, v.Since, v.Reason = Behind, a.graceEnd, "under the floor: "+f.missing(&a.current)
+	if a.Permit(now) != nil {
+		v.State, v.Since, v.RetryAfter = ShutOut, max(a.graceEnd, a.permitStart), shutOutRetryAfter
+		v.Until = min(v.Until, a.permitExpiry)
 	}
 	return v
 }
 
-// Wants is what to do now; each thing is asked for once, and again when its next moment has come.
-func (a *Actor) Wants(now time.Duration) Wants {
-	waking := a.waking && now < a.woke+wakeMost
-	f := a.Floor(now)
-	if f == nil || !a.under {
-		return Wants{List: waking && a.list.due(now, againLeas)}
+// Actions is what to do now; each thing is asked for once, and again when its next moment has come.
+func (a *Actor) Actions(now time.Duration) Actions {
+	waking := a.resuming && now < a.resumedAt+maxWakeWait
+	f := a.Minimum(now)
+	if f == nil || !a.belowMinimum {
+		return Actions{RefreshList: waking && a.listRequests.due(now, minRequestInterval)}
 	}
-	list, settings, file, build := f.Meets(&a.now)
-	return Wants{
-		List:    (!list || waking) && a.list.due(now, f.pause()),
-		Config:  !(settings && file) && a.config.due(now, f.pause()),
-		Succeed: !build,
+	list, settings, file, build := f.MetBy(&a.current)
+	return Actions{
+		RefreshList:    (!list || waking) && a.listRequests.due(now, f.requestInterval()),
+		RereadConfig:   !(settings && file) && a.configRequests.due(now, f.requestInterval()),
+		NeedsSuccessor: !build,
 	}
 }
--- a/internal/version/actor_test.go
+++ b/internal/version/actor_test.go
@@ -29,7 +29,7 @@
 func (r *oracle) add(h happened) { r.log = append(r.log, h) }
 
 // state is what the sidecar has to be at the time, and its floor and whether its ticket is valid.
-func (r *oracle) state(now time.Duration) (state string, floor *Floor, ticket bool) {
+func (r *oracle) state(now time.Duration) (state string, floor *MinimumVersion, ticket bool) {
 	var v Version
 	var lapses, ripe, contact, woke, ticketEnd time.Duration
 	var issued Millis
@@ -43,16 +43,16 @@
 		case "adopted":
 			v = h.v
 		case "taken":
-			f := h.o.Floor
+			f := h.o.Minimum
 			if floor == nil || f.Epoch != floor.Epoch || f.By != floor.By {
-				floor, lapses, ticketEnd, issued = &f, h.at+f.For.D(), 0, -1
+				floor, lapses, ticketEnd, issued = &f, h.at+f.Validity.D(), 0, -1
 				if under {
 					ripe = min(ripe, h.at+f.Grace.D())
 				}
 			}
-			if t := h.o.Ticket; t != nil && t.Issued > issued {
-				issued, no = t.Issued, t.No
-				ticketEnd = h.at + t.For.D()
+			if t := h.o.Permit; t != nil && t.Issued > issued {
+				issued, no = t.Issued, t.Number
+				ticketEnd = h.at + t.Validity.D()
 				if h.age > 5*s {
 					ticketEnd -= h.age - 5*s
 				}
@@ -88,15 +88,15 @@
 	ticket = now < ticketEnd && no < most-alone
 	switch {
 	case waking && now < woke+1500*time.Millisecond:
-		return Waking, floor, ticket
+		return Resuming, floor, ticket
 	case alone > 0 && now >= contact+r.limits.Lease && r.limits.Rank%(r.limits.Instances/alone) == 0 && r.limits.Rank/(r.limits.Instances/alone) < alone:
-		return Shut, floor, ticket
+		return ShutOut, floor, ticket
 	case under && now >= ripe && ticket:
-		return Shut, floor, ticket
+		return ShutOut, floor, ticket
 	case under && now >= ripe:
 		return Behind, floor, ticket
 	}
-	return Acts, floor, ticket
+	return Active, floor, ticket
 }
 
 // A sidecar is at all times what the oracle reads from its past, holds no order older than one it took, and a verdict holds up to
@@ -113,7 +113,7 @@
 		var by string
 		var last Verdict
 		quiet := false // nothing but time since the last verdict
-		floors := map[[2]int]Floor{}
+		floors := map[[2]int]MinimumVersion{}
 		var sent []Order
 		for range rapid.IntRange(1, 40).Draw(t, "events") {
 			quiet = false
@@ -121,13 +121,13 @@
 			case 0, 1, 2: // time goes on
 				step := time.Duration(1+pick("step", 8)) * 250 * time.Millisecond
 				now += step
-				if a.Beat(now) != 0 {
+				if a.Heartbeat(now) != 0 {
 					t.Fatalf("%s taken for a stop", step)
 				}
 				quiet = true
 			case 3:
 				now += 2*s + time.Duration(1+pick("stop", 8000))*time.Millisecond
-				a.Beat(now)
+				a.Heartbeat(now)
 				r.add(happened{at: now, what: "stopped"})
 			case 4:
 				v := Version{List: List{Revision: int64(pick("revision", 4)), Digest: Digest(1 + pick("digest", 4))}, Settings: Digest(1 + pick("settings", 2))}
@@ -135,10 +135,10 @@
 				r.add(happened{at: now, what: "adopted", v: v})
 			case 5:
 				asked := now - time.Duration(pick("asked", 3))*s
-				a.Heard(now, asked)
+				a.ConfirmList(now, asked)
 				r.add(happened{at: now, what: "heard", asked: asked})
 			case 6:
-				a.Vouched(now)
+				a.ConfirmByAuditor(now)
 				r.add(happened{at: now, what: "vouched"})
 			default:
 				var o Order
@@ -148,47 +148,47 @@
 					e, b := 1+pick("epoch", 4), pick("by", 2)
 					f, ok := floors[[2]int{e, b}]
 					if !ok {
-						f = Floor{Epoch: uint64(e), By: string(rune('a' + b)), Site: "s", List: Digest(pick("list", 5)), Settings: Digest(pick("config", 3)),
-							Grace: Millis(1000 * pick("grace", 4)), Spread: Millis(1000 * pick("spread", 3)), For: Millis(4000 + 1000*pick("for", 20))}
+						f = MinimumVersion{Epoch: uint64(e), By: string(rune('a' + b)), Site: "s", List: Digest(pick("list", 5)), Settings: Digest(pick("config", 3)),
+							Grace: Millis(1000 * pick("grace", 4)), Spread: Millis(1000 * pick("spread", 3)), Validity: Millis(4000 + 1000*pick("for", 20))}
 						if f.List != 0 {
 							f.Revision = int64(pick("least", 4))
 						}
 						floors[[2]int{e, b}] = f
 					}
-					o.Floor = f
+					o.Minimum = f
 					if pick("ticket", 4) != 0 {
-						o.Ticket = &Ticket{No: pick("no", 3), Issued: Millis((now + time.Duration(pick("issued", 18)-11)*s) / time.Millisecond), For: Millis(1000 * (1 + pick("lasts", 5)))}
+						o.Permit = &Permit{Number: pick("no", 3), Issued: Millis((now + time.Duration(pick("issued", 18)-11)*s) / time.Millisecond), Validity: Millis(1000 * (1 + pick("lasts", 5)))}
 					}
 					sent = append(sent, o)
 				}
-				older := o.Floor.Epoch < epoch || o.Floor.Epoch == epoch && o.Floor.By < by
+				older := o.Minimum.Epoch < epoch || o.Minimum.Epoch == epoch && o.Minimum.By < by
 				age := time.Duration(0)
-				if o.Ticket != nil {
-					age = now + skew - o.Ticket.Issued.D()
-					late := age >= o.Ticket.For.D()+5*s || age < -5*s
+				if o.Permit != nil {
+					age = now + skew - o.Permit.Issued.D()
+					late := age >= o.Permit.Validity.D()+5*s || age < -5*s
 					for _, h := range r.log {
-						late = late || h.what == "taken" && h.o.Floor.Epoch == o.Floor.Epoch && h.o.Floor.By == o.Floor.By && h.o.Ticket != nil && h.o.Ticket.Issued > o.Ticket.Issued
+						late = late || h.what == "taken" && h.o.Minimum.Epoch == o.Minimum.Epoch && h.o.Minimum.By == o.Minimum.By && h.o.Permit != nil && h.o.Permit.Issued > o.Permit.Issued
 					}
 					older = older || late
 				}
-				err := a.Take(now, now+skew, o)
-				if errors.As(err, new(Older)) != older || err != nil && !older {
-					t.Fatalf("an order %+v after epoch %d by %q, ticket %+v of age %s: %v", o.Floor, epoch, by, o.Ticket, age, err)
+				err := a.Accept(now, now+skew, o)
+				if errors.As(err, new(StaleOrderError)) != older || err != nil && !older {
+					t.Fatalf("an order %+v after epoch %d by %q, ticket %+v of age %s: %v", o.Minimum, epoch, by, o.Permit, age, err)
 				}
 				if err == nil {
-					epoch, by = o.Floor.Epoch, o.Floor.By
+					epoch, by = o.Minimum.Epoch, o.Minimum.By
 					r.add(happened{at: now, what: "taken", o: o, age: age})
 				}
 			}
 			state, floor, ticket := r.state(now)
 			v := a.Verdict(now)
-			if v.State != state || (a.Floor(now) != nil) != (floor != nil) || (a.Ticket(now) != nil) != ticket {
-				t.Fatalf("is %+v, floor %+v, ticket %+v; should be %s, %+v, %v", v, a.Floor(now), a.Ticket(now), state, floor, ticket)
+			if v.State != state || (a.Minimum(now) != nil) != (floor != nil) || (a.Permit(now) != nil) != ticket {
+				t.Fatalf("is %+v, floor %+v, ticket %+v; should be %s, %+v, %v", v, a.Minimum(now), a.Permit(now), state, floor, ticket)
 			}
 			if quiet && now < last.Until && v.State != last.State {
 				t.Fatalf("%+v before the time to which %+v holds", v, last)
 			}
-			if v.Until <= now || v.Since > now || (v.Again > 0) == v.Takes() {
+			if v.Until <= now || v.Since > now || (v.RetryAfter > 0) == v.AcceptsStreams() {
 				t.Fatalf("at %s: %+v", now, v)
 			}
 			last = v
@@ -199,35 +199,35 @@
 // The fixed cases that a random search may miss, each by its name.
 func TestActorCases(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
-	floor := Floor{Epoch: 1, By: "a", Site: "s", List: 2, Revision: 2, Builds: []string{"new"}, Grace: 1000, For: 60000}
+	floor := MinimumVersion{Epoch: 1, By: "a", Site: "s", List: 2, Revision: 2, Builds: []string{"new"}, Grace: 1000, Validity: 60000}
 	limits := Limits{Site: "s", Share: 0.5, Instances: 4}
 	begin := func(l Limits) *Actor {
 		a := NewActor(0, l, r, 0, "")
 		a.Adopt(0, Version{List: List{Revision: 1, Digest: 1}, Build: "old"})
 		return a
 	}
-	order := func(f Floor, no int) Order { return Order{f, &Ticket{no, 0, 5000}} }
+	order := func(f MinimumVersion, no int) Order { return Order{f, &Permit{no, 0, 5000}} }
 	t.Run("another site", func(t *testing.T) {
 		f := floor
 		f.Site = "t"
-		if a := begin(limits); !errors.As(a.Take(0, 0, order(f, 0)), new(OtherSite)) || a.Floor(0) != nil {
+		if a := begin(limits); !errors.As(a.Accept(0, 0, order(f, 0)), new(WrongSiteError)) || a.Minimum(0) != nil {
 			t.Error("taken")
 		}
 	})
 	t.Run("an epoch given twice", func(t *testing.T) {
 		a, f := begin(limits), floor
 		f.List = 3
-		if err := a.Take(0, 0, order(floor, 0)); err != nil {
+		if err := a.Accept(0, 0, order(floor, 0)); err != nil {
 			t.Fatal(err)
 		}
-		if !errors.As(a.Take(0, 0, order(f, 0)), new(FaultyKey)) || a.Floor(0).List != 2 {
+		if !errors.As(a.Accept(0, 0, order(f, 0)), new(KeyError)) || a.Minimum(0).List != 2 {
 			t.Error("taken")
 		}
 	})
 	t.Run("an epoch kept over a restart", func(t *testing.T) {
 		a := NewActor(0, limits, r, 2, "b")
-		for _, late := range []Floor{floor, {Epoch: 2, By: "a", Site: "s", For: 1}} {
-			if !errors.As(a.Take(0, 0, Order{Floor: late}), new(Older)) {
+		for _, late := range []MinimumVersion{floor, {Epoch: 2, By: "a", Site: "s", Validity: 1}} {
+			if !errors.As(a.Accept(0, 0, Order{Minimum: late}), new(StaleOrderError)) {
 				t.Errorf("epoch %d taken", late.Epoch)
 			}
 		}
@@ -238,12 +238,12 @@
 				shut := 0
 				for rank := range n {
 					a := begin(Limits{Site: "s", Share: share, Instances: n, Rank: rank, Lease: s, Closed: true})
-					a.beat = s
-					if a.Verdict(s).State == Shut {
+					a.lastHeartbeat = s
+					if a.Verdict(s).State == ShutOut {
 						shut++
 					}
 				}
-				tickets, _ := Limits{Share: share, Instances: n, Lease: s, Closed: true}.most()
+				tickets, _ := Limits{Share: share, Instances: n, Lease: s, Closed: true}.shutOutLimits()
 				if float64(shut+tickets) > share*float64(n)+1e-6 || n > 0 && shut+tickets >= n {
 					t.Errorf("%d of %d alone and %d with tickets, share %g", shut, n, tickets, share)
 				}
@@ -254,30 +254,30 @@
 		a := begin(limits)
 		f := floor
 		f.Spread, f.Settings = 4000, 9
-		if err := a.Take(0, 0, Order{Floor: f}); err != nil {
+		if err := a.Accept(0, 0, Order{Minimum: f}); err != nil {
 			t.Fatal(err)
 		}
 		var lists, configs []time.Duration
 		for now := time.Duration(0); now < 20*s; now += 50 * time.Millisecond {
-			w := a.Wants(now)
-			if !w.Succeed {
+			w := a.Actions(now)
+			if !w.NeedsSuccessor {
 				t.Fatal("its build is under the floor")
 			}
-			if w.List {
+			if w.RefreshList {
 				lists = append(lists, now)
 			}
-			if w.Config {
+			if w.RereadConfig {
 				configs = append(configs, now)
 			}
 		}
 		quarters := [4]int{}
 		for range 200 {
 			b := begin(limits)
-			if err := b.Take(0, 0, Order{Floor: f}); err != nil {
+			if err := b.Accept(0, 0, Order{Minimum: f}); err != nil {
 				t.Fatal(err)
 			}
 			now := time.Duration(0)
-			for !b.Wants(now).List {
+			for !b.Actions(now).RefreshList {
 				now += 50 * time.Millisecond
 			}
 			quarters[min(3, now/s)]++
@@ -298,11 +298,11 @@
 	})
 	t.Run("a stop unnoticed", func(t *testing.T) {
 		a := begin(limits)
-		if v := a.Verdict(Gap + 1); v.Sends() || v.Takes() {
-			t.Errorf("%+v with the last beat %s ago", v, Gap+1)
+		if v := a.Verdict(StopThreshold + 1); v.SendsAttempts() || v.AcceptsStreams() {
+			t.Errorf("%+v with the last beat %s ago", v, StopThreshold+1)
 		}
-		a.Beat(Gap + 1)
-		if !a.Wants(Gap+1).List || a.Wants(Gap+2).List {
+		a.Heartbeat(StopThreshold + 1)
+		if !a.Actions(StopThreshold+1).RefreshList || a.Actions(StopThreshold+2).RefreshList {
 			t.Error("the list is asked for once")
 		}
 	})
--- a/internal/version/auditor_test.go
+++ b/internal/version/auditor_test.go
@@ -13,9 +13,9 @@
 type bench struct {
 	a     *Auditor
 	now   time.Duration
-	fleet []Seen
-	d     Demand
-	last  Round
+	fleet []Observation
+	d     Reference
+	last  RoundResult
 }
 
 var (
@@ -24,10 +24,10 @@
 )
 
 func newBench(n int, share float64) *bench {
-	b := &bench{now: 100 * time.Second, d: Demand{List: newList}}
-	b.a = NewAuditor(Rules{By: "a", Site: "s", Share: share, Grace: 2 * time.Second, For: time.Minute, Raise: true, ShutOut: true}, 0)
+	b := &bench{now: 100 * time.Second, d: Reference{List: newList}}
+	b.a = NewAuditor(Rules{By: "a", Site: "s", Share: share, Grace: 2 * time.Second, Validity: time.Minute, RaisesMinimum: true, IssuesPermits: true}, 0)
 	for i := range n {
-		b.fleet = append(b.fleet, Seen{Name: fmt.Sprintf("%03d", i), Zone: "z", Reached: true, Life: fmt.Sprint("life ", i), Site: "s", Instances: n, State: Acts,
+		b.fleet = append(b.fleet, Observation{Name: fmt.Sprintf("%03d", i), Zone: "z", Reached: true, Incarnation: fmt.Sprint("life ", i), Site: "s", Instances: n, State: Active,
 			Version: Version{List: newList}})
 	}
 	return b
@@ -46,23 +46,23 @@
 	for range n {
 		b.now += time.Second
 		for i := range b.fleet {
-			b.fleet[i].At = b.now
+			b.fleet[i].AnsweredAt = b.now
 		}
-		b.d.At = b.now
+		b.d.RequestedAt = b.now
 		b.last = b.a.Round(b.now, b.now, b.fleet, &b.d)
 		tickets = nil
 		numbers := map[int]bool{}
 		for _, o := range b.last.Orders {
 			for i := range b.fleet {
 				if s := &b.fleet[i]; s.Name == o.Name && s.Reached {
-					s.Floor, s.Version.Epoch = &o.Order.Floor, o.Order.Floor.Epoch
+					s.Minimum, s.Version.Epoch = &o.Order.Minimum, o.Order.Minimum.Epoch
 				}
 			}
-			if o.Order.Ticket != nil {
-				if no := o.Order.Ticket.No; numbers[no] {
+			if o.Order.Permit != nil {
+				if no := o.Order.Permit.Number; numbers[no] {
 					panic(fmt.Sprint("two tickets have the number ", no))
 				}
-				numbers[o.Order.Ticket.No] = true
+				numbers[o.Order.Permit.Number] = true
 				tickets = append(tickets, o.Name)
 			}
 		}
@@ -127,14 +127,14 @@
 		{"lives that are new", func(b *bench) {
 			b.rounds(known18)
 			for i := range 5 {
-				b.fleet[9-i].Life = fmt.Sprint("new ", i)
+				b.fleet[9-i].Incarnation = fmt.Sprint("new ", i)
 			}
 		}, 1, 0},
 		{"lives that are new, and have forgotten", func(b *bench) {
 			b.rounds(known18)
 			for i := range 5 {
 				s := &b.fleet[9-i]
-				s.Life, s.Floor, s.Version.Epoch = fmt.Sprint("new ", i), nil, 0
+				s.Incarnation, s.Minimum, s.Version.Epoch = fmt.Sprint("new ", i), nil, 0
 			}
 		}, 1, 0},
 		{"names twice", func(b *bench) {
@@ -143,22 +143,22 @@
 			}
 			gone := b.fleet[0]
 			gone.Reached = false
-			b.fleet = append([]Seen{gone}, b.fleet...)
+			b.fleet = append([]Observation{gone}, b.fleet...)
 		}, known18, 1},
 		{"two names for one", func(b *bench) {
 			for i := range 9 {
-				b.fleet[i].Life = "one"
+				b.fleet[i].Incarnation = "one"
 			}
 		}, known18, 0},
 		{"a later order", func(b *bench) { b.rounds(known18); b.fleet[5].Version.Epoch = 9 }, 1, 0},
 		{"a later order of the same epoch", func(b *bench) {
 			b.rounds(known18)
-			f := *b.fleet[5].Floor
+			f := *b.fleet[5].Minimum
 			f.By = "b"
-			b.fleet[5].Floor = &f
+			b.fleet[5].Minimum = &f
 		}, 1, 0},
-		{"tickets are not asked for", func(b *bench) { b.a.rules.ShutOut = false }, known18, 0},
-		{"nothing is raised", func(b *bench) { b.a.rules.Raise = false }, known18, 0},
+		{"tickets are not asked for", func(b *bench) { b.a.rules.IssuesPermits = false }, known18, 0},
+		{"nothing is raised", func(b *bench) { b.a.rules.RaisesMinimum = false }, known18, 0},
 	} {
 		b := newBench(10, 0.3).behind(1)
 		c.change(b)
@@ -199,10 +199,10 @@
 func TestOldAnswers(t *testing.T) {
 	b := newBench(10, 0.3).behind(1)
 	b.rounds(known18)
-	if r := b.a.Round(b.now+roundMost, b.now, b.fleet, nil); len(r.Orders) != 1 {
+	if r := b.a.Round(b.now+maxAnswerAge, b.now, b.fleet, nil); len(r.Orders) != 1 {
 		t.Errorf("%+v", r.Orders)
 	}
-	if r := b.a.Round(b.now+roundMost+1, b.now, b.fleet, nil); len(r.Orders) != 0 {
+	if r := b.a.Round(b.now+maxAnswerAge+1, b.now, b.fleet, nil); len(r.Orders) != 0 {
 		t.Errorf("%+v", r.Orders)
 	}
 }
@@ -221,14 +221,14 @@
 			t.Errorf("%s is %s, should be %s", s.Name, s.State, want)
 		}
 	}
-	if b.last.Floor.lacks(&Version{List: newList}) == "" || b.last.Floor.lacks(&Version{List: List{Revision: 7, Digest: 9}}) != "" {
-		t.Errorf("%+v", b.last.Floor)
+	if b.last.Minimum.missing(&Version{List: newList}) == "" || b.last.Minimum.missing(&Version{List: List{Revision: 7, Digest: 9}}) != "" {
+		t.Errorf("%+v", b.last.Minimum)
 	}
 	// But not one that was told since the service was asked.
 	b = newBench(1, 0.3)
 	b.fleet[0].Version.List = List{Revision: 7, Digest: 9}
 	b.rounds(1)
-	b.d.At -= time.Second
+	b.d.RequestedAt -= time.Second
 	if r := b.a.Round(b.now, b.now, b.fleet, &b.d); r.Standings[0].State != UpToDate {
 		t.Errorf("%+v", r.Standings)
 	}
@@ -247,7 +247,7 @@
 			b.d.List.Digest++
 		}
 		b.rounds(1)
-		if f := b.last.Floor; f.Epoch != epoch {
+		if f := b.last.Minimum; f.Epoch != epoch {
 			at, epoch = append(at, i), f.Epoch
 		}
 	}
@@ -300,7 +300,7 @@
 }
 
 func TestRules(t *testing.T) {
-	good := Rules{By: "a", Site: "s", Share: 0.1, Grace: time.Second, For: time.Minute}
+	good := Rules{By: "a", Site: "s", Share: 0.1, Grace: time.Second, Validity: time.Minute}
 	if err := good.Check(); err != nil {
 		t.Error(err)
 	}
@@ -312,12 +312,12 @@
 		{"share", func(r *Rules) { r.Share = 1.1 }},
 		{"floor.grace_ms", func(r *Rules) { r.Grace = 31 * time.Second }},
 		{"floor.grace_ms", func(r *Rules) { r.Grace = -1e6 }},
-		{"floor.for_ms", func(r *Rules) { r.For = 2 * time.Hour }},
+		{"floor.for_ms", func(r *Rules) { r.Validity = 2 * time.Hour }},
 		{"floor.site", func(r *Rules) { r.Site = "" }},
 	} {
 		r := good
 		c.edit(&r)
-		if err, ok := r.Check().(FaultyKey); !ok || err.Key != c.key {
+		if err, ok := r.Check().(KeyError); !ok || err.Key != c.key {
 			t.Errorf("%+v: %v, should name %s", r, err, c.key)
 		}
 	}
--- a/internal/version/edition.go
+++ b/internal/version/edition.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// EpochMost is the highest epoch that there may be.
-const EpochMost = epochMost
+// MaxEpoch is the highest epoch that there may be.
+const MaxEpoch = maxEpoch
 
 // Edition tells apart what is published under one name, anywhere and for ever: of two the one of the lower epoch loses, and of
 // two of one epoch the one whose publisher's name comes first. The zero edition is none, and loses to every other.
--- a/internal/version/floor.go
+++ b/internal/version/floor.go
@@ -10,17 +10,17 @@
 
 // Bounds on what an order may say. They are the same everywhere: an auditor counts on what the sidecars of others refuse.
 const (
-	forMost    = time.Hour       // a wrong floor is over by then, whoever can't take it back
-	ticketMost = 5 * time.Second // a dead auditor's tickets are over by then. Renewed every second, four may be lost
-	slack      = 5 * time.Second // by which wall clocks may be apart
-	epochMost  = 1<<53 - 1       // beyond that JSON's readers disagree
-	issuedMost = Millis(1 << 43) // the year 2248: as nanoseconds it fits
-	namesMost  = 16              // builds
-	textMost   = 256             // bytes of a name
+	maxMinimumValidity = time.Hour       // a wrong floor is over by then, whoever can't take it back
+	maxPermitValidity  = 5 * time.Second // a dead auditor's tickets are over by then. Renewed every second, four may be lost
+	maxClockSkew       = 5 * time.Second // by which wall clocks may be apart
+	maxEpoch           = 1<<53 - 1       // beyond that JSON's readers disagree
+	maxIssued          = Millis(1 << 43) // the year 2248: as nanoseconds it fits
+	maxBuilds          = 16              // builds
+	maxNameBytes       = 256             // bytes of a name
 )
 
-// Meets tells whether v may act under the floor, and if not, what is wanting: the list, the settings, the operator's file or the build.
-func (f *Floor) Meets(v *Version) (list, settings, file, build bool) {
+// MetBy tells whether v may act under the floor, and if not, what is wanting: the list, the settings, the operator's file or the build.
+func (f *MinimumVersion) MetBy(v *Version) (list, settings, file, build bool) {
 	// A digest of the same revision that differs is of a service that has restarted, or of another one.
 	list = f.List == 0 || v.List.Digest == f.List || v.List.Revision > f.Revision
 	settings = f.Settings == 0 || v.Settings == f.Settings
@@ -30,8 +30,8 @@
 }
 
 // lacks names what v lacks of the floor; nothing if it meets it.
-func (f *Floor) lacks(v *Version) string {
-	list, settings, file, build := f.Meets(v)
+func (f *MinimumVersion) missing(v *Version) string {
+	list, settings, file, build := f.MetBy(v)
 	var lacks []string
 	for _, one := range []struct {
 		met  bool
@@ -56,66 +56,66 @@
 }
 
 // same tells whether two floors of one epoch are one.
-func (f *Floor) same(o *Floor) bool {
+func (f *MinimumVersion) equal(o *MinimumVersion) bool {
 	return f.Epoch == o.Epoch && f.By == o.By && f.Site == o.Site && f.List == o.List && f.Revision == o.Revision &&
 		f.Settings == o.Settings && f.File == o.File && slices.Equal(f.Builds, o.Builds) &&
-		f.Grace == o.Grace && f.Spread == o.Spread && f.For == o.For
+		f.Grace == o.Grace && f.Spread == o.Spread && f.Validity == o.Validity
 }
 
-// Most is how many of n sidecars may be shut out at once: the share, rounded down, and never all of them. With one sidecar, or
+// MaxShutOut is how many of n sidecars may be shut out at once: the share, rounded down, and never all of them. With one sidecar, or
 // less than 1 / share, it is none: who serves by an old list serves better than nobody.
-func Most(share float64, n int) int {
+func MaxShutOut(share float64, n int) int {
 	if !(share > 0) || n < 1 {
 		return 0
 	}
 	return min(int(math.Floor(min(share, 1)*float64(n)+1e-9)), n-1) // 1e-9: 0.29 x 100 is less than 29 in binary
 }
 
-// FaultyKey is an order that can't be: Key as the order's JSON has it.
-type FaultyKey struct{ Key, Why string }
+// KeyError is an order that can't be: Key as the order's JSON has it.
+type KeyError struct{ Key, Reason string }
 
-func (e FaultyKey) Error() string { return fmt.Sprintf("version: an order's %s: %s", e.Key, e.Why) }
+func (e KeyError) Error() string { return fmt.Sprintf("version: an order's %s: %s", e.Key, e.Reason) }
 
-// Check returns a FaultyKey for what no auditor may ask, or nil.
+// Check returns a KeyError for what no auditor may ask, or nil.
 func (o *Order) Check() error {
-	f := &o.Floor
+	f := &o.Minimum
 	span := func(key string, m Millis, least, most time.Duration) error {
 		if m < Millis(least.Milliseconds()) || m > Millis(most.Milliseconds()) {
-			return FaultyKey{key, fmt.Sprintf("%d is not from %d to %d", m, least.Milliseconds(), most.Milliseconds())}
+			return KeyError{key, fmt.Sprintf("%d is not from %d to %d", m, least.Milliseconds(), most.Milliseconds())}
 		}
 		return nil
 	}
 	switch {
-	case f.Epoch == 0 || f.Epoch > epochMost:
-		return FaultyKey{"floor.epoch", fmt.Sprintf("%d is not from 1 to %d", f.Epoch, uint64(epochMost))}
-	case f.By == "" || len(f.By) > textMost:
-		return FaultyKey{"floor.by", fmt.Sprintf("has 1 to %d bytes", textMost)}
-	case f.Site == "" || len(f.Site) > textMost:
-		return FaultyKey{"floor.site", fmt.Sprintf("has 1 to %d bytes", textMost)}
+	case f.Epoch == 0 || f.Epoch > maxEpoch:
+		return KeyError{"floor.epoch", fmt.Sprintf("%d is not from 1 to %d", f.Epoch, uint64(maxEpoch))}
+	case f.By == "" || len(f.By) > maxNameBytes:
+		return KeyError{"floor.by", fmt.Sprintf("has 1 to %d bytes", maxNameBytes)}
+	case f.Site == "" || len(f.Site) > maxNameBytes:
+		return KeyError{"floor.site", fmt.Sprintf("has 1 to %d bytes", maxNameBytes)}
 	case f.Revision < 0 || f.Revision > 0 && f.List == 0:
-		return FaultyKey{"floor.revision", "is 0 or more, and stands beside floor.list"}
-	case len(f.Builds) > namesMost:
-		return FaultyKey{"floor.builds", fmt.Sprintf("names %d at most", namesMost)}
-	case slices.ContainsFunc(f.Builds, func(b string) bool { return b == "" || len(b) > textMost }):
-		return FaultyKey{"floor.builds", fmt.Sprintf("each has 1 to %d bytes", textMost)}
+		return KeyError{"floor.revision", "is 0 or more, and stands beside floor.list"}
+	case len(f.Builds) > maxBuilds:
+		return KeyError{"floor.builds", fmt.Sprintf("names %d at most", maxBuilds)}
+	case slices.ContainsFunc(f.Builds, func(b string) bool { return b == "" || len(b) > maxNameBytes }):
+		return KeyError{"floor.builds", fmt.Sprintf("each has 1 to %d bytes", maxNameBytes)}
 	}
-	if err := span("floor.for_ms", f.For, time.Millisecond, forMost); err != nil {
+	if err := span("floor.for_ms", f.Validity, time.Millisecond, maxMinimumValidity); err != nil {
 		return err
 	}
-	if err := span("floor.grace_ms", f.Grace, 0, f.For.D()); err != nil {
+	if err := span("floor.grace_ms", f.Grace, 0, f.Validity.D()); err != nil {
 		return err
 	}
-	if err := span("floor.spread_ms", f.Spread, 0, f.For.D()); err != nil {
+	if err := span("floor.spread_ms", f.Spread, 0, f.Validity.D()); err != nil {
 		return err
 	}
-	if t := o.Ticket; t != nil {
-		if t.No < 0 {
-			return FaultyKey{"ticket.no", "is 0 or more"}
+	if t := o.Permit; t != nil {
+		if t.Number < 0 {
+			return KeyError{"ticket.no", "is 0 or more"}
 		}
-		if t.Issued < 0 || t.Issued > issuedMost {
-			return FaultyKey{"ticket.issued_ms", "is no Unix time in milliseconds"}
+		if t.Issued < 0 || t.Issued > maxIssued {
+			return KeyError{"ticket.issued_ms", "is no Unix time in milliseconds"}
 		}
-		return span("ticket.for_ms", t.For, time.Millisecond, ticketMost)
+		return span("ticket.for_ms", t.Validity, time.Millisecond, maxPermitValidity)
 	}
 	return nil
 }
--- a/internal/version/order_test.go
+++ b/internal/version/order_test.go
@@ -46,10 +46,10 @@
 		{`"no":1`, `"no":1,"share":0.1`, "share"},
 		{`4000}}`, `4000}} 1`, "JSON"},
 		{`{"floor"`, `["floor"`, "JSON"},
-		{`"east"`, `"` + strings.Repeat("e", OrderMost) + `"`, "JSON"},
+		{`"east"`, `"` + strings.Repeat("e", MaxOrderBytes) + `"`, "JSON"},
 	} {
 		text := strings.Replace(goodOrder, c.from, c.to, 1)
-		var faulty FaultyKey
+		var faulty KeyError
 		if _, err := ParseOrder([]byte(text)); text == goodOrder || !errors.As(err, &faulty) || faulty.Key != c.key {
 			t.Errorf("%s for %s: %v, should name %s", c.to, c.from, err, c.key)
 		}
@@ -64,7 +64,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		o, err := ParseOrder(text)
 		if err != nil {
-			if faulty := (FaultyKey{}); !errors.As(err, &faulty) || faulty.Key == "" {
+			if faulty := (KeyError{}); !errors.As(err, &faulty) || faulty.Key == "" {
 				t.Fatalf("%v names no key", err)
 			}
 			return
@@ -73,7 +73,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if back, err := ParseOrder(again); len(again) <= OrderMost && (err != nil || !cmp.Equal(o, back)) {
+		if back, err := ParseOrder(again); len(again) <= MaxOrderBytes && (err != nil || !cmp.Equal(o, back)) {
 			t.Fatalf("%s is read as %+v, %v; it was %+v", again, back, err, o)
 		}
 	})
--- a/internal/version/search_test.go
+++ b/internal/version/search_test.go
@@ -21,7 +21,7 @@
 	auditors = 2
 	tick     = 4 * time.Second // less than a ticket's time, so that one auditor's last and another's first are seen together
 	poolMost = 3
-	skew     = slack / 2 // of each wall clock, to either side
+	skew     = maxClockSkew / 2 // of each wall clock, to either side
 )
 
 // lists are what the list service tells, one after the other; the last one after it has restarted and counts from 1 again.
@@ -38,7 +38,7 @@
 	links   [auditors]bool
 
 	// What the judge knows, by the orders that the sidecar said it took.
-	floor  *Floor
+	floor  *MinimumVersion
 	lapses time.Duration
 	under  bool
 	ripe   time.Duration // when the least grace is over of the floors under which it has been since it came under one
@@ -67,7 +67,7 @@
 func auditorName(i int) string { return string(rune('a' + i)) }
 
 func (w *world) begin(n int) {
-	w.auditors[n] = NewAuditor(Rules{By: auditorName(n), Site: "s", Share: w.share, Grace: 3 * time.Second, For: time.Minute, Raise: true, ShutOut: true}, 0)
+	w.auditors[n] = NewAuditor(Rules{By: auditorName(n), Site: "s", Share: w.share, Grace: 3 * time.Second, Validity: time.Minute, RaisesMinimum: true, IssuesPermits: true}, 0)
 }
 
 func (w *world) clone() *world {
@@ -78,13 +78,13 @@
 			continue
 		}
 		b := *a
-		b.known, b.held = make(map[string]*known, len(a.known)), make(map[string]held, len(a.held))
-		for n, k := range a.known {
+		b.sidecars, b.reservations = make(map[string]*sidecarRecord, len(a.sidecars)), make(map[string]reservation, len(a.reservations))
+		for n, k := range a.sidecars {
 			v := *k
-			b.known[n] = &v
+			b.sidecars[n] = &v
 		}
-		for n, h := range a.held {
-			b.held[n] = h
+		for n, h := range a.reservations {
+			b.reservations[n] = h
 		}
 		c.auditors[i] = &b
 	}
@@ -117,19 +117,19 @@
 			}
 		}
 	}
-	floor := func(f *Floor) {
+	floor := func(f *MinimumVersion) {
 		if f == nil {
 			num(-1)
 			return
 		}
 		num(int64(f.Epoch), int64(f.By[0]), int64(f.List), f.Revision)
 	}
-	ticket := func(t *Ticket) {
+	ticket := func(t *Permit) {
 		if t == nil {
 			num(-1)
 			return
 		}
-		num(int64(t.No))
+		num(int64(t.Number))
 		at(t.Issued.D())
 	}
 	num(int64(w.newest))
@@ -137,13 +137,13 @@
 		s, a := &w.sidecars[i], &w.sidecars[i].actor
 		num(int64(s.version), int64(a.epoch), int64(len(a.by)))
 		b = append(b, a.by...)
-		yes(s.wall > 0, s.cut, s.stopped, s.links[0], s.links[1], s.under, a.under, a.waking, a.list.wanted)
+		yes(s.wall > 0, s.cut, s.stopped, s.links[0], s.links[1], s.under, a.belowMinimum, a.resuming, a.listRequests.wanted)
 		floor(s.floor)
-		floor(a.floor)
-		ticket(a.ticket)
-		at(s.ripe, s.lapses, s.ticket, s.sure, a.lapses, a.ripe, a.until, a.beat, a.list.next)
-		if a.waking {
-			at(a.woke)
+		floor(a.minimum)
+		ticket(a.permit)
+		at(s.ripe, s.lapses, s.ticket, s.sure, a.minimumExpiry, a.graceEnd, a.permitExpiry, a.lastHeartbeat, a.listRequests.next)
+		if a.resuming {
+			at(a.resumedAt)
 		}
 	}
 	for i, a := range w.auditors {
@@ -151,20 +151,20 @@
 		if a == nil {
 			continue
 		}
-		num(int64(a.epoch), int64(a.first))
-		at(a.raised, a.changed)
-		yes(a.loser != "")
-		floor(a.floor)
+		num(int64(a.epoch), int64(a.firstEpoch))
+		at(a.raisedAt, a.changedAt)
+		yes(a.superseded != "")
+		floor(a.minimum)
 		for j := range w.sidecars {
-			if k := a.known[strconv.Itoa(j)]; k != nil {
-				yes(k.life == lifeOf(w.sidecars[j].life))
-				yes(k.life == "")
+			if k := a.sidecars[strconv.Itoa(j)]; k != nil {
+				yes(k.incarnation == lifeOf(w.sidecars[j].life))
+				yes(k.incarnation == "")
 				num(k.revision)
-				at(k.mine, k.behind, k.under)
+				at(k.followsSince, k.behindSince, k.belowSince)
 			}
-			if h, ok := a.held[strconv.Itoa(j)]; ok {
-				num(int64(h.no))
-				at(h.until)
+			if h, ok := a.reservations[strconv.Itoa(j)]; ok {
+				num(int64(h.number))
+				at(h.expiry)
 			} else {
 				num(-2)
 			}
@@ -172,8 +172,8 @@
 	}
 	for _, l := range w.pool {
 		num(int64(l.to))
-		floor(&l.o.Floor)
-		ticket(l.o.Ticket)
+		floor(&l.o.Minimum)
+		ticket(l.o.Permit)
 	}
 	return xxhash.Sum64(b)
 }
@@ -191,25 +191,25 @@
 // deliver hands over an order, and notes what the sidecar says of it.
 func (w *world) deliver(l late) error {
 	s := &w.sidecars[l.to]
-	epoch, by := s.actor.Last()
-	if err := s.actor.Take(w.now, w.now+s.wall, l.o); err != nil {
+	epoch, by := s.actor.LastOrder()
+	if err := s.actor.Accept(w.now, w.now+s.wall, l.o); err != nil {
 		return nil
 	}
-	f := l.o.Floor
+	f := l.o.Minimum
 	if compare(f.Epoch, f.By, epoch, by) < 0 {
 		return fmt.Errorf("sidecar %d took epoch %d by %s after %d by %s", l.to, f.Epoch, f.By, epoch, by)
 	}
 	if s.floor == nil || compare(f.Epoch, f.By, s.floor.Epoch, s.floor.By) != 0 {
 		s.under = s.under && w.now < s.lapses
-		s.floor, s.lapses, s.ticket, s.issued, s.sure = &f, w.now+f.For.D(), 0, 0, 0
+		s.floor, s.lapses, s.ticket, s.issued, s.sure = &f, w.now+f.Validity.D(), 0, 0, 0
 		if end := w.now + f.Grace.D(); s.under {
 			s.ripe = min(s.ripe, end)
 		}
 	}
-	if t := l.o.Ticket; t != nil && t.Issued > s.issued {
+	if t := l.o.Permit; t != nil && t.Issued > s.issued {
 		s.ticket, s.issued, s.sure = w.now, t.Issued, 0
-		if w.now+s.wall-t.Issued.D() <= slack {
-			s.sure = w.now + t.For.D()
+		if w.now+s.wall-t.Issued.D() <= maxClockSkew {
+			s.sure = w.now + t.Validity.D()
 		}
 	}
 	w.look(l.to)
@@ -231,7 +231,7 @@
 	s := &w.sidecars[i]
 	s.version = version
 	s.actor.Adopt(w.now, lists[version])
-	s.actor.Heard(w.now, w.now)
+	s.actor.ConfirmList(w.now, w.now)
 	w.look(i)
 }
 
@@ -242,17 +242,17 @@
 		s := &w.sidecars[i]
 		size[s.zone]++
 		v := s.actor.Verdict(w.now)
-		if v.State == Shut {
+		if v.State == ShutOut {
 			shut++
 			shutIn[s.zone]++
 			if !s.under {
 				return fmt.Errorf("sidecar %d is shut out, and is up to date", i)
 			}
-			if s.ticket == 0 || w.now >= s.ticket+ticketMost {
+			if s.ticket == 0 || w.now >= s.ticket+maxPermitValidity {
 				return fmt.Errorf("sidecar %d is shut out, and nobody has said so for %s", i, w.now-s.ticket)
 			}
 		}
-		if s.under && w.now >= s.ripe && w.now < min(s.sure, s.lapses) && v.Takes() {
+		if s.under && w.now >= s.ripe && w.now < min(s.sure, s.lapses) && v.AcceptsStreams() {
 			return fmt.Errorf("sidecar %d acts (%+v) under the floor after its grace, with a ticket", i, v)
 		}
 	}
@@ -273,7 +273,7 @@
 		w.now += tick / 4
 		for i := range w.sidecars {
 			if s := &w.sidecars[i]; !s.stopped {
-				s.actor.Beat(w.now)
+				s.actor.Heartbeat(w.now)
 			}
 		}
 		if err := w.check(); err != nil {
@@ -284,13 +284,13 @@
 		if a == nil {
 			continue
 		}
-		fleet := make([]Seen, len(w.sidecars))
+		fleet := make([]Observation, len(w.sidecars))
 		for i := range w.sidecars {
 			s := &w.sidecars[i]
-			fleet[i] = Seen{Name: strconv.Itoa(i), Zone: s.zone, Reached: s.links[n] && !s.stopped, At: w.now, Life: lifeOf(s.life), Site: "s", Instances: len(w.sidecars),
-				Version: s.actor.now, Floor: s.actor.Floor(w.now), State: s.actor.Verdict(w.now).State}
+			fleet[i] = Observation{Name: strconv.Itoa(i), Zone: s.zone, Reached: s.links[n] && !s.stopped, AnsweredAt: w.now, Incarnation: lifeOf(s.life), Site: "s", Instances: len(w.sidecars),
+				Version: s.actor.current, Minimum: s.actor.Minimum(w.now), State: s.actor.Verdict(w.now).State}
 		}
-		round := a.Round(w.now, w.now+w.walls[n], fleet, &Demand{List: lists[w.newest].List, At: w.now})
+		round := a.Round(w.now, w.now+w.walls[n], fleet, &Reference{List: lists[w.newest].List, RequestedAt: w.now})
 		for _, o := range round.Orders {
 			to, _ := strconv.Atoi(o.Name)
 			l := late{to, o.Order}
@@ -328,12 +328,12 @@
 			s := &w.sidecars[i]
 			s.stopped = !s.stopped
 			if !s.stopped {
-				s.actor.Beat(w.now)
+				s.actor.Heartbeat(w.now)
 			}
 			return true
 		})
 		add(fmt.Sprint("restart ", i), func(w *world) bool {
-			epoch, by := w.sidecars[i].actor.Last()
+			epoch, by := w.sidecars[i].actor.LastOrder()
 			w.start(i, w.sidecars[i].version, epoch, by)
 			return true
 		})
@@ -416,7 +416,7 @@
 				}
 				seen[h] = faults
 				for i := range w.sidecars {
-					if w.sidecars[i].actor.Verdict(w.now).State == Shut {
+					if w.sidecars[i].actor.Verdict(w.now).State == ShutOut {
 						shut++
 					}
 				}
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// List is a list of upstream hosts. Revisions are ordered within one life of one list service; a service that has restarted may
+// RefreshList is a list of upstream hosts. Revisions are ordered within one life of one list service; a service that has restarted may
 // give one twice, so that the digest, and not the revision, says which list it is. Digests only differ.
 type List struct {
 	From     string `json:"from"` // who told it: the list service's address, "known", "snapshot" or "former"
@@ -58,8 +58,8 @@
 // D is the time.
 func (m Millis) D() time.Duration { return time.Duration(m) * time.Millisecond }
 
-// Floor is the least version that may act. What it leaves empty may be anything.
-type Floor struct {
+// Minimum is the least version that may act. What it leaves empty may be anything.
+type MinimumVersion struct {
 	Epoch    uint64   `json:"epoch"` // of two orders the one of the lower epoch loses,
 	By       string   `json:"by"`    // and of two of the same epoch the one whose auditor's name comes first
 	Site     string   `json:"site"`
@@ -70,18 +70,18 @@
 	Builds   []string `json:"builds"`    // one of them
 	Grace    Millis   `json:"grace_ms"`  // from when it is taken until who is under it is behind
 	Spread   Millis   `json:"spread_ms"` // over which those under it ask again, each at a moment of its own
-	For      Millis   `json:"for_ms"`    // after which it is no floor any more
+	Validity Millis   `json:"for_ms"`    // after which it is no floor any more
 }
 
-// Ticket is the leave to shut oneself out. Nobody is shut out without one, and there are as many as the share allows.
-type Ticket struct {
-	No     int    `json:"no"`        // from 0; each number is one sidecar's at a time
-	Issued Millis `json:"issued_ms"` // Unix time by the auditor's clock
-	For    Millis `json:"for_ms"`    // it lapses after that, unless it comes anew; 5 s at most
+// Permit is the leave to shut oneself out. Nobody is shut out without one, and there are as many as the share allows.
+type Permit struct {
+	Number   int    `json:"no"`        // from 0; each number is one sidecar's at a time
+	Issued   Millis `json:"issued_ms"` // Unix time by the auditor's clock
+	Validity Millis `json:"for_ms"`    // it lapses after that, unless it comes anew; 5 s at most
 }
 
 // Order is what an auditor tells one sidecar.
 type Order struct {
-	Floor  Floor   `json:"floor"`
-	Ticket *Ticket `json:"ticket,omitempty"` // nil: it is not to shut itself out
+	Minimum MinimumVersion `json:"floor"`
+	Permit  *Permit        `json:"ticket,omitempty"` // nil: it is not to shut itself out
 }
