--- a/internal/auditlog/trail_test.go
+++ b/internal/auditlog/auditlog_test.go
@@ -23,30 +23,30 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func clock() persistence.Timestamp {
+func fixedClock() persistence.Timestamp {
 	return persistence.Timestamp{Wall: time.UnixMilli(5000), Up: time.Second}
 }
 
-func names(class int, host balance.EndpointID) (string, string) {
+func testNames(class int, host balance.EndpointID) (string, string) {
 	return fmt.Sprint("class", class), fmt.Sprint("host-", host)
 }
 
 // book is one that goes on from a past.
-func book(life string, past []Entry) *Log {
-	b := NewLog(life, "test", past, clock)
-	b.Names(names)
+func newTestLog(life string, past []Entry) *Log {
+	b := NewLog(life, "test", past, fixedClock)
+	b.Names(testNames)
 	return b
 }
 
 // list has a book adopt a list.
-func list(b *Log, revision int64) {
+func adoptList(b *Log, revision int64) {
 	b.Change(func(v *version.Version) { v.List.Revision = revision }, "list", func(uint32) {})
 }
 
 // busy notes something of each kind.
-func busy(b *Log, n int) {
+func appendAllKinds(b *Log, n int) {
 	for i := range n {
-		list(b, int64(i+1))
+		adoptList(b, int64(i+1))
 		_, under := b.Version()
 		b.Sent(under, 0, 7, i%2 == 1)
 		b.Ended(under, 0, 7, true, false)
@@ -58,7 +58,7 @@
 }
 
 // has are the flaws of faults.
-func has(faults []Fault) (flaws []FaultKind) {
+func faultKinds(faults []Fault) (flaws []FaultKind) {
 	for _, f := range faults {
 		flaws = append(flaws, f.Kind)
 	}
@@ -67,12 +67,12 @@
 
 // Guards against a change to a trail that does not show, and against a whole one that is said not to be.
 func TestCheck(t *testing.T) {
-	former := book("a", nil)
-	busy(former, 4)
+	former := newTestLog("a", nil)
+	appendAllKinds(former, 4)
 	handed := former.Entries()
-	next := book("b", handed)
-	busy(next, 2)
-	busy(former, 1) // beside its successor
+	next := newTestLog("b", handed)
+	appendAllKinds(next, 2)
+	appendAllKinds(former, 1) // beside its successor
 	n := len(handed)
 	both := append(next.Entries(), former.Entries()[n:]...)
 	slices.SortStableFunc(both, bySeq)
@@ -108,9 +108,9 @@
 		"the first goes on":            {remade(0, func(e *Entry) { e.Prev = handed[2].Sum }), []FaultKind{Unchained, Unchained}},
 		"a later one that goes on":     {remade(0, func(e *Entry) { e.Seq = 2; e.Kind = VerdictChanged })[:1], []FaultKind{Unchained}},
 		"a fork from nothing known":    {append(slices.Clone(handed[:3]), remade(3, func(e *Entry) { e.Incarnation, e.Kind, e.Prev = "x", Started, e.Sum })[3]), []FaultKind{Unchained}},
-		"another life's begins from 1": {append(slices.Clone(handed), book("c", nil).Entries()...), nil},
+		"another life's begins from 1": {append(slices.Clone(handed), newTestLog("c", nil).Entries()...), nil},
 	} {
-		if got := has(Check(c.entries)); !slices.Equal(got, c.want) {
+		if got := faultKinds(Check(c.entries)); !slices.Equal(got, c.want) {
 			t.Errorf("%s: %v, not %v", name, Check(c.entries), c.want)
 		}
 	}
@@ -134,10 +134,10 @@
 // Guards against numbers that come in another order than what is applied under them, against attempts that are counted twice,
 // not at all, or under another number, and against a lock that is held where names are asked for.
 func TestNumbersUnderConcurrency(t *testing.T) {
-	b := NewLog("a", "test", nil, clock)
+	b := NewLog("a", "test", nil, fixedClock)
 	b.Names(func(class int, host balance.EndpointID) (string, string) {
 		b.Flush() // what gives names may wait for a Change
-		return names(class, host)
+		return testNames(class, host)
 	})
 	var applied []uint32 // by whoever has the book's lock
 	var current sync.Map
@@ -187,11 +187,11 @@
 }
 
 // Guards against attempts that are told after what ended them, or in no entry, and against a late one under another number.
-func TestCountsComeBeforeTheNext(t *testing.T) {
-	b := book("a", nil)
-	list(b, 1)
+func TestCountsPrecedeNextVersion(t *testing.T) {
+	b := newTestLog("a", nil)
+	adoptList(b, 1)
 	b.Sent(1, 0, 7, false)
-	list(b, 2)
+	adoptList(b, 2)
 	b.Sent(2, 0, 7, true)
 	b.Ended(1, 0, 7, false, true)
 	b.Append(Entry{Kind: Ended})
@@ -229,7 +229,7 @@
 }
 
 // Guards against a nil book that does not let changes through.
-func TestNoBook(t *testing.T) {
+func TestNilLog(t *testing.T) {
 	var b *Log
 	under := uint32(9)
 	b.Change(func(*version.Version) { t.Error("edited") }, "x", func(u uint32) { under = u })
@@ -246,8 +246,8 @@
 // Guards against a ring that grows, that forgets the epoch or the version, against renewals that fill it, against a number for
 // what changes nothing, and against an answer beyond its bytes or one that skips an entry.
 func TestRing(t *testing.T) {
-	b := book("a", nil)
-	list(b, 1)
+	b := newTestLog("a", nil)
+	adoptList(b, 1)
 	order := func(epoch uint64, no int, issued version.Millis, why string) {
 		b.Append(Entry{Kind: Ordered, Reason: why, Order: &version.Order{Minimum: version.MinimumVersion{Epoch: epoch, By: "z"},
 			Permit: &version.Permit{Number: no, Issued: issued}}})
@@ -255,7 +255,7 @@
 	for i := range 100 {
 		order(7, 0, version.Millis(i), "")
 		order(5, 0, version.Millis(i), "older")
-		list(b, 1)
+		adoptList(b, 1)
 	}
 	if seq := b.last.Seq; seq != 4 || b.versionID != 1 {
 		t.Errorf("renewals make %d entries, number %d", seq, b.versionID)
@@ -269,7 +269,7 @@
 		}
 	}
 	past := b.Entries()
-	next := NewLog("b", "former", past, clock)
+	next := NewLog("b", "former", past, fixedClock)
 	v, _ := next.Version()
 	epoch, by := LastOrder(next.Entries())
 	held := slices.ContainsFunc(past, func(e Entry) bool { return e.Kind == Adopted && e.Version.List.Revision == 1 })
@@ -294,9 +294,9 @@
 }
 
 // Guards against memory that grows with hosts that come and go, and against attempts beyond it that are not counted.
-func TestCountsAreBounded(t *testing.T) {
+func TestCountLimits(t *testing.T) {
 	var c counts
-	c.names = names
+	c.names = testNames
 	n := 0
 	for i := range 3 * maxCells {
 		c.lockedCell(countKey{1, 0, balance.EndpointID(i)}).N++
@@ -319,7 +319,7 @@
 }
 
 // disk is one in memory that can lose power, or be full.
-type disk struct {
+type memoryDisk struct {
 	mu    sync.Mutex
 	files map[string]*content
 	sure  map[string]*content // the directory as it outlasts a power cut
@@ -332,13 +332,13 @@
 
 type content struct{ sure, text []byte }
 
-func newDisk(steps int) *disk {
-	return &disk{files: map[string]*content{}, locks: map[string]bool{}, steps: steps}
+func newMemoryDisk(steps int) *memoryDisk {
+	return &memoryDisk{files: map[string]*content{}, locks: map[string]bool{}, steps: steps}
 }
 
 var errDisk = errors.New("no room, or no power")
 
-func (d *disk) step() error {
+func (d *memoryDisk) step() error {
 	if d.steps == 0 {
 		return errDisk
 	}
@@ -346,7 +346,7 @@
 	return nil
 }
 
-func (d *disk) Create(name string) (persistence.File, error) {
+func (d *memoryDisk) Create(name string) (persistence.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.made++
@@ -354,10 +354,10 @@
 		return nil, err
 	}
 	d.files[name] = &content{}
-	return &opened{d, d.files[name]}, nil
+	return &memoryFile{d, d.files[name]}, nil
 }
 
-func (d *disk) Read(name string, most int64) ([]byte, error) {
+func (d *memoryDisk) Read(name string, most int64) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if f := d.files[name]; f != nil {
@@ -366,7 +366,7 @@
 	return nil, os.ErrNotExist
 }
 
-func (d *disk) Rename(from, to string) error {
+func (d *memoryDisk) Rename(from, to string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err := d.step(); err != nil {
@@ -377,7 +377,7 @@
 	return nil
 }
 
-func (d *disk) Remove(name string) error {
+func (d *memoryDisk) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err := d.step(); err != nil {
@@ -387,13 +387,13 @@
 	return nil
 }
 
-func (d *disk) Names() ([]string, error) {
+func (d *memoryDisk) Names() ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Sorted(maps.Keys(d.files)), nil
 }
 
-func (d *disk) Sync() error {
+func (d *memoryDisk) Sync() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err := d.step(); err != nil || d.odd {
@@ -403,19 +403,19 @@
 	return nil
 }
 
-func (d *disk) Lock(name string) (func(), error) {
+func (d *memoryDisk) Lock(name string) (func(), error) {
 	if d.locks[name] {
 		return nil, nil
 	}
 	return func() {}, nil
 }
 
-type opened struct {
-	d *disk
+type memoryFile struct {
+	d *memoryDisk
 	f *content
 }
 
-func (o *opened) Write(b []byte) (int, error) {
+func (o *memoryFile) Write(b []byte) (int, error) {
 	if o.d.block != nil {
 		<-o.d.block
 	}
@@ -429,7 +429,7 @@
 	return len(b), nil
 }
 
-func (o *opened) Sync() error {
+func (o *memoryFile) Sync() error {
 	o.d.mu.Lock()
 	defer o.d.mu.Unlock()
 	if err := o.d.step(); err != nil {
@@ -439,12 +439,12 @@
 	return nil
 }
 
-func (o *opened) Close() error { return nil }
+func (o *memoryFile) Close() error { return nil }
 
 // after is the disk once the power was cut: with the share of what was not synced that is there, in quarters, and the
 // directory as it was synced or as it was; or once the process was killed, with all of it.
-func (d *disk) after(quarters int, renamed bool) *disk {
-	out, names := newDisk(-1), d.sure
+func (d *memoryDisk) afterPowerCut(quarters int, renamed bool) *memoryDisk {
+	out, names := newMemoryDisk(-1), d.sure
 	if renamed {
 		names = d.files
 	}
@@ -458,22 +458,22 @@
 }
 
 // writer is a file whose steps are taken one by one.
-func writer(d persistence.Disk, b *Log) *Writer {
+func newTestWriter(d persistence.Disk, b *Log) *Writer {
 	return &Writer{Disk: d, Log: b, OnFault: func(error) {}}
 }
 
 // Guards against more than the cut line being lost, wherever a file is cut, against a byte that is changed without a fault,
 // and against a next process that does not go on from it.
-func TestCutAndFlippedAtEveryByte(t *testing.T) {
-	b := book("a", nil)
-	busy(b, 1)
+func TestDamageAtEveryByte(t *testing.T) {
+	b := newTestLog("a", nil)
+	appendAllKinds(b, 1)
 	var text []byte
 	entries := b.Entries()
 	for _, e := range entries {
 		text = appendLine(text, e)
 	}
 	load := func(text []byte) ([]Entry, []Fault) {
-		d := newDisk(-1)
+		d := newMemoryDisk(-1)
 		d.files[filePrefix+"000000003"] = &content{text, text}
 		got, faults, err := Load(d)
 		if err != nil {
@@ -495,10 +495,10 @@
 		if i%32 > 0 {
 			continue
 		}
-		next := book("b", got)
-		d := newDisk(-1)
+		next := newTestLog("b", got)
+		d := newMemoryDisk(-1)
 		d.files[filePrefix+"000000003"] = &content{flipped, flipped}
-		if err := writer(d, next).write(true); err != nil {
+		if err := newTestWriter(d, next).write(true); err != nil {
 			t.Fatal(err)
 		}
 		after, still, _ := Load(d)
@@ -512,19 +512,19 @@
 // process that does not show; and against what the disk did not take not being written later.
 func TestDiskFailsAtEveryStep(t *testing.T) {
 	for steps := 0; ; steps++ {
-		d := newDisk(-1)
-		first := book("a", nil)
-		busy(first, 3)
-		if err := writer(d, first).write(true); err != nil {
+		d := newMemoryDisk(-1)
+		first := newTestLog("a", nil)
+		appendAllKinds(first, 3)
+		if err := newTestWriter(d, first).write(true); err != nil {
 			t.Fatal(err)
 		}
 		d.steps = steps
 		past, _, _ := Load(d)
-		b := book("b", past)
-		f := writer(d, b)
+		b := newTestLog("b", past)
+		f := newTestWriter(d, b)
 		sure, failed := past[len(past)-1].Seq, false
 		for i := range 3 {
-			list(b, int64(100+i))
+			adoptList(b, int64(100+i))
 			if f.lastErr = f.write(i == 0 || f.lastErr != nil); f.lastErr == nil {
 				sure = b.last.Seq
 			}
@@ -532,11 +532,11 @@
 		}
 		for quarters := range 5 {
 			for _, renamed := range []bool{false, true} {
-				got, faults, err := Load(d.after(quarters, renamed))
+				got, faults, err := Load(d.afterPowerCut(quarters, renamed))
 				if err != nil || faults != nil || got[len(got)-1].Seq < sure {
 					t.Fatalf("%d steps, %d quarters, renamed %v: up to %d of %d, %v, %v", steps, quarters, renamed, got[len(got)-1].Seq, sure, faults, err)
 				}
-				next := book("c", got).Entries()
+				next := newTestLog("c", got).Entries()
 				if e := next[len(next)-1]; e.Kind != Started || e.Incarnation != "c" || Check(next) != nil {
 					t.Fatalf("%d steps: the next process begins with %+v", steps, e)
 				}
@@ -546,7 +546,7 @@
 		if err := f.write(f.lastErr != nil); err != nil {
 			t.Fatal(err)
 		}
-		got, faults, _ := Load(d.after(0, false))
+		got, faults, _ := Load(d.afterPowerCut(0, false))
 		if faults != nil || got[len(got)-1].Sum != b.last.Sum {
 			t.Fatalf("%d steps: up to %d of %d once there is room, %v", steps, got[len(got)-1].Seq, b.last.Seq, faults)
 		}
@@ -558,10 +558,10 @@
 
 // Guards against a disk that is slow or gone and holds changes up, is not tried again, or leaves a hole that is not told; and
 // against faults that are told again and again.
-func TestSlowAndGoneDisk(t *testing.T) {
-	d := newDisk(-1)
+func TestSlowAndMissingDisk(t *testing.T) {
+	d := newMemoryDisk(-1)
 	d.block = make(chan struct{})
-	b := book("a", nil)
+	b := newTestLog("a", nil)
 	said := []string{}
 	f := &Writer{Disk: d, Log: b, OnFault: func(err error) {
 		d.mu.Lock()
@@ -569,7 +569,7 @@
 		said = append(said, fmt.Sprint(err))
 	}}
 	f.Start()
-	list(b, 1) // and what follows returns while the first write hangs
+	adoptList(b, 1) // and what follows returns while the first write hangs
 	for range 2 * maxRingEntries {
 		b.Append(Entry{Kind: Stopped})
 	}
@@ -577,7 +577,7 @@
 	d.steps = 0
 	d.mu.Unlock()
 	close(d.block)
-	for d.lacks(b) { // it fails, and is tried again each second
+	for d.isMissing(b) { // it fails, and is tried again each second
 		d.mu.Lock()
 		if d.made > 1 {
 			d.steps = -1
@@ -595,17 +595,17 @@
 }
 
 // lacks tells whether a book's last entry is not on the disk.
-func (d *disk) lacks(b *Log) bool {
+func (d *memoryDisk) isMissing(b *Log) bool {
 	got, _, _ := Load(d)
 	entries, _, _ := b.EntriesSince(0, maxRingBytes)
 	return len(got) == 0 || got[len(got)-1].Seq < entries[len(entries)-1].Seq
 }
 
 // Guards against entries that came to no file while the disk failed, and were dropped, of which nothing is told.
-func TestLostEntriesAreTold(t *testing.T) {
-	d := newDisk(-1)
-	b := book("a", nil)
-	f := writer(d, b)
+func TestLostEntriesAreReported(t *testing.T) {
+	d := newMemoryDisk(-1)
+	b := newTestLog("a", nil)
+	f := newTestWriter(d, b)
 	if err := f.write(true); err != nil {
 		t.Fatal(err)
 	}
@@ -625,24 +625,24 @@
 	if faults != nil || e.Kind != Lost || e.N != maxRingEntries || e.UpTo != maxRingEntries+1 {
 		t.Errorf("%+v, %v", e, faults)
 	}
-	if faults = Check(got[:len(got)-1]); !slices.Equal(has(faults), []FaultKind{Missing}) || faults[0].Count != maxRingEntries {
+	if faults = Check(got[:len(got)-1]); !slices.Equal(faultKinds(faults), []FaultKind{Missing}) || faults[0].Count != maxRingEntries {
 		t.Errorf("without that entry: %v", faults)
 	}
 }
 
 // Guards against lives that are forgotten because they were short, against a file of another process that is removed, and
 // against a fault anywhere, over lives that end by kills, power cuts and hand-overs.
-func TestLives(t *testing.T) {
+func TestManyProcesses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := newDisk(-1)
+		d := newMemoryDisk(-1)
 		past, _, _ := Load(d)
-		b := book("0", past)
-		f := writer(d, b)
+		b := newTestLog("0", past)
+		f := newTestWriter(d, b)
 		kept := map[string]int{} // sums of entries that were synced, by life
 		for life := range rapid.IntRange(1, 12).Draw(t, "lives") {
 			renew := true
 			for i := range rapid.IntRange(0, 5).Draw(t, "notes") {
-				list(b, int64(1000*life+i))
+				adoptList(b, int64(1000*life+i))
 				if rapid.Bool().Draw(t, "write") {
 					if err := f.write(renew); err != nil {
 						t.Fatal(err)
@@ -654,14 +654,14 @@
 			next := fmt.Sprint(life + 1)
 			switch rapid.IntRange(0, 2).Draw(t, "end") {
 			case 0:
-				d = d.after(4, true)
+				d = d.afterPowerCut(4, true)
 			case 1:
-				d = d.after(rapid.IntRange(0, 4).Draw(t, "quarters"), rapid.Bool().Draw(t, "renamed"))
+				d = d.afterPowerCut(rapid.IntRange(0, 4).Draw(t, "quarters"), rapid.Bool().Draw(t, "renamed"))
 			case 2: // both write for a while
 				d.locks = map[string]bool{f.name: true}
 				former := f
-				b = book(next, b.Entries())
-				f = writer(d, b)
+				b = newTestLog(next, b.Entries())
+				f = newTestWriter(d, b)
 				if err := f.write(true); err != nil {
 					t.Fatal(err)
 				}
@@ -678,8 +678,8 @@
 			if faults != nil {
 				t.Fatalf("after life %d: %v", life, faults)
 			}
-			b = book(next, past)
-			f = writer(d, b)
+			b = newTestLog(next, past)
+			f = newTestWriter(d, b)
 		}
 		got, faults, _ := Load(d)
 		if faults != nil {
@@ -694,10 +694,10 @@
 }
 
 // Guards against a disk that is filled by files that are tried again, and against a trail that they push out.
-func TestTriedAgainFillsNoDisk(t *testing.T) {
-	d := newDisk(-1)
-	b := book("a", nil)
-	f := writer(d, b)
+func TestRetriesFillNoDisk(t *testing.T) {
+	d := newMemoryDisk(-1)
+	b := newTestLog("a", nil)
+	f := newTestWriter(d, b)
 	if err := f.write(true); err != nil {
 		t.Fatal(err)
 	}
@@ -716,8 +716,8 @@
 func TestRotation(t *testing.T) {
 	path := t.TempDir()
 	d := persistence.Dir(path)
-	b := book("a", nil)
-	f := writer(d, b)
+	b := newTestLog("a", nil)
+	f := newTestWriter(d, b)
 	for i := range 6000 { // 3 MiB
 		b.Append(Entry{Kind: Stopped, Reason: strings.Repeat("x", maxTextBytes)})
 		if i%100 == 0 {
@@ -737,8 +737,8 @@
 	}
 	f.unlock()
 	_ = f.file.Close()
-	next := book("b", got)
-	f = writer(d, next)
+	next := newTestLog("b", got)
+	f = newTestWriter(d, next)
 	f.Start()
 	next.Append(Entry{Kind: Ended})
 	f.Close()
--- a/internal/auditlog/chain.go
+++ b/internal/auditlog/chain.go
@@ -11,11 +11,11 @@
 	"pinelb.example/pinelb/internal/version"
 )
 
-// maxSeq keeps a number that somebody has made up from running over.
+// maxSeq bounds a number that somebody has made up, against overflow.
 const maxSeq = 1 << 62
 
-// seal makes an entry the one after another. It is brought to what is read back of it first, so that its sum is the same
-// there: JSON has no text that is not UTF-8.
+// link makes an entry the one after prev, and returns its JSON, too. The entry is encoded and decoded first, so that its
+// checksum is the same for whoever reads it: JSON has no text that isn't UTF-8.
 func link(prev Entry, e Entry) (Entry, []byte, error) {
 	e.Seq, e.Prev, e.Sum = prev.Seq+1, prev.Sum, ""
 	text, err := json.Marshal(&e)
@@ -31,51 +31,21 @@
 	return e, text, err
 }
 
-// sum is the first 16 bytes of the SHA-256 of an entry's JSON, in which Sum is empty and Prev stands.
+// checksum returns the first 16 bytes of the SHA-256 of an entry's JSON with an empty Sum, as hexadecimal digits.
 func checksum(e Entry) string {
 	e.Sum = ""
 	text, err := json.Marshal(e)
 	if err != nil {
-		return "" // it has no such values
+		return "" // no value of it fails to encode
 	}
 	h := sha256.Sum256(text)
 	return hex.EncodeToString(h[:16])
 }
 
-// Kind says what is wrong with a trail.
-type FaultKind string
-
-// The flaws. None of them is that a trail begins after its first entry: older ones are dropped.
-const (
-	Changed    FaultKind = "changed"    // an entry is not what its sum was made of
-	Missing    FaultKind = "hole"       // Count entries before this one are missing, and no entry tells that they were lost
-	Unchained  FaultKind = "unchained"  // the entry before it is there and another than it was made after
-	Disordered FaultKind = "disordered" // it stands after one of its own process that came later, or twice
-	Unreadable FaultKind = "unreadable" // a line of a file is no entry
-)
-
-// OnFault is a place at which a trail is not whole.
-type Fault struct {
-	Seq   uint64    `json:"seq"` // of the entry at which it shows; 0 where that can't be said
-	Kind  FaultKind `json:"flaw"`
-	Count uint64    `json:"n,omitempty"`    // Missing: how many are missing
-	File  string    `json:"file,omitempty"` // Unreadable: where
-	Line  int       `json:"line,omitempty"` // Unreadable: from 1
-}
-
-func (f Fault) String() string {
-	switch f.Kind {
-	case Missing:
-		return fmt.Sprintf("entry %d: a hole, %d before it are missing", f.Seq, f.Count)
-	case Unreadable:
-		return fmt.Sprintf("%s, line %d: unreadable", f.File, f.Line)
-	}
-	return fmt.Sprintf("entry %d: %s", f.Seq, f.Kind)
-}
-
-// Check returns where a trail, in order of its numbers, is not whole. A process that succeeds another goes on from what that
-// had handed over, while that goes on itself, so the chain may fork, but only at the first entry of a process. What was cut
-// off its end, or made anew from some place on to the end, does not show in a trail itself: whoever has seen more of it knows.
+// Check returns the faults of a log whose entries are in order of their numbers. A successor continues from what its
+// predecessor handed over, while that goes on itself, so the chain may fork, but only at the first entry of a process. What was
+// cut off at the end, or rewritten from some entry to the end, doesn't show in a log itself, but only to a reader that has seen
+// more of it.
 func Check(entries []Entry) (faults []Fault) {
 	fault := func(seq uint64, flaw FaultKind, n uint64) {
 		faults = append(faults, Fault{Seq: seq, Kind: flaw, Count: n})
@@ -120,7 +90,7 @@
 	return faults
 }
 
-// losses are the entries that others tell were lost, the first and the last of each run, in order.
+// lostRuns returns the runs of entries that others report as lost, the first and the last number of each, in order.
 func lostRuns(entries []Entry) (runs [][2]uint64) {
 	for _, e := range entries {
 		if e.Kind == Lost && e.N > 0 && e.UpTo >= uint64(e.N) && e.UpTo < e.Seq {
@@ -131,7 +101,7 @@
 	return runs
 }
 
-// told says whether runs hold all numbers of a span.
+// covers reports whether runs cover all numbers from first to last.
 func covers(runs [][2]uint64, from, to uint64) bool {
 	for _, r := range runs {
 		if r[0] <= from && r[1] >= from {
@@ -143,8 +113,8 @@
 
 func bySeq(a, b Entry) int { return cmp.Compare(a.Seq, b.Seq) }
 
-// LastOrder is the epoch, and by whom, of the highest order that a trail tells was taken: who goes on from the trail takes no
-// older one. By is empty where only the epoch is told.
+// LastOrder returns the epoch and the auditor of the highest order that a log says was accepted: a process that continues the
+// log accepts no lesser one. By is empty where only the epoch is known.
 func LastOrder(entries []Entry) (epoch uint64, by string) {
 	for _, e := range entries {
 		if e.Version != nil && e.Version.Epoch > epoch {
@@ -157,7 +127,7 @@
 	return epoch, by
 }
 
-// taken is the floor of an order that was taken; nil: the entry tells of none.
+// acceptedMinimum returns the minimum version of an order that was accepted; nil: the entry is about none.
 func (e *Entry) acceptedMinimum() *version.MinimumVersion {
 	if e.Kind != Ordered || e.Order == nil || e.Reason != "" {
 		return nil
--- a/internal/auditlog/counts.go
+++ b/internal/auditlog/counts.go
@@ -8,11 +8,11 @@
 	"pinelb.example/pinelb/balance"
 )
 
-// maxCells is of how many hosts, classes and numbers attempts are told apart between two entries: 5,000 hosts, for a class
-// and a half. What comes beyond is counted together, without a class and a host.
+// maxCells bounds the combinations of host, class and version that are counted apart between two entries: 5,000 hosts, for one
+// and a half classes. What exceeds it is counted together, without class and host.
 const maxCells = 8192
 
-// counts are attempts that are in no entry yet. A request's path only looks up a small key; names are asked for once.
+// counts are attempts that are in no entry yet. On a request's path it looks up a small key; names are resolved once.
 type counts struct {
 	names func(class int, host balance.EndpointID) (string, string)
 
@@ -28,19 +28,20 @@
 type cell struct {
 	Attempts
 	crossed int
-	idle    bool // nothing was counted in the window before
+	idle    bool // nothing was counted in the last window
 }
 
-// others is the key of what has no room for one of its own.
+// overflowKey returns the key of what exceeds maxCells.
 func overflowKey(under uint32) countKey { return countKey{versionID: under, class: 1<<32 - 1} }
 
-// Names sets what gives classes and hosts their names, before anything is counted. It is asked on a request's path when a host
-// is first sent to, and may wait for a Change.
+// Names sets the function that names classes and hosts, before anything is counted. It is called on a request's path when a
+// host is first sent to, and may wait for a Change.
 func (b *Log) Names(names func(class int, host balance.EndpointID) (string, string)) {
 	b.counts.names = names
 }
 
-// Sent counts an attempt that was decided under a number. Crossed says that its stream's first was under another one.
+// Sent counts an attempt that was decided under a version's number. Crossed says that its stream's first attempt was under
+// another one.
 func (b *Log) Sent(under uint32, class int, host balance.EndpointID, crossed bool) {
 	if b == nil {
 		return
@@ -53,14 +54,14 @@
 	b.counts.mu.Unlock()
 }
 
-// Ended says how an attempt ended: that it proved never to have reached the host, or was withdrawn. What ended otherwise need
-// not be told.
-func (b *Log) Ended(under uint32, class int, host balance.EndpointID, never, left bool) {
-	if b == nil || !never && !left {
+// Ended records that an attempt certainly didn't reach its host (unsent), or was cancelled (withdrawn). Other outcomes need not
+// be recorded.
+func (b *Log) Ended(under uint32, class int, host balance.EndpointID, unsent, withdrawn bool) {
+	if b == nil || !unsent && !withdrawn {
 		return
 	}
 	c := b.counts.lockedCell(countKey{under, uint32(class), host})
-	if never {
+	if unsent {
 		c.Unsent++
 	} else {
 		c.Withdrawn++
@@ -68,7 +69,7 @@
 	b.counts.mu.Unlock()
 }
 
-// at returns a key's cell, with the lock held.
+// lockedCell returns a key's cell, with mu locked.
 func (c *counts) lockedCell(k countKey) *cell {
 	c.mu.Lock()
 	if got := c.cells[k]; got != nil {
@@ -76,7 +77,7 @@
 	}
 	full := len(c.cells) >= maxCells
 	c.mu.Unlock()
-	made := &cell{} // names are asked for without the lock: whoever gives them may be in the middle of a Change
+	made := &cell{} // names is called without the lock, for it may wait for a Change
 	if full {
 		k = overflowKey(k.versionID)
 	} else if c.names != nil {
@@ -94,8 +95,8 @@
 	return made
 }
 
-// take returns entries of what was counted since it was last called, in order of numbers, classes and hosts. Cells stay for
-// another window, so that steady traffic makes none.
+// take returns entries of what was counted since the last call, in order of versions, classes and hosts. Cells stay for another
+// window, so that steady traffic allocates none.
 func (c *counts) take() (entries []Entry) {
 	type counted struct {
 		under uint32
--- a/internal/auditlog/full_disk_test.go
+++ b/internal/auditlog/full_disk_test.go
@@ -22,13 +22,13 @@
 
 // Guards against a disk that is full and never said to be: the first attempt fails for another reason, the second one for
 // want of space, and an operator has to read of both.
-func TestEachCauseIsTold(t *testing.T) {
+func TestEachCauseIsReported(t *testing.T) {
 	unlock, err := fullDisk(t).Lock(tempName)
 	if err != nil || unlock == nil {
 		t.Fatal("the lock is not to be had", err)
 	}
-	b := book("a", nil)
-	list(b, 1)
+	b := newTestLog("a", nil)
+	adoptList(b, 1)
 	var told []string
 	f := &Writer{Disk: fullDisk(t), Log: b, OnFault: func(err error) { told = append(told, err.Error()) }}
 	f.setResult(f.write(true))
--- a/internal/auditlog/book.go
+++ b/internal/auditlog/log.go
@@ -10,44 +10,44 @@
 	"pinelb.example/pinelb/internal/version"
 )
 
-// What the book holds. With 12 hosts and three classes an entry of counts is 2 KB, so this is the last 40 minutes; a disk that
-// is gone for that long loses nothing. It goes whole into the hand-over's message (8 MiB at most) and a process has 32 MB.
+// What a Log keeps. With 12 hosts and three classes an entry of counts is 2 KB, so this is the last 40 minutes; a disk that
+// is unavailable for that long loses nothing. All of it goes into the hand-over's message (8 MiB at most); a process has 32 MB.
 const (
 	maxRingBytes   = 512 << 10 // as JSON
-	maxRingEntries = 2048      // a list that changes several times a second makes entries of 500 bytes
-	maxCountsBytes = 16 << 10  // of counts, about: more goes into a further entry, so that an answer has room for some
-	maxTextBytes   = 256       // bytes of any text in an entry, but for orders, which are bounded as they come
+	maxRingEntries = 2048      // of 500 bytes each, where a list changes several times a second
+	maxCountsBytes = 16 << 10  // of an entry of counts, about; the rest goes into another one, so that several fit into a report
+	maxTextBytes   = 256       // of any text in an entry, except in orders, which are bounded when they are parsed
 )
 
-// Log is what a process of a sidecar has of its trail: the last entries, and the version that it acts on. A nil *Book keeps
-// nothing. It may be used by many goroutines at once.
+// Log has the last entries of a process, and the version that it acts on. A nil *Log keeps nothing. It may be used by many
+// goroutines at once.
 type Log struct {
 	incarnation string
 	clock       func() persistence.Timestamp
 	counts      counts
 
-	// Updated has a value where there are entries that whoever writes them has not looked at.
+	// Updated has a value when there are entries that the writer hasn't seen.
 	Updated chan struct{}
 
-	mu        sync.Mutex // before counts' own
+	mu        sync.Mutex // taken before counts' own
 	ring      []Entry
-	sizes     []int // of each of them, as JSON
+	sizes     []int // of each, in bytes of JSON
 	size      int   // of all
-	last      Entry // of which only Seq and Sum are needed
+	last      Entry // of which only Seq and Sum are used
 	current   version.Version
 	versionID uint32
 
-	lastOrder     *Entry // the last that was taken
-	lastAdoption  *Entry // the last of this process
-	lastRejection *Entry // the last order that was refused
+	lastOrder     *Entry // the last one that was accepted
+	lastAdoption  *Entry // the last one of this process
+	lastRejection *Entry // the last order that was rejected
 }
 
-// NewLog returns the book of a process that goes on from a past, which a disk had or a former process handed over; nil where
-// there is none. Life is the process's own, from says whose past it is. The epoch of the last order that was taken holds on.
-func NewLog(life, from string, past []Entry, clock func() persistence.Timestamp) *Log {
-	b := &Log{incarnation: life, clock: clock, Updated: make(chan struct{}, 1)}
+// NewLog returns the log of a process that continues the entries before it, from a disk or from a predecessor; nil where there
+// are none. Source says which. The epoch of the last accepted order stays in force.
+func NewLog(incarnation, source string, past []Entry, clock func() persistence.Timestamp) *Log {
+	b := &Log{incarnation: incarnation, clock: clock, Updated: make(chan struct{}, 1)}
 	past = slices.Clone(past)
-	slices.SortStableFunc(past, bySeq) // no number is given again
+	slices.SortStableFunc(past, bySeq) // so that no number is assigned again
 	for _, e := range past {
 		text, _ := json.Marshal(e)
 		b.push(e, len(text))
@@ -55,7 +55,7 @@
 	}
 	epoch, by := LastOrder(past)
 	b.current.Epoch = epoch
-	b.append(Entry{Kind: Started, From: truncate(from)})
+	b.append(Entry{Kind: Started, From: truncate(source)})
 	for _, e := range past {
 		if f := e.acceptedMinimum(); f != nil && f.Epoch == epoch && f.By == by {
 			b.lastOrder = &e
@@ -65,10 +65,10 @@
 	return b
 }
 
-// Change has the process act on another version: edit makes it of the one before, from says whom it comes from, and apply has
-// it take effect, under the number that every attempt is counted by from then on. Changes are applied one after the other, in
-// the order of their numbers; what changes nothing keeps the number. Apply must not call the book, but for Sent and Ended.
-// Attempts under the number before may still be counted: they come into a later entry, under that number.
+// Change records that the process acts on another version. Edit makes it from the one before, from is its source, and apply
+// puts it into force, under the number by which attempts are counted from then on. Changes are applied one after the other, in
+// the order of their numbers; one that changes nothing keeps the number. Apply must not call the log, except for Sent and
+// Ended. Attempts under the number before may still be counted: they come into a later entry, under that number.
 func (b *Log) Change(edit func(*version.Version), from string, apply func(under uint32)) {
 	if b == nil {
 		apply(0)
@@ -89,8 +89,8 @@
 	apply(b.versionID)
 }
 
-// Append takes an entry of what has happened, with the attempts so far before an end; its number, time, life and sums are the book's. An order that only renews the one
-// noted last is not noted: auditors send them every round.
+// Append appends an entry, before an Ended one with the attempts so far; its number, times, incarnation and checksums are the
+// log's. An order that only renews the last one is left out: auditors send them every round.
 func (b *Log) Append(e Entry) {
 	if b == nil {
 		return
@@ -119,16 +119,16 @@
 	*before = b.append(e)
 }
 
-// renews says whether an order tells nothing that the one before has not, but that its ticket goes on.
+// isRenewal reports whether an order contains nothing that the one before hasn't, except a renewed permit.
 func isRenewal(a, b *version.Order) bool {
 	return reflect.DeepEqual(a.Minimum, b.Minimum) && (a.Permit == nil) == (b.Permit == nil) &&
 		(a.Permit == nil || a.Permit.Number == b.Permit.Number)
 }
 
-// clip keeps what comes from outside from filling the ring.
+// truncate bounds text from outside, which must not fill the ring.
 func truncate(s string) string { return s[:min(len(s), maxTextBytes)] }
 
-// Flush notes the attempts since the last time, where there were any.
+// Flush appends the attempts since the last time, if there were any.
 func (b *Log) Flush() {
 	if b == nil {
 		return
@@ -138,15 +138,16 @@
 	b.flush()
 }
 
+// flush is Flush for a caller that holds mu.
 func (b *Log) flush() {
 	for _, e := range b.counts.take() {
 		b.append(e)
 	}
 }
 
-// EntriesSince returns the entries of that number and later ones, the oldest first, so many as have most bytes as JSON, but one at
-// least; the number to ask for next; and that of the oldest that is kept: those before it are dropped.
-func (b *Log) EntriesSince(seq uint64, most int) (entries []Entry, next, first uint64) {
+// EntriesSince returns the entries from that number on, the oldest first, as many as have at most maxBytes of JSON, but at
+// least one; the number to continue from; and the number of the oldest entry that is kept.
+func (b *Log) EntriesSince(seq uint64, maxBytes int) (entries []Entry, next, first uint64) {
 	if b == nil {
 		return nil, 1, 1
 	}
@@ -157,7 +158,8 @@
 		if e.Seq < seq {
 			continue
 		}
-		if most -= b.sizes[i]; most < 0 && len(entries) > 0 {
+		maxBytes -= b.sizes[i]
+		if maxBytes < 0 && len(entries) > 0 {
 			next = e.Seq
 			break
 		}
@@ -166,7 +168,7 @@
 	return entries, next, b.ring[0].Seq
 }
 
-// Entries is all that is kept, with the attempts so far, for the process that succeeds this one.
+// Entries returns all entries that are kept, with the attempts so far, for a successor.
 func (b *Log) Entries() []Entry {
 	if b == nil {
 		return nil
@@ -177,7 +179,7 @@
 	return slices.Clone(b.ring)
 }
 
-// Version is what the process acts on, and its number; 0 is nothing yet.
+// Version returns what the process acts on, and its number; 0: nothing yet.
 func (b *Log) Version() (version.Version, uint32) {
 	if b == nil {
 		return version.Version{}, 0
@@ -187,13 +189,13 @@
 	return b.current, b.versionID
 }
 
-// note makes an entry the last, and returns it.
+// append appends an entry and returns it; the caller holds mu.
 func (b *Log) append(e Entry) *Entry {
 	now := b.clock()
 	e.At, e.Up, e.Incarnation = version.Millis(now.Wall.UnixMilli()), version.Millis(now.Up.Milliseconds()), b.incarnation
 	e, text, err := link(b.last, e)
 	if err != nil {
-		return nil // it has no such values
+		return nil // no value of it fails to encode
 	}
 	b.last = e
 	b.push(e, len(text))
@@ -205,7 +207,7 @@
 	return &e
 }
 
-// put takes an entry into the ring, and drops the oldest that have no room any more.
+// push puts an entry into the ring, and drops the oldest ones beyond its bounds.
 func (b *Log) push(e Entry, size int) {
 	b.ring, b.sizes, b.size = append(b.ring, e), append(b.sizes, size), b.size+size
 	drop := 0
@@ -214,19 +216,19 @@
 		drop++
 	}
 	if drop > 0 {
-		clear(b.ring[:drop]) // nothing is held by what is dropped
+		clear(b.ring[:drop]) // for the garbage collector
 		b.ring, b.sizes = b.ring[drop:], b.sizes[drop:]
 	}
 }
 
-// repeat notes the last order and the last adoption again once they have been dropped: what the ring and the files hold always
-// tells the epoch and the version.
+// repeatDropped appends the last order and the last adoption again once they have been dropped, so that the ring and the files
+// always contain the epoch and the version.
 func (b *Log) repeatDropped() {
 	for _, kept := range []**Entry{&b.lastOrder, &b.lastAdoption} {
 		if e := *kept; e != nil && e.Seq < b.ring[0].Seq {
 			again := *e
 			again.From = "kept"
-			*kept = nil // against doing so twice
+			*kept = nil // append calls repeatDropped
 			*kept = b.append(again)
 		}
 	}
--- a/internal/auditlog/report.go
+++ b/internal/auditlog/report.go
@@ -9,17 +9,17 @@
 	"pinelb.example/pinelb/internal/version"
 )
 
-// MaxReportBytes is how long a report may be, in bytes.
+// MaxReportBytes bounds a report.
 const MaxReportBytes = 256 << 10
 
 const (
-	maxNameBytes  = 512     // bytes of a name: of a host, a class, a process, a build
-	maxAttempts   = 1024    // of one entry: a book writes some 16 KB of them
-	maxOrderBytes = 4 << 10 // bytes of an order as it comes
+	maxNameBytes  = 512     // of a host's, a class's, a process's or a build's name
+	maxAttempts   = 1024    // of one entry; a Log writes some 16 KB of them
+	maxOrderBytes = 4 << 10 // of an order
 )
 
-// ParseReport reads a sidecar's answer. What is too long, missing, of another type or impossible is an error that names the
-// key. Whether the entries are a whole chain is for Check to say.
+// ParseReport decodes a sidecar's report. An error names the key that is missing, too long, of another type or out of range.
+// Whether the entries are a complete chain is for Check to say.
 func ParseReport(text []byte) (Report, error) {
 	var r Report
 	if len(text) > MaxReportBytes {
@@ -68,7 +68,7 @@
 	return r, nil
 }
 
-// check looks at what the types leave open.
+// check returns an error for a value that the types don't exclude.
 func (r *Report) check() error {
 	for _, f := range []struct {
 		key string
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// check looks at what the types leave open; the chain is not looked at.
+// check returns an error for a value that the types don't exclude; the chain isn't checked.
 func (e *Entry) check() error {
 	for _, f := range []struct {
 		key string
@@ -139,7 +139,7 @@
 	return len(v.List.From) <= maxNameBytes && len(v.Build) <= maxNameBytes
 }
 
-// minimumFits looks at the size alone: an order that was refused may be any nonsense, and is told as it came.
+// minimumFits checks the size alone: a rejected order may have any content, and is reported as it came.
 func minimumFits(f *version.MinimumVersion) bool {
 	size := len(f.By) + len(f.Site)
 	for _, b := range f.Builds {
--- a/internal/auditlog/report_test.go
+++ b/internal/auditlog/report_test.go
@@ -13,9 +13,9 @@
 )
 
 // report is a sidecar's answer with some entries.
-func report() Report {
-	b := book("a", nil)
-	busy(b, 1)
+func testReport() Report {
+	b := newTestLog("a", nil)
+	appendAllKinds(b, 1)
 	r := Report{Name: "n", Zone: "z", Site: "s", Instances: 3, Incarnation: "a", ListAge: -1, State: "shut", Reason: "old",
 		Minimum: &version.MinimumVersion{Epoch: 1}, Permit: &version.Permit{Number: 1}}
 	r.Version, r.VersionID = b.Version()
@@ -24,12 +24,12 @@
 }
 
 // Guards against an answer that is taken and can't be, and against an error that does not name the key.
-func TestReportsKeys(t *testing.T) {
-	good, err := json.Marshal(report())
+func TestReportKeys(t *testing.T) {
+	good, err := json.Marshal(testReport())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r, err := ParseReport(good); err != nil || !reflect.DeepEqual(r, report()) {
+	if r, err := ParseReport(good); err != nil || !reflect.DeepEqual(r, testReport()) {
 		t.Fatalf("%+v, %v", r, err)
 	}
 	for _, c := range []struct{ old, new, says string }{
@@ -63,7 +63,7 @@
 
 // FuzzReport: whatever a sidecar answers is an error, or a report that is the same once it is written and read again.
 func FuzzReport(f *testing.F) {
-	good, _ := json.Marshal(report())
+	good, _ := json.Marshal(testReport())
 	f.Add(good)
 	f.Add(good[:len(good)/2])
 	f.Add([]byte(`{"name":"n","entries":[{"seq":1e3}]}`))
@@ -83,10 +83,10 @@
 	})
 }
 
-// FuzzFile: whatever two files hold, a book goes on after it, and what it writes then is read again with the same faults.
-func FuzzFile(f *testing.F) {
-	b := book("a", nil)
-	busy(b, 1)
+// FuzzLogFile: whatever two files hold, a book goes on after it, and what it writes then is read again with the same faults.
+func FuzzLogFile(f *testing.F) {
+	b := newTestLog("a", nil)
+	appendAllKinds(b, 1)
 	var text []byte
 	for _, e := range b.Entries() {
 		text = appendLine(text, e)
@@ -95,15 +95,15 @@
 	f.Add(text[300:], text[100:])
 	f.Add([]byte("{}\n"), []byte(`{"seq":4611686018427387904}`+"\n"))
 	f.Fuzz(func(t *testing.T, one, two []byte) {
-		d := newDisk(-1)
+		d := newMemoryDisk(-1)
 		d.files[filePrefix+"1"] = &content{one, one}
 		d.files[filePrefix+"2"] = &content{two, two}
 		past, faults, err := Load(d)
 		if err != nil || !slices.IsSortedFunc(past, bySeq) {
 			t.Fatal(err)
 		}
-		next := book("the next", past)
-		w := writer(d, next)
+		next := newTestLog("the next", past)
+		w := newTestWriter(d, next)
 		if err := w.write(true); err != nil {
 			t.Fatal(err)
 		}
@@ -119,7 +119,7 @@
 	for _, nobody := range []bool{true, false} {
 		var k *Log
 		if !nobody {
-			k = book("a", nil)
+			k = newTestLog("a", nil)
 		}
 		once := func(i int) {
 			host := balance.EndpointID(i % 12)
@@ -150,7 +150,7 @@
 func BenchmarkFlush(b *testing.B) {
 	for _, hosts := range []int{12, 5000} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
-			k := book("a", nil)
+			k := newTestLog("a", nil)
 			size := 0
 			for b.Loop() {
 				for i := range 3 * hosts {
--- a/internal/version/actor.go
+++ b/internal/version/actor.go
@@ -2,163 +2,55 @@
 
 import (
 	"fmt"
-	"math"
 	"math/rand/v2"
 	"time"
 )
 
-// Tunables of a sidecar that looks at itself.
+// Time-outs of an Actor.
 const (
-	StopThreshold      = 2 * time.Second         // between two beats: a stop that may hide that a host was told to leave. Shorter ones are a busy machine's
-	maxWakeWait        = 1500 * time.Millisecond // that it waits for the list service after a stop: a watch of 1 s, and its answer. Then it acts: a list service that is down must not be an outage
-	minRequestInterval = 2 * time.Second         // between two times that the same is asked for because of a floor, so that a floor that can't be met is no load
-	shutOutRetryAfter  = time.Second             // that a client of a shut sidecar is told to wait: it can be back with the list service's next answer
+	StopThreshold      = 2 * time.Second         // between two heartbeats, above which the process was stopped for so long that it may have missed a host's removal; shorter gaps are a busy machine's
+	maxWakeWait        = 1500 * time.Millisecond // for the list service after a stop: a long poll of 1 s and its answer. After that the sidecar acts: a list service that is down must not be an outage
+	minRequestInterval = 2 * time.Second         // between two requests for the same thing, so that a minimum version that can't be met is no load
+	shutOutRetryAfter  = time.Second             // the Retry-After of a sidecar that is shut out: it may be back with the list service's next answer
 )
 
-// Forever is when a verdict ends that time alone doesn't end.
-const Forever = time.Duration(math.MaxInt64)
-
-// Limits are what a sidecar's own settings say of being shut out.
-type Limits struct {
-	Site      string
-	Share     float64       // of the fleet that may be shut out at once, 0 to 1
-	Instances int           // of the fleet
-	Rank      int           // among them, from 0
-	Lease     time.Duration // without a word of the list service or an auditor it is alone; 0: never
-	Closed    bool          // who is alone shuts itself out, if its rank is one that may
-}
-
-// most is how many numbers of tickets count, and how many may shut themselves out because they are alone. The two happen at the
-// same time to different sidecars, and nobody who is alone can be asked: each has its part of the share, so that no auditor can
-// bring the fleet beyond it.
-func (l Limits) shutOutLimits() (tickets, alone int) {
-	tickets = MaxShutOut(l.Share, l.Instances)
-	if l.Closed && l.Lease > 0 {
-		alone = (tickets + 1) / 2
-	}
-	return tickets - alone, alone
-}
-
-// mayShutOutAlone tells whether the sidecar is one of those that shut themselves out when they are alone. They are spread evenly over
-// the ranks, which zones commonly are as well.
-func (l Limits) mayShutOutAlone() bool {
-	_, alone := l.shutOutLimits()
-	if alone == 0 || l.Rank < 0 || l.Rank >= l.Instances {
-		return false
-	}
-	step := l.Instances / alone
-	return l.Rank%step == 0 && l.Rank/step < alone
-}
-
-// Order's refusals, beside KeyError.
-type (
-	// StaleOrderError is an order that a later one has overtaken, or that comes too late.
-	StaleOrderError struct{ Reason string }
-	// WrongSiteError is an order for another site.
-	WrongSiteError struct{ Site, Own string }
-)
-
-func (e StaleOrderError) Error() string { return "version: the order is old: " + e.Reason }
-func (e WrongSiteError) Error() string {
-	return fmt.Sprintf("version: the order is for the site %q, this is %q", e.Site, e.Own)
-}
-
-// The states of a sidecar.
-const (
-	Active   = "acts"
-	Behind   = "behind" // under the floor, and its grace is over
-	Resuming = "waking" // it was stopped and has not heard the list service since
-	ShutOut  = "shut"
-)
-
-// Verdict is what a sidecar may do.
-type Verdict struct {
-	State      string
-	Reason     string        // empty where it simply acts
-	Since      time.Duration // the time at which that began
-	Until      time.Duration // up to then it holds, unless something happens or a beat is Gap late
-	RetryAfter time.Duration // after which a refused client may come again
-}
-
-// AcceptsStreams tells whether new streams are taken.
-func (v Verdict) AcceptsStreams() bool { return v.State != ShutOut && v.State != Resuming }
-
-// SendsAttempts tells whether attempts go out. One that is shut out answers what it has taken, from whatever list it has.
-func (v Verdict) SendsAttempts() bool { return v.State != Resuming }
-
-// Actions is what the sidecar has to do to come up to the floor.
-type Actions struct {
-	RefreshList    bool // ask the list service for the whole list, now
-	RereadConfig   bool // read the configuration again, now
-	NeedsSuccessor bool // its build is under the floor: it can but tell that it has to be succeeded
-}
-
-// Actor is what a sidecar knows of floors and of itself, and what follows. Its owner keeps the events in order.
+// Actor decides for one sidecar. It knows the minimum version in force and what the sidecar acts on. Its owner passes the
+// events in their order.
 type Actor struct {
 	limits  Limits
 	rand    *rand.Rand
 	current Version
-	epoch   uint64 // of the last order taken,
-	by      string // and whose
+	epoch   uint64 // of the last order accepted
+	by      string // the auditor of that order
 
 	minimum       *MinimumVersion // nil: none
 	minimumExpiry time.Duration
-	graceEnd      time.Duration // from when on it is behind, if it is under the floor
+	graceEnd      time.Duration // from when on it is behind, if it is below the minimum
 	belowMinimum  bool
 
-	permit       *Permit // the last one, perhaps lapsed; nil: none
+	permit       *Permit // the last one, which may have expired; nil: none
 	permitStart  time.Duration
 	permitExpiry time.Duration
 
 	lastHeartbeat time.Duration
 	resuming      bool
 	resumedAt     time.Duration
-	lastContact   time.Duration // when it heard or was vouched for last
+	lastContact   time.Duration // when the list service or an auditor was last heard
 
 	listRequests, configRequests requestSchedule
 }
 
-// moment is when something is asked for. It has its own place in the spread and keeps it, so that a fleet stays spread.
-type requestSchedule struct {
-	wanted bool
-	next   time.Duration
-	last   time.Duration // 0: never
-}
-
-// want says whether the floor makes the thing wanted; where it was not before, its moment is drawn.
-func (m *requestSchedule) update(wanted bool, now time.Duration, f *MinimumVersion, r *rand.Rand) {
-	if wanted && !m.wanted {
-		m.next = now
-		if f.Spread > 0 {
-			m.next += time.Duration(r.Int64N(int64(f.Spread.D())))
-		}
-		if m.last != 0 {
-			m.next = max(m.next, m.last+f.requestInterval())
-		}
-	}
-	m.wanted = wanted
-}
-
-// due tells whether the moment has come, and sets the next one.
-func (m *requestSchedule) due(now, pause time.Duration) bool {
-	if now < m.next {
-		return false
-	}
-	m.next, m.last = now+pause, now
-	return true
-}
-
-// NewActor returns that of a process that starts now and last took the order of this epoch and auditor.
+// NewActor returns the actor of a process that starts now and has last accepted the order of this epoch and auditor.
 func NewActor(now time.Duration, l Limits, r *rand.Rand, epoch uint64, by string) *Actor {
 	a := &Actor{limits: l, rand: r, epoch: epoch, by: by, lastHeartbeat: now, lastContact: now}
 	a.current.Epoch = epoch
 	return a
 }
 
-// LastOrder is the last order that was taken, for the next process.
+// LastOrder returns the last order that was accepted, for the next process.
 func (a *Actor) LastOrder() (epoch uint64, by string) { return a.epoch, a.by }
 
-// Minimum is the floor in force, or nil; what it points to stays as it is.
+// Minimum returns the minimum version in force, or nil. It is not to be changed.
 func (a *Actor) Minimum(now time.Duration) *MinimumVersion {
 	if a.minimum == nil || now >= a.minimumExpiry {
 		return nil
@@ -166,15 +58,15 @@
 	return a.minimum
 }
 
-// Permit is the ticket in force, or nil.
+// Permit returns the permit in force, or nil.
 func (a *Actor) Permit(now time.Duration) *Permit {
-	if tickets, _ := a.limits.shutOutLimits(); a.permit == nil || now >= a.permitExpiry || a.permit.Number >= tickets {
+	if permits, _ := a.limits.shutOutLimits(); a.permit == nil || now >= a.permitExpiry || a.permit.Number >= permits {
 		return nil
 	}
 	return a.permit
 }
 
-// SetLimits takes other limits. What was ordered for another site holds no more.
+// SetLimits replaces the limits. Orders for another site lose their force.
 func (a *Actor) SetLimits(l Limits) {
 	if l.Site != a.limits.Site {
 		a.minimum, a.permit, a.belowMinimum = nil, nil, false
@@ -182,15 +74,15 @@
 	a.limits = l
 }
 
-// Adopt says what the sidecar acts on from now on; the epoch in it is not looked at.
+// Adopt records what the sidecar acts on from now on; the version's epoch is ignored.
 func (a *Actor) Adopt(now time.Duration, v Version) {
 	v.Epoch = a.epoch
 	a.current = v
 	a.evaluate(now)
 }
 
-// judge looks whether it is under the floor. The grace runs from when it came under one: who was under the one before gets no
-// new grace, for one floor after the other would be a grace without end.
+// evaluate checks whether the version in force is below the minimum. The grace runs from when it first was: a sidecar that was
+// below the minimum version before gets no new grace, or a sequence of them would be a grace without end.
 func (a *Actor) evaluate(now time.Duration) {
 	f := a.Minimum(now)
 	if f == nil {
@@ -207,8 +99,8 @@
 	a.configRequests.update(!(settings && file), now, f, a.rand)
 }
 
-// ConfirmList says that the list service answered what it was asked at the time asked, which proves the list fresh. What was asked
-// before a stop may have been answered before it as well, and proves nothing of now.
+// ConfirmList records that the list service has answered a question of the time asked, which proves that the list is current.
+// The answer to a question from before a stop may be from before the stop, too, and proves nothing about now.
 func (a *Actor) ConfirmList(now, asked time.Duration) {
 	a.Heartbeat(now)
 	if a.resuming && asked < a.resumedAt {
@@ -218,10 +110,10 @@
 	a.resuming, a.lastContact = false, now
 }
 
-// ConfirmByAuditor says that an auditor has seen it.
+// ConfirmByAuditor records that an auditor has contacted the sidecar.
 func (a *Actor) ConfirmByAuditor(now time.Duration) { a.lastContact = max(a.lastContact, now) }
 
-// Heartbeat says that the process runs, and returns for how long it did not: 0 unless that may hide something.
+// Heartbeat records that the process runs, and returns for how long it was stopped: 0 up to StopThreshold.
 func (a *Actor) Heartbeat(now time.Duration) time.Duration {
 	gap := now - a.lastHeartbeat
 	a.lastHeartbeat = max(a.lastHeartbeat, now)
@@ -233,9 +125,9 @@
 	return gap
 }
 
-// Accept takes an order, or refuses it with an error of type KeyError, WrongSiteError or Older and leaves all as it was. wall is the Unix
-// time by the own clock. A ticket is taken back by an order of a higher epoch without one; within an epoch it lapses, for an order
-// without one that comes late looks the same.
+// Accept accepts an order, or rejects it with an error of type KeyError, WrongSiteError or StaleOrderError and changes nothing.
+// Wall is the Unix time by the sidecar's clock. An order of a higher epoch without a permit revokes the permit; within an epoch
+// the permit expires, for an order without one may only be a late one.
 func (a *Actor) Accept(now, wall time.Duration, o Order) error {
 	if err := o.Check(); err != nil {
 		return err
@@ -267,7 +159,7 @@
 	if order != 0 || a.minimum == nil {
 		a.adoptMinimum(now, f)
 	}
-	// The same one once more prolongs nothing.
+	// The same permit received once more isn't renewed.
 	if t := o.Permit; t != nil && (a.permit == nil || t.Issued > a.permit.Issued) {
 		if a.permit == nil || now >= a.permitExpiry {
 			a.permitStart = now
@@ -277,27 +169,22 @@
 	return nil
 }
 
-// raise takes a floor.
+// adoptMinimum puts a minimum version in force.
 func (a *Actor) adoptMinimum(now time.Duration, f MinimumVersion) {
 	if a.Minimum(now) == nil {
-		a.belowMinimum = false // what was under one that has lapsed begins anew
+		a.belowMinimum = false // the grace begins anew after one that has expired
 	}
 	a.epoch, a.by, a.current.Epoch = f.Epoch, f.By, f.Epoch
 	a.minimum, a.minimumExpiry = &f, now+f.Validity.D()
 	a.evaluate(now)
 }
 
-// pause is the least time between two times that a sidecar under the floor asks for the same.
-func (f *MinimumVersion) requestInterval() time.Duration {
-	return max(minRequestInterval, f.Spread.D())
-}
-
-// Verdict is what the sidecar may do now.
+// Verdict returns what the sidecar may do now.
 func (a *Actor) Verdict(now time.Duration) Verdict {
 	if a.resuming || now-a.lastHeartbeat > StopThreshold {
 		woke := a.resumedAt
 		if now-a.lastHeartbeat > StopThreshold {
-			woke = now // and its owner has not even noticed
+			woke = now // the owner hasn't called Heartbeat since the stop
 		}
 		if end := woke + maxWakeWait; now < end {
 			return Verdict{State: Resuming, Reason: "was stopped and has not heard the list service since", Since: woke, Until: end, RetryAfter: end - now}
@@ -335,7 +222,7 @@
 	return v
 }
 
-// Actions is what to do now; each thing is asked for once, and again when its next moment has come.
+// Actions returns what to do now. Each thing is requested once, and again when its next time has come.
 func (a *Actor) Actions(now time.Duration) Actions {
 	waking := a.resuming && now < a.resumedAt+maxWakeWait
 	f := a.Minimum(now)
--- a/internal/version/actor_test.go
+++ b/internal/version/actor_test.go
@@ -12,12 +12,12 @@
 const s = time.Second
 
 // oracle has a sidecar's past as a plain log and answers each question by reading it from its beginning.
-type oracle struct {
+type model struct {
 	limits Limits
-	log    []happened
+	log    []modelEvent
 }
 
-type happened struct {
+type modelEvent struct {
 	at    time.Duration
 	what  string
 	v     Version
@@ -26,10 +26,10 @@
 	asked time.Duration
 }
 
-func (r *oracle) add(h happened) { r.log = append(r.log, h) }
+func (r *model) add(h modelEvent) { r.log = append(r.log, h) }
 
 // state is what the sidecar has to be at the time, and its floor and whether its ticket is valid.
-func (r *oracle) state(now time.Duration) (state string, floor *MinimumVersion, ticket bool) {
+func (r *model) state(now time.Duration) (state string, floor *MinimumVersion, ticket bool) {
 	var v Version
 	var lapses, ripe, contact, woke, ticketEnd time.Duration
 	var issued Millis
@@ -101,14 +101,14 @@
 
 // A sidecar is at all times what the oracle reads from its past, holds no order older than one it took, and a verdict holds up to
 // the time it states.
-func TestActorAgainstOracle(t *testing.T) {
+func TestActorAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pick := func(name string, n int) int { return rapid.IntRange(0, n-1).Draw(t, name) }
 		l := Limits{Site: "s", Share: float64(pick("share", 5)) / 4, Instances: pick("instances", 6), Rank: pick("rank", 6),
 			Lease: time.Duration(pick("lease", 3)) * 3 * s, Closed: pick("closed", 2) == 1}
 		now, skew := 100*s, time.Duration(pick("skew", 11)-5)*s
 		a := NewActor(now, l, rand.New(rand.NewPCG(1, 2)), 0, "")
-		r := oracle{limits: l, log: []happened{{at: now, what: "began"}}}
+		r := model{limits: l, log: []modelEvent{{at: now, what: "began"}}}
 		var epoch uint64
 		var by string
 		var last Verdict
@@ -128,18 +128,18 @@
 			case 3:
 				now += 2*s + time.Duration(1+pick("stop", 8000))*time.Millisecond
 				a.Heartbeat(now)
-				r.add(happened{at: now, what: "stopped"})
+				r.add(modelEvent{at: now, what: "stopped"})
 			case 4:
 				v := Version{List: List{Revision: int64(pick("revision", 4)), Digest: Digest(1 + pick("digest", 4))}, Settings: Digest(1 + pick("settings", 2))}
 				a.Adopt(now, v)
-				r.add(happened{at: now, what: "adopted", v: v})
+				r.add(modelEvent{at: now, what: "adopted", v: v})
 			case 5:
 				asked := now - time.Duration(pick("asked", 3))*s
 				a.ConfirmList(now, asked)
-				r.add(happened{at: now, what: "heard", asked: asked})
+				r.add(modelEvent{at: now, what: "heard", asked: asked})
 			case 6:
 				a.ConfirmByAuditor(now)
-				r.add(happened{at: now, what: "vouched"})
+				r.add(modelEvent{at: now, what: "vouched"})
 			default:
 				var o Order
 				if len(sent) > 0 && pick("again", 2) == 0 {
@@ -177,7 +177,7 @@
 				}
 				if err == nil {
 					epoch, by = o.Minimum.Epoch, o.Minimum.By
-					r.add(happened{at: now, what: "taken", o: o, age: age})
+					r.add(modelEvent{at: now, what: "taken", o: o, age: age})
 				}
 			}
 			state, floor, ticket := r.state(now)
--- a/internal/version/auditor_test.go
+++ b/internal/version/auditor_test.go
@@ -10,7 +10,7 @@
 )
 
 // bench is an auditor and a fleet that takes what it orders at once, and never acts on it.
-type bench struct {
+type auditorFixture struct {
 	a     *Auditor
 	now   time.Duration
 	fleet []Observation
@@ -23,8 +23,8 @@
 	newList = List{Revision: 6, Digest: 2}
 )
 
-func newBench(n int, share float64) *bench {
-	b := &bench{now: 100 * time.Second, d: Reference{List: newList}}
+func newAuditorFixture(n int, share float64) *auditorFixture {
+	b := &auditorFixture{now: 100 * time.Second, d: Reference{List: newList}}
 	b.a = NewAuditor(Rules{By: "a", Site: "s", Share: share, Grace: 2 * time.Second, Validity: time.Minute, RaisesMinimum: true, IssuesPermits: true}, 0)
 	for i := range n {
 		b.fleet = append(b.fleet, Observation{Name: fmt.Sprintf("%03d", i), Zone: "z", Reached: true, Incarnation: fmt.Sprint("life ", i), Site: "s", Instances: n, State: Active,
@@ -34,7 +34,7 @@
 }
 
 // behind leaves the first n with the old list.
-func (b *bench) behind(n int) *bench {
+func (b *auditorFixture) behind(n int) *auditorFixture {
 	for i := range n {
 		b.fleet[i].Version.List = oldList
 	}
@@ -42,7 +42,7 @@
 }
 
 // rounds makes one a second and returns who has a ticket after the last one.
-func (b *bench) rounds(n int) (tickets []string) {
+func (b *auditorFixture) rounds(n int) (tickets []string) {
 	for range n {
 		b.now += time.Second
 		for i := range b.fleet {
@@ -77,67 +77,67 @@
 )
 
 // Each case is what a fleet of ten with one straggler and a share of 0.3 gets after a change, and what it would get without.
-func TestTickets(t *testing.T) {
+func TestPermits(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		change func(b *bench)
+		change func(b *auditorFixture)
 		rounds int
 		want   int
 	}{
-		{"a straggler", func(b *bench) {}, known18, 1},
-		{"a new auditor waits", func(b *bench) {}, known18 - 2, 0},
-		{"not reached", func(b *bench) { b.fleet[0].Reached = false }, known18, 0},
-		{"of another site", func(b *bench) { b.fleet[0].Site = "t" }, known18, 0},
-		{"in its grace", func(b *bench) { b.fleet[0].Version.List = newList; b.rounds(known18); b.behind(1) }, 1, 0},
-		{"after its grace", func(b *bench) { b.fleet[0].Version.List = newList; b.rounds(known18); b.behind(1) }, 4, 1},
-		{"as many as the share", func(b *bench) { b.behind(3) }, known18, 3},
-		{"more than the share are behind", func(b *bench) { b.behind(4) }, known18, 0},
-		{"half was not told to adopt", func(b *bench) { b.behind(5) }, known18, 0},
-		{"a floor that nobody meets", func(b *bench) { b.behind(10) }, known18, 0},
-		{"a floor that nobody meets, and all may be shut out", func(b *bench) { b.behind(10); b.a.rules.Share = 1 }, known18, 0},
-		{"those of another site don't meet it", func(b *bench) { b.behind(3); b.fleet[8].Site, b.fleet[9].Site = "t", "t" }, known18, 0},
-		{"small zones", func(b *bench) { b.behind(3); b.fleet[0].Zone, b.fleet[1].Zone = "y", "y" }, known18, 1},
-		{"one ticket a zone", func(b *bench) {
+		{"a straggler", func(b *auditorFixture) {}, known18, 1},
+		{"a new auditor waits", func(b *auditorFixture) {}, known18 - 2, 0},
+		{"not reached", func(b *auditorFixture) { b.fleet[0].Reached = false }, known18, 0},
+		{"of another site", func(b *auditorFixture) { b.fleet[0].Site = "t" }, known18, 0},
+		{"in its grace", func(b *auditorFixture) { b.fleet[0].Version.List = newList; b.rounds(known18); b.behind(1) }, 1, 0},
+		{"after its grace", func(b *auditorFixture) { b.fleet[0].Version.List = newList; b.rounds(known18); b.behind(1) }, 4, 1},
+		{"as many as the share", func(b *auditorFixture) { b.behind(3) }, known18, 3},
+		{"more than the share are behind", func(b *auditorFixture) { b.behind(4) }, known18, 0},
+		{"half was not told to adopt", func(b *auditorFixture) { b.behind(5) }, known18, 0},
+		{"a floor that nobody meets", func(b *auditorFixture) { b.behind(10) }, known18, 0},
+		{"a floor that nobody meets, and all may be shut out", func(b *auditorFixture) { b.behind(10); b.a.rules.Share = 1 }, known18, 0},
+		{"those of another site don't meet it", func(b *auditorFixture) { b.behind(3); b.fleet[8].Site, b.fleet[9].Site = "t", "t" }, known18, 0},
+		{"small zones", func(b *auditorFixture) { b.behind(3); b.fleet[0].Zone, b.fleet[1].Zone = "y", "y" }, known18, 1},
+		{"one ticket a zone", func(b *auditorFixture) {
 			b.behind(3)
 			for i := range 5 {
 				b.fleet[i].Zone = "y"
 			}
 		}, known18, 1},
-		{"the roster is twice as long", func(b *bench) {
+		{"the roster is twice as long", func(b *auditorFixture) {
 			b.behind(3)
 			for i := range b.fleet {
 				b.fleet[i].Instances = 5
 			}
 		}, known18, 1},
-		{"the roster is half", func(b *bench) {
+		{"the roster is half", func(b *auditorFixture) {
 			for i := range b.fleet {
 				b.fleet[i].Instances = 20
 			}
 		}, known18, 0},
-		{"half is reached", func(b *bench) {
+		{"half is reached", func(b *auditorFixture) {
 			for i := range 5 {
 				b.fleet[9-i].Reached = false
 			}
 		}, known18, 0},
-		{"more than half is reached", func(b *bench) {
+		{"more than half is reached", func(b *auditorFixture) {
 			for i := range 4 {
 				b.fleet[9-i].Reached = false
 			}
 		}, known18, 1},
-		{"lives that are new", func(b *bench) {
+		{"lives that are new", func(b *auditorFixture) {
 			b.rounds(known18)
 			for i := range 5 {
 				b.fleet[9-i].Incarnation = fmt.Sprint("new ", i)
 			}
 		}, 1, 0},
-		{"lives that are new, and have forgotten", func(b *bench) {
+		{"lives that are new, and have forgotten", func(b *auditorFixture) {
 			b.rounds(known18)
 			for i := range 5 {
 				s := &b.fleet[9-i]
 				s.Incarnation, s.Minimum, s.Version.Epoch = fmt.Sprint("new ", i), nil, 0
 			}
 		}, 1, 0},
-		{"names twice", func(b *bench) {
+		{"names twice", func(b *auditorFixture) {
 			for i := range 5 {
 				b.fleet = append(b.fleet, b.fleet[0], b.fleet[i])
 			}
@@ -145,22 +145,22 @@
 			gone.Reached = false
 			b.fleet = append([]Observation{gone}, b.fleet...)
 		}, known18, 1},
-		{"two names for one", func(b *bench) {
+		{"two names for one", func(b *auditorFixture) {
 			for i := range 9 {
 				b.fleet[i].Incarnation = "one"
 			}
 		}, known18, 0},
-		{"a later order", func(b *bench) { b.rounds(known18); b.fleet[5].Version.Epoch = 9 }, 1, 0},
-		{"a later order of the same epoch", func(b *bench) {
+		{"a later order", func(b *auditorFixture) { b.rounds(known18); b.fleet[5].Version.Epoch = 9 }, 1, 0},
+		{"a later order of the same epoch", func(b *auditorFixture) {
 			b.rounds(known18)
 			f := *b.fleet[5].Minimum
 			f.By = "b"
 			b.fleet[5].Minimum = &f
 		}, 1, 0},
-		{"tickets are not asked for", func(b *bench) { b.a.rules.IssuesPermits = false }, known18, 0},
-		{"nothing is raised", func(b *bench) { b.a.rules.RaisesMinimum = false }, known18, 0},
+		{"tickets are not asked for", func(b *auditorFixture) { b.a.rules.IssuesPermits = false }, known18, 0},
+		{"nothing is raised", func(b *auditorFixture) { b.a.rules.RaisesMinimum = false }, known18, 0},
 	} {
-		b := newBench(10, 0.3).behind(1)
+		b := newAuditorFixture(10, 0.3).behind(1)
 		c.change(b)
 		if got := b.rounds(c.rounds); len(got) != c.want {
 			t.Errorf("%s: tickets for %v, should be %d; %+v", c.name, got, c.want, b.last)
@@ -169,8 +169,8 @@
 }
 
 // A ticket's number is one sidecar's until it has lapsed for certain, and the share holds meanwhile.
-func TestTicketsAreHeld(t *testing.T) {
-	b := newBench(10, 0.2).behind(2)
+func TestPermitReservations(t *testing.T) {
+	b := newAuditorFixture(10, 0.2).behind(2)
 	b.rounds(known18)
 	b.fleet[0].Reached, b.fleet[1].Reached = false, false
 	b.fleet[2].Version.List = oldList
@@ -183,8 +183,8 @@
 }
 
 // Who has been under the floor longest gets the ticket that there is.
-func TestLongestFirst(t *testing.T) {
-	b := newBench(10, 0.3)
+func TestLongestBelowFirst(t *testing.T) {
+	b := newAuditorFixture(10, 0.3)
 	for i := range 5 {
 		b.fleet[i].Zone = "y"
 	}
@@ -196,8 +196,8 @@
 }
 
 // An answer that is older than a round gives nobody a ticket.
-func TestOldAnswers(t *testing.T) {
-	b := newBench(10, 0.3).behind(1)
+func TestStaleAnswers(t *testing.T) {
+	b := newAuditorFixture(10, 0.3).behind(1)
 	b.rounds(known18)
 	if r := b.a.Round(b.now+maxAnswerAge, b.now, b.fleet, nil); len(r.Orders) != 1 {
 		t.Errorf("%+v", r.Orders)
@@ -209,7 +209,7 @@
 
 // A list service that has restarted counts from 1 again: who has the old one's list is behind, though its revision is later.
 func TestRestartedListService(t *testing.T) {
-	b := newBench(10, 0.3)
+	b := newAuditorFixture(10, 0.3)
 	b.rounds(1)
 	b.d.List = List{Revision: 1, Digest: 3}
 	for i := range 9 {
@@ -225,7 +225,7 @@
 		t.Errorf("%+v", b.last.Minimum)
 	}
 	// But not one that was told since the service was asked.
-	b = newBench(1, 0.3)
+	b = newAuditorFixture(1, 0.3)
 	b.fleet[0].Version.List = List{Revision: 7, Digest: 9}
 	b.rounds(1)
 	b.d.RequestedAt -= time.Second
@@ -236,8 +236,8 @@
 
 // Floors are raised when the demand changes, but one in a time of grace at most, and anew in half of their time, over the highest epoch known.
 // One that is raised anew, at 80, holds up no other.
-func TestRaise(t *testing.T) {
-	b := newBench(3, 0.5)
+func TestRaiseMinimum(t *testing.T) {
+	b := newAuditorFixture(3, 0.5)
 	b.fleet[2].Version.Epoch = 41
 	var at []int
 	epoch := uint64(0)
@@ -260,7 +260,7 @@
 // the list service still has an earlier one when it is asked once more shows it to be of another life.
 func TestStandings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := newBench(rapid.IntRange(1, 8).Draw(t, "n"), 0.3)
+		b := newAuditorFixture(rapid.IntRange(1, 8).Draw(t, "n"), 0.3)
 		for i := range b.fleet {
 			s := &b.fleet[i]
 			s.Reached = rapid.Bool().Draw(t, "reached")
--- a/internal/version/order.go
+++ b/internal/version/order.go
@@ -10,10 +10,10 @@
 	"strings"
 )
 
-// MaxOrderBytes is how long an order's JSON may be, in bytes.
+// MaxOrderBytes bounds an order's JSON.
 const MaxOrderBytes = 4 << 10
 
-// wire is an order with its digests as texts, so that a fault in one can be told by its key.
+// wireOrder is an order with its digests as strings, so that an error in one can name its key.
 type wireOrder struct {
 	Floor struct {
 		MinimumVersion
@@ -24,8 +24,8 @@
 	Ticket *Permit `json:"ticket"`
 }
 
-// ParseOrder reads an order's JSON, strictly: unknown keys are faults. Errors are of type KeyError and name the key; that of a text
-// that is no single JSON object is "JSON".
+// ParseOrder decodes an order's JSON, strictly: unknown keys are errors. Errors are of type KeyError; for a text that isn't a
+// single JSON object the key is "JSON".
 func ParseOrder(text []byte) (Order, error) {
 	if len(text) > MaxOrderBytes {
 		return Order{}, KeyError{"JSON", fmt.Sprintf("has %d bytes, %d at most", len(text), MaxOrderBytes)}
@@ -34,9 +34,9 @@
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&w); err != nil {
-		var kind *json.UnmarshalTypeError
-		if errors.As(err, &kind) && kind.Field != "" {
-			return Order{}, KeyError{strings.ReplaceAll(kind.Field, ".MinimumVersion.", "."), "is no " + kind.Type.String()}
+		var typeErr *json.UnmarshalTypeError
+		if errors.As(err, &typeErr) && typeErr.Field != "" {
+			return Order{}, KeyError{strings.ReplaceAll(typeErr.Field, ".MinimumVersion.", "."), "is no " + typeErr.Type.String()}
 		}
 		if quoted, ok := strings.CutPrefix(err.Error(), "json: unknown field "); ok {
 			if key, err := strconv.Unquote(quoted); err == nil && key != "" {
--- a/internal/version/search_test.go
+++ b/internal/version/search_test.go
@@ -47,7 +47,7 @@
 	sure   time.Duration // the ticket is valid up to then at least
 }
 
-type world struct {
+type simulation struct {
 	now      time.Duration
 	newest   int
 	share    float64
@@ -55,22 +55,22 @@
 	auditors [auditors]*Auditor // nil: not there
 	walls    [auditors]time.Duration
 	delay    [auditors]bool // its orders of the next round are under way for long
-	pool     []late
+	pool     []delayedOrder
 	lives    int
 }
 
-type late struct {
+type delayedOrder struct {
 	to int
 	o  Order
 }
 
 func auditorName(i int) string { return string(rune('a' + i)) }
 
-func (w *world) begin(n int) {
+func (w *simulation) begin(n int) {
 	w.auditors[n] = NewAuditor(Rules{By: auditorName(n), Site: "s", Share: w.share, Grace: 3 * time.Second, Validity: time.Minute, RaisesMinimum: true, IssuesPermits: true}, 0)
 }
 
-func (w *world) clone() *world {
+func (w *simulation) clone() *simulation {
 	c := *w
 	c.pool, c.sidecars = slices.Clone(w.pool), slices.Clone(w.sidecars)
 	for i, a := range w.auditors {
@@ -92,7 +92,7 @@
 }
 
 // hash tells states apart, by what lies how long ago or ahead, and not by what the clock says.
-func (w *world) hash() uint64 {
+func (w *simulation) hash() uint64 {
 	b := make([]byte, 0, 1024)
 	num := func(ns ...int64) {
 		for _, n := range ns {
@@ -180,7 +180,7 @@
 
 func lifeOf(n int) string { return strconv.Itoa(n + 1) }
 
-func (w *world) start(i, version int, epoch uint64, by string) {
+func (w *simulation) start(i, version int, epoch uint64, by string) {
 	s := &w.sidecars[i]
 	w.lives++
 	s.life, s.version, s.stopped, s.floor, s.under, s.ticket, s.sure = w.lives, version, false, nil, false, 0, 0
@@ -189,7 +189,7 @@
 }
 
 // deliver hands over an order, and notes what the sidecar says of it.
-func (w *world) deliver(l late) error {
+func (w *simulation) deliver(l delayedOrder) error {
 	s := &w.sidecars[l.to]
 	epoch, by := s.actor.LastOrder()
 	if err := s.actor.Accept(w.now, w.now+s.wall, l.o); err != nil {
@@ -217,7 +217,7 @@
 }
 
 // look keeps the judge's view of whether a sidecar is under its floor.
-func (w *world) look(i int) {
+func (w *simulation) look(i int) {
 	s := &w.sidecars[i]
 	v := lists[s.version].List
 	under := s.floor != nil && w.now < s.lapses && v.Digest != s.floor.List && v.Revision <= s.floor.Revision
@@ -227,7 +227,7 @@
 	s.under = under
 }
 
-func (w *world) adopt(i, version int) {
+func (w *simulation) adopt(i, version int) {
 	s := &w.sidecars[i]
 	s.version = version
 	s.actor.Adopt(w.now, lists[version])
@@ -236,7 +236,7 @@
 }
 
 // check is what has to hold at all times.
-func (w *world) check() error {
+func (w *simulation) check() error {
 	shut, size, shutIn := 0, map[string]int{}, map[string]int{}
 	for i := range w.sidecars {
 		s := &w.sidecars[i]
@@ -268,7 +268,7 @@
 }
 
 // tick lets time go on, and then has each auditor make a round and each sidecar hear of the newest list.
-func (w *world) tick() error {
+func (w *simulation) tick() error {
 	for range 4 {
 		w.now += tick / 4
 		for i := range w.sidecars {
@@ -293,7 +293,7 @@
 		round := a.Round(w.now, w.now+w.walls[n], fleet, &Reference{List: lists[w.newest].List, RequestedAt: w.now})
 		for _, o := range round.Orders {
 			to, _ := strconv.Atoi(o.Name)
-			l := late{to, o.Order}
+			l := delayedOrder{to, o.Order}
 			if !w.delay[n] {
 				if err := w.deliver(l); err != nil {
 					return err
@@ -315,16 +315,16 @@
 // fault is what may happen between two ticks. It says whether it could happen.
 type fault struct {
 	name string
-	does func(w *world) (bool, error)
+	does func(w *simulation) (bool, error)
 }
 
 func faults(sidecars int) (out []fault) {
-	add := func(name string, does func(w *world) bool) {
-		out = append(out, fault{name, func(w *world) (bool, error) { return does(w), nil }})
+	add := func(name string, does func(w *simulation) bool) {
+		out = append(out, fault{name, func(w *simulation) (bool, error) { return does(w), nil }})
 	}
 	for i := range sidecars {
-		add(fmt.Sprint("link of the list service and ", i), func(w *world) bool { w.sidecars[i].cut = !w.sidecars[i].cut; return true })
-		add(fmt.Sprint("stop or go on ", i), func(w *world) bool {
+		add(fmt.Sprint("link of the list service and ", i), func(w *simulation) bool { w.sidecars[i].cut = !w.sidecars[i].cut; return true })
+		add(fmt.Sprint("stop or go on ", i), func(w *simulation) bool {
 			s := &w.sidecars[i]
 			s.stopped = !s.stopped
 			if !s.stopped {
@@ -332,19 +332,19 @@
 			}
 			return true
 		})
-		add(fmt.Sprint("restart ", i), func(w *world) bool {
+		add(fmt.Sprint("restart ", i), func(w *simulation) bool {
 			epoch, by := w.sidecars[i].actor.LastOrder()
 			w.start(i, w.sidecars[i].version, epoch, by)
 			return true
 		})
-		add(fmt.Sprint("restart without memory ", i), func(w *world) bool { w.start(i, 0, 0, ""); return true })
-		add(fmt.Sprint("set the clock of ", i), func(w *world) bool { w.sidecars[i].wall *= -1; return true })
+		add(fmt.Sprint("restart without memory ", i), func(w *simulation) bool { w.start(i, 0, 0, ""); return true })
+		add(fmt.Sprint("set the clock of ", i), func(w *simulation) bool { w.sidecars[i].wall *= -1; return true })
 		for n := range auditors {
-			add(fmt.Sprint("link of ", auditorName(n), " and ", i), func(w *world) bool { w.sidecars[i].links[n] = !w.sidecars[i].links[n]; return true })
+			add(fmt.Sprint("link of ", auditorName(n), " and ", i), func(w *simulation) bool { w.sidecars[i].links[n] = !w.sidecars[i].links[n]; return true })
 		}
 	}
 	for n := range auditors {
-		add("begin or die "+auditorName(n), func(w *world) bool {
+		add("begin or die "+auditorName(n), func(w *simulation) bool {
 			if w.auditors[n] != nil {
 				w.auditors[n] = nil
 			} else {
@@ -352,28 +352,28 @@
 			}
 			return true
 		})
-		add("set the clock of "+auditorName(n), func(w *world) bool { w.walls[n] *= -1; return w.auditors[n] != nil })
-		add("delay orders of "+auditorName(n), func(w *world) bool {
+		add("set the clock of "+auditorName(n), func(w *simulation) bool { w.walls[n] *= -1; return w.auditors[n] != nil })
+		add("delay orders of "+auditorName(n), func(w *simulation) bool {
 			had := w.auditors[n] != nil && !w.delay[n]
 			w.delay[n] = true
 			return had
 		})
 	}
 	for j := range poolMost { // what came late stays, to come once more
-		out = append(out, fault{fmt.Sprint("late order ", j), func(w *world) (bool, error) {
+		out = append(out, fault{fmt.Sprint("late order ", j), func(w *simulation) (bool, error) {
 			if j >= len(w.pool) || w.sidecars[w.pool[j].to].stopped {
 				return false, nil
 			}
 			return true, w.deliver(w.pool[j])
 		}})
 	}
-	add("publish", func(w *world) bool { w.newest++; return w.newest < len(lists) })
+	add("publish", func(w *simulation) bool { w.newest++; return w.newest < len(lists) })
 	return out
 }
 
 // node is a state and how it was come to.
 type node struct {
-	w      *world
+	w      *simulation
 	faults int
 	before *node
 	did    string
@@ -389,7 +389,7 @@
 
 // search goes through all that can come of a state within so many ticks and with so many faults.
 // In some of them somebody has to be shut out, or nothing has been looked at.
-func search(t *testing.T, root *world, ticks, most int) (states, shut int) {
+func search(t *testing.T, root *simulation, ticks, most int) (states, shut int) {
 	seen := map[uint64]int{} // the least faults with which a state was come to
 	all := faults(len(root.sidecars))
 	layer := []*node{{w: root, did: "begin"}}
@@ -397,7 +397,7 @@
 		var next []*node
 		for i := 0; i < len(layer); i++ { // it grows by faults
 			n := layer[i]
-			step := func(did string, faults int, does func(w *world) (bool, error)) {
+			step := func(did string, faults int, does func(w *simulation) (bool, error)) {
 				w := n.w.clone()
 				able, err := does(w)
 				if err == nil && able {
@@ -426,7 +426,7 @@
 					next = append(next, m)
 				}
 			}
-			step("tick", n.faults, func(w *world) (bool, error) { return true, w.tick() })
+			step("tick", n.faults, func(w *simulation) (bool, error) { return true, w.tick() })
 			if n.faults < most {
 				for _, f := range all {
 					step(f.name, n.faults+1, f.does)
@@ -441,8 +441,8 @@
 
 // fleet is one with the first list, of which those that are cut stay with it when the second one comes. links tells which
 // sidecars each auditor sees; an auditor that sees none has not begun.
-func fleet(n, zones int, share float64, cut func(i int) bool, links func(n, i int) bool) *world {
-	w := &world{now: 1000 * time.Second, newest: 1, share: share, sidecars: make([]sidecar, n), walls: [auditors]time.Duration{skew, -skew}}
+func fleet(n, zones int, share float64, cut func(i int) bool, links func(n, i int) bool) *simulation {
+	w := &simulation{now: 1000 * time.Second, newest: 1, share: share, sidecars: make([]sidecar, n), walls: [auditors]time.Duration{skew, -skew}}
 	for i := range w.sidecars {
 		s := &w.sidecars[i]
 		s.zone, s.wall, s.cut = strconv.Itoa(i%zones), skew, cut(i)
@@ -483,7 +483,7 @@
 }
 
 // The same holds in bigger fleets with zones, at random.
-func TestFleetAtRandom(t *testing.T) {
+func TestRandomFleets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 24).Draw(t, "sidecars")
 		among := func(name string, of int) func(i int) bool {
