--- a/cmd/pinelb/audit.go
+++ b/cmd/pinelb/audit.go
@@ -52,8 +52,8 @@
 		ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 		defer stop()
 		var exit int
-		exit, err = audit.Run(ctx, o, audit.Output{To: os.Stdout, JSON: line.JSON, Everybody: line.All, Page: line.Page, Kept: line.Kept,
-			Every: line.Watch, Rounds: line.Rounds})
+		exit, err = audit.Run(ctx, o, audit.Output{To: os.Stdout, JSON: line.JSON, All: line.All, Page: line.Page, StateFile: line.Kept,
+			Interval: line.Watch, Rounds: line.Rounds})
 		if err == nil {
 			return exit
 		}
@@ -64,7 +64,7 @@
 
 // options are what an audit is started with. An error names the argument, or the roster's file, line and key.
 func (l *auditLine) options() (audit.Options, error) {
-	roster, err := audit.ReadRoster(l.Roster)
+	roster, err := audit.ReadInventory(l.Roster)
 	if err != nil {
 		return audit.Options{}, err
 	}
@@ -75,10 +75,10 @@
 		return audit.Options{}, fmt.Errorf("--watch and --rounds: %v and %d must not be below 0", l.Watch, l.Rounds)
 	}
 	host, _ := os.Hostname() // without one the time alone tells auditors apart
-	o := audit.Options{Roster: roster, Dirs: map[string]string{}, Site: l.Site, List: l.List, AtATime: l.AtATime, Within: l.Within,
-		By:    cmp.Or(l.By, host+"-"+strconv.FormatInt(time.Now().UnixMilli(), 36)),
-		Raise: l.Raise, ShutOut: l.ShutOut, Settings: l.Settings, File: l.File, Builds: l.Build,
-		Grace: l.Grace, Spread: l.Spread, For: l.For, Share: l.Share}
+	o := audit.Options{Inventory: roster, Dirs: map[string]string{}, Site: l.Site, List: l.List, Concurrency: l.AtATime, Timeout: l.Within,
+		By:           cmp.Or(l.By, host+"-"+strconv.FormatInt(time.Now().UnixMilli(), 36)),
+		RaiseMinimum: l.Raise, ShutOut: l.ShutOut, Settings: l.Settings, File: l.File, Builds: l.Build,
+		Grace: l.Grace, Spread: l.Spread, Validity: l.For, Share: l.Share}
 	for _, d := range l.Dir {
 		name, dir, named := strings.Cut(d, "=")
 		if !named {
--- a/internal/audit/ask.go
+++ b/internal/audit/ask.go
@@ -20,87 +20,87 @@
 )
 
 const (
-	answerMost = auditlog.MaxReportBytes // bytes: what a sidecar may have the audit hold, times those asked at a time
-	headMost   = 16 << 10
-	listMost   = 8 << 20 // bytes of the list service's answer, as sidecars have it
-	pagesMost  = 8       // calls in a row at one sidecar, for the rest of a long trail
+	maxAnswerBytes = auditlog.MaxReportBytes // bytes: what a sidecar may have the audit hold, times those asked at a time
+	maxHeaderBytes = 16 << 10
+	maxListBytes   = 8 << 20 // bytes of the list service's answer, as sidecars have it
+	maxPages       = 8       // calls in a row at one sidecar, for the rest of a long trail
 )
 
-// Asker asks sidecars and the list service. It keeps no connection: operators' listeners take one call to each.
-type Asker struct {
-	AtATime int           // sidecars, and so connections; 256 is a fair number
-	Within  time.Duration // a call at most
-	client  *http.Client
+// Client asks sidecars and the list service. It keeps no connection: operators' listeners take one call to each.
+type Client struct {
+	Concurrency int           // sidecars, and so connections; 256 is a fair number
+	Timeout     time.Duration // a call at most
+	client      *http.Client
 }
 
-// NewAsker returns one. Close it in the end.
-func NewAsker(atATime int, within time.Duration) *Asker {
-	return &Asker{AtATime: atATime, Within: within, client: &http.Client{
+// NewClient returns one. Close it in the end.
+func NewClient(atATime int, within time.Duration) *Client {
+	return &Client{Concurrency: atATime, Timeout: within, client: &http.Client{
 		Transport: &http.Transport{DialContext: (&net.Dialer{}).DialContext, DisableKeepAlives: true, DisableCompression: true,
-			MaxResponseHeaderBytes: headMost},
+			MaxResponseHeaderBytes: maxHeaderBytes},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
 }
 
 // Close gives up what is left of connections.
-func (a *Asker) Close() { a.client.CloseIdleConnections() }
-
-// Question is what one sidecar is asked.
-type Question struct {
-	Addr  string
-	Since uint64         // of its trail; an entry that is held already is asked for again,
-	Sum   string         // to see whether it is the same: if it is not, all of the trail is; "" is none
-	Last  time.Duration  // that the call took the last time
-	Order *version.Order // to be given before; nil is none
+func (a *Client) Close() { a.client.CloseIdleConnections() }
+
+// Request is what one sidecar is asked.
+type Request struct {
+	Addr         string
+	Since        uint64         // of its trail; an entry that is held already is asked for again,
+	Sum          string         // to see whether it is the same: if it is not, all of the trail is; "" is none
+	LastDuration time.Duration  // that the call took the last time
+	Order        *version.Order // to be given before; nil is none
 }
 
 // Answer is what came of it.
 type Answer struct {
-	Report  *auditlog.Report // with the entries of all its pages; nil: not reached
-	Middle  version.Millis   // of the last call, Unix time by the auditor's clock
-	Within  version.Millis   // of which the sidecar's Now is known: half of that call
-	Back    time.Time        // when it was over, by the auditor's clock
-	Took    time.Duration
-	Err     error // why it was not reached
-	Refused error // why the order was not taken; nil where there was none
+	Report      *auditlog.Report // with the entries of all its pages; nil: not reached
+	Midpoint    version.Millis   // of the last call, Unix time by the auditor's clock
+	Uncertainty version.Millis   // of which the sidecar's Now is known: half of that call
+	ReceivedAt  time.Time        // when it was over, by the auditor's clock
+	Duration    time.Duration
+	Err         error // why it was not reached
+	OrderErr    error // why the order was not taken; nil where there was none
 }
 
-// Ask asks them all, so many at a time, and returns the answers in the questions' order. The end of ctx ends it: who had
+// Do asks them all, so many at a time, and returns the answers in the questions' order. The end of ctx ends it: who had
 // not answered then counts as not reached.
-func (a *Asker) Ask(ctx context.Context, questions []Question) []Answer {
+func (a *Client) Do(ctx context.Context, questions []Request) []Answer {
 	answers := make([]Answer, len(questions))
 	took := make([]time.Duration, len(questions))
 	for i, q := range questions {
-		took[i] = q.Last
+		took[i] = q.LastDuration
 	}
-	due := newTurns(took, max(1, a.AtATime))
+	due := newScheduler(took, max(1, a.Concurrency))
 	ended := make(chan struct{}, len(questions))
 	for left := len(questions); left > 0; left-- {
 		for who, ok := due.next(); ok; who, ok = due.next() {
 			go func() {
-				answers[who] = a.one(ctx, questions[who])
+				answers[who] = a.poll(ctx, questions[who])
 				ended <- struct{}{}
 			}()
 		}
 		<-ended
-		due.ended()
+		due.done()
 	}
 	return answers
 }
 
 // one gives a sidecar its order, if there is one, and asks for its trail's new entries, page by page.
-func (a *Asker) one(ctx context.Context, q Question) (out Answer) {
+func (a *Client) poll(ctx context.Context, q Request) (out Answer) {
 	began := time.Now()
-	defer func() { out.Back, out.Took = time.Now(), time.Since(began) }()
-	ctx, cancel := context.WithTimeout(ctx, a.Within)
+	defer func() { out.ReceivedAt, out.Duration = time.Now(), time.Since(began) }()
+	ctx, cancel := context.WithTimeout(ctx, a.Timeout)
 	defer cancel()
 	if q.Order != nil {
-		out.Refused = a.order(ctx, q.Addr, *q.Order)
+		out.OrderErr = a.sendOrder(ctx, q.Addr, *q.Order)
 	}
 	since, anew := max(1, q.Since), false
-	for range pagesMost {
+	for range maxPages {
 		from := time.Now()
-		text, err := a.call(ctx, http.MethodGet, fmt.Sprintf("http://%s/admin/audit?since=%d", q.Addr, since), nil, answerMost)
+		text, err := a.call(ctx, http.MethodGet, fmt.Sprintf("http://%s/admin/audit?since=%d", q.Addr, since), nil, maxAnswerBytes)
 		half := time.Since(from) / 2
 		var r auditlog.Report
 		if err == nil {
@@ -112,7 +112,7 @@
 			}
 			return out // the rest of the trail comes the next time
 		}
-		out.Middle, out.Within = millis(from.Add(half)), version.Millis(half.Milliseconds()+1)
+		out.Midpoint, out.Uncertainty = millis(from.Add(half)), version.Millis(half.Milliseconds()+1)
 		held := q.Sum == "" || len(r.Entries) > 0 && r.Entries[0].Seq == q.Since && r.Entries[0].Sum == q.Sum
 		if out.Report == nil && !anew && (r.Next < since || !held) { // a trail that has begun anew, or was changed
 			since, anew = 1, true
@@ -120,10 +120,10 @@
 		}
 		if out.Report != nil {
 			r.Entries = append(out.Report.Entries, r.Entries...)
-			r.Entries = r.Entries[max(0, len(r.Entries)-entriesMost):]
+			r.Entries = r.Entries[max(0, len(r.Entries)-maxEntries):]
 		}
 		out.Report = &r
-		if len(text) < answerMost/2 || r.Next <= since {
+		if len(text) < maxAnswerBytes/2 || r.Next <= since {
 			return out
 		}
 		since = r.Next
@@ -132,20 +132,20 @@
 }
 
 // order gives an order.
-func (a *Asker) order(ctx context.Context, addr string, o version.Order) error {
+func (a *Client) sendOrder(ctx context.Context, addr string, o version.Order) error {
 	body, err := json.Marshal(o)
 	if err != nil {
 		return fmt.Errorf("audit: order: %w", err)
 	}
-	_, err = a.call(ctx, http.MethodPost, "http://"+addr+"/admin/floor", body, answerMost)
+	_, err = a.call(ctx, http.MethodPost, "http://"+addr+"/admin/floor", body, maxAnswerBytes)
 	return err
 }
 
 // List asks the list service what it tells now.
-func (a *Asker) List(ctx context.Context, addr string) (version.List, error) {
-	ctx, cancel := context.WithTimeout(ctx, a.Within)
+func (a *Client) List(ctx context.Context, addr string) (version.List, error) {
+	ctx, cancel := context.WithTimeout(ctx, a.Timeout)
 	defer cancel()
-	text, err := a.call(ctx, http.MethodGet, "http://"+addr+"/catalog/members", nil, listMost)
+	text, err := a.call(ctx, http.MethodGet, "http://"+addr+"/catalog/members", nil, maxListBytes)
 	if err != nil {
 		return version.List{}, err
 	}
@@ -163,19 +163,19 @@
 }
 
 // call makes a call. An answer that is not 200 or longer than most is an error.
-func (a *Asker) call(ctx context.Context, method, url string, body []byte, most int64) ([]byte, error) {
+func (a *Client) call(ctx context.Context, method, url string, body []byte, most int64) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return nil, fmt.Errorf("audit: %w", err)
 	}
 	res, err := a.client.Do(req)
 	if err != nil {
-		return nil, a.shortly(err)
+		return nil, a.shortError(err)
 	}
 	defer res.Body.Close()
-	text, err := readMost(res.Body, most)
+	text, err := readLimited(res.Body, most)
 	if err != nil {
-		return nil, a.shortly(err)
+		return nil, a.shortError(err)
 	}
 	if res.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("audit: answer %d: %.100q", res.StatusCode, bytes.TrimSpace(text))
@@ -184,19 +184,19 @@
 }
 
 // shortly leaves out of an error what stands beside it anyway, the address that was called.
-func (a *Asker) shortly(err error) error {
+func (a *Client) shortError(err error) error {
 	var call *url.Error
 	if errors.As(err, &call) {
 		err = call.Err
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
-		return fmt.Errorf("audit: no answer within %v", a.Within)
+		return fmt.Errorf("audit: no answer within %v", a.Timeout)
 	}
 	return fmt.Errorf("audit: %w", err)
 }
 
-// readMost reads all of r, which may have so many bytes at most.
-func readMost(r io.Reader, most int64) ([]byte, error) {
+// readLimited reads all of r, which may have so many bytes at most.
+func readLimited(r io.Reader, most int64) ([]byte, error) {
 	text, err := io.ReadAll(io.LimitReader(r, most+1))
 	if err == nil && int64(len(text)) > most {
 		err = fmt.Errorf("longer than %d bytes", most)
--- a/internal/audit/ask_test.go
+++ b/internal/audit/ask_test.go
@@ -78,9 +78,9 @@
 }
 
 // fleetOf is questions at stand-ins, of which 5% are dead and 5% hang, and how many were asked at once at most.
-func fleetOf(t testing.TB, fleet int) ([]Question, *atomic.Int64) {
+func fleetOf(t testing.TB, fleet int) ([]Request, *atomic.Int64) {
 	now, most := new(atomic.Int64), new(atomic.Int64)
-	questions := make([]Question, fleet)
+	questions := make([]Request, fleet)
 	for i := range questions {
 		switch i % 20 {
 		case 7:
@@ -106,10 +106,10 @@
 func TestAsksManyAtOnce(t *testing.T) {
 	const fleet, atATime, within = 100, 32, 4 * time.Second
 	questions, most := fleetOf(t, fleet)
-	a := NewAsker(atATime, within)
+	a := NewClient(atATime, within)
 	defer a.Close()
 	began := time.Now()
-	answers := a.Ask(t.Context(), questions)
+	answers := a.Do(t.Context(), questions)
 	if took := time.Since(began); took >= fleet/20*within/2 {
 		t.Errorf("took %v", took)
 	}
@@ -125,11 +125,11 @@
 
 func BenchmarkAsk400(b *testing.B) {
 	questions, _ := fleetOf(b, 400)
-	a := NewAsker(256, time.Second)
+	a := NewClient(256, time.Second)
 	defer a.Close()
 	for b.Loop() {
 		reached := 0
-		for _, got := range a.Ask(b.Context(), questions) {
+		for _, got := range a.Do(b.Context(), questions) {
 			if got.Report != nil {
 				reached++
 			}
@@ -145,9 +145,9 @@
 		cancel()
 		<-r.Context().Done()
 	})
-	a := NewAsker(2, time.Hour)
+	a := NewClient(2, time.Hour)
 	defer a.Close()
-	for _, got := range a.Ask(ctx, []Question{{Addr: addr}, {Addr: addr}, {Addr: addr}}) {
+	for _, got := range a.Do(ctx, []Request{{Addr: addr}, {Addr: addr}, {Addr: addr}}) {
 		if got.Report != nil || got.Err == nil {
 			t.Errorf("%+v", got)
 		}
@@ -156,14 +156,14 @@
 
 // Guards against answers that are taken for reports, and answers without bound.
 func TestFaultyAnswers(t *testing.T) {
-	a := NewAsker(1, 10*time.Second)
+	a := NewClient(1, 10*time.Second)
 	defer a.Close()
 	for name, c := range map[string]struct {
 		answer http.HandlerFunc
 		want   string
 	}{
 		"long": {func(w http.ResponseWriter, _ *http.Request) {
-			_, _ = w.Write([]byte(`{"name":"` + strings.Repeat("x", answerMost) + `"}`))
+			_, _ = w.Write([]byte(`{"name":"` + strings.Repeat("x", maxAnswerBytes) + `"}`))
 		}, "longer than 262144 bytes"},
 		"no audit": {func(w http.ResponseWriter, _ *http.Request) {
 			http.Error(w, "unknown path: there are", http.StatusNotFound)
@@ -173,7 +173,7 @@
 			http.Redirect(w, r, "http://"+r.Host+"/elsewhere", http.StatusFound)
 		}, "answer 302"},
 	} {
-		got := a.Ask(t.Context(), []Question{{Addr: sidecarAt(t, c.answer)}})[0]
+		got := a.Do(t.Context(), []Request{{Addr: sidecarAt(t, c.answer)}})[0]
 		if got.Report != nil || got.Err == nil || !strings.Contains(got.Err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", name, got.Err, c.want)
 		}
@@ -206,11 +206,11 @@
 		}
 		says(rep)(w, r)
 	})
-	a := NewAsker(1, 10*time.Second)
+	a := NewClient(1, 10*time.Second)
 	defer a.Close()
-	got := a.Ask(t.Context(), []Question{{Addr: addr, Since: 2, Order: &version.Order{Minimum: version.MinimumVersion{Epoch: 7}}}})[0]
-	if got.Refused == nil || !strings.Contains(got.Refused.Error(), "409") || orders.Load() != 1 {
-		t.Errorf("%d orders, %v", orders.Load(), got.Refused)
+	got := a.Do(t.Context(), []Request{{Addr: addr, Since: 2, Order: &version.Order{Minimum: version.MinimumVersion{Epoch: 7}}}})[0]
+	if got.OrderErr == nil || !strings.Contains(got.OrderErr.Error(), "409") || orders.Load() != 1 {
+		t.Errorf("%d orders, %v", orders.Load(), got.OrderErr)
 	}
 	if got.Report == nil || len(got.Report.Entries) != 2 || got.Report.Next != 5 || pages.Load() != 3 {
 		t.Errorf("%d pages, %+v", pages.Load(), got)
@@ -226,9 +226,9 @@
 		rep.Entries, rep.Next = s.entries[since-1:], 4
 		says(rep)(w, r)
 	})
-	a := NewAsker(2, 10*time.Second)
+	a := NewClient(2, 10*time.Second)
 	defer a.Close()
-	got := a.Ask(t.Context(), []Question{{Addr: addr, Since: 3, Sum: strings.Repeat("0", 32)}, {Addr: addr, Since: 3, Sum: s.entries[2].Sum}})
+	got := a.Do(t.Context(), []Request{{Addr: addr, Since: 3, Sum: strings.Repeat("0", 32)}, {Addr: addr, Since: 3, Sum: s.entries[2].Sum}})
 	for i, want := range []int{3, 1} {
 		if got[i].Report == nil || len(got[i].Report.Entries) != want {
 			t.Errorf("%+v, want %d entries", got[i], want)
@@ -248,7 +248,7 @@
 		}
 	}
 	round := func(last []time.Duration) (end time.Duration, most int) {
-		due := newTurns(last, atATime)
+		due := newScheduler(last, atATime)
 		var under []time.Duration // when calls end, in order
 		for now := time.Duration(0); ; {
 			for who, ok := due.next(); ok; who, ok = due.next() {
@@ -260,7 +260,7 @@
 				return now, most
 			}
 			now, under = under[0], under[1:]
-			due.ended()
+			due.done()
 		}
 	}
 	first, most := round(make([]time.Duration, fleet))
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -28,9 +28,9 @@
 }
 
 // newFleet has so many, in two zones, all of which act on a list and tell no trail.
-func newFleet(t *testing.T, n int) (*fleet, *Roster) {
+func newFleet(t *testing.T, n int) (*fleet, *Inventory) {
 	f := &fleet{t: t, reports: make([]auditlog.Report, n), orders: make([][]version.Order, n)}
-	r := &Roster{}
+	r := &Inventory{}
 	for i := range n {
 		name := fmt.Sprintf("s%d", i)
 		f.reports[i] = report(name)
@@ -63,8 +63,8 @@
 }
 
 // options are those of tests: no time is tight.
-func options(r *Roster) Options {
-	return Options{Roster: r, By: "auditor", AtATime: 8, Within: 10 * time.Second, Grace: time.Second, Spread: time.Second, For: time.Minute, Share: 0.1}
+func options(r *Inventory) Options {
+	return Options{Inventory: r, By: "auditor", Concurrency: 8, Timeout: 10 * time.Second, Grace: time.Second, Spread: time.Second, Validity: time.Minute, Share: 0.1}
 }
 
 func round(t *testing.T, a *Audit) *View {
@@ -101,10 +101,10 @@
 			t.Errorf("%s: %+v, want %s", name, got, want)
 		}
 	}
-	if v.Exit() != NotWell || v.Count(UpToDate) != 3 || v.row("s1").Why != "list" {
+	if v.Exit() != ExitNotUpToDate || v.Count(UpToDate) != 3 || v.row("s1").Reason != "list" {
 		t.Errorf("%d, %s, %+v", v.Exit(), v.Verdict(), v.row("s1"))
 	}
-	faults := strings.Join(v.Faults, "\n")
+	faults := strings.Join(v.InventoryFaults, "\n")
 	for _, want := range []string{`s2: ` + r.Sidecars[2].Addr + ` answers as "s9"`, "s0 and s4 have the same rank, 0", "6 sidecars are listed, and their settings tell of 8"} {
 		if !strings.Contains(faults, want) {
 			t.Errorf("no %q among %s", want, faults)
@@ -136,15 +136,15 @@
 	f, r := newFleet(t, 2)
 	a := New(options(r))
 	defer a.Close()
-	if v := round(t, a); v.Exit() != AllWell || v.Contradictions != nil || v.Faults != nil {
-		t.Errorf("%d: %s, %q", v.Exit(), v.Verdict(), v.Faults)
+	if v := round(t, a); v.Exit() != ExitAllUpToDate || v.Contradictions != nil || v.InventoryFaults != nil {
+		t.Errorf("%d: %s, %q", v.Exit(), v.Verdict(), v.InventoryFaults)
 	}
 	f.set(0, func(r *auditlog.Report) { r.Name = "other" })
-	if v := round(t, a); v.Exit() != NotWell {
+	if v := round(t, a); v.Exit() != ExitNotUpToDate {
 		t.Error("one of two was not reached")
 	}
 	f.set(1, func(r *auditlog.Report) { r.Name = "other" })
-	if v := round(t, a); v.Exit() != NobodyThere || v.row("s1").Seen == 0 || v.row("s1").Version == nil {
+	if v := round(t, a); v.Exit() != ExitNoneReached || v.row("s1").LastAnswer == 0 || v.row("s1").Version == nil {
 		t.Errorf("%d: %+v", v.Exit(), v.row("s1"))
 	}
 }
@@ -182,11 +182,11 @@
 func TestRaises(t *testing.T) {
 	f, r := newFleet(t, 3)
 	o := options(r)
-	o.Raise, o.Builds = true, []string{"new"}
+	o.RaiseMinimum, o.Builds = true, []string{"new"}
 	f.set(2, func(r *auditlog.Report) { r.Version.Build = "old" })
 	var out bytes.Buffer
 	kept := filepath.Join(t.TempDir(), "kept")
-	if exit, err := Run(t.Context(), o, Output{To: &out, Kept: kept, Rounds: 2, Every: time.Millisecond}); exit != NotWell || err != nil {
+	if exit, err := Run(t.Context(), o, Output{To: &out, StateFile: kept, Rounds: 2, Interval: time.Millisecond}); exit != ExitNotUpToDate || err != nil {
 		t.Errorf("%d, %v", exit, err)
 	}
 	f.mu.Lock()
@@ -202,7 +202,7 @@
 	f.mu.Unlock()
 	// Who continues goes on from the epoch that was given.
 	o.By = "another"
-	if _, err := Run(t.Context(), o, Output{To: &out, Kept: kept, Rounds: 1}); err != nil {
+	if _, err := Run(t.Context(), o, Output{To: &out, StateFile: kept, Rounds: 1}); err != nil {
 		t.Error(err)
 	}
 	f.mu.Lock()
@@ -245,10 +245,10 @@
 			t.Errorf("%s: %+v, want %d entries", name, got, want)
 		}
 	}
-	if got := found(&a.history); !strings.HasPrefix(got, Hole+" s2 ") || strings.Contains(got, "s1") {
+	if got := found(&a.history); !strings.HasPrefix(got, MissingEntries+" s2 ") || strings.Contains(got, "s1") {
 		t.Error(got)
 	}
-	if got := strings.Join(v.Faults, "\n"); !strings.Contains(got, "nowhere: its trail can't be read") {
+	if got := strings.Join(v.InventoryFaults, "\n"); !strings.Contains(got, "nowhere: its trail can't be read") {
 		t.Error(got)
 	}
 	if v.Lists[0].List.Revision != 6 || v.Lists[0].Adopted != 2 {
@@ -271,7 +271,7 @@
 			t.Errorf("%q: %v, want %s", text, err, want)
 		}
 	}
-	a.o.Site = "mine"
+	a.options.Site = "mine"
 	if err := a.restore([]byte(`{"version":1,"history":{},"site":"its"}`)); err == nil {
 		t.Error("another site's")
 	}
@@ -281,12 +281,12 @@
 func BenchmarkRound(b *testing.B) {
 	for _, fleet := range []int{400, 5000} {
 		b.Run(fmt.Sprint(fleet), func(b *testing.B) {
-			r, answers := &Roster{}, make([]Answer, fleet)
+			r, answers := &Inventory{}, make([]Answer, fleet)
 			for i := range fleet {
 				name := fmt.Sprintf("s%d", i)
 				r.Sidecars = append(r.Sidecars, Sidecar{Name: name, Addr: "127.0.0.1:1"})
 				s := &script{life: name}
-				for k := range min(entriesMost, entriesAll/fleet) {
+				for k := range min(maxEntries, maxTotalEntries/fleet) {
 					if at := version.Millis(1000 * k); k%4 == 0 {
 						s.adopt(at, uint32(k), int64(k), version.Digest(k+1))
 					} else {
@@ -295,15 +295,15 @@
 				}
 				rep := report(name)
 				rep.Entries, rep.Now, rep.Up, rep.Next = s.entries, 600_000, 600_000, uint64(len(s.entries)+1)
-				answers[i] = Answer{Report: &rep, Middle: 600_000, Back: time.UnixMilli(600_000)}
+				answers[i] = Answer{Report: &rep, Midpoint: 600_000, ReceivedAt: time.UnixMilli(600_000)}
 			}
 			a := New(options(r))
 			defer a.Close()
-			questions := make([]Question, fleet)
+			questions := make([]Request, fleet)
 			at := func(t time.Time) time.Duration { return time.Duration(t.UnixNano()) }
 			round := func() {
 				a.now += time.Second
-				a.history.Raise(60_000, version.MinimumVersion{Epoch: 1, List: 9, Revision: 1 << 40, Validity: 600_000})
+				a.history.RecordMinimum(60_000, version.MinimumVersion{Epoch: 1, List: 9, Revision: 1 << 40, Validity: 600_000})
 				decided, _ := a.decide(questions, answers, &version.Reference{}, at, time.UnixMilli(600_000))
 				if v := a.view(answers, &decided, time.UnixMilli(600_000)); len(v.Rows) != fleet {
 					b.Fatal(v.Verdict())
@@ -343,7 +343,7 @@
 		f.Add(text, text, true)
 		f.Add(text, []byte(`{"name":"b","entries":[{"kind":"ordered","order":{}},{"kind":"adopted","version":{}}]}`), false)
 	}
-	roster := &Roster{Sidecars: []Sidecar{{Name: "a", Addr: "127.0.0.1:1"}, {Name: "b", Addr: "127.0.0.1:2"}}}
+	roster := &Inventory{Sidecars: []Sidecar{{Name: "a", Addr: "127.0.0.1:1"}, {Name: "b", Addr: "127.0.0.1:2"}}}
 	began := time.Unix(1000, 0)
 	f.Fuzz(func(t *testing.T, first, second []byte, bothReached bool) {
 		a := New(options(roster))
@@ -351,7 +351,7 @@
 		for i := range 3 {
 			answers := make([]Answer, 2)
 			for j, text := range [][]byte{first, second} {
-				answers[j] = Answer{Back: began, Middle: millis(began), Err: fmt.Errorf("none")}
+				answers[j] = Answer{ReceivedAt: began, Midpoint: millis(began), Err: fmt.Errorf("none")}
 				r := auditlog.Report{}
 				if json.Unmarshal(text, &r) == nil && (bothReached || j == i%2) {
 					answers[j].Report = &r
@@ -359,7 +359,7 @@
 			}
 			at := began.Add(time.Duration(i) * time.Second)
 			a.now = time.Duration(i) * time.Second
-			decided, _ := a.decide([]Question{a.question(roster.Sidecars[0], nil), a.question(roster.Sidecars[1], nil)}, answers, &version.Reference{},
+			decided, _ := a.decide([]Request{a.request(roster.Sidecars[0], nil), a.request(roster.Sidecars[1], nil)}, answers, &version.Reference{},
 				func(m time.Time) time.Duration { return m.Sub(began) }, at)
 			v := a.view(answers, &decided, at)
 			for j := range answers {
@@ -371,7 +371,7 @@
 			if err := errors.Join(v.Table(&b, true), v.JSON(&b), v.Page(&b)); err != nil {
 				t.Error(err)
 			}
-			text, err := json.Marshal(kept{keptVersion, 0, a.site, a.epoch, &a.history, a.memories})
+			text, err := json.Marshal(storedAudit{stateVersion, 0, a.site, a.epoch, &a.history, a.records})
 			if err == nil {
 				err = a.restore(text)
 			}
@@ -380,8 +380,8 @@
 			}
 		}
 		for name, p := range a.history.Sidecars {
-			if len(p.Entries) > entriesMost || len(a.history.Found) > foundMost {
-				t.Errorf("%s: %d entries and %d contradictions are held", name, len(p.Entries), len(a.history.Found))
+			if len(p.Entries) > maxEntries || len(a.history.Contradictions) > maxContradictions {
+				t.Errorf("%s: %d entries and %d contradictions are held", name, len(p.Entries), len(a.history.Contradictions))
 			}
 		}
 	})
--- a/internal/audit/history_test.go
+++ b/internal/audit/history_test.go
@@ -44,13 +44,13 @@
 
 // told is what is answered at a time to a call for entries from since on.
 func (s *script) told(at version.Millis, since int) Answer {
-	return Answer{Middle: at, Within: 10, Report: &auditlog.Report{Now: at + s.ahead, Up: at, Oldest: 1, Next: uint64(len(s.entries) + 1),
+	return Answer{Midpoint: at, Uncertainty: 10, Report: &auditlog.Report{Now: at + s.ahead, Up: at, Oldest: 1, Next: uint64(len(s.entries) + 1),
 		Entries: s.entries[since-1:]}}
 }
 
 func found(h *History) string {
 	var all []string
-	for _, c := range h.Found {
+	for _, c := range h.Contradictions {
 		all = append(all, c.Kind+" "+c.Sidecar+" "+c.What)
 	}
 	return strings.Join(all, "\n")
@@ -76,16 +76,16 @@
 			a := s.told(6000, 1)
 			a.Report.Entries = append(s.entries[:1:1], s.entries[2:]...)
 			h.Merge("a", 1, a)
-		}, Hole + " a"},
+		}, MissingEntries + " a"},
 		"changed": {func(h *History) {
 			s := start()
 			s.entries[1].VersionID = 7
 			h.Merge("a", 1, s.told(6000, 1))
-		}, Hole + " a entry 2: changed"},
+		}, MissingEntries + " a entry 2: changed"},
 		"not told": {func(h *History) {
 			h.Merge("a", 1, start().told(1000, 1))
 			h.Merge("a", 2, start().adopt(5000, 2, 6, 60).told(6000, 3))
-		}, Hole + " a"},
+		}, MissingEntries + " a"},
 		"dropped": {func(h *History) {
 			h.Merge("a", 1, start().told(1000, 1))
 			a := start().adopt(5000, 2, 6, 60).told(6000, 3)
@@ -106,24 +106,24 @@
 			h.Merge("a", 1, s.adopt(5000, 2, 6, 60).told(6000, 1))
 			h.Merge("a", 3, next.add(4000, auditlog.Entry{Kind: auditlog.Started}).adopt(4100, 1, 5, 50).told(7000, 3))
 		}, ""},
-		"revision back": {func(h *History) { h.Merge("a", 1, start().adopt(5000, 2, 4, 40).told(6000, 1)) }, Back + " a ls: revision 4 after 5"},
+		"revision back": {func(h *History) { h.Merge("a", 1, start().adopt(5000, 2, 4, 40).told(6000, 1)) }, WentBack + " a ls: revision 4 after 5"},
 		"epoch back": {func(h *History) {
 			s := (&script{life: "l", epoch: 3}).adopt(200, 1, 5, 50)
 			s.epoch = 0
 			h.Merge("a", 1, s.adopt(5000, 2, 6, 60).told(6000, 1))
-		}, Back + " a epoch 0 after 3"},
+		}, WentBack + " a epoch 0 after 3"},
 		"twice": {func(h *History) {
 			h.Merge("a", 1, start().told(1000, 1))
 			h.Merge("b", 1, (&script{life: "m"}).adopt(200, 1, 5, 51).told(1000, 1))
-		}, Twice + " b ls revision 5"},
+		}, ConflictingLists + " b ls revision 5"},
 		"early": {func(h *History) {
 			publish(h, 1000, 5, 20_000, 6)
 			h.Merge("a", 1, (&script{life: "l", ahead: -5000}).adopt(12_000, 1, 6, 60).told(30_000, 1)) // by its clock at 7 s
-		}, Early + " a revision 6 was adopted 8."},
+		}, EarlyAdoption + " a revision 6 was adopted 8."},
 		"early, heard of before the list service": {func(h *History) {
 			h.Merge("a", 1, (&script{life: "l"}).adopt(12_000, 1, 6, 60).told(13_000, 1))
 			publish(h, 1000, 5, 20_000, 6)
-		}, Early + " a"},
+		}, EarlyAdoption + " a"},
 		"in time by the auditor's clock": {func(h *History) {
 			publish(h, 1000, 5, 20_000, 6)
 			h.Merge("a", 1, (&script{life: "l", ahead: -5000}).adopt(20_500, 1, 6, 60).told(30_000, 1))
@@ -138,13 +138,13 @@
 		}, ""},
 		"an order before it was raised": {func(h *History) {
 			o := version.Order{Minimum: version.MinimumVersion{Epoch: 4, By: "me"}}
-			h.Raise(20_000, o.Minimum)
+			h.RecordMinimum(20_000, o.Minimum)
 			h.Merge("a", 1, (&script{life: "l"}).add(5000, auditlog.Entry{Kind: auditlog.Ordered, Order: &o}).told(30_000, 1))
-		}, Early + " a epoch 4"},
+		}, EarlyAdoption + " a epoch 4"},
 	} {
 		h := &History{}
 		c.play(h)
-		if got := found(h); c.want == "" && got != "" || !strings.HasPrefix(got, c.want) || len(h.Found) > 1 {
+		if got := found(h); c.want == "" && got != "" || !strings.HasPrefix(got, c.want) || len(h.Contradictions) > 1 {
 			t.Errorf("%s: %q, want %q", name, got, c.want)
 		}
 	}
@@ -178,9 +178,9 @@
 		"up is not known once": {[]auditlog.Entry{{At: 15_000, Up: 1000}, {At: 15_500}, {At: 16_000, Up: 2000}}, 25_000, []version.Millis{10_000, 10_500, 11_000}},
 		"up is not known":      {[]auditlog.Entry{{At: 15_000}, {At: 16_000}}, 25_000, []version.Millis{10_000, 11_000}},
 	} {
-		got := place(c.entries, anchor{Time: 20_000, Within: 3, Wall: c.wall, Up: 11_000})
+		got := placeOnTimeline(c.entries, clockSample{Time: 20_000, Uncertainty: 3, Wall: c.wall, Up: 11_000})
 		for i := range got {
-			if got[i].Time != c.want[i] || got[i].Within != 3 {
+			if got[i].Time != c.want[i] || got[i].Uncertainty != 3 {
 				t.Errorf("%s: entry %d at %d, want %d", name, i, got[i].Time, c.want[i])
 			}
 		}
@@ -200,16 +200,16 @@
 	s.count(39_000, 2, 100, 0)                         // under the new one
 	s.adopt(70_500, 3, 5, 50).count(80_000, 3, 100, 0) // the floor has lapsed
 	h := &History{}
-	h.Raise(10_000, floor)
+	h.RecordMinimum(10_000, floor)
 	h.Merge("a", 1, s.told(90_000, 1))
-	if got := h.Late("a"); len(got) != 1 || got[0] != (Late{Host: "h", N: 21, Perhaps: 5}) {
+	if got := h.Late("a"); len(got) != 1 || got[0] != (LateAttempts{Host: "h", Certain: 21, Possible: 5}) {
 		t.Errorf("%+v", got)
 	}
 	// A floor that is raised anew gives no second time of grace.
 	again := floor
 	again.Epoch, again.Validity = 2, 42_000
-	h.Raise(28_000, again)
-	if got := h.Late("a"); len(got) != 1 || got[0] != (Late{Host: "h", N: 21, Perhaps: 5}) {
+	h.RecordMinimum(28_000, again)
+	if got := h.Late("a"); len(got) != 1 || got[0] != (LateAttempts{Host: "h", Certain: 21, Possible: 5}) {
 		t.Errorf("raised anew: %+v", got)
 	}
 }
--- a/internal/audit/kept.go
+++ b/internal/audit/kept.go
@@ -11,27 +11,27 @@
 )
 
 const (
-	keptVersion = 1
-	keptMost    = 1 << 30 // bytes: what is held of all sidecars is bounded, and stays under it
+	stateVersion  = 1
+	maxStateBytes = 1 << 30 // bytes: what is held of all sidecars is bounded, and stays under it
 )
 
 // kept is an audit in a file, for the one that continues it.
-type kept struct {
-	Version  int                `json:"version"`
-	Saved    version.Millis     `json:"saved_ms"` // Unix time
-	Site     string             `json:"site"`
-	Epoch    uint64             `json:"epoch"`
-	History  *History           `json:"history"`
-	Memories map[string]*memory `json:"sidecars"`
+type storedAudit struct {
+	Version  int                       `json:"version"`
+	Saved    version.Millis            `json:"saved_ms"` // Unix time
+	Site     string                    `json:"site"`
+	Epoch    uint64                    `json:"epoch"`
+	History  *History                  `json:"history"`
+	Memories map[string]*sidecarRecord `json:"sidecars"`
 }
 
 // Save has what was gathered take the file's place: whatever happens meanwhile, the former one or this is there whole.
 func (a *Audit) Save(path string, now version.Millis) error {
-	text, err := json.Marshal(kept{keptVersion, now, a.site, a.epoch, &a.history, a.memories})
+	text, err := json.Marshal(storedAudit{stateVersion, now, a.site, a.epoch, &a.history, a.records})
 	if err != nil {
 		return fmt.Errorf("audit: kept: %w", err)
 	}
-	return replace(path, text)
+	return replaceFile(path, text)
 }
 
 // Load continues an audit from a file. One that is not there is none; one that can't be read is an error, for whoever
@@ -44,7 +44,7 @@
 		return fmt.Errorf("audit: kept: %w", err)
 	}
 	defer f.Close()
-	text, err := readMost(f, keptMost)
+	text, err := readLimited(f, maxStateBytes)
 	if err == nil {
 		err = a.restore(text)
 	}
@@ -55,15 +55,15 @@
 }
 
 func (a *Audit) restore(text []byte) error {
-	var k kept
+	var k storedAudit
 	if err := json.Unmarshal(text, &k); err != nil {
 		return err
 	}
 	switch {
-	case k.Version != keptVersion:
-		return fmt.Errorf("version: %d, %d is read", k.Version, keptVersion)
-	case a.o.Site != "" && k.Site != "" && k.Site != a.o.Site:
-		return fmt.Errorf("site: is of %q, not %q", k.Site, a.o.Site)
+	case k.Version != stateVersion:
+		return fmt.Errorf("version: %d, %d is read", k.Version, stateVersion)
+	case a.options.Site != "" && k.Site != "" && k.Site != a.options.Site:
+		return fmt.Errorf("site: is of %q, not %q", k.Site, a.options.Site)
 	case k.History == nil:
 		return errors.New("history is missing")
 	}
@@ -72,9 +72,9 @@
 			return fmt.Errorf("history: nothing stands under %q", name)
 		}
 	}
-	for _, s := range a.o.Roster.Sidecars { // who is not listed any more has no row, but a history
+	for _, s := range a.options.Inventory.Sidecars { // who is not listed any more has no row, but a history
 		if m := k.Memories[s.Name]; m != nil {
-			a.memories[s.Name] = m
+			a.records[s.Name] = m
 		}
 	}
 	if a.site == "" {
@@ -85,7 +85,7 @@
 }
 
 // replace has a file hold a text, which takes the place of what it held whole.
-func replace(path string, text []byte) error {
+func replaceFile(path string, text []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".new*")
 	if err != nil {
 		return fmt.Errorf("audit: %w", err)
--- a/internal/audit/page.go
+++ b/internal/audit/page.go
@@ -18,19 +18,19 @@
 
 var page = template.Must(template.New("page").Funcs(template.FuncMap{
 	"add": func(a, b int) int { return a + b }, "sub": func(a, b version.Millis) version.Millis { return a - b },
-	"moment": moment, "clock": clock, "span": span, "name": name, "short": short, "class": class, "what": what,
+	"moment": formatTime, "clock": formatClock, "span": formatDuration, "name": listName, "short": shortDigest, "class": cssClass, "what": describe,
 	"life": func(s string) string { return s[:min(len(s), 6)] },
-	"row":  func(v sheet, r Row) line { return line{r, v.View} },
+	"row":  func(v pageView, r Row) pageRow { return pageRow{r, v.View} },
 }).Parse(pageText))
 
 // class is a status's in the page's style.
-func class(s Status) string {
+func cssClass(s Status) string {
 	switch s {
 	case UpToDate:
 		return "uptodate"
 	case Behind:
 		return "behind"
-	case Shut:
+	case ShutOut:
 		return "shut"
 	case NotReached:
 		return "away"
@@ -39,52 +39,52 @@
 }
 
 // sheet is a view with what the page shows in other arrangements.
-type sheet struct{ *View }
+type pageView struct{ *View }
 
 // line is a row with the words for its cells.
-type line struct {
+type pageRow struct {
 	Row
 	v *View
 }
 
-func (l line) For() string      { return l.v.since(l.Since) }
-func (l line) SeenAgo() string  { return l.v.since(l.Seen) }
-func (l line) List() string     { return l.list() }
-func (l line) Settings() string { return l.settings() }
-func (l line) File() string     { return l.file() }
-func (l line) Build() string    { return l.build() }
-func (l line) LateSum() string  { return late(l.Late) }
-func (l line) Epoch() string {
+func (l pageRow) For() string      { return l.v.ago(l.Since) }
+func (l pageRow) SeenAgo() string  { return l.v.ago(l.LastAnswer) }
+func (l pageRow) List() string     { return l.list() }
+func (l pageRow) Settings() string { return l.settings() }
+func (l pageRow) File() string     { return l.file() }
+func (l pageRow) Build() string    { return l.build() }
+func (l pageRow) LateSum() string  { return formatLate(l.Late) }
+func (l pageRow) Epoch() string {
 	return l.of(func(v *version.Version) string { return fmt.Sprint(v.Epoch) })
 }
-func (l line) HeardAgo() string {
-	if l.Version == nil || l.Heard < 0 {
+func (l pageRow) HeardAgo() string {
+	if l.Version == nil || l.ListAge < 0 {
 		return "-"
 	}
-	return span(l.Heard)
+	return formatDuration(l.ListAge)
 }
 
 // Page writes a view as a page for a browser, in which everything stands that it needs.
 func (v *View) Page(out io.Writer) error {
-	if err := page.Execute(out, sheet{v}); err != nil {
+	if err := page.Execute(out, pageView{v}); err != nil {
 		return fmt.Errorf("audit: page: %w", err)
 	}
 	return nil
 }
 
-type count struct {
+type statusCount struct {
 	Status Status
 	N      int
 }
 
-func (s sheet) Counts() (out []count) {
+func (s pageView) Counts() (out []statusCount) {
 	for _, status := range slices.Backward(statuses) {
-		out = append(out, count{status, s.Count(status)})
+		out = append(out, statusCount{status, s.Count(status)})
 	}
 	return out
 }
 
-func (s sheet) rows(well bool) (out []Row) {
+func (s pageView) rows(well bool) (out []Row) {
 	for _, r := range s.Rows {
 		if (r.Status == UpToDate) == well {
 			out = append(out, r)
@@ -93,21 +93,21 @@
 	return out
 }
 
-func (s sheet) Stragglers() []Row { return s.rows(false) }
-func (s sheet) Well() []Row       { return s.rows(true) }
+func (s pageView) Stragglers() []Row { return s.rows(false) }
+func (s pageView) Well() []Row       { return s.rows(true) }
 
-type zone struct {
+type zoneRows struct {
 	Name     string
 	UpToDate int
 	Rows     []Row
 }
 
-func (s sheet) Zones() []zone {
-	byName := map[string]*zone{}
+func (s pageView) Zones() []zoneRows {
+	byName := map[string]*zoneRows{}
 	for _, r := range s.Rows {
 		z := byName[r.Zone]
 		if z == nil {
-			z = &zone{Name: r.Zone}
+			z = &zoneRows{Name: r.Zone}
 			byName[r.Zone] = z
 		}
 		if r.Status == UpToDate {
@@ -115,50 +115,50 @@
 		}
 		z.Rows = append(z.Rows, r)
 	}
-	out := make([]zone, 0, len(byName))
+	out := make([]zoneRows, 0, len(byName))
 	for _, name := range slices.Sorted(maps.Keys(byName)) {
 		out = append(out, *byName[name])
 	}
 	return out
 }
 
-type lateHost struct {
-	Late
+type lateHostSum struct {
+	LateAttempts
 	Sidecars int
 }
 
-func (s sheet) LateHosts() []lateHost {
-	byHost := map[string]lateHost{}
+func (s pageView) LateHosts() []lateHostSum {
+	byHost := map[string]lateHostSum{}
 	for i := range s.Rows {
 		for _, l := range s.Rows[i].Late {
 			h := byHost[l.Host]
-			h.Host, h.N, h.Perhaps, h.Sidecars = l.Host, h.N+l.N, h.Perhaps+l.Perhaps, h.Sidecars+1
+			h.Host, h.Certain, h.Possible, h.Sidecars = l.Host, h.Certain+l.Certain, h.Possible+l.Possible, h.Sidecars+1
 			byHost[l.Host] = h
 		}
 	}
-	return slices.SortedFunc(maps.Values(byHost), func(a, b lateHost) int {
-		return cmp.Or(cmp.Compare(b.N+b.Perhaps, a.N+a.Perhaps), cmp.Compare(a.Host, b.Host))
+	return slices.SortedFunc(maps.Values(byHost), func(a, b lateHostSum) int {
+		return cmp.Or(cmp.Compare(b.Certain+b.Possible, a.Certain+a.Possible), cmp.Compare(a.Host, b.Host))
 	})
 }
 
-func (s sheet) LateSum() string {
-	var all []Late
+func (s pageView) LateSum() string {
+	var all []LateAttempts
 	for i := range s.Rows {
 		all = append(all, s.Rows[i].Late...)
 	}
-	if sum := late(all); sum != "-" {
+	if sum := formatLate(all); sum != "-" {
 		return sum
 	}
 	return "0"
 }
 
 // what tells an entry in words.
-func what(e Event) string {
+func describe(e Event) string {
 	switch {
 	case e.Kind == auditlog.Adopted && e.Version != nil:
 		v := e.Version
-		return fmt.Sprintf("no. %d: list %s of %s, settings %s, file %s, build %s, epoch %d", e.VersionID, name(v.List), v.List.From,
-			short(v.Settings), short(v.File), v.Build, v.Epoch)
+		return fmt.Sprintf("no. %d: list %s of %s, settings %s, file %s, build %s, epoch %d", e.VersionID, listName(v.List), v.List.From,
+			shortDigest(v.Settings), shortDigest(v.File), v.Build, v.Epoch)
 	case e.Kind == auditlog.Ordered && e.Order != nil:
 		text := fmt.Sprintf("epoch %d by %s", e.Order.Minimum.Epoch, e.Order.Minimum.By)
 		if e.Order.Permit != nil {
@@ -173,7 +173,7 @@
 	case e.Kind == auditlog.VerdictChanged:
 		return e.State
 	case e.Kind == auditlog.Stopped:
-		return "for " + span(e.Duration)
+		return "for " + formatDuration(e.Duration)
 	case e.Kind == auditlog.Lost:
 		return fmt.Sprintf("%d before it were not kept", e.N)
 	}
--- a/internal/audit/roster.go
+++ b/internal/audit/roster.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	rosterMost = 16 << 20 // bytes
-	listedMost = 20_000   // sidecars: what is kept of each is bounded, and so is what is kept of all
-	nameMost   = 256      // bytes, as operators' calls have it
+	maxInventoryBytes = 16 << 20 // bytes
+	maxSidecars       = 20_000   // sidecars: what is kept of each is bounded, and so is what is kept of all
+	maxNameBytes      = 256      // bytes, as operators' calls have it
 )
 
 // Sidecar is one that the roster lists.
@@ -24,42 +24,42 @@
 	Dir  string // its [state] directory, to be read if it can't be asked; "" is none
 }
 
-// Roster is whom to ask.
-type Roster struct {
+// Inventory is whom to ask.
+type Inventory struct {
 	Sidecars []Sidecar // each name once
 	Faults   []string  // what stands twice; it is part of what an audit finds, and ends none
 }
 
-// ReadRoster reads a roster's file. The error names the file, the line and the key.
-func ReadRoster(path string) (*Roster, error) {
+// ReadInventory reads a roster's file. The error names the file, the line and the key.
+func ReadInventory(path string) (*Inventory, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("audit: roster: %w", err)
 	}
 	defer f.Close()
-	text, err := readMost(f, rosterMost)
+	text, err := readLimited(f, maxInventoryBytes)
 	if err != nil {
 		return nil, fmt.Errorf("audit: roster: %s: %w", path, err)
 	}
-	return ParseRoster(path, text)
+	return ParseInventory(path, text)
 }
 
-// ParseRoster reads a roster: tables [[sidecar]] with name, addr and, where they are known, zone and dir.
-func ParseRoster(file string, text []byte) (*Roster, error) {
+// ParseInventory reads a roster: tables [[sidecar]] with name, addr and, where they are known, zone and dir.
+func ParseInventory(file string, text []byte) (*Inventory, error) {
 	var v struct{ Sidecar []Sidecar }
 	f, err := tomlfile.Decode(file, text, &v)
 	if err != nil {
 		return nil, err
 	}
-	if n := len(v.Sidecar); n == 0 || n > listedMost {
-		return nil, f.Fault("sidecar", "lists %d sidecars: must be 1 to %d", n, listedMost)
+	if n := len(v.Sidecar); n == 0 || n > maxSidecars {
+		return nil, f.Fault("sidecar", "lists %d sidecars: must be 1 to %d", n, maxSidecars)
 	}
-	r := &Roster{}
+	r := &Inventory{}
 	names, addrs := map[string]int{}, map[string]int{}
 	for i, s := range v.Sidecar {
 		key := func(name string) string { return fmt.Sprintf("sidecar[%d].%s", i, name) }
-		if s.Name == "" || len(s.Name) > nameMost {
-			return nil, f.Fault(key("name"), "must have 1 to %d bytes", nameMost)
+		if s.Name == "" || len(s.Name) > maxNameBytes {
+			return nil, f.Fault(key("name"), "must have 1 to %d bytes", maxNameBytes)
 		}
 		if at, err := netip.ParseAddrPort(s.Addr); err != nil || at.Port() == 0 {
 			return nil, f.Fault(key("addr"), "must be an address and port, not %q", s.Addr)
--- a/internal/audit/roster_test.go
+++ b/internal/audit/roster_test.go
@@ -7,7 +7,7 @@
 
 func TestRoster(t *testing.T) {
 	const good = "[[sidecar]]\nname = \"a\"\naddr = \"127.0.0.1:1\"\nzone = \"z\"\n"
-	r, err := ParseRoster("r.toml", []byte(good+"[[sidecar]]\nname = \"a\"\naddr = \"127.0.0.1:2\"\n"+
+	r, err := ParseInventory("r.toml", []byte(good+"[[sidecar]]\nname = \"a\"\naddr = \"127.0.0.1:2\"\n"+
 		"[[sidecar]]\nname = \"b\"\naddr = \"127.0.0.1:1\"\ndir = \"/state\"\n"))
 	if err != nil || len(r.Sidecars) != 2 || r.Sidecars[0] != (Sidecar{"a", "127.0.0.1:1", "z", ""}) || r.Sidecars[1].Dir != "/state" {
 		t.Errorf("%+v, %v", r, err)
@@ -22,7 +22,7 @@
 		"[[sidecar]]\nname = \"a\"\naddr=\"x\"": "r.toml:3: sidecar[0].addr: ",
 		good + "[[sidecar]]\nname = \"b\"\naddr = \"127.0.0.1:0\"": "r.toml:7: sidecar[1].addr: ",
 	} {
-		if _, err := ParseRoster("r.toml", []byte(text)); err == nil || !strings.HasPrefix(err.Error(), want) {
+		if _, err := ParseInventory("r.toml", []byte(text)); err == nil || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("%q: %v, want %s", text, err, want)
 		}
 	}
@@ -32,7 +32,7 @@
 	f.Add("[[sidecar]]\nname = \"a\"\naddr = \"127.0.0.1:1\"\nzone = \"z\"\n")
 	f.Add("sidecar = [{name = \"a\", addr = \"[::1]:9\"}, {name = \"a\", addr = \"[::1]:9\"}]")
 	f.Fuzz(func(t *testing.T, text string) {
-		r, err := ParseRoster("r.toml", []byte(text))
+		r, err := ParseInventory("r.toml", []byte(text))
 		if err != nil {
 			if !strings.HasPrefix(err.Error(), "r.toml") {
 				t.Errorf("%v names no file", err)
--- a/internal/audit/run.go
+++ b/internal/audit/run.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	saveEach = 10 * time.Second // what was gathered; and in the end
-	raiseMin = 5 * time.Second  // how long a floor's raising goes on beyond spread and grace, for the last to answer
+	saveInterval = 10 * time.Second // what was gathered; and in the end
+	raiseTail    = 5 * time.Second  // how long a floor's raising goes on beyond spread and grace, for the last to answer
 )
 
 // Output is where an audit's findings go, and for how long they do.
 type Output struct {
 	To        io.Writer
 	JSON      bool          // lines of JSON, and not a table
-	Everybody bool          // in the table also those who are up to date
+	All       bool          // in the table also those who are up to date
 	Page      string        // a file for a page; "" is none
-	Kept      string        // a file from which the audit continues, and into which it is saved; "" is none
-	Every     time.Duration // from one round's beginning to the next; 0: one round, or as many as bringing up takes
+	StateFile string        // a file from which the audit continues, and into which it is saved; "" is none
+	Interval  time.Duration // from one round's beginning to the next; 0: one round, or as many as bringing up takes
 	Rounds    int           // at most; 0 is without end
 }
 
@@ -29,17 +29,17 @@
 func Run(ctx context.Context, o Options, out Output) (exit int, err error) {
 	a := New(o)
 	defer a.Close()
-	if out.Kept != "" {
-		if err := a.Load(out.Kept); err != nil {
-			return Faulty, err
+	if out.StateFile != "" {
+		if err := a.Load(out.StateFile); err != nil {
+			return ExitFaulty, err
 		}
 	}
 	began, saved := time.Now(), time.Now()
-	every := max(out.Every, 0)
+	every := max(out.Interval, 0)
 	if every == 0 {
 		every = time.Second
 	}
-	exit = NobodyThere
+	exit = ExitNoneReached
 	told := ""
 	for round := 1; ; round++ {
 		next := time.Now().Add(every)
@@ -49,13 +49,13 @@
 		}
 		exit = v.Exit()
 		if told, err = out.write(v, told); err != nil {
-			return Faulty, err
+			return ExitFaulty, err
 		}
-		last := out.last(round, v, time.Since(began), &o)
-		if out.Kept != "" && (last || time.Since(saved) >= saveEach) {
+		last := out.isLast(round, v, time.Since(began), &o)
+		if out.StateFile != "" && (last || time.Since(saved) >= saveInterval) {
 			saved = time.Now()
-			if err := a.Save(out.Kept, v.At); err != nil {
-				return Faulty, err
+			if err := a.Save(out.StateFile, v.At); err != nil {
+				return ExitFaulty, err
 			}
 		}
 		if last {
@@ -68,23 +68,23 @@
 		}
 		break
 	}
-	if out.Kept != "" && a.round > 0 {
-		return exit, a.Save(out.Kept, millis(time.Now()))
+	if out.StateFile != "" && a.round > 0 {
+		return exit, a.Save(out.StateFile, millis(time.Now()))
 	}
 	return exit, nil
 }
 
 // last tells whether a round is.
-func (out *Output) last(round int, v *View, since time.Duration, o *Options) bool {
+func (out *Output) isLast(round int, v *View, since time.Duration, o *Options) bool {
 	switch {
 	case out.Rounds > 0:
 		return round >= out.Rounds
-	case out.Every > 0:
+	case out.Interval > 0:
 		return false
-	case !o.Raise:
+	case !o.RaiseMinimum:
 		return true
 	}
-	return v.Count(UpToDate) == len(v.Rows) || since >= o.Grace+o.Spread+raiseMin
+	return v.Count(UpToDate) == len(v.Rows) || since >= o.Grace+o.Spread+raiseTail
 }
 
 // write tells what a round has found. A table is only told anew when it tells of another sidecar, status or contradiction.
@@ -94,19 +94,19 @@
 		if err := v.Page(&text); err != nil {
 			return told, err
 		}
-		if err := replace(out.Page, text.Bytes()); err != nil {
+		if err := replaceFile(out.Page, text.Bytes()); err != nil {
 			return told, err
 		}
 	}
 	if out.JSON {
 		return told, v.JSON(out.To)
 	}
-	news := v.Verdict() + v.Standing
+	news := v.Verdict() + v.NoOrdersReason
 	for i := range v.Rows {
 		news += fmt.Sprintln(v.Rows[i].Name, v.Rows[i].Status)
 	}
 	if news == told {
 		return told, nil
 	}
-	return news, v.Table(out.To, out.Everybody)
+	return news, v.Table(out.To, out.All)
 }
--- a/internal/audit/table.go
+++ b/internal/audit/table.go
@@ -14,15 +14,15 @@
 // Table writes a view for people: who is not up to date, or everybody, and what is wrong.
 func (v *View) Table(out io.Writer, everybody bool) error {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s  %s\n", moment(v.At), v.Verdict())
-	if v.Measure != "" {
-		fmt.Fprintf(&b, "measured by %s: %s\n", v.Measure, name(v.Reference))
+	fmt.Fprintf(&b, "%s  %s\n", formatTime(v.At), v.Verdict())
+	if v.ReferenceSource != "" {
+		fmt.Fprintf(&b, "measured by %s: %s\n", v.ReferenceSource, listName(v.Reference))
 	}
-	if f := v.Floor; f != nil {
+	if f := v.Minimum; f != nil {
 		fmt.Fprintf(&b, "floor epoch %d by %s, grace %v\n", f.Epoch, f.By, f.Grace.D())
 	}
-	if v.Standing != "" {
-		fmt.Fprintln(&b, v.Standing)
+	if v.NoOrdersReason != "" {
+		fmt.Fprintln(&b, v.NoOrdersReason)
 	}
 	t := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
 	head := false
@@ -35,18 +35,18 @@
 			head = true
 			fmt.Fprint(t, "\nsidecar\tzone\tstatus\tfor\tlist\tsettings\tfile\tbuild\tlate\twhy\n")
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", plain(r.Name), plain(r.Zone), r.Status, v.since(r.Since),
-			r.list(), r.settings(), r.file(), r.build(), late(r.Late), plain(r.Why))
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", printable(r.Name), printable(r.Zone), r.Status, v.ago(r.Since),
+			r.list(), r.settings(), r.file(), r.build(), formatLate(r.Late), printable(r.Reason))
 	}
 	_ = t.Flush() // into b, which takes all
 	for _, c := range v.Contradictions {
-		fmt.Fprintf(&b, "contradiction, %s: %s, %s: %s\n", c.Kind, plain(c.Sidecar), moment(c.Time), plain(c.What))
+		fmt.Fprintf(&b, "contradiction, %s: %s, %s: %s\n", c.Kind, printable(c.Sidecar), formatTime(c.Time), printable(c.What))
 	}
-	if v.Unkept > 0 {
-		fmt.Fprintf(&b, "and %s more\n", plural(v.Unkept, "contradiction"))
+	if v.Omitted > 0 {
+		fmt.Fprintf(&b, "and %s more\n", plural(v.Omitted, "contradiction"))
 	}
-	for _, f := range v.Faults {
-		fmt.Fprintf(&b, "roster: %s\n", plain(f))
+	for _, f := range v.InventoryFaults {
+		fmt.Fprintf(&b, "roster: %s\n", printable(f))
 	}
 	_, err := io.WriteString(out, b.String())
 	return err
@@ -71,15 +71,15 @@
 			return err
 		}
 	}
-	return e.Encode(map[string]any{"line": "summary", "at_ms": v.At, "took_ms": v.Took, "round": v.Round, "site": v.Site, "by": v.By,
-		"reference": v.Reference, "measure": v.Measure, "floor": v.Floor, "standing": v.Standing, "sidecars": len(v.Rows),
-		"up_to_date": v.Count(UpToDate), "behind": v.Count(Behind), "shut_out": v.Count(Shut), "not_reached": v.Count(NotReached),
-		"cant_tell": v.Count(Unknown), "contradictions": len(v.Contradictions) + v.Unkept, "roster": v.Faults,
+	return e.Encode(map[string]any{"line": "summary", "at_ms": v.At, "took_ms": v.Duration, "round": v.Round, "site": v.Site, "by": v.By,
+		"reference": v.Reference, "measure": v.ReferenceSource, "floor": v.Minimum, "standing": v.NoOrdersReason, "sidecars": len(v.Rows),
+		"up_to_date": v.Count(UpToDate), "behind": v.Count(Behind), "shut_out": v.Count(ShutOut), "not_reached": v.Count(NotReached),
+		"cant_tell": v.Count(Unknown), "contradictions": len(v.Contradictions) + v.Omitted, "roster": v.InventoryFaults,
 		"verdict": v.Verdict(), "exit": v.Exit()})
 }
 
 // plain is a text of somebody else's as it can stand in a line.
-func plain(s string) string {
+func printable(s string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r == 0x7f {
 			return '?'
@@ -88,7 +88,7 @@
 	}, s)
 }
 
-func moment(t version.Millis) string {
+func formatTime(t version.Millis) string {
 	if t == 0 {
 		return "-"
 	}
@@ -96,7 +96,7 @@
 }
 
 // clock is a moment without its day.
-func clock(t version.Millis) string {
+func formatClock(t version.Millis) string {
 	if t == 0 {
 		return "–"
 	}
@@ -104,14 +104,14 @@
 }
 
 // since is how long before the view's moment something was.
-func (v *View) since(t version.Millis) string {
+func (v *View) ago(t version.Millis) string {
 	if t == 0 {
 		return "-"
 	}
-	return span(v.At - t)
+	return formatDuration(v.At - t)
 }
 
-func span(m version.Millis) string {
+func formatDuration(m version.Millis) string {
 	d := m.D()
 	switch {
 	case d < 0:
@@ -123,32 +123,34 @@
 }
 
 // name is a list's, short.
-func name(l version.List) string {
+func listName(l version.List) string {
 	if l.Digest == 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%d/%s", l.Revision, short(l.Digest))
+	return fmt.Sprintf("%d/%s", l.Revision, shortDigest(l.Digest))
 }
 
 // short is enough of a digest to tell it from the others by eye.
-func short(d version.Digest) string {
+func shortDigest(d version.Digest) string {
 	if d == 0 {
 		return "-"
 	}
 	return fmt.Sprintf("%016x", uint64(d))[:6]
 }
 
-func (r *Row) list() string { return r.of(func(v *version.Version) string { return name(v.List) }) }
+func (r *Row) list() string { return r.of(func(v *version.Version) string { return listName(v.List) }) }
 func (r *Row) settings() string {
-	return r.of(func(v *version.Version) string { return short(v.Settings) })
+	return r.of(func(v *version.Version) string { return shortDigest(v.Settings) })
+}
+func (r *Row) file() string {
+	return r.of(func(v *version.Version) string { return shortDigest(v.File) })
 }
-func (r *Row) file() string { return r.of(func(v *version.Version) string { return short(v.File) }) }
 func (r *Row) build() string {
 	return r.of(func(v *version.Version) string {
 		if len(v.Build) > 12 {
-			return plain(v.Build[:12])
+			return printable(v.Build[:12])
 		}
-		return plain(v.Build)
+		return printable(v.Build)
 	})
 }
 
@@ -161,10 +163,10 @@
 }
 
 // late is how many attempts were made too late: those that surely were, and those that may have been.
-func late(all []Late) string {
+func formatLate(all []LateAttempts) string {
 	n, perhaps := 0, 0
 	for _, l := range all {
-		n, perhaps = n+l.N, perhaps+l.Perhaps
+		n, perhaps = n+l.Certain, perhaps+l.Possible
 	}
 	switch {
 	case n+perhaps == 0:
--- a/internal/audit/turns.go
+++ b/internal/audit/turns.go
@@ -7,15 +7,15 @@
 )
 
 // turns says who is asked next, so many at a time. It is pure: calls that begin and end are told to it.
-type turns struct {
+type scheduler struct {
 	queue []int
 	free  int
 }
 
-// newTurns has those asked first that took longest the last time: one that hangs then does so beside all the others, and not
+// newScheduler has those asked first that took longest the last time: one that hangs then does so beside all the others, and not
 // alone at the end of the round.
-func newTurns(took []time.Duration, atATime int) *turns {
-	t := &turns{queue: make([]int, len(took)), free: atATime}
+func newScheduler(took []time.Duration, atATime int) *scheduler {
+	t := &scheduler{queue: make([]int, len(took)), free: atATime}
 	for i := range t.queue {
 		t.queue[i] = i
 	}
@@ -24,7 +24,7 @@
 }
 
 // next is who is to be asked now, if anybody.
-func (t *turns) next() (who int, ok bool) {
+func (t *scheduler) next() (who int, ok bool) {
 	if t.free == 0 || len(t.queue) == 0 {
 		return 0, false
 	}
@@ -34,4 +34,4 @@
 }
 
 // ended says that a call has.
-func (t *turns) ended() { t.free++ }
+func (t *scheduler) done() { t.free++ }
--- a/internal/lab/footprint/audit.go
+++ b/internal/lab/footprint/audit.go
@@ -71,7 +71,7 @@
 	if out.BytesFirst, out.BytesAgain, err = bytesOf(ctx, roster); err != nil {
 		return Audited{}, err
 	}
-	au := audit.New(audit.Options{Roster: roster, AtATime: auditAtATime, Within: auditWithin, By: "gauge", Share: 0.1})
+	au := audit.New(audit.Options{Inventory: roster, Concurrency: auditAtATime, Timeout: auditWithin, By: "gauge", Share: 0.1})
 	defer au.Close()
 	var again []float64
 	for n := range a.Rounds + 1 {
@@ -93,7 +93,7 @@
 }
 
 // process measures the program itself.
-func (a *Audit) process(ctx context.Context, roster *audit.Roster, out *Audited) error {
+func (a *Audit) process(ctx context.Context, roster *audit.Inventory, out *Audited) error {
 	var text strings.Builder
 	for _, s := range roster.Sidecars {
 		fmt.Fprintf(&text, "[[sidecar]]\nname = %q\naddr = %q\n", s.Name, s.Addr)
@@ -119,7 +119,7 @@
 			continue
 		case err := <-ended:
 			out.Whole = float64(time.Since(from)) / float64(time.Millisecond)
-			if cmd.ProcessState.ExitCode() < audit.AllWell || cmd.ProcessState.ExitCode() >= audit.Faulty {
+			if cmd.ProcessState.ExitCode() < audit.ExitAllUpToDate || cmd.ProcessState.ExitCode() >= audit.ExitFaulty {
 				return fmt.Errorf("gauge: pinelb audit: %w", err)
 			}
 		}
@@ -130,8 +130,8 @@
 }
 
 // fleet starts whom to ask, and returns what ends them.
-func (a *Audit) fleet(ctx context.Context) (roster *audit.Roster, closing []func(), err error) {
-	roster = &audit.Roster{}
+func (a *Audit) fleet(ctx context.Context) (roster *audit.Inventory, closing []func(), err error) {
+	roster = &audit.Inventory{}
 	add := func(name, addr string) {
 		roster.Sidecars = append(roster.Sidecars, audit.Sidecar{Name: name, Addr: addr})
 	}
@@ -212,7 +212,7 @@
 }
 
 // bytesOf is what an auditor's calls carry, asked one after the other: of all trails, and of what is new a moment later.
-func bytesOf(ctx context.Context, roster *audit.Roster) (first, again float64, err error) {
+func bytesOf(ctx context.Context, roster *audit.Inventory) (first, again float64, err error) {
 	var bytes atomic.Int64
 	client := &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true,
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
--- a/internal/lab/footprint/gauge_test.go
+++ b/internal/lab/footprint/gauge_test.go
@@ -38,11 +38,11 @@
 }
 
 func auditor(roster string) int {
-	r, err := audit.ReadRoster(roster)
+	r, err := audit.ReadInventory(roster)
 	if err != nil {
-		return audit.Faulty
+		return audit.ExitFaulty
 	}
-	exit, _ := audit.Run(context.Background(), audit.Options{Roster: r, AtATime: auditAtATime, Within: callTimeout, By: "test", Share: 0.1},
+	exit, _ := audit.Run(context.Background(), audit.Options{Inventory: r, Concurrency: auditAtATime, Timeout: callTimeout, By: "test", Share: 0.1},
 		audit.Output{To: io.Discard, JSON: true})
 	return exit
 }
