--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -33,9 +33,9 @@
 	r := &Inventory{}
 	for i := range n {
 		name := fmt.Sprintf("s%d", i)
-		f.reports[i] = report(name)
+		f.reports[i] = testReport(name)
 		f.reports[i].Zone, f.reports[i].Rank, f.reports[i].Instances = fmt.Sprintf("z%d", i%2), i, n
-		r.Sidecars = append(r.Sidecars, Sidecar{Name: name, Addr: sidecarAt(t, func(w http.ResponseWriter, q *http.Request) { f.answer(i, w, q) })})
+		r.Sidecars = append(r.Sidecars, Sidecar{Name: name, Addr: serveSidecar(t, func(w http.ResponseWriter, q *http.Request) { f.answer(i, w, q) })})
 	}
 	return f, r
 }
@@ -53,7 +53,7 @@
 		f.reports[i].Minimum, f.reports[i].Version.Epoch = &o.Minimum, o.Minimum.Epoch
 	}
 	r.Now = millis(time.Now())
-	says(r)(w, q)
+	answerWith(r)(w, q)
 }
 
 func (f *fleet) set(i int, edit func(r *auditlog.Report)) {
@@ -63,11 +63,11 @@
 }
 
 // options are those of tests: no time is tight.
-func options(r *Inventory) Options {
+func testOptions(r *Inventory) Options {
 	return Options{Inventory: r, By: "auditor", Concurrency: 8, Timeout: 10 * time.Second, Grace: time.Second, Spread: time.Second, Validity: time.Minute, Share: 0.1}
 }
 
-func round(t *testing.T, a *Audit) *View {
+func runRound(t *testing.T, a *Audit) *View {
 	t.Helper()
 	v, err := a.Round(t.Context())
 	if err != nil {
@@ -91,11 +91,11 @@
 	f, r := newFleet(t, 6)
 	f.set(1, func(r *auditlog.Report) { r.Version.List = version.List{From: "ls", Revision: 6, Digest: 60} })
 	f.set(2, func(r *auditlog.Report) { r.Name = "s9" }) // its address is another one's now
-	r.Sidecars[3].Addr = dead(t)
+	r.Sidecars[3].Addr = closedAddr(t)
 	f.set(4, func(r *auditlog.Report) { r.Rank = 0; r.Instances = 8 })
-	a := New(options(r))
+	a := New(testOptions(r))
 	defer a.Close()
-	v := round(t, a)
+	v := runRound(t, a)
 	for name, want := range map[string]Status{"s0": UpToDate, "s1": Behind, "s2": NotReached, "s3": NotReached, "s4": UpToDate, "s5": UpToDate} {
 		if got := v.row(name); got.Status != want {
 			t.Errorf("%s: %+v, want %s", name, got, want)
@@ -134,17 +134,17 @@
 
 func TestExit(t *testing.T) {
 	f, r := newFleet(t, 2)
-	a := New(options(r))
+	a := New(testOptions(r))
 	defer a.Close()
-	if v := round(t, a); v.Exit() != ExitAllUpToDate || v.Contradictions != nil || v.InventoryFaults != nil {
+	if v := runRound(t, a); v.Exit() != ExitAllUpToDate || v.Contradictions != nil || v.InventoryFaults != nil {
 		t.Errorf("%d: %s, %q", v.Exit(), v.Verdict(), v.InventoryFaults)
 	}
 	f.set(0, func(r *auditlog.Report) { r.Name = "other" })
-	if v := round(t, a); v.Exit() != ExitNotUpToDate {
+	if v := runRound(t, a); v.Exit() != ExitNotUpToDate {
 		t.Error("one of two was not reached")
 	}
 	f.set(1, func(r *auditlog.Report) { r.Name = "other" })
-	if v := round(t, a); v.Exit() != ExitNoneReached || v.row("s1").LastAnswer == 0 || v.row("s1").Version == nil {
+	if v := runRound(t, a); v.Exit() != ExitNoneReached || v.row("s1").LastAnswer == 0 || v.row("s1").Version == nil {
 		t.Errorf("%d: %+v", v.Exit(), v.row("s1"))
 	}
 }
@@ -153,8 +153,8 @@
 func TestListService(t *testing.T) {
 	f, r := newFleet(t, 3)
 	down := false
-	o := options(r)
-	o.List = sidecarAt(t, func(w http.ResponseWriter, _ *http.Request) {
+	o := testOptions(r)
+	o.List = serveSidecar(t, func(w http.ResponseWriter, _ *http.Request) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if down {
@@ -165,7 +165,7 @@
 	})
 	a := New(o)
 	defer a.Close()
-	v := round(t, a)
+	v := runRound(t, a)
 	if v.Count(Behind) != 3 || v.Reference.Revision != 9 || v.Reference.Digest == 0 {
 		t.Errorf("%s by %+v", v.Verdict(), v.Reference)
 	}
@@ -173,15 +173,15 @@
 	f.mu.Lock()
 	down = true
 	f.mu.Unlock()
-	if v := round(t, a); v.Count(UpToDate) != 1 || v.Count(Behind) != 2 {
+	if v := runRound(t, a); v.Count(UpToDate) != 1 || v.Count(Behind) != 2 {
 		t.Error(v.Verdict())
 	}
 }
 
 // Guards against floors that don't go out, and audits that end before they have.
-func TestRaises(t *testing.T) {
+func TestRaisesMinimum(t *testing.T) {
 	f, r := newFleet(t, 3)
-	o := options(r)
+	o := testOptions(r)
 	o.RaiseMinimum, o.Builds = true, []string{"new"}
 	f.set(2, func(r *auditlog.Report) { r.Version.Build = "old" })
 	var out bytes.Buffer
@@ -213,9 +213,9 @@
 }
 
 // Guards against dead sidecars whose trail is not read, and against them counting as reached because it is.
-func TestDeadSidecars(t *testing.T) {
+func TestUnreachableSidecars(t *testing.T) {
 	_, r := newFleet(t, 3)
-	s := (&script{life: "l", ahead: millis(time.Now())}).adopt(100, 1, 6, 60).count(200, 1, 5, 0)
+	s := (&logScript{incarnation: "l", ahead: millis(time.Now())}).adopt(100, 1, 6, 60).count(200, 1, 5, 0)
 	var text []byte
 	for _, e := range s.entries {
 		line, err := json.Marshal(e)
@@ -230,13 +230,13 @@
 			t.Fatal(err)
 		}
 	}
-	r.Sidecars[1].Addr, r.Sidecars[1].Dir = dead(t), dirs[0]
-	r.Sidecars[2].Addr = dead(t)
-	o := options(r)
+	r.Sidecars[1].Addr, r.Sidecars[1].Dir = closedAddr(t), dirs[0]
+	r.Sidecars[2].Addr = closedAddr(t)
+	o := testOptions(r)
 	o.Dirs = map[string]string{"s2": dirs[1], "unlisted": dirs[0], "nowhere": dirs[0] + "/none"}
 	a := New(o)
 	defer a.Close()
-	v := round(t, a)
+	v := runRound(t, a)
 	if v.Count(NotReached) != 2 || v.Count(UpToDate) != 1 {
 		t.Error(v.Verdict())
 	}
@@ -245,7 +245,7 @@
 			t.Errorf("%s: %+v, want %d entries", name, got, want)
 		}
 	}
-	if got := found(&a.history); !strings.HasPrefix(got, MissingEntries+" s2 ") || strings.Contains(got, "s1") {
+	if got := contradictionText(&a.history); !strings.HasPrefix(got, MissingEntries+" s2 ") || strings.Contains(got, "s1") {
 		t.Error(got)
 	}
 	if got := strings.Join(v.InventoryFaults, "\n"); !strings.Contains(got, "nowhere: its trail can't be read") {
@@ -257,9 +257,9 @@
 }
 
 // Guards against a file that is taken for another's, or for none where it can't be read.
-func TestKept(t *testing.T) {
+func TestStateFile(t *testing.T) {
 	_, r := newFleet(t, 1)
-	a := New(options(r))
+	a := New(testOptions(r))
 	defer a.Close()
 	for text, want := range map[string]string{
 		"":              "unexpected end",
@@ -285,7 +285,7 @@
 			for i := range fleet {
 				name := fmt.Sprintf("s%d", i)
 				r.Sidecars = append(r.Sidecars, Sidecar{Name: name, Addr: "127.0.0.1:1"})
-				s := &script{life: name}
+				s := &logScript{incarnation: name}
 				for k := range min(maxEntries, maxTotalEntries/fleet) {
 					if at := version.Millis(1000 * k); k%4 == 0 {
 						s.adopt(at, uint32(k), int64(k), version.Digest(k+1))
@@ -293,11 +293,11 @@
 						s.count(at, uint32(k-k%4), 9, 0)
 					}
 				}
-				rep := report(name)
+				rep := testReport(name)
 				rep.Entries, rep.Now, rep.Up, rep.Next = s.entries, 600_000, 600_000, uint64(len(s.entries)+1)
 				answers[i] = Answer{Report: &rep, Midpoint: 600_000, ReceivedAt: time.UnixMilli(600_000)}
 			}
-			a := New(options(r))
+			a := New(testOptions(r))
 			defer a.Close()
 			questions := make([]Request, fleet)
 			at := func(t time.Time) time.Duration { return time.Duration(t.UnixNano()) }
@@ -330,11 +330,11 @@
 
 // FuzzMerge has sidecars tell anything, twice: nothing panics, what is held is bounded, and who was not reached is not up to date.
 func FuzzMerge(f *testing.F) {
-	for _, s := range []*script{
-		(&script{life: "l"}).add(100, auditlog.Entry{Kind: auditlog.Started}).adopt(200, 1, 5, 50).count(300, 1, 9, 1),
-		(&script{life: "m", ahead: -5000}).adopt(900, 1, 6, 60).adopt(950, 2, 4, 40),
+	for _, s := range []*logScript{
+		(&logScript{incarnation: "l"}).add(100, auditlog.Entry{Kind: auditlog.Started}).adopt(200, 1, 5, 50).count(300, 1, 9, 1),
+		(&logScript{incarnation: "m", ahead: -5000}).adopt(900, 1, 6, 60).adopt(950, 2, 4, 40),
 	} {
-		r := s.told(1000, 1).Report
+		r := s.answer(1000, 1).Report
 		r.Name, r.Site, r.Version.List = "a", "site", s.entries[len(s.entries)-2].Version.List
 		text, err := json.Marshal(r)
 		if err != nil {
@@ -346,7 +346,7 @@
 	roster := &Inventory{Sidecars: []Sidecar{{Name: "a", Addr: "127.0.0.1:1"}, {Name: "b", Addr: "127.0.0.1:2"}}}
 	began := time.Unix(1000, 0)
 	f.Fuzz(func(t *testing.T, first, second []byte, bothReached bool) {
-		a := New(options(roster))
+		a := New(testOptions(roster))
 		defer a.Close()
 		for i := range 3 {
 			answers := make([]Answer, 2)
--- a/internal/audit/ask.go
+++ b/internal/audit/client.go
@@ -20,20 +20,21 @@
 )
 
 const (
-	maxAnswerBytes = auditlog.MaxReportBytes // bytes: what a sidecar may have the audit hold, times those asked at a time
+	maxAnswerBytes = auditlog.MaxReportBytes // of a sidecar's answer; times Concurrency, of memory
 	maxHeaderBytes = 16 << 10
-	maxListBytes   = 8 << 20 // bytes of the list service's answer, as sidecars have it
-	maxPages       = 8       // calls in a row at one sidecar, for the rest of a long trail
+	maxListBytes   = 8 << 20 // of the list service's answer, as for sidecars
+	maxPages       = 8       // consecutive calls at one sidecar, for the rest of a long log
 )
 
-// Client asks sidecars and the list service. It keeps no connection: operators' listeners take one call to each.
+// Client sends requests to sidecars and to the list service. It keeps no connections: a control listener accepts one call on
+// each.
 type Client struct {
-	Concurrency int           // sidecars, and so connections; 256 is a fair number
-	Timeout     time.Duration // a call at most
+	Concurrency int           // sidecars polled at a time, and so connections; 256 is a good value
+	Timeout     time.Duration // of all calls at one sidecar
 	client      *http.Client
 }
 
-// NewClient returns one. Close it in the end.
+// NewClient returns a client. The caller closes it.
 func NewClient(atATime int, within time.Duration) *Client {
 	return &Client{Concurrency: atATime, Timeout: within, client: &http.Client{
 		Transport: &http.Transport{DialContext: (&net.Dialer{}).DialContext, DisableKeepAlives: true, DisableCompression: true,
@@ -42,31 +43,31 @@
 	}}
 }
 
-// Close gives up what is left of connections.
+// Close closes idle connections.
 func (a *Client) Close() { a.client.CloseIdleConnections() }
 
-// Request is what one sidecar is asked.
+// Request is a request to one sidecar.
 type Request struct {
 	Addr         string
-	Since        uint64         // of its trail; an entry that is held already is asked for again,
-	Sum          string         // to see whether it is the same: if it is not, all of the trail is; "" is none
-	LastDuration time.Duration  // that the call took the last time
-	Order        *version.Order // to be given before; nil is none
+	Since        uint64         // of its log: the last entry that is known already
+	Sum          string         // that entry's checksum: if it has changed, all of the log is requested; "": none
+	LastDuration time.Duration  // of the last request to it
+	Order        *version.Order // to be sent before; nil: none
 }
 
-// Answer is what came of it.
+// Answer is the outcome of a Request.
 type Answer struct {
-	Report      *auditlog.Report // with the entries of all its pages; nil: not reached
-	Midpoint    version.Millis   // of the last call, Unix time by the auditor's clock
-	Uncertainty version.Millis   // of which the sidecar's Now is known: half of that call
-	ReceivedAt  time.Time        // when it was over, by the auditor's clock
+	Report      *auditlog.Report // with the entries of all pages; nil: not reached
+	Midpoint    version.Millis   // of the last call: Unix time by the auditor's clock
+	Uncertainty version.Millis   // of the Report's Now against Midpoint: half of that call
+	ReceivedAt  time.Time        // by the auditor's clock
 	Duration    time.Duration
 	Err         error // why it was not reached
-	OrderErr    error // why the order was not taken; nil where there was none
+	OrderErr    error // why the order was rejected; nil also where there was none
 }
 
-// Do asks them all, so many at a time, and returns the answers in the questions' order. The end of ctx ends it: who had
-// not answered then counts as not reached.
+// Do sends the requests, Concurrency at a time, and returns the answers in the requests' order. When ctx is done it returns:
+// sidecars that had not answered then count as not reached.
 func (a *Client) Do(ctx context.Context, questions []Request) []Answer {
 	answers := make([]Answer, len(questions))
 	took := make([]time.Duration, len(questions))
@@ -88,7 +89,7 @@
 	return answers
 }
 
-// one gives a sidecar its order, if there is one, and asks for its trail's new entries, page by page.
+// poll sends a sidecar its order, if there is one, and requests its log's new entries, page by page.
 func (a *Client) poll(ctx context.Context, q Request) (out Answer) {
 	began := time.Now()
 	defer func() { out.ReceivedAt, out.Duration = time.Now(), time.Since(began) }()
@@ -110,11 +111,11 @@
 			if out.Report == nil {
 				out.Err = err
 			}
-			return out // the rest of the trail comes the next time
+			return out // the rest of the log follows in the next round
 		}
 		out.Midpoint, out.Uncertainty = millis(from.Add(half)), version.Millis(half.Milliseconds()+1)
 		held := q.Sum == "" || len(r.Entries) > 0 && r.Entries[0].Seq == q.Since && r.Entries[0].Sum == q.Sum
-		if out.Report == nil && !anew && (r.Next < since || !held) { // a trail that has begun anew, or was changed
+		if out.Report == nil && !anew && (r.Next < since || !held) { // the log has begun anew, or was changed
 			since, anew = 1, true
 			continue
 		}
@@ -131,7 +132,7 @@
 	return out
 }
 
-// order gives an order.
+// sendOrder sends an order.
 func (a *Client) sendOrder(ctx context.Context, addr string, o version.Order) error {
 	body, err := json.Marshal(o)
 	if err != nil {
@@ -141,7 +142,7 @@
 	return err
 }
 
-// List asks the list service what it tells now.
+// List requests the current list from the list service.
 func (a *Client) List(ctx context.Context, addr string) (version.List, error) {
 	ctx, cancel := context.WithTimeout(ctx, a.Timeout)
 	defer cancel()
@@ -162,8 +163,8 @@
 	return version.List{From: addr, Revision: l.Revision, Digest: l.Digest()}, nil
 }
 
-// call makes a call. An answer that is not 200 or longer than most is an error.
-func (a *Client) call(ctx context.Context, method, url string, body []byte, most int64) ([]byte, error) {
+// call makes a call. An answer that isn't 200 or has more than maxBytes is an error.
+func (a *Client) call(ctx context.Context, method, url string, body []byte, maxBytes int64) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return nil, fmt.Errorf("audit: %w", err)
@@ -172,8 +173,8 @@
 	if err != nil {
 		return nil, a.shortError(err)
 	}
-	defer res.Body.Close()
-	text, err := readLimited(res.Body, most)
+	defer func() { _ = res.Body.Close() }()
+	text, err := readLimited(res.Body, maxBytes)
 	if err != nil {
 		return nil, a.shortError(err)
 	}
@@ -183,7 +184,7 @@
 	return text, nil
 }
 
-// shortly leaves out of an error what stands beside it anyway, the address that was called.
+// shortError removes from an error what is shown beside it anyway, the called address.
 func (a *Client) shortError(err error) error {
 	var call *url.Error
 	if errors.As(err, &call) {
@@ -195,11 +196,11 @@
 	return fmt.Errorf("audit: %w", err)
 }
 
-// readLimited reads all of r, which may have so many bytes at most.
-func readLimited(r io.Reader, most int64) ([]byte, error) {
-	text, err := io.ReadAll(io.LimitReader(r, most+1))
-	if err == nil && int64(len(text)) > most {
-		err = fmt.Errorf("longer than %d bytes", most)
+// readLimited reads all of r; more than maxBytes are an error.
+func readLimited(r io.Reader, maxBytes int64) ([]byte, error) {
+	text, err := io.ReadAll(io.LimitReader(r, maxBytes+1))
+	if err == nil && int64(len(text)) > maxBytes {
+		err = fmt.Errorf("longer than %d bytes", maxBytes)
 	}
 	return text, err
 }
--- a/internal/audit/ask_test.go
+++ b/internal/audit/client_test.go
@@ -22,8 +22,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// sidecarAt is a stand-in for a sidecar's operators' listener.
-func sidecarAt(t testing.TB, answer http.HandlerFunc) string {
+// serveSidecar is a stand-in for a sidecar's operators' listener.
+func serveSidecar(t testing.TB, answer http.HandlerFunc) string {
 	t.Helper()
 	s := httptest.NewServer(answer)
 	s.Config.ErrorLog = nil
@@ -32,7 +32,7 @@
 }
 
 // hanging is the address of a listener that takes connections, and never says anything.
-func hanging(t testing.TB) string {
+func hangingAddr(t testing.TB) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,7 +43,7 @@
 }
 
 // dead is an address at which nobody listens, and that nobody else gets meanwhile.
-func dead(t testing.TB) string {
+func closedAddr(t testing.TB) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -61,13 +61,13 @@
 }
 
 // report is that of a sidecar that acts, and has no trail yet.
-func report(name string) auditlog.Report {
+func testReport(name string) auditlog.Report {
 	return auditlog.Report{Name: name, Zone: "z0", Site: "site", Instances: 1, Incarnation: "life " + name, State: "acts", VersionID: 1, Next: 1, Oldest: 1,
 		Version: version.Version{List: version.List{From: "ls", Revision: 7, Digest: 70}, Build: "new"}}
 }
 
 // says answers with a report.
-func says(r auditlog.Report) http.HandlerFunc {
+func answerWith(r auditlog.Report) http.HandlerFunc {
 	text, err := json.Marshal(r)
 	return func(w http.ResponseWriter, _ *http.Request) {
 		if err != nil {
@@ -77,19 +77,19 @@
 	}
 }
 
-// fleetOf is questions at stand-ins, of which 5% are dead and 5% hang, and how many were asked at once at most.
-func fleetOf(t testing.TB, fleet int) ([]Request, *atomic.Int64) {
+// newSlowFleet is questions at stand-ins, of which 5% are dead and 5% hang, and how many were asked at once at most.
+func newSlowFleet(t testing.TB, fleet int) ([]Request, *atomic.Int64) {
 	now, most := new(atomic.Int64), new(atomic.Int64)
 	questions := make([]Request, fleet)
 	for i := range questions {
 		switch i % 20 {
 		case 7:
-			questions[i].Addr = dead(t)
+			questions[i].Addr = closedAddr(t)
 		case 13:
-			questions[i].Addr = hanging(t)
+			questions[i].Addr = hangingAddr(t)
 		default:
-			answer := says(report(fmt.Sprint(i)))
-			questions[i].Addr = sidecarAt(t, func(w http.ResponseWriter, r *http.Request) {
+			answer := answerWith(testReport(fmt.Sprint(i)))
+			questions[i].Addr = serveSidecar(t, func(w http.ResponseWriter, r *http.Request) {
 				n := now.Add(1)
 				defer now.Add(-1)
 				for old := most.Load(); n > old && !most.CompareAndSwap(old, n); old = most.Load() {
@@ -103,9 +103,9 @@
 
 // Guards against an audit that a few dead or hanging sidecars hold up, and one that opens connections without bound. The
 // time is half of what those that hang take one after the other; what it is on a machine at rest is the benchmark's.
-func TestAsksManyAtOnce(t *testing.T) {
+func TestRequestsAreConcurrent(t *testing.T) {
 	const fleet, atATime, within = 100, 32, 4 * time.Second
-	questions, most := fleetOf(t, fleet)
+	questions, most := newSlowFleet(t, fleet)
 	a := NewClient(atATime, within)
 	defer a.Close()
 	began := time.Now()
@@ -123,8 +123,8 @@
 	}
 }
 
-func BenchmarkAsk400(b *testing.B) {
-	questions, _ := fleetOf(b, 400)
+func BenchmarkRequest400(b *testing.B) {
+	questions, _ := newSlowFleet(b, 400)
 	a := NewClient(256, time.Second)
 	defer a.Close()
 	for b.Loop() {
@@ -139,9 +139,9 @@
 }
 
 // Guards against calls that outlast their context.
-func TestAskEnds(t *testing.T) {
+func TestRequestsEndWithContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	addr := sidecarAt(t, func(_ http.ResponseWriter, r *http.Request) {
+	addr := serveSidecar(t, func(_ http.ResponseWriter, r *http.Request) {
 		cancel()
 		<-r.Context().Done()
 	})
@@ -155,7 +155,7 @@
 }
 
 // Guards against answers that are taken for reports, and answers without bound.
-func TestFaultyAnswers(t *testing.T) {
+func TestInvalidAnswers(t *testing.T) {
 	a := NewClient(1, 10*time.Second)
 	defer a.Close()
 	for name, c := range map[string]struct {
@@ -173,7 +173,7 @@
 			http.Redirect(w, r, "http://"+r.Host+"/elsewhere", http.StatusFound)
 		}, "answer 302"},
 	} {
-		got := a.Do(t.Context(), []Request{{Addr: sidecarAt(t, c.answer)}})[0]
+		got := a.Do(t.Context(), []Request{{Addr: serveSidecar(t, c.answer)}})[0]
 		if got.Report != nil || got.Err == nil || !strings.Contains(got.Err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", name, got.Err, c.want)
 		}
@@ -183,11 +183,11 @@
 // Guards against orders that are lost, or refused unseen, and trails of which only the beginning is read.
 func TestOrdersAndPages(t *testing.T) {
 	var orders, pages atomic.Int64
-	long := &script{life: "l"}
+	long := &logScript{incarnation: "l"}
 	for range 3 {
 		long.add(1000, auditlog.Entry{Kind: auditlog.Counted, Attempts: slices.Repeat([]auditlog.Attempts{{Class: "c", Host: strings.Repeat("h", 250), N: 1}}, 512)})
 	}
-	addr := sidecarAt(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := serveSidecar(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
 			orders.Add(1)
 			var o version.Order
@@ -200,11 +200,11 @@
 		pages.Add(1)
 		var since uint64
 		_, _ = fmt.Sscanf(r.URL.RawQuery, "since=%d", &since)
-		rep := report("a")
+		rep := testReport("a")
 		if rep.Next = since + 1; since < 4 {
 			rep.Entries = long.entries[since-1 : since]
 		}
-		says(rep)(w, r)
+		answerWith(rep)(w, r)
 	})
 	a := NewClient(1, 10*time.Second)
 	defer a.Close()
@@ -218,13 +218,13 @@
 }
 
 // Guards against a trail that has begun anew, and has grown as long as the former one, being read from its middle.
-func TestBegunAnew(t *testing.T) {
-	s := (&script{life: "m"}).add(100, auditlog.Entry{Kind: auditlog.Started}).adopt(200, 1, 5, 50).adopt(300, 2, 6, 60)
-	addr := sidecarAt(t, func(w http.ResponseWriter, r *http.Request) {
-		rep, since := report("a"), 0
+func TestRestartedLog(t *testing.T) {
+	s := (&logScript{incarnation: "m"}).add(100, auditlog.Entry{Kind: auditlog.Started}).adopt(200, 1, 5, 50).adopt(300, 2, 6, 60)
+	addr := serveSidecar(t, func(w http.ResponseWriter, r *http.Request) {
+		rep, since := testReport("a"), 0
 		_, _ = fmt.Sscanf(r.URL.RawQuery, "since=%d", &since)
 		rep.Entries, rep.Next = s.entries[since-1:], 4
-		says(rep)(w, r)
+		answerWith(rep)(w, r)
 	})
 	a := NewClient(2, 10*time.Second)
 	defer a.Close()
@@ -238,7 +238,7 @@
 
 // Guards against rounds that grow with the fleet times the time-out, in virtual time: of 5,000 sidecars 5% don't answer, and
 // 5% take connections and say nothing. Where that is known from the round before they begin it.
-func TestTurns(t *testing.T) {
+func TestScheduler(t *testing.T) {
 	const fleet, atATime = 5000, 256
 	takes := make([]time.Duration, fleet)
 	for i := range takes {
--- a/internal/audit/roster.go
+++ b/internal/audit/inventory.go
@@ -1,5 +1,9 @@
-// Package audit asks a fleet of sidecars which version each acts on, merges their trails into one history, and says who is
-// behind and where trails contradict each other. Who is behind, and what is ordered, is decided by internal/version.
+// Package audit asks a fleet of sidecars which version each acts on, merges their audit logs into one history on one time line,
+// and reports which sidecars are behind and where logs contradict each other. Which sidecar is behind, and what is ordered, is
+// decided by package version. The command "pinelb audit" runs it.
+//
+// An Audit belongs to one goroutine; a Client sends its requests from several. A History is pure, and its JSON, like the whole
+// state file's, is read by other releases: names and forms stay. Errors begin with "audit:".
 package audit
 
 import (
@@ -11,32 +15,32 @@
 )
 
 const (
-	maxInventoryBytes = 16 << 20 // bytes
-	maxSidecars       = 20_000   // sidecars: what is kept of each is bounded, and so is what is kept of all
-	maxNameBytes      = 256      // bytes, as operators' calls have it
+	maxInventoryBytes = 16 << 20 // of the file
+	maxSidecars       = 20_000   // what is kept of each is bounded, and so is what is kept of all
+	maxNameBytes      = 256      // of a sidecar's name, as in operators' calls
 )
 
-// Sidecar is one that the roster lists.
+// Sidecar is one that the inventory lists.
 type Sidecar struct {
-	Name string // its own, as its configuration has it
-	Addr string // where operators call it
-	Zone string // "" is as it says itself
-	Dir  string // its [state] directory, to be read if it can't be asked; "" is none
+	Name string // as its configuration has it
+	Addr string // its control address
+	Zone string // "": as it reports itself
+	Dir  string // its [state] directory, to be read if it can't be reached; "": none
 }
 
-// Inventory is whom to ask.
+// Inventory lists the sidecars.
 type Inventory struct {
 	Sidecars []Sidecar // each name once
-	Faults   []string  // what stands twice; it is part of what an audit finds, and ends none
+	Faults   []string  // duplicates, which are findings and not errors
 }
 
-// ReadInventory reads a roster's file. The error names the file, the line and the key.
+// ReadInventory reads an inventory's file. The error names the file, the line and the key.
 func ReadInventory(path string) (*Inventory, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("audit: roster: %w", err)
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	text, err := readLimited(f, maxInventoryBytes)
 	if err != nil {
 		return nil, fmt.Errorf("audit: roster: %s: %w", path, err)
@@ -44,7 +48,8 @@
 	return ParseInventory(path, text)
 }
 
-// ParseInventory reads a roster: tables [[sidecar]] with name, addr and, where they are known, zone and dir.
+// ParseInventory parses an inventory: tables [[sidecar]] with name, addr and, where they are known, zone and dir. File is its
+// name in errors.
 func ParseInventory(file string, text []byte) (*Inventory, error) {
 	var v struct{ Sidecar []Sidecar }
 	f, err := tomlfile.Decode(file, text, &v)
@@ -67,7 +72,7 @@
 		if first, twice := addrs[s.Addr]; twice && v.Sidecar[first].Name != s.Name {
 			r.Faults = append(r.Faults, fmt.Sprintf("address %s is listed for %s and for %s", s.Addr, v.Sidecar[first].Name, s.Name))
 		}
-		if first, twice := names[s.Name]; twice { // judged once, as the first says, or the fleet would seem larger than it is
+		if first, twice := names[s.Name]; twice { // judged once, by the first entry, or the fleet would seem larger than it is
 			r.Faults = append(r.Faults, fmt.Sprintf("%s is listed twice, at %s and at %s: the first counts", s.Name, v.Sidecar[first].Addr, s.Addr))
 			continue
 		}
--- a/internal/audit/roster_test.go
+++ b/internal/audit/inventory_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestRoster(t *testing.T) {
+func TestInventory(t *testing.T) {
 	const good = "[[sidecar]]\nname = \"a\"\naddr = \"127.0.0.1:1\"\nzone = \"z\"\n"
 	r, err := ParseInventory("r.toml", []byte(good+"[[sidecar]]\nname = \"a\"\naddr = \"127.0.0.1:2\"\n"+
 		"[[sidecar]]\nname = \"b\"\naddr = \"127.0.0.1:1\"\ndir = \"/state\"\n"))
@@ -28,7 +28,7 @@
 	}
 }
 
-func FuzzRoster(f *testing.F) {
+func FuzzInventory(f *testing.F) {
 	f.Add("[[sidecar]]\nname = \"a\"\naddr = \"127.0.0.1:1\"\nzone = \"z\"\n")
 	f.Add("sidecar = [{name = \"a\", addr = \"[::1]:9\"}, {name = \"a\", addr = \"[::1]:9\"}]")
 	f.Fuzz(func(t *testing.T, text string) {
--- a/internal/audit/late.go
+++ b/internal/audit/late.go
@@ -9,16 +9,16 @@
 	"pinelb.example/pinelb/internal/version"
 )
 
-// LateAttempts are attempts that a sidecar made at a host under a version that had ended: one that did not meet the floor in force,
-// after its grace.
+// LateAttempts are attempts that a sidecar made at a host under a version that had expired: one that did not meet the minimum
+// version in force, after its grace.
 type LateAttempts struct {
 	Host     string `json:"host"`
-	Certain  int    `json:"n"`       // surely after
-	Possible int    `json:"perhaps"` // of a count that began before, or of which the clocks are not sure
+	Certain  int    `json:"n"`       // certainly after the expiry
+	Possible int    `json:"perhaps"` // of a count that began before it, or within the clocks' uncertainty
 }
 
-// LateAttempts adds up, by host, what was done under an old version after it should have ended, as far as entries are kept. What
-// proved never to have reached its host is not counted.
+// Late sums up, by host, what a sidecar did under versions that had expired, as far as entries are kept. Attempts that
+// certainly didn't reach their host are left out.
 func (h *History) Late(name string) []LateAttempts {
 	p := h.Sidecars[name]
 	if p == nil || len(h.Minimums) == 0 {
@@ -29,7 +29,7 @@
 		under uint32
 	}
 	versions, began := map[adoption]*version.Version{}, map[adoption]version.Millis{}
-	flushed := map[string][]version.Millis{} // of each life
+	flushed := map[string][]version.Millis{} // by incarnation
 	sums := map[string]LateAttempts{}
 	for _, e := range p.Entries {
 		key := adoption{e.Incarnation, e.VersionID}
@@ -42,7 +42,7 @@
 		case e.Kind == auditlog.Counted && versions[key] != nil:
 			from := began[key]
 			for _, t := range slices.Backward(flushed[e.Incarnation]) {
-				if t < e.Time-clockTolerance { // those of one flush stand closer together
+				if t < e.Time-clockTolerance { // the entries of one flush are closer together
 					from = max(from, t)
 					break
 				}
@@ -68,8 +68,8 @@
 	})
 }
 
-// ended tells since when a version should have ended, at a moment: the floor of the highest epoch that stands then decides, and
-// where it was raised while one stood that the version did not meet either, that one's grace counts.
+// expiredSince returns since when a version had expired, at a moment. The minimum version of the highest epoch in force then
+// decides; where it was sent while one was in force that the version didn't meet either, that one's grace counts.
 func (h *History) expiredSince(v *version.Version, at version.Millis) (since version.Millis, over bool) {
 	i := len(h.Minimums) - 1
 	for ; i >= 0 && (at < h.Minimums[i].At || at >= h.Minimums[i].At+h.Minimums[i].Minimum.Validity); i-- {
@@ -88,7 +88,7 @@
 	return since, at > since
 }
 
-// meets tells whether a version meets all of a floor.
+// isMet reports whether a version meets all of a minimum version.
 func isMet(f *version.MinimumVersion, v *version.Version) bool {
 	list, settings, file, build := f.MetBy(v)
 	return list && settings && file && build
--- a/internal/audit/page.go
+++ b/internal/audit/page.go
@@ -23,7 +23,7 @@
 	"row":  func(v pageView, r Row) pageRow { return pageRow{r, v.View} },
 }).Parse(pageText))
 
-// class is a status's in the page's style.
+// cssClass returns a status's class in the page's style sheet.
 func cssClass(s Status) string {
 	switch s {
 	case UpToDate:
@@ -38,10 +38,10 @@
 	return "unknown"
 }
 
-// sheet is a view with what the page shows in other arrangements.
+// pageView is a view with the arrangements that the page shows. The template calls its methods.
 type pageView struct{ *View }
 
-// line is a row with the words for its cells.
+// pageRow is a row with the texts of its cells. The template calls its methods.
 type pageRow struct {
 	Row
 	v *View
@@ -64,7 +64,7 @@
 	return formatDuration(l.ListAge)
 }
 
-// Page writes a view as a page for a browser, in which everything stands that it needs.
+// Page writes a view as a self-contained HTML page.
 func (v *View) Page(out io.Writer) error {
 	if err := page.Execute(out, pageView{v}); err != nil {
 		return fmt.Errorf("audit: page: %w", err)
@@ -152,7 +152,7 @@
 	return "0"
 }
 
-// what tells an entry in words.
+// describe returns an entry's text.
 func describe(e Event) string {
 	switch {
 	case e.Kind == auditlog.Adopted && e.Version != nil:
--- a/internal/audit/run.go
+++ b/internal/audit/run.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	saveInterval = 10 * time.Second // what was gathered; and in the end
-	raiseTail    = 5 * time.Second  // how long a floor's raising goes on beyond spread and grace, for the last to answer
+	saveInterval = 10 * time.Second // between two writes of the state file
+	raiseTail    = 5 * time.Second  // beyond spread and grace, for the last sidecars to meet the minimum version
 )
 
-// Output is where an audit's findings go, and for how long they do.
+// Output is where findings are written, and for how many rounds.
 type Output struct {
 	To        io.Writer
-	JSON      bool          // lines of JSON, and not a table
-	All       bool          // in the table also those who are up to date
-	Page      string        // a file for a page; "" is none
-	StateFile string        // a file from which the audit continues, and into which it is saved; "" is none
-	Interval  time.Duration // from one round's beginning to the next; 0: one round, or as many as bringing up takes
-	Rounds    int           // at most; 0 is without end
+	JSON      bool          // lines of JSON in place of a table
+	All       bool          // the table has also the sidecars that are up to date
+	Page      string        // the file of an HTML page; "": none
+	StateFile string        // the file from which the audit continues and to which it is saved; "": none
+	Interval  time.Duration // between the starts of two rounds; 0: one round or, with RaiseMinimum, until all are up to date
+	Rounds    int           // at most; 0: no limit
 }
 
-// Run audits until ctx ends or all rounds are over, and returns the exit status that the last one has. An error says that a
-// file can't be read or written.
+// Run audits until ctx is done or all rounds are over, and returns the last round's exit status. An error says that a file
+// can't be read or written.
 func Run(ctx context.Context, o Options, out Output) (exit int, err error) {
 	a := New(o)
 	defer a.Close()
@@ -74,7 +74,7 @@
 	return exit, nil
 }
 
-// last tells whether a round is.
+// isLast reports whether the round was the last one.
 func (out *Output) isLast(round int, v *View, since time.Duration, o *Options) bool {
 	switch {
 	case out.Rounds > 0:
@@ -87,7 +87,8 @@
 	return v.Count(UpToDate) == len(v.Rows) || since >= o.Grace+o.Spread+raiseTail
 }
 
-// write tells what a round has found. A table is only told anew when it tells of another sidecar, status or contradiction.
+// write writes a round's findings. A table is written only where another sidecar, status or contradiction is in it than in the
+// one before.
 func (out *Output) write(v *View, told string) (string, error) {
 	if out.Page != "" {
 		var text bytes.Buffer
--- a/internal/audit/turns.go
+++ b/internal/audit/scheduler.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// turns says who is asked next, so many at a time. It is pure: calls that begin and end are told to it.
+// scheduler decides which request is sent next. It is pure: its owner reports calls that begin and end.
 type scheduler struct {
 	queue []int
 	free  int
 }
 
-// newScheduler has those asked first that took longest the last time: one that hangs then does so beside all the others, and not
+// newScheduler puts those first that took longest the last time, so that one that hangs does so beside all others, and not
 // alone at the end of the round.
 func newScheduler(took []time.Duration, atATime int) *scheduler {
 	t := &scheduler{queue: make([]int, len(took)), free: atATime}
@@ -23,7 +23,7 @@
 	return t
 }
 
-// next is who is to be asked now, if anybody.
+// next returns the request to be sent now, if there is one.
 func (t *scheduler) next() (who int, ok bool) {
 	if t.free == 0 || len(t.queue) == 0 {
 		return 0, false
@@ -33,5 +33,5 @@
 	return who, true
 }
 
-// ended says that a call has.
+// done reports that a call has ended.
 func (t *scheduler) done() { t.free++ }
--- a/internal/audit/kept.go
+++ b/internal/audit/state_file.go
@@ -12,10 +12,10 @@
 
 const (
 	stateVersion  = 1
-	maxStateBytes = 1 << 30 // bytes: what is held of all sidecars is bounded, and stays under it
+	maxStateBytes = 1 << 30 // what is kept of all sidecars is bounded, and stays below it
 )
 
-// kept is an audit in a file, for the one that continues it.
+// storedAudit is an audit in a file, for the one that continues it.
 type storedAudit struct {
 	Version  int                       `json:"version"`
 	Saved    version.Millis            `json:"saved_ms"` // Unix time
@@ -25,7 +25,7 @@
 	Memories map[string]*sidecarRecord `json:"sidecars"`
 }
 
-// Save has what was gathered take the file's place: whatever happens meanwhile, the former one or this is there whole.
+// Save replaces the file by what was gathered, atomically.
 func (a *Audit) Save(path string, now version.Millis) error {
 	text, err := json.Marshal(storedAudit{stateVersion, now, a.site, a.epoch, &a.history, a.records})
 	if err != nil {
@@ -34,8 +34,8 @@
 	return replaceFile(path, text)
 }
 
-// Load continues an audit from a file. One that is not there is none; one that can't be read is an error, for whoever
-// continues from nothing would give an epoch twice.
+// Load continues an audit from a file. A missing file is ignored; one that can't be read is an error, for an audit that
+// continues from nothing would assign an epoch twice.
 func (a *Audit) Load(path string) error {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -43,7 +43,7 @@
 	} else if err != nil {
 		return fmt.Errorf("audit: kept: %w", err)
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	text, err := readLimited(f, maxStateBytes)
 	if err == nil {
 		err = a.restore(text)
@@ -72,7 +72,7 @@
 			return fmt.Errorf("history: nothing stands under %q", name)
 		}
 	}
-	for _, s := range a.options.Inventory.Sidecars { // who is not listed any more has no row, but a history
+	for _, s := range a.options.Inventory.Sidecars { // one that isn't listed any more has no row, but a history
 		if m := k.Memories[s.Name]; m != nil {
 			a.records[s.Name] = m
 		}
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// replace has a file hold a text, which takes the place of what it held whole.
+// replaceFile replaces a file by a text, atomically.
 func replaceFile(path string, text []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".new*")
 	if err != nil {
--- a/internal/audit/table.go
+++ b/internal/audit/table.go
@@ -11,7 +11,7 @@
 	"pinelb.example/pinelb/internal/version"
 )
 
-// Table writes a view for people: who is not up to date, or everybody, and what is wrong.
+// Table writes a view for people: the sidecars that aren't up to date, or with everybody all of them, and what is wrong.
 func (v *View) Table(out io.Writer, everybody bool) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s  %s\n", formatTime(v.At), v.Verdict())
@@ -52,7 +52,7 @@
 	return err
 }
 
-// JSON writes a line for each sidecar, one for each contradiction and fault of the roster, and one for all of it.
+// JSON writes a line for each sidecar, one for each contradiction, and a summary.
 func (v *View) JSON(out io.Writer) error {
 	e := json.NewEncoder(out)
 	for i := range v.Rows {
@@ -78,7 +78,7 @@
 		"verdict": v.Verdict(), "exit": v.Exit()})
 }
 
-// plain is a text of somebody else's as it can stand in a line.
+// printable returns text from elsewhere with control characters replaced.
 func printable(s string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r == 0x7f {
@@ -95,7 +95,7 @@
 	return time.UnixMilli(int64(t)).UTC().Format("2006-01-02 15:04:05.000Z")
 }
 
-// clock is a moment without its day.
+// formatClock formats a time without its date.
 func formatClock(t version.Millis) string {
 	if t == 0 {
 		return "–"
@@ -103,7 +103,7 @@
 	return time.UnixMilli(int64(t)).UTC().Format("15:04:05.000")
 }
 
-// since is how long before the view's moment something was.
+// ago formats how long before the view's time something was.
 func (v *View) ago(t version.Millis) string {
 	if t == 0 {
 		return "-"
@@ -122,7 +122,7 @@
 	return d.Round(time.Second).String()
 }
 
-// name is a list's, short.
+// listName returns a list's short name.
 func listName(l version.List) string {
 	if l.Digest == 0 {
 		return "-"
@@ -130,7 +130,7 @@
 	return fmt.Sprintf("%d/%s", l.Revision, shortDigest(l.Digest))
 }
 
-// short is enough of a digest to tell it from the others by eye.
+// shortDigest returns the beginning of a digest, which is enough to compare by eye.
 func shortDigest(d version.Digest) string {
 	if d == 0 {
 		return "-"
@@ -162,7 +162,7 @@
 	return part(r.Version)
 }
 
-// late is how many attempts were made too late: those that surely were, and those that may have been.
+// formatLate formats how many attempts were late: those that certainly were, and those that may have been.
 func formatLate(all []LateAttempts) string {
 	n, perhaps := 0, 0
 	for _, l := range all {
--- a/internal/audit/place.go
+++ b/internal/audit/timeline.go
@@ -6,26 +6,27 @@
 )
 
 const (
-	unknownClockSkew = version.Millis(5000)   // how far the clock of a machine that can't be asked may be off
-	minRebootStep    = version.Millis(60_000) // from one life to the next; a clock is seldom set by more
+	unknownClockSkew = version.Millis(5000)   // of the clock of a machine that can't be reached
+	minRebootStep    = version.Millis(60_000) // of the wall clock, between two incarnations; a clock is seldom set by more
 )
 
 // TimedEntry is an entry on the auditor's time line.
 type TimedEntry struct {
 	auditlog.Entry
-	Time        version.Millis `json:"time_ms"`   // Unix time by the auditor's clock,
-	Uncertainty version.Millis `json:"within_ms"` // give or take that
+	Time        version.Millis `json:"time_ms"`   // Unix time by the auditor's clock
+	Uncertainty version.Millis `json:"within_ms"` // of Time, in either direction
 }
 
-// anchor ties a sidecar's clocks to the auditor's: at Time its wall clock said Wall, and the one since its machine's start Up.
+// clockSample relates a sidecar's clocks to the auditor's: at Time its wall clock showed Wall, and the one since its machine's
+// start Up.
 type clockSample struct {
 	Time, Uncertainty version.Millis
-	Wall, Up          version.Millis // Up 0: not known
+	Wall, Up          version.Millis // Up 0: unknown
 }
 
-// place puts entries, in their order, on the time line. Where the clock since the machine's start is known it alone counts:
-// nobody sets that one, so that a step of the wall clock between two entries moves neither. Over a start of the machine, which
-// shows by that clock going back or, from one life to the next, by a step that nobody sets a clock by, the wall clock counts.
+// placeOnTimeline puts entries, in their order, on the time line. Where the clock since the machine's start is known it alone
+// counts, for it isn't set: a step of the wall clock between two entries moves neither. Over a start of the machine, which
+// shows by that clock going back or, between two incarnations, by a step of at least minRebootStep, the wall clock counts.
 func placeOnTimeline(entries []auditlog.Entry, a clockSample) []TimedEntry {
 	out := make([]TimedEntry, len(entries))
 	shift, wall, up, life := a.Time-a.Wall, a.Wall, a.Up, ""
