--- a/cmd/pinelab/rehearse.go
+++ b/cmd/pinelab/rehearse.go
@@ -29,7 +29,7 @@
 }
 
 func (c *rehearseCmd) Run(ctx context.Context, t *terminal) error {
-	var records []*accesslog.Record
+	var records []*accesslog.Recording
 	for _, path := range c.Records {
 		r, err := readRecord(path)
 		if err != nil {
@@ -64,7 +64,7 @@
 }
 
 // readRecord reads one file; errors name it and the line.
-func readRecord(path string) (*accesslog.Record, error) {
+func readRecord(path string) (*accesslog.Recording, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
--- a/cmd/pinelab/scale.go
+++ b/cmd/pinelab/scale.go
@@ -102,7 +102,7 @@
 					one.Changes = *c.Changes
 				}
 				if section != nil {
-					one.Paced = &cluster.Paced{Fleet: section.Fleet(sidecars + c.Real), Whole: section.Whole.D()}
+					one.Paced = &cluster.Paced{Fleet: section.Pacing(sidecars + c.Real), Whole: section.FullListInterval.D()}
 				}
 				if err := one.Check(m); err != nil {
 					var key *stubfleet.KeyError
--- a/cmd/pinelb/check.go
+++ b/cmd/pinelb/check.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	return op.Fits(cfg)
+	return op.CheckAgainst(cfg)
 }
 
 // built is the module's version, Go's, and the revision that was built, as far as the build noted it.
--- a/cmd/pinelb/command_test.go
+++ b/cmd/pinelb/command_test.go
@@ -118,12 +118,12 @@
 	}
 	run := rec.Runs[0]
 	s := run.Streams[2]
-	if run.Header.Name != "n0" || run.Header.Settings.ClassNames[s.Class] != "place-order" || s.Body != 3 || s.End != stream.Served ||
-		len(s.Attempts) != 1 || s.Attempts[0].Host != "s-1" || s.Attempts[0].Status != balance.OK || s.Answered < s.Attempts[0].Took {
+	if run.Header.Name != "n0" || run.Header.Settings.ClassNames[s.Class] != "place-order" || s.Body != 3 || s.Outcome != stream.Served ||
+		len(s.Attempts) != 1 || s.Attempts[0].Host != "s-1" || s.Attempts[0].Status != balance.OK || s.Answered < s.Attempts[0].Duration {
 		t.Errorf("%+v", s)
 	}
-	if n := len(run.Cluster); n == 0 || run.Cluster[n-1].Hosts[0].ID != "s-1" {
-		t.Errorf("cluster %+v", run.Cluster)
+	if n := len(run.Lists); n == 0 || run.Lists[n-1].Hosts[0].ID != "s-1" {
+		t.Errorf("cluster %+v", run.Lists)
 	}
 }
 
--- a/cmd/pinelb/published_test.go
+++ b/cmd/pinelb/published_test.go
@@ -425,7 +425,7 @@
 	p.addr = p.await(t, "listening").Get("addr").Str
 	at := p.await(t, "listening for operators").Get("addr").Str
 	p.ready(t)
-	digest := func(settings string) version.Digest { return (&config.Config{Site: settings}).Digest() }
+	digest := func(settings string) version.Digest { return (&config.Config{RawSettings: settings}).Digest() }
 	report := func() auditlog.Report {
 		t.Helper()
 		_, r, _ := asked(t, at, "/admin/audit?since=0", "")
--- a/internal/accesslog/encode.go
+++ b/internal/accesslog/encode.go
@@ -15,32 +15,32 @@
 )
 
 // begin begins a line.
-func begin(b []byte, kind string) []byte {
+func beginLine(b []byte, kind string) []byte {
 	b = append(b, prefix...)
 	b = append(b, kind...)
 	return append(b, '"')
 }
 
 // end ends one.
-func end(b []byte) []byte { return append(b, '}', '\n') }
+func endLine(b []byte) []byte { return append(b, '}', '\n') }
 
 // key appends the key of the next value.
-func key(b []byte, name string) []byte {
+func appendKey(b []byte, name string) []byte {
 	b = append(b, ',', '"')
 	b = append(b, name...)
 	return append(b, '"', ':')
 }
 
 // number appends a whole number, unless it is 0, which readers take for a key that is absent.
-func number(b []byte, name string, n int64) []byte {
+func appendNumber(b []byte, name string, n int64) []byte {
 	if n == 0 {
 		return b
 	}
-	return strconv.AppendInt(key(b, name), n, 10)
+	return strconv.AppendInt(appendKey(b, name), n, 10)
 }
 
 // ms appends a time in milliseconds, to 0.1 ms.
-func ms(b []byte, d time.Duration) []byte {
+func appendMillis(b []byte, d time.Duration) []byte {
 	tenths := d.Round(100*time.Microsecond).Microseconds() / 100
 	if tenths < 0 {
 		b, tenths = append(b, '-'), -tenths
@@ -53,7 +53,7 @@
 }
 
 // text appends a JSON string. Plain words, as nearly all are, need no look at what has to be escaped.
-func text(b []byte, s string) []byte {
+func appendText(b []byte, s string) []byte {
 	for i := range len(s) {
 		if c := s[i]; c < ' ' || c > '~' || c == '"' || c == '\\' {
 			return gjson.AppendJSONString(b, s)
@@ -66,82 +66,82 @@
 
 // appendStart appends a header.
 func appendStart(b []byte, start time.Time, c *config.Config) []byte {
-	b = number(begin(b, kindStart), "v", Version)
-	b = text(key(b, "name"), c.Name)
-	b = strconv.AppendInt(key(b, "at"), start.UnixMilli(), 10)
-	b = strconv.AppendFloat(key(b, "cores"), c.Limits.Cores, 'g', -1, 64)
-	b = strconv.AppendInt(key(b, "memory_mb"), int64(c.Limits.MemoryMB), 10)
-	b = strconv.AppendInt(key(b, "sockets"), int64(c.Limits.Sockets), 10)
+	b = appendNumber(beginLine(b, kindStart), "v", Version)
+	b = appendText(appendKey(b, "name"), c.Name)
+	b = strconv.AppendInt(appendKey(b, "at"), start.UnixMilli(), 10)
+	b = strconv.AppendFloat(appendKey(b, "cores"), c.Limits.Cores, 'g', -1, 64)
+	b = strconv.AppendInt(appendKey(b, "memory_mb"), int64(c.Limits.MemoryMB), 10)
+	b = strconv.AppendInt(appendKey(b, "sockets"), int64(c.Limits.Sockets), 10)
 	var site bytes.Buffer
-	if json.Compact(&site, []byte(c.Site)) != nil {
+	if json.Compact(&site, []byte(c.RawSettings)) != nil {
 		site.WriteString("{}") // it has been read before, so this can't be
 	}
-	return end(append(key(b, "settings"), site.Bytes()...))
+	return endLine(append(appendKey(b, "settings"), site.Bytes()...))
 }
 
 // appendCluster appends a list.
-func appendCluster(b []byte, at time.Duration, list List, members []cluster.Member) []byte {
-	b = ms(key(begin(b, kindCluster), "t"), at)
-	b = text(key(b, "list"), lists[list])
-	b = append(key(b, "hosts"), '[')
+func appendCluster(b []byte, at time.Duration, list ListKind, members []cluster.Member) []byte {
+	b = appendMillis(appendKey(beginLine(b, kindCluster), "t"), at)
+	b = appendText(appendKey(b, "list"), lists[list])
+	b = append(appendKey(b, "hosts"), '[')
 	for i := range members {
 		m := &members[i]
 		if i > 0 {
 			b = append(b, ',')
 		}
-		b = text(append(b, `{"id":`...), m.ID)
-		b = text(key(b, "phase"), phases[m.State])
+		b = appendText(append(b, `{"id":`...), m.ID)
+		b = appendText(appendKey(b, "phase"), phases[m.State])
 		if m.State != balance.Gone {
-			b = text(key(b, "kind"), m.Kind)
-			b = text(key(b, "zone"), m.Zone)
-			b = number(b, "cell", int64(m.Cell))
-			b = strconv.AppendFloat(key(b, "weight"), m.Weight, 'g', -1, 64)
-			b = number(b, "up", m.UpSince.Milliseconds())
+			b = appendText(appendKey(b, "kind"), m.Kind)
+			b = appendText(appendKey(b, "zone"), m.Zone)
+			b = appendNumber(b, "cell", int64(m.Cell))
+			b = strconv.AppendFloat(appendKey(b, "weight"), m.Weight, 'g', -1, 64)
+			b = appendNumber(b, "up", m.UpSince.Milliseconds())
 		}
 		b = append(b, '}')
 	}
-	return end(append(b, ']'))
+	return endLine(append(b, ']'))
 }
 
 // appendStream appends a stream; name gives the hosts' ids.
 func appendStream(b []byte, start time.Time, l *stream.Life, name func(balance.EndpointID) string) []byte {
 	req := l.Request
-	b = ms(key(begin(b, kindStream), "t"), req.Arrived.Sub(start))
-	b = text(key(b, "class"), req.ClassName)
-	b = ms(key(b, "left"), req.Deadline.Sub(req.Arrived))
+	b = appendMillis(appendKey(beginLine(b, kindStream), "t"), req.Arrived.Sub(start))
+	b = appendText(appendKey(b, "class"), req.ClassName)
+	b = appendMillis(appendKey(b, "left"), req.Deadline.Sub(req.Arrived))
 	if req.Repeated {
-		b = append(key(b, "again"), "true"...)
+		b = append(appendKey(b, "again"), "true"...)
 	}
-	b = number(b, "body", int64(len(req.Body)))
+	b = appendNumber(b, "body", int64(len(req.Body)))
 	for i := range l.Attempts {
 		a := &l.Attempts[i]
 		if i == 0 {
-			b = append(key(b, "tries"), '[')
+			b = append(appendKey(b, "tries"), '[')
 		} else {
 			b = append(b, ',')
 		}
-		b = text(append(b, '['), name(a.Host))
-		b = ms(append(b, ','), a.Began.Sub(req.Arrived))
-		b = ms(append(b, ','), a.Ended.Sub(a.Began))
-		b = append(text(append(b, ','), statuses[a.Status]), ']')
+		b = appendText(append(b, '['), name(a.Host))
+		b = appendMillis(append(b, ','), a.Began.Sub(req.Arrived))
+		b = appendMillis(append(b, ','), a.Ended.Sub(a.Began))
+		b = append(appendText(append(b, ','), statuses[a.Status]), ']')
 	}
 	if len(l.Attempts) > 0 {
 		b = append(b, ']')
 	}
-	b = text(key(b, "end"), outcomes[l.Response.Outcome])
-	b = ms(key(b, "after"), l.Answered.Sub(req.Arrived))
+	b = appendText(appendKey(b, "end"), outcomes[l.Response.Outcome])
+	b = appendMillis(appendKey(b, "after"), l.Answered.Sub(req.Arrived))
 	if l.Response.RetryAfter > 0 {
-		b = ms(key(b, "retry_after"), l.Response.RetryAfter)
+		b = appendMillis(appendKey(b, "retry_after"), l.Response.RetryAfter)
 	}
-	return end(b)
+	return endLine(b)
 }
 
 // appendLost appends what is missing.
-func appendLost(b []byte, l Lost) []byte {
-	b = ms(key(begin(b, kindLost), "t"), l.From)
-	b = ms(key(b, "until"), l.Until)
-	b = number(b, "rate", int64(l.Rate))
-	b = number(b, "sink", int64(l.Sink))
-	b = number(b, "log", int64(l.Log))
-	return end(number(b, "open", int64(l.Open)))
+func appendLost(b []byte, l Loss) []byte {
+	b = appendMillis(appendKey(beginLine(b, kindLost), "t"), l.From)
+	b = appendMillis(appendKey(b, "until"), l.Until)
+	b = appendNumber(b, "rate", int64(l.Rate))
+	b = appendNumber(b, "sink", int64(l.Sink))
+	b = appendNumber(b, "log", int64(l.Log))
+	return endLine(appendNumber(b, "open", int64(l.Open)))
 }
--- a/internal/accesslog/fields.go
+++ b/internal/accesslog/fields.go
@@ -9,23 +9,23 @@
 	"github.com/tidwall/gjson"
 )
 
-const msMost = 9e12 // milliseconds of any time, Unix time included: a time.Duration holds them
+const maxMilliseconds = 9e12 // milliseconds of any time, Unix time included: a time.Duration holds them
 
 // fields takes typed values out of one line and keeps the first fault. Absent keys read as zero.
-type fields struct {
+type lineFields struct {
 	json gjson.Result
-	at   string // where the object stands in its line, for messages
+	path string // where the object stands in its line, for messages
 	err  error
 }
 
-func (f *fields) fail(key, what string) {
+func (f *lineFields) fail(key, what string) {
 	if f.err == nil {
-		f.err = fmt.Errorf("%s%s %s", f.at, key, what)
+		f.err = fmt.Errorf("%s%s %s", f.path, key, what)
 	}
 }
 
 // get is the value of a key, which has to be of that type if it is there.
-func (f *fields) get(key, want string, fits func(gjson.Result) bool) gjson.Result {
+func (f *lineFields) get(key, want string, fits func(gjson.Result) bool) gjson.Result {
 	v := f.json.Get(key)
 	if v.Exists() && !fits(v) {
 		f.fail(key, "must be "+want)
@@ -34,25 +34,25 @@
 	return v
 }
 
-func (f *fields) text(key string) string {
+func (f *lineFields) text(key string) string {
 	return f.get(key, "a string", func(v gjson.Result) bool { return v.Type == gjson.String }).Str
 }
 
-func (f *fields) flag(key string) bool {
+func (f *lineFields) flag(key string) bool {
 	return f.get(key, "true or false", gjson.Result.IsBool).Bool()
 }
 
-func (f *fields) list(key string) []gjson.Result {
+func (f *lineFields) list(key string) []gjson.Result {
 	return f.get(key, "a list", gjson.Result.IsArray).Array()
 }
 
-func (f *fields) number(key string) float64 {
+func (f *lineFields) number(key string) float64 {
 	return f.get(key, "a number", func(v gjson.Result) bool {
 		return v.Type == gjson.Number && !math.IsInf(v.Num, 0) && !math.IsNaN(v.Num)
 	}).Num
 }
 
-func (f *fields) count(key string) int {
+func (f *lineFields) count(key string) int {
 	n := f.number(key)
 	if n != math.Trunc(n) || n < 0 || n > math.MaxInt32 {
 		f.fail(key, "must be a whole number")
@@ -62,9 +62,9 @@
 }
 
 // ms reads milliseconds.
-func (f *fields) ms(key string) time.Duration {
+func (f *lineFields) ms(key string) time.Duration {
 	n := f.number(key)
-	if math.Abs(n) > msMost {
+	if math.Abs(n) > maxMilliseconds {
 		f.fail(key, "must be a time in milliseconds")
 		return 0
 	}
@@ -72,7 +72,7 @@
 }
 
 // word reads one of the words and returns its place among them.
-func (f *fields) word(key string, words []string) int {
+func (f *lineFields) enum(key string, words []string) int {
 	i := slices.Index(words, f.text(key))
 	if i < 0 {
 		f.fail(key, fmt.Sprintf("%q is none of %q", f.text(key), words))
--- a/internal/accesslog/queue.go
+++ b/internal/accesslog/queue.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	queueMost   = 256 << 10              // bytes of lines that wait for the sink
-	logMost     = 64 << 10               // bytes more, for the lines of the log itself
-	gather      = 20 * time.Millisecond  // between two writes, so that one takes many lines
-	againAfter  = time.Second            // a sink that has failed is tried again
-	lostEvery   = time.Second            // between two lines that tell of losses
-	closeWithin = 200 * time.Millisecond // a sink that is blocked does not hold up the end beyond this
+	maxQueueBytes      = 256 << 10              // bytes of lines that wait for the sink
+	maxLogBytes        = 64 << 10               // bytes more, for the lines of the log itself
+	writeInterval      = 20 * time.Millisecond  // between two writes, so that one takes many lines
+	retryInterval      = time.Second            // a sink that has failed is tried again
+	lossReportInterval = time.Second            // between two lines that tell of losses
+	closeTimeout       = 200 * time.Millisecond // a sink that is blocked does not hold up the end beyond this
 )
 
-var errBlocked = errors.New("record: the log or file did not take the last lines in time")
+var errSinkBlocked = errors.New("record: the log or file did not take the last lines in time")
 
 // queue hands lines to the one goroutine that writes them, run. Whoever hands them over never waits for the
 // sink: what does not fit into the bounds is counted and left out.
@@ -24,79 +24,79 @@
 	sink      sink
 	perSecond int                   // lines of streams
 	preamble  func(b []byte) []byte // what a sink has to begin with: the header and the list of hosts
-	since     func() time.Duration  // the start
-	fault     func(err error)       // is told when the sink fails, and with nil when it works again
+	now       func() time.Duration  // the start
+	onFault   func(err error)       // is told when the sink fails, and with nil when it works again
 	wake      chan struct{}         // holds one where there is work
 	closing   chan struct{}
 	done      chan struct{} // when run has ended
 
-	mu     sync.Mutex
-	wait   []byte // whole lines
-	owed   bool   // the sink lacks the preamble, or a list
-	closed bool
-	second time.Duration // the last one in which a stream's line came
-	lines  int           // of streams in that second
-	lost   Lost          // not told yet; From is the first one's time
+	mu            sync.Mutex
+	pending       []byte // whole lines
+	needsPreamble bool   // the sink lacks the preamble, or a list
+	closed        bool
+	currentSecond time.Duration // the last one in which a stream's line came
+	linesInSecond int           // of streams in that second
+	lost          Loss          // not told yet; From is the first one's time
 
 	// Of run alone.
-	spare  []byte // takes turns with wait
-	failed bool
-	retry  time.Duration // not before, once it has failed
-	toldAt time.Duration // when the last losses were told
+	spare      []byte // takes turns with wait
+	failed     bool
+	retryAt    time.Duration // not before, once it has failed
+	reportedAt time.Duration // when the last losses were told
 }
 
 func newQueue(s sink, perSecond int, preamble func([]byte) []byte, since func() time.Duration, fault func(error)) *queue {
-	q := &queue{sink: s, perSecond: perSecond, preamble: preamble, since: since, fault: fault, owed: true,
-		wake: make(chan struct{}, 1), closing: make(chan struct{}), done: make(chan struct{}), toldAt: -lostEvery}
+	q := &queue{sink: s, perSecond: perSecond, preamble: preamble, now: since, onFault: fault, needsPreamble: true,
+		wake: make(chan struct{}, 1), closing: make(chan struct{}), done: make(chan struct{}), reportedAt: -lossReportInterval}
 	q.wake <- struct{}{} // the preamble waits
 	return q
 }
 
 // stream hands over a stream's line.
-func (q *queue) stream(line []byte) {
+func (q *queue) addStream(line []byte) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if now := q.since().Truncate(time.Second); now != q.second {
-		q.second, q.lines = now, 0
+	if now := q.now().Truncate(time.Second); now != q.currentSecond {
+		q.currentSecond, q.linesInSecond = now, 0
 	}
-	if q.lines++; q.lines > q.perSecond {
-		q.miss(Lines{Rate: 1})
-	} else if !q.add(line, queueMost) {
-		q.miss(Lines{Sink: 1})
+	if q.linesInSecond++; q.linesInSecond > q.perSecond {
+		q.countLost(LostLines{Rate: 1})
+	} else if !q.add(line, maxQueueBytes) {
+		q.countLost(LostLines{Sink: 1})
 	}
 }
 
 // list hands over the line of a list of hosts. Where it is lost the whole list is owed.
-func (q *queue) list(line []byte) {
+func (q *queue) addList(line []byte) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.owed = !q.add(line, queueMost) || q.owed
+	q.needsPreamble = !q.add(line, maxQueueBytes) || q.needsPreamble
 }
 
 // owe has the preamble come again, ahead of what follows.
-func (q *queue) owe() {
+func (q *queue) requestPreamble() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.owed = true
-	q.add(nil, queueMost)
+	q.needsPreamble = true
+	q.add(nil, maxQueueBytes)
 }
 
 // Write hands over a line of the log.
 func (q *queue) Write(line []byte) (int, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if !q.add(line, queueMost+logMost) {
-		q.miss(Lines{Log: 1})
+	if !q.add(line, maxQueueBytes+maxLogBytes) {
+		q.countLost(LostLines{Log: 1})
 	}
 	return len(line), nil
 }
 
 // add takes a line if there is room; the caller holds the lock.
 func (q *queue) add(line []byte, most int) bool {
-	if q.closed || len(q.wait)+len(line) > most {
+	if q.closed || len(q.pending)+len(line) > most {
 		return false
 	}
-	q.wait = append(q.wait, line...)
+	q.pending = append(q.pending, line...)
 	select {
 	case q.wake <- struct{}{}:
 	default:
@@ -105,9 +105,9 @@
 }
 
 // miss counts lines that are lost; the caller holds the lock.
-func (q *queue) miss(n Lines) {
-	if q.lost.Lines == (Lines{}) {
-		q.lost.From = q.since()
+func (q *queue) countLost(n LostLines) {
+	if q.lost.LostLines == (LostLines{}) {
+		q.lost.From = q.now()
 	}
 	q.lost.add(n)
 }
@@ -116,17 +116,17 @@
 // does not wait long for a sink that is blocked.
 func (q *queue) close(open int) error {
 	q.mu.Lock()
-	q.miss(Lines{Open: open})
+	q.countLost(LostLines{Open: open})
 	q.closed = true
 	q.mu.Unlock()
 	close(q.closing)
-	late := time.NewTimer(closeWithin)
+	late := time.NewTimer(closeTimeout)
 	defer late.Stop()
 	select {
 	case <-q.done:
 		return nil
 	case <-late.C:
-		return errBlocked
+		return errSinkBlocked
 	}
 }
 
@@ -142,7 +142,7 @@
 			closing = true
 		}
 		q.flush(closing)
-		pause.Reset(gather)
+		pause.Reset(writeInterval)
 		select {
 		case <-pause.C:
 		case <-q.closing: // the next round sees it too
@@ -153,33 +153,33 @@
 
 // flush writes what waits. What the sink does not take is lost, and so is what comes before it is tried again.
 func (q *queue) flush(last bool) {
-	now := q.since()
+	now := q.now()
 	q.mu.Lock()
-	batch, owed, lost := q.wait, q.owed, Lost{}
-	q.wait, q.owed = q.spare[:0], false
-	if q.lost.Lines != (Lines{}) && (last || now-q.toldAt >= lostEvery) {
-		lost, q.lost, q.toldAt = q.lost, Lost{}, now
+	batch, owed, lost := q.pending, q.needsPreamble, Loss{}
+	q.pending, q.needsPreamble = q.spare[:0], false
+	if q.lost.LostLines != (LostLines{}) && (last || now-q.reportedAt >= lossReportInterval) {
+		lost, q.lost, q.reportedAt = q.lost, Loss{}, now
 		lost.Until = now
 	}
 	q.mu.Unlock()
 	q.spare = batch
-	if q.failed && now < q.retry && !last {
+	if q.failed && now < q.retryAt && !last {
 		q.restore(batch, lost)
 		return
 	}
 	rest, err := q.write(batch, owed, lost)
 	if err != nil {
 		q.restore(rest, lost)
-		q.retry = now + againAfter
+		q.retryAt = now + retryInterval
 	}
 	if failed := err != nil; failed != q.failed {
 		q.failed = failed
-		q.fault(err)
+		q.onFault(err)
 	}
 }
 
 // write gives the sink a batch, and ahead of it what it lacks. It returns the lines that were not taken whole.
-func (q *queue) write(batch []byte, owed bool, lost Lost) ([]byte, error) {
+func (q *queue) write(batch []byte, owed bool, lost Loss) ([]byte, error) {
 	text, n := batch, 0
 	for range 2 { // a file that is full gives way to the next, which begins with the preamble
 		fresh, err := q.sink.ready()
@@ -190,7 +190,7 @@
 		if fresh || owed {
 			head = q.preamble(head)
 		}
-		if lost.Lines != (Lines{}) {
+		if lost.LostLines != (LostLines{}) {
 			head = appendLost(head, lost)
 		}
 		if text = batch; len(head) > 0 {
@@ -204,8 +204,8 @@
 }
 
 // restore counts the lines that the sink did not take, and takes back what it was not told.
-func (q *queue) restore(lines []byte, lost Lost) {
-	var n Lines
+func (q *queue) restore(lines []byte, lost Loss) {
+	var n LostLines
 	for line := range bytes.Lines(lines) {
 		switch {
 		case bytes.HasPrefix(line, []byte(prefix+kindStream)):
@@ -216,10 +216,10 @@
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.owed = true
-	q.miss(n)
-	if lost.Lines != (Lines{}) {
-		q.lost.add(lost.Lines)
+	q.needsPreamble = true
+	q.countLost(n)
+	if lost.LostLines != (LostLines{}) {
+		q.lost.add(lost.LostLines)
 		q.lost.From = lost.From
 	}
 }
--- a/internal/accesslog/read.go
+++ b/internal/accesslog/read.go
@@ -19,18 +19,18 @@
 )
 
 const (
-	lineMost   = 64 << 20 // bytes of a line: a list of hosts may be long
-	beforeMost = 256      // bytes within which a line of a collected log has to begin
+	maxLineBytes       = 64 << 20 // bytes of a line: a list of hosts may be long
+	maxLinePrefixBytes = 256      // bytes within which a line of a collected log has to begin
 )
 
 // Read reads a record, or the log that one is part of, or several after one another; files that took each
 // other's place have to come in their order. A line that is cut off is counted and left out. Faulty lines are
 // errors that name the line and the key, and so are a record without a header, one of another version, and a
 // stream of a class that its header's settings lack.
-func Read(in io.Reader) (*Record, error) {
-	r := &reader{out: &Record{}}
+func Read(in io.Reader) (*Recording, error) {
+	r := &reader{out: &Recording{}}
 	lines := bufio.NewScanner(in)
-	lines.Buffer(nil, lineMost)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		r.n++
 		if r.out.Truncated { // what looked like the end was not
@@ -48,7 +48,7 @@
 		return nil, fmt.Errorf("record: no header in %d lines: nothing was recorded", r.n)
 	}
 	for _, run := range r.out.Runs { // of one time, lists stay as they were written: in that order they add up
-		slices.SortStableFunc(run.Cluster, func(a, b Cluster) int { return cmp.Compare(a.At, b.At) })
+		slices.SortStableFunc(run.Lists, func(a, b EndpointList) int { return cmp.Compare(a.At, b.At) })
 		slices.SortStableFunc(run.Streams, func(a, b Stream) int { return cmp.Compare(a.Arrival, b.Arrival) })
 	}
 	slices.SortStableFunc(r.out.Runs, func(a, b *Run) int { return a.Header.Start.Compare(b.Header.Start) })
@@ -56,14 +56,14 @@
 }
 
 type reader struct {
-	out *Record
+	out *Recording
 	run *Run // whose lines these are
 	n   int  // lines so far
 }
 
 func (r *reader) line(b []byte) error {
 	// Whoever collects a log may put its time or a name before each line.
-	if at := bytes.Index(b[:min(len(b), beforeMost)], []byte(prefix)); at > 0 && b[0] != '{' {
+	if at := bytes.Index(b[:min(len(b), maxLinePrefixBytes)], []byte(prefix)); at > 0 && b[0] != '{' {
 		b = b[at:]
 	}
 	switch {
@@ -78,7 +78,7 @@
 		r.out.Truncated = true
 		return nil
 	}
-	f := &fields{json: gjson.ParseBytes(b)}
+	f := &lineFields{json: gjson.ParseBytes(b)}
 	kind := f.text("rec")
 	if kind != kindStart && r.run == nil {
 		return errors.New("it stands before any header")
@@ -87,11 +87,11 @@
 	case kindStart:
 		return r.start(f)
 	case kindCluster:
-		r.run.Cluster = append(r.run.Cluster, readCluster(f))
+		r.run.Lists = append(r.run.Lists, readCluster(f))
 	case kindStream:
 		r.run.Streams = append(r.run.Streams, readStream(f, r.run.Header.Settings.ClassNames))
 	case kindLost:
-		r.run.Lost = append(r.run.Lost, Lost{From: f.ms("t"), Until: f.ms("until"), Lines: Lines{
+		r.run.Losses = append(r.run.Losses, Loss{From: f.ms("t"), Until: f.ms("until"), LostLines: LostLines{
 			Rate: f.count("rate"), Sink: f.count("sink"), Log: f.count("log"), Open: f.count("open")}})
 	default:
 		return fmt.Errorf("rec: %q is unknown", kind)
@@ -101,7 +101,7 @@
 
 // start takes a header. One that repeats a run's, as each file has it, goes on with that run; its settings may have changed
 // meanwhile, and classes that they lack stay known.
-func (r *reader) start(f *fields) error {
+func (r *reader) start(f *lineFields) error {
 	if v := f.json.Get("v"); v.Num != Version {
 		return fmt.Errorf("v: version %s is unknown, %d is read", cmp.Or(v.Raw, "none"), Version)
 	}
@@ -119,7 +119,7 @@
 		if run.Header.Name == h.Name && run.Header.Start.Equal(h.Start) {
 			r.run = run
 			if h.Site != run.Header.Site {
-				h.Settings, err = h.Settings.After(&run.Header.Settings)
+				h.Settings, err = h.Settings.Renumbered(&run.Header.Settings)
 				run.Header.Site, run.Header.Settings = h.Site, h.Settings
 			}
 			return err
@@ -130,21 +130,21 @@
 	return nil
 }
 
-func readCluster(f *fields) Cluster {
-	c := Cluster{At: f.ms("t"), List: List(f.word("list", lists[:]))}
+func readCluster(f *lineFields) EndpointList {
+	c := EndpointList{At: f.ms("t"), Kind: ListKind(f.enum("list", lists[:]))}
 	for i, v := range f.list("hosts") {
-		h := &fields{json: v, at: fmt.Sprintf("hosts[%d].", i)}
+		h := &lineFields{json: v, path: fmt.Sprintf("hosts[%d].", i)}
 		c.Hosts = append(c.Hosts, cluster.Member{
-			ID: h.text("id"), State: balance.Availability(h.word("phase", phases[:])), Kind: h.text("kind"),
+			ID: h.text("id"), State: balance.Availability(h.enum("phase", phases[:])), Kind: h.text("kind"),
 			Zone: h.text("zone"), Cell: h.count("cell"), Weight: h.number("weight"), UpSince: h.ms("up")})
 		f.err = cmp.Or(f.err, h.err)
 	}
 	return c
 }
 
-func readStream(f *fields, classes []string) Stream {
-	s := Stream{Arrival: f.ms("t"), Class: f.word("class", classes), Left: f.ms("left"), Repeated: f.flag("again"),
-		Body: f.count("body"), End: stream.Outcome(f.word("end", outcomes[:])), Answered: f.ms("after"),
+func readStream(f *lineFields, classes []string) Stream {
+	s := Stream{Arrival: f.ms("t"), Class: f.enum("class", classes), TimeLeft: f.ms("left"), Retry: f.flag("again"),
+		Body: f.count("body"), Outcome: stream.Outcome(f.enum("end", outcomes[:])), Answered: f.ms("after"),
 		RetryAfter: f.ms("retry_after")}
 	for i, v := range f.list("tries") {
 		parts := v.Array()
@@ -152,9 +152,9 @@
 			f.fail(fmt.Sprintf("tries[%d]", i), "must be [host, begin, duration, outcome]")
 			break
 		}
-		a := &fields{json: v, at: fmt.Sprintf("tries[%d].", i)}
-		s.Attempts = append(s.Attempts, Attempt{Host: a.text("0"), Began: a.ms("1"), Took: a.ms("2"),
-			Status: balance.Status(a.word("3", statuses[:]))})
+		a := &lineFields{json: v, path: fmt.Sprintf("tries[%d].", i)}
+		s.Attempts = append(s.Attempts, Attempt{Host: a.text("0"), StartedAfter: a.ms("1"), Duration: a.ms("2"),
+			Status: balance.Status(a.enum("3", statuses[:]))})
 		f.err = cmp.Or(f.err, a.err)
 	}
 	return s
--- a/internal/accesslog/record.go
+++ b/internal/accesslog/record.go
@@ -26,8 +26,8 @@
 	kindLost    = "lost"    // how many lines are missing
 )
 
-// Record is what Read has found.
-type Record struct {
+// Recording is what Read has found.
+type Recording struct {
 	Runs      []*Run // by their starts
 	Other     int    // lines that are not a record's, such as a log's
 	Skipped   int    // lines of a record that are cut off, by the end of a process or a full disk
@@ -37,9 +37,9 @@
 // Run is what was recorded between one start of a sidecar and its end. Times are since its start.
 type Run struct {
 	Header  Header
-	Cluster []Cluster // by time
-	Streams []Stream  // by arrival
-	Lost    []Lost    // as told
+	Lists   []EndpointList // by time
+	Streams []Stream       // by arrival
+	Losses  []Loss         // as told
 }
 
 // Header is what a rehearsal has to know of a sidecar.
@@ -51,21 +51,21 @@
 	Settings config.Settings // Site, read
 }
 
-// List says what the hosts of a Cluster are.
-type List uint8
+// Kind says what the hosts of a Cluster are.
+type ListKind uint8
 
 // The kinds of list. All but Change have every host.
 const (
-	Change = List(balance.ListDelta)  // discovery told these hosts' change
-	Whole  = List(balance.ListFull)   // discovery told all of them
-	Known  = List(balance.ListCached) // the platform told them at the start, perhaps out of date
-	Held   = Known + 1                // the sidecar had these: a file begins with them, and so does what follows a loss
+	ListDelta   = ListKind(balance.ListDelta)  // discovery told these hosts' change
+	ListFull    = ListKind(balance.ListFull)   // discovery told all of them
+	ListCached  = ListKind(balance.ListCached) // the platform told them at the start, perhaps out of date
+	ListCurrent = ListCached + 1               // the sidecar had these: a file begins with them, and so does what follows a loss
 )
 
-// Cluster is a list of hosts.
-type Cluster struct {
+// Lists is a list of hosts.
+type EndpointList struct {
 	At    time.Duration
-	List  List
+	Kind  ListKind
 	Hosts []cluster.Member // without addresses and numbers
 }
 
@@ -73,38 +73,38 @@
 type Stream struct {
 	Arrival    time.Duration
 	Class      int           // index into the settings' classes
-	Left       time.Duration // at the arrival, until the client gives up
-	Repeated   bool          // the client's own retry
+	TimeLeft   time.Duration // at the arrival, until the client gives up
+	Retry      bool          // the client's own retry
 	Body       int           // bytes of the request's
 	Attempts   []Attempt     // in the order in which they began
-	End        stream.Outcome
+	Outcome    stream.Outcome
 	Answered   time.Duration // after the arrival
 	RetryAfter time.Duration // told to the client; 0 is none
 }
 
 // Attempt is one upstream request.
 type Attempt struct {
-	Host   string        // discovery's id
-	Began  time.Duration // after the stream's arrival
-	Took   time.Duration
-	Status balance.Status
+	Host         string        // discovery's id
+	StartedAfter time.Duration // after the stream's arrival
+	Duration     time.Duration
+	Status       balance.Status
 }
 
-// Lost tells of lines that are missing between two times.
-type Lost struct {
+// Losses tells of lines that are missing between two times.
+type Loss struct {
 	From, Until time.Duration
-	Lines
+	LostLines
 }
 
-// Lines counts lines that are missing, by the reason.
-type Lines struct {
+// LostLines counts lines that are missing, by the reason.
+type LostLines struct {
 	Rate int // streams beyond the lines a second that are allowed
 	Sink int // lines that the log or the file did not take, or not in time
 	Log  int // lines of the log itself that it did not take in time, where the record goes to the log
 	Open int // streams that were not over when the sidecar ended, with all their attempts
 }
 
-func (l *Lines) add(n Lines) {
+func (l *LostLines) add(n LostLines) {
 	l.Rate, l.Sink, l.Log, l.Open = l.Rate+n.Rate, l.Sink+n.Sink, l.Log+n.Log, l.Open+n.Open
 }
 
@@ -118,7 +118,7 @@
 	balance.ConnectFailed: "connect", balance.Reset: "reset", balance.Cancelled: "cancelled", balance.Moot: "moot"}
 
 // lists are the words for List.
-var lists = [...]string{Change: "change", Whole: "whole", Known: "known", Held: "held"}
+var lists = [...]string{ListDelta: "change", ListFull: "whole", ListCached: "known", ListCurrent: "held"}
 
 // phases are discovery's words for balance.Availability.
 var phases = [...]string{balance.Gone: "Gone", balance.Ready: "Ready", balance.Draining: "Terminating"}
--- a/internal/accesslog/record_test.go
+++ b/internal/accesslog/record_test.go
@@ -35,12 +35,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return New(&config.Config{Name: "n0", Limits: config.Limits{Cores: 0.5, MemoryMB: 64, Sockets: 128}, Site: site, Settings: settings},
-		&config.Record{To: to, Most: most, PerSecond: math.MaxInt}, out)
+	return New(&config.Config{Name: "n0", Limits: config.Limits{Cores: 0.5, MemoryMB: 64, Sockets: 128}, RawSettings: site, Settings: settings},
+		&config.AccessLog{Destination: to, MaxBytes: most, MaxLinesPerSecond: math.MaxInt}, out)
 }
 
 // life is a stream that came after that much time, and had two attempts.
-func life(r *Recorder, at time.Duration) *stream.Life {
+func testStream(r *Recorder, at time.Duration) *stream.Life {
 	from := r.start.Add(at)
 	return &stream.Life{Request: &stream.Request{ClassName: "look", Arrived: from, Deadline: from.Add(2 * time.Second)},
 		Response: stream.Response{Outcome: stream.Served}, Answered: from.Add(9 * time.Millisecond), Attempts: []stream.Attempt{
@@ -48,7 +48,7 @@
 			{Host: 2, Began: from.Add(5 * time.Millisecond), Ended: from.Add(9 * time.Millisecond), Status: balance.OK}}}
 }
 
-func read(t *testing.T, text string) *Record {
+func mustRead(t *testing.T, text string) *Recording {
 	t.Helper()
 	rec, err := Read(strings.NewReader(text))
 	if err != nil {
@@ -67,9 +67,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Retune(&config.Config{Name: "n0", Site: other, Settings: settings})
+	r.SetConfig(&config.Config{Name: "n0", RawSettings: other, Settings: settings})
 	for _, class := range []string{"look", "find"} {
-		l := life(r, 0)
+		l := testStream(r, 0)
 		l.Request.ClassName = class
 		r.Ended(l)
 	}
@@ -81,7 +81,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	rec := read(t, string(text))
+	rec := mustRead(t, string(text))
 	if len(rec.Runs) != 1 || !strings.Contains(rec.Runs[0].Header.Site, "find") || len(rec.Runs[0].Streams) != 2 {
 		t.Fatalf("%d runs, %+v", len(rec.Runs), rec.Runs[0].Streams)
 	}
@@ -102,7 +102,7 @@
 		{ID: "s\"2\x01", Endpoint: 2, State: balance.Draining, Weight: 1}}
 	r.Listed(balance.ListCached, members)
 	r.Listed(balance.ListDelta, []cluster.Member{{ID: "s-1", Endpoint: 1, State: balance.Gone}})
-	plain := life(r, 1234567*time.Microsecond)
+	plain := testStream(r, 1234567*time.Microsecond)
 	r.Ended(plain)
 	r.Ended(&stream.Life{Request: &stream.Request{ClassName: "b\"uy", Arrived: r.start, Deadline: r.start.Add(time.Second),
 		Repeated: true, Body: []byte("xyz")}, Answered: r.start, Response: stream.Response{Outcome: stream.Refused, RetryAfter: 250 * time.Millisecond}})
@@ -113,7 +113,7 @@
 		t.Fatal(err)
 	}
 	r.Ended(plain) // after the end: nothing
-	rec := read(t, "something else\n"+out.String())
+	rec := mustRead(t, "something else\n"+out.String())
 	if rec.Other != 2 || rec.Skipped != 0 || rec.Truncated || len(rec.Runs) != 1 {
 		t.Fatalf("%+v", rec)
 	}
@@ -126,36 +126,36 @@
 	for i := range members {
 		members[i].Endpoint = 0
 	}
-	for _, want := range []Cluster{{List: Known, Hosts: members},
-		{List: Change, Hosts: []cluster.Member{{ID: "s-1"}}}, {List: Held, Hosts: members[1:]}} {
-		i := slices.IndexFunc(run.Cluster, func(c Cluster) bool { return c.List == want.List }) // all may be of one time
-		want.At = run.Cluster[i].At
-		if diff := cmp.Diff(want, run.Cluster[i]); diff != "" {
+	for _, want := range []EndpointList{{Kind: ListCached, Hosts: members},
+		{Kind: ListDelta, Hosts: []cluster.Member{{ID: "s-1"}}}, {Kind: ListCurrent, Hosts: members[1:]}} {
+		i := slices.IndexFunc(run.Lists, func(c EndpointList) bool { return c.Kind == want.Kind }) // all may be of one time
+		want.At = run.Lists[i].At
+		if diff := cmp.Diff(want, run.Lists[i]); diff != "" {
 			t.Error(diff)
 		}
 	}
 	const tenth = 100 * time.Microsecond
 	want := []Stream{
-		{Class: 1, Left: time.Second, Repeated: true, Body: 3, End: stream.Refused, RetryAfter: 250 * time.Millisecond},
-		{Arrival: 12346 * tenth, Left: 2 * time.Second, Answered: 90 * tenth, Attempts: []Attempt{
+		{Class: 1, TimeLeft: time.Second, Retry: true, Body: 3, Outcome: stream.Refused, RetryAfter: 250 * time.Millisecond},
+		{Arrival: 12346 * tenth, TimeLeft: 2 * time.Second, Answered: 90 * tenth, Attempts: []Attempt{
 			{"s-1", 3 * tenth, 297 * tenth, balance.Cancelled}, {"s\"2\x01", 50 * tenth, 40 * tenth, balance.OK}}},
 	}
 	if diff := cmp.Diff(want, run.Streams); diff != "" {
 		t.Error(diff)
 	}
-	if len(run.Lost) != 1 || run.Lost[0].Lines != (Lines{Open: 3}) {
-		t.Errorf("lost %+v", run.Lost)
+	if len(run.Losses) != 1 || run.Losses[0].LostLines != (LostLines{Open: 3}) {
+		t.Errorf("lost %+v", run.Losses)
 	}
 }
 
 // gate is a log that takes nothing until it is opened, as a pipe that nobody reads.
-type gate struct {
+type blockingWriter struct {
 	bytes.Buffer
 	once          sync.Once
 	entered, open chan struct{} // something is being written; it may be
 }
 
-func (g *gate) Write(b []byte) (int, error) {
+func (g *blockingWriter) Write(b []byte) (int, error) {
 	g.once.Do(func() { close(g.entered) })
 	<-g.open
 	return g.Buffer.Write(b)
@@ -165,45 +165,45 @@
 // against lines that are lost and not counted.
 func TestBlockedSink(t *testing.T) {
 	const many = 10000
-	g := &gate{entered: make(chan struct{}), open: make(chan struct{})}
+	g := &blockingWriter{entered: make(chan struct{}), open: make(chan struct{})}
 	r := newRecorder(t, "log", 0, g)
 	log := zerolog.New(r.Log())
 	r.Start(log)
 	<-g.entered
 	for i := range many { // each would wait for ever if it waited for the sink
-		r.Ended(life(r, time.Duration(i)*time.Millisecond))
+		r.Ended(testStream(r, time.Duration(i)*time.Millisecond))
 	}
 	r.Listed(balance.ListFull, []cluster.Member{{ID: "late", Endpoint: 9, State: balance.Ready, Weight: 1}}) // lost, and owed
 	log.Info().Msg("there is room for this still")
 	for range many {
 		log.Info().Msg("but not for all of these")
 	}
-	if len(r.q.wait) > queueMost+logMost {
-		t.Errorf("%d bytes wait", len(r.q.wait))
+	if len(r.queue.pending) > maxQueueBytes+maxLogBytes {
+		t.Errorf("%d bytes wait", len(r.queue.pending))
 	}
-	if err := r.Close(); !errors.Is(err, errBlocked) {
+	if err := r.Close(); !errors.Is(err, errSinkBlocked) {
 		t.Errorf("the end of a blocked recorder: %v", err)
 	}
 	close(g.open)
-	<-r.q.done
-	rec := read(t, g.String())
+	<-r.queue.done
+	rec := mustRead(t, g.String())
 	run := rec.Runs[0]
-	lost := run.Lost[0].Lines
-	if len(run.Lost) != 1 || lost.Sink == 0 || lost.Log == 0 || len(run.Streams)+lost.Sink != many || rec.Other+lost.Log != many+1 {
+	lost := run.Losses[0].LostLines
+	if len(run.Losses) != 1 || lost.Sink == 0 || lost.Log == 0 || len(run.Streams)+lost.Sink != many || rec.Other+lost.Log != many+1 {
 		t.Errorf("%d streams and %d other lines were written; lost %+v of %d each", len(run.Streams), rec.Other, lost, many)
 	}
-	if len(run.Cluster) != 1 || run.Cluster[0].Hosts[0].ID != "late" {
-		t.Errorf("the list that was lost was not made up for: %+v", run.Cluster)
+	if len(run.Lists) != 1 || run.Lists[0].Hosts[0].ID != "late" {
+		t.Errorf("the list that was lost was not made up for: %+v", run.Lists)
 	}
 }
 
 // faulty is a log that takes a part of the first batch.
-type faulty struct {
+type failingWriter struct {
 	bytes.Buffer
 	takes int
 }
 
-func (f *faulty) Write(b []byte) (int, error) {
+func (f *failingWriter) Write(b []byte) (int, error) {
 	if n := f.takes; n > 0 {
 		f.takes = 0
 		f.Buffer.Write(b[:n])
@@ -215,29 +215,29 @@
 // Guards against faults of the sink that are not told, or that leave what a reader takes for whole lines; and
 // against bounds that do not hold. The clock is the test's.
 func TestFaultsAndRate(t *testing.T) {
-	out := &faulty{takes: len(prefix) + 250}
+	out := &failingWriter{takes: len(prefix) + 250}
 	r := newRecorder(t, "log", 0, out)
 	var now time.Duration
 	var faults []error
-	r.q.since, r.q.fault, r.q.perSecond = func() time.Duration { return now }, func(err error) { faults = append(faults, err) }, 3
+	r.queue.now, r.queue.onFault, r.queue.perSecond = func() time.Duration { return now }, func(err error) { faults = append(faults, err) }, 3
 	for _, step := range []struct {
 		at      time.Duration
 		streams int
 	}{{0, 5}, {999, 1}, {1000, 2}, {1500, 9}} { // it fails in the header, is not tried, is, and tells nothing more yet
 		now = step.at * time.Millisecond
 		for range step.streams {
-			r.Ended(life(r, now))
+			r.Ended(testStream(r, now))
 		}
-		r.q.flush(false)
+		r.queue.flush(false)
 	}
-	r.q.flush(true)
-	rec := read(t, out.String())
+	r.queue.flush(true)
+	rec := mustRead(t, out.String())
 	run := rec.Runs[0]
 	if len(run.Streams) != 3 || rec.Skipped != 1 || rec.Other != 0 || rec.Truncated {
 		t.Errorf("%d streams, %+v", len(run.Streams), rec)
 	}
-	want := []Lost{{0, time.Second, Lines{Rate: 3, Sink: 3}}, {1500 * time.Millisecond, 1500 * time.Millisecond, Lines{Rate: 8}}}
-	if diff := cmp.Diff(want, run.Lost); diff != "" {
+	want := []Loss{{0, time.Second, LostLines{Rate: 3, Sink: 3}}, {1500 * time.Millisecond, 1500 * time.Millisecond, LostLines{Rate: 8}}}
+	if diff := cmp.Diff(want, run.Losses); diff != "" {
 		t.Error(diff)
 	}
 	if len(faults) != 2 || faults[0] == nil || faults[1] != nil {
@@ -256,18 +256,18 @@
 	r := newRecorder(t, path, most, nil)
 	r.Listed(balance.ListFull, []cluster.Member{{ID: "s-1", Endpoint: 1, State: balance.Ready}})
 	for i := range 2000 {
-		r.Ended(life(r, time.Duration(i)*time.Millisecond))
+		r.Ended(testStream(r, time.Duration(i)*time.Millisecond))
 		if i%50 > 0 {
 			continue
 		}
-		r.q.flush(false)
+		r.queue.flush(false)
 		a, _ := os.ReadFile(path)
 		b, _ := os.ReadFile(path + ".1")
-		runs := read(t, string(b)+string(a)).Runs
+		runs := mustRead(t, string(b)+string(a)).Runs
 		if s := runs[0].Streams; len(a)+len(b) > most || len(runs) != 1 || s[len(s)-1].Arrival != time.Duration(i)*time.Millisecond {
 			t.Fatalf("%d and %d bytes after stream %d, the last is %+v", len(a), len(b), i, s[len(s)-1])
 		}
-		if last := read(t, string(a)).Runs[0].Cluster; len(last) == 0 || len(last[0].Hosts) != 1 {
+		if last := mustRead(t, string(a)).Runs[0].Lists; len(last) == 0 || len(last[0].Hosts) != 1 {
 			t.Fatalf("a file's list is %+v", last)
 		}
 	}
@@ -278,18 +278,18 @@
 	}{{path, most, "another process"}, {path + ".2", 100, errFull.Error()}, {os.DevNull, most, "no regular file"}, {path + "/x", most, "directory"}} {
 		other := newRecorder(t, c.to, c.most, nil)
 		fault := error(nil)
-		other.q.fault = func(err error) { fault = err }
-		other.q.flush(false)
-		other.q.sink.close()
+		other.queue.onFault = func(err error) { fault = err }
+		other.queue.flush(false)
+		other.queue.sink.close()
 		if fault == nil || !strings.Contains(fault.Error(), c.want) {
 			t.Errorf("%s: %v, want %s", c.to, fault, c.want)
 		}
 	}
-	r.q.sink.close()
+	r.queue.sink.close()
 	again := newRecorder(t, path, most, nil)
-	again.q.flush(true)
-	again.q.sink.close()
-	if whole, err := os.ReadFile(path); err != nil || len(read(t, string(whole)).Runs) != 2 {
+	again.queue.flush(true)
+	again.queue.sink.close()
+	if whole, err := os.ReadFile(path); err != nil || len(mustRead(t, string(whole)).Runs) != 2 {
 		t.Errorf("after a restart: %v\n%s", err, whole)
 	}
 }
@@ -299,11 +299,11 @@
 	r := newRecorder(t, "log", 0, io.Discard)
 	r.Listed(balance.ListFull, []cluster.Member{{ID: "s-1", Endpoint: 1, State: balance.Ready}})
 	r.Listed(balance.ListFull, nil)
-	soon := r.name(1)
-	r.start = r.start.Add(-r.keep - time.Hour)
+	soon := r.endpointID(1)
+	r.start = r.start.Add(-r.nameRetention - time.Hour)
 	r.Listed(balance.ListDelta, nil)
-	if soon != "s-1" || r.name(1) != "#1" || len(r.hosts) != 0 {
-		t.Errorf("the host that went is %q and long after %q; %d are kept", soon, r.name(1), len(r.hosts))
+	if soon != "s-1" || r.endpointID(1) != "#1" || len(r.hosts) != 0 {
+		t.Errorf("the host that went is %q and long after %q; %d are kept", soon, r.endpointID(1), len(r.hosts))
 	}
 }
 
@@ -337,11 +337,11 @@
 func TestCut(t *testing.T) {
 	line := `{"rec":"stream","t":1,"class":"a","end":"served"}`
 	for n := range len(line) {
-		rec := read(t, head+line+"\n"+line[:n])
+		rec := mustRead(t, head+line+"\n"+line[:n])
 		if len(rec.Runs[0].Streams) != 1 || rec.Truncated != (n > 0) || rec.Skipped != 0 {
 			t.Errorf("cut at %d: %+v", n, rec)
 		}
-		if rec = read(t, head+line[:n]+"\n"+line); len(rec.Runs[0].Streams) != 1 || rec.Truncated || rec.Skipped != min(n, 1) {
+		if rec = mustRead(t, head+line[:n]+"\n"+line); len(rec.Runs[0].Streams) != 1 || rec.Truncated || rec.Skipped != min(n, 1) {
 			t.Errorf("cut at %d and gone on: %+v", n, rec)
 		}
 	}
@@ -350,7 +350,7 @@
 // Guards against a record that its collector's marks hide.
 func TestCollectedLog(t *testing.T) {
 	const stream = `{"rec":"stream","t":1,"class":"a","end":"served"}` + "\n"
-	rec := read(t, "[0.24] "+head+"n1 | "+stream+`{"message":"{\"rec\":\"stream\""}`+"\n")
+	rec := mustRead(t, "[0.24] "+head+"n1 | "+stream+`{"message":"{\"rec\":\"stream\""}`+"\n")
 	if len(rec.Runs) != 1 || len(rec.Runs[0].Streams) != 1 || rec.Other != 1 {
 		t.Errorf("read %+v", rec)
 	}
@@ -367,7 +367,7 @@
 		}
 		for _, run := range rec.Runs {
 			for _, s := range run.Streams {
-				if s.Class < 0 || s.Class >= len(run.Header.Settings.ClassNames) || int(s.End) >= len(outcomes) {
+				if s.Class < 0 || s.Class >= len(run.Header.Settings.ClassNames) || int(s.Outcome) >= len(outcomes) {
 					t.Errorf("stream %+v", s)
 				}
 			}
--- a/internal/accesslog/sink.go
+++ b/internal/accesslog/sink.go
@@ -22,40 +22,40 @@
 }
 
 // stderr is the log.
-type stderr struct {
-	out io.Writer
-	cut bool // the last line is
+type logSink struct {
+	out     io.Writer
+	midLine bool // the last line is
 }
 
-func (s *stderr) ready() (bool, error) {
-	if s.cut {
+func (s *logSink) ready() (bool, error) {
+	if s.midLine {
 		if _, err := s.out.Write([]byte{'\n'}); err != nil {
 			return false, err
 		}
-		s.cut = false
+		s.midLine = false
 	}
 	return false, nil
 }
 
-func (s *stderr) write(batch []byte) (int, error) {
+func (s *logSink) write(batch []byte) (int, error) {
 	n, err := s.out.Write(batch)
-	s.cut = n > 0 && batch[n-1] != '\n'
+	s.midLine = n > 0 && batch[n-1] != '\n'
 	return n, err
 }
 
-func (s *stderr) close() {}
+func (s *logSink) close() {}
 
 // file is a file that gives way to a new one when it is full. It stays beside that with ".1" added to its name,
 // in the place of the one before it. Both together never take more than was allowed.
-type file struct {
-	path string
-	most int64 // bytes of each
-	f    *os.File
-	size int64
-	full bool
+type fileSink struct {
+	path     string
+	maxBytes int64 // bytes of each
+	file     *os.File
+	size     int64
+	full     bool
 }
 
-func (s *file) ready() (bool, error) {
+func (s *fileSink) ready() (bool, error) {
 	if s.full {
 		s.close()
 		if err := os.Rename(s.path, s.path+".1"); err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -63,7 +63,7 @@
 		}
 		s.full = false
 	}
-	if s.f != nil {
+	if s.file != nil {
 		return false, nil
 	}
 	// Without O_NONBLOCK a named pipe would block here.
@@ -83,7 +83,7 @@
 		_ = f.Close() // nothing was written
 		return false, err
 	}
-	if s.f, s.size = f, info.Size(); s.size > 0 { // whoever wrote it may have ended in the middle of a line
+	if s.file, s.size = f, info.Size(); s.size > 0 { // whoever wrote it may have ended in the middle of a line
 		if _, err := s.write([]byte{'\n'}); err != nil && !s.full {
 			return false, err
 		}
@@ -91,12 +91,12 @@
 	return true, nil
 }
 
-func (s *file) write(batch []byte) (int, error) {
-	if s.size+int64(len(batch)) > s.most {
+func (s *fileSink) write(batch []byte) (int, error) {
+	if s.size+int64(len(batch)) > s.maxBytes {
 		s.full = true
 		return 0, errFull
 	}
-	n, err := s.f.Write(batch)
+	n, err := s.file.Write(batch)
 	s.size += int64(n)
 	if err != nil { // opened anew, it may be well again
 		s.close()
@@ -104,9 +104,9 @@
 	return n, err
 }
 
-func (s *file) close() {
-	if s.f != nil {
-		_ = s.f.Close() // every write's error has been seen
-		s.f = nil
+func (s *fileSink) close() {
+	if s.file != nil {
+		_ = s.file.Close() // every write's error has been seen
+		s.file = nil
 	}
 }
--- a/internal/accesslog/write.go
+++ b/internal/accesslog/write.go
@@ -12,20 +12,20 @@
 
 // Write writes a record as Recorder would have, each run after the one before it: what Read takes from it is
 // the same, to 0.1 ms. Lines that were no record's, or cut off, are gone.
-func Write(w io.Writer, r *Record) error {
+func Write(w io.Writer, r *Recording) error {
 	var b []byte
 	for _, run := range r.Runs {
 		h := &run.Header
-		b = appendStart(b, h.Start, &config.Config{Name: h.Name, Limits: h.Limits, Site: h.Site})
-		for _, c := range run.Cluster {
-			b = appendCluster(b, c.At, c.List, c.Hosts)
+		b = appendStart(b, h.Start, &config.Config{Name: h.Name, Limits: h.Limits, RawSettings: h.Site})
+		for _, c := range run.Lists {
+			b = appendCluster(b, c.At, c.Kind, c.Hosts)
 		}
 		for i := range run.Streams {
-			b = appendStream(b, h.Start, run.Streams[i].life(h), func(n balance.EndpointID) string {
+			b = appendStream(b, h.Start, run.Streams[i].observed(h), func(n balance.EndpointID) string {
 				return run.Streams[i].Attempts[n].Host
 			})
 		}
-		for _, l := range run.Lost {
+		for _, l := range run.Losses {
 			b = appendLost(b, l)
 		}
 		if _, err := w.Write(b); err != nil {
@@ -37,17 +37,17 @@
 }
 
 // life is a stream as it was observed; its attempts' hosts are their places.
-func (s *Stream) life(h *Header) *stream.Life {
+func (s *Stream) observed(h *Header) *stream.Life {
 	arrived := h.Start.Add(s.Arrival)
 	l := &stream.Life{
-		Request: &stream.Request{ClassName: h.Settings.ClassNames[s.Class], Class: s.Class, Repeated: s.Repeated,
-			Body: slices.Repeat([]byte{0}, s.Body), Arrived: arrived, Deadline: arrived.Add(s.Left)},
-		Response: stream.Response{Outcome: s.End, RetryAfter: s.RetryAfter}, Answered: arrived.Add(s.Answered),
+		Request: &stream.Request{ClassName: h.Settings.ClassNames[s.Class], Class: s.Class, Repeated: s.Retry,
+			Body: slices.Repeat([]byte{0}, s.Body), Arrived: arrived, Deadline: arrived.Add(s.TimeLeft)},
+		Response: stream.Response{Outcome: s.Outcome, RetryAfter: s.RetryAfter}, Answered: arrived.Add(s.Answered),
 	}
 	after := func(d time.Duration) time.Time { return arrived.Add(d) }
 	for i, a := range s.Attempts {
-		l.Attempts = append(l.Attempts, stream.Attempt{Host: balance.EndpointID(i), Began: after(a.Began),
-			Ended: after(a.Began + a.Took), Status: a.Status})
+		l.Attempts = append(l.Attempts, stream.Attempt{Host: balance.EndpointID(i), Began: after(a.StartedAfter),
+			Ended: after(a.StartedAfter + a.Duration), Status: a.Status})
 	}
 	return l
 }
--- a/internal/audit/inventory.go
+++ b/internal/audit/inventory.go
@@ -57,17 +57,17 @@
 		return nil, err
 	}
 	if n := len(v.Sidecar); n == 0 || n > maxSidecars {
-		return nil, f.Fault("sidecar", "lists %d sidecars: must be 1 to %d", n, maxSidecars)
+		return nil, f.Errorf("sidecar", "lists %d sidecars: must be 1 to %d", n, maxSidecars)
 	}
 	r := &Inventory{}
 	names, addrs := map[string]int{}, map[string]int{}
 	for i, s := range v.Sidecar {
 		key := func(name string) string { return fmt.Sprintf("sidecar[%d].%s", i, name) }
 		if s.Name == "" || len(s.Name) > maxNameBytes {
-			return nil, f.Fault(key("name"), "must have 1 to %d bytes", maxNameBytes)
+			return nil, f.Errorf(key("name"), "must have 1 to %d bytes", maxNameBytes)
 		}
 		if at, err := netip.ParseAddrPort(s.Addr); err != nil || at.Port() == 0 {
-			return nil, f.Fault(key("addr"), "must be an address and port, not %q", s.Addr)
+			return nil, f.Errorf(key("addr"), "must be an address and port, not %q", s.Addr)
 		}
 		if first, twice := addrs[s.Addr]; twice && v.Sidecar[first].Name != s.Name {
 			r.Faults = append(r.Faults, fmt.Sprintf("address %s is listed for %s and for %s", s.Addr, v.Sidecar[first].Name, s.Name))
--- a/internal/config/budget.go
+++ b/internal/config/budget.go
@@ -17,7 +17,7 @@
 // Defaults and limits of [budget].
 const (
 	defaultAttempts = 6
-	mostReentry     = 4
+	maxReentry      = 4
 )
 
 func (b *Budget) check(file *tomlfile.File) error {
@@ -26,17 +26,17 @@
 	}
 	switch {
 	case !budget.IsService(b.Service):
-		return file.Fault("budget.service", "must be given: 1 to 24 letters, digits, - and _")
+		return file.Errorf("budget.service", "must be given: 1 to 24 letters, digits, - and _")
 	case b.Attempts < 0 || b.Attempts > budget.Most:
-		return file.Fault("budget.attempts", "must be 0 to %d", budget.Most)
-	case b.Reentry < 0 || b.Reentry > mostReentry:
-		return file.Fault("budget.reentry", "must be 0 to %d", mostReentry)
+		return file.Errorf("budget.attempts", "must be 0 to %d", budget.Most)
+	case b.Reentry < 0 || b.Reentry > maxReentry:
+		return file.Errorf("budget.reentry", "must be 0 to %d", maxReentry)
 	}
 	return nil
 }
 
-// Accounts are what the accounts of the sidecar are kept by, beside the platform's settings.
-func (b *Budget) Accounts(s *Settings) budget.Settings {
+// AccountSettings are what the accounts of the sidecar are kept by, beside the platform's settings.
+func (b *Budget) AccountSettings(s *Settings) budget.Settings {
 	out := budget.Settings{Service: b.Service, Edge: s.Tier == 0, Leaf: s.Tier == s.Tiers-1, Instances: s.Instances,
 		Attempts: b.Attempts, Reentry: b.Reentry}
 	if b.Edge != nil {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -27,8 +27,8 @@
 	defaultSockets  = 1024
 	defaultConnIdle = 30 * time.Second
 
-	leastMemoryMB = 32 // the runtime and the pools take about half of this
-	leastSockets  = 64 // each side has to have some
+	minMemoryMB = 32 // the runtime and the pools take about half of this
+	minSockets  = 64 // each side has to have some
 )
 
 // Limits are the bounds of the machine that a sidecar runs on.
@@ -40,33 +40,33 @@
 
 // Config is all that a sidecar is told at its start.
 type Config struct {
-	Name      string
-	Listen    string // where callers connect
-	Discovery string // the address of discovery's agent
-	Control   string // where operators call; empty: nowhere
-	Seed      uint64
-	Limits    Limits
-	Known     cluster.List // the cluster as this sidecar last had it; perhaps old
-	Settings  Settings
-	Site      string // the settings as they stand in the file, as JSON
+	Name        string
+	Listen      string // where callers connect
+	Discovery   string // the address of discovery's agent
+	Control     string // where operators call; empty: nowhere
+	Seed        uint64
+	Limits      Limits
+	CachedList  cluster.List // the cluster as this sidecar last had it; perhaps old
+	Settings    Settings
+	RawSettings string // the settings as they stand in the file, as JSON
 
 	file gjson.Result
 }
 
 // Load reads the environment and the file that LB_CONFIG names; a variable goes before its key in the file.
 func Load(getenv func(string) string) (*Config, error) {
-	return read(getenv, func(variable, key string) string { return cmp.Or(variable, key) })
+	return readConfig(getenv, func(variable, key string) string { return cmp.Or(variable, key) })
 }
 
 // Reload reads them again, to take the place of former. Now a key goes before its variable: the file may have been
 // replaced, and the environment is as old as the process. A file that lacks what former's has is faulty: it may have been
 // cut down on its way.
 func Reload(getenv func(string) string, former *Config) (*Config, error) {
-	c, err := read(getenv, func(variable, key string) string { return cmp.Or(key, variable) })
+	c, err := readConfig(getenv, func(variable, key string) string { return cmp.Or(key, variable) })
 	if err != nil {
 		return nil, err
 	}
-	if key := lacks(former.file, c.file, ""); key != "" {
+	if key := missingKey(former.file, c.file, ""); key != "" {
 		return nil, fmt.Errorf("config: LB_CONFIG%s is missing; the file in force has it", key)
 	}
 	if err := c.Validate(); err != nil {
@@ -83,7 +83,7 @@
 	if !gjson.ValidBytes(settings) {
 		return fmt.Errorf("config: LB_CONFIG.settings: is not valid JSON")
 	}
-	s, err := readSettings(&reader{at: "LB_CONFIG.settings", json: gjson.ParseBytes(settings)})
+	s, err := readSettings(&reader{path: "LB_CONFIG.settings", json: gjson.ParseBytes(settings)})
 	if err == nil {
 		err = s.check()
 	}
@@ -96,14 +96,14 @@
 func (s *Settings) validate() error {
 	err := s.Validate()
 	if fault := new(balance.Fault); errors.As(err, &fault) {
-		return fmt.Errorf("config: LB_CONFIG.settings.%s: %w", keyOf(fault.Field), err)
+		return fmt.Errorf("config: LB_CONFIG.settings.%s: %w", settingsKey(fault.Field), err)
 	}
 	return err
 }
 
 // lacks names the first key that was there and is not now; empty: there is none. Of lists, every member needs the keys
 // that every member had. What is known of the cluster may come and go.
-func lacks(was, is gjson.Result, at string) string {
+func missingKey(was, is gjson.Result, at string) string {
 	switch {
 	case was.IsObject():
 		held := is.Map()
@@ -115,7 +115,7 @@
 			if !held[key].Exists() || held[key].Type == gjson.Null && v.Type != gjson.Null {
 				return here
 			}
-			if lost := lacks(v, held[key], here); lost != "" {
+			if lost := missingKey(v, held[key], here); lost != "" {
 				return lost
 			}
 		}
@@ -146,7 +146,7 @@
 	return keys
 }
 
-func read(getenv func(string) string, prefer func(variable, key string) string) (*Config, error) {
+func readConfig(getenv func(string) string, prefer func(variable, key string) string) (*Config, error) {
 	path := getenv("LB_CONFIG")
 	if path == "" {
 		return nil, fmt.Errorf("config: LB_CONFIG is not set")
@@ -158,7 +158,7 @@
 	if !gjson.ValidBytes(data) {
 		return nil, fmt.Errorf("config: LB_CONFIG: %s is not valid JSON", path)
 	}
-	r := &reader{at: "LB_CONFIG", json: gjson.ParseBytes(data)}
+	r := &reader{path: "LB_CONFIG", json: gjson.ParseBytes(data)}
 	if !r.json.IsObject() {
 		return nil, fmt.Errorf("config: LB_CONFIG: %s must hold an object", path)
 	}
@@ -168,7 +168,7 @@
 	limits := r.object("limits")
 	c := &Config{
 		Name: either("LB_NAME", "name"), Listen: either("LB_LISTEN", "listen"),
-		Discovery: either("LB_DISCOVERY", "discovery"), Control: either("LB_CONTROL", "control"), Seed: seed(r.text("seed")),
+		Discovery: either("LB_DISCOVERY", "discovery"), Control: either("LB_CONTROL", "control"), Seed: parseSeed(r.text("seed")),
 		Limits: Limits{
 			Cores:    limits.numberOr("cores", defaultCores),
 			MemoryMB: int(limits.numberOr("memory_mb", defaultMemoryMB)),
@@ -176,18 +176,18 @@
 		},
 	}
 	if known := r.object("known").json; known.Exists() {
-		if c.Known, err = cluster.ParseList(known); err != nil {
+		if c.CachedList, err = cluster.ParseList(known); err != nil {
 			return nil, fmt.Errorf("config: LB_CONFIG.known: %w", err)
 		}
 	}
 	settings := r.object("settings")
-	if err := r.failed(); err != nil {
+	if err := r.firstError(); err != nil {
 		return nil, err
 	}
 	if c.Settings, err = readSettings(settings); err != nil {
 		return nil, err
 	}
-	c.Site, c.file = settings.json.Raw, r.json
+	c.RawSettings, c.file = settings.json.Raw, r.json
 	c.Settings.Name = cmp.Or(c.Name, c.Listen)
 	return c, c.check()
 }
@@ -206,10 +206,10 @@
 	switch {
 	case c.Limits.Cores <= 0:
 		return fmt.Errorf("config: LB_CONFIG.limits.cores must be above 0")
-	case c.Limits.MemoryMB < leastMemoryMB:
-		return fmt.Errorf("config: LB_CONFIG.limits.memory_mb must be %d or more", leastMemoryMB)
-	case c.Limits.Sockets < leastSockets:
-		return fmt.Errorf("config: LB_CONFIG.limits.sockets must be %d or more", leastSockets)
+	case c.Limits.MemoryMB < minMemoryMB:
+		return fmt.Errorf("config: LB_CONFIG.limits.memory_mb must be %d or more", minMemoryMB)
+	case c.Limits.Sockets < minSockets:
+		return fmt.Errorf("config: LB_CONFIG.limits.sockets must be %d or more", minSockets)
 	}
 	return c.Settings.check()
 }
@@ -237,7 +237,7 @@
 
 // seed takes the hexadecimal number that the deployment gives; any other text is hashed, for a seed
 // need only differ from start to start.
-func seed(text string) uint64 {
+func parseSeed(text string) uint64 {
 	if n, err := strconv.ParseUint(text, 16, 64); err == nil {
 		return n
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -20,10 +20,10 @@
 
 func load(t *testing.T, text string, env map[string]string) (*Config, error) {
 	t.Helper()
-	return loadBy(t, Load, text, env)
+	return loadUsing(t, Load, text, env)
 }
 
-func loadBy(t *testing.T, load func(func(string) string) (*Config, error), text string, env map[string]string) (*Config, error) {
+func loadUsing(t *testing.T, load func(func(string) string) (*Config, error), text string, env map[string]string) (*Config, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -46,7 +46,7 @@
 		t.Errorf("the decisions know it as %q", c.Settings.Name)
 	}
 	if c.Name != "n3" || c.Listen != "127.0.0.9:1" || c.Discovery != "127.2.0.1:8500" || c.Seed != 0x8c1f30d27a5be964 ||
-		c.Limits != (Limits{1, 256, 512}) || len(c.Known.Members) != 1 || c.Settings.MaxHeld != 20000 {
+		c.Limits != (Limits{1, 256, 512}) || len(c.CachedList.Members) != 1 || c.Settings.MaxHeld != 20000 {
 		t.Errorf("%+v", c)
 	}
 	if c.Settings.ConnIdle != 30*time.Second {
@@ -99,7 +99,7 @@
 	`"read_like"`, `"read_like","worth":1`).Replace(good)
 
 // reloading is Reload in the place of a file that held sound.
-func reloading(t *testing.T, env map[string]string) func(func(string) string) (*Config, error) {
+func reloadFrom(t *testing.T, env map[string]string) func(func(string) string) (*Config, error) {
 	t.Helper()
 	former, err := load(t, sound, env)
 	if err != nil {
@@ -111,7 +111,7 @@
 // Guards against a replaced file that is overruled by the environment, which is as old as the process.
 func TestReload(t *testing.T) {
 	env := map[string]string{"LB_DISCOVERY": "127.2.0.1:1", "LB_NAME": "n9"}
-	c, err := loadBy(t, reloading(t, env), strings.Replace(sound, "127.2.0.1:8500", "127.2.0.1:8501", 1), env)
+	c, err := loadUsing(t, reloadFrom(t, env), strings.Replace(sound, "127.2.0.1:8500", "127.2.0.1:8501", 1), env)
 	if err != nil || c.Discovery != "127.2.0.1:8501" || c.Name != "n3" {
 		t.Errorf("%+v, %v", c, err)
 	}
@@ -143,12 +143,12 @@
 			t.Fatalf("%.40s is not in the file", c.old)
 		}
 		text := strings.Replace(sound, c.old, c.new, 1)
-		if _, err := loadBy(t, reloading(t, nil), text, nil); err == nil || !strings.Contains(err.Error(), c.names) {
+		if _, err := loadUsing(t, reloadFrom(t, nil), text, nil); err == nil || !strings.Contains(err.Error(), c.names) {
 			t.Errorf("%.40s for %.40s: error %v, want one that names %s", c.new, c.old, err, c.names)
 		}
 	}
 	for _, more := range []string{`"seen":1,"discovery"`, `"discovery"`} { // more than there was, or the same
-		if _, err := loadBy(t, reloading(t, nil), strings.Replace(sound, `"discovery"`, more, 1), nil); err != nil {
+		if _, err := loadUsing(t, reloadFrom(t, nil), strings.Replace(sound, `"discovery"`, more, 1), nil); err != nil {
 			t.Error(err)
 		}
 	}
@@ -164,17 +164,17 @@
 		return s
 	}
 	first := of("a", "b", "c")
-	second, err := of("d", "c").After(first)
-	if err != nil || !slices.Equal(second.ClassNames, []string{"a", "b", "c", "d"}) || !slices.Equal(second.Vanished, []bool{true, true, false, false}) ||
+	second, err := of("d", "c").Renumbered(first)
+	if err != nil || !slices.Equal(second.ClassNames, []string{"a", "b", "c", "d"}) || !slices.Equal(second.Removed, []bool{true, true, false, false}) ||
 		second.Classes[2].Worth != 2 || second.Classes[3].Worth != 1 || second.Classes[0].Worth != 1 {
 		t.Errorf("%+v, %v", second, err)
 	}
-	third, err := of("b", "d").After(&second)
-	if err != nil || !slices.Equal(third.ClassNames, second.ClassNames) || !slices.Equal(third.Vanished, []bool{true, false, true, false}) {
+	third, err := of("b", "d").Renumbered(&second)
+	if err != nil || !slices.Equal(third.ClassNames, second.ClassNames) || !slices.Equal(third.Removed, []bool{true, false, true, false}) {
 		t.Errorf("%+v, %v", third, err)
 	}
-	for i := range classesMost {
-		if third, err = of(fmt.Sprint(i)).After(&third); err != nil {
+	for i := range maxNames {
+		if third, err = of(fmt.Sprint(i)).Renumbered(&third); err != nil {
 			return
 		}
 	}
@@ -190,13 +190,13 @@
 		}
 		return s
 	}
-	second, err := of("d", "c").After(of("a", "b", "c"))
+	second, err := of("d", "c").Renumbered(of("a", "b", "c"))
 	if want := []balance.Tenant{{Quota: 1}, {Quota: 2}, {Quota: 2}, {Quota: 1}}; err != nil ||
 		!slices.Equal(second.TenantNames, []string{"a", "b", "c", "d"}) || !slices.Equal(second.Tenants, want) {
 		t.Errorf("%+v, %v", second, err)
 	}
-	for i := range classesMost {
-		if second, err = of(fmt.Sprint(i)).After(&second); err != nil {
+	for i := range maxNames {
+		if second, err = of(fmt.Sprint(i)).Renumbered(&second); err != nil {
 			return
 		}
 	}
--- a/internal/config/distributed.go
+++ b/internal/config/distributed.go
@@ -13,70 +13,70 @@
 	"pinelb.example/pinelb/internal/tomlfile"
 )
 
-// Distributed is the section [settings]: the platform's settings come from distributors.
-type Distributed struct {
-	From    []string `toml:"from"`    // the distributors' addresses and ports
-	Service string   `toml:"service"` // whose settings are followed
+// SettingsSource is the section [settings]: the platform's settings come from distributors.
+type SettingsSource struct {
+	Distributors []string `toml:"from"`    // the distributors' addresses and ports
+	Service      string   `toml:"service"` // whose settings are followed
 }
 
-// mostDistributors keeps the time until all of them have been tried short.
-const mostDistributors = 16
+// maxDistributors keeps the time until all of them have been tried short.
+const maxDistributors = 16
 
 // check names the first key that can't be used.
-func (d *Distributed) check(file *tomlfile.File) error {
-	if len(d.From) < 1 || len(d.From) > mostDistributors {
-		return file.Fault("settings.from", "must have 1 to %d addresses of distributors", mostDistributors)
+func (d *SettingsSource) check(file *tomlfile.File) error {
+	if len(d.Distributors) < 1 || len(d.Distributors) > maxDistributors {
+		return file.Errorf("settings.from", "must have 1 to %d addresses of distributors", maxDistributors)
 	}
-	for i, addr := range d.From {
+	for i, addr := range d.Distributors {
 		if at, err := netip.ParseAddrPort(addr); err != nil || at.Port() == 0 {
-			return file.Fault("settings.from", "[%d] is no address and port: %q", i, addr)
+			return file.Errorf("settings.from", "[%d] is no address and port: %q", i, addr)
 		}
-		if slices.Contains(d.From[:i], addr) {
-			return file.Fault("settings.from", "[%d] stands there twice: %q", i, addr)
+		if slices.Contains(d.Distributors[:i], addr) {
+			return file.Errorf("settings.from", "[%d] stands there twice: %q", i, addr)
 		}
 	}
 	if err := settingsstore.CheckName("", d.Service); err != nil {
-		return file.Fault("settings.service", "must be given: 1 to %d letters, digits, '.', '_' and '-', the first of the first two", settingsstore.MaxNameBytes)
+		return file.Errorf("settings.service", "must be given: 1 to %d letters, digits, '.', '_' and '-', the first of the first two", settingsstore.MaxNameBytes)
 	}
 	return nil
 }
 
 // own are the keys of the settings that are an instance's and not its service's. Digest leaves them out.
-var own = []string{"rank", "locality"}
+var instanceKeys = []string{"rank", "locality"}
 
-// Published is With for settings that have just come. The file's remain as they were read: settings that lack a key which the
+// WithPublished is With for settings that have just come. The file's remain as they were read: settings that lack a key which the
 // file's have are faulty, for they may have been cut down. What was published later than the file may be taken back.
-func (c *Config) Published(settings []byte) (*Config, error) {
-	out, err := c.With(settings)
+func (c *Config) WithPublished(settings []byte) (*Config, error) {
+	out, err := c.WithSettings(settings)
 	if err != nil {
 		return nil, err
 	}
-	if key := lacks(c.file.Get("settings"), gjson.Parse(out.Site), ".settings"); key != "" {
+	if key := missingKey(c.file.Get("settings"), gjson.Parse(out.RawSettings), ".settings"); key != "" {
 		return nil, fmt.Errorf("config: LB_CONFIG%s is missing; the file has it", key)
 	}
 	return out, nil
 }
 
-// With returns the configuration with other settings, as JSON, in the place of its own, but for the instance's own rank and
+// WithSettings returns the configuration with other settings, as JSON, in the place of its own, but for the instance's own rank and
 // locality, which stay the file's. Errors name the key as the file has it.
-func (c *Config) With(settings []byte) (*Config, error) {
-	site, err := c.ownIn(settings)
+func (c *Config) WithSettings(settings []byte) (*Config, error) {
+	site, err := c.withInstanceKeys(settings)
 	if err != nil {
 		return nil, fmt.Errorf("config: LB_CONFIG.settings: %w", err)
 	}
 	out := *c
-	if out.Settings, err = readSettings(&reader{at: "LB_CONFIG.settings", json: gjson.Parse(site)}); err != nil {
+	if out.Settings, err = readSettings(&reader{path: "LB_CONFIG.settings", json: gjson.Parse(site)}); err != nil {
 		return nil, err
 	}
-	out.Site, out.Settings.Name = site, c.Settings.Name
+	out.RawSettings, out.Settings.Name = site, c.Settings.Name
 	if err := out.check(); err != nil {
 		return nil, err
 	}
 	return &out, out.Validate()
 }
 
-// ownIn puts the instance's own keys into settings.
-func (c *Config) ownIn(settings []byte) (string, error) {
+// withInstanceKeys puts the instance's own keys into settings.
+func (c *Config) withInstanceKeys(settings []byte) (string, error) {
 	var keys map[string]json.RawMessage
 	if err := json.Unmarshal(settings, &keys); err != nil {
 		return "", err
@@ -84,7 +84,7 @@
 	if keys == nil {
 		return "", errors.New("must be an object")
 	}
-	for _, key := range own {
+	for _, key := range instanceKeys {
 		delete(keys, key)
 		if v := c.file.Get("settings." + key); v.Exists() {
 			keys[key] = json.RawMessage(v.Raw)
--- a/internal/config/distributed_test.go
+++ b/internal/config/distributed_test.go
@@ -25,14 +25,14 @@
 	}
 	a, b := load(`"rank":2`), load(`"rank":1,"locality":0`)
 	more := strings.Replace(file, `"send_cap":1`, `"send_cap":3,"probing":true`, 1)
-	first, err := a.Published([]byte(more))
+	first, err := a.WithPublished([]byte(more))
 	if err != nil || first.Settings.Rank != 2 || first.Settings.MaxAttempts != 3 || first.Settings.Name != "n0" || a.Settings.MaxAttempts != 1 {
 		t.Fatalf("%+v, %v", first, err)
 	}
-	if other, err := b.Published([]byte(more)); err != nil || other.Settings.Rank != 1 || other.Digest() != first.Digest() {
+	if other, err := b.WithPublished([]byte(more)); err != nil || other.Settings.Rank != 1 || other.Digest() != first.Digest() {
 		t.Errorf("another instance has %+v, %v", other, err)
 	}
-	if back, err := first.Published([]byte(file)); err != nil || back.Settings.Probes || back.Digest() != a.Digest() {
+	if back, err := first.WithPublished([]byte(file)); err != nil || back.Settings.Probes || back.Digest() != a.Digest() {
 		t.Errorf("taken back: %+v, %v", back, err)
 	}
 	for text, key := range map[string]string{
@@ -43,7 +43,7 @@
 		strings.Replace(file, `"deadline":400000000`, `"deadline":0`, 1): "settings.classes[0].deadline",
 		strings.Replace(file, `"send_cap":1`, `"send_cap":"1"`, 1):       "settings.allowed.send_cap",
 	} {
-		if _, err := first.Published([]byte(text)); err == nil || !strings.Contains(err.Error(), key) {
+		if _, err := first.WithPublished([]byte(text)); err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("%q: %v, want %s", text, err, key)
 		}
 	}
--- a/internal/config/faults_test.go
+++ b/internal/config/faults_test.go
@@ -95,7 +95,7 @@
 		{"tenants.*.quota_rps", false, atLeast0},
 	} {
 		for customer, settings := range customers {
-			for _, key := range each(t, settings, k.key) {
+			for _, key := range allValuePaths(t, settings, k.key) {
 				for _, value := range append([]string{"", missing}, k.faulty...) {
 					faulty := with(t, settings, key, value)
 					start, hup := sites[customer].replaced(t, faulty)
@@ -129,7 +129,7 @@
 }
 
 // each is the key for each of the list or object that its * stands for, as far as the settings have it.
-func each(t *testing.T, settings, key string) (all []string) {
+func allValuePaths(t *testing.T, settings, key string) (all []string) {
 	t.Helper()
 	var doc any
 	if err := json.Unmarshal([]byte(settings), &doc); err != nil {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -16,143 +16,143 @@
 // Operator is the operator's file: what a site switches on beyond what the platform asks for. A section that
 // the file lacks is off.
 type Operator struct {
-	Record    *Record      `toml:"record"`
-	Discovery *Discovery   `toml:"discovery"`
-	Fleet     *Fleet       `toml:"fleet"`
-	Thrift    *Thrift      `toml:"thrift"`
-	Budget    *Budget      `toml:"budget"`
-	State     *State       `toml:"state"`
-	Audit     *Audit       `toml:"audit"`
-	Settings  *Distributed `toml:"settings"`
+	AccessLog *AccessLog      `toml:"record"`
+	Discovery *Discovery      `toml:"discovery"`
+	Fleet     *Fleet          `toml:"fleet"`
+	Thrift    *Thrift         `toml:"thrift"`
+	Budget    *Budget         `toml:"budget"`
+	State     *State          `toml:"state"`
+	Audit     *Audit          `toml:"audit"`
+	Settings  *SettingsSource `toml:"settings"`
 }
 
 // State is the section [state]: what a process knows is kept on the disk, for the one that comes after it.
 type State struct {
-	Dir     string        `toml:"dir"`     // absolute, and this sidecar's alone
-	Every   tomlfile.Span `toml:"every"`   // a snapshot is written so often
-	Oldest  tomlfile.Span `toml:"oldest"`  // and believed for so long
-	Journal bool          `toml:"journal"` // keyed and unsafe requests are written down before they are sent
+	Dir              string            `toml:"dir"`     // absolute, and this sidecar's alone
+	SnapshotInterval tomlfile.Duration `toml:"every"`   // a snapshot is written so often
+	MaxAge           tomlfile.Duration `toml:"oldest"`  // and believed for so long
+	Journal          bool              `toml:"journal"` // keyed and unsafe requests are written down before they are sent
 }
 
 // Defaults and limits of [state].
 const (
-	defaultStateEvery  = 10 * time.Second
-	leastStateEvery    = time.Second
-	mostStateEvery     = 10 * time.Minute
-	defaultStateOldest = 10 * time.Minute
-	mostStateOldest    = 24 * time.Hour
+	defaultSnapshotInterval = 10 * time.Second
+	minSnapshotInterval     = time.Second
+	maxSnapshotInterval     = 10 * time.Minute
+	defaultMaxAge           = 10 * time.Minute
+	maxMaxAge               = 24 * time.Hour
 )
 
 func (s *State) check(file *tomlfile.File) error {
 	if !file.Has("state.every") {
-		s.Every = tomlfile.Span(defaultStateEvery)
+		s.SnapshotInterval = tomlfile.Duration(defaultSnapshotInterval)
 	}
 	if !file.Has("state.oldest") {
-		s.Oldest = tomlfile.Span(defaultStateOldest)
+		s.MaxAge = tomlfile.Duration(defaultMaxAge)
 	}
 	switch {
 	case !filepath.IsAbs(s.Dir):
-		return file.Fault("state.dir", "must be the absolute path of a directory")
-	case s.Every.D() < leastStateEvery || s.Every.D() > mostStateEvery:
-		return file.Fault("state.every", "must be from %s to %s", leastStateEvery, mostStateEvery)
-	case s.Oldest < s.Every || s.Oldest.D() > mostStateOldest:
-		return file.Fault("state.oldest", "must be from state.every to %s", mostStateOldest)
+		return file.Errorf("state.dir", "must be the absolute path of a directory")
+	case s.SnapshotInterval.D() < minSnapshotInterval || s.SnapshotInterval.D() > maxSnapshotInterval:
+		return file.Errorf("state.every", "must be from %s to %s", minSnapshotInterval, maxSnapshotInterval)
+	case s.MaxAge < s.SnapshotInterval || s.MaxAge.D() > maxMaxAge:
+		return file.Errorf("state.oldest", "must be from state.every to %s", maxMaxAge)
 	}
 	return nil
 }
 
 // Discovery is the section [discovery]: the list service is one for many sidecars, and is asked so as to spare it.
 type Discovery struct {
-	Calls     float64       `toml:"calls"`     // a second that all instances together may make
-	Burst     int           `toml:"burst"`     // calls at once that it has room for
-	Instances int           `toml:"instances"` // that ask it; 0 is as many as the settings tell
-	Watch     tomlfile.Span `toml:"watch"`     // how long a call waits for news, at least
-	Whole     tomlfile.Span `toml:"whole"`     // the whole list is asked for anew so often; 0 is never
-	Resume    bool          `toml:"resume"`    // what is held already is not asked for again, but the changes since
+	CallRate         float64           `toml:"calls"`     // a second that all instances together may make
+	Burst            int               `toml:"burst"`     // calls at once that it has room for
+	Instances        int               `toml:"instances"` // that ask it; 0 is as many as the settings tell
+	PollTimeout      tomlfile.Duration `toml:"watch"`     // how long a call waits for news, at least
+	FullListInterval tomlfile.Duration `toml:"whole"`     // the whole list is asked for anew so often; 0 is never
+	Resume           bool              `toml:"resume"`    // what is held already is not asked for again, but the changes since
 }
 
 // Defaults and limits of [discovery].
 const (
-	leastCalls, mostCalls = 1, 100_000
-	mostBurst             = 100_000
-	mostInstances         = 100_000
-	defaultWatch          = time.Second
-	leastWatch, mostWatch = 100 * time.Millisecond, 30 * time.Second
-	defaultWhole          = 5 * time.Minute
-	leastWhole            = 10 * time.Second
+	minCallRate, maxCallRate       = 1, 100_000
+	maxBurst                       = 100_000
+	maxInstances                   = 100_000
+	defaultPollTimeout             = time.Second
+	minPollTimeout, maxPollTimeout = 100 * time.Millisecond, 30 * time.Second
+	defaultFullListInterval        = 5 * time.Minute
+	minFullListInterval            = 10 * time.Second
 )
 
 func (d *Discovery) check(file *tomlfile.File) error {
 	if !file.Has("discovery.watch") {
-		d.Watch = tomlfile.Span(defaultWatch)
+		d.PollTimeout = tomlfile.Duration(defaultPollTimeout)
 	}
 	if !file.Has("discovery.whole") {
-		d.Whole = tomlfile.Span(defaultWhole)
+		d.FullListInterval = tomlfile.Duration(defaultFullListInterval)
 	}
 	switch {
-	case d.Calls < leastCalls || d.Calls > mostCalls:
-		return file.Fault("discovery.calls", "must be given, from %d to %d", leastCalls, mostCalls)
-	case d.Burst < 0 || d.Burst > mostBurst:
-		return file.Fault("discovery.burst", "must be from 0 to %d", mostBurst)
-	case d.Instances < 0 || d.Instances > mostInstances:
-		return file.Fault("discovery.instances", "must be from 0 to %d", mostInstances)
-	case d.Watch.D() < leastWatch || d.Watch.D() > mostWatch:
-		return file.Fault("discovery.watch", "must be from %s to %s", leastWatch, mostWatch)
-	case d.Whole != 0 && d.Whole.D() < leastWhole:
-		return file.Fault("discovery.whole", "must be 0s or %s and more", leastWhole)
+	case d.CallRate < minCallRate || d.CallRate > maxCallRate:
+		return file.Errorf("discovery.calls", "must be given, from %d to %d", minCallRate, maxCallRate)
+	case d.Burst < 0 || d.Burst > maxBurst:
+		return file.Errorf("discovery.burst", "must be from 0 to %d", maxBurst)
+	case d.Instances < 0 || d.Instances > maxInstances:
+		return file.Errorf("discovery.instances", "must be from 0 to %d", maxInstances)
+	case d.PollTimeout.D() < minPollTimeout || d.PollTimeout.D() > maxPollTimeout:
+		return file.Errorf("discovery.watch", "must be from %s to %s", minPollTimeout, maxPollTimeout)
+	case d.FullListInterval != 0 && d.FullListInterval.D() < minFullListInterval:
+		return file.Errorf("discovery.whole", "must be 0s or %s and more", minFullListInterval)
 	}
 	return nil
 }
 
-// Fleet is the same for the watch of an instance, of whom the settings tell so many.
-func (d *Discovery) Fleet(instances int) pacing.Fleet {
+// Pacing is the same for the watch of an instance, of whom the settings tell so many.
+func (d *Discovery) Pacing(instances int) pacing.Fleet {
 	if d.Instances != 0 {
 		instances = d.Instances
 	}
-	return pacing.Fleet{Instances: instances, Rate: d.Calls, Burst: d.Burst, Watch: d.Watch.D()}
+	return pacing.Fleet{Instances: instances, Rate: d.CallRate, Burst: d.Burst, Watch: d.PollTimeout.D()}
 }
 
-// Fleet is the section [fleet]: how the instances of a tier are told apart.
+// Pacing is the section [fleet]: how the instances of a tier are told apart.
 type Fleet struct {
 	// Numbered says that the settings' rank and number of instances are right, so that upstream hosts are chosen
 	// by them and not by the sidecar's name.
 	Numbered bool `toml:"numbered"`
 	// Spread is the time over which a sidecar that holds a list already makes its first call to discovery: where
 	// many start at once and ask one service, they should not do so in the same moment. At most 5 s.
-	Spread tomlfile.Span `toml:"spread"`
+	Spread tomlfile.Duration `toml:"spread"`
 	// Handshakes is how many connections all instances together may open to one upstream host in 100 ms; 0 is no bound.
 	Handshakes int `toml:"handshakes"`
 }
 
-// mostHandshakes is more than any host takes.
-const mostHandshakes = 10_000
+// maxHandshakes is more than any host takes.
+const maxHandshakes = 10_000
 
 func (f *Fleet) check(file *tomlfile.File) error {
 	switch {
-	case f.Spread < 0 || f.Spread.D() > mostSpread:
-		return file.Fault("fleet.spread", "must be from 0s to %s", mostSpread)
-	case f.Handshakes < 0 || f.Handshakes > mostHandshakes:
-		return file.Fault("fleet.handshakes", "must be from 0 to %d", mostHandshakes)
+	case f.Spread < 0 || f.Spread.D() > maxSpread:
+		return file.Errorf("fleet.spread", "must be from 0s to %s", maxSpread)
+	case f.Handshakes < 0 || f.Handshakes > maxHandshakes:
+		return file.Errorf("fleet.handshakes", "must be from 0 to %d", maxHandshakes)
 	}
 	return nil
 }
 
-// mostSpread keeps a list that may be old from being all that there is for long.
-const mostSpread = 5 * time.Second
+// maxSpread keeps a list that may be old from being all that there is for long.
+const maxSpread = 5 * time.Second
 
-// Record is the section [record]: one line is written for each stream.
-type Record struct {
-	To        string `toml:"to"`         // "log", or the absolute path of a file
-	Most      Size   `toml:"most"`       // bytes of the file and the one before it together; a file's alone
-	PerSecond int    `toml:"per_second"` // lines of streams
+// AccessLog is the section [record]: one line is written for each stream.
+type AccessLog struct {
+	Destination       string `toml:"to"`         // "log", or the absolute path of a file
+	MaxBytes          Size   `toml:"most"`       // bytes of the file and the one before it together; a file's alone
+	MaxLinesPerSecond int    `toml:"per_second"` // lines of streams
 }
 
 // Defaults and limits of [record].
 const (
-	defaultRecordMost      Size = 64 << 20
-	leastRecordMost        Size = 2 << 20 // half of it has to hold the header and a batch of lines
-	defaultRecordPerSecond      = 2000
-	mostRecordPerSecond         = 100000
+	defaultAccessLogBytes Size = 64 << 20
+	minAccessLogBytes     Size = 2 << 20 // half of it has to hold the header and a batch of lines
+	defaultLinesPerSecond      = 2000
+	maxLinesPerSecond          = 100000
 )
 
 // Size is a number of bytes, written as text with its unit, "64MiB", or as a plain number.
@@ -203,8 +203,8 @@
 	if err == nil && op.Discovery != nil {
 		err = op.Discovery.check(file)
 	}
-	if err == nil && op.Record != nil {
-		err = op.Record.check(file)
+	if err == nil && op.AccessLog != nil {
+		err = op.AccessLog.check(file)
 	}
 	if err == nil && op.Thrift != nil {
 		err = op.Thrift.check(file)
@@ -228,44 +228,44 @@
 	return op, nil
 }
 
-// Fits names the first key that can't be used beside the platform's configuration, such as a class that its
+// CheckAgainst names the first key that can't be used beside the platform's configuration, such as a class that its
 // settings lack.
-func (o *Operator) Fits(c *Config) error {
+func (o *Operator) CheckAgainst(c *Config) error {
 	if o.Audit != nil && c.Control == "" {
 		return fmt.Errorf("config: LB_CONTROL: audit needs an address for operators, which auditors call")
 	}
 	if o.Audit != nil && o.Audit.Lease > 0 && o.Discovery != nil {
-		longest := o.Discovery.Fleet(c.Settings.Instances).Longest().Round(time.Millisecond)
-		if o.Audit.Lease.D() < longest+leastLease {
-			return fmt.Errorf("config: audit.lease must be %s or more: beside [discovery] a call waits for news for up to %s", longest+leastLease, longest)
+		longest := o.Discovery.Pacing(c.Settings.Instances).Longest().Round(time.Millisecond)
+		if o.Audit.Lease.D() < longest+minLease {
+			return fmt.Errorf("config: audit.lease must be %s or more: beside [discovery] a call waits for news for up to %s", longest+minLease, longest)
 		}
 	}
 	if o.Thrift == nil {
 		return nil
 	}
-	return o.Thrift.fits(c)
+	return o.Thrift.checkAgainst(c)
 }
 
-// Log tells whether the record goes to the log, which is standard error.
-func (r *Record) Log() bool { return r.To == "log" }
+// ToStderr tells whether the record goes to the log, which is standard error.
+func (r *AccessLog) ToStderr() bool { return r.Destination == "log" }
 
 // check fills in the defaults and names the first key that can't be used.
-func (r *Record) check(file *tomlfile.File) error {
+func (r *AccessLog) check(file *tomlfile.File) error {
 	switch {
-	case !r.Log() && !filepath.IsAbs(r.To):
-		return file.Fault("record.to", `must be "log" or the absolute path of a file`)
-	case r.Log() && file.Has("record.most"):
-		return file.Fault("record.most", `bounds a file; it has no meaning where to is "log"`)
-	case file.Has("record.most") && r.Most < leastRecordMost:
-		return file.Fault("record.most", `must be "%dMiB" or more`, leastRecordMost>>20)
-	case file.Has("record.per_second") && (r.PerSecond < 1 || r.PerSecond > mostRecordPerSecond):
-		return file.Fault("record.per_second", "must be 1 to %d", mostRecordPerSecond)
+	case !r.ToStderr() && !filepath.IsAbs(r.Destination):
+		return file.Errorf("record.to", `must be "log" or the absolute path of a file`)
+	case r.ToStderr() && file.Has("record.most"):
+		return file.Errorf("record.most", `bounds a file; it has no meaning where to is "log"`)
+	case file.Has("record.most") && r.MaxBytes < minAccessLogBytes:
+		return file.Errorf("record.most", `must be "%dMiB" or more`, minAccessLogBytes>>20)
+	case file.Has("record.per_second") && (r.MaxLinesPerSecond < 1 || r.MaxLinesPerSecond > maxLinesPerSecond):
+		return file.Errorf("record.per_second", "must be 1 to %d", maxLinesPerSecond)
 	}
 	if !file.Has("record.most") {
-		r.Most = defaultRecordMost
+		r.MaxBytes = defaultAccessLogBytes
 	}
 	if !file.Has("record.per_second") {
-		r.PerSecond = defaultRecordPerSecond
+		r.MaxLinesPerSecond = defaultLinesPerSecond
 	}
 	return nil
 }
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -26,12 +26,12 @@
 			t.Errorf("nothing asked for: %+v, %v", op, err)
 		}
 	}
-	for text, want := range map[string]Record{
+	for text, want := range map[string]AccessLog{
 		"[record]\nto = \"log\"": {"log", 64 << 20, 2000},
 		"[record]\nto = \"/run/a\"\nmost = \"3 GiB\"\nper_second = 7": {"/run/a", 3 << 30, 7},
 		"[record]\nto = \"/run/a\"\nmost = 4000000":                   {"/run/a", 4000000, 2000},
 	} {
-		if op, err := loadOperator(t, text); err != nil || *op.Record != want {
+		if op, err := loadOperator(t, text); err != nil || *op.AccessLog != want {
 			t.Errorf("%s: %+v, %v", text, op, err)
 		}
 	}
@@ -40,10 +40,10 @@
 // Guards against an example that is no longer true.
 func TestOperatorExample(t *testing.T) {
 	op, err := LoadOperator("../../deploy/operator.example.toml")
-	if err != nil || op.Record == nil || op.Fleet == nil || op.Thrift == nil || len(op.Thrift.Methods) == 0 ||
-		op.Budget == nil || op.Budget.Service == "" || op.Discovery == nil || !op.Discovery.Resume || op.Discovery.Calls == 0 ||
-		op.Audit == nil || op.Audit.Share != 0.1 || op.Audit.Closed() || op.Audit.File == 0 ||
-		op.Settings == nil || len(op.Settings.From) == 0 || op.Settings.Service == "" {
+	if err != nil || op.AccessLog == nil || op.Fleet == nil || op.Thrift == nil || len(op.Thrift.Methods) == 0 ||
+		op.Budget == nil || op.Budget.Service == "" || op.Discovery == nil || !op.Discovery.Resume || op.Discovery.CallRate == 0 ||
+		op.Audit == nil || op.Audit.Share != 0.1 || op.Audit.ShutsOutWhenIsolated() || op.Audit.File == 0 ||
+		op.Settings == nil || len(op.Settings.Distributors) == 0 || op.Settings.Service == "" {
 		t.Errorf("%+v, %v", op, err)
 	}
 }
@@ -105,16 +105,16 @@
 // what differs.
 func TestAudit(t *testing.T) {
 	op, err := loadOperator(t, "[audit]\n")
-	if err != nil || op.Audit.Share != 0.1 || op.Audit.Lease != 0 || op.Audit.Closed() {
+	if err != nil || op.Audit.Share != 0.1 || op.Audit.Lease != 0 || op.Audit.ShutsOutWhenIsolated() {
 		t.Fatalf("%+v, %v", op, err)
 	}
 	if other, _ := loadOperator(t, "[audit]\n\n"); other.Audit.File == op.Audit.File {
 		t.Error("another file has the same digest")
 	}
-	if err := op.Fits(&Config{}); err == nil || !strings.Contains(err.Error(), "LB_CONTROL") {
+	if err := op.CheckAgainst(&Config{}); err == nil || !strings.Contains(err.Error(), "LB_CONTROL") {
 		t.Errorf("with no address for operators: %v", err)
 	}
-	if err := op.Fits(&Config{Control: "127.0.0.1:1"}); err != nil {
+	if err := op.CheckAgainst(&Config{Control: "127.0.0.1:1"}); err != nil {
 		t.Error(err)
 	}
 	paced, err := loadOperator(t, "[audit]\nlease = \"6s\"\n[discovery]\ncalls = 150\n")
@@ -124,11 +124,11 @@
 	for instances, fits := range map[int]bool{100: true, 400: false} { // 400 of them wait for news for up to 8 s
 		c := &Config{Control: "127.0.0.1:1"}
 		c.Settings.Instances = instances
-		if err := paced.Fits(c); (err == nil) != fits || err != nil && !strings.Contains(err.Error(), "audit.lease must be 10s") {
+		if err := paced.CheckAgainst(c); (err == nil) != fits || err != nil && !strings.Contains(err.Error(), "audit.lease must be 10s") {
 			t.Errorf("a lease of 6 s, %d instances: %v", instances, err)
 		}
 	}
-	of := func(site string) any { return (&Config{Site: site}).Digest() }
+	of := func(site string) any { return (&Config{RawSettings: site}).Digest() }
 	was := of(`{"rank":3,"locality":1,"classes":[{"aim":9007199254740993,"name":"a"}]}`)
 	if same := of("{ \"locality\":0,\n\"classes\":[{\"name\":\"a\",\"aim\":9007199254740993}], \"rank\":4 }"); same != was {
 		t.Error("of another instance the same settings have another digest")
--- a/internal/config/operator_thrift.go
+++ b/internal/config/operator_thrift.go
@@ -13,67 +13,67 @@
 
 // Thrift is the section [thrift]: calls are taken over Thrift too, and sent on over it.
 type Thrift struct {
-	Listen       string          `toml:"listen"` // address and port for callers
-	Form         string          `toml:"form"`   // "any", or the name of the one form that is read
-	UpstreamPort int             `toml:"upstream_port"`
-	MostMessage  Size            `toml:"most_message"` // bytes of a call or a reply, its head included
-	Deadline     tomlfile.Span   `toml:"deadline"`     // of methods that state none; 0: the class's
-	TurnedAway   int32           `toml:"turned_away"`  // type of exception that proves that nothing ran; 0: none does
-	DefaultClass string          `toml:"default_class"`
-	Methods      []*ThriftMethod `toml:"method"`
+	Listen       string            `toml:"listen"` // address and port for callers
+	Framing      string            `toml:"form"`   // "any", or the name of the one form that is read
+	UpstreamPort int               `toml:"upstream_port"`
+	MaxMessage   Size              `toml:"most_message"` // bytes of a call or a reply, its head included
+	Deadline     tomlfile.Duration `toml:"deadline"`     // of methods that state none; 0: the class's
+	RejectedType int32             `toml:"turned_away"`  // type of exception that proves that nothing ran; 0: none does
+	DefaultClass string            `toml:"default_class"`
+	Methods      []*ThriftMethod   `toml:"method"`
 
 	file *tomlfile.File
 }
 
 // ThriftMethod is one [[thrift.method]]. The paths are of field ids, from the struct of the arguments on.
 type ThriftMethod struct {
-	Name        string        `toml:"name"` // "method" or, ahead of it, "service:method"
-	Class       string        `toml:"class"`
-	Oneway      bool          `toml:"oneway"`       // nothing is answered, also where it is sent as a call
-	Deadline    tomlfile.Span `toml:"deadline"`     // where the call tells no time; 0: the section's
-	ID          []int16       `toml:"id"`           // of the request; empty: one is made
-	Key         []int16       `toml:"key"`          // of the effect
-	RemainingMS []int16       `toml:"remaining_ms"` // of the client's wait; empty: the deadline
+	Name        string            `toml:"name"` // "method" or, ahead of it, "service:method"
+	Class       string            `toml:"class"`
+	Oneway      bool              `toml:"oneway"`       // nothing is answered, also where it is sent as a call
+	Deadline    tomlfile.Duration `toml:"deadline"`     // where the call tells no time; 0: the section's
+	ID          []int16           `toml:"id"`           // of the request; empty: one is made
+	Key         []int16           `toml:"key"`          // of the effect
+	RemainingMS []int16           `toml:"remaining_ms"` // of the client's wait; empty: the deadline
 }
 
 // Defaults and limits of [thrift].
 const (
-	anyForm                 = "any"
-	defaultMostMessage Size = 64 << 10
-	leastMostMessage   Size = 8 << 10
-	mostMostMessage    Size = 1 << 20
-	leastTurnedAway         = 11 // lower ones are given by Thrift's libraries, also for what may have run
-	longestPath             = 8
-	longestMethodName       = 128
+	anyFraming              = "any"
+	defaultMaxMessage  Size = 64 << 10
+	minMaxMessage      Size = 8 << 10
+	maxMaxMessage      Size = 1 << 20
+	minRejectedType         = 11 // lower ones are given by Thrift's libraries, also for what may have run
+	maxPathLength           = 8
+	maxMethodNameBytes      = 128
 )
 
-// AnyForm tells whether the first bytes of a connection tell its form.
-func (t *Thrift) AnyForm() bool { return t.Form == anyForm }
+// DetectsFraming tells whether the first bytes of a connection tell its form.
+func (t *Thrift) DetectsFraming() bool { return t.Framing == anyFraming }
 
 // check fills in the defaults and names the first key that can't be used, whatever the platform's settings are.
 func (t *Thrift) check(file *tomlfile.File) error {
 	t.file = file
 	if !file.Has("thrift.form") {
-		t.Form = anyForm
+		t.Framing = anyFraming
 	}
 	if !file.Has("thrift.most_message") {
-		t.MostMessage = defaultMostMessage
+		t.MaxMessage = defaultMaxMessage
 	}
-	_, known := thriftwire.ParseForm(t.Form)
+	_, known := thriftwire.ParseForm(t.Framing)
 	_, err := netip.ParseAddrPort(t.Listen)
 	switch {
 	case err != nil:
-		return file.Fault("thrift.listen", `must be an address and a port such as "127.0.0.1:9090"`)
-	case !known && !t.AnyForm():
-		return file.Fault("thrift.form", `must be "any", "framed-binary", "framed-compact", "binary", "compact", "framed-old-binary" or "old-binary"`)
+		return file.Errorf("thrift.listen", `must be an address and a port such as "127.0.0.1:9090"`)
+	case !known && !t.DetectsFraming():
+		return file.Errorf("thrift.form", `must be "any", "framed-binary", "framed-compact", "binary", "compact", "framed-old-binary" or "old-binary"`)
 	case t.UpstreamPort < 0 || t.UpstreamPort > math.MaxUint16:
-		return file.Fault("thrift.upstream_port", "must be 0 to %d", math.MaxUint16)
-	case t.MostMessage < leastMostMessage || t.MostMessage > mostMostMessage:
-		return file.Fault("thrift.most_message", `must be "%dKiB" to "%dKiB"`, leastMostMessage>>10, mostMostMessage>>10)
+		return file.Errorf("thrift.upstream_port", "must be 0 to %d", math.MaxUint16)
+	case t.MaxMessage < minMaxMessage || t.MaxMessage > maxMaxMessage:
+		return file.Errorf("thrift.most_message", `must be "%dKiB" to "%dKiB"`, minMaxMessage>>10, maxMaxMessage>>10)
 	case file.Has("thrift.deadline") && t.Deadline <= 0:
-		return file.Fault("thrift.deadline", "must be above 0s")
-	case file.Has("thrift.turned_away") && t.TurnedAway < leastTurnedAway:
-		return file.Fault("thrift.turned_away", "must be %d or more: those below have meanings of Thrift's own", leastTurnedAway)
+		return file.Errorf("thrift.deadline", "must be above 0s")
+	case file.Has("thrift.turned_away") && t.RejectedType < minRejectedType:
+		return file.Errorf("thrift.turned_away", "must be %d or more: those below have meanings of Thrift's own", minRejectedType)
 	}
 	seen := map[string]bool{}
 	for i, m := range t.Methods {
@@ -85,60 +85,60 @@
 }
 
 func (m *ThriftMethod) check(file *tomlfile.File, i int, seen map[string]bool) error {
-	at := methodAt(i)
+	at := methodKey(i)
 	switch {
-	case m.Name == "" || len(m.Name) > longestMethodName:
-		return file.Fault(at+".name", "must be 1 to %d bytes long", longestMethodName)
+	case m.Name == "" || len(m.Name) > maxMethodNameBytes:
+		return file.Errorf(at+".name", "must be 1 to %d bytes long", maxMethodNameBytes)
 	case seen[m.Name]:
-		return file.Fault(at+".name", "%q stands twice", m.Name)
+		return file.Errorf(at+".name", "%q stands twice", m.Name)
 	case m.Class == "":
-		return file.Fault(at+".class", "is missing")
+		return file.Errorf(at+".class", "is missing")
 	case file.Has(at+".deadline") && m.Deadline <= 0:
-		return file.Fault(at+".deadline", "must be above 0s")
+		return file.Errorf(at+".deadline", "must be above 0s")
 	}
 	seen[m.Name] = true
 	for _, p := range []struct {
 		key  string
 		path []int16
 	}{{".id", m.ID}, {".key", m.Key}, {".remaining_ms", m.RemainingMS}} {
-		bad := len(p.path) > longestPath || file.Has(at+p.key) && len(p.path) == 0 ||
+		bad := len(p.path) > maxPathLength || file.Has(at+p.key) && len(p.path) == 0 ||
 			slices.ContainsFunc(p.path, func(id int16) bool { return id < 1 })
 		if bad {
-			return file.Fault(at+p.key, "must be 1 to %d field ids such as [1, 2], each 1 or more", longestPath)
+			return file.Errorf(at+p.key, "must be 1 to %d field ids such as [1, 2], each 1 or more", maxPathLength)
 		}
 	}
 	return nil
 }
 
 // fits names the first key that can't be used beside the platform's configuration.
-func (t *Thrift) fits(c *Config) error {
+func (t *Thrift) checkAgainst(c *Config) error {
 	if t.Listen == c.Listen && !endsInPortZero(t.Listen) {
-		return t.file.Fault("thrift.listen", "is LB_LISTEN's, where callers speak HTTP")
+		return t.file.Errorf("thrift.listen", "is LB_LISTEN's, where callers speak HTTP")
 	}
 	set := &c.Settings
 	if i := slices.Index(set.ClassNames, t.DefaultClass); t.DefaultClass != "" {
 		switch {
 		case i < 0:
-			return t.file.Fault("thrift.default_class", "the settings have no class %q", t.DefaultClass)
+			return t.file.Errorf("thrift.default_class", "the settings have no class %q", t.DefaultClass)
 		case set.Classes[i].Effect == balance.Keyed:
-			return t.file.Fault("thrift.default_class", "class %q takes a key, which is not known of any method", t.DefaultClass)
+			return t.file.Errorf("thrift.default_class", "class %q takes a key, which is not known of any method", t.DefaultClass)
 		}
 	}
 	for i, m := range t.Methods {
 		class := slices.Index(set.ClassNames, m.Class)
-		switch at := methodAt(i); {
+		switch at := methodKey(i); {
 		case class < 0:
-			return t.file.Fault(at+".class", "the settings have no class %q", m.Class)
+			return t.file.Errorf(at+".class", "the settings have no class %q", m.Class)
 		case set.Classes[class].Effect == balance.Keyed && len(m.Key) == 0:
-			return t.file.Fault(at+".key", "is missing: class %q takes one", m.Class)
+			return t.file.Errorf(at+".key", "is missing: class %q takes one", m.Class)
 		case set.Classes[class].Effect != balance.Keyed && len(m.Key) > 0:
-			return t.file.Fault(at+".key", "class %q takes none", m.Class)
+			return t.file.Errorf(at+".key", "class %q takes none", m.Class)
 		}
 	}
 	return nil
 }
 
-func methodAt(i int) string { return fmt.Sprintf("thrift.method[%d]", i) }
+func methodKey(i int) string { return fmt.Sprintf("thrift.method[%d]", i) }
 
 // endsInPortZero tells whether an address has its port chosen when it is opened.
 func endsInPortZero(addr string) bool {
--- a/internal/config/operator_thrift_test.go
+++ b/internal/config/operator_thrift_test.go
@@ -11,7 +11,7 @@
 
 func TestThriftDefaults(t *testing.T) {
 	op, err := loadOperator(t, thriftListen)
-	if err != nil || !op.Thrift.AnyForm() || op.Thrift.MostMessage != 64<<10 || op.Thrift.UpstreamPort != 0 || op.Thrift.TurnedAway != 0 {
+	if err != nil || !op.Thrift.DetectsFraming() || op.Thrift.MaxMessage != 64<<10 || op.Thrift.UpstreamPort != 0 || op.Thrift.RejectedType != 0 {
 		t.Errorf("%+v, %v", op.Thrift, err)
 	}
 }
@@ -61,7 +61,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := op.Fits(c); (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), "operator.toml"+want) {
+		if err := op.CheckAgainst(c); (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), "operator.toml"+want) {
 			t.Errorf("%q: %v, want %s", text, err, want)
 		}
 	}
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -11,7 +11,7 @@
 // reader takes typed values out of one JSON object and keeps the first fault, so that the code that
 // reads many keys need not check each. Absent keys read as zero.
 type reader struct {
-	at   string // where the object stands, for messages
+	path string // where the object stands, for messages
 	json gjson.Result
 	err  *error // shared by the readers of one text; nil until the first fault
 }
@@ -21,11 +21,11 @@
 		r.err = new(error)
 	}
 	if *r.err == nil {
-		*r.err = fmt.Errorf("config: %s.%s %s", r.at, key, what)
+		*r.err = fmt.Errorf("config: %s.%s %s", r.path, key, what)
 	}
 }
 
-func (r *reader) failed() error {
+func (r *reader) firstError() error {
 	if r.err == nil {
 		return nil
 	}
@@ -33,7 +33,7 @@
 }
 
 // get is the value of a key, checked to be of the wanted type if it is there.
-func (r *reader) get(key, want string, fits func(gjson.Result) bool) (gjson.Result, bool) {
+func (r *reader) value(key, want string, fits func(gjson.Result) bool) (gjson.Result, bool) {
 	v := r.json.Get(key)
 	if !v.Exists() || v.Type == gjson.Null {
 		return v, false
@@ -49,7 +49,7 @@
 func isText(v gjson.Result) bool   { return v.Type == gjson.String }
 
 func (r *reader) numberOr(key string, def float64) float64 {
-	if v, there := r.get(key, "a number", isNumber); there {
+	if v, there := r.value(key, "a number", isNumber); there {
 		return v.Num
 	}
 	return def
@@ -58,9 +58,9 @@
 func (r *reader) number(key string) float64 { return r.numberOr(key, 0) }
 
 // amount reads a number that can't be below 0.
-func (r *reader) amount(key string) float64 { return r.amountOr(key, 0) }
+func (r *reader) nonNegative(key string) float64 { return r.nonNegativeOr(key, 0) }
 
-func (r *reader) amountOr(key string, def float64) float64 {
+func (r *reader) nonNegativeOr(key string, def float64) float64 {
 	v := r.numberOr(key, def)
 	if v < 0 {
 		r.fail(key, "must not be below 0")
@@ -78,7 +78,7 @@
 }
 
 // span reads nanoseconds; the settings give every time so.
-func (r *reader) span(key string) time.Duration {
+func (r *reader) duration(key string) time.Duration {
 	v := r.number(key)
 	if v < 0 || v > math.MaxInt64/2 {
 		r.fail(key, "must be a time in nanoseconds")
@@ -88,17 +88,17 @@
 }
 
 func (r *reader) text(key string) string {
-	v, _ := r.get(key, "a string", isText)
+	v, _ := r.value(key, "a string", isText)
 	return v.Str
 }
 
 func (r *reader) flag(key string) bool {
-	v, _ := r.get(key, "true or false", gjson.Result.IsBool)
+	v, _ := r.value(key, "true or false", gjson.Result.IsBool)
 	return v.Type == gjson.True
 }
 
 func (r *reader) texts(key string) []string {
-	list, _ := r.get(key, "a list of strings", gjson.Result.IsArray)
+	list, _ := r.value(key, "a list of strings", gjson.Result.IsArray)
 	var out []string
 	for i, v := range list.Array() {
 		if v.Type != gjson.String {
@@ -111,7 +111,7 @@
 
 // objects returns a reader for each object of a list; they share the first fault.
 func (r *reader) objects(key string) []*reader {
-	list, _ := r.get(key, "a list of objects", gjson.Result.IsArray)
+	list, _ := r.value(key, "a list of objects", gjson.Result.IsArray)
 	if r.err == nil {
 		r.err = new(error)
 	}
@@ -122,16 +122,16 @@
 			r.fail(at, "must be an object")
 			continue
 		}
-		out = append(out, &reader{at: r.at + "." + at, json: v, err: r.err})
+		out = append(out, &reader{path: r.path + "." + at, json: v, err: r.err})
 	}
 	return out
 }
 
 // object returns a reader for the object of a key, which may be absent.
 func (r *reader) object(key string) *reader {
-	v, _ := r.get(key, "an object", gjson.Result.IsObject)
+	v, _ := r.value(key, "an object", gjson.Result.IsObject)
 	if r.err == nil {
 		r.err = new(error)
 	}
-	return &reader{at: r.at + "." + key, json: v, err: r.err}
+	return &reader{path: r.path + "." + key, json: v, err: r.err}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -18,30 +18,30 @@
 	TenantNames []string      // by tenant index, as requests name them
 	KindNames   []string      // by kind index, as discovery names them
 	ZoneNames   []string      // by zone index, as discovery names them
-	Vanished    []bool        // by class index, of settings that follow others: the file has it no more; nil: none
+	Removed     []bool        // by class index, of settings that follow others: the file has it no more; nil: none
 	ConnIdle    time.Duration // an upstream host closes a connection that has stood idle for this long
 }
 
-// classesMost is how many classes, and how many tenants, a process knows in its life: those that vanish keep their numbers.
-const classesMost = 256
+// maxNames is how many classes, and how many tenants, a process knows in its life: those that vanish keep their numbers.
+const maxNames = 256
 
-// After returns settings whose classes and tenants have the numbers that they have in former, by their names: a request that
+// Renumbered returns settings whose classes and tenants have the numbers that they have in former, by their names: a request that
 // is on its way in must not be counted as another's. Those that only former has keep theirs, as they were; such classes have
 // vanished.
-func (s *Settings) After(former *Settings) (Settings, error) {
+func (s *Settings) Renumbered(former *Settings) (Settings, error) {
 	out := *s
 	out.ClassNames, out.Classes = slices.Clone(former.ClassNames), slices.Clone(former.Classes)
-	out.Vanished = make([]bool, len(former.ClassNames))
-	for i := range out.Vanished {
-		out.Vanished[i] = true
+	out.Removed = make([]bool, len(former.ClassNames))
+	for i := range out.Removed {
+		out.Removed[i] = true
 	}
 	for i, name := range s.ClassNames {
 		at := slices.Index(out.ClassNames, name)
 		if at < 0 {
 			at = len(out.ClassNames)
-			out.ClassNames, out.Classes, out.Vanished = append(out.ClassNames, name), append(out.Classes, balance.Class{}), append(out.Vanished, false)
+			out.ClassNames, out.Classes, out.Removed = append(out.ClassNames, name), append(out.Classes, balance.Class{}), append(out.Removed, false)
 		}
-		out.Classes[at], out.Vanished[at] = s.Classes[i], false
+		out.Classes[at], out.Removed[at] = s.Classes[i], false
 	}
 	out.TenantNames, out.Tenants = slices.Clone(former.TenantNames), slices.Clone(former.Tenants)
 	for i, name := range s.TenantNames {
@@ -53,8 +53,8 @@
 		out.Tenants[at] = s.Tenants[i]
 	}
 	for what, names := range map[string][]string{"classes": out.ClassNames, "tenants": out.TenantNames} {
-		if len(names) > classesMost {
-			return out, fmt.Errorf("config: LB_CONFIG.settings.%s: over %d names since the start; restart to forget those that have vanished", what, classesMost)
+		if len(names) > maxNames {
+			return out, fmt.Errorf("config: LB_CONFIG.settings.%s: over %d names since the start; restart to forget those that have vanished", what, maxNames)
 		}
 	}
 	return out, nil
@@ -74,20 +74,20 @@
 }
 
 // keys are what the file calls the fields that a balance.Fault can name.
-var keys = map[string]string{
+var fieldKeys = map[string]string{
 	"Classes": "classes", "Instances": "n_instances", "MaxAttempts": "allowed.send_cap", "Quantum": "quantum",
 	"ColdShare": "rules.cold_share", "FallMultiple": "rules.tip_multiple", "FallWindow": "rules.fall", "MustAskIn": "rules.must_ask_in",
 	"Aim": "aim", "Deadline": "deadline", "Worth": "worth", "Effect": "idempotency", "Memory": "memory_span",
 }
 
-// keyOf is the place in the settings of the file of a field, such as classes[1].deadline of Classes[1].Deadline.
-func keyOf(field string) string {
+// settingsKey is the place in the settings of the file of a field, such as classes[1].deadline of Classes[1].Deadline.
+func settingsKey(field string) string {
 	if index, ok := strings.CutPrefix(field, "Classes["); ok {
 		if index, of, ok := strings.Cut(index, "]."); ok {
-			return fmt.Sprintf("classes[%s].%s", index, keys[of])
+			return fmt.Sprintf("classes[%s].%s", index, fieldKeys[of])
 		}
 	}
-	return keys[field]
+	return fieldKeys[field]
 }
 
 // ParseSettings reads the settings object that the simulator's first message and LB_CONFIG share.
@@ -96,16 +96,16 @@
 	if !gjson.ValidBytes(data) {
 		return Settings{}, fmt.Errorf("config: settings are not valid JSON")
 	}
-	return readSettings(&reader{at: "settings", json: gjson.ParseBytes(data)})
+	return readSettings(&reader{path: "settings", json: gjson.ParseBytes(data)})
 }
 
 func readSettings(r *reader) (Settings, error) {
 	if !r.json.IsObject() {
-		return Settings{}, fmt.Errorf("config: %s must be an object", r.at)
+		return Settings{}, fmt.Errorf("config: %s must be an object", r.path)
 	}
 	out := Settings{Settings: balance.Settings{
 		Instances: r.integer("n_instances"), Rank: r.integer("rank"), Tier: r.integer("tier"),
-		Zone: r.integer("locality"), OverShareWorth: r.amountOr("over_share_worth", 1),
+		Zone: r.integer("locality"), OverShareWorth: r.nonNegativeOr("over_share_worth", 1),
 		ByWork: r.text("counted_by") == "work", PassesDeadline: r.flag("family_info.passes_deadline"),
 		MarksRetry: r.flag("clients.marks_retry"), MustAsk: r.text("registry_mode") == "subscribe",
 		Weights:    r.text("weight_source") != "off" && r.text("weight_source") != "",
@@ -113,19 +113,19 @@
 		Prices: balance.Prices{Waste: r.number("prices.waste"), Handshake: r.number("prices.handshake"),
 			Probe: r.number("prices.probe"), Peer: r.number("prices.peer"),
 			LateFail: r.number("prices.late_fail"), CrossZone: r.number("prices.cross_zone")},
-		Quantum: r.span("quantum"), Cancel: r.flag("allowed.cancel"), SecondCopies: r.flag("allowed.second_copies"),
+		Quantum: r.duration("quantum"), Cancel: r.flag("allowed.cancel"), SecondCopies: r.flag("allowed.second_copies"),
 		Probes: r.flag("allowed.probing"), Peers: r.flag("allowed.peer_messages"),
-		RetryAfter: r.flag("allowed.retry_after"), MaxRetryAfter: r.span("allowed.max_retry_after"),
+		RetryAfter: r.flag("allowed.retry_after"), MaxRetryAfter: r.duration("allowed.max_retry_after"),
 		MaxAttempts: r.integer("allowed.send_cap"), MaxHeld: r.integer("allowed.most_held"),
-		ConnectTimeout: r.span("allowed.connect_timeout"), AnswerSlack: r.span("rules.answer_slack"),
-		DrainGrace: r.span("rules.stop_sending_within"), MustAskIn: r.span("rules.must_ask_in"),
-		ColdShare: r.number("rules.cold_share"), ColdFor: r.span("rules.cold"),
-		FallMultiple: r.number("rules.tip_multiple"), FallWindow: r.span("rules.fall"),
+		ConnectTimeout: r.duration("allowed.connect_timeout"), AnswerSlack: r.duration("rules.answer_slack"),
+		DrainGrace: r.duration("rules.stop_sending_within"), MustAskIn: r.duration("rules.must_ask_in"),
+		ColdShare: r.number("rules.cold_share"), ColdFor: r.duration("rules.cold"),
+		FallMultiple: r.number("rules.tip_multiple"), FallWindow: r.duration("rules.fall"),
 	}}
 	if out.Rank < 0 { // an index
 		r.fail("rank", "must not be below 0")
 	}
-	out.ConnIdle = r.span("allowed.conn_idle")
+	out.ConnIdle = r.duration("allowed.conn_idle")
 	out.KindNames, out.ZoneNames = r.texts("kinds"), r.texts("zones")
 	out.Kinds, out.Zones, out.Tiers = len(out.KindNames), len(out.ZoneNames), len(r.texts("tiers"))
 	for _, f := range r.texts("reporting.fields") {
@@ -133,7 +133,7 @@
 	}
 	for _, t := range r.objects("tenants") {
 		out.TenantNames = append(out.TenantNames, t.text("name"))
-		out.Tenants = append(out.Tenants, balance.Tenant{Share: t.amount("share"), Quota: t.amount("quota_rps")})
+		out.Tenants = append(out.Tenants, balance.Tenant{Share: t.nonNegative("share"), Quota: t.nonNegative("quota_rps")})
 	}
 	for _, c := range r.objects("classes") {
 		effect, known := effects[c.text("idempotency")]
@@ -146,10 +146,10 @@
 		}
 		out.ClassNames = append(out.ClassNames, c.text("name"))
 		out.Classes = append(out.Classes, balance.Class{
-			Aim: c.span("aim"), AimStretch: c.amount("aim_stretch"), Deadline: c.span("deadline"), Effect: effect,
-			Scope: scope, Memory: c.span("memory_span"), Worth: c.amount("worth"), LateWorth: c.amount("late_worth"),
+			Aim: c.duration("aim"), AimStretch: c.nonNegative("aim_stretch"), Deadline: c.duration("deadline"), Effect: effect,
+			Scope: scope, Memory: c.duration("memory_span"), Worth: c.nonNegative("worth"), LateWorth: c.nonNegative("late_worth"),
 			Stream: c.flag("stream"),
 		})
 	}
-	return out, r.failed()
+	return out, r.firstError()
 }
--- a/internal/daemon/audit_agent.go
+++ b/internal/daemon/audit_agent.go
@@ -137,7 +137,7 @@
 // actorLimits returns the actor's limits by the settings in force; once the agent is shared, the caller holds mu.
 func (a *auditAgent) actorLimits() version.Limits {
 	return version.Limits{Site: a.site, Share: a.options.Share, Instances: a.settings.Instances, Rank: a.settings.Rank, Lease: a.options.Lease.D(),
-		Closed: a.options.Closed()}
+		Closed: a.options.ShutsOutWhenIsolated()}
 }
 
 // sinceStart converts a time to the actor's clock.
--- a/internal/daemon/audit_agent_test.go
+++ b/internal/daemon/audit_agent_test.go
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	w := &agentFixture{time: time.Now(), settings: &set, engine: eng, table: cluster.NewTable(set.ZoneNames, set.KindNames, noConnections{}, eng)}
-	cfg := &config.Config{Name: "n0", Settings: set, Site: testSettings}
+	cfg := &config.Config{Name: "n0", Settings: set, RawSettings: testSettings}
 	w.auditAgent = newAuditAgent(&section, cfg, nil, &succession{}, zerolog.Nop())
 	w.start, w.wallClock, w.refreshList = w.time, func() time.Time { return w.time }, func() { w.listRefreshes++ }
 	w.now = func() time.Duration { return w.time.Sub(w.start) }
@@ -117,8 +117,8 @@
 		"a ticket, and the list": {config.Audit{Share: 0.1}, []step{{0, order(1, singleEndpointList(3).Digest(), 3*time.Second), true, true, version.Active}, {1000 * ms, beat, false, true, version.ShutOut},
 			{0, func(w *agentFixture) { w.table.Apply(balance.ListFull, singleEndpointList(3)) }, true, true, version.Active}}, 1},
 		"a share of none": {config.Audit{Share: 0.05}, []step{{0, order(1, 99, 3*time.Second), true, true, version.Active}, {1000 * ms, beat, true, true, version.Behind}}, 1},
-		"alone, open":     {config.Audit{Share: 0.1, Lease: 2e9, Silence: "open"}, []step{{1000 * ms, beat, true, true, version.Active}, {1000 * ms, beat, true, true, version.Active}}, 0},
-		"alone, closed": {config.Audit{Share: 0.1, Lease: 2e9, Silence: "closed"}, []step{{1900 * ms, beat, true, true, version.Active}, {100 * ms, stop, false, true, version.ShutOut},
+		"alone, open":     {config.Audit{Share: 0.1, Lease: 2e9, WhenIsolated: "open"}, []step{{1000 * ms, beat, true, true, version.Active}, {1000 * ms, beat, true, true, version.Active}}, 0},
+		"alone, closed": {config.Audit{Share: 0.1, Lease: 2e9, WhenIsolated: "closed"}, []step{{1900 * ms, beat, true, true, version.Active}, {100 * ms, stop, false, true, version.ShutOut},
 			{100 * ms, hear(10 * ms), true, true, version.Active}, {1900 * ms, order(1, 0, 0), true, true, version.Active}, {1900 * ms, beat, true, true, version.Active}}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -206,7 +206,7 @@
 	})
 	changes.Go(func() {
 		for n := range lists / 2 {
-			cfg := &config.Config{Settings: *w.settings, Site: fmt.Sprintf(`{"n":%d}`, n)}
+			cfg := &config.Config{Settings: *w.settings, RawSettings: fmt.Sprintf(`{"n":%d}`, n)}
 			w.changeSettings(cfg, "file", func(under uint32) { _ = w.engine.Retune(cfg.Settings.Settings, under) })
 		}
 	})
@@ -243,7 +243,7 @@
 	if wrong > 0 || total == 0 || total != int(visits.Load()) {
 		t.Errorf("%d of %d numbers with attempts are of another list; %d attempts, %d visits", wrong, len(s.counts), total, visits.Load())
 	}
-	if v, _ := w.auditLog.Version(); v.List.Revision != lists+1 || v.Settings != (&config.Config{Site: fmt.Sprintf(`{"n":%d}`, lists/2-1)}).Digest() {
+	if v, _ := w.auditLog.Version(); v.List.Revision != lists+1 || v.Settings != (&config.Config{RawSettings: fmt.Sprintf(`{"n":%d}`, lists/2-1)}).Digest() {
 		t.Errorf("in the end it acts on %+v", v)
 	} else if err := w.Take(version.Order{Minimum: version.MinimumVersion{Epoch: 1, By: "a", Site: w.site, List: v.List.Digest, Settings: v.Settings, Validity: 1000}}); err != nil || w.verdict.State != version.Active {
 		t.Errorf("%v; of the actor, which has to know, it is %+v", err, w.verdict) // the events came to it in their order
@@ -282,7 +282,7 @@
 			ctx, end := context.WithCancel(context.Background())
 			end()
 			w.run(ctx)
-			heir := newAuditAgent(&config.Audit{}, &config.Config{Name: "n0", Settings: *w.settings, Site: testSettings}, &statePersister{disk: disk}, next, zerolog.Nop())
+			heir := newAuditAgent(&config.Audit{}, &config.Config{Name: "n0", Settings: *w.settings, RawSettings: testSettings}, &statePersister{disk: disk}, next, zerolog.Nop())
 			past := heir.auditLog.Entries()
 			heir.auditFile.Close()
 			counted := 0
--- a/internal/daemon/config_updater.go
+++ b/internal/daemon/config_updater.go
@@ -94,7 +94,7 @@
 	defer t.mu.Unlock()
 	cfg, err := config.Reload(getenv, t.cfg)
 	if err == nil && t.published != nil {
-		cfg, err = cfg.With(t.published.Settings)
+		cfg, err = cfg.WithSettings(t.published.Settings)
 	}
 	if err != nil {
 		return nil, err
@@ -105,10 +105,10 @@
 // apply applies settings, completely or, with an error, not at all, and returns the configuration as it was read. The engine
 // goes first, for it has to know a class before a request of that class comes. The caller holds mu.
 func (t *configUpdater) apply(cfg *config.Config, from string) (*config.Config, error) {
-	if err := t.operator.Fits(cfg); err != nil {
+	if err := t.operator.CheckAgainst(cfg); err != nil {
 		return nil, err
 	}
-	after, err := cfg.Settings.After(&t.cfg.Settings)
+	after, err := cfg.Settings.Renumbered(&t.cfg.Settings)
 	if err != nil {
 		return nil, err
 	}
@@ -127,7 +127,7 @@
 		t.budget.Retune(targetLatencies(&after))
 	}
 	if t.recorder != nil { // before the first stream of a new class can end
-		t.recorder.Retune(&asRead)
+		t.recorder.SetConfig(&asRead)
 	}
 	for _, reclass := range t.onClassesChanged {
 		reclass(&after)
@@ -146,5 +146,5 @@
 		return false
 	}
 	cfg, err := config.Reload(getenv, t.cfg)
-	return err != nil || cfg.Site != t.cfg.Site
+	return err != nil || cfg.RawSettings != t.cfg.RawSettings
 }
--- a/internal/daemon/published_settings.go
+++ b/internal/daemon/published_settings.go
@@ -20,14 +20,14 @@
 // watchPublished starts to follow published settings until ctx is done, if the operator's file names distributors. The
 // predecessor's settings, inherited, apply first: an upgrade must not take clients back to older ones. The returned channel is
 // closed as soon as a distributor has answered, or distributorTimeout is over.
-func (t *configUpdater) watchPublished(ctx context.Context, options *config.Distributed, inherited []byte) <-chan struct{} {
+func (t *configUpdater) watchPublished(ctx context.Context, options *config.SettingsSource, inherited []byte) <-chan struct{} {
 	settled := make(chan struct{})
 	done := sync.OnceFunc(func() { close(settled) })
 	if options == nil {
 		done()
 		return settled
 	}
-	t.watch = &settingsclient.Client{Service: options.Service, Name: cmp.Or(t.cfg.Name, t.cfg.Listen), Distributors: options.From, Log: t.log, Apply: t.applyPublished,
+	t.watch = &settingsclient.Client{Service: options.Service, Name: cmp.Or(t.cfg.Name, t.cfg.Listen), Distributors: options.Distributors, Log: t.log, Apply: t.applyPublished,
 		Rand: rand.New(rand.NewPCG(t.cfg.Seed^rand.Uint64(), settingsStream))}
 	if inherited != nil {
 		t.applyInherited(inherited)
@@ -64,7 +64,7 @@
 func (t *configUpdater) applyPublished(s settingsstore.State) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	cfg, err := t.cfg.Published(s.Settings)
+	cfg, err := t.cfg.WithPublished(s.Settings)
 	if err == nil {
 		_, err = t.apply(cfg, "distributor")
 	}
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -72,7 +72,7 @@
 // newPaced returns how discovery is called where it is one service for many sidecars. The random numbers don't depend on the
 // seed alone: sidecars that were given the same seed must not call at the same moments.
 func newPaced(options *config.Discovery, cfg *config.Config, table *cluster.Table) (*cluster.Paced, *rand.Rand) {
-	p := &cluster.Paced{Whole: options.Whole.D(), Fleet: options.Fleet(cfg.Settings.Instances)}
+	p := &cluster.Paced{Whole: options.FullListInterval.D(), Fleet: options.Pacing(cfg.Settings.Instances)}
 	if options.Resume {
 		p.Since = table.Held().List.Revision
 	}
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -41,7 +41,7 @@
 	cfg, operator, err := loadConfig(operatorFile)
 	var recorder *accesslog.Recorder
 	if err == nil {
-		recorder, log = startRecorder(cfg, operator.Record, log)
+		recorder, log = startRecorder(cfg, operator.AccessLog, log)
 		log = log.With().Str("name", cfg.Name).Logger()
 		err = serve(cfg, operator, recorder, hups, log)
 	}
@@ -67,7 +67,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	if err := operator.Fits(cfg); err != nil {
+	if err := operator.CheckAgainst(cfg); err != nil {
 		return nil, nil, err
 	}
 	if operator.Fleet != nil && operator.Fleet.Numbered {
@@ -77,11 +77,11 @@
 }
 
 // startRecorder starts the access log, if the operator's file asks for one, and returns the log to be used beside it.
-func startRecorder(cfg *config.Config, options *config.Record, log zerolog.Logger) (*accesslog.Recorder, zerolog.Logger) {
+func startRecorder(cfg *config.Config, options *config.AccessLog, log zerolog.Logger) (*accesslog.Recorder, zerolog.Logger) {
 	if options == nil {
 		return nil, log
 	}
-	if options.Log() {
+	if options.ToStderr() {
 		signal.Ignore(syscall.SIGPIPE) // a log without a reader is no reason to end
 	}
 	recorder := accesslog.New(cfg, options, os.Stderr)
--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -121,7 +121,7 @@
 		s.httpProxy.Effects = inflight.New(int(s.memory / divisor / bytesPerEffect))
 	}
 	if budget := s.operator.Budget; budget != nil {
-		s.httpProxy.Budget = stream.NewBudget(budget.Accounts(settings), s.cfg.Seed, targetLatencies(settings), s.log)
+		s.httpProxy.Budget = stream.NewBudget(budget.AccountSettings(settings), s.cfg.Seed, targetLatencies(settings), s.log)
 	}
 	if s.operator.Thrift != nil {
 		s.thriftProxy = newThriftProxy(s.operator.Thrift, s.engine, s.pool, s.log)
@@ -203,15 +203,15 @@
 // restoreState takes over what the process before this one hands over; else what the disk has; else the platform's list.
 func (s *sidecar) restoreState() {
 	predecessor := s.succession.predecessor
-	s.hasList = len(s.cfg.Known.Members) > 0
-	s.cfg.Known.From = "known"
+	s.hasList = len(s.cfg.CachedList.Members) > 0
+	s.cfg.CachedList.From = "known"
 	// A running predecessor's list is current, and a single instance can't overload anybody by an old one.
 	s.table.Old = s.operator.Discovery != nil && predecessor == nil && s.cfg.Settings.Instances > 1
 	switch {
 	case predecessor != nil && s.succession.takeOver(), s.persister.restore(s.cfg):
 		s.hasList = true
 	case s.hasList: // an empty list would mislead the engine's measure of load
-		s.table.Apply(balance.ListCached, s.cfg.Known)
+		s.table.Apply(balance.ListCached, s.cfg.CachedList)
 	}
 	promise := s.persister.startJournal()
 	for _, proxy := range s.proxies() {
@@ -231,5 +231,5 @@
 func newThriftProxy(options *config.Thrift, engine *driver.Engine, pool *upstream.Pool, log zerolog.Logger) *stream.Proxy {
 	pool.ConnectOnly = options.UpstreamPort == 0
 	return &stream.Proxy{Engine: engine, Log: log, Upstream: &upstream.Thrift{Pool: pool, Port: uint16(options.UpstreamPort),
-		Limits: thrift.Limits(options.MostMessage), TurnedAway: options.TurnedAway}}
+		Limits: thrift.Limits(options.MaxMessage), TurnedAway: options.RejectedType}}
 }
--- a/internal/daemon/state_persister.go
+++ b/internal/daemon/state_persister.go
@@ -71,10 +71,10 @@
 	if k == nil || k.succession.predecessor != nil {
 		return false
 	}
-	snap, past, err := persistence.LoadSnapshot(k.disk, persistence.Now(), k.site, k.Oldest.D())
+	snap, past, err := persistence.LoadSnapshot(k.disk, persistence.Now(), k.site, k.MaxAge.D())
 	var h processState
 	if err == nil {
-		h, err = k.succession.adopt(snap.State, "snapshot", past, cfg.Known)
+		h, err = k.succession.adopt(snap.State, "snapshot", past, cfg.CachedList)
 	}
 	switch {
 	case errors.Is(err, persistence.ErrNoSnapshot):
@@ -118,7 +118,7 @@
 		return
 	}
 	reportedDrops := 0
-	ticker := time.NewTicker(k.Every.D())
+	ticker := time.NewTicker(k.SnapshotInterval.D())
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/downstream/reclass_test.go
+++ b/internal/downstream/reclass_test.go
@@ -27,7 +27,7 @@
 	set := &config.Settings{Settings: balance.Settings{MaxHeld: 2, Classes: []balance.Class{
 		{Effect: balance.Safe, Deadline: time.Second}, {Effect: balance.Unsafe, Deadline: time.Hour},
 		{Effect: balance.Unsafe, Deadline: time.Second}, {Effect: balance.Safe, Deadline: time.Second}}},
-		ClassNames: []string{"look", "order", "charge", "peek"}, Vanished: []bool{true, false, false, false}}
+		ClassNames: []string{"look", "order", "charge", "peek"}, Removed: []bool{true, false, false, false}}
 	if code := ask("GET", "/peek/1"); code != 404 {
 		t.Errorf("before it appears: %d", code)
 	}
@@ -48,7 +48,7 @@
 	if _, taken := s.class("look", time.Now().Add(time.Second)); taken {
 		t.Error("a class that vanished is taken beyond its deadline")
 	}
-	set.Vanished = []bool{false, false, false, false}
+	set.Removed = []bool{false, false, false, false}
 	s.Reclass(set)
 	if _, taken := s.class("look", time.Now().Add(time.Hour)); !taken {
 		t.Error("a class that came back is not taken")
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -53,7 +53,7 @@
 	was, is, now := *s.classes.Load(), map[string]class{}, time.Now()
 	for i, name := range set.ClassNames {
 		c := class{index: i, effect: set.Classes[i].Effect, deadline: set.Classes[i].Deadline}
-		if set.Vanished != nil && set.Vanished[i] {
+		if set.Removed != nil && set.Removed[i] {
 			if c = was[name]; c.until.IsZero() {
 				c.until = now.Add(c.deadline)
 			}
--- a/internal/downstream/thrift/server.go
+++ b/internal/downstream/thrift/server.go
@@ -61,9 +61,9 @@
 
 // New returns a server for the operator's section, which fits the settings.
 func New(t *config.Thrift, set *config.Settings, side *downstream.Side, streams downstream.Handler, log zerolog.Logger) *Server {
-	s := &Server{side: side, streams: streams, log: log, limits: Limits(t.MostMessage), section: t,
+	s := &Server{side: side, streams: streams, log: log, limits: Limits(t.MaxMessage), section: t,
 		ids: rand.Uint64(), conns: map[*conn]struct{}{}, served: make(chan struct{})}
-	if form, known := thriftwire.ParseForm(t.Form); known {
+	if form, known := thriftwire.ParseForm(t.Framing); known {
 		s.form = &form
 	}
 	s.Reclass(set)
--- a/internal/downstream/thrift/server_test.go
+++ b/internal/downstream/thrift/server_test.go
@@ -97,7 +97,7 @@
 	set := &config.Settings{Settings: balance.Settings{MaxHeld: held, Instances: 3, Classes: []balance.Class{
 		{Effect: balance.Safe, Deadline: time.Minute}, {Effect: balance.Keyed, Deadline: time.Minute}}},
 		ClassNames: []string{"look", "order"}}
-	if err := op.Fits(&config.Config{Settings: *set}); err != nil {
+	if err := op.CheckAgainst(&config.Config{Settings: *set}); err != nil {
 		t.Fatal(err)
 	}
 	f := &front{t: t, addr: l.Addr().String(), side: downstream.NewSide(set, bodies, 10, zerolog.Nop()),
@@ -490,7 +490,7 @@
 	is := &config.Settings{Settings: balance.Settings{MaxHeld: 100, Instances: 3, Classes: []balance.Class{
 		{Effect: balance.Safe, Deadline: time.Hour}, {Effect: balance.Keyed, Deadline: time.Hour}, {Effect: balance.Safe, Deadline: time.Second}}},
 		ClassNames: []string{"new", "order", "look"}}
-	after, err := is.After(former)
+	after, err := is.Renumbered(former)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/calibration/arrivals.go
+++ b/internal/lab/calibration/arrivals.go
@@ -24,7 +24,7 @@
 
 // start is the rehearsal's time 0: the earliest start of a run, or shortly before the first stream if that
 // came much later.
-func start(records ...*accesslog.Record) time.Time {
+func start(records ...*accesslog.Recording) time.Time {
 	var first, asked time.Time
 	for _, r := range records {
 		for _, run := range r.Runs {
@@ -47,7 +47,7 @@
 
 // Arrivals are a record's streams as a scenario's clients send them again. Classes are found by name. Clients
 // that left do so again, and of the others as many would have left later as the record makes likely.
-func Arrivals(r *accesslog.Record, s *scenario.Scenario) ([]plan.Arrival, error) {
+func Arrivals(r *accesslog.Recording, s *scenario.Scenario) ([]plan.Arrival, error) {
 	zero := start(r)
 	out := []plan.Arrival{}
 	leaves := leaving(r)
@@ -61,11 +61,11 @@
 			if class < 0 {
 				return nil, fmt.Errorf("rehearse: the record names the class %q, which the scenario lacks", name)
 			}
-			a := plan.Arrival{At: offset + st.Arrival, Class: class, Left: st.Left, Repeated: st.Repeated}
-			if a.Leaves = leaves.after(st, rng); st.End == stream.Gone {
+			a := plan.Arrival{At: offset + st.Arrival, Class: class, Left: st.TimeLeft, Repeated: st.Retry}
+			if a.Leaves = leaves.after(st, rng); st.Outcome == stream.Gone {
 				a.Leaves = st.Answered
 			}
-			if a.Leaves >= st.Left { // its time is up by then
+			if a.Leaves >= st.TimeLeft { // its time is up by then
 				a.Leaves = 0
 			}
 			out = append(out, a)
@@ -79,19 +79,19 @@
 
 // leaving counts those that left against the time that all waited: what was answered says nothing of when its
 // client would have left later.
-func leaving(r *accesslog.Record) (out rates) {
+func leaving(r *accesslog.Recording) (out rates) {
 	var left, waited rates
 	for _, run := range r.Runs {
 		for i := range run.Streams {
 			s := &run.Streams[i]
-			if s.Left <= 0 {
+			if s.TimeLeft <= 0 {
 				continue
 			}
-			part := float64(s.Answered) / float64(s.Left) * leaveSteps
+			part := float64(s.Answered) / float64(s.TimeLeft) * leaveSteps
 			for step := range out {
 				waited[step] += min(max(part-float64(step), 0), 1)
 			}
-			if step := int(part); s.End == stream.Gone && step < leaveSteps {
+			if step := int(part); s.Outcome == stream.Gone && step < leaveSteps {
 				left[step]++
 			}
 		}
@@ -107,12 +107,12 @@
 // after draws when a client would have left that had its answer; 0 is never.
 func (r *rates) after(s *accesslog.Stream, rng *rand.Rand) time.Duration {
 	need := rng.ExpFloat64()
-	from := float64(s.Answered) / float64(max(s.Left, 1)) * leaveSteps
+	from := float64(s.Answered) / float64(max(s.TimeLeft, 1)) * leaveSteps
 	for step := int(from); step < leaveSteps; step++ {
 		here := r[step] * (float64(step+1) - max(from, float64(step)))
 		if need < here {
 			part := max(from, float64(step)) + need/r[step]
-			return time.Duration(part / leaveSteps * float64(s.Left))
+			return time.Duration(part / leaveSteps * float64(s.TimeLeft))
 		}
 		need -= here
 	}
--- a/internal/lab/calibration/records_test.go
+++ b/internal/lab/calibration/records_test.go
@@ -38,28 +38,28 @@
 func TestRecordsThatLack(t *testing.T) {
 	whole := short(t)
 	at := strings.LastIndex(whole[:len(whole)*2/3], `"tries"`)
-	cut := fitted(t, []*accesslog.Record{read(t, whole[:at+9])}, direct)
+	cut := fitted(t, []*accesslog.Recording{read(t, whole[:at+9])}, direct)
 	noted(t, cut, "1 lines that are not whole were left out")
 	noted(t, cut, "records of 1 sidecars of 2")
 
-	lossy := fitted(t, []*accesslog.Record{read(t, whole+`{"rec":"lost","t":100,"until":900,"rate":300}`+"\n")}, direct)
+	lossy := fitted(t, []*accesslog.Recording{read(t, whole+`{"rec":"lost","t":100,"until":900,"rate":300}`+"\n")}, direct)
 	noted(t, lossy, "300 of the streams are missing")
 }
 
 func TestRecordsThatSayNothing(t *testing.T) {
 	whole := short(t)
-	change := func(how func(run *accesslog.Run)) []*accesslog.Record {
+	change := func(how func(run *accesslog.Run)) []*accesslog.Recording {
 		r := read(t, whole)
 		how(r.Runs[0])
-		return []*accesslog.Record{r}
+		return []*accesslog.Recording{r}
 	}
-	for want, records := range map[string][]*accesslog.Record{
+	for want, records := range map[string][]*accesslog.Recording{
 		"no record holds a run": nil,
 		"holds no stream":       change(func(run *accesslog.Run) { run.Streams = nil }),
 		"too short to tell":     change(func(run *accesslog.Run) { run.Streams = run.Streams[:20] }),
 		"only 0 of": change(func(run *accesslog.Run) {
 			for i := range run.Streams {
-				run.Streams[i].End = stream.Failed
+				run.Streams[i].Outcome = stream.Failed
 				for k := range run.Streams[i].Attempts {
 					run.Streams[i].Attempts[k].Status = balance.Timeout
 				}
@@ -97,17 +97,17 @@
 	}
 	second.Streams = move(first.Streams[n:], 2*time.Second-5*time.Second) // what followed came 2 s later
 	first.Streams = first.Streams[:n]
-	second.Cluster = []accesslog.Cluster{{List: accesslog.Known, Hosts: first.Cluster[0].Hosts}}
+	second.Lists = []accesslog.EndpointList{{Kind: accesslog.ListCached, Hosts: first.Lists[0].Hosts}}
 	quiet := 30 * time.Minute
 	first.Header.Start = first.Header.Start.Add(-quiet)
 	first.Streams = move(first.Streams, quiet)
-	for i := range first.Cluster {
+	for i := range first.Lists {
 		if i > 0 {
-			first.Cluster[i].At += quiet
+			first.Lists[i].At += quiet
 		}
 	}
 	records[0].Runs = append(records[0].Runs, &second)
-	r := fitted(t, []*accesslog.Record{read(t, lines(t, records[0]))}, direct)
+	r := fitted(t, []*accesslog.Recording{read(t, lines(t, records[0]))}, direct)
 	noted(t, r, "n1 was not running from")
 	if a := r.Arrivals; a[0].At > 2*time.Second || len(a) != n+len(second.Streams) {
 		t.Errorf("%d of %d streams are played, the first at %v", len(a), n+len(second.Streams), a[0].At)
--- a/internal/lab/calibration/rehearse.go
+++ b/internal/lab/calibration/rehearse.go
@@ -40,9 +40,9 @@
 }
 
 // Fit makes a rehearsal of sidecars' records, of one tier. The same records and options give the same one.
-func Fit(records []*accesslog.Record, o Options) (*Rehearsal, error) {
+func Fit(records []*accesslog.Recording, o Options) (*Rehearsal, error) {
 	records = slices.Clone(records)
-	slices.SortStableFunc(records, func(a, b *accesslog.Record) int { return rank(a) - rank(b) })
+	slices.SortStableFunc(records, func(a, b *accesslog.Recording) int { return rank(a) - rank(b) })
 	v, err := look(records)
 	if err != nil {
 		return nil, err
@@ -63,8 +63,8 @@
 }
 
 // Merge puts records together into one, the runs by their starts.
-func Merge(records []*accesslog.Record) *accesslog.Record {
-	out := &accesslog.Record{}
+func Merge(records []*accesslog.Recording) *accesslog.Recording {
+	out := &accesslog.Recording{}
 	for _, r := range records {
 		out.Runs = append(out.Runs, r.Runs...)
 		out.Other, out.Skipped, out.Truncated = out.Other+r.Other, out.Skipped+r.Skipped, out.Truncated || r.Truncated
@@ -73,7 +73,7 @@
 	return out
 }
 
-func rank(r *accesslog.Record) int {
+func rank(r *accesslog.Recording) int {
 	if len(r.Runs) == 0 {
 		return 0
 	}
@@ -119,7 +119,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("rehearse: %w", err)
 	}
-	var records []*accesslog.Record
+	var records []*accesslog.Recording
 	for i := range p.Sidecars {
 		rec, err := Record(p, log, i)
 		if err != nil {
--- a/internal/lab/calibration/rehearse_test.go
+++ b/internal/lab/calibration/rehearse_test.go
@@ -25,7 +25,7 @@
 
 // observe plays a scenario that comes with the program, with more faults and cut short, and returns what the records
 // of its first tier's sidecars say, each read from its text.
-func observe(t testing.TB, name, more string, length time.Duration, seed uint64) ([]*accesslog.Record, *plan.Plan, *trace.Log) {
+func observe(t testing.TB, name, more string, length time.Duration, seed uint64) ([]*accesslog.Recording, *plan.Plan, *trace.Log) {
 	t.Helper()
 	text, err := scenarios.Files.ReadFile(name + ".toml")
 	if err != nil {
@@ -47,7 +47,7 @@
 }
 
 // played plays a plan for observe.
-func played(t testing.TB, p *plan.Plan) (out []*accesslog.Record, log *trace.Log) {
+func played(t testing.TB, p *plan.Plan) (out []*accesslog.Recording, log *trace.Log) {
 	t.Helper()
 	log, err := simulation.Play(p)
 	if err != nil {
@@ -67,7 +67,7 @@
 }
 
 // lines are a record's lines.
-func lines(t testing.TB, r *accesslog.Record) string {
+func lines(t testing.TB, r *accesslog.Recording) string {
 	t.Helper()
 	var b bytes.Buffer
 	if err := accesslog.Write(&b, r); err != nil {
@@ -76,7 +76,7 @@
 	return b.String()
 }
 
-func read(t testing.TB, text string) *accesslog.Record {
+func read(t testing.TB, text string) *accesslog.Recording {
 	t.Helper()
 	r, err := accesslog.Read(strings.NewReader(text))
 	if err != nil {
@@ -85,7 +85,7 @@
 	return r
 }
 
-func fitted(t testing.TB, records []*accesslog.Record, o Options) *Rehearsal {
+func fitted(t testing.TB, records []*accesslog.Recording, o Options) *Rehearsal {
 	t.Helper()
 	r, err := Fit(records, o)
 	if err != nil {
--- a/internal/lab/calibration/view.go
+++ b/internal/lab/calibration/view.go
@@ -74,7 +74,7 @@
 }
 
 // look puts records together.
-func look(records []*accesslog.Record) (*view, error) {
+func look(records []*accesslog.Recording) (*view, error) {
 	v := &view{zero: start(records...)}
 	if v.zero.IsZero() {
 		return nil, errors.New("rehearse: no record holds a run")
@@ -144,7 +144,7 @@
 	}
 	l := life{sidecar: sidecar, from: offset, to: offset}
 	wall := v.zero.Sub(time.Unix(0, 0))
-	for _, c := range run.Cluster {
+	for _, c := range run.Lists {
 		at := offset + c.At
 		l.to = max(l.to, at)
 		listed := map[int]bool{}
@@ -163,12 +163,12 @@
 		}
 		for i := range v.hosts { // a whole list that lacks a host says that it has gone
 			h := &v.hosts[i]
-			if k := len(h.listed); c.List != accesslog.Change && !listed[i] && k > 0 && h.listed[k-1].state != balance.Gone {
+			if k := len(h.listed); c.Kind != accesslog.ListDelta && !listed[i] && k > 0 && h.listed[k-1].state != balance.Gone {
 				h.listed = append(h.listed, listing{at: at, sidecar: sidecar, state: balance.Gone})
 			}
 		}
 	}
-	for _, lost := range run.Lost {
+	for _, lost := range run.Losses {
 		v.missing += lost.Rate + lost.Sink + lost.Open
 	}
 	for i := range run.Streams {
@@ -176,16 +176,16 @@
 		class := classes[run.Header.Settings.ClassNames[s.Class]]
 		at := offset + s.Arrival
 		l.to = max(l.to, at+s.Answered)
-		v.streams = append(v.streams, seenStream{at: at, left: s.Left, after: s.Answered, class: class, sidecar: sidecar,
-			end: s.End, attempts: len(s.Attempts)})
+		v.streams = append(v.streams, seenStream{at: at, left: s.TimeLeft, after: s.Answered, class: class, sidecar: sidecar,
+			end: s.Outcome, attempts: len(s.Attempts)})
 		won := slices.ContainsFunc(s.Attempts, func(a accesslog.Attempt) bool { return a.Status == balance.OK })
 		for _, a := range s.Attempts {
 			if a.Status == balance.Moot { // never sent
 				continue
 			}
-			v.attempts = append(v.attempts, attempt{host: find(a.Host), class: class, began: at + a.Began, ended: at + a.Began + a.Took,
+			v.attempts = append(v.attempts, attempt{host: find(a.Host), class: class, began: at + a.StartedAfter, ended: at + a.StartedAfter + a.Duration,
 				status: a.Status, beaten: won && a.Status != balance.OK})
-			l.to = max(l.to, at+a.Began+a.Took)
+			l.to = max(l.to, at+a.StartedAfter+a.Duration)
 		}
 	}
 	v.end = max(v.end, l.to)
--- a/internal/lab/calibration/virtual.go
+++ b/internal/lab/calibration/virtual.go
@@ -17,7 +17,7 @@
 
 // Record is what a sidecar would have recorded of a virtual run, had it gone on to the run's end: what was open
 // then or when it was killed is missing, as in a record.
-func Record(p *plan.Plan, log *trace.Log, sidecar int) (*accesslog.Record, error) {
+func Record(p *plan.Plan, log *trace.Log, sidecar int) (*accesslog.Recording, error) {
 	site := p.Settings(sidecar)
 	settings, err := config.ParseSettings(site)
 	if err != nil {
@@ -26,15 +26,15 @@
 	f := &p.Scenario.Fleet
 	run := &accesslog.Run{Header: accesslog.Header{Name: p.Sidecars[sidecar].Name, Start: time.Unix(0, int64(epoch)).UTC(),
 		Limits: config.Limits{Cores: f.Cores, MemoryMB: f.MemoryMB, Sockets: f.Sockets}, Site: string(site), Settings: settings}}
-	run.Cluster = lists(p, log, sidecar)
+	run.Lists = lists(p, log, sidecar)
 	at := make([]int, len(log.Tries)) // of each try, its stream's place from 1 on
 	for _, s := range log.Streams {
 		t := &log.Tries[s.Try]
 		if t.Sidecar != sidecar {
 			continue
 		}
-		run.Streams = append(run.Streams, accesslog.Stream{Arrival: s.Arrived, Class: t.Class, Left: t.Left,
-			Repeated: t.No > 0 || t.Tier == 0 && p.Requests[t.Request].Repeated, End: ending(&s), Answered: s.Answered - s.Arrived,
+		run.Streams = append(run.Streams, accesslog.Stream{Arrival: s.Arrived, Class: t.Class, TimeLeft: t.Left,
+			Retry: t.No > 0 || t.Tier == 0 && p.Requests[t.Request].Repeated, Outcome: ending(&s), Answered: s.Answered - s.Arrived,
 			RetryAfter: s.Advice})
 		at[s.Try] = len(run.Streams)
 	}
@@ -44,24 +44,24 @@
 			continue
 		}
 		s := &run.Streams[i]
-		s.Attempts = append(s.Attempts, accesslog.Attempt{Host: p.Boxes[a.Box].Name, Began: a.Sent - s.Arrival, Took: a.Took, Status: a.Status})
+		s.Attempts = append(s.Attempts, accesslog.Attempt{Host: p.Boxes[a.Box].Name, StartedAfter: a.Sent - s.Arrival, Duration: a.Took, Status: a.Status})
 	}
-	return &accesslog.Record{Runs: []*accesslog.Run{run}}, nil
+	return &accesslog.Recording{Runs: []*accesslog.Run{run}}, nil
 }
 
 // lists are what discovery told a sidecar: the whole list at its start and then the changes.
-func lists(p *plan.Plan, log *trace.Log, sidecar int) (out []accesslog.Cluster) {
+func lists(p *plan.Plan, log *trace.Log, sidecar int) (out []accesslog.EndpointList) {
 	states := [...]balance.Availability{trace.Ready: balance.Ready, trace.Terminating: balance.Draining, trace.Away: balance.Gone}
 	for _, t := range log.Told {
 		if t.Sidecar != sidecar {
 			continue
 		}
 		if n := len(out); n == 0 || out[n-1].At != t.At {
-			list := accesslog.Change
+			list := accesslog.ListDelta
 			if n == 0 {
-				list = accesslog.Whole
+				list = accesslog.ListFull
 			}
-			out = append(out, accesslog.Cluster{At: t.At, List: list})
+			out = append(out, accesslog.EndpointList{At: t.At, Kind: list})
 		}
 		b := &p.Boxes[t.Box]
 		m := cluster.Member{ID: b.Name, State: states[t.Phase]}
--- a/internal/lab/scalefit/table.go
+++ b/internal/lab/scalefit/table.go
@@ -50,21 +50,21 @@
 		return nil, err
 	}
 	if len(v.Table) == 0 {
-		return nil, f.Fault("table", "there is none")
+		return nil, f.Errorf("table", "there is none")
 	}
 	p, names := &Plan{}, map[string]bool{}
 	for i, t := range v.Table {
 		table := fmt.Sprintf("table[%d]", i)
 		if t.Name == "" || names[t.Name] || strings.ContainsAny(t.Name, " >\n") {
-			return nil, f.Fault(table+".name", "%q must be one word that no other table has", t.Name)
+			return nil, f.Errorf(table+".name", "%q must be one word that no other table has", t.Name)
 		}
 		names[t.Name] = true
 		if len(t.Row) == 0 {
-			return nil, f.Fault(table+".row", "there is none")
+			return nil, f.Errorf(table+".row", "there is none")
 		}
 		for j := range t.Row {
 			if key, fault := t.Row[j].fault(); fault != "" {
-				return nil, f.Fault(fmt.Sprintf("%s.row[%d].%s", table, j, key), "%s", fault)
+				return nil, f.Errorf(fmt.Sprintf("%s.row[%d].%s", table, j, key), "%s", fault)
 			}
 		}
 		p.Tables = append(p.Tables, Table{t.Name, t.Row})
--- a/internal/lab/scenario/load.go
+++ b/internal/lab/scenario/load.go
@@ -239,7 +239,7 @@
 
 func (c *checker) need(holds bool, key, format string, args ...any) {
 	if !holds && c.err == nil {
-		c.err = c.f.Fault(key, format, args...)
+		c.err = c.f.Errorf(key, format, args...)
 	}
 }
 
--- a/internal/lab/scenario/protocol_test.go
+++ b/internal/lab/scenario/protocol_test.go
@@ -19,7 +19,7 @@
 	if err != nil || op.Thrift == nil || len(op.Thrift.Methods) != 1 {
 		t.Fatalf("%+v: %v", op, err)
 	}
-	if !op.Fleet.Numbered || op.Thrift.Listen != "127.0.0.1:9" || op.Thrift.TurnedAway != ThriftTurnedAway {
+	if !op.Fleet.Numbered || op.Thrift.Listen != "127.0.0.1:9" || op.Thrift.RejectedType != ThriftTurnedAway {
 		t.Errorf("%+v", op.Thrift)
 	}
 	m := op.Thrift.Methods[0]
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -6,7 +6,7 @@
 import "pinelb.example/pinelb/internal/tomlfile"
 
 // Span is a time in a scenario, written as "250ms".
-type Span = tomlfile.Span
+type Span = tomlfile.Duration
 
 // Scenario is a whole run. Times count from its start.
 type Scenario struct {
--- a/internal/lab/simulation/sidecar.go
+++ b/internal/lab/simulation/sidecar.go
@@ -81,7 +81,7 @@
 	c.sim, c.b, c.life, c.able, c.stopping, c.paused, c.held = s, b, c.life+1, false, 0, 0, 0
 	c.accounts = nil
 	if c.budget != nil {
-		c.accounts = budget.NewAccounts(c.budget.Accounts(&c.set), s.p.Sidecars[i].Seed+uint64(c.life))
+		c.accounts = budget.NewAccounts(c.budget.AccountSettings(&c.set), s.p.Sidecars[i].Seed+uint64(c.life))
 	}
 	c.hosts, c.judged = map[balance.EndpointID]int{}, map[int]trace.Judged{}
 	c.table = cluster.NewTable(c.set.ZoneNames, c.set.KindNames, c, c)
--- a/internal/lab/stubfleet/likeness_test.go
+++ b/internal/lab/stubfleet/likeness_test.go
@@ -104,7 +104,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				paced = &cluster.Paced{Fleet: op.Discovery.Fleet(1), Whole: op.Discovery.Whole.D()}
+				paced = &cluster.Paced{Fleet: op.Discovery.Pacing(1), Whole: op.Discovery.FullListInterval.D()}
 			}
 			real := hear(t, func(told Told) func() {
 				r, err := launchReal(build, file, dir, told, 0, 1)
--- a/internal/settingsserver/config.go
+++ b/internal/settingsserver/config.go
@@ -61,31 +61,31 @@
 	}
 	for _, n := range names {
 		if faulty, ok := settingsstore.CheckName(n.key, n.name).(settingsstore.KeyError); ok {
-			return file.Fault(n.key, "%s", faulty.Reason)
+			return file.Errorf(n.key, "%s", faulty.Reason)
 		}
 	}
 	for _, a := range []struct{ key, addr string }{{"listen", c.Listen}, {"control", c.Control}} {
 		if _, err := netip.ParseAddrPort(a.addr); err != nil {
-			return file.Fault(a.key, "must be an address and port, not %q", a.addr)
+			return file.Errorf(a.key, "must be an address and port, not %q", a.addr)
 		}
 	}
 	switch {
 	case c.Control == c.Listen:
-		return file.Fault("control", "must be another address than listen")
+		return file.Errorf("control", "must be another address than listen")
 	case !filepath.IsAbs(c.Dir):
-		return file.Fault("dir", "must be the absolute path of a directory")
+		return file.Errorf("dir", "must be the absolute path of a directory")
 	case len(c.Peers) >= settingsstore.MaxPeers:
-		return file.Fault("peers", "names %d distributors, %d at most", len(c.Peers), settingsstore.MaxPeers-1)
+		return file.Errorf("peers", "names %d distributors, %d at most", len(c.Peers), settingsstore.MaxPeers-1)
 	}
 	for i, addr := range c.Peers {
 		at, err := netip.ParseAddrPort(addr)
 		switch {
 		case err != nil || at.Port() == 0:
-			return file.Fault("peers", "[%d] must be an address and port, not %q", i, addr)
+			return file.Errorf("peers", "[%d] must be an address and port, not %q", i, addr)
 		case addr == c.Listen:
-			return file.Fault("peers", "[%d] is this distributor's own address", i)
+			return file.Errorf("peers", "[%d] is this distributor's own address", i)
 		case slices.Contains(c.Peers[:i], addr):
-			return file.Fault("peers", "[%d] names %s twice", i, addr)
+			return file.Errorf("peers", "[%d] names %s twice", i, addr)
 		}
 	}
 	return nil
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -13,24 +13,24 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Span is a time in a file, written as "250ms" or "1m30s".
-type Span time.Duration
+// Duration is a time in a file, written as "250ms" or "1m30s".
+type Duration time.Duration
 
 // UnmarshalText reads a time.
-func (s *Span) UnmarshalText(text []byte) error {
+func (s *Duration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil {
 		return fmt.Errorf("must be a time such as \"250ms\"")
 	}
-	*s = Span(d)
+	*s = Duration(d)
 	return nil
 }
 
 // MarshalText writes it.
-func (s Span) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
+func (s Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
 
 // D is the time as a duration.
-func (s Span) D() time.Duration { return time.Duration(s) }
+func (s Duration) D() time.Duration { return time.Duration(s) }
 
 // File knows where each key of a file stands.
 type File struct {
@@ -48,26 +48,26 @@
 		switch {
 		case errors.As(err, &unknown) && len(unknown.Errors) > 0:
 			row, _ := unknown.Errors[0].Position()
-			return nil, f.at(row, strings.Join(unknown.Errors[0].Key(), "."), "is unknown")
+			return nil, f.errorAt(row, strings.Join(unknown.Errors[0].Key(), "."), "is unknown")
 		case errors.As(err, &fault):
 			row, _ := fault.Position()
-			return nil, f.at(row, strings.Join(fault.Key(), "."), strings.TrimPrefix(fault.Error(), "toml: "))
+			return nil, f.errorAt(row, strings.Join(fault.Key(), "."), strings.TrimPrefix(fault.Error(), "toml: "))
 		}
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	return f, f.index(data)
 }
 
-// Fault is an error about a key, such as "tier[1].kind[0].cores": the line is that of the key or, where it is
+// Errorf is an error about a key, such as "tier[1].kind[0].cores": the line is that of the key or, where it is
 // absent, of the table that lacks it.
-func (f *File) Fault(key, format string, args ...any) error {
+func (f *File) Errorf(key, format string, args ...any) error {
 	for at := key; ; {
 		if line, known := f.lines[at]; known {
-			return f.at(line, key, fmt.Sprintf(format, args...))
+			return f.errorAt(line, key, fmt.Sprintf(format, args...))
 		}
 		cut := strings.LastIndexByte(at, '.')
 		if cut < 0 {
-			return f.at(1, key, fmt.Sprintf(format, args...))
+			return f.errorAt(1, key, fmt.Sprintf(format, args...))
 		}
 		at = at[:cut]
 	}
@@ -76,7 +76,7 @@
 // Has tells whether the file has a key or a table of that name.
 func (f *File) Has(key string) bool { return f.lines[key] > 0 }
 
-func (f *File) at(line int, key, what string) error {
+func (f *File) errorAt(line int, key, what string) error {
 	if key == "" {
 		return fmt.Errorf("%s:%d: %s", f.name, line, what)
 	}
@@ -93,38 +93,38 @@
 		e := p.Expression()
 		switch e.Kind {
 		case unstable.Table:
-			table = f.path(&p, e, "", counts)
+			table = f.keyPath(&p, e, "", counts)
 		case unstable.ArrayTable:
-			path := f.path(&p, e, "", counts)
+			path := f.keyPath(&p, e, "", counts)
 			table = fmt.Sprintf("%s[%d]", path, counts[path])
 			counts[path]++
 			f.lines[table] = f.lines[path]
 		case unstable.KeyValue:
-			f.inside(&p, e.Value(), f.path(&p, e, table, counts), counts)
+			f.indexInline(&p, e.Value(), f.keyPath(&p, e, table, counts), counts)
 		}
 	}
 	return p.Error()
 }
 
 // inside notes the lines of the keys of inline tables, which are the value of that path or stand in it.
-func (f *File) inside(p *unstable.Parser, v *unstable.Node, path string, counts map[string]int) {
+func (f *File) indexInline(p *unstable.Parser, v *unstable.Node, path string, counts map[string]int) {
 	it := v.Children()
 	switch v.Kind {
 	case unstable.InlineTable:
 		for it.Next() {
-			f.inside(p, it.Node().Value(), f.path(p, it.Node(), path, counts), counts)
+			f.indexInline(p, it.Node().Value(), f.keyPath(p, it.Node(), path, counts), counts)
 		}
 	case unstable.Array:
 		for i := 0; it.Next(); i++ {
 			element := fmt.Sprintf("%s[%d]", path, i)
 			f.lines[element] = f.lines[path]
-			f.inside(p, it.Node(), element, counts)
+			f.indexInline(p, it.Node(), element, counts)
 		}
 	}
 }
 
 // path is the full name of an expression's key, in which each array of tables stands for its last element.
-func (f *File) path(p *unstable.Parser, e *unstable.Node, table string, counts map[string]int) string {
+func (f *File) keyPath(p *unstable.Parser, e *unstable.Node, table string, counts map[string]int) string {
 	path, line := table, 0
 	for it := e.Key(); it.Next(); {
 		if n := counts[path]; n > 0 && table == "" {
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -8,7 +8,7 @@
 
 type file struct {
 	Name string
-	Wait Span
+	Wait Duration
 	Tier []struct {
 		Name string
 		Kind []struct {
@@ -58,7 +58,7 @@
 		"rules.most":            "x.toml:1: rules.most: no",
 		"tier[2].kind[1].speed": "x.toml:19: tier[2].kind[1].speed: no", // in inline tables
 	} {
-		if got := f.Fault(key, "no").Error(); got != want {
+		if got := f.Errorf(key, "no").Error(); got != want {
 			t.Errorf("%s: %q, want %q", key, got, want)
 		}
 	}
