--- a/internal/config/audit.go
+++ b/internal/config/audit.go
@@ -1,24 +1,20 @@
 package config
 
 import (
-	"encoding/json"
-	"strings"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-
 	"pinelb.example/pinelb/internal/tomlfile"
 	"pinelb.example/pinelb/internal/version"
 )
 
-// Audit is the section [audit]: what the sidecar acts on is noted, auditors may ask for it, and they may order what it has to
-// act on at least.
+// Audit is the section [audit]: the sidecar logs what it acts on, and auditors may read that log and order the minimum version
+// to act on.
 type Audit struct {
-	Share        float64           `toml:"share"`   // of all instances that may be shut out at once; for zones auditors see to it
-	Lease        tomlfile.Duration `toml:"lease"`   // without a word of the list service or of an auditor it is alone; 0 is never
-	WhenIsolated string            `toml:"silence"` // what it does alone: "open", it acts; "closed", it shuts itself out where the share has room
+	Share        float64           `toml:"share"`   // of all instances that may be shut out at once, from 0 to 1; auditors apply it to zones, too
+	Lease        tomlfile.Duration `toml:"lease"`   // a sidecar that hears from neither the list service nor an auditor for that long is isolated; 0: never
+	WhenIsolated string            `toml:"silence"` // "open": an isolated sidecar acts; "closed": it shuts itself out, within the share
 
-	File version.Digest `toml:"-"` // of the operator's file itself
+	File version.Digest `toml:"-"` // of the operator's file
 }
 
 // Defaults and limits of [audit].
@@ -29,7 +25,7 @@
 	isolatedClosed     = "closed"
 )
 
-// check fills in the defaults and names the first key that can't be used.
+// check sets defaults and returns an error for the first invalid key.
 func (a *Audit) check(file *tomlfile.File) error {
 	if !file.Has("audit.share") {
 		a.Share = defaultShare
@@ -38,7 +34,7 @@
 		a.WhenIsolated = isolatedOpen
 	}
 	switch {
-	case !(a.Share >= 0 && a.Share <= 1): // nor a number that is none
+	case !(a.Share >= 0 && a.Share <= 1): // excludes NaN, too
 		return file.Errorf("audit.share", "must be from 0 to 1")
 	case a.Lease != 0 && (a.Lease.D() < minLease || a.Lease.D() > maxLease):
 		return file.Errorf("audit.lease", "must be 0s, or from %s to %s", minLease, maxLease)
@@ -50,29 +46,5 @@
 	return nil
 }
 
-// ShutsOutWhenIsolated tells whether a sidecar that is alone shuts itself out.
+// ShutsOutWhenIsolated reports whether an isolated sidecar shuts itself out.
 func (a *Audit) ShutsOutWhenIsolated() bool { return a.WhenIsolated == isolatedClosed }
-
-// DigestOf is a text's digest.
-func DigestOf(text []byte) version.Digest {
-	return version.Digest(max(1, xxhash.Sum64(text))) // 0 would be none
-}
-
-// Digest tells settings apart as they stand in the file, but for how they are laid out and for what differs from one instance
-// of a tier to the next: its rank and its zone.
-func (c *Config) Digest() version.Digest {
-	read := json.NewDecoder(strings.NewReader(c.RawSettings))
-	read.UseNumber()
-	var keys map[string]any
-	if err := read.Decode(&keys); err != nil {
-		return DigestOf([]byte(c.RawSettings)) // it has been read as an object before
-	}
-	for _, key := range instanceKeys {
-		delete(keys, key)
-	}
-	text, err := json.Marshal(keys) // in the order of their names
-	if err != nil {
-		return DigestOf([]byte(c.RawSettings)) // what was read can be written
-	}
-	return DigestOf(text)
-}
--- a/internal/config/budget.go
+++ b/internal/config/budget.go
@@ -5,13 +5,13 @@
 	"pinelb.example/pinelb/internal/tomlfile"
 )
 
-// Budget is the section [budget]: what a request may cause in all tiers is counted from the first one on.
+// Budget is the section [budget]: the attempts that a request causes in all tiers are bounded, from its first tier on.
 type Budget struct {
-	Service  string `toml:"service"`  // that this sidecar sends to, the same at all of its sidecars
-	Attempts int    `toml:"attempts"` // beyond the first that one try of a client may cause, in all tiers together
-	Reentry  int    `toml:"reentry"`  // how often a request may have been at the service before
-	Edge     *bool  `toml:"edge"`     // callers are outside; without it, those of the first tier are
-	Leaf     *bool  `toml:"leaf"`     // the service calls no other; without it, that of the last tier doesn't
+	Service  string `toml:"service"`  // the service that this sidecar sends to; the same at all of its sidecars
+	Attempts int    `toml:"attempts"` // beyond the first, in all tiers together, for one request of a client
+	Reentry  int    `toml:"reentry"`  // how many times a request may have been at the service before
+	Edge     *bool  `toml:"edge"`     // callers are outside the site; nil: in the first tier they are
+	Leaf     *bool  `toml:"leaf"`     // the service calls no other; nil: in the last tier it doesn't
 }
 
 // Defaults and limits of [budget].
@@ -20,6 +20,7 @@
 	maxReentry      = 4
 )
 
+// check sets defaults and returns an error for the first invalid key.
 func (b *Budget) check(file *tomlfile.File) error {
 	if !file.Has("budget.attempts") {
 		b.Attempts = defaultAttempts
@@ -35,7 +36,7 @@
 	return nil
 }
 
-// AccountSettings are what the accounts of the sidecar are kept by, beside the platform's settings.
+// AccountSettings returns the budget's settings, completed by the platform's.
 func (b *Budget) AccountSettings(s *Settings) budget.Settings {
 	out := budget.Settings{Service: b.Service, Edge: s.Tier == 0, Leaf: s.Tier == s.Tiers-1, Instances: s.Instances,
 		Attempts: b.Attempts, Reentry: b.Reentry}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,9 @@
-// Package config is the one place where configuration is read, checked and given defaults: the
-// environment, the file that LB_CONFIG names, and the settings object that the simulator's first
-// message shares with that file. Every error names the faulty key; unknown keys are ignored.
+// Package config reads, checks and completes all configuration: the environment, the file that LB_CONFIG names, the operator's
+// file, and the settings object that the simulator's first message shares with LB_CONFIG's file. Every error names the key.
+// Unknown keys of JSON are ignored, those of TOML are errors.
+//
+// Load, Reload and LoadOperator read the environment and files; everything else is pure. A value is not changed once it has
+// been returned; Settings, a Config's or a published one, are replaced as a whole.
 package config
 
 import (
@@ -20,65 +23,48 @@
 	"pinelb.example/pinelb/internal/cluster"
 )
 
-// Defaults of what the file may leave out: the limits of the deployment guide's scored days.
+// Defaults of optional keys, by the deployment guide, and lower bounds.
 const (
 	defaultCores    = 1.0
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
 	defaultConnIdle = 30 * time.Second
 
-	minMemoryMB = 32 // the runtime and the pools take about half of this
-	minSockets  = 64 // each side has to have some
+	minMemoryMB = 32 // the runtime and the pools need about half of this
+	minSockets  = 64 // callers and upstream hosts need some each
 )
 
-// Limits are the bounds of the machine that a sidecar runs on.
+// Limits are what the platform grants a sidecar.
 type Limits struct {
 	Cores    float64
 	MemoryMB int
 	Sockets  int
 }
 
-// Config is all that a sidecar is told at its start.
+// Config is what the platform configures a sidecar with.
 type Config struct {
 	Name        string
-	Listen      string // where callers connect
+	Listen      string // address for callers
 	Discovery   string // the address of discovery's agent
-	Control     string // where operators call; empty: nowhere
+	Control     string // address for operators; empty: none
 	Seed        uint64
 	Limits      Limits
-	CachedList  cluster.List // the cluster as this sidecar last had it; perhaps old
+	CachedList  cluster.List // the endpoints that this sidecar last had; may be outdated
 	Settings    Settings
-	RawSettings string // the settings as they stand in the file, as JSON
+	RawSettings string // the settings as they are in the file, as JSON
 
 	file gjson.Result
 }
 
-// Load reads the environment and the file that LB_CONFIG names; a variable goes before its key in the file.
+// Load reads the environment and the file that LB_CONFIG names; a variable takes precedence over its key in the file.
 func Load(getenv func(string) string) (*Config, error) {
 	return readConfig(getenv, func(variable, key string) string { return cmp.Or(variable, key) })
 }
 
-// Reload reads them again, to take the place of former. Now a key goes before its variable: the file may have been
-// replaced, and the environment is as old as the process. A file that lacks what former's has is faulty: it may have been
-// cut down on its way.
-func Reload(getenv func(string) string, former *Config) (*Config, error) {
-	c, err := readConfig(getenv, func(variable, key string) string { return cmp.Or(key, variable) })
-	if err != nil {
-		return nil, err
-	}
-	if key := missingKey(former.file, c.file, ""); key != "" {
-		return nil, fmt.Errorf("config: LB_CONFIG%s is missing; the file in force has it", key)
-	}
-	if err := c.Validate(); err != nil {
-		return nil, err
-	}
-	return c, nil
-}
-
-// Validate names the first key, as it stands in the file, without which decisions cannot be made.
+// Validate returns an error for the first key, as in the file, without which the engine can't decide.
 func (c *Config) Validate() error { return c.Settings.validate() }
 
-// CheckSettings names the first key of settings, as they stand in the file, with which no sidecar would start.
+// CheckSettings returns an error for the first key of settings, as in the file, with which no sidecar would start.
 func CheckSettings(settings []byte) error {
 	if !gjson.ValidBytes(settings) {
 		return fmt.Errorf("config: LB_CONFIG.settings: is not valid JSON")
@@ -101,51 +87,6 @@
 	return err
 }
 
-// lacks names the first key that was there and is not now; empty: there is none. Of lists, every member needs the keys
-// that every member had. What is known of the cluster may come and go.
-func missingKey(was, is gjson.Result, at string) string {
-	switch {
-	case was.IsObject():
-		held := is.Map()
-		for key, v := range was.Map() {
-			if at == "" && key == "known" {
-				continue
-			}
-			here := at + "." + key
-			if !held[key].Exists() || held[key].Type == gjson.Null && v.Type != gjson.Null {
-				return here
-			}
-			if lost := missingKey(v, held[key], here); lost != "" {
-				return lost
-			}
-		}
-	case was.IsArray():
-		common := commonKeys(was.Array())
-		for i, v := range is.Array() {
-			held := v.Map()
-			for _, key := range common {
-				if !held[key].Exists() || held[key].Type == gjson.Null {
-					return fmt.Sprintf("%s[%d].%s", at, i, key)
-				}
-			}
-		}
-	}
-	return ""
-}
-
-// commonKeys are those that all members of a list have, which are objects or have none.
-func commonKeys(list []gjson.Result) (keys []string) {
-	for i, v := range list {
-		if i == 0 {
-			for key := range v.Map() {
-				keys = append(keys, key)
-			}
-		}
-		keys = slices.DeleteFunc(keys, func(key string) bool { return !v.Get(gjson.Escape(key)).Exists() })
-	}
-	return keys
-}
-
 func readConfig(getenv func(string) string, prefer func(variable, key string) string) (*Config, error) {
 	path := getenv("LB_CONFIG")
 	if path == "" {
@@ -192,8 +133,8 @@
 	return c, c.check()
 }
 
-// check names the first key that a sidecar cannot run with. What the decisions need of the settings is
-// checked by Validate.
+// check returns an error for the first key that a sidecar can't run with. What the engine needs of the settings is checked by
+// Validate.
 func (c *Config) check() error {
 	for _, a := range []struct{ key, addr string }{{"LB_LISTEN", c.Listen}, {"LB_DISCOVERY", c.Discovery}} {
 		if _, err := netip.ParseAddrPort(a.addr); err != nil {
@@ -214,7 +155,7 @@
 	return c.Settings.check()
 }
 
-// check names the first key of the settings that a sidecar cannot run with, and fills in defaults.
+// check returns an error for the first key of the settings that a sidecar can't run with, and sets defaults.
 func (s *Settings) check() error {
 	switch {
 	case s.ConnectTimeout <= 0:
@@ -235,13 +176,13 @@
 	return nil
 }
 
-// seed takes the hexadecimal number that the deployment gives; any other text is hashed, for a seed
-// need only differ from start to start.
+// parseSeed parses the hexadecimal number that the deployment sets; any other text is hashed, for a seed only has to differ
+// between starts.
 func parseSeed(text string) uint64 {
 	if n, err := strconv.ParseUint(text, 16, 64); err == nil {
 		return n
 	}
 	h := fnv.New64a()
-	h.Write([]byte(text))
+	_, _ = h.Write([]byte(text)) // which never fails
 	return h.Sum64()
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -118,7 +118,7 @@
 }
 
 // Guards against a file that was cut down on its way, or that no deadline or number of attempts can be read of, being taken.
-func TestReloadRefuses(t *testing.T) {
+func TestInvalidReload(t *testing.T) {
 	for _, c := range []struct{ old, new, names string }{
 		{sound, "", "JSON"},
 		{sound, sound[:len(sound)/2], "JSON"},
@@ -155,7 +155,7 @@
 }
 
 // Guards against a class that takes another's number, or one that has vanished whose number goes to another.
-func TestClassesKeepTheirNumbers(t *testing.T) {
+func TestClassNumbersAreStable(t *testing.T) {
 	of := func(names ...string) *Settings {
 		s := &Settings{ClassNames: names}
 		for i := range names {
@@ -182,7 +182,7 @@
 }
 
 // Guards against a tenant that takes another's number, and with it its share, while a request of it is on its way in.
-func TestTenantsKeepTheirNumbers(t *testing.T) {
+func TestTenantNumbersAreStable(t *testing.T) {
 	of := func(names ...string) *Settings {
 		s := &Settings{TenantNames: names}
 		for i := range names {
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -8,12 +8,12 @@
 	"github.com/tidwall/gjson"
 )
 
-// reader takes typed values out of one JSON object and keeps the first fault, so that the code that
-// reads many keys need not check each. Absent keys read as zero.
+// reader decodes typed values of one JSON object and keeps the first error, so that code that reads many keys need not check
+// each. Absent keys read as zero.
 type reader struct {
-	path string // where the object stands, for messages
+	path string // of the object, for errors
 	json gjson.Result
-	err  *error // shared by the readers of one text; nil until the first fault
+	err  *error // shared by the readers of one text; nil until the first error
 }
 
 func (r *reader) fail(key, what string) {
@@ -32,7 +32,7 @@
 	return *r.err
 }
 
-// get is the value of a key, checked to be of the wanted type if it is there.
+// value returns the value of a key, and whether it is there and of the wanted type.
 func (r *reader) value(key, want string, fits func(gjson.Result) bool) (gjson.Result, bool) {
 	v := r.json.Get(key)
 	if !v.Exists() || v.Type == gjson.Null {
@@ -45,7 +45,7 @@
 	return v, true
 }
 
-func isNumber(v gjson.Result) bool { return v.Type == gjson.Number && !math.IsInf(v.Num, 0) } // as one of 400 digits is
+func isNumber(v gjson.Result) bool { return v.Type == gjson.Number && !math.IsInf(v.Num, 0) } // a number of 400 digits is infinite
 func isText(v gjson.Result) bool   { return v.Type == gjson.String }
 
 func (r *reader) numberOr(key string, def float64) float64 {
@@ -57,7 +57,7 @@
 
 func (r *reader) number(key string) float64 { return r.numberOr(key, 0) }
 
-// amount reads a number that can't be below 0.
+// nonNegative reads a number that can't be below 0.
 func (r *reader) nonNegative(key string) float64 { return r.nonNegativeOr(key, 0) }
 
 func (r *reader) nonNegativeOr(key string, def float64) float64 {
@@ -77,7 +77,7 @@
 	return int(v)
 }
 
-// span reads nanoseconds; the settings give every time so.
+// duration reads nanoseconds, which is how the settings state every duration.
 func (r *reader) duration(key string) time.Duration {
 	v := r.number(key)
 	if v < 0 || v > math.MaxInt64/2 {
@@ -109,7 +109,7 @@
 	return out
 }
 
-// objects returns a reader for each object of a list; they share the first fault.
+// objects returns a reader for each object of a list; they share the first error.
 func (r *reader) objects(key string) []*reader {
 	list, _ := r.value(key, "a list of objects", gjson.Result.IsArray)
 	if r.err == nil {
@@ -127,7 +127,7 @@
 	return out
 }
 
-// object returns a reader for the object of a key, which may be absent.
+// object returns a reader for the object at a key, which may be absent.
 func (r *reader) object(key string) *reader {
 	v, _ := r.value(key, "an object", gjson.Result.IsObject)
 	if r.err == nil {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"slices"
 	"strings"
 	"time"
 
@@ -11,53 +10,15 @@
 	"pinelb.example/pinelb/balance"
 )
 
-// Settings is what the site says, for the decisions and for the names on the sockets.
+// Settings are the site's settings, for the engine and for the names on the sockets.
 type Settings struct {
 	balance.Settings
 	ClassNames  []string      // by class index, as requests name them
 	TenantNames []string      // by tenant index, as requests name them
 	KindNames   []string      // by kind index, as discovery names them
 	ZoneNames   []string      // by zone index, as discovery names them
-	Removed     []bool        // by class index, of settings that follow others: the file has it no more; nil: none
-	ConnIdle    time.Duration // an upstream host closes a connection that has stood idle for this long
-}
-
-// maxNames is how many classes, and how many tenants, a process knows in its life: those that vanish keep their numbers.
-const maxNames = 256
-
-// Renumbered returns settings whose classes and tenants have the numbers that they have in former, by their names: a request that
-// is on its way in must not be counted as another's. Those that only former has keep theirs, as they were; such classes have
-// vanished.
-func (s *Settings) Renumbered(former *Settings) (Settings, error) {
-	out := *s
-	out.ClassNames, out.Classes = slices.Clone(former.ClassNames), slices.Clone(former.Classes)
-	out.Removed = make([]bool, len(former.ClassNames))
-	for i := range out.Removed {
-		out.Removed[i] = true
-	}
-	for i, name := range s.ClassNames {
-		at := slices.Index(out.ClassNames, name)
-		if at < 0 {
-			at = len(out.ClassNames)
-			out.ClassNames, out.Classes, out.Removed = append(out.ClassNames, name), append(out.Classes, balance.Class{}), append(out.Removed, false)
-		}
-		out.Classes[at], out.Removed[at] = s.Classes[i], false
-	}
-	out.TenantNames, out.Tenants = slices.Clone(former.TenantNames), slices.Clone(former.Tenants)
-	for i, name := range s.TenantNames {
-		at := slices.Index(out.TenantNames, name)
-		if at < 0 {
-			at = len(out.TenantNames)
-			out.TenantNames, out.Tenants = append(out.TenantNames, name), append(out.Tenants, balance.Tenant{})
-		}
-		out.Tenants[at] = s.Tenants[i]
-	}
-	for what, names := range map[string][]string{"classes": out.ClassNames, "tenants": out.TenantNames} {
-		if len(names) > maxNames {
-			return out, fmt.Errorf("config: LB_CONFIG.settings.%s: over %d names since the start; restart to forget those that have vanished", what, maxNames)
-		}
-	}
-	return out, nil
+	Removed     []bool        // by class index, of Renumbered settings: the file no longer has the class; nil: none
+	ConnIdle    time.Duration // after which an upstream host closes an idle connection
 }
 
 var effects = map[string]balance.Effect{
@@ -73,14 +34,14 @@
 	"mean_ms": balance.LoadServiceMS, "tps": balance.LoadRate, "err_ps": balance.LoadErrorRate,
 }
 
-// keys are what the file calls the fields that a balance.Fault can name.
+// fieldKeys are the file's keys of the fields that a balance.Fault can name.
 var fieldKeys = map[string]string{
 	"Classes": "classes", "Instances": "n_instances", "MaxAttempts": "allowed.send_cap", "Quantum": "quantum",
 	"ColdShare": "rules.cold_share", "FallMultiple": "rules.tip_multiple", "FallWindow": "rules.fall", "MustAskIn": "rules.must_ask_in",
 	"Aim": "aim", "Deadline": "deadline", "Worth": "worth", "Effect": "idempotency", "Memory": "memory_span",
 }
 
-// settingsKey is the place in the settings of the file of a field, such as classes[1].deadline of Classes[1].Deadline.
+// settingsKey returns the key in the file's settings of a field, such as classes[1].deadline of Classes[1].Deadline.
 func settingsKey(field string) string {
 	if index, ok := strings.CutPrefix(field, "Classes["); ok {
 		if index, of, ok := strings.Cut(index, "]."); ok {
@@ -90,8 +51,8 @@
 	return fieldKeys[field]
 }
 
-// ParseSettings reads the settings object that the simulator's first message and LB_CONFIG share.
-// Keys that it does not know are ignored; a key of the wrong type is an error that names it.
+// ParseSettings parses the settings object that the simulator's first message and LB_CONFIG share. Unknown keys are ignored; a
+// value of the wrong type is an error that names the key.
 func ParseSettings(data []byte) (Settings, error) {
 	if !gjson.ValidBytes(data) {
 		return Settings{}, fmt.Errorf("config: settings are not valid JSON")
@@ -122,7 +83,7 @@
 		ColdShare: r.number("rules.cold_share"), ColdFor: r.duration("rules.cold"),
 		FallMultiple: r.number("rules.tip_multiple"), FallWindow: r.duration("rules.fall"),
 	}}
-	if out.Rank < 0 { // an index
+	if out.Rank < 0 { // it is an index
 		r.fail("rank", "must not be below 0")
 	}
 	out.ConnIdle = r.duration("allowed.conn_idle")
@@ -131,10 +92,19 @@
 	for _, f := range r.texts("reporting.fields") {
 		out.LoadFields = append(out.LoadFields, loadFields[f])
 	}
+	out.readTenants(r)
+	out.readClasses(r)
+	return out, r.firstError()
+}
+
+func (s *Settings) readTenants(r *reader) {
 	for _, t := range r.objects("tenants") {
-		out.TenantNames = append(out.TenantNames, t.text("name"))
-		out.Tenants = append(out.Tenants, balance.Tenant{Share: t.nonNegative("share"), Quota: t.nonNegative("quota_rps")})
+		s.TenantNames = append(s.TenantNames, t.text("name"))
+		s.Tenants = append(s.Tenants, balance.Tenant{Share: t.nonNegative("share"), Quota: t.nonNegative("quota_rps")})
 	}
+}
+
+func (s *Settings) readClasses(r *reader) {
 	for _, c := range r.objects("classes") {
 		effect, known := effects[c.text("idempotency")]
 		if !known {
@@ -144,12 +114,11 @@
 		if !known {
 			c.fail("key_scope", "is unknown")
 		}
-		out.ClassNames = append(out.ClassNames, c.text("name"))
-		out.Classes = append(out.Classes, balance.Class{
+		s.ClassNames = append(s.ClassNames, c.text("name"))
+		s.Classes = append(s.Classes, balance.Class{
 			Aim: c.duration("aim"), AimStretch: c.nonNegative("aim_stretch"), Deadline: c.duration("deadline"), Effect: effect,
 			Scope: scope, Memory: c.duration("memory_span"), Worth: c.nonNegative("worth"), LateWorth: c.nonNegative("late_worth"),
 			Stream: c.flag("stream"),
 		})
 	}
-	return out, r.firstError()
 }
--- a/internal/config/faults_test.go
+++ b/internal/config/settings_faults_test.go
@@ -28,7 +28,7 @@
 
 // Guards against a faulty file that a sidecar starts with or that takes the place of a good one, and against an operator
 // who is told the program's word for a key. One fault at a time, in each key that the settings have.
-func TestFaultySettings(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	const missing = "null"
 	text := []string{`true`, `[1]`, `{}`, `7`}
 	number := []string{`"1"`, `"NaN"`, `true`, `{}`, `1e400`}
--- a/internal/config/distributed.go
+++ b/internal/config/settings_source.go
@@ -15,14 +15,14 @@
 
 // SettingsSource is the section [settings]: the platform's settings come from distributors.
 type SettingsSource struct {
-	Distributors []string `toml:"from"`    // the distributors' addresses and ports
+	Distributors []string `toml:"from"`    // addresses with ports
 	Service      string   `toml:"service"` // whose settings are followed
 }
 
-// maxDistributors keeps the time until all of them have been tried short.
+// maxDistributors bounds the time until all of them have been tried.
 const maxDistributors = 16
 
-// check names the first key that can't be used.
+// check returns an error for the first invalid key.
 func (d *SettingsSource) check(file *tomlfile.File) error {
 	if len(d.Distributors) < 1 || len(d.Distributors) > maxDistributors {
 		return file.Errorf("settings.from", "must have 1 to %d addresses of distributors", maxDistributors)
@@ -41,11 +41,12 @@
 	return nil
 }
 
-// own are the keys of the settings that are an instance's and not its service's. Digest leaves them out.
+// instanceKeys are the keys of the settings that are an instance's and not its service's. Digest leaves them out.
 var instanceKeys = []string{"rank", "locality"}
 
-// WithPublished is With for settings that have just come. The file's remain as they were read: settings that lack a key which the
-// file's have are faulty, for they may have been cut down. What was published later than the file may be taken back.
+// WithPublished is WithSettings for settings that have just been published. The file's settings stay as they were read:
+// published ones that lack a key which the file's have are an error, for they may have been truncated. A key that was published
+// later than the file may be removed again.
 func (c *Config) WithPublished(settings []byte) (*Config, error) {
 	out, err := c.WithSettings(settings)
 	if err != nil {
@@ -57,8 +58,8 @@
 	return out, nil
 }
 
-// WithSettings returns the configuration with other settings, as JSON, in the place of its own, but for the instance's own rank and
-// locality, which stay the file's. Errors name the key as the file has it.
+// WithSettings returns the configuration with other settings, as JSON, in place of its own, except for the instance's own rank
+// and locality, which stay the file's. Errors name the key as in the file.
 func (c *Config) WithSettings(settings []byte) (*Config, error) {
 	site, err := c.withInstanceKeys(settings)
 	if err != nil {
--- a/internal/config/operator_thrift.go
+++ b/internal/config/thrift.go
@@ -11,29 +11,29 @@
 	"pinelb.example/pinelb/internal/tomlfile"
 )
 
-// Thrift is the section [thrift]: calls are taken over Thrift too, and sent on over it.
+// Thrift is the section [thrift]: calls are accepted over Thrift, too, and forwarded over it.
 type Thrift struct {
 	Listen       string            `toml:"listen"` // address and port for callers
-	Framing      string            `toml:"form"`   // "any", or the name of the one form that is read
+	Framing      string            `toml:"form"`   // "any", or the only framing and protocol that is accepted
 	UpstreamPort int               `toml:"upstream_port"`
-	MaxMessage   Size              `toml:"most_message"` // bytes of a call or a reply, its head included
-	Deadline     tomlfile.Duration `toml:"deadline"`     // of methods that state none; 0: the class's
-	RejectedType int32             `toml:"turned_away"`  // type of exception that proves that nothing ran; 0: none does
+	MaxMessage   Size              `toml:"most_message"` // of a call or a reply, header included
+	Deadline     tomlfile.Duration `toml:"deadline"`     // of methods that set none; 0: the class's
+	RejectedType int32             `toml:"turned_away"`  // the type of exception that proves that nothing was executed; 0: none does
 	DefaultClass string            `toml:"default_class"`
 	Methods      []*ThriftMethod   `toml:"method"`
 
 	file *tomlfile.File
 }
 
-// ThriftMethod is one [[thrift.method]]. The paths are of field ids, from the struct of the arguments on.
+// ThriftMethod is one [[thrift.method]]. Paths consist of field ids, from the arguments' struct on.
 type ThriftMethod struct {
-	Name        string            `toml:"name"` // "method" or, ahead of it, "service:method"
+	Name        string            `toml:"name"` // "method" or, with precedence over it, "service:method"
 	Class       string            `toml:"class"`
-	Oneway      bool              `toml:"oneway"`       // nothing is answered, also where it is sent as a call
-	Deadline    tomlfile.Duration `toml:"deadline"`     // where the call tells no time; 0: the section's
-	ID          []int16           `toml:"id"`           // of the request; empty: one is made
-	Key         []int16           `toml:"key"`          // of the effect
-	RemainingMS []int16           `toml:"remaining_ms"` // of the client's wait; empty: the deadline
+	Oneway      bool              `toml:"oneway"`       // there is no reply, also where it is sent as a call
+	Deadline    tomlfile.Duration `toml:"deadline"`     // where the call has no time-out; 0: the section's
+	ID          []int16           `toml:"id"`           // of the request; empty: one is generated
+	Key         []int16           `toml:"key"`          // the idempotency key
+	RemainingMS []int16           `toml:"remaining_ms"` // of the client's time-out; empty: the deadline
 }
 
 // Defaults and limits of [thrift].
@@ -42,15 +42,15 @@
 	defaultMaxMessage  Size = 64 << 10
 	minMaxMessage      Size = 8 << 10
 	maxMaxMessage      Size = 1 << 20
-	minRejectedType         = 11 // lower ones are given by Thrift's libraries, also for what may have run
+	minRejectedType         = 11 // lower ones are assigned by Thrift's libraries, also to calls that may have been executed
 	maxPathLength           = 8
 	maxMethodNameBytes      = 128
 )
 
-// DetectsFraming tells whether the first bytes of a connection tell its form.
+// DetectsFraming reports whether the first bytes of a connection determine its framing and protocol.
 func (t *Thrift) DetectsFraming() bool { return t.Framing == anyFraming }
 
-// check fills in the defaults and names the first key that can't be used, whatever the platform's settings are.
+// check sets defaults and returns an error for the first invalid key, whatever the platform's settings are.
 func (t *Thrift) check(file *tomlfile.File) error {
 	t.file = file
 	if !file.Has("thrift.form") {
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// fits names the first key that can't be used beside the platform's configuration.
+// checkAgainst returns an error for the first key that is invalid with the platform's configuration.
 func (t *Thrift) checkAgainst(c *Config) error {
 	if t.Listen == c.Listen && !endsInPortZero(t.Listen) {
 		return t.file.Errorf("thrift.listen", "is LB_LISTEN's, where callers speak HTTP")
@@ -140,7 +140,7 @@
 
 func methodKey(i int) string { return fmt.Sprintf("thrift.method[%d]", i) }
 
-// endsInPortZero tells whether an address has its port chosen when it is opened.
+// endsInPortZero reports whether an address has its port assigned when it is opened.
 func endsInPortZero(addr string) bool {
 	a, err := netip.ParseAddrPort(addr)
 	return err == nil && a.Port() == 0
--- a/internal/config/operator_thrift_test.go
+++ b/internal/config/thrift_test.go
@@ -44,7 +44,7 @@
 }
 
 // Guards against a start with a table that does not fit the site.
-func TestThriftFitsTheSettings(t *testing.T) {
+func TestThriftAgainstSettings(t *testing.T) {
 	c := &Config{Listen: "127.0.0.1:8080", Settings: Settings{ClassNames: []string{"look", "order"},
 		Settings: balance.Settings{Classes: []balance.Class{{Effect: balance.Safe}, {Effect: balance.Keyed}}}}}
 	for text, want := range map[string]string{
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,6 +1,6 @@
-// Package tomlfile reads TOML strictly: a key that nobody knows, a value of the wrong type and a value that
-// is out of range are all errors that name the file, the line and the key. The operator's file and the rig's
-// scenarios are read by it.
+// Package tomlfile decodes TOML strictly: an unknown key, a value of the wrong type and a value that is out of range are errors
+// that name the file, the line and the key. It is pure. Packages config and settingsserver use it, and the rig for its
+// scenarios.
 package tomlfile
 
 import (
@@ -13,10 +13,10 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Duration is a time in a file, written as "250ms" or "1m30s".
+// Duration is a duration in a file, written as "250ms" or "1m30s".
 type Duration time.Duration
 
-// UnmarshalText reads a time.
+// UnmarshalText parses a duration.
 func (s *Duration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -26,19 +26,34 @@
 	return nil
 }
 
-// MarshalText writes it.
+// MarshalText formats a duration as UnmarshalText parses it.
 func (s Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
 
-// D is the time as a duration.
+// D returns the duration as the standard library's type.
 func (s Duration) D() time.Duration { return time.Duration(s) }
 
-// File knows where each key of a file stands.
+// File knows the line of each key of a file.
 type File struct {
 	name  string
 	lines map[string]int
 }
 
-// Decode reads data into v. The error names the file, the line and the key.
+// KeyError says what is wrong with a file, in which line and at which key.
+type KeyError struct {
+	File   string
+	Line   int    // from 1
+	Key    string // empty: no key is known
+	Reason string
+}
+
+func (e *KeyError) Error() string {
+	if e.Key == "" {
+		return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Reason)
+	}
+	return fmt.Sprintf("%s:%d: %s: %s", e.File, e.Line, e.Key, e.Reason)
+}
+
+// Decode decodes data into v. The error is a *KeyError, or one that names the file.
 func Decode(name string, data []byte, v any) (*File, error) {
 	f := &File{name: name, lines: map[string]int{}}
 	dec := toml.NewDecoder(strings.NewReader(string(data))).DisallowUnknownFields()
@@ -58,8 +73,8 @@
 	return f, f.index(data)
 }
 
-// Errorf is an error about a key, such as "tier[1].kind[0].cores": the line is that of the key or, where it is
-// absent, of the table that lacks it.
+// Errorf returns a *KeyError about a key, such as "tier[1].kind[0].cores". The line is that of the key or, where it is absent, of
+// the table that lacks it.
 func (f *File) Errorf(key, format string, args ...any) error {
 	for at := key; ; {
 		if line, known := f.lines[at]; known {
@@ -73,18 +88,15 @@
 	}
 }
 
-// Has tells whether the file has a key or a table of that name.
+// Has reports whether the file has a key or a table of that name.
 func (f *File) Has(key string) bool { return f.lines[key] > 0 }
 
-func (f *File) errorAt(line int, key, what string) error {
-	if key == "" {
-		return fmt.Errorf("%s:%d: %s", f.name, line, what)
-	}
-	return fmt.Errorf("%s:%d: %s: %s", f.name, line, key, what)
+func (f *File) errorAt(line int, key, reason string) error {
+	return &KeyError{File: f.name, Line: line, Key: key, Reason: reason}
 }
 
-// index notes the line of each table and key. The elements of an array of tables are counted from 0, those
-// of the inner arrays anew in each.
+// index records the line of each table and key. The elements of an array of tables are numbered from 0, those of inner arrays
+// anew in each.
 func (f *File) index(data []byte) error {
 	var p unstable.Parser
 	p.Reset(data)
@@ -106,7 +118,7 @@
 	return p.Error()
 }
 
-// inside notes the lines of the keys of inline tables, which are the value of that path or stand in it.
+// indexInline records the lines of keys in inline tables, where v is the value at path.
 func (f *File) indexInline(p *unstable.Parser, v *unstable.Node, path string, counts map[string]int) {
 	it := v.Children()
 	switch v.Kind {
@@ -123,7 +135,7 @@
 	}
 }
 
-// path is the full name of an expression's key, in which each array of tables stands for its last element.
+// keyPath returns the full name of an expression's key, in which each array of tables stands for its last element.
 func (f *File) keyPath(p *unstable.Parser, e *unstable.Node, table string, counts map[string]int) string {
 	path, line := table, 0
 	for it := e.Key(); it.Next(); {
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -40,7 +40,7 @@
   { speed = 2.5 }]
 `
 
-func TestPlaces(t *testing.T) {
+func TestKeyLines(t *testing.T) {
 	var v file
 	f, err := Decode("x.toml", []byte(good), &v)
 	if err != nil {
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestFaults(t *testing.T) {
+func TestKeyErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		"name = \"a\"\nnom = 3":           "x.toml:2: nom: is unknown",
 		"[fleet]\nsize = \"many\"":        "x.toml:2: fleet.size: ",
