--- a/internal/accesslog/accesslog_test.go
+++ b/internal/accesslog/accesslog_test.go
@@ -214,7 +214,7 @@
 
 // Guards against faults of the sink that are not told, or that leave what a reader takes for whole lines; and
 // against bounds that do not hold. The clock is the test's.
-func TestFaultsAndRate(t *testing.T) {
+func TestSinkFaultsAndRateLimit(t *testing.T) {
 	out := &failingWriter{takes: len(prefix) + 250}
 	r := newRecorder(t, "log", 0, out)
 	var now time.Duration
@@ -247,7 +247,7 @@
 
 // Guards against files beyond their bound, without a header, or that two sidecars write; and against a
 // restart that loses what was there.
-func TestFile(t *testing.T) {
+func TestFileRotation(t *testing.T) {
 	const most = 64 << 10
 	path := filepath.Join(t.TempDir(), "streams")
 	if err := os.WriteFile(path, []byte(`{"rec":"stre`), 0o600); err != nil { // somebody ended in the middle
@@ -295,7 +295,7 @@
 }
 
 // Guards against names that are kept for ever, or lost while a stream may still need them.
-func TestNamesOfHostsThatWent(t *testing.T) {
+func TestNamesOfRemovedEndpoints(t *testing.T) {
 	r := newRecorder(t, "log", 0, io.Discard)
 	r.Listed(balance.ListFull, []cluster.Member{{ID: "s-1", Endpoint: 1, State: balance.Ready}})
 	r.Listed(balance.ListFull, nil)
@@ -309,7 +309,7 @@
 
 const head = `{"rec":"start","v":1,"name":"n","at":5,"cores":1,"memory_mb":32,"sockets":64,"settings":{"classes":[{"name":"a","idempotency":"read_like"}]}}` + "\n"
 
-func TestReadFaults(t *testing.T) {
+func TestReadErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		"":                         "no header in 0 lines",
 		"a log\nof something else": "no header in 2 lines",
@@ -334,7 +334,7 @@
 }
 
 // Guards against a cut that costs more than its line, wherever it falls.
-func TestCut(t *testing.T) {
+func TestTruncatedLines(t *testing.T) {
 	line := `{"rec":"stream","t":1,"class":"a","end":"served"}`
 	for n := range len(line) {
 		rec := mustRead(t, head+line+"\n"+line[:n])
--- a/internal/accesslog/encode.go
+++ b/internal/accesslog/encode.go
@@ -14,24 +14,24 @@
 	"pinelb.example/pinelb/internal/stream"
 )
 
-// begin begins a line.
+// beginLine begins a line.
 func beginLine(b []byte, kind string) []byte {
 	b = append(b, prefix...)
 	b = append(b, kind...)
 	return append(b, '"')
 }
 
-// end ends one.
+// endLine ends a line.
 func endLine(b []byte) []byte { return append(b, '}', '\n') }
 
-// key appends the key of the next value.
+// appendKey appends the key of the next value.
 func appendKey(b []byte, name string) []byte {
 	b = append(b, ',', '"')
 	b = append(b, name...)
 	return append(b, '"', ':')
 }
 
-// number appends a whole number, unless it is 0, which readers take for a key that is absent.
+// appendNumber appends a whole number, unless it is 0, which readers assume for an absent key.
 func appendNumber(b []byte, name string, n int64) []byte {
 	if n == 0 {
 		return b
@@ -39,7 +39,7 @@
 	return strconv.AppendInt(appendKey(b, name), n, 10)
 }
 
-// ms appends a time in milliseconds, to 0.1 ms.
+// appendMillis appends a duration in milliseconds, rounded to 0.1 ms.
 func appendMillis(b []byte, d time.Duration) []byte {
 	tenths := d.Round(100*time.Microsecond).Microseconds() / 100
 	if tenths < 0 {
@@ -52,7 +52,7 @@
 	return b
 }
 
-// text appends a JSON string. Plain words, as nearly all are, need no look at what has to be escaped.
+// appendText appends a JSON string. Plain words, as nearly all are, need no check of what has to be escaped.
 func appendText(b []byte, s string) []byte {
 	for i := range len(s) {
 		if c := s[i]; c < ' ' || c > '~' || c == '"' || c == '\\' {
@@ -74,12 +74,12 @@
 	b = strconv.AppendInt(appendKey(b, "sockets"), int64(c.Limits.Sockets), 10)
 	var site bytes.Buffer
 	if json.Compact(&site, []byte(c.RawSettings)) != nil {
-		site.WriteString("{}") // it has been read before, so this can't be
+		site.WriteString("{}") // it was parsed before, so this can't happen
 	}
 	return endLine(append(appendKey(b, "settings"), site.Bytes()...))
 }
 
-// appendCluster appends a list.
+// appendCluster appends a list of endpoints.
 func appendCluster(b []byte, at time.Duration, list ListKind, members []cluster.Member) []byte {
 	b = appendMillis(appendKey(beginLine(b, kindCluster), "t"), at)
 	b = appendText(appendKey(b, "list"), lists[list])
@@ -103,7 +103,7 @@
 	return endLine(append(b, ']'))
 }
 
-// appendStream appends a stream; name gives the hosts' ids.
+// appendStream appends a stream; name returns the endpoints' ids.
 func appendStream(b []byte, start time.Time, l *stream.Life, name func(balance.EndpointID) string) []byte {
 	req := l.Request
 	b = appendMillis(appendKey(beginLine(b, kindStream), "t"), req.Arrived.Sub(start))
@@ -136,7 +136,7 @@
 	return endLine(b)
 }
 
-// appendLost appends what is missing.
+// appendLost appends the counts of a loss.
 func appendLost(b []byte, l Loss) []byte {
 	b = appendMillis(appendKey(beginLine(b, kindLost), "t"), l.From)
 	b = appendMillis(appendKey(b, "until"), l.Until)
--- a/internal/accesslog/fields.go
+++ b/internal/accesslog/fields.go
@@ -9,12 +9,13 @@
 	"github.com/tidwall/gjson"
 )
 
+// maxMilliseconds bounds any time, Unix time included, to what a time.Duration can represent.
 const maxMilliseconds = 9e12 // milliseconds of any time, Unix time included: a time.Duration holds them
 
-// fields takes typed values out of one line and keeps the first fault. Absent keys read as zero.
+// lineFields decodes typed values of one line and keeps the first error. Absent keys read as zero.
 type lineFields struct {
 	json gjson.Result
-	path string // where the object stands in its line, for messages
+	path string // of the object in its line, for errors
 	err  error
 }
 
@@ -24,7 +25,7 @@
 	}
 }
 
-// get is the value of a key, which has to be of that type if it is there.
+// get returns the value of a key, which has to be of that type if it is there.
 func (f *lineFields) get(key, want string, fits func(gjson.Result) bool) gjson.Result {
 	v := f.json.Get(key)
 	if v.Exists() && !fits(v) {
@@ -68,10 +69,10 @@
 		f.fail(key, "must be a time in milliseconds")
 		return 0
 	}
-	return time.Duration(math.Round(n*1000)) * time.Microsecond // as nanoseconds it would not fit into a float64
+	return time.Duration(math.Round(n*1000)) * time.Microsecond // a float64 can't represent it in nanoseconds
 }
 
-// word reads one of the words and returns its place among them.
+// enum reads one of the words and returns its index.
 func (f *lineFields) enum(key string, words []string) int {
 	i := slices.Index(words, f.text(key))
 	if i < 0 {
--- a/internal/accesslog/queue.go
+++ b/internal/accesslog/queue.go
@@ -8,41 +8,41 @@
 )
 
 const (
-	maxQueueBytes      = 256 << 10              // bytes of lines that wait for the sink
-	maxLogBytes        = 64 << 10               // bytes more, for the lines of the log itself
-	writeInterval      = 20 * time.Millisecond  // between two writes, so that one takes many lines
-	retryInterval      = time.Second            // a sink that has failed is tried again
-	lossReportInterval = time.Second            // between two lines that tell of losses
-	closeTimeout       = 200 * time.Millisecond // a sink that is blocked does not hold up the end beyond this
+	maxQueueBytes      = 256 << 10              // of pending lines
+	maxLogBytes        = 64 << 10               // in addition, for the log's own lines
+	writeInterval      = 20 * time.Millisecond  // between two writes, so that one has many lines
+	retryInterval      = time.Second            // after a sink has failed
+	lossReportInterval = time.Second            // between two lines about losses
+	closeTimeout       = 200 * time.Millisecond // of close, for a sink that is blocked
 )
 
 var errSinkBlocked = errors.New("record: the log or file did not take the last lines in time")
 
-// queue hands lines to the one goroutine that writes them, run. Whoever hands them over never waits for the
-// sink: what does not fit into the bounds is counted and left out.
+// queue passes lines to its goroutine, run, which writes them. Its callers never wait for the sink: lines beyond the bounds are
+// counted and left out.
 type queue struct {
 	sink      sink
 	perSecond int                   // lines of streams
-	preamble  func(b []byte) []byte // what a sink has to begin with: the header and the list of hosts
-	now       func() time.Duration  // the start
-	onFault   func(err error)       // is told when the sink fails, and with nil when it works again
-	wake      chan struct{}         // holds one where there is work
+	preamble  func(b []byte) []byte // the beginning of a sink: the header and the list of endpoints
+	now       func() time.Duration  // since the start
+	onFault   func(err error)       // called when the sink fails, and with nil when it works again
+	wake      chan struct{}         // has a value when there is work
 	closing   chan struct{}
-	done      chan struct{} // when run has ended
+	done      chan struct{} // closed when run has ended
 
 	mu            sync.Mutex
-	pending       []byte // whole lines
+	pending       []byte // complete lines
 	needsPreamble bool   // the sink lacks the preamble, or a list
 	closed        bool
-	currentSecond time.Duration // the last one in which a stream's line came
-	linesInSecond int           // of streams in that second
-	lost          Loss          // not told yet; From is the first one's time
+	currentSecond time.Duration // of the last line of a stream
+	linesInSecond int           // of streams, in that second
+	lost          Loss          // not reported yet; From is the first one's time
 
-	// Of run alone.
-	spare      []byte // takes turns with wait
+	// Owned by run.
+	spare      []byte // swapped with pending
 	failed     bool
-	retryAt    time.Duration // not before, once it has failed
-	reportedAt time.Duration // when the last losses were told
+	retryAt    time.Duration // after a failure
+	reportedAt time.Duration // when losses were last reported
 }
 
 func newQueue(s sink, perSecond int, preamble func([]byte) []byte, since func() time.Duration, fault func(error)) *queue {
@@ -52,7 +52,7 @@
 	return q
 }
 
-// stream hands over a stream's line.
+// addStream takes a stream's line.
 func (q *queue) addStream(line []byte) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -66,14 +66,14 @@
 	}
 }
 
-// list hands over the line of a list of hosts. Where it is lost the whole list is owed.
+// addList takes the line of a list of endpoints. Where it is lost the preamble is written again.
 func (q *queue) addList(line []byte) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.needsPreamble = !q.add(line, maxQueueBytes) || q.needsPreamble
 }
 
-// owe has the preamble come again, ahead of what follows.
+// requestPreamble has the preamble written again, before what follows.
 func (q *queue) requestPreamble() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -81,7 +81,7 @@
 	q.add(nil, maxQueueBytes)
 }
 
-// Write hands over a line of the log.
+// Write takes a line of the log.
 func (q *queue) Write(line []byte) (int, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -91,9 +91,9 @@
 	return len(line), nil
 }
 
-// add takes a line if there is room; the caller holds the lock.
-func (q *queue) add(line []byte, most int) bool {
-	if q.closed || len(q.pending)+len(line) > most {
+// add takes a line if there is room; the caller holds mu.
+func (q *queue) add(line []byte, maxBytes int) bool {
+	if q.closed || len(q.pending)+len(line) > maxBytes {
 		return false
 	}
 	q.pending = append(q.pending, line...)
@@ -104,7 +104,7 @@
 	return true
 }
 
-// miss counts lines that are lost; the caller holds the lock.
+// countLost counts lines that are lost; the caller holds mu.
 func (q *queue) countLost(n LostLines) {
 	if q.lost.LostLines == (LostLines{}) {
 		q.lost.From = q.now()
@@ -112,8 +112,8 @@
 	q.lost.add(n)
 }
 
-// close ends run once it has written what waits, so many streams being left out because they are not over. It
-// does not wait long for a sink that is blocked.
+// close ends run once it has written the pending lines; open streams are counted as lost. It waits for a blocked sink for
+// closeTimeout at most.
 func (q *queue) close(open int) error {
 	q.mu.Lock()
 	q.countLost(LostLines{Open: open})
@@ -130,7 +130,7 @@
 	}
 }
 
-// run writes what is handed over until close.
+// run writes what is pending until close.
 func (q *queue) run() {
 	defer close(q.done)
 	pause := time.NewTimer(0)
@@ -145,13 +145,13 @@
 		pause.Reset(writeInterval)
 		select {
 		case <-pause.C:
-		case <-q.closing: // the next round sees it too
+		case <-q.closing: // the next iteration handles it
 		}
 	}
 	q.sink.close()
 }
 
-// flush writes what waits. What the sink does not take is lost, and so is what comes before it is tried again.
+// flush writes what is pending. What the sink doesn't accept is lost, and so is what comes before it is tried again.
 func (q *queue) flush(last bool) {
 	now := q.now()
 	q.mu.Lock()
@@ -178,10 +178,11 @@
 	}
 }
 
-// write gives the sink a batch, and ahead of it what it lacks. It returns the lines that were not taken whole.
+// write writes a batch, with the preamble and the losses that are due before it. It returns the lines that were not written
+// completely.
 func (q *queue) write(batch []byte, owed bool, lost Loss) ([]byte, error) {
 	text, n := batch, 0
-	for range 2 { // a file that is full gives way to the next, which begins with the preamble
+	for range 2 { // a full file is replaced by another one, which begins with the preamble
 		fresh, err := q.sink.ready()
 		if err != nil {
 			return text, err
@@ -203,7 +204,7 @@
 	return text, errFull
 }
 
-// restore counts the lines that the sink did not take, and takes back what it was not told.
+// restore counts the lines that were not written, and keeps the losses that were not reported.
 func (q *queue) restore(lines []byte, lost Loss) {
 	var n LostLines
 	for line := range bytes.Lines(lines) {
--- a/internal/accesslog/read.go
+++ b/internal/accesslog/read.go
@@ -19,21 +19,20 @@
 )
 
 const (
-	maxLineBytes       = 64 << 20 // bytes of a line: a list of hosts may be long
-	maxLinePrefixBytes = 256      // bytes within which a line of a collected log has to begin
+	maxLineBytes       = 64 << 20 // of a line: a list of endpoints may be long
+	maxLinePrefixBytes = 256      // that a log collector may put before a line
 )
 
-// Read reads a record, or the log that one is part of, or several after one another; files that took each
-// other's place have to come in their order. A line that is cut off is counted and left out. Faulty lines are
-// errors that name the line and the key, and so are a record without a header, one of another version, and a
-// stream of a class that its header's settings lack.
+// Read reads a recording, or the log that it is part of, or several one after the other; rotated files have to come in their
+// order. A line that is cut off is counted and left out. An invalid line is an error that names the line and the key, and so
+// are a recording without a header, one of another version, and a stream of a class that its header's settings lack.
 func Read(in io.Reader) (*Recording, error) {
 	r := &reader{out: &Recording{}}
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		r.n++
-		if r.out.Truncated { // what looked like the end was not
+		if r.out.Truncated { // the cut line wasn't the last one
 			r.out.Truncated = false
 			r.out.Skipped++
 		}
@@ -47,7 +46,7 @@
 	if r.run == nil {
 		return nil, fmt.Errorf("record: no header in %d lines: nothing was recorded", r.n)
 	}
-	for _, run := range r.out.Runs { // of one time, lists stay as they were written: in that order they add up
+	for _, run := range r.out.Runs { // lists of one time stay in the order in which they were written, and apply
 		slices.SortStableFunc(run.Lists, func(a, b EndpointList) int { return cmp.Compare(a.At, b.At) })
 		slices.SortStableFunc(run.Streams, func(a, b Stream) int { return cmp.Compare(a.Arrival, b.Arrival) })
 	}
@@ -57,12 +56,12 @@
 
 type reader struct {
 	out *Recording
-	run *Run // whose lines these are
+	run *Run // of the last header
 	n   int  // lines so far
 }
 
 func (r *reader) line(b []byte) error {
-	// Whoever collects a log may put its time or a name before each line.
+	// A log collector may put its time or a name before each line.
 	if at := bytes.Index(b[:min(len(b), maxLinePrefixBytes)], []byte(prefix)); at > 0 && b[0] != '{' {
 		b = b[at:]
 	}
--- a/internal/accesslog/recorder.go
+++ b/internal/accesslog/recorder.go
@@ -16,27 +16,28 @@
 	"pinelb.example/pinelb/internal/stream"
 )
 
-// nameRetention is how long a host that has gone keeps its name here beyond the longest deadline: streams that it
-// had a part in may still be open.
+// nameRetention is how long the name of a removed endpoint is kept, beyond the longest deadline: streams with attempts at it
+// may still be open.
 const nameRetention = time.Minute
 
-// Recorder writes a record. It is a stream.Observer and a cluster.Observer, and never keeps either waiting.
+// Recorder records streams and lists of endpoints. It implements stream.Observer and cluster.Observer, and never makes them
+// wait.
 type Recorder struct {
-	Open func() int // how many streams are not over, asked at Close; nil: not counted
+	Open func() int // called by Close: how many streams are open; nil: they aren't counted
 
 	start         time.Time
-	nameRetention time.Duration // the names of hosts that have gone
+	nameRetention time.Duration // of removed endpoints
 	out           io.Writer
 	log           zerolog.Logger
 	queue         *queue
 
 	mu      sync.RWMutex
-	eras    []configEra // whose classes streams may still have; the last one is in force
+	eras    []configEra // of which streams may still have classes; the last one is in force
 	hosts   map[balance.EndpointID]endpoint
-	hasList bool // there has been a list
+	hasList bool // a list was received
 }
 
-// era is a configuration, and when another one took its place.
+// configEra is a configuration, and when another one replaced it.
 type configEra struct {
 	*config.Config
 	replacedAt time.Duration
@@ -44,11 +45,11 @@
 
 type endpoint struct {
 	cluster.Member
-	removedAt time.Duration // when it went; 0 while it is there
+	removedAt time.Duration // 0: it is there
 }
 
-// New returns a recorder for the sidecar of that configuration. Where the record goes to the log, log is that:
-// the lines of the log itself then have to go through Log, or both would break each other up.
+// New returns a recorder for the sidecar with that configuration. Where the lines go to the log, the parameter log is that log:
+// its own lines then have to go through Log, or both would interrupt each other.
 func New(c *config.Config, o *config.AccessLog, log io.Writer) *Recorder {
 	r := &Recorder{start: time.Now(), nameRetention: nameRetention, out: log, hosts: map[balance.EndpointID]endpoint{}}
 	r.setConfigLocked(c)
@@ -63,8 +64,8 @@
 	return r
 }
 
-// SetConfig has the streams that follow stand under another configuration's header. Streams of a class that it lacks may be
-// under way, so that its predecessor's still stands before it for a while.
+// SetConfig has the following streams recorded under another configuration's header. Streams of classes that it lacks may still
+// be open, so that its predecessor's header is written before it for a while.
 func (r *Recorder) SetConfig(c *config.Config) {
 	r.mu.Lock()
 	r.setConfigLocked(c)
@@ -72,7 +73,7 @@
 	r.queue.requestPreamble()
 }
 
-// use takes over a configuration; the caller holds the lock, or is alone.
+// setConfigLocked is SetConfig's change of state; the caller holds mu, or is alone.
 func (r *Recorder) setConfigLocked(c *config.Config) {
 	now := r.since()
 	if n := len(r.eras); n > 0 {
@@ -85,18 +86,18 @@
 	}
 }
 
-// Log is where the log's own lines are to be written. Writing to it never waits where the record goes to the
-// log: lines that the log does not take in time are lost and counted.
+// Log returns the writer for the log's own lines. Writing to it never waits where the lines of streams go to the log, too:
+// lines that the log doesn't accept in time are lost and counted.
 func (r *Recorder) Log() io.Writer { return r.out }
 
-// Start begins to write. Faults of the file are told to log.
+// Start starts to write. Faults of the file are logged.
 func (r *Recorder) Start(log zerolog.Logger) {
 	r.log = log
 	go r.queue.run()
 }
 
-// Close writes what waits and ends the recorder, which takes nothing from then on; streams that are not over are
-// counted as lost. It returns an error after 0.2 s of a log or file that is blocked.
+// Close writes the pending lines and ends the recorder; open streams are counted as lost. It returns an error if the output
+// blocks for 0.2 s.
 func (r *Recorder) Close() error {
 	open := 0
 	if r.Open != nil {
@@ -105,7 +106,7 @@
 	return r.queue.close(open)
 }
 
-// Ended records a stream.
+// Ended records a stream. It implements stream.Observer.
 func (r *Recorder) Ended(l *stream.Life) {
 	line := buffers.Get().(*[]byte)
 	r.mu.RLock()
@@ -117,7 +118,7 @@
 
 var buffers = sync.Pool{New: func() any { b := make([]byte, 0, 256); return &b }}
 
-// Listed records a list of discovery's.
+// Listed records a list from discovery. It implements cluster.Observer.
 func (r *Recorder) Listed(kind balance.ListKind, members []cluster.Member) {
 	now := r.since()
 	r.mu.Lock()
@@ -140,22 +141,22 @@
 	}
 	r.hasList = true
 	r.mu.Unlock()
-	if kind != balance.ListDelta || len(members) > 0 { // a watch that ran out has no news
+	if kind != balance.ListDelta || len(members) > 0 { // a long poll that timed out has no change
 		r.queue.addList(appendCluster(nil, now, ListKind(kind), members))
 	}
 }
 
 func (r *Recorder) since() time.Duration { return time.Since(r.start) }
 
-// name is a host's id; the caller holds the lock.
+// endpointID returns an endpoint's id; the caller holds mu.
 func (r *Recorder) endpointID(id balance.EndpointID) string {
 	if h, known := r.hosts[id]; known {
 		return h.ID
 	}
-	return fmt.Sprint("#", id) // by faulty decisions
+	return fmt.Sprint("#", id) // a fault of the engine
 }
 
-// preamble appends the header and the hosts that are there.
+// preamble appends the header and the endpoints that are there.
 func (r *Recorder) preamble(b []byte) []byte {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -178,7 +179,7 @@
 	return appendCluster(b, r.since(), ListCurrent, there)
 }
 
-// fault tells the log that the record can't be written, and with nil that it can be again.
+// reportFault logs that lines can't be written, and with nil that they can be again.
 func (r *Recorder) reportFault(err error) {
 	if err != nil {
 		r.log.Warn().Err(err).Msg("the record is not written")
--- a/internal/accesslog/recording.go
+++ b/internal/accesslog/recording.go
@@ -1,6 +1,12 @@
-// Package record keeps one line for each stream of a sidecar, and what it knew of its cluster, so that a bad
-// morning can be rehearsed later from the record alone. Recorder writes a record and Read reads it; the lines
-// are JSON objects, each of which begins with its kind.
+// Package accesslog writes one line for each stream of a sidecar, and the lists of endpoints that it knew, so that a time can
+// be simulated later from the file alone. A Recorder writes lines, Read reads them into a Recording, and Write writes a
+// Recording. The lines are JSON objects, each of which begins with its kind.
+//
+// Package daemon attaches a Recorder to the proxies and to the table of endpoints; the rig reads recordings. A Recorder may be
+// used by many goroutines at once and never waits for its output: lines beyond its bounds are counted and left out. Read and
+// Write are for one goroutine.
+//
+// The lines are read by other releases: keys and words stay. Errors begin with "record:", as they always have.
 package accesslog
 
 import (
@@ -12,10 +18,10 @@
 	"pinelb.example/pinelb/internal/stream"
 )
 
-// Version is the format's, told in each header. A reader takes no other.
+// Version is the format's version, which each header has. Read accepts no other.
 const Version = 1
 
-// prefix begins each line of a record, and no other line of a sidecar's log.
+// prefix begins each line of a recording, and no other line of a sidecar's log.
 const prefix = `{"rec":"`
 
 // The kinds of line.
@@ -28,61 +34,61 @@
 
 // Recording is what Read has found.
 type Recording struct {
-	Runs      []*Run // by their starts
-	Other     int    // lines that are not a record's, such as a log's
-	Skipped   int    // lines of a record that are cut off, by the end of a process or a full disk
-	Truncated bool   // the last line is cut off; it is not among Skipped
+	Runs      []*Run // by start
+	Other     int    // lines that aren't a recording's, such as a log's
+	Skipped   int    // lines of a recording that are cut off, by the end of a process or a full disk
+	Truncated bool   // the last line is cut off; it isn't counted in Skipped
 }
 
-// Run is what was recorded between one start of a sidecar and its end. Times are since its start.
+// Run is what was recorded between a start of a sidecar and its end. Times are since its start.
 type Run struct {
 	Header  Header
 	Lists   []EndpointList // by time
 	Streams []Stream       // by arrival
-	Losses  []Loss         // as told
+	Losses  []Loss         // as recorded
 }
 
-// Header is what a rehearsal has to know of a sidecar.
+// Header is a sidecar's configuration, as a simulation needs it.
 type Header struct {
 	Name     string
-	Start    time.Time // by the wall clock, to the millisecond
+	Start    time.Time // by the wall clock, in whole milliseconds
 	Limits   config.Limits
-	Site     string          // the settings as the platform gave them, as JSON
-	Settings config.Settings // Site, read
+	Site     string          // the platform's settings, as JSON
+	Settings config.Settings // Site, parsed
 }
 
-// Kind says what the hosts of a Cluster are.
+// ListKind is what an EndpointList contains.
 type ListKind uint8
 
-// The kinds of list. All but Change have every host.
+// The kinds of lists. All but ListDelta are complete.
 const (
-	ListDelta   = ListKind(balance.ListDelta)  // discovery told these hosts' change
-	ListFull    = ListKind(balance.ListFull)   // discovery told all of them
-	ListCached  = ListKind(balance.ListCached) // the platform told them at the start, perhaps out of date
-	ListCurrent = ListCached + 1               // the sidecar had these: a file begins with them, and so does what follows a loss
+	ListDelta   = ListKind(balance.ListDelta)  // discovery reported these changes
+	ListFull    = ListKind(balance.ListFull)   // discovery reported all endpoints
+	ListCached  = ListKind(balance.ListCached) // the platform's at the start, which may be outdated
+	ListCurrent = ListCached + 1               // those that the sidecar has: at the beginning of a file, and after a loss
 )
 
-// Lists is a list of hosts.
+// EndpointList is a list of endpoints, or a change of one.
 type EndpointList struct {
 	At    time.Duration
 	Kind  ListKind
 	Hosts []cluster.Member // without addresses and numbers
 }
 
-// Stream is one stream's life.
+// Stream is a stream from its arrival to its answer.
 type Stream struct {
 	Arrival    time.Duration
 	Class      int           // index into the settings' classes
-	TimeLeft   time.Duration // at the arrival, until the client gives up
-	Retry      bool          // the client's own retry
+	TimeLeft   time.Duration // at the arrival, until the client's time-out
+	Retry      bool          // the request is the client's retry
 	Body       int           // bytes of the request's
-	Attempts   []Attempt     // in the order in which they began
+	Attempts   []Attempt     // in the order of their starts
 	Outcome    stream.Outcome
 	Answered   time.Duration // after the arrival
-	RetryAfter time.Duration // told to the client; 0 is none
+	RetryAfter time.Duration // sent to the client; 0: none
 }
 
-// Attempt is one upstream request.
+// Attempt is one request to an upstream host.
 type Attempt struct {
 	Host         string        // discovery's id
 	StartedAfter time.Duration // after the stream's arrival
@@ -90,18 +96,18 @@
 	Status       balance.Status
 }
 
-// Losses tells of lines that are missing between two times.
+// Loss counts the lines that are missing between two times.
 type Loss struct {
 	From, Until time.Duration
 	LostLines
 }
 
-// LostLines counts lines that are missing, by the reason.
+// LostLines counts lines that are missing, by reason.
 type LostLines struct {
-	Rate int // streams beyond the lines a second that are allowed
-	Sink int // lines that the log or the file did not take, or not in time
-	Log  int // lines of the log itself that it did not take in time, where the record goes to the log
-	Open int // streams that were not over when the sidecar ended, with all their attempts
+	Rate int // streams beyond the permitted lines a second
+	Sink int // lines that the output did not accept, or not in time
+	Log  int // the log's own lines that it did not accept in time, where the lines go to the log
+	Open int // streams that were not complete when the sidecar ended, with all their attempts
 }
 
 func (l *LostLines) add(n LostLines) {
@@ -117,7 +123,7 @@
 var statuses = [...]string{balance.OK: "ok", balance.Error: "error", balance.Full: "full", balance.Timeout: "timeout",
 	balance.ConnectFailed: "connect", balance.Reset: "reset", balance.Cancelled: "cancelled", balance.Moot: "moot"}
 
-// lists are the words for List.
+// lists are the words for ListKind.
 var lists = [...]string{ListDelta: "change", ListFull: "whole", ListCached: "known", ListCurrent: "held"}
 
 // phases are discovery's words for balance.Availability.
--- a/internal/accesslog/sink.go
+++ b/internal/accesslog/sink.go
@@ -9,22 +9,22 @@
 	"syscall"
 )
 
-// errFull says that a file has no room for a batch and is to give way to the next.
+// errFull says that a file has no room for a batch and is to be rotated.
 var errFull = errors.New("record: the list of hosts takes more than half of what record.most allows")
 
-// sink is where lines go in the end. Its methods may block: one goroutine alone calls them.
+// sink is an output. Its methods may block: only one goroutine calls them.
 type sink interface {
-	// ready opens the sink where it has to, and tells whether that is one that lacks the preamble.
+	// ready opens the sink where necessary, and reports whether it needs the preamble.
 	ready() (fresh bool, err error)
-	// write returns how many bytes of a batch were taken.
+	// write returns how many bytes of a batch were written.
 	write(batch []byte) (int, error)
 	close()
 }
 
-// stderr is the log.
+// logSink is the log.
 type logSink struct {
 	out     io.Writer
-	midLine bool // the last line is
+	midLine bool // the last line is incomplete
 }
 
 func (s *logSink) ready() (bool, error) {
@@ -45,11 +45,11 @@
 
 func (s *logSink) close() {}
 
-// file is a file that gives way to a new one when it is full. It stays beside that with ".1" added to its name,
-// in the place of the one before it. Both together never take more than was allowed.
+// fileSink is a file that is rotated when it is full: it is renamed with the suffix ".1", in place of the one before it. Both
+// together never exceed the permitted size.
 type fileSink struct {
 	path     string
-	maxBytes int64 // bytes of each
+	maxBytes int64 // of each of the two
 	file     *os.File
 	size     int64
 	full     bool
@@ -83,7 +83,7 @@
 		_ = f.Close() // nothing was written
 		return false, err
 	}
-	if s.file, s.size = f, info.Size(); s.size > 0 { // whoever wrote it may have ended in the middle of a line
+	if s.file, s.size = f, info.Size(); s.size > 0 { // its last writer may have ended in the middle of a line
 		if _, err := s.write([]byte{'\n'}); err != nil && !s.full {
 			return false, err
 		}
@@ -98,7 +98,7 @@
 	}
 	n, err := s.file.Write(batch)
 	s.size += int64(n)
-	if err != nil { // opened anew, it may be well again
+	if err != nil { // it is opened again for the next batch
 		s.close()
 	}
 	return n, err
@@ -106,7 +106,7 @@
 
 func (s *fileSink) close() {
 	if s.file != nil {
-		_ = s.file.Close() // every write's error has been seen
+		_ = s.file.Close() // the errors of all writes have been returned
 		s.file = nil
 	}
 }
--- a/internal/accesslog/write.go
+++ b/internal/accesslog/write.go
@@ -10,8 +10,8 @@
 	"pinelb.example/pinelb/internal/stream"
 )
 
-// Write writes a record as Recorder would have, each run after the one before it: what Read takes from it is
-// the same, to 0.1 ms. Lines that were no record's, or cut off, are gone.
+// Write writes a recording as a Recorder would have, one run after the other: Read reads the same from it, to 0.1 ms. Lines
+// that weren't a recording's, or were cut off, are left out.
 func Write(w io.Writer, r *Recording) error {
 	var b []byte
 	for _, run := range r.Runs {
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// life is a stream as it was observed; its attempts' hosts are their places.
+// observed returns the stream as an Observer receives it; the endpoints of its attempts are their indexes.
 func (s *Stream) observed(h *Header) *stream.Life {
 	arrived := h.Start.Add(s.Arrival)
 	l := &stream.Life{
