--- a/cmd/pinelb/audit.go
+++ b/cmd/pinelb/audit.go
@@ -16,8 +16,8 @@
 	versions "pinelb.example/pinelb/internal/version"
 )
 
-// auditLine is what can stand after "pinelb audit".
-type auditLine struct {
+// auditCommand is the grammar of "pinelb audit". The names of the fields are those of the flags.
+type auditCommand struct {
 	Roster string `arg:"" placeholder:"FILE" help:"The sidecars: TOML, tables [[sidecar]] with name, addr (where operators call it) and, where they are known, zone and dir (its [state] directory)."`
 
 	List    string        `placeholder:"ADDR" help:"The list service, whose list is then the reference. Without it that is the list which was adopted last."`
@@ -45,8 +45,8 @@
 	Share    float64         `default:"0.1" help:"Of the fleet, and of each zone, that may be shut out at once."`
 }
 
-// runAudit audits, and returns the exit status.
-func runAudit(line *auditLine) int {
+// runAudit audits and returns the exit status.
+func runAudit(line *auditCommand) int {
 	o, err := line.options()
 	if err == nil {
 		ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -59,11 +59,11 @@
 		}
 	}
 	fmt.Fprintln(os.Stderr, "pinelb audit:", err)
-	return statusFaulty
+	return exitFaulty
 }
 
-// options are what an audit is started with. An error names the argument, or the roster's file, line and key.
-func (l *auditLine) options() (audit.Options, error) {
+// options returns the audit's options. An error names the argument, or the inventory's file, line and key.
+func (l *auditCommand) options() (audit.Options, error) {
 	roster, err := audit.ReadInventory(l.Roster)
 	if err != nil {
 		return audit.Options{}, err
@@ -74,7 +74,7 @@
 	if l.Watch < 0 || l.Rounds < 0 {
 		return audit.Options{}, fmt.Errorf("--watch and --rounds: %v and %d must not be below 0", l.Watch, l.Rounds)
 	}
-	host, _ := os.Hostname() // without one the time alone tells auditors apart
+	host, _ := os.Hostname() // without one the time alone distinguishes auditors
 	o := audit.Options{Inventory: roster, Dirs: map[string]string{}, Site: l.Site, List: l.List, Concurrency: l.AtATime, Timeout: l.Within,
 		By:           cmp.Or(l.By, host+"-"+strconv.FormatInt(time.Now().UnixMilli(), 36)),
 		RaiseMinimum: l.Raise, ShutOut: l.ShutOut, Settings: l.Settings, File: l.File, Builds: l.Build,
--- a/cmd/pinelb/audit_status_test.go
+++ b/cmd/pinelb/audit_status_test.go
@@ -43,7 +43,7 @@
 		well + " --settings xyz":                               2,
 		well + " --share 1.5":                                  2,
 	} {
-		if got := command(append([]string{"audit", "--within", "10s"}, strings.Fields(args)...), nil); got != want {
+		if got := runCommand(append([]string{"audit", "--within", "10s"}, strings.Fields(args)...), nil); got != want {
 			t.Errorf("%s: status %d, want %d", args, got, want)
 		}
 	}
--- a/cmd/pinelb/audit_test.go
+++ b/cmd/pinelb/audit_test.go
@@ -18,7 +18,7 @@
 )
 
 // audited starts a sidecar with [audit], and [state] in that directory, and returns where operators call it.
-func audited(t *testing.T, file, dir, tmp string) (*program, string) {
+func startAudited(t *testing.T, file, dir, tmp string) (*program, string) {
 	t.Helper()
 	op := operatorFile(t, fmt.Sprintf("[audit]\nshare = 0.5\n[state]\ndir = %q\n", dir))
 	p := launchOn(t, exec.Command(os.Args[0], "--config", op), file, "LB_CONTROL=127.0.0.1:0", "TMPDIR="+tmp)
@@ -29,7 +29,7 @@
 }
 
 // asked is the sidecar's report, or what an order is answered.
-func asked(t *testing.T, at, path, body string) (int, auditlog.Report, string) {
+func requestAudit(t *testing.T, at, path, body string) (int, auditlog.Report, string) {
 	t.Helper()
 	method := "GET"
 	if body != "" {
@@ -63,15 +63,15 @@
 // orders that are taken though they are old, after a restart too, or another site's; and against a sidecar that is shut out and
 // does not say so, or does not come back by itself.
 func TestAudit(t *testing.T) {
-	a, b := newBox(t, serve("a")), newBox(t, serve("b"))
-	s := newSite(t, host("s-1", a.addr, "Ready"))
+	a, b := newTestHost(t, serve("a")), newTestHost(t, serve("b"))
+	s := newTestSite(t, host("s-1", a.addr, "Ready"))
 	config := configFor(s.addr)
 	config["settings"] = json.RawMessage(strings.Replace(settings, `"n_instances":1`, `"n_instances":2`, 1))
 	file, dir, tmp := configFile(t, config), filepath.Join(t.TempDir(), "state"), t.TempDir()
-	p, at := audited(t, file, dir, tmp)
+	p, at := startAudited(t, file, dir, tmp)
 	report := func(since uint64) auditlog.Report {
 		t.Helper()
-		_, r, _ := asked(t, at, fmt.Sprint("/admin/audit?since=", since), "")
+		_, r, _ := requestAudit(t, at, fmt.Sprint("/admin/audit?since=", since), "")
 		return r
 	}
 	expect := func(when, body string, want int) {
@@ -108,18 +108,18 @@
 		{"an older one", order(6, "", ""), 409, "epoch 6"},
 		{"a long one", order(7, "", `"list":"`+strings.Repeat("0", 5000)+`",`), 400, "at most"},
 	} {
-		if status, _, text := asked(t, at, "/admin/floor", c.body); status != c.want || !strings.Contains(text, c.says) {
+		if status, _, text := requestAudit(t, at, "/admin/floor", c.body); status != c.want || !strings.Contains(text, c.says) {
 			t.Errorf("%s is answered %d %q, want %d", c.what, status, text, c.want)
 		}
 	}
 
 	// A floor that it can't meet, and a ticket: shut out. Without the ticket it is behind, and acts.
 	nowhere := `"list":"00000000000000ff","revision":9007199254740991,`
-	if _, got, _ := asked(t, at, "/admin/floor", order(8, "", nowhere)); got.State != version.Behind {
+	if _, got, _ := requestAudit(t, at, "/admin/floor", order(8, "", nowhere)); got.State != version.Behind {
 		t.Errorf("under a floor: %+v", got)
 	}
 	expect("behind, without a ticket", "b", 200)
-	if _, got, _ := asked(t, at, "/admin/floor", order(8, fmt.Sprintf(`,"ticket":{"no":0,"issued_ms":%d,"for_ms":5000}`, time.Now().UnixMilli()), nowhere)); got.State != version.ShutOut || got.Permit == nil {
+	if _, got, _ := requestAudit(t, at, "/admin/floor", order(8, fmt.Sprintf(`,"ticket":{"no":0,"issued_ms":%d,"for_ms":5000}`, time.Now().UnixMilli()), nowhere)); got.State != version.ShutOut || got.Permit == nil {
 		t.Errorf("with a ticket: %+v", got)
 	}
 	if res, _ := p.call(t, "GET", "/order-status/1", ""); res.StatusCode != 503 {
@@ -130,7 +130,7 @@
 			t.Errorf("shut out, %s is %d", path, got)
 		}
 	}
-	if _, got, _ := asked(t, at, "/admin/floor", order(9, "", "")); got.State != version.Active {
+	if _, got, _ := requestAudit(t, at, "/admin/floor", order(9, "", "")); got.State != version.Active {
 		t.Errorf("under a floor that it meets: %+v", got)
 	}
 	expect("back", "b", 200)
@@ -139,7 +139,7 @@
 	was := report(0)
 	config["settings"] = json.RawMessage(strings.Replace(string(config["settings"].(json.RawMessage)), `"send_cap":4`, `"send_cap":3`, 1))
 	write(t, file, config)
-	asked(t, at, "/admin/floor", order(10, "", `"settings":"00000000000000ff",`))
+	requestAudit(t, at, "/admin/floor", order(10, "", `"settings":"00000000000000ff",`))
 	p.await(t, "configuration read again")
 	if is := report(0); is.VersionID != was.VersionID+1 || is.Version.Settings == was.Version.Settings {
 		t.Errorf("other settings: %+v", is)
@@ -147,7 +147,7 @@
 	expect("with them", "b", 200)
 
 	// An upgrade, and the end of the first.
-	q, next := audited(t, file, dir, tmp)
+	q, next := startAudited(t, file, dir, tmp)
 	for admin(t, "GET", next, "/admin/health") != 200 {
 	}
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
@@ -167,11 +167,11 @@
 	}
 	_ = p.cmd.Process.Kill()
 	_ = p.cmd.Wait()
-	p, at = audited(t, file, dir, tmp)
+	p, at = startAudited(t, file, dir, tmp)
 	if is := report(0); is.Version.Epoch != 10 || is.Version.List.Digest != third.Version.List.Digest {
 		t.Errorf("after a kill: %+v", is.Version)
 	}
-	if status, _, _ := asked(t, at, "/admin/floor", order(9, "", "")); status != 409 {
+	if status, _, _ := requestAudit(t, at, "/admin/floor", order(9, "", "")); status != 409 {
 		t.Errorf("after a restart an older order is answered %d", status)
 	}
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
--- a/cmd/pinelb/size_test.go
+++ b/cmd/pinelb/body_size_test.go
@@ -57,7 +57,7 @@
 		}
 		_, _ = io.Copy(w, &filler{n: size})
 	}))
-	p := start(t, newSite(t, host("s-1", box, "Ready"), host("s-2", box, "Ready")).addr)
+	p := start(t, newTestSite(t, host("s-1", box, "Ready"), host("s-2", box, "Ready")).addr)
 	p.await(t, "cluster changed")
 	for _, many := range []int{1, 10, 50} {
 		var wait sync.WaitGroup
--- a/cmd/pinelb/check.go
+++ b/cmd/pinelb/check.go
@@ -9,24 +9,24 @@
 	"pinelb.example/pinelb/internal/config"
 )
 
-// check reads an operator's file as serve would, and the platform's too if there is one, and returns the exit
+// runCheck checks an operator's file, and the platform's if there is one, as a start of the sidecar does, and returns the exit
 // status.
-func check(operator, platform string) int {
-	op, err := config.LoadOperator(operator)
-	if err == nil && platform != "" {
-		err = checkPlatform(platform, op)
+func runCheck(operatorFile, platformFile string) int {
+	operator, err := config.LoadOperator(operatorFile)
+	if err == nil && platformFile != "" {
+		err = checkPlatformFile(platformFile, operator)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		return statusFaulty
+		return exitFaulty
 	}
 	fmt.Println("no fault found")
 	return 0
 }
 
-// checkPlatform reads the file as if LB_CONFIG named it, with the environment's other variables, and checks that
-// the operator's fits it.
-func checkPlatform(path string, op *config.Operator) error {
+// checkPlatformFile checks the file as if LB_CONFIG named it, with the environment's other variables, and the operator's file
+// with it.
+func checkPlatformFile(path string, operator *config.Operator) error {
 	cfg, err := config.Load(func(key string) string {
 		if key == "LB_CONFIG" {
 			return path
@@ -42,25 +42,25 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	return op.CheckAgainst(cfg)
+	return operator.CheckAgainst(cfg)
 }
 
 // built is the module's version, Go's, and the revision that was built, as far as the build noted it.
-func built() string {
+func versionText() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "pinelb, built without notes"
 	}
 	text := fmt.Sprintf("pinelb %s, %s", info.Main.Version, info.GoVersion)
-	noted := map[string]string{}
+	recorded := map[string]string{}
 	for _, s := range info.Settings {
-		noted[s.Key] = s.Value
+		recorded[s.Key] = s.Value
 	}
-	if noted["vcs.revision"] == "" {
+	if recorded["vcs.revision"] == "" {
 		return text + ", revision not noted"
 	}
-	text += ", revision " + noted["vcs.revision"]
-	if noted["vcs.modified"] == "true" {
+	text += ", revision " + recorded["vcs.revision"]
+	if recorded["vcs.modified"] == "true" {
 		text += ", modified"
 	}
 	return text
--- a/cmd/pinelb/command_test.go
+++ b/cmd/pinelb/command_test.go
@@ -68,7 +68,7 @@
 }
 
 // recording starts a sidecar that records into its log, which nobody reads yet and which holds 4 KiB.
-func recording(t *testing.T, discovery string) (*program, *os.File) {
+func startRecording(t *testing.T, discovery string) (*program, *os.File) {
 	t.Helper()
 	r, w, err := os.Pipe()
 	if err != nil {
@@ -94,9 +94,9 @@
 }
 
 // Guards against a record that can't be read out of the log, or that is not what happened.
-func TestRecordInTheLog(t *testing.T) {
-	b := newBox(t, serve("lens"))
-	p, out := recording(t, newSite(t, host("s-1", b.addr, "Ready")).addr)
+func TestAccessLogInLog(t *testing.T) {
+	b := newTestHost(t, serve("lens"))
+	p, out := startRecording(t, newTestSite(t, host("s-1", b.addr, "Ready")).addr)
 	var all bytes.Buffer
 	p.log = bufio.NewScanner(io.TeeReader(out, &all))
 	p.addr = p.await(t, "listening").Get("addr").Str
@@ -129,12 +129,12 @@
 
 // Guards against a log that nobody reads holding up streams or the end, and against one whose reader has gone
 // ending the sidecar.
-func TestLogThatNobodyReads(t *testing.T) {
+func TestLogWithoutReader(t *testing.T) {
 	for _, gone := range []bool{false, true} {
 		t.Run(fmt.Sprint("gone ", gone), func(t *testing.T) {
 			t.Parallel()
-			b := newBox(t, serve("lens"))
-			p, out := recording(t, newSite(t, host("s-1", b.addr, "Ready")).addr)
+			b := newTestHost(t, serve("lens"))
+			p, out := startRecording(t, newTestSite(t, host("s-1", b.addr, "Ready")).addr)
 			p.log = bufio.NewScanner(out)
 			p.addr = p.await(t, "listening").Get("addr").Str
 			p.await(t, "cluster changed")
--- a/cmd/pinelb/beside_test.go
+++ b/cmd/pinelb/comparison_test.go
@@ -46,20 +46,20 @@
  "rules":{"answer_slack":8000000,"cold":9000000000,"cold_share":0.3,"fall":1000000000,"stop_sending_within":3000000000,"tip_multiple":2.5}}`
 
 // part runs the test binary as the rig's part that the environment names, if it names one.
-func part() {
+func runHelperProcess() {
 	switch {
 	case os.Getenv(hostsRun) != "":
-		runHosts()
+		runTestHosts()
 	case os.Getenv(plainTo) != "":
-		runPlain(strings.Split(os.Getenv(plainTo), ","))
+		runPlainProxy(strings.Split(os.Getenv(plainTo), ","))
 	default:
 		return
 	}
 	os.Exit(0)
 }
 
-// runHosts answers on every address of the loopback's net, so that each is a host.
-func runHosts() {
+// runTestHosts answers on every address of the loopback's net, so that each is a host.
+func runTestHosts() {
 	l, err := net.Listen("tcp4", ":0")
 	if err != nil {
 		panic(err)
@@ -72,8 +72,8 @@
 	}))
 }
 
-// runPlain is the standard library's reverse proxy, which takes the hosts in turn.
-func runPlain(hosts []string) {
+// runPlainProxy is the standard library's reverse proxy, which takes the hosts in turn.
+func runPlainProxy(hosts []string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
@@ -87,8 +87,8 @@
 		}})
 }
 
-// startPart starts the test binary as a part of the rig, and returns what it says first: where it listens.
-func startPart(t testing.TB, env ...string) (pid int, says string) {
+// startHelperProcess starts the test binary as a part of the rig, and returns what it says first: where it listens.
+func startHelperProcess(t testing.TB, env ...string) (pid int, says string) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), env...)
@@ -107,11 +107,11 @@
 }
 
 // path is one way to the hosts: a process between, or none.
-type path struct {
+type proxyPath struct {
 	name string
 	pid  int // 0: no process
 	addr string
-	free chan *link
+	free chan *testConnection
 }
 
 const (
@@ -120,35 +120,35 @@
 	this   = "this"
 )
 
-// besideSite is what the rig stands in.
-type besideSite struct{ hosts, instances int }
+// comparisonSite is what the rig stands in.
+type comparisonSite struct{ hosts, instances int }
 
 // startPaths starts so many hosts and every way to them: none between, the plain proxy, this build, and the others. Each
 // process between has one core, which is the program's default.
-func startPaths(t testing.TB, site besideSite) []*path {
+func startPaths(t testing.TB, site comparisonSite) []*proxyPath {
 	t.Helper()
-	_, port := startPart(t, hostsRun+"=1")
+	_, port := startHelperProcess(t, hostsRun+"=1")
 	addrs, members := make([]string, site.hosts), make([]string, site.hosts)
 	for i := range site.hosts {
 		addrs[i] = fmt.Sprintf("127.1.%d.%d:%s", i/250, 1+i%250, port)
 		members[i] = host(fmt.Sprintf("s-%d", i), addrs[i], "Ready")
 	}
-	paths := []*path{{name: direct, addr: addrs[0]}}
-	pid, addr := startPart(t, plainTo+"="+strings.Join(addrs, ","), "GOMAXPROCS=1")
-	paths = append(paths, &path{name: plain, pid: pid, addr: addr}, startProgram(t, this, os.Args[0], site, members))
+	paths := []*proxyPath{{name: direct, addr: addrs[0]}}
+	pid, addr := startHelperProcess(t, plainTo+"="+strings.Join(addrs, ","), "GOMAXPROCS=1")
+	paths = append(paths, &proxyPath{name: plain, pid: pid, addr: addr}, startProgram(t, this, os.Args[0], site, members))
 	for _, file := range filepath.SplitList(os.Getenv(others)) {
 		paths = append(paths, startProgram(t, filepath.Base(file), file, site, members))
 	}
 	for _, p := range paths {
-		p.free = make(chan *link, 10_000)
+		p.free = make(chan *testConnection, 10_000)
 	}
 	return paths
 }
 
 // startProgram starts a build of the program, as the platform does.
-func startProgram(t testing.TB, name, file string, site besideSite, members []string) *path {
+func startProgram(t testing.TB, name, file string, site comparisonSite, members []string) *proxyPath {
 	t.Helper()
-	s := newSite(t, members...)
+	s := newTestSite(t, members...)
 	config := configFor(s.addr)
 	config["settings"] = json.RawMessage(fmt.Sprintf(besideSettings, site.instances))
 	p := launchOn(t, exec.Command(file, "--config", "../../deploy/platform.toml"), configFile(t, config))
@@ -158,11 +158,11 @@
 		for p.log.Scan() {
 		}
 	}()
-	return &path{name: name, pid: p.cmd.Process.Pid, addr: addr}
+	return &proxyPath{name: name, pid: p.cmd.Process.Pid, addr: addr}
 }
 
 // used is the processor time of a process so far.
-func used(t testing.TB, pid int) time.Duration {
+func cpuTime(t testing.TB, pid int) time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(int32(^pid<<3|2), &ts); err != nil { // the process's clock, as clock_getcpuclockid(3) names it
 		t.Fatal(err)
@@ -171,8 +171,8 @@
 }
 
 // link is a client's connection, which carries one call at a time.
-type link struct {
-	path *path
+type testConnection struct {
+	path *proxyPath
 	conn net.Conn
 	in   *bufio.Reader
 	sent chan time.Time // when the call that is out was due
@@ -180,13 +180,13 @@
 
 var calls atomic.Uint64
 
-func (p *path) dial() (*link, error) {
+func (p *proxyPath) dial() (*testConnection, error) {
 	conn, err := net.Dial("tcp", p.addr)
-	return &link{path: p, conn: conn, in: bufio.NewReader(conn), sent: make(chan time.Time, 1)}, err
+	return &testConnection{path: p, conn: conn, in: bufio.NewReader(conn), sent: make(chan time.Time, 1)}, err
 }
 
 // send writes a call: every second one has a body.
-func (l *link) send() error {
+func (l *testConnection) send() error {
 	n := calls.Add(1)
 	method, class, body := "GET /", "order-status", ""
 	if n%2 == 0 {
@@ -205,7 +205,7 @@
 }
 
 // receive reads an answer whole.
-func (l *link) receive() error {
+func (l *testConnection) receive() error {
 	res, err := http.ReadResponse(l.in, nil)
 	if err != nil {
 		return err
@@ -217,7 +217,7 @@
 }
 
 // closedLoop has so many clients call one after another for a while, and returns how many calls they made.
-func (p *path) closedLoop(t testing.TB, clients int, lasts time.Duration) int {
+func (p *proxyPath) closedLoop(t testing.TB, clients int, lasts time.Duration) int {
 	var made atomic.Int64
 	var all sync.WaitGroup
 	for range clients {
@@ -240,7 +240,7 @@
 }
 
 // take returns a connection that is free, or a new one.
-func (p *path) take() (*link, error) {
+func (p *proxyPath) take() (*testConnection, error) {
 	select {
 	case l := <-p.free:
 		return l, nil
@@ -251,7 +251,7 @@
 
 // openLoop makes so many calls a second for a while, at random times that the seed draws, whether or not there are answers. It
 // returns how long each took from when it was due, and how late each was sent.
-func (p *path) openLoop(t testing.TB, rate float64, lasts time.Duration, seed uint64) (took, late []time.Duration) {
+func (p *proxyPath) openLoop(t testing.TB, rate float64, lasts time.Duration, seed uint64) (took, late []time.Duration) {
 	runtime.LockOSThread() // which sleeps by the kernel's clock: the runtime's timers are 1 ms late
 	defer runtime.UnlockOSThread()
 	var mu sync.Mutex
@@ -303,14 +303,14 @@
 func micros(d time.Duration) float64 { return float64(d) / float64(time.Microsecond) }
 
 // loads are the ways of calling by which CPU is measured; each returns how many calls were made.
-var loads = map[string]func(t testing.TB, p *path, lasts time.Duration, seed uint64) int{
+var loads = map[string]func(t testing.TB, p *proxyPath, lasts time.Duration, seed uint64) int{
 	"106 a second": openAt(106),
 	"400 a second": openAt(400),
-	"8 clients":    func(t testing.TB, p *path, lasts time.Duration, _ uint64) int { return p.closedLoop(t, 8, lasts) },
+	"8 clients":    func(t testing.TB, p *proxyPath, lasts time.Duration, _ uint64) int { return p.closedLoop(t, 8, lasts) },
 }
 
-func openAt(rate float64) func(t testing.TB, p *path, lasts time.Duration, seed uint64) int {
-	return func(t testing.TB, p *path, lasts time.Duration, seed uint64) int {
+func openAt(rate float64) func(t testing.TB, p *proxyPath, lasts time.Duration, seed uint64) int {
+	return func(t testing.TB, p *proxyPath, lasts time.Duration, seed uint64) int {
 		took, _ := p.openLoop(t, rate, lasts, seed)
 		return len(took)
 	}
@@ -324,13 +324,13 @@
 	for _, hosts := range []int{2, 12} {
 		for _, load := range slices.Sorted(maps.Keys(loads)) {
 			b.Run(fmt.Sprintf("hosts=%d/load=%s", hosts, strings.ReplaceAll(load, " ", "-")), func(b *testing.B) {
-				benchmarkPairs(b, startPaths(b, besideSite{hosts, 1})[1:], loads[load]) // no process has the direct way
+				benchmarkPairs(b, startPaths(b, comparisonSite{hosts, 1})[1:], loads[load]) // no process has the direct way
 			})
 		}
 	}
 }
 
-func benchmarkPairs(b *testing.B, paths []*path, load func(testing.TB, *path, time.Duration, uint64) int) {
+func benchmarkPairs(b *testing.B, paths []*proxyPath, load func(testing.TB, *proxyPath, time.Duration, uint64) int) {
 	const slice = 250 * time.Millisecond // what a busy machine does to one it does to the next
 	for _, p := range paths {            // connections come up, and what is learned
 		load(b, p, time.Second, 0)
@@ -339,9 +339,9 @@
 	for n := range b.N {
 		for i := range paths {
 			p := paths[(n+i)%len(paths)]
-			from := used(b, p.pid)
+			from := cpuTime(b, p.pid)
 			made := load(b, p, slice, uint64(n))
-			cost[p.name] = append(cost[p.name], micros(used(b, p.pid)-from)/float64(made))
+			cost[p.name] = append(cost[p.name], micros(cpuTime(b, p.pid)-from)/float64(made))
 		}
 	}
 	for _, p := range paths {
@@ -363,14 +363,14 @@
 //
 //	go test -run '^$' -bench 'BenchmarkAdded/hosts=12/rate=106$' -benchtime 63x -timeout 1h ./cmd/pinelb
 func BenchmarkAdded(b *testing.B) {
-	for _, site := range []besideSite{{12, 1}, {1700, 300}} {
+	for _, site := range []comparisonSite{{12, 1}, {1700, 300}} {
 		for _, rate := range []float64{106, 1000} {
 			b.Run(fmt.Sprintf("hosts=%d/rate=%.0f", site.hosts, rate), func(b *testing.B) { benchmarkAdded(b, startPaths(b, site), rate) })
 		}
 	}
 }
 
-func benchmarkAdded(b *testing.B, paths []*path, rate float64) {
+func benchmarkAdded(b *testing.B, paths []*proxyPath, rate float64) {
 	const slice = 3 * time.Second
 	for _, p := range paths {
 		p.openLoop(b, rate, time.Second, 0)
@@ -403,12 +403,12 @@
 
 // Guards against a rig that measures nothing: every way answers each call of both loads, and its process is seen to work.
 func TestBeside(t *testing.T) {
-	for _, p := range startPaths(t, besideSite{3, 1}) {
+	for _, p := range startPaths(t, comparisonSite{3, 1}) {
 		took, _ := p.openLoop(t, 200, 200*time.Millisecond, 1)
 		if made := p.closedLoop(t, 2, 50*time.Millisecond); len(took) < 10 || made == 0 {
 			t.Errorf("%s: %d calls and %d", p.name, len(took), made)
 		}
-		if p.pid != 0 && used(t, p.pid) <= 0 {
+		if p.pid != 0 && cpuTime(t, p.pid) <= 0 {
 			t.Errorf("%s: its process has used no processor time", p.name)
 		}
 	}
--- a/cmd/pinelb/control_test.go
+++ b/cmd/pinelb/control_test.go
@@ -13,7 +13,7 @@
 )
 
 // operated starts a sidecar that operators can call, and returns where. Processes with the same tmp are of one sidecar.
-func operated(t *testing.T, file, tmp string) (*program, string) {
+func startWithControl(t *testing.T, file, tmp string) (*program, string) {
 	t.Helper()
 	p := launchOn(t, exec.Command(os.Args[0]), file, "LB_CONTROL=127.0.0.1:0", "TMPDIR="+tmp)
 	p.addr = p.await(t, "listening").Get("addr").Str
@@ -37,9 +37,9 @@
 // Guards against a host that is sent to after the yes to its cordon, through lists that have it ready, SIGHUP and its own
 // absence; and against one that is not sent to after its return.
 func TestCordonedHostGetsNothing(t *testing.T) {
-	a, b := newBox(t, serve("a")), newBox(t, serve("b"))
-	s := newSite(t, host("s-1", a.addr, "Ready"), host("s-2", b.addr, "Ready"))
-	p, at := operated(t, configFile(t, configFor(s.addr)), t.TempDir())
+	a, b := newTestHost(t, serve("a")), newTestHost(t, serve("b"))
+	s := newTestSite(t, host("s-1", a.addr, "Ready"), host("s-2", b.addr, "Ready"))
+	p, at := startWithControl(t, configFile(t, configFor(s.addr)), t.TempDir())
 	p.await(t, "cluster changed")
 	for until := time.Now().Add(time.Minute); admin(t, "GET", at, "/admin/health") != 200; { // it is ready a moment after that
 		if time.Now().After(until) {
@@ -79,11 +79,11 @@
 
 // Guards against operators who wait while clients flood the sidecar: its descriptors are used up by connections that stop
 // half-way, callers hold operators' connections, and it ends; each call is answered all the same.
-func TestCallsWhileClientsFlood(t *testing.T) {
-	b := newBox(t, serve("ok"))
-	config := configFor(newSite(t, host("s-1", b.addr, "Ready")).addr)
+func TestControlDuringOverload(t *testing.T) {
+	b := newTestHost(t, serve("ok"))
+	config := configFor(newTestSite(t, host("s-1", b.addr, "Ready")).addr)
 	config["limits"] = map[string]any{"sockets": 160}
-	p, at := operated(t, configFile(t, config), t.TempDir())
+	p, at := startWithControl(t, configFile(t, config), t.TempDir())
 	p.await(t, "cluster changed")
 	for admin(t, "GET", at, "/admin/health") != 200 { // it is ready a moment after it knows its hosts
 		time.Sleep(time.Millisecond)
--- a/cmd/pinelb/descriptors_test.go
+++ b/cmd/pinelb/descriptors_test.go
@@ -16,7 +16,7 @@
 const descriptors = 128
 
 // crowded starts a sidecar that has so many descriptors, from its start on.
-func crowded(t *testing.T, addr, discovery string, known ...string) *program {
+func startWithFewSockets(t *testing.T, addr, discovery string, known ...string) *program {
 	t.Helper()
 	config := configFor(discovery, known...)
 	config["listen"], config["limits"] = addr, map[string]any{"sockets": descriptors}
@@ -27,7 +27,7 @@
 
 // idlers are clients that open connections, send nothing and come again when they are shut out, to the test's end. It returns
 // once so many have been open at once.
-func idlers(t *testing.T, addr string, n int) {
+func openIdleConnections(t *testing.T, addr string, n int) {
 	var all sync.WaitGroup
 	var over atomic.Bool
 	up := make(chan struct{}, n)
@@ -65,14 +65,14 @@
 	}
 }
 
-// quietSite is a site whose agent falls silent.
-type quietSite struct {
-	*site
+// idleSite is a site whose agent falls silent.
+type idleSite struct {
+	*testSite
 	silent atomic.Bool
 	asked  chan struct{} // of an agent that is silent
 }
 
-func (q *quietSite) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (q *idleSite) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if q.silent.Load() {
 		select {
 		case q.asked <- struct{}{}:
@@ -81,26 +81,26 @@
 		<-r.Context().Done() // whatever waits then is never answered
 		return
 	}
-	q.site.ServeHTTP(w, r)
+	q.testSite.ServeHTTP(w, r)
 }
 
 // Guards against a list that no descriptor is left for: idle clients, twice as many as there are descriptors, come while discovery
 // is silent and come again whenever they are shut out. What it has at its return is in force within 6 s, and a process that is
 // started into that is ready within 10 s, with a list of before or without.
-func TestIdleClientsFillTheDescriptors(t *testing.T) {
+func TestIdleClientsExhaustDescriptors(t *testing.T) {
 	for _, killed := range []bool{false, true} {
 		for _, known := range []bool{false, true} {
 			if known && !killed {
 				continue
 			}
 			t.Run(fmt.Sprintf("killed %v, known %v", killed, known), func(t *testing.T) {
-				old, fresh := newBox(t, serve("old")), newBox(t, serve("new"))
-				agent := &quietSite{site: newSite(t, host("s-1", old.addr, "Ready")), asked: make(chan struct{}, 1)}
+				old, fresh := newTestHost(t, serve("old")), newTestHost(t, serve("new"))
+				agent := &idleSite{testSite: newTestSite(t, host("s-1", old.addr, "Ready")), asked: make(chan struct{}, 1)}
 				addr := listen(t, agent)
-				p := crowded(t, "127.0.0.1:0", addr)
+				p := startWithFewSockets(t, "127.0.0.1:0", addr)
 				p.await(t, "cluster changed")
 				agent.silent.Store(true)
-				idlers(t, p.addr, 2*descriptors)
+				openIdleConnections(t, p.addr, 2*descriptors)
 				<-agent.asked
 				if killed {
 					_ = p.cmd.Process.Kill()
@@ -109,7 +109,7 @@
 					if known {
 						before = append(before, host("s-1", old.addr, "Ready"))
 					}
-					p = crowded(t, p.addr, addr, before...)
+					p = startWithFewSockets(t, p.addr, addr, before...)
 				}
 				agent.change(host("s-1", old.addr, "Gone"), host("s-2", fresh.addr, "Ready"))
 				agent.silent.Store(false)
--- a/cmd/pinelb/leave_before_test.go
+++ b/cmd/pinelb/disconnect_before_send_test.go
@@ -18,12 +18,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestLeavesJustBefore has a client leave as late as can be: the sidecar stands still meanwhile, and finds the leave together with
+// TestClientDisconnectsBeforeSend has a client leave as late as can be: the sidecar stands still meanwhile, and finds the leave together with
 // what lets the request go out. No byte of it is to come to a host, be it its first attempt or a further one, however its
 // connection came up, and whether or not a byte hides the leave from whoever reads.
-func TestLeavesJustBefore(t *testing.T) {
-	for name, place := range map[string]func(x *leaving){
-		"a first attempt": func(x *leaving) {
+func TestClientDisconnectsBeforeSend(t *testing.T) {
+	for name, place := range map[string]func(x *disconnectFixture){
+		"a first attempt": func(x *disconnectFixture) {
 			x.send()
 			x.standsStill(func() {
 				x.leave()
@@ -31,9 +31,9 @@
 			})
 			x.p.await(x.t, "cluster changed")
 		},
-		"a further attempt": func(x *leaving) {
+		"a further attempt": func(x *disconnectFixture) {
 			asked, away := make(chan struct{}), make(chan struct{})
-			first := host("s-1", turnsAway(x.t, asked, away), "Ready")
+			first := host("s-1", startRejectingHost(x.t, asked, away), "Ready")
 			x.site.change(first)
 			x.p.await(x.t, "cluster changed")
 			x.send()
@@ -46,7 +46,7 @@
 				<-away
 			})
 		},
-		"while its connection comes up": func(x *leaving) {
+		"while its connection comes up": func(x *disconnectFixture) {
 			addr, room := newLateListener(x.t)
 			x.site.change(host("s-1", addr, "Ready"))
 			x.p.await(x.t, "cluster changed")
@@ -69,7 +69,7 @@
 				}
 				t.Run(fmt.Sprintf("%s, over %s, %s", name, over, how.name), func(t *testing.T) {
 					t.Parallel()
-					x := newLeaving(t, over, how.hidden, how.cancel)
+					x := newDisconnectFixture(t, over, how.hidden, how.cancel)
 					x.p.await(t, "cluster changed")
 					place(x)
 					_ = x.client.Close()
@@ -84,18 +84,18 @@
 }
 
 // leaving is a client that leaves, and what is around it.
-type leaving struct {
+type disconnectFixture struct {
 	t       *testing.T
-	site    *site
+	site    *testSite
 	p       *program
 	client  *net.TCPConn
 	message []byte
 	begun   chan struct{} // one for each connection on which a host gets something
 }
 
-// newLeaving starts a sidecar that takes both protocols and knows no host. It may be one that may not withdraw attempts.
-func newLeaving(t *testing.T, over string, hidden, cancel bool) *leaving {
-	x := &leaving{t: t, site: newSite(t), begun: make(chan struct{}, 100), message: []byte(fmt.Sprintf(leaver("POST /remake-charge/1", "Content-Length: 0\r\n"), 0))}
+// newDisconnectFixture starts a sidecar that takes both protocols and knows no host. It may be one that may not withdraw attempts.
+func newDisconnectFixture(t *testing.T, over string, hidden, cancel bool) *disconnectFixture {
+	x := &disconnectFixture{t: t, site: newTestSite(t), begun: make(chan struct{}, 100), message: []byte(fmt.Sprintf(disconnectRequest("POST /remake-charge/1", "Content-Length: 0\r\n"), 0))}
 	config := configFor(x.site.addr)
 	config["settings"] = json.RawMessage(strings.Replace(settings, `"cancel":true`, fmt.Sprintf(`"cancel":%v`, cancel), 1))
 	x.p = launchOn(t, exec.Command(os.Args[0], "--config", operatorFile(t, fmt.Sprintf(thriftSection, "framed-binary"))), configFile(t, config))
@@ -113,14 +113,14 @@
 	return x
 }
 
-func (x *leaving) send() {
+func (x *disconnectFixture) send() {
 	if _, err := x.client.Write(x.message); err != nil {
 		x.t.Fatal(err)
 	}
 }
 
 // leave ends the client's sending, and returns when the sidecar's machine has taken note.
-func (x *leaving) leave() {
+func (x *disconnectFixture) leave() {
 	if err := x.client.CloseWrite(); err != nil {
 		x.t.Fatal(err)
 	}
@@ -143,7 +143,7 @@
 }
 
 // standsStill has things happen while the sidecar does not run.
-func (x *leaving) standsStill(happen func()) {
+func (x *disconnectFixture) standsStill(happen func()) {
 	pid := x.p.cmd.Process.Pid
 	if err := syscall.Kill(pid, syscall.SIGSTOP); err != nil {
 		x.t.Fatal(err)
@@ -157,7 +157,7 @@
 }
 
 // counting has a host count the connections on which something comes, and returns its address. It answers nothing.
-func (x *leaving) counting(l net.Listener) string {
+func (x *disconnectFixture) counting(l net.Listener) string {
 	x.t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
@@ -183,8 +183,8 @@
 	return l
 }
 
-// turnsAway is a host that says when it is asked, and turns that away when it is told to. It says when that is on its way.
-func turnsAway(t *testing.T, asked chan<- struct{}, away chan struct{}) string {
+// startRejectingHost is a host that says when it is asked, and turns that away when it is told to. It says when that is on its way.
+func startRejectingHost(t *testing.T, asked chan<- struct{}, away chan struct{}) string {
 	l := listenTCP(t)
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
--- a/cmd/pinelb/leave_test.go
+++ b/cmd/pinelb/disconnect_test.go
@@ -29,24 +29,24 @@
 	reset      bool
 }{{"closes", "", false}, {"closes behind a byte", "G", false}, {"resets behind a line", "\r\n", true}}
 
-// TestLeavesWhileWaiting counts, for each place where a request can wait, how many are sent on whose clients had left 0.35 s
+// TestClientDisconnectsWhileWaiting counts, for each place where a request can wait, how many are sent on whose clients had left 0.35 s
 // before the wait ended. None is to be; the counts are in the log.
-func TestLeavesWhileWaiting(t *testing.T) {
+func TestClientDisconnectsWhileWaiting(t *testing.T) {
 	for name, place := range map[string]func(t *testing.T, leave func(addr, message string)) (sentOn int){
 		"held by the decisions": func(t *testing.T, leave func(addr, message string)) int {
-			s := newSite(t)
+			s := newTestSite(t)
 			p := start(t, s.addr)
-			leave(p.addr, leaver("GET /order-status/1", ""))
-			return sentOn(t, p, s)
+			leave(p.addr, disconnectRequest("GET /order-status/1", ""))
+			return forwardedCount(t, p, s)
 		},
 		"with its body still coming": func(t *testing.T, leave func(addr, message string)) int {
-			s := newSite(t)
+			s := newTestSite(t)
 			p := start(t, s.addr)
-			leave(p.addr, leaver("POST /remake-charge/1", "Content-Length: 100000\r\n")+strings.Repeat("x", 50000))
-			return sentOn(t, p, s)
+			leave(p.addr, disconnectRequest("POST /remake-charge/1", "Content-Length: 100000\r\n")+strings.Repeat("x", 50000))
+			return forwardedCount(t, p, s)
 		},
 		"at the connections' bound, its head not read": func(t *testing.T, leave func(addr, message string)) int {
-			s := newSite(t)
+			s := newTestSite(t)
 			config := configFor(s.addr)
 			config["limits"] = map[string]any{"sockets": 64} // of which 16 are callers'
 			p := launchOn(t, exec.Command(os.Args[0]), configFile(t, config))
@@ -56,41 +56,41 @@
 				first[i] = dial(t, p.addr)
 				_, _ = io.WriteString(first[i], "GET /order-status/1 HTTP/1.1\r\n") // they hold their places as long as a head may
 			}
-			leave(p.addr, leaver("POST /remake-charge/1", "Content-Length: 0\r\n"))
-			b := newBox(t, serve("ok"))
+			leave(p.addr, disconnectRequest("POST /remake-charge/1", "Content-Length: 0\r\n"))
+			b := newTestHost(t, serve("ok"))
 			s.change(host("s-1", b.addr, "Ready"))
 			p.await(t, "cluster changed")
 			p.await(t, "cluster changed")
 			for _, c := range first {
 				_ = c.Close()
 			}
-			return ended(t, p, b)
+			return endedCount(t, p, b)
 		},
 		"between two attempts": func(t *testing.T, leave func(addr, message string)) int {
 			release := make(chan struct{})
-			away := newBox(t, func(w http.ResponseWriter, _ *http.Request) {
+			away := newTestHost(t, func(w http.ResponseWriter, _ *http.Request) {
 				<-release
 				w.Header().Set("X-Turned-Away", "1")
 				w.WriteHeader(503)
 			})
-			b := newBox(t, serve("ok"))
-			s := newSite(t, host("s-1", away.addr, "Ready"))
+			b := newTestHost(t, serve("ok"))
+			s := newTestSite(t, host("s-1", away.addr, "Ready"))
 			p := start(t, s.addr)
 			p.await(t, "cluster changed")
-			leave(p.addr, leaver("POST /remake-charge/1", "Content-Length: 0\r\n"))
+			leave(p.addr, disconnectRequest("POST /remake-charge/1", "Content-Length: 0\r\n"))
 			s.change(host("s-2", b.addr, "Ready"))
 			p.await(t, "cluster changed")
 			close(release)
-			return ended(t, p, b)
+			return endedCount(t, p, b)
 		},
 		"while its connection comes up": func(t *testing.T, leave func(addr, message string)) int {
-			late := newLateBox(t)
-			s := newSite(t, host("s-1", late.addr, "Ready"))
+			late := newLateHost(t)
+			s := newTestSite(t, host("s-1", late.addr, "Ready"))
 			p := start(t, s.addr)
 			p.await(t, "cluster changed")
-			leave(p.addr, leaver("POST /remake-charge/1", "Content-Length: 0\r\n"))
+			leave(p.addr, disconnectRequest("POST /remake-charge/1", "Content-Length: 0\r\n"))
 			late.open()
-			return ended(t, p, late.box)
+			return endedCount(t, p, late.testHost)
 		},
 	} {
 		for _, how := range leaves {
@@ -123,9 +123,9 @@
 	}
 }
 
-// TestLeavesOverThrift is the same for calls: more than are taken of a connection at once wait, and nobody reads on.
-func TestLeavesOverThrift(t *testing.T) {
-	s := newSite(t)
+// TestClientDisconnectsOverThrift is the same for calls: more than are taken of a connection at once wait, and nobody reads on.
+func TestClientDisconnectsOverThrift(t *testing.T) {
+	s := newTestSite(t)
 	p := launch(t, exec.Command(os.Args[0], "--config", operatorFile(t, fmt.Sprintf(thriftSection, "framed-binary"))), s.addr)
 	addr := p.await(t, "listening for Thrift").Get("addr").Str
 	p.addr = p.await(t, "listening").Get("addr").Str
@@ -153,7 +153,7 @@
 	}
 }
 
-func leaver(line, headers string) string {
+func disconnectRequest(line, headers string) string {
 	return line + " HTTP/1.1\r\nHost: x\r\nX-Txn: " + leaverTxn + "%d\r\nX-Remaining-Ms: 60000\r\n" + headers + "\r\n"
 }
 
@@ -167,17 +167,17 @@
 	return c
 }
 
-// sentOn lists a first host to a sidecar that has none, and counts whose requests come there.
-func sentOn(t *testing.T, p *program, s *site) int {
-	b := newBox(t, serve("ok"))
+// forwardedCount lists a first host to a sidecar that has none, and counts whose requests come there.
+func forwardedCount(t *testing.T, p *program, s *testSite) int {
+	b := newTestHost(t, serve("ok"))
 	s.change(host("s-1", b.addr, "Ready"))
 	p.await(t, "cluster changed") // the first list
 	p.await(t, "cluster changed")
-	return ended(t, p, b)
+	return endedCount(t, p, b)
 }
 
 // ended has the sidecar end when all that it has is answered, and counts the leavers' requests that came to a host.
-func ended(t *testing.T, p *program, b *box) (n int) {
+func endedCount(t *testing.T, p *program, b *testHost) (n int) {
 	p.end(t)
 	for len(b.visits) > 0 {
 		if strings.Contains(<-b.visits, leaverTxn) {
@@ -196,16 +196,16 @@
 	_ = p.cmd.Wait()
 }
 
-// lateBox is a host whose connections come up late: its machine has no room for them until open.
-type lateBox struct {
-	*box
+// lateHost is a host whose connections come up late: its machine has no room for them until open.
+type lateHost struct {
+	*testHost
 	open func()
 }
 
-func newLateBox(t *testing.T) *lateBox {
+func newLateHost(t *testing.T) *lateHost {
 	addr, room := newLateListener(t)
-	b := &box{addr: addr, visits: make(chan string, 1000), answer: serve("ok")}
-	return &lateBox{b, sync.OnceFunc(func() {
+	b := &testHost{addr: addr, visits: make(chan string, 1000), answer: serve("ok")}
+	return &lateHost{b, sync.OnceFunc(func() {
 		server := &http.Server{Handler: b}
 		go func() { _ = server.Serve(room()) }()
 		t.Cleanup(func() { _ = server.Close() })
--- a/cmd/pinelb/move_test.go
+++ b/cmd/pinelb/discovery_move_test.go
@@ -10,9 +10,9 @@
 
 // Guards against what a new agent has being in force more than 4 s after SIGHUP because its first two calls meet silence, with the
 // whole of the program between the signal and the host that gets the next request.
-func TestNewAgentIsSilentAtFirst(t *testing.T) {
-	a, b := newBox(t, serve("a")), newBox(t, serve("b"))
-	first, second := newSite(t, host("s-1", a.addr, "Ready")), newSite(t, host("s-2", b.addr, "Ready"))
+func TestNewAgentUnresponsiveAtFirst(t *testing.T) {
+	a, b := newTestHost(t, serve("a")), newTestHost(t, serve("b"))
+	first, second := newTestSite(t, host("s-1", a.addr, "Ready")), newTestSite(t, host("s-2", b.addr, "Ready"))
 	var calls atomic.Int64
 	silent := listen(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if calls.Add(1) <= 2 {
--- a/cmd/pinelb/main.go
+++ b/cmd/pinelb/main.go
@@ -1,5 +1,9 @@
-// Command pinelb is the sidecar: it takes streams from callers, has the decision module choose their
-// upstream hosts, and carries out what it decides. Here are only its command line and its exit statuses.
+// Command pinelb is the sidecar, which forwards streams to the upstream hosts that package balance chooses, and its commands;
+// a distributor of settings ("pinelb distribute"); and a router of a fleet ("pinelb router"). Here are only the command lines and
+// the exit statuses; the work is done by packages daemon, settingsserver, audit and fleet/router.
+//
+// The sidecar's commands are parsed by kong and log by zerolog, the router's use cobra and zap. Operators and scripts see the
+// former's help pages, error lines and exit statuses, which cobra doesn't reproduce.
 package main
 
 import (
@@ -14,10 +18,11 @@
 	"pinelb.example/pinelb/internal/daemon"
 )
 
-// statusFaulty is the exit status where the arguments or a file that is checked are faulty.
-const statusFaulty = 2
+// exitFaulty is the exit status for invalid arguments, and for an invalid file that is checked or read.
+const exitFaulty = 2
 
-// commandLine is what can stand after "pinelb".
+// commandLine is the grammar of "pinelb ...", except for "pinelb router ...". The names of the fields are those of the commands
+// and flags.
 type commandLine struct {
 	Serve struct {
 		Config string `placeholder:"FILE" help:"The operator's file. Without it all that it could switch on is off."`
@@ -31,44 +36,44 @@
 			File string `arg:"" placeholder:"FILE" help:"A snapshot, or a journal of effects, in the directory that [state] names."`
 		} `cmd:"" help:"Show what a file holds, and how old each part is. The exit status is 2 where it can't be read."`
 	} `cmd:"" help:"What a process has left for the one after it."`
-	Audit      auditLine `cmd:"" help:"Ask a fleet of sidecars which version each acts on. The exit status is 0 where all are up to date, 1 where not, 2 where an argument or a file is faulty, and 3 where nobody was reached."`
+	Audit      auditCommand `cmd:"" help:"Ask a fleet of sidecars which version each acts on. The exit status is 0 where all are up to date, 1 where not, 2 where an argument or a file is faulty, and 3 where nobody was reached."`
 	Distribute struct {
 		File string `arg:"" placeholder:"FILE" help:"The distributor's file: TOML, with name, region, listen, control, dir and peers."`
 	} `cmd:"" help:"Be a distributor: hold services' settings, and tell them to sidecars and to other distributors."`
-	Settings settingsLine `cmd:"" help:"Publish settings at distributors, roll them back, or ask where they are in force. The exit status is 0 where it was done and, with status or --wait, all sidecars have the newest in force, 1 where not all have, 2 where an argument is faulty or a distributor refuses, and 3 where nobody was reached."`
-	Version  struct{}     `cmd:"" help:"Print the version, and what it was built from and with."`
+	Settings settingsCommand `cmd:"" help:"Publish settings at distributors, roll them back, or ask where they are in force. The exit status is 0 where it was done and, with status or --wait, all sidecars have the newest in force, 1 where not all have, 2 where an argument is faulty or a distributor refuses, and 3 where nobody was reached."`
+	Version  struct{}        `cmd:"" help:"Print the version, and what it was built from and with."`
 }
 
 func main() {
-	hups := make(chan os.Signal, 1) // one that waits stands for all that come meanwhile
-	signal.Notify(hups, syscall.SIGHUP)
-	os.Exit(command(os.Args[1:], hups))
+	hangups := make(chan os.Signal, 1) // a pending one stands for all that come in the meantime
+	signal.Notify(hangups, syscall.SIGHUP)
+	os.Exit(runCommand(os.Args[1:], hangups))
 }
 
 // command carries out a command line and returns the exit status.
-func command(args []string, hups <-chan os.Signal) int {
-	if len(args) == 0 { // as the platform starts it: what the parser allocates is spared
-		return sidecar("", hups)
+func runCommand(args []string, hangups <-chan os.Signal) int {
+	if len(args) == 0 { // as the platform starts it: without the memory that the parser allocates
+		return runSidecar("", hangups)
 	}
 	if args[0] == "router" {
-		return runRouter(args, hups)
+		return runRouter(args, hangups)
 	}
 	var line commandLine
 	parser, err := kong.New(&line, kong.Name("pinelb"), kong.Description(
 		"A load-balancing sidecar. Without a command it serves; --config=FILE then names the operator's file."))
 	if err != nil {
-		panic(err) // commandLine itself is faulty
+		panic(err) // commandLine itself is invalid
 	}
 	ctx, err := parser.Parse(args)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "pinelb:", err)
-		return statusFaulty
+		return exitFaulty
 	}
 	switch ctx.Selected().Name {
 	case "show":
-		return show(line.State.Show.File, os.Stdout)
+		return showState(line.State.Show.File, os.Stdout)
 	case "check":
-		return check(line.Check.File, line.Check.Platform)
+		return runCheck(line.Check.File, line.Check.Platform)
 	case "audit":
 		return runAudit(&line.Audit)
 	case "distribute":
@@ -76,23 +81,25 @@
 	case "publish", "rollback", "status":
 		return runSettings(ctx.Selected().Name, &line.Settings)
 	case "version":
-		fmt.Println(built())
+		fmt.Println(versionText())
 		return 0
 	}
-	return sidecar(line.Serve.Config, hups)
+	return runSidecar(line.Serve.Config, hangups)
 }
 
-func sidecar(operator string, hups <-chan os.Signal) int {
-	if daemon.Serve(operator, hups) != nil { // it is in the log
+// runSidecar runs the sidecar with the operator's file, whose path may be empty.
+func runSidecar(operator string, hangups <-chan os.Signal) int {
+	if daemon.Serve(operator, hangups) != nil { // which has logged the error
 		return 1
 	}
 	return 0
 }
 
-func show(path string, out io.Writer) int {
+// showState prints a file of [state].
+func showState(path string, out io.Writer) int {
 	if err := daemon.PrintState(path, out); err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		return statusFaulty
+		return exitFaulty
 	}
 	return 0
 }
--- a/cmd/pinelb/main_test.go
+++ b/cmd/pinelb/main_test.go
@@ -30,7 +30,7 @@
 		plainProxy(to)
 		os.Exit(0)
 	}
-	part()
+	runHelperProcess()
 	os.Exit(m.Run())
 }
 
@@ -158,7 +158,7 @@
 }
 
 // site plays discovery and the upstream hosts.
-type site struct {
+type testSite struct {
 	mu       sync.Mutex
 	revision int
 	members  string // the last change, as JSON
@@ -178,8 +178,8 @@
 	return l.Addr().String()
 }
 
-func newSite(t testing.TB, members ...string) *site {
-	s := &site{revision: 1, members: strings.Join(members, ","), changed: make(chan struct{})}
+func newTestSite(t testing.TB, members ...string) *testSite {
+	s := &testSite{revision: 1, members: strings.Join(members, ","), changed: make(chan struct{})}
 	s.addr = listen(t, s)
 	return s
 }
@@ -188,7 +188,7 @@
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"moonah","flavor":"front-std","phase":%q,"size":1,"up_since_ms":0}`, id, addr, phase)
 }
 
-func (s *site) change(members ...string) {
+func (s *testSite) change(members ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
@@ -197,7 +197,7 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *site) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *testSite) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	since, changed := r.URL.Query().Get("since"), s.changed
 	if since == fmt.Sprint(s.revision) {
@@ -214,19 +214,19 @@
 }
 
 // box is an upstream host: it tells the test of every request and answers as told.
-type box struct {
+type testHost struct {
 	addr   string
 	visits chan string // what came, in short
 	answer func(w http.ResponseWriter, r *http.Request)
 }
 
-func newBox(t testing.TB, answer func(w http.ResponseWriter, r *http.Request)) *box {
-	b := &box{visits: make(chan string, 1000), answer: answer}
+func newTestHost(t testing.TB, answer func(w http.ResponseWriter, r *http.Request)) *testHost {
+	b := &testHost{visits: make(chan string, 1000), answer: answer}
 	b.addr = listen(t, b)
 	return b
 }
 
-func (b *box) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (b *testHost) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	b.visits <- fmt.Sprintf("%s %s %s key=%s body=%s", r.Method, r.RequestURI, r.Header.Get("X-Txn"), r.Header.Get("Idempotency-Key"), body)
 	b.answer(w, r)
@@ -237,8 +237,8 @@
 }
 
 func TestServesEveryClass(t *testing.T) {
-	b := newBox(t, serve("a pair\x00\r\nof lenses"))
-	p := start(t, newSite(t, host("s-1", b.addr, "Ready")).addr)
+	b := newTestHost(t, serve("a pair\x00\r\nof lenses"))
+	p := start(t, newTestSite(t, host("s-1", b.addr, "Ready")).addr)
 	p.await(t, "cluster changed")
 	for _, c := range []struct{ method, target, body, key, want string }{
 		{"GET", "/order-status/7?q=%20a", "", "", "GET /order-status/7?q=%20a 9b1f03aa5c7e2d41 key= body="},
@@ -272,17 +272,17 @@
 
 // Guards against an unsafe request running twice, and against one that never ran being failed.
 func TestUnsafeRunsOnce(t *testing.T) {
-	broken := newBox(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(500) })
-	p := start(t, newSite(t, host("s-1", broken.addr, "Ready"), host("s-2", broken.addr, "Ready")).addr)
+	broken := newTestHost(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(500) })
+	p := start(t, newTestSite(t, host("s-1", broken.addr, "Ready"), host("s-2", broken.addr, "Ready")).addr)
 	p.await(t, "cluster changed")
 	if res, _ := p.call(t, "POST", "/remake-charge/7", "x"); res.StatusCode != 502 || len(broken.visits) != 1 {
 		t.Errorf("an error was answered %d after %d visits, want 502 after 1", res.StatusCode, len(broken.visits))
 	}
-	away := newBox(t, func(w http.ResponseWriter, _ *http.Request) {
+	away := newTestHost(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Turned-Away", "1")
 		w.WriteHeader(503)
 	})
-	p = start(t, newSite(t, host("s-1", away.addr, "Ready"), host("s-2", away.addr, "Ready")).addr)
+	p = start(t, newTestSite(t, host("s-1", away.addr, "Ready"), host("s-2", away.addr, "Ready")).addr)
 	p.await(t, "cluster changed")
 	res, _ := p.call(t, "POST", "/remake-charge/7", "x")
 	if res.StatusCode != 503 || res.Header.Get("Retry-After") == "" || len(away.visits) != 2 {
@@ -293,8 +293,8 @@
 
 // Guards against sends to a host that drains, after discovery has said so.
 func TestDrainingHostGetsNothingNew(t *testing.T) {
-	a, b := newBox(t, serve("a")), newBox(t, serve("b"))
-	s := newSite(t, host("s-1", a.addr, "Ready"))
+	a, b := newTestHost(t, serve("a")), newTestHost(t, serve("b"))
+	s := newTestSite(t, host("s-1", a.addr, "Ready"))
 	p := start(t, s.addr)
 	p.await(t, "cluster changed")
 	if _, body := p.call(t, "GET", "/order-status/1", ""); body != "a" {
@@ -310,13 +310,13 @@
 }
 
 // Guards against work for a client that has left: its upstream request is given up at once.
-func TestClientLeaves(t *testing.T) {
+func TestClientDisconnects(t *testing.T) {
 	given := make(chan struct{})
-	b := newBox(t, func(_ http.ResponseWriter, r *http.Request) {
+	b := newTestHost(t, func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
 		close(given)
 	})
-	p := start(t, newSite(t, host("s-1", b.addr, "Ready")).addr)
+	p := start(t, newTestSite(t, host("s-1", b.addr, "Ready")).addr)
 	p.await(t, "cluster changed")
 	ctx, leave := context.WithCancel(context.Background())
 	go func() {
@@ -330,13 +330,13 @@
 }
 
 // Guards against a planned end that loses what was taken.
-func TestPlannedEnd(t *testing.T) {
+func TestGracefulShutdown(t *testing.T) {
 	release := make(chan struct{})
-	b := newBox(t, func(w http.ResponseWriter, _ *http.Request) {
+	b := newTestHost(t, func(w http.ResponseWriter, _ *http.Request) {
 		<-release
 		_, _ = io.WriteString(w, "whole")
 	})
-	p := start(t, newSite(t, host("s-1", b.addr, "Ready")).addr)
+	p := start(t, newTestSite(t, host("s-1", b.addr, "Ready")).addr)
 	p.await(t, "cluster changed")
 	answered := make(chan string)
 	go func() {
@@ -359,13 +359,13 @@
 }
 
 // Guards against a sidecar that waits for a silent discovery before it serves with the list it had.
-func TestSilentDiscovery(t *testing.T) {
+func TestUnresponsiveDiscovery(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0") // takes connections and never reads
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	b := newBox(t, serve("known"))
+	b := newTestHost(t, serve("known"))
 	p := start(t, l.Addr().String(), host("s-1", b.addr, "Ready"))
 	if _, body := p.call(t, "GET", "/order-status/1", ""); body != "known" {
 		t.Errorf("answer %q", body)
@@ -376,8 +376,8 @@
 
 // Guards against a sidecar that the front sends to although it knows no host yet.
 func TestNotReadyWithoutHosts(t *testing.T) {
-	b, release := newBox(t, serve("found")), make(chan struct{})
-	s := newSite(t, host("s-1", b.addr, "Ready"))
+	b, release := newTestHost(t, serve("found")), make(chan struct{})
+	s := newTestSite(t, host("s-1", b.addr, "Ready"))
 	discovery := listen(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		<-release
 		s.ServeHTTP(w, r)
@@ -398,7 +398,7 @@
 }
 
 // Guards against a sidecar that starts on a faulty configuration, or doesn't say which key it is.
-func TestBadConfigEndsWithTheKey(t *testing.T) {
+func TestInvalidConfigNamesKey(t *testing.T) {
 	for key, config := range map[string]map[string]any{
 		"LB_LISTEN": {"listen": "here", "discovery": "127.0.0.1:1", "settings": json.RawMessage(settings)},
 		"Classes": {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": json.RawMessage(
@@ -417,11 +417,11 @@
 func TestManyStreamsAtOnce(t *testing.T) {
 	const many = 100
 	release := make(chan struct{})
-	b := newBox(t, func(w http.ResponseWriter, _ *http.Request) {
+	b := newTestHost(t, func(w http.ResponseWriter, _ *http.Request) {
 		<-release
 		_, _ = io.WriteString(w, "ok")
 	})
-	p := start(t, newSite(t, host("s-1", b.addr, "Ready"), host("s-2", b.addr, "Ready")).addr)
+	p := start(t, newTestSite(t, host("s-1", b.addr, "Ready"), host("s-2", b.addr, "Ready")).addr)
 	p.await(t, "cluster changed")
 	codes := make(chan int, many)
 	for i := range many {
@@ -441,9 +441,9 @@
 
 // Guards against a new configuration that ends the program, that is overruled by the environment, or that
 // is taken though it is faulty; and against a planned end that it holds up.
-func TestNewConfiguration(t *testing.T) {
-	a, b := newBox(t, serve("a")), newBox(t, serve("b"))
-	first, second := newSite(t, host("s-1", a.addr, "Ready")), newSite(t, host("s-2", b.addr, "Ready"))
+func TestReloadedConfiguration(t *testing.T) {
+	a, b := newTestHost(t, serve("a")), newTestHost(t, serve("b"))
+	first, second := newTestSite(t, host("s-1", a.addr, "Ready")), newTestSite(t, host("s-2", b.addr, "Ready"))
 	p := start(t, first.addr)
 	p.await(t, "cluster changed")
 	signal := func(s os.Signal) {
@@ -458,7 +458,7 @@
 		t.Errorf("the log says %q of it", fault)
 	}
 	for _, c := range []struct {
-		site *site
+		site *testSite
 		want string
 	}{{second, "b"}, {first, "a"}, {second, "b"}} {
 		write(t, p.file, configFor(c.site.addr))
--- a/cmd/pinelb/published_test.go
+++ b/cmd/pinelb/published_test.go
@@ -21,8 +21,8 @@
 
 const service = "orders"
 
-// standIn is a distributor: it answers with what is published as the real one does, or otherwise as a test wants.
-type standIn struct {
+// fakeDistributor is a distributor: it answers with what is published as the real one does, or otherwise as a test wants.
+type fakeDistributor struct {
 	addr  string
 	asked chan settingsstore.Request
 	ended chan struct{} // gets one for each question that has waited without news
@@ -33,13 +33,13 @@
 	odd     http.HandlerFunc // nil: none
 }
 
-func newStandIn(t *testing.T) *standIn {
-	d := &standIn{asked: make(chan settingsstore.Request, 10_000), ended: make(chan struct{}, 10_000), changed: make(chan struct{})}
+func newFakeDistributor(t *testing.T) *fakeDistributor {
+	d := &fakeDistributor{asked: make(chan settingsstore.Request, 10_000), ended: make(chan struct{}, 10_000), changed: make(chan struct{})}
 	d.addr = listen(t, d)
 	return d
 }
 
-func (d *standIn) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *fakeDistributor) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	q, err := settingsstore.ParseRequest(r.URL)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -75,7 +75,7 @@
 }
 
 // publish publishes settings, under an epoch, and answers from then on as odd does, if there is one.
-func (d *standIn) publish(epoch uint64, settings string, odd http.HandlerFunc) {
+func (d *fakeDistributor) publish(epoch uint64, settings string, odd http.HandlerFunc) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.state, d.odd = settingsstore.NewState(service, version.Edition{Epoch: epoch, By: "d1"}, []byte(settings)), odd
@@ -84,7 +84,7 @@
 }
 
 // until reads the questions up to one that fits.
-func (d *standIn) until(fits func(settingsstore.Request) bool) settingsstore.Request {
+func (d *fakeDistributor) until(fits func(settingsstore.Request) bool) settingsstore.Request {
 	for q := range d.asked {
 		if fits(q) {
 			return q
@@ -93,21 +93,21 @@
 	panic("it is never closed")
 }
 
-// followsAt is an operator's file that names the distributors.
-func followsAt(t *testing.T, from ...string) string {
+// followingFile is an operator's file that names the distributors.
+func followingFile(t *testing.T, from ...string) string {
 	t.Helper()
 	return operatorFile(t, fmt.Sprintf("[settings]\nfrom = [\"%s\"]\nservice = %q\n", strings.Join(from, `", "`), service))
 }
 
 // follower starts a sidecar that follows the distributors.
-func follower(t *testing.T, s *site, from ...string) *program {
+func startFollower(t *testing.T, s *testSite, from ...string) *program {
 	t.Helper()
-	return followerOn(t, configFile(t, configFor(s.addr)), from...)
+	return startFollowerOn(t, configFile(t, configFor(s.addr)), from...)
 }
 
-func followerOn(t *testing.T, file string, from ...string) *program {
+func startFollowerOn(t *testing.T, file string, from ...string) *program {
 	t.Helper()
-	p := launchOn(t, exec.Command(os.Args[0], "--config="+followsAt(t, from...)), file)
+	p := launchOn(t, exec.Command(os.Args[0], "--config="+followingFile(t, from...)), file)
 	p.addr = p.await(t, "listening").Get("addr").Str
 	return p
 }
@@ -152,9 +152,9 @@
 // Guards against published settings that don't take effect, that do in part, that a signal or a restart undoes, or that are
 // refused without a word to the distributor.
 func TestPublishedSettings(t *testing.T) {
-	b := newBox(t, serve("ok"))
-	s, d := newSite(t, host("s-1", b.addr, "Ready")), newStandIn(t)
-	p := follower(t, s, d.addr)
+	b := newTestHost(t, serve("ok"))
+	s, d := newTestSite(t, host("s-1", b.addr, "Ready")), newFakeDistributor(t)
+	p := startFollower(t, s, d.addr)
 	p.await(t, "no settings are published; the file's are in force")
 	p.ready(t)
 	p.expect(t, "at first", "/one/1", 404)
@@ -198,7 +198,7 @@
 	d.publish(epoch+3, with("three"), nil)
 	p.await(t, taken)
 	p.expect(t, "published again", "/three/1", 200)
-	q := followerOn(t, p.file, d.addr)
+	q := startFollowerOn(t, p.file, d.addr)
 	q.ready(t)
 	q.expect(t, "after a restart", "/three/1", 200)
 	q.expect(t, "after a restart", "/one/1", 404)
@@ -207,10 +207,10 @@
 // Guards against answers that are taken though they are older, another service's, cut, too long or spoilt, or that are kept out and
 // nobody is told; serving goes on by what was in force, and what is published afterwards is found.
 func TestFaultyDistributor(t *testing.T) {
-	b := newBox(t, serve("ok"))
-	s, d := newSite(t, host("s-1", b.addr, "Ready")), newStandIn(t)
+	b := newTestHost(t, serve("ok"))
+	s, d := newTestSite(t, host("s-1", b.addr, "Ready")), newFakeDistributor(t)
 	d.publish(5, with("one"), nil)
-	p := follower(t, s, d.addr)
+	p := startFollower(t, s, d.addr)
 	p.await(t, taken)
 	p.ready(t)
 	state := func(service string, epoch uint64) []byte {
@@ -246,8 +246,8 @@
 // Guards against a start that waits for distributors which are not there, against one that does not say what is in force, and
 // against their return that is not found. One refuses connections, one is silent, one falls silent in its answer.
 func TestNoDistributorAnswers(t *testing.T) {
-	b := newBox(t, serve("ok"))
-	d := newStandIn(t)
+	b := newTestHost(t, serve("ok"))
+	d := newFakeDistributor(t)
 	back := make(chan struct{})
 	mute, half := listen(t, d), ""
 	half = listen(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -262,7 +262,7 @@
 		<-r.Context().Done()
 	}))
 	d.publish(1, with("one"), func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-	p := launchOn(t, exec.Command(os.Args[0], "--config="+followsAt(t, "127.0.0.1:1", mute, half)), configFile(t, configFor("127.0.0.1:1", host("s-1", b.addr, "Ready"))))
+	p := launchOn(t, exec.Command(os.Args[0], "--config="+followingFile(t, "127.0.0.1:1", mute, half)), configFile(t, configFor("127.0.0.1:1", host("s-1", b.addr, "Ready"))))
 	p.addr = p.await(t, "listening").Get("addr").Str
 	p.await(t, "no distributor has answered; what is in force stays")
 	p.ready(t)
@@ -277,8 +277,8 @@
 // Guards against a sidecar that is ready before it has the settings which it could have had: a distributor that answers only once it is
 // ready has been given up before.
 func TestStartWaitsForSettings(t *testing.T) {
-	b := newBox(t, serve("ok"))
-	s, d, at := newSite(t, host("s-1", b.addr, "Ready")), newStandIn(t), make(chan string, 1)
+	b := newTestHost(t, serve("ok"))
+	s, d, at := newTestSite(t, host("s-1", b.addr, "Ready")), newFakeDistributor(t), make(chan string, 1)
 	d.publish(1, with("one"), nil)
 	addr, serving := "", sync.Mutex{}
 	slow := listen(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -297,7 +297,7 @@
 		}
 		d.ServeHTTP(w, r)
 	}))
-	p := follower(t, s, slow)
+	p := startFollower(t, s, slow)
 	at <- p.addr
 	given := false
 	for p.log.Scan() {
@@ -316,12 +316,12 @@
 
 // Guards against distributors whose death ends what is in force, and against changes that are not found at another one.
 func TestDistributorDies(t *testing.T) {
-	b := newBox(t, serve("ok"))
-	s, d, e := newSite(t, host("s-1", b.addr, "Ready")), newStandIn(t), newStandIn(t)
-	for _, one := range []*standIn{d, e} {
+	b := newTestHost(t, serve("ok"))
+	s, d, e := newTestSite(t, host("s-1", b.addr, "Ready")), newFakeDistributor(t), newFakeDistributor(t)
+	for _, one := range []*fakeDistributor{d, e} {
 		one.publish(1, with("one"), nil)
 	}
-	p := follower(t, s, d.addr, e.addr)
+	p := startFollower(t, s, d.addr, e.addr)
 	p.await(t, taken)
 	p.ready(t)
 	first, other := d, e // which it follows, and which not
@@ -350,10 +350,10 @@
 
 // Guards against a sidecar that was stopped and goes on with old settings: it asks at once, and blames nobody.
 func TestStoppedFollower(t *testing.T) {
-	b := newBox(t, serve("ok"))
-	s, d := newSite(t, host("s-1", b.addr, "Ready")), newStandIn(t)
+	b := newTestHost(t, serve("ok"))
+	s, d := newTestSite(t, host("s-1", b.addr, "Ready")), newFakeDistributor(t)
 	d.publish(1, with("one"), nil)
-	p := follower(t, s, d.addr)
+	p := startFollower(t, s, d.addr)
 	p.await(t, taken)
 	p.ready(t)
 	send := func(signal syscall.Signal) {
@@ -376,10 +376,10 @@
 
 // Guards against a successor that serves by the file's settings although others are in force, also where no distributor answers it.
 func TestSuccessorFollows(t *testing.T) {
-	b := newBox(t, serve("ok"))
-	s, d, tmp := newSite(t, host("s-1", b.addr, "Ready")), newStandIn(t), t.TempDir()
+	b := newTestHost(t, serve("ok"))
+	s, d, tmp := newTestSite(t, host("s-1", b.addr, "Ready")), newFakeDistributor(t), t.TempDir()
 	d.publish(1, with("one"), nil)
-	file, operator := configFile(t, configFor(s.addr)), followsAt(t, d.addr)
+	file, operator := configFile(t, configFor(s.addr)), followingFile(t, d.addr)
 	begin := func() *program {
 		p := launchOn(t, exec.Command(os.Args[0], "--config="+operator), file, "LB_CONTROL=127.0.0.1:0", "TMPDIR="+tmp)
 		p.addr = p.await(t, "listening").Get("addr").Str
@@ -418,8 +418,8 @@
 // Guards against an audit that does not see published settings, or by whom they came, and against a floor that brings the file's back:
 // it has distributors be asked.
 func TestAuditSeesPublishedSettings(t *testing.T) {
-	b := newBox(t, serve("ok"))
-	s, d := newSite(t, host("s-1", b.addr, "Ready")), newStandIn(t)
+	b := newTestHost(t, serve("ok"))
+	s, d := newTestSite(t, host("s-1", b.addr, "Ready")), newFakeDistributor(t)
 	op := operatorFile(t, fmt.Sprintf("[audit]\nshare = 0.5\n[settings]\nfrom = [%q]\nservice = %q\n", d.addr, service))
 	p := launchOn(t, exec.Command(os.Args[0], "--config="+op), configFile(t, configFor(s.addr)), "LB_CONTROL=127.0.0.1:0")
 	p.addr = p.await(t, "listening").Get("addr").Str
@@ -428,7 +428,7 @@
 	digest := func(settings string) version.Digest { return (&config.Config{RawSettings: settings}).Digest() }
 	report := func() auditlog.Report {
 		t.Helper()
-		_, r, _ := asked(t, at, "/admin/audit?since=0", "")
+		_, r, _ := requestAudit(t, at, "/admin/audit?since=0", "")
 		return r
 	}
 	if r := report(); r.Version.Settings != digest(settings) {
@@ -453,7 +453,7 @@
 			t.Fatal(err)
 		}
 		order := fmt.Sprintf(`{"floor":{"epoch":%d,"by":"a","site":%q,"settings":%q,"grace_ms":60000,"spread_ms":0,"for_ms":60000}}`, epoch, r.Site, text)
-		if status, _, text := asked(t, at, "/admin/floor", order); status != 200 {
+		if status, _, text := requestAudit(t, at, "/admin/floor", order); status != 200 {
 			t.Fatalf("a floor is answered %d %s", status, text)
 		}
 	}
--- a/cmd/pinelb/retune_test.go
+++ b/cmd/pinelb/reload_test.go
@@ -10,8 +10,8 @@
 // Guards against settings that don't take effect at SIGHUP, or that do in part: classes appear and vanish, an effect turns
 // strict, fewer attempts are allowed; a faulty file changes nothing and its key is in the log.
 func TestSettingsChangeAtSIGHUP(t *testing.T) {
-	b := newBox(t, serve("ok"))
-	s := newSite(t, host("s-1", b.addr, "Ready"))
+	b := newTestHost(t, serve("ok"))
+	s := newTestSite(t, host("s-1", b.addr, "Ready"))
 	p := start(t, s.addr)
 	p.await(t, "cluster changed")
 	hup := func(settings, message string) string {
--- a/cmd/pinelb/remaining_test.go
+++ b/cmd/pinelb/remaining_time_test.go
@@ -13,20 +13,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// shutDoor is an address of which connections come up only once it has been opened: its queue is full.
-type shutDoor struct {
+// closedListener is an address of which connections come up only once it has been opened: its queue is full.
+type closedListener struct {
 	addr string
 	file *os.File
 }
 
-func newShutDoor(t *testing.T) *shutDoor {
+func newClosedListener(t *testing.T) *closedListener {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &shutDoor{file: os.NewFile(uintptr(fd), "door")}
-	t.Cleanup(func() { d.file.Close() })
+	d := &closedListener{file: os.NewFile(uintptr(fd), "door")}
+	t.Cleanup(func() { _ = d.file.Close() })
 	if err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
 	}
@@ -48,7 +48,7 @@
 }
 
 // open has the door answer from now on.
-func (d *shutDoor) open(t *testing.T, h http.Handler) {
+func (d *closedListener) open(t *testing.T, h http.Handler) {
 	t.Helper()
 	l, err := net.FileListener(d.file)
 	if err != nil {
@@ -79,7 +79,7 @@
 	// Each holds the first attempt until the moment that it returns: what is told later is told after that.
 	for name, play := range map[string]func(t *testing.T, sent <-chan struct{}, passed chan<- time.Time) (members []string){
 		"a late connection": func(t *testing.T, sent <-chan struct{}, passed chan<- time.Time) []string {
-			d := newShutDoor(t)
+			d := newClosedListener(t)
 			afterwards(t, sent, func() {
 				passed <- time.Now()
 				d.open(t, answers)
@@ -87,11 +87,11 @@
 			return []string{host("s-1", d.addr, "Ready")}
 		},
 		"no connection, then another host's": func(t *testing.T, sent <-chan struct{}, passed chan<- time.Time) []string {
-			d := newShutDoor(t)
-			other := newShutDoor(t)
+			d := newClosedListener(t)
+			other := newClosedListener(t)
 			afterwards(t, sent, func() {
 				passed <- time.Now()
-				d.file.Close()
+				_ = d.file.Close()
 				other.open(t, answers)
 			})
 			return []string{host("s-1", d.addr, "Ready"), host("s-2", other.addr, "Ready")}
@@ -110,7 +110,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			sent, passed := make(chan struct{}), make(chan time.Time, 1)
-			p := start(t, newSite(t, play(t, sent, passed)...).addr)
+			p := start(t, newTestSite(t, play(t, sent, passed)...).addr)
 			p.await(t, "cluster changed")
 			from := time.Now()
 			close(sent)
--- a/cmd/pinelb/router.go
+++ b/cmd/pinelb/router.go
@@ -21,30 +21,32 @@
 	fleetsettings "pinelb.example/pinelb/internal/fleet/settings"
 )
 
+// statusTimeout bounds a call of "pinelb router status".
 const statusTimeout = 2 * time.Second
 
-// runRouter carries out "pinelb router ..." and returns the exit status.
-func runRouter(args []string, hups <-chan os.Signal) int {
+// runRouter runs "pinelb router ..." and returns the exit status.
+func runRouter(args []string, hangups <-chan os.Signal) int {
 	status := 0
 	root := &cobra.Command{Use: "pinelb", SilenceUsage: true, SilenceErrors: true}
 	root.CompletionOptions.DisableDefaultCmd = true
-	root.AddCommand(routerCommand(hups, &status))
+	root.AddCommand(routerCommand(hangups, &status))
 	root.SetArgs(args)
 	if err := root.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "pinelb:", err)
-		return statusFaulty
+		return exitFaulty
 	}
 	return status
 }
 
-func routerCommand(hups <-chan os.Signal, status *int) *cobra.Command {
+// routerCommand returns the command "router". Its exit status, where there is no error, is written to status.
+func routerCommand(hangups <-chan os.Signal, status *int) *cobra.Command {
 	command := &cobra.Command{
 		Use:   "router",
 		Short: "Be a router of a fleet, as the settings file says that PINELB_CONFIG names",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			var err error
-			*status, err = serveRouter(hups)
+			*status, err = serveRouter(hangups)
 			return err
 		},
 	}
@@ -72,17 +74,17 @@
 }
 
 // serveRouter runs a router until SIGTERM or SIGINT.
-func serveRouter(hups <-chan os.Signal) (int, error) {
+func serveRouter(hangups <-chan os.Signal) (int, error) {
 	path := fleetsettings.Path()
 	s, err := fleetsettings.Load(path)
 	if err != nil {
-		return statusFaulty, err
+		return exitFaulty, err
 	}
 	log := routerLog().With(zap.String("node", s.Node))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	r := router.New(s, log)
-	go reloadRouter(ctx, r, path, hups, log)
+	go reloadRouter(ctx, r, path, hangups, log)
 	if err := r.Run(ctx); err != nil {
 		log.Error("the router ends", zap.Error(err))
 		return 1, nil
@@ -90,13 +92,13 @@
 	return 0, nil
 }
 
-// reloadRouter reads the settings file again on SIGHUP.
-func reloadRouter(ctx context.Context, r *router.Router, path string, hups <-chan os.Signal, log *zap.Logger) {
+// reloadRouter reads the settings file again on SIGHUP, until ctx is done.
+func reloadRouter(ctx context.Context, r *router.Router, path string, hangups <-chan os.Signal, log *zap.Logger) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hups:
+		case <-hangups:
 		}
 		s, err := fleetsettings.Load(path)
 		if err != nil {
@@ -115,6 +117,7 @@
 	return zap.New(core)
 }
 
+// checkConfiguration checks an operator's configuration as the first one of a fleet.
 func checkConfiguration(path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -133,6 +136,7 @@
 	return nil
 }
 
+// showRouter prints the status of the router at an internal address.
 func showRouter(ctx context.Context, address string, out io.Writer) error {
 	if ctx == nil {
 		ctx = context.Background()
@@ -147,7 +151,7 @@
 	if err != nil {
 		return err
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }()
 	var status json.RawMessage
 	if err := json.NewDecoder(response.Body).Decode(&status); err != nil {
 		return errors.Join(fmt.Errorf("%s is no router", address), err)
--- a/cmd/pinelb/settings.go
+++ b/cmd/pinelb/settings.go
@@ -17,25 +17,25 @@
 	"pinelb.example/pinelb/internal/settingsstore"
 )
 
-// pollEach is the time between two looks at a status that is waited for.
-const pollEach = 200 * time.Millisecond
+// statusPollInterval is the time between two polls of a status that is waited for.
+const statusPollInterval = 200 * time.Millisecond
 
-// settingsLine is what can stand after "pinelb settings".
-type settingsLine struct {
+// settingsCommand is the grammar of "pinelb settings ...". The names of the fields are those of the commands and flags.
+type settingsCommand struct {
 	Publish struct {
-		distributors
+		distributorFlags
 		File string `arg:"" placeholder:"FILE" help:"The settings: a JSON object, as the file that LB_CONFIG names has it under settings. - is standard input."`
 	} `cmd:"" help:"Publish settings of a service."`
 	Rollback struct {
-		distributors
+		distributorFlags
 	} `cmd:"" help:"Publish the settings anew that the service had before the newest ones."`
 	Status struct {
-		distributors
+		distributorFlags
 	} `cmd:"" help:"Say which sidecars have the newest settings of a service in force."`
 }
 
-// distributors are whom to call, about what, and how to tell the outcome.
-type distributors struct {
+// distributorFlags say which distributors to call, about which service, and how to report the outcome.
+type distributorFlags struct {
 	At      []string      `required:"" placeholder:"ADDR" help:"Where distributors take operators' calls. To publish, the first that takes it is enough."`
 	Service string        `required:"" placeholder:"NAME" help:"The service."`
 	Within  time.Duration `default:"2s" help:"How long one is waited for."`
@@ -43,8 +43,8 @@
 	JSON    bool          `help:"Lines of JSON: one for each sidecar, one for each distributor, and a summary."`
 }
 
-// check names the argument that can't be used.
-func (d *distributors) check() error {
+// check returns an error for the first invalid flag.
+func (d *distributorFlags) check() error {
 	for _, at := range d.At {
 		if addr, err := netip.ParseAddrPort(at); err != nil || addr.Port() == 0 {
 			return fmt.Errorf("--at: must be an address and port, not %q", at)
@@ -53,38 +53,38 @@
 	if d.Within <= 0 || d.Wait < 0 {
 		return fmt.Errorf("--within must be above 0, and --wait not below")
 	}
-	if faulty, ok := settingsstore.CheckName("--service", d.Service).(settingsstore.KeyError); ok {
-		return fmt.Errorf("%s %s", faulty.Key, faulty.Reason)
+	if keyErr := (settingsstore.KeyError{}); errors.As(settingsstore.CheckName("--service", d.Service), &keyErr) {
+		return fmt.Errorf("%s %s", keyErr.Key, keyErr.Reason)
 	}
 	return nil
 }
 
-// runSettings carries out a command and returns the exit status.
-func runSettings(command string, line *settingsLine) int {
+// runSettings runs a command and returns the exit status.
+func runSettings(command string, line *settingsCommand) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	d := map[string]*distributors{"publish": &line.Publish.distributors, "rollback": &line.Rollback.distributors, "status": &line.Status.distributors}[command]
+	d := map[string]*distributorFlags{"publish": &line.Publish.distributorFlags, "rollback": &line.Rollback.distributorFlags, "status": &line.Status.distributorFlags}[command]
 	err := d.check()
 	var contents []byte
 	if err == nil && command == "publish" {
-		contents, err = settingsOf(line.Publish.File)
+		contents, err = readSettings(line.Publish.File)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "pinelb settings:", err)
-		return statusFaulty
+		return exitFaulty
 	}
 	o := &settingsserver.OperatorClient{Addresses: d.At, Timeout: d.Within}
 	switch command {
 	case "publish":
-		return d.published(ctx, o, func() (settingsserver.PublishResult, error) { return o.Publish(ctx, d.Service, contents) })
+		return d.reportPublished(ctx, o, func() (settingsserver.PublishResult, error) { return o.Publish(ctx, d.Service, contents) })
 	case "rollback":
-		return d.published(ctx, o, func() (settingsserver.PublishResult, error) { return o.RollBack(ctx, d.Service) })
+		return d.reportPublished(ctx, o, func() (settingsserver.PublishResult, error) { return o.RollBack(ctx, d.Service) })
 	}
-	return d.status(ctx, o)
+	return d.reportStatus(ctx, o)
 }
 
-// settingsOf reads what is to be published.
-func settingsOf(path string) ([]byte, error) {
+// readSettings reads the settings that are to be published.
+func readSettings(path string) ([]byte, error) {
 	in := io.ReadCloser(os.Stdin)
 	if path != "-" {
 		f, err := os.Open(path)
@@ -93,13 +93,14 @@
 		}
 		in = f
 	}
-	defer in.Close()
-	const most = 8 * settingsstore.MaxSettingsBytes // a distributor says how much is too much
-	return io.ReadAll(io.LimitReader(in, most))
+	defer func() { _ = in.Close() }()
+	const maxBytes = 8 * settingsstore.MaxSettingsBytes // the distributor rejects what is too long
+	return io.ReadAll(io.LimitReader(in, maxBytes))
 }
 
-// published tells what came of a publish, and waits until it is in force where that is asked for.
-func (d *distributors) published(ctx context.Context, o *settingsserver.OperatorClient, do func() (settingsserver.PublishResult, error)) int {
+// reportPublished reports the outcome of a publish, waits until the settings are in force if that was requested, and returns the
+// exit status.
+func (d *distributorFlags) reportPublished(ctx context.Context, o *settingsserver.OperatorClient, do func() (settingsserver.PublishResult, error)) int {
 	p, err := do()
 	switch {
 	case errors.Is(err, settingsserver.ErrNoneReached):
@@ -107,7 +108,7 @@
 		return settingsserver.ExitNoneReached
 	case err != nil:
 		fmt.Fprintln(os.Stderr, "pinelb settings:", err)
-		return statusFaulty
+		return exitFaulty
 	case !d.JSON:
 		fmt.Printf("%s: published as edition %s\n", d.Service, p.Edition)
 	}
@@ -118,15 +119,16 @@
 		fmt.Printf("{\"line\":\"published\",\"service\":%q,\"epoch\":%d,\"by\":%q,\"digest\":\"%016x\"}\n", d.Service, p.Epoch, p.By, uint64(p.Digest))
 		return 0
 	}
-	return d.status(ctx, o)
+	return d.reportStatus(ctx, o)
 }
 
-// status tells how sidecars stand, once all have the newest in force or the wait is over.
-func (d *distributors) status(ctx context.Context, o *settingsserver.OperatorClient) int {
+// reportStatus reports the sidecars' states, once all have the newest settings in force or the wait is over, and returns the exit
+// status.
+func (d *distributorFlags) reportStatus(ctx context.Context, o *settingsserver.OperatorClient) int {
 	end := time.Now().Add(d.Wait)
 	v := settingsserver.NewView(o.Statuses(ctx, d.Service))
 	for v.Exit() != settingsserver.ExitAllInForce && time.Now().Before(end) && ctx.Err() == nil {
-		time.Sleep(pollEach)
+		time.Sleep(statusPollInterval)
 		v = settingsserver.NewView(o.Statuses(ctx, d.Service))
 	}
 	write := v.Table
@@ -135,17 +137,17 @@
 	}
 	if err := write(os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "pinelb settings:", err)
-		return statusFaulty
+		return exitFaulty
 	}
 	return v.Exit()
 }
 
-// runDistributor is a distributor's process, and returns the exit status.
+// runDistributor runs a distributor and returns the exit status.
 func runDistributor(path string) int {
 	cfg, err := settingsserver.ReadConfig(path)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "pinelb distribute:", err)
-		return statusFaulty
+		return exitFaulty
 	}
 	log := zerolog.New(os.Stderr).Level(zerolog.InfoLevel).Sample(&zerolog.BurstSampler{Burst: 50, Period: time.Second}).With().Timestamp().Logger()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
--- a/cmd/pinelb/settings_test.go
+++ b/cmd/pinelb/settings_test.go
@@ -30,7 +30,7 @@
 }
 
 // distributing starts a distributor's process.
-func distributing(t *testing.T, file string) (p *program, asked, called string) {
+func startDistributor(t *testing.T, file string) (p *program, asked, called string) {
 	t.Helper()
 	p = launchOn(t, exec.Command(os.Args[0], "distribute", file), "")
 	listening := p.await(t, "distributor listening")
@@ -89,7 +89,7 @@
 func TestDistributeAndSettings(t *testing.T) {
 	dir := t.TempDir()
 	file := distributorFile(t, "d1", dir, "")
-	p, asked, called := distributing(t, file)
+	p, asked, called := startDistributor(t, file)
 	published := filepath.Join(dir, "published")
 	if err := os.WriteFile(published, []byte(settings), 0o600); err != nil {
 		t.Fatal(err)
@@ -186,7 +186,7 @@
 	if err := p.cmd.Wait(); err != nil {
 		t.Errorf("SIGTERM: %v", err)
 	}
-	_, _, called = distributing(t, file)
+	_, _, called = startDistributor(t, file)
 	status, out := run(t, "settings", "status", "--json", "--at", called, "--service", "orders", "--within", "10s")
 	var last struct{ Epoch uint64 }
 	lines := strings.Split(strings.TrimSpace(out), "\n")
--- a/cmd/pinelb/early_test.go
+++ b/cmd/pinelb/shutdown_at_start_test.go
@@ -15,7 +15,7 @@
 
 // Guards against SIGTERM ending a sidecar at once that listens already and has not begun to serve: what the kernel has
 // accepted for it would be reset.
-func TestEndedAsItBegins(t *testing.T) {
+func TestTerminatedAtStart(t *testing.T) {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -26,8 +26,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer log.Close()
-	defer stderr.Close()
+	defer func() { _ = log.Close() }()
+	defer func() { _ = stderr.Close() }()
 	if err := stderr.SetWriteDeadline(time.Now().Add(50 * time.Millisecond)); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/pinelb/state_bench_test.go
+++ b/cmd/pinelb/state_bench_test.go
@@ -17,7 +17,7 @@
 // BenchmarkJournal is how long a stream takes through the program with and without a journal of effects, in microseconds.
 func BenchmarkJournal(b *testing.B) {
 	box := listen(b, http.HandlerFunc(serve("ok")))
-	s := newSite(b, host("s-1", box, "Ready"))
+	s := newTestSite(b, host("s-1", box, "Ready"))
 	for _, clients := range []int{1, 16} {
 		for _, journal := range []bool{false, true} {
 			b.Run(fmt.Sprintf("clients=%d/journal=%v", clients, journal), func(b *testing.B) {
--- a/cmd/pinelb/state_test.go
+++ b/cmd/pinelb/state_test.go
@@ -21,7 +21,7 @@
 var kills = flag.Int("kills", 3, "how often TestKilledRunsNothingTwice kills the program")
 
 // stateful starts a sidecar with [state] in that directory.
-func stateful(t *testing.T, file, dir string) (*program, string) {
+func startWithState(t *testing.T, file, dir string) (*program, string) {
 	t.Helper()
 	op := operatorFile(t, fmt.Sprintf("[state]\ndir = %q\nevery = \"1s\"\njournal = true\n", dir))
 	p := launchOn(t, exec.Command(os.Args[0], "--config", op), file, "LB_CONTROL=127.0.0.1:0", "TMPDIR=")
@@ -30,12 +30,12 @@
 
 // Guards against a restart that forgets, remembers what is not its own, or does not say so; and against two processes that
 // write over each other's state.
-func TestRestartRemembers(t *testing.T) {
+func TestRestartRestoresState(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	a, b := listen(t, http.HandlerFunc(serve("a"))), listen(t, http.HandlerFunc(serve("b")))
-	s := newSite(t, host("s-1", a, "Ready"), host("s-2", b, "Ready"))
+	s := newTestSite(t, host("s-1", a, "Ready"), host("s-2", b, "Ready"))
 	file := configFile(t, configFor(s.addr))
-	p, _ := stateful(t, file, dir)
+	p, _ := startWithState(t, file, dir)
 	p.addr = p.await(t, "listening").Get("addr").Str
 	at := p.await(t, "listening for operators").Get("addr").Str
 	p.await(t, "cluster changed")
@@ -45,7 +45,7 @@
 	for range 20 {
 		p.call(t, "GET", "/order-status/1", "")
 	}
-	q, _ := stateful(t, file, dir)
+	q, _ := startWithState(t, file, dir)
 	if fault := q.await(t, "no state is kept").Get("error").Str; !strings.Contains(fault, dir) {
 		t.Errorf("a second process says %q", fault)
 	}
@@ -58,10 +58,10 @@
 		t.Fatal(err)
 	}
 	var shown bytes.Buffer
-	if status := show(filepath.Join(dir, "snapshot"), &shown); status != 0 || !strings.Contains(shown.String(), "s-2 ") || !strings.Contains(shown.String(), `cordoned ["s-1"]`) {
+	if status := showState(filepath.Join(dir, "snapshot"), &shown); status != 0 || !strings.Contains(shown.String(), "s-2 ") || !strings.Contains(shown.String(), `cordoned ["s-1"]`) {
 		t.Errorf("status %d, shown:\n%s", status, &shown)
 	}
-	r, _ := stateful(t, file, dir)
+	r, _ := startWithState(t, file, dir)
 	if m := r.await(t, "remembered"); m.Get("members").Int() != 2 || m.Get("cordoned").Int() != 1 {
 		t.Errorf("remembered: %s", m.Raw)
 	}
@@ -81,11 +81,11 @@
 	if err := os.WriteFile(filepath.Join(dir, "snapshot"), text[:len(text)-1], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	w, _ := stateful(t, file, dir)
+	w, _ := startWithState(t, file, dir)
 	if fault := w.await(t, "nothing is remembered").Get("error").Str; !strings.Contains(fault, "cut off") {
 		t.Errorf("of a snapshot that is cut off the log says %q", fault)
 	}
-	if status := show(filepath.Join(dir, "snapshot"), &shown); status != statusFaulty {
+	if status := showState(filepath.Join(dir, "snapshot"), &shown); status != exitFaulty {
 		t.Errorf("status %d", status)
 	}
 }
@@ -107,13 +107,13 @@
 			}
 		}
 	}))
-	s := newSite(t, host("s-1", box, "Ready"))
+	s := newTestSite(t, host("s-1", box, "Ready"))
 	config := configFor(s.addr)
 	config["limits"] = map[string]any{"sockets": 2048, "memory_mb": 1024} // room for 32768 effects
 	file := configFile(t, config)
 	var again, refused atomic.Int64
 	for life := range *kills {
-		p, _ := stateful(t, file, dir)
+		p, _ := startWithState(t, file, dir)
 		p.await(t, "journal read")
 		p.addr = p.await(t, "listening").Get("addr").Str
 		p.await(t, "cluster changed")
--- a/cmd/pinelb/thrift_test.go
+++ b/cmd/pinelb/thrift_test.go
@@ -246,7 +246,7 @@
 	for i, addr := range hosts {
 		members = append(members, host(fmt.Sprint("s-", i), addr, "Ready"))
 	}
-	p = launch(t, exec.Command(os.Args[0], "--config", operatorFile(t, operator)), newSite(t, members...).addr)
+	p = launch(t, exec.Command(os.Args[0], "--config", operatorFile(t, operator)), newTestSite(t, members...).addr)
 	addr = p.await(t, "listening for Thrift").Get("addr").Str
 	p.addr = p.await(t, "listening").Get("addr").Str
 	p.await(t, "cluster changed")
@@ -338,7 +338,7 @@
 	release, s := make(chan struct{}), &orders{notes: make(chan string, 10)}
 	thriftAt := thriftHost(t, form, s)
 	_, port, _ := net.SplitHostPort(thriftAt)
-	b := newBox(t, func(w http.ResponseWriter, _ *http.Request) {
+	b := newTestHost(t, func(w http.ResponseWriter, _ *http.Request) {
 		<-release
 		_, _ = io.WriteString(w, "whole")
 	})
--- a/cmd/pinelb/upgrade_test.go
+++ b/cmd/pinelb/upgrade_test.go
@@ -16,7 +16,7 @@
 // beside starts a second process of the same sidecar and waits until it says yes.
 func (p *program) beside(t *testing.T, tmp string) (*program, string) {
 	t.Helper()
-	q, at := operated(t, p.file, tmp)
+	q, at := startWithControl(t, p.file, tmp)
 	for admin(t, "GET", at, "/admin/health") != 200 {
 	}
 	return q, at
@@ -28,8 +28,8 @@
 func TestUpgradeIsNotNoticed(t *testing.T) {
 	tmp := t.TempDir()
 	a, b := listen(t, http.HandlerFunc(serve("a"))), listen(t, http.HandlerFunc(serve("b")))
-	s := newSite(t, host("s-1", a, "Ready"), host("s-2", b, "Ready"))
-	p, at := operated(t, configFile(t, configFor(s.addr)), tmp)
+	s := newTestSite(t, host("s-1", a, "Ready"), host("s-2", b, "Ready"))
+	p, at := startWithControl(t, configFile(t, configFor(s.addr)), tmp)
 	p.await(t, "cluster changed")
 	addr := p.addr // of both, and of the third
 	var stop, cordoned atomic.Bool
@@ -113,11 +113,11 @@
 // the clients' address, and serves on alone.
 func TestUpgradeWithoutASocket(t *testing.T) {
 	a := listen(t, http.HandlerFunc(serve("a")))
-	s := newSite(t, host("s-1", a, "Ready"))
+	s := newTestSite(t, host("s-1", a, "Ready"))
 	start := func(listen string) *program {
 		config := configFor(s.addr)
 		config["listen"] = listen
-		p, _ := operated(t, configFile(t, config), "")
+		p, _ := startWithControl(t, configFile(t, config), "")
 		p.await(t, "cluster changed")
 		return p
 	}
@@ -143,8 +143,8 @@
 func TestSuccessorDies(t *testing.T) {
 	tmp := t.TempDir()
 	a, b := listen(t, http.HandlerFunc(serve("a"))), listen(t, http.HandlerFunc(serve("b")))
-	s := newSite(t, host("s-1", a, "Ready"), host("s-2", b, "Ready"))
-	p, at := operated(t, configFile(t, configFor(s.addr)), tmp)
+	s := newTestSite(t, host("s-1", a, "Ready"), host("s-2", b, "Ready"))
+	p, at := startWithControl(t, configFile(t, configFor(s.addr)), tmp)
 	p.await(t, "cluster changed")
 	if got := admin(t, "POST", at, "/admin/cordon?name=s-1"); got != 200 {
 		t.Fatalf("a cordon is answered %d", got)
@@ -181,13 +181,13 @@
 func TestUpgradeKnowsEffects(t *testing.T) {
 	tmp := t.TempDir()
 	fail := make(chan bool)
-	b := newBox(t, func(w http.ResponseWriter, r *http.Request) {
+	b := newTestHost(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == "POST" && <-fail {
 			panic(http.ErrAbortHandler) // it may have run
 		}
 	})
-	s := newSite(t, host("s-1", b.addr, "Ready"))
-	p, _ := operated(t, configFile(t, configFor(s.addr)), tmp)
+	s := newTestSite(t, host("s-1", b.addr, "Ready"))
+	p, _ := startWithControl(t, configFile(t, configFor(s.addr)), tmp)
 	p.await(t, "cluster changed")
 	var conns [2]net.Conn // to the old process: accepted before there is another
 	for i := range conns {
--- a/internal/accesslog/queue.go
+++ b/internal/accesslog/queue.go
@@ -120,12 +120,12 @@
 	q.closed = true
 	q.mu.Unlock()
 	close(q.closing)
-	late := time.NewTimer(closeTimeout)
-	defer late.Stop()
+	timeout := time.NewTimer(closeTimeout)
+	defer timeout.Stop()
 	select {
 	case <-q.done:
 		return nil
-	case <-late.C:
+	case <-timeout.C:
 		return errSinkBlocked
 	}
 }
@@ -155,7 +155,7 @@
 func (q *queue) flush(last bool) {
 	now := q.now()
 	q.mu.Lock()
-	batch, owed, lost := q.pending, q.needsPreamble, Loss{}
+	batch, needsPreamble, lost := q.pending, q.needsPreamble, Loss{}
 	q.pending, q.needsPreamble = q.spare[:0], false
 	if q.lost.LostLines != (LostLines{}) && (last || now-q.reportedAt >= lossReportInterval) {
 		lost, q.lost, q.reportedAt = q.lost, Loss{}, now
@@ -167,7 +167,7 @@
 		q.restore(batch, lost)
 		return
 	}
-	rest, err := q.write(batch, owed, lost)
+	rest, err := q.write(batch, needsPreamble, lost)
 	if err != nil {
 		q.restore(rest, lost)
 		q.retryAt = now + retryInterval
@@ -180,15 +180,15 @@
 
 // write writes a batch, with the preamble and the losses that are due before it. It returns the lines that were not written
 // completely.
-func (q *queue) write(batch []byte, owed bool, lost Loss) ([]byte, error) {
+func (q *queue) write(batch []byte, needsPreamble bool, lost Loss) ([]byte, error) {
 	text, n := batch, 0
 	for range 2 { // a full file is replaced by another one, which begins with the preamble
-		fresh, err := q.sink.ready()
+		isNew, err := q.sink.ready()
 		if err != nil {
 			return text, err
 		}
 		var head []byte
-		if fresh || owed {
+		if isNew || needsPreamble {
 			head = q.preamble(head)
 		}
 		if lost.LostLines != (LostLines{}) {
--- a/internal/accesslog/recording.go
+++ b/internal/accesslog/recording.go
@@ -27,7 +27,7 @@
 // The kinds of line.
 const (
 	kindStart   = "start"   // header: who records, since when, by which settings
-	kindCluster = "cluster" // a list of hosts, as discovery told it
+	kindCluster = "cluster" // a list of endpoints, as from discovery
 	kindStream  = "stream"  // a stream that is over
 	kindLost    = "lost"    // how many lines are missing
 )
--- a/internal/accesslog/sink.go
+++ b/internal/accesslog/sink.go
@@ -15,7 +15,7 @@
 // sink is an output. Its methods may block: only one goroutine calls them.
 type sink interface {
 	// ready opens the sink where necessary, and reports whether it needs the preamble.
-	ready() (fresh bool, err error)
+	ready() (isNew bool, err error)
 	// write returns how many bytes of a batch were written.
 	write(batch []byte) (int, error)
 	close()
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -66,44 +66,44 @@
 // Round polls all sidecars once, decides, sends the orders that follow, and returns the findings. An error says that ctx was
 // done before: what was received until then is kept, and shown nowhere.
 func (a *Audit) Round(ctx context.Context) (*View, error) {
-	began, base := time.Now(), a.monotonicNow()
-	at := func(t time.Time) time.Duration { return base + t.Sub(began) }
+	roundStart, base := time.Now(), a.monotonicNow()
+	at := func(t time.Time) time.Duration { return base + t.Sub(roundStart) }
 	a.round++
-	demand := a.reference(ctx, base)
+	reference := a.reference(ctx, base)
 	listed := a.options.Inventory.Sidecars
-	questions := make([]Request, len(listed))
+	requests := make([]Request, len(listed))
 	for i, s := range listed {
-		questions[i] = a.request(s, nil)
+		requests[i] = a.request(s, nil)
 	}
-	answers := a.asker.Do(ctx, questions)
+	answers := a.asker.Do(ctx, requests)
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
 	wall := time.Now()
 	a.now = max(a.monotonicNow(), at(wall))
-	decided, faults := a.decide(questions, answers, demand, at, wall)
-	refused := a.sendOrders(ctx, millis(wall), &decided)
-	v := a.view(answers, &decided, wall)
+	result, faults := a.decide(requests, answers, reference, at, wall)
+	orderErrors := a.sendOrders(ctx, millis(wall), &result)
+	v := a.view(answers, &result, wall)
 	for i := range v.Rows {
-		v.Rows[i].OrderError = refused[v.Rows[i].Name]
+		v.Rows[i].OrderError = orderErrors[v.Rows[i].Name]
 	}
-	v.InventoryFaults, v.Duration = faults, version.Millis(time.Since(began).Milliseconds())
+	v.InventoryFaults, v.Duration = faults, version.Millis(time.Since(roundStart).Milliseconds())
 	return v, nil
 }
 
 // decide merges the answers, and decides at the time a.now. At converts a time to that clock.
-func (a *Audit) decide(questions []Request, answers []Answer, demand *version.Reference, at func(time.Time) time.Duration, wall time.Time) (decided version.RoundResult, faults []string) {
+func (a *Audit) decide(requests []Request, answers []Answer, reference *version.Reference, at func(time.Time) time.Duration, wall time.Time) (result version.RoundResult, faults []string) {
 	if a.site == "" {
 		a.site = mostCommon(answers, func(r *auditlog.Report) string { return r.Site })
 	}
 	faults = slices.Concat(a.options.Inventory.Faults, a.inventoryFaults(answers))
-	a.mergeAnswers(questions, answers)
+	a.mergeAnswers(requests, answers)
 	a.readDirs(answers)
 	for _, name := range slices.Sorted(maps.Keys(a.dirFaults)) {
 		faults = append(faults, a.dirFaults[name])
 	}
 	if a.options.List == "" {
-		demand.List, demand.RequestedAt = a.newestList(answers), a.now
+		reference.List, reference.RequestedAt = a.newestList(answers), a.now
 	}
 	if a.auditor == nil && a.site != "" {
 		a.auditor = version.NewAuditor(a.options.rules(a.site), a.epoch)
@@ -111,13 +111,13 @@
 	if a.auditor == nil {
 		return version.RoundResult{}, faults
 	}
-	seen := make([]version.Observation, len(answers))
+	observations := make([]version.Observation, len(answers))
 	for i := range answers {
-		seen[i] = a.observation(&a.options.Inventory.Sidecars[i], &answers[i], at(answers[i].ReceivedAt))
+		observations[i] = a.observation(&a.options.Inventory.Sidecars[i], &answers[i], at(answers[i].ReceivedAt))
 	}
-	decided = a.auditor.Round(a.now, time.Duration(wall.UnixNano()), seen, demand)
+	result = a.auditor.Round(a.now, time.Duration(wall.UnixNano()), observations, reference)
 	a.epoch = a.auditor.Epoch()
-	return decided, faults
+	return result, faults
 }
 
 // request returns the request to a sidecar, with an order if there is one.
@@ -167,7 +167,7 @@
 }
 
 // mergeAnswers records the answers.
-func (a *Audit) mergeAnswers(questions []Request, answers []Answer) {
+func (a *Audit) mergeAnswers(requests []Request, answers []Answer) {
 	for i := range answers {
 		name := a.options.Inventory.Sidecars[i].Name
 		m := a.record(name)
@@ -179,10 +179,10 @@
 			}
 			continue
 		}
-		a.history.Merge(name, questions[i].Since, answers[i])
-		kept := *r
-		kept.Entries = nil
-		m.Report, m.LastAnswer, m.UnreachedSince, m.dirReadAt = &kept, answers[i].Midpoint, 0, time.Time{}
+		a.history.Merge(name, requests[i].Since, answers[i])
+		reportOnly := *r
+		reportOnly.Entries = nil
+		m.Report, m.LastAnswer, m.UnreachedSince, m.dirReadAt = &reportOnly, answers[i].Midpoint, 0, time.Time{}
 	}
 }
 
@@ -240,30 +240,30 @@
 }
 
 // sendOrders sends the orders and merges the answers to them. It returns the errors by sidecar.
-func (a *Audit) sendOrders(ctx context.Context, now version.Millis, decided *version.RoundResult) map[string]string {
-	if decided.Minimum != nil {
-		a.history.RecordMinimum(now, *decided.Minimum)
+func (a *Audit) sendOrders(ctx context.Context, now version.Millis, result *version.RoundResult) map[string]string {
+	if result.Minimum != nil {
+		a.history.RecordMinimum(now, *result.Minimum)
 	}
 	byName := map[string]*version.Order{}
-	for i := range decided.Orders {
-		byName[decided.Orders[i].Name] = &decided.Orders[i].Order
+	for i := range result.Orders {
+		byName[result.Orders[i].Name] = &result.Orders[i].Order
 	}
-	var whom []*Sidecar
-	var questions []Request
+	var recipients []*Sidecar
+	var requests []Request
 	for i := range a.options.Inventory.Sidecars {
 		if s := &a.options.Inventory.Sidecars[i]; byName[s.Name] != nil {
-			whom = append(whom, s)
-			questions = append(questions, a.request(*s, byName[s.Name]))
+			recipients = append(recipients, s)
+			requests = append(requests, a.request(*s, byName[s.Name]))
 		}
 	}
-	refused := map[string]string{}
-	for i, got := range a.asker.Do(ctx, questions) {
+	orderErrors := map[string]string{}
+	for i, got := range a.asker.Do(ctx, requests) {
 		if got.OrderErr != nil {
-			refused[whom[i].Name] = got.OrderErr.Error()
+			orderErrors[recipients[i].Name] = got.OrderErr.Error()
 		}
-		if r := got.Report; r != nil && r.Name == whom[i].Name {
-			a.history.Merge(whom[i].Name, questions[i].Since, got)
+		if r := got.Report; r != nil && r.Name == recipients[i].Name {
+			a.history.Merge(recipients[i].Name, requests[i].Since, got)
 		}
 	}
-	return refused
+	return orderErrors
 }
--- a/internal/audit/checks.go
+++ b/internal/audit/checks.go
@@ -26,8 +26,8 @@
 }
 
 // checkEntries checks the last entries of a sidecar, of which fresh are new, for contradictions.
-func (h *History) checkEntries(name string, p *SidecarLog, fresh int) {
-	first := len(p.Entries) - fresh
+func (h *History) checkEntries(name string, p *SidecarLog, newEntries int) {
+	first := len(p.Entries) - newEntries
 	revisions, epoch := map[string]int64{}, uint64(0)
 	for i, e := range p.Entries {
 		if i > 0 && !isNext(p.Entries[i-1].Entry, e.Entry) { // entries in between are missing, with or without a fault
@@ -63,7 +63,7 @@
 }
 
 // recordList records a list's content under its name.
-func (h *History) recordList(who string, at version.Millis, l version.List) {
+func (h *History) recordList(sidecar string, at version.Millis, l version.List) {
 	if !isServed(l) {
 		return
 	}
@@ -74,9 +74,9 @@
 		if h.FirstLists == nil || len(h.FirstLists) >= maxListNames {
 			h.FirstLists = map[string]firstList{}
 		}
-		h.FirstLists[key] = firstList{l.Digest, who}
+		h.FirstLists[key] = firstList{l.Digest, sidecar}
 	case first.Digest != l.Digest:
-		h.contradiction(ConflictingLists, who, at, fmt.Sprintf("%s revision %d is %016x here and %016x at %s",
+		h.contradiction(ConflictingLists, sidecar, at, fmt.Sprintf("%s revision %d is %016x here and %016x at %s",
 			l.From, l.Revision, uint64(l.Digest), uint64(first.Digest), first.Sidecar))
 	}
 }
--- a/internal/audit/client.go
+++ b/internal/audit/client.go
@@ -35,8 +35,8 @@
 }
 
 // NewClient returns a client. The caller closes it.
-func NewClient(atATime int, within time.Duration) *Client {
-	return &Client{Concurrency: atATime, Timeout: within, client: &http.Client{
+func NewClient(concurrency int, timeout time.Duration) *Client {
+	return &Client{Concurrency: concurrency, Timeout: timeout, client: &http.Client{
 		Transport: &http.Transport{DialContext: (&net.Dialer{}).DialContext, DisableKeepAlives: true, DisableCompression: true,
 			MaxResponseHeaderBytes: maxHeaderBytes},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
@@ -68,37 +68,37 @@
 
 // Do sends the requests, Concurrency at a time, and returns the answers in the requests' order. When ctx is done it returns:
 // sidecars that had not answered then count as not reached.
-func (a *Client) Do(ctx context.Context, questions []Request) []Answer {
-	answers := make([]Answer, len(questions))
-	took := make([]time.Duration, len(questions))
-	for i, q := range questions {
+func (a *Client) Do(ctx context.Context, requests []Request) []Answer {
+	answers := make([]Answer, len(requests))
+	took := make([]time.Duration, len(requests))
+	for i, q := range requests {
 		took[i] = q.LastDuration
 	}
-	due := newScheduler(took, max(1, a.Concurrency))
-	ended := make(chan struct{}, len(questions))
-	for left := len(questions); left > 0; left-- {
-		for who, ok := due.next(); ok; who, ok = due.next() {
+	queue := newScheduler(took, max(1, a.Concurrency))
+	done := make(chan struct{}, len(requests))
+	for remaining := len(requests); remaining > 0; remaining-- {
+		for index, ok := queue.next(); ok; index, ok = queue.next() {
 			go func() {
-				answers[who] = a.poll(ctx, questions[who])
-				ended <- struct{}{}
+				answers[index] = a.poll(ctx, requests[index])
+				done <- struct{}{}
 			}()
 		}
-		<-ended
-		due.done()
+		<-done
+		queue.done()
 	}
 	return answers
 }
 
 // poll sends a sidecar its order, if there is one, and requests its log's new entries, page by page.
 func (a *Client) poll(ctx context.Context, q Request) (out Answer) {
-	began := time.Now()
-	defer func() { out.ReceivedAt, out.Duration = time.Now(), time.Since(began) }()
+	start := time.Now()
+	defer func() { out.ReceivedAt, out.Duration = time.Now(), time.Since(start) }()
 	ctx, cancel := context.WithTimeout(ctx, a.Timeout)
 	defer cancel()
 	if q.Order != nil {
 		out.OrderErr = a.sendOrder(ctx, q.Addr, *q.Order)
 	}
-	since, anew := max(1, q.Since), false
+	since, restarted := max(1, q.Since), false
 	for range maxPages {
 		from := time.Now()
 		text, err := a.call(ctx, http.MethodGet, fmt.Sprintf("http://%s/admin/audit?since=%d", q.Addr, since), nil, maxAnswerBytes)
@@ -114,9 +114,9 @@
 			return out // the rest of the log follows in the next round
 		}
 		out.Midpoint, out.Uncertainty = millis(from.Add(half)), version.Millis(half.Milliseconds()+1)
-		held := q.Sum == "" || len(r.Entries) > 0 && r.Entries[0].Seq == q.Since && r.Entries[0].Sum == q.Sum
-		if out.Report == nil && !anew && (r.Next < since || !held) { // the log has begun anew, or was changed
-			since, anew = 1, true
+		unchanged := q.Sum == "" || len(r.Entries) > 0 && r.Entries[0].Seq == q.Since && r.Entries[0].Sum == q.Sum
+		if out.Report == nil && !restarted && (r.Next < since || !unchanged) { // the log has begun anew, or was changed
+			since, restarted = 1, true
 			continue
 		}
 		if out.Report != nil {
--- a/internal/audit/history.go
+++ b/internal/audit/history.go
@@ -18,7 +18,7 @@
 	maxMinimums       = 256     // the newest
 	clockTolerance    = version.Millis(1000)
 
-	sourceRepeated = "kept" // what an adoption comes from that a trail tells once more, for the first telling was dropped
+	sourceRepeated = "kept" // the source of an adoption that repeats a dropped entry
 )
 
 // SidecarLog is what is kept of one sidecar's audit log.
@@ -96,10 +96,10 @@
 	at := clockSample{Time: a.Midpoint, Uncertainty: a.Uncertainty, Wall: r.Now, Up: r.Up}
 	p.Shift, p.Uncertainty, p.ShiftKnown = shift, a.Uncertainty, true
 	if len(r.Entries) == 0 || r.Entries[0].Seq > since {
-		switch held := len(p.Entries) > 0; {
+		switch hasEntries := len(p.Entries) > 0; {
 		case r.Oldest > since:
 			p.Dropped = true
-		case held && r.Next > since, len(r.Entries) > 0:
+		case hasEntries && r.Next > since, len(r.Entries) > 0:
 			h.contradiction(MissingEntries, name, a.Midpoint, fmt.Sprintf("asked from entry %d on, of which it says that it has it, it did not tell it", since))
 		}
 	}
@@ -131,7 +131,7 @@
 func (h *History) addEntries(name string, entries []auditlog.Entry, at clockSample) {
 	p := h.sidecarLog(name)
 	placed := placeOnTimeline(entries, at)
-	fresh := 0
+	newEntries := 0
 	for _, e := range placed {
 		i := len(p.Entries) - 1 // a known entry is the last one, or of a log that is read anew
 		for i >= 0 && (p.Entries[i].Seq != e.Seq || p.Entries[i].Incarnation != e.Incarnation) {
@@ -143,13 +143,13 @@
 				h.contradiction(Rewritten, name, e.Time, fmt.Sprintf("entry %d does not follow the entry %d that was read before", e.Seq, e.Seq-1))
 			}
 			p.Entries = append(p.Entries, e)
-			fresh++
+			newEntries++
 		case p.Entries[i].Sum != e.Sum:
 			h.contradiction(Rewritten, name, e.Time, fmt.Sprintf("entry %d was %s and is %s", e.Seq, p.Entries[i].Sum, e.Sum))
 		}
 	}
-	if fresh > 0 {
-		h.checkEntries(name, p, fresh)
+	if newEntries > 0 {
+		h.checkEntries(name, p, newEntries)
 	}
 	p.Entries = slices.Clone(p.Entries[max(0, len(p.Entries)-h.entryLimit()):])
 }
--- a/internal/audit/late.go
+++ b/internal/audit/late.go
@@ -28,19 +28,19 @@
 		life  string
 		under uint32
 	}
-	versions, began := map[adoption]*version.Version{}, map[adoption]version.Millis{}
+	versions, adoptedAt := map[adoption]*version.Version{}, map[adoption]version.Millis{}
 	flushed := map[string][]version.Millis{} // by incarnation
-	sums := map[string]LateAttempts{}
+	byHost := map[string]LateAttempts{}
 	for _, e := range p.Entries {
 		key := adoption{e.Incarnation, e.VersionID}
 		switch {
 		case isAdoption(e):
 			versions[key] = e.Version
 			if e.From != sourceRepeated {
-				began[key] = e.Time
+				adoptedAt[key] = e.Time
 			}
 		case e.Kind == auditlog.Counted && versions[key] != nil:
-			from := began[key]
+			from := adoptedAt[key]
 			for _, t := range slices.Backward(flushed[e.Incarnation]) {
 				if t < e.Time-clockTolerance { // the entries of one flush are closer together
 					from = max(from, t)
@@ -48,29 +48,29 @@
 				}
 			}
 			flushed[e.Incarnation] = append(flushed[e.Incarnation], e.Time)
-			ended, over := h.expiredSince(versions[key], e.Time+e.Uncertainty)
-			if !over {
+			expiry, expired := h.expiredSince(versions[key], e.Time+e.Uncertainty)
+			if !expired {
 				continue
 			}
 			for _, a := range e.Attempts {
-				s := sums[a.Host]
-				if s.Host = a.Host; from-e.Uncertainty >= ended {
+				s := byHost[a.Host]
+				if s.Host = a.Host; from-e.Uncertainty >= expiry {
 					s.Certain += max(0, a.N-a.Unsent)
 				} else {
 					s.Possible += max(0, a.N-a.Unsent)
 				}
-				sums[a.Host] = s
+				byHost[a.Host] = s
 			}
 		}
 	}
-	return slices.SortedFunc(maps.Values(sums), func(a, b LateAttempts) int {
+	return slices.SortedFunc(maps.Values(byHost), func(a, b LateAttempts) int {
 		return cmp.Or(cmp.Compare(b.Certain+b.Possible, a.Certain+a.Possible), cmp.Compare(a.Host, b.Host))
 	})
 }
 
 // expiredSince returns since when a version had expired, at a moment. The minimum version of the highest epoch in force then
 // decides; where it was sent while one was in force that the version didn't meet either, that one's grace counts.
-func (h *History) expiredSince(v *version.Version, at version.Millis) (since version.Millis, over bool) {
+func (h *History) expiredSince(v *version.Version, at version.Millis) (since version.Millis, expired bool) {
 	i := len(h.Minimums) - 1
 	for ; i >= 0 && (at < h.Minimums[i].At || at >= h.Minimums[i].At+h.Minimums[i].Minimum.Validity); i-- {
 	}
@@ -79,11 +79,11 @@
 	}
 	since = h.Minimums[i].At + h.Minimums[i].Minimum.Grace
 	for ; i > 0; i-- {
-		former := &h.Minimums[i-1]
-		if former.At+former.Minimum.Validity < h.Minimums[i].At || isMet(&former.Minimum, v) {
+		previous := &h.Minimums[i-1]
+		if previous.At+previous.Minimum.Validity < h.Minimums[i].At || isMet(&previous.Minimum, v) {
 			break
 		}
-		since = min(since, former.At+former.Minimum.Grace)
+		since = min(since, previous.At+previous.Minimum.Grace)
 	}
 	return since, at > since
 }
--- a/internal/audit/run.go
+++ b/internal/audit/run.go
@@ -34,26 +34,26 @@
 			return ExitFaulty, err
 		}
 	}
-	began, saved := time.Now(), time.Now()
-	every := max(out.Interval, 0)
-	if every == 0 {
-		every = time.Second
+	start, savedAt := time.Now(), time.Now()
+	interval := max(out.Interval, 0)
+	if interval == 0 {
+		interval = time.Second
 	}
 	exit = ExitNoneReached
-	told := ""
+	lastShown := ""
 	for round := 1; ; round++ {
-		next := time.Now().Add(every)
+		next := time.Now().Add(interval)
 		v, err := a.Round(ctx)
 		if err != nil { // interrupted
 			break
 		}
 		exit = v.Exit()
-		if told, err = out.write(v, told); err != nil {
+		if lastShown, err = out.write(v, lastShown); err != nil {
 			return ExitFaulty, err
 		}
-		last := out.isLast(round, v, time.Since(began), &o)
-		if out.StateFile != "" && (last || time.Since(saved) >= saveInterval) {
-			saved = time.Now()
+		last := out.isLast(round, v, time.Since(start), &o)
+		if out.StateFile != "" && (last || time.Since(savedAt) >= saveInterval) {
+			savedAt = time.Now()
 			if err := a.Save(out.StateFile, v.At); err != nil {
 				return ExitFaulty, err
 			}
@@ -89,25 +89,25 @@
 
 // write writes a round's findings. A table is written only where another sidecar, status or contradiction is in it than in the
 // one before.
-func (out *Output) write(v *View, told string) (string, error) {
+func (out *Output) write(v *View, lastShown string) (string, error) {
 	if out.Page != "" {
 		var text bytes.Buffer
 		if err := v.Page(&text); err != nil {
-			return told, err
+			return lastShown, err
 		}
 		if err := replaceFile(out.Page, text.Bytes()); err != nil {
-			return told, err
+			return lastShown, err
 		}
 	}
 	if out.JSON {
-		return told, v.JSON(out.To)
+		return lastShown, v.JSON(out.To)
 	}
-	news := v.Verdict() + v.NoOrdersReason
+	shown := v.Verdict() + v.NoOrdersReason
 	for i := range v.Rows {
-		news += fmt.Sprintln(v.Rows[i].Name, v.Rows[i].Status)
+		shown += fmt.Sprintln(v.Rows[i].Name, v.Rows[i].Status)
 	}
-	if news == told {
-		return told, nil
+	if shown == lastShown {
+		return lastShown, nil
 	}
-	return news, v.Table(out.To, out.All)
+	return shown, v.Table(out.To, out.All)
 }
--- a/internal/audit/scheduler.go
+++ b/internal/audit/scheduler.go
@@ -14,23 +14,23 @@
 
 // newScheduler puts those first that took longest the last time, so that one that hangs does so beside all others, and not
 // alone at the end of the round.
-func newScheduler(took []time.Duration, atATime int) *scheduler {
-	t := &scheduler{queue: make([]int, len(took)), free: atATime}
+func newScheduler(durations []time.Duration, concurrency int) *scheduler {
+	t := &scheduler{queue: make([]int, len(durations)), free: concurrency}
 	for i := range t.queue {
 		t.queue[i] = i
 	}
-	slices.SortStableFunc(t.queue, func(a, b int) int { return cmp.Compare(took[b], took[a]) })
+	slices.SortStableFunc(t.queue, func(a, b int) int { return cmp.Compare(durations[b], durations[a]) })
 	return t
 }
 
 // next returns the request to be sent now, if there is one.
-func (t *scheduler) next() (who int, ok bool) {
+func (t *scheduler) next() (index int, ok bool) {
 	if t.free == 0 || len(t.queue) == 0 {
 		return 0, false
 	}
-	who, t.queue = t.queue[0], t.queue[1:]
+	index, t.queue = t.queue[0], t.queue[1:]
 	t.free--
-	return who, true
+	return index, true
 }
 
 // done reports that a call has ended.
--- a/internal/auditlog/log.go
+++ b/internal/auditlog/log.go
@@ -224,12 +224,12 @@
 // repeatDropped appends the last order and the last adoption again once they have been dropped, so that the ring and the files
 // always contain the epoch and the version.
 func (b *Log) repeatDropped() {
-	for _, kept := range []**Entry{&b.lastOrder, &b.lastAdoption} {
-		if e := *kept; e != nil && e.Seq < b.ring[0].Seq {
-			again := *e
-			again.From = "kept"
-			*kept = nil // append calls repeatDropped
-			*kept = b.append(again)
+	for _, slot := range []**Entry{&b.lastOrder, &b.lastAdoption} {
+		if e := *slot; e != nil && e.Seq < b.ring[0].Seq {
+			repetition := *e
+			repetition.From = "kept"
+			*slot = nil // append calls repeatDropped
+			*slot = b.append(repetition)
 		}
 	}
 }
--- a/internal/auditlog/log_file.go
+++ b/internal/auditlog/log_file.go
@@ -70,12 +70,12 @@
 	n := 0
 	for l := range bytes.Lines(text) {
 		n++
-		whole, ended := bytes.CutSuffix(l, []byte{'\n'})
-		if !ended {
+		line, complete := bytes.CutSuffix(l, []byte{'\n'})
+		if !complete {
 			break
 		}
 		var e Entry
-		if json.Unmarshal(whole, &e) != nil || e.check() != nil || !bytes.Equal(appendLine(nil, e), l) {
+		if json.Unmarshal(line, &e) != nil || e.check() != nil || !bytes.Equal(appendLine(nil, e), l) {
 			faults = append(faults, Fault{Kind: Unreadable, File: name, Line: n})
 			continue
 		}
--- a/internal/auditlog/writer.go
+++ b/internal/auditlog/writer.go
@@ -53,11 +53,11 @@
 // Close writes the remaining entries, within closeTimeout.
 func (f *Writer) Close() {
 	close(f.stop)
-	late := time.NewTimer(closeTimeout)
-	defer late.Stop()
+	timeout := time.NewTimer(closeTimeout)
+	defer timeout.Stop()
 	select {
 	case <-f.done:
-	case <-late.C:
+	case <-timeout.C:
 	}
 }
 
@@ -67,14 +67,14 @@
 	renew := true
 	for open := true; open; {
 		f.setResult(f.write(renew))
-		var again <-chan time.Time
+		var retry <-chan time.Time
 		woken := f.Log.Updated
 		if renew = f.lastErr != nil; renew {
-			again, woken = time.After(retryInterval), nil
+			retry, woken = time.After(retryInterval), nil
 		}
 		select {
 		case <-woken:
-		case <-again:
+		case <-retry:
 		case <-f.stop:
 			open = false
 		}
@@ -90,9 +90,9 @@
 
 // setResult records how the last write went, and reports it where its cause is a new one.
 func (f *Writer) setResult(err error) {
-	was := f.lastErr
+	before := f.lastErr
 	f.lastErr = err
-	if cause(err) != cause(was) {
+	if cause(err) != cause(before) {
 		f.OnFault(err)
 	}
 }
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -27,28 +27,28 @@
 
 // missingKey returns the first key that before has and now lacks; empty: none. Of lists, every element needs the keys that
 // every element had. The cached list of endpoints may be absent.
-func missingKey(was, is gjson.Result, at string) string {
+func missingKey(before, now gjson.Result, at string) string {
 	switch {
-	case was.IsObject():
-		held := is.Map()
-		for key, v := range was.Map() {
+	case before.IsObject():
+		current := now.Map()
+		for key, v := range before.Map() {
 			if at == "" && key == "known" {
 				continue
 			}
 			here := at + "." + key
-			if !held[key].Exists() || held[key].Type == gjson.Null && v.Type != gjson.Null {
+			if !current[key].Exists() || current[key].Type == gjson.Null && v.Type != gjson.Null {
 				return here
 			}
-			if lost := missingKey(v, held[key], here); lost != "" {
-				return lost
+			if missing := missingKey(v, current[key], here); missing != "" {
+				return missing
 			}
 		}
-	case was.IsArray():
-		common := commonKeys(was.Array())
-		for i, v := range is.Array() {
-			held := v.Map()
+	case before.IsArray():
+		common := commonKeys(before.Array())
+		for i, v := range now.Array() {
+			current := v.Map()
 			for _, key := range common {
-				if !held[key].Exists() || held[key].Type == gjson.Null {
+				if !current[key].Exists() || current[key].Type == gjson.Null {
 					return fmt.Sprintf("%s[%d].%s", at, i, key)
 				}
 			}
--- a/internal/config/renumber.go
+++ b/internal/config/renumber.go
@@ -13,10 +13,10 @@
 // Renumbered returns the settings with the class and tenant numbers of the settings before them, by name: a request that is
 // being read must not be counted as another class's. Names that only the former settings have keep their numbers and values;
 // such classes are marked as Removed.
-func (s *Settings) Renumbered(former *Settings) (Settings, error) {
+func (s *Settings) Renumbered(previous *Settings) (Settings, error) {
 	out := *s
-	out.ClassNames, out.Classes = slices.Clone(former.ClassNames), slices.Clone(former.Classes)
-	out.Removed = make([]bool, len(former.ClassNames))
+	out.ClassNames, out.Classes = slices.Clone(previous.ClassNames), slices.Clone(previous.Classes)
+	out.Removed = make([]bool, len(previous.ClassNames))
 	for i := range out.Removed {
 		out.Removed[i] = true
 	}
@@ -28,7 +28,7 @@
 		}
 		out.Classes[at], out.Removed[at] = s.Classes[i], false
 	}
-	out.TenantNames, out.Tenants = slices.Clone(former.TenantNames), slices.Clone(former.Tenants)
+	out.TenantNames, out.Tenants = slices.Clone(previous.TenantNames), slices.Clone(previous.Tenants)
 	for i, name := range s.TenantNames {
 		at := slices.Index(out.TenantNames, name)
 		if at < 0 {
--- a/internal/daemon/audit_agent.go
+++ b/internal/daemon/audit_agent.go
@@ -21,7 +21,7 @@
 	heartbeatInterval    = 100 * time.Millisecond
 	flushInterval        = 10 * time.Second // between the log's totals of attempts; a SIGKILL loses those since the last
 	rejectionLogInterval = 10 * time.Second // between two lines about rejected orders: two auditors may disagree for long
-	maxReportEntryBytes  = 192 << 10        // of entries in a report, so that the whole of it stays below auditlog.ReportMost
+	maxReportEntryBytes  = 192 << 10        // of entries in a report, so that the whole of it stays below auditlog.MaxReportBytes
 	maxLoggedFaults      = 3
 
 	never = -1 // of a time since the start
@@ -238,10 +238,10 @@
 // updateNeedsSuccessor logs once that this process can't meet the minimum version: neither its build nor the operator's file,
 // which is read at the start only, can change. The caller holds mu.
 func (a *auditAgent) updateNeedsSuccessor(now time.Duration, wants version.Actions) {
-	was := a.needsSuccessor
+	before := a.needsSuccessor
 	f := a.actor.Minimum(now)
 	a.needsSuccessor = wants.NeedsSuccessor || f != nil && f.File != 0 && f.File != a.options.File
-	if a.needsSuccessor && !was {
+	if a.needsSuccessor && !before {
 		a.log.Warn().Str("build", a.buildID).Strs("floor", f.Builds).Stringer("file", hexDigest(f.File)).Msg("this process has to be succeeded by one that meets the floor")
 	}
 }
--- a/internal/daemon/audit_control.go
+++ b/internal/daemon/audit_control.go
@@ -23,7 +23,7 @@
 	a.mu.Lock()
 	now := a.now()
 	a.heartbeat(now)
-	was := a.actor.Minimum(now)
+	before := a.actor.Minimum(now)
 	err := a.actor.Accept(now, time.Duration(a.wallClock().UnixNano()), o)
 	e := auditlog.Entry{Kind: auditlog.Ordered, Order: &o}
 	switch {
@@ -33,7 +33,7 @@
 			a.rejectionLoggedAt = now
 			a.log.Warn().Err(err).Str("by", o.Minimum.By).Msg("an auditor's order is refused")
 		}
-	case was == nil || was.Epoch != o.Minimum.Epoch || was.By != o.Minimum.By:
+	case before == nil || before.Epoch != o.Minimum.Epoch || before.By != o.Minimum.By:
 		a.log.Info().Uint64("epoch", o.Minimum.Epoch).Str("by", o.Minimum.By).Dur("grace", o.Minimum.Grace.D()).Msg("a floor is in force")
 	}
 	if err == nil {
--- a/internal/daemon/cordon_calls.go
+++ b/internal/daemon/cordon_calls.go
@@ -35,7 +35,7 @@
 
 // applyRemote applies a call that was made at another process, unless a later one is known. It returns whether it was applied,
 // and whether there is such an endpoint.
-func (c *cordonCalls) applyRemote(call peerMessage, apply func(peerMessage) bool) (news, known bool) {
+func (c *cordonCalls) applyRemote(call peerMessage, apply func(peerMessage) bool) (applied, known bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if call.CalledAt > 0 && !call.supersedes(c.lastByEndpoint[call.Endpoint]) { // processes of older releases stamp none
--- a/internal/daemon/peer_messages.go
+++ b/internal/daemon/peer_messages.go
@@ -69,13 +69,13 @@
 }
 
 func (s *succession) receiveCall(call peerMessage, line []byte, from inflight.Link) {
-	news, known := s.cordons.applyRemote(call, s.applyCordon)
+	applied, known := s.cordons.applyRemote(call, s.applyCordon)
 	switch {
 	case !known:
 		s.logIgnored(nil, call.Endpoint)
-	case news && from == inflight.Former:
+	case applied && from == inflight.Former:
 		s.sendToSuccessor(line)
-	case news:
+	case applied:
 		s.sendToPredecessor(line)
 	}
 }
--- a/internal/daemon/published_settings.go
+++ b/internal/daemon/published_settings.go
@@ -32,12 +32,12 @@
 	if inherited != nil {
 		t.applyInherited(inherited)
 	}
-	late := time.AfterFunc(distributorTimeout, func() {
+	timeout := time.AfterFunc(distributorTimeout, func() {
 		t.log.Warn().Str("service", options.Service).Stringer("in_force", t.publishedEdition()).Msg("no distributor has answered; what is in force stays")
 		done()
 	})
 	go t.watch.Run(ctx, func() {
-		late.Stop()
+		timeout.Stop()
 		done()
 	})
 	return settled
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -36,8 +36,8 @@
 		})
 	})
 	if s.hasList { // without any endpoint there is nothing to be ready for
-		late := time.AfterFunc(s.syncTimeout(), ready)
-		defer late.Stop()
+		timeout := time.AfterFunc(s.syncTimeout(), ready)
+		defer timeout.Stop()
 	}
 	go s.updater.run(ctx, hups, s.moves)
 	s.spreadCalls()
--- a/internal/settingsclient/conn.go
+++ b/internal/settingsclient/conn.go
@@ -70,8 +70,8 @@
 // connecting. It returns at once when ctx is done.
 func (c *conn) do(ctx context.Context, addr, target string, timeout time.Duration) (answer, error) {
 	deadline := time.Now().Add(timeout)
-	kept := c.addr == addr
-	if !kept {
+	reused := c.addr == addr
+	if !reused {
 		c.disconnect()
 		if err := c.dial(ctx, addr, deadline); err != nil {
 			return answer{}, fmt.Errorf("follow: dial: %w", err)
@@ -83,7 +83,7 @@
 		c.disconnect()
 	}
 	var netErr net.Error
-	if kept && errors.Is(err, errNoAnswer) && !(errors.As(err, &netErr) && netErr.Timeout()) {
+	if reused && errors.Is(err, errNoAnswer) && !(errors.As(err, &netErr) && netErr.Timeout()) {
 		err = errConnectionLost
 	}
 	return a, err
--- a/internal/settingsserver/config.go
+++ b/internal/settingsserver/config.go
@@ -9,6 +9,7 @@
 package settingsserver
 
 import (
+	"errors"
 	"fmt"
 	"net/netip"
 	"os"
@@ -60,8 +61,8 @@
 		names = append(names, struct{ key, name string }{"region", c.Region})
 	}
 	for _, n := range names {
-		if faulty, ok := settingsstore.CheckName(n.key, n.name).(settingsstore.KeyError); ok {
-			return file.Errorf(n.key, "%s", faulty.Reason)
+		if keyErr := (settingsstore.KeyError{}); errors.As(settingsstore.CheckName(n.key, n.name), &keyErr) {
+			return file.Errorf(n.key, "%s", keyErr.Reason)
 		}
 	}
 	for _, a := range []struct{ key, addr string }{{"listen", c.Listen}, {"control", c.Control}} {
--- a/internal/settingsserver/control_handler.go
+++ b/internal/settingsserver/control_handler.go
@@ -122,10 +122,10 @@
 
 // errorStatus returns the HTTP status for an error of publishing.
 func errorStatus(err error) int {
-	var faulty settingsstore.KeyError
+	var keyErr settingsstore.KeyError
 	var disk diskError
 	switch {
-	case errors.As(err, &faulty):
+	case errors.As(err, &keyErr):
 		return http.StatusBadRequest
 	case errors.Is(err, settingsstore.ErrStarting):
 		return http.StatusServiceUnavailable
--- a/internal/settingsserver/disk.go
+++ b/internal/settingsserver/disk.go
@@ -77,21 +77,21 @@
 			failed = err != nil
 			d.log.Error().Err(err).Bool("kept", !failed).Msg("settings on the disk")
 		}
-		again := time.NewTimer(writeRetryInterval)
+		retry := time.NewTimer(writeRetryInterval)
 		if !failed {
-			again.Stop()
+			retry.Stop()
 		}
 		select {
-		case <-again.C:
+		case <-retry.C:
 		case <-d.writeRequested:
 		case <-ctx.Done():
-			again.Stop()
+			retry.Stop()
 			if err := d.writeDirty(); err != nil {
 				d.log.Error().Err(err).Bool("kept", false).Msg("settings on the disk")
 			}
 			return
 		}
-		again.Stop()
+		retry.Stop()
 	}
 }
 
--- a/internal/settingsserver/peer.go
+++ b/internal/settingsserver/peer.go
@@ -39,12 +39,12 @@
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
 	lost := false
 	for {
-		again, err := p.poll(ctx)
+		delay, err := p.poll(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			again = peerRetryInterval
+			delay = peerRetryInterval
 			d.mu.Lock()
 			d.store.PeerLost(addr)
 			d.mu.Unlock()
@@ -53,7 +53,7 @@
 			lost = err != nil
 			d.log.Warn().Str("peer", addr).Bool("lost", lost).Err(err).Msg("another distributor")
 		}
-		pause := time.NewTimer(again)
+		pause := time.NewTimer(delay)
 		select {
 		case <-pause.C:
 		case <-ctx.Done():
@@ -64,7 +64,7 @@
 }
 
 // poll makes one poll, and returns how long to wait until the next.
-func (p *peer) poll(ctx context.Context) (again time.Duration, err error) {
+func (p *peer) poll(ctx context.Context) (delay time.Duration, err error) {
 	d := p.d
 	d.mu.Lock()
 	starting := d.store.Starting()
@@ -73,28 +73,28 @@
 	if starting { // an answer without updates tells something, too
 		wait = 0
 	}
-	news, err := p.request(ctx, wait)
+	update, err := p.request(ctx, wait)
 	if err != nil {
 		return 0, err
 	}
-	if news != nil {
-		for _, r := range news.Records {
+	if update != nil {
+		for _, r := range update.Records {
 			if err := d.merge(r); err != nil { // there are too many services; the update's other records are merged nonetheless
 				d.log.Error().Str("peer", p.addr).Str("service", r.Service).Err(err).Msg("settings not taken")
 			}
 		}
-		p.incarnation, p.sequence = news.Incarnation, news.Sequence
-		if news.More {
+		p.incarnation, p.sequence = update.Incarnation, update.Sequence
+		if update.More {
 			return 0, nil
 		}
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.wakeWatches(d.store.PeerSynced(p.addr, news != nil && news.Starting))
+	d.wakeWatches(d.store.PeerSynced(p.addr, update != nil && update.Starting))
 	if starting && !d.store.Starting() {
 		d.log.Info().Int("services", len(d.store.Services())).Msg("distributor has all settings")
 	}
-	if starting || news != nil && news.Starting {
+	if starting || update != nil && update.Starting {
 		return startupPeerInterval, nil
 	}
 	return peerInterval, nil
@@ -126,9 +126,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("distributor: the answer is cut off: %w", err)
 	}
-	news, err := settingsstore.ParseUpdate(text)
-	if err == nil && news.Name == p.d.cfg.Name {
+	update, err := settingsstore.ParseUpdate(text)
+	if err == nil && update.Name == p.d.cfg.Name {
 		return nil, errors.New("distributor: it has this distributor's name, and editions are told apart by that")
 	}
-	return news, err
+	return update, err
 }
--- a/internal/settingsserver/poll_handler.go
+++ b/internal/settingsserver/poll_handler.go
@@ -51,19 +51,19 @@
 		return
 	}
 	d.mu.Lock()
-	news, id, err := d.store.PollPeer(q)
+	update, id, err := d.store.PollPeer(q)
 	wake := d.addWatch(id)
 	d.mu.Unlock()
 	if id != 0 {
 		d.waitForWatch(r.Context(), wake, q.Wait.D())
 		d.mu.Lock()
-		news = d.store.EndPeerWatch(id)
+		update = d.store.EndPeerWatch(id)
 		delete(d.watchWakes, id)
 		d.mu.Unlock()
 	}
 	var text []byte
-	if news != nil {
-		text = news.Encode()
+	if update != nil {
+		text = update.Encode()
 	}
 	reply(w, text, err)
 }
--- a/internal/settingsstore/record.go
+++ b/internal/settingsstore/record.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"maps"
 	"slices"
@@ -13,7 +14,7 @@
 const (
 	maxIncludes    = 16 // distributors that a record names as included; each has published under an epoch of its own
 	MaxRecordBytes = 3*MaxStateBytes + 4<<10
-	MaxUpdateBytes = 1 << 20 // one page of news; the rest follows
+	MaxUpdateBytes = 1 << 20 // one page of an update; the rest follows
 	maxPageBytes   = MaxUpdateBytes - MaxRecordBytes
 )
 
@@ -77,8 +78,8 @@
 		}
 		out.Includes = addEdition(out.Includes, r.Edition)
 		if out.Previous = r.Previous; r.Digest != s.Digest { // the same contents once more are nothing to roll back to
-			former := r.State
-			out.Previous = &former
+			previous := r.State
+			out.Previous = &previous
 		}
 	}
 	out.Includes = addEdition(out.Includes, s.Edition)
@@ -96,7 +97,7 @@
 	}
 	lowest := e.By
 	for by, epoch := range known {
-		if least := known[lowest]; epoch < least || epoch == least && by < lowest {
+		if lowestEpoch := known[lowest]; epoch < lowestEpoch || epoch == lowestEpoch && by < lowest {
 			lowest = by
 		}
 	}
@@ -189,8 +190,8 @@
 		return nil, nil
 	}
 	s, err := w.state()
-	if faulty, ok := err.(KeyError); ok {
-		return nil, KeyError{key + "." + faulty.Key, faulty.Reason}
+	if keyErr := (KeyError{}); errors.As(err, &keyErr) {
+		return nil, KeyError{key + "." + keyErr.Key, keyErr.Reason}
 	}
 	return &s, err
 }
--- a/internal/settingsstore/request.go
+++ b/internal/settingsstore/request.go
@@ -20,8 +20,8 @@
 	Since    version.Edition // in force; none: settings that no distributor gave
 	Rejected version.Edition // the newest that was not taken; none where a newer one is in force
 	Reason   string          // it was not taken; without one, why the last answer could not be used. Target cuts it to MaxReasonBytes bytes
-	Wait     time.Duration   // for news, in whole milliseconds; 0: the answer is to come at once
-	Name     string          // of the sidecar; "": whoever asks is not to be remembered
+	Wait     time.Duration   // for something newer, in whole milliseconds; 0: answer at once
+	Name     string          // of the sidecar; "": the request is not recorded
 }
 
 // NewestSeen returns the newest edition that the sidecar has seen; the answer is a newer one.
--- a/internal/settingsstore/update.go
+++ b/internal/settingsstore/update.go
@@ -1,6 +1,7 @@
 package settingsstore
 
 import (
+	"errors"
 	"fmt"
 	"net/url"
 	"strconv"
@@ -53,14 +54,14 @@
 		return nil, err
 	}
 	n := &Update{Name: w.Name, Incarnation: w.Life, Sequence: w.At, Starting: w.Starting, More: w.More}
-	for i, one := range w.Records {
+	for i, wire := range w.Records {
 		key := fmt.Sprintf("records[%d]", i)
-		if one == nil {
+		if wire == nil {
 			return nil, KeyError{key, "is missing"}
 		}
-		r, err := one.record()
-		if faulty, ok := err.(KeyError); ok {
-			return nil, KeyError{key + "." + faulty.Key, faulty.Reason}
+		r, err := wire.record()
+		if keyErr := (KeyError{}); errors.As(err, &keyErr) {
+			return nil, KeyError{key + "." + keyErr.Key, keyErr.Reason}
 		}
 		n.Records = append(n.Records, r)
 	}
