--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -27,7 +27,7 @@
 // Audit audits a fleet, round after round.
 type Audit struct {
 	options      Options
-	asker        *Client
+	client       *Client
 	auditor      *version.Auditor // nil: no sidecar has been reached yet
 	history      History
 	site         string
@@ -42,7 +42,15 @@
 
 // New returns an audit that knows nothing yet. The caller closes it.
 func New(o Options) *Audit {
-	a := &Audit{options: o, asker: NewClient(o.Concurrency, o.Timeout), site: o.Site, start: time.Now(), records: map[string]*sidecarRecord{}, dirFaults: map[string]string{}, unlistedDirs: maps.Clone(o.Dirs)}
+	a := &Audit{
+		options:      o,
+		client:       NewClient(o.Concurrency, o.Timeout),
+		site:         o.Site,
+		start:        time.Now(),
+		records:      map[string]*sidecarRecord{},
+		dirFaults:    map[string]string{},
+		unlistedDirs: maps.Clone(o.Dirs),
+	}
 	for i := range o.Inventory.Sidecars {
 		if s := &o.Inventory.Sidecars[i]; o.Dirs[s.Name] != "" {
 			s.Dir = o.Dirs[s.Name]
@@ -53,7 +61,7 @@
 }
 
 // Close closes the client's idle connections.
-func (a *Audit) Close() { a.asker.Close() }
+func (a *Audit) Close() { a.client.Close() }
 
 // monotonicNow returns a monotonic time that includes suspension or, where the machine has none, one that doesn't.
 func (a *Audit) monotonicNow() time.Duration {
@@ -75,7 +83,7 @@
 	for i, s := range listed {
 		requests[i] = a.request(s, nil)
 	}
-	answers := a.asker.Do(ctx, requests)
+	answers := a.client.Do(ctx, requests)
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
@@ -92,7 +100,8 @@
 }
 
 // decide merges the answers, and decides at the time a.now. At converts a time to that clock.
-func (a *Audit) decide(requests []Request, answers []Answer, reference *version.Reference, at func(time.Time) time.Duration, wall time.Time) (result version.RoundResult, faults []string) {
+func (a *Audit) decide(requests []Request, answers []Answer, reference *version.Reference, at func(time.Time) time.Duration,
+	wall time.Time) (result version.RoundResult, faults []string) {
 	if a.site == "" {
 		a.site = mostCommon(answers, func(r *auditlog.Report) string { return r.Site })
 	}
@@ -133,7 +142,7 @@
 		return d
 	}
 	out := time.Now()
-	list, err := a.asker.List(ctx, a.options.List)
+	list, err := a.client.List(ctx, a.options.List)
 	if err != nil {
 		return nil
 	}
@@ -257,7 +266,7 @@
 		}
 	}
 	orderErrors := map[string]string{}
-	for i, got := range a.asker.Do(ctx, requests) {
+	for i, got := range a.client.Do(ctx, requests) {
 		if got.OrderErr != nil {
 			orderErrors[recipients[i].Name] = got.OrderErr.Error()
 		}
--- a/internal/audit/options.go
+++ b/internal/audit/options.go
@@ -31,7 +31,8 @@
 
 // rules returns the rules of the version.Auditor.
 func (o *Options) rules(site string) version.Rules {
-	return version.Rules{By: o.By, Site: site, Share: o.Share, Grace: o.Grace, Spread: o.Spread, Validity: o.Validity, RaisesMinimum: o.RaiseMinimum, IssuesPermits: o.ShutOut}
+	return version.Rules{By: o.By, Site: site, Share: o.Share, Grace: o.Grace, Spread: o.Spread, Validity: o.Validity,
+		RaisesMinimum: o.RaiseMinimum, IssuesPermits: o.ShutOut}
 }
 
 // Check returns an error that names the invalid option, or nil.
--- a/internal/daemon/audit_agent.go
+++ b/internal/daemon/audit_agent.go
@@ -242,7 +242,8 @@
 	f := a.actor.Minimum(now)
 	a.needsSuccessor = wants.NeedsSuccessor || f != nil && f.File != 0 && f.File != a.options.File
 	if a.needsSuccessor && !before {
-		a.log.Warn().Str("build", a.buildID).Strs("floor", f.Builds).Stringer("file", hexDigest(f.File)).Msg("this process has to be succeeded by one that meets the floor")
+		a.log.Warn().Str("build", a.buildID).Strs("floor", f.Builds).Stringer("file", hexDigest(f.File)).
+			Msg("this process has to be succeeded by one that meets the floor")
 	}
 }
 
--- a/internal/daemon/audit_control.go
+++ b/internal/daemon/audit_control.go
@@ -51,9 +51,22 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.now()
-	r := auditlog.Report{Name: a.name, Site: a.site, Rank: a.settings.Rank, Instances: max(1, a.settings.Instances), Incarnation: a.incarnation,
-		Now: version.Millis(a.wallClock().UnixMilli()), Up: millis(persistence.Now().Up), VersionAge: millis(now - a.adoptedAt), ListAge: -1, State: a.verdict.State, Reason: a.verdict.Reason,
-		Minimum: a.actor.Minimum(now), Permit: a.actor.Permit(now), NeedsSuccessor: a.needsSuccessor}
+	r := auditlog.Report{
+		Name:           a.name,
+		Site:           a.site,
+		Rank:           a.settings.Rank,
+		Instances:      max(1, a.settings.Instances),
+		Incarnation:    a.incarnation,
+		Now:            version.Millis(a.wallClock().UnixMilli()),
+		Up:             millis(persistence.Now().Up),
+		VersionAge:     millis(now - a.adoptedAt),
+		ListAge:        never,
+		State:          a.verdict.State,
+		Reason:         a.verdict.Reason,
+		Minimum:        a.actor.Minimum(now),
+		Permit:         a.actor.Permit(now),
+		NeedsSuccessor: a.needsSuccessor,
+	}
 	if z := a.settings.Zone; z >= 0 && z < len(a.settings.ZoneNames) {
 		r.Zone = a.settings.ZoneNames[z]
 	}
--- a/internal/daemon/config_updater.go
+++ b/internal/daemon/config_updater.go
@@ -77,7 +77,8 @@
 			continue
 		}
 		t.pollDistributors(true) // what was rejected with the former file may be valid with this one
-		t.log.Info().Str("discovery", cfg.Discovery).Stringer("published", t.publishedEdition()).Strs("classes", cfg.Settings.ClassNames).Int("attempts", cfg.Settings.MaxAttempts).
+		t.log.Info().Str("discovery", cfg.Discovery).Stringer("published", t.publishedEdition()).
+			Strs("classes", cfg.Settings.ClassNames).Int("attempts", cfg.Settings.MaxAttempts).
 			Msg("configuration read again")
 		select {
 		case moves <- cfg.Discovery:
--- a/internal/daemon/published_settings.go
+++ b/internal/daemon/published_settings.go
@@ -27,8 +27,14 @@
 		done()
 		return settled
 	}
-	t.watch = &settingsclient.Client{Service: options.Service, Name: cmp.Or(t.cfg.Name, t.cfg.Listen), Distributors: options.Distributors, Log: t.log, Apply: t.applyPublished,
-		Rand: rand.New(rand.NewPCG(t.cfg.Seed^rand.Uint64(), settingsStream))}
+	t.watch = &settingsclient.Client{
+		Service:      options.Service,
+		Name:         cmp.Or(t.cfg.Name, t.cfg.Listen),
+		Distributors: options.Distributors,
+		Log:          t.log,
+		Apply:        t.applyPublished,
+		Rand:         rand.New(rand.NewPCG(t.cfg.Seed^rand.Uint64(), settingsStream)),
+	}
 	if inherited != nil {
 		t.applyInherited(inherited)
 	}
--- a/internal/daemon/state_persister.go
+++ b/internal/daemon/state_persister.go
@@ -100,7 +100,8 @@
 	k.succession.effects.Heard(now, inflight.Journal, recovered.Notes)
 	k.succession.effects.Gone(now, inflight.Journal)
 	past, _ := k.succession.effects.Size()
-	k.log.Info().Int("lines", len(recovered.Notes)).Int("skipped", recovered.Skipped).Int("alive", recovered.Alive).Int("effects", past).Msg("journal read")
+	k.log.Info().Int("lines", len(recovered.Notes)).Int("skipped", recovered.Skipped).
+		Int("alive", recovered.Alive).Int("effects", past).Msg("journal read")
 	k.journal = &persistence.Journal{Disk: k.disk, Table: k.succession.effects, OnFault: func(err error) {
 		if err != nil {
 			k.log.Error().Err(err).Msg("the journal is not written")
--- a/internal/settingsserver/distributor.go
+++ b/internal/settingsserver/distributor.go
@@ -116,7 +116,10 @@
 		})
 		return srv
 	}
-	servers := []*http.Server{serve(clients, maxClientConns, http.HandlerFunc(d.handleRequest)), serve(operators, maxOperatorConns, http.HandlerFunc(d.handleControl))}
+	servers := []*http.Server{
+		serve(clients, maxClientConns, http.HandlerFunc(d.handleRequest)),
+		serve(operators, maxOperatorConns, http.HandlerFunc(d.handleControl)),
+	}
 	for _, addr := range d.cfg.Peers {
 		all.Go(func() { d.followPeer(ctx, addr) })
 	}
--- a/internal/settingsserver/view.go
+++ b/internal/settingsserver/view.go
@@ -62,7 +62,11 @@
 	}
 	for _, s := range v.Statuses {
 		if s.Edition != v.Edition || s.Starting {
-			fmt.Fprintf(&b, "distributor %s (%s) has %s%s\n", printable(s.Distributor), printable(s.Region), printable(s.Edition.String()), map[bool]string{true: ", and is starting"}[s.Starting])
+			fmt.Fprintf(&b, "distributor %s (%s) has %s", printable(s.Distributor), printable(s.Region), printable(s.Edition.String()))
+			if s.Starting {
+				b.WriteString(", and is starting")
+			}
+			b.WriteByte('\n')
 		}
 	}
 	if len(v.Statuses) > 0 {
--- a/internal/version/actor.go
+++ b/internal/version/actor.go
@@ -8,10 +8,15 @@
 
 // Time-outs of an Actor.
 const (
-	StopThreshold      = 2 * time.Second         // between two heartbeats, above which the process was stopped for so long that it may have missed a host's removal; shorter gaps are a busy machine's
-	maxWakeWait        = 1500 * time.Millisecond // for the list service after a stop: a long poll of 1 s and its answer. After that the sidecar acts: a list service that is down must not be an outage
-	minRequestInterval = 2 * time.Second         // between two requests for the same thing, so that a minimum version that can't be met is no load
-	shutOutRetryAfter  = time.Second             // the Retry-After of a sidecar that is shut out: it may be back with the list service's next answer
+	// StopThreshold is the time between two heartbeats above which the process was stopped, for so long that it may have missed
+	// a host's removal. Shorter gaps are a busy machine's.
+	StopThreshold = 2 * time.Second
+	// maxWakeWait bounds the wait for the list service after a stop: a long poll of 1 s and its answer. After that the sidecar
+	// acts, for a list service that is down must not be an outage.
+	maxWakeWait = 1500 * time.Millisecond
+
+	minRequestInterval = 2 * time.Second // between two requests for the same thing, so that a minimum version that can't be met is no load
+	shutOutRetryAfter  = time.Second     // the Retry-After of a sidecar that is shut out: it may be back with the list service's next answer
 )
 
 // Actor decides for one sidecar. It knows the minimum version in force and what the sidecar acts on. Its owner passes the
