--- a/cmd/pinelb/settings_test.go
+++ b/cmd/pinelb/settings_test.go
@@ -30,7 +30,7 @@
 }
 
 // distributing starts a distributor's process.
-func distributing(t *testing.T, file string) (p *program, asked, called string) {
+func startDistributor(t *testing.T, file string) (p *program, asked, called string) {
 	t.Helper()
 	p = launchOn(t, exec.Command(os.Args[0], "distribute", file), "")
 	listening := p.await(t, "distributor listening")
@@ -54,7 +54,7 @@
 }
 
 // acknowledge asks as a sidecar does that waits for news, until the distributor has heard it.
-func acknowledge(t *testing.T, asked, called string, q settingsstore.Question) {
+func acknowledge(t *testing.T, asked, called string, q settingsstore.Request) {
 	t.Helper()
 	c, err := net.Dial("tcp", asked)
 	if err != nil {
@@ -68,7 +68,7 @@
 			t.Fatalf("status: %s", text)
 		}
 		if slices.ContainsFunc(s.Sidecars, func(c settingsstore.Sidecar) bool {
-			return c.Name == q.Name && c.InForce == q.Since && c.Refused == q.Refused
+			return c.Name == q.Name && c.InForce == q.Since && c.Rejected == q.Rejected
 		}) {
 			return
 		}
@@ -89,7 +89,7 @@
 func TestDistributeAndSettings(t *testing.T) {
 	dir := t.TempDir()
 	file := distributorFile(t, "d1", dir, "")
-	p, asked, called := distributing(t, file)
+	p, asked, called := startDistributor(t, file)
 	published := filepath.Join(dir, "published")
 	if err := os.WriteFile(published, []byte(settings), 0o600); err != nil {
 		t.Fatal(err)
@@ -99,12 +99,12 @@
 		t.Fatal(err)
 	}
 	ask := func(name string, epoch, refused uint64) {
-		q := settingsstore.Question{Service: "orders", Name: name, Wait: settingsstore.WaitMost}
+		q := settingsstore.Request{Service: "orders", Name: name, Wait: settingsstore.MaxWait}
 		if epoch > 0 {
 			q.Since.Epoch, q.Since.By = epoch, "d1"
 		}
 		if refused > 0 {
-			q.Refused.Epoch, q.Refused.By, q.Why = refused, "d1", "settings.aim\x1b is odd"
+			q.Rejected.Epoch, q.Rejected.By, q.Reason = refused, "d1", "settings.aim\x1b is odd"
 		}
 		acknowledge(t, asked, called, q)
 	}
@@ -168,7 +168,7 @@
 	// A watch is answered at the end, and what was published is there in the next process.
 	answered := make(chan int, 1)
 	go func() {
-		q := settingsstore.Question{Service: "orders", Name: "n9", Wait: settingsstore.WaitMost}
+		q := settingsstore.Request{Service: "orders", Name: "n9", Wait: settingsstore.MaxWait}
 		q.Since.Epoch, q.Since.By = 9, "d1"
 		status, _ := get(t, asked, q.Target())
 		answered <- status
@@ -186,7 +186,7 @@
 	if err := p.cmd.Wait(); err != nil {
 		t.Errorf("SIGTERM: %v", err)
 	}
-	_, _, called = distributing(t, file)
+	_, _, called = startDistributor(t, file)
 	status, out := run(t, "settings", "status", "--json", "--at", called, "--service", "orders", "--within", "10s")
 	var last struct{ Epoch uint64 }
 	lines := strings.Split(strings.TrimSpace(out), "\n")
--- a/internal/accesslog/queue.go
+++ b/internal/accesslog/queue.go
@@ -8,95 +8,95 @@
 )
 
 const (
-	queueMost   = 256 << 10              // bytes of lines that wait for the sink
-	logMost     = 64 << 10               // bytes more, for the lines of the log itself
-	gather      = 20 * time.Millisecond  // between two writes, so that one takes many lines
-	againAfter  = time.Second            // a sink that has failed is tried again
-	lostEvery   = time.Second            // between two lines that tell of losses
-	closeWithin = 200 * time.Millisecond // a sink that is blocked does not hold up the end beyond this
+	maxQueueBytes      = 256 << 10              // of pending lines
+	maxLogBytes        = 64 << 10               // in addition, for the log's own lines
+	writeInterval      = 20 * time.Millisecond  // between two writes, so that one has many lines
+	retryInterval      = time.Second            // after a sink has failed
+	lossReportInterval = time.Second            // between two lines about losses
+	closeTimeout       = 200 * time.Millisecond // of close, for a sink that is blocked
 )
 
-var errBlocked = errors.New("record: the log or file did not take the last lines in time")
+var errSinkBlocked = errors.New("record: the log or file did not take the last lines in time")
 
-// queue hands lines to the one goroutine that writes them, run. Whoever hands them over never waits for the
-// sink: what does not fit into the bounds is counted and left out.
+// queue passes lines to its goroutine, run, which writes them. Its callers never wait for the sink: lines beyond the bounds are
+// counted and left out.
 type queue struct {
 	sink      sink
 	perSecond int                   // lines of streams
-	preamble  func(b []byte) []byte // what a sink has to begin with: the header and the list of hosts
-	since     func() time.Duration  // the start
-	fault     func(err error)       // is told when the sink fails, and with nil when it works again
-	wake      chan struct{}         // holds one where there is work
+	preamble  func(b []byte) []byte // the beginning of a sink: the header and the list of endpoints
+	now       func() time.Duration  // since the start
+	onFault   func(err error)       // called when the sink fails, and with nil when it works again
+	wake      chan struct{}         // has a value when there is work
 	closing   chan struct{}
-	done      chan struct{} // when run has ended
-
-	mu     sync.Mutex
-	wait   []byte // whole lines
-	owed   bool   // the sink lacks the preamble, or a list
-	closed bool
-	second time.Duration // the last one in which a stream's line came
-	lines  int           // of streams in that second
-	lost   Lost          // not told yet; From is the first one's time
-
-	// Of run alone.
-	spare  []byte // takes turns with wait
-	failed bool
-	retry  time.Duration // not before, once it has failed
-	toldAt time.Duration // when the last losses were told
+	done      chan struct{} // closed when run has ended
+
+	mu            sync.Mutex
+	pending       []byte // complete lines
+	needsPreamble bool   // the sink lacks the preamble, or a list
+	closed        bool
+	currentSecond time.Duration // of the last line of a stream
+	linesInSecond int           // of streams, in that second
+	lost          Loss          // not reported yet; From is the first one's time
+
+	// Owned by run.
+	spare      []byte // swapped with pending
+	failed     bool
+	retryAt    time.Duration // after a failure
+	reportedAt time.Duration // when losses were last reported
 }
 
 func newQueue(s sink, perSecond int, preamble func([]byte) []byte, since func() time.Duration, fault func(error)) *queue {
-	q := &queue{sink: s, perSecond: perSecond, preamble: preamble, since: since, fault: fault, owed: true,
-		wake: make(chan struct{}, 1), closing: make(chan struct{}), done: make(chan struct{}), toldAt: -lostEvery}
+	q := &queue{sink: s, perSecond: perSecond, preamble: preamble, now: since, onFault: fault, needsPreamble: true,
+		wake: make(chan struct{}, 1), closing: make(chan struct{}), done: make(chan struct{}), reportedAt: -lossReportInterval}
 	q.wake <- struct{}{} // the preamble waits
 	return q
 }
 
-// stream hands over a stream's line.
-func (q *queue) stream(line []byte) {
+// addStream takes a stream's line.
+func (q *queue) addStream(line []byte) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if now := q.since().Truncate(time.Second); now != q.second {
-		q.second, q.lines = now, 0
+	if now := q.now().Truncate(time.Second); now != q.currentSecond {
+		q.currentSecond, q.linesInSecond = now, 0
 	}
-	if q.lines++; q.lines > q.perSecond {
-		q.miss(Lines{Rate: 1})
-	} else if !q.add(line, queueMost) {
-		q.miss(Lines{Sink: 1})
+	if q.linesInSecond++; q.linesInSecond > q.perSecond {
+		q.countLost(LostLines{Rate: 1})
+	} else if !q.add(line, maxQueueBytes) {
+		q.countLost(LostLines{Sink: 1})
 	}
 }
 
-// list hands over the line of a list of hosts. Where it is lost the whole list is owed.
-func (q *queue) list(line []byte) {
+// addList takes the line of a list of endpoints. Where it is lost the preamble is written again.
+func (q *queue) addList(line []byte) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.owed = !q.add(line, queueMost) || q.owed
+	q.needsPreamble = !q.add(line, maxQueueBytes) || q.needsPreamble
 }
 
-// owe has the preamble come again, ahead of what follows.
-func (q *queue) owe() {
+// requestPreamble has the preamble written again, before what follows.
+func (q *queue) requestPreamble() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.owed = true
-	q.add(nil, queueMost)
+	q.needsPreamble = true
+	q.add(nil, maxQueueBytes)
 }
 
-// Write hands over a line of the log.
+// Write takes a line of the log.
 func (q *queue) Write(line []byte) (int, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if !q.add(line, queueMost+logMost) {
-		q.miss(Lines{Log: 1})
+	if !q.add(line, maxQueueBytes+maxLogBytes) {
+		q.countLost(LostLines{Log: 1})
 	}
 	return len(line), nil
 }
 
-// add takes a line if there is room; the caller holds the lock.
-func (q *queue) add(line []byte, most int) bool {
-	if q.closed || len(q.wait)+len(line) > most {
+// add takes a line if there is room; the caller holds mu.
+func (q *queue) add(line []byte, maxBytes int) bool {
+	if q.closed || len(q.pending)+len(line) > maxBytes {
 		return false
 	}
-	q.wait = append(q.wait, line...)
+	q.pending = append(q.pending, line...)
 	select {
 	case q.wake <- struct{}{}:
 	default:
@@ -104,33 +104,33 @@
 	return true
 }
 
-// miss counts lines that are lost; the caller holds the lock.
-func (q *queue) miss(n Lines) {
-	if q.lost.Lines == (Lines{}) {
-		q.lost.From = q.since()
+// countLost counts lines that are lost; the caller holds mu.
+func (q *queue) countLost(n LostLines) {
+	if q.lost.LostLines == (LostLines{}) {
+		q.lost.From = q.now()
 	}
 	q.lost.add(n)
 }
 
-// close ends run once it has written what waits, so many streams being left out because they are not over. It
-// does not wait long for a sink that is blocked.
+// close ends run once it has written the pending lines; open streams are counted as lost. It waits for a blocked sink for
+// closeTimeout at most.
 func (q *queue) close(open int) error {
 	q.mu.Lock()
-	q.miss(Lines{Open: open})
+	q.countLost(LostLines{Open: open})
 	q.closed = true
 	q.mu.Unlock()
 	close(q.closing)
-	late := time.NewTimer(closeWithin)
-	defer late.Stop()
+	timeout := time.NewTimer(closeTimeout)
+	defer timeout.Stop()
 	select {
 	case <-q.done:
 		return nil
-	case <-late.C:
-		return errBlocked
+	case <-timeout.C:
+		return errSinkBlocked
 	}
 }
 
-// run writes what is handed over until close.
+// run writes what is pending until close.
 func (q *queue) run() {
 	defer close(q.done)
 	pause := time.NewTimer(0)
@@ -142,55 +142,56 @@
 			closing = true
 		}
 		q.flush(closing)
-		pause.Reset(gather)
+		pause.Reset(writeInterval)
 		select {
 		case <-pause.C:
-		case <-q.closing: // the next round sees it too
+		case <-q.closing: // the next iteration handles it
 		}
 	}
 	q.sink.close()
 }
 
-// flush writes what waits. What the sink does not take is lost, and so is what comes before it is tried again.
+// flush writes what is pending. What the sink doesn't accept is lost, and so is what comes before it is tried again.
 func (q *queue) flush(last bool) {
-	now := q.since()
+	now := q.now()
 	q.mu.Lock()
-	batch, owed, lost := q.wait, q.owed, Lost{}
-	q.wait, q.owed = q.spare[:0], false
-	if q.lost.Lines != (Lines{}) && (last || now-q.toldAt >= lostEvery) {
-		lost, q.lost, q.toldAt = q.lost, Lost{}, now
+	batch, needsPreamble, lost := q.pending, q.needsPreamble, Loss{}
+	q.pending, q.needsPreamble = q.spare[:0], false
+	if q.lost.LostLines != (LostLines{}) && (last || now-q.reportedAt >= lossReportInterval) {
+		lost, q.lost, q.reportedAt = q.lost, Loss{}, now
 		lost.Until = now
 	}
 	q.mu.Unlock()
 	q.spare = batch
-	if q.failed && now < q.retry && !last {
+	if q.failed && now < q.retryAt && !last {
 		q.restore(batch, lost)
 		return
 	}
-	rest, err := q.write(batch, owed, lost)
+	rest, err := q.write(batch, needsPreamble, lost)
 	if err != nil {
 		q.restore(rest, lost)
-		q.retry = now + againAfter
+		q.retryAt = now + retryInterval
 	}
 	if failed := err != nil; failed != q.failed {
 		q.failed = failed
-		q.fault(err)
+		q.onFault(err)
 	}
 }
 
-// write gives the sink a batch, and ahead of it what it lacks. It returns the lines that were not taken whole.
-func (q *queue) write(batch []byte, owed bool, lost Lost) ([]byte, error) {
+// write writes a batch, with the preamble and the losses that are due before it. It returns the lines that were not written
+// completely.
+func (q *queue) write(batch []byte, needsPreamble bool, lost Loss) ([]byte, error) {
 	text, n := batch, 0
-	for range 2 { // a file that is full gives way to the next, which begins with the preamble
-		fresh, err := q.sink.ready()
+	for range 2 { // a full file is replaced by another one, which begins with the preamble
+		isNew, err := q.sink.ready()
 		if err != nil {
 			return text, err
 		}
 		var head []byte
-		if fresh || owed {
+		if isNew || needsPreamble {
 			head = q.preamble(head)
 		}
-		if lost.Lines != (Lines{}) {
+		if lost.LostLines != (LostLines{}) {
 			head = appendLost(head, lost)
 		}
 		if text = batch; len(head) > 0 {
@@ -203,9 +204,9 @@
 	return text, errFull
 }
 
-// restore counts the lines that the sink did not take, and takes back what it was not told.
-func (q *queue) restore(lines []byte, lost Lost) {
-	var n Lines
+// restore counts the lines that were not written, and keeps the losses that were not reported.
+func (q *queue) restore(lines []byte, lost Loss) {
+	var n LostLines
 	for line := range bytes.Lines(lines) {
 		switch {
 		case bytes.HasPrefix(line, []byte(prefix+kindStream)):
@@ -216,10 +217,10 @@
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.owed = true
-	q.miss(n)
-	if lost.Lines != (Lines{}) {
-		q.lost.add(lost.Lines)
+	q.needsPreamble = true
+	q.countLost(n)
+	if lost.LostLines != (LostLines{}) {
+		q.lost.add(lost.LostLines)
 		q.lost.From = lost.From
 	}
 }
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -28,14 +28,14 @@
 }
 
 // newFleet has so many, in two zones, all of which act on a list and tell no trail.
-func newFleet(t *testing.T, n int) (*fleet, *Roster) {
+func newFleet(t *testing.T, n int) (*fleet, *Inventory) {
 	f := &fleet{t: t, reports: make([]auditlog.Report, n), orders: make([][]version.Order, n)}
-	r := &Roster{}
+	r := &Inventory{}
 	for i := range n {
 		name := fmt.Sprintf("s%d", i)
-		f.reports[i] = report(name)
+		f.reports[i] = testReport(name)
 		f.reports[i].Zone, f.reports[i].Rank, f.reports[i].Instances = fmt.Sprintf("z%d", i%2), i, n
-		r.Sidecars = append(r.Sidecars, Sidecar{Name: name, Addr: sidecarAt(t, func(w http.ResponseWriter, q *http.Request) { f.answer(i, w, q) })})
+		r.Sidecars = append(r.Sidecars, Sidecar{Name: name, Addr: serveSidecar(t, func(w http.ResponseWriter, q *http.Request) { f.answer(i, w, q) })})
 	}
 	return f, r
 }
@@ -50,10 +50,10 @@
 			f.t.Error(err)
 		}
 		f.orders[i] = append(f.orders[i], o)
-		f.reports[i].Floor, f.reports[i].Version.Epoch = &o.Floor, o.Floor.Epoch
+		f.reports[i].Minimum, f.reports[i].Version.Epoch = &o.Minimum, o.Minimum.Epoch
 	}
 	r.Now = millis(time.Now())
-	says(r)(w, q)
+	answerWith(r)(w, q)
 }
 
 func (f *fleet) set(i int, edit func(r *auditlog.Report)) {
@@ -63,11 +63,11 @@
 }
 
 // options are those of tests: no time is tight.
-func options(r *Roster) Options {
-	return Options{Roster: r, By: "auditor", AtATime: 8, Within: 10 * time.Second, Grace: time.Second, Spread: time.Second, For: time.Minute, Share: 0.1}
+func testOptions(r *Inventory) Options {
+	return Options{Inventory: r, By: "auditor", Concurrency: 8, Timeout: 10 * time.Second, Grace: time.Second, Spread: time.Second, Validity: time.Minute, Share: 0.1}
 }
 
-func round(t *testing.T, a *Audit) *View {
+func runRound(t *testing.T, a *Audit) *View {
 	t.Helper()
 	v, err := a.Round(t.Context())
 	if err != nil {
@@ -91,20 +91,20 @@
 	f, r := newFleet(t, 6)
 	f.set(1, func(r *auditlog.Report) { r.Version.List = version.List{From: "ls", Revision: 6, Digest: 60} })
 	f.set(2, func(r *auditlog.Report) { r.Name = "s9" }) // its address is another one's now
-	r.Sidecars[3].Addr = dead(t)
+	r.Sidecars[3].Addr = closedAddr(t)
 	f.set(4, func(r *auditlog.Report) { r.Rank = 0; r.Instances = 8 })
-	a := New(options(r))
+	a := New(testOptions(r))
 	defer a.Close()
-	v := round(t, a)
+	v := runRound(t, a)
 	for name, want := range map[string]Status{"s0": UpToDate, "s1": Behind, "s2": NotReached, "s3": NotReached, "s4": UpToDate, "s5": UpToDate} {
 		if got := v.row(name); got.Status != want {
 			t.Errorf("%s: %+v, want %s", name, got, want)
 		}
 	}
-	if v.Exit() != NotWell || v.Count(UpToDate) != 3 || v.row("s1").Why != "list" {
+	if v.Exit() != ExitNotUpToDate || v.Count(UpToDate) != 3 || v.row("s1").Reason != "list" {
 		t.Errorf("%d, %s, %+v", v.Exit(), v.Verdict(), v.row("s1"))
 	}
-	faults := strings.Join(v.Faults, "\n")
+	faults := strings.Join(v.InventoryFaults, "\n")
 	for _, want := range []string{`s2: ` + r.Sidecars[2].Addr + ` answers as "s9"`, "s0 and s4 have the same rank, 0", "6 sidecars are listed, and their settings tell of 8"} {
 		if !strings.Contains(faults, want) {
 			t.Errorf("no %q among %s", want, faults)
@@ -134,17 +134,17 @@
 
 func TestExit(t *testing.T) {
 	f, r := newFleet(t, 2)
-	a := New(options(r))
+	a := New(testOptions(r))
 	defer a.Close()
-	if v := round(t, a); v.Exit() != AllWell || v.Contradictions != nil || v.Faults != nil {
-		t.Errorf("%d: %s, %q", v.Exit(), v.Verdict(), v.Faults)
+	if v := runRound(t, a); v.Exit() != ExitAllUpToDate || v.Contradictions != nil || v.InventoryFaults != nil {
+		t.Errorf("%d: %s, %q", v.Exit(), v.Verdict(), v.InventoryFaults)
 	}
 	f.set(0, func(r *auditlog.Report) { r.Name = "other" })
-	if v := round(t, a); v.Exit() != NotWell {
+	if v := runRound(t, a); v.Exit() != ExitNotUpToDate {
 		t.Error("one of two was not reached")
 	}
 	f.set(1, func(r *auditlog.Report) { r.Name = "other" })
-	if v := round(t, a); v.Exit() != NobodyThere || v.row("s1").Seen == 0 || v.row("s1").Version == nil {
+	if v := runRound(t, a); v.Exit() != ExitNoneReached || v.row("s1").LastAnswer == 0 || v.row("s1").Version == nil {
 		t.Errorf("%d: %+v", v.Exit(), v.row("s1"))
 	}
 }
@@ -153,8 +153,8 @@
 func TestListService(t *testing.T) {
 	f, r := newFleet(t, 3)
 	down := false
-	o := options(r)
-	o.List = sidecarAt(t, func(w http.ResponseWriter, _ *http.Request) {
+	o := testOptions(r)
+	o.List = serveSidecar(t, func(w http.ResponseWriter, _ *http.Request) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if down {
@@ -165,7 +165,7 @@
 	})
 	a := New(o)
 	defer a.Close()
-	v := round(t, a)
+	v := runRound(t, a)
 	if v.Count(Behind) != 3 || v.Reference.Revision != 9 || v.Reference.Digest == 0 {
 		t.Errorf("%s by %+v", v.Verdict(), v.Reference)
 	}
@@ -173,49 +173,49 @@
 	f.mu.Lock()
 	down = true
 	f.mu.Unlock()
-	if v := round(t, a); v.Count(UpToDate) != 1 || v.Count(Behind) != 2 {
+	if v := runRound(t, a); v.Count(UpToDate) != 1 || v.Count(Behind) != 2 {
 		t.Error(v.Verdict())
 	}
 }
 
 // Guards against floors that don't go out, and audits that end before they have.
-func TestRaises(t *testing.T) {
+func TestRaisesMinimum(t *testing.T) {
 	f, r := newFleet(t, 3)
-	o := options(r)
-	o.Raise, o.Builds = true, []string{"new"}
+	o := testOptions(r)
+	o.RaiseMinimum, o.Builds = true, []string{"new"}
 	f.set(2, func(r *auditlog.Report) { r.Version.Build = "old" })
 	var out bytes.Buffer
 	kept := filepath.Join(t.TempDir(), "kept")
-	if exit, err := Run(t.Context(), o, Output{To: &out, Kept: kept, Rounds: 2, Every: time.Millisecond}); exit != NotWell || err != nil {
+	if exit, err := Run(t.Context(), o, Output{To: &out, StateFile: kept, Rounds: 2, Interval: time.Millisecond}); exit != ExitNotUpToDate || err != nil {
 		t.Errorf("%d, %v", exit, err)
 	}
 	f.mu.Lock()
 	epoch := uint64(0)
 	for i, orders := range f.orders {
-		if len(orders) != 1 || orders[0].Floor.Builds[0] != "new" || orders[0].Floor.Site != "site" || orders[0].Floor.List != 70 || orders[0].Ticket != nil {
+		if len(orders) != 1 || orders[0].Minimum.Builds[0] != "new" || orders[0].Minimum.Site != "site" || orders[0].Minimum.List != 70 || orders[0].Permit != nil {
 			t.Errorf("sidecar %d: %+v", i, orders)
 			continue
 		}
-		epoch = orders[0].Floor.Epoch
-		f.reports[i].Floor, f.reports[i].Version.Epoch = nil, 0 // all have forgotten it
+		epoch = orders[0].Minimum.Epoch
+		f.reports[i].Minimum, f.reports[i].Version.Epoch = nil, 0 // all have forgotten it
 	}
 	f.mu.Unlock()
 	// Who continues goes on from the epoch that was given.
 	o.By = "another"
-	if _, err := Run(t.Context(), o, Output{To: &out, Kept: kept, Rounds: 1}); err != nil {
+	if _, err := Run(t.Context(), o, Output{To: &out, StateFile: kept, Rounds: 1}); err != nil {
 		t.Error(err)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if got := f.orders[0]; len(got) != 2 || got[1].Floor.Epoch <= epoch {
+	if got := f.orders[0]; len(got) != 2 || got[1].Minimum.Epoch <= epoch {
 		t.Errorf("after epoch %d: %+v", epoch, got)
 	}
 }
 
 // Guards against dead sidecars whose trail is not read, and against them counting as reached because it is.
-func TestDeadSidecars(t *testing.T) {
+func TestUnreachableSidecars(t *testing.T) {
 	_, r := newFleet(t, 3)
-	s := (&script{life: "l", ahead: millis(time.Now())}).adopt(100, 1, 6, 60).count(200, 1, 5, 0)
+	s := (&logScript{incarnation: "l", ahead: millis(time.Now())}).adopt(100, 1, 6, 60).count(200, 1, 5, 0)
 	var text []byte
 	for _, e := range s.entries {
 		line, err := json.Marshal(e)
@@ -230,13 +230,13 @@
 			t.Fatal(err)
 		}
 	}
-	r.Sidecars[1].Addr, r.Sidecars[1].Dir = dead(t), dirs[0]
-	r.Sidecars[2].Addr = dead(t)
-	o := options(r)
+	r.Sidecars[1].Addr, r.Sidecars[1].Dir = closedAddr(t), dirs[0]
+	r.Sidecars[2].Addr = closedAddr(t)
+	o := testOptions(r)
 	o.Dirs = map[string]string{"s2": dirs[1], "unlisted": dirs[0], "nowhere": dirs[0] + "/none"}
 	a := New(o)
 	defer a.Close()
-	v := round(t, a)
+	v := runRound(t, a)
 	if v.Count(NotReached) != 2 || v.Count(UpToDate) != 1 {
 		t.Error(v.Verdict())
 	}
@@ -245,10 +245,10 @@
 			t.Errorf("%s: %+v, want %d entries", name, got, want)
 		}
 	}
-	if got := found(&a.history); !strings.HasPrefix(got, Hole+" s2 ") || strings.Contains(got, "s1") {
+	if got := contradictionText(&a.history); !strings.HasPrefix(got, MissingEntries+" s2 ") || strings.Contains(got, "s1") {
 		t.Error(got)
 	}
-	if got := strings.Join(v.Faults, "\n"); !strings.Contains(got, "nowhere: its trail can't be read") {
+	if got := strings.Join(v.InventoryFaults, "\n"); !strings.Contains(got, "nowhere: its trail can't be read") {
 		t.Error(got)
 	}
 	if v.Lists[0].List.Revision != 6 || v.Lists[0].Adopted != 2 {
@@ -257,9 +257,9 @@
 }
 
 // Guards against a file that is taken for another's, or for none where it can't be read.
-func TestKept(t *testing.T) {
+func TestStateFile(t *testing.T) {
 	_, r := newFleet(t, 1)
-	a := New(options(r))
+	a := New(testOptions(r))
 	defer a.Close()
 	for text, want := range map[string]string{
 		"":              "unexpected end",
@@ -271,7 +271,7 @@
 			t.Errorf("%q: %v, want %s", text, err, want)
 		}
 	}
-	a.o.Site = "mine"
+	a.options.Site = "mine"
 	if err := a.restore([]byte(`{"version":1,"history":{},"site":"its"}`)); err == nil {
 		t.Error("another site's")
 	}
@@ -281,30 +281,30 @@
 func BenchmarkRound(b *testing.B) {
 	for _, fleet := range []int{400, 5000} {
 		b.Run(fmt.Sprint(fleet), func(b *testing.B) {
-			r, answers := &Roster{}, make([]Answer, fleet)
+			r, answers := &Inventory{}, make([]Answer, fleet)
 			for i := range fleet {
 				name := fmt.Sprintf("s%d", i)
 				r.Sidecars = append(r.Sidecars, Sidecar{Name: name, Addr: "127.0.0.1:1"})
-				s := &script{life: name}
-				for k := range min(entriesMost, entriesAll/fleet) {
+				s := &logScript{incarnation: name}
+				for k := range min(maxEntries, maxTotalEntries/fleet) {
 					if at := version.Millis(1000 * k); k%4 == 0 {
 						s.adopt(at, uint32(k), int64(k), version.Digest(k+1))
 					} else {
 						s.count(at, uint32(k-k%4), 9, 0)
 					}
 				}
-				rep := report(name)
+				rep := testReport(name)
 				rep.Entries, rep.Now, rep.Up, rep.Next = s.entries, 600_000, 600_000, uint64(len(s.entries)+1)
-				answers[i] = Answer{Report: &rep, Middle: 600_000, Back: time.UnixMilli(600_000)}
+				answers[i] = Answer{Report: &rep, Midpoint: 600_000, ReceivedAt: time.UnixMilli(600_000)}
 			}
-			a := New(options(r))
+			a := New(testOptions(r))
 			defer a.Close()
-			questions := make([]Question, fleet)
+			questions := make([]Request, fleet)
 			at := func(t time.Time) time.Duration { return time.Duration(t.UnixNano()) }
 			round := func() {
 				a.now += time.Second
-				a.history.Raise(60_000, version.Floor{Epoch: 1, List: 9, Revision: 1 << 40, For: 600_000})
-				decided, _ := a.decide(questions, answers, &version.Demand{}, at, time.UnixMilli(600_000))
+				a.history.RecordMinimum(60_000, version.MinimumVersion{Epoch: 1, List: 9, Revision: 1 << 40, Validity: 600_000})
+				decided, _ := a.decide(questions, answers, &version.Reference{}, at, time.UnixMilli(600_000))
 				if v := a.view(answers, &decided, time.UnixMilli(600_000)); len(v.Rows) != fleet {
 					b.Fatal(v.Verdict())
 				}
@@ -330,11 +330,11 @@
 
 // FuzzMerge has sidecars tell anything, twice: nothing panics, what is held is bounded, and who was not reached is not up to date.
 func FuzzMerge(f *testing.F) {
-	for _, s := range []*script{
-		(&script{life: "l"}).add(100, auditlog.Entry{Kind: auditlog.Began}).adopt(200, 1, 5, 50).count(300, 1, 9, 1),
-		(&script{life: "m", ahead: -5000}).adopt(900, 1, 6, 60).adopt(950, 2, 4, 40),
+	for _, s := range []*logScript{
+		(&logScript{incarnation: "l"}).add(100, auditlog.Entry{Kind: auditlog.Started}).adopt(200, 1, 5, 50).count(300, 1, 9, 1),
+		(&logScript{incarnation: "m", ahead: -5000}).adopt(900, 1, 6, 60).adopt(950, 2, 4, 40),
 	} {
-		r := s.told(1000, 1).Report
+		r := s.answer(1000, 1).Report
 		r.Name, r.Site, r.Version.List = "a", "site", s.entries[len(s.entries)-2].Version.List
 		text, err := json.Marshal(r)
 		if err != nil {
@@ -343,15 +343,15 @@
 		f.Add(text, text, true)
 		f.Add(text, []byte(`{"name":"b","entries":[{"kind":"ordered","order":{}},{"kind":"adopted","version":{}}]}`), false)
 	}
-	roster := &Roster{Sidecars: []Sidecar{{Name: "a", Addr: "127.0.0.1:1"}, {Name: "b", Addr: "127.0.0.1:2"}}}
+	roster := &Inventory{Sidecars: []Sidecar{{Name: "a", Addr: "127.0.0.1:1"}, {Name: "b", Addr: "127.0.0.1:2"}}}
 	began := time.Unix(1000, 0)
 	f.Fuzz(func(t *testing.T, first, second []byte, bothReached bool) {
-		a := New(options(roster))
+		a := New(testOptions(roster))
 		defer a.Close()
 		for i := range 3 {
 			answers := make([]Answer, 2)
 			for j, text := range [][]byte{first, second} {
-				answers[j] = Answer{Back: began, Middle: millis(began), Err: fmt.Errorf("none")}
+				answers[j] = Answer{ReceivedAt: began, Midpoint: millis(began), Err: fmt.Errorf("none")}
 				r := auditlog.Report{}
 				if json.Unmarshal(text, &r) == nil && (bothReached || j == i%2) {
 					answers[j].Report = &r
@@ -359,7 +359,7 @@
 			}
 			at := began.Add(time.Duration(i) * time.Second)
 			a.now = time.Duration(i) * time.Second
-			decided, _ := a.decide([]Question{a.question(roster.Sidecars[0], nil), a.question(roster.Sidecars[1], nil)}, answers, &version.Demand{},
+			decided, _ := a.decide([]Request{a.request(roster.Sidecars[0], nil), a.request(roster.Sidecars[1], nil)}, answers, &version.Reference{},
 				func(m time.Time) time.Duration { return m.Sub(began) }, at)
 			v := a.view(answers, &decided, at)
 			for j := range answers {
@@ -371,7 +371,7 @@
 			if err := errors.Join(v.Table(&b, true), v.JSON(&b), v.Page(&b)); err != nil {
 				t.Error(err)
 			}
-			text, err := json.Marshal(kept{keptVersion, 0, a.site, a.epoch, &a.history, a.memories})
+			text, err := json.Marshal(storedAudit{stateVersion, 0, a.site, a.epoch, &a.history, a.records})
 			if err == nil {
 				err = a.restore(text)
 			}
@@ -380,8 +380,8 @@
 			}
 		}
 		for name, p := range a.history.Sidecars {
-			if len(p.Entries) > entriesMost || len(a.history.Found) > foundMost {
-				t.Errorf("%s: %d entries and %d contradictions are held", name, len(p.Entries), len(a.history.Found))
+			if len(p.Entries) > maxEntries || len(a.history.Contradictions) > maxContradictions {
+				t.Errorf("%s: %d entries and %d contradictions are held", name, len(p.Entries), len(a.history.Contradictions))
 			}
 		}
 	})
--- a/internal/audit/ask_test.go
+++ b/internal/audit/client_test.go
@@ -22,8 +22,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// sidecarAt is a stand-in for a sidecar's operators' listener.
-func sidecarAt(t testing.TB, answer http.HandlerFunc) string {
+// serveSidecar is a stand-in for a sidecar's operators' listener.
+func serveSidecar(t testing.TB, answer http.HandlerFunc) string {
 	t.Helper()
 	s := httptest.NewServer(answer)
 	s.Config.ErrorLog = nil
@@ -32,7 +32,7 @@
 }
 
 // hanging is the address of a listener that takes connections, and never says anything.
-func hanging(t testing.TB) string {
+func hangingAddr(t testing.TB) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,7 +43,7 @@
 }
 
 // dead is an address at which nobody listens, and that nobody else gets meanwhile.
-func dead(t testing.TB) string {
+func closedAddr(t testing.TB) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -61,13 +61,13 @@
 }
 
 // report is that of a sidecar that acts, and has no trail yet.
-func report(name string) auditlog.Report {
-	return auditlog.Report{Name: name, Zone: "z0", Site: "site", Instances: 1, Life: "life " + name, State: "acts", Under: 1, Next: 1, First: 1,
+func testReport(name string) auditlog.Report {
+	return auditlog.Report{Name: name, Zone: "z0", Site: "site", Instances: 1, Incarnation: "life " + name, State: "acts", VersionID: 1, Next: 1, Oldest: 1,
 		Version: version.Version{List: version.List{From: "ls", Revision: 7, Digest: 70}, Build: "new"}}
 }
 
 // says answers with a report.
-func says(r auditlog.Report) http.HandlerFunc {
+func answerWith(r auditlog.Report) http.HandlerFunc {
 	text, err := json.Marshal(r)
 	return func(w http.ResponseWriter, _ *http.Request) {
 		if err != nil {
@@ -77,19 +77,19 @@
 	}
 }
 
-// fleetOf is questions at stand-ins, of which 5% are dead and 5% hang, and how many were asked at once at most.
-func fleetOf(t testing.TB, fleet int) ([]Question, *atomic.Int64) {
+// newSlowFleet is questions at stand-ins, of which 5% are dead and 5% hang, and how many were asked at once at most.
+func newSlowFleet(t testing.TB, fleet int) ([]Request, *atomic.Int64) {
 	now, most := new(atomic.Int64), new(atomic.Int64)
-	questions := make([]Question, fleet)
+	questions := make([]Request, fleet)
 	for i := range questions {
 		switch i % 20 {
 		case 7:
-			questions[i].Addr = dead(t)
+			questions[i].Addr = closedAddr(t)
 		case 13:
-			questions[i].Addr = hanging(t)
+			questions[i].Addr = hangingAddr(t)
 		default:
-			answer := says(report(fmt.Sprint(i)))
-			questions[i].Addr = sidecarAt(t, func(w http.ResponseWriter, r *http.Request) {
+			answer := answerWith(testReport(fmt.Sprint(i)))
+			questions[i].Addr = serveSidecar(t, func(w http.ResponseWriter, r *http.Request) {
 				n := now.Add(1)
 				defer now.Add(-1)
 				for old := most.Load(); n > old && !most.CompareAndSwap(old, n); old = most.Load() {
@@ -103,13 +103,13 @@
 
 // Guards against an audit that a few dead or hanging sidecars hold up, and one that opens connections without bound. The
 // time is half of what those that hang take one after the other; what it is on a machine at rest is the benchmark's.
-func TestAsksManyAtOnce(t *testing.T) {
+func TestRequestsAreConcurrent(t *testing.T) {
 	const fleet, atATime, within = 100, 32, 4 * time.Second
-	questions, most := fleetOf(t, fleet)
-	a := NewAsker(atATime, within)
+	questions, most := newSlowFleet(t, fleet)
+	a := NewClient(atATime, within)
 	defer a.Close()
 	began := time.Now()
-	answers := a.Ask(t.Context(), questions)
+	answers := a.Do(t.Context(), questions)
 	if took := time.Since(began); took >= fleet/20*within/2 {
 		t.Errorf("took %v", took)
 	}
@@ -123,13 +123,13 @@
 	}
 }
 
-func BenchmarkAsk400(b *testing.B) {
-	questions, _ := fleetOf(b, 400)
-	a := NewAsker(256, time.Second)
+func BenchmarkRequest400(b *testing.B) {
+	questions, _ := newSlowFleet(b, 400)
+	a := NewClient(256, time.Second)
 	defer a.Close()
 	for b.Loop() {
 		reached := 0
-		for _, got := range a.Ask(b.Context(), questions) {
+		for _, got := range a.Do(b.Context(), questions) {
 			if got.Report != nil {
 				reached++
 			}
@@ -139,15 +139,15 @@
 }
 
 // Guards against calls that outlast their context.
-func TestAskEnds(t *testing.T) {
+func TestRequestsEndWithContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	addr := sidecarAt(t, func(_ http.ResponseWriter, r *http.Request) {
+	addr := serveSidecar(t, func(_ http.ResponseWriter, r *http.Request) {
 		cancel()
 		<-r.Context().Done()
 	})
-	a := NewAsker(2, time.Hour)
+	a := NewClient(2, time.Hour)
 	defer a.Close()
-	for _, got := range a.Ask(ctx, []Question{{Addr: addr}, {Addr: addr}, {Addr: addr}}) {
+	for _, got := range a.Do(ctx, []Request{{Addr: addr}, {Addr: addr}, {Addr: addr}}) {
 		if got.Report != nil || got.Err == nil {
 			t.Errorf("%+v", got)
 		}
@@ -155,15 +155,15 @@
 }
 
 // Guards against answers that are taken for reports, and answers without bound.
-func TestFaultyAnswers(t *testing.T) {
-	a := NewAsker(1, 10*time.Second)
+func TestInvalidAnswers(t *testing.T) {
+	a := NewClient(1, 10*time.Second)
 	defer a.Close()
 	for name, c := range map[string]struct {
 		answer http.HandlerFunc
 		want   string
 	}{
 		"long": {func(w http.ResponseWriter, _ *http.Request) {
-			_, _ = w.Write([]byte(`{"name":"` + strings.Repeat("x", answerMost) + `"}`))
+			_, _ = w.Write([]byte(`{"name":"` + strings.Repeat("x", maxAnswerBytes) + `"}`))
 		}, "longer than 262144 bytes"},
 		"no audit": {func(w http.ResponseWriter, _ *http.Request) {
 			http.Error(w, "unknown path: there are", http.StatusNotFound)
@@ -173,7 +173,7 @@
 			http.Redirect(w, r, "http://"+r.Host+"/elsewhere", http.StatusFound)
 		}, "answer 302"},
 	} {
-		got := a.Ask(t.Context(), []Question{{Addr: sidecarAt(t, c.answer)}})[0]
+		got := a.Do(t.Context(), []Request{{Addr: serveSidecar(t, c.answer)}})[0]
 		if got.Report != nil || got.Err == nil || !strings.Contains(got.Err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", name, got.Err, c.want)
 		}
@@ -183,15 +183,15 @@
 // Guards against orders that are lost, or refused unseen, and trails of which only the beginning is read.
 func TestOrdersAndPages(t *testing.T) {
 	var orders, pages atomic.Int64
-	long := &script{life: "l"}
+	long := &logScript{incarnation: "l"}
 	for range 3 {
 		long.add(1000, auditlog.Entry{Kind: auditlog.Counted, Attempts: slices.Repeat([]auditlog.Attempts{{Class: "c", Host: strings.Repeat("h", 250), N: 1}}, 512)})
 	}
-	addr := sidecarAt(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := serveSidecar(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
 			orders.Add(1)
 			var o version.Order
-			if err := json.NewDecoder(r.Body).Decode(&o); err != nil || r.URL.Path != "/admin/floor" || o.Floor.Epoch != 7 {
+			if err := json.NewDecoder(r.Body).Decode(&o); err != nil || r.URL.Path != "/admin/floor" || o.Minimum.Epoch != 7 {
 				t.Errorf("%s: %+v, %v", r.URL, o, err)
 			}
 			http.Error(w, "an older epoch", http.StatusConflict)
@@ -200,17 +200,17 @@
 		pages.Add(1)
 		var since uint64
 		_, _ = fmt.Sscanf(r.URL.RawQuery, "since=%d", &since)
-		rep := report("a")
+		rep := testReport("a")
 		if rep.Next = since + 1; since < 4 {
 			rep.Entries = long.entries[since-1 : since]
 		}
-		says(rep)(w, r)
+		answerWith(rep)(w, r)
 	})
-	a := NewAsker(1, 10*time.Second)
+	a := NewClient(1, 10*time.Second)
 	defer a.Close()
-	got := a.Ask(t.Context(), []Question{{Addr: addr, Since: 2, Order: &version.Order{Floor: version.Floor{Epoch: 7}}}})[0]
-	if got.Refused == nil || !strings.Contains(got.Refused.Error(), "409") || orders.Load() != 1 {
-		t.Errorf("%d orders, %v", orders.Load(), got.Refused)
+	got := a.Do(t.Context(), []Request{{Addr: addr, Since: 2, Order: &version.Order{Minimum: version.MinimumVersion{Epoch: 7}}}})[0]
+	if got.OrderErr == nil || !strings.Contains(got.OrderErr.Error(), "409") || orders.Load() != 1 {
+		t.Errorf("%d orders, %v", orders.Load(), got.OrderErr)
 	}
 	if got.Report == nil || len(got.Report.Entries) != 2 || got.Report.Next != 5 || pages.Load() != 3 {
 		t.Errorf("%d pages, %+v", pages.Load(), got)
@@ -218,17 +218,17 @@
 }
 
 // Guards against a trail that has begun anew, and has grown as long as the former one, being read from its middle.
-func TestBegunAnew(t *testing.T) {
-	s := (&script{life: "m"}).add(100, auditlog.Entry{Kind: auditlog.Began}).adopt(200, 1, 5, 50).adopt(300, 2, 6, 60)
-	addr := sidecarAt(t, func(w http.ResponseWriter, r *http.Request) {
-		rep, since := report("a"), 0
+func TestRestartedLog(t *testing.T) {
+	s := (&logScript{incarnation: "m"}).add(100, auditlog.Entry{Kind: auditlog.Started}).adopt(200, 1, 5, 50).adopt(300, 2, 6, 60)
+	addr := serveSidecar(t, func(w http.ResponseWriter, r *http.Request) {
+		rep, since := testReport("a"), 0
 		_, _ = fmt.Sscanf(r.URL.RawQuery, "since=%d", &since)
 		rep.Entries, rep.Next = s.entries[since-1:], 4
-		says(rep)(w, r)
+		answerWith(rep)(w, r)
 	})
-	a := NewAsker(2, 10*time.Second)
+	a := NewClient(2, 10*time.Second)
 	defer a.Close()
-	got := a.Ask(t.Context(), []Question{{Addr: addr, Since: 3, Sum: strings.Repeat("0", 32)}, {Addr: addr, Since: 3, Sum: s.entries[2].Sum}})
+	got := a.Do(t.Context(), []Request{{Addr: addr, Since: 3, Sum: strings.Repeat("0", 32)}, {Addr: addr, Since: 3, Sum: s.entries[2].Sum}})
 	for i, want := range []int{3, 1} {
 		if got[i].Report == nil || len(got[i].Report.Entries) != want {
 			t.Errorf("%+v, want %d entries", got[i], want)
@@ -238,7 +238,7 @@
 
 // Guards against rounds that grow with the fleet times the time-out, in virtual time: of 5,000 sidecars 5% don't answer, and
 // 5% take connections and say nothing. Where that is known from the round before they begin it.
-func TestTurns(t *testing.T) {
+func TestScheduler(t *testing.T) {
 	const fleet, atATime = 5000, 256
 	takes := make([]time.Duration, fleet)
 	for i := range takes {
@@ -248,7 +248,7 @@
 		}
 	}
 	round := func(last []time.Duration) (end time.Duration, most int) {
-		due := newTurns(last, atATime)
+		due := newScheduler(last, atATime)
 		var under []time.Duration // when calls end, in order
 		for now := time.Duration(0); ; {
 			for who, ok := due.next(); ok; who, ok = due.next() {
@@ -260,7 +260,7 @@
 				return now, most
 			}
 			now, under = under[0], under[1:]
-			due.ended()
+			due.done()
 		}
 	}
 	first, most := round(make([]time.Duration, fleet))
--- a/internal/audit/run.go
+++ b/internal/audit/run.go
@@ -9,53 +9,53 @@
 )
 
 const (
-	saveEach = 10 * time.Second // what was gathered; and in the end
-	raiseMin = 5 * time.Second  // how long a floor's raising goes on beyond spread and grace, for the last to answer
+	saveInterval = 10 * time.Second // between two writes of the state file
+	raiseTail    = 5 * time.Second  // beyond spread and grace, for the last sidecars to meet the minimum version
 )
 
-// Output is where an audit's findings go, and for how long they do.
+// Output is where findings are written, and for how many rounds.
 type Output struct {
 	To        io.Writer
-	JSON      bool          // lines of JSON, and not a table
-	Everybody bool          // in the table also those who are up to date
-	Page      string        // a file for a page; "" is none
-	Kept      string        // a file from which the audit continues, and into which it is saved; "" is none
-	Every     time.Duration // from one round's beginning to the next; 0: one round, or as many as bringing up takes
-	Rounds    int           // at most; 0 is without end
+	JSON      bool          // lines of JSON in place of a table
+	All       bool          // the table has also the sidecars that are up to date
+	Page      string        // the file of an HTML page; "": none
+	StateFile string        // the file from which the audit continues and to which it is saved; "": none
+	Interval  time.Duration // between the starts of two rounds; 0: one round or, with RaiseMinimum, until all are up to date
+	Rounds    int           // at most; 0: no limit
 }
 
-// Run audits until ctx ends or all rounds are over, and returns the exit status that the last one has. An error says that a
-// file can't be read or written.
+// Run audits until ctx is done or all rounds are over, and returns the last round's exit status. An error says that a file
+// can't be read or written.
 func Run(ctx context.Context, o Options, out Output) (exit int, err error) {
 	a := New(o)
 	defer a.Close()
-	if out.Kept != "" {
-		if err := a.Load(out.Kept); err != nil {
-			return Faulty, err
+	if out.StateFile != "" {
+		if err := a.Load(out.StateFile); err != nil {
+			return ExitFaulty, err
 		}
 	}
-	began, saved := time.Now(), time.Now()
-	every := max(out.Every, 0)
-	if every == 0 {
-		every = time.Second
+	start, savedAt := time.Now(), time.Now()
+	interval := max(out.Interval, 0)
+	if interval == 0 {
+		interval = time.Second
 	}
-	exit = NobodyThere
-	told := ""
+	exit = ExitNoneReached
+	lastShown := ""
 	for round := 1; ; round++ {
-		next := time.Now().Add(every)
+		next := time.Now().Add(interval)
 		v, err := a.Round(ctx)
 		if err != nil { // interrupted
 			break
 		}
 		exit = v.Exit()
-		if told, err = out.write(v, told); err != nil {
-			return Faulty, err
+		if lastShown, err = out.write(v, lastShown); err != nil {
+			return ExitFaulty, err
 		}
-		last := out.last(round, v, time.Since(began), &o)
-		if out.Kept != "" && (last || time.Since(saved) >= saveEach) {
-			saved = time.Now()
-			if err := a.Save(out.Kept, v.At); err != nil {
-				return Faulty, err
+		last := out.isLast(round, v, time.Since(start), &o)
+		if out.StateFile != "" && (last || time.Since(savedAt) >= saveInterval) {
+			savedAt = time.Now()
+			if err := a.Save(out.StateFile, v.At); err != nil {
+				return ExitFaulty, err
 			}
 		}
 		if last {
@@ -68,45 +68,46 @@
 		}
 		break
 	}
-	if out.Kept != "" && a.round > 0 {
-		return exit, a.Save(out.Kept, millis(time.Now()))
+	if out.StateFile != "" && a.round > 0 {
+		return exit, a.Save(out.StateFile, millis(time.Now()))
 	}
 	return exit, nil
 }
 
-// last tells whether a round is.
-func (out *Output) last(round int, v *View, since time.Duration, o *Options) bool {
+// isLast reports whether the round was the last one.
+func (out *Output) isLast(round int, v *View, since time.Duration, o *Options) bool {
 	switch {
 	case out.Rounds > 0:
 		return round >= out.Rounds
-	case out.Every > 0:
+	case out.Interval > 0:
 		return false
-	case !o.Raise:
+	case !o.RaiseMinimum:
 		return true
 	}
-	return v.Count(UpToDate) == len(v.Rows) || since >= o.Grace+o.Spread+raiseMin
+	return v.Count(UpToDate) == len(v.Rows) || since >= o.Grace+o.Spread+raiseTail
 }
 
-// write tells what a round has found. A table is only told anew when it tells of another sidecar, status or contradiction.
-func (out *Output) write(v *View, told string) (string, error) {
+// write writes a round's findings. A table is written only where another sidecar, status or contradiction is in it than in the
+// one before.
+func (out *Output) write(v *View, lastShown string) (string, error) {
 	if out.Page != "" {
 		var text bytes.Buffer
 		if err := v.Page(&text); err != nil {
-			return told, err
+			return lastShown, err
 		}
-		if err := replace(out.Page, text.Bytes()); err != nil {
-			return told, err
+		if err := replaceFile(out.Page, text.Bytes()); err != nil {
+			return lastShown, err
 		}
 	}
 	if out.JSON {
-		return told, v.JSON(out.To)
+		return lastShown, v.JSON(out.To)
 	}
-	news := v.Verdict() + v.Standing
+	shown := v.Verdict() + v.NoOrdersReason
 	for i := range v.Rows {
-		news += fmt.Sprintln(v.Rows[i].Name, v.Rows[i].Status)
+		shown += fmt.Sprintln(v.Rows[i].Name, v.Rows[i].Status)
 	}
-	if news == told {
-		return told, nil
+	if shown == lastShown {
+		return lastShown, nil
 	}
-	return news, v.Table(out.To, out.Everybody)
+	return shown, v.Table(out.To, out.All)
 }
--- a/internal/auditlog/trail_test.go
+++ b/internal/auditlog/auditlog_test.go
@@ -23,56 +23,58 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func clock() persistence.Clock { return persistence.Clock{Wall: time.UnixMilli(5000), Up: time.Second} }
+func fixedClock() persistence.Timestamp {
+	return persistence.Timestamp{Wall: time.UnixMilli(5000), Up: time.Second}
+}
 
-func names(class int, host balance.EndpointID) (string, string) {
+func testNames(class int, host balance.EndpointID) (string, string) {
 	return fmt.Sprint("class", class), fmt.Sprint("host-", host)
 }
 
 // book is one that goes on from a past.
-func book(life string, past []Entry) *Book {
-	b := NewBook(life, "test", past, clock)
-	b.Names(names)
+func newTestLog(life string, past []Entry) *Log {
+	b := NewLog(life, "test", past, fixedClock)
+	b.Names(testNames)
 	return b
 }
 
 // list has a book adopt a list.
-func list(b *Book, revision int64) {
+func adoptList(b *Log, revision int64) {
 	b.Change(func(v *version.Version) { v.List.Revision = revision }, "list", func(uint32) {})
 }
 
 // busy notes something of each kind.
-func busy(b *Book, n int) {
+func appendAllKinds(b *Log, n int) {
 	for i := range n {
-		list(b, int64(i+1))
+		adoptList(b, int64(i+1))
 		_, under := b.Version()
 		b.Sent(under, 0, 7, i%2 == 1)
 		b.Ended(under, 0, 7, true, false)
-		b.Note(Entry{Kind: Judged, State: "behind", Why: "w\xff"})
-		order := version.Order{Floor: version.Floor{Epoch: uint64(i + 1), By: "a", Builds: []string{}}}
-		b.Note(Entry{Kind: Ordered, Order: &order})
+		b.Append(Entry{Kind: VerdictChanged, State: "behind", Reason: "w\xff"})
+		order := version.Order{Minimum: version.MinimumVersion{Epoch: uint64(i + 1), By: "a", Builds: []string{}}}
+		b.Append(Entry{Kind: Ordered, Order: &order})
 	}
 	b.Flush()
 }
 
 // has are the flaws of faults.
-func has(faults []Fault) (flaws []Flaw) {
+func faultKinds(faults []Fault) (flaws []FaultKind) {
 	for _, f := range faults {
-		flaws = append(flaws, f.Flaw)
+		flaws = append(flaws, f.Kind)
 	}
 	return flaws
 }
 
 // Guards against a change to a trail that does not show, and against a whole one that is said not to be.
 func TestCheck(t *testing.T) {
-	former := book("a", nil)
-	busy(former, 4)
-	handed := former.Past()
-	next := book("b", handed)
-	busy(next, 2)
-	busy(former, 1) // beside its successor
+	former := newTestLog("a", nil)
+	appendAllKinds(former, 4)
+	handed := former.Entries()
+	next := newTestLog("b", handed)
+	appendAllKinds(next, 2)
+	appendAllKinds(former, 1) // beside its successor
 	n := len(handed)
-	both := append(next.Past(), former.Past()[n:]...)
+	both := append(next.Entries(), former.Entries()[n:]...)
 	slices.SortStableFunc(both, bySeq)
 	change := func(i int, edit func(*Entry)) []Entry {
 		out := slices.Clone(handed)
@@ -80,35 +82,35 @@
 		return out
 	}
 	remade := func(i int, edit func(*Entry)) []Entry {
-		return change(i, func(e *Entry) { edit(e); e.Sum = sum(*e) })
+		return change(i, func(e *Entry) { edit(e); e.Sum = checksum(*e) })
 	}
 	told := slices.Clone(handed)
-	e, _, _ := seal(handed[n-1], Entry{Life: "a", Kind: Lost, N: 2, Upto: 6})
+	e, _, _ := link(handed[n-1], Entry{Incarnation: "a", Kind: Lost, N: 2, UpTo: 6})
 	told = append(slices.Delete(told, 4, 6), e)
 	for name, c := range map[string]struct {
 		entries []Entry
-		want    []Flaw
+		want    []FaultKind
 	}{
 		"whole":                        {handed, nil},
 		"none":                         {nil, nil},
-		"succeeded":                    {next.Past(), nil},
+		"succeeded":                    {next.Entries(), nil},
 		"two processes":                {both, nil},
 		"older ones dropped":           {handed[3:], nil},
-		"one missing":                  {slices.Delete(slices.Clone(handed), 3, 4), []Flaw{Hole}},
-		"a whole life missing":         {append(slices.Clone(handed[:3]), next.Past()[n:]...), []Flaw{Hole}},
+		"one missing":                  {slices.Delete(slices.Clone(handed), 3, 4), []FaultKind{Missing}},
+		"a whole life missing":         {append(slices.Clone(handed[:3]), next.Entries()[n:]...), []FaultKind{Missing}},
 		"missing, and told so":         {told, nil},
-		"missing, and one more":        {slices.Delete(slices.Clone(told), 6, 7), []Flaw{Hole}},
-		"twice":                        {slices.Insert(slices.Clone(handed), 3, handed[2]), []Flaw{Disordered}},
-		"changed":                      {change(3, func(e *Entry) { e.At++ }), []Flaw{Changed}},
-		"another sum":                  {change(3, func(e *Entry) { e.Sum = handed[2].Sum }), []Flaw{Changed, Unchained}},
-		"made anew":                    {remade(3, func(e *Entry) { e.At++ }), []Flaw{Unchained}},
-		"another life's":               {remade(3, func(e *Entry) { e.Life = "x" }), []Flaw{Unchained, Hole}},
-		"the first goes on":            {remade(0, func(e *Entry) { e.Prev = handed[2].Sum }), []Flaw{Unchained, Unchained}},
-		"a later one that goes on":     {remade(0, func(e *Entry) { e.Seq = 2; e.Kind = Judged })[:1], []Flaw{Unchained}},
-		"a fork from nothing known":    {append(slices.Clone(handed[:3]), remade(3, func(e *Entry) { e.Life, e.Kind, e.Prev = "x", Began, e.Sum })[3]), []Flaw{Unchained}},
-		"another life's begins from 1": {append(slices.Clone(handed), book("c", nil).Past()...), nil},
+		"missing, and one more":        {slices.Delete(slices.Clone(told), 6, 7), []FaultKind{Missing}},
+		"twice":                        {slices.Insert(slices.Clone(handed), 3, handed[2]), []FaultKind{Disordered}},
+		"changed":                      {change(3, func(e *Entry) { e.At++ }), []FaultKind{Changed}},
+		"another sum":                  {change(3, func(e *Entry) { e.Sum = handed[2].Sum }), []FaultKind{Changed, Unchained}},
+		"made anew":                    {remade(3, func(e *Entry) { e.At++ }), []FaultKind{Unchained}},
+		"another life's":               {remade(3, func(e *Entry) { e.Incarnation = "x" }), []FaultKind{Unchained, Missing}},
+		"the first goes on":            {remade(0, func(e *Entry) { e.Prev = handed[2].Sum }), []FaultKind{Unchained, Unchained}},
+		"a later one that goes on":     {remade(0, func(e *Entry) { e.Seq = 2; e.Kind = VerdictChanged })[:1], []FaultKind{Unchained}},
+		"a fork from nothing known":    {append(slices.Clone(handed[:3]), remade(3, func(e *Entry) { e.Incarnation, e.Kind, e.Prev = "x", Started, e.Sum })[3]), []FaultKind{Unchained}},
+		"another life's begins from 1": {append(slices.Clone(handed), newTestLog("c", nil).Entries()...), nil},
 	} {
-		if got := has(Check(c.entries)); !slices.Equal(got, c.want) {
+		if got := faultKinds(Check(c.entries)); !slices.Equal(got, c.want) {
 			t.Errorf("%s: %v, not %v", name, Check(c.entries), c.want)
 		}
 	}
@@ -132,10 +134,10 @@
 // Guards against numbers that come in another order than what is applied under them, against attempts that are counted twice,
 // not at all, or under another number, and against a lock that is held where names are asked for.
 func TestNumbersUnderConcurrency(t *testing.T) {
-	b := NewBook("a", "test", nil, clock)
+	b := NewLog("a", "test", nil, fixedClock)
 	b.Names(func(class int, host balance.EndpointID) (string, string) {
 		b.Flush() // what gives names may wait for a Change
-		return names(class, host)
+		return testNames(class, host)
 	})
 	var applied []uint32 // by whoever has the book's lock
 	var current sync.Map
@@ -162,15 +164,15 @@
 	}
 	wait.Wait()
 	b.Flush()
-	entries := b.Past()
+	entries := b.Entries()
 	if !slices.IsSorted(applied) || len(applied) != 320 || Check(entries) != nil {
 		t.Fatalf("%d changes, in order %v, %v", len(applied), slices.IsSorted(applied), Check(entries))
 	}
 	counted, of := map[string]int{}, map[string]int{}
 	for _, e := range entries {
 		for _, a := range e.Attempts {
-			counted[fmt.Sprint(e.Under, a.Class)] += a.N
-			counted["ended"] += a.Never + a.Left
+			counted[fmt.Sprint(e.VersionID, a.Class)] += a.N
+			counted["ended"] += a.Unsent + a.Withdrawn
 		}
 	}
 	for g := range sent {
@@ -185,17 +187,17 @@
 }
 
 // Guards against attempts that are told after what ended them, or in no entry, and against a late one under another number.
-func TestCountsComeBeforeTheNext(t *testing.T) {
-	b := book("a", nil)
-	list(b, 1)
+func TestCountsPrecedeNextVersion(t *testing.T) {
+	b := newTestLog("a", nil)
+	adoptList(b, 1)
 	b.Sent(1, 0, 7, false)
-	list(b, 2)
+	adoptList(b, 2)
 	b.Sent(2, 0, 7, true)
 	b.Ended(1, 0, 7, false, true)
-	b.Note(Entry{Kind: Ended})
+	b.Append(Entry{Kind: Ended})
 	said := ""
-	for _, e := range b.Past() {
-		said += fmt.Sprintf("%s %d %v %d\n", e.Kind, e.Under, e.Attempts, e.Crossed)
+	for _, e := range b.Entries() {
+		said += fmt.Sprintf("%s %d %v %d\n", e.Kind, e.VersionID, e.Attempts, e.Crossed)
 	}
 	want := "began 0 [] 0\nadopted 1 [] 0\ncounted 1 [{class0 host-7 1 0 0}] 0\nadopted 2 [] 0\n" +
 		"counted 1 [{class0 host-7 0 0 1}] 0\ncounted 2 [{class0 host-7 1 0 0}] 1\nended 0 [] 0\n"
@@ -207,7 +209,7 @@
 // Guards against a process that takes an order which a former one would not have.
 func TestLastOrder(t *testing.T) {
 	entry := func(epoch uint64, by, why string) Entry {
-		return Entry{Kind: Ordered, Why: why, Order: &version.Order{Floor: version.Floor{Epoch: epoch, By: by}}}
+		return Entry{Kind: Ordered, Reason: why, Order: &version.Order{Minimum: version.MinimumVersion{Epoch: epoch, By: by}}}
 	}
 	adopted := Entry{Kind: Adopted, Version: &version.Version{Epoch: 8}}
 	for _, c := range []struct {
@@ -227,16 +229,16 @@
 }
 
 // Guards against a nil book that does not let changes through.
-func TestNoBook(t *testing.T) {
-	var b *Book
+func TestNilLog(t *testing.T) {
+	var b *Log
 	under := uint32(9)
 	b.Change(func(*version.Version) { t.Error("edited") }, "x", func(u uint32) { under = u })
 	b.Sent(1, 2, 3, true)
 	b.Ended(1, 2, 3, true, false)
-	b.Note(Entry{Kind: Ended})
+	b.Append(Entry{Kind: Ended})
 	b.Flush()
-	entries, next, first := b.Since(0, 100)
-	if under != 0 || entries != nil || next != 1 || first != 1 || b.Past() != nil {
+	entries, next, first := b.EntriesSince(0, 100)
+	if under != 0 || entries != nil || next != 1 || first != 1 || b.Entries() != nil {
 		t.Errorf("%d, %v, %d, %d", under, entries, next, first)
 	}
 }
@@ -244,39 +246,39 @@
 // Guards against a ring that grows, that forgets the epoch or the version, against renewals that fill it, against a number for
 // what changes nothing, and against an answer beyond its bytes or one that skips an entry.
 func TestRing(t *testing.T) {
-	b := book("a", nil)
-	list(b, 1)
+	b := newTestLog("a", nil)
+	adoptList(b, 1)
 	order := func(epoch uint64, no int, issued version.Millis, why string) {
-		b.Note(Entry{Kind: Ordered, Why: why, Order: &version.Order{Floor: version.Floor{Epoch: epoch, By: "z"},
-			Ticket: &version.Ticket{No: no, Issued: issued}}})
+		b.Append(Entry{Kind: Ordered, Reason: why, Order: &version.Order{Minimum: version.MinimumVersion{Epoch: epoch, By: "z"},
+			Permit: &version.Permit{Number: no, Issued: issued}}})
 	}
 	for i := range 100 {
 		order(7, 0, version.Millis(i), "")
 		order(5, 0, version.Millis(i), "older")
-		list(b, 1)
+		adoptList(b, 1)
 	}
-	if seq := b.last.Seq; seq != 4 || b.under != 1 {
-		t.Errorf("renewals make %d entries, number %d", seq, b.under)
+	if seq := b.last.Seq; seq != 4 || b.versionID != 1 {
+		t.Errorf("renewals make %d entries, number %d", seq, b.versionID)
 	}
 	order(7, 1, 0, "")
 	for i := range 20000 {
 		b.Sent(1, i%200, balance.EndpointID(i), false)
 		if i%50 == 0 {
-			b.Note(Entry{Kind: Stopped, Took: 3000, Why: strings.Repeat("x", 10000)})
+			b.Append(Entry{Kind: Stopped, Duration: 3000, Reason: strings.Repeat("x", 10000)})
 			b.Flush()
 		}
 	}
-	past := b.Past()
-	next := NewBook("b", "former", past, clock)
+	past := b.Entries()
+	next := NewLog("b", "former", past, fixedClock)
 	v, _ := next.Version()
-	epoch, by := LastOrder(next.Past())
+	epoch, by := LastOrder(next.Entries())
 	held := slices.ContainsFunc(past, func(e Entry) bool { return e.Kind == Adopted && e.Version.List.Revision == 1 })
-	if b.size > ringBytes || past[0].Seq == 1 || Check(next.Past()) != nil || v.Epoch != 7 || epoch != 7 || by != "z" || !held {
+	if b.size > maxRingBytes || past[0].Seq == 1 || Check(next.Entries()) != nil || v.Epoch != 7 || epoch != 7 || by != "z" || !held {
 		t.Errorf("%d bytes from %d, epochs %d and %d %s, adopted %v", b.size, past[0].Seq, v.Epoch, epoch, by, held)
 	}
 	var got []Entry
 	for seq := uint64(0); ; {
-		entries, to, first := b.Since(seq, 50000)
+		entries, to, first := b.EntriesSince(seq, 50000)
 		text, _ := json.Marshal(entries)
 		if len(text) > 51000 || first != past[0].Seq {
 			t.Fatalf("an answer of %d bytes, first %d", len(text), first)
@@ -292,17 +294,17 @@
 }
 
 // Guards against memory that grows with hosts that come and go, and against attempts beyond it that are not counted.
-func TestCountsAreBounded(t *testing.T) {
+func TestCountLimits(t *testing.T) {
 	var c counts
-	c.names = names
+	c.names = testNames
 	n := 0
-	for i := range 3 * countedMost {
-		c.at(countKey{1, 0, balance.EndpointID(i)}).N++
+	for i := range 3 * maxCells {
+		c.lockedCell(countKey{1, 0, balance.EndpointID(i)}).N++
 		c.mu.Unlock()
 	}
 	size := len(c.cells)
 	for _, e := range c.take() {
-		if text, _ := json.Marshal(e); len(text) > 2*entryBytes {
+		if text, _ := json.Marshal(e); len(text) > 2*maxCountsBytes {
 			t.Errorf("an entry of %d bytes", len(text))
 		}
 		for _, a := range e.Attempts {
@@ -311,13 +313,13 @@
 	}
 	c.take()
 	c.take()
-	if n != 3*countedMost || size > countedMost+1 || len(c.cells) != 0 {
+	if n != 3*maxCells || size > maxCells+1 || len(c.cells) != 0 {
 		t.Errorf("%d counted, %d cells, then %d", n, size, len(c.cells))
 	}
 }
 
 // disk is one in memory that can lose power, or be full.
-type disk struct {
+type memoryDisk struct {
 	mu    sync.Mutex
 	files map[string]*content
 	sure  map[string]*content // the directory as it outlasts a power cut
@@ -330,13 +332,13 @@
 
 type content struct{ sure, text []byte }
 
-func newDisk(steps int) *disk {
-	return &disk{files: map[string]*content{}, locks: map[string]bool{}, steps: steps}
+func newMemoryDisk(steps int) *memoryDisk {
+	return &memoryDisk{files: map[string]*content{}, locks: map[string]bool{}, steps: steps}
 }
 
 var errDisk = errors.New("no room, or no power")
 
-func (d *disk) step() error {
+func (d *memoryDisk) step() error {
 	if d.steps == 0 {
 		return errDisk
 	}
@@ -344,7 +346,7 @@
 	return nil
 }
 
-func (d *disk) Create(name string) (persistence.File, error) {
+func (d *memoryDisk) Create(name string) (persistence.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.made++
@@ -352,10 +354,10 @@
 		return nil, err
 	}
 	d.files[name] = &content{}
-	return &opened{d, d.files[name]}, nil
+	return &memoryFile{d, d.files[name]}, nil
 }
 
-func (d *disk) Read(name string, most int64) ([]byte, error) {
+func (d *memoryDisk) Read(name string, most int64) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if f := d.files[name]; f != nil {
@@ -364,7 +366,7 @@
 	return nil, os.ErrNotExist
 }
 
-func (d *disk) Rename(from, to string) error {
+func (d *memoryDisk) Rename(from, to string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err := d.step(); err != nil {
@@ -375,7 +377,7 @@
 	return nil
 }
 
-func (d *disk) Remove(name string) error {
+func (d *memoryDisk) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err := d.step(); err != nil {
@@ -385,13 +387,13 @@
 	return nil
 }
 
-func (d *disk) Names() ([]string, error) {
+func (d *memoryDisk) Names() ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Sorted(maps.Keys(d.files)), nil
 }
 
-func (d *disk) Sync() error {
+func (d *memoryDisk) Sync() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err := d.step(); err != nil || d.odd {
@@ -401,19 +403,19 @@
 	return nil
 }
 
-func (d *disk) Lock(name string) (func(), error) {
+func (d *memoryDisk) Lock(name string) (func(), error) {
 	if d.locks[name] {
 		return nil, nil
 	}
 	return func() {}, nil
 }
 
-type opened struct {
-	d *disk
+type memoryFile struct {
+	d *memoryDisk
 	f *content
 }
 
-func (o *opened) Write(b []byte) (int, error) {
+func (o *memoryFile) Write(b []byte) (int, error) {
 	if o.d.block != nil {
 		<-o.d.block
 	}
@@ -427,7 +429,7 @@
 	return len(b), nil
 }
 
-func (o *opened) Sync() error {
+func (o *memoryFile) Sync() error {
 	o.d.mu.Lock()
 	defer o.d.mu.Unlock()
 	if err := o.d.step(); err != nil {
@@ -437,12 +439,12 @@
 	return nil
 }
 
-func (o *opened) Close() error { return nil }
+func (o *memoryFile) Close() error { return nil }
 
 // after is the disk once the power was cut: with the share of what was not synced that is there, in quarters, and the
 // directory as it was synced or as it was; or once the process was killed, with all of it.
-func (d *disk) after(quarters int, renamed bool) *disk {
-	out, names := newDisk(-1), d.sure
+func (d *memoryDisk) afterPowerCut(quarters int, renamed bool) *memoryDisk {
+	out, names := newMemoryDisk(-1), d.sure
 	if renamed {
 		names = d.files
 	}
@@ -456,21 +458,23 @@
 }
 
 // writer is a file whose steps are taken one by one.
-func writer(d persistence.Disk, b *Book) *File { return &File{Disk: d, Book: b, Fault: func(error) {}} }
+func newTestWriter(d persistence.Disk, b *Log) *Writer {
+	return &Writer{Disk: d, Log: b, OnFault: func(error) {}}
+}
 
 // Guards against more than the cut line being lost, wherever a file is cut, against a byte that is changed without a fault,
 // and against a next process that does not go on from it.
-func TestCutAndFlippedAtEveryByte(t *testing.T) {
-	b := book("a", nil)
-	busy(b, 1)
+func TestDamageAtEveryByte(t *testing.T) {
+	b := newTestLog("a", nil)
+	appendAllKinds(b, 1)
 	var text []byte
-	entries := b.Past()
+	entries := b.Entries()
 	for _, e := range entries {
 		text = appendLine(text, e)
 	}
 	load := func(text []byte) ([]Entry, []Fault) {
-		d := newDisk(-1)
-		d.files[fileName+"000000003"] = &content{text, text}
+		d := newMemoryDisk(-1)
+		d.files[filePrefix+"000000003"] = &content{text, text}
 		got, faults, err := Load(d)
 		if err != nil {
 			t.Fatal(err)
@@ -491,14 +495,14 @@
 		if i%32 > 0 {
 			continue
 		}
-		next := book("b", got)
-		d := newDisk(-1)
-		d.files[fileName+"000000003"] = &content{flipped, flipped}
-		if err := writer(d, next).write(true); err != nil {
+		next := newTestLog("b", got)
+		d := newMemoryDisk(-1)
+		d.files[filePrefix+"000000003"] = &content{flipped, flipped}
+		if err := newTestWriter(d, next).write(true); err != nil {
 			t.Fatal(err)
 		}
 		after, still, _ := Load(d)
-		if after[len(after)-1].Kind != Began || i < len(text)-1 && len(still) < 1 {
+		if after[len(after)-1].Kind != Started || i < len(text)-1 && len(still) < 1 {
 			t.Fatalf("byte %d is flipped: the next process has %v after %v", i, still, faults)
 		}
 	}
@@ -508,41 +512,41 @@
 // process that does not show; and against what the disk did not take not being written later.
 func TestDiskFailsAtEveryStep(t *testing.T) {
 	for steps := 0; ; steps++ {
-		d := newDisk(-1)
-		first := book("a", nil)
-		busy(first, 3)
-		if err := writer(d, first).write(true); err != nil {
+		d := newMemoryDisk(-1)
+		first := newTestLog("a", nil)
+		appendAllKinds(first, 3)
+		if err := newTestWriter(d, first).write(true); err != nil {
 			t.Fatal(err)
 		}
 		d.steps = steps
 		past, _, _ := Load(d)
-		b := book("b", past)
-		f := writer(d, b)
+		b := newTestLog("b", past)
+		f := newTestWriter(d, b)
 		sure, failed := past[len(past)-1].Seq, false
 		for i := range 3 {
-			list(b, int64(100+i))
-			if f.failed = f.write(i == 0 || f.failed != nil); f.failed == nil {
+			adoptList(b, int64(100+i))
+			if f.lastErr = f.write(i == 0 || f.lastErr != nil); f.lastErr == nil {
 				sure = b.last.Seq
 			}
-			failed = failed || f.failed != nil
+			failed = failed || f.lastErr != nil
 		}
 		for quarters := range 5 {
 			for _, renamed := range []bool{false, true} {
-				got, faults, err := Load(d.after(quarters, renamed))
+				got, faults, err := Load(d.afterPowerCut(quarters, renamed))
 				if err != nil || faults != nil || got[len(got)-1].Seq < sure {
 					t.Fatalf("%d steps, %d quarters, renamed %v: up to %d of %d, %v, %v", steps, quarters, renamed, got[len(got)-1].Seq, sure, faults, err)
 				}
-				next := book("c", got).Past()
-				if e := next[len(next)-1]; e.Kind != Began || e.Life != "c" || Check(next) != nil {
+				next := newTestLog("c", got).Entries()
+				if e := next[len(next)-1]; e.Kind != Started || e.Incarnation != "c" || Check(next) != nil {
 					t.Fatalf("%d steps: the next process begins with %+v", steps, e)
 				}
 			}
 		}
 		d.steps = -1 // there is room again
-		if err := f.write(f.failed != nil); err != nil {
+		if err := f.write(f.lastErr != nil); err != nil {
 			t.Fatal(err)
 		}
-		got, faults, _ := Load(d.after(0, false))
+		got, faults, _ := Load(d.afterPowerCut(0, false))
 		if faults != nil || got[len(got)-1].Sum != b.last.Sum {
 			t.Fatalf("%d steps: up to %d of %d once there is room, %v", steps, got[len(got)-1].Seq, b.last.Seq, faults)
 		}
@@ -554,26 +558,26 @@
 
 // Guards against a disk that is slow or gone and holds changes up, is not tried again, or leaves a hole that is not told; and
 // against faults that are told again and again.
-func TestSlowAndGoneDisk(t *testing.T) {
-	d := newDisk(-1)
+func TestSlowAndMissingDisk(t *testing.T) {
+	d := newMemoryDisk(-1)
 	d.block = make(chan struct{})
-	b := book("a", nil)
+	b := newTestLog("a", nil)
 	said := []string{}
-	f := &File{Disk: d, Book: b, Fault: func(err error) {
+	f := &Writer{Disk: d, Log: b, OnFault: func(err error) {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		said = append(said, fmt.Sprint(err))
 	}}
-	f.Begin()
-	list(b, 1) // and what follows returns while the first write hangs
-	for range 2 * ringEntries {
-		b.Note(Entry{Kind: Stopped})
+	f.Start()
+	adoptList(b, 1) // and what follows returns while the first write hangs
+	for range 2 * maxRingEntries {
+		b.Append(Entry{Kind: Stopped})
 	}
 	d.mu.Lock()
 	d.steps = 0
 	d.mu.Unlock()
 	close(d.block)
-	for d.lacks(b) { // it fails, and is tried again each second
+	for d.isMissing(b) { // it fails, and is tried again each second
 		d.mu.Lock()
 		if d.made > 1 {
 			d.steps = -1
@@ -581,9 +585,9 @@
 		d.mu.Unlock()
 		time.Sleep(time.Millisecond)
 	}
-	b.Note(Entry{Kind: Ended})
+	b.Append(Entry{Kind: Ended})
 	f.Close()
-	<-f.ended // however busy the machine is
+	<-f.done // however busy the machine is
 	got, faults, _ := Load(d)
 	if e := got[len(got)-1]; faults != nil || e.Kind != Ended || len(said) != 2 || said[1] != "<nil>" {
 		t.Errorf("ends with %+v, %v, told %q", e, faults, said)
@@ -591,23 +595,23 @@
 }
 
 // lacks tells whether a book's last entry is not on the disk.
-func (d *disk) lacks(b *Book) bool {
+func (d *memoryDisk) isMissing(b *Log) bool {
 	got, _, _ := Load(d)
-	entries, _, _ := b.Since(0, ringBytes)
+	entries, _, _ := b.EntriesSince(0, maxRingBytes)
 	return len(got) == 0 || got[len(got)-1].Seq < entries[len(entries)-1].Seq
 }
 
 // Guards against entries that came to no file while the disk failed, and were dropped, of which nothing is told.
-func TestLostEntriesAreTold(t *testing.T) {
-	d := newDisk(-1)
-	b := book("a", nil)
-	f := writer(d, b)
+func TestLostEntriesAreReported(t *testing.T) {
+	d := newMemoryDisk(-1)
+	b := newTestLog("a", nil)
+	f := newTestWriter(d, b)
 	if err := f.write(true); err != nil {
 		t.Fatal(err)
 	}
 	d.steps = 0
-	for i := range 2 * ringEntries {
-		b.Note(Entry{Kind: Stopped})
+	for i := range 2 * maxRingEntries {
+		b.Append(Entry{Kind: Stopped})
 		if i%512 == 0 && f.write(true) == nil {
 			t.Fatal("a disk that fails takes entries")
 		}
@@ -618,27 +622,27 @@
 	}
 	got, faults, _ := Load(d)
 	e := got[len(got)-1]
-	if faults != nil || e.Kind != Lost || e.N != ringEntries || e.Upto != ringEntries+1 {
+	if faults != nil || e.Kind != Lost || e.N != maxRingEntries || e.UpTo != maxRingEntries+1 {
 		t.Errorf("%+v, %v", e, faults)
 	}
-	if faults = Check(got[:len(got)-1]); !slices.Equal(has(faults), []Flaw{Hole}) || faults[0].N != ringEntries {
+	if faults = Check(got[:len(got)-1]); !slices.Equal(faultKinds(faults), []FaultKind{Missing}) || faults[0].Count != maxRingEntries {
 		t.Errorf("without that entry: %v", faults)
 	}
 }
 
 // Guards against lives that are forgotten because they were short, against a file of another process that is removed, and
 // against a fault anywhere, over lives that end by kills, power cuts and hand-overs.
-func TestLives(t *testing.T) {
+func TestManyProcesses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := newDisk(-1)
+		d := newMemoryDisk(-1)
 		past, _, _ := Load(d)
-		b := book("0", past)
-		f := writer(d, b)
+		b := newTestLog("0", past)
+		f := newTestWriter(d, b)
 		kept := map[string]int{} // sums of entries that were synced, by life
 		for life := range rapid.IntRange(1, 12).Draw(t, "lives") {
 			renew := true
 			for i := range rapid.IntRange(0, 5).Draw(t, "notes") {
-				list(b, int64(1000*life+i))
+				adoptList(b, int64(1000*life+i))
 				if rapid.Bool().Draw(t, "write") {
 					if err := f.write(renew); err != nil {
 						t.Fatal(err)
@@ -650,23 +654,23 @@
 			next := fmt.Sprint(life + 1)
 			switch rapid.IntRange(0, 2).Draw(t, "end") {
 			case 0:
-				d = d.after(4, true)
+				d = d.afterPowerCut(4, true)
 			case 1:
-				d = d.after(rapid.IntRange(0, 4).Draw(t, "quarters"), rapid.Bool().Draw(t, "renamed"))
+				d = d.afterPowerCut(rapid.IntRange(0, 4).Draw(t, "quarters"), rapid.Bool().Draw(t, "renamed"))
 			case 2: // both write for a while
 				d.locks = map[string]bool{f.name: true}
 				former := f
-				b = book(next, b.Past())
-				f = writer(d, b)
+				b = newTestLog(next, b.Entries())
+				f = newTestWriter(d, b)
 				if err := f.write(true); err != nil {
 					t.Fatal(err)
 				}
 				d.locks = map[string]bool{f.name: true}
-				former.Book.Note(Entry{Kind: Ended})
+				former.Log.Append(Entry{Kind: Ended})
 				if err := former.write(former.file == nil); err != nil {
 					t.Fatal(err)
 				}
-				kept[former.Book.last.Sum] = life
+				kept[former.Log.last.Sum] = life
 				d.locks = map[string]bool{}
 				continue
 			}
@@ -674,8 +678,8 @@
 			if faults != nil {
 				t.Fatalf("after life %d: %v", life, faults)
 			}
-			b = book(next, past)
-			f = writer(d, b)
+			b = newTestLog(next, past)
+			f = newTestWriter(d, b)
 		}
 		got, faults, _ := Load(d)
 		if faults != nil {
@@ -690,10 +694,10 @@
 }
 
 // Guards against a disk that is filled by files that are tried again, and against a trail that they push out.
-func TestTriedAgainFillsNoDisk(t *testing.T) {
-	d := newDisk(-1)
-	b := book("a", nil)
-	f := writer(d, b)
+func TestRetriesFillNoDisk(t *testing.T) {
+	d := newMemoryDisk(-1)
+	b := newTestLog("a", nil)
+	f := newTestWriter(d, b)
 	if err := f.write(true); err != nil {
 		t.Fatal(err)
 	}
@@ -712,10 +716,10 @@
 func TestRotation(t *testing.T) {
 	path := t.TempDir()
 	d := persistence.Dir(path)
-	b := book("a", nil)
-	f := writer(d, b)
+	b := newTestLog("a", nil)
+	f := newTestWriter(d, b)
 	for i := range 6000 { // 3 MiB
-		b.Note(Entry{Kind: Stopped, Why: strings.Repeat("x", textMost)})
+		b.Append(Entry{Kind: Stopped, Reason: strings.Repeat("x", maxTextBytes)})
 		if i%100 == 0 {
 			if err := f.write(i == 0); err != nil {
 				t.Fatal(err)
@@ -724,8 +728,8 @@
 	}
 	got, faults, err := Load(d)
 	all, _ := d.Names()
-	text, _ := d.Read(all[0], 2*fileMost)
-	if len(all) != 2 || len(text) < fileMost || len(text) > fileMost+batchMost || faults != nil || err != nil || got[0].Seq == 1 {
+	text, _ := d.Read(all[0], 2*maxFileBytes)
+	if len(all) != 2 || len(text) < maxFileBytes || len(text) > maxFileBytes+maxBatchBytes || faults != nil || err != nil || got[0].Seq == 1 {
 		t.Errorf("%q, %d bytes in the first, from %d, %v, %v", all, len(text), got[0].Seq, faults, err)
 	}
 	if unlock, _ := d.Lock(all[1]); unlock != nil {
@@ -733,12 +737,12 @@
 	}
 	f.unlock()
 	_ = f.file.Close()
-	next := book("b", got)
-	f = writer(d, next)
-	f.Begin()
-	next.Note(Entry{Kind: Ended})
+	next := newTestLog("b", got)
+	f = newTestWriter(d, next)
+	f.Start()
+	next.Append(Entry{Kind: Ended})
 	f.Close()
-	<-f.ended // however busy the machine is
+	<-f.done // however busy the machine is
 	all, _ = d.Names()
 	after, faults, err := ReadDir(path)
 	if e := after[len(after)-1]; len(all) != 2 || faults != nil || err != nil || e.Kind != Ended || after[0].Seq != got[0].Seq {
--- a/internal/config/budget.go
+++ b/internal/config/budget.go
@@ -5,38 +5,39 @@
 	"pinelb.example/pinelb/internal/tomlfile"
 )
 
-// Budget is the section [budget]: what a request may cause in all tiers is counted from the first one on.
+// Budget is the section [budget]: the attempts that a request causes in all tiers are bounded, from its first tier on.
 type Budget struct {
-	Service  string `toml:"service"`  // that this sidecar sends to, the same at all of its sidecars
-	Attempts int    `toml:"attempts"` // beyond the first that one try of a client may cause, in all tiers together
-	Reentry  int    `toml:"reentry"`  // how often a request may have been at the service before
-	Edge     *bool  `toml:"edge"`     // callers are outside; without it, those of the first tier are
-	Leaf     *bool  `toml:"leaf"`     // the service calls no other; without it, that of the last tier doesn't
+	Service  string `toml:"service"`  // the service that this sidecar sends to; the same at all of its sidecars
+	Attempts int    `toml:"attempts"` // beyond the first, in all tiers together, for one request of a client
+	Reentry  int    `toml:"reentry"`  // how many times a request may have been at the service before
+	Edge     *bool  `toml:"edge"`     // callers are outside the site; nil: in the first tier they are
+	Leaf     *bool  `toml:"leaf"`     // the service calls no other; nil: in the last tier it doesn't
 }
 
 // Defaults and limits of [budget].
 const (
 	defaultAttempts = 6
-	mostReentry     = 4
+	maxReentry      = 4
 )
 
+// check sets defaults and returns an error for the first invalid key.
 func (b *Budget) check(file *tomlfile.File) error {
 	if !file.Has("budget.attempts") {
 		b.Attempts = defaultAttempts
 	}
 	switch {
 	case !budget.ValidService(b.Service):
-		return file.Fault("budget.service", "must be given: 1 to 24 letters, digits, - and _")
+		return file.Errorf("budget.service", "must be given: 1 to 24 letters, digits, - and _")
 	case b.Attempts < 0 || b.Attempts > budget.MaxExtra:
-		return file.Fault("budget.attempts", "must be 0 to %d", budget.MaxExtra)
-	case b.Reentry < 0 || b.Reentry > mostReentry:
-		return file.Fault("budget.reentry", "must be 0 to %d", mostReentry)
+		return file.Errorf("budget.attempts", "must be 0 to %d", budget.MaxExtra)
+	case b.Reentry < 0 || b.Reentry > maxReentry:
+		return file.Errorf("budget.reentry", "must be 0 to %d", maxReentry)
 	}
 	return nil
 }
 
-// Accounts are what the accounts of the sidecar are kept by, beside the platform's settings.
-func (b *Budget) Accounts(s *Settings) budget.Settings {
+// AccountSettings returns the budget's settings, completed by the platform's.
+func (b *Budget) AccountSettings(s *Settings) budget.Settings {
 	out := budget.Settings{Service: b.Service, Edge: s.Tier == 0, Leaf: s.Tier == s.Tiers-1, Instances: s.Instances,
 		MaxExtra: b.Attempts, MaxReentries: b.Reentry}
 	if b.Edge != nil {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,9 @@
-// Package config is the one place where configuration is read, checked and given defaults: the
-// environment, the file that LB_CONFIG names, and the settings object that the simulator's first
-// message shares with that file. Every error names the faulty key; unknown keys are ignored.
+// Package config reads, checks and completes all configuration: the environment, the file that LB_CONFIG names, the operator's
+// file, and the settings object that the simulator's first message shares with LB_CONFIG's file. Every error names the key.
+// Unknown keys of JSON are ignored, those of TOML are errors.
+//
+// Load, Reload and LoadOperator read the environment and files; everything else is pure. A value is not changed once it has
+// been returned; Settings, a Config's or a published one, are replaced as a whole.
 package config
 
 import (
@@ -20,70 +23,53 @@
 	"pinelb.example/pinelb/internal/cluster"
 )
 
-// Defaults of what the file may leave out: the limits of the deployment guide's scored days.
+// Defaults of optional keys, by the deployment guide, and lower bounds.
 const (
 	defaultCores    = 1.0
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
 	defaultConnIdle = 30 * time.Second
 
-	leastMemoryMB = 32 // the runtime and the pools take about half of this
-	leastSockets  = 64 // each side has to have some
+	minMemoryMB = 32 // the runtime and the pools need about half of this
+	minSockets  = 64 // callers and upstream hosts need some each
 )
 
-// Limits are the bounds of the machine that a sidecar runs on.
+// Limits are what the platform grants a sidecar.
 type Limits struct {
 	Cores    float64
 	MemoryMB int
 	Sockets  int
 }
 
-// Config is all that a sidecar is told at its start.
+// Config is what the platform configures a sidecar with.
 type Config struct {
-	Name      string
-	Listen    string // where callers connect
-	Discovery string // the address of discovery's agent
-	Control   string // where operators call; empty: nowhere
-	Seed      uint64
-	Limits    Limits
-	Known     cluster.List // the cluster as this sidecar last had it; perhaps old
-	Settings  Settings
-	Site      string // the settings as they stand in the file, as JSON
+	Name        string
+	Listen      string // address for callers
+	Discovery   string // the address of discovery's agent
+	Control     string // address for operators; empty: none
+	Seed        uint64
+	Limits      Limits
+	CachedList  cluster.List // the endpoints that this sidecar last had; may be outdated
+	Settings    Settings
+	RawSettings string // the settings as they are in the file, as JSON
 
 	file gjson.Result
 }
 
-// Load reads the environment and the file that LB_CONFIG names; a variable goes before its key in the file.
+// Load reads the environment and the file that LB_CONFIG names; a variable takes precedence over its key in the file.
 func Load(getenv func(string) string) (*Config, error) {
-	return read(getenv, func(variable, key string) string { return cmp.Or(variable, key) })
+	return readConfig(getenv, func(variable, key string) string { return cmp.Or(variable, key) })
 }
 
-// Reload reads them again, to take the place of former. Now a key goes before its variable: the file may have been
-// replaced, and the environment is as old as the process. A file that lacks what former's has is faulty: it may have been
-// cut down on its way.
-func Reload(getenv func(string) string, former *Config) (*Config, error) {
-	c, err := read(getenv, func(variable, key string) string { return cmp.Or(key, variable) })
-	if err != nil {
-		return nil, err
-	}
-	if key := lacks(former.file, c.file, ""); key != "" {
-		return nil, fmt.Errorf("config: LB_CONFIG%s is missing; the file in force has it", key)
-	}
-	if err := c.Validate(); err != nil {
-		return nil, err
-	}
-	return c, nil
-}
-
-// Validate names the first key, as it stands in the file, without which decisions cannot be made.
+// Validate returns an error for the first key, as in the file, without which the engine can't decide.
 func (c *Config) Validate() error { return c.Settings.validate() }
 
-// CheckSettings names the first key of settings, as they stand in the file, with which no sidecar would start.
+// CheckSettings returns an error for the first key of settings, as in the file, with which no sidecar would start.
 func CheckSettings(settings []byte) error {
 	if !gjson.ValidBytes(settings) {
 		return fmt.Errorf("config: LB_CONFIG.settings: is not valid JSON")
 	}
-	s, err := readSettings(&reader{at: "LB_CONFIG.settings", json: gjson.ParseBytes(settings)})
+	s, err := readSettings(&reader{path: "LB_CONFIG.settings", json: gjson.ParseBytes(settings)})
 	if err == nil {
 		err = s.check()
 	}
@@ -96,57 +82,12 @@
 func (s *Settings) validate() error {
 	err := s.Validate()
 	if fault := new(balance.SettingError); errors.As(err, &fault) {
-		return fmt.Errorf("config: LB_CONFIG.settings.%s: %w", keyOf(fault.Field), err)
+		return fmt.Errorf("config: LB_CONFIG.settings.%s: %w", settingsKey(fault.Field), err)
 	}
 	return err
 }
 
-// lacks names the first key that was there and is not now; empty: there is none. Of lists, every member needs the keys
-// that every member had. What is known of the cluster may come and go.
-func lacks(was, is gjson.Result, at string) string {
-	switch {
-	case was.IsObject():
-		held := is.Map()
-		for key, v := range was.Map() {
-			if at == "" && key == "known" {
-				continue
-			}
-			here := at + "." + key
-			if !held[key].Exists() || held[key].Type == gjson.Null && v.Type != gjson.Null {
-				return here
-			}
-			if lost := lacks(v, held[key], here); lost != "" {
-				return lost
-			}
-		}
-	case was.IsArray():
-		common := commonKeys(was.Array())
-		for i, v := range is.Array() {
-			held := v.Map()
-			for _, key := range common {
-				if !held[key].Exists() || held[key].Type == gjson.Null {
-					return fmt.Sprintf("%s[%d].%s", at, i, key)
-				}
-			}
-		}
-	}
-	return ""
-}
-
-// commonKeys are those that all members of a list have, which are objects or have none.
-func commonKeys(list []gjson.Result) (keys []string) {
-	for i, v := range list {
-		if i == 0 {
-			for key := range v.Map() {
-				keys = append(keys, key)
-			}
-		}
-		keys = slices.DeleteFunc(keys, func(key string) bool { return !v.Get(gjson.Escape(key)).Exists() })
-	}
-	return keys
-}
-
-func read(getenv func(string) string, prefer func(variable, key string) string) (*Config, error) {
+func readConfig(getenv func(string) string, prefer func(variable, key string) string) (*Config, error) {
 	path := getenv("LB_CONFIG")
 	if path == "" {
 		return nil, fmt.Errorf("config: LB_CONFIG is not set")
@@ -158,7 +99,7 @@
 	if !gjson.ValidBytes(data) {
 		return nil, fmt.Errorf("config: LB_CONFIG: %s is not valid JSON", path)
 	}
-	r := &reader{at: "LB_CONFIG", json: gjson.ParseBytes(data)}
+	r := &reader{path: "LB_CONFIG", json: gjson.ParseBytes(data)}
 	if !r.json.IsObject() {
 		return nil, fmt.Errorf("config: LB_CONFIG: %s must hold an object", path)
 	}
@@ -168,7 +109,7 @@
 	limits := r.object("limits")
 	c := &Config{
 		Name: either("LB_NAME", "name"), Listen: either("LB_LISTEN", "listen"),
-		Discovery: either("LB_DISCOVERY", "discovery"), Control: either("LB_CONTROL", "control"), Seed: seed(r.text("seed")),
+		Discovery: either("LB_DISCOVERY", "discovery"), Control: either("LB_CONTROL", "control"), Seed: parseSeed(r.text("seed")),
 		Limits: Limits{
 			Cores:    limits.numberOr("cores", defaultCores),
 			MemoryMB: int(limits.numberOr("memory_mb", defaultMemoryMB)),
@@ -176,24 +117,24 @@
 		},
 	}
 	if known := r.object("known").json; known.Exists() {
-		if c.Known, err = cluster.ParseList(known); err != nil {
+		if c.CachedList, err = cluster.ParseList(known); err != nil {
 			return nil, fmt.Errorf("config: LB_CONFIG.known: %w", err)
 		}
 	}
 	settings := r.object("settings")
-	if err := r.failed(); err != nil {
+	if err := r.firstError(); err != nil {
 		return nil, err
 	}
 	if c.Settings, err = readSettings(settings); err != nil {
 		return nil, err
 	}
-	c.Site, c.file = settings.json.Raw, r.json
+	c.RawSettings, c.file = settings.json.Raw, r.json
 	c.Settings.Name = cmp.Or(c.Name, c.Listen)
 	return c, c.check()
 }
 
-// check names the first key that a sidecar cannot run with. What the decisions need of the settings is
-// checked by Validate.
+// check returns an error for the first key that a sidecar can't run with. What the engine needs of the settings is checked by
+// Validate.
 func (c *Config) check() error {
 	for _, a := range []struct{ key, addr string }{{"LB_LISTEN", c.Listen}, {"LB_DISCOVERY", c.Discovery}} {
 		if _, err := netip.ParseAddrPort(a.addr); err != nil {
@@ -206,15 +147,15 @@
 	switch {
 	case c.Limits.Cores <= 0:
 		return fmt.Errorf("config: LB_CONFIG.limits.cores must be above 0")
-	case c.Limits.MemoryMB < leastMemoryMB:
-		return fmt.Errorf("config: LB_CONFIG.limits.memory_mb must be %d or more", leastMemoryMB)
-	case c.Limits.Sockets < leastSockets:
-		return fmt.Errorf("config: LB_CONFIG.limits.sockets must be %d or more", leastSockets)
+	case c.Limits.MemoryMB < minMemoryMB:
+		return fmt.Errorf("config: LB_CONFIG.limits.memory_mb must be %d or more", minMemoryMB)
+	case c.Limits.Sockets < minSockets:
+		return fmt.Errorf("config: LB_CONFIG.limits.sockets must be %d or more", minSockets)
 	}
 	return c.Settings.check()
 }
 
-// check names the first key of the settings that a sidecar cannot run with, and fills in defaults.
+// check returns an error for the first key of the settings that a sidecar can't run with, and sets defaults.
 func (s *Settings) check() error {
 	switch {
 	case s.ConnectTimeout <= 0:
@@ -235,13 +176,13 @@
 	return nil
 }
 
-// seed takes the hexadecimal number that the deployment gives; any other text is hashed, for a seed
-// need only differ from start to start.
-func seed(text string) uint64 {
+// parseSeed parses the hexadecimal number that the deployment sets; any other text is hashed, for a seed only has to differ
+// between starts.
+func parseSeed(text string) uint64 {
 	if n, err := strconv.ParseUint(text, 16, 64); err == nil {
 		return n
 	}
 	h := fnv.New64a()
-	h.Write([]byte(text))
+	_, _ = h.Write([]byte(text)) // which never fails
 	return h.Sum64()
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -2,186 +2,27 @@
 
 import (
 	"fmt"
-	"math"
 	"os"
-	"path/filepath"
-	"strconv"
-	"strings"
 	"time"
 
-	"pinelb.example/pinelb/internal/pacing"
 	"pinelb.example/pinelb/internal/tomlfile"
 )
 
-// Operator is the operator's file: what a site switches on beyond what the platform asks for. A section that
-// the file lacks is off.
+// Operator is the operator's file: what a site switches on beyond what the platform asks for. A section that the file lacks is
+// off.
 type Operator struct {
-	Record    *Record      `toml:"record"`
-	Discovery *Discovery   `toml:"discovery"`
-	Fleet     *Fleet       `toml:"fleet"`
-	Thrift    *Thrift      `toml:"thrift"`
-	Budget    *Budget      `toml:"budget"`
-	State     *State       `toml:"state"`
-	Audit     *Audit       `toml:"audit"`
-	Settings  *Distributed `toml:"settings"`
+	AccessLog *AccessLog      `toml:"record"`
+	Discovery *Discovery      `toml:"discovery"`
+	Fleet     *Fleet          `toml:"fleet"`
+	Thrift    *Thrift         `toml:"thrift"`
+	Budget    *Budget         `toml:"budget"`
+	State     *State          `toml:"state"`
+	Audit     *Audit          `toml:"audit"`
+	Settings  *SettingsSource `toml:"settings"`
 }
 
-// State is the section [state]: what a process knows is kept on the disk, for the one that comes after it.
-type State struct {
-	Dir     string        `toml:"dir"`     // absolute, and this sidecar's alone
-	Every   tomlfile.Span `toml:"every"`   // a snapshot is written so often
-	Oldest  tomlfile.Span `toml:"oldest"`  // and believed for so long
-	Journal bool          `toml:"journal"` // keyed and unsafe requests are written down before they are sent
-}
-
-// Defaults and limits of [state].
-const (
-	defaultStateEvery  = 10 * time.Second
-	leastStateEvery    = time.Second
-	mostStateEvery     = 10 * time.Minute
-	defaultStateOldest = 10 * time.Minute
-	mostStateOldest    = 24 * time.Hour
-)
-
-func (s *State) check(file *tomlfile.File) error {
-	if !file.Has("state.every") {
-		s.Every = tomlfile.Span(defaultStateEvery)
-	}
-	if !file.Has("state.oldest") {
-		s.Oldest = tomlfile.Span(defaultStateOldest)
-	}
-	switch {
-	case !filepath.IsAbs(s.Dir):
-		return file.Fault("state.dir", "must be the absolute path of a directory")
-	case s.Every.D() < leastStateEvery || s.Every.D() > mostStateEvery:
-		return file.Fault("state.every", "must be from %s to %s", leastStateEvery, mostStateEvery)
-	case s.Oldest < s.Every || s.Oldest.D() > mostStateOldest:
-		return file.Fault("state.oldest", "must be from state.every to %s", mostStateOldest)
-	}
-	return nil
-}
-
-// Discovery is the section [discovery]: the list service is one for many sidecars, and is asked so as to spare it.
-type Discovery struct {
-	Calls     float64       `toml:"calls"`     // a second that all instances together may make
-	Burst     int           `toml:"burst"`     // calls at once that it has room for
-	Instances int           `toml:"instances"` // that ask it; 0 is as many as the settings tell
-	Watch     tomlfile.Span `toml:"watch"`     // how long a call waits for news, at least
-	Whole     tomlfile.Span `toml:"whole"`     // the whole list is asked for anew so often; 0 is never
-	Resume    bool          `toml:"resume"`    // what is held already is not asked for again, but the changes since
-}
-
-// Defaults and limits of [discovery].
-const (
-	leastCalls, mostCalls = 1, 100_000
-	mostBurst             = 100_000
-	mostInstances         = 100_000
-	defaultWatch          = time.Second
-	leastWatch, mostWatch = 100 * time.Millisecond, 30 * time.Second
-	defaultWhole          = 5 * time.Minute
-	leastWhole            = 10 * time.Second
-)
-
-func (d *Discovery) check(file *tomlfile.File) error {
-	if !file.Has("discovery.watch") {
-		d.Watch = tomlfile.Span(defaultWatch)
-	}
-	if !file.Has("discovery.whole") {
-		d.Whole = tomlfile.Span(defaultWhole)
-	}
-	switch {
-	case d.Calls < leastCalls || d.Calls > mostCalls:
-		return file.Fault("discovery.calls", "must be given, from %d to %d", leastCalls, mostCalls)
-	case d.Burst < 0 || d.Burst > mostBurst:
-		return file.Fault("discovery.burst", "must be from 0 to %d", mostBurst)
-	case d.Instances < 0 || d.Instances > mostInstances:
-		return file.Fault("discovery.instances", "must be from 0 to %d", mostInstances)
-	case d.Watch.D() < leastWatch || d.Watch.D() > mostWatch:
-		return file.Fault("discovery.watch", "must be from %s to %s", leastWatch, mostWatch)
-	case d.Whole != 0 && d.Whole.D() < leastWhole:
-		return file.Fault("discovery.whole", "must be 0s or %s and more", leastWhole)
-	}
-	return nil
-}
-
-// Fleet is the same for the watch of an instance, of whom the settings tell so many.
-func (d *Discovery) Fleet(instances int) pacing.Fleet {
-	if d.Instances != 0 {
-		instances = d.Instances
-	}
-	return pacing.Fleet{Instances: instances, Rate: d.Calls, Burst: d.Burst, MinWatchWait: d.Watch.D()}
-}
-
-// Fleet is the section [fleet]: how the instances of a tier are told apart.
-type Fleet struct {
-	// Numbered says that the settings' rank and number of instances are right, so that upstream hosts are chosen
-	// by them and not by the sidecar's name.
-	Numbered bool `toml:"numbered"`
-	// Spread is the time over which a sidecar that holds a list already makes its first call to discovery: where
-	// many start at once and ask one service, they should not do so in the same moment. At most 5 s.
-	Spread tomlfile.Span `toml:"spread"`
-	// Handshakes is how many connections all instances together may open to one upstream host in 100 ms; 0 is no bound.
-	Handshakes int `toml:"handshakes"`
-}
-
-// mostHandshakes is more than any host takes.
-const mostHandshakes = 10_000
-
-func (f *Fleet) check(file *tomlfile.File) error {
-	switch {
-	case f.Spread < 0 || f.Spread.D() > mostSpread:
-		return file.Fault("fleet.spread", "must be from 0s to %s", mostSpread)
-	case f.Handshakes < 0 || f.Handshakes > mostHandshakes:
-		return file.Fault("fleet.handshakes", "must be from 0 to %d", mostHandshakes)
-	}
-	return nil
-}
-
-// mostSpread keeps a list that may be old from being all that there is for long.
-const mostSpread = 5 * time.Second
-
-// Record is the section [record]: one line is written for each stream.
-type Record struct {
-	To        string `toml:"to"`         // "log", or the absolute path of a file
-	Most      Size   `toml:"most"`       // bytes of the file and the one before it together; a file's alone
-	PerSecond int    `toml:"per_second"` // lines of streams
-}
-
-// Defaults and limits of [record].
-const (
-	defaultRecordMost      Size = 64 << 20
-	leastRecordMost        Size = 2 << 20 // half of it has to hold the header and a batch of lines
-	defaultRecordPerSecond      = 2000
-	mostRecordPerSecond         = 100000
-)
-
-// Size is a number of bytes, written as text with its unit, "64MiB", or as a plain number.
-type Size int64
-
-var units = []struct {
-	name  string
-	bytes int64
-}{{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}, {"B", 1}}
-
-// UnmarshalText reads a whole number with one of the units B, KiB, MiB and GiB.
-func (s *Size) UnmarshalText(text []byte) error {
-	for _, u := range units {
-		number, fits := strings.CutSuffix(string(text), u.name)
-		if !fits {
-			continue
-		}
-		n, err := strconv.ParseInt(strings.TrimSpace(number), 10, 64)
-		if err != nil || n < 0 || n > math.MaxInt64/u.bytes {
-			break
-		}
-		*s = Size(n * u.bytes)
-		return nil
-	}
-	return fmt.Errorf(`must be a size such as "64MiB"`)
-}
-
-// LoadOperator reads the operator's file; with no path all is off. The error names the file, and the line and
-// the key where there are such.
+// LoadOperator reads the operator's file; with an empty path everything is off. The error names the file, and the line and the
+// key if there are such.
 func LoadOperator(path string) (*Operator, error) {
 	if path == "" {
 		return &Operator{}, nil
@@ -193,79 +34,53 @@
 	return ParseOperator(path, data)
 }
 
-// ParseOperator reads an operator's file's text; path is its name in errors.
+// ParseOperator parses an operator's file; path is its name in errors.
 func ParseOperator(path string, data []byte) (*Operator, error) {
 	op := &Operator{}
 	file, err := tomlfile.Decode(path, data, op)
-	if err == nil && op.Fleet != nil {
-		err = op.Fleet.check(file)
-	}
-	if err == nil && op.Discovery != nil {
-		err = op.Discovery.check(file)
-	}
-	if err == nil && op.Record != nil {
-		err = op.Record.check(file)
-	}
-	if err == nil && op.Thrift != nil {
-		err = op.Thrift.check(file)
-	}
-	if err == nil && op.Budget != nil {
-		err = op.Budget.check(file)
-	}
-	if err == nil && op.State != nil {
-		err = op.State.check(file)
+	if err != nil {
+		return nil, err // which begins with the file and the line
 	}
-	if err == nil && op.Audit != nil {
-		err = op.Audit.check(file)
+	if op.Audit != nil {
 		op.Audit.File = DigestOf(data)
 	}
-	if err == nil && op.Settings != nil {
-		err = op.Settings.check(file)
-	}
-	if err != nil {
-		return nil, err // it begins with the file and the line
+	for _, section := range []struct {
+		present bool
+		check   func(*tomlfile.File) error
+	}{
+		{op.Fleet != nil, op.Fleet.check},
+		{op.Discovery != nil, op.Discovery.check},
+		{op.AccessLog != nil, op.AccessLog.check},
+		{op.Thrift != nil, op.Thrift.check},
+		{op.Budget != nil, op.Budget.check},
+		{op.State != nil, op.State.check},
+		{op.Audit != nil, op.Audit.check},
+		{op.Settings != nil, op.Settings.check},
+	} {
+		if !section.present {
+			continue
+		}
+		if err := section.check(file); err != nil {
+			return nil, err
+		}
 	}
 	return op, nil
 }
 
-// Fits names the first key that can't be used beside the platform's configuration, such as a class that its
+// CheckAgainst returns an error for the first key that is invalid with the platform's configuration, such as a class that its
 // settings lack.
-func (o *Operator) Fits(c *Config) error {
+func (o *Operator) CheckAgainst(c *Config) error {
 	if o.Audit != nil && c.Control == "" {
 		return fmt.Errorf("config: LB_CONTROL: audit needs an address for operators, which auditors call")
 	}
 	if o.Audit != nil && o.Audit.Lease > 0 && o.Discovery != nil {
-		longest := o.Discovery.Fleet(c.Settings.Instances).MaxWatchWait().Round(time.Millisecond)
-		if o.Audit.Lease.D() < longest+leastLease {
-			return fmt.Errorf("config: audit.lease must be %s or more: beside [discovery] a call waits for news for up to %s", longest+leastLease, longest)
+		longest := o.Discovery.Pacing(c.Settings.Instances).MaxWatchWait().Round(time.Millisecond)
+		if o.Audit.Lease.D() < longest+minLease {
+			return fmt.Errorf("config: audit.lease must be %s or more: beside [discovery] a call waits for news for up to %s", longest+minLease, longest)
 		}
 	}
 	if o.Thrift == nil {
 		return nil
 	}
-	return o.Thrift.fits(c)
-}
-
-// Log tells whether the record goes to the log, which is standard error.
-func (r *Record) Log() bool { return r.To == "log" }
-
-// check fills in the defaults and names the first key that can't be used.
-func (r *Record) check(file *tomlfile.File) error {
-	switch {
-	case !r.Log() && !filepath.IsAbs(r.To):
-		return file.Fault("record.to", `must be "log" or the absolute path of a file`)
-	case r.Log() && file.Has("record.most"):
-		return file.Fault("record.most", `bounds a file; it has no meaning where to is "log"`)
-	case file.Has("record.most") && r.Most < leastRecordMost:
-		return file.Fault("record.most", `must be "%dMiB" or more`, leastRecordMost>>20)
-	case file.Has("record.per_second") && (r.PerSecond < 1 || r.PerSecond > mostRecordPerSecond):
-		return file.Fault("record.per_second", "must be 1 to %d", mostRecordPerSecond)
-	}
-	if !file.Has("record.most") {
-		r.Most = defaultRecordMost
-	}
-	if !file.Has("record.per_second") {
-		r.PerSecond = defaultRecordPerSecond
-	}
-	return nil
+	return o.Thrift.checkAgainst(c)
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"slices"
 	"strings"
 	"time"
 
@@ -11,53 +10,15 @@
 	"pinelb.example/pinelb/balance"
 )
 
-// Settings is what the site says, for the decisions and for the names on the sockets.
+// Settings are the site's settings, for the engine and for the names on the sockets.
 type Settings struct {
 	balance.Settings
 	ClassNames  []string      // by class index, as requests name them
 	TenantNames []string      // by tenant index, as requests name them
 	KindNames   []string      // by kind index, as discovery names them
 	ZoneNames   []string      // by zone index, as discovery names them
-	Vanished    []bool        // by class index, of settings that follow others: the file has it no more; nil: none
-	ConnIdle    time.Duration // an upstream host closes a connection that has stood idle for this long
-}
-
-// classesMost is how many classes, and how many tenants, a process knows in its life: those that vanish keep their numbers.
-const classesMost = 256
-
-// After returns settings whose classes and tenants have the numbers that they have in former, by their names: a request that
-// is on its way in must not be counted as another's. Those that only former has keep theirs, as they were; such classes have
-// vanished.
-func (s *Settings) After(former *Settings) (Settings, error) {
-	out := *s
-	out.ClassNames, out.Classes = slices.Clone(former.ClassNames), slices.Clone(former.Classes)
-	out.Vanished = make([]bool, len(former.ClassNames))
-	for i := range out.Vanished {
-		out.Vanished[i] = true
-	}
-	for i, name := range s.ClassNames {
-		at := slices.Index(out.ClassNames, name)
-		if at < 0 {
-			at = len(out.ClassNames)
-			out.ClassNames, out.Classes, out.Vanished = append(out.ClassNames, name), append(out.Classes, balance.Class{}), append(out.Vanished, false)
-		}
-		out.Classes[at], out.Vanished[at] = s.Classes[i], false
-	}
-	out.TenantNames, out.Tenants = slices.Clone(former.TenantNames), slices.Clone(former.Tenants)
-	for i, name := range s.TenantNames {
-		at := slices.Index(out.TenantNames, name)
-		if at < 0 {
-			at = len(out.TenantNames)
-			out.TenantNames, out.Tenants = append(out.TenantNames, name), append(out.Tenants, balance.Tenant{})
-		}
-		out.Tenants[at] = s.Tenants[i]
-	}
-	for what, names := range map[string][]string{"classes": out.ClassNames, "tenants": out.TenantNames} {
-		if len(names) > classesMost {
-			return out, fmt.Errorf("config: LB_CONFIG.settings.%s: over %d names since the start; restart to forget those that have vanished", what, classesMost)
-		}
-	}
-	return out, nil
+	Removed     []bool        // by class index, of Renumbered settings: the file no longer has the class; nil: none
+	ConnIdle    time.Duration // after which an upstream host closes an idle connection
 }
 
 var effects = map[string]balance.Idempotency{
@@ -73,39 +34,39 @@
 	"mean_ms": balance.LoadServiceMS, "tps": balance.LoadRate, "err_ps": balance.LoadErrorRate,
 }
 
-// keys are what the file calls the fields that a balance.Fault can name.
-var keys = map[string]string{
+// fieldKeys are the file's keys of the fields that a balance.Fault can name.
+var fieldKeys = map[string]string{
 	"Classes": "classes", "Instances": "n_instances", "MaxAttempts": "allowed.send_cap", "Quantum": "quantum",
 	"ColdShare": "rules.cold_share", "FallMultiple": "rules.tip_multiple", "FallWindow": "rules.fall", "MustAskIn": "rules.must_ask_in",
 	"Aim": "aim", "Deadline": "deadline", "Worth": "worth", "Effect": "idempotency", "Memory": "memory_span",
 }
 
-// keyOf is the place in the settings of the file of a field, such as classes[1].deadline of Classes[1].Deadline.
-func keyOf(field string) string {
+// settingsKey returns the key in the file's settings of a field, such as classes[1].deadline of Classes[1].Deadline.
+func settingsKey(field string) string {
 	if index, ok := strings.CutPrefix(field, "Classes["); ok {
 		if index, of, ok := strings.Cut(index, "]."); ok {
-			return fmt.Sprintf("classes[%s].%s", index, keys[of])
+			return fmt.Sprintf("classes[%s].%s", index, fieldKeys[of])
 		}
 	}
-	return keys[field]
+	return fieldKeys[field]
 }
 
-// ParseSettings reads the settings object that the simulator's first message and LB_CONFIG share.
-// Keys that it does not know are ignored; a key of the wrong type is an error that names it.
+// ParseSettings parses the settings object that the simulator's first message and LB_CONFIG share. Unknown keys are ignored; a
+// value of the wrong type is an error that names the key.
 func ParseSettings(data []byte) (Settings, error) {
 	if !gjson.ValidBytes(data) {
 		return Settings{}, fmt.Errorf("config: settings are not valid JSON")
 	}
-	return readSettings(&reader{at: "settings", json: gjson.ParseBytes(data)})
+	return readSettings(&reader{path: "settings", json: gjson.ParseBytes(data)})
 }
 
 func readSettings(r *reader) (Settings, error) {
 	if !r.json.IsObject() {
-		return Settings{}, fmt.Errorf("config: %s must be an object", r.at)
+		return Settings{}, fmt.Errorf("config: %s must be an object", r.path)
 	}
 	out := Settings{Settings: balance.Settings{
 		Instances: r.integer("n_instances"), Rank: r.integer("rank"), Tier: r.integer("tier"),
-		Zone: r.integer("locality"), OverQuotaValue: r.amountOr("over_share_worth", 1),
+		Zone: r.integer("locality"), OverQuotaValue: r.nonNegativeOr("over_share_worth", 1),
 		ValueByWork: r.text("counted_by") == "work", PropagatesDeadline: r.flag("family_info.passes_deadline"),
 		MarksRetries: r.flag("clients.marks_retry"), PollsDiscovery: r.text("registry_mode") == "subscribe",
 		Weights:    r.text("weight_source") != "off" && r.text("weight_source") != "",
@@ -113,28 +74,37 @@
 		Prices: balance.Prices{Waste: r.number("prices.waste"), Handshake: r.number("prices.handshake"),
 			Probe: r.number("prices.probe"), Peer: r.number("prices.peer"),
 			LateFail: r.number("prices.late_fail"), CrossZone: r.number("prices.cross_zone")},
-		TimeResolution: r.span("quantum"), Cancel: r.flag("allowed.cancel"), Hedging: r.flag("allowed.second_copies"),
+		TimeResolution: r.duration("quantum"), Cancel: r.flag("allowed.cancel"), Hedging: r.flag("allowed.second_copies"),
 		HealthChecks: r.flag("allowed.probing"), PeerMessages: r.flag("allowed.peer_messages"),
-		RetryAfter: r.flag("allowed.retry_after"), MaxRetryAfter: r.span("allowed.max_retry_after"),
+		RetryAfter: r.flag("allowed.retry_after"), MaxRetryAfter: r.duration("allowed.max_retry_after"),
 		MaxAttempts: r.integer("allowed.send_cap"), MaxPending: r.integer("allowed.most_held"),
-		ConnectTimeout: r.span("allowed.connect_timeout"), ResponseSlack: r.span("rules.answer_slack"),
-		DrainGrace: r.span("rules.stop_sending_within"), MaxListAge: r.span("rules.must_ask_in"),
-		WarmupInitialShare: r.number("rules.cold_share"), WarmupDuration: r.span("rules.cold"),
-		CollapseMultiple: r.number("rules.tip_multiple"), CollapseWindow: r.span("rules.fall"),
+		ConnectTimeout: r.duration("allowed.connect_timeout"), ResponseSlack: r.duration("rules.answer_slack"),
+		DrainGrace: r.duration("rules.stop_sending_within"), MaxListAge: r.duration("rules.must_ask_in"),
+		WarmupInitialShare: r.number("rules.cold_share"), WarmupDuration: r.duration("rules.cold"),
+		CollapseMultiple: r.number("rules.tip_multiple"), CollapseWindow: r.duration("rules.fall"),
 	}}
-	if out.Rank < 0 { // an index
+	if out.Rank < 0 { // it is an index
 		r.fail("rank", "must not be below 0")
 	}
-	out.ConnIdle = r.span("allowed.conn_idle")
+	out.ConnIdle = r.duration("allowed.conn_idle")
 	out.KindNames, out.ZoneNames = r.texts("kinds"), r.texts("zones")
 	out.Kinds, out.Zones, out.Tiers = len(out.KindNames), len(out.ZoneNames), len(r.texts("tiers"))
 	for _, f := range r.texts("reporting.fields") {
 		out.LoadFields = append(out.LoadFields, loadFields[f])
 	}
+	out.readTenants(r)
+	out.readClasses(r)
+	return out, r.firstError()
+}
+
+func (s *Settings) readTenants(r *reader) {
 	for _, t := range r.objects("tenants") {
-		out.TenantNames = append(out.TenantNames, t.text("name"))
-		out.Tenants = append(out.Tenants, balance.Tenant{Share: t.amount("share"), Quota: t.amount("quota_rps")})
+		s.TenantNames = append(s.TenantNames, t.text("name"))
+		s.Tenants = append(s.Tenants, balance.Tenant{Share: t.nonNegative("share"), Quota: t.nonNegative("quota_rps")})
 	}
+}
+
+func (s *Settings) readClasses(r *reader) {
 	for _, c := range r.objects("classes") {
 		effect, known := effects[c.text("idempotency")]
 		if !known {
@@ -144,12 +114,11 @@
 		if !known {
 			c.fail("key_scope", "is unknown")
 		}
-		out.ClassNames = append(out.ClassNames, c.text("name"))
-		out.Classes = append(out.Classes, balance.Class{
-			TargetLatency: c.span("aim"), TargetLatencyStretch: c.amount("aim_stretch"), Deadline: c.span("deadline"), Idempotency: effect,
-			Scope: scope, DedupWindow: c.span("memory_span"), Value: c.amount("worth"), LateValue: c.amount("late_worth"),
+		s.ClassNames = append(s.ClassNames, c.text("name"))
+		s.Classes = append(s.Classes, balance.Class{
+			TargetLatency: c.duration("aim"), TargetLatencyStretch: c.nonNegative("aim_stretch"), Deadline: c.duration("deadline"), Idempotency: effect,
+			Scope: scope, DedupWindow: c.duration("memory_span"), Value: c.nonNegative("worth"), LateValue: c.nonNegative("late_worth"),
 			Stream: c.flag("stream"),
 		})
 	}
-	return out, r.failed()
 }
--- a/internal/control/audit.go
+++ b/internal/control/audit.go
@@ -63,7 +63,7 @@
 
 // takeOrder takes over the order in a call's body.
 func (h *handler) takeOrder(r *http.Request) (status int, err error) {
-	text, err := io.ReadAll(io.LimitReader(r.Body, version.OrderMost+1))
+	text, err := io.ReadAll(io.LimitReader(r.Body, version.MaxOrderBytes+1))
 	if err != nil {
 		return http.StatusBadRequest, fmt.Errorf("the body is cut off: %w", err)
 	}
@@ -71,8 +71,8 @@
 	if err == nil {
 		err = h.audit.Take(order)
 	}
-	var older version.Older
-	var otherSite version.OtherSite
+	var older version.StaleOrderError
+	var otherSite version.WrongSiteError
 	switch {
 	case err == nil:
 		return http.StatusOK, nil
--- a/internal/daemon/succession.go
+++ b/internal/daemon/succession.go
@@ -5,8 +5,6 @@
 	"encoding/json"
 	"fmt"
 	"net"
-	"runtime/debug"
-	"slices"
 	"sync"
 	"time"
 
@@ -19,232 +17,141 @@
 	"pinelb.example/pinelb/internal/driver"
 	"pinelb.example/pinelb/internal/handover"
 	"pinelb.example/pinelb/internal/inflight"
-	"pinelb.example/pinelb/internal/upstream"
 )
 
-// followWithin is how long a process waits for one that has another successor: it is due in 6 s.
-const followWithin = 3 * time.Second
+// predecessorTimeout is how long a process waits for one that has another successor: it is due in 6 s.
+const predecessorTimeout = 3 * time.Second
 
-const (
-	notesMost = handover.StateMost * 3 / 4 // bytes of the effects that are handed over: more, and not even the cordons are
-	noteBytes = 250                        // of one, about, beside its names
-	nameBytes = 6                          // of a character of a name, at most: JSON may escape it
-)
-
-// bounds are what a sidecar may use, shared by its processes while there is more than one.
-type bounds struct {
-	memory  int64 // bytes
-	sockets int   // for callers and upstream hosts
-	pool    *upstream.Pool
-	side    *downstream.Manager
-	eng     *driver.Driver
-
-	mu     sync.Mutex
-	others int // processes of this sidecar that run beside this one
-}
-
-// beside counts other processes in or out, and takes this one's part.
-func (b *bounds) beside(n int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.others += n
-	parts := int64(1 + b.others)
-	debug.SetMemoryLimit(int64(memoryShare * float64(b.memory/parts)))
-	b.eng.SetProcesses(int(parts))
-	sockets := b.sockets / int(parts)
-	b.pool.SetMaxConnections(sockets / 2)
-	b.side.SetLimits(b.memory/parts/bodiesPart, sockets-sockets/2)
-}
-
-// handed is what a process tells its successor. Classes stand by name, for the two may number them differently.
-type handed struct {
-	Classes []string
-	Table   cluster.Snapshot
-	Engine  driver.State
-	Effects *known           // nil: the process is of a kind that shares none
-	Trail   []auditlog.Entry `json:",omitempty"` // of a process that is audited, to the one that succeeds it
-
-	Published []byte `json:",omitempty"` // a distributor's settings that are in force, as distribute.Encode writes them
-}
-
-// known is what a process knows of requests under way and of their effects.
-type known struct{ Notes []inflight.Update }
-
-// word is what the two tell each other afterwards: an operator's call that one of them has taken, changes of effects, or
-// that the successor takes such.
-type word struct {
-	Name  string
-	Out   bool
-	At    int64             `json:",omitempty"` // when the call was made: nanoseconds of the machine's clock
-	Takes bool              `json:",omitempty"`
-	Notes []inflight.Update `json:",omitempty"`
-}
-
-// succession is this process's place between the one before it and the one after it.
+// succession is this process's place between its predecessor and its successor. While there is more than one process, each
+// passes the operators' calls and the changes of effects on to the others.
 type succession struct {
-	classes func() []string // by number
-	inForce func() []byte   // published settings that are, and nil where there are none; nil: no settings are published
-	table   *cluster.Table
-	eng     *driver.Driver
-	former  *handover.Former // nil: none
-	owner   *handover.Owner  // nil: nobody can follow
-	effects *inflight.Table
-	audited *audited // nil: nobody audits
-	log     zerolog.Logger
-	calls   calls
-
-	mu     sync.Mutex
-	shares bool    // the former process shares effects
-	next   *mirror // of effects, to the successor that has come; nil: there is none
-}
-
-// formerOf looks for a process that already serves the configuration's clients. What can't be taken over from it is left,
-// for it serves on.
-func formerOf(cfg *config.Config, log zerolog.Logger) *handover.Former {
-	path := handover.Path(cfg.Listen)
+	classNames      func() []string // by number
+	encodePublished func() []byte   // the published settings in force, nil where there are none; itself nil: none are published
+	table           *cluster.Table
+	engine          *driver.Driver
+	predecessor     *handover.Predecessor // nil: none
+	server          *handover.Server      // nil: no successor can connect
+	effects         *inflight.Table
+	audit           *auditAgent // nil: no audit
+	log             zerolog.Logger
+	cordons         cordonCalls
+
+	sharesEffects bool // the predecessor shares effects; set by takeOver
+
+	mu        sync.Mutex
+	successor *effectMirror // of effects, to the successor that is connected; nil: there is none
+}
+
+// connectPredecessor looks for a process that already serves the configuration's clients; nil: there is none, or its state
+// can't be taken over, and it serves on.
+func connectPredecessor(cfg *config.Config, log zerolog.Logger) *handover.Predecessor {
+	path := handover.SocketPath(cfg.Listen)
 	if cfg.Control == "" || path == "" {
 		return nil
 	}
-	f, err := handover.Follow(path, followWithin)
+	predecessor, err := handover.Connect(path, predecessorTimeout)
 	if err != nil {
 		log.Error().Err(err).Msg("nothing is taken over")
 	}
-	return f
+	return predecessor
 }
 
-// take takes over what the former process knew, and returns whether that holds a list.
-func (s *succession) take() (listed bool) {
-	h, err := s.adopt(s.former.State, "former", 0, cluster.List{})
+// takeOver applies the predecessor's state, and reports whether that has a list.
+func (s *succession) takeOver() (hasList bool) {
+	state, err := s.adopt(s.predecessor.State, "former", 0, cluster.List{})
 	if err != nil {
 		s.log.Error().Err(fmt.Errorf("handover: state: %w", err)).Msg("nothing is taken over")
 		return false
 	}
-	if s.shares = h.Effects != nil; s.shares {
-		s.effects.Apply(time.Now(), inflight.Predecessor, h.Effects.Notes)
+	s.sharesEffects = state.Effects != nil
+	if s.sharesEffects {
+		s.effects.Apply(time.Now(), inflight.Predecessor, state.Effects.Notes)
 	}
-	s.log.Info().Int("members", len(h.Table.List.Members)).Int("cordoned", len(h.Table.Cordoned)).Msg("taken over")
-	return len(h.Table.List.Members) > 0
+	s.log.Info().Int("members", len(state.Table.List.Members)).Int("cordoned", len(state.Table.Cordoned)).Msg("taken over")
+	return len(state.Table.List.Members) > 0
 }
 
-// trail is the former process's, where there is one; nil: none.
-func (s *succession) trail() []auditlog.Entry {
-	var h struct{ Trail []auditlog.Entry }
-	if s.former == nil || json.Unmarshal(s.former.State, &h) != nil { // of a fault there take says what it is
-		return nil
+// inheritedAuditLog returns the predecessor's audit log; nil: there is none. A state that can't be read is takeOver's to report.
+func (s *succession) inheritedAuditLog() []auditlog.Entry {
+	var state struct {
+		AuditLog []auditlog.Entry `json:"Trail"`
 	}
-	return h.Trail
-}
-
-// published are the settings of distributors that the former process has in force; nil: none.
-func (s *succession) published() []byte {
-	var h struct{ Published []byte }
-	if s.former == nil || json.Unmarshal(s.former.State, &h) != nil { // of a fault there take says what it is
+	if s.predecessor == nil || json.Unmarshal(s.predecessor.State, &state) != nil {
 		return nil
 	}
-	return h.Published
+	return state.AuditLog
 }
 
-// adopt takes over what a process knew that long ago, whose name is from. A list goes before the one that it had, where there
-// is one.
-func (s *succession) adopt(state []byte, from string, past time.Duration, list cluster.List) (h handed, err error) {
-	if err := json.Unmarshal(state, &h); err != nil {
-		return h, err
+// inheritedSettings returns the published settings that the predecessor has in force; nil: there are none. A state that can't
+// be read is takeOver's to report.
+func (s *succession) inheritedSettings() []byte {
+	var state struct {
+		PublishedSettings []byte `json:"Published"`
 	}
-	h.Table.List.From = from
-	if len(list.Members) > 0 {
-		h.Table.List = list
-	}
-	s.table.Restore(h.Table)
-	if l := h.Engine.Learned; l != nil {
-		var to []int
-		names := s.classes()
-		for _, name := range h.Classes {
-			to = append(to, slices.Index(names, name))
-		}
-		l.ReorderClasses(to, len(names))
-		l.Age = past
+	if s.predecessor == nil || json.Unmarshal(s.predecessor.State, &state) != nil {
+		return nil
 	}
-	s.eng.Restore(h.Engine)
-	return h, nil
-}
-
-// held is what this process knows.
-func (s *succession) held() handed {
-	return handed{Classes: s.classes(), Table: s.table.Snapshot(), Engine: s.eng.State()}
+	return state.PublishedSettings
 }
 
-// state is the same for a successor. What changes of effects from here on waits until that has said that it takes such.
-func (s *succession) state() ([]byte, error) {
-	next := newMirror(s.toNext, s.log)
-	s.mu.Lock()
-	s.next = next
-	s.mu.Unlock()
-	notes := s.effects.Subscribe(inflight.Successor, next.note)
-	h := s.held()
-	h.Effects = &known{Notes: latest(notes, notesMost)}
-	if s.inForce != nil {
-		h.Published = s.inForce()
-	}
-	if s.audited != nil {
-		h.Trail = s.audited.book.Past()
+// newServer lets successors find this process once run has it listen.
+func (s *succession) newServer(cfg *config.Config, fronts []downstream.Frontend, side *downstream.Manager, limits *resourceLimits) {
+	path := handover.SocketPath(cfg.Listen)
+	if cfg.Control == "" || path == "" {
+		return
 	}
-	return json.Marshal(h)
-}
-
-// latest are the last of the notes, as many as so many bytes have room for: first come those that are over, the oldest first.
-func latest(notes []inflight.Update, most int) []inflight.Update {
-	for i := len(notes) - 1; i >= 0; i-- {
-		n := &notes[i]
-		if most -= noteBytes + nameBytes*(len(n.Txn)+len(n.Class)+len(n.Key)); most < 0 {
-			return notes[i+1:]
+	onConnected := func(connected bool) {
+		if connected {
+			limits.addProcesses(1)
+		} else {
+			limits.addProcesses(-1)
+			s.dropSuccessor()
 		}
 	}
-	return notes
-}
-
-// left lets go of a successor that is gone.
-func (s *succession) left() {
-	s.effects.Disconnect(time.Now(), inflight.Successor)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.next != nil {
-		s.next.stop()
-		s.next = nil
+	s.server = &handover.Server{
+		Path:        path,
+		Listeners:   map[string]*net.TCPListener{},
+		State:       s.handoverState,
+		OnConnected: onConnected,
+		OnServing:   side.SetSucceeded,
+		OnLine:      func(line []byte) { s.receive(line, inflight.Successor) },
+		Log:         s.log,
+	}
+	for _, front := range fronts {
+		if l, ok := front.Listener.(*net.TCPListener); ok {
+			s.server.Listeners[front.Addr] = l
+		}
 	}
 }
 
-// serves tells the former process, if there is one, that this one serves, and waits for its end; and then waits for
-// successors. It returns when ctx ends.
-func (s *succession) serves(ctx context.Context, up func(), b *bounds) {
-	var wait sync.WaitGroup
-	defer wait.Wait()
+// run announces to the predecessor, if there is one, that this process serves, and calls serving. It then serves successors
+// until ctx is done, and returns when the predecessor has ended, too.
+func (s *succession) run(ctx context.Context, serving func(), limits *resourceLimits) {
+	var predecessorEnds sync.WaitGroup
+	defer predecessorEnds.Wait()
 	var err error
-	if s.owner != nil {
-		err = s.owner.Listen()
+	if s.server != nil {
+		err = s.server.Listen() // before the predecessor gives up the path
 	}
-	if s.former != nil {
-		told := func(line []byte) { s.told(line, inflight.Predecessor) }
-		if s.shares {
-			s.toFormer([]byte(`{"Takes":true}`))
-			m := newMirror(s.toFormer, s.log)
-			s.effects.Subscribe(inflight.Predecessor, m.note)
-			m.start()
-			defer m.stop()
+	if s.predecessor != nil {
+		onLine := func(line []byte) { s.receive(line, inflight.Predecessor) }
+		if s.sharesEffects {
+			defer s.mirrorToPredecessor().stop()
 		}
-		if err := s.former.Ready(told); err != nil {
+		if err := s.predecessor.Ready(onLine); err != nil {
 			s.log.Warn().Err(err).Msg("the former process has taken no notice")
 		}
-		wait.Go(func() {
-			s.former.Hear(told)
+		predecessorEnds.Go(func() {
+			s.predecessor.Receive(onLine)
 			s.effects.Disconnect(time.Now(), inflight.Predecessor)
-			b.beside(-1)
+			limits.addProcesses(-1)
 			s.log.Info().Msg("the former process has ended")
 		})
-		defer context.AfterFunc(ctx, s.former.Close)()
+		defer context.AfterFunc(ctx, s.predecessor.Close)()
 	}
-	up()
-	if s.owner != nil && err == nil {
-		err = s.owner.Serve(ctx)
+	serving()
+	if s.server != nil && err == nil {
+		err = s.server.Serve(ctx)
 	}
 	if err != nil {
 		s.log.Warn().Err(err).Msg("no successor can take over")
@@ -252,92 +159,22 @@
 	<-ctx.Done()
 }
 
-// wait has successors find this process once it serves.
-func (s *succession) wait(cfg *config.Config, fronts []downstream.Frontend, side *downstream.Manager, b *bounds) {
-	path := handover.Path(cfg.Listen)
-	if cfg.Control == "" || path == "" {
-		return
-	}
-	count := func(on bool) {
-		if on {
-			b.beside(1)
-		} else {
-			b.beside(-1)
-			s.left()
-		}
-	}
-	s.owner = &handover.Owner{Path: path, Listeners: map[string]*net.TCPListener{}, State: s.state, Followed: count,
-		Succeeded: side.SetSucceeded, Told: func(line []byte) { s.told(line, inflight.Successor) }, Log: s.log}
-	for _, f := range fronts {
-		if l, ok := f.Listener.(*net.TCPListener); ok {
-			s.owner.Listeners[f.Addr] = l
-		}
-	}
-}
-
-// Cordon and Uncordon are an operator's call at this process. The others of the sidecar are told.
-func (s *succession) Cordon(id string) bool   { return s.called(word{Name: id, Out: true}) }
-func (s *succession) Uncordon(id string) bool { return s.called(word{Name: id}) }
-
-func (s *succession) called(w word) bool {
-	line, known := s.call(w)
-	if line != nil {
-		s.toNext(line)
-		s.toFormer(line)
-	}
-	return known
+// mirrorToPredecessor starts to send changes of effects to the predecessor, and asks for its own.
+func (s *succession) mirrorToPredecessor() *effectMirror {
+	s.sendToPredecessor([]byte(`{"Takes":true}`))
+	mirror := newEffectMirror(s.sendToPredecessor, s.log)
+	s.effects.Subscribe(inflight.Predecessor, mirror.enqueue)
+	mirror.start()
+	return mirror
 }
 
-// call has a call take effect here. It returns the line by which the others are told, and whether there is such a host.
-func (s *succession) call(w word) (line []byte, known bool) {
-	if w, known = s.calls.here(w, s.apply); !known {
-		return nil, false
-	}
-	line, _ = json.Marshal(w) // it holds here in any case
-	return line, true
-}
-
-func (s *succession) apply(w word) bool {
-	if w.Out {
-		return s.table.Cordon(w.Name)
-	}
-	return s.table.Uncordon(w.Name)
-}
-
-// told takes a word of another process. An operator's that is news here is passed on to the one on the other side.
-func (s *succession) told(line []byte, from inflight.Source) {
-	var w word
-	err := json.Unmarshal(line, &w)
-	news, known := false, false
-	if err == nil && !w.Takes && len(w.Notes) == 0 {
-		news, known = s.calls.there(w, s.apply)
-	}
-	switch {
-	case err == nil && w.Takes:
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		if s.next != nil {
-			s.next.start()
-		}
-	case err == nil && len(w.Notes) > 0:
-		s.effects.Apply(time.Now(), from, w.Notes)
-	case err != nil || !known:
-		s.log.Warn().Err(err).Str("name", w.Name).Msg("a word of the other process changes nothing")
-	case news && from == inflight.Predecessor:
-		s.toNext(line)
-	case news:
-		s.toFormer(line)
-	}
-}
-
-func (s *succession) toNext(line []byte) {
-	if s.owner != nil {
-		s.owner.Tell(line)
-	}
-}
-
-func (s *succession) toFormer(line []byte) {
-	if s.former != nil {
-		s.former.Tell(line)
+// dropSuccessor forgets a successor that has ended.
+func (s *succession) dropSuccessor() {
+	s.effects.Disconnect(time.Now(), inflight.Successor)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.successor != nil {
+		s.successor.stop()
+		s.successor = nil
 	}
 }
--- a/internal/daemon/succession_test.go
+++ b/internal/daemon/succession_test.go
@@ -19,26 +19,26 @@
 	"pinelb.example/pinelb/internal/inflight"
 )
 
-// process is a sidecar's process with one host.
-func process(t *testing.T) *succession {
+// newTestSuccession returns the succession of a process with one endpoint.
+func newTestSuccession(t *testing.T) *succession {
 	t.Helper()
-	set, err := config.ParseSettings([]byte(settings))
+	set, err := config.ParseSettings([]byte(testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	eng, err := driver.New(set.Settings, 1, noHosts{}, zerolog.Nop())
+	eng, err := driver.New(set.Settings, 1, noConnections{}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &succession{classes: func() []string { return set.ClassNames }, table: cluster.NewTable(set.ZoneNames, set.KindNames, noHosts{}, eng),
-		eng: eng, effects: inflight.New(20000), log: zerolog.Nop()}
+	s := &succession{classNames: func() []string { return set.ClassNames }, table: cluster.NewTable(set.ZoneNames, set.KindNames, noConnections{}, eng),
+		engine: eng, effects: inflight.New(20000), log: zerolog.Nop()}
 	s.table.Apply(balance.ListFull, cluster.List{Members: []cluster.Member{{ID: "s-1", Addr: "127.0.0.1:1", State: balance.Ready}}})
 	return s
 }
 
 // Guards against two processes of an upgrade that end with each other's call, where operators call one of them each at
 // the same time: the later call holds at both, and where neither is later, the one that takes the host out.
-func TestCallsCross(t *testing.T) {
+func TestConcurrentCordonCalls(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		former, next int64 // the clock at each call
@@ -54,26 +54,26 @@
 		{"at once, the other way", 10, 10, false, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			former, next := process(t), process(t)
-			former.calls.clock = func() int64 { return c.former }
-			next.calls.clock = func() int64 { return c.next }
-			one, ok := former.call(word{Name: "s-1", Out: c.formerOut})
-			other, ok2 := next.call(word{Name: "s-1", Out: !c.formerOut})
+			former, next := newTestSuccession(t), newTestSuccession(t)
+			former.cordons.clock = func() int64 { return c.former }
+			next.cordons.clock = func() int64 { return c.next }
+			one, ok := former.applyCall(peerMessage{Endpoint: "s-1", Cordoned: c.formerOut})
+			other, ok2 := next.applyCall(peerMessage{Endpoint: "s-1", Cordoned: !c.formerOut})
 			if !ok || !ok2 {
 				t.Fatal("a call is not taken")
 			}
-			next.told(one, inflight.Predecessor)
-			former.told(other, inflight.Successor)
+			next.receive(one, inflight.Predecessor)
+			former.receive(other, inflight.Successor)
 			if c.twice {
-				former.told(other, inflight.Successor)
-				next.told(one, inflight.Predecessor)
+				former.receive(other, inflight.Successor)
+				next.receive(one, inflight.Predecessor)
 			}
 			for of, s := range map[string]*succession{"former": former, "next": next} {
 				if out := len(s.table.Snapshot().Cordoned) == 1; out != c.holds {
 					t.Errorf("at the %s process the host is out: %v, want %v", of, out, c.holds)
 				}
 			}
-			former.told([]byte(`{"Name":"s-1","Out":false}`), inflight.Successor) // of a process that stamps none
+			former.receive([]byte(`{"Name":"s-1","Out":false}`), inflight.Successor) // of a process that stamps none
 			if len(former.table.Snapshot().Cordoned) > 0 {
 				t.Error("a call without a time changes nothing")
 			}
@@ -83,8 +83,8 @@
 
 // Guards against a cordon that is lost in an upgrade because the process remembers so many effects that its successor takes
 // nothing at all.
-func TestManyEffectsAreHandedOver(t *testing.T) {
-	one, other := process(t), process(t)
+func TestHandoverOfManyEffects(t *testing.T) {
+	one, other := newTestSuccession(t), newTestSuccession(t)
 	one.table.Cordon("s-1")
 	now := time.Now()
 	wide := strings.Repeat("x", 3200)
@@ -95,12 +95,12 @@
 		one.effects.AttemptStarted(now, last.Txn, 1)
 		one.effects.Finish(now, last.Txn)
 	}
-	state, err := one.state()
-	if err != nil || len(state) > handover.StateMost {
+	state, err := one.handoverState()
+	if err != nil || len(state) > handover.MaxStateBytes {
 		t.Errorf("%d bytes are handed over, which nobody takes: %v", len(state), err)
 	}
-	other.former = &handover.Former{State: state}
-	if !other.take() || !slices.Equal(other.table.Snapshot().Cordoned, []string{"s-1"}) {
+	other.predecessor = &handover.Predecessor{State: state}
+	if !other.takeOver() || !slices.Equal(other.table.Snapshot().Cordoned, []string{"s-1"}) {
 		t.Errorf("the successor knows %+v", other.table.Snapshot())
 	}
 	last.Txn = "again"
@@ -111,14 +111,14 @@
 
 // Guards against a second successor that is told what the first one was still to be told: its own copy is younger, and by a note
 // from before that, a request would be under way at the former process for as long as that runs.
-func TestNotesCrossASuccessorsEnd(t *testing.T) {
+func TestMirrorSendsNothingAfterStop(t *testing.T) {
 	told, goOn, ended := make(chan []byte, 9), make(chan struct{}), make(chan struct{})
-	m := newMirror(func(line []byte) {
+	m := newEffectMirror(func(line []byte) {
 		told <- line
 		<-goOn
 	}, zerolog.Nop())
 	for _, txn := range []string{"a", "b", "c", "d", "e"} { // some to a line
-		m.note(inflight.Update{ID: inflight.ID{Txn: txn, Class: strings.Repeat("x", wordMost/2-200)}})
+		m.enqueue(inflight.Update{ID: inflight.ID{Txn: txn, Class: strings.Repeat("x", maxMessageBytes/2-200)}})
 	}
 	m.start()
 	<-told
@@ -145,26 +145,26 @@
 }
 
 // Guards against a second successor that knows of the moments between the first one's copy and its own less than the first did.
-func TestEffectsBetweenTwoSuccessors(t *testing.T) {
-	s, now := process(t), time.Now()
+func TestEffectsBetweenSuccessors(t *testing.T) {
+	s, now := newTestSuccession(t), time.Now()
 	begun := inflight.ID{Txn: "begun", Class: "look", Retention: time.Minute}
 	over := inflight.ID{Txn: "over", Class: "look", Retention: time.Minute}
 	s.effects.Start(now, over)
-	if _, err := s.state(); err != nil {
+	if _, err := s.handoverState(); err != nil {
 		t.Fatal(err)
 	}
 	s.effects.Start(now, begun)
 	s.effects.AttemptStarted(now, begun.Txn, 1)
 	s.effects.AttemptStarted(now, over.Txn, 1)
 	s.effects.Finish(now, over.Txn)
-	s.left() // the first one is gone before it served
-	state, err := s.state()
+	s.dropSuccessor() // the first one is gone before it served
+	state, err := s.handoverState()
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := process(t)
-	next.former = &handover.Former{State: state}
-	next.take()
+	next := newTestSuccession(t)
+	next.predecessor = &handover.Predecessor{State: state}
+	next.takeOver()
 	if _, free := next.effects.Start(now, begun); free {
 		t.Error("a request that is under way is taken again")
 	}
--- a/internal/downstream/classes_test.go
+++ b/internal/downstream/classes_test.go
@@ -27,7 +27,7 @@
 	set := &config.Settings{Settings: balance.Settings{MaxPending: 2, Classes: []balance.Class{
 		{Idempotency: balance.Idempotent, Deadline: time.Second}, {Idempotency: balance.NonIdempotent, Deadline: time.Hour},
 		{Idempotency: balance.NonIdempotent, Deadline: time.Second}, {Idempotency: balance.Idempotent, Deadline: time.Second}}},
-		ClassNames: []string{"look", "order", "charge", "peek"}, Vanished: []bool{true, false, false, false}}
+		ClassNames: []string{"look", "order", "charge", "peek"}, Removed: []bool{true, false, false, false}}
 	if code := ask("GET", "/peek/1"); code != 404 {
 		t.Errorf("before it is added: %d", code)
 	}
@@ -48,7 +48,7 @@
 	if _, taken := s.class("look", time.Now().Add(time.Second)); taken {
 		t.Error("a removed class is served beyond its deadline")
 	}
-	set.Vanished = []bool{false, false, false, false}
+	set.Removed = []bool{false, false, false, false}
 	s.UpdateClasses(set)
 	if _, taken := s.class("look", time.Now().Add(time.Hour)); !taken {
 		t.Error("a class that was added again is not served")
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -69,7 +69,7 @@
 	old, classes, now := *s.classes.Load(), map[string]class{}, time.Now()
 	for i, name := range set.ClassNames {
 		c := class{index: i, effect: set.Classes[i].Idempotency, deadline: set.Classes[i].Deadline}
-		if set.Vanished != nil && set.Vanished[i] {
+		if set.Removed != nil && set.Removed[i] {
 			if c = old[name]; c.servedUntil.IsZero() {
 				c.servedUntil = now.Add(c.deadline)
 			}
--- a/internal/downstream/thrift/server.go
+++ b/internal/downstream/thrift/server.go
@@ -66,9 +66,9 @@
 
 // New returns a server for the operator's section, which config.Operator.Fits has checked against the settings.
 func New(section *config.Thrift, set *config.Settings, manager *downstream.Manager, handler downstream.Handler, log zerolog.Logger) *Server {
-	s := &Server{manager: manager, handler: handler, log: log, limits: Limits(section.MostMessage), section: section,
+	s := &Server{manager: manager, handler: handler, log: log, limits: Limits(section.MaxMessage), section: section,
 		idPrefix: rand.Uint64(), conns: map[*conn]struct{}{}, serveDone: make(chan struct{})}
-	if form, known := thriftwire.ParseForm(section.Form); known {
+	if form, known := thriftwire.ParseForm(section.Framing); known {
 		s.form = &form
 	}
 	s.UpdateClasses(set)
--- a/internal/downstream/thrift/server_test.go
+++ b/internal/downstream/thrift/server_test.go
@@ -105,7 +105,7 @@
 	set := &config.Settings{Settings: balance.Settings{MaxPending: maxStreams, Instances: 3, Classes: []balance.Class{
 		{Idempotency: balance.Idempotent, Deadline: time.Minute}, {Idempotency: balance.IdempotentByKey, Deadline: time.Minute}}},
 		ClassNames: []string{"look", "order"}}
-	if err := op.Fits(&config.Config{Settings: *set}); err != nil {
+	if err := op.CheckAgainst(&config.Config{Settings: *set}); err != nil {
 		t.Fatal(err)
 	}
 	ts := &testServer{t: t, addr: l.Addr().String(), manager: downstream.NewManager(set, maxBodyBytes, 10, zerolog.Nop()),
@@ -501,7 +501,7 @@
 	is := &config.Settings{Settings: balance.Settings{MaxPending: 100, Instances: 3, Classes: []balance.Class{
 		{Idempotency: balance.Idempotent, Deadline: time.Hour}, {Idempotency: balance.IdempotentByKey, Deadline: time.Hour}, {Idempotency: balance.Idempotent, Deadline: time.Second}}},
 		ClassNames: []string{"new", "order", "look"}}
-	after, err := is.After(former)
+	after, err := is.Renumbered(former)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/auditcheck/audit_logs.go
+++ b/internal/lab/auditcheck/audit_logs.go
@@ -237,7 +237,7 @@
 	lists := map[listNumber]version.Digest{}
 	for i := range entries {
 		if entry := &entries[i]; entry.Kind == auditlog.Adopted && entry.Version != nil {
-			lists[listNumber{entry.Life, entry.Under}] = entry.Version.List.Digest
+			lists[listNumber{entry.Incarnation, entry.VersionID}] = entry.Version.List.Digest
 		}
 	}
 	counts := map[bucket]tally{}
@@ -247,10 +247,10 @@
 			continue
 		}
 		for _, attempts := range entry.Attempts {
-			b := bucket{lists[listNumber{entry.Life, entry.Under}], attempts.Class, attempts.Host}
+			b := bucket{lists[listNumber{entry.Incarnation, entry.VersionID}], attempts.Class, attempts.Host}
 			t := counts[b]
 			t.attempts += attempts.N
-			t.unreceived += attempts.Never + attempts.Left
+			t.unreceived += attempts.Unsent + attempts.Withdrawn
 			counts[b] = t
 		}
 	}
--- a/internal/lab/auditcheck/findings.go
+++ b/internal/lab/auditcheck/findings.go
@@ -259,9 +259,9 @@
 func shutOutSpans(log *trace.Log, sidecar int) (spans []span) {
 	shutOut, process := false, ""
 	for _, entry := range log.AuditLogs[sidecar] {
-		now := shutOut && entry.Life == process
-		if entry.Kind == auditlog.Judged {
-			now = entry.State == version.Shut
+		now := shutOut && entry.Incarnation == process
+		if entry.Kind == auditlog.VerdictChanged {
+			now = entry.State == version.ShutOut
 		}
 		at := runTime(log, entry.At)
 		if shutOut && !now {
@@ -270,7 +270,7 @@
 		if now && !shutOut {
 			spans = append(spans, span{at, model.Never})
 		}
-		shutOut, process = now, entry.Life
+		shutOut, process = now, entry.Incarnation
 	}
 	return spans
 }
--- a/internal/lab/footprint/audit.go
+++ b/internal/lab/footprint/audit.go
@@ -71,7 +71,7 @@
 	if out.BytesFirst, out.BytesAgain, err = bytesOf(ctx, roster); err != nil {
 		return Audited{}, err
 	}
-	au := audit.New(audit.Options{Roster: roster, AtATime: auditAtATime, Within: auditWithin, By: "gauge", Share: 0.1})
+	au := audit.New(audit.Options{Inventory: roster, Concurrency: auditAtATime, Timeout: auditWithin, By: "gauge", Share: 0.1})
 	defer au.Close()
 	var again []float64
 	for n := range a.Rounds + 1 {
@@ -93,7 +93,7 @@
 }
 
 // process measures the program itself.
-func (a *Audit) process(ctx context.Context, roster *audit.Roster, out *Audited) error {
+func (a *Audit) process(ctx context.Context, roster *audit.Inventory, out *Audited) error {
 	var text strings.Builder
 	for _, s := range roster.Sidecars {
 		fmt.Fprintf(&text, "[[sidecar]]\nname = %q\naddr = %q\n", s.Name, s.Addr)
@@ -119,7 +119,7 @@
 			continue
 		case err := <-ended:
 			out.Whole = float64(time.Since(from)) / float64(time.Millisecond)
-			if cmd.ProcessState.ExitCode() < audit.AllWell || cmd.ProcessState.ExitCode() >= audit.Faulty {
+			if cmd.ProcessState.ExitCode() < audit.ExitAllUpToDate || cmd.ProcessState.ExitCode() >= audit.ExitFaulty {
 				return fmt.Errorf("gauge: pinelb audit: %w", err)
 			}
 		}
@@ -130,8 +130,8 @@
 }
 
 // fleet starts whom to ask, and returns what ends them.
-func (a *Audit) fleet(ctx context.Context) (roster *audit.Roster, closing []func(), err error) {
-	roster = &audit.Roster{}
+func (a *Audit) fleet(ctx context.Context) (roster *audit.Inventory, closing []func(), err error) {
+	roster = &audit.Inventory{}
 	add := func(name, addr string) {
 		roster.Sidecars = append(roster.Sidecars, audit.Sidecar{Name: name, Addr: addr})
 	}
@@ -180,7 +180,7 @@
 	now := persistence.Now()
 	clock := now
 	clock.Wall, clock.Up = now.Wall.Add(-worked), max(0, now.Up-worked)
-	b := auditlog.NewBook("life "+name, "", nil, func() persistence.Clock { return clock })
+	b := auditlog.NewLog("life "+name, "", nil, func() persistence.Timestamp { return clock })
 	b.Names(func(class int, host balance.EndpointID) (string, string) {
 		return fmt.Sprintf("class-%03d", class), fmt.Sprintf("host-%04d", host)
 	})
@@ -200,10 +200,10 @@
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		since, _ := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64) // none is 0: all
 		at := persistence.Now()
-		report := auditlog.Report{Name: name, Zone: "here", Site: auditSite, Instances: fleet, Life: "life " + name, State: "acts",
-			Now: version.Millis(at.Wall.UnixMilli()), Up: version.Millis(at.Up.Milliseconds()), Since: version.Millis(worked.Milliseconds())}
-		report.Version, report.Under = b.Version()
-		report.Entries, report.Next, report.First = b.Since(since, pageMost)
+		report := auditlog.Report{Name: name, Zone: "here", Site: auditSite, Instances: fleet, Incarnation: "life " + name, State: "acts",
+			Now: version.Millis(at.Wall.UnixMilli()), Up: version.Millis(at.Up.Milliseconds()), VersionAge: version.Millis(worked.Milliseconds())}
+		report.Version, report.VersionID = b.Version()
+		report.Entries, report.Next, report.Oldest = b.EntriesSince(since, pageMost)
 		text, _ := json.Marshal(report) // all of it is plain
 		_, _ = w.Write(text)            // who has gone needs none
 	})}
@@ -212,7 +212,7 @@
 }
 
 // bytesOf is what an auditor's calls carry, asked one after the other: of all trails, and of what is new a moment later.
-func bytesOf(ctx context.Context, roster *audit.Roster) (first, again float64, err error) {
+func bytesOf(ctx context.Context, roster *audit.Inventory) (first, again float64, err error) {
 	var bytes atomic.Int64
 	client := &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true,
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
--- a/internal/lab/loopback/audit_logs.go
+++ b/internal/lab/loopback/audit_logs.go
@@ -110,7 +110,7 @@
 // sortedUnique sorts entries by process, number and checksum, and drops duplicates.
 func sortedUnique(entries []auditlog.Entry) []auditlog.Entry {
 	compare := func(a, b auditlog.Entry) int {
-		return cmp.Or(cmp.Compare(a.Life, b.Life), cmp.Compare(a.Seq, b.Seq), cmp.Compare(a.Sum, b.Sum))
+		return cmp.Or(cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Seq, b.Seq), cmp.Compare(a.Sum, b.Sum))
 	}
 	slices.SortStableFunc(entries, compare)
 	return slices.CompactFunc(entries, func(a, b auditlog.Entry) bool { return compare(a, b) == 0 })
--- a/internal/lab/loopback/orders.go
+++ b/internal/lab/loopback/orders.go
@@ -24,7 +24,7 @@
 func (r *orderReplayer) save(event plan.Event) {
 	r.run.scheduled.Go(func() {
 		report, err := r.run.fetchReport(event.Sidecar, 1)
-		if err != nil || report.Floor == nil {
+		if err != nil || report.Minimum == nil {
 			return
 		}
 		r.mu.Lock()
@@ -32,7 +32,7 @@
 		if r.saved == nil {
 			r.saved = map[int]version.Order{}
 		}
-		r.saved[event.ID] = version.Order{Floor: *report.Floor, Ticket: report.Ticket}
+		r.saved[event.ID] = version.Order{Minimum: *report.Minimum, Permit: report.Permit}
 	})
 }
 
@@ -45,7 +45,7 @@
 		r.run.recordRigFailure(event.Sidecar, errNoOrder)
 		return
 	}
-	order.Floor.Epoch += uint64(event.Raised)
+	order.Minimum.Epoch += uint64(event.Raised)
 	body, err := json.Marshal(order)
 	if err != nil {
 		panic(err) // all of it is plain data
@@ -54,6 +54,6 @@
 		at := r.run.elapsed()
 		url := "http://" + r.run.controlAddress(event.Sidecar) + "/admin/floor"
 		status, _, _ := r.run.controlCall(http.MethodPost, url, body) // without a response the status is 0
-		r.run.recorder.addReplayedOrder(trace.ReplayedOrder{At: at, Sidecar: event.Sidecar, Epoch: order.Floor.Epoch, StatusCode: status})
+		r.run.recorder.addReplayedOrder(trace.ReplayedOrder{At: at, Sidecar: event.Sidecar, Epoch: order.Minimum.Epoch, StatusCode: status})
 	})
 }
--- a/internal/persistence/journal.go
+++ b/internal/persistence/journal.go
@@ -1,175 +1,105 @@
 package persistence
 
 import (
-	"bytes"
-	"encoding/json"
 	"fmt"
-	"strconv"
-	"strings"
 	"sync"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-
 	"pinelb.example/pinelb/internal/inflight"
 )
 
 const (
-	journalName = "effects-"
-	journalMost = 4 << 20                // bytes, from which on the next file is begun
-	readMost    = 4 * journalMost        // bytes of a file that are read
-	waitMost    = 1 << 20                // bytes that wait to be written
-	keptWithin  = 50 * time.Millisecond  // a stream waits no longer: a disk that is slow must not hold orders up
-	againAfter  = time.Second            // a disk that has failed is tried again
-	closeWithin = 200 * time.Millisecond // the last write may take
+	maxPendingBytes = 1 << 20                // of changes that are in no file yet
+	syncTimeout     = 50 * time.Millisecond  // of WaitDurable: a slow disk must not delay requests for longer
+	retryInterval   = time.Second            // after a disk has failed
+	closeTimeout    = 200 * time.Millisecond // of Close, for the last write
 )
 
-// Journal writes what a table of effects is told, so that it is on the disk before anything is sent. What comes while the disk
-// is at work is written behind it at once, which outlasts this process, and synced together with the next. A disk that fails, is
-// full or slow holds nothing up: what is not kept is counted, and Fault is told.
+// Journal writes the changes of a table of effects, so that they are on the disk before a request is sent. Changes that come
+// while the disk syncs are written after it at once, which outlasts this process, and synced together with the next ones (group
+// commit). A disk that fails, is full or slow delays nothing: WaitDurable returns false, which is counted, and OnFault is called.
+//
+// The exported fields are set before Start. WaitDurable and TakeMissed may be called from any goroutine between Start and Close.
 type Journal struct {
 	Disk  Disk
 	Table *inflight.Table
-	// Fault is told when the journal can't be written, and with nil when it can again.
-	Fault func(err error)
-
-	wake  chan struct{}
-	ended chan struct{}
-
-	mu      sync.Mutex
-	wait    []byte
-	noted   int           // changes that have waited, ever
-	written int           // of those, that are in a file
-	write   chan struct{} // closed once more are; nil: nobody waits for that
-	stuck   bool          // somebody has waited too long for that
-	behind  bool          // some are in a file that is not synced yet, nor being synced
-	next    chan struct{} // closed once those and what waits are settled
-	writing chan struct{} // the same of what is being synced; nil: nothing is
-	slow    bool          // somebody has waited too long for it
-	failed  error
-	deaf    bool // nothing is to be written: the next file begins with all that is known
-	overrun bool // changes came faster than the disk takes them, and some are in no file yet
-	closed  bool
-	missed  int // promises that were not given
-
-	// Of run, and of follow while run waits for it.
+	// OnFault is called with an error when the journal can't be written, and with nil when it can again.
+	OnFault func(err error)
+
+	wake chan struct{} // has run, or writeDuringSync in its place, look at what is pending; closed by Close
+	done chan struct{} // closed when run has ended
+
+	mu            sync.Mutex
+	pending       []byte        // lines that are in no file yet
+	enqueued      int           // changes that were ever pending
+	written       int           // of those, the ones that are in a file
+	writtenSignal chan struct{} // closed when written grows; nil: nobody waits for that
+	writeStalled  bool          // somebody has waited too long for that
+	unsynced      bool          // some changes are in a file that neither is synced nor is being synced
+	nextSync      chan struct{} // closed when those and what is pending have been synced, or have failed
+	syncing       chan struct{} // the same of what is being synced; nil: nothing is
+	syncStalled   bool          // somebody has waited too long for that
+	lastErr       error         // of the last write; written by run alone
+	discarding    bool          // nothing is written: the next file begins with all that the table knows
+	overflowed    bool          // changes came faster than the disk takes them, and some are in no file
+	closed        bool
+	missed        int // of WaitDurable's calls, those that returned false
+
+	// Owned by run, and by writeDuringSync while run waits for it; size is under mu, too.
 	file   File
 	name   string
 	unlock func()
-	size   int
+	size   int // bytes
 }
 
-// header is a journal's first line: the clock by which its times are.
-type header struct{ Clock Clock }
-
-// Begin writes a first file with all that the table knows and has further changes follow, until Close. Files that former
-// processes have left are removed once theirs is in it.
-func (j *Journal) Begin(left []string) {
-	j.wake, j.next, j.ended = make(chan struct{}, 1), make(chan struct{}), make(chan struct{})
-	j.set(j.begin())
-	if j.failed == nil {
-		for _, name := range left {
-			_ = j.Disk.Remove(name) // read again it would tell the same
+// Start writes a first file with all that the table knows, and has further changes follow, until Close. The files of processes
+// that have ended, whose effects the table has taken over, are removed once that file is on the disk.
+func (j *Journal) Start(endedFiles []string) {
+	j.wake, j.nextSync, j.done = make(chan struct{}, 1), make(chan struct{}), make(chan struct{})
+	j.setResult(j.rotate())
+	if j.lastErr == nil {
+		for _, name := range endedFiles {
+			_ = j.Disk.Remove(name) // one that stays is read again, to the same effect
 		}
 	}
 	go j.run()
 }
 
-// begin begins a file, and leaves the one before it only when that is on the disk.
-func (j *Journal) begin() error {
-	names, err := j.Disk.Names()
-	if err != nil {
-		return fmt.Errorf("durable: journal: %w", err)
-	}
-	last := 0
-	for _, n := range names {
-		if i, err := strconv.Atoi(strings.TrimPrefix(n, journalName)); err == nil && IsJournal(n) {
-			last = max(last, i)
-		}
-	}
-	name := fmt.Sprintf("%s%09d", journalName, last+1)
-	j.mu.Lock()
-	j.deaf = false // what comes from here on is not in what is known
-	j.mu.Unlock()
-	text := line(nil, header{Now()})
-	for _, n := range j.Table.Subscribe(inflight.Journal, j.note) {
-		text = appendNote(text, n)
-	}
-	unlock, err := j.Disk.Lock(name)
-	if err == nil && unlock == nil {
-		err = fmt.Errorf("%s is another process's", name)
-	}
-	if err != nil {
-		return fmt.Errorf("durable: journal: %w", err)
-	}
-	f, err := j.Disk.Create(name)
-	if err == nil {
-		if _, err = f.Write(text); err == nil {
-			err = f.Sync()
-		}
-		if err == nil {
-			err = j.Disk.Sync()
-		}
-		if err != nil {
-			_ = f.Close()
-		}
-	}
-	if err != nil {
-		unlock()
-		return fmt.Errorf("durable: journal: %w", err)
-	}
-	if j.file != nil {
-		_ = j.file.Close()
-		_ = j.Disk.Remove(j.name)
-		j.unlock()
-	}
-	j.file, j.name, j.unlock, j.size = f, name, unlock, len(text)
+// Close writes what is pending, within closeTimeout, and ends the journal.
+func (j *Journal) Close() {
 	j.mu.Lock()
-	j.overrun = j.deaf // again, meanwhile
+	j.closed = true
 	j.mu.Unlock()
-	return nil
-}
-
-// IsJournal tells whether a file of that name is a journal of effects.
-func IsJournal(name string) bool { return strings.HasPrefix(name, journalName) }
-
-// line appends a line: the sum of a value's text, and the text.
-func line(b []byte, v any) []byte {
-	text, err := json.Marshal(v)
-	if err != nil {
-		return b // it has no such values
-	}
-	return append(append(fmt.Appendf(b, "%016x ", xxhash.Sum64(text)), text...), '\n')
-}
-
-// appendNote appends what is worth keeping of a change: nothing, where the effect may take place any number of times.
-func appendNote(b []byte, n inflight.Update) []byte {
-	if n.Retention == 0 || n.SentAt.IsZero() && !n.Retracted {
-		return b // nothing of it has begun
+	close(j.wake)
+	timeout := time.NewTimer(closeTimeout)
+	defer timeout.Stop()
+	select {
+	case <-j.done:
+	case <-timeout.C:
 	}
-	return line(b, n)
 }
 
-// note takes a change from the table, and never waits.
-func (j *Journal) note(n inflight.Update) {
+// enqueue takes a change from the table, and never waits.
+func (j *Journal) enqueue(n inflight.Update) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if j.closed || j.deaf {
+	if j.closed || j.discarding {
 		return
 	}
-	if len(j.wait) > waitMost {
-		j.deaf, j.overrun = true, true
+	if len(j.pending) > maxPendingBytes {
+		j.discarding, j.overflowed = true, true
 		return
 	}
-	was := len(j.wait)
-	if j.wait = appendNote(j.wait, n); len(j.wait) > was {
-		j.noted++
-		j.rouse()
+	before := len(j.pending)
+	j.pending = appendNote(j.pending, n)
+	if len(j.pending) > before {
+		j.enqueued++
+		j.signal()
 	}
 }
 
-// rouse has run go on; the caller holds the lock.
-func (j *Journal) rouse() {
+// signal wakes run; the caller holds mu.
+func (j *Journal) signal() {
 	if j.closed {
 		return
 	}
@@ -179,268 +109,81 @@
 	}
 }
 
-// Kept waits until all that the table has been told is on the disk. It returns false where that takes too long or can't be; on
-// a disk that is slow, once it is written, so that it is lost with the machine at most.
-func (j *Journal) Kept() bool {
+// WaitDurable waits until all changes of the table so far are on the disk. It returns false where that takes longer than
+// syncTimeout, or fails. While a sync is known to be slow it waits until the changes are in a file, and returns false: they are
+// lost with the machine, but not with the process.
+func (j *Journal) WaitDurable() bool {
 	j.mu.Lock()
-	wait, ok := j.writing, j.failed == nil && !j.closed && !j.overrun
-	if len(j.wait) > 0 || j.behind {
-		wait = j.next
+	synced := j.syncing
+	ok := j.lastErr == nil && !j.closed && !j.overflowed
+	if len(j.pending) > 0 || j.unsynced {
+		synced = j.nextSync
 	}
-	if !ok || wait != nil && j.slow {
+	if !ok || synced != nil && j.syncStalled {
 		j.missed++
 		j.mu.Unlock()
 		if ok {
-			j.awaitWrite()
+			j.waitWritten()
 		}
 		return false
 	}
 	j.mu.Unlock()
-	if wait == nil {
+	if synced == nil {
 		return true
 	}
-	late := time.NewTimer(keptWithin)
-	defer late.Stop()
+	timeout := time.NewTimer(syncTimeout)
+	defer timeout.Stop()
 	select {
-	case <-wait:
+	case <-synced:
 		j.mu.Lock()
 		defer j.mu.Unlock()
-		if j.failed != nil {
+		if j.lastErr != nil {
 			j.missed++
 		}
-		return j.failed == nil
-	case <-late.C:
+		return j.lastErr == nil
+	case <-timeout.C:
 		j.mu.Lock()
 		defer j.mu.Unlock()
-		j.slow = j.writing != nil
+		j.syncStalled = j.syncing != nil
 		j.missed++
 		return false
 	}
 }
 
-// awaitWrite waits until all that the table has been told is in a file, but not for a disk that takes no writes either.
-func (j *Journal) awaitWrite() {
+// waitWritten waits until all changes of the table so far are in a file, unless the disk is known to take no writes either.
+func (j *Journal) waitWritten() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	late := time.NewTimer(keptWithin)
-	defer late.Stop()
-	for upTo := j.noted; j.written < upTo && j.failed == nil && !j.stuck; {
-		if j.write == nil {
-			j.write = make(chan struct{})
+	timeout := time.NewTimer(syncTimeout)
+	defer timeout.Stop()
+	for upTo := j.enqueued; j.written < upTo && j.lastErr == nil && !j.writeStalled; {
+		if j.writtenSignal == nil {
+			j.writtenSignal = make(chan struct{})
 		}
-		write := j.write
+		written := j.writtenSignal
 		j.mu.Unlock()
 		select {
-		case <-write:
+		case <-written:
 			j.mu.Lock()
-		case <-late.C:
+		case <-timeout.C:
 			j.mu.Lock()
-			j.stuck = true
+			j.writeStalled = true
 		}
 	}
 }
 
-// Missed is how many times Kept returned false since it was last asked.
-func (j *Journal) Missed() (n int) {
+// TakeMissed returns how many times WaitDurable has returned false since the last call.
+func (j *Journal) TakeMissed() (n int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	n, j.missed = j.missed, 0
 	return n
 }
 
-// Close writes what waits, within moments, and ends the journal.
-func (j *Journal) Close() {
-	j.mu.Lock()
-	j.closed = true
-	j.mu.Unlock()
-	close(j.wake)
-	late := time.NewTimer(closeWithin)
-	defer late.Stop()
-	select {
-	case <-j.ended:
-	case <-late.C:
-	}
-}
-
-func (j *Journal) run() {
-	defer close(j.ended)
-	for open := true; open; {
-		var again <-chan time.Time
-		if j.failed != nil { // only run changes it
-			again = time.After(againAfter)
-		}
-		select {
-		case _, open = <-j.wake:
-			if j.set(j.flush()); j.failed == nil && j.full() {
-				j.set(j.begin())
-			}
-			j.mu.Lock()
-			if len(j.wait) > 0 || j.behind {
-				j.rouse() // follow has been roused in its place
-			}
-			j.mu.Unlock()
-		case <-again:
-			j.set(j.begin())
-		}
-	}
-	if j.file != nil {
-		_ = j.file.Close()
-		j.unlock()
-	}
-}
-
-// full tells whether another file is to be begun.
-func (j *Journal) full() bool {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return j.overrun || j.size > journalMost
-}
-
-// set takes in how the last write went, lets those go on that waited for it, and tells of a change between working and not.
-func (j *Journal) set(err error) {
-	j.mu.Lock()
-	was := j.failed
-	j.failed = err
-	if j.writing != nil {
-		close(j.writing)
-		j.writing, j.slow = nil, false
-	}
-	if err != nil {
-		j.deaf, j.wait, j.behind = true, nil, false
-		j.wrote(j.noted)
-		close(j.next)
-		j.next = make(chan struct{})
-	}
-	j.mu.Unlock()
-	if (err == nil) != (was == nil) {
-		j.Fault(err)
-	}
-}
-
-// flush writes what waits, and has the disk take all that is written.
-func (j *Journal) flush() error {
-	j.mu.Lock()
-	batch, upTo := j.wait, j.noted
-	if j.failed != nil || len(batch) == 0 && !j.behind {
-		defer j.mu.Unlock()
-		return j.failed
-	}
-	j.wait, j.behind, j.next, j.writing = nil, false, make(chan struct{}), j.next
-	j.mu.Unlock()
-	if err := j.append(batch, upTo); err != nil {
-		return err
-	}
-	stop, followed := make(chan struct{}), make(chan error, 1)
-	go func() { followed <- j.follow(stop) }()
-	err := j.file.Sync()
-	close(stop)
-	if fault := <-followed; err == nil && fault != nil {
-		return fault
-	}
-	if err != nil {
-		return fmt.Errorf("durable: journal: %w", err)
-	}
-	return nil
-}
-
-// follow writes what comes, as far as there is room in the file, until stop is closed.
-func (j *Journal) follow(stop <-chan struct{}) error {
-	for {
-		select {
-		case _, open := <-j.wake:
-			if !open {
-				return nil
-			}
-		case <-stop:
-			return nil
-		}
-		j.mu.Lock()
-		batch, upTo := j.wait, j.noted
-		if len(batch) == 0 || j.size > journalMost {
-			j.mu.Unlock()
-			continue
-		}
-		j.wait, j.behind = nil, true
-		j.mu.Unlock()
-		if err := j.append(batch, upTo); err != nil {
-			return err
-		}
-	}
-}
-
-// append writes changes, up to that one, at the file's end.
-func (j *Journal) append(batch []byte, upTo int) error {
-	if len(batch) > 0 {
-		if _, err := j.file.Write(batch); err != nil {
-			return fmt.Errorf("durable: journal: %w", err)
-		}
-	}
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.size += len(batch)
-	j.wrote(upTo)
-	return nil
-}
-
-// wrote notes that changes up to that one are in a file, and lets those go on that wait for it; the caller holds the lock.
-func (j *Journal) wrote(upTo int) {
-	j.written, j.stuck = upTo, false
-	if j.write != nil {
-		close(j.write)
-		j.write = nil
-	}
-}
-
-// Effects returns what the journals say that processes have left which are dead, oldest first, by this moment's clock; how
-// many lines of them could not be read; and the names of their files. Alive is how many others are in use. Whoever calls
-// keeps all others from calling at the same time: by the lock of the directory, or as the successor of whoever has that.
-func Effects(d Disk, now Clock) (notes []inflight.Update, skipped int, left []string, alive int, err error) {
-	names, err := d.Names()
-	if err != nil {
-		return nil, 0, nil, 0, fmt.Errorf("durable: journal: %w", err)
-	}
-	for _, name := range names {
-		if !IsJournal(name) {
-			continue
-		}
-		unlock, err := d.Lock(name)
-		if err != nil || unlock == nil {
-			alive++
-			continue
-		}
-		unlock()
-		text, err := d.Read(name, readMost)
-		if err != nil {
-			return nil, 0, nil, 0, fmt.Errorf("durable: journal: %w", err)
-		}
-		read, bad := DecodeJournal(text, now)
-		notes, skipped, left = append(notes, read...), skipped+bad, append(left, name)
-	}
-	return notes, skipped, left, alive, nil
-}
-
-// DecodeJournal reads a journal. Lines that are cut off or changed are counted and left out: what a power cut has left half
-// written had not been promised.
-func DecodeJournal(text []byte, now Clock) (notes []inflight.Update, skipped int) {
-	var clock *Clock
-	for l := range bytes.Lines(text) {
-		var n inflight.Update
-		var h header
-		sum, body, found := bytes.Cut(bytes.TrimSuffix(l, []byte{'\n'}), []byte{' '})
-		want, err := strconv.ParseUint(string(sum[:min(len(sum), 17)]), 16, 64)
-		switch {
-		case !found || err != nil || len(sum) != 16 || xxhash.Sum64(body) != want:
-			skipped++
-		case clock == nil && json.Unmarshal(body, &h) == nil && !h.Clock.Wall.IsZero():
-			clock = &h.Clock
-		case json.Unmarshal(body, &n) != nil || n.Txn == "" || n.Class == "":
-			skipped++
-		default:
-			if clock != nil && !n.SentAt.IsZero() { // however the wall clock has been set since
-				n.SentAt = now.Wall.Add(-now.Since(*clock) + n.SentAt.Sub(clock.Wall))
-			}
-			notes = append(notes, n)
-		}
+// journalError names the journal as the cause of an error; nil stays nil.
+func journalError(err error) error {
+	if err == nil {
+		return nil
 	}
-	return notes, skipped
+	return fmt.Errorf("durable: journal: %w", err)
 }
--- a/internal/settingsstore/record.go
+++ b/internal/settingsstore/record.go
@@ -2,54 +2,50 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"maps"
-	"net/url"
 	"slices"
-	"strconv"
 
 	"pinelb.example/pinelb/internal/version"
 )
 
-// Bounds on what passes between distributors, in bytes but for the first.
+// Bounds on what distributors exchange.
 const (
-	includesMost = 16 // distributors that a record names as included; each has published under an epoch of its own
-	RecordMost   = 3*StateMost + 4<<10
-	NewsMost     = 1 << 20 // one page of news; the rest follows
-	pageMost     = NewsMost - RecordMost
+	maxIncludes    = 16 // distributors that a record names as included; each has published under an epoch of its own
+	MaxRecordBytes = 3*MaxStateBytes + 4<<10
+	MaxUpdateBytes = 1 << 20 // one page of an update; the rest follows
+	maxPageBytes   = MaxUpdateBytes - MaxRecordBytes
 )
 
-// PeerPath is where distributors ask each other for news of all services.
-const PeerPath = "/settings"
-
-// Record is what a distributor holds of a service.
+// Record is what a distributor has of a service. Records are immutable once they are merged.
 type Record struct {
 	State // the newest
-	// Includes is by distributor the highest epoch under which it published what the newest was made after: such a state is a
-	// former one and was not overruled. Those of the lowest epochs are left out beyond includesMost.
+	// Includes has, by distributor, the highest epoch of its states that the newest state's publisher knew (a version vector):
+	// such a state was replaced, and not overruled. Beyond maxIncludes those of the lowest epochs are left out.
 	Includes map[string]uint64
-	// Lost is the same of all that was overruled: whoever publishes next has known it, and what it was made after. What Includes
-	// has is left out; nil: nothing was.
+	// Lost is the same of all states that were overruled, and of what they included: the next publisher will have known them.
+	// What Includes has is left out; nil: nothing was overruled.
 	Lost      map[string]uint64
-	Former    *State // the contents before the newest, as its publisher had them: what rolling back publishes; nil: none
+	Previous  *State // the contents before the newest, as its publisher had them: what rolling back publishes; nil: none
 	Overruled *State // the newest state that lost to one whose publisher didn't know it; nil: none
 }
 
-// includes tells whether the newest is that edition, or was made after it.
+// includes reports whether the newest state is of that edition, or was published by somebody who knew it.
 func (r *Record) includes(e version.Edition) bool {
 	return r.Edition == e || r.Includes[e.By] >= e.Epoch
 }
 
-// before orders states: of two under one edition, which only a fault can make, all distributors have to hold the same.
-func (s *State) before(o *State) bool {
+// less orders states. Under one edition there are two contents only by a fault; all distributors have to keep the same ones.
+func (s *State) less(o *State) bool {
 	c := s.Compare(o.Edition)
 	return c < 0 || c == 0 && s.Digest < o.Digest
 }
 
-// merge is what a distributor holds that has known both records; either may be nil. The order of merges is of no matter to the
-// newest. Of several that were overruled the newest is kept, so that with three sides apart one may be forgotten.
+// merge returns what a distributor has that knows both records; either may be nil. The order of merges doesn't matter to the
+// newest state. Of several overruled states the newest is kept, so that of three partitions' states one may be forgotten.
 func merge(a, b *Record) *Record {
-	if a == nil || b != nil && a.before(&b.State) {
+	if a == nil || b != nil && a.less(&b.State) {
 		a, b = b, a
 	}
 	if b == nil {
@@ -60,48 +56,48 @@
 	for _, known := range []map[string]uint64{a.Lost, b.Lost, b.Includes, {b.By: b.Epoch}} {
 		for by, epoch := range known {
 			if !a.includes(version.Edition{Epoch: epoch, By: by}) {
-				out.Lost = include(out.Lost, version.Edition{Epoch: epoch, By: by})
+				out.Lost = addEdition(out.Lost, version.Edition{Epoch: epoch, By: by})
 			}
 		}
 	}
 	for _, s := range []*State{b.Overruled, &b.State} {
-		if s != nil && !a.includes(s.Edition) && (out.Overruled == nil || out.Overruled.before(s)) {
+		if s != nil && !a.includes(s.Edition) && (out.Overruled == nil || out.Overruled.less(s)) {
 			out.Overruled = s
 		}
 	}
 	return &out
 }
 
-// next is the record that a distributor publishes over what it holds, which may be nil.
-func (r *Record) next(s State) *Record {
+// successor returns the record that a distributor publishes over what it has, which may be nil.
+func (r *Record) successor(s State) *Record {
 	out := &Record{State: s}
 	if r != nil {
 		out.Includes = maps.Clone(r.Includes)
 		for by, epoch := range r.Lost {
-			out.Includes = include(out.Includes, version.Edition{Epoch: epoch, By: by})
+			out.Includes = addEdition(out.Includes, version.Edition{Epoch: epoch, By: by})
 		}
-		out.Includes = include(out.Includes, r.Edition)
-		if out.Former = r.Former; r.Digest != s.Digest { // the same once more is nothing to go back to
-			former := r.State
-			out.Former = &former
+		out.Includes = addEdition(out.Includes, r.Edition)
+		if out.Previous = r.Previous; r.Digest != s.Digest { // the same contents once more are nothing to roll back to
+			previous := r.State
+			out.Previous = &previous
 		}
 	}
-	out.Includes = include(out.Includes, s.Edition)
+	out.Includes = addEdition(out.Includes, s.Edition)
 	return out
 }
 
-// include notes an edition in what may be nil, and returns it.
-func include(known map[string]uint64, e version.Edition) map[string]uint64 {
+// addEdition adds an edition to epochs by distributor, which may be nil, and returns them.
+func addEdition(known map[string]uint64, e version.Edition) map[string]uint64 {
 	if known == nil {
 		known = map[string]uint64{}
 	}
 	known[e.By] = max(known[e.By], e.Epoch)
-	if len(known) <= includesMost {
+	if len(known) <= maxIncludes {
 		return known
 	}
 	lowest := e.By
 	for by, epoch := range known {
-		if least := known[lowest]; epoch < least || epoch == least && by < lowest {
+		if lowestEpoch := known[lowest]; epoch < lowestEpoch || epoch == lowestEpoch && by < lowest {
 			lowest = by
 		}
 	}
@@ -109,15 +105,15 @@
 	return known
 }
 
-// EncodeRecord writes a record, for another distributor or for a file. Settings stand in it byte for byte.
+// EncodeRecord encodes a record, for another distributor or for a file. Settings stand in it byte for byte.
 func EncodeRecord(r *Record) []byte {
 	text := append([]byte(`{"newest":`), Encode(r.State)...)
-	text = append(append(text, `,"includes":`...), encodeKnown(r.Includes)...)
+	text = append(append(text, `,"includes":`...), encodeEpochs(r.Includes)...)
 	if r.Lost != nil {
-		text = append(append(text, `,"lost":`...), encodeKnown(r.Lost)...)
+		text = append(append(text, `,"lost":`...), encodeEpochs(r.Lost)...)
 	}
-	if r.Former != nil {
-		text = append(append(text, `,"former":`...), Encode(*r.Former)...)
+	if r.Previous != nil {
+		text = append(append(text, `,"former":`...), Encode(*r.Previous)...)
 	}
 	if r.Overruled != nil {
 		text = append(append(text, `,"overruled":`...), Encode(*r.Overruled)...)
@@ -125,10 +121,10 @@
 	return append(text, '}')
 }
 
-func encodeKnown(known map[string]uint64) []byte {
+func encodeEpochs(known map[string]uint64) []byte {
 	text, err := json.Marshal(known)
 	if err != nil {
-		panic(err) // a map of texts and numbers can be written
+		panic(err) // a map of strings and numbers has no value that JSON can't encode
 	}
 	return text
 }
@@ -142,10 +138,10 @@
 	Overruled *wireState        `json:"overruled"`
 }
 
-// ParseRecord reads a record, as strictly as Parse does.
+// ParseRecord decodes a record, as strictly as Parse does.
 func ParseRecord(text []byte) (*Record, error) {
 	var w wireRecord
-	if err := decode(text, RecordMost, &w); err != nil {
+	if err := decodeStrict(text, MaxRecordBytes, &w); err != nil {
 		return nil, err
 	}
 	return w.record()
@@ -153,153 +149,52 @@
 
 func (w *wireRecord) record() (*Record, error) {
 	r := &Record{Includes: w.Includes, Lost: w.Lost}
-	newest, err := w.Newest.under("newest")
+	newest, err := w.Newest.stateUnder("newest")
 	switch {
 	case err != nil:
 		return nil, err
 	case newest == nil:
-		return nil, FaultyKey{"newest", "is missing"}
+		return nil, KeyError{"newest", "is missing"}
 	}
 	r.State = *newest
 	for key, known := range map[string]map[string]uint64{"includes": r.Includes, "lost": r.Lost} {
-		if len(known) > includesMost {
-			return nil, FaultyKey{key, fmt.Sprintf("names %d distributors, %d at most", len(known), includesMost)}
+		if len(known) > maxIncludes {
+			return nil, KeyError{key, fmt.Sprintf("names %d distributors, %d at most", len(known), maxIncludes)}
 		}
 		for by, epoch := range known {
 			if err := checkEdition(key, key, version.Edition{Epoch: epoch, By: by}); err != nil {
 				return nil, err
 			}
 			if epoch > r.Epoch {
-				return nil, FaultyKey{key, "has an epoch above the newest's"}
+				return nil, KeyError{key, "has an epoch above the newest's"}
 			}
 		}
 	}
-	if r.Former, err = w.Former.under("former"); err != nil {
+	if r.Previous, err = w.Former.stateUnder("former"); err != nil {
 		return nil, err
 	}
-	if r.Overruled, err = w.Overruled.under("overruled"); err != nil {
+	if r.Overruled, err = w.Overruled.stateUnder("overruled"); err != nil {
 		return nil, err
 	}
-	for key, s := range map[string]*State{"former": r.Former, "overruled": r.Overruled} {
+	for key, s := range map[string]*State{"former": r.Previous, "overruled": r.Overruled} {
 		if s != nil && s.Service != r.Service {
-			return nil, FaultyKey{key + ".service", "is another than the newest's"}
+			return nil, KeyError{key + ".service", "is another than the newest's"}
 		}
 	}
 	return r, nil
 }
 
-// under reads a state that stands under a key; nil is none.
-func (w *wireState) under(key string) (*State, error) {
+// stateUnder decodes the state at a key; nil is none.
+func (w *wireState) stateUnder(key string) (*State, error) {
 	if w == nil {
 		return nil, nil
 	}
 	s, err := w.state()
-	if faulty, ok := err.(FaultyKey); ok {
-		return nil, FaultyKey{key + "." + faulty.Key, faulty.Why}
+	if keyErr := (KeyError{}); errors.As(err, &keyErr) {
+		return nil, KeyError{key + "." + keyErr.Key, keyErr.Reason}
 	}
 	return &s, err
 }
 
-// News is what a distributor tells another one.
-type News struct {
-	Name     string    // of the distributor: no two may have one, for editions are told apart by it
-	Life     string    // which process of the distributor it is: At counts within one
-	At       uint64    // of its changes the last that is in this page; what is asked for next time is what comes after it
-	Starting bool      // it has nobody yet of whom it could know what is newest
-	More     bool      // there is more behind At already
-	Records  []*Record // of the services that have changed
-}
-
-// Encode writes news.
-func (n *News) Encode() []byte {
-	text := fmt.Appendf(nil, `{"name":%q,"life":%q,"at":%d,"starting":%t,"more":%t,"records":[`, n.Name, n.Life, n.At, n.Starting, n.More)
-	for i, r := range n.Records {
-		if i > 0 {
-			text = append(text, ',')
-		}
-		text = append(text, EncodeRecord(r)...)
-	}
-	return append(text, ']', '}')
-}
-
-// ParseNews reads news, as strictly as Parse does.
-func ParseNews(text []byte) (*News, error) {
-	var w struct {
-		Name     string        `json:"name"`
-		Life     string        `json:"life"`
-		At       uint64        `json:"at"`
-		Starting bool          `json:"starting"`
-		More     bool          `json:"more"`
-		Records  []*wireRecord `json:"records"`
-	}
-	if err := decode(text, NewsMost, &w); err != nil {
-		return nil, err
-	}
-	if err := CheckName("name", w.Name); err != nil {
-		return nil, err
-	}
-	if err := CheckName("life", w.Life); err != nil {
-		return nil, err
-	}
-	n := &News{Name: w.Name, Life: w.Life, At: w.At, Starting: w.Starting, More: w.More}
-	for i, one := range w.Records {
-		key := fmt.Sprintf("records[%d]", i)
-		if one == nil {
-			return nil, FaultyKey{key, "is missing"}
-		}
-		r, err := one.record()
-		if faulty, ok := err.(FaultyKey); ok {
-			return nil, FaultyKey{key + "." + faulty.Key, faulty.Why}
-		}
-		n.Records = append(n.Records, r)
-	}
-	return n, nil
-}
-
-// PeerQuestion is what a distributor asks another one: for all that has changed there after Since. The answer is News, with
-// status 200: at once where there is some, where Life is not that of the process that answers, or where that one is starting;
-// or nothing, with status 204, after Wait.
-type PeerQuestion struct {
-	Life  string // as the last news had it; "": there was none
-	Since uint64
-	Name  string // of the distributor that asks
-	Wait  Millis
-}
-
-// Millis is a time in milliseconds.
-type Millis = version.Millis
-
-// Target is the question as the target of a GET request.
-func (q *PeerQuestion) Target() string {
-	v := url.Values{"since": {strconv.FormatUint(q.Since, 10)}, "timeout_ms": {strconv.FormatInt(int64(q.Wait), 10)}, "name": {q.Name}}
-	if q.Life != "" {
-		v.Set("life", q.Life)
-	}
-	return PeerPath + "?" + v.Encode()
-}
-
-// ParsePeerQuestion reads a distributor's question, strictly. Errors are of type FaultyKey and name the key.
-func ParsePeerQuestion(u *url.URL) (PeerQuestion, error) {
-	f, err := parseFields(u.RawQuery, "life", "since", "timeout_ms", "name")
-	if err != nil {
-		return PeerQuestion{}, err
-	}
-	q := PeerQuestion{Life: f["life"], Name: f["name"]}
-	if q.Since, err = f.number("since"); err != nil {
-		return PeerQuestion{}, err
-	}
-	wait, err := f.wait("timeout_ms")
-	if err != nil {
-		return PeerQuestion{}, err
-	}
-	q.Wait = Millis(wait.Milliseconds())
-	if q.Life != "" {
-		if err := CheckName("life", q.Life); err != nil {
-			return PeerQuestion{}, err
-		}
-	}
-	return q, CheckName("name", q.Name)
-}
-
-// sortedNames are a map's names in order.
+// sortedNames returns a map's keys, sorted.
 func sortedNames[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -8,7 +8,7 @@
 
 type file struct {
 	Name string
-	Wait Span
+	Wait Duration
 	Tier []struct {
 		Name string
 		Kind []struct {
@@ -40,7 +40,7 @@
   { speed = 2.5 }]
 `
 
-func TestPlaces(t *testing.T) {
+func TestKeyLines(t *testing.T) {
 	var v file
 	f, err := Decode("x.toml", []byte(good), &v)
 	if err != nil {
@@ -58,7 +58,7 @@
 		"rules.most":            "x.toml:1: rules.most: no",
 		"tier[2].kind[1].speed": "x.toml:19: tier[2].kind[1].speed: no", // in inline tables
 	} {
-		if got := f.Fault(key, "no").Error(); got != want {
+		if got := f.Errorf(key, "no").Error(); got != want {
 			t.Errorf("%s: %q, want %q", key, got, want)
 		}
 	}
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestFaults(t *testing.T) {
+func TestKeyErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		"name = \"a\"\nnom = 3":           "x.toml:2: nom: is unknown",
 		"[fleet]\nsize = \"many\"":        "x.toml:2: fleet.size: ",
--- a/internal/version/search_test.go
+++ b/internal/version/search_test.go
@@ -21,7 +21,7 @@
 	auditors = 2
 	tick     = 4 * time.Second // less than a ticket's time, so that one auditor's last and another's first are seen together
 	poolMost = 3
-	skew     = slack / 2 // of each wall clock, to either side
+	skew     = maxClockSkew / 2 // of each wall clock, to either side
 )
 
 // lists are what the list service tells, one after the other; the last one after it has restarted and counts from 1 again.
@@ -38,7 +38,7 @@
 	links   [auditors]bool
 
 	// What the judge knows, by the orders that the sidecar said it took.
-	floor  *Floor
+	floor  *MinimumVersion
 	lapses time.Duration
 	under  bool
 	ripe   time.Duration // when the least grace is over of the floors under which it has been since it came under one
@@ -47,7 +47,7 @@
 	sure   time.Duration // the ticket is valid up to then at least
 }
 
-type world struct {
+type simulation struct {
 	now      time.Duration
 	newest   int
 	share    float64
@@ -55,22 +55,22 @@
 	auditors [auditors]*Auditor // nil: not there
 	walls    [auditors]time.Duration
 	delay    [auditors]bool // its orders of the next round are under way for long
-	pool     []late
+	pool     []delayedOrder
 	lives    int
 }
 
-type late struct {
+type delayedOrder struct {
 	to int
 	o  Order
 }
 
 func auditorName(i int) string { return string(rune('a' + i)) }
 
-func (w *world) begin(n int) {
-	w.auditors[n] = NewAuditor(Rules{By: auditorName(n), Site: "s", Share: w.share, Grace: 3 * time.Second, For: time.Minute, Raise: true, ShutOut: true}, 0)
+func (w *simulation) begin(n int) {
+	w.auditors[n] = NewAuditor(Rules{By: auditorName(n), Site: "s", Share: w.share, Grace: 3 * time.Second, Validity: time.Minute, RaisesMinimum: true, IssuesPermits: true}, 0)
 }
 
-func (w *world) clone() *world {
+func (w *simulation) clone() *simulation {
 	c := *w
 	c.pool, c.sidecars = slices.Clone(w.pool), slices.Clone(w.sidecars)
 	for i, a := range w.auditors {
@@ -78,13 +78,13 @@
 			continue
 		}
 		b := *a
-		b.known, b.held = make(map[string]*known, len(a.known)), make(map[string]held, len(a.held))
-		for n, k := range a.known {
+		b.sidecars, b.reservations = make(map[string]*sidecarRecord, len(a.sidecars)), make(map[string]reservation, len(a.reservations))
+		for n, k := range a.sidecars {
 			v := *k
-			b.known[n] = &v
+			b.sidecars[n] = &v
 		}
-		for n, h := range a.held {
-			b.held[n] = h
+		for n, h := range a.reservations {
+			b.reservations[n] = h
 		}
 		c.auditors[i] = &b
 	}
@@ -92,7 +92,7 @@
 }
 
 // hash tells states apart, by what lies how long ago or ahead, and not by what the clock says.
-func (w *world) hash() uint64 {
+func (w *simulation) hash() uint64 {
 	b := make([]byte, 0, 1024)
 	num := func(ns ...int64) {
 		for _, n := range ns {
@@ -117,19 +117,19 @@
 			}
 		}
 	}
-	floor := func(f *Floor) {
+	floor := func(f *MinimumVersion) {
 		if f == nil {
 			num(-1)
 			return
 		}
 		num(int64(f.Epoch), int64(f.By[0]), int64(f.List), f.Revision)
 	}
-	ticket := func(t *Ticket) {
+	ticket := func(t *Permit) {
 		if t == nil {
 			num(-1)
 			return
 		}
-		num(int64(t.No))
+		num(int64(t.Number))
 		at(t.Issued.D())
 	}
 	num(int64(w.newest))
@@ -137,13 +137,13 @@
 		s, a := &w.sidecars[i], &w.sidecars[i].actor
 		num(int64(s.version), int64(a.epoch), int64(len(a.by)))
 		b = append(b, a.by...)
-		yes(s.wall > 0, s.cut, s.stopped, s.links[0], s.links[1], s.under, a.under, a.waking, a.list.wanted)
+		yes(s.wall > 0, s.cut, s.stopped, s.links[0], s.links[1], s.under, a.belowMinimum, a.resuming, a.listRequests.wanted)
 		floor(s.floor)
-		floor(a.floor)
-		ticket(a.ticket)
-		at(s.ripe, s.lapses, s.ticket, s.sure, a.lapses, a.ripe, a.until, a.beat, a.list.next)
-		if a.waking {
-			at(a.woke)
+		floor(a.minimum)
+		ticket(a.permit)
+		at(s.ripe, s.lapses, s.ticket, s.sure, a.minimumExpiry, a.graceEnd, a.permitExpiry, a.lastHeartbeat, a.listRequests.next)
+		if a.resuming {
+			at(a.resumedAt)
 		}
 	}
 	for i, a := range w.auditors {
@@ -151,20 +151,20 @@
 		if a == nil {
 			continue
 		}
-		num(int64(a.epoch), int64(a.first))
-		at(a.raised, a.changed)
-		yes(a.loser != "")
-		floor(a.floor)
+		num(int64(a.epoch), int64(a.firstEpoch))
+		at(a.raisedAt, a.changedAt)
+		yes(a.superseded != "")
+		floor(a.minimum)
 		for j := range w.sidecars {
-			if k := a.known[strconv.Itoa(j)]; k != nil {
-				yes(k.life == lifeOf(w.sidecars[j].life))
-				yes(k.life == "")
+			if k := a.sidecars[strconv.Itoa(j)]; k != nil {
+				yes(k.incarnation == lifeOf(w.sidecars[j].life))
+				yes(k.incarnation == "")
 				num(k.revision)
-				at(k.mine, k.behind, k.under)
+				at(k.followsSince, k.behindSince, k.belowSince)
 			}
-			if h, ok := a.held[strconv.Itoa(j)]; ok {
-				num(int64(h.no))
-				at(h.until)
+			if h, ok := a.reservations[strconv.Itoa(j)]; ok {
+				num(int64(h.number))
+				at(h.expiry)
 			} else {
 				num(-2)
 			}
@@ -172,15 +172,15 @@
 	}
 	for _, l := range w.pool {
 		num(int64(l.to))
-		floor(&l.o.Floor)
-		ticket(l.o.Ticket)
+		floor(&l.o.Minimum)
+		ticket(l.o.Permit)
 	}
 	return xxhash.Sum64(b)
 }
 
 func lifeOf(n int) string { return strconv.Itoa(n + 1) }
 
-func (w *world) start(i, version int, epoch uint64, by string) {
+func (w *simulation) start(i, version int, epoch uint64, by string) {
 	s := &w.sidecars[i]
 	w.lives++
 	s.life, s.version, s.stopped, s.floor, s.under, s.ticket, s.sure = w.lives, version, false, nil, false, 0, 0
@@ -189,27 +189,27 @@
 }
 
 // deliver hands over an order, and notes what the sidecar says of it.
-func (w *world) deliver(l late) error {
+func (w *simulation) deliver(l delayedOrder) error {
 	s := &w.sidecars[l.to]
-	epoch, by := s.actor.Last()
-	if err := s.actor.Take(w.now, w.now+s.wall, l.o); err != nil {
+	epoch, by := s.actor.LastOrder()
+	if err := s.actor.Accept(w.now, w.now+s.wall, l.o); err != nil {
 		return nil
 	}
-	f := l.o.Floor
+	f := l.o.Minimum
 	if compare(f.Epoch, f.By, epoch, by) < 0 {
 		return fmt.Errorf("sidecar %d took epoch %d by %s after %d by %s", l.to, f.Epoch, f.By, epoch, by)
 	}
 	if s.floor == nil || compare(f.Epoch, f.By, s.floor.Epoch, s.floor.By) != 0 {
 		s.under = s.under && w.now < s.lapses
-		s.floor, s.lapses, s.ticket, s.issued, s.sure = &f, w.now+f.For.D(), 0, 0, 0
+		s.floor, s.lapses, s.ticket, s.issued, s.sure = &f, w.now+f.Validity.D(), 0, 0, 0
 		if end := w.now + f.Grace.D(); s.under {
 			s.ripe = min(s.ripe, end)
 		}
 	}
-	if t := l.o.Ticket; t != nil && t.Issued > s.issued {
+	if t := l.o.Permit; t != nil && t.Issued > s.issued {
 		s.ticket, s.issued, s.sure = w.now, t.Issued, 0
-		if w.now+s.wall-t.Issued.D() <= slack {
-			s.sure = w.now + t.For.D()
+		if w.now+s.wall-t.Issued.D() <= maxClockSkew {
+			s.sure = w.now + t.Validity.D()
 		}
 	}
 	w.look(l.to)
@@ -217,7 +217,7 @@
 }
 
 // look keeps the judge's view of whether a sidecar is under its floor.
-func (w *world) look(i int) {
+func (w *simulation) look(i int) {
 	s := &w.sidecars[i]
 	v := lists[s.version].List
 	under := s.floor != nil && w.now < s.lapses && v.Digest != s.floor.List && v.Revision <= s.floor.Revision
@@ -227,32 +227,32 @@
 	s.under = under
 }
 
-func (w *world) adopt(i, version int) {
+func (w *simulation) adopt(i, version int) {
 	s := &w.sidecars[i]
 	s.version = version
 	s.actor.Adopt(w.now, lists[version])
-	s.actor.Heard(w.now, w.now)
+	s.actor.ConfirmList(w.now, w.now)
 	w.look(i)
 }
 
 // check is what has to hold at all times.
-func (w *world) check() error {
+func (w *simulation) check() error {
 	shut, size, shutIn := 0, map[string]int{}, map[string]int{}
 	for i := range w.sidecars {
 		s := &w.sidecars[i]
 		size[s.zone]++
 		v := s.actor.Verdict(w.now)
-		if v.State == Shut {
+		if v.State == ShutOut {
 			shut++
 			shutIn[s.zone]++
 			if !s.under {
 				return fmt.Errorf("sidecar %d is shut out, and is up to date", i)
 			}
-			if s.ticket == 0 || w.now >= s.ticket+ticketMost {
+			if s.ticket == 0 || w.now >= s.ticket+maxPermitValidity {
 				return fmt.Errorf("sidecar %d is shut out, and nobody has said so for %s", i, w.now-s.ticket)
 			}
 		}
-		if s.under && w.now >= s.ripe && w.now < min(s.sure, s.lapses) && v.Takes() {
+		if s.under && w.now >= s.ripe && w.now < min(s.sure, s.lapses) && v.AcceptsStreams() {
 			return fmt.Errorf("sidecar %d acts (%+v) under the floor after its grace, with a ticket", i, v)
 		}
 	}
@@ -268,12 +268,12 @@
 }
 
 // tick lets time go on, and then has each auditor make a round and each sidecar hear of the newest list.
-func (w *world) tick() error {
+func (w *simulation) tick() error {
 	for range 4 {
 		w.now += tick / 4
 		for i := range w.sidecars {
 			if s := &w.sidecars[i]; !s.stopped {
-				s.actor.Beat(w.now)
+				s.actor.Heartbeat(w.now)
 			}
 		}
 		if err := w.check(); err != nil {
@@ -284,16 +284,16 @@
 		if a == nil {
 			continue
 		}
-		fleet := make([]Seen, len(w.sidecars))
+		fleet := make([]Observation, len(w.sidecars))
 		for i := range w.sidecars {
 			s := &w.sidecars[i]
-			fleet[i] = Seen{Name: strconv.Itoa(i), Zone: s.zone, Reached: s.links[n] && !s.stopped, At: w.now, Life: lifeOf(s.life), Site: "s", Instances: len(w.sidecars),
-				Version: s.actor.now, Floor: s.actor.Floor(w.now), State: s.actor.Verdict(w.now).State}
+			fleet[i] = Observation{Name: strconv.Itoa(i), Zone: s.zone, Reached: s.links[n] && !s.stopped, AnsweredAt: w.now, Incarnation: lifeOf(s.life), Site: "s", Instances: len(w.sidecars),
+				Version: s.actor.current, Minimum: s.actor.Minimum(w.now), State: s.actor.Verdict(w.now).State}
 		}
-		round := a.Round(w.now, w.now+w.walls[n], fleet, &Demand{List: lists[w.newest].List, At: w.now})
+		round := a.Round(w.now, w.now+w.walls[n], fleet, &Reference{List: lists[w.newest].List, RequestedAt: w.now})
 		for _, o := range round.Orders {
 			to, _ := strconv.Atoi(o.Name)
-			l := late{to, o.Order}
+			l := delayedOrder{to, o.Order}
 			if !w.delay[n] {
 				if err := w.deliver(l); err != nil {
 					return err
@@ -315,36 +315,36 @@
 // fault is what may happen between two ticks. It says whether it could happen.
 type fault struct {
 	name string
-	does func(w *world) (bool, error)
+	does func(w *simulation) (bool, error)
 }
 
 func faults(sidecars int) (out []fault) {
-	add := func(name string, does func(w *world) bool) {
-		out = append(out, fault{name, func(w *world) (bool, error) { return does(w), nil }})
+	add := func(name string, does func(w *simulation) bool) {
+		out = append(out, fault{name, func(w *simulation) (bool, error) { return does(w), nil }})
 	}
 	for i := range sidecars {
-		add(fmt.Sprint("link of the list service and ", i), func(w *world) bool { w.sidecars[i].cut = !w.sidecars[i].cut; return true })
-		add(fmt.Sprint("stop or go on ", i), func(w *world) bool {
+		add(fmt.Sprint("link of the list service and ", i), func(w *simulation) bool { w.sidecars[i].cut = !w.sidecars[i].cut; return true })
+		add(fmt.Sprint("stop or go on ", i), func(w *simulation) bool {
 			s := &w.sidecars[i]
 			s.stopped = !s.stopped
 			if !s.stopped {
-				s.actor.Beat(w.now)
+				s.actor.Heartbeat(w.now)
 			}
 			return true
 		})
-		add(fmt.Sprint("restart ", i), func(w *world) bool {
-			epoch, by := w.sidecars[i].actor.Last()
+		add(fmt.Sprint("restart ", i), func(w *simulation) bool {
+			epoch, by := w.sidecars[i].actor.LastOrder()
 			w.start(i, w.sidecars[i].version, epoch, by)
 			return true
 		})
-		add(fmt.Sprint("restart without memory ", i), func(w *world) bool { w.start(i, 0, 0, ""); return true })
-		add(fmt.Sprint("set the clock of ", i), func(w *world) bool { w.sidecars[i].wall *= -1; return true })
+		add(fmt.Sprint("restart without memory ", i), func(w *simulation) bool { w.start(i, 0, 0, ""); return true })
+		add(fmt.Sprint("set the clock of ", i), func(w *simulation) bool { w.sidecars[i].wall *= -1; return true })
 		for n := range auditors {
-			add(fmt.Sprint("link of ", auditorName(n), " and ", i), func(w *world) bool { w.sidecars[i].links[n] = !w.sidecars[i].links[n]; return true })
+			add(fmt.Sprint("link of ", auditorName(n), " and ", i), func(w *simulation) bool { w.sidecars[i].links[n] = !w.sidecars[i].links[n]; return true })
 		}
 	}
 	for n := range auditors {
-		add("begin or die "+auditorName(n), func(w *world) bool {
+		add("begin or die "+auditorName(n), func(w *simulation) bool {
 			if w.auditors[n] != nil {
 				w.auditors[n] = nil
 			} else {
@@ -352,28 +352,28 @@
 			}
 			return true
 		})
-		add("set the clock of "+auditorName(n), func(w *world) bool { w.walls[n] *= -1; return w.auditors[n] != nil })
-		add("delay orders of "+auditorName(n), func(w *world) bool {
+		add("set the clock of "+auditorName(n), func(w *simulation) bool { w.walls[n] *= -1; return w.auditors[n] != nil })
+		add("delay orders of "+auditorName(n), func(w *simulation) bool {
 			had := w.auditors[n] != nil && !w.delay[n]
 			w.delay[n] = true
 			return had
 		})
 	}
 	for j := range poolMost { // what came late stays, to come once more
-		out = append(out, fault{fmt.Sprint("late order ", j), func(w *world) (bool, error) {
+		out = append(out, fault{fmt.Sprint("late order ", j), func(w *simulation) (bool, error) {
 			if j >= len(w.pool) || w.sidecars[w.pool[j].to].stopped {
 				return false, nil
 			}
 			return true, w.deliver(w.pool[j])
 		}})
 	}
-	add("publish", func(w *world) bool { w.newest++; return w.newest < len(lists) })
+	add("publish", func(w *simulation) bool { w.newest++; return w.newest < len(lists) })
 	return out
 }
 
 // node is a state and how it was come to.
 type node struct {
-	w      *world
+	w      *simulation
 	faults int
 	before *node
 	did    string
@@ -389,7 +389,7 @@
 
 // search goes through all that can come of a state within so many ticks and with so many faults.
 // In some of them somebody has to be shut out, or nothing has been looked at.
-func search(t *testing.T, root *world, ticks, most int) (states, shut int) {
+func search(t *testing.T, root *simulation, ticks, most int) (states, shut int) {
 	seen := map[uint64]int{} // the least faults with which a state was come to
 	all := faults(len(root.sidecars))
 	layer := []*node{{w: root, did: "begin"}}
@@ -397,7 +397,7 @@
 		var next []*node
 		for i := 0; i < len(layer); i++ { // it grows by faults
 			n := layer[i]
-			step := func(did string, faults int, does func(w *world) (bool, error)) {
+			step := func(did string, faults int, does func(w *simulation) (bool, error)) {
 				w := n.w.clone()
 				able, err := does(w)
 				if err == nil && able {
@@ -416,7 +416,7 @@
 				}
 				seen[h] = faults
 				for i := range w.sidecars {
-					if w.sidecars[i].actor.Verdict(w.now).State == Shut {
+					if w.sidecars[i].actor.Verdict(w.now).State == ShutOut {
 						shut++
 					}
 				}
@@ -426,7 +426,7 @@
 					next = append(next, m)
 				}
 			}
-			step("tick", n.faults, func(w *world) (bool, error) { return true, w.tick() })
+			step("tick", n.faults, func(w *simulation) (bool, error) { return true, w.tick() })
 			if n.faults < most {
 				for _, f := range all {
 					step(f.name, n.faults+1, f.does)
@@ -441,8 +441,8 @@
 
 // fleet is one with the first list, of which those that are cut stay with it when the second one comes. links tells which
 // sidecars each auditor sees; an auditor that sees none has not begun.
-func fleet(n, zones int, share float64, cut func(i int) bool, links func(n, i int) bool) *world {
-	w := &world{now: 1000 * time.Second, newest: 1, share: share, sidecars: make([]sidecar, n), walls: [auditors]time.Duration{skew, -skew}}
+func fleet(n, zones int, share float64, cut func(i int) bool, links func(n, i int) bool) *simulation {
+	w := &simulation{now: 1000 * time.Second, newest: 1, share: share, sidecars: make([]sidecar, n), walls: [auditors]time.Duration{skew, -skew}}
 	for i := range w.sidecars {
 		s := &w.sidecars[i]
 		s.zone, s.wall, s.cut = strconv.Itoa(i%zones), skew, cut(i)
@@ -483,7 +483,7 @@
 }
 
 // The same holds in bigger fleets with zones, at random.
-func TestFleetAtRandom(t *testing.T) {
+func TestRandomFleets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 24).Draw(t, "sidecars")
 		among := func(name string, of int) func(i int) bool {
