--- a/internal/lab/simulation/golden_test.go
+++ b/internal/lab/simulation/golden_test.go
@@ -19,8 +19,8 @@
 func TestGoldenTraces(t *testing.T) {
 	for _, c := range []struct {
 		scenario, policy string
-		seed                   uint64
-		plan, trace            string
+		seed             uint64
+		plan, trace      string
 	}{
 		{"bad-morning", "pinelb", 5, "4691e39951671e0f6af19ed4", "f6f394ba41dba4c1ddaa08a3"},
 		{"two-tiers", "pinelb", 7, "de2bc038addd4562caa223be", "e8d4dc32a6f424cff0515765"},
