--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -14,19 +14,19 @@
 	About  string
 	Seed   uint64
 	Length Span // of the arrivals; what is open then is seen through
-	Settle Span // at the start, left out of the results
+	Settle Span `toml:"settle"` // at the start, left out of the results
 
-	Class     []Class
-	Tier      []Tier
+	Class     []Class `toml:"class"`
+	Tier      []Tier  `toml:"tier"`
 	Rules     Rules
 	Clients   Clients
-	Burst     []Burst
+	Burst     []Burst `toml:"burst"`
 	Fleet     Fleet
 	Discovery Discovery
 	Network   Network
-	Audit     []Audit
-	Fault     []Fault
-	Expect    []Expect
+	Audit     []Audit  `toml:"audit"`
+	Fault     []Fault  `toml:"fault"`
+	Expect    []Expect `toml:"expect"`
 }
 
 // Class is a kind of request.
@@ -34,16 +34,16 @@
 	Name     string
 	Share    float64 // of the first tries; shares are taken in proportion
 	Work     Span    // mean, on a standard core, over all tiers at their Work of 1
-	Spread   string  // "fixed", "exp" or "lognormal"
+	Spread   string  `toml:"spread"` // "fixed", "exp" or "lognormal"
 	CV       float64 // of lognormal: standard deviation over mean
-	Noise    float64 // the same of each attempt's work around its request's, lognormal; 0 is none
-	Aim      Span
-	Deadline Span // how long a client waits, over all its tries
-	Worth    float64
-	Effect   string // "safe", "keyed" or "unsafe"
-	Window   Span   // keyed: how long boxes drop a repeat
-	Body     int    // bytes of a request's body; safe classes have none
-	Answer   int    // bytes of an answer's
+	Noise    float64 `toml:"noise"` // the same of each attempt's work around its request's, lognormal; 0 is none
+	Aim      Span    `toml:"aim"`
+	Deadline Span    // how long a client waits, over all its tries
+	Worth    float64 `toml:"worth"`
+	Effect   string  `toml:"effect"` // "safe", "keyed" or "unsafe"
+	Window   Span    `toml:"window"` // keyed: how long boxes drop a repeat
+	Body     int     `toml:"body"`   // bytes of a request's body; safe classes have none
+	Answer   int     `toml:"answer"` // bytes of an answer's
 }
 
 // Tier is a tier of boxes. Clients' requests go to the first.
@@ -51,15 +51,15 @@
 	Name  string
 	Work  float64 // share of a class's work that a box of it does for each call
 	Calls float64 // of the next tier that each request of this one makes, on average, one after another
-	To    string  // the tier that it calls, if not the next one
-	Carry string  // what its boxes pass on that they don't know: "all" is what a request carries, and what a failure says; or "none"
-	Kind  []Kind
+	To    string  `toml:"to"`    // the tier that it calls, if not the next one
+	Carry string  `toml:"carry"` // what its boxes pass on that they don't know: "all" is what a request carries, and what a failure says; or "none"
+	Kind  []Kind  `toml:"kind"`
 }
 
 // Kind is a number of boxes built alike.
 type Kind struct {
 	Name        string
-	Boxes       int
+	Boxes       int `toml:"boxes"`
 	Cores       int
 	Speed       float64 // of a core; 1 is standard
 	SpeedCV     float64 `toml:"speed_cv"` // from box to box, lognormal
@@ -74,10 +74,10 @@
 	ColdFor     Span    `toml:"cold_for"`
 	WarmBy      string  `toml:"warm_by"` // "time" or "work"
 	Start       string  // "warm", "cold" (it starts with the run) or "absent" (until an "add")
-	Cancel      string  // "nothing", "waiting" or "all"
+	Cancel      string  `toml:"cancel"` // "nothing", "waiting" or "all"
 	Connections int
 	TableTax    float64 `toml:"table_tax"`
-	Handshake   Span
+	Handshake   Span    `toml:"handshake"`
 }
 
 // Rules are what sidecars are told and judged by.
@@ -92,7 +92,7 @@
 	MaxHeld        int     `toml:"max_held"`
 	SecondCopies   bool    `toml:"second_copies"`
 	Cancel         bool
-	Probes         bool
+	Probes         bool `toml:"probes"`
 	RetryAfter     bool `toml:"retry_after"`
 	MaxRetryAfter  Span `toml:"max_retry_after"`
 	ConnectTimeout Span `toml:"connect_timeout"`
@@ -109,24 +109,24 @@
 	Shape     string  // "steady" (Poisson), "even" (one after another) or "wave"
 	Swing     float64 // wave: of the rate, up and down
 	Period    Span    // wave
-	Recorded  string  // or the arrivals of a sidecar's record: file, beside the scenario's
-	Retries   int
+	Recorded  string  `toml:"recorded"` // or the arrivals of a sidecar's record: file, beside the scenario's
+	Retries   int     `toml:"retries"`
 	TryShare  float64 `toml:"try_share"` // of the class's deadline, after which a try is given up
 	Backoff   Span    // before a retry
-	Honour    float64 // share of clients that follow Retry-After
-	Impatient float64 // share that leave before their time is up
-	Fresh     float64 // share of the requests that come on a connection of their own
+	Honour    float64 `toml:"honour"`    // share of clients that follow Retry-After
+	Impatient float64 `toml:"impatient"` // share that leave before their time is up
+	Fresh     float64 `toml:"fresh"`     // share of the requests that come on a connection of their own
 	Skew      float64 // share of the clients that the first sidecar gets beyond its even part
-	Notice    Span    // until the front sends no more to a sidecar that has died
+	Notice    Span    `toml:"notice"` // until the front sends no more to a sidecar that has died
 }
 
 // Burst is a crowd on top of the steady load.
 type Burst struct {
 	At    Span
-	For   Span
+	For   Span    `toml:"for"`
 	Rate  float64 // first tries a second
 	Class string  // "" is any, by the shares
-	Fresh bool    // each a new client with a connection of its own
+	Fresh bool    `toml:"fresh"` // each a new client with a connection of its own
 }
 
 // Fleet is the sidecars.
@@ -134,14 +134,14 @@
 	Sidecars    int      // of the first tier; each box of a tier with a next one has one of its own
 	Protocol    string   // between clients, sidecars and boxes: see Protocols
 	Policy      string   // "pinelb", or "plain": no sidecars, clients go round the listed boxes
-	Other       int      // how many of the first tier run the second build, where there is one
-	Rank        string   // "right", "equal" (all are told 0) or "none" (the settings lack it)
-	Operator    string   // text of the operator's file that they are given; "" is none
-	Told        int      // how many instances they are told there are; 0 is right
+	Other       int      `toml:"other"`    // how many of the first tier run the second build, where there is one
+	Rank        string   `toml:"rank"`     // "right", "equal" (all are told 0) or "none" (the settings lack it)
+	Operator    string   `toml:"operator"` // text of the operator's file that they are given; "" is none
+	Told        int      `toml:"told"`     // how many instances they are told there are; 0 is right
 	Budget      *Budgets // [budget] of the operator's file; nil is off
 	Start       string   // "before" the run, which waits until all are ready, or "with" it
 	StartSpread Span     `toml:"start_spread"` // with: over which they start
-	Known       string   // "fresh", "none" or "stale": the list that they start with
+	Known       string   `toml:"known"`        // "fresh", "none" or "stale": the list that they start with
 	MemoryMB    int      `toml:"memory_mb"`
 	Sockets     int
 	Cores       float64
@@ -149,29 +149,29 @@
 
 // Budgets is the section [budget] that sidecars get: the service is the name of the tier that each sends to.
 type Budgets struct {
-	Attempts int
-	Reentry  int
+	Attempts int     `toml:"attempts"`
+	Reentry  int     `toml:"reentry"`
 	Share    float64 // of the sidecars that get it; the others keep no accounts
 }
 
 // Discovery is how the lists travel.
 type Discovery struct {
-	Add       Span    // until a box that is up is listed
-	Notice    Span    // until a drain or an end of a process is
-	Silent    Span    // until a machine that says nothing is
-	Spread    Span    // beyond that, evenly from sidecar to sidecar
-	Whole     bool    // every change brings the whole list
-	LateShare float64 `toml:"late_share"` // share of the sidecars that hear all by Late later
-	Late      Span
-	Service   *Service // one service behind all agents, of bounded capacity; nil: agents answer at once and at no cost
+	Add       Span     `toml:"add"`        // until a box that is up is listed
+	Notice    Span     `toml:"notice"`     // until a drain or an end of a process is
+	Silent    Span     `toml:"silent"`     // until a machine that says nothing is
+	Spread    Span     `toml:"spread"`     // beyond that, evenly from sidecar to sidecar
+	Whole     bool     `toml:"whole"`      // every change brings the whole list
+	LateShare float64  `toml:"late_share"` // share of the sidecars that hear all by Late later
+	Late      Span     `toml:"late"`
+	Service   *Service `toml:"service"` // one service behind all agents, of bounded capacity; nil: agents answer at once and at no cost
 }
 
 // Service is the capacity of the list service. Every call takes its part of it, also one that then waits for news.
 type Service struct {
-	Calls      int    // at a time
-	Call       Span   // that each takes
-	Line       int    // that may wait
-	Beyond     string // what becomes of a call beyond that: "503", "reset", "silence" or "slower" (for all)
+	Calls      int    `toml:"calls"`       // at a time
+	Call       Span   `toml:"call"`        // that each takes
+	Line       int    `toml:"line"`        // that may wait
+	Beyond     string `toml:"beyond"`      // what becomes of a call beyond that: "503", "reset", "silence" or "slower" (for all)
 	RetryAfter Span   `toml:"retry_after"` // of the 503; 0 is none
 }
 
@@ -179,18 +179,18 @@
 type Audit struct {
 	Name    string
 	Start   Span    // from then on
-	Every   Span    // between its rounds
-	Within  Span    // that it waits for one sidecar; 0: as the program has it
-	List    bool    // it asks the list service, too; otherwise the newest version that it finds is the one to have
-	Raise   bool    // it raises floors
+	Every   Span    `toml:"every"`  // between its rounds
+	Within  Span    `toml:"within"` // that it waits for one sidecar; 0: as the program has it
+	List    bool    `toml:"list"`   // it asks the list service, too; otherwise the newest version that it finds is the one to have
+	Raise   bool    `toml:"raise"`  // it raises floors
 	Grace   Span    // of them
-	Spread  Span    // over which those under them ask again
+	Spread  Span    `toml:"spread"`   // over which those under them ask again
 	ShutOut bool    `toml:"shut_out"` // it gives tickets
-	Share   float64 // of the fleet and of each zone, at most
-	Kill    Span    // SIGKILL; 0 is never
-	Back    Span    // after that until it starts again from what it has kept; 0 is never
-	Pause   Span    // it does not run from then on; 0 is never
-	For     Span    // for so long
+	Share   float64 `toml:"share"`    // of the fleet and of each zone, at most
+	Kill    Span    `toml:"kill"`     // SIGKILL; 0 is never
+	Back    Span    `toml:"back"`     // after that until it starts again from what it has kept; 0 is never
+	Pause   Span    `toml:"pause"`    // it does not run from then on; 0 is never
+	For     Span    `toml:"for"`      // for so long
 }
 
 // Network is the virtual one; on sockets it is the machine's own.
@@ -202,29 +202,29 @@
 type Fault struct {
 	Kind     string
 	At       Span
-	For      Span     // 0 is to the end
+	For      Span     `toml:"for"` // 0 is to the end
 	Tier     string   // "" is the first
-	Boxes    int      // so many of the tier, drawn by the seed
+	Boxes    int      `toml:"boxes"` // so many of the tier, drawn by the seed
 	Share    float64  // or so large a part of it, at least one
 	Names    []string // or these; for a sidecar's kinds they name sidecars
 	Size     float64  // a share of requests or a factor, by kind
 	Class    string   // share of requests: only this class's; of hurry too
-	Above    int      // share of requests: only while a box has so many in work and waiting
-	By       string   // share of requests: "request", or "connection": a share of these is struck, as a whole
-	Left     float64  // hurry: share of the usual time that such clients give a try
-	Of       string   // flap: the fault that comes and goes; list_wrong: "empty", "half", "other"; links: "list", "boxes", "clients", "control"
+	Above    int      `toml:"above"` // share of requests: only while a box has so many in work and waiting
+	By       string   `toml:"by"`    // share of requests: "request", or "connection": a share of these is struck, as a whole
+	Left     float64  `toml:"left"`  // hurry: share of the usual time that such clients give a try
+	Of       string   `toml:"of"`    // flap: the fault that comes and goes; list_wrong: "empty", "half", "other"; links: "list", "boxes", "clients", "control"
 	Up, Down Span     // flap, and faults of the list service and of links
 	Grace    Span     // drain: until the process ends; sidecar_stop: until SIGKILL
-	Back     Span     // until it is back, after the end: drain, sidecar_kill, sidecar_stop; 0 is never. list_slow, link_slow: by how much
+	Back     Span     `toml:"back"` // until it is back, after the end: drain, sidecar_kill, sidecar_stop; 0 is never. list_slow, link_slow: by how much
 	Step     Span     // between one sidecar and the next
 }
 
 // Expect is a bound that the run has to keep. Broken rules need none: they always count.
 type Expect struct {
-	What  string // see Measures
-	Class string // "" is all
-	Least *float64
-	Most  *float64
-	From  Span // of the window of due times; 0 is from Settle
-	To    Span // 0 is to the end
+	What  string   `toml:"what"` // see Measures
+	Class string   // "" is all
+	Least *float64 `toml:"least"`
+	Most  *float64 `toml:"most"`
+	From  Span     // of the window of due times; 0 is from Settle
+	To    Span     // 0 is to the end
 }
