--- a/cmd/pinelab/play.go
+++ b/cmd/pinelab/play.go
@@ -70,9 +70,9 @@
 	if err != nil {
 		return err
 	}
-	boxes := len(s.BoxNames())
+	boxes := len(s.EndpointNames())
 	fmt.Fprintf(t.out, "%s holds: %v, %d classes, %d boxes in %d tiers, %d sidecars, %d faults, %d expectations\n",
-		s.Name, s.Length.D(), len(s.Class), boxes, len(s.Tier), s.Fleet.Sidecars, len(s.Fault), len(s.Expect))
+		s.Name, s.Length.D(), len(s.Classes), boxes, len(s.Tiers), s.Fleet.Sidecars, len(s.Faults), len(s.Expectations))
 	return nil
 }
 
@@ -124,8 +124,8 @@
 	if err != nil {
 		return nil, exit{faulty, err}
 	}
-	if at := s.Clients.Recorded; at != "" && !filepath.IsAbs(at) {
-		s.Clients.Recorded = filepath.Join(filepath.Dir(from), at)
+	if at := s.Clients.RecordFile; at != "" && !filepath.IsAbs(at) {
+		s.Clients.RecordFile = filepath.Join(filepath.Dir(from), at)
 	}
 	return s, nil
 }
--- a/internal/lab/auditcheck/audit_logs.go
+++ b/internal/lab/auditcheck/audit_logs.go
@@ -147,7 +147,7 @@
 			earliest = max(earliest, endedAt[attemptKey{attempt.Request, attempt.Number - 1}])
 		}
 		bySidecar[attempt.Sidecar] = append(bySidecar[attempt.Sidecar], firstTierRequest{
-			class:    c.plan.Scenario.Class[attempt.Class].Name,
+			class:    c.plan.Scenario.Classes[attempt.Class].Name,
 			endpoint: c.plan.Boxes[request.Endpoint].Name,
 			earliest: earliest,
 			latest:   request.FirstByte,
--- a/internal/lab/calibration/build.go
+++ b/internal/lab/calibration/build.go
@@ -30,17 +30,17 @@
 	m.classes(v, &s)
 	m.tier(v, &s)
 	rules(&s, v)
-	s.Clients.Recorded = RecordFile
-	s.Fleet.Sidecars, s.Fleet.Told = len(v.names), max(v.settings.Instances, len(v.names))
+	s.Clients.RecordFile = RecordFile
+	s.Fleet.Sidecars, s.Fleet.ConfiguredInstances = len(v.names), max(v.settings.Instances, len(v.names))
 	s.Fleet.MemoryMB, s.Fleet.Sockets = max(v.limits.MemoryMB, 32), max(v.limits.Sockets, 64)
 	s.Fleet.Cores = max(v.limits.Cores, 0.1)
 	notice, silent, add := m.delays(v)
 	d := &s.Discovery
-	d.Spread = 0
+	d.Jitter = 0
 	for _, p := range []struct {
 		at    *scenario.Span
 		found time.Duration
-	}{{&d.Notice, notice}, {&d.Silent, silent}, {&d.Add, add}} {
+	}{{&d.RemoveDelay, notice}, {&d.UnresponsiveDelay, silent}, {&d.AddDelay, add}} {
 		if p.found > 0 {
 			*p.at = span(p.found)
 		}
@@ -61,23 +61,23 @@
 	}
 	for i, c := range v.settings.Classes {
 		l := m.laws[i]
-		k := scenario.Class{Name: v.settings.ClassNames[i], Share: max(float64(asked[i]), 0.001), Aim: scenario.Span(c.Aim),
-			Deadline: scenario.Span(max(c.Deadline, c.Aim)), Worth: max(c.Worth, 0.001), Effect: effects[c.Effect],
-			Window: scenario.Span(c.Memory), Spread: "exp", Answer: 64}
+		k := scenario.Class{Name: v.settings.ClassNames[i], Share: max(float64(asked[i]), 0.001), TargetLatency: scenario.Span(c.Aim),
+			Deadline: scenario.Span(max(c.Deadline, c.Aim)), Value: max(c.Worth, 0.001), Idempotency: effects[c.Effect],
+			DedupWindow: scenario.Span(c.Memory), WorkDistribution: "exp", ResponseBytes: 64}
 		mean := l.mean
 		if l.exp {
-			k.Noise = math.Sqrt(math.Expm1(l.noise * l.noise))
+			k.AttemptCV = math.Sqrt(math.Expm1(l.noise * l.noise))
 		} else {
 			variance := l.sigma * l.sigma
 			mean = math.Exp(l.mu + variance/2)
-			k.Spread, k.CV = "lognormal", min(math.Sqrt(math.Expm1(variance*withinShare)), 5)
-			k.Noise = min(math.Sqrt(math.Expm1(variance*(1-withinShare))), 5)
+			k.WorkDistribution, k.CV = "lognormal", min(math.Sqrt(math.Expm1(variance*withinShare)), 5)
+			k.AttemptCV = min(math.Sqrt(math.Expm1(variance*(1-withinShare))), 5)
 		}
 		k.Work = scenario.Span(max(time.Duration(mean*float64(time.Second)).Round(time.Microsecond), 10*time.Microsecond))
 		if c.Effect != balance.Safe {
-			k.Body = 64
+			k.RequestBytes = 64
 		}
-		s.Class = append(s.Class, k)
+		s.Classes = append(s.Classes, k)
 	}
 }
 
@@ -89,22 +89,22 @@
 			name = "host-"
 		}
 	}
-	t := scenario.Tier{Name: strings.TrimSuffix(name, "-"), Work: 1, Carry: "all"}
+	t := scenario.Tier{Name: strings.TrimSuffix(name, "-"), Work: 1, Propagates: "all"}
 	failing := m.errorRate(v)
 	for i := range v.hosts {
 		h := &v.hosts[i]
-		k := scenario.Kind{Name: h.kind, Boxes: 1, Cores: m.cores, Speed: thousandths(m.speed[i]), Slots: m.slots, Queue: m.queue,
-			ErrorRate: failing, ColdFrom: thousandths(m.cold.from), ColdFor: max(span(m.cold.takes), scenario.Span(time.Millisecond)),
-			WarmBy: "time", Start: "warm", Cancel: "all", Connections: mostConnections, Handshake: scenario.Span(noCost)}
+		k := scenario.EndpointKind{Name: h.kind, Endpoints: 1, Cores: m.cores, Speed: thousandths(m.speed[i]), Slots: m.slots, Queue: m.queue,
+			ErrorRate: failing, WarmupInitialShare: thousandths(m.cold.from), WarmupDuration: max(span(m.cold.takes), scenario.Span(time.Millisecond)),
+			WarmupBy: "time", Start: "warm", CancelRule: "all", Connections: mostConnections, HandshakeWork: scenario.Span(noCost)}
 		if k.Name == "" {
 			k.Name = t.Name
 		}
 		if h.absent && len(h.starts) > 0 {
 			k.Start = "absent"
 		}
-		t.Kind = append(t.Kind, k)
+		t.Kinds = append(t.Kinds, k)
 	}
-	s.Tier = []scenario.Tier{t}
+	s.Tiers = []scenario.Tier{t}
 }
 
 // mostConnections is so high that it bounds nothing: a record does not show connections.
@@ -129,32 +129,32 @@
 // rules are the settings, as far as a scenario has words for them.
 func rules(s *scenario.Scenario, v *view) {
 	from, r := &v.settings, &s.Rules
-	r.DrainGrace, r.ColdShare, r.ColdFor = scenario.Span(from.DrainGrace), from.ColdShare, scenario.Span(from.ColdFor)
-	r.FallMultiple, r.FallWindow = from.FallMultiple, scenario.Span(from.FallWindow)
-	r.MaxAttempts, r.MaxHeld, r.SecondCopies = from.MaxAttempts, from.MaxHeld, from.SecondCopies
-	r.Cancel, r.Probes, r.RetryAfter = from.Cancel, from.Probes, from.RetryAfter
+	r.DrainGrace, r.WarmupInitialShare, r.WarmupDuration = scenario.Span(from.DrainGrace), from.ColdShare, scenario.Span(from.ColdFor)
+	r.CollapseMultiple, r.CollapseWindow = from.FallMultiple, scenario.Span(from.FallWindow)
+	r.MaxAttempts, r.MaxPending, r.Hedging = from.MaxAttempts, from.MaxHeld, from.SecondCopies
+	r.Cancel, r.HealthChecks, r.RetryAfter = from.Cancel, from.Probes, from.RetryAfter
 	r.MaxRetryAfter, r.ConnectTimeout = scenario.Span(from.MaxRetryAfter), scenario.Span(from.ConnectTimeout)
 	if from.ConnIdle > 0 {
-		r.ConnIdle = scenario.Span(from.ConnIdle)
+		r.ConnIdleTimeout = scenario.Span(from.ConnIdle)
 	}
-	r.PassesDeadline, r.MarksRetry, r.ByWork = from.PassesDeadline, from.MarksRetry, from.ByWork
+	r.PropagatesDeadline, r.MarksRetries, r.ValueByWork = from.PassesDeadline, from.MarksRetry, from.ByWork
 }
 
 // faults are the script.
 func (m *servers) faults(v *view, s *scenario.Scenario) {
-	names := s.BoxNames()
+	names := s.EndpointNames()
 	add := func(f scenario.Fault, host int, from, to time.Duration) {
 		f.At = span(from)
 		if f.At > s.Length || f.At < 0 {
 			return
 		}
 		if to < never {
-			f.For = max(span(to)-f.At, scenario.Span(time.Millisecond))
+			f.Duration = max(span(to)-f.At, scenario.Span(time.Millisecond))
 		}
 		if f.Share = 1; host >= 0 {
 			f.Share, f.Names = 0, []string{names[host]}
 		}
-		s.Fault = append(s.Fault, f)
+		s.Faults = append(s.Faults, f)
 	}
 	for i := range v.hosts {
 		if h := &v.hosts[i]; h.absent && len(h.starts) > 0 {
@@ -166,10 +166,10 @@
 			add(scenario.Fault{Kind: d.kind}, d.host, d.from, d.to)
 			continue
 		}
-		at := max(d.told-s.Discovery.Notice.D(), 0)
+		at := max(d.told-s.Discovery.RemoveDelay.D(), 0)
 		f := scenario.Fault{Kind: "drain", Grace: span(max(d.from-at, time.Millisecond))}
 		if d.to < never {
-			f.Back = span(max(d.to-d.from, time.Millisecond))
+			f.RecoveryDelay = span(max(d.to-d.from, time.Millisecond))
 		}
 		add(f, d.host, at, never)
 	}
@@ -180,10 +180,10 @@
 		add(scenario.Fault{Kind: "slow", Size: thousandths(w.factor)}, w.host, w.from, w.to)
 	}
 	for _, l := range restarts(v) {
-		f := scenario.Fault{Kind: "sidecar_kill", At: span(l.from), Back: span(max(l.to-l.from, time.Millisecond)),
+		f := scenario.Fault{Kind: "sidecar_kill", At: span(l.from), RecoveryDelay: span(max(l.to-l.from, time.Millisecond)),
 			Names: []string{fmt.Sprint("n", l.sidecar+1)}}
 		if f.At <= s.Length {
-			s.Fault = append(s.Fault, f)
+			s.Faults = append(s.Faults, f)
 		}
 	}
 }
--- a/internal/lab/calibration/notes.go
+++ b/internal/lab/calibration/notes.go
@@ -88,7 +88,7 @@
 	for _, l := range restarts(v) {
 		add("%s was not running from %s to %s", v.names[l.sidecar], at(l.from), at(l.to))
 	}
-	if names := s.BoxNames(); names[0] != v.hosts[0].name {
+	if names := s.EndpointNames(); names[0] != v.hosts[0].name {
 		last := len(names) - 1
 		add("the boxes %s to %s are the hosts %s to %s, in the order of their names", names[0], names[last], v.hosts[0].name, v.hosts[last].name)
 	}
--- a/internal/lab/calibration/records_test.go
+++ b/internal/lab/calibration/records_test.go
@@ -112,12 +112,12 @@
 	if a := r.Arrivals; a[0].At > 2*time.Second || len(a) != n+len(second.Streams) {
 		t.Errorf("%d of %d streams are played, the first at %v", len(a), n+len(second.Streams), a[0].At)
 	}
-	for _, f := range r.Scenario.Fault {
-		if f.Kind == "sidecar_kill" && f.Names[0] == "n1" && f.Back > 0 {
+	for _, f := range r.Scenario.Faults {
+		if f.Kind == "sidecar_kill" && f.Names[0] == "n1" && f.RecoveryDelay > 0 {
 			return
 		}
 	}
-	t.Errorf("no sidecar is stopped: %+v", r.Scenario.Fault)
+	t.Errorf("no sidecar is stopped: %+v", r.Scenario.Faults)
 }
 
 // TestStrongest holds the one pass against all parts of a sequence.
--- a/internal/lab/calibration/rehearse_test.go
+++ b/internal/lab/calibration/rehearse_test.go
@@ -130,8 +130,8 @@
 func TestCalmStaysCalm(t *testing.T) {
 	records, _, _ := observe(t, "calm", "", 10*time.Second, 1)
 	r := fitted(t, records, direct)
-	if len(r.Scenario.Fault) > 0 {
-		t.Errorf("faults were found in a calm: %+v", r.Scenario.Fault)
+	if len(r.Scenario.Faults) > 0 {
+		t.Errorf("faults were found in a calm: %+v", r.Scenario.Faults)
 	}
 	again := fitted(t, records, direct)
 	if d := cmp.Diff(r.Scenario, again.Scenario); d != "" || !cmp.Equal(r.Arrivals, again.Arrivals) || !cmp.Equal(r.Notes, again.Notes) {
@@ -160,7 +160,7 @@
 		if f.found != "" {
 			kind = f.found
 		}
-		for _, g := range r.Scenario.Fault {
+		for _, g := range r.Scenario.Faults {
 			if len(g.Names) != 1 || g.Names[0] != host {
 				continue
 			}
@@ -177,8 +177,8 @@
 				t.Errorf("%s: %s from %v, not from %g s", host, kind, g.At.D(), f.at)
 			}
 			// A host that left is not back; and once connections are refused hardly any are tried.
-			if off := g.For.D().Seconds() - f.length; f.kind != "leave" && f.kind != "refuse" && (off < -1.6 || off > 1.6) {
-				t.Errorf("%s: %s for %v, not for %g s", host, kind, g.For.D(), f.length)
+			if off := g.Duration.D().Seconds() - f.length; f.kind != "leave" && f.kind != "refuse" && (off < -1.6 || off > 1.6) {
+				t.Errorf("%s: %s for %v, not for %g s", host, kind, g.Duration.D(), f.length)
 			}
 		}
 		if seen != 1 {
@@ -235,11 +235,11 @@
 		}
 		records, _ := played(t, p)
 		r := fitted(t, records, direct)
-		if got := r.Scenario.Tier[0].Kind[0].Cores; got != cores {
+		if got := r.Scenario.Tiers[0].Kinds[0].Cores; got != cores {
 			t.Errorf("%d cores were found for %d", got, cores)
 		}
-		if len(r.Scenario.Fault) > 0 {
-			t.Errorf("faults were found in a calm: %+v", r.Scenario.Fault)
+		if len(r.Scenario.Faults) > 0 {
+			t.Errorf("faults were found in a calm: %+v", r.Scenario.Faults)
 		}
 	}
 }
@@ -255,7 +255,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	copied, err := os.ReadFile(s.Clients.Recorded)
+	copied, err := os.ReadFile(s.Clients.RecordFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -263,7 +263,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Clients.Recorded = r.Scenario.Clients.Recorded
+	s.Clients.RecordFile = r.Scenario.Clients.RecordFile
 	if d := cmp.Diff(r.Scenario, s, cmpopts.EquateEmpty(), cmpopts.EquateApprox(0, 1e-12)); d != "" {
 		t.Error("the file says otherwise:", d)
 	}
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -51,7 +51,7 @@
 		seed = c.Scenario.Seed
 	}
 	arrivals := c.Arrivals
-	if path := c.Scenario.Clients.Recorded; path != "" && arrivals == nil {
+	if path := c.Scenario.Clients.RecordFile; path != "" && arrivals == nil {
 		var err error
 		if arrivals, err = recorded(path, c.Scenario); err != nil {
 			return nil, err
--- a/internal/lab/experiment/vary_test.go
+++ b/internal/lab/experiment/vary_test.go
@@ -29,7 +29,7 @@
 	if w := strings.Join(words, "; "); w != "1 0.3 cold; 1 1 cold; 50 0.3 cold; 50 1 cold" {
 		t.Errorf("variants %s", w)
 	}
-	if s := got[2].Scenario; s.Fleet.Sidecars != 50 || s.Clients.Load != 0.3 || s.Tier[0].Kind[1].Start != "cold" || s.Tier[0].Kind[0].Start != "warm" {
+	if s := got[2].Scenario; s.Fleet.Sidecars != 50 || s.Clients.Load != 0.3 || s.Tiers[0].Kinds[1].Start != "cold" || s.Tiers[0].Kinds[0].Start != "warm" {
 		t.Errorf("%+v", s)
 	}
 	for _, bad := range []string{"fleet.sidecras=1", "tier.7.name=x", "name.first=x", "clients.load=much"} {
--- a/internal/lab/judge/attempts.go
+++ b/internal/lab/judge/attempts.go
@@ -36,7 +36,7 @@
 				"attempt %d came to box %s; %d are allowed",
 				count, e.endpointName(request.Endpoint), e.plan.Scenario.Rules.MaxAttempts)
 		}
-		if !e.plan.Scenario.Rules.SecondCopies {
+		if !e.plan.Scenario.Rules.Hedging {
 			e.checkHedges(attempt, request, requests[:earlier])
 		}
 	}
--- a/internal/lab/judge/cold_load.go
+++ b/internal/lab/judge/cold_load.go
@@ -38,7 +38,7 @@
 			if load.InformedShare >= minInformedShare {
 				e.report(Violation{Kind: ColdOverload, At: load.CollapsedAt, Request: -1, Endpoint: i, Sidecar: -1},
 					"box %s was cold and fell over: in a window of %s it was sent %.2f times what it stands, %.0f%% of it by sidecars that knew of its start",
-					e.endpointName(i), e.plan.Scenario.Rules.FallWindow.D(), load.Max, 100*load.InformedShare)
+					e.endpointName(i), e.plan.Scenario.Rules.CollapseWindow.D(), load.Max, 100*load.InformedShare)
 			}
 		}
 		e.verdict.Endpoints = append(e.verdict.Endpoints, load)
@@ -66,7 +66,7 @@
 		// It was down until it started: when that was follows from what it could do since.
 		start := max(before.At, run[0].At-time.Duration(float64(run[0].PossibleWork-before.PossibleWork)/atStart))
 		started := trace.Sample{At: start, SentWork: before.SentWork, PossibleWork: before.PossibleWork}
-		maximum = max(maximum, maxWindowLoad(append([]trace.Sample{started}, run...), rules.FallWindow.D(), atStart)/rules.FallMultiple)
+		maximum = max(maximum, maxWindowLoad(append([]trace.Sample{started}, run...), rules.CollapseWindow.D(), atStart)/rules.CollapseMultiple)
 		from = to
 	}
 	return maximum
@@ -104,7 +104,7 @@
 	var informed, all time.Duration
 	for i := range e.log.EndpointRequests {
 		request := &e.log.EndpointRequests[i]
-		if request.Endpoint != endpoint || request.FirstByte > by || request.FirstByte < max(start, after-e.plan.Scenario.Rules.FallWindow.D()) {
+		if request.Endpoint != endpoint || request.FirstByte > by || request.FirstByte < max(start, after-e.plan.Scenario.Rules.CollapseWindow.D()) {
 			continue
 		}
 		n := e.index.attempt(request.TransactionID)
--- a/internal/lab/judge/cold_requests.go
+++ b/internal/lab/judge/cold_requests.go
@@ -28,7 +28,7 @@
 
 // maxRatioAfterStart is MaxColdRequestRatio after one start of an endpoint.
 func (e *evaluation) maxRatioAfterStart(endpoint int, start time.Duration) (ratio float64, where string) {
-	spec, window := &e.plan.Boxes[endpoint].Spec, e.plan.Scenario.Rules.FallWindow.D()
+	spec, window := &e.plan.Boxes[endpoint].Spec, e.plan.Scenario.Rules.CollapseWindow.D()
 	knownAt := e.startKnownAt(endpoint, start)
 	var requests []trace.EndpointRequest // of the window that ends with the last of them
 	for _, request := range e.log.EndpointRequests {
@@ -45,7 +45,7 @@
 		}
 		age := max(0, request.FirstByte-window/2-start) // capacity grows evenly: in the middle of the window it is the mean
 		capacity := float64(spec.Cores) * spec.Speed * (spec.ColdFrom + (1-spec.ColdFrom)*float64(age)/float64(spec.ColdFor))
-		allowed := e.plan.Scenario.Rules.FallMultiple * capacity * float64(window) / meanWork(e.plan)
+		allowed := e.plan.Scenario.Rules.CollapseMultiple * capacity * float64(window) / meanWork(e.plan)
 		if r := float64(len(requests)) / (allowed + 2*math.Sqrt(allowed) + 2); r > ratio {
 			ratio = r
 			where = fmt.Sprintf("%v after its start: %d in %v, %d of them told, N is %.1f",
@@ -73,7 +73,7 @@
 // meanWork is the mean work of a request, in nanoseconds of a standard core.
 func meanWork(p *plan.Plan) float64 {
 	work, shares := 0.0, 0.0
-	for _, class := range p.Scenario.Class {
+	for _, class := range p.Scenario.Classes {
 		work += class.Share * float64(class.Work.D())
 		shares += class.Share
 	}
--- a/internal/lab/judge/idempotency.go
+++ b/internal/lab/judge/idempotency.go
@@ -28,7 +28,7 @@
 	if effect == "safe" {
 		return
 	}
-	window := e.plan.Scenario.Class[attempt.Class].Window.D() + e.slack // of keyed classes: within it a second request has no effect
+	window := e.plan.Scenario.Classes[attempt.Class].DedupWindow.D() + e.slack // of keyed classes: within it a second request has no effect
 	var first *trace.EndpointRequest
 	for _, i := range requests {
 		request := &e.log.EndpointRequests[i]
--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -87,7 +87,7 @@
 	e := &evaluation{
 		plan:         p,
 		log:          log,
-		slack:        p.Scenario.Rules.AnswerSlack.D() + 2*p.Scenario.Network.Delay.D(),
+		slack:        p.Scenario.Rules.ResponseSlack.D() + 2*p.Scenario.Network.Delay.D(),
 		index:        newIndex(log),
 		incarnations: incarnations(p, log),
 		discovery:    newDiscoveryView(p, log),
@@ -146,7 +146,7 @@
 }
 
 // effect is a class's effect as the scenario has it: "safe", "keyed" or "unsafe".
-func (e *evaluation) effect(class int) string { return e.plan.Scenario.Class[class].Effect }
+func (e *evaluation) effect(class int) string { return e.plan.Scenario.Classes[class].Idempotency }
 
 func (e *evaluation) endpointName(i int) string {
 	if i < 0 || i >= len(e.plan.Boxes) {
--- a/internal/lab/judge/judge_test.go
+++ b/internal/lab/judge/judge_test.go
@@ -107,7 +107,7 @@
 	} {
 		for _, allowed := range []bool{false, true} {
 			p, log := parseScript(t, requestLine+text)
-			if p.Scenario.Rules.SecondCopies = allowed; allowed {
+			if p.Scenario.Rules.Hedging = allowed; allowed {
 				want = ""
 			}
 			if got := countsText(Judge(p, log)); got != want {
--- a/internal/lab/judge/property_test.go
+++ b/internal/lab/judge/property_test.go
@@ -38,7 +38,7 @@
 func (c *correctRun) odds(percent int) bool { return rapid.IntRange(0, 99).Draw(c.T, "odds") < percent }
 
 func (c *correctRun) run() {
-	c.p.Scenario.Rules.SecondCopies = c.odds(50)
+	c.p.Scenario.Rules.Hedging = c.odds(50)
 	for s := range 2 {
 		c.log.SidecarEvents = append(c.log.SidecarEvents, trace.SidecarEvent{At: -time.Minute, Sidecar: s, Kind: trace.SidecarStarted})
 		c.killedAt[s] = never
@@ -171,7 +171,7 @@
 			c.log.EndpointRequests = append(c.log.EndpointRequests, *v, *v, *v)
 		},
 		ForbiddenHedge: func(c *correctRun, _ *trace.ClientAttempt, v *trace.EndpointRequest) {
-			c.p.Scenario.Rules.SecondCopies = false
+			c.p.Scenario.Rules.Hedging = false
 			v.Ended = v.FirstByte + 200*time.Millisecond
 			again := *v
 			again.FirstByte, again.LastByte = v.FirstByte+time.Millisecond, v.FirstByte+time.Millisecond
--- a/internal/lab/judge/timeline.go
+++ b/internal/lab/judge/timeline.go
@@ -71,14 +71,14 @@
 func (t *timeline) addRequest(index int) {
 	if index < len(t.plan.Requests) {
 		planned := &t.plan.Requests[index]
-		class := &t.plan.Scenario.Class[planned.Class]
-		t.extend(planned.Due, "request %d is due: %s (%s), its client waits %s", index, class.Name, class.Effect, planned.Patience)
+		class := &t.plan.Scenario.Classes[planned.Class]
+		t.extend(planned.Due, "request %d is due: %s (%s), its client waits %s", index, class.Name, class.Idempotency, planned.Patience)
 	}
 	for _, i := range t.index.attemptsOf(index) {
 		attempt := &t.log.ClientAttempts[i]
 		name := fmt.Sprintf("try %d", attempt.Number+1)
 		if attempt.Tier > 0 {
-			name = fmt.Sprintf("call %016x of tier %s", attempt.TransactionID, t.plan.Scenario.Tier[attempt.Tier].Name)
+			name = fmt.Sprintf("call %016x of tier %s", attempt.TransactionID, t.plan.Scenario.Tiers[attempt.Tier].Name)
 		}
 		t.sidecars[attempt.Sidecar] = true
 		if attempt.Sent != trace.Unset {
@@ -142,7 +142,7 @@
 // addSenders adds how many requests each sidecar sent to an endpoint before it collapsed.
 func (t *timeline) addSenders(endpoint int) {
 	knownAt := t.startKnownAt(endpoint, lastStart(t.plan, endpoint, t.to))
-	window := t.plan.Scenario.Rules.FallWindow.D()
+	window := t.plan.Scenario.Rules.CollapseWindow.D()
 	count := map[int]int{}
 	for i := range t.log.EndpointRequests {
 		request := &t.log.EndpointRequests[i]
--- a/internal/lab/loopback/agent_polls.go
+++ b/internal/lab/loopback/agent_polls.go
@@ -141,7 +141,7 @@
 	served := a.servedCatalog()
 	response := listResponse{
 		Revision: served.revision,
-		Complete: a.run.plan.Scenario.Discovery.Whole || !served.hasRevision(since),
+		Complete: a.run.plan.Scenario.Discovery.FullLists || !served.hasRevision(since),
 	}
 	entries := served.changesSince(since)
 	if response.Complete {
--- a/internal/lab/loopback/auditor.go
+++ b/internal/lab/loopback/auditor.go
@@ -20,7 +20,7 @@
 // auditor is an auditor of the fleet (pinelb audit) over all its processes, of which there is one at a time.
 type auditor struct {
 	run  *run
-	plan *scenario.Audit
+	plan *scenario.Auditor
 
 	mu         sync.Mutex
 	startCount int
@@ -86,20 +86,20 @@
 		"audit", inventory,
 		"--by=" + fmt.Sprintf("%s-%d", p.Name, a.startCount),
 		"--json",
-		"--watch=" + p.Every.D().String(),
+		"--watch=" + p.Interval.D().String(),
 		"--kept=" + a.statePath(),
-		"--share=" + strconv.FormatFloat(p.Share, 'g', -1, 64),
+		"--share=" + strconv.FormatFloat(p.MaxPermitShare, 'g', -1, 64),
 	}
-	if p.Within > 0 {
-		args = append(args, "--within="+p.Within.D().String())
+	if p.Timeout > 0 {
+		args = append(args, "--within="+p.Timeout.D().String())
 	}
-	if p.List {
+	if p.PollsList {
 		args = append(args, "--list="+a.run.addresses.listService())
 	}
-	if p.Raise {
-		args = append(args, "--raise", "--grace="+p.Grace.D().String(), "--spread="+p.Spread.D().String())
+	if p.RaisesMinimum {
+		args = append(args, "--raise", "--grace="+p.Grace.D().String(), "--spread="+p.Jitter.D().String())
 	}
-	if p.ShutOut {
+	if p.IssuesPermits {
 		args = append(args, "--shut-out")
 	}
 	return args
--- a/internal/lab/loopback/client_helpers_test.go
+++ b/internal/lab/loopback/client_helpers_test.go
@@ -40,11 +40,11 @@
 	s := scenario.Default()
 	s.Fleet.Protocol = protocol
 	for _, effect := range []string{"safe", "keyed", "unsafe"} {
-		c := scenario.Class{Name: effect + "-one", Effect: effect, Share: 1}
+		c := scenario.Class{Name: effect + "-one", Idempotency: effect, Share: 1}
 		if effect != "safe" {
-			c.Body = 5
+			c.RequestBytes = 5
 		}
-		s.Class = append(s.Class, c)
+		s.Classes = append(s.Classes, c)
 	}
 	p := &plan.Plan{Scenario: &s, Sidecars: []plan.Sidecar{{Name: "n1", Box: -1, Weight: 1}}}
 	net, err := newAddresses()
--- a/internal/lab/loopback/client_http.go
+++ b/internal/lab/loopback/client_http.go
@@ -17,27 +17,27 @@
 var errMalformedResponse = errors.New("loopback: malformed HTTP/1.1 response")
 
 func (h http1Codec) appendRequest(out []byte, request *clientRequest) []byte {
-	class := &h.plan.Scenario.Class[request.attempt.Class]
+	class := &h.plan.Scenario.Classes[request.attempt.Class]
 	method := http.MethodPost
-	if class.Effect == "safe" {
+	if class.Idempotency == "safe" {
 		method = http.MethodGet
 	}
 	out = fmt.Appendf(out, "%s %s HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: %016x\r\nX-Lane: %s\r\nX-Remaining-Ms: %d\r\n",
 		method, requestPath(class.Name, request.attempt.Request), request.attempt.TransactionID, class.Name, request.timeout.Milliseconds())
-	if class.Effect == "keyed" {
+	if class.Idempotency == "keyed" {
 		out = fmt.Appendf(out, "Idempotency-Key: %032x\r\n", request.idempotencyKey)
 	}
 	if request.baggage != "" {
 		out = fmt.Appendf(out, "Baggage: %s\r\n", request.baggage)
 	}
-	if request.retried && h.plan.Scenario.Rules.MarksRetry {
+	if request.retried && h.plan.Scenario.Rules.MarksRetries {
 		out = append(out, "X-Resent: 1\r\n"...)
 	}
-	if class.Effect == "safe" {
+	if class.Idempotency == "safe" {
 		return append(out, "\r\n"...)
 	}
-	out = fmt.Appendf(out, "Content-Length: %d\r\n\r\n", class.Body)
-	for range class.Body {
+	out = fmt.Appendf(out, "Content-Length: %d\r\n\r\n", class.RequestBytes)
+	for range class.RequestBytes {
 		out = append(out, 'x')
 	}
 	return out
--- a/internal/lab/loopback/client_thrift.go
+++ b/internal/lab/loopback/client_thrift.go
@@ -21,21 +21,21 @@
 // messageHead is the head of a request's call. The sequence id is the low half of the transaction id, which another call on the
 // same connection seldom has.
 func (c thriftClientCodec) messageHead(request *clientRequest) thriftHead {
-	return thriftHead{c.plan.Scenario.Class[request.attempt.Class].Method(), thrift.CALL, int32(request.attempt.TransactionID)}
+	return thriftHead{c.plan.Scenario.Classes[request.attempt.Class].ThriftMethod(), thrift.CALL, int32(request.attempt.TransactionID)}
 }
 
 func (c thriftClientCodec) appendRequest(out []byte, request *clientRequest) []byte {
-	class := &c.plan.Scenario.Class[request.attempt.Class]
+	class := &c.plan.Scenario.Classes[request.attempt.Class]
 	return c.form.write(out, c.messageHead(request), func(w thriftWriter) {
 		w.fields(func() {
 			w.text(argTxn, fmt.Sprintf("%016x", request.attempt.TransactionID))
-			if class.Effect == "keyed" {
+			if class.Idempotency == "keyed" {
 				w.text(argKey, fmt.Sprintf("%032x", request.idempotencyKey))
 			}
 			w.number(argRemaining, int32(request.timeout.Milliseconds()))
 			w.number(argRequest, int32(request.attempt.Request))
-			if class.Body > 0 {
-				w.text(argBody, strings.Repeat("x", class.Body))
+			if class.RequestBytes > 0 {
+				w.text(argBody, strings.Repeat("x", class.RequestBytes))
 			}
 		})
 	})
--- a/internal/lab/loopback/endpoint.go
+++ b/internal/lab/loopback/endpoint.go
@@ -54,7 +54,7 @@
 		plan:          spec,
 		tier:          r.tierState(spec.Tier),
 		codec:         newEndpointCodec(r.plan),
-		idleTimeout:   r.plan.Scenario.Rules.ConnIdle.D(),
+		idleTimeout:   r.plan.Scenario.Rules.ConnIdleTimeout.D(),
 		mu:            new(sync.Mutex),
 		model:         model.New(spec.Spec, spec.Seed),
 		timerAt:       model.Never,
--- a/internal/lab/loopback/endpoint_fixture_test.go
+++ b/internal/lab/loopback/endpoint_fixture_test.go
@@ -141,7 +141,7 @@
 	s.used[class]++
 	for i := range s.plan.Requests {
 		r := &s.plan.Requests[i]
-		if s.plan.Scenario.Class[r.Class].Name != class {
+		if s.plan.Scenario.Classes[r.Class].Name != class {
 			continue
 		}
 		if n--; n < 0 {
--- a/internal/lab/loopback/endpoint_request.go
+++ b/internal/lab/loopback/endpoint_request.go
@@ -69,7 +69,7 @@
 
 // answerHealthCheck answers a health check; an endpoint that hangs does not answer.
 func (e *endpoint) answerHealthCheck(conn *serverConn, request *incomingRequest, now time.Duration) {
-	if !e.run.plan.Scenario.Rules.Probes {
+	if !e.run.plan.Scenario.Rules.HealthChecks {
 		conn.responses <- request.response(responseNotFound)
 		return
 	}
@@ -245,7 +245,7 @@
 	default:
 		class := e.run.plan.Requests[request.planIndex].Class
 		response.transactionID, response.requestNumber = request.TransactionID, request.number
-		response.size = max(1, e.run.plan.Scenario.Class[class].Answer)
+		response.size = max(1, e.run.plan.Scenario.Classes[class].ResponseBytes)
 		response.seed = [2]uint64{e.random.Uint64(), e.random.Uint64()}
 	}
 	conn.responses <- response
--- a/internal/lab/loopback/endpoint_test.go
+++ b/internal/lab/loopback/endpoint_test.go
@@ -28,7 +28,7 @@
 		if endpoint, ok := verifyBody(q.attempt.TransactionID, body); !ok || endpoint != 0 {
 			t.Errorf("%s: the body is not endpoint 0's", class)
 		}
-		if want := s.plan.Scenario.Class[q.attempt.Class].Answer; len(body) != want {
+		if want := s.plan.Scenario.Classes[q.attempt.Class].ResponseBytes; len(body) != want {
 			t.Errorf("%s: the body has %d bytes, not %d", class, len(body), want)
 		}
 		v := s.endpointRequest(q.attempt.TransactionID)
--- a/internal/lab/loopback/endpoint_thrift.go
+++ b/internal/lab/loopback/endpoint_thrift.go
@@ -95,9 +95,9 @@
 	if g.unexpected || g.request < 0 || g.request >= len(p.Requests) {
 		return false
 	}
-	class := &p.Scenario.Class[p.Requests[g.request].Class]
-	return method == class.Method() && g.keyed == (class.Effect == "keyed") &&
-		bytes.Equal(g.body, bytes.Repeat([]byte{'x'}, class.Body))
+	class := &p.Scenario.Classes[p.Requests[g.request].Class]
+	return method == class.ThriftMethod() && g.keyed == (class.Idempotency == "keyed") &&
+		bytes.Equal(g.body, bytes.Repeat([]byte{'x'}, class.RequestBytes))
 }
 
 // thriftExceptions are the responses that are no reply.
@@ -106,7 +106,7 @@
 	message string
 }{
 	responseError:      {thrift.INTERNAL_ERROR, "the box failed"},
-	responseRejected:   {scenario.ThriftTurnedAway, "turned away"},
+	responseRejected:   {scenario.ThriftRejectedType, "turned away"},
 	responseBadRequest: {thrift.PROTOCOL_ERROR, "no caller made this call"},
 	responseNotFound:   {thrift.UNKNOWN_METHOD, "there is no such call here"},
 }
--- a/internal/lab/loopback/fleet.go
+++ b/internal/lab/loopback/fleet.go
@@ -160,7 +160,7 @@
 // gracePeriod is how long a graceful shutdown may take, as on the platform.
 func (f *fleet) gracePeriod() time.Duration {
 	longest := time.Duration(0)
-	for _, class := range f.run.plan.Scenario.Class {
+	for _, class := range f.run.plan.Scenario.Classes {
 		longest = max(longest, class.Deadline.D())
 	}
 	return min(longest, maxGracedDeadline) + graceMargin
--- a/internal/lab/loopback/fleet_test.go
+++ b/internal/lab/loopback/fleet_test.go
@@ -23,8 +23,8 @@
 func newTestRun(n int, dir string) (*run, error) {
 	s := scenario.Default()
 	s.Fleet.Sidecars = n
-	s.Class = []scenario.Class{{Name: "c", Effect: "safe", Deadline: scenario.Span(time.Second)}}
-	s.Tier = []scenario.Tier{{Name: "t", Kind: []scenario.Kind{{Name: "t", Boxes: 1, Cores: 1, Speed: 1}}}}
+	s.Classes = []scenario.Class{{Name: "c", Idempotency: "safe", Deadline: scenario.Span(time.Second)}}
+	s.Tiers = []scenario.Tier{{Name: "t", Kinds: []scenario.EndpointKind{{Name: "t", Endpoints: 1, Cores: 1, Speed: 1}}}}
 	p, err := plan.Build(&s, 1, []plan.Arrival{})
 	if err != nil {
 		return nil, err
@@ -123,14 +123,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.plan.Scenario.Clients.Notice = scenario.Span(time.Hour)
+	r.plan.Scenario.Clients.FailureDetection = scenario.Span(time.Hour)
 	f.sidecars[0].kill()
 	<-f.sidecars[0].currentProcess().exited
 	expectEvents(t, r, 0, trace.SidecarStarted, trace.SidecarReady, trace.SidecarKilled)
 	if !f.routable(0) {
 		t.Error("the front has noticed the death at once")
 	}
-	r.plan.Scenario.Clients.Notice = 0
+	r.plan.Scenario.Clients.FailureDetection = 0
 	f.sidecars[1].kill()
 	<-f.sidecars[1].currentProcess().exited
 	if f.routable(1) {
--- a/internal/lab/loopback/http_codec.go
+++ b/internal/lab/loopback/http_codec.go
@@ -60,9 +60,9 @@
 	if !ok || index >= len(h.plan.Requests) {
 		return -1, 0
 	}
-	class := &h.plan.Scenario.Class[h.plan.Requests[index].Class]
-	method, size := http.MethodPost, class.Body
-	if class.Effect == "safe" {
+	class := &h.plan.Scenario.Classes[h.plan.Requests[index].Class]
+	method, size := http.MethodPost, class.RequestBytes
+	if class.Idempotency == "safe" {
 		method, size = http.MethodGet, 0
 	}
 	text := req.Header.Get("Idempotency-Key")
@@ -72,7 +72,7 @@
 		}
 	}
 	if req.Method != method || req.RequestURI != requestPath(class.Name, index) || len(body) != size ||
-		(text != "") != (class.Effect == "keyed") {
+		(text != "") != (class.Idempotency == "keyed") {
 		return -1, 0
 	}
 	for _, c := range body {
--- a/internal/lab/loopback/list_faults.go
+++ b/internal/lab/loopback/list_faults.go
@@ -24,8 +24,8 @@
 
 // configure sets the scenario's capacity, if it has one.
 func (c *serviceCapacity) configure(p *plan.Plan) {
-	if service := p.Scenario.Discovery.Service; service != nil {
-		c.model = &model.Listing{Calls: service.Calls, Call: service.Call.D(), Line: service.Line, Beyond: model.Beyond(service.Beyond)}
+	if service := p.Scenario.Discovery.ListService; service != nil {
+		c.model = &model.Listing{Calls: service.Concurrency, Call: service.ServiceTime.D(), Line: service.QueueLength, Beyond: model.Beyond(service.OnOverflow)}
 		c.retryAfter = service.RetryAfter.D()
 	}
 }
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -119,8 +119,8 @@
 	if err := r.setUpDiscovery(); err != nil {
 		return err
 	}
-	for i := range r.plan.Scenario.Audit {
-		r.auditors = append(r.auditors, &auditor{run: r, plan: &r.plan.Scenario.Audit[i]})
+	for i := range r.plan.Scenario.Auditors {
+		r.auditors = append(r.auditors, &auditor{run: r, plan: &r.plan.Scenario.Auditors[i]})
 	}
 	r.replayer.run = r
 	if err := r.setUpLinks(); err != nil {
@@ -138,7 +138,7 @@
 		}
 		r.agents = append(r.agents, a)
 	}
-	if len(r.plan.Scenario.Audit) == 0 {
+	if len(r.plan.Scenario.Auditors) == 0 {
 		return nil
 	}
 	var err error
@@ -233,7 +233,7 @@
 		}
 	})
 	r.updateRoundRobin(plan.Event{Kind: plan.BeginFault, Box: endpoint, Fault: model.Fault{Kind: model.Dead}})
-	r.schedule(r.plan.Scenario.Discovery.Notice.D(), func() {
+	r.schedule(r.plan.Scenario.Discovery.RemoveDelay.D(), func() {
 		gone := plan.Listed{Box: endpoint, Phase: trace.PhaseGone}
 		if r.listService != nil && r.plan.Boxes[endpoint].Tier == 0 {
 			r.listService.update(gone)
--- a/internal/lab/loopback/next_tier.go
+++ b/internal/lab/loopback/next_tier.go
@@ -39,7 +39,7 @@
 func (e *endpoint) nextTierRequest(request *endpointRequest, callIndex int) (clientRequest, bool) {
 	p, now := e.run.plan, e.run.elapsed()
 	planned := &p.Requests[request.planIndex]
-	nextTier := p.Scenario.Next(e.plan.Tier)
+	nextTier := p.Scenario.NextTierIndex(e.plan.Tier)
 	timeout := e.callTimeout(request, now)
 	directEndpoint := -1
 	if e.run.roundRobin != nil {
@@ -75,8 +75,8 @@
 // callTimeout is the class's deadline, or what is left of the request's if the scenario has endpoints propagate deadlines.
 func (e *endpoint) callTimeout(request *endpointRequest, now time.Duration) time.Duration {
 	p := e.run.plan
-	timeout := p.Scenario.Class[p.Requests[request.planIndex].Class].Deadline.D()
-	if !p.Scenario.Rules.PassesDeadline {
+	timeout := p.Scenario.Classes[p.Requests[request.planIndex].Class].Deadline.D()
+	if !p.Scenario.Rules.PropagatesDeadline {
 		return timeout
 	}
 	if request.timeout > 0 {
@@ -97,5 +97,5 @@
 
 // propagatesContext reports whether the endpoint propagates headers that it doesn't know, in both directions.
 func (e *endpoint) propagatesContext() bool {
-	return e.run.plan.Scenario.Tier[e.plan.Tier].Carry == "all"
+	return e.run.plan.Scenario.Tiers[e.plan.Tier].Propagates == "all"
 }
--- a/internal/lab/loopback/recorder.go
+++ b/internal/lab/loopback/recorder.go
@@ -25,7 +25,7 @@
 // entries, and by so much the clients would be late.
 func newRecorder(p *plan.Plan) *recorder {
 	perRequest := entriesPerRequest
-	for _, tier := range p.Scenario.Tier {
+	for _, tier := range p.Scenario.Tiers {
 		perRequest += entriesPerRequest * tier.Calls
 	}
 	requests := min(maxPreallocated, int(perRequest*float64(len(p.Requests))))
--- a/internal/lab/loopback/round_robin.go
+++ b/internal/lab/loopback/round_robin.go
@@ -36,7 +36,7 @@
 func newRoundRobin(p *plan.Plan) *roundRobin {
 	r := &roundRobin{
 		plan:       p,
-		tiers:      make([]tierRotation, len(p.Scenario.Tier)),
+		tiers:      make([]tierRotation, len(p.Scenario.Tiers)),
 		downFaults: make([]int, len(p.Boxes)),
 	}
 	for tier := range r.tiers {
@@ -62,16 +62,16 @@
 // applyEvent takes an event of the script. If it changes the list, the change is to be passed to applyListChange after its delay.
 func (r *roundRobin) applyEvent(event plan.Event) (change listChange, changes bool) {
 	discovery := &r.plan.Scenario.Discovery
-	change = listChange{endpoint: event.Box, listed: event.Kind != plan.BeginFault, delay: discovery.Add.D()}
+	change = listChange{endpoint: event.Box, listed: event.Kind != plan.BeginFault, delay: discovery.AddDelay.D()}
 	if event.Kind == plan.StartBox {
 		return change, true
 	}
-	noticeDelay := discovery.Notice.D()
+	noticeDelay := discovery.RemoveDelay.D()
 	switch {
 	case event.Kind != plan.BeginFault && event.Kind != plan.EndFault:
 		return change, false
 	case event.Fault.Kind == model.Vanish:
-		noticeDelay = discovery.Silent.D()
+		noticeDelay = discovery.UnresponsiveDelay.D()
 	case event.Fault.Kind != model.Dead:
 		return change, false
 	}
--- a/internal/lab/loopback/round_robin_test.go
+++ b/internal/lab/loopback/round_robin_test.go
@@ -13,7 +13,7 @@
 // discovery needs stays listed.
 func TestRoundRobin(t *testing.T) {
 	s := scenario.Default()
-	s.Tier = []scenario.Tier{{Name: "a"}, {Name: "b"}}
+	s.Tiers = []scenario.Tier{{Name: "a"}, {Name: "b"}}
 	p := &plan.Plan{Scenario: &s, Boxes: []plan.Box{{Tier: 0}, {Tier: 0}, {Tier: 1}, {Tier: 0, Start: "absent"}}}
 	o := newRoundRobin(p)
 	round := func(tier int, want ...int) {
@@ -39,21 +39,21 @@
 	d := &s.Discovery
 	round(0, 0, 1)
 	round(1, 2)
-	o.applyListChange(event(plan.StartBox, 3, 0, d.Add.D()))
+	o.applyListChange(event(plan.StartBox, 3, 0, d.AddDelay.D()))
 	round(0, 0, 1, 3)
-	gone := event(plan.BeginFault, 1, model.Dead, d.Notice.D())
+	gone := event(plan.BeginFault, 1, model.Dead, d.RemoveDelay.D())
 	round(0, 0, 1, 3)
 	o.applyListChange(gone)
 	round(0, 0, 3)
-	event(plan.BeginFault, 1, model.Vanish, d.Silent.D())
+	event(plan.BeginFault, 1, model.Vanish, d.UnresponsiveDelay.D())
 	event(plan.EndFault, 1, model.Dead, 0) // it is still down
-	o.applyListChange(event(plan.EndFault, 1, model.Vanish, d.Add.D()))
+	o.applyListChange(event(plan.EndFault, 1, model.Vanish, d.AddDelay.D()))
 	round(0, 0, 1, 3)
 	event(plan.BeginFault, 0, model.Slow, 0)
-	brief := event(plan.BeginFault, 2, model.Dead, d.Notice.D())
-	event(plan.EndFault, 2, model.Dead, d.Add.D())
+	brief := event(plan.BeginFault, 2, model.Dead, d.RemoveDelay.D())
+	event(plan.EndFault, 2, model.Dead, d.AddDelay.D())
 	o.applyListChange(brief) // it is up again by now
 	round(1, 2)
-	o.applyListChange(event(plan.BeginFault, 2, model.Dead, d.Notice.D()))
+	o.applyListChange(event(plan.BeginFault, 2, model.Dead, d.RemoveDelay.D()))
 	round(1, -1)
 }
--- a/internal/lab/loopback/sidecar.go
+++ b/internal/lab/loopback/sidecar.go
@@ -187,7 +187,7 @@
 		s.addEvent(trace.SidecarExited, state.String())
 	}
 	routing := *s.routing.Load()
-	routing.deadAt = min(routing.deadAt, s.run.elapsed()+s.run.plan.Scenario.Clients.Notice.D())
+	routing.deadAt = min(routing.deadAt, s.run.elapsed()+s.run.plan.Scenario.Clients.FailureDetection.D())
 	s.routing.Store(&routing)
 	s.run.transport.closeIdle(s.id) // before p.exited is closed: routable must not count on these connections
 }
--- a/internal/lab/loopback/sidecar_config.go
+++ b/internal/lab/loopback/sidecar_config.go
@@ -31,7 +31,7 @@
 // operatorConfig is the text of its operator's file; empty if it has none.
 func (s *sidecar) operatorConfig() string {
 	p := s.run.plan
-	text := p.Scenario.OperatorText(s.run.addresses.thrift(s.id), p.Scenario.Tier[s.plan.Tier].Name, s.plan.Accounts)
+	text := p.Scenario.OperatorFile(s.run.addresses.thrift(s.id), p.Scenario.Tiers[s.plan.Tier].Name, s.plan.Accounts)
 	return strings.NewReplacer("/{dir}", s.fleet.configDir, "{name}", s.plan.Name).Replace(text)
 }
 
@@ -108,7 +108,7 @@
 		byEndpoint[listed.Box] = listed
 	}
 	for _, event := range p.Events {
-		if event.Kind == plan.Tell && event.Sidecar == s.id && event.At <= now && p.Scenario.Fleet.Known != "none" {
+		if event.Kind == plan.Tell && event.Sidecar == s.id && event.At <= now && p.Scenario.Fleet.InitialList != "none" {
 			byEndpoint[event.Entry.Box] = event.Entry
 		}
 	}
--- a/internal/lab/loopback/sidecar_health.go
+++ b/internal/lab/loopback/sidecar_health.go
@@ -36,7 +36,7 @@
 		if s.running() {
 			s.routing.Store(&routingState{ready: true, deadAt: model.Never})
 			s.addEvent(trace.SidecarReady, "")
-			if s.run.plan.Scenario.Fleet.Audited() {
+			if s.run.plan.Scenario.Fleet.HasAuditLogs() {
 				s.fleet.tasks.Go(func() { s.watchHealth(p) })
 			}
 		}
--- a/internal/lab/loopback/thrift.go
+++ b/internal/lab/loopback/thrift.go
@@ -31,12 +31,12 @@
 
 // The fields of a call's arguments, and of its result.
 const (
-	argTxn       = scenario.ThriftTxn       // string, 16 hexadecimal digits
-	argKey       = scenario.ThriftKey       // string, 32 hexadecimal digits; of keyed classes alone
-	argRemaining = scenario.ThriftRemaining // i32, ms
-	argRequest   = 4                        // i32, the index in the plan
-	argBody      = 5                        // binary; of classes with a body
-	resultBody   = 0                        // binary
+	argTxn       = scenario.ThriftTransactionIDField // string, 16 hexadecimal digits
+	argKey       = scenario.ThriftKeyField           // string, 32 hexadecimal digits; of keyed classes alone
+	argRemaining = scenario.ThriftRemainingField     // i32, ms
+	argRequest   = 4                                 // i32, the index in the plan
+	argBody      = 5                                 // binary; of classes with a body
+	resultBody   = 0                                 // binary
 )
 
 // exceptionRejected is of the sidecar's TApplicationException that says that trying again is harmless.
--- a/internal/lab/loopback/thrift_test.go
+++ b/internal/lab/loopback/thrift_test.go
@@ -47,7 +47,7 @@
 			{"complete", noFault, 0, "keyed", clientResponse{status: trace.StatusServed}, trace.OutcomeOK},
 			{"failed", model.Fail, 0, "quick", clientResponse{status: trace.StatusFailed, code: thrift.INTERNAL_ERROR}, trace.OutcomeError},
 			{"a stranger's", noFault, 1, "quick", clientResponse{status: trace.StatusFailed, code: thrift.PROTOCOL_ERROR}, trace.OutcomeError},
-			{"rejected", noFault, 0, "quick", clientResponse{status: trace.StatusFailed, code: scenario.ThriftTurnedAway}, trace.OutcomeRejected},
+			{"rejected", noFault, 0, "quick", clientResponse{status: trace.StatusFailed, code: scenario.ThriftRejectedType}, trace.OutcomeRejected},
 			{"cut", model.Cut, 0, "quick", clientResponse{}, trace.OutcomeCorrupted},
 			{"malformed", model.Spoil, 0, "quick", clientResponse{}, trace.OutcomeCorrupted},
 			{"dripped", model.Drip, 0, "quick", clientResponse{}, trace.OutcomeCorrupted},
--- a/internal/lab/loopback/transport.go
+++ b/internal/lab/loopback/transport.go
@@ -182,7 +182,7 @@
 	attempt.Sent = t.now()
 	// A response is in time until the slack is over, as package judge counts. Deadlines fail only on a closed connection, and then
 	// the next read or write fails too.
-	timeout := request.timeout + t.plan.Scenario.Rules.AnswerSlack.D()
+	timeout := request.timeout + t.plan.Scenario.Rules.ResponseSlack.D()
 	_ = conn.tcp.SetReadDeadline(time.Now().Add(min(timeout, request.cancelAt-attempt.Sent)))
 	conn.remaining.N = maxResponseSize
 	if _, err := conn.reader.Peek(1); err != nil {
--- a/internal/lab/plan/between.go
+++ b/internal/lab/plan/between.go
@@ -43,7 +43,7 @@
 // betweenProcesses is a fault of the list service or of links, at each sidecar that it hits, on and off where it comes and goes.
 func (s *script) betweenProcesses(f *scenario.Fault, from, to time.Duration) {
 	hit := s.hit(f)
-	if linkKinds[f.Kind] == "" && len(f.Names) == 0 && f.Boxes == 0 && f.Share == 0 && len(s.Scenario.Audit) > 0 {
+	if linkKinds[f.Kind] == "" && len(f.Names) == 0 && f.Endpoints == 0 && f.Share == 0 && len(s.Scenario.Auditors) > 0 {
 		hit = append(hit, -1) // the service itself, as auditors ask it
 	}
 	if to == 0 {
@@ -57,16 +57,16 @@
 		back := min(at+down, max(to, from+1))
 		for _, i := range hit {
 			s.faults++
-			begin := Event{At: at, Kind: BeginList, Box: -1, Sidecar: i, ID: s.faults, List: ListFault{Kind: f.Kind, Of: f.Of, Size: f.Size, Delay: f.Back.D()}}
+			begin := Event{At: at, Kind: BeginList, Box: -1, Sidecar: i, ID: s.faults, List: ListFault{Kind: f.Kind, Of: f.Target, Size: f.Size, Delay: f.RecoveryDelay.D()}}
 			end := Event{At: back, Kind: EndList, Box: -1, Sidecar: i, ID: s.faults}
 			if how, isLink := linkKinds[f.Kind]; isLink {
-				if f.Kind == "link_cut" && f.By != "" {
-					how = LinkHow(f.By)
+				if f.Kind == "link_cut" && f.Scope != "" {
+					how = LinkHow(f.Scope)
 				}
 				begin.Kind, end.Kind = BeginLink, EndLink
-				begin.List, begin.Link = ListFault{}, Link{Of: f.Of, How: how, Delay: f.Back.D()}
-				end.Link.Of = f.Of
-				s.linked(f.Of, i)
+				begin.List, begin.Link = ListFault{}, Link{Of: f.Target, How: how, Delay: f.RecoveryDelay.D()}
+				end.Link.Of = f.Target
+				s.linked(f.Target, i)
 			}
 			s.add(begin)
 			s.add(end)
@@ -93,7 +93,7 @@
 // hit are the sidecars that a fault strikes: those named, a number or a share of the first tier's, or all there are.
 func (s *script) hit(f *scenario.Fault) []int {
 	var hit []int
-	some := len(f.Names) > 0 || f.Boxes > 0 || f.Share > 0
+	some := len(f.Names) > 0 || f.Endpoints > 0 || f.Share > 0
 	for i := range s.Sidecars {
 		if !some || s.Sidecars[i].Box < 0 && (len(f.Names) == 0 || slices.Contains(f.Names, s.Sidecars[i].Name)) {
 			hit = append(hit, i)
@@ -101,7 +101,7 @@
 	}
 	if some && len(f.Names) == 0 {
 		s.rng.Shuffle(len(hit), func(i, j int) { hit[i], hit[j] = hit[j], hit[i] })
-		hit = hit[:min(len(hit), max(1, f.Boxes, int(math.Round(f.Share*float64(len(hit))))))]
+		hit = hit[:min(len(hit), max(1, f.Endpoints, int(math.Round(f.Share*float64(len(hit))))))]
 	}
 	return hit
 }
--- a/internal/lab/plan/client.go
+++ b/internal/lab/plan/client.go
@@ -18,7 +18,7 @@
 // have run: after a refusal, or when no connection came up.
 func (p *Plan) Retry(t *trace.ClientAttempt, first time.Duration) (at time.Duration, again bool) {
 	r := &p.Requests[t.Request]
-	c := &p.Scenario.Class[r.Class]
+	c := &p.Scenario.Classes[r.Class]
 	if t.Status == trace.StatusServed || t.Status == trace.StatusCanceled || t.Number >= r.Retries {
 		return 0, false
 	}
@@ -27,11 +27,11 @@
 		at = max(at, t.Ended+min(t.RetryAfter, p.Scenario.Rules.MaxRetryAfter.D()))
 	}
 	unseen := t.Status == trace.StatusRejected || t.Status == trace.StatusConnectFailed
-	switch c.Effect {
+	switch c.Idempotency {
 	case "unsafe":
 		again = unseen
 	case "keyed":
-		again = at < first+c.Window.D()
+		again = at < first+c.DedupWindow.D()
 	default:
 		again = true
 	}
--- a/internal/lab/plan/plan.go
+++ b/internal/lab/plan/plan.go
@@ -167,10 +167,10 @@
 	p := &Plan{Scenario: s, Seed: seed}
 	p.boxes()
 	p.Rate = p.capacity()
-	if s.Clients.Recorded != "" || arrivals != nil {
+	if s.Clients.RecordFile != "" || arrivals != nil {
 		for i := range arrivals {
-			if c := arrivals[i].Class; c < 0 || c >= len(s.Class) {
-				return nil, fmt.Errorf("plan: arrival %d has class %d of %d", i, c, len(s.Class))
+			if c := arrivals[i].Class; c < 0 || c >= len(s.Classes) {
+				return nil, fmt.Errorf("plan: arrival %d has class %d of %d", i, c, len(s.Classes))
 			}
 		}
 		p.recorded(arrivals)
@@ -245,11 +245,11 @@
 // visits of that id at that box.
 func (p *Plan) Segments(out []time.Duration, request int, txn uint64, box, visit int) []time.Duration {
 	r, b := &p.Requests[request], &p.Boxes[box]
-	c, t := &p.Scenario.Class[r.Class], &p.Scenario.Tier[b.Tier]
+	c, t := &p.Scenario.Classes[r.Class], &p.Scenario.Tiers[b.Tier]
 	work := float64(r.Work) * t.Work
-	if c.Noise > 0 {
+	if c.AttemptCV > 0 {
 		rng := rand.New(rand.NewPCG(p.hash(forNoise, txn, uint64(box), uint64(visit)), 0))
-		work *= lognormal(rng, 1, c.Noise)
+		work *= lognormal(rng, 1, c.AttemptCV)
 	}
 	calls := p.Calls(request, b.Tier, txn)
 	for range calls + 1 {
@@ -261,13 +261,13 @@
 // Calls is how many calls of the next tier a request needs in a tier: the same at each attempt, but where a tier calls
 // one that may call it again, each visit draws, or a request would go round for ever or not at all.
 func (p *Plan) Calls(request, tier int, txn uint64) int {
-	mean := p.Scenario.Tier[tier].Calls
+	mean := p.Scenario.Tiers[tier].Calls
 	if mean == 0 {
 		return 0
 	}
 	whole := math.Floor(mean)
 	of := uint64(request)
-	if p.Scenario.Tier[tier].To != "" {
+	if p.Scenario.Tiers[tier].NextTier != "" {
 		of = txn
 	}
 	if unit(p.hash(forCalls, of, uint64(tier))) < mean-whole {
@@ -284,16 +284,16 @@
 
 func (p *Plan) boxes() {
 	rng, s := p.stream(forBoxes), p.Scenario
-	names := s.BoxNames()
-	for t, tier := range s.Tier {
-		for _, k := range tier.Kind {
-			for range k.Boxes {
-				spec := model.Spec{Cores: k.Cores, Speed: k.Speed, Slots: k.Slots, Queue: k.Queue, CrowdAt: k.CrowdAt,
-					CrowdLoss: k.CrowdLoss, PauseEvery: k.PauseEvery.D(), Pause: k.Pause.D(), ErrorRate: k.ErrorRate,
-					ColdFrom: k.ColdFrom, ColdFor: k.ColdFor.D(), WarmByWork: k.WarmBy == "work",
-					FallMultiple: s.Rules.FallMultiple, FallWindow: s.Rules.FallWindow.D(), Connections: k.Connections,
-					TableTax: k.TableTax, Handshake: k.Handshake.D(), KeyWindow: keyWindow(s)}
-				spec.Cancel = map[string]model.CancelRule{"nothing": model.CancelNothing, "waiting": model.CancelWaiting, "all": model.CancelAll}[k.Cancel]
+	names := s.EndpointNames()
+	for t, tier := range s.Tiers {
+		for _, k := range tier.Kinds {
+			for range k.Endpoints {
+				spec := model.Spec{Cores: k.Cores, Speed: k.Speed, Slots: k.Slots, Queue: k.Queue, CrowdAt: k.OverloadAt,
+					CrowdLoss: k.OverloadLoss, PauseEvery: k.PauseInterval.D(), Pause: k.Pause.D(), ErrorRate: k.ErrorRate,
+					ColdFrom: k.WarmupInitialShare, ColdFor: k.WarmupDuration.D(), WarmByWork: k.WarmupBy == "work",
+					FallMultiple: s.Rules.CollapseMultiple, FallWindow: s.Rules.CollapseWindow.D(), Connections: k.Connections,
+					TableTax: k.ConnectionTableLoss, Handshake: k.HandshakeWork.D(), KeyWindow: keyWindow(s)}
+				spec.Cancel = map[string]model.CancelRule{"nothing": model.CancelNothing, "waiting": model.CancelWaiting, "all": model.CancelAll}[k.CancelRule]
 				if k.SpeedCV > 0 {
 					spec.Speed *= lognormal(rng, 1, k.SpeedCV)
 				}
@@ -309,13 +309,13 @@
 func (p *Plan) capacity() float64 {
 	s := p.Scenario
 	shares, mean := 0.0, 0.0 // seconds of work
-	for _, c := range s.Class {
+	for _, c := range s.Classes {
 		shares += c.Share
 		mean += c.Share * c.Work.D().Seconds()
 	}
 	mean /= shares
 	least, visits := math.Inf(1), 1.0 // of a tier for each request
-	for t, tier := range s.Tier {
+	for t, tier := range s.Tiers {
 		able := 0.0
 		for i := range p.Boxes {
 			if b := &p.Boxes[i]; b.Tier == t && b.Start != "absent" {
@@ -366,26 +366,26 @@
 		}
 	}
 	run(0, s.Length.D(), rate, k.Shape, -1)
-	for i, b := range s.Burst {
-		run(b.At.D(), (b.At + b.For).D(), b.Rate, "steady", i)
+	for i, b := range s.Bursts {
+		run(b.At.D(), (b.At + b.Duration).D(), b.Rate, "steady", i)
 	}
 	slices.SortStableFunc(at, func(a, b arrival) int { return int(a.at - b.at) })
 	rng = p.stream(forRequests)
-	shares := make([]float64, len(s.Class))
+	shares := make([]float64, len(s.Classes))
 	sum := 0.0
-	for i, c := range s.Class {
+	for i, c := range s.Classes {
 		sum += c.Share
 		shares[i] = sum
 	}
 	for _, a := range at {
 		pick := rng.Float64() * sum
 		class := slices.IndexFunc(shares, func(edge float64) bool { return pick < edge })
-		fresh := rng.Float64() < k.Fresh
+		fresh := rng.Float64() < k.NewConnectionShare
 		if a.burst >= 0 {
-			if name := s.Burst[a.burst].Class; name != "" {
+			if name := s.Bursts[a.burst].Class; name != "" {
 				class = s.ClassIndex(name)
 			}
-			fresh = fresh || s.Burst[a.burst].Fresh
+			fresh = fresh || s.Bursts[a.burst].NewConnections
 		}
 		r := p.request(rng, a.at, class, fresh)
 		p.hurry(&r, len(p.Requests))
@@ -396,11 +396,11 @@
 // hurry shortens the time of a client that comes while some are in a hurry. Its draw is a hash, so that the others stay
 // as they were.
 func (p *Plan) hurry(r *Request, number int) {
-	for i := range p.Scenario.Fault {
-		f := &p.Scenario.Fault[i]
-		if f.Kind == "hurry" && r.Due >= f.At.D() && (f.For == 0 || r.Due < (f.At+f.For).D()) &&
+	for i := range p.Scenario.Faults {
+		f := &p.Scenario.Faults[i]
+		if f.Kind == "hurry" && r.Due >= f.At.D() && (f.Duration == 0 || r.Due < (f.At+f.Duration).D()) &&
 			(f.Class == "" || p.Scenario.ClassIndex(f.Class) == r.Class) && unit(p.hash(forHurry, uint64(number), uint64(i))) < f.Size {
-			r.TryLeft = time.Duration(f.Left * float64(r.TryLeft))
+			r.TryLeft = time.Duration(f.TimeoutShare * float64(r.TryLeft))
 		}
 	}
 }
@@ -408,24 +408,24 @@
 // request draws all of one. It takes the same numbers from the stream for each, so that one more or less of
 // a kind does not change the others.
 func (p *Plan) request(rng *rand.Rand, due time.Duration, class int, fresh bool) Request {
-	k, c := &p.Scenario.Clients, &p.Scenario.Class[class]
-	work, key, leaves, honours := p.work(rng, class), rng.Uint64()|1, rng.Float64(), rng.Float64() < k.Honour
-	r := Request{Due: due, Class: class, Work: work, Patience: c.Deadline.D(), Retries: k.Retries,
-		TryLeft: time.Duration(k.TryShare * float64(c.Deadline)), Honours: honours, Fresh: fresh}
-	if c.Effect == "keyed" {
+	k, c := &p.Scenario.Clients, &p.Scenario.Classes[class]
+	work, key, leaves, honours := p.work(rng, class), rng.Uint64()|1, rng.Float64(), rng.Float64() < k.HonorRetryAfter
+	r := Request{Due: due, Class: class, Work: work, Patience: c.Deadline.D(), Retries: k.MaxRetries,
+		TryLeft: time.Duration(k.AttemptTimeoutShare * float64(c.Deadline)), Honours: honours, Fresh: fresh}
+	if c.Idempotency == "keyed" {
 		r.Key = key
 	}
-	if leaves < k.Impatient { // evenly over its time
-		r.Leaves = max(time.Millisecond, time.Duration(leaves/k.Impatient*float64(c.Deadline)))
+	if leaves < k.CancelShare { // evenly over its time
+		r.Leaves = max(time.Millisecond, time.Duration(leaves/k.CancelShare*float64(c.Deadline)))
 	}
 	return r
 }
 
 func (p *Plan) work(rng *rand.Rand, class int) time.Duration {
-	c := &p.Scenario.Class[class]
+	c := &p.Scenario.Classes[class]
 	mean := float64(c.Work)
 	one, normal := rng.ExpFloat64(), rng.NormFloat64()
-	switch c.Spread {
+	switch c.WorkDistribution {
 	case "exp":
 		mean *= one
 	case "lognormal":
@@ -462,7 +462,7 @@
 		if f.Start == "with" {
 			c.Begin = time.Duration(rng.Float64() * float64(f.StartSpread))
 		}
-		if f.Rank == "equal" {
+		if f.RankSetting == "equal" {
 			c.Rank = 0
 		}
 		c.Known = p.known(c.Tier)
@@ -476,23 +476,23 @@
 		if i == 0 {
 			c.Weight += s.Clients.Skew
 		}
-		if i >= f.Sidecars-f.Other {
+		if i >= f.Sidecars-f.SecondBuild {
 			c.Build = 1
 		}
-		told := f.Told
+		told := f.ConfiguredInstances
 		if told == 0 {
 			told = f.Sidecars
 		}
 		add(c, told)
 	}
-	callers, rank := make([]int, len(s.Tier)), make([]int, len(s.Tier)) // of each tier
+	callers, rank := make([]int, len(s.Tiers)), make([]int, len(s.Tiers)) // of each tier
 	for i := range p.Boxes {
-		if next := s.Next(p.Boxes[i].Tier); next >= 0 && p.Boxes[i].Start != "absent" {
+		if next := s.NextTierIndex(p.Boxes[i].Tier); next >= 0 && p.Boxes[i].Start != "absent" {
 			callers[next]++
 		}
 	}
 	for i := range p.Boxes {
-		if next := s.Next(p.Boxes[i].Tier); next >= 0 {
+		if next := s.NextTierIndex(p.Boxes[i].Tier); next >= 0 {
 			add(Sidecar{Name: "n-" + p.Boxes[i].Name, Tier: next, Rank: rank[next], Box: i}, callers[next])
 			rank[next]++
 		}
@@ -501,7 +501,7 @@
 
 // known is the list that a sidecar of a tier starts with.
 func (p *Plan) known(tier int) []Listed {
-	how := p.Scenario.Fleet.Known
+	how := p.Scenario.Fleet.InitialList
 	var out []Listed
 	for i := range p.Boxes {
 		b := &p.Boxes[i]
@@ -548,5 +548,5 @@
 
 // Operators says whether operators call the sidecars: to upgrade them, or to audit them.
 func (p *Plan) Operators() bool {
-	return p.Upgrades() || len(p.Scenario.Audit) > 0 || p.Scenario.Fleet.Audited()
+	return p.Upgrades() || len(p.Scenario.Auditors) > 0 || p.Scenario.Fleet.HasAuditLogs()
 }
--- a/internal/lab/plan/plan_test.go
+++ b/internal/lab/plan/plan_test.go
@@ -77,7 +77,7 @@
 			left++
 		}
 	}
-	for i, c := range s.Class {
+	for i, c := range s.Classes {
 		if share := count[i] / float64(len(p.Requests)); math.Abs(share-c.Share/100) > 0.01 {
 			t.Errorf("%s: share %.3f, want %.2f", c.Name, share, c.Share/100)
 		}
@@ -85,8 +85,8 @@
 			t.Errorf("%s: mean work %.4f s, want %v", c.Name, mean, c.Work.D())
 		}
 	}
-	if share := left / float64(len(p.Requests)); math.Abs(share-s.Clients.Impatient) > 0.005 {
-		t.Errorf("%.3f leave, want %v", share, s.Clients.Impatient)
+	if share := left / float64(len(p.Requests)); math.Abs(share-s.Clients.CancelShare) > 0.005 {
+		t.Errorf("%.3f leave, want %v", share, s.Clients.CancelShare)
 	}
 	picks := make([]float64, len(p.Sidecars))
 	for i := range 10000 {
@@ -197,7 +197,7 @@
 	p := build(t, load(t, "calm"), 1)
 	first := map[string]int{}
 	for i := len(p.Requests) - 1; i >= 0; i-- {
-		first[p.Scenario.Class[p.Requests[i].Class].Name] = i
+		first[p.Scenario.Classes[p.Requests[i].Class].Name] = i
 	}
 	for _, c := range []struct {
 		class  string
@@ -251,7 +251,7 @@
 
 func TestAddedBoxesAreAbsentUntilThen(t *testing.T) {
 	s := load(t, "calm", "[[fault]]", `kind = "add"`, "boxes = 2", `at = "5s"`)
-	s.Tier[0].Kind[1].Start = "absent"
+	s.Tiers[0].Kinds[1].Start = "absent"
 	p := build(t, s, 1)
 	starts := 0
 	for _, e := range p.Events {
--- a/internal/lab/plan/script.go
+++ b/internal/lab/plan/script.go
@@ -27,9 +27,9 @@
 
 // keyWindow is the longest of the keyed classes'.
 func keyWindow(s *scenario.Scenario) (most time.Duration) {
-	for _, c := range s.Class {
-		if c.Effect == "keyed" {
-			most = max(most, c.Window.D())
+	for _, c := range s.Classes {
+		if c.Idempotency == "keyed" {
+			most = max(most, c.DedupWindow.D())
 		}
 	}
 	return most
@@ -49,18 +49,18 @@
 	s := script{Plan: p, rng: p.stream(forFaults), chosen: make([]int, len(p.Boxes))}
 	d, late := &p.Scenario.Discovery, p.stream(forTold)
 	for i := range p.Sidecars {
-		s.delays = append(s.delays, time.Duration(late.Float64()*float64(d.Spread)))
+		s.delays = append(s.delays, time.Duration(late.Float64()*float64(d.Jitter)))
 		if late.Float64() < d.LateShare {
-			s.delays[i] += d.Late.D()
+			s.delays[i] += d.LateDelay.D()
 		}
 	}
-	for i := range p.Scenario.Fault {
-		s.fault(&p.Scenario.Fault[i])
+	for i := range p.Scenario.Faults {
+		s.fault(&p.Scenario.Faults[i])
 	}
-	for i := range s.Scenario.Audit {
-		s.auditor(i, &s.Scenario.Audit[i])
+	for i := range s.Scenario.Auditors {
+		s.auditor(i, &s.Scenario.Auditors[i])
 	}
-	if len(s.Scenario.Audit) > 0 && s.Upgrades() { // whose processes are at an address each, and a roster has one of a sidecar
+	if len(s.Scenario.Auditors) > 0 && s.Upgrades() { // whose processes are at an address each, and a roster has one of a sidecar
 		for i := range s.Sidecars {
 			s.linked("control", i)
 		}
@@ -89,7 +89,7 @@
 
 // tell has every sidecar of the box's tier hear of it, each in its time.
 func (s *script) tell(at time.Duration, box int, phase trace.Phase, upSince time.Duration) {
-	if len(s.Scenario.Audit) > 0 && s.Boxes[box].Tier == 0 {
+	if len(s.Scenario.Auditors) > 0 && s.Boxes[box].Tier == 0 {
 		s.told = append(s.told, Event{At: at, Kind: Tell, Box: -1, Sidecar: -1, Entry: Listed{Box: box, Phase: phase, UpSince: upSince}})
 	}
 	for i := range s.Sidecars {
@@ -131,14 +131,14 @@
 		s.tell(from+notice, box, trace.PhaseGone, 0)
 	}
 	if to > 0 {
-		s.tell(to+s.Scenario.Discovery.Add.D(), box, trace.PhaseReady, to)
+		s.tell(to+s.Scenario.Discovery.AddDelay.D(), box, trace.PhaseReady, to)
 	}
 }
 
 func (s *script) fault(f *scenario.Fault) {
 	from, to := f.At.D(), time.Duration(0)
-	if f.For > 0 {
-		to = (f.At + f.For).D()
+	if f.Duration > 0 {
+		to = (f.At + f.Duration).D()
 	}
 	switch f.Kind {
 	case "discovery_silent":
@@ -165,9 +165,9 @@
 		for _, i := range s.hit(f) {
 			s.faults++
 			s.add(Event{At: from, Kind: KeepOrder, Box: -1, Sidecar: i, ID: s.faults})
-			s.add(Event{At: from + f.Back.D(), Kind: PlayOrder, Box: -1, Sidecar: i, ID: s.faults, Raised: int(f.Size)})
+			s.add(Event{At: from + f.RecoveryDelay.D(), Kind: PlayOrder, Box: -1, Sidecar: i, ID: s.faults, Raised: int(f.Size)})
 		}
-		s.mark("old order", from+f.Back.D(), from+f.Back.D()+time.Millisecond)
+		s.mark("old order", from+f.RecoveryDelay.D(), from+f.RecoveryDelay.D()+time.Millisecond)
 	case "hurry": // the requests have it already
 		s.mark("clients in a hurry", from, to)
 	default:
@@ -181,7 +181,7 @@
 		}
 		what := f.Kind
 		if f.Kind == "flap" {
-			what += " (" + f.Of + ")"
+			what += " (" + f.Target + ")"
 		}
 		if len(names) > 4 {
 			names = append(names[:3], fmt.Sprintf("%d more", len(names)-3))
@@ -194,9 +194,9 @@
 	d := &s.Scenario.Discovery
 	switch f.Kind {
 	case "crash":
-		s.down(box, model.Dead, from, to, d.Notice.D())
+		s.down(box, model.Dead, from, to, d.RemoveDelay.D())
 	case "vanish":
-		s.down(box, model.Vanish, from, to, d.Silent.D())
+		s.down(box, model.Vanish, from, to, d.UnresponsiveDelay.D())
 	case "leave":
 		s.between(box, model.Fault{Kind: model.Dead}, from, 0)
 		if to > 0 {
@@ -208,11 +208,11 @@
 			grace = defaultDrain
 		}
 		ends, back := from+grace, time.Duration(0)
-		if f.Back > 0 {
-			back = ends + f.Back.D()
+		if f.RecoveryDelay > 0 {
+			back = ends + f.RecoveryDelay.D()
 		}
-		s.tell(from+d.Notice.D(), box, trace.PhaseTerminating, s.upSince(box))
-		s.down(box, model.Dead, ends, back, d.Notice.D())
+		s.tell(from+d.RemoveDelay.D(), box, trace.PhaseTerminating, s.upSince(box))
+		s.down(box, model.Dead, ends, back, d.RemoveDelay.D())
 	case "add":
 		s.Boxes[box].Start, s.Boxes[box].At = "absent", from
 		s.add(Event{At: from, Kind: StartBox, Box: box, Sidecar: -1})
@@ -221,17 +221,17 @@
 				s.add(Event{At: from, Kind: StartSidecar, Box: -1, Sidecar: i})
 			}
 		}
-		s.tell(from+d.Add.D(), box, trace.PhaseReady, from)
+		s.tell(from+d.AddDelay.D(), box, trace.PhaseReady, from)
 	case "flap":
 		for at := from; at < to; at += (f.Down + f.Up).D() {
 			back := min(at+f.Down.D(), to)
-			switch kind := boxFaults[f.Of]; kind {
+			switch kind := boxFaults[f.Target]; kind {
 			case model.Dead:
-				s.down(box, kind, at, back, d.Notice.D())
+				s.down(box, kind, at, back, d.RemoveDelay.D())
 			case model.Vanish:
-				s.down(box, kind, at, back, d.Silent.D())
+				s.down(box, kind, at, back, d.UnresponsiveDelay.D())
 			default:
-				s.between(box, s.boxFaultOf(f, f.Of), at, back)
+				s.between(box, s.boxFaultOf(f, f.Target), at, back)
 			}
 		}
 	default:
@@ -241,8 +241,8 @@
 
 // boxFaultOf is a scenario's fault as the model has it.
 func (s *script) boxFaultOf(f *scenario.Fault, kind string) model.Fault {
-	return model.Fault{Kind: boxFaults[kind], Size: f.Size, Class: s.Scenario.ClassIndex(f.Class) + 1, Above: f.Above,
-		ByConn: f.By == "connection"}
+	return model.Fault{Kind: boxFaults[kind], Size: f.Size, Class: s.Scenario.ClassIndex(f.Class) + 1, Above: f.MinInFlight,
+		ByConn: f.Scope == "connection"}
 }
 
 // sidecarFault kills or stops sidecars of the first tier, one after another where there is a step.
@@ -250,8 +250,8 @@
 	at := f.At.D()
 	for _, i := range s.hit(f) {
 		if f.Kind == "sidecar_pause" {
-			s.add(Event{At: at, Kind: PauseSidecar, Box: -1, Sidecar: i, For: f.For.D()})
-			s.mark("sidecar pause "+s.Sidecars[i].Name, at, at+f.For.D())
+			s.add(Event{At: at, Kind: PauseSidecar, Box: -1, Sidecar: i, For: f.Duration.D()})
+			s.mark("sidecar pause "+s.Sidecars[i].Name, at, at+f.Duration.D())
 			at += f.Step.D()
 			continue
 		}
@@ -273,8 +273,8 @@
 		}
 		s.add(Event{At: at, Kind: kind, Box: -1, Sidecar: i})
 		back := s.end()
-		if f.Back > 0 {
-			back = ends + f.Back.D()
+		if f.RecoveryDelay > 0 {
+			back = ends + f.RecoveryDelay.D()
 			s.add(Event{At: back, Kind: StartSidecar, Box: -1, Sidecar: i})
 		}
 		s.mark(strings.ReplaceAll(f.Kind, "_", " ")+" "+s.Sidecars[i].Name, at, back)
@@ -283,20 +283,20 @@
 }
 
 // auditor is when one starts, stops and is killed.
-func (s *script) auditor(id int, a *scenario.Audit) {
+func (s *script) auditor(id int, a *scenario.Auditor) {
 	s.add(Event{At: a.Start.D(), Kind: StartAuditor, Box: -1, Sidecar: -1, ID: id})
-	if a.Pause > 0 {
-		s.add(Event{At: a.Pause.D(), Kind: PauseAuditor, Box: -1, Sidecar: -1, ID: id, For: a.For.D()})
-		s.mark("auditor pause "+a.Name, a.Pause.D(), (a.Pause + a.For).D())
+	if a.PauseAt > 0 {
+		s.add(Event{At: a.PauseAt.D(), Kind: PauseAuditor, Box: -1, Sidecar: -1, ID: id, For: a.PauseDuration.D()})
+		s.mark("auditor pause "+a.Name, a.PauseAt.D(), (a.PauseAt + a.PauseDuration).D())
 	}
-	if a.Kill > 0 {
-		s.add(Event{At: a.Kill.D(), Kind: KillAuditor, Box: -1, Sidecar: -1, ID: id})
+	if a.KillAt > 0 {
+		s.add(Event{At: a.KillAt.D(), Kind: KillAuditor, Box: -1, Sidecar: -1, ID: id})
 		back := s.end()
-		if a.Back > 0 {
-			back = (a.Kill + a.Back).D()
+		if a.RestartDelay > 0 {
+			back = (a.KillAt + a.RestartDelay).D()
 			s.add(Event{At: back, Kind: StartAuditor, Box: -1, Sidecar: -1, ID: id})
 		}
-		s.mark("auditor kill "+a.Name, a.Kill.D(), back)
+		s.mark("auditor kill "+a.Name, a.KillAt.D(), back)
 	}
 }
 
@@ -315,7 +315,7 @@
 		}
 	}
 	if len(f.Names) == 0 {
-		n := f.Boxes
+		n := f.Endpoints
 		if f.Share > 0 {
 			n = max(1, int(math.Round(f.Share*float64(len(of)))))
 		}
@@ -333,10 +333,10 @@
 // hold keeps back what discovery would say while it is silent or late.
 func (s *script) hold() {
 	late := s.stream(forTold + 100)
-	for i := range s.Scenario.Fault {
-		f := &s.Scenario.Fault[i]
-		from, to := f.At.D(), (f.At + f.For).D()
-		if f.For == 0 {
+	for i := range s.Scenario.Faults {
+		f := &s.Scenario.Faults[i]
+		from, to := f.At.D(), (f.At + f.Duration).D()
+		if f.Duration == 0 {
 			to = model.Never
 		}
 		slow := make([]bool, len(s.Sidecars))
@@ -352,7 +352,7 @@
 			case f.Kind == "discovery_silent":
 				e.At = to
 			case f.Kind == "discovery_late" && slow[e.Sidecar]:
-				e.At += f.Back.D()
+				e.At += f.RecoveryDelay.D()
 			}
 		}
 	}
--- a/internal/lab/plan/settings.go
+++ b/internal/lab/plan/settings.go
@@ -19,33 +19,33 @@
 	s, c := p.Scenario, &p.Sidecars[sidecar]
 	r := &s.Rules
 	counted := "request"
-	if r.ByWork {
+	if r.ValueByWork {
 		counted = "work"
 	}
 	var classes, kinds, tiers []any
-	for _, k := range s.Class {
-		classes = append(classes, map[string]any{"name": k.Name, "aim": k.Aim.D(), "deadline": k.Deadline.D(), "worth": k.Worth,
-			"idempotency": effectWords[k.Effect], "key_scope": "all", "memory_span": k.Window.D(), "late_worth": 0.0})
+	for _, k := range s.Classes {
+		classes = append(classes, map[string]any{"name": k.Name, "aim": k.TargetLatency.D(), "deadline": k.Deadline.D(), "worth": k.Value,
+			"idempotency": effectWords[k.Idempotency], "key_scope": "all", "memory_span": k.DedupWindow.D(), "late_worth": 0.0})
 	}
-	for _, k := range s.Tier[c.Tier].Kind {
+	for _, k := range s.Tiers[c.Tier].Kinds {
 		kinds = append(kinds, k.Name)
 	}
-	for _, t := range s.Tier {
+	for _, t := range s.Tiers {
 		tiers = append(tiers, t.Name)
 	}
 	doc := map[string]any{
-		"allowed": map[string]any{"cancel": r.Cancel, "conn_idle": r.ConnIdle.D(), "connect_timeout": r.ConnectTimeout.D(),
-			"max_retry_after": r.MaxRetryAfter.D(), "most_held": r.MaxHeld, "probing": r.Probes, "retry_after": r.RetryAfter,
-			"second_copies": r.SecondCopies, "send_cap": r.MaxAttempts, "peer_messages": false},
-		"classes": classes, "clients": map[string]any{"marks_retry": r.MarksRetry}, "counted_by": counted,
-		"family_info": map[string]any{"passes_deadline": r.PassesDeadline}, "kinds": kinds, "locality": 0,
+		"allowed": map[string]any{"cancel": r.Cancel, "conn_idle": r.ConnIdleTimeout.D(), "connect_timeout": r.ConnectTimeout.D(),
+			"max_retry_after": r.MaxRetryAfter.D(), "most_held": r.MaxPending, "probing": r.HealthChecks, "retry_after": r.RetryAfter,
+			"second_copies": r.Hedging, "send_cap": r.MaxAttempts, "peer_messages": false},
+		"classes": classes, "clients": map[string]any{"marks_retry": r.MarksRetries}, "counted_by": counted,
+		"family_info": map[string]any{"passes_deadline": r.PropagatesDeadline}, "kinds": kinds, "locality": 0,
 		"n_instances": c.Told, "rank": c.Rank, "quantum": quantum, "registry_mode": "automatic",
 		"prices": map[string]any{"late_fail": 0.05, "probe": 0.01, "waste": 0.04},
-		"rules": map[string]any{"answer_slack": 8 * time.Millisecond, "cold": r.ColdFor.D(), "cold_share": r.ColdShare,
-			"fall": r.FallWindow.D(), "stop_sending_within": r.DrainGrace.D(), "tip_multiple": r.FallMultiple},
+		"rules": map[string]any{"answer_slack": 8 * time.Millisecond, "cold": r.WarmupDuration.D(), "cold_share": r.WarmupInitialShare,
+			"fall": r.CollapseWindow.D(), "stop_sending_within": r.DrainGrace.D(), "tip_multiple": r.CollapseMultiple},
 		"tier": c.Tier, "tiers": tiers, "weight_source": "nominal", "zones": []string{Zone},
 	}
-	if s.Fleet.Rank == "none" {
+	if s.Fleet.RankSetting == "none" {
 		delete(doc, "rank")
 	}
 	return encode(doc)
--- a/internal/lab/result/audits.go
+++ b/internal/lab/result/audits.go
@@ -26,8 +26,8 @@
 
 // grace is that of the floors that are raised.
 func (r *run) grace() time.Duration {
-	for _, a := range r.plan.Scenario.Audit {
-		if a.Raise {
+	for _, a := range r.plan.Scenario.Auditors {
+		if a.RaisesMinimum {
 			return a.Grace.D()
 		}
 	}
@@ -46,7 +46,7 @@
 		v := auditcheck.CompareAuditLogs(r.plan, r.log, r.log.AuditLogs)
 		out.Trails = &v
 	}
-	for _, a := range r.plan.Scenario.Audit {
+	for _, a := range r.plan.Scenario.Auditors {
 		found, err := auditcheck.CompareFindings(r.plan, r.log, r.log.Findings[a.Name], late)
 		if err != nil {
 			out.Faults = append(out.Faults, err.Error())
--- a/internal/lab/result/box.go
+++ b/internal/lab/result/box.go
@@ -27,7 +27,7 @@
 func (b boxLog) box(p *plan.Plan, i, seconds int) Box {
 	of := &p.Boxes[i]
 	out := Box{Name: of.Name, Tier: of.Tier, Kind: of.Kind, Cores: of.Spec.Cores, Samples: len(b), Fallen: b.fell(0, longest),
-		Worst: b.worst(p.Scenario.Rules.FallWindow.D(), 0, longest)}
+		Worst: b.worst(p.Scenario.Rules.CollapseWindow.D(), 0, longest)}
 	out.Sent = b.perSecond(seconds, func(s *trace.Sample) time.Duration { return s.SentWork })
 	out.Could = b.perSecond(seconds, func(s *trace.Sample) time.Duration { return s.PossibleWork })
 	out.InWork, out.Waiting, out.Cold = make([]float64, seconds), make([]float64, seconds), make([]bool, seconds)
--- a/internal/lab/result/fate.go
+++ b/internal/lab/result/fate.go
@@ -53,12 +53,12 @@
 	s := p.Scenario
 	n, _ := slices.BinarySearchFunc(p.Requests, log.End, func(r plan.Request, end time.Duration) int { return cmp.Compare(r.Due, end) })
 	out := make([]fate, n)
-	visits := make([]int, n*len(s.Tier))
+	visits := make([]int, n*len(s.Tiers))
 	for i := range out {
 		r := &p.Requests[i]
-		out[i] = fate{due: r.Due, class: r.Class, worth: s.Class[r.Class].Worth, last: -1, best: -1,
-			visits: visits[i*len(s.Tier) : (i+1)*len(s.Tier)]}
-		if s.Rules.ByWork {
+		out[i] = fate{due: r.Due, class: r.Class, worth: s.Classes[r.Class].Value, last: -1, best: -1,
+			visits: visits[i*len(s.Tiers) : (i+1)*len(s.Tiers)]}
+		if s.Rules.ValueByWork {
 			out[i].worth *= r.Work.Seconds()
 		}
 	}
@@ -68,7 +68,7 @@
 		}
 	}
 	for i := range out {
-		out[i].decide(log.ClientAttempts, s.Class[out[i].class].Aim.D())
+		out[i].decide(log.ClientAttempts, s.Classes[out[i].class].TargetLatency.D())
 	}
 	return out, attempts(p, log, out)
 }
--- a/internal/lab/result/measure.go
+++ b/internal/lab/result/measure.go
@@ -19,7 +19,7 @@
 		return float64(n), true
 	case "worst":
 		for i := range r.boxes {
-			v = max(v, r.boxes[i].worst(r.plan.Scenario.Rules.FallWindow.D(), from, to))
+			v = max(v, r.boxes[i].worst(r.plan.Scenario.Rules.CollapseWindow.D(), from, to))
 		}
 		return v, true
 	case "list_calls", "list_refused", "list_dials", "list_peak", "handshakes", "attempts_peak", "again_peak", "unready", "unlisted", "unserving":
--- a/internal/lab/result/of.go
+++ b/internal/lab/result/of.go
@@ -14,7 +14,7 @@
 
 // Of is a run's result.
 func Of(p *plan.Plan, log *trace.Log, broken []Broken, meta Meta) *Result {
-	r := &run{plan: p, log: log, settle: p.Scenario.Settle.D()}
+	r := &run{plan: p, log: log, settle: p.Scenario.WarmUp.D()}
 	r.fates, r.stray = fates(p, log)
 	r.boxes = boxesOf(p, log)
 	s := p.Scenario
@@ -22,7 +22,7 @@
 		Length: s.Length.D().Seconds(), Settle: r.settle.Seconds(), End: tidy(log.End.Seconds()), Tiers: []string{},
 		Strays: r.stray.visits, Broken: told(broken), Rig: rigOf(log.Lateness), Usage: usageOf(p, log), Seconds: r.seconds(),
 		Expect: []Expect{}, Marks: []Mark{}, Classes: []Class{}, Boxes: []Box{}, Aims: []float64{}}
-	for _, t := range s.Tier {
+	for _, t := range s.Tiers {
 		out.Tiers = append(out.Tiers, t.Name)
 	}
 	out.Notice = noticeOf(p, log)
@@ -35,14 +35,14 @@
 	out.Peak = r.peak(-longest, longest)
 	out.Room = r.room(len(out.Seconds))
 	out.All = r.tally(-1, r.settle, longest).figures()
-	for i, c := range s.Class {
-		aim := milli(float64(c.Aim.D().Microseconds()))
+	for i, c := range s.Classes {
+		aim := milli(float64(c.TargetLatency.D().Microseconds()))
 		out.Classes = append(out.Classes, Class{Name: c.Name, Aim: aim, Figures: r.tally(i, r.settle, longest).figures()})
 		out.Aims = append(out.Aims, aim)
 	}
 	slices.Sort(out.Aims)
 	out.Aims = slices.Compact(out.Aims)
-	for _, e := range s.Expect {
+	for _, e := range s.Expectations {
 		out.Expect = append(out.Expect, r.expect(&e))
 	}
 	for _, m := range p.Marks {
@@ -73,7 +73,7 @@
 
 // tally sums up a class (-1 is all) in a window of due times.
 func (r *run) tally(class int, from, to time.Duration) *tally {
-	t := newTally(len(r.plan.Scenario.Tier))
+	t := newTally(len(r.plan.Scenario.Tiers))
 	t.window(r.fates, class, from, to)
 	if class < 0 {
 		t.strayed(r.stray, from, to)
@@ -88,7 +88,7 @@
 		length = max(length, r.fates[n-1].due+1)
 	}
 	out := make([]Second, int((length+time.Second-1)/time.Second))
-	t, next := newTally(len(r.plan.Scenario.Tier)), 0
+	t, next := newTally(len(r.plan.Scenario.Tiers)), 0
 	for i := range out {
 		t.reset()
 		for ; next < len(r.fates) && r.fates[next].due < time.Duration(i+1)*time.Second; next++ {
@@ -176,7 +176,7 @@
 func list[T any](v []T) []T { return append([]T{}, v...) }
 
 // expect measures an expectation.
-func (r *run) expect(e *scenario.Expect) Expect {
+func (r *run) expect(e *scenario.Expectation) Expect {
 	from, to := r.settle, longest
 	if e.From > 0 {
 		from = e.From.D()
@@ -184,10 +184,10 @@
 	if e.To > 0 {
 		to = e.To.D()
 	}
-	out := Expect{What: e.What, Class: e.Class, From: from.Seconds(), To: e.To.D().Seconds(), Least: e.Least, Most: e.Most}
-	if v, known := r.measure(e.What, r.plan.Scenario.ClassIndex(e.Class), from, to); known {
+	out := Expect{What: e.Measure, Class: e.Class, From: from.Seconds(), To: e.To.D().Seconds(), Least: e.Min, Most: e.Max}
+	if v, known := r.measure(e.Measure, r.plan.Scenario.ClassIndex(e.Class), from, to); known {
 		out.Measured = &v
-		out.Held = (e.Least == nil || v >= *e.Least) && (e.Most == nil || v <= *e.Most)
+		out.Held = (e.Min == nil || v >= *e.Min) && (e.Max == nil || v <= *e.Max)
 	}
 	return out
 }
--- a/internal/lab/result/property_test.go
+++ b/internal/lab/result/property_test.go
@@ -23,9 +23,9 @@
 func TestEveryRequestHasOneOutcome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := scenario.Default()
-		s.Length, s.Settle = scenario.Span(5*time.Second), scenario.Span(rapid.IntRange(0, 3000).Draw(t, "settle"))*scenario.Span(ms)
-		s.Class = []scenario.Class{{Name: "a", Aim: scenario.Span(50 * ms), Worth: 1}, {Name: "b", Aim: scenario.Span(90 * ms), Worth: 2}}
-		s.Tier = []scenario.Tier{{Name: "t"}}
+		s.Length, s.WarmUp = scenario.Span(5*time.Second), scenario.Span(rapid.IntRange(0, 3000).Draw(t, "settle"))*scenario.Span(ms)
+		s.Classes = []scenario.Class{{Name: "a", TargetLatency: scenario.Span(50 * ms), Value: 1}, {Name: "b", TargetLatency: scenario.Span(90 * ms), Value: 2}}
+		s.Tiers = []scenario.Tier{{Name: "t"}}
 		p := &plan.Plan{Scenario: &s, Boxes: make([]plan.Box, 2)}
 		log := &trace.Log{End: 6 * time.Second}
 		txn, due := uint64(0), 0
--- a/internal/lab/result/result_test.go
+++ b/internal/lab/result/result_test.go
@@ -24,8 +24,8 @@
 func morning() (*plan.Plan, *trace.Log) {
 	s := scenario.Default()
 	s.Name, s.Length = "morning", scenario.Span(10*time.Second)
-	s.Class = []scenario.Class{{Name: "fast", Aim: scenario.Span(100 * ms), Worth: 3}, {Name: "slow", Aim: scenario.Span(time.Second), Worth: 1}}
-	s.Tier = []scenario.Tier{{Name: "front", Calls: 1}, {Name: "back"}}
+	s.Classes = []scenario.Class{{Name: "fast", TargetLatency: scenario.Span(100 * ms), Value: 3}, {Name: "slow", TargetLatency: scenario.Span(time.Second), Value: 1}}
+	s.Tiers = []scenario.Tier{{Name: "front", Calls: 1}, {Name: "back"}}
 	p := &plan.Plan{Scenario: &s, Seed: 7,
 		Boxes:    []plan.Box{{Name: "front-1", Kind: "f", Spec: model.Spec{Cores: 2}}, {Name: "front-2", Kind: "f"}, {Name: "back-1", Tier: 1, Kind: "b"}},
 		Sidecars: []plan.Sidecar{{Name: "n1", Box: -1}, {Name: "n-front-1", Tier: 1, Box: 0}, {Name: "n-front-2", Tier: 1, Box: 1}},
@@ -115,7 +115,7 @@
 
 func TestWorthByWork(t *testing.T) {
 	p, log := morning()
-	p.Scenario.Rules.ByWork = true
+	p.Scenario.Rules.ValueByWork = true
 	near(t, "service", Of(p, log, nil, Meta{}).All.Service, (3*1+4.0)/(3*(1+2+3)+4+5+6))
 }
 
@@ -137,13 +137,13 @@
 		{"gone", "", scenario.Span(5 * time.Second), s, one},
 	} {
 		least, most := c.want-1e-3, c.want+1e-3
-		p.Scenario.Expect = []scenario.Expect{{What: c.what, Class: c.class, Least: &least, Most: &most, From: c.from, To: c.to}}
+		p.Scenario.Expectations = []scenario.Expectation{{Measure: c.what, Class: c.class, Min: &least, Max: &most, From: c.from, To: c.to}}
 		if e := Of(p, log, nil, Meta{}).Expect[0]; !e.Held {
 			t.Errorf("%s; wanted %v", e, c.want)
 		}
 	}
 	zero := 0.0
-	p.Scenario.Expect = []scenario.Expect{{What: "p99", Least: &zero, From: scenario.Span(8 * time.Second)}}
+	p.Scenario.Expectations = []scenario.Expectation{{Measure: "p99", Min: &zero, From: scenario.Span(8 * time.Second)}}
 	if e := Of(p, log, nil, Meta{}).Expect[0]; e.Held || e.Measured != nil {
 		t.Errorf("nothing to measure, but %v", e)
 	}
@@ -151,7 +151,7 @@
 
 func TestSettleIsLeftOut(t *testing.T) {
 	p, log := morning()
-	p.Scenario.Settle = scenario.Span(time.Second)
+	p.Scenario.WarmUp = scenario.Span(time.Second)
 	r := Of(p, log, nil, Meta{})
 	if r.All.Asked != 5 || r.Seconds[0].Asked != 0 || r.Seconds[1].Asked != 1 {
 		t.Errorf("asked %d, by second %+v", r.All.Asked, r.Seconds)
@@ -188,7 +188,7 @@
 		t.Errorf("box: %+v", b)
 	}
 	most := 0.0
-	p.Scenario.Expect = []scenario.Expect{{What: "fallen", Most: &most}, {What: "fallen", Most: &most, From: scenario.Span(3500 * ms)}, {What: "worst", Most: &b.Worst}}
+	p.Scenario.Expectations = []scenario.Expectation{{Measure: "fallen", Max: &most}, {Measure: "fallen", Max: &most, From: scenario.Span(3500 * ms)}, {Measure: "worst", Max: &b.Worst}}
 	if e := Of(p, log, nil, Meta{}).Expect; e[0].Held || !e[1].Held || !e[2].Held {
 		t.Errorf("expectations: %v", e)
 	}
@@ -296,7 +296,7 @@
 func TestSummaryTellsWhatHappened(t *testing.T) {
 	p, log := morning()
 	most := 0.1
-	p.Scenario.Expect = []scenario.Expect{{What: "late", Most: &most}}
+	p.Scenario.Expectations = []scenario.Expectation{{Measure: "late", Max: &most}}
 	log.Usage = []trace.Usage{{CPU: time.Second, PeakMemory: 9 << 20, MaxDescriptors: 40}}
 	log.Lateness = []time.Duration{ms, 2 * ms}
 	var out strings.Builder
--- a/internal/lab/result/room.go
+++ b/internal/lab/result/room.go
@@ -9,7 +9,7 @@
 // room is Result.Room. Work that is left over at the end of a second is taken to be lost.
 func (r *run) room(seconds int) float64 {
 	p := r.plan
-	could := make([][]float64, len(p.Scenario.Tier)) // by tier and second, seconds of standard work
+	could := make([][]float64, len(p.Scenario.Tiers)) // by tier and second, seconds of standard work
 	for t := range could {
 		could[t] = make([]float64, seconds)
 	}
@@ -30,7 +30,7 @@
 	allowed, asked := 0.0, 0.0
 	for at := range work {
 		share, visits := 1.0, 1.0
-		for t, tier := range p.Scenario.Tier {
+		for t, tier := range p.Scenario.Tiers {
 			if need := work[at] * tier.Work * visits; need > 0 {
 				share = min(share, could[t][at]/need)
 			}
--- a/internal/lab/scenario/protocol_test.go
+++ b/internal/lab/scenario/protocol_test.go
@@ -15,20 +15,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	op, err := config.ParseOperator("operator", []byte(s.OperatorText("127.0.0.1:9", "t", true)))
+	op, err := config.ParseOperator("operator", []byte(s.OperatorFile("127.0.0.1:9", "t", true)))
 	if err != nil || op.Thrift == nil || len(op.Thrift.Methods) != 1 {
 		t.Fatalf("%+v: %v", op, err)
 	}
-	if !op.Fleet.Numbered || op.Thrift.Listen != "127.0.0.1:9" || op.Thrift.TurnedAway != ThriftTurnedAway {
+	if !op.Fleet.Numbered || op.Thrift.Listen != "127.0.0.1:9" || op.Thrift.TurnedAway != ThriftRejectedType {
 		t.Errorf("%+v", op.Thrift)
 	}
 	m := op.Thrift.Methods[0]
-	if m.Name != "a_b" || m.Class != "a-b" || !slices.Equal(m.ID, []int16{ThriftTxn}) ||
-		!slices.Equal(m.Key, []int16{ThriftKey}) || !slices.Equal(m.RemainingMS, []int16{ThriftRemaining}) {
+	if m.Name != "a_b" || m.Class != "a-b" || !slices.Equal(m.ID, []int16{ThriftTransactionIDField}) ||
+		!slices.Equal(m.Key, []int16{ThriftKeyField}) || !slices.Equal(m.RemainingMS, []int16{ThriftRemainingField}) {
 		t.Errorf("%+v", m)
 	}
 	s.Fleet.Protocol = "http"
-	if got := s.OperatorText("127.0.0.1:9", "t", true); got != s.Fleet.Operator {
+	if got := s.OperatorFile("127.0.0.1:9", "t", true); got != s.Fleet.OperatorConfig {
 		t.Errorf("over HTTP: %q", got)
 	}
 }
--- a/internal/lab/simulation/boxes.go
+++ b/internal/lab/simulation/boxes.go
@@ -64,7 +64,7 @@
 
 func (s *sim) makeBoxes() {
 	s.byName = map[string]int{}
-	keys := make([]*model.Keys, len(s.p.Scenario.Tier))
+	keys := make([]*model.Keys, len(s.p.Scenario.Tiers))
 	for i := range s.p.Boxes {
 		b := &s.p.Boxes[i]
 		m := model.New(b.Spec, b.Seed)
@@ -430,7 +430,7 @@
 	if b.m.Load(s.now).Fallen && !b.fallen {
 		b.fallen = true
 		s.listed[i] = false
-		s.at(s.now+s.p.Scenario.Discovery.Notice.D(), event{kind: evFell, a: int32(i)})
+		s.at(s.now+s.p.Scenario.Discovery.RemoveDelay.D(), event{kind: evFell, a: int32(i)})
 	}
 }
 
@@ -457,17 +457,17 @@
 	l, state := &s.log.EndpointRequests[v], &s.visits[v]
 	parent := &s.log.ClientAttempts[s.attempts[state.attempt].try]
 	left := state.until - s.now
-	if !s.p.Scenario.Rules.PassesDeadline {
-		left = s.p.Scenario.Class[parent.Class].Deadline.D()
+	if !s.p.Scenario.Rules.PropagatesDeadline {
+		left = s.p.Scenario.Classes[parent.Class].Deadline.D()
 	}
 	if left <= 0 || s.sidecars != nil && s.boxes[i].sidecar < 0 {
 		s.returned(v, false, budget.Tried{})
 		return
 	}
-	t := trace.ClientAttempt{TransactionID: s.p.CallTxn(l.TransactionID, i, state.number, call), Parent: l.TransactionID, Request: parent.Request, Tier: s.p.Scenario.Next(s.p.Boxes[i].Tier),
+	t := trace.ClientAttempt{TransactionID: s.p.CallTxn(l.TransactionID, i, state.number, call), Parent: l.TransactionID, Request: parent.Request, Tier: s.p.Scenario.NextTierIndex(s.p.Boxes[i].Tier),
 		Class: parent.Class, Due: s.now, Sent: s.now, Timeout: left, Ended: trace.Unset, Endpoint: -1, Sidecar: s.boxes[i].sidecar}
 	state.call = s.send(t, v)
-	if s.p.Scenario.Tier[s.p.Boxes[i].Tier].Carry == "all" {
+	if s.p.Scenario.Tiers[s.p.Boxes[i].Tier].Propagates == "all" {
 		s.tries[state.call].baggage = s.attempts[state.attempt].baggage
 	}
 }
@@ -479,7 +479,7 @@
 	if s.visits[v].calls++; s.visits[v].calls > 1 {
 		t = s.visits[v].tried.And(t)
 	}
-	if s.p.Scenario.Tier[s.p.Boxes[box].Tier].Carry == "all" {
+	if s.p.Scenario.Tiers[s.p.Boxes[box].Tier].Propagates == "all" {
 		s.visits[v].tried = t
 	}
 	s.boxes[box].m.Returned(s.now, uint64(v)+1, ok)
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -72,7 +72,7 @@
 		return i
 	}
 	// An answer is in time until the slack is over, as the judges count.
-	s.later(t.Sent+t.Timeout+s.p.Scenario.Rules.AnswerSlack.D(), t.Class, event{kind: evTryEnd, a: int32(i)})
+	s.later(t.Sent+t.Timeout+s.p.Scenario.Rules.ResponseSlack.D(), t.Class, event{kind: evTryEnd, a: int32(i)})
 	if s.sidecars == nil {
 		s.plainSend(i)
 		return i
@@ -126,7 +126,7 @@
 		return
 	}
 	t.decided, t.at, t.result, t.code, t.advice, t.box = true, s.now, status, code, advice, box
-	s.closeAccount(i, status == trace.StatusServed && s.now <= s.log.ClientAttempts[i].Sent+s.p.Scenario.Class[s.log.ClientAttempts[i].Class].Aim.D())
+	s.closeAccount(i, status == trace.StatusServed && s.now <= s.log.ClientAttempts[i].Sent+s.p.Scenario.Classes[s.log.ClientAttempts[i].Class].TargetLatency.D())
 	s.at(s.now+s.delay, event{kind: evAnswer, a: int32(i)})
 }
 
--- a/internal/lab/simulation/sidecar.go
+++ b/internal/lab/simulation/sidecar.go
@@ -139,7 +139,7 @@
 	if c.b == nil || c.missed {
 		return
 	}
-	if s.p.Scenario.Discovery.Whole {
+	if s.p.Scenario.Discovery.FullLists {
 		s.fetched(i)
 		return
 	}
@@ -213,7 +213,7 @@
 func (s *sim) down(i int) {
 	c := &s.sidecars[i]
 	c.b = nil
-	s.at(s.now+s.p.Scenario.Clients.Notice.D(), event{kind: evOut, a: int32(i), b: int32(c.life)}) // until then the front sends on
+	s.at(s.now+s.p.Scenario.Clients.FailureDetection.D(), event{kind: evOut, a: int32(i), b: int32(c.life)}) // until then the front sends on
 	for box := range s.boxes {
 		s.closeIdle(box, i)
 	}
--- a/internal/lab/simulation/virtual.go
+++ b/internal/lab/simulation/virtual.go
@@ -152,7 +152,7 @@
 
 // Play plays a plan to its end.
 func Play(p *plan.Plan) (*trace.Log, error) {
-	if p.Scenario.SocketsOnly() {
+	if p.Scenario.NeedsProcesses() {
 		return nil, errors.New("virtual: the scenario has a list service of bounded capacity, or faults of it or of links: they need processes, on sockets")
 	}
 	s := &sim{p: p, delay: p.Scenario.Network.Delay.D(), requests: make([]client, len(p.Requests))}
@@ -161,12 +161,12 @@
 	s.tries = make([]try, 0, cap(s.log.ClientAttempts))
 	s.attempts = make([]attempt, 0, cap(s.log.ClientAttempts))
 	s.visits = make([]visit, 0, cap(s.log.ClientAttempts))
-	for i := range p.Scenario.Class {
-		s.longest = max(s.longest, p.Scenario.Class[i].Deadline.D())
+	for i := range p.Scenario.Classes {
+		s.longest = max(s.longest, p.Scenario.Classes[i].Deadline.D())
 	}
-	s.ends = make([]lane, len(p.Scenario.Class))
+	s.ends = make([]lane, len(p.Scenario.Classes))
 	s.makeBoxes()
-	op, err := config.ParseOperator("fleet.operator", []byte(p.Scenario.Fleet.Operator))
+	op, err := config.ParseOperator("fleet.operator", []byte(p.Scenario.Fleet.OperatorConfig))
 	if err != nil {
 		return nil, fmt.Errorf("virtual: %w", err)
 	}
@@ -178,8 +178,8 @@
 		if op.Fleet == nil || !op.Fleet.Numbered {
 			set.Name = p.Sidecars[i].Name
 		}
-		op, err := config.ParseOperator("fleet.operator", []byte(p.Scenario.OperatorText("127.0.0.1:1",
-			p.Scenario.Tier[p.Sidecars[i].Tier].Name, p.Sidecars[i].Accounts)))
+		op, err := config.ParseOperator("fleet.operator", []byte(p.Scenario.OperatorFile("127.0.0.1:1",
+			p.Scenario.Tiers[p.Sidecars[i].Tier].Name, p.Sidecars[i].Accounts)))
 		if err != nil {
 			return nil, fmt.Errorf("virtual: %w", err)
 		}
@@ -428,7 +428,7 @@
 func (s *sim) retire(box, pool int) {
 	b := &s.boxes[box]
 	idle := b.idle[pool+1]
-	most := time.Duration(idleShare * float64(s.p.Scenario.Rules.ConnIdle))
+	most := time.Duration(idleShare * float64(s.p.Scenario.Rules.ConnIdleTimeout))
 	old := 0
 	for old < len(idle) && s.now-idle[old].since > most {
 		b.m.Disconnect(s.now)
--- a/internal/lab/simulation/virtual_test.go
+++ b/internal/lab/simulation/virtual_test.go
@@ -68,7 +68,7 @@
 			t.Fatalf("id %x twice", y.TransactionID)
 		}
 		byTxn[y.TransactionID] = y
-		if y.Ended == trace.Unset || y.Ended < y.Sent || y.Ended > y.Sent+y.Timeout+p.Scenario.Rules.AnswerSlack.D() {
+		if y.Ended == trace.Unset || y.Ended < y.Sent || y.Ended > y.Sent+y.Timeout+p.Scenario.Rules.ResponseSlack.D() {
 			t.Fatalf("a try sent at %v with %v left ended at %v, %v", y.Sent, y.Timeout, y.Ended, y.Status)
 		}
 		if y.Tier == 0 {
@@ -126,27 +126,27 @@
 		if rapid.Bool().Draw(t, "two tiers") {
 			s = *base
 		}
-		s.Length, s.Fault, s.Expect = scenario.Span(4*time.Second), nil, nil
+		s.Length, s.Faults, s.Expectations = scenario.Span(4*time.Second), nil, nil
 		s.Clients.Load = rapid.SampledFrom([]float64{0.1, 0.5, 1.5}).Draw(t, "load")
-		s.Clients.Honour = 0.5
+		s.Clients.HonorRetryAfter = 0.5
 		s.Fleet.Sidecars = rapid.IntRange(1, 4).Draw(t, "sidecars")
 		s.Fleet.Start = rapid.SampledFrom([]string{"before", "with"}).Draw(t, "start")
-		s.Fleet.Known = rapid.SampledFrom([]string{"fresh", "none", "stale"}).Draw(t, "known")
+		s.Fleet.InitialList = rapid.SampledFrom([]string{"fresh", "none", "stale"}).Draw(t, "known")
 		s.Fleet.Policy = rapid.SampledFrom([]string{"pinelb", "pinelb", "plain"}).Draw(t, "policy")
-		s.Rules.PassesDeadline = rapid.Bool().Draw(t, "passes deadline")
+		s.Rules.PropagatesDeadline = rapid.Bool().Draw(t, "passes deadline")
 		for range rapid.IntRange(0, 5).Draw(t, "faults") {
 			ms := func(label string, most int) scenario.Span {
 				return scenario.Span(time.Duration(rapid.IntRange(1, most).Draw(t, label)) * time.Millisecond)
 			}
-			f := scenario.Fault{Kind: rapid.SampledFrom(kinds).Draw(t, "kind"), At: ms("at", 3500), For: ms("for", 3000),
-				Tier: rapid.SampledFrom(s.Tier).Draw(t, "tier").Name, Boxes: 2, Size: 0.6, Back: ms("back", 1000)}
+			f := scenario.Fault{Kind: rapid.SampledFrom(kinds).Draw(t, "kind"), At: ms("at", 3500), Duration: ms("for", 3000),
+				Tier: rapid.SampledFrom(s.Tiers).Draw(t, "tier").Name, Endpoints: 2, Size: 0.6, RecoveryDelay: ms("back", 1000)}
 			switch f.Kind {
 			case "slow":
 				f.Size = 3
 			case "flap":
-				f.Of, f.Up, f.Down, f.Size = rapid.SampledFrom(kinds[:10]).Draw(t, "of"), ms("up", 300)+10, ms("down", 300)+10, 1
+				f.Target, f.Up, f.Down, f.Size = rapid.SampledFrom(kinds[:10]).Draw(t, "of"), ms("up", 300)+10, ms("down", 300)+10, 1
 			}
-			s.Fault = append(s.Fault, f)
+			s.Faults = append(s.Faults, f)
 		}
 		p, err := plan.Build(&s, rapid.Uint64().Draw(t, "seed"), nil)
 		if err != nil {
@@ -250,7 +250,7 @@
 		}
 		if t.Due > 10*time.Second && t.Due < 15*time.Second && t.Number == 0 {
 			asked++
-			if k := p.Scenario.Class[t.Class]; t.Timeout < time.Duration(0.31*p.Scenario.Clients.TryShare*float64(k.Deadline)) {
+			if k := p.Scenario.Classes[t.Class]; t.Timeout < time.Duration(0.31*p.Scenario.Clients.AttemptTimeoutShare*float64(k.Deadline)) {
 				hurried++
 			}
 		}
