--- a/internal/lab/scenario/load_test.go
+++ b/internal/lab/scenario/load_test.go
@@ -8,7 +8,7 @@
 	"pinelb.example/pinelb/scenarios"
 )
 
-// small is a scenario with nothing wrong; cases below spoil one line each.
+// small is a valid scenario; the cases below make one line of it invalid.
 const small = `name = "small"
 length = "5s"
 [[class]]
@@ -25,7 +25,7 @@
 rate = 50
 `
 
-func TestShippedScenariosHold(t *testing.T) {
+func TestShippedScenariosAreValid(t *testing.T) {
 	names, err := fs.Glob(scenarios.Files, "*.toml")
 	if err != nil || len(names) == 0 {
 		t.Fatal(names, err)
@@ -44,8 +44,8 @@
 	}
 }
 
-// Guards against a fault in a scenario that is taken, or that is told without its place.
-func TestFaultsNameTheirPlace(t *testing.T) {
+// An invalid scenario is rejected, with an error that names the line and the key.
+func TestErrorsNameLineAndKey(t *testing.T) {
 	if _, err := Parse("x.toml", []byte(small)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/scenario/protocol.go
+++ b/internal/lab/scenario/protocol.go
@@ -6,37 +6,37 @@
 	"strings"
 )
 
-// Protocols are what clients, sidecars and boxes may speak with each other: HTTP/1.1, and Thrift's binary and
-// compact encodings, with each message in a frame or without.
+// Protocols are those between clients, sidecars and endpoints: HTTP/1.1, and Apache Thrift's binary and compact
+// encodings, framed or not.
 var Protocols = []string{"http", "thrift-framed-binary", "thrift-framed-compact", "thrift-binary", "thrift-compact"}
 
-// Measure sidecars are told of calls over Thrift: the fields of the arguments, and a box's exception.
+// How sidecars read Thrift calls: field ids of the arguments, and the type of an endpoint's exception.
 const (
-	ThriftTransactionIDField = 1   // field of the id
-	ThriftKeyField           = 2   // of the key, in keyed classes
-	ThriftRemainingField     = 3   // of the time that is left, ms
-	ThriftRejectedType       = 200 // type of the exception that says that the call never ran
+	ThriftTransactionIDField = 1   // of the transaction id
+	ThriftKeyField           = 2   // of the idempotency key, in keyed classes
+	ThriftRemainingField     = 3   // of the time until the deadline, ms
+	ThriftRejectedType       = 200 // the call was rejected before it ran
 )
 
-// thriftMaxMessage is of a message: bodies and answers have 64 KiB at most.
+// thriftMaxMessage bounds a message: bodies and responses have 64 KiB at most.
 const thriftMaxMessage = "80KiB"
 
 // methodName is an identifier of Thrift's interface language.
 var methodName = regexp.MustCompile(`^[A-Za-z_][A-Za-z0-9_]*$`)
 
-// IsThrift tells whether the protocol is a form of Thrift.
+// IsThrift reports whether the protocol is a form of Thrift.
 func (f *Fleet) IsThrift() bool { return strings.HasPrefix(f.Protocol, "thrift-") }
 
-// ThriftMethod is the name of the method of Thrift by which a class is called: its own, with "_" for "-".
+// ThriftMethod returns the name of the class's Thrift method: the class's own, with "_" for "-".
 func (c *Class) ThriftMethod() string { return strings.ReplaceAll(c.Name, "-", "_") }
 
-// OperatorFile is the operator's file of a sidecar that sends to a service: the fleet's, and after it the section of
-// budgets, if the sidecar keeps any, and the one that tells it of the calls where the protocol is Thrift and it is to
-// listen at an address, host:port. "" is none.
-func (s *Scenario) OperatorFile(listen, service string, accounts bool) string {
+// OperatorFile returns the operator's file of a sidecar that sends to a service: the fleet's text, then the section
+// [budget] if the sidecar has budgets, then the section [thrift] if that is the protocol. The sidecar listens for Thrift
+// at listen, host:port. "" is no file.
+func (s *Scenario) OperatorFile(listen, service string, hasBudget bool) string {
 	var out strings.Builder
 	out.WriteString(s.Fleet.OperatorConfig)
-	if b := s.Fleet.Budget; b != nil && accounts {
+	if b := s.Fleet.Budget; b != nil && hasBudget {
 		tier := s.TierIndex(service)
 		fmt.Fprintf(&out, "\n[budget]\nservice = %q\nattempts = %d\nreentry = %d\nleaf = %v\n", service, b.AttemptLimit, b.ReentryLimit, s.NextTierIndex(tier) < 0)
 	}
--- a/internal/lab/scenario/protocol_test.go
+++ b/internal/lab/scenario/protocol_test.go
@@ -8,8 +8,8 @@
 	"pinelb.example/pinelb/internal/config"
 )
 
-// A sidecar is told of each class as the callers call it, beside what the scenario's own text says.
-func TestOperatorTextTellsOfTheCalls(t *testing.T) {
+// The file has a method for each class, beside the scenario's own text.
+func TestOperatorFileDescribesThriftMethods(t *testing.T) {
 	text := strings.Replace(small, `name = "a"`, "name = \"a-b\"\neffect = \"keyed\"", 1)
 	s, err := Parse("x.toml", []byte(text+"[fleet]\nprotocol = \"thrift-compact\"\noperator = \"[fleet]\\nnumbered = true\""))
 	if err != nil {
