--- a/internal/lab/auditcheck/audit_logs.go
+++ b/internal/lab/auditcheck/audit_logs.go
@@ -93,8 +93,8 @@
 		verdict:       Verdict{UnreadSidecars: []string{}, Details: []string{}},
 	}
 	for _, event := range p.Events {
-		if event.Kind == plan.BeginFault && event.At <= log.End && (event.Fault.Kind == model.Dead || event.Fault.Kind == model.Vanish) {
-			c.downEndpoints[p.Boxes[event.Box].Name] = true
+		if event.Kind == plan.StartFault && event.At <= log.End && (event.Fault.Kind == model.Dead || event.Fault.Kind == model.Vanish) {
+			c.downEndpoints[p.Endpoints[event.Endpoint].Name] = true
 		}
 	}
 	for sidecar, requests := range c.requestsBySidecar() {
@@ -132,7 +132,7 @@
 	}
 	bySidecar := make([][]firstTierRequest, 0, len(c.plan.Sidecars))
 	for i := range c.plan.Sidecars {
-		if c.plan.Sidecars[i].Box < 0 {
+		if c.plan.Sidecars[i].Endpoint < 0 {
 			bySidecar = append(bySidecar, nil)
 		}
 	}
@@ -148,7 +148,7 @@
 		}
 		bySidecar[attempt.Sidecar] = append(bySidecar[attempt.Sidecar], firstTierRequest{
 			class:    c.plan.Scenario.Classes[attempt.Class].Name,
-			endpoint: c.plan.Boxes[request.Endpoint].Name,
+			endpoint: c.plan.Endpoints[request.Endpoint].Name,
 			earliest: earliest,
 			latest:   request.FirstByte,
 		})
--- a/internal/lab/auditcheck/drain.go
+++ b/internal/lab/auditcheck/drain.go
@@ -13,14 +13,14 @@
 func CountAfterDrain(p *plan.Plan, log *trace.Log, late time.Duration) map[int]int {
 	drains := map[int]*span{}        // by endpoint
 	for _, event := range p.Events { // by time
-		if event.Kind != plan.Tell || p.Boxes[event.Entry.Box].Tier != 0 {
+		if event.Kind != plan.NotifySidecar || p.Endpoints[event.Entry.Endpoint].Tier != 0 {
 			continue
 		}
 		ready := event.Entry.Phase == trace.PhaseReady
-		drain := drains[event.Entry.Box]
+		drain := drains[event.Entry.Endpoint]
 		switch {
 		case !ready && drain == nil:
-			drains[event.Entry.Box] = &span{event.At, model.Never}
+			drains[event.Entry.Endpoint] = &span{event.At, model.Never}
 		case ready && drain != nil:
 			drain.to = min(drain.to, event.At)
 		}
--- a/internal/lab/auditcheck/findings.go
+++ b/internal/lab/auditcheck/findings.go
@@ -80,7 +80,7 @@
 	result.Rounds = rounds
 	references := referenceSpans(log)
 	for sidecar := range p.Sidecars {
-		if p.Sidecars[sidecar].Box >= 0 {
+		if p.Sidecars[sidecar].Endpoint >= 0 {
 			continue
 		}
 		own := slices.DeleteFunc(slices.Clone(found), func(f finding) bool { return f.sidecar != sidecar })
@@ -220,7 +220,7 @@
 	end := p.Scenario.Length.D() // when partitions heal
 	for i, reference := range references {
 		for sidecar := range p.Sidecars {
-			if p.Sidecars[sidecar].Box >= 0 || !isRunning(log, sidecar, reference.from, reference.from+settle) {
+			if p.Sidecars[sidecar].Endpoint >= 0 || !isRunning(log, sidecar, reference.from, reference.from+settle) {
 				continue
 			}
 			lists := possibleLists(log, sidecar)
--- a/internal/lab/calibration/arrivals.go
+++ b/internal/lab/calibration/arrivals.go
@@ -61,12 +61,12 @@
 			if class < 0 {
 				return nil, fmt.Errorf("rehearse: the record names the class %q, which the scenario lacks", name)
 			}
-			a := plan.Arrival{At: offset + st.Arrival, Class: class, Left: st.Left, Repeated: st.Repeated}
-			if a.Leaves = leaves.after(st, rng); st.End == stream.Gone {
-				a.Leaves = st.Answered
+			a := plan.Arrival{At: offset + st.Arrival, Class: class, Timeout: st.Left, IsRetry: st.Repeated}
+			if a.CancelAfter = leaves.after(st, rng); st.End == stream.Gone {
+				a.CancelAfter = st.Answered
 			}
-			if a.Leaves >= st.Left { // its time is up by then
-				a.Leaves = 0
+			if a.CancelAfter >= st.Left { // its time is up by then
+				a.CancelAfter = 0
 			}
 			out = append(out, a)
 		}
--- a/internal/lab/calibration/rehearse_test.go
+++ b/internal/lab/calibration/rehearse_test.go
@@ -208,8 +208,8 @@
 		}
 	}
 	for h := range v.hosts {
-		m.speed = append(m.speed, p.Boxes[h].Spec.Speed)
-		if v.hosts[h].name != p.Boxes[h].Name {
+		m.speed = append(m.speed, p.Endpoints[h].Spec.Speed)
+		if v.hosts[h].name != p.Endpoints[h].Name {
 			t.Fatalf("host %d is %s", h, v.hosts[h].name)
 		}
 	}
@@ -230,8 +230,8 @@
 func TestCores(t *testing.T) {
 	for _, cores := range []int{1, 2, 4, 8} {
 		_, p, _ := observe(t, "calm", "", 10*time.Second, 3)
-		for i := range p.Boxes {
-			p.Boxes[i].Spec.Cores, p.Boxes[i].Spec.Speed = cores, p.Boxes[i].Spec.Speed/float64(cores)
+		for i := range p.Endpoints {
+			p.Endpoints[i].Spec.Cores, p.Endpoints[i].Spec.Speed = cores, p.Endpoints[i].Spec.Speed/float64(cores)
 		}
 		records, _ := played(t, p)
 		r := fitted(t, records, direct)
--- a/internal/lab/calibration/virtual.go
+++ b/internal/lab/calibration/virtual.go
@@ -34,7 +34,7 @@
 			continue
 		}
 		run.Streams = append(run.Streams, accesslog.Stream{Arrival: s.Arrived, Class: t.Class, Left: t.Timeout,
-			Repeated: t.Number > 0 || t.Tier == 0 && p.Requests[t.Request].Repeated, End: ending(&s), Answered: s.Ended - s.Arrived,
+			Repeated: t.Number > 0 || t.Tier == 0 && p.Requests[t.Request].IsRetry, End: ending(&s), Answered: s.Ended - s.Arrived,
 			RetryAfter: s.RetryAfter})
 		at[s.ClientAttempt] = len(run.Streams)
 	}
@@ -44,7 +44,7 @@
 			continue
 		}
 		s := &run.Streams[i]
-		s.Attempts = append(s.Attempts, accesslog.Attempt{Host: p.Boxes[a.Endpoint].Name, Began: a.Sent - s.Arrival, Took: a.Duration, Status: a.Status})
+		s.Attempts = append(s.Attempts, accesslog.Attempt{Host: p.Endpoints[a.Endpoint].Name, Began: a.Sent - s.Arrival, Took: a.Duration, Status: a.Status})
 	}
 	return &accesslog.Record{Runs: []*accesslog.Run{run}}, nil
 }
@@ -63,7 +63,7 @@
 			}
 			out = append(out, accesslog.Cluster{At: t.At, List: list})
 		}
-		b := &p.Boxes[t.Endpoint]
+		b := &p.Endpoints[t.Endpoint]
 		m := cluster.Member{ID: b.Name, State: states[t.Phase]}
 		if t.Phase != trace.PhaseGone {
 			m.Kind, m.Zone, m.Weight = b.Kind, plan.Zone, float64(b.Spec.Cores)
--- a/internal/lab/judge/attempts.go
+++ b/internal/lab/judge/attempts.go
@@ -44,7 +44,7 @@
 
 // checkEndpoint checks the endpoint of an upstream request against what its sidecar had been notified of.
 func (e *evaluation) checkEndpoint(attempt *trace.ClientAttempt, request *trace.EndpointRequest) {
-	if attempt.Sidecar < 0 || attempt.Sidecar >= len(e.plan.Sidecars) || request.Endpoint < 0 || request.Endpoint >= len(e.plan.Boxes) {
+	if attempt.Sidecar < 0 || attempt.Sidecar >= len(e.plan.Sidecars) || request.Endpoint < 0 || request.Endpoint >= len(e.plan.Endpoints) {
 		return
 	}
 	if request.FirstByte+e.slack < e.discovery.firstListedAt(attempt.Sidecar, request.Endpoint) {
--- a/internal/lab/judge/cold_load.go
+++ b/internal/lab/judge/cold_load.go
@@ -26,12 +26,12 @@
 
 // checkColdLoads measures every endpoint's load by its samples, and checks those that collapsed.
 func (e *evaluation) checkColdLoads() {
-	byEndpoint := make([][]trace.Sample, len(e.plan.Boxes))
+	byEndpoint := make([][]trace.Sample, len(e.plan.Endpoints))
 	for _, s := range e.log.Samples {
 		byEndpoint[s.Endpoint] = append(byEndpoint[s.Endpoint], s)
 	}
 	for i, samples := range byEndpoint {
-		load := ColdLoad{Endpoint: i, CollapsedAt: trace.Unset, Max: e.maxColdLoad(&e.plan.Boxes[i].Spec, samples)}
+		load := ColdLoad{Endpoint: i, CollapsedAt: trace.Unset, Max: e.maxColdLoad(&e.plan.Endpoints[i].Spec, samples)}
 		if n := slices.IndexFunc(samples, func(s trace.Sample) bool { return s.Collapsed }); n >= 0 {
 			load.CollapsedAt = samples[n].At
 			load.InformedShare = e.informedShare(i, samples[max(0, n-1)].At, load.CollapsedAt)
@@ -133,9 +133,9 @@
 		}
 	}
 	for i := range e.plan.Sidecars {
-		for _, listed := range e.plan.Sidecars[i].Known {
-			if listed.Box == endpoint {
-				learn(i, 0, listed.UpSince)
+		for _, listed := range e.plan.Sidecars[i].InitialList {
+			if listed.Endpoint == endpoint {
+				learn(i, 0, listed.StartedAt)
 			}
 		}
 	}
@@ -145,8 +145,8 @@
 		}
 	}
 	for i := range e.plan.Events {
-		if event := &e.plan.Events[i]; event.Kind == plan.Tell && event.Sidecar >= 0 && event.Entry.Box == endpoint {
-			learn(event.Sidecar, event.At+notificationTimeout, event.Entry.UpSince)
+		if event := &e.plan.Events[i]; event.Kind == plan.NotifySidecar && event.Sidecar >= 0 && event.Entry.Endpoint == endpoint {
+			learn(event.Sidecar, event.At+notificationTimeout, event.Entry.StartedAt)
 		}
 	}
 	return knownAt
@@ -157,7 +157,7 @@
 	for i := range p.Events {
 		event := &p.Events[i]
 		down := event.Fault.Kind == model.Dead || event.Fault.Kind == model.Vanish
-		if event.Box == endpoint && (event.Kind == plan.StartBox || event.Kind == plan.EndFault && down) {
+		if event.Endpoint == endpoint && (event.Kind == plan.StartEndpoint || event.Kind == plan.EndFault && down) {
 			times = append(times, event.At)
 		}
 	}
--- a/internal/lab/judge/cold_requests.go
+++ b/internal/lab/judge/cold_requests.go
@@ -16,7 +16,7 @@
 // sooner. It is 0 if no endpoint was cold.
 func MaxColdRequestRatio(p *plan.Plan, log *trace.Log) (ratio float64, where string) {
 	e := &evaluation{plan: p, log: log, index: newIndex(log)}
-	for endpoint := range p.Boxes {
+	for endpoint := range p.Endpoints {
 		for _, start := range startTimes(p, endpoint) {
 			if r, at := e.maxRatioAfterStart(endpoint, start); r > ratio {
 				ratio, where = r, fmt.Sprintf("box %s, %s", e.endpointName(endpoint), at)
@@ -28,7 +28,7 @@
 
 // maxRatioAfterStart is MaxColdRequestRatio after one start of an endpoint.
 func (e *evaluation) maxRatioAfterStart(endpoint int, start time.Duration) (ratio float64, where string) {
-	spec, window := &e.plan.Boxes[endpoint].Spec, e.plan.Scenario.Rules.CollapseWindow.D()
+	spec, window := &e.plan.Endpoints[endpoint].Spec, e.plan.Scenario.Rules.CollapseWindow.D()
 	knownAt := e.startKnownAt(endpoint, start)
 	var requests []trace.EndpointRequest // of the window that ends with the last of them
 	for _, request := range e.log.EndpointRequests {
--- a/internal/lab/judge/discovery_view.go
+++ b/internal/lab/judge/discovery_view.go
@@ -51,16 +51,16 @@
 func newDiscoveryView(p *plan.Plan, log *trace.Log) *discoveryView {
 	view := &discoveryView{
 		sidecarCount:  len(p.Sidecars),
-		endpointCount: len(p.Boxes),
-		firstListed:   make([]time.Duration, len(p.Sidecars)*len(p.Boxes)),
+		endpointCount: len(p.Endpoints),
+		firstListed:   make([]time.Duration, len(p.Sidecars)*len(p.Endpoints)),
 		unavailable:   map[int][]span{},
 	}
 	for i := range view.firstListed {
 		view.firstListed[i] = model.Never
 	}
 	for i := range p.Sidecars {
-		for _, listed := range slices.Concat(p.Sidecars[i].Known, p.First(p.Sidecars[i].Tier)) {
-			view.firstListed[view.pair(i, listed.Box)] = 0
+		for _, listed := range slices.Concat(p.Sidecars[i].InitialList, p.InitialMembers(p.Sidecars[i].Tier)) {
+			view.firstListed[view.pair(i, listed.Endpoint)] = 0
 		}
 	}
 	updates := view.collect(p, log)
@@ -135,10 +135,10 @@
 
 // notifiedPair is the pair that an event of the script has an update for; -1 if it has none.
 func (v *discoveryView) notifiedPair(event *plan.Event) int {
-	if event.Kind != plan.Tell {
+	if event.Kind != plan.NotifySidecar {
 		return -1
 	}
-	return v.pair(event.Sidecar, event.Entry.Box)
+	return v.pair(event.Sidecar, event.Entry.Endpoint)
 }
 
 // unavailableSpans follows one endpoint at one sidecar. A time-out that has not passed when it is ready again counts for nothing.
--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -149,10 +149,10 @@
 func (e *evaluation) effect(class int) string { return e.plan.Scenario.Classes[class].Idempotency }
 
 func (e *evaluation) endpointName(i int) string {
-	if i < 0 || i >= len(e.plan.Boxes) {
+	if i < 0 || i >= len(e.plan.Endpoints) {
 		return fmt.Sprintf("number %d", i)
 	}
-	return e.plan.Boxes[i].Name
+	return e.plan.Endpoints[i].Name
 }
 
 func (e *evaluation) sidecarName(i int) string {
--- a/internal/lab/judge/judge_test.go
+++ b/internal/lab/judge/judge_test.go
@@ -91,8 +91,8 @@
 func TestUnlistedEndpoint(t *testing.T) {
 	for told, want := range map[string]string{"": "1 unknown request", "told 90 n1 t3 ready\n": "", "told 300 n1 t3 ready\n": "1 unknown request"} {
 		p, log := parseScript(t, told+requestLine+"visit t3 101 102 110 ok\nend 111 served")
-		p.Boxes[2].Start = "absent"
-		p.Sidecars[0].Known = p.First(0)
+		p.Endpoints[2].Start = "absent"
+		p.Sidecars[0].InitialList = p.InitialMembers(0)
 		if got := countsText(Judge(p, log)); got != want {
 			t.Errorf("notification %q: found %q, want %q", told, got, want)
 		}
--- a/internal/lab/judge/property_test.go
+++ b/internal/lab/judge/property_test.go
@@ -65,9 +65,9 @@
 // request is a client's: it retries only if it may.
 func (c *correctRun) request(class int, due time.Duration, plainly bool) {
 	n := len(c.p.Requests)
-	c.p.Requests = append(c.p.Requests, plan.Request{Due: due, Class: class, Patience: 2 * time.Second, Work: time.Millisecond})
+	c.p.Requests = append(c.p.Requests, plan.Request{Due: due, Class: class, Timeout: 2 * time.Second, Work: time.Millisecond})
 	for no, at := 0, due; no < 3; no++ {
-		t := trace.ClientAttempt{TransactionID: c.p.Txn(n, no), Request: n, Number: no, Class: class, Due: due, Sent: at, Timeout: 500 * time.Millisecond, Endpoint: -1}
+		t := trace.ClientAttempt{TransactionID: c.p.TransactionID(n, no), Request: n, Number: no, Class: class, Due: due, Sent: at, Timeout: 500 * time.Millisecond, Endpoint: -1}
 		if t.Sidecar = rapid.IntRange(0, 1).Draw(c.T, "sidecar"); plainly || at >= c.killedAt[t.Sidecar] {
 			t.Sidecar = 0
 		}
@@ -214,7 +214,7 @@
 	for i := range 1_000_000 {
 		at := time.Duration(i) * 10 * time.Microsecond
 		p.Requests = append(p.Requests, plan.Request{Due: at, Class: i % 3})
-		attempt := trace.ClientAttempt{TransactionID: p.Txn(i, 0), Request: i, Class: i % 3, Sent: at, Timeout: 500 * time.Millisecond, Ended: at + 10*time.Millisecond, Responses: 1}
+		attempt := trace.ClientAttempt{TransactionID: p.TransactionID(i, 0), Request: i, Class: i % 3, Sent: at, Timeout: 500 * time.Millisecond, Ended: at + 10*time.Millisecond, Responses: 1}
 		log.ClientAttempts = append(log.ClientAttempts, attempt)
 		away := trace.EndpointRequest{TransactionID: attempt.TransactionID, Endpoint: 1, FirstByte: at + 1, LastByte: at + 1, Started: trace.Unset, Ended: at + 2, Outcome: trace.OutcomeRejected}
 		log.EndpointRequests = append(log.EndpointRequests, away, trace.EndpointRequest{TransactionID: attempt.TransactionID, FirstByte: at + 5, LastByte: at + 5, Started: at + 5, Ended: at + 9, Outcome: trace.OutcomeOK})
--- a/internal/lab/judge/responses.go
+++ b/internal/lab/judge/responses.go
@@ -39,7 +39,7 @@
 // waited, so it may take a request to have more time than it has.
 func (e *evaluation) wasPaused(sidecar int, from, to time.Duration) bool {
 	return slices.ContainsFunc(e.pauses, func(event plan.Event) bool {
-		return event.Sidecar == sidecar && from <= event.At+event.For && to >= event.At
+		return event.Sidecar == sidecar && from <= event.At+event.Duration && to >= event.At
 	})
 }
 
--- a/internal/lab/judge/script_helpers_test.go
+++ b/internal/lab/judge/script_helpers_test.go
@@ -67,7 +67,7 @@
 		switch w.fields[0] {
 		case "ask":
 			class := p.Scenario.ClassIndex(w.fields[2])
-			p.Requests = append(p.Requests, plan.Request{Due: w.ms(1), Class: class, Patience: time.Second, Work: 10 * time.Millisecond})
+			p.Requests = append(p.Requests, plan.Request{Due: w.ms(1), Class: class, Timeout: time.Second, Work: 10 * time.Millisecond})
 			w.addAttempt(p, log, 0, 3)
 		case "retry":
 			w.addAttempt(p, log, log.ClientAttempts[len(log.ClientAttempts)-1].Number+1, 2)
@@ -91,13 +91,13 @@
 			}
 			log.Notifications = append(log.Notifications, told)
 		case "agent":
-			p.Events = append(p.Events, plan.Event{At: w.ms(1), Kind: plan.Tell, Box: -1, Sidecar: w.number(2),
-				Entry: plan.Listed{Box: w.number(3), Phase: w.phase(4)}})
+			p.Events = append(p.Events, plan.Event{At: w.ms(1), Kind: plan.NotifySidecar, Endpoint: -1, Sidecar: w.number(2),
+				Entry: plan.ListEntry{Endpoint: w.number(3), Phase: w.phase(4)}})
 		case "proc":
 			what := slices.Index([]string{"started", "ready", "stopping", "killed", "ended", "crashed"}, w.fields[3])
 			log.SidecarEvents = append(log.SidecarEvents, trace.SidecarEvent{At: w.ms(1), Sidecar: w.number(2), Kind: trace.SidecarEventKind(what)})
 		case "start":
-			p.Events = append(p.Events, plan.Event{At: w.ms(1), Kind: plan.StartBox, Box: w.number(2), Sidecar: -1})
+			p.Events = append(p.Events, plan.Event{At: w.ms(1), Kind: plan.StartEndpoint, Endpoint: w.number(2), Sidecar: -1})
 		case "sample":
 			log.Samples = append(log.Samples, trace.Sample{At: w.ms(1), Endpoint: w.number(2), SentWork: w.ms(3), PossibleWork: w.ms(4),
 				WarmingUp: w.has("cold"), Collapsed: w.has("fallen")})
@@ -141,7 +141,7 @@
 
 func (w scriptLine) addAttempt(p *plan.Plan, log *trace.Log, no, sidecar int) {
 	request := len(p.Requests) - 1
-	log.ClientAttempts = append(log.ClientAttempts, trace.ClientAttempt{TransactionID: p.Txn(request, no), Request: request, Number: no, Sidecar: w.number(sidecar),
+	log.ClientAttempts = append(log.ClientAttempts, trace.ClientAttempt{TransactionID: p.TransactionID(request, no), Request: request, Number: no, Sidecar: w.number(sidecar),
 		Class: p.Requests[request].Class, Due: p.Requests[request].Due, Sent: w.ms(1), Timeout: 500 * time.Millisecond, Ended: trace.Unset, Endpoint: -1})
 }
 
--- a/internal/lab/judge/timeline.go
+++ b/internal/lab/judge/timeline.go
@@ -72,7 +72,7 @@
 	if index < len(t.plan.Requests) {
 		planned := &t.plan.Requests[index]
 		class := &t.plan.Scenario.Classes[planned.Class]
-		t.extend(planned.Due, "request %d is due: %s (%s), its client waits %s", index, class.Name, class.Idempotency, planned.Patience)
+		t.extend(planned.Due, "request %d is due: %s (%s), its client waits %s", index, class.Name, class.Idempotency, planned.Timeout)
 	}
 	for _, i := range t.index.attemptsOf(index) {
 		attempt := &t.log.ClientAttempts[i]
--- a/internal/lab/judge/timeline_events.go
+++ b/internal/lab/judge/timeline_events.go
@@ -53,18 +53,18 @@
 func (t *timeline) addScript() {
 	key := func(event *plan.Event) (int, bool) {
 		switch event.Kind {
-		case plan.BeginFault, plan.EndFault, plan.StartBox:
-			return event.Box, t.endpoints[event.Box]
+		case plan.StartFault, plan.EndFault, plan.StartEndpoint:
+			return event.Endpoint, t.endpoints[event.Endpoint]
 		}
 		return 0, false
 	}
 	at := func(event *plan.Event) time.Duration { return event.At }
 	addEvents(t, t.plan.Events, key, at, func(event *plan.Event) {
 		what := "starts, cold"
-		if event.Kind != plan.StartBox {
+		if event.Kind != plan.StartEndpoint {
 			what = faultNames[event.Fault.Kind] + " " + event.Kind.String()
 		}
-		t.add(event.At, "script: box %s: %s", t.endpointName(event.Box), what)
+		t.add(event.At, "script: box %s: %s", t.endpointName(event.Endpoint), what)
 	})
 }
 
@@ -72,7 +72,7 @@
 func (t *timeline) addNotifications() {
 	key := func(n *trace.Notification) (int, bool) {
 		concerns := t.endpoints[n.Endpoint] && (t.allSidecars || t.sidecars[n.Sidecar])
-		return n.Sidecar*len(t.plan.Boxes) + n.Endpoint, concerns
+		return n.Sidecar*len(t.plan.Endpoints) + n.Endpoint, concerns
 	}
 	at := func(n *trace.Notification) time.Duration { return n.At }
 	addEvents(t, t.log.Notifications, key, at, func(n *trace.Notification) {
--- a/internal/lab/loopback/agent.go
+++ b/internal/lab/loopback/agent.go
@@ -26,8 +26,8 @@
 
 	mu           sync.Mutex
 	catalog      *catalog
-	staleCatalog *catalog            // served while a fault has the service stale; nil otherwise
-	notified     map[int]plan.Listed // what has been written to the sidecar, by endpoint
+	staleCatalog *catalog               // served while a fault has the service stale; nil otherwise
+	notified     map[int]plan.ListEntry // what has been written to the sidecar, by endpoint
 	listVersions listVersions
 	changed      chan struct{} // closed and replaced with every change that a waiting poll must look at
 	unresponsive bool
@@ -49,8 +49,8 @@
 		run:      r,
 		sidecar:  sidecar,
 		done:     make(chan struct{}),
-		catalog:  newCatalog(r.plan.First(tier)),
-		notified: map[int]plan.Listed{},
+		catalog:  newCatalog(r.plan.InitialMembers(tier)),
+		notified: map[int]plan.ListEntry{},
 		changed:  make(chan struct{}),
 		faults:   map[int]plan.ListFault{},
 	}
@@ -79,7 +79,7 @@
 }
 
 // update applies a change that has reached the agent.
-func (a *agent) update(listed plan.Listed) {
+func (a *agent) update(listed plan.ListEntry) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.catalog.update(listed)
--- a/internal/lab/loopback/agent_polls.go
+++ b/internal/lab/loopback/agent_polls.go
@@ -100,7 +100,7 @@
 		_, _ = w.Write(text[:len(text)/2])
 		panic(http.ErrAbortHandler)
 	}
-	if a.run.plan.Operators() {
+	if a.run.plan.NeedsControlAccess() {
 		a.recordVersion(poll, response)
 	}
 	poll.RespondedAt = a.run.elapsed()
@@ -110,7 +110,7 @@
 
 // awaitChange returns a response as soon as there is something newer, the revision is unknown or the wait is over, but not while
 // discovery is unresponsive. It returns false if there is nobody to answer any more.
-func (a *agent) awaitChange(req *http.Request, query pollQuery) (listResponse, []plan.Listed, bool) {
+func (a *agent) awaitChange(req *http.Request, query pollQuery) (listResponse, []plan.ListEntry, bool) {
 	timer := time.NewTimer(query.wait)
 	defer timer.Stop()
 	expired := query.wait == 0
@@ -137,7 +137,7 @@
 }
 
 // response is the complete list or what is newer than a revision, as it is sent and as the plan has it. The lock is held.
-func (a *agent) response(since int64) (listResponse, []plan.Listed) {
+func (a *agent) response(since int64) (listResponse, []plan.ListEntry) {
 	served := a.servedCatalog()
 	response := listResponse{
 		Revision: served.revision,
@@ -153,38 +153,38 @@
 
 // recordNotifications records what a response told the sidecar: all of it if it asked for the list, as it does when it starts;
 // otherwise what is new to it, and by a complete list also which entries are gone.
-func (a *agent) recordNotifications(entries []plan.Listed, complete, watch bool) {
+func (a *agent) recordNotifications(entries []plan.ListEntry, complete, watch bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	at := a.run.elapsed()
-	gone := map[int]plan.Listed{}
+	gone := map[int]plan.ListEntry{}
 	if complete {
-		gone, a.notified = a.notified, map[int]plan.Listed{}
+		gone, a.notified = a.notified, map[int]plan.ListEntry{}
 	}
 	for _, entry := range entries {
-		before, known := gone[entry.Box]
+		before, known := gone[entry.Endpoint]
 		if !complete {
-			before, known = a.notified[entry.Box]
+			before, known = a.notified[entry.Endpoint]
 		}
-		delete(gone, entry.Box)
-		a.notified[entry.Box] = entry
+		delete(gone, entry.Endpoint)
+		a.notified[entry.Endpoint] = entry
 		if !known || before != entry || !watch {
 			a.addNotification(at, entry)
 		}
 	}
 	for endpoint, entry := range gone {
 		if entry.Phase != trace.PhaseGone {
-			a.addNotification(at, plan.Listed{Box: endpoint, Phase: trace.PhaseGone})
+			a.addNotification(at, plan.ListEntry{Endpoint: endpoint, Phase: trace.PhaseGone})
 		}
 	}
 }
 
-func (a *agent) addNotification(at time.Duration, entry plan.Listed) {
+func (a *agent) addNotification(at time.Duration, entry plan.ListEntry) {
 	a.run.recorder.addNotification(trace.Notification{
 		At:       at,
 		Sidecar:  a.sidecar,
-		Endpoint: entry.Box,
+		Endpoint: entry.Endpoint,
 		Phase:    entry.Phase,
-		UpSince:  entry.UpSince,
+		UpSince:  entry.StartedAt,
 	})
 }
--- a/internal/lab/loopback/agent_test.go
+++ b/internal/lab/loopback/agent_test.go
@@ -156,13 +156,13 @@
 
 	m := a.poll("?since=1&timeout_ms=10")
 	check("nothing new", m.text(), "false ")
-	r.agents[0].update(plan.Listed{Box: 1, Phase: trace.PhaseTerminating})
-	r.agents[0].update(plan.Listed{Box: 0, Phase: trace.PhaseReady, UpSince: time.Second})
+	r.agents[0].update(plan.ListEntry{Endpoint: 1, Phase: trace.PhaseTerminating})
+	r.agents[0].update(plan.ListEntry{Endpoint: 0, Phase: trace.PhaseReady, StartedAt: time.Second})
 	m = a.poll("?timeout_ms=20000&since=" + strconv.FormatInt(m.Revision, 10))
 	up := r.startOrNow().Add(time.Second).UnixMilli()
 	check("what came in between", m.text(), fmt.Sprintf("false t-1 Ready %d;t-2 Terminating 0;", up))
 	next := a.watch(m.Revision)
-	r.agents[0].update(plan.Listed{Box: 1, Phase: trace.PhaseGone})
+	r.agents[0].update(plan.ListEntry{Endpoint: 1, Phase: trace.PhaseGone})
 	m = <-next
 	check("while it waits", m.text(), "false t-2 Gone 0;")
 	for _, unknown := range []string{"999", "0", "-1"} {
@@ -182,7 +182,7 @@
 	m := a.poll("")
 	for range 2 {
 		next := a.watch(m.Revision)
-		r.agents[0].update(plan.Listed{Box: 0, Phase: trace.PhaseGone})
+		r.agents[0].update(plan.ListEntry{Endpoint: 0, Phase: trace.PhaseGone})
 		m = <-next
 		if got := m.text(); got != "true t-2 Ready 0;" {
 			t.Errorf("the list is %s", got)
@@ -200,7 +200,7 @@
 	revision := a.poll("").Revision
 	waits := a.watch(revision)
 	r.agents[0].setUnresponsive(true)
-	r.agents[0].update(plan.Listed{Box: 0, Phase: trace.PhaseGone})
+	r.agents[0].update(plan.ListEntry{Endpoint: 0, Phase: trace.PhaseGone})
 	late := newPoller(t, r.addresses.agent(0, 0))
 	late.client.Timeout = 100 * time.Millisecond
 	for _, query := range []string{"", "?since=1&timeout_ms=1"} {
@@ -259,7 +259,7 @@
 			told.Go(func() { <-waits })
 		}
 		for _, a := range r.agents {
-			a.update(plan.Listed{Box: 0, Phase: trace.PhaseReady})
+			a.update(plan.ListEntry{Endpoint: 0, Phase: trace.PhaseReady})
 		}
 		told.Wait()
 		revision++
--- a/internal/lab/loopback/audit_logs.go
+++ b/internal/lab/loopback/audit_logs.go
@@ -32,7 +32,7 @@
 // collectAudits stops the auditors as an operator does, reads the audit logs of the sidecars that run, and adds what the auditors
 // have of those that no longer run.
 func (r *run) collectAudits() {
-	if !r.plan.Operators() {
+	if !r.plan.NeedsControlAccess() {
 		return
 	}
 	log := &r.recorder.log
@@ -47,7 +47,7 @@
 	var mu sync.Mutex
 	var readers sync.WaitGroup
 	for i := range r.plan.Sidecars {
-		if r.plan.Sidecars[i].Box >= 0 {
+		if r.plan.Sidecars[i].Endpoint >= 0 {
 			continue
 		}
 		readers.Go(func() {
@@ -101,7 +101,7 @@
 		return
 	}
 	for i := range r.plan.Sidecars {
-		if s, has := state.History.Sidecars[r.plan.Sidecars[i].Name]; has && r.plan.Sidecars[i].Box < 0 {
+		if s, has := state.History.Sidecars[r.plan.Sidecars[i].Name]; has && r.plan.Sidecars[i].Endpoint < 0 {
 			r.recorder.log.AuditLogs[i] = append(r.recorder.log.AuditLogs[i], s.Entries...)
 		}
 	}
--- a/internal/lab/loopback/auditor.go
+++ b/internal/lab/loopback/auditor.go
@@ -142,7 +142,7 @@
 func (r *run) inventory() []byte {
 	var text strings.Builder
 	for i := range r.plan.Sidecars {
-		if s := &r.plan.Sidecars[i]; s.Box < 0 {
+		if s := &r.plan.Sidecars[i]; s.Endpoint < 0 {
 			fmt.Fprintf(&text, "[[sidecar]]\nname = %q\naddr = %q\nzone = %q\n", s.Name, r.controlAddress(i), plan.Zone)
 		}
 	}
@@ -151,7 +151,7 @@
 
 // controlAddress is where operators call a sidecar, whichever of its processes runs.
 func (r *run) controlAddress(sidecar int) string {
-	if r.plan.Linked("control", sidecar) {
+	if r.plan.IsIntercepted("control", sidecar) {
 		return r.addresses.link("control", sidecar, 0)
 	}
 	return r.addresses.control(sidecar, 0)
--- a/internal/lab/loopback/catalog.go
+++ b/internal/lab/loopback/catalog.go
@@ -16,41 +16,41 @@
 }
 
 type catalogEntry struct {
-	plan.Listed
+	plan.ListEntry
 	revision int64 // of its last change
 }
 
-func newCatalog(first []plan.Listed) *catalog {
+func newCatalog(first []plan.ListEntry) *catalog {
 	c := &catalog{revision: 1, entries: map[int]catalogEntry{}}
 	for _, listed := range first {
-		c.entries[listed.Box] = catalogEntry{listed, c.revision}
+		c.entries[listed.Endpoint] = catalogEntry{listed, c.revision}
 	}
 	return c
 }
 
-func (c *catalog) update(listed plan.Listed) {
+func (c *catalog) update(listed plan.ListEntry) {
 	c.revision++
-	c.entries[listed.Box] = catalogEntry{listed, c.revision}
+	c.entries[listed.Endpoint] = catalogEntry{listed, c.revision}
 }
 
 // hasRevision reports whether the catalog has had a revision, so that there are changes since then.
 func (c *catalog) hasRevision(revision int64) bool { return revision >= 1 && revision <= c.revision }
 
 // members is the complete list, by endpoint.
-func (c *catalog) members() []plan.Listed {
+func (c *catalog) members() []plan.ListEntry {
 	return c.filter(func(entry catalogEntry) bool { return entry.Phase != trace.PhaseGone })
 }
 
 // changesSince are the entries that have changed after a revision, by endpoint.
-func (c *catalog) changesSince(since int64) []plan.Listed {
+func (c *catalog) changesSince(since int64) []plan.ListEntry {
 	return c.filter(func(entry catalogEntry) bool { return entry.revision > since })
 }
 
-func (c *catalog) filter(wanted func(catalogEntry) bool) []plan.Listed {
-	list := []plan.Listed{} // not nil, which JSON would encode as null
+func (c *catalog) filter(wanted func(catalogEntry) bool) []plan.ListEntry {
+	list := []plan.ListEntry{} // not nil, which JSON would encode as null
 	for _, endpoint := range slices.Sorted(maps.Keys(c.entries)) {
 		if entry := c.entries[endpoint]; wanted(entry) {
-			list = append(list, entry.Listed)
+			list = append(list, entry.ListEntry)
 		}
 	}
 	return list
--- a/internal/lab/loopback/client_helpers_test.go
+++ b/internal/lab/loopback/client_helpers_test.go
@@ -46,7 +46,7 @@
 		}
 		s.Classes = append(s.Classes, c)
 	}
-	p := &plan.Plan{Scenario: &s, Sidecars: []plan.Sidecar{{Name: "n1", Box: -1, Weight: 1}}}
+	p := &plan.Plan{Scenario: &s, Sidecars: []plan.Sidecar{{Name: "n1", Endpoint: -1, Weight: 1}}}
 	net, err := newAddresses()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/loopback/cold_start_test.go
+++ b/internal/lab/loopback/cold_start_test.go
@@ -79,8 +79,8 @@
 back = "1500ms"
 for = "2s"
 `, d.length, d.speed, able/2, d.length-2, 2.5*able, d.sidecars, d.operator, d.kind, d.boxes))
-	for i := range p.Boxes {
-		p.Boxes[i].Spec.FallMultiple = 1e9 // the model's fall sooner than the rule has it, and what has fallen gets no more
+	for i := range p.Endpoints {
+		p.Endpoints[i].Spec.FallMultiple = 1e9 // the model's fall sooner than the rule has it, and what has fallen gets no more
 	}
 	return p
 }
@@ -118,8 +118,8 @@
 // TestMaxColdRequestRatio checks that the measure can fail, and that it counts as the rule does.
 func TestMaxColdRequestRatio(t *testing.T) {
 	p := coldStart{"", "drain", 1, 1, 3.3, 6}.plan(t)
-	i := slices.IndexFunc(p.Events, func(e plan.Event) bool { return e.Kind == plan.StartBox || e.Kind == plan.EndFault })
-	endpoint, start := p.Events[i].Box, p.Events[i].At
+	i := slices.IndexFunc(p.Events, func(e plan.Event) bool { return e.Kind == plan.StartEndpoint || e.Kind == plan.EndFault })
+	endpoint, start := p.Events[i].Endpoint, p.Events[i].At
 	// In the first second it is allowed some 22 requests and stands some 33: 2.5 x 3.3 x (0.15 + 0.85 x 0.5 s / 6 s) / 0.082 is 22.2.
 	for _, c := range []struct {
 		name        string
--- a/internal/lab/loopback/dispatch.go
+++ b/internal/lab/loopback/dispatch.go
@@ -62,8 +62,8 @@
 func (r *run) playClient(ctx context.Context, index int) {
 	planned := &r.plan.Requests[index]
 	cancelAt := model.Never
-	if planned.Leaves > 0 {
-		cancelAt = planned.Due + planned.Leaves
+	if planned.CancelAfter > 0 {
+		cancelAt = planned.Due + planned.CancelAfter
 	}
 	firstStart := time.Duration(0)
 	for number := 0; ; number++ {
@@ -81,7 +81,7 @@
 			r.recorder.addLateness(startedAt - planned.Due)
 		}
 		r.recorder.addClientAttempt(attempt)
-		at, again := r.plan.Retry(&attempt, firstStart)
+		at, again := r.plan.NextRetry(&attempt, firstStart)
 		if !again || at >= cancelAt || !r.waitUntil(ctx, at) {
 			return
 		}
@@ -93,23 +93,23 @@
 	planned := &r.plan.Requests[index]
 	request := clientRequest{
 		attempt: trace.ClientAttempt{
-			TransactionID: r.plan.Txn(index, number),
+			TransactionID: r.plan.TransactionID(index, number),
 			Request:       index,
 			Number:        number,
 			Sidecar:       -1,
 			Class:         planned.Class,
 			Due:           planned.Due,
 		},
-		idempotencyKey: planned.Key,
-		retried:        planned.Repeated || number > 0,
-		newConnection:  planned.Fresh,
+		idempotencyKey: planned.IdempotencyKey,
+		retried:        planned.IsRetry || number > 0,
+		newConnection:  planned.NewConnection,
 		directEndpoint: -1,
-		timeout:        r.plan.Left(index, r.elapsed()).Truncate(time.Millisecond),
+		timeout:        r.plan.AttemptTimeout(index, r.elapsed()).Truncate(time.Millisecond),
 	}
 	if r.roundRobin != nil {
 		request.directEndpoint = r.roundRobin.next(0)
 	} else {
-		request.attempt.Sidecar = r.plan.Choose(index, number, r.fleet.routable)
+		request.attempt.Sidecar = r.plan.ChooseSidecar(index, number, r.fleet.routable)
 	}
 	return request
 }
--- a/internal/lab/loopback/endpoint.go
+++ b/internal/lab/loopback/endpoint.go
@@ -16,7 +16,7 @@
 type endpoint struct {
 	run         *run
 	index       int
-	plan        *plan.Box
+	plan        *plan.Endpoint
 	tier        *tier
 	codec       endpointCodec
 	idleTimeout time.Duration // after which a connection is closed
@@ -47,7 +47,7 @@
 
 // newEndpoint makes the plan's endpoint of that index. It listens from now on, unless the plan has it absent at first.
 func newEndpoint(r *run, index int) (*endpoint, error) {
-	spec := &r.plan.Boxes[index]
+	spec := &r.plan.Endpoints[index]
 	e := &endpoint{
 		run:           r,
 		index:         index,
@@ -111,9 +111,9 @@
 	if !cold {
 		return
 	}
-	for _, listed := range e.run.plan.First(e.plan.Tier) {
+	for _, listed := range e.run.plan.InitialMembers(e.plan.Tier) {
 		for i, a := range e.run.agents {
-			if listed.Box == e.index && e.run.plan.Sidecars[i].Tier == e.plan.Tier {
+			if listed.Endpoint == e.index && e.run.plan.Sidecars[i].Tier == e.plan.Tier {
 				a.update(listed)
 			}
 		}
@@ -128,7 +128,7 @@
 		return
 	}
 	switch event.Kind {
-	case plan.BeginFault:
+	case plan.StartFault:
 		e.model.Begin(now, event.Fault)
 		switch event.Fault.Kind {
 		case model.Vanish:
@@ -141,7 +141,7 @@
 		if event.Fault.Kind == model.RefuseConns {
 			e.refuseFaults--
 		}
-	case plan.StartBox:
+	case plan.StartEndpoint:
 		e.absent = false
 		e.model.Start(now, true)
 	}
--- a/internal/lab/loopback/endpoint_fixture_test.go
+++ b/internal/lab/loopback/endpoint_fixture_test.go
@@ -99,7 +99,7 @@
 	if s.Fleet.Policy == "plain" {
 		out.roundRobin = newRoundRobin(p)
 	}
-	for i := range p.Boxes {
+	for i := range p.Endpoints {
 		b, err := newEndpoint(out.run, i)
 		if err != nil {
 			t.Fatal(err)
@@ -126,7 +126,7 @@
 
 // beginFault begins a fault of a kind at an endpoint.
 func (s *fixture) beginFault(endpoint int, kind model.FaultKind, size float64) (end func()) {
-	e := plan.Event{Kind: plan.BeginFault, Box: endpoint, Fault: model.Fault{ID: int(kind), Kind: kind, Size: size}}
+	e := plan.Event{Kind: plan.StartFault, Endpoint: endpoint, Fault: model.Fault{ID: int(kind), Kind: kind, Size: size}}
 	s.endpoints[endpoint].applyEvent(s.elapsed(), e)
 	return func() {
 		e.Kind = plan.EndFault
@@ -145,8 +145,8 @@
 			continue
 		}
 		if n--; n < 0 {
-			return clientRequest{directEndpoint: -1, timeout: 20 * time.Second, idempotencyKey: r.Key,
-				attempt: trace.ClientAttempt{TransactionID: s.plan.Txn(i, 0), Request: i, Class: r.Class}}
+			return clientRequest{directEndpoint: -1, timeout: 20 * time.Second, idempotencyKey: r.IdempotencyKey,
+				attempt: trace.ClientAttempt{TransactionID: s.plan.TransactionID(i, 0), Request: i, Class: r.Class}}
 		}
 	}
 	s.t.Fatalf("the plan has no further request of class %s", class)
--- a/internal/lab/loopback/endpoint_request.go
+++ b/internal/lab/loopback/endpoint_request.go
@@ -84,15 +84,15 @@
 		return false
 	}
 	planned := &e.run.plan.Requests[incoming.planIndex]
-	if incoming.idempotencyKey != planned.Key {
+	if incoming.idempotencyKey != planned.IdempotencyKey {
 		return false
 	}
 	if e.plan.Tier > 0 {
 		planIndex, known := e.tier.requestOf(incoming.transactionID)
 		return known && planIndex == incoming.planIndex
 	}
-	for attempt := range planned.Retries + 1 {
-		if incoming.transactionID == e.run.plan.Txn(incoming.planIndex, attempt) {
+	for attempt := range planned.MaxRetries + 1 {
+		if incoming.transactionID == e.run.plan.TransactionID(incoming.planIndex, attempt) {
 			return true
 		}
 	}
--- a/internal/lab/loopback/endpoint_test.go
+++ b/internal/lab/loopback/endpoint_test.go
@@ -50,7 +50,7 @@
 	s := newFixture(t, fixtureClasses+oneTier)
 	q := s.nextRequest("keyed")
 	for endpoint := range 2 {
-		q.attempt.TransactionID = s.plan.Txn(q.attempt.Request, endpoint)
+		q.attempt.TransactionID = s.plan.TransactionID(q.attempt.Request, endpoint)
 		c := s.dial(endpoint)
 		s.send(c, q)
 		c.expectStatus(http.StatusOK)
@@ -404,7 +404,7 @@
 	defer a.close()
 	s.agents = []*agent{a}
 	s.endpoints[1].start()
-	if got := a.catalog.changesSince(1); len(got) != 1 || got[0].Box != 1 || got[0].UpSince == 0 {
+	if got := a.catalog.changesSince(1); len(got) != 1 || got[0].Endpoint != 1 || got[0].StartedAt == 0 {
 		t.Errorf("notified of %v", got)
 	}
 }
@@ -452,7 +452,7 @@
 func TestAbsentEndpointStarts(t *testing.T) {
 	s := newFixture(t, fixtureClasses+oneTier+"start = \"absent\"\n")
 	s.awaitDial(0, "are refused", isRefused)
-	s.endpoints[0].applyEvent(s.elapsed(), plan.Event{Kind: plan.StartBox, Box: 0})
+	s.endpoints[0].applyEvent(s.elapsed(), plan.Event{Kind: plan.StartEndpoint, Endpoint: 0})
 	s.awaitDial(0, "come up", isConnected)
 	if !s.endpoints[0].sample(s.elapsed()).WarmingUp {
 		t.Error("it starts warm")
--- a/internal/lab/loopback/link.go
+++ b/internal/lab/loopback/link.go
@@ -25,8 +25,8 @@
 	cancel     context.CancelFunc
 
 	mu            sync.Mutex
-	target        string            // address of new connections
-	faults        map[int]plan.Link // in force, by their numbers in the plan
+	target        string                 // address of new connections
+	faults        map[int]plan.LinkFault // in force, by their numbers in the plan
 	connections   map[*proxiedConn]struct{}
 	faultsChanged chan struct{} // closed and replaced with every change of the faults
 }
@@ -38,7 +38,7 @@
 func newLink(address, target string) (*link, error) {
 	l := &link{
 		target:        target,
-		faults:        map[int]plan.Link{},
+		faults:        map[int]plan.LinkFault{},
 		connections:   map[*proxiedConn]struct{}{},
 		faultsChanged: make(chan struct{}),
 	}
@@ -51,8 +51,8 @@
 }
 
 // beginFault puts a fault into force, until endFault is called with its number.
-func (l *link) beginFault(id int, fault plan.Link) {
-	l.updateFaults(func() { l.faults[id] = fault }, fault.How == plan.LinkReset)
+func (l *link) beginFault(id int, fault plan.LinkFault) {
+	l.updateFaults(func() { l.faults[id] = fault }, fault.Kind == plan.LinkReset)
 }
 
 func (l *link) endFault(id int) { l.updateFaults(func() { delete(l.faults, id) }, false) }
@@ -66,7 +66,7 @@
 	}
 	state := stateAccepting
 	for _, fault := range l.faults {
-		if fault.Cuts(true) || fault.Cuts(false) {
+		if fault.Blocks(true) || fault.Blocks(false) {
 			state = stateBlackholed // a handshake needs both directions
 		}
 	}
@@ -162,7 +162,7 @@
 		l.mu.Lock()
 		partitioned, delay, changed := false, time.Duration(0), l.faultsChanged
 		for _, fault := range l.faults {
-			partitioned = partitioned || fault.Cuts(toServer)
+			partitioned = partitioned || fault.Blocks(toServer)
 			delay += fault.Delay
 		}
 		l.mu.Unlock()
--- a/internal/lab/loopback/link_test.go
+++ b/internal/lab/loopback/link_test.go
@@ -70,13 +70,13 @@
 func TestLink(t *testing.T) {
 	f := newLinkFixture(t)
 	client, server := f.connect()
-	for id, fault := range []plan.Link{{How: plan.LinkBoth}, {How: plan.LinkThere}, {How: plan.LinkBack}, {How: plan.LinkSlow, Delay: 2 * holdTime}} {
+	for id, fault := range []plan.LinkFault{{Kind: plan.LinkBoth}, {Kind: plan.LinkForward}, {Kind: plan.LinkReverse}, {Kind: plan.LinkSlow, Delay: 2 * holdTime}} {
 		directions := []struct {
 			from, to net.Conn
 			held     bool
 		}{
-			{client, server, fault.Cuts(true) || fault.Delay > 0},
-			{server, client, fault.Cuts(false) || fault.Delay > 0},
+			{client, server, fault.Blocks(true) || fault.Delay > 0},
+			{server, client, fault.Blocks(false) || fault.Delay > 0},
 		}
 		f.beginFault(id, fault)
 		for _, direction := range directions {
@@ -106,7 +106,7 @@
 // testReset checks that a reset breaks both ends of a connection.
 func (f *linkFixture) testReset(client, server net.Conn) {
 	f.t.Helper()
-	f.beginFault(9, plan.Link{How: plan.LinkReset})
+	f.beginFault(9, plan.LinkFault{Kind: plan.LinkReset})
 	if err := readByte(client, testTimeout); !errors.Is(err, syscall.ECONNRESET) {
 		f.t.Errorf("reset, at the client: %v", err)
 	}
@@ -119,7 +119,7 @@
 // testNoConnection checks that no connection comes up over a partitioned link.
 func (f *linkFixture) testNoConnection() {
 	f.t.Helper()
-	f.beginFault(10, plan.Link{How: plan.LinkBoth})
+	f.beginFault(10, plan.LinkFault{Kind: plan.LinkBoth})
 	for deadline := time.Now().Add(testTimeout); ; { // the listener changes its state in a goroutine
 		conn, err := net.DialTimeout("tcp", f.listener.address, holdTime)
 		if err != nil {
--- a/internal/lab/loopback/links.go
+++ b/internal/lab/loopback/links.go
@@ -12,11 +12,11 @@
 // setUpLinks makes the links that the plan has faults for. A link costs two more sockets a connection, so others go without.
 func (r *run) setUpLinks() error {
 	r.links = map[linkKey]*link{}
-	for kind, sidecars := range r.plan.Links {
+	for kind, sidecars := range r.plan.InterceptedLinks {
 		for _, sidecar := range sidecars {
 			endpoints := 1
 			if kind == "boxes" {
-				endpoints = len(r.plan.Boxes)
+				endpoints = len(r.plan.Endpoints)
 			}
 			for endpoint := range endpoints {
 				key := linkKey{kind, sidecar, endpoint}
@@ -48,9 +48,9 @@
 func (r *run) applyLinkEvent(event plan.Event) {
 	for key, l := range r.links {
 		switch {
-		case key.kind != event.Link.Of || key.sidecar != event.Sidecar:
-		case event.Kind == plan.BeginLink:
-			l.beginFault(event.ID, event.Link)
+		case key.kind != event.LinkFault.Target || key.sidecar != event.Sidecar:
+		case event.Kind == plan.StartLinkFault:
+			l.beginFault(event.ID, event.LinkFault)
 		default:
 			l.endFault(event.ID)
 		}
@@ -59,7 +59,7 @@
 
 // endpointAddress is the address at which a sidecar reaches an endpoint.
 func (r *run) endpointAddress(sidecar, endpoint int) string {
-	if r.plan.Linked("boxes", sidecar) {
+	if r.plan.IsIntercepted("boxes", sidecar) {
 		return r.addresses.link("boxes", sidecar, endpoint)
 	}
 	return r.addresses.endpoint(endpoint)
--- a/internal/lab/loopback/list_faults.go
+++ b/internal/lab/loopback/list_faults.go
@@ -37,7 +37,7 @@
 	if a.closed {
 		return nil
 	}
-	if event.Kind == plan.BeginList {
+	if event.Kind == plan.StartListFault {
 		a.beginFault(event)
 	} else {
 		delete(a.faults, event.ID)
@@ -59,8 +59,8 @@
 
 // beginFault puts a fault into force. The lock is held.
 func (a *agent) beginFault(event plan.Event) {
-	a.faults[event.ID] = event.List
-	switch event.List.Kind {
+	a.faults[event.ID] = event.ListFault
+	switch event.ListFault.Kind {
 	case "list_down":
 		a.stopServer()
 	case "list_forget":
@@ -157,7 +157,7 @@
 			continue
 		}
 		response.Complete = true
-		switch fault.Of {
+		switch fault.Variant {
 		case "empty":
 			response.Members = []map[string]any{}
 		case "half":
--- a/internal/lab/loopback/list_faults_test.go
+++ b/internal/lab/loopback/list_faults_test.go
@@ -27,21 +27,21 @@
 		{plan.ListFault{Kind: "list_down"}, func(_ memberList, err error) bool { return err != nil }},
 		{plan.ListFault{Kind: "list_slow", Delay: 2 * time.Second}, func(_ memberList, err error) bool { return err != nil }},
 		{plan.ListFault{Kind: "list_cut", Size: 1}, func(_ memberList, err error) bool { return err != nil }},
-		{plan.ListFault{Kind: "list_wrong", Of: "empty"}, func(m memberList, err error) bool { return err == nil && m.Complete && len(m.Members) == 0 }},
-		{plan.ListFault{Kind: "list_wrong", Of: "half"}, func(m memberList, err error) bool { return err == nil && m.Complete && len(m.Members) == 1 }},
-		{plan.ListFault{Kind: "list_wrong", Of: "other"}, func(m memberList, err error) bool { return err == nil && len(m.Members) == 2 && !two(m) }},
+		{plan.ListFault{Kind: "list_wrong", Variant: "empty"}, func(m memberList, err error) bool { return err == nil && m.Complete && len(m.Members) == 0 }},
+		{plan.ListFault{Kind: "list_wrong", Variant: "half"}, func(m memberList, err error) bool { return err == nil && m.Complete && len(m.Members) == 1 }},
+		{plan.ListFault{Kind: "list_wrong", Variant: "other"}, func(m memberList, err error) bool { return err == nil && len(m.Members) == 2 && !two(m) }},
 	} {
 		turn := func(kind plan.EventKind) {
 			t.Helper()
-			if err := r.agents[0].applyFault(plan.Event{Kind: kind, ID: id, List: c.f}); err != nil {
+			if err := r.agents[0].applyFault(plan.Event{Kind: kind, ID: id, ListFault: c.f}); err != nil {
 				t.Fatal(err)
 			}
 		}
-		turn(plan.BeginList)
+		turn(plan.StartListFault)
 		if m, err := a.tryPoll(""); !c.want(m, err) {
 			t.Errorf("%+v: %s, %v", c.f, m.text(), err)
 		}
-		turn(plan.EndList)
+		turn(plan.EndListFault)
 		if got := a.poll("").text(); got != usual {
 			t.Errorf("%+v is over: %s, expected %s", c.f, got, usual)
 		}
@@ -55,23 +55,23 @@
 	a := newPoller(t, r.addresses.agent(0, 0))
 	turn := func(kind plan.EventKind, id int, what string) {
 		t.Helper()
-		if err := r.agents[0].applyFault(plan.Event{Kind: kind, ID: id, List: plan.ListFault{Kind: what}}); err != nil {
+		if err := r.agents[0].applyFault(plan.Event{Kind: kind, ID: id, ListFault: plan.ListFault{Kind: what}}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	before := a.poll("")
-	turn(plan.BeginList, 1, "list_old")
-	r.agents[0].update(plan.Listed{Box: 0, Phase: trace.PhaseTerminating})
+	turn(plan.StartListFault, 1, "list_old")
+	r.agents[0].update(plan.ListEntry{Endpoint: 0, Phase: trace.PhaseTerminating})
 	if m := a.poll(""); m.text() != before.text() {
 		t.Errorf("an old list: %s", m.text())
 	}
-	turn(plan.EndList, 1, "list_old")
+	turn(plan.EndListFault, 1, "list_old")
 	after := a.poll("")
 	if after.Revision <= before.Revision || after.text() == before.text() {
 		t.Errorf("the true list: %d %s", after.Revision, after.text())
 	}
-	turn(plan.BeginList, 2, "list_forget")
-	turn(plan.EndList, 2, "list_forget")
+	turn(plan.StartListFault, 2, "list_forget")
+	turn(plan.EndListFault, 2, "list_forget")
 	if m := a.poll(""); m.Revision != 1 || m.text() != after.text() {
 		t.Errorf("after a restart: %d %s, expected 1 %s", m.Revision, m.text(), after.text())
 	}
--- a/internal/lab/loopback/list_versions.go
+++ b/internal/lab/loopback/list_versions.go
@@ -88,7 +88,7 @@
 
 // configuredDigest is the digest of the list that a process is started with; 0 if no operator calls it. The lock is held.
 func (s *sidecar) configuredDigest() version.Digest {
-	if !s.run.plan.Operators() || len(s.members) == 0 {
+	if !s.run.plan.NeedsControlAccess() || len(s.members) == 0 {
 		return 0
 	}
 	return digestOf(membersByID(s.members))
@@ -102,10 +102,10 @@
 }
 
 // memberDocuments are entries in the form in which discovery sends them to a sidecar.
-func (r *run) memberDocuments(sidecar int, entries []plan.Listed) []map[string]any {
+func (r *run) memberDocuments(sidecar int, entries []plan.ListEntry) []map[string]any {
 	documents := []map[string]any{} // not nil, which JSON would encode as null
 	for _, entry := range entries {
-		documents = append(documents, r.plan.Member(entry, r.endpointAddress(sidecar, entry.Box), r.startOrNow()))
+		documents = append(documents, r.plan.ListedMember(entry, r.endpointAddress(sidecar, entry.Endpoint), r.startOrNow()))
 	}
 	return documents
 }
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -109,7 +109,7 @@
 		return err
 	}
 	r.capacity.configure(r.plan)
-	for i := range r.plan.Boxes {
+	for i := range r.plan.Endpoints {
 		e, err := newEndpoint(r, i)
 		if err != nil {
 			return err
@@ -157,7 +157,7 @@
 	last := length
 	for i := range r.plan.Requests {
 		request := &r.plan.Requests[i]
-		last = max(last, request.Due+request.Patience)
+		last = max(last, request.Due+request.Timeout)
 	}
 	bounded, cancel := context.WithDeadline(ctx, now.Add(last+maxOverrun))
 	defer cancel()
@@ -227,19 +227,19 @@
 func (r *run) endpointCollapsed(endpoint int) {
 	r.schedule(0, func() {
 		for i := range r.plan.Sidecars {
-			if r.plan.Sidecars[i].Box == endpoint {
+			if r.plan.Sidecars[i].Endpoint == endpoint {
 				r.fleet.sidecars[i].kill()
 			}
 		}
 	})
-	r.updateRoundRobin(plan.Event{Kind: plan.BeginFault, Box: endpoint, Fault: model.Fault{Kind: model.Dead}})
+	r.updateRoundRobin(plan.Event{Kind: plan.StartFault, Endpoint: endpoint, Fault: model.Fault{Kind: model.Dead}})
 	r.schedule(r.plan.Scenario.Discovery.RemoveDelay.D(), func() {
-		gone := plan.Listed{Box: endpoint, Phase: trace.PhaseGone}
-		if r.listService != nil && r.plan.Boxes[endpoint].Tier == 0 {
+		gone := plan.ListEntry{Endpoint: endpoint, Phase: trace.PhaseGone}
+		if r.listService != nil && r.plan.Endpoints[endpoint].Tier == 0 {
 			r.listService.update(gone)
 		}
 		for i := range r.plan.Sidecars {
-			if r.plan.Sidecars[i].Tier == r.plan.Boxes[endpoint].Tier {
+			if r.plan.Sidecars[i].Tier == r.plan.Endpoints[endpoint].Tier {
 				r.agents[i].update(gone)
 			}
 		}
--- a/internal/lab/loopback/next_tier.go
+++ b/internal/lab/loopback/next_tier.go
@@ -53,11 +53,11 @@
 	}
 	call := clientRequest{
 		attempt: trace.ClientAttempt{
-			TransactionID: p.CallTxn(request.TransactionID, e.index, request.number, callIndex),
+			TransactionID: p.CallTransactionID(request.TransactionID, e.index, request.number, callIndex),
 			Parent:        request.TransactionID,
 			Request:       request.planIndex,
 			Tier:          nextTier,
-			Sidecar:       slices.IndexFunc(p.Sidecars, func(s plan.Sidecar) bool { return s.Box == e.index }),
+			Sidecar:       slices.IndexFunc(p.Sidecars, func(s plan.Sidecar) bool { return s.Endpoint == e.index }),
 			Class:         planned.Class,
 			Due:           now,
 			Ended:         trace.Unset,
@@ -67,7 +67,7 @@
 		timeout:        timeout,
 		baggage:        baggage,
 		cancelAt:       model.Never,
-		idempotencyKey: planned.Key,
+		idempotencyKey: planned.IdempotencyKey,
 	}
 	return call, timeout >= minTimeout
 }
--- a/internal/lab/loopback/next_tier_test.go
+++ b/internal/lab/loopback/next_tier_test.go
@@ -54,9 +54,9 @@
 	for call := range 2 {
 		got := <-u.asked
 		switch {
-		case got.attempt.TransactionID != s.plan.CallTxn(q.attempt.TransactionID, 0, 0, call), got.attempt.Request != q.attempt.Request, got.attempt.Class != q.attempt.Class:
+		case got.attempt.TransactionID != s.plan.CallTransactionID(q.attempt.TransactionID, 0, 0, call), got.attempt.Request != q.attempt.Request, got.attempt.Class != q.attempt.Class:
 			t.Errorf("call %d is another's: %+v", call, got.attempt)
-		case got.attempt.Tier != 1 || s.plan.Sidecars[got.attempt.Sidecar].Box != 0 || got.directEndpoint != -1:
+		case got.attempt.Tier != 1 || s.plan.Sidecars[got.attempt.Sidecar].Endpoint != 0 || got.directEndpoint != -1:
 			t.Errorf("call %d goes elsewhere: %+v", call, got)
 		case got.idempotencyKey != q.idempotencyKey:
 			t.Errorf("call %d has key %x, not %x", call, got.idempotencyKey, q.idempotencyKey)
--- a/internal/lab/loopback/orders.go
+++ b/internal/lab/loopback/orders.go
@@ -45,7 +45,7 @@
 		r.run.recordRigFailure(event.Sidecar, errNoOrder)
 		return
 	}
-	order.Floor.Epoch += uint64(event.Raised)
+	order.Floor.Epoch += uint64(event.EpochIncrement)
 	body, err := json.Marshal(order)
 	if err != nil {
 		panic(err) // all of it is plain data
--- a/internal/lab/loopback/recorder.go
+++ b/internal/lab/loopback/recorder.go
@@ -29,7 +29,7 @@
 		perRequest += entriesPerRequest * tier.Calls
 	}
 	requests := min(maxPreallocated, int(perRequest*float64(len(p.Requests))))
-	samples := len(p.Boxes) * int((p.Scenario.Length.D()+maxOverrun)/sampleInterval)
+	samples := len(p.Endpoints) * int((p.Scenario.Length.D()+maxOverrun)/sampleInterval)
 	return &recorder{log: trace.Log{
 		ClientAttempts:   make([]trace.ClientAttempt, 0, requests),
 		EndpointRequests: make([]trace.EndpointRequest, 0, requests),
--- a/internal/lab/loopback/round_robin.go
+++ b/internal/lab/loopback/round_robin.go
@@ -37,11 +37,11 @@
 	r := &roundRobin{
 		plan:       p,
 		tiers:      make([]tierRotation, len(p.Scenario.Tiers)),
-		downFaults: make([]int, len(p.Boxes)),
+		downFaults: make([]int, len(p.Endpoints)),
 	}
 	for tier := range r.tiers {
-		for _, listed := range p.First(tier) {
-			r.setListed(listed.Box, true)
+		for _, listed := range p.InitialMembers(tier) {
+			r.setListed(listed.Endpoint, true)
 		}
 	}
 	return r
@@ -62,13 +62,13 @@
 // applyEvent takes an event of the script. If it changes the list, the change is to be passed to applyListChange after its delay.
 func (r *roundRobin) applyEvent(event plan.Event) (change listChange, changes bool) {
 	discovery := &r.plan.Scenario.Discovery
-	change = listChange{endpoint: event.Box, listed: event.Kind != plan.BeginFault, delay: discovery.AddDelay.D()}
-	if event.Kind == plan.StartBox {
+	change = listChange{endpoint: event.Endpoint, listed: event.Kind != plan.StartFault, delay: discovery.AddDelay.D()}
+	if event.Kind == plan.StartEndpoint {
 		return change, true
 	}
 	noticeDelay := discovery.RemoveDelay.D()
 	switch {
-	case event.Kind != plan.BeginFault && event.Kind != plan.EndFault:
+	case event.Kind != plan.StartFault && event.Kind != plan.EndFault:
 		return change, false
 	case event.Fault.Kind == model.Vanish:
 		noticeDelay = discovery.UnresponsiveDelay.D()
@@ -78,10 +78,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if change.listed {
-		r.downFaults[event.Box]--
-		return change, r.downFaults[event.Box] == 0
+		r.downFaults[event.Endpoint]--
+		return change, r.downFaults[event.Endpoint] == 0
 	}
-	r.downFaults[event.Box]++
+	r.downFaults[event.Endpoint]++
 	change.delay = noticeDelay
 	return change, true
 }
@@ -97,7 +97,7 @@
 
 // setListed puts an endpoint on its tier's list or takes it off. The lock is held.
 func (r *roundRobin) setListed(endpoint int, listed bool) {
-	rotation := &r.tiers[r.plan.Boxes[endpoint].Tier]
+	rotation := &r.tiers[r.plan.Endpoints[endpoint].Tier]
 	at, found := slices.BinarySearch(rotation.endpoints, endpoint)
 	switch {
 	case listed && !found:
--- a/internal/lab/loopback/round_robin_test.go
+++ b/internal/lab/loopback/round_robin_test.go
@@ -14,7 +14,7 @@
 func TestRoundRobin(t *testing.T) {
 	s := scenario.Default()
 	s.Tiers = []scenario.Tier{{Name: "a"}, {Name: "b"}}
-	p := &plan.Plan{Scenario: &s, Boxes: []plan.Box{{Tier: 0}, {Tier: 0}, {Tier: 1}, {Tier: 0, Start: "absent"}}}
+	p := &plan.Plan{Scenario: &s, Endpoints: []plan.Endpoint{{Tier: 0}, {Tier: 0}, {Tier: 1}, {Tier: 0, Start: "absent"}}}
 	o := newRoundRobin(p)
 	round := func(tier int, want ...int) {
 		t.Helper()
@@ -30,7 +30,7 @@
 	}
 	event := func(kind plan.EventKind, endpoint int, fault model.FaultKind, after time.Duration) listChange {
 		t.Helper()
-		n, changes := o.applyEvent(plan.Event{Kind: kind, Box: endpoint, Fault: model.Fault{Kind: fault}})
+		n, changes := o.applyEvent(plan.Event{Kind: kind, Endpoint: endpoint, Fault: model.Fault{Kind: fault}})
 		if changes != (after > 0) || changes && n.delay != after {
 			t.Fatalf("%v of %d: %+v, %v", kind, endpoint, n, changes)
 		}
@@ -39,21 +39,21 @@
 	d := &s.Discovery
 	round(0, 0, 1)
 	round(1, 2)
-	o.applyListChange(event(plan.StartBox, 3, 0, d.AddDelay.D()))
+	o.applyListChange(event(plan.StartEndpoint, 3, 0, d.AddDelay.D()))
 	round(0, 0, 1, 3)
-	gone := event(plan.BeginFault, 1, model.Dead, d.RemoveDelay.D())
+	gone := event(plan.StartFault, 1, model.Dead, d.RemoveDelay.D())
 	round(0, 0, 1, 3)
 	o.applyListChange(gone)
 	round(0, 0, 3)
-	event(plan.BeginFault, 1, model.Vanish, d.UnresponsiveDelay.D())
+	event(plan.StartFault, 1, model.Vanish, d.UnresponsiveDelay.D())
 	event(plan.EndFault, 1, model.Dead, 0) // it is still down
 	o.applyListChange(event(plan.EndFault, 1, model.Vanish, d.AddDelay.D()))
 	round(0, 0, 1, 3)
-	event(plan.BeginFault, 0, model.Slow, 0)
-	brief := event(plan.BeginFault, 2, model.Dead, d.RemoveDelay.D())
+	event(plan.StartFault, 0, model.Slow, 0)
+	brief := event(plan.StartFault, 2, model.Dead, d.RemoveDelay.D())
 	event(plan.EndFault, 2, model.Dead, d.AddDelay.D())
 	o.applyListChange(brief) // it is up again by now
 	round(1, 2)
-	o.applyListChange(event(plan.BeginFault, 2, model.Dead, d.RemoveDelay.D()))
+	o.applyListChange(event(plan.StartFault, 2, model.Dead, d.RemoveDelay.D()))
 	round(1, -1)
 }
--- a/internal/lab/loopback/run_test.go
+++ b/internal/lab/loopback/run_test.go
@@ -212,7 +212,7 @@
 		}
 		boxes[attempt.Endpoint]++
 	}
-	if len(log.ClientAttempts) != 2*len(p.Requests) || len(boxes) != len(p.Boxes) {
+	if len(log.ClientAttempts) != 2*len(p.Requests) || len(boxes) != len(p.Endpoints) {
 		t.Errorf("%d requests, %d attempts, by endpoint %v", len(p.Requests), len(log.ClientAttempts), boxes)
 	}
 }
--- a/internal/lab/loopback/script.go
+++ b/internal/lab/loopback/script.go
@@ -16,23 +16,23 @@
 			return
 		}
 		switch event.Kind {
-		case plan.BeginFault, plan.EndFault, plan.StartBox:
-			r.endpoints[event.Box].applyEvent(r.elapsed(), event)
+		case plan.StartFault, plan.EndFault, plan.StartEndpoint:
+			r.endpoints[event.Endpoint].applyEvent(r.elapsed(), event)
 			r.updateRoundRobin(event)
 		case plan.StartSidecar, plan.StopSidecar, plan.UpgradeSidecar, plan.KillSidecar, plan.PauseSidecar:
 			r.applySidecarEvent(event)
 		case plan.MoveDiscovery:
 			moves++
 			r.moveDiscovery(moves)
-		case plan.Tell, plan.SilenceDiscovery, plan.ResumeDiscovery, plan.BeginList, plan.EndList:
+		case plan.NotifySidecar, plan.SuspendDiscovery, plan.ResumeDiscovery, plan.StartListFault, plan.EndListFault:
 			r.applyDiscoveryEvent(event)
-		case plan.BeginLink, plan.EndLink:
+		case plan.StartLinkFault, plan.EndLinkFault:
 			r.applyLinkEvent(event)
 		case plan.StartAuditor, plan.KillAuditor, plan.PauseAuditor:
 			r.applyAuditorEvent(event)
-		case plan.KeepOrder:
+		case plan.SaveOrder:
 			r.replayer.save(event)
-		case plan.PlayOrder:
+		case plan.ReplayOrder:
 			r.replayer.replay(event)
 		}
 	}
@@ -53,7 +53,7 @@
 		s.kill()
 	case plan.PauseSidecar:
 		s.signal(syscall.SIGSTOP)
-		r.schedule(event.For, func() { s.signal(syscall.SIGCONT) })
+		r.schedule(event.Duration, func() { s.signal(syscall.SIGCONT) })
 	}
 	if err != nil {
 		r.recordRigFailure(event.Sidecar, err)
@@ -63,13 +63,13 @@
 // applyDiscoveryEvent applies an event of the script that concerns discovery, but for its moves.
 func (r *run) applyDiscoveryEvent(event plan.Event) {
 	switch event.Kind {
-	case plan.Tell:
+	case plan.NotifySidecar:
 		r.agentOf(event.Sidecar).update(event.Entry)
-	case plan.SilenceDiscovery, plan.ResumeDiscovery:
+	case plan.SuspendDiscovery, plan.ResumeDiscovery:
 		for _, a := range r.agents {
-			a.setUnresponsive(event.Kind == plan.SilenceDiscovery)
+			a.setUnresponsive(event.Kind == plan.SuspendDiscovery)
 		}
-	case plan.BeginList, plan.EndList:
+	case plan.StartListFault, plan.EndListFault:
 		if err := r.agentOf(event.Sidecar).applyFault(event); err != nil {
 			r.recordRigFailure(event.Sidecar, err)
 		}
@@ -88,7 +88,7 @@
 		a.signal(syscall.SIGKILL)
 	case plan.PauseAuditor:
 		a.signal(syscall.SIGSTOP)
-		r.schedule(event.For, func() { a.signal(syscall.SIGCONT) })
+		r.schedule(event.Duration, func() { a.signal(syscall.SIGCONT) })
 	}
 }
 
--- a/internal/lab/loopback/sidecar.go
+++ b/internal/lab/loopback/sidecar.go
@@ -54,7 +54,7 @@
 		plan:             &r.plan.Sidecars[id],
 		discoveryAddress: r.addresses.agent(id, 0),
 	}
-	if r.plan.Linked("list", id) {
+	if r.plan.IsIntercepted("list", id) {
 		s.discoveryAddress = r.addresses.link("list", id, 0)
 	}
 	s.routing.Store(&routingState{deadAt: model.Never})
@@ -64,10 +64,10 @@
 
 // startsBeforeRun reports whether the sidecar is there before the run: not by the script, nor with an endpoint that comes later.
 func (s *sidecar) startsBeforeRun() bool {
-	if s.plan.Begin >= 0 {
+	if s.plan.StartAt >= 0 {
 		return false
 	}
-	return s.plan.Box < 0 || s.run.plan.Boxes[s.plan.Box].Start != "absent"
+	return s.plan.Endpoint < 0 || s.run.plan.Endpoints[s.plan.Endpoint].Start != "absent"
 }
 
 // start starts a process, unless one runs. An error is that of its files or of the program.
@@ -102,9 +102,9 @@
 	}
 	p := &process{settled: make(chan struct{}), exited: make(chan struct{})}
 	switch {
-	case s.run.plan.Upgrades(): // two processes at a time
+	case s.run.plan.HasUpgrades(): // two processes at a time
 		p.controlAddress = s.run.addresses.control(s.id, s.startCount)
-	case s.run.plan.Operators():
+	case s.run.plan.NeedsControlAccess():
 		p.controlAddress = s.run.addresses.control(s.id, 0)
 	}
 	p.cmd = s.command(p.controlAddress)
--- a/internal/lab/loopback/sidecar_config.go
+++ b/internal/lab/loopback/sidecar_config.go
@@ -31,7 +31,7 @@
 // operatorConfig is the text of its operator's file; empty if it has none.
 func (s *sidecar) operatorConfig() string {
 	p := s.run.plan
-	text := p.Scenario.OperatorFile(s.run.addresses.thrift(s.id), p.Scenario.Tiers[s.plan.Tier].Name, s.plan.Accounts)
+	text := p.Scenario.OperatorFile(s.run.addresses.thrift(s.id), p.Scenario.Tiers[s.plan.Tier].Name, s.plan.HasBudget)
 	return strings.NewReplacer("/{dir}", s.fleet.configDir, "{name}", s.plan.Name).Replace(text)
 }
 
@@ -57,7 +57,7 @@
 			return fmt.Errorf("loopback: configuration: %w", err)
 		}
 	}
-	if s.plan.Full {
+	if s.plan.AuditDiskFull {
 		if err := s.fillAuditLogDisk(); err != nil {
 			return err
 		}
@@ -103,17 +103,17 @@
 // knownMembers is the endpoint list as this sidecar last had it: the plan's, with its agent's updates since.
 func (s *sidecar) knownMembers() []map[string]any {
 	p, now := s.run.plan, s.run.elapsed()
-	byEndpoint := map[int]plan.Listed{}
-	for _, listed := range s.plan.Known {
-		byEndpoint[listed.Box] = listed
+	byEndpoint := map[int]plan.ListEntry{}
+	for _, listed := range s.plan.InitialList {
+		byEndpoint[listed.Endpoint] = listed
 	}
 	for _, event := range p.Events {
-		if event.Kind == plan.Tell && event.Sidecar == s.id && event.At <= now && p.Scenario.Fleet.InitialList != "none" {
-			byEndpoint[event.Entry.Box] = event.Entry
+		if event.Kind == plan.NotifySidecar && event.Sidecar == s.id && event.At <= now && p.Scenario.Fleet.InitialList != "none" {
+			byEndpoint[event.Entry.Endpoint] = event.Entry
 		}
 	}
-	var list []plan.Listed
-	for endpoint := range p.Boxes {
+	var list []plan.ListEntry
+	for endpoint := range p.Endpoints {
 		if listed, ok := byEndpoint[endpoint]; ok && listed.Phase != trace.PhaseGone {
 			list = append(list, listed)
 		}
--- a/internal/lab/loopback/transport.go
+++ b/internal/lab/loopback/transport.go
@@ -42,13 +42,13 @@
 		codec:     newClientCodec(p),
 		now:       now,
 		sidecars:  make([]connectionPool, len(p.Sidecars)),
-		endpoints: make([]connectionPool, len(p.Boxes)),
+		endpoints: make([]connectionPool, len(p.Endpoints)),
 		slots:     make(chan struct{}, int(connectionShare*float64(descriptors))),
 	}
 	t.dialer.KeepAlive = -1 // a host that doesn't respond is noticed by the request's time-out alone
 	for i := range t.sidecars {
 		t.sidecars[i].address = net.clientEntry(i, p.Scenario.Fleet.Protocol)
-		if p.Linked("clients", i) {
+		if p.IsIntercepted("clients", i) {
 			t.sidecars[i].address = net.link("clients", i, 0)
 		}
 	}
--- a/internal/lab/plan/plan_test.go
+++ b/internal/lab/plan/plan_test.go
@@ -56,7 +56,7 @@
 			t.Fatalf("a fault changes request %d", i)
 		}
 	}
-	if a.Boxes[0].Spec != b.Boxes[0].Spec || a.Sidecars[0].Seed != b.Sidecars[0].Seed || a.Txn(3, 1) != b.Txn(3, 1) {
+	if a.Endpoints[0].Spec != b.Endpoints[0].Spec || a.Sidecars[0].Seed != b.Sidecars[0].Seed || a.TransactionID(3, 1) != b.TransactionID(3, 1) {
 		t.Error("a fault changes boxes, seeds or ids")
 	}
 }
@@ -65,7 +65,7 @@
 	s := load(t, "calm")
 	s.Length = scenario.Span(10 * time.Minute)
 	p := build(t, s, 1)
-	asked := p.Rate * s.Clients.Load * s.Length.D().Seconds()
+	asked := p.Capacity * s.Clients.Load * s.Length.D().Seconds()
 	if n := float64(len(p.Requests)); math.Abs(n-asked) > 4*math.Sqrt(asked) {
 		t.Errorf("%.0f requests, want about %.0f", n, asked)
 	}
@@ -73,7 +73,7 @@
 	for _, r := range p.Requests {
 		count[r.Class]++
 		work[r.Class] += r.Work.Seconds()
-		if r.Leaves > 0 {
+		if r.CancelAfter > 0 {
 			left++
 		}
 	}
@@ -90,8 +90,8 @@
 	}
 	picks := make([]float64, len(p.Sidecars))
 	for i := range 10000 {
-		picks[p.Choose(i, 0, func(int) bool { return true })]++
-		if one := p.Choose(i, 0, func(i int) bool { return i == 1 }); one != 1 {
+		picks[p.ChooseSidecar(i, 0, func(int) bool { return true })]++
+		if one := p.ChooseSidecar(i, 0, func(i int) bool { return i == 1 }); one != 1 {
 			t.Fatalf("the front chose %d, which it has not admitted", one)
 		}
 	}
@@ -103,7 +103,7 @@
 // told is what one sidecar hears of a box, in order.
 func told(p *Plan, sidecar int, box string) (out []Event) {
 	for _, e := range p.Events {
-		if e.Kind == Tell && e.Sidecar == sidecar && p.Boxes[e.Entry.Box].Name == box {
+		if e.Kind == NotifySidecar && e.Sidecar == sidecar && p.Endpoints[e.Entry.Endpoint].Name == box {
 			out = append(out, e)
 		}
 	}
@@ -161,8 +161,8 @@
 			continue
 		}
 		for i, w := range c.want {
-			if e := got[i]; e.At != w.at || e.Entry.Phase != w.phase || e.Entry.UpSince != w.up {
-				t.Errorf("%s: heard %v at %v, up since %v; want %+v", name, e.Entry.Phase, e.At, e.Entry.UpSince, w)
+			if e := got[i]; e.At != w.at || e.Entry.Phase != w.phase || e.Entry.StartedAt != w.up {
+				t.Errorf("%s: heard %v at %v, up since %v; want %+v", name, e.Entry.Phase, e.At, e.Entry.StartedAt, w)
 			}
 		}
 	}
@@ -173,7 +173,7 @@
 	p := build(t, load(t, "two-tiers"), 1)
 	var kinds []EventKind
 	for _, e := range p.Events {
-		if e.Sidecar >= 0 && p.Sidecars[e.Sidecar].Box >= 0 && e.Kind != Tell {
+		if e.Sidecar >= 0 && p.Sidecars[e.Sidecar].Endpoint >= 0 && e.Kind != NotifySidecar {
 			kinds = append(kinds, e.Kind)
 		}
 	}
@@ -182,8 +182,8 @@
 	}
 	calls := 0
 	for i := range p.Requests {
-		n := len(p.Segments(nil, i, p.Txn(i, 0), 0, 0)) - 1
-		if n != p.Calls(i, 0, 0) || n < 1 || n > 2 {
+		n := len(p.Segments(nil, i, p.TransactionID(i, 0), 0, 0)) - 1
+		if n != p.CallCount(i, 0, 0) || n < 1 || n > 2 {
 			t.Fatalf("request %d makes %d calls", i, n)
 		}
 		calls += n
@@ -220,15 +220,15 @@
 	} {
 		i := first[c.class]
 		due := p.Requests[i].Due
-		_, again := p.Retry(&trace.ClientAttempt{Request: i, Number: c.no, Status: c.status, Ended: due + c.after}, due)
+		_, again := p.NextRetry(&trace.ClientAttempt{Request: i, Number: c.no, Status: c.status, Ended: due + c.after}, due)
 		if again != c.again {
 			t.Errorf("%s, try %d, %v: again %v", c.class, c.no, c.status, again)
 		}
 	}
 	i := first["remake-charge"]
-	p.Requests[i].Honours = true
+	p.Requests[i].HonorsRetryAfter = true
 	due := p.Requests[i].Due
-	at, _ := p.Retry(&trace.ClientAttempt{Request: i, Status: trace.StatusRejected, Ended: due, RetryAfter: 600 * time.Millisecond}, due)
+	at, _ := p.NextRetry(&trace.ClientAttempt{Request: i, Status: trace.StatusRejected, Ended: due, RetryAfter: 600 * time.Millisecond}, due)
 	if at != due+600*time.Millisecond {
 		t.Errorf("a client that follows the advice comes back after %v", at-due)
 	}
@@ -236,12 +236,12 @@
 
 func TestRecordedArrivals(t *testing.T) {
 	s := load(t, "calm")
-	p, err := Build(s, 1, []Arrival{{At: 2 * time.Second, Class: 3, Left: 700 * time.Millisecond, Repeated: true}, {At: time.Second, Class: 0, Left: time.Second}})
+	p, err := Build(s, 1, []Arrival{{At: 2 * time.Second, Class: 3, Timeout: 700 * time.Millisecond, IsRetry: true}, {At: time.Second, Class: 0, Timeout: time.Second}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := p.Requests[1]
-	if len(p.Requests) != 2 || r.Due != 2*time.Second || r.Class != 3 || !r.Repeated || r.Retries != 0 || p.Left(1, r.Due) != 700*time.Millisecond {
+	if len(p.Requests) != 2 || r.Due != 2*time.Second || r.Class != 3 || !r.IsRetry || r.MaxRetries != 0 || p.AttemptTimeout(1, r.Due) != 700*time.Millisecond {
 		t.Errorf("played as %+v", r)
 	}
 	if _, err := Build(s, 1, []Arrival{{Class: 4}}); err == nil {
@@ -255,19 +255,19 @@
 	p := build(t, s, 1)
 	starts := 0
 	for _, e := range p.Events {
-		if e.Kind == StartBox {
+		if e.Kind == StartEndpoint {
 			starts++
-			if p.Boxes[e.Box].Start != "absent" || e.At != 5*time.Second || p.Boxes[e.Box].At != e.At {
-				t.Errorf("%+v starts %+v", e, p.Boxes[e.Box])
+			if p.Endpoints[e.Endpoint].Start != "absent" || e.At != 5*time.Second || p.Endpoints[e.Endpoint].StartAt != e.At {
+				t.Errorf("%+v starts %+v", e, p.Endpoints[e.Endpoint])
 			}
 		}
 	}
-	if starts != 2 || len(p.First(0)) != 4 || len(p.Sidecars[0].Known) != 4 {
-		t.Errorf("%d boxes start, %d are listed first", starts, len(p.First(0)))
+	if starts != 2 || len(p.InitialMembers(0)) != 4 || len(p.Sidecars[0].InitialList) != 4 {
+		t.Errorf("%d boxes start, %d are listed first", starts, len(p.InitialMembers(0)))
 	}
-	for i := range p.Boxes {
-		if b := &p.Boxes[i]; b.Start == "warm" && b.At != model.Never {
-			t.Errorf("%s starts at %v", b.Name, b.At)
+	for i := range p.Endpoints {
+		if b := &p.Endpoints[i]; b.Start == "warm" && b.StartAt != model.Never {
+			t.Errorf("%s starts at %v", b.Name, b.StartAt)
 		}
 	}
 }
--- a/internal/lab/plan/settings.go
+++ b/internal/lab/plan/settings.go
@@ -7,9 +7,9 @@
 )
 
 // quantum is the shortest time between two events of a sidecar, as its settings say.
-const quantum = 2 * time.Millisecond
+const timeResolution = 2 * time.Millisecond
 
-var effectWords = map[string]string{"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
+var idempotencyNames = map[string]string{"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
 
 // Zone is the one zone of every scenario.
 const Zone = "here"
@@ -25,7 +25,7 @@
 	var classes, kinds, tiers []any
 	for _, k := range s.Classes {
 		classes = append(classes, map[string]any{"name": k.Name, "aim": k.TargetLatency.D(), "deadline": k.Deadline.D(), "worth": k.Value,
-			"idempotency": effectWords[k.Idempotency], "key_scope": "all", "memory_span": k.DedupWindow.D(), "late_worth": 0.0})
+			"idempotency": idempotencyNames[k.Idempotency], "key_scope": "all", "memory_span": k.DedupWindow.D(), "late_worth": 0.0})
 	}
 	for _, k := range s.Tiers[c.Tier].Kinds {
 		kinds = append(kinds, k.Name)
@@ -39,7 +39,7 @@
 			"second_copies": r.Hedging, "send_cap": r.MaxAttempts, "peer_messages": false},
 		"classes": classes, "clients": map[string]any{"marks_retry": r.MarksRetries}, "counted_by": counted,
 		"family_info": map[string]any{"passes_deadline": r.PropagatesDeadline}, "kinds": kinds, "locality": 0,
-		"n_instances": c.Told, "rank": c.Rank, "quantum": quantum, "registry_mode": "automatic",
+		"n_instances": c.ConfiguredInstances, "rank": c.Rank, "quantum": timeResolution, "registry_mode": "automatic",
 		"prices": map[string]any{"late_fail": 0.05, "probe": 0.01, "waste": 0.04},
 		"rules": map[string]any{"answer_slack": 8 * time.Millisecond, "cold": r.WarmupDuration.D(), "cold_share": r.WarmupInitialShare,
 			"fall": r.CollapseWindow.D(), "stop_sending_within": r.DrainGrace.D(), "tip_multiple": r.CollapseMultiple},
@@ -48,21 +48,21 @@
 	if s.Fleet.RankSetting == "none" {
 		delete(doc, "rank")
 	}
-	return encode(doc)
+	return mustMarshal(doc)
 }
 
-// Member is an entry as discovery words it. Start is the run's start as Unix time; the box is reached at addr.
-func (p *Plan) Member(l Listed, addr string, start time.Time) map[string]any {
-	b := &p.Boxes[l.Box]
+// ListedMember is an entry as discovery words it. Start is the run's start as Unix time; the box is reached at addr.
+func (p *Plan) ListedMember(l ListEntry, addr string, start time.Time) map[string]any {
+	b := &p.Endpoints[l.Endpoint]
 	up := int64(0)
-	if l.UpSince > 0 {
-		up = start.Add(l.UpSince).UnixMilli()
+	if l.StartedAt > 0 {
+		up = start.Add(l.StartedAt).UnixMilli()
 	}
 	return map[string]any{"id": b.Name, "host_port": addr, "locality": Zone, "flavor": b.Kind, "cell": 0,
 		"phase": l.Phase.String(), "size": float64(b.Spec.Cores), "up_since_ms": up}
 }
 
-func encode(v any) json.RawMessage {
+func mustMarshal(v any) json.RawMessage {
 	text, err := json.Marshal(v)
 	if err != nil {
 		panic(fmt.Sprintf("plan: %v", err)) // all of it is plain
--- a/internal/lab/result/box.go
+++ b/internal/lab/result/box.go
@@ -12,7 +12,7 @@
 type boxLog []trace.Sample
 
 func boxesOf(p *plan.Plan, log *trace.Log) []boxLog {
-	out := make([]boxLog, len(p.Boxes))
+	out := make([]boxLog, len(p.Endpoints))
 	for _, s := range log.Samples {
 		if s.Endpoint >= 0 && s.Endpoint < len(out) {
 			out[s.Endpoint] = append(out[s.Endpoint], s)
@@ -25,7 +25,7 @@
 }
 
 func (b boxLog) box(p *plan.Plan, i, seconds int) Box {
-	of := &p.Boxes[i]
+	of := &p.Endpoints[i]
 	out := Box{Name: of.Name, Tier: of.Tier, Kind: of.Kind, Cores: of.Spec.Cores, Samples: len(b), Fallen: b.fell(0, longest),
 		Worst: b.worst(p.Scenario.Rules.CollapseWindow.D(), 0, longest)}
 	out.Sent = b.perSecond(seconds, func(s *trace.Sample) time.Duration { return s.SentWork })
--- a/internal/lab/result/fate.go
+++ b/internal/lab/result/fate.go
@@ -152,7 +152,7 @@
 		parent = f.best
 	}
 	box := tries[parent].Endpoint
-	return t.Status == trace.StatusServed && (t.Sidecar < 0 || t.Sidecar >= len(p.Sidecars) || box < 0 || p.Sidecars[t.Sidecar].Box == box) &&
+	return t.Status == trace.StatusServed && (t.Sidecar < 0 || t.Sidecar >= len(p.Sidecars) || box < 0 || p.Sidecars[t.Sidecar].Endpoint == box) &&
 		(parent == f.best || f.useful(p, tries, by, parent))
 }
 
--- a/internal/lab/result/notice.go
+++ b/internal/lab/result/notice.go
@@ -89,13 +89,13 @@
 	open := map[int]stretch{} // by the fault's id
 	for _, e := range p.Events {
 		switch {
-		case e.Kind == plan.BeginFault && e.Fault.Kind != model.Slow:
+		case e.Kind == plan.StartFault && e.Fault.Kind != model.Slow:
 			open[e.Fault.ID] = stretch{e.At, end}
 			if !slices.ContainsFunc(p.Events, func(o plan.Event) bool { return o.Kind == plan.EndFault && o.Fault.ID == e.Fault.ID }) {
-				out[e.Box] = append(out[e.Box], stretch{e.At, end})
+				out[e.Endpoint] = append(out[e.Endpoint], stretch{e.At, end})
 			}
 		case e.Kind == plan.EndFault && e.Fault.Kind != model.Slow:
-			out[e.Box] = append(out[e.Box], stretch{open[e.Fault.ID].from, e.At})
+			out[e.Endpoint] = append(out[e.Endpoint], stretch{open[e.Fault.ID].from, e.At})
 		}
 	}
 	return out
--- a/internal/lab/result/of.go
+++ b/internal/lab/result/of.go
@@ -28,7 +28,7 @@
 	out.Notice = noticeOf(p, log)
 	if meta.Player == "sockets" {
 		out.Together = r.together()
-		if r.audited = r.audits(); p.Operators() || r.audited.Late > 0 {
+		if r.audited = r.audits(); p.NeedsControlAccess() || r.audited.Late > 0 {
 			out.Audited = r.audited
 		}
 	}
@@ -45,7 +45,7 @@
 	for _, e := range s.Expectations {
 		out.Expect = append(out.Expect, r.expect(&e))
 	}
-	for _, m := range p.Marks {
+	for _, m := range p.Annotations {
 		out.Marks = append(out.Marks, r.mark(m))
 	}
 	for i := range r.boxes {
@@ -108,7 +108,7 @@
 }
 
 // mark compares the service in a fault with that before and after it.
-func (r *run) mark(m plan.Mark) Mark {
+func (r *run) mark(m plan.Annotation) Mark {
 	service := func(from, to time.Duration) *float64 {
 		t := r.tally(-1, max(from, r.settle), to)
 		if t.asked == 0 {
@@ -118,7 +118,7 @@
 		return &v
 	}
 	to := max(m.To, m.From+leastMark)
-	return Mark{What: m.What, From: tidy(m.From.Seconds()), To: tidy(m.To.Seconds()), Before: service(m.From-around, m.From),
+	return Mark{What: m.Name, From: tidy(m.From.Seconds()), To: tidy(m.To.Seconds()), Before: service(m.From-around, m.From),
 		During: service(m.From, to), After: service(to, to+around)}
 }
 
--- a/internal/lab/result/property_test.go
+++ b/internal/lab/result/property_test.go
@@ -26,7 +26,7 @@
 		s.Length, s.WarmUp = scenario.Span(5*time.Second), scenario.Span(rapid.IntRange(0, 3000).Draw(t, "settle"))*scenario.Span(ms)
 		s.Classes = []scenario.Class{{Name: "a", TargetLatency: scenario.Span(50 * ms), Value: 1}, {Name: "b", TargetLatency: scenario.Span(90 * ms), Value: 2}}
 		s.Tiers = []scenario.Tier{{Name: "t"}}
-		p := &plan.Plan{Scenario: &s, Boxes: make([]plan.Box, 2)}
+		p := &plan.Plan{Scenario: &s, Endpoints: make([]plan.Endpoint, 2)}
 		log := &trace.Log{End: 6 * time.Second}
 		txn, due := uint64(0), 0
 		for i := range rapid.IntRange(0, 60).Draw(t, "requests") {
--- a/internal/lab/result/result_test.go
+++ b/internal/lab/result/result_test.go
@@ -27,9 +27,9 @@
 	s.Classes = []scenario.Class{{Name: "fast", TargetLatency: scenario.Span(100 * ms), Value: 3}, {Name: "slow", TargetLatency: scenario.Span(time.Second), Value: 1}}
 	s.Tiers = []scenario.Tier{{Name: "front", Calls: 1}, {Name: "back"}}
 	p := &plan.Plan{Scenario: &s, Seed: 7,
-		Boxes:    []plan.Box{{Name: "front-1", Kind: "f", Spec: model.Spec{Cores: 2}}, {Name: "front-2", Kind: "f"}, {Name: "back-1", Tier: 1, Kind: "b"}},
-		Sidecars: []plan.Sidecar{{Name: "n1", Box: -1}, {Name: "n-front-1", Tier: 1, Box: 0}, {Name: "n-front-2", Tier: 1, Box: 1}},
-		Marks:    []plan.Mark{{What: "hang front-2", From: 2 * time.Second, To: 4 * time.Second}}}
+		Endpoints:   []plan.Endpoint{{Name: "front-1", Kind: "f", Spec: model.Spec{Cores: 2}}, {Name: "front-2", Kind: "f"}, {Name: "back-1", Tier: 1, Kind: "b"}},
+		Sidecars:    []plan.Sidecar{{Name: "n1", Endpoint: -1}, {Name: "n-front-1", Tier: 1, Endpoint: 0}, {Name: "n-front-2", Tier: 1, Endpoint: 1}},
+		Annotations: []plan.Annotation{{Name: "hang front-2", From: 2 * time.Second, To: 4 * time.Second}}}
 	for i, due := range []time.Duration{500, 1500, 2500, 3500, 4500, 5500} {
 		p.Requests = append(p.Requests, plan.Request{Due: due * ms, Class: i / 3, Work: time.Duration(i+1) * ms})
 	}
--- a/internal/lab/result/room.go
+++ b/internal/lab/result/room.go
@@ -16,7 +16,7 @@
 	for i := range r.boxes {
 		each := r.boxes[i].perSecond(seconds, func(s *trace.Sample) time.Duration { return s.PossibleWork })
 		for at, v := range each {
-			could[p.Boxes[i].Tier][at] += v
+			could[p.Endpoints[i].Tier][at] += v
 		}
 	}
 	work, worth := make([]float64, seconds), make([]float64, seconds)
--- a/internal/lab/result/together.go
+++ b/internal/lab/result/together.go
@@ -116,7 +116,7 @@
 	for _, n := range out.Steps {
 		out.Peak = max(out.Peak, n)
 	}
-	byBox := make([][]time.Duration, len(r.plan.Boxes))
+	byBox := make([][]time.Duration, len(r.plan.Endpoints))
 	for _, d := range r.log.Connections {
 		if d.Endpoint < 0 {
 			out.Dials++
@@ -173,7 +173,7 @@
 	}
 	slices.SortStableFunc(order, func(a, b *trace.EndpointRequest) int { return cmp.Compare(a.FirstByte, b.FirstByte) })
 	open := make(map[uint64]time.Duration, len(tries)) // by try that has been sent: until when
-	byBox := make([][]sent, len(r.plan.Boxes))
+	byBox := make([][]sent, len(r.plan.Endpoints))
 	for _, v := range order {
 		s := sent{at: v.FirstByte}
 		until, was := open[v.TransactionID]
@@ -201,7 +201,7 @@
 				again, copied = again-all[first].again, copied-all[first].copied
 			}
 			if k := n + 1 - first; out == nil || k > out.Attempts {
-				out = &Peak{Box: r.plan.Boxes[box].Name, From: tidy(all[first].at.Seconds()), Attempts: k, Again: again, Copies: copied}
+				out = &Peak{Box: r.plan.Endpoints[box].Name, From: tidy(all[first].at.Seconds()), Attempts: k, Again: again, Copies: copied}
 			}
 		}
 	}
--- a/internal/lab/result/together_test.go
+++ b/internal/lab/result/together_test.go
@@ -59,7 +59,7 @@
 		{"unlisted", 0.42, 0.42, plant(func(l *trace.Log) { l.Polls[1].Outcome = trace.PollAnswered })},          // nothing is planted
 		{"unserving", 0.1, 9.5, plant(func(l *trace.Log) { l.ClientAttempts[2].Status = trace.StatusRejected })}, // the third is asked and serves nothing
 	} {
-		p := &plan.Plan{Scenario: &scenario.Scenario{}, Boxes: make([]plan.Box, 2), Sidecars: make([]plan.Sidecar, 3)}
+		p := &plan.Plan{Scenario: &scenario.Scenario{}, Endpoints: make([]plan.Endpoint, 2), Sidecars: make([]plan.Sidecar, 3)}
 		for i, log := range []*trace.Log{quiet(), c.log} {
 			v, known := (&run{plan: p, log: log}).measure(c.what, -1, 0, longest)
 			if want := []float64{c.quiet, c.want}[i]; !known || v != want {
--- a/internal/lab/simulation/boxes.go
+++ b/internal/lab/simulation/boxes.go
@@ -65,8 +65,8 @@
 func (s *sim) makeBoxes() {
 	s.byName = map[string]int{}
 	keys := make([]*model.Keys, len(s.p.Scenario.Tiers))
-	for i := range s.p.Boxes {
-		b := &s.p.Boxes[i]
+	for i := range s.p.Endpoints {
+		b := &s.p.Endpoints[i]
 		m := model.New(b.Spec, b.Seed)
 		if keys[b.Tier] == nil {
 			keys[b.Tier] = model.NewKeys(b.Spec.KeyWindow)
@@ -81,7 +81,7 @@
 		s.byName[b.Name] = i
 	}
 	for i := range s.p.Sidecars {
-		if box := s.p.Sidecars[i].Box; box >= 0 {
+		if box := s.p.Sidecars[i].Endpoint; box >= 0 {
 			s.boxes[box].sidecar = i
 		}
 	}
@@ -163,7 +163,7 @@
 			number++
 		}
 	}
-	key := s.p.Requests[t.Request].Key
+	key := s.p.Requests[t.Request].IdempotencyKey
 	s.log.EndpointRequests = append(s.log.EndpointRequests, trace.EndpointRequest{TransactionID: t.TransactionID, Endpoint: a.box, ConnectionID: uint64(k), FirstByte: s.now, LastByte: s.now,
 		Started: trace.Unset, Ended: trace.Unset, IdempotencyKey: key})
 	s.visits = append(s.visits, visit{attempt: k, number: number, until: s.now + s.told(a), call: -1})
@@ -437,8 +437,8 @@
 // fell is discovery's noticing that a box has fallen over.
 func (s *sim) fell(i int) {
 	for c := range s.sidecars {
-		if s.p.Sidecars[c].Tier == s.p.Boxes[i].Tier {
-			s.tell(c, plan.Listed{Box: i, Phase: trace.PhaseGone})
+		if s.p.Sidecars[c].Tier == s.p.Endpoints[i].Tier {
+			s.tell(c, plan.ListEntry{Endpoint: i, Phase: trace.PhaseGone})
 		}
 	}
 }
@@ -464,10 +464,10 @@
 		s.returned(v, false, budget.Tried{})
 		return
 	}
-	t := trace.ClientAttempt{TransactionID: s.p.CallTxn(l.TransactionID, i, state.number, call), Parent: l.TransactionID, Request: parent.Request, Tier: s.p.Scenario.NextTierIndex(s.p.Boxes[i].Tier),
+	t := trace.ClientAttempt{TransactionID: s.p.CallTransactionID(l.TransactionID, i, state.number, call), Parent: l.TransactionID, Request: parent.Request, Tier: s.p.Scenario.NextTierIndex(s.p.Endpoints[i].Tier),
 		Class: parent.Class, Due: s.now, Sent: s.now, Timeout: left, Ended: trace.Unset, Endpoint: -1, Sidecar: s.boxes[i].sidecar}
 	state.call = s.send(t, v)
-	if s.p.Scenario.Tiers[s.p.Boxes[i].Tier].Propagates == "all" {
+	if s.p.Scenario.Tiers[s.p.Endpoints[i].Tier].Propagates == "all" {
 		s.tries[state.call].baggage = s.attempts[state.attempt].baggage
 	}
 }
@@ -479,7 +479,7 @@
 	if s.visits[v].calls++; s.visits[v].calls > 1 {
 		t = s.visits[v].tried.And(t)
 	}
-	if s.p.Scenario.Tiers[s.p.Boxes[box].Tier].Propagates == "all" {
+	if s.p.Scenario.Tiers[s.p.Endpoints[box].Tier].Propagates == "all" {
 		s.visits[v].tried = t
 	}
 	s.boxes[box].m.Returned(s.now, uint64(v)+1, ok)
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -45,17 +45,17 @@
 			s.at(s.p.Requests[next].Due, event{kind: evArrive, a: int32(next)})
 		}
 		c.first, c.try = s.now, -1
-		if r.Leaves > 0 {
-			s.at(r.Due+r.Leaves, event{kind: evLeave, a: int32(request)})
+		if r.CancelAfter > 0 {
+			s.at(r.Due+r.CancelAfter, event{kind: evLeave, a: int32(request)})
 		}
 	}
 	if c.over {
 		return
 	}
-	t := trace.ClientAttempt{TransactionID: s.p.Txn(request, no), Request: request, Number: no, Class: r.Class, Due: r.Due, Sent: s.now,
-		Timeout: s.p.Left(request, s.now), Ended: trace.Unset, Endpoint: -1, Sidecar: -1}
+	t := trace.ClientAttempt{TransactionID: s.p.TransactionID(request, no), Request: request, Number: no, Class: r.Class, Due: r.Due, Sent: s.now,
+		Timeout: s.p.AttemptTimeout(request, s.now), Ended: trace.Unset, Endpoint: -1, Sidecar: -1}
 	if s.sidecars != nil {
-		t.Sidecar = s.p.Choose(request, no, func(i int) bool { return s.sidecars[i].able })
+		t.Sidecar = s.p.ChooseSidecar(request, no, func(i int) bool { return s.sidecars[i].able })
 	}
 	c.try = s.send(t, -1)
 	if s.sidecars != nil && t.Sidecar < 0 {
@@ -86,7 +86,7 @@
 	tier := s.log.ClientAttempts[i].Tier
 	for range s.boxes {
 		s.round = (s.round + 1) % len(s.boxes)
-		if s.listed[s.round] && s.p.Boxes[s.round].Tier == tier {
+		if s.listed[s.round] && s.p.Endpoints[s.round].Tier == tier {
 			s.startAttempt(i, s.round, s.tries[i].deadline, "", 0)
 			return
 		}
@@ -156,8 +156,8 @@
 		return
 	}
 	c := &s.requests[l.Request]
-	at, again := s.p.Retry(l, c.first)
-	if r := &s.p.Requests[l.Request]; r.Leaves > 0 && at >= r.Due+r.Leaves && again {
+	at, again := s.p.NextRetry(l, c.first)
+	if r := &s.p.Requests[l.Request]; r.CancelAfter > 0 && at >= r.Due+r.CancelAfter && again {
 		at, again = 0, false
 	}
 	if again {
--- a/internal/lab/simulation/sidecar.go
+++ b/internal/lab/simulation/sidecar.go
@@ -36,7 +36,7 @@
 	judged     map[int]trace.HealthChange // the last of each box
 	conditions []balance.Condition
 
-	agent  map[int]plan.Listed // what discovery's agent has
+	agent  map[int]plan.ListEntry // what discovery's agent has
 	silent bool
 	missed bool // a fetch waits for the agent to speak
 }
@@ -87,21 +87,21 @@
 	c.table = cluster.NewTable(c.set.ZoneNames, c.set.KindNames, c, c)
 	c.table.Old = c.old
 	s.change(i, trace.SidecarStarted, "")
-	if known := s.p.Sidecars[i].Known; len(known) > 0 {
+	if known := s.p.Sidecars[i].InitialList; len(known) > 0 {
 		c.table.Apply(balance.ListCached, s.list(known))
 	}
 	return nil
 }
 
 // list is a list as discovery's words would be read.
-func (s *sim) list(entries []plan.Listed) cluster.List {
+func (s *sim) list(entries []plan.ListEntry) cluster.List {
 	out := cluster.List{Complete: true}
 	for _, l := range entries {
-		b := &s.p.Boxes[l.Box]
+		b := &s.p.Endpoints[l.Endpoint]
 		m := cluster.Member{ID: b.Name, Addr: b.Name, Zone: plan.Zone, Kind: b.Kind, Weight: float64(b.Spec.Cores)}
 		m.State = [...]balance.Availability{trace.PhaseReady: balance.Ready, trace.PhaseTerminating: balance.Draining, trace.PhaseGone: balance.Gone}[l.Phase]
-		if l.UpSince > 0 {
-			m.UpSince = (epoch + l.UpSince).Truncate(time.Millisecond)
+		if l.StartedAt > 0 {
+			m.UpSince = (epoch + l.StartedAt).Truncate(time.Millisecond)
 		}
 		out.Members = append(out.Members, m)
 	}
@@ -116,7 +116,7 @@
 		return
 	}
 	c.missed = false
-	var all []plan.Listed
+	var all []plan.ListEntry
 	for _, box := range slices.Sorted(maps.Keys(c.agent)) {
 		all = append(all, c.agent[box])
 	}
@@ -124,17 +124,17 @@
 	c.table.Apply(balance.ListFull, s.list(all))
 }
 
-func (s *sim) note(sidecar int, entries []plan.Listed) {
+func (s *sim) note(sidecar int, entries []plan.ListEntry) {
 	for _, l := range entries {
-		s.log.Notifications = append(s.log.Notifications, trace.Notification{At: s.now, Sidecar: sidecar, Endpoint: l.Box, Phase: l.Phase, UpSince: l.UpSince})
+		s.log.Notifications = append(s.log.Notifications, trace.Notification{At: s.now, Sidecar: sidecar, Endpoint: l.Endpoint, Phase: l.Phase, UpSince: l.StartedAt})
 	}
 }
 
 // tell is a change that reaches a sidecar's agent.
-func (s *sim) tell(i int, l plan.Listed) {
+func (s *sim) tell(i int, l plan.ListEntry) {
 	c := &s.sidecars[i]
-	if c.agent[l.Box] = l; l.Phase == trace.PhaseGone {
-		delete(c.agent, l.Box)
+	if c.agent[l.Endpoint] = l; l.Phase == trace.PhaseGone {
+		delete(c.agent, l.Endpoint)
 	}
 	if c.b == nil || c.missed {
 		return
@@ -143,8 +143,8 @@
 		s.fetched(i)
 		return
 	}
-	s.note(i, []plan.Listed{l})
-	c.table.Apply(balance.ListDelta, s.list([]plan.Listed{l}))
+	s.note(i, []plan.ListEntry{l})
+	c.table.Apply(balance.ListDelta, s.list([]plan.ListEntry{l}))
 }
 
 // silence has discovery say nothing, or speak again. Changes are held back by the plan already.
@@ -274,7 +274,7 @@
 	s.at(t.deadline+s.delay-watchdogLead, event{kind: evWatchdog, a: int32(i)})
 	r := &s.p.Requests[l.Request]
 	ev := balance.Event{Kind: balance.EventRequest, Request: balance.RequestID(i), Class: l.Class,
-		Left: l.Timeout, Repeated: l.Number > 0 || r.Repeated && t.parent < 0}
+		Left: l.Timeout, Repeated: l.Number > 0 || r.IsRetry && t.parent < 0}
 	if c.accounts != nil {
 		t.account = c.accounts.Open(s.now, t.deadline, t.baggage, ev.Repeated)
 		if t.account.Loop != nil {
--- a/internal/lab/simulation/virtual.go
+++ b/internal/lab/simulation/virtual.go
@@ -179,15 +179,15 @@
 			set.Name = p.Sidecars[i].Name
 		}
 		op, err := config.ParseOperator("fleet.operator", []byte(p.Scenario.OperatorFile("127.0.0.1:1",
-			p.Scenario.Tiers[p.Sidecars[i].Tier].Name, p.Sidecars[i].Accounts)))
+			p.Scenario.Tiers[p.Sidecars[i].Tier].Name, p.Sidecars[i].HasBudget)))
 		if err != nil {
 			return nil, fmt.Errorf("virtual: %w", err)
 		}
-		s.sidecars = append(s.sidecars, sidecar{index: i, set: set, budget: op.Budget, old: op.Discovery != nil && set.Instances > 1, agent: map[int]plan.Listed{}})
-		for _, l := range p.First(p.Sidecars[i].Tier) {
-			s.sidecars[i].agent[l.Box] = l
+		s.sidecars = append(s.sidecars, sidecar{index: i, set: set, budget: op.Budget, old: op.Discovery != nil && set.Instances > 1, agent: map[int]plan.ListEntry{}})
+		for _, l := range p.InitialMembers(p.Sidecars[i].Tier) {
+			s.sidecars[i].agent[l.Endpoint] = l
 		}
-		if p.Sidecars[i].Begin < 0 && (p.Sidecars[i].Box < 0 || p.Boxes[p.Sidecars[i].Box].Start != "absent") {
+		if p.Sidecars[i].StartAt < 0 && (p.Sidecars[i].Endpoint < 0 || p.Endpoints[p.Sidecars[i].Endpoint].Start != "absent") {
 			if err := s.startSidecar(i); err != nil {
 				return nil, err
 			}
@@ -337,7 +337,7 @@
 	case evTimer, evProbe, evFetch:
 		i = int(e.a)
 	case evScript:
-		if p := &s.p.Events[e.a]; p.Kind == plan.Tell {
+		if p := &s.p.Events[e.a]; p.Kind == plan.NotifySidecar {
 			i = p.Sidecar
 		}
 	}
@@ -370,28 +370,28 @@
 // script carries out one step of the plan's.
 func (s *sim) script(e *plan.Event) error {
 	switch e.Kind {
-	case plan.BeginFault:
+	case plan.StartFault:
 		if e.Fault.Kind == model.Hang {
-			s.boxes[e.Box].hung++
+			s.boxes[e.Endpoint].hung++
 		}
-		s.boxes[e.Box].m.Begin(s.now, e.Fault)
-		s.act(e.Box)
+		s.boxes[e.Endpoint].m.Begin(s.now, e.Fault)
+		s.act(e.Endpoint)
 		if s.sidecars == nil && (e.Fault.Kind == model.Dead || e.Fault.Kind == model.Vanish) {
-			s.listed[e.Box] = false
+			s.listed[e.Endpoint] = false
 		}
 	case plan.EndFault:
 		if e.Fault.Kind == model.Hang {
-			s.boxes[e.Box].hung--
+			s.boxes[e.Endpoint].hung--
 		}
-		s.boxes[e.Box].m.End(s.now, e.Fault.ID)
-		s.act(e.Box)
-		s.listed[e.Box] = !s.boxes[e.Box].fallen
-	case plan.StartBox:
-		s.boxes[e.Box].m.Start(s.now, true)
-		s.boxes[e.Box].absent = false
-		s.listed[e.Box] = true
-		s.act(e.Box)
-	case plan.Tell:
+		s.boxes[e.Endpoint].m.End(s.now, e.Fault.ID)
+		s.act(e.Endpoint)
+		s.listed[e.Endpoint] = !s.boxes[e.Endpoint].fallen
+	case plan.StartEndpoint:
+		s.boxes[e.Endpoint].m.Start(s.now, true)
+		s.boxes[e.Endpoint].absent = false
+		s.listed[e.Endpoint] = true
+		s.act(e.Endpoint)
+	case plan.NotifySidecar:
 		s.tell(e.Sidecar, e.Entry)
 	case plan.StartSidecar:
 		if s.sidecars[e.Sidecar].b == nil {
@@ -408,9 +408,9 @@
 		s.killSidecar(e.Sidecar)
 	case plan.UpgradeSidecar: // what the decisions know goes over, and nothing else is played
 	case plan.PauseSidecar:
-		s.sidecars[e.Sidecar].paused = s.now + e.For
-	case plan.SilenceDiscovery, plan.ResumeDiscovery:
-		s.silence(e.Kind == plan.SilenceDiscovery)
+		s.sidecars[e.Sidecar].paused = s.now + e.Duration
+	case plan.SuspendDiscovery, plan.ResumeDiscovery:
+		s.silence(e.Kind == plan.SuspendDiscovery)
 	case plan.MoveDiscovery: // the new agent tells what the old one told
 	}
 	return nil
--- a/internal/lab/simulation/virtual_test.go
+++ b/internal/lab/simulation/virtual_test.go
@@ -79,7 +79,7 @@
 		}
 	}
 	for i, n := range tries {
-		if n == 0 || n > p.Requests[i].Retries+1 {
+		if n == 0 || n > p.Requests[i].MaxRetries+1 {
 			t.Fatalf("request %d was tried %d times", i, n)
 		}
 	}
@@ -289,7 +289,7 @@
 	p, l := play(t, load(t, "hang-while-cold", ""), 1)
 	want := map[time.Duration]int{}
 	for _, e := range p.Events {
-		if e.Kind == plan.Tell {
+		if e.Kind == plan.NotifySidecar {
 			want[e.At]++
 		}
 	}
