--- a/internal/lab/plan/plan_test.go
+++ b/internal/lab/plan/plan_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// Guards against a change of one part of a scenario that shifts the others' draws: runs would not compare.
-func TestPartsDrawApart(t *testing.T) {
+// A change of one part of a scenario leaves the draws of the others, so that runs can be compared.
+func TestPartsDrawIndependently(t *testing.T) {
 	a := build(t, load(t, "calm"), 7)
 	b := build(t, load(t, "calm", "[[fault]]", `kind = "hang"`, "boxes = 2", `at = "3s"`, `for = "2s"`), 7)
 	for i := range a.Requests {
@@ -57,7 +57,7 @@
 		}
 	}
 	if a.Endpoints[0].Spec != b.Endpoints[0].Spec || a.Sidecars[0].Seed != b.Sidecars[0].Seed || a.TransactionID(3, 1) != b.TransactionID(3, 1) {
-		t.Error("a fault changes boxes, seeds or ids")
+		t.Error("a fault changes endpoints, seeds or ids")
 	}
 }
 
@@ -65,16 +65,16 @@
 	s := load(t, "calm")
 	s.Length = scenario.Span(10 * time.Minute)
 	p := build(t, s, 1)
-	asked := p.Capacity * s.Clients.Load * s.Length.D().Seconds()
-	if n := float64(len(p.Requests)); math.Abs(n-asked) > 4*math.Sqrt(asked) {
-		t.Errorf("%.0f requests, want about %.0f", n, asked)
+	expected := p.Capacity * s.Clients.Load * s.Length.D().Seconds()
+	if n := float64(len(p.Requests)); math.Abs(n-expected) > 4*math.Sqrt(expected) {
+		t.Errorf("%.0f requests, want about %.0f", n, expected)
 	}
-	count, work, left := make([]float64, 4), make([]float64, 4), 0.0
+	count, work, canceled := make([]float64, 4), make([]float64, 4), 0.0
 	for _, r := range p.Requests {
 		count[r.Class]++
 		work[r.Class] += r.Work.Seconds()
 		if r.CancelAfter > 0 {
-			left++
+			canceled++
 		}
 	}
 	for i, c := range s.Classes {
@@ -85,8 +85,8 @@
 			t.Errorf("%s: mean work %.4f s, want %v", c.Name, mean, c.Work.D())
 		}
 	}
-	if share := left / float64(len(p.Requests)); math.Abs(share-s.Clients.CancelShare) > 0.005 {
-		t.Errorf("%.3f leave, want %v", share, s.Clients.CancelShare)
+	if share := canceled / float64(len(p.Requests)); math.Abs(share-s.Clients.CancelShare) > 0.005 {
+		t.Errorf("%.3f cancel, want %v", share, s.Clients.CancelShare)
 	}
 	picks := make([]float64, len(p.Sidecars))
 	for i := range 10000 {
@@ -100,76 +100,76 @@
 	}
 }
 
-// told is what one sidecar hears of a box, in order.
-func told(p *Plan, sidecar int, box string) (out []Event) {
+// notificationsOf are a sidecar's notifications of an endpoint, in order.
+func notificationsOf(p *Plan, sidecar int, endpoint string) (out []Event) {
 	for _, e := range p.Events {
-		if e.Kind == NotifySidecar && e.Sidecar == sidecar && p.Endpoints[e.Entry.Endpoint].Name == box {
+		if e.Kind == NotifySidecar && e.Sidecar == sidecar && p.Endpoints[e.Entry.Endpoint].Name == endpoint {
 			out = append(out, e)
 		}
 	}
 	return out
 }
 
-func TestDiscoveryHears(t *testing.T) {
+func TestDiscoveryNotifications(t *testing.T) {
 	const quiet = "[discovery]\nadd = \"500ms\"\nnotice = \"1s\"\nsilent = \"6s\"\nspread = \"0s\""
 	at := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-	type heard struct {
+	type notification struct {
 		at    time.Duration
 		phase trace.Phase
 		up    time.Duration
 	}
 	for name, c := range map[string]struct {
 		fault string
-		want  []heard
+		want  []notification
 	}{
 		"crash, longer than it takes to notice": {`kind = "crash"
 at = "4s"
-for = "3s"`, []heard{{at(5), trace.PhaseGone, 0}, {at(7.5), trace.PhaseReady, at(7)}}},
+for = "3s"`, []notification{{at(5), trace.PhaseGone, 0}, {at(7.5), trace.PhaseReady, at(7)}}},
 		"crash, shorter": {`kind = "crash"
 at = "4s"
-for = "500ms"`, []heard{{at(5), trace.PhaseReady, at(4.5)}}},
+for = "500ms"`, []notification{{at(5), trace.PhaseReady, at(4.5)}}},
 		"vanish, unnoticed": {`kind = "vanish"
 at = "4s"
-for = "5s"`, []heard{{at(9.5), trace.PhaseReady, at(9)}}},
+for = "5s"`, []notification{{at(9.5), trace.PhaseReady, at(9)}}},
 		"drain and back": {`kind = "drain"
 at = "4s"
 grace = "4s"
-back = "2s"`, []heard{{at(5), trace.PhaseTerminating, 0}, {at(9), trace.PhaseGone, 0}, {at(10.5), trace.PhaseReady, at(10)}}},
-		"leaves, its entry stays": {`kind = "leave"
+back = "2s"`, []notification{{at(5), trace.PhaseTerminating, 0}, {at(9), trace.PhaseGone, 0}, {at(10.5), trace.PhaseReady, at(10)}}},
+		"left, its entry stays": {`kind = "leave"
 at = "4s"
-for = "9s"`, []heard{{at(13), trace.PhaseGone, 0}}},
-		"hang, never told": {`kind = "hang"
+for = "9s"`, []notification{{at(13), trace.PhaseGone, 0}}},
+		"hang, never noticed": {`kind = "hang"
 at = "4s"`, nil},
 		"flap, faster than it is noticed": {`kind = "flap"
 of = "crash"
 at = "4s"
 for = "2s"
 down = "500ms"
-up = "500ms"`, []heard{{at(5), trace.PhaseReady, at(4.5)}, {at(6), trace.PhaseReady, at(5.5)}}},
-		"silence holds it back": {`kind = "crash"
+up = "500ms"`, []notification{{at(5), trace.PhaseReady, at(4.5)}, {at(6), trace.PhaseReady, at(5.5)}}},
+		"held back while discovery is suspended": {`kind = "crash"
 at = "4s"
 for = "500ms"
 [[fault]]
 kind = "discovery_silent"
 at = "3s"
-for = "6s"`, []heard{{at(9), trace.PhaseReady, at(4.5)}}},
+for = "6s"`, []notification{{at(9), trace.PhaseReady, at(4.5)}}},
 	} {
 		s := load(t, "calm", quiet, "[[fault]]", `names = ["order-3"]`, c.fault)
-		got := told(build(t, s, 1), 1, "order-3")
+		got := notificationsOf(build(t, s, 1), 1, "order-3")
 		if len(got) != len(c.want) {
-			t.Errorf("%s: heard %d times, want %d: %+v", name, len(got), len(c.want), got)
+			t.Errorf("%s: %d notifications, want %d: %+v", name, len(got), len(c.want), got)
 			continue
 		}
 		for i, w := range c.want {
 			if e := got[i]; e.At != w.at || e.Entry.Phase != w.phase || e.Entry.StartedAt != w.up {
-				t.Errorf("%s: heard %v at %v, up since %v; want %+v", name, e.Entry.Phase, e.At, e.Entry.StartedAt, w)
+				t.Errorf("%s: %v at %v, up since %v; want %+v", name, e.Entry.Phase, e.At, e.Entry.StartedAt, w)
 			}
 		}
 	}
 }
 
-// Guards against a box's own sidecar that lives on without it.
-func TestSidecarsFollowTheirBoxes(t *testing.T) {
+// An endpoint's own sidecar exits and starts with it.
+func TestSidecarsFollowTheirEndpoints(t *testing.T) {
 	p := build(t, load(t, "two-tiers"), 1)
 	var kinds []EventKind
 	for _, e := range p.Events {
@@ -178,7 +178,7 @@
 		}
 	}
 	if len(kinds) != 2 || kinds[0] != KillSidecar || kinds[1] != StartSidecar {
-		t.Errorf("a front box's crash does %v to its sidecar", kinds)
+		t.Errorf("a front endpoint's crash gives its sidecar the events %v", kinds)
 	}
 	calls := 0
 	for i := range p.Requests {
@@ -193,7 +193,7 @@
 	}
 }
 
-func TestRetriesKeepTheClasses(t *testing.T) {
+func TestRetriesFollowIdempotency(t *testing.T) {
 	p := build(t, load(t, "calm"), 1)
 	first := map[string]int{}
 	for i := len(p.Requests) - 1; i >= 0; i-- {
@@ -230,7 +230,7 @@
 	due := p.Requests[i].Due
 	at, _ := p.NextRetry(&trace.ClientAttempt{Request: i, Status: trace.StatusRejected, Ended: due, RetryAfter: 600 * time.Millisecond}, due)
 	if at != due+600*time.Millisecond {
-		t.Errorf("a client that follows the advice comes back after %v", at-due)
+		t.Errorf("a client that honors Retry-After retries after %v", at-due)
 	}
 }
 
@@ -245,11 +245,11 @@
 		t.Errorf("played as %+v", r)
 	}
 	if _, err := Build(s, 1, []Arrival{{Class: 4}}); err == nil {
-		t.Error("a class that there is not was taken")
+		t.Error("an unknown class was accepted")
 	}
 }
 
-func TestAddedBoxesAreAbsentUntilThen(t *testing.T) {
+func TestAddedEndpointsAreAbsentBefore(t *testing.T) {
 	s := load(t, "calm", "[[fault]]", `kind = "add"`, "boxes = 2", `at = "5s"`)
 	s.Tiers[0].Kinds[1].Start = "absent"
 	p := build(t, s, 1)
@@ -263,7 +263,7 @@
 		}
 	}
 	if starts != 2 || len(p.InitialMembers(0)) != 4 || len(p.Sidecars[0].InitialList) != 4 {
-		t.Errorf("%d boxes start, %d are listed first", starts, len(p.InitialMembers(0)))
+		t.Errorf("%d endpoints start, %d are listed first", starts, len(p.InitialMembers(0)))
 	}
 	for i := range p.Endpoints {
 		if b := &p.Endpoints[i]; b.Start == "warm" && b.StartAt != model.Never {
--- a/internal/lab/simulation/golden_test.go
+++ b/internal/lab/simulation/golden_test.go
@@ -1,9 +1,11 @@
 package simulation
 
 import (
+	"cmp"
 	"crypto/sha256"
 	"encoding/binary"
 	"encoding/hex"
+	"fmt"
 	"hash"
 	"math"
 	"reflect"
@@ -76,7 +78,7 @@
 		}
 	case reflect.Map:
 		keys := v.MapKeys()
-		slices.SortFunc(keys, func(a, b reflect.Value) int { return int(a.Int() - b.Int()) })
+		slices.SortFunc(keys, func(a, b reflect.Value) int { return cmp.Compare(fmt.Sprint(a), fmt.Sprint(b)) })
 		number(uint64(len(keys)))
 		for _, k := range keys {
 			hashValue(h, k)
