--- a/cmd/pinelab/asking.go
+++ b/cmd/pinelab/asking.go
@@ -54,7 +54,7 @@
 			var worst pollsim.Figures
 			for seed := range c.Seeds {
 				worst = worst.Worse(pollsim.Play(pollsim.Case{Instances: n, Told: int(c.Told * float64(n)), Spread: c.Spread, Rate: c.Rate, Burst: c.Burst,
-					Calls: c.Calls, Call: c.Call, Line: c.Line, Beyond: model.Beyond(c.Beyond), Down: c.Down, Up: c.Up, Off: c.Off, Late: c.Late,
+					Calls: c.Calls, Call: c.Call, Line: c.Line, Beyond: model.OverflowPolicy(c.Beyond), Down: c.Down, Up: c.Up, Off: c.Off, Late: c.Late,
 					News: c.News, Cut: int(c.Cut * float64(n)), CutAt: c.CutAt, CutFor: c.CutFor, Length: c.Length, Seed: uint64(seed + 1)}, policy))
 			}
 			fmt.Fprintf(t.out, "%-8s  %5d  %s\n", name, n, worst)
--- a/internal/lab/auditcheck/audit_logs.go
+++ b/internal/lab/auditcheck/audit_logs.go
@@ -93,7 +93,7 @@
 		verdict:       Verdict{UnreadSidecars: []string{}, Details: []string{}},
 	}
 	for _, event := range p.Events {
-		if event.Kind == plan.StartFault && event.At <= log.End && (event.Fault.Kind == model.Dead || event.Fault.Kind == model.Vanish) {
+		if event.Kind == plan.StartFault && event.At <= log.End && (event.Fault.Kind == model.Crash || event.Fault.Kind == model.Vanish) {
 			c.downEndpoints[p.Endpoints[event.Endpoint].Name] = true
 		}
 	}
--- a/internal/lab/auditcheck/audit_logs_test.go
+++ b/internal/lab/auditcheck/audit_logs_test.go
@@ -131,7 +131,7 @@
 			trails[1] = []auditlog.Entry{{Seq: 1, Life: "m", Kind: auditlog.Began, At: 1_010_000}}
 		}},
 		{name: "an endpoint that went down: what was in flight has no end", plant: func(p *plan.Plan, _ *trace.Log, trails map[int][]auditlog.Entry) {
-			p.Events = append(p.Events, plan.Event{Kind: plan.StartFault, Endpoint: 0, Fault: model.Fault{Kind: model.Dead}})
+			p.Events = append(p.Events, plan.Event{Kind: plan.StartFault, Endpoint: 0, Fault: model.Fault{Kind: model.Crash}})
 			trails[0][1].Attempts[0].N += 2
 		}},
 	} {
--- a/internal/lab/judge/cold_load.go
+++ b/internal/lab/judge/cold_load.go
@@ -48,7 +48,7 @@
 // maxColdLoad is ColdLoad.Max. Before a cold start an endpoint counts as having the capacity that it has right after.
 func (e *evaluation) maxColdLoad(spec *model.Spec, samples []trace.Sample) (maximum float64) {
 	rules := &e.plan.Scenario.Rules
-	atStart := spec.ColdFrom * float64(spec.Cores) * spec.Speed
+	atStart := spec.WarmupInitialShare * float64(spec.Cores) * spec.Speed
 	for from := 0; from < len(samples); {
 		if !samples[from].WarmingUp {
 			from++
@@ -156,7 +156,7 @@
 func startTimes(p *plan.Plan, endpoint int) (times []time.Duration) {
 	for i := range p.Events {
 		event := &p.Events[i]
-		down := event.Fault.Kind == model.Dead || event.Fault.Kind == model.Vanish
+		down := event.Fault.Kind == model.Crash || event.Fault.Kind == model.Vanish
 		if event.Endpoint == endpoint && (event.Kind == plan.StartEndpoint || event.Kind == plan.EndFault && down) {
 			times = append(times, event.At)
 		}
--- a/internal/lab/judge/cold_requests.go
+++ b/internal/lab/judge/cold_requests.go
@@ -32,7 +32,7 @@
 	knownAt := e.startKnownAt(endpoint, start)
 	var requests []trace.EndpointRequest // of the window that ends with the last of them
 	for _, request := range e.log.EndpointRequests {
-		if request.Endpoint != endpoint || request.FirstByte < start || request.FirstByte > start+spec.ColdFor {
+		if request.Endpoint != endpoint || request.FirstByte < start || request.FirstByte > start+spec.WarmupDuration {
 			continue
 		}
 		requests = append(requests, request)
@@ -44,7 +44,7 @@
 			continue
 		}
 		age := max(0, request.FirstByte-window/2-start) // capacity grows evenly: in the middle of the window it is the mean
-		capacity := float64(spec.Cores) * spec.Speed * (spec.ColdFrom + (1-spec.ColdFrom)*float64(age)/float64(spec.ColdFor))
+		capacity := float64(spec.Cores) * spec.Speed * (spec.WarmupInitialShare + (1-spec.WarmupInitialShare)*float64(age)/float64(spec.WarmupDuration))
 		allowed := e.plan.Scenario.Rules.CollapseMultiple * capacity * float64(window) / meanWork(e.plan)
 		if r := float64(len(requests)) / (allowed + 2*math.Sqrt(allowed) + 2); r > ratio {
 			ratio = r
--- a/internal/lab/judge/timeline_events.go
+++ b/internal/lab/judge/timeline_events.go
@@ -37,16 +37,16 @@
 }
 
 var faultNames = map[model.FaultKind]string{
-	model.Vanish:      "silence",
-	model.Dead:        "death",
-	model.Hang:        "hang",
-	model.Fail:        "failing",
-	model.Slow:        "slowness",
-	model.RefuseConns: "refusing connections",
-	model.Cut:         "cutting answers",
-	model.Spoil:       "spoiling answers",
-	model.Drip:        "dripping answers",
-	model.Mute:        "muteness",
+	model.Vanish:            "silence",
+	model.Crash:             "death",
+	model.Hang:              "hang",
+	model.Fail:              "failing",
+	model.Slow:              "slowness",
+	model.RefuseConnections: "refusing connections",
+	model.Truncate:          "cutting answers",
+	model.Corrupt:           "spoiling answers",
+	model.Trickle:           "dripping answers",
+	model.Drop:              "muteness",
 }
 
 // addScript adds what the script did to the endpoints.
--- a/internal/lab/loopback/cold_start_test.go
+++ b/internal/lab/loopback/cold_start_test.go
@@ -80,7 +80,7 @@
 for = "2s"
 `, d.length, d.speed, able/2, d.length-2, 2.5*able, d.sidecars, d.operator, d.kind, d.boxes))
 	for i := range p.Endpoints {
-		p.Endpoints[i].Spec.FallMultiple = 1e9 // the model's fall sooner than the rule has it, and what has fallen gets no more
+		p.Endpoints[i].Spec.CollapseMultiple = 1e9 // the model's fall sooner than the rule has it, and what has fallen gets no more
 	}
 	return p
 }
--- a/internal/lab/loopback/endpoint.go
+++ b/internal/lab/loopback/endpoint.go
@@ -30,10 +30,10 @@
 	timer      *time.Timer // fires at the model's next event
 
 	mu               sync.Locker // the tier's if its models share idempotency keys
-	model            *model.Server
-	effects          []model.Effect // buffer of advance
-	timerAt          time.Duration  // when the timer fires; model.Never if it is stopped
-	random           *rand.Rand     // how responses go wrong
+	model            *model.Endpoint
+	effects          []model.Event // buffer of advance
+	timerAt          time.Duration // when the timer fires; model.Never if it is stopped
+	random           *rand.Rand    // how responses go wrong
 	connections      map[*serverConn]struct{}
 	lastConnectionID uint64
 	requests         map[uint64]*endpointRequest // that the model has, by job id
@@ -68,7 +68,7 @@
 		return r.transport.roundTrip(ctx, request)
 	}
 	e.onCollapse = func() { r.endpointCollapsed(index) }
-	if spec.Spec.KeyWindow > 0 {
+	if spec.Spec.DedupWindow > 0 {
 		e.shareKeys()
 	}
 	state := stateAccepting
@@ -89,9 +89,9 @@
 // shareKeys has the model share its idempotency keys with the others of its tier, and so their lock.
 func (e *endpoint) shareKeys() {
 	if e.tier.keys == nil {
-		e.tier.keys = model.NewKeys(e.plan.Spec.KeyWindow)
+		e.tier.keys = model.NewDedupStore(e.plan.Spec.DedupWindow)
 	}
-	e.model.ShareKeys(e.tier.keys)
+	e.model.ShareDedup(e.tier.keys)
 	e.mu = &e.tier.mu
 }
 
@@ -129,16 +129,16 @@
 	}
 	switch event.Kind {
 	case plan.StartFault:
-		e.model.Begin(now, event.Fault)
+		e.model.StartFault(now, event.Fault)
 		switch event.Fault.Kind {
 		case model.Vanish:
 			e.freeze()
-		case model.RefuseConns:
+		case model.RefuseConnections:
 			e.refuseFaults++
 		}
 	case plan.EndFault:
-		e.model.End(now, event.Fault.ID)
-		if event.Fault.Kind == model.RefuseConns {
+		e.model.EndFault(now, event.Fault.ID)
+		if event.Fault.Kind == model.RefuseConnections {
 			e.refuseFaults--
 		}
 	case plan.StartEndpoint:
@@ -158,15 +158,15 @@
 	return trace.Sample{
 		At:           now,
 		Endpoint:     e.index,
-		Running:      load.InWork,
-		Queued:       load.Waiting,
+		Running:      load.Running,
+		Queued:       load.Queued,
 		Connections:  load.Connections,
 		Capacity:     load.Capacity,
 		SentWork:     load.SentWork,
-		PossibleWork: load.Could,
-		DoneWork:     load.Did,
-		WarmingUp:    load.Cold,
-		Collapsed:    load.Fallen,
+		PossibleWork: load.PossibleWork,
+		DoneWork:     load.DoneWork,
+		WarmingUp:    load.WarmingUp,
+		Collapsed:    load.Collapsed,
 	}
 }
 
@@ -211,7 +211,7 @@
 	reset := false
 	for i := range e.effects {
 		effect := &e.effects[i]
-		if effect.Kind == model.Reset {
+		if effect.Kind == model.EventReset {
 			e.resetConnections()
 			reset = true
 			continue
@@ -220,7 +220,7 @@
 	}
 	if reset {
 		e.updateListener()
-		if !e.collapsed && e.model.Load(now).Fallen {
+		if !e.collapsed && e.model.Load(now).Collapsed {
 			e.collapsed = true
 			e.goroutines.Go(e.onCollapse)
 		}
@@ -230,7 +230,7 @@
 
 // setTimer sets the timer to the model's next event. Before the run's start the clock stands, and no timer runs. The lock is held.
 func (e *endpoint) setTimer(now time.Duration) {
-	next := e.model.Next()
+	next := e.model.NextEvent()
 	if next == e.timerAt || e.run.startTime.Load() == nil {
 		return
 	}
@@ -248,7 +248,7 @@
 	switch {
 	case e.absent:
 		e.listener.requestState(stateRefusing)
-	case phase == model.Silent:
+	case phase == model.Unresponsive:
 		e.listener.requestState(stateBlackholed)
 	case phase == model.Down, e.refuseFaults > 0:
 		e.listener.requestState(stateRefusing)
--- a/internal/lab/loopback/endpoint_conns.go
+++ b/internal/lab/loopback/endpoint_conns.go
@@ -53,12 +53,12 @@
 func (e *endpoint) accept(tcp *net.TCPConn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	admission := model.Refused
+	admission := model.ConnectionRefused
 	if !e.closed {
 		admission = e.model.Connect(e.run.elapsed())
 		e.advance()
 	}
-	if admission == model.Refused {
+	if admission == model.ConnectionRefused {
 		resetConn(tcp)
 		return
 	}
@@ -66,7 +66,7 @@
 	conn := newServerConn(e, tcp)
 	conn.id = uint64(e.index)<<32 | e.lastConnectionID
 	e.connections[conn] = struct{}{}
-	if admission == model.Unanswered { // it came up in the moment in which the host became unresponsive
+	if admission == model.ConnectionDropped { // it came up in the moment in which the host became unresponsive
 		conn.frozen = true
 		return
 	}
--- a/internal/lab/loopback/endpoint_request.go
+++ b/internal/lab/loopback/endpoint_request.go
@@ -127,12 +127,12 @@
 	e.requests[request.jobID] = request
 	conn.pending = request
 	e.model.Arrive(now, model.Job{
-		ID:       request.jobID,
-		Key:      request.IdempotencyKey,
-		Segments: request.segments,
-		FirstOn:  conn.unused,
-		Class:    e.run.plan.Requests[request.planIndex].Class + 1,
-		Conn:     conn.id,
+		ID:             request.jobID,
+		IdempotencyKey: request.IdempotencyKey,
+		Segments:       request.segments,
+		NewConnection:  conn.unused,
+		Class:          e.run.plan.Requests[request.planIndex].Class + 1,
+		ConnectionID:   conn.id,
 	})
 	conn.unused = false
 	e.advance()
@@ -143,7 +143,7 @@
 	request := conn.pending
 	request.canceled, request.Ended, request.Outcome = true, now, trace.OutcomeCanceled
 	request.connection, conn.pending = nil, nil
-	e.model.Withdraw(now, request.jobID)
+	e.model.Cancel(now, request.jobID)
 }
 
 // recordIncomplete records a request that never arrived completely. Without an id nobody can tell whose it was.
@@ -172,38 +172,38 @@
 
 // answerOutcomes are the trace's outcomes by the model's answers.
 var answerOutcomes = [...]trace.Outcome{
-	model.OK:         trace.OutcomeOK,
-	model.Errored:    trace.OutcomeError,
-	model.TurnedAway: trace.OutcomeRejected,
-	model.CutOff:     trace.OutcomeCorrupted,
-	model.Spoilt:     trace.OutcomeCorrupted,
-	model.Dripped:    trace.OutcomeCorrupted,
+	model.ResponseOK:        trace.OutcomeOK,
+	model.ResponseError:     trace.OutcomeError,
+	model.ResponseRejected:  trace.OutcomeRejected,
+	model.ResponseTruncated: trace.OutcomeCorrupted,
+	model.ResponseCorrupted: trace.OutcomeCorrupted,
+	model.ResponseTrickled:  trace.OutcomeCorrupted,
 }
 
 // applyEffect applies an effect of the model on one request. The lock is held.
-func (e *endpoint) applyEffect(effect *model.Effect) {
+func (e *endpoint) applyEffect(effect *model.Event) {
 	request := e.requests[effect.Job]
 	switch effect.Kind {
-	case model.Started:
-		request.Started, request.Deduplicated = effect.At, effect.Repeat
-	case model.Calling:
+	case model.EventStarted:
+		request.Started, request.Deduplicated = effect.At, effect.Deduplicated
+	case model.EventCalling:
 		e.callNextTier(request, effect.Call)
-	case model.Lost:
+	case model.EventLost:
 		if !request.canceled {
 			request.Ended, request.Outcome = effect.At, trace.OutcomeLost
 		}
-		e.finishRequest(request, effect.Done)
-	case model.Answered:
+		e.finishRequest(request, effect.Work)
+	case model.EventResponded:
 		conn := request.connection
 		if !request.canceled {
-			request.Ended, request.Outcome = effect.At, answerOutcomes[effect.Answer]
+			request.Ended, request.Outcome = effect.At, answerOutcomes[effect.Response]
 		}
-		if conn != nil && effect.Answer == model.Dripped {
+		if conn != nil && effect.Response == model.ResponseTrickled {
 			conn.dripping = request // in flight for as long as its connection is up
 		}
-		e.finishRequest(request, effect.Done)
+		e.finishRequest(request, effect.Work)
 		if conn != nil {
-			e.respond(conn, request, effect.Answer)
+			e.respond(conn, request, effect.Response)
 		}
 	}
 }
@@ -229,7 +229,7 @@
 }
 
 // respond has a response written. The lock is held.
-func (e *endpoint) respond(conn *serverConn, request *endpointRequest, answer model.Answer) {
+func (e *endpoint) respond(conn *serverConn, request *endpointRequest, answer model.Response) {
 	response := endpointResponse{
 		kind:        responseOK,
 		correlation: request.correlation,
@@ -238,9 +238,9 @@
 	}
 	response.correlation.reportedAttempts = request.reportedAttempts
 	switch answer {
-	case model.Errored:
+	case model.ResponseError:
 		response.kind = responseError
-	case model.TurnedAway:
+	case model.ResponseRejected:
 		response.kind = responseRejected
 	default:
 		class := e.run.plan.Requests[request.planIndex].Class
--- a/internal/lab/loopback/endpoint_test.go
+++ b/internal/lab/loopback/endpoint_test.go
@@ -225,7 +225,7 @@
 	c, q := s.dial(0), s.nextRequest("long")
 	s.send(c, q)
 	s.awaitLoad(0, 1, 0)
-	end := s.beginFault(0, model.Dead, 0)
+	end := s.beginFault(0, model.Crash, 0)
 	if err := c.readError(testTimeout); !isReset(err) {
 		t.Errorf("an open connection says %v", err)
 	}
@@ -249,7 +249,7 @@
 	c, q := s.dial(0), s.nextRequest("quick")
 	s.send(c, q)
 	c.expectStatus(http.StatusOK)
-	end := s.beginFault(0, model.RefuseConns, 0)
+	end := s.beginFault(0, model.RefuseConnections, 0)
 	s.awaitDial(0, "are refused", isRefused)
 	s.send(c, s.nextRequest("quick"))
 	c.expectStatus(http.StatusOK)
@@ -314,7 +314,7 @@
 
 // TestEndpointCorruptsResponses checks that no truncated or malformed response passes for a complete one, and that its connection ends.
 func TestEndpointCorruptsResponses(t *testing.T) {
-	for kind, name := range map[model.FaultKind]string{model.Cut: "cut off", model.Spoil: "malformed"} {
+	for kind, name := range map[model.FaultKind]string{model.Truncate: "cut off", model.Corrupt: "malformed"} {
 		t.Run(name, func(t *testing.T) {
 			s := newFixture(t, fixtureClasses+oneTier)
 			s.beginFault(0, kind, 1)
@@ -334,7 +334,7 @@
 					t.Errorf("the request is %+v", v)
 				}
 			}
-			if kind == model.Cut && len(ends) != 2 {
+			if kind == model.Truncate && len(ends) != 2 {
 				t.Errorf("connections all end in the same way: %v", ends)
 			}
 		})
@@ -343,7 +343,7 @@
 
 func TestEndpointDrips(t *testing.T) {
 	s := newFixture(t, fixtureClasses+oneTier)
-	s.beginFault(0, model.Drip, 1)
+	s.beginFault(0, model.Trickle, 1)
 	c, q := s.dial(0), s.nextRequest("quick")
 	begun := time.Now()
 	s.send(c, q)
@@ -364,10 +364,10 @@
 // TestEndpointStopsDripping checks that a dripping response is in flight until its endpoint goes down; on a host that becomes
 // unresponsive it stops at once.
 func TestEndpointStopsDripping(t *testing.T) {
-	for kind, name := range map[model.FaultKind]string{model.Vanish: "unresponsive", model.Dead: "crashed"} {
+	for kind, name := range map[model.FaultKind]string{model.Vanish: "unresponsive", model.Crash: "crashed"} {
 		t.Run(name, func(t *testing.T) {
 			s := newFixture(t, fixtureClasses+oneTier)
-			s.beginFault(0, model.Drip, 1)
+			s.beginFault(0, model.Trickle, 1)
 			c, q := s.dial(0), s.nextRequest("quick")
 			s.send(c, q)
 			if err := c.readError(testTimeout); err != nil {
--- a/internal/lab/loopback/list_faults.go
+++ b/internal/lab/loopback/list_faults.go
@@ -15,7 +15,7 @@
 // serviceCapacity is the capacity of the list service behind all agents, which they share.
 type serviceCapacity struct {
 	mu         sync.Mutex
-	model      *model.Listing // nil if it is unlimited
+	model      *model.ListService // nil if it is unlimited
 	retryAfter time.Duration
 }
 
@@ -25,7 +25,7 @@
 // configure sets the scenario's capacity, if it has one.
 func (c *serviceCapacity) configure(p *plan.Plan) {
 	if service := p.Scenario.Discovery.ListService; service != nil {
-		c.model = &model.Listing{Calls: service.Concurrency, Call: service.ServiceTime.D(), Line: service.QueueLength, Beyond: model.Beyond(service.OnOverflow)}
+		c.model = &model.ListService{Concurrency: service.Concurrency, ServiceTime: service.ServiceTime.D(), MaxQueue: service.QueueLength, OnOverflow: model.OverflowPolicy(service.OnOverflow)}
 		c.retryAfter = service.RetryAfter.D()
 	}
 }
@@ -79,7 +79,7 @@
 	}
 	if c := &a.run.capacity; c.model != nil {
 		c.mu.Lock()
-		c.model.Forget()
+		c.model.Restart()
 		c.mu.Unlock()
 	}
 }
@@ -98,7 +98,7 @@
 	if c := &a.run.capacity; c.model != nil {
 		c.mu.Lock()
 		now := time.Since(capacityEpoch)
-		answeredAt, admitted := c.model.Ask(now, slowdown)
+		answeredAt, admitted := c.model.Call(now, slowdown)
 		c.mu.Unlock()
 		if !admitted {
 			poll.Outcome = trace.PollRejected
@@ -130,10 +130,10 @@
 // reject answers a poll beyond the capacity, in the way that the scenario has it.
 func (a *agent) reject(w http.ResponseWriter, req *http.Request) {
 	c := &a.run.capacity
-	switch c.model.Beyond {
-	case model.Resets:
+	switch c.model.OnOverflow {
+	case model.OverflowReset:
 		panic(http.ErrAbortHandler)
-	case model.Silences:
+	case model.OverflowDrop:
 		a.sleep(req, maxWatch)
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/lab/loopback/list_faults_test.go
+++ b/internal/lab/loopback/list_faults_test.go
@@ -80,7 +80,7 @@
 // TestListCapacity checks that the capacity is shared by all sidecars: of ten polls at once, one runs, two wait and seven are rejected.
 func TestListCapacity(t *testing.T) {
 	r := newAgents(t, 10, "")
-	r.capacity.model = &model.Listing{Calls: 1, Call: time.Hour, Line: 2, Beyond: model.Turns}
+	r.capacity.model = &model.ListService{Concurrency: 1, ServiceTime: time.Hour, MaxQueue: 2, OnOverflow: model.OverflowReject}
 	var all sync.WaitGroup
 	for i := range 10 {
 		all.Go(func() { _, _ = newPoller(t, r.addresses.agent(i, 0)).tryPoll("") })
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -232,7 +232,7 @@
 			}
 		}
 	})
-	r.updateRoundRobin(plan.Event{Kind: plan.StartFault, Endpoint: endpoint, Fault: model.Fault{Kind: model.Dead}})
+	r.updateRoundRobin(plan.Event{Kind: plan.StartFault, Endpoint: endpoint, Fault: model.Fault{Kind: model.Crash}})
 	r.schedule(r.plan.Scenario.Discovery.RemoveDelay.D(), func() {
 		gone := plan.ListEntry{Endpoint: endpoint, Phase: trace.PhaseGone}
 		if r.listService != nil && r.plan.Endpoints[endpoint].Tier == 0 {
--- a/internal/lab/loopback/next_tier.go
+++ b/internal/lab/loopback/next_tier.go
@@ -29,7 +29,7 @@
 		defer e.mu.Unlock()
 		if !e.closed {
 			e.addReported(request, callIndex, reported)
-			e.model.Returned(e.run.elapsed(), request.jobID, served)
+			e.model.CallReturned(e.run.elapsed(), request.jobID, served)
 			e.advance()
 		}
 	})
--- a/internal/lab/loopback/round_robin.go
+++ b/internal/lab/loopback/round_robin.go
@@ -72,7 +72,7 @@
 		return change, false
 	case event.Fault.Kind == model.Vanish:
 		noticeDelay = discovery.UnresponsiveDelay.D()
-	case event.Fault.Kind != model.Dead:
+	case event.Fault.Kind != model.Crash:
 		return change, false
 	}
 	r.mu.Lock()
--- a/internal/lab/loopback/round_robin_test.go
+++ b/internal/lab/loopback/round_robin_test.go
@@ -41,19 +41,19 @@
 	round(1, 2)
 	o.applyListChange(event(plan.StartEndpoint, 3, 0, d.AddDelay.D()))
 	round(0, 0, 1, 3)
-	gone := event(plan.StartFault, 1, model.Dead, d.RemoveDelay.D())
+	gone := event(plan.StartFault, 1, model.Crash, d.RemoveDelay.D())
 	round(0, 0, 1, 3)
 	o.applyListChange(gone)
 	round(0, 0, 3)
 	event(plan.StartFault, 1, model.Vanish, d.UnresponsiveDelay.D())
-	event(plan.EndFault, 1, model.Dead, 0) // it is still down
+	event(plan.EndFault, 1, model.Crash, 0) // it is still down
 	o.applyListChange(event(plan.EndFault, 1, model.Vanish, d.AddDelay.D()))
 	round(0, 0, 1, 3)
 	event(plan.StartFault, 0, model.Slow, 0)
-	brief := event(plan.StartFault, 2, model.Dead, d.RemoveDelay.D())
-	event(plan.EndFault, 2, model.Dead, d.AddDelay.D())
+	brief := event(plan.StartFault, 2, model.Crash, d.RemoveDelay.D())
+	event(plan.EndFault, 2, model.Crash, d.AddDelay.D())
 	o.applyListChange(brief) // it is up again by now
 	round(1, 2)
-	o.applyListChange(event(plan.StartFault, 2, model.Dead, d.RemoveDelay.D()))
+	o.applyListChange(event(plan.StartFault, 2, model.Crash, d.RemoveDelay.D()))
 	round(1, -1)
 }
--- a/internal/lab/loopback/server_conn.go
+++ b/internal/lab/loopback/server_conn.go
@@ -49,7 +49,7 @@
 type endpointResponse struct {
 	kind          responseKind
 	correlation   correlation
-	answer        model.Answer // of a request that the model had; model.OK is a complete response
+	answer        model.Response // of a request that the model had; model.OK is a complete response
 	transactionID uint64
 	requestNumber int // see endpointRequest.number
 	size          int // of the body, bytes
@@ -138,19 +138,19 @@
 	}
 	codec := c.endpoint.codec
 	random := rand.New(rand.NewPCG(response.seed[0], response.seed[1]))
-	if response.answer == model.Spoilt {
+	if response.answer == model.ResponseCorrupted {
 		_, _ = c.tcp.Write(codec.appendMalformed(nil, response.correlation, body, random)) // the connection is closed in any case
 		return false
 	}
 	text := codec.appendResponse(make([]byte, 0, len(body)+responseHeadSize), response.kind, response.correlation, body, response.closeAfter)
 	switch response.answer {
-	case model.CutOff:
+	case model.ResponseTruncated:
 		_, _ = c.tcp.Write(text[:1+random.IntN(len(text)-1)])
 		if random.IntN(2) == 0 {
 			_ = c.tcp.SetLinger(0) // a reset instead of an orderly end
 		}
 		return false
-	case model.Dripped:
+	case model.ResponseTrickled:
 		c.drip(text)
 		return false
 	}
--- a/internal/lab/loopback/thrift_test.go
+++ b/internal/lab/loopback/thrift_test.go
@@ -48,9 +48,9 @@
 			{"failed", model.Fail, 0, "quick", clientResponse{status: trace.StatusFailed, code: thrift.INTERNAL_ERROR}, trace.OutcomeError},
 			{"a stranger's", noFault, 1, "quick", clientResponse{status: trace.StatusFailed, code: thrift.PROTOCOL_ERROR}, trace.OutcomeError},
 			{"rejected", noFault, 0, "quick", clientResponse{status: trace.StatusFailed, code: scenario.ThriftRejectedType}, trace.OutcomeRejected},
-			{"cut", model.Cut, 0, "quick", clientResponse{}, trace.OutcomeCorrupted},
-			{"malformed", model.Spoil, 0, "quick", clientResponse{}, trace.OutcomeCorrupted},
-			{"dripped", model.Drip, 0, "quick", clientResponse{}, trace.OutcomeCorrupted},
+			{"cut", model.Truncate, 0, "quick", clientResponse{}, trace.OutcomeCorrupted},
+			{"malformed", model.Corrupt, 0, "quick", clientResponse{}, trace.OutcomeCorrupted},
+			{"dripped", model.Trickle, 0, "quick", clientResponse{}, trace.OutcomeCorrupted},
 		} {
 			t.Run(c.name, func(t *testing.T) {
 				s := newFixture(t, fixtureClasses+oneTier+"slots = 1\nqueue = 1\n"+thriftFleet(protocol))
@@ -64,7 +64,7 @@
 				q, conn := s.nextRequest(c.class), s.dial(0)
 				q.attempt.TransactionID += c.shift
 				s.send(conn, q)
-				if c.fault == model.Drip {
+				if c.fault == model.Trickle {
 					if _, err := conn.in.Peek(2 * dripSize); err != nil {
 						t.Error(err)
 					}
--- a/internal/lab/loopback/tier.go
+++ b/internal/lab/loopback/tier.go
@@ -8,8 +8,8 @@
 
 // tier is what the endpoints of one tier share.
 type tier struct {
-	mu   sync.Mutex  // of the models that share keys
-	keys *model.Keys // idempotency keys; nil if no class has any
+	mu   sync.Mutex        // of the models that share keys
+	keys *model.DedupStore // idempotency keys; nil if no class has any
 
 	callsMu sync.Mutex
 	calls   map[uint64]int // calls to the tier: the plan's request that each is for, by transaction id
--- a/internal/lab/model/cold.go
+++ b/internal/lab/model/cold.go
@@ -5,16 +5,16 @@
 // A ramp would make every end of a job the root of a quadratic, so warming goes in steps. 20 ms is a tenth
 // or less of what callers notice, and at least 50 steps keep each within 2% of the way.
 const (
-	coldStep  = 20 * time.Millisecond
-	coldSteps = 50
+	maxWarmupStep  = 20 * time.Millisecond
+	minWarmupSteps = 50
 )
 
 // warmth is how far a server is from its start to full capacity.
-type warmth struct {
+type warmup struct {
 	share  float64 // of its full capacity
 	next   time.Duration
 	from   float64
-	length time.Duration // progress at which it is warm
+	total  time.Duration // progress at which it is warm
 	step   time.Duration
 	byWork bool
 
@@ -24,21 +24,21 @@
 	goal     time.Duration // progress at the end of the present step
 }
 
-func (w *warmth) warm() { *w = warmth{share: 1, next: Never} }
+func (w *warmup) complete() { *w = warmup{share: 1, next: Never} }
 
-func (w *warmth) cold() bool { return w.length > 0 }
+func (w *warmup) inProgress() bool { return w.total > 0 }
 
-func (w *warmth) chill(spec Spec, now time.Duration) {
-	step := max(min(coldStep, spec.ColdFor/coldSteps), 1)
-	*w = warmth{
-		share: spec.ColdFrom, from: spec.ColdFrom, length: spec.ColdFor, step: step, byWork: spec.WarmByWork,
+func (w *warmup) begin(spec Spec, now time.Duration) {
+	step := max(min(maxWarmupStep, spec.WarmupDuration/minWarmupSteps), 1)
+	*w = warmup{
+		share: spec.WarmupInitialShare, from: spec.WarmupInitialShare, total: spec.WarmupDuration, step: step, byWork: spec.WarmupByWork,
 		since: now, goal: step,
 	}
-	w.pace(now, 0)
+	w.setSpeed(now, 0)
 }
 
 // pace sets the speed of its progress, with so many cores at work, and the time of the next step.
-func (w *warmth) pace(now time.Duration, busy int) {
+func (w *warmup) setSpeed(now time.Duration, busy int) {
 	w.progress += w.speed * (now - w.since)
 	w.since = now
 	w.speed = 1
@@ -52,27 +52,27 @@
 }
 
 // warmer is the end of a step.
-func (s *Server) warmer() {
-	w := &s.warmth
+func (s *Endpoint) finishWarmupStep() {
+	w := &s.warmup
 	w.progress += w.speed * (s.now - w.since)
 	w.since = s.now
-	if w.progress >= w.length {
-		w.warm()
+	if w.progress >= w.total {
+		w.complete()
 	} else {
 		steps := w.progress / w.step
-		w.share = w.from + (1-w.from)*float64(steps*w.step)/float64(w.length)
-		w.goal = min((steps+1)*w.step, w.length)
+		w.share = w.from + (1-w.from)*float64(steps*w.step)/float64(w.total)
+		w.goal = min((steps+1)*w.step, w.total)
 	}
-	s.turned()
-	if !w.cold() {
+	s.capacityChanged()
+	if !w.inProgress() {
 		s.pressure.end()
 	}
 }
 
 // turned is a change of what the server can do, which its pressure is told.
-func (s *Server) turned() {
-	s.could.set(s.now, s.able())
-	if s.pressure.mark(s.now, s.sent, s.sent, &s.could) {
-		s.fall()
+func (s *Endpoint) capacityChanged() {
+	s.possibleWork.setRate(s.now, s.nominalCapacity())
+	if s.pressure.record(s.now, s.sentWork, s.sentWork, &s.possibleWork) {
+		s.collapse()
 	}
 }
--- a/internal/lab/model/jobs.go
+++ b/internal/lab/model/jobs.go
@@ -3,29 +3,29 @@
 import "time"
 
 // state is where a job is.
-type state uint8
+type jobState uint8
 
 const (
-	swallowed state = iota // holds no slot and will not be answered
-	waiting                // in line for a slot
-	running                // in a slot, on the cores
-	calling                // in a slot, waiting for the next tier
+	blackholed   jobState = iota // holds no slot and will not be answered
+	queued                       // in line for a slot
+	running                      // in a slot, on the cores
+	awaitingCall                 // in a slot, waiting for the next tier
 )
 
 // job is a request that is not over.
 type job struct {
-	id, key   uint64
-	class     int
-	conn      uint64
-	number    uint64 // of arrival, at this server
-	segments  []time.Duration
-	handshake time.Duration // on top of the first segment
-	segment   int           // the present one
-	state     state
-	done      time.Duration // work on finished segments, or on all that will be
-
-	end        float64 // running: virtual work at which the segment is done
-	place      int     // running: index in the heap
+	id, key      uint64
+	class        int
+	connectionID uint64
+	number       uint64 // of arrival, at this server
+	segments     []time.Duration
+	handshake    time.Duration // on top of the first segment
+	segment      int           // the present one
+	state        jobState
+	done         time.Duration // work on finished segments, or on all that will be
+
+	endsAt     float64 // running: virtual work at which the segment is done
+	heapIndex  int     // running: index in the heap
 	prev, next *job    // waiting: neighbours in line
 }
 
@@ -42,34 +42,34 @@
 }
 
 // take makes a job of a request. Jobs are used again: at a million a second they would be most of the garbage.
-func (s *Server) take(r Job) *job {
+func (s *Endpoint) newJob(r Job) *job {
 	var j *job
-	if n := len(s.spare); n > 0 {
-		j, s.spare = s.spare[n-1], s.spare[:n-1]
+	if n := len(s.freeJobs); n > 0 {
+		j, s.freeJobs = s.freeJobs[n-1], s.freeJobs[:n-1]
 	} else {
 		j = new(job)
 	}
-	s.arrived++
-	*j = job{id: r.ID, key: r.Key, class: r.Class, conn: r.Conn, number: s.arrived, segments: append(j.segments[:0], r.Segments...)}
-	if r.FirstOn {
-		j.handshake = s.spec.Handshake
+	s.arrivals++
+	*j = job{id: r.ID, key: r.IdempotencyKey, class: r.Class, connectionID: r.ConnectionID, number: s.arrivals, segments: append(j.segments[:0], r.Segments...)}
+	if r.NewConnection {
+		j.handshake = s.spec.HandshakeWork
 	}
 	s.jobs[r.ID] = j
 	return j
 }
 
-func (s *Server) forget(j *job) {
+func (s *Endpoint) free(j *job) {
 	delete(s.jobs, j.id)
-	s.spare = append(s.spare, j)
+	s.freeJobs = append(s.freeJobs, j)
 }
 
 // line is the waiting room, in order of arrival. Being linked, it lets go of a withdrawn job at once.
-type line struct {
+type waitQueue struct {
 	first, last *job
 	n           int
 }
 
-func (l *line) push(j *job) {
+func (l *waitQueue) push(j *job) {
 	j.prev, j.next = l.last, nil
 	if l.last != nil {
 		l.last.next = j
@@ -80,13 +80,13 @@
 	l.n++
 }
 
-func (l *line) pop() *job {
+func (l *waitQueue) pop() *job {
 	j := l.first
 	l.remove(j)
 	return j
 }
 
-func (l *line) remove(j *job) {
+func (l *waitQueue) remove(j *job) {
 	if j.prev != nil {
 		j.prev.next = j.next
 	} else {
@@ -102,27 +102,27 @@
 }
 
 // workHeap holds the running jobs, the one that ends first on top; of equals the one that came first.
-type workHeap []entry
+type workHeap []heapEntry
 
-type entry struct {
+type heapEntry struct {
 	end    float64
 	number uint64
 	job    *job
 }
 
-func (a entry) before(b entry) bool {
+func (a heapEntry) before(b heapEntry) bool {
 	return a.end < b.end || a.end == b.end && a.number < b.number
 }
 
 func (h *workHeap) push(j *job) {
-	*h = append(*h, entry{})
-	h.up(len(*h)-1, entry{j.end, j.number, j})
+	*h = append(*h, heapEntry{})
+	h.up(len(*h)-1, heapEntry{j.endsAt, j.number, j})
 }
 
 func (h *workHeap) remove(i int) {
 	n := len(*h) - 1
 	e := (*h)[n]
-	(*h)[n] = entry{}
+	(*h)[n] = heapEntry{}
 	*h = (*h)[:n]
 	if i < n {
 		h.up(h.down(i, e), e)
@@ -130,7 +130,7 @@
 }
 
 // up puts e at place i or above it.
-func (h workHeap) up(i int, e entry) {
+func (h workHeap) up(i int, e heapEntry) {
 	for i > 0 {
 		parent := (i - 1) / 2
 		if !e.before(h[parent]) {
@@ -143,7 +143,7 @@
 }
 
 // down makes room for e at place i or below it, and returns the place.
-func (h workHeap) down(i int, e entry) int {
+func (h workHeap) down(i int, e heapEntry) int {
 	for {
 		child := 2*i + 1
 		if child >= len(h) {
@@ -160,7 +160,7 @@
 	}
 }
 
-func (h workHeap) put(i int, e entry) {
+func (h workHeap) put(i int, e heapEntry) {
 	h[i] = e
-	e.job.place = i
+	e.job.heapIndex = i
 }
--- a/internal/lab/model/pauses.go
+++ b/internal/lab/model/pauses.go
@@ -8,35 +8,35 @@
 // pauses are moments in which a process stands still. Gaps and lengths are exponential with the spec's means,
 // a gap being from the end of one pause to the start of the next. They begin anew with each process.
 type pauses struct {
-	every, length time.Duration
-	random        *rand.Rand
-	paused        bool
-	next          time.Duration // turn
+	interval, length time.Duration
+	random           *rand.Rand
+	paused           bool
+	next             time.Duration // turn
 }
 
 func newPauses(spec Spec, seed uint64) pauses {
 	return pauses{
-		every: spec.PauseEvery, length: spec.Pause,
+		interval: spec.PauseInterval, length: spec.Pause,
 		random: rand.New(rand.NewPCG(seed, pauseStream)),
 		next:   Never,
 	}
 }
 
 func (p *pauses) begin(now time.Duration) {
-	if p.every > 0 {
-		p.next = now + p.draw(p.every)
+	if p.interval > 0 {
+		p.next = now + p.draw(p.interval)
 	}
 }
 
 func (p *pauses) end() { p.paused, p.next = false, Never }
 
 // turn starts a pause, or ends it.
-func (p *pauses) turn(now time.Duration) {
+func (p *pauses) toggle(now time.Duration) {
 	p.paused = !p.paused
 	if p.paused {
 		p.next = now + p.draw(p.length)
 	} else {
-		p.next = now + p.draw(p.every)
+		p.next = now + p.draw(p.interval)
 	}
 }
 
--- a/internal/lab/model/property_test.go
+++ b/internal/lab/model/property_test.go
@@ -22,7 +22,7 @@
 // op is a line of a script.
 type op struct {
 	at   time.Duration
-	call func(s *Server)
+	call func(s *Endpoint)
 	job  *Job
 }
 
@@ -36,15 +36,15 @@
 	return Spec{
 		Cores: rapid.IntRange(1, 4).Draw(t, "cores"), Speed: rapid.Float64Range(0.3, 3).Draw(t, "speed"),
 		Slots: rapid.IntRange(1, 8).Draw(t, "slots"), Queue: rapid.IntRange(0, 10).Draw(t, "queue"),
-		CrowdAt: rapid.IntRange(0, 5).Draw(t, "crowd at"), CrowdLoss: share.Draw(t, "crowd loss"),
-		PauseEvery: millis(0, 1).Draw(t, "pauses") * 70, Pause: millis(0, 30).Draw(t, "pause"),
-		ErrorRate: share.Draw(t, "errors") / 4,
-		ColdFrom:  rapid.Float64Range(0.05, 1).Draw(t, "cold from"), ColdFor: millis(0, 500).Draw(t, "cold for"),
-		WarmByWork:   rapid.Bool().Draw(t, "by work"),
-		FallMultiple: rapid.Float64Range(0, 4).Draw(t, "multiple"), FallWindow: millis(0, 200).Draw(t, "window"),
-		Connections: rapid.IntRange(0, 10).Draw(t, "connections"), TableTax: share.Draw(t, "tax") / 2,
-		Handshake: millis(0, 5).Draw(t, "handshake"), Cancel: CancelRule(rapid.IntRange(0, 2).Draw(t, "cancel")),
-		KeyWindow: millis(0, 50).Draw(t, "key window"),
+		OverloadAt: rapid.IntRange(0, 5).Draw(t, "crowd at"), OverloadLoss: share.Draw(t, "crowd loss"),
+		PauseInterval: millis(0, 1).Draw(t, "pauses") * 70, Pause: millis(0, 30).Draw(t, "pause"),
+		ErrorRate:          share.Draw(t, "errors") / 4,
+		WarmupInitialShare: rapid.Float64Range(0.05, 1).Draw(t, "cold from"), WarmupDuration: millis(0, 500).Draw(t, "cold for"),
+		WarmupByWork:     rapid.Bool().Draw(t, "by work"),
+		CollapseMultiple: rapid.Float64Range(0, 4).Draw(t, "multiple"), CollapseWindow: millis(0, 200).Draw(t, "window"),
+		MaxConnections: rapid.IntRange(0, 10).Draw(t, "connections"), ConnectionTableLoss: share.Draw(t, "tax") / 2,
+		HandshakeWork: millis(0, 5).Draw(t, "handshake"), Cancel: CancelRule(rapid.IntRange(0, 2).Draw(t, "cancel")),
+		DedupWindow: millis(0, 50).Draw(t, "key window"),
 	}
 })
 
@@ -63,30 +63,30 @@
 		switch rapid.SampledFrom([]string{"arrive", "arrive", "arrive", "arrive", "return", "return", "withdraw",
 			"connect", "disconnect", "begin", "end", "start"}).Draw(t, "call") {
 		case "arrive":
-			o.job = &Job{ID: uint64(jobs), Key: uint64(rapid.IntRange(0, 5).Draw(t, "key")), FirstOn: yes,
+			o.job = &Job{ID: uint64(jobs), IdempotencyKey: uint64(rapid.IntRange(0, 5).Draw(t, "key")), NewConnection: yes,
 				Segments: rapid.SliceOfN(millis(0, 40), 1, 3).Draw(t, "segments")}
 			jobs++
-			o.call = func(s *Server) { s.Arrive(now, *o.job) }
+			o.call = func(s *Endpoint) { s.Arrive(now, *o.job) }
 		case "return":
-			o.call = func(s *Server) { s.Returned(now, anyJob, yes) }
+			o.call = func(s *Endpoint) { s.CallReturned(now, anyJob, yes) }
 		case "withdraw":
-			o.call = func(s *Server) { s.Withdraw(now, anyJob) }
+			o.call = func(s *Endpoint) { s.Cancel(now, anyJob) }
 		case "connect":
-			o.call = func(s *Server) { s.Connect(now) }
+			o.call = func(s *Endpoint) { s.Connect(now) }
 		case "disconnect":
-			o.call = func(s *Server) { s.Disconnect(now) }
+			o.call = func(s *Endpoint) { s.Disconnect(now) }
 		case "begin":
-			f := Fault{ID: faults, Kind: FaultKind(rapid.IntRange(1, int(Mute)).Draw(t, "kind")), Size: 0.01 + share.Draw(t, "size")*0.98}
+			f := Fault{ID: faults, Kind: FaultKind(rapid.IntRange(1, int(Drop)).Draw(t, "kind")), Size: 0.01 + share.Draw(t, "size")*0.98}
 			if f.Kind == Slow {
 				f.Size *= 5
 			}
 			faults++
-			o.call = func(s *Server) { s.Begin(now, f) }
+			o.call = func(s *Endpoint) { s.StartFault(now, f) }
 		case "end":
 			id := rapid.IntRange(0, max(faults-1, 0)).Draw(t, "fault")
-			o.call = func(s *Server) { s.End(now, id) }
+			o.call = func(s *Endpoint) { s.EndFault(now, id) }
 		case "start":
-			o.call = func(s *Server) { s.Start(now, yes) }
+			o.call = func(s *Endpoint) { s.Start(now, yes) }
 		}
 		ops = append(ops, o)
 	}
@@ -95,8 +95,8 @@
 
 func total(j Job, spec Spec) time.Duration {
 	var w time.Duration
-	if j.FirstOn {
-		w = spec.Handshake
+	if j.NewConnection {
+		w = spec.HandshakeWork
 	}
 	for _, s := range j.Segments {
 		w += s
@@ -112,7 +112,7 @@
 		s := New(spec, rapid.Uint64().Draw(t, "seed"))
 		open := map[uint64]Job{}
 		var ended, sent, last time.Duration
-		var effects []Effect
+		var effects []Event
 		check := func(now time.Duration) {
 			effects = s.Advance(now, effects[:0])
 			for _, e := range effects {
@@ -120,7 +120,7 @@
 					t.Fatalf("effect %+v between %v and %v", e, last, now)
 				}
 				last = e.At
-				if e.Kind == Reset {
+				if e.Kind == EventReset {
 					continue
 				}
 				j, ok := open[e.Job]
@@ -129,16 +129,16 @@
 				}
 				all := total(j, spec)
 				switch e.Kind {
-				case Answered:
-					if e.Answer != Errored && e.Answer != TurnedAway && e.Done != all || e.Answer == TurnedAway && e.Done != 0 {
+				case EventResponded:
+					if e.Response != ResponseError && e.Response != ResponseRejected && e.Work != all || e.Response == ResponseRejected && e.Work != 0 {
 						t.Fatalf("%+v of %v", e, all)
 					}
 					fallthrough
-				case Lost:
-					if e.Done < 0 || e.Done > all {
+				case EventLost:
+					if e.Work < 0 || e.Work > all {
 						t.Fatalf("%+v of %v", e, all)
 					}
-					ended += e.Done
+					ended += e.Work
 					delete(open, e.Job)
 				}
 			}
@@ -147,15 +147,15 @@
 			for _, j := range open {
 				left += total(j, spec)
 			}
-			if l.InWork < 0 || l.InWork > spec.Slots || l.Waiting < 0 || l.Waiting > spec.Queue || l.Swallowed < 0 ||
-				l.InWork+l.Waiting+l.Swallowed != len(open) {
+			if l.Running < 0 || l.Running > spec.Slots || l.Queued < 0 || l.Queued > spec.Queue || l.Blackholed < 0 ||
+				l.Running+l.Queued+l.Blackholed != len(open) {
 				t.Fatalf("%+v with %d open", l, len(open))
 			}
-			if l.Did < ended || l.Did > ended+left {
-				t.Fatalf("did %v, of which %v on jobs that are over; the others have %v", l.Did, ended, left)
+			if l.DoneWork < ended || l.DoneWork > ended+left {
+				t.Fatalf("did %v, of which %v on jobs that are over; the others have %v", l.DoneWork, ended, left)
 			}
 			// Ends are rounded to whole ns, for every core and job.
-			if l.Did > l.Could+1000 || l.SentWork != sent || l.Fallen && s.Phase(now) == Up || l.Capacity < 0 {
+			if l.DoneWork > l.PossibleWork+1000 || l.SentWork != sent || l.Collapsed && s.Phase(now) == Up || l.Capacity < 0 {
 				t.Fatalf("%+v after %v sent", l, sent)
 			}
 		}
@@ -171,11 +171,11 @@
 			check(now)
 		}
 		check(now + time.Second)
-		s.Begin(now+time.Second, Fault{ID: -1, Kind: Vanish})
+		s.StartFault(now+time.Second, Fault{ID: -1, Kind: Vanish})
 		for id := range 80 {
-			s.End(now+time.Second, id)
+			s.EndFault(now+time.Second, id)
 		}
-		s.End(now+time.Second, -1)
+		s.EndFault(now+time.Second, -1)
 		check(now + time.Second)
 		if len(open) > 0 {
 			t.Fatalf("%d jobs outlived a restart", len(open))
@@ -188,7 +188,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		spec, seed, script := specs.Draw(t, "spec"), rapid.Uint64().Draw(t, "seed"), scripts.Draw(t, "script")
 		end := script[len(script)-1].at + time.Second
-		var want, got, byNext []Effect
+		var want, got, byNext []Event
 		s := New(spec, seed)
 		for _, o := range script {
 			o.call(s)
@@ -198,7 +198,7 @@
 		s = New(spec, seed)
 		looks := rapid.SliceOfN(rapid.Int64Range(0, int64(end)), 0, 100).Draw(t, "looks")
 		slices.Sort(looks)
-		for _, o := range append(script, op{at: end, call: func(*Server) {}}) {
+		for _, o := range append(script, op{at: end, call: func(*Endpoint) {}}) {
 			for ; len(looks) > 0 && looks[0] <= int64(o.at); looks = looks[1:] {
 				at := time.Duration(looks[0])
 				s.Load(at)
@@ -210,9 +210,9 @@
 		got = s.Advance(end, got)
 
 		s = New(spec, seed)
-		for _, o := range append(script, op{at: end, call: func(*Server) {}}) {
-			for s.Next() <= o.at {
-				at := s.Next()
+		for _, o := range append(script, op{at: end, call: func(*Endpoint) {}}) {
+			for s.NextEvent() <= o.at {
+				at := s.NextEvent()
 				from := len(byNext)
 				byNext = s.Advance(at, byNext)
 				for _, e := range byNext[from:] {
@@ -237,7 +237,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		spec := Spec{Cores: rapid.IntRange(1, 3).Draw(t, "cores"), Speed: rapid.Float64Range(0.5, 2).Draw(t, "speed"),
 			Slots: rapid.IntRange(1, 6).Draw(t, "slots"), Queue: 1000,
-			CrowdAt: rapid.IntRange(0, 4).Draw(t, "crowd at"), CrowdLoss: share.Draw(t, "loss")}
+			OverloadAt: rapid.IntRange(0, 4).Draw(t, "crowd at"), OverloadLoss: share.Draw(t, "loss")}
 		gaps := rapid.SliceOfN(millis(0, 30), 1, 40).Draw(t, "gaps")
 		works := rapid.SliceOfN(millis(1, 60), len(gaps), len(gaps)).Draw(t, "works")
 
@@ -249,7 +249,7 @@
 		}
 		got := make([]float64, len(gaps))
 		for _, e := range s.Advance(time.Hour, nil) {
-			if e.Kind == Answered {
+			if e.Kind == EventResponded {
 				got[e.Job] = float64(e.At)
 			}
 		}
@@ -264,8 +264,8 @@
 		for next < len(gaps) || len(held) > 0 {
 			n := min(len(held), spec.Slots)
 			rate := spec.Speed * min(1, float64(spec.Cores)/float64(n))
-			if over := len(held) - spec.CrowdAt; spec.CrowdAt > 0 && over > 0 {
-				rate /= 1 + spec.CrowdLoss*float64(over)/float64(spec.CrowdAt)
+			if over := len(held) - spec.OverloadAt; spec.OverloadAt > 0 && over > 0 {
+				rate /= 1 + spec.OverloadLoss*float64(over)/float64(spec.OverloadAt)
 			}
 			ends := math.Inf(1)
 			if n > 0 {
@@ -306,16 +306,16 @@
 		for i := range rapid.IntRange(1, 100).Draw(t, "steps") {
 			if len(in) > 0 && rapid.IntRange(0, 2).Draw(t, "remove") == 0 {
 				k := rapid.IntRange(0, len(in)-1).Draw(t, "which")
-				h.remove(in[k].place)
+				h.remove(in[k].heapIndex)
 				in = slices.Delete(in, k, k+1)
 			} else {
-				j := &job{number: uint64(i), end: float64(rapid.IntRange(0, 20).Draw(t, "end"))}
+				j := &job{number: uint64(i), endsAt: float64(rapid.IntRange(0, 20).Draw(t, "end"))}
 				h.push(j)
 				in = append(in, j)
 			}
 			for _, j := range in {
-				if h[j.place].job != j || h[j.place].before(h[max(j.place-1, 0)/2]) {
-					t.Fatalf("%+v at %d", j, j.place)
+				if h[j.heapIndex].job != j || h[j.heapIndex].before(h[max(j.heapIndex-1, 0)/2]) {
+					t.Fatalf("%+v at %d", j, j.heapIndex)
 				}
 			}
 		}
@@ -328,12 +328,12 @@
 func TestFallsWhenSentTooMuch(t *testing.T) {
 	fell := 0
 	rapid.Check(t, func(t *rapid.T) {
-		spec := Spec{Cores: 2, Speed: 1, Slots: 2, Queue: 2, ColdFrom: rapid.Float64Range(0.1, 0.9).Draw(t, "from"),
-			ColdFor: 1000 * time.Millisecond, FallWindow: millis(20, 300).Draw(t, "window"), FallMultiple: 2.5}
+		spec := Spec{Cores: 2, Speed: 1, Slots: 2, Queue: 2, WarmupInitialShare: rapid.Float64Range(0.1, 0.9).Draw(t, "from"),
+			WarmupDuration: 1000 * time.Millisecond, CollapseWindow: millis(20, 300).Draw(t, "window"), CollapseMultiple: 2.5}
 		slow := Fault{ID: 1, Kind: Slow, Size: rapid.SampledFrom([]float64{1, 1, 3}).Draw(t, "slow")}
 		slowFrom, slowFor := rapid.IntRange(1, 600).Draw(t, "slow from"), rapid.IntRange(1, 300).Draw(t, "slow for")
 		capacity := func(ms int) float64 { // in this ms of its life
-			c := 2 * (spec.ColdFrom + (1-spec.ColdFrom)*float64(max(ms, 0)/20)/50)
+			c := 2 * (spec.WarmupInitialShare + (1-spec.WarmupInitialShare)*float64(max(ms, 0)/20)/50)
 			if ms >= slowFrom && ms < slowFrom+slowFor {
 				c /= slow.Size
 			}
@@ -345,15 +345,15 @@
 		s := New(spec, 1)
 		s.Start(start*time.Millisecond, true)
 		sent := make([]float64, 1000) // in ms, by ms of its life
-		window := int(spec.FallWindow / time.Millisecond)
+		window := int(spec.CollapseWindow / time.Millisecond)
 		want, worst := -1, 0.0
 		for ms := range sent {
 			at := time.Duration(start+ms) * time.Millisecond
 			switch ms {
 			case slowFrom:
-				s.Begin(at, slow)
+				s.StartFault(at, slow)
 			case slowFrom + slowFor:
-				s.End(at, 1)
+				s.EndFault(at, 1)
 			}
 			for ; random.Float64() < 0.2; sent[ms]++ {
 				s.Arrive(at, Job{ID: random.Uint64(), Segments: []time.Duration{work}})
@@ -380,7 +380,7 @@
 		}
 		got := -1
 		for i, e := range s.Advance(2*time.Second, nil) {
-			if e.Kind == Reset && i > 0 { // the first is that of its start
+			if e.Kind == EventReset && i > 0 { // the first is that of its start
 				got = int(e.At/time.Millisecond) - start
 			}
 		}
@@ -389,10 +389,10 @@
 		if slow.Size > 1 && want >= 0 {
 			late = 20
 		}
-		if got < want || got > want+late || l.Fallen != (want >= 0) || want < 0 && math.Abs(l.Worst-worst) > 1e-6 {
-			t.Fatalf("fell at %d ms, expected %d; worst %v, expected %v", got, want, l.Worst, worst)
+		if got < want || got > want+late || l.Collapsed != (want >= 0) || want < 0 && math.Abs(l.PeakPressure-worst) > 1e-6 {
+			t.Fatalf("fell at %d ms, expected %d; worst %v, expected %v", got, want, l.PeakPressure, worst)
 		}
-		if l.Fallen {
+		if l.Collapsed {
 			fell++
 		}
 	})
--- a/internal/lab/model/queue.go
+++ b/internal/lab/model/queue.go
@@ -1,15 +1,15 @@
 package model
 
 // queue is first in, first out. Its memory follows the most that it has held.
-type queue[T any] struct {
+type fifo[T any] struct {
 	items []T
 	head  int
 }
 
-func (q *queue[T]) len() int  { return len(q.items) - q.head }
-func (q *queue[T]) first() *T { return &q.items[q.head] }
+func (q *fifo[T]) len() int  { return len(q.items) - q.head }
+func (q *fifo[T]) front() *T { return &q.items[q.head] }
 
-func (q *queue[T]) push(x T) {
+func (q *fifo[T]) push(x T) {
 	// Moving at most as many items as have left since the last time keeps a push at constant cost on average.
 	if len(q.items) == cap(q.items) && 2*q.head > len(q.items) {
 		q.items = q.items[:copy(q.items, q.items[q.head:])]
@@ -18,7 +18,7 @@
 	q.items = append(q.items, x)
 }
 
-func (q *queue[T]) pop() T {
+func (q *fifo[T]) pop() T {
 	x := q.items[q.head]
 	if q.head++; q.head == len(q.items) {
 		q.clear()
@@ -26,4 +26,4 @@
 	return x
 }
 
-func (q *queue[T]) clear() { q.items, q.head = q.items[:0], 0 }
+func (q *fifo[T]) clear() { q.items, q.head = q.items[:0], 0 }
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -6,392 +6,392 @@
 	"time"
 )
 
-// Server is one server. It isn't safe for concurrent use.
+// Endpoint is one server. It isn't safe for concurrent use.
 //
 // Every method first brings it up to the time passed in, then does its own part; a time before the last one
 // counts as the last one. Effects wait for the next Advance. What it does depends on the spec, the seed and
 // the calls that change it, in their order; calls that only look, Advance among them, change nothing, however
 // many there are.
-type Server struct {
-	spec Spec
-	now  time.Duration
-	made []Effect // not yet fetched by Advance
-
-	jobs    map[uint64]*job // all that are not over, by id
-	spare   []*job
-	arrived uint64 // numbers the arrivals
-	running workHeap
-	waiting line
-	inWork  int // jobs that hold a slot: running, or waiting for a call
-	conns   int
-
-	virtual  virtual
-	warmth   warmth
-	pressure pressure
-	pauses   pauses
-	faults   faults
-	draws    draws
-	keys     *Keys
-	fallen   bool
-
-	could meter         // of what it can do, in standard cores
-	sent  time.Duration // work that reached it
-	did   time.Duration // work done on finished segments and on jobs that ended in the middle of one
+type Endpoint struct {
+	spec   Spec
+	now    time.Duration
+	events []Event // not yet fetched by Advance
+
+	jobs        map[uint64]*job // all that are not over, by id
+	freeJobs    []*job
+	arrivals    uint64 // numbers the arrivals
+	running     workHeap
+	queue       waitQueue
+	usedSlots   int // jobs that hold a slot: running, or waiting for a call
+	connections int
+
+	virtualWork virtualClock
+	warmup      warmup
+	pressure    pressure
+	pauses      pauses
+	faults      faults
+	random      randomDraws
+	dedup       *DedupStore
+	collapsed   bool
+
+	possibleWork rateIntegral  // of what it can do, in standard cores
+	sentWork     time.Duration // work that reached it
+	doneWork     time.Duration // work done on finished segments and on jobs that ended in the middle of one
 }
 
 // New returns a warm server that is up at time 0. The spec has at least one core and one slot, and a speed
 // above 0: whoever reads it from a file checks that.
-func New(spec Spec, seed uint64) *Server {
-	s := &Server{spec: spec, jobs: map[uint64]*job{}, faults: noFaults(), draws: draws{seed: seed}}
-	s.virtual.due = Never
+func New(spec Spec, seed uint64) *Endpoint {
+	s := &Endpoint{spec: spec, jobs: map[uint64]*job{}, faults: newFaults(), random: randomDraws{seed: seed}}
+	s.virtualWork.nextEnd = Never
 	s.pauses = newPauses(spec, seed)
-	s.boot(false)
-	if spec.KeyWindow > 0 {
-		s.keys = NewKeys(spec.KeyWindow)
+	s.startProcess(false)
+	if spec.DedupWindow > 0 {
+		s.dedup = NewDedupStore(spec.DedupWindow)
 	}
-	s.settle()
+	s.updateRates()
 	return s
 }
 
-// ShareKeys makes it use k, with k's window, in place of a set of its own: the servers of a tier keep their
+// ShareDedup makes it use k, with k's window, in place of a set of its own: the servers of a tier keep their
 // keys in one store. A restart leaves the store as it is.
-func (s *Server) ShareKeys(k *Keys) { s.keys = k }
+func (s *Endpoint) ShareDedup(k *DedupStore) { s.dedup = k }
 
 // Start starts its process, also if one runs already: connections are reset and jobs lost. A server that has
 // fallen over stays down, and one that a fault keeps from running starts at the fault's end.
-func (s *Server) Start(now time.Duration, cold bool) {
-	s.to(now)
-	if s.phase() == Up {
+func (s *Endpoint) Start(now time.Duration, cold bool) {
+	s.advanceTo(now)
+	if s.currentPhase() == Up {
 		s.reset()
-		s.boot(cold)
-		s.settle()
+		s.startProcess(cold)
+		s.updateRates()
 	}
 }
 
 // Connect asks for a connection. Accepted ones count until Disconnect or the next Reset, whichever is first.
-func (s *Server) Connect(now time.Duration) Admission {
-	s.to(now)
+func (s *Endpoint) Connect(now time.Duration) Admission {
+	s.advanceTo(now)
 	switch {
-	case s.phase() == Silent:
-		return Unanswered
-	case s.phase() == Down, s.faults.count(RefuseConns) > 0,
-		s.spec.Connections > 0 && s.conns >= s.spec.Connections:
-		return Refused
+	case s.currentPhase() == Unresponsive:
+		return ConnectionDropped
+	case s.currentPhase() == Down, s.faults.count(RefuseConnections) > 0,
+		s.spec.MaxConnections > 0 && s.connections >= s.spec.MaxConnections:
+		return ConnectionRefused
 	}
-	s.conns++
-	s.settle()
-	return Accepted
+	s.connections++
+	s.updateRates()
+	return ConnectionAccepted
 }
 
 // Disconnect closes an accepted connection, one that no Reset has broken.
-func (s *Server) Disconnect(now time.Duration) {
-	s.to(now)
-	if s.conns > 0 {
-		s.conns--
-		s.settle()
+func (s *Endpoint) Disconnect(now time.Duration) {
+	s.advanceTo(now)
+	if s.connections > 0 {
+		s.connections--
+		s.updateRates()
 	}
 }
 
 // Arrive is a request whose last byte has come. While it isn't Up nothing comes of that, no effect either.
-func (s *Server) Arrive(now time.Duration, r Job) {
-	s.to(now)
-	if s.phase() != Up {
+func (s *Endpoint) Arrive(now time.Duration, r Job) {
+	s.advanceTo(now)
+	if s.currentPhase() != Up {
 		return
 	}
-	j := s.take(r)
+	j := s.newJob(r)
 	work := j.handshake
 	for _, w := range r.Segments {
 		work += w
 	}
-	before := s.sent
-	s.sent += work
+	before := s.sentWork
+	s.sentWork += work
 	// The pressure of what is turned away counts as well, so it comes before anything else.
-	if s.pressure.mark(s.now, before, s.sent, &s.could) {
-		s.fall()
+	if s.pressure.record(s.now, before, s.sentWork, &s.possibleWork) {
+		s.collapse()
 		return
 	}
 	switch {
-	case s.faults.count(Hang) > 0, s.strikes(j, Mute, drawMute):
+	case s.faults.count(Hang) > 0, s.isAffected(j, Drop, drawDrop):
 		// Taken, and that is all.
-	case s.strikes(j, Fail, drawFail):
-		s.answer(j, Errored)
-	case s.inWork < s.spec.Slots:
+	case s.isAffected(j, Fail, drawFail):
+		s.respond(j, ResponseError)
+	case s.usedSlots < s.spec.Slots:
 		s.start(j)
-	case s.waiting.n < s.spec.Queue:
-		j.state = waiting
-		s.waiting.push(j)
+	case s.queue.n < s.spec.Queue:
+		j.state = queued
+		s.queue.push(j)
 	default:
-		s.answer(j, TurnedAway)
+		s.respond(j, ResponseRejected)
 	}
-	s.settle()
+	s.updateRates()
 }
 
-// Withdraw is a caller that gives job id up. What the spec's rule stops ends with Lost, and so does, under
+// Cancel is a caller that gives job id up. What the spec's rule stops ends with Lost, and so does, under
 // every rule, a job that would never be answered.
-func (s *Server) Withdraw(now time.Duration, id uint64) {
-	s.to(now)
+func (s *Endpoint) Cancel(now time.Duration, id uint64) {
+	s.advanceTo(now)
 	j := s.jobs[id]
 	if j == nil {
 		return
 	}
 	switch j.state {
-	case waiting:
+	case queued:
 		if s.spec.Cancel == CancelNothing {
 			return
 		}
-	case running, calling:
+	case running, awaitingCall:
 		if s.spec.Cancel != CancelAll {
 			return
 		}
 	}
-	s.drop(j)
-	s.serveNext()
-	s.settle()
+	s.lose(j)
+	s.startQueued()
+	s.updateRates()
 }
 
-// Returned is a call of the next tier that is back. If it is not ok the job ends at once, as Errored.
-func (s *Server) Returned(now time.Duration, id uint64, ok bool) {
-	s.to(now)
+// CallReturned is a call of the next tier that is back. If it is not ok the job ends at once, as Errored.
+func (s *Endpoint) CallReturned(now time.Duration, id uint64, ok bool) {
+	s.advanceTo(now)
 	j := s.jobs[id]
-	if j == nil || j.state != calling {
+	if j == nil || j.state != awaitingCall {
 		return
 	}
 	if ok {
-		s.run(j)
+		s.runSegment(j)
 	} else {
-		s.inWork--
-		s.answer(j, Errored)
-		s.serveNext()
+		s.usedSlots--
+		s.respond(j, ResponseError)
+		s.startQueued()
 	}
-	s.settle()
+	s.updateRates()
 }
 
 // Phase is what a connection meets now.
-func (s *Server) Phase(now time.Duration) Phase {
-	s.to(now)
-	return s.phase()
+func (s *Endpoint) Phase(now time.Duration) Phase {
+	s.advanceTo(now)
+	return s.currentPhase()
 }
 
-func (s *Server) phase() Phase {
+func (s *Endpoint) currentPhase() Phase {
 	switch {
 	case s.faults.count(Vanish) > 0:
-		return Silent
-	case s.fallen, s.faults.count(Dead) > 0:
+		return Unresponsive
+	case s.collapsed, s.faults.count(Crash) > 0:
 		return Down
 	}
 	return Up
 }
 
-// Next is when it next has something to do by itself: an Advance at that time may bring effects, and one
+// NextEvent is when it next has something to do by itself: an Advance at that time may bring effects, and one
 // before it brings none.
-func (s *Server) Next() time.Duration {
-	if len(s.made) > 0 {
-		return s.made[0].At
+func (s *Endpoint) NextEvent() time.Duration {
+	if len(s.events) > 0 {
+		return s.events[0].At
 	}
-	if len(s.running) == 0 && !s.pressure.on {
+	if len(s.running) == 0 && !s.pressure.active {
 		return Never // pauses and warmth go on, but nobody sees it
 	}
-	return s.nextEvent()
+	return s.nextInternalEvent()
 }
 
 // Advance appends to out what it did up to now, in order of time, and forgets it.
-func (s *Server) Advance(now time.Duration, out []Effect) []Effect {
-	s.to(now)
-	out = append(out, s.made...)
-	s.made = s.made[:0]
+func (s *Endpoint) Advance(now time.Duration, out []Event) []Event {
+	s.advanceTo(now)
+	out = append(out, s.events...)
+	s.events = s.events[:0]
 	return out
 }
 
 // Capacity is what it can do now, in standard cores, losses and faults counted, pauses not. It is 0 while it
 // is not Up or hangs.
-func (s *Server) Capacity(now time.Duration) float64 {
-	s.to(now)
+func (s *Endpoint) Capacity(now time.Duration) float64 {
+	s.advanceTo(now)
 	if s.faults.count(Hang) > 0 {
 		return 0
 	}
-	return s.able() * s.efficiency()
+	return s.nominalCapacity() * s.efficiency()
 }
 
 // Load is its state now.
-func (s *Server) Load(now time.Duration) Load {
+func (s *Endpoint) Load(now time.Duration) Load {
 	capacity := s.Capacity(now)
-	did := s.did
+	did := s.doneWork
 	for _, e := range s.running {
-		did += s.attained(e.job)
+		did += s.attainedWork(e.job)
 	}
 	return Load{
-		InWork: s.inWork, Waiting: s.waiting.n, Connections: s.conns,
-		Swallowed: len(s.jobs) - s.inWork - s.waiting.n,
-		Capacity:  capacity, Cold: s.warmth.cold(), Fallen: s.fallen,
-		SentWork: s.sent, Could: time.Duration(s.could.read(s.now)), Did: did,
-		Worst: s.pressure.worst,
+		Running: s.usedSlots, Queued: s.queue.n, Connections: s.connections,
+		Blackholed: len(s.jobs) - s.usedSlots - s.queue.n,
+		Capacity:   capacity, WarmingUp: s.warmup.inProgress(), Collapsed: s.collapsed,
+		SentWork: s.sentWork, PossibleWork: time.Duration(s.possibleWork.at(s.now)), DoneWork: did,
+		PeakPressure: s.pressure.peak,
 	}
 }
 
-// nextEvent is the time of the next change that comes without a call.
-func (s *Server) nextEvent() time.Duration {
-	return min(s.virtual.due, s.pauses.next, s.warmth.next, s.pressure.next())
+// nextInternalEvent is the time of the next change that comes without a call.
+func (s *Endpoint) nextInternalEvent() time.Duration {
+	return min(s.virtualWork.nextEnd, s.pauses.next, s.warmup.next, s.pressure.next())
 }
 
 // to brings it up to now, event by event: rates change at events alone, so that their times are exact. Which
 // of two events at the same time comes first matters little, but it has to be the same always.
-func (s *Server) to(now time.Duration) {
+func (s *Endpoint) advanceTo(now time.Duration) {
 	for {
-		at := s.nextEvent()
+		at := s.nextInternalEvent()
 		if at > now {
 			break
 		}
 		s.now = max(s.now, at)
 		switch at {
-		case s.virtual.due:
-			s.finish()
+		case s.virtualWork.nextEnd:
+			s.finishSegment()
 		case s.pauses.next:
-			s.pauses.turn(s.now)
-		case s.warmth.next:
-			s.warmer()
+			s.pauses.toggle(s.now)
+		case s.warmup.next:
+			s.finishWarmupStep()
 		default:
-			if s.pressure.leave(s.sent, &s.could) {
-				s.fall()
+			if s.pressure.expire(s.sentWork, &s.possibleWork) {
+				s.collapse()
 			}
 		}
-		s.settle()
+		s.updateRates()
 	}
 	s.now = max(s.now, now)
 }
 
 // boot is a process that begins to run.
-func (s *Server) boot(cold bool) {
-	s.halt()
+func (s *Endpoint) startProcess(cold bool) {
+	s.stopProcess()
 	s.pauses.begin(s.now)
-	if cold && s.spec.ColdFor > 0 {
-		s.warmth.chill(s.spec, s.now)
-		s.could.set(s.now, s.able())
-		s.pressure.begin(s.spec, s.now, s.sent, &s.could)
+	if cold && s.spec.WarmupDuration > 0 {
+		s.warmup.begin(s.spec, s.now)
+		s.possibleWork.setRate(s.now, s.nominalCapacity())
+		s.pressure.begin(s.spec, s.now, s.sentWork, &s.possibleWork)
 	}
 }
 
 // halt is a process that no longer runs.
-func (s *Server) halt() {
+func (s *Endpoint) stopProcess() {
 	s.pauses.end()
-	s.warmth.warm()
+	s.warmup.complete()
 	s.pressure.end()
 }
 
 // fall is a cold server that was sent too much.
-func (s *Server) fall() {
-	s.fallen = true
+func (s *Endpoint) collapse() {
+	s.collapsed = true
 	s.reset()
-	s.halt()
-	s.settle()
+	s.stopProcess()
+	s.updateRates()
 }
 
 // reset breaks the connections and loses all jobs, the oldest first.
-func (s *Server) reset() {
-	s.emit(Effect{Kind: Reset})
-	s.conns = 0
+func (s *Endpoint) reset() {
+	s.emit(Event{Kind: EventReset})
+	s.connections = 0
 	lost := make([]*job, 0, len(s.jobs))
 	for _, j := range s.jobs {
 		lost = append(lost, j)
 	}
 	slices.SortFunc(lost, func(a, b *job) int { return cmp.Compare(a.number, b.number) })
 	for _, j := range lost {
-		s.drop(j)
+		s.lose(j)
 	}
 }
 
 // swallow takes all jobs out of their slots and out of line: nothing will come of them, though nobody learns.
-func (s *Server) swallow() {
+func (s *Endpoint) blackholeAll() {
 	for _, j := range s.jobs {
-		s.pull(j)
+		s.detach(j)
 	}
 }
 
 // pull takes a job out of its slot or out of line.
-func (s *Server) pull(j *job) {
+func (s *Endpoint) detach(j *job) {
 	switch j.state {
-	case waiting:
-		s.waiting.remove(j)
+	case queued:
+		s.queue.remove(j)
 	case running:
-		part := s.attained(j)
+		part := s.attainedWork(j)
 		j.done += part
-		s.did += part
-		s.running.remove(j.place)
-		s.inWork--
-	case calling:
-		s.inWork--
+		s.doneWork += part
+		s.running.remove(j.heapIndex)
+		s.usedSlots--
+	case awaitingCall:
+		s.usedSlots--
 	}
-	j.state = swallowed
+	j.state = blackholed
 }
 
 // drop ends a job with nothing to show.
-func (s *Server) drop(j *job) {
-	s.pull(j)
-	s.emit(Effect{Kind: Lost, Job: j.id, Done: j.done})
-	s.forget(j)
+func (s *Endpoint) lose(j *job) {
+	s.detach(j)
+	s.emit(Event{Kind: EventLost, Job: j.id, Work: j.done})
+	s.free(j)
 }
 
 // answer ends a job that holds no slot.
-func (s *Server) answer(j *job, a Answer) {
-	s.emit(Effect{Kind: Answered, Job: j.id, Answer: a, Done: j.done})
-	s.forget(j)
+func (s *Endpoint) respond(j *job, a Response) {
+	s.emit(Event{Kind: EventResponded, Job: j.id, Response: a, Work: j.done})
+	s.free(j)
 }
 
 // start gives a job a slot.
-func (s *Server) start(j *job) {
-	s.inWork++
-	repeat := s.keys != nil && j.key != 0 && s.keys.Seen(s.now, j.key)
-	s.emit(Effect{Kind: Started, Job: j.id, Repeat: repeat})
-	s.run(j)
+func (s *Endpoint) start(j *job) {
+	s.usedSlots++
+	repeat := s.dedup != nil && j.key != 0 && s.dedup.SeenBefore(s.now, j.key)
+	s.emit(Event{Kind: EventStarted, Job: j.id, Deduplicated: repeat})
+	s.runSegment(j)
 }
 
 // run sets a job in a slot to its next segment.
-func (s *Server) run(j *job) {
+func (s *Endpoint) runSegment(j *job) {
 	j.state = running
-	j.end = s.virtual.read(s.now) + float64(j.work())
+	j.endsAt = s.virtualWork.at(s.now) + float64(j.work())
 	s.running.push(j)
 }
 
 // finish is the end of a segment.
-func (s *Server) finish() {
+func (s *Endpoint) finishSegment() {
 	j := s.running[0].job
 	s.running.remove(0)
-	s.virtual.reach(s.now, j.end)
+	s.virtualWork.reach(s.now, j.endsAt)
 	work := j.work()
 	j.done += work
-	s.did += work
+	s.doneWork += work
 	if j.segment++; j.segment < len(j.segments) {
-		j.state = calling
-		s.emit(Effect{Kind: Calling, Job: j.id, Call: j.segment - 1})
+		j.state = awaitingCall
+		s.emit(Event{Kind: EventCalling, Job: j.id, Call: j.segment - 1})
 		return
 	}
-	s.inWork--
-	s.answer(j, s.verdict(j))
-	s.serveNext()
+	s.usedSlots--
+	s.respond(j, s.drawResponse(j))
+	s.startQueued()
 }
 
-// serveNext fills free slots from the line.
-func (s *Server) serveNext() {
-	for s.waiting.n > 0 && s.inWork < s.spec.Slots {
-		s.start(s.waiting.pop())
+// startQueued fills free slots from the line.
+func (s *Endpoint) startQueued() {
+	for s.queue.n > 0 && s.usedSlots < s.spec.Slots {
+		s.start(s.queue.pop())
 	}
 }
 
 // verdict is how a job whose work is done is answered. An error has no body to break, so it comes first.
-func (s *Server) verdict(j *job) Answer {
+func (s *Endpoint) drawResponse(j *job) Response {
 	switch {
-	case s.draws.hit(j.number, drawError, s.spec.ErrorRate):
-		return Errored
-	case s.strikes(j, Cut, drawCut):
-		return CutOff
-	case s.strikes(j, Spoil, drawSpoil):
-		return Spoilt
-	case s.strikes(j, Drip, drawDrip):
-		return Dripped
+	case s.random.happens(j.number, drawError, s.spec.ErrorRate):
+		return ResponseError
+	case s.isAffected(j, Truncate, drawTruncate):
+		return ResponseTruncated
+	case s.isAffected(j, Corrupt, drawCorrupt):
+		return ResponseCorrupted
+	case s.isAffected(j, Trickle, drawTrickle):
+		return ResponseTrickled
 	}
-	return OK
+	return ResponseOK
 }
 
-func (s *Server) emit(e Effect) {
+func (s *Endpoint) emit(e Event) {
 	e.At = s.now
-	s.made = append(s.made, e)
+	s.events = append(s.events, e)
 }
--- a/internal/lab/model/theory_test.go
+++ b/internal/lab/model/theory_test.go
@@ -31,21 +31,21 @@
 }
 
 // play sends a stream to a server and goes on until all is answered.
-func play(s *Server, load stream) run {
+func play(s *Endpoint, load stream) run {
 	random := rand.New(rand.NewPCG(load.seed, 0))
 	r := run{waits: make([]float64, load.jobs), sojourns: make([]float64, load.jobs)}
 	came := make([]time.Duration, load.jobs)
 	works := make([]time.Duration, load.jobs)
 	arrival := time.Duration(0)
 	var now time.Duration
-	var effects []Effect
-	for sent := 0; sent < load.jobs || s.Next() != Never; {
-		next := s.Next()
+	var effects []Event
+	for sent := 0; sent < load.jobs || s.NextEvent() != Never; {
+		next := s.NextEvent()
 		if sent < load.jobs {
 			next = min(next, arrival)
 		}
 		l := s.Load(now)
-		r.held += float64(l.InWork+l.Waiting) * float64(next-now)
+		r.held += float64(l.Running+l.Queued) * float64(next-now)
 		now = next
 		if sent < load.jobs && now == arrival {
 			came[sent], works[sent] = now, load.work(random)
@@ -56,9 +56,9 @@
 		effects = s.Advance(now, effects[:0])
 		for _, e := range effects {
 			switch e.Kind {
-			case Started:
+			case EventStarted:
 				r.waits[e.Job] = float64(e.At - came[e.Job])
-			case Answered:
+			case EventResponded:
 				r.sojourns[e.Job] = float64(e.At - came[e.Job])
 			}
 		}
@@ -148,8 +148,8 @@
 func BenchmarkJobs(b *testing.B) {
 	specs := map[string]Spec{
 		"plain": {Cores: 4, Speed: 1, Slots: 4, Queue: 100},
-		"all": {Cores: 4, Speed: 1, Slots: 16, Queue: 16, CrowdAt: 8, CrowdLoss: 0.2, ErrorRate: 0.01,
-			PauseEvery: time.Second, Pause: 20 * time.Millisecond, Connections: 100, TableTax: 0.2, Handshake: time.Millisecond},
+		"all": {Cores: 4, Speed: 1, Slots: 16, Queue: 16, OverloadAt: 8, OverloadLoss: 0.2, ErrorRate: 0.01,
+			PauseInterval: time.Second, Pause: 20 * time.Millisecond, MaxConnections: 100, ConnectionTableLoss: 0.2, HandshakeWork: time.Millisecond},
 	}
 	for name, spec := range specs {
 		b.Run(name, func(b *testing.B) {
@@ -161,20 +161,20 @@
 			}
 			s := New(spec, 1)
 			var now time.Duration
-			var effects []Effect
+			var effects []Event
 			for i := range b.N {
 				now += work[(i*7+1)%len(work)] / 2 // load 0.5, which crowding and the rest make about 0.8
-				for s.Next() <= now {
-					effects = s.Advance(s.Next(), effects[:0])
+				for s.NextEvent() <= now {
+					effects = s.Advance(s.NextEvent(), effects[:0])
 				}
-				first := spec.Connections > 0 && i%20 == 0
-				if first && s.Connect(now) == Refused {
+				first := spec.MaxConnections > 0 && i%20 == 0
+				if first && s.Connect(now) == ConnectionRefused {
 					s.Disconnect(now)
 					s.Connect(now)
 				}
-				s.Arrive(now, Job{ID: uint64(i), Segments: work[i%len(work) : i%len(work)+1], FirstOn: first})
+				s.Arrive(now, Job{ID: uint64(i), Segments: work[i%len(work) : i%len(work)+1], NewConnection: first})
 			}
-			b.ReportMetric(float64(s.Load(now).Did)/float64(now)/float64(spec.Cores), "use")
+			b.ReportMetric(float64(s.Load(now).DoneWork)/float64(now)/float64(spec.Cores), "use")
 			b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "jobs/s")
 		})
 	}
--- a/internal/lab/plan/endpoint_faults.go
+++ b/internal/lab/plan/endpoint_faults.go
@@ -11,8 +11,8 @@
 )
 
 var endpointFaultKinds = map[string]model.FaultKind{
-	"vanish": model.Vanish, "hang": model.Hang, "fail": model.Fail, "slow": model.Slow, "refuse": model.RefuseConns,
-	"cut": model.Cut, "spoil": model.Spoil, "drip": model.Drip, "mute": model.Mute, "crash": model.Dead,
+	"vanish": model.Vanish, "hang": model.Hang, "fail": model.Fail, "slow": model.Slow, "refuse": model.RefuseConnections,
+	"cut": model.Truncate, "spoil": model.Corrupt, "drip": model.Trickle, "mute": model.Drop, "crash": model.Crash,
 }
 
 // chooseEndpoints returns the endpoints that a fault affects: those it names, or else drawn ones, of which those with
@@ -63,11 +63,11 @@
 	discovery := &s.Scenario.Discovery
 	switch f.Kind {
 	case "crash":
-		s.scheduleOutage(endpoint, model.Dead, from, to)
+		s.scheduleOutage(endpoint, model.Crash, from, to)
 	case "vanish":
 		s.scheduleOutage(endpoint, model.Vanish, from, to)
 	case "leave":
-		s.scheduleModelFault(endpoint, model.Fault{Kind: model.Dead}, from, 0)
+		s.scheduleModelFault(endpoint, model.Fault{Kind: model.Crash}, from, 0)
 		if to > 0 {
 			s.notify(to, endpoint, trace.PhaseGone, 0)
 		}
@@ -77,7 +77,7 @@
 			restart = exit + f.RecoveryDelay.D()
 		}
 		s.notify(from+discovery.RemoveDelay.D(), endpoint, trace.PhaseTerminating, s.listedStart(endpoint))
-		s.scheduleOutage(endpoint, model.Dead, exit, restart)
+		s.scheduleOutage(endpoint, model.Crash, exit, restart)
 	case "add":
 		s.Endpoints[endpoint].Start, s.Endpoints[endpoint].StartAt = "absent", from
 		s.add(Event{At: from, Kind: StartEndpoint, Endpoint: endpoint, Sidecar: -1})
@@ -99,7 +99,7 @@
 	for at := from; at < to; at += (f.Down + f.Up).D() {
 		end := min(at+f.Down.D(), to)
 		switch kind := endpointFaultKinds[f.Target]; kind {
-		case model.Dead, model.Vanish:
+		case model.Crash, model.Vanish:
 			s.scheduleOutage(endpoint, kind, at, end)
 		default:
 			s.scheduleModelFault(endpoint, s.modelFault(f, f.Target), at, end)
@@ -110,11 +110,11 @@
 // modelFault is a scenario's fault as the model has it.
 func (s *scheduler) modelFault(f *scenario.Fault, kind string) model.Fault {
 	return model.Fault{
-		Kind:   endpointFaultKinds[kind],
-		Size:   f.Size,
-		Class:  s.Scenario.ClassIndex(f.Class) + 1,
-		Above:  f.MinInFlight,
-		ByConn: f.Scope == "connection",
+		Kind:          endpointFaultKinds[kind],
+		Size:          f.Size,
+		Class:         s.Scenario.ClassIndex(f.Class) + 1,
+		MinInFlight:   f.MinInFlight,
+		PerConnection: f.Scope == "connection",
 	}
 }
 
@@ -144,7 +144,7 @@
 	if to > 0 {
 		s.add(Event{At: to, Kind: EndFault, Endpoint: endpoint, Sidecar: -1, Fault: f})
 	}
-	if f.Kind != model.Dead && f.Kind != model.Vanish {
+	if f.Kind != model.Crash && f.Kind != model.Vanish {
 		return
 	}
 	for i := range s.Sidecars {
--- a/internal/lab/plan/endpoints.go
+++ b/internal/lab/plan/endpoints.go
@@ -22,7 +22,7 @@
 
 var cancelRules = map[string]model.CancelRule{
 	"nothing": model.CancelNothing,
-	"waiting": model.CancelWaiting,
+	"waiting": model.CancelQueued,
 	"all":     model.CancelAll,
 }
 
@@ -53,25 +53,25 @@
 
 func endpointSpec(s *scenario.Scenario, k *scenario.EndpointKind) model.Spec {
 	return model.Spec{
-		Cores:        k.Cores,
-		Speed:        k.Speed,
-		Slots:        k.Slots,
-		Queue:        k.Queue,
-		CrowdAt:      k.OverloadAt,
-		CrowdLoss:    k.OverloadLoss,
-		PauseEvery:   k.PauseInterval.D(),
-		Pause:        k.Pause.D(),
-		ErrorRate:    k.ErrorRate,
-		ColdFrom:     k.WarmupInitialShare,
-		ColdFor:      k.WarmupDuration.D(),
-		WarmByWork:   k.WarmupBy == "work",
-		FallMultiple: s.Rules.CollapseMultiple,
-		FallWindow:   s.Rules.CollapseWindow.D(),
-		Connections:  k.Connections,
-		TableTax:     k.ConnectionTableLoss,
-		Handshake:    k.HandshakeWork.D(),
-		Cancel:       cancelRules[k.CancelRule],
-		KeyWindow:    maxDedupWindow(s),
+		Cores:               k.Cores,
+		Speed:               k.Speed,
+		Slots:               k.Slots,
+		Queue:               k.Queue,
+		OverloadAt:          k.OverloadAt,
+		OverloadLoss:        k.OverloadLoss,
+		PauseInterval:       k.PauseInterval.D(),
+		Pause:               k.Pause.D(),
+		ErrorRate:           k.ErrorRate,
+		WarmupInitialShare:  k.WarmupInitialShare,
+		WarmupDuration:      k.WarmupDuration.D(),
+		WarmupByWork:        k.WarmupBy == "work",
+		CollapseMultiple:    s.Rules.CollapseMultiple,
+		CollapseWindow:      s.Rules.CollapseWindow.D(),
+		MaxConnections:      k.Connections,
+		ConnectionTableLoss: k.ConnectionTableLoss,
+		HandshakeWork:       k.HandshakeWork.D(),
+		Cancel:              cancelRules[k.CancelRule],
+		DedupWindow:         maxDedupWindow(s),
 	}
 }
 
--- a/internal/lab/pollsim/asking.go
+++ b/internal/lab/pollsim/asking.go
@@ -37,7 +37,7 @@
 	Calls     int // that the service does at a time
 	Call      time.Duration
 	Line      int
-	Beyond    model.Beyond
+	Beyond    model.OverflowPolicy
 	Down      time.Duration // at the start
 	Up, Off   time.Duration // thereafter it is up for so long, and off; 0: up for good
 	Late      time.Duration // of each answer, beyond the service's work
@@ -98,7 +98,7 @@
 // sim is a play.
 type sim struct {
 	Case
-	service model.Listing
+	service model.ListService
 	rand    *rand.Rand
 	all     []instance
 	queue   queue
@@ -109,7 +109,7 @@
 
 // Play plays a case by a policy. The same case gives the same figures.
 func Play(c Case, p Policy) Figures {
-	s := &sim{Case: c, service: model.Listing{Calls: c.Calls, Call: c.Call, Line: c.Line, Beyond: c.Beyond}, rand: rand.New(rand.NewPCG(c.Seed, 1))}
+	s := &sim{Case: c, service: model.ListService{Concurrency: c.Calls, ServiceTime: c.Call, MaxQueue: c.Line, OnOverflow: c.Beyond}, rand: rand.New(rand.NewPCG(c.Seed, 1))}
 	f := pacing.Fleet{Instances: cmp.Or(c.Told, c.Instances), Rate: c.Rate, Burst: c.Burst, Watch: time.Second}
 	s.all = make([]instance, c.Instances)
 	for i := range s.all {
@@ -185,11 +185,11 @@
 	if c.listed >= 0 {
 		wait = c.Wait()
 	}
-	answered, room := s.service.Ask(now, 1)
-	s.out.Line = max(s.out.Line, s.service.Waiting(now))
+	answered, room := s.service.Call(now, 1)
+	s.out.Line = max(s.out.Line, s.service.Queued(now))
 	if !room {
 		s.out.Turned++
-		if s.Beyond == model.Silences {
+		if s.Beyond == model.OverflowDrop {
 			end(now+wait+c.Within(), pacing.End{How: pacing.Silent, Took: c.Within()})
 			return
 		}
--- a/internal/lab/pollsim/asking_test.go
+++ b/internal/lab/pollsim/asking_test.go
@@ -13,7 +13,7 @@
 func TestColdStart(t *testing.T) {
 	for _, n := range []int{1, 10, 300, 1000} {
 		for seed := range uint64(5) {
-			c := Case{Instances: n, Spread: time.Second, Rate: 150, Burst: 20, Calls: 4, Call: 20 * time.Millisecond, Line: 40, Beyond: model.Turns,
+			c := Case{Instances: n, Spread: time.Second, Rate: 150, Burst: 20, Calls: 4, Call: 20 * time.Millisecond, Line: 40, Beyond: model.OverflowReject,
 				Down: 3 * time.Second, Length: 20 * time.Second, Seed: seed + 1}
 			f := Play(c, Policies["pace"])
 			most := max(time.Second, time.Duration(1.5*float64(n)/200*float64(time.Second)))
@@ -32,7 +32,7 @@
 
 // A service that comes and goes, answers late, or brings news to all at once is asked beyond its line by nobody.
 func TestBadServices(t *testing.T) {
-	usual := Case{Instances: 300, Spread: time.Second, Rate: 150, Burst: 20, Calls: 4, Call: 20 * time.Millisecond, Line: 40, Beyond: model.Turns,
+	usual := Case{Instances: 300, Spread: time.Second, Rate: 150, Burst: 20, Calls: 4, Call: 20 * time.Millisecond, Line: 40, Beyond: model.OverflowReject,
 		Length: 60 * time.Second}
 	for name, change := range map[string]func(*Case){
 		"up for 1 s in 5":     func(c *Case) { c.Up, c.Off = time.Second, 4*time.Second },
@@ -56,7 +56,7 @@
 // no storm of it: none is turned away. By the rule for an agent of the machine's own many are, so that the case can fail.
 func TestCutForAnHour(t *testing.T) {
 	for seed := range uint64(3) {
-		c := Case{Instances: 300, Spread: time.Second, Rate: 150, Burst: 20, Calls: 4, Call: 20 * time.Millisecond, Line: 40, Beyond: model.Turns,
+		c := Case{Instances: 300, Spread: time.Second, Rate: 150, Burst: 20, Calls: 4, Call: 20 * time.Millisecond, Line: 40, Beyond: model.OverflowReject,
 			Cut: 100, CutAt: time.Minute, CutFor: time.Hour, Length: 62 * time.Minute, Seed: seed + 1}
 		period := time.Duration(float64(c.Instances) / c.Rate * float64(time.Second))
 		if f := Play(c, Policies["pace"]); f.Turned > 0 || f.Never > 0 || f.Healed == 0 || f.Healed > 2*period+dialOut {
--- a/internal/lab/simulation/boxes.go
+++ b/internal/lab/simulation/boxes.go
@@ -12,7 +12,7 @@
 
 // box is a server, its idle connections and what is at it.
 type box struct {
-	m       *model.Server
+	m       *model.Endpoint
 	wakes   time.Duration // the earliest waking that is in the queue
 	idle    []idleConns   // by sidecar, from 1 on; the first is that of the plain policy's clients
 	absent  bool
@@ -64,14 +64,14 @@
 
 func (s *sim) makeBoxes() {
 	s.byName = map[string]int{}
-	keys := make([]*model.Keys, len(s.p.Scenario.Tiers))
+	keys := make([]*model.DedupStore, len(s.p.Scenario.Tiers))
 	for i := range s.p.Endpoints {
 		b := &s.p.Endpoints[i]
 		m := model.New(b.Spec, b.Seed)
 		if keys[b.Tier] == nil {
-			keys[b.Tier] = model.NewKeys(b.Spec.KeyWindow)
+			keys[b.Tier] = model.NewDedupStore(b.Spec.DedupWindow)
 		}
-		m.ShareKeys(keys[b.Tier])
+		m.ShareDedup(keys[b.Tier])
 		if b.Start == "cold" {
 			m.Start(0, true)
 		}
@@ -117,7 +117,7 @@
 	switch {
 	case b.absent || b.m.Phase(s.now) == model.Down:
 		s.at(s.now+2*s.delay, event{kind: evOutcome, a: int32(k), b: int32(balance.ConnectFailed)})
-	case b.m.Phase(s.now) == model.Silent:
+	case b.m.Phase(s.now) == model.Unresponsive:
 		s.at(s.now+s.p.Scenario.Rules.ConnectTimeout.D(), event{kind: evOutcome, a: int32(k), b: int32(balance.ConnectFailed)})
 	default:
 		s.at(s.now+2*s.delay, event{kind: evConnected, a: int32(k)})
@@ -131,12 +131,12 @@
 		return
 	}
 	switch s.boxes[a.box].m.Connect(s.now) {
-	case model.Accepted:
+	case model.ConnectionAccepted:
 		a.state = underWay
 		s.at(s.now+s.delay, event{kind: evVisit, a: int32(k)})
-	case model.Refused:
+	case model.ConnectionRefused:
 		s.settle(k, balance.ConnectFailed)
-	case model.Unanswered:
+	case model.ConnectionDropped:
 		s.at(a.sentAt+s.p.Scenario.Rules.ConnectTimeout.D(), event{kind: evOutcome, a: int32(k), b: int32(balance.ConnectFailed)})
 	}
 	s.act(a.box)
@@ -150,7 +150,7 @@
 	}
 	b, t := &s.boxes[a.box], &s.log.ClientAttempts[a.try]
 	switch b.m.Phase(s.now) {
-	case model.Silent: // it goes nowhere; the time-out ends it
+	case model.Unresponsive: // it goes nowhere; the time-out ends it
 		return
 	case model.Down:
 		s.breakOff(k)
@@ -169,8 +169,8 @@
 	s.visits = append(s.visits, visit{attempt: k, number: number, until: s.now + s.told(a), call: -1})
 	a.visit = v
 	s.segments = s.p.Segments(s.segments[:0], t.Request, t.TransactionID, a.box, number)
-	b.m.Arrive(s.now, model.Job{ID: uint64(v) + 1, Key: key, Segments: s.segments, FirstOn: a.newConn,
-		Class: t.Class + 1, Conn: a.conn})
+	b.m.Arrive(s.now, model.Job{ID: uint64(v) + 1, IdempotencyKey: key, Segments: s.segments, NewConnection: a.newConn,
+		Class: t.Class + 1, ConnectionID: a.conn})
 	s.act(a.box)
 	if a.withdraw { // its caller gave it up while it was on its way
 		s.withdrawn(v)
@@ -203,41 +203,41 @@
 		s.effect(i, &e)
 	}
 	s.effects = s.effects[:from]
-	if next := b.m.Next(); next < b.wakes {
+	if next := b.m.NextEvent(); next < b.wakes {
 		b.wakes = next
 		s.at(next, event{kind: evBox, a: int32(i)})
 	}
 }
 
-func (s *sim) effect(i int, e *model.Effect) {
+func (s *sim) effect(i int, e *model.Event) {
 	b := &s.boxes[i]
-	if e.Kind == model.Reset {
+	if e.Kind == model.EventReset {
 		s.reset(i)
 		return
 	}
 	v := int(e.Job) - 1
 	l, state := &s.log.EndpointRequests[v], &s.visits[v]
 	switch e.Kind {
-	case model.Started:
-		l.Started, l.Deduplicated = e.At, e.Repeat
-	case model.Answered:
-		l.Work = e.Done
-		s.endVisit(v, e.At, answerEnds[e.Answer])
-		s.respond(state.attempt, e.Answer)
-	case model.Lost:
-		l.Work = e.Done
+	case model.EventStarted:
+		l.Started, l.Deduplicated = e.At, e.Deduplicated
+	case model.EventResponded:
+		l.Work = e.Work
+		s.endVisit(v, e.At, answerEnds[e.Response])
+		s.respond(state.attempt, e.Response)
+	case model.EventLost:
+		l.Work = e.Work
 		end := trace.OutcomeCanceled
 		if b.m.Phase(s.now) != model.Up || !s.attempts[state.attempt].withdraw {
 			end = trace.OutcomeLost
 		}
 		s.endVisit(v, e.At, end)
-	case model.Calling:
+	case model.EventCalling:
 		s.callNext(i, v, e.Call)
 	}
 }
 
-var answerEnds = [...]trace.Outcome{model.OK: trace.OutcomeOK, model.Errored: trace.OutcomeError, model.TurnedAway: trace.OutcomeRejected,
-	model.CutOff: trace.OutcomeCorrupted, model.Spoilt: trace.OutcomeCorrupted, model.Dripped: trace.OutcomeCorrupted}
+var answerEnds = [...]trace.Outcome{model.ResponseOK: trace.OutcomeOK, model.ResponseError: trace.OutcomeError, model.ResponseRejected: trace.OutcomeRejected,
+	model.ResponseTruncated: trace.OutcomeCorrupted, model.ResponseCorrupted: trace.OutcomeCorrupted, model.ResponseTrickled: trace.OutcomeCorrupted}
 
 func (s *sim) endVisit(v int, at time.Duration, end trace.Outcome) {
 	if s.visits[v].over {
@@ -260,18 +260,18 @@
 }
 
 // respond is a box's answer on its way back.
-func (s *sim) respond(k int, answer model.Answer) {
+func (s *sim) respond(k int, answer model.Response) {
 	status, after, keep := balance.OK, s.delay, true
 	switch answer {
-	case model.Errored:
+	case model.ResponseError:
 		status = balance.Error
-	case model.TurnedAway:
+	case model.ResponseRejected:
 		status = balance.Full
-	case model.CutOff:
+	case model.ResponseTruncated:
 		status, keep = balance.Reset, false
-	case model.Spoilt:
+	case model.ResponseCorrupted:
 		status, keep = balance.Error, false
-	case model.Dripped:
+	case model.ResponseTrickled:
 		status, after, keep = balance.Error, s.delay+dripCut, false
 	}
 	a := &s.attempts[k]
@@ -398,7 +398,7 @@
 		return
 	}
 	box := s.log.EndpointRequests[v].Endpoint
-	s.boxes[box].m.Withdraw(s.now, uint64(v)+1)
+	s.boxes[box].m.Cancel(s.now, uint64(v)+1)
 	s.act(box)
 	if !s.visits[v].over { // the box works on, and so does its call
 		s.visits[v].over = true
@@ -427,7 +427,7 @@
 			s.breakOff(k)
 		}
 	}
-	if b.m.Load(s.now).Fallen && !b.fallen {
+	if b.m.Load(s.now).Collapsed && !b.fallen {
 		b.fallen = true
 		s.listed[i] = false
 		s.at(s.now+s.p.Scenario.Discovery.RemoveDelay.D(), event{kind: evFell, a: int32(i)})
@@ -482,6 +482,6 @@
 	if s.p.Scenario.Tiers[s.p.Endpoints[box].Tier].Propagates == "all" {
 		s.visits[v].tried = t
 	}
-	s.boxes[box].m.Returned(s.now, uint64(v)+1, ok)
+	s.boxes[box].m.CallReturned(s.now, uint64(v)+1, ok)
 	s.act(box)
 }
--- a/internal/lab/simulation/sidecar.go
+++ b/internal/lab/simulation/sidecar.go
@@ -366,7 +366,7 @@
 		b := &s.boxes[box]
 		switch phase := b.m.Phase(s.now); {
 		case b.absent || phase == model.Down:
-		case phase == model.Silent:
+		case phase == model.Unresponsive:
 			after = min(probeTimeout, s.p.Scenario.Rules.ConnectTimeout.D())
 		case b.hung > 0:
 			status, after = balance.Timeout, probeTimeout
--- a/internal/lab/simulation/virtual.go
+++ b/internal/lab/simulation/virtual.go
@@ -146,7 +146,7 @@
 	open     int     // tries of clients that have not ended, and requests that are still to come
 	listed   []bool  // plain policy: whether clients send to a box
 	round    int     // plain policy: whose turn it is
-	effects  []model.Effect
+	effects  []model.Event
 	segments []time.Duration
 }
 
@@ -357,8 +357,8 @@
 		b := &s.boxes[i]
 		s.act(i)
 		l := b.m.Load(s.now)
-		s.log.Samples = append(s.log.Samples, trace.Sample{At: s.now, Endpoint: i, Running: l.InWork, Queued: l.Waiting,
-			Connections: l.Connections, Capacity: l.Capacity, SentWork: l.SentWork, PossibleWork: l.Could, DoneWork: l.Did, WarmingUp: l.Cold, Collapsed: l.Fallen})
+		s.log.Samples = append(s.log.Samples, trace.Sample{At: s.now, Endpoint: i, Running: l.Running, Queued: l.Queued,
+			Connections: l.Connections, Capacity: l.Capacity, SentWork: l.SentWork, PossibleWork: l.PossibleWork, DoneWork: l.DoneWork, WarmingUp: l.WarmingUp, Collapsed: l.Collapsed})
 		for pool := range b.idle {
 			s.retire(i, pool-1)
 		}
@@ -374,16 +374,16 @@
 		if e.Fault.Kind == model.Hang {
 			s.boxes[e.Endpoint].hung++
 		}
-		s.boxes[e.Endpoint].m.Begin(s.now, e.Fault)
+		s.boxes[e.Endpoint].m.StartFault(s.now, e.Fault)
 		s.act(e.Endpoint)
-		if s.sidecars == nil && (e.Fault.Kind == model.Dead || e.Fault.Kind == model.Vanish) {
+		if s.sidecars == nil && (e.Fault.Kind == model.Crash || e.Fault.Kind == model.Vanish) {
 			s.listed[e.Endpoint] = false
 		}
 	case plan.EndFault:
 		if e.Fault.Kind == model.Hang {
 			s.boxes[e.Endpoint].hung--
 		}
-		s.boxes[e.Endpoint].m.End(s.now, e.Fault.ID)
+		s.boxes[e.Endpoint].m.EndFault(s.now, e.Fault.ID)
 		s.act(e.Endpoint)
 		s.listed[e.Endpoint] = !s.boxes[e.Endpoint].fallen
 	case plan.StartEndpoint:
--- a/internal/lab/stubfleet/play.go
+++ b/internal/lab/stubfleet/play.go
@@ -53,7 +53,7 @@
 	defer runtime.UnlockOSThread()
 	p := &play{Case: c}
 	if c.Calls > 0 {
-		p.service = NewService(c.Hosts, &model.Listing{Calls: c.Calls, Call: c.Call, Line: c.Line, Beyond: model.Turns})
+		p.service = NewService(c.Hosts, &model.ListService{Concurrency: c.Calls, ServiceTime: c.Call, MaxQueue: c.Line, OnOverflow: model.OverflowReject})
 	} else {
 		p.service = NewService(c.Hosts, nil)
 	}
--- a/internal/lab/stubfleet/service.go
+++ b/internal/lab/stubfleet/service.go
@@ -28,8 +28,8 @@
 // The service of package live belongs to a play: each answer is made for one sidecar of a plan, and each call is kept in the
 // trace. Here an answer is made once for all that ask for the same, or the stand-in would cost more than what it measures.
 type Service struct {
-	capacity *model.Listing // nil: there is no bound
-	asking   sync.Mutex     // of capacity
+	capacity *model.ListService // nil: there is no bound
+	asking   sync.Mutex         // of capacity
 
 	mu      sync.Mutex
 	hosts   []host
@@ -71,7 +71,7 @@
 )
 
 // NewService makes a service with so many hosts, all ready. Capacity is its bound; nil is none.
-func NewService(hosts int, capacity *model.Listing) *Service {
+func NewService(hosts int, capacity *model.ListService) *Service {
 	s := &Service{capacity: capacity, answers: map[int64][]byte{}, news: make(chan struct{})}
 	for i := range hosts {
 		s.hosts = append(s.hosts, host{cluster.Member{ID: fmt.Sprintf("host-%05d", i), Addr: fmt.Sprintf("127.0.0.1:%d", firstPort+i), Zone: zoneNames[i%len(zoneNames)],
@@ -281,7 +281,7 @@
 	}
 	s.asking.Lock()
 	now := clock()
-	answered, room := s.capacity.Ask(now, 1)
+	answered, room := s.capacity.Call(now, 1)
 	s.asking.Unlock()
 	if !room {
 		return false
