--- a/internal/lab/model/server_test.go
+++ b/internal/lab/model/endpoint_test.go
@@ -11,25 +11,25 @@
 
 const ms = time.Millisecond
 
-// one has a core that does a job at a time, and starts cold at half of its capacity for a second.
+// one has a core that runs one job at a time, and a warm-up of a second from half of its capacity.
 var one = Spec{Cores: 1, Speed: 1, Slots: 1, Queue: 2, WarmupInitialShare: 0.5, WarmupDuration: time.Second, Cancel: CancelAll}
 
-// with is one, changed.
+// with returns one with a change.
 func with(change func(*Spec)) Spec {
 	spec := one
 	change(&spec)
 	return spec
 }
 
-// tell writes effects as "kind job@ms", answers with what they are.
-func tell(effects []Event) string {
+// describe writes events as "kind job@ms", a response by what it is.
+func describe(events []Event) string {
 	kinds := []string{EventStarted: "start", EventCalling: "call", EventReset: "reset", EventLost: "lost"}
-	answers := []string{ResponseOK: "ok", ResponseError: "error", ResponseRejected: "away", ResponseTruncated: "cut", ResponseCorrupted: "spoilt", ResponseTrickled: "drip"}
+	responses := []string{ResponseOK: "ok", ResponseError: "error", ResponseRejected: "rejected", ResponseTruncated: "truncated", ResponseCorrupted: "corrupted", ResponseTrickled: "trickled"}
 	var words []string
-	for _, e := range effects {
+	for _, e := range events {
 		word := ""
 		if e.Kind == EventResponded {
-			word = answers[e.Response]
+			word = responses[e.Response]
 		} else {
 			word = kinds[e.Kind]
 		}
@@ -51,7 +51,7 @@
 	s.Arrive(at, Job{ID: id, Segments: segments})
 }
 
-// Each script is played on a server, which is then advanced as Next says for 10 s, and its effects are told.
+// Each script is played on an endpoint, which is then advanced by NextEvent for 10 s.
 func TestScripts(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -63,7 +63,7 @@
 			for id := range uint64(4) {
 				arrive(s, 0, id, 10*ms)
 			}
-		}, "start 0@0, away 3@0, ok 0@10, start 1@10, ok 1@20, start 2@20, ok 2@30"},
+		}, "start 0@0, rejected 3@0, ok 0@10, start 1@10, ok 1@20, start 2@20, ok 2@30"},
 		{"two share a core, the third has it alone at last", with(func(p *Spec) { p.Slots = 2 }), func(s *Endpoint) {
 			arrive(s, 0, 1, 10*ms)
 			arrive(s, 0, 2, 20*ms)
@@ -185,7 +185,7 @@
 				arrive(s, 0, id, 10*ms)
 				s.EndFault(time.Duration(id)*10*ms+15*ms, 2-int(id))
 			}
-		}, "start 0@0, cut 0@10, start 1@15, spoilt 1@25, start 2@25, drip 2@35, start 3@35, ok 3@45"},
+		}, "start 0@0, truncated 0@10, start 1@15, corrupted 1@25, start 2@25, trickled 2@35, start 3@35, ok 3@45"},
 		{"errors come after the work", with(func(p *Spec) { p.ErrorRate = 1 }), func(s *Endpoint) {
 			s.StartFault(0, Fault{ID: 1, Kind: Truncate, Size: 1})
 			arrive(s, 0, 1, 10*ms)
@@ -235,18 +235,18 @@
 			s.EndFault(20*ms, 2)
 			arrive(s, 20*ms, 2, 10*ms)
 		}, "start 2@20, ok 2@30"},
-		{"falls over and stays down", with(func(p *Spec) { p.CollapseMultiple, p.CollapseWindow, p.Slots = 2, 100*ms, 2 }), func(s *Endpoint) {
+		{"collapses and stays down", with(func(p *Spec) { p.CollapseMultiple, p.CollapseWindow, p.Slots = 2, 100*ms, 2 }), func(s *Endpoint) {
 			s.Start(0, true)
 			arrive(s, 0, 1, 60*ms)
-			arrive(s, 1*ms, 2, 60*ms) // 120 ms of work in a window that stands 100 and a little
+			arrive(s, 1*ms, 2, 60*ms) // 120 ms of work in a window for 100 and a little
 			s.StartFault(2*ms, Fault{ID: 1, Kind: Crash, Size: 0})
 			s.EndFault(3*ms, 1)
 			s.Start(4*ms, false)
 			if s.Phase(time.Second) != Down || !s.Load(time.Second).Collapsed {
-				t.Error("it stands again")
+				t.Error("it is up again")
 			}
 		}, "reset@0, start 1@0, reset@1, lost 1@1, lost 2@1"},
-		{"falls of what it failed at once, when it gets slower", with(func(p *Spec) { p.CollapseMultiple, p.CollapseWindow = 2, 100*ms }), func(s *Endpoint) {
+		{"collapses of what it failed at once, when it gets slower", with(func(p *Spec) { p.CollapseMultiple, p.CollapseWindow = 2, 100*ms }), func(s *Endpoint) {
 			s.StartFault(0, Fault{ID: 1, Kind: Fail, Size: 1})
 			s.Start(0, true)
 			arrive(s, 10*ms, 1, 90*ms)
@@ -256,24 +256,24 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := New(c.spec, 1)
 			c.script(s)
-			var effects []Event
+			var events []Event
 			for s.NextEvent() <= 10*time.Second {
-				effects = s.Advance(s.NextEvent(), effects)
+				events = s.Advance(s.NextEvent(), events)
 			}
-			if got := tell(effects); got != c.want {
+			if got := describe(events); got != c.want {
 				t.Errorf("got  %s\nwant %s", got, c.want)
 			}
 		})
 	}
 }
 
-// A server that is sent just what it stands while it is cold doesn't fall, and a warm one never does.
-func TestStands(t *testing.T) {
+// An endpoint that is sent just below the limit while it warms up does not collapse, and one with its full capacity never does.
+func TestSustainableLoadDoesNotCollapse(t *testing.T) {
 	spec := with(func(p *Spec) { p.CollapseMultiple, p.CollapseWindow = 2.5, 100*ms })
 	for name, load := range map[string]struct {
-		cold     bool
-		multiple float64
-		fallen   bool
+		cold      bool
+		multiple  float64
+		collapsed bool
 	}{"cold, 2.4 times": {true, 2.4, false}, "cold, 2.6 times": {true, 2.6, true}, "warm": {false, 0, false}} {
 		s := New(spec, 1)
 		s.Start(0, load.cold)
@@ -284,14 +284,14 @@
 			}
 			arrive(s, at, uint64(at), time.Duration(multiple*s.Capacity(at)*float64(ms)))
 		}
-		if l := s.Load(2 * time.Second); l.Collapsed != load.fallen {
+		if l := s.Load(2 * time.Second); l.Collapsed != load.collapsed {
 			t.Errorf("%s: %+v", name, l)
 		}
 	}
 }
 
-// It counts the busy time of its cores: idle it stays cold, at work it is warm after WarmupDuration of it.
-func TestWarmByWork(t *testing.T) {
+// The busy time of the cores counts: while idle the endpoint makes no progress.
+func TestWarmupByWork(t *testing.T) {
 	s := New(with(func(p *Spec) { p.WarmupByWork, p.Cores, p.Slots = true, 2, 2 }), 1)
 	s.Start(0, true)
 	if c := s.Capacity(time.Hour); c != 1 {
@@ -309,23 +309,23 @@
 }
 
 // Jobs that are alike and share a core end in the same ns, in order, whatever the rounding.
-func TestEqualsEndTogether(t *testing.T) {
+func TestEqualJobsEndTogether(t *testing.T) {
 	for i := range 1000 {
 		s := New(Spec{Cores: 1, Speed: 0.3 + float64(i)/700, Slots: 3}, 1)
 		for id := range uint64(3) {
 			arrive(s, time.Second, id, 7*ms)
 		}
-		effects := s.Advance(time.Minute, nil)[3:]
-		for id, e := range effects {
-			if e.At != effects[0].At || e.Job != uint64(id) {
-				t.Fatalf("speed %v: %v", s.spec.Speed, tell(effects))
+		events := s.Advance(time.Minute, nil)[3:]
+		for id, e := range events {
+			if e.At != events[0].At || e.Job != uint64(id) {
+				t.Fatalf("speed %v: %v", s.spec.Speed, describe(events))
 			}
 		}
 	}
 }
 
-// Shares and pauses come out as asked for, independent of each other, and leave other jobs as they were.
-func TestChance(t *testing.T) {
+// Shares and pauses are as configured, independent of each other, and leave other jobs as they were.
+func TestSharesAndPausesAreDrawnIndependently(t *testing.T) {
 	const n = 100_000
 	answers := func(share float64) (a [n]Response) {
 		s := New(one, 3)
@@ -370,8 +370,8 @@
 	}
 }
 
-// Servers that share their keys know each other's, for the window, and forget them after.
-func TestSharedKeys(t *testing.T) {
+// Endpoints that share a store know each other's keys for the window, and not after.
+func TestSharedDedupStore(t *testing.T) {
 	keys := NewDedupStore(20 * ms)
 	a, b := New(one, 1), New(one, 2)
 	a.ShareDedup(keys)
@@ -393,6 +393,6 @@
 		keys.SeenBefore(time.Duration(key)*ms+time.Second, key)
 	}
 	if len(keys.firstRuns) != 20 || keys.order.len() != 20 || cap(keys.order.items) > 200 {
-		t.Errorf("%d keys, %d in order, room for %d", len(keys.firstRuns), keys.order.len(), cap(keys.order.items))
+		t.Errorf("%d keys, %d in order, capacity for %d", len(keys.firstRuns), keys.order.len(), cap(keys.order.items))
 	}
 }
--- a/internal/lab/model/queue.go
+++ b/internal/lab/model/fifo.go
@@ -1,6 +1,6 @@
 package model
 
-// queue is first in, first out. Its memory follows the most that it has held.
+// fifo is a first in, first out queue. Its memory is in proportion to its longest length so far.
 type fifo[T any] struct {
 	items []T
 	head  int
--- a/internal/lab/model/pauses.go
+++ b/internal/lab/model/pauses.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// pauses are moments in which a process stands still. Gaps and lengths are exponential with the spec's means,
-// a gap being from the end of one pause to the start of the next. They begin anew with each process.
+// pauses are times in which a process makes no progress. Their lengths, and the intervals from the end of one to the
+// start of the next, are exponential with the spec's means. They start again with each process.
 type pauses struct {
 	interval, length time.Duration
 	random           *rand.Rand
 	paused           bool
-	next             time.Duration // turn
+	next             time.Duration // toggle
 }
 
 func newPauses(spec Spec, seed uint64) pauses {
@@ -30,7 +30,7 @@
 
 func (p *pauses) end() { p.paused, p.next = false, Never }
 
-// turn starts a pause, or ends it.
+// toggle starts or ends a pause.
 func (p *pauses) toggle(now time.Duration) {
 	p.paused = !p.paused
 	if p.paused {
--- a/internal/lab/model/pressure.go
+++ b/internal/lab/model/pressure.go
@@ -2,15 +2,13 @@
 
 import "time"
 
-// pressure watches whether a cold server is sent more than it stands. In every window of the spec's length,
-// the work sent must stay within CollapseMultiple times the integral of what it can do. Before its start it counts
-// as having been able to do what it can at its start, so that a burst right then is judged at once, against
-// a whole window.
+// pressure decides whether an endpoint that is warming up collapses. In every window of the spec's length, the work sent
+// must stay within CollapseMultiple times the integral of the nominal capacity. Before the start that capacity counts as
+// it is at the start, so that a burst right then is judged at once, against a full window.
 //
-// Whether it falls is exact. Both integrals are kept as marks, one at each arrival and at each change of
-// capacity; between marks the excess is a straight line, so that it is highest where a mark enters the window
-// or leaves it, which is where it is judged. What is sent is judged as it comes; a loss of capacity alone may
-// tell only at the next mark.
+// The decision is exact. Both integrals are kept as observations, one at each arrival and at each change of capacity.
+// Between observations the excess is linear, so that it is highest where one enters or leaves the window, which is where
+// it is compared. What is sent is compared as it comes; a loss of capacity alone may show only at the next observation.
 type pressure struct {
 	active       bool
 	window       time.Duration
@@ -20,18 +18,18 @@
 	peak         float64
 }
 
-// mark is both integrals at one moment.
+// observation is both integrals at one moment.
 type observation struct {
 	at       time.Duration
 	sent     time.Duration // before what came at this moment
 	possible rateIntegral  // from this moment on
 }
 
-func (p *pressure) begin(spec Spec, now, sent time.Duration, able *rateIntegral) {
+func (p *pressure) begin(spec Spec, now, sent time.Duration, possible *rateIntegral) {
 	p.end()
 	p.active = spec.CollapseWindow > 0
 	p.window, p.multiple = spec.CollapseWindow, spec.CollapseMultiple
-	p.expired = observation{now, sent, *able}
+	p.expired = observation{now, sent, *possible}
 }
 
 func (p *pressure) end() {
@@ -39,7 +37,7 @@
 	p.observations.clear()
 }
 
-// next is when the oldest mark leaves the window.
+// next is when the oldest observation leaves the window.
 func (p *pressure) next() time.Duration {
 	if p.observations.len() == 0 {
 		return Never
@@ -47,33 +45,33 @@
 	return p.observations.front().at + p.window
 }
 
-// mark notes an arrival, before which sent was before, or a change of capacity. It says whether that was
-// too much.
-func (p *pressure) record(now, before, sent time.Duration, able *rateIntegral) bool {
+// record adds an observation: an arrival, before which sent was before, or a change of capacity. It reports whether the
+// limit is exceeded.
+func (p *pressure) record(now, before, sent time.Duration, possible *rateIntegral) bool {
 	if !p.active {
 		return false
 	}
-	p.observations.push(observation{now, before, *able})
-	return p.exceeded(now, sent, able)
+	p.observations.push(observation{now, before, *possible})
+	return p.exceeded(now, sent, possible)
 }
 
-// leave lets the oldest mark go. It says whether the window up to then had too much.
-func (p *pressure) expire(sent time.Duration, able *rateIntegral) bool {
+// expire removes the oldest observation. It reports whether the limit was exceeded in the window up to then.
+func (p *pressure) expire(sent time.Duration, possible *rateIntegral) bool {
 	now := p.next()
-	over := p.exceeded(now, sent, able)
+	exceeded := p.exceeded(now, sent, possible)
 	p.expired = p.observations.pop()
-	return over
+	return exceeded
 }
 
-// over judges the window that ends now; the oldest mark counts as within.
-func (p *pressure) exceeded(now, sent time.Duration, able *rateIntegral) bool {
+// exceeded compares the window that ends now; the oldest observation counts as within.
+func (p *pressure) exceeded(now, sent time.Duration, possible *rateIntegral) bool {
 	work := float64(sent - p.observations.front().sent)
-	could := able.at(now) - p.expired.possible.at(now-p.window)
+	possibleWork := possible.at(now) - p.expired.possible.at(now-p.window)
 	if work <= 0 {
 		return false
 	}
-	if could > 0 {
-		p.peak = max(p.peak, work/could)
+	if possibleWork > 0 {
+		p.peak = max(p.peak, work/possibleWork)
 	}
-	return p.multiple > 0 && work > p.multiple*could
+	return p.multiple > 0 && work > p.multiple*possibleWork
 }
--- a/internal/lab/model/property_test.go
+++ b/internal/lab/model/property_test.go
@@ -12,14 +12,14 @@
 	"pgregory.net/rapid"
 )
 
-// CI has to come to the same verdict every time; -rapid.seed=0 looks further.
+// CI has to come to the same result every time; -rapid.seed=0 searches further.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
 	}
 }
 
-// op is a line of a script.
+// op is a step of a script.
 type op struct {
 	at   time.Duration
 	call func(s *Endpoint)
@@ -48,8 +48,8 @@
 	}
 })
 
-// scripts makes random calls of every kind, jobs numbered in order and calls of the next tier returned whether
-// they were made or not.
+// scripts makes random calls of every kind, with jobs numbered in order, and calls of the next tier returned whether they
+// were made or not.
 var scripts = rapid.Custom(func(t *rapid.T) []op {
 	var ops []op
 	var at time.Duration
@@ -104,9 +104,9 @@
 	return w
 }
 
-// Whatever is called: every job that came while the server was up has at most one end and is counted until
-// then; no work is lost, made, or done faster than the capacity allows.
-func TestNothingIsLostOrMade(t *testing.T) {
+// Whatever is called: every job that came while the endpoint was up ends at most once and is counted until then; work is
+// conserved, and none is done faster than the capacity allows.
+func TestWorkIsConserved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := specs.Draw(t, "spec")
 		s := New(spec, rapid.Uint64().Draw(t, "seed"))
@@ -183,8 +183,8 @@
 	})
 }
 
-// However often it is looked at, and also with nothing but an Advance whenever Next says so, it does the same.
-func TestLookingChangesNothing(t *testing.T) {
+// However often it is observed, and also with nothing but an Advance at every NextEvent, it does the same.
+func TestObservingChangesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec, seed, script := specs.Draw(t, "spec"), rapid.Uint64().Draw(t, "seed"), scripts.Draw(t, "script")
 		end := script[len(script)-1].at + time.Second
@@ -230,10 +230,10 @@
 	})
 }
 
-// Against a slow oracle that keeps what is left of each job and looks at all of them at each change: a server
-// that shares its cores and gets less efficient when crowded ends every job when the oracle does, but for the
-// rounding of times to whole ns.
-func TestSharing(t *testing.T) {
+// Against a slow oracle that keeps the remaining work of each job and goes through all of them at each change: an endpoint
+// that shares its cores and loses efficiency under overload ends every job when the oracle does, but for the rounding of
+// times to whole ns.
+func TestProcessorSharing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := Spec{Cores: rapid.IntRange(1, 3).Draw(t, "cores"), Speed: rapid.Float64Range(0.5, 2).Draw(t, "speed"),
 			Slots: rapid.IntRange(1, 6).Draw(t, "slots"), Queue: 1000,
@@ -258,28 +258,28 @@
 			job  int
 			work float64
 		}
-		var held []left
+		var pending []left
 		var at float64
 		arrival, next := float64(gaps[0]), 0
-		for next < len(gaps) || len(held) > 0 {
-			n := min(len(held), spec.Slots)
+		for next < len(gaps) || len(pending) > 0 {
+			n := min(len(pending), spec.Slots)
 			rate := spec.Speed * min(1, float64(spec.Cores)/float64(n))
-			if over := len(held) - spec.OverloadAt; spec.OverloadAt > 0 && over > 0 {
+			if over := len(pending) - spec.OverloadAt; spec.OverloadAt > 0 && over > 0 {
 				rate /= 1 + spec.OverloadLoss*float64(over)/float64(spec.OverloadAt)
 			}
 			ends := math.Inf(1)
 			if n > 0 {
-				ends = at + slices.MinFunc(held[:n], func(a, b left) int { return cmp.Compare(a.work, b.work) }).work/rate
+				ends = at + slices.MinFunc(pending[:n], func(a, b left) int { return cmp.Compare(a.work, b.work) }).work/rate
 			}
 			then := ends
 			if next < len(gaps) {
 				then = min(then, arrival)
 			}
 			for i := range n {
-				held[i].work -= rate * (then - at)
+				pending[i].work -= rate * (then - at)
 			}
 			at = then
-			held = slices.DeleteFunc(held, func(l left) bool {
+			pending = slices.DeleteFunc(pending, func(l left) bool {
 				if l.work > 1e-3 {
 					return false
 				}
@@ -289,7 +289,7 @@
 				return true
 			})
 			if next < len(gaps) && at == arrival {
-				held = append(held, left{next, float64(works[next])})
+				pending = append(pending, left{next, float64(works[next])})
 				if next++; next < len(gaps) {
 					arrival += float64(gaps[next])
 				}
@@ -298,7 +298,7 @@
 	})
 }
 
-// Whatever is put in and taken out of the middle, none is before the one above it.
+// Whatever is pushed and removed, also from the middle, no entry is before its parent.
 func TestHeap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h workHeap
@@ -322,10 +322,10 @@
 	})
 }
 
-// Against an oracle that adds up every window ending at any ms: a server that warms by time falls when, and
-// only when, some window had more than the multiple; and its worst window is the oracle's. For a time it may be
-// slow; if that alone tips it, it falls within a step of its warming.
-func TestFallsWhenSentTooMuch(t *testing.T) {
+// Against an oracle that sums up every window ending at any ms: an endpoint that warms up by time collapses when, and only
+// when, some window had more than the multiple, and its peak pressure is the oracle's. For a time it may be slow; if that
+// alone is too much, it collapses within a step of its warm-up.
+func TestCollapseMatchesOracle(t *testing.T) {
 	fell := 0
 	rapid.Check(t, func(t *rapid.T) {
 		spec := Spec{Cores: 2, Speed: 1, Slots: 2, Queue: 2, WarmupInitialShare: rapid.Float64Range(0.1, 0.9).Draw(t, "from"),
@@ -366,7 +366,7 @@
 					load += sent[k]
 				}
 			}
-			// A window has one of its ends: the first, or the last.
+			// A window includes one of its ends: the first, or the last.
 			if first := ms - window; first >= 0 {
 				load = max(load, load-sent[first]+sent[ms])
 			} else {
--- a/internal/lab/model/theory_test.go
+++ b/internal/lab/model/theory_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// stream is jobs with exponential gaps.
+// stream is a Poisson stream of jobs.
 type stream struct {
 	jobs int
 	gap  time.Duration                         // mean
@@ -24,13 +24,13 @@
 	return func(*rand.Rand) time.Duration { return w }
 }
 
-// run is what came of a stream, a job an entry, and the integral of what the server said that it held.
+// run is the outcome of a stream, an entry for each job, and the integral of the pending jobs that the endpoint reported.
 type run struct {
 	waits, sojourns []float64
-	held            float64
+	pending         float64
 }
 
-// play sends a stream to a server and goes on until all is answered.
+// play sends a stream to an endpoint and goes on until every job has its response.
 func play(s *Endpoint, load stream) run {
 	random := rand.New(rand.NewPCG(load.seed, 0))
 	r := run{waits: make([]float64, load.jobs), sojourns: make([]float64, load.jobs)}
@@ -45,7 +45,7 @@
 			next = min(next, arrival)
 		}
 		l := s.Load(now)
-		r.held += float64(l.Running+l.Queued) * float64(next-now)
+		r.pending += float64(l.Running+l.Queued) * float64(next-now)
 		now = next
 		if sent < load.jobs && now == arrival {
 			came[sent], works[sent] = now, load.work(random)
@@ -66,7 +66,7 @@
 	return r
 }
 
-// batchMeans is the mean and its standard error, from the means of batches long enough to be independent.
+// batchMeans returns the mean and its standard error, from the means of batches long enough to be independent.
 func batchMeans(x []float64) (mean, se float64) {
 	const batches = 30
 	size := len(x) / batches
@@ -83,7 +83,7 @@
 	return mean, math.Sqrt((squares/batches - mean*mean) / (batches - 1))
 }
 
-// erlangC is the share of arrivals that wait, with c servers and a erlangs.
+// erlangC is the share of arrivals that wait, with c servers and a load of a erlangs.
 func erlangC(c int, a float64) float64 {
 	term, sum := 1.0, 0.0
 	for k := range c {
@@ -97,7 +97,7 @@
 // Mean waits against Pollaczek and Khinchine (M/M/1, M/D/1), Erlang (M/M/c), and mean time in a system that
 // shares its core, all within three standard errors; and Little's law, which holds to the nanosecond on a run
 // that ends empty.
-func TestTheory(t *testing.T) {
+func TestQueueingTheory(t *testing.T) {
 	const mean = 10 * time.Millisecond
 	const most = math.MaxInt32
 	models := []struct {
@@ -136,15 +136,15 @@
 				for _, s := range r.sojourns {
 					in += s
 				}
-				if math.Abs(in-r.held) > 1e-9*in {
-					t.Errorf("jobs were in for %v ns, the server held them for %v ns", in, r.held)
+				if math.Abs(in-r.pending) > 1e-9*in {
+					t.Errorf("jobs were pending for %v ns, the endpoint reported %v ns", in, r.pending)
 				}
 			})
 		}
 	}
 }
 
-// A second of a plain server's jobs, and of one with all that slows it.
+// A second of the jobs of a plain endpoint, and of one with everything that slows it.
 func BenchmarkJobs(b *testing.B) {
 	specs := map[string]Spec{
 		"plain": {Cores: 4, Speed: 1, Slots: 4, Queue: 100},
@@ -163,7 +163,7 @@
 			var now time.Duration
 			var effects []Event
 			for i := range b.N {
-				now += work[(i*7+1)%len(work)] / 2 // load 0.5, which crowding and the rest make about 0.8
+				now += work[(i*7+1)%len(work)] / 2 // load 0.5, which overload and the rest make about 0.8
 				for s.NextEvent() <= now {
 					effects = s.Advance(s.NextEvent(), effects[:0])
 				}
--- a/internal/lab/model/cold.go
+++ b/internal/lab/model/warmup.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// A ramp would make every end of a job the root of a quadratic, so warming goes in steps. 20 ms is a tenth
-// or less of what callers notice, and at least 50 steps keep each within 2% of the way.
+// Capacity grows in steps: with a continuous growth every end of a job would be the root of a quadratic. 20 ms is a tenth
+// or less of what callers notice, and with at least 50 steps each is 2% of the growth at most.
 const (
 	maxWarmupStep  = 20 * time.Millisecond
 	minWarmupSteps = 50
 )
 
-// warmth is how far a server is from its start to full capacity.
+// warmup is the progress of an endpoint from its start to full capacity.
 type warmup struct {
-	share  float64 // of its full capacity
+	share  float64 // of the full capacity
 	next   time.Duration
 	from   float64
-	total  time.Duration // progress at which it is warm
+	total  time.Duration // progress at which it is complete
 	step   time.Duration
 	byWork bool
 
@@ -31,13 +31,18 @@
 func (w *warmup) begin(spec Spec, now time.Duration) {
 	step := max(min(maxWarmupStep, spec.WarmupDuration/minWarmupSteps), 1)
 	*w = warmup{
-		share: spec.WarmupInitialShare, from: spec.WarmupInitialShare, total: spec.WarmupDuration, step: step, byWork: spec.WarmupByWork,
-		since: now, goal: step,
+		share:  spec.WarmupInitialShare,
+		from:   spec.WarmupInitialShare,
+		total:  spec.WarmupDuration,
+		step:   step,
+		byWork: spec.WarmupByWork,
+		since:  now,
+		goal:   step,
 	}
 	w.setSpeed(now, 0)
 }
 
-// pace sets the speed of its progress, with so many cores at work, and the time of the next step.
+// setSpeed sets the speed of progress, with a number of busy cores, and the time of the next step.
 func (w *warmup) setSpeed(now time.Duration, busy int) {
 	w.progress += w.speed * (now - w.since)
 	w.since = now
@@ -51,11 +56,11 @@
 	}
 }
 
-// warmer is the end of a step.
-func (s *Endpoint) finishWarmupStep() {
-	w := &s.warmup
-	w.progress += w.speed * (s.now - w.since)
-	w.since = s.now
+// finishWarmupStep ends a step of the warm-up.
+func (e *Endpoint) finishWarmupStep() {
+	w := &e.warmup
+	w.progress += w.speed * (e.now - w.since)
+	w.since = e.now
 	if w.progress >= w.total {
 		w.complete()
 	} else {
@@ -63,16 +68,16 @@
 		w.share = w.from + (1-w.from)*float64(steps*w.step)/float64(w.total)
 		w.goal = min((steps+1)*w.step, w.total)
 	}
-	s.capacityChanged()
+	e.capacityChanged()
 	if !w.inProgress() {
-		s.pressure.end()
+		e.pressure.end()
 	}
 }
 
-// turned is a change of what the server can do, which its pressure is told.
-func (s *Endpoint) capacityChanged() {
-	s.possibleWork.setRate(s.now, s.nominalCapacity())
-	if s.pressure.record(s.now, s.sentWork, s.sentWork, &s.possibleWork) {
-		s.collapse()
+// capacityChanged records a change of the nominal capacity, after which the pressure may be too high.
+func (e *Endpoint) capacityChanged() {
+	e.possibleWork.setRate(e.now, e.nominalCapacity())
+	if e.pressure.record(e.now, e.sentWork, e.sentWork, &e.possibleWork) {
+		e.collapse()
 	}
 }
