--- a/internal/lab/simulation/seen.go
+++ b/internal/lab/simulation/seen.go
@@ -7,21 +7,21 @@
 
 // seen writes the log's part of what the sidecars saw. What was open when a sidecar died or the run ended, they
 // could not tell of.
-func (s *sim) seen() {
+func (s *simulator) recordObservations() {
 	if s.sidecars == nil {
 		return
 	}
-	s.log.DownstreamRequests = make([]trace.DownstreamRequest, 0, len(s.tries))
-	for i := range s.tries {
-		if t := &s.tries[i]; t.taken && t.decided && t.result != trace.StatusDisconnected {
-			s.log.DownstreamRequests = append(s.log.DownstreamRequests, trace.DownstreamRequest{ClientAttempt: i, Arrived: s.log.ClientAttempts[i].Sent + s.delay, Ended: t.at,
-				Status: t.result, Code: t.code, RetryAfter: t.advice})
+	s.log.DownstreamRequests = make([]trace.DownstreamRequest, 0, len(s.clientAttempts))
+	for i := range s.clientAttempts {
+		if t := &s.clientAttempts[i]; t.accepted && t.decided && t.status != trace.StatusDisconnected {
+			s.log.DownstreamRequests = append(s.log.DownstreamRequests, trace.DownstreamRequest{ClientAttempt: i, Arrived: s.log.ClientAttempts[i].Sent + s.delay, Ended: t.decidedAt,
+				Status: t.status, Code: t.code, RetryAfter: t.retryAfter})
 		}
 	}
-	s.log.UpstreamRequests = make([]trace.UpstreamRequest, 0, len(s.attempts))
-	for k := range s.attempts {
-		if a := &s.attempts[k]; a.took > 0 || a.status != balance.OK {
-			s.log.UpstreamRequests = append(s.log.UpstreamRequests, trace.UpstreamRequest{ClientAttempt: a.try, Endpoint: a.box, Sent: a.sentAt, Duration: a.took, Status: a.status})
+	s.log.UpstreamRequests = make([]trace.UpstreamRequest, 0, len(s.upstreamAttempts))
+	for k := range s.upstreamAttempts {
+		if a := &s.upstreamAttempts[k]; a.duration > 0 || a.status != balance.OK {
+			s.log.UpstreamRequests = append(s.log.UpstreamRequests, trace.UpstreamRequest{ClientAttempt: a.clientAttempt, Endpoint: a.endpoint, Sent: a.sentAt, Duration: a.duration, Status: a.status})
 		}
 	}
 }
--- a/internal/lab/simulation/virtual.go
+++ b/internal/lab/simulation/virtual.go
@@ -19,61 +19,61 @@
 )
 
 const (
-	sampleEvery  = 100 * time.Millisecond
-	startTakes   = 30 * time.Millisecond // from a sidecar's start to its being ready
-	healthEvery  = 200 * time.Millisecond
-	probeTimeout = 100 * time.Millisecond
-	watchdogLead = 2 * time.Millisecond // as in the program
-	idleShare    = 0.8                  // of conn_idle, as in the program
-	tail         = time.Second
-	dripCut      = 300 * time.Millisecond
-	openLeast    = 900 * time.Millisecond // a planned end goes on listening for this long
-	epoch        = 1_000_000 * time.Hour  // the Unix time at which a run starts
+	sampleInterval      = 100 * time.Millisecond
+	startDuration       = 30 * time.Millisecond // from a sidecar's start to its being ready
+	frontHealthInterval = 200 * time.Millisecond
+	healthCheckTimeout  = 100 * time.Millisecond
+	watchdogLead        = 2 * time.Millisecond // as in the program
+	idleTimeoutShare    = 0.8                  // of conn_idle, as in the program
+	drainDuration       = time.Second
+	trickleTimeout      = 300 * time.Millisecond
+	minShutdownDuration = 900 * time.Millisecond // a planned end goes on listening for this long
+	startTime           = 1_000_000 * time.Hour  // the Unix time at which a run starts
 )
 
 // kind is what an event is.
-type kind uint8
+type eventKind uint8
 
 const (
-	evScript       kind = iota // a: index of the plan's event
-	evArrive                   // a: request whose client sends its try number b
-	evTryAtSidecar             // a: try
-	evTryEnd                   // a: try: the client waits no longer
-	evLeave                    // a: request: the client leaves
-	evAnswer                   // a: try: the final answer is with its client
-	evWatchdog                 // a: try
-	evTimer                    // a: sidecar, b: its life; token
-	evConnected                // a: attempt
-	evVisit                    // a: attempt: its last byte is with the box
-	evOutcome                  // a: attempt, b: status
-	evTimeout                  // a: attempt
-	evWithdraw                 // a: visit: the box sees that its caller has gone
-	evBox                      // a: box: it has something to do by itself
-	evGone                     // a: try: the sidecar sees that its client has gone
-	evProbe                    // a: sidecar, b: its life; token: the host, x: status
-	evAble                     // a: sidecar, b: life
-	evFetch                    // a: sidecar, b: life
-	evSample
-	evEnded // a: sidecar, b: life: look whether a planned end is over
-	evOut   // a: sidecar, b: life: the front sees that it is ending
-	evFell  // a: box: discovery has noticed
+	eventFromPlan          eventKind = iota // a: index of the plan's event
+	eventClientSends                        // a: request whose client sends its try number b
+	eventAttemptAtSidecar                   // a: try
+	eventAttemptTimeout                     // a: try: the client waits no longer
+	eventClientCancels                      // a: request: the client leaves
+	eventResponseAtClient                   // a: try: the final answer is with its client
+	eventWatchdog                           // a: try
+	eventBalancerTimer                      // a: sidecar, b: its life; token
+	eventConnected                          // a: attempt
+	eventRequestAtEndpoint                  // a: attempt: its last byte is with the box
+	eventUpstreamOutcome                    // a: attempt, b: status
+	eventUpstreamTimeout                    // a: attempt
+	eventCancelAtEndpoint                   // a: visit: the box sees that its caller has gone
+	eventEndpointWakeUp                     // a: box: it has something to do by itself
+	eventCancelAtSidecar                    // a: try: the sidecar sees that its client has gone
+	eventHealthChecked                      // a: sidecar, b: its life; token: the host, x: status
+	eventSidecarReady                       // a: sidecar, b: life
+	eventFullList                           // a: sidecar, b: life
+	eventSample
+	eventShutdownCheck    // a: sidecar, b: life: look whether a planned end is over
+	eventFrontNotices     // a: sidecar, b: life: the front sees that it is ending
+	eventDiscoveryNotices // a: box: discovery has noticed
 )
 
 type event struct {
-	at    time.Duration
-	seq   uint64
-	token uint32
-	a, b  int32
-	x     uint8
-	kind  kind
+	at              time.Duration
+	seq             uint64
+	token           uint32
+	index, argument int32
+	status          uint8
+	kind            eventKind
 }
 
 func (e *event) before(o *event) bool { return e.at < o.at || e.at == o.at && e.seq < o.seq }
 
 // queue is a heap of events, of four children a node: it is shallow, and most of its events are far off.
-type queue []event
+type eventQueue []event
 
-func (q *queue) push(e event) {
+func (q *eventQueue) push(e event) {
 	h := append(*q, e)
 	i := len(h) - 1
 	for i > 0 {
@@ -88,7 +88,7 @@
 	*q = h
 }
 
-func (q *queue) pop() event {
+func (q *eventQueue) pop() event {
 	h := *q
 	top, last := h[0], h[len(h)-1]
 	h = h[:len(h)-1]
@@ -119,35 +119,35 @@
 
 // lane is events of one kind that come in the order of their times, so that they need no heap. Most of them are
 // ends of patience with tries that have ended long before.
-type lane struct {
+type orderedEvents struct {
 	events []event
 	head   int
 }
 
 // sim is one play.
-type sim struct {
-	p       *plan.Plan
-	log     trace.Log
-	delay   time.Duration
-	longest time.Duration // deadline of any class: nothing older is under way
-	now     time.Duration
-	seq     uint64
-	queue   queue
-	ends    []lane // of tries, by class
+type simulator struct {
+	plan            *plan.Plan
+	log             trace.Log
+	delay           time.Duration
+	maxDeadline     time.Duration // deadline of any class: nothing older is under way
+	now             time.Duration
+	seq             uint64
+	queue           eventQueue
+	attemptTimeouts []orderedEvents // of tries, by class
 
-	boxes    []box
-	byName   map[string]int
-	sidecars []sidecar
-	requests []client
-	tries    []try // beside log.Tries
-	attempts []attempt
-	visits   []visit // beside log.Visits
-	conns    uint64  // opened so far
-	open     int     // tries of clients that have not ended, and requests that are still to come
-	listed   []bool  // plain policy: whether clients send to a box
-	round    int     // plain policy: whose turn it is
-	effects  []model.Event
-	segments []time.Duration
+	endpoints          []endpoint
+	endpointsByName    map[string]int
+	sidecars           []sidecar
+	clients            []client
+	clientAttempts     []clientAttempt // beside log.Tries
+	upstreamAttempts   []upstreamAttempt
+	endpointRequests   []endpointRequest // beside log.Visits
+	lastConnectionID   uint64            // opened so far
+	unfinishedRequests int               // tries of clients that have not ended, and requests that are still to come
+	listed             []bool            // plain policy: whether clients send to a box
+	roundRobin         int               // plain policy: whose turn it is
+	modelEvents        []model.Event
+	segments           []time.Duration
 }
 
 // Play plays a plan to its end.
@@ -155,17 +155,17 @@
 	if p.Scenario.NeedsProcesses() {
 		return nil, errors.New("virtual: the scenario has a list service of bounded capacity, or faults of it or of links: they need processes, on sockets")
 	}
-	s := &sim{p: p, delay: p.Scenario.Network.Delay.D(), requests: make([]client, len(p.Requests))}
+	s := &simulator{plan: p, delay: p.Scenario.Network.Delay.D(), clients: make([]client, len(p.Requests))}
 	s.log.ClientAttempts = make([]trace.ClientAttempt, 0, len(p.Requests)*5/4)
 	s.log.EndpointRequests = make([]trace.EndpointRequest, 0, len(p.Requests)*5/4)
-	s.tries = make([]try, 0, cap(s.log.ClientAttempts))
-	s.attempts = make([]attempt, 0, cap(s.log.ClientAttempts))
-	s.visits = make([]visit, 0, cap(s.log.ClientAttempts))
+	s.clientAttempts = make([]clientAttempt, 0, cap(s.log.ClientAttempts))
+	s.upstreamAttempts = make([]upstreamAttempt, 0, cap(s.log.ClientAttempts))
+	s.endpointRequests = make([]endpointRequest, 0, cap(s.log.ClientAttempts))
 	for i := range p.Scenario.Classes {
-		s.longest = max(s.longest, p.Scenario.Classes[i].Deadline.D())
+		s.maxDeadline = max(s.maxDeadline, p.Scenario.Classes[i].Deadline.D())
 	}
-	s.ends = make([]lane, len(p.Scenario.Classes))
-	s.makeBoxes()
+	s.attemptTimeouts = make([]orderedEvents, len(p.Scenario.Classes))
+	s.makeEndpoints()
 	op, err := config.ParseOperator("fleet.operator", []byte(p.Scenario.Fleet.OperatorConfig))
 	if err != nil {
 		return nil, fmt.Errorf("virtual: %w", err)
@@ -183,27 +183,27 @@
 		if err != nil {
 			return nil, fmt.Errorf("virtual: %w", err)
 		}
-		s.sidecars = append(s.sidecars, sidecar{index: i, set: set, budget: op.Budget, old: op.Discovery != nil && set.Instances > 1, agent: map[int]plan.ListEntry{}})
+		s.sidecars = append(s.sidecars, sidecar{index: i, settings: set, budget: op.Budget, cachedListMayBeOld: op.Discovery != nil && set.Instances > 1, agentList: map[int]plan.ListEntry{}})
 		for _, l := range p.InitialMembers(p.Sidecars[i].Tier) {
-			s.sidecars[i].agent[l.Endpoint] = l
+			s.sidecars[i].agentList[l.Endpoint] = l
 		}
 		if p.Sidecars[i].StartAt < 0 && (p.Sidecars[i].Endpoint < 0 || p.Endpoints[p.Sidecars[i].Endpoint].Start != "absent") {
 			if err := s.startSidecar(i); err != nil {
 				return nil, err
 			}
-			s.sidecars[i].able = true
-			s.change(i, trace.SidecarReady, "")
-			s.fetched(i)
+			s.sidecars[i].admitted = true
+			s.recordSidecarEvent(i, trace.SidecarReady, "")
+			s.deliverFullList(i)
 		}
 	}
 	for i := range p.Events {
-		s.at(p.Events[i].At, event{kind: evScript, a: int32(i)})
+		s.schedule(p.Events[i].At, event{kind: eventFromPlan, index: int32(i)})
 	}
 	if len(p.Requests) > 0 {
-		s.at(p.Requests[0].Due, event{kind: evArrive})
+		s.schedule(p.Requests[0].Due, event{kind: eventClientSends})
 	}
-	s.open = len(p.Requests)
-	s.at(0, event{kind: evSample})
+	s.unfinishedRequests = len(p.Requests)
+	s.schedule(0, event{kind: eventSample})
 	stop := model.Never // some time after the last client has its answer: copies may still be out
 	for s.now < stop {
 		e := s.next()
@@ -211,27 +211,27 @@
 		if err := s.handle(&e); err != nil {
 			return nil, err
 		}
-		if s.open == 0 && s.now >= p.Scenario.Length.D() && stop == model.Never {
-			stop = s.now + tail
+		if s.unfinishedRequests == 0 && s.now >= p.Scenario.Length.D() && stop == model.Never {
+			stop = s.now + drainDuration
 		}
 	}
 	s.log.End = s.now
-	s.seen()
+	s.recordObservations()
 	return &s.log, nil
 }
 
 // at has something happen then; never before now.
-func (s *sim) at(at time.Duration, e event) {
+func (s *simulator) schedule(at time.Duration, e event) {
 	s.seq++
 	e.at, e.seq = max(at, s.now), s.seq
 	s.queue.push(e)
 }
 
 // later is at for the end of a class's try: it goes to the lane where that keeps its order.
-func (s *sim) later(at time.Duration, class int, e event) {
-	l := &s.ends[class]
+func (s *simulator) scheduleTimeout(at time.Duration, class int, e event) {
+	l := &s.attemptTimeouts[class]
 	if n := len(l.events); n > l.head && l.events[n-1].at > at {
-		s.at(at, e)
+		s.schedule(at, e)
 		return
 	}
 	s.seq++
@@ -240,12 +240,12 @@
 }
 
 // next is the earliest event of the queue and the lanes.
-func (s *sim) next() event {
+func (s *simulator) next() event {
 	from := -1
 	best := &s.queue[0] // never empty: samples are taken as long as the play lasts
-	for i := range s.ends {
-		l := &s.ends[i]
-		for l.head < len(l.events) && s.tries[l.events[l.head].a].ended {
+	for i := range s.attemptTimeouts {
+		l := &s.attemptTimeouts[i]
+		for l.head < len(l.events) && s.clientAttempts[l.events[l.head].index].ended {
 			l.head++
 		}
 		if l.head < len(l.events) && l.events[l.head].before(best) {
@@ -255,152 +255,152 @@
 	if from < 0 {
 		return s.queue.pop()
 	}
-	s.ends[from].head++
+	s.attemptTimeouts[from].head++
 	return *best
 }
 
-func (s *sim) handle(e *event) error {
-	i := int(e.a)
-	if until := s.pausedFor(e); until > s.now {
-		s.at(until, *e)
+func (s *simulator) handle(e *event) error {
+	i := int(e.index)
+	if until := s.pausedUntil(e); until > s.now {
+		s.schedule(until, *e)
 		return nil
 	}
 	switch e.kind {
-	case evScript:
-		return s.script(&s.p.Events[i])
-	case evArrive:
-		s.arrive(i, int(e.b))
-	case evTryAtSidecar:
-		s.tryArrives(i)
-	case evTryEnd:
-		s.tryRunsOut(i)
-	case evLeave:
-		s.leave(i)
-	case evAnswer:
-		s.answered(i)
-	case evWatchdog:
-		s.watchdog(i)
-	case evTimer:
-		if c := &s.sidecars[i]; c.life == int(e.b) && c.b != nil {
+	case eventFromPlan:
+		return s.applyPlanEvent(&s.plan.Events[i])
+	case eventClientSends:
+		s.sendNextAttempt(i, int(e.argument))
+	case eventAttemptAtSidecar:
+		s.attemptArrives(i)
+	case eventAttemptTimeout:
+		s.attemptTimesOut(i)
+	case eventClientCancels:
+		s.clientCancels(i)
+	case eventResponseAtClient:
+		s.deliverResponse(i)
+	case eventWatchdog:
+		s.answerLateAttempt(i)
+	case eventBalancerTimer:
+		if c := &s.sidecars[i]; c.incarnation == int(e.argument) && c.balancer != nil {
 			s.decide(i, &balance.Event{Kind: balance.EventTimer, Token: balance.Token(e.token)})
 		}
-	case evConnected:
-		s.connected(i)
-	case evVisit:
-		s.visitArrives(i)
-	case evOutcome:
-		s.settle(i, balance.Status(e.b))
-	case evTimeout:
-		s.timeOut(i)
-	case evWithdraw:
-		s.withdrawn(i)
-	case evBox:
-		s.boxWakes(i)
-	case evGone:
-		s.clientGone(i)
-	case evProbe:
-		if c := &s.sidecars[i]; c.life == int(e.b) && c.b != nil {
+	case eventConnected:
+		s.connectionOpened(i)
+	case eventRequestAtEndpoint:
+		s.requestArrives(i)
+	case eventUpstreamOutcome:
+		s.recordOutcome(i, balance.Status(e.argument))
+	case eventUpstreamTimeout:
+		s.upstreamTimesOut(i)
+	case eventCancelAtEndpoint:
+		s.cancelAtEndpoint(i)
+	case eventEndpointWakeUp:
+		s.wakeEndpoint(i)
+	case eventCancelAtSidecar:
+		s.cancelAtSidecar(i)
+	case eventHealthChecked:
+		if c := &s.sidecars[i]; c.incarnation == int(e.argument) && c.balancer != nil {
 			s.decide(i, &balance.Event{Kind: balance.EventProbed, Endpoint: balance.EndpointID(e.token),
-				Status: balance.Status(e.x), Latency: 2 * s.delay})
+				Status: balance.Status(e.status), Latency: 2 * s.delay})
 		}
-	case evAble:
-		if c := &s.sidecars[i]; c.life == int(e.b) && c.b != nil {
-			c.able = true
-			s.change(i, trace.SidecarReady, "")
+	case eventSidecarReady:
+		if c := &s.sidecars[i]; c.incarnation == int(e.argument) && c.balancer != nil {
+			c.admitted = true
+			s.recordSidecarEvent(i, trace.SidecarReady, "")
 		}
-	case evFetch:
-		if c := &s.sidecars[i]; c.life == int(e.b) && c.b != nil {
-			s.fetched(i)
+	case eventFullList:
+		if c := &s.sidecars[i]; c.incarnation == int(e.argument) && c.balancer != nil {
+			s.deliverFullList(i)
 		}
-	case evSample:
-		s.sample()
-	case evEnded:
-		s.plannedEnd(i, int(e.b))
-	case evOut:
-		if c := &s.sidecars[i]; c.life == int(e.b) {
-			c.able = false
+	case eventSample:
+		s.takeSample()
+	case eventShutdownCheck:
+		s.finishShutdown(i, int(e.argument))
+	case eventFrontNotices:
+		if c := &s.sidecars[i]; c.incarnation == int(e.argument) {
+			c.admitted = false
 		}
-	case evFell:
-		s.fell(i)
+	case eventDiscoveryNotices:
+		s.removeCollapsed(i)
 	}
 	return nil
 }
 
-// pausedFor is until when the sidecar that an event is for does not run, so that it hears of nothing.
-func (s *sim) pausedFor(e *event) time.Duration {
+// pausedUntil is until when the sidecar that an event is for does not run, so that it hears of nothing.
+func (s *simulator) pausedUntil(e *event) time.Duration {
 	i := -1
 	switch e.kind {
-	case evTryAtSidecar, evWatchdog, evGone:
-		i = s.log.ClientAttempts[e.a].Sidecar
-	case evOutcome, evTimeout:
-		i = s.tries[s.attempts[e.a].try].sidecar
-	case evTimer, evProbe, evFetch:
-		i = int(e.a)
-	case evScript:
-		if p := &s.p.Events[e.a]; p.Kind == plan.NotifySidecar {
+	case eventAttemptAtSidecar, eventWatchdog, eventCancelAtSidecar:
+		i = s.log.ClientAttempts[e.index].Sidecar
+	case eventUpstreamOutcome, eventUpstreamTimeout:
+		i = s.clientAttempts[s.upstreamAttempts[e.index].clientAttempt].sidecar
+	case eventBalancerTimer, eventHealthChecked, eventFullList:
+		i = int(e.index)
+	case eventFromPlan:
+		if p := &s.plan.Events[e.index]; p.Kind == plan.NotifySidecar {
 			i = p.Sidecar
 		}
 	}
-	if i < 0 || s.sidecars == nil || s.sidecars[i].b == nil {
+	if i < 0 || s.sidecars == nil || s.sidecars[i].balancer == nil {
 		return 0
 	}
-	return s.sidecars[i].paused
+	return s.sidecars[i].pausedUntil
 }
 
-func (s *sim) change(sidecar int, what trace.SidecarEventKind, text string) {
+func (s *simulator) recordSidecarEvent(sidecar int, what trace.SidecarEventKind, text string) {
 	s.log.SidecarEvents = append(s.log.SidecarEvents, trace.SidecarEvent{At: s.now, Sidecar: sidecar, Kind: what, Detail: text})
 }
 
 // sample notes every box, closes connections that stood idle for too long, and comes again.
-func (s *sim) sample() {
-	for i := range s.boxes {
-		b := &s.boxes[i]
-		s.act(i)
-		l := b.m.Load(s.now)
+func (s *simulator) takeSample() {
+	for i := range s.endpoints {
+		b := &s.endpoints[i]
+		s.advanceEndpoint(i)
+		l := b.model.Load(s.now)
 		s.log.Samples = append(s.log.Samples, trace.Sample{At: s.now, Endpoint: i, Running: l.Running, Queued: l.Queued,
 			Connections: l.Connections, Capacity: l.Capacity, SentWork: l.SentWork, PossibleWork: l.PossibleWork, DoneWork: l.DoneWork, WarmingUp: l.WarmingUp, Collapsed: l.Collapsed})
 		for pool := range b.idle {
-			s.retire(i, pool-1)
+			s.closeExpired(i, pool-1)
 		}
 	}
-	s.judge()
-	s.at(s.now+sampleEvery, event{kind: evSample})
+	s.recordHealthChanges()
+	s.schedule(s.now+sampleInterval, event{kind: eventSample})
 }
 
 // script carries out one step of the plan's.
-func (s *sim) script(e *plan.Event) error {
+func (s *simulator) applyPlanEvent(e *plan.Event) error {
 	switch e.Kind {
 	case plan.StartFault:
 		if e.Fault.Kind == model.Hang {
-			s.boxes[e.Endpoint].hung++
+			s.endpoints[e.Endpoint].hangFaults++
 		}
-		s.boxes[e.Endpoint].m.StartFault(s.now, e.Fault)
-		s.act(e.Endpoint)
+		s.endpoints[e.Endpoint].model.StartFault(s.now, e.Fault)
+		s.advanceEndpoint(e.Endpoint)
 		if s.sidecars == nil && (e.Fault.Kind == model.Crash || e.Fault.Kind == model.Vanish) {
 			s.listed[e.Endpoint] = false
 		}
 	case plan.EndFault:
 		if e.Fault.Kind == model.Hang {
-			s.boxes[e.Endpoint].hung--
+			s.endpoints[e.Endpoint].hangFaults--
 		}
-		s.boxes[e.Endpoint].m.EndFault(s.now, e.Fault.ID)
-		s.act(e.Endpoint)
-		s.listed[e.Endpoint] = !s.boxes[e.Endpoint].fallen
+		s.endpoints[e.Endpoint].model.EndFault(s.now, e.Fault.ID)
+		s.advanceEndpoint(e.Endpoint)
+		s.listed[e.Endpoint] = !s.endpoints[e.Endpoint].collapsed
 	case plan.StartEndpoint:
-		s.boxes[e.Endpoint].m.Start(s.now, true)
-		s.boxes[e.Endpoint].absent = false
+		s.endpoints[e.Endpoint].model.Start(s.now, true)
+		s.endpoints[e.Endpoint].absent = false
 		s.listed[e.Endpoint] = true
-		s.act(e.Endpoint)
+		s.advanceEndpoint(e.Endpoint)
 	case plan.NotifySidecar:
-		s.tell(e.Sidecar, e.Entry)
+		s.notify(e.Sidecar, e.Entry)
 	case plan.StartSidecar:
-		if s.sidecars[e.Sidecar].b == nil {
+		if s.sidecars[e.Sidecar].balancer == nil {
 			if err := s.startSidecar(e.Sidecar); err != nil {
 				return err
 			}
 			c := &s.sidecars[e.Sidecar]
-			s.at(s.now+startTakes, event{kind: evAble, a: int32(e.Sidecar), b: int32(c.life)})
-			s.at(s.now+startTakes, event{kind: evFetch, a: int32(e.Sidecar), b: int32(c.life)})
+			s.schedule(s.now+startDuration, event{kind: eventSidecarReady, index: int32(e.Sidecar), argument: int32(c.incarnation)})
+			s.schedule(s.now+startDuration, event{kind: eventFullList, index: int32(e.Sidecar), argument: int32(c.incarnation)})
 		}
 	case plan.StopSidecar:
 		s.stopSidecar(e.Sidecar)
@@ -408,9 +408,9 @@
 		s.killSidecar(e.Sidecar)
 	case plan.UpgradeSidecar: // what the decisions know goes over, and nothing else is played
 	case plan.PauseSidecar:
-		s.sidecars[e.Sidecar].paused = s.now + e.Duration
+		s.sidecars[e.Sidecar].pausedUntil = s.now + e.Duration
 	case plan.SuspendDiscovery, plan.ResumeDiscovery:
-		s.silence(e.Kind == plan.SuspendDiscovery)
+		s.setDiscoverySuspended(e.Kind == plan.SuspendDiscovery)
 	case plan.MoveDiscovery: // the new agent tells what the old one told
 	}
 	return nil
@@ -425,13 +425,13 @@
 }
 
 // retire closes the connections of a pool that have been idle for too long.
-func (s *sim) retire(box, pool int) {
-	b := &s.boxes[box]
+func (s *simulator) closeExpired(box, pool int) {
+	b := &s.endpoints[box]
 	idle := b.idle[pool+1]
-	most := time.Duration(idleShare * float64(s.p.Scenario.Rules.ConnIdleTimeout))
+	most := time.Duration(idleTimeoutShare * float64(s.plan.Scenario.Rules.ConnIdleTimeout))
 	old := 0
 	for old < len(idle) && s.now-idle[old].since > most {
-		b.m.Disconnect(s.now)
+		b.model.Disconnect(s.now)
 		old++
 	}
 	if old > 0 {
