--- a/internal/lab/simulation/virtual_test.go
+++ b/internal/lab/simulation/simulator_test.go
@@ -15,7 +15,7 @@
 	"pinelb.example/pinelb/scenarios"
 )
 
-// CI has to come to the same verdict every time; -rapid.seed=0 looks further.
+// CI has to come to the same result every time; -rapid.seed=0 searches further.
 func init() {
 	if err := errors.Join(flag.Set("rapid.seed", "1"), flag.Set("rapid.checks", "25")); err != nil {
 		panic(err)
@@ -58,7 +58,7 @@
 	}
 }
 
-// checkTrace holds whatever is played: every try ends once, in order; visits belong to tries; work adds up.
+// checkTrace checks the invariants of every trace: each attempt ends once, in order; requests at endpoints belong to attempts; work adds up.
 func checkTrace(t rapid.TB, p *plan.Plan, l *trace.Log) {
 	byTxn := map[uint64]*trace.ClientAttempt{}
 	tries := make([]int, len(p.Requests))
@@ -69,18 +69,18 @@
 		}
 		byTxn[y.TransactionID] = y
 		if y.Ended == trace.Unset || y.Ended < y.Sent || y.Ended > y.Sent+y.Timeout+p.Scenario.Rules.ResponseSlack.D() {
-			t.Fatalf("a try sent at %v with %v left ended at %v, %v", y.Sent, y.Timeout, y.Ended, y.Status)
+			t.Fatalf("an attempt sent at %v with a time-out of %v ended at %v, %v", y.Sent, y.Timeout, y.Ended, y.Status)
 		}
 		if y.Tier == 0 {
 			if y.Number != tries[y.Request] {
-				t.Fatalf("try %d of request %d comes after %d others", y.Number, y.Request, tries[y.Request])
+				t.Fatalf("attempt %d of request %d comes after %d others", y.Number, y.Request, tries[y.Request])
 			}
 			tries[y.Request]++
 		}
 	}
 	for i, n := range tries {
 		if n == 0 || n > p.Requests[i].MaxRetries+1 {
-			t.Fatalf("request %d was tried %d times", i, n)
+			t.Fatalf("request %d had %d attempts", i, n)
 		}
 	}
 	attempts := map[uint64]int{}
@@ -88,7 +88,7 @@
 		v := &l.EndpointRequests[i]
 		y := byTxn[v.TransactionID]
 		if y == nil || v.LastByte < y.Sent {
-			t.Fatalf("a visit of nobody's, or before it was sent: %+v", v)
+			t.Fatalf("a request without an attempt, or before it was sent: %+v", v)
 		}
 		if v.Started != trace.Unset && v.Started < v.LastByte || v.Ended != trace.Unset && v.Ended < v.LastByte {
 			t.Fatalf("out of order: %+v", v)
@@ -103,19 +103,19 @@
 	}
 	for i := range l.ClientAttempts {
 		if y := &l.ClientAttempts[i]; y.Status == trace.StatusServed && !served[y.TransactionID] {
-			t.Fatalf("served without a visit that was: %+v", y)
+			t.Fatalf("served without a request that was: %+v", y)
 		}
 	}
 	last := map[int]trace.Sample{}
 	for _, s := range l.Samples {
 		if was := last[s.Endpoint]; s.SentWork < was.SentWork || s.DoneWork < was.DoneWork || s.PossibleWork < was.PossibleWork || s.DoneWork > s.PossibleWork+time.Millisecond {
-			t.Fatalf("box %d does more than it could, or goes back: %+v after %+v", s.Endpoint, s, was)
+			t.Fatalf("endpoint %d does more than possible, or less than before: %+v after %+v", s.Endpoint, s, was)
 		}
 		last[s.Endpoint] = s
 	}
 }
 
-// TestAnyScenario plays scenarios put together at random and checks what holds of all.
+// TestAnyScenario plays random scenarios and checks the invariants.
 func TestAnyScenario(t *testing.T) {
 	base := load(t, "two-tiers", "")
 	one := load(t, "calm", "")
@@ -160,7 +160,7 @@
 	})
 }
 
-// shares counts how the clients' tries ended.
+// shares counts the clients' attempts by their status.
 func shares(l *trace.Log) map[trace.Status]float64 {
 	out := map[trace.Status]float64{}
 	for i := range l.ClientAttempts {
@@ -180,7 +180,7 @@
 	}
 }
 
-// Guards against faults that a player forgets to carry out: each leaves its trace.
+// Each fault shows in the trace.
 func TestFaultsLeaveTheirTrace(t *testing.T) {
 	calm := shares(func() *trace.Log { _, l := play(t, load(t, "calm", ""), 1); return l }())
 	for fault, seen := range map[string]func(l *trace.Log) bool{
@@ -205,41 +205,43 @@
 	} {
 		_, l := play(t, load(t, "calm", "\n[[fault]]\nnames = [\"order-9\"]\nat = \"5s\"\nfor = \"5s\"\nkind = \""+fault+"\""), 1)
 		if !seen(l) {
-			t.Errorf("%s: no trace of it; tries ended %v, without it %v", fault, shares(l), calm)
+			t.Errorf("%s: no trace of it; attempts ended %v, without it %v", fault, shares(l), calm)
 		}
 	}
 }
 
-func ends(l *trace.Log, end trace.Outcome, box int) (n int) {
+func ends(l *trace.Log, outcome trace.Outcome, endpoint int) (n int) {
 	for i := range l.EndpointRequests {
-		if v := &l.EndpointRequests[i]; v.Endpoint == box && v.Outcome == end && v.LastByte > 5*time.Second && v.LastByte < 10*time.Second {
+		if v := &l.EndpointRequests[i]; v.Endpoint == endpoint && v.Outcome == outcome && v.LastByte > 5*time.Second && v.LastByte < 10*time.Second {
 			n++
 		}
 	}
 	return n
 }
 
-// did is the work that a box did in a window, in seconds.
-func did(l *trace.Log, box int, from, to time.Duration) float64 {
+// did returns the work that an endpoint did in a window, in seconds.
+func did(l *trace.Log, endpoint int, from, to time.Duration) float64 {
 	var first, last time.Duration
 	for _, s := range l.Samples {
-		if s.Endpoint == box && s.At <= from {
+		if s.Endpoint == endpoint && s.At <= from {
 			first = s.DoneWork
 		}
-		if s.Endpoint == box && s.At <= to {
+		if s.Endpoint == endpoint && s.At <= to {
 			last = s.DoneWork
 		}
 	}
 	return (last - first).Seconds()
 }
 
-func idle(l *trace.Log, box int, from, to time.Duration) bool { return did(l, box, from, to) == 0 }
+func idle(l *trace.Log, endpoint int, from, to time.Duration) bool {
+	return did(l, endpoint, from, to) == 0
+}
 
-// A paused sidecar answers nothing, and all that it missed when it goes on; clients in a hurry wait for less.
+// A paused sidecar responds to nothing, and to all that it missed when it continues; clients in a hurry have shorter time-outs.
 func TestPauseAndHurry(t *testing.T) {
 	p, l := play(t, load(t, "calm", "\n[[fault]]\nkind = \"sidecar_pause\"\nat = \"5s\"\nfor = \"400ms\"\nshare = 1.0"+
 		"\n[[fault]]\nkind = \"hurry\"\nat = \"10s\"\nfor = \"5s\"\nsize = 0.5\nleft = 0.3"), 1)
-	paused, after, hurried, asked := 0, 0, 0, 0
+	paused, after, hurried, due := 0, 0, 0, 0
 	for i := range l.ClientAttempts {
 		t := &l.ClientAttempts[i]
 		if t.Status == trace.StatusServed && t.Ended > 5*time.Second+time.Millisecond && t.Ended < 5400*time.Millisecond {
@@ -249,25 +251,25 @@
 			after++
 		}
 		if t.Due > 10*time.Second && t.Due < 15*time.Second && t.Number == 0 {
-			asked++
+			due++
 			if k := p.Scenario.Classes[t.Class]; t.Timeout < time.Duration(0.31*p.Scenario.Clients.AttemptTimeoutShare*float64(k.Deadline)) {
 				hurried++
 			}
 		}
 	}
 	if paused > 0 || after < 10 {
-		t.Errorf("%d answers in the pause, %d right after it", paused, after)
+		t.Errorf("%d responses in the pause, %d right after it", paused, after)
 	}
-	if share := float64(hurried) / float64(asked); share < 0.45 || share > 0.55 {
+	if share := float64(hurried) / float64(due); share < 0.45 || share > 0.55 {
 		t.Errorf("%.2f of the clients are in a hurry", share)
 	}
 }
 
-// Guards against a planned end that loses tries, and a kill that does not.
-func TestSidecarsEnd(t *testing.T) {
+// A graceful shutdown loses no attempt, and a kill does.
+func TestSidecarShutdownAndKill(t *testing.T) {
 	_, l := play(t, load(t, "rolling-restart", ""), 1)
 	if got := shares(l); got[trace.StatusDisconnected] > 0 {
-		t.Errorf("a planned end breaks %v tries", got[trace.StatusDisconnected])
+		t.Errorf("a graceful shutdown breaks %v attempts", got[trace.StatusDisconnected])
 	}
 	ended := 0
 	for _, c := range l.SidecarEvents {
@@ -276,16 +278,16 @@
 		}
 	}
 	if ended != 3 {
-		t.Errorf("%d of 3 ended by themselves: %v", ended, l.SidecarEvents)
+		t.Errorf("%d of 3 exited by themselves: %v", ended, l.SidecarEvents)
 	}
 	_, l = play(t, load(t, "calm", "\n[[fault]]\nkind = \"sidecar_kill\"\nat = \"5s\"\nback = \"1s\""), 1)
 	if got := shares(l); got[trace.StatusDisconnected] == 0 || got[trace.StatusConnectFailed] == 0 {
-		t.Errorf("after a kill, tries ended %v", got)
+		t.Errorf("after a kill, attempts ended %v", got)
 	}
 }
 
-// Guards against a list that comes too early or that a sidecar never hears.
-func TestToldWhenSaid(t *testing.T) {
+// Sidecars are notified at the times of the plan, and of everything in it.
+func TestNotificationsFollowThePlan(t *testing.T) {
 	p, l := play(t, load(t, "hang-while-cold", ""), 1)
 	want := map[time.Duration]int{}
 	for _, e := range p.Events {
@@ -293,14 +295,14 @@
 			want[e.At]++
 		}
 	}
-	for _, told := range l.Notifications {
-		if told.At > 0 {
-			want[told.At]--
+	for _, notification := range l.Notifications {
+		if notification.At > 0 {
+			want[notification.At]--
 		}
 	}
 	for at, n := range want {
 		if n != 0 {
-			t.Errorf("at %v: %d entries were not told", at, n)
+			t.Errorf("at %v: %d entries were not notified", at, n)
 		}
 	}
 }
