--- a/cmd/pinelab/rehearse.go
+++ b/cmd/pinelab/rehearse.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	if !calibration.Kept(rows) || !calibration.Kept(played) {
+	if !calibration.AllWithinMargin(rows) || !calibration.AllWithinMargin(played) {
 		return exit{broken, errors.New("the rehearsal is beyond its margin of what was recorded")}
 	}
 	return nil
@@ -78,7 +78,7 @@
 }
 
 // table plays the rehearsal and writes its counts beside the observed ones.
-func (c *rehearseCmd) table(out io.Writer, r *calibration.Rehearsal) ([]calibration.Row, error) {
+func (c *rehearseCmd) table(out io.Writer, r *calibration.Replay) ([]calibration.Row, error) {
 	played, err := r.Play(r.Seed)
 	if err != nil {
 		return nil, err
@@ -92,9 +92,9 @@
 		}
 		for k, row := range r.Compare(other) {
 			if i == 0 {
-				spread[k] = [2]int{row.Rehearsed, row.Rehearsed}
+				spread[k] = [2]int{row.Replayed, row.Replayed}
 			}
-			spread[k] = [2]int{min(spread[k][0], row.Rehearsed), max(spread[k][1], row.Rehearsed)}
+			spread[k] = [2]int{min(spread[k][0], row.Replayed), max(spread[k][1], row.Replayed)}
 		}
 	}
 	return rows, writeRows(out, rows, spread)
@@ -102,7 +102,7 @@
 
 // play plays the rehearsal once more with judges and report, where a folder or sockets are asked for. On sockets
 // its counts are compared as well.
-func (c *rehearseCmd) play(ctx context.Context, t *terminal, r *calibration.Rehearsal) ([]calibration.Row, error) {
+func (c *rehearseCmd) play(ctx context.Context, t *terminal, r *calibration.Replay) ([]calibration.Row, error) {
 	if c.Out == "" && !c.Sockets {
 		return nil, nil
 	}
@@ -125,7 +125,7 @@
 		return nil, err
 	}
 	a := &o.Result.All
-	rows := r.Compare(calibration.Counts{All: calibration.Count{Aim: a.Served.Count, Late: a.Late.Count, Refused: a.Refused.Count, Failed: a.Failed.Count}})
+	rows := r.Compare(calibration.Counts{All: calibration.Count{InTarget: a.Served.Count, Late: a.Late.Count, Rejected: a.Refused.Count, Failed: a.Failed.Count}})
 	fmt.Fprintln(t.out, "\nOn sockets:")
 	return rows, writeRows(t.out, rows, nil)
 }
@@ -140,10 +140,10 @@
 	fmt.Fprintln(w)
 	for i, row := range rows {
 		kept := "yes"
-		if !row.Kept {
+		if !row.WithinMargin {
 			kept = "NO"
 		}
-		fmt.Fprintf(w, "%s\t%d\t%d\t%+d\t%.0f\t%s\t", row.What, row.Observed, row.Rehearsed, row.Rehearsed-row.Observed, row.Margin, kept)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%+d\t%.0f\t%s\t", row.Name, row.Observed, row.Replayed, row.Replayed-row.Observed, row.Margin, kept)
 		if spread != nil {
 			fmt.Fprintf(w, "%d to %d\t", spread[i][0], spread[i][1])
 		}
--- a/internal/lab/calibration/build.go
+++ b/internal/lab/calibration/build.go
@@ -14,27 +14,27 @@
 const RecordFile = "record.jsonl"
 
 const (
-	withinShare = 0.72             // of a lognormal class's variance is between requests; a record hardly shows it
-	noCost      = time.Microsecond // a handshake's work is in what attempts took
+	requestVarianceShare = 0.72             // of a lognormal class's variance is between requests; a record hardly shows it
+	minHandshakeWork     = time.Microsecond // a handshake's work is in what attempts took
 )
 
 // scenario puts what was fitted into a scenario's words.
-func (m *servers) scenario(v *view) *scenario.Scenario {
+func (m *fittedModel) buildScenario(v *history) *scenario.Scenario {
 	s := scenario.Default()
 	s.Name, s.About = "rehearsal", "Fitted to a record of "+strings.Join(v.names, ", ")+" by pinelab rehearse."
 	last := time.Duration(0)
-	if n := len(v.streams); n > 0 {
-		last = v.streams[n-1].at
+	if n := len(v.requests); n > 0 {
+		last = v.requests[n-1].arrival
 	}
 	s.Length = span((last + time.Second).Truncate(time.Second))
-	m.classes(v, &s)
-	m.tier(v, &s)
-	rules(&s, v)
+	m.buildClasses(v, &s)
+	m.buildTier(v, &s)
+	buildRules(&s, v)
 	s.Clients.RecordFile = RecordFile
 	s.Fleet.Sidecars, s.Fleet.ConfiguredInstances = len(v.names), max(v.settings.Instances, len(v.names))
 	s.Fleet.MemoryMB, s.Fleet.Sockets = max(v.limits.MemoryMB, 32), max(v.limits.Sockets, 64)
 	s.Fleet.Cores = max(v.limits.Cores, 0.1)
-	notice, silent, add := m.delays(v)
+	notice, silent, add := m.discoveryDelays(v)
 	d := &s.Discovery
 	d.Jitter = 0
 	for _, p := range []struct {
@@ -45,33 +45,33 @@
 			*p.at = span(p.found)
 		}
 	}
-	m.faults(v, &s)
+	m.buildFaults(v, &s)
 	return &s
 }
 
-func thousandths(x float64) float64 { return math.Round(x*1000) / 1000 }
+func roundToThousandth(x float64) float64 { return math.Round(x*1000) / 1000 }
 
 func span(d time.Duration) scenario.Span { return scenario.Span(d.Round(time.Millisecond)) }
 
-func (m *servers) classes(v *view, s *scenario.Scenario) {
+func (m *fittedModel) buildClasses(v *history, s *scenario.Scenario) {
 	effects := map[balance.Effect]string{balance.Safe: "safe", balance.Keyed: "keyed", balance.Unsafe: "unsafe"}
 	asked := make([]int, len(v.settings.Classes))
-	for i := range v.streams {
-		asked[v.streams[i].class]++
+	for i := range v.requests {
+		asked[v.requests[i].class]++
 	}
 	for i, c := range v.settings.Classes {
-		l := m.laws[i]
+		l := m.distributions[i]
 		k := scenario.Class{Name: v.settings.ClassNames[i], Share: max(float64(asked[i]), 0.001), TargetLatency: scenario.Span(c.Aim),
 			Deadline: scenario.Span(max(c.Deadline, c.Aim)), Value: max(c.Worth, 0.001), Idempotency: effects[c.Effect],
 			DedupWindow: scenario.Span(c.Memory), WorkDistribution: "exp", ResponseBytes: 64}
 		mean := l.mean
-		if l.exp {
+		if l.exponential {
 			k.AttemptCV = math.Sqrt(math.Expm1(l.noise * l.noise))
 		} else {
 			variance := l.sigma * l.sigma
 			mean = math.Exp(l.mu + variance/2)
-			k.WorkDistribution, k.CV = "lognormal", min(math.Sqrt(math.Expm1(variance*withinShare)), 5)
-			k.AttemptCV = min(math.Sqrt(math.Expm1(variance*(1-withinShare))), 5)
+			k.WorkDistribution, k.CV = "lognormal", min(math.Sqrt(math.Expm1(variance*requestVarianceShare)), 5)
+			k.AttemptCV = min(math.Sqrt(math.Expm1(variance*(1-requestVarianceShare))), 5)
 		}
 		k.Work = scenario.Span(max(time.Duration(mean*float64(time.Second)).Round(time.Microsecond), 10*time.Microsecond))
 		if c.Effect != balance.Safe {
@@ -82,20 +82,20 @@
 }
 
 // tier has a kind for each host. Where their names go from 1 up the boxes get the same.
-func (m *servers) tier(v *view, s *scenario.Scenario) {
-	name := strings.TrimRight(v.hosts[0].name, "0123456789")
-	for i := range v.hosts {
-		if v.hosts[i].name != fmt.Sprint(name, i+1) || !strings.HasSuffix(name, "-") {
+func (m *fittedModel) buildTier(v *history, s *scenario.Scenario) {
+	name := strings.TrimRight(v.endpoints[0].name, "0123456789")
+	for i := range v.endpoints {
+		if v.endpoints[i].name != fmt.Sprint(name, i+1) || !strings.HasSuffix(name, "-") {
 			name = "host-"
 		}
 	}
 	t := scenario.Tier{Name: strings.TrimSuffix(name, "-"), Work: 1, Propagates: "all"}
-	failing := m.errorRate(v)
-	for i := range v.hosts {
-		h := &v.hosts[i]
-		k := scenario.EndpointKind{Name: h.kind, Endpoints: 1, Cores: m.cores, Speed: thousandths(m.speed[i]), Slots: m.slots, Queue: m.queue,
-			ErrorRate: failing, WarmupInitialShare: thousandths(m.cold.from), WarmupDuration: max(span(m.cold.takes), scenario.Span(time.Millisecond)),
-			WarmupBy: "time", Start: "warm", CancelRule: "all", Connections: mostConnections, HandshakeWork: scenario.Span(noCost)}
+	failing := m.baseErrorRate(v)
+	for i := range v.endpoints {
+		h := &v.endpoints[i]
+		k := scenario.EndpointKind{Name: h.kind, Endpoints: 1, Cores: m.cores, Speed: roundToThousandth(m.speeds[i]), Slots: m.slots, Queue: m.queue,
+			ErrorRate: failing, WarmupInitialShare: roundToThousandth(m.warmup.initialShare), WarmupDuration: max(span(m.warmup.duration), scenario.Span(time.Millisecond)),
+			WarmupBy: "time", Start: "warm", CancelRule: "all", Connections: unboundedConnections, HandshakeWork: scenario.Span(minHandshakeWork)}
 		if k.Name == "" {
 			k.Name = t.Name
 		}
@@ -107,27 +107,27 @@
 	s.Tiers = []scenario.Tier{t}
 }
 
-// mostConnections is so high that it bounds nothing: a record does not show connections.
-const mostConnections = 1 << 16
+// unboundedConnections is so high that it bounds nothing: a record does not show connections.
+const unboundedConnections = 1 << 16
 
-// errorRate is the share of errors that is there all the time.
-func (m *servers) errorRate(v *view) float64 {
+// baseErrorRate is the share of errors that is there all the time.
+func (m *fittedModel) baseErrorRate(v *history) float64 {
 	errors, all := 0.0, 0.0
 	for i := range v.attempts {
 		a := &v.attempts[i]
-		if !m.struck(a, "fail", "spoil") && (a.status == balance.OK || a.status == balance.Error) {
+		if !m.hadFault(a, "fail", "spoil") && (a.status == balance.OK || a.status == balance.Error) {
 			all++
-			errors += float64(b2i(a.status == balance.Error))
+			errors += float64(boolToInt(a.status == balance.Error))
 		}
 	}
-	if errors < strayRate*all {
+	if errors < minStrayRate*all {
 		return 0
 	}
-	return thousandths(errors / all)
+	return roundToThousandth(errors / all)
 }
 
 // rules are the settings, as far as a scenario has words for them.
-func rules(s *scenario.Scenario, v *view) {
+func buildRules(s *scenario.Scenario, v *history) {
 	from, r := &v.settings, &s.Rules
 	r.DrainGrace, r.WarmupInitialShare, r.WarmupDuration = scenario.Span(from.DrainGrace), from.ColdShare, scenario.Span(from.ColdFor)
 	r.CollapseMultiple, r.CollapseWindow = from.FallMultiple, scenario.Span(from.FallWindow)
@@ -141,14 +141,14 @@
 }
 
 // faults are the script.
-func (m *servers) faults(v *view, s *scenario.Scenario) {
+func (m *fittedModel) buildFaults(v *history, s *scenario.Scenario) {
 	names := s.EndpointNames()
 	add := func(f scenario.Fault, host int, from, to time.Duration) {
 		f.At = span(from)
 		if f.At > s.Length || f.At < 0 {
 			return
 		}
-		if to < never {
+		if to < neverEnds {
 			f.Duration = max(span(to)-f.At, scenario.Span(time.Millisecond))
 		}
 		if f.Share = 1; host >= 0 {
@@ -156,30 +156,30 @@
 		}
 		s.Faults = append(s.Faults, f)
 	}
-	for i := range v.hosts {
-		if h := &v.hosts[i]; h.absent && len(h.starts) > 0 {
-			add(scenario.Fault{Kind: "add"}, i, h.starts[0], never)
+	for i := range v.endpoints {
+		if h := &v.endpoints[i]; h.absent && len(h.starts) > 0 {
+			add(scenario.Fault{Kind: "add"}, i, h.starts[0], neverEnds)
 		}
 	}
-	for _, d := range m.downs {
+	for _, d := range m.outages {
 		if d.kind != "drain" {
-			add(scenario.Fault{Kind: d.kind}, d.host, d.from, d.to)
+			add(scenario.Fault{Kind: d.kind}, d.endpoint, d.from, d.to)
 			continue
 		}
-		at := max(d.told-s.Discovery.RemoveDelay.D(), 0)
+		at := max(d.announcedAt-s.Discovery.RemoveDelay.D(), 0)
 		f := scenario.Fault{Kind: "drain", Grace: span(max(d.from-at, time.Millisecond))}
-		if d.to < never {
+		if d.to < neverEnds {
 			f.RecoveryDelay = span(max(d.to-d.from, time.Millisecond))
 		}
-		add(f, d.host, at, never)
+		add(f, d.endpoint, at, neverEnds)
 	}
-	for _, h := range m.shares {
-		add(scenario.Fault{Kind: h.kind, Size: thousandths(h.size)}, h.host, h.from, h.to)
+	for _, h := range m.partialFaults {
+		add(scenario.Fault{Kind: h.kind, Size: roundToThousandth(h.size)}, h.endpoint, h.from, h.to)
 	}
-	for _, w := range m.slows {
-		add(scenario.Fault{Kind: "slow", Size: thousandths(w.factor)}, w.host, w.from, w.to)
+	for _, w := range m.slowPeriods {
+		add(scenario.Fault{Kind: "slow", Size: roundToThousandth(w.factor)}, w.endpoint, w.from, w.to)
 	}
-	for _, l := range restarts(v) {
+	for _, l := range sidecarRestarts(v) {
 		f := scenario.Fault{Kind: "sidecar_kill", At: span(l.from), RecoveryDelay: span(max(l.to-l.from, time.Millisecond)),
 			Names: []string{fmt.Sprint("n", l.sidecar+1)}}
 		if f.At <= s.Length {
@@ -189,11 +189,11 @@
 }
 
 // restarts are the times between two runs of a sidecar.
-func restarts(v *view) (out []life) {
+func sidecarRestarts(v *history) (out []sidecarRun) {
 	ended := map[int]time.Duration{}
-	for _, l := range v.lives {
+	for _, l := range v.sidecarRuns {
 		if at, again := ended[l.sidecar]; again && l.from > at {
-			out = append(out, life{sidecar: l.sidecar, from: at, to: l.from})
+			out = append(out, sidecarRun{sidecar: l.sidecar, from: at, to: l.from})
 		}
 		ended[l.sidecar] = max(ended[l.sidecar], l.to)
 	}
--- a/internal/lab/calibration/counts.go
+++ b/internal/lab/calibration/counts.go
@@ -11,18 +11,18 @@
 // is more. A play of the recorded hosts themselves with other draws is off by up to two thirds of that on the bad
 // morning, and by a little more than it where some 150 streams in all were refused.
 const (
-	marginCount = 0.15
-	marginAll   = 0.01
+	countMargin = 0.15
+	totalMargin = 0.01
 )
 
 // Count is what became of streams at the sidecar that took them.
 type Count struct {
-	Asked   int
-	Aim     int // answered within the class's aim, from the stream's arrival
-	Late    int // answered later
-	Refused int
-	Failed  int // failed, rejected, or out of time
-	Gone    int // their clients left
+	Requests int
+	InTarget int // answered within the class's aim, from the stream's arrival
+	Late     int // answered later
+	Rejected int
+	Failed   int // failed, rejected, or out of time
+	Canceled int // their clients left
 }
 
 // Counts are those of all streams and of each class.
@@ -34,23 +34,23 @@
 }
 
 // counts counts a view's streams and attempts.
-func (v *view) counts() Counts {
+func (v *history) counts() Counts {
 	c := Counts{Classes: make([]Count, len(v.settings.ClassNames)), Names: v.settings.ClassNames}
-	for i := range v.streams {
-		s := &v.streams[i]
+	for i := range v.requests {
+		s := &v.requests[i]
 		for _, n := range []*Count{&c.All, &c.Classes[s.class]} {
-			n.Asked++
-			switch s.end {
+			n.Requests++
+			switch s.outcome {
 			case stream.Served:
-				if s.after <= v.settings.Classes[s.class].Aim {
-					n.Aim++
+				if s.duration <= v.settings.Classes[s.class].Aim {
+					n.InTarget++
 				} else {
 					n.Late++
 				}
 			case stream.Refused:
-				n.Refused++
+				n.Rejected++
 			case stream.Gone:
-				n.Gone++
+				n.Canceled++
 			default:
 				n.Failed++
 			}
@@ -64,30 +64,30 @@
 
 // Row is one count beside its rehearsal's.
 type Row struct {
-	What                string
-	Observed, Rehearsed int
-	Margin              float64
-	Kept                bool
+	Name               string
+	Observed, Replayed int
+	Margin             float64
+	WithinMargin       bool
 }
 
 // Compare holds a rehearsal's counts against the observed ones.
-func (r *Rehearsal) Compare(c Counts) (rows []Row) {
-	o := &r.Observed.All
+func (r *Replay) Compare(c Counts) (rows []Row) {
+	o := &r.Recorded.All
 	for _, n := range []struct {
 		what string
 		a, b int
-	}{{"served in aim", o.Aim, c.All.Aim}, {"late", o.Late, c.All.Late}, {"refused", o.Refused, c.All.Refused},
+	}{{"served in aim", o.InTarget, c.All.InTarget}, {"late", o.Late, c.All.Late}, {"refused", o.Rejected, c.All.Rejected},
 		{"failed", o.Failed, c.All.Failed}} {
-		margin := max(marginCount*float64(n.a), marginAll*float64(o.Asked))
+		margin := max(countMargin*float64(n.a), totalMargin*float64(o.Requests))
 		rows = append(rows, Row{n.what, n.a, n.b, margin, math.Abs(float64(n.a-n.b)) <= margin})
 	}
 	return rows
 }
 
-// Kept tells whether all rows are within their margins.
-func Kept(rows []Row) bool {
+// AllWithinMargin tells whether all rows are within their margins.
+func AllWithinMargin(rows []Row) bool {
 	for _, r := range rows {
-		if !r.Kept {
+		if !r.WithinMargin {
 			return false
 		}
 	}
--- a/internal/lab/calibration/file.go
+++ b/internal/lab/calibration/file.go
@@ -48,7 +48,7 @@
 }
 
 // Write leaves a rehearsal in a folder, as a scenario and the record that it plays.
-func (r *Rehearsal) Write(dir string, records []*accesslog.Record) error {
+func (r *Replay) Write(dir string, records []*accesslog.Record) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("rehearse: %w", err)
 	}
--- a/internal/lab/calibration/law.go
+++ b/internal/lab/calibration/law.go
@@ -3,20 +3,20 @@
 import "math"
 
 const (
-	leastWork  = 1e-7 // seconds: below is rounding of the record's times
-	leastSigma = 0.1
-	emRounds   = 6 // the mean and spread of what was done are close by
-	// familyPieces tell an exponential from a lognormal class beyond doubt.
-	familyPieces = 800
+	minWork  = 1e-7 // seconds: below is rounding of the record's times
+	minSigma = 0.1
+	emRounds = 6 // the mean and spread of what was done are close by
+	// maxFamilyPieces tell an exponential from a lognormal class beyond doubt.
+	maxFamilyPieces = 800
 )
 
 // law is how the work of a class spreads, in seconds of a standard core: lognormal, or exponential from request
 // to request and lognormal around that from attempt to attempt.
-type law struct {
-	exp       bool
-	mean      float64 // exp
-	noise     float64 // exp: sigma of the attempts' logarithms
-	mu, sigma float64 // lognormal
+type workDistribution struct {
+	exponential bool
+	mean        float64 // exp
+	noise       float64 // exp: sigma of the attempts' logarithms
+	mu, sigma   float64 // lognormal
 }
 
 // nodes and weights are Gauss and Hermite's for five places of a standard normal number.
@@ -26,15 +26,15 @@
 )
 
 // kinds are the laws that a class may have.
-var kinds = []law{{}, {exp: true}, {exp: true, noise: 0.3}, {exp: true, noise: 0.6}}
+var families = []workDistribution{{}, {exponential: true}, {exponential: true, noise: 0.3}, {exponential: true, noise: 0.6}}
 
 // tells is what a piece of work says: how likely it is (up to what no law changes), and how the likelihood
 // changes with the logarithm of all works, with the information in that. Of a censored one no more is known
 // than that there was more to do.
-func (l *law) tells(work float64, censored bool) (logLikely, slope, info float64) {
-	work = max(work, leastWork)
-	if l.exp {
-		likely, x := l.mix(work, censored)
+func (l *workDistribution) score(work float64, censored bool) (logLikely, slope, info float64) {
+	work = max(work, minWork)
+	if l.exponential {
+		likely, x := l.exponentialMixture(work, censored)
 		if censored {
 			return math.Log(likely), -x, x
 		}
@@ -42,7 +42,7 @@
 	}
 	z := (math.Log(work) - l.mu) / l.sigma
 	if censored {
-		tail, hazard := upper(z)
+		tail, hazard := upperTail(z)
 		return math.Log(tail), -hazard / l.sigma, hazard * max(hazard-z, 0) / (l.sigma * l.sigma)
 	}
 	return -z*z/2 - math.Log(l.sigma*work*math.Sqrt(2*math.Pi)), -z / l.sigma, 1 / (l.sigma * l.sigma)
@@ -50,7 +50,7 @@
 
 // mix is the density of an exponential law at a work, or its upper tail, over its noise; and the work over its
 // mean as the noise makes it likely to have been.
-func (l *law) mix(work float64, censored bool) (likely, x float64) {
+func (l *workDistribution) exponentialMixture(work float64, censored bool) (likely, x float64) {
 	if l.noise == 0 {
 		x = work / l.mean
 		likely = math.Exp(-x)
@@ -78,38 +78,38 @@
 
 // fit finds a class's law by expectation and maximisation, the censored pieces counting for what they tell. Which
 // kind is likeliest, a part of the pieces decides.
-func (l *law) fit(of []piece) {
+func (l *workDistribution) fit(of []workPiece) {
 	some := of
-	if step := len(of) / familyPieces; step > 1 {
+	if step := len(of) / maxFamilyPieces; step > 1 {
 		some = nil
 		for i := 0; i < len(of); i += step {
 			some = append(some, of[i])
 		}
 	}
-	best, high := law{}, math.Inf(-1)
-	for _, kind := range kinds {
-		if !kind.climb(some) {
+	best, high := workDistribution{}, math.Inf(-1)
+	for _, kind := range families {
+		if !kind.maximize(some) {
 			return
 		}
-		if likely := kind.likely(some); likely > high {
+		if likely := kind.logLikelihood(some); likely > high {
 			best, high = kind, likely
 		}
 	}
-	if best.climb(of) {
+	if best.maximize(of) {
 		*l = best
 	}
 }
 
 // climb finds the likeliest law of its kind; it is false if too little was done to tell.
-func (l *law) climb(of []piece) bool {
-	normal := law{}
-	done := normal.start(of)
-	if done < leastDone {
+func (l *workDistribution) maximize(of []workPiece) bool {
+	normal := workDistribution{}
+	done := normal.estimateMoments(of)
+	if done < minAnswered {
 		return false
 	}
-	if !l.exp {
+	if !l.exponential {
 		for range emRounds {
-			normal.step(of)
+			normal.emStep(of)
 		}
 		*l = normal
 		return true
@@ -118,7 +118,7 @@
 	for range emRounds {
 		sum := 0.0
 		for _, p := range of {
-			_, x := l.mix(max(p.work, leastWork), p.censored)
+			_, x := l.exponentialMixture(max(p.work, minWork), p.censored)
 			sum += x
 		}
 		l.mean *= sum / done
@@ -127,28 +127,28 @@
 }
 
 // start takes the mean and spread of what was done, and returns how many pieces that were.
-func (l *law) start(of []piece) (done float64) {
+func (l *workDistribution) estimateMoments(of []workPiece) (done float64) {
 	sum, squares := 0.0, 0.0
 	for _, p := range of {
 		if !p.censored {
-			x := math.Log(max(p.work, leastWork))
+			x := math.Log(max(p.work, minWork))
 			done, sum, squares = done+1, sum+x, squares+x*x
 		}
 	}
 	l.mu = sum / max(done, 1)
-	l.sigma = max(math.Sqrt(max(squares/max(done, 1)-l.mu*l.mu, 0)), leastSigma)
+	l.sigma = max(math.Sqrt(max(squares/max(done, 1)-l.mu*l.mu, 0)), minSigma)
 	return done
 }
 
 // step is one round for the lognormal.
-func (l *law) step(of []piece) {
+func (l *workDistribution) emStep(of []workPiece) {
 	sum, squares := 0.0, 0.0
 	for _, p := range of {
-		x := math.Log(max(p.work, leastWork))
+		x := math.Log(max(p.work, minWork))
 		square := x * x
 		if p.censored { // the mean and square of a normal number that is above x
 			z := (x - l.mu) / l.sigma
-			_, hazard := upper(z)
+			_, hazard := upperTail(z)
 			left := l.sigma * l.sigma * max(1+z*hazard-hazard*hazard, 0)
 			x = l.mu + l.sigma*hazard
 			square = x*x + left
@@ -157,19 +157,19 @@
 	}
 	n := float64(len(of))
 	l.mu = sum / n
-	l.sigma = max(math.Sqrt(max(squares/n-l.mu*l.mu, 0)), leastSigma)
+	l.sigma = max(math.Sqrt(max(squares/n-l.mu*l.mu, 0)), minSigma)
 }
 
-func (l *law) likely(of []piece) (sum float64) {
+func (l *workDistribution) logLikelihood(of []workPiece) (sum float64) {
 	for _, p := range of {
-		x, _, _ := l.tells(p.work, p.censored)
+		x, _, _ := l.score(p.work, p.censored)
 		sum += x
 	}
 	return sum
 }
 
 // upper is the standard normal's upper tail and its hazard.
-func upper(z float64) (tail, hazard float64) {
+func upperTail(z float64) (tail, hazard float64) {
 	if z > 6 { // Mills' ratio
 		return math.Exp(-z*z/2) / (z * math.Sqrt(2*math.Pi)), z + 1/z
 	}
--- a/internal/lab/calibration/records_test.go
+++ b/internal/lab/calibration/records_test.go
@@ -28,7 +28,7 @@
 	return lines(t, records[0])
 }
 
-func noted(t *testing.T, r *Rehearsal, want string) {
+func noted(t *testing.T, r *Replay, want string) {
 	t.Helper()
 	if notes := strings.Join(r.Notes, "\n"); !strings.Contains(notes, want) {
 		t.Errorf("%q is not among the notes\n%s", want, notes)
@@ -124,7 +124,7 @@
 func TestStrongest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		scores := rapid.SliceOfN(rapid.Float64Range(-3, 3), 0, 40).Draw(t, "scores")
-		got, best := strongest(scores), 0.0
+		got, best := maxScoringSegment(scores), 0.0
 		for i := range scores {
 			sum := 0.0
 			for _, x := range scores[i:] {
@@ -144,25 +144,25 @@
 
 // TestLawsUnderCensoring fits laws to works of which many were given up before their end.
 func TestLawsUnderCensoring(t *testing.T) {
-	for i, truth := range []law{{mu: -4, sigma: 0.3}, {mu: -3, sigma: 0.55}, {mu: -2, sigma: 0.9}, {exp: true, mean: 0.03}, {exp: true, mean: 0.03, noise: 0.3}} {
+	for i, truth := range []workDistribution{{mu: -4, sigma: 0.3}, {mu: -3, sigma: 0.55}, {mu: -2, sigma: 0.9}, {exponential: true, mean: 0.03}, {exponential: true, mean: 0.03, noise: 0.3}} {
 		rng := rand.New(rand.NewPCG(uint64(i), 1))
-		var of []piece
+		var of []workPiece
 		for range 4000 {
 			work, middle := math.Exp(truth.mu+truth.sigma*rng.NormFloat64()), math.Exp(truth.mu)
-			if truth.exp {
+			if truth.exponential {
 				middle = truth.mean
 				work = middle * rng.ExpFloat64() * math.Exp(truth.noise*rng.NormFloat64()-truth.noise*truth.noise/2)
 			}
 			limit := middle * math.Exp(1+0.5*rng.NormFloat64())
-			of = append(of, piece{work: min(work, limit), censored: work > limit})
+			of = append(of, workPiece{work: min(work, limit), censored: work > limit})
 		}
-		var got law
+		var got workDistribution
 		got.fit(of)
 		off := math.Abs(got.mu-truth.mu) + math.Abs(got.sigma-truth.sigma)
-		if truth.exp {
+		if truth.exponential {
 			off = math.Abs(math.Log(got.mean / truth.mean))
 		}
-		if got.exp != truth.exp || off > 0.08 {
+		if got.exponential != truth.exponential || off > 0.08 {
 			t.Errorf("%+v was found for %+v", got, truth)
 		}
 	}
--- a/internal/lab/calibration/rehearse.go
+++ b/internal/lab/calibration/rehearse.go
@@ -23,39 +23,39 @@
 const DefaultEvaluations = 80
 
 const (
-	leastStreams = 100              // fewer say nothing of hosts
-	longestFit   = 15 * time.Minute // of a scenario
-	passes       = 2                // faults hide slowness and slowness looks like faults: look twice
+	minRequests = 100              // fewer say nothing of hosts
+	maxLength   = 15 * time.Minute // of a scenario
+	passes      = 2                // faults hide slowness and slowness looks like faults: look twice
 )
 
-// Rehearsal is a record's hosts and what went wrong with them, ready to be played again.
-type Rehearsal struct {
+// Replay is a record's hosts and what went wrong with them, ready to be played again.
+type Replay struct {
 	Scenario *scenario.Scenario
 	Arrivals []plan.Arrival
 	Seed     uint64
 	Notes    []string // what was found and what could not be, in plain words
-	Observed Counts   // what the sidecars gave
+	Recorded Counts   // what the sidecars gave
 
-	view *view
+	history *history
 }
 
 // Fit makes a rehearsal of sidecars' records, of one tier. The same records and options give the same one.
-func Fit(records []*accesslog.Record, o Options) (*Rehearsal, error) {
+func Fit(records []*accesslog.Record, o Options) (*Replay, error) {
 	records = slices.Clone(records)
-	slices.SortStableFunc(records, func(a, b *accesslog.Record) int { return rank(a) - rank(b) })
-	v, err := look(records)
+	slices.SortStableFunc(records, func(a, b *accesslog.Record) int { return rankOf(a) - rankOf(b) })
+	v, err := mergeRecords(records)
 	if err != nil {
 		return nil, err
 	}
-	if err := v.tells(); err != nil {
+	if err := v.validate(); err != nil {
 		return nil, err
 	}
 	m := fit(v)
-	r := &Rehearsal{Scenario: m.scenario(v), Seed: max(o.Seed, 1), Observed: v.counts(), view: v}
+	r := &Replay{Scenario: m.buildScenario(v), Seed: max(o.Seed, 1), Recorded: v.counts(), history: v}
 	if r.Arrivals, err = Arrivals(Merge(records), r.Scenario); err != nil {
 		return nil, err
 	}
-	if err := r.calibrate(m, o); err != nil {
+	if err := r.adjust(m, o); err != nil {
 		return nil, err
 	}
 	r.Notes = append(m.notes(v, r.Scenario), v.notes...)
@@ -73,7 +73,7 @@
 	return out
 }
 
-func rank(r *accesslog.Record) int {
+func rankOf(r *accesslog.Record) int {
 	if len(r.Runs) == 0 {
 		return 0
 	}
@@ -81,27 +81,27 @@
 }
 
 // tells names what a record lacks to be rehearsed.
-func (v *view) tells() error {
+func (v *history) validate() error {
 	answered := 0
 	for i := range v.attempts {
-		answered += b2i(v.attempts[i].status == balance.OK)
+		answered += boolToInt(v.attempts[i].status == balance.OK)
 	}
 	switch {
-	case len(v.streams) == 0:
+	case len(v.requests) == 0:
 		return errors.New("rehearse: the record holds no stream: nothing was asked while it was made")
-	case len(v.streams) < leastStreams:
-		return fmt.Errorf("rehearse: the record is too short to tell anything of hosts: %d streams, %d at least", len(v.streams), leastStreams)
-	case answered < leastDone:
+	case len(v.requests) < minRequests:
+		return fmt.Errorf("rehearse: the record is too short to tell anything of hosts: %d streams, %d at least", len(v.requests), minRequests)
+	case answered < minAnswered:
 		return fmt.Errorf("rehearse: only %d of %d attempts were answered: how fast the hosts are can't be told (%d at least)",
-			answered, len(v.attempts), leastDone)
-	case v.end > longestFit:
-		return fmt.Errorf("rehearse: the record spans %s from its first stream on; a rehearsal is %s at most", v.end.Round(time.Second), longestFit)
+			answered, len(v.attempts), minAnswered)
+	case v.end > maxLength:
+		return fmt.Errorf("rehearse: the record spans %s from its first stream on; a rehearsal is %s at most", v.end.Round(time.Second), maxLength)
 	}
 	return nil
 }
 
 // Play plays the rehearsal once in virtual time and counts what the sidecars gave.
-func (r *Rehearsal) Play(seed uint64) (Counts, error) {
+func (r *Replay) Play(seed uint64) (Counts, error) {
 	v, err := r.play(r.Scenario, seed)
 	if err != nil {
 		return Counts{}, err
@@ -110,7 +110,7 @@
 }
 
 // play plays a scenario and looks at it as at a record.
-func (r *Rehearsal) play(s *scenario.Scenario, seed uint64) (*view, error) {
+func (r *Replay) play(s *scenario.Scenario, seed uint64) (*history, error) {
 	p, err := plan.Build(s, seed, r.Arrivals)
 	if err != nil {
 		return nil, fmt.Errorf("rehearse: %w", err)
@@ -127,5 +127,5 @@
 		}
 		records = append(records, rec)
 	}
-	return look(records)
+	return mergeRecords(records)
 }
--- a/internal/lab/calibration/rehearse_test.go
+++ b/internal/lab/calibration/rehearse_test.go
@@ -85,7 +85,7 @@
 	return r
 }
 
-func fitted(t testing.TB, records []*accesslog.Record, o Options) *Rehearsal {
+func fitted(t testing.TB, records []*accesslog.Record, o Options) *Replay {
 	t.Helper()
 	r, err := Fit(records, o)
 	if err != nil {
@@ -114,13 +114,13 @@
 			}
 			line := fmt.Sprintf("%s, seed %d, %.1f s to fit:", day, seed, took.Seconds())
 			for _, row := range r.Compare(c) {
-				line += fmt.Sprintf(" %s %d for %d", row.What, row.Rehearsed, row.Observed)
-				if !row.Kept {
+				line += fmt.Sprintf(" %s %d for %d", row.Name, row.Replayed, row.Observed)
+				if !row.WithinMargin {
 					line += " (BEYOND)"
 				}
 			}
 			t.Log(line)
-			if (day == "bad-morning" || day == "two-tiers") && !Kept(r.Compare(c)) {
+			if (day == "bad-morning" || day == "two-tiers") && !AllWithinMargin(r.Compare(c)) {
 				t.Errorf("beyond the margin; it found\n%s", strings.Join(r.Notes, "\n"))
 			}
 		}
@@ -196,24 +196,24 @@
 // TestWorks holds the replay of a host against the work that its model really did.
 func TestWorks(t *testing.T) {
 	records, p, log := observe(t, "calm", "", 10*time.Second, 2)
-	v, err := look(records)
+	v, err := mergeRecords(records)
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &servers{cores: 1, slots: 20, queue: 24, cold: cold{from: 1, takes: 1}}
+	m := &fittedModel{cores: 1, slots: 20, queue: 24, warmup: warmup{initialShare: 1, duration: 1}}
 	did, found := 0.0, 0.0
 	for _, x := range log.EndpointRequests {
 		if x.Outcome == trace.OutcomeOK {
 			did += x.Work.Seconds()
 		}
 	}
-	for h := range v.hosts {
-		m.speed = append(m.speed, p.Endpoints[h].Spec.Speed)
-		if v.hosts[h].name != p.Endpoints[h].Name {
-			t.Fatalf("host %d is %s", h, v.hosts[h].name)
+	for h := range v.endpoints {
+		m.speeds = append(m.speeds, p.Endpoints[h].Spec.Speed)
+		if v.endpoints[h].name != p.Endpoints[h].Name {
+			t.Fatalf("host %d is %s", h, v.endpoints[h].name)
 		}
 	}
-	for h := range v.hosts {
+	for h := range v.endpoints {
 		for _, x := range m.pieces(v, h, nil) {
 			if !x.censored {
 				found += x.work
--- a/internal/lab/calibration/scan.go
+++ b/internal/lab/calibration/scan.go
@@ -1,18 +1,18 @@
 package calibration
 
 // run is a part of a sequence, from one place to before another, and how much speaks for it.
-type run struct {
+type segment struct {
 	from, to int
 	score    float64
 }
 
 // strongest is the part of a sequence of log-likelihood ratios with the highest sum: where a change began and
 // ended, if there was one (Karlin and Altschul 1990; found in one pass as Bentley 1984 describes).
-func strongest(scores []float64) run {
-	var best, here run
+func maxScoringSegment(scores []float64) segment {
+	var best, here segment
 	for i, s := range scores {
 		if here.score <= 0 {
-			here = run{from: i}
+			here = segment{from: i}
 		}
 		here.score += s
 		here.to = i + 1
@@ -24,15 +24,15 @@
 }
 
 // knob is a number that is fitted.
-type knob struct {
-	at          *float64
-	least, most float64
-	step        float64 // the first one
+type parameter struct {
+	value    *float64
+	min, max float64
+	step     float64 // the first one
 }
 
 // climb turns one knob after the other as long as that raises what is to be high, with smaller steps in each
 // round, and leaves them at the best. evals bounds how often it asks.
-func climb(high func() float64, knobs []knob, rounds, evals int) {
+func coordinateAscent(high func() float64, knobs []parameter, rounds, evals int) {
 	best := high()
 	for range rounds {
 		for i := range knobs {
@@ -40,8 +40,8 @@
 			for _, way := range []float64{1, -1} {
 				moved := false
 				for evals > 0 {
-					was := *k.at
-					if *k.at = min(max(was+way*k.step, k.least), k.most); *k.at == was {
+					was := *k.value
+					if *k.value = min(max(was+way*k.step, k.min), k.max); *k.value == was {
 						break
 					}
 					evals--
@@ -49,7 +49,7 @@
 						best, moved = h, true
 						continue
 					}
-					*k.at = was
+					*k.value = was
 					break
 				}
 				if moved {
--- a/internal/lab/calibration/virtual.go
+++ b/internal/lab/calibration/virtual.go
@@ -13,7 +13,7 @@
 )
 
 // epoch is the Unix time at which a virtual run starts. Any would do: up_since counts from it as well.
-const epoch = 500_000 * time.Hour
+const startTime = 500_000 * time.Hour
 
 // Record is what a sidecar would have recorded of a virtual run, had it gone on to the run's end: what was open
 // then or when it was killed is missing, as in a record.
@@ -24,9 +24,9 @@
 		return nil, err
 	}
 	f := &p.Scenario.Fleet
-	run := &accesslog.Run{Header: accesslog.Header{Name: p.Sidecars[sidecar].Name, Start: time.Unix(0, int64(epoch)).UTC(),
+	run := &accesslog.Run{Header: accesslog.Header{Name: p.Sidecars[sidecar].Name, Start: time.Unix(0, int64(startTime)).UTC(),
 		Limits: config.Limits{Cores: f.Cores, MemoryMB: f.MemoryMB, Sockets: f.Sockets}, Site: string(site), Settings: settings}}
-	run.Cluster = lists(p, log, sidecar)
+	run.Cluster = clusterUpdates(p, log, sidecar)
 	at := make([]int, len(log.ClientAttempts)) // of each try, its stream's place from 1 on
 	for _, s := range log.DownstreamRequests {
 		t := &log.ClientAttempts[s.ClientAttempt]
@@ -34,7 +34,7 @@
 			continue
 		}
 		run.Streams = append(run.Streams, accesslog.Stream{Arrival: s.Arrived, Class: t.Class, Left: t.Timeout,
-			Repeated: t.Number > 0 || t.Tier == 0 && p.Requests[t.Request].IsRetry, End: ending(&s), Answered: s.Ended - s.Arrived,
+			Repeated: t.Number > 0 || t.Tier == 0 && p.Requests[t.Request].IsRetry, End: outcomeOf(&s), Answered: s.Ended - s.Arrived,
 			RetryAfter: s.RetryAfter})
 		at[s.ClientAttempt] = len(run.Streams)
 	}
@@ -50,7 +50,7 @@
 }
 
 // lists are what discovery told a sidecar: the whole list at its start and then the changes.
-func lists(p *plan.Plan, log *trace.Log, sidecar int) (out []accesslog.Cluster) {
+func clusterUpdates(p *plan.Plan, log *trace.Log, sidecar int) (out []accesslog.Cluster) {
 	states := [...]balance.Availability{trace.PhaseReady: balance.Ready, trace.PhaseTerminating: balance.Draining, trace.PhaseGone: balance.Gone}
 	for _, t := range log.Notifications {
 		if t.Sidecar != sidecar {
@@ -68,7 +68,7 @@
 		if t.Phase != trace.PhaseGone {
 			m.Kind, m.Zone, m.Weight = b.Kind, plan.Zone, float64(b.Spec.Cores)
 			if t.UpSince > 0 {
-				m.UpSince = (epoch + t.UpSince).Truncate(time.Millisecond)
+				m.UpSince = (startTime + t.UpSince).Truncate(time.Millisecond)
 			}
 		}
 		last := &out[len(out)-1]
@@ -78,7 +78,7 @@
 }
 
 // ending is a stream's outcome in a record's words.
-func ending(s *trace.DownstreamRequest) stream.Outcome {
+func outcomeOf(s *trace.DownstreamRequest) stream.Outcome {
 	switch {
 	case s.Status == trace.StatusServed:
 		return stream.Served
