--- a/cmd/pinelab/rehearse.go
+++ b/cmd/pinelab/rehearse.go
@@ -143,7 +143,7 @@
 		if !row.WithinMargin {
 			kept = "NO"
 		}
-		fmt.Fprintf(w, "%s\t%d\t%d\t%+d\t%.0f\t%s\t", row.Name, row.Observed, row.Replayed, row.Replayed-row.Observed, row.Margin, kept)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%+d\t%.0f\t%s\t", row.Name, row.Recorded, row.Replayed, row.Replayed-row.Recorded, row.Margin, kept)
 		if spread != nil {
 			fmt.Fprintf(w, "%d to %d\t", spread[i][0], spread[i][1])
 		}
--- a/internal/lab/calibration/calibrate.go
+++ b/internal/lab/calibration/adjust.go
@@ -9,83 +9,83 @@
 	"pinelb.example/pinelb/internal/stream"
 )
 
-// Tunables of the calibration.
+// Parameters of the adjustment.
 const (
-	playsPerTrial   = 5           // plays a try, with the same draws for each: one alone would chase its own noise
-	gainThreshold   = 4.0         // standard errors that a gain has to be beyond: chance does that once in a hundred tries
-	minGain         = 0.03        // of the loss: where the model fits, the direct fit is better than what a try of a few plays shows
-	trialSeedOffset = 1000        // the calibration's draws are not those of the rehearsal, which it is judged by
+	playsPerTrial   = 5           // of a trial, with the same draws for each: a single play would follow its own noise
+	gainThreshold   = 4.0         // standard errors that a gain has to exceed: by chance that happens once in a hundred trials
+	minGain         = 0.03        // of the distance: where the model fits, the direct fit is better than the result of a few plays
+	trialSeedOffset = 1000        // trials use other draws than the replay, which is what is judged
 	countInterval   = time.Second // of the counts that are compared
-	totalsWeight    = 4.0         // of how the streams ended over the whole run, beside that by second
-	latencyWeight   = 4.0         // what a whole mismatch of attempts' times counts for, beside that of counts
-	speedStep       = 0.04        // of the work's scale; the direct fit is within a few percent
-	slowFactorStep  = 0.08        // of a slow time's factor
-	warmupStepSize  = 0.3         // of the capacity that cold hosts begin with
+	totalsWeight    = 4.0         // weight of the outcomes over the run, beside those by second
+	latencyWeight   = 4.0         // weight of the attempts' latencies, beside that of counts
+	speedStep       = 0.04        // of the logarithm of all speeds; the direct fit is within a few percent
+	slowFactorStep  = 0.08        // of the logarithm of a slow period's factor
+	warmupStepSize  = 0.3         // of the logarithm of the initial share of capacity
 )
 
-// quantiles of the attempts' times that are compared.
+// quantiles of the attempts' latencies that are compared.
 var quantiles = []float64{0.25, 0.5, 0.75, 0.9, 0.97}
 
-// turn is one thing that the calibration may change.
+// adjustment is one change of the model that may be tried: apply makes it in a direction, 1 or -1.
 type adjustment struct {
-	apply func(way float64)
+	apply func(direction float64)
 	undo  func()
 }
 
-// calibrate plays the rehearsal with one thing changed after another, and keeps what brings it closer to the
-// record: it corrects what the model of a host leaves out, and finds what the direct fit could not see, such as
-// when a host would have answered again that nobody asked. It stops as soon as the record could be a play itself:
-// what is left is chance then.
+// adjust plays the replay with one adjustment after another, and keeps those that bring it significantly closer to the
+// record. That corrects what the model of an endpoint leaves out, and finds what the direct fit could not see, such as
+// when an endpoint that got no requests would have responded again. It stops once the record could be a play itself: what
+// remains is chance then.
 func (r *Replay) adjust(m *fittedModel, o Options) error {
 	plays := o.Evaluations
 	if plays == 0 {
 		plays = DefaultEvaluations
 	}
-	want := r.history.marks()
-	var seen [playsPerTrial]*statistics // by the last plays
-	losses := func() (out [playsPerTrial]float64, err error) {
+	want := r.history.statistics()
+	var seen [playsPerTrial]*statistics // of the last plays
+	trial := func() (distances [playsPerTrial]float64, err error) {
 		s := m.buildScenario(r.history)
 		plays -= playsPerTrial
-		for i := range out {
+		for i := range distances {
 			v, err := r.play(s, r.Seed+trialSeedOffset+uint64(i))
 			if err != nil {
-				return out, err
+				return distances, err
 			}
-			seen[i] = v.marks()
-			out[i] = want.distance(seen[i])
+			seen[i] = v.statistics()
+			distances[i] = want.distance(seen[i])
 		}
-		return out, nil
+		return distances, nil
 	}
 	if plays < playsPerTrial {
 		return nil
 	}
-	best, err := losses()
+	best, err := trial()
 	if err != nil {
 		return err
 	}
 	chance := maxSpread(&seen)
-	for _, k := range m.adjustments() {
-		for _, way := range []float64{1, -1} {
+	for _, change := range m.adjustments() {
+		for _, direction := range []float64{1, -1} {
 			if plays < playsPerTrial || mean(&best) <= chance {
 				break
 			}
-			k.apply(way)
-			l, err := losses()
+			change.apply(direction)
+			distances, err := trial()
 			if err != nil {
 				return err
 			}
-			if significantlyBetter(&best, &l) {
-				best = l
+			if significantlyBetter(&best, &distances) {
+				best = distances
 				break
 			}
-			k.undo()
+			change.undo()
 		}
 	}
 	r.Scenario = m.buildScenario(r.history)
 	return nil
 }
 
-// scatter is how far the play that is farthest from the others is from them.
+// maxSpread is the mean distance of the play that is farthest from the others.
 func maxSpread(of *[playsPerTrial]*statistics) (most float64) {
 	for i, a := range of {
 		sum := 0.0
@@ -106,7 +106,8 @@
 	return m
 }
 
-// better tells whether losses are lower than others with the same draws, beyond what draws explain.
+// significantlyBetter reports whether distances are lower than others with the same draws, beyond what draws explain: a
+// paired t-test.
 func significantlyBetter(than, l *[playsPerTrial]float64) bool {
 	gain, squares := mean(than)-mean(l), 0.0
 	for i := range l {
@@ -117,7 +118,7 @@
 	return gain > gainThreshold*deviation && gain > minGain*mean(than)
 }
 
-// turns are what may be changed, what the record shows least first.
+// adjustments returns the possible changes, those that the record shows least first.
 func (m *fittedModel) adjustments() (out []adjustment) {
 	for i := range m.partialFaults {
 		s := &m.partialFaults[i]
@@ -155,16 +156,16 @@
 	return out
 }
 
-// marks is what a play and the record are compared by.
+// statistics are what a play and the record are compared by.
 type statistics struct {
-	logLatencies [][]float64 // logarithms of the answered attempts' quantiles, by class
-	latencyShare []float64   // by class: its part of them
-	outcomes     map[int]int // streams by second and end
-	totals       map[int]int // streams by end
-	attempts     map[int]int // attempts by host, second and whether they were answered
+	logLatencies [][]float64 // by class, the logarithms of the quantiles of successful attempts' latencies
+	latencyShare []float64   // by class, its share of those attempts
+	outcomes     map[int]int // requests by second and outcome
+	totals       map[int]int // requests by outcome
+	attempts     map[int]int // by endpoint, second and success
 }
 
-func (v *history) marks() *statistics {
+func (v *history) statistics() *statistics {
 	k := &statistics{outcomes: map[int]int{}, totals: map[int]int{}, attempts: map[int]int{}}
 	took := make([][]float64, len(v.settings.ClassNames))
 	all := 0.0
@@ -204,7 +205,7 @@
 	return k
 }
 
-// from is how far others are from these: 0 is not at all.
+// distance is how far others are from these: 0 is equal.
 func (k *statistics) distance(o *statistics) float64 {
 	times := 0.0
 	for c := range k.logLatencies {
@@ -215,7 +216,7 @@
 	return latencyWeight*times + totalsWeight*countDistance(k.totals, o.totals) + countDistance(k.outcomes, o.outcomes) + countDistance(k.attempts, o.attempts)
 }
 
-// apart is the part of two sets of counts that does not match.
+// countDistance is the part of two sets of counts that does not match, from 0 to 1.
 func countDistance(a, b map[int]int) float64 {
 	differ, all := 0, 0
 	for at, n := range a {
--- a/internal/lab/calibration/arrivals.go
+++ b/internal/lab/calibration/arrivals.go
@@ -1,9 +1,13 @@
-// Package rehearse takes sidecars' records and makes a scenario of them that behaves as the recorded hosts
-// did: who asked what and when is the record's, and the boxes and what went wrong with them are fitted to it.
+// Package calibration makes a scenario of sidecars' access logs (records) that behaves as the recorded endpoints did. The
+// requests and their times are the record's; the endpoints and their faults are fitted to it, first directly, by maximum
+// likelihood, and then by trial plays in virtual time that are compared with the record.
+//
+// Fit makes a Replay, which can be played, compared with the record and written as files; Arrivals and Record are the two
+// conversions between records and plans. Everything but Replay.Write is pure: the same records and options give the same
+// replay. An "endpoint" here is one of the record's hosts.
 package calibration
 
 import (
-	"fmt"
 	"math/rand/v2"
 	"time"
 
@@ -14,16 +18,15 @@
 )
 
 const (
-	// cancelSteps part a client's time, to find how likely it leaves in each. The gone are few: ten steps still
-	// tell a client that leaves at once from one that waits.
+	// cancelSteps is the number of steps of a request's time-out for which the rate of cancellations is estimated. There
+	// are few cancellations: ten steps still distinguish clients that cancel at once from those that wait.
 	cancelSteps = 10
-	// lead is the quiet kept before the first stream of a sidecar that had none for long, in which it learns
-	// of its hosts.
+	// quietLead is the time kept before the first request of a sidecar that had none for long, in which it gets its list.
 	quietLead = time.Second
 )
 
-// start is the rehearsal's time 0: the earliest start of a run, or shortly before the first stream if that
-// came much later.
+// startOf returns the replay's time 0: the earliest start of a run, or shortly before the first request if that came much
+// later.
 func startOf(records ...*accesslog.Record) time.Time {
 	var first, asked time.Time
 	for _, r := range records {
@@ -45,13 +48,14 @@
 	return first
 }
 
-// Arrivals are a record's streams as a scenario's clients send them again. Classes are found by name. Clients
-// that left do so again, and of the others as many would have left later as the record makes likely.
+// Arrivals returns a record's requests as a scenario's clients send them again. Classes are found by name; one that the
+// scenario lacks is a *RecordError. Clients that cancelled do so again, and for the others the time of a later cancellation is
+// drawn at the rate of the record.
 func Arrivals(r *accesslog.Record, s *scenario.Scenario) ([]plan.Arrival, error) {
 	zero := startOf(r)
 	out := []plan.Arrival{}
 	leaves := cancelRates(r)
-	rng := rand.New(rand.NewPCG(cancelSteps, 1))
+	random := rand.New(rand.NewPCG(cancelSteps, 1))
 	for _, run := range r.Runs {
 		offset := run.Header.Start.Sub(zero)
 		for i := range run.Streams {
@@ -59,10 +63,10 @@
 			name := run.Header.Settings.ClassNames[st.Class]
 			class := s.ClassIndex(name)
 			if class < 0 {
-				return nil, fmt.Errorf("rehearse: the record names the class %q, which the scenario lacks", name)
+				return nil, newRecordError("the record names the class %q, which the scenario lacks", name)
 			}
 			a := plan.Arrival{At: offset + st.Arrival, Class: class, Timeout: st.Left, IsRetry: st.Repeated}
-			if a.CancelAfter = leaves.drawCancelTime(st, rng); st.End == stream.Gone {
+			if a.CancelAfter = leaves.drawCancelTime(st, random); st.End == stream.Gone {
 				a.CancelAfter = st.Answered
 			}
 			if a.CancelAfter >= st.Left { // its time is up by then
@@ -74,11 +78,11 @@
 	return out, nil
 }
 
-// rates are how often clients leave in each part of their time, as a rate over that time.
+// cancelHazard is the rate of cancellations in each step of a request's time-out, per step.
 type cancelHazard [cancelSteps]float64
 
-// leaving counts those that left against the time that all waited: what was answered says nothing of when its
-// client would have left later.
+// cancelRates estimates it as the cancellations of a step over the time that all requests waited in it: a request with a
+// response is censored from then on.
 func cancelRates(r *accesslog.Record) (out cancelHazard) {
 	var left, waited cancelHazard
 	for _, run := range r.Runs {
@@ -104,9 +108,9 @@
 	return out
 }
 
-// after draws when a client would have left that had its answer; 0 is never.
-func (r *cancelHazard) drawCancelTime(s *accesslog.Stream, rng *rand.Rand) time.Duration {
-	need := rng.ExpFloat64()
+// drawCancelTime draws when a client would have cancelled a request that had a response; 0 is never.
+func (r *cancelHazard) drawCancelTime(s *accesslog.Stream, random *rand.Rand) time.Duration {
+	need := random.ExpFloat64()
 	from := float64(s.Answered) / float64(max(s.Left, 1)) * cancelSteps
 	for step := int(from); step < cancelSteps; step++ {
 		here := r[step] * (float64(step+1) - max(from, float64(step)))
--- a/internal/lab/calibration/work.go
+++ b/internal/lab/calibration/attained_work.go
@@ -9,31 +9,31 @@
 	"pinelb.example/pinelb/balance"
 )
 
-// minLogLikelihood is a logarithm: one attempt that is beyond all laws must not outweigh all others.
+// minLogLikelihood bounds the log-likelihood of one attempt, which must not outweigh all others.
 const minLogLikelihood = -20.0
 
-// piece is the work that a host did for an attempt, if it shares its cores evenly among those in its slots.
+// workPiece is the work that an endpoint did for an attempt, if it shares its cores evenly among those in its slots.
 type workPiece struct {
-	attempt  int     // index into the view's
-	work     float64 // seconds of a standard core, as far as it got
-	rate     float64 // at which it got on at its end: of a core, and its part of one
-	censored bool    // it was given up before it was done
+	attempt  int     // index into the history's
+	work     float64 // seconds of a standard core, up to its end
+	rate     float64 // of its progress at its end: a core's speed times its share of one
+	censored bool    // it was aborted before it was done
 }
 
-// edge is the beginning or the end of an attempt, the ith of its host.
+// attemptEdge is the start or the end of an attempt, by its index among its endpoint's.
 type attemptEdge struct {
 	at      time.Duration
 	attempt int
 	ends    bool
 }
 
-// edges are those of a host's attempts that took part in its work. They are kept until reconsider.
-func (v *history) edges(host int) []attemptEdge {
-	h := &v.endpoints[host]
+// edges returns the edges of the attempts that an endpoint worked on. They are cached until invalidateEdges.
+func (v *history) edges(endpointIndex int) []attemptEdge {
+	h := &v.endpoints[endpointIndex]
 	if h.edges != nil {
 		return h.edges
 	}
-	of := v.attemptsOf(host)
+	of := v.attemptsOf(endpointIndex)
 	h.edges = make([]attemptEdge, 0, 2*len(of))
 	for i := range of {
 		if a := &of[i]; !a.lost && wasAccepted(a.status) && a.ended > a.started {
@@ -44,20 +44,20 @@
 	return h.edges
 }
 
-// reconsider is to be called when other attempts of a host count as lost than before.
-func (v *history) invalidateEdges(host int) { v.endpoints[host].edges = nil }
+// invalidateEdges has to be called when other attempts of an endpoint count as lost than before.
+func (v *history) invalidateEdges(endpointIndex int) { v.endpoints[endpointIndex].edges = nil }
 
-// pieces replays a host: what it was sent and what it let go is on record, and so is therefore who shared its
-// cores with whom. Each answered attempt then shows its work, and each other one how much it had at least.
-func (m *fittedModel) pieces(v *history, host int, out []workPiece) []workPiece {
-	first := v.endpoints[host].firstAttempt
-	of := v.attemptsOf(host)
+// pieces reconstructs an endpoint's work: the starts and ends of its attempts are recorded, and so which of them shared its
+// cores. Each attempt with a response then shows its work, and each other one a lower bound of it.
+func (m *fittedModel) pieces(v *history, endpointIndex int, out []workPiece) []workPiece {
+	first := v.endpoints[endpointIndex].firstAttempt
+	of := v.attemptsOf(endpointIndex)
 	const waits = -1
-	begun := make([]float64, len(of)) // gained when it began to run, or waits
+	begun := make([]float64, len(of)) // attained service of all when it started to run, or waits
 	var queue []int
-	p, hint := m.capacityOf(v, host), 0
+	p, hint := m.capacityOf(v, endpointIndex), 0
 	gained, last, running := 0.0, 0.0, 0
-	for _, e := range v.edges(host) {
+	for _, e := range v.edges(endpointIndex) {
 		sum, rate := p.at(e.at, &hint)
 		gained += (sum - last) * m.coreShare(running)
 		last = sum
@@ -90,21 +90,21 @@
 	return out
 }
 
-// part is that of a core which each of n running requests has.
+// coreShare is the share of a core that each of n running requests has.
 func (m *fittedModel) coreShare(n int) float64 {
 	return float64(min(m.cores, max(n, 1))) / float64(max(n, 1))
 }
 
-// took tells whether the host took the request.
+// wasAccepted reports whether the endpoint accepted the request.
 func wasAccepted(s balance.Status) bool {
 	return s != balance.ConnectFailed && s != balance.Full && s != balance.Moot
 }
 
-// likelihood of when a host's attempts ended: that of the works by then, times how fast these grew. Without the
-// latter, times would be likelier the fewer cores a host is said to have, as all works come out smaller.
-func (m *fittedModel) likelihood(v *history, host int) float64 {
+// likelihood is the log-likelihood of the times at which an endpoint's attempts ended: that of their work, times its rate
+// of progress then. Without that factor, times would be likelier with fewer cores, as all work would come out smaller.
+func (m *fittedModel) likelihood(v *history, endpointIndex int) float64 {
 	sum := 0.0
-	for _, p := range m.pieces(v, host, nil) {
+	for _, p := range m.pieces(v, endpointIndex, nil) {
 		l, _, _ := m.distributions[v.attempts[p.attempt].class].score(p.work, p.censored)
 		if sum += max(l, minLogLikelihood); !p.censored {
 			sum += math.Log(p.rate)
@@ -113,10 +113,10 @@
 	return sum
 }
 
-// likelihoods is that of all hosts, or of one.
-func (m *fittedModel) totalLikelihood(v *history, host int) float64 {
-	if host >= 0 {
-		return m.likelihood(v, host)
+// totalLikelihood is the log-likelihood of one endpoint, or of all (-1).
+func (m *fittedModel) totalLikelihood(v *history, endpointIndex int) float64 {
+	if endpointIndex >= 0 {
+		return m.likelihood(v, endpointIndex)
 	}
 	sum := 0.0
 	for h := range v.endpoints {
@@ -125,14 +125,13 @@
 	return sum
 }
 
-// fitDistributions finds how each class's work spreads, the hosts' capacities being as they are, and then the hosts' speeds.
+// fitDistributions fits each class's distribution of work with the present capacities, and then the endpoints' speeds.
 func (m *fittedModel) fitDistributions(v *history, rounds int) {
 	for range rounds {
 		by := make([][]workPiece, len(m.distributions))
 		for h := range v.endpoints {
 			for _, p := range m.pieces(v, h, nil) {
-				// How long a request would have taken at the host that was beaten hangs together with how long it
-				// took at the other: only one of the two may count.
+				// The work of a request is correlated between its two attempts: only the one with the response may count.
 				if a := &v.attempts[p.attempt]; !a.lostRace {
 					by[a.class] = append(by[a.class], p)
 				}
@@ -142,7 +141,7 @@
 			m.distributions[c].fit(by[c])
 		}
 		for h := range v.endpoints {
-			slope, info := 0.0, 1.0 // one observation's worth for staying
+			slope, info := 0.0, 1.0 // a prior of one observation for no change
 			for _, p := range m.pieces(v, h, nil) {
 				_, s, i := m.distributions[v.attempts[p.attempt].class].score(p.work, p.censored)
 				slope, info = slope+s, info+i
@@ -153,7 +152,7 @@
 	}
 }
 
-// normalise has the mean speed be 1 and the works go with it: only their ratios show.
+// normalise scales the mean speed to 1, and work with it: only their ratios show.
 func (m *fittedModel) normalise() {
 	mean := 0.0
 	for _, s := range m.speeds {
--- a/internal/lab/calibration/counts.go
+++ b/internal/lab/calibration/counts.go
@@ -7,33 +7,33 @@
 	"pinelb.example/pinelb/internal/stream"
 )
 
-// The margin that a rehearsal has to keep for each count: so large a share of it, or of all streams, whichever
-// is more. A play of the recorded hosts themselves with other draws is off by up to two thirds of that on the bad
-// morning, and by a little more than it where some 150 streams in all were refused.
+// The margin of each count of a replay: a share of the count, or of all requests, whichever is more. A play of the recorded
+// endpoints themselves with other draws is off by up to two thirds of that for the scenario bad-morning, and by a little
+// more than it where some 150 requests in all were rejected.
 const (
 	countMargin = 0.15
 	totalMargin = 0.01
 )
 
-// Count is what became of streams at the sidecar that took them.
+// Count counts requests by their outcome at the sidecar that accepted them.
 type Count struct {
 	Requests int
-	InTarget int // answered within the class's aim, from the stream's arrival
-	Late     int // answered later
+	InTarget int // served within the class's target latency, from the request's arrival
+	Late     int // served later
 	Rejected int
 	Failed   int // failed, rejected, or out of time
-	Canceled int // their clients left
+	Canceled int // by their clients
 }
 
-// Counts are those of all streams and of each class.
+// Counts are the counts of all requests and of each class.
 type Counts struct {
 	All      Count
 	Classes  []Count // in the settings' order
 	Names    []string
-	Attempts [balance.Moot]int // by balance.Status; moot ones were none
+	Attempts [balance.Moot]int // by balance.Status, but for those that were not sent
 }
 
-// counts counts a view's streams and attempts.
+// counts counts the requests and attempts.
 func (v *history) counts() Counts {
 	c := Counts{Classes: make([]Count, len(v.settings.ClassNames)), Names: v.settings.ClassNames}
 	for i := range v.requests {
@@ -62,29 +62,30 @@
 	return c
 }
 
-// Row is one count beside its rehearsal's.
+// Row is one count of the record beside the replay's.
 type Row struct {
 	Name               string
-	Observed, Replayed int
+	Recorded, Replayed int
 	Margin             float64
 	WithinMargin       bool
 }
 
-// Compare holds a rehearsal's counts against the observed ones.
+// Compare compares the counts of a play with the recorded ones.
 func (r *Replay) Compare(c Counts) (rows []Row) {
-	o := &r.Recorded.All
-	for _, n := range []struct {
-		what string
-		a, b int
-	}{{"served in aim", o.InTarget, c.All.InTarget}, {"late", o.Late, c.All.Late}, {"refused", o.Rejected, c.All.Rejected},
-		{"failed", o.Failed, c.All.Failed}} {
-		margin := max(countMargin*float64(n.a), totalMargin*float64(o.Requests))
-		rows = append(rows, Row{n.what, n.a, n.b, margin, math.Abs(float64(n.a-n.b)) <= margin})
+	recorded, replayed := &r.Recorded.All, &c.All
+	add := func(name string, recordedCount, replayedCount int) {
+		margin := max(countMargin*float64(recordedCount), totalMargin*float64(recorded.Requests))
+		difference := math.Abs(float64(recordedCount - replayedCount))
+		rows = append(rows, Row{name, recordedCount, replayedCount, margin, difference <= margin})
 	}
+	add("served in aim", recorded.InTarget, replayed.InTarget)
+	add("late", recorded.Late, replayed.Late)
+	add("refused", recorded.Rejected, replayed.Rejected)
+	add("failed", recorded.Failed, replayed.Failed)
 	return rows
 }
 
-// AllWithinMargin tells whether all rows are within their margins.
+// AllWithinMargin reports whether all rows are within their margins.
 func AllWithinMargin(rows []Row) bool {
 	for _, r := range rows {
 		if !r.WithinMargin {
--- a/internal/lab/calibration/law.go
+++ b/internal/lab/calibration/distribution.go
@@ -3,15 +3,15 @@
 import "math"
 
 const (
-	minWork  = 1e-7 // seconds: below is rounding of the record's times
+	minWork  = 1e-7 // seconds: less is rounding of the record's times
 	minSigma = 0.1
-	emRounds = 6 // the mean and spread of what was done are close by
-	// maxFamilyPieces tell an exponential from a lognormal class beyond doubt.
+	emRounds = 6 // rounds of expectation-maximisation; the starting point is close
+	// maxFamilyPieces is enough to distinguish an exponential from a lognormal class.
 	maxFamilyPieces = 800
 )
 
-// law is how the work of a class spreads, in seconds of a standard core: lognormal, or exponential from request
-// to request and lognormal around that from attempt to attempt.
+// workDistribution is the distribution of a class's work, in seconds of a standard core: lognormal, or exponential from
+// request to request and lognormal around that from attempt to attempt.
 type workDistribution struct {
 	exponential bool
 	mean        float64 // exp
@@ -19,18 +19,17 @@
 	mu, sigma   float64 // lognormal
 }
 
-// nodes and weights are Gauss and Hermite's for five places of a standard normal number.
+// nodes and weights are those of Gauss-Hermite quadrature with five nodes, for a standard normal number.
 var (
 	nodes   = [...]float64{-2.856970013872806, -1.355626179974266, 0, 1.355626179974266, 2.856970013872806}
 	weights = [...]float64{0.011257411327721, 0.222075922005613, 0.533333333333333, 0.222075922005613, 0.011257411327721}
 )
 
-// kinds are the laws that a class may have.
+// families are the families of distributions that are tried.
 var families = []workDistribution{{}, {exponential: true}, {exponential: true, noise: 0.3}, {exponential: true, noise: 0.6}}
 
-// tells is what a piece of work says: how likely it is (up to what no law changes), and how the likelihood
-// changes with the logarithm of all works, with the information in that. Of a censored one no more is known
-// than that there was more to do.
+// score returns the log-likelihood of a piece of work (up to a constant), its derivative by the logarithm of all work, and
+// the information in that. Of a censored piece it is only known that there was more work than that.
 func (l *workDistribution) score(work float64, censored bool) (logLikely, slope, info float64) {
 	work = max(work, minWork)
 	if l.exponential {
@@ -48,8 +47,8 @@
 	return -z*z/2 - math.Log(l.sigma*work*math.Sqrt(2*math.Pi)), -z / l.sigma, 1 / (l.sigma * l.sigma)
 }
 
-// mix is the density of an exponential law at a work, or its upper tail, over its noise; and the work over its
-// mean as the noise makes it likely to have been.
+// exponentialMixture returns the density of an exponential distribution, or its upper tail if censored, averaged over the
+// noise; and the expected ratio of the work to its mean, given the work.
 func (l *workDistribution) exponentialMixture(work float64, censored bool) (likely, x float64) {
 	if l.noise == 0 {
 		x = work / l.mean
@@ -76,8 +75,7 @@
 	return likely, sum / likely
 }
 
-// fit finds a class's law by expectation and maximisation, the censored pieces counting for what they tell. Which
-// kind is likeliest, a part of the pieces decides.
+// fit fits the distribution by expectation-maximisation with censored pieces. A part of the pieces decides the family.
 func (l *workDistribution) fit(of []workPiece) {
 	some := of
 	if step := len(of) / maxFamilyPieces; step > 1 {
@@ -100,7 +98,7 @@
 	}
 }
 
-// climb finds the likeliest law of its kind; it is false if too little was done to tell.
+// maximize finds the likeliest distribution of its family; false if too few pieces are complete.
 func (l *workDistribution) maximize(of []workPiece) bool {
 	normal := workDistribution{}
 	done := normal.estimateMoments(of)
@@ -126,7 +124,7 @@
 	return true
 }
 
-// start takes the mean and spread of what was done, and returns how many pieces that were.
+// estimateMoments takes the moments of the complete pieces, and returns their number.
 func (l *workDistribution) estimateMoments(of []workPiece) (done float64) {
 	sum, squares := 0.0, 0.0
 	for _, p := range of {
@@ -140,13 +138,13 @@
 	return done
 }
 
-// step is one round for the lognormal.
+// emStep is one round of expectation-maximisation for the lognormal.
 func (l *workDistribution) emStep(of []workPiece) {
 	sum, squares := 0.0, 0.0
 	for _, p := range of {
 		x := math.Log(max(p.work, minWork))
 		square := x * x
-		if p.censored { // the mean and square of a normal number that is above x
+		if p.censored { // the mean and square of a normal number above x
 			z := (x - l.mu) / l.sigma
 			_, hazard := upperTail(z)
 			left := l.sigma * l.sigma * max(1+z*hazard-hazard*hazard, 0)
@@ -168,7 +166,7 @@
 	return sum
 }
 
-// upper is the standard normal's upper tail and its hazard.
+// upperTail returns the standard normal's upper tail and its hazard rate.
 func upperTail(z float64) (tail, hazard float64) {
 	if z > 6 { // Mills' ratio
 		return math.Exp(-z*z/2) / (z * math.Sqrt(2*math.Pi)), z + 1/z
--- a/internal/lab/calibration/file.go
+++ b/internal/lab/calibration/file.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -17,18 +18,18 @@
 var (
 	keyed  = regexp.MustCompile(`^([A-Za-z_]+) = `)
 	headed = regexp.MustCompile(`^\[[^']*\]$`)
-	// unset are the values of keys that were left out of an element of a list, where all defaults are these.
+	// unset matches keys with the zero value, which in the elements of lists is the default.
 	unset = regexp.MustCompile(`^[a-z_]+ = (''|"0s"|'0s'|0|0\.0|\[\])$`)
 )
 
-// Text is a scenario as its file would have it.
+// Text returns a scenario as the text of its file.
 func Text(s *scenario.Scenario) ([]byte, error) {
 	written, err := toml.Marshal(s)
 	if err != nil {
 		return nil, fmt.Errorf("rehearse: %w", err)
 	}
 	var out bytes.Buffer
-	list := false // within an element of one
+	list := false // within an element of a list
 	for line := range strings.Lines(string(written)) {
 		line = strings.TrimSpace(line)
 		switch {
@@ -47,7 +48,7 @@
 	return out.Bytes(), nil
 }
 
-// Write leaves a rehearsal in a folder, as a scenario and the record that it plays.
+// Write writes a replay into a folder, which it makes if need be: the scenario, and the merged record as RecordFile.
 func (r *Replay) Write(dir string, records []*accesslog.Record) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("rehearse: %w", err)
@@ -63,11 +64,7 @@
 	if err != nil {
 		return fmt.Errorf("rehearse: %w", err)
 	}
-	if err := accesslog.Write(f, Merge(records)); err != nil {
-		f.Close()
-		return fmt.Errorf("rehearse: %w", err)
-	}
-	if err := f.Close(); err != nil {
+	if err := errors.Join(accesslog.Write(f, Merge(records)), f.Close()); err != nil {
 		return fmt.Errorf("rehearse: %w", err)
 	}
 	return nil
--- a/internal/lab/calibration/fit.go
+++ b/internal/lab/calibration/fit.go
@@ -9,22 +9,22 @@
 	"pinelb.example/pinelb/balance"
 )
 
-// As in scenarios: what a host holds where nothing shows it.
+// Capacity of an endpoint where the record doesn't show it, as in scenarios.
 const (
 	defaultSlots = 20
 	defaultQueue = 24
 )
 
 const (
-	initialWorkShare = 0.5  // of the time that an attempt takes is its own work, to begin with
-	initialSigma     = 0.6  // of a law, to begin with
-	minInitialShare  = 0.03 // of its capacity that a cold host begins with
+	initialWorkShare = 0.5  // initial guess: the share of an attempt's latency that is its own work
+	initialSigma     = 0.6  // initial guess, of a distribution
+	minInitialShare  = 0.03 // of the capacity, at the start of a warm-up
 )
 
-// coreCounts are the numbers of cores that hosts are tried with beside one, which are a third or a half apart.
+// coreCounts are the numbers of cores that are tried beside one; they are a third or a half apart.
 var coreCounts = []int{2, 3, 4, 6, 8, 12, 16}
 
-// fit finds the hosts and their faults.
+// fit fits the endpoints and their faults to the records.
 func fit(v *history) *fittedModel {
 	m := &fittedModel{cores: 1, slots: defaultSlots, queue: defaultQueue, speeds: make([]float64, len(v.endpoints)),
 		distributions: make([]workDistribution, len(v.settings.Classes)),
@@ -35,7 +35,7 @@
 		m.speeds[h] = 1
 	}
 	for c := range m.distributions {
-		took := cmp.Or(usual[c], any) // of a class that was never answered nothing else is known
+		took := cmp.Or(usual[c], any) // nothing else is known of a class without a response
 		m.distributions[c] = workDistribution{mu: math.Log(max(took.Seconds()*initialWorkShare, minWork)), sigma: initialSigma}
 	}
 	m.fitCapacity(v)
@@ -55,14 +55,14 @@
 	return m
 }
 
-// holds finds how much a host holds: what it had when it turned a request away, and more than it ever had where
-// it turned none away.
+// fitCapacity finds how many requests an endpoint has in slots and queue: the number in flight when it rejected one, or
+// more than it ever had where it rejected none.
 func (m *fittedModel) fitCapacity(v *history) {
 	var full []int
 	most := 0
 	for h := range v.endpoints {
 		of := v.attemptsOf(h)
-		var out []time.Duration // ends of those that are out
+		var out []time.Duration // ends of those in flight
 		for i := range of {
 			out = slices.DeleteFunc(out, func(at time.Duration) bool { return at <= of[i].started })
 			switch {
@@ -83,10 +83,10 @@
 	m.queue = holds - m.slots
 }
 
-// fitCores finds how many requests a host works on at full speed: with as many cores as it has the works come
-// out alike whether others were there or not, and so are likeliest. A request that waits for a call to a next tier
-// holds its slot and leaves its core to others: such hosts show more cores than they have, and serve like it. The
-// search ends where one step more is no likelier.
+// fitCores finds how many requests an endpoint runs at full speed: with its real number of cores, the work of requests has
+// the same distribution whether others ran beside them or not, and so is likeliest. A request that waits for a call of the
+// next tier holds its slot and leaves its core to others: such endpoints show more cores than they have, and perform like
+// it. The search ends where one step more is not likelier.
 func (m *fittedModel) fitCores(v *history) {
 	best, alone := *m, m.totalLikelihood(v, -1)
 	high := alone
--- a/internal/lab/calibration/view.go
+++ b/internal/lab/calibration/history.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"errors"
 	"fmt"
 	"slices"
 	"strings"
@@ -14,47 +13,47 @@
 	"pinelb.example/pinelb/internal/stream"
 )
 
-// never is the time of what does not happen.
+// neverEnds is the end of what has none.
 const neverEnds = time.Duration(1<<63 - 1)
 
-// view is what all records say together, on one clock: times count from zero.
+// history is what all records have together, on one clock: times count from start.
 type history struct {
 	start           time.Time
-	end             time.Duration   // when the last of it was over
+	end             time.Duration   // of the last request or update
 	settings        config.Settings // the first run's
 	site            string
 	limits          config.Limits
 	names           []string     // of the sidecars, by rank
 	sidecarRuns     []sidecarRun // of the sidecars
 	endpoints       []endpoint
-	requests        []request // by arrival
-	attempts        []attempt // by host, and then by their beginning
+	requests        []request // by their arrivals
+	attempts        []attempt // by endpoint, and then by their starts
 	notes           []string
-	missingRequests int // streams that the records say they lack
+	missingRequests int // requests that the records say they lack
 }
 
-// life is one run of a sidecar.
+// sidecarRun is one run of a sidecar's process.
 type sidecarRun struct {
 	sidecar  int
 	from, to time.Duration
 }
 
-// host is one server that discovery or an attempt names.
+// endpoint is a host that discovery or an attempt names.
 type endpoint struct {
 	name, kind               string
-	firstAttempt, endAttempt int // its attempts
+	firstAttempt, endAttempt int // indexes of its attempts: from the first to before the end
 	updates                  []listUpdate
-	starts                   []time.Duration // within the record, by discovery's word
-	absent                   bool            // it was not there at first
-	edges                    []attemptEdge   // see view.edges
+	starts                   []time.Duration // within the record, by discovery
+	absent                   bool            // it did not run at first
+	edges                    []attemptEdge   // see history.edges
 }
 
-// listing is what a sidecar was told of a host.
+// listUpdate is what a sidecar was notified of an endpoint.
 type listUpdate struct {
 	at        time.Duration
 	sidecar   int
 	state     balance.Availability
-	startedAt time.Duration // its start, within the record; 0 is before
+	startedAt time.Duration // 0 is before the record
 }
 
 type request struct {
@@ -64,20 +63,20 @@
 	attempts                   int
 }
 
-// attempt is one that reached for a host.
+// attempt is an upstream attempt at an endpoint.
 type attempt struct {
 	endpoint, class int
 	started, ended  time.Duration
 	status          balance.Status
-	lost            bool // its host took it and was not going to answer
-	lostRace        bool // another attempt of its stream was answered first
+	lost            bool // its endpoint accepted it and would never have responded
+	lostRace        bool // another attempt of its request had the response
 }
 
-// look puts records together.
+// mergeRecords makes a history of records.
 func mergeRecords(records []*accesslog.Record) (*history, error) {
 	v := &history{start: startOf(records...)}
 	if v.start.IsZero() {
-		return nil, errors.New("rehearse: no record holds a run")
+		return nil, newRecordError("no record holds a run")
 	}
 	hosts, known := map[string]int{}, map[string]int{}
 	classes := map[string]int{}
@@ -105,7 +104,7 @@
 	return v, nil
 }
 
-// settle takes over a run's settings and numbers its sidecar.
+// addSettings takes over a run's settings and numbers its sidecar.
 func (v *history) addSettings(run *accesslog.Run, classes, known map[string]int) error {
 	h := &run.Header
 	if v.names == nil {
@@ -115,12 +114,12 @@
 		}
 	}
 	if h.Settings.Tier != v.settings.Tier {
-		return fmt.Errorf("rehearse: %s sends to tier %d and %s to tier %d: rehearse one tier's records at a time",
+		return newRecordError("%s sends to tier %d and %s to tier %d: rehearse one tier's records at a time",
 			v.names[0], v.settings.Tier, h.Name, h.Settings.Tier)
 	}
 	for _, name := range h.Settings.ClassNames {
 		if _, is := classes[name]; !is {
-			return fmt.Errorf("rehearse: %s has the class %q, which %s lacks", h.Name, name, v.names[0])
+			return newRecordError("%s has the class %q, which %s lacks", h.Name, name, v.names[0])
 		}
 	}
 	if _, is := known[h.Name]; !is {
@@ -130,7 +129,7 @@
 	return nil
 }
 
-// run adds one run.
+// addRun adds one run: its list updates, requests and attempts.
 func (v *history) addRun(run *accesslog.Run, sidecar int, classes, hosts map[string]int) {
 	offset := run.Header.Start.Sub(v.start)
 	find := func(name string) int {
@@ -161,7 +160,7 @@
 			}
 			h.updates = append(h.updates, told)
 		}
-		for i := range v.endpoints { // a whole list that lacks a host says that it has gone
+		for i := range v.endpoints { // an endpoint that a full list lacks is gone
 			h := &v.endpoints[i]
 			if k := len(h.updates); c.List != accesslog.Change && !listed[i] && k > 0 && h.updates[k-1].state != balance.Gone {
 				h.updates = append(h.updates, listUpdate{at: at, sidecar: sidecar, state: balance.Gone})
@@ -180,7 +179,7 @@
 			outcome: s.End, attempts: len(s.Attempts)})
 		won := slices.ContainsFunc(s.Attempts, func(a accesslog.Attempt) bool { return a.Status == balance.OK })
 		for _, a := range s.Attempts {
-			if a.Status == balance.Moot { // never sent
+			if a.Status == balance.Moot { // it was not sent
 				continue
 			}
 			v.attempts = append(v.attempts, attempt{endpoint: find(a.Host), class: class, started: at + a.Began, ended: at + a.Began + a.Took,
@@ -192,23 +191,23 @@
 	v.sidecarRuns = append(v.sidecarRuns, l)
 }
 
-// order numbers the hosts by name, in the order of numbers within it, and sorts what is theirs. Hosts that were
-// gone before the rehearsal's start and never came back are left out.
+// sortEndpoints numbers the endpoints by name, with numbers in their order, and sorts what is theirs. Endpoints that were
+// gone before the start and never came back are left out.
 func (v *history) sortEndpoints() {
-	asked := make([]time.Duration, len(v.endpoints)) // first
-	for i := range asked {
-		asked[i] = neverEnds
+	firstSent := make([]time.Duration, len(v.endpoints)) // first
+	for i := range firstSent {
+		firstSent[i] = neverEnds
 	}
 	for i := range v.attempts {
 		a := &v.attempts[i]
-		asked[a.endpoint] = min(asked[a.endpoint], a.started)
+		firstSent[a.endpoint] = min(firstSent[a.endpoint], a.started)
 	}
 	var places []int
 	for i := range v.endpoints {
 		h := &v.endpoints[i]
 		slices.Sort(h.starts)
 		slices.SortStableFunc(h.updates, func(a, b listUpdate) int { return cmp.Compare(a.at, b.at) })
-		there := h.upAtStart() || asked[i] < neverEnds && (len(h.starts) == 0 || asked[i] < h.starts[0])
+		there := h.upAtStart() || firstSent[i] < neverEnds && (len(h.starts) == 0 || firstSent[i] < h.starts[0])
 		if h.absent = !there; there || len(h.starts) > 0 {
 			places = append(places, i)
 		}
@@ -234,8 +233,8 @@
 	}
 }
 
-// upAtStart tells whether discovery's words have a host running at time 0: what it said last before that or,
-// where that was nothing, whether the host was up since before when it was first named.
+// upAtStart reports whether an endpoint ran at time 0 by discovery: by its last update before that or, if there was none,
+// by whether it had been up when it was first named.
 func (h *endpoint) upAtStart() bool {
 	is := false
 	for i, l := range h.updates {
@@ -247,16 +246,16 @@
 	return is
 }
 
-// of are a host's attempts, in the order of their beginning.
-func (v *history) attemptsOf(host int) []attempt {
-	return v.attempts[v.endpoints[host].firstAttempt:v.endpoints[host].endAttempt]
+// attemptsOf returns an endpoint's attempts, in the order of their starts.
+func (v *history) attemptsOf(endpointIndex int) []attempt {
+	return v.attempts[v.endpoints[endpointIndex].firstAttempt:v.endpoints[endpointIndex].endAttempt]
 }
 
 func (v *history) addNote(format string, args ...any) {
 	v.notes = append(v.notes, fmt.Sprintf(format, args...))
 }
 
-// natural compares names so that "box-9" comes before "box-10".
+// compareNatural compares names so that "box-9" comes before "box-10".
 func compareNatural(a, b string) int {
 	cut := func(s string) (string, string) {
 		n := strings.TrimRight(s, "0123456789")
--- a/internal/lab/calibration/servers.go
+++ b/internal/lab/calibration/model.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// warmupStep is how finely a cold host's rise is followed: its capacity changes by a percent or so within it.
+// warmupStep is the resolution of a warm-up: capacity changes by a percent or so within it.
 const warmupStep = 100 * time.Millisecond
 
-// servers is what is fitted: how each host is built and what goes wrong with it.
+// fittedModel is what is fitted: how each endpoint is built, and its faults.
 type fittedModel struct {
 	cores, slots, queue int
-	speeds              []float64          // of a core, by host; 1 is the standard core
+	speeds              []float64          // of a core, by endpoint; 1 is the standard core
 	distributions       []workDistribution // by class
 	warmup              warmup
 	slowPeriods         []slowPeriod
@@ -19,47 +19,47 @@
 	partialFaults       []partialFault
 }
 
-// cold is how a host begins: at a share of its capacity, rising evenly.
+// warmup is the capacity after a start: an initial share of the full one, growing linearly.
 type warmup struct {
 	initialShare float64
 	duration     time.Duration
-	known        bool // by the record, and not just by the settings
+	known        bool // from the record, not only from the settings
 }
 
-// slow is a time in which work took longer, at one host or at all (-1).
+// slowPeriod is a time in which work took longer, at one endpoint or at all (-1).
 type slowPeriod struct {
 	endpoint int
 	from, to time.Duration
 	factor   float64
 }
 
-// share is a time in which a host did something to a share of what it took: hang or mute (never answered),
-// fail, spoil or cut, as a scenario's faults are called.
+// partialFault is a time in which a share of an endpoint's requests had a fault. Its kind is that of a scenario's fault:
+// hang or mute (no response), fail, spoil, cut or refuse.
 type partialFault struct {
 	endpoint           int
 	kind               string
 	from, to           time.Duration
 	size               float64
-	attempts, affected int           // attempts: all, and those that it struck
-	minEnd             time.Duration // hang: it lasted until then, and to is a guess
+	attempts, affected int           // all attempts, and those with the fault
+	minEnd             time.Duration // hang: it lasted until then at least, and to is a guess
 }
 
-// path is a host's capacity over time.
+// capacityCurve is an endpoint's capacity over time, constant between changes.
 type capacityCurve struct {
-	times []time.Duration // where it changes; the first is 0
-	rates []float64       // from there on, of one core
-	work  []float64       // seconds of work of one core, up to there
+	times []time.Duration // of the changes; the first is 0
+	rates []float64       // from each change on, of one core
+	work  []float64       // seconds of work of one core, up to each change
 }
 
-// path is that of a host: its speed, cold starts and slow times.
-func (m *fittedModel) capacityOf(v *history, host int) capacityCurve {
+// capacityOf returns an endpoint's capacity, with its speed, warm-ups and slow periods.
+func (m *fittedModel) capacityOf(v *history, endpointIndex int) capacityCurve {
 	edges := []time.Duration{0}
 	for _, s := range m.slowPeriods {
-		if s.endpoint < 0 || s.endpoint == host {
+		if s.endpoint < 0 || s.endpoint == endpointIndex {
 			edges = append(edges, s.from, s.to)
 		}
 	}
-	starts := v.endpoints[host].starts
+	starts := v.endpoints[endpointIndex].starts
 	for _, at := range starts {
 		for step := time.Duration(0); step <= m.warmup.duration; step += warmupStep {
 			edges = append(edges, at+step)
@@ -70,9 +70,9 @@
 	edges = slices.Compact(edges)
 	p := capacityCurve{times: edges, rates: make([]float64, len(edges)), work: make([]float64, len(edges))}
 	for i, at := range edges {
-		p.rates[i] = m.speeds[host] * m.warmupShare(starts, at)
+		p.rates[i] = m.speeds[endpointIndex] * m.warmupShare(starts, at)
 		for _, s := range m.slowPeriods {
-			if (s.endpoint < 0 || s.endpoint == host) && s.from <= at && at < s.to {
+			if (s.endpoint < 0 || s.endpoint == endpointIndex) && s.from <= at && at < s.to {
 				p.rates[i] /= s.factor
 			}
 		}
@@ -83,7 +83,7 @@
 	return p
 }
 
-// warmth is the share of its capacity that a host with such starts has.
+// warmupShare is the share of its capacity that an endpoint with such starts has at a time.
 func (m *fittedModel) warmupShare(starts []time.Duration, at time.Duration) float64 {
 	for _, s := range slices.Backward(starts) {
 		if since := at - s; since >= 0 && since < m.warmup.duration {
@@ -95,8 +95,8 @@
 	return 1
 }
 
-// read is the work that a core could have done up to then, and its speed. Times may not go back by more than
-// one step from *hint on, which follows them.
+// at returns the work that a core could have done up to a time, and its speed then. Hint is the index where the search
+// starts, and is left where it ended: it makes reading in order of time cheap.
 func (p *capacityCurve) at(at time.Duration, hint *int) (sum, rate float64) {
 	i := *hint
 	for i+1 < len(p.times) && p.times[i+1] <= at {
--- a/internal/lab/calibration/down.go
+++ b/internal/lab/calibration/outages.go
@@ -7,27 +7,27 @@
 	"pinelb.example/pinelb/balance"
 )
 
-// down is a time in which a host's process was not there.
+// outage is a time in which an endpoint's process did not run.
 type outage struct {
 	endpoint    int
-	kind        string        // crash, vanish or drain, as a scenario's faults are called
-	from, to    time.Duration // never: it did not come back
-	announcedAt time.Duration // drain: when its end was announced
+	kind        string        // crash, vanish or drain, the kinds of a scenario's faults
+	from, to    time.Duration // neverEnds: it did not restart
+	announcedAt time.Duration // drain: when discovery announced it
 }
 
-// refusalShare is the share of the connect time-out within which a failure is a refusal: a machine that is
-// silent takes all of it, and a refusal a round trip.
+// refusalShare is the share of the connect time-out within which a failed connect was refused: that takes a round trip,
+// and with an unresponsive machine the whole time-out.
 const refusalShare = 0.8
 
-// findOutages finds when processes ended. When they were back is what discovery says, to the millisecond; when
-// they went shows where answers end and resets and refusals begin.
+// findOutages finds when processes exited. Discovery has the times of their restarts, to the millisecond; their exits show
+// where responses end and resets and refusals begin.
 func (m *fittedModel) findOutages(v *history) {
 	m.outages = nil
 	for h := range v.endpoints {
-		host := &v.endpoints[h]
+		target := &v.endpoints[h]
 		since := time.Duration(0)
-		for n, back := range host.starts {
-			if d, found := m.outageBefore(v, h, since, back); found && !(host.absent && n == 0) {
+		for n, back := range target.starts {
+			if d, found := m.outageBefore(v, h, since, back); found && !(target.absent && n == 0) {
 				m.outages = append(m.outages, d)
 			}
 			since = back
@@ -39,8 +39,8 @@
 	}
 }
 
-// mourn notes which of a host's attempts its being down has lost. Those that a crash broke off were under way
-// until then and tell so much; a machine that is silent tells nothing.
+// markLost marks the attempts that an endpoint's outages have lost. Those that a crash broke off ran until then, which is
+// censored information; of those at an unresponsive machine nothing is known.
 func (m *fittedModel) markLost(v *history, h int) {
 	of := v.attemptsOf(h)
 	for i := range of {
@@ -52,9 +52,9 @@
 	v.invalidateEdges(h)
 }
 
-// outageBefore looks between two starts of a host, or after the last one.
+// outageBefore finds the outage between two starts of an endpoint, or after the last one.
 func (m *fittedModel) outageBefore(v *history, h int, since, back time.Duration) (outage, bool) {
-	host, of := &v.endpoints[h], v.attemptsOf(h)
+	target, of := &v.endpoints[h], v.attemptsOf(h)
 	served := since
 	for i := range of {
 		if a := &of[i]; a.status == balance.OK && a.ended < back {
@@ -70,7 +70,7 @@
 		}
 		quick := a.status == balance.ConnectFailed && a.ended-a.started < time.Duration(refusalShare*float64(v.settings.ConnectTimeout))
 		switch {
-		case a.status == balance.Reset && a.ended < back-10*time.Millisecond, quick: // a machine that is back resets, too
+		case a.status == balance.Reset && a.ended < back-10*time.Millisecond, quick: // a machine that is back resets its connections, too
 			d.kind, d.from = "crash", min(d.from, a.ended)
 			fails++
 		case a.status == balance.ConnectFailed, a.status == balance.Reset:
@@ -80,7 +80,7 @@
 		}
 	}
 	gone, drained := neverEnds, neverEnds
-	for _, l := range host.updates {
+	for _, l := range target.updates {
 		switch {
 		case l.at <= since || l.at >= back:
 		case l.state == balance.Gone:
@@ -99,7 +99,7 @@
 		return d, false
 	case d.kind == "vanish" && (fails > 0 || silent >= minFailures):
 		d.from = served
-	case d.kind == "vanish" && gone < neverEnds: // nobody was sent there
+	case d.kind == "vanish" && gone < neverEnds: // it got no requests
 		d.kind, d.from = "crash", max(served, gone-time.Second)
 	case d.kind == "vanish":
 		d.kind, d.from = "crash", served+(back-served)/2
@@ -107,8 +107,8 @@
 	return d, d.from < back
 }
 
-// delays is how discovery was late: medians of what was seen, or 0.
-func (m *fittedModel) discoveryDelays(v *history) (notice, silent, add time.Duration) {
+// discoveryDelays returns how late discovery was: medians of what was seen, or 0.
+func (m *fittedModel) discoveryDelays(v *history) (removal, unresponsive, addition time.Duration) {
 	var n, s, a []time.Duration
 	first := func(h int, from, to time.Duration, is func(l *listUpdate) bool) (time.Duration, bool) {
 		for i := range v.endpoints[h].updates {
@@ -123,7 +123,7 @@
 		late, told := first(d.endpoint, d.from, d.to, gone)
 		switch {
 		case !told:
-			// A host that is back before discovery notices says that it takes at least so long.
+			// An endpoint that is back before discovery removes it shows that this takes at least so long.
 			if late = d.to - d.from; d.to < neverEnds {
 				if d.kind == "vanish" {
 					s = append(s, late+time.Second)
@@ -155,7 +155,7 @@
 	return of[len(of)/2]
 }
 
-// wasDown tells whether a host was down at some time in a span.
-func (m *fittedModel) wasDown(host int, from, to time.Duration) bool {
-	return slices.ContainsFunc(m.outages, func(d outage) bool { return d.endpoint == host && from < d.to && to >= d.from })
+// wasDown reports whether an endpoint was down at some time in an interval.
+func (m *fittedModel) wasDown(endpointIndex int, from, to time.Duration) bool {
+	return slices.ContainsFunc(m.outages, func(d outage) bool { return d.endpoint == endpointIndex && from < d.to && to >= d.from })
 }
--- a/internal/lab/calibration/share.go
+++ b/internal/lab/calibration/partial_faults.go
@@ -9,29 +9,29 @@
 	"pinelb.example/pinelb/balance"
 )
 
-// Tunables of what counts as a fault.
+// Parameters of the search for faults.
 const (
-	minAnswered    = 20   // answered attempts of a class that tell its law
-	minFailures    = 3    // connections that fail one after another before a host counts as down
-	minScore       = 14.0 // log-likelihood ratio: with a hundred hosts and ten thousand places, chance gets to 11
-	hangShare      = 0.9  // of the attempts unanswered is a hang, and below it each by itself is mute
+	minAnswered    = 20   // successful attempts of a class, for a fit of its distribution
+	minFailures    = 3    // failed connects one after another before an endpoint counts as down
+	minScore       = 14.0 // log-likelihood ratio: with a hundred endpoints and ten thousand attempts, chance gets to 11
+	hangShare      = 0.9  // of the attempts without a response: above it the fault is a hang, below it mute
 	minStrayRate   = 0.002
-	immediateShare = 0.2  // of the class's usual time within which an error came without work
-	minTail        = 1e-4 // no single attempt speaks more clearly for a silence than that
-	maxFaults      = 4    // of a kind at one host
+	immediateShare = 0.2  // of the class's median latency, within which an error came without work
+	minTail        = 1e-4 // bounds what a single attempt counts for
+	maxFaults      = 4    // of a kind at one endpoint
 
-	resumeLag = 250 * time.Millisecond // from a silence's end until a host is sent to again, if nothing else is known
+	resumeLag = 250 * time.Millisecond // from the end of a hang until an endpoint is sent to again, if nothing else is known
 
-	// maxPause is how long a host may stand still and still answer what it holds, as in a collection of
-	// garbage: a hang of that length would hardly show otherwise.
+	// maxPause is how long an endpoint may pause and still respond to its pending requests, as in a garbage collection: a
+	// hang of that length would hardly show otherwise.
 	maxPause    = time.Second
-	pauseFactor = 20.0 // times as long as usual
+	pauseFactor = 20.0 // of a pause as a slow period
 )
 
-// sizes are the shares that a fault is tried at.
+// faultSizes are the shares that are tried for a fault.
 var faultSizes = []float64{0.05, 0.1, 0.2, 0.35, 0.6, 0.97}
 
-// findPartialFaults finds when a host did not answer, or not well, to a share of what it took.
+// findPartialFaults finds when an endpoint gave no response, or a faulty one, to a share of its requests.
 func (m *fittedModel) findPartialFaults(v *history) {
 	m.partialFaults = nil
 	usual := v.medianLatencies()
@@ -44,9 +44,9 @@
 	}
 }
 
-// silences finds hangs and mute shares. What speaks for one is an attempt that was given up although a host in
-// order would have answered by then; that others were slow as well is in the capacity it is held against. In the
-// order of their ends, those that a hang lost follow those that were answered before it.
+// findUnanswered finds hangs and mute shares. Evidence is an attempt that was aborted although a healthy endpoint would
+// have responded by then; the capacity at that time includes that others were slow as well. In the order of their ends,
+// attempts that a hang lost follow those with a response before it.
 func (m *fittedModel) findUnanswered(v *history, h int) {
 	of, first := v.attemptsOf(h), v.endpoints[h].firstAttempt
 	order := make([]int, len(of))
@@ -55,7 +55,7 @@
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(of[a].ended, of[b].ended) })
 	for range maxFaults {
-		tail := make([]float64, len(of)) // of a host in order, to be so late; -1: says nothing
+		tail := make([]float64, len(of)) // probability of being so late at a healthy endpoint; -1 is no evidence
 		for i := range tail {
 			tail[i] = -1
 		}
@@ -74,7 +74,7 @@
 			scores := make([]float64, len(of))
 			for k, i := range order {
 				switch t := tail[i]; {
-				case t == 0: // answered
+				case t == 0: // it had a response
 					scores[k] = math.Log(1 - share)
 				case t > 0:
 					scores[k] = math.Log((share + (1-share)*t) / t)
@@ -96,7 +96,7 @@
 	}
 }
 
-// muted takes note of a host that did not answer a share of what it took, and of which attempts that may have been.
+// addDropFault adds a mute share, and marks the attempts that it may have lost.
 func (m *fittedModel) addDropFault(v *history, h int, struck []int, size float64, tail []float64) {
 	of := v.attemptsOf(h)
 	s := partialFault{endpoint: h, kind: "mute", size: size, from: neverEnds}
@@ -104,14 +104,14 @@
 		s.from, s.to = min(s.from, of[i].started), max(s.to, of[i].started+time.Millisecond)
 		s.attempts += boolToInt(tail[i] >= 0)
 		s.affected += boolToInt(tail[i] > 0)
-		// Those that were given up late are rather lost than slow.
+		// Those that were aborted late are more likely lost than slow.
 		of[i].lost = of[i].lost || tail[i] > 0 && tail[i] < 1-size
 	}
 	m.partialFaults = append(m.partialFaults, s)
 }
 
-// stopped takes note of a host that answered nothing, from its last answer on: of a hang, by which what it held is
-// lost, until shortly before it took what it answered again; or, where it soon went on, of a pause.
+// addHang adds a time without any response, from the last one on: a hang, which loses the pending requests, until shortly
+// before the endpoint accepted the next one that had a response; or, if that was soon, a pause.
 func (m *fittedModel) addHang(v *history, h int, struck []int) {
 	of := v.attemptsOf(h)
 	s := partialFault{endpoint: h, kind: "hang", to: neverEnds}
@@ -145,7 +145,7 @@
 	m.partialFaults = append(m.partialFaults, s)
 }
 
-// outcomes finds when a host gave an outcome to a share of what it took.
+// findOutcomeFaults finds when a share of an endpoint's requests had the outcome of a kind of fault.
 func (m *fittedModel) findOutcomeFaults(v *history, h int, kind string, usual []time.Duration) {
 	is := func(a *attempt) bool { return faultSignOf(a, usual) == kind }
 	of := v.attemptsOf(h)
@@ -182,7 +182,7 @@
 		for i := best.from; i < best.to; i++ {
 			s.attempts += boolToInt(is(&of[i]) || of[i].status == balance.OK)
 			s.affected += boolToInt(is(&of[i]))
-			of[i].lost = of[i].lost || is(&of[i]) && kind == "fail" // the others did their work, or never got there
+			of[i].lost = of[i].lost || is(&of[i]) && kind == "fail" // with the other kinds the work was done, or never reached the endpoint
 		}
 		if s.size = float64(s.affected) / float64(max(s.attempts, 1)); kind == "refuse" {
 			s.size = 0
@@ -192,14 +192,14 @@
 	}
 }
 
-// struck tells whether an attempt came while such a fault, already found, was on.
+// hadFault reports whether an attempt started during a fault of such a kind that was found already.
 func (m *fittedModel) hadFault(a *attempt, kinds ...string) bool {
 	return slices.ContainsFunc(m.partialFaults, func(s partialFault) bool {
 		return s.endpoint == a.endpoint && a.started >= s.from && a.started < s.to && slices.Contains(kinds, s.kind)
 	})
 }
 
-// faultSignOf names the fault that an attempt's outcome is a sign of, or "".
+// faultSignOf returns the kind of fault that an attempt's outcome is a sign of, or "".
 func faultSignOf(a *attempt, usual []time.Duration) string {
 	switch a.status {
 	case balance.Error:
@@ -215,7 +215,7 @@
 	return ""
 }
 
-// usual is the median time of the answered attempts, by class.
+// medianLatencies returns the median latency of the successful attempts, by class.
 func (v *history) medianLatencies() []time.Duration {
 	by := make([][]time.Duration, len(v.settings.ClassNames))
 	for i := range v.attempts {
--- a/internal/lab/calibration/virtual.go
+++ b/internal/lab/calibration/record.go
@@ -12,11 +12,11 @@
 	"pinelb.example/pinelb/internal/stream"
 )
 
-// epoch is the Unix time at which a virtual run starts. Any would do: up_since counts from it as well.
+// startTime is the Unix time at which a virtual run starts. Any would do: up_since counts from it as well.
 const startTime = 500_000 * time.Hour
 
-// Record is what a sidecar would have recorded of a virtual run, had it gone on to the run's end: what was open
-// then or when it was killed is missing, as in a record.
+// Record returns what a sidecar would have recorded of a virtual run that it took part in to the end. Requests that were
+// pending then, or when it was killed, are missing, as in a record.
 func Record(p *plan.Plan, log *trace.Log, sidecar int) (*accesslog.Record, error) {
 	site := p.Settings(sidecar)
 	settings, err := config.ParseSettings(site)
@@ -27,7 +27,7 @@
 	run := &accesslog.Run{Header: accesslog.Header{Name: p.Sidecars[sidecar].Name, Start: time.Unix(0, int64(startTime)).UTC(),
 		Limits: config.Limits{Cores: f.Cores, MemoryMB: f.MemoryMB, Sockets: f.Sockets}, Site: string(site), Settings: settings}}
 	run.Cluster = clusterUpdates(p, log, sidecar)
-	at := make([]int, len(log.ClientAttempts)) // of each try, its stream's place from 1 on
+	at := make([]int, len(log.ClientAttempts)) // of each client attempt, the index of its request from 1 on
 	for _, s := range log.DownstreamRequests {
 		t := &log.ClientAttempts[s.ClientAttempt]
 		if t.Sidecar != sidecar {
@@ -49,7 +49,7 @@
 	return &accesslog.Record{Runs: []*accesslog.Run{run}}, nil
 }
 
-// lists are what discovery told a sidecar: the whole list at its start and then the changes.
+// clusterUpdates returns a sidecar's notifications: the full list at its start and then the changes.
 func clusterUpdates(p *plan.Plan, log *trace.Log, sidecar int) (out []accesslog.Cluster) {
 	states := [...]balance.Availability{trace.PhaseReady: balance.Ready, trace.PhaseTerminating: balance.Draining, trace.PhaseGone: balance.Gone}
 	for _, t := range log.Notifications {
@@ -77,7 +77,7 @@
 	return out
 }
 
-// ending is a stream's outcome in a record's words.
+// outcomeOf returns a request's outcome as a record has it.
 func outcomeOf(s *trace.DownstreamRequest) stream.Outcome {
 	switch {
 	case s.Status == trace.StatusServed:
--- a/internal/lab/calibration/records_test.go
+++ b/internal/lab/calibration/records_test.go
@@ -1,6 +1,7 @@
 package calibration
 
 import (
+	"errors"
 	"flag"
 	"math"
 	"math/rand/v2"
@@ -15,14 +16,14 @@
 	"pinelb.example/pinelb/internal/stream"
 )
 
-// CI has to come to the same verdict every time; -rapid.seed=0 looks further.
+// CI has to come to the same result every time; -rapid.seed=0 searches further.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
 	}
 }
 
-// short is a quiet day's first record: so little is fitted in no time.
+// short is the first record of a short run, which is fitted quickly.
 func short(t testing.TB) string {
 	records, _, _ := observe(t, "calm", "", 4*time.Second, 1)
 	return lines(t, records[0])
@@ -35,21 +36,21 @@
 	}
 }
 
-func TestRecordsThatLack(t *testing.T) {
-	whole := short(t)
-	at := strings.LastIndex(whole[:len(whole)*2/3], `"tries"`)
-	cut := fitted(t, []*accesslog.Record{read(t, whole[:at+9])}, direct)
+func TestIncompleteRecords(t *testing.T) {
+	complete := short(t)
+	at := strings.LastIndex(complete[:len(complete)*2/3], `"tries"`)
+	cut := fitted(t, []*accesslog.Record{read(t, complete[:at+9])}, direct)
 	noted(t, cut, "1 lines that are not whole were left out")
 	noted(t, cut, "records of 1 sidecars of 2")
 
-	lossy := fitted(t, []*accesslog.Record{read(t, whole+`{"rec":"lost","t":100,"until":900,"rate":300}`+"\n")}, direct)
+	lossy := fitted(t, []*accesslog.Record{read(t, complete+`{"rec":"lost","t":100,"until":900,"rate":300}`+"\n")}, direct)
 	noted(t, lossy, "300 of the streams are missing")
 }
 
-func TestRecordsThatSayNothing(t *testing.T) {
-	whole := short(t)
+func TestUnusableRecords(t *testing.T) {
+	complete := short(t)
 	change := func(how func(run *accesslog.Run)) []*accesslog.Record {
-		r := read(t, whole)
+		r := read(t, complete)
 		how(r.Runs[0])
 		return []*accesslog.Record{r}
 	}
@@ -71,14 +72,16 @@
 			run.Header.Settings.ClassNames = append([]string{"other"}, run.Header.Settings.ClassNames[1:]...)
 		})...),
 	} {
-		if _, err := Fit(records, direct); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q is not in the error %v", want, err)
+		_, err := Fit(records, direct)
+		var unusable *RecordError
+		if !errors.As(err, &unusable) || !strings.Contains(err.Error(), want) {
+			t.Errorf("%q is not in the error %v, or it is no RecordError", want, err)
 		}
 	}
 }
 
-// TestRestart has a sidecar's record go on after a restart, with a quiet half hour before it all.
-func TestRestart(t *testing.T) {
+// TestSidecarRestart has a sidecar's record that continues after a restart, with half an hour without requests before.
+func TestSidecarRestart(t *testing.T) {
 	records, _, _ := observe(t, "calm", "", 8*time.Second, 1)
 	records = records[:1]
 	first := records[0].Runs[0]
@@ -120,8 +123,8 @@
 	t.Errorf("no sidecar is stopped: %+v", r.Scenario.Faults)
 }
 
-// TestStrongest holds the one pass against all parts of a sequence.
-func TestStrongest(t *testing.T) {
+// TestMaxScoringSegment compares the single pass with all segments of a sequence.
+func TestMaxScoringSegment(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		scores := rapid.SliceOfN(rapid.Float64Range(-3, 3), 0, 40).Draw(t, "scores")
 		got, best := maxScoringSegment(scores), 0.0
@@ -137,13 +140,13 @@
 			sum += x
 		}
 		if got.score < best-1e-9 || sum < best-1e-9 || got.score > best+1e-9 {
-			t.Fatalf("%+v is not the strongest of %v, %v", got, scores, best)
+			t.Fatalf("%+v is not the best of %v, %v", got, scores, best)
 		}
 	})
 }
 
-// TestLawsUnderCensoring fits laws to works of which many were given up before their end.
-func TestLawsUnderCensoring(t *testing.T) {
+// TestDistributionsUnderCensoring fits distributions to work of which many pieces are censored.
+func TestDistributionsUnderCensoring(t *testing.T) {
 	for i, truth := range []workDistribution{{mu: -4, sigma: 0.3}, {mu: -3, sigma: 0.55}, {mu: -2, sigma: 0.9}, {exponential: true, mean: 0.03}, {exponential: true, mean: 0.03, noise: 0.3}} {
 		rng := rand.New(rand.NewPCG(uint64(i), 1))
 		var of []workPiece
--- a/internal/lab/calibration/rehearse.go
+++ b/internal/lab/calibration/replay.go
@@ -1,7 +1,6 @@
 package calibration
 
 import (
-	"errors"
 	"fmt"
 	"slices"
 	"time"
@@ -13,33 +12,45 @@
 	"pinelb.example/pinelb/internal/lab/simulation"
 )
 
-// Options bound a fit.
+// RecordError is the error of records that can't be replayed.
+type RecordError struct {
+	Reason string
+}
+
+func (e *RecordError) Error() string { return "rehearse: " + e.Reason }
+
+func newRecordError(format string, args ...any) *RecordError {
+	return &RecordError{fmt.Sprintf(format, args...)}
+}
+
+// Options are those of a fit.
 type Options struct {
-	Seed        uint64 // of the rehearsal's draws; 0 is 1
-	Evaluations int    // plays that the calibration may make; negative is none, 0 is DefaultEvaluations
+	Seed        uint64 // of the replay's draws; 0 is 1
+	Evaluations int    // maximum number of trial plays; negative is none, 0 is DefaultEvaluations
 }
 
-// DefaultEvaluations takes some ten seconds for a record of 10,000 streams.
+// DefaultEvaluations is the default number of trial plays. They take some ten seconds for a record of 10,000 requests.
 const DefaultEvaluations = 80
 
 const (
-	minRequests = 100              // fewer say nothing of hosts
+	minRequests = 100              // fewer say nothing about endpoints
 	maxLength   = 15 * time.Minute // of a scenario
-	passes      = 2                // faults hide slowness and slowness looks like faults: look twice
+	passes      = 2                // faults hide slowness and slowness looks like faults, so both are fitted repeatedly
 )
 
-// Replay is a record's hosts and what went wrong with them, ready to be played again.
+// Replay is a scenario with a record's requests and a fit of its endpoints and their faults, ready to be played.
 type Replay struct {
 	Scenario *scenario.Scenario
 	Arrivals []plan.Arrival
 	Seed     uint64
-	Notes    []string // what was found and what could not be, in plain words
-	Recorded Counts   // what the sidecars gave
+	Notes    []string // findings and limits of the fit, for people
+	Recorded Counts   // of the record
 
 	history *history
 }
 
-// Fit makes a rehearsal of sidecars' records, of one tier. The same records and options give the same one.
+// Fit makes a replay of the records of sidecars of one tier. Records that are too short or too long, or that have too few
+// successful attempts, are a *RecordError.
 func Fit(records []*accesslog.Record, o Options) (*Replay, error) {
 	records = slices.Clone(records)
 	slices.SortStableFunc(records, func(a, b *accesslog.Record) int { return rankOf(a) - rankOf(b) })
@@ -62,7 +73,7 @@
 	return r, nil
 }
 
-// Merge puts records together into one, the runs by their starts.
+// Merge merges records into one, the runs in the order of their starts.
 func Merge(records []*accesslog.Record) *accesslog.Record {
 	out := &accesslog.Record{}
 	for _, r := range records {
@@ -80,7 +91,7 @@
 	return r.Runs[0].Header.Settings.Rank
 }
 
-// tells names what a record lacks to be rehearsed.
+// validate returns an error that names what the records lack to be replayed.
 func (v *history) validate() error {
 	answered := 0
 	for i := range v.attempts {
@@ -88,19 +99,19 @@
 	}
 	switch {
 	case len(v.requests) == 0:
-		return errors.New("rehearse: the record holds no stream: nothing was asked while it was made")
+		return newRecordError("the record holds no stream: nothing was asked while it was made")
 	case len(v.requests) < minRequests:
-		return fmt.Errorf("rehearse: the record is too short to tell anything of hosts: %d streams, %d at least", len(v.requests), minRequests)
+		return newRecordError("the record is too short to tell anything of hosts: %d streams, %d at least", len(v.requests), minRequests)
 	case answered < minAnswered:
-		return fmt.Errorf("rehearse: only %d of %d attempts were answered: how fast the hosts are can't be told (%d at least)",
+		return newRecordError("only %d of %d attempts were answered: how fast the hosts are can't be told (%d at least)",
 			answered, len(v.attempts), minAnswered)
 	case v.end > maxLength:
-		return fmt.Errorf("rehearse: the record spans %s from its first stream on; a rehearsal is %s at most", v.end.Round(time.Second), maxLength)
+		return newRecordError("the record spans %s from its first stream on; a rehearsal is %s at most", v.end.Round(time.Second), maxLength)
 	}
 	return nil
 }
 
-// Play plays the rehearsal once in virtual time and counts what the sidecars gave.
+// Play plays the replay once in virtual time and counts the requests' outcomes at the sidecars.
 func (r *Replay) Play(seed uint64) (Counts, error) {
 	v, err := r.play(r.Scenario, seed)
 	if err != nil {
@@ -109,7 +120,7 @@
 	return v.counts(), nil
 }
 
-// play plays a scenario and looks at it as at a record.
+// play plays a scenario and returns its history, as of a record.
 func (r *Replay) play(s *scenario.Scenario, seed uint64) (*history, error) {
 	p, err := plan.Build(s, seed, r.Arrivals)
 	if err != nil {
--- a/internal/lab/calibration/rehearse_test.go
+++ b/internal/lab/calibration/replay_test.go
@@ -94,9 +94,9 @@
 	return r
 }
 
-// TestMargin rehearses days of which the fit sees the records alone. REHEARSE_SEEDS=5 plays so many seeds of all
-// the days, calibrated, and tells of each count; by itself it is one seed of the bad morning and one of hosts that
-// spend most of a request's time waiting for a next tier.
+// TestMargin replays scenarios of which the fit sees the records alone. REHEARSE_SEEDS=5 plays so many seeds of all of
+// them, with trial plays, and logs each count; without it, it plays one seed of bad-morning and one of endpoints that spend
+// most of a request's time waiting for the next tier.
 func TestMargin(t *testing.T) {
 	days, seeds, o := []string{"bad-morning", "two-tiers"}, 1, direct
 	if n, err := strconv.Atoi(os.Getenv("REHEARSE_SEEDS")); err == nil {
@@ -105,16 +105,16 @@
 	for _, day := range days {
 		for seed := uint64(1); seed <= uint64(seeds); seed++ {
 			records, _, _ := observe(t, day, "", 0, seed)
-			began := time.Now()
+			started := time.Now()
 			r := fitted(t, records, o)
-			took := time.Since(began)
+			took := time.Since(started)
 			c, err := r.Play(r.Seed)
 			if err != nil {
 				t.Fatal(err)
 			}
 			line := fmt.Sprintf("%s, seed %d, %.1f s to fit:", day, seed, took.Seconds())
 			for _, row := range r.Compare(c) {
-				line += fmt.Sprintf(" %s %d for %d", row.Name, row.Replayed, row.Observed)
+				line += fmt.Sprintf(" %s %d for %d", row.Name, row.Replayed, row.Recorded)
 				if !row.WithinMargin {
 					line += " (BEYOND)"
 				}
@@ -127,7 +127,7 @@
 	}
 }
 
-func TestCalmStaysCalm(t *testing.T) {
+func TestNoFaultsInCalmRecords(t *testing.T) {
 	records, _, _ := observe(t, "calm", "", 10*time.Second, 1)
 	r := fitted(t, records, direct)
 	if len(r.Scenario.Faults) > 0 {
@@ -139,7 +139,7 @@
 	}
 }
 
-// TestFaultsAreFound has nearly every kind of fault at once, each at one host.
+// TestFaultsAreFound has nearly every kind of fault at once, each at one endpoint.
 func TestFaultsAreFound(t *testing.T) {
 	planted := []struct {
 		kind, more string
@@ -193,8 +193,8 @@
 	}
 }
 
-// TestWorks holds the replay of a host against the work that its model really did.
-func TestWorks(t *testing.T) {
+// TestAttainedWork compares the reconstructed work of endpoints with what their models did.
+func TestAttainedWork(t *testing.T) {
 	records, p, log := observe(t, "calm", "", 10*time.Second, 2)
 	v, err := mergeRecords(records)
 	if err != nil {
@@ -226,8 +226,8 @@
 	}
 }
 
-// TestCores has hosts of several cores, as fast in all as the scenario's of one.
-func TestCores(t *testing.T) {
+// TestCoresAreFound has endpoints of several cores, as fast in all as the scenario's of one.
+func TestCoresAreFound(t *testing.T) {
 	for _, cores := range []int{1, 2, 4, 8} {
 		_, p, _ := observe(t, "calm", "", 10*time.Second, 3)
 		for i := range p.Endpoints {
@@ -244,7 +244,7 @@
 	}
 }
 
-func TestFileReadsBack(t *testing.T) {
+func TestWriteRoundTrip(t *testing.T) {
 	records, _, _ := observe(t, "slow-then-vanish", "", 9*time.Second, 1)
 	r := fitted(t, records, direct)
 	dir := t.TempDir()
--- a/internal/lab/calibration/build.go
+++ b/internal/lab/calibration/scenario.go
@@ -10,15 +10,17 @@
 	"pinelb.example/pinelb/internal/lab/scenario"
 )
 
-// RecordFile is the name under which a rehearsal's scenario has the record, beside it.
+// RecordFile is the name of the record's file beside the scenario of a replay.
 const RecordFile = "record.jsonl"
 
 const (
-	requestVarianceShare = 0.72             // of a lognormal class's variance is between requests; a record hardly shows it
-	minHandshakeWork     = time.Microsecond // a handshake's work is in what attempts took
+	requestVarianceShare = 0.72             // part of a lognormal class's variance that is between requests; a record hardly shows it
+	minWeight            = 0.001            // of a class, as a share or a value: both have to be above 0
+	bodyBytes            = 64               // of requests and responses: a record does not show sizes
+	minHandshakeWork     = time.Microsecond // a handshake's work is part of the attempts' latencies
 )
 
-// scenario puts what was fitted into a scenario's words.
+// buildScenario returns the scenario of the fitted model.
 func (m *fittedModel) buildScenario(v *history) *scenario.Scenario {
 	s := scenario.Default()
 	s.Name, s.About = "rehearsal", "Fitted to a record of "+strings.Join(v.names, ", ")+" by pinelab rehearse."
@@ -26,7 +28,7 @@
 	if n := len(v.requests); n > 0 {
 		last = v.requests[n-1].arrival
 	}
-	s.Length = span((last + time.Second).Truncate(time.Second))
+	s.Length = toSpan((last + time.Second).Truncate(time.Second))
 	m.buildClasses(v, &s)
 	m.buildTier(v, &s)
 	buildRules(&s, v)
@@ -42,7 +44,7 @@
 		found time.Duration
 	}{{&d.RemoveDelay, notice}, {&d.UnresponsiveDelay, silent}, {&d.AddDelay, add}} {
 		if p.found > 0 {
-			*p.at = span(p.found)
+			*p.at = toSpan(p.found)
 		}
 	}
 	m.buildFaults(v, &s)
@@ -51,19 +53,30 @@
 
 func roundToThousandth(x float64) float64 { return math.Round(x*1000) / 1000 }
 
-func span(d time.Duration) scenario.Span { return scenario.Span(d.Round(time.Millisecond)) }
+func toSpan(d time.Duration) scenario.Span { return scenario.Span(d.Round(time.Millisecond)) }
 
+// idempotencyNames has the scenario's word for each of the settings'.
+var idempotencyNames = map[balance.Effect]string{balance.Safe: "safe", balance.Keyed: "keyed", balance.Unsafe: "unsafe"}
+
+// buildClasses adds the settings' classes with the fitted distributions of their work.
 func (m *fittedModel) buildClasses(v *history, s *scenario.Scenario) {
-	effects := map[balance.Effect]string{balance.Safe: "safe", balance.Keyed: "keyed", balance.Unsafe: "unsafe"}
-	asked := make([]int, len(v.settings.Classes))
+	requests := make([]int, len(v.settings.Classes))
 	for i := range v.requests {
-		asked[v.requests[i].class]++
+		requests[v.requests[i].class]++
 	}
 	for i, c := range v.settings.Classes {
 		l := m.distributions[i]
-		k := scenario.Class{Name: v.settings.ClassNames[i], Share: max(float64(asked[i]), 0.001), TargetLatency: scenario.Span(c.Aim),
-			Deadline: scenario.Span(max(c.Deadline, c.Aim)), Value: max(c.Worth, 0.001), Idempotency: effects[c.Effect],
-			DedupWindow: scenario.Span(c.Memory), WorkDistribution: "exp", ResponseBytes: 64}
+		k := scenario.Class{
+			Name:             v.settings.ClassNames[i],
+			Share:            max(float64(requests[i]), minWeight),
+			TargetLatency:    scenario.Span(c.Aim),
+			Deadline:         scenario.Span(max(c.Deadline, c.Aim)),
+			Value:            max(c.Worth, minWeight),
+			Idempotency:      idempotencyNames[c.Effect],
+			DedupWindow:      scenario.Span(c.Memory),
+			WorkDistribution: "exp",
+			ResponseBytes:    bodyBytes,
+		}
 		mean := l.mean
 		if l.exponential {
 			k.AttemptCV = math.Sqrt(math.Expm1(l.noise * l.noise))
@@ -75,13 +88,13 @@
 		}
 		k.Work = scenario.Span(max(time.Duration(mean*float64(time.Second)).Round(time.Microsecond), 10*time.Microsecond))
 		if c.Effect != balance.Safe {
-			k.RequestBytes = 64
+			k.RequestBytes = bodyBytes
 		}
 		s.Classes = append(s.Classes, k)
 	}
 }
 
-// tier has a kind for each host. Where their names go from 1 up the boxes get the same.
+// buildTier adds a tier with a kind for each endpoint. Names that are numbered from 1 are kept.
 func (m *fittedModel) buildTier(v *history, s *scenario.Scenario) {
 	name := strings.TrimRight(v.endpoints[0].name, "0123456789")
 	for i := range v.endpoints {
@@ -90,12 +103,25 @@
 		}
 	}
 	t := scenario.Tier{Name: strings.TrimSuffix(name, "-"), Work: 1, Propagates: "all"}
-	failing := m.baseErrorRate(v)
+	errorRate := m.baseErrorRate(v)
 	for i := range v.endpoints {
 		h := &v.endpoints[i]
-		k := scenario.EndpointKind{Name: h.kind, Endpoints: 1, Cores: m.cores, Speed: roundToThousandth(m.speeds[i]), Slots: m.slots, Queue: m.queue,
-			ErrorRate: failing, WarmupInitialShare: roundToThousandth(m.warmup.initialShare), WarmupDuration: max(span(m.warmup.duration), scenario.Span(time.Millisecond)),
-			WarmupBy: "time", Start: "warm", CancelRule: "all", Connections: unboundedConnections, HandshakeWork: scenario.Span(minHandshakeWork)}
+		k := scenario.EndpointKind{
+			Name:               h.kind,
+			Endpoints:          1,
+			Cores:              m.cores,
+			Speed:              roundToThousandth(m.speeds[i]),
+			Slots:              m.slots,
+			Queue:              m.queue,
+			ErrorRate:          errorRate,
+			WarmupInitialShare: roundToThousandth(m.warmup.initialShare),
+			WarmupDuration:     max(toSpan(m.warmup.duration), scenario.Span(time.Millisecond)),
+			WarmupBy:           "time",
+			Start:              "warm",
+			CancelRule:         "all",
+			Connections:        unboundedConnections,
+			HandshakeWork:      scenario.Span(minHandshakeWork),
+		}
 		if k.Name == "" {
 			k.Name = t.Name
 		}
@@ -107,10 +133,10 @@
 	s.Tiers = []scenario.Tier{t}
 }
 
-// unboundedConnections is so high that it bounds nothing: a record does not show connections.
+// unboundedConnections is high enough not to matter: a record does not show connections.
 const unboundedConnections = 1 << 16
 
-// baseErrorRate is the share of errors that is there all the time.
+// baseErrorRate is the share of errors apart from faults.
 func (m *fittedModel) baseErrorRate(v *history) float64 {
 	errors, all := 0.0, 0.0
 	for i := range v.attempts {
@@ -126,7 +152,7 @@
 	return roundToThousandth(errors / all)
 }
 
-// rules are the settings, as far as a scenario has words for them.
+// buildRules takes over the settings, as far as a scenario has keys for them.
 func buildRules(s *scenario.Scenario, v *history) {
 	from, r := &v.settings, &s.Rules
 	r.DrainGrace, r.WarmupInitialShare, r.WarmupDuration = scenario.Span(from.DrainGrace), from.ColdShare, scenario.Span(from.ColdFor)
@@ -140,19 +166,19 @@
 	r.PropagatesDeadline, r.MarksRetries, r.ValueByWork = from.PassesDeadline, from.MarksRetry, from.ByWork
 }
 
-// faults are the script.
+// buildFaults adds the faults that were found, and the sidecars' restarts.
 func (m *fittedModel) buildFaults(v *history, s *scenario.Scenario) {
 	names := s.EndpointNames()
-	add := func(f scenario.Fault, host int, from, to time.Duration) {
-		f.At = span(from)
+	add := func(f scenario.Fault, endpointIndex int, from, to time.Duration) {
+		f.At = toSpan(from)
 		if f.At > s.Length || f.At < 0 {
 			return
 		}
 		if to < neverEnds {
-			f.Duration = max(span(to)-f.At, scenario.Span(time.Millisecond))
+			f.Duration = max(toSpan(to)-f.At, scenario.Span(time.Millisecond))
 		}
-		if f.Share = 1; host >= 0 {
-			f.Share, f.Names = 0, []string{names[host]}
+		if f.Share = 1; endpointIndex >= 0 {
+			f.Share, f.Names = 0, []string{names[endpointIndex]}
 		}
 		s.Faults = append(s.Faults, f)
 	}
@@ -167,9 +193,9 @@
 			continue
 		}
 		at := max(d.announcedAt-s.Discovery.RemoveDelay.D(), 0)
-		f := scenario.Fault{Kind: "drain", Grace: span(max(d.from-at, time.Millisecond))}
+		f := scenario.Fault{Kind: "drain", Grace: toSpan(max(d.from-at, time.Millisecond))}
 		if d.to < neverEnds {
-			f.RecoveryDelay = span(max(d.to-d.from, time.Millisecond))
+			f.RecoveryDelay = toSpan(max(d.to-d.from, time.Millisecond))
 		}
 		add(f, d.endpoint, at, neverEnds)
 	}
@@ -180,7 +206,7 @@
 		add(scenario.Fault{Kind: "slow", Size: roundToThousandth(w.factor)}, w.endpoint, w.from, w.to)
 	}
 	for _, l := range sidecarRestarts(v) {
-		f := scenario.Fault{Kind: "sidecar_kill", At: span(l.from), RecoveryDelay: span(max(l.to-l.from, time.Millisecond)),
+		f := scenario.Fault{Kind: "sidecar_kill", At: toSpan(l.from), RecoveryDelay: toSpan(max(l.to-l.from, time.Millisecond)),
 			Names: []string{fmt.Sprint("n", l.sidecar+1)}}
 		if f.At <= s.Length {
 			s.Faults = append(s.Faults, f)
@@ -188,7 +214,7 @@
 	}
 }
 
-// restarts are the times between two runs of a sidecar.
+// sidecarRestarts returns the times between two runs of a sidecar.
 func sidecarRestarts(v *history) (out []sidecarRun) {
 	ended := map[int]time.Duration{}
 	for _, l := range v.sidecarRuns {
--- a/internal/lab/calibration/slow.go
+++ b/internal/lab/calibration/slow_periods.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// Tunables of slowness.
+// Parameters of the search for slow periods and of the warm-up.
 const (
-	maxSlowPeriods    = 6    // at all hosts, and at one
-	minSlowScore      = 25.0 // log-likelihood ratio: hosts' speeds wander a little in ways that no law here knows
-	minSlowFactor     = 1.15 // a smaller factor is not worth a fault
-	initialBoundStep  = 0.4  // seconds: by so much the ends of a slow time are moved at first
-	minWarmupAttempts = 30   // attempts at cold hosts that tell how those warm up
+	maxSlowPeriods    = 6    // at all endpoints, and at each
+	minSlowScore      = 25.0 // log-likelihood ratio: speeds vary a little in ways that no distribution here has
+	minSlowFactor     = 1.15 // a smaller factor is ignored
+	initialBoundStep  = 0.4  // seconds, of the first steps of a period's bounds
+	minWarmupAttempts = 30   // attempts during warm-ups, for an estimate
 	minSlowPeriod     = 150 * time.Millisecond
 	warmupRounds      = 4
-	warmupPriorSigma  = 0.5 // standard deviation of the logarithms of what the settings say of cold hosts, against the truth
+	warmupPriorSigma  = 0.5 // standard deviation of the logarithm of the settings' warm-up values around the truth
 )
 
 var slowFactors = []float64{1.2, 1.4, 1.7, 2, 2.5, 3.2, 4.5, 7}
 
-// findFaults finds the times in which work took longer at all hosts, then those of each host, and then what hosts
-// did not answer: slowness must not pass for silence.
+// findFaults finds the slow periods of all endpoints together, then those of each, and then the partial faults: slowness
+// must not be taken for missing responses.
 func (m *fittedModel) findFaults(v *history) {
 	m.slowPeriods = nil
 	for h := -1; h < len(v.endpoints); h++ {
@@ -31,12 +31,12 @@
 	m.findPartialFaults(v)
 }
 
-// findSlowPeriods finds those of a host, or of all.
-func (m *fittedModel) findSlowPeriods(v *history, host int) {
+// findSlowPeriods finds the slow periods of an endpoint, or of all (-1).
+func (m *fittedModel) findSlowPeriods(v *history, endpointIndex int) {
 	for range maxSlowPeriods {
 		var all []workPiece
 		for h := range v.endpoints {
-			if host < 0 || host == h {
+			if endpointIndex < 0 || endpointIndex == h {
 				all = m.pieces(v, h, all)
 			}
 		}
@@ -49,10 +49,10 @@
 		slopes, infos := make([]float64, len(all)), make([]float64, len(all))
 		for i, p := range all {
 			a := &v.attempts[p.attempt]
-			if host < 0 && !m.warmup.known && m.wasWarmingUp(v, a) {
+			if endpointIndex < 0 && !m.warmup.known && m.wasWarmingUp(v, a) {
 				continue
 			}
-			if host >= 0 && p.censored { // silence must not pass for slowness either
+			if endpointIndex >= 0 && p.censored { // nor missing responses for slowness
 				continue
 			}
 			_, slopes[i], infos[i] = m.distributions[a.class].score(p.work, p.censored)
@@ -71,26 +71,26 @@
 		if best.score < minSlowScore {
 			return
 		}
-		s := slowPeriod{endpoint: host, from: middle(all[best.from]), to: middle(all[best.to-1]), factor: factor}
+		s := slowPeriod{endpoint: endpointIndex, from: middle(all[best.from]), to: middle(all[best.to-1]), factor: factor}
 		m.slowPeriods = append(m.slowPeriods, s)
 		if m.refineSlowPeriod(v, len(m.slowPeriods)-1); m.slowPeriods[len(m.slowPeriods)-1].factor < minSlowFactor {
 			m.slowPeriods = m.slowPeriods[:len(m.slowPeriods)-1]
 			return
 		}
-		if host < 0 {
+		if endpointIndex < 0 {
 			m.fitDistributions(v, 2)
 		}
 	}
 }
 
-// warming tells whether an attempt was at a host that may still have been cold.
+// wasWarmingUp reports whether an attempt was at an endpoint that may have been warming up.
 func (m *fittedModel) wasWarmingUp(v *history, a *attempt) bool {
 	return slices.ContainsFunc(v.endpoints[a.endpoint].starts, func(at time.Duration) bool {
 		return a.ended > at && a.started < at+max(m.warmup.duration, v.settings.ColdFor)
 	})
 }
 
-// refineSlowPeriod moves a slow time's ends and factor to where they are likeliest.
+// refineSlowPeriod fits a slow period's bounds and factor.
 func (m *fittedModel) refineSlowPeriod(v *history, i int) {
 	s := &m.slowPeriods[i]
 	from, to, factor := s.from.Seconds(), s.to.Seconds(), math.Log(s.factor)
@@ -106,7 +106,7 @@
 	high()
 }
 
-// fitWarmup finds how hosts warm up, if enough was sent to cold ones.
+// fitWarmup fits the warm-up, if there are enough attempts during warm-ups.
 func (m *fittedModel) fitWarmup(v *history) {
 	n := 0
 	var of []int
@@ -136,12 +136,12 @@
 	m.warmup.known = true
 }
 
-// doubt is how unlikely a value is that the settings put at another: a few attempts alone would say anything.
-func priorPenalty(value, said float64) float64 {
-	if said <= 0 {
+// priorPenalty is the negative log-density of a value given that of the settings: a few attempts alone would fit anything.
+func priorPenalty(value, configured float64) float64 {
+	if configured <= 0 {
 		return 0
 	}
-	z := math.Log(value/said) / warmupPriorSigma
+	z := math.Log(value/configured) / warmupPriorSigma
 	return z * z / 2
 }
 
