--- a/cmd/pinelab/play.go
+++ b/cmd/pinelab/play.go
@@ -116,7 +116,7 @@
 
 // find reads a scenario; a faulty one ends the program with its file, line and key.
 func find(name string) (*scenario.Scenario, error) {
-	text, from, err := experiment.Find(name, scenarios.Files.ReadFile)
+	text, from, err := experiment.FindScenario(name, scenarios.Files.ReadFile)
 	if err != nil {
 		return nil, exit{faulty, err}
 	}
@@ -162,7 +162,7 @@
 		if err := os.MkdirAll(dir, 0o755); err != nil {
 			return nil, fmt.Errorf("--out: %w", err)
 		}
-		base.Logs = dir
+		base.LogDir = dir
 	}
 	if t.progress && !c.Virtual {
 		base.Progress = func(at time.Duration) {
@@ -205,7 +205,7 @@
 // verdict is the status that a run ends with.
 func verdict(o *experiment.Outcome) error {
 	switch {
-	case o.Void():
+	case o.RigRanLate():
 		return exit{void, errors.New("the rig itself ran late: this run says nothing about the sidecars")}
 	case len(o.Result.Broken) > 0:
 		return exit{broken, errors.New("rules were broken")}
--- a/cmd/pinelab/rehearse.go
+++ b/cmd/pinelab/rehearse.go
@@ -113,7 +113,7 @@
 		return nil, exit{stopped, errors.New("stopped")}
 	case err != nil:
 		return nil, err
-	case o.Void():
+	case o.RigRanLate():
 		return nil, exit{void, errors.New("the rig itself ran late: the play on sockets says nothing")}
 	}
 	look := result.Look{Colour: t.colour}
--- a/cmd/pinelab/sweep.go
+++ b/cmd/pinelab/sweep.go
@@ -17,14 +17,14 @@
 // sweepCmd plays all combinations of some keys' values, each with the same seeds, and prints a table of the
 // seeds' medians. In virtual time plays run side by side; on sockets one follows the other.
 type sweepCmd struct {
-	Scenario string            `arg:"" help:"A scenario's file or name."`
-	Vary     []experiment.Vary `sep:"none" placeholder:"KEY=V,V" help:"A key and its values, such as fleet.sidecars=1,10,50; again for further keys."`
-	Seeds    int               `default:"5" help:"How many seeds for each combination."`
+	Scenario string             `arg:"" help:"A scenario's file or name."`
+	Vary     []experiment.Sweep `sep:"none" placeholder:"KEY=V,V" help:"A key and its values, such as fleet.sidecars=1,10,50; again for further keys."`
+	Seeds    int                `default:"5" help:"How many seeds for each combination."`
 	playing
 }
 
 func (c *sweepCmd) Run(ctx context.Context, t *terminal) error {
-	text, from, err := experiment.Find(c.Scenario, scenarios.Files.ReadFile)
+	text, from, err := experiment.FindScenario(c.Scenario, scenarios.Files.ReadFile)
 	if err != nil {
 		return exit{faulty, err}
 	}
@@ -62,8 +62,8 @@
 				switch {
 				case err != nil:
 					first = errors.Join(first, err)
-				case o.Void():
-					first = errors.Join(first, exit{void, fmt.Errorf("%s, seed %d: the rig ran late", strings.Join(v.Words, " "), seed+uint64(k))})
+				case o.RigRanLate():
+					first = errors.Join(first, exit{void, fmt.Errorf("%s, seed %d: the rig ran late", strings.Join(v.Values, " "), seed+uint64(k))})
 				default:
 					results[i][k] = o.Result
 				}
@@ -88,7 +88,7 @@
 	}
 	fmt.Fprintln(w, result.MedianHead)
 	for i, v := range variants {
-		for _, word := range v.Words {
+		for _, word := range v.Values {
 			fmt.Fprintf(w, "%s\t", word)
 		}
 		fmt.Fprintln(w, result.MedianLine(results[i]))
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -31,14 +31,14 @@
 	Arrivals []plan.Arrival // of a record, where the scenario has none of its own
 	Virtual  bool           // in virtual time, with the decision module for a sidecar
 	Builds   [2]string      // programs, as in live.Options
-	Logs     string         // folder for the sidecars' logs; "" keeps none
+	LogDir   string         // folder for the sidecars' logs; "" keeps none
 	Progress func(at time.Duration)
 }
 
 // Outcome is what came of it.
 type Outcome struct {
 	Plan    *plan.Plan
-	Log     *trace.Log
+	Trace   *trace.Log
 	Verdict judge.Verdict
 	Result  *result.Result
 }
@@ -53,7 +53,7 @@
 	arrivals := c.Arrivals
 	if path := c.Scenario.Clients.RecordFile; path != "" && arrivals == nil {
 		var err error
-		if arrivals, err = recorded(path, c.Scenario); err != nil {
+		if arrivals, err = readArrivals(path, c.Scenario); err != nil {
 			return nil, err
 		}
 	}
@@ -67,8 +67,8 @@
 	if c.Virtual {
 		log, err = simulation.Play(p)
 	} else {
-		meta = result.Meta{Player: "sockets", Builds: builds(c.Builds)}
-		log, err = loopback.Play(ctx, p, loopback.Options{Builds: c.Builds, LogDir: c.Logs, Progress: c.Progress})
+		meta = result.Meta{Player: "sockets", Builds: buildNames(c.Builds)}
+		log, err = loopback.Play(ctx, p, loopback.Options{Builds: c.Builds, LogDir: c.LogDir, Progress: c.Progress})
 		if log != nil && ctx.Err() != nil {
 			ended, err = ctx.Err(), nil
 		}
@@ -76,8 +76,8 @@
 	if err != nil {
 		return nil, err
 	}
-	o := &Outcome{Plan: p, Log: log, Verdict: judge.Judge(p, log)}
-	o.Result = result.Of(p, log, broken(&o.Verdict), meta)
+	o := &Outcome{Plan: p, Trace: log, Verdict: judge.Judge(p, log)}
+	o.Result = result.Of(p, log, brokenRules(&o.Verdict), meta)
 	return o, ended
 }
 
@@ -89,11 +89,11 @@
 	return report.Write(filepath.Join(dir, "report.html"), o.Result)
 }
 
-// Void says whether the rig itself ran late, so that the figures say nothing.
-func (o *Outcome) Void() bool { return o.Result.Rig.Void }
+// RigRanLate says whether the rig itself ran late, so that the figures say nothing.
+func (o *Outcome) RigRanLate() bool { return o.Result.Rig.Void }
 
 // broken puts a verdict into a result's words.
-func broken(v *judge.Verdict) []result.Broken {
+func brokenRules(v *judge.Verdict) []result.Broken {
 	var out []result.Broken
 	for _, kind := range judge.Kinds {
 		if v.Counts[kind] == 0 {
@@ -111,7 +111,7 @@
 }
 
 // recorded takes the arrivals of a sidecar's record. Its classes are found by name.
-func recorded(path string, s *scenario.Scenario) ([]plan.Arrival, error) {
+func readArrivals(path string, s *scenario.Scenario) ([]plan.Arrival, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("experiment: clients.recorded: %w", err)
@@ -125,7 +125,7 @@
 }
 
 // builds names the programs by what they say of themselves and by their bytes.
-func builds(paths [2]string) (out []string) {
+func buildNames(paths [2]string) (out []string) {
 	for _, path := range paths {
 		if path == "" {
 			continue
@@ -152,9 +152,9 @@
 	return fmt.Sprintf("%s %x", filepath.Base(path), h.Sum(nil)[:6]), nil
 }
 
-// Find looks up a scenario: a file, or the name of one that comes with the program. It returns its text and
+// FindScenario looks up a scenario: a file, or the name of one that comes with the program. It returns its text and
 // where it is from.
-func Find(name string, shipped func(name string) ([]byte, error)) (text []byte, from string, err error) {
+func FindScenario(name string, shipped func(name string) ([]byte, error)) (text []byte, from string, err error) {
 	text, err = os.ReadFile(name)
 	if err == nil || !errors.Is(err, os.ErrNotExist) {
 		return text, name, err
--- a/internal/lab/experiment/vary.go
+++ b/internal/lab/experiment/vary.go
@@ -10,15 +10,15 @@
 	"pinelb.example/pinelb/internal/lab/scenario"
 )
 
-// Vary is a key of a scenario and the values that it is to take, such as "fleet.sidecars=1,10,50". Elements of
+// Sweep is a key of a scenario and the values that it is to take, such as "fleet.sidecars=1,10,50". Elements of
 // lists are named by their place: "tier.0.kind.0.boxes=12,24".
-type Vary struct {
+type Sweep struct {
 	Key    string
 	Values []string
 }
 
 // UnmarshalText reads one.
-func (v *Vary) UnmarshalText(text []byte) error {
+func (v *Sweep) UnmarshalText(text []byte) error {
 	key, values, ok := strings.Cut(string(text), "=")
 	if !ok || key == "" || values == "" {
 		return fmt.Errorf("%q must be KEY=VALUE,VALUE", text)
@@ -29,18 +29,18 @@
 
 // Variant is one combination of values.
 type Variant struct {
-	Words    []string // a value for each key
+	Values   []string // a value for each key
 	Scenario *scenario.Scenario
 }
 
 // Variants are a scenario's text with all combinations of the values, the last key changing fastest.
-func Variants(name string, text []byte, vary []Vary) ([]Variant, error) {
+func Variants(name string, text []byte, vary []Sweep) ([]Variant, error) {
 	out := []Variant{{}}
 	for _, v := range vary {
 		var next []Variant
 		for _, had := range out {
 			for _, word := range v.Values {
-				next = append(next, Variant{Words: append(append([]string{}, had.Words...), word)})
+				next = append(next, Variant{Values: append(append([]string{}, had.Values...), word)})
 			}
 		}
 		out = next
@@ -50,8 +50,8 @@
 		if err := toml.Unmarshal(text, &all); err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
-		for k, word := range out[i].Words {
-			if err := set(all, strings.Split(vary[k].Key, "."), value(word)); err != nil {
+		for k, word := range out[i].Values {
+			if err := setKey(all, strings.Split(vary[k].Key, "."), parseValue(word)); err != nil {
 				return nil, fmt.Errorf("%s: %s: %w", name, vary[k].Key, err)
 			}
 		}
@@ -59,7 +59,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
-		if out[i].Scenario, err = scenario.Parse(name+" "+strings.Join(out[i].Words, " "), changed); err != nil {
+		if out[i].Scenario, err = scenario.Parse(name+" "+strings.Join(out[i].Values, " "), changed); err != nil {
 			return nil, err
 		}
 	}
@@ -67,7 +67,7 @@
 }
 
 // value reads a word as TOML would where it is a number or a flag, and as text otherwise.
-func value(word string) any {
+func parseValue(word string) any {
 	if n, err := strconv.ParseInt(word, 10, 64); err == nil {
 		return n
 	}
@@ -81,7 +81,7 @@
 }
 
 // set puts a value at a path, making the tables that are not there.
-func set(in any, path []string, v any) error {
+func setKey(in any, path []string, v any) error {
 	switch at := in.(type) {
 	case map[string]any:
 		if len(path) == 1 {
@@ -91,7 +91,7 @@
 		if at[path[0]] == nil {
 			at[path[0]] = map[string]any{}
 		}
-		return set(at[path[0]], path[1:], v)
+		return setKey(at[path[0]], path[1:], v)
 	case []any:
 		i, err := strconv.Atoi(path[0])
 		if err != nil || i < 0 || i >= len(at) {
@@ -101,7 +101,7 @@
 			at[i] = v
 			return nil
 		}
-		return set(at[i], path[1:], v)
+		return setKey(at[i], path[1:], v)
 	}
 	return fmt.Errorf("%q stands below a value", path[0])
 }
--- a/internal/lab/experiment/vary_test.go
+++ b/internal/lab/experiment/vary_test.go
@@ -12,7 +12,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	vary := make([]Vary, 3)
+	vary := make([]Sweep, 3)
 	for i, s := range []string{"fleet.sidecars=1,50", "clients.load=0.3,1", "tier.0.kind.1.start=cold"} {
 		if err := vary[i].UnmarshalText([]byte(s)); err != nil {
 			t.Fatal(err)
@@ -24,7 +24,7 @@
 	}
 	var words []string
 	for _, v := range got {
-		words = append(words, strings.Join(v.Words, " "))
+		words = append(words, strings.Join(v.Values, " "))
 	}
 	if w := strings.Join(words, "; "); w != "1 0.3 cold; 1 1 cold; 50 0.3 cold; 50 1 cold" {
 		t.Errorf("variants %s", w)
@@ -33,15 +33,15 @@
 		t.Errorf("%+v", s)
 	}
 	for _, bad := range []string{"fleet.sidecras=1", "tier.7.name=x", "name.first=x", "clients.load=much"} {
-		var v Vary
+		var v Sweep
 		if err := v.UnmarshalText([]byte(bad)); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Variants("calm.toml", text, []Vary{v}); err == nil {
+		if _, err := Variants("calm.toml", text, []Sweep{v}); err == nil {
 			t.Errorf("%s was taken", bad)
 		}
 	}
-	if err := new(Vary).UnmarshalText([]byte("fleet.sidecars")); err == nil {
+	if err := new(Sweep).UnmarshalText([]byte("fleet.sidecars")); err == nil {
 		t.Error("a key without values was taken")
 	}
 }
