--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -1,7 +1,10 @@
-// Package experiment is one whole play: the plan is made, played, judged and put into figures.
+// Package experiment runs a scenario from end to end: it makes the plan, plays it in virtual time or with processes on
+// sockets, has the trace judged and computes the results. It also finds scenarios by name and makes the variants of a
+// parameter sweep. The commands of pinelab call it.
 package experiment
 
 import (
+	"cmp"
 	"context"
 	"crypto/sha256"
 	"errors"
@@ -27,15 +30,15 @@
 // Config is what to play and how.
 type Config struct {
 	Scenario *scenario.Scenario
-	Seed     uint64         // 0 is the scenario's own
-	Arrivals []plan.Arrival // of a record, where the scenario has none of its own
-	Virtual  bool           // in virtual time, with the decision module for a sidecar
-	Builds   [2]string      // programs, as in live.Options
-	LogDir   string         // folder for the sidecars' logs; "" keeps none
-	Progress func(at time.Duration)
+	Seed     uint64                 // 0 is the scenario's own
+	Arrivals []plan.Arrival         // of a record, in place of the scenario's own
+	Virtual  bool                   // in virtual time, with package balance for a sidecar; otherwise with processes
+	Builds   [2]string              // paths of the programs, as in loopback.Options
+	LogDir   string                 // folder for the sidecars' logs; "" discards them
+	Progress func(at time.Duration) // is called with the time since the start of the run; may be nil
 }
 
-// Outcome is what came of it.
+// Outcome is the result of a run.
 type Outcome struct {
 	Plan    *plan.Plan
 	Trace   *trace.Log
@@ -43,34 +46,23 @@
 	Result  *result.Result
 }
 
-// Play plays a scenario once. Where ctx ends first, the outcome is of what was played so far and the error
-// is ctx's.
+// Play plays a scenario once. If ctx ends first, the outcome is of what was played so far, and the error is ctx's. A player
+// in virtual time does not look at ctx. Other errors come without an outcome.
 func Play(ctx context.Context, c Config) (*Outcome, error) {
-	seed := c.Seed
-	if seed == 0 {
-		seed = c.Scenario.Seed
-	}
-	arrivals := c.Arrivals
-	if path := c.Scenario.Clients.RecordFile; path != "" && arrivals == nil {
-		var err error
-		if arrivals, err = readArrivals(path, c.Scenario); err != nil {
-			return nil, err
-		}
-	}
-	p, err := plan.Build(c.Scenario, seed, arrivals)
+	p, err := c.buildPlan()
 	if err != nil {
 		return nil, err
 	}
 	meta := result.Meta{Player: "virtual"}
 	var log *trace.Log
-	var ended error
+	var interrupted error
 	if c.Virtual {
 		log, err = simulation.Play(p)
 	} else {
 		meta = result.Meta{Player: "sockets", Builds: buildNames(c.Builds)}
 		log, err = loopback.Play(ctx, p, loopback.Options{Builds: c.Builds, LogDir: c.LogDir, Progress: c.Progress})
 		if log != nil && ctx.Err() != nil {
-			ended, err = ctx.Err(), nil
+			interrupted, err = ctx.Err(), nil
 		}
 	}
 	if err != nil {
@@ -78,10 +70,22 @@
 	}
 	o := &Outcome{Plan: p, Trace: log, Verdict: judge.Judge(p, log)}
 	o.Result = result.Of(p, log, brokenRules(&o.Verdict), meta)
-	return o, ended
+	return o, interrupted
+}
+
+// buildPlan makes the plan, with the arrivals of the scenario's record if it has one.
+func (c *Config) buildPlan() (*plan.Plan, error) {
+	arrivals := c.Arrivals
+	if path := c.Scenario.Clients.RecordFile; path != "" && arrivals == nil {
+		var err error
+		if arrivals, err = readArrivals(path, c.Scenario); err != nil {
+			return nil, err
+		}
+	}
+	return plan.Build(c.Scenario, cmp.Or(c.Seed, c.Scenario.Seed), arrivals)
 }
 
-// Write leaves result.json and report.html in a folder.
+// Write writes result.json and report.html into a folder.
 func (o *Outcome) Write(dir string) error {
 	if err := o.Result.Write(dir); err != nil {
 		return err
@@ -89,10 +93,10 @@
 	return report.Write(filepath.Join(dir, "report.html"), o.Result)
 }
 
-// RigRanLate says whether the rig itself ran late, so that the figures say nothing.
+// RigRanLate reports whether the test rig itself ran late, so that the figures are void.
 func (o *Outcome) RigRanLate() bool { return o.Result.Rig.Void }
 
-// broken puts a verdict into a result's words.
+// brokenRules converts a verdict into the broken rules of a result.
 func brokenRules(v *judge.Verdict) []result.Broken {
 	var out []result.Broken
 	for _, kind := range judge.Kinds {
@@ -110,13 +114,13 @@
 	return out
 }
 
-// recorded takes the arrivals of a sidecar's record. Its classes are found by name.
+// readArrivals reads the arrivals of a sidecar's record. Its classes are found by name.
 func readArrivals(path string, s *scenario.Scenario) ([]plan.Arrival, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("experiment: clients.recorded: %w", err)
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // only read
 	r, err := accesslog.Read(f)
 	if err != nil {
 		return nil, fmt.Errorf("experiment: clients.recorded: %s: %w", path, err)
@@ -124,7 +128,7 @@
 	return calibration.Arrivals(r, s)
 }
 
-// builds names the programs by what they say of themselves and by their bytes.
+// buildNames identifies the programs by file name and hash. An unreadable one is named by the error.
 func buildNames(paths [2]string) (out []string) {
 	for _, path := range paths {
 		if path == "" {
@@ -144,7 +148,7 @@
 	if err != nil {
 		return "", err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // only read
 	h := sha256.New()
 	if _, err := io.Copy(h, f); err != nil {
 		return "", err
@@ -152,8 +156,8 @@
 	return fmt.Sprintf("%s %x", filepath.Base(path), h.Sum(nil)[:6]), nil
 }
 
-// FindScenario looks up a scenario: a file, or the name of one that comes with the program. It returns its text and
-// where it is from.
+// FindScenario reads a scenario: a file, or else the name of one that comes with the program, which shipped reads. It
+// returns its text and where it is from.
 func FindScenario(name string, shipped func(name string) ([]byte, error)) (text []byte, from string, err error) {
 	text, err = os.ReadFile(name)
 	if err == nil || !errors.Is(err, os.ErrNotExist) {
--- a/internal/lab/experiment/vary.go
+++ b/internal/lab/experiment/sweep.go
@@ -10,14 +10,14 @@
 	"pinelb.example/pinelb/internal/lab/scenario"
 )
 
-// Sweep is a key of a scenario and the values that it is to take, such as "fleet.sidecars=1,10,50". Elements of
-// lists are named by their place: "tier.0.kind.0.boxes=12,24".
+// Sweep is a key of a scenario and the values that it takes in turn, such as "fleet.sidecars=1,10,50". Elements of lists
+// are named by their index: "tier.0.kind.0.boxes=12,24".
 type Sweep struct {
 	Key    string
 	Values []string
 }
 
-// UnmarshalText reads one.
+// UnmarshalText parses "KEY=VALUE,VALUE".
 func (v *Sweep) UnmarshalText(text []byte) error {
 	key, values, ok := strings.Cut(string(text), "=")
 	if !ok || key == "" || values == "" {
@@ -29,18 +29,19 @@
 
 // Variant is one combination of values.
 type Variant struct {
-	Values   []string // a value for each key
+	Values   []string // one for each sweep
 	Scenario *scenario.Scenario
 }
 
-// Variants are a scenario's text with all combinations of the values, the last key changing fastest.
-func Variants(name string, text []byte, vary []Sweep) ([]Variant, error) {
+// Variants returns the scenarios of all combinations of the sweeps' values, the last key changing fastest. Name is the
+// file's in errors; a key that the scenario does not have is an error.
+func Variants(name string, text []byte, sweeps []Sweep) ([]Variant, error) {
 	out := []Variant{{}}
-	for _, v := range vary {
+	for _, v := range sweeps {
 		var next []Variant
-		for _, had := range out {
-			for _, word := range v.Values {
-				next = append(next, Variant{Values: append(append([]string{}, had.Values...), word)})
+		for _, prefix := range out {
+			for _, value := range v.Values {
+				next = append(next, Variant{Values: append(append([]string{}, prefix.Values...), value)})
 			}
 		}
 		out = next
@@ -50,9 +51,9 @@
 		if err := toml.Unmarshal(text, &all); err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
-		for k, word := range out[i].Values {
-			if err := setKey(all, strings.Split(vary[k].Key, "."), parseValue(word)); err != nil {
-				return nil, fmt.Errorf("%s: %s: %w", name, vary[k].Key, err)
+		for k, value := range out[i].Values {
+			if err := setKey(all, strings.Split(sweeps[k].Key, "."), parseValue(value)); err != nil {
+				return nil, fmt.Errorf("%s: %s: %w", name, sweeps[k].Key, err)
 			}
 		}
 		changed, err := toml.Marshal(all)
@@ -66,21 +67,21 @@
 	return out, nil
 }
 
-// value reads a word as TOML would where it is a number or a flag, and as text otherwise.
-func parseValue(word string) any {
-	if n, err := strconv.ParseInt(word, 10, 64); err == nil {
+// parseValue parses a value as TOML does if it is a number or a boolean, and takes it as text otherwise.
+func parseValue(value string) any {
+	if n, err := strconv.ParseInt(value, 10, 64); err == nil {
 		return n
 	}
-	if x, err := strconv.ParseFloat(word, 64); err == nil {
+	if x, err := strconv.ParseFloat(value, 64); err == nil {
 		return x
 	}
-	if b, err := strconv.ParseBool(word); err == nil {
+	if b, err := strconv.ParseBool(value); err == nil {
 		return b
 	}
-	return word
+	return value
 }
 
-// set puts a value at a path, making the tables that are not there.
+// setKey sets the value at a path, and makes the tables that are missing.
 func setKey(in any, path []string, v any) error {
 	switch at := in.(type) {
 	case map[string]any:
--- a/internal/lab/experiment/vary_test.go
+++ b/internal/lab/experiment/sweep_test.go
@@ -12,21 +12,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	vary := make([]Sweep, 3)
+	sweeps := make([]Sweep, 3)
 	for i, s := range []string{"fleet.sidecars=1,50", "clients.load=0.3,1", "tier.0.kind.1.start=cold"} {
-		if err := vary[i].UnmarshalText([]byte(s)); err != nil {
+		if err := sweeps[i].UnmarshalText([]byte(s)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	got, err := Variants("calm.toml", text, vary)
+	got, err := Variants("calm.toml", text, sweeps)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var words []string
+	var values []string
 	for _, v := range got {
-		words = append(words, strings.Join(v.Values, " "))
+		values = append(values, strings.Join(v.Values, " "))
 	}
-	if w := strings.Join(words, "; "); w != "1 0.3 cold; 1 1 cold; 50 0.3 cold; 50 1 cold" {
+	if w := strings.Join(values, "; "); w != "1 0.3 cold; 1 1 cold; 50 0.3 cold; 50 1 cold" {
 		t.Errorf("variants %s", w)
 	}
 	if s := got[2].Scenario; s.Fleet.Sidecars != 50 || s.Clients.Load != 0.3 || s.Tiers[0].Kinds[1].Start != "cold" || s.Tiers[0].Kinds[0].Start != "warm" {
