--- a/internal/lab/calibration/arrivals.go
+++ b/internal/lab/calibration/arrivals.go
@@ -28,7 +28,7 @@
 // startOf returns the replay's time 0: the earliest start of a run, or shortly before the first request if that came much
 // later.
 func startOf(records ...*accesslog.Record) time.Time {
-	var first, asked time.Time
+	var first, firstRequest time.Time
 	for _, r := range records {
 		for _, run := range r.Runs {
 			if at := run.Header.Start; first.IsZero() || at.Before(first) {
@@ -37,12 +37,12 @@
 			if len(run.Streams) == 0 {
 				continue
 			}
-			if at := run.Header.Start.Add(run.Streams[0].Arrival); asked.IsZero() || at.Before(asked) {
-				asked = at
+			if at := run.Header.Start.Add(run.Streams[0].Arrival); firstRequest.IsZero() || at.Before(firstRequest) {
+				firstRequest = at
 			}
 		}
 	}
-	if quiet := asked.Add(-quietLead).Truncate(time.Millisecond); quiet.After(first) {
+	if quiet := firstRequest.Add(-quietLead).Truncate(time.Millisecond); quiet.After(first) {
 		return quiet
 	}
 	return first
--- a/internal/lab/calibration/history.go
+++ b/internal/lab/calibration/history.go
@@ -151,14 +151,14 @@
 			i := find(m.ID)
 			h := &v.endpoints[i]
 			listed[i] = true
-			told := listUpdate{at: at, sidecar: sidecar, state: m.State}
+			update := listUpdate{at: at, sidecar: sidecar, state: m.State}
 			if m.State != balance.Gone {
 				h.kind = cmp.Or(m.Kind, h.kind)
-				if told.startedAt = max(m.UpSince-wall, 0); told.startedAt > 0 && !slices.Contains(h.starts, told.startedAt) {
-					h.starts = append(h.starts, told.startedAt)
+				if update.startedAt = max(m.UpSince-wall, 0); update.startedAt > 0 && !slices.Contains(h.starts, update.startedAt) {
+					h.starts = append(h.starts, update.startedAt)
 				}
 			}
-			h.updates = append(h.updates, told)
+			h.updates = append(h.updates, update)
 		}
 		for i := range v.endpoints { // an endpoint that a full list lacks is gone
 			h := &v.endpoints[i]
--- a/internal/lab/calibration/outages.go
+++ b/internal/lab/calibration/outages.go
@@ -16,7 +16,7 @@
 }
 
 // refusalShare is the share of the connect time-out within which a failed connect was refused: that takes a round trip,
-// and with an unresponsive machine the whole time-out.
+// and with an unresponsive machine all of the time-out.
 const refusalShare = 0.8
 
 // findOutages finds when processes exited. Discovery has the times of their restarts, to the millisecond; their exits show
@@ -62,7 +62,7 @@
 		}
 	}
 	d := outage{endpoint: h, kind: "vanish", from: neverEnds, to: back}
-	fails, silent := 0, 0
+	failures, unanswered := 0, 0
 	for i := range of {
 		a := &of[i]
 		if a.ended <= served || a.started >= back {
@@ -72,11 +72,11 @@
 		switch {
 		case a.status == balance.Reset && a.ended < back-10*time.Millisecond, quick: // a machine that is back resets its connections, too
 			d.kind, d.from = "crash", min(d.from, a.ended)
-			fails++
+			failures++
 		case a.status == balance.ConnectFailed, a.status == balance.Reset:
-			fails++
+			failures++
 		case wasAccepted(a.status):
-			silent++
+			unanswered++
 		}
 	}
 	gone, drained := neverEnds, neverEnds
@@ -95,9 +95,9 @@
 		if d.from = max(served, drained); gone < neverEnds {
 			d.from = max(d.from, gone-time.Second)
 		}
-	case back == neverEnds && gone == neverEnds && fails < minFailures:
+	case back == neverEnds && gone == neverEnds && failures < minFailures:
 		return d, false
-	case d.kind == "vanish" && (fails > 0 || silent >= minFailures):
+	case d.kind == "vanish" && (failures > 0 || unanswered >= minFailures):
 		d.from = served
 	case d.kind == "vanish" && gone < neverEnds: // it got no requests
 		d.kind, d.from = "crash", max(served, gone-time.Second)
@@ -109,7 +109,7 @@
 
 // discoveryDelays returns how late discovery was: medians of what was seen, or 0.
 func (m *fittedModel) discoveryDelays(v *history) (removal, unresponsive, addition time.Duration) {
-	var n, s, a []time.Duration
+	var removals, losses, additions []time.Duration
 	first := func(h int, from, to time.Duration, is func(l *listUpdate) bool) (time.Duration, bool) {
 		for i := range v.endpoints[h].updates {
 			if l := &v.endpoints[h].updates[i]; l.at >= from && l.at < to && is(l) {
@@ -120,31 +120,31 @@
 	}
 	gone := func(l *listUpdate) bool { return l.state == balance.Gone }
 	for _, d := range m.outages {
-		late, told := first(d.endpoint, d.from, d.to, gone)
+		delay, notified := first(d.endpoint, d.from, d.to, gone)
 		switch {
-		case !told:
+		case !notified:
 			// An endpoint that is back before discovery removes it shows that this takes at least so long.
-			if late = d.to - d.from; d.to < neverEnds {
+			if delay = d.to - d.from; d.to < neverEnds {
 				if d.kind == "vanish" {
-					s = append(s, late+time.Second)
+					losses = append(losses, delay+time.Second)
 				} else {
-					n = append(n, late+time.Second)
+					removals = append(removals, delay+time.Second)
 				}
 			}
 		case d.kind == "vanish":
-			s = append(s, late)
+			losses = append(losses, delay)
 		default:
-			n = append(n, late)
+			removals = append(removals, delay)
 		}
 	}
 	for h := range v.endpoints {
 		for _, start := range v.endpoints[h].starts {
-			if late, told := first(h, start, neverEnds, func(l *listUpdate) bool { return l.startedAt == start }); told {
-				a = append(a, late)
+			if delay, notified := first(h, start, neverEnds, func(l *listUpdate) bool { return l.startedAt == start }); notified {
+				additions = append(additions, delay)
 			}
 		}
 	}
-	return median(n), median(s), median(a)
+	return median(removals), median(losses), median(additions)
 }
 
 func median(of []time.Duration) time.Duration {
--- a/internal/lab/calibration/scenario.go
+++ b/internal/lab/calibration/scenario.go
@@ -36,13 +36,13 @@
 	s.Fleet.Sidecars, s.Fleet.ConfiguredInstances = len(v.names), max(v.settings.Instances, len(v.names))
 	s.Fleet.MemoryMB, s.Fleet.Sockets = max(v.limits.MemoryMB, 32), max(v.limits.Sockets, 64)
 	s.Fleet.Cores = max(v.limits.Cores, 0.1)
-	notice, silent, add := m.discoveryDelays(v)
+	removal, unresponsive, addition := m.discoveryDelays(v)
 	d := &s.Discovery
 	d.Jitter = 0
 	for _, p := range []struct {
 		at    *scenario.Span
 		found time.Duration
-	}{{&d.RemoveDelay, notice}, {&d.UnresponsiveDelay, silent}, {&d.AddDelay, add}} {
+	}{{&d.RemoveDelay, removal}, {&d.UnresponsiveDelay, unresponsive}, {&d.AddDelay, addition}} {
 		if p.found > 0 {
 			*p.at = toSpan(p.found)
 		}
--- a/internal/lab/model/endpoint_test.go
+++ b/internal/lab/model/endpoint_test.go
@@ -25,26 +25,26 @@
 func describe(events []Event) string {
 	kinds := []string{EventStarted: "start", EventCalling: "call", EventReset: "reset", EventLost: "lost"}
 	responses := []string{ResponseOK: "ok", ResponseError: "error", ResponseRejected: "rejected", ResponseTruncated: "truncated", ResponseCorrupted: "corrupted", ResponseTrickled: "trickled"}
-	var words []string
+	var texts []string
 	for _, e := range events {
-		word := ""
+		text := ""
 		if e.Kind == EventResponded {
-			word = responses[e.Response]
+			text = responses[e.Response]
 		} else {
-			word = kinds[e.Kind]
+			text = kinds[e.Kind]
 		}
 		if e.Deduplicated {
-			word = "repeat"
+			text = "repeat"
 		}
 		if e.Kind != EventReset {
-			word += fmt.Sprint(" ", e.Job)
+			text += fmt.Sprint(" ", e.Job)
 		}
 		if e.Kind == EventCalling {
-			word += fmt.Sprint("#", e.Call)
+			text += fmt.Sprint("#", e.Call)
 		}
-		words = append(words, fmt.Sprintf("%s@%v", word, float64(e.At)/float64(ms)))
+		texts = append(texts, fmt.Sprintf("%s@%v", text, float64(e.At)/float64(ms)))
 	}
-	return strings.Join(words, ", ")
+	return strings.Join(texts, ", ")
 }
 
 func arrive(s *Endpoint, at time.Duration, id uint64, segments ...time.Duration) {
--- a/internal/lab/plan/events.go
+++ b/internal/lab/plan/events.go
@@ -13,7 +13,7 @@
 const (
 	StartFault    EventKind = iota + 1 // Endpoint, Fault
 	EndFault                           // Endpoint, Fault.ID
-	StartEndpoint                      // Endpoint: an absent one starts, cold
+	StartEndpoint                      // Endpoint: an absent one starts, and warms up
 	NotifySidecar                      // Sidecar, Entry: its agent of discovery has the entry from now on
 	StartSidecar                       // Sidecar, as in all below
 	StopSidecar                        // SIGTERM
--- a/internal/lab/plan/notifications.go
+++ b/internal/lab/plan/notifications.go
@@ -50,7 +50,7 @@
 		}
 		for j := range s.notifications {
 			e := &s.notifications[j]
-			if e.At < from || e.At >= to || e.Sidecar < 0 { // only what is on its way to sidecars is held back
+			if e.At < from || e.At >= to || e.Sidecar < 0 { // only notifications of sidecars are delayed
 				continue
 			}
 			switch {
--- a/internal/lab/plan/sidecars.go
+++ b/internal/lab/plan/sidecars.go
@@ -103,7 +103,7 @@
 	return p.InitialMembers(tier)
 }
 
-// staleList has endpoints that have not started yet, has cold ones as warm, and lacks one in ten.
+// staleList has endpoints that have not started yet, has those that are warming up as warm, and lacks one in ten.
 func (p *Plan) staleList(tier int) (list []ListEntry) {
 	for i := range p.Endpoints {
 		if p.Endpoints[i].Tier == tier && i%10 != 9 {
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -18,7 +18,7 @@
 // Span is a duration in a scenario, written as "250ms".
 type Span = tomlfile.Span
 
-// Scenario is a whole run. Times count from its start.
+// Scenario describes one run. Times count from its start.
 type Scenario struct {
 	Name   string
 	About  string // a sentence for reports
--- a/internal/lab/simulation/simulator_test.go
+++ b/internal/lab/simulation/simulator_test.go
@@ -61,7 +61,7 @@
 // checkTrace checks the invariants of every trace: each attempt ends once, in order; requests at endpoints belong to attempts; work adds up.
 func checkTrace(t rapid.TB, p *plan.Plan, l *trace.Log) {
 	byTxn := map[uint64]*trace.ClientAttempt{}
-	tries := make([]int, len(p.Requests))
+	attemptCounts := make([]int, len(p.Requests))
 	for i := range l.ClientAttempts {
 		y := &l.ClientAttempts[i]
 		if byTxn[y.TransactionID] != nil {
@@ -72,13 +72,13 @@
 			t.Fatalf("an attempt sent at %v with a time-out of %v ended at %v, %v", y.Sent, y.Timeout, y.Ended, y.Status)
 		}
 		if y.Tier == 0 {
-			if y.Number != tries[y.Request] {
-				t.Fatalf("attempt %d of request %d comes after %d others", y.Number, y.Request, tries[y.Request])
+			if y.Number != attemptCounts[y.Request] {
+				t.Fatalf("attempt %d of request %d comes after %d others", y.Number, y.Request, attemptCounts[y.Request])
 			}
-			tries[y.Request]++
+			attemptCounts[y.Request]++
 		}
 	}
-	for i, n := range tries {
+	for i, n := range attemptCounts {
 		if n == 0 || n > p.Requests[i].MaxRetries+1 {
 			t.Fatalf("request %d had %d attempts", i, n)
 		}
