--- a/internal/lab/calibration/history.go
+++ b/internal/lab/calibration/history.go
@@ -21,7 +21,6 @@
 	start           time.Time
 	end             time.Duration   // of the last request or update
 	settings        config.Settings // the first run's
-	site            string
 	limits          config.Limits
 	names           []string     // of the sidecars, by rank
 	sidecarRuns     []sidecarRun // of the sidecars
@@ -51,16 +50,16 @@
 // listUpdate is what a sidecar was notified of an endpoint.
 type listUpdate struct {
 	at        time.Duration
-	sidecar   int
 	state     balance.Availability
 	startedAt time.Duration // 0 is before the record
 }
 
+// request is a request of a client at a sidecar.
 type request struct {
-	arrival, timeout, duration time.Duration
-	class, sidecar             int
-	outcome                    stream.Outcome
-	attempts                   int
+	arrival  time.Duration
+	duration time.Duration // until its response or its end without one
+	class    int
+	outcome  stream.Outcome
 }
 
 // attempt is an upstream attempt at an endpoint.
@@ -72,17 +71,23 @@
 	lostRace        bool // another attempt of its request had the response
 }
 
-// mergeRecords makes a history of records.
+// recordMerger merges records into a history, and has the indexes of what records name.
+type recordMerger struct {
+	*history
+	classIndexes, sidecarIndexes, endpointIndexes map[string]int
+}
+
+// mergeRecords makes a history of records. Records without a run, of several tiers, or with other classes than the first
+// one's are a *RecordError.
 func mergeRecords(records []*accesslog.Record) (*history, error) {
 	v := &history{start: startOf(records...)}
 	if v.start.IsZero() {
 		return nil, newRecordError("no record holds a run")
 	}
-	hosts, known := map[string]int{}, map[string]int{}
-	classes := map[string]int{}
+	m := recordMerger{history: v, classIndexes: map[string]int{}, sidecarIndexes: map[string]int{}, endpointIndexes: map[string]int{}}
 	for _, r := range records {
 		for _, run := range r.Runs {
-			if err := v.addSettings(run, classes, known); err != nil {
+			if err := m.addSettings(run); err != nil {
 				return nil, err
 			}
 		}
@@ -92,7 +97,7 @@
 			v.addNote("the record is cut off: %d lines that are not whole were left out", r.Skipped+boolToInt(r.Truncated))
 		}
 		for _, run := range r.Runs {
-			v.addRun(run, known[run.Header.Name], classes, hosts)
+			m.addRun(run)
 		}
 	}
 	slices.SortStableFunc(v.requests, func(a, b request) int { return cmp.Compare(a.arrival, b.arrival) })
@@ -105,96 +110,117 @@
 }
 
 // addSettings takes over a run's settings and numbers its sidecar.
-func (v *history) addSettings(run *accesslog.Run, classes, known map[string]int) error {
+func (m *recordMerger) addSettings(run *accesslog.Run) error {
 	h := &run.Header
-	if v.names == nil {
-		v.settings, v.site, v.limits = h.Settings, h.Site, h.Limits
+	if m.names == nil {
+		m.settings, m.limits = h.Settings, h.Limits
 		for i, name := range h.Settings.ClassNames {
-			classes[name] = i
+			m.classIndexes[name] = i
 		}
 	}
-	if h.Settings.Tier != v.settings.Tier {
+	if h.Settings.Tier != m.settings.Tier {
 		return newRecordError("%s sends to tier %d and %s to tier %d: rehearse one tier's records at a time",
-			v.names[0], v.settings.Tier, h.Name, h.Settings.Tier)
+			m.names[0], m.settings.Tier, h.Name, h.Settings.Tier)
 	}
 	for _, name := range h.Settings.ClassNames {
-		if _, is := classes[name]; !is {
-			return newRecordError("%s has the class %q, which %s lacks", h.Name, name, v.names[0])
+		if _, known := m.classIndexes[name]; !known {
+			return newRecordError("%s has the class %q, which %s lacks", h.Name, name, m.names[0])
 		}
 	}
-	if _, is := known[h.Name]; !is {
-		known[h.Name] = len(v.names)
-		v.names = append(v.names, h.Name)
+	if _, known := m.sidecarIndexes[h.Name]; !known {
+		m.sidecarIndexes[h.Name] = len(m.names)
+		m.names = append(m.names, h.Name)
 	}
 	return nil
 }
 
-// addRun adds one run: its list updates, requests and attempts.
-func (v *history) addRun(run *accesslog.Run, sidecar int, classes, hosts map[string]int) {
-	offset := run.Header.Start.Sub(v.start)
-	find := func(name string) int {
-		i, is := hosts[name]
-		if !is {
-			i = len(v.endpoints)
-			hosts[name] = i
-			v.endpoints = append(v.endpoints, endpoint{name: name})
-		}
-		return i
+// endpointIndex returns the index of a named endpoint, which is added if it is new.
+func (m *recordMerger) endpointIndex(name string) int {
+	i, known := m.endpointIndexes[name]
+	if !known {
+		i = len(m.endpoints)
+		m.endpointIndexes[name] = i
+		m.endpoints = append(m.endpoints, endpoint{name: name})
 	}
-	l := sidecarRun{sidecar: sidecar, from: offset, to: offset}
-	wall := v.start.Sub(time.Unix(0, 0))
-	for _, c := range run.Cluster {
-		at := offset + c.At
-		l.to = max(l.to, at)
-		listed := map[int]bool{}
-		for _, m := range c.Hosts {
-			i := find(m.ID)
-			h := &v.endpoints[i]
-			listed[i] = true
-			update := listUpdate{at: at, sidecar: sidecar, state: m.State}
-			if m.State != balance.Gone {
-				h.kind = cmp.Or(m.Kind, h.kind)
-				if update.startedAt = max(m.UpSince-wall, 0); update.startedAt > 0 && !slices.Contains(h.starts, update.startedAt) {
-					h.starts = append(h.starts, update.startedAt)
-				}
-			}
-			h.updates = append(h.updates, update)
-		}
-		for i := range v.endpoints { // an endpoint that a full list lacks is gone
-			h := &v.endpoints[i]
-			if k := len(h.updates); c.List != accesslog.Change && !listed[i] && k > 0 && h.updates[k-1].state != balance.Gone {
-				h.updates = append(h.updates, listUpdate{at: at, sidecar: sidecar, state: balance.Gone})
-			}
-		}
+	return i
+}
+
+// addRun adds one run: its list updates, requests and attempts.
+func (m *recordMerger) addRun(run *accesslog.Run) {
+	offset := run.Header.Start.Sub(m.start)
+	added := sidecarRun{sidecar: m.sidecarIndexes[run.Header.Name], from: offset, to: offset}
+	for i := range run.Cluster {
+		update := &run.Cluster[i]
+		added.to = max(added.to, offset+update.At)
+		m.addListUpdate(update, offset+update.At)
 	}
 	for _, lost := range run.Lost {
-		v.missingRequests += lost.Rate + lost.Sink + lost.Open
+		m.missingRequests += lost.Rate + lost.Sink + lost.Open
 	}
 	for i := range run.Streams {
 		s := &run.Streams[i]
-		class := classes[run.Header.Settings.ClassNames[s.Class]]
-		at := offset + s.Arrival
-		l.to = max(l.to, at+s.Answered)
-		v.requests = append(v.requests, request{arrival: at, timeout: s.Left, duration: s.Answered, class: class, sidecar: sidecar,
-			outcome: s.End, attempts: len(s.Attempts)})
-		won := slices.ContainsFunc(s.Attempts, func(a accesslog.Attempt) bool { return a.Status == balance.OK })
-		for _, a := range s.Attempts {
-			if a.Status == balance.Moot { // it was not sent
-				continue
+		added.to = max(added.to, m.addRequest(s, m.classIndexes[run.Header.Settings.ClassNames[s.Class]], offset+s.Arrival))
+	}
+	m.end = max(m.end, added.to)
+	m.sidecarRuns = append(m.sidecarRuns, added)
+}
+
+// addListUpdate adds an update of a sidecar's list at a time. An endpoint that a full list lacks is gone.
+func (m *recordMerger) addListUpdate(list *accesslog.Cluster, at time.Duration) {
+	wall := m.start.Sub(time.Unix(0, 0))
+	listed := map[int]bool{}
+	for _, member := range list.Hosts {
+		i := m.endpointIndex(member.ID)
+		e := &m.endpoints[i]
+		listed[i] = true
+		update := listUpdate{at: at, state: member.State}
+		if member.State != balance.Gone {
+			e.kind = cmp.Or(member.Kind, e.kind)
+			update.startedAt = max(member.UpSince-wall, 0)
+			if update.startedAt > 0 && !slices.Contains(e.starts, update.startedAt) {
+				e.starts = append(e.starts, update.startedAt)
 			}
-			v.attempts = append(v.attempts, attempt{endpoint: find(a.Host), class: class, started: at + a.Began, ended: at + a.Began + a.Took,
-				status: a.Status, lostRace: won && a.Status != balance.OK})
-			l.to = max(l.to, at+a.Began+a.Took)
 		}
+		e.updates = append(e.updates, update)
+	}
+	if list.List == accesslog.Change {
+		return
+	}
+	for i := range m.endpoints {
+		e := &m.endpoints[i]
+		if n := len(e.updates); !listed[i] && n > 0 && e.updates[n-1].state != balance.Gone {
+			e.updates = append(e.updates, listUpdate{at: at, state: balance.Gone})
+		}
+	}
+}
+
+// addRequest adds a request that arrived at a time, with its attempts, and returns the time of its last event.
+func (m *recordMerger) addRequest(s *accesslog.Stream, class int, at time.Duration) (last time.Duration) {
+	m.requests = append(m.requests, request{arrival: at, duration: s.Answered, class: class, outcome: s.End})
+	last = at + s.Answered
+	won := slices.ContainsFunc(s.Attempts, func(a accesslog.Attempt) bool { return a.Status == balance.OK })
+	for _, a := range s.Attempts {
+		if a.Status == balance.Moot { // it was not sent
+			continue
+		}
+		started := at + a.Began
+		m.attempts = append(m.attempts, attempt{
+			endpoint: m.endpointIndex(a.Host),
+			class:    class,
+			started:  started,
+			ended:    started + a.Took,
+			status:   a.Status,
+			lostRace: won && a.Status != balance.OK,
+		})
+		last = max(last, started+a.Took)
 	}
-	v.end = max(v.end, l.to)
-	v.sidecarRuns = append(v.sidecarRuns, l)
+	return last
 }
 
 // sortEndpoints numbers the endpoints by name, with numbers in their order, and sorts what is theirs. Endpoints that were
 // gone before the start and never came back are left out.
 func (v *history) sortEndpoints() {
-	firstSent := make([]time.Duration, len(v.endpoints)) // first
+	firstSent := make([]time.Duration, len(v.endpoints))
 	for i := range firstSent {
 		firstSent[i] = neverEnds
 	}
--- a/internal/lab/calibration/outages.go
+++ b/internal/lab/calibration/outages.go
@@ -19,6 +19,9 @@
 // and with an unresponsive machine all of the time-out.
 const refusalShare = 0.8
 
+// restartResets is the time before a restart in which resets don't count: a machine that is back resets its connections.
+const restartResets = 10 * time.Millisecond
+
 // findOutages finds when processes exited. Discovery has the times of their restarts, to the millisecond; their exits show
 // where responses end and resets and refusals begin.
 func (m *fittedModel) findOutages(v *history) {
@@ -54,23 +57,46 @@
 
 // outageBefore finds the outage between two starts of an endpoint, or after the last one.
 func (m *fittedModel) outageBefore(v *history, h int, since, back time.Duration) (outage, bool) {
-	target, of := &v.endpoints[h], v.attemptsOf(h)
-	served := since
-	for i := range of {
-		if a := &of[i]; a.status == balance.OK && a.ended < back {
+	served := since // the last response
+	for _, a := range v.attemptsOf(h) {
+		if a.status == balance.OK && a.ended < back {
 			served = max(served, a.ended)
 		}
 	}
 	d := outage{endpoint: h, kind: "vanish", from: neverEnds, to: back}
-	failures, unanswered := 0, 0
-	for i := range of {
-		a := &of[i]
-		if a.ended <= served || a.started >= back {
+	failures, unanswered := v.evidenceOfOutage(&d, served)
+	removed := v.firstUpdate(h, since, back, balance.Gone)
+	draining := v.firstUpdate(h, since, back, balance.Draining)
+	switch {
+	case draining < neverEnds:
+		d.kind, d.announcedAt = "drain", draining
+		if d.from = max(served, draining); removed < neverEnds {
+			d.from = max(d.from, removed-time.Second)
+		}
+	case back == neverEnds && removed == neverEnds && failures < minFailures:
+		return d, false
+	case d.kind == "vanish" && (failures > 0 || unanswered >= minFailures):
+		d.from = served
+	case d.kind == "vanish" && removed < neverEnds: // it got no requests
+		d.kind, d.from = "crash", max(served, removed-time.Second)
+	case d.kind == "vanish":
+		d.kind, d.from = "crash", served+(back-served)/2
+	}
+	return d, d.from < back
+}
+
+// evidenceOfOutage counts the failed connections and the requests without a response from the last response up to an
+// outage's end. A reset or refused connection makes the outage a crash, which starts with the first of them.
+func (v *history) evidenceOfOutage(d *outage, served time.Duration) (failures, unanswered int) {
+	maxRefusal := time.Duration(refusalShare * float64(v.settings.ConnectTimeout))
+	for _, a := range v.attemptsOf(d.endpoint) {
+		if a.ended <= served || a.started >= d.to {
 			continue
 		}
-		quick := a.status == balance.ConnectFailed && a.ended-a.started < time.Duration(refusalShare*float64(v.settings.ConnectTimeout))
+		refused := a.status == balance.ConnectFailed && a.ended-a.started < maxRefusal
+		reset := a.status == balance.Reset && a.ended < d.to-restartResets
 		switch {
-		case a.status == balance.Reset && a.ended < back-10*time.Millisecond, quick: // a machine that is back resets its connections, too
+		case reset, refused:
 			d.kind, d.from = "crash", min(d.from, a.ended)
 			failures++
 		case a.status == balance.ConnectFailed, a.status == balance.Reset:
@@ -79,32 +105,19 @@
 			unanswered++
 		}
 	}
-	gone, drained := neverEnds, neverEnds
-	for _, l := range target.updates {
-		switch {
-		case l.at <= since || l.at >= back:
-		case l.state == balance.Gone:
-			gone = min(gone, l.at)
-		case l.state == balance.Draining:
-			drained = min(drained, l.at)
+	return failures, unanswered
+}
+
+// firstUpdate returns when discovery first reported a state of an endpoint between two times, both excluded; neverEnds if
+// it did not.
+func (v *history) firstUpdate(h int, after, before time.Duration, state balance.Availability) time.Duration {
+	first := neverEnds
+	for _, update := range v.endpoints[h].updates {
+		if update.at > after && update.at < before && update.state == state {
+			first = min(first, update.at)
 		}
 	}
-	switch {
-	case drained < neverEnds:
-		d.kind, d.announcedAt = "drain", drained
-		if d.from = max(served, drained); gone < neverEnds {
-			d.from = max(d.from, gone-time.Second)
-		}
-	case back == neverEnds && gone == neverEnds && failures < minFailures:
-		return d, false
-	case d.kind == "vanish" && (failures > 0 || unanswered >= minFailures):
-		d.from = served
-	case d.kind == "vanish" && gone < neverEnds: // it got no requests
-		d.kind, d.from = "crash", max(served, gone-time.Second)
-	case d.kind == "vanish":
-		d.kind, d.from = "crash", served+(back-served)/2
-	}
-	return d, d.from < back
+	return first
 }
 
 // discoveryDelays returns how late discovery was: medians of what was seen, or 0.
