--- a/internal/lab/calibration/adjust.go
+++ b/internal/lab/calibration/adjust.go
@@ -213,7 +213,8 @@
 			times += k.latencyShare[c] * math.Abs(k.logLatencies[c][i]-o.logLatencies[c][i]) / float64(len(quantiles))
 		}
 	}
-	return latencyWeight*times + totalsWeight*countDistance(k.totals, o.totals) + countDistance(k.outcomes, o.outcomes) + countDistance(k.attempts, o.attempts)
+	return latencyWeight*times + totalsWeight*countDistance(k.totals, o.totals) +
+		countDistance(k.outcomes, o.outcomes) + countDistance(k.attempts, o.attempts)
 }
 
 // countDistance is the part of two sets of counts that does not match, from 0 to 1.
--- a/internal/lab/calibration/notes.go
+++ b/internal/lab/calibration/notes.go
@@ -156,9 +156,11 @@
 	}
 	a, b := reflect.ValueOf(v.settings.Settings), reflect.ValueOf(replayed.Settings)
 	for i := range a.NumField() {
-		if name := a.Type().Field(i).Name; name != "Classes" && name != "Kinds" && !reflect.DeepEqual(a.Field(i).Interface(), b.Field(i).Interface()) {
-			out = append(out, name)
+		name := a.Type().Field(i).Name
+		if name == "Classes" || name == "Kinds" || reflect.DeepEqual(a.Field(i).Interface(), b.Field(i).Interface()) {
+			continue
 		}
+		out = append(out, name)
 	}
 	differ := map[string]bool{}
 	for c := range v.settings.Classes {
--- a/internal/lab/calibration/record.go
+++ b/internal/lab/calibration/record.go
@@ -33,9 +33,15 @@
 		if t.Sidecar != sidecar {
 			continue
 		}
-		run.Streams = append(run.Streams, accesslog.Stream{Arrival: s.Arrived, Class: t.Class, Left: t.Timeout,
-			Repeated: t.Number > 0 || t.Tier == 0 && p.Requests[t.Request].IsRetry, End: outcomeOf(&s), Answered: s.Ended - s.Arrived,
-			RetryAfter: s.RetryAfter})
+		run.Streams = append(run.Streams, accesslog.Stream{
+			Arrival:    s.Arrived,
+			Class:      t.Class,
+			Left:       t.Timeout,
+			Repeated:   t.Number > 0 || t.Tier == 0 && p.Requests[t.Request].IsRetry,
+			End:        outcomeOf(&s),
+			Answered:   s.Ended - s.Arrived,
+			RetryAfter: s.RetryAfter,
+		})
 		at[s.ClientAttempt] = len(run.Streams)
 	}
 	for _, a := range log.UpstreamRequests {
@@ -44,14 +50,23 @@
 			continue
 		}
 		s := &run.Streams[i]
-		s.Attempts = append(s.Attempts, accesslog.Attempt{Host: p.Endpoints[a.Endpoint].Name, Began: a.Sent - s.Arrival, Took: a.Duration, Status: a.Status})
+		s.Attempts = append(s.Attempts, accesslog.Attempt{
+			Host:   p.Endpoints[a.Endpoint].Name,
+			Began:  a.Sent - s.Arrival,
+			Took:   a.Duration,
+			Status: a.Status,
+		})
 	}
 	return &accesslog.Record{Runs: []*accesslog.Run{run}}, nil
 }
 
 // clusterUpdates returns a sidecar's notifications: the full list at its start and then the changes.
 func clusterUpdates(p *plan.Plan, log *trace.Log, sidecar int) (out []accesslog.Cluster) {
-	states := [...]balance.Availability{trace.PhaseReady: balance.Ready, trace.PhaseTerminating: balance.Draining, trace.PhaseGone: balance.Gone}
+	states := [...]balance.Availability{
+		trace.PhaseReady:       balance.Ready,
+		trace.PhaseTerminating: balance.Draining,
+		trace.PhaseGone:        balance.Gone,
+	}
 	for _, t := range log.Notifications {
 		if t.Sidecar != sidecar {
 			continue
--- a/internal/lab/scenario/protocol.go
+++ b/internal/lab/scenario/protocol.go
@@ -38,7 +38,8 @@
 	out.WriteString(s.Fleet.OperatorConfig)
 	if b := s.Fleet.Budget; b != nil && hasBudget {
 		tier := s.TierIndex(service)
-		fmt.Fprintf(&out, "\n[budget]\nservice = %q\nattempts = %d\nreentry = %d\nleaf = %v\n", service, b.AttemptLimit, b.ReentryLimit, s.NextTierIndex(tier) < 0)
+		fmt.Fprintf(&out, "\n[budget]\nservice = %q\nattempts = %d\nreentry = %d\nleaf = %v\n",
+			service, b.AttemptLimit, b.ReentryLimit, s.NextTierIndex(tier) < 0)
 	}
 	if !s.Fleet.IsThrift() {
 		return out.String()
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -217,23 +217,42 @@
 
 // Fault is something that goes wrong, or an operation during the run. Which fields apply depends on the kind.
 type Fault struct {
-	Kind          string // one of EndpointFaults, EndpointEvents, SidecarAndDiscoveryFaults, ListServiceFaults, LinkFaults, or "flap"
-	At            Span
-	Duration      Span     `toml:"for"` // 0 is to the end of the run
-	Tier          string   // "" is the first
-	Endpoints     int      `toml:"boxes"` // how many of the tier it affects, drawn by the seed; of the sidecars for a sidecar's kinds
-	Share         float64  // or which share of them, one at least
-	Names         []string // or these; for a sidecar's kinds the names of sidecars
-	Size          float64  // a share of the requests or a factor, by kind
-	Class         string   // for kinds that affect a share of the requests, and for hurry: only this class's
-	MinInFlight   int      `toml:"above"` // for those kinds: only while an endpoint has so many requests running and queued
-	Scope         string   `toml:"by"`    // for those kinds: "request", or "connection": a share of these, always. link_cut: "both", "there", "back"
-	TimeoutShare  float64  `toml:"left"`  // hurry: share of their usual time-out of an attempt that such clients have
-	Target        string   `toml:"of"`    // flap: the repeated kind; list_wrong: "empty", "half", "other"; links: "list", "boxes", "clients", "control"
-	Up, Down      Span     // flap, and faults of the list service and of links: lengths of the two phases
-	Grace         Span     // drain: until the process exits; sidecar_stop: until SIGKILL
-	RecoveryDelay Span     `toml:"back"` // drain, sidecar_kill, sidecar_stop: from the exit to the restart, 0 is never; list_slow, link_slow, discovery_late: the delay
-	Step          Span     // between one sidecar and the next
+	// Kind is one of EndpointFaults, EndpointEvents, SidecarAndDiscoveryFaults, ListServiceFaults and LinkFaults, or "flap",
+	// which repeats an endpoint's fault.
+	Kind     string
+	At       Span
+	Duration Span   `toml:"for"` // 0 is to the end of the run
+	Tier     string // "" is the first
+
+	// What it affects: a number of the tier's endpoints, drawn by the seed, a share of them (one at least), or names. For a
+	// sidecar's kinds these are sidecars of the first tier; none of the three is all sidecars.
+	Endpoints int `toml:"boxes"`
+	Share     float64
+	Names     []string
+
+	Size float64 // a share of the requests or a factor, by kind
+
+	// Of the kinds that affect a share of the requests (hurry has the class, too): only those of a class, only while an
+	// endpoint has so many running and queued, or ("connection" in place of "request") all on a share of the connections.
+	// A link_cut has its directions in Scope: "both", "there" or "back".
+	Class       string
+	MinInFlight int    `toml:"above"`
+	Scope       string `toml:"by"`
+
+	TimeoutShare float64 `toml:"left"` // hurry: share of their usual time-out of an attempt that such clients have
+
+	// Target is, for flap, the kind that it repeats; for list_wrong "empty", "half" or "other"; for the kinds of links
+	// "list", "boxes", "clients" or "control".
+	Target string `toml:"of"`
+
+	Up, Down Span // flap, and faults of the list service and of links: lengths of the two phases
+	Grace    Span // drain: until the process exits; sidecar_stop: until SIGKILL
+
+	// RecoveryDelay is, for drain, sidecar_kill and sidecar_stop, the time from the exit to the restart, 0 being never. For
+	// list_slow, link_slow and discovery_late it is the delay, and for order_again the time until the replay.
+	RecoveryDelay Span `toml:"back"`
+
+	Step Span // between one sidecar and the next
 }
 
 // Expectation is a bound on a figure of the run. Violated rules need none: they always count.
--- a/internal/lab/scenario/validate.go
+++ b/internal/lab/scenario/validate.go
@@ -84,7 +84,8 @@
 	v.require(service.Concurrency > 0 && service.ServiceTime > 0 && service.ServiceTime.D() <= time.Minute,
 		"discovery.service.calls", "and call must be above 0")
 	v.require(service.QueueLength >= 0, "discovery.service.line", "must not be negative")
-	v.require(service.RetryAfter >= 0 && service.RetryAfter.D() <= time.Minute, "discovery.service.retry_after", "must be from 0 to 1m")
+	v.require(service.RetryAfter >= 0 && service.RetryAfter.D() <= time.Minute, "discovery.service.retry_after",
+		"must be from 0 to 1m")
 	v.oneOf(service.OnOverflow, "discovery.service.beyond", "503", "reset", "silence", "slower")
 }
 
@@ -99,7 +100,8 @@
 	v.require(class.CV >= 0 && class.CV <= 5, at+".cv", "must be from 0 to 5")
 	v.require(class.AttemptCV >= 0 && class.AttemptCV <= 5, at+".noise", "must be from 0 to 5")
 	v.require(class.TargetLatency > 0, at+".aim", "must be above 0")
-	v.require(class.Deadline >= class.TargetLatency && class.Deadline.D() <= time.Minute, at+".deadline", "must be from aim to 1m")
+	v.require(class.Deadline >= class.TargetLatency && class.Deadline.D() <= time.Minute, at+".deadline",
+		"must be from aim to 1m")
 	v.require(class.Value > 0, at+".worth", "must be above 0")
 	v.oneOf(class.Idempotency, at+".effect", "safe", "keyed", "unsafe")
 	v.require(class.RequestBytes >= 0 && class.RequestBytes <= 64<<10 && (class.RequestBytes == 0 || class.Idempotency != "safe"), at+".body",
@@ -126,7 +128,8 @@
 	seen[tier.Name] = true
 	v.require(tier.Work > 0, at+".work", "must be above 0")
 	v.oneOf(tier.Propagates, at+".carry", "all", "none")
-	v.require(tier.Calls >= 0 && tier.Calls <= 10 && (!last || tier.Calls == 0), at+".calls", "must be from 0 to 10, and 0 in the last tier")
+	v.require(tier.Calls >= 0 && tier.Calls <= 10 && (!last || tier.Calls == 0), at+".calls",
+		"must be from 0 to 10, and 0 in the last tier")
 	v.require(last || tier.Calls > 0, at+".calls", "must be above 0 where there is a next tier")
 	v.require(len(tier.Kinds) > 0, at+".kind", "there must be one at least")
 	for i := range tier.Kinds {
@@ -147,7 +150,8 @@
 	v.require(kind.Queue >= 0 && kind.OverloadAt >= 0, at+".queue", "must not be negative")
 	v.require(kind.Speed > 0 && kind.Speed <= 1000, at+".speed", "must be above 0 and at most 1000")
 	v.require(kind.SpeedCV >= 0 && kind.SpeedCV <= 2, at+".speed_cv", "must be from 0 to 2")
-	v.require(kind.OverloadLoss >= 0 && kind.ConnectionTableLoss >= 0 && kind.ConnectionTableLoss < 1, at+".table_tax", "must be from 0 to 1")
+	v.require(kind.OverloadLoss >= 0 && kind.ConnectionTableLoss >= 0 && kind.ConnectionTableLoss < 1, at+".table_tax",
+		"must be from 0 to 1")
 	v.require(kind.ErrorRate >= 0 && kind.ErrorRate <= 1, at+".error_rate", "must be from 0 to 1")
 	v.require(kind.WarmupInitialShare > 0 && kind.WarmupInitialShare <= 1, at+".cold_from", "must be above 0 and at most 1")
 	v.require((kind.Pause > 0) == (kind.PauseInterval > 0), at+".pause", "goes with pause_every")
@@ -159,13 +163,16 @@
 func (v *validator) clients(s *Scenario) {
 	clients := &s.Clients
 	burstsAlone := len(s.Bursts) > 0 && clients.Load == 0 && clients.Rate == 0
-	v.require(countTrue(clients.Load > 0, clients.Rate > 0, clients.RecordFile != "", burstsAlone) == 1, "clients.load", "one of load, rate and recorded must be given, or bursts alone")
+	v.require(countTrue(clients.Load > 0, clients.Rate > 0, clients.RecordFile != "", burstsAlone) == 1, "clients.load",
+		"one of load, rate and recorded must be given, or bursts alone")
 	v.require(clients.Load >= 0 && clients.Load <= 20, "clients.load", "must be from 0 to 20")
 	v.require(clients.Rate >= 0 && clients.Rate <= maxRate, "clients.rate", "must be from 0 to %d", maxRate)
 	v.oneOf(clients.Shape, "clients.shape", "steady", "even", "wave")
-	v.require(clients.Swing >= 0 && clients.Swing <= 1 && (clients.Shape != "wave" || clients.Period > 0), "clients.swing", "must be from 0 to 1, with a period")
+	v.require(clients.Swing >= 0 && clients.Swing <= 1 && (clients.Shape != "wave" || clients.Period > 0), "clients.swing",
+		"must be from 0 to 1, with a period")
 	v.require(clients.MaxRetries >= 0 && clients.MaxRetries <= 10, "clients.retries", "must be from 0 to 10")
-	v.require(clients.AttemptTimeoutShare > 0 && clients.AttemptTimeoutShare <= 1, "clients.try_share", "must be above 0 and at most 1")
+	v.require(clients.AttemptTimeoutShare > 0 && clients.AttemptTimeoutShare <= 1, "clients.try_share",
+		"must be above 0 and at most 1")
 	for _, share := range []struct {
 		key   string
 		value float64
@@ -182,7 +189,8 @@
 
 func (v *validator) rules(rules *Rules) {
 	v.require(rules.DrainGrace >= 0, "rules.drain_grace", "must not be negative")
-	v.require(rules.WarmupInitialShare > 0 && rules.WarmupInitialShare <= 1, "rules.cold_share", "must be above 0 and at most 1")
+	v.require(rules.WarmupInitialShare > 0 && rules.WarmupInitialShare <= 1, "rules.cold_share",
+		"must be above 0 and at most 1")
 	v.require(rules.CollapseMultiple > 0 && rules.CollapseWindow > 0, "rules.fall_multiple", "and fall_window must be above 0")
 	v.require(rules.MaxAttempts > 0 && rules.MaxPending > 0, "rules.max_attempts", "and max_held must be above 0")
 	v.require(rules.ConnectTimeout > 0 && rules.ConnIdleTimeout > 0, "rules.connect_timeout", "and conn_idle must be above 0")
@@ -206,7 +214,8 @@
 	v.oneOf(fleet.Start, "fleet.start", "before", "with")
 	v.oneOf(fleet.InitialList, "fleet.known", "fresh", "none", "stale")
 	v.require(fleet.ConfiguredInstances >= 0, "fleet.told", "must not be negative")
-	v.require(fleet.MemoryMB >= 32 && fleet.Sockets >= 64 && fleet.Cores > 0, "fleet.memory_mb", "must be 32 or more, sockets 64 or more and cores above 0")
+	v.require(fleet.MemoryMB >= 32 && fleet.Sockets >= 64 && fleet.Cores > 0, "fleet.memory_mb",
+		"must be 32 or more, sockets 64 or more and cores above 0")
 }
 
 // thriftMethods checks that each class has a Thrift method of its own.
@@ -221,13 +230,16 @@
 }
 
 func (v *validator) audit(at string, auditor *Auditor, seen map[string]bool) {
-	v.require(auditorName.MatchString(auditor.Name) && !seen[auditor.Name], at+".name", "must be letters, digits and dashes, and unique")
+	v.require(auditorName.MatchString(auditor.Name) && !seen[auditor.Name], at+".name",
+		"must be letters, digits and dashes, and unique")
 	seen[auditor.Name] = true
-	v.require(auditor.Interval >= Span(100*time.Millisecond) && auditor.Interval.D() <= time.Minute, at+".every", "must be from 100ms to 1m")
+	v.require(auditor.Interval >= Span(100*time.Millisecond) && auditor.Interval.D() <= time.Minute, at+".every",
+		"must be from 100ms to 1m")
 	v.require(auditor.Grace > 0 && auditor.Jitter >= 0, at+".grace", "must be above 0, and spread not negative")
 	v.require(auditor.MaxPermitShare >= 0 && auditor.MaxPermitShare <= 1, at+".share", "must be from 0 to 1")
 	v.require(!auditor.IssuesPermits || auditor.RaisesMinimum, at+".shut_out", "needs raise")
-	v.require((auditor.KillAt == 0 || auditor.KillAt > auditor.Start) && (auditor.RestartDelay == 0 || auditor.KillAt > 0), at+".kill", "must be after start; back needs it")
+	v.require((auditor.KillAt == 0 || auditor.KillAt > auditor.Start) && (auditor.RestartDelay == 0 || auditor.KillAt > 0), at+".kill",
+		"must be after start; back needs it")
 	v.require((auditor.PauseAt > 0) == (auditor.PauseDuration > 0), at+".pause", "and for go together")
 }
 
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -88,7 +88,8 @@
 		return attemptIndex
 	}
 	// A response is in time until the slack has passed, as the judges count.
-	s.scheduleTimeout(attempt.Sent+attempt.Timeout+s.plan.Scenario.Rules.ResponseSlack.D(), attempt.Class, event{kind: eventAttemptTimeout, index: int32(attemptIndex)})
+	abortAt := attempt.Sent + attempt.Timeout + s.plan.Scenario.Rules.ResponseSlack.D()
+	s.scheduleTimeout(abortAt, attempt.Class, event{kind: eventAttemptTimeout, index: int32(attemptIndex)})
 	if s.sidecars == nil {
 		s.sendRoundRobin(attemptIndex)
 		return attemptIndex
@@ -155,7 +156,8 @@
 	if attempt.ended {
 		return
 	}
-	logged.Code, logged.RetryAfter, logged.Endpoint, logged.ReportedAttempts = attempt.code, attempt.retryAfter, attempt.endpoint, attempt.retriesBelow
+	logged.Code, logged.RetryAfter = attempt.code, attempt.retryAfter
+	logged.Endpoint, logged.ReportedAttempts = attempt.endpoint, attempt.retriesBelow
 	if attempt.code > 0 {
 		logged.Responses = 1
 	}
--- a/internal/lab/simulation/sidecars.go
+++ b/internal/lab/simulation/sidecars.go
@@ -148,7 +148,8 @@
 	for endpointIndex := range s.endpoints {
 		s.closeIdleConnections(endpointIndex, sidecarIndex)
 	}
-	for attemptIndex := len(s.clientAttempts) - 1; attemptIndex >= 0 && s.log.ClientAttempts[attemptIndex].Sent >= s.now-s.maxDeadline-time.Second; attemptIndex-- {
+	oldest := s.now - s.maxDeadline - time.Second // nothing sent earlier is pending
+	for attemptIndex := len(s.clientAttempts) - 1; attemptIndex >= 0 && s.log.ClientAttempts[attemptIndex].Sent >= oldest; attemptIndex-- {
 		attempt := &s.clientAttempts[attemptIndex]
 		if attempt.sidecar != sidecarIndex || attempt.incarnation != c.incarnation || !attempt.accepted {
 			continue
--- a/internal/lab/simulation/simulator.go
+++ b/internal/lab/simulation/simulator.go
@@ -33,7 +33,8 @@
 )
 
 // ErrNeedsProcesses is returned for a scenario that only the player on sockets can play.
-var ErrNeedsProcesses = errors.New("virtual: the scenario has a list service of bounded capacity, or faults of it or of links: they need processes, on sockets")
+var ErrNeedsProcesses = errors.New("virtual: the scenario has a list service of bounded capacity, " +
+	"or faults of it or of links: they need processes, on sockets")
 
 // simulator is the state of one run. Its slices grow with the run; an index into them is an object's identity.
 type simulator struct {
