--- a/internal/lab/simulation/simulator_test.go
+++ b/internal/lab/simulation/simulator_test.go
@@ -58,24 +58,25 @@
 	}
 }
 
-// checkTrace checks the invariants of every trace: each attempt ends once, in order; requests at endpoints belong to attempts; work adds up.
+// checkTrace checks the invariants of every trace: each attempt ends once, in order; requests at endpoints belong to
+// attempts; work adds up.
 func checkTrace(t rapid.TB, p *plan.Plan, l *trace.Log) {
-	byTxn := map[uint64]*trace.ClientAttempt{}
+	attemptsByID := map[uint64]*trace.ClientAttempt{}
 	attemptCounts := make([]int, len(p.Requests))
 	for i := range l.ClientAttempts {
-		y := &l.ClientAttempts[i]
-		if byTxn[y.TransactionID] != nil {
-			t.Fatalf("id %x twice", y.TransactionID)
+		attempt := &l.ClientAttempts[i]
+		if attemptsByID[attempt.TransactionID] != nil {
+			t.Fatalf("id %x twice", attempt.TransactionID)
 		}
-		byTxn[y.TransactionID] = y
-		if y.Ended == trace.Unset || y.Ended < y.Sent || y.Ended > y.Sent+y.Timeout+p.Scenario.Rules.ResponseSlack.D() {
-			t.Fatalf("an attempt sent at %v with a time-out of %v ended at %v, %v", y.Sent, y.Timeout, y.Ended, y.Status)
+		attemptsByID[attempt.TransactionID] = attempt
+		if attempt.Ended == trace.Unset || attempt.Ended < attempt.Sent || attempt.Ended > attempt.Sent+attempt.Timeout+p.Scenario.Rules.ResponseSlack.D() {
+			t.Fatalf("an attempt sent at %v with a time-out of %v ended at %v, %v", attempt.Sent, attempt.Timeout, attempt.Ended, attempt.Status)
 		}
-		if y.Tier == 0 {
-			if y.Number != attemptCounts[y.Request] {
-				t.Fatalf("attempt %d of request %d comes after %d others", y.Number, y.Request, attemptCounts[y.Request])
+		if attempt.Tier == 0 {
+			if attempt.Number != attemptCounts[attempt.Request] {
+				t.Fatalf("attempt %d of request %d comes after %d others", attempt.Number, attempt.Request, attemptCounts[attempt.Request])
 			}
-			attemptCounts[y.Request]++
+			attemptCounts[attempt.Request]++
 		}
 	}
 	for i, n := range attemptCounts {
@@ -83,32 +84,35 @@
 			t.Fatalf("request %d had %d attempts", i, n)
 		}
 	}
-	attempts := map[uint64]int{}
+	requestCounts := map[uint64]int{}
 	for i := range l.EndpointRequests {
-		v := &l.EndpointRequests[i]
-		y := byTxn[v.TransactionID]
-		if y == nil || v.LastByte < y.Sent {
-			t.Fatalf("a request without an attempt, or before it was sent: %+v", v)
+		request := &l.EndpointRequests[i]
+		attempt := attemptsByID[request.TransactionID]
+		if attempt == nil || request.LastByte < attempt.Sent {
+			t.Fatalf("a request without an attempt, or before it was sent: %+v", request)
 		}
-		if v.Started != trace.Unset && v.Started < v.LastByte || v.Ended != trace.Unset && v.Ended < v.LastByte {
-			t.Fatalf("out of order: %+v", v)
+		if request.Started != trace.Unset && request.Started < request.LastByte || request.Ended != trace.Unset && request.Ended < request.LastByte {
+			t.Fatalf("out of order: %+v", request)
 		}
-		if attempts[v.TransactionID]++; attempts[v.TransactionID] > p.Scenario.Rules.MaxAttempts {
-			t.Fatalf("%d attempts of one id", attempts[v.TransactionID])
+		if requestCounts[request.TransactionID]++; requestCounts[request.TransactionID] > p.Scenario.Rules.MaxAttempts {
+			t.Fatalf("%d attempts of one id", requestCounts[request.TransactionID])
 		}
 	}
 	served := map[uint64]bool{}
 	for i := range l.EndpointRequests {
-		served[l.EndpointRequests[i].TransactionID] = served[l.EndpointRequests[i].TransactionID] || l.EndpointRequests[i].Outcome == trace.OutcomeOK
+		request := &l.EndpointRequests[i]
+		served[request.TransactionID] = served[request.TransactionID] || request.Outcome == trace.OutcomeOK
 	}
 	for i := range l.ClientAttempts {
-		if y := &l.ClientAttempts[i]; y.Status == trace.StatusServed && !served[y.TransactionID] {
-			t.Fatalf("served without a request that was: %+v", y)
+		if attempt := &l.ClientAttempts[i]; attempt.Status == trace.StatusServed && !served[attempt.TransactionID] {
+			t.Fatalf("served without a request that was: %+v", attempt)
 		}
 	}
 	last := map[int]trace.Sample{}
 	for _, s := range l.Samples {
-		if was := last[s.Endpoint]; s.SentWork < was.SentWork || s.DoneWork < was.DoneWork || s.PossibleWork < was.PossibleWork || s.DoneWork > s.PossibleWork+time.Millisecond {
+		was := last[s.Endpoint]
+		decreased := s.SentWork < was.SentWork || s.DoneWork < was.DoneWork || s.PossibleWork < was.PossibleWork
+		if decreased || s.DoneWork > s.PossibleWork+time.Millisecond {
 			t.Fatalf("endpoint %d does more than possible, or less than before: %+v after %+v", s.Endpoint, s, was)
 		}
 		last[s.Endpoint] = s
@@ -327,3 +331,15 @@
 func BenchmarkPlain(b *testing.B)         { benchmark(b, "plain", 1) }
 func BenchmarkTwoSidecars(b *testing.B)   { benchmark(b, "pinelb", 2) }
 func BenchmarkFiftySidecars(b *testing.B) { benchmark(b, "pinelb", 50) }
+
+// A fault between processes is rejected with an error that callers can recognize.
+func TestFaultsBetweenProcessesAreRejected(t *testing.T) {
+	s := load(t, "calm", "\n[[fault]]\nkind = \"link_cut\"\nof = \"list\"\nat = \"1s\"")
+	p, err := plan.Build(s, 1, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := Play(p); !errors.Is(err, ErrNeedsProcesses) {
+		t.Errorf("%v, want %v", err, ErrNeedsProcesses)
+	}
+}
