--- a/internal/lab/calibration/attained_work.go
+++ b/internal/lab/calibration/attained_work.go
@@ -29,19 +29,19 @@
 
 // edges returns the edges of the attempts that an endpoint worked on. They are cached until invalidateEdges.
 func (v *history) edges(endpointIndex int) []attemptEdge {
-	h := &v.endpoints[endpointIndex]
-	if h.edges != nil {
-		return h.edges
+	e := &v.endpoints[endpointIndex]
+	if e.edges != nil {
+		return e.edges
 	}
 	of := v.attemptsOf(endpointIndex)
-	h.edges = make([]attemptEdge, 0, 2*len(of))
+	e.edges = make([]attemptEdge, 0, 2*len(of))
 	for i := range of {
 		if a := &of[i]; !a.lost && wasAccepted(a.status) && a.ended > a.started {
-			h.edges = append(h.edges, attemptEdge{a.started, i, false}, attemptEdge{a.ended, i, true})
+			e.edges = append(e.edges, attemptEdge{a.started, i, false}, attemptEdge{a.ended, i, true})
 		}
 	}
-	slices.SortFunc(h.edges, func(a, b attemptEdge) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.attempt, b.attempt)) })
-	return h.edges
+	slices.SortFunc(e.edges, func(a, b attemptEdge) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.attempt, b.attempt)) })
+	return e.edges
 }
 
 // invalidateEdges has to be called when other attempts of an endpoint count as lost than before.
@@ -119,8 +119,8 @@
 		return m.likelihood(v, endpointIndex)
 	}
 	sum := 0.0
-	for h := range v.endpoints {
-		sum += m.likelihood(v, h)
+	for endpointIndex := range v.endpoints {
+		sum += m.likelihood(v, endpointIndex)
 	}
 	return sum
 }
@@ -129,8 +129,8 @@
 func (m *fittedModel) fitDistributions(v *history, rounds int) {
 	for range rounds {
 		by := make([][]workPiece, len(m.distributions))
-		for h := range v.endpoints {
-			for _, p := range m.pieces(v, h, nil) {
+		for endpointIndex := range v.endpoints {
+			for _, p := range m.pieces(v, endpointIndex, nil) {
 				// The work of a request is correlated between its two attempts: only the one with the response may count.
 				if a := &v.attempts[p.attempt]; !a.lostRace {
 					by[a.class] = append(by[a.class], p)
@@ -140,13 +140,13 @@
 		for c := range m.distributions {
 			m.distributions[c].fit(by[c])
 		}
-		for h := range v.endpoints {
+		for endpointIndex := range v.endpoints {
 			slope, info := 0.0, 1.0 // a prior of one observation for no change
-			for _, p := range m.pieces(v, h, nil) {
+			for _, p := range m.pieces(v, endpointIndex, nil) {
 				_, s, i := m.distributions[v.attempts[p.attempt].class].score(p.work, p.censored)
 				slope, info = slope+s, info+i
 			}
-			m.speeds[h] *= math.Exp(min(max(slope/info, -0.5), 0.5))
+			m.speeds[endpointIndex] *= math.Exp(min(max(slope/info, -0.5), 0.5))
 		}
 		m.normalise()
 	}
@@ -158,8 +158,8 @@
 	for _, s := range m.speeds {
 		mean += s / float64(len(m.speeds))
 	}
-	for h := range m.speeds {
-		m.speeds[h] /= mean
+	for endpointIndex := range m.speeds {
+		m.speeds[endpointIndex] /= mean
 	}
 	for c := range m.distributions {
 		m.distributions[c].mean /= mean
--- a/internal/lab/calibration/fit.go
+++ b/internal/lab/calibration/fit.go
@@ -31,8 +31,8 @@
 		warmup:        warmup{initialShare: min(max(v.settings.ColdShare, minInitialShare), 1), duration: v.settings.ColdFor}}
 	usual := v.medianLatencies()
 	any := median(slices.DeleteFunc(slices.Clone(usual), func(d time.Duration) bool { return d == 0 }))
-	for h := range m.speeds {
-		m.speeds[h] = 1
+	for endpointIndex := range m.speeds {
+		m.speeds[endpointIndex] = 1
 	}
 	for c := range m.distributions {
 		took := cmp.Or(usual[c], any) // nothing else is known of a class without a response
@@ -60,8 +60,8 @@
 func (m *fittedModel) fitCapacity(v *history) {
 	var full []int
 	most := 0
-	for h := range v.endpoints {
-		of := v.attemptsOf(h)
+	for endpointIndex := range v.endpoints {
+		of := v.attemptsOf(endpointIndex)
 		var out []time.Duration // ends of those in flight
 		for i := range of {
 			out = slices.DeleteFunc(out, func(at time.Duration) bool { return at <= of[i].started })
--- a/internal/lab/calibration/outages.go
+++ b/internal/lab/calibration/outages.go
@@ -26,47 +26,47 @@
 // where responses end and resets and refusals begin.
 func (m *fittedModel) findOutages(v *history) {
 	m.outages = nil
-	for h := range v.endpoints {
-		target := &v.endpoints[h]
+	for endpointIndex := range v.endpoints {
+		target := &v.endpoints[endpointIndex]
 		since := time.Duration(0)
 		for n, back := range target.starts {
-			if d, found := m.outageBefore(v, h, since, back); found && !(target.absent && n == 0) {
+			if d, found := m.outageBefore(v, endpointIndex, since, back); found && !(target.absent && n == 0) {
 				m.outages = append(m.outages, d)
 			}
 			since = back
 		}
-		if d, found := m.outageBefore(v, h, since, neverEnds); found {
+		if d, found := m.outageBefore(v, endpointIndex, since, neverEnds); found {
 			m.outages = append(m.outages, d)
 		}
-		m.markLost(v, h)
+		m.markLost(v, endpointIndex)
 	}
 }
 
 // markLost marks the attempts that an endpoint's outages have lost. Those that a crash broke off ran until then, which is
 // censored information; of those at an unresponsive machine nothing is known.
-func (m *fittedModel) markLost(v *history, h int) {
-	of := v.attemptsOf(h)
-	for i := range of {
-		a := &of[i]
+func (m *fittedModel) markLost(v *history, endpointIndex int) {
+	attempts := v.attemptsOf(endpointIndex)
+	for i := range attempts {
+		a := &attempts[i]
 		a.lost = a.status != balance.OK && slices.ContainsFunc(m.outages, func(d outage) bool {
-			return d.endpoint == h && a.started < d.to && (a.started >= d.from || d.kind == "vanish" && a.ended >= d.from)
+			return d.endpoint == endpointIndex && a.started < d.to && (a.started >= d.from || d.kind == "vanish" && a.ended >= d.from)
 		})
 	}
-	v.invalidateEdges(h)
+	v.invalidateEdges(endpointIndex)
 }
 
 // outageBefore finds the outage between two starts of an endpoint, or after the last one.
-func (m *fittedModel) outageBefore(v *history, h int, since, back time.Duration) (outage, bool) {
+func (m *fittedModel) outageBefore(v *history, endpointIndex int, since, back time.Duration) (outage, bool) {
 	served := since // the last response
-	for _, a := range v.attemptsOf(h) {
+	for _, a := range v.attemptsOf(endpointIndex) {
 		if a.status == balance.OK && a.ended < back {
 			served = max(served, a.ended)
 		}
 	}
-	d := outage{endpoint: h, kind: "vanish", from: neverEnds, to: back}
+	d := outage{endpoint: endpointIndex, kind: "vanish", from: neverEnds, to: back}
 	failures, unanswered := v.evidenceOfOutage(&d, served)
-	removed := v.firstUpdate(h, since, back, balance.Gone)
-	draining := v.firstUpdate(h, since, back, balance.Draining)
+	removed := v.firstUpdate(endpointIndex, since, back, balance.Gone)
+	draining := v.firstUpdate(endpointIndex, since, back, balance.Draining)
 	switch {
 	case draining < neverEnds:
 		d.kind, d.announcedAt = "drain", draining
@@ -110,9 +110,9 @@
 
 // firstUpdate returns when discovery first reported a state of an endpoint between two times, both excluded; neverEnds if
 // it did not.
-func (v *history) firstUpdate(h int, after, before time.Duration, state balance.Availability) time.Duration {
+func (v *history) firstUpdate(endpointIndex int, after, before time.Duration, state balance.Availability) time.Duration {
 	first := neverEnds
-	for _, update := range v.endpoints[h].updates {
+	for _, update := range v.endpoints[endpointIndex].updates {
 		if update.at > after && update.at < before && update.state == state {
 			first = min(first, update.at)
 		}
@@ -123,9 +123,9 @@
 // discoveryDelays returns how late discovery was: medians of what was seen, or 0.
 func (m *fittedModel) discoveryDelays(v *history) (removal, unresponsive, addition time.Duration) {
 	var removals, losses, additions []time.Duration
-	first := func(h int, from, to time.Duration, is func(l *listUpdate) bool) (time.Duration, bool) {
-		for i := range v.endpoints[h].updates {
-			if l := &v.endpoints[h].updates[i]; l.at >= from && l.at < to && is(l) {
+	first := func(endpointIndex int, from, to time.Duration, is func(l *listUpdate) bool) (time.Duration, bool) {
+		for i := range v.endpoints[endpointIndex].updates {
+			if l := &v.endpoints[endpointIndex].updates[i]; l.at >= from && l.at < to && is(l) {
 				return l.at - from, true
 			}
 		}
@@ -150,9 +150,9 @@
 			removals = append(removals, delay)
 		}
 	}
-	for h := range v.endpoints {
-		for _, start := range v.endpoints[h].starts {
-			if delay, notified := first(h, start, neverEnds, func(l *listUpdate) bool { return l.startedAt == start }); notified {
+	for endpointIndex := range v.endpoints {
+		for _, start := range v.endpoints[endpointIndex].starts {
+			if delay, notified := first(endpointIndex, start, neverEnds, func(l *listUpdate) bool { return l.startedAt == start }); notified {
 				additions = append(additions, delay)
 			}
 		}
--- a/internal/lab/calibration/partial_faults.go
+++ b/internal/lab/calibration/partial_faults.go
@@ -35,11 +35,11 @@
 func (m *fittedModel) findPartialFaults(v *history) {
 	m.partialFaults = nil
 	usual := v.medianLatencies()
-	for h := range v.endpoints {
-		m.markLost(v, h)
-		m.findUnanswered(v, h)
+	for endpointIndex := range v.endpoints {
+		m.markLost(v, endpointIndex)
+		m.findUnanswered(v, endpointIndex)
 		for _, kind := range []string{"fail", "spoil", "cut", "refuse"} {
-			m.findOutcomeFaults(v, h, kind, usual)
+			m.findOutcomeFaults(v, endpointIndex, kind, usual)
 		}
 	}
 }
@@ -47,81 +47,90 @@
 // findUnanswered finds hangs and mute shares. Evidence is an attempt that was aborted although a healthy endpoint would
 // have responded by then; the capacity at that time includes that others were slow as well. In the order of their ends,
 // attempts that a hang lost follow those with a response before it.
-func (m *fittedModel) findUnanswered(v *history, h int) {
-	of, first := v.attemptsOf(h), v.endpoints[h].firstAttempt
-	order := make([]int, len(of))
+func (m *fittedModel) findUnanswered(v *history, endpointIndex int) {
+	attempts := v.attemptsOf(endpointIndex)
+	order := make([]int, len(attempts))
 	for i := range order {
 		order[i] = i
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(of[a].ended, of[b].ended) })
+	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(attempts[a].ended, attempts[b].ended) })
 	for range maxFaults {
-		tail := make([]float64, len(of)) // probability of being so late at a healthy endpoint; -1 is no evidence
-		for i := range tail {
-			tail[i] = -1
-		}
-		for _, p := range m.pieces(v, h, nil) {
-			a := &v.attempts[p.attempt]
-			if m.wasDown(h, a.started, a.ended) {
-				continue
-			}
-			if tail[p.attempt-first] = 0; p.censored {
-				likely, _, _ := m.distributions[a.class].score(p.work, true)
-				tail[p.attempt-first] = max(math.Exp(likely), minTail)
-			}
-		}
+		tail := m.tailProbabilities(v, endpointIndex)
 		best, size := segment{}, 0.0
 		for _, share := range faultSizes {
-			scores := make([]float64, len(of))
-			for k, i := range order {
-				switch t := tail[i]; {
-				case t == 0: // it had a response
-					scores[k] = math.Log(1 - share)
-				case t > 0:
-					scores[k] = math.Log((share + (1-share)*t) / t)
+			scores := make([]float64, len(attempts))
+			for position, i := range order {
+				switch {
+				case tail[i] == 0: // it had a response
+					scores[position] = math.Log(1 - share)
+				case tail[i] > 0:
+					scores[position] = math.Log((share + (1-share)*tail[i]) / tail[i])
 				}
 			}
-			if r := maxScoringSegment(scores); r.score > best.score {
-				best, size = r, share
+			if found := maxScoringSegment(scores); found.score > best.score {
+				best, size = found, share
 			}
 		}
 		if best.score < minScore {
 			return
 		}
-		if struck := order[best.from:best.to]; size > hangShare {
-			m.addHang(v, h, struck)
+		if affected := order[best.from:best.to]; size > hangShare {
+			m.addHang(v, endpointIndex, affected)
 		} else {
-			m.addDropFault(v, h, struck, size, tail)
+			m.addDropFault(v, endpointIndex, affected, size, tail)
+		}
+		v.invalidateEdges(endpointIndex)
+	}
+}
+
+// tailProbabilities returns, for each attempt of an endpoint, the probability that a healthy one would not have responded
+// by its end: 0 if it had a response, and -1 if nothing can be said.
+func (m *fittedModel) tailProbabilities(v *history, endpointIndex int) []float64 {
+	first := v.endpoints[endpointIndex].firstAttempt
+	tail := make([]float64, len(v.attemptsOf(endpointIndex)))
+	for i := range tail {
+		tail[i] = -1
+	}
+	for _, p := range m.pieces(v, endpointIndex, nil) {
+		a := &v.attempts[p.attempt]
+		if m.wasDown(endpointIndex, a.started, a.ended) {
+			continue
+		}
+		tail[p.attempt-first] = 0
+		if p.censored {
+			logTail, _, _ := m.distributions[a.class].score(p.work, true)
+			tail[p.attempt-first] = max(math.Exp(logTail), minTail)
 		}
-		v.invalidateEdges(h)
 	}
+	return tail
 }
 
 // addDropFault adds a mute share, and marks the attempts that it may have lost.
-func (m *fittedModel) addDropFault(v *history, h int, struck []int, size float64, tail []float64) {
-	of := v.attemptsOf(h)
-	s := partialFault{endpoint: h, kind: "mute", size: size, from: neverEnds}
-	for _, i := range struck {
-		s.from, s.to = min(s.from, of[i].started), max(s.to, of[i].started+time.Millisecond)
+func (m *fittedModel) addDropFault(v *history, endpointIndex int, affected []int, size float64, tail []float64) {
+	attempts := v.attemptsOf(endpointIndex)
+	s := partialFault{endpoint: endpointIndex, kind: "mute", size: size, from: neverEnds}
+	for _, i := range affected {
+		s.from, s.to = min(s.from, attempts[i].started), max(s.to, attempts[i].started+time.Millisecond)
 		s.attempts += boolToInt(tail[i] >= 0)
 		s.affected += boolToInt(tail[i] > 0)
 		// Those that were aborted late are more likely lost than slow.
-		of[i].lost = of[i].lost || tail[i] > 0 && tail[i] < 1-size
+		attempts[i].lost = attempts[i].lost || tail[i] > 0 && tail[i] < 1-size
 	}
 	m.partialFaults = append(m.partialFaults, s)
 }
 
 // addHang adds a time without any response, from the last one on: a hang, which loses the pending requests, until shortly
 // before the endpoint accepted the next one that had a response; or, if that was soon, a pause.
-func (m *fittedModel) addHang(v *history, h int, struck []int) {
-	of := v.attemptsOf(h)
-	s := partialFault{endpoint: h, kind: "hang", to: neverEnds}
-	first, last := of[struck[0]].ended, of[struck[len(struck)-1]].ended
-	for _, i := range struck {
-		s.minEnd = max(s.minEnd, of[i].started)
+func (m *fittedModel) addHang(v *history, endpointIndex int, affected []int) {
+	attempts := v.attemptsOf(endpointIndex)
+	s := partialFault{endpoint: endpointIndex, kind: "hang", to: neverEnds}
+	first, last := attempts[affected[0]].ended, attempts[affected[len(affected)-1]].ended
+	for _, i := range affected {
+		s.minEnd = max(s.minEnd, attempts[i].started)
 	}
 	resumed := neverEnds
-	for i := range of {
-		switch a := &of[i]; {
+	for i := range attempts {
+		switch a := &attempts[i]; {
 		case a.status != balance.OK:
 		case a.ended <= first:
 			s.from = max(s.from, a.ended)
@@ -130,14 +139,14 @@
 		}
 	}
 	if resumed-s.from < maxPause {
-		m.slowPeriods = append(m.slowPeriods, slowPeriod{endpoint: h, from: s.from, to: resumed, factor: pauseFactor})
+		m.slowPeriods = append(m.slowPeriods, slowPeriod{endpoint: endpointIndex, from: s.from, to: resumed, factor: pauseFactor})
 		return
 	}
 	if s.to < neverEnds {
 		s.to = max(s.minEnd+time.Millisecond, s.to-resumeLag)
 	}
-	for i := range of {
-		if a := &of[i]; a.ended > s.from && a.started < s.to {
+	for i := range attempts {
+		if a := &attempts[i]; a.ended > s.from && a.started < s.to {
 			s.affected++
 			a.lost = a.lost || a.status != balance.OK && wasAccepted(a.status)
 		}
@@ -146,12 +155,12 @@
 }
 
 // findOutcomeFaults finds when a share of an endpoint's requests had the outcome of a kind of fault.
-func (m *fittedModel) findOutcomeFaults(v *history, h int, kind string, usual []time.Duration) {
+func (m *fittedModel) findOutcomeFaults(v *history, endpointIndex int, kind string, usual []time.Duration) {
 	is := func(a *attempt) bool { return faultSignOf(a, usual) == kind }
-	of := v.attemptsOf(h)
+	attempts := v.attemptsOf(endpointIndex)
 	elsewhere, all := 0.0, 0.0
 	for i := range v.attempts {
-		if a := &v.attempts[i]; a.endpoint != h && !m.wasDown(a.endpoint, a.started, a.ended) {
+		if a := &v.attempts[i]; a.endpoint != endpointIndex && !m.wasDown(a.endpoint, a.started, a.ended) {
 			all++
 			elsewhere += float64(boolToInt(is(a)))
 		}
@@ -160,11 +169,11 @@
 	for range maxFaults {
 		best := segment{}
 		for _, size := range faultSizes {
-			scores := make([]float64, len(of))
-			for i := range of {
-				a := &of[i]
+			scores := make([]float64, len(attempts))
+			for i := range attempts {
+				a := &attempts[i]
 				switch {
-				case m.wasDown(h, a.started, a.ended), a.lost, m.hadFault(a, kind):
+				case m.wasDown(endpointIndex, a.started, a.ended), a.lost, m.hadFault(a, kind):
 				case is(a):
 					scores[i] = math.Log(size / stray)
 				case a.status == balance.OK:
@@ -178,16 +187,16 @@
 		if best.score < minScore {
 			return
 		}
-		s := partialFault{endpoint: h, kind: kind, from: of[best.from].started, to: of[best.to-1].started + time.Millisecond}
+		s := partialFault{endpoint: endpointIndex, kind: kind, from: attempts[best.from].started, to: attempts[best.to-1].started + time.Millisecond}
 		for i := best.from; i < best.to; i++ {
-			s.attempts += boolToInt(is(&of[i]) || of[i].status == balance.OK)
-			s.affected += boolToInt(is(&of[i]))
-			of[i].lost = of[i].lost || is(&of[i]) && kind == "fail" // with the other kinds the work was done, or never reached the endpoint
+			s.attempts += boolToInt(is(&attempts[i]) || attempts[i].status == balance.OK)
+			s.affected += boolToInt(is(&attempts[i]))
+			attempts[i].lost = attempts[i].lost || is(&attempts[i]) && kind == "fail" // with the other kinds the work was done, or never reached the endpoint
 		}
 		if s.size = float64(s.affected) / float64(max(s.attempts, 1)); kind == "refuse" {
 			s.size = 0
 		}
-		v.invalidateEdges(h)
+		v.invalidateEdges(endpointIndex)
 		m.partialFaults = append(m.partialFaults, s)
 	}
 }
