--- a/internal/lab/calibration/arrivals.go
+++ b/internal/lab/calibration/arrivals.go
@@ -1,9 +1,13 @@
-// Package rehearse takes sidecars' records and makes a scenario of them that behaves as the recorded hosts
-// did: who asked what and when is the record's, and the boxes and what went wrong with them are fitted to it.
+// Package calibration makes a scenario of sidecars' access logs (records) that behaves as the recorded endpoints did. The
+// requests and their times are the record's; the endpoints and their faults are fitted to it, first directly, by maximum
+// likelihood, and then by trial plays in virtual time that are compared with the record.
+//
+// Fit makes a Replay, which can be played, compared with the record and written as files; Arrivals and Record are the two
+// conversions between records and plans. Everything but Replay.Write is pure: the same records and options give the same
+// replay. An "endpoint" here is one of the record's hosts.
 package calibration
 
 import (
-	"fmt"
 	"math/rand/v2"
 	"time"
 
@@ -14,18 +18,17 @@
 )
 
 const (
-	// leaveSteps part a client's time, to find how likely it leaves in each. The gone are few: ten steps still
-	// tell a client that leaves at once from one that waits.
-	leaveSteps = 10
-	// lead is the quiet kept before the first stream of a sidecar that had none for long, in which it learns
-	// of its hosts.
-	lead = time.Second
+	// cancelSteps is the number of steps of a request's time-out for which the rate of cancellations is estimated. There
+	// are few cancellations: ten steps still distinguish clients that cancel at once from those that wait.
+	cancelSteps = 10
+	// quietLead is the time kept before the first request of a sidecar that had none for long, in which it gets its list.
+	quietLead = time.Second
 )
 
-// start is the rehearsal's time 0: the earliest start of a run, or shortly before the first stream if that
-// came much later.
-func start(records ...*accesslog.Recording) time.Time {
-	var first, asked time.Time
+// startOf returns the replay's time 0: the earliest start of a run, or shortly before the first request if that came much
+// later.
+func startOf(records ...*accesslog.Recording) time.Time {
+	var first, firstRequest time.Time
 	for _, r := range records {
 		for _, run := range r.Runs {
 			if at := run.Header.Start; first.IsZero() || at.Before(first) {
@@ -34,24 +37,25 @@
 			if len(run.Streams) == 0 {
 				continue
 			}
-			if at := run.Header.Start.Add(run.Streams[0].Arrival); asked.IsZero() || at.Before(asked) {
-				asked = at
+			if at := run.Header.Start.Add(run.Streams[0].Arrival); firstRequest.IsZero() || at.Before(firstRequest) {
+				firstRequest = at
 			}
 		}
 	}
-	if quiet := asked.Add(-lead).Truncate(time.Millisecond); quiet.After(first) {
+	if quiet := firstRequest.Add(-quietLead).Truncate(time.Millisecond); quiet.After(first) {
 		return quiet
 	}
 	return first
 }
 
-// Arrivals are a record's streams as a scenario's clients send them again. Classes are found by name. Clients
-// that left do so again, and of the others as many would have left later as the record makes likely.
+// Arrivals returns a record's requests as a scenario's clients send them again. Classes are found by name; one that the
+// scenario lacks is a *RecordError. Clients that cancelled do so again, and for the others the time of a later cancellation is
+// drawn at the rate of the record.
 func Arrivals(r *accesslog.Recording, s *scenario.Scenario) ([]plan.Arrival, error) {
-	zero := start(r)
+	zero := startOf(r)
 	out := []plan.Arrival{}
-	leaves := leaving(r)
-	rng := rand.New(rand.NewPCG(leaveSteps, 1))
+	leaves := cancelRates(r)
+	random := rand.New(rand.NewPCG(cancelSteps, 1))
 	for _, run := range r.Runs {
 		offset := run.Header.Start.Sub(zero)
 		for i := range run.Streams {
@@ -59,14 +63,14 @@
 			name := run.Header.Settings.ClassNames[st.Class]
 			class := s.ClassIndex(name)
 			if class < 0 {
-				return nil, fmt.Errorf("rehearse: the record names the class %q, which the scenario lacks", name)
+				return nil, newRecordError("the record names the class %q, which the scenario lacks", name)
 			}
-			a := plan.Arrival{At: offset + st.Arrival, Class: class, Left: st.TimeLeft, Repeated: st.Retry}
-			if a.Leaves = leaves.after(st, rng); st.Outcome == stream.ClientGone {
-				a.Leaves = st.Answered
+			a := plan.Arrival{At: offset + st.Arrival, Class: class, Timeout: st.TimeLeft, IsRetry: st.Retry}
+			if a.CancelAfter = leaves.drawCancelTime(st, random); st.Outcome == stream.ClientGone {
+				a.CancelAfter = st.Answered
 			}
-			if a.Leaves >= st.TimeLeft { // its time is up by then
-				a.Leaves = 0
+			if a.CancelAfter >= st.TimeLeft { // its time is up by then
+				a.CancelAfter = 0
 			}
 			out = append(out, a)
 		}
@@ -74,24 +78,24 @@
 	return out, nil
 }
 
-// rates are how often clients leave in each part of their time, as a rate over that time.
-type rates [leaveSteps]float64
+// cancelHazard is the rate of cancellations in each step of a request's time-out, per step.
+type cancelHazard [cancelSteps]float64
 
-// leaving counts those that left against the time that all waited: what was answered says nothing of when its
-// client would have left later.
-func leaving(r *accesslog.Recording) (out rates) {
-	var left, waited rates
+// cancelRates estimates it as the cancellations of a step over the time that all requests waited in it: a request with a
+// response is censored from then on.
+func cancelRates(r *accesslog.Recording) (out cancelHazard) {
+	var left, waited cancelHazard
 	for _, run := range r.Runs {
 		for i := range run.Streams {
 			s := &run.Streams[i]
 			if s.TimeLeft <= 0 {
 				continue
 			}
-			part := float64(s.Answered) / float64(s.TimeLeft) * leaveSteps
+			part := float64(s.Answered) / float64(s.TimeLeft) * cancelSteps
 			for step := range out {
 				waited[step] += min(max(part-float64(step), 0), 1)
 			}
-			if step := int(part); s.Outcome == stream.ClientGone && step < leaveSteps {
+			if step := int(part); s.Outcome == stream.ClientGone && step < cancelSteps {
 				left[step]++
 			}
 		}
@@ -104,15 +108,15 @@
 	return out
 }
 
-// after draws when a client would have left that had its answer; 0 is never.
-func (r *rates) after(s *accesslog.Stream, rng *rand.Rand) time.Duration {
-	need := rng.ExpFloat64()
-	from := float64(s.Answered) / float64(max(s.TimeLeft, 1)) * leaveSteps
-	for step := int(from); step < leaveSteps; step++ {
+// drawCancelTime draws when a client would have cancelled a request that had a response; 0 is never.
+func (r *cancelHazard) drawCancelTime(s *accesslog.Stream, random *rand.Rand) time.Duration {
+	need := random.ExpFloat64()
+	from := float64(s.Answered) / float64(max(s.TimeLeft, 1)) * cancelSteps
+	for step := int(from); step < cancelSteps; step++ {
 		here := r[step] * (float64(step+1) - max(from, float64(step)))
 		if need < here {
 			part := max(from, float64(step)) + need/r[step]
-			return time.Duration(part / leaveSteps * float64(s.TimeLeft))
+			return time.Duration(part / cancelSteps * float64(s.TimeLeft))
 		}
 		need -= here
 	}
--- a/internal/lab/calibration/fit.go
+++ b/internal/lab/calibration/fit.go
@@ -9,73 +9,73 @@
 	"pinelb.example/pinelb/balance"
 )
 
-// As in scenarios: what a host holds where nothing shows it.
+// Capacity of an endpoint where the record doesn't show it, as in scenarios.
 const (
 	defaultSlots = 20
 	defaultQueue = 24
 )
 
 const (
-	alone      = 0.5  // of the time that an attempt takes is its own work, to begin with
-	guessSigma = 0.6  // of a law, to begin with
-	leastShare = 0.03 // of its capacity that a cold host begins with
+	initialWorkShare = 0.5  // initial guess: the share of an attempt's latency that is its own work
+	initialSigma     = 0.6  // initial guess, of a distribution
+	minInitialShare  = 0.03 // of the capacity, at the start of a warm-up
 )
 
-// moreCores are the numbers of cores that hosts are tried with beside one, which are a third or a half apart.
-var moreCores = []int{2, 3, 4, 6, 8, 12, 16}
+// coreCounts are the numbers of cores that are tried beside one; they are a third or a half apart.
+var coreCounts = []int{2, 3, 4, 6, 8, 12, 16}
 
-// fit finds the hosts and their faults.
-func fit(v *view) *servers {
-	m := &servers{cores: 1, slots: defaultSlots, queue: defaultQueue, speed: make([]float64, len(v.hosts)),
-		laws: make([]law, len(v.settings.Classes)),
-		cold: cold{from: min(max(v.settings.WarmupInitialShare, leastShare), 1), takes: v.settings.WarmupDuration}}
-	usual := v.usual()
+// fit fits the endpoints and their faults to the records.
+func fit(v *history) *fittedModel {
+	m := &fittedModel{cores: 1, slots: defaultSlots, queue: defaultQueue, speeds: make([]float64, len(v.endpoints)),
+		distributions: make([]workDistribution, len(v.settings.Classes)),
+		warmup:        warmup{initialShare: min(max(v.settings.WarmupInitialShare, minInitialShare), 1), duration: v.settings.WarmupDuration}}
+	usual := v.medianLatencies()
 	any := median(slices.DeleteFunc(slices.Clone(usual), func(d time.Duration) bool { return d == 0 }))
-	for h := range m.speed {
-		m.speed[h] = 1
+	for endpointIndex := range m.speeds {
+		m.speeds[endpointIndex] = 1
 	}
-	for c := range m.laws {
-		took := cmp.Or(usual[c], any) // of a class that was never answered nothing else is known
-		m.laws[c] = law{mu: math.Log(max(took.Seconds()*alone, leastWork)), sigma: guessSigma}
+	for c := range m.distributions {
+		took := cmp.Or(usual[c], any) // nothing else is known of a class without a response
+		m.distributions[c] = workDistribution{mu: math.Log(max(took.Seconds()*initialWorkShare, minWork)), sigma: initialSigma}
 	}
-	m.holds(v)
-	m.findDowns(v)
-	m.fitLaws(v, 4)
+	m.fitCapacity(v)
+	m.findOutages(v)
+	m.fitDistributions(v, 4)
 	m.fitCores(v)
 	for range passes {
 		m.findFaults(v)
-		m.fitLaws(v, 3)
-		m.fitCold(v)
-		m.fitLaws(v, 2)
+		m.fitDistributions(v, 3)
+		m.fitWarmup(v)
+		m.fitDistributions(v, 2)
 	}
-	for i := range m.slows {
-		m.refineSlow(v, i)
+	for i := range m.slowPeriods {
+		m.refineSlowPeriod(v, i)
 	}
-	m.fitLaws(v, 2)
+	m.fitDistributions(v, 2)
 	return m
 }
 
-// holds finds how much a host holds: what it had when it turned a request away, and more than it ever had where
-// it turned none away.
-func (m *servers) holds(v *view) {
+// fitCapacity finds how many requests an endpoint has in slots and queue: the number in flight when it rejected one, or
+// more than it ever had where it rejected none.
+func (m *fittedModel) fitCapacity(v *history) {
 	var full []int
 	most := 0
-	for h := range v.hosts {
-		of := v.of(h)
-		var out []time.Duration // ends of those that are out
+	for endpointIndex := range v.endpoints {
+		of := v.attemptsOf(endpointIndex)
+		var out []time.Duration // ends of those in flight
 		for i := range of {
-			out = slices.DeleteFunc(out, func(at time.Duration) bool { return at <= of[i].began })
+			out = slices.DeleteFunc(out, func(at time.Duration) bool { return at <= of[i].started })
 			switch {
 			case of[i].status == balance.Rejected:
 				full = append(full, len(out))
-			case took(of[i].status):
+			case wasAccepted(of[i].status):
 				out = append(out, of[i].ended)
 				most = max(most, len(out))
 			}
 		}
 	}
 	holds := max(defaultSlots+defaultQueue, most)
-	if len(full) >= leastFails {
+	if len(full) >= minFailures {
 		slices.Sort(full)
 		holds = max(full[len(full)/4], 2)
 	}
@@ -83,26 +83,26 @@
 	m.queue = holds - m.slots
 }
 
-// fitCores finds how many requests a host works on at full speed: with as many cores as it has the works come
-// out alike whether others were there or not, and so are likeliest. A request that waits for a call to a next tier
-// holds its slot and leaves its core to others: such hosts show more cores than they have, and serve like it. The
-// search ends where one step more is no likelier.
-func (m *servers) fitCores(v *view) {
-	best, alone := *m, m.likelihoods(v, -1)
+// fitCores finds how many requests an endpoint runs at full speed: with its real number of cores, the work of requests has
+// the same distribution whether others ran beside them or not, and so is likeliest. A request that waits for a call of the
+// next tier holds its slot and leaves its core to others: such endpoints show more cores than they have, and perform like
+// it. The search ends where one step more is not likelier.
+func (m *fittedModel) fitCores(v *history) {
+	best, alone := *m, m.totalLikelihood(v, -1)
 	high := alone
-	for _, cores := range moreCores {
+	for _, cores := range coreCounts {
 		try := *m
 		try.cores, try.slots = cores, max(m.slots, cores)
-		try.speed = slices.Clone(m.speed)
-		try.laws = slices.Clone(m.laws)
-		try.fitLaws(v, 3)
-		l := try.likelihoods(v, -1)
+		try.speeds = slices.Clone(m.speeds)
+		try.distributions = slices.Clone(m.distributions)
+		try.fitDistributions(v, 3)
+		l := try.totalLikelihood(v, -1)
 		if l <= high {
 			break
 		}
 		best, high = try, l
 	}
-	if high > alone+slowScore {
+	if high > alone+minSlowScore {
 		*m = best
 	}
 }
--- a/internal/lab/calibration/virtual.go
+++ b/internal/lab/calibration/record.go
@@ -12,11 +12,11 @@
 	"pinelb.example/pinelb/internal/stream"
 )
 
-// epoch is the Unix time at which a virtual run starts. Any would do: up_since counts from it as well.
-const epoch = 500_000 * time.Hour
+// startTime is the Unix time at which a virtual run starts. Any would do: up_since counts from it as well.
+const startTime = 500_000 * time.Hour
 
-// Record is what a sidecar would have recorded of a virtual run, had it gone on to the run's end: what was open
-// then or when it was killed is missing, as in a record.
+// Record returns what a sidecar would have recorded of a virtual run that it took part in to the end. Requests that were
+// pending then, or when it was killed, are missing, as in a record.
 func Record(p *plan.Plan, log *trace.Log, sidecar int) (*accesslog.Recording, error) {
 	site := p.Settings(sidecar)
 	settings, err := config.ParseSettings(site)
@@ -24,18 +24,24 @@
 		return nil, err
 	}
 	f := &p.Scenario.Fleet
-	run := &accesslog.Run{Header: accesslog.Header{Name: p.Sidecars[sidecar].Name, Start: time.Unix(0, int64(epoch)).UTC(),
+	run := &accesslog.Run{Header: accesslog.Header{Name: p.Sidecars[sidecar].Name, Start: time.Unix(0, int64(startTime)).UTC(),
 		Limits: config.Limits{Cores: f.Cores, MemoryMB: f.MemoryMB, Sockets: f.Sockets}, Site: string(site), Settings: settings}}
-	run.Lists = lists(p, log, sidecar)
-	at := make([]int, len(log.ClientAttempts)) // of each try, its stream's place from 1 on
+	run.Lists = clusterUpdates(p, log, sidecar)
+	at := make([]int, len(log.ClientAttempts)) // of each client attempt, the index of its request from 1 on
 	for _, s := range log.DownstreamRequests {
 		t := &log.ClientAttempts[s.ClientAttempt]
 		if t.Sidecar != sidecar {
 			continue
 		}
-		run.Streams = append(run.Streams, accesslog.Stream{Arrival: s.Arrived, Class: t.Class, TimeLeft: t.Timeout,
-			Retry: t.Number > 0 || t.Tier == 0 && p.Requests[t.Request].Repeated, Outcome: ending(&s), Answered: s.Ended - s.Arrived,
-			RetryAfter: s.RetryAfter})
+		run.Streams = append(run.Streams, accesslog.Stream{
+			Arrival:    s.Arrived,
+			Class:      t.Class,
+			TimeLeft:   t.Timeout,
+			Retry:      t.Number > 0 || t.Tier == 0 && p.Requests[t.Request].IsRetry,
+			Outcome:    outcomeOf(&s),
+			Answered:   s.Ended - s.Arrived,
+			RetryAfter: s.RetryAfter,
+		})
 		at[s.ClientAttempt] = len(run.Streams)
 	}
 	for _, a := range log.UpstreamRequests {
@@ -44,14 +50,23 @@
 			continue
 		}
 		s := &run.Streams[i]
-		s.Attempts = append(s.Attempts, accesslog.Attempt{Host: p.Boxes[a.Endpoint].Name, StartedAfter: a.Sent - s.Arrival, Duration: a.Duration, Status: a.Status})
+		s.Attempts = append(s.Attempts, accesslog.Attempt{
+			Host:         p.Endpoints[a.Endpoint].Name,
+			StartedAfter: a.Sent - s.Arrival,
+			Duration:     a.Duration,
+			Status:       a.Status,
+		})
 	}
 	return &accesslog.Recording{Runs: []*accesslog.Run{run}}, nil
 }
 
-// lists are what discovery told a sidecar: the whole list at its start and then the changes.
-func lists(p *plan.Plan, log *trace.Log, sidecar int) (out []accesslog.EndpointList) {
-	states := [...]balance.Availability{trace.PhaseReady: balance.Ready, trace.PhaseTerminating: balance.Draining, trace.PhaseGone: balance.Gone}
+// clusterUpdates returns a sidecar's notifications: the full list at its start and then the changes.
+func clusterUpdates(p *plan.Plan, log *trace.Log, sidecar int) (out []accesslog.EndpointList) {
+	states := [...]balance.Availability{
+		trace.PhaseReady:       balance.Ready,
+		trace.PhaseTerminating: balance.Draining,
+		trace.PhaseGone:        balance.Gone,
+	}
 	for _, t := range log.Notifications {
 		if t.Sidecar != sidecar {
 			continue
@@ -63,12 +78,12 @@
 			}
 			out = append(out, accesslog.EndpointList{At: t.At, Kind: list})
 		}
-		b := &p.Boxes[t.Endpoint]
+		b := &p.Endpoints[t.Endpoint]
 		m := cluster.Member{ID: b.Name, State: states[t.Phase]}
 		if t.Phase != trace.PhaseGone {
 			m.Kind, m.Zone, m.Weight = b.Kind, plan.Zone, float64(b.Spec.Cores)
 			if t.UpSince > 0 {
-				m.UpSince = (epoch + t.UpSince).Truncate(time.Millisecond)
+				m.UpSince = (startTime + t.UpSince).Truncate(time.Millisecond)
 			}
 		}
 		last := &out[len(out)-1]
@@ -77,8 +92,8 @@
 	return out
 }
 
-// ending is a stream's outcome in a record's words.
-func ending(s *trace.DownstreamRequest) stream.Outcome {
+// outcomeOf returns a request's outcome as a record has it.
+func outcomeOf(s *trace.DownstreamRequest) stream.Outcome {
 	switch {
 	case s.Status == trace.StatusServed:
 		return stream.Served
--- a/internal/lab/calibration/rehearse_test.go
+++ b/internal/lab/calibration/replay_test.go
@@ -85,7 +85,7 @@
 	return r
 }
 
-func fitted(t testing.TB, records []*accesslog.Recording, o Options) *Rehearsal {
+func fitted(t testing.TB, records []*accesslog.Recording, o Options) *Replay {
 	t.Helper()
 	r, err := Fit(records, o)
 	if err != nil {
@@ -94,9 +94,9 @@
 	return r
 }
 
-// TestMargin rehearses days of which the fit sees the records alone. REHEARSE_SEEDS=5 plays so many seeds of all
-// the days, calibrated, and tells of each count; by itself it is one seed of the bad morning and one of hosts that
-// spend most of a request's time waiting for a next tier.
+// TestMargin replays scenarios of which the fit sees the records alone. REHEARSE_SEEDS=5 plays so many seeds of all of
+// them, with trial plays, and logs each count; without it, it plays one seed of bad-morning and one of endpoints that spend
+// most of a request's time waiting for the next tier.
 func TestMargin(t *testing.T) {
 	days, seeds, o := []string{"bad-morning", "two-tiers"}, 1, direct
 	if n, err := strconv.Atoi(os.Getenv("REHEARSE_SEEDS")); err == nil {
@@ -105,33 +105,33 @@
 	for _, day := range days {
 		for seed := uint64(1); seed <= uint64(seeds); seed++ {
 			records, _, _ := observe(t, day, "", 0, seed)
-			began := time.Now()
+			started := time.Now()
 			r := fitted(t, records, o)
-			took := time.Since(began)
+			took := time.Since(started)
 			c, err := r.Play(r.Seed)
 			if err != nil {
 				t.Fatal(err)
 			}
 			line := fmt.Sprintf("%s, seed %d, %.1f s to fit:", day, seed, took.Seconds())
 			for _, row := range r.Compare(c) {
-				line += fmt.Sprintf(" %s %d for %d", row.What, row.Rehearsed, row.Observed)
-				if !row.Kept {
+				line += fmt.Sprintf(" %s %d for %d", row.Name, row.Replayed, row.Recorded)
+				if !row.WithinMargin {
 					line += " (BEYOND)"
 				}
 			}
 			t.Log(line)
-			if (day == "bad-morning" || day == "two-tiers") && !Kept(r.Compare(c)) {
+			if (day == "bad-morning" || day == "two-tiers") && !AllWithinMargin(r.Compare(c)) {
 				t.Errorf("beyond the margin; it found\n%s", strings.Join(r.Notes, "\n"))
 			}
 		}
 	}
 }
 
-func TestCalmStaysCalm(t *testing.T) {
+func TestNoFaultsInCalmRecords(t *testing.T) {
 	records, _, _ := observe(t, "calm", "", 10*time.Second, 1)
 	r := fitted(t, records, direct)
-	if len(r.Scenario.Fault) > 0 {
-		t.Errorf("faults were found in a calm: %+v", r.Scenario.Fault)
+	if len(r.Scenario.Faults) > 0 {
+		t.Errorf("faults were found in a calm: %+v", r.Scenario.Faults)
 	}
 	again := fitted(t, records, direct)
 	if d := cmp.Diff(r.Scenario, again.Scenario); d != "" || !cmp.Equal(r.Arrivals, again.Arrivals) || !cmp.Equal(r.Notes, again.Notes) {
@@ -139,7 +139,7 @@
 	}
 }
 
-// TestFaultsAreFound has nearly every kind of fault at once, each at one host.
+// TestFaultsAreFound has nearly every kind of fault at once, each at one endpoint.
 func TestFaultsAreFound(t *testing.T) {
 	planted := []struct {
 		kind, more string
@@ -160,7 +160,7 @@
 		if f.found != "" {
 			kind = f.found
 		}
-		for _, g := range r.Scenario.Fault {
+		for _, g := range r.Scenario.Faults {
 			if len(g.Names) != 1 || g.Names[0] != host {
 				continue
 			}
@@ -177,8 +177,8 @@
 				t.Errorf("%s: %s from %v, not from %g s", host, kind, g.At.D(), f.at)
 			}
 			// A host that left is not back; and once connections are refused hardly any are tried.
-			if off := g.For.D().Seconds() - f.length; f.kind != "leave" && f.kind != "refuse" && (off < -1.6 || off > 1.6) {
-				t.Errorf("%s: %s for %v, not for %g s", host, kind, g.For.D(), f.length)
+			if off := g.Duration.D().Seconds() - f.length; f.kind != "leave" && f.kind != "refuse" && (off < -1.6 || off > 1.6) {
+				t.Errorf("%s: %s for %v, not for %g s", host, kind, g.Duration.D(), f.length)
 			}
 		}
 		if seen != 1 {
@@ -193,27 +193,27 @@
 	}
 }
 
-// TestWorks holds the replay of a host against the work that its model really did.
-func TestWorks(t *testing.T) {
+// TestAttainedWork compares the reconstructed work of endpoints with what their models did.
+func TestAttainedWork(t *testing.T) {
 	records, p, log := observe(t, "calm", "", 10*time.Second, 2)
-	v, err := look(records)
+	v, err := mergeRecords(records)
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &servers{cores: 1, slots: 20, queue: 24, cold: cold{from: 1, takes: 1}}
+	m := &fittedModel{cores: 1, slots: 20, queue: 24, warmup: warmup{initialShare: 1, duration: 1}}
 	did, found := 0.0, 0.0
 	for _, x := range log.EndpointRequests {
 		if x.Outcome == trace.OutcomeOK {
 			did += x.Work.Seconds()
 		}
 	}
-	for h := range v.hosts {
-		m.speed = append(m.speed, p.Boxes[h].Spec.Speed)
-		if v.hosts[h].name != p.Boxes[h].Name {
-			t.Fatalf("host %d is %s", h, v.hosts[h].name)
+	for h := range v.endpoints {
+		m.speeds = append(m.speeds, p.Endpoints[h].Spec.Speed)
+		if v.endpoints[h].name != p.Endpoints[h].Name {
+			t.Fatalf("host %d is %s", h, v.endpoints[h].name)
 		}
 	}
-	for h := range v.hosts {
+	for h := range v.endpoints {
 		for _, x := range m.pieces(v, h, nil) {
 			if !x.censored {
 				found += x.work
@@ -226,25 +226,25 @@
 	}
 }
 
-// TestCores has hosts of several cores, as fast in all as the scenario's of one.
-func TestCores(t *testing.T) {
+// TestCoresAreFound has endpoints of several cores, as fast in all as the scenario's of one.
+func TestCoresAreFound(t *testing.T) {
 	for _, cores := range []int{1, 2, 4, 8} {
 		_, p, _ := observe(t, "calm", "", 10*time.Second, 3)
-		for i := range p.Boxes {
-			p.Boxes[i].Spec.Cores, p.Boxes[i].Spec.Speed = cores, p.Boxes[i].Spec.Speed/float64(cores)
+		for i := range p.Endpoints {
+			p.Endpoints[i].Spec.Cores, p.Endpoints[i].Spec.Speed = cores, p.Endpoints[i].Spec.Speed/float64(cores)
 		}
 		records, _ := played(t, p)
 		r := fitted(t, records, direct)
-		if got := r.Scenario.Tier[0].Kind[0].Cores; got != cores {
+		if got := r.Scenario.Tiers[0].Kinds[0].Cores; got != cores {
 			t.Errorf("%d cores were found for %d", got, cores)
 		}
-		if len(r.Scenario.Fault) > 0 {
-			t.Errorf("faults were found in a calm: %+v", r.Scenario.Fault)
+		if len(r.Scenario.Faults) > 0 {
+			t.Errorf("faults were found in a calm: %+v", r.Scenario.Faults)
 		}
 	}
 }
 
-func TestFileReadsBack(t *testing.T) {
+func TestWriteRoundTrip(t *testing.T) {
 	records, _, _ := observe(t, "slow-then-vanish", "", 9*time.Second, 1)
 	r := fitted(t, records, direct)
 	dir := t.TempDir()
@@ -255,7 +255,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	copied, err := os.ReadFile(s.Clients.Recorded)
+	copied, err := os.ReadFile(s.Clients.RecordFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -263,7 +263,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Clients.Recorded = r.Scenario.Clients.Recorded
+	s.Clients.RecordFile = r.Scenario.Clients.RecordFile
 	if d := cmp.Diff(r.Scenario, s, cmpopts.EquateEmpty(), cmpopts.EquateApprox(0, 1e-12)); d != "" {
 		t.Error("the file says otherwise:", d)
 	}
--- a/internal/lab/judge/cold_load.go
+++ b/internal/lab/judge/cold_load.go
@@ -26,19 +26,19 @@
 
 // checkColdLoads measures every endpoint's load by its samples, and checks those that collapsed.
 func (e *evaluation) checkColdLoads() {
-	byEndpoint := make([][]trace.Sample, len(e.plan.Boxes))
+	byEndpoint := make([][]trace.Sample, len(e.plan.Endpoints))
 	for _, s := range e.log.Samples {
 		byEndpoint[s.Endpoint] = append(byEndpoint[s.Endpoint], s)
 	}
 	for i, samples := range byEndpoint {
-		load := ColdLoad{Endpoint: i, CollapsedAt: trace.Unset, Max: e.maxColdLoad(&e.plan.Boxes[i].Spec, samples)}
+		load := ColdLoad{Endpoint: i, CollapsedAt: trace.Unset, Max: e.maxColdLoad(&e.plan.Endpoints[i].Spec, samples)}
 		if n := slices.IndexFunc(samples, func(s trace.Sample) bool { return s.Collapsed }); n >= 0 {
 			load.CollapsedAt = samples[n].At
 			load.InformedShare = e.informedShare(i, samples[max(0, n-1)].At, load.CollapsedAt)
 			if load.InformedShare >= minInformedShare {
 				e.report(Violation{Kind: ColdOverload, At: load.CollapsedAt, Request: -1, Endpoint: i, Sidecar: -1},
 					"box %s was cold and fell over: in a window of %s it was sent %.2f times what it stands, %.0f%% of it by sidecars that knew of its start",
-					e.endpointName(i), e.plan.Scenario.Rules.FallWindow.D(), load.Max, 100*load.InformedShare)
+					e.endpointName(i), e.plan.Scenario.Rules.CollapseWindow.D(), load.Max, 100*load.InformedShare)
 			}
 		}
 		e.verdict.Endpoints = append(e.verdict.Endpoints, load)
@@ -48,7 +48,7 @@
 // maxColdLoad is ColdLoad.Max. Before a cold start an endpoint counts as having the capacity that it has right after.
 func (e *evaluation) maxColdLoad(spec *model.Spec, samples []trace.Sample) (maximum float64) {
 	rules := &e.plan.Scenario.Rules
-	atStart := spec.ColdFrom * float64(spec.Cores) * spec.Speed
+	atStart := spec.WarmupInitialShare * float64(spec.Cores) * spec.Speed
 	for from := 0; from < len(samples); {
 		if !samples[from].WarmingUp {
 			from++
@@ -66,7 +66,7 @@
 		// It was down until it started: when that was follows from what it could do since.
 		start := max(before.At, run[0].At-time.Duration(float64(run[0].PossibleWork-before.PossibleWork)/atStart))
 		started := trace.Sample{At: start, SentWork: before.SentWork, PossibleWork: before.PossibleWork}
-		maximum = max(maximum, maxWindowLoad(append([]trace.Sample{started}, run...), rules.FallWindow.D(), atStart)/rules.FallMultiple)
+		maximum = max(maximum, maxWindowLoad(append([]trace.Sample{started}, run...), rules.CollapseWindow.D(), atStart)/rules.CollapseMultiple)
 		from = to
 	}
 	return maximum
@@ -104,7 +104,7 @@
 	var informed, all time.Duration
 	for i := range e.log.EndpointRequests {
 		request := &e.log.EndpointRequests[i]
-		if request.Endpoint != endpoint || request.FirstByte > by || request.FirstByte < max(start, after-e.plan.Scenario.Rules.FallWindow.D()) {
+		if request.Endpoint != endpoint || request.FirstByte > by || request.FirstByte < max(start, after-e.plan.Scenario.Rules.CollapseWindow.D()) {
 			continue
 		}
 		n := e.index.attempt(request.TransactionID)
@@ -133,9 +133,9 @@
 		}
 	}
 	for i := range e.plan.Sidecars {
-		for _, listed := range e.plan.Sidecars[i].Known {
-			if listed.Box == endpoint {
-				learn(i, 0, listed.UpSince)
+		for _, listed := range e.plan.Sidecars[i].InitialList {
+			if listed.Endpoint == endpoint {
+				learn(i, 0, listed.StartedAt)
 			}
 		}
 	}
@@ -145,8 +145,8 @@
 		}
 	}
 	for i := range e.plan.Events {
-		if event := &e.plan.Events[i]; event.Kind == plan.Tell && event.Sidecar >= 0 && event.Entry.Box == endpoint {
-			learn(event.Sidecar, event.At+notificationTimeout, event.Entry.UpSince)
+		if event := &e.plan.Events[i]; event.Kind == plan.NotifySidecar && event.Sidecar >= 0 && event.Entry.Endpoint == endpoint {
+			learn(event.Sidecar, event.At+notificationTimeout, event.Entry.StartedAt)
 		}
 	}
 	return knownAt
@@ -156,8 +156,8 @@
 func startTimes(p *plan.Plan, endpoint int) (times []time.Duration) {
 	for i := range p.Events {
 		event := &p.Events[i]
-		down := event.Fault.Kind == model.Dead || event.Fault.Kind == model.Vanish
-		if event.Box == endpoint && (event.Kind == plan.StartBox || event.Kind == plan.EndFault && down) {
+		down := event.Fault.Kind == model.Crash || event.Fault.Kind == model.Vanish
+		if event.Endpoint == endpoint && (event.Kind == plan.StartEndpoint || event.Kind == plan.EndFault && down) {
 			times = append(times, event.At)
 		}
 	}
--- a/internal/lab/judge/judge_test.go
+++ b/internal/lab/judge/judge_test.go
@@ -91,8 +91,8 @@
 func TestUnlistedEndpoint(t *testing.T) {
 	for told, want := range map[string]string{"": "1 unknown request", "told 90 n1 t3 ready\n": "", "told 300 n1 t3 ready\n": "1 unknown request"} {
 		p, log := parseScript(t, told+requestLine+"visit t3 101 102 110 ok\nend 111 served")
-		p.Boxes[2].Start = "absent"
-		p.Sidecars[0].Known = p.First(0)
+		p.Endpoints[2].Start = "absent"
+		p.Sidecars[0].InitialList = p.InitialMembers(0)
 		if got := countsText(Judge(p, log)); got != want {
 			t.Errorf("notification %q: found %q, want %q", told, got, want)
 		}
@@ -107,7 +107,7 @@
 	} {
 		for _, allowed := range []bool{false, true} {
 			p, log := parseScript(t, requestLine+text)
-			if p.Scenario.Rules.SecondCopies = allowed; allowed {
+			if p.Scenario.Rules.Hedging = allowed; allowed {
 				want = ""
 			}
 			if got := countsText(Judge(p, log)); got != want {
--- a/internal/lab/judge/timeline_events.go
+++ b/internal/lab/judge/timeline_events.go
@@ -37,34 +37,34 @@
 }
 
 var faultNames = map[model.FaultKind]string{
-	model.Vanish:      "silence",
-	model.Dead:        "death",
-	model.Hang:        "hang",
-	model.Fail:        "failing",
-	model.Slow:        "slowness",
-	model.RefuseConns: "refusing connections",
-	model.Cut:         "cutting answers",
-	model.Spoil:       "spoiling answers",
-	model.Drip:        "dripping answers",
-	model.Mute:        "muteness",
+	model.Vanish:            "silence",
+	model.Crash:             "death",
+	model.Hang:              "hang",
+	model.Fail:              "failing",
+	model.Slow:              "slowness",
+	model.RefuseConnections: "refusing connections",
+	model.Truncate:          "cutting answers",
+	model.Corrupt:           "spoiling answers",
+	model.Trickle:           "dripping answers",
+	model.Drop:              "muteness",
 }
 
 // addScript adds what the script did to the endpoints.
 func (t *timeline) addScript() {
 	key := func(event *plan.Event) (int, bool) {
 		switch event.Kind {
-		case plan.BeginFault, plan.EndFault, plan.StartBox:
-			return event.Box, t.endpoints[event.Box]
+		case plan.StartFault, plan.EndFault, plan.StartEndpoint:
+			return event.Endpoint, t.endpoints[event.Endpoint]
 		}
 		return 0, false
 	}
 	at := func(event *plan.Event) time.Duration { return event.At }
 	addEvents(t, t.plan.Events, key, at, func(event *plan.Event) {
 		what := "starts, cold"
-		if event.Kind != plan.StartBox {
+		if event.Kind != plan.StartEndpoint {
 			what = faultNames[event.Fault.Kind] + " " + event.Kind.String()
 		}
-		t.add(event.At, "script: box %s: %s", t.endpointName(event.Box), what)
+		t.add(event.At, "script: box %s: %s", t.endpointName(event.Endpoint), what)
 	})
 }
 
@@ -72,7 +72,7 @@
 func (t *timeline) addNotifications() {
 	key := func(n *trace.Notification) (int, bool) {
 		concerns := t.endpoints[n.Endpoint] && (t.allSidecars || t.sidecars[n.Sidecar])
-		return n.Sidecar*len(t.plan.Boxes) + n.Endpoint, concerns
+		return n.Sidecar*len(t.plan.Endpoints) + n.Endpoint, concerns
 	}
 	at := func(n *trace.Notification) time.Duration { return n.At }
 	addEvents(t, t.log.Notifications, key, at, func(n *trace.Notification) {
--- a/internal/lab/loopback/endpoint.go
+++ b/internal/lab/loopback/endpoint.go
@@ -16,7 +16,7 @@
 type endpoint struct {
 	run         *run
 	index       int
-	plan        *plan.Box
+	plan        *plan.Endpoint
 	tier        *tier
 	codec       endpointCodec
 	idleTimeout time.Duration // after which a connection is closed
@@ -30,10 +30,10 @@
 	timer      *time.Timer // fires at the model's next event
 
 	mu               sync.Locker // the tier's if its models share idempotency keys
-	model            *model.Server
-	effects          []model.Effect // buffer of advance
-	timerAt          time.Duration  // when the timer fires; model.Never if it is stopped
-	random           *rand.Rand     // how responses go wrong
+	model            *model.Endpoint
+	effects          []model.Event // buffer of advance
+	timerAt          time.Duration // when the timer fires; model.Never if it is stopped
+	random           *rand.Rand    // how responses go wrong
 	connections      map[*serverConn]struct{}
 	lastConnectionID uint64
 	requests         map[uint64]*endpointRequest // that the model has, by job id
@@ -47,14 +47,14 @@
 
 // newEndpoint makes the plan's endpoint of that index. It listens from now on, unless the plan has it absent at first.
 func newEndpoint(r *run, index int) (*endpoint, error) {
-	spec := &r.plan.Boxes[index]
+	spec := &r.plan.Endpoints[index]
 	e := &endpoint{
 		run:           r,
 		index:         index,
 		plan:          spec,
 		tier:          r.tierState(spec.Tier),
 		codec:         newEndpointCodec(r.plan),
-		idleTimeout:   r.plan.Scenario.Rules.ConnIdle.D(),
+		idleTimeout:   r.plan.Scenario.Rules.ConnIdleTimeout.D(),
 		mu:            new(sync.Mutex),
 		model:         model.New(spec.Spec, spec.Seed),
 		timerAt:       model.Never,
@@ -68,7 +68,7 @@
 		return r.transport.roundTrip(ctx, request)
 	}
 	e.onCollapse = func() { r.endpointCollapsed(index) }
-	if spec.Spec.KeyWindow > 0 {
+	if spec.Spec.DedupWindow > 0 {
 		e.shareKeys()
 	}
 	state := stateAccepting
@@ -89,9 +89,9 @@
 // shareKeys has the model share its idempotency keys with the others of its tier, and so their lock.
 func (e *endpoint) shareKeys() {
 	if e.tier.keys == nil {
-		e.tier.keys = model.NewKeys(e.plan.Spec.KeyWindow)
+		e.tier.keys = model.NewDedupStore(e.plan.Spec.DedupWindow)
 	}
-	e.model.ShareKeys(e.tier.keys)
+	e.model.ShareDedup(e.tier.keys)
 	e.mu = &e.tier.mu
 }
 
@@ -111,9 +111,9 @@
 	if !cold {
 		return
 	}
-	for _, listed := range e.run.plan.First(e.plan.Tier) {
+	for _, listed := range e.run.plan.InitialMembers(e.plan.Tier) {
 		for i, a := range e.run.agents {
-			if listed.Box == e.index && e.run.plan.Sidecars[i].Tier == e.plan.Tier {
+			if listed.Endpoint == e.index && e.run.plan.Sidecars[i].Tier == e.plan.Tier {
 				a.update(listed)
 			}
 		}
@@ -128,20 +128,20 @@
 		return
 	}
 	switch event.Kind {
-	case plan.BeginFault:
-		e.model.Begin(now, event.Fault)
+	case plan.StartFault:
+		e.model.StartFault(now, event.Fault)
 		switch event.Fault.Kind {
 		case model.Vanish:
 			e.freeze()
-		case model.RefuseConns:
+		case model.RefuseConnections:
 			e.refuseFaults++
 		}
 	case plan.EndFault:
-		e.model.End(now, event.Fault.ID)
-		if event.Fault.Kind == model.RefuseConns {
+		e.model.EndFault(now, event.Fault.ID)
+		if event.Fault.Kind == model.RefuseConnections {
 			e.refuseFaults--
 		}
-	case plan.StartBox:
+	case plan.StartEndpoint:
 		e.absent = false
 		e.model.Start(now, true)
 	}
@@ -158,15 +158,15 @@
 	return trace.Sample{
 		At:           now,
 		Endpoint:     e.index,
-		Running:      load.InWork,
-		Queued:       load.Waiting,
+		Running:      load.Running,
+		Queued:       load.Queued,
 		Connections:  load.Connections,
 		Capacity:     load.Capacity,
 		SentWork:     load.SentWork,
-		PossibleWork: load.Could,
-		DoneWork:     load.Did,
-		WarmingUp:    load.Cold,
-		Collapsed:    load.Fallen,
+		PossibleWork: load.PossibleWork,
+		DoneWork:     load.DoneWork,
+		WarmingUp:    load.WarmingUp,
+		Collapsed:    load.Collapsed,
 	}
 }
 
@@ -211,7 +211,7 @@
 	reset := false
 	for i := range e.effects {
 		effect := &e.effects[i]
-		if effect.Kind == model.Reset {
+		if effect.Kind == model.EventReset {
 			e.resetConnections()
 			reset = true
 			continue
@@ -220,7 +220,7 @@
 	}
 	if reset {
 		e.updateListener()
-		if !e.collapsed && e.model.Load(now).Fallen {
+		if !e.collapsed && e.model.Load(now).Collapsed {
 			e.collapsed = true
 			e.goroutines.Go(e.onCollapse)
 		}
@@ -230,7 +230,7 @@
 
 // setTimer sets the timer to the model's next event. Before the run's start the clock stands, and no timer runs. The lock is held.
 func (e *endpoint) setTimer(now time.Duration) {
-	next := e.model.Next()
+	next := e.model.NextEvent()
 	if next == e.timerAt || e.run.startTime.Load() == nil {
 		return
 	}
@@ -248,7 +248,7 @@
 	switch {
 	case e.absent:
 		e.listener.requestState(stateRefusing)
-	case phase == model.Silent:
+	case phase == model.Unresponsive:
 		e.listener.requestState(stateBlackholed)
 	case phase == model.Down, e.refuseFaults > 0:
 		e.listener.requestState(stateRefusing)
--- a/internal/lab/loopback/endpoint_test.go
+++ b/internal/lab/loopback/endpoint_test.go
@@ -28,7 +28,7 @@
 		if endpoint, ok := verifyBody(q.attempt.TransactionID, body); !ok || endpoint != 0 {
 			t.Errorf("%s: the body is not endpoint 0's", class)
 		}
-		if want := s.plan.Scenario.Class[q.attempt.Class].Answer; len(body) != want {
+		if want := s.plan.Scenario.Classes[q.attempt.Class].ResponseBytes; len(body) != want {
 			t.Errorf("%s: the body has %d bytes, not %d", class, len(body), want)
 		}
 		v := s.endpointRequest(q.attempt.TransactionID)
@@ -50,7 +50,7 @@
 	s := newFixture(t, fixtureClasses+oneTier)
 	q := s.nextRequest("keyed")
 	for endpoint := range 2 {
-		q.attempt.TransactionID = s.plan.Txn(q.attempt.Request, endpoint)
+		q.attempt.TransactionID = s.plan.TransactionID(q.attempt.Request, endpoint)
 		c := s.dial(endpoint)
 		s.send(c, q)
 		c.expectStatus(http.StatusOK)
@@ -225,7 +225,7 @@
 	c, q := s.dial(0), s.nextRequest("long")
 	s.send(c, q)
 	s.awaitLoad(0, 1, 0)
-	end := s.beginFault(0, model.Dead, 0)
+	end := s.beginFault(0, model.Crash, 0)
 	if err := c.readError(testTimeout); !isReset(err) {
 		t.Errorf("an open connection says %v", err)
 	}
@@ -249,7 +249,7 @@
 	c, q := s.dial(0), s.nextRequest("quick")
 	s.send(c, q)
 	c.expectStatus(http.StatusOK)
-	end := s.beginFault(0, model.RefuseConns, 0)
+	end := s.beginFault(0, model.RefuseConnections, 0)
 	s.awaitDial(0, "are refused", isRefused)
 	s.send(c, s.nextRequest("quick"))
 	c.expectStatus(http.StatusOK)
@@ -314,7 +314,7 @@
 
 // TestEndpointCorruptsResponses checks that no truncated or malformed response passes for a complete one, and that its connection ends.
 func TestEndpointCorruptsResponses(t *testing.T) {
-	for kind, name := range map[model.FaultKind]string{model.Cut: "cut off", model.Spoil: "malformed"} {
+	for kind, name := range map[model.FaultKind]string{model.Truncate: "cut off", model.Corrupt: "malformed"} {
 		t.Run(name, func(t *testing.T) {
 			s := newFixture(t, fixtureClasses+oneTier)
 			s.beginFault(0, kind, 1)
@@ -334,7 +334,7 @@
 					t.Errorf("the request is %+v", v)
 				}
 			}
-			if kind == model.Cut && len(ends) != 2 {
+			if kind == model.Truncate && len(ends) != 2 {
 				t.Errorf("connections all end in the same way: %v", ends)
 			}
 		})
@@ -343,7 +343,7 @@
 
 func TestEndpointDrips(t *testing.T) {
 	s := newFixture(t, fixtureClasses+oneTier)
-	s.beginFault(0, model.Drip, 1)
+	s.beginFault(0, model.Trickle, 1)
 	c, q := s.dial(0), s.nextRequest("quick")
 	begun := time.Now()
 	s.send(c, q)
@@ -364,10 +364,10 @@
 // TestEndpointStopsDripping checks that a dripping response is in flight until its endpoint goes down; on a host that becomes
 // unresponsive it stops at once.
 func TestEndpointStopsDripping(t *testing.T) {
-	for kind, name := range map[model.FaultKind]string{model.Vanish: "unresponsive", model.Dead: "crashed"} {
+	for kind, name := range map[model.FaultKind]string{model.Vanish: "unresponsive", model.Crash: "crashed"} {
 		t.Run(name, func(t *testing.T) {
 			s := newFixture(t, fixtureClasses+oneTier)
-			s.beginFault(0, model.Drip, 1)
+			s.beginFault(0, model.Trickle, 1)
 			c, q := s.dial(0), s.nextRequest("quick")
 			s.send(c, q)
 			if err := c.readError(testTimeout); err != nil {
@@ -404,7 +404,7 @@
 	defer a.close()
 	s.agents = []*agent{a}
 	s.endpoints[1].start()
-	if got := a.catalog.changesSince(1); len(got) != 1 || got[0].Box != 1 || got[0].UpSince == 0 {
+	if got := a.catalog.changesSince(1); len(got) != 1 || got[0].Endpoint != 1 || got[0].StartedAt == 0 {
 		t.Errorf("notified of %v", got)
 	}
 }
@@ -452,7 +452,7 @@
 func TestAbsentEndpointStarts(t *testing.T) {
 	s := newFixture(t, fixtureClasses+oneTier+"start = \"absent\"\n")
 	s.awaitDial(0, "are refused", isRefused)
-	s.endpoints[0].applyEvent(s.elapsed(), plan.Event{Kind: plan.StartBox, Box: 0})
+	s.endpoints[0].applyEvent(s.elapsed(), plan.Event{Kind: plan.StartEndpoint, Endpoint: 0})
 	s.awaitDial(0, "come up", isConnected)
 	if !s.endpoints[0].sample(s.elapsed()).WarmingUp {
 		t.Error("it starts warm")
--- a/internal/lab/loopback/list_faults.go
+++ b/internal/lab/loopback/list_faults.go
@@ -15,7 +15,7 @@
 // serviceCapacity is the capacity of the list service behind all agents, which they share.
 type serviceCapacity struct {
 	mu         sync.Mutex
-	model      *model.Listing // nil if it is unlimited
+	model      *model.ListService // nil if it is unlimited
 	retryAfter time.Duration
 }
 
@@ -24,8 +24,8 @@
 
 // configure sets the scenario's capacity, if it has one.
 func (c *serviceCapacity) configure(p *plan.Plan) {
-	if service := p.Scenario.Discovery.Service; service != nil {
-		c.model = &model.Listing{Calls: service.Calls, Call: service.Call.D(), Line: service.Line, Beyond: model.Beyond(service.Beyond)}
+	if service := p.Scenario.Discovery.ListService; service != nil {
+		c.model = &model.ListService{Concurrency: service.Concurrency, ServiceTime: service.ServiceTime.D(), MaxQueue: service.QueueLength, OnOverflow: model.OverflowPolicy(service.OnOverflow)}
 		c.retryAfter = service.RetryAfter.D()
 	}
 }
@@ -37,7 +37,7 @@
 	if a.closed {
 		return nil
 	}
-	if event.Kind == plan.BeginList {
+	if event.Kind == plan.StartListFault {
 		a.beginFault(event)
 	} else {
 		delete(a.faults, event.ID)
@@ -59,8 +59,8 @@
 
 // beginFault puts a fault into force. The lock is held.
 func (a *agent) beginFault(event plan.Event) {
-	a.faults[event.ID] = event.List
-	switch event.List.Kind {
+	a.faults[event.ID] = event.ListFault
+	switch event.ListFault.Kind {
 	case "list_down":
 		a.stopServer()
 	case "list_forget":
@@ -79,7 +79,7 @@
 	}
 	if c := &a.run.capacity; c.model != nil {
 		c.mu.Lock()
-		c.model.Forget()
+		c.model.Restart()
 		c.mu.Unlock()
 	}
 }
@@ -98,7 +98,7 @@
 	if c := &a.run.capacity; c.model != nil {
 		c.mu.Lock()
 		now := time.Since(capacityEpoch)
-		answeredAt, admitted := c.model.Ask(now, slowdown)
+		answeredAt, admitted := c.model.Call(now, slowdown)
 		c.mu.Unlock()
 		if !admitted {
 			poll.Outcome = trace.PollRejected
@@ -130,10 +130,10 @@
 // reject answers a poll beyond the capacity, in the way that the scenario has it.
 func (a *agent) reject(w http.ResponseWriter, req *http.Request) {
 	c := &a.run.capacity
-	switch c.model.Beyond {
-	case model.Resets:
+	switch c.model.OnOverflow {
+	case model.OverflowReset:
 		panic(http.ErrAbortHandler)
-	case model.Silences:
+	case model.OverflowDrop:
 		a.sleep(req, maxWatch)
 		panic(http.ErrAbortHandler)
 	}
@@ -157,7 +157,7 @@
 			continue
 		}
 		response.Complete = true
-		switch fault.Of {
+		switch fault.Variant {
 		case "empty":
 			response.Members = []map[string]any{}
 		case "half":
--- a/internal/lab/loopback/recorder.go
+++ b/internal/lab/loopback/recorder.go
@@ -25,11 +25,11 @@
 // entries, and by so much the clients would be late.
 func newRecorder(p *plan.Plan) *recorder {
 	perRequest := entriesPerRequest
-	for _, tier := range p.Scenario.Tier {
+	for _, tier := range p.Scenario.Tiers {
 		perRequest += entriesPerRequest * tier.Calls
 	}
 	requests := min(maxPreallocated, int(perRequest*float64(len(p.Requests))))
-	samples := len(p.Boxes) * int((p.Scenario.Length.D()+maxOverrun)/sampleInterval)
+	samples := len(p.Endpoints) * int((p.Scenario.Length.D()+maxOverrun)/sampleInterval)
 	return &recorder{log: trace.Log{
 		ClientAttempts:   make([]trace.ClientAttempt, 0, requests),
 		EndpointRequests: make([]trace.EndpointRequest, 0, requests),
--- a/internal/lab/model/theory_test.go
+++ b/internal/lab/model/theory_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// stream is jobs with exponential gaps.
+// stream is a Poisson stream of jobs.
 type stream struct {
 	jobs int
 	gap  time.Duration                         // mean
@@ -24,28 +24,28 @@
 	return func(*rand.Rand) time.Duration { return w }
 }
 
-// run is what came of a stream, a job an entry, and the integral of what the server said that it held.
+// run is the outcome of a stream, an entry for each job, and the integral of the pending jobs that the endpoint reported.
 type run struct {
 	waits, sojourns []float64
-	held            float64
+	pending         float64
 }
 
-// play sends a stream to a server and goes on until all is answered.
-func play(s *Server, load stream) run {
+// play sends a stream to an endpoint and goes on until every job has its response.
+func play(s *Endpoint, load stream) run {
 	random := rand.New(rand.NewPCG(load.seed, 0))
 	r := run{waits: make([]float64, load.jobs), sojourns: make([]float64, load.jobs)}
 	came := make([]time.Duration, load.jobs)
 	works := make([]time.Duration, load.jobs)
 	arrival := time.Duration(0)
 	var now time.Duration
-	var effects []Effect
-	for sent := 0; sent < load.jobs || s.Next() != Never; {
-		next := s.Next()
+	var effects []Event
+	for sent := 0; sent < load.jobs || s.NextEvent() != Never; {
+		next := s.NextEvent()
 		if sent < load.jobs {
 			next = min(next, arrival)
 		}
 		l := s.Load(now)
-		r.held += float64(l.InWork+l.Waiting) * float64(next-now)
+		r.pending += float64(l.Running+l.Queued) * float64(next-now)
 		now = next
 		if sent < load.jobs && now == arrival {
 			came[sent], works[sent] = now, load.work(random)
@@ -56,9 +56,9 @@
 		effects = s.Advance(now, effects[:0])
 		for _, e := range effects {
 			switch e.Kind {
-			case Started:
+			case EventStarted:
 				r.waits[e.Job] = float64(e.At - came[e.Job])
-			case Answered:
+			case EventResponded:
 				r.sojourns[e.Job] = float64(e.At - came[e.Job])
 			}
 		}
@@ -66,7 +66,7 @@
 	return r
 }
 
-// batchMeans is the mean and its standard error, from the means of batches long enough to be independent.
+// batchMeans returns the mean and its standard error, from the means of batches long enough to be independent.
 func batchMeans(x []float64) (mean, se float64) {
 	const batches = 30
 	size := len(x) / batches
@@ -83,7 +83,7 @@
 	return mean, math.Sqrt((squares/batches - mean*mean) / (batches - 1))
 }
 
-// erlangC is the share of arrivals that wait, with c servers and a erlangs.
+// erlangC is the share of arrivals that wait, with c servers and a load of a erlangs.
 func erlangC(c int, a float64) float64 {
 	term, sum := 1.0, 0.0
 	for k := range c {
@@ -97,7 +97,7 @@
 // Mean waits against Pollaczek and Khinchine (M/M/1, M/D/1), Erlang (M/M/c), and mean time in a system that
 // shares its core, all within three standard errors; and Little's law, which holds to the nanosecond on a run
 // that ends empty.
-func TestTheory(t *testing.T) {
+func TestQueueingTheory(t *testing.T) {
 	const mean = 10 * time.Millisecond
 	const most = math.MaxInt32
 	models := []struct {
@@ -136,20 +136,20 @@
 				for _, s := range r.sojourns {
 					in += s
 				}
-				if math.Abs(in-r.held) > 1e-9*in {
-					t.Errorf("jobs were in for %v ns, the server held them for %v ns", in, r.held)
+				if math.Abs(in-r.pending) > 1e-9*in {
+					t.Errorf("jobs were pending for %v ns, the endpoint reported %v ns", in, r.pending)
 				}
 			})
 		}
 	}
 }
 
-// A second of a plain server's jobs, and of one with all that slows it.
+// A second of the jobs of a plain endpoint, and of one with everything that slows it.
 func BenchmarkJobs(b *testing.B) {
 	specs := map[string]Spec{
 		"plain": {Cores: 4, Speed: 1, Slots: 4, Queue: 100},
-		"all": {Cores: 4, Speed: 1, Slots: 16, Queue: 16, CrowdAt: 8, CrowdLoss: 0.2, ErrorRate: 0.01,
-			PauseEvery: time.Second, Pause: 20 * time.Millisecond, Connections: 100, TableTax: 0.2, Handshake: time.Millisecond},
+		"all": {Cores: 4, Speed: 1, Slots: 16, Queue: 16, OverloadAt: 8, OverloadLoss: 0.2, ErrorRate: 0.01,
+			PauseInterval: time.Second, Pause: 20 * time.Millisecond, MaxConnections: 100, ConnectionTableLoss: 0.2, HandshakeWork: time.Millisecond},
 	}
 	for name, spec := range specs {
 		b.Run(name, func(b *testing.B) {
@@ -161,20 +161,20 @@
 			}
 			s := New(spec, 1)
 			var now time.Duration
-			var effects []Effect
+			var effects []Event
 			for i := range b.N {
-				now += work[(i*7+1)%len(work)] / 2 // load 0.5, which crowding and the rest make about 0.8
-				for s.Next() <= now {
-					effects = s.Advance(s.Next(), effects[:0])
+				now += work[(i*7+1)%len(work)] / 2 // load 0.5, which overload and the rest make about 0.8
+				for s.NextEvent() <= now {
+					effects = s.Advance(s.NextEvent(), effects[:0])
 				}
-				first := spec.Connections > 0 && i%20 == 0
-				if first && s.Connect(now) == Refused {
+				first := spec.MaxConnections > 0 && i%20 == 0
+				if first && s.Connect(now) == ConnectionRefused {
 					s.Disconnect(now)
 					s.Connect(now)
 				}
-				s.Arrive(now, Job{ID: uint64(i), Segments: work[i%len(work) : i%len(work)+1], FirstOn: first})
+				s.Arrive(now, Job{ID: uint64(i), Segments: work[i%len(work) : i%len(work)+1], NewConnection: first})
 			}
-			b.ReportMetric(float64(s.Load(now).Did)/float64(now)/float64(spec.Cores), "use")
+			b.ReportMetric(float64(s.Load(now).DoneWork)/float64(now)/float64(spec.Cores), "use")
 			b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "jobs/s")
 		})
 	}
--- a/internal/lab/plan/settings.go
+++ b/internal/lab/plan/settings.go
@@ -2,70 +2,104 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"time"
+
+	"pinelb.example/pinelb/internal/lab/scenario"
 )
 
-// quantum is the shortest time between two events of a sidecar, as its settings say.
-const quantum = 2 * time.Millisecond
+const (
+	timeResolution = 2 * time.Millisecond // the setting "quantum"
+	responseSlack  = 8 * time.Millisecond // the setting "answer_slack"; the judges allow Rules.ResponseSlack, which is more
+)
 
-var effectWords = map[string]string{"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
+// idempotencyNames has the settings' word for each of a scenario's.
+var idempotencyNames = map[string]string{"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
 
 // Zone is the one zone of every scenario.
 const Zone = "here"
 
-// Settings are a sidecar's, as LB_CONFIG has them under "settings".
+// Settings returns a sidecar's settings, as LB_CONFIG has them under "settings".
 func (p *Plan) Settings(sidecar int) json.RawMessage {
 	s, c := p.Scenario, &p.Sidecars[sidecar]
-	r := &s.Rules
-	counted := "request"
-	if r.ByWork {
-		counted = "work"
+	rules := &s.Rules
+	countedBy := "request"
+	if rules.ValueByWork {
+		countedBy = "work"
 	}
 	var classes, kinds, tiers []any
-	for _, k := range s.Class {
-		classes = append(classes, map[string]any{"name": k.Name, "aim": k.Aim.D(), "deadline": k.Deadline.D(), "worth": k.Worth,
-			"idempotency": effectWords[k.Effect], "key_scope": "all", "memory_span": k.Window.D(), "late_worth": 0.0})
+	for i := range s.Classes {
+		classes = append(classes, classSettings(&s.Classes[i]))
 	}
-	for _, k := range s.Tier[c.Tier].Kind {
-		kinds = append(kinds, k.Name)
+	for _, kind := range s.Tiers[c.Tier].Kinds {
+		kinds = append(kinds, kind.Name)
 	}
-	for _, t := range s.Tier {
-		tiers = append(tiers, t.Name)
+	for _, tier := range s.Tiers {
+		tiers = append(tiers, tier.Name)
 	}
 	doc := map[string]any{
-		"allowed": map[string]any{"cancel": r.Cancel, "conn_idle": r.ConnIdle.D(), "connect_timeout": r.ConnectTimeout.D(),
-			"max_retry_after": r.MaxRetryAfter.D(), "most_held": r.MaxHeld, "probing": r.Probes, "retry_after": r.RetryAfter,
-			"second_copies": r.SecondCopies, "send_cap": r.MaxAttempts, "peer_messages": false},
-		"classes": classes, "clients": map[string]any{"marks_retry": r.MarksRetry}, "counted_by": counted,
-		"family_info": map[string]any{"passes_deadline": r.PassesDeadline}, "kinds": kinds, "locality": 0,
-		"n_instances": c.Told, "rank": c.Rank, "quantum": quantum, "registry_mode": "automatic",
-		"prices": map[string]any{"late_fail": 0.05, "probe": 0.01, "waste": 0.04},
-		"rules": map[string]any{"answer_slack": 8 * time.Millisecond, "cold": r.ColdFor.D(), "cold_share": r.ColdShare,
-			"fall": r.FallWindow.D(), "stop_sending_within": r.DrainGrace.D(), "tip_multiple": r.FallMultiple},
-		"tier": c.Tier, "tiers": tiers, "weight_source": "nominal", "zones": []string{Zone},
+		"allowed": map[string]any{
+			"cancel":          rules.Cancel,
+			"conn_idle":       rules.ConnIdleTimeout.D(),
+			"connect_timeout": rules.ConnectTimeout.D(),
+			"max_retry_after": rules.MaxRetryAfter.D(),
+			"most_held":       rules.MaxPending,
+			"probing":         rules.HealthChecks,
+			"retry_after":     rules.RetryAfter,
+			"second_copies":   rules.Hedging,
+			"send_cap":        rules.MaxAttempts,
+			"peer_messages":   false,
+		},
+		"classes":       classes,
+		"clients":       map[string]any{"marks_retry": rules.MarksRetries},
+		"counted_by":    countedBy,
+		"family_info":   map[string]any{"passes_deadline": rules.PropagatesDeadline},
+		"kinds":         kinds,
+		"locality":      0,
+		"n_instances":   c.ConfiguredInstances,
+		"rank":          c.Rank,
+		"quantum":       timeResolution,
+		"registry_mode": "automatic",
+		"prices":        map[string]any{"late_fail": 0.05, "probe": 0.01, "waste": 0.04},
+		"rules": map[string]any{
+			"answer_slack":        responseSlack,
+			"cold":                rules.WarmupDuration.D(),
+			"cold_share":          rules.WarmupInitialShare,
+			"fall":                rules.CollapseWindow.D(),
+			"stop_sending_within": rules.DrainGrace.D(),
+			"tip_multiple":        rules.CollapseMultiple,
+		},
+		"tier":          c.Tier,
+		"tiers":         tiers,
+		"weight_source": "nominal",
+		"zones":         []string{Zone},
 	}
-	if s.Fleet.Rank == "none" {
+	if s.Fleet.RankSetting == "none" {
 		delete(doc, "rank")
 	}
-	return encode(doc)
+	return mustMarshal(doc)
 }
 
-// Member is an entry as discovery words it. Start is the run's start as Unix time; the box is reached at addr.
-func (p *Plan) Member(l Listed, addr string, start time.Time) map[string]any {
-	b := &p.Boxes[l.Box]
-	up := int64(0)
-	if l.UpSince > 0 {
-		up = start.Add(l.UpSince).UnixMilli()
+func classSettings(class *scenario.Class) map[string]any {
+	return map[string]any{
+		"name":        class.Name,
+		"aim":         class.TargetLatency.D(),
+		"deadline":    class.Deadline.D(),
+		"worth":       class.Value,
+		"idempotency": idempotencyNames[class.Idempotency],
+		"key_scope":   "all",
+		"memory_span": class.DedupWindow.D(),
+		"late_worth":  0.0,
 	}
-	return map[string]any{"id": b.Name, "host_port": addr, "locality": Zone, "flavor": b.Kind, "cell": 0,
-		"phase": l.Phase.String(), "size": float64(b.Spec.Cores), "up_since_ms": up}
 }
 
-func encode(v any) json.RawMessage {
-	text, err := json.Marshal(v)
-	if err != nil {
-		panic(fmt.Sprintf("plan: %v", err)) // all of it is plain
+// ListedMember returns an entry as the list service has it on the wire. Start is the run's start as Unix time, and addr
+// the host:port of the endpoint.
+func (p *Plan) ListedMember(entry ListEntry, addr string, start time.Time) map[string]any {
+	endpoint := &p.Endpoints[entry.Endpoint]
+	startedMS := int64(0)
+	if entry.StartedAt > 0 {
+		startedMS = start.Add(entry.StartedAt).UnixMilli()
 	}
-	return text
+	return map[string]any{"id": endpoint.Name, "host_port": addr, "locality": Zone, "flavor": endpoint.Kind, "cell": 0,
+		"phase": entry.Phase.String(), "size": float64(endpoint.Spec.Cores), "up_since_ms": startedMS}
 }
--- a/internal/lab/scenario/protocol.go
+++ b/internal/lab/scenario/protocol.go
@@ -6,51 +6,52 @@
 	"strings"
 )
 
-// Protocols are what clients, sidecars and boxes may speak with each other: HTTP/1.1, and Thrift's binary and
-// compact encodings, with each message in a frame or without.
+// Protocols are those between clients, sidecars and endpoints: HTTP/1.1, and Apache Thrift's binary and compact
+// encodings, framed or not.
 var Protocols = []string{"http", "thrift-framed-binary", "thrift-framed-compact", "thrift-binary", "thrift-compact"}
 
-// What sidecars are told of calls over Thrift: the fields of the arguments, and a box's exception.
+// How sidecars read Thrift calls: field ids of the arguments, and the type of an endpoint's exception.
 const (
-	ThriftTxn        = 1   // field of the id
-	ThriftKey        = 2   // of the key, in keyed classes
-	ThriftRemaining  = 3   // of the time that is left, ms
-	ThriftTurnedAway = 200 // type of the exception that says that the call never ran
+	ThriftTransactionIDField = 1   // of the transaction id
+	ThriftKeyField           = 2   // of the idempotency key, in keyed classes
+	ThriftRemainingField     = 3   // of the time until the deadline, ms
+	ThriftRejectedType       = 200 // the call was rejected before it ran
 )
 
-// thriftMost is of a message: bodies and answers have 64 KiB at most.
-const thriftMost = "80KiB"
+// thriftMaxMessage bounds a message: bodies and responses have 64 KiB at most.
+const thriftMaxMessage = "80KiB"
 
 // methodName is an identifier of Thrift's interface language.
 var methodName = regexp.MustCompile(`^[A-Za-z_][A-Za-z0-9_]*$`)
 
-// Thrift tells whether the protocol is a form of Thrift.
-func (f *Fleet) Thrift() bool { return strings.HasPrefix(f.Protocol, "thrift-") }
+// IsThrift reports whether the protocol is a form of Thrift.
+func (f *Fleet) IsThrift() bool { return strings.HasPrefix(f.Protocol, "thrift-") }
 
-// Method is the name of the method of Thrift by which a class is called: its own, with "_" for "-".
-func (c *Class) Method() string { return strings.ReplaceAll(c.Name, "-", "_") }
+// ThriftMethod returns the name of the class's Thrift method: the class's own, with "_" for "-".
+func (c *Class) ThriftMethod() string { return strings.ReplaceAll(c.Name, "-", "_") }
 
-// OperatorText is the operator's file of a sidecar that sends to a service: the fleet's, and after it the section of
-// budgets, if the sidecar keeps any, and the one that tells it of the calls where the protocol is Thrift and it is to
-// listen at an address, host:port. "" is none.
-func (s *Scenario) OperatorText(listen, service string, accounts bool) string {
+// OperatorFile returns the operator's file of a sidecar that sends to a service: the fleet's text, then the section
+// [budget] if the sidecar has budgets, then the section [thrift] if that is the protocol. The sidecar listens for Thrift
+// at listen, host:port. "" is no file.
+func (s *Scenario) OperatorFile(listen, service string, hasBudget bool) string {
 	var out strings.Builder
-	out.WriteString(s.Fleet.Operator)
-	if b := s.Fleet.Budget; b != nil && accounts {
+	out.WriteString(s.Fleet.OperatorConfig)
+	if b := s.Fleet.Budget; b != nil && hasBudget {
 		tier := s.TierIndex(service)
-		fmt.Fprintf(&out, "\n[budget]\nservice = %q\nattempts = %d\nreentry = %d\nleaf = %v\n", service, b.Attempts, b.Reentry, s.Next(tier) < 0)
+		fmt.Fprintf(&out, "\n[budget]\nservice = %q\nattempts = %d\nreentry = %d\nleaf = %v\n",
+			service, b.AttemptLimit, b.ReentryLimit, s.NextTierIndex(tier) < 0)
 	}
-	if !s.Fleet.Thrift() {
+	if !s.Fleet.IsThrift() {
 		return out.String()
 	}
 	fmt.Fprintf(&out, "\n[thrift]\nlisten = %q\nturned_away = %d\nmost_message = %q\n", listen,
-		ThriftTurnedAway, thriftMost)
-	for i := range s.Class {
-		c := &s.Class[i]
+		ThriftRejectedType, thriftMaxMessage)
+	for i := range s.Classes {
+		c := &s.Classes[i]
 		fmt.Fprintf(&out, "\n[[thrift.method]]\nname = %q\nclass = %q\nid = [%d]\nremaining_ms = [%d]\n",
-			c.Method(), c.Name, ThriftTxn, ThriftRemaining)
-		if c.Effect == "keyed" {
-			fmt.Fprintf(&out, "key = [%d]\n", ThriftKey)
+			c.ThriftMethod(), c.Name, ThriftTransactionIDField, ThriftRemainingField)
+		if c.Idempotency == "keyed" {
+			fmt.Fprintf(&out, "key = [%d]\n", ThriftKeyField)
 		}
 	}
 	return out.String()
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -8,172 +8,193 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-// client is what is kept of one request's client.
+// client is the state of one request's client.
 type client struct {
-	first time.Duration // when its first try was sent
-	try   int           // under way; -1 is none
-	over  bool
+	firstSent   time.Duration
+	openAttempt int // the last one; -1 before the first
+	done        bool
 }
 
-// try is what is kept of a try beside its trace.
-type try struct {
-	sidecar  int           // -1: straight to a box
-	life     int           // of that sidecar when it took the try
-	deadline time.Duration // the sidecar's
-	parent   int           // visit that it is a call of; -1 is none
-	sent     int           // attempts that the decisions asked for
-	taken    bool
-	decided  bool          // the sidecar has given its final answer
-	at       time.Duration // when it had
-	ended    bool          // for the client
-	result   trace.Status
-	code     int
-	advice   time.Duration
-	box      int
-	attempts int // how many, and the last of them
-	attempt  int
-	baggage  string                // that its caller passed on
-	account  *budget.RequestBudget // at its sidecar, while it keeps accounts
-	tried    budget.AttemptReport
+// clientAttempt is the state of an attempt of a client, or of an endpoint's call, beside its trace.
+type clientAttempt struct {
+	sidecar       int           // -1: straight to an endpoint
+	incarnation   int           // of that sidecar when it accepted the attempt
+	deadline      time.Duration // at the sidecar
+	callerRequest int           // the endpoint request that it is a call of; -1 is none
+	balancerSends int           // upstream attempts that the balancer asked for
+	accepted      bool
+	decided       bool          // the final response is sent, or the client has gone
+	decidedAt     time.Duration // when
+	ended         bool          // for the client
+	status        trace.Status
+	code          int
+	retryAfter    time.Duration
+	endpoint      int
+	upstreamCount int
+	lastUpstream  int                   // -1 is none
+	baggage       string                // header of the budgets that its caller sent
+	budgetAccount *budget.RequestBudget // at its sidecar, while that has it open
+	retriesBelow  budget.AttemptReport
 }
 
-// arrive is a client's sending of its next try. The first tries follow each other by the plan.
-func (s *sim) arrive(request, no int) {
-	r, c := &s.p.Requests[request], &s.requests[request]
-	if no == 0 {
-		if next := request + 1; next < len(s.p.Requests) {
-			s.at(s.p.Requests[next].Due, event{kind: evArrive, a: int32(next)})
+// sendNextAttempt sends a client's next attempt. The first ones schedule each other, in the order of the plan.
+func (s *simulator) sendNextAttempt(request, number int) {
+	r, c := &s.plan.Requests[request], &s.clients[request]
+	if number == 0 {
+		if next := request + 1; next < len(s.plan.Requests) {
+			s.schedule(s.plan.Requests[next].Due, event{kind: eventClientSends, index: int32(next)})
 		}
-		c.first, c.try = s.now, -1
-		if r.Leaves > 0 {
-			s.at(r.Due+r.Leaves, event{kind: evLeave, a: int32(request)})
+		c.firstSent, c.openAttempt = s.now, -1
+		if r.CancelAfter > 0 {
+			s.schedule(r.Due+r.CancelAfter, event{kind: eventClientCancels, index: int32(request)})
 		}
 	}
-	if c.over {
+	if c.done {
 		return
 	}
-	t := trace.ClientAttempt{TransactionID: s.p.Txn(request, no), Request: request, Number: no, Class: r.Class, Due: r.Due, Sent: s.now,
-		Timeout: s.p.Left(request, s.now), Ended: trace.Unset, Endpoint: -1, Sidecar: -1}
+	attempt := trace.ClientAttempt{
+		TransactionID: s.plan.TransactionID(request, number),
+		Request:       request,
+		Number:        number,
+		Class:         r.Class,
+		Due:           r.Due,
+		Sent:          s.now,
+		Timeout:       s.plan.AttemptTimeout(request, s.now),
+		Ended:         trace.Unset,
+		Endpoint:      -1,
+		Sidecar:       -1,
+	}
 	if s.sidecars != nil {
-		t.Sidecar = s.p.Choose(request, no, func(i int) bool { return s.sidecars[i].able })
+		attempt.Sidecar = s.plan.ChooseSidecar(request, number, func(i int) bool { return s.sidecars[i].admitted })
 	}
-	c.try = s.send(t, -1)
-	if s.sidecars != nil && t.Sidecar < 0 {
-		s.endTry(c.try, trace.StatusConnectFailed)
+	c.openAttempt = s.startAttempt(attempt, -1)
+	if s.sidecars != nil && attempt.Sidecar < 0 {
+		s.finishAttempt(c.openAttempt, trace.StatusConnectFailed)
 	}
 }
 
-// send starts a try, of a client or of a box.
-func (s *sim) send(t trace.ClientAttempt, parent int) int {
-	i := len(s.tries)
-	s.log.ClientAttempts = append(s.log.ClientAttempts, t)
-	s.tries = append(s.tries, try{sidecar: t.Sidecar, parent: parent, box: -1, attempt: -1, deadline: t.Sent + t.Timeout})
-	if s.sidecars != nil && t.Sidecar < 0 {
-		return i
-	}
-	// An answer is in time until the slack is over, as the judges count.
-	s.later(t.Sent+t.Timeout+s.p.Scenario.Rules.AnswerSlack.D(), t.Class, event{kind: evTryEnd, a: int32(i)})
+// startAttempt starts an attempt, of a client or of an endpoint's request.
+func (s *simulator) startAttempt(attempt trace.ClientAttempt, callerRequest int) int {
+	attemptIndex := len(s.clientAttempts)
+	s.log.ClientAttempts = append(s.log.ClientAttempts, attempt)
+	s.clientAttempts = append(s.clientAttempts, clientAttempt{
+		sidecar:       attempt.Sidecar,
+		callerRequest: callerRequest,
+		endpoint:      -1,
+		lastUpstream:  -1,
+		deadline:      attempt.Sent + attempt.Timeout,
+	})
+	if s.sidecars != nil && attempt.Sidecar < 0 {
+		return attemptIndex
+	}
+	// A response is in time until the slack has passed, as the judges count.
+	abortAt := attempt.Sent + attempt.Timeout + s.plan.Scenario.Rules.ResponseSlack.D()
+	s.scheduleTimeout(abortAt, attempt.Class, event{kind: eventAttemptTimeout, index: int32(attemptIndex)})
 	if s.sidecars == nil {
-		s.plainSend(i)
-		return i
+		s.sendRoundRobin(attemptIndex)
+		return attemptIndex
 	}
-	s.at(s.now+s.delay, event{kind: evTryAtSidecar, a: int32(i)})
-	return i
+	s.schedule(s.now+s.delay, event{kind: eventAttemptAtSidecar, index: int32(attemptIndex)})
+	return attemptIndex
 }
 
-// plainSend has a client go straight to the next listed box.
-func (s *sim) plainSend(i int) {
-	tier := s.log.ClientAttempts[i].Tier
-	for range s.boxes {
-		s.round = (s.round + 1) % len(s.boxes)
-		if s.listed[s.round] && s.p.Boxes[s.round].Tier == tier {
-			s.startAttempt(i, s.round, s.tries[i].deadline, "", 0)
+// sendRoundRobin has a client send to the next listed endpoint, with the plain policy.
+func (s *simulator) sendRoundRobin(attemptIndex int) {
+	tier := s.log.ClientAttempts[attemptIndex].Tier
+	for range s.endpoints {
+		s.roundRobin = (s.roundRobin + 1) % len(s.endpoints)
+		if s.listed[s.roundRobin] && s.plan.Endpoints[s.roundRobin].Tier == tier {
+			s.sendUpstream(attemptIndex, s.roundRobin, s.clientAttempts[attemptIndex].deadline, "", 0)
 			return
 		}
 	}
-	s.reply(i, trace.StatusConnectFailed, 0, 0, -1)
+	s.replyToClient(attemptIndex, trace.StatusConnectFailed, 0, 0, -1)
 }
 
-// tryRunsOut is the end of a client's patience with a try.
-func (s *sim) tryRunsOut(i int) {
-	if s.tries[i].ended {
+// attemptTimesOut is a client's time-out of an attempt.
+func (s *simulator) attemptTimesOut(attemptIndex int) {
+	if s.clientAttempts[attemptIndex].ended {
 		return
 	}
-	s.endTry(i, trace.StatusTimedOut)
-	s.at(s.now+s.delay, event{kind: evGone, a: int32(i)})
+	s.finishAttempt(attemptIndex, trace.StatusTimedOut)
+	s.schedule(s.now+s.delay, event{kind: eventCancelAtSidecar, index: int32(attemptIndex)})
 }
 
-// leave is a client's going before its time is up.
-func (s *sim) leave(request int) {
-	c := &s.requests[request]
-	if c.over {
+// clientCancels is a client's cancellation before its deadline.
+func (s *simulator) clientCancels(request int) {
+	c := &s.clients[request]
+	if c.done {
 		return
 	}
-	if c.try < 0 || s.tries[c.try].ended { // between two tries
-		c.over = true
-		s.open--
+	if c.openAttempt < 0 || s.clientAttempts[c.openAttempt].ended { // between two attempts
+		c.done = true
+		s.unfinishedRequests--
 		return
 	}
-	i := c.try
-	s.endTry(i, trace.StatusCanceled)
-	s.at(s.now+s.delay, event{kind: evGone, a: int32(i)})
+	attemptIndex := c.openAttempt
+	s.finishAttempt(attemptIndex, trace.StatusCanceled)
+	s.schedule(s.now+s.delay, event{kind: eventCancelAtSidecar, index: int32(attemptIndex)})
 }
 
-// reply is a final answer on its way to the client.
-func (s *sim) reply(i int, status trace.Status, code int, advice time.Duration, box int) {
-	t := &s.tries[i]
-	if t.decided {
+// replyToClient sends the final response of an attempt.
+func (s *simulator) replyToClient(attemptIndex int, status trace.Status, code int, retryAfter time.Duration, endpointIndex int) {
+	attempt := &s.clientAttempts[attemptIndex]
+	if attempt.decided {
 		return
 	}
-	t.decided, t.at, t.result, t.code, t.advice, t.box = true, s.now, status, code, advice, box
-	s.closeAccount(i, status == trace.StatusServed && s.now <= s.log.ClientAttempts[i].Sent+s.p.Scenario.Class[s.log.ClientAttempts[i].Class].Aim.D())
-	s.at(s.now+s.delay, event{kind: evAnswer, a: int32(i)})
+	attempt.decided, attempt.decidedAt = true, s.now
+	attempt.status, attempt.code, attempt.retryAfter, attempt.endpoint = status, code, retryAfter, endpointIndex
+	logged := &s.log.ClientAttempts[attemptIndex]
+	inTarget := s.now <= logged.Sent+s.plan.Scenario.Classes[logged.Class].TargetLatency.D()
+	s.closeAccount(attemptIndex, status == trace.StatusServed && inTarget)
+	s.schedule(s.now+s.delay, event{kind: eventResponseAtClient, index: int32(attemptIndex)})
 }
 
-// answered is a final answer's arrival.
-func (s *sim) answered(i int) {
-	t, l := &s.tries[i], &s.log.ClientAttempts[i]
-	if t.ended {
+// deliverResponse is the arrival of the final response at its client.
+func (s *simulator) deliverResponse(attemptIndex int) {
+	attempt, logged := &s.clientAttempts[attemptIndex], &s.log.ClientAttempts[attemptIndex]
+	if attempt.ended {
 		return
 	}
-	l.Code, l.RetryAfter, l.Endpoint, l.ReportedAttempts = t.code, t.advice, t.box, t.tried
-	if t.code > 0 {
-		l.Responses = 1
+	logged.Code, logged.RetryAfter = attempt.code, attempt.retryAfter
+	logged.Endpoint, logged.ReportedAttempts = attempt.endpoint, attempt.retriesBelow
+	if attempt.code > 0 {
+		logged.Responses = 1
 	}
-	s.endTry(i, t.result)
+	s.finishAttempt(attemptIndex, attempt.status)
 }
 
-// endTry is the end of a try for its client, which may try again; or for the box that made the call.
-func (s *sim) endTry(i int, status trace.Status) {
-	t, l := &s.tries[i], &s.log.ClientAttempts[i]
-	if t.ended {
+// finishAttempt ends an attempt for its client, which may retry, or for the endpoint that made the call.
+func (s *simulator) finishAttempt(attemptIndex int, status trace.Status) {
+	attempt, logged := &s.clientAttempts[attemptIndex], &s.log.ClientAttempts[attemptIndex]
+	if attempt.ended {
 		return
 	}
-	t.ended = true
-	l.Status, l.Ended = status, s.now
-	if t.parent >= 0 {
-		s.returned(t.parent, status == trace.StatusServed, l.ReportedAttempts)
+	attempt.ended = true
+	logged.Status, logged.Ended = status, s.now
+	if attempt.callerRequest >= 0 {
+		s.finishCall(attempt.callerRequest, status == trace.StatusServed, logged.ReportedAttempts)
 		return
 	}
-	c := &s.requests[l.Request]
-	at, again := s.p.Retry(l, c.first)
-	if r := &s.p.Requests[l.Request]; r.Leaves > 0 && at >= r.Due+r.Leaves && again {
-		at, again = 0, false
+	c := &s.clients[logged.Request]
+	at, retries := s.plan.NextRetry(logged, c.firstSent)
+	if r := &s.plan.Requests[logged.Request]; r.CancelAfter > 0 && at >= r.Due+r.CancelAfter && retries {
+		at, retries = 0, false
 	}
-	if again {
-		s.at(at, event{kind: evArrive, a: int32(l.Request), b: int32(l.Number + 1)})
+	if retries {
+		s.schedule(at, event{kind: eventClientSends, index: int32(logged.Request), argument: int32(logged.Number + 1)})
 		return
 	}
-	c.over = true
-	s.open--
+	c.done = true
+	s.unfinishedRequests--
 }
 
-// codeFor is HTTP's status of an answer that the sidecar words itself.
-func codeFor(refused bool, left time.Duration) (trace.Status, int) {
+// localStatus returns the status of a response that the sidecar makes itself.
+func localStatus(rejected bool, remaining time.Duration) (trace.Status, int) {
 	switch {
-	case refused:
+	case rejected:
 		return trace.StatusRejected, http.StatusServiceUnavailable
-	case left < 50*time.Millisecond:
+	case remaining < minGatewayTimeLeft:
 		return trace.StatusFailed, http.StatusGatewayTimeout
 	}
 	return trace.StatusFailed, http.StatusBadGateway
