--- a/internal/lab/cli/play.go
+++ b/internal/lab/cli/play.go
@@ -185,11 +185,11 @@
 func (c *playing) play(ctx context.Context, t *terminal, s *scenario.Scenario, base experiment.Config) error {
 	o, err := c.once(ctx, t, s, base, c.Out)
 	if o != nil {
-		look := result.Look{Colour: t.colour}
+		look := result.SummaryOptions{Colour: t.colour}
 		if c.Out != "" {
-			look.Report = filepath.Join(c.Out, "report.html")
+			look.ReportPath = filepath.Join(c.Out, "report.html")
 		}
-		if err := result.Summary(t.out, o.Result, look); err != nil {
+		if err := result.WriteSummary(t.out, o.Result, look); err != nil {
 			return err
 		}
 	}
@@ -207,9 +207,9 @@
 	switch {
 	case o.Void():
 		return exit{void, errors.New("the rig itself ran late: this run says nothing about the sidecars")}
-	case len(o.Result.Broken) > 0:
+	case len(o.Result.Violations) > 0:
 		return exit{broken, errors.New("rules were broken")}
-	case !o.Result.Held():
+	case !o.Result.Passed():
 		return exit{broken, errors.New("an expectation of the scenario did not hold")}
 	}
 	return nil
@@ -240,7 +240,7 @@
 			worst = err
 		}
 	}
-	if err := result.Lines(t.out, lines); err != nil {
+	if err := result.WriteTable(t.out, lines); err != nil {
 		return err
 	}
 	return worst
--- a/internal/lab/cli/rehearse.go
+++ b/internal/lab/cli/rehearse.go
@@ -116,16 +116,16 @@
 	case o.Void():
 		return nil, exit{void, errors.New("the rig itself ran late: the play on sockets says nothing")}
 	}
-	look := result.Look{Colour: t.colour}
+	look := result.SummaryOptions{Colour: t.colour}
 	if c.Out != "" {
-		look.Report = filepath.Join(c.Out, "report.html")
+		look.ReportPath = filepath.Join(c.Out, "report.html")
 	}
 	fmt.Fprintln(t.out)
-	if err := result.Summary(t.out, o.Result, look); err != nil || !c.Sockets {
+	if err := result.WriteSummary(t.out, o.Result, look); err != nil || !c.Sockets {
 		return nil, err
 	}
 	a := &o.Result.All
-	rows := r.Compare(calibration.Counts{All: calibration.Count{Aim: a.Served.Count, Late: a.Late.Count, Refused: a.Refused.Count, Failed: a.Failed.Count}})
+	rows := r.Compare(calibration.Counts{All: calibration.Count{Aim: a.Served.Count, Late: a.Late.Count, Refused: a.Rejected.Count, Failed: a.Failed.Count}})
 	fmt.Fprintln(t.out, "\nOn sockets:")
 	return rows, writeRows(t.out, rows, nil)
 }
--- a/internal/lab/cli/sweep.go
+++ b/internal/lab/cli/sweep.go
@@ -86,12 +86,12 @@
 	for _, v := range c.Vary {
 		fmt.Fprintf(w, "%s\t", v.Key)
 	}
-	fmt.Fprintln(w, result.MedianHead)
+	fmt.Fprintln(w, result.MedianHeader)
 	for i, v := range variants {
 		for _, word := range v.Words {
 			fmt.Fprintf(w, "%s\t", word)
 		}
-		fmt.Fprintln(w, result.MedianLine(results[i]))
+		fmt.Fprintln(w, result.MedianRow(results[i]))
 	}
 	return w.Flush()
 }
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -77,7 +77,7 @@
 		return nil, err
 	}
 	o := &Outcome{Plan: p, Log: log, Verdict: judge.Judge(p, log)}
-	o.Result = result.Of(p, log, broken(&o.Verdict), meta)
+	o.Result = result.New(p, log, broken(&o.Verdict), meta)
 	return o, ended
 }
 
@@ -90,19 +90,19 @@
 }
 
 // Void says whether the rig itself ran late, so that the figures say nothing.
-func (o *Outcome) Void() bool { return o.Result.Rig.Void }
+func (o *Outcome) Void() bool { return o.Result.Harness.Void }
 
 // broken puts a verdict into a result's words.
-func broken(v *judge.Verdict) []result.Broken {
-	var out []result.Broken
+func broken(v *judge.Verdict) []result.Violation {
+	var out []result.Violation
 	for _, kind := range judge.Kinds {
 		if v.Counts[kind] == 0 {
 			continue
 		}
-		b := result.Broken{Kind: string(kind), Count: v.Counts[kind]}
+		b := result.Violation{Kind: string(kind), Count: v.Counts[kind]}
 		for i := range v.Violations {
 			if r := &v.Violations[i]; r.Kind == kind {
-				b.Stories = append(b.Stories, append([]string{r.Text}, r.Timeline...))
+				b.Timelines = append(b.Timelines, append([]string{r.Text}, r.Timeline...))
 			}
 		}
 		out = append(out, b)
--- a/internal/lab/loopback/audit_test.go
+++ b/internal/lab/loopback/audit_test.go
@@ -92,7 +92,7 @@
 			}},
 		{"all are killed while they adopt", lengthLine("20s") + auditedFleet + onDisk + drainAt("8s") + faultAt("sidecar_kill", "9s", "share = 1.0\nstep = \"30ms\"\nback = \"1s\""),
 			lengthLine("20s") + auditedFleet + trails + drainAt("8s") + faultAt("sidecar_kill", "9s", "share = 1.0\nstep = \"30ms\"\nback = \"1s\""), func(o *processPlay) bool {
-				v := o.res.Audited.Trails
+				v := o.res.Audit.AuditLogs
 				return v.Contradicted == 0 && v.Missing == 0 && len(v.UnreadSidecars) == 0 && v.Unambiguous > 0
 			}},
 		{"a minimum version that nobody meets shuts nobody out", lengthLine("36s") + auditedFleet + trails + auditor + shuts + cutOff + drainedEndpoints, halfShutOut, func(o *processPlay) bool {
@@ -108,7 +108,7 @@
 		t.Run(r.name, func(t *testing.T) {
 			for how, text := range map[bool]string{true: r.with, false: r.without} {
 				if got := r.holds(plays[text]); got != how {
-					t.Errorf("with the mechanism %v: it holds %v; %+v; trails %+v", how, got, *plays[text].res.Audited, plays[text].res.Audited.Trails)
+					t.Errorf("with the mechanism %v: it holds %v; %+v; trails %+v", how, got, *plays[text].res.Audit, plays[text].res.Audit.AuditLogs)
 				}
 			}
 		})
@@ -161,7 +161,7 @@
 		holds func(o *processPlay) bool
 	}{
 		{"the disk is full", lengthLine("12s") + auditedFleet + onDisk + drainAt("6s") + faultAt("disk_full", "0s", "share = 1.0"), func(o *processPlay) bool {
-			return o.res.Audited.Trails != nil && o.countLogs("no space left") == 12 && o.countServed(8*time.Second) == 12
+			return o.res.Audit.AuditLogs != nil && o.countLogs("no space left") == 12 && o.countServed(8*time.Second) == 12
 		}},
 		{"the list service counts from 1 again", lengthLine("34s") + auditedFleet + trails + auditor + shuts + drainAt("4s") +
 			listFault("forget", "10s", "1s", "") + "[[fault]]\nkind = \"crash\"\nat = \"13s\"\nboxes = 1\n", func(o *processPlay) bool {
@@ -180,7 +180,7 @@
 		t.Run(r.name, func(t *testing.T) {
 			if o := plays[r.text]; !r.holds(o) {
 				t.Errorf("%+v; %s; %d said that the disk is full, %d served after 8 s; void: %q",
-					*o.res.Audited, o.lastRound("a"), o.countLogs("no space left"), o.countServed(8*time.Second), o.res.Rig.Why)
+					*o.res.Audit, o.lastRound("a"), o.countLogs("no space left"), o.countServed(8*time.Second), o.res.Harness.Reason)
 			}
 		})
 	}
@@ -192,14 +192,14 @@
 	if o.verdict.Counts[judge.SidecarCrash] > 0 {
 		o.t.Errorf("%v", firstStories(o.verdict))
 	}
-	if o.res.Rig.Void {
-		o.t.Logf("the rig ran late: %s", o.res.Rig.Why)
+	if o.res.Harness.Void {
+		o.t.Logf("the rig ran late: %s", o.res.Harness.Reason)
 	}
-	a := o.res.Audited
+	a := o.res.Audit
 	if a == nil {
 		return
 	}
-	if v := a.Trails; v != nil && v.Contradicted > 0 {
+	if v := a.AuditLogs; v != nil && v.Contradicted > 0 {
 		o.t.Errorf("trails: %+v", *v)
 	}
 	for name, f := range a.Auditors {
--- a/internal/lab/loopback/overload_test.go
+++ b/internal/lab/loopback/overload_test.go
@@ -55,14 +55,14 @@
 		holds   func(o *processPlay) bool
 	}{
 		{"the service is back after a while", pollLimits + noKnownList, noKnownList, listFault("down", "0s", "1500ms", ""), func(o *processPlay) bool {
-			return o.res.Together.Turned == 0 && o.res.Together.Unready == 0 && o.res.Together.Unheard == 0
+			return o.res.FleetLoad.RejectedPolls == 0 && o.res.FleetLoad.NeverReady == 0 && o.res.FleetLoad.NeverListed == 0
 		}},
 		{"a third is killed in the middle, and comes again", pollLimits + noKnownList, noKnownList,
 			listFault("down", "0s", "1s", "") + "[[fault]]\nkind = \"sidecar_kill\"\nat = \"2s\"\nboxes = 4\nback = \"1s\"\n", func(o *processPlay) bool {
-				return o.res.Together.Turned == 0 && o.res.Together.Unready == 0 && o.res.Together.Unheard == 0 && o.countEvents(trace.SidecarStarted) == 16
+				return o.res.FleetLoad.RejectedPolls == 0 && o.res.FleetLoad.NeverReady == 0 && o.res.FleetLoad.NeverListed == 0 && o.countEvents(trace.SidecarStarted) == 16
 			}},
 		{"down for good, with a list that is known", pollLimits + freshKnownList, pollLimits + noKnownList, listFault("down", "0s", "20s", ""), func(o *processPlay) bool {
-			return o.res.Together.Unready == 0 && o.served() > 0
+			return o.res.FleetLoad.NeverReady == 0 && o.served() > 0
 		}},
 		{"all are stopped in the middle of their first call", pollLimits + noKnownList, noKnownList,
 			listFault("slow", "0s", "5s", "back = \"3s\"") + "[[fault]]\nkind = \"sidecar_pause\"\nat = \"2500ms\"\nshare = 1.0\nfor = \"4s\"\n", func(o *processPlay) bool {
@@ -70,7 +70,7 @@
 			}},
 		{"half are cut off from the service, and healed", pollLimits + freshKnownList, freshKnownList,
 			"[[fault]]\nkind = \"link_cut\"\nof = \"list\"\nat = \"500ms\"\nfor = \"4s\"\nboxes = 6\n", func(o *processPlay) bool {
-				return o.res.Together.Turned == 0 && o.res.Together.Unready == 0 && o.res.Together.Unheard == 0
+				return o.res.FleetLoad.RejectedPolls == 0 && o.res.FleetLoad.NeverReady == 0 && o.res.FleetLoad.NeverListed == 0
 			}},
 		// Each asks again 1.5 s after the empty list, and would take it after 2.5 s: most must have come to that.
 		{"an empty list at first", strings.Replace(pollLimits, "calls = 5", "calls = 8", 1) + freshKnownList, freshKnownList,
@@ -85,14 +85,14 @@
 				if o.verdict.Counts[judge.SidecarCrash] > 0 || o.verdict.Counts[judge.LostRequest] > 0 {
 					t.Errorf("%v", firstStories(o.verdict))
 				}
-				if o.res.Rig.Void {
-					t.Logf("the rig ran late: %s", o.res.Rig.Why)
+				if o.res.Harness.Void {
+					t.Logf("the rig ran late: %s", o.res.Harness.Reason)
 				}
-				if !how && o.res.Rig.Void { // a machine that is too busy for an overload shows nothing of what prevents one
+				if !how && o.res.Harness.Void { // a machine that is too busy for an overload shows nothing of what prevents one
 					continue
 				}
 				if got := c.holds(o); got != how {
-					t.Errorf("with the mechanism %v: it holds %v; %+v", how, got, *o.res.Together)
+					t.Errorf("with the mechanism %v: it holds %v; %+v", how, got, *o.res.FleetLoad)
 				}
 			}
 		})
@@ -120,7 +120,7 @@
 		t.Fatal(err)
 	}
 	o.verdict = judge.Judge(p, o.played)
-	o.res = result.Of(p, o.played, nil, result.Meta{Player: "sockets"})
+	o.res = result.New(p, o.played, nil, result.Meta{Player: "sockets"})
 	return o
 }
 
--- a/internal/lab/report/bands.go
+++ b/internal/lab/report/bands.go
@@ -19,15 +19,15 @@
 }
 
 // bandsOf gives each fault a lane in which neither its bar nor its label meets another's.
-func bandsOf(marks []result.Mark, x func(float64) float64) (out []band, lanes int) {
-	out, lanes = pack(marks, x, func(i int) string { return fmt.Sprintf("%d %s", i+1, marks[i].What) })
+func bandsOf(marks []result.FaultImpact, x func(float64) float64) (out []band, lanes int) {
+	out, lanes = pack(marks, x, func(i int) string { return fmt.Sprintf("%d %s", i+1, marks[i].Description) })
 	if lanes > mostLanes {
 		out, lanes = pack(marks, x, func(i int) string { return fmt.Sprint(i + 1) })
 	}
 	return out, lanes
 }
 
-func pack(marks []result.Mark, x func(float64) float64, label func(int) string) (out []band, lanes int) {
+func pack(marks []result.FaultImpact, x func(float64) float64, label func(int) string) (out []band, lanes int) {
 	var ends []float64 // of each lane
 	for i, m := range marks {
 		b := band{from: m.From, to: m.To, label: label(i), lane: -1}
--- a/internal/lab/report/frame.go
+++ b/internal/lab/report/frame.go
@@ -26,7 +26,7 @@
 
 func newFrame(r *result.Result) *frame {
 	f := &frame{seconds: max(float64(len(r.Seconds)), 1)}
-	f.bands, f.lanes = bandsOf(r.Marks, f.x)
+	f.bands, f.lanes = bandsOf(r.FaultImpacts, f.x)
 	return f
 }
 
--- a/internal/lab/report/heat.go
+++ b/internal/lab/report/heat.go
@@ -19,13 +19,13 @@
 }{{0.25, "under ¼"}, {0.5, "to ½"}, {0.75, "to ¾"}, {1, "to 1"}, {1.5, "1 to 1½"}, {2.5, "to 2½"}, {1e300, "more"}}
 
 // sampled are the boxes whose load is known.
-func sampled(r *result.Result) []result.Box {
-	return slices.DeleteFunc(slices.Clone(r.Boxes), func(b result.Box) bool { return b.Samples == 0 })
+func sampled(r *result.Result) []result.Endpoint {
+	return slices.DeleteFunc(slices.Clone(r.Endpoints), func(b result.Endpoint) bool { return b.Samples == 0 })
 }
 
 // heat is a row for each box and a cell for each second, coloured by the work sent to it over what it could
 // do in that second.
-func heat(f *frame, all []result.Box) plot {
+func heat(f *frame, all []result.Endpoint) plot {
 	p := plot{Title: "Load of each box", About: "Work that reached it over what it could do in that second, cold starts and slowness counted."}
 	for i, step := range steps {
 		p.Legend = append(p.Legend, key{fmt.Sprintf("h%d", i), step.words})
@@ -51,19 +51,19 @@
 }
 
 // row draws one box. Neighbouring cells of one colour are one piece.
-func (f *frame) row(s *svg, b *result.Box, y, tall float64) {
+func (f *frame) row(s *svg, b *result.Endpoint, y, tall float64) {
 	cells := map[string]*strings.Builder{}
 	var cold strings.Builder
-	for from, to := 0, 0; from < len(b.Sent); from = to {
+	for from, to := 0, 0; from < len(b.SentWork); from = to {
 		class := cell(b, from)
-		for to = from + 1; to < len(b.Sent) && cell(b, to) == class; to++ {
+		for to = from + 1; to < len(b.SentWork) && cell(b, to) == class; to++ {
 		}
 		if cells[class] == nil {
 			cells[class] = &strings.Builder{}
 		}
 		fmt.Fprintf(cells[class], "M%s %sH%sv%sH%sZ", n(f.x(float64(from))), n(y+0.5), n(f.x(float64(to))), n(tall-1), n(f.x(float64(from))))
 	}
-	for i, is := range b.Cold {
+	for i, is := range b.WarmingUp {
 		if is {
 			fmt.Fprintf(&cold, "M%s %sH%s", n(f.x(float64(i))), n(y+tall-1.5), n(f.x(float64(i+1))))
 		}
@@ -79,20 +79,20 @@
 	if runes := []rune(name); len(runes) > 13 {
 		name = string(runes[:12]) + "…"
 	}
-	s.text(left-8, y+tall/2+3.5, "end", map[bool]string{true: "name fell", false: "name"}[b.Fallen], name)
+	s.text(left-8, y+tall/2+3.5, "end", map[bool]string{true: "name fell", false: "name"}[b.Collapsed], name)
 	s.put("</g>")
 }
 
 // cell is the class of a box's second.
-func cell(b *result.Box, i int) string {
+func cell(b *result.Endpoint, i int) string {
 	// A thousandth of a core is the rounding of a box that was up for some microseconds of the second.
-	if b.Could[i] < 1e-3 {
-		if b.Sent[i] > 0 {
+	if b.PossibleWork[i] < 1e-3 {
+		if b.SentWork[i] > 0 {
 			return "hit"
 		}
 		return "down"
 	}
-	load := b.Sent[i] / b.Could[i]
+	load := b.SentWork[i] / b.PossibleWork[i]
 	return fmt.Sprintf("h%d", slices.IndexFunc(steps, func(s struct {
 		below float64
 		words string
@@ -110,29 +110,29 @@
 }
 
 // rowWords is what a pointer on a row shows.
-func rowWords(b *result.Box) string {
+func rowWords(b *result.Endpoint) string {
 	peak, at := peakOf(b)
 	text := fmt.Sprintf("%s (%s): highest load %.2f, in second %d", b.Name, b.Kind, peak, at)
-	if b.Worst > 0 {
-		text += fmt.Sprintf("; while cold at most %.2f in a window", b.Worst)
+	if b.MaxColdLoad > 0 {
+		text += fmt.Sprintf("; while cold at most %.2f in a window", b.MaxColdLoad)
 	}
-	if b.Fallen {
+	if b.Collapsed {
 		text += "; fell over"
 	}
 	return text
 }
 
-func peakOf(b *result.Box) (peak float64, at int) {
-	for i := range b.Sent {
-		if b.Could[i] >= 1e-3 && b.Sent[i]/b.Could[i] > peak {
-			peak, at = b.Sent[i]/b.Could[i], i
+func peakOf(b *result.Endpoint) (peak float64, at int) {
+	for i := range b.SentWork {
+		if b.PossibleWork[i] >= 1e-3 && b.SentWork[i]/b.PossibleWork[i] > peak {
+			peak, at = b.SentWork[i]/b.PossibleWork[i], i
 		}
 	}
 	return peak, at
 }
 
 // hottest are the boxes to draw, in their order.
-func hottest(boxes []result.Box) []result.Box {
+func hottest(boxes []result.Endpoint) []result.Endpoint {
 	if len(boxes) <= mostRows {
 		return boxes
 	}
@@ -153,7 +153,7 @@
 	})
 	order = order[:mostRows]
 	slices.Sort(order)
-	out := make([]result.Box, 0, mostRows)
+	out := make([]result.Endpoint, 0, mostRows)
 	for _, i := range order {
 		out = append(out, boxes[i])
 	}
--- a/internal/lab/report/plots.go
+++ b/internal/lab/report/plots.go
@@ -19,8 +19,8 @@
 	if boxes := sampled(r); len(boxes) > 0 {
 		out = append(out, heat(f, boxes), queues(f, boxes, len(r.Seconds)))
 	}
-	if r.Together != nil {
-		out = append(out, asked(f, r.Together))
+	if r.FleetLoad != nil {
+		out = append(out, asked(f, r.FleetLoad))
 	}
 	return out
 }
@@ -38,13 +38,13 @@
 		areas := make([]strings.Builder, 5)
 		for i := range r.Seconds {
 			c := &r.Seconds[i]
-			if c.Asked == 0 {
+			if c.Requested == 0 {
 				continue
 			}
 			below := 0
-			for k, v := range []int{c.Served, c.Late, c.Refused, c.Failed, c.Gone} {
+			for k, v := range []int{c.Served, c.Late, c.Rejected, c.Failed, c.Canceled} {
 				if v > 0 {
-					column(&areas[k], f, i, y.y(float64(below+v)/float64(c.Asked)), y.y(float64(below)/float64(c.Asked)))
+					column(&areas[k], f, i, y.y(float64(below+v)/float64(c.Requested)), y.y(float64(below)/float64(c.Requested)))
 				}
 				below += v
 			}
@@ -53,10 +53,10 @@
 			s.path(areas[k].String(), "fill "+class)
 		}
 		grid(s, y, func(v float64) string { return fmt.Sprintf("%.0f%%", 100*v) })
-		service := f.curve(len(r.Seconds), y, func(i int) (float64, bool) { return r.Seconds[i].Service, r.Seconds[i].Asked > 0 })
+		service := f.curve(len(r.Seconds), y, func(i int) (float64, bool) { return r.Seconds[i].Goodput, r.Seconds[i].Requested > 0 })
 		s.path(service, "halo")
 		s.path(service, "stroke l0")
-		nothing(s, r.All.Asked == 0, top, bottom, "no request was asked")
+		nothing(s, r.All.Requested == 0, top, bottom, "no request was asked")
 	})
 	return p
 }
@@ -65,12 +65,12 @@
 func lowest(r *result.Result) float64 {
 	worst := 1.0
 	for i := range r.Seconds {
-		if c := &r.Seconds[i]; c.Asked > 0 {
-			worst = min(worst, c.Service, float64(c.Served)/float64(c.Asked))
+		if c := &r.Seconds[i]; c.Requested > 0 {
+			worst = min(worst, c.Goodput, float64(c.Served)/float64(c.Requested))
 		}
 	}
 	for _, from := range []float64{0.9, 0.8, 0.6} {
-		if r.All.Asked > 0 && worst > from+0.01 {
+		if r.All.Requested > 0 && worst > from+0.01 {
 			return from
 		}
 	}
@@ -113,9 +113,9 @@
 		y.top, y.bottom = top, bottom
 		grid(s, y, word)
 		for k, line := range lines {
-			s.path(f.curve(len(r.Seconds), y, func(i int) (float64, bool) { return line(&r.Seconds[i]), r.Seconds[i].Asked > 0 }), "stroke "+p.Legend[k].Class)
+			s.path(f.curve(len(r.Seconds), y, func(i int) (float64, bool) { return line(&r.Seconds[i]), r.Seconds[i].Requested > 0 }), "stroke "+p.Legend[k].Class)
 		}
-		nothing(s, r.All.Asked == 0, top, bottom, "no request was asked")
+		nothing(s, r.All.Requested == 0, top, bottom, "no request was asked")
 	})
 	return p
 }
@@ -123,8 +123,8 @@
 func rates(f *frame, r *result.Result) plot {
 	p := plot{Title: "Requests, tries and refusals", About: "A second: requests due, the tries that their clients made of them, and the answers 503 or 429 that they got.",
 		Legend: []key{{"l1", "requests"}, {"l2", "tries"}, {"l3", "refusals"}}}
-	return curves(f, r, p, 4, short, func(c *result.Second) float64 { return float64(c.Asked) },
-		func(c *result.Second) float64 { return float64(c.Tries) }, func(c *result.Second) float64 { return float64(c.Refusals) })
+	return curves(f, r, p, 4, short, func(c *result.Second) float64 { return float64(c.Requested) },
+		func(c *result.Second) float64 { return float64(c.ClientAttempts) }, func(c *result.Second) float64 { return float64(c.Rejections) })
 }
 
 func attempts(f *frame, r *result.Result) plot {
@@ -132,10 +132,10 @@
 	var lines []func(*result.Second) float64
 	for t, name := range r.Tiers {
 		p.Legend = append(p.Legend, key{fmt.Sprintf("l%d", t+1), "attempts at " + name})
-		lines = append(lines, func(c *result.Second) float64 { return float64(c.Visits[t]) / float64(max(c.Asked, 1)) })
+		lines = append(lines, func(c *result.Second) float64 { return float64(c.EndpointRequests[t]) / float64(max(c.Requested, 1)) })
 	}
 	p.Legend = append(p.Legend, key{"l3", "second copies"})
-	lines = append(lines, func(c *result.Second) float64 { return float64(c.Copies) / float64(max(c.Asked, 1)) })
+	lines = append(lines, func(c *result.Second) float64 { return float64(c.Hedges) / float64(max(c.Requested, 1)) })
 	return curves(f, r, p, 1, short, lines...)
 }
 
@@ -152,7 +152,7 @@
 	}
 	var aims []float64
 	if low > 0 {
-		for _, aim := range r.Aims[:min(len(r.Aims), mostAims)] {
+		for _, aim := range r.TargetLatencies[:min(len(r.TargetLatencies), mostAims)] {
 			aims, low, high = append(aims, aim), min(low, aim), max(high, aim)
 		}
 	}
@@ -179,7 +179,7 @@
 }
 
 // queues is how many requests are in work at boxes and wait there.
-func queues(f *frame, boxes []result.Box, seconds int) plot {
+func queues(f *frame, boxes []result.Endpoint, seconds int) plot {
 	p := plot{Title: "Queues", About: "Requests in work at boxes, and those that wait there for a slot; means of each second.",
 		Legend: []key{{"l1", "in work, mean of all boxes"}, {"l2", "in work, most of any box"}, {"l3", "waiting, longest queue of any box"}}}
 	mean, most, longest := make([]float64, seconds), make([]float64, seconds), make([]float64, seconds)
@@ -187,9 +187,9 @@
 	for i := range seconds {
 		for b := range boxes {
 			box := &boxes[b]
-			mean[i] += box.InWork[i] / float64(len(boxes))
-			most[i] = max(most[i], box.InWork[i])
-			longest[i] = max(longest[i], box.Waiting[i])
+			mean[i] += box.Running[i] / float64(len(boxes))
+			most[i] = max(most[i], box.Running[i])
+			longest[i] = max(longest[i], box.Queued[i])
 		}
 		highest = max(highest, most[i], longest[i])
 	}
@@ -205,14 +205,14 @@
 }
 
 // asked is what the list service and the boxes had from all processes together.
-func asked(f *frame, t *result.Together) plot {
+func asked(f *frame, t *result.FleetLoad) plot {
 	p := plot{Title: "Calls and connections", About: "In each 100 ms: calls at the list service, and new connections at the box that had the most.",
 		Legend: []key{{"l1", "calls at the list service"}, {"l2", "new connections at one box"}}}
-	y := upTo(float64(max(t.Peak, t.AtBox)), 4)
+	y := upTo(float64(max(t.MaxPolls, t.MaxEndpointConnections)), 4)
 	p.SVG = f.draw(plotTall, p.Title, ofBoxes, func(s *svg, top, bottom float64) {
 		y.top, y.bottom = top, bottom
 		grid(s, y, short)
-		for k, steps := range [][]int{t.Steps, t.Opened} {
+		for k, steps := range [][]int{t.PollCounts, t.EndpointConnectionCounts} {
 			var line strings.Builder
 			for i, count := range steps {
 				fmt.Fprintf(&line, "%c%s %s", "ML"[min(i, 1)], n(f.x((float64(i)+0.5)/10)), n(y.y(float64(count))))
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -49,9 +49,9 @@
 // Page is the page's text.
 func Page(r *result.Result) ([]byte, error) {
 	var out bytes.Buffer
-	v := view{Result: r, Plots: plots(r), Verdict: verdict(r), Held: r.Held() && !r.Rig.Void}
-	for _, b := range r.Boxes {
-		if b.Fallen || b.Worst > 0 {
+	v := view{Result: r, Plots: plots(r), Verdict: verdict(r), Held: r.Passed() && !r.Harness.Void}
+	for _, b := range r.Endpoints {
+		if b.Collapsed || b.MaxColdLoad > 0 {
 			v.Pressed = append(v.Pressed, b)
 		}
 	}
@@ -67,31 +67,31 @@
 	Plots   []plot
 	Verdict string
 	Held    bool
-	Pressed []result.Box // that were cold at some time or fell over
+	Pressed []result.Endpoint // that were cold at some time or fell over
 }
 
 // verdict is the run in a sentence.
 func verdict(r *result.Result) string {
 	broken, missed := 0, 0
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		broken += b.Count
 	}
-	for _, e := range r.Expect {
-		if !e.Held {
+	for _, e := range r.Expectations {
+		if !e.Met {
 			missed++
 		}
 	}
 	switch {
-	case r.Rig.Void:
-		return "Void: the rig itself ran late, so this run says nothing. " + r.Rig.Why + "."
+	case r.Harness.Void:
+		return "Void: the rig itself ran late, so this run says nothing. " + r.Harness.Reason + "."
 	case broken > 0 && missed > 0:
-		return fmt.Sprintf("Rules were broken (%d times), and %d of %d expectations did not hold.", broken, missed, len(r.Expect))
+		return fmt.Sprintf("Rules were broken (%d times), and %d of %d expectations did not hold.", broken, missed, len(r.Expectations))
 	case broken > 0:
 		return fmt.Sprintf("Rules were broken (%d times).", broken)
 	case missed > 0:
-		return fmt.Sprintf("All rules were kept, but %d of %d expectations did not hold.", missed, len(r.Expect))
-	case len(r.Expect) > 0:
-		return fmt.Sprintf("All rules were kept and every expectation (%d) held.", len(r.Expect))
+		return fmt.Sprintf("All rules were kept, but %d of %d expectations did not hold.", missed, len(r.Expectations))
+	case len(r.Expectations) > 0:
+		return fmt.Sprintf("All rules were kept and every expectation (%d) held.", len(r.Expectations))
 	}
 	return "All rules were kept."
 }
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -14,27 +14,27 @@
 func incident(boxes, seconds int) *result.Result {
 	some, most := 0.9, 0.4
 	r := &result.Result{Scenario: "bad <morning>", Player: "sockets", Length: float64(seconds), Tiers: []string{"front"}, Sidecars: 1,
-		Builds: []string{"one"}, Aims: []float64{100, 110, 2000},
-		Marks: []result.Mark{{What: "hang front-1", From: 2, To: 6, Before: &some}, {What: "slow front-2, front-3", From: 4, To: 8},
-			{What: "discovery moves & more", From: 5, To: 5.001}},
-		Expect:   []result.Expect{{What: "p99", Most: &most, Measured: &some}, {What: "served", Least: &most}},
-		Broken:   []result.Broken{{Kind: "twice", Count: 2, Stories: [][]string{{"1 s: asked", "2 s: <answered> twice"}}}},
-		Together: &result.Together{Peak: 40, AtBox: 7, Steps: []int{40, 2}, Opened: []int{0, 7, 1}},
-		Usage:    []result.Usage{{Sidecar: "n1", CPU: 1.5, PeakMemory: 20, Descriptors: 9}}}
-	r.All = result.Figures{Asked: 100 * seconds, Attempts: []float64{1.1}, Latency: &result.Latency{P50: 12}}
+		Builds: []string{"one"}, TargetLatencies: []float64{100, 110, 2000},
+		FaultImpacts: []result.FaultImpact{{Description: "hang front-1", From: 2, To: 6, Before: &some}, {Description: "slow front-2, front-3", From: 4, To: 8},
+			{Description: "discovery moves & more", From: 5, To: 5.001}},
+		Expectations: []result.Expectation{{What: "p99", Max: &most, Measured: &some}, {What: "served", Min: &most}},
+		Violations:   []result.Violation{{Kind: "twice", Count: 2, Timelines: [][]string{{"1 s: asked", "2 s: <answered> twice"}}}},
+		FleetLoad:    &result.FleetLoad{MaxPolls: 40, MaxEndpointConnections: 7, PollCounts: []int{40, 2}, EndpointConnectionCounts: []int{0, 7, 1}},
+		Usage:        []result.Usage{{Sidecar: "n1", CPU: 1.5, PeakMemory: 20, MaxDescriptors: 9}}}
+	r.All = result.Figures{Requested: 100 * seconds, EndpointRequests: []float64{1.1}, Latency: &result.Latency{P50: 12}}
 	for i := range seconds {
-		r.Seconds = append(r.Seconds, result.Second{At: i, Asked: 100, Served: 80, Late: 10, Refused: 5, Failed: 3, Gone: 2, Service: 0.8,
-			Tries: 120, Visits: []int{110}, P50: 12, P99: 150})
+		r.Seconds = append(r.Seconds, result.Second{At: i, Requested: 100, Served: 80, Late: 10, Rejected: 5, Failed: 3, Canceled: 2, Goodput: 0.8,
+			ClientAttempts: 120, EndpointRequests: []int{110}, P50: 12, P99: 150})
 	}
 	for i := range boxes {
-		b := result.Box{Name: fmt.Sprintf("front-%d", i+1), Samples: 10 * seconds, Sent: make([]float64, seconds), Could: make([]float64, seconds),
-			InWork: make([]float64, seconds), Waiting: make([]float64, seconds), Cold: make([]bool, seconds)}
+		b := result.Endpoint{Name: fmt.Sprintf("front-%d", i+1), Samples: 10 * seconds, SentWork: make([]float64, seconds), PossibleWork: make([]float64, seconds),
+			Running: make([]float64, seconds), Queued: make([]float64, seconds), WarmingUp: make([]bool, seconds)}
 		for s := range seconds {
-			b.Could[s], b.Sent[s] = float64(s%4), float64((i+s)%9)/2
+			b.PossibleWork[s], b.SentWork[s] = float64(s%4), float64((i+s)%9)/2
 		}
-		r.Boxes = append(r.Boxes, b)
+		r.Endpoints = append(r.Endpoints, b)
 	}
-	r.Boxes[0].Fallen, r.Boxes[0].Worst, r.Boxes[0].Cold[0] = true, 2.6, true
+	r.Endpoints[0].Collapsed, r.Endpoints[0].MaxColdLoad, r.Endpoints[0].WarmingUp[0] = true, 2.6, true
 	return r
 }
 
@@ -88,17 +88,17 @@
 
 func TestManyFaultsAreNumbers(t *testing.T) {
 	f := &frame{seconds: 20}
-	var marks []result.Mark
+	var marks []result.FaultImpact
 	for i := range 3 * mostLanes {
-		marks = append(marks, result.Mark{What: "crash of a box with a long name", From: float64(i) / 4, To: 19})
+		marks = append(marks, result.FaultImpact{Description: "crash of a box with a long name", From: float64(i) / 4, To: 19})
 	}
 	bands, lanes := bandsOf(marks, f.x)
 	if bands[8].label != "9" || lanes != len(marks) {
 		t.Errorf("%+v in %d lanes", bands, lanes)
 	}
-	for _, m := range []result.Mark{{From: 0, To: 0.1}, {From: 10, To: 11}, {From: 19.9, To: 20}} {
-		m.What = "a label that is wider than its bar"
-		bands, _ := bandsOf([]result.Mark{m}, f.x)
+	for _, m := range []result.FaultImpact{{From: 0, To: 0.1}, {From: 10, To: 11}, {From: 19.9, To: 20}} {
+		m.Description = "a label that is wider than its bar"
+		bands, _ := bandsOf([]result.FaultImpact{m}, f.x)
 		if from, to := bands[0].extent(f.x); from < left || to > width-right+3 {
 			t.Errorf("%+v goes from %v to %v", m, from, to)
 		}
--- a/internal/lab/result/box.go
+++ b/internal/lab/result/endpoint.go
@@ -8,11 +8,11 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-// boxLog is one box's samples, by time.
-type boxLog []trace.Sample
+// endpointSamples is one box's samples, by time.
+type endpointSamples []trace.Sample
 
-func boxesOf(p *plan.Plan, log *trace.Log) []boxLog {
-	out := make([]boxLog, len(p.Boxes))
+func samplesByEndpoint(p *plan.Plan, log *trace.Log) []endpointSamples {
+	out := make([]endpointSamples, len(p.Boxes))
 	for _, s := range log.Samples {
 		if s.Endpoint >= 0 && s.Endpoint < len(out) {
 			out[s.Endpoint] = append(out[s.Endpoint], s)
@@ -24,31 +24,31 @@
 	return out
 }
 
-func (b boxLog) box(p *plan.Plan, i, seconds int) Box {
+func (b endpointSamples) summarize(p *plan.Plan, i, seconds int) Endpoint {
 	of := &p.Boxes[i]
-	out := Box{Name: of.Name, Tier: of.Tier, Kind: of.Kind, Cores: of.Spec.Cores, Samples: len(b), Fallen: b.fell(0, longest),
-		Worst: b.worst(p.Scenario.Rules.FallWindow.D(), 0, longest)}
-	out.Sent = b.perSecond(seconds, func(s *trace.Sample) time.Duration { return s.SentWork })
-	out.Could = b.perSecond(seconds, func(s *trace.Sample) time.Duration { return s.PossibleWork })
-	out.InWork, out.Waiting, out.Cold = make([]float64, seconds), make([]float64, seconds), make([]bool, seconds)
+	out := Endpoint{Name: of.Name, Tier: of.Tier, Kind: of.Kind, Cores: of.Spec.Cores, Samples: len(b), Collapsed: b.collapsed(0, maxDuration),
+		MaxColdLoad: b.maxColdLoad(p.Scenario.Rules.FallWindow.D(), 0, maxDuration)}
+	out.SentWork = b.perSecond(seconds, func(s *trace.Sample) time.Duration { return s.SentWork })
+	out.PossibleWork = b.perSecond(seconds, func(s *trace.Sample) time.Duration { return s.PossibleWork })
+	out.Running, out.Queued, out.WarmingUp = make([]float64, seconds), make([]float64, seconds), make([]bool, seconds)
 	n := make([]float64, seconds)
 	for j := range b {
 		if at := int(b[j].At / time.Second); at < seconds {
 			n[at]++
-			out.InWork[at] += float64(b[j].Running)
-			out.Waiting[at] += float64(b[j].Queued)
-			out.Cold[at] = out.Cold[at] || b[j].WarmingUp
+			out.Running[at] += float64(b[j].Running)
+			out.Queued[at] += float64(b[j].Queued)
+			out.WarmingUp[at] = out.WarmingUp[at] || b[j].WarmingUp
 		}
 	}
 	for at := range n {
-		out.InWork[at], out.Waiting[at] = ratio(out.InWork[at], n[at]), ratio(out.Waiting[at], n[at])
+		out.Running[at], out.Queued[at] = ratio(out.Running[at], n[at]), ratio(out.Queued[at], n[at])
 	}
 	return out
 }
 
 // perSecond is how much an integral grew in each second. Between samples, and from 0 at the run's start, it
 // counts as straight.
-func (b boxLog) perSecond(seconds int, of func(*trace.Sample) time.Duration) []float64 {
+func (b endpointSamples) perSecond(seconds int, of func(*trace.Sample) time.Duration) []float64 {
 	out := make([]float64, seconds)
 	before, next := 0.0, 0
 	for i := range out {
@@ -64,13 +64,13 @@
 		if next < len(b) && b[next].At > from {
 			now += (of(&b[next]) - value).Seconds() * float64(end-from) / float64(b[next].At-from)
 		}
-		out[i] = tidy(now - before)
+		out[i] = round(now - before)
 		before = now
 	}
 	return out
 }
 
-func (b boxLog) fell(from, to time.Duration) bool {
+func (b endpointSamples) collapsed(from, to time.Duration) bool {
 	return slices.ContainsFunc(b, func(s trace.Sample) bool { return s.Collapsed && s.At >= from && s.At < to })
 }
 
@@ -78,7 +78,7 @@
 // all windows that end, by the samples, in a time in which it was cold. Before its start it counts as able to
 // do what it can at its start, as the model has it. Samples are 100 ms apart, so the true highest can be a
 // little above.
-func (b boxLog) worst(window, from, to time.Duration) (worst float64) {
+func (b endpointSamples) maxColdLoad(window, from, to time.Duration) (worst float64) {
 	first, base := -1, 0 // samples: the first of this cold stretch, and the last before the window
 	for i := range b {
 		s := &b[i]
@@ -107,5 +107,5 @@
 			first = -1 // it is judged up to its fall
 		}
 	}
-	return tidy(worst)
+	return round(worst)
 }
--- a/internal/lab/result/together_test.go
+++ b/internal/lab/result/fleetload_test.go
@@ -61,7 +61,7 @@
 	} {
 		p := &plan.Plan{Scenario: &scenario.Scenario{}, Boxes: make([]plan.Box, 2), Sidecars: make([]plan.Sidecar, 3)}
 		for i, log := range []*trace.Log{quiet(), c.log} {
-			v, known := (&run{plan: p, log: log}).measure(c.what, -1, 0, longest)
+			v, known := (&analysis{plan: p, log: log}).measure(c.what, -1, 0, maxDuration)
 			if want := []float64{c.quiet, c.want}[i]; !known || v != want {
 				t.Errorf("%s, planted %v: %v, want %v", c.what, i == 1, v, want)
 			}
--- a/internal/lab/result/room.go
+++ b/internal/lab/result/goodput.go
@@ -7,24 +7,24 @@
 )
 
 // room is Result.Room. Work that is left over at the end of a second is taken to be lost.
-func (r *run) room(seconds int) float64 {
+func (r *analysis) attainableGoodput(seconds int) float64 {
 	p := r.plan
 	could := make([][]float64, len(p.Scenario.Tier)) // by tier and second, seconds of standard work
 	for t := range could {
 		could[t] = make([]float64, seconds)
 	}
-	for i := range r.boxes {
-		each := r.boxes[i].perSecond(seconds, func(s *trace.Sample) time.Duration { return s.PossibleWork })
+	for i := range r.endpoints {
+		each := r.endpoints[i].perSecond(seconds, func(s *trace.Sample) time.Duration { return s.PossibleWork })
 		for at, v := range each {
 			could[p.Boxes[i].Tier][at] += v
 		}
 	}
 	work, worth := make([]float64, seconds), make([]float64, seconds)
-	for i := range r.fates {
+	for i := range r.requests {
 		q := &p.Requests[i]
 		if at := int(q.Due / time.Second); q.Due >= r.settle && at < seconds {
 			work[at] += q.Work.Seconds()
-			worth[at] += r.fates[i].worth
+			worth[at] += r.requests[i].value
 		}
 	}
 	allowed, asked := 0.0, 0.0
@@ -39,5 +39,5 @@
 		allowed += worth[at] * share
 		asked += worth[at]
 	}
-	return tidy(ratio(allowed, asked))
+	return round(ratio(allowed, asked))
 }
--- a/internal/lab/result/property_test.go
+++ b/internal/lab/result/property_test.go
@@ -42,7 +42,7 @@
 				}
 			}
 		}
-		r := Of(p, log, nil, Meta{})
+		r := New(p, log, nil, Meta{})
 		whole := func(asked int, parts ...int) {
 			for _, n := range parts {
 				asked -= n
@@ -53,26 +53,26 @@
 		}
 		sum, visits, refusals := [6]int{}, 0, 0
 		for _, c := range r.Seconds {
-			whole(c.Asked, c.Served, c.Late, c.Refused, c.Failed, c.Gone)
-			for i, n := range []int{c.Asked, c.Served, c.Late, c.Refused, c.Failed, c.Gone} {
+			whole(c.Requested, c.Served, c.Late, c.Rejected, c.Failed, c.Canceled)
+			for i, n := range []int{c.Requested, c.Served, c.Late, c.Rejected, c.Failed, c.Canceled} {
 				sum[i] += n
 			}
-			visits, refusals = visits+c.Visits[0], refusals+c.Refusals
+			visits, refusals = visits+c.EndpointRequests[0], refusals+c.Rejections
 		}
 		a := r.All
-		whole(a.Asked, a.Served.Count, a.Late.Count, a.Refused.Count, a.Failed.Count, a.Gone.Count)
-		if want := [6]int{a.Asked, a.Served.Count, a.Late.Count, a.Refused.Count, a.Failed.Count, a.Gone.Count}; sum != want {
+		whole(a.Requested, a.Served.Count, a.Late.Count, a.Rejected.Count, a.Failed.Count, a.Canceled.Count)
+		if want := [6]int{a.Requested, a.Served.Count, a.Late.Count, a.Rejected.Count, a.Failed.Count, a.Canceled.Count}; sum != want {
 			t.Fatalf("seconds sum up to %v, the whole is %v", sum, want)
 		}
-		whole(a.Asked, r.Classes[0].Asked, r.Classes[1].Asked)
+		whole(a.Requested, r.Classes[0].Requested, r.Classes[1].Requested)
 		near := func(x, y float64) bool { return x-y < 1e-5 && y-x < 1e-5 }
-		if n := float64(max(a.Asked, 1)); !near(a.Attempts[0], float64(visits)/n) || !near(a.Refusals, float64(refusals)/n) || a.Wasted < 0 || a.Wasted > 1 {
+		if n := float64(max(a.Requested, 1)); !near(a.EndpointRequests[0], float64(visits)/n) || !near(a.Rejections, float64(refusals)/n) || a.WastedShare < 0 || a.WastedShare > 1 {
 			t.Fatalf("%d visits and %d refusals, but %+v", visits, refusals, a)
 		}
-		f := &run{plan: p, log: log}
-		f.fates, f.stray = fates(p, log)
+		f := &analysis{plan: p, log: log}
+		f.requests, f.unattributed = requestResults(p, log)
 		from := time.Duration(rapid.IntRange(0, 6000).Draw(t, "from")) * ms
-		cut := f.tally(-1, 0, from).asked + f.tally(-1, from, longest).asked
-		whole(cut, len(f.fates))
+		cut := f.tally(-1, 0, from).requested + f.tally(-1, from, maxDuration).requested
+		whole(cut, len(f.requests))
 	})
 }
--- a/internal/lab/result/result_test.go
+++ b/internal/lab/result/result_test.go
@@ -74,38 +74,38 @@
 
 func TestFiguresCountedByHand(t *testing.T) {
 	p, log := morning()
-	r := Of(p, log, []Broken{{Kind: "twice", Count: 2, Stories: [][]string{{"a", "b"}}}, {Kind: "kept"}}, Meta{Player: "virtual"})
-	if want := (Peak{Box: "front-1", From: 1.6, Attempts: 2, Again: 1, Copies: 1}); r.Peak == nil || *r.Peak != want {
+	r := New(p, log, []Violation{{Kind: "twice", Count: 2, Timelines: [][]string{{"a", "b"}}}, {Kind: "kept"}}, Meta{Player: "virtual"})
+	if want := (AttemptPeak{Endpoint: "front-1", From: 1.6, Attempts: 2, Additional: 1, Hedges: 1}); r.Peak == nil || *r.Peak != want {
 		t.Errorf("the worst second is %+v, want %+v", r.Peak, want)
 	}
 	a := r.All
-	sixth := tidy(1.0 / 6)
-	if a.Asked != 6 || a.Served.Count != 2 || a.Late != (Part{1, sixth}) || a.Refused.Count != 1 || a.Failed.Count != 1 || a.Gone.Count != 1 {
+	sixth := round(1.0 / 6)
+	if a.Requested != 6 || a.Served.Count != 2 || a.Late != (Proportion{1, sixth}) || a.Rejected.Count != 1 || a.Failed.Count != 1 || a.Canceled.Count != 1 {
 		t.Errorf("outcomes: %+v", a)
 	}
-	near(t, "service", a.Service, 4.0/12)
-	near(t, "service's sample", a.Sample, 144.0/30)
-	near(t, "tries", a.Tries, 8.0/6)
-	near(t, "refusals", a.Refusals, 2.0/6)
-	near(t, "attempts at front", a.Attempts[0], 8.0/6)
-	near(t, "attempts at back", a.Attempts[1], 2.0/6)
-	near(t, "copies", a.Copies, 2.0/6)
+	near(t, "service", a.Goodput, 4.0/12)
+	near(t, "service's sample", a.EffectiveSampleSize, 144.0/30)
+	near(t, "tries", a.ClientAttempts, 8.0/6)
+	near(t, "refusals", a.Rejections, 2.0/6)
+	near(t, "attempts at front", a.EndpointRequests[0], 8.0/6)
+	near(t, "attempts at back", a.EndpointRequests[1], 2.0/6)
+	near(t, "copies", a.Hedges, 2.0/6)
 	near(t, "work", a.Work, 0.100)
-	near(t, "wasted", a.Wasted, 1-0.064/0.100) // 10 and 4, 20, 30 served somebody
+	near(t, "wasted", a.WastedShare, 1-0.064/0.100) // 10 and 4, 20, 30 served somebody
 	if a.Latency == nil || math.Abs(a.Latency.Max-400) > 0.5 || math.Abs(a.Latency.P50-250) > 0.5 {
 		t.Errorf("latency: %+v", a.Latency)
 	}
-	if f := r.Classes[0]; f.Asked != 3 || f.Served.Count != 1 || f.Late.Count != 1 || f.Refused.Count != 1 || f.Aim != 100 {
+	if f := r.Classes[0]; f.Requested != 3 || f.Served.Count != 1 || f.Late.Count != 1 || f.Rejected.Count != 1 || f.TargetLatency != 100 {
 		t.Errorf("fast: %+v", f)
 	}
-	if r.Strays != 1 || r.Sidecars != 3 || len(r.Broken) != 1 || r.Held() {
-		t.Errorf("strays %d, sidecars %d, broken %v, held %v", r.Strays, r.Sidecars, r.Broken, r.Held())
+	if r.UnattributedRequests != 1 || r.Sidecars != 3 || len(r.Violations) != 1 || r.Passed() {
+		t.Errorf("strays %d, sidecars %d, broken %v, held %v", r.UnattributedRequests, r.Sidecars, r.Violations, r.Passed())
 	}
-	if s := r.Seconds[1]; len(r.Seconds) != 10 || s.Late != 1 || s.Visits[0] != 2 || s.Copies != 1 || math.Abs(s.P99-250) > 0.5 {
+	if s := r.Seconds[1]; len(r.Seconds) != 10 || s.Late != 1 || s.EndpointRequests[0] != 2 || s.Hedges != 1 || math.Abs(s.P99-250) > 0.5 {
 		t.Errorf("second 1: %+v", s)
 	}
-	// Service by hand: before 3 of 6; during (requests 2 and 3) 1 of 4; after none of 2.
-	m := r.Marks[0]
+	// Goodput by hand: before 3 of 6; during (requests 2 and 3) 1 of 4; after none of 2.
+	m := r.FaultImpacts[0]
 	for i, want := range []float64{0.5, 0.25, 0} {
 		if got := []*float64{m.Before, m.During, m.After}[i]; got == nil || math.Abs(*got-want) > 1e-9 {
 			t.Errorf("mark: %v of %+v, want %v", i, m, want)
@@ -116,7 +116,7 @@
 func TestWorthByWork(t *testing.T) {
 	p, log := morning()
 	p.Scenario.Rules.ByWork = true
-	near(t, "service", Of(p, log, nil, Meta{}).All.Service, (3*1+4.0)/(3*(1+2+3)+4+5+6))
+	near(t, "service", New(p, log, nil, Meta{}).All.Goodput, (3*1+4.0)/(3*(1+2+3)+4+5+6))
 }
 
 func TestMeasures(t *testing.T) {
@@ -138,13 +138,13 @@
 	} {
 		least, most := c.want-1e-3, c.want+1e-3
 		p.Scenario.Expect = []scenario.Expect{{What: c.what, Class: c.class, Least: &least, Most: &most, From: c.from, To: c.to}}
-		if e := Of(p, log, nil, Meta{}).Expect[0]; !e.Held {
+		if e := New(p, log, nil, Meta{}).Expectations[0]; !e.Met {
 			t.Errorf("%s; wanted %v", e, c.want)
 		}
 	}
 	zero := 0.0
 	p.Scenario.Expect = []scenario.Expect{{What: "p99", Least: &zero, From: scenario.Span(8 * time.Second)}}
-	if e := Of(p, log, nil, Meta{}).Expect[0]; e.Held || e.Measured != nil {
+	if e := New(p, log, nil, Meta{}).Expectations[0]; e.Met || e.Measured != nil {
 		t.Errorf("nothing to measure, but %v", e)
 	}
 }
@@ -152,9 +152,9 @@
 func TestSettleIsLeftOut(t *testing.T) {
 	p, log := morning()
 	p.Scenario.Settle = scenario.Span(time.Second)
-	r := Of(p, log, nil, Meta{})
-	if r.All.Asked != 5 || r.Seconds[0].Asked != 0 || r.Seconds[1].Asked != 1 {
-		t.Errorf("asked %d, by second %+v", r.All.Asked, r.Seconds)
+	r := New(p, log, nil, Meta{})
+	if r.All.Requested != 5 || r.Seconds[0].Requested != 0 || r.Seconds[1].Requested != 1 {
+		t.Errorf("asked %d, by second %+v", r.All.Requested, r.Seconds)
 	}
 }
 
@@ -178,18 +178,18 @@
 		s.Collapsed = i == 30
 		log.Samples = append(log.Samples, s)
 	}
-	r := Of(p, log, nil, Meta{})
-	b := r.Boxes[1]
-	near(t, "worst", b.Worst, 0.6)
-	near(t, "sent in the first second", b.Sent[0], 0.5)
-	near(t, "could in the third", b.Could[2], 0.5)
-	near(t, "waiting in the fourth", b.Waiting[3], 3)
-	if !b.Fallen || r.Fallen != 1 || b.Cold[1] || !b.Cold[2] || r.Worst != b.Worst {
+	r := New(p, log, nil, Meta{})
+	b := r.Endpoints[1]
+	near(t, "worst", b.MaxColdLoad, 0.6)
+	near(t, "sent in the first second", b.SentWork[0], 0.5)
+	near(t, "could in the third", b.PossibleWork[2], 0.5)
+	near(t, "waiting in the fourth", b.Queued[3], 3)
+	if !b.Collapsed || r.CollapsedEndpoints != 1 || b.WarmingUp[1] || !b.WarmingUp[2] || r.MaxColdLoad != b.MaxColdLoad {
 		t.Errorf("box: %+v", b)
 	}
 	most := 0.0
-	p.Scenario.Expect = []scenario.Expect{{What: "fallen", Most: &most}, {What: "fallen", Most: &most, From: scenario.Span(3500 * ms)}, {What: "worst", Most: &b.Worst}}
-	if e := Of(p, log, nil, Meta{}).Expect; e[0].Held || !e[1].Held || !e[2].Held {
+	p.Scenario.Expect = []scenario.Expect{{What: "fallen", Most: &most}, {What: "fallen", Most: &most, From: scenario.Span(3500 * ms)}, {What: "worst", Most: &b.MaxColdLoad}}
+	if e := New(p, log, nil, Meta{}).Expectations; e[0].Met || !e[1].Met || !e[2].Met {
 		t.Errorf("expectations: %v", e)
 	}
 }
@@ -199,25 +199,25 @@
 	for i := range lateness {
 		lateness[i] = 19 * ms
 	}
-	if g := rigOf(lateness); g.Void || g.Sent != 1000 {
+	if g := harnessOf(lateness); g.Void || g.Measured != 1000 {
 		t.Errorf("%+v", g)
 	}
 	for i := range 9 {
 		lateness[i] = 60 * ms
 	}
-	if g := rigOf(lateness); g.Void || g.VeryLate != 0.009 {
+	if g := harnessOf(lateness); g.Void || g.VeryLateShare != 0.009 {
 		t.Errorf("%+v", g)
 	}
 	for i := range 11 {
 		lateness[i] = 60 * ms
 	}
-	if g := rigOf(lateness); !g.Void || !strings.Contains(g.Why, "1.1%") {
+	if g := harnessOf(lateness); !g.Void || !strings.Contains(g.Reason, "1.1%") {
 		t.Errorf("%+v", g)
 	}
 	for i := range 11 {
 		lateness[i] = 25 * ms
 	}
-	if g := rigOf(lateness); !g.Void {
+	if g := harnessOf(lateness); !g.Void {
 		t.Errorf("%+v", g)
 	}
 }
@@ -225,20 +225,20 @@
 func TestNothingHappened(t *testing.T) {
 	p, log := morning()
 	for name, l := range map[string]*trace.Log{"empty": {}, "no try": {End: log.End}} {
-		r := Of(p, l, nil, Meta{Player: "sockets"})
+		r := New(p, l, nil, Meta{Player: "sockets"})
 		var out strings.Builder
-		if err := Summary(&out, r, Look{}); err != nil || strings.Contains(out.String(), "NaN") {
+		if err := WriteSummary(&out, r, SummaryOptions{}); err != nil || strings.Contains(out.String(), "NaN") {
 			t.Errorf("%s: %v\n%s", name, err, &out)
 		}
-		if want := map[string]int{"empty": 0, "no try": 6}[name]; r.All.Asked != want || r.All.Failed.Count != want {
+		if want := map[string]int{"empty": 0, "no try": 6}[name]; r.All.Requested != want || r.All.Failed.Count != want {
 			t.Errorf("%s: %+v", name, r.All)
 		}
 	}
 	for i := range log.ClientAttempts {
 		log.ClientAttempts[i].Status = trace.StatusCanceled
 	}
-	r := Of(p, log, nil, Meta{})
-	if r.All.Gone.Share != 1 || r.All.Service != 0 || r.All.Wasted != 1 || r.All.Latency != nil {
+	r := New(p, log, nil, Meta{})
+	if r.All.Canceled.Share != 1 || r.All.Goodput != 0 || r.All.WastedShare != 1 || r.All.Latency != nil {
 		t.Errorf("all gone: %+v", r.All)
 	}
 }
@@ -246,8 +246,8 @@
 func TestWriteAndRead(t *testing.T) {
 	p, log := morning()
 	dir := filepath.Join(t.TempDir(), "new")
-	r := Of(p, log, []Broken{{"twice", 1, [][]string{{"a"}}}}, Meta{Builds: []string{"x"}, Player: "virtual"})
-	again, _ := Of(p, log, []Broken{{"twice", 1, [][]string{{"a"}}}}, Meta{Builds: []string{"x"}, Player: "virtual"}).Bytes()
+	r := New(p, log, []Violation{{"twice", 1, [][]string{{"a"}}}}, Meta{Builds: []string{"x"}, Player: "virtual"})
+	again, _ := New(p, log, []Violation{{"twice", 1, [][]string{{"a"}}}}, Meta{Builds: []string{"x"}, Player: "virtual"}).Bytes()
 	if err := r.Write(dir); err != nil {
 		t.Fatal(err)
 	}
@@ -262,7 +262,7 @@
 	if d := cmp.Diff(r, back); d != "" {
 		t.Error(d)
 	}
-	if table := Diff(r, back); !table.Same() || len(table.Notes) != 0 {
+	if table := Diff(r, back); !table.Equal() || len(table.Notes) != 0 {
 		t.Errorf("equal results differ: %+v", table)
 	}
 	if err := os.WriteFile(filepath.Join(dir, File), []byte(`{"schema":99}`), 0o600); err != nil {
@@ -275,8 +275,8 @@
 
 func TestDiffTellsWhatIsNoise(t *testing.T) {
 	p, log := morning()
-	a, b := Of(p, log, nil, Meta{}), Of(p, log, []Broken{{Kind: "twice", Count: 3}}, Meta{})
-	b.Seed, a.All.Asked, b.All.Asked = 8, 1000, 1000
+	a, b := New(p, log, nil, Meta{}), New(p, log, []Violation{{Kind: "twice", Count: 3}}, Meta{})
+	b.Seed, a.All.Requested, b.All.Requested = 8, 1000, 1000
 	a.All.Late.Share, b.All.Late.Share = 0.10, 0.11 // z 0.73
 	a.All.Failed.Share, b.All.Failed.Share = 0.10, 0.15
 	var out strings.Builder
@@ -300,7 +300,7 @@
 	log.Usage = []trace.Usage{{CPU: time.Second, PeakMemory: 9 << 20, MaxDescriptors: 40}}
 	log.Lateness = []time.Duration{ms, 2 * ms}
 	var out strings.Builder
-	if err := Summary(&out, Of(p, log, nil, Meta{Player: "sockets"}), Look{Report: "out/report.html"}); err != nil {
+	if err := WriteSummary(&out, New(p, log, nil, Meta{Player: "sockets"}), SummaryOptions{ReportPath: "out/report.html"}); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"service before", "hang front-2", "0.500", "served in aim", "all kept", "did not hold", "late: 0.1667, at most 0.1",
