--- a/internal/lab/result/detection.go
+++ b/internal/lab/result/detection.go
@@ -9,99 +9,116 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-// FaultDetection is how the sidecars take their boxes to be, against how they are. A pair is a sidecar and a box that it uses.
-// Only the virtual player sees it; on sockets all is 0.
+// FaultDetection compares the health that sidecars attribute to endpoints with the faults that were injected. A pair is a
+// sidecar and an endpoint that it uses. Only the virtual player records health changes; on sockets all figures are 0.
 type FaultDetection struct {
-	Pairs               int     `json:"pairs"`     // with a box that fails a part of its requests, or all
-	DetectedShare       float64 `json:"noticed"`   // share of these that suspected it (grey or ejected) while that lasted
-	MedianDetectionTime float64 `json:"after_s"`   // until then, median of those that did
-	MedianRecoveryTime  float64 `json:"healed_s"`  // from the fault's end until they no longer did, median
-	FalsePositiveRate   float64 `json:"alarms"`    // suspicions of boxes with nothing wrong, for each hour of a pair
-	FalseEjectionRate   float64 `json:"ejections"` // of these, ejections
-	HealthyHours        float64 `json:"watched_h"` // hours of such pairs
+	Pairs               int     `json:"pairs"`     // faults of an endpoint that fail some or all requests, once for each sidecar that uses it
+	DetectedShare       float64 `json:"noticed"`   // share of Pairs in which the endpoint was suspected (grey or ejected) during the fault
+	MedianDetectionTime float64 `json:"after_s"`   // from the fault's start until suspected, over the detected ones
+	MedianRecoveryTime  float64 `json:"healed_s"`  // from the fault's end until no longer suspected
+	FalsePositiveRate   float64 `json:"alarms"`    // suspicions of endpoints without faults, for each hour of a pair
+	FalseEjectionRate   float64 `json:"ejections"` // ejections of endpoints without faults, for each hour of a pair
+	HealthyHours        float64 `json:"watched_h"` // hours of pairs whose endpoint had no fault
 }
 
+// endpointPair is a sidecar and an endpoint that it uses, by index.
 type endpointPair struct{ sidecar, endpoint int }
 
-// stretch is from when to when a box fails a part of what it gets.
+// interval is half-open.
 type interval struct{ from, to time.Duration }
 
+// detectionOf computes a run's FaultDetection.
 func detectionOf(p *plan.Plan, log *trace.Log) FaultDetection {
 	faults := faultIntervals(p, log.End)
-	by := map[endpointPair][]trace.HealthChange{}
-	for _, j := range log.HealthChanges {
-		k := endpointPair{j.Sidecar, j.Endpoint}
-		by[k] = append(by[k], j)
+	histories := map[endpointPair][]trace.HealthChange{}
+	for _, change := range log.HealthChanges {
+		pair := endpointPair{change.Sidecar, change.Endpoint}
+		histories[pair] = append(histories[pair], change)
 	}
 	var out FaultDetection
-	var after, healed []float64
-	alarms, ejections := 0, 0
-	for k, states := range by {
-		if len(faults[k.endpoint]) == 0 {
-			out.HealthyHours += (log.End - states[0].At).Hours()
+	var detectionTimes, recoveryTimes []float64
+	suspicions, ejections := 0, 0
+	for pair, history := range histories {
+		if len(faults[pair.endpoint]) == 0 {
+			out.HealthyHours += (log.End - history[0].At).Hours()
+			s, e := countOnsets(history)
+			suspicions += s
+			ejections += e
+			continue
 		}
-		for _, f := range faults[k.endpoint] {
-			if states[0].At > f.from {
+		for _, fault := range faults[pair.endpoint] {
+			if history[0].At > fault.from {
 				continue
 			}
 			out.Pairs++
-			if at, ok := firstSuspicion(states, f.from, true); ok && at < f.to {
-				after = append(after, (at - f.from).Seconds())
+			if at, ok := firstSuspicion(history, fault.from, true); ok && at < fault.to {
+				detectionTimes = append(detectionTimes, (at - fault.from).Seconds())
 			}
-			if at, ok := firstSuspicion(states, f.to, false); ok && f.to < log.End {
-				healed = append(healed, (at - f.to).Seconds())
+			if at, ok := firstSuspicion(history, fault.to, false); ok && fault.to < log.End {
+				recoveryTimes = append(recoveryTimes, (at - fault.to).Seconds())
 			}
 		}
-		suspected, ejected := false, false
-		for _, s := range states {
-			if len(faults[k.endpoint]) == 0 {
-				if (s.Grey || s.Ejected) && !suspected {
-					alarms++
-				}
-				if s.Ejected && !ejected {
-					ejections++
-				}
-			}
-			suspected, ejected = s.Grey || s.Ejected, s.Ejected
-		}
 	}
-	out.DetectedShare = round(ratio(float64(len(after)), float64(out.Pairs)))
-	out.MedianDetectionTime, out.MedianRecoveryTime = round(median(after)), round(median(healed))
-	out.FalsePositiveRate, out.FalseEjectionRate = round(ratio(float64(alarms), out.HealthyHours)), round(ratio(float64(ejections), out.HealthyHours))
+	out.DetectedShare = round(ratio(float64(len(detectionTimes)), float64(out.Pairs)))
+	out.MedianDetectionTime = round(median(detectionTimes))
+	out.MedianRecoveryTime = round(median(recoveryTimes))
+	out.FalsePositiveRate = round(ratio(float64(suspicions), out.HealthyHours))
+	out.FalseEjectionRate = round(ratio(float64(ejections), out.HealthyHours))
 	out.HealthyHours = round(out.HealthyHours)
 	return out
 }
 
-// first is when a sidecar suspects a box, or no longer does, from a time on.
-func firstSuspicion(states []trace.HealthChange, from time.Duration, suspects bool) (time.Duration, bool) {
-	for i, s := range states {
-		last := i+1 == len(states) || states[i+1].At > from
-		if (s.Grey || s.Ejected) == suspects && last {
-			return max(from, s.At), true
+// countOnsets returns how often an endpoint became suspected, and how often it was ejected.
+func countOnsets(history []trace.HealthChange) (suspicions, ejections int) {
+	suspected, ejected := false, false
+	for _, change := range history {
+		if isSuspected(change) && !suspected {
+			suspicions++
+		}
+		if change.Ejected && !ejected {
+			ejections++
+		}
+		suspected, ejected = isSuspected(change), change.Ejected
+	}
+	return suspicions, ejections
+}
+
+func isSuspected(change trace.HealthChange) bool { return change.Grey || change.Ejected }
+
+// firstSuspicion returns the first time at or after from at which the sidecar suspects the endpoint or, where suspected is
+// false, doesn't.
+func firstSuspicion(history []trace.HealthChange, from time.Duration, suspected bool) (time.Duration, bool) {
+	for i, change := range history {
+		lasts := i+1 == len(history) || history[i+1].At > from
+		if isSuspected(change) == suspected && lasts {
+			return max(from, change.At), true
 		}
 	}
 	return 0, false
 }
 
-// faulty is when each box failed requests that it had taken, or was not there.
+// faultIntervals returns, by endpoint, when it failed requests that it had accepted, or was gone. Slowness doesn't count. A
+// fault that the plan doesn't end lasts until end.
 func faultIntervals(p *plan.Plan, end time.Duration) map[int][]interval {
 	out := map[int][]interval{}
 	open := map[int]interval{} // by the fault's id
-	for _, e := range p.Events {
+	for _, event := range p.Events {
 		switch {
-		case e.Kind == plan.BeginFault && e.Fault.Kind != model.Slow:
-			open[e.Fault.ID] = interval{e.At, end}
-			if !slices.ContainsFunc(p.Events, func(o plan.Event) bool { return o.Kind == plan.EndFault && o.Fault.ID == e.Fault.ID }) {
-				out[e.Box] = append(out[e.Box], interval{e.At, end})
+		case event.Kind == plan.BeginFault && event.Fault.Kind != model.Slow:
+			open[event.Fault.ID] = interval{event.At, end}
+			if !slices.ContainsFunc(p.Events, func(other plan.Event) bool {
+				return other.Kind == plan.EndFault && other.Fault.ID == event.Fault.ID
+			}) {
+				out[event.Box] = append(out[event.Box], interval{event.At, end})
 			}
-		case e.Kind == plan.EndFault && e.Fault.Kind != model.Slow:
-			out[e.Box] = append(out[e.Box], interval{open[e.Fault.ID].from, e.At})
+		case event.Kind == plan.EndFault && event.Fault.Kind != model.Slow:
+			out[event.Box] = append(out[event.Box], interval{open[event.Fault.ID].from, event.At})
 		}
 	}
 	return out
 }
 
-// median of no values is 0.
+// median sorts the values and returns their median, 0 if there are none.
 func median(values []float64) float64 {
 	n := len(values)
 	if n == 0 {
--- a/internal/lab/result/endpoint.go
+++ b/internal/lab/result/endpoint.go
@@ -8,14 +8,15 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-// endpointSamples is one box's samples, by time.
+// endpointSamples are the samples of one endpoint, sorted by time.
 type endpointSamples []trace.Sample
 
+// samplesByEndpoint returns the samples of each endpoint of the plan, by its index.
 func samplesByEndpoint(p *plan.Plan, log *trace.Log) []endpointSamples {
 	out := make([]endpointSamples, len(p.Boxes))
-	for _, s := range log.Samples {
-		if s.Endpoint >= 0 && s.Endpoint < len(out) {
-			out[s.Endpoint] = append(out[s.Endpoint], s)
+	for _, sample := range log.Samples {
+		if sample.Endpoint >= 0 && sample.Endpoint < len(out) {
+			out[sample.Endpoint] = append(out[sample.Endpoint], sample)
 		}
 	}
 	for i := range out {
@@ -24,45 +25,62 @@
 	return out
 }
 
-func (b endpointSamples) summarize(p *plan.Plan, i, seconds int) Endpoint {
-	of := &p.Boxes[i]
-	out := Endpoint{Name: of.Name, Tier: of.Tier, Kind: of.Kind, Cores: of.Spec.Cores, Samples: len(b), Collapsed: b.collapsed(0, maxDuration),
-		MaxColdLoad: b.maxColdLoad(p.Scenario.Rules.FallWindow.D(), 0, maxDuration)}
-	out.SentWork = b.perSecond(seconds, func(s *trace.Sample) time.Duration { return s.SentWork })
-	out.PossibleWork = b.perSecond(seconds, func(s *trace.Sample) time.Duration { return s.PossibleWork })
-	out.Running, out.Queued, out.WarmingUp = make([]float64, seconds), make([]float64, seconds), make([]bool, seconds)
-	n := make([]float64, seconds)
-	for j := range b {
-		if at := int(b[j].At / time.Second); at < seconds {
-			n[at]++
-			out.Running[at] += float64(b[j].Running)
-			out.Queued[at] += float64(b[j].Queued)
-			out.WarmingUp[at] = out.WarmingUp[at] || b[j].WarmingUp
+// summarize returns the figures of the plan's endpoint of that index, its series as many seconds long.
+func (samples endpointSamples) summarize(p *plan.Plan, index, seconds int) Endpoint {
+	planned := &p.Boxes[index]
+	out := Endpoint{
+		Name:         planned.Name,
+		Tier:         planned.Tier,
+		Kind:         planned.Kind,
+		Cores:        planned.Spec.Cores,
+		MaxColdLoad:  samples.maxColdLoad(p.Scenario.Rules.FallWindow.D(), 0, maxDuration),
+		Collapsed:    samples.collapsed(0, maxDuration),
+		Samples:      len(samples),
+		SentWork:     samples.perSecond(seconds, func(s *trace.Sample) time.Duration { return s.SentWork }),
+		PossibleWork: samples.perSecond(seconds, possibleWork),
+		Running:      make([]float64, seconds),
+		Queued:       make([]float64, seconds),
+		WarmingUp:    make([]bool, seconds),
+	}
+	counts := make([]float64, seconds)
+	for i := range samples {
+		sample := &samples[i]
+		second := int(sample.At / time.Second)
+		if second >= seconds {
+			continue
 		}
+		counts[second]++
+		out.Running[second] += float64(sample.Running)
+		out.Queued[second] += float64(sample.Queued)
+		out.WarmingUp[second] = out.WarmingUp[second] || sample.WarmingUp
 	}
-	for at := range n {
-		out.Running[at], out.Queued[at] = ratio(out.Running[at], n[at]), ratio(out.Queued[at], n[at])
+	for second, n := range counts {
+		out.Running[second] = ratio(out.Running[second], n)
+		out.Queued[second] = ratio(out.Queued[second], n)
 	}
 	return out
 }
 
-// perSecond is how much an integral grew in each second. Between samples, and from 0 at the run's start, it
-// counts as straight.
-func (b endpointSamples) perSecond(seconds int, of func(*trace.Sample) time.Duration) []float64 {
+func possibleWork(s *trace.Sample) time.Duration { return s.PossibleWork }
+
+// perSecond returns how much an integral grew in each second. It is interpolated linearly between samples, and from 0 at
+// the run's start.
+func (samples endpointSamples) perSecond(seconds int, integral func(*trace.Sample) time.Duration) []float64 {
 	out := make([]float64, seconds)
 	before, next := 0.0, 0
 	for i := range out {
 		end := time.Duration(i+1) * time.Second
-		for next < len(b) && b[next].At < end {
+		for next < len(samples) && samples[next].At < end {
 			next++
 		}
 		var from, value time.Duration
 		if next > 0 {
-			from, value = b[next-1].At, of(&b[next-1])
+			from, value = samples[next-1].At, integral(&samples[next-1])
 		}
 		now := value.Seconds()
-		if next < len(b) && b[next].At > from {
-			now += (of(&b[next]) - value).Seconds() * float64(end-from) / float64(b[next].At-from)
+		if next < len(samples) && samples[next].At > from {
+			growth := (integral(&samples[next]) - value).Seconds()
+			now += growth * float64(end-from) / float64(samples[next].At-from)
 		}
 		out[i] = round(now - before)
 		before = now
@@ -70,18 +88,18 @@
 	return out
 }
 
-func (b endpointSamples) collapsed(from, to time.Duration) bool {
-	return slices.ContainsFunc(b, func(s trace.Sample) bool { return s.Collapsed && s.At >= from && s.At < to })
+// collapsed reports whether the endpoint collapsed in a window.
+func (samples endpointSamples) collapsed(from, to time.Duration) bool {
+	return slices.ContainsFunc(samples, func(s trace.Sample) bool { return s.Collapsed && s.At >= from && s.At < to })
 }
 
-// worst is the highest ratio of the work that reached it in a window to what it could do in that window, over
-// all windows that end, by the samples, in a time in which it was cold. Before its start it counts as able to
-// do what it can at its start, as the model has it. Samples are 100 ms apart, so the true highest can be a
-// little above.
-func (b endpointSamples) maxColdLoad(window, from, to time.Duration) (worst float64) {
-	first, base := -1, 0 // samples: the first of this cold stretch, and the last before the window
-	for i := range b {
-		s := &b[i]
+// maxColdLoad returns the highest ratio of the work sent to the endpoint in a window to the work it could have done in it,
+// over all windows that end, by the samples, while it was warming up. Before its start it counts as having the capacity
+// that it starts with, as in package model. Samples are 100 ms apart, so the true maximum can be a little higher.
+func (samples endpointSamples) maxColdLoad(window, from, to time.Duration) (highest float64) {
+	first, base := -1, 0 // indices: the first sample of this warm-up, and the last one before the window
+	for i := range samples {
+		s := &samples[i]
 		if !s.WarmingUp && !(s.Collapsed && first >= 0) {
 			first = -1
 			continue
@@ -90,22 +108,24 @@
 			first, base = i, max(i-1, 0)
 		}
 		start := s.At - window
-		for base < i && b[base+1].At <= start {
+		for base < i && samples[base+1].At <= start {
 			base++
 		}
-		sent, could := s.SentWork-b[base].SentWork, (s.PossibleWork - b[base].PossibleWork).Seconds()
-		if b[base].At > start || base < first {
-			could = (s.PossibleWork - b[first].PossibleWork).Seconds() + b[first].Capacity*max(b[first].At-start, 0).Seconds()
+		sent := s.SentWork - samples[base].SentWork
+		possible := (s.PossibleWork - samples[base].PossibleWork).Seconds()
+		if samples[base].At > start || base < first {
+			possible = (s.PossibleWork - samples[first].PossibleWork).Seconds()
+			possible += samples[first].Capacity * max(samples[first].At-start, 0).Seconds()
 			if first == 0 {
-				sent = s.SentWork // the run began with it
+				sent = s.SentWork // warming up since the run's start
 			}
 		}
-		if could > 0 && s.At >= from && s.At < to {
-			worst = max(worst, sent.Seconds()/could)
+		if possible > 0 && s.At >= from && s.At < to {
+			highest = max(highest, sent.Seconds()/possible)
 		}
 		if s.Collapsed {
-			first = -1 // it is judged up to its fall
+			first = -1 // the load counts up to the collapse only
 		}
 	}
-	return round(worst)
+	return round(highest)
 }
--- a/internal/lab/result/file.go
+++ b/internal/lab/result/file.go
@@ -7,10 +7,10 @@
 	"path/filepath"
 )
 
-// File is the name of the result in a run's folder.
+// File is the name of the result in a run's directory.
 const File = "result.json"
 
-// Bytes is the file's content.
+// Bytes returns the file's content.
 func (r *Result) Bytes() ([]byte, error) {
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
@@ -19,7 +19,7 @@
 	return append(text, '\n'), nil
 }
 
-// Write puts result.json into a folder, which it makes where it is absent.
+// Write writes result.json into a directory, which it creates where it is absent.
 func (r *Result) Write(dir string) error {
 	text, err := r.Bytes()
 	if err != nil {
@@ -34,7 +34,18 @@
 	return nil
 }
 
-// Read reads a result: the file itself, or the folder that it is in.
+// SchemaError says that a result has a schema that this version doesn't read.
+type SchemaError struct {
+	Path   string
+	Schema int
+}
+
+func (e *SchemaError) Error() string {
+	return fmt.Sprintf("result: %s has schema %d; this pinelab reads %d", e.Path, e.Schema, Schema)
+}
+
+// Read reads a result from its file, or from the directory that has the file. An error is the file system's, the JSON
+// decoder's or a *SchemaError.
 func Read(path string) (*Result, error) {
 	if info, err := os.Stat(path); err == nil && info.IsDir() {
 		path = filepath.Join(path, File)
@@ -48,7 +59,7 @@
 		return nil, fmt.Errorf("result: %s: %w", path, err)
 	}
 	if r.Schema != Schema {
-		return nil, fmt.Errorf("result: %s has schema %d; this pinelab reads %d", path, r.Schema, Schema)
+		return nil, &SchemaError{Path: path, Schema: r.Schema}
 	}
 	return r, nil
 }
--- a/internal/lab/result/goodput.go
+++ b/internal/lab/result/goodput.go
@@ -1,43 +1,51 @@
 package result
 
-import (
-	"time"
+import "time"
 
-	"pinelb.example/pinelb/internal/lab/trace"
-)
-
-// room is Result.Room. Work that is left over at the end of a second is taken to be lost.
+// attainableGoodput computes Result.AttainableGoodput. Capacity that is left over at the end of a second counts as lost.
 func (r *analysis) attainableGoodput(seconds int) float64 {
-	p := r.plan
-	could := make([][]float64, len(p.Scenario.Tier)) // by tier and second, seconds of standard work
-	for t := range could {
-		could[t] = make([]float64, seconds)
+	possible := r.possibleWorkByTier(seconds)
+	work, value := r.requestedPerSecond(seconds)
+	attainable, requested := 0.0, 0.0
+	for second := range work {
+		share, requests := 1.0, 1.0 // requests: to each tier, for each client request
+		for tier, s := range r.plan.Scenario.Tier {
+			if needed := work[second] * s.Work * requests; needed > 0 {
+				share = min(share, possible[tier][second]/needed)
+			}
+			requests *= s.Calls
+		}
+		attainable += value[second] * share
+		requested += value[second]
+	}
+	return round(ratio(attainable, requested))
+}
+
+// possibleWorkByTier returns the work that the endpoints of each tier could do in each second, in seconds of a standard core.
+func (r *analysis) possibleWorkByTier(seconds int) [][]float64 {
+	possible := make([][]float64, len(r.plan.Scenario.Tier))
+	for tier := range possible {
+		possible[tier] = make([]float64, seconds)
 	}
 	for i := range r.endpoints {
-		each := r.endpoints[i].perSecond(seconds, func(s *trace.Sample) time.Duration { return s.PossibleWork })
-		for at, v := range each {
-			could[p.Boxes[i].Tier][at] += v
+		ofTier := possible[r.plan.Boxes[i].Tier]
+		for second, v := range r.endpoints[i].perSecond(seconds, possibleWork) {
+			ofTier[second] += v
 		}
 	}
-	work, worth := make([]float64, seconds), make([]float64, seconds)
+	return possible
+}
+
+// requestedPerSecond returns the work, in seconds of a standard core, and the value of the requests due in each second.
+func (r *analysis) requestedPerSecond(seconds int) (work, value []float64) {
+	work, value = make([]float64, seconds), make([]float64, seconds)
 	for i := range r.requests {
-		q := &p.Requests[i]
-		if at := int(q.Due / time.Second); q.Due >= r.settle && at < seconds {
-			work[at] += q.Work.Seconds()
-			worth[at] += r.requests[i].value
-		}
-	}
-	allowed, asked := 0.0, 0.0
-	for at := range work {
-		share, visits := 1.0, 1.0
-		for t, tier := range p.Scenario.Tier {
-			if need := work[at] * tier.Work * visits; need > 0 {
-				share = min(share, could[t][at]/need)
-			}
-			visits *= tier.Calls
+		request := &r.plan.Requests[i]
+		second := int(request.Due / time.Second)
+		if request.Due >= r.settle && second < seconds {
+			work[second] += request.Work.Seconds()
+			value[second] += r.requests[i].value
 		}
-		allowed += worth[at] * share
-		asked += worth[at]
 	}
-	return round(ratio(allowed, asked))
+	return work, value
 }
--- a/internal/lab/result/request.go
+++ b/internal/lab/result/request.go
@@ -9,62 +9,73 @@
 	"pinelb.example/pinelb/internal/lab/trace"
 )
 
-// outcome is what became of a request.
+// outcome is how a request ended.
 type outcome int
 
 const (
-	served outcome = iota // in its aim
-	late
-	rejected
-	failed
-	canceled
-	outcomeCount
+	served       outcome = iota // within its class's target latency
+	late                        // served later than that
+	rejected                    // the last attempt was answered 429 or 503
+	failed                      // anything else
+	canceled                    // by the client
+	outcomeCount                // number of outcomes, no outcome itself
 )
 
-// fate is one request over all its tries.
+// requestResult sums up a client's request over all its attempts.
 type requestResult struct {
-	due                        time.Duration
-	class                      int
-	outcome                    outcome
-	latency                    time.Duration // of one served or late
-	value                      float64
-	clientAttempts, rejections int
-	hedges                     int
-	endpointRequests           []int // by tier
-	work, wasted               time.Duration
-
-	lastAttempt, servedAttempt int // its last try and the one that was served; -1 is none
+	due              time.Duration
+	class            int
+	outcome          outcome
+	latency          time.Duration // from due, where served or late
+	value            float64
+	clientAttempts   int
+	rejections       int
+	hedges           int
+	endpointRequests []int         // by tier
+	work             time.Duration // done for it by endpoints
+	wasted           time.Duration // part of work that didn't serve the client
+
+	lastAttempt   int // index of a client attempt; -1 is none
+	servedAttempt int // index of the one that was served first; -1 is none
 }
 
-// stray is what boxes did for nobody that is known.
+// unattributedWork is what endpoints did for requests that belong to no client request of the plan.
 type unattributedWork struct {
 	requests int
 	work     []timedWork
 }
 
-// moment is work that was begun at a time.
 type timedWork struct {
 	startedAt time.Duration
 	work      time.Duration
 }
 
-// fates is what became of each request that was due before the run was over, in the plan's order.
+// requestResults returns the results of the requests that were due before the run's end, in the plan's order.
 func requestResults(p *plan.Plan, log *trace.Log) ([]requestResult, unattributedWork) {
 	s := p.Scenario
-	n, _ := slices.BinarySearchFunc(p.Requests, log.End, func(r plan.Request, end time.Duration) int { return cmp.Compare(r.Due, end) })
+	n, _ := slices.BinarySearchFunc(p.Requests, log.End, func(r plan.Request, end time.Duration) int {
+		return cmp.Compare(r.Due, end)
+	})
 	out := make([]requestResult, n)
-	visits := make([]int, n*len(s.Tier))
+	tiers := len(s.Tier)
+	endpointRequests := make([]int, n*tiers)
 	for i := range out {
-		r := &p.Requests[i]
-		out[i] = requestResult{due: r.Due, class: r.Class, value: s.Class[r.Class].Worth, lastAttempt: -1, servedAttempt: -1,
-			endpointRequests: visits[i*len(s.Tier) : (i+1)*len(s.Tier)]}
+		request := &p.Requests[i]
+		out[i] = requestResult{
+			due:              request.Due,
+			class:            request.Class,
+			value:            s.Class[request.Class].Worth,
+			endpointRequests: endpointRequests[i*tiers : (i+1)*tiers],
+			lastAttempt:      -1,
+			servedAttempt:    -1,
+		}
 		if s.Rules.ByWork {
-			out[i].value *= r.Work.Seconds()
+			out[i].value *= request.Work.Seconds()
 		}
 	}
 	for i := range log.ClientAttempts {
-		if t := &log.ClientAttempts[i]; t.Tier == 0 && t.Request >= 0 && t.Request < n {
-			out[t.Request].addClientAttempt(log.ClientAttempts, i)
+		if attempt := &log.ClientAttempts[i]; attempt.Tier == 0 && attempt.Request >= 0 && attempt.Request < n {
+			out[attempt.Request].addClientAttempt(log.ClientAttempts, i)
 		}
 	}
 	for i := range out {
@@ -73,44 +84,44 @@
 	return out, attributeWork(p, log, out)
 }
 
-// client takes in one of the client's tries.
-func (f *requestResult) addClientAttempt(tries []trace.ClientAttempt, i int) {
-	t := &tries[i]
-	f.clientAttempts++
-	if t.Status == trace.StatusRejected {
-		f.rejections++
+// addClientAttempt counts the client attempt of that index.
+func (r *requestResult) addClientAttempt(attempts []trace.ClientAttempt, index int) {
+	attempt := &attempts[index]
+	r.clientAttempts++
+	if attempt.Status == trace.StatusRejected {
+		r.rejections++
 	}
-	if f.lastAttempt < 0 || t.Number >= tries[f.lastAttempt].Number {
-		f.lastAttempt = i
+	if r.lastAttempt < 0 || attempt.Number >= attempts[r.lastAttempt].Number {
+		r.lastAttempt = index
 	}
-	if t.Status == trace.StatusServed && !t.Forged && (f.servedAttempt < 0 || t.Ended < tries[f.servedAttempt].Ended) {
-		f.servedAttempt = i
+	if attempt.Status == trace.StatusServed && !attempt.Forged && (r.servedAttempt < 0 || attempt.Ended < attempts[r.servedAttempt].Ended) {
+		r.servedAttempt = index
 	}
 }
 
-// decide says what came of it. A request with no try at all has failed: nobody carried it.
-func (f *requestResult) classify(tries []trace.ClientAttempt, aim time.Duration) {
+// classify sets the outcome and the latency. A request without any attempt has failed.
+func (r *requestResult) classify(attempts []trace.ClientAttempt, targetLatency time.Duration) {
 	switch {
-	case f.servedAttempt >= 0:
-		f.latency = tries[f.servedAttempt].Ended - f.due
-		f.outcome = served
-		if f.latency > aim {
-			f.outcome = late
+	case r.servedAttempt >= 0:
+		r.latency = attempts[r.servedAttempt].Ended - r.due
+		r.outcome = served
+		if r.latency > targetLatency {
+			r.outcome = late
 		}
-	case f.lastAttempt >= 0 && tries[f.lastAttempt].Status == trace.StatusRejected:
-		f.outcome = rejected
-	case f.lastAttempt >= 0 && tries[f.lastAttempt].Status == trace.StatusCanceled:
-		f.outcome = canceled
+	case r.lastAttempt >= 0 && attempts[r.lastAttempt].Status == trace.StatusRejected:
+		r.outcome = rejected
+	case r.lastAttempt >= 0 && attempts[r.lastAttempt].Status == trace.StatusCanceled:
+		r.outcome = canceled
 	default:
-		f.outcome = failed
+		r.outcome = failed
 	}
 }
 
-// attempts gives each request its visits and tells which of their work served its client.
-func attributeWork(p *plan.Plan, log *trace.Log, out []requestResult) unattributedWork {
-	tries := make(map[uint64]int, len(log.ClientAttempts))
+// attributeWork adds each endpoint request to the result of the client request that it belongs to, and returns the rest.
+func attributeWork(p *plan.Plan, log *trace.Log, results []requestResult) unattributedWork {
+	attempts := attemptIndex{p, log.ClientAttempts, make(map[uint64]int, len(log.ClientAttempts))}
 	for i := range log.ClientAttempts {
-		tries[log.ClientAttempts[i].TransactionID] = i
+		attempts.byTransaction[log.ClientAttempts[i].TransactionID] = i
 	}
 	order := make([]int, len(log.EndpointRequests))
 	for i := range order {
@@ -120,63 +131,82 @@
 		v, w := &log.EndpointRequests[a], &log.EndpointRequests[b]
 		return cmp.Or(cmp.Compare(v.TransactionID, w.TransactionID), cmp.Compare(v.FirstByte, w.FirstByte))
 	})
-	var lost unattributedWork
+	var unattributed unattributedWork
 	for from, to := 0, 0; from < len(order); from = to {
-		txn := log.EndpointRequests[order[from]].TransactionID
-		for to = from; to < len(order) && log.EndpointRequests[order[to]].TransactionID == txn; to++ {
+		transaction := log.EndpointRequests[order[from]].TransactionID
+		for to = from; to < len(order) && log.EndpointRequests[order[to]].TransactionID == transaction; to++ {
 		}
-		i, known := tries[txn]
-		if !known || log.ClientAttempts[i].Request < 0 || log.ClientAttempts[i].Request >= len(out) {
-			for _, v := range order[from:to] {
-				lost.requests++
-				lost.work = append(lost.work, timedWork{log.EndpointRequests[v].FirstByte, log.EndpointRequests[v].Work})
+		i, known := attempts.byTransaction[transaction]
+		if !known || log.ClientAttempts[i].Request < 0 || log.ClientAttempts[i].Request >= len(results) {
+			for _, j := range order[from:to] {
+				request := &log.EndpointRequests[j]
+				unattributed.requests++
+				unattributed.work = append(unattributed.work, timedWork{request.FirstByte, request.Work})
 			}
 			continue
 		}
-		t := &log.ClientAttempts[i]
-		f := &out[t.Request]
-		f.addEndpointRequests(log.EndpointRequests, order[from:to], t, f.isUseful(p, log.ClientAttempts, tries, i))
+		attempt := &log.ClientAttempts[i]
+		result := &results[attempt.Request]
+		result.addEndpointRequests(log.EndpointRequests, order[from:to], attempt, attempts.isUseful(result, i))
 	}
-	return lost
+	return unattributed
+}
+
+// attemptIndex finds client attempts by their transaction id.
+type attemptIndex struct {
+	plan          *plan.Plan
+	attempts      []trace.ClientAttempt
+	byTransaction map[uint64]int // index into attempts
 }
 
-// useful tells whether the answer to a try went into what the client got: it is the client's served try itself, or a
-// call by the box whose answer another such try got. By has the tries' places by id.
-func (f *requestResult) isUseful(p *plan.Plan, tries []trace.ClientAttempt, by map[uint64]int, i int) bool {
-	t := &tries[i]
-	if f.servedAttempt < 0 || t.Tier == 0 {
-		return i == f.servedAttempt
+// isUseful reports whether the response to an attempt became part of what the client got: it is the client's served
+// attempt itself, or a call by the endpoint whose response another such attempt got.
+func (x *attemptIndex) isUseful(r *requestResult, index int) bool {
+	attempt := &x.attempts[index]
+	if r.servedAttempt < 0 || attempt.Tier == 0 {
+		return index == r.servedAttempt
 	}
-	parent, known := by[t.Parent]
-	if t.Parent == 0 || !known {
-		parent = f.servedAttempt
+	parent, known := x.byTransaction[attempt.Parent]
+	if attempt.Parent == 0 || !known {
+		parent = r.servedAttempt
+	}
+	if attempt.Status != trace.StatusServed || !x.calledBy(attempt, x.attempts[parent].Endpoint) {
+		return false
+	}
+	return parent == r.servedAttempt || x.isUseful(r, parent)
+}
+
+// calledBy reports whether an attempt came by the sidecar beside an endpoint, as far as both are known.
+func (x *attemptIndex) calledBy(attempt *trace.ClientAttempt, endpoint int) bool {
+	if attempt.Sidecar < 0 || attempt.Sidecar >= len(x.plan.Sidecars) || endpoint < 0 {
+		return true
 	}
-	box := tries[parent].Endpoint
-	return t.Status == trace.StatusServed && (t.Sidecar < 0 || t.Sidecar >= len(p.Sidecars) || box < 0 || p.Sidecars[t.Sidecar].Box == box) &&
-		(parent == f.servedAttempt || f.isUseful(p, tries, by, parent))
+	return x.plan.Sidecars[attempt.Sidecar].Box == endpoint
 }
 
-// visited takes in the visits of one try, by Begun.
-func (f *requestResult) addEndpointRequests(visits []trace.EndpointRequest, of []int, t *trace.ClientAttempt, useful bool) {
-	answer := -1 // the visit whose answer the try got
-	open := time.Duration(-1)
-	for _, i := range of {
-		v := &visits[i]
-		f.endpointRequests[t.Tier]++
-		f.work += v.Work
-		f.wasted += v.Work
-		if v.FirstByte < open {
-			f.hedges++
+// addEndpointRequests counts the endpoint requests of one attempt, given by indices sorted by FirstByte. Where the attempt
+// was useful, the work of the one whose response it got isn't wasted.
+func (r *requestResult) addEndpointRequests(requests []trace.EndpointRequest, indices []int, attempt *trace.ClientAttempt, useful bool) {
+	answered := -1 // index of the request whose response the attempt got
+	openUntil := time.Duration(-1)
+	for _, i := range indices {
+		request := &requests[i]
+		r.endpointRequests[attempt.Tier]++
+		r.work += request.Work
+		r.wasted += request.Work
+		if request.FirstByte < openUntil {
+			r.hedges++
 		}
-		if v.Ended == trace.Unset {
-			open = maxDuration
+		if request.Ended == trace.Unset {
+			openUntil = maxDuration
 		}
-		open = max(open, v.Ended)
-		if v.Outcome == trace.OutcomeOK && (t.Endpoint < 0 || v.Endpoint == t.Endpoint) && (answer < 0 || v.Ended < visits[answer].Ended) {
-			answer = i
+		openUntil = max(openUntil, request.Ended)
+		isResponse := request.Outcome == trace.OutcomeOK && (attempt.Endpoint < 0 || request.Endpoint == attempt.Endpoint)
+		if isResponse && (answered < 0 || request.Ended < requests[answered].Ended) {
+			answered = i
 		}
 	}
-	if useful && answer >= 0 {
-		f.wasted -= visits[answer].Work
+	if useful && answered >= 0 {
+		r.wasted -= requests[answered].Work
 	}
 }
--- a/internal/lab/result/result_test.go
+++ b/internal/lab/result/result_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"math"
 	"os"
 	"path/filepath"
@@ -19,9 +20,10 @@
 
 const ms = time.Millisecond
 
-// morning is six requests of 10 s at two tiers, counted by hand: of class fast (aim 100 ms, worth 3) one
-// served at its second try, one late, one refused; of slow (aim 1 s, worth 1) one served, one failed, one gone.
-func morning() (*plan.Plan, *trace.Log) {
+// sixRequests is a run of 10 s at two tiers, whose figures were counted by hand: of class fast (target latency 100 ms,
+// value 3) one request is served at its second attempt, one late, one rejected; of slow (1 s, value 1) one is served, one
+// fails and one is canceled.
+func sixRequests() (*plan.Plan, *trace.Log) {
 	s := scenario.Default()
 	s.Name, s.Length = "morning", scenario.Span(10*time.Second)
 	s.Class = []scenario.Class{{Name: "fast", Aim: scenario.Span(100 * ms), Worth: 3}, {Name: "slow", Aim: scenario.Span(time.Second), Worth: 1}}
@@ -33,34 +35,34 @@
 	for i, due := range []time.Duration{500, 1500, 2500, 3500, 4500, 5500} {
 		p.Requests = append(p.Requests, plan.Request{Due: due * ms, Class: i / 3, Work: time.Duration(i+1) * ms})
 	}
-	try := func(txn uint64, request, no int, status trace.Status, box int, answered time.Duration) trace.ClientAttempt {
-		return trace.ClientAttempt{TransactionID: txn, Request: request, Number: no, Class: request / 3, Due: p.Requests[request].Due, Status: status, Endpoint: box, Ended: answered * ms}
+	attempt := func(transaction uint64, request, number int, status trace.Status, endpoint int, answered time.Duration) trace.ClientAttempt {
+		return trace.ClientAttempt{TransactionID: transaction, Request: request, Number: number, Class: request / 3, Due: p.Requests[request].Due, Status: status, Endpoint: endpoint, Ended: answered * ms}
 	}
 	log := &trace.Log{End: 11 * time.Second, ClientAttempts: []trace.ClientAttempt{
-		try(2, 0, 1, trace.StatusServed, 0, 580), try(1, 0, 0, trace.StatusRejected, -1, 510), // out of order, as sockets may have them
-		try(3, 1, 0, trace.StatusServed, 1, 1750),
-		try(4, 2, 0, trace.StatusFailed, 0, 2600), try(5, 2, 1, trace.StatusRejected, -1, 2700),
-		try(6, 3, 0, trace.StatusServed, 0, 3900),
-		try(7, 4, 0, trace.StatusDisconnected, -1, 4600),
-		try(8, 5, 0, trace.StatusCanceled, -1, 5600),
+		attempt(2, 0, 1, trace.StatusServed, 0, 580), attempt(1, 0, 0, trace.StatusRejected, -1, 510), // out of order, as sockets may have them
+		attempt(3, 1, 0, trace.StatusServed, 1, 1750),
+		attempt(4, 2, 0, trace.StatusFailed, 0, 2600), attempt(5, 2, 1, trace.StatusRejected, -1, 2700),
+		attempt(6, 3, 0, trace.StatusServed, 0, 3900),
+		attempt(7, 4, 0, trace.StatusDisconnected, -1, 4600),
+		attempt(8, 5, 0, trace.StatusCanceled, -1, 5600),
 	}}
-	call := try(20, 0, 0, trace.StatusServed, 2, 570)
+	call := attempt(20, 0, 0, trace.StatusServed, 2, 570)
 	call.Tier, call.Sidecar = 1, 1
-	other := try(21, 1, 0, trace.StatusServed, 2, 1600)
-	other.Tier, other.Sidecar = 1, 1 // of the copy at front-1 that did not serve its client
+	other := attempt(21, 1, 0, trace.StatusServed, 2, 1600)
+	other.Tier, other.Sidecar = 1, 1 // of the hedge at front-1 that did not serve its client
 	log.ClientAttempts = append(log.ClientAttempts, call, other)
-	visit := func(txn uint64, box int, begun, ended time.Duration, end trace.Outcome, done time.Duration) trace.EndpointRequest {
-		return trace.EndpointRequest{TransactionID: txn, Endpoint: box, FirstByte: begun * ms, Ended: ended * ms, Outcome: end, Work: done * ms}
+	endpointRequest := func(transaction uint64, endpoint int, started, ended time.Duration, outcome trace.Outcome, work time.Duration) trace.EndpointRequest {
+		return trace.EndpointRequest{TransactionID: transaction, Endpoint: endpoint, FirstByte: started * ms, Ended: ended * ms, Outcome: outcome, Work: work * ms}
 	}
-	held := visit(7, 1, 4510, 0, trace.OutcomePending, 5)
-	held.Ended = trace.Unset
+	pending := endpointRequest(7, 1, 4510, 0, trace.OutcomePending, 5)
+	pending.Ended = trace.Unset
 	log.EndpointRequests = []trace.EndpointRequest{
-		visit(2, 0, 520, 575, trace.OutcomeOK, 10), visit(20, 2, 530, 565, trace.OutcomeOK, 4),
-		visit(3, 1, 1510, 1740, trace.OutcomeOK, 20), visit(3, 0, 1600, 1700, trace.OutcomeCanceled, 8), visit(21, 2, 1610, 1650, trace.OutcomeOK, 4),
-		visit(4, 0, 2510, 2590, trace.OutcomeError, 7),
-		visit(6, 0, 3510, 3600, trace.OutcomeError, 6), visit(6, 0, 3610, 3890, trace.OutcomeOK, 30), // one after another: no copy
-		held, visit(7, 0, 4520, 4590, trace.OutcomeLost, 2), // a copy of one that is still held
-		visit(99, 0, 6000, 6010, trace.OutcomeOK, 4), // nobody sent it
+		endpointRequest(2, 0, 520, 575, trace.OutcomeOK, 10), endpointRequest(20, 2, 530, 565, trace.OutcomeOK, 4),
+		endpointRequest(3, 1, 1510, 1740, trace.OutcomeOK, 20), endpointRequest(3, 0, 1600, 1700, trace.OutcomeCanceled, 8), endpointRequest(21, 2, 1610, 1650, trace.OutcomeOK, 4),
+		endpointRequest(4, 0, 2510, 2590, trace.OutcomeError, 7),
+		endpointRequest(6, 0, 3510, 3600, trace.OutcomeError, 6), endpointRequest(6, 0, 3610, 3890, trace.OutcomeOK, 30), // one after another: no hedge
+		pending, endpointRequest(7, 0, 4520, 4590, trace.OutcomeLost, 2), // a hedge of one that is still pending
+		endpointRequest(99, 0, 6000, 6010, trace.OutcomeOK, 4), // of no attempt
 	}
 	return p, log
 }
@@ -73,7 +75,7 @@
 }
 
 func TestFiguresCountedByHand(t *testing.T) {
-	p, log := morning()
+	p, log := sixRequests()
 	r := New(p, log, []Violation{{Kind: "twice", Count: 2, Timelines: [][]string{{"a", "b"}}}, {Kind: "kept"}}, Meta{Player: "virtual"})
 	if want := (AttemptPeak{Endpoint: "front-1", From: 1.6, Attempts: 2, Additional: 1, Hedges: 1}); r.Peak == nil || *r.Peak != want {
 		t.Errorf("the worst second is %+v, want %+v", r.Peak, want)
@@ -113,14 +115,14 @@
 	}
 }
 
-func TestWorthByWork(t *testing.T) {
-	p, log := morning()
+func TestValueByWork(t *testing.T) {
+	p, log := sixRequests()
 	p.Scenario.Rules.ByWork = true
 	near(t, "service", New(p, log, nil, Meta{}).All.Goodput, (3*1+4.0)/(3*(1+2+3)+4+5+6))
 }
 
 func TestMeasures(t *testing.T) {
-	p, log := morning()
+	p, log := sixRequests()
 	third, half, one := 1.0/3, 0.5, 1.0
 	var s scenario.Span
 	for _, c := range []struct {
@@ -149,8 +151,8 @@
 	}
 }
 
-func TestSettleIsLeftOut(t *testing.T) {
-	p, log := morning()
+func TestSettleTimeIsExcluded(t *testing.T) {
+	p, log := sixRequests()
 	p.Scenario.Settle = scenario.Span(time.Second)
 	r := New(p, log, nil, Meta{})
 	if r.All.Requested != 5 || r.Seconds[0].Requested != 0 || r.Seconds[1].Requested != 1 {
@@ -158,10 +160,10 @@
 	}
 }
 
-// A cold box of one core at half capacity starts at 2 s and is sent 0.3 s of work in its first 200 ms, then
-// nothing; the window is 1 s, of which it could do 0.5 s.
-func TestBoxes(t *testing.T) {
-	p, log := morning()
+// An endpoint of one core starts at 2 s, warming up at half its capacity, and is sent 0.3 s of work in its first 200 ms,
+// then nothing; the window is 1 s, of which it could do 0.5 s.
+func TestEndpoints(t *testing.T) {
+	p, log := sixRequests()
 	for i := 0; i <= 40; i++ {
 		at := time.Duration(i) * 100 * ms
 		s := trace.Sample{At: at, Endpoint: 1, Running: 2, Queued: i / 10, Capacity: 1, PossibleWork: at, SentWork: at / 2}
@@ -194,7 +196,7 @@
 	}
 }
 
-func TestRigThatRanLate(t *testing.T) {
+func TestHarnessThatRanLate(t *testing.T) {
 	lateness := make([]time.Duration, 1000)
 	for i := range lateness {
 		lateness[i] = 19 * ms
@@ -222,8 +224,8 @@
 	}
 }
 
-func TestNothingHappened(t *testing.T) {
-	p, log := morning()
+func TestEmptyTrace(t *testing.T) {
+	p, log := sixRequests()
 	for name, l := range map[string]*trace.Log{"empty": {}, "no try": {End: log.End}} {
 		r := New(p, l, nil, Meta{Player: "sockets"})
 		var out strings.Builder
@@ -244,7 +246,7 @@
 }
 
 func TestWriteAndRead(t *testing.T) {
-	p, log := morning()
+	p, log := sixRequests()
 	dir := filepath.Join(t.TempDir(), "new")
 	r := New(p, log, []Violation{{"twice", 1, [][]string{{"a"}}}}, Meta{Builds: []string{"x"}, Player: "virtual"})
 	again, _ := New(p, log, []Violation{{"twice", 1, [][]string{{"a"}}}}, Meta{Builds: []string{"x"}, Player: "virtual"}).Bytes()
@@ -268,13 +270,14 @@
 	if err := os.WriteFile(filepath.Join(dir, File), []byte(`{"schema":99}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Read(dir); err == nil || !strings.Contains(err.Error(), "99") {
-		t.Errorf("a schema of later: %v", err)
+	var schema *SchemaError
+	if _, err := Read(dir); !errors.As(err, &schema) || schema.Schema != 99 || !strings.Contains(err.Error(), "99") {
+		t.Errorf("a later schema: %v", err)
 	}
 }
 
-func TestDiffTellsWhatIsNoise(t *testing.T) {
-	p, log := morning()
+func TestDiffReportsSignificance(t *testing.T) {
+	p, log := sixRequests()
 	a, b := New(p, log, nil, Meta{}), New(p, log, []Violation{{Kind: "twice", Count: 3}}, Meta{})
 	b.Seed, a.All.Requested, b.All.Requested = 8, 1000, 1000
 	a.All.Late.Share, b.All.Late.Share = 0.10, 0.11 // z 0.73
@@ -293,8 +296,8 @@
 	}
 }
 
-func TestSummaryTellsWhatHappened(t *testing.T) {
-	p, log := morning()
+func TestSummary(t *testing.T) {
+	p, log := sixRequests()
 	most := 0.1
 	p.Scenario.Expect = []scenario.Expect{{What: "late", Most: &most}}
 	log.Usage = []trace.Usage{{CPU: time.Second, PeakMemory: 9 << 20, MaxDescriptors: 40}}
