--- a/internal/lab/report/bands.go
+++ b/internal/lab/report/band.go
@@ -7,9 +7,9 @@
 	"pinelb.example/pinelb/internal/lab/result"
 )
 
-// mostLanes of faults are drawn with their names; beyond that each is drawn with its number in the table of
+// maxNamedLanes of faults are drawn with their names; beyond that each is drawn with its number in the table of
 // faults, so that an incident of thirty faults leaves room for what it did.
-const mostLanes = 6
+const maxNamedLanes = 6
 
 // band is a fault as every plot shows it: a bar with a label above, its shade and its edges in the plot.
 type band struct {
@@ -18,16 +18,16 @@
 	lane     int
 }
 
-// bandsOf gives each fault a lane in which neither its bar nor its label meets another's.
-func bandsOf(marks []result.FaultImpact, x func(float64) float64) (out []band, lanes int) {
-	out, lanes = pack(marks, x, func(i int) string { return fmt.Sprintf("%d %s", i+1, marks[i].Description) })
-	if lanes > mostLanes {
-		out, lanes = pack(marks, x, func(i int) string { return fmt.Sprint(i + 1) })
+// placeBands gives each fault a lane in which neither its bar nor its label meets another's.
+func placeBands(marks []result.FaultImpact, x func(float64) float64) (out []band, lanes int) {
+	out, lanes = packLanes(marks, x, func(i int) string { return fmt.Sprintf("%d %s", i+1, marks[i].Description) })
+	if lanes > maxNamedLanes {
+		out, lanes = packLanes(marks, x, func(i int) string { return fmt.Sprint(i + 1) })
 	}
 	return out, lanes
 }
 
-func pack(marks []result.FaultImpact, x func(float64) float64, label func(int) string) (out []band, lanes int) {
+func packLanes(marks []result.FaultImpact, x func(float64) float64, label func(int) string) (out []band, lanes int) {
 	var ends []float64 // of each lane
 	for i, m := range marks {
 		b := band{from: m.From, to: m.To, label: label(i), lane: -1}
@@ -48,20 +48,20 @@
 
 // extent is from where to where its bar and label go.
 func (b *band) extent(x func(float64) float64) (from, to float64) {
-	words := b.words(x)
-	return min(x(b.from), words), max(b.end(x), words+b.wide())
+	words := b.labelX(x)
+	return min(x(b.from), words), max(b.barEnd(x), words+b.labelWidth())
 }
 
 // end is where its bar ends; one of no length can still be seen.
-func (b *band) end(x func(float64) float64) float64 { return max(x(b.to), x(b.from)+3) }
+func (b *band) barEnd(x func(float64) float64) float64 { return max(x(b.to), x(b.from)+3) }
 
-func (b *band) wide() float64 { return charWidth*float64(utf8.RuneCountInString(b.label)) + 8 }
+func (b *band) labelWidth() float64 { return charWidth*float64(utf8.RuneCountInString(b.label)) + 8 }
 
 // words is where its label begins: within the bar, else behind it, else before it, else from its
 // start on or, where that is too far right, so that it ends with the plot.
-func (b *band) words(x func(float64) float64) float64 {
-	from, end := x(b.from), b.end(x)
-	switch wide := b.wide(); {
+func (b *band) labelX(x func(float64) float64) float64 {
+	from, end := x(b.from), b.barEnd(x)
+	switch wide := b.labelWidth(); {
 	case wide <= end-from:
 		return from
 	case end+wide <= width-right:
--- a/internal/lab/report/words.go
+++ b/internal/lab/report/format.go
@@ -3,7 +3,7 @@
 import "fmt"
 
 // short is a number with three digits that count, and K or M for thousands and millions.
-func short(v float64) string {
+func formatNumber(v float64) string {
 	switch {
 	case v >= 1e6:
 		return fmt.Sprintf("%.3gM", v/1e6)
@@ -16,7 +16,7 @@
 }
 
 // span words milliseconds.
-func span(ms float64) string {
+func formatMillis(ms float64) string {
 	switch {
 	case ms >= 1000:
 		return fmt.Sprintf("%.3g s", ms/1000)
@@ -28,7 +28,7 @@
 	return "0"
 }
 
-func share(v *float64) string {
+func formatPercent(v *float64) string {
 	if v == nil {
 		return "–"
 	}
--- a/internal/lab/report/frame.go
+++ b/internal/lab/report/frame.go
@@ -9,13 +9,13 @@
 
 // plot is a drawing with what is said about it.
 type plot struct {
-	Title, About string
-	Legend       []key
-	SVG          template.HTML
+	Title, Description string
+	Legend             []legendEntry
+	SVG                template.HTML
 }
 
 // key is an entry of a legend. It stands outside the drawing, where it covers nothing.
-type key struct{ Class, Words string }
+type legendEntry struct{ Class, Label string }
 
 // frame is what all plots of a page share: the time axis and the faults.
 type frame struct {
@@ -26,7 +26,7 @@
 
 func newFrame(r *result.Result) *frame {
 	f := &frame{seconds: max(float64(len(r.Seconds)), 1)}
-	f.bands, f.lanes = bandsOf(r.FaultImpacts, f.x)
+	f.bands, f.lanes = placeBands(r.FaultImpacts, f.x)
 	return f
 }
 
@@ -35,39 +35,39 @@
 }
 
 // top is where the plot's own part begins, below the faults' bars.
-func (f *frame) top() float64 { return 4 + laneTall*float64(f.lanes) }
+func (f *frame) plotTop() float64 { return 4 + laneHeight*float64(f.lanes) }
 
 // How strongly faults shade a plot, and what its time axis counts. Where colours of the plot's own fill it,
 // shades would make others of them: there the faults' edges and the bars above have to do.
-type ground struct{ under, over, axis string }
+type plotStyle struct{ shadeBelow, shadeAbove, timeLabel string }
 
 var (
-	ofRequests = ground{"shade", "", "seconds from the start, by when requests were due"}
-	ofShares   = ground{"", "shade faint", ofRequests.axis}
-	ofBoxes    = ground{"shade", "", "seconds from the start"}
-	ofCells    = ground{"", "", ofBoxes.axis}
+	requestStyle  = plotStyle{"shade", "", "seconds from the start, by when requests were due"}
+	shareStyle    = plotStyle{"", "shade faint", requestStyle.timeLabel}
+	endpointStyle = plotStyle{"shade", "", "seconds from the start"}
+	heatmapStyle  = plotStyle{"", "", endpointStyle.timeLabel}
 )
 
 // draw makes a plot of that height: the faults' shades, under or over what inside draws, their edges and bars,
 // and the time axis.
-func (f *frame) draw(tall float64, title string, on ground, inside func(s *svg, top, bottom float64)) template.HTML {
+func (f *frame) draw(tall float64, title string, on plotStyle, inside func(s *svg, top, bottom float64)) template.HTML {
 	s := &svg{}
-	top := f.top()
+	top := f.plotTop()
 	bottom := top + tall
-	s.put(`<svg viewBox="0 0 %s %s" role="img" aria-label="%s">`, n(width), n(bottom+axisTall), template.HTMLEscapeString(title))
+	s.printf(`<svg viewBox="0 0 %s %s" role="img" aria-label="%s">`, coord(width), coord(bottom+axisHeight), template.HTMLEscapeString(title))
 	s.rect(left, top, width-left-right, tall, "ground")
-	f.shade(s, top, tall, on.under)
+	f.shade(s, top, tall, on.shadeBelow)
 	inside(s, top, bottom)
-	f.shade(s, top, tall, on.over)
+	f.shade(s, top, tall, on.shadeAbove)
 	for i := range f.bands {
 		b := &f.bands[i]
 		from, to := f.x(b.from), max(f.x(b.to), f.x(b.from)+1.5)
 		for _, x := range []float64{from, to} {
 			s.line(x, top, x, bottom, "edge")
 		}
-		y := 2 + laneTall*float64(b.lane)
-		s.rect(from, y, b.end(f.x)-from, laneTall-3, "bar")
-		s.text(b.words(f.x)+4, y+10, "start", "band", b.label)
+		y := 2 + laneHeight*float64(b.lane)
+		s.rect(from, y, b.barEnd(f.x)-from, laneHeight-3, "bar")
+		s.text(b.labelX(f.x)+4, y+10, "start", "band", b.label)
 	}
 	step := timeStep(f.seconds)
 	for at := 0.0; at <= f.seconds; at += step {
@@ -75,8 +75,8 @@
 		s.line(x, bottom, x, bottom+4, "tick")
 		s.text(x, bottom+16, "middle", "axis", fmt.Sprintf("%g", at))
 	}
-	s.text((left+width-right)/2, bottom+30, "middle", "axis", on.axis)
-	s.put("</svg>")
+	s.text((left+width-right)/2, bottom+30, "middle", "axis", on.timeLabel)
+	s.printf("</svg>")
 	return template.HTML(s.String()) // every text in it went through EscapeString
 }
 
--- a/internal/lab/report/heat.go
+++ b/internal/lab/report/heatmap.go
@@ -9,39 +9,39 @@
 	"pinelb.example/pinelb/internal/lab/result"
 )
 
-// mostRows of boxes are drawn: more would be lines of a few pixels that nobody can name.
-const mostRows = 80
+// maxRows of boxes are drawn: more would be lines of a few pixels that nobody can name.
+const maxRows = 80
 
 // steps of load over present capacity. Up to 1 a box keeps up; from 1 on its queue grows.
-var steps = []struct {
+var loadSteps = []struct {
 	below float64
 	words string
 }{{0.25, "under ¼"}, {0.5, "to ½"}, {0.75, "to ¾"}, {1, "to 1"}, {1.5, "1 to 1½"}, {2.5, "to 2½"}, {1e300, "more"}}
 
 // sampled are the boxes whose load is known.
-func sampled(r *result.Result) []result.Endpoint {
+func sampledEndpoints(r *result.Result) []result.Endpoint {
 	return slices.DeleteFunc(slices.Clone(r.Endpoints), func(b result.Endpoint) bool { return b.Samples == 0 })
 }
 
 // heat is a row for each box and a cell for each second, coloured by the work sent to it over what it could
 // do in that second.
-func heat(f *frame, all []result.Endpoint) plot {
-	p := plot{Title: "Load of each box", About: "Work that reached it over what it could do in that second, cold starts and slowness counted."}
-	for i, step := range steps {
-		p.Legend = append(p.Legend, key{fmt.Sprintf("h%d", i), step.words})
+func heatmap(f *frame, all []result.Endpoint) plot {
+	p := plot{Title: "Load of each box", Description: "Work that reached it over what it could do in that second, cold starts and slowness counted."}
+	for i, step := range loadSteps {
+		p.Legend = append(p.Legend, legendEntry{fmt.Sprintf("h%d", i), step.words})
 	}
-	p.Legend = append(p.Legend, key{"down", "down"}, key{"hit", "down, yet sent work"}, key{"cold", "cold (underlined)"})
-	boxes := hottest(all)
+	p.Legend = append(p.Legend, legendEntry{"down", "down"}, legendEntry{"hit", "down, yet sent work"}, legendEntry{"cold", "cold (underlined)"})
+	boxes := highestPeaks(all)
 	if len(boxes) < len(all) {
-		p.About += fmt.Sprintf(" The %d of %d boxes with the highest peaks.", len(boxes), len(all))
+		p.Description += fmt.Sprintf(" The %d of %d boxes with the highest peaks.", len(boxes), len(all))
 	}
 	tall := 18.0
 	if len(boxes) > 16 {
 		tall = 12
 	}
-	p.SVG = f.draw(tall*float64(len(boxes)), p.Title, ofCells, func(s *svg, top, _ float64) {
+	p.SVG = f.draw(tall*float64(len(boxes)), p.Title, heatmapStyle, func(s *svg, top, _ float64) {
 		for i, b := range boxes {
-			f.row(s, &b, top+float64(i)*tall, tall)
+			f.drawHeatmapRow(s, &b, top+float64(i)*tall, tall)
 			if i > 0 && b.Tier != boxes[i-1].Tier {
 				s.line(left, top+float64(i)*tall, width-right, top+float64(i)*tall, "tick")
 			}
@@ -51,25 +51,25 @@
 }
 
 // row draws one box. Neighbouring cells of one colour are one piece.
-func (f *frame) row(s *svg, b *result.Endpoint, y, tall float64) {
+func (f *frame) drawHeatmapRow(s *svg, b *result.Endpoint, y, tall float64) {
 	cells := map[string]*strings.Builder{}
 	var cold strings.Builder
 	for from, to := 0, 0; from < len(b.SentWork); from = to {
-		class := cell(b, from)
-		for to = from + 1; to < len(b.SentWork) && cell(b, to) == class; to++ {
+		class := cellClass(b, from)
+		for to = from + 1; to < len(b.SentWork) && cellClass(b, to) == class; to++ {
 		}
 		if cells[class] == nil {
 			cells[class] = &strings.Builder{}
 		}
-		fmt.Fprintf(cells[class], "M%s %sH%sv%sH%sZ", n(f.x(float64(from))), n(y+0.5), n(f.x(float64(to))), n(tall-1), n(f.x(float64(from))))
+		fmt.Fprintf(cells[class], "M%s %sH%sv%sH%sZ", coord(f.x(float64(from))), coord(y+0.5), coord(f.x(float64(to))), coord(tall-1), coord(f.x(float64(from))))
 	}
 	for i, is := range b.WarmingUp {
 		if is {
-			fmt.Fprintf(&cold, "M%s %sH%s", n(f.x(float64(i))), n(y+tall-1.5), n(f.x(float64(i+1))))
+			fmt.Fprintf(&cold, "M%s %sH%s", coord(f.x(float64(i))), coord(y+tall-1.5), coord(f.x(float64(i+1))))
 		}
 	}
-	s.put("<g><title>%s</title>", html.EscapeString(rowWords(b)))
-	for _, class := range classes() {
+	s.printf("<g><title>%s</title>", html.EscapeString(rowTitle(b)))
+	for _, class := range cellClasses() {
 		if d := cells[class]; d != nil {
 			s.path(d.String(), "fill "+class)
 		}
@@ -80,11 +80,11 @@
 		name = string(runes[:12]) + "…"
 	}
 	s.text(left-8, y+tall/2+3.5, "end", map[bool]string{true: "name fell", false: "name"}[b.Collapsed], name)
-	s.put("</g>")
+	s.printf("</g>")
 }
 
 // cell is the class of a box's second.
-func cell(b *result.Endpoint, i int) string {
+func cellClass(b *result.Endpoint, i int) string {
 	// A thousandth of a core is the rounding of a box that was up for some microseconds of the second.
 	if b.PossibleWork[i] < 1e-3 {
 		if b.SentWork[i] > 0 {
@@ -93,7 +93,7 @@
 		return "down"
 	}
 	load := b.SentWork[i] / b.PossibleWork[i]
-	return fmt.Sprintf("h%d", slices.IndexFunc(steps, func(s struct {
+	return fmt.Sprintf("h%d", slices.IndexFunc(loadSteps, func(s struct {
 		below float64
 		words string
 	}) bool {
@@ -101,17 +101,17 @@
 	}))
 }
 
-func classes() []string {
+func cellClasses() []string {
 	out := []string{"down", "hit"}
-	for i := range steps {
+	for i := range loadSteps {
 		out = append(out, fmt.Sprintf("h%d", i))
 	}
 	return out
 }
 
-// rowWords is what a pointer on a row shows.
-func rowWords(b *result.Endpoint) string {
-	peak, at := peakOf(b)
+// rowTitle is what a pointer on a row shows.
+func rowTitle(b *result.Endpoint) string {
+	peak, at := peakLoad(b)
 	text := fmt.Sprintf("%s (%s): highest load %.2f, in second %d", b.Name, b.Kind, peak, at)
 	if b.MaxColdLoad > 0 {
 		text += fmt.Sprintf("; while cold at most %.2f in a window", b.MaxColdLoad)
@@ -122,7 +122,7 @@
 	return text
 }
 
-func peakOf(b *result.Endpoint) (peak float64, at int) {
+func peakLoad(b *result.Endpoint) (peak float64, at int) {
 	for i := range b.SentWork {
 		if b.PossibleWork[i] >= 1e-3 && b.SentWork[i]/b.PossibleWork[i] > peak {
 			peak, at = b.SentWork[i]/b.PossibleWork[i], i
@@ -132,8 +132,8 @@
 }
 
 // hottest are the boxes to draw, in their order.
-func hottest(boxes []result.Endpoint) []result.Endpoint {
-	if len(boxes) <= mostRows {
+func highestPeaks(boxes []result.Endpoint) []result.Endpoint {
+	if len(boxes) <= maxRows {
 		return boxes
 	}
 	order := make([]int, len(boxes))
@@ -141,8 +141,8 @@
 		order[i] = i
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
-		x, _ := peakOf(&boxes[a])
-		y, _ := peakOf(&boxes[b])
+		x, _ := peakLoad(&boxes[a])
+		y, _ := peakLoad(&boxes[b])
 		if x > y {
 			return -1
 		}
@@ -151,9 +151,9 @@
 		}
 		return 0
 	})
-	order = order[:mostRows]
+	order = order[:maxRows]
 	slices.Sort(order)
-	out := make([]result.Endpoint, 0, mostRows)
+	out := make([]result.Endpoint, 0, maxRows)
 	for _, i := range order {
 		out = append(out, boxes[i])
 	}
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -21,18 +21,18 @@
 const File = "report.html"
 
 //go:embed page.html
-var pageText string
+var pageTemplateText string
 
-var page = template.Must(template.New("report").Funcs(template.FuncMap{
+var pageTemplate = template.Must(template.New("report").Funcs(template.FuncMap{
 	"percent": func(v float64) string { return fmt.Sprintf("%.2f%%", 100*v) },
 	"fixed":   func(places int, v float64) string { return fmt.Sprintf("%.*f", places, v) },
-	"short":   short,
-	"span":    span,
-	"share":   share,
+	"short":   formatNumber,
+	"span":    formatMillis,
+	"share":   formatPercent,
 	"join":    func(v []string) string { return strings.Join(v, "\n") },
 	"add":     func(a, b int) int { return a + b },
-	"nth":     nth,
-}).Parse(pageText))
+	"nth":     nthOrDash,
+}).Parse(pageTemplateText))
 
 // Write puts the page into a file.
 func Write(path string, r *result.Result) error {
@@ -49,13 +49,13 @@
 // Page is the page's text.
 func Page(r *result.Result) ([]byte, error) {
 	var out bytes.Buffer
-	v := view{Result: r, Plots: plots(r), Verdict: verdict(r), Held: r.Passed() && !r.Harness.Void}
+	v := view{Result: r, Plots: plots(r), Verdict: verdict(r), Passed: r.Passed() && !r.Harness.Void}
 	for _, b := range r.Endpoints {
 		if b.Collapsed || b.MaxColdLoad > 0 {
-			v.Pressed = append(v.Pressed, b)
+			v.AffectedEndpoints = append(v.AffectedEndpoints, b)
 		}
 	}
-	if err := page.Execute(&out, v); err != nil {
+	if err := pageTemplate.Execute(&out, v); err != nil {
 		return nil, fmt.Errorf("report: %w", err)
 	}
 	return out.Bytes(), nil
@@ -64,10 +64,10 @@
 // view is what the template sees.
 type view struct {
 	*result.Result
-	Plots   []plot
-	Verdict string
-	Held    bool
-	Pressed []result.Endpoint // that were cold at some time or fell over
+	Plots             []plot
+	Verdict           string
+	Passed            bool
+	AffectedEndpoints []result.Endpoint // that were cold at some time or fell over
 }
 
 // verdict is the run in a sentence.
@@ -97,7 +97,7 @@
 }
 
 // nth is "–" where there is none.
-func nth(v []string, i int) string {
+func nthOrDash(v []string, i int) string {
 	if i < 0 || i >= len(v) {
 		return "–"
 	}
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -17,7 +17,7 @@
 		Builds: []string{"one"}, TargetLatencies: []float64{100, 110, 2000},
 		FaultImpacts: []result.FaultImpact{{Description: "hang front-1", From: 2, To: 6, Before: &some}, {Description: "slow front-2, front-3", From: 4, To: 8},
 			{Description: "discovery moves & more", From: 5, To: 5.001}},
-		Expectations: []result.Expectation{{What: "p99", Max: &most, Measured: &some}, {What: "served", Min: &most}},
+		Expectations: []result.Expectation{{Measure: "p99", Max: &most, Measured: &some}, {Measure: "served", Min: &most}},
 		Violations:   []result.Violation{{Kind: "twice", Count: 2, Timelines: [][]string{{"1 s: asked", "2 s: <answered> twice"}}}},
 		FleetLoad:    &result.FleetLoad{MaxPolls: 40, MaxEndpointConnections: 7, PollCounts: []int{40, 2}, EndpointConnectionCounts: []int{0, 7, 1}},
 		Usage:        []result.Usage{{Sidecar: "n1", CPU: 1.5, PeakMemory: 20, MaxDescriptors: 9}}}
@@ -89,16 +89,16 @@
 func TestManyFaultsAreNumbers(t *testing.T) {
 	f := &frame{seconds: 20}
 	var marks []result.FaultImpact
-	for i := range 3 * mostLanes {
+	for i := range 3 * maxNamedLanes {
 		marks = append(marks, result.FaultImpact{Description: "crash of a box with a long name", From: float64(i) / 4, To: 19})
 	}
-	bands, lanes := bandsOf(marks, f.x)
+	bands, lanes := placeBands(marks, f.x)
 	if bands[8].label != "9" || lanes != len(marks) {
 		t.Errorf("%+v in %d lanes", bands, lanes)
 	}
 	for _, m := range []result.FaultImpact{{From: 0, To: 0.1}, {From: 10, To: 11}, {From: 19.9, To: 20}} {
 		m.Description = "a label that is wider than its bar"
-		bands, _ := bandsOf([]result.FaultImpact{m}, f.x)
+		bands, _ := placeBands([]result.FaultImpact{m}, f.x)
 		if from, to := bands[0].extent(f.x); from < left || to > width-right+3 {
 			t.Errorf("%+v goes from %v to %v", m, from, to)
 		}
@@ -110,8 +110,8 @@
 		s     scale
 		ticks string
 	}{
-		{upTo(0, 1), "[0 0.5 1]"}, {upTo(870, 4), "[0 500 1000]"}, {upTo(17, 4), "[0 5 10 15 20]"},
-		{decades(12, 900), "[10 100 1000]"}, {decades(10, 10), "[10 100]"}, {decades(0, 0), "[1 10 100 1000]"}, {scale{from: 0.6, to: 1}, "[0.6 0.7 0.8 0.9 1]"},
+		{linearScale(0, 1), "[0 0.5 1]"}, {linearScale(870, 4), "[0 500 1000]"}, {linearScale(17, 4), "[0 5 10 15 20]"},
+		{logScale(12, 900), "[10 100 1000]"}, {logScale(10, 10), "[10 100]"}, {logScale(0, 0), "[1 10 100 1000]"}, {scale{from: 0.6, to: 1}, "[0.6 0.7 0.8 0.9 1]"},
 	} {
 		if got := fmt.Sprintf("%.4g", c.s.ticks()); got != c.ticks {
 			t.Errorf("%+v has ticks %s, want %s", c.s, got, c.ticks)
--- a/internal/lab/report/scale.go
+++ b/internal/lab/report/scale.go
@@ -26,14 +26,14 @@
 		}
 		return out
 	}
-	for step, i := nice((s.to-s.from)/4), 0.0; s.from+i*step <= s.to*1.001; i++ {
+	for step, i := roundUp((s.to-s.from)/4), 0.0; s.from+i*step <= s.to*1.001; i++ {
 		out = append(out, s.from+i*step)
 	}
 	return out
 }
 
 // nice is the next round number at or above v: 1, 2 or 5 times a power of ten.
-func nice(v float64) float64 {
+func roundUp(v float64) float64 {
 	if v <= 0 {
 		return 1
 	}
@@ -46,14 +46,14 @@
 	return 10 * power
 }
 
-// upTo is a scale from 0 that holds the highest value, and least at the least.
-func upTo(highest, least float64) scale {
-	step := nice(max(highest, least) / 4)
+// linearScale is a scale from 0 that holds the highest value, and least at the least.
+func linearScale(highest, least float64) scale {
+	step := roundUp(max(highest, least) / 4)
 	return scale{to: step * math.Ceil(max(highest, least)/step-1e-9)}
 }
 
 // decades is a logarithmic scale of whole powers of ten around the values above 0.
-func decades(low, high float64) scale {
+func logScale(low, high float64) scale {
 	if low <= 0 || high <= 0 {
 		return scale{from: 1, to: 1000, log: true}
 	}
--- a/internal/lab/result/analysis.go
+++ b/internal/lab/result/analysis.go
@@ -26,12 +26,12 @@
 		Builds:               nonNil(meta.Builds),
 		Player:               meta.Player,
 		Length:               s.Length.D().Seconds(),
-		Settle:               r.settle.Seconds(),
+		WarmUp:               r.warmUp.Seconds(),
 		End:                  round(log.End.Seconds()),
 		Sidecars:             len(p.Sidecars),
 		Tiers:                []string{},
 		AttainableGoodput:    r.attainableGoodput(len(seconds)),
-		All:                  r.tally(allClasses, r.settle, maxDuration).figures(),
+		All:                  r.tally(allClasses, r.warmUp, maxDuration).figures(),
 		UnattributedRequests: r.unattributed.requests,
 		Violations:           boundTimelines(violations),
 		FaultImpacts:         r.faultImpacts(),
@@ -61,7 +61,7 @@
 type analysis struct {
 	plan         *plan.Plan
 	log          *trace.Log
-	settle       time.Duration   // from the run's start, left out of the figures
+	warmUp       time.Duration   // from the run's start, left out of the figures
 	requests     []requestResult // of the plan's requests that were due before the end, in its order
 	unattributed unattributedWork
 	endpoints    []endpointSamples // by the plan's index
@@ -70,7 +70,7 @@
 }
 
 func newAnalysis(p *plan.Plan, log *trace.Log) *analysis {
-	r := &analysis{plan: p, log: log, settle: p.Scenario.Settle.D(), endpoints: samplesByEndpoint(p, log)}
+	r := &analysis{plan: p, log: log, warmUp: p.Scenario.Settle.D(), endpoints: samplesByEndpoint(p, log)}
 	r.requests, r.unattributed = requestResults(p, log)
 	return r
 }
@@ -96,7 +96,7 @@
 	for i := range out {
 		t.reset()
 		for ; next < len(r.requests) && r.requests[next].due < time.Duration(i+1)*time.Second; next++ {
-			if r.requests[next].due >= r.settle {
+			if r.requests[next].due >= r.warmUp {
 				t.add(&r.requests[next])
 			}
 		}
@@ -113,7 +113,7 @@
 		out.Classes = append(out.Classes, Class{
 			Name:          class.Name,
 			TargetLatency: target,
-			Figures:       r.tally(i, r.settle, maxDuration).figures(),
+			Figures:       r.tally(i, r.warmUp, maxDuration).figures(),
 		})
 		out.TargetLatencies = append(out.TargetLatencies, target)
 	}
@@ -152,7 +152,7 @@
 
 // goodput returns that of all requests due in a window, nil if there were none.
 func (r *analysis) goodput(from, to time.Duration) *float64 {
-	t := r.tally(allClasses, max(from, r.settle), to)
+	t := r.tally(allClasses, max(from, r.warmUp), to)
 	if t.requested == 0 {
 		return nil
 	}
@@ -170,7 +170,7 @@
 }
 
 func (r *analysis) expectation(expected *scenario.Expect) Expectation {
-	from, to := r.settle, maxDuration
+	from, to := r.warmUp, maxDuration
 	if expected.From > 0 {
 		from = expected.From.D()
 	}
@@ -178,12 +178,12 @@
 		to = expected.To.D()
 	}
 	out := Expectation{
-		What:  expected.What,
-		Class: expected.Class,
-		From:  from.Seconds(),
-		To:    expected.To.D().Seconds(),
-		Min:   expected.Least,
-		Max:   expected.Most,
+		Measure: expected.What,
+		Class:   expected.Class,
+		From:    from.Seconds(),
+		To:      expected.To.D().Seconds(),
+		Min:     expected.Least,
+		Max:     expected.Most,
 	}
 	value, known := r.measure(expected.What, r.plan.Scenario.ClassIndex(expected.Class), from, to)
 	if known {
--- a/internal/lab/result/format.go
+++ b/internal/lab/result/format.go
@@ -12,7 +12,7 @@
 
 // String returns the expectation with the value measured: "p99 of pay, from 2 s to 8 s: 0.31, at most 0.25 expected".
 func (e Expectation) String() string {
-	text := e.What
+	text := e.Measure
 	if e.Class != "" {
 		text += " of " + e.Class
 	}
--- a/internal/lab/result/goodput.go
+++ b/internal/lab/result/goodput.go
@@ -42,7 +42,7 @@
 	for i := range r.requests {
 		request := &r.plan.Requests[i]
 		second := int(request.Due / time.Second)
-		if request.Due >= r.settle && second < seconds {
+		if request.Due >= r.warmUp && second < seconds {
 			work[second] += request.Work.Seconds()
 			value[second] += r.requests[i].value
 		}
--- a/internal/lab/result/result.go
+++ b/internal/lab/result/result.go
@@ -38,7 +38,7 @@
 	Builds      []string `json:"builds"`
 	Player      string   `json:"player"`
 	Length      float64  `json:"length_s"` // for how long requests arrive
-	Settle      float64  `json:"settle_s"` // at the start, left out of the figures
+	WarmUp      float64  `json:"settle_s"` // at the start, left out of the figures
 	End         float64  `json:"end_s"`    // when the last request and connection was done
 	Sidecars    int      `json:"sidecars"` // those beside endpoints included
 	Tiers       []string `json:"tiers"`
@@ -122,7 +122,7 @@
 
 // Expectation is an expectation of the scenario and the value measured.
 type Expectation struct {
-	What     string   `json:"what"`            // one of scenario.Measures
+	Measure  string   `json:"what"`            // one of scenario.Measures
 	Class    string   `json:"class,omitempty"` // "" is all
 	From     float64  `json:"from_s"`
 	To       float64  `json:"to_s"` // 0 is the end
