--- a/internal/lab/report/format.go
+++ b/internal/lab/report/format.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// short is a number with three digits that count, and K or M for thousands and millions.
+// formatNumber formats a number with three significant digits, and with K or M for thousands and millions.
 func formatNumber(v float64) string {
 	switch {
 	case v >= 1e6:
@@ -15,7 +15,7 @@
 	return fmt.Sprintf("%.3g", v)
 }
 
-// span words milliseconds.
+// formatMillis formats milliseconds, in s, ms or µs.
 func formatMillis(ms float64) string {
 	switch {
 	case ms >= 1000:
@@ -28,6 +28,7 @@
 	return "0"
 }
 
+// formatPercent formats a share in per cent, or a dash where there is none.
 func formatPercent(v *float64) string {
 	if v == nil {
 		return "–"
--- a/internal/lab/report/heatmap.go
+++ b/internal/lab/report/heatmap.go
@@ -1,6 +1,7 @@
 package report
 
 import (
+	"cmp"
 	"fmt"
 	"html"
 	"slices"
@@ -9,153 +10,176 @@
 	"pinelb.example/pinelb/internal/lab/result"
 )
 
-// maxRows of boxes are drawn: more would be lines of a few pixels that nobody can name.
+// maxRows is how many endpoints are drawn: more would be lines of a few pixels that nobody can tell apart.
 const maxRows = 80
 
-// steps of load over present capacity. Up to 1 a box keeps up; from 1 on its queue grows.
-var loadSteps = []struct {
-	below float64
-	words string
-}{{0.25, "under ¼"}, {0.5, "to ½"}, {0.75, "to ¾"}, {1, "to 1"}, {1.5, "1 to 1½"}, {2.5, "to 2½"}, {1e300, "more"}}
+const (
+	rowHeight       = 18.0
+	denseRowHeight  = 12.0
+	maxTallRows     = 16   // more have denseRowHeight
+	maxNameLength   = 13   // of an endpoint, in characters; longer ones are cut
+	minPossibleWork = 1e-3 // of a core: less is the rounding of an endpoint that was up for some microseconds of the second
+)
+
+// loadStep is a colour of the heatmap.
+type loadStep struct {
+	below float64 // of load
+	label string
+}
 
-// sampled are the boxes whose load is known.
+// loadSteps are of the load over the present capacity. Up to 1 an endpoint keeps up; from 1 on its queue grows.
+var loadSteps = []loadStep{
+	{0.25, "under ¼"},
+	{0.5, "to ½"},
+	{0.75, "to ¾"},
+	{1, "to 1"},
+	{1.5, "1 to 1½"},
+	{2.5, "to 2½"},
+	{1e300, "more"},
+}
+
+// sampledEndpoints returns the endpoints whose load is known.
 func sampledEndpoints(r *result.Result) []result.Endpoint {
-	return slices.DeleteFunc(slices.Clone(r.Endpoints), func(b result.Endpoint) bool { return b.Samples == 0 })
+	return slices.DeleteFunc(slices.Clone(r.Endpoints), func(e result.Endpoint) bool { return e.Samples == 0 })
 }
 
-// heat is a row for each box and a cell for each second, coloured by the work sent to it over what it could
-// do in that second.
+// heatmap draws a row for each endpoint with a cell for each second, coloured by the work sent to it over the work that it
+// could do in that second.
 func heatmap(f *frame, all []result.Endpoint) plot {
-	p := plot{Title: "Load of each box", Description: "Work that reached it over what it could do in that second, cold starts and slowness counted."}
+	p := plot{
+		Title:       "Load of each box",
+		Description: "Work that reached it over what it could do in that second, cold starts and slowness counted.",
+	}
 	for i, step := range loadSteps {
-		p.Legend = append(p.Legend, legendEntry{fmt.Sprintf("h%d", i), step.words})
+		p.Legend = append(p.Legend, legendEntry{stepClass(i), step.label})
 	}
 	p.Legend = append(p.Legend, legendEntry{"down", "down"}, legendEntry{"hit", "down, yet sent work"}, legendEntry{"cold", "cold (underlined)"})
-	boxes := highestPeaks(all)
-	if len(boxes) < len(all) {
-		p.Description += fmt.Sprintf(" The %d of %d boxes with the highest peaks.", len(boxes), len(all))
-	}
-	tall := 18.0
-	if len(boxes) > 16 {
-		tall = 12
-	}
-	p.SVG = f.draw(tall*float64(len(boxes)), p.Title, heatmapStyle, func(s *svg, top, _ float64) {
-		for i, b := range boxes {
-			f.drawHeatmapRow(s, &b, top+float64(i)*tall, tall)
-			if i > 0 && b.Tier != boxes[i-1].Tier {
-				s.line(left, top+float64(i)*tall, width-right, top+float64(i)*tall, "tick")
+	endpoints := highestPeaks(all)
+	if len(endpoints) < len(all) {
+		p.Description += fmt.Sprintf(" The %d of %d boxes with the highest peaks.", len(endpoints), len(all))
+	}
+	height := rowHeight
+	if len(endpoints) > maxTallRows {
+		height = denseRowHeight
+	}
+	p.SVG = f.draw(height*float64(len(endpoints)), p.Title, heatmapStyle, func(s *svg, top, _ float64) {
+		for i, endpoint := range endpoints {
+			y := top + float64(i)*height
+			f.drawHeatmapRow(s, &endpoint, y, height)
+			if i > 0 && endpoint.Tier != endpoints[i-1].Tier {
+				s.line(left, y, width-right, y, "tick")
 			}
 		}
 	})
 	return p
 }
 
-// row draws one box. Neighbouring cells of one colour are one piece.
-func (f *frame) drawHeatmapRow(s *svg, b *result.Endpoint, y, tall float64) {
+// drawHeatmapRow draws one endpoint. Neighbouring cells of one colour are one shape.
+func (f *frame) drawHeatmapRow(s *svg, e *result.Endpoint, y, height float64) {
 	cells := map[string]*strings.Builder{}
-	var cold strings.Builder
-	for from, to := 0, 0; from < len(b.SentWork); from = to {
-		class := cellClass(b, from)
-		for to = from + 1; to < len(b.SentWork) && cellClass(b, to) == class; to++ {
+	for from, to := 0, 0; from < len(e.SentWork); from = to {
+		class := cellClass(e, from)
+		for to = from + 1; to < len(e.SentWork) && cellClass(e, to) == class; to++ {
 		}
 		if cells[class] == nil {
 			cells[class] = &strings.Builder{}
 		}
-		fmt.Fprintf(cells[class], "M%s %sH%sv%sH%sZ", coord(f.x(float64(from))), coord(y+0.5), coord(f.x(float64(to))), coord(tall-1), coord(f.x(float64(from))))
+		x := coord(f.x(float64(from)))
+		fmt.Fprintf(cells[class], "M%s %sH%sv%sH%sZ", x, coord(y+0.5), coord(f.x(float64(to))), coord(height-1), x)
 	}
-	for i, is := range b.WarmingUp {
+	var warmingUp strings.Builder
+	for i, is := range e.WarmingUp {
 		if is {
-			fmt.Fprintf(&cold, "M%s %sH%s", coord(f.x(float64(i))), coord(y+tall-1.5), coord(f.x(float64(i+1))))
+			fmt.Fprintf(&warmingUp, "M%s %sH%s", coord(f.x(float64(i))), coord(y+height-1.5), coord(f.x(float64(i+1))))
 		}
 	}
-	s.printf("<g><title>%s</title>", html.EscapeString(rowTitle(b)))
+	s.printf("<g><title>%s</title>", html.EscapeString(rowTitle(e)))
 	for _, class := range cellClasses() {
-		if d := cells[class]; d != nil {
-			s.path(d.String(), "fill "+class)
+		if path := cells[class]; path != nil {
+			s.path(path.String(), "fill "+class)
 		}
 	}
-	s.path(cold.String(), "coldline")
-	name := b.Name
-	if runes := []rune(name); len(runes) > 13 {
-		name = string(runes[:12]) + "…"
+	s.path(warmingUp.String(), "coldline")
+	nameClass := "name"
+	if e.Collapsed {
+		nameClass = "name fell"
 	}
-	s.text(left-8, y+tall/2+3.5, "end", map[bool]string{true: "name fell", false: "name"}[b.Collapsed], name)
+	s.text(left-8, y+height/2+3.5, "end", nameClass, shortName(e.Name))
 	s.printf("</g>")
 }
 
-// cell is the class of a box's second.
-func cellClass(b *result.Endpoint, i int) string {
-	// A thousandth of a core is the rounding of a box that was up for some microseconds of the second.
-	if b.PossibleWork[i] < 1e-3 {
-		if b.SentWork[i] > 0 {
+func shortName(name string) string {
+	if runes := []rune(name); len(runes) > maxNameLength {
+		return string(runes[:maxNameLength-1]) + "…"
+	}
+	return name
+}
+
+func stepClass(step int) string { return fmt.Sprintf("h%d", step) }
+
+// cellClass returns the class of an endpoint's second.
+func cellClass(e *result.Endpoint, second int) string {
+	if e.PossibleWork[second] < minPossibleWork {
+		if e.SentWork[second] > 0 {
 			return "hit"
 		}
 		return "down"
 	}
-	load := b.SentWork[i] / b.PossibleWork[i]
-	return fmt.Sprintf("h%d", slices.IndexFunc(loadSteps, func(s struct {
-		below float64
-		words string
-	}) bool {
-		return load < s.below
-	}))
+	load := e.SentWork[second] / e.PossibleWork[second]
+	return stepClass(slices.IndexFunc(loadSteps, func(s loadStep) bool { return load < s.below }))
 }
 
+// cellClasses returns the classes of cells in the order in which they are drawn.
 func cellClasses() []string {
 	out := []string{"down", "hit"}
 	for i := range loadSteps {
-		out = append(out, fmt.Sprintf("h%d", i))
+		out = append(out, stepClass(i))
 	}
 	return out
 }
 
-// rowTitle is what a pointer on a row shows.
-func rowTitle(b *result.Endpoint) string {
-	peak, at := peakLoad(b)
-	text := fmt.Sprintf("%s (%s): highest load %.2f, in second %d", b.Name, b.Kind, peak, at)
-	if b.MaxColdLoad > 0 {
-		text += fmt.Sprintf("; while cold at most %.2f in a window", b.MaxColdLoad)
+// rowTitle returns what a pointer on a row shows.
+func rowTitle(e *result.Endpoint) string {
+	peak, at := peakLoad(e)
+	text := fmt.Sprintf("%s (%s): highest load %.2f, in second %d", e.Name, e.Kind, peak, at)
+	if e.MaxColdLoad > 0 {
+		text += fmt.Sprintf("; while cold at most %.2f in a window", e.MaxColdLoad)
 	}
-	if b.Collapsed {
+	if e.Collapsed {
 		text += "; fell over"
 	}
 	return text
 }
 
-func peakLoad(b *result.Endpoint) (peak float64, at int) {
-	for i := range b.SentWork {
-		if b.PossibleWork[i] >= 1e-3 && b.SentWork[i]/b.PossibleWork[i] > peak {
-			peak, at = b.SentWork[i]/b.PossibleWork[i], i
+// peakLoad returns an endpoint's highest load in a second, and in which one.
+func peakLoad(e *result.Endpoint) (peak float64, second int) {
+	for i, possible := range e.PossibleWork {
+		if possible >= minPossibleWork && e.SentWork[i]/possible > peak {
+			peak, second = e.SentWork[i]/possible, i
 		}
 	}
-	return peak, at
+	return peak, second
 }
 
-// hottest are the boxes to draw, in their order.
-func highestPeaks(boxes []result.Endpoint) []result.Endpoint {
-	if len(boxes) <= maxRows {
-		return boxes
+// highestPeaks returns the maxRows endpoints with the highest peaks of load, in the order given.
+func highestPeaks(endpoints []result.Endpoint) []result.Endpoint {
+	if len(endpoints) <= maxRows {
+		return endpoints
 	}
-	order := make([]int, len(boxes))
+	order := make([]int, len(endpoints))
 	for i := range order {
 		order[i] = i
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
-		x, _ := peakLoad(&boxes[a])
-		y, _ := peakLoad(&boxes[b])
-		if x > y {
-			return -1
-		}
-		if x < y {
-			return 1
-		}
-		return 0
+		peakA, _ := peakLoad(&endpoints[a])
+		peakB, _ := peakLoad(&endpoints[b])
+		return cmp.Compare(peakB, peakA)
 	})
 	order = order[:maxRows]
 	slices.Sort(order)
 	out := make([]result.Endpoint, 0, maxRows)
 	for _, i := range order {
-		out = append(out, boxes[i])
+		out = append(out, endpoints[i])
 	}
 	return out
 }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,9 +1,9 @@
-// Package report draws a run's result as one page that stands alone: no scripts, nothing fetched, readable in
-// the dark, in a narrow window and on paper.
+// Package report renders a run's result as one self-contained HTML page: without scripts or external resources, readable
+// in a dark theme, in a narrow window and on paper. It is pure but for Write, and equal results give equal pages.
 //
-// The plots are SVG written here. gonum.org/v1/plot was tried first: its SVGs carry fixed colours on a white
-// ground and fixed fonts, so that they can't follow the reader's theme, name a namespace by its address, and
-// bring 9 MB of fonts and rasterizers into the program. What the page needs of it are axes and lines.
+// The plots are SVG written here. The SVGs of gonum.org/v1/plot, which was tried first, have fixed fonts and fixed colours
+// on white, so that they can't follow the reader's theme, and refer to a namespace by its address; the module adds 9 MB of
+// fonts and rasterizers to the program. All that the page needs are axes and lines.
 package report
 
 import (
@@ -17,7 +17,7 @@
 	"pinelb.example/pinelb/internal/lab/result"
 )
 
-// File is the page's name in a run's folder.
+// File is the name of the page in a run's directory.
 const File = "report.html"
 
 //go:embed page.html
@@ -34,7 +34,7 @@
 	"nth":     nthOrDash,
 }).Parse(pageTemplateText))
 
-// Write puts the page into a file.
+// Write writes the page to a file.
 func Write(path string, r *result.Result) error {
 	text, err := Page(r)
 	if err != nil {
@@ -46,13 +46,13 @@
 	return nil
 }
 
-// Page is the page's text.
+// Page returns the page. Its error is the template's.
 func Page(r *result.Result) ([]byte, error) {
 	var out bytes.Buffer
 	v := view{Result: r, Plots: plots(r), Verdict: verdict(r), Passed: r.Passed() && !r.Harness.Void}
-	for _, b := range r.Endpoints {
-		if b.Collapsed || b.MaxColdLoad > 0 {
-			v.AffectedEndpoints = append(v.AffectedEndpoints, b)
+	for _, e := range r.Endpoints {
+		if e.Collapsed || e.MaxColdLoad > 0 {
+			v.AffectedEndpoints = append(v.AffectedEndpoints, e)
 		}
 	}
 	if err := pageTemplate.Execute(&out, v); err != nil {
@@ -61,42 +61,42 @@
 	return out.Bytes(), nil
 }
 
-// view is what the template sees.
+// view is the template's data.
 type view struct {
 	*result.Result
 	Plots             []plot
 	Verdict           string
 	Passed            bool
-	AffectedEndpoints []result.Endpoint // that were cold at some time or fell over
+	AffectedEndpoints []result.Endpoint // that warmed up at some time or collapsed
 }
 
-// verdict is the run in a sentence.
+// verdict sums the run up in a sentence.
 func verdict(r *result.Result) string {
-	broken, missed := 0, 0
-	for _, b := range r.Violations {
-		broken += b.Count
+	violations, unmet := 0, 0
+	for _, v := range r.Violations {
+		violations += v.Count
 	}
 	for _, e := range r.Expectations {
 		if !e.Met {
-			missed++
+			unmet++
 		}
 	}
 	switch {
 	case r.Harness.Void:
 		return "Void: the rig itself ran late, so this run says nothing. " + r.Harness.Reason + "."
-	case broken > 0 && missed > 0:
-		return fmt.Sprintf("Rules were broken (%d times), and %d of %d expectations did not hold.", broken, missed, len(r.Expectations))
-	case broken > 0:
-		return fmt.Sprintf("Rules were broken (%d times).", broken)
-	case missed > 0:
-		return fmt.Sprintf("All rules were kept, but %d of %d expectations did not hold.", missed, len(r.Expectations))
+	case violations > 0 && unmet > 0:
+		return fmt.Sprintf("Rules were broken (%d times), and %d of %d expectations did not hold.", violations, unmet, len(r.Expectations))
+	case violations > 0:
+		return fmt.Sprintf("Rules were broken (%d times).", violations)
+	case unmet > 0:
+		return fmt.Sprintf("All rules were kept, but %d of %d expectations did not hold.", unmet, len(r.Expectations))
 	case len(r.Expectations) > 0:
 		return fmt.Sprintf("All rules were kept and every expectation (%d) held.", len(r.Expectations))
 	}
 	return "All rules were kept."
 }
 
-// nth is "–" where there is none.
+// nthOrDash returns an element, or a dash where there is none.
 func nthOrDash(v []string, i int) string {
 	if i < 0 || i >= len(v) {
 		return "–"
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -10,8 +10,8 @@
 	"pinelb.example/pinelb/internal/lab/result"
 )
 
-// incident is a run of some boxes and seconds with three faults that overlap.
-func incident(boxes, seconds int) *result.Result {
+// incident is a run of some endpoints and seconds with three faults that overlap.
+func incident(endpoints, seconds int) *result.Result {
 	some, most := 0.9, 0.4
 	r := &result.Result{Scenario: "bad <morning>", Player: "sockets", Length: float64(seconds), Tiers: []string{"front"}, Sidecars: 1,
 		Builds: []string{"one"}, TargetLatencies: []float64{100, 110, 2000},
@@ -26,7 +26,7 @@
 		r.Seconds = append(r.Seconds, result.Second{At: i, Requested: 100, Served: 80, Late: 10, Rejected: 5, Failed: 3, Canceled: 2, Goodput: 0.8,
 			ClientAttempts: 120, EndpointRequests: []int{110}, P50: 12, P99: 150})
 	}
-	for i := range boxes {
+	for i := range endpoints {
 		b := result.Endpoint{Name: fmt.Sprintf("front-%d", i+1), Samples: 10 * seconds, SentWork: make([]float64, seconds), PossibleWork: make([]float64, seconds),
 			Running: make([]float64, seconds), Queued: make([]float64, seconds), WarmingUp: make([]bool, seconds)}
 		for s := range seconds {
@@ -38,10 +38,10 @@
 	return r
 }
 
-func TestPageStandsAloneAndNamesFaults(t *testing.T) {
-	for _, boxes := range []int{1, 12, 60, 400} {
+func TestPageIsSelfContainedAndNamesFaults(t *testing.T) {
+	for _, endpoints := range []int{1, 12, 60, 400} {
 		path := filepath.Join(t.TempDir(), File)
-		r := incident(boxes, 20)
+		r := incident(endpoints, 20)
 		if err := Write(path, r); err != nil {
 			t.Fatal(err)
 		}
@@ -52,24 +52,24 @@
 		page := string(text)
 		for _, no := range []string{"http://", "https://", "src=", "href=", "<script", "url(", "@import", "NaN", "+Inf", "%!", "<morning>", "<answered>", "ZgotmplZ"} {
 			if strings.Contains(page, no) {
-				t.Errorf("%d boxes: the page has %q", boxes, no)
+				t.Errorf("%d endpoints: the page has %q", endpoints, no)
 			}
 		}
 		plots := strings.Count(page, "<svg ")
 		for i, label := range []string{"hang front-1", "slow front-2, front-3", "discovery moves &amp; more"} {
 			if n := strings.Count(page, fmt.Sprintf(">%d %s</text>", i+1, label)); n != plots || plots != 7 {
-				t.Errorf("%d boxes: %q is in %d of %d plots", boxes, label, n, plots)
+				t.Errorf("%d endpoints: %q is in %d of %d plots", endpoints, label, n, plots)
 			}
 		}
 		for _, want := range []string{"Rules were broken (2 times), and 2 of 2", "<details", "twice", "nothing to measure", ">front-1</text>", "fell over"} {
 			if !strings.Contains(page, want) {
-				t.Errorf("%d boxes: no %q", boxes, want)
+				t.Errorf("%d endpoints: no %q", endpoints, want)
 			}
 		}
 	}
 }
 
-func TestPageOfNothing(t *testing.T) {
+func TestPageOfEmptyResult(t *testing.T) {
 	for name, r := range map[string]*result.Result{"no second": {}, "no box": {Seconds: make([]result.Second, 3)}} {
 		page, err := Page(r)
 		if err != nil {
@@ -81,12 +81,12 @@
 			}
 		}
 		if strings.Contains(string(page), "NaN") || strings.Contains(string(page), "Load of each box") {
-			t.Errorf("%s: it shows what it has not", name)
+			t.Errorf("%s: it shows data that the result lacks", name)
 		}
 	}
 }
 
-func TestManyFaultsAreNumbers(t *testing.T) {
+func TestManyFaultsAreLabelledWithNumbers(t *testing.T) {
 	f := &frame{seconds: 20}
 	var marks []result.FaultImpact
 	for i := range 3 * maxNamedLanes {
--- a/internal/lab/report/scale.go
+++ b/internal/lab/report/scale.go
@@ -2,13 +2,17 @@
 
 import "math"
 
-// scale maps values to heights.
+// maxTimeLabels is how many intervals a time axis has, unless it is longer than two hours.
+const maxTimeLabels = 14
+
+// scale maps values to vertical coordinates.
 type scale struct {
 	from, to    float64 // values
-	top, bottom float64 // their heights; to stands at top
-	log         bool
+	top, bottom float64 // coordinates of to and of from
+	log         bool    // logarithmic
 }
 
+// y returns the coordinate of a value. Values beyond the scale are moved to its end.
 func (s scale) y(v float64) float64 {
 	a, b := s.from, s.to
 	if s.log {
@@ -18,7 +22,7 @@
 	return s.bottom - (v-a)/(b-a)*(s.bottom-s.top)
 }
 
-// ticks are round values on it, some four of them.
+// ticks returns round values of the scale, about four of them.
 func (s scale) ticks() (out []float64) {
 	if s.log {
 		for v := s.from; v <= s.to*1.001; v *= 10 {
@@ -32,7 +36,7 @@
 	return out
 }
 
-// nice is the next round number at or above v: 1, 2 or 5 times a power of ten.
+// roundUp returns the next round number at or above v: 1, 2 or 5 times a power of ten.
 func roundUp(v float64) float64 {
 	if v <= 0 {
 		return 1
@@ -46,13 +50,13 @@
 	return 10 * power
 }
 
-// linearScale is a scale from 0 that holds the highest value, and least at the least.
-func linearScale(highest, least float64) scale {
-	step := roundUp(max(highest, least) / 4)
-	return scale{to: step * math.Ceil(max(highest, least)/step-1e-9)}
+// linearScale returns a scale from 0 up to the highest value, or to minimum if that is higher.
+func linearScale(highest, minimum float64) scale {
+	step := roundUp(max(highest, minimum) / 4)
+	return scale{to: step * math.Ceil(max(highest, minimum)/step-1e-9)}
 }
 
-// decades is a logarithmic scale of whole powers of ten around the values above 0.
+// logScale returns a logarithmic scale between powers of ten that contains low and high.
 func logScale(low, high float64) scale {
 	if low <= 0 || high <= 0 {
 		return scale{from: 1, to: 1000, log: true}
@@ -64,10 +68,10 @@
 	return scale{from: from, to: to, log: true}
 }
 
-// timeStep is the seconds between two labels of a time axis.
+// timeStep returns the seconds between two labels of a time axis.
 func timeStep(seconds float64) float64 {
 	for _, step := range []float64{1, 2, 5, 10, 15, 30, 60, 120, 300} {
-		if seconds/step <= 14 {
+		if seconds/step <= maxTimeLabels {
 			return step
 		}
 	}
--- a/internal/lab/report/svg.go
+++ b/internal/lab/report/svg.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// Sizes of a plot, in its own units, which are pixels where the window is wide enough. All plots have the same
-// width and margins, so that a moment stands at the same place in each.
+// Sizes of a plot, in its own units, which are pixels where the window is wide enough. All plots have the same width and
+// margins, so that a moment is at the same place in each.
 const (
 	width      = 960.0
 	left       = 88.0
@@ -19,13 +19,13 @@
 	axisHeight = 34.0
 )
 
-// svg is a drawing. Colours and fonts are the page's, by class.
+// svg is a drawing. Its colours and fonts are the page's, by CSS class.
 type svg struct{ strings.Builder }
 
 func (s *svg) printf(format string, args ...any) { fmt.Fprintf(s, format, args...) }
 
-func (s *svg) text(x, y float64, anchor, class, words string) {
-	s.printf(`<text x="%s" y="%s" text-anchor="%s" class="%s">%s</text>`, coord(x), coord(y), anchor, class, html.EscapeString(words))
+func (s *svg) text(x, y float64, anchor, class, content string) {
+	s.printf(`<text x="%s" y="%s" text-anchor="%s" class="%s">%s</text>`, coord(x), coord(y), anchor, class, html.EscapeString(content))
 }
 
 func (s *svg) line(x1, y1, x2, y2 float64, class string) {
@@ -42,5 +42,5 @@
 	}
 }
 
-// n is a coordinate to a tenth.
+// coord formats a coordinate, rounded to a tenth.
 func coord(v float64) string { return strconv.FormatFloat(math.Round(v*10)/10, 'f', -1, 64) }
