--- a/internal/lab/scalefit/table.go
+++ b/internal/lab/scalefit/table.go
@@ -23,27 +23,27 @@
 
 // Row is a cost at a size, from the slope that a file's lines give.
 type Row struct {
-	Role    string             // whose, and when
-	File    string             // of lines, beside the plan
-	Where   map[string]string  // words and numbers that lines must have
-	Upto    map[string]float64 // numbers that lines must not be above, for a knee
-	Cost    string             // the key of what is explained
-	Unit    string             // as the page words it
-	Per     []string           // the keys of what explains it, and products of them
-	At      map[string]float64 // where it is asked for
-	Times   float64            // of what one takes; a service's that so many ask; 0 is 1
-	Limit   float64            // in the unit; 0 is none
-	By      string             // the command that measures it again, of lines that don't name theirs
-	Assumed []string           // keys of At that nobody has measured: the answer is given at half and twice, too
+	Role    string             `toml:"role"`    // whose, and when
+	File    string             `toml:"file"`    // of lines, beside the plan
+	Where   map[string]string  `toml:"where"`   // words and numbers that lines must have
+	Upto    map[string]float64 `toml:"upto"`    // numbers that lines must not be above, for a knee
+	Cost    string             `toml:"cost"`    // the key of what is explained
+	Unit    string             `toml:"unit"`    // as the page words it
+	Per     []string           `toml:"per"`     // the keys of what explains it, and products of them
+	At      map[string]float64 `toml:"at"`      // where it is asked for
+	Times   float64            `toml:"times"`   // of what one takes; a service's that so many ask; 0 is 1
+	Limit   float64            `toml:"limit"`   // in the unit; 0 is none
+	By      string             `toml:"by"`      // the command that measures it again, of lines that don't name theirs
+	Assumed []string           `toml:"assumed"` // keys of At that nobody has measured: the answer is given at half and twice, too
 }
 
 // ParsePlan reads a plan's TOML. Errors name the file, the line and the key.
 func ParsePlan(name string, text []byte) (*Plan, error) {
 	var v struct {
 		Table []struct {
-			Name string
-			Row  []Row
-		}
+			Name string `toml:"name"`
+			Row  []Row  `toml:"row"`
+		} `toml:"table"`
 	}
 	f, err := tomlfile.Decode(name, text, &v)
 	if err != nil {
