--- a/internal/lab/cli/slopes_page.go
+++ b/internal/lab/cli/slopes_page.go
@@ -43,7 +43,7 @@
 }
 
 // readSlopes reads a plan and the results beside it.
-func readSlopes(path string) (*scalefit.Plan, map[string][]scalefit.Line, error) {
+func readSlopes(path string) (*scalefit.Plan, map[string][]scalefit.Measurement, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, nil, fmt.Errorf("--plan: %w", err)
@@ -52,13 +52,13 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	files := map[string][]scalefit.Line{}
+	files := map[string][]scalefit.Measurement{}
 	for _, name := range plan.Files() {
 		text, err := os.ReadFile(filepath.Join(filepath.Dir(path), name))
 		if err != nil {
 			return nil, nil, fmt.Errorf("slopes: %w", err)
 		}
-		if files[name], err = scalefit.Parse(name, text); err != nil {
+		if files[name], err = scalefit.ParseMeasurements(name, text); err != nil {
 			return nil, nil, err
 		}
 	}
--- a/internal/lab/scalefit/line.go
+++ b/internal/lab/scalefit/measurement.go
@@ -10,17 +10,17 @@
 	"math"
 )
 
-// Line is one measurement: a JSON object's numbers and words by key. What an object within it has goes by both keys, "hollow.p50_ms".
-type Line struct {
-	at      string // its file and line, for errors
-	numbers map[string]float64
-	words   map[string]string // true and false too
+// Measurement is one measurement: a JSON object's numbers and words by key. What an object within it has goes by both keys, "hollow.p50_ms".
+type Measurement struct {
+	position string // its file and line, for errors
+	numbers  map[string]float64
+	strings  map[string]string // true and false too
 }
 
-// Parse reads lines of JSON objects; name is the file's. What else stands in an object, such as a list, is left out.
+// ParseMeasurements reads lines of JSON objects; name is the file's. What else stands in an object, such as a list, is left out.
 // Errors name the file and the line.
-func Parse(name string, text []byte) ([]Line, error) {
-	var out []Line
+func ParseMeasurements(name string, text []byte) ([]Measurement, error) {
+	var out []Measurement
 	for i, one := range bytes.Split(text, []byte("\n")) {
 		if len(bytes.TrimSpace(one)) == 0 {
 			continue
@@ -29,33 +29,33 @@
 		if err := json.Unmarshal(one, &all); err != nil {
 			return nil, fmt.Errorf("slope: %s:%d: %w", name, i+1, err)
 		}
-		l := Line{at: fmt.Sprintf("%s:%d", name, i+1), numbers: map[string]float64{}, words: map[string]string{}}
-		l.take("", all)
+		l := Measurement{position: fmt.Sprintf("%s:%d", name, i+1), numbers: map[string]float64{}, strings: map[string]string{}}
+		l.add("", all)
 		out = append(out, l)
 	}
 	return out, nil
 }
 
 // take notes what an object has, under its keys after the prefix.
-func (l *Line) take(prefix string, object map[string]any) {
+func (l *Measurement) add(prefix string, object map[string]any) {
 	for key, v := range object {
 		switch key = prefix + key; v := v.(type) {
 		case float64:
 			l.numbers[key] = v
 		case string:
-			l.words[key] = v
+			l.strings[key] = v
 		case bool:
-			l.words[key] = fmt.Sprint(v)
+			l.strings[key] = fmt.Sprint(v)
 		case map[string]any:
-			l.take(key+".", v)
+			l.add(key+".", v)
 		}
 	}
 }
 
 // has tells whether a line has those words. Of a number it is the shortest form that counts.
-func (l *Line) has(words map[string]string) bool {
+func (l *Measurement) matches(words map[string]string) bool {
 	for key, want := range words {
-		got, ok := l.words[key]
+		got, ok := l.strings[key]
 		if n, number := l.numbers[key]; number {
 			got, ok = fmt.Sprint(n), true
 		}
@@ -67,7 +67,7 @@
 }
 
 // beyond tells whether one of a line's numbers is above its bound.
-func (l *Line) beyond(bounds map[string]float64) bool {
+func (l *Measurement) exceeds(bounds map[string]float64) bool {
 	for key, most := range bounds {
 		if l.numbers[key] > most {
 			return true
@@ -77,15 +77,15 @@
 }
 
 // number is what stands under a key, which can't be less than 0.
-func (l *Line) number(key string) (float64, error) {
+func (l *Measurement) number(key string) (float64, error) {
 	v, ok := l.numbers[key]
 	switch {
-	case !ok && l.words[key] != "":
-		return 0, fmt.Errorf("slope: %s: %s: %q is no number", l.at, key, l.words[key])
+	case !ok && l.strings[key] != "":
+		return 0, fmt.Errorf("slope: %s: %s: %q is no number", l.position, key, l.strings[key])
 	case !ok:
-		return 0, fmt.Errorf("slope: %s: %s is missing, or no number", l.at, key)
+		return 0, fmt.Errorf("slope: %s: %s is missing, or no number", l.position, key)
 	case v < 0 || math.IsInf(v, 0):
-		return 0, fmt.Errorf("slope: %s: %s: %v must be 0 or more", l.at, key, v)
+		return 0, fmt.Errorf("slope: %s: %s: %v must be 0 or more", l.position, key, v)
 	}
 	return v, nil
 }
--- a/internal/lab/scalefit/fit.go
+++ b/internal/lab/scalefit/model.go
@@ -9,47 +9,47 @@
 
 // Tunables.
 const (
-	sizesLeast    = 3    // of each slope
-	doubles       = 1.98 // a size over the one before it: 425 of 212 is twice as many
-	StretchGuess  = 8    // beyond the largest size measured, over which an answer is a guess
-	sameDirection = 1e-9 // of a column's length that is left once what others tell is taken out: less is nothing of its own
+	minSizes              = 3    // of each slope
+	minSizeRatio          = 1.98 // a size over the one before it: 425 of 212 is twice as many
+	MaxExtrapolation      = 8    // beyond the largest size measured, over which an answer is a guess
+	collinearityTolerance = 1e-9 // of a column's length that is left once what others tell is taken out: less is nothing of its own
 )
 
-// Question is what is to be fitted: cost = fixed + slope x key + slope x key + ...
-type Question struct {
-	Where map[string]string  // words that lines must have
-	Upto  map[string]float64 // numbers that lines must not be above, where a knee is: a line is not fitted through one
-	Cost  string             // the key of what is explained
-	Per   []string           // the keys of what explains it, and products of them: "hosts*changes_per_s" after both
+// Model is what is to be fitted: cost = fixed + slope x key + slope x key + ...
+type Model struct {
+	Filter      map[string]string  // words that lines must have
+	UpperBounds map[string]float64 // numbers that lines must not be above, where a knee is: a line is not fitted through one
+	Cost        string             // the key of what is explained
+	Predictors  []string           // the keys of what explains it, and products of them: "hosts*changes_per_s" after both
 }
 
 // Fit is an answer. Residuals are measured less fitted, in the cost's unit; shares are of what was measured.
 type Fit struct {
-	Question
-	Fixed    float64
-	Slopes   []float64   // by Per
-	Sizes    [][]float64 // by Per: those measured, each once, rising; none of a product
-	Points   int
-	RMS      float64
-	Max      float64
-	RMSShare float64
-	MaxShare float64
-	Commands []string // that gave the lines, each once
-	Trial    bool     // any of the lines is a trial's
+	Model
+	Intercept      float64
+	Slopes         []float64   // by Per
+	Sizes          [][]float64 // by Per: those measured, each once, rising; none of a product
+	Measurements   int
+	RMSResidual    float64
+	MaxResidual    float64
+	RelativeRMS    float64
+	RelativeMax    float64
+	Commands       []string // that gave the lines, each once
+	IncludesTrials bool     // any of the lines is a trial's
 }
 
 // Fit answers by least squares. Errors name the key, and the line where one is at fault.
-func (q Question) Fit(lines []Line) (Fit, error) {
-	f := Fit{Question: q}
-	if len(q.Per) == 0 {
+func (q Model) Fit(lines []Measurement) (Fit, error) {
+	f := Fit{Model: q}
+	if len(q.Predictors) == 0 {
 		return f, fmt.Errorf("slope: per: names nothing that %s could grow with", q.Cost)
 	}
 	columns, costs := [][]float64{}, []float64{}
-	for range len(q.Per) + 1 {
+	for range len(q.Predictors) + 1 {
 		columns = append(columns, nil)
 	}
 	for _, l := range lines {
-		if !l.has(q.Where) || l.beyond(q.Upto) {
+		if !l.matches(q.Filter) || l.exceeds(q.UpperBounds) {
 			continue
 		}
 		cost, err := l.number(q.Cost)
@@ -57,9 +57,9 @@
 			return f, err
 		}
 		costs, columns[0] = append(costs, cost), append(columns[0], 1)
-		for i, key := range q.Per {
+		for i, key := range q.Predictors {
 			v := 1.0
-			for _, one := range factors(key) {
+			for _, one := range factorsOf(key) {
 				n, err := l.number(one)
 				if err != nil {
 					return f, err
@@ -68,46 +68,46 @@
 			}
 			columns[i+1] = append(columns[i+1], v)
 		}
-		if c := l.words["command"]; c != "" && !slices.Contains(f.Commands, c) {
+		if c := l.strings["command"]; c != "" && !slices.Contains(f.Commands, c) {
 			f.Commands = append(f.Commands, c)
 		}
-		f.Trial = f.Trial || l.words["trial"] == "true"
+		f.IncludesTrials = f.IncludesTrials || l.strings["trial"] == "true"
 	}
-	f.Points = len(costs)
-	for i, key := range q.Per {
-		if product(key) {
+	f.Measurements = len(costs)
+	for i, key := range q.Predictors {
+		if isProduct(key) {
 			f.Sizes = append(f.Sizes, nil)
 			continue
 		}
-		sizes, err := sizesOf(key, columns[i+1])
+		sizes, err := distinctSizes(key, columns[i+1])
 		if err != nil {
 			return f, err
 		}
 		f.Sizes = append(f.Sizes, sizes)
 	}
-	if f.Points <= len(q.Per)+1 {
-		return f, fmt.Errorf("slope: %s: %d measurements leave nothing over to tell the error of %d figures by", q.Cost, f.Points, len(q.Per)+1)
+	if f.Measurements <= len(q.Predictors)+1 {
+		return f, fmt.Errorf("slope: %s: %d measurements leave nothing over to tell the error of %d figures by", q.Cost, f.Measurements, len(q.Predictors)+1)
 	}
 	found, at := leastSquares(columns, costs)
 	if at > 0 {
-		return f, fmt.Errorf("slope: %s: grows in step with what stands before it, so that their slopes can't be told apart", q.Per[at-1])
+		return f, fmt.Errorf("slope: %s: grows in step with what stands before it, so that their slopes can't be told apart", q.Predictors[at-1])
 	}
-	f.Fixed, f.Slopes = found[0], found[1:]
-	f.residuals(columns, costs)
+	f.Intercept, f.Slopes = found[0], found[1:]
+	f.setResiduals(columns, costs)
 	return f, nil
 }
 
-// sizesOf are those measured, each once, rising. 0 is where nothing of the kind was there, and no size.
-func sizesOf(key string, all []float64) ([]float64, error) {
+// distinctSizes are those measured, each once, rising. 0 is where nothing of the kind was there, and no size.
+func distinctSizes(key string, all []float64) ([]float64, error) {
 	sizes := slices.Compact(slices.Sorted(slices.Values(all)))
 	if len(sizes) > 0 && sizes[0] == 0 {
 		sizes = sizes[1:]
 	}
-	if len(sizes) < sizesLeast {
-		return nil, fmt.Errorf("slope: %s: %d sizes measured (%v), %d are the least", key, len(sizes), sizes, sizesLeast)
+	if len(sizes) < minSizes {
+		return nil, fmt.Errorf("slope: %s: %d sizes measured (%v), %d are the least", key, len(sizes), sizes, minSizes)
 	}
 	for i, size := range sizes[1:] {
-		if size < doubles*sizes[i] {
+		if size < minSizeRatio*sizes[i] {
 			return nil, fmt.Errorf("slope: %s: %v is not twice the size before it, %v", key, size, sizes[i])
 		}
 	}
@@ -115,29 +115,29 @@
 }
 
 // residuals notes how far off the fit is.
-func (f *Fit) residuals(columns [][]float64, costs []float64) {
+func (f *Fit) setResiduals(columns [][]float64, costs []float64) {
 	var squares, shares float64
 	for row, cost := range costs {
-		is := f.Fixed
+		is := f.Intercept
 		for i, slope := range f.Slopes {
 			is += slope * columns[i+1][row]
 		}
 		off := math.Abs(cost - is)
-		squares, f.Max = squares+off*off, max(f.Max, off)
+		squares, f.MaxResidual = squares+off*off, max(f.MaxResidual, off)
 		if cost != 0 {
 			share := off / math.Abs(cost)
-			shares, f.MaxShare = shares+share*share, max(f.MaxShare, share)
+			shares, f.RelativeMax = shares+share*share, max(f.RelativeMax, share)
 		}
 	}
-	f.RMS, f.RMSShare = math.Sqrt(squares/float64(len(costs))), math.Sqrt(shares/float64(len(costs)))
+	f.RMSResidual, f.RelativeRMS = math.Sqrt(squares/float64(len(costs))), math.Sqrt(shares/float64(len(costs)))
 }
 
-// At is the cost where keys have those numbers, and by how much the furthest of them lies beyond the largest measured: 1 is within.
-func (f *Fit) At(at map[string]float64) (cost, stretch float64) {
-	cost, stretch = f.Fixed, 1
-	for i, key := range f.Per {
+// Inputs is the cost where keys have those numbers, and by how much the furthest of them lies beyond the largest measured: 1 is within.
+func (f *Fit) Predict(at map[string]float64) (cost, stretch float64) {
+	cost, stretch = f.Intercept, 1
+	for i, key := range f.Predictors {
 		size := 1.0
-		for _, one := range factors(key) {
+		for _, one := range factorsOf(key) {
 			size *= at[one]
 		}
 		cost += f.Slopes[i] * size
@@ -149,9 +149,9 @@
 }
 
 // factors are the keys that are multiplied in one.
-func factors(key string) []string { return strings.Split(key, "*") }
+func factorsOf(key string) []string { return strings.Split(key, "*") }
 
-func product(key string) bool { return strings.Contains(key, "*") }
+func isProduct(key string) bool { return strings.Contains(key, "*") }
 
 // leastSquares is the factor of each column with which their sum comes closest to target. The columns are made orthogonal one after
 // the other (modified Gram-Schmidt; Golub and Van Loan, Matrix Computations, 5.2.8), twice, for what rounding leaves of the
@@ -170,7 +170,7 @@
 			}
 		}
 		own := math.Sqrt(dot(q[j], q[j]))
-		if !(own > sameDirection*length) {
+		if !(own > collinearityTolerance*length) {
 			return nil, j
 		}
 		r[j][j] = own
--- a/internal/lab/scalefit/fit_test.go
+++ b/internal/lab/scalefit/model_test.go
@@ -12,9 +12,9 @@
 )
 
 // lines are measurements with hosts, changes and a cost each.
-func lines(hosts, changes, cost []float64) (out []Line) {
+func lines(hosts, changes, cost []float64) (out []Measurement) {
 	for i := range cost {
-		out = append(out, Line{at: fmt.Sprint("line ", i+1), words: map[string]string{"what": "x", "command": "measure"},
+		out = append(out, Measurement{position: fmt.Sprint("line ", i+1), strings: map[string]string{"what": "x", "command": "measure"},
 			numbers: map[string]float64{"hosts": hosts[i], "changes": changes[i], "cost": cost[i]}})
 	}
 	return out
@@ -64,8 +64,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var hosts, changes, cost, ones []float64
 		first := float64(rapid.IntRange(1, 200).Draw(t, "first"))
-		for i := range rapid.IntRange(sizesLeast, 6).Draw(t, "sizes") {
-			for j := range rapid.IntRange(sizesLeast, 4).Draw(t, "rates") {
+		for i := range rapid.IntRange(minSizes, 6).Draw(t, "sizes") {
+			for j := range rapid.IntRange(minSizes, 4).Draw(t, "rates") {
 				hosts, changes, ones = append(hosts, first*math.Pow(2, float64(i))), append(changes, 0.5*math.Pow(2, float64(j))), append(ones, 1)
 				cost = append(cost, rapid.Float64Range(0, 1e6).Draw(t, "cost"))
 			}
@@ -73,23 +73,23 @@
 		for j, least := range []float64{0.5, 1, 2} { // each size has each rate of these at least
 			hosts, changes, ones, cost = append(hosts, first), append(changes, least), append(ones, 1), append(cost, float64(j))
 		}
-		f, err := Question{Where: map[string]string{"what": "x"}, Cost: "cost", Per: []string{"hosts", "changes"}}.Fit(lines(hosts, changes, cost))
+		f, err := Model{Filter: map[string]string{"what": "x"}, Cost: "cost", Predictors: []string{"hosts", "changes"}}.Fit(lines(hosts, changes, cost))
 		if err != nil {
 			t.Fatal(err)
 		}
 		want := exact(t, [][]float64{ones, hosts, changes}, cost)
-		for i, got := range append([]float64{f.Fixed}, f.Slopes...) {
+		for i, got := range append([]float64{f.Intercept}, f.Slopes...) {
 			if off := math.Abs(got - want[i]); off > 1e-6*(1+math.Abs(want[i])) {
 				t.Fatalf("figure %d is %v, exactly %v", i, got, want[i])
 			}
 		}
 		squares, most := 0.0, 0.0
 		for i := range cost {
-			is, _ := f.At(map[string]float64{"hosts": hosts[i], "changes": changes[i]})
+			is, _ := f.Predict(map[string]float64{"hosts": hosts[i], "changes": changes[i]})
 			squares, most = squares+(cost[i]-is)*(cost[i]-is), max(most, math.Abs(cost[i]-is))
 		}
-		if rms := math.Sqrt(squares / float64(len(cost))); math.Abs(rms-f.RMS) > 1e-6*(1+rms) || math.Abs(most-f.Max) > 1e-6*(1+most) {
-			t.Fatalf("off by %v, %v at most; the fit says %v, %v", rms, most, f.RMS, f.Max)
+		if rms := math.Sqrt(squares / float64(len(cost))); math.Abs(rms-f.RMSResidual) > 1e-6*(1+rms) || math.Abs(most-f.MaxResidual) > 1e-6*(1+most) {
+			t.Fatalf("off by %v, %v at most; the fit says %v, %v", rms, most, f.RMSResidual, f.MaxResidual)
 		}
 	})
 }
@@ -104,12 +104,12 @@
 			hosts, changes = append(hosts, first*math.Pow(2, float64(i))), append(changes, 0)
 			cost = append(cost, fixed+slope*hosts[i])
 		}
-		f, err := Question{Cost: "cost", Per: []string{"hosts"}}.Fit(lines(hosts, changes, cost))
+		f, err := Model{Cost: "cost", Predictors: []string{"hosts"}}.Fit(lines(hosts, changes, cost))
 		if err != nil {
 			t.Fatal(err)
 		}
 		beyond := rapid.Float64Range(1, 50).Draw(t, "beyond")
-		cost0, stretch := f.At(map[string]float64{"hosts": 8 * first * beyond})
+		cost0, stretch := f.Predict(map[string]float64{"hosts": 8 * first * beyond})
 		want := fixed + slope*8*first*beyond
 		if math.Abs(cost0-want) > 1e-6*(1+want) || math.Abs(stretch-beyond) > 1e-9*beyond {
 			t.Fatalf("%v stretched by %v, want %v by %v", cost0, stretch, want, beyond)
@@ -125,11 +125,11 @@
 			hosts, changes, cost = append(hosts, h), append(changes, c), append(cost, 7+2*h+3*c+0.5*h*c)
 		}
 	}
-	f, err := Question{Cost: "cost", Per: []string{"hosts", "changes", "hosts*changes"}}.Fit(lines(hosts, changes, cost))
+	f, err := Model{Cost: "cost", Predictors: []string{"hosts", "changes", "hosts*changes"}}.Fit(lines(hosts, changes, cost))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if is, stretch := f.At(map[string]float64{"hosts": 80, "changes": 8}); math.Abs(is-(7+160+24+320)) > 1e-6 || stretch != 2 {
+	if is, stretch := f.Predict(map[string]float64{"hosts": 80, "changes": 8}); math.Abs(is-(7+160+24+320)) > 1e-6 || stretch != 2 {
 		t.Errorf("%v stretched by %v: %+v", is, stretch, f)
 	}
 }
@@ -137,12 +137,12 @@
 // TestFitEndsAtAKnee guards against a line that is fitted through a knee.
 func TestFitEndsAtAKnee(t *testing.T) {
 	hosts := []float64{10, 20, 40, 80}
-	q := Question{Upto: map[string]float64{"hosts": 40}, Cost: "cost", Per: []string{"hosts"}}
+	q := Model{UpperBounds: map[string]float64{"hosts": 40}, Cost: "cost", Predictors: []string{"hosts"}}
 	f, err := q.Fit(lines(hosts, make([]float64, 4), []float64{11, 21, 41, 1000}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if is, stretch := f.At(map[string]float64{"hosts": 80}); math.Abs(is-81) > 1e-6 || stretch != 2 || f.Points != 3 {
+	if is, stretch := f.Predict(map[string]float64{"hosts": 80}); math.Abs(is-81) > 1e-6 || stretch != 2 || f.Measurements != 3 {
 		t.Errorf("%v stretched by %v: %+v", is, stretch, f)
 	}
 }
@@ -151,7 +151,7 @@
 func TestFitRefuses(t *testing.T) {
 	three, none := []float64{1, 2, 4, 4}, []float64{0, 0, 0, 0}
 	for what, c := range map[string]struct {
-		lines []Line
+		lines []Measurement
 		per   []string
 		says  string
 	}{
@@ -168,7 +168,7 @@
 		"in step":         {lines([]float64{1, 2, 4, 4}, []float64{2, 4, 8, 8}, three), []string{"hosts", "changes"}, "changes: grows in step"},
 		"as many points":  {lines(three[:3], []float64{4, 1, 2}, three[:3]), []string{"hosts", "changes"}, "leave nothing over"},
 	} {
-		_, err := Question{Where: map[string]string{"what": "x"}, Cost: "cost", Per: c.per}.Fit(c.lines)
+		_, err := Model{Filter: map[string]string{"what": "x"}, Cost: "cost", Predictors: c.per}.Fit(c.lines)
 		if err == nil || !strings.Contains(err.Error(), c.says) {
 			t.Errorf("%s: %v, want %q", what, err, c.says)
 		}
@@ -177,16 +177,16 @@
 
 // TestParse guards against a cut line, and a number that no float has, that is passed over.
 func TestParse(t *testing.T) {
-	got, err := Parse("a.jsonl", []byte("{\"hosts\":12,\"what\":\"x\",\"trial\":true,\"list\":[1]}\n\n{\"hosts\":\"12\"}\n"))
-	if err != nil || len(got) != 2 || got[0].numbers["hosts"] != 12 || got[0].words["trial"] != "true" || got[1].words["hosts"] != "12" {
+	got, err := ParseMeasurements("a.jsonl", []byte("{\"hosts\":12,\"what\":\"x\",\"trial\":true,\"list\":[1]}\n\n{\"hosts\":\"12\"}\n"))
+	if err != nil || len(got) != 2 || got[0].numbers["hosts"] != 12 || got[0].strings["trial"] != "true" || got[1].strings["hosts"] != "12" {
 		t.Errorf("%+v, %v", got, err)
 	}
 	for _, text := range []string{"{}\n{\"hosts\":1", "{}\n[1]", "{}\n{\"hosts\":1e999}", "{}\n{\"hosts\":NaN}"} {
-		if _, err := Parse("a.jsonl", []byte(text)); err == nil || !strings.Contains(err.Error(), "a.jsonl:2") {
+		if _, err := ParseMeasurements("a.jsonl", []byte(text)); err == nil || !strings.Contains(err.Error(), "a.jsonl:2") {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
-	if !got[0].has(map[string]string{"hosts": "12", "trial": "true"}) || got[0].has(map[string]string{"hosts": "1"}) || got[0].has(map[string]string{"no": ""}) {
+	if !got[0].matches(map[string]string{"hosts": "12", "trial": "true"}) || got[0].matches(map[string]string{"hosts": "1"}) || got[0].matches(map[string]string{"no": ""}) {
 		t.Error("lines are not told apart by their words and numbers")
 	}
 }
@@ -194,13 +194,13 @@
 // TestParseNested guards against figures of an object within a line that are passed over, or taken for those of the line itself.
 func TestParseNested(t *testing.T) {
 	const text = `{"n":1,"hollow":{"n":2,"p50_ms":61.5,"why":"x","late":true,"of":{"n":3}},"sidecars":{"n":4,"p50_ms":7},"list":[{"n":5}],"none":null}`
-	got, err := Parse("a.jsonl", []byte(text))
+	got, err := ParseMeasurements("a.jsonl", []byte(text))
 	if err != nil || len(got) != 1 {
 		t.Fatalf("%+v, %v", got, err)
 	}
 	numbers := map[string]float64{"n": 1, "hollow.n": 2, "hollow.p50_ms": 61.5, "hollow.of.n": 3, "sidecars.n": 4, "sidecars.p50_ms": 7}
 	words := map[string]string{"hollow.why": "x", "hollow.late": "true"}
-	if !maps.Equal(got[0].numbers, numbers) || !maps.Equal(got[0].words, words) {
+	if !maps.Equal(got[0].numbers, numbers) || !maps.Equal(got[0].strings, words) {
 		t.Errorf("%+v", got[0])
 	}
 	if v, err := got[0].number("hollow.p50_ms"); err != nil || v != 61.5 {
@@ -209,7 +209,7 @@
 	if _, err := got[0].number("hollow.p99_ms"); err == nil || !strings.Contains(err.Error(), "a.jsonl:1: hollow.p99_ms is missing") {
 		t.Errorf("of a figure that is not there: %v", err)
 	}
-	if !got[0].has(map[string]string{"hollow.n": "2"}) || got[0].has(map[string]string{"hollow.n": "1"}) {
+	if !got[0].matches(map[string]string{"hollow.n": "2"}) || got[0].matches(map[string]string{"hollow.n": "1"}) {
 		t.Error("lines are not told apart by what is in their objects")
 	}
 }
--- a/internal/lab/scalefit/page_test.go
+++ b/internal/lab/scalefit/page_test.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := p.Fill("before\n<!-- slopes t -->\nstale\n<!-- end of slopes t -->\nafter", map[string][]Line{"a.jsonl": parsed(t, results)})
+	got, err := p.Fill("before\n<!-- slopes t -->\nstale\n<!-- end of slopes t -->\nafter", map[string][]Measurement{"a.jsonl": parsed(t, results)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,19 +46,19 @@
 	if strings.Contains(got, "stale") {
 		t.Error("the old table is still there")
 	}
-	if again, err := p.Fill(got, map[string][]Line{"a.jsonl": parsed(t, results)}); err != nil || again != got {
+	if again, err := p.Fill(got, map[string][]Measurement{"a.jsonl": parsed(t, results)}); err != nil || again != got {
 		t.Errorf("filled twice it differs: %v", err)
 	}
 	for _, page := range []string{"", "<!-- slopes t -->\n", got + "\n<!-- slopes u -->\n"} {
-		if _, err := p.Fill(page, map[string][]Line{"a.jsonl": parsed(t, results)}); err == nil {
+		if _, err := p.Fill(page, map[string][]Measurement{"a.jsonl": parsed(t, results)}); err == nil {
 			t.Errorf("taken: %q", page)
 		}
 	}
-	silent := map[string][]Line{"a.jsonl": parsed(t, strings.NewReplacer(`"command":"m 1",`, "", `"command":"m 2",`, "").Replace(results))}
+	silent := map[string][]Measurement{"a.jsonl": parsed(t, strings.NewReplacer(`"command":"m 1",`, "", `"command":"m 2",`, "").Replace(results))}
 	if _, err := p.Fill(got, silent); err == nil || !strings.Contains(err.Error(), "by: is missing") {
 		t.Errorf("with no word of what measures it: %v", err)
 	}
-	p.Tables[0].Rows[0].By = "m 3"
+	p.Tables[0].Rows[0].Command = "m 3"
 	if text, err := p.Fill(got, silent); err != nil || !strings.Contains(text, "\n    m 3\n") {
 		t.Errorf("with a word of what measures it: %v", err)
 	}
@@ -67,9 +67,9 @@
 	}
 }
 
-func parsed(t *testing.T, text string) []Line {
+func parsed(t *testing.T, text string) []Measurement {
 	t.Helper()
-	out, err := Parse("a.jsonl", []byte(text))
+	out, err := ParseMeasurements("a.jsonl", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -115,13 +115,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	files := map[string][]Line{}
+	files := map[string][]Measurement{}
 	for _, name := range p.Files() {
 		text, err := os.ReadFile(filepath.Join(docs, "capacity", name))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if files[name], err = Parse(name, text); err != nil {
+		if files[name], err = ParseMeasurements(name, text); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -146,11 +146,11 @@
 {"scenario":"rest","paced":false,"sidecars":200,"hosts":12,"changes_per_s":0,"calls_per_s":200,"in_force_last_ms":0}
 {"scenario":"rest","paced":false,"sidecars":400,"hosts":12,"changes_per_s":0,"calls_per_s":400,"in_force_last_ms":0}
 `
-	f, err := Question{Where: map[string]string{"scenario": "rest", "paced": "false", "hosts": "12"}, Cost: "calls_per_s", Per: []string{"sidecars"}}.Fit(parsed(t, scaled))
+	f, err := Model{Filter: map[string]string{"scenario": "rest", "paced": "false", "hosts": "12"}, Cost: "calls_per_s", Predictors: []string{"sidecars"}}.Fit(parsed(t, scaled))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if is, stretch := f.At(map[string]float64{"sidecars": 1700}); is < 1699.9 || is > 1700.1 || stretch != 4.25 || f.Points != 3 {
+	if is, stretch := f.Predict(map[string]float64{"sidecars": 1700}); is < 1699.9 || is > 1700.1 || stretch != 4.25 || f.Measurements != 3 {
 		t.Errorf("%v stretched by %v: %+v", is, stretch, f)
 	}
 }
