--- a/internal/lab/scalefit/measurement.go
+++ b/internal/lab/scalefit/measurement.go
@@ -1,6 +1,6 @@
-// Package slope fits measurements made at sizes that double: cost = fixed + per host x hosts + per change x changes + ..., with
-// the fit's error, the sizes and how far beyond them an answer lies. It writes the tables of docs/CAPACITY.md. Pure: results in,
-// text out.
+// Package scalefit fits linear models of costs to measurements made at sizes that double: cost = intercept + slope x hosts
+// + slope x changes + ..., with the fit's residuals, the sizes and the extrapolation of a prediction. It writes the tables of
+// docs/CAPACITY.md from the measurements and the plan in docs/capacity. Pure: measurements in, text out.
 package scalefit
 
 import (
@@ -10,53 +10,55 @@
 	"math"
 )
 
-// Measurement is one measurement: a JSON object's numbers and words by key. What an object within it has goes by both keys, "hollow.p50_ms".
+// Measurement is the numbers and strings of a JSON object by key. Those of an object within it are under both keys,
+// "hollow.p50_ms".
 type Measurement struct {
-	position string // its file and line, for errors
+	position string // its file and line
 	numbers  map[string]float64
-	strings  map[string]string // true and false too
+	strings  map[string]string // "true" and "false", too
 }
 
-// ParseMeasurements reads lines of JSON objects; name is the file's. What else stands in an object, such as a list, is left out.
-// Errors name the file and the line.
+// ParseMeasurements reads lines of JSON objects; name is the file's. Other values of an object, such as lists, are ignored.
+// An error names the file and the line.
 func ParseMeasurements(name string, text []byte) ([]Measurement, error) {
 	var out []Measurement
-	for i, one := range bytes.Split(text, []byte("\n")) {
-		if len(bytes.TrimSpace(one)) == 0 {
+	for i, line := range bytes.Split(text, []byte("\n")) {
+		if len(bytes.TrimSpace(line)) == 0 {
 			continue
 		}
-		var all map[string]any
-		if err := json.Unmarshal(one, &all); err != nil {
-			return nil, fmt.Errorf("slope: %s:%d: %w", name, i+1, err)
+		position := fmt.Sprintf("%s:%d", name, i+1)
+		var object map[string]any
+		if err := json.Unmarshal(line, &object); err != nil {
+			return nil, fmt.Errorf("scalefit: %s: %w", position, err)
 		}
-		l := Measurement{position: fmt.Sprintf("%s:%d", name, i+1), numbers: map[string]float64{}, strings: map[string]string{}}
-		l.add("", all)
-		out = append(out, l)
+		m := Measurement{position: position, numbers: map[string]float64{}, strings: map[string]string{}}
+		m.add("", object)
+		out = append(out, m)
 	}
 	return out, nil
 }
 
-// take notes what an object has, under its keys after the prefix.
-func (l *Measurement) add(prefix string, object map[string]any) {
-	for key, v := range object {
-		switch key = prefix + key; v := v.(type) {
+// add adds an object's values under their keys with a prefix.
+func (m *Measurement) add(prefix string, object map[string]any) {
+	for key, value := range object {
+		switch key = prefix + key; value := value.(type) {
 		case float64:
-			l.numbers[key] = v
+			m.numbers[key] = value
 		case string:
-			l.strings[key] = v
+			m.strings[key] = value
 		case bool:
-			l.strings[key] = fmt.Sprint(v)
+			m.strings[key] = fmt.Sprint(value)
 		case map[string]any:
-			l.add(key+".", v)
+			m.add(key+".", value)
 		}
 	}
 }
 
-// has tells whether a line has those words. Of a number it is the shortest form that counts.
-func (l *Measurement) matches(words map[string]string) bool {
-	for key, want := range words {
-		got, ok := l.strings[key]
-		if n, number := l.numbers[key]; number {
+// matches reports whether the measurement has those values. Numbers are compared in their shortest form.
+func (m *Measurement) matches(filter map[string]string) bool {
+	for key, want := range filter {
+		got, ok := m.strings[key]
+		if n, isNumber := m.numbers[key]; isNumber {
 			got, ok = fmt.Sprint(n), true
 		}
 		if !ok || got != want {
@@ -66,26 +68,42 @@
 	return true
 }
 
-// beyond tells whether one of a line's numbers is above its bound.
-func (l *Measurement) exceeds(bounds map[string]float64) bool {
-	for key, most := range bounds {
-		if l.numbers[key] > most {
+// exceeds reports whether one of the measurement's numbers is above its bound.
+func (m *Measurement) exceeds(bounds map[string]float64) bool {
+	for key, bound := range bounds {
+		if m.numbers[key] > bound {
 			return true
 		}
 	}
 	return false
 }
 
-// number is what stands under a key, which can't be less than 0.
-func (l *Measurement) number(key string) (float64, error) {
-	v, ok := l.numbers[key]
-	switch {
-	case !ok && l.strings[key] != "":
-		return 0, fmt.Errorf("slope: %s: %s: %q is no number", l.position, key, l.strings[key])
+// product returns the product of the numbers that a predictor names.
+func (m *Measurement) product(predictor string) (float64, error) {
+	product := 1.0
+	for _, key := range factorsOf(predictor) {
+		n, err := m.number(key)
+		if err != nil {
+			return 0, err
+		}
+		product *= n
+	}
+	return product, nil
+}
+
+// number returns the number under a key, which must not be negative. An error is a *MeasurementError.
+func (m *Measurement) number(key string) (float64, error) {
+	n, ok := m.numbers[key]
+	var problem string
+	switch text := m.strings[key]; {
+	case !ok && text != "":
+		problem = fmt.Sprintf("%q is no number", text)
 	case !ok:
-		return 0, fmt.Errorf("slope: %s: %s is missing, or no number", l.position, key)
-	case v < 0 || math.IsInf(v, 0):
-		return 0, fmt.Errorf("slope: %s: %s: %v must be 0 or more", l.position, key, v)
+		problem = "is missing, or no number"
+	case n < 0 || math.IsInf(n, 0):
+		problem = fmt.Sprintf("%v must be 0 or more", n)
+	default:
+		return n, nil
 	}
-	return v, nil
+	return 0, &MeasurementError{m.position, key, problem}
 }
--- a/internal/lab/scalefit/model_test.go
+++ b/internal/lab/scalefit/model_test.go
@@ -1,6 +1,7 @@
 package scalefit
 
 import (
+	"errors"
 	"fmt"
 	"maps"
 	"math"
@@ -11,8 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// lines are measurements with hosts, changes and a cost each.
-func lines(hosts, changes, cost []float64) (out []Measurement) {
+// measurementsOf returns measurements with hosts, changes and a cost each.
+func measurementsOf(hosts, changes, cost []float64) (out []Measurement) {
 	for i := range cost {
 		out = append(out, Measurement{position: fmt.Sprint("line ", i+1), strings: map[string]string{"what": "x", "command": "measure"},
 			numbers: map[string]float64{"hosts": hosts[i], "changes": changes[i], "cost": cost[i]}})
@@ -20,8 +21,8 @@
 	return out
 }
 
-// exact solves the normal equations in fractions: slow, plain, and without any rounding.
-func exact(t *rapid.T, columns [][]float64, target []float64) []float64 {
+// solveExactly solves the normal equations in fractions: slow, simple and without rounding.
+func solveExactly(t *rapid.T, columns [][]float64, target []float64) []float64 {
 	n := len(columns)
 	rat := func(v float64) *big.Rat { return new(big.Rat).SetFloat64(v) }
 	m := make([][]*big.Rat, n)
@@ -59,7 +60,7 @@
 	return out
 }
 
-// TestFitIsExact holds a fit against the normal equations in fractions, and its residuals against their meaning.
+// TestFitIsExact compares a fit with the solution of the normal equations in fractions, and its residuals with their definition.
 func TestFitIsExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var hosts, changes, cost, ones []float64
@@ -70,32 +71,34 @@
 				cost = append(cost, rapid.Float64Range(0, 1e6).Draw(t, "cost"))
 			}
 		}
-		for j, least := range []float64{0.5, 1, 2} { // each size has each rate of these at least
-			hosts, changes, ones, cost = append(hosts, first), append(changes, least), append(ones, 1), append(cost, float64(j))
+		for j, rate := range []float64{0.5, 1, 2} { // each of these rates is measured
+			hosts, changes, ones, cost = append(hosts, first), append(changes, rate), append(ones, 1), append(cost, float64(j))
 		}
-		f, err := Model{Filter: map[string]string{"what": "x"}, Cost: "cost", Predictors: []string{"hosts", "changes"}}.Fit(lines(hosts, changes, cost))
+		f, err := Model{Filter: map[string]string{"what": "x"}, Cost: "cost", Predictors: []string{"hosts", "changes"}}.Fit(measurementsOf(hosts, changes, cost))
 		if err != nil {
 			t.Fatal(err)
 		}
-		want := exact(t, [][]float64{ones, hosts, changes}, cost)
+		want := solveExactly(t, [][]float64{ones, hosts, changes}, cost)
 		for i, got := range append([]float64{f.Intercept}, f.Slopes...) {
 			if off := math.Abs(got - want[i]); off > 1e-6*(1+math.Abs(want[i])) {
 				t.Fatalf("figure %d is %v, exactly %v", i, got, want[i])
 			}
 		}
-		squares, most := 0.0, 0.0
+		squares, largest := 0.0, 0.0
 		for i := range cost {
-			is, _ := f.Predict(map[string]float64{"hosts": hosts[i], "changes": changes[i]})
-			squares, most = squares+(cost[i]-is)*(cost[i]-is), max(most, math.Abs(cost[i]-is))
+			predicted, _ := f.Predict(map[string]float64{"hosts": hosts[i], "changes": changes[i]})
+			squares += (cost[i] - predicted) * (cost[i] - predicted)
+			largest = max(largest, math.Abs(cost[i]-predicted))
 		}
-		if rms := math.Sqrt(squares / float64(len(cost))); math.Abs(rms-f.RMSResidual) > 1e-6*(1+rms) || math.Abs(most-f.MaxResidual) > 1e-6*(1+most) {
-			t.Fatalf("off by %v, %v at most; the fit says %v, %v", rms, most, f.RMSResidual, f.MaxResidual)
+		if rms := math.Sqrt(squares / float64(len(cost))); math.Abs(rms-f.RMSResidual) > 1e-6*(1+rms) || math.Abs(largest-f.MaxResidual) > 1e-6*(1+largest) {
+			t.Fatalf("off by %v, %v at most; the fit says %v, %v", rms, largest, f.RMSResidual, f.MaxResidual)
 		}
 	})
 }
 
-// TestFitFindsTheLine guards against a slope that is not the one by which the costs were made, and against stretches that are not told.
-func TestFitFindsTheLine(t *testing.T) {
+// TestFitRecoversTheLine guards against a slope that differs from the one that the costs were made with, and against wrong
+// extrapolations.
+func TestFitRecoversTheLine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fixed, slope := rapid.Float64Range(0, 1e4).Draw(t, "fixed"), rapid.Float64Range(0, 1e3).Draw(t, "slope")
 		first := float64(rapid.IntRange(1, 100).Draw(t, "first"))
@@ -104,20 +107,20 @@
 			hosts, changes = append(hosts, first*math.Pow(2, float64(i))), append(changes, 0)
 			cost = append(cost, fixed+slope*hosts[i])
 		}
-		f, err := Model{Cost: "cost", Predictors: []string{"hosts"}}.Fit(lines(hosts, changes, cost))
+		f, err := Model{Cost: "cost", Predictors: []string{"hosts"}}.Fit(measurementsOf(hosts, changes, cost))
 		if err != nil {
 			t.Fatal(err)
 		}
 		beyond := rapid.Float64Range(1, 50).Draw(t, "beyond")
-		cost0, stretch := f.Predict(map[string]float64{"hosts": 8 * first * beyond})
+		predicted, extrapolation := f.Predict(map[string]float64{"hosts": 8 * first * beyond})
 		want := fixed + slope*8*first*beyond
-		if math.Abs(cost0-want) > 1e-6*(1+want) || math.Abs(stretch-beyond) > 1e-9*beyond {
-			t.Fatalf("%v stretched by %v, want %v by %v", cost0, stretch, want, beyond)
+		if math.Abs(predicted-want) > 1e-6*(1+want) || math.Abs(extrapolation-beyond) > 1e-9*beyond {
+			t.Fatalf("%v, extrapolated by %v, want %v by %v", predicted, extrapolation, want, beyond)
 		}
 	})
 }
 
-// TestFitOfAProduct guards against what grows with two things together being told as if it grew with each.
+// TestFitOfAProduct guards against a cost that grows with a product being fitted as if it grew with each factor.
 func TestFitOfAProduct(t *testing.T) {
 	var hosts, changes, cost []float64
 	for _, h := range []float64{10, 20, 40} {
@@ -125,12 +128,12 @@
 			hosts, changes, cost = append(hosts, h), append(changes, c), append(cost, 7+2*h+3*c+0.5*h*c)
 		}
 	}
-	f, err := Model{Cost: "cost", Predictors: []string{"hosts", "changes", "hosts*changes"}}.Fit(lines(hosts, changes, cost))
+	f, err := Model{Cost: "cost", Predictors: []string{"hosts", "changes", "hosts*changes"}}.Fit(measurementsOf(hosts, changes, cost))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if is, stretch := f.Predict(map[string]float64{"hosts": 80, "changes": 8}); math.Abs(is-(7+160+24+320)) > 1e-6 || stretch != 2 {
-		t.Errorf("%v stretched by %v: %+v", is, stretch, f)
+	if predicted, extrapolation := f.Predict(map[string]float64{"hosts": 80, "changes": 8}); math.Abs(predicted-(7+160+24+320)) > 1e-6 || extrapolation != 2 {
+		t.Errorf("%v, extrapolated by %v: %+v", predicted, extrapolation, f)
 	}
 }
 
@@ -138,45 +141,48 @@
 func TestFitEndsAtAKnee(t *testing.T) {
 	hosts := []float64{10, 20, 40, 80}
 	q := Model{UpperBounds: map[string]float64{"hosts": 40}, Cost: "cost", Predictors: []string{"hosts"}}
-	f, err := q.Fit(lines(hosts, make([]float64, 4), []float64{11, 21, 41, 1000}))
+	f, err := q.Fit(measurementsOf(hosts, make([]float64, 4), []float64{11, 21, 41, 1000}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if is, stretch := f.Predict(map[string]float64{"hosts": 80}); math.Abs(is-81) > 1e-6 || stretch != 2 || f.Measurements != 3 {
-		t.Errorf("%v stretched by %v: %+v", is, stretch, f)
+	if predicted, extrapolation := f.Predict(map[string]float64{"hosts": 80}); math.Abs(predicted-81) > 1e-6 || extrapolation != 2 || f.Measurements != 3 {
+		t.Errorf("%v, extrapolated by %v: %+v", predicted, extrapolation, f)
 	}
 }
 
-// TestFitRefuses guards against slopes through too few sizes, sizes that do not double, and what is no number; each error names its key.
-func TestFitRefuses(t *testing.T) {
+// TestFitRejects guards against slopes from too few sizes, from sizes that do not double and from values that are no
+// numbers. Each error is typed and names its key.
+func TestFitRejects(t *testing.T) {
 	three, none := []float64{1, 2, 4, 4}, []float64{0, 0, 0, 0}
 	for what, c := range map[string]struct {
-		lines []Measurement
-		per   []string
-		says  string
+		measurements []Measurement
+		per          []string
+		want         string
 	}{
-		"two sizes":       {lines([]float64{1, 2, 2, 1}, none, three), []string{"hosts"}, "hosts: 2 sizes measured ([1 2]), 3"},
-		"0 is no size":    {lines([]float64{0, 1, 2, 2}, none, three), []string{"hosts"}, "hosts: 2 sizes"},
-		"not doubling":    {lines([]float64{1, 2, 3, 3}, none, three), []string{"hosts"}, "hosts: 3 is not twice"},
+		"two sizes":       {measurementsOf([]float64{1, 2, 2, 1}, none, three), []string{"hosts"}, "hosts: 2 sizes measured ([1 2]), 3"},
+		"0 is no size":    {measurementsOf([]float64{0, 1, 2, 2}, none, three), []string{"hosts"}, "hosts: 2 sizes"},
+		"not doubling":    {measurementsOf([]float64{1, 2, 3, 3}, none, three), []string{"hosts"}, "hosts: 3 is not twice"},
 		"nothing":         {nil, []string{"hosts"}, "hosts: 0 sizes"},
-		"negative":        {lines([]float64{1, -2, 4, 4}, none, three), []string{"hosts"}, "line 2: hosts: -2 must be 0 or more"},
-		"a negative cost": {lines(three, none, []float64{1, -1, 2, 3}), []string{"hosts"}, "line 2: cost: -1"},
-		"missing":         {lines(three, none, three), []string{"beds"}, "beds is missing"},
-		"a word":          {lines(three, none, three), []string{"what"}, `what: "x" is no number`},
-		"nobody":          {lines(three, none, three), nil, "per: names nothing"},
-		"no error left":   {lines(three, none, three)[:3], []string{"hosts", "changes"}, "changes: 0 sizes"},
-		"in step":         {lines([]float64{1, 2, 4, 4}, []float64{2, 4, 8, 8}, three), []string{"hosts", "changes"}, "changes: grows in step"},
-		"as many points":  {lines(three[:3], []float64{4, 1, 2}, three[:3]), []string{"hosts", "changes"}, "leave nothing over"},
+		"negative":        {measurementsOf([]float64{1, -2, 4, 4}, none, three), []string{"hosts"}, "line 2: hosts: -2 must be 0 or more"},
+		"a negative cost": {measurementsOf(three, none, []float64{1, -1, 2, 3}), []string{"hosts"}, "line 2: cost: -1"},
+		"missing":         {measurementsOf(three, none, three), []string{"beds"}, "beds: is missing"},
+		"a word":          {measurementsOf(three, none, three), []string{"what"}, `what: "x" is no number`},
+		"nobody":          {measurementsOf(three, none, three), nil, "per: names nothing"},
+		"no error left":   {measurementsOf(three, none, three)[:3], []string{"hosts", "changes"}, "changes: 0 sizes"},
+		"in step":         {measurementsOf([]float64{1, 2, 4, 4}, []float64{2, 4, 8, 8}, three), []string{"hosts", "changes"}, "changes: grows in step"},
+		"as many points":  {measurementsOf(three[:3], []float64{4, 1, 2}, three[:3]), []string{"hosts", "changes"}, "leave nothing over"},
 	} {
-		_, err := Model{Filter: map[string]string{"what": "x"}, Cost: "cost", Predictors: c.per}.Fit(c.lines)
-		if err == nil || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%s: %v, want %q", what, err, c.says)
+		_, err := Model{Filter: map[string]string{"what": "x"}, Cost: "cost", Predictors: c.per}.Fit(c.measurements)
+		var measurement *MeasurementError
+		var fit *FitError
+		if !errors.As(err, &measurement) && !errors.As(err, &fit) || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("%s: %v, want %q", what, err, c.want)
 		}
 	}
 }
 
-// TestParse guards against a cut line, and a number that no float has, that is passed over.
-func TestParse(t *testing.T) {
+// TestParseMeasurements guards against a truncated line, or a number beyond the range of floats, that is ignored.
+func TestParseMeasurements(t *testing.T) {
 	got, err := ParseMeasurements("a.jsonl", []byte("{\"hosts\":12,\"what\":\"x\",\"trial\":true,\"list\":[1]}\n\n{\"hosts\":\"12\"}\n"))
 	if err != nil || len(got) != 2 || got[0].numbers["hosts"] != 12 || got[0].strings["trial"] != "true" || got[1].strings["hosts"] != "12" {
 		t.Errorf("%+v, %v", got, err)
@@ -187,12 +193,12 @@
 		}
 	}
 	if !got[0].matches(map[string]string{"hosts": "12", "trial": "true"}) || got[0].matches(map[string]string{"hosts": "1"}) || got[0].matches(map[string]string{"no": ""}) {
-		t.Error("lines are not told apart by their words and numbers")
+		t.Error("lines are not distinguished by their words and numbers")
 	}
 }
 
-// TestParseNested guards against figures of an object within a line that are passed over, or taken for those of the line itself.
-func TestParseNested(t *testing.T) {
+// TestParseNestedMeasurements guards against numbers of an object within a line that are ignored, or taken for those of the line itself.
+func TestParseNestedMeasurements(t *testing.T) {
 	const text = `{"n":1,"hollow":{"n":2,"p50_ms":61.5,"why":"x","late":true,"of":{"n":3}},"sidecars":{"n":4,"p50_ms":7},"list":[{"n":5}],"none":null}`
 	got, err := ParseMeasurements("a.jsonl", []byte(text))
 	if err != nil || len(got) != 1 {
@@ -206,10 +212,10 @@
 	if v, err := got[0].number("hollow.p50_ms"); err != nil || v != 61.5 {
 		t.Errorf("%v, %v", v, err)
 	}
-	if _, err := got[0].number("hollow.p99_ms"); err == nil || !strings.Contains(err.Error(), "a.jsonl:1: hollow.p99_ms is missing") {
-		t.Errorf("of a figure that is not there: %v", err)
+	if _, err := got[0].number("hollow.p99_ms"); err == nil || !strings.Contains(err.Error(), "a.jsonl:1: hollow.p99_ms: is missing") {
+		t.Errorf("of a number that is missing: %v", err)
 	}
 	if !got[0].matches(map[string]string{"hollow.n": "2"}) || got[0].matches(map[string]string{"hollow.n": "1"}) {
-		t.Error("lines are not told apart by what is in their objects")
+		t.Error("lines are not distinguished by what is in their objects")
 	}
 }
--- a/internal/lab/scalefit/page.go
+++ b/internal/lab/scalefit/page.go
@@ -5,29 +5,36 @@
 	"strings"
 )
 
-func beginMarker(table string) string { return "<!-- slopes " + table + " -->\n" }
-func endMarker(table string) string   { return "<!-- end of slopes " + table + " -->" }
+// Markers of a table on the page. They are HTML comments, which are not shown.
+const (
+	beginPrefix = "<!-- slopes "
+	endPrefix   = "<!-- end of slopes "
+	markerEnd   = " -->"
+)
+
+func beginMarker(table string) string { return beginPrefix + table + markerEnd + "\n" }
+func endMarker(table string) string   { return endPrefix + table + markerEnd }
 
-// Fill returns a page with each table of the plan between its markers. An error names the table that has no place, or whose lines
-// give no slope, or a marker of a table that the plan does not have.
+// Fill returns a page with each table of the plan between its markers. files has the measurements by the file's name. An
+// error is a *PageError or names the table that can't be made.
 func (p *Plan) Fill(page string, files map[string][]Measurement) (string, error) {
-	known := 0
 	for i := range p.Tables {
-		t := &p.Tables[i]
-		text, err := t.Markdown(files)
+		table := &p.Tables[i]
+		text, err := table.Markdown(files)
 		if err != nil {
 			return "", err
 		}
-		before, rest, ok := strings.Cut(page, beginMarker(t.Name))
-		_, after, closed := strings.Cut(rest, endMarker(t.Name))
-		if !ok || !closed {
-			return "", fmt.Errorf("slope: the page has no place for table %s, between %q and %q", t.Name, strings.TrimSpace(beginMarker(t.Name)), endMarker(t.Name))
+		begin, end := beginMarker(table.Name), endMarker(table.Name)
+		before, rest, hasBegin := strings.Cut(page, begin)
+		_, after, hasEnd := strings.Cut(rest, end)
+		if !hasBegin || !hasEnd {
+			problem := fmt.Sprintf("the page has no place for table %s, between %q and %q", table.Name, strings.TrimSpace(begin), end)
+			return "", &PageError{table.Name, problem}
 		}
-		page = before + beginMarker(t.Name) + "\n" + text + "\n" + endMarker(t.Name) + after
-		known++
+		page = before + begin + "\n" + text + "\n" + end + after
 	}
-	if n := strings.Count(page, "<!-- slopes "); n != known {
-		return "", fmt.Errorf("slope: the page has places for %d tables, the plan %d tables", n, known)
+	if n := strings.Count(page, beginPrefix); n != len(p.Tables) {
+		return "", &PageError{"", fmt.Sprintf("the page has places for %d tables, the plan %d tables", n, len(p.Tables))}
 	}
 	return page, nil
 }
--- a/internal/lab/scalefit/page_test.go
+++ b/internal/lab/scalefit/page_test.go
@@ -1,6 +1,7 @@
 package scalefit
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -27,13 +28,13 @@
 {"what":"x","command":"m 2","hosts":4,"cost":9}
 `
 
-// TestTable guards against a table that hides an error, a stretch, a trial or what is assumed.
+// TestTable guards against a table that hides an error, an extrapolation, a trial or an assumption.
 func TestTable(t *testing.T) {
 	p, err := ParsePlan("plan.toml", []byte(plan))
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := p.Fill("before\n<!-- slopes t -->\nstale\n<!-- end of slopes t -->\nafter", map[string][]Measurement{"a.jsonl": parsed(t, results)})
+	got, err := p.Fill("before\n<!-- slopes t -->\nstale\n<!-- end of slopes t -->\nafter", map[string][]Measurement{"a.jsonl": parse(t, results)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,28 +47,29 @@
 	if strings.Contains(got, "stale") {
 		t.Error("the old table is still there")
 	}
-	if again, err := p.Fill(got, map[string][]Measurement{"a.jsonl": parsed(t, results)}); err != nil || again != got {
+	if again, err := p.Fill(got, map[string][]Measurement{"a.jsonl": parse(t, results)}); err != nil || again != got {
 		t.Errorf("filled twice it differs: %v", err)
 	}
 	for _, page := range []string{"", "<!-- slopes t -->\n", got + "\n<!-- slopes u -->\n"} {
-		if _, err := p.Fill(page, map[string][]Measurement{"a.jsonl": parsed(t, results)}); err == nil {
-			t.Errorf("taken: %q", page)
+		var pageError *PageError
+		if _, err := p.Fill(page, map[string][]Measurement{"a.jsonl": parse(t, results)}); !errors.As(err, &pageError) {
+			t.Errorf("accepted: %q", page)
 		}
 	}
-	silent := map[string][]Measurement{"a.jsonl": parsed(t, strings.NewReplacer(`"command":"m 1",`, "", `"command":"m 2",`, "").Replace(results))}
-	if _, err := p.Fill(got, silent); err == nil || !strings.Contains(err.Error(), "by: is missing") {
-		t.Errorf("with no word of what measures it: %v", err)
+	withoutCommand := map[string][]Measurement{"a.jsonl": parse(t, strings.NewReplacer(`"command":"m 1",`, "", `"command":"m 2",`, "").Replace(results))}
+	if _, err := p.Fill(got, withoutCommand); err == nil || !strings.Contains(err.Error(), "by: is missing") {
+		t.Errorf("without a command: %v", err)
 	}
 	p.Tables[0].Rows[0].Command = "m 3"
-	if text, err := p.Fill(got, silent); err != nil || !strings.Contains(text, "\n    m 3\n") {
-		t.Errorf("with a word of what measures it: %v", err)
+	if text, err := p.Fill(got, withoutCommand); err != nil || !strings.Contains(text, "\n    m 3\n") {
+		t.Errorf("with a command: %v", err)
 	}
 	if _, err := p.Fill(got, nil); err == nil || !strings.Contains(err.Error(), "a.jsonl") {
 		t.Errorf("without results: %v", err)
 	}
 }
 
-func parsed(t *testing.T, text string) []Measurement {
+func parse(t *testing.T, text string) []Measurement {
 	t.Helper()
 	out, err := ParseMeasurements("a.jsonl", []byte(text))
 	if err != nil {
@@ -76,9 +78,9 @@
 	return out
 }
 
-// TestPlanRefuses guards against a plan whose fault shows as a wrong table; each error names line and key.
-func TestPlanRefuses(t *testing.T) {
-	for _, c := range []struct{ old, new, says string }{
+// TestParsePlanRejects guards against an invalid plan that leads to a wrong table. Each error names the line and the key.
+func TestParsePlanRejects(t *testing.T) {
+	for _, c := range []struct{ old, new, want string }{
 		{`name = "t"`, `name = ""`, "plan.toml:2: table[0].name"},
 		{`limit = 150`, `limit = -1`, "table[0].row[0].limit"},
 		{`limit = 150`, `limit = nan`, "table[0].row[0].limit"},
@@ -98,14 +100,14 @@
 		{plan, "[[table]]\nname = \"t\"\n", "table[0].row"},
 		{plan, plan + plan, "table[1].name"},
 	} {
-		if _, err := ParsePlan("plan.toml", []byte(strings.Replace(plan, c.old, c.new, 1))); err == nil || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%q: %v, want %q", c.new, err, c.says)
+		if _, err := ParsePlan("plan.toml", []byte(strings.Replace(plan, c.old, c.new, 1))); err == nil || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("%q: %v, want %q", c.new, err, c.want)
 		}
 	}
 }
 
-// TestPageIsTrue guards against a page whose tables are not what the committed results give.
-func TestPageIsTrue(t *testing.T) {
+// TestPageMatchesResults guards against a page whose tables differ from what the committed results give.
+func TestPageMatchesResults(t *testing.T) {
 	const docs = "../../../docs/"
 	text, err := os.ReadFile(docs + "capacity/slopes.toml")
 	if err != nil {
@@ -138,19 +140,19 @@
 	}
 }
 
-// TestReadsScaleTests guards against lines of pinelab scale, which don't name their command and have words that are true or false,
-// being read otherwise than those of pinelab slopes.
-func TestReadsScaleTests(t *testing.T) {
+// TestParseScaleMeasurements guards against lines of the command scale, which don't name their command and have booleans,
+// being read differently from those of the command slopes.
+func TestParseScaleMeasurements(t *testing.T) {
 	const scaled = `{"scenario":"rest","paced":false,"sidecars":100,"hosts":12,"changes_per_s":0,"calls_per_s":100,"in_force_last_ms":0}
 {"scenario":"rest","paced":true,"sidecars":100,"hosts":12,"changes_per_s":0,"calls_per_s":8,"in_force_last_ms":0}
 {"scenario":"rest","paced":false,"sidecars":200,"hosts":12,"changes_per_s":0,"calls_per_s":200,"in_force_last_ms":0}
 {"scenario":"rest","paced":false,"sidecars":400,"hosts":12,"changes_per_s":0,"calls_per_s":400,"in_force_last_ms":0}
 `
-	f, err := Model{Filter: map[string]string{"scenario": "rest", "paced": "false", "hosts": "12"}, Cost: "calls_per_s", Predictors: []string{"sidecars"}}.Fit(parsed(t, scaled))
+	f, err := Model{Filter: map[string]string{"scenario": "rest", "paced": "false", "hosts": "12"}, Cost: "calls_per_s", Predictors: []string{"sidecars"}}.Fit(parse(t, scaled))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if is, stretch := f.Predict(map[string]float64{"sidecars": 1700}); is < 1699.9 || is > 1700.1 || stretch != 4.25 || f.Measurements != 3 {
-		t.Errorf("%v stretched by %v: %+v", is, stretch, f)
+	if predicted, extrapolation := f.Predict(map[string]float64{"sidecars": 1700}); predicted < 1699.9 || predicted > 1700.1 || extrapolation != 4.25 || f.Measurements != 3 {
+		t.Errorf("%v, extrapolated by %v: %+v", predicted, extrapolation, f)
 	}
 }
