--- a/internal/lab/cli/slopes.go
+++ b/internal/lab/cli/slopes.go
@@ -65,7 +65,7 @@
 
 // begin is the head of a measurement's lines.
 func (m *measuring) begin(what string) point {
-	return point{What: what, Trial: m.Trial, Command: programName + " " + strings.Join(os.Args[1:], " "), Load: footprint.Load()}
+	return point{What: what, Trial: m.Trial, Command: programName + " " + strings.Join(os.Args[1:], " "), Load: footprint.LoadAverage()}
 }
 
 // write appends a line to the results.
@@ -112,7 +112,7 @@
 	Told      int     `json:"instances"` // 0: as many as hosts
 	Seconds   float64 `json:"seconds"`
 	Beside    int     `json:"beside"`
-	footprint.Taken
+	footprint.IdleCosts
 }
 
 // check names the first key whose number can't be.
@@ -175,9 +175,9 @@
 		if err := os.Mkdir(own, 0o700); err != nil {
 			return err
 		}
-		p.Load = footprint.Load()
-		p.Taken, err = footprint.Control{Program: program, Dir: own, Hosts: p.Hosts, Changes: p.Changes, Processes: p.Processes, Instances: p.Told, Operator: operator, Operators: c.Operators,
-			Settle: c.Settle, Windows: c.Windows, Window: c.Window}.Measure(ctx)
+		p.Load = footprint.LoadAverage()
+		p.IdleCosts, err = footprint.IdleMeasurement{Program: program, Dir: own, Hosts: p.Hosts, ChangeRate: p.Changes, Processes: p.Processes, Instances: p.Told, OperatorConfig: operator, ControlEnabled: c.Operators,
+			WarmUp: c.Settle, Windows: c.Windows, Window: c.Window}.Measure(ctx)
 		return err
 	}, func(p *controlPoint) error { return c.write(t, p) })
 }
@@ -217,7 +217,7 @@
 	Known   int `json:"known"`
 	Classes int `json:"classes"`
 	Changes int `json:"changes"`
-	footprint.Retuned
+	footprint.SettingsChangeCosts
 }
 
 // check names the first key whose number can't be.
@@ -251,7 +251,7 @@
 					return err
 				}
 				p := settingsPoint{point: c.begin("settings"), Known: known, Classes: classes, Changes: c.Changes}
-				if p.Retuned, err = (footprint.Retune{Program: program, Dir: own, Known: known, Classes: classes, Changes: c.Changes}).Measure(ctx); err != nil {
+				if p.SettingsChangeCosts, err = (footprint.SettingsChangeMeasurement{Program: program, Dir: own, KnownHosts: known, Classes: classes, Changes: c.Changes}).Measure(ctx); err != nil {
 					return err
 				}
 				if err := c.write(t, p); err != nil {
--- a/internal/lab/cli/slopes_audit.go
+++ b/internal/lab/cli/slopes_audit.go
@@ -24,7 +24,7 @@
 	Mode     string  `json:"mode"` // processes or stand-ins
 	Sidecars int     `json:"sidecars"`
 	Trail    float64 `json:"trail_s"`
-	footprint.Audited
+	footprint.AuditCosts
 }
 
 // check names the first key whose number can't be.
@@ -57,13 +57,13 @@
 	defer os.RemoveAll(dir)
 	for n := range c.Repeat {
 		for _, size := range c.Sidecars {
-			if err := c.one(ctx, t, footprint.Audit{Program: program, Dir: filepath.Join(dir, fmt.Sprint("processes", size, n)), Sidecars: size, Rounds: c.Rounds}); err != nil {
+			if err := c.one(ctx, t, footprint.AuditMeasurement{Program: program, Dir: filepath.Join(dir, fmt.Sprint("processes", size, n)), Sidecars: size, Rounds: c.Rounds}); err != nil {
 				return err
 			}
 		}
 		for _, size := range c.StandIns {
-			if err := c.one(ctx, t, footprint.Audit{Program: program, Dir: filepath.Join(dir, fmt.Sprint("stand-ins", size, n)), Sidecars: size, Rounds: c.Rounds,
-				StandIns: true, Trail: c.Trail}); err != nil {
+			if err := c.one(ctx, t, footprint.AuditMeasurement{Program: program, Dir: filepath.Join(dir, fmt.Sprint("stand-ins", size, n)), Sidecars: size, Rounds: c.Rounds,
+				Stubs: true, AuditLogSpan: c.Trail}); err != nil {
 				return err
 			}
 		}
@@ -72,16 +72,16 @@
 }
 
 // one measures and tells one size.
-func (c *slopesAuditCmd) one(ctx context.Context, t *terminal, a footprint.Audit) error {
+func (c *slopesAuditCmd) one(ctx context.Context, t *terminal, a footprint.AuditMeasurement) error {
 	if err := os.Mkdir(a.Dir, 0o700); err != nil {
 		return err
 	}
-	p := auditPoint{point: c.begin("audit"), Mode: "processes", Sidecars: a.Sidecars, Trail: a.Trail.Seconds()}
-	if a.StandIns {
+	p := auditPoint{point: c.begin("audit"), Mode: "processes", Sidecars: a.Sidecars, Trail: a.AuditLogSpan.Seconds()}
+	if a.Stubs {
 		p.Mode = "stand-ins"
 	}
 	var err error
-	if p.Audited, err = a.Measure(ctx); err != nil {
+	if p.AuditCosts, err = a.Measure(ctx); err != nil {
 		return err
 	}
 	return c.write(t, p)
--- a/internal/lab/cli/slopes_module.go
+++ b/internal/lab/cli/slopes_module.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w: %s%s", cmd, err, text, fault.String())
 	}
-	head.Load = footprint.Load()
+	head.Load = footprint.LoadAverage()
 	for line := range strings.Lines(string(text)) {
 		p, ok := benchedAt(line)
 		if !ok || !slices.Contains(c.Sizes, p.Hosts) {
--- a/internal/lab/cli/slopes_requests.go
+++ b/internal/lab/cli/slopes_requests.go
@@ -21,7 +21,7 @@
 	point
 	Rate    float64 `json:"requests_per_s"`
 	Seconds float64 `json:"seconds"`
-	footprint.Requested
+	footprint.RequestCosts
 }
 
 // check names the first key whose number can't be.
@@ -53,7 +53,7 @@
 				return err
 			}
 			p := requestsPoint{point: c.begin("requests"), Rate: rate, Seconds: c.Window.Seconds()}
-			if p.Requested, err = (footprint.Requests{Program: program, Dir: own, Rate: rate, Window: c.Window, Seed: uint64(n + 1)}).Measure(ctx); err != nil {
+			if p.RequestCosts, err = (footprint.RequestMeasurement{Program: program, Dir: own, Rate: rate, Window: c.Window, Seed: uint64(n + 1)}).Measure(ctx); err != nil {
 				return err
 			}
 			if err := c.write(t, p); err != nil {
--- a/internal/lab/footprint/gauge_test.go
+++ b/internal/lab/footprint/footprint_test.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		return audit.Faulty
 	}
-	exit, _ := audit.Run(context.Background(), audit.Options{Roster: r, AtATime: auditAtATime, Within: callTimeout, By: "test", Share: 0.1},
+	exit, _ := audit.Run(context.Background(), audit.Options{Roster: r, AtATime: auditConcurrency, Within: callTimeout, By: "test", Share: 0.1},
 		audit.Output{To: io.Discard, JSON: true})
 	return exit
 }
@@ -50,48 +50,48 @@
 // TestControl guards against figures of nothing: several sidecars are at rest, each asks its service, changes come into force, and
 // time, memory and bytes are counted.
 func TestControl(t *testing.T) {
-	got, err := Control{Program: os.Args[0], Dir: t.TempDir(), Hosts: 25, Changes: 20, Processes: 2, Windows: 3, Window: 500 * time.Millisecond}.Measure(t.Context())
+	got, err := IdleMeasurement{Program: os.Args[0], Dir: t.TempDir(), Hosts: 25, ChangeRate: 20, Processes: 2, Windows: 3, Window: 500 * time.Millisecond}.Measure(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got.CPU <= 0 || got.RSS <= 1 || got.Peak < got.RSS || got.Calls <= 0 || got.Bytes < got.Calls || got.ListBytes < 25*100 ||
-		got.Changed == 0 || got.Half <= 0 || got.Worst < got.Half {
+	if got.CPU <= 0 || got.RSS <= 1 || got.PeakRSS < got.RSS || got.PollRate <= 0 || got.ByteRate < got.PollRate || got.ListBytes < 25*100 ||
+		got.AppliedChanges == 0 || got.MedianApplyTime <= 0 || got.MaxApplyTime < got.MedianApplyTime {
 		t.Errorf("%+v", got)
 	}
-	if _, err := (Control{Program: os.Args[0], Dir: t.TempDir(), Hosts: 1, Processes: 1, Windows: 1, Operators: true, Operator: "[audit]\n[state]\ndir = \"{dir}/state\"\n"}).Measure(t.Context()); err != nil {
+	if _, err := (IdleMeasurement{Program: os.Args[0], Dir: t.TempDir(), Hosts: 1, Processes: 1, Windows: 1, ControlEnabled: true, OperatorConfig: "[audit]\n[state]\ndir = \"{dir}/state\"\n"}).Measure(t.Context()); err != nil {
 		t.Errorf("with an audit: %v", err)
 	}
 	stopped, stop := context.WithCancel(t.Context())
 	stop()
-	if _, err := (Control{Program: os.Args[0], Dir: t.TempDir(), Hosts: 1, Processes: 1, Settle: time.Hour}).Measure(stopped); !errors.Is(err, context.Canceled) {
+	if _, err := (IdleMeasurement{Program: os.Args[0], Dir: t.TempDir(), Hosts: 1, Processes: 1, WarmUp: time.Hour}).Measure(stopped); !errors.Is(err, context.Canceled) {
 		t.Errorf("stopped: %v", err)
 	}
-	if _, err := (Control{Program: "no-such-program", Dir: t.TempDir(), Hosts: 1, Processes: 1}).Measure(t.Context()); err == nil {
+	if _, err := (IdleMeasurement{Program: "no-such-program", Dir: t.TempDir(), Hosts: 1, Processes: 1}).Measure(t.Context()); err == nil {
 		t.Error("a program that is not there was measured")
 	}
 }
 
 // TestRetune guards against a change that is counted though it never came into force.
 func TestRetune(t *testing.T) {
-	got, err := Retune{Program: os.Args[0], Dir: t.TempDir(), Known: 25, Classes: 3, Changes: 5}.Measure(t.Context())
+	got, err := SettingsChangeMeasurement{Program: os.Args[0], Dir: t.TempDir(), KnownHosts: 25, Classes: 3, Changes: 5}.Measure(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got.Half <= 0 || got.Worst < got.Half || got.File < got.Settings+25*100 || got.Settings < 100 {
+	if got.MedianApplyTime <= 0 || got.MaxApplyTime < got.MedianApplyTime || got.FileBytes < got.SettingsBytes+25*100 || got.SettingsBytes < 100 {
 		t.Errorf("%+v", got)
 	}
-	if _, err := (Retune{Program: os.Args[0], Dir: t.TempDir(), Known: 1, Classes: 257, Changes: 1}).Measure(t.Context()); err == nil {
+	if _, err := (SettingsChangeMeasurement{Program: os.Args[0], Dir: t.TempDir(), KnownHosts: 1, Classes: 257, Changes: 1}).Measure(t.Context()); err == nil {
 		t.Error("settings that no sidecar takes were measured")
 	}
 }
 
 // TestRequests guards against a sidecar that is measured though it serves nothing.
 func TestRequests(t *testing.T) {
-	got, err := Requests{Program: os.Args[0], Dir: t.TempDir(), Rate: 50, Window: time.Second, Seed: 1}.Measure(t.Context())
+	got, err := RequestMeasurement{Program: os.Args[0], Dir: t.TempDir(), Rate: 50, Window: time.Second, Seed: 1}.Measure(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got.Failed > 0 || got.Requests < 20 || got.CPU <= 0 || got.Half <= 0 || got.P99 < got.Half || got.DirectHalf <= 0 {
+	if got.Failed > 0 || got.Count < 20 || got.CPU <= 0 || got.P50 <= 0 || got.P99 < got.P50 || got.DirectP50 <= 0 {
 		t.Errorf("%+v", got)
 	}
 }
@@ -100,14 +100,14 @@
 // don't cost what is in them.
 func TestAudit(t *testing.T) {
 	for _, standIns := range []bool{false, true} {
-		got, err := Audit{Program: os.Args[0], Dir: t.TempDir(), Sidecars: 3, StandIns: standIns, Trail: time.Minute, Rounds: 2}.Measure(t.Context())
+		got, err := AuditMeasurement{Program: os.Args[0], Dir: t.TempDir(), Sidecars: 3, Stubs: standIns, AuditLogSpan: time.Minute, Rounds: 2}.Measure(t.Context())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got.First <= 0 || got.Again <= 0 || got.Whole <= 0 || got.CPU <= 0 || got.BytesAgain <= 0 || got.BytesFirst <= got.BytesAgain || got.NotUpToDate != 0 {
+		if got.FirstRound <= 0 || got.LaterRound <= 0 || got.ProcessTime <= 0 || got.ProcessCPU <= 0 || got.LaterRoundBytes <= 0 || got.FirstRoundBytes <= got.LaterRoundBytes || got.NotUpToDate != 0 {
 			t.Errorf("stand-ins %v: %+v", standIns, got)
 		}
-		if kb := got.BytesFirst / 3 / 1024; standIns && kb < 5 || !standIns && kb > 5 {
+		if kb := got.FirstRoundBytes / 3 / 1024; standIns && kb < 5 || !standIns && kb > 5 {
 			t.Errorf("stand-ins %v: %.1f KB of a trail", standIns, kb)
 		}
 	}
--- a/internal/lab/footprint/process.go
+++ b/internal/lab/footprint/process.go
@@ -19,65 +19,65 @@
 )
 
 const (
-	readyMost = 20 * time.Second // until a process says something that is waited for
-	filesMode = 0o600
-	dirMode   = 0o700
-	linesMost = 4096 // of a log, that nobody has read yet
+	logTimeout     = 20 * time.Second // until a process says something that is waited for
+	fileMode       = 0o600
+	dirMode        = 0o700
+	maxUnreadLines = 4096 // of a log, that nobody has read yet
 )
 
-// Start is how a sidecar is started.
-type Start struct {
-	Program   string
-	Dir       string // for its files
-	Name      string
-	Discovery string
-	Operator  string // the operator's file, in which {dir} is a directory of the sidecar's own; "" is none
-	Known     int    // hosts that its configuration names
-	Classes   int    // of its settings
-	Instances int    // that it is told of
-	Rank      int
-	Control   bool // operators can call it
+// SidecarOptions is how a sidecar is started.
+type SidecarOptions struct {
+	Program        string
+	Dir            string // for its files
+	Name           string
+	DiscoveryAddr  string
+	OperatorConfig string // the operator's file, in which {dir} is a directory of the sidecar's own; "" is none
+	KnownHosts     int    // hosts that its configuration names
+	Classes        int    // of its settings
+	Instances      int    // that it is told of
+	Rank           int
+	ControlEnabled bool // operators can call it
 }
 
 // Process is a sidecar that runs.
 type Process struct {
-	Addr    string // where callers connect
-	Control string // where operators do; "" is nowhere
-
-	start  Start
-	cmd    *exec.Cmd
-	lines  chan Line
-	reader sync.WaitGroup
-	ended  chan struct{} // closed by Close
+	Addr        string // where callers connect
+	ControlAddr string // where operators do; "" is nowhere
+
+	options SidecarOptions
+	cmd     *exec.Cmd
+	lines   chan LogLine
+	reader  sync.WaitGroup
+	closed  chan struct{} // closed by Close
 }
 
-// Line is one of its log, and when it was read.
-type Line struct {
-	At   time.Time
-	Text gjson.Result
+// LogLine is one of its log, and when it was read.
+type LogLine struct {
+	At     time.Time
+	Fields gjson.Result
 }
 
-// Begin starts a sidecar and waits until callers can connect.
-func Begin(s Start) (*Process, error) {
+// StartSidecar starts a sidecar and waits until callers can connect.
+func StartSidecar(s SidecarOptions) (*Process, error) {
 	s.Dir = filepath.Join(s.Dir, s.Name) // its own: two that share one and an address take over from one another
 	if err := os.Mkdir(s.Dir, dirMode); err != nil {
 		return nil, fmt.Errorf("gauge: %w", err)
 	}
-	p := &Process{start: s, lines: make(chan Line, linesMost), ended: make(chan struct{})}
-	if _, _, err := p.Configure(0); err != nil {
+	p := &Process{options: s, lines: make(chan LogLine, maxUnreadLines), closed: make(chan struct{})}
+	if _, _, err := p.WriteConfig(0); err != nil {
 		return nil, err
 	}
 	p.cmd = exec.Command(s.Program)
-	if s.Operator != "" {
+	if s.OperatorConfig != "" {
 		path := filepath.Join(s.Dir, s.Name+".toml")
-		if err := os.WriteFile(path, []byte(strings.ReplaceAll(s.Operator, "{dir}", s.Dir)), filesMode); err != nil {
+		if err := os.WriteFile(path, []byte(strings.ReplaceAll(s.OperatorConfig, "{dir}", s.Dir)), fileMode); err != nil {
 			return nil, fmt.Errorf("gauge: %w", err)
 		}
 		p.cmd.Args = append(p.cmd.Args, "--config="+path)
 	}
-	p.cmd.Env = append(os.Environ(), "LB_CONFIG="+p.file(), "LB_NAME="+s.Name, "LB_LISTEN=127.0.0.1:0", "LB_DISCOVERY="+s.Discovery,
+	p.cmd.Env = append(os.Environ(), "LB_CONFIG="+p.configPath(), "LB_NAME="+s.Name, "LB_LISTEN=127.0.0.1:0", "LB_DISCOVERY="+s.DiscoveryAddr,
 		"LB_CONTROL=", "TMPDIR="+s.Dir)
-	if s.Control {
+	if s.ControlEnabled {
 		p.cmd.Env = append(p.cmd.Env, "LB_CONTROL=127.0.0.1:0")
 	}
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
@@ -86,20 +86,20 @@
 		return nil, fmt.Errorf("gauge: %w", err)
 	}
 	if err := p.launch(); err != nil {
-		close(p.ended)
+		close(p.closed)
 		return nil, fmt.Errorf("gauge: %s: %w", s.Program, err)
 	}
-	p.reader.Go(func() { p.read(out) })
-	for p.Addr == "" || s.Control && p.Control == "" {
-		line, err := p.Await("listening", "listening for operators")
+	p.reader.Go(func() { p.readLog(out) })
+	for p.Addr == "" || s.ControlEnabled && p.ControlAddr == "" {
+		line, err := p.AwaitLog("listening", "listening for operators")
 		if err != nil {
 			p.Close()
 			return nil, err
 		}
-		if line.Text.Get("message").Str == "listening" {
-			p.Addr = line.Text.Get("addr").Str
+		if line.Fields.Get("message").Str == "listening" {
+			p.Addr = line.Fields.Get("addr").Str
 		} else {
-			p.Control = line.Text.Get("addr").Str
+			p.ControlAddr = line.Fields.Get("addr").Str
 		}
 	}
 	return p, nil
@@ -111,7 +111,7 @@
 	go func() {
 		runtime.LockOSThread()
 		started <- p.cmd.Start()
-		<-p.ended
+		<-p.closed
 	}()
 	return <-started
 }
@@ -121,28 +121,28 @@
 	_ = p.cmd.Process.Kill() // it may have ended
 	p.reader.Wait()
 	_ = p.cmd.Wait()
-	close(p.ended)
+	close(p.closed)
 }
 
-func (p *Process) file() string { return filepath.Join(p.start.Dir, p.start.Name+".json") }
+func (p *Process) configPath() string { return filepath.Join(p.options.Dir, p.options.Name+".json") }
 
-// Configure writes its configuration anew; version tells one from the other. It returns the sizes of the file and of the
+// WriteConfig writes its configuration anew; version tells one from the other. It returns the sizes of the file and of the
 // settings in it, in bytes.
-func (p *Process) Configure(version int) (file, settings int, err error) {
-	s := &p.start
-	set := Settings(s.Classes, s.Instances, s.Rank, version)
-	doc := map[string]any{"name": s.Name, "listen": "127.0.0.1:0", "discovery": s.Discovery, "seed": "1",
+func (p *Process) WriteConfig(version int) (file, settings int, err error) {
+	s := &p.options
+	set := SettingsJSON(s.Classes, s.Instances, s.Rank, version)
+	doc := map[string]any{"name": s.Name, "listen": "127.0.0.1:0", "discovery": s.DiscoveryAddr, "seed": "1",
 		"limits": map[string]any{"cores": 1, "memory_mb": 128, "sockets": 1024}, "settings": set}
-	if s.Known > 0 {
-		doc["known"] = known(s.Known)
+	if s.KnownHosts > 0 {
+		doc["known"] = knownHosts(s.KnownHosts)
 	}
 	text, err := json.Marshal(doc)
 	if err != nil {
 		return 0, 0, fmt.Errorf("gauge: %w", err)
 	}
-	next := p.file() + ".next"
-	if err = os.WriteFile(next, text, filesMode); err == nil {
-		err = os.Rename(next, p.file())
+	next := p.configPath() + ".next"
+	if err = os.WriteFile(next, text, fileMode); err == nil {
+		err = os.Rename(next, p.configPath())
 	}
 	if err != nil {
 		return 0, 0, fmt.Errorf("gauge: %w", err)
@@ -150,43 +150,43 @@
 	return len(text), len(set), nil
 }
 
-// Hup has it read its configuration again.
-func (p *Process) Hup() error { return p.cmd.Process.Signal(syscall.SIGHUP) }
+// Reload has it read its configuration again.
+func (p *Process) Reload() error { return p.cmd.Process.Signal(syscall.SIGHUP) }
 
-// Await is the next line of its log with one of those messages. An error says that none came in time, or that the process ended.
-func (p *Process) Await(messages ...string) (Line, error) {
-	over := time.NewTimer(readyMost)
+// AwaitLog is the next line of its log with one of those messages. An error says that none came in time, or that the process ended.
+func (p *Process) AwaitLog(messages ...string) (LogLine, error) {
+	over := time.NewTimer(logTimeout)
 	defer over.Stop()
 	for {
 		select {
 		case line, ok := <-p.lines:
 			if !ok {
-				return Line{}, fmt.Errorf("gauge: %s ended before it said %q", p.start.Name, messages)
+				return LogLine{}, fmt.Errorf("gauge: %s ended before it said %q", p.options.Name, messages)
 			}
 			for _, m := range messages {
-				if line.Text.Get("message").Str == m {
+				if line.Fields.Get("message").Str == m {
 					return line, nil
 				}
 			}
 		case <-over.C:
-			return Line{}, fmt.Errorf("gauge: %s did not say %q within %v", p.start.Name, messages, readyMost)
+			return LogLine{}, fmt.Errorf("gauge: %s did not say %q within %v", p.options.Name, messages, logTimeout)
 		}
 	}
 }
 
 // read passes its log on. What nobody takes is dropped: the process must not wait for a reader.
-func (p *Process) read(out io.Reader) {
+func (p *Process) readLog(out io.Reader) {
 	defer close(p.lines)
 	in := bufio.NewScanner(out)
 	for in.Scan() {
 		select {
-		case p.lines <- Line{time.Now(), gjson.Parse(in.Text())}:
+		case p.lines <- LogLine{time.Now(), gjson.Parse(in.Text())}:
 		default:
 		}
 	}
 }
 
-// CPU is what its threads have taken so far. A thread that has ended takes its part with it; Go's hardly ever do.
+// ProcessCPU is what its threads have taken so far. A thread that has ended takes its part with it; Go's hardly ever do.
 func (p *Process) CPU() time.Duration {
 	var sum time.Duration
 	dir := fmt.Sprintf("/proc/%d/task", p.cmd.Process.Pid)
@@ -218,8 +218,8 @@
 	return now, peak
 }
 
-// Settings are a site's with so many classes; version is a price that decides nothing here.
-func Settings(classes, instances, rank, version int) json.RawMessage {
+// SettingsJSON are a site's with so many classes; version is a price that decides nothing here.
+func SettingsJSON(classes, instances, rank, version int) json.RawMessage {
 	all := []any{}
 	for i := range max(1, classes) {
 		all = append(all, map[string]any{"name": fmt.Sprintf("class-%03d", i), "aim": time.Second, "deadline": 3 * time.Second,
@@ -236,10 +236,10 @@
 }
 
 // known is a list of so many hosts, as a configuration has it.
-func known(hosts int) answer {
-	out := answer{Revision: 1, Complete: true}
+func knownHosts(hosts int) memberList {
+	out := memberList{Revision: 1, Complete: true}
 	for i := range hosts {
-		out.Members = append(out.Members, member{fmt.Sprintf("host-%04d", i), fmt.Sprintf(hostAddress, i/hostsARow, 1+i%hostsARow, hostPort), "here", "std", 0, "Ready", 1, 0})
+		out.Members = append(out.Members, member{fmt.Sprintf("host-%04d", i), fmt.Sprintf(hostAddrFormat, i/hostsPerSubnet, 1+i%hostsPerSubnet, hostPort), "here", "std", 0, "Ready", 1, 0})
 	}
 	return out
 }
