--- a/internal/lab/footprint/discovery.go
+++ b/internal/lab/footprint/discovery.go
@@ -1,5 +1,3 @@
-// Package gauge measures what one sidecar's control costs: real processes against a list service on loopback whose size, news
-// and bytes are known. It fits nothing; internal/lab/scalefit does.
 package footprint
 
 import (
@@ -14,28 +12,28 @@
 )
 
 const (
-	maxWait        = time.Minute // that a call may wait
+	maxWait        = time.Minute // of a long poll
 	hostPort       = 18080
 	hostsPerSubnet = 250
-	hostAddrFormat = "127.63.%d.%d:%d" // of hosts that nobody sends to
+	hostAddrFormat = "127.63.%d.%d:%d" // of hosts that get no requests
 )
 
-// DiscoveryService is a list service with so many hosts, of which one after the other restarts.
+// DiscoveryService is a discovery service with a list of hosts that can be restarted. It is safe for concurrent use.
 type DiscoveryService struct {
-	Addr  string
-	polls atomic.Int64
-	bytes atomic.Int64
-	http  *http.Server
-	done  chan struct{}
+	Addr   string
+	polls  atomic.Int64
+	bytes  atomic.Int64
+	server *http.Server
+	closed chan struct{}
 
-	mu        sync.Mutex
+	mu        sync.Mutex // guards the rest
 	hosts     []member
 	revision  int64
-	changedAt []int64 // by host, the revision of its last change
-	updated   chan struct{}
+	changedAt []int64       // by host, the revision of its last change
+	updated   chan struct{} // closed by the next change
 }
 
-// member is a host as the service words it.
+// member is a host in the service's protocol.
 type member struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"host_port"`
@@ -47,45 +45,67 @@
 	UpSince int64   `json:"up_since_ms"`
 }
 
-// answer is what a call gets.
+// memberList is the response to a poll.
 type memberList struct {
 	Revision int64    `json:"revision"`
-	Complete bool     `json:"complete"`
+	Complete bool     `json:"complete"` // not only the changes since a revision
 	Members  []member `json:"members"`
 }
 
-// NewDiscoveryService serves a list of hosts at a free port until it is closed.
+// makeMembers returns hosts at addresses of their own at which nothing listens.
+func makeMembers(n int) []member {
+	var members []member
+	for i := range n {
+		members = append(members, member{
+			ID:     fmt.Sprintf("host-%04d", i),
+			Addr:   fmt.Sprintf(hostAddrFormat, i/hostsPerSubnet, 1+i%hostsPerSubnet, hostPort),
+			Zone:   "here",
+			Kind:   "std",
+			Phase:  "Ready",
+			Weight: 1,
+		})
+	}
+	return members
+}
+
+// NewDiscoveryService serves a list of hosts at a free port. The caller has to Close it.
 func NewDiscoveryService(hosts int) (*DiscoveryService, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("gauge: list service: %w", err)
+		return nil, fmt.Errorf("footprint: discovery service: %w", err)
+	}
+	s := &DiscoveryService{
+		Addr:      listener.Addr().String(),
+		closed:    make(chan struct{}),
+		hosts:     makeMembers(hosts),
+		revision:  1,
+		changedAt: make([]int64, hosts),
+		updated:   make(chan struct{}),
 	}
-	s := &DiscoveryService{Addr: l.Addr().String(), done: make(chan struct{}), updated: make(chan struct{}), revision: 1, changedAt: make([]int64, hosts)}
-	for i := range hosts {
-		s.changedAt[i] = 1
-		s.hosts = append(s.hosts, member{fmt.Sprintf("host-%04d", i), fmt.Sprintf(hostAddrFormat, i/hostsPerSubnet, 1+i%hostsPerSubnet, hostPort), "here", "std", 0, "Ready", 1, 0})
+	for i := range s.changedAt {
+		s.changedAt[i] = s.revision
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /catalog/members", s.serveMembers)
-	s.http = &http.Server{Handler: mux}
-	go func() { _ = s.http.Serve(&countingListener{l, &s.bytes}) }() // it ends with the listener
+	s.server = &http.Server{Handler: mux}
+	go func() { _ = s.server.Serve(&countingListener{listener, &s.bytes}) }() // until Close
 	return s, nil
 }
 
-// Close ends it, calls that wait included.
+// Close closes the service and its connections, those of long polls included.
 func (s *DiscoveryService) Close() {
-	close(s.done)
-	_ = s.http.Close()
+	close(s.closed)
+	_ = s.server.Close()
 }
 
-// SetAddr has a host be reached there.
+// SetAddr sets the address of a host. It is no change of the list: call it before the first poll.
 func (s *DiscoveryService) SetAddr(host int, addr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hosts[host].Addr = addr
 }
 
-// RestartHost is news: that host has just started. It returns the revision that has it.
+// RestartHost changes the list: that host has just started. It returns the revision with the change.
 func (s *DiscoveryService) RestartHost(host int) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,72 +117,76 @@
 	return s.revision
 }
 
-// Traffic are the calls so far, and the bytes both ways with their heads but without TCP's.
-func (s *DiscoveryService) Traffic() (calls, bytes int64) { return s.polls.Load(), s.bytes.Load() }
+// Traffic returns the number of polls so far, and the bytes in both directions with HTTP's headers but without TCP's.
+func (s *DiscoveryService) Traffic() (polls, bytes int64) { return s.polls.Load(), s.bytes.Load() }
 
-// ListBytes is the size of a whole list's body, in bytes.
+// ListBytes returns the size of a complete list's body.
 func (s *DiscoveryService) ListBytes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	text, _ := json.Marshal(s.changesSince(0)) // all of it is plain
-	return len(text)
+	return len(s.changesSince(0))
 }
 
+// serveMembers answers a poll: at once with the complete list, or with the changes since a revision as soon as there are
+// any, at the latest after timeout_ms.
 func (s *DiscoveryService) serveMembers(w http.ResponseWriter, req *http.Request) {
 	s.polls.Add(1)
-	q := req.URL.Query()
-	since, _ := strconv.ParseInt(q.Get("since"), 10, 64) // none is 0: the whole list
-	wait, _ := strconv.Atoi(q.Get("timeout_ms"))
-	over := time.NewTimer(min(time.Duration(wait)*time.Millisecond, maxWait))
-	defer over.Stop()
-	for late := since == 0; ; {
+	query := req.URL.Query()
+	since, _ := strconv.ParseInt(query.Get("since"), 10, 64) // none is 0: the complete list
+	wait, _ := strconv.Atoi(query.Get("timeout_ms"))
+	timeout := time.NewTimer(min(time.Duration(wait)*time.Millisecond, maxWait))
+	defer timeout.Stop()
+	for answerNow := since == 0; ; {
 		s.mu.Lock()
-		if late || s.revision > since {
-			text, _ := json.Marshal(s.changesSince(since))
+		if answerNow || s.revision > since {
+			body := s.changesSince(since)
 			s.mu.Unlock()
 			w.Header().Set("Content-Type", "application/json")
-			_, _ = w.Write(text) // who has gone needs none
+			_, _ = w.Write(body) // fails if the client has gone
 			return
 		}
-		news := s.updated
+		updated := s.updated
 		s.mu.Unlock()
 		select {
-		case <-news:
-		case <-over.C:
-			late = true
+		case <-updated:
+		case <-timeout.C:
+			answerNow = true
 		case <-req.Context().Done():
 			return
-		case <-s.done:
+		case <-s.closed:
 			return
 		}
 	}
 }
 
-// since is what is newer than a revision, of 0 all. The lock is held.
-func (s *DiscoveryService) changesSince(revision int64) memberList {
-	out := memberList{Revision: s.revision, Complete: revision == 0, Members: []member{}}
-	for i, at := range s.changedAt {
-		if at > revision {
-			out.Members = append(out.Members, s.hosts[i])
+// changesSince returns the body with the hosts that changed after a revision, for 0 with all. s.mu is held.
+func (s *DiscoveryService) changesSince(revision int64) []byte {
+	list := memberList{Revision: s.revision, Complete: revision == 0, Members: []member{}}
+	for i, changedAt := range s.changedAt {
+		if changedAt > revision {
+			list.Members = append(list.Members, s.hosts[i])
 		}
 	}
-	return out
+	body, _ := json.Marshal(list) // no value that JSON lacks
+	return body
 }
 
-// counting is a listener that counts what its connections carry.
+// countingListener counts the bytes of its connections.
 type countingListener struct {
 	net.Listener
 	bytes *atomic.Int64
 }
 
-func (c *countingListener) Accept() (net.Conn, error) {
-	conn, err := c.Listener.Accept()
+// Accept accepts a connection whose bytes are counted.
+func (l *countingListener) Accept() (net.Conn, error) {
+	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &countingConn{conn, c.bytes}, nil
+	return &countingConn{conn, l.bytes}, nil
 }
 
+// countingConn counts the bytes in both directions.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
--- a/internal/lab/footprint/footprint_test.go
+++ b/internal/lab/footprint/footprint_test.go
@@ -17,10 +17,10 @@
 	"pinelb.example/pinelb/internal/daemon"
 )
 
-// TestMain lets this binary be the sidecar and the auditor that are measured.
+// TestMain makes this binary the sidecar and the auditor that are measured, too.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 2 && os.Args[1] == "audit" {
-		os.Exit(auditor(os.Args[2]))
+		os.Exit(runAudit(os.Args[2]))
 	}
 	if os.Getenv("LB_CONFIG") != "" {
 		hups := make(chan os.Signal, 1)
@@ -29,7 +29,7 @@
 		if len(os.Args) > 1 {
 			operator = strings.TrimPrefix(os.Args[1], "--config=")
 		}
-		if daemon.Serve(operator, hups) != nil { // it is in the log
+		if daemon.Serve(operator, hups) != nil { // the error is in the log
 			os.Exit(1)
 		}
 		os.Exit(0)
@@ -37,19 +37,19 @@
 	goleak.VerifyTestMain(m)
 }
 
-func auditor(roster string) int {
-	r, err := audit.ReadRoster(roster)
+func runAudit(path string) int {
+	roster, err := audit.ReadRoster(path)
 	if err != nil {
 		return audit.Faulty
 	}
-	exit, _ := audit.Run(context.Background(), audit.Options{Roster: r, AtATime: auditConcurrency, Within: callTimeout, By: "test", Share: 0.1},
+	exit, _ := audit.Run(context.Background(), audit.Options{Roster: roster, AtATime: auditConcurrency, Within: callTimeout, By: "test", Share: 0.1},
 		audit.Output{To: io.Discard, JSON: true})
 	return exit
 }
 
-// TestControl guards against figures of nothing: several sidecars are at rest, each asks its service, changes come into force, and
-// time, memory and bytes are counted.
-func TestControl(t *testing.T) {
+// TestIdleMeasurement guards against figures of nothing: several sidecars are idle, each polls its discovery service and
+// applies changes, and processor time, memory and bytes are counted.
+func TestIdleMeasurement(t *testing.T) {
 	got, err := IdleMeasurement{Program: os.Args[0], Dir: t.TempDir(), Hosts: 25, ChangeRate: 20, Processes: 2, Windows: 3, Window: 500 * time.Millisecond}.Measure(t.Context())
 	if err != nil {
 		t.Fatal(err)
@@ -67,12 +67,12 @@
 		t.Errorf("stopped: %v", err)
 	}
 	if _, err := (IdleMeasurement{Program: "no-such-program", Dir: t.TempDir(), Hosts: 1, Processes: 1}).Measure(t.Context()); err == nil {
-		t.Error("a program that is not there was measured")
+		t.Error("a missing program was measured")
 	}
 }
 
-// TestRetune guards against a change that is counted though it never came into force.
-func TestRetune(t *testing.T) {
+// TestSettingsChangeMeasurement guards against a change that is counted although it was never applied.
+func TestSettingsChangeMeasurement(t *testing.T) {
 	got, err := SettingsChangeMeasurement{Program: os.Args[0], Dir: t.TempDir(), KnownHosts: 25, Classes: 3, Changes: 5}.Measure(t.Context())
 	if err != nil {
 		t.Fatal(err)
@@ -80,13 +80,13 @@
 	if got.MedianApplyTime <= 0 || got.MaxApplyTime < got.MedianApplyTime || got.FileBytes < got.SettingsBytes+25*100 || got.SettingsBytes < 100 {
 		t.Errorf("%+v", got)
 	}
-	if _, err := (SettingsChangeMeasurement{Program: os.Args[0], Dir: t.TempDir(), KnownHosts: 1, Classes: 257, Changes: 1}).Measure(t.Context()); err == nil {
-		t.Error("settings that no sidecar takes were measured")
+	if _, err := (SettingsChangeMeasurement{Program: os.Args[0], Dir: t.TempDir(), KnownHosts: 1, Classes: 257, Changes: 1}).Measure(t.Context()); !errors.Is(err, ErrSettingsRejected) {
+		t.Errorf("settings that no sidecar accepts: %v", err)
 	}
 }
 
-// TestRequests guards against a sidecar that is measured though it serves nothing.
-func TestRequests(t *testing.T) {
+// TestRequestMeasurement guards against a sidecar that is measured although it serves nothing.
+func TestRequestMeasurement(t *testing.T) {
 	got, err := RequestMeasurement{Program: os.Args[0], Dir: t.TempDir(), Rate: 50, Window: time.Second, Seed: 1}.Measure(t.Context())
 	if err != nil {
 		t.Fatal(err)
@@ -96,19 +96,19 @@
 	}
 }
 
-// TestAudit guards against a fleet that is one sidecar's successions, or of which somebody is not asked, and against trails that
-// don't cost what is in them.
-func TestAudit(t *testing.T) {
-	for _, standIns := range []bool{false, true} {
-		got, err := AuditMeasurement{Program: os.Args[0], Dir: t.TempDir(), Sidecars: 3, Stubs: standIns, AuditLogSpan: time.Minute, Rounds: 2}.Measure(t.Context())
+// TestAuditMeasurement guards against a fleet in which sidecars replace one another, or of which one isn't asked, and against
+// audit logs whose size doesn't show in the costs.
+func TestAuditMeasurement(t *testing.T) {
+	for _, stubs := range []bool{false, true} {
+		got, err := AuditMeasurement{Program: os.Args[0], Dir: t.TempDir(), Sidecars: 3, Stubs: stubs, AuditLogSpan: time.Minute, Rounds: 2}.Measure(t.Context())
 		if err != nil {
 			t.Fatal(err)
 		}
 		if got.FirstRound <= 0 || got.LaterRound <= 0 || got.ProcessTime <= 0 || got.ProcessCPU <= 0 || got.LaterRoundBytes <= 0 || got.FirstRoundBytes <= got.LaterRoundBytes || got.NotUpToDate != 0 {
-			t.Errorf("stand-ins %v: %+v", standIns, got)
+			t.Errorf("stubs %v: %+v", stubs, got)
 		}
-		if kb := got.FirstRoundBytes / 3 / 1024; standIns && kb < 5 || !standIns && kb > 5 {
-			t.Errorf("stand-ins %v: %.1f KB of a trail", standIns, kb)
+		if kb := got.FirstRoundBytes / 3 / 1024; stubs && kb < 5 || !stubs && kb > 5 {
+			t.Errorf("stubs %v: %.1f KB of an audit log", stubs, kb)
 		}
 	}
 }
--- a/internal/lab/footprint/idle.go
+++ b/internal/lab/footprint/idle.go
@@ -4,179 +4,189 @@
 	"cmp"
 	"context"
 	"fmt"
-	"os"
 	"slices"
-	"strconv"
-	"strings"
 	"sync"
 	"time"
 )
 
-// ControlAddr is one measurement of what sidecars at rest take: no request comes.
+const idleClasses = 3 // of an idle sidecar's settings
+
+// IdleMeasurement measures what sidecars cost that get no requests.
 type IdleMeasurement struct {
 	Program        string
 	Dir            string
-	Hosts          int     // on the list
-	ChangeRate     float64 // of it a second
-	Processes      int     // sidecars beside each other, each with a list service of its own
-	Instances      int     // that each is told of; 0 is as many as hosts
-	OperatorConfig string  // the operator's file
-	ControlEnabled bool    // can call it
+	Hosts          int     // on the endpoint list
+	ChangeRate     float64 // of the list, a second
+	Processes      int     // sidecars at the same time, each with a discovery service of its own
+	Instances      int     // of the fleet, by the sidecars' settings; 0 is as many as hosts
+	OperatorConfig string  // content of the operator's file
+	ControlEnabled bool    // operators can call the sidecars
 	WarmUp         time.Duration
-	Windows        int           // of which the median is taken,
-	Window         time.Duration // each so long
+	Windows        int // of which the medians are taken
+	Window         time.Duration
 }
 
-// Traffic is what one sidecar took, or several together.
+// IdleCosts are those of all sidecars of an IdleMeasurement together.
 type IdleCosts struct {
 	CPU             float64 `json:"cpu_ms_per_s"`
-	RSS             float64 `json:"rss_mb"`
+	RSS             float64 `json:"rss_mb"` // MiB
 	PeakRSS         float64 `json:"peak_mb"`
-	PollRate        float64 `json:"calls_per_s"`
-	ByteRate        float64 `json:"bytes_per_s"` // both ways, HTTP's heads included and TCP's not
-	ListBytes       int     `json:"list_bytes"`
-	AppliedChanges  int     `json:"changes"` // that were made while it was measured
+	PollRate        float64 `json:"calls_per_s"` // of the discovery services
+	ByteRate        float64 `json:"bytes_per_s"` // in both directions, with HTTP's headers but without TCP's
+	ListBytes       int     `json:"list_bytes"`  // body of a full list
+	AppliedChanges  int     `json:"changes"`     // of the list, during the windows
 	MedianApplyTime float64 `json:"in_force_ms_p50"`
 	MaxApplyTime    float64 `json:"in_force_ms_max"`
 }
 
-const mebibyte = 1 << 20
-
-// Measure takes it. An error is one of starting, or ctx's.
-func (c IdleMeasurement) Measure(ctx context.Context) (IdleCosts, error) {
-	var all []*idleSidecar
+// Measure takes the measurement. An error is that of a sidecar's start, or ctx's.
+func (m IdleMeasurement) Measure(ctx context.Context) (IdleCosts, error) {
+	var sidecars []*idleSidecar
 	defer func() {
-		for _, o := range all {
-			o.close()
+		for _, s := range sidecars {
+			s.close()
 		}
 	}()
-	for i := range c.Processes {
-		o, err := c.start(fmt.Sprintf("control-%d", i))
+	for i := range m.Processes {
+		s, err := m.start(fmt.Sprintf("control-%d", i))
 		if err != nil {
 			return IdleCosts{}, err
 		}
-		all = append(all, o)
+		sidecars = append(sidecars, s)
 	}
-	if err := sleep(ctx, c.WarmUp); err != nil {
+	if err := sleep(ctx, m.WarmUp); err != nil {
 		return IdleCosts{}, err
 	}
-	over, end := context.WithCancel(ctx)
-	var changing sync.WaitGroup
-	defer changing.Wait()
-	defer end()
-	for _, o := range all {
-		changing.Go(func() { o.applyChanges(over, c.ChangeRate) })
+	changesCtx, stopChanges := context.WithCancel(ctx)
+	var changes sync.WaitGroup
+	defer changes.Wait()
+	defer stopChanges()
+	for _, s := range sidecars {
+		changes.Go(func() { s.applyChanges(changesCtx, m.ChangeRate) })
 	}
-	var cpu, calls, bytes []float64
-	for range c.Windows {
-		u, n, b := totals(all)
-		from := time.Now()
-		if err := sleep(ctx, c.Window); err != nil {
-			return IdleCosts{}, err
-		}
-		took := time.Since(from).Seconds()
-		v, m, d := totals(all)
-		cpu = append(cpu, float64(v-u)/float64(time.Millisecond)/took)
-		calls, bytes = append(calls, float64(m-n)/took), append(bytes, float64(d-b)/took)
+	costs, err := m.measureWindows(ctx, sidecars)
+	if err != nil {
+		return IdleCosts{}, err
+	}
+	stopChanges()
+	changes.Wait()
+	costs.ListBytes = sidecars[0].service.ListBytes()
+	var applyTimes []float64
+	for _, s := range sidecars {
+		now, peak := s.process.Memory()
+		costs.RSS += float64(now) / mebibyte
+		costs.PeakRSS += float64(peak) / mebibyte
+		costs.AppliedChanges += len(s.applyTimes)
+		applyTimes = append(applyTimes, s.applyTimes...)
 	}
-	end()
-	changing.Wait()
-	t := IdleCosts{CPU: median(cpu), PollRate: median(calls), ByteRate: median(bytes), ListBytes: all[0].service.ListBytes()}
-	var late []float64
-	for _, o := range all {
-		now, peak := o.process.Memory()
-		t.RSS, t.PeakRSS = t.RSS+float64(now)/mebibyte, t.PeakRSS+float64(peak)/mebibyte
-		t.AppliedChanges += len(o.applyTimes)
-		late = append(late, o.applyTimes...)
+	if len(applyTimes) > 0 {
+		costs.MedianApplyTime, costs.MaxApplyTime = median(applyTimes), slices.Max(applyTimes)
 	}
-	if len(late) > 0 {
-		t.MedianApplyTime, t.MaxApplyTime = median(late), slices.Max(late)
+	return costs, nil
+}
+
+// measureWindows returns the medians over the windows.
+func (m *IdleMeasurement) measureWindows(ctx context.Context, sidecars []*idleSidecar) (IdleCosts, error) {
+	var cpu, polls, bytes []float64
+	for range m.Windows {
+		before, start := totals(sidecars), time.Now()
+		if err := sleep(ctx, m.Window); err != nil {
+			return IdleCosts{}, err
+		}
+		seconds := time.Since(start).Seconds()
+		after := totals(sidecars)
+		cpu = append(cpu, milliseconds(after.cpu-before.cpu)/seconds)
+		polls = append(polls, float64(after.polls-before.polls)/seconds)
+		bytes = append(bytes, float64(after.bytes-before.bytes)/seconds)
 	}
-	return t, nil
+	return IdleCosts{CPU: median(cpu), PollRate: median(polls), ByteRate: median(bytes)}, nil
 }
 
-// one is a sidecar with its list service.
+// idleSidecar is a sidecar with its discovery service.
 type idleSidecar struct {
 	service    *DiscoveryService
 	process    *Process
 	applyTimes []float64 // milliseconds from each change until the sidecar's log had it
 }
 
-func (c *IdleMeasurement) start(name string) (*idleSidecar, error) {
-	s, err := NewDiscoveryService(c.Hosts)
+func (m *IdleMeasurement) start(name string) (*idleSidecar, error) {
+	service, err := NewDiscoveryService(m.Hosts)
 	if err != nil {
 		return nil, err
 	}
-	p, err := StartSidecar(SidecarOptions{Program: c.Program, Dir: c.Dir, Name: name, DiscoveryAddr: s.Addr, OperatorConfig: c.OperatorConfig, Classes: 3, Instances: cmp.Or(c.Instances, c.Hosts), KnownHosts: c.Hosts, ControlEnabled: c.ControlEnabled})
+	process, err := StartSidecar(SidecarOptions{
+		Program:        m.Program,
+		Dir:            m.Dir,
+		Name:           name,
+		DiscoveryAddr:  service.Addr,
+		OperatorConfig: m.OperatorConfig,
+		KnownHosts:     m.Hosts,
+		Classes:        idleClasses,
+		Instances:      cmp.Or(m.Instances, m.Hosts),
+		ControlEnabled: m.ControlEnabled,
+	})
 	if err != nil {
-		s.Close()
+		service.Close()
 		return nil, err
 	}
-	return &idleSidecar{service: s, process: p}, nil
+	return &idleSidecar{service: service, process: process}, nil
 }
 
-func (o *idleSidecar) close() {
-	o.process.Close()
-	o.service.Close()
+func (s *idleSidecar) close() {
+	s.process.Close()
+	s.service.Close()
 }
 
-// change makes so many changes a second until ctx ends, and waits for each to be in force: those that come while one is waited for
-// are made late, and not at once.
-func (o *idleSidecar) applyChanges(ctx context.Context, rate float64) {
+// applyChanges changes the endpoint list at that rate a second until ctx ends, and waits until the sidecar has applied each
+// change. Changes that are due meanwhile are skipped, so that they don't come all at once.
+func (s *idleSidecar) applyChanges(ctx context.Context, rate float64) {
 	if rate == 0 {
 		return
 	}
-	tick := time.NewTicker(time.Duration(float64(time.Second) / rate))
-	defer tick.Stop()
+	ticker := time.NewTicker(time.Duration(float64(time.Second) / rate))
+	defer ticker.Stop()
 	for n := 0; ; n++ {
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
-		at := time.Now()
-		revision := o.service.RestartHost(n % len(o.service.hosts))
-		for {
-			line, err := o.process.AwaitLog("cluster changed")
-			if err != nil {
-				return
-			}
-			if line.Fields.Get("revision").Int() >= revision {
-				o.applyTimes = append(o.applyTimes, float64(line.At.Sub(at))/float64(time.Millisecond))
-				break
-			}
+		changedAt := time.Now()
+		revision := s.service.RestartHost(n % len(s.service.hosts))
+		appliedAt, err := s.awaitRevision(revision)
+		if err != nil {
+			return
 		}
+		s.applyTimes = append(s.applyTimes, milliseconds(appliedAt.Sub(changedAt)))
 	}
 }
 
-func totals(all []*idleSidecar) (cpu time.Duration, calls, bytes int64) {
-	for _, o := range all {
-		n, b := o.service.Traffic()
-		cpu, calls, bytes = cpu+o.process.CPU(), calls+n, bytes+b
-	}
-	return cpu, calls, bytes
-}
-
-func sleep(ctx context.Context, d time.Duration) error {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-t.C:
-		return nil
-	case <-ctx.Done():
-		return ctx.Err()
+// awaitRevision returns when the sidecar logged that it had a revision of the list, or a later one.
+func (s *idleSidecar) awaitRevision(revision int64) (time.Time, error) {
+	for {
+		line, err := s.process.AwaitLog("cluster changed")
+		if err != nil {
+			return time.Time{}, err
+		}
+		if line.Fields.Get("revision").Int() >= revision {
+			return line.At, nil
+		}
 	}
 }
 
-func median(v []float64) float64 {
-	v = slices.Sorted(slices.Values(v))
-	return (v[len(v)/2] + v[(len(v)-1)/2]) / 2
+// usage is what sidecars have used since their start.
+type usage struct {
+	cpu          time.Duration
+	polls, bytes int64
 }
 
-// LoadAverage is the machine's, over the last minute: how many threads ran or wanted to.
-func LoadAverage() float64 {
-	text, _ := os.ReadFile("/proc/loadavg")
-	first, _, _ := strings.Cut(string(text), " ")
-	load, _ := strconv.ParseFloat(first, 64)
-	return load
+func totals(sidecars []*idleSidecar) usage {
+	var sum usage
+	for _, s := range sidecars {
+		polls, bytes := s.service.Traffic()
+		sum.cpu += s.process.CPU()
+		sum.polls += polls
+		sum.bytes += bytes
+	}
+	return sum
 }
--- a/internal/lab/footprint/process.go
+++ b/internal/lab/footprint/process.go
@@ -2,13 +2,13 @@
 
 import (
 	"bufio"
-	"encoding/json"
 	"fmt"
 	"io"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"runtime"
+	"slices"
 	"strconv"
 	"strings"
 	"sync"
@@ -19,93 +19,96 @@
 )
 
 const (
-	logTimeout     = 20 * time.Second // until a process says something that is waited for
-	fileMode       = 0o600
-	dirMode        = 0o700
-	maxUnreadLines = 4096 // of a log, that nobody has read yet
+	logTimeout     = 20 * time.Second // until a process logs a message that is awaited
+	maxUnreadLines = 4096             // of a process's log
 )
 
-// SidecarOptions is how a sidecar is started.
+// SidecarOptions says how a sidecar is started.
 type SidecarOptions struct {
 	Program        string
-	Dir            string // for its files
-	Name           string
+	Dir            string // in which the sidecar gets a directory of its own
+	Name           string // unique in Dir
 	DiscoveryAddr  string
-	OperatorConfig string // the operator's file, in which {dir} is a directory of the sidecar's own; "" is none
-	KnownHosts     int    // hosts that its configuration names
-	Classes        int    // of its settings
-	Instances      int    // that it is told of
-	Rank           int
-	ControlEnabled bool // operators can call it
+	OperatorConfig string // content of the operator's file, in which {dir} stands for the sidecar's directory; "" is none
+	KnownHosts     int    // in the configuration
+	Classes        int    // in the settings
+	Instances      int    // of the fleet, by the settings
+	Rank           int    // of the sidecar in the fleet, by the settings
+	ControlEnabled bool   // operators can call it
 }
 
-// Process is a sidecar that runs.
+// Process is a running sidecar.
 type Process struct {
-	Addr        string // where callers connect
-	ControlAddr string // where operators do; "" is nowhere
+	Addr        string // of the listener for callers
+	ControlAddr string // of the listener for operators; "" is none
 
 	options SidecarOptions
 	cmd     *exec.Cmd
-	lines   chan LogLine
+	lines   chan LogLine // closed when the log ends
 	reader  sync.WaitGroup
 	closed  chan struct{} // closed by Close
 }
 
-// LogLine is one of its log, and when it was read.
+// LogLine is a line of a process's log.
 type LogLine struct {
-	At     time.Time
+	At     time.Time // when it was read
 	Fields gjson.Result
 }
 
-// StartSidecar starts a sidecar and waits until callers can connect.
-func StartSidecar(s SidecarOptions) (*Process, error) {
-	s.Dir = filepath.Join(s.Dir, s.Name) // its own: two that share one and an address take over from one another
-	if err := os.Mkdir(s.Dir, dirMode); err != nil {
-		return nil, fmt.Errorf("gauge: %w", err)
+func (l *LogLine) message() string { return l.Fields.Get("message").Str }
+
+// StartSidecar starts a sidecar and waits until callers, and operators if enabled, can connect. The caller has to Close it.
+func StartSidecar(options SidecarOptions) (*Process, error) {
+	// Two sidecars with the same directory and address would take over from one another.
+	options.Dir = filepath.Join(options.Dir, options.Name)
+	if err := os.Mkdir(options.Dir, dirMode); err != nil {
+		return nil, fmt.Errorf("footprint: %w", err)
 	}
-	p := &Process{options: s, lines: make(chan LogLine, maxUnreadLines), closed: make(chan struct{})}
+	p := &Process{options: options, lines: make(chan LogLine, maxUnreadLines), closed: make(chan struct{})}
 	if _, _, err := p.WriteConfig(0); err != nil {
 		return nil, err
 	}
-	p.cmd = exec.Command(s.Program)
-	if s.OperatorConfig != "" {
-		path := filepath.Join(s.Dir, s.Name+".toml")
-		if err := os.WriteFile(path, []byte(strings.ReplaceAll(s.OperatorConfig, "{dir}", s.Dir)), fileMode); err != nil {
-			return nil, fmt.Errorf("gauge: %w", err)
-		}
-		p.cmd.Args = append(p.cmd.Args, "--config="+path)
-	}
-	p.cmd.Env = append(os.Environ(), "LB_CONFIG="+p.configPath(), "LB_NAME="+s.Name, "LB_LISTEN=127.0.0.1:0", "LB_DISCOVERY="+s.DiscoveryAddr,
-		"LB_CONTROL=", "TMPDIR="+s.Dir)
-	if s.ControlEnabled {
-		p.cmd.Env = append(p.cmd.Env, "LB_CONTROL=127.0.0.1:0")
+	if err := p.prepare(); err != nil {
+		return nil, err
 	}
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	out, err := p.cmd.StderrPipe()
+	log, err := p.cmd.StderrPipe()
 	if err != nil {
-		return nil, fmt.Errorf("gauge: %w", err)
+		return nil, fmt.Errorf("footprint: %w", err)
 	}
 	if err := p.launch(); err != nil {
 		close(p.closed)
-		return nil, fmt.Errorf("gauge: %s: %w", s.Program, err)
+		return nil, fmt.Errorf("footprint: %s: %w", options.Program, err)
 	}
-	p.reader.Go(func() { p.readLog(out) })
-	for p.Addr == "" || s.ControlEnabled && p.ControlAddr == "" {
-		line, err := p.AwaitLog("listening", "listening for operators")
-		if err != nil {
-			p.Close()
-			return nil, err
-		}
-		if line.Fields.Get("message").Str == "listening" {
-			p.Addr = line.Fields.Get("addr").Str
-		} else {
-			p.ControlAddr = line.Fields.Get("addr").Str
-		}
+	p.reader.Go(func() { p.readLog(log) })
+	if err := p.awaitListeners(); err != nil {
+		p.Close()
+		return nil, err
 	}
 	return p, nil
 }
 
-// launch starts the process from a thread that lives as long: the kernel kills it when that ends.
+// prepare makes the command, and writes the operator's file.
+func (p *Process) prepare() error {
+	o := &p.options
+	p.cmd = exec.Command(o.Program)
+	if o.OperatorConfig != "" {
+		path := filepath.Join(o.Dir, o.Name+".toml")
+		text := strings.ReplaceAll(o.OperatorConfig, "{dir}", o.Dir)
+		if err := os.WriteFile(path, []byte(text), fileMode); err != nil {
+			return fmt.Errorf("footprint: %w", err)
+		}
+		p.cmd.Args = append(p.cmd.Args, "--config="+path)
+	}
+	p.cmd.Env = append(os.Environ(), "LB_CONFIG="+p.configPath(), "LB_NAME="+o.Name, "LB_LISTEN=127.0.0.1:0",
+		"LB_DISCOVERY="+o.DiscoveryAddr, "LB_CONTROL=", "TMPDIR="+o.Dir)
+	if o.ControlEnabled {
+		p.cmd.Env = append(p.cmd.Env, "LB_CONTROL=127.0.0.1:0")
+	}
+	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
+	return nil
+}
+
+// launch starts the process from a thread that lives until Close: the kernel sends Pdeathsig when that thread ends.
 func (p *Process) launch() error {
 	started := make(chan error)
 	go func() {
@@ -116,130 +119,78 @@
 	return <-started
 }
 
-// Close kills it and waits.
+func (p *Process) awaitListeners() error {
+	for p.Addr == "" || p.options.ControlEnabled && p.ControlAddr == "" {
+		line, err := p.AwaitLog("listening", "listening for operators")
+		if err != nil {
+			return err
+		}
+		addr := line.Fields.Get("addr").Str
+		if line.message() == "listening" {
+			p.Addr = addr
+		} else {
+			p.ControlAddr = addr
+		}
+	}
+	return nil
+}
+
+// Close kills the process and waits for its end.
 func (p *Process) Close() {
-	_ = p.cmd.Process.Kill() // it may have ended
+	_ = p.cmd.Process.Kill() // fails if it has ended
 	p.reader.Wait()
 	_ = p.cmd.Wait()
 	close(p.closed)
 }
 
-func (p *Process) configPath() string { return filepath.Join(p.options.Dir, p.options.Name+".json") }
-
-// WriteConfig writes its configuration anew; version tells one from the other. It returns the sizes of the file and of the
-// settings in it, in bytes.
-func (p *Process) WriteConfig(version int) (file, settings int, err error) {
-	s := &p.options
-	set := SettingsJSON(s.Classes, s.Instances, s.Rank, version)
-	doc := map[string]any{"name": s.Name, "listen": "127.0.0.1:0", "discovery": s.DiscoveryAddr, "seed": "1",
-		"limits": map[string]any{"cores": 1, "memory_mb": 128, "sockets": 1024}, "settings": set}
-	if s.KnownHosts > 0 {
-		doc["known"] = knownHosts(s.KnownHosts)
-	}
-	text, err := json.Marshal(doc)
-	if err != nil {
-		return 0, 0, fmt.Errorf("gauge: %w", err)
-	}
-	next := p.configPath() + ".next"
-	if err = os.WriteFile(next, text, fileMode); err == nil {
-		err = os.Rename(next, p.configPath())
-	}
-	if err != nil {
-		return 0, 0, fmt.Errorf("gauge: %w", err)
-	}
-	return len(text), len(set), nil
-}
-
-// Reload has it read its configuration again.
+// Reload has the process read its configuration again.
 func (p *Process) Reload() error { return p.cmd.Process.Signal(syscall.SIGHUP) }
 
-// AwaitLog is the next line of its log with one of those messages. An error says that none came in time, or that the process ended.
+// AwaitLog returns the next line of the log with one of those messages. Its error is ErrExited or ErrLogTimeout.
 func (p *Process) AwaitLog(messages ...string) (LogLine, error) {
-	over := time.NewTimer(logTimeout)
-	defer over.Stop()
+	timeout := time.NewTimer(logTimeout)
+	defer timeout.Stop()
 	for {
 		select {
 		case line, ok := <-p.lines:
 			if !ok {
-				return LogLine{}, fmt.Errorf("gauge: %s ended before it said %q", p.options.Name, messages)
+				return LogLine{}, fmt.Errorf("footprint: %s: %w: awaited %q", p.options.Name, ErrExited, messages)
 			}
-			for _, m := range messages {
-				if line.Fields.Get("message").Str == m {
-					return line, nil
-				}
+			if slices.Contains(messages, line.message()) {
+				return line, nil
 			}
-		case <-over.C:
-			return LogLine{}, fmt.Errorf("gauge: %s did not say %q within %v", p.options.Name, messages, logTimeout)
+		case <-timeout.C:
+			return LogLine{}, fmt.Errorf("footprint: %s: %w: awaited %q for %v", p.options.Name, ErrLogTimeout, messages, logTimeout)
 		}
 	}
 }
 
-// read passes its log on. What nobody takes is dropped: the process must not wait for a reader.
-func (p *Process) readLog(out io.Reader) {
+// readLog passes the log on. Lines beyond maxUnreadLines are dropped: the process must not wait for a reader.
+func (p *Process) readLog(log io.Reader) {
 	defer close(p.lines)
-	in := bufio.NewScanner(out)
-	for in.Scan() {
+	scanner := bufio.NewScanner(log)
+	for scanner.Scan() {
 		select {
-		case p.lines <- LogLine{time.Now(), gjson.Parse(in.Text())}:
+		case p.lines <- LogLine{time.Now(), gjson.Parse(scanner.Text())}:
 		default:
 		}
 	}
 }
 
-// ProcessCPU is what its threads have taken so far. A thread that has ended takes its part with it; Go's hardly ever do.
+// CPU returns the processor time of the process's threads so far. A thread that has ended is not counted any more; Go's
+// runtime hardly ever ends one.
 func (p *Process) CPU() time.Duration {
 	var sum time.Duration
 	dir := fmt.Sprintf("/proc/%d/task", p.cmd.Process.Pid)
-	tasks, _ := os.ReadDir(dir) // none of one that has ended
-	for _, t := range tasks {
-		text, _ := os.ReadFile(filepath.Join(dir, t.Name(), "schedstat"))
-		ns, _, _ := strings.Cut(string(text), " ")
-		n, _ := strconv.ParseInt(ns, 10, 64)
-		sum += time.Duration(n)
+	threads, _ := os.ReadDir(dir) // none if it has ended
+	for _, thread := range threads {
+		text, _ := os.ReadFile(filepath.Join(dir, thread.Name(), "schedstat"))
+		field, _, _ := strings.Cut(string(text), " ")
+		nanoseconds, _ := strconv.ParseInt(field, 10, 64)
+		sum += time.Duration(nanoseconds)
 	}
 	return sum
 }
 
-// Memory is what it has resident now and had at most, in bytes.
+// Memory returns the process's resident memory now and at its peak, in bytes.
 func (p *Process) Memory() (now, peak int64) { return memoryOf(p.cmd.Process.Pid) }
-
-func memoryOf(pid int) (now, peak int64) {
-	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid)) // none of one that has ended
-	for line := range strings.Lines(string(text)) {
-		key, value, _ := strings.Cut(line, ":")
-		kb, _ := strconv.ParseInt(strings.TrimSuffix(strings.TrimSpace(value), " kB"), 10, 64)
-		switch key {
-		case "VmRSS":
-			now = kb << 10
-		case "VmHWM":
-			peak = kb << 10
-		}
-	}
-	return now, peak
-}
-
-// SettingsJSON are a site's with so many classes; version is a price that decides nothing here.
-func SettingsJSON(classes, instances, rank, version int) json.RawMessage {
-	all := []any{}
-	for i := range max(1, classes) {
-		all = append(all, map[string]any{"name": fmt.Sprintf("class-%03d", i), "aim": time.Second, "deadline": 3 * time.Second,
-			"idempotency": "read_like", "key_scope": "all", "worth": 3.0, "late_worth": 0.0, "memory_span": 0})
-	}
-	text, _ := json.Marshal(map[string]any{ // all of it is plain
-		"allowed": map[string]any{"cancel": true, "conn_idle": 30 * time.Second, "connect_timeout": 75 * time.Millisecond,
-			"max_retry_after": 1500 * time.Millisecond, "most_held": 20000, "retry_after": true, "second_copies": true, "send_cap": 4},
-		"classes": all, "kinds": []string{"std"}, "zones": []string{"here"}, "locality": 0, "n_instances": instances, "rank": rank,
-		"quantum": 2 * time.Millisecond, "prices": map[string]any{"late_fail": 0.05, "probe": 0.01 + float64(version)*1e-6, "waste": 0.04},
-		"rules": map[string]any{"answer_slack": 8 * time.Millisecond, "cold": 9 * time.Second, "cold_share": 0.3, "fall": time.Second,
-			"stop_sending_within": 3 * time.Second, "tip_multiple": 2.5}})
-	return text
-}
-
-// known is a list of so many hosts, as a configuration has it.
-func knownHosts(hosts int) memberList {
-	out := memberList{Revision: 1, Complete: true}
-	for i := range hosts {
-		out.Members = append(out.Members, member{fmt.Sprintf("host-%04d", i), fmt.Sprintf(hostAddrFormat, i/hostsPerSubnet, 1+i%hostsPerSubnet, hostPort), "here", "std", 0, "Ready", 1, 0})
-	}
-	return out
-}
