--- a/internal/lab/variants/variants.go
+++ b/internal/lab/variants/variants.go
@@ -14,13 +14,13 @@
 )
 
 // site is a site file, of which only a few keys are touched.
-type site map[string]any
+type siteFile map[string]any
 
 // variant changes a site. zones are the names of its zones.
-type variant func(s site, zones []string)
+type transformation func(s siteFile, zones []string)
 
-// All are the variants by name.
-var All = map[string]variant{
+// deploymentVariants are the variants by name.
+var deploymentVariants = map[string]transformation{
 	"six-disks":   sixDisks,
 	"no-disk":     noDisk,
 	"four-cores":  fourCores,
@@ -35,23 +35,23 @@
 }
 
 // machine is one row of a site's machines.
-type machine struct {
-	share  float64
-	cores  int
-	fds    int
-	memory int
-	zone   string
-	count  int
-	disk   bool
-	counts bool
+type machineGroup struct {
+	cpuShare float64
+	cores    int
+	fds      int
+	memoryMB int
+	zone     string
+	count    int
+	disk     bool
+	counted  bool
 }
 
-func (m machine) row() map[string]any {
+func (m machineGroup) table() map[string]any {
 	row := map[string]any{
-		"class": "front", "cpu_share": m.share, "cores": max(1, m.cores), "memory_mb": m.memory, "fds": m.fds,
+		"class": "front", "cpu_share": m.cpuShare, "cores": max(1, m.cores), "memory_mb": m.memoryMB, "fds": m.fds,
 		"link_mbps": 1000.0, "zone": m.zone, "count": m.count, "spare": 1,
 	}
-	if m.counts {
+	if m.counted {
 		row["counted"] = true
 	}
 	if m.disk {
@@ -61,32 +61,32 @@
 }
 
 // usual are a core machine with a disk and three others.
-func usual(zone string) []machine {
-	return []machine{
-		{share: 0.72, fds: 4100, memory: 284, zone: zone, count: 1, disk: true, counts: true},
-		{share: 0.4, fds: 4100, memory: 284, zone: zone, count: 3},
+func defaultMachines(zone string) []machineGroup {
+	return []machineGroup{
+		{cpuShare: 0.72, fds: 4100, memoryMB: 284, zone: zone, count: 1, disk: true, counted: true},
+		{cpuShare: 0.4, fds: 4100, memoryMB: 284, zone: zone, count: 3},
 	}
 }
 
-func (s site) setMachines(machines []machine) {
+func (s siteFile) setMachines(machines []machineGroup) {
 	var rows []any
 	for _, m := range machines {
-		rows = append(rows, m.row())
+		rows = append(rows, m.table())
 	}
 	s["machines"] = rows
 }
 
-func (s site) set(table, key string, value any) {
+func (s siteFile) set(table, key string, value any) {
 	if t, is := s[table].(map[string]any); is {
 		t[key] = value
 	}
 }
 
 // setDisks has so many machines with disks, spread evenly over the zones, of which so many may be lost.
-func (s site) setDisks(zones []string, disks, tolerated int) {
-	var machines []machine
+func (s siteFile) setDisks(zones []string, disks, tolerated int) {
+	var machines []machineGroup
 	for i, zone := range zones {
-		rows := usual(zone)
+		rows := defaultMachines(zone)
 		rows[0].count = (disks + len(zones) - 1 - i) / len(zones)
 		rows[1].count = 4 - rows[0].count
 		if rows[0].count == 0 {
@@ -98,18 +98,18 @@
 	s.set("tolerate", "machines", tolerated)
 }
 
-func twoDisks(s site, zones []string)  { s.setDisks(zones, 2, 0) }
-func fourDisks(s site, zones []string) { s.setDisks(zones, 4, 1) }
-func fiveDisks(s site, zones []string) { s.setDisks(zones, 5, 2) }
+func twoDisks(s siteFile, zones []string)  { s.setDisks(zones, 2, 0) }
+func fourDisks(s siteFile, zones []string) { s.setDisks(zones, 4, 1) }
+func fiveDisks(s siteFile, zones []string) { s.setDisks(zones, 5, 2) }
 
 // zoneLost: any one zone may be lost, and no machine beside.
-func zoneLost(s site, zones []string) {
+func zoneLost(s siteFile, zones []string) {
 	s.setDisks(zones, len(zones), 0)
 	s.set("tolerate", "zones", 1)
 }
 
 // regionLost: each zone is a region of its own, of which any one may be lost.
-func regionLost(s site, zones []string) {
+func regionLost(s siteFile, zones []string) {
 	s.setDisks(zones, len(zones), 0)
 	s.set("tolerate", "regions", 1)
 	for _, zone := range s.tables("zones") {
@@ -117,10 +117,10 @@
 	}
 }
 
-func sixDisks(s site, zones []string) {
-	var machines []machine
+func sixDisks(s siteFile, zones []string) {
+	var machines []machineGroup
 	for _, zone := range zones {
-		rows := usual(zone)
+		rows := defaultMachines(zone)
 		rows[0].count, rows[1].count = 2, 2
 		machines = append(machines, rows...)
 	}
@@ -128,79 +128,79 @@
 	s.set("tolerate", "machines", 2)
 }
 
-func noDisk(s site, zones []string) {
-	var machines []machine
+func noDisk(s siteFile, zones []string) {
+	var machines []machineGroup
 	for _, zone := range zones {
-		rows := usual(zone)
+		rows := defaultMachines(zone)
 		rows[0].disk = false
 		machines = append(machines, rows...)
 	}
 	s.setMachines(machines)
 }
 
-func fourCores(s site, zones []string) {
-	var machines []machine
+func fourCores(s siteFile, zones []string) {
+	var machines []machineGroup
 	for _, zone := range zones {
-		rows := usual(zone)
+		rows := defaultMachines(zone)
 		rows[0].cores, rows[0].fds = 4, 900
-		rows[1].cores, rows[1].fds, rows[1].memory, rows[1].share = 2, 900, 160, 0.3
+		rows[1].cores, rows[1].fds, rows[1].memoryMB, rows[1].cpuShare = 2, 900, 160, 0.3
 		machines = append(machines, rows...)
 	}
 	s.setMachines(machines)
 	s.set("bounds", "closed", false)
 }
 
-func twoRegions(s site, zones []string) {
+func twoRegions(s siteFile, zones []string) {
 	if rows, is := s["zones"].([]any); is {
 		if last, is := rows[len(rows)-1].(map[string]any); is {
 			last["region"] = "elsewhere"
 		}
 	}
-	var machines []machine
+	var machines []machineGroup
 	for _, zone := range zones {
-		machines = append(machines, usual(zone)...)
+		machines = append(machines, defaultMachines(zone)...)
 	}
 	s.setMachines(machines)
 }
 
-func oneDisk(s site, zones []string) {
-	machines := []machine{{share: 0.9, fds: 4100, memory: 284, zone: zones[0], count: 1, disk: true, counts: true}}
+func oneDisk(s siteFile, zones []string) {
+	machines := []machineGroup{{cpuShare: 0.9, fds: 4100, memoryMB: 284, zone: zones[0], count: 1, disk: true, counted: true}}
 	for _, zone := range zones {
-		machines = append(machines, machine{share: 0.6, fds: 4100, memory: 284, zone: zone, count: 2})
+		machines = append(machines, machineGroup{cpuShare: 0.6, fds: 4100, memoryMB: 284, zone: zone, count: 2})
 	}
 	s.setMachines(machines)
 	s.set("tolerate", "machines", 0)
 }
 
-func oneZone(s site, zones []string) {
+func oneZone(s siteFile, zones []string) {
 	first := zones[0]
 	s["zones"] = s["zones"].([]any)[:1]
-	s.setMachines([]machine{
-		{share: 0.72, fds: 4100, memory: 284, zone: first, count: 3, disk: true, counts: true},
-		{share: 0.4, fds: 4100, memory: 284, zone: first, count: 9},
+	s.setMachines([]machineGroup{
+		{cpuShare: 0.72, fds: 4100, memoryMB: 284, zone: first, count: 3, disk: true, counted: true},
+		{cpuShare: 0.4, fds: 4100, memoryMB: 284, zone: first, count: 9},
 	})
 	for _, service := range s.tables("services") {
 		total := int64(0)
-		for _, servers := range site(service).tables("servers") {
+		for _, servers := range siteFile(service).tables("servers") {
 			total += servers["count"].(int64)
 		}
 		service["servers"] = []any{map[string]any{"zone": first, "count": total}}
 	}
-	s.moveTraffic(first)
+	s.setClientZone(first)
 	for _, day := range s.tables("day") {
-		site(day).moveTraffic(first)
+		siteFile(day).setClientZone(first)
 	}
 }
 
-// moveTraffic has all clients come from one zone.
-func (s site) moveTraffic(zone string) {
+// setClientZone has all clients come from one zone.
+func (s siteFile) setClientZone(zone string) {
 	for _, traffic := range s.tables("traffic") {
 		traffic["zone"] = zone
 	}
 }
 
 // tables are the tables of a list.
-func (s site) tables(key string) []map[string]any {
+func (s siteFile) tables(key string) []map[string]any {
 	rows, _ := s[key].([]any)
 	var tables []map[string]any
 	for _, row := range rows {
@@ -226,7 +226,7 @@
 		return nil, fmt.Errorf("variants: %w", err)
 	}
 	var paths []string
-	names := slices.Concat(slices.Collect(maps.Keys(All)), slices.Collect(maps.Keys(Loads)))
+	names := slices.Concat(slices.Collect(maps.Keys(deploymentVariants)), slices.Collect(maps.Keys(workloadVariants)))
 	slices.Sort(names)
 	for _, name := range names {
 		made, err := Make(text, name)
@@ -243,14 +243,14 @@
 
 // Make returns a site file's variant of that name.
 func Make(text []byte, name string) ([]byte, error) {
-	change := All[name]
+	change := deploymentVariants[name]
 	if change == nil {
-		change = Loads[name]
+		change = workloadVariants[name]
 	}
 	if change == nil {
 		return nil, fmt.Errorf("variants: there is no %s", name)
 	}
-	var s site
+	var s siteFile
 	if err := toml.Unmarshal(text, &s); err != nil {
 		return nil, fmt.Errorf("variants: %w", err)
 	}
--- a/internal/lab/variants/variants_test.go
+++ b/internal/lab/variants/variants_test.go
@@ -21,12 +21,12 @@
 
 // Guards against variants that can't be read, or that lose what they don't touch.
 func TestEveryVariantIsASite(t *testing.T) {
-	for name := range All {
+	for name := range deploymentVariants {
 		text, err := Make([]byte(small), name)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var s site
+		var s siteFile
 		if err := toml.Unmarshal(text, &s); err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
@@ -41,11 +41,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var s site
+	var s siteFile
 	if err := toml.Unmarshal(text, &s); err != nil {
 		t.Fatal(err)
 	}
-	servers := site(s.tables("services")[0]).tables("servers")
+	servers := siteFile(s.tables("services")[0]).tables("servers")
 	if len(servers) != 1 || servers[0]["count"] != int64(5) || s.tables("traffic")[0]["zone"] != "a" {
 		t.Errorf("%s", text)
 	}
--- a/internal/lab/variants/load.go
+++ b/internal/lab/variants/workload.go
@@ -2,8 +2,8 @@
 
 import "maps"
 
-// Loads are variants of a site with other engines or another load, by name; the machines stay, but for few-routers.
-var Loads = map[string]variant{
+// workloadVariants are variants of a site with other engines or another load, by name; the machines stay, but for few-routers.
+var workloadVariants = map[string]transformation{
 	"other-engine":   otherEngine,
 	"fewer-engines":  fewerEngines,
 	"few-routers":    fewRouters,
@@ -13,7 +13,7 @@
 }
 
 // engines calls change with each service that has engines, and with their figures.
-func (s site) engines(change func(service, engine map[string]any)) {
+func (s siteFile) forEachEngine(change func(service, engine map[string]any)) {
 	for _, service := range s.tables("services") {
 		if engine, is := service["llm"].(map[string]any); is {
 			change(service, engine)
@@ -22,8 +22,8 @@
 }
 
 // otherEngine reads faster and hardly slows with a prompt's length, in smaller pieces.
-func otherEngine(s site, _ []string) {
-	s.engines(func(_, engine map[string]any) {
+func otherEngine(s siteFile, _ []string) {
+	s.forEachEngine(func(_, engine map[string]any) {
 		maps.Copy(engine, map[string]any{
 			"prefill_tokens_per_ms": 112.0, "pairs_ms_per_m": 0.06, "chunk": int64(1024), "step_ms": 3.23, "first_ms": 47.0,
 		})
@@ -31,9 +31,9 @@
 }
 
 // fewerEngines are seven in ten of the endpoints.
-func fewerEngines(s site, _ []string) {
-	s.engines(func(service, _ map[string]any) {
-		for _, servers := range site(service).tables("servers") {
+func fewerEngines(s siteFile, _ []string) {
+	s.forEachEngine(func(service, _ map[string]any) {
+		for _, servers := range siteFile(service).tables("servers") {
 			if count, is := servers["count"].(int64); is {
 				servers["count"] = max(1, count*7/10)
 			}
@@ -42,12 +42,12 @@
 }
 
 // fewRouters are three a zone, one of them with a disk.
-func fewRouters(s site, zones []string) {
-	var machines []machine
+func fewRouters(s siteFile, zones []string) {
+	var machines []machineGroup
 	for _, zone := range zones {
 		machines = append(machines,
-			machine{share: 0.72, fds: 4100, memory: 284, zone: zone, count: 1, disk: true, counts: true},
-			machine{share: 0.72, fds: 4100, memory: 284, zone: zone, count: 2})
+			machineGroup{cpuShare: 0.72, fds: 4100, memoryMB: 284, zone: zone, count: 1, disk: true, counted: true},
+			machineGroup{cpuShare: 0.72, fds: 4100, memoryMB: 284, zone: zone, count: 2})
 	}
 	s.setMachines(machines)
 	s.set("tolerate", "machines", int64(1))
@@ -57,14 +57,14 @@
 }
 
 // longPrompts has the least urgent kind of requests come twice as often, and the others half as often.
-func longPrompts(s site, _ []string) {
+func longPrompts(s siteFile, _ []string) {
 	last, name := int64(-1), ""
 	for _, class := range s.tables("classes") {
 		if priority, is := class["priority"].(int64); is && priority > last {
 			last, name = priority, class["name"].(string)
 		}
 	}
-	change := func(of site) {
+	change := func(of siteFile) {
 		for _, traffic := range of.tables("traffic") {
 			mix, _ := traffic["mix"].(map[string]any)
 			for class, share := range mix {
@@ -72,7 +72,7 @@
 				if class == name {
 					factor = 2
 				}
-				mix[class] = factor * number(share)
+				mix[class] = factor * toFloat(share)
 			}
 		}
 	}
@@ -83,7 +83,7 @@
 }
 
 // nothingResumes lets no stream be taken up at another endpoint.
-func nothingResumes(s site, _ []string) {
+func nothingResumes(s siteFile, _ []string) {
 	for _, class := range s.tables("classes") {
 		if stream, is := class["stream"].(map[string]any); is {
 			stream["resume"] = false
@@ -93,16 +93,16 @@
 }
 
 // tightAims are seven tenths of the site's.
-func tightAims(s site, _ []string) {
+func tightAims(s siteFile, _ []string) {
 	for _, class := range s.tables("classes") {
-		if aim := number(class["aim_ms"]); aim > 0 {
+		if aim := toFloat(class["aim_ms"]); aim > 0 {
 			class["aim_ms"] = 0.7 * aim
 		}
 	}
 }
 
 // number is a figure of a site file, whichever way it is written; 0 where it is none.
-func number(value any) float64 {
+func toFloat(value any) float64 {
 	switch n := value.(type) {
 	case int64:
 		return float64(n)
--- a/internal/lab/variants/load_test.go
+++ b/internal/lab/variants/workload_test.go
@@ -21,31 +21,31 @@
 
 // Guards against variants that change nothing, or something else than their name says.
 func TestLoads(t *testing.T) {
-	expect := map[string]func(s site) bool{
-		"other-engine": func(s site) bool {
+	expect := map[string]func(s siteFile) bool{
+		"other-engine": func(s siteFile) bool {
 			return s.tables("services")[0]["llm"].(map[string]any)["chunk"] == int64(1024)
 		},
-		"fewer-engines": func(s site) bool {
+		"fewer-engines": func(s siteFile) bool {
 			services := s.tables("services")
-			return site(services[0]).tables("servers")[0]["count"] == int64(7) && site(services[1]).tables("servers")[0]["count"] == int64(2)
+			return siteFile(services[0]).tables("servers")[0]["count"] == int64(7) && siteFile(services[1]).tables("servers")[0]["count"] == int64(2)
 		},
-		"few-routers": func(s site) bool { return len(s.tables("machines")) == 4 },
-		"long-prompts": func(s site) bool {
-			day := site(s.tables("day")[0]).tables("traffic")[0]["mix"].(map[string]any)
+		"few-routers": func(s siteFile) bool { return len(s.tables("machines")) == 4 },
+		"long-prompts": func(s siteFile) bool {
+			day := siteFile(s.tables("day")[0]).tables("traffic")[0]["mix"].(map[string]any)
 			return day["long"] == 20.0 && day["short"] == 20.0
 		},
-		"nothing-resume": func(s site) bool {
+		"nothing-resume": func(s siteFile) bool {
 			short := s.tables("classes")[1]
 			return short["attempts"] == int64(1) && short["stream"].(map[string]any)["resume"] == false
 		},
-		"tight-aims": func(s site) bool { return s.tables("classes")[0]["aim_ms"] == 700.0 },
+		"tight-aims": func(s siteFile) bool { return s.tables("classes")[0]["aim_ms"] == 700.0 },
 	}
-	for name := range Loads {
+	for name := range workloadVariants {
 		text, err := Make([]byte(loaded), name)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var s site
+		var s siteFile
 		if err := toml.Unmarshal(text, &s); err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
