--- a/internal/lab/variants/variants_test.go
+++ b/internal/lab/variants/variants_test.go
@@ -6,7 +6,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-const small = `name = "x"
+const deploymentSite = `name = "x"
 zones = [ { name = "a", region = "r" }, { name = "b", region = "r" } ]
 services = [ { name = "s", servers = [ { zone = "a", count = 3 }, { zone = "b", count = 2 } ] } ]
 traffic = [ { zone = "b", per_s = 2.5 } ]
@@ -19,10 +19,10 @@
 traffic = [ { zone = "b", per_s = 1.0 } ]
 `
 
-// Guards against variants that can't be read, or that lose what they don't touch.
-func TestEveryVariantIsASite(t *testing.T) {
+// TestEveryDeploymentVariantIsASite guards against variants that can't be read, or that lose what they don't change.
+func TestEveryDeploymentVariantIsASite(t *testing.T) {
 	for name := range deploymentVariants {
-		text, err := Make([]byte(small), name)
+		text, err := Make([]byte(deploymentSite), name)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -36,8 +36,9 @@
 	}
 }
 
-func TestOneZoneTakesAll(t *testing.T) {
-	text, err := Make([]byte(small), "one-zone")
+// TestOneZoneHasEverything guards against servers or clients that are lost, or left in another zone.
+func TestOneZoneHasEverything(t *testing.T) {
+	text, err := Make([]byte(deploymentSite), "one-zone")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/variants/workload.go
+++ b/internal/lab/variants/workload.go
@@ -2,7 +2,8 @@
 
 import "maps"
 
-// workloadVariants are variants of a site with other engines or another load, by name; the machines stay, but for few-routers.
+// workloadVariants have other engines or another load than the site, by name. The machines are the same, except for
+// few-routers.
 var workloadVariants = map[string]transformation{
 	"other-engine":   otherEngine,
 	"fewer-engines":  fewerEngines,
@@ -12,16 +13,7 @@
 	"tight-aims":     tightAims,
 }
 
-// engines calls change with each service that has engines, and with their figures.
-func (s siteFile) forEachEngine(change func(service, engine map[string]any)) {
-	for _, service := range s.tables("services") {
-		if engine, is := service["llm"].(map[string]any); is {
-			change(service, engine)
-		}
-	}
-}
-
-// otherEngine reads faster and hardly slows with a prompt's length, in smaller pieces.
+// otherEngine has engines with a faster prefill, in smaller chunks, that hardly slows down with the prompt's length.
 func otherEngine(s siteFile, _ []string) {
 	s.forEachEngine(func(_, engine map[string]any) {
 		maps.Copy(engine, map[string]any{
@@ -30,18 +22,18 @@
 	})
 }
 
-// fewerEngines are seven in ten of the endpoints.
+// fewerEngines has seven in ten of the engines' endpoints, one in each zone at least.
 func fewerEngines(s siteFile, _ []string) {
 	s.forEachEngine(func(service, _ map[string]any) {
 		for _, servers := range siteFile(service).tables("servers") {
-			if count, is := servers["count"].(int64); is {
+			if count, ok := servers["count"].(int64); ok {
 				servers["count"] = max(1, count*7/10)
 			}
 		}
 	})
 }
 
-// fewRouters are three a zone, one of them with a disk.
+// fewRouters has three routers a zone, one of them with a disk.
 func fewRouters(s siteFile, zones []string) {
 	var machines []machineGroup
 	for _, zone := range zones {
@@ -56,12 +48,12 @@
 	}
 }
 
-// longPrompts has the least urgent kind of requests come twice as often, and the others half as often.
+// longPrompts doubles the share of the least urgent class, which stands for long prompts here, and halves the others.
 func longPrompts(s siteFile, _ []string) {
-	last, name := int64(-1), ""
+	lowest, name := int64(-1), "" // a greater number is a lower priority
 	for _, class := range s.tables("classes") {
-		if priority, is := class["priority"].(int64); is && priority > last {
-			last, name = priority, class["name"].(string)
+		if priority, ok := class["priority"].(int64); ok && priority > lowest {
+			lowest, name = priority, class["name"].(string)
 		}
 	}
 	change := func(of siteFile) {
@@ -82,17 +74,17 @@
 	}
 }
 
-// nothingResumes lets no stream be taken up at another endpoint.
+// nothingResumes has no stream resume at another endpoint, and no request retried.
 func nothingResumes(s siteFile, _ []string) {
 	for _, class := range s.tables("classes") {
-		if stream, is := class["stream"].(map[string]any); is {
+		if stream, ok := class["stream"].(map[string]any); ok {
 			stream["resume"] = false
 		}
 		class["attempts"] = int64(1)
 	}
 }
 
-// tightAims are seven tenths of the site's.
+// tightAims has target latencies of seven tenths of the site's.
 func tightAims(s siteFile, _ []string) {
 	for _, class := range s.tables("classes") {
 		if aim := toFloat(class["aim_ms"]); aim > 0 {
@@ -100,14 +92,3 @@
 		}
 	}
 }
-
-// number is a figure of a site file, whichever way it is written; 0 where it is none.
-func toFloat(value any) float64 {
-	switch n := value.(type) {
-	case int64:
-		return float64(n)
-	case float64:
-		return n
-	}
-	return 0
-}
--- a/internal/lab/variants/workload_test.go
+++ b/internal/lab/variants/workload_test.go
@@ -6,7 +6,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-const loaded = `name = "x"
+const workloadSite = `name = "x"
 zones = [ { name = "a", region = "r" }, { name = "b", region = "r" } ]
 machines = [ { class = "front", count = 3, zone = "a" } ]
 services = [ { name = "s", servers = [ { zone = "a", count = 10 } ], llm = { chunk = 2048, prefill_tokens_per_ms = 64.2 } }, { name = "plain", servers = [ { zone = "a", count = 2 } ] } ]
@@ -19,8 +19,8 @@
 traffic = [ { zone = "b", per_s = 1.0, mix = { long = 10, short = 40.0 } } ]
 `
 
-// Guards against variants that change nothing, or something else than their name says.
-func TestLoads(t *testing.T) {
+// TestWorkloadVariants guards against variants that change nothing, or something else than their name says.
+func TestWorkloadVariants(t *testing.T) {
 	expect := map[string]func(s siteFile) bool{
 		"other-engine": func(s siteFile) bool {
 			return s.tables("services")[0]["llm"].(map[string]any)["chunk"] == int64(1024)
@@ -41,7 +41,7 @@
 		"tight-aims": func(s siteFile) bool { return s.tables("classes")[0]["aim_ms"] == 700.0 },
 	}
 	for name := range workloadVariants {
-		text, err := Make([]byte(loaded), name)
+		text, err := Make([]byte(workloadSite), name)
 		if err != nil {
 			t.Fatal(err)
 		}
