--- a/internal/fleet/proxy/planted_test.go
+++ b/internal/fleet/proxy/planted_test.go
@@ -10,28 +10,28 @@
 const continuedAfterTruncation = "an answer that was truncated is continued"
 
 // plantedMistakes each make a request run twice, or an answer reach another client.
-var plantedMistakes = map[string]mutation.Mistake{
+var plantedMistakes = map[string]mutation.Mutant{
 	"a reused connection that died is no proof that the request never ran": {File: "../../upstream/exchange.go", Edits: []mutation.Edit{
-		{Right: "p.drop(c)\n\t\treturn nil, MayHaveRun, err", Wrong: "p.drop(c)\n\t\treturn nil, NeverSent, err"}}},
+		{Original: "p.drop(c)\n\t\treturn nil, MayHaveRun, err", Mutated: "p.drop(c)\n\t\treturn nil, NeverSent, err"}}},
 	"an answer is accepted whatever request it names": {File: "../../upstream/exchange.go", Edits: []mutation.Edit{
-		{Right: "case e.ID == \"\" || named == e.ID || named == \"\" && !c.names:", Wrong: "default:"},
-		{Right: "\t\tdefault:\n\t\t\tif _, err := io.Copy", Wrong: "\t\tcase false:\n\t\t\tif _, err := io.Copy"}}},
+		{Original: "case e.ID == \"\" || named == e.ID || named == \"\" && !c.names:", Mutated: "default:"},
+		{Original: "\t\tdefault:\n\t\t\tif _, err := io.Copy", Mutated: "\t\tcase false:\n\t\t\tif _, err := io.Copy"}}},
 	"an answer that names no request is accepted on any connection": {File: "../../upstream/exchange.go", Edits: []mutation.Edit{
-		{Right: "named == \"\" && !c.names", Wrong: "named == \"\""}}},
+		{Original: "named == \"\" && !c.names", Mutated: "named == \"\""}}},
 	"an unsafe request that may have run is sent again": {File: "forward.go", Edits: []mutation.Edit{
-		{Right: "f.attempts >= route.AttemptLimit() || f.mayHaveRun && !route.Idempotent()", Wrong: "f.attempts >= route.AttemptLimit()"}}},
+		{Original: "f.attempts >= route.AttemptLimit() || f.mayHaveRun && !route.Idempotent()", Mutated: "f.attempts >= route.AttemptLimit()"}}},
 	continuedAfterTruncation: {File: "answer.go", Edits: []mutation.Edit{
-		{Right: "if f.response.headSent && !(resumable && f.response.lastEventID != \"\") {", Wrong: "if false {"}}},
+		{Original: "if f.response.headSent && !(resumable && f.response.lastEventID != \"\") {", Mutated: "if false {"}}},
 }
 
 // plantedInTraffic are mistakes that the seeded traffic finds by itself, beside those above.
-var plantedInTraffic = map[string]mutation.Mistake{
+var plantedInTraffic = map[string]mutation.Mutant{
 	"a rejection after an attempt that may have run": {File: "forward.go", Edits: []mutation.Edit{
-		{Right: "if !f.mayHaveRun {", Wrong: "if true {"}}},
+		{Original: "if !f.mayHaveRun {", Mutated: "if true {"}}},
 	"a success without a signature is passed on": {File: "attempt.go", Edits: []mutation.Edit{
-		{Right: "if isSuccess(reply.Status) && reply.Header.Get(headerSignature) == \"\" {", Wrong: "if false {"}}},
+		{Original: "if isSuccess(reply.Status) && reply.Header.Get(headerSignature) == \"\" {", Mutated: "if false {"}}},
 	"a truncated answer ends as if it were complete": {File: "forward.go", Edits: []mutation.Edit{
-		{Right: "s.Truncated.Add(1)\n\t\tpanic(http.ErrAbortHandler)", Wrong: "s.Truncated.Add(1)\n\t\treturn"}}},
+		{Original: "s.Truncated.Add(1)\n\t\tpanic(http.ErrAbortHandler)", Mutated: "s.Truncated.Add(1)\n\t\treturn"}}},
 }
 
 // Guards against seeded traffic that would find nothing whatever is wrong.
@@ -39,11 +39,11 @@
 	all := maps.Clone(plantedMistakes)
 	delete(all, continuedAfterTruncation) // an attempt that would continue a plain answer is stopped once more by its head: traffic sees no fault
 	maps.Copy(all, plantedInTraffic)
-	mutation.ExpectAllFound(t, all, "^TestTraffic$", "seed ", "-traffic-seeds", "40")
+	mutation.ExpectAllKilled(t, all, "^TestTraffic$", "seed ", "-traffic-seeds", "40")
 }
 
 // Guards against tests of requests that would find nothing whatever is wrong.
 func TestRequestsFindPlantedMistakes(t *testing.T) {
 	const tests = "^(TestReusedConnections|TestMisdeliveredAnswers|TestClientDisconnect|TestRetries|TestAnswers|TestStreams|TestTruncatedAnswers)$"
-	mutation.ExpectAllFound(t, plantedMistakes, tests, "--- FAIL")
+	mutation.ExpectAllKilled(t, plantedMistakes, tests, "--- FAIL")
 }
--- a/internal/fleet/replication/planted_test.go
+++ b/internal/fleet/replication/planted_test.go
@@ -8,64 +8,64 @@
 )
 
 // plantedMistakes are found by TestSimulation.
-var plantedMistakes = map[string]mutation.Mistake{
+var plantedMistakes = map[string]mutation.Mutant{
 	"an acknowledgement by one copy": {File: "primary.go", Edits: []mutation.Edit{{
-		Right: "if n.primary.matchPosition[member] != n.hardState.Position {\n\t\t\treturn\n\t\t}\n\t}\n\tn.primary.committed",
-		Wrong: "_ = member\n\t}\n\tn.primary.committed"}}},
-	"a read without a round": {File: "primary.go", Edits: []mutation.Edit{{Right: "return n.primary.heartbeats.confirmedAt, true", Wrong: "return n.now, true"}}},
+		Original: "if n.primary.matchPosition[member] != n.hardState.Position {\n\t\t\treturn\n\t\t}\n\t}\n\tn.primary.committed",
+		Mutated:  "_ = member\n\t}\n\tn.primary.committed"}}},
+	"a read without a round": {File: "primary.go", Edits: []mutation.Edit{{Original: "return n.primary.heartbeats.confirmedAt, true", Mutated: "return n.now, true"}}},
 	"an even set in the middle of an exchange": {File: "composition.go", Edits: []mutation.Edit{
-		{Right: "} else if len(next) >= c.witnessTarget() {", Wrong: "} else if len(next) > c.witnessTarget() {"},
-		{Right: "(len(witnesses) > c.witnessTarget() || len(witnesses)%2 == 0)", Wrong: "len(witnesses) > 9"}}},
-	"a resigning replica that stops before it is replaced": {File: "resignation.go", Edits: []mutation.Edit{{Right: "return !needsVote && !needsCopy", Wrong: "return !needsVote && !needsCopy || true"}}},
+		{Original: "} else if len(next) >= c.witnessTarget() {", Mutated: "} else if len(next) > c.witnessTarget() {"},
+		{Original: "(len(witnesses) > c.witnessTarget() || len(witnesses)%2 == 0)", Mutated: "len(witnesses) > 9"}}},
+	"a resigning replica that stops before it is replaced": {File: "resignation.go", Edits: []mutation.Edit{{Original: "return !needsVote && !needsCopy", Mutated: "return !needsVote && !needsCopy || true"}}},
 	"a lost disk whose machine is not added again": {File: "composition.go", Edits: []mutation.Edit{
-		{Right: "witnesses[at] = joiner", Wrong: "return true"}}},
+		{Original: "witnesses[at] = joiner", Mutated: "return true"}}},
 	"a change that waits for good": {File: "primary.go", Edits: []mutation.Edit{
-		{Right: "n.advanceCommit() // a member may not be resigning any more", Wrong: ""}}},
+		{Original: "n.advanceCommit() // a member may not be resigning any more", Mutated: ""}}},
 	"a candidate that overlooks what was accepted": {File: "election.go", Edits: []mutation.Edit{
-		{Right: "return best.Proposal, !best.Accepted.isZero()", Wrong: "return best.Proposal, false"}}},
+		{Original: "return best.Proposal, !best.Accepted.isZero()", Mutated: "return best.Proposal, false"}}},
 	"a zone that holds the majority": {File: "composition.go", Edits: []mutation.Edit{
-		{Right: "if c.survivesLocalityLoss(changed) || !c.survivesLocalityLoss(next) {", Wrong: "if true {"}}},
+		{Original: "if c.survivesLocalityLoss(changed) || !c.survivesLocalityLoss(next) {", Mutated: "if true {"}}},
 }
 
 // Guards against a simulation that would find nothing whatever is wrong.
 func TestSimulationFindsPlantedMistakes(t *testing.T) {
-	mutation.ExpectAllFound(t, plantedMistakes, "^TestSimulation$", "seed ", "-simulations", "80")
+	mutation.ExpectAllKilled(t, plantedMistakes, "^TestSimulation$", "seed ", "-simulations", "80")
 }
 
 // plantedInElections are mistakes in what a promise binds to.
-var plantedInElections = map[string]mutation.Mistake{
+var plantedInElections = map[string]mutation.Mutant{
 	"a lower ballot is promised": {File: "witness.go", Edits: []mutation.Edit{{
-		Right: "if message.Ballot.less(n.hardState.Promised) {\n\t\tn.send(from, Reject{Number: n.nextNumber()",
-		Wrong: "if false {\n\t\tn.send(from, Reject{Number: n.nextNumber()"}}},
+		Original: "if message.Ballot.less(n.hardState.Promised) {\n\t\tn.send(from, Reject{Number: n.nextNumber()",
+		Mutated:  "if false {\n\t\tn.send(from, Reject{Number: n.nextNumber()"}}},
 	"a lower ballot is accepted": {File: "witness.go", Edits: []mutation.Edit{{
-		Right: "if message.Ballot.less(n.hardState.Promised) {\n\t\tn.send(from, Reject{Number: number",
-		Wrong: "if false {\n\t\tn.send(from, Reject{Number: number"}}},
+		Original: "if message.Ballot.less(n.hardState.Promised) {\n\t\tn.send(from, Reject{Number: number",
+		Mutated:  "if false {\n\t\tn.send(from, Reject{Number: number"}}},
 	"a state is installed under a lower ballot": {File: "member.go", Edits: []mutation.Edit{{
-		Right: "if message.Ballot.less(bound) {", Wrong: "if false {"}}},
+		Original: "if message.Ballot.less(bound) {", Mutated: "if false {"}}},
 	"a member that has promised stores on": {File: "member.go", Edits: []mutation.Edit{{
-		Right: "if !n.hardState.Promised.isZero() {\n\t\tn.send", Wrong: "if false {\n\t\tn.send"}}},
+		Original: "if !n.hardState.Promised.isZero() {\n\t\tn.send", Mutated: "if false {\n\t\tn.send"}}},
 	"a witness that has promised confirms the primary": {File: "primary.go", Edits: []mutation.Edit{{
-		Right: "if round == nil || !message.Current || !n", Wrong: "if round == nil || !n"}}},
+		Original: "if round == nil || !message.Current || !n", Mutated: "if round == nil || !n"}}},
 	"any replica's promise counts": {File: "candidate.go", Edits: []mutation.Edit{{
-		Right: "if !n.hardState.View.HasWitness(from) {\n\t\treturn\n\t}\n\te.promises", Wrong: "e.promises"}}},
+		Original: "if !n.hardState.View.HasWitness(from) {\n\t\treturn\n\t}\n\te.promises", Mutated: "e.promises"}}},
 }
 
 // Guards against scripts of promises that would find nothing whatever is wrong.
 func TestScriptsFindPlantedMistakes(t *testing.T) {
-	mutation.ExpectAllFound(t, plantedInElections, "^TestPromise(Binds|Counts)$", "--- FAIL")
+	mutation.ExpectAllKilled(t, plantedInElections, "^TestPromise(Binds|Counts)$", "--- FAIL")
 }
 
 // plantedInWalks are mistakes that the wide search finds, beside an amnesiac that votes (TestSearchFindsPlantedMistakes).
-var plantedInWalks = map[string]mutation.Mistake{
+var plantedInWalks = map[string]mutation.Mutant{
 	"a state is installed by some of the members only": {File: "candidate.go", Edits: []mutation.Edit{{
-		Right: "if len(n.election.missingInstalls(&n.hardState.View)) > 0 {\n\t\treturn\n\t}\n", Wrong: ""}}},
+		Original: "if len(n.election.missingInstalls(&n.hardState.View)) > 0 {\n\t\treturn\n\t}\n", Mutated: ""}}},
 	"a snapshot that is not fenced by its view": {File: "member.go", Edits: []mutation.Edit{
-		{Right: "if from != n.hardState.View.Primary || from == n.hardState.Self {\n\t\treturn\n\t}\n\tif !n.hardState.Promised", Wrong: "if !n.hardState.Promised"},
-		{Right: "if !n.observeView(message.View) {\n\t\tn.sendViewNotice(from)\n\t\treturn\n\t}\n\tif !n.hardState.Promised", Wrong: "if !n.hardState.Promised"}}},
+		{Original: "if from != n.hardState.View.Primary || from == n.hardState.Self {\n\t\treturn\n\t}\n\tif !n.hardState.Promised", Mutated: "if !n.hardState.Promised"},
+		{Original: "if !n.observeView(message.View) {\n\t\tn.sendViewNotice(from)\n\t\treturn\n\t}\n\tif !n.hardState.Promised", Mutated: "if !n.hardState.Promised"}}},
 	"a joiner that was never in contact becomes a witness": {File: "election.go", Edits: []mutation.Edit{{
-		Right: "return union(e.proposal.Members, newWitnesses)", Wrong: "_ = newWitnesses\n\treturn union(e.proposal.Members, nil)"}}},
+		Original: "return union(e.proposal.Members, newWitnesses)", Mutated: "_ = newWitnesses\n\treturn union(e.proposal.Members, nil)"}}},
 	"half of the witnesses decide": {File: "types.go", Edits: []mutation.Edit{{
-		Right: "return len(v.Witnesses)/2 + 1", Wrong: "return max(1, len(v.Witnesses)/2)"}}},
+		Original: "return len(v.Witnesses)/2 + 1", Mutated: "return max(1, len(v.Witnesses)/2)"}}},
 	"a lower ballot is promised": plantedInElections["a lower ballot is promised"],
 }
 
@@ -77,5 +77,5 @@
 	} {
 		all[name] = plantedMistakes[name]
 	}
-	mutation.ExpectAllFound(t, all, "^TestWideSearch$/^3_replicas", "walk ", "-wide-walks", "450")
+	mutation.ExpectAllKilled(t, all, "^TestWideSearch$/^3_replicas", "walk ", "-wide-walks", "450")
 }
--- a/internal/lab/mutation/mutant.go
+++ b/internal/lab/mutation/mutant.go
@@ -1,53 +1,55 @@
-// Package mutant builds a package with a mistake planted in its source, or in that of one it imports, and expects its tests to
-// find it. The source itself is not touched: the go command is told of the changed files by an overlay.
+// Package mutation tests tests: it builds a package with a mutation of its source, or of that of a package it imports, and
+// expects the package's tests to fail, that is, to kill the mutant (DeMillo, Lipton and Sayward, Hints on Test Data
+// Selection, 1978). The source is not touched: the go command reads the changed files by an overlay. For tests only.
 package mutation
 
 import (
 	"encoding/json"
+	"fmt"
 	"os"
 	"os/exec"
 	"path/filepath"
-	"strconv"
 	"strings"
 	"testing"
 )
 
-// Mistake is a change of one source file that makes it wrong.
-type Mistake struct {
-	File  string // relative to the test's folder
+// Mutant is a change of one source file that makes it wrong.
+type Mutant struct {
+	File  string // relative to the test's directory
 	Edits []Edit
 }
 
-// Edit replaces a text that the file holds once.
-type Edit struct{ Right, Wrong string }
+// Edit replaces a text that the file contains exactly once.
+type Edit struct{ Original, Mutated string }
 
-// ExpectAllFound expects each of the mistakes to be found, beside the others, as ExpectFound does.
-func ExpectAllFound(t *testing.T, mistakes map[string]Mistake, run, sign string, args ...string) {
-	for name, mistake := range mistakes {
+// ExpectAllKilled runs ExpectKilled for each of the mutants as a subtest, in parallel.
+func ExpectAllKilled(t *testing.T, mutants map[string]Mutant, run, failure string, args ...string) {
+	for name, mutant := range mutants {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			ExpectFound(t, mistake, run, sign, args...)
+			ExpectKilled(t, mutant, run, failure, args...)
 		})
 	}
 }
 
-// ExpectFound runs the tests of the package in the current folder whose names match run, with the mistake planted, and fails
-// t unless one of them fails. sign is a text that a test prints with a fault it found, which tells a fault from a package
-// that does not build; args are further arguments of the test program.
-func ExpectFound(t *testing.T, m Mistake, run, sign string, args ...string) {
+// ExpectKilled runs the tests of the package in the current directory whose names match run, with the mutation, and fails t
+// unless one of them fails. failure is a text that a test prints with a fault that it found, by which a killed mutant
+// differs from a package that does not build; args are further arguments of the test program.
+func ExpectKilled(t *testing.T, m Mutant, run, failure string, args ...string) {
 	t.Helper()
-	arguments := append([]string{"test", "-overlay", m.plant(t), "-vet=off", "-failfast", "-run", run, "."}, args...)
-	out, err := exec.Command("go", arguments...).CombinedOutput()
+	command := append([]string{"test", "-overlay", m.writeOverlay(t), "-vet=off", "-failfast", "-run", run, "."}, args...)
+	out, err := exec.Command("go", command...).CombinedOutput()
 	if err == nil {
-		t.Fatal("not found")
+		t.Fatal("the mutant survived: no test failed")
 	}
-	if !strings.Contains(string(out), sign) {
-		t.Fatalf("the package with the mistake does not run: %s", out)
+	if !strings.Contains(string(out), failure) {
+		t.Fatalf("the mutant's tests do not run: %s", out)
 	}
 }
 
-// plant writes the changed source and returns the file that tells the go command of it.
-func (m *Mistake) plant(t *testing.T) string {
+// writeOverlay writes the mutated source, and the overlay file by which the go command reads it in place of the original
+// (see go help build). It returns the overlay's path.
+func (m *Mutant) writeOverlay(t *testing.T) string {
 	t.Helper()
 	path, err := filepath.Abs(m.File)
 	if err != nil {
@@ -57,41 +59,41 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, err := m.Apply(string(source))
+	mutated, err := m.Apply(string(source))
 	if err != nil {
 		t.Fatal(err)
 	}
-	folder := t.TempDir()
-	wrong, overlay := filepath.Join(folder, filepath.Base(m.File)), filepath.Join(folder, "overlay.json")
-	listed, err := json.Marshal(map[string]map[string]string{"Replace": {path: wrong}})
+	dir := t.TempDir()
+	mutatedPath, overlayPath := filepath.Join(dir, filepath.Base(m.File)), filepath.Join(dir, "overlay.json")
+	overlay, err := json.Marshal(map[string]map[string]string{"Replace": {path: mutatedPath}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, content := range map[string]string{wrong: text, overlay: string(listed)} {
+	for name, content := range map[string]string{mutatedPath: mutated, overlayPath: string(overlay)} {
 		if err := os.WriteFile(name, []byte(content), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return overlay
+	return overlayPath
 }
 
-// Apply returns the source with the mistake. An error says which of its places the source does not hold once.
-func (m *Mistake) Apply(source string) (string, error) {
+// Apply returns the mutated source. An error is a *MatchError.
+func (m *Mutant) Apply(source string) (string, error) {
 	for _, e := range m.Edits {
-		if n := strings.Count(source, e.Right); n != 1 {
-			return "", &PlaceError{File: m.File, Place: e.Right, Count: n}
+		if n := strings.Count(source, e.Original); n != 1 {
+			return "", &MatchError{File: m.File, Text: e.Original, Count: n}
 		}
-		source = strings.Replace(source, e.Right, e.Wrong, 1)
+		source = strings.Replace(source, e.Original, e.Mutated, 1)
 	}
 	return source, nil
 }
 
-// PlaceError says that the place of a mistake is not to be found, or not just once.
-type PlaceError struct {
-	File, Place string
-	Count       int
+// MatchError says that a source doesn't contain the text of an edit exactly once.
+type MatchError struct {
+	File, Text string
+	Count      int
 }
 
-func (e *PlaceError) Error() string {
-	return "mutant: " + e.File + " holds " + strconv.Quote(e.Place) + " " + strconv.Itoa(e.Count) + " times"
+func (e *MatchError) Error() string {
+	return fmt.Sprintf("mutation: %s contains %q %d times", e.File, e.Text, e.Count)
 }
