--- a/internal/lab/footprint/footprint_test.go
+++ b/internal/lab/footprint/footprint_test.go
@@ -112,3 +112,10 @@
 		}
 	}
 }
+
+// TestStartSidecarThatExits guards against a program that ends at once being waited for.
+func TestStartSidecarThatExits(t *testing.T) {
+	if _, err := StartSidecar(SidecarOptions{Program: "true", Dir: t.TempDir(), Name: "exits"}); !errors.Is(err, ErrExited) {
+		t.Errorf("%v, want %v", err, ErrExited)
+	}
+}
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -12,12 +12,12 @@
 
 // incident is a run of some endpoints and seconds with three faults that overlap.
 func incident(endpoints, seconds int) *result.Result {
-	some, most := 0.9, 0.4
+	measured, bound := 0.9, 0.4
 	r := &result.Result{Scenario: "bad <morning>", Player: "sockets", Length: float64(seconds), Tiers: []string{"front"}, Sidecars: 1,
 		Builds: []string{"one"}, TargetLatencies: []float64{100, 110, 2000},
-		FaultImpacts: []result.FaultImpact{{Description: "hang front-1", From: 2, To: 6, Before: &some}, {Description: "slow front-2, front-3", From: 4, To: 8},
+		FaultImpacts: []result.FaultImpact{{Description: "hang front-1", From: 2, To: 6, Before: &measured}, {Description: "slow front-2, front-3", From: 4, To: 8},
 			{Description: "discovery moves & more", From: 5, To: 5.001}},
-		Expectations: []result.Expectation{{Measure: "p99", Max: &most, Measured: &some}, {Measure: "served", Min: &most}},
+		Expectations: []result.Expectation{{Measure: "p99", Max: &bound, Measured: &measured}, {Measure: "served", Min: &bound}},
 		Violations:   []result.Violation{{Kind: "twice", Count: 2, Timelines: [][]string{{"1 s: asked", "2 s: <answered> twice"}}}},
 		FleetLoad:    &result.FleetLoad{MaxPolls: 40, MaxEndpointConnections: 7, PollCounts: []int{40, 2}, EndpointConnectionCounts: []int{0, 7, 1}},
 		Usage:        []result.Usage{{Sidecar: "n1", CPU: 1.5, PeakMemory: 20, MaxDescriptors: 9}}}
--- a/internal/lab/result/result_test.go
+++ b/internal/lab/result/result_test.go
@@ -138,8 +138,8 @@
 		{"served", "", scenario.Span(time.Second), scenario.Span(2 * time.Second), 0},
 		{"gone", "", scenario.Span(5 * time.Second), s, one},
 	} {
-		least, most := c.want-1e-3, c.want+1e-3
-		p.Scenario.Expect = []scenario.Expect{{What: c.what, Class: c.class, Least: &least, Most: &most, From: c.from, To: c.to}}
+		lower, upper := c.want-1e-3, c.want+1e-3
+		p.Scenario.Expect = []scenario.Expect{{What: c.what, Class: c.class, Least: &lower, Most: &upper, From: c.from, To: c.to}}
 		if e := New(p, log, nil, Meta{}).Expectations[0]; !e.Met {
 			t.Errorf("%s; wanted %v", e, c.want)
 		}
--- a/internal/lab/variants/workload_test.go
+++ b/internal/lab/variants/workload_test.go
@@ -1,10 +1,6 @@
 package variants
 
-import (
-	"testing"
-
-	"github.com/pelletier/go-toml/v2"
-)
+import "testing"
 
 const workloadSite = `name = "x"
 zones = [ { name = "a", region = "r" }, { name = "b", region = "r" } ]
@@ -41,16 +37,9 @@
 		"tight-aims": func(s siteFile) bool { return s.tables("classes")[0]["aim_ms"] == 700.0 },
 	}
 	for name := range workloadVariants {
-		text, err := Make([]byte(workloadSite), name)
-		if err != nil {
-			t.Fatal(err)
-		}
-		var s siteFile
-		if err := toml.Unmarshal(text, &s); err != nil {
-			t.Fatalf("%s: %v", name, err)
-		}
+		s := makeVariant(t, workloadSite, name)
 		if holds := expect[name]; holds == nil || !holds(s) || s["name"] != name {
-			t.Errorf("%s: %s", name, text)
+			t.Errorf("%s: %v", name, s)
 		}
 	}
 }
