--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -69,7 +69,7 @@
 		return nil, err
 	}
 	o := &Outcome{Plan: p, Trace: log, Verdict: judge.Judge(p, log)}
-	o.Result = result.Of(p, log, brokenRules(&o.Verdict), meta)
+	o.Result = result.New(p, log, brokenRules(&o.Verdict), meta)
 	return o, interrupted
 }
 
@@ -94,19 +94,19 @@
 }
 
 // RigRanLate reports whether the test rig itself ran late, so that the figures are void.
-func (o *Outcome) RigRanLate() bool { return o.Result.Rig.Void }
+func (o *Outcome) RigRanLate() bool { return o.Result.Harness.Void }
 
 // brokenRules converts a verdict into the broken rules of a result.
-func brokenRules(v *judge.Verdict) []result.Broken {
-	var out []result.Broken
+func brokenRules(v *judge.Verdict) []result.Violation {
+	var out []result.Violation
 	for _, kind := range judge.Kinds {
 		if v.Counts[kind] == 0 {
 			continue
 		}
-		b := result.Broken{Kind: string(kind), Count: v.Counts[kind]}
+		b := result.Violation{Kind: string(kind), Count: v.Counts[kind]}
 		for i := range v.Violations {
 			if r := &v.Violations[i]; r.Kind == kind {
-				b.Stories = append(b.Stories, append([]string{r.Text}, r.Timeline...))
+				b.Timelines = append(b.Timelines, append([]string{r.Text}, r.Timeline...))
 			}
 		}
 		out = append(out, b)
--- a/internal/lab/report/words.go
+++ b/internal/lab/report/format.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// short is a number with three digits that count, and K or M for thousands and millions.
-func short(v float64) string {
+// formatNumber formats a number with three significant digits, and with K or M for thousands and millions.
+func formatNumber(v float64) string {
 	switch {
 	case v >= 1e6:
 		return fmt.Sprintf("%.3gM", v/1e6)
@@ -15,8 +15,8 @@
 	return fmt.Sprintf("%.3g", v)
 }
 
-// span words milliseconds.
-func span(ms float64) string {
+// formatMillis formats milliseconds, in s, ms or µs.
+func formatMillis(ms float64) string {
 	switch {
 	case ms >= 1000:
 		return fmt.Sprintf("%.3g s", ms/1000)
@@ -28,7 +28,8 @@
 	return "0"
 }
 
-func share(v *float64) string {
+// formatPercent formats a share in per cent, or a dash where there is none.
+func formatPercent(v *float64) string {
 	if v == nil {
 		return "–"
 	}
--- a/internal/lab/result/measure.go
+++ b/internal/lab/result/measure.go
@@ -5,40 +5,70 @@
 	"time"
 )
 
-// measure is one of scenario.Measures in a window: of due times, and for boxes of the samples' times. It is
-// unknown where there was nothing to measure.
-func (r *run) measure(what string, class int, from, to time.Duration) (v float64, known bool) {
-	switch what {
+// measure returns one of scenario.Measures, for a class or for allClasses, in a window: of the times at which requests
+// were due or, where it is about endpoints, of their samples. known is false where there was nothing to measure.
+func (r *analysis) measure(measure string, class int, from, to time.Duration) (value float64, known bool) {
+	switch measure {
 	case "fallen":
-		n := 0
-		for i := range r.boxes {
-			if r.boxes[i].fell(from, to) {
-				n++
-			}
-		}
-		return float64(n), true
+		return float64(r.countCollapsed(from, to)), true
 	case "worst":
-		for i := range r.boxes {
-			v = max(v, r.boxes[i].worst(r.plan.Scenario.Rules.CollapseWindow.D(), from, to))
+		window := r.plan.Scenario.Rules.CollapseWindow.D()
+		for i := range r.endpoints {
+			value = max(value, r.endpoints[i].maxColdLoad(window, from, to))
 		}
-		return v, true
-	case "list_calls", "list_refused", "list_dials", "list_peak", "handshakes", "attempts_peak", "again_peak", "unready", "unlisted", "unserving":
-		return r.measureTogether(what, from, to)
-	}
-	if strings.HasPrefix(what, "audit_") {
-		return r.measureAudit(what)
+		return value, true
+	case "list_calls", "list_refused", "list_dials", "list_peak", "handshakes", "attempts_peak", "again_peak",
+		"unready", "unlisted", "unserving":
+		return r.measureFleetLoad(measure, from, to)
 	}
-	t := r.tally(class, from, to)
-	if percent, isQuantile := quantiles[what]; isQuantile {
-		return tidy(t.quantile(percent) / 1000), t.latency.TotalCount() > 0
+	if strings.HasPrefix(measure, "audit_") {
+		return r.measureAudit(measure)
 	}
-	if what == "wasted" {
-		return ratio(t.wasted.Seconds(), t.work.Seconds()), t.work > 0
+	return r.tally(class, from, to).measure(measure)
+}
+
+func (r *analysis) countCollapsed(from, to time.Duration) (n int) {
+	for i := range r.endpoints {
+		if r.endpoints[i].collapsed(from, to) {
+			n++
+		}
 	}
-	f := t.figures()
-	return map[string]float64{"service": f.Service, "served": f.Served.Share, "late": f.Late.Share, "refused": f.Refused.Share,
-		"failed": f.Failed.Share, "gone": f.Gone.Share, "attempts": f.Attempts[0], "bottom": f.Attempts[len(f.Attempts)-1], "copies": f.Copies,
-		"refusals": f.Refusals}[what], t.asked > 0
+	return n
 }
 
-var quantiles = map[string]float64{"p50": 50, "p90": 90, "p99": 99, "p999": 99.9}
+// quantilePercents are the percentages of the measures that are quantiles of latency.
+var quantilePercents = map[string]float64{"p50": 50, "p90": 90, "p99": 99, "p999": 99.9}
+
+// measure returns one of the measures of requests: latencies in seconds, the others as in Figures.
+func (t *tally) measure(measure string) (value float64, known bool) {
+	if percent, isQuantile := quantilePercents[measure]; isQuantile {
+		return round(t.quantile(percent) / 1000), t.latency.TotalCount() > 0
+	}
+	if measure == "wasted" {
+		return t.wastedShare(), t.work > 0
+	}
+	known = t.requested > 0
+	switch measure {
+	case "service":
+		return t.goodput(), known
+	case "served":
+		return t.proportion(served).Share, known
+	case "late":
+		return t.proportion(late).Share, known
+	case "refused":
+		return t.proportion(rejected).Share, known
+	case "failed":
+		return t.proportion(failed).Share, known
+	case "gone":
+		return t.proportion(canceled).Share, known
+	case "attempts":
+		return t.perRequest(t.endpointRequests[0]), known
+	case "bottom":
+		return t.perRequest(t.endpointRequests[len(t.endpointRequests)-1]), known
+	case "copies":
+		return t.perRequest(t.hedges), known
+	case "refusals":
+		return t.perRequest(t.rejections), known
+	}
+	return 0, known
+}
--- a/internal/lab/result/result_test.go
+++ b/internal/lab/result/result_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"math"
 	"os"
 	"path/filepath"
@@ -19,9 +20,10 @@
 
 const ms = time.Millisecond
 
-// morning is six requests of 10 s at two tiers, counted by hand: of class fast (aim 100 ms, worth 3) one
-// served at its second try, one late, one refused; of slow (aim 1 s, worth 1) one served, one failed, one gone.
-func morning() (*plan.Plan, *trace.Log) {
+// sixRequests is a run of 10 s at two tiers, whose figures were counted by hand: of class fast (target latency 100 ms,
+// value 3) one request is served at its second attempt, one late, one rejected; of slow (1 s, value 1) one is served, one
+// fails and one is canceled.
+func sixRequests() (*plan.Plan, *trace.Log) {
 	s := scenario.Default()
 	s.Name, s.Length = "morning", scenario.Span(10*time.Second)
 	s.Classes = []scenario.Class{{Name: "fast", TargetLatency: scenario.Span(100 * ms), Value: 3}, {Name: "slow", TargetLatency: scenario.Span(time.Second), Value: 1}}
@@ -33,34 +35,34 @@
 	for i, due := range []time.Duration{500, 1500, 2500, 3500, 4500, 5500} {
 		p.Requests = append(p.Requests, plan.Request{Due: due * ms, Class: i / 3, Work: time.Duration(i+1) * ms})
 	}
-	try := func(txn uint64, request, no int, status trace.Status, box int, answered time.Duration) trace.ClientAttempt {
-		return trace.ClientAttempt{TransactionID: txn, Request: request, Number: no, Class: request / 3, Due: p.Requests[request].Due, Status: status, Endpoint: box, Ended: answered * ms}
+	attempt := func(transaction uint64, request, number int, status trace.Status, endpoint int, answered time.Duration) trace.ClientAttempt {
+		return trace.ClientAttempt{TransactionID: transaction, Request: request, Number: number, Class: request / 3, Due: p.Requests[request].Due, Status: status, Endpoint: endpoint, Ended: answered * ms}
 	}
 	log := &trace.Log{End: 11 * time.Second, ClientAttempts: []trace.ClientAttempt{
-		try(2, 0, 1, trace.StatusServed, 0, 580), try(1, 0, 0, trace.StatusRejected, -1, 510), // out of order, as sockets may have them
-		try(3, 1, 0, trace.StatusServed, 1, 1750),
-		try(4, 2, 0, trace.StatusFailed, 0, 2600), try(5, 2, 1, trace.StatusRejected, -1, 2700),
-		try(6, 3, 0, trace.StatusServed, 0, 3900),
-		try(7, 4, 0, trace.StatusDisconnected, -1, 4600),
-		try(8, 5, 0, trace.StatusCanceled, -1, 5600),
+		attempt(2, 0, 1, trace.StatusServed, 0, 580), attempt(1, 0, 0, trace.StatusRejected, -1, 510), // out of order, as sockets may have them
+		attempt(3, 1, 0, trace.StatusServed, 1, 1750),
+		attempt(4, 2, 0, trace.StatusFailed, 0, 2600), attempt(5, 2, 1, trace.StatusRejected, -1, 2700),
+		attempt(6, 3, 0, trace.StatusServed, 0, 3900),
+		attempt(7, 4, 0, trace.StatusDisconnected, -1, 4600),
+		attempt(8, 5, 0, trace.StatusCanceled, -1, 5600),
 	}}
-	call := try(20, 0, 0, trace.StatusServed, 2, 570)
+	call := attempt(20, 0, 0, trace.StatusServed, 2, 570)
 	call.Tier, call.Sidecar = 1, 1
-	other := try(21, 1, 0, trace.StatusServed, 2, 1600)
-	other.Tier, other.Sidecar = 1, 1 // of the copy at front-1 that did not serve its client
+	other := attempt(21, 1, 0, trace.StatusServed, 2, 1600)
+	other.Tier, other.Sidecar = 1, 1 // of the hedge at front-1 that did not serve its client
 	log.ClientAttempts = append(log.ClientAttempts, call, other)
-	visit := func(txn uint64, box int, begun, ended time.Duration, end trace.Outcome, done time.Duration) trace.EndpointRequest {
-		return trace.EndpointRequest{TransactionID: txn, Endpoint: box, FirstByte: begun * ms, Ended: ended * ms, Outcome: end, Work: done * ms}
+	endpointRequest := func(transaction uint64, endpoint int, started, ended time.Duration, outcome trace.Outcome, work time.Duration) trace.EndpointRequest {
+		return trace.EndpointRequest{TransactionID: transaction, Endpoint: endpoint, FirstByte: started * ms, Ended: ended * ms, Outcome: outcome, Work: work * ms}
 	}
-	held := visit(7, 1, 4510, 0, trace.OutcomePending, 5)
-	held.Ended = trace.Unset
+	pending := endpointRequest(7, 1, 4510, 0, trace.OutcomePending, 5)
+	pending.Ended = trace.Unset
 	log.EndpointRequests = []trace.EndpointRequest{
-		visit(2, 0, 520, 575, trace.OutcomeOK, 10), visit(20, 2, 530, 565, trace.OutcomeOK, 4),
-		visit(3, 1, 1510, 1740, trace.OutcomeOK, 20), visit(3, 0, 1600, 1700, trace.OutcomeCanceled, 8), visit(21, 2, 1610, 1650, trace.OutcomeOK, 4),
-		visit(4, 0, 2510, 2590, trace.OutcomeError, 7),
-		visit(6, 0, 3510, 3600, trace.OutcomeError, 6), visit(6, 0, 3610, 3890, trace.OutcomeOK, 30), // one after another: no copy
-		held, visit(7, 0, 4520, 4590, trace.OutcomeLost, 2), // a copy of one that is still held
-		visit(99, 0, 6000, 6010, trace.OutcomeOK, 4), // nobody sent it
+		endpointRequest(2, 0, 520, 575, trace.OutcomeOK, 10), endpointRequest(20, 2, 530, 565, trace.OutcomeOK, 4),
+		endpointRequest(3, 1, 1510, 1740, trace.OutcomeOK, 20), endpointRequest(3, 0, 1600, 1700, trace.OutcomeCanceled, 8), endpointRequest(21, 2, 1610, 1650, trace.OutcomeOK, 4),
+		endpointRequest(4, 0, 2510, 2590, trace.OutcomeError, 7),
+		endpointRequest(6, 0, 3510, 3600, trace.OutcomeError, 6), endpointRequest(6, 0, 3610, 3890, trace.OutcomeOK, 30), // one after another: no hedge
+		pending, endpointRequest(7, 0, 4520, 4590, trace.OutcomeLost, 2), // a hedge of one that is still pending
+		endpointRequest(99, 0, 6000, 6010, trace.OutcomeOK, 4), // of no attempt
 	}
 	return p, log
 }
@@ -73,39 +75,39 @@
 }
 
 func TestFiguresCountedByHand(t *testing.T) {
-	p, log := morning()
-	r := Of(p, log, []Broken{{Kind: "twice", Count: 2, Stories: [][]string{{"a", "b"}}}, {Kind: "kept"}}, Meta{Player: "virtual"})
-	if want := (Peak{Box: "front-1", From: 1.6, Attempts: 2, Again: 1, Copies: 1}); r.Peak == nil || *r.Peak != want {
+	p, log := sixRequests()
+	r := New(p, log, []Violation{{Kind: "twice", Count: 2, Timelines: [][]string{{"a", "b"}}}, {Kind: "kept"}}, Meta{Player: "virtual"})
+	if want := (AttemptPeak{Endpoint: "front-1", From: 1.6, Attempts: 2, Additional: 1, Hedges: 1}); r.Peak == nil || *r.Peak != want {
 		t.Errorf("the worst second is %+v, want %+v", r.Peak, want)
 	}
 	a := r.All
-	sixth := tidy(1.0 / 6)
-	if a.Asked != 6 || a.Served.Count != 2 || a.Late != (Part{1, sixth}) || a.Refused.Count != 1 || a.Failed.Count != 1 || a.Gone.Count != 1 {
+	sixth := round(1.0 / 6)
+	if a.Requested != 6 || a.Served.Count != 2 || a.Late != (Proportion{1, sixth}) || a.Rejected.Count != 1 || a.Failed.Count != 1 || a.Canceled.Count != 1 {
 		t.Errorf("outcomes: %+v", a)
 	}
-	near(t, "service", a.Service, 4.0/12)
-	near(t, "service's sample", a.Sample, 144.0/30)
-	near(t, "tries", a.Tries, 8.0/6)
-	near(t, "refusals", a.Refusals, 2.0/6)
-	near(t, "attempts at front", a.Attempts[0], 8.0/6)
-	near(t, "attempts at back", a.Attempts[1], 2.0/6)
-	near(t, "copies", a.Copies, 2.0/6)
+	near(t, "service", a.Goodput, 4.0/12)
+	near(t, "service's sample", a.EffectiveSampleSize, 144.0/30)
+	near(t, "tries", a.ClientAttempts, 8.0/6)
+	near(t, "refusals", a.Rejections, 2.0/6)
+	near(t, "attempts at front", a.EndpointRequests[0], 8.0/6)
+	near(t, "attempts at back", a.EndpointRequests[1], 2.0/6)
+	near(t, "copies", a.Hedges, 2.0/6)
 	near(t, "work", a.Work, 0.100)
-	near(t, "wasted", a.Wasted, 1-0.064/0.100) // 10 and 4, 20, 30 served somebody
+	near(t, "wasted", a.WastedShare, 1-0.064/0.100) // 10 and 4, 20, 30 served somebody
 	if a.Latency == nil || math.Abs(a.Latency.Max-400) > 0.5 || math.Abs(a.Latency.P50-250) > 0.5 {
 		t.Errorf("latency: %+v", a.Latency)
 	}
-	if f := r.Classes[0]; f.Asked != 3 || f.Served.Count != 1 || f.Late.Count != 1 || f.Refused.Count != 1 || f.Aim != 100 {
+	if f := r.Classes[0]; f.Requested != 3 || f.Served.Count != 1 || f.Late.Count != 1 || f.Rejected.Count != 1 || f.TargetLatency != 100 {
 		t.Errorf("fast: %+v", f)
 	}
-	if r.Strays != 1 || r.Sidecars != 3 || len(r.Broken) != 1 || r.Held() {
-		t.Errorf("strays %d, sidecars %d, broken %v, held %v", r.Strays, r.Sidecars, r.Broken, r.Held())
+	if r.UnattributedRequests != 1 || r.Sidecars != 3 || len(r.Violations) != 1 || r.Passed() {
+		t.Errorf("strays %d, sidecars %d, broken %v, held %v", r.UnattributedRequests, r.Sidecars, r.Violations, r.Passed())
 	}
-	if s := r.Seconds[1]; len(r.Seconds) != 10 || s.Late != 1 || s.Visits[0] != 2 || s.Copies != 1 || math.Abs(s.P99-250) > 0.5 {
+	if s := r.Seconds[1]; len(r.Seconds) != 10 || s.Late != 1 || s.EndpointRequests[0] != 2 || s.Hedges != 1 || math.Abs(s.P99-250) > 0.5 {
 		t.Errorf("second 1: %+v", s)
 	}
-	// Service by hand: before 3 of 6; during (requests 2 and 3) 1 of 4; after none of 2.
-	m := r.Marks[0]
+	// Goodput by hand: before 3 of 6; during (requests 2 and 3) 1 of 4; after none of 2.
+	m := r.FaultImpacts[0]
 	for i, want := range []float64{0.5, 0.25, 0} {
 		if got := []*float64{m.Before, m.During, m.After}[i]; got == nil || math.Abs(*got-want) > 1e-9 {
 			t.Errorf("mark: %v of %+v, want %v", i, m, want)
@@ -113,14 +115,14 @@
 	}
 }
 
-func TestWorthByWork(t *testing.T) {
-	p, log := morning()
+func TestValueByWork(t *testing.T) {
+	p, log := sixRequests()
 	p.Scenario.Rules.ValueByWork = true
-	near(t, "service", Of(p, log, nil, Meta{}).All.Service, (3*1+4.0)/(3*(1+2+3)+4+5+6))
+	near(t, "service", New(p, log, nil, Meta{}).All.Goodput, (3*1+4.0)/(3*(1+2+3)+4+5+6))
 }
 
 func TestMeasures(t *testing.T) {
-	p, log := morning()
+	p, log := sixRequests()
 	third, half, one := 1.0/3, 0.5, 1.0
 	var s scenario.Span
 	for _, c := range []struct {
@@ -136,32 +138,32 @@
 		{"served", "", scenario.Span(time.Second), scenario.Span(2 * time.Second), 0},
 		{"gone", "", scenario.Span(5 * time.Second), s, one},
 	} {
-		least, most := c.want-1e-3, c.want+1e-3
-		p.Scenario.Expectations = []scenario.Expectation{{Measure: c.what, Class: c.class, Min: &least, Max: &most, From: c.from, To: c.to}}
-		if e := Of(p, log, nil, Meta{}).Expect[0]; !e.Held {
+		lower, upper := c.want-1e-3, c.want+1e-3
+		p.Scenario.Expectations = []scenario.Expectation{{Measure: c.what, Class: c.class, Min: &lower, Max: &upper, From: c.from, To: c.to}}
+		if e := New(p, log, nil, Meta{}).Expectations[0]; !e.Met {
 			t.Errorf("%s; wanted %v", e, c.want)
 		}
 	}
 	zero := 0.0
 	p.Scenario.Expectations = []scenario.Expectation{{Measure: "p99", Min: &zero, From: scenario.Span(8 * time.Second)}}
-	if e := Of(p, log, nil, Meta{}).Expect[0]; e.Held || e.Measured != nil {
+	if e := New(p, log, nil, Meta{}).Expectations[0]; e.Met || e.Measured != nil {
 		t.Errorf("nothing to measure, but %v", e)
 	}
 }
 
-func TestSettleIsLeftOut(t *testing.T) {
-	p, log := morning()
+func TestSettleTimeIsExcluded(t *testing.T) {
+	p, log := sixRequests()
 	p.Scenario.WarmUp = scenario.Span(time.Second)
-	r := Of(p, log, nil, Meta{})
-	if r.All.Asked != 5 || r.Seconds[0].Asked != 0 || r.Seconds[1].Asked != 1 {
-		t.Errorf("asked %d, by second %+v", r.All.Asked, r.Seconds)
+	r := New(p, log, nil, Meta{})
+	if r.All.Requested != 5 || r.Seconds[0].Requested != 0 || r.Seconds[1].Requested != 1 {
+		t.Errorf("asked %d, by second %+v", r.All.Requested, r.Seconds)
 	}
 }
 
-// A cold box of one core at half capacity starts at 2 s and is sent 0.3 s of work in its first 200 ms, then
-// nothing; the window is 1 s, of which it could do 0.5 s.
-func TestBoxes(t *testing.T) {
-	p, log := morning()
+// An endpoint of one core starts at 2 s, warming up at half its capacity, and is sent 0.3 s of work in its first 200 ms,
+// then nothing; the window is 1 s, of which it could do 0.5 s.
+func TestEndpoints(t *testing.T) {
+	p, log := sixRequests()
 	for i := 0; i <= 40; i++ {
 		at := time.Duration(i) * 100 * ms
 		s := trace.Sample{At: at, Endpoint: 1, Running: 2, Queued: i / 10, Capacity: 1, PossibleWork: at, SentWork: at / 2}
@@ -178,76 +180,76 @@
 		s.Collapsed = i == 30
 		log.Samples = append(log.Samples, s)
 	}
-	r := Of(p, log, nil, Meta{})
-	b := r.Boxes[1]
-	near(t, "worst", b.Worst, 0.6)
-	near(t, "sent in the first second", b.Sent[0], 0.5)
-	near(t, "could in the third", b.Could[2], 0.5)
-	near(t, "waiting in the fourth", b.Waiting[3], 3)
-	if !b.Fallen || r.Fallen != 1 || b.Cold[1] || !b.Cold[2] || r.Worst != b.Worst {
+	r := New(p, log, nil, Meta{})
+	b := r.Endpoints[1]
+	near(t, "worst", b.MaxColdLoad, 0.6)
+	near(t, "sent in the first second", b.SentWork[0], 0.5)
+	near(t, "could in the third", b.PossibleWork[2], 0.5)
+	near(t, "waiting in the fourth", b.Queued[3], 3)
+	if !b.Collapsed || r.CollapsedEndpoints != 1 || b.WarmingUp[1] || !b.WarmingUp[2] || r.MaxColdLoad != b.MaxColdLoad {
 		t.Errorf("box: %+v", b)
 	}
 	most := 0.0
-	p.Scenario.Expectations = []scenario.Expectation{{Measure: "fallen", Max: &most}, {Measure: "fallen", Max: &most, From: scenario.Span(3500 * ms)}, {Measure: "worst", Max: &b.Worst}}
-	if e := Of(p, log, nil, Meta{}).Expect; e[0].Held || !e[1].Held || !e[2].Held {
+	p.Scenario.Expectations = []scenario.Expectation{{Measure: "fallen", Max: &most}, {Measure: "fallen", Max: &most, From: scenario.Span(3500 * ms)}, {Measure: "worst", Max: &b.MaxColdLoad}}
+	if e := New(p, log, nil, Meta{}).Expectations; e[0].Met || !e[1].Met || !e[2].Met {
 		t.Errorf("expectations: %v", e)
 	}
 }
 
-func TestRigThatRanLate(t *testing.T) {
+func TestHarnessThatRanLate(t *testing.T) {
 	lateness := make([]time.Duration, 1000)
 	for i := range lateness {
 		lateness[i] = 19 * ms
 	}
-	if g := rigOf(lateness); g.Void || g.Sent != 1000 {
+	if g := harnessOf(lateness); g.Void || g.Measured != 1000 {
 		t.Errorf("%+v", g)
 	}
 	for i := range 9 {
 		lateness[i] = 60 * ms
 	}
-	if g := rigOf(lateness); g.Void || g.VeryLate != 0.009 {
+	if g := harnessOf(lateness); g.Void || g.VeryLateShare != 0.009 {
 		t.Errorf("%+v", g)
 	}
 	for i := range 11 {
 		lateness[i] = 60 * ms
 	}
-	if g := rigOf(lateness); !g.Void || !strings.Contains(g.Why, "1.1%") {
+	if g := harnessOf(lateness); !g.Void || !strings.Contains(g.Reason, "1.1%") {
 		t.Errorf("%+v", g)
 	}
 	for i := range 11 {
 		lateness[i] = 25 * ms
 	}
-	if g := rigOf(lateness); !g.Void {
+	if g := harnessOf(lateness); !g.Void {
 		t.Errorf("%+v", g)
 	}
 }
 
-func TestNothingHappened(t *testing.T) {
-	p, log := morning()
+func TestEmptyTrace(t *testing.T) {
+	p, log := sixRequests()
 	for name, l := range map[string]*trace.Log{"empty": {}, "no try": {End: log.End}} {
-		r := Of(p, l, nil, Meta{Player: "sockets"})
+		r := New(p, l, nil, Meta{Player: "sockets"})
 		var out strings.Builder
-		if err := Summary(&out, r, Look{}); err != nil || strings.Contains(out.String(), "NaN") {
+		if err := WriteSummary(&out, r, SummaryOptions{}); err != nil || strings.Contains(out.String(), "NaN") {
 			t.Errorf("%s: %v\n%s", name, err, &out)
 		}
-		if want := map[string]int{"empty": 0, "no try": 6}[name]; r.All.Asked != want || r.All.Failed.Count != want {
+		if want := map[string]int{"empty": 0, "no try": 6}[name]; r.All.Requested != want || r.All.Failed.Count != want {
 			t.Errorf("%s: %+v", name, r.All)
 		}
 	}
 	for i := range log.ClientAttempts {
 		log.ClientAttempts[i].Status = trace.StatusCanceled
 	}
-	r := Of(p, log, nil, Meta{})
-	if r.All.Gone.Share != 1 || r.All.Service != 0 || r.All.Wasted != 1 || r.All.Latency != nil {
+	r := New(p, log, nil, Meta{})
+	if r.All.Canceled.Share != 1 || r.All.Goodput != 0 || r.All.WastedShare != 1 || r.All.Latency != nil {
 		t.Errorf("all gone: %+v", r.All)
 	}
 }
 
 func TestWriteAndRead(t *testing.T) {
-	p, log := morning()
+	p, log := sixRequests()
 	dir := filepath.Join(t.TempDir(), "new")
-	r := Of(p, log, []Broken{{"twice", 1, [][]string{{"a"}}}}, Meta{Builds: []string{"x"}, Player: "virtual"})
-	again, _ := Of(p, log, []Broken{{"twice", 1, [][]string{{"a"}}}}, Meta{Builds: []string{"x"}, Player: "virtual"}).Bytes()
+	r := New(p, log, []Violation{{"twice", 1, [][]string{{"a"}}}}, Meta{Builds: []string{"x"}, Player: "virtual"})
+	again, _ := New(p, log, []Violation{{"twice", 1, [][]string{{"a"}}}}, Meta{Builds: []string{"x"}, Player: "virtual"}).Bytes()
 	if err := r.Write(dir); err != nil {
 		t.Fatal(err)
 	}
@@ -262,21 +264,22 @@
 	if d := cmp.Diff(r, back); d != "" {
 		t.Error(d)
 	}
-	if table := Diff(r, back); !table.Same() || len(table.Notes) != 0 {
+	if table := Diff(r, back); !table.Equal() || len(table.Notes) != 0 {
 		t.Errorf("equal results differ: %+v", table)
 	}
 	if err := os.WriteFile(filepath.Join(dir, File), []byte(`{"schema":99}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Read(dir); err == nil || !strings.Contains(err.Error(), "99") {
-		t.Errorf("a schema of later: %v", err)
+	var schema *SchemaError
+	if _, err := Read(dir); !errors.As(err, &schema) || schema.Schema != 99 || !strings.Contains(err.Error(), "99") {
+		t.Errorf("a later schema: %v", err)
 	}
 }
 
-func TestDiffTellsWhatIsNoise(t *testing.T) {
-	p, log := morning()
-	a, b := Of(p, log, nil, Meta{}), Of(p, log, []Broken{{Kind: "twice", Count: 3}}, Meta{})
-	b.Seed, a.All.Asked, b.All.Asked = 8, 1000, 1000
+func TestDiffReportsSignificance(t *testing.T) {
+	p, log := sixRequests()
+	a, b := New(p, log, nil, Meta{}), New(p, log, []Violation{{Kind: "twice", Count: 3}}, Meta{})
+	b.Seed, a.All.Requested, b.All.Requested = 8, 1000, 1000
 	a.All.Late.Share, b.All.Late.Share = 0.10, 0.11 // z 0.73
 	a.All.Failed.Share, b.All.Failed.Share = 0.10, 0.15
 	var out strings.Builder
@@ -293,14 +296,14 @@
 	}
 }
 
-func TestSummaryTellsWhatHappened(t *testing.T) {
-	p, log := morning()
+func TestSummary(t *testing.T) {
+	p, log := sixRequests()
 	most := 0.1
 	p.Scenario.Expectations = []scenario.Expectation{{Measure: "late", Max: &most}}
 	log.Usage = []trace.Usage{{CPU: time.Second, PeakMemory: 9 << 20, MaxDescriptors: 40}}
 	log.Lateness = []time.Duration{ms, 2 * ms}
 	var out strings.Builder
-	if err := Summary(&out, Of(p, log, nil, Meta{Player: "sockets"}), Look{Report: "out/report.html"}); err != nil {
+	if err := WriteSummary(&out, New(p, log, nil, Meta{Player: "sockets"}), SummaryOptions{ReportPath: "out/report.html"}); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"service before", "hang front-2", "0.500", "served in aim", "all kept", "did not hold", "late: 0.1667, at most 0.1",
--- a/internal/lab/variants/load_test.go
+++ b/internal/lab/variants/workload_test.go
@@ -1,12 +1,8 @@
 package variants
 
-import (
-	"testing"
+import "testing"
 
-	"github.com/pelletier/go-toml/v2"
-)
-
-const loaded = `name = "x"
+const workloadSite = `name = "x"
 zones = [ { name = "a", region = "r" }, { name = "b", region = "r" } ]
 machines = [ { class = "front", count = 3, zone = "a" } ]
 services = [ { name = "s", servers = [ { zone = "a", count = 10 } ], llm = { chunk = 2048, prefill_tokens_per_ms = 64.2 } }, { name = "plain", servers = [ { zone = "a", count = 2 } ] } ]
@@ -19,38 +15,31 @@
 traffic = [ { zone = "b", per_s = 1.0, mix = { long = 10, short = 40.0 } } ]
 `
 
-// Guards against variants that change nothing, or something else than their name says.
-func TestLoads(t *testing.T) {
-	expect := map[string]func(s site) bool{
-		"other-engine": func(s site) bool {
+// TestWorkloadVariants guards against variants that change nothing, or something else than their name says.
+func TestWorkloadVariants(t *testing.T) {
+	expect := map[string]func(s siteFile) bool{
+		"other-engine": func(s siteFile) bool {
 			return s.tables("services")[0]["llm"].(map[string]any)["chunk"] == int64(1024)
 		},
-		"fewer-engines": func(s site) bool {
+		"fewer-engines": func(s siteFile) bool {
 			services := s.tables("services")
-			return site(services[0]).tables("servers")[0]["count"] == int64(7) && site(services[1]).tables("servers")[0]["count"] == int64(2)
+			return siteFile(services[0]).tables("servers")[0]["count"] == int64(7) && siteFile(services[1]).tables("servers")[0]["count"] == int64(2)
 		},
-		"few-routers": func(s site) bool { return len(s.tables("machines")) == 4 },
-		"long-prompts": func(s site) bool {
-			day := site(s.tables("day")[0]).tables("traffic")[0]["mix"].(map[string]any)
+		"few-routers": func(s siteFile) bool { return len(s.tables("machines")) == 4 },
+		"long-prompts": func(s siteFile) bool {
+			day := siteFile(s.tables("day")[0]).tables("traffic")[0]["mix"].(map[string]any)
 			return day["long"] == 20.0 && day["short"] == 20.0
 		},
-		"nothing-resume": func(s site) bool {
+		"nothing-resume": func(s siteFile) bool {
 			short := s.tables("classes")[1]
 			return short["attempts"] == int64(1) && short["stream"].(map[string]any)["resume"] == false
 		},
-		"tight-aims": func(s site) bool { return s.tables("classes")[0]["aim_ms"] == 700.0 },
+		"tight-aims": func(s siteFile) bool { return s.tables("classes")[0]["aim_ms"] == 700.0 },
 	}
-	for name := range Loads {
-		text, err := Make([]byte(loaded), name)
-		if err != nil {
-			t.Fatal(err)
-		}
-		var s site
-		if err := toml.Unmarshal(text, &s); err != nil {
-			t.Fatalf("%s: %v", name, err)
-		}
+	for name := range workloadVariants {
+		s := makeVariant(t, workloadSite, name)
 		if holds := expect[name]; holds == nil || !holds(s) || s["name"] != name {
-			t.Errorf("%s: %s", name, text)
+			t.Errorf("%s: %v", name, s)
 		}
 	}
 }
