--- a/internal/lab/cli/main.go
+++ b/internal/lab/cli/cli.go
@@ -20,12 +20,12 @@
 
 // The exit statuses.
 const (
-	held     = 0
-	broken   = 1   // a rule or an expectation of the scenario
-	faulty   = 2   // the scenario, a file or the arguments
-	void     = 3   // the rig itself ran late: the run says nothing
-	stopped  = 130 // ^C
-	rigFault = 4   // the rig could not play: no program, no free address, no room on the disk
+	exitOK          = 0
+	exitViolation   = 1   // a rule or an expectation of the scenario
+	exitUsage       = 2   // the scenario, a file or the arguments
+	exitInvalidRun  = 3   // the rig itself ran late: the run says nothing
+	exitInterrupted = 130 // ^C
+	exitEnvironment = 4   // the rig could not play: no program, no free address, no room on the disk
 )
 
 type commands struct {
@@ -36,7 +36,7 @@
 	List       listCmd       `cmd:"" help:"Name the scenarios that come with the program."`
 	Rehearse   rehearseCmd   `cmd:"" help:"Fit boxes and failures to sidecars' records and play them again."`
 	Diff       diffCmd       `cmd:"" help:"Compare two results."`
-	Asking     askingCmd     `cmd:"" help:"Play in virtual time how a fleet asks one list service, by several rules."`
+	PollSim    pollSimCmd    `cmd:"" name:"asking" help:"Play in virtual time how a fleet asks one list service, by several rules."`
 	Slopes     slopesCmd     `cmd:"" help:"Measure what control costs at sizes that double, with real sidecars."`
 	Scale      scaleCmd      `cmd:"" help:"Measure what thousands of hollow sidecars cost a list service, and how soon a change is in force at all."`
 	Rack       rackCmd       `cmd:"" hidden:"" help:"A rack of hollow sidecars, as scale starts it."`
@@ -54,13 +54,13 @@
 }
 
 // exit is an error that carries its status.
-type exit struct {
+type exitError struct {
 	status int
 	err    error
 }
 
-func (e exit) Error() string { return e.err.Error() }
-func (e exit) Unwrap() error { return e.err }
+func (e exitError) Error() string { return e.err.Error() }
+func (e exitError) Unwrap() error { return e.err }
 
 // Main runs the program and returns its exit status. The command line stands in os.Args.
 func Main() int {
@@ -87,18 +87,18 @@
 	}
 	if err != nil {
 		fmt.Fprintln(t.err, programName+":", err)
-		return faulty
+		return exitUsage
 	}
 	k.BindTo(ctx, (*context.Context)(nil))
 	if err := k.Run(t); err != nil {
-		var e exit
+		var e exitError
 		if !errors.As(err, &e) {
-			e = exit{rigFault, err}
+			e = exitError{exitEnvironment, err}
 		}
 		if e.err != nil {
 			fmt.Fprintln(t.err, programName+":", e.err)
 		}
 		return e.status
 	}
-	return held
+	return exitOK
 }
--- a/internal/lab/cli/decide.go
+++ b/internal/lab/cli/decide.go
@@ -22,7 +22,7 @@
 func (c *decideCmd) Run(ctx context.Context, t *terminal) error {
 	site, err := decision.ReadSite(c.Site)
 	if err != nil {
-		return exit{faulty, err}
+		return exitError{exitUsage, err}
 	}
 	w := tabwriter.NewWriter(t.out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "day\tscheduler\tclass\tcalls\tlate %\ts.e.\timpossible alone %\tfirst token %\tpause %\tshared k tokens read\t")
@@ -31,7 +31,7 @@
 		for _, scheduler := range c.Who {
 			played, err := decision.Seeds(ctx, decision.Config{Site: site, Day: day, Scheduler: decision.Scheduler(scheduler)}, c.Seeds)
 			if err != nil {
-				return exit{faulty, err}
+				return exitError{exitUsage, err}
 			}
 			for _, r := range played {
 				fmt.Fprintf(w, "%s\t%s\t%s\t%.0f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.0f\t\n", day, scheduler, r.Class, r.Calls, r.Late, r.LateError,
@@ -41,13 +41,13 @@
 		}
 	}
 	if err := w.Flush(); err != nil {
-		return exit{rigFault, err}
+		return exitError{exitEnvironment, err}
 	}
 	if c.Plot == "" {
 		return nil
 	}
 	if err := os.WriteFile(c.Plot, decision.Plot(rows), 0o644); err != nil {
-		return exit{rigFault, err}
+		return exitError{exitEnvironment, err}
 	}
 	return nil
 }
--- a/internal/lab/cli/distribute.go
+++ b/internal/lab/cli/distribute.go
@@ -31,24 +31,24 @@
 	if d.Pinelb == "" {
 		own, err := os.Executable()
 		if err != nil {
-			return exit{rigFault, fmt.Errorf("--pinelb: %w", err)}
+			return exitError{exitEnvironment, fmt.Errorf("--pinelb: %w", err)}
 		}
 		d.Pinelb = filepath.Join(filepath.Dir(own), "pinelb")
 	}
 	if err := d.Check(); err != nil {
-		return exit{faulty, fmt.Errorf("--%w", err)}
+		return exitError{exitUsage, fmt.Errorf("--%w", err)}
 	}
 	if c.Out != "" {
 		f, err := os.Create(c.Out)
 		if err != nil {
-			return exit{faulty, fmt.Errorf("--out: %w", err)}
+			return exitError{exitUsage, fmt.Errorf("--out: %w", err)}
 		}
 		defer f.Close()
 		d.Out = f
 	}
 	err := settingsbench.Run(ctx, d)
 	if errors.Is(err, context.Canceled) {
-		return exit{stopped, err}
+		return exitError{exitInterrupted, err}
 	}
 	return err
 }
--- a/internal/lab/cli/play.go
+++ b/internal/lab/cli/play.go
@@ -16,7 +16,7 @@
 )
 
 // playing are the arguments that all commands have that play something.
-type playing struct {
+type playOptions struct {
 	Seed    uint64 `help:"Seed of every draw; 0 is the scenario's own."`
 	Pinelb  string `type:"path" help:"The sidecar's program; beside this one, or found by PATH, if left out."`
 	Other   string `type:"path" help:"A second build, run by fleet.other of the sidecars."`
@@ -24,7 +24,7 @@
 	Virtual bool   `help:"Play in virtual time, with the decision module in place of sidecars."`
 }
 
-type demoCmd struct{ playing }
+type demoCmd struct{ playOptions }
 
 func (c *demoCmd) Run(ctx context.Context, t *terminal) error {
 	if c.Out == "" {
@@ -34,31 +34,31 @@
 		}
 		c.Out = dir
 	}
-	s, err := find("demo")
+	s, err := loadScenario("demo")
 	if err != nil {
 		return err
 	}
-	return c.play(ctx, t, s, experiment.Config{})
+	return c.runAndSummarize(ctx, t, s, experiment.Config{})
 }
 
 type runCmd struct {
 	Scenario string `arg:"" help:"A scenario's file, or the name of one that comes with the program (see list)."`
 	Seeds    int    `default:"1" help:"Play so many seeds, one after another, and end with a table."`
-	playing
+	playOptions
 }
 
 func (c *runCmd) Run(ctx context.Context, t *terminal) error {
-	s, err := find(c.Scenario)
+	s, err := loadScenario(c.Scenario)
 	if err != nil {
 		return err
 	}
 	if c.Seeds < 1 || c.Seeds > 100 {
-		return exit{faulty, errors.New("--seeds must be from 1 to 100")}
+		return exitError{exitUsage, errors.New("--seeds must be from 1 to 100")}
 	}
 	if c.Seeds == 1 {
-		return c.play(ctx, t, s, experiment.Config{})
+		return c.runAndSummarize(ctx, t, s, experiment.Config{})
 	}
-	return c.table(ctx, t, s, c.Seeds)
+	return c.runSeeds(ctx, t, s, c.Seeds)
 }
 
 type checkCmd struct {
@@ -66,7 +66,7 @@
 }
 
 func (c *checkCmd) Run(t *terminal) error {
-	s, err := find(c.Scenario)
+	s, err := loadScenario(c.Scenario)
 	if err != nil {
 		return err
 	}
@@ -85,7 +85,7 @@
 	}
 	for _, e := range entries {
 		name := e.Name()[:len(e.Name())-len(".toml")]
-		s, err := find(name)
+		s, err := loadScenario(name)
 		if err != nil {
 			return err
 		}
@@ -107,7 +107,7 @@
 		}
 		r, err := result.Read(path)
 		if err != nil {
-			return exit{faulty, err}
+			return exitError{exitUsage, err}
 		}
 		read[i] = r
 	}
@@ -115,14 +115,14 @@
 }
 
 // find reads a scenario; a faulty one ends the program with its file, line and key.
-func find(name string) (*scenario.Scenario, error) {
+func loadScenario(name string) (*scenario.Scenario, error) {
 	text, from, err := experiment.Find(name, scenarios.Files.ReadFile)
 	if err != nil {
-		return nil, exit{faulty, err}
+		return nil, exitError{exitUsage, err}
 	}
 	s, err := scenario.Parse(from, text)
 	if err != nil {
-		return nil, exit{faulty, err}
+		return nil, exitError{exitUsage, err}
 	}
 	if at := s.Clients.Recorded; at != "" && !filepath.IsAbs(at) {
 		s.Clients.Recorded = filepath.Join(filepath.Dir(from), at)
@@ -131,7 +131,7 @@
 }
 
 // program finds the sidecar's.
-func (c *playing) program() (string, error) {
+func (c *playOptions) program() (string, error) {
 	if c.Pinelb != "" || c.Virtual {
 		return c.Pinelb, nil
 	}
@@ -143,13 +143,13 @@
 	}
 	path, err := exec.LookPath("pinelb")
 	if err != nil {
-		return "", exit{faulty, errors.New("no pinelb is beside this program or in PATH; build it with \"go build -o bin/ ./cmd/...\" or name it with --pinelb")}
+		return "", exitError{exitUsage, errors.New("no pinelb is beside this program or in PATH; build it with \"go build -o bin/ ./cmd/...\" or name it with --pinelb")}
 	}
 	return filepath.Abs(path)
 }
 
 // once plays a scenario one time and writes what is asked for.
-func (c *playing) once(ctx context.Context, t *terminal, s *scenario.Scenario, base experiment.Config, dir string) (*experiment.Outcome, error) {
+func (c *playOptions) runOnce(ctx context.Context, t *terminal, s *scenario.Scenario, base experiment.Config, dir string) (*experiment.Outcome, error) {
 	program, err := c.program()
 	if err != nil {
 		return nil, err
@@ -182,8 +182,8 @@
 }
 
 // play plays a scenario, prints its summary and ends with its status.
-func (c *playing) play(ctx context.Context, t *terminal, s *scenario.Scenario, base experiment.Config) error {
-	o, err := c.once(ctx, t, s, base, c.Out)
+func (c *playOptions) runAndSummarize(ctx context.Context, t *terminal, s *scenario.Scenario, base experiment.Config) error {
+	o, err := c.runOnce(ctx, t, s, base, c.Out)
 	if o != nil {
 		look := result.Look{Colour: t.colour}
 		if c.Out != "" {
@@ -194,29 +194,29 @@
 		}
 	}
 	if errors.Is(err, context.Canceled) {
-		return exit{stopped, errors.New("stopped")}
+		return exitError{exitInterrupted, errors.New("stopped")}
 	}
 	if err != nil {
 		return err
 	}
-	return verdict(o)
+	return outcomeError(o)
 }
 
 // verdict is the status that a run ends with.
-func verdict(o *experiment.Outcome) error {
+func outcomeError(o *experiment.Outcome) error {
 	switch {
 	case o.Void():
-		return exit{void, errors.New("the rig itself ran late: this run says nothing about the sidecars")}
+		return exitError{exitInvalidRun, errors.New("the rig itself ran late: this run says nothing about the sidecars")}
 	case len(o.Result.Broken) > 0:
-		return exit{broken, errors.New("rules were broken")}
+		return exitError{exitViolation, errors.New("rules were broken")}
 	case !o.Result.Held():
-		return exit{broken, errors.New("an expectation of the scenario did not hold")}
+		return exitError{exitViolation, errors.New("an expectation of the scenario did not hold")}
 	}
 	return nil
 }
 
 // table plays several seeds and prints a line for each.
-func (c *playing) table(ctx context.Context, t *terminal, s *scenario.Scenario, seeds int) error {
+func (c *playOptions) runSeeds(ctx context.Context, t *terminal, s *scenario.Scenario, seeds int) error {
 	first := c.Seed
 	if first == 0 {
 		first = s.Seed
@@ -228,15 +228,15 @@
 		if c.Out != "" {
 			dir = filepath.Join(c.Out, fmt.Sprintf("seed-%d", seed))
 		}
-		o, err := c.once(ctx, t, s, experiment.Config{Seed: seed}, dir)
+		o, err := c.runOnce(ctx, t, s, experiment.Config{Seed: seed}, dir)
 		if errors.Is(err, context.Canceled) {
-			return exit{stopped, errors.New("stopped")}
+			return exitError{exitInterrupted, errors.New("stopped")}
 		}
 		if err != nil {
 			return err
 		}
 		lines = append(lines, o.Result)
-		if err := verdict(o); err != nil && worst == nil {
+		if err := outcomeError(o); err != nil && worst == nil {
 			worst = err
 		}
 	}
--- a/internal/lab/cli/asking.go
+++ b/internal/lab/cli/poll_sim.go
@@ -11,8 +11,8 @@
 	"pinelb.example/pinelb/internal/lab/pollsim"
 )
 
-// askingCmd plays how a fleet asks one list service, in virtual time.
-type askingCmd struct {
+// pollSimCmd plays how a fleet asks one list service, in virtual time.
+type pollSimCmd struct {
 	Sizes  []int         `help:"Numbers of instances." default:"300,1000,5000"`
 	Policy []string      `help:"Rules to compare; all if none is named."`
 	Told   float64       `help:"Instances as each is told, over the true number." default:"1"`
@@ -36,9 +36,9 @@
 }
 
 // Run prints a table: a line for each rule and size, the worst of the seeds in each figure.
-func (c *askingCmd) Run(t *terminal) error {
+func (c *pollSimCmd) Run(t *terminal) error {
 	if err := c.check(); err != nil {
-		return exit{faulty, err}
+		return exitError{exitUsage, err}
 	}
 	names := c.Policy
 	if len(names) == 0 {
@@ -48,7 +48,7 @@
 	for _, name := range names {
 		policy, known := pollsim.Policies[name]
 		if !known {
-			return exit{faulty, fmt.Errorf("--policy: %q is none of %s", name, strings.Join(slices.Sorted(maps.Keys(pollsim.Policies)), ", "))}
+			return exitError{exitUsage, fmt.Errorf("--policy: %q is none of %s", name, strings.Join(slices.Sorted(maps.Keys(pollsim.Policies)), ", "))}
 		}
 		for _, n := range c.Sizes {
 			var worst pollsim.Figures
@@ -65,20 +65,20 @@
 
 // Bounds of a play in virtual time: what the memory and the patience of any machine bear.
 const (
-	askingMost = 1_000_000
-	lengthMost = 24 * time.Hour
+	maxSimulatedCount = 1_000_000
+	maxSimulatedTime  = 24 * time.Hour
 )
 
 // check refuses numbers that can't be played; the error names the flag.
-func (c *askingCmd) check() error {
+func (c *pollSimCmd) check() error {
 	type bound struct {
 		key                string
 		value, least, most float64
 	}
-	bounds := []bound{{"told", c.Told, 1e-3, 1e3}, {"rate", c.Rate, 1e-3, askingMost}, {"burst", float64(c.Burst), 0, askingMost},
-		{"calls", float64(c.Calls), 1, askingMost}, {"line", float64(c.Line), 0, askingMost}, {"cut", c.Cut, 0, 1}, {"seeds", float64(c.Seeds), 1, 100}}
+	bounds := []bound{{"told", c.Told, 1e-3, 1e3}, {"rate", c.Rate, 1e-3, maxSimulatedCount}, {"burst", float64(c.Burst), 0, maxSimulatedCount},
+		{"calls", float64(c.Calls), 1, maxSimulatedCount}, {"line", float64(c.Line), 0, maxSimulatedCount}, {"cut", c.Cut, 0, 1}, {"seeds", float64(c.Seeds), 1, 100}}
 	for _, n := range c.Sizes {
-		bounds = append(bounds, bound{"sizes", float64(n), 1, askingMost})
+		bounds = append(bounds, bound{"sizes", float64(n), 1, maxSimulatedCount})
 	}
 	for _, b := range bounds {
 		if !(b.value >= b.least && b.value <= b.most) { // NaN is neither
@@ -87,13 +87,13 @@
 	}
 	for key, d := range map[string]time.Duration{"spread": c.Spread, "down": c.Down, "up": c.Up, "off": c.Off, "late": c.Late, "news": c.News,
 		"cut-at": c.CutAt, "cut-for": c.CutFor} {
-		if d < 0 || d > lengthMost {
-			return fmt.Errorf("--%s: must be from 0s to %s, not %s", key, lengthMost, d)
+		if d < 0 || d > maxSimulatedTime {
+			return fmt.Errorf("--%s: must be from 0s to %s, not %s", key, maxSimulatedTime, d)
 		}
 	}
 	for key, d := range map[string]time.Duration{"call": c.Call, "length": c.Length} {
-		if d <= 0 || d > lengthMost {
-			return fmt.Errorf("--%s: must be more than 0s, and %s at most, not %s", key, lengthMost, d)
+		if d <= 0 || d > maxSimulatedTime {
+			return fmt.Errorf("--%s: must be more than 0s, and %s at most, not %s", key, maxSimulatedTime, d)
 		}
 	}
 	if c.Off > 0 && c.Up == 0 {
--- a/internal/lab/cli/rehearse.go
+++ b/internal/lab/cli/rehearse.go
@@ -16,8 +16,8 @@
 	"pinelb.example/pinelb/internal/lab/result"
 )
 
-// otherDraws is how many more plays, of other seeds, show how far a rehearsal scatters by itself.
-const otherDraws = 5
+// extraSeeds is how many more plays, of other seeds, show how far a rehearsal scatters by itself.
+const extraSeeds = 5
 
 type rehearseCmd struct {
 	Records     []string `arg:"" name:"record" type:"path" help:"Records of one tier's sidecars, or logs that hold them."`
@@ -31,20 +31,20 @@
 func (c *rehearseCmd) Run(ctx context.Context, t *terminal) error {
 	var records []*accesslog.Record
 	for _, path := range c.Records {
-		r, err := readRecord(path)
+		r, err := readRecordFile(path)
 		if err != nil {
-			return exit{faulty, err}
+			return exitError{exitUsage, err}
 		}
 		records = append(records, r)
 	}
 	r, err := calibration.Fit(records, calibration.Options{Seed: c.Seed, Evaluations: c.Evaluations})
 	if err != nil {
-		return exit{faulty, fmt.Errorf("%s: %w", strings.Join(c.Records, ", "), err)}
+		return exitError{exitUsage, fmt.Errorf("%s: %w", strings.Join(c.Records, ", "), err)}
 	}
 	for _, n := range r.Notes {
 		fmt.Fprintln(t.out, n)
 	}
-	rows, err := c.table(t.out, r)
+	rows, err := c.compareDraws(t.out, r)
 	if err != nil {
 		return err
 	}
@@ -53,18 +53,18 @@
 			return err
 		}
 	}
-	played, err := c.play(ctx, t, r)
+	played, err := c.playWithReport(ctx, t, r)
 	if err != nil {
 		return err
 	}
 	if !calibration.Kept(rows) || !calibration.Kept(played) {
-		return exit{broken, errors.New("the rehearsal is beyond its margin of what was recorded")}
+		return exitError{exitViolation, errors.New("the rehearsal is beyond its margin of what was recorded")}
 	}
 	return nil
 }
 
-// readRecord reads one file; errors name it and the line.
-func readRecord(path string) (*accesslog.Record, error) {
+// readRecordFile reads one file; errors name it and the line.
+func readRecordFile(path string) (*accesslog.Record, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -78,14 +78,14 @@
 }
 
 // table plays the rehearsal and writes its counts beside the observed ones.
-func (c *rehearseCmd) table(out io.Writer, r *calibration.Rehearsal) ([]calibration.Row, error) {
+func (c *rehearseCmd) compareDraws(out io.Writer, r *calibration.Rehearsal) ([]calibration.Row, error) {
 	played, err := r.Play(r.Seed)
 	if err != nil {
 		return nil, err
 	}
 	rows := r.Compare(played)
 	spread := make([][2]int, len(rows))
-	for i := range uint64(otherDraws) {
+	for i := range uint64(extraSeeds) {
 		other, err := r.Play(r.Seed + 1 + i)
 		if err != nil {
 			return nil, err
@@ -102,19 +102,19 @@
 
 // play plays the rehearsal once more with judges and report, where a folder or sockets are asked for. On sockets
 // its counts are compared as well.
-func (c *rehearseCmd) play(ctx context.Context, t *terminal, r *calibration.Rehearsal) ([]calibration.Row, error) {
+func (c *rehearseCmd) playWithReport(ctx context.Context, t *terminal, r *calibration.Rehearsal) ([]calibration.Row, error) {
 	if c.Out == "" && !c.Sockets {
 		return nil, nil
 	}
-	p := playing{Pinelb: c.Pinelb, Virtual: !c.Sockets, Seed: r.Seed}
-	o, err := p.once(ctx, t, r.Scenario, experiment.Config{Arrivals: r.Arrivals}, c.Out)
+	p := playOptions{Pinelb: c.Pinelb, Virtual: !c.Sockets, Seed: r.Seed}
+	o, err := p.runOnce(ctx, t, r.Scenario, experiment.Config{Arrivals: r.Arrivals}, c.Out)
 	switch {
 	case errors.Is(err, context.Canceled):
-		return nil, exit{stopped, errors.New("stopped")}
+		return nil, exitError{exitInterrupted, errors.New("stopped")}
 	case err != nil:
 		return nil, err
 	case o.Void():
-		return nil, exit{void, errors.New("the rig itself ran late: the play on sockets says nothing")}
+		return nil, exitError{exitInvalidRun, errors.New("the rig itself ran late: the play on sockets says nothing")}
 	}
 	look := result.Look{Colour: t.colour}
 	if c.Out != "" {
--- a/internal/lab/cli/rehearse_test.go
+++ b/internal/lab/cli/rehearse_test.go
@@ -16,10 +16,10 @@
 	"pinelb.example/pinelb/internal/lab/simulation"
 )
 
-// recorded writes a virtual run's record to a file.
-func recorded(t *testing.T, path string) {
+// writeRecord writes a virtual run's record to a file.
+func writeRecord(t *testing.T, path string) {
 	t.Helper()
-	s, err := find("demo")
+	s, err := loadScenario("demo")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,16 +49,16 @@
 func TestRehearse(t *testing.T) {
 	dir := t.TempDir()
 	path, out := filepath.Join(dir, "morning.jsonl"), filepath.Join(dir, "out")
-	recorded(t, path)
+	writeRecord(t, path)
 	lab := func(args ...string) (int, string) {
-		var said bytes.Buffer
-		status := run(context.Background(), args, &terminal{out: &said, err: &said})
-		return status, said.String()
+		var output bytes.Buffer
+		status := run(context.Background(), args, &terminal{out: &output, err: &output})
+		return status, output.String()
 	}
-	status, said := lab("rehearse", path, "--evaluations=-1", "--out", out)
+	status, output := lab("rehearse", path, "--evaluations=-1", "--out", out)
 	for _, want := range []string{"order-5 took requests and answered none from", "served in aim", "other draws"} {
-		if status != held || !strings.Contains(said, want) {
-			t.Fatalf("status %d, %q is not in\n%s", status, want, said)
+		if status != exitOK || !strings.Contains(output, want) {
+			t.Fatalf("status %d, %q is not in\n%s", status, want, output)
 		}
 	}
 	for _, name := range []string{"scenario.toml", "record.jsonl", "result.json", "report.html"} {
@@ -66,13 +66,13 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if status, said := lab("run", "--virtual", filepath.Join(out, "scenario.toml")); status == faulty || status == rigFault {
-		t.Errorf("the rehearsal's scenario can't be played: status %d\n%s", status, said)
+	if status, output := lab("run", "--virtual", filepath.Join(out, "scenario.toml")); status == exitUsage || status == exitEnvironment {
+		t.Errorf("the rehearsal's scenario can't be played: status %d\n%s", status, output)
 	}
 	if err := os.WriteFile(path, []byte("{\"rec\":\"stream\"}\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if status, said := lab("rehearse", path); status != faulty || !strings.Contains(said, path) || !strings.Contains(said, "line 1") {
-		t.Errorf("a faulty record: status %d\n%s", status, said)
+	if status, output := lab("rehearse", path); status != exitUsage || !strings.Contains(output, path) || !strings.Contains(output, "line 1") {
+		t.Errorf("a faulty record: status %d\n%s", status, output)
 	}
 }
--- a/internal/lab/cli/routers.go
+++ b/internal/lab/cli/routers.go
@@ -33,7 +33,7 @@
 	for _, text := range c.Losses {
 		loss, err := routers.ParseLoss(text)
 		if err != nil {
-			return exit{faulty, err}
+			return exitError{exitUsage, err}
 		}
 		losses = append(losses, loss)
 	}
@@ -41,7 +41,7 @@
 	if c.Out != "" {
 		file, err := os.OpenFile(c.Out, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 		if err != nil {
-			return exit{faulty, fmt.Errorf("--out: %w", err)}
+			return exitError{exitUsage, fmt.Errorf("--out: %w", err)}
 		}
 		defer file.Close()
 		out = file
@@ -55,7 +55,7 @@
 			Changes: c.Changes, Rest: c.Rest, Within: c.Within, Losses: losses, LossTime: c.LossTime,
 		})
 		if err != nil {
-			return exit{rigFault, err}
+			return exitError{exitEnvironment, err}
 		}
 		fmt.Fprintf(w, "%d\t%d\t%.2f\t%.0f\t%.1f\t%.2f\t%d\t%d\t%d\t%d\t%d\t\n", result.Routers, result.Endpoints, result.RestCPU, result.RestBytes,
 			result.RestDatagrams, result.MemoryMB, result.AcknowledgeMs, result.ChangeP50Ms, result.ChangeP99Ms, result.ChangeLastMs, result.Failed)
@@ -63,7 +63,7 @@
 			fmt.Fprintf(w, "loss %s\t%d lost\ttaken %d ms\tin force %d ms\tback %d ms\t\n", l.Loss, l.Lost, l.TakenMs, l.ForceMs, l.BackMs)
 		}
 		if err := json.NewEncoder(out).Encode(result); err != nil {
-			return exit{rigFault, err}
+			return exitError{exitEnvironment, err}
 		}
 	}
 	return nil
--- a/internal/lab/cli/scale.go
+++ b/internal/lab/cli/scale.go
@@ -44,31 +44,31 @@
 func (c *scaleCmd) Run(ctx context.Context, t *terminal) error {
 	cases, err := c.cases()
 	if err != nil {
-		return exit{faulty, err}
+		return exitError{exitUsage, err}
 	}
 	out := io.Discard
 	if c.Out != "" {
 		file, err := os.OpenFile(c.Out, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 		if err != nil {
-			return exit{faulty, fmt.Errorf("--out: %w", err)}
+			return exitError{exitUsage, fmt.Errorf("--out: %w", err)}
 		}
 		defer file.Close()
 		out = file
 	}
 	w := tabwriter.NewWriter(t.out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, scaleHead)
+	fmt.Fprintln(w, scaleHeader)
 	defer w.Flush()
 	for _, one := range cases {
 		f, err := stubfleet.Play(ctx, one)
 		if errors.Is(err, context.Canceled) {
-			return exit{stopped, errors.New("stopped")}
+			return exitError{exitInterrupted, errors.New("stopped")}
 		}
 		if err != nil {
 			return err
 		}
-		fmt.Fprintln(w, scaleLine(f))
+		fmt.Fprintln(w, formatFigures(f))
 		if f.Real > 0 {
-			fmt.Fprintln(w, realLine(f))
+			fmt.Fprintln(w, formatRealFigures(f))
 		}
 		if err := json.NewEncoder(out).Encode(f); err != nil {
 			return fmt.Errorf("--out: %w", err)
@@ -88,7 +88,7 @@
 	if err != nil {
 		return nil, err
 	}
-	base, section, err := c.base()
+	base, section, err := c.baseCase()
 	if err != nil {
 		return nil, err
 	}
@@ -119,7 +119,7 @@
 }
 
 // base is what all cases share, and the section [discovery] by which the service is asked; nil: there is none.
-func (c *scaleCmd) base() (stubfleet.Case, *config.Discovery, error) {
+func (c *scaleCmd) baseCase() (stubfleet.Case, *config.Discovery, error) {
 	one := stubfleet.Case{Real: c.Real, Racks: c.Racks, Seconds: c.Seconds, Spread: c.Spread, Within: c.Within, Down: c.Down, Calls: c.ServiceCalls,
 		Call: c.ServiceCall, Line: c.ServiceLine, Seed: c.Seed, Operator: c.Config}
 	self, err := os.Executable()
@@ -128,7 +128,7 @@
 	}
 	one.Rack = func() *exec.Cmd { return exec.Command(self, "rack") }
 	if c.Real > 0 {
-		if one.Program, err = (&playing{Pinelb: c.Pinelb}).program(); err != nil {
+		if one.Program, err = (&playOptions{Pinelb: c.Pinelb}).program(); err != nil {
 			return one, nil, fmt.Errorf("--real: %w", err)
 		}
 	}
@@ -145,28 +145,28 @@
 	return one, op.Discovery, nil
 }
 
-const scaleHead = "scenario\tpaced\tsidecars\treal\thosts\tchanges/s\tcalls/s\tturned\tconns\tB/s each\tB/s worst 6 s\tin force p50\tp99\tlast ms\tnever\tfirst p50\tp99\tlast ms\tnever\t" +
+const scaleHeader = "scenario\tpaced\tsidecars\treal\thosts\tchanges/s\tcalls/s\tturned\tconns\tB/s each\tB/s worst 6 s\tin force p50\tp99\tlast ms\tnever\tfirst p50\tp99\tlast ms\tnever\t" +
 	"service cores\tCPU ms/s each\tKB each\twrong\tload\t"
 
-// scaleLine words figures.
-func scaleLine(f stubfleet.Figures) string {
+// formatFigures words figures.
+func formatFigures(f stubfleet.Figures) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s\t%g\t%d\t%d\t%d\t%.3g\t%.1f\t%d\t%d\t%.0f\t%.0f\t", f.Scenario, f.Rate, f.Sidecars, f.Real, f.Hosts, f.Asked, f.CallsPerS, f.Turned,
 		f.Connections, f.BytesEach, f.WorstBytes)
-	fmt.Fprintf(&b, "%s\t%s\t%s\t%d\t", ms(f.InForceP50), ms(f.InForceP99), ms(f.InForceLast), f.Never)
-	fmt.Fprintf(&b, "%s\t%s\t%s\t%d\t", ms(f.FirstP50), ms(f.FirstP99), ms(f.FirstLast), f.FirstNever)
+	fmt.Fprintf(&b, "%s\t%s\t%s\t%d\t", formatMs(f.InForceP50), formatMs(f.InForceP99), formatMs(f.InForceLast), f.Never)
+	fmt.Fprintf(&b, "%s\t%s\t%s\t%d\t", formatMs(f.FirstP50), formatMs(f.FirstP99), formatMs(f.FirstLast), f.FirstNever)
 	fmt.Fprintf(&b, "%.2f\t%.2f\t%.0f\t%d\t%.1f\t", f.ServiceCores, f.HollowCPU, f.HollowMemory, f.Wrong, math.Max(f.Load, f.LoadAfter))
 	return b.String()
 }
 
-// realLine words those of the real sidecars of the same play, in the same columns.
-func realLine(f stubfleet.Figures) string {
+// formatRealFigures words those of the real sidecars of the same play, in the same columns.
+func formatRealFigures(f stubfleet.Figures) string {
 	return fmt.Sprintf("(real)\t%g\t-\t%d\t%d\t%.3g\t%.1f\t-\t%d\t%.0f\t-\t%s\t%s\t%s\t%d\t%s\t%s\t%s\t%d\t\t\t\t\t\t", f.Rate, f.Real, f.Hosts, f.Asked,
-		f.RealCallsEach*float64(f.Real), f.RealConnections, f.RealBytesEach, ms(f.RealInForceP50), ms(f.RealInForceP99), ms(f.RealInForceLast), f.RealNever,
-		ms(f.RealFirstP50), ms(f.RealFirstP99), ms(f.RealFirstLast), f.RealFirstNever)
+		f.RealCallsEach*float64(f.Real), f.RealConnections, f.RealBytesEach, formatMs(f.RealInForceP50), formatMs(f.RealInForceP99), formatMs(f.RealInForceLast), f.RealNever,
+		formatMs(f.RealFirstP50), formatMs(f.RealFirstP99), formatMs(f.RealFirstLast), f.RealFirstNever)
 }
 
-func ms(v float64) string {
+func formatMs(v float64) string {
 	if v == 0 {
 		return "-"
 	}
--- a/internal/lab/cli/scale_test.go
+++ b/internal/lab/cli/scale_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// What the scale tests can't play is refused at once, before anything is started or written, with the key named.
-func TestScaleRefuses(t *testing.T) {
+// TestScaleRejectsInvalidFlags guards against starting or writing anything for cases that cannot be played: they are rejected at once, with the flag named.
+func TestScaleRejectsInvalidFlags(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
 		path := filepath.Join(dir, name)
@@ -20,7 +20,7 @@
 		return path
 	}
 	out := filepath.Join(dir, "out.jsonl")
-	for _, c := range []struct{ arg, names string }{
+	for _, c := range []struct{ arg, want string }{
 		{"--sidecars=0", "--sidecars"},
 		{"--sidecars=-5", "--sidecars"},
 		{"--sidecars=many", "--sidecars"},
@@ -50,30 +50,30 @@
 		{"--config=" + write("text.toml", "[discovery]\ncalls = \"many\"\n"), "discovery.calls"},
 		{"--out=" + filepath.Join(dir, "none", "out.jsonl"), "--out"},
 	} {
-		var told bytes.Buffer
-		status := run(context.Background(), []string{"scale", "--out=" + out, c.arg}, &terminal{out: &bytes.Buffer{}, err: &told})
-		if status != faulty || !strings.Contains(told.String(), c.names) {
-			t.Errorf("%s: status %d, %s", c.arg, status, told.String())
+		var stderr bytes.Buffer
+		status := run(context.Background(), []string{"scale", "--out=" + out, c.arg}, &terminal{out: &bytes.Buffer{}, err: &stderr})
+		if status != exitUsage || !strings.Contains(stderr.String(), c.want) {
+			t.Errorf("%s: status %d, %s", c.arg, status, stderr.String())
 		}
 	}
 	if _, err := os.Stat(out); err == nil {
-		t.Error("a refused run has written its output")
+		t.Error("a rejected run has written its output")
 	}
 }
 
-// So are the numbers of plays in virtual time.
-func TestAskingRefuses(t *testing.T) {
+// TestPollSimRejectsInvalidFlags guards against playing impossible numbers in virtual time.
+func TestPollSimRejectsInvalidFlags(t *testing.T) {
 	for _, arg := range []string{"--sizes=0", "--sizes=-300", "--sizes=many", "--sizes=2000000000", "--told=0", "--told=NaN", "--rate=0", "--rate=-1", "--rate=NaN",
 		"--burst=-1", "--calls=0", "--line=-1", "--cut=2", "--cut=-0.1", "--seeds=0", "--seeds=1000000", "--spread=-1s", "--down=-1s", "--down=1000h",
 		"--call=0s", "--length=0s", "--length=-1s", "--length=9999h", "--cut-at=-1s", "--cut-for=-1s", "--news=-1s", "--off=1s", "--late=-1s"} {
-		var told bytes.Buffer
-		status := run(context.Background(), []string{"asking", "--policy=pace", arg}, &terminal{out: &bytes.Buffer{}, err: &told})
+		var stderr bytes.Buffer
+		status := run(context.Background(), []string{"asking", "--policy=pace", arg}, &terminal{out: &bytes.Buffer{}, err: &stderr})
 		key, _, _ := strings.Cut(arg, "=")
 		if key == "--off" {
 			key = "--up"
 		}
-		if status != faulty || !strings.Contains(told.String(), key+":") {
-			t.Errorf("%s: status %d, %s", arg, status, told.String())
+		if status != exitUsage || !strings.Contains(stderr.String(), key+":") {
+			t.Errorf("%s: status %d, %s", arg, status, stderr.String())
 		}
 	}
 }
--- a/internal/lab/cli/slopes.go
+++ b/internal/lab/cli/slopes.go
@@ -25,7 +25,7 @@
 }
 
 // measuring is what all measurements share.
-type measuring struct {
+type measureOptions struct {
 	Pinelb string `help:"The sidecar's program." default:"" placeholder:"FILE"`
 	Out    string `help:"File to which lines of JSON are appended; none is standard output." placeholder:"FILE"`
 	Trial  bool   `help:"Mark the lines as a trial's."`
@@ -33,7 +33,7 @@
 }
 
 // point is one line of results.
-type point struct {
+type resultPoint struct {
 	What    string  `json:"what"`
 	Trial   bool    `json:"trial,omitempty"`
 	Command string  `json:"command"`
@@ -41,11 +41,11 @@
 }
 
 // program is the sidecar's, beside this one where none is named. That lines can be written is seen before anything is measured.
-func (m *measuring) program() (string, error) {
+func (m *measureOptions) prepare() (string, error) {
 	if m.Out != "" {
 		f, err := os.OpenFile(m.Out, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 		if err != nil {
-			return "", exit{faulty, fmt.Errorf("--out: %w", err)}
+			return "", exitError{exitUsage, fmt.Errorf("--out: %w", err)}
 		}
 		f.Close()
 	}
@@ -58,18 +58,18 @@
 		path = filepath.Join(filepath.Dir(own), "pinelb")
 	}
 	if _, err := os.Stat(path); err != nil {
-		return "", exit{rigFault, fmt.Errorf("--pinelb: %w", err)}
+		return "", exitError{exitEnvironment, fmt.Errorf("--pinelb: %w", err)}
 	}
 	return path, nil
 }
 
 // begin is the head of a measurement's lines.
-func (m *measuring) begin(what string) point {
-	return point{What: what, Trial: m.Trial, Command: programName + " " + strings.Join(os.Args[1:], " "), Load: footprint.Load()}
+func (m *measureOptions) newPoint(what string) resultPoint {
+	return resultPoint{What: what, Trial: m.Trial, Command: programName + " " + strings.Join(os.Args[1:], " "), Load: footprint.Load()}
 }
 
 // write appends a line to the results.
-func (m *measuring) write(t *terminal, line any) error {
+func (m *measureOptions) write(t *terminal, line any) error {
 	text, err := json.Marshal(line)
 	if err != nil {
 		return err
@@ -80,7 +80,7 @@
 	}
 	f, err := os.OpenFile(m.Out, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
-		return exit{faulty, fmt.Errorf("--out: %w", err)}
+		return exitError{exitUsage, fmt.Errorf("--out: %w", err)}
 	}
 	defer f.Close()
 	_, err = fmt.Fprintln(f, string(text))
@@ -89,7 +89,7 @@
 
 // slopesControlCmd measures sidecars at rest.
 type slopesControlCmd struct {
-	measuring
+	measureOptions
 	Hosts     []int         `help:"On the list." default:"106,212,425,850,1700"`
 	Changes   []float64     `help:"Of the list a second." default:"0"`
 	Processes []int         `help:"Sidecars beside each other, of which the sum is taken." default:"1"`
@@ -104,12 +104,12 @@
 }
 
 type controlPoint struct {
-	point
+	resultPoint
 	Mode      string  `json:"mode"`
 	Hosts     int     `json:"hosts"`
 	Changes   float64 `json:"changes_per_s"`
 	Processes int     `json:"processes"`
-	Told      int     `json:"instances"` // 0: as many as hosts
+	Instances int     `json:"instances"` // 0: as many as hosts
 	Seconds   float64 `json:"seconds"`
 	Beside    int     `json:"beside"`
 	footprint.Taken
@@ -117,18 +117,18 @@
 
 // check names the first key whose number can't be.
 func (c *slopesControlCmd) check() error {
-	var b bounds
-	b.number("repeat", float64(c.Repeat), 1, repeatMost)
-	b.sizes("hosts", c.Hosts, hostsMost)
+	var b flagChecker
+	b.number("repeat", float64(c.Repeat), 1, maxRepeats)
+	b.sizes("hosts", c.Hosts, maxHosts)
 	b.rates("changes", c.Changes, 0)
-	b.sizes("processes", c.Processes, processesMost)
+	b.sizes("processes", c.Processes, maxProcesses)
 	for i, n := range c.Instances {
-		b.number(fmt.Sprintf("instances[%d]", i), float64(n), 0, hostsMost)
+		b.number(fmt.Sprintf("instances[%d]", i), float64(n), 0, maxHosts)
 	}
-	b.span("settle", c.Settle, 0)
-	b.number("windows", float64(c.Windows), 1, repeatMost)
-	b.span("window", c.Window, windowLeast)
-	b.number("beside", float64(c.Beside), 1, processesMost)
+	b.duration("settle", c.Settle, 0)
+	b.number("windows", float64(c.Windows), 1, maxRepeats)
+	b.duration("window", c.Window, minWindow)
+	b.number("beside", float64(c.Beside), 1, maxProcesses)
 	if b.err == nil {
 		b.processes("processes", slices.Max(c.Processes), c.Beside)
 	}
@@ -139,7 +139,7 @@
 	if err := c.check(); err != nil {
 		return err
 	}
-	program, err := c.program()
+	program, err := c.prepare()
 	if err != nil {
 		return err
 	}
@@ -147,7 +147,7 @@
 	if c.Operator != "" {
 		text, err := os.ReadFile(c.Operator)
 		if err != nil {
-			return exit{faulty, fmt.Errorf("--operator: %w", err)}
+			return exitError{exitUsage, fmt.Errorf("--operator: %w", err)}
 		}
 		operator = string(text)
 	}
@@ -156,34 +156,34 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	head := c.begin("control")
+	head := c.newPoint("control")
 	var points []*controlPoint
 	for range c.Repeat {
 		for _, hosts := range c.Hosts {
 			for _, changes := range c.Changes {
 				for _, n := range c.Processes {
 					for _, told := range c.Instances {
-						points = append(points, &controlPoint{point: head, Mode: c.Mode, Hosts: hosts, Changes: changes, Processes: n,
-							Told: told, Seconds: (time.Duration(c.Windows) * c.Window).Seconds(), Beside: c.Beside})
+						points = append(points, &controlPoint{resultPoint: head, Mode: c.Mode, Hosts: hosts, Changes: changes, Processes: n,
+							Instances: told, Seconds: (time.Duration(c.Windows) * c.Window).Seconds(), Beside: c.Beside})
 					}
 				}
 			}
 		}
 	}
-	return inBatches(ctx, points, c.Beside, func(i int, p *controlPoint) (err error) {
+	return measureInBatches(ctx, points, c.Beside, func(i int, p *controlPoint) (err error) {
 		own := filepath.Join(dir, fmt.Sprint(i))
 		if err := os.Mkdir(own, 0o700); err != nil {
 			return err
 		}
 		p.Load = footprint.Load()
-		p.Taken, err = footprint.Control{Program: program, Dir: own, Hosts: p.Hosts, Changes: p.Changes, Processes: p.Processes, Instances: p.Told, Operator: operator, Operators: c.Operators,
+		p.Taken, err = footprint.Control{Program: program, Dir: own, Hosts: p.Hosts, Changes: p.Changes, Processes: p.Processes, Instances: p.Instances, Operator: operator, Operators: c.Operators,
 			Settle: c.Settle, Windows: c.Windows, Window: c.Window}.Measure(ctx)
 		return err
 	}, func(p *controlPoint) error { return c.write(t, p) })
 }
 
-// inBatches measures points, so many at a time, and tells each batch's in order; the first fault ends it.
-func inBatches[P any](ctx context.Context, points []*P, beside int, measure func(int, *P) error, tell func(*P) error) error {
+// measureInBatches measures points, so many at a time, and tells each batch's in order; the first fault ends it.
+func measureInBatches[P any](ctx context.Context, points []*P, beside int, measure func(int, *P) error, tell func(*P) error) error {
 	for from := 0; from < len(points); from += beside {
 		batch := points[from:min(from+beside, len(points))]
 		faults := make([]error, len(batch))
@@ -206,14 +206,14 @@
 
 // slopesSettingsCmd measures changes of settings by hand.
 type slopesSettingsCmd struct {
-	measuring
+	measureOptions
 	Known   []int `help:"Hosts that the configuration names." default:"12,106,212,425,850,1700"`
 	Classes []int `help:"Of the settings." default:"3"`
 	Changes int   `help:"One after the other." default:"60"`
 }
 
 type settingsPoint struct {
-	point
+	resultPoint
 	Known   int `json:"known"`
 	Classes int `json:"classes"`
 	Changes int `json:"changes"`
@@ -222,11 +222,11 @@
 
 // check names the first key whose number can't be.
 func (c *slopesSettingsCmd) check() error {
-	var b bounds
-	b.number("repeat", float64(c.Repeat), 1, repeatMost)
-	b.sizes("known", c.Known, hostsMost)
-	b.sizes("classes", c.Classes, classesMost)
-	b.number("changes", float64(c.Changes), 1, changesMost)
+	var b flagChecker
+	b.number("repeat", float64(c.Repeat), 1, maxRepeats)
+	b.sizes("known", c.Known, maxHosts)
+	b.sizes("classes", c.Classes, maxClasses)
+	b.number("changes", float64(c.Changes), 1, maxChanges)
 	return b.err
 }
 
@@ -234,7 +234,7 @@
 	if err := c.check(); err != nil {
 		return err
 	}
-	program, err := c.program()
+	program, err := c.prepare()
 	if err != nil {
 		return err
 	}
@@ -250,7 +250,7 @@
 				if err := os.MkdirAll(own, 0o700); err != nil {
 					return err
 				}
-				p := settingsPoint{point: c.begin("settings"), Known: known, Classes: classes, Changes: c.Changes}
+				p := settingsPoint{resultPoint: c.newPoint("settings"), Known: known, Classes: classes, Changes: c.Changes}
 				if p.Retuned, err = (footprint.Retune{Program: program, Dir: own, Known: known, Classes: classes, Changes: c.Changes}).Measure(ctx); err != nil {
 					return err
 				}
--- a/internal/lab/cli/slopes_audit.go
+++ b/internal/lab/cli/slopes_audit.go
@@ -12,7 +12,7 @@
 
 // slopesAuditCmd measures an auditor's rounds.
 type slopesAuditCmd struct {
-	measuring
+	measureOptions
 	Sidecars []int         `help:"Real processes, all audited." default:"25,50,100"`
 	StandIns []int         `help:"Stand-ins in place of processes, all audited." default:"212,425,850,1700"`
 	Trail    time.Duration `help:"Of a stand-in: attempts of so long are in its trail." default:"1m"`
@@ -20,7 +20,7 @@
 }
 
 type auditPoint struct {
-	point
+	resultPoint
 	Mode     string  `json:"mode"` // processes or stand-ins
 	Sidecars int     `json:"sidecars"`
 	Trail    float64 `json:"trail_s"`
@@ -29,16 +29,16 @@
 
 // check names the first key whose number can't be.
 func (c *slopesAuditCmd) check() error {
-	var b bounds
-	b.number("repeat", float64(c.Repeat), 1, repeatMost)
-	b.sizes("sidecars", c.Sidecars, processesMost)
+	var b flagChecker
+	b.number("repeat", float64(c.Repeat), 1, maxRepeats)
+	b.sizes("sidecars", c.Sidecars, maxProcesses)
 	for i, n := range c.Sidecars {
 		b.processes(fmt.Sprintf("sidecars[%d]", i), n, 1)
 	}
-	b.sizes("stand-ins", c.StandIns, hostsMost)
+	b.sizes("stand-ins", c.StandIns, maxHosts)
 	b.listeners("stand-ins", c.StandIns)
-	b.span("trail", c.Trail, 0)
-	b.number("rounds", float64(c.Rounds), 1, repeatMost)
+	b.duration("trail", c.Trail, 0)
+	b.number("rounds", float64(c.Rounds), 1, maxRepeats)
 	return b.err
 }
 
@@ -46,7 +46,7 @@
 	if err := c.check(); err != nil {
 		return err
 	}
-	program, err := c.program()
+	program, err := c.prepare()
 	if err != nil {
 		return err
 	}
@@ -57,12 +57,12 @@
 	defer os.RemoveAll(dir)
 	for n := range c.Repeat {
 		for _, size := range c.Sidecars {
-			if err := c.one(ctx, t, footprint.Audit{Program: program, Dir: filepath.Join(dir, fmt.Sprint("processes", size, n)), Sidecars: size, Rounds: c.Rounds}); err != nil {
+			if err := c.measureSize(ctx, t, footprint.Audit{Program: program, Dir: filepath.Join(dir, fmt.Sprint("processes", size, n)), Sidecars: size, Rounds: c.Rounds}); err != nil {
 				return err
 			}
 		}
 		for _, size := range c.StandIns {
-			if err := c.one(ctx, t, footprint.Audit{Program: program, Dir: filepath.Join(dir, fmt.Sprint("stand-ins", size, n)), Sidecars: size, Rounds: c.Rounds,
+			if err := c.measureSize(ctx, t, footprint.Audit{Program: program, Dir: filepath.Join(dir, fmt.Sprint("stand-ins", size, n)), Sidecars: size, Rounds: c.Rounds,
 				StandIns: true, Trail: c.Trail}); err != nil {
 				return err
 			}
@@ -72,11 +72,11 @@
 }
 
 // one measures and tells one size.
-func (c *slopesAuditCmd) one(ctx context.Context, t *terminal, a footprint.Audit) error {
+func (c *slopesAuditCmd) measureSize(ctx context.Context, t *terminal, a footprint.Audit) error {
 	if err := os.Mkdir(a.Dir, 0o700); err != nil {
 		return err
 	}
-	p := auditPoint{point: c.begin("audit"), Mode: "processes", Sidecars: a.Sidecars, Trail: a.Trail.Seconds()}
+	p := auditPoint{resultPoint: c.newPoint("audit"), Mode: "processes", Sidecars: a.Sidecars, Trail: a.Trail.Seconds()}
 	if a.StandIns {
 		p.Mode = "stand-ins"
 	}
--- a/internal/lab/cli/slopes_module.go
+++ b/internal/lab/cli/slopes_module.go
@@ -25,7 +25,7 @@
 }
 
 type modulePoint struct {
-	point
+	resultPoint
 	Mode   string  `json:"mode"` // decision, change or list
 	Hosts  int     `json:"hosts"`
 	Micros float64 `json:"us_per_op"`
@@ -34,19 +34,19 @@
 }
 
 // benched is a line of go test -bench, of a benchmark by hosts.
-var benched = regexp.MustCompile(`^Benchmark(Decision|Change|List)/(\d+)hosts\S*\s+\d+\s+(\S+) ns/op\s+(\d+) B/op\s+(\d+) allocs/op`)
+var benchmarkLine = regexp.MustCompile(`^Benchmark(Decision|Change|List)/(\d+)hosts\S*\s+\d+\s+(\S+) ns/op\s+(\d+) B/op\s+(\d+) allocs/op`)
 
 // Run takes the benchmarks.
 func (c *slopesModuleCmd) Run(ctx context.Context, t *terminal) error {
-	var b bounds
-	b.sizes("sizes", c.Sizes, hostsMost)
-	b.number("count", float64(c.Count), 1, repeatMost)
-	b.span("time", c.Time, windowLeast)
+	var b flagChecker
+	b.sizes("sizes", c.Sizes, maxHosts)
+	b.number("count", float64(c.Count), 1, maxRepeats)
+	b.duration("time", c.Time, minWindow)
 	if b.err != nil {
 		return b.err
 	}
-	m := measuring{Out: c.Out, Trial: c.Trial}
-	head := m.begin("module")
+	m := measureOptions{Out: c.Out, Trial: c.Trial}
+	head := m.newPoint("module")
 	cmd := exec.CommandContext(ctx, "go", "test", "-run", "^$", "-bench", "^Benchmark(Decision|Change|List)$", "-count", strconv.Itoa(c.Count),
 		"-benchtime", c.Time.String(), "-benchmem", "./balance")
 	cmd.Dir = c.In
@@ -58,11 +58,11 @@
 	}
 	head.Load = footprint.Load()
 	for line := range strings.Lines(string(text)) {
-		p, ok := benchedAt(line)
+		p, ok := parseBenchmark(line)
 		if !ok || !slices.Contains(c.Sizes, p.Hosts) {
 			continue
 		}
-		p.point = head
+		p.resultPoint = head
 		if err := m.write(t, p); err != nil {
 			return err
 		}
@@ -70,8 +70,8 @@
 	return nil
 }
 
-func benchedAt(line string) (p modulePoint, ok bool) {
-	found := benched.FindStringSubmatch(line)
+func parseBenchmark(line string) (p modulePoint, ok bool) {
+	found := benchmarkLine.FindStringSubmatch(line)
 	if found == nil {
 		return p, false
 	}
--- a/internal/lab/cli/slopes_page.go
+++ b/internal/lab/cli/slopes_page.go
@@ -17,15 +17,15 @@
 
 // Run fits and writes. A faulty file or result ends it with status 2.
 func (c *slopesPageCmd) Run(t *terminal) error {
-	plan, files, err := readSlopes(c.Plan)
+	plan, files, err := readPlan(c.Plan)
 	if err != nil {
-		return exit{faulty, err}
+		return exitError{exitUsage, err}
 	}
 	if c.Dry {
 		for i := range plan.Tables {
 			text, err := plan.Tables[i].Markdown(files)
 			if err != nil {
-				return exit{faulty, err}
+				return exitError{exitUsage, err}
 			}
 			fmt.Fprintf(t.out, "%s\n\n%s\n", plan.Tables[i].Name, text)
 		}
@@ -33,17 +33,17 @@
 	}
 	page, err := os.ReadFile(c.Page)
 	if err != nil {
-		return exit{faulty, fmt.Errorf("--page: %w", err)}
+		return exitError{exitUsage, fmt.Errorf("--page: %w", err)}
 	}
 	text, err := plan.Fill(string(page), files)
 	if err != nil {
-		return exit{faulty, err}
+		return exitError{exitUsage, err}
 	}
 	return os.WriteFile(c.Page, []byte(text), 0o644)
 }
 
-// readSlopes reads a plan and the results beside it.
-func readSlopes(path string) (*scalefit.Plan, map[string][]scalefit.Line, error) {
+// readPlan reads a plan and the results beside it.
+func readPlan(path string) (*scalefit.Plan, map[string][]scalefit.Line, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, nil, fmt.Errorf("--plan: %w", err)
--- a/internal/lab/cli/slopes_requests.go
+++ b/internal/lab/cli/slopes_requests.go
@@ -12,13 +12,13 @@
 
 // slopesRequestsCmd measures what requests cost a sidecar.
 type slopesRequestsCmd struct {
-	measuring
+	measureOptions
 	Rates  []float64     `help:"Requests a second." default:"53,106,212,424"`
 	Window time.Duration `help:"Length of each measurement, and of the one without a sidecar before it." default:"10s"`
 }
 
 type requestsPoint struct {
-	point
+	resultPoint
 	Rate    float64 `json:"requests_per_s"`
 	Seconds float64 `json:"seconds"`
 	footprint.Requested
@@ -26,10 +26,10 @@
 
 // check names the first key whose number can't be.
 func (c *slopesRequestsCmd) check() error {
-	var b bounds
-	b.number("repeat", float64(c.Repeat), 1, repeatMost)
+	var b flagChecker
+	b.number("repeat", float64(c.Repeat), 1, maxRepeats)
 	b.rates("rates", c.Rates, 0.1)
-	b.span("window", c.Window, time.Second)
+	b.duration("window", c.Window, time.Second)
 	return b.err
 }
 
@@ -37,7 +37,7 @@
 	if err := c.check(); err != nil {
 		return err
 	}
-	program, err := c.program()
+	program, err := c.prepare()
 	if err != nil {
 		return err
 	}
@@ -52,7 +52,7 @@
 			if err := os.Mkdir(own, 0o700); err != nil {
 				return err
 			}
-			p := requestsPoint{point: c.begin("requests"), Rate: rate, Seconds: c.Window.Seconds()}
+			p := requestsPoint{resultPoint: c.newPoint("requests"), Rate: rate, Seconds: c.Window.Seconds()}
 			if p.Requested, err = (footprint.Requests{Program: program, Dir: own, Rate: rate, Window: c.Window, Seed: uint64(n + 1)}).Measure(ctx); err != nil {
 				return err
 			}
--- a/internal/lab/cli/sweep.go
+++ b/internal/lab/cli/sweep.go
@@ -20,20 +20,20 @@
 	Scenario string            `arg:"" help:"A scenario's file or name."`
 	Vary     []experiment.Vary `sep:"none" placeholder:"KEY=V,V" help:"A key and its values, such as fleet.sidecars=1,10,50; again for further keys."`
 	Seeds    int               `default:"5" help:"How many seeds for each combination."`
-	playing
+	playOptions
 }
 
 func (c *sweepCmd) Run(ctx context.Context, t *terminal) error {
 	text, from, err := experiment.Find(c.Scenario, scenarios.Files.ReadFile)
 	if err != nil {
-		return exit{faulty, err}
+		return exitError{exitUsage, err}
 	}
 	variants, err := experiment.Variants(from, text, c.Vary)
 	if err != nil {
-		return exit{faulty, err}
+		return exitError{exitUsage, err}
 	}
 	if c.Seeds < 1 || c.Seeds > 100 {
-		return exit{faulty, errors.New("--seeds must be from 1 to 100")}
+		return exitError{exitUsage, errors.New("--seeds must be from 1 to 100")}
 	}
 	side := 1
 	if c.Virtual {
@@ -56,14 +56,14 @@
 			turns <- struct{}{}
 			all.Go(func() {
 				defer func() { <-turns }()
-				o, err := c.once(ctx, &quiet, v.Scenario, experiment.Config{Seed: seed + uint64(k)}, "")
+				o, err := c.runOnce(ctx, &quiet, v.Scenario, experiment.Config{Seed: seed + uint64(k)}, "")
 				mu.Lock()
 				defer mu.Unlock()
 				switch {
 				case err != nil:
 					first = errors.Join(first, err)
 				case o.Void():
-					first = errors.Join(first, exit{void, fmt.Errorf("%s, seed %d: the rig ran late", strings.Join(v.Words, " "), seed+uint64(k))})
+					first = errors.Join(first, exitError{exitInvalidRun, fmt.Errorf("%s, seed %d: the rig ran late", strings.Join(v.Words, " "), seed+uint64(k))})
 				default:
 					results[i][k] = o.Result
 				}
@@ -72,16 +72,16 @@
 	}
 	all.Wait()
 	if errors.Is(first, context.Canceled) {
-		return exit{stopped, errors.New("stopped")}
+		return exitError{exitInterrupted, errors.New("stopped")}
 	}
 	if first != nil {
 		return first
 	}
-	return c.table(t, variants, results)
+	return c.printTable(t, variants, results)
 }
 
 // table prints a line for each combination.
-func (c *sweepCmd) table(t *terminal, variants []experiment.Variant, results [][]*result.Result) error {
+func (c *sweepCmd) printTable(t *terminal, variants []experiment.Variant, results [][]*result.Result) error {
 	w := tabwriter.NewWriter(t.out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	for _, v := range c.Vary {
 		fmt.Fprintf(w, "%s\t", v.Key)
--- a/internal/lab/cli/variants.go
+++ b/internal/lab/cli/variants.go
@@ -17,7 +17,7 @@
 func (c *variantsCmd) Run(_ context.Context, t *terminal) error {
 	paths, err := variants.Write(c.Site, c.Into)
 	if err != nil {
-		return exit{faulty, err}
+		return exitError{exitUsage, err}
 	}
 	for _, path := range paths {
 		fmt.Fprintln(t.out, path)
