--- a/internal/lab/cli/cli.go
+++ b/internal/lab/cli/cli.go
@@ -1,5 +1,8 @@
 // Package cli is the command line of the test lab, pinelb-testlab: it plays scenarios against real sidecars on loopback sockets, or
-// against the decision module in virtual time, judges what both ends saw, and reports it.
+// against the decision module in virtual time, judges what both ends saw, and reports it. Only cmd/pinelb-testlab calls it.
+//
+// A command is a type with the flags as fields (read by kong) and a method Run. Run returns an exitError for every status but
+// exitOK; any other error ends the program with exitEnvironment. Flags are checked before anything is started or written.
 package cli
 
 import (
@@ -23,11 +26,12 @@
 	exitOK          = 0
 	exitViolation   = 1   // a rule or an expectation of the scenario
 	exitUsage       = 2   // the scenario, a file or the arguments
-	exitInvalidRun  = 3   // the rig itself ran late: the run says nothing
-	exitInterrupted = 130 // ^C
-	exitEnvironment = 4   // the rig could not play: no program, no free address, no room on the disk
+	exitInvalidRun  = 3   // the test lab itself ran late: the run says nothing
+	exitInterrupted = 130 // SIGINT or SIGTERM
+	exitEnvironment = 4   // the test lab could not play: no program, no free address, no space on the disk
 )
 
+// commands are the command line's commands; kong derives their names from the fields unless a tag gives one.
 type commands struct {
 	Demo       demoCmd       `cmd:"" default:"withargs" help:"Emulated boxes, one sidecar, ten seconds of load and a failure in the middle."`
 	Run        runCmd        `cmd:"" help:"Play a scenario and judge it."`
@@ -46,14 +50,14 @@
 	Decide     decideCmd     `cmd:"" help:"Play the routers' decision before a model of the engines, beside a scheduler that knows everything."`
 }
 
-// terminal is where the program writes.
+// terminal is the program's output.
 type terminal struct {
 	out, err io.Writer
 	colour   bool // out is a terminal
 	progress bool // err is a terminal
 }
 
-// exit is an error that carries its status.
+// exitError is an error with the exit status that it ends the program with. A nil err ends it without a message.
 type exitError struct {
 	status int
 	err    error
@@ -71,7 +75,7 @@
 	return status
 }
 
-// run is the whole program but for the process.
+// run is the program without the process: it returns the exit status.
 func run(ctx context.Context, args []string, t *terminal) (status int) {
 	var c commands
 	done := -1
@@ -79,7 +83,7 @@
 		kong.Description("Plays scenarios against pinelb on loopback sockets or in virtual time, and judges them."),
 		kong.UsageOnError())
 	if err != nil {
-		panic(err) // the commands above are at fault
+		panic(err) // a mistake in the tags of commands
 	}
 	k, err := parser.Parse(args)
 	if done >= 0 { // help was asked for
--- a/internal/lab/cli/decide.go
+++ b/internal/lab/cli/decide.go
@@ -9,7 +9,7 @@
 	"pinelb.example/pinelb/internal/lab/decision"
 )
 
-// decideCmd plays the decision alone before a model of the engines.
+// decideCmd plays placement decisions against a model of the engines, without sockets.
 type decideCmd struct {
 	Site  string   `arg:"" placeholder:"FILE" help:"A site file of the bench."`
 	Days  []string `help:"Days whose traffic is played, without their troubles." default:"quiet-1,scale-1"`
@@ -18,7 +18,7 @@
 	Plot  string   `help:"File for a plot of the late shares (SVG)." placeholder:"FILE"`
 }
 
-// Run plays each day with each scheduler on the same calls, and prints the shares that are late by cause.
+// Run plays each day with each scheduler on the same calls, and prints the shares of late calls by cause.
 func (c *decideCmd) Run(ctx context.Context, t *terminal) error {
 	site, err := decision.ReadSite(c.Site)
 	if err != nil {
--- a/internal/lab/cli/distribute.go
+++ b/internal/lab/cli/distribute.go
@@ -5,7 +5,6 @@
 	"errors"
 	"fmt"
 	"os"
-	"path/filepath"
 	"time"
 
 	"pinelb.example/pinelb/internal/lab/settingsbench"
@@ -25,28 +24,27 @@
 }
 
 // Run writes a JSON line for each case.
-func (c *distributeCmd) Run(ctx context.Context, t *terminal) error {
+func (c *distributeCmd) Run(ctx context.Context, t *terminal) (err error) {
 	d := settingsbench.Config{Pinelb: c.Pinelb, Sizes: c.Sizes, Real: c.Real, Changes: c.Changes, Bytes: c.Bytes, Window: c.Window, Only: c.Only,
 		Out: t.out, Seed: c.Seed}
 	if d.Pinelb == "" {
-		own, err := os.Executable()
-		if err != nil {
+		var err error
+		if d.Pinelb, err = siblingProgram(); err != nil {
 			return exitError{exitEnvironment, fmt.Errorf("--pinelb: %w", err)}
 		}
-		d.Pinelb = filepath.Join(filepath.Dir(own), "pinelb")
 	}
 	if err := d.Check(); err != nil {
 		return exitError{exitUsage, fmt.Errorf("--%w", err)}
 	}
 	if c.Out != "" {
-		f, err := os.Create(c.Out)
-		if err != nil {
-			return exitError{exitUsage, fmt.Errorf("--out: %w", err)}
+		file, openErr := os.Create(c.Out)
+		if openErr != nil {
+			return exitError{exitUsage, fmt.Errorf("--out: %w", openErr)}
 		}
-		defer f.Close()
-		d.Out = f
+		defer func() { err = errors.Join(err, file.Close()) }()
+		d.Out = file
 	}
-	err := settingsbench.Run(ctx, d)
+	err = settingsbench.Run(ctx, d)
 	if errors.Is(err, context.Canceled) {
 		return exitError{exitInterrupted, err}
 	}
--- a/internal/lab/cli/slopes_bounds.go
+++ b/internal/lab/cli/flag_checker.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// What a measurement may ask of the machine.
+// Limits of a measurement, for the sake of the machine.
 const (
 	maxHosts           = 20_000 // of a list, which is under 3 MB then
 	maxProcesses       = 300    // at a time
@@ -24,59 +24,61 @@
 	spareDescriptors   = 1024 // descriptors for all but a stand-in's listener
 )
 
-// bounds notes the first number that can't be, with its key.
+// flagChecker collects the first flag whose value is out of range. Its error is an exitError with exitUsage that names the flag.
 type flagChecker struct{ err error }
 
+// fail records that a flag is invalid, unless one was recorded before.
 func (b *flagChecker) fail(key, format string, args ...any) {
 	if b.err == nil {
 		b.err = exitError{exitUsage, fmt.Errorf("--%s: %s", key, fmt.Sprintf(format, args...))}
 	}
 }
 
-// number has to be from least to most; NaN is neither.
-func (b *flagChecker) number(key string, v, least, most float64) {
-	if !(v >= least && v <= most) {
-		b.fail(key, "%v must be %v to %v", v, least, most)
+// number requires lower <= v <= upper; NaN fails.
+func (b *flagChecker) number(key string, v, lower, upper float64) {
+	if !(v >= lower && v <= upper) {
+		b.fail(key, "%v must be %v to %v", v, lower, upper)
 	}
 }
 
-// sizes have to be some, each from 1 to most.
-func (b *flagChecker) sizes(key string, v []int, most int) {
+// sizes requires at least one size, each from 1 to upper.
+func (b *flagChecker) sizes(key string, v []int, upper int) {
 	if len(v) == 0 {
 		b.fail(key, "names no size")
 	}
 	for i, n := range v {
-		b.number(fmt.Sprintf("%s[%d]", key, i), float64(n), 1, float64(most))
+		b.number(fmt.Sprintf("%s[%d]", key, i), float64(n), 1, float64(upper))
 	}
 }
 
-// rates have to be some, each from least to what can be made.
-func (b *flagChecker) rates(key string, v []float64, least float64) {
+// rates requires at least one rate, each from lower to maxRate.
+func (b *flagChecker) rates(key string, v []float64, lower float64) {
 	if len(v) == 0 {
 		b.fail(key, "names no rate")
 	}
 	for i, n := range v {
-		b.number(fmt.Sprintf("%s[%d]", key, i), n, least, maxRate)
+		b.number(fmt.Sprintf("%s[%d]", key, i), n, lower, maxRate)
 	}
 }
 
-func (b *flagChecker) duration(key string, d, least time.Duration) {
-	if d < least || d > maxWindow {
-		b.fail(key, "%v must be %v to %v", d, least, maxWindow)
+// duration requires lower <= d <= maxWindow.
+func (b *flagChecker) duration(key string, d, lower time.Duration) {
+	if d < lower || d > maxWindow {
+		b.fail(key, "%v must be %v to %v", d, lower, maxWindow)
 	}
 }
 
-// processes are so many sidecars, so many times beside each other: what the machine bears of them.
-func (b *flagChecker) processes(key string, n, beside int) {
-	if n*beside > maxProcesses {
-		b.fail(key, "%d sidecars, %d times beside each other, are more than %d", n, beside, maxProcesses)
+// processes requires that n sidecars, in parallel measurements, are no more than maxProcesses and fit into half of the memory.
+func (b *flagChecker) processes(key string, n, parallel int) {
+	if n*parallel > maxProcesses {
+		b.fail(key, "%d sidecars, %d times beside each other, are more than %d", n, parallel, maxProcesses)
 	}
-	if need, mb := n*beside*memoryPerProcessMB, machineMemoryMB(); mb > 0 && need > mb/2 {
-		b.fail(key, "%d sidecars, %d times beside each other, may take %d MB, more than half of the machine's %d", n, beside, need, mb)
+	if need, available := n*parallel*memoryPerProcessMB, machineMemoryMB(); available > 0 && need > available/2 {
+		b.fail(key, "%d sidecars, %d times beside each other, may take %d MB, more than half of the machine's %d", n, parallel, need, available)
 	}
 }
 
-// listeners are so many at a time in this process.
+// listeners requires that this process may have a descriptor for each listener.
 func (b *flagChecker) listeners(key string, v []int) {
 	var limit unix.Rlimit
 	if unix.Getrlimit(unix.RLIMIT_NOFILE, &limit) != nil {
@@ -89,7 +91,7 @@
 	}
 }
 
-// machineMemoryMB is the machine's; 0 is not known.
+// machineMemoryMB returns the memory of the machine in MB (2^20 bytes), or 0 if it is unknown.
 func machineMemoryMB() int {
 	text, _ := os.ReadFile("/proc/meminfo")
 	for line := range strings.Lines(string(text)) {
--- a/internal/lab/cli/play.go
+++ b/internal/lab/cli/play.go
@@ -15,7 +15,7 @@
 	"pinelb.example/pinelb/scenarios"
 )
 
-// playing are the arguments that all commands have that play something.
+// playOptions are the flags that all commands share that play a scenario.
 type playOptions struct {
 	Seed    uint64 `help:"Seed of every draw; 0 is the scenario's own."`
 	Pinelb  string `type:"path" help:"The sidecar's program; beside this one, or found by PATH, if left out."`
@@ -24,8 +24,10 @@
 	Virtual bool   `help:"Play in virtual time, with the decision module in place of sidecars."`
 }
 
+// demoCmd plays the built-in demo.
 type demoCmd struct{ playOptions }
 
+// Run plays the demo and ends with its status.
 func (c *demoCmd) Run(ctx context.Context, t *terminal) error {
 	if c.Out == "" {
 		dir, err := os.MkdirTemp("", "pinelab-demo-")
@@ -41,12 +43,14 @@
 	return c.runAndSummarize(ctx, t, s, experiment.Config{})
 }
 
+// runCmd plays a scenario with one seed or several.
 type runCmd struct {
 	Scenario string `arg:"" help:"A scenario's file, or the name of one that comes with the program (see list)."`
 	Seeds    int    `default:"1" help:"Play so many seeds, one after another, and end with a table."`
 	playOptions
 }
 
+// Run plays the scenario and ends with the status of the first seed that did not pass.
 func (c *runCmd) Run(ctx context.Context, t *terminal) error {
 	s, err := loadScenario(c.Scenario)
 	if err != nil {
@@ -61,23 +65,27 @@
 	return c.runSeeds(ctx, t, s, c.Seeds)
 }
 
+// checkCmd checks a scenario's file.
 type checkCmd struct {
 	Scenario string `arg:"" help:"A scenario's file or name."`
 }
 
+// Run prints a summary of a valid scenario.
 func (c *checkCmd) Run(t *terminal) error {
 	s, err := loadScenario(c.Scenario)
 	if err != nil {
 		return err
 	}
-	boxes := len(s.BoxNames())
+	endpoints := len(s.BoxNames())
 	fmt.Fprintf(t.out, "%s holds: %v, %d classes, %d boxes in %d tiers, %d sidecars, %d faults, %d expectations\n",
-		s.Name, s.Length.D(), len(s.Class), boxes, len(s.Tier), s.Fleet.Sidecars, len(s.Fault), len(s.Expect))
+		s.Name, s.Length.D(), len(s.Class), endpoints, len(s.Tier), s.Fleet.Sidecars, len(s.Fault), len(s.Expect))
 	return nil
 }
 
+// listCmd lists the built-in scenarios.
 type listCmd struct{}
 
+// Run prints the name and the purpose of each scenario.
 func (c *listCmd) Run(t *terminal) error {
 	entries, err := scenarios.Files.ReadDir(".")
 	if err != nil {
@@ -94,27 +102,29 @@
 	return nil
 }
 
+// diffCmd compares two results.
 type diffCmd struct {
 	First  string `arg:"" type:"path" help:"A result.json, or the folder that holds it."`
 	Second string `arg:"" type:"path" help:"The one to compare with it."`
 }
 
+// Run prints the differences.
 func (c *diffCmd) Run(t *terminal) error {
-	var read [2]*result.Result
+	var results [2]*result.Result
 	for i, path := range []string{c.First, c.Second} {
-		if at, err := os.Stat(path); err == nil && at.IsDir() {
+		if info, err := os.Stat(path); err == nil && info.IsDir() {
 			path = filepath.Join(path, "result.json")
 		}
 		r, err := result.Read(path)
 		if err != nil {
 			return exitError{exitUsage, err}
 		}
-		read[i] = r
+		results[i] = r
 	}
-	return result.Diff(read[0], read[1]).Write(t.out)
+	return result.Diff(results[0], results[1]).Write(t.out)
 }
 
-// find reads a scenario; a faulty one ends the program with its file, line and key.
+// loadScenario reads a scenario by file or built-in name. An error is an exitError with exitUsage that names file, line and key.
 func loadScenario(name string) (*scenario.Scenario, error) {
 	text, from, err := experiment.Find(name, scenarios.Files.ReadFile)
 	if err != nil {
@@ -130,15 +140,14 @@
 	return s, nil
 }
 
-// program finds the sidecar's.
+// program returns the path of the sidecar's program: the one named, the one beside this program, or the one in PATH.
 func (c *playOptions) program() (string, error) {
 	if c.Pinelb != "" || c.Virtual {
 		return c.Pinelb, nil
 	}
-	if self, err := os.Executable(); err == nil {
-		beside := filepath.Join(filepath.Dir(self), "pinelb")
-		if at, err := os.Stat(beside); err == nil && !at.IsDir() {
-			return beside, nil
+	if sibling, err := siblingProgram(); err == nil {
+		if info, err := os.Stat(sibling); err == nil && !info.IsDir() {
+			return sibling, nil
 		}
 	}
 	path, err := exec.LookPath("pinelb")
@@ -148,7 +157,7 @@
 	return filepath.Abs(path)
 }
 
-// once plays a scenario one time and writes what is asked for.
+// runOnce plays a scenario once and writes its results to dir, unless that is empty.
 func (c *playOptions) runOnce(ctx context.Context, t *terminal, s *scenario.Scenario, base experiment.Config, dir string) (*experiment.Outcome, error) {
 	program, err := c.program()
 	if err != nil {
@@ -181,7 +190,7 @@
 	return o, err
 }
 
-// play plays a scenario, prints its summary and ends with its status.
+// runAndSummarize plays a scenario, prints its summary and returns its status as an error.
 func (c *playOptions) runAndSummarize(ctx context.Context, t *terminal, s *scenario.Scenario, base experiment.Config) error {
 	o, err := c.runOnce(ctx, t, s, base, c.Out)
 	if o != nil {
@@ -202,7 +211,7 @@
 	return outcomeError(o)
 }
 
-// verdict is the status that a run ends with.
+// outcomeError returns the exitError that an outcome stands for, or nil if it passed.
 func outcomeError(o *experiment.Outcome) error {
 	switch {
 	case o.Void():
@@ -215,13 +224,13 @@
 	return nil
 }
 
-// table plays several seeds and prints a line for each.
+// runSeeds plays several seeds and prints a line for each. It returns the error of the first seed that did not pass.
 func (c *playOptions) runSeeds(ctx context.Context, t *terminal, s *scenario.Scenario, seeds int) error {
 	first := c.Seed
 	if first == 0 {
 		first = s.Seed
 	}
-	worst := error(nil)
+	var failure error
 	var lines []*result.Result
 	for seed := first; seed < first+uint64(seeds); seed++ {
 		dir := ""
@@ -236,12 +245,12 @@
 			return err
 		}
 		lines = append(lines, o.Result)
-		if err := outcomeError(o); err != nil && worst == nil {
-			worst = err
+		if err := outcomeError(o); err != nil && failure == nil {
+			failure = err
 		}
 	}
 	if err := result.Lines(t.out, lines); err != nil {
 		return err
 	}
-	return worst
+	return failure
 }
--- a/internal/lab/cli/poll_sim.go
+++ b/internal/lab/cli/poll_sim.go
@@ -11,7 +11,7 @@
 	"pinelb.example/pinelb/internal/lab/pollsim"
 )
 
-// pollSimCmd plays how a fleet asks one list service, in virtual time.
+// pollSimCmd simulates in virtual time how a fleet polls one list service. Its fields bear the names of the flags.
 type pollSimCmd struct {
 	Sizes  []int         `help:"Numbers of instances." default:"300,1000,5000"`
 	Policy []string      `help:"Rules to compare; all if none is named."`
@@ -63,17 +63,17 @@
 	return nil
 }
 
-// Bounds of a play in virtual time: what the memory and the patience of any machine bear.
+// Limits of a simulation, for the sake of memory and run time.
 const (
 	maxSimulatedCount = 1_000_000
 	maxSimulatedTime  = 24 * time.Hour
 )
 
-// check refuses numbers that can't be played; the error names the flag.
+// check returns an error that names the first flag whose value is out of range.
 func (c *pollSimCmd) check() error {
 	type bound struct {
-		key                string
-		value, least, most float64
+		key                 string
+		value, lower, upper float64
 	}
 	bounds := []bound{{"told", c.Told, 1e-3, 1e3}, {"rate", c.Rate, 1e-3, maxSimulatedCount}, {"burst", float64(c.Burst), 0, maxSimulatedCount},
 		{"calls", float64(c.Calls), 1, maxSimulatedCount}, {"line", float64(c.Line), 0, maxSimulatedCount}, {"cut", c.Cut, 0, 1}, {"seeds", float64(c.Seeds), 1, 100}}
@@ -81,8 +81,8 @@
 		bounds = append(bounds, bound{"sizes", float64(n), 1, maxSimulatedCount})
 	}
 	for _, b := range bounds {
-		if !(b.value >= b.least && b.value <= b.most) { // NaN is neither
-			return fmt.Errorf("--%s: must be from %g to %g, not %g", b.key, b.least, b.most, b.value)
+		if !(b.value >= b.lower && b.value <= b.upper) { // NaN fails both
+			return fmt.Errorf("--%s: must be from %g to %g, not %g", b.key, b.lower, b.upper, b.value)
 		}
 	}
 	for key, d := range map[string]time.Duration{"spread": c.Spread, "down": c.Down, "up": c.Up, "off": c.Off, "late": c.Late, "news": c.News,
--- a/internal/lab/cli/rehearse.go
+++ b/internal/lab/cli/rehearse.go
@@ -16,9 +16,10 @@
 	"pinelb.example/pinelb/internal/lab/result"
 )
 
-// extraSeeds is how many more plays, of other seeds, show how far a rehearsal scatters by itself.
+// extraSeeds is the number of further plays, with other seeds, that show how far a rehearsal scatters by itself.
 const extraSeeds = 5
 
+// rehearseCmd fits a scenario to recorded traffic and plays it.
 type rehearseCmd struct {
 	Records     []string `arg:"" name:"record" type:"path" help:"Records of one tier's sidecars, or logs that hold them."`
 	Seed        uint64   `default:"1" help:"Seed of the rehearsal's draws."`
@@ -28,6 +29,7 @@
 	Pinelb      string   `type:"path" help:"The sidecar's program, for --sockets; beside this one, or found by PATH, if left out."`
 }
 
+// Run fits, plays and compares. It ends with exitViolation if a count is beyond its margin of the recorded one.
 func (c *rehearseCmd) Run(ctx context.Context, t *terminal) error {
 	var records []*accesslog.Record
 	for _, path := range c.Records {
@@ -53,23 +55,23 @@
 			return err
 		}
 	}
-	played, err := c.playWithReport(ctx, t, r)
+	reported, err := c.playWithReport(ctx, t, r)
 	if err != nil {
 		return err
 	}
-	if !calibration.Kept(rows) || !calibration.Kept(played) {
+	if !calibration.Kept(rows) || !calibration.Kept(reported) {
 		return exitError{exitViolation, errors.New("the rehearsal is beyond its margin of what was recorded")}
 	}
 	return nil
 }
 
-// readRecordFile reads one file; errors name it and the line.
+// readRecordFile reads one file; an error names the file and the line.
 func readRecordFile(path string) (*accesslog.Record, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // it is only read
 	r, err := accesslog.Read(f)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
@@ -77,7 +79,7 @@
 	return r, nil
 }
 
-// table plays the rehearsal and writes its counts beside the observed ones.
+// compareDraws plays the rehearsal with several seeds and writes its counts beside the observed ones.
 func (c *rehearseCmd) compareDraws(out io.Writer, r *calibration.Rehearsal) ([]calibration.Row, error) {
 	played, err := r.Play(r.Seed)
 	if err != nil {
@@ -100,7 +102,7 @@
 	return rows, writeRows(out, rows, spread)
 }
 
-// play plays the rehearsal once more with judges and report, where a folder or sockets are asked for. On sockets
+// playWithReport plays the rehearsal once more with checks and a report, if --out or --sockets is given. On sockets
 // its counts are compared as well.
 func (c *rehearseCmd) playWithReport(ctx context.Context, t *terminal, r *calibration.Rehearsal) ([]calibration.Row, error) {
 	if c.Out == "" && !c.Sockets {
--- a/internal/lab/cli/rehearse_test.go
+++ b/internal/lab/cli/rehearse_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"context"
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -40,8 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
-	if err := accesslog.Write(f, r); err != nil {
+	if err := errors.Join(accesslog.Write(f, r), f.Close()); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/lab/cli/routers.go
+++ b/internal/lab/cli/routers.go
@@ -3,9 +3,8 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
-	"io"
-	"os"
 	"text/tabwriter"
 	"time"
 
@@ -28,7 +27,7 @@
 }
 
 // Run plays each size and prints a line for it.
-func (c *routersCmd) Run(ctx context.Context, t *terminal) error {
+func (c *routersCmd) Run(ctx context.Context, t *terminal) (err error) {
 	var losses []routers.Loss
 	for _, text := range c.Losses {
 		loss, err := routers.ParseLoss(text)
@@ -37,17 +36,13 @@
 		}
 		losses = append(losses, loss)
 	}
-	out := io.Discard
-	if c.Out != "" {
-		file, err := os.OpenFile(c.Out, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
-		if err != nil {
-			return exitError{exitUsage, fmt.Errorf("--out: %w", err)}
-		}
-		defer file.Close()
-		out = file
+	out, err := openAppend(c.Out)
+	if err != nil {
+		return err
 	}
+	defer func() { err = errors.Join(err, out.Close()) }()
 	w := tabwriter.NewWriter(t.out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	defer w.Flush()
+	defer func() { err = errors.Join(err, w.Flush()) }()
 	fmt.Fprintln(w, "routers\tendpoints\tCPU ms/s\tbytes/s\tdatagrams/s\tMB\tack ms\tp50 ms\tp99 ms\tlast ms\tfailed\t")
 	for _, size := range c.Sizes {
 		result, err := routers.Play(ctx, routers.Config{
--- a/internal/lab/cli/scale.go
+++ b/internal/lab/cli/scale.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"math"
 	"os"
 	"os/exec"
@@ -18,7 +17,7 @@
 	"pinelb.example/pinelb/internal/lab/stubfleet"
 )
 
-// scaleCmd measures what hollow sidecars cost a list service, and how soon a change is in force at the last one.
+// scaleCmd measures what stub sidecars cost a list service, and how soon a change is in force at the last one.
 type scaleCmd struct {
 	Scenario     []string      `help:"What to play: rest, ordinary, hundredfold, stopped, restarting, cold, down-refused, down-503." default:"rest,ordinary,hundredfold"`
 	Sidecars     []int         `help:"Numbers of hollow sidecars." default:"100,200,400"`
@@ -41,23 +40,19 @@
 
 // Run plays each scenario with each number of hosts and of sidecars, in that order, and prints a line for each. All cases are checked
 // before the first is played.
-func (c *scaleCmd) Run(ctx context.Context, t *terminal) error {
+func (c *scaleCmd) Run(ctx context.Context, t *terminal) (err error) {
 	cases, err := c.cases()
 	if err != nil {
 		return exitError{exitUsage, err}
 	}
-	out := io.Discard
-	if c.Out != "" {
-		file, err := os.OpenFile(c.Out, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
-		if err != nil {
-			return exitError{exitUsage, fmt.Errorf("--out: %w", err)}
-		}
-		defer file.Close()
-		out = file
+	out, err := openAppend(c.Out)
+	if err != nil {
+		return err
 	}
+	defer func() { err = errors.Join(err, out.Close()) }()
 	w := tabwriter.NewWriter(t.out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, scaleHeader)
-	defer w.Flush()
+	defer func() { err = errors.Join(err, w.Flush()) }()
 	for _, one := range cases {
 		f, err := stubfleet.Play(ctx, one)
 		if errors.Is(err, context.Canceled) {
@@ -77,7 +72,7 @@
 	return nil
 }
 
-// cases are all that is to be played, each checked. A fault names the flag.
+// cases returns all cases to play, each checked. An error names the flag.
 func (c *scaleCmd) cases() ([]stubfleet.Case, error) {
 	for key, given := range map[string]int{"scenario": len(c.Scenario), "hosts": len(c.Hosts), "sidecars": len(c.Sidecars)} {
 		if given == 0 {
@@ -118,7 +113,7 @@
 	return out, nil
 }
 
-// base is what all cases share, and the section [discovery] by which the service is asked; nil: there is none.
+// baseCase returns what all cases share, and the section [discovery] that paces the polls, or nil if there is none.
 func (c *scaleCmd) baseCase() (stubfleet.Case, *config.Discovery, error) {
 	one := stubfleet.Case{Real: c.Real, Racks: c.Racks, Seconds: c.Seconds, Spread: c.Spread, Within: c.Within, Down: c.Down, Calls: c.ServiceCalls,
 		Call: c.ServiceCall, Line: c.ServiceLine, Seed: c.Seed, Operator: c.Config}
@@ -145,10 +140,11 @@
 	return one, op.Discovery, nil
 }
 
+// scaleHeader names the columns of formatFigures.
 const scaleHeader = "scenario\tpaced\tsidecars\treal\thosts\tchanges/s\tcalls/s\tturned\tconns\tB/s each\tB/s worst 6 s\tin force p50\tp99\tlast ms\tnever\tfirst p50\tp99\tlast ms\tnever\t" +
 	"service cores\tCPU ms/s each\tKB each\twrong\tload\t"
 
-// formatFigures words figures.
+// formatFigures formats a row of the table.
 func formatFigures(f stubfleet.Figures) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s\t%g\t%d\t%d\t%d\t%.3g\t%.1f\t%d\t%d\t%.0f\t%.0f\t", f.Scenario, f.Rate, f.Sidecars, f.Real, f.Hosts, f.Asked, f.CallsPerS, f.Turned,
@@ -159,13 +155,14 @@
 	return b.String()
 }
 
-// formatRealFigures words those of the real sidecars of the same play, in the same columns.
+// formatRealFigures formats the row of the real sidecars of the same play, in the same columns.
 func formatRealFigures(f stubfleet.Figures) string {
 	return fmt.Sprintf("(real)\t%g\t-\t%d\t%d\t%.3g\t%.1f\t-\t%d\t%.0f\t-\t%s\t%s\t%s\t%d\t%s\t%s\t%s\t%d\t\t\t\t\t\t", f.Rate, f.Real, f.Hosts, f.Asked,
 		f.RealCallsEach*float64(f.Real), f.RealConnections, f.RealBytesEach, formatMs(f.RealInForceP50), formatMs(f.RealInForceP99), formatMs(f.RealInForceLast), f.RealNever,
 		formatMs(f.RealFirstP50), formatMs(f.RealFirstP99), formatMs(f.RealFirstLast), f.RealFirstNever)
 }
 
+// formatMs formats milliseconds; 0 stands for not measured.
 func formatMs(v float64) string {
 	if v == 0 {
 		return "-"
@@ -173,8 +170,8 @@
 	return fmt.Sprintf("%.1f", v)
 }
 
-// rackCmd is a rack of hollow sidecars, as scale starts it.
+// rackCmd is a process of stub sidecars, as scale starts it.
 type rackCmd struct{}
 
-// Run serves the play that is at the other end of its input and output.
+// Run serves the coordinator at the other end of the standard input and output.
 func (c *rackCmd) Run() error { return stubfleet.ServeRack(os.Stdin, os.Stdout) }
--- a/internal/lab/cli/slopes_audit.go
+++ b/internal/lab/cli/slopes_audit.go
@@ -19,6 +19,7 @@
 	Rounds   int           `help:"Beyond the first, of which the median is taken." default:"5"`
 }
 
+// auditPoint is a line of results of slopes audit.
 type auditPoint struct {
 	resultPoint
 	Mode     string  `json:"mode"` // processes or stand-ins
@@ -27,34 +28,27 @@
 	footprint.Audited
 }
 
-// check names the first key whose number can't be.
+// check returns an error that names the first flag whose value is out of range.
 func (c *slopesAuditCmd) check() error {
-	var b flagChecker
-	b.number("repeat", float64(c.Repeat), 1, maxRepeats)
-	b.sizes("sidecars", c.Sidecars, maxProcesses)
+	var flags flagChecker
+	flags.number("repeat", float64(c.Repeat), 1, maxRepeats)
+	flags.sizes("sidecars", c.Sidecars, maxProcesses)
 	for i, n := range c.Sidecars {
-		b.processes(fmt.Sprintf("sidecars[%d]", i), n, 1)
+		flags.processes(fmt.Sprintf("sidecars[%d]", i), n, 1)
 	}
-	b.sizes("stand-ins", c.StandIns, maxHosts)
-	b.listeners("stand-ins", c.StandIns)
-	b.duration("trail", c.Trail, 0)
-	b.number("rounds", float64(c.Rounds), 1, maxRepeats)
-	return b.err
+	flags.sizes("stand-ins", c.StandIns, maxHosts)
+	flags.listeners("stand-ins", c.StandIns)
+	flags.duration("trail", c.Trail, 0)
+	flags.number("rounds", float64(c.Rounds), 1, maxRepeats)
+	return flags.err
 }
 
+// Run measures each size, with processes and then with stand-ins, and writes a line for each.
 func (c *slopesAuditCmd) Run(ctx context.Context, t *terminal) error {
-	if err := c.check(); err != nil {
-		return err
-	}
-	program, err := c.prepare()
-	if err != nil {
-		return err
-	}
-	dir, err := os.MkdirTemp("", "slopes")
-	if err != nil {
-		return err
-	}
-	defer os.RemoveAll(dir)
+	return c.measure(c.check, func(program, dir string) error { return c.measureSizes(ctx, t, program, dir) })
+}
+
+func (c *slopesAuditCmd) measureSizes(ctx context.Context, t *terminal, program, dir string) error {
 	for n := range c.Repeat {
 		for _, size := range c.Sidecars {
 			if err := c.measureSize(ctx, t, footprint.Audit{Program: program, Dir: filepath.Join(dir, fmt.Sprint("processes", size, n)), Sidecars: size, Rounds: c.Rounds}); err != nil {
@@ -71,7 +65,7 @@
 	return nil
 }
 
-// one measures and tells one size.
+// measureSize measures one size and writes its line.
 func (c *slopesAuditCmd) measureSize(ctx context.Context, t *terminal, a footprint.Audit) error {
 	if err := os.Mkdir(a.Dir, 0o700); err != nil {
 		return err
--- a/internal/lab/cli/slopes_module.go
+++ b/internal/lab/cli/slopes_module.go
@@ -24,6 +24,7 @@
 	In    string        `help:"The checkout." default:"." placeholder:"DIR"`
 }
 
+// modulePoint is a line of results of slopes module.
 type modulePoint struct {
 	resultPoint
 	Mode   string  `json:"mode"` // decision, change or list
@@ -33,28 +34,28 @@
 	Allocs float64 `json:"allocs_per_op"`
 }
 
-// benched is a line of go test -bench, of a benchmark by hosts.
+// benchmarkLine matches a result of go test -bench of a benchmark by hosts.
 var benchmarkLine = regexp.MustCompile(`^Benchmark(Decision|Change|List)/(\d+)hosts\S*\s+\d+\s+(\S+) ns/op\s+(\d+) B/op\s+(\d+) allocs/op`)
 
-// Run takes the benchmarks.
+// Run runs the benchmarks and writes a line for each result of the sizes asked for.
 func (c *slopesModuleCmd) Run(ctx context.Context, t *terminal) error {
-	var b flagChecker
-	b.sizes("sizes", c.Sizes, maxHosts)
-	b.number("count", float64(c.Count), 1, maxRepeats)
-	b.duration("time", c.Time, minWindow)
-	if b.err != nil {
-		return b.err
+	var flags flagChecker
+	flags.sizes("sizes", c.Sizes, maxHosts)
+	flags.number("count", float64(c.Count), 1, maxRepeats)
+	flags.duration("time", c.Time, minWindow)
+	if flags.err != nil {
+		return flags.err
 	}
-	m := measureOptions{Out: c.Out, Trial: c.Trial}
-	head := m.newPoint("module")
+	options := measureOptions{Out: c.Out, Trial: c.Trial}
+	head := options.newPoint("module")
 	cmd := exec.CommandContext(ctx, "go", "test", "-run", "^$", "-bench", "^Benchmark(Decision|Change|List)$", "-count", strconv.Itoa(c.Count),
 		"-benchtime", c.Time.String(), "-benchmem", "./balance")
 	cmd.Dir = c.In
-	var fault bytes.Buffer
-	cmd.Stderr = &fault
+	var stderr bytes.Buffer
+	cmd.Stderr = &stderr
 	text, err := cmd.Output()
 	if err != nil {
-		return fmt.Errorf("%s: %w: %s%s", cmd, err, text, fault.String())
+		return fmt.Errorf("%s: %w: %s%s", cmd, err, text, stderr.String())
 	}
 	head.Load = footprint.Load()
 	for line := range strings.Lines(string(text)) {
@@ -63,22 +64,23 @@
 			continue
 		}
 		p.resultPoint = head
-		if err := m.write(t, p); err != nil {
+		if err := options.write(t, p); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
+// parseBenchmark reads a line of go test -bench; ok is false if it is not a result of a benchmark by hosts.
 func parseBenchmark(line string) (p modulePoint, ok bool) {
-	found := benchmarkLine.FindStringSubmatch(line)
-	if found == nil {
+	match := benchmarkLine.FindStringSubmatch(line)
+	if match == nil {
 		return p, false
 	}
-	p.Mode = strings.ToLower(found[1])
-	p.Hosts, _ = strconv.Atoi(found[2])
-	for i, to := range []*float64{&p.Micros, &p.Bytes, &p.Allocs} {
-		*to, _ = strconv.ParseFloat(found[3+i], 64)
+	p.Mode = strings.ToLower(match[1])
+	p.Hosts, _ = strconv.Atoi(match[2])
+	for i, target := range []*float64{&p.Micros, &p.Bytes, &p.Allocs} {
+		*target, _ = strconv.ParseFloat(match[3+i], 64)
 	}
 	p.Micros /= 1000
 	return p, true
--- a/internal/lab/cli/slopes_page.go
+++ b/internal/lab/cli/slopes_page.go
@@ -15,7 +15,7 @@
 	Dry  bool   `help:"Print the tables, and leave the page."`
 }
 
-// Run fits and writes. A faulty file or result ends it with status 2.
+// Run fits the results and writes the tables. An invalid plan, page or result ends it with exitUsage.
 func (c *slopesPageCmd) Run(t *terminal) error {
 	plan, files, err := readPlan(c.Plan)
 	if err != nil {
@@ -42,7 +42,7 @@
 	return os.WriteFile(c.Page, []byte(text), 0o644)
 }
 
-// readPlan reads a plan and the results beside it.
+// readPlan reads a plan and the files of results in its directory, by name.
 func readPlan(path string) (*scalefit.Plan, map[string][]scalefit.Line, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/lab/cli/slopes_requests.go
+++ b/internal/lab/cli/slopes_requests.go
@@ -17,6 +17,7 @@
 	Window time.Duration `help:"Length of each measurement, and of the one without a sidecar before it." default:"10s"`
 }
 
+// requestsPoint is a line of results of slopes requests.
 type requestsPoint struct {
 	resultPoint
 	Rate    float64 `json:"requests_per_s"`
@@ -24,36 +25,30 @@
 	footprint.Requested
 }
 
-// check names the first key whose number can't be.
+// check returns an error that names the first flag whose value is out of range.
 func (c *slopesRequestsCmd) check() error {
-	var b flagChecker
-	b.number("repeat", float64(c.Repeat), 1, maxRepeats)
-	b.rates("rates", c.Rates, 0.1)
-	b.duration("window", c.Window, time.Second)
-	return b.err
+	var flags flagChecker
+	flags.number("repeat", float64(c.Repeat), 1, maxRepeats)
+	flags.rates("rates", c.Rates, 0.1)
+	flags.duration("window", c.Window, time.Second)
+	return flags.err
 }
 
+// Run measures each rate, one at a time, and writes a line for each.
 func (c *slopesRequestsCmd) Run(ctx context.Context, t *terminal) error {
-	if err := c.check(); err != nil {
-		return err
-	}
-	program, err := c.prepare()
-	if err != nil {
-		return err
-	}
-	dir, err := os.MkdirTemp("", "slopes")
-	if err != nil {
-		return err
-	}
-	defer os.RemoveAll(dir)
+	return c.measure(c.check, func(program, dir string) error { return c.measureSizes(ctx, t, program, dir) })
+}
+
+func (c *slopesRequestsCmd) measureSizes(ctx context.Context, t *terminal, program, dir string) error {
 	for n := range c.Repeat {
 		for _, rate := range c.Rates {
-			own := filepath.Join(dir, fmt.Sprint(rate, "-", n))
-			if err := os.Mkdir(own, 0o700); err != nil {
+			sub := filepath.Join(dir, fmt.Sprint(rate, "-", n))
+			if err := os.Mkdir(sub, 0o700); err != nil {
 				return err
 			}
 			p := requestsPoint{resultPoint: c.newPoint("requests"), Rate: rate, Seconds: c.Window.Seconds()}
-			if p.Requested, err = (footprint.Requests{Program: program, Dir: own, Rate: rate, Window: c.Window, Seed: uint64(n + 1)}).Measure(ctx); err != nil {
+			var err error
+			if p.Requested, err = (footprint.Requests{Program: program, Dir: sub, Rate: rate, Window: c.Window, Seed: uint64(n + 1)}).Measure(ctx); err != nil {
 				return err
 			}
 			if err := c.write(t, p); err != nil {
--- a/internal/lab/cli/sweep.go
+++ b/internal/lab/cli/sweep.go
@@ -23,6 +23,7 @@
 	playOptions
 }
 
+// Run plays all combinations and prints the table. Errors of several plays are joined.
 func (c *sweepCmd) Run(ctx context.Context, t *terminal) error {
 	text, from, err := experiment.Find(c.Scenario, scenarios.Files.ReadFile)
 	if err != nil {
@@ -35,17 +36,17 @@
 	if c.Seeds < 1 || c.Seeds > 100 {
 		return exitError{exitUsage, errors.New("--seeds must be from 1 to 100")}
 	}
-	side := 1
+	parallel := 1
 	if c.Virtual {
-		side = runtime.GOMAXPROCS(0)
+		parallel = runtime.GOMAXPROCS(0)
 	}
 	quiet := *t
 	quiet.progress = false
 	results := make([][]*result.Result, len(variants))
-	turns := make(chan struct{}, side)
+	slots := make(chan struct{}, parallel)
 	var all sync.WaitGroup
 	var mu sync.Mutex
-	var first error
+	var failures error
 	for i, v := range variants {
 		results[i] = make([]*result.Result, c.Seeds)
 		for k := range c.Seeds {
@@ -53,17 +54,17 @@
 			if seed == 0 {
 				seed = v.Scenario.Seed
 			}
-			turns <- struct{}{}
+			slots <- struct{}{}
 			all.Go(func() {
-				defer func() { <-turns }()
+				defer func() { <-slots }()
 				o, err := c.runOnce(ctx, &quiet, v.Scenario, experiment.Config{Seed: seed + uint64(k)}, "")
 				mu.Lock()
 				defer mu.Unlock()
 				switch {
 				case err != nil:
-					first = errors.Join(first, err)
+					failures = errors.Join(failures, err)
 				case o.Void():
-					first = errors.Join(first, exitError{exitInvalidRun, fmt.Errorf("%s, seed %d: the rig ran late", strings.Join(v.Words, " "), seed+uint64(k))})
+					failures = errors.Join(failures, exitError{exitInvalidRun, fmt.Errorf("%s, seed %d: the rig ran late", strings.Join(v.Words, " "), seed+uint64(k))})
 				default:
 					results[i][k] = o.Result
 				}
@@ -71,16 +72,16 @@
 		}
 	}
 	all.Wait()
-	if errors.Is(first, context.Canceled) {
+	if errors.Is(failures, context.Canceled) {
 		return exitError{exitInterrupted, errors.New("stopped")}
 	}
-	if first != nil {
-		return first
+	if failures != nil {
+		return failures
 	}
 	return c.printTable(t, variants, results)
 }
 
-// table prints a line for each combination.
+// printTable prints a line for each combination.
 func (c *sweepCmd) printTable(t *terminal, variants []experiment.Variant, results [][]*result.Result) error {
 	w := tabwriter.NewWriter(t.out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	for _, v := range c.Vary {
--- a/internal/lab/cli/variants.go
+++ b/internal/lab/cli/variants.go
@@ -7,7 +7,7 @@
 	"pinelb.example/pinelb/internal/lab/variants"
 )
 
-// variantsCmd makes sites that nobody has.
+// variantsCmd makes site files of deployments that nobody has out of one of the bench's.
 type variantsCmd struct {
 	Site string `arg:"" placeholder:"FILE" help:"A site file of the bench, with wire.json beside it."`
 	Into string `arg:"" placeholder:"FOLDER" help:"Where the variants go: outside the repository."`
