--- a/internal/lab/cli/routers.go
+++ b/internal/lab/cli/routers.go
@@ -47,7 +47,7 @@
 	for _, size := range c.Sizes {
 		result, err := routers.Play(ctx, routers.Config{
 			Routers: size, Core: min(c.Core, size), Endpoints: int(c.Endpoints * float64(size)), Tenants: c.Tenants, Models: c.Models,
-			Changes: c.Changes, Rest: c.Rest, Within: c.Within, Losses: losses, LossTime: c.LossTime,
+			Changes: c.Changes, Rest: c.Rest, Timeout: c.Within, Losses: losses, LossTimeout: c.LossTime,
 		})
 		if err != nil {
 			return exitError{exitEnvironment, err}
@@ -55,7 +55,7 @@
 		fmt.Fprintf(w, "%d\t%d\t%.2f\t%.0f\t%.1f\t%.2f\t%d\t%d\t%d\t%d\t%d\t\n", result.Routers, result.Endpoints, result.RestCPU, result.RestBytes,
 			result.RestDatagrams, result.MemoryMB, result.AcknowledgeMs, result.ChangeP50Ms, result.ChangeP99Ms, result.ChangeLastMs, result.Failed)
 		for _, l := range result.Losses {
-			fmt.Fprintf(w, "loss %s\t%d lost\ttaken %d ms\tin force %d ms\tback %d ms\t\n", l.Loss, l.Lost, l.TakenMs, l.ForceMs, l.BackMs)
+			fmt.Fprintf(w, "loss %s\t%d lost\ttaken %d ms\tin force %d ms\tback %d ms\t\n", l.Loss, l.Lost, l.AckMs, l.AppliedMs, l.RecoveredMs)
 		}
 		if err := json.NewEncoder(out).Encode(result); err != nil {
 			return exitError{exitEnvironment, err}
--- a/internal/lab/routers/losses.go
+++ b/internal/lab/routers/losses.go
@@ -11,7 +11,7 @@
 
 // Loss is routers that crash at once and come back later with their disks.
 type Loss struct {
-	Core int  // so many that count for the quorum, the primary among them
+	CoreRouters int  // so many that count for the quorum, the primary among them
 	Zone bool // all routers of a zone, the primary's
 }
 
@@ -24,23 +24,23 @@
 	if err != nil || n < 1 {
 		return Loss{}, fmt.Errorf("losses: %q is neither \"zone\" nor a number of core routers above 0", text)
 	}
-	return Loss{Core: n}, nil
+	return Loss{CoreRouters: n}, nil
 }
 
 func (l Loss) String() string {
 	if l.Zone {
 		return "zone"
 	}
-	return strconv.Itoa(l.Core)
+	return strconv.Itoa(l.CoreRouters)
 }
 
 // LossResult is what a loss cost.
 type LossResult struct {
-	Loss    string
-	Lost    int   // routers
-	TakenMs int64 // from the loss until a change was acknowledged; -1: not while they were gone
-	ForceMs int64 // from the loss until it was in force at all others; -1: not while they were gone
-	BackMs  int64 // from the return until a change was acknowledged and in force at all
+	Loss    string `json:"Loss"`
+	Lost    int    `json:"Lost"`    // routers
+	AckMs int64  `json:"TakenMs"` // from the loss until a change was acknowledged; -1: not while they were gone
+	AppliedMs int64  `json:"ForceMs"` // from the loss until it was in force at all others; -1: not while they were gone
+	RecoveredMs  int64  `json:"BackMs"`  // from the return until a change was acknowledged and in force at all
 }
 
 func (f *fleet) playLosses(ctx context.Context, result *Result) error {
@@ -55,21 +55,21 @@
 }
 
 func (f *fleet) playLoss(ctx context.Context, loss Loss) (*LossResult, error) {
-	lost := f.choose(loss, f.primary(ctx))
-	result := &LossResult{Loss: loss.String(), Lost: len(lost), TakenMs: -1, ForceMs: -1}
+	lost := f.routersOf(loss, f.primary(ctx))
+	result := &LossResult{Loss: loss.String(), Lost: len(lost), AckMs: -1, AppliedMs: -1}
 	began := time.Now()
 	for _, i := range lost {
 		f.routers[i].Kill()
 	}
 	for _, i := range lost {
-		<-f.ended[i]
+		<-f.stopped[i]
 		f.cancels[i]()
 		f.routers[i] = nil
 	}
-	if f.change(ctx, f.config.LossTime) == nil {
-		result.TakenMs = time.Since(began).Milliseconds()
-		if _, late := f.spread(ctx, time.Now()); late == 0 {
-			result.ForceMs = time.Since(began).Milliseconds()
+	if f.modifyConfig(ctx, f.config.LossTimeout) == nil {
+		result.AckMs = time.Since(began).Milliseconds()
+		if _, late := f.awaitVersion(ctx, time.Now()); late == 0 {
+			result.AppliedMs = time.Since(began).Milliseconds()
 		}
 	}
 	returned := time.Now()
@@ -78,22 +78,22 @@
 			return nil, err
 		}
 	}
-	if err := f.change(ctx, f.config.Within); err != nil {
+	if err := f.modifyConfig(ctx, f.config.Timeout); err != nil {
 		return nil, err
 	}
-	if _, late := f.spread(ctx, time.Now()); late > 0 {
+	if _, late := f.awaitVersion(ctx, time.Now()); late > 0 {
 		return nil, fmt.Errorf("routers: %d of %d do not hold the change after the loss of %v", late, f.config.Routers, loss)
 	}
-	result.BackMs = time.Since(returned).Milliseconds()
-	settle(ctx, 2*beatEvery)
+	result.RecoveredMs = time.Since(returned).Milliseconds()
+	sleep(ctx, 2*heartbeatInterval)
 	return result, nil
 }
 
 // choose returns the routers that are lost.
-func (f *fleet) choose(loss Loss, primary int) []int {
+func (f *fleet) routersOf(loss Loss, primary int) []int {
 	if !loss.Zone {
 		var lost []int
-		for n := range min(loss.Core, f.config.Core) {
+		for n := range min(loss.CoreRouters, f.config.Core) {
 			lost = append(lost, (primary+n)%f.config.Core)
 		}
 		return lost
@@ -123,15 +123,15 @@
 		if response.StatusCode == http.StatusOK {
 			return core
 		}
-		if at := f.coreAt(response.Header.Get("Location")); at >= 0 {
+		if at := f.coreOf(response.Header.Get("Location")); at >= 0 {
 			return at
 		}
 	}
 	return 0
 }
 
-// coreAt is the core router that a location names, or -1.
-func (f *fleet) coreAt(location string) int {
+// coreOf is the core router that a location names, or -1.
+func (f *fleet) coreOf(location string) int {
 	for core := range f.config.Core {
 		if strings.Contains(location, fmt.Sprintf("//%s:%d/", f.ip(core), controlPort)) {
 			return core
@@ -142,11 +142,11 @@
 
 // change has the core take one more change within a time. An order that is not taken in time may still be: the next one
 // builds on what the core then has.
-func (f *fleet) change(ctx context.Context, within time.Duration) error {
+func (f *fleet) modifyConfig(ctx context.Context, within time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	f.version++
-	_, err := f.order(ctx, "/config/modify", fmt.Sprintf(`{"version":%d,"upsert":{"services":[{"name":"m0","maxConnections":%d}]}}`,
+	_, err := f.submitConfig(ctx, "/config/modify", fmt.Sprintf(`{"version":%d,"upsert":{"services":[{"name":"m0","maxConnections":%d}]}}`,
 		f.version, 600+f.version))
 	if err != nil {
 		f.version-- // the same order once more
--- a/internal/lab/routers/routers.go
+++ b/internal/lab/routers/routers.go
@@ -24,12 +24,12 @@
 )
 
 const (
-	frontPort, readyPort, controlPort, internalPort = 21080, 21081, 21082, 21083
+	proxyPort, readyPort, controlPort, internalPort = 21080, 21081, 21082, 21083
 
 	regions, zonesPerRegion = 2, 3
-	pollEvery               = 2 * time.Millisecond
-	beatEvery               = 1200 * time.Millisecond
-	settleEach              = 30 * time.Millisecond
+	pollInterval               = 2 * time.Millisecond
+	heartbeatInterval               = 1200 * time.Millisecond
+	settleTimePerRouter              = 30 * time.Millisecond
 )
 
 // Config is what a play is made with.
@@ -41,9 +41,9 @@
 	Models    int // services
 	Changes   int
 	Rest      time.Duration // for which the fleet is measured at rest
-	Within    time.Duration // that a start or a change may take
+	Timeout    time.Duration // that a start or a change may take
 	Losses    []Loss        // played one after the other, at the end
-	LossTime  time.Duration // that a change is tried while routers are gone
+	LossTimeout  time.Duration // that a change is tried while routers are gone
 }
 
 // Check names the setting that can't be used.
@@ -53,7 +53,7 @@
 		return fmt.Errorf("routers: must be 1 to 4000, not %d", c.Routers)
 	case c.Core < 1 || c.Core > c.Routers:
 		return fmt.Errorf("core: must be 1 to %d, not %d", c.Routers, c.Core)
-	case c.Rest <= 0 || c.Within <= 0:
+	case c.Rest <= 0 || c.Timeout <= 0:
 		return fmt.Errorf("rest and within: must be above 0")
 	}
 	return nil
@@ -61,18 +61,19 @@
 
 // Result is what a play measured.
 type Result struct {
-	Routers, Endpoints int
-	StartMs            int64   // until all held the first configuration
-	RestCPU            float64 // ms a second a router, the endpoints' heartbeats included
-	RestBytes          float64 // sent a second a router
-	RestDatagrams      float64 // sent a second a router
-	MemoryMB           float64 // resident, a router
-	ChangeP50Ms        int64   // of all routers and changes, from the acknowledgement
-	ChangeP99Ms        int64
-	ChangeLastMs       int64
-	AcknowledgeMs      int64 // the median, of the operator's calls
-	Failed             int   // changes that were not in force at all in time
-	Losses             []LossResult
+	Routers       int          `json:"Routers"`
+	Endpoints     int          `json:"Endpoints"`
+	StartMs       int64        `json:"StartMs"`       // until all held the first configuration
+	RestCPU       float64      `json:"RestCPU"`       // ms a second a router, the endpoints' heartbeats included
+	RestBytes     float64      `json:"RestBytes"`     // sent a second a router
+	RestDatagrams float64      `json:"RestDatagrams"` // sent a second a router
+	MemoryMB      float64      `json:"MemoryMB"`      // resident, a router
+	ChangeP50Ms   int64        `json:"ChangeP50Ms"`   // of all routers and changes, from the acknowledgement
+	ChangeP99Ms   int64        `json:"ChangeP99Ms"`
+	ChangeLastMs  int64        `json:"ChangeLastMs"`
+	AcknowledgeMs int64        `json:"AcknowledgeMs"` // the median, of the operator's calls
+	Failed        int          `json:"Failed"`        // changes that were not in force at all in time
+	Losses        []LossResult `json:"Losses"`
 }
 
 // fleet is a play under way.
@@ -81,7 +82,7 @@
 	folder  string
 	routers []*router.Router // nil: lost
 	cancels []context.CancelFunc
-	ended   []chan struct{} // closed when a router has ended
+	stopped   []chan struct{} // closed when a router has ended
 	tasks   sync.WaitGroup
 	client  *http.Client
 	version int64
@@ -98,7 +99,7 @@
 	}
 	defer os.RemoveAll(folder)
 	f := &fleet{config: c, folder: folder, client: &http.Client{Timeout: 5 * time.Second}}
-	defer f.end()
+	defer f.stop()
 	result := &Result{Routers: c.Routers, Endpoints: c.Endpoints}
 	return result, f.play(ctx, result)
 }
@@ -108,16 +109,16 @@
 		return err
 	}
 	began := time.Now()
-	if _, err := f.order(ctx, "/config/replace", f.firstConfiguration()); err != nil {
+	if _, err := f.submitConfig(ctx, "/config/replace", f.firstConfiguration()); err != nil {
 		return err
 	}
-	if _, late := f.spread(ctx, time.Now()); late > 0 {
+	if _, late := f.awaitVersion(ctx, time.Now()); late > 0 {
 		return fmt.Errorf("routers: %d of %d do not hold the first configuration", late, f.config.Routers)
 	}
 	result.StartMs = time.Since(began).Milliseconds()
 	beating, stop := context.WithCancel(ctx)
 	defer stop()
-	f.beat(beating)
+	f.sendHeartbeats(beating)
 	f.measureRest(ctx, result)
 	if err := f.measureChanges(ctx, result); err != nil {
 		return err
@@ -127,7 +128,7 @@
 
 func (f *fleet) start() error {
 	n := f.config.Routers
-	f.routers, f.cancels, f.ended = make([]*router.Router, n), make([]context.CancelFunc, n), make([]chan struct{}, n)
+	f.routers, f.cancels, f.stopped = make([]*router.Router, n), make([]context.CancelFunc, n), make([]chan struct{}, n)
 	for i := range n {
 		if err := f.startRouter(i, true); err != nil {
 			return err
@@ -138,14 +139,14 @@
 
 // startRouter starts one with the disk that it has; first says that the whole fleet starts for the first time.
 func (f *fleet) startRouter(i int, first bool) error {
-	s, err := settings.Parse([]byte(f.settingsOf(i, first)))
+	s, err := settings.Parse([]byte(f.settingsText(i, first)))
 	if err != nil {
 		return err
 	}
 	r := router.New(s, zap.NewNop())
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	f.routers[i], f.cancels[i], f.ended[i] = r, cancel, ended
+	f.routers[i], f.cancels[i], f.stopped[i] = r, cancel, ended
 	f.tasks.Go(func() {
 		defer close(ended)
 		_ = r.Run(ctx) // one that can't start shows as one that never holds the configuration
@@ -155,7 +156,7 @@
 
 func (f *fleet) ip(i int) string { return fmt.Sprintf("127.9.%d.%d", 1+i/250, 1+i%250) }
 
-func (f *fleet) settingsOf(i int, first bool) string {
+func (f *fleet) settingsText(i int, first bool) string {
 	zone := i % (regions * zonesPerRegion)
 	var b strings.Builder
 	ip := f.ip(i)
@@ -164,7 +165,7 @@
 	for z := range regions * zonesPerRegion {
 		fmt.Fprintf(&b, "zones.z%d=r%d\n", z, z/zonesPerRegion)
 	}
-	fmt.Fprintf(&b, "listen.front=%s:%d\nlisten.ready=%s:%d\nlisten.control=%s:%d\nportRange=%d,%d\n", ip, frontPort, ip, readyPort, ip,
+	fmt.Fprintf(&b, "listen.front=%s:%d\nlisten.ready=%s:%d\nlisten.control=%s:%d\nportRange=%d,%d\n", ip, proxyPort, ip, readyPort, ip,
 		controlPort, internalPort, internalPort)
 	var seeds []string
 	for seed := range min(3, f.config.Core) {
@@ -178,7 +179,7 @@
 	return b.String()
 }
 
-func (f *fleet) end() {
+func (f *fleet) stop() {
 	for _, cancel := range f.cancels {
 		cancel()
 	}
@@ -202,18 +203,18 @@
 }
 
 // order has the core take an order and returns how long that took.
-func (f *fleet) order(ctx context.Context, path, body string) (time.Duration, error) {
+func (f *fleet) submitConfig(ctx context.Context, path, body string) (time.Duration, error) {
 	began := time.Now()
-	for end := began.Add(f.config.Within); time.Now().Before(end) && ctx.Err() == nil; {
+	for end := began.Add(f.config.Timeout); time.Now().Before(end) && ctx.Err() == nil; {
 		for core := range f.config.Core {
 			url := fmt.Sprintf("http://%s:%d%s", f.ip(core), controlPort, path)
 			if f.post(ctx, url, body, "X-Base-Version", fmt.Sprint(f.version-1)) == http.StatusOK {
 				return time.Since(began), nil
 			}
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
-	return 0, fmt.Errorf("routers: the core did not take version %d within %v", f.version, f.config.Within)
+	return 0, fmt.Errorf("routers: the core did not take version %d within %v", f.version, f.config.Timeout)
 }
 
 func (f *fleet) post(ctx context.Context, url, body string, headers ...string) int {
@@ -234,9 +235,9 @@
 }
 
 // spread waits until all routers hold the version, and returns how long each took from a moment on.
-func (f *fleet) spread(ctx context.Context, from time.Time) (took []time.Duration, late int) {
+func (f *fleet) awaitVersion(ctx context.Context, from time.Time) (took []time.Duration, late int) {
 	waiting := slices.DeleteFunc(slices.Clone(f.routers), func(r *router.Router) bool { return r == nil })
-	for end := time.Now().Add(f.config.Within); len(waiting) > 0 && time.Now().Before(end) && ctx.Err() == nil; time.Sleep(pollEvery) {
+	for end := time.Now().Add(f.config.Timeout); len(waiting) > 0 && time.Now().Before(end) && ctx.Err() == nil; time.Sleep(pollInterval) {
 		waiting = slices.DeleteFunc(waiting, func(r *router.Router) bool {
 			table, _ := r.Table()
 			if table == nil || table.Version < f.version {
@@ -250,10 +251,10 @@
 }
 
 // beat has endpoints announce themselves, spread over the routers.
-func (f *fleet) beat(ctx context.Context) {
+func (f *fleet) sendHeartbeats(ctx context.Context) {
 	for e := range f.config.Endpoints {
 		f.tasks.Go(func() {
-			pause := time.NewTimer(beatEvery * time.Duration(e) / time.Duration(f.config.Endpoints))
+			pause := time.NewTimer(heartbeatInterval * time.Duration(e) / time.Duration(f.config.Endpoints))
 			defer pause.Stop()
 			for sequence := 1; ; sequence++ {
 				select {
@@ -264,7 +265,7 @@
 				url := fmt.Sprintf("http://%s:%d/instances/e%d/heartbeat", f.ip(e%f.config.Routers), controlPort, e)
 				f.post(ctx, url, fmt.Sprintf(`{"service":"m%d","address":"10.0.%d.%d:1","zone":"z0","capacity":64,"state":"ready","sequence":%d}`,
 					e%max(1, f.config.Models), e/250, e%250, sequence))
-				pause.Reset(beatEvery)
+				pause.Reset(heartbeatInterval)
 			}
 		})
 	}
@@ -289,9 +290,9 @@
 }
 
 func (f *fleet) measureRest(ctx context.Context, result *Result) {
-	settle(ctx, 3*beatEvery+time.Duration(f.config.Routers)*settleEach) // what is new has spread by then
+	sleep(ctx, 3*heartbeatInterval+time.Duration(f.config.Routers)*settleTimePerRouter) // what is new has spread by then
 	before, began := f.usage(), time.Now()
-	settle(ctx, f.config.Rest)
+	sleep(ctx, f.config.Rest)
 	after, each := f.usage(), time.Since(began).Seconds()*float64(f.config.Routers)
 	result.RestCPU = float64((after.cpu - before.cpu).Microseconds()) / 1000 / each
 	result.RestBytes = float64(after.bytes-before.bytes) / each
@@ -299,7 +300,7 @@
 	result.MemoryMB = residentMB() / float64(f.config.Routers)
 }
 
-func settle(ctx context.Context, span time.Duration) {
+func sleep(ctx context.Context, span time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(span):
@@ -323,13 +324,13 @@
 	var all, acknowledged []time.Duration
 	for change := range f.config.Changes {
 		f.version++
-		took, err := f.order(ctx, "/config/modify", fmt.Sprintf(`{"version":%d,"upsert":{"services":[{"name":"m0","maxConnections":%d}]}}`,
+		took, err := f.submitConfig(ctx, "/config/modify", fmt.Sprintf(`{"version":%d,"upsert":{"services":[{"name":"m0","maxConnections":%d}]}}`,
 			f.version, 600+change))
 		if err != nil {
 			return err
 		}
 		acknowledged = append(acknowledged, took)
-		spread, late := f.spread(ctx, time.Now())
+		spread, late := f.awaitVersion(ctx, time.Now())
 		if late > 0 {
 			result.Failed++
 		}
--- a/internal/lab/routers/routers_test.go
+++ b/internal/lab/routers/routers_test.go
@@ -10,8 +10,8 @@
 // nothing: a machine however busy gets there.
 func TestPlay(t *testing.T) {
 	result, err := Play(context.Background(), Config{
-		Routers: 12, Core: 3, Endpoints: 12, Tenants: 20, Models: 3, Changes: 3, Rest: 500 * time.Millisecond, Within: time.Minute,
-		Losses: []Loss{{Core: 1}, {Core: 2}}, LossTime: 5 * time.Second,
+		Routers: 12, Core: 3, Endpoints: 12, Tenants: 20, Models: 3, Changes: 3, Rest: 500 * time.Millisecond, Timeout: time.Minute,
+		Losses: []Loss{{CoreRouters: 1}, {CoreRouters: 2}}, LossTimeout: 5 * time.Second,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -19,16 +19,16 @@
 	if result.Failed > 0 || result.RestBytes <= 0 || len(result.Losses) != 2 {
 		t.Errorf("%+v", result)
 	}
-	if one := result.Losses[0]; one.Lost != 1 || one.TakenMs < 0 || one.ForceMs < one.TakenMs || one.BackMs <= 0 {
+	if one := result.Losses[0]; one.Lost != 1 || one.AckMs < 0 || one.AppliedMs < one.AckMs || one.RecoveredMs <= 0 {
 		t.Errorf("one of three: %+v", one)
 	}
-	if two := result.Losses[1]; two.Lost != 2 || two.TakenMs >= 0 || two.BackMs <= 0 {
+	if two := result.Losses[1]; two.Lost != 2 || two.AckMs >= 0 || two.RecoveredMs <= 0 {
 		t.Errorf("a change was taken by one of three: %+v", two)
 	}
 }
 
 func TestCheck(t *testing.T) {
-	for _, c := range []Config{{}, {Routers: 3, Core: 4, Rest: 1, Within: 1}, {Routers: 3, Core: 3}} {
+	for _, c := range []Config{{}, {Routers: 3, Core: 4, Rest: 1, Timeout: 1}, {Routers: 3, Core: 3}} {
 		if c.Check() == nil {
 			t.Errorf("%+v is taken", c)
 		}
@@ -36,7 +36,7 @@
 }
 
 func TestParseLoss(t *testing.T) {
-	for text, want := range map[string]Loss{"zone": {Zone: true}, "4": {Core: 4}} {
+	for text, want := range map[string]Loss{"zone": {Zone: true}, "4": {CoreRouters: 4}} {
 		if got, err := ParseLoss(text); err != nil || got != want || got.String() != text {
 			t.Errorf("%s: %+v, %v", text, got, err)
 		}
