--- a/internal/lab/routers/routers_test.go
+++ b/internal/lab/routers/routers_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Guards against a rig that does not play, and against changes that do not reach every router. How long it takes decides
+// TestPlay guards against a play that does not run, and against changes that do not reach every router. How long it takes decides
 // nothing: a machine however busy gets there.
 func TestPlay(t *testing.T) {
 	result, err := Play(context.Background(), Config{
