--- a/internal/lab/cli/decide.go
+++ b/internal/lab/cli/decide.go
@@ -24,6 +24,9 @@
 	if err != nil {
 		return exitError{exitUsage, err}
 	}
+	for _, class := range site.Excluded() {
+		fmt.Fprintf(t.err, "%s: class %s is left out: it is of %s, which has no engines or isn't the first service that has them\n", programName, class.Name, class.Service)
+	}
 	w := tabwriter.NewWriter(t.out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "day\tscheduler\tclass\tcalls\tlate %\ts.e.\timpossible alone %\tfirst token %\tpause %\tshared k tokens read\t")
 	var rows []decision.Row
--- a/internal/lab/decision/decision_test.go
+++ b/internal/lab/decision/decision_test.go
@@ -116,3 +116,34 @@
 		So(strings.HasSuffix(text, "</svg>\n"), ShouldBeTrue)
 	})
 }
+
+// TestServiceWithoutEngine guards against playing calls of a service that has no engines, for which there is nothing to place.
+func TestServiceWithoutEngine(t *testing.T) {
+	site, err := ReadSite("testdata/mixed.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	Convey("Classes of a service without an engine are left out, and the others keep their rates", t, func() {
+		for _, scheduler := range []Scheduler{Routers, Ideal, Even} {
+			rows, err := Seeds(context.Background(), Config{Site: site, Day: "quiet", Scheduler: scheduler}, 4)
+			So(err, ShouldBeNil)
+			So(len(rows), ShouldEqual, 2)
+			So(rows[0].Class, ShouldEqual, "long")
+			So(rows[1].Class, ShouldEqual, "short")
+			expected := 60.0 * 12 * 100 / 125 // calls a second, seconds, share of the two classes
+			So(rows[0].Calls+rows[1].Calls, ShouldBeBetween, 0.8*expected, 1.2*expected)
+		}
+		var names []string
+		for _, class := range site.Excluded() {
+			names = append(names, class.Name)
+		}
+		So(names, ShouldResemble, []string{"stock"})
+		So(small(t).Excluded(), ShouldBeEmpty)
+	})
+	Convey("A site none of whose classes uses an engine is an error", t, func() {
+		none := *site
+		none.Classes = site.Excluded()
+		_, err := Play(Config{Site: &none, Day: "quiet", Scheduler: Routers, Seed: 1})
+		So(err, ShouldNotBeNil)
+	})
+}
--- a/internal/lab/decision/play.go
+++ b/internal/lab/decision/play.go
@@ -101,7 +101,11 @@
 	if err != nil {
 		return nil, err
 	}
-	calls, err := c.Site.calls(rand.New(rand.NewPCG(c.Seed, 1)), c.Day, service.Engine.Stride)
+	classes, err := c.Site.played(service)
+	if err != nil {
+		return nil, err
+	}
+	calls, err := c.Site.calls(rand.New(rand.NewPCG(c.Seed, 1)), c.Day, classes, service.Engine.Stride)
 	if err != nil {
 		return nil, err
 	}
@@ -114,7 +118,7 @@
 		w.now = next.at
 		next.run()
 	}
-	return w.judge(c.Site, calls), nil
+	return w.judge(classes, calls), nil
 }
 
 func newWorld(c *Config, service *Service) *world {
@@ -302,9 +306,9 @@
 }
 
 // judge counts what became of the calls.
-func (w *world) judge(site *Site, calls []*call) []Kind {
+func (w *world) judge(classes []*Class, calls []*call) []Kind {
 	var kinds []Kind
-	for _, class := range site.Classes {
+	for _, class := range classes {
 		k := Kind{Class: class.Name}
 		for _, c := range calls {
 			if c.class != class {
--- a/internal/lab/decision/site.go
+++ b/internal/lab/decision/site.go
@@ -106,6 +106,35 @@
 	return nil, fmt.Errorf("%s: no service has engines", s.Name)
 }
 
+// played returns the classes of the service whose endpoints are engines; there is an error if there is none.
+func (s *Site) played(service *Service) ([]*Class, error) {
+	var classes []*Class
+	for _, c := range s.Classes {
+		if c.Service == service.Name {
+			classes = append(classes, c)
+		}
+	}
+	if len(classes) == 0 {
+		return nil, fmt.Errorf("%s: no class is of %s, the service that has engines", s.Name, service.Name)
+	}
+	return classes, nil
+}
+
+// Excluded returns the classes that Play leaves out: those of other services than the first that has engines.
+func (s *Site) Excluded() []*Class {
+	service, err := s.service()
+	if err != nil {
+		return nil
+	}
+	var classes []*Class
+	for _, c := range s.Classes {
+		if c.Service != service.Name {
+			classes = append(classes, c)
+		}
+	}
+	return classes
+}
+
 // traffic is that of a day, or the site's where the day has none of its own.
 func (s *Site) traffic(day string) ([]Traffic, error) {
 	for _, d := range s.Days {
@@ -195,8 +224,8 @@
 	return c
 }
 
-// calls are a day's, by time.
-func (s *Site) calls(random *rand.Rand, day string, stride int) ([]*call, error) {
+// calls are a day's of the classes that are played, by time.
+func (s *Site) calls(random *rand.Rand, day string, classes []*Class, stride int) ([]*call, error) {
 	traffic, err := s.traffic(day)
 	if err != nil {
 		return nil, err
@@ -214,8 +243,11 @@
 		total += t.PerS
 		clump = max(clump, t.Shape.Clump)
 	}
+	for _, c := range s.Excluded() {
+		total -= rates[c.Name]
+	}
 	sources := map[string]*things{}
-	for _, c := range s.Classes {
+	for _, c := range classes {
 		sources[c.Name] = newThings(random, c)
 	}
 	var calls []*call
@@ -226,7 +258,7 @@
 		}
 		for range 1 + random.IntN(int(2*clump-1)) {
 			u := random.Float64() * total
-			for _, class := range s.Classes {
+			for _, class := range classes {
 				if u -= rates[class.Name]; u < 0 {
 					c := sources[class.Name].draw(random, stride)
 					c.at, c.router = at, random.IntN(s.routers())
