--- a/internal/lab/cli/decide.go
+++ b/internal/lab/cli/decide.go
@@ -38,7 +38,7 @@
 			}
 			for _, r := range played {
 				fmt.Fprintf(w, "%s\t%s\t%s\t%.0f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.0f\t\n", day, scheduler, r.Class, r.Calls, r.Late, r.LateError,
-					r.Impossible, r.LateFirst, r.LatePause, r.Reread/1000)
+					r.Impossible, r.LateFirst, r.Stalled, r.MissedTokens/1000)
 			}
 			rows = append(rows, played...)
 		}
--- a/internal/lab/decision/decision_test.go
+++ b/internal/lab/decision/decision_test.go
@@ -23,11 +23,11 @@
 	e := &engine{spec: spec}
 	now := 0.0
 	for _, c := range calls {
-		c.at = now
+		c.sentAt = now
 		e.submit(c)
-		for e.begin(now); e.stepEnd > 0; e.begin(now) {
+		for e.startStep(now); e.stepEnd > 0; e.startStep(now) {
 			now = e.stepEnd
-			e.finish()
+			e.finishStep()
 		}
 	}
 }
@@ -41,19 +41,19 @@
 	Convey("A prompt that is read alone takes what its tokens and pairs take", t, func() {
 		c := request(20000, 1)
 		alone(spec, c)
-		So(c.firstAt, ShouldAlmostEqual, spec.alone(24500, 0)-spec.FirstTokenMs*millisecond, 1e-6)
-		So(spec.alone(24500, 4500), ShouldBeLessThan, spec.alone(24500, 0))
+		So(c.firstAt, ShouldAlmostEqual, spec.minFirstTokenTime(24500, 0)-spec.FirstTokenMs*millisecond, 1e-6)
+		So(spec.minFirstTokenTime(24500, 4500), ShouldBeLessThan, spec.minFirstTokenTime(24500, 0))
 	})
 	Convey("Shared parts are read once, as long as they are kept", t, func() {
 		first, second := request(1000, 1), request(1000, 1)
 		alone(spec, first, second)
-		So(first.reread, ShouldEqual, 4500)
-		So(second.reread, ShouldEqual, 0)
+		So(first.missedTokens, ShouldEqual, 4500)
+		So(second.missedTokens, ShouldEqual, 0)
 		tight := *spec
 		tight.KVTokens = 4000
 		first, second = request(1000, 1), request(1000, 1)
 		alone(&tight, first, second)
-		So(second.reread, ShouldBeGreaterThan, 0)
+		So(second.missedTokens, ShouldBeGreaterThan, 0)
 	})
 	Convey("A long prompt holds up the stream that runs, and urgent prompts that wait go first", t, func() {
 		e := &engine{spec: spec}
@@ -66,14 +66,14 @@
 				e.submit(long)
 				e.submit(urgent)
 			}
-			e.begin(now)
+			e.startStep(now)
 			if e.stepEnd == 0 {
 				break
 			}
 			now = e.stepEnd
-			e.finish()
+			e.finishStep()
 		}
-		So(stream.pause, ShouldBeGreaterThan, 0.35)
+		So(stream.maxStall, ShouldBeGreaterThan, 0.35)
 		So(urgent.firstAt, ShouldBeLessThan, long.firstAt)
 	})
 }
@@ -82,7 +82,7 @@
 	site := small(t)
 	Convey("A scheduler that knows everything is late least, and the routers are far better than chance", t, func() {
 		late := map[Scheduler]float64{}
-		for _, scheduler := range []Scheduler{Routers, Ideal, Even} {
+		for _, scheduler := range []Scheduler{Routers, Ideal, Random} {
 			rows, err := Seeds(context.Background(), Config{Site: site, Day: "quiet", Scheduler: scheduler}, 4)
 			So(err, ShouldBeNil)
 			So(len(rows), ShouldEqual, 2)
@@ -90,10 +90,10 @@
 			So(rows[0].Impossible, ShouldBeLessThanOrEqualTo, rows[0].Late)
 		}
 		So(late[Ideal], ShouldBeLessThanOrEqualTo, late[Routers])
-		So(late[Routers], ShouldBeLessThan, 0.7*late[Even])
+		So(late[Routers], ShouldBeLessThan, 0.7*late[Random])
 	})
 	Convey("The same seed gives the same play, another one another", t, func() {
-		play := func(seed uint64) []Kind {
+		play := func(seed uint64) []Outcome {
 			kinds, err := Play(Config{Site: site, Day: "quiet", Scheduler: Routers, Seed: seed})
 			So(err, ShouldBeNil)
 			return kinds
@@ -102,10 +102,10 @@
 		So(play(3), ShouldNotResemble, play(4))
 	})
 	Convey("A day's own traffic is played, and a day that is not there is an error", t, func() {
-		kinds, err := Play(Config{Site: site, Day: "rest", Scheduler: Even, Seed: 1})
+		kinds, err := Play(Config{Site: site, Day: "rest", Scheduler: Random, Seed: 1})
 		So(err, ShouldBeNil)
 		So(kinds[0].Calls, ShouldBeLessThan, 60)
-		_, err = Play(Config{Site: site, Day: "none", Scheduler: Even, Seed: 1})
+		_, err = Play(Config{Site: site, Day: "none", Scheduler: Random, Seed: 1})
 		So(err, ShouldNotBeNil)
 		_, err = ReadSite("testdata/none.toml")
 		So(err, ShouldNotBeNil)
@@ -124,7 +124,7 @@
 		t.Fatal(err)
 	}
 	Convey("Classes of a service without an engine are left out, and the others keep their rates", t, func() {
-		for _, scheduler := range []Scheduler{Routers, Ideal, Even} {
+		for _, scheduler := range []Scheduler{Routers, Ideal, Random} {
 			rows, err := Seeds(context.Background(), Config{Site: site, Day: "quiet", Scheduler: scheduler}, 4)
 			So(err, ShouldBeNil)
 			So(len(rows), ShouldEqual, 2)
--- a/internal/lab/decision/play.go
+++ b/internal/lab/decision/play.go
@@ -17,16 +17,16 @@
 const (
 	Routers Scheduler = "routers" // the real placement, one a router, which tell each other as the fleet does
 	Ideal   Scheduler = "ideal"   // one that knows every engine's queue, streams and kept parts at each moment
-	Even    Scheduler = "even"    // a random endpoint
+	Random    Scheduler = "even"    // a random endpoint
 )
 
 // Times between the parts, in seconds.
 const (
-	clientWay   = 4e-3  // from a client to a router, with the router's own work, and the same back
-	endpointWay = 1e-3  // from a router to an endpoint, and the same back
-	tellLeast   = 2e-3  // until another router hears of a call
-	tellGather  = 30e-3 // more, where it is gathered meanwhile
-	gatherFrom  = 24    // routers from which on announcements are gathered
+	clientDelay   = 4e-3  // from a client to a router, with the router's own work, and the same back
+	endpointDelay = 1e-3  // from a router to an endpoint, and the same back
+	minAnnounceDelay   = 2e-3  // until another router hears of a call
+	maxBatchDelay  = 30e-3 // more, where it is gathered meanwhile
+	batchingRouters  = 24    // routers from which on announcements are gathered
 )
 
 // Config is one play.
@@ -37,19 +37,19 @@
 	Seed      uint64
 }
 
-// Kind is what became of a class of calls.
-type Kind struct {
+// Outcome is what became of a class of calls.
+type Outcome struct {
 	Class      string
 	Calls      int
 	Impossible int     // late, and late alone with all shared parts kept
 	LateFirst  int     // the first token came late for another reason
-	LatePause  int     // a pause between events was too long
-	Reread     float64 // tokens of shared parts that had to be read, first readings included
+	Stalled  int     // a pause between events was too long
+	MissedTokens     float64 // tokens of shared parts that had to be read, first readings included
 }
 
 // Late is the share of calls that are late.
-func (k *Kind) Late() float64 {
-	return float64(k.Impossible+k.LateFirst+k.LatePause) / float64(max(1, k.Calls))
+func (k *Outcome) Late() float64 {
+	return float64(k.Impossible+k.LateFirst+k.Stalled) / float64(max(1, k.Calls))
 }
 
 // event is something that happens at a moment.
@@ -76,27 +76,27 @@
 }
 
 // world is one play under way.
-type world struct {
-	spec    *EngineSpec
+type simulation struct {
+	engineSpec    *EngineSpec
 	engines []*engine
 	routers []*router
-	byName  map[string]int
+	engineByID  map[string]int
 	events  events
 	now     float64
 	random  *rand.Rand
 	ideal   bool
-	even    bool
+	uniform    bool
 }
 
 // router is one router's decision.
 type router struct {
 	placer *placement.Placer
-	seen   *placement.Observation
-	pause  *placement.Stall
+	observation   *placement.Observation
+	stall  *placement.Stall
 }
 
 // Play plays one day without faults. The same configuration gives the same result.
-func Play(c Config) ([]Kind, error) {
+func Play(c Config) ([]Outcome, error) {
 	service, err := c.Site.service()
 	if err != nil {
 		return nil, err
@@ -111,26 +111,26 @@
 	}
 	w := newWorld(&c, service)
 	for _, each := range calls {
-		w.after(each.at+clientWay, func() { w.arrive(each) })
+		w.schedule(each.sentAt+clientDelay, func() { w.arrive(each) })
 	}
 	for len(w.events) > 0 {
 		next := heap.Pop(&w.events).(event)
 		w.now = next.at
 		next.run()
 	}
-	return w.judge(classes, calls), nil
+	return w.outcomes(classes, calls), nil
 }
 
-func newWorld(c *Config, service *Service) *world {
-	w := &world{
-		spec: service.Engine, byName: map[string]int{}, random: rand.New(rand.NewPCG(c.Seed, 2)),
-		ideal: c.Scheduler == Ideal, even: c.Scheduler == Even,
+func newWorld(c *Config, service *Service) *simulation {
+	w := &simulation{
+		engineSpec: service.Engine, engineByID: map[string]int{}, random: rand.New(rand.NewPCG(c.Seed, 2)),
+		ideal: c.Scheduler == Ideal, uniform: c.Scheduler == Random,
 	}
 	var ready []registry.Endpoint
 	for _, servers := range service.Servers {
 		for range servers.Count {
 			id := fmt.Sprintf("i-%08x", w.random.Uint32())
-			w.byName[id] = len(w.engines)
+			w.engineByID[id] = len(w.engines)
 			w.engines = append(w.engines, &engine{spec: service.Engine})
 			ready = append(ready, registry.Endpoint{ID: id, Service: service.Name, Address: id, State: registry.Ready})
 		}
@@ -144,33 +144,33 @@
 	return w
 }
 
-func (w *world) after(at float64, run func()) { heap.Push(&w.events, event{at, run}) }
+func (w *simulation) schedule(at float64, run func()) { heap.Push(&w.events, event{at, run}) }
 
-func (w *world) clock() time.Duration { return time.Duration(w.now * float64(time.Second)) }
+func (w *simulation) clock() time.Duration { return time.Duration(w.now * float64(time.Second)) }
 
 // arrive has a call's router, or the scheduler, choose its endpoint.
-func (w *world) arrive(c *call) {
+func (w *simulation) arrive(c *call) {
 	switch {
-	case w.even:
+	case w.uniform:
 		c.engine = w.random.IntN(len(w.engines))
 		w.send(c, nil)
 	case w.ideal:
-		c.engine = w.best(c)
+		c.engine = w.idealEngine(c)
 		w.send(c, nil)
 	default:
-		placed := w.routers[c.router].placer.Place(w.clock(), placementCall(c, w.spec.Stride))
-		c.engine = w.byName[placed.Endpoint.ID]
-		w.tell(c, placed)
+		placed := w.routers[c.router].placer.Place(w.clock(), placementCall(c, w.engineSpec.Stride))
+		c.engine = w.engineByID[placed.Endpoint.ID]
+		w.announce(c, placed)
 		w.send(c, placed)
 	}
 }
 
-// outputTold is how many times what is written a request says that may be.
-const outputTold = 2
+// maxOutputFactor is how many times what is written a request says that may be.
+const maxOutputFactor = 2
 
 func placementCall(c *call, stride int) *placement.Call {
 	prompt := placement.Prompt{
-		Units: c.prompt, Output: outputTold * c.class.Stream.Pieces.Mean * float64(stride), Priority: c.class.Priority,
+		Units: c.prompt, Output: maxOutputFactor * c.class.Stream.Pieces.Mean * float64(stride), Priority: c.class.Priority,
 		MaxEventGap: milliseconds(c.class.Stream.GapAimMs),
 	}
 	end := 0.0
@@ -179,7 +179,7 @@
 		prompt.Prefixes = append([]placement.Prefix{{Hash: uint32(p.id), Units: end}}, prompt.Prefixes...)
 	}
 	return &placement.Call{
-		Service: c.class.Service, Target: milliseconds(c.class.AimMs), Spent: milliseconds(1000 * clientWay), Prompt: prompt,
+		Service: c.class.Service, Target: milliseconds(c.class.TargetMs), Spent: milliseconds(1000 * clientDelay), Prompt: prompt,
 	}
 }
 
@@ -188,16 +188,16 @@
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 // tell has the other routers hear of a call.
-func (w *world) tell(c *call, placed *placement.Placement) {
+func (w *simulation) announce(c *call, placed *placement.Placement) {
 	from := w.routers[c.router]
-	seen, pause := from.seen, from.pause
-	from.seen, from.pause = nil, nil
-	at := w.now + tellLeast
-	if len(w.routers) > gatherFrom {
-		at += tellGather * w.random.Float64()
+	seen, pause := from.observation, from.stall
+	from.observation, from.stall = nil, nil
+	at := w.now + minAnnounceDelay
+	if len(w.routers) > batchingRouters {
+		at += maxBatchDelay * w.random.Float64()
 	}
-	prompt := &placementCall(c, w.spec.Stride).Prompt
-	w.after(at, func() {
+	prompt := &placementCall(c, w.engineSpec.Stride).Prompt
+	w.schedule(at, func() {
 		for _, r := range w.routers {
 			if r == from {
 				continue
@@ -214,77 +214,77 @@
 }
 
 // send has an endpoint take a call.
-func (w *world) send(c *call, placed *placement.Placement) {
-	w.after(w.now+endpointWay, func() {
+func (w *simulation) send(c *call, placed *placement.Placement) {
+	w.schedule(w.now+endpointDelay, func() {
 		e := w.engines[c.engine]
-		sentAt := w.now - endpointWay
-		c.onFirst = func() { w.first(c, placed, sentAt) }
-		c.onEnd = func() { w.end(c, placed) }
+		sentAt := w.now - endpointDelay
+		c.onFirstToken = func() { w.recordFirstToken(c, placed, sentAt) }
+		c.onEnd = func() { w.recordEnd(c, placed) }
 		e.submit(c)
 		if e.stepEnd == 0 {
-			w.step(e)
+			w.startStep(e)
 		}
 	})
 }
 
 // step begins a step of an engine.
-func (w *world) step(e *engine) {
-	e.begin(w.now)
+func (w *simulation) startStep(e *engine) {
+	e.startStep(w.now)
 	if e.stepEnd == 0 {
 		return
 	}
-	w.after(e.stepEnd, func() {
-		first, over := e.finish()
+	w.schedule(e.stepEnd, func() {
+		first, over := e.finishStep()
 		for _, c := range first {
-			c.onFirst()
+			c.onFirstToken()
 		}
 		for _, c := range over {
 			c.onEnd()
 		}
-		w.step(e)
+		w.startStep(e)
 	})
 }
 
 // first has a call's router learn from its first token.
-func (w *world) first(c *call, placed *placement.Placement, sentAt float64) {
+func (w *simulation) recordFirstToken(c *call, placed *placement.Placement, sentAt float64) {
 	if placed == nil {
 		return
 	}
 	r := w.routers[c.router]
-	seen := r.placer.RecordFirstToken(w.clock(), placed, time.Duration((w.now+endpointWay-sentAt)*float64(time.Second)))
-	r.seen = &seen
+	seen := r.placer.RecordFirstToken(w.clock(), placed, time.Duration((w.now+endpointDelay-sentAt)*float64(time.Second)))
+	r.observation = &seen
 }
 
-func (w *world) end(c *call, placed *placement.Placement) {
+func (w *simulation) recordEnd(c *call, placed *placement.Placement) {
 	if placed == nil {
 		return
 	}
 	r := w.routers[c.router]
-	if pause, ok := r.placer.RecordStreamEnd(w.clock(), placed, seconds(c.endAt-c.firstAt), seconds(c.pause)); ok {
-		r.pause = &pause
+	if pause, ok := r.placer.RecordStreamEnd(w.clock(), placed, seconds(c.endAt-c.firstAt), seconds(c.maxStall)); ok {
+		r.stall = &pause
 	}
 	r.placer.Release(placed)
 }
 
 // What the ideal scheduler counts, in calls that are late.
 const (
-	idealReread = 1e-5 // a token of a shared part that is read
-	idealDelay  = 0.05 // an aim's time of delay
+	missCost = 1e-5 // a token of a shared part that is read
+	delayCost  = 0.05 // an aim's time of delay
 )
 
 // best is the engine at which a call and those that run there lose least, by what the engines really hold.
-func (w *world) best(c *call) int {
+func (w *simulation) idealEngine(c *call) int {
 	best, least := 0, 0.0
 	for i, e := range w.engines {
-		kept := e.kept.tokens(c)
-		reading := e.spec.alone(c.prompt, kept)
-		delay := e.work(c.class.Priority) + reading
-		aim := c.class.AimMs*millisecond - 2*clientWay - 2*endpointWay
-		loss := idealDelay*delay/aim + idealReread*(c.prompt-kept)
+		kept := e.cache.cachedTokens(c)
+		reading := e.spec.minFirstTokenTime(c.prompt, kept)
+		delay := e.queuedWork(c.class.Priority) + reading
+		aim := c.class.TargetMs*millisecond - 2*clientDelay - 2*endpointDelay
+		loss := delayCost*delay/aim + missCost*(c.prompt-kept)
 		if delay > 0.9*aim {
 			loss++
 		}
-		loss += e.heldUp(c.prompt, kept)
+		loss += e.stalledStreams(c.prompt, kept)
 		if i == 0 || loss < least {
 			best, least = i, loss
 		}
@@ -292,12 +292,12 @@
 	return best
 }
 
-// heldUp is how many streams of an engine would pause too long while a prompt is read.
-func (e *engine) heldUp(prompt, kept float64) float64 {
+// stalledStreams is how many streams of an engine would pause too long while a prompt is read.
+func (e *engine) stalledStreams(prompt, kept float64) float64 {
 	stride := min(float64(e.spec.Stride)*float64(e.spec.Chunk), prompt-kept)
-	pause := (float64(e.spec.Stride)*e.spec.StepMs + e.spec.pieceMs(prompt-stride, stride))
+	pause := (float64(e.spec.Stride)*e.spec.StepMs + e.spec.prefillMs(prompt-stride, stride))
 	count := 0.0
-	for _, s := range e.running {
+	for _, s := range e.decoding {
 		if pause > 0.9*s.call.class.Stream.GapAimMs && s.call.output-s.produced > e.spec.Stride {
 			count++
 		}
@@ -306,26 +306,26 @@
 }
 
 // judge counts what became of the calls.
-func (w *world) judge(classes []*Class, calls []*call) []Kind {
-	var kinds []Kind
+func (w *simulation) outcomes(classes []*Class, calls []*call) []Outcome {
+	var kinds []Outcome
 	for _, class := range classes {
-		k := Kind{Class: class.Name}
+		k := Outcome{Class: class.Name}
 		for _, c := range calls {
 			if c.class != class {
 				continue
 			}
 			k.Calls++
-			k.Reread += c.reread
+			k.MissedTokens += c.missedTokens
 			shared := c.prompt - c.parts[len(c.parts)-1].tokens
-			aim := class.AimMs * millisecond
-			ways := 2*clientWay + 2*endpointWay
+			aim := class.TargetMs * millisecond
+			ways := 2*clientDelay + 2*endpointDelay
 			switch {
-			case w.spec.alone(c.prompt, shared)+ways > aim:
+			case w.engineSpec.minFirstTokenTime(c.prompt, shared)+ways > aim:
 				k.Impossible++
-			case c.firstAt-c.at+clientWay+endpointWay > aim:
+			case c.firstAt-c.sentAt+clientDelay+endpointDelay > aim:
 				k.LateFirst++
-			case c.pause > class.Stream.GapAimMs*millisecond:
-				k.LatePause++
+			case c.maxStall > class.Stream.GapAimMs*millisecond:
+				k.Stalled++
 			}
 		}
 		kinds = append(kinds, k)
--- a/internal/lab/decision/plot.go
+++ b/internal/lab/decision/plot.go
@@ -8,9 +8,9 @@
 
 // Sizes of the plot, in pixels.
 const (
-	plotWide  = 760
+	plotWidth  = 760
 	plotLeft  = 260
-	barTall   = 18
+	barHeight   = 18
 	barGap    = 8
 	plotTop   = 40
 	labelSize = 12
@@ -23,7 +23,7 @@
 }{
 	{"impossible alone", "#999999", func(r *Row) float64 { return r.Impossible }},
 	{"first token", "#d55e00", func(r *Row) float64 { return r.LateFirst }},
-	{"pause", "#0072b2", func(r *Row) float64 { return r.LatePause }},
+	{"pause", "#0072b2", func(r *Row) float64 { return r.Stalled }},
 }
 
 // Plot draws the shares that are late, by cause, as SVG: a bar a row.
@@ -32,10 +32,10 @@
 	for i := range rows {
 		most = max(most, rows[i].Late)
 	}
-	scale := float64(plotWide-plotLeft-60) / most
+	scale := float64(plotWidth-plotLeft-60) / most
 	var out strings.Builder
 	fmt.Fprintf(&out, `<svg xmlns="http://www.w3.org/2000/svg" width="%d" height="%d" font-family="sans-serif" font-size="%d">`,
-		plotWide, plotTop+len(rows)*(barTall+barGap), labelSize)
+		plotWidth, plotTop+len(rows)*(barHeight+barGap), labelSize)
 	out.WriteString(`<rect width="100%" height="100%" fill="white"/>`)
 	x := plotLeft
 	for _, cause := range causes {
@@ -44,13 +44,13 @@
 	}
 	for i := range rows {
 		r := &rows[i]
-		y := plotTop + i*(barTall+barGap)
+		y := plotTop + i*(barHeight+barGap)
 		fmt.Fprintf(&out, `<text x="%d" y="%d" text-anchor="end">%s</text>`, plotLeft-8, y+13,
 			html.EscapeString(fmt.Sprintf("%s, %s, %s", r.Day, r.Scheduler, r.Class)))
 		at := float64(plotLeft)
 		for _, cause := range causes {
 			wide := scale * cause.share(r)
-			fmt.Fprintf(&out, `<rect x="%.1f" y="%d" width="%.1f" height="%d" fill="%s"/>`, at, y, wide, barTall, cause.colour)
+			fmt.Fprintf(&out, `<rect x="%.1f" y="%d" width="%.1f" height="%d" fill="%s"/>`, at, y, wide, barHeight, cause.colour)
 			at += wide
 		}
 		fmt.Fprintf(&out, `<text x="%.1f" y="%d">%.1f %%</text>`, at+6, y+13, r.Late)
--- a/internal/lab/decision/rows.go
+++ b/internal/lab/decision/rows.go
@@ -14,13 +14,13 @@
 	Calls     float64
 
 	Late, LateError                  float64 // with its standard error
-	Impossible, LateFirst, LatePause float64
-	Reread                           float64 // tokens
+	Impossible, LateFirst, Stalled float64
+	MissedTokens                           float64 // tokens
 }
 
 // Seeds plays a configuration with the seeds 1 to count, each on a goroutine of its own.
 func Seeds(ctx context.Context, c Config, count int) ([]Row, error) {
-	plays := make([][]Kind, count)
+	plays := make([][]Outcome, count)
 	errs := make([]error, count)
 	var tasks sync.WaitGroup
 	for i := range count {
@@ -48,8 +48,8 @@
 			row.Calls += float64(kind.Calls) / float64(count)
 			row.Impossible += percent * float64(kind.Impossible)
 			row.LateFirst += percent * float64(kind.LateFirst)
-			row.LatePause += percent * float64(kind.LatePause)
-			row.Reread += kind.Reread / float64(count)
+			row.Stalled += percent * float64(kind.Stalled)
+			row.MissedTokens += kind.MissedTokens / float64(count)
 			shares = append(shares, 100*kind.Late())
 		}
 		row.Late, row.LateError = meanAndError(shares)
--- a/internal/lab/decision/site.go
+++ b/internal/lab/decision/site.go
@@ -37,17 +37,17 @@
 // Class is a kind of requests.
 type Class struct {
 	Name     string  `toml:"name"`
-	AimMs    float64 `toml:"aim_ms"`
+	TargetMs    float64 `toml:"aim_ms"`
 	Priority int     `toml:"priority"`
 	Service  string  `toml:"service"`
-	Things   int     `toml:"things"`
+	Prefixes   int     `toml:"things"`
 	Skew     float64 `toml:"skew"`
 	Stream   struct {
-		Pieces       spread  `toml:"pieces"`
+		Pieces       sizes  `toml:"pieces"`
 		GapAimMs     float64 `toml:"gap_aim_ms"`
-		PromptTokens spread  `toml:"prompt_tokens"`
+		PromptTokens sizes  `toml:"prompt_tokens"`
 		Chain        []struct {
-			Tokens spread `toml:"tokens"`
+			Tokens sizes `toml:"tokens"`
 			Things int    `toml:"things"`
 		} `toml:"chain"`
 	} `toml:"stream"`
@@ -69,14 +69,14 @@
 }
 
 // spread is a distribution of sizes: log-normal with a mean and a standard deviation of the logarithm, cut off.
-type spread struct {
+type sizes struct {
 	Mean   float64 `toml:"mean"`
-	Spread float64 `toml:"spread"`
+	Sigma float64 `toml:"spread"`
 	Max    float64 `toml:"max"`
 }
 
-func (s spread) draw(random *rand.Rand) float64 {
-	value := s.Mean * math.Exp(s.Spread*random.NormFloat64()-s.Spread*s.Spread/2)
+func (s sizes) draw(random *rand.Rand) float64 {
+	value := s.Mean * math.Exp(s.Sigma*random.NormFloat64()-s.Sigma*s.Sigma/2)
 	if s.Max > 0 {
 		value = min(value, s.Max)
 	}
@@ -165,40 +165,40 @@
 // call is one request.
 type call struct {
 	class  *Class
-	at     float64 // when its client sends it
+	sentAt     float64 // when its client sends it
 	router int
 	parts  []part
 	prompt float64 // tokens
 	output int
 
-	firstAt, endAt, pause float64
-	reread                float64 // tokens of shared parts that had to be read
+	firstAt, endAt, maxStall float64
+	missedTokens                float64 // tokens of shared parts that had to be read
 	engine                int
-	onFirst, onEnd        func()
+	onFirstToken, onEnd        func()
 }
 
 // things are the shared parts of a class, with their sizes.
-type things struct {
+type sharedPrefixes struct {
 	class   *Class
-	first   []part    // the outer level
-	second  []part    // the inner one, a part of which belongs to one outer one
-	outer   []int     // of each inner part
+	outer   []part    // the outer level
+	inner  []part    // the inner one, a part of which belongs to one outer one
+	outerOf   []int     // of each inner part
 	weights []float64 // cumulative
 }
 
-func newThings(random *rand.Rand, c *Class) *things {
-	t := &things{class: c}
+func newSharedPrefixes(random *rand.Rand, c *Class) *sharedPrefixes {
+	t := &sharedPrefixes{class: c}
 	chain := c.Stream.Chain
 	if len(chain) < 2 {
 		return t
 	}
 	for range chain[0].Things {
-		t.first = append(t.first, part{random.Uint64(), chain[0].Tokens.draw(random)})
+		t.outer = append(t.outer, part{random.Uint64(), chain[0].Tokens.draw(random)})
 	}
 	sum := 0.0
 	for i := range chain[1].Things {
-		t.second = append(t.second, part{random.Uint64(), chain[1].Tokens.draw(random)})
-		t.outer = append(t.outer, random.IntN(len(t.first)))
+		t.inner = append(t.inner, part{random.Uint64(), chain[1].Tokens.draw(random)})
+		t.outerOf = append(t.outerOf, random.IntN(len(t.outer)))
 		sum += math.Pow(float64(i+1), -c.Skew)
 		t.weights = append(t.weights, sum)
 	}
@@ -206,15 +206,15 @@
 }
 
 // draw makes a call of the class.
-func (t *things) draw(random *rand.Rand, stride int) *call {
+func (t *sharedPrefixes) draw(random *rand.Rand, stride int) *call {
 	c := &call{class: t.class}
-	if len(t.second) > 0 {
+	if len(t.inner) > 0 {
 		u := random.Float64() * t.weights[len(t.weights)-1]
 		i := 0
 		for t.weights[i] < u {
 			i++
 		}
-		c.parts = append(c.parts, t.first[t.outer[i]], t.second[i])
+		c.parts = append(c.parts, t.outer[t.outerOf[i]], t.inner[i])
 	}
 	c.parts = append(c.parts, part{random.Uint64(), t.class.Stream.PromptTokens.draw(random)})
 	for _, p := range c.parts {
@@ -246,9 +246,9 @@
 	for _, c := range s.Excluded() {
 		total -= rates[c.Name]
 	}
-	sources := map[string]*things{}
+	sources := map[string]*sharedPrefixes{}
 	for _, c := range classes {
-		sources[c.Name] = newThings(random, c)
+		sources[c.Name] = newSharedPrefixes(random, c)
 	}
 	var calls []*call
 	for at := 0.0; ; {
@@ -261,7 +261,7 @@
 			for _, class := range classes {
 				if u -= rates[class.Name]; u < 0 {
 					c := sources[class.Name].draw(random, stride)
-					c.at, c.router = at, random.IntN(s.routers())
+					c.sentAt, c.router = at, random.IntN(s.routers())
 					calls = append(calls, c)
 					break
 				}
