--- a/internal/lab/decision/decision_test.go
+++ b/internal/lab/decision/decision_test.go
@@ -9,6 +9,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
+// small returns the site of testdata/small.toml.
 func small(t *testing.T) *Site {
 	t.Helper()
 	site, err := ReadSite("testdata/small.toml")
@@ -18,8 +19,8 @@
 	return site
 }
 
-// alone plays calls on one engine, each when the one before is over.
-func alone(spec *EngineSpec, calls ...*call) {
+// playSequentially plays calls on one engine, each when the one before is done.
+func playSequentially(spec *EngineSpec, calls ...*call) {
 	e := &engine{spec: spec}
 	now := 0.0
 	for _, c := range calls {
@@ -38,24 +39,24 @@
 	request := func(own float64, output int) *call {
 		return &call{class: class, parts: []part{{1, 500}, {2, 4000}, {rand.Uint64(), own}}, prompt: 4500 + own, output: output}
 	}
-	Convey("A prompt that is read alone takes what its tokens and pairs take", t, func() {
+	Convey("The prefill of a single prompt takes the time of its tokens and pairs", t, func() {
 		c := request(20000, 1)
-		alone(spec, c)
+		playSequentially(spec, c)
 		So(c.firstAt, ShouldAlmostEqual, spec.minFirstTokenTime(24500, 0)-spec.FirstTokenMs*millisecond, 1e-6)
 		So(spec.minFirstTokenTime(24500, 4500), ShouldBeLessThan, spec.minFirstTokenTime(24500, 0))
 	})
-	Convey("Shared parts are read once, as long as they are kept", t, func() {
+	Convey("Shared parts are prefilled once, as long as they are cached", t, func() {
 		first, second := request(1000, 1), request(1000, 1)
-		alone(spec, first, second)
+		playSequentially(spec, first, second)
 		So(first.missedTokens, ShouldEqual, 4500)
 		So(second.missedTokens, ShouldEqual, 0)
 		tight := *spec
 		tight.KVTokens = 4000
 		first, second = request(1000, 1), request(1000, 1)
-		alone(&tight, first, second)
+		playSequentially(&tight, first, second)
 		So(second.missedTokens, ShouldBeGreaterThan, 0)
 	})
-	Convey("A long prompt holds up the stream that runs, and urgent prompts that wait go first", t, func() {
+	Convey("A long prompt stalls a running stream, and waiting prompts go by priority", t, func() {
 		e := &engine{spec: spec}
 		stream, long, urgent := request(100, 200), request(45000, 1), request(100, 1)
 		long.class = &Class{Priority: 1}
@@ -80,7 +81,7 @@
 
 func TestPlay(t *testing.T) {
 	site := small(t)
-	Convey("A scheduler that knows everything is late least, and the routers are far better than chance", t, func() {
+	Convey("The ideal scheduler is late least, and the routers are far better than chance", t, func() {
 		late := map[Scheduler]float64{}
 		for _, scheduler := range []Scheduler{Routers, Ideal, Random} {
 			rows, err := Seeds(context.Background(), Config{Site: site, Day: "quiet", Scheduler: scheduler}, 4)
--- a/internal/lab/decision/play.go
+++ b/internal/lab/decision/play.go
@@ -10,26 +10,26 @@
 	"pinelb.example/pinelb/internal/fleet/registry"
 )
 
-// Scheduler is who decides.
+// Scheduler names what decides on the engine of a call.
 type Scheduler string
 
 // The schedulers.
 const (
-	Routers Scheduler = "routers" // the real placement, one a router, which tell each other as the fleet does
-	Ideal   Scheduler = "ideal"   // one that knows every engine's queue, streams and kept parts at each moment
-	Random    Scheduler = "even"    // a random endpoint
+	Routers Scheduler = "routers" // the real placement module, one for each router, which announce to each other as the fleet does
+	Ideal   Scheduler = "ideal"   // knows every engine's queue, streams and cache at each moment
+	Random  Scheduler = "even"    // a uniformly random endpoint
 )
 
-// Times between the parts, in seconds.
+// Network delays, in seconds.
 const (
-	clientDelay   = 4e-3  // from a client to a router, with the router's own work, and the same back
-	endpointDelay = 1e-3  // from a router to an endpoint, and the same back
-	minAnnounceDelay   = 2e-3  // until another router hears of a call
-	maxBatchDelay  = 30e-3 // more, where it is gathered meanwhile
-	batchingRouters  = 24    // routers from which on announcements are gathered
+	clientDelay      = 4e-3  // from a client to a router and back, each way, with the router's own work
+	endpointDelay    = 1e-3  // from a router to an endpoint and back, each way
+	minAnnounceDelay = 2e-3  // until another router learns of a call
+	maxBatchDelay    = 30e-3 // more, where announcements are batched
+	batchingRouters  = 24    // number of routers above which announcements are batched
 )
 
-// Config is one play.
+// Config configures one play.
 type Config struct {
 	Site      *Site
 	Day       string
@@ -37,81 +37,36 @@
 	Seed      uint64
 }
 
-// Outcome is what became of a class of calls.
-type Outcome struct {
-	Class      string
-	Calls      int
-	Impossible int     // late, and late alone with all shared parts kept
-	LateFirst  int     // the first token came late for another reason
-	Stalled  int     // a pause between events was too long
-	MissedTokens     float64 // tokens of shared parts that had to be read, first readings included
-}
-
-// Late is the share of calls that are late.
-func (k *Outcome) Late() float64 {
-	return float64(k.Impossible+k.LateFirst+k.Stalled) / float64(max(1, k.Calls))
-}
-
-// event is something that happens at a moment.
-type event struct {
-	at  float64
-	run func()
-}
-
-type events []event
-
-func (e events) Len() int           { return len(e) }
-func (e events) Less(i, j int) bool { return e[i].at < e[j].at }
-func (e events) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-
-// Push implements heap.Interface.
-func (e *events) Push(x any) { *e = append(*e, x.(event)) }
-
-// Pop implements heap.Interface.
-func (e *events) Pop() any {
-	old := *e
-	last := old[len(old)-1]
-	*e = old[:len(old)-1]
-	return last
-}
-
-// world is one play under way.
+// simulation is a play in virtual time. It runs on one goroutine.
 type simulation struct {
-	engineSpec    *EngineSpec
-	engines []*engine
-	routers []*router
-	engineByID  map[string]int
-	events  events
-	now     float64
-	random  *rand.Rand
-	ideal   bool
+	engineSpec *EngineSpec
+	engines    []*engine
+	routers    []*router
+	engineByID map[string]int
+	events     events
+	now        float64
+	random     *rand.Rand
+	ideal      bool
 	uniform    bool
 }
 
-// router is one router's decision.
-type router struct {
-	placer *placement.Placer
-	observation   *placement.Observation
-	stall  *placement.Stall
-}
-
-// Play plays one day without faults. The same configuration gives the same result.
-func Play(c Config) ([]Outcome, error) {
-	service, err := c.Site.service()
+// Play plays one day without faults. The same configuration gives the same result. An error names what the site lacks.
+func Play(config Config) ([]Outcome, error) {
+	service, err := config.Site.service()
 	if err != nil {
 		return nil, err
 	}
-	classes, err := c.Site.played(service)
-	if err != nil {
-		return nil, err
+	classes, _ := config.Site.classesOf(service)
+	if len(classes) == 0 {
+		return nil, fmt.Errorf("%s: no class is of %s, the service that has engines", config.Site.Name, service.Name)
 	}
-	calls, err := c.Site.calls(rand.New(rand.NewPCG(c.Seed, 1)), c.Day, classes, service.Engine.Stride)
+	calls, err := config.Site.calls(rand.New(rand.NewPCG(config.Seed, 1)), config.Day, service)
 	if err != nil {
 		return nil, err
 	}
-	w := newWorld(&c, service)
-	for _, each := range calls {
-		w.schedule(each.sentAt+clientDelay, func() { w.arrive(each) })
+	w := newSimulation(&config, service)
+	for _, c := range calls {
+		w.schedule(c.sentAt+clientDelay, func() { w.arrive(c) })
 	}
 	for len(w.events) > 0 {
 		next := heap.Pop(&w.events).(event)
@@ -121,7 +76,8 @@
 	return w.outcomes(classes, calls), nil
 }
 
-func newWorld(c *Config, service *Service) *simulation {
+// newSimulation makes the engines and the routers of a site.
+func newSimulation(c *Config, service *Service) *simulation {
 	w := &simulation{
 		engineSpec: service.Engine, engineByID: map[string]int{}, random: rand.New(rand.NewPCG(c.Seed, 2)),
 		ideal: c.Scheduler == Ideal, uniform: c.Scheduler == Random,
@@ -144,11 +100,13 @@
 	return w
 }
 
+// schedule adds an event at a moment of virtual time, in seconds.
 func (w *simulation) schedule(at float64, run func()) { heap.Push(&w.events, event{at, run}) }
 
+// clock returns the virtual time as the placement module has it.
 func (w *simulation) clock() time.Duration { return time.Duration(w.now * float64(time.Second)) }
 
-// arrive has a call's router, or the scheduler, choose its endpoint.
+// arrive has a call's router, or the scheduler, choose its engine.
 func (w *simulation) arrive(c *call) {
 	switch {
 	case w.uniform:
@@ -165,55 +123,13 @@
 	}
 }
 
-// maxOutputFactor is how many times what is written a request says that may be.
-const maxOutputFactor = 2
-
-func placementCall(c *call, stride int) *placement.Call {
-	prompt := placement.Prompt{
-		Units: c.prompt, Output: maxOutputFactor * c.class.Stream.Pieces.Mean * float64(stride), Priority: c.class.Priority,
-		MaxEventGap: milliseconds(c.class.Stream.GapAimMs),
-	}
-	end := 0.0
-	for _, p := range c.parts[:len(c.parts)-1] {
-		end += p.tokens
-		prompt.Prefixes = append([]placement.Prefix{{Hash: uint32(p.id), Units: end}}, prompt.Prefixes...)
-	}
-	return &placement.Call{
-		Service: c.class.Service, Target: milliseconds(c.class.TargetMs), Spent: milliseconds(1000 * clientDelay), Prompt: prompt,
-	}
-}
-
+// seconds converts a number of seconds.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
+// milliseconds converts a number of milliseconds.
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// tell has the other routers hear of a call.
-func (w *simulation) announce(c *call, placed *placement.Placement) {
-	from := w.routers[c.router]
-	seen, pause := from.observation, from.stall
-	from.observation, from.stall = nil, nil
-	at := w.now + minAnnounceDelay
-	if len(w.routers) > batchingRouters {
-		at += maxBatchDelay * w.random.Float64()
-	}
-	prompt := &placementCall(c, w.engineSpec.Stride).Prompt
-	w.schedule(at, func() {
-		for _, r := range w.routers {
-			if r == from {
-				continue
-			}
-			r.placer.RecordRemoteCall(w.clock(), placed.Endpoint.Name(), prompt, placed.Units)
-			if seen != nil {
-				r.placer.RecordRemoteFirstToken(w.clock(), seen)
-			}
-			if pause != nil {
-				r.placer.RecordRemoteStall(pause)
-			}
-		}
-	})
-}
-
-// send has an endpoint take a call.
+// send submits a call to its engine.
 func (w *simulation) send(c *call, placed *placement.Placement) {
 	w.schedule(w.now+endpointDelay, func() {
 		e := w.engines[c.engine]
@@ -227,108 +143,20 @@
 	})
 }
 
-// step begins a step of an engine.
+// startStep starts a step of an engine, and the next ones as long as it has work.
 func (w *simulation) startStep(e *engine) {
 	e.startStep(w.now)
 	if e.stepEnd == 0 {
 		return
 	}
 	w.schedule(e.stepEnd, func() {
-		first, over := e.finishStep()
+		first, done := e.finishStep()
 		for _, c := range first {
 			c.onFirstToken()
 		}
-		for _, c := range over {
+		for _, c := range done {
 			c.onEnd()
 		}
 		w.startStep(e)
 	})
 }
-
-// first has a call's router learn from its first token.
-func (w *simulation) recordFirstToken(c *call, placed *placement.Placement, sentAt float64) {
-	if placed == nil {
-		return
-	}
-	r := w.routers[c.router]
-	seen := r.placer.RecordFirstToken(w.clock(), placed, time.Duration((w.now+endpointDelay-sentAt)*float64(time.Second)))
-	r.observation = &seen
-}
-
-func (w *simulation) recordEnd(c *call, placed *placement.Placement) {
-	if placed == nil {
-		return
-	}
-	r := w.routers[c.router]
-	if pause, ok := r.placer.RecordStreamEnd(w.clock(), placed, seconds(c.endAt-c.firstAt), seconds(c.maxStall)); ok {
-		r.stall = &pause
-	}
-	r.placer.Release(placed)
-}
-
-// What the ideal scheduler counts, in calls that are late.
-const (
-	missCost = 1e-5 // a token of a shared part that is read
-	delayCost  = 0.05 // an aim's time of delay
-)
-
-// best is the engine at which a call and those that run there lose least, by what the engines really hold.
-func (w *simulation) idealEngine(c *call) int {
-	best, least := 0, 0.0
-	for i, e := range w.engines {
-		kept := e.cache.cachedTokens(c)
-		reading := e.spec.minFirstTokenTime(c.prompt, kept)
-		delay := e.queuedWork(c.class.Priority) + reading
-		aim := c.class.TargetMs*millisecond - 2*clientDelay - 2*endpointDelay
-		loss := delayCost*delay/aim + missCost*(c.prompt-kept)
-		if delay > 0.9*aim {
-			loss++
-		}
-		loss += e.stalledStreams(c.prompt, kept)
-		if i == 0 || loss < least {
-			best, least = i, loss
-		}
-	}
-	return best
-}
-
-// stalledStreams is how many streams of an engine would pause too long while a prompt is read.
-func (e *engine) stalledStreams(prompt, kept float64) float64 {
-	stride := min(float64(e.spec.Stride)*float64(e.spec.Chunk), prompt-kept)
-	pause := (float64(e.spec.Stride)*e.spec.StepMs + e.spec.prefillMs(prompt-stride, stride))
-	count := 0.0
-	for _, s := range e.decoding {
-		if pause > 0.9*s.call.class.Stream.GapAimMs && s.call.output-s.produced > e.spec.Stride {
-			count++
-		}
-	}
-	return count
-}
-
-// judge counts what became of the calls.
-func (w *simulation) outcomes(classes []*Class, calls []*call) []Outcome {
-	var kinds []Outcome
-	for _, class := range classes {
-		k := Outcome{Class: class.Name}
-		for _, c := range calls {
-			if c.class != class {
-				continue
-			}
-			k.Calls++
-			k.MissedTokens += c.missedTokens
-			shared := c.prompt - c.parts[len(c.parts)-1].tokens
-			aim := class.TargetMs * millisecond
-			ways := 2*clientDelay + 2*endpointDelay
-			switch {
-			case w.engineSpec.minFirstTokenTime(c.prompt, shared)+ways > aim:
-				k.Impossible++
-			case c.firstAt-c.sentAt+clientDelay+endpointDelay > aim:
-				k.LateFirst++
-			case c.maxStall > class.Stream.GapAimMs*millisecond:
-				k.Stalled++
-			}
-		}
-		kinds = append(kinds, k)
-	}
-	return kinds
-}
--- a/internal/lab/decision/plot.go
+++ b/internal/lab/decision/plot.go
@@ -6,17 +6,19 @@
 	"strings"
 )
 
-// Sizes of the plot, in pixels.
+// Dimensions of the plot, in pixels.
 const (
 	plotWidth  = 760
-	plotLeft  = 260
-	barHeight   = 18
-	barGap    = 8
-	plotTop   = 40
-	labelSize = 12
+	plotLeft   = 260
+	barHeight  = 18
+	barGap     = 8
+	plotTop    = 40
+	labelSize  = 12
+	valueWidth = 60 // right of the longest bar
+	legendStep = 140
 )
 
-// causes are the parts of a bar.
+// causes are the segments of a bar.
 var causes = []struct {
 	name, colour string
 	share        func(*Row) float64
@@ -26,13 +28,13 @@
 	{"pause", "#0072b2", func(r *Row) float64 { return r.Stalled }},
 }
 
-// Plot draws the shares that are late, by cause, as SVG: a bar a row.
+// Plot draws the shares of late calls by cause as SVG, with a bar for each row.
 func Plot(rows []Row) []byte {
-	most := 1.0
+	maxLate := 1.0
 	for i := range rows {
-		most = max(most, rows[i].Late)
+		maxLate = max(maxLate, rows[i].Late)
 	}
-	scale := float64(plotWidth-plotLeft-60) / most
+	scale := float64(plotWidth-plotLeft-valueWidth) / maxLate
 	var out strings.Builder
 	fmt.Fprintf(&out, `<svg xmlns="http://www.w3.org/2000/svg" width="%d" height="%d" font-family="sans-serif" font-size="%d">`,
 		plotWidth, plotTop+len(rows)*(barHeight+barGap), labelSize)
@@ -40,20 +42,20 @@
 	x := plotLeft
 	for _, cause := range causes {
 		fmt.Fprintf(&out, `<rect x="%d" y="12" width="12" height="12" fill="%s"/><text x="%d" y="23">%s</text>`, x, cause.colour, x+16, cause.name)
-		x += 140
+		x += legendStep
 	}
 	for i := range rows {
 		r := &rows[i]
 		y := plotTop + i*(barHeight+barGap)
 		fmt.Fprintf(&out, `<text x="%d" y="%d" text-anchor="end">%s</text>`, plotLeft-8, y+13,
 			html.EscapeString(fmt.Sprintf("%s, %s, %s", r.Day, r.Scheduler, r.Class)))
-		at := float64(plotLeft)
+		left := float64(plotLeft)
 		for _, cause := range causes {
-			wide := scale * cause.share(r)
-			fmt.Fprintf(&out, `<rect x="%.1f" y="%d" width="%.1f" height="%d" fill="%s"/>`, at, y, wide, barHeight, cause.colour)
-			at += wide
+			width := scale * cause.share(r)
+			fmt.Fprintf(&out, `<rect x="%.1f" y="%d" width="%.1f" height="%d" fill="%s"/>`, left, y, width, barHeight, cause.colour)
+			left += width
 		}
-		fmt.Fprintf(&out, `<text x="%.1f" y="%d">%.1f %%</text>`, at+6, y+13, r.Late)
+		fmt.Fprintf(&out, `<text x="%.1f" y="%d">%.1f %%</text>`, left+6, y+13, r.Late)
 	}
 	out.WriteString("</svg>\n")
 	return []byte(out.String())
