--- a/internal/lab/cli/scale.go
+++ b/internal/lab/cli/scale.go
@@ -93,7 +93,7 @@
 			for _, sidecars := range c.Sidecars {
 				one := base
 				one.Scenario, one.Hosts, one.Sidecars = name, hosts, sidecars
-				if one.Changes = stubfleet.Changes(name); c.Changes != nil {
+				if one.Changes = stubfleet.DefaultChanges(name); c.Changes != nil {
 					one.Changes = *c.Changes
 				}
 				if section != nil {
@@ -102,7 +102,7 @@
 				if err := one.Check(m); err != nil {
 					var key *stubfleet.KeyError
 					if errors.As(err, &key) {
-						return nil, fmt.Errorf("--%s: %s", key.Key, key.Why)
+						return nil, fmt.Errorf("--%s: %s", key.Key, key.Reason)
 					}
 					return nil, err
 				}
@@ -115,8 +115,8 @@
 
 // baseCase returns what all cases share, and the section [discovery] that paces the polls, or nil if there is none.
 func (c *scaleCmd) baseCase() (stubfleet.Case, *config.Discovery, error) {
-	one := stubfleet.Case{Real: c.Real, Racks: c.Racks, Seconds: c.Seconds, Spread: c.Spread, Within: c.Within, Down: c.Down, Calls: c.ServiceCalls,
-		Call: c.ServiceCall, Line: c.ServiceLine, Seed: c.Seed, Operator: c.Config}
+	one := stubfleet.Case{Real: c.Real, Racks: c.Racks, Seconds: c.Seconds, StartSpread: c.Spread, FinalTimeout: c.Within, Outage: c.Down, ConcurrentCalls: c.ServiceCalls,
+		CallTime: c.ServiceCall, QueueLength: c.ServiceLine, Seed: c.Seed, Operator: c.Config}
 	self, err := os.Executable()
 	if err != nil {
 		return one, nil, err
@@ -147,18 +147,18 @@
 // formatFigures formats a row of the table.
 func formatFigures(f stubfleet.Figures) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s\t%g\t%d\t%d\t%d\t%.3g\t%.1f\t%d\t%d\t%.0f\t%.0f\t", f.Scenario, f.Rate, f.Sidecars, f.Real, f.Hosts, f.Asked, f.CallsPerS, f.Turned,
-		f.Connections, f.BytesEach, f.WorstBytes)
-	fmt.Fprintf(&b, "%s\t%s\t%s\t%d\t", formatMs(f.InForceP50), formatMs(f.InForceP99), formatMs(f.InForceLast), f.Never)
+	fmt.Fprintf(&b, "%s\t%g\t%d\t%d\t%d\t%.3g\t%.1f\t%d\t%d\t%.0f\t%.0f\t", f.Scenario, f.Rate, f.Sidecars, f.Real, f.Hosts, f.RequestedChanges, f.CallsPerS, f.Rejected,
+		f.Connections, f.BytesEach, f.MaxBytesPerS)
+	fmt.Fprintf(&b, "%s\t%s\t%s\t%d\t", formatMs(f.InForceP50), formatMs(f.InForceP99), formatMs(f.InForceLast), f.NeverInForce)
 	fmt.Fprintf(&b, "%s\t%s\t%s\t%d\t", formatMs(f.FirstP50), formatMs(f.FirstP99), formatMs(f.FirstLast), f.FirstNever)
-	fmt.Fprintf(&b, "%.2f\t%.2f\t%.0f\t%d\t%.1f\t", f.ServiceCores, f.HollowCPU, f.HollowMemory, f.Wrong, math.Max(f.Load, f.LoadAfter))
+	fmt.Fprintf(&b, "%.2f\t%.2f\t%.0f\t%d\t%.1f\t", f.ServiceCores, f.StubCPU, f.StubMemory, f.WrongDigests, math.Max(f.Load, f.LoadAfter))
 	return b.String()
 }
 
 // formatRealFigures formats the row of the real sidecars of the same play, in the same columns.
 func formatRealFigures(f stubfleet.Figures) string {
-	return fmt.Sprintf("(real)\t%g\t-\t%d\t%d\t%.3g\t%.1f\t-\t%d\t%.0f\t-\t%s\t%s\t%s\t%d\t%s\t%s\t%s\t%d\t\t\t\t\t\t", f.Rate, f.Real, f.Hosts, f.Asked,
-		f.RealCallsEach*float64(f.Real), f.RealConnections, f.RealBytesEach, formatMs(f.RealInForceP50), formatMs(f.RealInForceP99), formatMs(f.RealInForceLast), f.RealNever,
+	return fmt.Sprintf("(real)\t%g\t-\t%d\t%d\t%.3g\t%.1f\t-\t%d\t%.0f\t-\t%s\t%s\t%s\t%d\t%s\t%s\t%s\t%d\t\t\t\t\t\t", f.Rate, f.Real, f.Hosts, f.RequestedChanges,
+		f.RealCallsEach*float64(f.Real), f.RealConnections, f.RealBytesEach, formatMs(f.RealInForceP50), formatMs(f.RealInForceP99), formatMs(f.RealInForceLast), f.RealNeverInForce,
 		formatMs(f.RealFirstP50), formatMs(f.RealFirstP99), formatMs(f.RealFirstLast), f.RealFirstNever)
 }
 
--- a/internal/lab/stubfleet/hollow.go
+++ b/internal/lab/stubfleet/hollow.go
@@ -34,7 +34,7 @@
 )
 
 // clock is a time that all processes of a machine share and that never goes back.
-func clock() time.Duration {
+func monotonicNow() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
 		panic(err) // every Linux has it
@@ -42,16 +42,16 @@
 	return time.Duration(t.Nano())
 }
 
-// Told is what the sidecars of a fleet are told at their start.
-type Told struct {
+// Fleet is what the sidecars of a fleet are told at their start.
+type FleetConfig struct {
 	Discovery string         // the list service's address
 	Paced     *cluster.Paced // nil: it is asked as an agent of the machine's own
 	Seed      uint64         // of the first sidecar; each has one of its own
-	Spread    time.Duration  // over which they start
+	StartSpread    time.Duration  `json:"Spread"` // over which they start
 }
 
-// Acted is that a sidecar has come to act on a list.
-type Acted struct {
+// Applied is that a sidecar has come to act on a list.
+type Applied struct {
 	At       time.Duration  `json:"a"` // by clock
 	Revision int64          `json:"r"`
 	Digest   version.Digest `json:"d"` // of the members that it acts on; 0 is unknown
@@ -61,8 +61,8 @@
 type sink struct {
 	mu    sync.Mutex
 	hosts map[balance.EndpointID]bool // whether something new may go there
-	acted []Acted
-	under uint32
+	applied []Applied
+	generation uint32
 }
 
 func (s *sink) Set(id balance.EndpointID, _ string) {
@@ -89,35 +89,35 @@
 
 // Listed notes the list that is acted on once it has been applied.
 func (s *sink) Listed(l version.List, apply func(under uint32)) {
-	s.under++
-	apply(s.under)
+	s.generation++
+	apply(s.generation)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.acted = append(s.acted, Acted{clock(), l.Revision, l.Digest})
+	s.applied = append(s.applied, Applied{monotonicNow(), l.Revision, l.Digest})
 }
 
 // last is what is acted on; the revision is 0 before any list.
-func (s *sink) last() Acted {
+func (s *sink) last() Applied {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.acted) == 0 {
-		return Acted{}
+	if len(s.applied) == 0 {
+		return Applied{}
 	}
-	return s.acted[len(s.acted)-1]
+	return s.applied[len(s.applied)-1]
 }
 
 // sidecar is a hollow one, from its start to its end.
-type sidecar struct {
+type stub struct {
 	sink  *sink
-	begun time.Duration // by clock
-	end   context.CancelFunc
-	ended chan struct{}
+	startedAt time.Duration // by clock
+	cancel   context.CancelFunc
+	done chan struct{}
 }
 
 // start starts a sidecar that knows nothing yet.
-func start(told Told, number int) *sidecar {
+func startStub(told FleetConfig, number int) *stub {
 	life, end := context.WithCancel(context.Background())
-	c := &sidecar{sink: &sink{hosts: map[balance.EndpointID]bool{}}, begun: clock(), end: end, ended: make(chan struct{})}
+	c := &stub{sink: &sink{hosts: map[balance.EndpointID]bool{}}, startedAt: monotonicNow(), cancel: end, done: make(chan struct{})}
 	table := cluster.NewTable(zoneNames, kindNames, c.sink, c.sink)
 	table.Versions, table.Old = c.sink, told.Paced != nil
 	w := &cluster.Watcher{Addr: told.Discovery, Table: table, Log: zerolog.Nop(), Paced: told.Paced,
@@ -126,13 +126,13 @@
 		w.Rand = rand.New(rand.NewPCG((told.Seed+uint64(number))^rand.Uint64(), discoveryStream))
 	}
 	go func() {
-		defer close(c.ended)
+		defer close(c.done)
 		w.Run(life, func() {})
 	}()
 	return c
 }
 
-func (c *sidecar) stop() {
-	c.end()
-	<-c.ended
+func (c *stub) stop() {
+	c.cancel()
+	<-c.done
 }
--- a/internal/lab/stubfleet/likeness_test.go
+++ b/internal/lab/stubfleet/likeness_test.go
@@ -17,20 +17,20 @@
 
 // script is what a service does at each call of the one sidecar that asks it: what becomes of the call, and what happens before. Nothing in
 // it goes by the time, so that the calls that come are the same however late anyone is.
-func script(s *Service, f *Front, calls chan<- Call) func(Call) Treatment {
+func script(s *Service, f *Frontend, calls chan<- Call) func(Call) Treatment {
 	return func(c Call) Treatment {
-		if c.No <= lastCall {
+		if c.Sequence <= lastCall {
 			calls <- c
 		}
-		switch c.No {
+		switch c.Sequence {
 		case 2, 3, 11: // news for a watch; none come for the fourth call, the sixth and others, which end quietly
 			s.Change()
 		case 5:
-			return Turns
+			return Reject
 		case 7:
-			return Breaks
+			return Abort
 		case 8:
-			return Silent
+			return Hang
 		case 9: // down, and there again once the sidecar has had time to be refused
 			f.Down()
 			time.AfterFunc(back, func() {
@@ -38,11 +38,11 @@
 					panic(err) // nobody else wants the port
 				}
 			})
-			return Breaks
+			return Abort
 		case 12:
-			s.Forget()
+			s.Reset()
 		}
-		return Answers
+		return Respond
 	}
 }
 
@@ -56,7 +56,7 @@
 }
 
 // hear plays the script against one sidecar, which begin starts.
-func hear(t *testing.T, begin func(told Told) (stop func())) heard {
+func hear(t *testing.T, begin func(told FleetConfig) (stop func())) heard {
 	t.Helper()
 	s := NewService(12, nil)
 	f, err := s.Open("only")
@@ -64,8 +64,8 @@
 		t.Fatal(err)
 	}
 	calls := make(chan Call, lastCall)
-	s.Treat(script(s, f, calls))
-	stop := begin(Told{Discovery: f.addr, Seed: 7})
+	s.SetTreatment(script(s, f, calls))
+	stop := begin(FleetConfig{Discovery: f.addr, Seed: 7})
 	var out heard
 	for end := time.After(ample); len(out.calls) < lastCall; {
 		select {
@@ -106,16 +106,16 @@
 				}
 				paced = &cluster.Paced{Fleet: op.Discovery.Fleet(1), Whole: op.Discovery.Whole.D()}
 			}
-			real := hear(t, func(told Told) func() {
+			real := hear(t, func(told FleetConfig) func() {
 				r, err := launchReal(build, file, dir, told, 0, 1)
 				if err != nil {
 					t.Fatal(err)
 				}
 				return r.close
 			})
-			hollow := hear(t, func(told Told) func() {
+			hollow := hear(t, func(told FleetConfig) func() {
 				told.Paced = paced
-				return start(told, 0).stop
+				return startStub(told, 0).stop
 			})
 			alike(t, real, hollow, paced == nil)
 		})
@@ -127,7 +127,7 @@
 	t.Helper()
 	plain := func(h heard) (out []Call) {
 		for _, c := range h.calls {
-			if !waits || c.No > 9 {
+			if !waits || c.Sequence > 9 {
 				c.Target = timeout.ReplaceAllString(c.Target, "timeout_ms=*")
 			}
 			out = append(out, c)
@@ -140,7 +140,7 @@
 			t.Errorf("real %+v, hollow %+v", a[i], b[i])
 		}
 	}
-	if real.counts.Connections != hollow.counts.Connections || real.counts.Turned != hollow.counts.Turned {
+	if real.counts.Connections != hollow.counts.Connections || real.counts.Rejected != hollow.counts.Rejected {
 		t.Errorf("real %+v, hollow %+v", real.counts, hollow.counts)
 	}
 	// The bytes of a call differ by the digits of its wait, of which there are at most five and at least two.
--- a/internal/lab/stubfleet/play_test.go
+++ b/internal/lab/stubfleet/play_test.go
@@ -13,8 +13,8 @@
 
 // small is a case that any machine bears.
 func small(name string) Case {
-	return Case{Scenario: name, Sidecars: 36, Hosts: 12, Racks: 3, Seconds: 3, Changes: Changes(name), Seed: 1, Call: 20 * time.Millisecond, Line: 40,
-		Down: 2 * time.Second, Within: ample, Rack: rackCommand}
+	return Case{Scenario: name, Sidecars: 36, Hosts: 12, Racks: 3, Seconds: 3, Changes: DefaultChanges(name), Seed: 1, CallTime: 20 * time.Millisecond, QueueLength: 40,
+		Outage: 2 * time.Second, FinalTimeout: ample, Rack: rackCommand}
 }
 
 // Each scenario is played small, asked both ways. Whatever the machine's load, all changes come into force at all sidecars, all get a
@@ -31,7 +31,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if f.Never > 0 || f.FirstNever > 0 || f.Wrong > 0 || f.Connections < 36 {
+				if f.NeverInForce > 0 || f.FirstNever > 0 || f.WrongDigests > 0 || f.Connections < 36 {
 					t.Errorf("%+v", f)
 				}
 				if told := f.InForceLast > 0; told != (c.Changes*float64(c.Seconds) >= 0.5) {
@@ -40,8 +40,8 @@
 				if more := f.Starts > 36; more != (name == "restarting") {
 					t.Errorf("%d starts", f.Starts)
 				}
-				if turned := f.Turned > 0; turned != (name == "down-503") {
-					t.Errorf("%d calls turned away", f.Turned)
+				if turned := f.Rejected > 0; turned != (name == "down-503") {
+					t.Errorf("%d calls turned away", f.Rejected)
 				}
 				if late := f.SinceBack > 0; late != (name == "down-503" || name == "down-refused") {
 					t.Errorf("the last list came %g ms after the service was back", f.SinceBack)
@@ -76,12 +76,12 @@
 		"racks":         {func(c *Case) { c.Racks = 0 }, func(c *Case) { c.Racks = 37 }, func(c *Case) { c.Racks = -1 }},
 		"real":          {func(c *Case) { c.Real = -1 }, func(c *Case) { c.Real = 100_000 }, func(c *Case) { c.Real = 100 }},
 		"scenario":      {func(c *Case) { c.Scenario = "storm" }, func(c *Case) { c.Scenario = "" }},
-		"spread":        {func(c *Case) { c.Spread = -time.Second }},
-		"within":        {func(c *Case) { c.Within = -time.Second }},
-		"down":          {func(c *Case) { c.Down = -time.Second }, func(c *Case) { c.Scenario, c.Down = "down-503", 3*time.Second }},
-		"service-calls": {func(c *Case) { c.Calls = -4 }},
-		"service-call":  {func(c *Case) { c.Calls, c.Call = 4, 0 }, func(c *Case) { c.Call = -time.Second }},
-		"service-line":  {func(c *Case) { c.Line = -1 }},
+		"spread":        {func(c *Case) { c.StartSpread = -time.Second }},
+		"within":        {func(c *Case) { c.FinalTimeout = -time.Second }},
+		"down":          {func(c *Case) { c.Outage = -time.Second }, func(c *Case) { c.Scenario, c.Outage = "down-503", 3*time.Second }},
+		"service-calls": {func(c *Case) { c.ConcurrentCalls = -4 }},
+		"service-call":  {func(c *Case) { c.ConcurrentCalls, c.CallTime = 4, 0 }, func(c *Case) { c.CallTime = -time.Second }},
+		"service-line":  {func(c *Case) { c.QueueLength = -1 }},
 	} {
 		for i, spoil := range spoils {
 			c := small("rest")
--- a/internal/lab/stubfleet/process.go
+++ b/internal/lab/stubfleet/process.go
@@ -16,18 +16,18 @@
 )
 
 // order is what a rack's process is told to do, one JSON value after the other on its standard input; its end ends the process.
-type order struct {
-	Do       string // make, start, restart, least, usage or lives
-	Told     Told   // make: the fleet's
+type command struct {
+	Op       string `json:"Do"`   // make, start, restart, least, usage or lives
+	Fleet     FleetConfig   `json:"Told"` // make: the fleet's
 	First    int    // make: the number of the first sidecar
 	Sidecars int    // make, restart: so many
 }
 
 // reply is its answer to each, on its standard output.
 type reply struct {
-	Least int64  `json:",omitempty"`
+	MinRevision int64  `json:"Least,omitempty"`
 	Usage Usage  `json:",omitzero"`
-	Lives []Life `json:",omitempty"`
+	Incarnations []Incarnation `json:"Lives,omitempty"`
 }
 
 // Usage is what a process has taken.
@@ -64,31 +64,31 @@
 		}
 	}()
 	for {
-		var o order
+		var o command
 		if err := orders.Decode(&o); errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
 			return fmt.Errorf("hollow: orders: %w", err)
 		}
-		if (r == nil) != (o.Do == "make") {
-			return fmt.Errorf("hollow: order %q at the wrong time", o.Do)
+		if (r == nil) != (o.Op == "make") {
+			return fmt.Errorf("hollow: order %q at the wrong time", o.Op)
 		}
 		var a reply
-		switch o.Do {
+		switch o.Op {
 		case "make":
-			r = newRack(o.Told, o.First, o.Sidecars)
+			r = newRack(o.Fleet, o.First, o.Sidecars)
 		case "start":
 			r.start()
 		case "restart":
 			r.restart(o.Sidecars)
 		case "least":
-			a.Least = r.least()
+			a.MinRevision = r.minRevision()
 		case "usage":
 			a.Usage = usage()
 		case "lives":
-			a.Lives = r.lives()
+			a.Incarnations = r.incarnations()
 		default:
-			return fmt.Errorf("hollow: order %q is unknown", o.Do)
+			return fmt.Errorf("hollow: order %q is unknown", o.Op)
 		}
 		if err := replies.Encode(a); err != nil {
 			return fmt.Errorf("hollow: replies: %w", err)
@@ -102,12 +102,12 @@
 	sidecars  int
 	restarted int // of them, so far
 	in        io.WriteCloser
-	orders    *json.Encoder
+	commands    *json.Encoder
 	replies   *json.Decoder
 }
 
 // launch starts a rack's process and makes its sidecars, of which none runs yet.
-func launch(cmd *exec.Cmd, told Told, first, sidecars int) (*process, error) {
+func launch(cmd *exec.Cmd, told FleetConfig, first, sidecars int) (*process, error) {
 	in, err := cmd.StdinPipe()
 	if err != nil {
 		return nil, fmt.Errorf("hollow: rack: %w", err)
@@ -121,21 +121,21 @@
 	if err := cmd.Start(); err != nil {
 		return nil, fmt.Errorf("hollow: rack: %w", err)
 	}
-	p := &process{cmd: cmd, sidecars: sidecars, in: in, orders: json.NewEncoder(in), replies: json.NewDecoder(out)}
-	if _, err := p.do(order{Do: "make", Told: told, First: first, Sidecars: sidecars}); err != nil {
+	p := &process{cmd: cmd, sidecars: sidecars, in: in, commands: json.NewEncoder(in), replies: json.NewDecoder(out)}
+	if _, err := p.call(command{Op: "make", Fleet: told, First: first, Sidecars: sidecars}); err != nil {
 		p.close()
 		return nil, err
 	}
 	return p, nil
 }
 
-func (p *process) do(o order) (reply, error) {
-	if err := p.orders.Encode(o); err != nil {
-		return reply{}, fmt.Errorf("hollow: rack: %s: %w", o.Do, err)
+func (p *process) call(o command) (reply, error) {
+	if err := p.commands.Encode(o); err != nil {
+		return reply{}, fmt.Errorf("hollow: rack: %s: %w", o.Op, err)
 	}
 	var a reply
 	if err := p.replies.Decode(&a); err != nil {
-		return reply{}, fmt.Errorf("hollow: rack: %s: %w", o.Do, err)
+		return reply{}, fmt.Errorf("hollow: rack: %s: %w", o.Op, err)
 	}
 	return a, nil
 }
--- a/internal/lab/stubfleet/rack.go
+++ b/internal/lab/stubfleet/rack.go
@@ -6,91 +6,91 @@
 	"time"
 )
 
-// Life is one sidecar's from a start to its end.
-type Life struct {
+// Incarnation is one sidecar's from a start to its end.
+type Incarnation struct {
 	Number int           `json:"number"`
-	Begun  time.Duration `json:"begun"` // by clock
-	Acted  []Acted       `json:"acted"`
+	StartedAt  time.Duration `json:"begun"` // by clock
+	Applied  []Applied       `json:"acted"`
 	Hosts  int           `json:"hosts"` // that may be sent to at the end
 }
 
 // rack is many sidecars in one process.
 type rack struct {
-	told  Told
+	fleet  FleetConfig
 	first int // number of the first one
 
 	mu      sync.Mutex
-	running []*sidecar // nil: not started yet
-	former  []Life
-	next    int // that is restarted
+	stubs []*stub // nil: not started yet
+	finished  []Incarnation
+	nextRestart    int // that is restarted
 	starts  sync.WaitGroup
-	life    context.Context
-	end     context.CancelFunc
+	ctx    context.Context
+	cancel     context.CancelFunc
 }
 
-func newRack(told Told, first, sidecars int) *rack {
-	r := &rack{told: told, first: first, running: make([]*sidecar, sidecars)}
-	r.life, r.end = context.WithCancel(context.Background())
+func newRack(told FleetConfig, first, sidecars int) *rack {
+	r := &rack{fleet: told, first: first, stubs: make([]*stub, sidecars)}
+	r.ctx, r.cancel = context.WithCancel(context.Background())
 	return r
 }
 
 // start starts all of them, spread evenly as told.
 func (r *rack) start() {
 	r.starts.Go(func() {
-		for i := range r.running {
-			if !r.pause(r.told.Spread / time.Duration(len(r.running))) {
+		for i := range r.stubs {
+			if !r.sleep(r.fleet.StartSpread / time.Duration(len(r.stubs))) {
 				return
 			}
-			r.begin(i)
+			r.startStub(i)
 		}
 	})
 }
 
 // pause waits; false if the rack ends meanwhile.
-func (r *rack) pause(d time.Duration) bool {
+func (r *rack) sleep(d time.Duration) bool {
 	if d <= 0 {
-		return r.life.Err() == nil
+		return r.ctx.Err() == nil
 	}
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.C:
 		return true
-	case <-r.life.Done():
+	case <-r.ctx.Done():
 		return false
 	}
 }
 
-func (r *rack) begin(i int) {
-	c := start(r.told, r.first+i)
+func (r *rack) startStub(i int) {
+	c := startStub(r.fleet, r.first+i)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.running[i] = c
+	r.stubs[i] = c
 }
 
 // restart ends so many, in turn, and starts them anew with nothing known.
 func (r *rack) restart(n int) {
 	for range n {
 		r.mu.Lock()
-		i := r.next
-		r.next = (r.next + 1) % len(r.running)
-		old := r.running[i]
+		i := r.nextRestart
+		r.nextRestart = (r.nextRestart + 1) % len(r.stubs)
+		old := r.stubs[i]
 		r.mu.Unlock()
 		if old == nil { // not started yet
 			continue
 		}
 		old.stop()
 		r.mu.Lock()
-		r.former = append(r.former, r.lifeOf(i, old))
+		r.finished = append(r.finished, r.incarnationOf(i, old))
 		r.mu.Unlock()
-		r.begin(i)
+		r.startStub(i)
 	}
 }
 
-func (r *rack) lifeOf(i int, c *sidecar) Life {
+func (r *rack) incarnationOf(i int, c *stub) Incarnation {
 	c.sink.mu.Lock()
 	defer c.sink.mu.Unlock()
-	l := Life{Number: r.first + i, Begun: c.begun, Acted: c.sink.acted}
+	l := Incarnation{Number: r.first + i, StartedAt: c.startedAt, Applied: c.sink.applied}
 	for _, open := range c.sink.hosts {
 		if open {
 			l.Hosts++
@@ -100,11 +100,11 @@
 }
 
 // least is the oldest revision that any of them acts on; 0 while one has none.
-func (r *rack) least() int64 {
+func (r *rack) minRevision() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	least := int64(-1)
-	for _, c := range r.running {
+	for _, c := range r.stubs {
 		if c == nil {
 			return 0
 		}
@@ -116,32 +116,32 @@
 }
 
 // lives are those that have ended and those that go on.
-func (r *rack) lives() []Life {
+func (r *rack) incarnations() []Incarnation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := append([]Life{}, r.former...)
-	for i, c := range r.running {
+	out := append([]Incarnation{}, r.finished...)
+	for i, c := range r.stubs {
 		if c == nil {
-			out = append(out, Life{Number: r.first + i})
+			out = append(out, Incarnation{Number: r.first + i})
 			continue
 		}
-		out = append(out, r.lifeOf(i, c))
+		out = append(out, r.incarnationOf(i, c))
 	}
 	return out
 }
 
 // close ends all of them and waits for that.
 func (r *rack) close() {
-	r.end()
+	r.cancel()
 	r.starts.Wait()
-	for _, c := range r.running {
+	for _, c := range r.stubs {
 		if c != nil {
-			c.end()
+			c.cancel()
 		}
 	}
-	for _, c := range r.running {
+	for _, c := range r.stubs {
 		if c != nil {
-			<-c.ended
+			<-c.done
 		}
 	}
 }
--- a/internal/lab/stubfleet/real.go
+++ b/internal/lab/stubfleet/real.go
@@ -21,18 +21,18 @@
  "rules":{"answer_slack":8000000,"cold":9000000000,"cold_share":0.3,"fall":1000000000,"stop_sending_within":3000000000,"tip_multiple":2.5}}`
 
 // real is a sidecar as the daemon's process.
-type real struct {
+type realSidecar struct {
 	cmd    *exec.Cmd
 	number int
-	begun  time.Duration // by clock
-	heard  sync.WaitGroup
+	startedAt  time.Duration // by clock
+	logReader  sync.WaitGroup
 
 	mu    sync.Mutex
-	acted []Acted // by its log, so that no digest is known
+	applied []Applied // by its log, so that no digest is known
 }
 
 // launchReal starts one. Its files are in dir; operator is its operator's file, and may be empty.
-func launchReal(program, operator, dir string, told Told, number, instances int) (*real, error) {
+func launchReal(program, operator, dir string, told FleetConfig, number, instances int) (*realSidecar, error) {
 	site := map[string]any{}
 	if err := json.Unmarshal([]byte(settings), &site); err != nil {
 		return nil, fmt.Errorf("hollow: settings: %w", err)
@@ -48,7 +48,7 @@
 	if err := os.WriteFile(file, text, 0o600); err != nil {
 		return nil, fmt.Errorf("hollow: configuration: %w", err)
 	}
-	r := &real{cmd: exec.Command(program), number: number}
+	r := &realSidecar{cmd: exec.Command(program), number: number}
 	if operator != "" {
 		r.cmd.Args = append(r.cmd.Args, "--config="+operator)
 	}
@@ -58,45 +58,45 @@
 	if err != nil {
 		return nil, fmt.Errorf("hollow: real sidecar: %w", err)
 	}
-	r.begun = clock()
+	r.startedAt = monotonicNow()
 	if err := r.cmd.Start(); err != nil {
 		return nil, fmt.Errorf("hollow: real sidecar: %w", err)
 	}
-	r.heard.Go(func() { r.hear(bufio.NewScanner(log)) })
+	r.logReader.Go(func() { r.readLog(bufio.NewScanner(log)) })
 	return r, nil
 }
 
 // hear reads its log to the end. A line says that a list has been applied.
-func (r *real) hear(log *bufio.Scanner) {
+func (r *realSidecar) readLog(log *bufio.Scanner) {
 	for log.Scan() {
 		line := gjson.ParseBytes(log.Bytes())
 		if line.Get("message").Str != "cluster changed" {
 			continue
 		}
 		r.mu.Lock()
-		r.acted = append(r.acted, Acted{At: clock(), Revision: line.Get("revision").Int()})
+		r.applied = append(r.applied, Applied{At: monotonicNow(), Revision: line.Get("revision").Int()})
 		r.mu.Unlock()
 	}
 }
 
-func (r *real) life() Life {
+func (r *realSidecar) incarnation() Incarnation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return Life{Number: r.number, Begun: r.begun, Acted: r.acted}
+	return Incarnation{Number: r.number, StartedAt: r.startedAt, Applied: r.applied}
 }
 
 // least is the revision that it acts on; 0 is none.
-func (r *real) least() int64 {
+func (r *realSidecar) revision() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.acted) == 0 {
+	if len(r.applied) == 0 {
 		return 0
 	}
-	return r.acted[len(r.acted)-1].Revision
+	return r.applied[len(r.applied)-1].Revision
 }
 
-func (r *real) close() {
+func (r *realSidecar) close() {
 	_ = r.cmd.Process.Kill() // it has nothing to finish
-	r.heard.Wait()
+	r.logReader.Wait()
 	_ = r.cmd.Wait()
 }
--- a/internal/lab/stubfleet/service.go
+++ b/internal/lab/stubfleet/service.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	watchMost = time.Minute // that a call may wait
-	firstPort = 10_000      // of hosts, which nobody plays
+	maxWatch = time.Minute // that a call may wait
+	firstHostPort = 10_000      // of hosts, which nobody plays
 )
 
 // Service is a list service for thousands of sidecars, over HTTP/1.1 on real sockets, which counts what it is asked. It keeps the
@@ -29,14 +29,14 @@
 // trace. Here an answer is made once for all that ask for the same, or the stand-in would cost more than what it measures.
 type Service struct {
 	capacity *model.Listing // nil: there is no bound
-	asking   sync.Mutex     // of capacity
+	capacityMu   sync.Mutex     // of capacity
 
 	mu      sync.Mutex
 	hosts   []host
 	history []revision       // the first one at 0
 	answers map[int64][]byte // of the present revision, by the one that is asked for
-	news    chan struct{}    // closed, and made anew, with each change
-	treat   func(Call) Treatment
+	changed    chan struct{}    // closed, and made anew, with each change
+	treatment   func(Call) Treatment
 }
 
 // host is one that is listed, and when it has changed last.
@@ -51,11 +51,11 @@
 	digest version.Digest
 }
 
-// Call is one that has come.
+// CallTime is one that has come.
 type Call struct {
-	Front  string // where it came
+	Frontend  string // where it came
 	Conn   int64  // number of its connection there, from 1
-	No     int64  // of the call there, from 1
+	Sequence     int64  // of the call there, from 1
 	Target string
 }
 
@@ -64,30 +64,30 @@
 
 // The treatments.
 const (
-	Answers Treatment = iota
-	Turns             // 503 at once
-	Breaks            // the connection ends without an answer
-	Silent            // nothing, until the caller leaves
+	Respond Treatment = iota
+	Reject             // 503 at once
+	Abort            // the connection ends without an answer
+	Hang            // nothing, until the caller leaves
 )
 
 // NewService makes a service with so many hosts, all ready. Capacity is its bound; nil is none.
 func NewService(hosts int, capacity *model.Listing) *Service {
-	s := &Service{capacity: capacity, answers: map[int64][]byte{}, news: make(chan struct{})}
+	s := &Service{capacity: capacity, answers: map[int64][]byte{}, changed: make(chan struct{})}
 	for i := range hosts {
-		s.hosts = append(s.hosts, host{cluster.Member{ID: fmt.Sprintf("host-%05d", i), Addr: fmt.Sprintf("127.0.0.1:%d", firstPort+i), Zone: zoneNames[i%len(zoneNames)],
+		s.hosts = append(s.hosts, host{cluster.Member{ID: fmt.Sprintf("host-%05d", i), Addr: fmt.Sprintf("127.0.0.1:%d", firstHostPort+i), Zone: zoneNames[i%len(zoneNames)],
 			Kind: kindNames[0], State: balance.Ready, Weight: 1, UpSince: 1764633600 * time.Second}, 1})
 	}
-	s.note()
+	s.recordRevision()
 	return s
 }
 
 // note enters the present list into the history. The lock is held, or nobody else has the service yet.
-func (s *Service) note() {
+func (s *Service) recordRevision() {
 	var all cluster.List
 	for _, h := range s.hosts {
 		all.Members = append(all.Members, h.Member)
 	}
-	s.history = append(s.history, revision{clock(), all.Digest()})
+	s.history = append(s.history, revision{monotonicNow(), all.Digest()})
 }
 
 // Change has the next host in turn be told as restarted, and returns the revision at which it is.
@@ -98,32 +98,32 @@
 	h := &s.hosts[int(now)%len(s.hosts)]
 	h.UpSince += time.Second
 	h.revision = now
-	s.note()
+	s.recordRevision()
 	clear(s.answers)
-	close(s.news)
-	s.news = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 	return now
 }
 
-// Treat has calls be treated as f says from now on; nil: all are answered.
-func (s *Service) Treat(f func(Call) Treatment) {
+// SetTreatment has calls be treated as f says from now on; nil: all are answered.
+func (s *Service) SetTreatment(f func(Call) Treatment) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.treat = f
+	s.treatment = f
 }
 
-// Forget has it begin its history anew, as one does that has restarted.
-func (s *Service) Forget() {
+// Reset has it begin its history anew, as one does that has restarted.
+func (s *Service) Reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range s.hosts {
 		s.hosts[i].revision = 1
 	}
 	s.history = nil
-	s.note()
+	s.recordRevision()
 	clear(s.answers)
-	close(s.news)
-	s.news = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 // await returns the answer to who has a list of that revision, 0 being none: as soon as there is something newer, or once the wait
@@ -139,7 +139,7 @@
 			s.mu.Unlock()
 			return text, true
 		}
-		news := s.news
+		news := s.changed
 		s.mu.Unlock()
 		select {
 		case <-news:
@@ -170,28 +170,28 @@
 	return b
 }
 
-// Front is one address of the service, with counts of its own.
-type Front struct {
+// Frontend is one address of the service, with counts of its own.
+type Frontend struct {
 	service *Service
 	name    string
 	addr    string
 	server  *http.Server // nil: it is down
 	serving sync.WaitGroup
 
-	calls, turned, conns, in, out atomic.Int64
+	calls, rejected, conns, in, out atomic.Int64
 }
 
 // Counts are what a front has been asked so far. Bytes are those of HTTP, without TCP's own.
-type Counts struct{ Calls, Turned, Connections, In, Out int64 }
+type Counts struct{ Calls, Rejected, Connections, In, Out int64 }
 
 // Open opens a front of that name on a free loopback address.
-func (s *Service) Open(name string) (*Front, error) {
-	f := &Front{service: s, name: name, addr: "127.0.0.1:0"}
+func (s *Service) Open(name string) (*Frontend, error) {
+	f := &Frontend{service: s, name: name, addr: "127.0.0.1:0"}
 	return f, f.Up()
 }
 
 // Up has it listen where it listened before.
-func (f *Front) Up() error {
+func (f *Frontend) Up() error {
 	l, err := net.Listen("tcp", f.addr)
 	if err != nil {
 		return fmt.Errorf("hollow: list service: %w", err)
@@ -200,15 +200,15 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /catalog/members", f.members)
 	f.server = &http.Server{Handler: mux, ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-		return context.WithValue(ctx, connKey{}, c.(*counted).no)
+		return context.WithValue(ctx, connKey{}, c.(*countingConn).number)
 	}}
 	server := f.server
-	f.serving.Go(func() { _ = server.Serve(&counting{l, f}) }) // it ends with the server
+	f.serving.Go(func() { _ = server.Serve(&countingListener{l, f}) }) // it ends with the server
 	return nil
 }
 
-// Down ends its connections and refuses new ones.
-func (f *Front) Down() {
+// Outage ends its connections and refuses new ones.
+func (f *Frontend) Down() {
 	if f.server != nil {
 		_ = f.server.Close() // its connections are gone either way
 		f.server = nil
@@ -217,36 +217,36 @@
 }
 
 // Counts returns them.
-func (f *Front) Counts() Counts {
-	return Counts{f.calls.Load(), f.turned.Load(), f.conns.Load(), f.in.Load(), f.out.Load()}
+func (f *Frontend) Counts() Counts {
+	return Counts{f.calls.Load(), f.rejected.Load(), f.conns.Load(), f.in.Load(), f.out.Load()}
 }
 
 type connKey struct{}
 
-func (f *Front) members(w http.ResponseWriter, req *http.Request) {
-	call := Call{Front: f.name, Conn: req.Context().Value(connKey{}).(int64), No: f.calls.Add(1), Target: req.RequestURI}
-	since, wait, ok := asked(req)
+func (f *Frontend) members(w http.ResponseWriter, req *http.Request) {
+	call := Call{Frontend: f.name, Conn: req.Context().Value(connKey{}).(int64), Sequence: f.calls.Add(1), Target: req.RequestURI}
+	since, wait, ok := parseWatch(req)
 	if !ok {
 		http.Error(w, "since and timeout_ms are whole numbers", http.StatusBadRequest)
 		return
 	}
 	f.service.mu.Lock()
-	treat := f.service.treat
+	treat := f.service.treatment
 	f.service.mu.Unlock()
 	if treat != nil {
 		switch treat(call) {
-		case Turns:
-			f.turn(w)
+		case Reject:
+			f.reject(w)
 			return
-		case Breaks:
+		case Abort:
 			panic(http.ErrAbortHandler)
-		case Silent:
+		case Hang:
 			<-req.Context().Done()
 			panic(http.ErrAbortHandler)
 		}
 	}
-	if !f.service.admit(req.Context()) {
-		f.turn(w)
+	if !f.service.acquireCapacity(req.Context()) {
+		f.reject(w)
 		return
 	}
 	text, ok := f.service.await(req.Context(), since, wait)
@@ -258,31 +258,31 @@
 	_, _ = w.Write(text) // who has left asks again
 }
 
-func (f *Front) turn(w http.ResponseWriter) {
-	f.turned.Add(1)
+func (f *Frontend) reject(w http.ResponseWriter) {
+	f.rejected.Add(1)
 	http.Error(w, "the list service has no room", http.StatusServiceUnavailable)
 }
 
 // asked reads a call: since 0 asks for the whole list.
-func asked(req *http.Request) (since int64, wait time.Duration, ok bool) {
+func parseWatch(req *http.Request) (since int64, wait time.Duration, ok bool) {
 	q := req.URL.Query()
 	if !q.Has("since") {
 		return 0, 0, true
 	}
 	since, err := strconv.ParseInt(q.Get("since"), 10, 64)
 	ms, wrong := strconv.ParseUint(q.Get("timeout_ms"), 10, 31)
-	return since, min(time.Duration(ms)*time.Millisecond, watchMost), err == nil && wrong == nil
+	return since, min(time.Duration(ms)*time.Millisecond, maxWatch), err == nil && wrong == nil
 }
 
 // admit has a call wait for its part of the capacity; false if there is none for it.
-func (s *Service) admit(ctx context.Context) bool {
+func (s *Service) acquireCapacity(ctx context.Context) bool {
 	if s.capacity == nil {
 		return true
 	}
-	s.asking.Lock()
-	now := clock()
+	s.capacityMu.Lock()
+	now := monotonicNow()
 	answered, room := s.capacity.Ask(now, 1)
-	s.asking.Unlock()
+	s.capacityMu.Unlock()
 	if !room {
 		return false
 	}
@@ -296,33 +296,33 @@
 }
 
 // counting counts connections and their bytes.
-type counting struct {
+type countingListener struct {
 	net.Listener
-	front *Front
+	frontend *Frontend
 }
 
-func (l *counting) Accept() (net.Conn, error) {
+func (l *countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &counted{c, l.front, l.front.conns.Add(1)}, nil
+	return &countingConn{c, l.frontend, l.frontend.conns.Add(1)}, nil
 }
 
-type counted struct {
+type countingConn struct {
 	net.Conn
-	front *Front
-	no    int64
+	frontend *Frontend
+	number    int64
 }
 
-func (c *counted) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.front.in.Add(int64(n))
+	c.frontend.in.Add(int64(n))
 	return n, err
 }
 
-func (c *counted) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.front.out.Add(int64(n))
+	c.frontend.out.Add(int64(n))
 	return n, err
 }
--- a/internal/lab/stubfleet/service_test.go
+++ b/internal/lab/stubfleet/service_test.go
@@ -49,7 +49,7 @@
 	if got := answered(t, s, 9, ample); !got.Complete || got.Revision != 3 {
 		t.Errorf("a revision that there has not been: %+v", got)
 	}
-	s.Forget()
+	s.Reset()
 	if got := answered(t, s, 3, ample); !got.Complete || got.Revision != 1 || len(got.Members) != 5 {
 		t.Errorf("after it has forgotten: %+v", got)
 	}
