--- a/internal/lab/stubfleet/case.go
+++ b/internal/lab/stubfleet/case.go
@@ -2,141 +2,68 @@
 
 import (
 	"fmt"
-	"maps"
 	"math"
-	"os"
 	"os/exec"
-	"slices"
-	"strconv"
 	"strings"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"pinelb.example/pinelb/internal/cluster"
 )
 
-// Bounds of a case, whatever the machine.
+// Limits of a case on any machine.
 const (
-	maxHosts     = 20_000
-	maxChangeRate   = 100.0
-	maxSeconds   = 900
-	maxRacks     = 100
-	maxProcesses = 300 // racks and real sidecars
+	maxHosts      = 20_000
+	maxChangeRate = 100.0
+	maxSeconds    = 900
+	maxRacks      = 100
+	maxProcesses  = 300 // racks and real sidecars
 	memoryShare   = 0.5 // of the machine's
 )
 
-// What things take, for Check: bytes, somewhat above what was seen.
+// Resources that things take, in bytes unless said otherwise: somewhat more than was measured.
 const (
-	bytesPerStub = 160 << 10 // of a hollow one with its connection's two ends, the service's goroutine among them
-	bytesPerHost    = 2 << 10   // of a host at a hollow one, with the garbage of reading it
-	bytesPerApplied   = 512       // of a list that one has come to act on: there, in the report, and at the play
-	bytesPerRealSidecar    = 32 << 20  // of a real one
-	spareDescriptors  = 100       // that a process has beside connections
+	bytesPerStub        = 160 << 10 // a stub with both ends of its connection, the service's goroutine among them
+	bytesPerHost        = 2 << 10   // a host at a stub, with the garbage of parsing it
+	bytesPerApplied     = 512       // an applied list: at the stub, in the reply, and at the play
+	bytesPerRealSidecar = 32 << 20  // a real sidecar
+	spareDescriptors    = 100       // number that a process has beside connections
 )
 
-// Case is what to play.
+// Case configures a play.
 type Case struct {
-	Scenario string
-	Sidecars int     // hollow ones
-	Real     int     // processes of the daemon beside them
-	Hosts    int     // that are listed
-	Racks    int     // processes of the hollow ones
-	Changes  float64 // of the list, a second, evenly
-	Seconds  int     // that are measured
-	StartSpread   time.Duration
-	Seed     uint64
-	Paced    *cluster.Paced // nil: the service is asked as an agent of the machine's own
-	Operator string         // the real sidecars' operator's file; empty: none
-	ConcurrentCalls    int            // that the service does at a time; 0: it has no bound
-	CallTime     time.Duration  // that each takes
-	QueueLength     int            // that may wait
-	Outage     time.Duration  // in the scenarios down-*: for which the service is away from the start on
-	FinalTimeout   time.Duration  // after the measured time: for which the last change may still be waited for
-
-	Rack    func() *exec.Cmd // makes a rack's process, which has to call ServeRack
-	Program string           // the daemon's; for Real
-}
-
-// scenario is how a play goes.
-type scenario struct {
-	description   string
-	changes float64 // a second, unless the case says otherwise
-	coldStart    bool    // it is measured from the sidecars' start on
-	outage    func(*play) (back func() error)
-	onSample    func(*play, float64) error // during the measured time; told which part of it is over
-}
-
-// daily is the changes of the ordinary day, a second.
-const ordinaryRate = 5300.0 / 86400
-
-var scenarios = map[string]scenario{
-	"rest":         {description: "nothing changes"},
-	"ordinary":     {description: "5,300 changes a day", changes: ordinaryRate},
-	"hundredfold":  {description: "a hundred times that", changes: 100 * ordinaryRate},
-	"stopped":      {description: "one rack is stopped from a quarter of the time to three quarters", changes: 1, onSample: (*play).stopRack},
-	"restarting":   {description: "a twentieth starts anew each second, with nothing known", changes: 1, onSample: (*play).restartSome},
-	"cold":         {description: "all start together and know nothing", coldStart: true},
-	"down-refused": {description: "cold, and the service refuses connections at first", coldStart: true, outage: (*play).refuseConnections},
-	"down-503":     {description: "cold, and the service answers 503 at first", coldStart: true, outage: (*play).respond503},
+	Scenario        string
+	Sidecars        int     // stubs
+	Real            int     // processes of the daemon beside the stubs
+	Hosts           int     // on the list
+	Racks           int     // processes that the stubs share
+	Changes         float64 // of the list a second, evenly
+	Seconds         int     // of measured time
+	StartSpread     time.Duration
+	Seed            uint64
+	Paced           *cluster.Paced // nil: the service is polled like an agent of the machine
+	Operator        string         // path of the real sidecars' operator's file; empty: none
+	ConcurrentCalls int            // that the service handles; 0: unlimited
+	CallTime        time.Duration  // that the service takes for each
+	QueueLength     int            // of waiting calls; others are rejected
+	Outage          time.Duration  // of the service at the start, in the scenarios down-*
+	FinalTimeout    time.Duration  // for the last change to be in force, after the measured time
+
+	Rack    func() *exec.Cmd // makes the command of a rack's process, which has to call ServeRack
+	Program string           // path of the daemon's, for Real
 }
 
-// Scenarios are the names of what can be played.
-func Scenarios() []string { return slices.Sorted(maps.Keys(scenarios)) }
-
-// Description says what a scenario is; empty: there is none of that name.
-func Description(name string) string { return scenarios[name].description }
-
-// DefaultChanges is how many changes a second a scenario has by itself.
-func DefaultChanges(name string) float64 { return scenarios[name].changes }
-
-// KeyError says which key of a case is wrong.
+// KeyError reports a key of a case whose value cannot be played.
 type KeyError struct{ Key, Reason string }
 
+// Error implements error.
 func (e *KeyError) Error() string { return e.Key + ": " + e.Reason }
 
-// Machine is what there is to play on.
-type Machine struct {
-	Memory      int64 // bytes
-	Descriptors int   // that a process may have
-	Ports       int   // for connections to one address
-}
-
-// ThisMachine reads this one's.
-func ThisMachine() (Machine, error) {
-	var info unix.Sysinfo_t
-	if err := unix.Sysinfo(&info); err != nil {
-		return Machine{}, fmt.Errorf("hollow: memory: %w", err)
-	}
-	var l unix.Rlimit
-	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &l); err != nil {
-		return Machine{}, fmt.Errorf("hollow: descriptors: %w", err)
-	}
-	text, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
-	if err != nil {
-		return Machine{}, fmt.Errorf("hollow: ports: %w", err)
-	}
-	bounds := strings.Fields(string(text))
-	if len(bounds) != 2 {
-		return Machine{}, fmt.Errorf("hollow: ports: %q is no range", text)
-	}
-	from, err := strconv.Atoi(bounds[0])
-	if err != nil {
-		return Machine{}, fmt.Errorf("hollow: ports: %w", err)
-	}
-	to, err := strconv.Atoi(bounds[1])
-	if err != nil {
-		return Machine{}, fmt.Errorf("hollow: ports: %w", err)
-	}
-	return Machine{Memory: int64(info.Totalram) * int64(info.Unit), Descriptors: int(min(l.Cur, 1<<20)), Ports: to - from}, nil
-}
-
-// Check refuses what can't be played, or not on that machine, with a KeyError.
+// Check returns a *KeyError for the first key whose value is out of range, or exceeds the machine.
 func (c *Case) Check(m Machine) error {
 	for _, bound := range []struct {
-		key         string
-		value       int
-		least, most int
+		key          string
+		value        int
+		lower, upper int
 	}{
 		{"sidecars", c.Sidecars, 1, min(m.Ports/2, m.Descriptors-spareDescriptors)},
 		{"real", c.Real, 0, maxProcesses - min(c.Racks, maxRacks)},
@@ -146,8 +73,8 @@
 		{"service-calls", c.ConcurrentCalls, 0, 1000},
 		{"service-line", c.QueueLength, 0, 100_000},
 	} {
-		if bound.value < bound.least || bound.value > bound.most {
-			return &KeyError{bound.key, fmt.Sprintf("must be from %d to %d here, not %d", bound.least, bound.most, bound.value)}
+		if bound.value < bound.lower || bound.value > bound.upper {
+			return &KeyError{bound.key, fmt.Sprintf("must be from %d to %d here, not %d", bound.lower, bound.upper, bound.value)}
 		}
 	}
 	limit := time.Duration(maxSeconds) * time.Second
@@ -169,9 +96,9 @@
 	return c.checkMemory(m)
 }
 
-// checkMemory names the key that has to be less where all would take too much.
+// checkMemory returns a *KeyError for the key that takes most memory if all together exceed their share of the machine.
 func (c *Case) checkMemory(m Machine) error {
-	room := int64(memoryShare * float64(m.Memory))
+	available := int64(memoryShare * float64(m.Memory))
 	parts := []struct {
 		key   string
 		bytes int64
@@ -181,16 +108,16 @@
 		{"changes", int64(float64(c.Sidecars) * c.Changes * float64(c.Seconds) * bytesPerApplied)},
 		{"real", int64(c.Real) * (bytesPerRealSidecar + int64(c.Hosts)*bytesPerHost)},
 	}
-	all := int64(0)
-	most := parts[0]
+	total := int64(0)
+	largest := parts[0]
 	for _, p := range parts {
-		all += p.bytes
-		if p.bytes > most.bytes {
-			most = p
+		total += p.bytes
+		if p.bytes > largest.bytes {
+			largest = p
 		}
 	}
-	if all > room {
-		return &KeyError{most.key, fmt.Sprintf("would take some %d MB with the rest; half of this machine's memory is %d MB", all>>20, room>>20)}
+	if total > available {
+		return &KeyError{largest.key, fmt.Sprintf("would take some %d MB with the rest; half of this machine's memory is %d MB", total>>20, available>>20)}
 	}
 	return nil
 }
--- a/internal/lab/stubfleet/likeness_test.go
+++ b/internal/lab/stubfleet/likeness_test.go
@@ -15,15 +15,15 @@
 // lastCall ends the script.
 const lastCall = 16
 
-// script is what a service does at each call of the one sidecar that asks it: what becomes of the call, and what happens before. Nothing in
-// it goes by the time, so that the calls that come are the same however late anyone is.
+// script returns the treatment of each call of a single sidecar, with what happens before it. Nothing in it depends on time, so that
+// the calls are the same however busy the machine is.
 func script(s *Service, f *Frontend, calls chan<- Call) func(Call) Treatment {
 	return func(c Call) Treatment {
 		if c.Sequence <= lastCall {
 			calls <- c
 		}
 		switch c.Sequence {
-		case 2, 3, 11: // news for a watch; none come for the fourth call, the sixth and others, which end quietly
+		case 2, 3, 11: // an update for a watch; the fourth call, the sixth and others end without one
 			s.Change()
 		case 5:
 			return Reject
@@ -31,11 +31,11 @@
 			return Abort
 		case 8:
 			return Hang
-		case 9: // down, and there again once the sidecar has had time to be refused
+		case 9: // an outage, in which the sidecar has time to be refused
 			f.Down()
-			time.AfterFunc(back, func() {
+			time.AfterFunc(outage, func() {
 				if err := f.Up(); err != nil {
-					panic(err) // nobody else wants the port
+					panic(err) // nobody else uses the port
 				}
 			})
 			return Abort
@@ -46,17 +46,17 @@
 	}
 }
 
-// back is how long the service is down in the script: some of a sidecar's tries.
-const back = 500 * time.Millisecond
+// outage is the length of the outage in the script: several attempts of a sidecar.
+const outage = 500 * time.Millisecond
 
-// heard is what a service has had from a sidecar by the script's end.
-type heard struct {
+// received is what a service has received from a sidecar by the end of the script.
+type received struct {
 	calls  []Call
 	counts Counts
 }
 
-// hear plays the script against one sidecar, which begin starts.
-func hear(t *testing.T, begin func(told FleetConfig) (stop func())) heard {
+// playScript plays the script against one sidecar, which start starts.
+func playScript(t *testing.T, start func(fleet FleetConfig) (stop func())) received {
 	t.Helper()
 	s := NewService(12, nil)
 	f, err := s.Open("only")
@@ -65,14 +65,14 @@
 	}
 	calls := make(chan Call, lastCall)
 	s.SetTreatment(script(s, f, calls))
-	stop := begin(FleetConfig{Discovery: f.addr, Seed: 7})
-	var out heard
-	for end := time.After(ample); len(out.calls) < lastCall; {
+	stop := start(FleetConfig{Discovery: f.addr, Seed: 7})
+	var out received
+	for end := time.After(testTimeout); len(out.calls) < lastCall; {
 		select {
 		case c := <-calls:
 			out.calls = append(out.calls, c)
 		case <-end:
-			t.Fatalf("after %s: %+v", ample, out.calls)
+			t.Fatalf("after %s: %+v", testTimeout, out.calls)
 		}
 	}
 	out.counts = f.Counts()
@@ -83,13 +83,13 @@
 
 var timeout = regexp.MustCompile(`timeout_ms=[1-9]\d*`)
 
-// Where an agent of the machine's own is asked, a hollow sidecar and a real one of the same seed make the same calls on the same
-// connections, the random waits of their watches included until the service is down: how often it is tried meanwhile hangs on the time.
-// With [discovery] the random numbers are the process's own, so that the waits differ, and all else is the same. The script has lists,
-// changes, quiet watches, 503, an answer that is broken off, silence, an outage and a service that has forgotten its history.
+// TestLikeness guards against stubs that behave unlike the daemon. Where an agent of the machine is polled, a stub and a real sidecar of
+// the same seed make the same calls on the same connections, the random waits of their watches included until the outage: how often
+// they retry in it depends on time. With [discovery] the random numbers are the process's own, so that the waits differ, and all else is
+// the same. The script has lists, changes, watches without an update, 503, an aborted answer, no answer, an outage and a reset service.
 func TestLikeness(t *testing.T) {
-	noLeaks(t)
-	build := program(t)
+	verifyNoLeaks(t)
+	build := buildSidecar(t)
 	for name, operator := range map[string]string{"agent": "", "discovery": "[discovery]\ncalls = 5\nwatch = \"200ms\"\n"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel() // they wait, mostly
@@ -106,27 +106,27 @@
 				}
 				paced = &cluster.Paced{Fleet: op.Discovery.Fleet(1), Whole: op.Discovery.Whole.D()}
 			}
-			real := hear(t, func(told FleetConfig) func() {
-				r, err := launchReal(build, file, dir, told, 0, 1)
+			real := playScript(t, func(fleet FleetConfig) func() {
+				r, err := launchReal(build, file, dir, fleet, 0, 1)
 				if err != nil {
 					t.Fatal(err)
 				}
 				return r.close
 			})
-			hollow := hear(t, func(told FleetConfig) func() {
-				told.Paced = paced
-				return startStub(told, 0).stop
+			stub := playScript(t, func(fleet FleetConfig) func() {
+				fleet.Paced = paced
+				return startStub(fleet, 0).stop
 			})
-			alike(t, real, hollow, paced == nil)
+			assertAlike(t, real, stub, paced == nil)
 		})
 	}
 }
 
-// alike compares what the service had from either; waits says that those of watches are the same, too.
-func alike(t *testing.T, real, hollow heard, waits bool) {
+// assertAlike compares what the service received from either; waits is true if the waits of watches are the same, too.
+func assertAlike(t *testing.T, real, stub received, waits bool) {
 	t.Helper()
-	plain := func(h heard) (out []Call) {
-		for _, c := range h.calls {
+	comparable := func(r received) (out []Call) {
+		for _, c := range r.calls {
 			if !waits || c.Sequence > 9 {
 				c.Target = timeout.ReplaceAllString(c.Target, "timeout_ms=*")
 			}
@@ -134,20 +134,20 @@
 		}
 		return out
 	}
-	a, b := plain(real), plain(hollow)
+	a, b := comparable(real), comparable(stub)
 	if !slices.Equal(a, b) {
 		for i := range a {
-			t.Errorf("real %+v, hollow %+v", a[i], b[i])
+			t.Errorf("real %+v, stub %+v", a[i], b[i])
 		}
 	}
-	if real.counts.Connections != hollow.counts.Connections || real.counts.Rejected != hollow.counts.Rejected {
-		t.Errorf("real %+v, hollow %+v", real.counts, hollow.counts)
+	if real.counts.Connections != stub.counts.Connections || real.counts.Rejected != stub.counts.Rejected {
+		t.Errorf("real %+v, stub %+v", real.counts, stub.counts)
 	}
 	// The bytes of a call differ by the digits of its wait, of which there are at most five and at least two.
-	if off := real.counts.In - hollow.counts.In; max(off, -off) > 3*lastCall {
-		t.Errorf("bytes of the calls: real %d, hollow %d", real.counts.In, hollow.counts.In)
+	if off := real.counts.In - stub.counts.In; max(off, -off) > 3*lastCall {
+		t.Errorf("bytes of the calls: real %d, stub %d", real.counts.In, stub.counts.In)
 	}
-	t.Logf("%d calls, real %+v, hollow %+v", lastCall, real.counts, hollow.counts)
+	t.Logf("%d calls, real %+v, stub %+v", lastCall, real.counts, stub.counts)
 	for _, c := range a {
 		t.Logf("%+v", c)
 	}
--- a/internal/lab/stubfleet/main_test.go
+++ b/internal/lab/stubfleet/main_test.go
@@ -11,14 +11,14 @@
 	"go.uber.org/goleak"
 )
 
-// rackIs has the test binary be a rack's process.
-const rackIs = "PINELAB_TEST_RACK"
+// rackVariable is the environment variable that has the test binary run as a rack's process.
+const rackVariable = "PINELAB_TEST_RACK"
 
-// ample is longer than anything takes that a test waits for, however slow the machine.
-const ample = time.Minute
+// testTimeout is longer than anything takes that a test waits for, however slow the machine.
+const testTimeout = time.Minute
 
 func TestMain(m *testing.M) {
-	if os.Getenv(rackIs) != "" {
+	if os.Getenv(rackVariable) != "" {
 		if err := ServeRack(os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
@@ -28,21 +28,22 @@
 	os.Exit(m.Run())
 }
 
+// rackCommand returns the command of a rack's process.
 func rackCommand() *exec.Cmd {
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), rackIs+"=1")
+	cmd.Env = append(os.Environ(), rackVariable+"=1")
 	return cmd
 }
 
-// noLeaks has a test fail that leaves goroutines behind. To be called before anything is cleaned up that may leave some.
-func noLeaks(t *testing.T) {
+// verifyNoLeaks fails a test that leaves goroutines behind. Call it before registering clean-ups that stop some.
+func verifyNoLeaks(t *testing.T) {
 	t.Helper()
-	there := goleak.IgnoreCurrent()
-	t.Cleanup(func() { goleak.VerifyNone(t, there) })
+	existing := goleak.IgnoreCurrent()
+	t.Cleanup(func() { goleak.VerifyNone(t, existing) })
 }
 
-// program builds the daemon.
-func program(t *testing.T) string {
+// buildSidecar builds the daemon and returns its path.
+func buildSidecar(t *testing.T) string {
 	t.Helper()
 	out := filepath.Join(t.TempDir(), "pinelb")
 	cmd := exec.CommandContext(t.Context(), "go", "build", "-o", out, "pinelb.example/pinelb/cmd/pinelb")
--- a/internal/lab/stubfleet/play.go
+++ b/internal/lab/stubfleet/play.go
@@ -6,41 +6,40 @@
 	"os"
 	"runtime"
 	"sync"
-	"syscall"
 	"time"
 
 	"pinelb.example/pinelb/internal/lab/model"
 )
 
-// How a play goes on.
+// Intervals and time-outs of a play.
 const (
-	sampleInterval    = 100 * time.Millisecond // counts are taken so often
-	readyTimeout = 2 * time.Minute        // for all to have their first list, where that is not what is measured
-	minSettleTime   = 2 * time.Second        // after that at least, for all to be in the midst of their watches
-	restartShare = 0.05                   // of a rack's sidecars, a second
+	sampleInterval = 100 * time.Millisecond
+	readyTimeout   = 2 * time.Minute // for all to have their first list, unless that is measured
+	minSettleTime  = 2 * time.Second // thereafter, for the watches to be out of step
+	restartShare   = 0.05            // of a rack's stubs, a second
 )
 
-// play is one case under way.
+// play is a running case.
 type play struct {
 	Case
-	service *Service
-	frontends  [2]*Frontend // of the hollow and of the real sidecars
-	racks   []*process
-	realSidecars   []*realSidecar
-	dir     string
-	samples   []sample
+	service      *Service
+	frontends    [2]*Frontend // of the stubs and of the real sidecars
+	racks        []*process
+	realSidecars []*realSidecar
+	dir          string
+	samples      []sample
 
-	rackStopped bool          // a rack is
-	restoredAt    time.Duration // when the service, which was down, was there again, by clock; 0 is never
+	rackStopped bool          // the first rack is
+	restoredAt  time.Duration // end of the outage, by monotonicNow; 0: there was none
 }
 
-// look is what had been counted at a time.
+// sample holds the counters at a moment.
 type sample struct {
-	at     time.Duration // by clock
-	counts [2]Counts     // by front
+	at     time.Duration // by monotonicNow
+	counts [2]Counts     // by frontend
 }
 
-// Play plays a case and returns what came of it.
+// Play plays a case and returns its results. A case that cannot be played is a *KeyError.
 func Play(ctx context.Context, c Case) (f Figures, err error) {
 	m, err := ThisMachine()
 	if err != nil {
@@ -49,7 +48,7 @@
 	if err := c.Check(m); err != nil {
 		return f, err
 	}
-	runtime.LockOSThread() // the processes die with the thread that starts them (PR_SET_PDEATHSIG): it must last
+	runtime.LockOSThread() // the processes die with the thread that starts them (PR_SET_PDEATHSIG)
 	defer runtime.UnlockOSThread()
 	p := &play{Case: c}
 	if c.ConcurrentCalls > 0 {
@@ -64,20 +63,20 @@
 	return p.run(ctx)
 }
 
-// set opens the service and makes the racks. No sidecar runs yet.
+// setUp opens the service and starts the racks. No sidecar runs yet.
 func (p *play) setUp() (err error) {
-	for i, name := range []string{"hollow", "real"} {
+	for i, name := range []string{"stubs", "real"} {
 		if p.frontends[i], err = p.service.Open(name); err != nil {
 			return err
 		}
 	}
 	if p.dir, err = os.MkdirTemp("", "pinelab-scale-"); err != nil {
-		return fmt.Errorf("hollow: %w", err)
+		return fmt.Errorf("stubfleet: %w", err)
 	}
-	told := FleetConfig{Discovery: p.frontends[0].addr, Paced: p.Paced, Seed: p.Seed, StartSpread: p.StartSpread}
+	config := FleetConfig{Discovery: p.frontends[0].addr, Paced: p.Paced, Seed: p.Seed, StartSpread: p.StartSpread}
 	for i := range p.Racks {
 		first := i * p.Sidecars / p.Racks
-		r, err := launch(p.Rack(), told, first, (i+1)*p.Sidecars/p.Racks-first)
+		r, err := launch(p.Rack(), config, first, (i+1)*p.Sidecars/p.Racks-first)
 		if err != nil {
 			return err
 		}
@@ -93,9 +92,9 @@
 			return err
 		}
 	}
-	told := FleetConfig{Discovery: p.frontends[1].addr, Seed: p.Seed}
+	config := FleetConfig{Discovery: p.frontends[1].addr, Seed: p.Seed}
 	for i := range p.Real {
-		r, err := launchReal(p.Program, p.Operator, p.dir, told, p.Sidecars+i, p.Sidecars+p.Real)
+		r, err := launchReal(p.Program, p.Operator, p.dir, config, p.Sidecars+i, p.Sidecars+p.Real)
 		if err != nil {
 			return err
 		}
@@ -104,6 +103,7 @@
 	return nil
 }
 
+// close kills all processes, and closes the service.
 func (p *play) close() {
 	for _, r := range p.racks {
 		r.close()
@@ -119,17 +119,17 @@
 		}
 	}
 	if p.dir != "" {
-		_ = os.RemoveAll(p.dir) // it holds nothing that is missed
+		_ = os.RemoveAll(p.dir) // what is left over is a temporary file
 	}
 }
 
-// run measures.
+// run starts the sidecars, measures, and collects the results.
 func (p *play) run(ctx context.Context) (Figures, error) {
 	s := scenarios[p.Scenario]
 	load := loadAverage()
-	back := func() error { return nil }
+	restore := func() error { return nil }
 	if s.outage != nil {
-		back = s.outage(p)
+		restore = s.outage(p)
 	}
 	if !s.coldStart {
 		if err := p.start(); err != nil {
@@ -146,14 +146,14 @@
 	if err != nil {
 		return Figures{}, err
 	}
-	began := monotonicNow()
+	startedAt := monotonicNow()
 	p.sample()
 	if s.coldStart {
 		if err := p.start(); err != nil {
 			return Figures{}, err
 		}
 	}
-	changes, err := p.measure(ctx, s, began, back)
+	changes, err := p.measure(ctx, s, startedAt, restore)
 	if err != nil {
 		return Figures{}, err
 	}
@@ -168,15 +168,15 @@
 	if err := p.awaitRevision(ctx, last, p.FinalTimeout); err != nil && ctx.Err() != nil {
 		return Figures{}, err
 	}
-	lives, err := p.incarnations()
+	incarnations, err := p.incarnations()
 	if err != nil {
 		return Figures{}, err
 	}
-	return p.figures(changes, lives, before, after, load), nil
+	return p.figures(changes, incarnations, before, after, load), nil
 }
 
-// settle is for how long nothing is measured after the first lists. Paced watches are so long that a measured time which begins with
-// them has too few calls.
+// settle returns how long to wait between the first lists and the measured time. Paced watches are so long that a measured time
+// which begins with them has too few calls.
 func (p *play) settle() time.Duration {
 	if p.Paced == nil {
 		return minSettleTime
@@ -184,25 +184,25 @@
 	return max(minSettleTime, p.Paced.Fleet.Longest())
 }
 
-// measure goes through the measured time and returns the revisions of the changes that were made.
-func (p *play) measure(ctx context.Context, s scenario, began time.Duration, back func() error) (changes []int64, err error) {
+// measure samples for the measured time, and returns the revisions of the changes that were made.
+func (p *play) measure(ctx context.Context, s scenario, startedAt time.Duration, restore func() error) (changes []int64, err error) {
 	length := time.Duration(p.Seconds) * time.Second
 	down := s.outage != nil
 	for n := time.Duration(1); n*sampleInterval <= length; n++ {
 		due := n * sampleInterval
 		for p.Changes > 0 && (float64(len(changes))+0.5)/p.Changes < due.Seconds() { // the first half a gap after the beginning
 			at := time.Duration((float64(len(changes)) + 0.5) / p.Changes * float64(time.Second))
-			if !sleep(ctx, began+at-monotonicNow()) {
+			if !sleep(ctx, startedAt+at-monotonicNow()) {
 				return nil, ctx.Err()
 			}
 			changes = append(changes, p.service.Change())
 		}
-		if !sleep(ctx, began+due-monotonicNow()) {
+		if !sleep(ctx, startedAt+due-monotonicNow()) {
 			return nil, ctx.Err()
 		}
 		p.sample()
 		if down && due >= p.Outage {
-			if err := back(); err != nil {
+			if err := restore(); err != nil {
 				return nil, err
 			}
 			down, p.restoredAt = false, monotonicNow()
@@ -216,22 +216,23 @@
 	return changes, nil
 }
 
+// sample takes a sample.
 func (p *play) sample() {
 	p.samples = append(p.samples, sample{monotonicNow(), [2]Counts{p.frontends[0].Counts(), p.frontends[1].Counts()}})
 }
 
-// await waits until all act on a revision; an error is that they don't in time, or ctx's.
-func (p *play) awaitRevision(ctx context.Context, revision int64, within time.Duration) error {
-	for end := monotonicNow() + within; ; {
-		least, err := p.minRevision()
+// awaitRevision waits until all sidecars have applied a revision. It returns an error after the timeout, or that of ctx.
+func (p *play) awaitRevision(ctx context.Context, revision int64, timeout time.Duration) error {
+	for end := monotonicNow() + timeout; ; {
+		oldest, err := p.minRevision()
 		if err != nil {
 			return err
 		}
-		if least >= revision {
+		if oldest >= revision {
 			return nil
 		}
 		if monotonicNow() >= end {
-			return fmt.Errorf("hollow: after %s a sidecar acts on revision %d, and not on %d", within, least, revision)
+			return fmt.Errorf("stubfleet: after %s a sidecar has applied revision %d, and not %d", timeout, oldest, revision)
 		}
 		if !sleep(ctx, sampleInterval) {
 			return ctx.Err()
@@ -239,34 +240,35 @@
 	}
 }
 
-// least is the oldest revision that any sidecar acts on; 0 while one has none.
+// minRevision returns the oldest revision that any sidecar has applied; 0 while one has none.
 func (p *play) minRevision() (int64, error) {
-	least := int64(-1)
-	add := func(at int64) {
-		if least < 0 || at < least {
-			least = at
+	oldest := int64(-1)
+	add := func(revision int64) {
+		if oldest < 0 || revision < oldest {
+			oldest = revision
 		}
 	}
 	for _, r := range p.racks {
-		a, err := r.call(command{Op: "least"})
+		answer, err := r.call(command{Op: "least"})
 		if err != nil {
 			return 0, err
 		}
-		add(a.MinRevision)
+		add(answer.MinRevision)
 	}
 	for _, r := range p.realSidecars {
 		add(r.revision())
 	}
-	return least, nil
+	return oldest, nil
 }
 
+// incarnations returns those of all sidecars.
 func (p *play) incarnations() (out []Incarnation, err error) {
 	for _, r := range p.racks {
-		a, err := r.call(command{Op: "lives"})
+		answer, err := r.call(command{Op: "lives"})
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, a.Incarnations...)
+		out = append(out, answer.Incarnations...)
 	}
 	for _, r := range p.realSidecars {
 		out = append(out, r.incarnation())
@@ -274,71 +276,19 @@
 	return out, nil
 }
 
-// usages are the racks', one after the other, and at the end this process's.
+// usages returns the usage of each rack, and at the end that of this process.
 func (p *play) usages() (out []Usage, err error) {
 	for _, r := range p.racks {
-		a, err := r.call(command{Op: "usage"})
+		answer, err := r.call(command{Op: "usage"})
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, a.Usage)
+		out = append(out, answer.Usage)
 	}
 	return append(out, usage()), nil
 }
 
-// stopRack stops the first rack at a quarter of the measured time and has it go on at three quarters.
-func (p *play) stopRack(over float64) error {
-	switch {
-	case over >= 0.25 && over < 0.75 && !p.rackStopped:
-		p.rackStopped = true
-		return p.racks[0].signal(syscall.SIGSTOP)
-	case over >= 0.75 && p.rackStopped:
-		p.rackStopped = false
-		return p.racks[0].signal(syscall.SIGCONT)
-	}
-	return nil
-}
-
-// restartSome starts a part of each rack's sidecars anew, evenly over the time.
-func (p *play) restartSome(over float64) error {
-	for _, r := range p.racks {
-		due := int(over*float64(p.Seconds)*restartShare*float64(r.sidecars)) - r.restarted
-		if due <= 0 {
-			continue
-		}
-		if _, err := r.call(command{Op: "restart", Sidecars: due}); err != nil {
-			return err
-		}
-		r.restarted += due
-	}
-	return nil
-}
-
-// refuse has the service be down.
-func (p *play) refuseConnections() (back func() error) {
-	for _, f := range p.frontends {
-		f.Down()
-	}
-	return func() error {
-		for _, f := range p.frontends {
-			if err := f.Up(); err != nil {
-				return err
-			}
-		}
-		return nil
-	}
-}
-
-// turn has it answer 503.
-func (p *play) respond503() (back func() error) {
-	p.service.SetTreatment(func(Call) Treatment { return Reject })
-	return func() error {
-		p.service.SetTreatment(nil)
-		return nil
-	}
-}
-
-// wait waits; false if ctx ends before.
+// sleep waits, and reports false if ctx is done before.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/lab/stubfleet/rack.go
+++ b/internal/lab/stubfleet/rack.go
@@ -6,35 +6,36 @@
 	"time"
 )
 
-// Incarnation is one sidecar's from a start to its end.
+// Incarnation is a sidecar from one start to its end.
 type Incarnation struct {
-	Number int           `json:"number"`
-	StartedAt  time.Duration `json:"begun"` // by clock
-	Applied  []Applied       `json:"acted"`
-	Hosts  int           `json:"hosts"` // that may be sent to at the end
+	Number    int           `json:"number"`
+	StartedAt time.Duration `json:"begun"` // by monotonicNow
+	Applied   []Applied     `json:"acted"`
+	Hosts     int           `json:"hosts"` // that may get requests at the end
 }
 
-// rack is many sidecars in one process.
+// rack is many stubs in one process.
 type rack struct {
-	fleet  FleetConfig
-	first int // number of the first one
+	fleet FleetConfig
+	first int // number of the first stub
 
-	mu      sync.Mutex
-	stubs []*stub // nil: not started yet
-	finished  []Incarnation
-	nextRestart    int // that is restarted
-	starts  sync.WaitGroup
-	ctx    context.Context
-	cancel     context.CancelFunc
+	mu          sync.Mutex
+	stubs       []*stub // nil: not started yet
+	finished    []Incarnation
+	nextRestart int // index
+	starts      sync.WaitGroup
+	ctx         context.Context
+	cancel      context.CancelFunc
 }
 
-func newRack(told FleetConfig, first, sidecars int) *rack {
-	r := &rack{fleet: told, first: first, stubs: make([]*stub, sidecars)}
+// newRack makes a rack of stubs, of which none runs yet.
+func newRack(fleet FleetConfig, first, sidecars int) *rack {
+	r := &rack{fleet: fleet, first: first, stubs: make([]*stub, sidecars)}
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	return r
 }
 
-// start starts all of them, spread evenly as told.
+// start starts all stubs, evenly over the fleet's StartSpread. It does not wait for that.
 func (r *rack) start() {
 	r.starts.Go(func() {
 		for i := range r.stubs {
@@ -46,21 +47,15 @@
 	})
 }
 
-// pause waits; false if the rack ends meanwhile.
+// sleep waits, and reports false if the rack is closed before.
 func (r *rack) sleep(d time.Duration) bool {
 	if d <= 0 {
 		return r.ctx.Err() == nil
 	}
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-t.C:
-		return true
-	case <-r.ctx.Done():
-		return false
-	}
+	return sleep(r.ctx, d)
 }
 
+// startStub starts the i-th stub.
 func (r *rack) startStub(i int) {
 	c := startStub(r.fleet, r.first+i)
 	r.mu.Lock()
@@ -68,7 +63,7 @@
 	r.stubs[i] = c
 }
 
-// restart ends so many, in turn, and starts them anew with nothing known.
+// restart stops n stubs, in turn, and starts them again without any state.
 func (r *rack) restart(n int) {
 	for range n {
 		r.mu.Lock()
@@ -87,35 +82,36 @@
 	}
 }
 
+// incarnationOf returns the incarnation of the i-th stub.
 func (r *rack) incarnationOf(i int, c *stub) Incarnation {
 	c.sink.mu.Lock()
 	defer c.sink.mu.Unlock()
-	l := Incarnation{Number: r.first + i, StartedAt: c.startedAt, Applied: c.sink.applied}
+	incarnation := Incarnation{Number: r.first + i, StartedAt: c.startedAt, Applied: c.sink.applied}
 	for _, open := range c.sink.hosts {
 		if open {
-			l.Hosts++
+			incarnation.Hosts++
 		}
 	}
-	return l
+	return incarnation
 }
 
-// least is the oldest revision that any of them acts on; 0 while one has none.
+// minRevision returns the oldest revision that any stub has applied; 0 while one has none.
 func (r *rack) minRevision() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	least := int64(-1)
+	oldest := int64(-1)
 	for _, c := range r.stubs {
 		if c == nil {
 			return 0
 		}
-		if at := c.sink.last().Revision; least < 0 || at < least {
-			least = at
+		if revision := c.sink.last().Revision; oldest < 0 || revision < oldest {
+			oldest = revision
 		}
 	}
-	return least
+	return oldest
 }
 
-// lives are those that have ended and those that go on.
+// incarnations returns the finished incarnations and the running ones.
 func (r *rack) incarnations() []Incarnation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -130,7 +126,7 @@
 	return out
 }
 
-// close ends all of them and waits for that.
+// close stops all stubs and waits for them.
 func (r *rack) close() {
 	r.cancel()
 	r.starts.Wait()
