--- a/internal/lab/cli/poll_sim.go
+++ b/internal/lab/cli/poll_sim.go
@@ -53,9 +53,9 @@
 		for _, n := range c.Sizes {
 			var worst pollsim.Figures
 			for seed := range c.Seeds {
-				worst = worst.Worse(pollsim.Play(pollsim.Case{Instances: n, Told: int(c.Told * float64(n)), Spread: c.Spread, Rate: c.Rate, Burst: c.Burst,
-					Calls: c.Calls, Call: c.Call, Line: c.Line, Beyond: model.Beyond(c.Beyond), Down: c.Down, Up: c.Up, Off: c.Off, Late: c.Late,
-					News: c.News, Cut: int(c.Cut * float64(n)), CutAt: c.CutAt, CutFor: c.CutFor, Length: c.Length, Seed: uint64(seed + 1)}, policy))
+				worst = worst.Worse(pollsim.Play(pollsim.Case{Instances: n, ConfiguredInstances: int(c.Told * float64(n)), StartSpread: c.Spread, Rate: c.Rate, Burst: c.Burst,
+					ConcurrentCalls: c.Calls, CallTime: c.Call, QueueLength: c.Line, Overload: model.Beyond(c.Beyond), InitialOutage: c.Down, UpTime: c.Up, DownTime: c.Off, ExtraLatency: c.Late,
+					UpdateInterval: c.News, Partitioned: int(c.Cut * float64(n)), PartitionAt: c.CutAt, PartitionTime: c.CutFor, Length: c.Length, Seed: uint64(seed + 1)}, policy))
 			}
 			fmt.Fprintf(t.out, "%-8s  %5d  %s\n", name, n, worst)
 		}
--- a/internal/lab/pollsim/asking_test.go
+++ b/internal/lab/pollsim/asking_test.go
@@ -13,17 +13,17 @@
 func TestColdStart(t *testing.T) {
 	for _, n := range []int{1, 10, 300, 1000} {
 		for seed := range uint64(5) {
-			c := Case{Instances: n, Spread: time.Second, Rate: 150, Burst: 20, Calls: 4, Call: 20 * time.Millisecond, Line: 40, Beyond: model.Turns,
-				Down: 3 * time.Second, Length: 20 * time.Second, Seed: seed + 1}
+			c := Case{Instances: n, StartSpread: time.Second, Rate: 150, Burst: 20, ConcurrentCalls: 4, CallTime: 20 * time.Millisecond, QueueLength: 40, Overload: model.Turns,
+				InitialOutage: 3 * time.Second, Length: 20 * time.Second, Seed: seed + 1}
 			f := Play(c, Policies["pace"])
 			most := max(time.Second, time.Duration(1.5*float64(n)/200*float64(time.Second)))
-			if f.Turned > 0 || f.Never > 0 || f.Line >= c.Line || f.Back > most {
+			if f.Rejected > 0 || f.Unanswered > 0 || f.MaxQueue >= c.QueueLength || f.SinceBack > most {
 				t.Errorf("%d instances, seed %d: %+v; all may have a list after %s", n, seed+1, f, most)
 			}
 			if f != Play(c, Policies["pace"]) {
 				t.Errorf("%d instances, seed %d: another play differs", n, seed+1)
 			}
-			if plain := Play(c, Policies["agent"]); n >= 300 && plain.Turned < plain.Calls/2 {
+			if plain := Play(c, Policies["agent"]); n >= 300 && plain.Rejected < plain.Calls/2 {
 				t.Errorf("%d instances, seed %d: the rule for an agent comes through: %+v", n, seed+1, plain)
 			}
 		}
@@ -32,20 +32,20 @@
 
 // A service that comes and goes, answers late, or brings news to all at once is asked beyond its line by nobody.
 func TestBadServices(t *testing.T) {
-	usual := Case{Instances: 300, Spread: time.Second, Rate: 150, Burst: 20, Calls: 4, Call: 20 * time.Millisecond, Line: 40, Beyond: model.Turns,
+	usual := Case{Instances: 300, StartSpread: time.Second, Rate: 150, Burst: 20, ConcurrentCalls: 4, CallTime: 20 * time.Millisecond, QueueLength: 40, Overload: model.Turns,
 		Length: 60 * time.Second}
 	for name, change := range map[string]func(*Case){
-		"up for 1 s in 5":     func(c *Case) { c.Up, c.Off = time.Second, 4*time.Second },
-		"every answer late":   func(c *Case) { c.Late = 2500 * time.Millisecond },
-		"news to all at once": func(c *Case) { c.News = 7 * time.Second },
-		"a third comes up":    func(c *Case) { c.Instances, c.Told = 100, 300 },
-		"down for half":       func(c *Case) { c.Down = 30 * time.Second },
+		"up for 1 s in 5":     func(c *Case) { c.UpTime, c.DownTime = time.Second, 4*time.Second },
+		"every answer late":   func(c *Case) { c.ExtraLatency = 2500 * time.Millisecond },
+		"news to all at once": func(c *Case) { c.UpdateInterval = 7 * time.Second },
+		"a third comes up":    func(c *Case) { c.Instances, c.ConfiguredInstances = 100, 300 },
+		"down for half":       func(c *Case) { c.InitialOutage = 30 * time.Second },
 	} {
 		for seed := range uint64(5) {
 			c := usual
 			c.Seed = seed + 1
 			change(&c)
-			if f := Play(c, Policies["pace"]); f.Turned > 0 || f.Never > 0 {
+			if f := Play(c, Policies["pace"]); f.Rejected > 0 || f.Unanswered > 0 {
 				t.Errorf("%s, seed %d: %+v", name, c.Seed, f)
 			}
 		}
@@ -56,18 +56,18 @@
 // no storm of it: none is turned away. By the rule for an agent of the machine's own many are, so that the case can fail.
 func TestCutForAnHour(t *testing.T) {
 	for seed := range uint64(3) {
-		c := Case{Instances: 300, Spread: time.Second, Rate: 150, Burst: 20, Calls: 4, Call: 20 * time.Millisecond, Line: 40, Beyond: model.Turns,
-			Cut: 100, CutAt: time.Minute, CutFor: time.Hour, Length: 62 * time.Minute, Seed: seed + 1}
+		c := Case{Instances: 300, StartSpread: time.Second, Rate: 150, Burst: 20, ConcurrentCalls: 4, CallTime: 20 * time.Millisecond, QueueLength: 40, Overload: model.Turns,
+			Partitioned: 100, PartitionAt: time.Minute, PartitionTime: time.Hour, Length: 62 * time.Minute, Seed: seed + 1}
 		period := time.Duration(float64(c.Instances) / c.Rate * float64(time.Second))
-		if f := Play(c, Policies["pace"]); f.Turned > 0 || f.Never > 0 || f.Healed == 0 || f.Healed > 2*period+dialOut {
+		if f := Play(c, Policies["pace"]); f.Rejected > 0 || f.Unanswered > 0 || f.HealTime == 0 || f.HealTime > 2*period+dialTimeout {
 			t.Errorf("seed %d: %+v", c.Seed, f)
 		}
-		c.Length = c.CutAt + c.CutFor/2
-		if f := Play(c, Policies["pace"]); f.Never != c.Cut || f.Healed != 0 {
+		c.Length = c.PartitionAt + c.PartitionTime/2
+		if f := Play(c, Policies["pace"]); f.Unanswered != c.Partitioned || f.HealTime != 0 {
 			t.Errorf("seed %d: in the middle of the cut: %+v", c.Seed, f)
 		}
-		c.CutFor, c.Length = 10*time.Second, 90*time.Second
-		if f := Play(c, Policies["agent"]); f.Turned == 0 {
+		c.PartitionTime, c.Length = 10*time.Second, 90*time.Second
+		if f := Play(c, Policies["agent"]); f.Rejected == 0 {
 			t.Errorf("seed %d: the rule for an agent comes through: %+v", c.Seed, f)
 		}
 	}
