--- a/internal/lab/settingsbench/distributed.go
+++ b/internal/lab/settingsbench/distributed.go
@@ -21,10 +21,10 @@
 const Service = "orders"
 
 const (
-	limit     = 15 * time.Second // after which a change counts as not in force
-	dayOf     = 5300             // changes
-	hands     = 16               // that change files at once
-	sizesMost = 4096             // watches that one distributor may hold
+	inForceTimeout     = 15 * time.Second // after which a change counts as not in force
+	changesPerDay     = 5300             // changes
+	parallelReloads     = 16               // that change files at once
+	maxFollowers = 4096             // watches that one distributor may hold
 )
 
 // Config is a measurement.
@@ -47,8 +47,8 @@
 // Check names the first key that can't be used.
 func (c *Config) Check() error {
 	for i, n := range c.Sizes {
-		if n < 1 || n > sizesMost || i > 0 && n <= c.Sizes[i-1] {
-			return fmt.Errorf("sizes: %d is not from 1 to %d, or not above the one before it", n, sizesMost)
+		if n < 1 || n > maxFollowers || i > 0 && n <= c.Sizes[i-1] {
+			return fmt.Errorf("sizes: %d is not from 1 to %d, or not above the one before it", n, maxFollowers)
 		}
 	}
 	for _, name := range c.Only {
@@ -74,40 +74,40 @@
 	return nil
 }
 
-// Line is the result of one case.
-type Line struct {
+// Result is the result of one case.
+type Result struct {
 	Case      string  `json:"case"`
 	Followers int     `json:"followers"` // hollow
 	Real      int     `json:"real"`
 	Changes   int     `json:"changes"`
 	Bytes     int     `json:"bytes"`             // of settings
 	Publish   *Times  `json:"publish,omitempty"` // calls to publish, of which a change's time begins
-	Hollow    *Times  `json:"hollow,omitempty"`
+	Stubs    *Times  `json:"hollow,omitempty"`
 	Sidecars  *Times  `json:"sidecars,omitempty"`
-	Answer    *int    `json:"answer,omitempty"`   // real ones that serve what the last change alone has
+	Answering    *int    `json:"answer,omitempty"`   // real ones that serve what the last change alone has
 	Seconds   float64 `json:"seconds"`            // that the case took
-	Calls     float64 `json:"calls_s,omitempty"`  // of hollow followers, a second
-	Rate      float64 `json:"bytes_s,omitempty"`  // of theirs, both ways
-	Conns     int64   `json:"connections"`        // that they have opened since their start
-	Busiest   float64 `json:"busiest,omitempty"`  // distributor, of a core
-	Largest   float64 `json:"largest,omitempty"`  // distributor, resident MB
-	Rig       float64 `json:"rig_core,omitempty"` // the hollow followers and the rest of the rig, of a core
+	CallsPerS     float64 `json:"calls_s,omitempty"`  // of hollow followers, a second
+	BytesPerS      float64 `json:"bytes_s,omitempty"`  // of theirs, both ways
+	Connections     int64   `json:"connections"`        // that they have opened since their start
+	MaxCPU   float64 `json:"busiest,omitempty"`  // distributor, of a core
+	MaxMemoryMB   float64 `json:"largest,omitempty"`  // distributor, resident MB
+	LabCPU       float64 `json:"rig_core,omitempty"` // the hollow followers and the rest of the rig, of a core
 	Load      string  `json:"load"`               // averages of the machine
 	Note      string  `json:"note,omitempty"`
 }
 
 // rig is what a measurement is made with.
-type rig struct {
+type benchmark struct {
 	*Config
 	ctx    context.Context
 	dir    string
-	world  *world
-	five   *five
-	real   *sidecars
-	hollow *hollow
-	apart  atomic.Bool
-	n      int             // settings published
-	calls  []time.Duration // to publish them, in this case
+	upstream  *upstream
+	distributors   *distributorSet
+	sidecars   *sidecarSet
+	stubs *stubFollowers
+	partitioned  atomic.Bool
+	sequence      int             // settings published
+	publishTimes  []time.Duration // to publish them, in this case
 }
 
 // Run measures, and writes a line for each case as it is done.
@@ -120,26 +120,26 @@
 		return fmt.Errorf("distributed: %w", err)
 	}
 	defer os.RemoveAll(dir)
-	r := &rig{Config: &c, ctx: ctx, dir: dir}
-	if r.world, err = newWorld(); err != nil {
+	r := &benchmark{Config: &c, ctx: ctx, dir: dir}
+	if r.upstream, err = newUpstream(); err != nil {
 		return err
 	}
-	defer r.world.close()
-	if r.wants("before") {
-		if err := r.before(); err != nil {
+	defer r.upstream.close()
+	if r.selected("before") {
+		if err := r.measureManual(); err != nil {
 			return err
 		}
 	}
 	if len(c.Only) == 1 && c.Only[0] == "before" {
 		return nil
 	}
-	return r.distributed()
+	return r.measureDistributed()
 }
 
-func (r *rig) wants(name string) bool { return len(r.Only) == 0 || slices.Contains(r.Only, name) }
+func (r *benchmark) selected(name string) bool { return len(r.Only) == 0 || slices.Contains(r.Only, name) }
 
 // sub is a directory of its own.
-func (r *rig) sub(name string) (string, error) {
+func (r *benchmark) subdirectory(name string) (string, error) {
 	dir := filepath.Join(r.dir, name)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return "", fmt.Errorf("distributed: %w", err)
@@ -149,22 +149,22 @@
 
 // before changes the settings of the real sidecars as that is done without distributors: their files are written and they are signalled,
 // one after the other, and by so many hands at once. What it leaves out is the way to each machine.
-func (r *rig) before() error {
-	dir, err := r.sub("before")
+func (r *benchmark) measureManual() error {
+	dir, err := r.subdirectory("before")
 	if err != nil {
 		return err
 	}
-	s, err := startSidecars(r.Config, dir, r.world, r.Real, nil)
+	s, err := startSidecars(r.Config, dir, r.upstream, r.Real, nil)
 	if err != nil {
 		return err
 	}
 	defer s.stop()
-	for _, at := range []int{1, hands} {
+	for _, at := range []int{1, parallelReloads} {
 		var took []time.Duration
 		var mu sync.Mutex
 		began := time.Now()
 		for range r.Changes {
-			r.n++
+			r.sequence++
 			from := time.Now()
 			var wait sync.WaitGroup
 			next := atomic.Int64{}
@@ -172,7 +172,7 @@
 			for range at {
 				wait.Go(func() {
 					for i := int(next.Add(1)) - 1; i < r.Real; i = int(next.Add(1)) - 1 {
-						err := s.byHand(i, settings(r.n, r.Bytes))
+						err := s.reload(i, settingsText(r.sequence, r.Bytes))
 						mu.Lock()
 						took, faults = append(took, time.Since(from)), append(faults, err)
 						mu.Unlock()
@@ -184,12 +184,12 @@
 				return err
 			}
 		}
-		l := Line{Case: "before", Changes: r.Changes, Sidecars: timesOf(took, 0), Seconds: time.Since(began).Seconds()}
-		answer := s.answers(r.n)
-		l.Answer = &answer
+		l := Result{Case: "before", Changes: r.Changes, Sidecars: newTimes(took, 0), Seconds: time.Since(began).Seconds()}
+		answer := s.countAnswering(r.sequence)
+		l.Answering = &answer
 		each := l.Seconds / float64(r.Changes*r.Real)
 		l.Note = fmt.Sprintf("hands: %d; %.2f ms a sidecar, %.1f s for 1,700 (extrapolated; without the way to each machine)", at, 1000*each, 1700*each)
-		if err := r.write(l); err != nil {
+		if err := r.writeResult(l); err != nil {
 			return err
 		}
 	}
@@ -197,10 +197,10 @@
 }
 
 // write writes a case's line.
-func (r *rig) write(l Line) error {
-	l.Real, l.Bytes, l.Load = r.Real, r.Bytes, load()
-	if r.hollow != nil {
-		l.Followers, l.Conns = len(r.hollow.of), r.hollow.connections.Load()
+func (r *benchmark) writeResult(l Result) error {
+	l.Real, l.Bytes, l.Load = r.Real, r.Bytes, loadAverages()
+	if r.stubs != nil {
+		l.Followers, l.Connections = len(r.stubs.byFollower), r.stubs.connections.Load()
 	}
 	text, err := json.Marshal(l)
 	if err != nil {
@@ -213,30 +213,30 @@
 }
 
 // distributed plays the other cases.
-func (r *rig) distributed() error {
-	dir, err := r.sub("after")
+func (r *benchmark) measureDistributed() error {
+	dir, err := r.subdirectory("after")
 	if err != nil {
 		return err
 	}
-	if r.five, err = startFive(r.Config, dir, &r.apart); err != nil {
+	if r.distributors, err = startDistributors(r.Config, dir, &r.partitioned); err != nil {
 		return err
 	}
-	defer r.five.stop()
-	if r.real, err = startSidecars(r.Config, dir, r.world, r.Real, r.five.asked[:]); err != nil {
+	defer r.distributors.stop()
+	if r.sidecars, err = startSidecars(r.Config, dir, r.upstream, r.Real, r.distributors.addrs[:]); err != nil {
 		return err
 	}
-	defer r.real.stop()
+	defer r.sidecars.stop()
 	defer func() {
-		if r.hollow != nil {
-			r.hollow.stop()
+		if r.stubs != nil {
+			r.stubs.stop()
 		}
 	}()
 	for i, n := range r.Sizes {
-		if r.hollow != nil {
-			r.hollow.stop()
+		if r.stubs != nil {
+			r.stubs.stop()
 		}
-		r.hollow = startHollow(n, r.Seed, r.five.asked[:], &r.apart)
-		if _, _, err := r.change(0); err != nil { // all are there, and watch
+		r.stubs = startStubs(n, r.Seed, r.distributors.addrs[:], &r.partitioned)
+		if _, _, err := r.changeAll(0); err != nil { // all are there, and watch
 			return err
 		}
 		cases := []string{"change", "rest"}
@@ -244,10 +244,10 @@
 			cases = Cases[1:]
 		}
 		for _, name := range cases {
-			if !r.wants(name) {
+			if !r.selected(name) {
 				continue
 			}
-			if err := r.play(name); err != nil {
+			if err := r.runCase(name); err != nil {
 				return fmt.Errorf("%s, %d followers: %w", name, n, err)
 			}
 		}
@@ -256,89 +256,89 @@
 }
 
 // play plays a case and writes its line.
-func (r *rig) play(name string) error {
+func (r *benchmark) runCase(name string) error {
 	began, was := time.Now(), r.usage()
-	l := Line{Case: name}
-	r.calls = nil
-	err := map[string]func(*Line) error{"change": r.changes, "rest": r.rest, "day": r.day, "day x100": r.day, "one killed": r.killed, "two killed": r.killed,
-		"one silent": r.silent, "two silent": r.silent, "one slow": r.slow, "stopped": r.stopped, "apart": r.parted, "joined": r.joined, "cold": r.cold}[name](&l)
+	l := Result{Case: name}
+	r.publishTimes = nil
+	err := map[string]func(*Result) error{"change": r.runChanges, "rest": r.runRest, "day": r.runDay, "day x100": r.runDay, "one killed": r.runKilled, "two killed": r.runKilled,
+		"one silent": r.runUnresponsive, "two silent": r.runUnresponsive, "one slow": r.runSlow, "stopped": r.runStopped, "apart": r.runPartition, "joined": r.runHeal, "cold": r.runColdStart}[name](&l)
 	if err != nil {
 		return err
 	}
 	l.Seconds = time.Since(began).Seconds()
-	if len(r.calls) > 0 {
-		l.Publish = timesOf(r.calls, 0)
+	if len(r.publishTimes) > 0 {
+		l.Publish = newTimes(r.publishTimes, 0)
 	}
 	if name != "cold" { // others count there
-		r.used(&l, was)
+		r.fillUsage(&l, was)
 	}
-	return r.write(l)
+	return r.writeResult(l)
 }
 
-func (r *rig) usage() usage {
-	u := usage{at: time.Now(), calls: r.hollow.calls.Load(), bytes: r.hollow.bytes.Load(), own: cpu(os.Getpid())}
-	for _, p := range r.five.running {
-		u.cpu = append(u.cpu, cpu(p.cmd.Process.Pid))
+func (r *benchmark) usage() usage {
+	u := usage{at: time.Now(), calls: r.stubs.calls.Load(), bytes: r.stubs.bytes.Load(), labCPU: cpuTime(os.Getpid())}
+	for _, p := range r.distributors.processes {
+		u.cpu = append(u.cpu, cpuTime(p.cmd.Process.Pid))
 	}
 	return u
 }
 
 // used fills in what has been used since.
-func (r *rig) used(l *Line, was usage) {
+func (r *benchmark) fillUsage(l *Result, was usage) {
 	is := r.usage()
 	seconds := is.at.Sub(was.at).Seconds()
-	l.Calls, l.Rate, l.Rig = float64(is.calls-was.calls)/seconds, float64(is.bytes-was.bytes)/seconds, (is.own-was.own).Seconds()/seconds
-	for i, p := range r.five.running {
-		l.Busiest = max(l.Busiest, (is.cpu[i]-was.cpu[i]).Seconds()/seconds)
-		l.Largest = max(l.Largest, resident(p.cmd.Process.Pid))
+	l.CallsPerS, l.BytesPerS, l.LabCPU = float64(is.calls-was.calls)/seconds, float64(is.bytes-was.bytes)/seconds, (is.labCPU-was.labCPU).Seconds()/seconds
+	for i, p := range r.distributors.processes {
+		l.MaxCPU = max(l.MaxCPU, (is.cpu[i]-was.cpu[i]).Seconds()/seconds)
+		l.MaxMemoryMB = max(l.MaxMemoryMB, resident(p.cmd.Process.Pid))
 	}
 }
 
 // change publishes the next settings at a distributor, and waits until they are in force at all or the limit is over.
-func (r *rig) change(at int) (version.Edition, time.Time, error) {
+func (r *benchmark) changeAll(at int) (version.Edition, time.Time, error) {
 	e, from, err := r.publish(at)
 	if err == nil {
-		r.hollow.await(r.all(), e, from.Add(limit))
-		r.real.await(r.allReal(), e, from.Add(limit))
+		r.stubs.await(r.allStubs(), e, from.Add(inForceTimeout))
+		r.sidecars.await(r.allSidecars(), e, from.Add(inForceTimeout))
 	}
 	return e, from, err
 }
 
-func (r *rig) publish(at int) (version.Edition, time.Time, error) {
-	r.n++
-	e, from, err := r.five.publish(r.ctx, at, settings(r.n, r.Bytes))
-	r.calls = append(r.calls, time.Since(from))
+func (r *benchmark) publish(at int) (version.Edition, time.Time, error) {
+	r.sequence++
+	e, from, err := r.distributors.publish(r.ctx, at, settingsText(r.sequence, r.Bytes))
+	r.publishTimes = append(r.publishTimes, time.Since(from))
 	return e, from, err
 }
 
-func (r *rig) all() []int     { return numbers(len(r.hollow.of), func(int) bool { return true }) }
-func (r *rig) allReal() []int { return numbers(r.Real, func(int) bool { return true }) }
+func (r *benchmark) allStubs() []int     { return filterIndexes(len(r.stubs.byFollower), func(int) bool { return true }) }
+func (r *benchmark) allSidecars() []int { return filterIndexes(r.Real, func(int) bool { return true }) }
 
 // tally collects how long changes took.
 type tally struct {
-	hollow, real         []time.Duration
-	hollowLate, realLate int
+	stubs, sidecars         []time.Duration
+	stubsLate, sidecarsLate int
 }
 
-func (t *tally) add(r *rig, e version.Edition, from time.Time) {
-	took, late := r.hollow.took(r.all(), e, from)
-	t.hollow, t.hollowLate = append(t.hollow, took...), t.hollowLate+late
-	took, late = r.real.took(r.allReal(), e, from)
-	t.real, t.realLate = append(t.real, took...), t.realLate+late
+func (t *tally) add(r *benchmark, e version.Edition, from time.Time) {
+	took, late := r.stubs.delays(r.allStubs(), e, from)
+	t.stubs, t.stubsLate = append(t.stubs, took...), t.stubsLate+late
+	took, late = r.sidecars.delays(r.allSidecars(), e, from)
+	t.sidecars, t.sidecarsLate = append(t.sidecars, took...), t.sidecarsLate+late
 }
 
-func (t *tally) fill(r *rig, l *Line) {
+func (t *tally) fill(r *benchmark, l *Result) {
 	l.Changes = r.Changes
-	l.Hollow, l.Sidecars = timesOf(t.hollow, t.hollowLate), timesOf(t.real, t.realLate)
-	answer := r.real.answers(r.n)
-	l.Answer = &answer
+	l.Stubs, l.Sidecars = newTimes(t.stubs, t.stubsLate), newTimes(t.sidecars, t.sidecarsLate)
+	answer := r.sidecars.countAnswering(r.sequence)
+	l.Answering = &answer
 }
 
 // changes are published one after the other, each at the next distributor, at times that have nothing to do with the watches'.
-func (r *rig) changes(l *Line) error {
+func (r *benchmark) runChanges(l *Result) error {
 	var t tally
 	for i := range r.Changes {
-		e, from, err := r.change(i % distributors)
+		e, from, err := r.changeAll(i % distributorCount)
 		if err != nil {
 			return err
 		}
@@ -349,14 +349,14 @@
 	return nil
 }
 
-func (r *rig) rest(*Line) error {
+func (r *benchmark) runRest(*Result) error {
 	time.Sleep(r.Window)
 	return nil
 }
 
 // day has changes come as often as on a day of the letter's, or a hundred times that, whether or not the former is in force.
-func (r *rig) day(l *Line) error {
-	gap := 24 * time.Hour / dayOf
+func (r *benchmark) runDay(l *Result) error {
+	gap := 24 * time.Hour / changesPerDay
 	if l.Case != "day" {
 		gap /= 100
 	}
@@ -367,15 +367,15 @@
 	var all []published
 	for end, next := time.Now().Add(r.Window), time.Now(); time.Now().Before(end); next = next.Add(gap) {
 		time.Sleep(time.Until(next))
-		e, from, err := r.publish(len(all) % distributors)
+		e, from, err := r.publish(len(all) % distributorCount)
 		if err != nil {
 			return err
 		}
 		all = append(all, published{e, from})
 	}
 	last := all[len(all)-1]
-	r.hollow.await(r.all(), last.e, last.from.Add(limit))
-	r.real.await(r.allReal(), last.e, last.from.Add(limit))
+	r.stubs.await(r.allStubs(), last.e, last.from.Add(inForceTimeout))
+	r.sidecars.await(r.allSidecars(), last.e, last.from.Add(inForceTimeout))
 	var t tally
 	for _, p := range all {
 		t.add(r, p.e, p.from)
@@ -386,7 +386,7 @@
 }
 
 // killed kills distributors, and publishes at another one at once.
-func (r *rig) killed(l *Line) error {
+func (r *benchmark) runKilled(l *Result) error {
 	dead := []int{1}
 	if l.Case == "two killed" {
 		dead = []int{2, 4}
@@ -394,15 +394,15 @@
 	var t tally
 	for range r.Changes {
 		for _, i := range dead {
-			r.five.running[i].kill()
+			r.distributors.processes[i].kill()
 		}
-		e, from, err := r.change(0)
+		e, from, err := r.changeAll(0)
 		if err != nil {
 			return err
 		}
 		t.add(r, e, from)
 		for _, i := range dead {
-			if err := r.five.back(i); err != nil {
+			if err := r.distributors.restart(i); err != nil {
 				return err
 			}
 		}
@@ -412,7 +412,7 @@
 }
 
 // silent stops distributors, others for each change, and publishes at another one at once: as if their machines were gone.
-func (r *rig) silent(l *Line) error {
+func (r *benchmark) runUnresponsive(l *Result) error {
 	var t tally
 	for i := range r.Changes {
 		mute := []int{1 + i%4}
@@ -420,13 +420,13 @@
 			mute = append(mute, 1+(i+1+i/4%3)%4)
 		}
 		for _, who := range mute {
-			if err := r.five.running[who].signal(syscall.SIGSTOP); err != nil {
+			if err := r.distributors.processes[who].signal(syscall.SIGSTOP); err != nil {
 				return err
 			}
 		}
-		e, from, err := r.change(0)
+		e, from, err := r.changeAll(0)
 		for _, who := range mute {
-			err = errors.Join(err, r.five.running[who].signal(syscall.SIGCONT))
+			err = errors.Join(err, r.distributors.processes[who].signal(syscall.SIGCONT))
 		}
 		if err != nil {
 			return err
@@ -438,8 +438,8 @@
 }
 
 // slow has one distributor run for a tenth of the time, with changes published at another one.
-func (r *rig) slow(l *Line) error {
-	p := r.five.running[3]
+func (r *benchmark) runSlow(l *Result) error {
+	p := r.distributors.processes[3]
 	over, ended := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -458,7 +458,7 @@
 			}
 		}
 	}()
-	err := r.changes(l)
+	err := r.runChanges(l)
 	close(over)
 	<-ended
 	l.Note = "one of five distributors runs for 0.1 s in each second"
@@ -466,10 +466,10 @@
 }
 
 // stopped stops a quarter of the real sidecars, publishes, and has them go on after a while.
-func (r *rig) stopped(l *Line) error {
-	who := numbers(r.Real, func(i int) bool { return i%4 == 0 })
+func (r *benchmark) runStopped(l *Result) error {
+	who := filterIndexes(r.Real, func(i int) bool { return i%4 == 0 })
 	for _, i := range who {
-		if err := r.real.run[i].signal(syscall.SIGSTOP); err != nil {
+		if err := r.sidecars.processes[i].signal(syscall.SIGSTOP); err != nil {
 			return err
 		}
 	}
@@ -477,28 +477,28 @@
 	if err != nil {
 		return err
 	}
-	r.hollow.await(r.all(), e, from.Add(limit))
-	took, late := r.hollow.took(r.all(), e, from)
-	l.Hollow = timesOf(took, late)
+	r.stubs.await(r.allStubs(), e, from.Add(inForceTimeout))
+	took, late := r.stubs.delays(r.allStubs(), e, from)
+	l.Stubs = newTimes(took, late)
 	time.Sleep(r.Window)
 	on := time.Now()
 	for _, i := range who {
-		if err := r.real.run[i].signal(syscall.SIGCONT); err != nil {
+		if err := r.sidecars.processes[i].signal(syscall.SIGCONT); err != nil {
 			return err
 		}
 	}
-	r.real.await(r.allReal(), e, on.Add(limit))
-	took, late = r.real.took(who, e, on)
-	l.Sidecars, l.Changes = timesOf(took, late), 1
-	answer := r.real.answers(r.n)
-	l.Answer, l.Note = &answer, "sidecars: those that were stopped, from when they went on"
+	r.sidecars.await(r.allSidecars(), e, on.Add(inForceTimeout))
+	took, late = r.sidecars.delays(who, e, on)
+	l.Sidecars, l.Changes = newTimes(took, late), 1
+	answer := r.sidecars.countAnswering(r.sequence)
+	l.Answering, l.Note = &answer, "sidecars: those that were stopped, from when they went on"
 	return nil
 }
 
 // parted cuts the regions apart and publishes in both at once. Each region's followers are to have its own. The real sidecars reach all
 // distributors, and are left out.
-func (r *rig) parted(l *Line) error {
-	r.apart.Store(true)
+func (r *benchmark) runPartition(l *Result) error {
+	r.partitioned.Store(true)
 	var took []time.Duration
 	late := 0
 	for region, at := range []int{0, 4} {
@@ -506,20 +506,20 @@
 		if err != nil {
 			return err
 		}
-		who := numbers(len(r.hollow.of), func(i int) bool { return regionOf(i) == region })
-		r.hollow.await(who, e, from.Add(limit))
-		t, n := r.hollow.took(who, e, from)
+		who := filterIndexes(len(r.stubs.byFollower), func(i int) bool { return regionOf(i) == region })
+		r.stubs.await(who, e, from.Add(inForceTimeout))
+		t, n := r.stubs.delays(who, e, from)
 		took, late = append(took, t...), late+n
 	}
 	time.Sleep(r.Window)
-	l.Hollow, l.Changes, l.Note = timesOf(took, late), 2, "a change in each region, at its followers"
+	l.Stubs, l.Changes, l.Note = newTimes(took, late), 2, "a change in each region, at its followers"
 	return nil
 }
 
 // joined has the first region be changed once more, so that it wins, and the regions reach one another again: from then on until
 // all have that.
-func (r *rig) joined(l *Line) error {
-	r.apart.Store(true) // it is, unless this case is played alone
+func (r *benchmark) runHeal(l *Result) error {
+	r.partitioned.Store(true) // it is, unless this case is played alone
 	if _, _, err := r.publish(4); err != nil {
 		return err
 	}
@@ -531,11 +531,11 @@
 		}
 	}
 	from := time.Now()
-	r.apart.Store(false)
-	r.hollow.await(r.all(), e, from.Add(limit))
-	took, late := r.hollow.took(r.all(), e, from)
-	l.Hollow, l.Changes = timesOf(took, late), 4
-	s, err := r.five.status(r.ctx, 1)
+	r.partitioned.Store(false)
+	r.stubs.await(r.allStubs(), e, from.Add(inForceTimeout))
+	took, late := r.stubs.delays(r.allStubs(), e, from)
+	l.Stubs, l.Changes = newTimes(took, late), 4
+	s, err := r.distributors.status(r.ctx, 1)
 	if err != nil {
 		return err
 	}
@@ -547,17 +547,17 @@
 }
 
 // cold has all hollow followers start in the same moment.
-func (r *rig) cold(l *Line) error {
-	n := len(r.hollow.of)
-	r.hollow.stop()
+func (r *benchmark) runColdStart(l *Result) error {
+	n := len(r.stubs.byFollower)
+	r.stubs.stop()
 	e, _, err := r.publish(0)
 	if err != nil {
 		return err
 	}
 	from := time.Now()
-	r.hollow = startHollow(n, r.Seed+1, r.five.asked[:], &r.apart)
-	r.hollow.await(r.all(), e, from.Add(limit))
-	took, late := r.hollow.took(r.all(), e, from)
-	l.Hollow, l.Changes, l.Note = timesOf(took, late), 1, "from their start to the newest settings in force"
+	r.stubs = startStubs(n, r.Seed+1, r.distributors.addrs[:], &r.partitioned)
+	r.stubs.await(r.allStubs(), e, from.Add(inForceTimeout))
+	took, late := r.stubs.delays(r.allStubs(), e, from)
+	l.Stubs, l.Changes, l.Note = newTimes(took, late), 1, "from their start to the newest settings in force"
 	return nil
 }
--- a/internal/lab/settingsbench/distributed_test.go
+++ b/internal/lab/settingsbench/distributed_test.go
@@ -56,20 +56,20 @@
 	}
 	var cases []string
 	for text := range strings.Lines(out.String()) {
-		var l Line
+		var l Result
 		if err := json.Unmarshal([]byte(text), &l); err != nil {
 			t.Fatal(err)
 		}
 		cases = append(cases, l.Case)
-		for _, times := range []*Times{l.Hollow, l.Sidecars} {
+		for _, times := range []*Times{l.Stubs, l.Sidecars} {
 			if times != nil && (times.Late > 0 || times.N == 0) {
-				t.Errorf("not in force everywhere within %s: %s", limit, text)
+				t.Errorf("not in force everywhere within %s: %s", inForceTimeout, text)
 			}
 			if times != nil && times.N%l.Changes != 0 { // each at so many
 				t.Errorf("not each of the changes is counted at each: %s", text)
 			}
 		}
-		if l.Answer != nil && *l.Answer != c.Real {
+		if l.Answering != nil && *l.Answering != c.Real {
 			t.Errorf("not all sidecars serve by the last change: %s", text)
 		}
 	}
@@ -99,20 +99,20 @@
 
 // Guards against figures that leave out the slowest, or those that never came.
 func TestTimes(t *testing.T) {
-	s := newStamps(4)
+	s := newApplyLog(4)
 	from := time.Now()
 	for i := range 3 {
-		s.note(i, version.Edition{Epoch: 1, By: "a"})
-		s.note(i, version.Edition{Epoch: uint64(2 + i), By: "a"})
+		s.record(i, version.Edition{Epoch: 1, By: "a"})
+		s.record(i, version.Edition{Epoch: uint64(2 + i), By: "a"})
 	}
-	if took, late := s.took([]int{0, 1, 2, 3}, version.Edition{Epoch: 3, By: "a"}, from); len(took) != 2 || late != 2 {
+	if took, late := s.delays([]int{0, 1, 2, 3}, version.Edition{Epoch: 3, By: "a"}, from); len(took) != 2 || late != 2 {
 		t.Errorf("%v, %d late", took, late)
 	}
 	var took []time.Duration
 	for i := range 1000 {
 		took = append(took, time.Duration(1000-i)*time.Millisecond)
 	}
-	if got := *timesOf(took, 3); got != (Times{N: 1003, P50: 501, P99: 991, Last: 1000, Late: 3}) {
+	if got := *newTimes(took, 3); got != (Times{N: 1003, P50: 501, P99: 991, Last: 1000, Late: 3}) {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/lab/settingsbench/distributors.go
+++ b/internal/lab/settingsbench/distributors.go
@@ -22,42 +22,42 @@
 )
 
 const (
-	distributors = 5
-	readyWithin  = 15 * time.Second
-	callWithin   = 10 * time.Second
+	distributorCount = 5
+	readyTimeout  = 15 * time.Second
+	callTimeout   = 10 * time.Second
 )
 
 // regionOf is the region of a distributor or a follower: three of five are in the first.
-func regionOf(i int) int { return i % distributors / 3 }
+func regionOf(i int) int { return i % distributorCount / 3 }
 
 // five are the distributors, as processes of their own. Those of different regions reach one another through relays.
-type five struct {
+type distributorSet struct {
 	program string
 	env     []string
 	dir     string
-	asked   [distributors]string // addresses for sidecars
-	control [distributors]string // and for operators
-	peers   [distributors][]string
+	addrs   [distributorCount]string // addresses for sidecars
+	controlAddrs [distributorCount]string // and for operators
+	peers   [distributorCount][]string
 	relays  []*relay
-	running [distributors]*process
+	processes [distributorCount]*process
 }
 
-func startFive(c *Config, dir string, apart *atomic.Bool) (*five, error) {
-	f := &five{program: c.Pinelb, env: c.Env, dir: dir}
-	for i := range distributors {
-		for _, at := range []*string{&f.asked[i], &f.control[i]} {
+func startDistributors(c *Config, dir string, apart *atomic.Bool) (*distributorSet, error) {
+	f := &distributorSet{program: c.Pinelb, env: c.Env, dir: dir}
+	for i := range distributorCount {
+		for _, at := range []*string{&f.addrs[i], &f.controlAddrs[i]} {
 			var err error
 			if *at, err = freeAddress(); err != nil {
 				return nil, err
 			}
 		}
 	}
-	for i := range distributors {
-		for j := range distributors {
+	for i := range distributorCount {
+		for j := range distributorCount {
 			if i == j {
 				continue
 			}
-			at := f.asked[j]
+			at := f.addrs[j]
 			if regionOf(i) != regionOf(j) {
 				r, err := newRelay(at, apart)
 				if err != nil {
@@ -69,14 +69,14 @@
 			f.peers[i] = append(f.peers[i], at)
 		}
 	}
-	for i := range distributors {
+	for i := range distributorCount {
 		if err := f.start(i); err != nil {
 			f.stop()
 			return nil, err
 		}
 	}
-	for i := range distributors {
-		if err := f.ready(i); err != nil {
+	for i := range distributorCount {
+		if err := f.awaitReady(i); err != nil {
 			f.stop()
 			return nil, err
 		}
@@ -94,29 +94,29 @@
 }
 
 // start starts one, with what its directory holds.
-func (f *five) start(i int) error {
+func (f *distributorSet) start(i int) error {
 	dir := filepath.Join(f.dir, fmt.Sprintf("d%d", i))
 	peers, err := json.Marshal(f.peers[i])
 	if err != nil {
 		return fmt.Errorf("distributed: %w", err)
 	}
 	file := dir + ".toml"
-	text := fmt.Sprintf("name = \"d%d\"\nregion = \"r%d\"\nlisten = %q\ncontrol = %q\ndir = %q\npeers = %s\n", i, regionOf(i), f.asked[i], f.control[i], dir, peers)
+	text := fmt.Sprintf("name = \"d%d\"\nregion = \"r%d\"\nlisten = %q\ncontrol = %q\ndir = %q\npeers = %s\n", i, regionOf(i), f.addrs[i], f.controlAddrs[i], dir, peers)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return fmt.Errorf("distributed: %w", err)
 	}
-	f.running[i], err = launch(f.program, []string{"distribute", file}, f.env, nil)
+	f.processes[i], err = launch(f.program, []string{"distribute", file}, f.env, nil)
 	return err
 }
 
 // ready waits until one takes operators' calls and knows what is newest.
-func (f *five) ready(i int) error {
-	client := &http.Client{Timeout: callWithin, Transport: &http.Transport{DisableKeepAlives: true}}
-	for end := time.Now().Add(readyWithin); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if f.running[i].hasEnded() {
-			return fmt.Errorf("distributed: distributor %d has ended before it was ready: %s", i, f.running[i].lastLine())
+func (f *distributorSet) awaitReady(i int) error {
+	client := &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+		if f.processes[i].hasExited() {
+			return fmt.Errorf("distributed: distributor %d has ended before it was ready: %s", i, f.processes[i].lastLine())
 		}
-		res, err := client.Get("http://" + f.control[i] + "/admin/health")
+		res, err := client.Get("http://" + f.controlAddrs[i] + "/admin/health")
 		if err != nil {
 			continue
 		}
@@ -125,20 +125,20 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("distributed: distributor %d is not ready after %s", i, readyWithin)
+	return fmt.Errorf("distributed: distributor %d is not ready after %s", i, readyTimeout)
 }
 
 // back starts one that was killed, and waits until it is ready.
-func (f *five) back(i int) error {
+func (f *distributorSet) restart(i int) error {
 	if err := f.start(i); err != nil {
 		return err
 	}
-	return f.ready(i)
+	return f.awaitReady(i)
 }
 
 // publish publishes at one, and returns the edition and when it was called.
-func (f *five) publish(ctx context.Context, at int, settings []byte) (version.Edition, time.Time, error) {
-	o := &settingsserver.Operator{At: []string{f.control[at]}, Within: callWithin}
+func (f *distributorSet) publish(ctx context.Context, at int, settings []byte) (version.Edition, time.Time, error) {
+	o := &settingsserver.Operator{At: []string{f.controlAddrs[at]}, Within: callTimeout}
 	from := time.Now()
 	p, err := o.Publish(ctx, Service, settings)
 	if err != nil {
@@ -148,8 +148,8 @@
 }
 
 // status is what one says of the service.
-func (f *five) status(ctx context.Context, at int) (settingsstore.Status, error) {
-	o := &settingsserver.Operator{At: []string{f.control[at]}, Within: callWithin}
+func (f *distributorSet) status(ctx context.Context, at int) (settingsstore.Status, error) {
+	o := &settingsserver.Operator{At: []string{f.controlAddrs[at]}, Within: callTimeout}
 	all, faults := o.Statuses(ctx, Service)
 	if len(faults) > 0 {
 		return settingsstore.Status{}, fmt.Errorf("distributed: %w", faults[0])
@@ -157,8 +157,8 @@
 	return all[0], nil
 }
 
-func (f *five) stop() {
-	for _, p := range f.running {
+func (f *distributorSet) stop() {
+	for _, p := range f.processes {
 		if p != nil {
 			_ = p.signal(syscall.SIGCONT) // it may be stopped
 			p.kill()
@@ -172,11 +172,11 @@
 // relay carries connections to an address. While regions are apart it carries nothing, and nobody is told.
 type relay struct {
 	net.Listener
-	addr, to string
-	apart    *atomic.Bool
+	addr, target string
+	partitioned    *atomic.Bool
 
 	mu      sync.Mutex
-	open    map[net.Conn]bool // nil: it is closed
+	conns    map[net.Conn]bool // nil: it is closed
 	serving sync.WaitGroup
 }
 
@@ -185,68 +185,68 @@
 	if err != nil {
 		return nil, fmt.Errorf("distributed: %w", err)
 	}
-	r := &relay{Listener: l, addr: l.Addr().String(), to: to, apart: apart, open: map[net.Conn]bool{}}
+	r := &relay{Listener: l, addr: l.Addr().String(), target: to, partitioned: apart, conns: map[net.Conn]bool{}}
 	r.serving.Go(func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			r.serving.Go(func() { r.carry(c) })
+			r.serving.Go(func() { r.forward(c) })
 		}
 	})
 	return r, nil
 }
 
 // keep has a connection be closed with the relay; false: the relay is closed already.
-func (r *relay) keep(c net.Conn) bool {
+func (r *relay) track(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.open == nil {
+	if r.conns == nil {
 		_ = c.Close()
 		return false
 	}
-	r.open[c] = true
+	r.conns[c] = true
 	return true
 }
 
-func (r *relay) leave(c net.Conn) {
+func (r *relay) untrack(c net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.open, c)
+	delete(r.conns, c)
 	_ = c.Close()
 }
 
-func (r *relay) carry(from net.Conn) {
-	if !r.keep(from) {
+func (r *relay) forward(from net.Conn) {
+	if !r.track(from) {
 		return
 	}
-	defer r.leave(from)
-	to, err := net.DialTimeout("tcp", r.to, callWithin)
-	if err != nil || !r.keep(to) {
+	defer r.untrack(from)
+	to, err := net.DialTimeout("tcp", r.target, callTimeout)
+	if err != nil || !r.track(to) {
 		return
 	}
-	defer r.leave(to)
+	defer r.untrack(to)
 	var back sync.WaitGroup
-	back.Go(func() { r.pass(from, to) })
-	r.pass(to, from)
+	back.Go(func() { r.copyOneWay(from, to) })
+	r.copyOneWay(to, from)
 	back.Wait()
 }
 
 // pass passes on what comes, until either end is closed.
-func (r *relay) pass(to, from net.Conn) {
+func (r *relay) copyOneWay(to, from net.Conn) {
 	defer to.Close()
 	defer from.Close()
-	_, _ = io.Copy(passing{to, r.apart}, from)
+	_, _ = io.Copy(partitionedWriter{to, r.partitioned}, from)
 }
 
-type passing struct {
+type partitionedWriter struct {
 	to    net.Conn
-	apart *atomic.Bool
+	partitioned *atomic.Bool
 }
 
-func (p passing) Write(b []byte) (int, error) {
-	if p.apart.Load() {
+func (p partitionedWriter) Write(b []byte) (int, error) {
+	if p.partitioned.Load() {
 		return len(b), nil
 	}
 	return p.to.Write(b)
@@ -255,8 +255,8 @@
 func (r *relay) close() {
 	_ = r.Close()
 	r.mu.Lock()
-	open := r.open
-	r.open = nil
+	open := r.conns
+	r.conns = nil
 	for c := range open {
 		_ = c.Close()
 	}
--- a/internal/lab/settingsbench/hollow.go
+++ b/internal/lab/settingsbench/hollow.go
@@ -18,29 +18,29 @@
 
 // hollow are followers that take whatever is published: internal/settingsclient without a sidecar around it. What they leave out is in the
 // real ones: reading and checking the settings, and having them take effect.
-type hollow struct {
-	*stamps
+type stubFollowers struct {
+	*applyLog
 	seed        uint64
-	from        []string
+	distributors        []string
 	calls       atomic.Int64
 	bytes       atomic.Int64 // both ways, without the heads of TCP
 	connections atomic.Int64
-	apart       *atomic.Bool // regions don't reach one another
+	partitioned       *atomic.Bool // regions don't reach one another
 
-	end     context.CancelFunc
+	cancel     context.CancelFunc
 	running sync.WaitGroup
 }
 
-// startHollow starts n of them in the same moment.
-func startHollow(n int, seed uint64, from []string, apart *atomic.Bool) *hollow {
-	h := &hollow{stamps: newStamps(n), seed: seed, from: from, apart: apart}
+// startStubs starts n of them in the same moment.
+func startStubs(n int, seed uint64, from []string, apart *atomic.Bool) *stubFollowers {
+	h := &stubFollowers{applyLog: newApplyLog(n), seed: seed, distributors: from, partitioned: apart}
 	ctx, end := context.WithCancel(context.Background())
-	h.end = end
+	h.cancel = end
 	for i := range n {
 		w := &settingsclient.Watch{Service: Service, Name: fmt.Sprintf("hollow-%d", i), From: from, Log: zerolog.New(io.Discard),
 			Rand: rand.New(rand.NewPCG(seed, uint64(i))),
 			Take: func(s settingsstore.State) error {
-				h.note(i, s.Edition)
+				h.record(i, s.Edition)
 				return nil
 			},
 			Dial: func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -51,18 +51,18 @@
 	return h
 }
 
-func (h *hollow) stop() {
-	h.end()
+func (h *stubFollowers) stop() {
+	h.cancel()
 	h.running.Wait()
 }
 
 // dial connects a follower of that region.
-func (h *hollow) dial(ctx context.Context, network, addr string, region int) (net.Conn, error) {
+func (h *stubFollowers) dial(ctx context.Context, network, addr string, region int) (net.Conn, error) {
 	abroad := false
-	for i, at := range h.from {
+	for i, at := range h.distributors {
 		abroad = abroad || at == addr && regionOf(i) != region
 	}
-	if abroad && h.apart.Load() {
+	if abroad && h.partitioned.Load() {
 		<-ctx.Done() // nobody answers
 		return nil, context.DeadlineExceeded
 	}
@@ -71,34 +71,34 @@
 		return nil, err
 	}
 	h.connections.Add(1)
-	return &counted{c, h, abroad}, nil
+	return &countingConn{c, h, abroad}, nil
 }
 
 // counted is a connection whose calls and bytes are counted, and that carries nothing while regions are apart.
-type counted struct {
+type countingConn struct {
 	net.Conn
-	h      *hollow
-	abroad bool
+	stubs      *stubFollowers
+	remote bool
 }
 
-func (c *counted) cut() bool { return c.abroad && c.h.apart.Load() }
+func (c *countingConn) isCut() bool { return c.remote && c.stubs.partitioned.Load() }
 
-func (c *counted) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(b)
-		if err != nil || !c.cut() {
-			c.h.bytes.Add(int64(n))
+		if err != nil || !c.isCut() {
+			c.stubs.bytes.Add(int64(n))
 			return n, err
 		}
 	}
 }
 
-func (c *counted) Write(b []byte) (int, error) {
-	if c.cut() {
+func (c *countingConn) Write(b []byte) (int, error) {
+	if c.isCut() {
 		return len(b), nil
 	}
-	c.h.calls.Add(1)
-	c.h.bytes.Add(int64(len(b)))
+	c.stubs.calls.Add(1)
+	c.stubs.bytes.Add(int64(len(b)))
 	return c.Conn.Write(b)
 }
 
@@ -108,5 +108,5 @@
 	calls int64
 	bytes int64
 	cpu   []time.Duration // of distributors
-	own   time.Duration   // of this process
+	labCPU   time.Duration   // of this process
 }
--- a/internal/lab/settingsbench/process.go
+++ b/internal/lab/settingsbench/process.go
@@ -19,15 +19,15 @@
 // process is one that the rig has started.
 type process struct {
 	cmd   *exec.Cmd
-	ended chan struct{}
+	exited chan struct{}
 
 	mu   sync.Mutex
-	last string // line of its log
+	lastLogLine string // line of its log
 }
 
 // launch starts a program and hands on each line of its log, to nobody if line is nil.
 func launch(program string, args, env []string, line func(text []byte)) (*process, error) {
-	p := &process{cmd: exec.Command(program, args...), ended: make(chan struct{})}
+	p := &process{cmd: exec.Command(program, args...), exited: make(chan struct{})}
 	p.cmd.Env = append(os.Environ(), env...)
 	log, err := p.cmd.StderrPipe()
 	if err == nil {
@@ -37,11 +37,11 @@
 		return nil, fmt.Errorf("distributed: %w", err)
 	}
 	go func() {
-		defer close(p.ended)
+		defer close(p.exited)
 		lines := bufio.NewScanner(log)
 		lines.Buffer(nil, 1<<20)
 		for lines.Scan() {
-			p.keep(lines.Text())
+			p.setLastLine(lines.Text())
 			if line != nil {
 				line(lines.Bytes())
 			}
@@ -53,23 +53,23 @@
 }
 
 // keep keeps the last line of the log.
-func (p *process) keep(line string) {
+func (p *process) setLastLine(line string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.last = line
+	p.lastLogLine = line
 }
 
 // lastLine is the last line of its log.
 func (p *process) lastLine() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.last
+	return p.lastLogLine
 }
 
-// hasEnded says whether the process has ended, and its log is read.
-func (p *process) hasEnded() bool {
+// hasExited says whether the process has ended, and its log is read.
+func (p *process) hasExited() bool {
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return true
 	default:
 		return false
@@ -86,11 +86,11 @@
 
 func (p *process) kill() {
 	_ = p.signal(syscall.SIGKILL) // it may have ended
-	<-p.ended
+	<-p.exited
 }
 
 // cpu is the time that a process has used; 0 where it has ended.
-func cpu(pid int) time.Duration {
+func cpuTime(pid int) time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
@@ -121,7 +121,7 @@
 }
 
 // load is the machine's load averages.
-func load() string {
+func loadAverages() string {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
 		return "unknown"
--- a/internal/lab/settingsbench/stamps.go
+++ b/internal/lab/settingsbench/stamps.go
@@ -11,31 +11,31 @@
 )
 
 // stamp is when a follower had an edition in force.
-type stamp struct {
+type appliedEdition struct {
 	edition version.Edition
 	at      time.Time
 }
 
 // stamps are those of some followers, by their numbers.
-type stamps struct {
+type applyLog struct {
 	mu   sync.Mutex
-	of   [][]stamp
-	more chan struct{} // closed when there is another one
+	byFollower   [][]appliedEdition
+	changed chan struct{} // closed when there is another one
 }
 
-func newStamps(n int) *stamps { return &stamps{of: make([][]stamp, n), more: make(chan struct{})} }
+func newApplyLog(n int) *applyLog { return &applyLog{byFollower: make([][]appliedEdition, n), changed: make(chan struct{})} }
 
-func (s *stamps) note(who int, e version.Edition) {
+func (s *applyLog) record(who int, e version.Edition) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.of[who] = append(s.of[who], stamp{e, time.Now()})
-	close(s.more)
-	s.more = make(chan struct{})
+	s.byFollower[who] = append(s.byFollower[who], appliedEdition{e, time.Now()})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 // has is when a follower had the edition or a newer one; false: not yet.
-func (s *stamps) has(who int, e version.Edition) (time.Time, bool) {
-	for _, one := range s.of[who] {
+func (s *applyLog) appliedAt(who int, e version.Edition) (time.Time, bool) {
+	for _, one := range s.byFollower[who] {
 		if one.edition.Compare(e) >= 0 {
 			return one.at, true
 		}
@@ -44,14 +44,14 @@
 }
 
 // await waits until those followers have the edition or a newer one, or the time is over.
-func (s *stamps) await(who []int, e version.Edition, until time.Time) {
+func (s *applyLog) await(who []int, e version.Edition, until time.Time) {
 	late := time.NewTimer(time.Until(until))
 	defer late.Stop()
 	for {
 		s.mu.Lock()
-		all, more := true, s.more
+		all, more := true, s.changed
 		for _, i := range who {
-			if n := len(s.of[i]); n == 0 || s.of[i][n-1].edition.Compare(e) < 0 {
+			if n := len(s.byFollower[i]); n == 0 || s.byFollower[i][n-1].edition.Compare(e) < 0 {
 				all = false
 				break
 			}
@@ -69,11 +69,11 @@
 }
 
 // took is how long after from each of those followers had the edition; late is how many did not.
-func (s *stamps) took(who []int, e version.Edition, from time.Time) (took []time.Duration, late int) {
+func (s *applyLog) delays(who []int, e version.Edition, from time.Time) (took []time.Duration, late int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, i := range who {
-		at, has := s.has(i, e)
+		at, has := s.appliedAt(i, e)
 		if !has {
 			late++
 			continue
@@ -92,7 +92,7 @@
 	Late int     `json:"late"` // that were not in force within the limit
 }
 
-func timesOf(took []time.Duration, late int) *Times {
+func newTimes(took []time.Duration, late int) *Times {
 	t := &Times{N: len(took) + late, Late: late}
 	if len(took) == 0 {
 		return t
@@ -106,7 +106,7 @@
 }
 
 // numbers are those from 0 on, below n, that fit.
-func numbers(n int, fits func(int) bool) (out []int) {
+func filterIndexes(n int, fits func(int) bool) (out []int) {
 	for i := range n {
 		if fits(i) {
 			out = append(out, i)
