--- a/internal/lab/cli/slopes.go
+++ b/internal/lab/cli/slopes.go
@@ -1,6 +1,7 @@
 package cli
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
 	"os"
@@ -38,7 +39,8 @@
 
 // measure checks the flags, finds the sidecar's program and runs measureSizes with it and a temporary directory, which is
 // removed afterwards.
-func (m *measureOptions) measure(check func() error, measureSizes func(program, dir string) error) error {
+func (m *measureOptions) measure(ctx context.Context, t *terminal, check func() error,
+	measureSizes func(ctx context.Context, t *terminal, program, dir string) error) error {
 	if err := check(); err != nil {
 		return err
 	}
@@ -54,7 +56,7 @@
 		return err
 	}
 	defer func() { _ = os.RemoveAll(dir) }() // what is left over is a temporary file
-	return measureSizes(program, dir)
+	return measureSizes(ctx, t, program, dir)
 }
 
 // checkOut reports whether lines can be written to --out, before anything is measured.
--- a/internal/lab/cli/slopes_audit.go
+++ b/internal/lab/cli/slopes_audit.go
@@ -45,7 +45,7 @@
 
 // Run measures each size, with processes and then with stand-ins, and writes a line for each.
 func (c *slopesAuditCmd) Run(ctx context.Context, t *terminal) error {
-	return c.measure(c.check, func(program, dir string) error { return c.measureSizes(ctx, t, program, dir) })
+	return c.measure(ctx, t, c.check, c.measureSizes)
 }
 
 func (c *slopesAuditCmd) measureSizes(ctx context.Context, t *terminal, program, dir string) error {
--- a/internal/lab/cli/slopes_control.go
+++ b/internal/lab/cli/slopes_control.go
@@ -63,7 +63,7 @@
 
 // Run measures each combination of sizes, several at a time, and writes a line for each.
 func (c *slopesControlCmd) Run(ctx context.Context, t *terminal) error {
-	return c.measure(c.check, func(program, dir string) error { return c.measureSizes(ctx, t, program, dir) })
+	return c.measure(ctx, t, c.check, c.measureSizes)
 }
 
 func (c *slopesControlCmd) measureSizes(ctx context.Context, t *terminal, program, dir string) error {
--- a/internal/lab/cli/slopes_requests.go
+++ b/internal/lab/cli/slopes_requests.go
@@ -36,7 +36,7 @@
 
 // Run measures each rate, one at a time, and writes a line for each.
 func (c *slopesRequestsCmd) Run(ctx context.Context, t *terminal) error {
-	return c.measure(c.check, func(program, dir string) error { return c.measureSizes(ctx, t, program, dir) })
+	return c.measure(ctx, t, c.check, c.measureSizes)
 }
 
 func (c *slopesRequestsCmd) measureSizes(ctx context.Context, t *terminal, program, dir string) error {
--- a/internal/lab/cli/slopes_settings.go
+++ b/internal/lab/cli/slopes_settings.go
@@ -38,7 +38,7 @@
 
 // Run measures each combination of sizes, one at a time, and writes a line for each.
 func (c *slopesSettingsCmd) Run(ctx context.Context, t *terminal) error {
-	return c.measure(c.check, func(program, dir string) error { return c.measureSizes(ctx, t, program, dir) })
+	return c.measure(ctx, t, c.check, c.measureSizes)
 }
 
 func (c *slopesSettingsCmd) measureSizes(ctx context.Context, t *terminal, program, dir string) error {
--- a/internal/lab/routers/routers_test.go
+++ b/internal/lab/routers/routers_test.go
@@ -24,14 +24,14 @@
 		t.Errorf("one of three: %+v", one)
 	}
 	if two := result.Losses[1]; two.Lost != 2 || two.AckMs >= 0 || two.RecoveredMs <= 0 {
-		t.Errorf("a change was taken by one of three: %+v", two)
+		t.Errorf("a change was acknowledged by one of three: %+v", two)
 	}
 }
 
 func TestCheck(t *testing.T) {
 	for _, c := range []Config{{}, {Routers: 3, Core: 4, Rest: 1, Timeout: 1}, {Routers: 3, Core: 3}} {
 		if c.Check() == nil {
-			t.Errorf("%+v is taken", c)
+			t.Errorf("%+v is accepted", c)
 		}
 	}
 }
@@ -44,7 +44,7 @@
 	}
 	for _, text := range []string{"", "0", "-1", "rack"} {
 		if _, err := ParseLoss(text); err == nil {
-			t.Errorf("%q is taken", text)
+			t.Errorf("%q is accepted", text)
 		}
 	}
 }
--- a/internal/lab/stubfleet/play.go
+++ b/internal/lab/stubfleet/play.go
@@ -88,7 +88,7 @@
 // start starts the sidecars; the real ones one after the other.
 func (p *play) start() error {
 	for _, r := range p.racks {
-		if _, err := r.call(command{Op: "start"}); err != nil {
+		if _, err := r.call(command{Op: opStart}); err != nil {
 			return err
 		}
 	}
@@ -249,7 +249,7 @@
 		}
 	}
 	for _, r := range p.racks {
-		answer, err := r.call(command{Op: "least"})
+		answer, err := r.call(command{Op: opMinRevision})
 		if err != nil {
 			return 0, err
 		}
@@ -264,7 +264,7 @@
 // incarnations returns those of all sidecars.
 func (p *play) incarnations() (out []Incarnation, err error) {
 	for _, r := range p.racks {
-		answer, err := r.call(command{Op: "lives"})
+		answer, err := r.call(command{Op: opIncarnations})
 		if err != nil {
 			return nil, err
 		}
@@ -279,7 +279,7 @@
 // usages returns the usage of each rack, and at the end that of this process.
 func (p *play) usages() (out []Usage, err error) {
 	for _, r := range p.racks {
-		answer, err := r.call(command{Op: "usage"})
+		answer, err := r.call(command{Op: opUsage})
 		if err != nil {
 			return nil, err
 		}
--- a/internal/lab/stubfleet/process.go
+++ b/internal/lab/stubfleet/process.go
@@ -10,9 +10,19 @@
 	"syscall"
 )
 
+// Operations of a rack.
+const (
+	opMake         = "make" // makes the rack, and comes first
+	opStart        = "start"
+	opRestart      = "restart"
+	opMinRevision  = "least"
+	opUsage        = "usage"
+	opIncarnations = "lives"
+)
+
 // command is a command to a rack's process: one JSON value after the other on its standard input, whose end ends the process.
 type command struct {
-	Op       string      `json:"Do"`   // make, start, restart, least, usage or lives
+	Op       string      `json:"Do"`   // one of the operations
 	Fleet    FleetConfig `json:"Told"` // make: the fleet's
 	First    int         // make: the number of the first sidecar
 	Sidecars int         // make, restart: so many
@@ -41,22 +51,22 @@
 		} else if err != nil {
 			return fmt.Errorf("stubfleet: commands: %w", err)
 		}
-		if (r == nil) != (cmd.Op == "make") {
+		if (r == nil) != (cmd.Op == opMake) {
 			return fmt.Errorf("stubfleet: command %q at the wrong time", cmd.Op)
 		}
 		var a reply
 		switch cmd.Op {
-		case "make":
+		case opMake:
 			r = newRack(cmd.Fleet, cmd.First, cmd.Sidecars)
-		case "start":
+		case opStart:
 			r.start()
-		case "restart":
+		case opRestart:
 			r.restart(cmd.Sidecars)
-		case "least":
+		case opMinRevision:
 			a.MinRevision = r.minRevision()
-		case "usage":
+		case opUsage:
 			a.Usage = usage()
-		case "lives":
+		case opIncarnations:
 			a.Incarnations = r.incarnations()
 		default:
 			return fmt.Errorf("stubfleet: command %q is unknown", cmd.Op)
@@ -93,7 +103,7 @@
 		return nil, fmt.Errorf("stubfleet: rack: %w", err)
 	}
 	p := &process{cmd: cmd, sidecars: sidecars, in: in, commands: json.NewEncoder(in), replies: json.NewDecoder(out)}
-	if _, err := p.call(command{Op: "make", Fleet: config, First: first, Sidecars: sidecars}); err != nil {
+	if _, err := p.call(command{Op: opMake, Fleet: config, First: first, Sidecars: sidecars}); err != nil {
 		p.close()
 		return nil, err
 	}
--- a/internal/lab/stubfleet/scenarios.go
+++ b/internal/lab/stubfleet/scenarios.go
@@ -59,7 +59,7 @@
 		if due <= 0 {
 			continue
 		}
-		if _, err := r.call(command{Op: "restart", Sidecars: due}); err != nil {
+		if _, err := r.call(command{Op: opRestart, Sidecars: due}); err != nil {
 			return err
 		}
 		r.restarted += due
