--- a/internal/lab/settingsbench/benchmark_test.go
+++ b/internal/lab/settingsbench/benchmark_test.go
@@ -20,11 +20,11 @@
 	"pinelb.example/pinelb/internal/version"
 )
 
-// asProgram has the test's binary be pinelb, as far as the rig starts it.
-const asProgram = "DISTRIBUTED_TEST_PROGRAM"
+// programVariable is the environment variable that has the test's binary run as pinelb, as far as the benchmark starts it.
+const programVariable = "DISTRIBUTED_TEST_PROGRAM"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) == "" {
+	if os.Getenv(programVariable) == "" {
 		os.Exit(m.Run())
 	}
 	if len(os.Args) > 2 && os.Args[1] == "distribute" {
@@ -39,37 +39,37 @@
 	if len(os.Args) > 1 {
 		operator = strings.TrimPrefix(os.Args[1], "--config=")
 	}
-	hups := make(chan os.Signal, 1)
-	signal.Notify(hups, syscall.SIGHUP)
-	if daemon.Serve(operator, hups) != nil {
+	reloads := make(chan os.Signal, 1)
+	signal.Notify(reloads, syscall.SIGHUP)
+	if daemon.Serve(operator, reloads) != nil {
 		os.Exit(1)
 	}
 }
 
-// Guards against a change that is not in force at somebody, in any of the cases: distributors killed, silent and slow, sidecars stopped, regions
-// apart and joined, all cold at once. How long it takes is what the command is for.
+// TestEveryCase guards against a change that is not in force everywhere, in any of the cases: distributors killed, unresponsive and slow,
+// sidecars stopped, regions partitioned and healed, all starting at once. How long it takes is for the command to measure.
 func TestEveryCase(t *testing.T) {
 	var out bytes.Buffer
-	c := Config{Pinelb: os.Args[0], Env: []string{asProgram + "=1"}, Sizes: []int{10, 20}, Real: 4, Changes: 2, Bytes: 2048, Window: time.Second, Out: &out, Seed: 1}
+	c := Config{Pinelb: os.Args[0], Env: []string{programVariable + "=1"}, Sizes: []int{10, 20}, Real: 4, Changes: 2, Bytes: 2048, Window: time.Second, Out: &out, Seed: 1}
 	if err := Run(t.Context(), c); err != nil {
 		t.Fatalf("%v, after\n%s", err, &out)
 	}
 	var cases []string
 	for text := range strings.Lines(out.String()) {
-		var l Result
-		if err := json.Unmarshal([]byte(text), &l); err != nil {
+		var result Result
+		if err := json.Unmarshal([]byte(text), &result); err != nil {
 			t.Fatal(err)
 		}
-		cases = append(cases, l.Case)
-		for _, times := range []*Times{l.Stubs, l.Sidecars} {
+		cases = append(cases, result.Case)
+		for _, times := range []*Times{result.Stubs, result.Sidecars} {
 			if times != nil && (times.Late > 0 || times.N == 0) {
 				t.Errorf("not in force everywhere within %s: %s", inForceTimeout, text)
 			}
-			if times != nil && times.N%l.Changes != 0 { // each at so many
+			if times != nil && times.N%result.Changes != 0 { // each change is counted at the same number of followers
 				t.Errorf("not each of the changes is counted at each: %s", text)
 			}
 		}
-		if l.Answering != nil && *l.Answering != c.Real {
+		if result.Answering != nil && *result.Answering != c.Real {
 			t.Errorf("not all sidecars serve by the last change: %s", text)
 		}
 	}
@@ -79,7 +79,7 @@
 	}
 }
 
-// Guards against faulty arguments that are taken, or whose key is not named.
+// TestCheck guards against invalid arguments that are accepted, or whose key is not named.
 func TestCheck(t *testing.T) {
 	for key, edit := range map[string]func(*Config){
 		"sizes": func(c *Config) { c.Sizes = nil }, "sizes: 100": func(c *Config) { c.Sizes = []int{200, 100} }, "sizes: 5000": func(c *Config) { c.Sizes = []int{5000} },
@@ -97,7 +97,7 @@
 	}
 }
 
-// Guards against figures that leave out the slowest, or those that never came.
+// TestTimes guards against figures that leave out the slowest, or those that were never in force.
 func TestTimes(t *testing.T) {
 	s := newApplyLog(4)
 	from := time.Now()
@@ -105,14 +105,14 @@
 		s.record(i, version.Edition{Epoch: 1, By: "a"})
 		s.record(i, version.Edition{Epoch: uint64(2 + i), By: "a"})
 	}
-	if took, late := s.delays([]int{0, 1, 2, 3}, version.Edition{Epoch: 3, By: "a"}, from); len(took) != 2 || late != 2 {
-		t.Errorf("%v, %d late", took, late)
+	if delays, late := s.delays([]int{0, 1, 2, 3}, version.Edition{Epoch: 3, By: "a"}, from); len(delays) != 2 || late != 2 {
+		t.Errorf("%v, %d late", delays, late)
 	}
-	var took []time.Duration
+	var delays []time.Duration
 	for i := range 1000 {
-		took = append(took, time.Duration(1000-i)*time.Millisecond)
+		delays = append(delays, time.Duration(1000-i)*time.Millisecond)
 	}
-	if got := *newTimes(took, 3); got != (Times{N: 1003, P50: 501, P99: 991, Last: 1000, Late: 3}) {
+	if got := *newTimes(delays, 3); got != (Times{N: 1003, P50: 501, P99: 991, Last: 1000, Late: 3}) {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/lab/settingsbench/stub_followers.go
+++ b/internal/lab/settingsbench/stub_followers.go
@@ -8,7 +8,6 @@
 	"net"
 	"sync"
 	"sync/atomic"
-	"time"
 
 	"github.com/rs/zerolog"
 
@@ -16,73 +15,76 @@
 	"pinelb.example/pinelb/internal/settingsstore"
 )
 
-// hollow are followers that take whatever is published: internal/settingsclient without a sidecar around it. What they leave out is in the
-// real ones: reading and checking the settings, and having them take effect.
+// stubFollowers follow the distributors by internal/settingsclient without a sidecar, and accept whatever is published. What they
+// leave out is measured at the sidecars: reading and checking the settings, and applying them.
 type stubFollowers struct {
 	*applyLog
-	seed        uint64
-	distributors        []string
-	calls       atomic.Int64
-	bytes       atomic.Int64 // both ways, without the heads of TCP
-	connections atomic.Int64
-	partitioned       *atomic.Bool // regions don't reach one another
+	seed         uint64
+	distributors []string
+	calls        atomic.Int64
+	bytes        atomic.Int64 // both ways, without the overhead of TCP
+	connections  atomic.Int64
+	partitioned  *atomic.Bool // regions cannot reach each other
 
-	cancel     context.CancelFunc
+	cancel  context.CancelFunc
 	running sync.WaitGroup
 }
 
-// startStubs starts n of them in the same moment.
-func startStubs(n int, seed uint64, from []string, apart *atomic.Bool) *stubFollowers {
-	h := &stubFollowers{applyLog: newApplyLog(n), seed: seed, distributors: from, partitioned: apart}
-	ctx, end := context.WithCancel(context.Background())
-	h.cancel = end
+// startStubs starts n followers at the same moment.
+func startStubs(n int, seed uint64, distributors []string, partitioned *atomic.Bool) *stubFollowers {
+	s := &stubFollowers{applyLog: newApplyLog(n), seed: seed, distributors: distributors, partitioned: partitioned}
+	ctx, cancel := context.WithCancel(context.Background())
+	s.cancel = cancel
 	for i := range n {
-		w := &settingsclient.Watch{Service: Service, Name: fmt.Sprintf("hollow-%d", i), From: from, Log: zerolog.New(io.Discard),
+		w := &settingsclient.Watch{Service: Service, Name: fmt.Sprintf("hollow-%d", i), From: distributors, Log: zerolog.New(io.Discard),
 			Rand: rand.New(rand.NewPCG(seed, uint64(i))),
-			Take: func(s settingsstore.State) error {
-				h.record(i, s.Edition)
+			Take: func(state settingsstore.State) error {
+				s.record(i, state.Edition)
 				return nil
 			},
 			Dial: func(ctx context.Context, network, addr string) (net.Conn, error) {
-				return h.dial(ctx, network, addr, regionOf(i))
+				return s.dial(ctx, network, addr, regionOf(i))
 			}}
-		h.running.Go(func() { w.Run(ctx, func() {}) })
+		s.running.Go(func() { w.Run(ctx, func() {}) })
 	}
-	return h
+	return s
 }
 
-func (h *stubFollowers) stop() {
-	h.cancel()
-	h.running.Wait()
+// stop stops all followers and waits for them.
+func (s *stubFollowers) stop() {
+	s.cancel()
+	s.running.Wait()
 }
 
-// dial connects a follower of that region.
-func (h *stubFollowers) dial(ctx context.Context, network, addr string, region int) (net.Conn, error) {
-	abroad := false
-	for i, at := range h.distributors {
-		abroad = abroad || at == addr && regionOf(i) != region
+// dial connects a follower of a region.
+func (s *stubFollowers) dial(ctx context.Context, network, addr string, region int) (net.Conn, error) {
+	remote := false
+	for i, distributor := range s.distributors {
+		remote = remote || distributor == addr && regionOf(i) != region
 	}
-	if abroad && h.partitioned.Load() {
-		<-ctx.Done() // nobody answers
+	if remote && s.partitioned.Load() {
+		<-ctx.Done() // as without an answer
 		return nil, context.DeadlineExceeded
 	}
 	c, err := (&net.Dialer{}).DialContext(ctx, network, addr)
 	if err != nil {
 		return nil, err
 	}
-	h.connections.Add(1)
-	return &countingConn{c, h, abroad}, nil
+	s.connections.Add(1)
+	return &countingConn{c, s, remote}, nil
 }
 
-// counted is a connection whose calls and bytes are counted, and that carries nothing while regions are apart.
+// countingConn counts calls and bytes, and drops them during a partition if it is to another region.
 type countingConn struct {
 	net.Conn
-	stubs      *stubFollowers
+	stubs  *stubFollowers
 	remote bool
 }
 
+// isCut reports whether the connection is partitioned.
 func (c *countingConn) isCut() bool { return c.remote && c.stubs.partitioned.Load() }
 
+// Read implements net.Conn.
 func (c *countingConn) Read(b []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(b)
@@ -93,6 +95,7 @@
 	}
 }
 
+// Write implements net.Conn.
 func (c *countingConn) Write(b []byte) (int, error) {
 	if c.isCut() {
 		return len(b), nil
@@ -101,12 +104,3 @@
 	c.stubs.bytes.Add(int64(len(b)))
 	return c.Conn.Write(b)
 }
-
-// usage is what followers have used up to now.
-type usage struct {
-	at    time.Time
-	calls int64
-	bytes int64
-	cpu   []time.Duration // of distributors
-	labCPU   time.Duration   // of this process
-}
