--- a/internal/lab/cli/poll_sim.go
+++ b/internal/lab/cli/poll_sim.go
@@ -53,9 +53,7 @@
 		for _, n := range c.Sizes {
 			var worst pollsim.Figures
 			for seed := range c.Seeds {
-				worst = worst.Worse(pollsim.Play(pollsim.Case{Instances: n, ConfiguredInstances: int(c.Told * float64(n)), StartSpread: c.Spread, Rate: c.Rate, Burst: c.Burst,
-					ConcurrentCalls: c.Calls, CallTime: c.Call, QueueLength: c.Line, Overload: model.Beyond(c.Beyond), InitialOutage: c.Down, UpTime: c.Up, DownTime: c.Off, ExtraLatency: c.Late,
-					UpdateInterval: c.News, Partitioned: int(c.Cut * float64(n)), PartitionAt: c.CutAt, PartitionTime: c.CutFor, Length: c.Length, Seed: uint64(seed + 1)}, policy))
+				worst = worst.Worse(pollsim.Play(c.simulation(n, uint64(seed+1)), policy))
 			}
 			fmt.Fprintf(t.out, "%-8s  %5d  %s\n", name, n, worst)
 		}
@@ -63,6 +61,31 @@
 	return nil
 }
 
+// simulation returns the case of n instances with a seed.
+func (c *pollSimCmd) simulation(n int, seed uint64) pollsim.Case {
+	return pollsim.Case{
+		Instances:           n,
+		ConfiguredInstances: int(c.Told * float64(n)),
+		StartSpread:         c.Spread,
+		Rate:                c.Rate,
+		Burst:               c.Burst,
+		ConcurrentCalls:     c.Calls,
+		CallTime:            c.Call,
+		QueueLength:         c.Line,
+		Overload:            model.Beyond(c.Beyond),
+		InitialOutage:       c.Down,
+		UpTime:              c.Up,
+		DownTime:            c.Off,
+		ExtraLatency:        c.Late,
+		UpdateInterval:      c.News,
+		Partitioned:         int(c.Cut * float64(n)),
+		PartitionAt:         c.CutAt,
+		PartitionTime:       c.CutFor,
+		Length:              c.Length,
+		Seed:                seed,
+	}
+}
+
 // Limits of a simulation, for the sake of memory and run time.
 const (
 	maxSimulatedCount = 1_000_000
--- a/internal/lab/stubfleet/scenarios.go
+++ b/internal/lab/stubfleet/scenarios.go
@@ -8,11 +8,10 @@
 
 // scenario describes the course of a play.
 type scenario struct {
-	description string
-	changes     float64 // a second, unless the case says otherwise
-	coldStart   bool    // measured from the start of the sidecars on
-	outage      func(*play) (restore func() error)
-	onSample    func(*play, float64) error // gets the elapsed share of the measured time
+	changes   float64 // a second, unless the case says otherwise
+	coldStart bool    // measured from the start of the sidecars on
+	outage    func(*play) (restore func() error)
+	onSample  func(*play, float64) error // gets the elapsed share of the measured time
 }
 
 // ordinaryRate is the rate of changes on an ordinary day, a second.
@@ -20,22 +19,19 @@
 
 // scenarios are those that can be played, by name.
 var scenarios = map[string]scenario{
-	"rest":         {description: "nothing changes"},
-	"ordinary":     {description: "5,300 changes a day", changes: ordinaryRate},
-	"hundredfold":  {description: "a hundred times that", changes: 100 * ordinaryRate},
-	"stopped":      {description: "one rack is stopped from a quarter of the time to three quarters", changes: 1, onSample: (*play).stopRack},
-	"restarting":   {description: "a twentieth starts anew each second, with nothing known", changes: 1, onSample: (*play).restartSome},
-	"cold":         {description: "all start together and know nothing", coldStart: true},
-	"down-refused": {description: "cold, and the service refuses connections at first", coldStart: true, outage: (*play).refuseConnections},
-	"down-503":     {description: "cold, and the service answers 503 at first", coldStart: true, outage: (*play).respond503},
+	"rest":         {},                                                   // nothing changes
+	"ordinary":     {changes: ordinaryRate},                              // 5,300 changes a day
+	"hundredfold":  {changes: 100 * ordinaryRate},                        // a hundred times that
+	"stopped":      {changes: 1, onSample: (*play).stopRack},             // one rack is stopped from a quarter of the time to three quarters
+	"restarting":   {changes: 1, onSample: (*play).restartSome},          // a twentieth starts anew each second, with nothing known
+	"cold":         {coldStart: true},                                    // all start together and know nothing
+	"down-refused": {coldStart: true, outage: (*play).refuseConnections}, // cold, and the service refuses connections at first
+	"down-503":     {coldStart: true, outage: (*play).respond503},        // cold, and the service answers 503 at first
 }
 
 // Scenarios returns the names of the scenarios, in order.
 func Scenarios() []string { return slices.Sorted(maps.Keys(scenarios)) }
 
-// Description returns the description of a scenario, or "" if there is none of that name.
-func Description(name string) string { return scenarios[name].description }
-
 // DefaultChanges returns the rate of changes of a scenario, a second, unless a case sets its own.
 func DefaultChanges(name string) float64 { return scenarios[name].changes }
 
