--- a/internal/lab/cli/main.go
+++ b/internal/lab/cli/cli.go
@@ -1,5 +1,8 @@
 // Package cli is the command line of the test lab, pinelb-testlab: it plays scenarios against real sidecars on loopback sockets, or
-// against the decision module in virtual time, judges what both ends saw, and reports it.
+// against the decision module in virtual time, judges what both ends saw, and reports it. Only cmd/pinelb-testlab calls it.
+//
+// A command is a type with the flags as fields (read by kong) and a method Run. Run returns an exitError for every status but
+// exitOK; any other error ends the program with exitEnvironment. Flags are checked before anything is started or written.
 package cli
 
 import (
@@ -20,14 +23,15 @@
 
 // The exit statuses.
 const (
-	held     = 0
-	broken   = 1   // a rule or an expectation of the scenario
-	faulty   = 2   // the scenario, a file or the arguments
-	void     = 3   // the rig itself ran late: the run says nothing
-	stopped  = 130 // ^C
-	rigFault = 4   // the rig could not play: no program, no free address, no room on the disk
+	exitOK          = 0
+	exitViolation   = 1   // a rule or an expectation of the scenario
+	exitUsage       = 2   // the scenario, a file or the arguments
+	exitInvalidRun  = 3   // the test lab itself ran late: the run says nothing
+	exitInterrupted = 130 // SIGINT or SIGTERM
+	exitEnvironment = 4   // the test lab could not play: no program, no free address, no space on the disk
 )
 
+// commands are the command line's commands; kong derives their names from the fields unless a tag gives one.
 type commands struct {
 	Demo       demoCmd       `cmd:"" default:"withargs" help:"Emulated boxes, one sidecar, ten seconds of load and a failure in the middle."`
 	Run        runCmd        `cmd:"" help:"Play a scenario and judge it."`
@@ -36,7 +40,7 @@
 	List       listCmd       `cmd:"" help:"Name the scenarios that come with the program."`
 	Rehearse   rehearseCmd   `cmd:"" help:"Fit boxes and failures to sidecars' records and play them again."`
 	Diff       diffCmd       `cmd:"" help:"Compare two results."`
-	Asking     askingCmd     `cmd:"" help:"Play in virtual time how a fleet asks one list service, by several rules."`
+	PollSim    pollSimCmd    `cmd:"" name:"asking" help:"Play in virtual time how a fleet asks one list service, by several rules."`
 	Slopes     slopesCmd     `cmd:"" help:"Measure what control costs at sizes that double, with real sidecars."`
 	Scale      scaleCmd      `cmd:"" help:"Measure what thousands of hollow sidecars cost a list service, and how soon a change is in force at all."`
 	Rack       rackCmd       `cmd:"" hidden:"" help:"A rack of hollow sidecars, as scale starts it."`
@@ -46,21 +50,21 @@
 	Decide     decideCmd     `cmd:"" help:"Play the routers' decision before a model of the engines, beside a scheduler that knows everything."`
 }
 
-// terminal is where the program writes.
+// terminal is the program's output.
 type terminal struct {
 	out, err io.Writer
 	colour   bool // out is a terminal
 	progress bool // err is a terminal
 }
 
-// exit is an error that carries its status.
-type exit struct {
+// exitError is an error with the exit status that it ends the program with. A nil err ends it without a message.
+type exitError struct {
 	status int
 	err    error
 }
 
-func (e exit) Error() string { return e.err.Error() }
-func (e exit) Unwrap() error { return e.err }
+func (e exitError) Error() string { return e.err.Error() }
+func (e exitError) Unwrap() error { return e.err }
 
 // Main runs the program and returns its exit status. The command line stands in os.Args.
 func Main() int {
@@ -71,7 +75,7 @@
 	return status
 }
 
-// run is the whole program but for the process.
+// run is the program without the process: it returns the exit status.
 func run(ctx context.Context, args []string, t *terminal) (status int) {
 	var c commands
 	done := -1
@@ -79,7 +83,7 @@
 		kong.Description("Plays scenarios against pinelb on loopback sockets or in virtual time, and judges them."),
 		kong.UsageOnError())
 	if err != nil {
-		panic(err) // the commands above are at fault
+		panic(err) // a mistake in the tags of commands
 	}
 	k, err := parser.Parse(args)
 	if done >= 0 { // help was asked for
@@ -87,18 +91,18 @@
 	}
 	if err != nil {
 		fmt.Fprintln(t.err, programName+":", err)
-		return faulty
+		return exitUsage
 	}
 	k.BindTo(ctx, (*context.Context)(nil))
 	if err := k.Run(t); err != nil {
-		var e exit
+		var e exitError
 		if !errors.As(err, &e) {
-			e = exit{rigFault, err}
+			e = exitError{exitEnvironment, err}
 		}
 		if e.err != nil {
 			fmt.Fprintln(t.err, programName+":", e.err)
 		}
 		return e.status
 	}
-	return held
+	return exitOK
 }
--- a/internal/lab/cli/play.go
+++ b/internal/lab/cli/play.go
@@ -15,8 +15,8 @@
 	"pinelb.example/pinelb/scenarios"
 )
 
-// playing are the arguments that all commands have that play something.
-type playing struct {
+// playOptions are the flags that all commands share that play a scenario.
+type playOptions struct {
 	Seed    uint64 `help:"Seed of every draw; 0 is the scenario's own."`
 	Pinelb  string `type:"path" help:"The sidecar's program; beside this one, or found by PATH, if left out."`
 	Other   string `type:"path" help:"A second build, run by fleet.other of the sidecars."`
@@ -24,8 +24,10 @@
 	Virtual bool   `help:"Play in virtual time, with the decision module in place of sidecars."`
 }
 
-type demoCmd struct{ playing }
+// demoCmd plays the built-in demo.
+type demoCmd struct{ playOptions }
 
+// Run plays the demo and ends with its status.
 func (c *demoCmd) Run(ctx context.Context, t *terminal) error {
 	if c.Out == "" {
 		dir, err := os.MkdirTemp("", "pinelab-demo-")
@@ -34,50 +36,56 @@
 		}
 		c.Out = dir
 	}
-	s, err := find("demo")
+	s, err := loadScenario("demo")
 	if err != nil {
 		return err
 	}
-	return c.play(ctx, t, s, experiment.Config{})
+	return c.runAndSummarize(ctx, t, s, experiment.Config{})
 }
 
+// runCmd plays a scenario with one seed or several.
 type runCmd struct {
 	Scenario string `arg:"" help:"A scenario's file, or the name of one that comes with the program (see list)."`
 	Seeds    int    `default:"1" help:"Play so many seeds, one after another, and end with a table."`
-	playing
+	playOptions
 }
 
+// Run plays the scenario and ends with the status of the first seed that did not pass.
 func (c *runCmd) Run(ctx context.Context, t *terminal) error {
-	s, err := find(c.Scenario)
+	s, err := loadScenario(c.Scenario)
 	if err != nil {
 		return err
 	}
 	if c.Seeds < 1 || c.Seeds > 100 {
-		return exit{faulty, errors.New("--seeds must be from 1 to 100")}
+		return exitError{exitUsage, errors.New("--seeds must be from 1 to 100")}
 	}
 	if c.Seeds == 1 {
-		return c.play(ctx, t, s, experiment.Config{})
+		return c.runAndSummarize(ctx, t, s, experiment.Config{})
 	}
-	return c.table(ctx, t, s, c.Seeds)
+	return c.runSeeds(ctx, t, s, c.Seeds)
 }
 
+// checkCmd checks a scenario's file.
 type checkCmd struct {
 	Scenario string `arg:"" help:"A scenario's file or name."`
 }
 
+// Run prints a summary of a valid scenario.
 func (c *checkCmd) Run(t *terminal) error {
-	s, err := find(c.Scenario)
+	s, err := loadScenario(c.Scenario)
 	if err != nil {
 		return err
 	}
-	boxes := len(s.EndpointNames())
+	endpoints := len(s.EndpointNames())
 	fmt.Fprintf(t.out, "%s holds: %v, %d classes, %d boxes in %d tiers, %d sidecars, %d faults, %d expectations\n",
-		s.Name, s.Length.D(), len(s.Classes), boxes, len(s.Tiers), s.Fleet.Sidecars, len(s.Faults), len(s.Expectations))
+		s.Name, s.Length.D(), len(s.Classes), endpoints, len(s.Tiers), s.Fleet.Sidecars, len(s.Faults), len(s.Expectations))
 	return nil
 }
 
+// listCmd lists the built-in scenarios.
 type listCmd struct{}
 
+// Run prints the name and the purpose of each scenario.
 func (c *listCmd) Run(t *terminal) error {
 	entries, err := scenarios.Files.ReadDir(".")
 	if err != nil {
@@ -85,7 +93,7 @@
 	}
 	for _, e := range entries {
 		name := e.Name()[:len(e.Name())-len(".toml")]
-		s, err := find(name)
+		s, err := loadScenario(name)
 		if err != nil {
 			return err
 		}
@@ -94,35 +102,37 @@
 	return nil
 }
 
+// diffCmd compares two results.
 type diffCmd struct {
 	First  string `arg:"" type:"path" help:"A result.json, or the folder that holds it."`
 	Second string `arg:"" type:"path" help:"The one to compare with it."`
 }
 
+// Run prints the differences.
 func (c *diffCmd) Run(t *terminal) error {
-	var read [2]*result.Result
+	var results [2]*result.Result
 	for i, path := range []string{c.First, c.Second} {
-		if at, err := os.Stat(path); err == nil && at.IsDir() {
+		if info, err := os.Stat(path); err == nil && info.IsDir() {
 			path = filepath.Join(path, "result.json")
 		}
 		r, err := result.Read(path)
 		if err != nil {
-			return exit{faulty, err}
+			return exitError{exitUsage, err}
 		}
-		read[i] = r
+		results[i] = r
 	}
-	return result.Diff(read[0], read[1]).Write(t.out)
+	return result.Diff(results[0], results[1]).Write(t.out)
 }
 
-// find reads a scenario; a faulty one ends the program with its file, line and key.
-func find(name string) (*scenario.Scenario, error) {
+// loadScenario reads a scenario by file or built-in name. An error is an exitError with exitUsage that names file, line and key.
+func loadScenario(name string) (*scenario.Scenario, error) {
 	text, from, err := experiment.FindScenario(name, scenarios.Files.ReadFile)
 	if err != nil {
-		return nil, exit{faulty, err}
+		return nil, exitError{exitUsage, err}
 	}
 	s, err := scenario.Parse(from, text)
 	if err != nil {
-		return nil, exit{faulty, err}
+		return nil, exitError{exitUsage, err}
 	}
 	if at := s.Clients.RecordFile; at != "" && !filepath.IsAbs(at) {
 		s.Clients.RecordFile = filepath.Join(filepath.Dir(from), at)
@@ -130,26 +140,25 @@
 	return s, nil
 }
 
-// program finds the sidecar's.
-func (c *playing) program() (string, error) {
+// program returns the path of the sidecar's program: the one named, the one beside this program, or the one in PATH.
+func (c *playOptions) program() (string, error) {
 	if c.Pinelb != "" || c.Virtual {
 		return c.Pinelb, nil
 	}
-	if self, err := os.Executable(); err == nil {
-		beside := filepath.Join(filepath.Dir(self), "pinelb")
-		if at, err := os.Stat(beside); err == nil && !at.IsDir() {
-			return beside, nil
+	if sibling, err := siblingProgram(); err == nil {
+		if info, err := os.Stat(sibling); err == nil && !info.IsDir() {
+			return sibling, nil
 		}
 	}
 	path, err := exec.LookPath("pinelb")
 	if err != nil {
-		return "", exit{faulty, errors.New("no pinelb is beside this program or in PATH; build it with \"go build -o bin/ ./cmd/...\" or name it with --pinelb")}
+		return "", exitError{exitUsage, errors.New("no pinelb is beside this program or in PATH; build it with \"go build -o bin/ ./cmd/...\" or name it with --pinelb")}
 	}
 	return filepath.Abs(path)
 }
 
-// once plays a scenario one time and writes what is asked for.
-func (c *playing) once(ctx context.Context, t *terminal, s *scenario.Scenario, base experiment.Config, dir string) (*experiment.Outcome, error) {
+// runOnce plays a scenario once and writes its results to dir, unless that is empty.
+func (c *playOptions) runOnce(ctx context.Context, t *terminal, s *scenario.Scenario, base experiment.Config, dir string) (*experiment.Outcome, error) {
 	program, err := c.program()
 	if err != nil {
 		return nil, err
@@ -181,9 +190,9 @@
 	return o, err
 }
 
-// play plays a scenario, prints its summary and ends with its status.
-func (c *playing) play(ctx context.Context, t *terminal, s *scenario.Scenario, base experiment.Config) error {
-	o, err := c.once(ctx, t, s, base, c.Out)
+// runAndSummarize plays a scenario, prints its summary and returns its status as an error.
+func (c *playOptions) runAndSummarize(ctx context.Context, t *terminal, s *scenario.Scenario, base experiment.Config) error {
+	o, err := c.runOnce(ctx, t, s, base, c.Out)
 	if o != nil {
 		look := result.SummaryOptions{Colour: t.colour}
 		if c.Out != "" {
@@ -194,54 +203,54 @@
 		}
 	}
 	if errors.Is(err, context.Canceled) {
-		return exit{stopped, errors.New("stopped")}
+		return exitError{exitInterrupted, errors.New("stopped")}
 	}
 	if err != nil {
 		return err
 	}
-	return verdict(o)
+	return outcomeError(o)
 }
 
-// verdict is the status that a run ends with.
-func verdict(o *experiment.Outcome) error {
+// outcomeError returns the exitError that an outcome stands for, or nil if it passed.
+func outcomeError(o *experiment.Outcome) error {
 	switch {
 	case o.RigRanLate():
-		return exit{void, errors.New("the rig itself ran late: this run says nothing about the sidecars")}
+		return exitError{exitInvalidRun, errors.New("the rig itself ran late: this run says nothing about the sidecars")}
 	case len(o.Result.Violations) > 0:
-		return exit{broken, errors.New("rules were broken")}
+		return exitError{exitViolation, errors.New("rules were broken")}
 	case !o.Result.Passed():
-		return exit{broken, errors.New("an expectation of the scenario did not hold")}
+		return exitError{exitViolation, errors.New("an expectation of the scenario did not hold")}
 	}
 	return nil
 }
 
-// table plays several seeds and prints a line for each.
-func (c *playing) table(ctx context.Context, t *terminal, s *scenario.Scenario, seeds int) error {
+// runSeeds plays several seeds and prints a line for each. It returns the error of the first seed that did not pass.
+func (c *playOptions) runSeeds(ctx context.Context, t *terminal, s *scenario.Scenario, seeds int) error {
 	first := c.Seed
 	if first == 0 {
 		first = s.Seed
 	}
-	worst := error(nil)
+	var failure error
 	var lines []*result.Result
 	for seed := first; seed < first+uint64(seeds); seed++ {
 		dir := ""
 		if c.Out != "" {
 			dir = filepath.Join(c.Out, fmt.Sprintf("seed-%d", seed))
 		}
-		o, err := c.once(ctx, t, s, experiment.Config{Seed: seed}, dir)
+		o, err := c.runOnce(ctx, t, s, experiment.Config{Seed: seed}, dir)
 		if errors.Is(err, context.Canceled) {
-			return exit{stopped, errors.New("stopped")}
+			return exitError{exitInterrupted, errors.New("stopped")}
 		}
 		if err != nil {
 			return err
 		}
 		lines = append(lines, o.Result)
-		if err := verdict(o); err != nil && worst == nil {
-			worst = err
+		if err := outcomeError(o); err != nil && failure == nil {
+			failure = err
 		}
 	}
 	if err := result.WriteTable(t.out, lines); err != nil {
 		return err
 	}
-	return worst
+	return failure
 }
--- a/internal/lab/cli/routers.go
+++ b/internal/lab/cli/routers.go
@@ -3,9 +3,8 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
-	"io"
-	"os"
 	"text/tabwriter"
 	"time"
 
@@ -28,42 +27,38 @@
 }
 
 // Run plays each size and prints a line for it.
-func (c *routersCmd) Run(ctx context.Context, t *terminal) error {
+func (c *routersCmd) Run(ctx context.Context, t *terminal) (err error) {
 	var losses []routers.Loss
 	for _, text := range c.Losses {
 		loss, err := routers.ParseLoss(text)
 		if err != nil {
-			return exit{faulty, err}
+			return exitError{exitUsage, err}
 		}
 		losses = append(losses, loss)
 	}
-	out := io.Discard
-	if c.Out != "" {
-		file, err := os.OpenFile(c.Out, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
-		if err != nil {
-			return exit{faulty, fmt.Errorf("--out: %w", err)}
-		}
-		defer file.Close()
-		out = file
+	out, err := openAppend(c.Out)
+	if err != nil {
+		return err
 	}
+	defer func() { err = errors.Join(err, out.Close()) }()
 	w := tabwriter.NewWriter(t.out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	defer w.Flush()
+	defer func() { err = errors.Join(err, w.Flush()) }()
 	fmt.Fprintln(w, "routers\tendpoints\tCPU ms/s\tbytes/s\tdatagrams/s\tMB\tack ms\tp50 ms\tp99 ms\tlast ms\tfailed\t")
 	for _, size := range c.Sizes {
 		result, err := routers.Play(ctx, routers.Config{
 			Routers: size, Core: min(c.Core, size), Endpoints: int(c.Endpoints * float64(size)), Tenants: c.Tenants, Models: c.Models,
-			Changes: c.Changes, Rest: c.Rest, Within: c.Within, Losses: losses, LossTime: c.LossTime,
+			Changes: c.Changes, Rest: c.Rest, Timeout: c.Within, Losses: losses, LossTimeout: c.LossTime,
 		})
 		if err != nil {
-			return exit{rigFault, err}
+			return exitError{exitEnvironment, err}
 		}
 		fmt.Fprintf(w, "%d\t%d\t%.2f\t%.0f\t%.1f\t%.2f\t%d\t%d\t%d\t%d\t%d\t\n", result.Routers, result.Endpoints, result.RestCPU, result.RestBytes,
 			result.RestDatagrams, result.MemoryMB, result.AcknowledgeMs, result.ChangeP50Ms, result.ChangeP99Ms, result.ChangeLastMs, result.Failed)
 		for _, l := range result.Losses {
-			fmt.Fprintf(w, "loss %s\t%d lost\ttaken %d ms\tin force %d ms\tback %d ms\t\n", l.Loss, l.Lost, l.TakenMs, l.ForceMs, l.BackMs)
+			fmt.Fprintf(w, "loss %s\t%d lost\ttaken %d ms\tin force %d ms\tback %d ms\t\n", l.Loss, l.Lost, l.AckMs, l.AppliedMs, l.RecoveredMs)
 		}
 		if err := json.NewEncoder(out).Encode(result); err != nil {
-			return exit{rigFault, err}
+			return exitError{exitEnvironment, err}
 		}
 	}
 	return nil
--- a/internal/lab/cli/scale.go
+++ b/internal/lab/cli/scale.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"math"
 	"os"
 	"os/exec"
@@ -18,7 +17,7 @@
 	"pinelb.example/pinelb/internal/lab/stubfleet"
 )
 
-// scaleCmd measures what hollow sidecars cost a list service, and how soon a change is in force at the last one.
+// scaleCmd measures what stub sidecars cost a list service, and how soon a change is in force at the last one.
 type scaleCmd struct {
 	Scenario     []string      `help:"What to play: rest, ordinary, hundredfold, stopped, restarting, cold, down-refused, down-503." default:"rest,ordinary,hundredfold"`
 	Sidecars     []int         `help:"Numbers of hollow sidecars." default:"100,200,400"`
@@ -41,34 +40,30 @@
 
 // Run plays each scenario with each number of hosts and of sidecars, in that order, and prints a line for each. All cases are checked
 // before the first is played.
-func (c *scaleCmd) Run(ctx context.Context, t *terminal) error {
+func (c *scaleCmd) Run(ctx context.Context, t *terminal) (err error) {
 	cases, err := c.cases()
 	if err != nil {
-		return exit{faulty, err}
+		return exitError{exitUsage, err}
 	}
-	out := io.Discard
-	if c.Out != "" {
-		file, err := os.OpenFile(c.Out, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
-		if err != nil {
-			return exit{faulty, fmt.Errorf("--out: %w", err)}
-		}
-		defer file.Close()
-		out = file
+	out, err := openAppend(c.Out)
+	if err != nil {
+		return err
 	}
+	defer func() { err = errors.Join(err, out.Close()) }()
 	w := tabwriter.NewWriter(t.out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, scaleHead)
-	defer w.Flush()
+	fmt.Fprintln(w, scaleHeader)
+	defer func() { err = errors.Join(err, w.Flush()) }()
 	for _, one := range cases {
 		f, err := stubfleet.Play(ctx, one)
 		if errors.Is(err, context.Canceled) {
-			return exit{stopped, errors.New("stopped")}
+			return exitError{exitInterrupted, errors.New("stopped")}
 		}
 		if err != nil {
 			return err
 		}
-		fmt.Fprintln(w, scaleLine(f))
+		fmt.Fprintln(w, formatFigures(f))
 		if f.Real > 0 {
-			fmt.Fprintln(w, realLine(f))
+			fmt.Fprintln(w, formatRealFigures(f))
 		}
 		if err := json.NewEncoder(out).Encode(f); err != nil {
 			return fmt.Errorf("--out: %w", err)
@@ -77,7 +72,7 @@
 	return nil
 }
 
-// cases are all that is to be played, each checked. A fault names the flag.
+// cases returns all cases to play, each checked. An error names the flag.
 func (c *scaleCmd) cases() ([]stubfleet.Case, error) {
 	for key, given := range map[string]int{"scenario": len(c.Scenario), "hosts": len(c.Hosts), "sidecars": len(c.Sidecars)} {
 		if given == 0 {
@@ -88,7 +83,7 @@
 	if err != nil {
 		return nil, err
 	}
-	base, section, err := c.base()
+	base, section, err := c.baseCase()
 	if err != nil {
 		return nil, err
 	}
@@ -98,7 +93,7 @@
 			for _, sidecars := range c.Sidecars {
 				one := base
 				one.Scenario, one.Hosts, one.Sidecars = name, hosts, sidecars
-				if one.Changes = stubfleet.Changes(name); c.Changes != nil {
+				if one.Changes = stubfleet.DefaultChanges(name); c.Changes != nil {
 					one.Changes = *c.Changes
 				}
 				if section != nil {
@@ -107,7 +102,7 @@
 				if err := one.Check(m); err != nil {
 					var key *stubfleet.KeyError
 					if errors.As(err, &key) {
-						return nil, fmt.Errorf("--%s: %s", key.Key, key.Why)
+						return nil, fmt.Errorf("--%s: %s", key.Key, key.Reason)
 					}
 					return nil, err
 				}
@@ -118,17 +113,17 @@
 	return out, nil
 }
 
-// base is what all cases share, and the section [discovery] by which the service is asked; nil: there is none.
-func (c *scaleCmd) base() (stubfleet.Case, *config.Discovery, error) {
-	one := stubfleet.Case{Real: c.Real, Racks: c.Racks, Seconds: c.Seconds, Spread: c.Spread, Within: c.Within, Down: c.Down, Calls: c.ServiceCalls,
-		Call: c.ServiceCall, Line: c.ServiceLine, Seed: c.Seed, Operator: c.Config}
+// baseCase returns what all cases share, and the section [discovery] that paces the polls, or nil if there is none.
+func (c *scaleCmd) baseCase() (stubfleet.Case, *config.Discovery, error) {
+	one := stubfleet.Case{Real: c.Real, Racks: c.Racks, Seconds: c.Seconds, StartSpread: c.Spread, FinalTimeout: c.Within, Outage: c.Down, ConcurrentCalls: c.ServiceCalls,
+		CallTime: c.ServiceCall, QueueLength: c.ServiceLine, Seed: c.Seed, Operator: c.Config}
 	self, err := os.Executable()
 	if err != nil {
 		return one, nil, err
 	}
 	one.Rack = func() *exec.Cmd { return exec.Command(self, "rack") }
 	if c.Real > 0 {
-		if one.Program, err = (&playing{Pinelb: c.Pinelb}).program(); err != nil {
+		if one.Program, err = (&playOptions{Pinelb: c.Pinelb}).program(); err != nil {
 			return one, nil, fmt.Errorf("--real: %w", err)
 		}
 	}
@@ -145,36 +140,38 @@
 	return one, op.Discovery, nil
 }
 
-const scaleHead = "scenario\tpaced\tsidecars\treal\thosts\tchanges/s\tcalls/s\tturned\tconns\tB/s each\tB/s worst 6 s\tin force p50\tp99\tlast ms\tnever\tfirst p50\tp99\tlast ms\tnever\t" +
+// scaleHeader names the columns of formatFigures.
+const scaleHeader = "scenario\tpaced\tsidecars\treal\thosts\tchanges/s\tcalls/s\tturned\tconns\tB/s each\tB/s worst 6 s\tin force p50\tp99\tlast ms\tnever\tfirst p50\tp99\tlast ms\tnever\t" +
 	"service cores\tCPU ms/s each\tKB each\twrong\tload\t"
 
-// scaleLine words figures.
-func scaleLine(f stubfleet.Figures) string {
+// formatFigures formats a row of the table.
+func formatFigures(f stubfleet.Figures) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s\t%g\t%d\t%d\t%d\t%.3g\t%.1f\t%d\t%d\t%.0f\t%.0f\t", f.Scenario, f.Rate, f.Sidecars, f.Real, f.Hosts, f.Asked, f.CallsPerS, f.Turned,
-		f.Connections, f.BytesEach, f.WorstBytes)
-	fmt.Fprintf(&b, "%s\t%s\t%s\t%d\t", ms(f.InForceP50), ms(f.InForceP99), ms(f.InForceLast), f.Never)
-	fmt.Fprintf(&b, "%s\t%s\t%s\t%d\t", ms(f.FirstP50), ms(f.FirstP99), ms(f.FirstLast), f.FirstNever)
-	fmt.Fprintf(&b, "%.2f\t%.2f\t%.0f\t%d\t%.1f\t", f.ServiceCores, f.HollowCPU, f.HollowMemory, f.Wrong, math.Max(f.Load, f.LoadAfter))
+	fmt.Fprintf(&b, "%s\t%g\t%d\t%d\t%d\t%.3g\t%.1f\t%d\t%d\t%.0f\t%.0f\t", f.Scenario, f.Rate, f.Sidecars, f.Real, f.Hosts, f.RequestedChanges, f.CallsPerS, f.Rejected,
+		f.Connections, f.BytesEach, f.MaxBytesPerS)
+	fmt.Fprintf(&b, "%s\t%s\t%s\t%d\t", formatMs(f.InForceP50), formatMs(f.InForceP99), formatMs(f.InForceLast), f.NeverInForce)
+	fmt.Fprintf(&b, "%s\t%s\t%s\t%d\t", formatMs(f.FirstP50), formatMs(f.FirstP99), formatMs(f.FirstLast), f.FirstNever)
+	fmt.Fprintf(&b, "%.2f\t%.2f\t%.0f\t%d\t%.1f\t", f.ServiceCores, f.StubCPU, f.StubMemory, f.WrongDigests, math.Max(f.Load, f.LoadAfter))
 	return b.String()
 }
 
-// realLine words those of the real sidecars of the same play, in the same columns.
-func realLine(f stubfleet.Figures) string {
-	return fmt.Sprintf("(real)\t%g\t-\t%d\t%d\t%.3g\t%.1f\t-\t%d\t%.0f\t-\t%s\t%s\t%s\t%d\t%s\t%s\t%s\t%d\t\t\t\t\t\t", f.Rate, f.Real, f.Hosts, f.Asked,
-		f.RealCallsEach*float64(f.Real), f.RealConnections, f.RealBytesEach, ms(f.RealInForceP50), ms(f.RealInForceP99), ms(f.RealInForceLast), f.RealNever,
-		ms(f.RealFirstP50), ms(f.RealFirstP99), ms(f.RealFirstLast), f.RealFirstNever)
+// formatRealFigures formats the row of the real sidecars of the same play, in the same columns.
+func formatRealFigures(f stubfleet.Figures) string {
+	return fmt.Sprintf("(real)\t%g\t-\t%d\t%d\t%.3g\t%.1f\t-\t%d\t%.0f\t-\t%s\t%s\t%s\t%d\t%s\t%s\t%s\t%d\t\t\t\t\t\t", f.Rate, f.Real, f.Hosts, f.RequestedChanges,
+		f.RealCallsEach*float64(f.Real), f.RealConnections, f.RealBytesEach, formatMs(f.RealInForceP50), formatMs(f.RealInForceP99), formatMs(f.RealInForceLast), f.RealNeverInForce,
+		formatMs(f.RealFirstP50), formatMs(f.RealFirstP99), formatMs(f.RealFirstLast), f.RealFirstNever)
 }
 
-func ms(v float64) string {
+// formatMs formats milliseconds; 0 stands for not measured.
+func formatMs(v float64) string {
 	if v == 0 {
 		return "-"
 	}
 	return fmt.Sprintf("%.1f", v)
 }
 
-// rackCmd is a rack of hollow sidecars, as scale starts it.
+// rackCmd is a process of stub sidecars, as scale starts it.
 type rackCmd struct{}
 
-// Run serves the play that is at the other end of its input and output.
+// Run serves the coordinator at the other end of the standard input and output.
 func (c *rackCmd) Run() error { return stubfleet.ServeRack(os.Stdin, os.Stdout) }
--- a/internal/lab/cli/slopes_audit.go
+++ b/internal/lab/cli/slopes_audit.go
@@ -12,57 +12,51 @@
 
 // slopesAuditCmd measures an auditor's rounds.
 type slopesAuditCmd struct {
-	measuring
+	measureOptions
 	Sidecars []int         `help:"Real processes, all audited." default:"25,50,100"`
 	StandIns []int         `help:"Stand-ins in place of processes, all audited." default:"212,425,850,1700"`
 	Trail    time.Duration `help:"Of a stand-in: attempts of so long are in its trail." default:"1m"`
 	Rounds   int           `help:"Beyond the first, of which the median is taken." default:"5"`
 }
 
+// auditPoint is a line of results of slopes audit.
 type auditPoint struct {
-	point
+	resultPoint
 	Mode     string  `json:"mode"` // processes or stand-ins
 	Sidecars int     `json:"sidecars"`
 	Trail    float64 `json:"trail_s"`
 	footprint.AuditCosts
 }
 
-// check names the first key whose number can't be.
+// check returns an error that names the first flag whose value is out of range.
 func (c *slopesAuditCmd) check() error {
-	var b bounds
-	b.number("repeat", float64(c.Repeat), 1, repeatMost)
-	b.sizes("sidecars", c.Sidecars, processesMost)
+	var flags flagChecker
+	flags.number("repeat", float64(c.Repeat), 1, maxRepeats)
+	flags.sizes("sidecars", c.Sidecars, maxProcesses)
 	for i, n := range c.Sidecars {
-		b.processes(fmt.Sprintf("sidecars[%d]", i), n, 1)
+		flags.processes(fmt.Sprintf("sidecars[%d]", i), n, 1)
 	}
-	b.sizes("stand-ins", c.StandIns, hostsMost)
-	b.listeners("stand-ins", c.StandIns)
-	b.span("trail", c.Trail, 0)
-	b.number("rounds", float64(c.Rounds), 1, repeatMost)
-	return b.err
+	flags.sizes("stand-ins", c.StandIns, maxHosts)
+	flags.listeners("stand-ins", c.StandIns)
+	flags.duration("trail", c.Trail, 0)
+	flags.number("rounds", float64(c.Rounds), 1, maxRepeats)
+	return flags.err
 }
 
+// Run measures each size, with processes and then with stand-ins, and writes a line for each.
 func (c *slopesAuditCmd) Run(ctx context.Context, t *terminal) error {
-	if err := c.check(); err != nil {
-		return err
-	}
-	program, err := c.program()
-	if err != nil {
-		return err
-	}
-	dir, err := os.MkdirTemp("", "slopes")
-	if err != nil {
-		return err
-	}
-	defer os.RemoveAll(dir)
+	return c.measure(ctx, t, c.check, c.measureSizes)
+}
+
+func (c *slopesAuditCmd) measureSizes(ctx context.Context, t *terminal, program, dir string) error {
 	for n := range c.Repeat {
 		for _, size := range c.Sidecars {
-			if err := c.one(ctx, t, footprint.AuditMeasurement{Program: program, Dir: filepath.Join(dir, fmt.Sprint("processes", size, n)), Sidecars: size, Rounds: c.Rounds}); err != nil {
+			if err := c.measureSize(ctx, t, footprint.AuditMeasurement{Program: program, Dir: filepath.Join(dir, fmt.Sprint("processes", size, n)), Sidecars: size, Rounds: c.Rounds}); err != nil {
 				return err
 			}
 		}
 		for _, size := range c.StandIns {
-			if err := c.one(ctx, t, footprint.AuditMeasurement{Program: program, Dir: filepath.Join(dir, fmt.Sprint("stand-ins", size, n)), Sidecars: size, Rounds: c.Rounds,
+			if err := c.measureSize(ctx, t, footprint.AuditMeasurement{Program: program, Dir: filepath.Join(dir, fmt.Sprint("stand-ins", size, n)), Sidecars: size, Rounds: c.Rounds,
 				Stubs: true, AuditLogSpan: c.Trail}); err != nil {
 				return err
 			}
@@ -71,12 +65,12 @@
 	return nil
 }
 
-// one measures and tells one size.
-func (c *slopesAuditCmd) one(ctx context.Context, t *terminal, a footprint.AuditMeasurement) error {
+// measureSize measures one size and writes its line.
+func (c *slopesAuditCmd) measureSize(ctx context.Context, t *terminal, a footprint.AuditMeasurement) error {
 	if err := os.Mkdir(a.Dir, 0o700); err != nil {
 		return err
 	}
-	p := auditPoint{point: c.begin("audit"), Mode: "processes", Sidecars: a.Sidecars, Trail: a.AuditLogSpan.Seconds()}
+	p := auditPoint{resultPoint: c.newPoint("audit"), Mode: "processes", Sidecars: a.Sidecars, Trail: a.AuditLogSpan.Seconds()}
 	if a.Stubs {
 		p.Mode = "stand-ins"
 	}
--- a/internal/lab/cli/slopes_requests.go
+++ b/internal/lab/cli/slopes_requests.go
@@ -12,48 +12,43 @@
 
 // slopesRequestsCmd measures what requests cost a sidecar.
 type slopesRequestsCmd struct {
-	measuring
+	measureOptions
 	Rates  []float64     `help:"Requests a second." default:"53,106,212,424"`
 	Window time.Duration `help:"Length of each measurement, and of the one without a sidecar before it." default:"10s"`
 }
 
+// requestsPoint is a line of results of slopes requests.
 type requestsPoint struct {
-	point
+	resultPoint
 	Rate    float64 `json:"requests_per_s"`
 	Seconds float64 `json:"seconds"`
 	footprint.RequestCosts
 }
 
-// check names the first key whose number can't be.
+// check returns an error that names the first flag whose value is out of range.
 func (c *slopesRequestsCmd) check() error {
-	var b bounds
-	b.number("repeat", float64(c.Repeat), 1, repeatMost)
-	b.rates("rates", c.Rates, 0.1)
-	b.span("window", c.Window, time.Second)
-	return b.err
+	var flags flagChecker
+	flags.number("repeat", float64(c.Repeat), 1, maxRepeats)
+	flags.rates("rates", c.Rates, 0.1)
+	flags.duration("window", c.Window, time.Second)
+	return flags.err
 }
 
+// Run measures each rate, one at a time, and writes a line for each.
 func (c *slopesRequestsCmd) Run(ctx context.Context, t *terminal) error {
-	if err := c.check(); err != nil {
-		return err
-	}
-	program, err := c.program()
-	if err != nil {
-		return err
-	}
-	dir, err := os.MkdirTemp("", "slopes")
-	if err != nil {
-		return err
-	}
-	defer os.RemoveAll(dir)
+	return c.measure(ctx, t, c.check, c.measureSizes)
+}
+
+func (c *slopesRequestsCmd) measureSizes(ctx context.Context, t *terminal, program, dir string) error {
 	for n := range c.Repeat {
 		for _, rate := range c.Rates {
-			own := filepath.Join(dir, fmt.Sprint(rate, "-", n))
-			if err := os.Mkdir(own, 0o700); err != nil {
+			sub := filepath.Join(dir, fmt.Sprint(rate, "-", n))
+			if err := os.Mkdir(sub, 0o700); err != nil {
 				return err
 			}
-			p := requestsPoint{point: c.begin("requests"), Rate: rate, Seconds: c.Window.Seconds()}
-			if p.RequestCosts, err = (footprint.RequestMeasurement{Program: program, Dir: own, Rate: rate, Window: c.Window, Seed: uint64(n + 1)}).Measure(ctx); err != nil {
+			p := requestsPoint{resultPoint: c.newPoint("requests"), Rate: rate, Seconds: c.Window.Seconds()}
+			var err error
+			if p.RequestCosts, err = (footprint.RequestMeasurement{Program: program, Dir: sub, Rate: rate, Window: c.Window, Seed: uint64(n + 1)}).Measure(ctx); err != nil {
 				return err
 			}
 			if err := c.write(t, p); err != nil {
--- a/internal/lab/stubfleet/play.go
+++ b/internal/lab/stubfleet/play.go
@@ -6,41 +6,40 @@
 	"os"
 	"runtime"
 	"sync"
-	"syscall"
 	"time"
 
 	"pinelb.example/pinelb/internal/lab/model"
 )
 
-// How a play goes on.
+// Intervals and time-outs of a play.
 const (
-	lookEach    = 100 * time.Millisecond // counts are taken so often
-	readyWithin = 2 * time.Minute        // for all to have their first list, where that is not what is measured
-	settleFor   = 2 * time.Second        // after that at least, for all to be in the midst of their watches
-	restartPart = 0.05                   // of a rack's sidecars, a second
+	sampleInterval = 100 * time.Millisecond
+	readyTimeout   = 2 * time.Minute // for all to have their first list, unless that is measured
+	minSettleTime  = 2 * time.Second // thereafter, for the watches to be out of step
+	restartShare   = 0.05            // of a rack's stubs, a second
 )
 
-// play is one case under way.
+// play is a running case.
 type play struct {
 	Case
-	service *Service
-	fronts  [2]*Front // of the hollow and of the real sidecars
-	racks   []*process
-	reals   []*real
-	dir     string
-	looks   []look
+	service      *Service
+	frontends    [2]*Frontend // of the stubs and of the real sidecars
+	racks        []*process
+	realSidecars []*realSidecar
+	dir          string
+	samples      []sample
 
-	stopped bool          // a rack is
-	back    time.Duration // when the service, which was down, was there again, by clock; 0 is never
+	rackStopped bool          // the first rack is
+	restoredAt  time.Duration // end of the outage, by monotonicNow; 0: there was none
 }
 
-// look is what had been counted at a time.
-type look struct {
-	at     time.Duration // by clock
-	counts [2]Counts     // by front
+// sample holds the counters at a moment.
+type sample struct {
+	at     time.Duration // by monotonicNow
+	counts [2]Counts     // by frontend
 }
 
-// Play plays a case and returns what came of it.
+// Play plays a case and returns its results. A case that cannot be played is a *KeyError.
 func Play(ctx context.Context, c Case) (f Figures, err error) {
 	m, err := ThisMachine()
 	if err != nil {
@@ -49,35 +48,35 @@
 	if err := c.Check(m); err != nil {
 		return f, err
 	}
-	runtime.LockOSThread() // the processes die with the thread that starts them (PR_SET_PDEATHSIG): it must last
+	runtime.LockOSThread() // the processes die with the thread that starts them (PR_SET_PDEATHSIG)
 	defer runtime.UnlockOSThread()
 	p := &play{Case: c}
-	if c.Calls > 0 {
-		p.service = NewService(c.Hosts, &model.ListService{Concurrency: c.Calls, ServiceTime: c.Call, MaxQueue: c.Line, OnOverflow: model.OverflowReject})
+	if c.ConcurrentCalls > 0 {
+		p.service = NewService(c.Hosts, &model.ListService{Concurrency: c.ConcurrentCalls, ServiceTime: c.CallTime, MaxQueue: c.QueueLength, OnOverflow: model.OverflowReject})
 	} else {
 		p.service = NewService(c.Hosts, nil)
 	}
 	defer p.close()
-	if err := p.set(); err != nil {
+	if err := p.setUp(); err != nil {
 		return f, err
 	}
 	return p.run(ctx)
 }
 
-// set opens the service and makes the racks. No sidecar runs yet.
-func (p *play) set() (err error) {
-	for i, name := range []string{"hollow", "real"} {
-		if p.fronts[i], err = p.service.Open(name); err != nil {
+// setUp opens the service and starts the racks. No sidecar runs yet.
+func (p *play) setUp() (err error) {
+	for i, name := range []string{"stubs", "real"} {
+		if p.frontends[i], err = p.service.Open(name); err != nil {
 			return err
 		}
 	}
 	if p.dir, err = os.MkdirTemp("", "pinelab-scale-"); err != nil {
-		return fmt.Errorf("hollow: %w", err)
+		return fmt.Errorf("stubfleet: %w", err)
 	}
-	told := Told{Discovery: p.fronts[0].addr, Paced: p.Paced, Seed: p.Seed, Spread: p.Spread}
+	config := FleetConfig{Discovery: p.frontends[0].addr, Paced: p.Paced, Seed: p.Seed, StartSpread: p.StartSpread}
 	for i := range p.Racks {
 		first := i * p.Sidecars / p.Racks
-		r, err := launch(p.Rack(), told, first, (i+1)*p.Sidecars/p.Racks-first)
+		r, err := launch(p.Rack(), config, first, (i+1)*p.Sidecars/p.Racks-first)
 		if err != nil {
 			return err
 		}
@@ -89,56 +88,57 @@
 // start starts the sidecars; the real ones one after the other.
 func (p *play) start() error {
 	for _, r := range p.racks {
-		if _, err := r.do(order{Do: "start"}); err != nil {
+		if _, err := r.call(command{Op: opStart}); err != nil {
 			return err
 		}
 	}
-	told := Told{Discovery: p.fronts[1].addr, Seed: p.Seed}
+	config := FleetConfig{Discovery: p.frontends[1].addr, Seed: p.Seed}
 	for i := range p.Real {
-		r, err := launchReal(p.Program, p.Operator, p.dir, told, p.Sidecars+i, p.Sidecars+p.Real)
+		r, err := launchReal(p.Program, p.Operator, p.dir, config, p.Sidecars+i, p.Sidecars+p.Real)
 		if err != nil {
 			return err
 		}
-		p.reals = append(p.reals, r)
+		p.realSidecars = append(p.realSidecars, r)
 	}
 	return nil
 }
 
+// close kills all processes, and closes the service.
 func (p *play) close() {
 	for _, r := range p.racks {
 		r.close()
 	}
 	var ends sync.WaitGroup
-	for _, r := range p.reals {
+	for _, r := range p.realSidecars {
 		ends.Go(r.close)
 	}
 	ends.Wait()
-	for _, f := range p.fronts {
+	for _, f := range p.frontends {
 		if f != nil {
 			f.Down()
 		}
 	}
 	if p.dir != "" {
-		_ = os.RemoveAll(p.dir) // it holds nothing that is missed
+		_ = os.RemoveAll(p.dir) // what is left over is a temporary file
 	}
 }
 
-// run measures.
+// run starts the sidecars, measures, and collects the results.
 func (p *play) run(ctx context.Context) (Figures, error) {
 	s := scenarios[p.Scenario]
 	load := loadAverage()
-	back := func() error { return nil }
-	if s.down != nil {
-		back = s.down(p)
+	restore := func() error { return nil }
+	if s.outage != nil {
+		restore = s.outage(p)
 	}
-	if !s.cold {
+	if !s.coldStart {
 		if err := p.start(); err != nil {
 			return Figures{}, err
 		}
-		if err := p.await(ctx, 1, readyWithin); err != nil {
+		if err := p.awaitRevision(ctx, 1, readyTimeout); err != nil {
 			return Figures{}, err
 		}
-		if !wait(ctx, p.settle()) {
+		if !sleep(ctx, p.settle()) {
 			return Figures{}, ctx.Err()
 		}
 	}
@@ -146,14 +146,14 @@
 	if err != nil {
 		return Figures{}, err
 	}
-	began := clock()
-	p.look()
-	if s.cold {
+	startedAt := monotonicNow()
+	p.sample()
+	if s.coldStart {
 		if err := p.start(); err != nil {
 			return Figures{}, err
 		}
 	}
-	changes, err := p.measure(ctx, s, began, back)
+	changes, err := p.measure(ctx, s, startedAt, restore)
 	if err != nil {
 		return Figures{}, err
 	}
@@ -165,50 +165,50 @@
 	if len(changes) > 0 {
 		last = changes[len(changes)-1]
 	}
-	if err := p.await(ctx, last, p.Within); err != nil && ctx.Err() != nil {
+	if err := p.awaitRevision(ctx, last, p.FinalTimeout); err != nil && ctx.Err() != nil {
 		return Figures{}, err
 	}
-	lives, err := p.lives()
+	incarnations, err := p.incarnations()
 	if err != nil {
 		return Figures{}, err
 	}
-	return p.figures(changes, lives, before, after, load), nil
+	return p.figures(changes, incarnations, before, after, load), nil
 }
 
-// settle is for how long nothing is measured after the first lists. Paced watches are so long that a measured time which begins with
-// them has too few calls.
+// settle returns how long to wait between the first lists and the measured time. Paced watches are so long that a measured time
+// which begins with them has too few calls.
 func (p *play) settle() time.Duration {
 	if p.Paced == nil {
-		return settleFor
+		return minSettleTime
 	}
-	return max(settleFor, p.Paced.Fleet.MaxWatchWait())
+	return max(minSettleTime, p.Paced.Fleet.MaxWatchWait())
 }
 
-// measure goes through the measured time and returns the revisions of the changes that were made.
-func (p *play) measure(ctx context.Context, s scenario, began time.Duration, back func() error) (changes []int64, err error) {
+// measure samples for the measured time, and returns the revisions of the changes that were made.
+func (p *play) measure(ctx context.Context, s scenario, startedAt time.Duration, restore func() error) (changes []int64, err error) {
 	length := time.Duration(p.Seconds) * time.Second
-	down := s.down != nil
-	for n := time.Duration(1); n*lookEach <= length; n++ {
-		due := n * lookEach
+	down := s.outage != nil
+	for n := time.Duration(1); n*sampleInterval <= length; n++ {
+		due := n * sampleInterval
 		for p.Changes > 0 && (float64(len(changes))+0.5)/p.Changes < due.Seconds() { // the first half a gap after the beginning
 			at := time.Duration((float64(len(changes)) + 0.5) / p.Changes * float64(time.Second))
-			if !wait(ctx, began+at-clock()) {
+			if !sleep(ctx, startedAt+at-monotonicNow()) {
 				return nil, ctx.Err()
 			}
 			changes = append(changes, p.service.Change())
 		}
-		if !wait(ctx, began+due-clock()) {
+		if !sleep(ctx, startedAt+due-monotonicNow()) {
 			return nil, ctx.Err()
 		}
-		p.look()
-		if down && due >= p.Down {
-			if err := back(); err != nil {
+		p.sample()
+		if down && due >= p.Outage {
+			if err := restore(); err != nil {
 				return nil, err
 			}
-			down, p.back = false, clock()
+			down, p.restoredAt = false, monotonicNow()
 		}
-		if s.each != nil {
-			if err := s.each(p, due.Seconds()/length.Seconds()); err != nil {
+		if s.onSample != nil {
+			if err := s.onSample(p, due.Seconds()/length.Seconds()); err != nil {
 				return nil, err
 			}
 		}
@@ -216,130 +216,80 @@
 	return changes, nil
 }
 
-func (p *play) look() {
-	p.looks = append(p.looks, look{clock(), [2]Counts{p.fronts[0].Counts(), p.fronts[1].Counts()}})
+// sample takes a sample.
+func (p *play) sample() {
+	p.samples = append(p.samples, sample{monotonicNow(), [2]Counts{p.frontends[0].Counts(), p.frontends[1].Counts()}})
 }
 
-// await waits until all act on a revision; an error is that they don't in time, or ctx's.
-func (p *play) await(ctx context.Context, revision int64, within time.Duration) error {
-	for end := clock() + within; ; {
-		least, err := p.least()
+// awaitRevision waits until all sidecars have applied a revision. It returns an error after the timeout, or that of ctx.
+func (p *play) awaitRevision(ctx context.Context, revision int64, timeout time.Duration) error {
+	for end := monotonicNow() + timeout; ; {
+		oldest, err := p.minRevision()
 		if err != nil {
 			return err
 		}
-		if least >= revision {
+		if oldest >= revision {
 			return nil
 		}
-		if clock() >= end {
-			return fmt.Errorf("hollow: after %s a sidecar acts on revision %d, and not on %d", within, least, revision)
+		if monotonicNow() >= end {
+			return fmt.Errorf("stubfleet: after %s a sidecar has applied revision %d, and not %d", timeout, oldest, revision)
 		}
-		if !wait(ctx, lookEach) {
+		if !sleep(ctx, sampleInterval) {
 			return ctx.Err()
 		}
 	}
 }
 
-// least is the oldest revision that any sidecar acts on; 0 while one has none.
-func (p *play) least() (int64, error) {
-	least := int64(-1)
-	add := func(at int64) {
-		if least < 0 || at < least {
-			least = at
+// minRevision returns the oldest revision that any sidecar has applied; 0 while one has none.
+func (p *play) minRevision() (int64, error) {
+	oldest := int64(-1)
+	add := func(revision int64) {
+		if oldest < 0 || revision < oldest {
+			oldest = revision
 		}
 	}
 	for _, r := range p.racks {
-		a, err := r.do(order{Do: "least"})
+		answer, err := r.call(command{Op: opMinRevision})
 		if err != nil {
 			return 0, err
 		}
-		add(a.Least)
+		add(answer.MinRevision)
 	}
-	for _, r := range p.reals {
-		add(r.least())
+	for _, r := range p.realSidecars {
+		add(r.revision())
 	}
-	return least, nil
+	return oldest, nil
 }
 
-func (p *play) lives() (out []Life, err error) {
+// incarnations returns those of all sidecars.
+func (p *play) incarnations() (out []Incarnation, err error) {
 	for _, r := range p.racks {
-		a, err := r.do(order{Do: "lives"})
+		answer, err := r.call(command{Op: opIncarnations})
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, a.Lives...)
+		out = append(out, answer.Incarnations...)
 	}
-	for _, r := range p.reals {
-		out = append(out, r.life())
+	for _, r := range p.realSidecars {
+		out = append(out, r.incarnation())
 	}
 	return out, nil
 }
 
-// usages are the racks', one after the other, and at the end this process's.
+// usages returns the usage of each rack, and at the end that of this process.
 func (p *play) usages() (out []Usage, err error) {
 	for _, r := range p.racks {
-		a, err := r.do(order{Do: "usage"})
+		answer, err := r.call(command{Op: opUsage})
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, a.Usage)
+		out = append(out, answer.Usage)
 	}
 	return append(out, usage()), nil
 }
 
-// stopRack stops the first rack at a quarter of the measured time and has it go on at three quarters.
-func (p *play) stopRack(over float64) error {
-	switch {
-	case over >= 0.25 && over < 0.75 && !p.stopped:
-		p.stopped = true
-		return p.racks[0].signal(syscall.SIGSTOP)
-	case over >= 0.75 && p.stopped:
-		p.stopped = false
-		return p.racks[0].signal(syscall.SIGCONT)
-	}
-	return nil
-}
-
-// restartSome starts a part of each rack's sidecars anew, evenly over the time.
-func (p *play) restartSome(over float64) error {
-	for _, r := range p.racks {
-		due := int(over*float64(p.Seconds)*restartPart*float64(r.sidecars)) - r.restarted
-		if due <= 0 {
-			continue
-		}
-		if _, err := r.do(order{Do: "restart", Sidecars: due}); err != nil {
-			return err
-		}
-		r.restarted += due
-	}
-	return nil
-}
-
-// refuse has the service be down.
-func (p *play) refuse() (back func() error) {
-	for _, f := range p.fronts {
-		f.Down()
-	}
-	return func() error {
-		for _, f := range p.fronts {
-			if err := f.Up(); err != nil {
-				return err
-			}
-		}
-		return nil
-	}
-}
-
-// turn has it answer 503.
-func (p *play) turn() (back func() error) {
-	p.service.Treat(func(Call) Treatment { return Turns })
-	return func() error {
-		p.service.Treat(nil)
-		return nil
-	}
-}
-
-// wait waits; false if ctx ends before.
-func wait(ctx context.Context, d time.Duration) bool {
+// sleep waits, and reports false if ctx is done before.
+func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/lab/stubfleet/process.go
+++ b/internal/lab/stubfleet/process.go
@@ -7,56 +7,37 @@
 	"io"
 	"os"
 	"os/exec"
-	"strconv"
-	"strings"
 	"syscall"
-	"time"
+)
 
-	"golang.org/x/sys/unix"
+// Operations of a rack.
+const (
+	opMake         = "make" // makes the rack, and comes first
+	opStart        = "start"
+	opRestart      = "restart"
+	opMinRevision  = "least"
+	opUsage        = "usage"
+	opIncarnations = "lives"
 )
 
-// order is what a rack's process is told to do, one JSON value after the other on its standard input; its end ends the process.
-type order struct {
-	Do       string // make, start, restart, least, usage or lives
-	Told     Told   // make: the fleet's
-	First    int    // make: the number of the first sidecar
-	Sidecars int    // make, restart: so many
+// command is a command to a rack's process: one JSON value after the other on its standard input, whose end ends the process.
+type command struct {
+	Op       string      `json:"Do"`   // one of the operations
+	Fleet    FleetConfig `json:"Told"` // make: the fleet's
+	First    int         // make: the number of the first sidecar
+	Sidecars int         // make, restart: so many
 }
 
-// reply is its answer to each, on its standard output.
+// reply is the reply to a command, on the standard output.
 type reply struct {
-	Least int64  `json:",omitempty"`
-	Usage Usage  `json:",omitzero"`
-	Lives []Life `json:",omitempty"`
-}
-
-// Usage is what a process has taken.
-type Usage struct {
-	CPU    time.Duration // of user and system, so far
-	Memory int64         // bytes resident now
-}
-
-// usage is this process's.
-func usage() Usage {
-	var r unix.Rusage
-	_ = unix.Getrusage(unix.RUSAGE_SELF, &r) // it can't fail for oneself
-	return Usage{CPU: time.Duration(r.Utime.Nano() + r.Stime.Nano()), Memory: resident()}
-}
-
-// resident is this process's resident memory in bytes; 0 is unknown.
-func resident() int64 {
-	text, _ := os.ReadFile("/proc/self/statm")
-	fields := strings.Fields(string(text))
-	if len(fields) < 2 {
-		return 0
-	}
-	pages, _ := strconv.ParseInt(fields[1], 10, 64)
-	return pages * int64(os.Getpagesize())
+	MinRevision  int64         `json:"Least,omitempty"`
+	Usage        Usage         `json:",omitzero"`
+	Incarnations []Incarnation `json:"Lives,omitempty"`
 }
 
-// ServeRack is a rack's process: it does what orders say until they end.
+// ServeRack runs a rack's process: it executes commands until the input ends.
 func ServeRack(in io.Reader, out io.Writer) error {
-	orders, replies := json.NewDecoder(in), json.NewEncoder(out)
+	commands, replies := json.NewDecoder(in), json.NewEncoder(out)
 	var r *rack
 	defer func() {
 		if r != nil {
@@ -64,92 +45,94 @@
 		}
 	}()
 	for {
-		var o order
-		if err := orders.Decode(&o); errors.Is(err, io.EOF) {
+		var cmd command
+		if err := commands.Decode(&cmd); errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
-			return fmt.Errorf("hollow: orders: %w", err)
+			return fmt.Errorf("stubfleet: commands: %w", err)
 		}
-		if (r == nil) != (o.Do == "make") {
-			return fmt.Errorf("hollow: order %q at the wrong time", o.Do)
+		if (r == nil) != (cmd.Op == opMake) {
+			return fmt.Errorf("stubfleet: command %q at the wrong time", cmd.Op)
 		}
 		var a reply
-		switch o.Do {
-		case "make":
-			r = newRack(o.Told, o.First, o.Sidecars)
-		case "start":
+		switch cmd.Op {
+		case opMake:
+			r = newRack(cmd.Fleet, cmd.First, cmd.Sidecars)
+		case opStart:
 			r.start()
-		case "restart":
-			r.restart(o.Sidecars)
-		case "least":
-			a.Least = r.least()
-		case "usage":
+		case opRestart:
+			r.restart(cmd.Sidecars)
+		case opMinRevision:
+			a.MinRevision = r.minRevision()
+		case opUsage:
 			a.Usage = usage()
-		case "lives":
-			a.Lives = r.lives()
+		case opIncarnations:
+			a.Incarnations = r.incarnations()
 		default:
-			return fmt.Errorf("hollow: order %q is unknown", o.Do)
+			return fmt.Errorf("stubfleet: command %q is unknown", cmd.Op)
 		}
 		if err := replies.Encode(a); err != nil {
-			return fmt.Errorf("hollow: replies: %w", err)
+			return fmt.Errorf("stubfleet: replies: %w", err)
 		}
 	}
 }
 
-// process is a rack as the play sees it.
+// process is the play's handle of a rack's process.
 type process struct {
 	cmd       *exec.Cmd
 	sidecars  int
-	restarted int // of them, so far
+	restarted int // stubs so far
 	in        io.WriteCloser
-	orders    *json.Encoder
+	commands  *json.Encoder
 	replies   *json.Decoder
 }
 
-// launch starts a rack's process and makes its sidecars, of which none runs yet.
-func launch(cmd *exec.Cmd, told Told, first, sidecars int) (*process, error) {
+// launch starts a rack's process and has it make its stubs, of which none runs yet.
+func launch(cmd *exec.Cmd, config FleetConfig, first, sidecars int) (*process, error) {
 	in, err := cmd.StdinPipe()
 	if err != nil {
-		return nil, fmt.Errorf("hollow: rack: %w", err)
+		return nil, fmt.Errorf("stubfleet: rack: %w", err)
 	}
 	out, err := cmd.StdoutPipe()
 	if err != nil {
-		return nil, fmt.Errorf("hollow: rack: %w", err)
+		return nil, fmt.Errorf("stubfleet: rack: %w", err)
 	}
 	cmd.Stderr = os.Stderr
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL} // ^C is for the play, which then ends them
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL} // SIGINT is for the play, which then kills them
 	if err := cmd.Start(); err != nil {
-		return nil, fmt.Errorf("hollow: rack: %w", err)
+		return nil, fmt.Errorf("stubfleet: rack: %w", err)
 	}
-	p := &process{cmd: cmd, sidecars: sidecars, in: in, orders: json.NewEncoder(in), replies: json.NewDecoder(out)}
-	if _, err := p.do(order{Do: "make", Told: told, First: first, Sidecars: sidecars}); err != nil {
+	p := &process{cmd: cmd, sidecars: sidecars, in: in, commands: json.NewEncoder(in), replies: json.NewDecoder(out)}
+	if _, err := p.call(command{Op: opMake, Fleet: config, First: first, Sidecars: sidecars}); err != nil {
 		p.close()
 		return nil, err
 	}
 	return p, nil
 }
 
-func (p *process) do(o order) (reply, error) {
-	if err := p.orders.Encode(o); err != nil {
-		return reply{}, fmt.Errorf("hollow: rack: %s: %w", o.Do, err)
+// call sends a command and returns the reply.
+func (p *process) call(c command) (reply, error) {
+	if err := p.commands.Encode(c); err != nil {
+		return reply{}, fmt.Errorf("stubfleet: rack: %s: %w", c.Op, err)
 	}
 	var a reply
 	if err := p.replies.Decode(&a); err != nil {
-		return reply{}, fmt.Errorf("hollow: rack: %s: %w", o.Do, err)
+		return reply{}, fmt.Errorf("stubfleet: rack: %s: %w", c.Op, err)
 	}
 	return a, nil
 }
 
+// signal sends a signal to the process.
 func (p *process) signal(s syscall.Signal) error {
 	if err := p.cmd.Process.Signal(s); err != nil {
-		return fmt.Errorf("hollow: rack: %w", err)
+		return fmt.Errorf("stubfleet: rack: %w", err)
 	}
 	return nil
 }
 
-// close ends the process, stopped or not.
+// close kills the process, which may be stopped, and waits for it.
 func (p *process) close() {
 	_ = p.in.Close()
-	_ = p.cmd.Process.Kill() // it has nothing to finish
+	_ = p.cmd.Process.Kill() // nothing is lost
 	_ = p.cmd.Wait()
 }
--- a/internal/lab/stubfleet/rack.go
+++ b/internal/lab/stubfleet/rack.go
@@ -6,142 +6,138 @@
 	"time"
 )
 
-// Life is one sidecar's from a start to its end.
-type Life struct {
-	Number int           `json:"number"`
-	Begun  time.Duration `json:"begun"` // by clock
-	Acted  []Acted       `json:"acted"`
-	Hosts  int           `json:"hosts"` // that may be sent to at the end
+// Incarnation is a sidecar from one start to its end.
+type Incarnation struct {
+	Number    int           `json:"number"`
+	StartedAt time.Duration `json:"begun"` // by monotonicNow
+	Applied   []Applied     `json:"acted"`
+	Hosts     int           `json:"hosts"` // that may get requests at the end
 }
 
-// rack is many sidecars in one process.
+// rack is many stubs in one process.
 type rack struct {
-	told  Told
-	first int // number of the first one
+	fleet FleetConfig
+	first int // number of the first stub
 
-	mu      sync.Mutex
-	running []*sidecar // nil: not started yet
-	former  []Life
-	next    int // that is restarted
-	starts  sync.WaitGroup
-	life    context.Context
-	end     context.CancelFunc
+	mu          sync.Mutex
+	stubs       []*stub // nil: not started yet
+	finished    []Incarnation
+	nextRestart int // index
+	starts      sync.WaitGroup
+	ctx         context.Context
+	cancel      context.CancelFunc
 }
 
-func newRack(told Told, first, sidecars int) *rack {
-	r := &rack{told: told, first: first, running: make([]*sidecar, sidecars)}
-	r.life, r.end = context.WithCancel(context.Background())
+// newRack makes a rack of stubs, of which none runs yet.
+func newRack(fleet FleetConfig, first, sidecars int) *rack {
+	r := &rack{fleet: fleet, first: first, stubs: make([]*stub, sidecars)}
+	r.ctx, r.cancel = context.WithCancel(context.Background())
 	return r
 }
 
-// start starts all of them, spread evenly as told.
+// start starts all stubs, evenly over the fleet's StartSpread. It does not wait for that.
 func (r *rack) start() {
 	r.starts.Go(func() {
-		for i := range r.running {
-			if !r.pause(r.told.Spread / time.Duration(len(r.running))) {
+		for i := range r.stubs {
+			if !r.sleep(r.fleet.StartSpread / time.Duration(len(r.stubs))) {
 				return
 			}
-			r.begin(i)
+			r.startStub(i)
 		}
 	})
 }
 
-// pause waits; false if the rack ends meanwhile.
-func (r *rack) pause(d time.Duration) bool {
+// sleep waits, and reports false if the rack is closed before.
+func (r *rack) sleep(d time.Duration) bool {
 	if d <= 0 {
-		return r.life.Err() == nil
-	}
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-t.C:
-		return true
-	case <-r.life.Done():
-		return false
+		return r.ctx.Err() == nil
 	}
+	return sleep(r.ctx, d)
 }
 
-func (r *rack) begin(i int) {
-	c := start(r.told, r.first+i)
+// startStub starts the i-th stub.
+func (r *rack) startStub(i int) {
+	c := startStub(r.fleet, r.first+i)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.running[i] = c
+	r.stubs[i] = c
 }
 
-// restart ends so many, in turn, and starts them anew with nothing known.
+// restart stops n stubs, in turn, and starts them again without any state.
 func (r *rack) restart(n int) {
 	for range n {
 		r.mu.Lock()
-		i := r.next
-		r.next = (r.next + 1) % len(r.running)
-		old := r.running[i]
+		i := r.nextRestart
+		r.nextRestart = (r.nextRestart + 1) % len(r.stubs)
+		old := r.stubs[i]
 		r.mu.Unlock()
 		if old == nil { // not started yet
 			continue
 		}
 		old.stop()
 		r.mu.Lock()
-		r.former = append(r.former, r.lifeOf(i, old))
+		r.finished = append(r.finished, r.incarnationOf(i, old))
 		r.mu.Unlock()
-		r.begin(i)
+		r.startStub(i)
 	}
 }
 
-func (r *rack) lifeOf(i int, c *sidecar) Life {
+// incarnationOf returns the incarnation of the i-th stub.
+func (r *rack) incarnationOf(i int, c *stub) Incarnation {
 	c.sink.mu.Lock()
 	defer c.sink.mu.Unlock()
-	l := Life{Number: r.first + i, Begun: c.begun, Acted: c.sink.acted}
+	incarnation := Incarnation{Number: r.first + i, StartedAt: c.startedAt, Applied: c.sink.applied}
 	for _, open := range c.sink.hosts {
 		if open {
-			l.Hosts++
+			incarnation.Hosts++
 		}
 	}
-	return l
+	return incarnation
 }
 
-// least is the oldest revision that any of them acts on; 0 while one has none.
-func (r *rack) least() int64 {
+// minRevision returns the oldest revision that any stub has applied; 0 while one has none.
+func (r *rack) minRevision() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	least := int64(-1)
-	for _, c := range r.running {
+	oldest := int64(-1)
+	for _, c := range r.stubs {
 		if c == nil {
 			return 0
 		}
-		if at := c.sink.last().Revision; least < 0 || at < least {
-			least = at
+		if revision := c.sink.last().Revision; oldest < 0 || revision < oldest {
+			oldest = revision
 		}
 	}
-	return least
+	return oldest
 }
 
-// lives are those that have ended and those that go on.
-func (r *rack) lives() []Life {
+// incarnations returns the finished incarnations and the running ones.
+func (r *rack) incarnations() []Incarnation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := append([]Life{}, r.former...)
-	for i, c := range r.running {
+	out := append([]Incarnation{}, r.finished...)
+	for i, c := range r.stubs {
 		if c == nil {
-			out = append(out, Life{Number: r.first + i})
+			out = append(out, Incarnation{Number: r.first + i})
 			continue
 		}
-		out = append(out, r.lifeOf(i, c))
+		out = append(out, r.incarnationOf(i, c))
 	}
 	return out
 }
 
-// close ends all of them and waits for that.
+// close stops all stubs and waits for them.
 func (r *rack) close() {
-	r.end()
+	r.cancel()
 	r.starts.Wait()
-	for _, c := range r.running {
+	for _, c := range r.stubs {
 		if c != nil {
-			c.end()
+			c.cancel()
 		}
 	}
-	for _, c := range r.running {
+	for _, c := range r.stubs {
 		if c != nil {
-			<-c.ended
+			<-c.done
 		}
 	}
 }
