--- a/ci/test.sh
+++ b/ci/test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# The whole test: build, dynamic linking, gofmt, vet, go test -race (KNOWN-RED.txt apart), and short scenarios on sockets.
+# The whole test: build, dynamic linking, linters (ci/lint.sh), go test -race (KNOWN-RED.txt apart), and short scenarios on sockets.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -12,9 +12,7 @@
 mkdir -p bin && CGO_ENABLED=1 go build -ldflags=-linkmode=external -o bin/ ./cmd/...
 sections=$(readelf -S -W bin/pinelb)
 grep -q ' \.dynamic ' <<<"$sections" || { echo "bin/pinelb: no dynamic section"; exit 1; }
-unformatted=$(gofmt -l .)
-[ -z "$unformatted" ] || { echo "not gofmt'd: $unformatted"; exit 1; }
-go vet ./...
+ci/lint.sh
 ci/known-red.sh
 
 # Each scenario has to keep every rule and its expectations. A machine too busy to play one on time (status 3)
