--- a/internal/fleet/config/route.go
+++ b/internal/fleet/config/route.go
@@ -25,8 +25,8 @@
 	Backends        []Backend `json:"backends"` // weighted split
 	MaxAttempts     int       `json:"maxAttempts"`
 	Public          bool      `json:"public"`
-	SessionAffinity bool      `json:"sessionAffinity"`
-	StreamResume    bool      `json:"streamResume"` // makes a Streaming route idempotent
+	SessionAffinity bool      `json:"sessionAffinity"` // accepted and not used
+	StreamResume    bool      `json:"streamResume"`    // makes a Streaming route idempotent
 	MaxEventGapMs   float64   `json:"gap_aim_ms"`
 }
 
--- a/internal/fleet/config/service.go
+++ b/internal/fleet/config/service.go
@@ -1,6 +1,7 @@
 package config
 
-// Service is a group of endpoints.
+// Service is a group of endpoints. HealthCheckPath and MaxConnections are accepted and not used: endpoints report by heartbeats, and routers
+// check none.
 type Service struct {
 	Name            string `json:"name"`
 	HealthCheckPath string `json:"healthCheckPath"`
--- a/internal/fleet/config/table.go
+++ b/internal/fleet/config/table.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// Table is a configuration indexed for the lookups that requests need. It is immutable.
+// Table is a configuration indexed for the lookups that requests need. It is immutable. The tables in a router's status are others: those of
+// package placement.
 type Table struct {
 	Document       *Document
 	Version        int64
--- a/internal/fleet/control/configuration.go
+++ b/internal/fleet/control/configuration.go
@@ -16,7 +16,7 @@
 	headerBaseVersion = "X-Base-Version"
 
 	maxChangeBytes = 16 << 20
-	submitTimeout  = 3 * time.Second // after which a change is answered with nothing decided
+	submitTimeout  = 3 * time.Second // after which a change is answered by 503: it may have been committed, or may be later
 	readTimeout    = 2 * time.Second
 )
 
--- a/internal/fleet/control/redirect.go
+++ b/internal/fleet/control/redirect.go
@@ -15,7 +15,8 @@
 	retryAfter = "0.2"
 )
 
-// redirect sends a caller to the primary, or asks it to come back where none is known. A caller that was redirected here is
+// redirect sends a caller to the primary, or asks it to come back where none is known, or where this router is the primary and could not
+// decide the call: the text of the answer is the same. A caller that was redirected here is
 // redirected only by a newer view than before: two routers that take each other for the primary, one of them by an older view,
 // would else send it to and fro.
 func (s *Server) redirect(w http.ResponseWriter, r *http.Request) {
--- a/internal/fleet/placement/doc.go
+++ b/internal/fleet/placement/doc.go
@@ -11,7 +11,8 @@
 //
 //   - the queue of prompts that an endpoint has still to prefill (queue.go), and which prefixes it has cached (prefix_cache.go);
 //   - the time to first token of a service's endpoints by prompt length (prefill.go), and each endpoint's factor (slowness.go);
-//   - failures and overdue answers (failure_evidence.go), and ejection after failed connections (endpoint.go);
+//   - failures and overdue answers (failure_evidence.go), and ejection after a failed connection or two
+//     failures in a row (feedback.go, endpoint.go);
 //   - the streams that a long prefill would stall (streams.go, stalls.go).
 //
 // The figures that the decision depends on are in tuning.go.
--- a/internal/fleet/placement/draw.go
+++ b/internal/fleet/placement/draw.go
@@ -14,8 +14,8 @@
 	tierCount
 )
 
-// draw chooses a call's endpoint: the one with the least weighted score among those with the least loss, or hardly more. It
-// returns nil where the call may go nowhere.
+// draw chooses a call's endpoint, in three steps: the eligible ones of one tier; of these, those with the least loss or hardly more; of
+// these, the one with the least weighted score. It returns nil where the call may go nowhere.
 func (s *service) draw(now time.Duration, row []float64, key uint64, call *Call) *Placement {
 	candidates := s.eligible(now, row, call)
 	if len(candidates) == 0 {
--- a/internal/fleet/placement/failure_evidence.go
+++ b/internal/fleet/placement/failure_evidence.go
@@ -4,7 +4,8 @@
 
 // failureEvidence is the failures of one endpoint that are remembered, of this router's calls and of those that other routers
 // report. A single router of many meets an endpoint too rarely to tell a failing one from chance; all together do so within a
-// second. An endpoint's health check is no evidence: it may pass while calls fail, and the other way round.
+// second. An endpoint's heartbeat is no evidence: it may say "ready" while calls fail. Routers make no
+// health checks.
 //
 // The memory is doubled each time that an endpoint fails again after a recovery, up to maxRelapseFactor, as outlier detection
 // does with ejection times. The zero value is an endpoint that never failed.
--- a/internal/fleet/placement/feedback.go
+++ b/internal/fleet/placement/feedback.go
@@ -103,7 +103,8 @@
 	e.eject(now)
 }
 
-// RecordFailure records a rejection, an error, a reset or a time-out of an endpoint.
+// RecordFailure records a rejection, an error, a reset or a time-out of an endpoint. From ejectionThreshold failures in a row on, the endpoint
+// is ejected.
 func (p *Placer) RecordFailure(now time.Duration, e *Endpoint) {
 	e.recordOutcome(1)
 	p.recordFaults(now, e, 1, false)
--- a/internal/fleet/placement/placer.go
+++ b/internal/fleet/placement/placer.go
@@ -68,7 +68,8 @@
 	return e
 }
 
-// Remove keeps calls away from endpoints until SetEndpoints lists them again. It returns those that were known.
+// Remove keeps calls away from endpoints until SetEndpoints lists them again: it marks them, and the next SetEndpoints drops them or, where
+// they are listed, makes new ones. It returns those that were known.
 func (p *Placer) Remove(ids []string) []*Endpoint {
 	var removed []*Endpoint
 	for _, id := range ids {
--- a/internal/fleet/proxy/dispatcher.go
+++ b/internal/fleet/proxy/dispatcher.go
@@ -83,7 +83,8 @@
 	}
 }
 
-// ReadyCount returns how many endpoints of a service may be sent requests.
+// ReadyCount returns how many endpoints of a service were listed last, by SetEndpoints. Ejected ones, and those that Remove has named since,
+// are counted.
 func (d *Dispatcher) ReadyCount(service string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/fleet/proxy/server.go
+++ b/internal/fleet/proxy/server.go
@@ -36,8 +36,8 @@
 	drainEnd  atomic.Pointer[time.Time] // when the process ends; nil: it is not draining
 	durations durations
 
-	// Requests by outcome since the start: answered by an endpoint; not run, whether rejected or denied; failed without an
-	// answer; truncated answers.
+	// Requests by outcome since the start: answered by an endpoint; not run, whether rejected or denied ("refused" in the status);
+	// failed without an answer; truncated answers.
 	Served, Rejected, Failed, Truncated atomic.Uint64
 	Rerouted                            atomic.Uint64 // attempts abandoned because their first token was overdue
 }
--- a/internal/fleet/quota/allocator.go
+++ b/internal/fleet/quota/allocator.go
@@ -59,7 +59,7 @@
 }
 
 // Grant takes up to wanted units out of a tenant's bucket, or none where less than minimum is available. wait is then the time
-// after which minimum will be.
+// after which minimum will be, if nobody else takes any. A minimum above the bucket's size is never available.
 func (a *Allocator) Grant(now time.Duration, t *config.Tenant, minimum, wanted float64) (granted float64, wait time.Duration) {
 	b := a.bucket(now, t)
 	available := b.level - b.maxUnreported(now, t) - a.maxUnannouncedUse(now, b)
--- a/internal/fleet/registry/registry.go
+++ b/internal/fleet/registry/registry.go
@@ -69,7 +69,7 @@
 }
 
 // ApplyHeartbeat applies an endpoint's own report. It returns the changes to be forwarded; ok is false where the report is older
-// than what is known.
+// than what is known, or the endpoint was deregistered: it is ignored.
 func (r *Registry) ApplyHeartbeat(now time.Duration, report Endpoint) (changed []Endpoint, ok bool) {
 	known := r.entries[report.ID]
 	if known == nil {
--- a/internal/fleet/replica/status.go
+++ b/internal/fleet/replica/status.go
@@ -9,7 +9,8 @@
 	"pinelb.example/pinelb/internal/fleet/replication"
 )
 
-// publishStep makes known, after a step, what has been decided. It runs on the replica's goroutine.
+// publishStep makes known, after a step, what has been decided: it logs a new view, hands a commit to OnCommit, answers the changes and
+// reads that wait, and updates the status. It runs on the replica's goroutine.
 func (r *Replica) publishStep() {
 	view := r.node.View()
 	r.announceView(view)
--- a/internal/fleet/router/active_config.go
+++ b/internal/fleet/router/active_config.go
@@ -8,7 +8,8 @@
 	"pinelb.example/pinelb/internal/fleet/dissemination"
 )
 
-// unconfirmedAge is the age of a configuration that nothing has confirmed.
+// unconfirmedAge is the age that stands for a configuration that nothing has confirmed. One whose last confirmation is as old counts as
+// unconfirmed too.
 const unconfirmedAge = time.Hour
 
 // activeConfig is the configuration that requests are served by. Readers need no lock; the gossip stores it, under its own lock.
@@ -23,8 +24,8 @@
 	confirmed   bool // confirmedAt is set
 }
 
-// load returns the active configuration and the time since it was last confirmed to be the newest: nil and unconfirmedAge where
-// there is none.
+// load returns the active configuration and the time since it was last confirmed to be the newest: unconfirmedAge where nothing has
+// confirmed it, nil and unconfirmedAge where there is none.
 func (c *activeConfig) load() (*config.Table, time.Duration) {
 	current := c.current.Load()
 	if current == nil {
--- a/internal/fleet/router/endpoint_reports.go
+++ b/internal/fleet/router/endpoint_reports.go
@@ -30,7 +30,8 @@
 	gossip *gossip
 }
 
-// handle applies an endpoint's report. An error means that the other routers may not learn of the endpoint's leave.
+// handle applies an endpoint's report. One that is older than what is known, or of an endpoint that was deregistered, is ignored without an
+// error. An error means that the other routers may not learn of the endpoint's leave.
 func (e *endpointReports) handle(ctx context.Context, endpoint registry.Endpoint) error {
 	endpoint.Owner = e.address()
 	e.gossip.step(func(now time.Duration) *dissemination.Output {
--- a/internal/fleet/router/readiness.go
+++ b/internal/fleet/router/readiness.go
@@ -9,8 +9,9 @@
 	}
 }
 
-// isReady reports whether this router can serve clients: it is not draining, its configuration was confirmed since the start and so
-// lately that keys may be used, and there is an endpoint.
+// isReady reports whether this router can serve clients: it is not draining, it has a configuration that the operator sent, that was
+// confirmed since the start and within unconfirmedAge, with strict revocation also so lately that keys may be used, and an endpoint of a
+// configured service is ready. Ejected endpoints count.
 func (r *Router) isReady() bool {
 	table, age := r.Table()
 	if r.draining.Load() || table == nil || table.Version == 0 || age >= unconfirmedAge {
--- a/internal/fleet/router/status.go
+++ b/internal/fleet/router/status.go
@@ -15,14 +15,14 @@
 	Primary       string                  `json:"primary"`    // internal address
 	Version       int64                   `json:"version"`    // of the active configuration, as the operator gave it
 	Sequence      uint64                  `json:"sequence"`   // of the active configuration, in the log
-	LeaseAgeMs    int64                   `json:"leaseAgeMs"` // milliseconds since the configuration was confirmed; -1: never
+	LeaseAgeMs    int64                   `json:"leaseAgeMs"` // milliseconds since the configuration was confirmed; -1: never, or an hour or more ago
 	Routers       int                     `json:"routers"`    // alive, this one included
-	Endpoints     []registry.Endpoint     `json:"endpoints"`  // that are ready
+	Endpoints     []registry.Endpoint     `json:"endpoints"`  // that are ready, of all services, configured or not
 	Tables        []placement.TableView   `json:"tables"`
 	Services      []placement.ServiceView `json:"services"`
 	Replica       *ReplicaStatus          `json:"replica,omitempty"`
 	Served        uint64                  `json:"served"`        // requests
-	Refused       uint64                  `json:"refused"`       // requests that were rejected
+	Refused       uint64                  `json:"refused"`       // requests that did not run: rejected (429, 503) or denied (400, 401, 404, 413)
 	Failed        uint64                  `json:"failed"`        // requests that may have run and have no response
 	Broken        uint64                  `json:"broken"`        // responses that were truncated
 	Moved         uint64                  `json:"moved"`         // attempts that were cancelled because their first token was overdue
