--- a/internal/handover/protocol.go
+++ b/internal/handover/protocol.go
@@ -32,6 +32,7 @@
 
 	stepTimeout       = time.Second            // of each step of the exchange: the new process is due within a few seconds
 	pathCheckInterval = 250 * time.Millisecond // between checks that the path is still this process's
+	lockRetryInterval = 2 * time.Millisecond   // between attempts to lock the path
 	busyRetryInterval = 10 * time.Millisecond  // between attempts to connect to a server that is busy
 
 	maxListeners = 8
--- a/internal/handover/server.go
+++ b/internal/handover/server.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"io"
 	"net"
+	"os"
 	"sync"
 	"syscall"
 	"time"
@@ -25,7 +26,11 @@
 	OnLine      func(line []byte)           // a line of the successor's, which is valid until OnLine returns
 	Log         zerolog.Logger
 
-	listener *socket // set by Listen for Serve
+	processID int     // 0: this process's; tests that play several processes in one give each its own
+	listener  *socket // set by Listen for Serve
+	hasServed bool    // this process has accepted successors; only Serve uses it
+
+	beforeRetake func() // nil but in tests: called before a path that was a successor's is taken again
 
 	mu        sync.Mutex // serializes writes
 	successor net.Conn   // nil: none
@@ -34,7 +39,8 @@
 // Listen takes the path, so that whoever connects from then on waits for Serve; without it Serve does. A process calls it
 // before it announces to its predecessor that it serves, so that at no moment the path is nobody's.
 func (s *Server) Listen() (err error) {
-	s.listener, err = listen(s.Path)
+	defer lockPath(s.Path)()
+	s.listener, err = s.listen()
 	return err
 }
 
@@ -59,6 +65,11 @@
 	if err != nil {
 		return err
 	}
+	if l == nil {
+		s.yieldPath(ctx)
+		return nil
+	}
+	s.hasServed = true
 	stop := context.AfterFunc(ctx, func() { _ = l.Close() })
 	conn, err := l.accept(s.Path)
 	stop()
@@ -83,14 +94,30 @@
 	return nil
 }
 
-// takeListener returns the listener of Listen, or a new one.
+// takeListener returns the listener of Listen, or a new one. It returns nil where this process has served the path before and
+// another one has taken it since: the successor's successor, whose predecessor has ended as it became ready.
 func (s *Server) takeListener() (*socket, error) {
-	l := s.listener
-	s.listener = nil
-	if l != nil {
+	if l := s.listener; l != nil {
+		s.listener = nil
 		return l, nil
 	}
-	return listen(s.Path)
+	if s.beforeRetake != nil {
+		s.beforeRetake()
+	}
+	defer lockPath(s.Path)()
+	if s.hasServed && isServed(s.Path) {
+		return nil, nil
+	}
+	return s.listen()
+}
+
+// listen takes the path.
+func (s *Server) listen() (*socket, error) {
+	id := s.processID
+	if id == 0 {
+		id = os.Getpid()
+	}
+	return listen(s.Path, id)
 }
 
 // acceptError returns nil where accept has failed because ctx is done.
--- a/internal/handover/succession_model_test.go
+++ b/internal/handover/succession_model_test.go
@@ -42,7 +42,8 @@
 	}
 	p.listener = l.(*net.TCPListener)
 	p.server = &Server{Path: path, Listeners: map[string]*net.TCPListener{"clients": p.listener}, Log: zerolog.Nop(), OnLine: func([]byte) {},
-		State: func() ([]byte, error) { return fmt.Append(nil, id), nil }, OnConnected: func(bool) {}, OnServing: p.succeeded.Store}
+		State: func() ([]byte, error) { return fmt.Append(nil, id), nil }, OnConnected: func(bool) {}, OnServing: p.succeeded.Store,
+		processID: id + 1} // as in separate processes: two that take the path at the same time must not share a name beside it
 	return p
 }
 
@@ -191,3 +192,29 @@
 		a.end(t)
 	}
 }
+
+// A process whose successor has ended takes the path again, unless that one's own successor has taken it in the very moment in
+// which it found the path free: then it has to leave the path there, or the youngest process would be reached by nobody.
+func TestRetakeLeavesPathToYoungest(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "s.sock")
+	oldest := launch(t, path, 0, nil)
+	foundFree, taken := make(chan struct{}), make(chan struct{})
+	oldest.server.beforeRetake = func() {
+		select {
+		case <-taken:
+		case foundFree <- struct{}{}:
+			<-taken
+		}
+	}
+	oldest.ready(t)
+	middle := launch(t, path, 1, oldest)
+	middle.ready(t)
+	youngest := launch(t, path, 2, middle)
+	middle.end(t)
+	<-foundFree
+	youngest.ready(t)
+	close(taken)
+	checkInvariants(t, path, []*testProcess{oldest, youngest}, nil)
+	youngest.end(t)
+	oldest.end(t)
+}
