--- a/internal/fleet/control/cluster_test.go
+++ b/internal/fleet/control/cluster_test.go
@@ -51,7 +51,7 @@
 	mu      sync.Mutex // of what follows
 	up      bool
 	replica *replica.Replica
-	node    *dissemination.Node
+	node    *dissemination.Gossiper
 	server  *control.Server
 	stop    chan struct{}
 	clock   func() time.Duration
--- a/internal/fleet/dissemination/node.go
+++ b/internal/fleet/dissemination/node.go
@@ -46,8 +46,8 @@
 	Random                    *rand.Rand
 }
 
-// Node is one router's part in the dissemination. Its methods are not safe for concurrent use.
-type Node struct {
+// Gossiper is one router's part in the dissemination. Its methods are not safe for concurrent use.
+type Gossiper struct {
 	Members  *membership.List
 	Registry *registry.Registry
 	Config   ConfigReplica
@@ -70,8 +70,8 @@
 }
 
 // New returns a node that knows itself and its seeds.
-func New(now time.Duration, options Options) *Node {
-	return &Node{
+func New(now time.Duration, options Options) *Gossiper {
+	return &Gossiper{
 		Members:         membership.New(now, options.Self, options.Timing),
 		Registry:        registry.New(),
 		options:         options,
@@ -83,13 +83,13 @@
 }
 
 // SetSeeds replaces the seeds, which are internal addresses.
-func (n *Node) SetSeeds(seeds []string) { n.seeds = seeds }
+func (n *Gossiper) SetSeeds(seeds []string) { n.seeds = seeds }
 
 // Primary returns the newest known view and its primary's internal address; 0 and empty: none is known.
-func (n *Node) Primary() (view uint64, address string) { return n.view, n.primary }
+func (n *Gossiper) Primary() (view uint64, address string) { return n.view, n.primary }
 
 // SetView records a view and its primary's internal address, unless a newer view is known.
-func (n *Node) SetView(view uint64, primary string) {
+func (n *Gossiper) SetView(view uint64, primary string) {
 	if view > n.view {
 		n.view, n.primary = view, primary
 	}
@@ -97,7 +97,7 @@
 
 // AnnouncePrimary announces to the other routers that this one is the primary of a view, so that they don't ask the former
 // primary until their next pull.
-func (n *Node) AnnouncePrimary(now time.Duration, view uint64) *Output {
+func (n *Gossiper) AnnouncePrimary(now time.Duration, view uint64) *Output {
 	output := n.begin(now)
 	if view > n.view {
 		n.SetView(view, n.options.Self.Address)
@@ -107,18 +107,18 @@
 }
 
 // begin starts a step: what it sends is collected in the output.
-func (n *Node) begin(now time.Duration) *Output {
+func (n *Gossiper) begin(now time.Duration) *Output {
 	n.now = now
 	n.output = &Output{}
 	return n.output
 }
 
-func (n *Node) send(to string, message any) {
+func (n *Gossiper) send(to string, message any) {
 	n.output.Send = append(n.output.Send, Outgoing{To: to, Message: message})
 }
 
 // Tick does what is due: heartbeats, probes, the next pull, the expiry of endpoints, and queued updates.
-func (n *Node) Tick(now time.Duration) *Output {
+func (n *Gossiper) Tick(now time.Duration) *Output {
 	output := n.begin(now)
 	due := n.Members.Tick(now)
 	for _, to := range due.Heartbeats {
@@ -140,7 +140,7 @@
 	return output
 }
 
-func (n *Node) expireEndpoints() {
+func (n *Gossiper) expireEndpoints() {
 	timeout := missedHeartbeatsToExpire * n.options.EndpointHeartbeatInterval
 	expired := n.Registry.ExpireSilent(n.now, n.options.Self.Address, timeout, n.mayReceiveHeartbeats(timeout))
 	n.disseminateEndpoints(expired, 0)
@@ -148,7 +148,7 @@
 }
 
 // Receive handles another router's message.
-func (n *Node) Receive(now time.Duration, from string, message any) *Output {
+func (n *Gossiper) Receive(now time.Duration, from string, message any) *Output {
 	output := n.begin(now)
 	n.Members.RecordContact(now, from)
 	switch message := message.(type) {
@@ -166,7 +166,7 @@
 	return output
 }
 
-func (n *Node) handleUpdate(from string, update Update) {
+func (n *Gossiper) handleUpdate(from string, update Update) {
 	hops := update.Hops + 1
 	if update.View > n.view {
 		n.SetView(update.View, update.Primary)
@@ -180,7 +180,7 @@
 }
 
 // handleConfigUpdate applies a change that the update brings, and asks for a fetch where that is not possible.
-func (n *Node) handleConfigUpdate(from string, update Update, hops uint8) {
+func (n *Gossiper) handleConfigUpdate(from string, update Update, hops uint8) {
 	if update.Sequence <= n.Config.Sequence {
 		return
 	}
@@ -195,7 +195,7 @@
 
 // HandleFetchReply applies the reply to a fetch that was requested at a moment. It returns whether the configuration changed;
 // the error says why the reply can't be used.
-func (n *Node) HandleFetchReply(now, requestedAt time.Duration, reply FetchReply) (*Output, bool, error) {
+func (n *Gossiper) HandleFetchReply(now, requestedAt time.Duration, reply FetchReply) (*Output, bool, error) {
 	output := n.begin(now)
 	changed, err := n.Config.ApplyReply(reply)
 	if reply.Fresh {
@@ -209,7 +209,7 @@
 
 // Commit records a configuration that this router, as the primary, has acknowledged. change is the encoded change that led to
 // it; nil: others have to fetch the configuration.
-func (n *Node) Commit(now time.Duration, sequence uint64, table *config.Table, change []byte) *Output {
+func (n *Gossiper) Commit(now time.Duration, sequence uint64, table *config.Table, change []byte) *Output {
 	output := n.begin(now)
 	if n.Config.Table != nil && sequence <= n.Config.Sequence {
 		return output
@@ -220,7 +220,7 @@
 }
 
 // HandleEndpointHeartbeat applies an endpoint's own report; ok is false where it is older than what is known.
-func (n *Node) HandleEndpointHeartbeat(now time.Duration, report registry.Endpoint) (output *Output, ok bool) {
+func (n *Gossiper) HandleEndpointHeartbeat(now time.Duration, report registry.Endpoint) (output *Output, ok bool) {
 	output = n.begin(now)
 	changed, ok := n.Registry.ApplyHeartbeat(now, report)
 	n.disseminateEndpoints(changed, 0)
@@ -229,7 +229,7 @@
 
 // HandleEndpointLeave applies another router's report that an endpoint leaves. It is pushed also where this router knew of it:
 // those it was pushed to before may have missed it.
-func (n *Node) HandleEndpointLeave(now time.Duration, endpoint registry.Endpoint) *Output {
+func (n *Gossiper) HandleEndpointLeave(now time.Duration, endpoint registry.Endpoint) *Output {
 	output := n.begin(now)
 	changed, _ := n.Registry.Merge(now, n.options.Self.Address, []registry.Endpoint{endpoint})
 	if len(changed) == 0 {
@@ -242,14 +242,14 @@
 }
 
 // RestoreEndpoints adds endpoints that an earlier process of this router knew. Any report of their own replaces them.
-func (n *Node) RestoreEndpoints(now time.Duration, endpoints []registry.Endpoint) *Output {
+func (n *Gossiper) RestoreEndpoints(now time.Duration, endpoints []registry.Endpoint) *Output {
 	output := n.begin(now)
 	n.disseminateEndpoints(n.Registry.Restore(now, endpoints), 0)
 	return output
 }
 
 // Leave announces that this router shuts down.
-func (n *Node) Leave(now time.Duration) *Output {
+func (n *Gossiper) Leave(now time.Duration) *Output {
 	output := n.begin(now)
 	n.memberUpdates.push(n, []membership.Member{n.Members.Leave()}, 0)
 	return output
--- a/internal/fleet/dissemination/node_test.go
+++ b/internal/fleet/dissemination/node_test.go
@@ -16,7 +16,7 @@
 // fleet is a number of nodes on one simulated clock. Messages arrive after a millisecond unless they are lost or partitioned off.
 type fleet struct {
 	now         time.Duration
-	nodes       map[string]*Node
+	nodes       map[string]*Gossiper
 	order       []string // of the steps
 	inFlight    []delivery
 	partitioned func(from, to string) bool
@@ -34,7 +34,7 @@
 func address(i int) string { return fmt.Sprintf("10.0.0.%d:1", i) }
 
 func newFleet(size, cores int) *fleet {
-	f := &fleet{nodes: map[string]*Node{}, rng: rand.New(rand.NewPCG(5, 5))}
+	f := &fleet{nodes: map[string]*Gossiper{}, rng: rand.New(rand.NewPCG(5, 5))}
 	for i := range size {
 		f.nodes[address(i)] = New(0, Options{
 			Self:  membership.Member{Address: address(i), Zone: "z", Core: i < cores, BootID: uint64(i) + 1},
--- a/internal/fleet/dissemination/pull.go
+++ b/internal/fleet/dissemination/pull.go
@@ -29,21 +29,21 @@
 	sentAt time.Duration
 }
 
-func (n *Node) pullInterval() time.Duration {
+func (n *Gossiper) pullInterval() time.Duration {
 	if _, confirmed := n.Config.ConfirmedAt(); !confirmed {
 		return min(PullInterval, initialPullInterval*time.Duration(max(1, n.Members.LiveCount()/maxDirectPeers)))
 	}
 	return PullInterval*9/10 + time.Duration(n.options.Random.Int64N(int64(PullInterval/5)))
 }
 
-func (n *Node) isAlive(address string) bool {
+func (n *Gossiper) isAlive(address string) bool {
 	m, known := n.Members.Lookup(address)
 	return known && m.Status == membership.Alive
 }
 
 // mayReceiveHeartbeats returns a function that reports whether a router may still receive its endpoints' heartbeats: it is
 // alive, or ended less than a timeout ago, so that the endpoints have had no time to find another router.
-func (n *Node) mayReceiveHeartbeats(timeout time.Duration) func(address string) bool {
+func (n *Gossiper) mayReceiveHeartbeats(timeout time.Duration) func(address string) bool {
 	return func(address string) bool {
 		endedAt, ended := n.Members.EndedAt(address)
 		return n.isAlive(address) || ended && n.now-endedAt < timeout
@@ -51,7 +51,7 @@
 }
 
 // pull asks one router for updates.
-func (n *Node) pull() {
+func (n *Gossiper) pull() {
 	to := n.choosePullPeer()
 	if to == "" {
 		return
@@ -67,7 +67,7 @@
 
 // choosePullPeer alternates between the core, where the configuration was confirmed last, and all live routers; now and then it
 // chooses a router that may have recovered. Empty: there is none.
-func (n *Node) choosePullPeer() string {
+func (n *Gossiper) choosePullPeer() string {
 	live := n.Members.LiveAddresses()
 	if len(live) == 0 || n.options.Random.IntN(recoveryPullOdds) == 0 {
 		if candidate := n.pickRandom(n.recoveryCandidates()); candidate != "" {
@@ -84,7 +84,7 @@
 }
 
 // recoveryCandidates are routers that may be alive though this one does not know it: seeds, and members thought dead.
-func (n *Node) recoveryCandidates() []string {
+func (n *Gossiper) recoveryCandidates() []string {
 	var candidates []string
 	for _, seed := range n.seeds {
 		if seed != n.options.Self.Address && !n.isAlive(seed) {
@@ -99,14 +99,14 @@
 	return candidates
 }
 
-func (n *Node) pickRandom(addresses []string) string {
+func (n *Gossiper) pickRandom(addresses []string) string {
 	if len(addresses) == 0 {
 		return ""
 	}
 	return addresses[n.options.Random.IntN(len(addresses))]
 }
 
-func (n *Node) handlePull(from string, pull Pull) {
+func (n *Gossiper) handlePull(from string, pull Pull) {
 	if pull.Self.Address == from {
 		n.disseminateMembers(n.Members.Merge(n.now, []membership.Member{pull.Self}), 0)
 	}
@@ -129,7 +129,7 @@
 
 // handlePullReply confirms the configuration. Its age counts from when the pull was sent, so that a delayed reply never makes
 // the confirmation look newer than it is.
-func (n *Node) handlePullReply(from string, reply PullReply) {
+func (n *Gossiper) handlePullReply(from string, reply PullReply) {
 	n.SetView(reply.View, reply.Primary)
 	pull, pending := n.pendingPulls[reply.Round]
 	if !pending || pull.to != from {
--- a/internal/fleet/dissemination/push.go
+++ b/internal/fleet/dissemination/push.go
@@ -18,7 +18,7 @@
 )
 
 // pushTargets are the routers that an update is sent to that has been forwarded so often.
-func (n *Node) pushTargets(hops uint8) []string {
+func (n *Gossiper) pushTargets(hops uint8) []string {
 	live := n.Members.LiveAddresses()
 	switch {
 	case len(live) <= maxDirectPeers && hops > 0, hops >= maxHops:
@@ -30,11 +30,11 @@
 	return live[:fanout]
 }
 
-func (n *Node) disseminateView(hops uint8) {
+func (n *Gossiper) disseminateView(hops uint8) {
 	n.push(Update{View: n.view, Primary: n.primary, Hops: hops})
 }
 
-func (n *Node) disseminateChange(sequence uint64, change []byte, hops uint8) {
+func (n *Gossiper) disseminateChange(sequence uint64, change []byte, hops uint8) {
 	if len(change) > maxInlineChangeBytes {
 		change = nil
 	}
@@ -42,22 +42,22 @@
 }
 
 // push sends one update at once.
-func (n *Node) push(update Update) {
+func (n *Gossiper) push(update Update) {
 	for _, to := range n.pushTargets(update.Hops) {
 		n.send(to, update)
 	}
 }
 
-func (n *Node) disseminateMembers(members []membership.Member, hops uint8) {
+func (n *Gossiper) disseminateMembers(members []membership.Member, hops uint8) {
 	n.memberUpdates.disseminate(n, members, hops)
 }
 
-func (n *Node) disseminateEndpoints(endpoints []registry.Endpoint, hops uint8) {
+func (n *Gossiper) disseminateEndpoints(endpoints []registry.Endpoint, hops uint8) {
 	n.endpointUpdates.disseminate(n, endpoints, hops)
 }
 
 // flushQueues sends what has been queued since the last tick.
-func (n *Node) flushQueues() {
+func (n *Gossiper) flushQueues() {
 	for hops := range uint8(maxHops + 1) {
 		n.memberUpdates.flush(n, hops)
 		n.endpointUpdates.flush(n, hops)
@@ -84,7 +84,7 @@
 }
 
 // disseminate pushes or queues items; those that have been forwarded too often are dropped.
-func (q *updateQueue[T]) disseminate(n *Node, items []T, hops uint8) {
+func (q *updateQueue[T]) disseminate(n *Gossiper, items []T, hops uint8) {
 	switch {
 	case len(items) == 0 || hops > maxHops:
 	case n.Members.LiveCount() > maxDirectPeers:
@@ -95,21 +95,21 @@
 }
 
 // push sends items to all push targets at once.
-func (q *updateQueue[T]) push(n *Node, items []T, hops uint8) {
+func (q *updateQueue[T]) push(n *Gossiper, items []T, hops uint8) {
 	for _, to := range n.pushTargets(hops) {
 		q.send(n, to, items, hops)
 	}
 }
 
 // send sends items to one router.
-func (q *updateQueue[T]) send(n *Node, to string, items []T, hops uint8) {
+func (q *updateQueue[T]) send(n *Gossiper, to string, items []T, hops uint8) {
 	for chunk := range slices.Chunk(items, maxItemsPerUpdate) {
 		n.send(to, q.update(chunk, hops))
 	}
 }
 
 // flush pushes the items that are queued for a number of hops.
-func (q *updateQueue[T]) flush(n *Node, hops uint8) {
+func (q *updateQueue[T]) flush(n *Gossiper, hops uint8) {
 	items := q.queued[hops]
 	q.queued[hops] = nil
 	if len(items) > 0 {
--- a/internal/fleet/placement/draw.go
+++ b/internal/fleet/placement/draw.go
@@ -52,7 +52,7 @@
 	context := s.newDrawContext(now, call)
 	for tier := range tierCount {
 		for i, e := range s.endpoints {
-			if e.removed || row[i] <= 0 || slices.Contains(call.Exclude, e.ID) {
+			if e.suspended || row[i] <= 0 || slices.Contains(call.Exclude, e.ID) {
 				continue
 			}
 			if s.tier(now, call, e) == tier {
--- a/internal/fleet/placement/endpoint.go
+++ b/internal/fleet/placement/endpoint.go
@@ -11,16 +11,16 @@
 	registry.Endpoint
 	Number uint32 // assigned by this router, never used again
 
-	hash     uint64 // of the id
-	queue    queue
-	prefixes prefixCache
-	streams  streamSet
-	prefills recentPrefills
-	slowness slowness
-	delay    delayModel
-	sendRate rateMeter
-	removed  bool
-	inFlight int
+	hash      uint64 // of the id
+	queue     queue
+	prefixes  prefixCache
+	streams   streamSet
+	prefills  recentPrefills
+	slowness  slowness
+	delay     delayModel
+	sendRate  rateMeter
+	suspended bool
+	inFlight  int
 
 	failureShare        float64         // of this router's calls
 	faults              failureEvidence // of all routers: failures and overdue answers
--- a/internal/fleet/placement/golden_test.go
+++ b/internal/fleet/placement/golden_test.go
@@ -207,7 +207,7 @@
 	case 500:
 		g.setEndpoints(12)
 	case 900:
-		for _, e := range g.routers[0].Remove([]string{"e01", "e02", "unknown"}) {
+		for _, e := range g.routers[0].Suspend([]string{"e01", "e02", "unknown"}) {
 			g.record(e.ID)
 		}
 		g.routers[0].SetRouters(0)
@@ -234,7 +234,7 @@
 // recordState adds what the routers show and export.
 func (g *golden) recordState() {
 	for _, p := range g.routers {
-		g.record(p.ReadyCount("llm"), p.ReadyCount("none"), len(p.Endpoints("plain")))
+		g.record(p.EndpointCount("llm"), p.EndpointCount("none"), len(p.Endpoints("plain")))
 		state := p.ExportLearned(g.now)
 		slices.SortFunc(state.Models, func(a, b LatencyModel) int { return cmp.Compare(a.Service, b.Service) })
 		slices.SortFunc(state.Prefixes, func(a, b CachedPrefix) int {
--- a/internal/fleet/placement/placer.go
+++ b/internal/fleet/placement/placer.go
@@ -34,7 +34,7 @@
 	present := map[string]bool{}
 	for _, reported := range ready {
 		e := p.byID[reported.ID]
-		if e == nil || e.removed || e.Address != reported.Address {
+		if e == nil || e.suspended || e.Address != reported.Address {
 			e = p.newEndpoint(reported.ID)
 			added = append(added, e)
 		}
@@ -44,7 +44,7 @@
 	}
 	for id, e := range p.byID {
 		if !present[id] {
-			e.removed = true
+			e.suspended = true
 			removed = append(removed, e)
 			delete(p.byID, id)
 			delete(p.byName, e.Name())
@@ -68,21 +68,21 @@
 	return e
 }
 
-// Remove keeps calls away from endpoints until SetEndpoints lists them again: it marks them, and the next SetEndpoints drops them or, where
+// Suspend keeps calls away from endpoints until SetEndpoints lists them again: it marks them, and the next SetEndpoints drops them or, where
 // they are listed, makes new ones. It returns those that were known.
-func (p *Placer) Remove(ids []string) []*Endpoint {
+func (p *Placer) Suspend(ids []string) []*Endpoint {
 	var removed []*Endpoint
 	for _, id := range ids {
 		if e := p.byID[id]; e != nil {
-			e.removed = true
+			e.suspended = true
 			removed = append(removed, e)
 		}
 	}
 	return removed
 }
 
-// ReadyCount returns how many endpoints of a service were listed last.
-func (p *Placer) ReadyCount(service string) int { return len(p.Endpoints(service)) }
+// EndpointCount returns how many endpoints of a service were listed last.
+func (p *Placer) EndpointCount(service string) int { return len(p.Endpoints(service)) }
 
 // Endpoints returns the endpoints of a service that were listed last. The slice belongs to the placer.
 func (p *Placer) Endpoints(service string) []*Endpoint {
--- a/internal/fleet/placement/placer_test.go
+++ b/internal/fleet/placement/placer_test.go
@@ -101,7 +101,7 @@
 		})
 		Convey("get no call once they are removed", func() {
 			home := p.Place(0, call(42, 100)).Endpoint
-			p.Remove([]string{home.ID, "unknown"})
+			p.Suspend([]string{home.ID, "unknown"})
 			for range 50 {
 				So(p.Place(0, call(42, 100)).Endpoint, ShouldNotEqual, home)
 			}
--- a/internal/fleet/placement/status.go
+++ b/internal/fleet/placement/status.go
@@ -13,8 +13,8 @@
 	Share    float64 `json:"share"`
 }
 
-// TableView is a table in the status that operators see.
-type TableView struct {
+// TableStatus is a table in the status that operators see.
+type TableStatus struct {
 	Service      string               `json:"service"`
 	TargetMs     int64                `json:"targetMs"`
 	Rows         [bucketCount][]Share `json:"rows"`
@@ -23,11 +23,11 @@
 }
 
 // Tables returns all tables, ordered by service and target.
-func (p *Placer) Tables() []TableView {
-	var views []TableView
+func (p *Placer) Tables() []TableStatus {
+	var views []TableStatus
 	for name, s := range p.services {
 		for target, t := range s.tables {
-			v := TableView{Service: name, TargetMs: target.Milliseconds(), PayoffBefore: t.payoffBefore, PayoffAfter: t.payoffAfter}
+			v := TableStatus{Service: name, TargetMs: target.Milliseconds(), PayoffBefore: t.payoffBefore, PayoffAfter: t.payoffAfter}
 			for k, row := range t.rows {
 				for i, share := range row {
 					v.Rows[k] = append(v.Rows[k], Share{Endpoint: s.endpoints[i].ID, Share: share})
@@ -36,22 +36,22 @@
 			views = append(views, v)
 		}
 	}
-	slices.SortFunc(views, func(a, b TableView) int {
+	slices.SortFunc(views, func(a, b TableStatus) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.TargetMs, b.TargetMs))
 	})
 	return views
 }
 
-// SizeView compares expected and actual times to first token since the start, for calls of a class of prefilled units.
-type SizeView struct {
+// SizeStatus compares expected and actual times to first token since the start, for calls of a class of prefilled units.
+type SizeStatus struct {
 	UnitsBelow float64 `json:"unitsBelow,omitempty"` // 0: no bound
 	Calls      float64 `json:"calls"`
 	ExpectedMs float64 `json:"expectedMs"` // mean
 	ActualMs   float64 `json:"actualMs"`   // mean
 }
 
-// EndpointView is what this router assumes of an endpoint.
-type EndpointView struct {
+// EndpointStatus is what this router assumes of an endpoint.
+type EndpointStatus struct {
 	Endpoint  string  `json:"endpoint"`
 	WaitMs    float64 `json:"waitMs"`    // of a call of the least urgent priority
 	Streams   int     `json:"streams"`   // that probably run there
@@ -61,30 +61,30 @@
 	Ejected   bool    `json:"ejected,omitempty"`
 }
 
-// ServiceView is what this router has learned of a service's endpoints.
-type ServiceView struct {
-	Service     string         `json:"service"`
-	FirstMs     float64        `json:"firstMs"`     // to a first token without prefill
-	UnitUs      float64        `json:"unitUs"`      // more a unit
-	PairMs      float64        `json:"pairMs"`      // more a million pairs of units
-	PauseShare  float64        `json:"pauseShare"`  // of a prefill's time, the stall of streams beside it
-	FirstTokens []SizeView     `json:"firstTokens"` // by prefilled units
-	Endpoints   []EndpointView `json:"endpoints"`
+// ServiceStatus is what this router has learned of a service's endpoints.
+type ServiceStatus struct {
+	Service     string           `json:"service"`
+	FirstMs     float64          `json:"firstMs"`     // to a first token without prefill
+	UnitUs      float64          `json:"unitUs"`      // more a unit
+	PairMs      float64          `json:"pairMs"`      // more a million pairs of units
+	PauseShare  float64          `json:"pauseShare"`  // of a prefill's time, the stall of streams beside it
+	FirstTokens []SizeStatus     `json:"firstTokens"` // by prefilled units
+	Endpoints   []EndpointStatus `json:"endpoints"`
 }
 
 // Services returns what this router has learned of all services' endpoints, ordered by service.
-func (p *Placer) Services(now time.Duration) []ServiceView {
-	var views []ServiceView
+func (p *Placer) Services(now time.Duration) []ServiceStatus {
+	var views []ServiceStatus
 	for name, s := range p.services {
 		views = append(views, s.view(now, name))
 	}
-	slices.SortFunc(views, func(a, b ServiceView) int { return cmp.Compare(a.Service, b.Service) })
+	slices.SortFunc(views, func(a, b ServiceStatus) int { return cmp.Compare(a.Service, b.Service) })
 	return views
 }
 
-func (s *service) view(now time.Duration, name string) ServiceView {
+func (s *service) view(now time.Duration, name string) ServiceStatus {
 	line := s.prefill.line()
-	v := ServiceView{
+	v := ServiceStatus{
 		Service: name, FirstMs: tenths(line.base * 1e3), UnitUs: tenths(line.perUnit * 1e6), PairMs: line.perPair * 1e3,
 		PauseShare: s.stalls.share(), FirstTokens: s.accuracy.views(),
 	}
@@ -94,10 +94,10 @@
 	return v
 }
 
-func (a *accuracy) views() []SizeView {
-	var views []SizeView
+func (a *accuracy) views() []SizeStatus {
+	var views []SizeStatus
 	for class, seen := range a {
-		v := SizeView{Calls: seen.calls}
+		v := SizeStatus{Calls: seen.calls}
 		if class < len(accuracyBounds) {
 			v.UnitsBelow = accuracyBounds[class]
 		}
@@ -110,9 +110,9 @@
 	return views
 }
 
-func (e *Endpoint) view(now time.Duration, callRate float64) EndpointView {
+func (e *Endpoint) view(now time.Duration, callRate float64) EndpointStatus {
 	e.queue.drain(now)
-	return EndpointView{
+	return EndpointStatus{
 		Endpoint: e.ID, WaitMs: tenths(e.queue.waitFor(priorityLevels-1) * 1e3), Streams: len(e.streams.running), Kept: len(e.prefixes),
 		Slowness: tenths(e.slowness.factor(now)), FailShare: e.faults.share(now, callRate), Ejected: now < e.ejectedUntil,
 	}
--- a/internal/fleet/placement/status_test.go
+++ b/internal/fleet/placement/status_test.go
@@ -26,6 +26,6 @@
 		p.RecordFirstToken(0, placed, 250*time.Millisecond)
 		sizes := p.Services(0)[0].FirstTokens
 		So(sizes[0].Calls, ShouldEqual, 0)
-		So(sizes[2], ShouldResemble, SizeView{UnitsBelow: 16000, Calls: 1, ExpectedMs: tenths(placed.Expected.Seconds() * 1e3), ActualMs: 250})
+		So(sizes[2], ShouldResemble, SizeStatus{UnitsBelow: 16000, Calls: 1, ExpectedMs: tenths(placed.Expected.Seconds() * 1e3), ActualMs: 250})
 	})
 }
--- a/internal/fleet/proxy/admission.go
+++ b/internal/fleet/proxy/admission.go
@@ -44,11 +44,11 @@
 
 // apiKeyValid reports whether the configuration is fresh enough to accept the request's API key.
 func (s *Server) apiKeyValid(q *request) bool {
-	if q.tenant == nil || s.options.KeyLease == 0 {
+	if q.tenant == nil || s.options.MaxConfigAge == 0 {
 		return true
 	}
-	_, age := s.delegate.Table()
-	return age < s.options.KeyLease
+	_, age := s.delegate.ActiveConfig()
+	return age < s.options.MaxConfigAge
 }
 
 // charge charges the request to its tenant's quota. Where that is exhausted, wait is when the client may retry.
--- a/internal/fleet/proxy/dispatcher.go
+++ b/internal/fleet/proxy/dispatcher.go
@@ -69,12 +69,12 @@
 	d.removeConnections(removed)
 }
 
-// Remove keeps requests away from endpoints from now on, also those that wait for a connection, until SetEndpoints lists them
+// Suspend keeps requests away from endpoints from now on, also those that wait for a connection, until SetEndpoints lists them
 // again.
-func (d *Dispatcher) Remove(ids []string) {
+func (d *Dispatcher) Suspend(ids []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.removeConnections(d.placer.Remove(ids))
+	d.removeConnections(d.placer.Suspend(ids))
 }
 
 func (d *Dispatcher) removeConnections(endpoints []*placement.Endpoint) {
@@ -83,23 +83,23 @@
 	}
 }
 
-// ReadyCount returns how many endpoints of a service were listed last, by SetEndpoints. Ejected ones, and those that Remove has named since,
+// EndpointCount returns how many endpoints of a service were listed last, by SetEndpoints. Ejected ones, and those that Remove has named since,
 // are counted.
-func (d *Dispatcher) ReadyCount(service string) int {
+func (d *Dispatcher) EndpointCount(service string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.placer.ReadyCount(service)
+	return d.placer.EndpointCount(service)
 }
 
 // Tables returns the placement's tables, for the status.
-func (d *Dispatcher) Tables() []placement.TableView {
+func (d *Dispatcher) Tables() []placement.TableStatus {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.placer.Tables()
 }
 
 // Services returns what has been learned of the endpoints, for the status.
-func (d *Dispatcher) Services() []placement.ServiceView {
+func (d *Dispatcher) Services() []placement.ServiceStatus {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.placer.Services(d.clock())
--- a/internal/fleet/proxy/fake_endpoint_test.go
+++ b/internal/fleet/proxy/fake_endpoint_test.go
@@ -146,7 +146,7 @@
 	refunded float64
 }
 
-func (c *fakeDelegate) Table() (*config.Table, time.Duration) { return c.table, c.age }
+func (c *fakeDelegate) ActiveConfig() (*config.Table, time.Duration) { return c.table, c.age }
 func (c *fakeDelegate) Charge(_ context.Context, _ *config.Tenant, units float64) (bool, time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -205,7 +205,7 @@
 	d := NewDispatcher(func() time.Duration { return time.Since(start) }, retry.Settings{Ratio: 0.2, Slack: 400}, 64)
 	d.SetEndpoints(ready)
 	r := &testProxy{delegate: &fakeDelegate{table: table}}
-	r.proxy = NewServer(r.delegate, d, Options{KeyLease: 4 * time.Second, Stale: time.Second})
+	r.proxy = NewServer(r.delegate, d, Options{MaxConfigAge: 4 * time.Second, Stale: time.Second})
 	r.listener = httptest.NewServer(r.proxy)
 	t.Cleanup(r.listener.Close)
 	r.url = r.listener.URL
--- a/internal/fleet/proxy/first_token.go
+++ b/internal/fleet/proxy/first_token.go
@@ -55,7 +55,7 @@
 func (f *forwarding) canReroute() bool {
 	q := f.request
 	return q.route.Idempotent() && !f.response.headSent && !f.isLastAttempt() &&
-		f.server.dispatcher.ReadyCount(q.service) > len(f.tried) && time.Until(q.deadline) > minOverdue+minTimeToReroute
+		f.server.dispatcher.EndpointCount(q.service) > len(f.tried) && time.Until(q.deadline) > minOverdue+minTimeToReroute
 }
 
 // abandon gives the attempt up, with a retry taken out of the budget for the next one. It reports whether it could.
--- a/internal/fleet/proxy/server.go
+++ b/internal/fleet/proxy/server.go
@@ -13,8 +13,8 @@
 
 // Delegate is what the proxy needs of the rest of the router. Its methods are called by all requests' goroutines.
 type Delegate interface {
-	// Table returns the configuration in force, nil where there is none, and how long ago it was surely the newest.
-	Table() (table *config.Table, age time.Duration)
+	// ActiveConfig returns the configuration in force, nil where there is none, and how long ago it was surely the newest.
+	ActiveConfig() (table *config.Table, age time.Duration)
 	// Charge takes units out of a tenant's quota. Where ok is false, nothing was taken and wait is when the client may retry.
 	Charge(ctx context.Context, tenant *config.Tenant, units float64) (ok bool, wait time.Duration)
 	// Refund gives back the units of a request that has not run and never will.
@@ -23,8 +23,8 @@
 
 // Options are bounds on the age of the configuration.
 type Options struct {
-	KeyLease time.Duration // age beyond which API keys are not accepted; 0: no bound
-	Stale    time.Duration // age beyond which a request without a route or a valid key gets 503 and not a denial
+	MaxConfigAge time.Duration // age beyond which API keys are not accepted; 0: no bound
+	Stale        time.Duration // age beyond which a request without a route or a valid key gets 503 and not a denial
 }
 
 // Server answers clients. It implements [http.Handler].
@@ -98,8 +98,8 @@
 // awaitTable returns the configuration in force and its age. It waits for one that may be used, up to maxStartupWait.
 func (s *Server) awaitTable(ctx context.Context) (*config.Table, time.Duration) {
 	for until := time.Now().Add(maxStartupWait); ; {
-		table, age := s.delegate.Table()
-		usable := table != nil && table.Version != 0 && (s.options.KeyLease == 0 || age < s.options.KeyLease)
+		table, age := s.delegate.ActiveConfig()
+		usable := table != nil && table.Version != 0 && (s.options.MaxConfigAge == 0 || age < s.options.MaxConfigAge)
 		if usable || time.Now().After(until) || ctx.Err() != nil {
 			return table, age
 		}
--- a/internal/fleet/router/delegate.go
+++ b/internal/fleet/router/delegate.go
@@ -11,8 +11,8 @@
 
 // What the proxy and the control API ask of the router: proxy.Delegate and control.Delegate.
 
-// Table returns the active configuration, nil where none has been received, and the time since it was last confirmed to be the newest.
-func (r *Router) Table() (*config.Table, time.Duration) { return r.config.load() }
+// ActiveConfig returns the active configuration, nil where none has been received, and the time since it was last confirmed to be the newest.
+func (r *Router) ActiveConfig() (*config.Table, time.Duration) { return r.config.load() }
 
 // Charge takes units out of a tenant's quota. Where that is rejected, the duration is the time until a retry makes sense.
 func (r *Router) Charge(ctx context.Context, tenant *config.Tenant, units float64) (bool, time.Duration) {
--- a/internal/fleet/router/gossip.go
+++ b/internal/fleet/router/gossip.go
@@ -30,7 +30,7 @@
 	// mu guards what follows, and the leaseholders. A goroutine that holds it may take the allocator's lock and the dispatcher's; one
 	// that holds the quota client's lock may take mu. It is held while the dispatcher is changed, so that changes keep their order.
 	mu                     sync.Mutex
-	node                   *dissemination.Node
+	node                   *dissemination.Gossiper
 	fetches                fetchLimiter
 	appliedRegistryVersion uint64        // of the endpoints that the dispatcher has
 	nextEndpointRefresh    time.Duration // earliest time of the next refresh
@@ -101,7 +101,7 @@
 func (g *gossip) publish() {
 	g.config.update(&g.node.Config)
 	if ended := g.node.Registry.TakeEnded(); len(ended) > 0 {
-		g.dispatcher.Remove(ended)
+		g.dispatcher.Suspend(ended)
 	}
 }
 
--- a/internal/fleet/router/leaseholders_test.go
+++ b/internal/fleet/router/leaseholders_test.go
@@ -34,13 +34,13 @@
 	activatedAt := r.clock()
 	r.gossip.mu.Lock()
 	defer r.gossip.mu.Unlock()
-	r.allocator.mu.Lock()
-	defer r.allocator.mu.Unlock()
-	r.allocator.allocations.Activate(activatedAt, 5, false, quotaTestWindow)
+	r.allocatorServer.mu.Lock()
+	defer r.allocatorServer.mu.Unlock()
+	r.allocatorServer.allocations.Activate(activatedAt, 5, false, quotaTestWindow)
 	for _, address := range announced {
-		r.allocator.recordAnnouncement(address)
+		r.allocatorServer.recordAnnouncement(address)
 	}
-	granted, _ := r.allocator.allocations.Grant(activatedAt+elapsed, t, 1, 1e9)
+	granted, _ := r.allocatorServer.allocations.Grant(activatedAt+elapsed, t, 1, 1e9)
 	return granted / t.RatePerS
 }
 
@@ -96,8 +96,8 @@
 		primary := leaseTestRouter("", 10*time.Second, false)
 		_, complete := primary.leaseholders.possible()
 		So(complete, ShouldBeFalse)
-		primary.allocator.allocations.Activate(primary.clock()-quota.LeaseDuration-time.Second, 5, false, quotaTestWindow)
-		primary.allocator.recordAnnouncement("10.0.0.2:0")
+		primary.allocatorServer.allocations.Activate(primary.clock()-quota.LeaseDuration-time.Second, 5, false, quotaTestWindow)
+		primary.allocatorServer.recordAnnouncement("10.0.0.2:0")
 		all, complete := primary.leaseholders.possible()
 		So(complete, ShouldBeTrue)
 		So(all, ShouldResemble, []string{primary.settings.InternalAddress(), "10.0.0.2:0"})
--- a/internal/fleet/router/messages.go
+++ b/internal/fleet/router/messages.go
@@ -67,11 +67,11 @@
 	case kindAnnouncement, kindAnnouncementRelay, kindAnnouncementZoneRelay:
 		err = r.receiveAnnouncements(p)
 	case kindQuotaRequest:
-		err = r.allocator.receiveRequest(p)
+		err = r.allocatorServer.receiveRequest(p)
 	case kindQuotaGrant:
 		err = r.quota.receiveGrant(p)
 	case kindLeaseRenewal:
-		err = r.allocator.receiveRenewal(p)
+		err = r.allocatorServer.receiveRenewal(p)
 	case kindLeaseRenewalReply:
 		err = r.quota.receiveRenewalReply(p)
 	}
--- a/internal/fleet/router/messages_test.go
+++ b/internal/fleet/router/messages_test.go
@@ -60,7 +60,7 @@
 func TestStatusFormat(t *testing.T) {
 	Convey("The status has the same fields in JSON as before", t, func() {
 		encoded, err := json.Marshal(Status{
-			Endpoints: []registry.Endpoint{{ID: "e"}}, Tables: []placement.TableView{{}}, Services: []placement.ServiceView{{}},
+			Endpoints: []registry.Endpoint{{ID: "e"}}, Tables: []placement.TableStatus{{}}, Services: []placement.ServiceStatus{{}},
 			Replica: &ReplicaStatus{View: replication.View{}},
 		})
 		So(err, ShouldBeNil)
--- a/internal/fleet/router/quota_allocator.go
+++ b/internal/fleet/router/quota_allocator.go
@@ -17,9 +17,9 @@
 // which witnesses take part in the election of another primary, so that two allocators are never active at once.
 const maxLeadershipAge = 600 * time.Millisecond
 
-// allocatorService is this router's allocator, which grants credit and leases shares to all routers while this router is the primary.
+// allocatorServer is this router's allocator, which grants credit and leases shares to all routers while this router is the primary.
 // Its methods may be called by any goroutine, without the gossip's lock unless they say so.
-type allocatorService struct {
+type allocatorServer struct {
 	*environment
 	gossip       *gossip
 	config       *activeConfig
@@ -32,8 +32,8 @@
 	activeSince   time.Duration // when that became active
 }
 
-func newAllocatorService(e *environment, g *gossip, c *activeConfig, l *leaseholderList) *allocatorService {
-	return &allocatorService{
+func newAllocatorServer(e *environment, g *gossip, c *activeConfig, l *leaseholderList) *allocatorServer {
+	return &allocatorServer{
 		environment: e, gossip: g, config: c, leaseholders: l, allocations: quota.NewAllocator(quotaSettings(e.settings)),
 	}
 }
@@ -43,14 +43,14 @@
 }
 
 // setRouters records how many routers are alive.
-func (a *allocatorService) setRouters(routers int) {
+func (a *allocatorServer) setRouters(routers int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.allocations.SetRouters(routers)
 }
 
 // activeTable is the configuration by which this router's allocator acts; nil: the allocator is not active.
-func (a *allocatorService) activeTable() *config.Table {
+func (a *allocatorServer) activeTable() *config.Table {
 	if a.replica == nil || a.draining.Load() { // a router that drains has resigned
 		return nil
 	}
@@ -63,7 +63,7 @@
 }
 
 // grant grants credit of a tenant's quota; false: the allocator is not active, or does not know the tenant.
-func (a *allocatorService) grant(tenant string, least, want float64) (quotaGrant, bool) {
+func (a *allocatorServer) grant(tenant string, least, want float64) (quotaGrant, bool) {
 	table := a.activeTable()
 	if table == nil {
 		return quotaGrant{}, false
@@ -79,7 +79,7 @@
 }
 
 // receiveRequest answers a router's request for credit, or forwards it to the primary. A retry gets the reply of the first attempt.
-func (a *allocatorService) receiveRequest(p *transport.Packet) error {
+func (a *allocatorServer) receiveRequest(p *transport.Packet) error {
 	var request quotaRequest
 	if err := cbor.Unmarshal(p.Body, &request); err != nil {
 		return err
@@ -100,7 +100,7 @@
 }
 
 // receiveRenewal answers a router's renewal of its lease, or forwards it to the primary.
-func (a *allocatorService) receiveRenewal(p *transport.Packet) error {
+func (a *allocatorServer) receiveRenewal(p *transport.Packet) error {
 	var renewal leaseRenewal
 	if err := cbor.Unmarshal(p.Body, &renewal); err != nil {
 		return err
@@ -116,7 +116,7 @@
 }
 
 // forwardToPrimary forwards a message of a router that does not reach the primary. One that has been forwarded before is dropped.
-func (a *allocatorService) forwardToPrimary(p *transport.Packet, origin string, kind transport.Kind, message any) {
+func (a *allocatorServer) forwardToPrimary(p *transport.Packet, origin string, kind transport.Kind, message any) {
 	if origin != p.From {
 		return
 	}
@@ -126,7 +126,7 @@
 }
 
 // renew renews a router's lease; false: the allocator is not active.
-func (a *allocatorService) renew(from string, renewal *leaseRenewal) (leaseRenewalReply, bool) {
+func (a *allocatorServer) renew(from string, renewal *leaseRenewal) (leaseRenewalReply, bool) {
 	table := a.activeTable()
 	if table == nil {
 		return leaseRenewalReply{}, false
@@ -151,7 +151,7 @@
 }
 
 // recordAnnouncement records that a router has renewed all that it holds. The caller holds the gossip's lock and the allocator's.
-func (a *allocatorService) recordAnnouncement(from string) {
+func (a *allocatorServer) recordAnnouncement(from string) {
 	if !a.allocations.AwaitsAnnouncements(a.clock()) {
 		a.leaseholders.recordHolder(from)
 		return
@@ -164,7 +164,7 @@
 
 // handleViewChange records whose allocator is active in a new view, and activates this router's where it is the primary. now is the
 // time of the view change.
-func (a *allocatorService) handleViewChange(now time.Duration, view replication.View) {
+func (a *allocatorServer) handleViewChange(now time.Duration, view replication.View) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	formerActiveFor := a.setActive(view.Primary.Address)
@@ -176,7 +176,7 @@
 // setActive records whose allocator is active from now on, and returns how long the former one has been. For the first one that a
 // process learns of, which may be one that its disk names, that is not known: it counts as a complete window. The caller holds the
 // lock.
-func (a *allocatorService) setActive(address string) (formerActiveFor time.Duration) {
+func (a *allocatorServer) setActive(address string) (formerActiveFor time.Duration) {
 	now := a.clock()
 	if a.activeAddress == "" {
 		a.activeAddress, a.activeSince = address, now-quotaSettings(a.settings).Window
--- a/internal/fleet/router/quota_client.go
+++ b/internal/fleet/router/quota_client.go
@@ -28,7 +28,7 @@
 type quotaClient struct {
 	*environment
 	gossip       *gossip
-	allocator    *allocatorService
+	allocator    *allocatorServer
 	leaseholders *leaseholderList
 
 	mu               sync.Mutex // guards what follows; the gossip's lock may be taken while it is held
@@ -47,7 +47,7 @@
 	view        uint64 // of the primary that it was sent to
 }
 
-func newQuotaClient(e *environment, g *gossip, a *allocatorService, l *leaseholderList) *quotaClient {
+func newQuotaClient(e *environment, g *gossip, a *allocatorServer, l *leaseholderList) *quotaClient {
 	c := &quotaClient{
 		environment: e, gossip: g, allocator: a, leaseholders: l,
 		local: quota.NewLocalQuota(quotaSettings(e.settings)), pending: map[uint64]chan quotaGrant{}, lastRequest: rand.Uint64(),
--- a/internal/fleet/router/readiness.go
+++ b/internal/fleet/router/readiness.go
@@ -13,15 +13,15 @@
 // confirmed since the start and within unconfirmedAge, with strict revocation also so lately that keys may be used, and an endpoint of a
 // configured service is ready. Ejected endpoints count.
 func (r *Router) isReady() bool {
-	table, age := r.Table()
+	table, age := r.ActiveConfig()
 	if r.draining.Load() || table == nil || table.Version == 0 || age >= unconfirmedAge {
 		return false
 	}
-	if lease := proxyOptions(r.settings).KeyLease; lease > 0 && age > lease {
+	if lease := proxyOptions(r.settings).MaxConfigAge; lease > 0 && age > lease {
 		return false
 	}
 	for _, service := range table.Services() {
-		if r.dispatcher.ReadyCount(service) > 0 {
+		if r.dispatcher.EndpointCount(service) > 0 {
 			return true
 		}
 	}
--- a/internal/fleet/router/replica.go
+++ b/internal/fleet/router/replica.go
@@ -73,11 +73,11 @@
 		r.gossip.mu.Lock()
 		defer r.gossip.mu.Unlock()
 		r.gossip.node.SetView(view.Number, view.Primary.Address)
-		r.allocator.handleViewChange(r.clock(), view)
+		r.allocatorServer.handleViewChange(r.clock(), view)
 		return
 	}
 	r.gossip.step(func(now time.Duration) *dissemination.Output {
-		r.allocator.handleViewChange(now, view)
+		r.allocatorServer.handleViewChange(now, view)
 		return r.gossip.node.AnnouncePrimary(now, view.Number)
 	})
 }
--- a/internal/fleet/router/router.go
+++ b/internal/fleet/router/router.go
@@ -10,14 +10,14 @@
 //	leaseholderList       the routers that may hold leased shares of quotas, on the disk too
 //	learnedStateExchange  the learned state of other routers and of the process before this one
 //	quotaClient           this router's use of quotas
-//	allocatorService      grants and leases to all routers, while this one is the primary; with a grantCache
+//	allocatorServer      grants and leases to all routers, while this one is the primary; with a grantCache
 //	announcementRelay     announcements of prompts to the other routers
 //	httpServers           the listeners of the clients, the control API and the readiness probe
 //
 // The packages dissemination, membership, registry, quota and placement are pure; I/O, clocks and goroutines are here, in proxy,
 // transport and replica.
 //
-// Locks are taken in this order: quotaClient.mu, gossip.mu, allocatorService.mu, then those of the dispatcher; the locks of the grant
+// Locks are taken in this order: quotaClient.mu, gossip.mu, allocatorServer.mu, then those of the dispatcher; the locks of the grant
 // cache, the relay and the learned state are taken last and alone. No lock is held while a message is sent or a file is written. What
 // only the goroutine of Run uses has no lock, and says so.
 package router
@@ -51,7 +51,7 @@
 	config          *activeConfig
 	gossip          *gossip
 	leaseholders    *leaseholderList
-	allocator       *allocatorService
+	allocatorServer *allocatorServer
 	quota           *quotaClient
 	relay           *announcementRelay
 	endpointReports *endpointReports
@@ -74,8 +74,8 @@
 	r.config = &activeConfig{environment: e}
 	r.gossip = newGossip(e, r.config, r.dispatcher)
 	r.leaseholders = &leaseholderList{environment: e, gossip: r.gossip}
-	r.allocator = newAllocatorService(e, r.gossip, r.config, r.leaseholders)
-	r.quota = newQuotaClient(e, r.gossip, r.allocator, r.leaseholders)
+	r.allocatorServer = newAllocatorServer(e, r.gossip, r.config, r.leaseholders)
+	r.quota = newQuotaClient(e, r.gossip, r.allocatorServer, r.leaseholders)
 	r.relay = newRelay(e.address(), s.Zone, s.CountsForQuorum, r.sendAnnouncements)
 	r.dispatcher.Announce = r.relay.announce
 	r.endpointReports = &endpointReports{environment: e, gossip: r.gossip}
@@ -89,7 +89,7 @@
 func proxyOptions(s *settings.Settings) proxy.Options {
 	options := proxy.Options{Stale: s.Bounds.ConfigApply * 3 / 4}
 	if s.Bounds.RevocationStrict {
-		options.KeyLease = max(s.Bounds.Revocation/2, s.Bounds.Revocation-keyLeaseMargin)
+		options.MaxConfigAge = max(s.Bounds.Revocation/2, s.Bounds.Revocation-keyLeaseMargin)
 	}
 	return options
 }
@@ -179,7 +179,7 @@
 	r.confirmAsPrimary()
 	r.gossip.step(r.gossip.node.Tick)
 	fleet := r.gossip.refresh()
-	r.allocator.setRouters(fleet.routers)
+	r.allocatorServer.setRouters(fleet.routers)
 	r.quota.tick(r.clock(), fleet, r.leaseholders.wantsComplete())
 	r.relay.setPeers(fleet.others)
 	r.endpointCache.tick()
--- a/internal/fleet/router/status.go
+++ b/internal/fleet/router/status.go
@@ -9,38 +9,38 @@
 // Status is the state of a running router, for operators: "pinelb router status" shows it as JSON. The names of its fields in JSON are
 // stable; registry.Endpoint has those of its Go fields. The counters count since the start.
 type Status struct {
-	Node          string                  `json:"node"`
-	Ready         bool                    `json:"ready"`
-	View          uint64                  `json:"view"`
-	Primary       string                  `json:"primary"`    // internal address
-	Version       int64                   `json:"version"`    // of the active configuration, as the operator gave it
-	Sequence      uint64                  `json:"sequence"`   // of the active configuration, in the log
-	LeaseAgeMs    int64                   `json:"leaseAgeMs"` // milliseconds since the configuration was confirmed; -1: never, or an hour or more ago
-	Routers       int                     `json:"routers"`    // alive, this one included
-	Endpoints     []registry.Endpoint     `json:"endpoints"`  // that are ready, of all services, configured or not
-	Tables        []placement.TableView   `json:"tables"`
-	Services      []placement.ServiceView `json:"services"`
-	Replica       *ReplicaStatus          `json:"replica,omitempty"`
-	Served        uint64                  `json:"served"`        // requests
-	Refused       uint64                  `json:"refused"`       // requests that did not run: rejected (429, 503) or denied (400, 401, 404, 413)
-	Failed        uint64                  `json:"failed"`        // requests that may have run and have no response
-	Broken        uint64                  `json:"broken"`        // responses that were truncated
-	Moved         uint64                  `json:"moved"`         // attempts that were cancelled because their first token was overdue
-	SentDatagrams uint64                  `json:"sentDatagrams"` // to other routers
-	SentBytes     uint64                  `json:"sentBytes"`     // to other routers
-	Dropped       uint64                  `json:"dropped"`       // messages of other routers that were invalid
-	UptimeMs      int64                   `json:"uptimeMs"`      // milliseconds
+	Node          string                    `json:"node"`
+	Ready         bool                      `json:"ready"`
+	View          uint64                    `json:"view"`
+	Primary       string                    `json:"primary"`    // internal address
+	Version       int64                     `json:"version"`    // of the active configuration, as the operator gave it
+	Sequence      uint64                    `json:"sequence"`   // of the active configuration, in the log
+	LeaseAgeMs    int64                     `json:"leaseAgeMs"` // milliseconds since the configuration was confirmed; -1: never, or an hour or more ago
+	Routers       int                       `json:"routers"`    // alive, this one included
+	Endpoints     []registry.Endpoint       `json:"endpoints"`  // that are ready, of all services, configured or not
+	Tables        []placement.TableStatus   `json:"tables"`
+	Services      []placement.ServiceStatus `json:"services"`
+	Replica       *ReplicaStatus            `json:"replica,omitempty"`
+	Served        uint64                    `json:"served"`        // requests
+	Refused       uint64                    `json:"refused"`       // requests that did not run: rejected (429, 503) or denied (400, 401, 404, 413)
+	Failed        uint64                    `json:"failed"`        // requests that may have run and have no response
+	Broken        uint64                    `json:"broken"`        // responses that were truncated
+	Moved         uint64                    `json:"moved"`         // attempts that were cancelled because their first token was overdue
+	SentDatagrams uint64                    `json:"sentDatagrams"` // to other routers
+	SentBytes     uint64                    `json:"sentBytes"`     // to other routers
+	Dropped       uint64                    `json:"dropped"`       // messages of other routers that were invalid
+	UptimeMs      int64                     `json:"uptimeMs"`      // milliseconds
 }
 
 // ReplicaStatus is what a router's replica of the configuration knows of the views.
 type ReplicaStatus struct {
-	Leading bool             `json:"leading"` // this router is the primary, as a majority has confirmed lately
-	View    replication.View `json:"view"`
+	ConfirmedPrimary bool             `json:"leading"` // this router is the primary, as a majority has confirmed lately
+	View             replication.View `json:"view"`
 }
 
 // Status returns the router's state. It may be called while the router runs.
 func (r *Router) Status() Status {
-	table, age := r.Table()
+	table, age := r.ActiveConfig()
 	s := Status{
 		Node: r.settings.NodeName, Ready: r.isReady(), LeaseAgeMs: age.Milliseconds(), UptimeMs: r.clock().Milliseconds(),
 		Tables: r.dispatcher.Tables(), Services: r.dispatcher.Services(), Replica: r.replicaStatus(),
@@ -61,7 +61,7 @@
 		return nil
 	}
 	_, _, _, leading := r.replica.ReadLease()
-	return &ReplicaStatus{Leading: leading, View: r.replica.View()}
+	return &ReplicaStatus{ConfirmedPrimary: leading, View: r.replica.View()}
 }
 
 func (r *Router) addCounters(s *Status) {
--- a/internal/lab/routers/configuration.go
+++ b/internal/lab/routers/configuration.go
@@ -69,7 +69,7 @@
 	waiting := slices.DeleteFunc(slices.Clone(f.routers), func(r *router.Router) bool { return r == nil })
 	for end := time.Now().Add(f.config.Timeout); len(waiting) > 0 && time.Now().Before(end) && ctx.Err() == nil; time.Sleep(pollInterval) {
 		waiting = slices.DeleteFunc(waiting, func(r *router.Router) bool {
-			table, _ := r.Table()
+			table, _ := r.ActiveConfig()
 			if table == nil || table.Version < f.version {
 				return false
 			}
