--- a/internal/settingsserver/distributor_test.go
+++ b/internal/settingsserver/distributor_test.go
@@ -36,15 +36,15 @@
 	return text + strings.Repeat("x", max(0, size-len(text)-2)) + `"}`
 }
 
-// running is a distributor on loopback sockets.
+// testDistributor is a distributor on loopback sockets.
 type testDistributor struct {
-	t      *testing.T
-	d      *Distributor
-	name   string
-	dir    string
-	asked  string
-	called string
-	end    func() // as SIGTERM does, and waits
+	t           *testing.T
+	d           *Distributor
+	name        string
+	dir         string
+	followAddr  string // where sidecars and peers send requests
+	controlAddr string // where operators do
+	end         func() // as SIGTERM does, and waits
 }
 
 func listen(t *testing.T) net.Listener {
@@ -56,13 +56,13 @@
 	return l
 }
 
-// start starts a distributor in a directory, which asks peers at those addresses.
+// startDistributor starts a distributor in a directory, which polls peers at those addresses.
 func startDistributor(t *testing.T, name, dir string, disk persistence.Disk, peers ...string) *testDistributor {
 	t.Helper()
 	return startDistributorAt(t, listen(t), name, dir, disk, peers...)
 }
 
-func startDistributorAt(t *testing.T, asked net.Listener, name, dir string, disk persistence.Disk, peers ...string) *testDistributor {
+func startDistributorAt(t *testing.T, sidecars net.Listener, name, dir string, disk persistence.Disk, peers ...string) *testDistributor {
 	t.Helper()
 	if disk == nil {
 		disk = persistence.Dir(dir)
@@ -74,8 +74,8 @@
 	operators := listen(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- d.Serve(ctx, asked, operators) }()
-	r := &testDistributor{t, d, name, dir, asked.Addr().String(), operators.Addr().String(), sync.OnceFunc(func() {
+	go func() { done <- d.Serve(ctx, sidecars, operators) }()
+	r := &testDistributor{t, d, name, dir, sidecars.Addr().String(), operators.Addr().String(), sync.OnceFunc(func() {
 		cancel()
 		if err := <-done; err != nil {
 			t.Error(err)
@@ -112,7 +112,7 @@
 	if settings == "" {
 		path = rollBackPath
 	}
-	status, _, text := call(r.t, "POST", r.called, path+"?service="+service, settings)
+	status, _, text := call(r.t, "POST", r.controlAddr, path+"?service="+service, settings)
 	var out PublishResult
 	if err := json.Unmarshal([]byte(text), &out); status != 200 || err != nil || out.Service != service || out.Distributor != r.name {
 		r.t.Fatalf("%s at %s: %d %q, %v", path, r.name, status, text, err)
@@ -120,15 +120,15 @@
 	return out.Edition
 }
 
-// reader is a sidecar's way to ask, which fails the test when it is told to go back.
+// testSidecar polls as a sidecar does, and fails the test when it is sent an older edition.
 type testSidecar struct {
 	t    *testing.T
 	name string
 	have settingsstore.State
 }
 
-// ask makes one call, and tells whether there was something newer.
-func (r *testSidecar) ask(addr string, wait time.Duration) bool {
+// poll makes one request, and reports whether there was something newer.
+func (r *testSidecar) poll(addr string, wait time.Duration) bool {
 	r.t.Helper()
 	q := settingsstore.Request{Service: "s", Since: r.have.Edition, Wait: wait, Name: r.name}
 	status, _, text := call(r.t, "GET", addr, q.Target(), "")
@@ -144,11 +144,11 @@
 	return true
 }
 
-// follow asks until it has that edition.
+// follow polls until it has that edition.
 func (r *testSidecar) follow(addr string, e version.Edition) {
 	r.t.Helper()
 	for r.have.Compare(e) < 0 {
-		if !r.ask(addr, settingsstore.MaxWait) {
+		if !r.poll(addr, settingsstore.MaxWait) {
 			r.t.Errorf("%s at %s is not told %s", r.name, r.have.Edition, e)
 			return
 		}
@@ -161,23 +161,23 @@
 	q := settingsstore.PeerRequest{Name: "test", Wait: settingsstore.Millis(settingsstore.MaxWait.Milliseconds())}
 	for {
 		r.d.mu.Lock()
-		held := r.d.store.Record("s")
+		current := r.d.store.Record("s")
 		r.d.mu.Unlock()
-		if held != nil && is(held) {
-			return held
+		if current != nil && is(current) {
+			return current
 		}
-		status, _, text := call(r.t, "GET", r.asked, q.Target(), "")
-		news, err := settingsstore.ParseUpdate([]byte(text))
+		status, _, text := call(r.t, "GET", r.followAddr, q.Target(), "")
+		update, err := settingsstore.ParseUpdate([]byte(text))
 		if status != 200 || err != nil {
 			r.t.Fatalf("%s never %s: %d, %v", r.name, what, status, err)
 		}
-		q.Incarnation, q.Since = news.Incarnation, news.Sequence
+		q.Incarnation, q.Since = update.Incarnation, update.Sequence
 	}
 }
 
 func (r *testDistributor) has(e version.Edition) {
 	r.t.Helper()
-	r.until("has "+e.String(), func(held *settingsstore.Record) bool { return held.Edition == e })
+	r.until("has "+e.String(), func(current *settingsstore.Record) bool { return current.Edition == e })
 }
 
 // link is the way to a distributor, which can be cut and stalled.
@@ -299,8 +299,8 @@
 	east, west := newTestLink(t), newTestLink(t)
 	a := startDistributor(t, "a", t.TempDir(), nil, west.addr())
 	b := startDistributor(t, "b", t.TempDir(), nil, east.addr())
-	east.leads(a.asked)
-	west.leads(b.asked)
+	east.leads(a.followAddr)
+	west.leads(b.followAddr)
 	a.begun()
 	b.begun()
 	before := a.operate("s", testSettings(0, 0))
@@ -312,8 +312,8 @@
 	atA := a.operate("s", testSettings(1, 0))
 	b.operate("s", testSettings(2, 0))
 	atB := b.operate("s", testSettings(3, 0))
-	readers[0].follow(a.asked, atA)
-	readers[1].follow(b.asked, atB)
+	readers[0].follow(a.followAddr, atA)
+	readers[1].follow(b.followAddr, atB)
 	if readers[0].have.Edition != atA || readers[1].have.Edition != atB {
 		t.Fatalf("apart, readers have %s and %s", readers[0].have.Edition, readers[1].have.Edition)
 	}
@@ -321,24 +321,24 @@
 	east.set("")
 	west.set("")
 	for _, r := range []*testDistributor{a, b} {
-		held := r.until("names the loser", func(held *settingsstore.Record) bool { return held.Overruled != nil })
-		if held.Edition != atB || held.Overruled.Edition != atA || string(held.Overruled.Settings) != testSettings(1, 0) {
-			t.Errorf("%s holds %s and names %s; of %s and %s the second wins", r.name, held.Edition, held.Overruled.Edition, atA, atB)
+		current := r.until("names the loser", func(current *settingsstore.Record) bool { return current.Overruled != nil })
+		if current.Edition != atB || current.Overruled.Edition != atA || string(current.Overruled.Settings) != testSettings(1, 0) {
+			t.Errorf("%s holds %s and names %s; of %s and %s the second wins", r.name, current.Edition, current.Overruled.Edition, atA, atB)
 		}
-		_, _, text := call(t, "GET", r.called, settingsPath+"?service=s", "")
+		_, _, text := call(t, "GET", r.controlAddr, settingsPath+"?service=s", "")
 		var status settingsstore.Status
 		if err := json.Unmarshal([]byte(text), &status); err != nil || status.Overruled == nil || status.Overruled.Edition != atA {
 			t.Errorf("%s: status %s, %v", r.name, text, err)
 		}
 	}
-	readers[0].follow(a.asked, atB)
-	readers[1].follow(a.asked, atB)
+	readers[0].follow(a.followAddr, atB)
+	readers[1].follow(a.followAddr, atB)
 	// PublishResult anew, nothing is named any more, and rolling back is the same at both.
 	after := a.operate("s", testSettings(4, 0))
-	b.until("names nobody", func(held *settingsstore.Record) bool { return held.Edition == after && held.Overruled == nil })
+	b.until("names nobody", func(current *settingsstore.Record) bool { return current.Edition == after && current.Overruled == nil })
 	back := b.operate("s", "")
 	a.has(back)
-	readers[1].follow(a.asked, back)
+	readers[1].follow(a.followAddr, back)
 	if string(readers[1].have.Settings) != testSettings(3, 0) {
 		t.Errorf("rolled back to %s", readers[1].have.Settings)
 	}
@@ -374,7 +374,7 @@
 		}
 	}
 	r := startDistributor(m.t, fmt.Sprint("d", i), dir, nil, peers...)
-	m.links[i].leads(r.asked)
+	m.links[i].leads(r.followAddr)
 	return r
 }
 
@@ -394,7 +394,7 @@
 	}
 	first := m.all[0].operate("s", testSettings(0, 0))
 	sidecar := &testSidecar{t: t, name: "n"}
-	sidecar.follow(m.all[3].asked, first)
+	sidecar.follow(m.all[3].followAddr, first)
 	for _, r := range m.all {
 		r.has(first)
 	}
@@ -406,16 +406,16 @@
 	for _, r := range m.all[:3] {
 		r.has(second)
 	}
-	sidecar.follow(m.all[0].asked, second)
+	sidecar.follow(m.all[0].followAddr, second)
 	for _, i := range []int{3, 4} {
 		back := m.begin(i, m.all[i].dir)
-		if sidecar.ask(back.asked, 0) {
+		if sidecar.poll(back.followAddr, 0) {
 			t.Errorf("back with its old state it tells a sidecar %s", sidecar.have.Edition)
 		}
 		m.links[i].set("")
 		back.has(second)
 	}
-	if last := m.all[2].operate("s", testSettings(2, 0)); last.Compare(second) <= 0 || m.all[0].until("has the last", func(held *settingsstore.Record) bool { return held.Edition == last }).Overruled != nil {
+	if last := m.all[2].operate("s", testSettings(2, 0)); last.Compare(second) <= 0 || m.all[0].until("has the last", func(current *settingsstore.Record) bool { return current.Edition == last }).Overruled != nil {
 		t.Errorf("%s after %s", last, second)
 	}
 }
@@ -426,7 +426,7 @@
 	m := newTestMesh(t, 3)
 	links, all := m.links, m.all
 	// All are new, and wait for each other's word.
-	if status, _, text := call(t, "POST", all[0].called, settingsPath+"?service=s", testSettings(0, 0)); status != http.StatusServiceUnavailable {
+	if status, _, text := call(t, "POST", all[0].controlAddr, settingsPath+"?service=s", testSettings(0, 0)); status != http.StatusServiceUnavailable {
 		t.Fatalf("publishing before anybody was reached: %d %s", status, text)
 	}
 	for _, l := range links {
@@ -452,25 +452,25 @@
 	lost := m.begin(2, t.TempDir())
 	reader := &testSidecar{t: t, name: "n"}
 	q := settingsstore.Request{Service: "s", Wait: time.Second}
-	if status, head, _ := call(t, "GET", lost.asked, q.Target(), ""); status != http.StatusServiceUnavailable || head.Get("Retry-After") == "" {
+	if status, head, _ := call(t, "GET", lost.followAddr, q.Target(), ""); status != http.StatusServiceUnavailable || head.Get("Retry-After") == "" {
 		t.Errorf("without its disk, and alone, it answers %d", status)
 	}
 	for _, target := range []string{settingsPath, rollBackPath} {
-		if status, _, _ := call(t, "POST", lost.called, target+"?service=s", testSettings(9, 0)); status != http.StatusServiceUnavailable {
+		if status, _, _ := call(t, "POST", lost.controlAddr, target+"?service=s", testSettings(9, 0)); status != http.StatusServiceUnavailable {
 			t.Errorf("without its disk, and alone, %s is answered %d", target, status)
 		}
 	}
-	if status, _, _ := call(t, "GET", lost.called, healthPath, ""); status != http.StatusServiceUnavailable {
+	if status, _, _ := call(t, "GET", lost.controlAddr, healthPath, ""); status != http.StatusServiceUnavailable {
 		t.Errorf("without its disk, and alone, it is well: %d", status)
 	}
 	links[0].set("")
 	lost.has(third)
 	lost.begun()
-	reader.follow(lost.asked, third)
+	reader.follow(lost.followAddr, third)
 	if next := lost.operate("s", testSettings(3, 0)); next.Compare(third) <= 0 {
 		t.Errorf("published as %s after %s", next, third)
 	}
-	if status, _, _ := call(t, "GET", lost.called, healthPath, ""); status != http.StatusOK {
+	if status, _, _ := call(t, "GET", lost.controlAddr, healthPath, ""); status != http.StatusOK {
 		t.Errorf("it is not well: %d", status)
 	}
 }
@@ -481,9 +481,9 @@
 	q := settingsstore.PeerRequest{Name: "test", Wait: 0}
 	for status := 0; status != http.StatusNoContent; {
 		var text string
-		status, _, text = call(r.t, "GET", r.asked, q.Target(), "")
-		if news, err := settingsstore.ParseUpdate([]byte(text)); err == nil {
-			q.Incarnation, q.Since = news.Incarnation, news.Sequence
+		status, _, text = call(r.t, "GET", r.followAddr, q.Target(), "")
+		if update, err := settingsstore.ParseUpdate([]byte(text)); err == nil {
+			q.Incarnation, q.Since = update.Incarnation, update.Sequence
 		}
 	}
 }
@@ -491,12 +491,12 @@
 // Guards against a queue: of 1,000 changes in a row readers see some, in order and the last one; who reads nothing meanwhile is
 // told one that it asked for and then the last, another distributor has the last one too, and none of this is held.
 func TestBurst(t *testing.T) {
-	const many, size, asking = 1000, 4 << 10, 3
+	const many, size, pollers = 1000, 4 << 10, 3
 	a := startDistributor(t, "a", t.TempDir(), &unsyncedDisk{Disk: persistence.Dir(t.TempDir())})
-	b := startDistributor(t, "b", t.TempDir(), &unsyncedDisk{Disk: persistence.Dir(t.TempDir())}, a.asked)
+	b := startDistributor(t, "b", t.TempDir(), &unsyncedDisk{Disk: persistence.Dir(t.TempDir())}, a.followAddr)
 	b.begun()
 	a.operate("s", testSettings(0, size))
-	slow, err := net.Dial("tcp", a.asked)
+	slow, err := net.Dial("tcp", a.followAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -509,12 +509,12 @@
 	runtime.ReadMemStats(&before)
 	last := version.Edition{Epoch: many + 1, By: "a"}
 	var all sync.WaitGroup
-	var told atomic.Int64
-	for i := range asking {
+	var received atomic.Int64
+	for i := range pollers {
 		all.Go(func() {
 			r := &testSidecar{t: t, name: fmt.Sprint("n", i)}
-			for r.have.Edition != last && r.ask(a.asked, settingsstore.MaxWait) {
-				told.Add(1)
+			for r.have.Edition != last && r.poll(a.followAddr, settingsstore.MaxWait) {
+				received.Add(1)
 			}
 			if r.have.Edition != last {
 				t.Errorf("a reader stays at %s", r.have.Edition)
@@ -533,7 +533,7 @@
 	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > many*size/2 {
 		t.Errorf("%d bytes are held after %d changes of %d bytes", grown, many, size)
 	}
-	t.Logf("%d readers were told %d states of %d changes", asking, told.Load(), many)
+	t.Logf("%d readers were told %d states of %d changes", pollers, received.Load(), many)
 	in := bufio.NewReader(slow)
 	for n, have := 1, (version.Edition{}); have != last; n++ {
 		res, err := http.ReadResponse(in, nil)
@@ -586,7 +586,7 @@
 	q := settingsstore.Request{Service: "s", Wait: settingsstore.MaxWait}
 	answered := make(chan int, 1)
 	go func() {
-		res, err := http.Get("http://" + a.asked + q.Target())
+		res, err := http.Get("http://" + a.followAddr + q.Target())
 		if err != nil {
 			t.Error(err)
 			answered <- 0
@@ -596,7 +596,7 @@
 		answered <- res.StatusCode
 	}()
 	a.awaitWatches(1)
-	left, err := net.Dial("tcp", a.asked)
+	left, err := net.Dial("tcp", a.followAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -612,7 +612,7 @@
 	}
 	a.d.mu.Unlock()
 	began := time.Now()
-	status, head, _ := call(t, "GET", a.asked, q.Target(), "")
+	status, head, _ := call(t, "GET", a.followAddr, q.Target(), "")
 	if took := time.Since(began); status != http.StatusNoContent || head.Get("Retry-After") == "" || took >= settingsstore.MaxWait {
 		t.Errorf("one more is answered %d, Retry-After %q, after %s", status, head.Get("Retry-After"), took)
 	}
@@ -649,7 +649,7 @@
 		{"GET", settingsPath + "?service=s", "", 200, `"epoch":0`},
 		{"GET", settingsPath, "", 200, "[]"},
 	} {
-		status, _, text := call(t, c.method, a.called, c.target, c.body)
+		status, _, text := call(t, c.method, a.controlAddr, c.target, c.body)
 		if status != c.status || !strings.Contains(text, c.names) {
 			t.Errorf("%s %s %.60s: %d %.200q, want %d and %q", c.method, c.target, c.body, status, text, c.status, c.names)
 		}
@@ -661,12 +661,12 @@
 		{"GET", "/settings/s?since=x", "", 400}, {"GET", "/settings/.s", "", 400}, {"GET", "/list", "", 400}, {"GET", "/settings?name=", "", 400},
 		{"POST", "/settings/s", "", 405}, {"GET", "/settings/s", "x", 400},
 	} {
-		if status, _, text := call(t, c.method, a.asked, c.target, c.body); status != c.status {
+		if status, _, text := call(t, c.method, a.followAddr, c.target, c.body); status != c.status {
 			t.Errorf("%s %s: %d %q, want %d", c.method, c.target, status, text, c.status)
 		}
 	}
 	// A body that is cut off on its way.
-	c, err := net.Dial("tcp", a.called)
+	c, err := net.Dial("tcp", a.controlAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -678,11 +678,11 @@
 	if text, err := io.ReadAll(c); err != nil || !strings.Contains(string(text), "400") || !strings.Contains(string(text), "cut off") {
 		t.Errorf("a body that is cut off: %q, %v", text, err)
 	}
-	if _, _, text := call(t, "GET", a.called, settingsPath, ""); text != "[]\n" {
+	if _, _, text := call(t, "GET", a.controlAddr, settingsPath, ""); text != "[]\n" {
 		t.Errorf("was published: %s", text)
 	}
 	a.operate("s", strings.ReplaceAll(good, ",", " ,\n ")) // blanks are no contents
-	if _, _, text := call(t, "GET", a.called, settingsPath, ""); !strings.Contains(text, fmt.Sprintf("%016x", uint64(settingsstore.DigestOf([]byte(good))))) {
+	if _, _, text := call(t, "GET", a.controlAddr, settingsPath, ""); !strings.Contains(text, fmt.Sprintf("%016x", uint64(settingsstore.DigestOf([]byte(good))))) {
 		t.Errorf("was published: %s", text)
 	}
 }
@@ -692,26 +692,26 @@
 	state := func(service string, epoch uint64) settingsstore.State {
 		return settingsstore.NewState(service, version.Edition{Epoch: epoch, By: "p"}, json.RawMessage(testSettings(int(epoch), 0)))
 	}
-	news := func(name string, records ...*settingsstore.Record) string {
+	encodeUpdate := func(name string, records ...*settingsstore.Record) string {
 		return string((&settingsstore.Update{Name: name, Incarnation: "l", Sequence: 1, Records: records}).Encode())
 	}
-	good := news("p", &settingsstore.Record{State: state("s", 7)})
+	good := encodeUpdate("p", &settingsstore.Record{State: state("s", 7)})
 	other := state("other", 6)
 	answers := []string{
-		good[:len(good)-7], strings.Replace(good, `"n":7`, `"n":8`, 1), news("a", &settingsstore.Record{State: state("s", 9)}),
-		news("p", &settingsstore.Record{State: state("s", 8), Previous: &other}), `{}`, strings.Repeat(" ", settingsstore.MaxUpdateBytes) + good, good,
+		good[:len(good)-7], strings.Replace(good, `"n":7`, `"n":8`, 1), encodeUpdate("a", &settingsstore.Record{State: state("s", 9)}),
+		encodeUpdate("p", &settingsstore.Record{State: state("s", 8), Previous: &other}), `{}`, strings.Repeat(" ", settingsstore.MaxUpdateBytes) + good, good,
 	}
-	asked := 0
+	requests := 0
 	peer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if asked++; asked > len(answers) {
+		if requests++; requests > len(answers) {
 			w.WriteHeader(http.StatusNoContent)
 			return
 		}
-		_, _ = io.WriteString(w, answers[asked-1])
+		_, _ = io.WriteString(w, answers[requests-1])
 	}))
 	defer peer.Close()
 	a := startDistributor(t, "a", t.TempDir(), nil, peer.Listener.Addr().String())
-	a.until("has anything", func(held *settingsstore.Record) bool { return true })
+	a.until("has anything", func(current *settingsstore.Record) bool { return true })
 	a.d.mu.Lock()
 	defer a.d.mu.Unlock()
 	if r := a.d.store.Record("s"); r.Epoch != 7 || len(a.d.store.Services()) != 1 || r.Previous != nil {
@@ -741,14 +741,14 @@
 	first := a.operate("s", testSettings(0, 0))
 	second := a.operate("s", testSettings(1, 0))
 	disk.full.Store(true)
-	if status, _, text := call(t, "POST", a.called, settingsPath+"?service=s", testSettings(2, 0)); status != 500 || !strings.Contains(text, "no room") {
+	if status, _, text := call(t, "POST", a.controlAddr, settingsPath+"?service=s", testSettings(2, 0)); status != 500 || !strings.Contains(text, "no room") {
 		t.Errorf("without room: %d %s", status, text)
 	}
 	a.has(second)
 	a.end()
 
 	other := startDistributor(t, "b", t.TempDir(), nil, newTestLink(t).addr()) // of a peer that is not there
-	again := startDistributor(t, "a", dir, nil, other.asked)
+	again := startDistributor(t, "a", dir, nil, other.followAddr)
 	again.has(second)
 	if back := again.operate("s", ""); back.Compare(second) <= 0 {
 		t.Errorf("rolled back as %s after %s and %s", back, first, second)
@@ -789,10 +789,10 @@
 	dir := t.TempDir()
 	disk := &failingDisk{Disk: persistence.Dir(dir)}
 	disk.full.Store(true)
-	b := startDistributor(t, "b", dir, disk, a.asked)
+	b := startDistributor(t, "b", dir, disk, a.followAddr)
 	e := a.operate("s", testSettings(0, 0))
 	b.has(e)
-	(&testSidecar{t: t, name: "n"}).follow(b.asked, e)
+	(&testSidecar{t: t, name: "n"}).follow(b.followAddr, e)
 	disk.full.Store(false)
 	b.end()
 	if again, err := New(Config{Name: "b"}, persistence.Dir(dir), zerolog.Nop()); err != nil || again.store.Record("s") == nil || again.store.Record("s").Edition != e {
