--- a/internal/settingsstore/encoding_test.go
+++ b/internal/settingsstore/encoding_test.go
@@ -39,9 +39,9 @@
 		}
 	}
 	large := Encode(NewState("s", edition(1, "d"), json.RawMessage(`{"a":"`+strings.Repeat("x", MaxSettingsBytes)+`"}`)))
-	most := json.RawMessage(`{"a":"` + strings.Repeat("x", MaxSettingsBytes-8) + `"}`)
+	maxSettings := json.RawMessage(`{"a":"` + strings.Repeat("x", MaxSettingsBytes-8) + `"}`)
 	name := strings.Repeat("n", MaxNameBytes)
-	if _, err := Parse(Encode(NewState(name, edition(version.MaxEpoch, name), most))); err != nil {
+	if _, err := Parse(Encode(NewState(name, edition(version.MaxEpoch, name), maxSettings))); err != nil {
 		t.Errorf("the largest: %v", err)
 	}
 	for _, c := range []struct{ text, key string }{
--- a/internal/settingsstore/follower_test.go
+++ b/internal/settingsstore/follower_test.go
@@ -16,23 +16,23 @@
 type kind int
 
 const (
-	good   kind = iota
-	late        // answers late, but within the grace
-	full        // answers at once, and asks to be left alone for an hour
-	dead        // refuses connections
-	silent      // takes the connection, and nothing comes
-	slow        // answers a little after the grace
-	absurd      // another service's settings
-	behind      // older settings, at once
+	good         kind = iota
+	late              // answers late, but within the grace
+	full              // answers at once, and asks to be left alone for an hour
+	dead              // refuses connections
+	unresponsive      // takes the connection, and nothing comes
+	slow              // answers a little after the grace
+	absurd            // another service's settings
+	behind            // older settings, at once
 	kinds
 )
 
 func (k kind) bad() bool { return k >= dead }
 
 const (
-	asked = "orders"
-	sent  = time.Millisecond       // that an answer takes
-	tardy = 400 * time.Millisecond // and from a late one
+	followedService = "orders"
+	sent            = time.Millisecond       // that an answer takes
+	tardy           = 400 * time.Millisecond // and from a late one
 )
 
 // turn is a distributor that becomes another kind.
@@ -42,7 +42,7 @@
 	to  kind
 }
 
-// play is a follower and its distributors in virtual time.
+// followerSimulation is a follower and its distributors in virtual time.
 type followerSimulation struct {
 	t       *rapid.T
 	now     time.Duration
@@ -51,10 +51,10 @@
 	changes []time.Duration // edition n is published at changes[n-1]
 	f       *Follower
 
-	begun   time.Duration // the last call
-	calls   int
-	avoided []time.Duration // up to when each is to be, by the plain rule
-	told    []time.Duration // when each edition was in force
+	lastCall  time.Duration // the last call
+	calls     int
+	avoided   []time.Duration // up to when each is to be, by the plain rule
+	inForceAt []time.Duration // when each edition was in force
 }
 
 func newFollowerSimulation(t *rapid.T, first []kind, turns []turn, changes []time.Duration) *followerSimulation {
@@ -63,8 +63,8 @@
 		from = append(from, fmt.Sprintf("10.0.0.%d:8600", i+1))
 	}
 	seed := rapid.Uint64().Draw(t, "seed")
-	return &followerSimulation{t: t, first: first, turns: turns, changes: changes, begun: -time.Hour, avoided: make([]time.Duration, len(first)),
-		f: NewFollower(asked, fmt.Sprintf("n%d", seed%1000), from, rand.New(rand.NewPCG(seed, 0)))}
+	return &followerSimulation{t: t, first: first, turns: turns, changes: changes, lastCall: -time.Hour, avoided: make([]time.Duration, len(first)),
+		f: NewFollower(followedService, fmt.Sprintf("n%d", seed%1000), from, rand.New(rand.NewPCG(seed, 0)))}
 }
 
 func (p *followerSimulation) kind(who int, at time.Duration) kind {
@@ -92,8 +92,8 @@
 	for p.now < until {
 		decided := p.now
 		c := p.f.Next(p.now)
-		if c.NotBefore < p.begun+minCallInterval {
-			p.t.Fatalf("a call at %s, after one at %s", c.NotBefore, p.begun)
+		if c.NotBefore < p.lastCall+minCallInterval {
+			p.t.Fatalf("a call at %s, after one at %s", c.NotBefore, p.lastCall)
 		}
 		if c.NotBefore > p.now+max(minCallInterval, maxRetryAfter) {
 			p.t.Fatalf("no call before %s, at %s", c.NotBefore, p.now)
@@ -103,7 +103,7 @@
 				p.t.Fatalf("%d is asked at %s and is to be avoided until %s; %d is not", c.Distributor, decided, p.avoided[c.Distributor], i)
 			}
 		}
-		p.now, p.begun = c.NotBefore, c.NotBefore
+		p.now, p.lastCall = c.NotBefore, c.NotBefore
 		p.calls++
 		p.f.Sent(p.now, c)
 		p.one(c)
@@ -125,7 +125,7 @@
 		}
 	}
 	if !k.bad() && p.kind(c.Distributor, answer).bad() { // it dies before: the call hangs
-		k = silent
+		k = unresponsive
 	}
 	took := sent
 	if k == late {
@@ -135,7 +135,7 @@
 	case k == dead:
 		p.f.Failed(p.now, 0)
 		p.avoided[c.Distributor] = p.now + avoidDuration
-	case k == silent || k == slow:
+	case k == unresponsive || k == slow:
 		p.now = end
 		if !p.f.TimedOut(p.now) {
 			p.t.Fatal("who was silent is not avoided")
@@ -165,7 +165,7 @@
 	was := p.f.InForce()
 	s := State{Service: "other", Edition: edition(1<<40, "z")}
 	if k == behind {
-		s = State{Service: asked, Edition: c.Request.NewestSeen()}
+		s = State{Service: followedService, Edition: c.Request.NewestSeen()}
 	}
 	var other WrongServiceError
 	var older StaleError
@@ -181,12 +181,12 @@
 // hear has news be taken.
 func (p *followerSimulation) hear(e version.Edition) {
 	was := p.f.InForce()
-	if err := p.f.ReceiveState(p.now, State{Service: asked, Edition: e}); err != nil || e.Compare(was) <= 0 {
+	if err := p.f.ReceiveState(p.now, State{Service: followedService, Edition: e}); err != nil || e.Compare(was) <= 0 {
 		p.t.Fatalf("%s after %s: %v", e, was, err)
 	}
 	p.f.Applied(e)
-	for uint64(len(p.told)) < e.Epoch {
-		p.told = append(p.told, p.now)
+	for uint64(len(p.inForceAt)) < e.Epoch {
+		p.inForceAt = append(p.inForceAt, p.now)
 	}
 }
 
@@ -236,8 +236,8 @@
 				continue
 			}
 			bound = pollWait + time.Duration(bad)*pollGrace + 2*(minCallInterval+tardy)
-			if i >= len(p.told) || p.told[i] > at+bound {
-				t.Fatalf("edition %d of %s, %d of %d bad, in force at %v", i+1, at, bad, n, p.told)
+			if i >= len(p.inForceAt) || p.inForceAt[i] > at+bound {
+				t.Fatalf("edition %d of %s, %d of %d bad, in force at %v", i+1, at, bad, n, p.inForceAt)
 			}
 		}
 	})
@@ -247,26 +247,26 @@
 // silent until one comes back with it.
 func TestFollowerBounds(t *testing.T) {
 	const long = time.Minute
-	for bad, most := range []time.Duration{0, 2500, 3000, 3500, 4000} {
+	for bad, limit := range []time.Duration{0, 2500, 3000, 3500, 4000} {
 		rapid.Check(t, func(t *rapid.T) {
 			falls := time.Duration(rapid.IntRange(0, 10_000).Draw(t, "falls ms")) * time.Millisecond
 			var turns []turn
 			for _, who := range rapid.Permutation([]int{0, 1, 2, 3, 4}).Draw(t, "order")[:bad] {
-				turns = append(turns, turn{falls, who, silent})
+				turns = append(turns, turn{falls, who, unresponsive})
 			}
 			p := newFollowerSimulation(t, make([]kind, 5), turns, []time.Duration{falls + time.Millisecond})
 			p.run(long)
-			if took := p.told[0] - falls; took > most*time.Millisecond+minCallInterval+10*sent {
+			if took := p.inForceAt[0] - falls; took > limit*time.Millisecond+minCallInterval+10*sent {
 				t.Fatalf("%d of 5 silent: in force after %s", bad, took)
 			}
 		})
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		all := []kind{silent, silent, silent, silent, silent}
+		all := []kind{unresponsive, unresponsive, unresponsive, unresponsive, unresponsive}
 		back := time.Duration(rapid.IntRange(0, 40_000).Draw(t, "back ms")) * time.Millisecond
 		p := newFollowerSimulation(t, all, []turn{{back, rapid.IntRange(0, 4).Draw(t, "who"), good}}, []time.Duration{back})
 		p.run(long)
-		if took := p.told[0] - back; took > 5*pollGrace+10*sent {
+		if took := p.inForceAt[0] - back; took > 5*pollGrace+10*sent {
 			t.Fatalf("all silent, one back: in force after %s", took)
 		}
 	})
@@ -277,8 +277,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		p := newFollowerSimulation(t, make([]kind, 5), nil, nil)
 		p.run(time.Minute)
-		if most := int(time.Minute/(pollWait*3/4)) + 2; p.calls > most {
-			t.Fatalf("%d calls in a minute without news, %d at most", p.calls, most)
+		if maxCalls := int(time.Minute/(pollWait*3/4)) + 2; p.calls > maxCalls {
+			t.Fatalf("%d calls in a minute without news, %d at most", p.calls, maxCalls)
 		}
 	})
 }
@@ -286,8 +286,8 @@
 // Guards against an edition that is tried again and again once it was refused, against one that is refused and not told, and
 // against one that is taken after a newer one was refused.
 func TestFollowerRemembersRejections(t *testing.T) {
-	f := NewFollower(asked, "n", []string{"a", "b"}, rand.New(rand.NewPCG(1, 1)))
-	state := func(epoch uint64) State { return State{Service: asked, Edition: edition(epoch, "d")} }
+	f := NewFollower(followedService, "n", []string{"a", "b"}, rand.New(rand.NewPCG(1, 1)))
+	state := func(epoch uint64) State { return State{Service: followedService, Edition: edition(epoch, "d")} }
 	now := time.Duration(0)
 	hear := func(s State) error {
 		c := f.Next(now)
@@ -328,7 +328,7 @@
 
 // Guards against a distributor that is blamed for a stop of this process, or that is never left on a machine where all is late.
 func TestFollowerAfterProcessStop(t *testing.T) {
-	f := NewFollower(asked, "n", []string{"a", "b"}, rand.New(rand.NewPCG(1, 1)))
+	f := NewFollower(followedService, "n", []string{"a", "b"}, rand.New(rand.NewPCG(1, 1)))
 	c := f.Next(0)
 	f.Sent(0, c)
 	f.ReceiveNothing(0, 0)
@@ -354,7 +354,7 @@
 	from := []string{"10.0.0.1:8600", "10.0.0.2:8600", "10.0.0.3:8600", "10.1.0.1:8600", "10.1.0.2:8600"}
 	first, second := map[int]int{}, map[int]int{}
 	for i := range n {
-		f := NewFollower(asked, fmt.Sprintf("sidecar-%d", i), from, rand.New(rand.NewPCG(1, 1)))
+		f := NewFollower(followedService, fmt.Sprintf("sidecar-%d", i), from, rand.New(rand.NewPCG(1, 1)))
 		c := f.Next(0)
 		first[c.Distributor]++
 		f.Sent(0, c)
--- a/internal/settingsstore/store_test.go
+++ b/internal/settingsstore/store_test.go
@@ -22,7 +22,7 @@
 	after  map[version.Edition]bool
 }
 
-// world is some distributors, what was really published, and readers that ask any of them.
+// distributorSimulation is some distributors, what was really published, and readers that ask any of them.
 type distributorSimulation struct {
 	t       *rapid.T
 	stores  []*Store
@@ -41,18 +41,18 @@
 
 // publish has a distributor publish, or roll back, over what it holds.
 func (w *distributorSimulation) publish(at int, contents string, back bool) {
-	held := w.stores[at].Record("s")
+	current := w.stores[at].Record("s")
 	r, err := w.stores[at].Next("s", []byte(contents))
 	if back {
 		r, err = w.stores[at].RollBack("s")
-		if held == nil || held.Previous == nil {
+		if current == nil || current.Previous == nil {
 			if !errors.Is(err, ErrNoPrevious) {
 				w.t.Fatalf("rolled back to nothing: %v", err)
 			}
 			return
 		}
-		if string(r.Settings) != string(held.Previous.Settings) {
-			w.t.Fatalf("rolled back to %s, not %s", r.Settings, held.Previous.Settings)
+		if string(r.Settings) != string(current.Previous.Settings) {
+			w.t.Fatalf("rolled back to %s, not %s", r.Settings, current.Previous.Settings)
 		}
 	}
 	if err != nil {
@@ -62,7 +62,7 @@
 		w.t.Fatalf("%s was published twice", r.Edition)
 	}
 	m := made{r, map[version.Edition]bool{}}
-	for before := range w.known(held) {
+	for before := range w.known(current) {
 		m.after[before] = true
 	}
 	w.made[r.Edition] = m
@@ -70,12 +70,12 @@
 }
 
 // known are the editions that whoever holds a record has had in it, or before.
-func (w *distributorSimulation) known(held *Record) map[version.Edition]bool {
+func (w *distributorSimulation) known(current *Record) map[version.Edition]bool {
 	out := map[version.Edition]bool{}
-	if held == nil {
+	if current == nil {
 		return out
 	}
-	for _, e := range []*State{&held.State, held.Overruled} {
+	for _, e := range []*State{&current.State, current.Overruled} {
 		if e == nil {
 			continue
 		}
@@ -87,7 +87,7 @@
 	return out
 }
 
-func (w *distributorSimulation) ask(reader, at int) {
+func (w *distributorSimulation) poll(reader, at int) {
 	text, id, err := w.stores[at].Poll(0, Request{Service: "s", Since: w.readers[reader]})
 	if err != nil || id != 0 {
 		w.t.Fatalf("a question that doesn't wait: watch %d, %v", id, err)
@@ -148,7 +148,7 @@
 					w.merge(pick("to", n), w.ever[pick("late", len(w.ever))])
 				}
 			case 5:
-				w.ask(pick("reader", len(w.readers)), pick("at", n))
+				w.poll(pick("reader", len(w.readers)), pick("at", n))
 			}
 		}
 		w.exchange()
@@ -225,7 +225,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				_, told, err := st.Merge(r)
+				_, notified, err := st.Merge(r)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -238,8 +238,8 @@
 					}
 				}
 				slices.Sort(want)
-				if !slices.Equal(told, want) {
-					t.Fatalf("%v are told, want %v", told, want)
+				if !slices.Equal(notified, want) {
+					t.Fatalf("%v are told, want %v", notified, want)
 				}
 			case 1, 2:
 				q := Request{Service: service, Name: fmt.Sprint("n", pick("name", 4)), Wait: time.Duration(pick("wait", 4)) * s}
@@ -250,8 +250,8 @@
 				}
 				text, id, err := st.Poll(now, q)
 				said[sidecarKey{service, q.Name}], when[sidecarKey{service, q.Name}] = q, now
-				news := newest[service].Edition.Compare(q.Since) > 0 && newest[service].Edition.Compare(q.Rejected) > 0
-				if err != nil || news != (text != nil) || (id != 0) != (!news && q.Wait > 0) {
+				newer := newest[service].Edition.Compare(q.Since) > 0 && newest[service].Edition.Compare(q.Rejected) > 0
+				if err != nil || newer != (text != nil) || (id != 0) != (!newer && q.Wait > 0) {
 					t.Fatalf("%+v: %s, watch %d, %v; the newest is %s", q, text, id, err, newest[service].Edition)
 				}
 				if id != 0 {
@@ -390,14 +390,14 @@
 	q.Wait = 1000
 	_, id, _ := from.PollPeer(q)
 	r, _ := from.Next("s3", []byte(`{}`))
-	if _, told, _ := from.Merge(r); !slices.Equal(told, []uint64{id}) {
-		t.Errorf("%v are told, want %d", told, id)
+	if _, notified, _ := from.Merge(r); !slices.Equal(notified, []uint64{id}) {
+		t.Errorf("%v are told, want %d", notified, id)
 	}
 	if n := from.EndPeerWatch(id); n == nil || len(n.Records) != 1 || n.Records[0].Edition != r.Edition {
 		t.Errorf("%+v", n)
 	}
-	if keep, told, err := from.Merge(r); keep != nil || told != nil || err != nil {
-		t.Errorf("the same once more: %+v, %v, %v", keep, told, err)
+	if keep, notified, err := from.Merge(r); keep != nil || notified != nil || err != nil {
+		t.Errorf("the same once more: %+v, %v, %v", keep, notified, err)
 	}
 	q.Incarnation = "former" // it has restarted
 	if n, _, _ := from.PollPeer(q); n == nil || len(n.Records) == 0 {
@@ -412,11 +412,11 @@
 	refuses := func(st *Store) bool {
 		_, publish := st.Next("s", []byte(`{}`))
 		_, back := st.RollBack("s")
-		_, _, ask := st.Poll(0, Request{Service: "s", Wait: s})
+		_, _, pollErr := st.Poll(0, Request{Service: "s", Wait: s})
 		n, _, _ := st.PollPeer(PeerRequest{Incarnation: "l", Name: "e", Wait: 1})
-		all := errors.Is(publish, ErrStarting) && errors.Is(back, ErrStarting) && errors.Is(ask, ErrStarting) && n != nil && n.Starting
+		all := errors.Is(publish, ErrStarting) && errors.Is(back, ErrStarting) && errors.Is(pollErr, ErrStarting) && n != nil && n.Starting
 		if all != st.Starting() {
-			t.Errorf("starting %v: %v, %v, %v, %+v", st.Starting(), publish, back, ask, n)
+			t.Errorf("starting %v: %v, %v, %v, %+v", st.Starting(), publish, back, pollErr, n)
 		}
 		return all
 	}
@@ -564,7 +564,7 @@
 	tell(2, after) // loses there
 	last := publish(2)
 	tell(0, last)
-	if held := stores[0].Record("s"); held.Edition != last.Edition || held.Overruled != nil {
-		t.Errorf("%s is held and %+v named as overruled; %s was made after both others", held.Edition, held.Overruled, last.Edition)
+	if current := stores[0].Record("s"); current.Edition != last.Edition || current.Overruled != nil {
+		t.Errorf("%s is held and %+v named as overruled; %s was made after both others", current.Edition, current.Overruled, last.Edition)
 	}
 }
