--- a/internal/settingsclient/client_test.go
+++ b/internal/settingsclient/client_test.go
@@ -33,9 +33,9 @@
 
 // fakeDistributor is a distributor that answers as a test wants.
 type fakeDistributor struct {
-	addr   string
-	asked  chan settingsstore.Request
-	answer func(net.Conn, settingsstore.Request) bool // false: as a distributor does. Nil: always so
+	addr     string
+	requests chan settingsstore.Request
+	answer   func(net.Conn, settingsstore.Request) bool // false: as a distributor does. Nil: always so
 
 	mu      sync.Mutex
 	state   settingsstore.State
@@ -43,7 +43,7 @@
 }
 
 func newFakeDistributor(t *testing.T, s settingsstore.State, answer func(net.Conn, settingsstore.Request) bool) *fakeDistributor {
-	d := &fakeDistributor{asked: make(chan settingsstore.Request, 1000), answer: answer, state: s, changed: make(chan struct{})}
+	d := &fakeDistributor{requests: make(chan settingsstore.Request, 1000), answer: answer, state: s, changed: make(chan struct{})}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -61,7 +61,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	d.asked <- q
+	d.requests <- q
 	if d.answer != nil {
 		c, _, err := http.NewResponseController(w).Hijack()
 		if err != nil {
@@ -206,7 +206,7 @@
 		if got := <-tried; got != epoch {
 			t.Fatalf("epoch %d is tried, want %d", got, epoch)
 		}
-		for q := range d.asked {
+		for q := range d.requests {
 			if q.Since.Epoch == epoch {
 				break
 			}
@@ -280,7 +280,7 @@
 			if a, b := <-tried, <-tried; a != 1 || b != 2 {
 				t.Fatalf("epochs %d and %d are tried, want 1 and 2", a, b)
 			}
-			if q := <-well.asked; q.Since.Epoch != 1 || !q.Rejected.None() || !strings.Contains(q.Reason, c.why) || (q.Reason == "") != (c.why == "") {
+			if q := <-well.requests; q.Since.Epoch != 1 || !q.Rejected.None() || !strings.Contains(q.Reason, c.why) || (q.Reason == "") != (c.why == "") {
 				t.Errorf("the next one is asked with %+v, want why %q", q, c.why)
 			}
 			if n := log.count(odd.addr, `"level":"warn"`); n != 1 {
@@ -359,9 +359,9 @@
 	if got := <-tried; got != 1 {
 		t.Fatalf("epoch %d is tried", got)
 	}
-	<-d.asked
+	<-d.requests
 	for range 2 { // it has watched twice without being told the same again
-		if q := <-d.asked; q.Rejected.Epoch != 1 || q.Reason != bad.Error() || !q.Since.None() {
+		if q := <-d.requests; q.Rejected.Epoch != 1 || q.Reason != bad.Error() || !q.Since.None() {
 			t.Fatalf("asked with %+v", q)
 		}
 	}
@@ -376,7 +376,7 @@
 	if got := <-tried; got != 2 {
 		t.Errorf("epoch %d is tried", got)
 	}
-	for q := range d.asked {
+	for q := range d.requests {
 		if q.Since.Epoch == 2 && q.Rejected.None() && q.Reason == "" {
 			break
 		}
@@ -398,10 +398,10 @@
 	w, tried, _ := startClient(t, log, acceptAll, d.addr)
 	<-tried
 	for round := range 3 {
-		for q := <-d.asked; q.Wait == 0; q = <-d.asked {
+		for q := <-d.requests; q.Wait == 0; q = <-d.requests {
 		}
 		w.Poll(false)
-		if q := <-d.asked; q.Wait != 0 {
+		if q := <-d.requests; q.Wait != 0 {
 			t.Errorf("round %d: asked with %+v", round, q)
 		}
 	}
