--- a/internal/version/actor.go
+++ b/internal/version/actor.go
@@ -104,12 +104,12 @@
 	a.configRequests.update(!(settings && file), now, f, a.rand)
 }
 
-// ConfirmList records that the list service has answered a question of the time asked, which proves that the list is current.
-// The answer to a question from before a stop may be from before the stop, too, and proves nothing about now.
-func (a *Actor) ConfirmList(now, asked time.Duration) {
+// ConfirmList records that the list service has answered a request sent at requestedAt, which proves that the list is current.
+// The answer to a request from before a stop may be from before the stop, too, and proves nothing about now.
+func (a *Actor) ConfirmList(now, requestedAt time.Duration) {
 	a.Heartbeat(now)
-	if a.resuming && asked < a.resumedAt {
-		a.lastContact = max(a.lastContact, asked)
+	if a.resuming && requestedAt < a.resumedAt {
+		a.lastContact = max(a.lastContact, requestedAt)
 		return
 	}
 	a.resuming, a.lastContact = false, now
--- a/internal/version/actor_test.go
+++ b/internal/version/actor_test.go
@@ -18,12 +18,12 @@
 }
 
 type modelEvent struct {
-	at    time.Duration
-	what  string
-	v     Version
-	o     Order
-	age   time.Duration // of the order's ticket by the sidecar's clock
-	asked time.Duration
+	at          time.Duration
+	what        string
+	v           Version
+	o           Order
+	age         time.Duration // of the order's ticket by the sidecar's clock
+	requestedAt time.Duration
 }
 
 func (r *model) add(h modelEvent) { r.log = append(r.log, h) }
@@ -58,8 +58,8 @@
 				}
 			}
 		case "heard":
-			if waking && h.asked < woke {
-				contact = max(contact, h.asked)
+			if waking && h.requestedAt < woke {
+				contact = max(contact, h.requestedAt)
 			} else {
 				contact, waking = h.at, false
 			}
@@ -79,13 +79,13 @@
 	if floor != nil && now >= lapses {
 		floor, under = nil, false
 	}
-	most := int(r.limits.Share*float64(r.limits.Instances) + 1e-9)
-	most = max(0, min(most, r.limits.Instances-1))
+	maxShutOut := int(r.limits.Share*float64(r.limits.Instances) + 1e-9)
+	maxShutOut = max(0, min(maxShutOut, r.limits.Instances-1))
 	alone := 0
 	if r.limits.Closed && r.limits.Lease > 0 {
-		alone = (most + 1) / 2
+		alone = (maxShutOut + 1) / 2
 	}
-	ticket = now < ticketEnd && no < most-alone
+	ticket = now < ticketEnd && no < maxShutOut-alone
 	switch {
 	case waking && now < woke+1500*time.Millisecond:
 		return Resuming, floor, ticket
@@ -134,9 +134,9 @@
 				a.Adopt(now, v)
 				r.add(modelEvent{at: now, what: "adopted", v: v})
 			case 5:
-				asked := now - time.Duration(pick("asked", 3))*s
-				a.ConfirmList(now, asked)
-				r.add(modelEvent{at: now, what: "heard", asked: asked})
+				requestedAt := now - time.Duration(pick("asked", 3))*s
+				a.ConfirmList(now, requestedAt)
+				r.add(modelEvent{at: now, what: "heard", requestedAt: requestedAt})
 			case 6:
 				a.ConfirmByAuditor(now)
 				r.add(modelEvent{at: now, what: "vouched"})
@@ -282,16 +282,16 @@
 			}
 			quarters[min(3, now/s)]++
 		}
-		if least := min(quarters[0], quarters[1], quarters[2], quarters[3]); least < 25 {
+		if minCount := min(quarters[0], quarters[1], quarters[2], quarters[3]); minCount < 25 {
 			t.Errorf("200 ask first in the quarters of the spread %v times", quarters)
 		}
-		for _, asked := range [][]time.Duration{lists, configs} {
-			if len(asked) < 4 || asked[0] > 4*s {
-				t.Fatalf("asked at %v", asked)
+		for _, requestTimes := range [][]time.Duration{lists, configs} {
+			if len(requestTimes) < 4 || requestTimes[0] > 4*s {
+				t.Fatalf("asked at %v", requestTimes)
 			}
-			for i := range asked[1:] {
-				if asked[i+1]-asked[i] < 4*s {
-					t.Errorf("asked at %v", asked)
+			for i := range requestTimes[1:] {
+				if requestTimes[i+1]-requestTimes[i] < 4*s {
+					t.Errorf("asked at %v", requestTimes)
 				}
 			}
 		}
--- a/internal/version/auditor_test.go
+++ b/internal/version/auditor_test.go
@@ -70,10 +70,10 @@
 	return tickets
 }
 
-// The times are written as numbers, so that a change of them shows: a fleet counts after 18 s, from the second round on, and a ticket may be held for 15 s.
+// The times are written as numbers, so that a change of them shows: a fleet counts after 18 s, from the second round on, and a permit may be reserved for 15 s.
 const (
-	known18 = 20
-	held15  = 15
+	known18    = 20
+	reserved15 = 15
 )
 
 // Each case is what a fleet of ten with one straggler and a share of 0.3 gets after a change, and what it would get without.
@@ -174,7 +174,7 @@
 	b.rounds(known18)
 	b.fleet[0].Reached, b.fleet[1].Reached = false, false
 	b.fleet[2].Version.List = oldList
-	if got := b.rounds(held15 - 1); len(got) != 0 {
+	if got := b.rounds(reserved15 - 1); len(got) != 0 {
 		t.Errorf("tickets for %v beside two that may be shut out", got)
 	}
 	if got := b.rounds(1); len(got) != 1 || got[0] != "002" {
--- a/internal/version/permits.go
+++ b/internal/version/permits.go
@@ -60,7 +60,7 @@
 	if 2*votes <= all {
 		return nil, fmt.Sprintf("%d of %d sidecars have followed this auditor for %s; more than half are needed", votes, all, voteDelay)
 	}
-	if least := (1 - a.rules.Share) * float64(reached); meets == 0 || float64(meets) < least-1e-9 {
+	if minMeets := (1 - a.rules.Share) * float64(reached); meets == 0 || float64(meets) < minMeets-1e-9 {
 		return nil, fmt.Sprintf("%d of the %d sidecars reached meet the floor; it may be wrong", meets, reached)
 	}
 	return a.assignPermits(now, wall, below, MaxShutOut(a.rules.Share, n), zones), ""
--- a/internal/version/search_test.go
+++ b/internal/version/search_test.go
@@ -20,7 +20,7 @@
 const (
 	auditors = 2
 	tick     = 4 * time.Second // less than a ticket's time, so that one auditor's last and another's first are seen together
-	poolMost = 3
+	maxPool  = 3
 	skew     = maxClockSkew / 2 // of each wall clock, to either side
 )
 
@@ -28,14 +28,14 @@
 var lists = [3]Version{{List: List{Revision: 5, Digest: 1}}, {List: List{Revision: 6, Digest: 2}}, {List: List{Revision: 1, Digest: 3}}}
 
 type sidecar struct {
-	actor   Actor
-	zone    string
-	wall    time.Duration // before the true time
-	life    int
-	version int
-	cut     bool // from the list service
-	stopped bool
-	links   [auditors]bool
+	actor             Actor
+	zone              string
+	wall              time.Duration // before the true time
+	incarnationNumber int
+	version           int
+	cut               bool // from the list service
+	stopped           bool
+	links             [auditors]bool
 
 	// What the judge knows, by the orders that the sidecar said it took.
 	floor  *MinimumVersion
@@ -157,7 +157,7 @@
 		floor(a.minimum)
 		for j := range w.sidecars {
 			if k := a.sidecars[strconv.Itoa(j)]; k != nil {
-				yes(k.incarnation == lifeOf(w.sidecars[j].life))
+				yes(k.incarnation == incarnationName(w.sidecars[j].incarnationNumber))
 				yes(k.incarnation == "")
 				num(k.revision)
 				at(k.followsSince, k.behindSince, k.belowSince)
@@ -178,12 +178,12 @@
 	return xxhash.Sum64(b)
 }
 
-func lifeOf(n int) string { return strconv.Itoa(n + 1) }
+func incarnationName(n int) string { return strconv.Itoa(n + 1) }
 
 func (w *simulation) start(i, version int, epoch uint64, by string) {
 	s := &w.sidecars[i]
 	w.lives++
-	s.life, s.version, s.stopped, s.floor, s.under, s.ticket, s.sure = w.lives, version, false, nil, false, 0, 0
+	s.incarnationNumber, s.version, s.stopped, s.floor, s.under, s.ticket, s.sure = w.lives, version, false, nil, false, 0, 0
 	s.actor = *NewActor(w.now, Limits{Site: "s", Share: w.share, Instances: len(w.sidecars), Rank: i}, nil, epoch, by)
 	s.actor.Adopt(w.now, lists[version])
 }
@@ -256,12 +256,12 @@
 			return fmt.Errorf("sidecar %d acts (%+v) under the floor after its grace, with a ticket", i, v)
 		}
 	}
-	if most := min(w.share*float64(len(w.sidecars)), float64(len(w.sidecars)-1)); float64(shut) > most+1e-9 {
-		return fmt.Errorf("%d are shut out, %g may be", shut, most)
+	if maxShut := min(w.share*float64(len(w.sidecars)), float64(len(w.sidecars)-1)); float64(shut) > maxShut+1e-9 {
+		return fmt.Errorf("%d are shut out, %g may be", shut, maxShut)
 	}
 	for zone, n := range shutIn {
-		if most := w.share * float64(size[zone]); float64(n) > most+1e-9 {
-			return fmt.Errorf("%d are shut out in zone %s, %g may be", n, zone, most)
+		if maxShut := w.share * float64(size[zone]); float64(n) > maxShut+1e-9 {
+			return fmt.Errorf("%d are shut out in zone %s, %g may be", n, zone, maxShut)
 		}
 	}
 	return nil
@@ -287,7 +287,7 @@
 		fleet := make([]Observation, len(w.sidecars))
 		for i := range w.sidecars {
 			s := &w.sidecars[i]
-			fleet[i] = Observation{Name: strconv.Itoa(i), Zone: s.zone, Reached: s.links[n] && !s.stopped, AnsweredAt: w.now, Incarnation: lifeOf(s.life), Site: "s", Instances: len(w.sidecars),
+			fleet[i] = Observation{Name: strconv.Itoa(i), Zone: s.zone, Reached: s.links[n] && !s.stopped, AnsweredAt: w.now, Incarnation: incarnationName(s.incarnationNumber), Site: "s", Instances: len(w.sidecars),
 				Version: s.actor.current, Minimum: s.actor.Minimum(w.now), State: s.actor.Verdict(w.now).State}
 		}
 		round := a.Round(w.now, w.now+w.walls[n], fleet, &Reference{List: lists[w.newest].List, RequestedAt: w.now})
@@ -298,7 +298,7 @@
 				if err := w.deliver(l); err != nil {
 					return err
 				}
-			} else if len(w.pool) < poolMost {
+			} else if len(w.pool) < maxPool {
 				w.pool = append(w.pool, l)
 			}
 		}
@@ -359,7 +359,7 @@
 			return had
 		})
 	}
-	for j := range poolMost { // what came late stays, to come once more
+	for j := range maxPool { // what came late stays, to come once more
 		out = append(out, fault{fmt.Sprint("late order ", j), func(w *simulation) (bool, error) {
 			if j >= len(w.pool) || w.sidecars[w.pool[j].to].stopped {
 				return false, nil
@@ -389,8 +389,8 @@
 
 // search goes through all that can come of a state within so many ticks and with so many faults.
 // In some of them somebody has to be shut out, or nothing has been looked at.
-func search(t *testing.T, root *simulation, ticks, most int) (states, shut int) {
-	seen := map[uint64]int{} // the least faults with which a state was come to
+func search(t *testing.T, root *simulation, ticks, maxFaults int) (states, shut int) {
+	seen := map[uint64]int{} // the fewest faults with which a state was reached
 	all := faults(len(root.sidecars))
 	layer := []*node{{w: root, did: "begin"}}
 	for range ticks {
@@ -411,7 +411,7 @@
 					return
 				}
 				h := w.hash()
-				if least, ok := seen[h]; ok && least <= faults {
+				if fewest, ok := seen[h]; ok && fewest <= faults {
 					return
 				}
 				seen[h] = faults
@@ -427,7 +427,7 @@
 				}
 			}
 			step("tick", n.faults, func(w *simulation) (bool, error) { return true, w.tick() })
-			if n.faults < most {
+			if n.faults < maxFaults {
 				for _, f := range all {
 					step(f.name, n.faults+1, f.does)
 				}
@@ -460,9 +460,9 @@
 }
 
 func TestSearch(t *testing.T) {
-	most := 2
+	maxFaults := 2
 	if text := os.Getenv("VERSION_FAULTS"); text != "" {
-		most, _ = strconv.Atoi(text)
+		maxFaults, _ = strconv.Atoi(text)
 	}
 	for _, c := range []struct{ name, cut, a, b string }{
 		{"one straggler, one auditor", "0", "012", ""},
@@ -474,7 +474,7 @@
 			has := func(of string, i int) bool { return strings.Contains(of, strconv.Itoa(i)) }
 			w := fleet(3, 1, 0.5, func(i int) bool { return has(c.cut, i) }, func(n, i int) bool { return has([]string{c.a, c.b}[n], i) })
 			began := time.Now()
-			states, shut := search(t, w, 10, most)
+			states, shut := search(t, w, 10, maxFaults)
 			if t.Logf("%d states, in %d one is shut out, %s", states, shut, time.Since(began)); shut == 0 {
 				t.Error("nobody is ever shut out")
 			}
