--- a/internal/auditlog/auditlog_test.go
+++ b/internal/auditlog/auditlog_test.go
@@ -32,8 +32,8 @@
 }
 
 // book is one that goes on from a past.
-func newTestLog(life string, past []Entry) *Log {
-	b := NewLog(life, "test", past, fixedClock)
+func newTestLog(incarnation string, past []Entry) *Log {
+	b := NewLog(incarnation, "test", past, fixedClock)
 	b.Names(testNames)
 	return b
 }
@@ -84,9 +84,9 @@
 	remade := func(i int, edit func(*Entry)) []Entry {
 		return change(i, func(e *Entry) { edit(e); e.Sum = checksum(*e) })
 	}
-	told := slices.Clone(handed)
+	withLoss := slices.Clone(handed)
 	e, _, _ := link(handed[n-1], Entry{Incarnation: "a", Kind: Lost, N: 2, UpTo: 6})
-	told = append(slices.Delete(told, 4, 6), e)
+	withLoss = append(slices.Delete(withLoss, 4, 6), e)
 	for name, c := range map[string]struct {
 		entries []Entry
 		want    []FaultKind
@@ -98,8 +98,8 @@
 		"older ones dropped":           {handed[3:], nil},
 		"one missing":                  {slices.Delete(slices.Clone(handed), 3, 4), []FaultKind{Missing}},
 		"a whole life missing":         {append(slices.Clone(handed[:3]), next.Entries()[n:]...), []FaultKind{Missing}},
-		"missing, and told so":         {told, nil},
-		"missing, and one more":        {slices.Delete(slices.Clone(told), 6, 7), []FaultKind{Missing}},
+		"missing, and told so":         {withLoss, nil},
+		"missing, and one more":        {slices.Delete(slices.Clone(withLoss), 6, 7), []FaultKind{Missing}},
 		"twice":                        {slices.Insert(slices.Clone(handed), 3, handed[2]), []FaultKind{Disordered}},
 		"changed":                      {change(3, func(e *Entry) { e.At++ }), []FaultKind{Changed}},
 		"another sum":                  {change(3, func(e *Entry) { e.Sum = handed[2].Sum }), []FaultKind{Changed, Unchained}},
@@ -272,9 +272,9 @@
 	next := NewLog("b", "former", past, fixedClock)
 	v, _ := next.Version()
 	epoch, by := LastOrder(next.Entries())
-	held := slices.ContainsFunc(past, func(e Entry) bool { return e.Kind == Adopted && e.Version.List.Revision == 1 })
-	if b.size > maxRingBytes || past[0].Seq == 1 || Check(next.Entries()) != nil || v.Epoch != 7 || epoch != 7 || by != "z" || !held {
-		t.Errorf("%d bytes from %d, epochs %d and %d %s, adopted %v", b.size, past[0].Seq, v.Epoch, epoch, by, held)
+	hasAdoption := slices.ContainsFunc(past, func(e Entry) bool { return e.Kind == Adopted && e.Version.List.Revision == 1 })
+	if b.size > maxRingBytes || past[0].Seq == 1 || Check(next.Entries()) != nil || v.Epoch != 7 || epoch != 7 || by != "z" || !hasAdoption {
+		t.Errorf("%d bytes from %d, epochs %d and %d %s, adopted %v", b.size, past[0].Seq, v.Epoch, epoch, by, hasAdoption)
 	}
 	var got []Entry
 	for seq := uint64(0); ; {
@@ -357,11 +357,11 @@
 	return &memoryFile{d, d.files[name]}, nil
 }
 
-func (d *memoryDisk) Read(name string, most int64) ([]byte, error) {
+func (d *memoryDisk) Read(name string, maxBytes int64) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if f := d.files[name]; f != nil {
-		return slices.Clone(f.text[:min(int(most), len(f.text))]), nil
+		return slices.Clone(f.text[:min(int(maxBytes), len(f.text))]), nil
 	}
 	return nil, os.ErrNotExist
 }
@@ -638,20 +638,20 @@
 		past, _, _ := Load(d)
 		b := newTestLog("0", past)
 		f := newTestWriter(d, b)
-		kept := map[string]int{} // sums of entries that were synced, by life
-		for life := range rapid.IntRange(1, 12).Draw(t, "lives") {
+		kept := map[string]int{} // sums of entries that were synced, by incarnation
+		for incarnation := range rapid.IntRange(1, 12).Draw(t, "lives") {
 			renew := true
 			for i := range rapid.IntRange(0, 5).Draw(t, "notes") {
-				adoptList(b, int64(1000*life+i))
+				adoptList(b, int64(1000*incarnation+i))
 				if rapid.Bool().Draw(t, "write") {
 					if err := f.write(renew); err != nil {
 						t.Fatal(err)
 					}
 					renew = false
-					kept[b.last.Sum] = life
+					kept[b.last.Sum] = incarnation
 				}
 			}
-			next := fmt.Sprint(life + 1)
+			next := fmt.Sprint(incarnation + 1)
 			switch rapid.IntRange(0, 2).Draw(t, "end") {
 			case 0:
 				d = d.afterPowerCut(4, true)
@@ -670,13 +670,13 @@
 				if err := former.write(former.file == nil); err != nil {
 					t.Fatal(err)
 				}
-				kept[former.Log.last.Sum] = life
+				kept[former.Log.last.Sum] = incarnation
 				d.locks = map[string]bool{}
 				continue
 			}
 			past, faults, _ := Load(d)
 			if faults != nil {
-				t.Fatalf("after life %d: %v", life, faults)
+				t.Fatalf("after life %d: %v", incarnation, faults)
 			}
 			b = newTestLog(next, past)
 			f = newTestWriter(d, b)
@@ -685,9 +685,9 @@
 		if faults != nil {
 			t.Fatal(faults)
 		}
-		for sum, life := range kept {
+		for sum, incarnation := range kept {
 			if !slices.ContainsFunc(got, func(e Entry) bool { return e.Sum == sum }) {
-				t.Fatalf("an entry of life %d was kept and is gone", life)
+				t.Fatalf("an entry of life %d was kept and is gone", incarnation)
 			}
 		}
 	})
--- a/internal/auditlog/full_disk_test.go
+++ b/internal/auditlog/full_disk_test.go
@@ -29,19 +29,19 @@
 	}
 	b := newTestLog("a", nil)
 	adoptList(b, 1)
-	var told []string
-	f := &Writer{Disk: fullDisk(t), Log: b, OnFault: func(err error) { told = append(told, err.Error()) }}
+	var faults []string
+	f := &Writer{Disk: fullDisk(t), Log: b, OnFault: func(err error) { faults = append(faults, err.Error()) }}
 	f.setResult(f.write(true))
-	if len(told) != 1 || !strings.Contains(told[0], "another process") {
-		t.Fatalf("with the lock held elsewhere: %q", told)
+	if len(faults) != 1 || !strings.Contains(faults[0], "another process") {
+		t.Fatalf("with the lock held elsewhere: %q", faults)
 	}
 	unlock()
 	f.setResult(f.write(true))
-	if len(told) != 2 || !strings.Contains(told[1], "no space left") {
-		t.Fatalf("on a full disk: %q", told)
+	if len(faults) != 2 || !strings.Contains(faults[1], "no space left") {
+		t.Fatalf("on a full disk: %q", faults)
 	}
 	f.setResult(f.lastErr)
-	if len(told) != 2 {
-		t.Errorf("the same cause is told again: %q", told)
+	if len(faults) != 2 {
+		t.Errorf("the same cause is told again: %q", faults)
 	}
 }
