--- a/internal/audit/client_test.go
+++ b/internal/audit/client_test.go
@@ -79,7 +79,7 @@
 
 // newSlowFleet is questions at stand-ins, of which 5% are dead and 5% hang, and how many were asked at once at most.
 func newSlowFleet(t testing.TB, fleet int) ([]Request, *atomic.Int64) {
-	now, most := new(atomic.Int64), new(atomic.Int64)
+	now, maxInFlight := new(atomic.Int64), new(atomic.Int64)
 	questions := make([]Request, fleet)
 	for i := range questions {
 		switch i % 20 {
@@ -92,20 +92,20 @@
 			questions[i].Addr = serveSidecar(t, func(w http.ResponseWriter, r *http.Request) {
 				n := now.Add(1)
 				defer now.Add(-1)
-				for old := most.Load(); n > old && !most.CompareAndSwap(old, n); old = most.Load() {
+				for old := maxInFlight.Load(); n > old && !maxInFlight.CompareAndSwap(old, n); old = maxInFlight.Load() {
 				}
 				answer(w, r)
 			})
 		}
 	}
-	return questions, most
+	return questions, maxInFlight
 }
 
 // Guards against an audit that a few dead or hanging sidecars hold up, and one that opens connections without bound. The
 // time is half of what those that hang take one after the other; what it is on a machine at rest is the benchmark's.
 func TestRequestsAreConcurrent(t *testing.T) {
 	const fleet, atATime, within = 100, 32, 4 * time.Second
-	questions, most := newSlowFleet(t, fleet)
+	questions, maxInFlight := newSlowFleet(t, fleet)
 	a := NewClient(atATime, within)
 	defer a.Close()
 	began := time.Now()
@@ -113,8 +113,8 @@
 	if took := time.Since(began); took >= fleet/20*within/2 {
 		t.Errorf("took %v", took)
 	}
-	if most.Load() > atATime {
-		t.Errorf("%d connections at once, %d at most", most.Load(), atATime)
+	if maxInFlight.Load() > atATime {
+		t.Errorf("%d connections at once, %d at most", maxInFlight.Load(), atATime)
 	}
 	for i, got := range answers {
 		if well := i%20 != 7 && i%20 != 13; well != (got.Report != nil) || well && got.Report.Name != fmt.Sprint(i) || !well && got.Err == nil {
@@ -247,7 +247,7 @@
 			takes[i] = time.Second
 		}
 	}
-	round := func(last []time.Duration) (end time.Duration, most int) {
+	round := func(last []time.Duration) (end time.Duration, maxInFlight int) {
 		due := newScheduler(last, atATime)
 		var under []time.Duration // when calls end, in order
 		for now := time.Duration(0); ; {
@@ -255,18 +255,18 @@
 				at, _ := slices.BinarySearch(under, now+takes[who])
 				under = slices.Insert(under, at, now+takes[who])
 			}
-			most = max(most, len(under))
+			maxInFlight = max(maxInFlight, len(under))
 			if len(under) == 0 {
-				return now, most
+				return now, maxInFlight
 			}
 			now, under = under[0], under[1:]
 			due.done()
 		}
 	}
-	first, most := round(make([]time.Duration, fleet))
+	first, maxInFlight := round(make([]time.Duration, fleet))
 	second, _ := round(takes)
 	t.Logf("first round %v, the next %v", first, second)
-	if first > 2100*time.Millisecond || second > 2100*time.Millisecond || second >= first || most != atATime {
-		t.Errorf("%v, then %v; %d at once", first, second, most)
+	if first > 2100*time.Millisecond || second > 2100*time.Millisecond || second >= first || maxInFlight != atATime {
+		t.Errorf("%v, then %v; %d at once", first, second, maxInFlight)
 	}
 }
--- a/internal/audit/late.go
+++ b/internal/audit/late.go
@@ -25,8 +25,8 @@
 		return nil
 	}
 	type adoption struct {
-		life  string
-		under uint32
+		incarnation string
+		versionID   uint32
 	}
 	versions, adoptedAt := map[adoption]*version.Version{}, map[adoption]version.Millis{}
 	flushed := map[string][]version.Millis{} // by incarnation
--- a/internal/audit/timeline.go
+++ b/internal/audit/timeline.go
@@ -29,16 +29,16 @@
 // shows by that clock going back or, between two incarnations, by a step of at least minRebootStep, the wall clock counts.
 func placeOnTimeline(entries []auditlog.Entry, a clockSample) []TimedEntry {
 	out := make([]TimedEntry, len(entries))
-	shift, wall, up, life := a.Time-a.Wall, a.Wall, a.Up, ""
+	shift, wall, up, incarnation := a.Time-a.Wall, a.Wall, a.Up, ""
 	for i := len(entries) - 1; i >= 0; i-- {
 		e := entries[i]
 		if e.Up > 0 {
-			if step := (wall - e.At) - (up - e.Up); up > 0 && e.Up <= up && !(life != "" && e.Incarnation != life && max(step, -step) > minRebootStep) {
+			if step := (wall - e.At) - (up - e.Up); up > 0 && e.Up <= up && !(incarnation != "" && e.Incarnation != incarnation && max(step, -step) > minRebootStep) {
 				shift += step
 			}
 			wall, up = e.At, e.Up
 		}
-		life = e.Incarnation
+		incarnation = e.Incarnation
 		out[i] = TimedEntry{Entry: e, Time: e.At + shift, Uncertainty: a.Uncertainty}
 	}
 	return out
