--- a/cmd/pinelb/audit_test.go
+++ b/cmd/pinelb/audit_test.go
@@ -178,8 +178,8 @@
 	_ = p.cmd.Wait()
 
 	type under struct {
-		life string
-		n    uint32
+		incarnation string
+		n           uint32
 	}
 	lists, sent, crossed := map[under]version.Digest{}, map[string]int{}, 0
 	for _, e := range readBack(t, dir, func(auditlog.Entry) bool { return true }) {
--- a/cmd/pinelb/body_size_test.go
+++ b/cmd/pinelb/body_size_test.go
@@ -51,13 +51,13 @@
 func TestLongBodiesBothWays(t *testing.T) {
 	const size = 8 << 20
 	want := sum(&filler{n: size})
-	box := listen(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	endpoint := listen(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if got := sum(r.Body); r.Method == "POST" && got != want {
 			t.Errorf("the host got %.80s, want %.80s", got, want)
 		}
 		_, _ = io.Copy(w, &filler{n: size})
 	}))
-	p := start(t, newTestSite(t, host("s-1", box, "Ready"), host("s-2", box, "Ready")).addr)
+	p := start(t, newTestSite(t, host("s-1", endpoint, "Ready"), host("s-2", endpoint, "Ready")).addr)
 	p.await(t, "cluster changed")
 	for _, many := range []int{1, 10, 50} {
 		var wait sync.WaitGroup
--- a/cmd/pinelb/control_test.go
+++ b/cmd/pinelb/control_test.go
@@ -89,7 +89,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	var took []time.Duration
-	asked := func(want int) {
+	expectHealth := func(want int) {
 		from := time.Now()
 		if got := admin(t, "GET", at, "/admin/health"); got != want {
 			t.Errorf("health is %d, want %d", got, want)
@@ -109,13 +109,13 @@
 			half(p.addr)
 		}
 		half(at)
-		asked(200)
+		expectHealth(200)
 	}
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	p.await(t, "draining")
-	asked(503)
+	expectHealth(503)
 	if got := admin(t, "POST", at, "/admin/cordon?name=s-1"); got != 200 {
 		t.Errorf("a cordon while it ends is answered %d", got)
 	}
--- a/cmd/pinelb/descriptors_test.go
+++ b/cmd/pinelb/descriptors_test.go
@@ -65,17 +65,17 @@
 	}
 }
 
-// idleSite is a site whose agent falls silent.
+// idleSite is a site whose agent stops answering.
 type idleSite struct {
 	*testSite
-	silent atomic.Bool
-	asked  chan struct{} // of an agent that is silent
+	unresponsive atomic.Bool
+	received     chan struct{} // one per request that an unresponsive agent receives
 }
 
 func (q *idleSite) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if q.silent.Load() {
+	if q.unresponsive.Load() {
 		select {
-		case q.asked <- struct{}{}:
+		case q.received <- struct{}{}:
 		default:
 		}
 		<-r.Context().Done() // whatever waits then is never answered
@@ -95,13 +95,13 @@
 			}
 			t.Run(fmt.Sprintf("killed %v, known %v", killed, known), func(t *testing.T) {
 				old, fresh := newTestHost(t, serve("old")), newTestHost(t, serve("new"))
-				agent := &idleSite{testSite: newTestSite(t, host("s-1", old.addr, "Ready")), asked: make(chan struct{}, 1)}
+				agent := &idleSite{testSite: newTestSite(t, host("s-1", old.addr, "Ready")), received: make(chan struct{}, 1)}
 				addr := listen(t, agent)
 				p := startWithFewSockets(t, "127.0.0.1:0", addr)
 				p.await(t, "cluster changed")
-				agent.silent.Store(true)
+				agent.unresponsive.Store(true)
 				openIdleConnections(t, p.addr, 2*descriptors)
-				<-agent.asked
+				<-agent.received
 				if killed {
 					_ = p.cmd.Process.Kill()
 					_ = p.cmd.Wait()
@@ -112,12 +112,12 @@
 					p = startWithFewSockets(t, p.addr, addr, before...)
 				}
 				agent.change(host("s-1", old.addr, "Gone"), host("s-2", fresh.addr, "Ready"))
-				agent.silent.Store(false)
+				agent.unresponsive.Store(false)
 				from := time.Now()
-				told := make(chan time.Duration, 1)
+				elapsed := make(chan time.Duration, 1)
 				go func() {
 					p.await(t, "cluster changed")
-					told <- time.Since(from)
+					elapsed <- time.Since(from)
 				}()
 				for ready := false; !ready; {
 					res, _, err := p.send(t.Context(), "GET", "/_health", "")
@@ -126,7 +126,7 @@
 				if took := time.Since(from); killed && took > 10*time.Second {
 					t.Errorf("ready after %v", took)
 				}
-				if took := <-told; took > 6*time.Second {
+				if took := <-elapsed; took > 6*time.Second {
 					t.Errorf("the list was taken over after %v", took)
 				}
 				for {
--- a/cmd/pinelb/disconnect_before_send_test.go
+++ b/cmd/pinelb/disconnect_before_send_test.go
@@ -18,32 +18,32 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestClientDisconnectsBeforeSend has a client leave as late as can be: the sidecar stands still meanwhile, and finds the leave together with
+// TestClientDisconnectsBeforeSend has a client disconnect as late as can be: the sidecar stands still meanwhile, and finds the disconnect together with
 // what lets the request go out. No byte of it is to come to a host, be it its first attempt or a further one, however its
-// connection came up, and whether or not a byte hides the leave from whoever reads.
+// connection came up, and whether or not a byte hides the disconnect from whoever reads.
 func TestClientDisconnectsBeforeSend(t *testing.T) {
 	for name, place := range map[string]func(x *disconnectFixture){
 		"a first attempt": func(x *disconnectFixture) {
 			x.send()
 			x.standsStill(func() {
-				x.leave()
+				x.disconnect()
 				x.site.change(host("s-1", x.counting(listenTCP(x.t)), "Ready"))
 			})
 			x.p.await(x.t, "cluster changed")
 		},
 		"a further attempt": func(x *disconnectFixture) {
-			asked, away := make(chan struct{}), make(chan struct{})
-			first := host("s-1", startRejectingHost(x.t, asked, away), "Ready")
+			received, reject := make(chan struct{}), make(chan struct{})
+			first := host("s-1", startRejectingHost(x.t, received, reject), "Ready")
 			x.site.change(first)
 			x.p.await(x.t, "cluster changed")
 			x.send()
-			<-asked
+			<-received
 			x.site.change(first, host("s-2", x.counting(listenTCP(x.t)), "Ready"))
 			x.p.await(x.t, "cluster changed")
 			x.standsStill(func() {
-				x.leave()
-				away <- struct{}{}
-				<-away
+				x.disconnect()
+				reject <- struct{}{}
+				<-reject
 			})
 		},
 		"while its connection comes up": func(x *disconnectFixture) {
@@ -53,7 +53,7 @@
 			x.send()
 			awaitSocket(addr, synSent)
 			x.standsStill(func() {
-				x.leave()
+				x.disconnect()
 				x.counting(room())
 				awaitSocket(addr, established)
 			})
@@ -119,8 +119,8 @@
 	}
 }
 
-// leave ends the client's sending, and returns when the sidecar's machine has taken note.
-func (x *disconnectFixture) leave() {
+// disconnect ends the client's sending, and returns when the sidecar's machine has taken note.
+func (x *disconnectFixture) disconnect() {
 	if err := x.client.CloseWrite(); err != nil {
 		x.t.Fatal(err)
 	}
@@ -183,8 +183,8 @@
 	return l
 }
 
-// startRejectingHost is a host that says when it is asked, and turns that away when it is told to. It says when that is on its way.
-func startRejectingHost(t *testing.T, asked chan<- struct{}, away chan struct{}) string {
+// startRejectingHost is a host that signals received when a request comes, and rejects it on a signal from reject, over which it then signals that the rejection is on its way.
+func startRejectingHost(t *testing.T, received chan<- struct{}, reject chan struct{}) string {
 	l := listenTCP(t)
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
@@ -193,10 +193,10 @@
 			return
 		}
 		_, _ = c.Read(make([]byte, 1))
-		asked <- struct{}{}
-		<-away
+		received <- struct{}{}
+		<-reject
 		_, _ = io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
-		away <- struct{}{}
+		reject <- struct{}{}
 	}()
 	return l.Addr().String()
 }
--- a/cmd/pinelb/disconnect_test.go
+++ b/cmd/pinelb/disconnect_test.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	leavers   = 8                      // of each kind, at each place
-	goneFor   = 350 * time.Millisecond // before their wait ends: nothing is to be sent on 0.3 s after a leave
-	leaverTxn = "gone"                 // begins their ids
+	clientsPerKind  = 8                      // of each kind, at each place
+	disconnectedFor = 350 * time.Millisecond // before their wait ends: nothing is to be forwarded 0.3 s after a disconnect
+	disconnectedTxn = "gone"                 // begins their ids
 )
 
 // leaves are the ways in which a client leaves, with what it says before. Not all show to whoever reads one message at a time.
-var leaves = []struct {
+var disconnectKinds = []struct {
 	name, more string
 	reset      bool
 }{{"closes", "", false}, {"closes behind a byte", "G", false}, {"resets behind a line", "\r\n", true}}
@@ -32,20 +32,20 @@
 // TestClientDisconnectsWhileWaiting counts, for each place where a request can wait, how many are sent on whose clients had left 0.35 s
 // before the wait ended. None is to be; the counts are in the log.
 func TestClientDisconnectsWhileWaiting(t *testing.T) {
-	for name, place := range map[string]func(t *testing.T, leave func(addr, message string)) (sentOn int){
-		"held by the decisions": func(t *testing.T, leave func(addr, message string)) int {
+	for name, place := range map[string]func(t *testing.T, disconnect func(addr, message string)) (sentOn int){
+		"held by the decisions": func(t *testing.T, disconnect func(addr, message string)) int {
 			s := newTestSite(t)
 			p := start(t, s.addr)
-			leave(p.addr, disconnectRequest("GET /order-status/1", ""))
+			disconnect(p.addr, disconnectRequest("GET /order-status/1", ""))
 			return forwardedCount(t, p, s)
 		},
-		"with its body still coming": func(t *testing.T, leave func(addr, message string)) int {
+		"with its body still coming": func(t *testing.T, disconnect func(addr, message string)) int {
 			s := newTestSite(t)
 			p := start(t, s.addr)
-			leave(p.addr, disconnectRequest("POST /remake-charge/1", "Content-Length: 100000\r\n")+strings.Repeat("x", 50000))
+			disconnect(p.addr, disconnectRequest("POST /remake-charge/1", "Content-Length: 100000\r\n")+strings.Repeat("x", 50000))
 			return forwardedCount(t, p, s)
 		},
-		"at the connections' bound, its head not read": func(t *testing.T, leave func(addr, message string)) int {
+		"at the connections' bound, its head not read": func(t *testing.T, disconnect func(addr, message string)) int {
 			s := newTestSite(t)
 			config := configFor(s.addr)
 			config["limits"] = map[string]any{"sockets": 64} // of which 16 are callers'
@@ -56,7 +56,7 @@
 				first[i] = dial(t, p.addr)
 				_, _ = io.WriteString(first[i], "GET /order-status/1 HTTP/1.1\r\n") // they hold their places as long as a head may
 			}
-			leave(p.addr, disconnectRequest("POST /remake-charge/1", "Content-Length: 0\r\n"))
+			disconnect(p.addr, disconnectRequest("POST /remake-charge/1", "Content-Length: 0\r\n"))
 			b := newTestHost(t, serve("ok"))
 			s.change(host("s-1", b.addr, "Ready"))
 			p.await(t, "cluster changed")
@@ -66,7 +66,7 @@
 			}
 			return endedCount(t, p, b)
 		},
-		"between two attempts": func(t *testing.T, leave func(addr, message string)) int {
+		"between two attempts": func(t *testing.T, disconnect func(addr, message string)) int {
 			release := make(chan struct{})
 			away := newTestHost(t, func(w http.ResponseWriter, _ *http.Request) {
 				<-release
@@ -77,28 +77,28 @@
 			s := newTestSite(t, host("s-1", away.addr, "Ready"))
 			p := start(t, s.addr)
 			p.await(t, "cluster changed")
-			leave(p.addr, disconnectRequest("POST /remake-charge/1", "Content-Length: 0\r\n"))
+			disconnect(p.addr, disconnectRequest("POST /remake-charge/1", "Content-Length: 0\r\n"))
 			s.change(host("s-2", b.addr, "Ready"))
 			p.await(t, "cluster changed")
 			close(release)
 			return endedCount(t, p, b)
 		},
-		"while its connection comes up": func(t *testing.T, leave func(addr, message string)) int {
+		"while its connection comes up": func(t *testing.T, disconnect func(addr, message string)) int {
 			late := newLateHost(t)
 			s := newTestSite(t, host("s-1", late.addr, "Ready"))
 			p := start(t, s.addr)
 			p.await(t, "cluster changed")
-			leave(p.addr, disconnectRequest("POST /remake-charge/1", "Content-Length: 0\r\n"))
+			disconnect(p.addr, disconnectRequest("POST /remake-charge/1", "Content-Length: 0\r\n"))
 			late.open()
 			return endedCount(t, p, late.testHost)
 		},
 	} {
-		for _, how := range leaves {
+		for _, how := range disconnectKinds {
 			t.Run(name+", "+how.name, func(t *testing.T) {
 				t.Parallel()
 				n := place(t, func(addr, message string) {
 					var out sync.WaitGroup
-					for i := range leavers {
+					for i := range clientsPerKind {
 						out.Go(func() {
 							c := dial(t, addr)
 							for _, text := range []string{fmt.Sprintf(message, i), how.more} {
@@ -112,11 +112,11 @@
 						})
 					}
 					out.Wait()
-					<-time.After(goneFor)
+					<-time.After(disconnectedFor)
 				})
-				t.Logf("%d of %d are sent on", n, leavers)
+				t.Logf("%d of %d are sent on", n, clientsPerKind)
 				if n > 0 {
-					t.Errorf("%d of %d requests are sent on for clients that had left 0.35 s before", n, leavers)
+					t.Errorf("%d of %d requests are sent on for clients that had left 0.35 s before", n, clientsPerKind)
 				}
 			})
 		}
@@ -141,7 +141,7 @@
 	}
 	<-time.After(50 * time.Millisecond)
 	_ = transport.Close()
-	<-time.After(goneFor)
+	<-time.After(disconnectedFor)
 	h := &orders{notes: make(chan string, 100)}
 	s.change(host("s-1", thriftHost(t, "framed-binary", h), "Ready"))
 	p.await(t, "cluster changed")
@@ -154,7 +154,7 @@
 }
 
 func disconnectRequest(line, headers string) string {
-	return line + " HTTP/1.1\r\nHost: x\r\nX-Txn: " + leaverTxn + "%d\r\nX-Remaining-Ms: 60000\r\n" + headers + "\r\n"
+	return line + " HTTP/1.1\r\nHost: x\r\nX-Txn: " + disconnectedTxn + "%d\r\nX-Remaining-Ms: 60000\r\n" + headers + "\r\n"
 }
 
 func dial(t *testing.T, addr string) net.Conn {
@@ -180,7 +180,7 @@
 func endedCount(t *testing.T, p *program, b *testHost) (n int) {
 	p.end(t)
 	for len(b.visits) > 0 {
-		if strings.Contains(<-b.visits, leaverTxn) {
+		if strings.Contains(<-b.visits, disconnectedTxn) {
 			n++
 		}
 	}
--- a/cmd/pinelb/discovery_move_test.go
+++ b/cmd/pinelb/discovery_move_test.go
@@ -14,7 +14,7 @@
 	a, b := newTestHost(t, serve("a")), newTestHost(t, serve("b"))
 	first, second := newTestSite(t, host("s-1", a.addr, "Ready")), newTestSite(t, host("s-2", b.addr, "Ready"))
 	var calls atomic.Int64
-	silent := listen(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	unresponsive := listen(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if calls.Add(1) <= 2 {
 			<-r.Context().Done()
 			return
@@ -23,7 +23,7 @@
 	}))
 	p := start(t, first.addr)
 	p.await(t, "cluster changed")
-	write(t, p.file, configFor(silent))
+	write(t, p.file, configFor(unresponsive))
 	from := time.Now()
 	if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
--- a/cmd/pinelb/main_test.go
+++ b/cmd/pinelb/main_test.go
@@ -318,10 +318,10 @@
 	})
 	p := start(t, newTestSite(t, host("s-1", b.addr, "Ready")).addr)
 	p.await(t, "cluster changed")
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		<-b.visits
-		leave()
+		cancel()
 	}()
 	if _, _, err := p.send(ctx, "GET", "/order-status/1", ""); err == nil {
 		t.Error("a client that left was answered")
--- a/cmd/pinelb/published_test.go
+++ b/cmd/pinelb/published_test.go
@@ -23,9 +23,9 @@
 
 // fakeDistributor is a distributor: it answers with what is published as the real one does, or otherwise as a test wants.
 type fakeDistributor struct {
-	addr  string
-	asked chan settingsstore.Request
-	ended chan struct{} // gets one for each question that has waited without news
+	addr     string
+	requests chan settingsstore.Request
+	ended    chan struct{} // gets one for each question that has waited without news
 
 	mu      sync.Mutex
 	state   settingsstore.State
@@ -34,7 +34,7 @@
 }
 
 func newFakeDistributor(t *testing.T) *fakeDistributor {
-	d := &fakeDistributor{asked: make(chan settingsstore.Request, 10_000), ended: make(chan struct{}, 10_000), changed: make(chan struct{})}
+	d := &fakeDistributor{requests: make(chan settingsstore.Request, 10_000), ended: make(chan struct{}, 10_000), changed: make(chan struct{})}
 	d.addr = listen(t, d)
 	return d
 }
@@ -45,7 +45,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	d.asked <- q
+	d.requests <- q
 	late := time.NewTimer(q.Wait)
 	defer late.Stop()
 	for {
@@ -85,7 +85,7 @@
 
 // until reads the questions up to one that fits.
 func (d *fakeDistributor) until(fits func(settingsstore.Request) bool) settingsstore.Request {
-	for q := range d.asked {
+	for q := range d.requests {
 		if fits(q) {
 			return q
 		}
@@ -328,9 +328,9 @@
 	for watched := false; !watched; {
 		var q settingsstore.Request
 		select {
-		case q = <-d.asked:
+		case q = <-d.requests:
 			first, other = d, e
-		case q = <-e.asked:
+		case q = <-e.requests:
 			first, other = e, d
 		}
 		watched = q.Wait > 0
--- a/cmd/pinelb/remaining_time_test.go
+++ b/cmd/pinelb/remaining_time_test.go
@@ -67,13 +67,13 @@
 // connection came up late, and in attempts before it, that were turned away, were reset or got no connection.
 func TestRemainingTimeOfAttempts(t *testing.T) {
 	const wait, slack = 20 * time.Second, hold / 2 // until the sidecar has read the request, which is on its way
-	told := make(chan time.Duration, 4)
+	receivedTimeout := make(chan time.Duration, 4)
 	answers := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		left, err := strconv.Atoi(r.Header.Get("X-Remaining-Ms"))
 		if err != nil {
 			t.Error(err)
 		}
-		told <- time.Duration(left) * time.Millisecond
+		receivedTimeout <- time.Duration(left) * time.Millisecond
 		_, _ = io.WriteString(w, "served")
 	})
 	// Each holds the first attempt until the moment that it returns: what is told later is told after that.
@@ -117,10 +117,10 @@
 			if _, body := p.call(t, "GET", "/order-status/1", "", "X-Remaining-Ms", strconv.Itoa(int(wait.Milliseconds()))); body != "served" {
 				t.Fatalf("answer %q", body)
 			}
-			if got, most := <-told, wait-(<-passed).Sub(from); got > most+slack {
-				t.Errorf("%v were told, %v were left", got, most)
+			if got, available := <-receivedTimeout, wait-(<-passed).Sub(from); got > available+slack {
+				t.Errorf("%v were told, %v were left", got, available)
 			} else {
-				t.Logf("%v were told of %v", got, most)
+				t.Logf("%v were told of %v", got, available)
 			}
 		})
 	}
--- a/cmd/pinelb/settings_test.go
+++ b/cmd/pinelb/settings_test.go
@@ -30,7 +30,7 @@
 }
 
 // distributing starts a distributor's process.
-func startDistributor(t *testing.T, file string) (p *program, asked, called string) {
+func startDistributor(t *testing.T, file string) (p *program, followAddr, controlAddr string) {
 	t.Helper()
 	p = launchOn(t, exec.Command(os.Args[0], "distribute", file), "")
 	listening := p.await(t, "distributor listening")
@@ -53,10 +53,10 @@
 	return res.StatusCode, string(text)
 }
 
-// acknowledge asks as a sidecar does that waits for news, until the distributor has heard it.
-func acknowledge(t *testing.T, asked, called string, q settingsstore.Request) {
+// acknowledge polls as a sidecar does that waits for an update, until the distributor has received the request.
+func acknowledge(t *testing.T, followAddr, controlAddr string, q settingsstore.Request) {
 	t.Helper()
-	c, err := net.Dial("tcp", asked)
+	c, err := net.Dial("tcp", followAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +64,7 @@
 	fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: x\r\n\r\n", q.Target())
 	for {
 		var s settingsstore.Status
-		if _, text := get(t, called, "/admin/settings?service="+q.Service); json.Unmarshal([]byte(text), &s) != nil {
+		if _, text := get(t, controlAddr, "/admin/settings?service="+q.Service); json.Unmarshal([]byte(text), &s) != nil {
 			t.Fatalf("status: %s", text)
 		}
 		if slices.ContainsFunc(s.Sidecars, func(c settingsstore.Sidecar) bool {
@@ -89,7 +89,7 @@
 func TestDistributeAndSettings(t *testing.T) {
 	dir := t.TempDir()
 	file := distributorFile(t, "d1", dir, "")
-	p, asked, called := startDistributor(t, file)
+	p, followAddr, controlAddr := startDistributor(t, file)
 	published := filepath.Join(dir, "published")
 	if err := os.WriteFile(published, []byte(settings), 0o600); err != nil {
 		t.Fatal(err)
@@ -98,7 +98,7 @@
 	if err := os.WriteFile(faulty, []byte(strings.Replace(settings, `"n_instances":1`, `"n_instances":0`, 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	ask := func(name string, epoch, refused uint64) {
+	acknowledgeAs := func(name string, epoch, refused uint64) {
 		q := settingsstore.Request{Service: "orders", Name: name, Wait: settingsstore.MaxWait}
 		if epoch > 0 {
 			q.Since.Epoch, q.Since.By = epoch, "d1"
@@ -106,43 +106,43 @@
 		if refused > 0 {
 			q.Rejected.Epoch, q.Rejected.By, q.Reason = refused, "d1", "settings.aim\x1b is odd"
 		}
-		acknowledge(t, asked, called, q)
+		acknowledge(t, followAddr, controlAddr, q)
 	}
-	both := "127.0.0.1:1," + called
+	both := "127.0.0.1:1," + controlAddr
 	for _, c := range []struct {
 		what   func()
 		args   string
 		status int
 		says   string
 	}{
-		{nil, "status --at " + called, 1, "edition none"},
-		{nil, "publish --at " + called + " " + faulty, 2, "settings.n_instances"},
-		{nil, "publish --at " + called + " " + faulty + "x", 2, "faultyx"},
-		{nil, "rollback --at " + called, 2, "no former settings"},
+		{nil, "status --at " + controlAddr, 1, "edition none"},
+		{nil, "publish --at " + controlAddr + " " + faulty, 2, "settings.n_instances"},
+		{nil, "publish --at " + controlAddr + " " + faulty + "x", 2, "faultyx"},
+		{nil, "rollback --at " + controlAddr, 2, "no former settings"},
 		{nil, "publish --at " + both + " " + published, 0, "orders: published as edition 1 by d1\n"},
-		{func() { ask("n0", 1, 0) }, "status --at " + called, 0, "of 1 sidecars 1 in force"},
+		{func() { acknowledgeAs("n0", 1, 0) }, "status --at " + controlAddr, 0, "of 1 sidecars 1 in force"},
 		{nil, "status --at " + both, 1, "not reached"}, // who knows what its sidecars have
 		{nil, "status --at " + both, 1, "of 1 sidecars 1 in force"},
-		{func() { ask("n1", 0, 0) }, "status --at " + both, 1, "1 behind"},
-		{nil, "publish --json --at " + called + " " + published, 0, `"epoch":2`},
-		{func() { ask("n0", 2, 0); ask("n1", 1, 2) }, "status --at " + called, 1, "1 refused"},
-		{nil, "status --at " + called, 1, "settings.aim? is odd"},
+		{func() { acknowledgeAs("n1", 0, 0) }, "status --at " + both, 1, "1 behind"},
+		{nil, "publish --json --at " + controlAddr + " " + published, 0, `"epoch":2`},
+		{func() { acknowledgeAs("n0", 2, 0); acknowledgeAs("n1", 1, 2) }, "status --at " + controlAddr, 1, "1 refused"},
+		{nil, "status --at " + controlAddr, 1, "settings.aim? is odd"},
 		{nil, "status --json --at " + both, 1, `"in_force":1,"behind":0,"ahead":0,"refused":1,"silent":0,"unreached":["distributor: Get`},
-		{func() { ask("n1", 2, 0) }, "status --json --at " + called + "," + called, 0, `"sidecars":2,"in_force":2`},
-		{nil, "rollback --at " + called, 2, "no former settings"}, // the same was published twice
+		{func() { acknowledgeAs("n1", 2, 0) }, "status --json --at " + controlAddr + "," + controlAddr, 0, `"sidecars":2,"in_force":2`},
+		{nil, "rollback --at " + controlAddr, 2, "no former settings"}, // the same was published twice
 		{func() {
 			other := filepath.Join(dir, "other")
 			_ = os.WriteFile(other, []byte(strings.Replace(settings, `"send_cap":4`, `"send_cap":3`, 1)), 0o600)
-			if status, out := run(t, "settings", "publish", "--service", "orders", "--within", "10s", "--at", called, other); status != 0 {
+			if status, out := run(t, "settings", "publish", "--service", "orders", "--within", "10s", "--at", controlAddr, other); status != 0 {
 				t.Errorf("%d %s", status, out)
 			}
-		}, "rollback --wait 1ms --at " + called, 1, "edition 4 by d1"},
+		}, "rollback --wait 1ms --at " + controlAddr, 1, "edition 4 by d1"},
 		{nil, "status --at 127.0.0.1:1", 3, "not reached"},
 		{nil, "publish --at 127.0.0.1:1 " + published, 3, "nobody was reached"},
 		{nil, "rollback --at 127.0.0.1:1", 3, "nobody was reached"},
 		{nil, "status --at nowhere", 2, "--at"},
-		{nil, "status --wait -1s --at " + called, 2, "--wait"},
-		{nil, "status --service .x --at " + called, 2, "--service"},
+		{nil, "status --wait -1s --at " + controlAddr, 2, "--wait"},
+		{nil, "status --service .x --at " + controlAddr, 2, "--service"},
 	} {
 		if c.what != nil {
 			c.what()
@@ -170,11 +170,11 @@
 	go func() {
 		q := settingsstore.Request{Service: "orders", Name: "n9", Wait: settingsstore.MaxWait}
 		q.Since.Epoch, q.Since.By = 9, "d1"
-		status, _ := get(t, asked, q.Target())
+		status, _ := get(t, followAddr, q.Target())
 		answered <- status
 	}()
 	for status, text := 200, ""; status == 200 && !strings.Contains(text, `"n9"`); { // until it waits
-		status, text = get(t, called, "/admin/settings?service=orders")
+		status, text = get(t, controlAddr, "/admin/settings?service=orders")
 	}
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -186,8 +186,8 @@
 	if err := p.cmd.Wait(); err != nil {
 		t.Errorf("SIGTERM: %v", err)
 	}
-	_, _, called = startDistributor(t, file)
-	status, out := run(t, "settings", "status", "--json", "--at", called, "--service", "orders", "--within", "10s")
+	_, _, controlAddr = startDistributor(t, file)
+	status, out := run(t, "settings", "status", "--json", "--at", controlAddr, "--service", "orders", "--within", "10s")
 	var last struct{ Epoch uint64 }
 	lines := strings.Split(strings.TrimSpace(out), "\n")
 	if err := json.Unmarshal([]byte(lines[len(lines)-1]), &last); err != nil || last.Epoch != 4 || status != 0 {
--- a/cmd/pinelb/state_bench_test.go
+++ b/cmd/pinelb/state_bench_test.go
@@ -16,8 +16,8 @@
 
 // BenchmarkJournal is how long a stream takes through the program with and without a journal of effects, in microseconds.
 func BenchmarkJournal(b *testing.B) {
-	box := listen(b, http.HandlerFunc(serve("ok")))
-	s := newTestSite(b, host("s-1", box, "Ready"))
+	endpoint := listen(b, http.HandlerFunc(serve("ok")))
+	s := newTestSite(b, host("s-1", endpoint, "Ready"))
 	for _, clients := range []int{1, 16} {
 		for _, journal := range []bool{false, true} {
 			b.Run(fmt.Sprintf("clients=%d/journal=%v", clients, journal), func(b *testing.B) {
--- a/cmd/pinelb/state_test.go
+++ b/cmd/pinelb/state_test.go
@@ -96,7 +96,7 @@
 	dir := filepath.Join(t.TempDir(), "state")
 	var mu sync.Mutex
 	runs := map[string]int{}
-	box := listen(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	endpoint := listen(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		runs[r.Header.Get("X-Txn")]++
 		mu.Unlock()
@@ -107,12 +107,12 @@
 			}
 		}
 	}))
-	s := newTestSite(t, host("s-1", box, "Ready"))
+	s := newTestSite(t, host("s-1", endpoint, "Ready"))
 	config := configFor(s.addr)
 	config["limits"] = map[string]any{"sockets": 2048, "memory_mb": 1024} // room for 32768 effects
 	file := configFile(t, config)
 	var again, refused atomic.Int64
-	for life := range *kills {
+	for incarnation := range *kills {
 		p, _ := startWithState(t, file, dir)
 		p.await(t, "journal read")
 		p.addr = p.await(t, "listening").Get("addr").Str
@@ -133,7 +133,7 @@
 		for c := range 8 {
 			clients.Go(func() {
 				for n := 0; ; n++ {
-					if _, _, err := p.send(context.Background(), "POST", "/remake-charge/1", "", "X-Txn", fmt.Sprintf("%d-%d-%d", c, life, n)); err != nil {
+					if _, _, err := p.send(context.Background(), "POST", "/remake-charge/1", "", "X-Txn", fmt.Sprintf("%d-%d-%d", c, incarnation, n)); err != nil {
 						return // it was killed
 					}
 				}
--- a/cmd/pinelb/thrift_bench_test.go
+++ b/cmd/pinelb/thrift_bench_test.go
@@ -138,10 +138,10 @@
 			if name != "http" {
 				b.Setenv("LB_CONTROL", "127.0.0.1:0")
 			}
-			box := func() string {
+			endpoint := func() string {
 				return listen(b, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(w, r.Body) }))
 			}
-			p, _ := startThrift(b, section+fmt.Sprintf(thriftSection, "any"), box(), box())
+			p, _ := startThrift(b, section+fmt.Sprintf(thriftSection, "any"), endpoint(), endpoint())
 			id := 0
 			benchmarkCalls(b, p.cmd.Process.Pid, func() func() error {
 				client, of := &http.Client{Transport: &http.Transport{}}, id
--- a/cmd/pinelb/upgrade_test.go
+++ b/cmd/pinelb/upgrade_test.go
@@ -79,16 +79,16 @@
 	clients.Wait()
 }
 
-// visit makes up to most requests on one connection, or one where it is not to be kept, and returns the last answer. A
+// visit makes up to maxRequests requests on one connection, or one where it is not to be kept, and returns the last answer. A
 // connection that ends before an answer, or without having said so, is an error.
-func visit(addr, txn string, keep bool, most int) (body string, err error) {
+func visit(addr, txn string, keep bool, maxRequests int) (body string, err error) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return "", err
 	}
 	defer c.Close()
 	in := bufio.NewReader(c)
-	for i := range most {
+	for i := range maxRequests {
 		last := ""
 		if !keep {
 			last = "Connection: close\r\n"
