--- a/cmd/pinelb/disconnect_before_send_test.go
+++ b/cmd/pinelb/disconnect_before_send_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// leaving is a client that leaves, and what is around it.
+// disconnectFixture is a client that disconnects, and what is around it.
 type disconnectFixture struct {
 	t       *testing.T
 	site    *testSite
--- a/cmd/pinelb/disconnect_test.go
+++ b/cmd/pinelb/disconnect_test.go
@@ -23,7 +23,7 @@
 	disconnectedTxn = "gone"                 // begins their ids
 )
 
-// leaves are the ways in which a client leaves, with what it says before. Not all show to whoever reads one message at a time.
+// disconnectKinds are the ways in which a client disconnects, with what it says before. Not all show to whoever reads one message at a time.
 var disconnectKinds = []struct {
 	name, more string
 	reset      bool
@@ -176,7 +176,7 @@
 	return endedCount(t, p, b)
 }
 
-// ended has the sidecar end when all that it has is answered, and counts the leavers' requests that came to a host.
+// ended has the sidecar end when all that it has is answered, and counts the disconnected clients' requests that reached a host.
 func endedCount(t *testing.T, p *program, b *testHost) (n int) {
 	p.end(t)
 	for len(b.visits) > 0 {
--- a/internal/settingsserver/distributor_test.go
+++ b/internal/settingsserver/distributor_test.go
@@ -344,7 +344,7 @@
 	}
 }
 
-// mesh is some distributors that all ask all, each reached by the others over a link of its own.
+// testMesh is some distributors that all poll all, each reached by the others over a link of its own.
 type testMesh struct {
 	t     *testing.T
 	links []*testLink
