--- a/internal/cluster/paced_watch.go
+++ b/internal/cluster/paced_watch.go
@@ -60,18 +60,18 @@
 	defer p.disconnect()
 	failing := false
 	for p.waitForTurn(ctx) {
-		if late := p.now() - p.pacer.At(); late > minStop { // the process was stopped, and others with it
+		if late := p.now() - p.pacer.Next(); late > minStop { // the process was stopped, and others with it
 			p.log.Info().Dur("late", late).Msg("was stopped; discovery is asked a little later")
 			p.pacer.Resumed(p.now())
 			continue
 		}
 		request := p.nextRequest()
-		p.pacer.Ask(p.now())
+		p.pacer.Sent(p.now())
 		list, end, stopped, err := p.poll(ctx, request)
 		if ctx.Err() != nil {
 			return
 		}
-		p.pacer.Ended(p.now(), end)
+		p.pacer.Done(p.now(), end)
 		if errors.Is(err, errInterrupted) {
 			continue
 		}
@@ -98,7 +98,7 @@
 
 // waitForTurn waits for the next turn; false if ctx ends before. While there is no list the decisions get the time of that turn.
 func (p *pacedWatch) waitForTurn(ctx context.Context) bool {
-	at := p.pacer.At()
+	at := p.pacer.Next()
 	if !p.received {
 		p.table.decisions.Expect(at - p.now())
 	}
@@ -115,7 +115,7 @@
 	case !p.received: // the cached list may be far behind, and the service may not know its revision
 		r.target, r.incremental = changesTarget(p.revision, 0), true
 	default:
-		r.wait, r.incremental = p.pacer.Wait(), true
+		r.wait, r.incremental = p.pacer.WatchWait(), true
 		r.target = changesTarget(p.revision, r.wait)
 	}
 	return r
@@ -126,7 +126,7 @@
 func (p *pacedWatch) poll(ctx context.Context, r pollRequest) (list List, end pacing.Result, stopped time.Duration, err error) {
 	start := p.now()
 	connected := p.conn != nil
-	timeout := p.pacer.Within()
+	timeout := p.pacer.Timeout()
 	if r.wait > 0 { // a shared service may be that slow, and no faster detection is worth more calls to it
 		timeout = r.wait + timeout/2
 	}
--- a/internal/lab/pollsim/policies.go
+++ b/internal/lab/pollsim/policies.go
@@ -34,25 +34,25 @@
 	retryAt  func(p *basePoller, now time.Duration) time.Duration // time of the next call after a failure
 }
 
-// At implements Poller.
-func (p *basePoller) At() time.Duration { return p.next }
+// Next implements Poller.
+func (p *basePoller) Next() time.Duration { return p.next }
 
-// Ask implements Poller.
-func (p *basePoller) Ask(time.Duration) {}
+// Sent implements Poller.
+func (p *basePoller) Sent(time.Duration) {}
 
-// Wait implements Poller: three quarters of the watch to all of it.
-func (p *basePoller) Wait() time.Duration { return p.jitter(p.watch/4) + 3*p.watch/4 }
+// WatchWait implements Poller: three quarters of the watch to all of it.
+func (p *basePoller) WatchWait() time.Duration { return p.jitter(p.watch/4) + 3*p.watch/4 }
 
-// Within implements Poller.
-func (p *basePoller) Within() time.Duration { return listTimeout }
+// Timeout implements Poller.
+func (p *basePoller) Timeout() time.Duration { return listTimeout }
 
 // jitter returns a random duration below d.
 func (p *basePoller) jitter(d time.Duration) time.Duration {
 	return time.Duration(p.rand.Float64() * float64(d))
 }
 
-// Ended implements Poller: the next call is at once after an answer, and at retryAt after a failure.
-func (p *basePoller) Ended(now time.Duration, e pacing.Result) {
+// Done implements Poller: the next call is at once after an answer, and at retryAt after a failure.
+func (p *basePoller) Done(now time.Duration, e pacing.Result) {
 	if e.Outcome == pacing.Answered || e.Outcome == pacing.NoChange {
 		p.failures, p.next = 0, now
 		return
@@ -92,7 +92,7 @@
 	rank int
 }
 
-// Ended implements Poller.
+// Done implements Poller.
 func (p *rankedPoller) Ended(now time.Duration, e pacing.Result) {
 	period := p.f.Period()
 	slot := time.Duration(float64(p.rank) / float64(p.f.Instances) * float64(period))
--- a/internal/lab/pollsim/simulation.go
+++ b/internal/lab/pollsim/simulation.go
@@ -18,11 +18,11 @@
 
 // Poller decides when an instance polls. *pacing.Pacer is one. Calls may draw random numbers: their order counts.
 type Poller interface {
-	At() time.Duration                        // of the next poll
-	Ask(now time.Duration)                    // a poll starts
-	Ended(now time.Duration, e pacing.Result) // a poll ends
-	Wait() time.Duration                      // that a watch asks for
-	Within() time.Duration                    // time-out of a call for the list; a watch may take half of it beyond its wait
+	Next() time.Duration                     // of the next poll
+	Sent(now time.Duration)                  // a poll starts
+	Done(now time.Duration, e pacing.Result) // a poll ends
+	WatchWait() time.Duration                // that a watch asks for
+	Timeout() time.Duration                  // time-out of a call for the list; a watch may take half of it beyond its wait
 }
 
 // Policy makes the poller of an instance that starts now; number counts instances from 0.
@@ -85,7 +85,7 @@
 	for i := range s.instances {
 		startedAt := time.Duration(s.rand.Float64() * float64(c.StartSpread))
 		s.instances[i] = instance{Poller: p(f, i, rand.New(rand.NewPCG(c.Seed, uint64(i)+2)), startedAt), startedAt: startedAt, listedAt: -1}
-		s.push(event{at: s.instances[i].At(), instance: i})
+		s.push(event{at: s.instances[i].Next(), instance: i})
 	}
 	for s.queue.Len() > 0 {
 		e := heap.Pop(&s.queue).(event)
@@ -97,7 +97,7 @@
 			continue
 		}
 		s.finish(e)
-		s.push(event{at: max(e.at, s.instances[e.instance].At()), instance: e.instance})
+		s.push(event{at: max(e.at, s.instances[e.instance].Next()), instance: e.instance})
 	}
 	return s.summarize()
 }
@@ -112,7 +112,7 @@
 	if healed := s.healedAt(); e.instance < s.Partitioned && before < healed && c.answeredAt >= healed {
 		s.figures.HealTime = max(s.figures.HealTime, c.answeredAt-healed)
 	}
-	c.Ended(e.at, *e.result)
+	c.Done(e.at, *e.result)
 }
 
 // isPartitioned reports whether an instance cannot reach the service.
@@ -137,7 +137,7 @@
 
 // poll starts a call of an instance, and schedules its end.
 func (s *simulation) poll(now time.Duration, index int) {
-	s.instances[index].Ask(now)
+	s.instances[index].Sent(now)
 	at, result := s.call(now, index)
 	s.push(event{at: at, instance: index, result: &result})
 }
@@ -157,14 +157,14 @@
 	c := &s.instances[index]
 	wait := time.Duration(0)
 	if c.listedAt >= 0 {
-		wait = c.Wait()
+		wait = c.WatchWait()
 	}
 	answeredAt, accepted := s.service.Call(now, 1)
 	s.figures.MaxQueue = max(s.figures.MaxQueue, s.service.Queued(now))
 	if !accepted {
 		s.figures.Rejected++
 		if s.Overload == model.OverflowDrop {
-			return now + wait + c.Within(), pacing.Result{Outcome: pacing.TimedOut, Latency: c.Within()}
+			return now + wait + c.Timeout(), pacing.Result{Outcome: pacing.TimedOut, Latency: c.Timeout()}
 		}
 		return now, pacing.Result{Outcome: pacing.Overloaded}
 	}
@@ -174,7 +174,7 @@
 // response returns when an accepted call ends, and how: wait is that of its watch, answeredAt when the service has done its work.
 func (s *simulation) response(now time.Duration, index int, wait, answeredAt time.Duration) (end time.Duration, result pacing.Result) {
 	c := &s.instances[index]
-	took, timeout := answeredAt-now+s.ExtraLatency, c.Within()
+	took, timeout := answeredAt-now+s.ExtraLatency, c.Timeout()
 	if wait > 0 {
 		timeout /= 2
 	}
--- a/internal/pacing/pacer.go
+++ b/internal/pacing/pacer.go
@@ -103,12 +103,12 @@
 	return p
 }
 
-// At returns when the next call is to be made.
-func (p *Pacer) At() time.Duration { return p.next }
+// Next returns when the next call is to be made.
+func (p *Pacer) Next() time.Duration { return p.next }
 
-// Wait returns how long the next watch is to wait for changes: so long that all watches together take watchRateShare of the rate,
+// WatchWait returns how long the next watch is to wait for changes: so long that all watches together take watchRateShare of the rate,
 // and a little less than a number of periods, so that it ends before the instance's next turn.
-func (p *Pacer) Wait() time.Duration {
+func (p *Pacer) WatchWait() time.Duration {
 	period := p.period()
 	long := min(maxWatchWait, max(p.fleet.MinWatchWait, time.Duration(float64(period)/watchRateShare)))
 	if period < p.fleet.MinWatchWait/4 { // turns are so frequent that the jitter alone spreads the ends of watches
@@ -117,16 +117,16 @@
 	return min(maxWatchWait, (long+period-1)/period*period-period/16)
 }
 
-// Within returns the time-out of a list. Half of it is the time-out of a watch beyond its wait.
-func (p *Pacer) Within() time.Duration { return p.timeout }
+// Timeout returns the time-out of a list. Half of it is the time-out of a watch beyond its wait.
+func (p *Pacer) Timeout() time.Duration { return p.timeout }
 
-// Ask records that a call is made. One that is a little late does not cost the instance its next turn.
-func (p *Pacer) Ask(now time.Duration) {
+// Sent records that a call is made. One that is a little late does not cost the instance its next turn.
+func (p *Pacer) Sent(now time.Duration) {
 	p.called, p.lastCall = true, max(p.next, now-time.Duration(maxLateness*float64(p.period())))
 }
 
-// Ended records how the call ended, after which At returns when the next one is to be made.
-func (p *Pacer) Ended(now time.Duration, r Result) {
+// Done records how the call ended, after which Next returns when the next one is to be made.
+func (p *Pacer) Done(now time.Duration, r Result) {
 	failuresBefore := p.failures
 	p.adapt(r)
 	switch {
--- a/internal/pacing/pacer_test.go
+++ b/internal/pacing/pacer_test.go
@@ -28,7 +28,7 @@
 		p := New(f, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)), now)
 		expectWait := func(after string, maximum time.Duration) {
 			t.Helper()
-			if wait := p.At() - now; wait < 0 || wait > maximum {
+			if wait := p.Next() - now; wait < 0 || wait > maximum {
 				t.Fatalf("after %s the next call is %s away, want 0 to %s", after, wait, maximum)
 			}
 		}
@@ -36,7 +36,7 @@
 		lastCall := time.Duration(-1)
 		slowest := max(period, maxCallInterval/2)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			now = p.At() + drawDuration(t, "late", 0, period/16)
+			now = p.Next() + drawDuration(t, "late", 0, period/16)
 			if rapid.IntRange(0, 9).Draw(t, "stop") == 0 {
 				now += drawDuration(t, "stopped", time.Second, time.Minute)
 				p.Resumed(now)
@@ -47,24 +47,24 @@
 				t.Fatalf("calls at %s and %s, a period is %s", lastCall, now, period)
 			}
 			lastCall = now
-			p.Ask(now)
+			p.Sent(now)
 			e := Result{Outcome: Outcome(rapid.IntRange(0, int(TimedOut)).Draw(t, "how")), Latency: drawDuration(t, "took", 0, 5*time.Second)}
 			if e.Outcome == Overloaded {
 				e.RetryAfter = drawDuration(t, "advice", 0, 2*time.Minute)
 			}
 			now += e.Latency
 			if e.Outcome == NoChange {
-				now += p.Wait()
+				now += p.WatchWait()
 			}
-			p.Ended(now, e)
+			p.Done(now, e)
 			expectWait("a call", max(2*slowest, min(maxRetryAfter, e.RetryAfter)+slowest, maxRetryDelay))
-			if e.RetryAfter > 0 && p.At() < now+min(maxRetryAfter, e.RetryAfter) {
-				t.Fatalf("the next call is after %s, the Retry-After was %s", p.At()-now, e.RetryAfter)
+			if e.RetryAfter > 0 && p.Next() < now+min(maxRetryAfter, e.RetryAfter) {
+				t.Fatalf("the next call is after %s, the Retry-After was %s", p.Next()-now, e.RetryAfter)
 			}
-			if w := p.Within(); w < initialTimeout || w > maxTimeout {
+			if w := p.Timeout(); w < initialTimeout || w > maxTimeout {
 				t.Fatalf("the time-out is %s", w)
 			}
-			if w := p.Wait(); w < f.MinWatchWait/2 || w > maxWatchWait {
+			if w := p.WatchWait(); w < f.MinWatchWait/2 || w > maxWatchWait {
 				t.Fatalf("a watch waits for %s", w)
 			} else if p.rate == 1 && w > f.MaxWatchWait() {
 				t.Fatalf("a watch waits for %s, longer than the longest, %s", w, f.MaxWatchWait())
@@ -82,10 +82,10 @@
 		now := drawDuration(t, "now", 0, 10*time.Second)
 		from := now
 		if rapid.Bool().Draw(t, "asked") {
-			at := drawDuration(t, "last", 0, now)
-			p.next = at
-			p.Ask(at)
-			from = max(now, at+f.Period())
+			lastSent := drawDuration(t, "last", 0, now)
+			p.next = lastSent
+			p.Sent(lastSent)
+			from = max(now, lastSent+f.Period())
 		}
 		want := p.turn
 		for want < from {
@@ -104,28 +104,28 @@
 // an eighth with each quick response, and stays where nobody listens.
 func TestAdaptiveRate(t *testing.T) {
 	quick, slow := Result{Outcome: Answered}, Result{Outcome: Answered, Latency: time.Second}
-	turned, silent, down := Result{Outcome: Overloaded}, Result{Outcome: TimedOut}, Result{Outcome: Unreachable}
+	overloaded, timedOut, down := Result{Outcome: Overloaded}, Result{Outcome: TimedOut}, Result{Outcome: Unreachable}
 	for _, c := range []struct {
-		name   string
-		ends   []Result
-		rate   float64
-		within time.Duration
+		name    string
+		ends    []Result
+		rate    float64
+		timeout time.Duration
 	}{
 		{"an unreachable service changes nothing", []Result{down, down, down}, 1, initialTimeout},
-		{"overload", []Result{turned, turned}, 0.25, initialTimeout},
-		{"never less than a sixteenth", []Result{turned, turned, turned, turned, turned, turned}, minRate, initialTimeout},
-		{"quick responses give it back", []Result{turned, turned, quick, quick}, 0.5, initialTimeout},
+		{"overload", []Result{overloaded, overloaded}, 0.25, initialTimeout},
+		{"never less than a sixteenth", []Result{overloaded, overloaded, overloaded, overloaded, overloaded, overloaded}, minRate, initialTimeout},
+		{"quick responses give it back", []Result{overloaded, overloaded, quick, quick}, 0.5, initialTimeout},
 		{"slow responses take some, and are waited for", []Result{slow}, 0.75, initialTimeout},
-		{"a time-out doubles the time-out", []Result{silent, silent}, 0.25, maxTimeout},
-		{"and a quick response ends that", []Result{silent, quick}, 0.625, initialTimeout},
+		{"a time-out doubles the time-out", []Result{timedOut, timedOut}, 0.25, maxTimeout},
+		{"and a quick response ends that", []Result{timedOut, quick}, 0.625, initialTimeout},
 	} {
 		p := New(Fleet{Instances: 100, Rate: 100, MinWatchWait: time.Second}, rand.New(rand.NewPCG(1, 1)), 0)
 		for _, e := range c.ends {
-			p.Ask(p.At())
-			p.Ended(p.At()+e.Latency, e)
+			p.Sent(p.Next())
+			p.Done(p.Next()+e.Latency, e)
 		}
-		if p.rate != c.rate || p.timeout != c.within {
-			t.Errorf("%s: rate %v, the time-out is %s; want %v, %s", c.name, p.rate, p.timeout, c.rate, c.within)
+		if p.rate != c.rate || p.timeout != c.timeout {
+			t.Errorf("%s: rate %v, the time-out is %s; want %v, %s", c.name, p.rate, p.timeout, c.rate, c.timeout)
 		}
 	}
 }
