--- a/internal/cluster/paced_watch.go
+++ b/internal/cluster/paced_watch.go
@@ -224,13 +224,13 @@
 	if !list.Complete {
 		return ""
 	}
-	ready, kept := p.table.countReady(list)
+	ready, retained := p.table.countReady(list)
 	switch {
-	case ready > 0 && kept == 0:
+	case ready > 0 && retained == 0:
 		return "none of the hosts that are held is in it"
 	case p.received && list.Revision < p.revision:
 		return "it is older than the one that is held"
-	case p.received && float64(kept) < minKeptShare*float64(ready):
+	case p.received && float64(retained) < minKeptShare*float64(ready):
 		return "most of the hosts that are held are not in it"
 	}
 	return ""
--- a/internal/cluster/stall_test.go
+++ b/internal/cluster/stall_test.go
@@ -89,10 +89,10 @@
 func runStalls(t *testing.T, row []stall) (fault error) {
 	w, table := newRecorder()
 	var dials int
-	var left atomic.Int64 // when the last connection was closed
+	var lastClosed atomic.Int64 // when the last connection was closed
 	watcher := Watcher{Addr: "agent", Table: table, Rand: rand.New(maxSource{}), Log: zerolog.Nop(),
 		dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
-			if away := time.Since(time.Unix(0, left.Load())); dials > 0 && away > 200*time.Millisecond {
+			if away := time.Since(time.Unix(0, lastClosed.Load())); dials > 0 && away > 200*time.Millisecond {
 				fault = fmt.Errorf("attempt %d came %v after the last", dials, away)
 			}
 			n := dials
@@ -104,7 +104,7 @@
 			select {
 			case <-time.After(s.connect):
 			case <-ctx.Done():
-				left.Store(time.Now().UnixNano())
+				lastClosed.Store(time.Now().UnixNano())
 				return nil, ctx.Err()
 			}
 			ours, theirs := net.Pipe()
@@ -112,7 +112,7 @@
 			go func() {
 				defer theirs.Close()
 				s.serve(theirs, responses[n]...)
-				left.Store(time.Now().UnixNano())
+				lastClosed.Store(time.Now().UnixNano())
 			}()
 			return ours, nil
 		}}
--- a/internal/cluster/table.go
+++ b/internal/cluster/table.go
@@ -95,18 +95,18 @@
 	// of one id the last one counts.
 	slices.SortStableFunc(list.Members, func(a, b Member) int { return strings.Compare(a.ID, b.ID) })
 	entries := make([]balance.Entry, 0, len(list.Members))
-	gone := map[string]bool{}
+	removed := map[string]bool{}
 	if kind != balance.ListDelta {
 		for id := range t.listed {
-			gone[id] = true
+			removed[id] = true
 		}
 	}
 	for i := range list.Members {
 		m := &list.Members[i]
 		m.Endpoint = t.assignNumber(m.ID)
-		delete(gone, m.ID)
+		delete(removed, m.ID)
 		if m.State == balance.Gone {
-			gone[m.ID] = true
+			removed[m.ID] = true
 		} else {
 			t.applyMember(m)
 		}
@@ -115,11 +115,11 @@
 	if t.Observer != nil { // before the decisions, whose sends name these hosts
 		t.Observer.Listed(kind, list.Members)
 	}
-	for id := range gone {
+	for id := range removed {
 		t.updateDigest(id, nil)
 	}
 	t.publish(func(under uint32) { t.decisions.Membership(kind, entries, under) })
-	for id := range gone {
+	for id := range removed {
 		t.hosts.Remove(t.numbers[id])
 		delete(t.listed, id)
 		t.releaseNumber(id)
--- a/internal/cluster/version_test.go
+++ b/internal/cluster/version_test.go
@@ -38,9 +38,9 @@
 func TestVersions(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		w, _ := newRecorder()
-		u, told := &numberRecorder{recorder: w}, &versionRecorder{}
+		u, published := &numberRecorder{recorder: w}, &versionRecorder{}
 		table := NewTable([]string{"z0"}, nil, w, u)
-		table.Versions = told
+		table.Versions = published
 		for range rapid.IntRange(1, 8).Draw(rt, "lists") {
 			kind := rapid.SampledFrom([]balance.ListKind{balance.ListDelta, balance.ListFull, balance.ListCached}).Draw(rt, "kind")
 			list := List{From: rapid.SampledFrom([]string{"known", "a:1"}).Draw(rt, "from"), Revision: rapid.Int64Range(1, 2).Draw(rt, "revision")}
@@ -52,13 +52,13 @@
 			was := table.Snapshot().List
 			table.Apply(kind, list)
 			is := table.Snapshot().List
-			now := (*told)[len(*told)-1]
+			now := (*published)[len(*published)-1]
 			if want := (version.List{From: list.From, Revision: list.Revision, Digest: is.Digest()}); now != want {
 				rt.Fatalf("published %+v, want %+v", now, want)
 			}
 			same := len(u.got) > 1 && was.From == is.From && was.Revision == is.Revision && was.Digest() == is.Digest()
-			if got := u.got[len(u.got)-1]; same != (got == 0) || !same && got != uint32(len(*told)) {
-				rt.Fatalf("under %d at the %dth of %+v, unchanged %v", got, len(*told), *told, same)
+			if got := u.got[len(u.got)-1]; same != (got == 0) || !same && got != uint32(len(*published)) {
+				rt.Fatalf("under %d at the %dth of %+v, unchanged %v", got, len(*published), *published, same)
 			}
 			for _, m := range list.Members {
 				if got := table.Name(m.Endpoint); got != m.ID {
--- a/internal/cluster/watch_test.go
+++ b/internal/cluster/watch_test.go
@@ -63,14 +63,14 @@
 	stop := startWatcher(newTestWatcher(a.addr, table), func() {})
 	(<-a.calls).respond(document)
 	<-w.lists
-	silent := <-a.calls
+	unresponsive := <-a.calls
 	var wait int
-	if _, err := fmt.Sscanf(silent.target, "/catalog/members?since=41&timeout_ms=%d", &wait); err != nil || wait > 1000 {
-		t.Errorf("the watch is %s: a time-out would take too long (%v)", silent.target, err)
+	if _, err := fmt.Sscanf(unresponsive.target, "/catalog/members?since=41&timeout_ms=%d", &wait); err != nil || wait > 1000 {
+		t.Errorf("the watch is %s: a time-out would take too long (%v)", unresponsive.target, err)
 	}
 	again := <-a.calls // though the first got no response
-	if !strings.HasPrefix(again.target, "/catalog/members?since=41&") || again.conn == silent.conn {
-		t.Errorf("after the time-out the call is %s, on the unresponsive connection: %v", again.target, again.conn == silent.conn)
+	if !strings.HasPrefix(again.target, "/catalog/members?since=41&") || again.conn == unresponsive.conn {
+		t.Errorf("after the time-out the call is %s, on the unresponsive connection: %v", again.target, again.conn == unresponsive.conn)
 	}
 	again.respond(`{"revision":43,"complete":false,"members":[{"id":"s-5be2a07c","host_port":"127.0.1.18:8080","phase":"Terminating"}]}`)
 	if e := <-w.lists; len(e) != 1 || e[0].State != balance.Draining {
