--- a/internal/downstream/classes_test.go
+++ b/internal/downstream/classes_test.go
@@ -19,7 +19,7 @@
 		got = *req
 		return stream.Response{}
 	})
-	ask := func(method, target string, headers ...string) int {
+	statusOf := func(method, target string, headers ...string) int {
 		w := httptest.NewRecorder()
 		s.ServeHTTP(w, newRequest(method, target, "", append(headers, "X-Txn", "a", "X-Remaining-Ms", "900")...))
 		return w.Code
@@ -28,20 +28,20 @@
 		{Idempotency: balance.Idempotent, Deadline: time.Second}, {Idempotency: balance.NonIdempotent, Deadline: time.Hour},
 		{Idempotency: balance.NonIdempotent, Deadline: time.Second}, {Idempotency: balance.Idempotent, Deadline: time.Second}}},
 		ClassNames: []string{"look", "order", "charge", "peek"}, Removed: []bool{true, false, false, false}}
-	if code := ask("GET", "/peek/1"); code != 404 {
+	if code := statusOf("GET", "/peek/1"); code != 404 {
 		t.Errorf("before it is added: %d", code)
 	}
 	s.UpdateClasses(set)
-	if code := ask("GET", "/peek/1"); code != 200 || got.Class != 3 {
+	if code := statusOf("GET", "/peek/1"); code != 200 || got.Class != 3 {
 		t.Errorf("an added class: %d, class %d", code, got.Class)
 	}
-	if code := ask("POST", "/order/1", "Idempotency-Key", "k"); code != 400 {
+	if code := statusOf("POST", "/order/1", "Idempotency-Key", "k"); code != 400 {
 		t.Errorf("a key for a class that takes none any more: %d", code)
 	}
-	if code := ask("POST", "/order/1"); code != 200 || got.Class != 1 {
+	if code := statusOf("POST", "/order/1"); code != 200 || got.Class != 1 {
 		t.Errorf("a class that has become unsafe: %d, class %d", code, got.Class)
 	}
-	if code := ask("GET", "/look/1"); code != 200 || got.Class != 0 {
+	if code := statusOf("GET", "/look/1"); code != 200 || got.Class != 0 {
 		t.Errorf("a class that was just removed: %d, class %d", code, got.Class)
 	}
 	s.UpdateClasses(set) // a second update does not serve it longer
--- a/internal/downstream/conn_limiter.go
+++ b/internal/downstream/conn_limiter.go
@@ -119,7 +119,7 @@
 
 // The classes, the first to be evicted first.
 const (
-	evictSilent    evictionClass = iota // new and silent beyond the grace period, or with a request whose head stalls
+	evictStalled   evictionClass = iota // new and silent beyond the grace period, or with a request whose head stalls
 	evictOneShot                        // idle after one request: in an overload such clients send one and stay connected
 	evictReused                         // idle after several requests
 	evictReceiving                      // new within the grace period, or with a request that is arriving
@@ -137,9 +137,9 @@
 	case idle:
 		return evictReused, in.since
 	case lastRead == 0 && now.Sub(in.since) >= newConnGracePeriod:
-		return evictSilent, in.since
+		return evictStalled, in.since
 	case lastRead > 0 && now.Sub(lastReadAt) >= headStallTimeout:
-		return evictSilent, lastReadAt
+		return evictStalled, lastReadAt
 	case lastRead > 0:
 		return evictReceiving, lastReadAt
 	}
--- a/internal/downstream/conn_limiter_test.go
+++ b/internal/downstream/conn_limiter_test.go
@@ -16,10 +16,10 @@
 // Guards against draining that waits for a connection on which nothing has come.
 func TestInactiveConnectionsAreClosed(t *testing.T) {
 	c := newConnLimiter(3)
-	silent, far := net.Pipe()
+	newConn, far := net.Pipe()
 	idle, farIdle := net.Pipe()
 	busy, farBusy := net.Pipe()
-	c.setState(silent, http.StateNew)
+	c.setState(newConn, http.StateNew)
 	c.setState(idle, http.StateNew)
 	c.setState(idle, http.StateActive)
 	c.setState(idle, http.StateIdle)
--- a/internal/downstream/drain_race_test.go
+++ b/internal/downstream/drain_race_test.go
@@ -133,10 +133,10 @@
 }
 
 // drain runs draining to where inactive connections are closed.
-func (c *drainRace) drain(silent *bufio.Reader) {
+func (c *drainRace) drain(idleReader *bufio.Reader) {
 	c.stop()
 	close(c.steps)
-	if _, err := silent.ReadByte(); err != io.EOF {
+	if _, err := idleReader.ReadByte(); err != io.EOF {
 		c.t.Errorf("a silent connection reads %v, want its end", err)
 	}
 }
@@ -176,9 +176,9 @@
 		maxConns = 1
 	}
 	c := newDrainRace(t, maxConns)
-	var silent *bufio.Reader
+	var idleReader *bufio.Reader
 	if !overload {
-		_, silent, _ = c.dial(false)
+		_, idleReader, _ = c.dial(false)
 	}
 	conn, in, g := c.dial(!reused)
 	if reused {
@@ -208,7 +208,7 @@
 		send(evictor, rawRequest)
 		<-g.closed
 	} else {
-		c.drain(silent)
+		c.drain(idleReader)
 	}
 	send(conn, later)
 	g.blockReads.Store(false)
--- a/internal/downstream/request_test.go
+++ b/internal/downstream/request_test.go
@@ -16,57 +16,57 @@
 
 // Guards against a request that is no valid stream being forwarded, or crashing the sidecar.
 func TestInvalidRequests(t *testing.T) {
-	const id, left = "X-Txn", "X-Remaining-Ms"
+	const id, remaining = "X-Txn", "X-Remaining-Ms"
 	s := newServer(func(_ context.Context, req *stream.Request) stream.Response {
 		t.Errorf("%s %s was forwarded", req.Operation, req.Target)
 		return stream.Response{}
 	})
-	chunked := newRequest("GET", "/look/1", "x", id, "a", left, "9") // a body where the class takes none
+	chunked := newRequest("GET", "/look/1", "x", id, "a", remaining, "9") // a body where the class takes none
 	chunked.ContentLength, chunked.TransferEncoding = -1, []string{"chunked"}
-	cut := newRequest("POST", "/charge/1", "four", id, "a", left, "9")
+	cut := newRequest("POST", "/charge/1", "four", id, "a", remaining, "9")
 	cut.ContentLength = 5
-	huge := newRequest("POST", "/charge/1", "x", id, "a", left, "9")
+	huge := newRequest("POST", "/charge/1", "x", id, "a", remaining, "9")
 	huge.ContentLength = maxUploadBytes + 1
 	twice := func(name string) *http.Request {
-		r := newRequest("POST", "/order/1", "", id, "a", left, "9", "Idempotency-Key", "k", "X-Lane", "order", "X-Labels", "a=1")
+		r := newRequest("POST", "/order/1", "", id, "a", remaining, "9", "Idempotency-Key", "k", "X-Lane", "order", "X-Labels", "a=1")
 		r.Header.Add(name, r.Header.Get(name))
 		return r
 	}
-	odd := newRequest("GET", "/look/1", "", id, "a", left, "9")
+	odd := newRequest("GET", "/look/1", "", id, "a", remaining, "9")
 	odd.Host = "x\xff"
-	tail := newRequest("GET", "/look/1", "", id, "a", left, "9")
+	tail := newRequest("GET", "/look/1", "", id, "a", remaining, "9")
 	tail.RequestURI = "/look/\xe9"
 	for _, c := range []struct {
 		r    *http.Request
 		want int
 	}{
 		{twice(id), 400},
-		{twice(left), 400},
+		{twice(remaining), 400},
 		{twice("Idempotency-Key"), 400},
 		{twice("X-Lane"), 400},
 		{twice("X-Labels"), 400},
 		{odd, 400},
 		{tail, 400},
-		{newRequest("GET", "/look/1", "", id, "a", left, "9", "X-Labels", "a=\x80"), 400},
-		{newRequest("GET", "/look/1", "", id, "a", left, "9", "Content-Type", "\xfftext"), 400},
-		{newRequest("GET", "/look/1", "", left, "9"), 400},
-		{newRequest("GET", "/look/1", "", id, "a b", left, "9"), 400},
-		{newRequest("GET", "/look/1", "", id, strings.Repeat("a", maxNameBytes+1), left, "9"), 400},
+		{newRequest("GET", "/look/1", "", id, "a", remaining, "9", "X-Labels", "a=\x80"), 400},
+		{newRequest("GET", "/look/1", "", id, "a", remaining, "9", "Content-Type", "\xfftext"), 400},
+		{newRequest("GET", "/look/1", "", remaining, "9"), 400},
+		{newRequest("GET", "/look/1", "", id, "a b", remaining, "9"), 400},
+		{newRequest("GET", "/look/1", "", id, strings.Repeat("a", maxNameBytes+1), remaining, "9"), 400},
 		{newRequest("GET", "/look/1", "", id, "a"), 400},
-		{newRequest("GET", "/look/1", "", id, "a", left, "soon"), 400},
-		{newRequest("GET", "/look/1", "", id, "a", left, "-5"), 400},
-		{newRequest("GET", "/look/1", "", id, "a", left, "99999999999999999999"), 400},
-		{newRequest("GET", "/look/1", "", id, "a", left, "9", "Idempotency-Key", "k"), 400},
-		{newRequest("GET", "/look/1", "", id, "a", left, "9", "X-Lane", "order"), 400},
-		{newRequest("GET", "/look/1", "body", id, "a", left, "9"), 400},
-		{newRequest("POST", "/look/1", "", id, "a", left, "9"), 400},
-		{newRequest("POST", "/order/1", "", id, "a", left, "9"), 400},
-		{newRequest("GET", "/order/1", "", id, "a", left, "9", "Idempotency-Key", "k"), 400},
-		{newRequest("POST", "/charge/1", "", id, "a", left, "9", "Idempotency-Key", "k"), 400},
-		{newRequest("DELETE", "/charge/1", "", id, "a", left, "9"), 400},
-		{newRequest("GET", "/unheard-of/1", "", id, "a", left, "9"), 404},
-		{newRequest("GET", "/look/1", "", id, "a", left, "9", "X-Lane", "unheard-of"), 404},
-		{newRequest("GET", "/", "", id, "a", left, "9"), 404},
+		{newRequest("GET", "/look/1", "", id, "a", remaining, "soon"), 400},
+		{newRequest("GET", "/look/1", "", id, "a", remaining, "-5"), 400},
+		{newRequest("GET", "/look/1", "", id, "a", remaining, "99999999999999999999"), 400},
+		{newRequest("GET", "/look/1", "", id, "a", remaining, "9", "Idempotency-Key", "k"), 400},
+		{newRequest("GET", "/look/1", "", id, "a", remaining, "9", "X-Lane", "order"), 400},
+		{newRequest("GET", "/look/1", "body", id, "a", remaining, "9"), 400},
+		{newRequest("POST", "/look/1", "", id, "a", remaining, "9"), 400},
+		{newRequest("POST", "/order/1", "", id, "a", remaining, "9"), 400},
+		{newRequest("GET", "/order/1", "", id, "a", remaining, "9", "Idempotency-Key", "k"), 400},
+		{newRequest("POST", "/charge/1", "", id, "a", remaining, "9", "Idempotency-Key", "k"), 400},
+		{newRequest("DELETE", "/charge/1", "", id, "a", remaining, "9"), 400},
+		{newRequest("GET", "/unheard-of/1", "", id, "a", remaining, "9"), 404},
+		{newRequest("GET", "/look/1", "", id, "a", remaining, "9", "X-Lane", "unheard-of"), 404},
+		{newRequest("GET", "/", "", id, "a", remaining, "9"), 404},
 		{huge, 413},
 		{chunked, 400},
 		{cut, 400},
@@ -88,8 +88,8 @@
 	from := time.Now()
 	s.ServeHTTP(httptest.NewRecorder(), newRequest("POST", "/order/7?a=%20b", body, "X-Txn", "9b1f", "X-Lane", "order",
 		"X-Remaining-Ms", "1500", "Idempotency-Key", "k1", "X-Resent", "1", "X-Labels", "n=1", "Content-Type", "text/csv"))
-	if left := got.Deadline.Sub(from); left < 1500*time.Millisecond || left > 2*time.Second {
-		t.Errorf("the remaining time is %v", left)
+	if remaining := got.Deadline.Sub(from); remaining < 1500*time.Millisecond || remaining > 2*time.Second {
+		t.Errorf("the remaining time is %v", remaining)
 	}
 	if got.Arrived.Before(from) || got.Arrived.After(got.Deadline) {
 		t.Errorf("it arrived at %v", got.Arrived)
