--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -172,17 +172,17 @@
 
 // closeIdle closes the idle connections for which remove returns true. The caller holds the lock.
 func (p *Pool) closeIdle(h *host, remove func(*conn) bool) {
-	kept := h.idle[:0]
+	idle := h.idle[:0]
 	for _, c := range h.idle {
 		if remove(c) {
 			c.close()
 			p.open--
 		} else {
-			kept = append(kept, c)
+			idle = append(idle, c)
 		}
 	}
-	clear(h.idle[len(kept):])
-	h.idle = kept
+	clear(h.idle[len(idle):])
+	h.idle = idle
 }
 
 // acquire returns a usable idle connection to the host, or a new one.
--- a/internal/upstream/request_test.go
+++ b/internal/upstream/request_test.go
@@ -95,7 +95,7 @@
 			t.Errorf("%s is %q, want %q", name, h.Get(name), want)
 		}
 	}
-	if left, err := time.ParseDuration(h.Get("X-Remaining-Ms") + "ms"); err != nil || left <= 0 || left > time.Minute {
+	if remaining, err := time.ParseDuration(h.Get("X-Remaining-Ms") + "ms"); err != nil || remaining <= 0 || remaining > time.Minute {
 		t.Errorf("X-Remaining-Ms is %q", h.Get("X-Remaining-Ms"))
 	}
 	reaction{text: "HTTP/1.1 200 OK\r\nContent-Type: text/csv\r\nContent-Length: 4\r\n\r\n\x00\r\nz"}.apply(at.nc)
@@ -177,12 +177,12 @@
 
 // Guards against a host at an address used before getting a connection of the former host, whichever update comes first.
 func TestAddressReuse(t *testing.T) {
-	for _, goneFirst := range []bool{true, false} {
+	for _, removedFirst := range []bool{true, false} {
 		host := newScriptedHost(t)
 		p := newTestPool(host.addr, 9)
 		go func() { reactions[0].apply((<-host.arrivals).nc) }()
 		get(p, time.Minute)
-		if goneFirst {
+		if removedFirst {
 			p.Remove(1)
 		}
 		p.Set(2, host.addr)
--- a/internal/upstream/send_refused_test.go
+++ b/internal/upstream/send_refused_test.go
@@ -14,20 +14,20 @@
 type pendingAttempt struct {
 	pool       *Pool
 	cancel     context.CancelFunc
-	clientLeft bool
+	clientGone bool
 }
 
 // Guards against an attempt that is sent although what it was decided on has changed between its connection and its first
 // byte. The connection is kept where it can be.
 func TestSendRefused(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		change func(a *pendingAttempt)
-		status balance.Status
-		kept   int
+		name     string
+		change   func(a *pendingAttempt)
+		status   balance.Status
+		wantOpen int
 	}{
 		{"the decisions cancel it", func(a *pendingAttempt) { a.cancel() }, balance.Cancelled, 1},
-		{"its client leaves, and the decisions don't know", func(a *pendingAttempt) { a.clientLeft = true }, balance.NotSent, 1},
+		{"its client leaves, and the decisions don't know", func(a *pendingAttempt) { a.clientGone = true }, balance.NotSent, 1},
 		{"its host drains", func(a *pendingAttempt) { a.pool.SetDraining(1, true) }, balance.NotSent, 1},
 		{"its host is gone", func(a *pendingAttempt) { a.pool.Remove(1) }, balance.NotSent, 0},
 		{"its host moves", func(a *pendingAttempt) { a.pool.Set(1, "127.0.0.1:1") }, balance.NotSent, 0},
@@ -41,8 +41,8 @@
 			if want := map[bool]int{true: 1}[c.status == balance.OK]; status != c.status || requests != want {
 				t.Errorf("%s, over %s: status %d after %d requests, want %d after %d", c.name, protocol, status, requests, c.status, want)
 			}
-			if open != c.kept {
-				t.Errorf("%s, over %s: %d connections are open, want %d", c.name, protocol, open, c.kept)
+			if open != c.wantOpen {
+				t.Errorf("%s, over %s: %d connections are open, want %d", c.name, protocol, open, c.wantOpen)
 			}
 		}
 	}
@@ -72,11 +72,11 @@
 	}
 	if protocol == "HTTP" {
 		req := request()
-		req.ClientGone = func() bool { return a.clientLeft }
+		req.ClientGone = func() bool { return a.clientGone }
 		status, _ = a.pool.Do(ctx, 1, time.Now().Add(time.Minute), req)
 	} else {
 		req := &stream.Request{Operation: "call", Target: "a", MediaType: framedBinary.MediaType(), Body: []byte{0}}
-		req.ClientGone = func() bool { return a.clientLeft }
+		req.ClientGone = func() bool { return a.clientGone }
 		status, _ = (&Thrift{Pool: a.pool}).Do(ctx, 1, time.Now().Add(200*time.Millisecond), req)
 	}
 	mu.Lock()
--- a/internal/upstream/upload_test.go
+++ b/internal/upstream/upload_test.go
@@ -67,12 +67,12 @@
 			got <- err
 			_, _ = io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		})
-		var left atomic.Bool
+		var clientGone atomic.Bool
 		req := uploadRequest(readerFunc(func(b []byte) (int, error) {
-			left.Store(true) // as its last bytes come
+			clientGone.Store(true) // as its last bytes come
 			return copy(b, "second"), io.EOF
 		}), length)
-		req.ClientGone = left.Load
+		req.ClientGone = clientGone.Load
 		if status, _ := p.Do(context.Background(), 1, time.Now().Add(time.Hour), req); status != balance.NotSent || <-got == nil {
 			t.Errorf("length %d: outcome %d, or the host has it complete", length, status)
 		}
