--- a/internal/thriftwire/apache_reference_test.go
+++ b/internal/thriftwire/apache_reference_test.go
@@ -94,8 +94,8 @@
 	return "", nil
 }
 func (c *choiceReader) ReadFieldBegin(context.Context) (string, thrift.TType, int16, error) {
-	left := &c.fields[len(c.fields)-1]
-	if *left--; *left < 0 {
+	fieldsLeft := &c.fields[len(c.fields)-1]
+	if *fieldsLeft--; *fieldsLeft < 0 {
 		c.fields = c.fields[:len(c.fields)-1]
 		return "", thrift.STOP, 0, nil
 	}
--- a/internal/thriftwire/fuzz_test.go
+++ b/internal/thriftwire/fuzz_test.go
@@ -31,11 +31,11 @@
 			form = &forms[which]
 		}
 		tight := Limits{Message: 512, Depth: 6, Values: 64, Name: 16}
-		whole := NewReader(tight, form)
-		want, wantErr := readAll(t, whole, b, max(1, len(b)))
+		unsplit := NewReader(tight, form)
+		want, wantErr := readAll(t, unsplit, b, max(1, len(b)))
 		pieces := NewReader(tight, form)
 		got, err := readAll(t, pieces, b, 1+int(piece))
-		if err != wantErr || !cmp.Equal(got, want) || whole.Pending() != pieces.Pending() {
+		if err != wantErr || !cmp.Equal(got, want) || unsplit.Pending() != pieces.Pending() {
 			t.Fatalf("in pieces %v, %v; the whole %v, %v", got, err, want, wantErr)
 		}
 		for _, m := range want {
@@ -112,26 +112,26 @@
 		framed.Feed(binary.BigEndian.AppendUint32(nil, uint32(len(b))))
 		framed.Feed(b)
 		_, okFramed, errFramed := framed.Next()
-		switch whole := ok && end == len(b); {
-		case okFramed != whole, !okFramed && errFramed == nil, ok && !whole && errFramed != ErrTrailingBytes:
+		switch complete := ok && end == len(b); {
+		case okFramed != complete, !okFramed && errFramed == nil, ok && !complete && errFramed != ErrTrailingBytes:
 			t.Fatalf("in a frame %v, %v; without %v, %v", okFramed, errFramed, ok, err)
 		}
 	})
 }
 
 // expectStricter checks that a message that apache/thrift alone accepts is one of those in walker's table.
-func expectStricter(t *testing.T, e Encoding, h Head, whole, body []byte, err error) {
+func expectStricter(t *testing.T, e Encoding, h Head, message, body []byte, err error) {
 	t.Helper()
 	switch {
 	case !h.Kind.isValid() && err == ErrMalformed:
 	case len(h.Name) > wideLimits.Name && err == ErrTooLong:
-	case e == OldBinary && whole[0] >= 0x80 && err == ErrUnknownForm:
+	case e == OldBinary && message[0] >= 0x80 && err == ErrUnknownForm:
 	case e == Compact && err == ErrMalformed:
 		// Its varints and ids are at fault: as apache/thrift itself writes the same message, it passes.
 		r, again := NewReader(wideLimits, nil), Append(nil, h, transcode(apacheProtocol(e, inMemory(body)), e))
 		r.Feed(again)
-		if _, ok, err := r.Next(); !ok || bytes.Equal(again, whole) {
-			t.Fatalf("refuses %x, and %x: %v", whole, again, err)
+		if _, ok, err := r.Next(); !ok || bytes.Equal(again, message) {
+			t.Fatalf("refuses %x, and %x: %v", message, again, err)
 		}
 	default:
 		t.Fatalf("refuses %v, apache passes %v", err, h)
--- a/internal/thriftwire/reader.go
+++ b/internal/thriftwire/reader.go
@@ -54,13 +54,13 @@
 	if r.err != nil {
 		return
 	}
-	kept := len(r.buf) - r.start
-	need := kept + len(b)
+	pending := len(r.buf) - r.start
+	need := pending + len(b)
 	switch {
 	case need > cap(r.buf):
 		// Doubling makes all copying linear; a message needs no more than the limit.
 		room := max(need, min(max(2*cap(r.buf), initialBufferSize), r.limits.Message+frameLengthSize))
-		grown := make([]byte, kept, room)
+		grown := make([]byte, pending, room)
 		copy(grown, r.buf[r.start:])
 		r.buf, r.start = grown, 0
 	case len(r.buf)+len(b) > cap(r.buf):
@@ -116,10 +116,10 @@
 			return err
 		}
 	}
-	whole := min(len(b), r.walker.end)
-	err := r.walker.run(b[:whole])
+	available := min(len(b), r.walker.end)
+	err := r.walker.run(b[:available])
 	switch {
-	case err == errNeedMore && whole == r.walker.end:
+	case err == errNeedMore && available == r.walker.end:
 		return r.walker.truncatedError()
 	case err == nil && r.form.Framed && r.walker.pos < r.walker.end:
 		return ErrTrailingBytes
--- a/internal/thriftwire/reader_test.go
+++ b/internal/thriftwire/reader_test.go
@@ -64,8 +64,8 @@
 			m.Body = bytes.Clone(m.Body)
 			out = append(out, m)
 		}
-		if kept, most := r.Pending(), r.limits.Message+frameLengthSize; kept > most || cap(r.buf) > most+piece {
-			t.Fatalf("keeps %d bytes in a buffer of %d, %d at most", kept, cap(r.buf), most)
+		if pending, most := r.Pending(), r.limits.Message+frameLengthSize; pending > most || cap(r.buf) > most+piece {
+			t.Fatalf("keeps %d bytes in a buffer of %d, %d at most", pending, cap(r.buf), most)
 		}
 		if b = b[n:]; len(b) == 0 {
 			return out, nil
