--- a/internal/fleet/placement/delay.go
+++ b/internal/fleet/placement/delay.go
@@ -29,7 +29,7 @@
 }
 
 // delayFit is the line, base + slope*rate seconds, and the standard deviation of calls around it in seconds.
-type delayFit struct{ base, slope, spread float64 }
+type delayFit struct{ base, slope, deviation float64 }
 
 // fit returns the line. The prior counts as delayPriorCalls calls at its base.
 func (m *delayModel) fit(prior delayFit) delayFit {
@@ -42,18 +42,18 @@
 	if rateVariance > minRateVariance {
 		slope = max(0, covariance/(rateVariance+1))
 	}
-	spread := priorSpread
+	deviation := priorDeviation
 	if m.weight > 1 {
 		mean := m.sumDelay / m.weight
-		spread = math.Sqrt(max(0, m.sumDelayDelay/m.weight-mean*mean))
+		deviation = math.Sqrt(max(0, m.sumDelayDelay/m.weight-mean*mean))
 	}
-	return delayFit{base: meanDelay - slope*meanRate, slope: slope, spread: max(minSpread, spread)}
+	return delayFit{base: meanDelay - slope*meanRate, slope: slope, deviation: max(minDeviation, deviation)}
 }
 
 // chanceWithin returns the probability that a first token comes within a limit (seconds) at a rate, and its derivative by the
 // rate. The delay is taken as logistic.
 func (f delayFit) chanceWithin(limit, rate float64) (chance, byRate float64) {
-	scale := f.spread * math.Sqrt(3) / math.Pi
+	scale := f.deviation * math.Sqrt(3) / math.Pi
 	chance = 1 / (1 + math.Exp(-(limit-f.base-f.slope*rate)/scale))
 	return chance, -chance * (1 - chance) * f.slope / scale
 }
--- a/internal/fleet/placement/solver_test.go
+++ b/internal/fleet/placement/solver_test.go
@@ -20,7 +20,7 @@
 		for range n {
 			p.delays = append(p.delays, delayFit{
 				base: rapid.Float64Range(0.02, 1).Draw(rt, "base"), slope: rapid.Float64Range(0, 0.05).Draw(rt, "slope"),
-				spread: rapid.Float64Range(0.02, 0.3).Draw(rt, "spread"),
+				deviation: rapid.Float64Range(0.02, 0.3).Draw(rt, "spread"),
 			})
 			p.failureShares = append(p.failureShares, rapid.Float64Range(0, 0.5).Draw(rt, "fails"))
 		}
@@ -49,7 +49,7 @@
 	Convey("An endpoint that failed once gets its share again when it has recovered", t, func() {
 		p := problem{target: 0.5, rates: [bucketCount]float64{10, 1, 1, 1}, otherRates: make([]float64, 4), failureShares: []float64{0, 0, 0, 0.6}}
 		for range p.otherRates {
-			p.delays = append(p.delays, delayFit{base: 0.1, spread: 0.05})
+			p.delays = append(p.delays, delayFit{base: 0.1, deviation: 0.05})
 		}
 		r := p.solve(evenRows(4)).rows
 		So(r[0][3], ShouldBeLessThan, 0.03)
@@ -62,7 +62,7 @@
 	Convey("Rows that came out worse are discarded", t, func() {
 		p := problem{target: 0.5, rates: [bucketCount]float64{20, 20, 20, 20}, otherRates: make([]float64, 12)}
 		for i := range p.otherRates {
-			p.delays = append(p.delays, delayFit{base: 0.3 + 0.7*float64(i%2), slope: 0.05, spread: 0.02})
+			p.delays = append(p.delays, delayFit{base: 0.3 + 0.7*float64(i%2), slope: 0.05, deviation: 0.02})
 			p.failureShares = append(p.failureShares, 0.5)
 		}
 		r := evenRows(len(p.otherRates))
@@ -78,7 +78,7 @@
 	Convey("A row moves calls away from an endpoint that is late or fails", t, func() {
 		p := problem{target: 0.5, otherRates: make([]float64, 3), failureShares: []float64{0, 0, 0.5}}
 		p.rates = [bucketCount]float64{10, 1, 1, 1}
-		p.delays = []delayFit{{base: 0.1, spread: 0.05}, {base: 0.9, spread: 0.05}, {base: 0.1, spread: 0.05}}
+		p.delays = []delayFit{{base: 0.1, deviation: 0.05}, {base: 0.9, deviation: 0.05}, {base: 0.1, deviation: 0.05}}
 		rows := evenRows(3)
 		for range 10 {
 			rows = p.solve(rows).rows
@@ -101,7 +101,7 @@
 		b.Run(fmt.Sprint(n, " endpoints"), func(b *testing.B) {
 			p := problem{target: 0.5, rates: [bucketCount]float64{8, 1, 1, 1}, otherRates: make([]float64, n), failureShares: make([]float64, n)}
 			for i := range n {
-				p.delays = append(p.delays, delayFit{base: 0.1 + float64(i%7)*0.02, spread: 0.05})
+				p.delays = append(p.delays, delayFit{base: 0.1 + float64(i%7)*0.02, deviation: 0.05})
 			}
 			for range b.N {
 				p.solve(evenRows(n))
--- a/internal/fleet/placement/table.go
+++ b/internal/fleet/placement/table.go
@@ -63,10 +63,10 @@
 	for _, e := range s.endpoints {
 		pooled.add(&e.delay, 1/float64(len(s.endpoints)))
 	}
-	prior := pooled.fit(delayFit{base: priorDelay, spread: priorSpread})
+	prior := pooled.fit(delayFit{base: priorDelay, deviation: priorDeviation})
 	total := 0.0
 	for _, e := range s.endpoints {
-		p.delays = append(p.delays, e.delay.fit(delayFit{base: prior.base, spread: prior.spread}))
+		p.delays = append(p.delays, e.delay.fit(delayFit{base: prior.base, deviation: prior.deviation}))
 		p.failureShares = append(p.failureShares, max(e.failureShare, e.faults.share(now, s.callRate)))
 		total += e.sendRate.now(now)
 	}
--- a/internal/fleet/placement/tuning.go
+++ b/internal/fleet/placement/tuning.go
@@ -23,8 +23,8 @@
 	delayMemory        = 200.0           // calls
 	delayPriorCalls    = 6.0             // calls that the prior weighs
 	priorDelay         = 0.15            // seconds, before any call
-	priorSpread        = 0.1             // seconds, before any call
-	minSpread          = 0.01            // seconds; a spread of 0 would make the chance a step without a gradient
+	priorDeviation     = 0.1             // seconds, before any call
+	minDeviation       = 0.01            // seconds; a deviation of 0 would make the chance a step without a gradient
 	minRateVariance    = 1e-6            // (calls/s)^2 below which no slope is fitted
 	rateMemory         = 4 * time.Second // of send rates
 	failureShareMemory = 30.0            // outcomes
