--- a/internal/stream/client_gone_test.go
+++ b/internal/stream/client_gone_test.go
@@ -30,13 +30,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				var gone atomic.Bool
-				gone.Store(c.before)
+				var clientGone atomic.Bool
+				clientGone.Store(c.before)
 				visits := make(chan time.Time, 9)
 				p := newProxy(t, c.hosts, func(ctx context.Context, _ balance.EndpointID) (balance.Status, Response) {
 					visits <- time.Now()
 					if len(visits) == c.during {
-						gone.Store(true)
+						clientGone.Store(true)
 					}
 					if n := len(visits); n <= len(c.status) && c.status[n-1] != balance.Cancelled {
 						return c.status[n-1], Response{}
@@ -48,7 +48,7 @@
 				defer disconnect()
 				from := time.Now()
 				req := request(c.class, time.Minute)
-				req.ClientGone = func() bool { return gone.Load() || c.after > 0 && time.Since(from) >= c.after }
+				req.ClientGone = func() bool { return clientGone.Load() || c.after > 0 && time.Since(from) >= c.after }
 				res := p.Serve(client, req)
 				if res.Outcome != ClientGone || len(visits) != len(c.status) {
 					t.Errorf("outcome %d after %d visits, want gone after %d", res.Outcome, len(visits), len(c.status))
@@ -104,9 +104,9 @@
 			var checks atomic.Int64
 			req := request(1, time.Minute)
 			req.ClientGone = func() bool { return checks.Add(1) > 1 } // it leaves after the first
-			asked := make(chan struct{})
+			called := make(chan struct{})
 			p := &Proxy{active: map[string]activeStream{}, Upstream: contextUpstream(func(_ context.Context, req *Request) (balance.Status, Response) {
-				defer close(asked)
+				defer close(called)
 				time.Sleep(c.waits)
 				if got := req.ClientRecentlyWaiting(); got != c.want || checks.Load() != c.looks {
 					t.Errorf("after %v it is wanted: %v after %d checks, want %v after %d", c.waits, got, checks.Load(), c.want, c.looks)
@@ -116,7 +116,7 @@
 			sent := &unresponsiveStream{sends: make(chan driver.Send, 1), sent: true}
 			sent.sends <- driver.Send{}
 			p.run(t.Context(), sent, req, &unlimited)
-			<-asked
+			<-called
 		})
 	}
 }
--- a/internal/stream/gate_audit_test.go
+++ b/internal/stream/gate_audit_test.go
@@ -43,8 +43,8 @@
 	n.record(fmt.Sprint("sent ", under, " ", class, " ", crossed))
 }
 
-func (n *recordedAudit) Ended(under uint32, class int, _ balance.EndpointID, never, gone bool) {
-	n.record(fmt.Sprint("ended ", under, " ", class, " ", never, " ", gone))
+func (n *recordedAudit) Ended(under uint32, class int, _ balance.EndpointID, never, clientGone bool) {
+	n.record(fmt.Sprint("ended ", under, " ", class, " ", never, " ", clientGone))
 }
 
 type observerFunc func(l *Record)
--- a/internal/stream/proxy_test.go
+++ b/internal/stream/proxy_test.go
@@ -106,7 +106,7 @@
 // Guards against a second copy of a request by way of its id: while its stream is open, or an attempt of it
 // still out, the id is not taken again; afterwards it is.
 func TestDuplicate(t *testing.T) {
-	out, release, gone := make(chan struct{}), make(chan struct{}), make(chan struct{})
+	out, release, firstDone := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	p := newProxy(t, 1, func(ctx context.Context, _ balance.EndpointID) (balance.Status, Response) {
 		out <- struct{}{}
 		<-release // it comes back late, though cancelled
@@ -121,7 +121,7 @@
 	defer disconnect()
 	go func() {
 		p.Serve(client, same())
-		close(gone)
+		close(firstDone)
 	}()
 	<-out
 	for _, when := range []string{"while the stream is open", "while its attempt is out"} {
@@ -129,7 +129,7 @@
 			t.Errorf("%s: outcome %d, want duplicate", when, res.Outcome)
 		}
 		disconnect()
-		<-gone
+		<-firstDone
 	}
 	close(release)
 	go func() { <-out }()
--- a/internal/stream/upload_test.go
+++ b/internal/stream/upload_test.go
@@ -17,9 +17,9 @@
 	return f(req)
 }
 
-func uploadRequest(class int, gone time.Duration) *Request {
+func uploadRequest(class int, timeout time.Duration) *Request {
 	r := request(class, MaxUploadTime)
-	r.Upload = NewUpload(strings.NewReader("rest"), -1, gone)
+	r.Upload = NewUpload(strings.NewReader("rest"), -1, timeout)
 	return r
 }
 
