--- a/internal/lab/loopback/agent_polls.go
+++ b/internal/lab/loopback/agent_polls.go
@@ -151,28 +151,28 @@
 	return response, entries
 }
 
-// recordNotifications records what a response told the sidecar: all of it if it asked for the list, as it does when it starts;
+// recordNotifications records what a response notified the sidecar of: all of it if it asked for the list, as it does when it starts;
 // otherwise what is new to it, and by a complete list also which entries are gone.
 func (a *agent) recordNotifications(entries []plan.ListEntry, complete, watch bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	at := a.run.elapsed()
-	gone := map[int]plan.ListEntry{}
+	unlisted := map[int]plan.ListEntry{}
 	if complete {
-		gone, a.notified = a.notified, map[int]plan.ListEntry{}
+		unlisted, a.notified = a.notified, map[int]plan.ListEntry{}
 	}
 	for _, entry := range entries {
-		before, known := gone[entry.Endpoint]
+		before, known := unlisted[entry.Endpoint]
 		if !complete {
 			before, known = a.notified[entry.Endpoint]
 		}
-		delete(gone, entry.Endpoint)
+		delete(unlisted, entry.Endpoint)
 		a.notified[entry.Endpoint] = entry
 		if !known || before != entry || !watch {
 			a.addNotification(at, entry)
 		}
 	}
-	for endpoint, entry := range gone {
+	for endpoint, entry := range unlisted {
 		if entry.Phase != trace.PhaseGone {
 			a.addNotification(at, plan.ListEntry{Endpoint: endpoint, Phase: trace.PhaseGone})
 		}
--- a/internal/lab/loopback/agent_test.go
+++ b/internal/lab/loopback/agent_test.go
@@ -128,8 +128,8 @@
 	await(t, fmt.Sprintf("%d entries are noted", n), func() bool {
 		r.recorder.mu.Lock()
 		defer r.recorder.mu.Unlock()
-		for _, told := range r.recorder.log.Notifications {
-			out += fmt.Sprintf("%d:%d %v;", told.Sidecar, told.Endpoint, told.Phase)
+		for _, notification := range r.recorder.log.Notifications {
+			out += fmt.Sprintf("%d:%d %v;", notification.Sidecar, notification.Endpoint, notification.Phase)
 			n--
 		}
 		r.recorder.log.Notifications = nil
--- a/internal/lab/loopback/audit_test.go
+++ b/internal/lab/loopback/audit_test.go
@@ -39,12 +39,12 @@
 
 // Parts of a play. An auditor gives tickets once it has been followed for 18 s.
 const (
-	trails  = "operator = \"\"\"\n[audit]\nshare = 0.5\n\"\"\"\n"
-	onDisk  = "operator = \"\"\"\n[audit]\nshare = 0.5\n[state]\ndir = \"/{dir}/{name}.state\"\n\"\"\"\n"
-	auditor = "[[audit]]\nname = \"a\"\nevery = \"500ms\"\nlist = true\nraise = true\ngrace = \"1s\"\nspread = \"500ms\"\nshare = 0.5\n"
-	shuts   = "shut_out = true\n"
-	cutOff  = "[[fault]]\nkind = \"link_cut\"\nof = \"list\"\nat = \"21s\"\n"
-	half    = "boxes = 6\n"
+	withAuditLog = "operator = \"\"\"\n[audit]\nshare = 0.5\n\"\"\"\n"
+	onDisk       = "operator = \"\"\"\n[audit]\nshare = 0.5\n[state]\ndir = \"/{dir}/{name}.state\"\n\"\"\"\n"
+	auditor      = "[[audit]]\nname = \"a\"\nevery = \"500ms\"\nlist = true\nraise = true\ngrace = \"1s\"\nspread = \"500ms\"\nshare = 0.5\n"
+	shuts        = "shut_out = true\n"
+	cutOff       = "[[fault]]\nkind = \"link_cut\"\nof = \"list\"\nat = \"21s\"\n"
+	half         = "boxes = 6\n"
 )
 
 // drainedEndpoints has three endpoints drain, a second later.
@@ -73,29 +73,29 @@
 		{"six of twelve are partitioned while endpoints drain", halfShutOut, lengthLine("36s") + auditedFleet + cutOff + half + drainedEndpoints, func(o *processPlay) bool {
 			return o.countAfterDrain(30*time.Second) == 0 && o.countServed(30*time.Second) >= 6
 		}},
-		{"four are stopped while endpoints drain", lengthLine("22s") + auditedFleet + trails + faultAt("sidecar_pause", "10s", "boxes = 4\nfor = \"6s\"") + drainAt("12s"),
+		{"four are stopped while endpoints drain", lengthLine("22s") + auditedFleet + withAuditLog + faultAt("sidecar_pause", "10s", "boxes = 4\nfor = \"6s\"") + drainAt("12s"),
 			lengthLine("22s") + auditedFleet + faultAt("sidecar_pause", "10s", "boxes = 4\nfor = \"6s\"") + drainAt("12s"), func(o *processPlay) bool {
 				return o.countAfterResume() == 0
 			}},
-		{"the auditor is killed, and those shut out come back", lengthLine("46s") + auditedFleet + trails + auditor + shuts + "kill = \"32s\"\n" + cutOff + half + drainedEndpoints,
+		{"the auditor is killed, and those shut out come back", lengthLine("46s") + auditedFleet + withAuditLog + auditor + shuts + "kill = \"32s\"\n" + cutOff + half + drainedEndpoints,
 			halfShutOut, func(o *processPlay) bool {
 				return o.countServed(40*time.Second) == 12
 			}},
-		{"an old order comes late", lengthLine("17s") + auditedFleet + trails + auditor + drainAt("6s") + faultAt("order_again", "5s", "share = 1.0\nback = \"9s\""),
-			lengthLine("17s") + auditedFleet + trails + auditor + drainAt("6s") + faultAt("order_again", "5s", "share = 1.0\nback = \"9s\"\nsize = 1000"), func(o *processPlay) bool {
+		{"an old order comes late", lengthLine("17s") + auditedFleet + withAuditLog + auditor + drainAt("6s") + faultAt("order_again", "5s", "share = 1.0\nback = \"9s\""),
+			lengthLine("17s") + auditedFleet + withAuditLog + auditor + drainAt("6s") + faultAt("order_again", "5s", "share = 1.0\nback = \"9s\"\nsize = 1000"), func(o *processPlay) bool {
 				return o.countRejectedOrders() == 12
 			}},
 		{"an old order comes to a process that has started again",
 			lengthLine("18s") + auditedFleet + onDisk + auditor + "kill = \"10s\"\n" + drainAt("6s") + restartedFleet,
-			lengthLine("18s") + auditedFleet + trails + auditor + "kill = \"10s\"\n" + drainAt("6s") + restartedFleet, func(o *processPlay) bool {
+			lengthLine("18s") + auditedFleet + withAuditLog + auditor + "kill = \"10s\"\n" + drainAt("6s") + restartedFleet, func(o *processPlay) bool {
 				return o.countRejectedOrders() == 12
 			}},
 		{"all are killed while they adopt", lengthLine("20s") + auditedFleet + onDisk + drainAt("8s") + faultAt("sidecar_kill", "9s", "share = 1.0\nstep = \"30ms\"\nback = \"1s\""),
-			lengthLine("20s") + auditedFleet + trails + drainAt("8s") + faultAt("sidecar_kill", "9s", "share = 1.0\nstep = \"30ms\"\nback = \"1s\""), func(o *processPlay) bool {
+			lengthLine("20s") + auditedFleet + withAuditLog + drainAt("8s") + faultAt("sidecar_kill", "9s", "share = 1.0\nstep = \"30ms\"\nback = \"1s\""), func(o *processPlay) bool {
 				v := o.res.Audit.AuditLogs
 				return v.Contradicted == 0 && v.Missing == 0 && len(v.UnreadSidecars) == 0 && v.Unambiguous > 0
 			}},
-		{"a minimum version that nobody meets shuts nobody out", lengthLine("36s") + auditedFleet + trails + auditor + shuts + cutOff + drainedEndpoints, halfShutOut, func(o *processPlay) bool {
+		{"a minimum version that nobody meets shuts nobody out", lengthLine("36s") + auditedFleet + withAuditLog + auditor + shuts + cutOff + drainedEndpoints, halfShutOut, func(o *processPlay) bool {
 			return o.countServed(30*time.Second) == 12
 		}},
 	}
@@ -146,7 +146,7 @@
 }
 
 // halfShutOut is a play in which six of twelve are shut out from about 25 s on.
-const halfShutOut = "length = \"46s\"\n" + auditedFleet + trails + auditor + shuts + cutOff + half + drainedEndpoints
+const halfShutOut = "length = \"46s\"\n" + auditedFleet + withAuditLog + auditor + shuts + cutOff + half + drainedEndpoints
 
 const restartedFleet = "[[fault]]\nkind = \"sidecar_kill\"\nat = \"10500ms\"\nshare = 1.0\nback = \"1s\"\n" +
 	"[[fault]]\nkind = \"order_again\"\nat = \"5s\"\nshare = 1.0\nback = \"10s\"\n"
@@ -163,11 +163,11 @@
 		{"the disk is full", lengthLine("12s") + auditedFleet + onDisk + drainAt("6s") + faultAt("disk_full", "0s", "share = 1.0"), func(o *processPlay) bool {
 			return o.res.Audit.AuditLogs != nil && o.countLogs("no space left") == 12 && o.countServed(8*time.Second) == 12
 		}},
-		{"the list service counts from 1 again", lengthLine("34s") + auditedFleet + trails + auditor + shuts + drainAt("4s") +
+		{"the list service counts from 1 again", lengthLine("34s") + auditedFleet + withAuditLog + auditor + shuts + drainAt("4s") +
 			listFault("forget", "10s", "1s", "") + "[[fault]]\nkind = \"crash\"\nat = \"13s\"\nboxes = 1\n", func(o *processPlay) bool {
 			return o.countServed(24*time.Second) == 12 && strings.Contains(o.lastRound("a"), `"up_to_date":12`)
 		}},
-		{"one alone, cut off", strings.Replace(lengthLine("32s")+auditedFleet, "sidecars = 12", "sidecars = 1", 1) + trails + auditor + shuts + cutOff + drainedEndpoints, func(o *processPlay) bool {
+		{"one alone, cut off", strings.Replace(lengthLine("32s")+auditedFleet, "sidecars = 12", "sidecars = 1", 1) + withAuditLog + auditor + shuts + cutOff + drainedEndpoints, func(o *processPlay) bool {
 			return o.countServed(28*time.Second) == 1
 		}},
 	}
@@ -225,9 +225,9 @@
 // drainingEndpoints are the endpoints that discovery announced to drain.
 func (o *processPlay) drainingEndpoints() map[int]bool {
 	out := map[int]bool{}
-	for _, told := range o.played.Notifications {
-		if told.Phase == trace.PhaseTerminating {
-			out[told.Endpoint] = true
+	for _, notification := range o.played.Notifications {
+		if notification.Phase == trace.PhaseTerminating {
+			out[notification.Endpoint] = true
 		}
 	}
 	return out
@@ -235,9 +235,9 @@
 
 // countAfterDrain counts the requests due after a time that reached a draining endpoint.
 func (o *processPlay) countAfterDrain(after time.Duration) (n int) {
-	left := o.drainingEndpoints()
+	draining := o.drainingEndpoints()
 	o.eachFirstTierRequest(after, func(_ *trace.ClientAttempt, v *trace.EndpointRequest) {
-		if v != nil && left[v.Endpoint] {
+		if v != nil && draining[v.Endpoint] {
 			n++
 		}
 	})
@@ -246,9 +246,9 @@
 
 // countAfterResume counts the requests that came while their sidecars were stopped and were sent to draining endpoints.
 func (o *processPlay) countAfterResume() (n int) {
-	left := o.drainingEndpoints()
+	draining := o.drainingEndpoints()
 	o.eachFirstTierRequest(12*time.Second, func(t *trace.ClientAttempt, v *trace.EndpointRequest) {
-		if v != nil && left[v.Endpoint] && t.Due < 16*time.Second && v.FirstByte > 16*time.Second {
+		if v != nil && draining[v.Endpoint] && t.Due < 16*time.Second && v.FirstByte > 16*time.Second {
 			n++
 		}
 	})
--- a/internal/lab/loopback/cold_start_test.go
+++ b/internal/lab/loopback/cold_start_test.go
@@ -125,7 +125,7 @@
 		name        string
 		sent        int
 		over        time.Duration
-		told        int // of so many
+		notified    int // of so many
 		least, most float64
 	}{
 		{"what it stands", 33, time.Second, 33, 0.95, 1},
@@ -136,7 +136,7 @@
 		log := &trace.Log{Notifications: []trace.Notification{{At: start, Sidecar: 0, Endpoint: endpoint, Phase: trace.PhaseReady, UpSince: start}}}
 		for n := range c.sent {
 			from := 0
-			if n >= c.told {
+			if n >= c.notified {
 				from = 1
 			}
 			log.ClientAttempts = append(log.ClientAttempts, trace.ClientAttempt{TransactionID: uint64(n), Sidecar: from})
--- a/internal/lab/loopback/dispatch.go
+++ b/internal/lab/loopback/dispatch.go
@@ -52,8 +52,8 @@
 
 // nanosleepUntil blocks the thread until a time of the plan.
 func (r *run) nanosleepUntil(due time.Duration) {
-	for left := due - r.elapsed(); left > 0; left = due - r.elapsed() {
-		timespec := unix.NsecToTimespec(int64(left))
+	for remaining := due - r.elapsed(); remaining > 0; remaining = due - r.elapsed() {
+		timespec := unix.NsecToTimespec(int64(remaining))
 		_ = unix.Nanosleep(&timespec, nil) // the runtime's signals interrupt it: what is left is slept in the next round
 	}
 }
--- a/internal/lab/loopback/endpoint_fixture_test.go
+++ b/internal/lab/loopback/endpoint_fixture_test.go
@@ -210,8 +210,8 @@
 }
 
 // readError is the error of a read.
-func (c *rawConn) readError(within time.Duration) error {
-	_ = c.SetReadDeadline(time.Now().Add(within))
+func (c *rawConn) readError(timeout time.Duration) error {
+	_ = c.SetReadDeadline(time.Now().Add(timeout))
 	_, err := c.in.ReadByte()
 	return err
 }
--- a/internal/lab/loopback/endpoint_test.go
+++ b/internal/lab/loopback/endpoint_test.go
@@ -135,11 +135,11 @@
 // half-closes, cancels its request.
 func TestEndpointRejectsAndCancels(t *testing.T) {
 	s := newFixture(t, fixtureClasses+oneTier+"slots = 1\nqueue = 1\ncores = 1\n")
-	var held [2]clientRequest
+	var active [2]clientRequest
 	var conns [2]*rawConn
-	for i := range held {
-		held[i], conns[i] = s.nextRequest("long"), s.dial(0)
-		s.send(conns[i], held[i])
+	for i := range active {
+		active[i], conns[i] = s.nextRequest("long"), s.dial(0)
+		s.send(conns[i], active[i])
 		s.awaitLoad(0, 1, i)
 	}
 	c, q := s.dial(0), s.nextRequest("quick")
@@ -151,14 +151,14 @@
 		t.Errorf("the rejected one: %+v", v)
 	}
 	conns[0].Close()
-	if v := s.endpointRequest(held[0].attempt.TransactionID); v.Outcome != trace.OutcomeCanceled || v.Started == trace.Unset || v.Work >= 50*time.Second {
+	if v := s.endpointRequest(active[0].attempt.TransactionID); v.Outcome != trace.OutcomeCanceled || v.Started == trace.Unset || v.Work >= 50*time.Second {
 		t.Errorf("the one that ran: %+v", v)
 	}
 	s.awaitLoad(0, 1, 0)
 	if err := conns[1].Conn.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	if v := s.endpointRequest(held[1].attempt.TransactionID); v.Outcome != trace.OutcomeCanceled || v.Started == trace.Unset {
+	if v := s.endpointRequest(active[1].attempt.TransactionID); v.Outcome != trace.OutcomeCanceled || v.Started == trace.Unset {
 		t.Errorf("the one that waited, and ran then: %+v", v)
 	}
 	if err := conns[1].readError(testTimeout); !isEnded(err) {
@@ -183,20 +183,20 @@
 
 func TestEndpointBecomesUnresponsive(t *testing.T) {
 	s := newFixture(t, fixtureClasses+oneTier)
-	held, idle, q := s.dial(0), s.dial(0), s.nextRequest("long")
-	s.send(held, q)
+	active, idle, q := s.dial(0), s.dial(0), s.nextRequest("long")
+	s.send(active, q)
 	s.awaitLoad(0, 1, 0)
 	end := s.beginFault(0, model.Vanish, 0)
 	unheard := s.nextRequest("quick")
 	s.send(idle, unheard)
 	s.awaitDial(0, "never come up", isTimedOut)
-	for _, c := range []*rawConn{held, idle} {
+	for _, c := range []*rawConn{active, idle} {
 		if err := c.readError(50 * time.Millisecond); !isTimedOut(err) {
 			t.Errorf("an open connection says %v", err)
 		}
 	}
 	end()
-	for _, c := range []*rawConn{held, idle} {
+	for _, c := range []*rawConn{active, idle} {
 		if err := c.readError(testTimeout); !isReset(err) {
 			t.Errorf("once the machine is back, an open connection says %v", err)
 		}
@@ -429,8 +429,8 @@
 // TestEndpointCollapses checks that a cold endpoint that is overloaded goes down for good, and that the run is notified once.
 func TestEndpointCollapses(t *testing.T) {
 	s := newFixture(t, fixtureClasses+oneTier+"start = \"cold\"\ncores = 1\n")
-	told := make(chan struct{}, 2)
-	s.endpoints[0].onCollapse = func() { told <- struct{}{} }
+	collapsed := make(chan struct{}, 2)
+	s.endpoints[0].onCollapse = func() { collapsed <- struct{}{} }
 	c, q := s.dial(0), s.nextRequest("long") // 50 s of work within a second
 	s.send(c, q)
 	if err := c.readError(testTimeout); !isReset(err) {
@@ -439,12 +439,12 @@
 	if v := s.endpointRequest(q.attempt.TransactionID); v.Outcome != trace.OutcomeLost {
 		t.Errorf("the request is %+v", v)
 	}
-	<-told
+	<-collapsed
 	s.awaitDial(0, "are refused", isRefused)
 	if !s.endpoints[0].sample(s.elapsed()).Collapsed {
 		t.Error("it has not fallen")
 	}
-	if len(told) != 0 {
+	if len(collapsed) != 0 {
 		t.Error("the run is notified twice")
 	}
 }
--- a/internal/lab/loopback/link_test.go
+++ b/internal/lab/loopback/link_test.go
@@ -59,8 +59,8 @@
 }
 
 // readByte reads one byte within a time.
-func readByte(c net.Conn, within time.Duration) error {
-	_ = c.SetReadDeadline(time.Now().Add(within)) // on a broken connection the read fails
+func readByte(c net.Conn, timeout time.Duration) error {
+	_ = c.SetReadDeadline(time.Now().Add(timeout)) // on a broken connection the read fails
 	_, err := io.ReadFull(c, make([]byte, 1))
 	return err
 }
@@ -73,7 +73,7 @@
 	for id, fault := range []plan.LinkFault{{Kind: plan.LinkBoth}, {Kind: plan.LinkForward}, {Kind: plan.LinkReverse}, {Kind: plan.LinkSlow, Delay: 2 * holdTime}} {
 		directions := []struct {
 			from, to net.Conn
-			held     bool
+			blocked  bool
 		}{
 			{client, server, fault.Blocks(true) || fault.Delay > 0},
 			{server, client, fault.Blocks(false) || fault.Delay > 0},
@@ -83,17 +83,17 @@
 			if _, err := direction.from.Write([]byte{1}); err != nil {
 				t.Fatal(err)
 			}
-			within := testTimeout
-			if direction.held {
-				within = holdTime
+			timeout := testTimeout
+			if direction.blocked {
+				timeout = holdTime
 			}
-			if err := readByte(direction.to, within); (err != nil) != direction.held {
-				t.Errorf("%+v: %v, held back is %v", fault, err, direction.held)
+			if err := readByte(direction.to, timeout); (err != nil) != direction.blocked {
+				t.Errorf("%+v: %v, held back is %v", fault, err, direction.blocked)
 			}
 		}
 		f.endFault(id)
 		for _, direction := range directions {
-			if direction.held && readByte(direction.to, testTimeout) != nil {
+			if direction.blocked && readByte(direction.to, testTimeout) != nil {
 				t.Errorf("%+v: what was held back is lost", fault)
 			}
 		}
--- a/internal/lab/loopback/list_faults_test.go
+++ b/internal/lab/loopback/list_faults_test.go
@@ -85,7 +85,7 @@
 	for i := range 10 {
 		all.Go(func() { _, _ = newPoller(t, r.addresses.agent(i, 0)).tryPoll("") })
 	}
-	turned := func() (n int) {
+	countRejected := func() (n int) {
 		r.recorder.mu.Lock()
 		defer r.recorder.mu.Unlock()
 		for _, k := range r.recorder.log.Polls {
@@ -95,14 +95,14 @@
 		}
 		return n
 	}
-	await(t, "all but three are rejected", func() bool { return turned() == 7 })
+	await(t, "all but three are rejected", func() bool { return countRejected() == 7 })
 	for i := range 10 {
 		r.agents[i].mu.Lock()
 		r.agents[i].stopServer()
 		r.agents[i].mu.Unlock()
 	}
 	all.Wait()
-	if n := turned(); n != 7 {
+	if n := countRejected(); n != 7 {
 		t.Errorf("%d polls were rejected, 7 expected", n)
 	}
 }
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -234,13 +234,13 @@
 	})
 	r.updateRoundRobin(plan.Event{Kind: plan.StartFault, Endpoint: endpoint, Fault: model.Fault{Kind: model.Crash}})
 	r.schedule(r.plan.Scenario.Discovery.RemoveDelay.D(), func() {
-		gone := plan.ListEntry{Endpoint: endpoint, Phase: trace.PhaseGone}
+		removal := plan.ListEntry{Endpoint: endpoint, Phase: trace.PhaseGone}
 		if r.listService != nil && r.plan.Endpoints[endpoint].Tier == 0 {
-			r.listService.update(gone)
+			r.listService.update(removal)
 		}
 		for i := range r.plan.Sidecars {
 			if r.plan.Sidecars[i].Tier == r.plan.Endpoints[endpoint].Tier {
-				r.agents[i].update(gone)
+				r.agents[i].update(removal)
 			}
 		}
 	})
--- a/internal/lab/loopback/next_tier_test.go
+++ b/internal/lab/loopback/next_tier_test.go
@@ -22,21 +22,21 @@
 
 // nextTierStub is the next tier under the control of a test.
 type nextTierStub struct {
-	asked chan clientRequest
-	reply chan trace.Status
-	gone  chan struct{} // a call was canceled
+	requests chan clientRequest
+	reply    chan trace.Status
+	canceled chan struct{} // a call was canceled
 }
 
 func (s *fixture) stubNextTier(endpoint int) *nextTierStub {
 	u := &nextTierStub{make(chan clientRequest, 10), make(chan trace.Status, 10), make(chan struct{}, 10)}
 	s.endpoints[endpoint].send = func(ctx context.Context, q clientRequest) trace.ClientAttempt {
-		u.asked <- q
+		u.requests <- q
 		t := q.attempt
 		select {
 		case t.Status = <-u.reply:
 		case <-ctx.Done():
 			t.Status = trace.StatusCanceled
-			u.gone <- struct{}{}
+			u.canceled <- struct{}{}
 		}
 		return t
 	}
@@ -50,9 +50,9 @@
 	q.timeout = 10 * time.Second
 	c := s.dial(0)
 	s.send(c, q)
-	lefts := 10 * time.Second
+	remaining := 10 * time.Second
 	for call := range 2 {
-		got := <-u.asked
+		got := <-u.requests
 		switch {
 		case got.attempt.TransactionID != s.plan.CallTransactionID(q.attempt.TransactionID, 0, 0, call), got.attempt.Request != q.attempt.Request, got.attempt.Class != q.attempt.Class:
 			t.Errorf("call %d is another's: %+v", call, got.attempt)
@@ -60,10 +60,10 @@
 			t.Errorf("call %d goes elsewhere: %+v", call, got)
 		case got.idempotencyKey != q.idempotencyKey:
 			t.Errorf("call %d has key %x, not %x", call, got.idempotencyKey, q.idempotencyKey)
-		case got.timeout >= lefts || got.timeout <= 0:
-			t.Errorf("call %d may take %v, after %v", call, got.timeout, lefts)
+		case got.timeout >= remaining || got.timeout <= 0:
+			t.Errorf("call %d may take %v, after %v", call, got.timeout, remaining)
 		}
-		lefts = got.timeout
+		remaining = got.timeout
 
 		// The next tier knows it now.
 		inner := s.dial(1)
@@ -95,8 +95,8 @@
 	if v := s.endpointRequest(q.attempt.TransactionID); v.Outcome != trace.OutcomeError || v.Work <= 0 {
 		t.Errorf("the request is %+v", v)
 	}
-	if len(u.asked) != 1 {
-		t.Errorf("%d calls were made", len(u.asked))
+	if len(u.requests) != 1 {
+		t.Errorf("%d calls were made", len(u.requests))
 	}
 }
 
@@ -108,11 +108,11 @@
 	c, q := s.dial(0), s.nextRequest("quick")
 	q.timeout = time.Second
 	s.send(c, q)
-	if got := <-u.asked; got.timeout != 30*time.Second {
+	if got := <-u.requests; got.timeout != 30*time.Second {
 		t.Errorf("%v are left for the call", got.timeout)
 	}
 	c.Close()
-	<-u.gone
+	<-u.canceled
 	if v := s.endpointRequest(q.attempt.TransactionID); v.Outcome != trace.OutcomeCanceled {
 		t.Errorf("the request is %+v", v)
 	}
--- a/internal/lab/loopback/round_robin_test.go
+++ b/internal/lab/loopback/round_robin_test.go
@@ -41,9 +41,9 @@
 	round(1, 2)
 	o.applyListChange(event(plan.StartEndpoint, 3, 0, d.AddDelay.D()))
 	round(0, 0, 1, 3)
-	gone := event(plan.StartFault, 1, model.Crash, d.RemoveDelay.D())
+	removal := event(plan.StartFault, 1, model.Crash, d.RemoveDelay.D())
 	round(0, 0, 1, 3)
-	o.applyListChange(gone)
+	o.applyListChange(removal)
 	round(0, 0, 3)
 	event(plan.StartFault, 1, model.Vanish, d.UnresponsiveDelay.D())
 	event(plan.EndFault, 1, model.Crash, 0) // it is still down
--- a/internal/lab/loopback/run_test.go
+++ b/internal/lab/loopback/run_test.go
@@ -95,12 +95,12 @@
 // playToEnd checks that in a calm run every request is served once, and that both ends record the same.
 func playToEnd(t *testing.T, built, text string) {
 	p := buildPlan(t, text)
-	var told []time.Duration
+	var progress []time.Duration
 	var log *trace.Log
 	for range 3 { // a sidecar ends a quarter of a second before its grace does: a machine that stands still for so long has it killed
 		var err error
 		log, err = loopback.Play(t.Context(), p, loopback.Options{Builds: [2]string{built}, LogDir: t.TempDir(),
-			Progress: func(at time.Duration) { told = append(told, at) }})
+			Progress: func(at time.Duration) { progress = append(progress, at) }})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -142,8 +142,8 @@
 	if len(log.Usage) != 1 || log.Usage[0].CPU <= 0 || log.Usage[0].PeakMemory <= 0 || log.Usage[0].MaxDescriptors <= 0 {
 		t.Errorf("usage: %+v", log.Usage)
 	}
-	if len(log.Samples) < 3 || len(told) == 0 || log.End < p.Scenario.Length.D() || len(log.Notifications) < 3 {
-		t.Errorf("%d samples, %d of progress, %d notifications, end %v", len(log.Samples), len(told), len(log.Notifications), log.End)
+	if len(log.Samples) < 3 || len(progress) == 0 || log.End < p.Scenario.Length.D() || len(log.Notifications) < 3 {
+		t.Errorf("%d samples, %d of progress, %d notifications, end %v", len(log.Samples), len(progress), len(log.Notifications), log.End)
 	}
 }
 
--- a/internal/lab/loopback/transport_test.go
+++ b/internal/lab/loopback/transport_test.go
@@ -360,11 +360,11 @@
 	<-arrived
 	fresh := s.newRequest("safe", 2)
 	fresh.newConnection = true
-	held := make(chan trace.ClientAttempt)
-	go func() { held <- s.roundTrip(t.Context(), fresh) }() // the idle one is closed for it
+	attempts := make(chan trace.ClientAttempt)
+	go func() { attempts <- s.roundTrip(t.Context(), fresh) }() // the idle one is closed for it
 	select {
 	case <-arrived:
-	case got := <-held:
+	case got := <-attempts:
 		t.Fatalf("in the place of an idle one: %+v", got)
 	}
 	late := s.newRequest("safe", 3)
@@ -373,7 +373,7 @@
 		t.Errorf("beyond the bound: %+v", got)
 	}
 	close(release)
-	if got := <-held; got.Status != trace.StatusServed || got.Endpoint != 1 {
+	if got := <-attempts; got.Status != trace.StatusServed || got.Endpoint != 1 {
 		t.Errorf("on a new connection: %+v", got)
 	}
 }
