--- a/internal/lab/pollsim/policies.go
+++ b/internal/lab/pollsim/policies.go
@@ -93,7 +93,7 @@
 }
 
 // Done implements Poller.
-func (p *rankedPoller) Ended(now time.Duration, e pacing.Result) {
+func (p *rankedPoller) Done(now time.Duration, e pacing.Result) {
 	period := p.f.Period()
 	slot := time.Duration(float64(p.rank) / float64(p.f.Instances) * float64(period))
 	p.next = (now-slot+period)/period*period + slot
@@ -102,7 +102,7 @@
 // newRanks gives each instance the rank of its number.
 func newRanks(f pacing.Fleet, number int, r *rand.Rand, now time.Duration) Poller {
 	p := &rankedPoller{basePoller: basePoller{rand: r, watch: max(time.Second, 2*f.Period())}, f: f, rank: number}
-	p.Ended(now, pacing.Result{})
+	p.Done(now, pacing.Result{})
 	return p
 }
 
