--- a/internal/lab/cli/rehearse.go
+++ b/internal/lab/cli/rehearse.go
@@ -86,7 +86,7 @@
 		return nil, err
 	}
 	rows := r.Compare(played)
-	spread := make([][2]int, len(rows))
+	ranges := make([][2]int, len(rows))
 	for i := range uint64(extraSeeds) {
 		other, err := r.Play(r.Seed + 1 + i)
 		if err != nil {
@@ -94,12 +94,12 @@
 		}
 		for k, row := range r.Compare(other) {
 			if i == 0 {
-				spread[k] = [2]int{row.Replayed, row.Replayed}
+				ranges[k] = [2]int{row.Replayed, row.Replayed}
 			}
-			spread[k] = [2]int{min(spread[k][0], row.Replayed), max(spread[k][1], row.Replayed)}
+			ranges[k] = [2]int{min(ranges[k][0], row.Replayed), max(ranges[k][1], row.Replayed)}
 		}
 	}
-	return rows, writeRows(out, rows, spread)
+	return rows, writeRows(out, rows, ranges)
 }
 
 // playWithReport plays the rehearsal once more with checks and a report, if --out or --sockets is given. On sockets
@@ -132,22 +132,22 @@
 	return rows, writeRows(t.out, rows, nil)
 }
 
-// writeRows writes counts beside the observed ones; spread, if there is one, is what other draws give for each.
-func writeRows(out io.Writer, rows []calibration.Row, spread [][2]int) error {
+// writeRows writes counts beside the observed ones; ranges, if there are any, are the counts that other draws give for each.
+func writeRows(out io.Writer, rows []calibration.Row, ranges [][2]int) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(w, "\n\tobserved\trehearsed\tdifference\tmargin\tkept\t")
-	if spread != nil {
+	if ranges != nil {
 		fmt.Fprint(w, "other draws\t")
 	}
 	fmt.Fprintln(w)
 	for i, row := range rows {
-		kept := "yes"
+		withinMargin := "yes"
 		if !row.WithinMargin {
-			kept = "NO"
+			withinMargin = "NO"
 		}
-		fmt.Fprintf(w, "%s\t%d\t%d\t%+d\t%.0f\t%s\t", row.Name, row.Recorded, row.Replayed, row.Replayed-row.Recorded, row.Margin, kept)
-		if spread != nil {
-			fmt.Fprintf(w, "%d to %d\t", spread[i][0], spread[i][1])
+		fmt.Fprintf(w, "%s\t%d\t%d\t%+d\t%.0f\t%s\t", row.Name, row.Recorded, row.Replayed, row.Replayed-row.Recorded, row.Margin, withinMargin)
+		if ranges != nil {
+			fmt.Fprintf(w, "%d to %d\t", ranges[i][0], ranges[i][1])
 		}
 		fmt.Fprintln(w)
 	}
--- a/internal/lab/cli/routers.go
+++ b/internal/lab/cli/routers.go
@@ -13,17 +13,17 @@
 
 // routersCmd measures a fleet of routers.
 type routersCmd struct {
-	Sizes     []int         `help:"Numbers of routers, played one after the other." default:"30,100,380"`
-	Core      int           `help:"Of them, with disks." default:"9"`
-	Endpoints float64       `help:"Endpoints a router that send heartbeats." default:"3.7"`
-	Tenants   int           `help:"Tenants with keys." default:"690"`
-	Models    int           `help:"Services." default:"28"`
-	Changes   int           `help:"Changes of the configuration." default:"10"`
-	Rest      time.Duration `help:"Time for which the fleet is measured at rest." default:"5s"`
-	Within    time.Duration `help:"Time that a change may take." default:"30s"`
-	Losses    []string      `help:"Losses to play at the end, one after the other: \"zone\", or a number of core routers." placeholder:"LOSS"`
-	LossTime  time.Duration `help:"Time for which a change is tried while routers are gone." default:"8s"`
-	Out       string        `help:"File to which each play's figures are added as a line of JSON." placeholder:"FILE"`
+	Sizes         []int         `help:"Numbers of routers, played one after the other." default:"30,100,380"`
+	Core          int           `help:"Of them, with disks." default:"9"`
+	Endpoints     float64       `help:"Endpoints a router that send heartbeats." default:"3.7"`
+	Tenants       int           `help:"Tenants with keys." default:"690"`
+	Models        int           `help:"Services." default:"28"`
+	Changes       int           `help:"Changes of the configuration." default:"10"`
+	Rest          time.Duration `help:"Time for which the fleet is measured at rest." default:"5s"`
+	ChangeTimeout time.Duration `name:"within" help:"Time that a change may take." default:"30s"`
+	Losses        []string      `help:"Losses to play at the end, one after the other: \"zone\", or a number of core routers." placeholder:"LOSS"`
+	LossTime      time.Duration `help:"Time for which a change is tried while routers are gone." default:"8s"`
+	Out           string        `help:"File to which each play's figures are added as a line of JSON." placeholder:"FILE"`
 }
 
 // Run plays each size and prints a line for it.
@@ -47,7 +47,7 @@
 	for _, size := range c.Sizes {
 		result, err := routers.Play(ctx, routers.Config{
 			Routers: size, Core: min(c.Core, size), Endpoints: int(c.Endpoints * float64(size)), Tenants: c.Tenants, Models: c.Models,
-			Changes: c.Changes, Rest: c.Rest, Timeout: c.Within, Losses: losses, LossTimeout: c.LossTime,
+			Changes: c.Changes, Rest: c.Rest, Timeout: c.ChangeTimeout, Losses: losses, LossTimeout: c.LossTime,
 		})
 		if err != nil {
 			return exitError{exitEnvironment, err}
--- a/internal/lab/cli/scale.go
+++ b/internal/lab/cli/scale.go
@@ -19,23 +19,23 @@
 
 // scaleCmd measures what stub sidecars cost a list service, and how soon a change is in force at the last one.
 type scaleCmd struct {
-	Scenario     []string      `help:"What to play: rest, ordinary, hundredfold, stopped, restarting, cold, down-refused, down-503." default:"rest,ordinary,hundredfold"`
-	Sidecars     []int         `help:"Numbers of hollow sidecars." default:"100,200,400"`
-	Hosts        []int         `help:"Numbers of hosts that are listed." default:"12"`
-	Changes      *float64      `help:"Changes of the list a second, in place of the scenario's."`
-	Real         int           `help:"Processes of the daemon beside the hollow sidecars."`
-	Racks        int           `help:"Processes that the hollow sidecars share." default:"4"`
-	Seconds      int           `help:"Measured time of each play." default:"30"`
-	Spread       time.Duration `help:"Time over which the sidecars of a rack start." default:"0s"`
-	Within       time.Duration `help:"Time for which the last change may be waited for after the measured time." default:"30s"`
-	Down         time.Duration `help:"Time for which the service is away at first, in down-refused and down-503." default:"3s"`
-	ServiceCalls int           `help:"Calls that the service does at a time; 0: it has no bound." default:"0"`
-	ServiceCall  time.Duration `help:"Time that each takes." default:"20ms"`
-	ServiceLine  int           `help:"Calls that may wait; others get 503." default:"40"`
-	Config       string        `type:"path" help:"Operator's file of all sidecars, with [discovery]; without it the service is asked as an agent is."`
-	Pinelb       string        `type:"path" help:"The daemon's program, for --real; beside this one, or found by PATH, if left out."`
-	Out          string        `type:"path" help:"File to which each play's figures are added as a line of JSON."`
-	Seed         uint64        `help:"Seed of the sidecars' calls." default:"1"`
+	Scenario           []string      `help:"What to play: rest, ordinary, hundredfold, stopped, restarting, cold, down-refused, down-503." default:"rest,ordinary,hundredfold"`
+	Sidecars           []int         `help:"Numbers of hollow sidecars." default:"100,200,400"`
+	Hosts              []int         `help:"Numbers of hosts that are listed." default:"12"`
+	Changes            *float64      `help:"Changes of the list a second, in place of the scenario's."`
+	Real               int           `help:"Processes of the daemon beside the hollow sidecars."`
+	Racks              int           `help:"Processes that the hollow sidecars share." default:"4"`
+	Seconds            int           `help:"Measured time of each play." default:"30"`
+	StartSpread        time.Duration `name:"spread" help:"Time over which the sidecars of a rack start." default:"0s"`
+	FinalTimeout       time.Duration `name:"within" help:"Time for which the last change may be waited for after the measured time." default:"30s"`
+	Down               time.Duration `help:"Time for which the service is away at first, in down-refused and down-503." default:"3s"`
+	ServiceCalls       int           `help:"Calls that the service does at a time; 0: it has no bound." default:"0"`
+	ServiceCall        time.Duration `help:"Time that each takes." default:"20ms"`
+	ServiceQueueLength int           `name:"service-line" help:"Calls that may wait; others get 503." default:"40"`
+	Config             string        `type:"path" help:"Operator's file of all sidecars, with [discovery]; without it the service is asked as an agent is."`
+	Pinelb             string        `type:"path" help:"The daemon's program, for --real; beside this one, or found by PATH, if left out."`
+	Out                string        `type:"path" help:"File to which each play's figures are added as a line of JSON."`
+	Seed               uint64        `help:"Seed of the sidecars' calls." default:"1"`
 }
 
 // Run plays each scenario with each number of hosts and of sidecars, in that order, and prints a line for each. All cases are checked
@@ -115,8 +115,8 @@
 
 // baseCase returns what all cases share, and the section [discovery] that paces the polls, or nil if there is none.
 func (c *scaleCmd) baseCase() (stubfleet.Case, *config.Discovery, error) {
-	one := stubfleet.Case{Real: c.Real, Racks: c.Racks, Seconds: c.Seconds, StartSpread: c.Spread, FinalTimeout: c.Within, Outage: c.Down, ConcurrentCalls: c.ServiceCalls,
-		CallTime: c.ServiceCall, QueueLength: c.ServiceLine, Seed: c.Seed, Operator: c.Config}
+	one := stubfleet.Case{Real: c.Real, Racks: c.Racks, Seconds: c.Seconds, StartSpread: c.StartSpread, FinalTimeout: c.FinalTimeout, Outage: c.Down, ConcurrentCalls: c.ServiceCalls,
+		CallTime: c.ServiceCall, QueueLength: c.ServiceQueueLength, Seed: c.Seed, Operator: c.Config}
 	self, err := os.Executable()
 	if err != nil {
 		return one, nil, err
--- a/internal/lab/cli/slopes_audit.go
+++ b/internal/lab/cli/slopes_audit.go
@@ -13,18 +13,18 @@
 // slopesAuditCmd measures an auditor's rounds.
 type slopesAuditCmd struct {
 	measureOptions
-	Sidecars []int         `help:"Real processes, all audited." default:"25,50,100"`
-	StandIns []int         `help:"Stand-ins in place of processes, all audited." default:"212,425,850,1700"`
-	Trail    time.Duration `help:"Of a stand-in: attempts of so long are in its trail." default:"1m"`
-	Rounds   int           `help:"Beyond the first, of which the median is taken." default:"5"`
+	Sidecars     []int         `help:"Real processes, all audited." default:"25,50,100"`
+	StandIns     []int         `help:"Stand-ins in place of processes, all audited." default:"212,425,850,1700"`
+	AuditLogSpan time.Duration `name:"trail" help:"Of a stand-in: attempts of so long are in its trail." default:"1m"`
+	Rounds       int           `help:"Beyond the first, of which the median is taken." default:"5"`
 }
 
 // auditPoint is a line of results of slopes audit.
 type auditPoint struct {
 	resultPoint
-	Mode     string  `json:"mode"` // processes or stand-ins
-	Sidecars int     `json:"sidecars"`
-	Trail    float64 `json:"trail_s"`
+	Mode         string  `json:"mode"` // processes or stand-ins
+	Sidecars     int     `json:"sidecars"`
+	AuditLogSpan float64 `json:"trail_s"`
 	footprint.AuditCosts
 }
 
@@ -38,7 +38,7 @@
 	}
 	flags.sizes("stand-ins", c.StandIns, maxHosts)
 	flags.listeners("stand-ins", c.StandIns)
-	flags.duration("trail", c.Trail, 0)
+	flags.duration("trail", c.AuditLogSpan, 0)
 	flags.number("rounds", float64(c.Rounds), 1, maxRepeats)
 	return flags.err
 }
@@ -57,7 +57,7 @@
 		}
 		for _, size := range c.StandIns {
 			if err := c.measureSize(ctx, t, footprint.AuditMeasurement{Program: program, Dir: filepath.Join(dir, fmt.Sprint("stand-ins", size, n)), Sidecars: size, Rounds: c.Rounds,
-				Stubs: true, AuditLogSpan: c.Trail}); err != nil {
+				Stubs: true, AuditLogSpan: c.AuditLogSpan}); err != nil {
 				return err
 			}
 		}
@@ -70,7 +70,7 @@
 	if err := os.Mkdir(a.Dir, 0o700); err != nil {
 		return err
 	}
-	p := auditPoint{resultPoint: c.newPoint("audit"), Mode: "processes", Sidecars: a.Sidecars, Trail: a.AuditLogSpan.Seconds()}
+	p := auditPoint{resultPoint: c.newPoint("audit"), Mode: "processes", Sidecars: a.Sidecars, AuditLogSpan: a.AuditLogSpan.Seconds()}
 	if a.Stubs {
 		p.Mode = "stand-ins"
 	}
