--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// peerSilent reports whether the host has neither closed the connection nor sent anything that is not read yet.
-func (c *conn) peerSilent() bool {
+// nothingToRead reports whether the host has neither closed the connection nor sent anything that is not read yet.
+func (c *conn) nothingToRead() bool {
 	return (c.reader == nil || c.reader.Buffered() == 0) && connstate.Peek(c.Conn) == connstate.NoData
 }
 
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -167,7 +167,7 @@
 	if c.maxIdle > 0 {
 		maxIdle = min(maxIdle, c.maxIdle)
 	}
-	return now.Sub(c.idleSince) < maxIdle && c.peerSilent()
+	return now.Sub(c.idleSince) < maxIdle && c.nothingToRead()
 }
 
 // closeIdle closes the idle connections for which remove returns true. The caller holds the lock.
--- a/internal/upstream/queue.go
+++ b/internal/upstream/queue.go
@@ -83,7 +83,7 @@
 	case ctx.Err() != nil:
 		p.release(g.conn)
 		return nil, ctx.Err()
-	case !g.conn.peerSilent():
+	case !g.conn.nothingToRead():
 		p.discard(g.conn)
 		return nil, errPoolExhausted
 	}
--- a/internal/upstream/queue_test.go
+++ b/internal/upstream/queue_test.go
@@ -41,7 +41,7 @@
 		p.SetHandshakeLimit(pacing.HandshakeLimit{Handshakes: 1, Instances: 1 << 20}) // no connection is permitted for long
 		next := startAcquire(context.Background(), p, connKind{}, 1)
 		end.apply(at.nc)
-		for c.peerSilent() { // until the kernel has brought it
+		for c.nothingToRead() { // until the kernel has brought it
 		}
 		p.release(c)
 		if got := <-next; got.c != nil || !errors.Is(got.err, errPoolExhausted) {
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -53,7 +53,7 @@
 			p.discard(c)
 			return notSentStatus(ctx, errSendRefused), nil
 		}
-		if !c.peerSilent() {
+		if !c.nothingToRead() {
 			return p.earlyResponse(ctx, c, nil, resp), nil
 		}
 		if writeErr := c.writeChunk(ctx, chunk); writeErr != nil {
