--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -116,7 +116,7 @@
 		b.onOutcome(ev)
 	case EventFirstByte:
 		b.onFirstByte(ev)
-	case EventClientGone:
+	case EventClientDisconnected:
 		b.onClientGone(ev)
 	case EventMembership:
 		b.onMembership(ev)
--- a/balance/event.go
+++ b/balance/event.go
@@ -19,7 +19,7 @@
 	EventRequest       EventKind = iota + 1 // a client's request has arrived
 	EventOutcome                            // an attempt has ended
 	EventFirstByte                          // a streamed answer has begun
-	EventClientGone                         // the client has disconnected; no answer is owed
+	EventClientDisconnected                         // the client has disconnected; no answer is owed
 	EventMembership                         // discovery has sent a membership list, or failed to
 	EventHealthChecked                      // a health check has ended
 	EventPeer                               // a message from another instance
--- a/balance/golden_test.go
+++ b/balance/golden_test.go
@@ -166,7 +166,7 @@
 	case p < 94:
 		g.outcome()
 	case p == 94:
-		g.event(Event{Kind: EventClientGone, Request: RequestID(g.random.IntN(int(g.next)))})
+		g.event(Event{Kind: EventClientDisconnected, Request: RequestID(g.random.IntN(int(g.next)))})
 	case p == 95:
 		g.event(Event{Kind: EventUploadDone, Request: g.next - RequestID(g.random.IntN(20))})
 	case p == 96 && len(g.open) > 0:
--- a/balance/recorded_test.go
+++ b/balance/recorded_test.go
@@ -107,7 +107,7 @@
 		case p < 62:
 			s.randomOutcome()
 		case p == 62:
-			s.event(Event{Kind: EventClientGone, Request: RequestID(s.random.IntN(int(request)))})
+			s.event(Event{Kind: EventClientDisconnected, Request: RequestID(s.random.IntN(int(request)))})
 		case p == 63 && s.random.IntN(20) == 0:
 			s.randomList()
 		case p == 64 && s.random.IntN(20) == 0:
--- a/balance/sending_test.go
+++ b/balance/sending_test.go
@@ -93,10 +93,10 @@
 	w := newTestInstance(t, testSettings(), 1)
 	w.listReady(3)
 	id := w.request(idempotentClass)
-	w.event(Event{Kind: EventClientGone, Request: id})
+	w.event(Event{Kind: EventClientDisconnected, Request: id})
 	sent := len(w.sends)
 	w.endAttempt(0, Error, 30*ms)
-	w.event(Event{Kind: EventClientGone, Request: id}) // an id no longer known is ignored
+	w.event(Event{Kind: EventClientDisconnected, Request: id}) // an id no longer known is ignored
 	w.advance(2 * time.Second)
 	if len(w.sends) != sent || w.answerCounts[id] != 0 {
 		t.Errorf("%d sends and %d answers after the client left", len(w.sends)-sent, w.answerCounts[id])
--- a/internal/driver/stream.go
+++ b/internal/driver/stream.go
@@ -182,7 +182,7 @@
 	}
 	s.ended = true
 	if s.current() {
-		s.driver.handleEvent(&balance.Event{Kind: balance.EventClientGone, Request: s.id})
+		s.driver.handleEvent(&balance.Event{Kind: balance.EventClientDisconnected, Request: s.id})
 	}
 	s.release()
 	return true, s.sentAttempts > 0
--- a/internal/lab/simulation/balancer.go
+++ b/internal/lab/simulation/balancer.go
@@ -113,7 +113,7 @@
 	}
 	sent := attempt.balancerSends > 0
 	s.replyLocally(attemptIndex, !sent, 0)
-	s.decide(attempt.sidecar, &balance.Event{Kind: balance.EventClientGone, Request: balance.RequestID(attemptIndex)})
+	s.decide(attempt.sidecar, &balance.Event{Kind: balance.EventClientDisconnected, Request: balance.RequestID(attemptIndex)})
 }
 
 // cancelAtSidecar is a sidecar's seeing that its client has closed the connection.
@@ -132,7 +132,7 @@
 	}
 	if c := &s.sidecars[attempt.sidecar]; attempt.accepted && c.incarnation == attempt.incarnation && c.balancer != nil {
 		c.pending--
-		s.decide(attempt.sidecar, &balance.Event{Kind: balance.EventClientGone, Request: balance.RequestID(attemptIndex)})
+		s.decide(attempt.sidecar, &balance.Event{Kind: balance.EventClientDisconnected, Request: balance.RequestID(attemptIndex)})
 	}
 }
 
--- a/internal/simprotocol/decoder.go
+++ b/internal/simprotocol/decoder.go
@@ -162,7 +162,7 @@
 		rec.Seed = u64(raw, 1)
 		rec.Settings, err = chunk(raw, tail, 9, 1)
 	case codeGone:
-		ev.Kind = balance.EventClientGone
+		ev.Kind = balance.EventClientDisconnected
 		ev.Request = balance.RequestID(u64(raw, 1))
 	case codeSettled:
 		err = decodeOutcome(raw, ev)
--- a/internal/simprotocol/simprotocol_test.go
+++ b/internal/simprotocol/simprotocol_test.go
@@ -66,7 +66,7 @@
 		{Instance: 3, Event: balance.Event{Kind: balance.EventRequest, Request: 0x0005a4b45d3a91c4,
 			Key: 0x91f03b7c55d20a64, Remaining: 240 * time.Millisecond, WorkHint: 12 * time.Millisecond}},
 		{Instance: 3, Event: balance.Event{Kind: balance.EventTimer, Token: 0x4d}},
-		{Instance: 5, Event: balance.Event{Kind: balance.EventClientGone, Request: 0x0009d1b20e6f2b19}},
+		{Instance: 5, Event: balance.Event{Kind: balance.EventClientDisconnected, Request: 0x0009d1b20e6f2b19}},
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
