--- a/balance/cordon_test.go
+++ b/balance/cordon_test.go
@@ -29,7 +29,7 @@
 				}
 				w.list(ListFull, entries...)
 			case 1: // a change
-				state := rapid.SampledFrom([]Availability{Gone, Ready, Draining}).Draw(rt, "state")
+				state := rapid.SampledFrom([]Availability{Removed, Ready, Draining}).Draw(rt, "state")
 				ready[id] = state == Ready
 				w.list(ListDelta, Entry{Endpoint: id, State: state, Weight: 1})
 			case 2:
--- a/balance/event.go
+++ b/balance/event.go
@@ -16,18 +16,18 @@
 
 // The events.
 const (
-	EventRequest       EventKind = iota + 1 // a client's request has arrived
-	EventOutcome                            // an attempt has ended
-	EventFirstByte                          // a streamed answer has begun
-	EventClientDisconnected                         // the client has disconnected; no answer is owed
-	EventMembership                         // discovery has sent a membership list, or failed to
-	EventHealthChecked                      // a health check has ended
-	EventPeer                               // a message from another instance
-	EventTimer                              // a timer of this instance is due
-	EventUploadDone                         // the last byte of an uploading request has been forwarded
-	EventSettings                           // the settings have changed
-	EventCordon                             // an operator has cordoned or uncordoned an endpoint
-	EventListExpected                       // when discovery is polled next
+	EventRequest            EventKind = iota + 1 // a client's request has arrived
+	EventOutcome                                 // an attempt has ended
+	EventFirstByte                               // a streamed answer has begun
+	EventClientDisconnected                      // the client has disconnected; no answer is owed
+	EventMembership                              // discovery has sent a membership list, or failed to
+	EventHealthChecked                           // a health check has ended
+	EventPeer                                    // a message from another instance
+	EventTimer                                   // a timer of this instance is due
+	EventUploadDone                              // the last byte of an uploading request has been forwarded
+	EventSettings                                // the settings have changed
+	EventCordon                                  // an operator has cordoned or uncordoned an endpoint
+	EventListExpected                            // when discovery is polled next
 )
 
 // Status is how an attempt or a health check ended.
@@ -61,7 +61,7 @@
 
 // The states of an endpoint.
 const (
-	Gone Availability = iota
+	Removed Availability = iota
 	Ready
 	Draining
 )
--- a/balance/golden_test.go
+++ b/balance/golden_test.go
@@ -57,7 +57,7 @@
 		case 0:
 			e.State = Draining
 		case 1:
-			e.State = Gone
+			e.State = Removed
 		case 2:
 			e.StartedAt = g.now - time.Duration(g.random.IntN(12000)-1000)*ms
 		}
--- a/balance/membership.go
+++ b/balance/membership.go
@@ -17,7 +17,7 @@
 	}
 	if ev.List != ListDelta { // what a full list leaves out is gone
 		for _, endpoint := range b.endpointsByID {
-			endpoint.State = Gone
+			endpoint.State = Removed
 			endpoint.available = false
 		}
 	}
@@ -34,7 +34,7 @@
 	endpoint := b.endpointsByID[entry.Endpoint]
 	listedStart := entry.StartedAt
 	switch {
-	case endpoint == nil && entry.State == Gone:
+	case endpoint == nil && entry.State == Removed:
 		return
 	case endpoint != nil && endpoint.Cached && !entry.Cached && listedStart == endpoint.listedStart:
 		// The fresh list confirms the cached one.
--- a/balance/sending_test.go
+++ b/balance/sending_test.go
@@ -238,7 +238,7 @@
 func TestNothingToUnavailableEndpoints(t *testing.T) {
 	for name, update := range map[string]func(*testInstance){
 		"draining": func(w *testInstance) { w.list(ListDelta, Entry{Endpoint: 1, State: Draining, Weight: 1}) },
-		"gone":     func(w *testInstance) { w.list(ListDelta, Entry{Endpoint: 1, State: Gone}) },
+		"gone":     func(w *testInstance) { w.list(ListDelta, Entry{Endpoint: 1, State: Removed}) },
 		"missing":  func(w *testInstance) { w.list(ListFull, Entry{Endpoint: 2, State: Ready, Weight: 1}) },
 	} {
 		w := newTestInstance(t, testSettings(), 1)
--- a/internal/accesslog/accesslog_test.go
+++ b/internal/accesslog/accesslog_test.go
@@ -101,7 +101,7 @@
 		{ID: "s-1", Endpoint: 1, Zone: "z", Kind: "k", Cell: 2, State: balance.Ready, Weight: 1.5, UpSince: 1796124514172 * time.Millisecond},
 		{ID: "s\"2\x01", Endpoint: 2, State: balance.Draining, Weight: 1}}
 	r.Listed(balance.ListCached, members)
-	r.Listed(balance.ListDelta, []cluster.Member{{ID: "s-1", Endpoint: 1, State: balance.Gone}})
+	r.Listed(balance.ListDelta, []cluster.Member{{ID: "s-1", Endpoint: 1, State: balance.Removed}})
 	plain := testStream(r, 1234567*time.Microsecond)
 	r.Ended(plain)
 	r.Ended(&stream.Record{Request: &stream.Request{ClassName: "b\"uy", Arrived: r.start, Deadline: r.start.Add(time.Second),
--- a/internal/accesslog/encode.go
+++ b/internal/accesslog/encode.go
@@ -91,7 +91,7 @@
 		}
 		b = appendText(append(b, `{"id":`...), m.ID)
 		b = appendText(appendKey(b, "phase"), phases[m.State])
-		if m.State != balance.Gone {
+		if m.State != balance.Removed {
 			b = appendText(appendKey(b, "kind"), m.Kind)
 			b = appendText(appendKey(b, "zone"), m.Zone)
 			b = appendNumber(b, "cell", int64(m.Cell))
--- a/internal/accesslog/recorder.go
+++ b/internal/accesslog/recorder.go
@@ -124,10 +124,10 @@
 	r.mu.Lock()
 	listed := map[balance.EndpointID]bool{}
 	for _, m := range members {
-		if m.State != balance.Gone {
+		if m.State != balance.Removed {
 			r.hosts[m.Endpoint] = endpoint{Member: m}
 		}
-		listed[m.Endpoint] = m.State != balance.Gone
+		listed[m.Endpoint] = m.State != balance.Removed
 	}
 	for id, h := range r.hosts {
 		there, named := listed[id]
--- a/internal/accesslog/recording.go
+++ b/internal/accesslog/recording.go
@@ -127,4 +127,4 @@
 var lists = [...]string{ListDelta: "change", ListFull: "whole", ListCached: "known", ListCurrent: "held"}
 
 // phases are discovery's words for balance.Availability.
-var phases = [...]string{balance.Gone: "Gone", balance.Ready: "Ready", balance.Draining: "Terminating"}
+var phases = [...]string{balance.Removed: "Gone", balance.Ready: "Ready", balance.Draining: "Terminating"}
--- a/internal/cluster/digest.go
+++ b/internal/cluster/digest.go
@@ -25,7 +25,7 @@
 
 // digest is a member's summand, 0 where it is gone.
 func (m *Member) digest() uint64 {
-	if m.State == balance.Gone {
+	if m.State == balance.Removed {
 		return 0
 	}
 	var buf [160]byte // enough for common names without an allocation
--- a/internal/cluster/digest_test.go
+++ b/internal/cluster/digest_test.go
@@ -20,7 +20,7 @@
 	for name, edit := range map[string]func(m []Member) []Member{
 		"order":   func(m []Member) []Member { return []Member{m[1], m[0]} },
 		"address": func(m []Member) []Member { m[0].Addr = "127.0.0.2:9"; return m },
-		"gone":    func(m []Member) []Member { return append(m, Member{ID: "c", State: balance.Gone}) },
+		"gone":    func(m []Member) []Member { return append(m, Member{ID: "c", State: balance.Removed}) },
 		"number":  func(m []Member) []Member { m[0].Endpoint = 7; return m },
 	} {
 		if of(edit) != first {
--- a/internal/cluster/list.go
+++ b/internal/cluster/list.go
@@ -45,7 +45,7 @@
 
 // availabilities are discovery's phases of a host's life.
 var availabilities = map[string]balance.Availability{
-	"Ready": balance.Ready, "Terminating": balance.Draining, "Gone": balance.Gone,
+	"Ready": balance.Ready, "Terminating": balance.Draining, "Gone": balance.Removed,
 }
 
 // maxUpSinceMS is the latest start that a Duration can represent: a later one would overflow to before all others, and the host
@@ -75,7 +75,7 @@
 		if member.ID == "" {
 			return List{}, fmt.Errorf("cluster: members[%d].id is missing", i)
 		}
-		if _, err := netip.ParseAddrPort(member.Addr); err != nil && state != balance.Gone {
+		if _, err := netip.ParseAddrPort(member.Addr); err != nil && state != balance.Removed {
 			return List{}, fmt.Errorf("cluster: members[%d].host_port: %w", i, err)
 		}
 		list.Members = append(list.Members, member)
--- a/internal/cluster/list_test.go
+++ b/internal/cluster/list_test.go
@@ -23,7 +23,7 @@
 	want := List{Revision: 41, Complete: true, Members: []Member{
 		{ID: "s-5be2a07c", Addr: "127.0.1.18:8080", Zone: "a", Kind: "m2", Cell: 3, State: balance.Ready, Weight: 1.5,
 			UpSince: 1700000000123 * time.Millisecond},
-		{ID: "s-2", State: balance.Gone},
+		{ID: "s-2", State: balance.Removed},
 	}}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
--- a/internal/cluster/table.go
+++ b/internal/cluster/table.go
@@ -105,7 +105,7 @@
 		m := &list.Members[i]
 		m.Endpoint = t.assignNumber(m.ID)
 		delete(removed, m.ID)
-		if m.State == balance.Gone {
+		if m.State == balance.Removed {
 			removed[m.ID] = true
 		} else {
 			t.applyMember(m)
--- a/internal/cluster/table_test.go
+++ b/internal/cluster/table_test.go
@@ -17,9 +17,9 @@
 func TestDuplicateMembers(t *testing.T) {
 	var members []Member
 	for i := range 40 {
-		members = append(members, member(fmt.Sprintf("h%02d", i%8), "x:1", []balance.Availability{balance.Ready, balance.Gone}[i/8%2]))
+		members = append(members, member(fmt.Sprintf("h%02d", i%8), "x:1", []balance.Availability{balance.Ready, balance.Removed}[i/8%2]))
 	}
-	for _, last := range []balance.Availability{balance.Ready, balance.Draining, balance.Gone} {
+	for _, last := range []balance.Availability{balance.Ready, balance.Draining, balance.Removed} {
 		list := slices.Clone(members)
 		for i := range 8 {
 			list = append(list, member(fmt.Sprintf("h%02d", i), "x:1", last))
@@ -35,7 +35,7 @@
 				t.Errorf("the decisions got a host as %v last, want %v", state, last)
 			}
 		}
-		if got := table.Snapshot().List.Members; last == balance.Gone && len(got)+len(w.addrs) > 0 || last != balance.Gone &&
+		if got := table.Snapshot().List.Members; last == balance.Removed && len(got)+len(w.addrs) > 0 || last != balance.Removed &&
 			(len(got) != 8 || len(w.addrs) != 8 || slices.ContainsFunc(got, func(m Member) bool { return m.State != last })) {
 			t.Errorf("after %v %v are listed, and the addresses are %v", last, got, w.addrs)
 		}
@@ -128,8 +128,8 @@
 	if len(w.addrs) != 1 {
 		t.Errorf("a host that a complete list leaves out is still known: %v", w.addrs)
 	}
-	table.Apply(balance.ListDelta, List{Members: []Member{member("a", "", balance.Gone)}})
-	if e := (<-w.lists)[0]; e.State != balance.Gone || e.Endpoint != first[0].Endpoint || len(w.addrs) != 0 {
+	table.Apply(balance.ListDelta, List{Members: []Member{member("a", "", balance.Removed)}})
+	if e := (<-w.lists)[0]; e.State != balance.Removed || e.Endpoint != first[0].Endpoint || len(w.addrs) != 0 {
 		t.Errorf("after its end: %+v, addresses %v", e, w.addrs)
 	}
 }
@@ -176,7 +176,7 @@
 	if e := (<-w.lists)[0]; e.Endpoint != a || w.addrs[a] != "y:1" {
 		t.Errorf("after its return the host is %d at %v, was %d", e.Endpoint, w.addrs, a)
 	}
-	table.Apply(balance.ListDelta, List{Members: []Member{{ID: "a", State: balance.Gone}}})
+	table.Apply(balance.ListDelta, List{Members: []Member{{ID: "a", State: balance.Removed}}})
 	<-w.lists
 	if !table.Uncordon("a") || table.Uncordon("a") || table.Cordon("a") {
 		t.Error("a cordoned host that is gone is to be uncordoned once, and then unknown")
--- a/internal/cluster/version_test.go
+++ b/internal/cluster/version_test.go
@@ -45,7 +45,7 @@
 			kind := rapid.SampledFrom([]balance.ListKind{balance.ListDelta, balance.ListFull, balance.ListCached}).Draw(rt, "kind")
 			list := List{From: rapid.SampledFrom([]string{"known", "a:1"}).Draw(rt, "from"), Revision: rapid.Int64Range(1, 2).Draw(rt, "revision")}
 			for _, id := range rapid.SliceOfNDistinct(rapid.IntRange(0, 3), 0, 4, rapid.ID).Draw(rt, "ids") {
-				m := member(fmt.Sprint("h", id), "127.0.0.1:1", rapid.SampledFrom([]balance.Availability{balance.Gone, balance.Ready, balance.Draining}).Draw(rt, "state"))
+				m := member(fmt.Sprint("h", id), "127.0.0.1:1", rapid.SampledFrom([]balance.Availability{balance.Removed, balance.Ready, balance.Draining}).Draw(rt, "state"))
 				m.Cell = rapid.IntRange(0, 1).Draw(rt, "cell")
 				list.Members = append(list.Members, m)
 			}
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -86,7 +86,7 @@
 		clear(d.members)
 	}
 	for _, entry := range entries {
-		if entry.State == balance.Gone {
+		if entry.State == balance.Removed {
 			delete(d.members, entry.Endpoint)
 		} else {
 			d.members[entry.Endpoint] = entry
--- a/internal/lab/calibration/history.go
+++ b/internal/lab/calibration/history.go
@@ -174,7 +174,7 @@
 		e := &m.endpoints[i]
 		listed[i] = true
 		update := listUpdate{at: at, state: member.State}
-		if member.State != balance.Gone {
+		if member.State != balance.Removed {
 			e.kind = cmp.Or(member.Kind, e.kind)
 			update.startedAt = max(member.UpSince-wall, 0)
 			if update.startedAt > 0 && !slices.Contains(e.starts, update.startedAt) {
@@ -188,8 +188,8 @@
 	}
 	for i := range m.endpoints {
 		e := &m.endpoints[i]
-		if n := len(e.updates); !listed[i] && n > 0 && e.updates[n-1].state != balance.Gone {
-			e.updates = append(e.updates, listUpdate{at: at, state: balance.Gone})
+		if n := len(e.updates); !listed[i] && n > 0 && e.updates[n-1].state != balance.Removed {
+			e.updates = append(e.updates, listUpdate{at: at, state: balance.Removed})
 		}
 	}
 }
@@ -267,7 +267,7 @@
 		if l.at > 0 && i > 0 {
 			break
 		}
-		is = l.state != balance.Gone && l.startedAt == 0
+		is = l.state != balance.Removed && l.startedAt == 0
 	}
 	return is
 }
--- a/internal/lab/calibration/outages.go
+++ b/internal/lab/calibration/outages.go
@@ -65,7 +65,7 @@
 	}
 	d := outage{endpoint: endpointIndex, kind: "vanish", from: neverEnds, to: back}
 	failures, unanswered := v.evidenceOfOutage(&d, served)
-	removed := v.firstUpdate(endpointIndex, since, back, balance.Gone)
+	removed := v.firstUpdate(endpointIndex, since, back, balance.Removed)
 	draining := v.firstUpdate(endpointIndex, since, back, balance.Draining)
 	switch {
 	case draining < neverEnds:
@@ -131,7 +131,7 @@
 		}
 		return 0, false
 	}
-	gone := func(l *listUpdate) bool { return l.state == balance.Gone }
+	gone := func(l *listUpdate) bool { return l.state == balance.Removed }
 	for _, d := range m.outages {
 		delay, notified := first(d.endpoint, d.from, d.to, gone)
 		switch {
--- a/internal/lab/calibration/record.go
+++ b/internal/lab/calibration/record.go
@@ -65,7 +65,7 @@
 	states := [...]balance.Availability{
 		trace.PhaseReady:       balance.Ready,
 		trace.PhaseTerminating: balance.Draining,
-		trace.PhaseGone:        balance.Gone,
+		trace.PhaseGone:        balance.Removed,
 	}
 	for _, t := range log.Notifications {
 		if t.Sidecar != sidecar {
--- a/internal/lab/faultysidecar/endpoints.go
+++ b/internal/lab/faultysidecar/endpoints.go
@@ -106,13 +106,13 @@
 	for _, member := range list.Members {
 		i, found := slices.BinarySearchFunc(l.members, member.ID, func(m cluster.Member, id string) int { return cmp.Compare(m.ID, id) })
 		switch {
-		case found && member.State == balance.Gone && l.fault != IgnoresDrain:
+		case found && member.State == balance.Removed && l.fault != IgnoresDrain:
 			l.members = slices.Delete(l.members, i, i+1)
-		case found && member.State == balance.Gone:
+		case found && member.State == balance.Removed:
 			l.members[i].State = member.State
 		case found:
 			l.members[i] = member
-		case member.State != balance.Gone:
+		case member.State != balance.Removed:
 			l.members = slices.Insert(l.members, i, member)
 		}
 	}
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -15,7 +15,7 @@
 var availabilities = [...]balance.Availability{
 	trace.PhaseReady:       balance.Ready,
 	trace.PhaseTerminating: balance.Draining,
-	trace.PhaseGone:        balance.Gone,
+	trace.PhaseGone:        balance.Removed,
 }
 
 // clusterList returns entries as the sidecar would parse them from discovery's response.
