--- a/balance/sending_test.go
+++ b/balance/sending_test.go
@@ -93,10 +93,10 @@
 	w := newTestInstance(t, testSettings(), 1)
 	w.listReady(3)
 	id := w.request(idempotentClass)
-	w.event(Event{Kind: EventClientGone, Request: id})
+	w.event(Event{Kind: EventClientDisconnected, Request: id})
 	sent := len(w.sends)
 	w.endAttempt(0, Error, 30*ms)
-	w.event(Event{Kind: EventClientGone, Request: id}) // an id no longer known is ignored
+	w.event(Event{Kind: EventClientDisconnected, Request: id}) // an id no longer known is ignored
 	w.advance(2 * time.Second)
 	if len(w.sends) != sent || w.answerCounts[id] != 0 {
 		t.Errorf("%d sends and %d answers after the client left", len(w.sends)-sent, w.answerCounts[id])
@@ -238,7 +238,7 @@
 func TestNothingToUnavailableEndpoints(t *testing.T) {
 	for name, update := range map[string]func(*testInstance){
 		"draining": func(w *testInstance) { w.list(ListDelta, Entry{Endpoint: 1, State: Draining, Weight: 1}) },
-		"gone":     func(w *testInstance) { w.list(ListDelta, Entry{Endpoint: 1, State: Gone}) },
+		"gone":     func(w *testInstance) { w.list(ListDelta, Entry{Endpoint: 1, State: Removed}) },
 		"missing":  func(w *testInstance) { w.list(ListFull, Entry{Endpoint: 2, State: Ready, Weight: 1}) },
 	} {
 		w := newTestInstance(t, testSettings(), 1)
