--- a/internal/fleet/dissemination/node.go
+++ b/internal/fleet/dissemination/node.go
@@ -160,7 +160,7 @@
 
 func (n *Gossiper) expireEndpoints() {
 	timeout := missedHeartbeatsToExpire * n.options.EndpointHeartbeatInterval
-	expired := n.Registry.ExpireSilent(n.now, n.options.Self.Address, timeout, n.mayReceiveHeartbeats(timeout))
+	expired := n.Registry.ExpireStale(n.now, n.options.Self.Address, timeout, n.mayReceiveHeartbeats(timeout))
 	n.disseminateEndpoints(expired, 0)
 	n.Registry.Purge(n.now, endpointTombstoneTTL)
 }
--- a/internal/fleet/quota/fallback.go
+++ b/internal/fleet/quota/fallback.go
@@ -55,7 +55,7 @@
 	if unreachable < earlyFallbackSpan {
 		rate = earlyFallbackRate * t.RatePerS * routerShare
 	}
-	if !q.HasLease() {
+	if !q.HasHadLease() {
 		rate *= q.settings.fallbackScale(t)
 	}
 	return rate
--- a/internal/fleet/quota/lease.go
+++ b/internal/fleet/quota/lease.go
@@ -16,9 +16,9 @@
 	// without the core, and than a change of primaries takes.
 	LeaseDuration = 4500 * time.Millisecond
 
-	// MaxLeasedRouters is the largest fleet in which shares are leased. In a larger one leases are renewed so seldom that what
+	// MaxLeaseFleetSize is the largest fleet in which shares are leased. In a larger one leases are renewed so seldom that what
 	// is withheld for them costs more than they bring.
-	MaxLeasedRouters = 24
+	MaxLeaseFleetSize = 24
 
 	minRenewInterval       = 250 * time.Millisecond
 	renewIntervalPerRouter = 10 * time.Millisecond // so the allocator gets at most a hundred renewals a second
@@ -39,7 +39,7 @@
 
 // maxLeasedShare returns the part of a rate that is leased, in a fleet of so many routers.
 func maxLeasedShare(routers int) float64 {
-	if routers > MaxLeasedRouters {
+	if routers > MaxLeaseFleetSize {
 		return 0
 	}
 	return min(1, maxUnreportedSpan.Seconds()/RenewInterval(routers).Seconds())
--- a/internal/fleet/quota/lease_test.go
+++ b/internal/fleet/quota/lease_test.go
@@ -115,7 +115,7 @@
 // Guards against use beyond the bound with leases, whoever is cut off, whatever answers are lost, and however often the
 // allocator fails.
 func TestLeasesStayWithinBound(t *testing.T) {
-	for _, routers := range []int{3, 12, MaxLeasedRouters} {
+	for _, routers := range []int{3, 12, MaxLeaseFleetSize} {
 		t.Run(fmt.Sprint(routers, " routers"), func(t *testing.T) {
 			t.Parallel()
 			for seed := range *leaseSeeds {
--- a/internal/fleet/quota/local_lease.go
+++ b/internal/fleet/quota/local_lease.go
@@ -71,8 +71,8 @@
 // RenewalAnswered reports whether the last renewal was answered.
 func (q *LocalQuota) RenewalAnswered() bool { return q.lease.answered }
 
-// HasLease reports whether any renewal was ever answered. The lease may have expired.
-func (q *LocalQuota) HasLease() bool { return q.lease.expiry > 0 }
+// HasHadLease reports whether any renewal was ever answered. The lease may have expired.
+func (q *LocalQuota) HasHadLease() bool { return q.lease.expiry > 0 }
 
 // ConsumeLease takes a request's units out of the leased share of a tenant's rate. Where too little has accrued, wait is the
 // time until it suffices; ok and wait are zero where there is no share or the lease expires before.
--- a/internal/fleet/registry/expiry.go
+++ b/internal/fleet/registry/expiry.go
@@ -5,10 +5,10 @@
 // restoredEndpointTTL is how long a restored endpoint is used of which no report has come yet.
 const restoredEndpointTTL = 1500 * time.Millisecond
 
-// ExpireSilent marks endpoints as Expired and returns them: those that self owns after a time-out without a heartbeat, those of
+// ExpireStale marks endpoints as Expired and returns them: those that self owns after a time-out without a heartbeat, those of
 // routers that can't receive heartbeats any more after twice the time-out, and restored ones after their time to live.
 // ownerReceives reports whether a router may still receive its endpoints' heartbeats.
-func (r *Registry) ExpireSilent(now time.Duration, self string, timeout time.Duration, ownerReceives func(owner string) bool) []Endpoint {
+func (r *Registry) ExpireStale(now time.Duration, self string, timeout time.Duration, ownerReceives func(owner string) bool) []Endpoint {
 	var expired []Endpoint
 	for _, e := range r.entries {
 		if e.State.hasEnded() {
--- a/internal/fleet/registry/registry.go
+++ b/internal/fleet/registry/registry.go
@@ -5,7 +5,7 @@
 // the router package reads it. Times are durations since the router's start.
 //
 // Invariants: a deregistered endpoint never returns; no heartbeat makes an endpoint ready again that is known to be draining; each
-// endpoint that stops being ready, or is ready at another address, is returned by TakeEnded.
+// endpoint that stops being ready, or is ready at another address, is returned by TakeUnready.
 package registry
 
 import (
@@ -21,7 +21,7 @@
 	entries     map[string]*entry // by id
 	idByAddress map[string]string // the newest endpoint's id
 	version     uint64            // rises with each change that affects requests
-	newlyEnded  []string          // ids of endpoints that have stopped being ready since TakeEnded
+	newlyEnded  []string          // ids of endpoints that have stopped being ready since TakeUnready
 }
 
 type entry struct {
@@ -40,8 +40,8 @@
 // Version returns a number that rises with each change of an endpoint's state, owner, address, service or capacity.
 func (r *Registry) Version() uint64 { return r.version }
 
-// TakeEnded returns the ids of the endpoints that have stopped being ready since the last call.
-func (r *Registry) TakeEnded() []string {
+// TakeUnready returns the ids of the endpoints that have stopped being ready since the last call.
+func (r *Registry) TakeUnready() []string {
 	ended := r.newlyEnded
 	r.newlyEnded = nil
 	return ended
--- a/internal/fleet/router/gossip.go
+++ b/internal/fleet/router/gossip.go
@@ -106,7 +106,7 @@
 // caller holds the lock.
 func (g *gossip) publish() {
 	g.config.update(g.node)
-	if ended := g.node.Registry.TakeEnded(); len(ended) > 0 {
+	if ended := g.node.Registry.TakeUnready(); len(ended) > 0 {
 		g.dispatcher.Suspend(ended)
 	}
 }
--- a/internal/fleet/router/quota_client.go
+++ b/internal/fleet/router/quota_client.go
@@ -103,7 +103,7 @@
 		return ok, wait
 	}
 	routers := c.gossip.liveCount()
-	if c.local.HasLease() {
+	if c.local.HasHadLease() {
 		return c.local.ConsumeFallbackAfterLease(now, t, units, routers, rand.Float64()), fallbackRetryDelay
 	}
 	return c.local.ConsumeFallback(now, t, units, routers, requestedAt-c.unansweredSince, rand.Float64()), fallbackRetryDelay
@@ -261,7 +261,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	isNewView := fleet.view != c.view
-	if fleet.primary == "" || fleet.routers > quota.MaxLeasedRouters || now < c.nextRenewal && !isNewView {
+	if fleet.primary == "" || fleet.routers > quota.MaxLeaseFleetSize || now < c.nextRenewal && !isNewView {
 		return leaseRenewal{}, false, false
 	}
 	c.nextRenewal, c.view = now+quota.RenewInterval(fleet.routers), fleet.view
