--- a/internal/fleet/placement/draw_test.go
+++ b/internal/fleet/placement/draw_test.go
@@ -17,7 +17,7 @@
 // recordRemotePrefill has another router report a prompt whose prefill takes an endpoint a time.
 func recordRemotePrefill(p *Placer, now time.Duration, e *Endpoint, prefill time.Duration) {
 	units := prefill.Seconds() / priorUnitTime
-	p.RecordRemoteCall(now, e.Name(), &Prompt{Units: units}, units)
+	p.RecordRemoteCall(now, e.ShortID(), &Prompt{Units: units}, units)
 }
 
 // busyWithPrefix has one endpoint cache the shared prefix, and a queue that takes it a time.
--- a/internal/fleet/placement/endpoint.go
+++ b/internal/fleet/placement/endpoint.go
@@ -30,8 +30,8 @@
 	ejection            time.Duration // length of the last one; 0: none since the last success
 }
 
-// Name returns a short name derived from the endpoint's id. It is the same on all routers.
-func (e *Endpoint) Name() uint32 { return uint32(e.hash) }
+// ShortID returns a 32-bit hash of the endpoint's id. It is the same on all routers.
+func (e *Endpoint) ShortID() uint32 { return uint32(e.hash) }
 
 // recordOutcome counts an outcome of this router's calls: 1 for a failure, 0 for a success.
 func (e *Endpoint) recordOutcome(failed float64) {
--- a/internal/fleet/placement/failure_evidence_test.go
+++ b/internal/fleet/placement/failure_evidence_test.go
@@ -68,7 +68,7 @@
 		p.SetRouters(30)
 		home := p.Place(0, call(42, 1000)).Endpoint
 		for at := range 10 {
-			p.RecordRemoteFailures(time.Duration(at)*100*time.Millisecond, home.Name(), 1, false)
+			p.RecordRemoteFailures(time.Duration(at)*100*time.Millisecond, home.ShortID(), 1, false)
 		}
 		So(p.Place(time.Second, call(42, 1000)).Endpoint, ShouldNotEqual, home)
 		for now := time.Minute; now < 10*time.Minute; now += maxSolveInterval {
@@ -79,7 +79,7 @@
 	Convey("Where all endpoints fail alike none is avoided", t, func() {
 		p := placer(3)
 		for _, e := range p.service("llm").endpoints {
-			p.RecordRemoteFailures(0, e.Name(), 40, false)
+			p.RecordRemoteFailures(0, e.ShortID(), 40, false)
 		}
 		used := map[string]bool{}
 		for i := range 300 {
@@ -109,9 +109,9 @@
 		p := placer(4)
 		all := p.service("llm").endpoints
 		for _, e := range all[:3] {
-			p.RecordRemoteFailures(0, e.Name(), 1, false)
+			p.RecordRemoteFailures(0, e.ShortID(), 1, false)
 		}
-		p.RecordRemoteFailures(0, all[3].Name(), 1, true)
+		p.RecordRemoteFailures(0, all[3].ShortID(), 1, true)
 		places := func(c *Call) map[*Endpoint]bool {
 			seen := map[*Endpoint]bool{}
 			for i := range uint32(40) {
--- a/internal/fleet/placement/feedback.go
+++ b/internal/fleet/placement/feedback.go
@@ -4,7 +4,7 @@
 
 // Observation is what a call's first token shows of an endpoint's speed. Routers report it to each other.
 type Observation struct {
-	Endpoint     uint32  // its Name
+	Endpoint     uint32  // its ShortID
 	PrefillUnits float64 // units of the prompt that were prefilled
 	Units        float64 // of the prompt in all
 	Delay        float64 // seconds until the first token
@@ -13,8 +13,8 @@
 
 // Stall is what a stream shows of how prefills at its endpoint stall it. Routers report it to each other.
 type Stall struct {
-	Endpoint    uint32  // its Name
-	Longest     float64 // seconds between two events
+	Endpoint    uint32  // its ShortID
+	LongestGap  float64 // seconds between two events
 	PrefillTime float64 // seconds of the longest prefill meanwhile
 }
 
@@ -41,7 +41,7 @@
 	e.queue.complete(placed.serial, placed.prompt.Priority)
 	e.recordSuccess()
 	seen := Observation{
-		Endpoint: e.Name(), PrefillUnits: placed.Units, Units: placed.prompt.Units, Delay: delay.Seconds(), Wait: placed.wait,
+		Endpoint: e.ShortID(), PrefillUnits: placed.Units, Units: placed.prompt.Units, Delay: delay.Seconds(), Wait: placed.wait,
 	}
 	placed.firstTokenAt = now
 	p.service(e.Service).accuracy.observe(placed.Units, placed.Expected, delay)
@@ -84,7 +84,7 @@
 	if bound := placed.prompt.MaxEventGap.Seconds(); bound <= 0 || prefill < bound {
 		return Stall{}, false
 	}
-	seen = Stall{Endpoint: e.Name(), Longest: longestGap.Seconds(), PrefillTime: prefill}
+	seen = Stall{Endpoint: e.ShortID(), LongestGap: longestGap.Seconds(), PrefillTime: prefill}
 	p.service(e.Service).stalls.observe(&seen)
 	return seen, true
 }
--- a/internal/fleet/placement/feedback_test.go
+++ b/internal/fleet/placement/feedback_test.go
@@ -17,7 +17,7 @@
 			if e == slow {
 				delay = 0.4
 			}
-			p.RecordRemoteFirstToken(0, &Observation{Endpoint: e.Name(), PrefillUnits: 2000, Units: 2000, Delay: delay})
+			p.RecordRemoteFirstToken(0, &Observation{Endpoint: e.ShortID(), PrefillUnits: 2000, Units: 2000, Delay: delay})
 		}
 		p.RecordRemoteFirstToken(0, &Observation{Endpoint: 12345, PrefillUnits: 1, Units: 2000, Delay: 1})
 		for i := range uint32(40) {
--- a/internal/fleet/placement/golden_test.go
+++ b/internal/fleet/placement/golden_test.go
@@ -96,7 +96,7 @@
 		added, removed := p.SetEndpoints(list)
 		slices.SortFunc(removed, func(a, b *Endpoint) int { return cmp.Compare(a.ID, b.ID) }) // a map's order
 		for _, e := range slices.Concat(added, removed) {
-			g.record(e.ID, e.Number, e.Name())
+			g.record(e.ID, e.Number, e.ShortID())
 		}
 	}
 }
@@ -135,7 +135,7 @@
 	}
 	e := placed.Endpoint
 	g.record(e.ID, placed.Expected, placed.Units)
-	g.routers[1-router].RecordRemoteCall(g.now, e.Name(), &c.Prompt, placed.Units)
+	g.routers[1-router].RecordRemoteCall(g.now, e.ShortID(), &c.Prompt, placed.Units)
 	delay := time.Duration(float64(placed.Expected) * (0.5 + g.random.Float64()))
 	if e.ID == "e03" {
 		delay *= 4 // a slow endpoint
@@ -170,7 +170,7 @@
 		if c.first == 0 && c.end <= g.now {
 			gap := time.Duration(g.random.Float64() * float64(time.Second))
 			if stall, ok := p.RecordStreamEnd(g.now, c.placement, c.end-c.sent, gap); ok {
-				g.record(stall.Endpoint, stall.Longest, stall.PrefillTime)
+				g.record(stall.Endpoint, stall.LongestGap, stall.PrefillTime)
 				other.RecordRemoteStall(&stall)
 			}
 			p.Release(c.placement)
@@ -191,7 +191,7 @@
 	default:
 		p.RecordOverdue(g.now, e)
 	}
-	other.RecordRemoteFailures(g.now, e.Name(), 1, c.outcome >= 4)
+	other.RecordRemoteFailures(g.now, e.ShortID(), 1, c.outcome >= 4)
 	p.Release(c.placement)
 	again := *c.call
 	again.Retry, again.LastAttempt = true, c.outcome%2 == 0
--- a/internal/fleet/placement/learned.go
+++ b/internal/fleet/placement/learned.go
@@ -13,7 +13,7 @@
 // CachedPrefix is a shared prefix that an endpoint is assumed to have cached.
 type CachedPrefix struct {
 	_        struct{} `cbor:",toarray"`
-	Endpoint uint32   // its Name
+	Endpoint uint32   // its ShortID
 	Prefix   uint32   // Prefix.Hash
 	AgeMs    uint32   // since its last use
 }
@@ -36,7 +36,7 @@
 			state.Models = append(state.Models, LatencyModel{Service: name, Base: line.base, PerUnit: line.perUnit, PerPair: line.perPair})
 		}
 		for _, e := range s.endpoints {
-			state.Prefixes = e.prefixes.export(now, e.Name(), state.Prefixes)
+			state.Prefixes = e.prefixes.export(now, e.ShortID(), state.Prefixes)
 		}
 	}
 	return state
--- a/internal/fleet/placement/learned_test.go
+++ b/internal/fleet/placement/learned_test.go
@@ -22,7 +22,7 @@
 		old.RecordFirstToken(0, first, 700*time.Millisecond)
 		old.Release(first)
 		for range 200 {
-			old.RecordRemoteFirstToken(0, &Observation{Endpoint: first.Endpoint.Name(), PrefillUnits: 20000, Units: 20000, Delay: 0.7})
+			old.RecordRemoteFirstToken(0, &Observation{Endpoint: first.Endpoint.ShortID(), PrefillUnits: 20000, Units: 20000, Delay: 0.7})
 		}
 		stored, err := cbor.Marshal(old.ExportLearned(10 * time.Second))
 		So(err, ShouldBeNil)
@@ -64,7 +64,7 @@
 		e := p.service("llm").endpoints[0]
 		var l LearnedState
 		for i := range uint32(3 * maxExportedPrefixes) {
-			l.Prefixes = append(l.Prefixes, CachedPrefix{Endpoint: e.Name(), Prefix: i}, CachedPrefix{Endpoint: 1, Prefix: i, AgeMs: math.MaxUint32})
+			l.Prefixes = append(l.Prefixes, CachedPrefix{Endpoint: e.ShortID(), Prefix: i}, CachedPrefix{Endpoint: 1, Prefix: i, AgeMs: math.MaxUint32})
 		}
 		l.Models = []LatencyModel{{Service: "llm", Base: math.NaN(), PerUnit: math.Inf(1), PerPair: -1}, {Service: "none"}}
 		p.ImportLearned(0, &l)
--- a/internal/fleet/placement/placer.go
+++ b/internal/fleet/placement/placer.go
@@ -47,7 +47,7 @@
 			e.suspended = true
 			removed = append(removed, e)
 			delete(p.byID, id)
-			delete(p.byName, e.Name())
+			delete(p.byName, e.ShortID())
 		}
 	}
 	for name, s := range p.services {
@@ -64,7 +64,7 @@
 func (p *Placer) newEndpoint(id string) *Endpoint {
 	p.lastNumber++
 	e := &Endpoint{Number: p.lastNumber, hash: xxhash.Sum64String(id)}
-	p.byID[id], p.byName[e.Name()] = e, e
+	p.byID[id], p.byName[e.ShortID()] = e, e
 	return e
 }
 
--- a/internal/fleet/placement/stalls.go
+++ b/internal/fleet/placement/stalls.go
@@ -10,13 +10,13 @@
 }
 
 func (m *stallModel) observe(seen *Stall) {
-	if !(seen.PrefillTime > 0 && seen.Longest >= 0) { // also NaN, of another router
+	if !(seen.PrefillTime > 0 && seen.LongestGap >= 0) { // also NaN, of another router
 		return
 	}
 	if !m.observed {
 		m.mean, m.observed = priorStallShare, true
 	}
-	share := min(max(seen.Longest/seen.PrefillTime, minStallShare), 1)
+	share := min(max(seen.LongestGap/seen.PrefillTime, minStallShare), 1)
 	m.mean += (share - m.mean) / stallMemory
 }
 
--- a/internal/fleet/placement/status_test.go
+++ b/internal/fleet/placement/status_test.go
@@ -11,7 +11,7 @@
 	Convey("Expected and actual delays are shown by prefilled units, and each endpoint's state", t, func() {
 		p := placer(2)
 		placed := p.Place(0, call(7, 8000))
-		p.RecordRemoteFailures(0, placed.Endpoint.Name(), 50, false)
+		p.RecordRemoteFailures(0, placed.Endpoint.ShortID(), 50, false)
 		view := p.Services(0)
 		So(len(view), ShouldEqual, 1)
 		for _, e := range view[0].Endpoints {
--- a/internal/fleet/placement/streams_test.go
+++ b/internal/fleet/placement/streams_test.go
@@ -19,7 +19,7 @@
 		p := placer(4)
 		for i, e := range p.service("llm").endpoints {
 			if i != 2 {
-				p.RecordRemoteCall(0, e.Name(), stream, 1)
+				p.RecordRemoteCall(0, e.ShortID(), stream, 1)
 			}
 		}
 		for range 10 {
@@ -57,17 +57,17 @@
 		recordRemotePrefill(p, time.Second, e, 2*time.Second)
 		seen, ok := p.RecordStreamEnd(3*time.Second, placed, 3*time.Second, 200*time.Millisecond)
 		So(ok, ShouldBeTrue)
-		So(seen.Longest, ShouldAlmostEqual, 0.2)
+		So(seen.LongestGap, ShouldAlmostEqual, 0.2)
 		So(s.stalls.share(), ShouldBeLessThan, priorStallShare)
 		for range 200 {
 			p.RecordRemoteStall(&seen)
 		}
 		So(s.stalls.share(), ShouldBeBetween, 0.05, 0.2)
 		p.RecordRemoteStall(&Stall{Endpoint: 1})
-		p.RecordRemoteStall(&Stall{Endpoint: e.Name(), Longest: math.NaN(), PrefillTime: math.NaN()})
-		p.RecordRemoteStall(&Stall{Endpoint: e.Name(), Longest: 1e12, PrefillTime: -1})
+		p.RecordRemoteStall(&Stall{Endpoint: e.ShortID(), LongestGap: math.NaN(), PrefillTime: math.NaN()})
+		p.RecordRemoteStall(&Stall{Endpoint: e.ShortID(), LongestGap: 1e12, PrefillTime: -1})
 		for range 200 {
-			p.RecordRemoteStall(&Stall{Endpoint: e.Name(), Longest: 1e12, PrefillTime: 1e-9})
+			p.RecordRemoteStall(&Stall{Endpoint: e.ShortID(), LongestGap: 1e12, PrefillTime: 1e-9})
 		}
 		So(s.stalls.share(), ShouldBeBetweenOrEqual, 0.9, 1)
 	})
--- a/internal/fleet/proxy/announcement.go
+++ b/internal/fleet/proxy/announcement.go
@@ -12,7 +12,7 @@
 type Announcement struct {
 	_             struct{} `cbor:",toarray"`
 	Origin        uint32   // the router that sent the prompt or met the failures
-	Endpoint      uint32   // placement.Endpoint.Name
+	Endpoint      uint32   // placement.Endpoint.ShortID
 	Priority      uint8
 	Units         uint32             // that have to be prefilled
 	Prefixes      []uint32           // placement.Prefix.Hash, the longest first
@@ -46,7 +46,7 @@
 func newAnnouncement(origin uint32, placed *placement.Placement, call *placement.Call) Announcement {
 	prompt := &call.Prompt
 	a := Announcement{
-		Origin: origin, Endpoint: placed.Endpoint.Name(), Priority: uint8(prompt.Priority), Units: uint32(placed.Units),
+		Origin: origin, Endpoint: placed.Endpoint.ShortID(), Priority: uint8(prompt.Priority), Units: uint32(placed.Units),
 		Prompt: uint32(prompt.Units), Output: uint32(prompt.Output), MaxEventGapMs: milliseconds(prompt.MaxEventGap.Seconds()),
 	}
 	for _, prefix := range prompt.Prefixes {
@@ -89,11 +89,11 @@
 	if s == nil {
 		return nil
 	}
-	return &StallReport{Endpoint: s.Endpoint, LongestMs: milliseconds(s.Longest), PrefillMs: milliseconds(s.PrefillTime)}
+	return &StallReport{Endpoint: s.Endpoint, LongestMs: milliseconds(s.LongestGap), PrefillMs: milliseconds(s.PrefillTime)}
 }
 
 func (r *StallReport) stall() *placement.Stall {
-	return &placement.Stall{Endpoint: r.Endpoint, Longest: float64(r.LongestMs) / 1000, PrefillTime: float64(r.PrefillMs) / 1000}
+	return &placement.Stall{Endpoint: r.Endpoint, LongestGap: float64(r.LongestMs) / 1000, PrefillTime: float64(r.PrefillMs) / 1000}
 }
 
 // milliseconds rounds seconds to milliseconds, cut to the range of an announcement's field.
--- a/internal/fleet/proxy/announcement_test.go
+++ b/internal/fleet/proxy/announcement_test.go
@@ -68,7 +68,7 @@
 		var name uint32
 		for _, e := range r.proxy.dispatcher.placer.Endpoints("s") {
 			if e.ID == "e"+body {
-				name = e.Name()
+				name = e.ShortID()
 			}
 		}
 		r.proxy.dispatcher.ApplyAnnouncements([]Announcement{{Origin: 1, Endpoint: name, Failures: 200}})
--- a/internal/fleet/proxy/dispatcher.go
+++ b/internal/fleet/proxy/dispatcher.go
@@ -236,6 +236,6 @@
 	announces := d.Announce != nil && d.takeFailureReport(now)
 	d.mu.Unlock()
 	if announces {
-		d.Announce(Announcement{Origin: d.origin, Endpoint: e.Name(), Failures: 1, Overdue: overdue})
+		d.Announce(Announcement{Origin: d.origin, Endpoint: e.ShortID(), Failures: 1, Overdue: overdue})
 	}
 }
--- a/internal/lab/decision/router.go
+++ b/internal/lab/decision/router.go
@@ -47,7 +47,7 @@
 			if r == from {
 				continue
 			}
-			r.placer.RecordRemoteCall(w.clock(), placed.Endpoint.Name(), prompt, placed.Units)
+			r.placer.RecordRemoteCall(w.clock(), placed.Endpoint.ShortID(), prompt, placed.Units)
 			if observation != nil {
 				r.placer.RecordRemoteFirstToken(w.clock(), observation)
 			}
