--- a/balance/grey/detector.go
+++ b/balance/grey/detector.go
@@ -88,8 +88,8 @@
 	h.recent.add(failed)
 }
 
-// Age lets so many seconds pass over what is known of all hosts together; Host.Age does for one.
-func (d *Detector) Age(seconds float64) {
+// Decay lets so many seconds pass over what is known of all hosts together; Host.Decay does for one.
+func (d *Detector) Decay(seconds float64) {
 	keep := math.Exp(-seconds / decaySeconds)
 	keepLatency := math.Exp(-seconds / latencyDecaySeconds)
 	d.hangs.decay(keep)
--- a/balance/grey/detector_test.go
+++ b/balance/grey/detector_test.go
@@ -58,9 +58,9 @@
 	for end := w.now + seconds; ; {
 		w.now += w.rng.ExpFloat64() / rate
 		for ; w.aged+0.25 < math.Min(w.now, end); w.aged += 0.25 {
-			w.f.Age(0.25)
+			w.f.Decay(0.25)
 			for i := range w.hosts {
-				w.hosts[i].Age(0.25)
+				w.hosts[i].Decay(0.25)
 			}
 		}
 		if w.now >= end {
--- a/balance/grey/host.go
+++ b/balance/grey/host.go
@@ -12,8 +12,8 @@
 	grey           bool
 }
 
-// Age lets so many seconds pass.
-func (h *Host) Age(seconds float64) {
+// Decay lets so many seconds pass.
+func (h *Host) Decay(seconds float64) {
 	keep := math.Exp(-seconds / decaySeconds)
 	h.hangs.decay(keep)
 	h.recent.decay(math.Exp(-seconds / recentDecaySeconds))
--- a/balance/grey/unresponsive_test.go
+++ b/balance/grey/unresponsive_test.go
@@ -28,7 +28,7 @@
 					falsePositives++
 				}
 				calls++
-				detector.Age(0.02)
+				detector.Decay(0.02)
 			}
 			if found == 0 || found > c.most {
 				t.Errorf("at a share of %.2f, seed %d: found after %d attempts, want %d at most", c.up, seed, found, c.most)
--- a/balance/learned_state.go
+++ b/balance/learned_state.go
@@ -149,7 +149,7 @@
 	b.rejections.sum = min(b.rejections.sum, b.rejections.n)
 	b.restoreClasses(state.Classes, age)
 	b.detector.Restore(state.Detector)
-	b.detector.Age(age.Seconds())
+	b.detector.Decay(age.Seconds())
 	for i := range state.Endpoints {
 		b.restoreEndpoint(&state.Endpoints[i], age)
 	}
@@ -196,7 +196,7 @@
 	endpoint.latency = learned.Latency.restoreLatency(DecayWeight(age))
 	endpoint.halfOpen = learned.HalfOpen
 	endpoint.evidence = learned.Evidence.Restore(len(b.classes))
-	endpoint.evidence.Age(age.Seconds())
+	endpoint.evidence.Decay(age.Seconds())
 	if age.Seconds() <= decaySeconds {
 		endpoint.consecutiveFailures = max(0, learned.ConsecutiveFailures)
 	}
--- a/balance/tick.go
+++ b/balance/tick.go
@@ -43,7 +43,7 @@
 // maintain ages what was learned, adapts the limit, and solves for new routing weights when their inputs have moved.
 func (b *Balancer) maintain() {
 	keep := math.Exp(-maintenanceInterval.Seconds() / decaySeconds)
-	b.detector.Age(maintenanceInterval.Seconds())
+	b.detector.Decay(maintenanceInterval.Seconds())
 	b.sends.decay(keep)
 	b.responses.decay(keep)
 	b.rejections.decay(keep)
@@ -55,7 +55,7 @@
 	}
 	for _, endpoint := range b.endpoints {
 		endpoint.latency.decay(keep)
-		endpoint.evidence.Age(maintenanceInterval.Seconds())
+		endpoint.evidence.Decay(maintenanceInterval.Seconds())
 	}
 	for _, group := range b.groups {
 		group.latency.decay(keep)
--- a/balance/warmup.go
+++ b/balance/warmup.go
@@ -59,7 +59,7 @@
 	}
 	for _, endpoint := range b.endpoints {
 		if endpoint.available && endpoint.group == from.group && b.isWarmingUp(endpoint) {
-			sends := warmup.SendsPerAnswer * b.warmupConfig.Capacity(b.uptime(endpoint)) / groupCapacity
+			sends := warmup.CreditsPerAnswer * b.warmupConfig.Capacity(b.uptime(endpoint)) / groupCapacity
 			endpoint.warmup.Earn(b.now, sends, b.random.Float64())
 		}
 	}
--- a/balance/warmup/warmup.go
+++ b/balance/warmup/warmup.go
@@ -22,9 +22,9 @@
 	"time"
 )
 
-// SendsPerAnswer is how many sends an answer is worth: how fast the use of an endpoint grows, and how far past its capacity it
+// CreditsPerAnswer is how many sends an answer is worth: how fast the use of an endpoint grows, and how far past its capacity it
 // may go.
-const SendsPerAnswer = 1.2
+const CreditsPerAnswer = 1.2
 
 const (
 	earnedLifetime  = 2 * time.Second        // of an earned send: an instance with one request a second has to find it
--- a/balance/warmup/warmup_test.go
+++ b/balance/warmup/warmup_test.go
@@ -144,7 +144,7 @@
 	}
 	for _, e := range c.endpoints {
 		if c.cold(e, now) && c.knows(i, now) {
-			e.budgets[i].Earn(now, SendsPerAnswer*c.config.Capacity(e.age+now)/total, c.random.Float64())
+			e.budgets[i].Earn(now, CreditsPerAnswer*c.config.Capacity(e.age+now)/total, c.random.Float64())
 		}
 	}
 }
