--- a/internal/budget/allowance.go
+++ b/internal/budget/allowance.go
@@ -51,7 +51,7 @@
 // once.
 func (a *Allowance) ReturnUnused(n int, r AttemptReport) {
 	if r.Known && n < len(a.passedDown) {
-		a.remaining += max(0, a.passedDown[n]-r.Extra)
+		a.remaining += max(0, a.passedDown[n]-r.ExtraAttempts)
 		a.passedDown[n] = 0
 	}
 }
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -94,7 +94,7 @@
 			c.pools = append(c.pools, NewSharedPools())
 			plain *= max(1, n)
 		}
-		extra := rapid.IntRange(0, MaxExtra).Draw(t, "extra")
+		extra := rapid.IntRange(0, MaxExtraAttempts).Draw(t, "extra")
 		ok, _ := c.request(0, extra)
 		if c.retries > extra {
 			t.Errorf("%d attempts were retries, %d granted", c.retries, extra)
@@ -110,7 +110,7 @@
 
 // MaxAttempts says beforehand how many attempts an Allowance will allow.
 func TestMaxAttempts(t *testing.T) {
-	for extra := range 2 * MaxExtra {
+	for extra := range 2 * MaxExtraAttempts {
 		for _, last := range []bool{true, false} {
 			s, n, down := NewAllowance(extra, last), 0, 0
 			for {
@@ -188,7 +188,7 @@
 		t.Errorf("of three left over one call gets %d", n)
 	}
 	pools.Close(7, 0)
-	if n := pools.Open(2*time.Second, 3*time.Second, 8, 100); n != MaxExtra-1 || len(pools.pools) != 1 {
+	if n := pools.Open(2*time.Second, 3*time.Second, 8, 100); n != MaxExtraAttempts-1 || len(pools.pools) != 1 {
 		t.Errorf("after the first expired: %d pools, a call with 100 gets %d", len(pools.pools), n)
 	}
 	for id := range uint64(2 * maxPools) {
@@ -205,7 +205,7 @@
 // What is written is read again; other members pass on; what is invalid is not trusted.
 func TestGrantRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := Grant{PoolID: rapid.Uint64().Draw(t, "pot"), Extra: rapid.IntRange(0, MaxExtra).Draw(t, "extra"),
+		c := Grant{PoolID: rapid.Uint64().Draw(t, "pot"), ExtraAttempts: rapid.IntRange(0, MaxExtraAttempts).Draw(t, "extra"),
 			ValueShare: float64(rapid.IntRange(0, 1000).Draw(t, "worth")) / 1000,
 			Path:       rapid.SliceOfN(rapid.StringMatching(`[a-zA-Z0-9_-]{1,24}`), 0, maxPath).Draw(t, "path")}
 		rest := rapid.SampledFrom([]string{"", "user=1;p", "a=b , c=%20d"}).Draw(t, "rest")
@@ -214,7 +214,7 @@
 			return // it would not be read: ten services of the longest names
 		}
 		got, others, ok := Split(header)
-		if !ok || got.PoolID != c.PoolID || got.Extra != c.Extra || got.ValueShare != c.ValueShare || !slices.Equal(got.Path, c.Path) {
+		if !ok || got.PoolID != c.PoolID || got.ExtraAttempts != c.ExtraAttempts || got.ValueShare != c.ValueShare || !slices.Equal(got.Path, c.Path) {
 			t.Errorf("%q is read as %+v, %v", header, got, ok)
 		}
 		if strings.ReplaceAll(others, " ", "") != strings.ReplaceAll(rest, " ", "") {
@@ -266,18 +266,18 @@
 
 // Guards against a caller's grant being trusted at the edge, a loop passing, and a request that carries nothing being bound.
 func TestTracker(t *testing.T) {
-	edge := NewTracker(Settings{Service: "front", Edge: true, Instances: 1, MaxExtra: 3}, 1)
-	forged := Grant{PoolID: 1, Extra: MaxExtra, ValueShare: 1, Path: []string{"front"}}
+	edge := NewTracker(Settings{Service: "front", Edge: true, Instances: 1, MaxExtraAttempts: 3}, 1)
+	forged := Grant{PoolID: 1, ExtraAttempts: MaxExtraAttempts, ValueShare: 1, Path: []string{"front"}}
 	a := edge.Open(0, time.Second, forged.Join("user=7"), false)
 	if a.Loop != nil || a.MaxAttempts() != 2 {
 		t.Errorf("at the edge %d attempts are granted, loop %v", a.MaxAttempts(), a.Loop)
 	}
 	header, _ := edge.NextAttempt(a, 0.5)
 	c, rest, ok := Split(header)
-	if !ok || c.Extra != 2 || c.ValueShare != 0.5 || rest != "user=7" || !slices.Equal(c.Path, []string{"front"}) {
+	if !ok || c.ExtraAttempts != 2 || c.ValueShare != 0.5 || rest != "user=7" || !slices.Equal(c.Path, []string{"front"}) {
 		t.Errorf("%q goes down", header)
 	}
-	back := NewTracker(Settings{Service: "back", Leaf: true, Instances: 1, MaxExtra: 3}, 2)
+	back := NewTracker(Settings{Service: "back", Leaf: true, Instances: 1, MaxExtraAttempts: 3}, 2)
 	b := back.Open(0, time.Second, header, true)
 	if b.MaxAttempts() != 3 || b.ValueShare() != 0.5 {
 		t.Errorf("behind it %d attempts at a value share of %v", b.MaxAttempts(), b.ValueShare())
@@ -286,7 +286,7 @@
 	if again.MaxAttempts() != 1 {
 		t.Errorf("a call beside it may make %d attempts", again.MaxAttempts())
 	}
-	ring := NewTracker(Settings{Service: "front", Instances: 1, MaxExtra: 3}, 3)
+	ring := NewTracker(Settings{Service: "front", Instances: 1, MaxExtraAttempts: 3}, 3)
 	from, _ := back.NextAttempt(b, 1)
 	if l := ring.Open(0, time.Second, from, false); !slices.Equal(l.Loop, []string{"front", "back", "front"}) {
 		t.Errorf("the loop is %v", l.Loop)
@@ -320,8 +320,8 @@
 // BenchmarkTracker is a request's whole cost in the tracker of a sidecar behind the first tier: its header read, an attempt's
 // written, its end.
 func BenchmarkTracker(b *testing.B) {
-	tracker := NewTracker(Settings{Service: "order", Instances: 1, MaxExtra: 6}, 1)
-	header := (&Grant{PoolID: 1, Extra: 4, ValueShare: 1, Path: []string{"front"}}).Join("")
+	tracker := NewTracker(Settings{Service: "order", Instances: 1, MaxExtraAttempts: 6}, 1)
+	header := (&Grant{PoolID: 1, ExtraAttempts: 4, ValueShare: 1, Path: []string{"front"}}).Join("")
 	b.ReportAllocs()
 	for i := range b.N {
 		now := time.Duration(i) * time.Millisecond
--- a/internal/budget/grant.go
+++ b/internal/budget/grant.go
@@ -23,10 +23,10 @@
 
 // Grant is what travels with an attempt from one tier to the next, by way of the server between.
 type Grant struct {
-	PoolID     uint64   // of the attempt: all calls that are made for it share its extra attempts
-	Extra      int      // attempts beyond the first that they may cause together, here and below
-	ValueShare float64  // share of its class's value that the request has, from 0 to 1
-	Path       []string // services that it has come through, the first first
+	PoolID        uint64   // of the attempt: all calls that are made for it share its extra attempts
+	ExtraAttempts int      // attempts beyond the first that they may cause together, here and below
+	ValueShare    float64  // share of its class's value that the request has, from 0 to 1
+	Path          []string // services that it has come through, the first first
 }
 
 // Split takes our member out of a baggage header. Rest is the others, as they came. Ok is false where our member is absent,
@@ -64,7 +64,7 @@
 // String is the member's value: the version, the pool in hexadecimal, the extra attempts, thousandths of the value share and
 // the path, separated by dots; services in the path by tildes. All of its characters are plain ones of W3C Baggage.
 func (g *Grant) String() string {
-	return fmt.Sprintf("%s.%x.%d.%d.%s", version, g.PoolID, g.Extra, int(g.ValueShare*valueShareUnit+0.5), strings.Join(g.Path, "~"))
+	return fmt.Sprintf("%s.%x.%d.%d.%s", version, g.PoolID, g.ExtraAttempts, int(g.ValueShare*valueShareUnit+0.5), strings.Join(g.Path, "~"))
 }
 
 func parse(value string) (Grant, bool) {
@@ -77,7 +77,7 @@
 		return Grant{}, false
 	}
 	extra, err := strconv.ParseUint(parts[2], 10, 8)
-	if err != nil || extra > MaxExtra {
+	if err != nil || extra > MaxExtraAttempts {
 		return Grant{}, false
 	}
 	valueShare, err := strconv.ParseUint(parts[3], 10, 16)
@@ -88,7 +88,7 @@
 	if !ok {
 		return Grant{}, false
 	}
-	return Grant{PoolID: poolID, Extra: int(extra), ValueShare: float64(valueShare) / valueShareUnit, Path: path}, true
+	return Grant{PoolID: poolID, ExtraAttempts: int(extra), ValueShare: float64(valueShare) / valueShareUnit, Path: path}, true
 }
 
 func parsePath(text string) ([]string, bool) {
--- a/internal/budget/pool.go
+++ b/internal/budget/pool.go
@@ -39,7 +39,7 @@
 		if len(s.pools) >= maxPools {
 			return 0 // nothing is known of it, so nothing is granted
 		}
-		element = s.byExpiry.PushBack(&pool{id: id, remaining: max(0, min(extra, MaxExtra)), deadline: deadline})
+		element = s.byExpiry.PushBack(&pool{id: id, remaining: max(0, min(extra, MaxExtraAttempts)), deadline: deadline})
 		s.pools[id] = element
 	}
 	p := element.Value.(*pool)
--- a/internal/budget/report.go
+++ b/internal/budget/report.go
@@ -12,14 +12,14 @@
 
 // AttemptReport is how many extra attempts an answer took, here and below. The zero value is that nothing was reported.
 type AttemptReport struct {
-	Known bool
-	Extra int
+	Known         bool
+	ExtraAttempts int
 }
 
 // ParseReport parses the header; an invalid one reports nothing.
 func ParseReport(header string) AttemptReport {
 	n, err := strconv.ParseUint(header, 10, 8)
-	return AttemptReport{Known: err == nil, Extra: int(n)}
+	return AttemptReport{Known: err == nil, ExtraAttempts: int(n)}
 }
 
 // String is the header; "" where nothing is reported.
@@ -27,10 +27,10 @@
 	if !r.Known {
 		return ""
 	}
-	return strconv.Itoa(min(r.Extra, maxReported))
+	return strconv.Itoa(min(r.ExtraAttempts, maxReported))
 }
 
 // Add is the report of two calls of a server together. Where one has reported nothing, nothing is known of both.
 func (r AttemptReport) Add(other AttemptReport) AttemptReport {
-	return AttemptReport{Known: r.Known && other.Known, Extra: r.Extra + other.Extra}
+	return AttemptReport{Known: r.Known && other.Known, ExtraAttempts: r.ExtraAttempts + other.ExtraAttempts}
 }
--- a/internal/budget/retry_budget.go
+++ b/internal/budget/retry_budget.go
@@ -3,8 +3,8 @@
 const (
 	// TokensPerRequest is what a client's first attempt earns: the rate of retries while nothing succeeds.
 	TokensPerRequest = 0.2
-	// MaxExtra bounds the extra attempts of a grant that is read; more is no grant of ours.
-	MaxExtra = 8
+	// MaxExtraAttempts bounds the extra attempts of a grant that is read; more is no grant of ours.
+	MaxExtraAttempts = 8
 
 	tokensPerSuccess  = 1.0  // that an answer within its target latency earns: while they help, all that are wanted are granted
 	tierMaxTokens     = 60.0 // the bucket's size, over all instances of the first tier,
--- a/internal/budget/tracker.go
+++ b/internal/budget/tracker.go
@@ -8,12 +8,12 @@
 
 // Settings configure a Tracker.
 type Settings struct {
-	Service      string // that this sidecar sends to
-	Edge         bool   // its callers are outside: grants that they carry are not trusted
-	Leaf         bool   // the service calls no other
-	Instances    int    // of its tier
-	MaxExtra     int    // attempts beyond the first that a client's attempt may cause, 0 to the constant MaxExtra
-	MaxReentries int    // how often a request may have been at the service before
+	Service          string // that this sidecar sends to
+	Edge             bool   // its callers are outside: grants that they carry are not trusted
+	Leaf             bool   // the service calls no other
+	Instances        int    // of its tier
+	MaxExtraAttempts int    // attempts beyond the first that a client's attempt may cause, 0 to the constant MaxExtra
+	MaxReentries     int    // how often a request may have been at the service before
 }
 
 // Tracker tracks the budgets of one sidecar: its retry budget, and the pools that its callers brought.
@@ -63,15 +63,15 @@
 			return r
 		}
 		r.poolID = max(1, grant.PoolID)
-		r.granted = t.shared.Open(now, deadline, r.poolID, grant.Extra)
+		r.granted = t.shared.Open(now, deadline, r.poolID, grant.ExtraAttempts)
 	case clientRetry:
 		r.clientRetry = true
-		if r.granted, ok = t.retries.GrantRetry(t.settings.MaxExtra); !ok {
+		if r.granted, ok = t.retries.GrantRetry(t.settings.MaxExtraAttempts); !ok {
 			r.maxAttempts = -1
 			return r
 		}
 	default:
-		r.granted = t.retries.GrantFirst(t.settings.MaxExtra)
+		r.granted = t.retries.GrantFirst(t.settings.MaxExtraAttempts)
 	}
 	r.allowance = NewAllowance(r.granted, t.settings.Leaf)
 	r.maxAttempts = MaxAttempts(r.granted, t.settings.Leaf)
@@ -90,10 +90,10 @@
 	extra, _ := r.allowance.NextAttempt() // an attempt that was not foreseen takes nothing along
 	r.attempts++
 	grant := Grant{
-		PoolID:     t.rng.Uint64() | 1,
-		Extra:      extra,
-		ValueShare: valueShare,
-		Path:       AppendService(r.path, t.settings.Service),
+		PoolID:        t.rng.Uint64() | 1,
+		ExtraAttempts: extra,
+		ValueShare:    valueShare,
+		Path:          AppendService(r.path, t.settings.Service),
 	}
 	return grant.Join(r.otherBaggage), r.attempts - 1
 }
@@ -107,15 +107,15 @@
 // empty for a failure without an attempt, for another instance may have capacity.
 func (t *Tracker) Close(r *RequestBudget, good bool) AttemptReport {
 	report := AttemptReport{
-		Known: good || r.attempts > 0 || r.Loop != nil,
-		Extra: r.granted - r.allowance.Unused(),
+		Known:         good || r.attempts > 0 || r.Loop != nil,
+		ExtraAttempts: r.granted - r.allowance.Unused(),
 	}
 	switch {
 	case r.Loop != nil || r.maxAttempts < 0:
 	case r.poolID != 0:
 		t.shared.Close(r.poolID, r.allowance.Unused())
 	default:
-		t.retries.Finish(report.Extra, r.clientRetry, good)
+		t.retries.Finish(report.ExtraAttempts, r.clientRetry, good)
 	}
 	return report
 }
--- a/internal/config/budget.go
+++ b/internal/config/budget.go
@@ -28,8 +28,8 @@
 	switch {
 	case !budget.ValidService(b.Service):
 		return file.Errorf("budget.service", "must be given: 1 to 24 letters, digits, - and _")
-	case b.Attempts < 0 || b.Attempts > budget.MaxExtra:
-		return file.Errorf("budget.attempts", "must be 0 to %d", budget.MaxExtra)
+	case b.Attempts < 0 || b.Attempts > budget.MaxExtraAttempts:
+		return file.Errorf("budget.attempts", "must be 0 to %d", budget.MaxExtraAttempts)
 	case b.Reentry < 0 || b.Reentry > maxReentry:
 		return file.Errorf("budget.reentry", "must be 0 to %d", maxReentry)
 	}
@@ -39,7 +39,7 @@
 // AccountSettings returns the budget's settings, completed by the platform's.
 func (b *Budget) AccountSettings(s *Settings) budget.Settings {
 	out := budget.Settings{Service: b.Service, Edge: s.Tier == 0, Leaf: s.Tier == s.Tiers-1, Instances: s.Instances,
-		MaxExtra: b.Attempts, MaxReentries: b.Reentry}
+		MaxExtraAttempts: b.Attempts, MaxReentries: b.Reentry}
 	if b.Edge != nil {
 		out.Edge = *b.Edge
 	}
--- a/internal/stream/budget_test.go
+++ b/internal/stream/budget_test.go
@@ -44,7 +44,7 @@
 // Guards against a caller's grant being passed on where nobody reads it, or trusted at the edge; and against attempts
 // beyond what was granted.
 func TestBudgetPropagates(t *testing.T) {
-	forged := (&budget.Grant{PoolID: 1, Extra: budget.MaxExtra, ValueShare: 1}).Join("user=7")
+	forged := (&budget.Grant{PoolID: 1, ExtraAttempts: budget.MaxExtraAttempts, ValueShare: 1}).Join("user=7")
 	for _, c := range []struct {
 		name     string
 		settings budget.Settings
@@ -52,8 +52,8 @@
 		carried  string // by the first attempt
 	}{
 		{"off", budget.Settings{}, 4, ""},
-		{"edge", budget.Settings{Service: "front", Edge: true, Instances: 1, MaxExtra: 1}, 2, "user=7,pinelb=1."},
-		{"behind, granted", budget.Settings{Service: "back", Leaf: true, Instances: 1, MaxExtra: 1}, 4, "user=7,pinelb=1."},
+		{"edge", budget.Settings{Service: "front", Edge: true, Instances: 1, MaxExtraAttempts: 1}, 2, "user=7,pinelb=1."},
+		{"behind, granted", budget.Settings{Service: "back", Leaf: true, Instances: 1, MaxExtraAttempts: 1}, 4, "user=7,pinelb=1."},
 	} {
 		p, up := newBudgetedProxy(t, c.settings, nil, fails)
 		req := request(0, time.Minute)
@@ -70,12 +70,12 @@
 
 // Guards against a fault being retried at every tier, and against unused attempts being lost.
 func TestRetriedBelowIsNotRetried(t *testing.T) {
-	set := budget.Settings{Service: "front", Edge: true, Instances: 1, MaxExtra: 4}
+	set := budget.Settings{Service: "front", Edge: true, Instances: 1, MaxExtraAttempts: 4}
 	p, up := newBudgetedProxy(t, set, nil, func(int) (balance.Status, Response) {
-		return balance.Error, Response{Outcome: Failed, Report: budget.AttemptReport{Known: true, Extra: 1}}
+		return balance.Error, Response{Outcome: Failed, Report: budget.AttemptReport{Known: true, ExtraAttempts: 1}}
 	})
 	res := p.Serve(context.Background(), request(0, time.Minute))
-	if len(up.carried) != 1 || res.Outcome == Served || res.Report != (budget.AttemptReport{Known: true, Extra: 1}) {
+	if len(up.carried) != 1 || res.Outcome == Served || res.Report != (budget.AttemptReport{Known: true, ExtraAttempts: 1}) {
 		t.Errorf("%d attempts, %+v", len(up.carried), res)
 	}
 	p, up = newBudgetedProxy(t, set, nil, func(n int) (balance.Status, Response) {
@@ -85,7 +85,7 @@
 		return balance.OK, Response{Outcome: Served, Report: budget.AttemptReport{Known: true}}
 	})
 	res = p.Serve(context.Background(), request(0, time.Minute))
-	if res.Outcome != Served || len(up.carried) != 2 || res.Report.Extra != 4 { // the first took three along and said nothing
+	if res.Outcome != Served || len(up.carried) != 2 || res.Report.ExtraAttempts != 4 { // the first took three along and said nothing
 		t.Errorf("%d attempts, %+v", len(up.carried), res)
 	}
 }
@@ -93,10 +93,10 @@
 // Guards against a request going round, and a log line for each.
 func TestLoopDetected(t *testing.T) {
 	var log bytes.Buffer
-	p, up := newBudgetedProxy(t, budget.Settings{Service: "b", Instances: 1, MaxExtra: 2}, &log, fails)
+	p, up := newBudgetedProxy(t, budget.Settings{Service: "b", Instances: 1, MaxExtraAttempts: 2}, &log, fails)
 	for range 3 {
 		req := request(0, time.Minute)
-		req.Baggage = (&budget.Grant{PoolID: 1, Extra: 2, ValueShare: 1, Path: []string{"a", "b", "c"}}).Join("")
+		req.Baggage = (&budget.Grant{PoolID: 1, ExtraAttempts: 2, ValueShare: 1, Path: []string{"a", "b", "c"}}).Join("")
 		if res := p.Serve(context.Background(), req); res.Outcome != LoopDetected || res.Loop != "a > b > c > b" || !res.Report.Known {
 			t.Errorf("%+v", res)
 		}
