--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -224,7 +224,7 @@
 	if fleet == nil {
 		return pacing.HandshakeLimit{}
 	}
-	return pacing.HandshakeLimit{Handshakes: fleet.Handshakes, Instances: settings.Instances, Numbered: fleet.Numbered}
+	return pacing.HandshakeLimit{MaxHandshakes: fleet.Handshakes, Instances: settings.Instances, Numbered: fleet.Numbered}
 }
 
 // newThriftProxy returns the proxy of streams over Thrift, on the same engine and on connections of the same pool.
--- a/internal/pacing/handshake_limit.go
+++ b/internal/pacing/handshake_limit.go
@@ -24,9 +24,9 @@
 // do: after a quiet minute every instance's is full, and when a host resets its connections all connect again at once, which is
 // what the bound is for. Turns by rank would be exact, and all at once where ranks are equal or clocks differ.
 type HandshakeLimit struct {
-	Handshakes int  // new connections at one host in 100 ms; 0: no bound
-	Instances  int  // of the fleet, by the settings
-	Numbered   bool // the instances' ranks and number are right, so that hosts are used evenly
+	MaxHandshakes int  // new connections at one host in 100 ms; 0: no bound
+	Instances     int  // of the fleet, by the settings
+	Numbered      bool // the instances' ranks and number are right, so that hosts are used evenly
 }
 
 // InstancesPerHost returns how many instances open connections to one of so many hosts. Where hosts are chosen by instances'
@@ -47,10 +47,10 @@
 
 // Share returns what one instance may open to one of so many hosts. A single instance is not bounded.
 func (l HandshakeLimit) Share(hosts int) Share {
-	if l.Handshakes <= 0 || l.Instances <= 1 {
+	if l.MaxHandshakes <= 0 || l.Instances <= 1 {
 		return Share{}
 	}
-	instances, limit := l.InstancesPerHost(hosts), float64(l.Handshakes)
+	instances, limit := l.InstancesPerHost(hosts), float64(l.MaxHandshakes)
 	if instances <= limit {
 		return Share{Burst: int(limit / max(1, instances)), Interval: handshakeWindow}
 	}
--- a/internal/pacing/handshake_limit_test.go
+++ b/internal/pacing/handshake_limit_test.go
@@ -31,7 +31,7 @@
 		{"five times as many configured", 40, 200, 12, 10, false, 2},
 	} {
 		maxPeak := c.maxMean
-		share := HandshakeLimit{Handshakes: c.handshakes, Instances: c.configured, Numbered: c.numbered}.Share(c.hosts)
+		share := HandshakeLimit{MaxHandshakes: c.handshakes, Instances: c.configured, Numbered: c.numbered}.Share(c.hosts)
 		if share.Interval > handshakeWindow {
 			maxPeak = 1.1*c.maxMean + 5*math.Sqrt(1.1*c.maxMean) // 100 ms and what a turn may be late
 		}
@@ -136,13 +136,13 @@
 		want  Share
 	}{
 		{HandshakeLimit{Instances: 300}, 12, Share{}},
-		{HandshakeLimit{Handshakes: 10, Instances: 1}, 12, Share{}},
-		{HandshakeLimit{Handshakes: 10, Instances: 3}, 12, Share{3, handshakeWindow}},
-		{HandshakeLimit{Handshakes: 10, Instances: 10}, 12, Share{1, handshakeWindow}},
-		{HandshakeLimit{Handshakes: 10, Instances: 200}, 48, Share{1, 2 * time.Second}},
-		{HandshakeLimit{Handshakes: 10, Instances: 300, Numbered: true}, 48, Share{1, 500 * time.Millisecond}}, // eight of 48 hosts each
-		{HandshakeLimit{Handshakes: 1, Instances: 10, Numbered: true}, 100, Share{1, 600 * time.Millisecond}},  // six each
-		{HandshakeLimit{Handshakes: 10, Instances: 300, Numbered: true}, 0, Share{1, 3 * time.Second}},
+		{HandshakeLimit{MaxHandshakes: 10, Instances: 1}, 12, Share{}},
+		{HandshakeLimit{MaxHandshakes: 10, Instances: 3}, 12, Share{3, handshakeWindow}},
+		{HandshakeLimit{MaxHandshakes: 10, Instances: 10}, 12, Share{1, handshakeWindow}},
+		{HandshakeLimit{MaxHandshakes: 10, Instances: 200}, 48, Share{1, 2 * time.Second}},
+		{HandshakeLimit{MaxHandshakes: 10, Instances: 300, Numbered: true}, 48, Share{1, 500 * time.Millisecond}}, // eight of 48 hosts each
+		{HandshakeLimit{MaxHandshakes: 1, Instances: 10, Numbered: true}, 100, Share{1, 600 * time.Millisecond}},  // six each
+		{HandshakeLimit{MaxHandshakes: 10, Instances: 300, Numbered: true}, 0, Share{1, 3 * time.Second}},
 	} {
 		if got := c.limit.Share(c.hosts); got != c.want {
 			t.Errorf("%+v, %d hosts: %+v, want %+v", c.limit, c.hosts, got, c.want)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -202,7 +202,7 @@
 		c.close()
 		p.open--
 	}
-	if p.handshakeLimit.Handshakes > 0 {
+	if p.handshakeLimit.MaxHandshakes > 0 {
 		if c, err := p.waitInQueue(ctx, id, h, deadline, kind); c != nil || err != nil {
 			return c, err
 		}
--- a/internal/upstream/queue_test.go
+++ b/internal/upstream/queue_test.go
@@ -15,7 +15,7 @@
 	p = newTestPool(newScriptedHost(t).addr, 10)
 	var clock time.Duration
 	p.now = func() time.Time { return p.startTime.Add(clock) }
-	p.SetHandshakeLimit(pacing.HandshakeLimit{Handshakes: 1, Instances: 100})
+	p.SetHandshakeLimit(pacing.HandshakeLimit{MaxHandshakes: 1, Instances: 100})
 	p.hosts[1].limiter.Phase = 0.5
 	return p, func() {
 		p.mu.Lock()
@@ -38,7 +38,7 @@
 		}
 		_, _ = c.Write([]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 		at := <-host.arrivals
-		p.SetHandshakeLimit(pacing.HandshakeLimit{Handshakes: 1, Instances: 1 << 20}) // no connection is permitted for long
+		p.SetHandshakeLimit(pacing.HandshakeLimit{MaxHandshakes: 1, Instances: 1 << 20}) // no connection is permitted for long
 		next := startAcquire(context.Background(), p, connKind{}, 1)
 		end.apply(at.nc)
 		for c.nothingToRead() { // until the kernel has brought it
@@ -147,7 +147,7 @@
 
 // Without a bound, and where an instance is alone, nothing waits.
 func TestNoQueueWithoutLimit(t *testing.T) {
-	for _, d := range []pacing.HandshakeLimit{{}, {Handshakes: 1, Instances: 1}} {
+	for _, d := range []pacing.HandshakeLimit{{}, {MaxHandshakes: 1, Instances: 1}} {
 		p, _ := newLimitedPool(t)
 		p.SetHandshakeLimit(d)
 		for range 5 {
