--- a/internal/fleet/replication/candidate.go
+++ b/internal/fleet/replication/candidate.go
@@ -50,8 +50,8 @@
 
 func (n *Node) tickElection() {
 	e := n.election
-	if n.now-e.phaseStarted > n.options.Timing.StepTimeout {
-		n.phaseTimedOut()
+	if n.now-e.phaseStarted > n.options.Timing.PhaseTimeout {
+		n.handlePhaseTimeout()
 	}
 	if n.election == e && n.status == Preparing {
 		n.countPromises()
@@ -62,16 +62,16 @@
 	}
 }
 
-// phaseTimedOut waits on for a snapshot that is on its way, goes on without the replicas that have not installed it, if
+// handlePhaseTimeout waits on for a snapshot that is on its way, goes on without the replicas that have not installed it, if
 // the others suffice, or abandons the election.
-func (n *Node) phaseTimedOut() {
+func (n *Node) handlePhaseTimeout() {
 	switch n.status {
 	case Fetching:
-		if !n.isLive(n.election.donor, n.options.Timing.StepTimeout) || n.isTransferOverdue() {
+		if !n.isLive(n.election.donor, n.options.Timing.PhaseTimeout) || n.isTransferOverdue() {
 			n.abandonElection()
 		}
 	case Installing:
-		n.installTimedOut()
+		n.handleInstallTimeout()
 	default:
 		n.abandonElection()
 	}
@@ -81,15 +81,15 @@
 	return n.now-n.election.phaseStarted > n.options.Timing.SnapshotTimeout
 }
 
-// installTimedOut excludes the replicas that have not installed the state. One that is in contact is waited for where the
+// handleInstallTimeout excludes the replicas that have not installed the state. One that is in contact is waited for where the
 // others don't suffice: the snapshot may be on its way to it.
-func (n *Node) installTimedOut() {
+func (n *Node) handleInstallTimeout() {
 	e := n.election
-	lacksSnapshot := func(r Replica) bool { return e.lacksSnapshot(r, n.now, n.options.Timing.StepTimeout) }
+	hasRecentSnapshotRequest := func(r Replica) bool { return e.hasRecentSnapshotRequest(r, n.now, n.options.Timing.PhaseTimeout) }
 	missing := e.missingInstalls(&n.hardState.View)
 	for _, r := range missing {
 		e.excluded[r] = true
-		if !lacksSnapshot(r) {
+		if !hasRecentSnapshotRequest(r) {
 			n.penalize(r)
 		}
 	}
@@ -102,7 +102,7 @@
 		n.startAccepting()
 		return
 	}
-	if !slices.ContainsFunc(missing, lacksSnapshot) || n.isTransferOverdue() {
+	if !slices.ContainsFunc(missing, hasRecentSnapshotRequest) || n.isTransferOverdue() {
 		n.abandonElection()
 	}
 }
@@ -235,11 +235,11 @@
 	e := n.election
 	for _, replica := range e.missingInstalls(&n.hardState.View) {
 		n.send(replica, InstallSnapshot{
-			Number:     e.proposal.Number,
-			Ballot:     e.ballot,
-			Position:   n.hardState.Position,
-			From:       e.donorPosition,
-			FromSource: e.donorSource,
+			Number:            e.proposal.Number,
+			Ballot:            e.ballot,
+			Position:          n.hardState.Position,
+			BasePosition:      e.donorPosition,
+			BaseInstallBallot: e.donorInstallBallot,
 		})
 	}
 }
--- a/internal/fleet/replication/cluster_test.go
+++ b/internal/fleet/replication/cluster_test.go
@@ -15,12 +15,12 @@
 	isPartitioned func(from, to string) bool // nil: there is no partition
 	isDropped     func(envelope) bool        // nil: nothing is lost
 
-	transfer     time.Duration // that a message with a snapshot takes
-	slowMessages []slowMessage
+	transferTime    time.Duration // that a message with a snapshot takes
+	delayedMessages []delayedMessage
 }
 
-// slowMessage is one with a snapshot.
-type slowMessage struct {
+// delayedMessage is one with a snapshot.
+type delayedMessage struct {
 	at time.Duration
 	envelope
 }
@@ -53,13 +53,13 @@
 
 // deliverDueSnapshots has messages arrive whose time has come.
 func (c *cluster) deliverDueSnapshots() {
-	waiting := c.slowMessages
-	c.slowMessages = nil
+	waiting := c.delayedMessages
+	c.delayedMessages = nil
 	for _, m := range waiting {
 		if m.at <= c.now {
 			c.sent = append(c.sent, m.envelope)
 		} else {
-			c.slowMessages = append(c.slowMessages, m)
+			c.delayedMessages = append(c.delayedMessages, m)
 		}
 	}
 }
@@ -79,10 +79,10 @@
 
 // delaySnapshot delays a message that carries a snapshot; false: it carries none.
 func (c *cluster) delaySnapshot(e envelope) bool {
-	if c.transfer == 0 || !e.hasSnapshot() {
+	if c.transferTime == 0 || !e.hasSnapshot() {
 		return false
 	}
-	c.slowMessages = append(c.slowMessages, slowMessage{at: c.now + c.transfer, envelope: e})
+	c.delayedMessages = append(c.delayedMessages, delayedMessage{at: c.now + c.transferTime, envelope: e})
 	return true
 }
 
@@ -91,7 +91,7 @@
 	for len(c.sent) > 0 {
 		e := c.sent[0]
 		c.sent = c.sent[1:]
-		clear(c.known)
+		clear(c.sentFingerprints)
 		if c.isDropped != nil && c.isDropped(e) {
 			continue
 		}
@@ -237,10 +237,10 @@
 
 		Convey("whose primary is partitioned from the others: it confirms nothing any more, and the others go on", func() {
 			c.isPartitioned = func(from, to string) bool { return from == isolated || to == isolated }
-			cutAt := c.now
+			partitionedAt := c.now
 			c.run(3 * time.Second)
 			confirmed, _ := first.node.LeadershipConfirmedAt()
-			So(confirmed, ShouldBeLessThanOrEqualTo, cutAt)
+			So(confirmed, ShouldBeLessThanOrEqualTo, partitionedAt)
 			So(c.leader(), ShouldNotEqual, first)
 			So(c.proposeAndCommit(), ShouldBeTrue)
 			Convey("and it follows them when the partition heals", func() {
@@ -264,9 +264,9 @@
 					backup = h
 				}
 			}
-			deaf := backup.disk.Self.Address
+			unreachable := backup.disk.Self.Address
 			c.isPartitioned = func(from, to string) bool {
-				return from == isolated && to == deaf || from == deaf && to == isolated
+				return from == isolated && to == unreachable || from == unreachable && to == isolated
 			}
 			c.run(3 * time.Second)
 			So(c.leader(), ShouldEqual, first)
@@ -283,8 +283,8 @@
 
 		Convey("adds machines one after another while all former ones are lost", func() {
 			for i := range 3 {
-				c.nonces++
-				added := &host{disk: InitialHardState(address(10+i), c.nonces, nil)}
+				c.lastNonce++
+				added := &host{disk: InitialHardState(address(10+i), c.lastNonce, nil)}
 				c.replicas = append(c.replicas, added)
 				c.start(added, DefaultTiming())
 				added.node.options.JoinTargets = func() []string {
--- a/internal/fleet/replication/composition.go
+++ b/internal/fleet/replication/composition.go
@@ -164,39 +164,39 @@
 	return !c.localityOf(r.Address).Known && c.fitnessOf(r) != unresponsive
 }
 
-// nextMembers chooses who holds the state: this replica, then present members, then others, all of them able, of as many
+// nextMembers chooses who holds the state: this replica, then present members, then others, all of them eligible, of as many
 // zones as can be had. Penalized replicas are chosen only where the others don't suffice, and resigning ones never.
-func (c composition) nextMembers(witnesses []Replica, isAble func(Replica) bool) []Replica {
-	able := c.ableReplicas(witnesses, isAble)
-	slices.SortStableFunc(able, func(a, b Replica) int {
+func (c composition) nextMembers(witnesses []Replica, isEligible func(Replica) bool) []Replica {
+	eligible := c.eligibleReplicas(witnesses, isEligible)
+	slices.SortStableFunc(eligible, func(a, b Replica) int {
 		return cmp.Or(compareBool(b == c.self, a == c.self), compareBool(c.view.HasMember(b), c.view.HasMember(a)))
 	})
 	if c.toleratesLocalityLoss() {
-		able = c.spreadOverZones(able)
+		eligible = c.spreadOverZones(eligible)
 	}
-	return slices.Clone(able[:min(len(able), c.maxMembers())])
+	return slices.Clone(eligible[:min(len(eligible), c.maxMembers())])
 }
 
-// ableReplicas returns the replicas that may be members. Those that don't count for the quorum, which have no disk, are
+// eligibleReplicas returns the replicas that may be members. Those that don't count for the quorum, which have no disk, are
 // left out where the others suffice.
-func (c composition) ableReplicas(witnesses []Replica, isAble func(Replica) bool) []Replica {
-	var able, penalized []Replica
+func (c composition) eligibleReplicas(witnesses []Replica, isEligible func(Replica) bool) []Replica {
+	var eligible, penalized []Replica
 	for _, r := range c.notResigning(witnesses) {
 		switch {
-		case r != c.self && !isAble(r):
+		case r != c.self && !isEligible(r):
 		case r != c.self && c.conditions.isPenalized(r):
 			penalized = append(penalized, r)
 		default:
-			able = append(able, r)
+			eligible = append(eligible, r)
 		}
 	}
-	if !c.survivesLoss(able) {
-		able = append(able, penalized...)
+	if !c.survivesLoss(eligible) {
+		eligible = append(eligible, penalized...)
 	}
-	if voting := c.voting(able); c.survivesLoss(voting) {
+	if voting := c.voting(eligible); c.survivesLoss(voting) {
 		return voting
 	}
-	return able
+	return eligible
 }
 
 // notResigning returns the replicas of a list that have not announced that they shut down. Only their copies count.
--- a/internal/fleet/replication/composition_test.go
+++ b/internal/fleet/replication/composition_test.go
@@ -59,8 +59,8 @@
 			if got := addressesOf(witnesses); !slices.Equal(got, test.witnesses) {
 				t.Errorf("the witnesses are %v, expected %v", got, test.witnesses)
 			}
-			isAble := func(r Replica) bool { return test.conditions.isResponsive(r) }
-			if got := addressesOf(next.nextMembers(witnesses, isAble)); !slices.Equal(got, test.members) {
+			isEligible := func(r Replica) bool { return test.conditions.isResponsive(r) }
+			if got := addressesOf(next.nextMembers(witnesses, isEligible)); !slices.Equal(got, test.members) {
 				t.Errorf("the members are %v, expected %v", got, test.members)
 			}
 		})
--- a/internal/fleet/replication/disruption_test.go
+++ b/internal/fleet/replication/disruption_test.go
@@ -52,7 +52,7 @@
 }
 
 // loseDisk takes as many disks as may be lost at once, perhaps while all others lose power.
-func (s *simulation) loseDisk(m *machine, withPower bool) {
+func (s *simulation) loseDisk(m *machine, duringPowerLoss bool) {
 	if !s.canLoseDisk() || len(s.acknowledged) == 0 {
 		return
 	}
@@ -66,7 +66,7 @@
 			lost = append(lost, other) // with all that is in the zone
 		}
 	}
-	if withPower {
+	if duringPowerLoss {
 		s.powerOffAll()
 	}
 	for _, m := range lost {
@@ -100,18 +100,18 @@
 
 // canResign reports whether a machine may be told to end: it runs, and does not have to take another one's place first.
 func (s *simulation) canResign(m *machine) bool {
-	return m.resignedAt == 0 && m.isRunning(s.now) && !m.gone && !m.isSuccessor
+	return m.resignedAt == 0 && m.isRunning(s.now) && !m.isRetired && !m.isSuccessor
 }
 
-func (s *simulation) resign(m *machine, forGood bool) {
+func (s *simulation) resign(m *machine, permanently bool) {
 	if !s.canResign(m) {
 		if m.successor != nil {
-			s.schedule(time.Second, func() { s.resign(m, forGood) })
+			s.schedule(time.Second, func() { s.resign(m, permanently) })
 		}
 		return
 	}
-	s.logEvent("%s is told to end, for good %v", m.address, forGood)
-	m.resignedAt, m.isPermanent = s.now, forGood
+	s.logEvent("%s is told to end, for good %v", m.address, permanently)
+	m.resignedAt, m.stopsPermanently = s.now, permanently
 	s.apply(m, m.node.Resign(s.now))
 }
 
@@ -122,7 +122,7 @@
 	}
 	s.recordLoss(m)
 	s.logEvent("%s goes for good", m.address)
-	m.isUp, m.gone = false, true
+	m.isUp, m.isRetired = false, true
 	s.schedule(s.randomDuration(500*time.Millisecond, 2*time.Second), func() {
 		added := s.add(address(len(s.machines)))
 		added.zone = m.zone
@@ -135,13 +135,13 @@
 // isolate partitions a machine from all others, or one way only.
 func (s *simulation) isolate(m *machine) {
 	until := s.now + s.randomDuration(300*time.Millisecond, 20*time.Second)
-	in, out := s.random.IntN(4) > 0, s.random.IntN(4) > 0
-	s.logEvent("%s is cut off until %v: in %v, out %v", m.address, until, in, out)
+	inbound, outbound := s.random.IntN(4) > 0, s.random.IntN(4) > 0
+	s.logEvent("%s is cut off until %v: in %v, out %v", m.address, until, inbound, outbound)
 	for _, other := range s.live() {
-		if in {
+		if inbound {
 			s.partitions[[2]string{other.address, m.address}] = until
 		}
-		if out {
+		if outbound {
 			s.partitions[[2]string{m.address, other.address}] = until
 		}
 	}
--- a/internal/fleet/replication/election.go
+++ b/internal/fleet/replication/election.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// promiseWait is how long a candidate waits for promises beyond a majority, so that all live replicas are in the next view.
-const promiseWait = 60 * time.Millisecond
+// promiseGracePeriod is how long a candidate waits for promises beyond a majority, so that all live replicas are in the next view.
+const promiseGracePeriod = 60 * time.Millisecond
 
 // resendInterval is the time between repeats of messages that were not answered.
 const resendInterval = 120 * time.Millisecond
@@ -25,9 +25,9 @@
 	majorityAt time.Duration // when a majority had promised; 0: not yet
 
 	// Fetching: the replica whose state the next view begins with, and which state that is.
-	donor         Replica
-	donorPosition Position
-	donorSource   Ballot
+	donor              Replica
+	donorPosition      Position
+	donorInstallBallot Ballot
 
 	// Installing and Accepting.
 	proposal         View
@@ -77,7 +77,7 @@
 	if e.majorityAt == 0 {
 		e.majorityAt = now
 	}
-	return len(e.promises) >= len(view.Witnesses) || now-e.majorityAt >= promiseWait
+	return len(e.promises) >= len(view.Witnesses) || now-e.majorityAt >= promiseGracePeriod
 }
 
 // highestAccepted returns the proposal that may have been decided already; ok is false where there is none.
@@ -94,11 +94,11 @@
 // chooseDonor picks the member with the newest state among the candidate itself and those that have promised. Any of them
 // has all that was acknowledged in the present view.
 func (e *election) chooseDonor(own *HardState) {
-	e.donor, e.donorPosition, e.donorSource = own.Self, own.Position, own.Source
+	e.donor, e.donorPosition, e.donorInstallBallot = own.Self, own.Position, own.InstallBallot
 	for _, member := range own.View.Members {
 		p, promised := e.promises[member]
 		if promised && e.donorPosition.Less(p.Position) {
-			e.donor, e.donorPosition, e.donorSource = member, p.Position, p.Source
+			e.donor, e.donorPosition, e.donorInstallBallot = member, p.Position, p.InstallBallot
 		}
 	}
 }
@@ -115,8 +115,8 @@
 	return slices.DeleteFunc(e.installTargets(current), func(r Replica) bool { return e.installed[r] })
 }
 
-// lacksSnapshot reports whether a replica has said within a time that it lacks the state: a snapshot may be on its way.
-func (e *election) lacksSnapshot(r Replica, now, within time.Duration) bool {
+// hasRecentSnapshotRequest reports whether a replica has said within a time that it lacks the state: a snapshot may be on its way.
+func (e *election) hasRecentSnapshotRequest(r Replica, now, within time.Duration) bool {
 	at, known := e.snapshotRequests[r]
 	return known && now-at < within
 }
--- a/internal/fleet/replication/election_reason.go
+++ b/internal/fleet/replication/election_reason.go
@@ -6,7 +6,7 @@
 // The reasons of an election.
 const (
 	NoElection          ElectionReason = iota // this replica has not been a candidate since its start
-	PrimarySilent                             // the primary was silent for the election time-out
+	PrimaryUnresponsive                       // the primary was silent for the election time-out
 	MemberFailed                              // the primary drops a member that is silent, or late to store a change
 	MemberResigning                           // the primary drops a member that shuts down
 	CompositionImproves                       // the primary adds replicas, or replaces witnesses
--- a/internal/fleet/replication/large_change_test.go
+++ b/internal/fleet/replication/large_change_test.go
@@ -22,14 +22,14 @@
 		Convey("A member is dropped or waited for: "+c.name, t, func() {
 			cluster := newCluster(3, 1)
 			cluster.run(time.Second)
-			primary, late, former := cluster.leader(), cluster.backups()[0].disk.Self, cluster.view().Number
+			primary, slowMember, former := cluster.leader(), cluster.backups()[0].disk.Self, cluster.view().Number
 			until := cluster.now + c.delay
 			cluster.isDropped = func(e envelope) bool {
 				_, isAppend := e.message.(Append)
-				return isAppend && e.to == late.Address && cluster.now < until
+				return isAppend && e.to == slowMember.Address && cluster.now < until
 			}
-			out, begun := primary.node.Propose(cluster.now, make([]byte, c.size))
-			So(begun, ShouldBeTrue)
+			out, ok := primary.node.Propose(cluster.now, make([]byte, c.size))
+			So(ok, ShouldBeTrue)
 			cluster.apply(primary, out)
 			cluster.settle()
 			cluster.run(c.delay - 2*clusterTick)
--- a/internal/fleet/replication/learners.go
+++ b/internal/fleet/replication/learners.go
@@ -49,8 +49,8 @@
 	witnesses := next.nextWitnesses(false)
 	members := next.nextMembers(witnesses, n.isLiveMember)
 	return slices.DeleteFunc(union(witnesses, members), func(r Replica) bool {
-		isIn := view.HasMember(r) || view.HasWitness(r) && !slices.Contains(members, r)
-		return isIn || r == n.hardState.Self
+		hasRole := view.HasMember(r) || view.HasWitness(r) && !slices.Contains(members, r)
+		return hasRole || r == n.hardState.Self
 	})
 }
 
@@ -67,9 +67,9 @@
 }
 
 // sendCatchUp sends a replica what it lacks: the changes since its position if they are retained, else the snapshot.
-func (n *Node) sendCatchUp(to Replica, position Position, source Ballot) {
+func (n *Node) sendCatchUp(to Replica, position Position, installBallot Ballot) {
 	own := n.hardState.Position
-	if source == n.hardState.Source && position.View == own.View {
+	if installBallot == n.hardState.InstallBallot && position.View == own.View {
 		if entries, ok := n.primary.retained.between(position.Sequence, own.Sequence); ok {
 			for _, e := range entries {
 				message := n.appendMessage(Position{View: own.View, Sequence: e.sequence})
--- a/internal/fleet/replication/member.go
+++ b/internal/fleet/replication/member.go
@@ -20,8 +20,8 @@
 		n.send(from, Reject{Number: message.Number, Promised: bound})
 		return
 	}
-	isInstalled := n.hardState.Position == message.Position && n.hardState.Source == message.Ballot
-	hasSameState := n.hardState.Position == message.From && n.hardState.Source == message.FromSource
+	isInstalled := n.hardState.Position == message.Position && n.hardState.InstallBallot == message.Ballot
+	hasSameState := n.hardState.Position == message.BasePosition && n.hardState.InstallBallot == message.BaseInstallBallot
 	if !isInstalled && !hasSameState && message.Snapshot == nil {
 		n.sendSnapshotNeeded(from, message.Number, message.Ballot)
 		return
@@ -35,7 +35,7 @@
 // installBound returns the lowest ballot under which a state for a view may be installed: the highest one under which this
 // replica has installed a state for that view or a later one, or has promised to decide it.
 func (n *Node) installBound(number uint64) Ballot {
-	bound := n.hardState.Source
+	bound := n.hardState.InstallBallot
 	if n.hardState.Position.View < number {
 		bound = Ballot{}
 	}
@@ -47,12 +47,12 @@
 
 // sendSnapshotNeeded says which state is held, to a sender that offers another one.
 func (n *Node) sendSnapshotNeeded(to Replica, number uint64, ballot Ballot) {
-	n.send(to, SnapshotNeeded{Number: number, Ballot: ballot, Position: n.hardState.Position, Source: n.hardState.Source})
+	n.send(to, SnapshotNeeded{Number: number, Ballot: ballot, Position: n.hardState.Position, InstallBallot: n.hardState.InstallBallot})
 }
 
 // installState takes over a state; a nil snapshot is the one that is held already, at another position.
-func (n *Node) installState(position Position, source Ballot, snapshot []byte) {
-	n.hardState.Position, n.hardState.Source = position, source
+func (n *Node) installState(position Position, installBallot Ballot, snapshot []byte) {
+	n.hardState.Position, n.hardState.InstallBallot = position, installBallot
 	write := n.persist()
 	if snapshot != nil {
 		write.Snapshot = snapshot
@@ -74,14 +74,14 @@
 	}
 	n.primaryLastSeen = n.now
 	own := n.hardState.Position
-	isSameHistory := n.hardState.Source == message.Source && own.View == message.Position.View
+	isSameHistory := n.hardState.InstallBallot == message.InstallBallot && own.View == message.Position.View
 	switch {
 	case isSameHistory && own.Sequence >= message.Position.Sequence: // stored already
 	case isSameHistory && message.Entry != nil && own.Sequence+1 == message.Position.Sequence:
 		n.hardState.Position = message.Position
 		n.persist().Entry = message.Entry
 	case message.Snapshot != nil:
-		n.installState(message.Position, message.Source, message.Snapshot)
+		n.installState(message.Position, message.InstallBallot, message.Snapshot)
 	default:
 		n.sendSnapshotNeeded(from, n.hardState.View.Number, Ballot{})
 		return
--- a/internal/fleet/replication/messages.go
+++ b/internal/fleet/replication/messages.go
@@ -62,13 +62,13 @@
 
 // Promise answers Prepare. Accepted is zero where nothing was accepted for the view.
 type Promise struct {
-	Number    uint64   `cbor:"1,keyasint"` // of the view to be decided
-	Ballot    Ballot   `cbor:"2,keyasint"`
-	Accepted  Ballot   `cbor:"3,keyasint"`
-	Proposal  View     `cbor:"4,keyasint"`
-	Position  Position `cbor:"5,keyasint"`
-	Source    Ballot   `cbor:"6,keyasint"`
-	Resigning bool     `cbor:"7,keyasint,omitempty"` // the witness is resigning
+	Number        uint64   `cbor:"1,keyasint"` // of the view to be decided
+	Ballot        Ballot   `cbor:"2,keyasint"`
+	Accepted      Ballot   `cbor:"3,keyasint"`
+	Proposal      View     `cbor:"4,keyasint"`
+	Position      Position `cbor:"5,keyasint"`
+	InstallBallot Ballot   `cbor:"6,keyasint"`
+	Resigning     bool     `cbor:"7,keyasint,omitempty"` // the witness is resigning
 }
 
 // Reject answers a message under too low a ballot.
@@ -92,14 +92,14 @@
 }
 
 // InstallSnapshot has a member of a view that is to be decided install the state that the view begins with. Without a
-// snapshot it is for a member that holds From under FromSource already.
+// snapshot it is for a member that holds From under BaseInstallBallot already.
 type InstallSnapshot struct {
-	Number     uint64   `cbor:"1,keyasint"`
-	Ballot     Ballot   `cbor:"2,keyasint"`
-	Position   Position `cbor:"3,keyasint"`
-	From       Position `cbor:"4,keyasint"`
-	FromSource Ballot   `cbor:"5,keyasint"`
-	Snapshot   []byte   `cbor:"6,keyasint"`
+	Number            uint64   `cbor:"1,keyasint"`
+	Ballot            Ballot   `cbor:"2,keyasint"`
+	Position          Position `cbor:"3,keyasint"`
+	BasePosition      Position `cbor:"4,keyasint"`
+	BaseInstallBallot Ballot   `cbor:"5,keyasint"`
+	Snapshot          []byte   `cbor:"6,keyasint"`
 }
 
 // InstallSnapshotAck answers InstallSnapshot: the state is installed, on the disk.
@@ -123,11 +123,11 @@
 // Append sends a change, or with a snapshot the whole state, to a member of the primary's view. Without either it asks
 // whether the member holds Position.
 type Append struct {
-	View     View     `cbor:"1,keyasint"`
-	Source   Ballot   `cbor:"2,keyasint"`
-	Position Position `cbor:"3,keyasint"`
-	Entry    []byte   `cbor:"4,keyasint"`
-	Snapshot []byte   `cbor:"5,keyasint"`
+	View          View     `cbor:"1,keyasint"`
+	InstallBallot Ballot   `cbor:"2,keyasint"`
+	Position      Position `cbor:"3,keyasint"`
+	Entry         []byte   `cbor:"4,keyasint"`
+	Snapshot      []byte   `cbor:"5,keyasint"`
 }
 
 // AppendAck answers Append: the member has stored all up to Position, on its disk.
@@ -138,10 +138,10 @@
 
 // SnapshotNeeded answers InstallSnapshot or Append where the sender's state is needed, and says which one is held.
 type SnapshotNeeded struct {
-	Number   uint64   `cbor:"1,keyasint"`
-	Ballot   Ballot   `cbor:"2,keyasint"` // of the InstallSnapshot; zero for an Append
-	Position Position `cbor:"3,keyasint"`
-	Source   Ballot   `cbor:"4,keyasint"`
+	Number        uint64   `cbor:"1,keyasint"`
+	Ballot        Ballot   `cbor:"2,keyasint"` // of the InstallSnapshot; zero for an Append
+	Position      Position `cbor:"3,keyasint"`
+	InstallBallot Ballot   `cbor:"4,keyasint"`
 }
 
 // Resign says that a replica is about to shut down, so that another one may replace it at once.
--- a/internal/fleet/replication/node.go
+++ b/internal/fleet/replication/node.go
@@ -149,7 +149,7 @@
 		stagger /= startupStaggerDivisor
 	}
 	if n.now-n.primaryLastSeen > n.options.Timing.ElectionTimeout+time.Duration(rank)*stagger {
-		n.startElection(PrimarySilent)
+		n.startElection(PrimaryUnresponsive)
 	}
 }
 
@@ -159,8 +159,8 @@
 // requestJoin asks the primary, or whoever may know it, to add this replica to the view. A witness that has seen no primary
 // for long asks too: it may have been replaced while it was away, and whoever knows the newer view answers with it.
 func (n *Node) requestJoin() {
-	isIn := n.hardState.View.HasWitness(n.hardState.Self) && (n.primary != nil || n.now-n.primaryLastSeen < primaryUnknownTimeout)
-	if !n.options.RequestsJoin || n.resignation.requested || isIn || n.now < n.nextJoinRequest {
+	isCurrentWitness := n.hardState.View.HasWitness(n.hardState.Self) && (n.primary != nil || n.now-n.primaryLastSeen < primaryUnknownTimeout)
+	if !n.options.RequestsJoin || n.resignation.requested || isCurrentWitness || n.now < n.nextJoinRequest {
 		return
 	}
 	n.nextJoinRequest = n.now + n.options.Timing.JoinInterval
@@ -276,6 +276,6 @@
 		return
 	}
 	if n.primary != nil && message.Number == n.hardState.View.Number && message.Ballot.isZero() {
-		n.sendCatchUp(from, message.Position, message.Source)
+		n.sendCatchUp(from, message.Position, message.InstallBallot)
 	}
 }
--- a/internal/fleet/replication/options.go
+++ b/internal/fleet/replication/options.go
@@ -13,7 +13,7 @@
 	ElectionStagger       time.Duration // added to the election time-out for each member after the first
 	MemberTimeout         time.Duration // without contact, after which a primary removes a member
 	AppendTimeout         time.Duration // in which a member has to store a change
-	StepTimeout           time.Duration // of each phase of an election
+	PhaseTimeout          time.Duration // of each phase of an election
 	SnapshotTimeout       time.Duration // of a phase in which an indispensable member is sent a snapshot
 	JoinInterval          time.Duration // between requests to join
 	MinViewChangeInterval time.Duration // between view changes that only add replicas
@@ -30,7 +30,7 @@
 		ElectionStagger:       200 * time.Millisecond,
 		MemberTimeout:         700 * time.Millisecond,
 		AppendTimeout:         500 * time.Millisecond,
-		StepTimeout:           400 * time.Millisecond,
+		PhaseTimeout:          400 * time.Millisecond,
 		SnapshotTimeout:       12 * time.Second,
 		JoinInterval:          250 * time.Millisecond,
 		MinViewChangeInterval: 500 * time.Millisecond,
--- a/internal/fleet/replication/peers.go
+++ b/internal/fleet/replication/peers.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// joinRequestIntervals is how many intervals of join requests a request stays in force.
-const joinRequestIntervals = 4
+// joinRequestTTLIntervals is how many intervals of join requests a request stays in force.
+const joinRequestTTLIntervals = 4
 
 // peerTable is what a replica has seen of the others since its start.
 type peerTable struct {
@@ -86,7 +86,7 @@
 
 func (n *Node) hasJoinRequest(r Replica) bool {
 	at, known := n.peers.joinRequests[r]
-	return known && n.now-at < joinRequestIntervals*n.options.Timing.JoinInterval
+	return known && n.now-at < joinRequestTTLIntervals*n.options.Timing.JoinInterval
 }
 
 func (n *Node) joiningReplicas() []Replica {
--- a/internal/fleet/replication/primary.go
+++ b/internal/fleet/replication/primary.go
@@ -81,7 +81,7 @@
 
 // appendMessage is an Append of a position, without a change or a snapshot.
 func (n *Node) appendMessage(position Position) Append {
-	return Append{View: n.hardState.View, Source: n.hardState.Source, Position: position}
+	return Append{View: n.hardState.View, InstallBallot: n.hardState.InstallBallot, Position: position}
 }
 
 func (n *Node) onAppendAck(from Replica, message AppendAck) {
--- a/internal/fleet/replication/promise_test.go
+++ b/internal/fleet/replication/promise_test.go
@@ -42,7 +42,7 @@
 		Convey("stores no more changes of the present primary", func() {
 			position := member.disk.Position
 			position.Sequence++
-			rejects(primary.disk.Self, Append{View: view, Source: member.disk.Source, Position: position, Entry: []byte{9}})
+			rejects(primary.disk.Self, Append{View: view, InstallBallot: member.disk.InstallBallot, Position: position, Entry: []byte{9}})
 		})
 		Convey("does not confirm the present primary", func() {
 			answer, _ := c.answer(member, primary.disk.Self, Heartbeat{View: view, Round: 1000})
@@ -77,7 +77,7 @@
 		view, ballot := candidate.node.View(), candidate.node.election.ballot
 		for nonce := range uint64(3) {
 			promise := Promise{Number: view.Number + 1, Ballot: ballot, Position: candidate.disk.Position}
-			candidate.node.Receive(c.now+promiseWait, Replica{Address: "10.0.9.9:1", Nonce: nonce}, promise)
+			candidate.node.Receive(c.now+promiseGracePeriod, Replica{Address: "10.0.9.9:1", Nonce: nonce}, promise)
 		}
 		So(candidate.node.Status(), ShouldEqual, Preparing)
 	})
--- a/internal/fleet/replication/resignation.go
+++ b/internal/fleet/replication/resignation.go
@@ -9,8 +9,8 @@
 // witness and a member until the primary releases it: by then its copy and its vote are where they have to be, as far as
 // waiting helps.
 
-// replacementMemory is how long a resigning replica is kept in the hope for a replacement that is not in contact any more.
-const replacementMemory = 15 * time.Second
+// possibleReplacementTTL is how long a resigning replica is kept in the hope for a replacement that is not in contact any more.
+const possibleReplacementTTL = 15 * time.Second
 
 // releaseTTL is how long a release by the primary is valid: the replica asks again, since much may happen until its process
 // has drained its requests.
@@ -123,7 +123,7 @@
 // hasPossibleReplacement reports whether a replica of another machine was seen lately that may come back, or be reached
 // again, and join.
 func (n *Node) hasPossibleReplacement() bool {
-	return n.peers.seenSince(n.now-replacementMemory, n.isPossibleReplacement)
+	return n.peers.seenSince(n.now-possibleReplacementTTL, n.isPossibleReplacement)
 }
 
 // isPossibleReplacement reports whether a replica is of a machine that may vote and has no part in the view.
--- a/internal/fleet/replication/resignation_test.go
+++ b/internal/fleet/replication/resignation_test.go
@@ -135,21 +135,21 @@
 	Convey("A backup is away for so long that another machine takes its place", t, func() {
 		c := newCluster(3, 1)
 		c.run(time.Second)
-		away := c.backups()[0]
-		c.powerOff(away)
+		stopped := c.backups()[0]
+		c.powerOff(stopped)
 		c.run(time.Second) // it is no member any more
 		added := c.join(address(3))
 		c.run(3 * time.Second)
 		So(c.view().HasWitness(added.disk.Self), ShouldBeTrue)
-		So(c.view().HasWitness(away.disk.Self), ShouldBeFalse)
-		c.powerOn(away)
-		away.node.options.JoinTargets = c.addresses
+		So(c.view().HasWitness(stopped.disk.Self), ShouldBeFalse)
+		c.powerOn(stopped)
+		stopped.node.options.JoinTargets = c.addresses
 		c.run(4 * time.Second)
 		Convey("it learns the present view, and can take the place of the next one", func() {
-			So(away.node.View().Number, ShouldEqual, c.leader().node.View().Number)
+			So(stopped.node.View().Number, ShouldEqual, c.leader().node.View().Number)
 			c.powerOff(added)
 			c.run(4 * time.Second)
-			So(c.view().HasWitness(away.disk.Self), ShouldBeTrue)
+			So(c.view().HasWitness(stopped.disk.Self), ShouldBeTrue)
 			So(c.proposeAndCommit(), ShouldBeTrue)
 		})
 	})
@@ -161,31 +161,31 @@
 		c := newCluster(3, 1)
 		c.run(time.Second)
 		So(c.proposeAndCommit(), ShouldBeTrue)
-		mute := c.join(address(3))
+		silentJoiner := c.join(address(3))
 		c.isDropped = func(e envelope) bool {
-			_, asks := e.message.(Join)
-			return e.from == mute.disk.Self && !asks
+			_, isJoin := e.message.(Join)
+			return e.from == silentJoiner.disk.Self && !isJoin
 		}
 		c.powerOff(c.leader())
 		c.run(4 * time.Second)
 		So(c.leader(), ShouldNotBeNil)
-		So(c.view().HasWitness(mute.disk.Self), ShouldBeFalse)
+		So(c.view().HasWitness(silentJoiner.disk.Self), ShouldBeFalse)
 		So(c.proposeAndCommit(), ShouldBeTrue)
 		Convey("it is added when it answers", func() {
 			c.isDropped = nil
 			c.run(5 * time.Second)
-			So(c.view().HasWitness(mute.disk.Self), ShouldBeTrue)
-			So(mute.state, ShouldResemble, c.acknowledged)
+			So(c.view().HasWitness(silentJoiner.disk.Self), ShouldBeTrue)
+			So(silentJoiner.state, ShouldResemble, c.acknowledged)
 		})
 	})
 }
 
 // Guards against a state that never arrives because it takes longer than a step of a view change.
 func TestSlowTransfer(t *testing.T) {
-	const long = 3 * time.Second
+	const snapshotDelay = 3 * time.Second
 	Convey("Three replicas whose snapshot takes three seconds to send", t, func() {
 		c := newCluster(3, 1)
-		c.transfer = long
+		c.transferTime = snapshotDelay
 		c.run(time.Second)
 		So(c.proposeAndCommit(), ShouldBeTrue)
 		first := c.leader()
@@ -205,9 +205,9 @@
 			c.powerOff(c.backups()[0])
 			c.run(2 * time.Second)
 			So(c.proposeAndCommit(), ShouldBeTrue) // on two copies
-			away := hostThatIsDown(c, first)
+			stopped := stoppedHost(c, first)
 			c.loseDisk(first)
-			c.powerOn(away)
+			c.powerOn(stopped)
 			c.run(12 * time.Second)
 			So(c.leader(), ShouldNotBeNil)
 			So(c.leader().state, ShouldResemble, c.acknowledged)
@@ -216,10 +216,10 @@
 	})
 }
 
-// hostThatIsDown is the machine that is down.
-func hostThatIsDown(c *cluster, besides *host) *host {
+// stoppedHost is the machine that is down.
+func stoppedHost(c *cluster, except *host) *host {
 	for _, h := range c.replicas {
-		if h != besides && c.down[h.disk.Self.Address] {
+		if h != except && c.down[h.disk.Self.Address] {
 			return h
 		}
 	}
--- a/internal/fleet/replication/search_events_test.go
+++ b/internal/fleet/replication/search_events_test.go
@@ -47,11 +47,11 @@
 // delaySome delays some of the messages that wait.
 func (w *wideWalk) delaySome(*host) {
 	w.waiting = slices.DeleteFunc(w.waiting, func(e envelope) bool {
-		isHeld := w.random.IntN(3) == 0
-		if isHeld {
+		isDelayed := w.random.IntN(3) == 0
+		if isDelayed {
 			w.delayed = append(w.delayed, e)
 		}
-		return isHeld
+		return isDelayed
 	})
 }
 
@@ -67,11 +67,11 @@
 
 // tickAll lets time pass, sometimes much of it.
 func (w *wideWalk) tickAll(*host) {
-	most := 100
+	maxMilliseconds := 100
 	if w.random.IntN(6) == 0 {
-		most = 2000
+		maxMilliseconds = 2000
 	}
-	w.now += time.Duration(w.random.IntN(most)) * time.Millisecond
+	w.now += time.Duration(w.random.IntN(maxMilliseconds)) * time.Millisecond
 	for _, h := range w.live() {
 		w.applyAndRecord(h, h.node.Tick(w.now))
 	}
@@ -85,7 +85,7 @@
 
 func (w *wideWalk) read(h *host) {
 	if h.node.Status() == Leading {
-		w.pending = append(w.pending, wideRead{at: h, since: w.now, length: len(w.acknowledged)})
+		w.pendingReads = append(w.pendingReads, wideRead{at: h, since: w.now, length: len(w.acknowledged)})
 		w.now += time.Millisecond
 		w.applyAndRecord(h, h.node.ConfirmLeadership(w.now))
 	}
@@ -117,10 +117,10 @@
 }
 
 func (w *wideWalk) loseDisk(h *host) {
-	if w.wipes == 0 || len(w.acknowledged) == 0 {
+	if w.remainingDiskLosses == 0 || len(w.acknowledged) == 0 {
 		return
 	}
-	w.wipes--
+	w.remainingDiskLosses--
 	w.logEvent("%s loses its disk", h.disk.Self.Address)
 	delete(w.resigning, h)
 	w.wipe(h)
@@ -128,12 +128,12 @@
 
 // addReplica has a replica with an empty disk come at another address.
 func (w *wideWalk) addReplica(*host) {
-	if w.joiners == maxJoiners {
+	if w.joinerCount == maxJoiners {
 		return
 	}
-	w.joiners++
-	w.nonces++
-	h := &host{disk: InitialHardState(address(len(w.replicas)), w.nonces, nil)}
+	w.joinerCount++
+	w.lastNonce++
+	h := &host{disk: InitialHardState(address(len(w.replicas)), w.lastNonce, nil)}
 	w.replicas = append(w.replicas, h)
 	w.restart(h)
 	w.logEvent("%s comes", h.disk.Self.Address)
@@ -241,8 +241,8 @@
 func (w *wideWalk) crashInStep(h *host) {
 	w.now += time.Millisecond
 	var out *Output
-	if begun := false; w.proposed < 200 {
-		if out, begun = h.node.Propose(w.now, []byte{w.proposed + 1}); begun {
+	if ok := false; w.proposed < 200 {
+		if out, ok = h.node.Propose(w.now, []byte{w.proposed + 1}); ok {
 			w.proposed++
 		}
 	}
--- a/internal/fleet/replication/search_test.go
+++ b/internal/fleet/replication/search_test.go
@@ -94,11 +94,11 @@
 		return
 	}
 	switch p := r.IntN(100); {
-	case p < 80 && w.next < len(w.sent):
-		w.next++
-		w.deliver(w.sent[w.next-1])
-	case p < 84 && w.next < len(w.sent):
-		w.next++ // lost, or very late
+	case p < 80 && w.nextUndelivered < len(w.sent):
+		w.nextUndelivered++
+		w.deliver(w.sent[w.nextUndelivered-1])
+	case p < 84 && w.nextUndelivered < len(w.sent):
+		w.nextUndelivered++ // lost, or very late
 	default:
 		w.deliver(w.sent[r.IntN(len(w.sent))])
 	}
@@ -107,7 +107,7 @@
 // becomeCandidate makes the replica a candidate, as after its election time-out.
 func (n *Node) becomeCandidate(now time.Duration) *Output {
 	out := n.step(now)
-	n.startElection(PrimarySilent)
+	n.startElection(PrimaryUnresponsive)
 	return out
 }
 
--- a/internal/fleet/replication/search_wide_test.go
+++ b/internal/fleet/replication/search_wide_test.go
@@ -31,17 +31,17 @@
 // between its write and its messages. After it all return that may, and a primary has to come from whatever their disks hold.
 type wideWalk struct {
 	*world
-	random    *rand.Rand
-	wipes     int // that are left: the disks that may be lost in all
-	joiners   int
-	resigning map[*host]bool
-	pending   []wideRead
-	reads     int
-	script    []string
-	decided   map[uint64]View // by number
-	weights   []int           // of wideEvents, in this walk
-	waiting   []envelope      // that were sent and not delivered
-	delayed   []envelope      // that are held up on their way
+	random              *rand.Rand
+	remainingDiskLosses int // that are left: the disks that may be lost in all
+	joinerCount         int
+	resigning           map[*host]bool
+	pendingReads        []wideRead
+	reads               int
+	script              []string
+	decided             map[uint64]View // by number
+	weights             []int           // of wideEvents, in this walk
+	waiting             []envelope      // that were sent and not delivered
+	delayed             []envelope      // that are held up on their way
 }
 
 // wideRead is a read that waits for a round of the witnesses.
@@ -53,7 +53,7 @@
 
 func newWideWalk(replicas, tolerance int, seed uint64) *wideWalk {
 	w := &wideWalk{
-		world: newWorld(replicas, tolerance, noMistake), random: rand.New(rand.NewPCG(seed, 11)), wipes: tolerance, resigning: map[*host]bool{},
+		world: newWorld(replicas, tolerance, noMistake), random: rand.New(rand.NewPCG(seed, 11)), remainingDiskLosses: tolerance, resigning: map[*host]bool{},
 		decided: map[uint64]View{},
 	}
 	w.deliveryDelay, w.timing = wideDeliveryDelay, w.drawTiming()
@@ -80,7 +80,7 @@
 		t.ElectionTimeout, t.ElectionStagger = 0, 400*time.Millisecond
 	}
 	if w.random.IntN(2) == 0 {
-		t.StepTimeout, t.AppendTimeout, t.MemberTimeout = time.Minute, time.Minute, time.Minute
+		t.PhaseTimeout, t.AppendTimeout, t.MemberTimeout = time.Minute, time.Minute, time.Minute
 	}
 	return t
 }
@@ -153,7 +153,7 @@
 // checkReads answers reads for which a round was confirmed that began after them.
 func (w *wideWalk) checkReads() string {
 	fault := ""
-	w.pending = slices.DeleteFunc(w.pending, func(r wideRead) bool {
+	w.pendingReads = slices.DeleteFunc(w.pendingReads, func(r wideRead) bool {
 		confirmed, ok := r.at.node.LeadershipConfirmedAt()
 		if r.at.isRemoved || !ok {
 			return r.at.isRemoved || r.at.node.Status() != Leading
@@ -174,9 +174,9 @@
 func (w *wideWalk) checkViews() string {
 	for _, h := range w.replicas {
 		view := h.node.View()
-		known, was := w.decided[view.Number]
-		if was && !sameView(known, view) {
-			return fmt.Sprintf("view %d was decided twice: %v and %v", view.Number, known, view)
+		earlier, isKnown := w.decided[view.Number]
+		if isKnown && !sameView(earlier, view) {
+			return fmt.Sprintf("view %d was decided twice: %v and %v", view.Number, earlier, view)
 		}
 		w.decided[view.Number] = view
 	}
@@ -195,7 +195,7 @@
 	w.replicas = w.live()
 	c := &cluster{world: w.world, down: map[string]bool{}}
 	w.sent, w.waiting, w.delayed = nil, nil, nil
-	w.known = map[uint64]bool{}
+	w.sentFingerprints = map[uint64]bool{}
 	c.intercept = c.delaySnapshot
 	for _, h := range w.replicas {
 		c.start(h, DefaultTiming())
--- a/internal/fleet/replication/second_loss_test.go
+++ b/internal/fleet/replication/second_loss_test.go
@@ -11,8 +11,8 @@
 
 // join adds a machine with an empty disk that requests to join.
 func (c *cluster) join(at string) *host {
-	c.nonces++
-	added := &host{disk: InitialHardState(at, c.nonces, nil)}
+	c.lastNonce++
+	added := &host{disk: InitialHardState(at, c.lastNonce, nil)}
 	c.replicas = append(c.replicas, added)
 	c.start(added, DefaultTiming())
 	added.node.options.JoinTargets = c.addresses
--- a/internal/fleet/replication/simulation_test.go
+++ b/internal/fleet/replication/simulation_test.go
@@ -25,7 +25,7 @@
 
 	acknowledged []byte // entries, in their order, of entrySize bytes each
 	proposed     uint16
-	nonces       uint64
+	lastNonce    uint64
 	reads        int
 	slowUntil    time.Duration // messages take up to maxSlowDelay until then
 	diskLost     *machine      // the machine whose disk was lost last, until it has caught up
@@ -57,16 +57,16 @@
 // node is one machine of a simulation.
 type machine struct {
 	*host
-	address     string
-	zone        string
-	isUp        bool
-	gone        bool          // for good
-	frozenUntil time.Duration // until when its process stands still
-	resignedAt  time.Duration // when it was told to end; 0: it was not
-	isPermanent bool          // it does not come back after its planned end
-	successor   *machine      // that is to take its place
-	isSuccessor bool          // it is to take the place of another one, which has not ended
-	reads       []readCheck
+	address          string
+	zone             string
+	isUp             bool
+	isRetired        bool          // for good
+	frozenUntil      time.Duration // until when its process stands still
+	resignedAt       time.Duration // when it was told to end; 0: it was not
+	stopsPermanently bool          // it does not come back after its planned end
+	successor        *machine      // that is to take its place
+	isSuccessor      bool          // it is to take the place of another one, which has not ended
+	reads            []readCheck
 }
 
 // readCheck is a read that waits for a round of the witnesses.
@@ -113,8 +113,8 @@
 }
 
 func (s *simulation) nonce() uint64 {
-	s.nonces++
-	return s.nonces
+	s.lastNonce++
+	return s.lastNonce
 }
 
 func (s *simulation) startMachine(m *machine) {
@@ -135,7 +135,7 @@
 func (s *simulation) addresses() []string {
 	var all []string
 	for _, m := range s.machines {
-		if !m.gone {
+		if !m.isRetired {
 			all = append(all, m.address)
 		}
 	}
@@ -166,8 +166,8 @@
 	s.scheduled = append(s.scheduled, scheduledAction{at: s.now + after, do: do})
 }
 
-func (s *simulation) randomDuration(least, most time.Duration) time.Duration {
-	return least + time.Duration(s.random.Int64N(int64(most-least)+1))
+func (s *simulation) randomDuration(minDuration, maxDuration time.Duration) time.Duration {
+	return minDuration + time.Duration(s.random.Int64N(int64(maxDuration-minDuration)+1))
 }
 
 // apply does what a step wants done. A machine may lose power between the write and the messages.
@@ -295,14 +295,14 @@
 		m.successor.isSuccessor = false
 	}
 	switch {
-	case !m.isPermanent || released && m.successor.isRunning(s.now) && s.isConnected():
+	case !m.stopsPermanently || released && m.successor.isRunning(s.now) && s.isConnected():
 	case s.canLoseDisk():
 		s.recordLoss(m) // it counts as lost
 	default:
-		m.isPermanent = false // that would be one loss too many
+		m.stopsPermanently = false // that would be one loss too many
 	}
-	m.gone = m.isPermanent
-	if !m.gone {
+	m.isRetired = m.stopsPermanently
+	if !m.isRetired {
 		s.powerOff(m, s.randomDuration(100*time.Millisecond, time.Second))
 	}
 }
@@ -324,7 +324,7 @@
 func (s *simulation) updateHealth() {
 	healthy := s.isConnected() && s.now >= s.slowUntil
 	for _, m := range s.machines {
-		healthy = healthy && (m.gone || m.isRunning(s.now) && m.resignedAt == 0)
+		healthy = healthy && (m.isRetired || m.isRunning(s.now) && m.resignedAt == 0)
 	}
 	if !healthy {
 		s.healthySince = s.now
@@ -337,7 +337,7 @@
 func (s *simulation) powerOff(m *machine, span time.Duration) {
 	m.isUp = false
 	s.schedule(span, func() {
-		if !m.isUp && !m.gone {
+		if !m.isUp && !m.isRetired {
 			s.startMachine(m)
 		}
 	})
@@ -345,7 +345,7 @@
 
 // live are the machines that are not gone.
 func (s *simulation) live() []*machine {
-	return slices.DeleteFunc(slices.Clone(s.machines), func(m *machine) bool { return m.gone })
+	return slices.DeleteFunc(slices.Clone(s.machines), func(m *machine) bool { return m.isRetired })
 }
 
 func (s *simulation) leader() *machine {
@@ -367,8 +367,8 @@
 			continue
 		}
 		entry := binary.BigEndian.AppendUint16(nil, s.proposed+1)
-		out, begun := m.node.Propose(s.now, entry)
-		if begun {
+		out, ok := m.node.Propose(s.now, entry)
+		if ok {
 			s.proposed++
 			s.apply(m, out)
 			return
@@ -398,7 +398,7 @@
 			s.disrupt()
 			next = s.now + s.randomDuration(0, 3*time.Second)
 		}
-		s.work()
+		s.issueRequests()
 		s.step()
 	}
 	s.recover()
@@ -407,13 +407,13 @@
 
 func (s *simulation) runFor(span time.Duration) {
 	for end := s.now + span; s.now < end && s.fault == ""; {
-		s.work()
+		s.issueRequests()
 		s.step()
 	}
 }
 
-// work is the operators' part: orders and reads.
-func (s *simulation) work() {
+// issueRequests is the operators' part: orders and reads.
+func (s *simulation) issueRequests() {
 	if s.random.IntN(8) == 0 {
 		s.proposeChange()
 	}
@@ -429,14 +429,14 @@
 	s.scheduled = nil
 	for _, m := range s.machines {
 		m.frozenUntil = 0
-		if !m.gone && (!m.isUp || m.resignedAt != 0) {
+		if !m.isRetired && (!m.isUp || m.resignedAt != 0) {
 			s.startMachine(m)
 		}
 	}
 	s.logEvent("all is back")
 	before := len(s.acknowledged)
 	for end := s.now + recoveryTimeout; s.now < end && s.fault == ""; {
-		s.work()
+		s.issueRequests()
 		s.step()
 		if leader := s.leader(); leader != nil && len(s.acknowledged) > before && len(leader.state) >= len(s.acknowledged) {
 			return
--- a/internal/fleet/replication/types.go
+++ b/internal/fleet/replication/types.go
@@ -69,13 +69,13 @@
 // HardState is all that a replica has to find on its disk after a restart, beside the state itself (the term is that of
 // etcd's raft).
 type HardState struct {
-	Self     Replica  `cbor:"1,keyasint"`
-	View     View     `cbor:"2,keyasint"` // the newest that is known to be decided
-	Promised Ballot   `cbor:"3,keyasint"` // for the next view; a member that has promised stores no more changes
-	Accepted Ballot   `cbor:"4,keyasint"` // for the next view
-	Proposal View     `cbor:"5,keyasint"` // the view that was accepted
-	Position Position `cbor:"6,keyasint"` // of the state that is stored
-	Source   Ballot   `cbor:"7,keyasint"` // under which that state was installed
+	Self          Replica  `cbor:"1,keyasint"`
+	View          View     `cbor:"2,keyasint"` // the newest that is known to be decided
+	Promised      Ballot   `cbor:"3,keyasint"` // for the next view; a member that has promised stores no more changes
+	Accepted      Ballot   `cbor:"4,keyasint"` // for the next view
+	Proposal      View     `cbor:"5,keyasint"` // the view that was accepted
+	Position      Position `cbor:"6,keyasint"` // of the state that is stored
+	InstallBallot Ballot   `cbor:"7,keyasint"` // under which that state was installed
 }
 
 // InitialHardState returns what a replica with an empty disk begins with. At the first start of the whole system, founders
--- a/internal/fleet/replication/view_change.go
+++ b/internal/fleet/replication/view_change.go
@@ -43,9 +43,9 @@
 	return hasFailed && n.keepsEnoughCopies(append(others, n.spareWitnesses()...))
 }
 
-// appendBytesPerSecond is how fast a member is expected to receive, decode and store a large change, beside AppendTimeout: a view that drops a
+// minAppendBytesPerSecond is how fast a member is expected to receive, decode and store a large change, beside AppendTimeout: a view that drops a
 // sound member costs more than that time.
-const appendBytesPerSecond = 1 << 20
+const minAppendBytesPerSecond = 1 << 20
 
 // isAppendLate reports whether the members had time enough to store the change that is pending, or the view's first state.
 func (n *Node) isAppendLate() bool {
@@ -53,7 +53,7 @@
 	since, timeout := p.startedAt, n.options.Timing.AppendTimeout
 	if p.pending {
 		since = p.pendingSince
-		timeout += time.Duration(len(p.lastEntry)) * time.Second / appendBytesPerSecond
+		timeout += time.Duration(len(p.lastEntry)) * time.Second / minAppendBytesPerSecond
 	}
 	return (p.pending || n.status == Activating) && n.now-since > timeout
 }
--- a/internal/fleet/replication/witness.go
+++ b/internal/fleet/replication/witness.go
@@ -33,7 +33,7 @@
 	if !n.hardState.View.HasWitness(n.hardState.Self) {
 		return
 	}
-	if n.followsOther(from) {
+	if n.followsOtherPrimary(from) {
 		return // the primary lives: the sender's own links are at fault
 	}
 	if message.Ballot.less(n.hardState.Promised) {
@@ -45,9 +45,9 @@
 	n.send(from, n.currentPromise())
 }
 
-// followsOther reports whether this witness has seen a primary lately that is another replica than the candidate, and has
+// followsOtherPrimary reports whether this witness has seen a primary lately that is another replica than the candidate, and has
 // promised nothing.
-func (n *Node) followsOther(candidate Replica) bool {
+func (n *Node) followsOtherPrimary(candidate Replica) bool {
 	primary := n.hardState.View.Primary
 	return candidate != primary && primary != (Replica{}) && n.hardState.Promised.isZero() &&
 		n.now-n.primaryLastSeen < n.primaryStickiness()
@@ -70,13 +70,13 @@
 // currentPromise is the answer to a candidate under the ballot that this replica has promised.
 func (n *Node) currentPromise() Promise {
 	return Promise{
-		Number:    n.nextNumber(),
-		Ballot:    n.hardState.Promised,
-		Accepted:  n.hardState.Accepted,
-		Proposal:  n.hardState.Proposal,
-		Position:  n.hardState.Position,
-		Source:    n.hardState.Source,
-		Resigning: n.resignation.requested,
+		Number:        n.nextNumber(),
+		Ballot:        n.hardState.Promised,
+		Accepted:      n.hardState.Accepted,
+		Proposal:      n.hardState.Proposal,
+		Position:      n.hardState.Position,
+		InstallBallot: n.hardState.InstallBallot,
+		Resigning:     n.resignation.requested,
 	}
 }
 
--- a/internal/fleet/replication/world_test.go
+++ b/internal/fleet/replication/world_test.go
@@ -14,21 +14,21 @@
 // world is a set of replicas with scripted links and a fake clock. Messages that were sent stay on their way: each may be
 // delivered at any time, often or never.
 type world struct {
-	now           time.Duration
-	tolerance     Tolerance
-	replicas      []*host
-	sent          []envelope
-	next          int             // the first of them that has not had its turn
-	known         map[uint64]bool // fingerprints of messages that were sent
-	acknowledged  []byte          // entries, in their order
-	mistake       mistake
-	nonces        uint64
-	proposed      byte
-	intercept     func(envelope) bool // takes a message that is sent; nil: all are sent
-	deliveryDelay time.Duration       // that a delivery takes
-	timing        Timing
-	partitions    map[[2]string]bool // from, to: nothing passes
-	trace         *traceRecorder     // nil: none
+	now              time.Duration
+	tolerance        Tolerance
+	replicas         []*host
+	sent             []envelope
+	nextUndelivered  int             // the first of them that has not had its turn
+	sentFingerprints map[uint64]bool // fingerprints of messages that were sent
+	acknowledged     []byte          // entries, in their order
+	mistake          mistake
+	lastNonce        uint64
+	proposed         byte
+	intercept        func(envelope) bool // takes a message that is sent; nil: all are sent
+	deliveryDelay    time.Duration       // that a delivery takes
+	timing           Timing
+	partitions       map[[2]string]bool // from, to: nothing passes
+	trace            *traceRecorder     // nil: none
 }
 
 // mistake is one that is planted, to show that the search finds it.
@@ -59,14 +59,14 @@
 // searchTiming has no waits that depend on a real clock: the search itself decides what comes late.
 func searchTiming() Timing {
 	return Timing{
-		HeartbeatInterval: time.Hour, ElectionTimeout: 0, MemberTimeout: time.Hour, AppendTimeout: time.Hour, StepTimeout: time.Hour,
+		HeartbeatInterval: time.Hour, ElectionTimeout: 0, MemberTimeout: time.Hour, AppendTimeout: time.Hour, PhaseTimeout: time.Hour,
 		JoinInterval: time.Hour, MinViewChangeInterval: 0, SlowMemberBackoff: time.Hour, WitnessTimeout: time.Hour,
 	}
 }
 
 func newWorld(replicas int, tolerance int, m mistake) *world {
 	w := &world{
-		tolerance: Tolerance{Machines: tolerance}, known: map[uint64]bool{}, mistake: m, deliveryDelay: 100 * time.Millisecond, timing: searchTiming(),
+		tolerance: Tolerance{Machines: tolerance}, sentFingerprints: map[uint64]bool{}, mistake: m, deliveryDelay: 100 * time.Millisecond, timing: searchTiming(),
 		partitions: map[[2]string]bool{},
 	}
 	var founders []string
@@ -112,8 +112,8 @@
 	if w.intercept != nil && w.intercept(e) {
 		return
 	}
-	if print := e.fingerprint(); !w.known[print] {
-		w.known[print] = true
+	if key := e.fingerprint(); !w.sentFingerprints[key] {
+		w.sentFingerprints[key] = true
 		w.sent = append(w.sent, e)
 	}
 }
@@ -147,8 +147,8 @@
 
 // propose has a primary begin a change, if it can.
 func (w *world) propose(h *host) bool {
-	out, begun := h.node.Propose(w.now, []byte{w.proposed + 1})
-	if !begun {
+	out, ok := h.node.Propose(w.now, []byte{w.proposed + 1})
+	if !ok {
 		return false
 	}
 	w.proposed++
@@ -170,10 +170,10 @@
 
 // wipe takes a replica's disk away.
 func (w *world) wipe(h *host) {
-	w.nonces++
+	w.lastNonce++
 	former := h.disk
 	h.state = nil
-	h.disk = InitialHardState(former.Self.Address, w.nonces, nil)
+	h.disk = InitialHardState(former.Self.Address, w.lastNonce, nil)
 	if w.mistake == reusesIdentity {
 		h.disk = InitialHardState(former.Self.Address, former.Self.Nonce, nil)
 		h.disk.View = former.View
