--- a/internal/fleet/placement/accuracy.go
+++ b/internal/fleet/placement/accuracy.go
@@ -2,12 +2,14 @@
 
 import "time"
 
-// accuracyBounds divide calls by prefilled units where expected and actual delays are compared.
+// accuracyBounds are the upper bounds, in prefilled units, of the classes of calls for which accuracy is measured. The last
+// class has no bound.
 var accuracyBounds = [...]float64{1000, 4000, 16000}
 
 const accuracyClasses = len(accuracyBounds) + 1
 
-// accuracy compares the expected and the actual time to first token of this router's calls, in seconds, by prefilled units.
+// accuracy sums the expected and the actual times to first token of this router's calls, in seconds, by class of prefilled
+// units.
 type accuracy [accuracyClasses]struct{ calls, expected, actual float64 }
 
 func (a *accuracy) observe(units float64, expected, actual time.Duration) {
--- a/internal/fleet/placement/delay.go
+++ b/internal/fleet/placement/delay.go
@@ -2,23 +2,24 @@
 
 import "math"
 
-// delayModel is a weighted least-squares fit of an endpoint's time to first token (seconds) by this router's own send rate
-// (calls a second). Endpoints' reports come late; the own rate is known at once.
+// delayModel is a weighted least-squares fit of an endpoint's time to first token (seconds) against the rate at which this
+// router sends it calls (calls per second). The send rate is used because it is current, while reports from endpoints are
+// delayed.
 type delayModel struct {
 	weight, sumRate, sumDelay, sumRateRate, sumRateDelay, sumDelayDelay float64
 }
 
 func (m *delayModel) observe(rate, delay float64) {
-	keep := 1 - 1/delayMemory
-	m.weight = m.weight*keep + 1
-	m.sumRate = m.sumRate*keep + rate
-	m.sumDelay = m.sumDelay*keep + delay
-	m.sumRateRate = m.sumRateRate*keep + rate*rate
-	m.sumRateDelay = m.sumRateDelay*keep + rate*delay
-	m.sumDelayDelay = m.sumDelayDelay*keep + delay*delay
+	retention := 1 - 1/delayDecayCalls
+	m.weight = m.weight*retention + 1
+	m.sumRate = m.sumRate*retention + rate
+	m.sumDelay = m.sumDelay*retention + delay
+	m.sumRateRate = m.sumRateRate*retention + rate*rate
+	m.sumRateDelay = m.sumRateDelay*retention + rate*delay
+	m.sumDelayDelay = m.sumDelayDelay*retention + delay*delay
 }
 
-// add adds a share of another model's observations.
+// add adds the observations of another model, scaled by share.
 func (m *delayModel) add(other *delayModel, share float64) {
 	m.weight += share * other.weight
 	m.sumRate += share * other.sumRate
@@ -28,10 +29,10 @@
 	m.sumDelayDelay += share * other.sumDelayDelay
 }
 
-// delayFit is the line, base + slope*rate seconds, and the standard deviation of calls around it in seconds.
+// delayFit is the fitted line, base + slope*rate seconds, and the standard deviation of the delays in seconds.
 type delayFit struct{ base, slope, deviation float64 }
 
-// fit returns the line. The prior counts as delayPriorCalls calls at its base.
+// fit returns the fitted line. The prior counts as delayPriorCalls calls with a delay of prior.base.
 func (m *delayModel) fit(prior delayFit) delayFit {
 	total := m.weight + delayPriorCalls
 	meanRate := m.sumRate / total
@@ -50,10 +51,10 @@
 	return delayFit{base: meanDelay - slope*meanRate, slope: slope, deviation: max(minDeviation, deviation)}
 }
 
-// chanceWithin returns the probability that a first token comes within a limit (seconds) at a rate, and its derivative by the
-// rate. The delay is taken as logistic.
-func (f delayFit) chanceWithin(limit, rate float64) (chance, byRate float64) {
+// probabilityWithin returns the probability that the first token arrives within limit seconds at a send rate, and the
+// derivative of that probability by the rate. Delays are assumed to have a logistic distribution.
+func (f delayFit) probabilityWithin(limit, rate float64) (probability, derivative float64) {
 	scale := f.deviation * math.Sqrt(3) / math.Pi
-	chance = 1 / (1 + math.Exp(-(limit-f.base-f.slope*rate)/scale))
-	return chance, -chance * (1 - chance) * f.slope / scale
+	probability = 1 / (1 + math.Exp(-(limit-f.base-f.slope*rate)/scale))
+	return probability, -probability * (1 - probability) * f.slope / scale
 }
--- a/internal/fleet/placement/draw.go
+++ b/internal/fleet/placement/draw.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// Tiers of endpoints: those of a tier are considered where there is none of the tiers before.
+// Tiers of endpoints. A tier is considered only where all tiers before it are empty.
 const (
 	tierPreferred = iota
-	tierFaulty    // a fault is remembered that the call should not risk to meet
+	tierFaulty    // recent failures, or overdue answers, that this call should avoid
 	tierEjected
 	tierCount
 )
 
-// draw chooses a call's endpoint, in three steps: the eligible ones of one tier; of these, those with the least loss or hardly more; of
-// these, the one with the least weighted score. It returns nil where the call may go nowhere.
+// draw chooses a call's endpoint. Of the eligible endpoints it keeps those whose loss is within lossTolerance of the
+// minimum, and returns the one of these with the lowest weighted rendezvous score. It returns nil if no endpoint is
+// eligible.
 func (s *service) draw(now time.Duration, row []float64, key uint64, call *Call) *Placement {
 	candidates := s.eligible(now, row, call)
 	if len(candidates) == 0 {
@@ -46,7 +47,7 @@
 	}
 }
 
-// eligible returns the endpoints of the first tier that has some. The slice is valid until the next call of eligible.
+// eligible returns the endpoints of the first tier that is not empty. The slice is valid until the next call of eligible.
 func (s *service) eligible(now time.Duration, row []float64, call *Call) []candidate {
 	s.candidates = s.candidates[:0]
 	context := s.newDrawContext(now, call)
@@ -79,8 +80,8 @@
 	return tierPreferred
 }
 
-// rendezvousScore mixes a key and an endpoint's hash. Over keys it is exponentially distributed, so that the least score by
-// weight is an endpoint's with a probability in proportion to its weight. It is the same on all routers.
+// rendezvousScore returns a score for a key at an endpoint, the same on all routers. Over keys the score is exponentially
+// distributed, so that an endpoint has the lowest quotient of score and weight with a probability proportional to its weight.
 func rendezvousScore(key, endpoint uint64) float64 {
 	mixed := key ^ endpoint
 	mixed ^= mixed >> 33
--- a/internal/fleet/placement/failure_evidence_test.go
+++ b/internal/fleet/placement/failure_evidence_test.go
@@ -8,15 +8,15 @@
 )
 
 func TestFailureEvidence(t *testing.T) {
-	const rate = 10.0 // calls a second
-	Convey("Single failures are chance", t, func() {
+	const rate = 10.0 // calls per second
+	Convey("Single failures are tolerated as random", t, func() {
 		v := failureEvidence{}
 		for now := time.Second; now < time.Minute; now += 10 * time.Second {
 			v.record(now, 1, rate)
 			So(v.share(now, rate), ShouldEqual, 0)
 		}
 	})
-	Convey("Half of an endpoint's calls failing is detected within a second, and forgotten within seconds", t, func() {
+	Convey("Failures of half of an endpoint's calls are detected within a second, and decay within seconds", t, func() {
 		v := failureEvidence{}
 		now := 40 * time.Second
 		for range 5 {
@@ -26,14 +26,14 @@
 		So(v.share(now, rate), ShouldBeBetween, 0.1, 0.5)
 		So(v.share(now+8*time.Second, rate), ShouldBeLessThan, 0.02)
 	})
-	Convey("All calls failing is detected as such", t, func() {
+	Convey("A failure share near 1 is detected", t, func() {
 		v := failureEvidence{}
 		for now := time.Second; now <= 3*time.Second; now += 100 * time.Millisecond {
 			v.record(now, 1, rate)
 		}
 		So(v.share(3*time.Second, rate), ShouldBeGreaterThan, 0.6)
 	})
-	Convey("An endpoint that fails again and again recovers more slowly each time, until it has been healthy for long", t, func() {
+	Convey("An endpoint that fails repeatedly recovers more slowly each time, until backoffResetTime has passed without a failure", t, func() {
 		v := failureEvidence{}
 		now := time.Minute
 		outage := func() (recovery time.Duration) {
@@ -52,18 +52,18 @@
 		third := outage()
 		So(second, ShouldBeGreaterThan, 3*first/2)
 		So(third, ShouldBeGreaterThan, 3*second/2)
-		now += relapseResetTime + time.Second
+		now += backoffResetTime + time.Second
 		So(outage(), ShouldBeBetween, first/2, 3*first/2)
 	})
-	Convey("Failures among few calls are remembered longer, within bounds", t, func() {
-		So(failureMemory(1000), ShouldEqual, minFailureMemory)
-		So(failureMemory(2), ShouldEqual, 4*time.Second)
-		So(failureMemory(0), ShouldEqual, maxFailureMemory)
+	Convey("Failures decay more slowly at a lower rate of calls, within bounds", t, func() {
+		So(failureDecayTime(1000), ShouldEqual, minFailureDecayTime)
+		So(failureDecayTime(2), ShouldEqual, 4*time.Second)
+		So(failureDecayTime(0), ShouldEqual, maxFailureDecayTime)
 	})
 }
 
 func TestRemoteFailures(t *testing.T) {
-	Convey("Failures that other routers report keep calls away, also such whose prefix is cached there", t, func() {
+	Convey("Failures that other routers report divert calls, including those whose prefix the endpoint has cached", t, func() {
 		p := placer(6)
 		p.SetRouters(30)
 		home := p.Place(0, call(42, 1000)).Endpoint
@@ -76,7 +76,7 @@
 		}
 		So(p.Place(10*time.Minute, call(42, 1000)).Endpoint, ShouldEqual, home)
 	})
-	Convey("Where all endpoints fail alike none is avoided", t, func() {
+	Convey("If all endpoints fail equally, none is avoided", t, func() {
 		p := placer(3)
 		for _, e := range p.service("llm").endpoints {
 			p.RecordRemoteFailures(0, e.ShortID(), 40, false)
@@ -92,7 +92,7 @@
 	Convey("Failures at an unknown endpoint are ignored", t, func() {
 		placer(1).RecordRemoteFailures(0, 77, 3, false)
 	})
-	Convey("An overdue first token counts, and its call goes on", t, func() {
+	Convey("An overdue first token counts against the endpoint, and its call may still complete", t, func() {
 		p := placer(2)
 		placed := p.Place(0, call(42, 1000))
 		for range 5 {
@@ -105,7 +105,7 @@
 }
 
 func TestTiersOfEndpoints(t *testing.T) {
-	Convey("Where all endpoints but one have failed, and that one is overdue", t, func() {
+	Convey("If all endpoints but one have failed, and that one has an overdue answer,", t, func() {
 		p := placer(4)
 		all := p.service("llm").endpoints
 		for _, e := range all[:3] {
@@ -125,13 +125,13 @@
 		}
 		last, retry := call(0, 100), call(0, 100)
 		last.LastAttempt, retry.Retry = true, true
-		Convey("a last attempt goes to that one", func() {
+		Convey("a last attempt goes to the overdue endpoint", func() {
 			So(places(last), ShouldResemble, map[*Endpoint]bool{all[3]: true})
 		})
-		Convey("a retry has no endpoint without a fault, and goes to any", func() {
+		Convey("a retry may go to any endpoint, since none is without failures or overdue answers", func() {
 			So(len(places(retry)), ShouldBeGreaterThan, 1)
 		})
-		Convey("both go anywhere again after a while", func() {
+		Convey("endpoints count as clean again after the failures have decayed", func() {
 			So(p.Place(time.Minute, retry), ShouldNotBeNil)
 			So(all[0].failures.isClean(time.Minute, 1), ShouldBeTrue)
 		})
--- a/internal/fleet/placement/feedback_test.go
+++ b/internal/fleet/placement/feedback_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestRemoteObservations(t *testing.T) {
-	Convey("Observations of other routers count as own ones, and keep calls away from slow endpoints", t, func() {
+	Convey("Observations of other routers count like own ones, and divert calls from slow endpoints", t, func() {
 		p := placer(4)
 		slow := p.service("llm").endpoints[1]
 		for i := range 200 {
--- a/internal/fleet/placement/golden_test.go
+++ b/internal/fleet/placement/golden_test.go
@@ -18,38 +18,39 @@
 	"pinelb.example/pinelb/internal/fleet/registry"
 )
 
-// goldenDecisions is the hash of all draws and learned values of the recorded play. It was recorded with the code of commit
-// 945ccb8. A change of shape leaves it as it is; a change that is meant to decide otherwise records it anew and says so.
+// goldenDecisions is the hash of all draws and learned values of the simulation, recorded with the code of commit 945ccb8. A
+// refactoring must not change it; a commit that changes decisions on purpose records the new hash and says so.
 const goldenDecisions = "f4780460e099be42"
 
-// goldenSteps is how many moments the play has; at most of them each router places a call.
+// goldenSteps is the number of steps of the simulation. In each step each router tries to place one call.
 const goldenSteps = 3000
 
-// golden plays two routers against one set of endpoints. All that it draws comes from one seed, and every value that the
-// routers return goes into one hash.
-type golden struct {
+// goldenSimulation runs two routers with one set of endpoints. All its random numbers come from one seed, and every value
+// that the routers return is added to one hash.
+type goldenSimulation struct {
 	random  *rand.Rand
 	sum     hash.Hash64
 	now     time.Duration
 	routers []*Placer
-	calls   []goldenCall // in flight
+	calls   []simulatedCall // in flight
 }
 
-// goldenCall is a call in flight and its outcome, which is drawn when the call is placed.
-type goldenCall struct {
-	router    int
-	call      *Call
-	placement *Placement
-	sent      time.Duration
-	first     time.Duration // of the first token; 0: it has come
-	end       time.Duration
-	outcome   int // below 6: fails; see finish
+// simulatedCall is a call in flight. Its outcome is drawn at random when the call is placed.
+type simulatedCall struct {
+	router       int
+	call         *Call
+	placement    *Placement
+	sentAt       time.Duration
+	firstTokenAt time.Duration // time of the first token; 0: it has arrived already
+	endAt        time.Duration
+	outcome      int // the call fails if this is below 6; see fail
 }
 
-// Guards against a change of shape that changes a decision: the same seed gives the same draws and the same learned values, bit
-// for bit. Hashes are of amd64: other compilers fuse multiplications and additions, which rounds differently.
+// TestGoldenDecisions guards against a refactoring that changes decisions: the same seed must give the same draws and the
+// same learned values, bit for bit. The recorded hash applies to amd64 only: on other architectures the compiler fuses
+// multiplications and additions, which rounds differently.
 func TestGoldenDecisions(t *testing.T) {
-	g := &golden{random: rand.New(rand.NewPCG(11, 12)), sum: fnv.New64a()}
+	g := &goldenSimulation{random: rand.New(rand.NewPCG(11, 12)), sum: fnv.New64a()}
 	for router := range uint64(2) {
 		p := New(rand.New(rand.NewPCG(13, router)))
 		p.SetRouters(2)
@@ -58,10 +59,10 @@
 	g.setEndpoints(9)
 	for step := range goldenSteps {
 		g.now += time.Duration(1 + g.random.IntN(20_000_000))
-		g.progress()
-		g.disturb(step)
+		g.advanceCalls()
+		g.changeConditions(step)
 		for router := range g.routers {
-			g.place(router, g.draw(step), nil)
+			g.place(router, g.randomCall(step), nil)
 		}
 		if step%100 == 99 {
 			g.recordState()
@@ -69,12 +70,12 @@
 	}
 	got := fmt.Sprintf("%016x", g.sum.Sum64())
 	if runtime.GOARCH == "amd64" && got != goldenDecisions {
-		t.Errorf("decisions hash to %s, recorded was %s", got, goldenDecisions)
+		t.Errorf("hash of the decisions is %s, want %s", got, goldenDecisions)
 	}
 }
 
-// record adds values to the hash; floats with all their bits.
-func (g *golden) record(values ...any) {
+// record adds values to the hash. Floating-point numbers are added with all their bits.
+func (g *goldenSimulation) record(values ...any) {
 	for _, value := range values {
 		if f, is := value.(float64); is {
 			value = math.Float64bits(f)
@@ -83,8 +84,8 @@
 	}
 }
 
-// setEndpoints has all routers know the first endpoints of both services.
-func (g *golden) setEndpoints(count int) {
+// setEndpoints sets the endpoints of all routers: the first count ones of service "llm" and three of service "plain".
+func (g *goldenSimulation) setEndpoints(count int) {
 	var list []registry.Endpoint
 	for i := range count {
 		list = append(list, registry.Endpoint{ID: fmt.Sprintf("e%02d", i), Service: "llm", Address: fmt.Sprintf("10.0.0.%d:1", i)})
@@ -94,16 +95,16 @@
 	}
 	for _, p := range g.routers {
 		added, removed := p.SetEndpoints(list)
-		slices.SortFunc(removed, func(a, b *Endpoint) int { return cmp.Compare(a.ID, b.ID) }) // a map's order
+		slices.SortFunc(removed, func(a, b *Endpoint) int { return cmp.Compare(a.ID, b.ID) }) // removed is in map order
 		for _, e := range slices.Concat(added, removed) {
 			g.record(e.ID, e.Number, e.ShortID())
 		}
 	}
 }
 
-// draw draws a call. Those of the service "plain" have one prefix each, so that which one is evicted does not depend on a
-// map's order.
-func (g *golden) draw(step int) *Call {
+// randomCall returns a random call. Calls of service "plain" have one prefix each, so that evictions don't depend on map
+// order.
+func (g *goldenSimulation) randomCall(step int) *Call {
 	targets := []time.Duration{0, 500 * time.Millisecond, 500 * time.Millisecond, 2 * time.Second}
 	c := &Call{Service: "llm", Target: targets[g.random.IntN(len(targets))]}
 	c.Spent = time.Duration(g.random.Float64() * g.random.Float64() * float64(c.Target))
@@ -123,8 +124,8 @@
 	return c
 }
 
-// place has a router place a call, tells the other one, and draws what becomes of it.
-func (g *golden) place(router int, c *Call, exclude []string) {
+// place places a call with a router, reports it to the other router, and draws the call's outcome.
+func (g *goldenSimulation) place(router int, c *Call, exclude []string) {
 	g.now++ // no two calls have the same time
 	p := g.routers[router]
 	c.Exclude = exclude
@@ -143,33 +144,33 @@
 	stream := time.Duration(c.Prompt.Output * (0.5 + g.random.Float64()) * float64(5*time.Millisecond))
 	outcome := g.random.IntN(100)
 	if e.ID == "e05" && g.now%(20*time.Second) < 5*time.Second {
-		outcome %= 10 // a failing one, by spells
+		outcome %= 10 // an endpoint that fails at intervals
 	}
-	g.calls = append(g.calls, goldenCall{
-		router: router, call: c, placement: placed, sent: g.now, first: g.now + delay, end: g.now + delay + stream, outcome: outcome,
+	g.calls = append(g.calls, simulatedCall{
+		router: router, call: c, placement: placed, sentAt: g.now, firstTokenAt: g.now + delay, endAt: g.now + delay + stream, outcome: outcome,
 	})
 }
 
-// progress reports what has become of calls by now.
-func (g *golden) progress() {
-	due := g.calls
+// advanceCalls reports the events of all calls until now to the routers.
+func (g *goldenSimulation) advanceCalls() {
+	pending := g.calls
 	g.calls = nil
-	for i := range due {
-		c := &due[i]
+	for i := range pending {
+		c := &pending[i]
 		p, other := g.routers[c.router], g.routers[1-c.router]
-		if c.first > 0 && c.first <= g.now {
+		if c.firstTokenAt > 0 && c.firstTokenAt <= g.now {
 			if c.outcome < 6 {
 				g.fail(c)
 				continue
 			}
-			seen := p.RecordFirstToken(g.now, c.placement, g.now-c.sent)
-			g.record(seen.Endpoint, seen.PrefillUnits, seen.Units, seen.Delay, seen.Wait)
-			other.RecordRemoteFirstToken(g.now, &seen)
-			c.first = 0
+			observation := p.RecordFirstToken(g.now, c.placement, g.now-c.sentAt)
+			g.record(observation.Endpoint, observation.PrefillUnits, observation.Units, observation.Delay, observation.Wait)
+			other.RecordRemoteFirstToken(g.now, &observation)
+			c.firstTokenAt = 0
 		}
-		if c.first == 0 && c.end <= g.now {
+		if c.firstTokenAt == 0 && c.endAt <= g.now {
 			gap := time.Duration(g.random.Float64() * float64(time.Second))
-			if stall, ok := p.RecordStreamEnd(g.now, c.placement, c.end-c.sent, gap); ok {
+			if stall, ok := p.RecordStreamEnd(g.now, c.placement, c.endAt-c.sentAt, gap); ok {
 				g.record(stall.Endpoint, stall.LongestGap, stall.PrefillTime)
 				other.RecordRemoteStall(&stall)
 			}
@@ -180,8 +181,8 @@
 	}
 }
 
-// fail ends a call without an answer, and places it once more.
-func (g *golden) fail(c *goldenCall) {
+// fail ends a call without an answer, and retries it.
+func (g *goldenSimulation) fail(c *simulatedCall) {
 	p, other, e := g.routers[c.router], g.routers[1-c.router], c.placement.Endpoint
 	switch {
 	case c.outcome < 2:
@@ -193,14 +194,14 @@
 	}
 	other.RecordRemoteFailures(g.now, e.ShortID(), 1, c.outcome >= 4)
 	p.Release(c.placement)
-	again := *c.call
-	again.Retry, again.LastAttempt = true, c.outcome%2 == 0
-	again.Spent += g.now - c.sent
-	g.place(c.router, &again, append(slices.Clone(c.call.Exclude), e.ID))
+	retry := *c.call
+	retry.Retry, retry.LastAttempt = true, c.outcome%2 == 0
+	retry.Spent += g.now - c.sentAt
+	g.place(c.router, &retry, append(slices.Clone(c.call.Exclude), e.ID))
 }
 
-// disturb changes the endpoint list at some moments, and how many routers there are.
-func (g *golden) disturb(step int) {
+// changeConditions changes the endpoints, the number of routers and the clock in some steps, and restarts a router in one.
+func (g *goldenSimulation) changeConditions(step int) {
 	switch step {
 	case 400, 1700:
 		g.setEndpoints(8)
@@ -220,19 +221,19 @@
 		g.setEndpoints(10)
 	case 1500:
 		g.now += time.Minute
-	case 2000: // a router starts anew
+	case 2000: // a router restarts
 		state := g.routers[0].ExportLearned(g.now)
 		p := New(rand.New(rand.NewPCG(13, 14)))
-		g.calls = slices.DeleteFunc(g.calls, func(c goldenCall) bool { return c.router == 1 })
+		g.calls = slices.DeleteFunc(g.calls, func(c simulatedCall) bool { return c.router == 1 })
 		g.routers[1] = p
 		g.setEndpoints(10)
-		p.Place(g.now, g.draw(1)) // a service is known from its first call on
+		p.Place(g.now, g.randomCall(1)) // the import comes after the first call
 		p.ImportLearned(g.now, &state)
 	}
 }
 
-// recordState adds what the routers show and export.
-func (g *golden) recordState() {
+// recordState adds the status and the exported state of all routers to the hash.
+func (g *goldenSimulation) recordState() {
 	for _, p := range g.routers {
 		g.record(p.EndpointCount("llm"), p.EndpointCount("none"), len(p.Endpoints("plain")))
 		state := p.ExportLearned(g.now)
@@ -242,8 +243,8 @@
 		})
 		stored, err := cbor.Marshal(state)
 		g.record(fmt.Sprintf("%x", stored), err)
-		for _, view := range []any{p.Tables(), p.Services(g.now)} {
-			text, err := json.Marshal(view)
+		for _, status := range []any{p.Tables(), p.Services(g.now)} {
+			text, err := json.Marshal(status)
 			g.record(string(text), err)
 		}
 	}
--- a/internal/fleet/placement/learned.go
+++ b/internal/fleet/placement/learned.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// LearnedState is what a router has learned that is of use to one that has just started, or to its own next process: which
-// prefixes endpoints have cached, and how fast they prefill. It is a hint: where it is wrong it costs time only. Its size is
-// bounded. Routers store it and fetch it from each other in CBOR.
+// LearnedState is what a router has learned about endpoints: which prefixes they have cached, and how fast they prefill.
+// Routers store it on disk and fetch it from each other, as CBOR, so that a process that has just started need not learn it
+// again. It is only a hint: an error in it can delay calls, but has no other effect. Its size is bounded.
 type LearnedState struct {
 	Prefixes []CachedPrefix `cbor:"1,keyasint,omitempty"`
 	Models   []LatencyModel `cbor:"2,keyasint,omitempty"`
@@ -13,21 +13,21 @@
 // CachedPrefix is a shared prefix that an endpoint is assumed to have cached.
 type CachedPrefix struct {
 	_        struct{} `cbor:",toarray"`
-	Endpoint uint32   // its ShortID
+	Endpoint uint32   // Endpoint.ShortID
 	Prefix   uint32   // Prefix.Hash
-	AgeMs    uint32   // since its last use
+	AgeMs    uint32   // milliseconds since the last use
 }
 
-// LatencyModel is the time to first token of a service's endpoints by the length of the prompt.
+// LatencyModel is the time to first token of a service's endpoints as a function of the prompt's length.
 type LatencyModel struct {
 	_       struct{} `cbor:",toarray"`
 	Service string
 	Base    float64 // seconds
-	PerUnit float64 // seconds a unit
-	PerPair float64 // seconds a million pairs of units
+	PerUnit float64 // seconds per unit
+	PerPair float64 // seconds per million pairs of units
 }
 
-// ExportLearned returns what this router has learned, with maxExportedPrefixes prefixes at most.
+// ExportLearned returns what this router has learned, with at most maxExportedPrefixes prefixes.
 func (p *Placer) ExportLearned(now time.Duration) LearnedState {
 	var state LearnedState
 	for name, s := range p.services {
@@ -42,30 +42,31 @@
 	return state
 }
 
-// export appends an endpoint's prefixes to a list, until that has maxExportedPrefixes.
+// export appends an endpoint's cached prefixes to a list, up to a length of maxExportedPrefixes.
 func (c prefixCache) export(now time.Duration, endpoint uint32, list []CachedPrefix) []CachedPrefix {
-	for hash, used := range c {
+	for hash, lastUse := range c {
 		if len(list) >= maxExportedPrefixes {
 			return list
 		}
-		if age := max(0, now-used); age < prefixTTL {
+		if age := max(0, now-lastUse); age < prefixTTL {
 			list = append(list, CachedPrefix{Endpoint: endpoint, Prefix: hash, AgeMs: uint32(age.Milliseconds())})
 		}
 	}
 	return list
 }
 
-// ImportLearned takes over what another router had learned by a time. What this router has observed itself stays. What concerns
-// endpoints and services that it does not know yet is ignored, so that it may be called again when it does.
-func (p *Placer) ImportLearned(at time.Duration, state *LearnedState) {
+// ImportLearned merges the learned state of another process into that of this router. asOf is the time, on this router's
+// clock, at which the ages in the state apply. This router's own observations take precedence. Entries for unknown endpoints
+// and services are ignored; ImportLearned may be called again with the same state once these are known.
+func (p *Placer) ImportLearned(asOf time.Duration, state *LearnedState) {
 	for _, cached := range state.Prefixes[:min(len(state.Prefixes), maxExportedPrefixes)] {
-		e := p.byName[cached.Endpoint]
+		e := p.byShortID[cached.Endpoint]
 		if e == nil {
 			continue
 		}
-		used := at - time.Duration(cached.AgeMs)*time.Millisecond
-		if known, found := e.prefixes[cached.Prefix]; !found || known < used {
-			e.prefixes.insert(used, cached.Prefix)
+		lastUse := asOf - time.Duration(cached.AgeMs)*time.Millisecond
+		if knownUse, found := e.prefixes[cached.Prefix]; !found || knownUse < lastUse {
+			e.prefixes.insert(lastUse, cached.Prefix)
 		}
 	}
 	for _, model := range state.Models {
--- a/internal/fleet/placement/placer.go
+++ b/internal/fleet/placement/placer.go
@@ -9,26 +9,27 @@
 	"pinelb.example/pinelb/internal/fleet/registry"
 )
 
-// Placer chooses endpoints for the calls of all services. It is not safe for concurrent use.
+// Placer chooses endpoints for the calls of all services. It is not safe for concurrent use. Parameters named now are
+// offsets on a monotonic clock of the caller.
 type Placer struct {
 	random     *rand.Rand
 	services   map[string]*service
 	byID       map[string]*Endpoint
-	byName     map[uint32]*Endpoint
+	byShortID  map[uint32]*Endpoint
 	lastNumber uint32
-	routers    int // that share the endpoints, this one included
+	routers    int // routers that share the endpoints, this one included
 }
 
-// New returns a placer without endpoints. It draws for calls without a shared prefix from random.
+// New returns a placer without endpoints. Calls without a shared prefix are placed at random, with numbers from random.
 func New(random *rand.Rand) *Placer {
-	return &Placer{random: random, services: map[string]*service{}, byID: map[string]*Endpoint{}, byName: map[uint32]*Endpoint{}, routers: 1}
+	return &Placer{random: random, services: map[string]*service{}, byID: map[string]*Endpoint{}, byShortID: map[uint32]*Endpoint{}, routers: 1}
 }
 
 // SetRouters sets how many routers share the endpoints, this one included.
 func (p *Placer) SetRouters(routers int) { p.routers = max(1, routers) }
 
-// SetEndpoints replaces the endpoints that may be sent calls. It returns those that are new and those that were removed. An
-// endpoint with another address is a new one.
+// SetEndpoints replaces the list of endpoints that calls may be sent to. It returns the new endpoints and those whose id is
+// no longer listed. An endpoint that is suspended, or whose address has changed, is replaced by a new one.
 func (p *Placer) SetEndpoints(ready []registry.Endpoint) (added, removed []*Endpoint) {
 	lists := map[string][]*Endpoint{}
 	present := map[string]bool{}
@@ -47,7 +48,7 @@
 			e.suspended = true
 			removed = append(removed, e)
 			delete(p.byID, id)
-			delete(p.byName, e.ShortID())
+			delete(p.byShortID, e.ShortID())
 		}
 	}
 	for name, s := range p.services {
@@ -64,12 +65,13 @@
 func (p *Placer) newEndpoint(id string) *Endpoint {
 	p.lastNumber++
 	e := &Endpoint{Number: p.lastNumber, hash: xxhash.Sum64String(id)}
-	p.byID[id], p.byName[e.ShortID()] = e, e
+	p.byID[id], p.byShortID[e.ShortID()] = e, e
 	return e
 }
 
-// Suspend keeps calls away from endpoints until SetEndpoints lists them again: it marks them, and the next SetEndpoints drops them or, where
-// they are listed, makes new ones. It returns those that were known.
+// Suspend stops sending calls to endpoints until SetEndpoints lists them again: the next SetEndpoints removes suspended
+// endpoints and replaces those that are listed by new ones. It returns the endpoints with these ids; unknown ids are
+// ignored.
 func (p *Placer) Suspend(ids []string) []*Endpoint {
 	var removed []*Endpoint
 	for _, id := range ids {
@@ -81,10 +83,11 @@
 	return removed
 }
 
-// EndpointCount returns how many endpoints of a service were listed last.
+// EndpointCount returns the number of a service's endpoints, as in Endpoints.
 func (p *Placer) EndpointCount(service string) int { return len(p.Endpoints(service)) }
 
-// Endpoints returns the endpoints of a service that were listed last. The slice belongs to the placer.
+// Endpoints returns the endpoints of a service in the last list of SetEndpoints, including ejected and suspended ones. The
+// caller must not modify the slice.
 func (p *Placer) Endpoints(service string) []*Endpoint {
 	if s := p.services[service]; s != nil {
 		return s.endpoints
@@ -92,7 +95,7 @@
 	return nil
 }
 
-// service returns the state of a service, which it creates at the first use.
+// service returns the state of a service, which is created on first use.
 func (p *Placer) service(name string) *service {
 	s := p.services[name]
 	if s == nil {
@@ -102,8 +105,8 @@
 	return s
 }
 
-// Place chooses a call's endpoint and records that the call is sent there. It returns nil where no endpoint may be sent the
-// call. Release has to follow.
+// Place chooses a call's endpoint and records that the call is sent there. It returns nil if no endpoint is available; else
+// the caller must call Release when the call has ended.
 func (p *Placer) Place(now time.Duration, call *Call) *Placement {
 	s := p.services[call.Service]
 	if s == nil || len(s.endpoints) == 0 {
@@ -125,14 +128,14 @@
 	return placed
 }
 
-// Release records that a call has ended, whatever its outcome.
+// Release records that a call has ended, with any outcome.
 func (p *Placer) Release(placed *Placement) {
 	placed.Endpoint.inFlight--
 	p.service(placed.Endpoint.Service).inFlight--
 }
 
-// callRate estimates the calls a second that one endpoint gets from all routers. Clients are assumed to be spread evenly over
-// the routers, and calls over the endpoints.
+// callRate estimates the calls per second that one endpoint gets from all routers. It assumes that calls are spread evenly
+// over the routers and over the endpoints.
 func (p *Placer) callRate(now time.Duration, s *service) float64 {
 	return s.calls.now(now) * float64(p.routers) / float64(max(1, len(s.endpoints)))
 }
--- a/internal/fleet/placement/placer_test.go
+++ b/internal/fleet/placement/placer_test.go
@@ -13,6 +13,7 @@
 
 const target = 500 * time.Millisecond
 
+// endpoints returns n endpoints of the service "llm".
 func endpoints(n int) []registry.Endpoint {
 	var all []registry.Endpoint
 	for i := range n {
@@ -21,12 +22,15 @@
 	return all
 }
 
+// placer returns a placer with n endpoints.
 func placer(n int) *Placer {
 	p := New(rand.New(rand.NewPCG(1, 1)))
 	p.SetEndpoints(endpoints(n))
 	return p
 }
 
+// call returns a call for a prompt of some units. Unless prefix is 0, the first half of the prompt is a shared prefix with
+// that hash.
 func call(prefix uint32, units float64) *Call {
 	c := &Call{Service: "llm", Target: target, Prompt: Prompt{Units: units}}
 	if prefix != 0 {
@@ -50,7 +54,7 @@
 				So(count, ShouldBeBetween, 140, 260)
 			}
 		})
-		Convey("keep a prefix while they are not congested, and most prefixes when one of them is removed", func() {
+		Convey("keep a prefix while they are not congested, and most prefixes when one endpoint is removed", func() {
 			homes := map[uint32]string{}
 			for prefix := uint32(1); prefix <= 200; prefix++ {
 				placed := p.Place(time.Duration(prefix)*time.Second, call(prefix*7919, 100))
@@ -68,7 +72,7 @@
 			}
 			So(moved, ShouldBeLessThan, 10)
 		})
-		Convey("lose a call to another one when the queue is long, also where other routers filled it", func() {
+		Convey("lose calls to other endpoints when their queue is long, even if other routers filled it", func() {
 			home := p.Place(0, call(42, 1000)).Endpoint
 			for range 40 {
 				recordRemotePrefill(p, time.Second, home, 200*time.Millisecond)
@@ -77,7 +81,7 @@
 			So(placed.Endpoint, ShouldNotEqual, home)
 			So(placed.Expected, ShouldBeLessThan, target)
 		})
-		Convey("keep the calls of a long cached prefix, for a somewhat longer wait", func() {
+		Convey("keep the calls of a long cached prefix even if these have to wait somewhat longer", func() {
 			first := p.Place(0, call(42, 20000))
 			p.Release(first)
 			recordRemotePrefill(p, time.Second, first.Endpoint, 300*time.Millisecond)
@@ -93,30 +97,30 @@
 			}
 			So(p.Place(0, c), ShouldBeNil)
 		})
-		Convey("are ejected after a failed connection, and used again later", func() {
+		Convey("are ejected after a failed connection, and used again after the ejection", func() {
 			home := p.Place(0, call(42, 100)).Endpoint
 			p.RecordConnectFailure(0, home)
 			So(p.Place(time.Millisecond, call(42, 100)).Endpoint, ShouldNotEqual, home)
-			So(p.Place(baseEjection+time.Second, call(42, 100)).Endpoint, ShouldEqual, home)
+			So(p.Place(baseEjectionTime+time.Second, call(42, 100)).Endpoint, ShouldEqual, home)
 		})
-		Convey("get no call once they are removed", func() {
+		Convey("get no calls while they are suspended", func() {
 			home := p.Place(0, call(42, 100)).Endpoint
 			p.Suspend([]string{home.ID, "unknown"})
 			for range 50 {
 				So(p.Place(0, call(42, 100)).Endpoint, ShouldNotEqual, home)
 			}
-			Convey("and get calls again when they are listed", func() {
+			Convey("and get calls again when they are listed again", func() {
 				p.SetEndpoints(endpoints(9))
 				So(p.Place(time.Hour, call(42, 100)).Endpoint.ID, ShouldEqual, home.ID)
 			})
 		})
-		Convey("are used even if all are ejected", func() {
+		Convey("are used if all are ejected", func() {
 			for _, e := range p.services["llm"].endpoints {
 				p.RecordConnectFailure(0, e)
 			}
 			So(p.Place(time.Millisecond, call(42, 100)), ShouldNotBeNil)
 		})
-		Convey("get calls without a prefix from all of the row", func() {
+		Convey("all get some of the calls without a prefix", func() {
 			seen := map[string]bool{}
 			for range 200 {
 				placed := p.Place(0, call(0, 1))
@@ -131,7 +135,7 @@
 	})
 }
 
-// A draw among many endpoints, as it is made for each request.
+// BenchmarkPlace measures the placement of a call among many endpoints, which happens for each request.
 func BenchmarkPlace(b *testing.B) {
 	for _, n := range []int{12, 112, 1400} {
 		b.Run(fmt.Sprint(n, " endpoints"), func(b *testing.B) {
--- a/internal/fleet/placement/prefill_test.go
+++ b/internal/fleet/placement/prefill_test.go
@@ -16,7 +16,7 @@
 			m.observe(w, truth.firstToken(w)*(0.9+0.2*random.Float64()), 1)
 		}
 	}
-	Convey("A time that grows faster than the prompt's length is fitted", t, func() {
+	Convey("The model fits a time to first token that grows faster than the prompt's length", t, func() {
 		truth := latencyLine{base: 0.01, perUnit: 17e-6, perPair: 0.65e-3}
 		var m prefillModel
 		observe(&m, 400, truth)
@@ -25,14 +25,14 @@
 			So(m.line().firstToken(w), ShouldAlmostEqual, truth.firstToken(w), 0.1*truth.firstToken(w)+0.002)
 		}
 	})
-	Convey("A time that grows with the length gets no misleading term for pairs", t, func() {
+	Convey("The model extrapolates a time that is linear in the length without a wrong term for pairs", t, func() {
 		truth := latencyLine{base: 0.05, perUnit: 25e-6}
 		var m prefillModel
 		observe(&m, 400, truth)
 		w := workOf(50000, 50000)
 		So(m.line().firstToken(w), ShouldAlmostEqual, truth.firstToken(w), 0.15*truth.firstToken(w))
 	})
-	Convey("A single outlier moves the line little", t, func() {
+	Convey("A single outlier changes the line little", t, func() {
 		truth := latencyLine{base: 0.01, perUnit: 17e-6, perPair: 0.65e-3}
 		var m prefillModel
 		observe(&m, 400, truth)
@@ -41,7 +41,7 @@
 		m.observe(w, 60, 1)
 		So(m.line().firstToken(w), ShouldBeLessThan, 1.5*before)
 	})
-	Convey("Absurd observations stay within bounds", t, func() {
+	Convey("The line stays within its bounds for implausible observations", t, func() {
 		var m prefillModel
 		for range 1000 {
 			m.observe(workOf(1e9, 4e9), 0, 1)
--- a/internal/fleet/placement/prefix_cache.go
+++ b/internal/fleet/placement/prefix_cache.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// prefixCache models an endpoint's cache of shared prefixes (its KV cache): the last use of each prefix, by its hash. Its size is
-// bounded by maxCachedPrefixes.
+// prefixCache models an endpoint's cache of shared prefixes (its KV cache): it maps the hash of a prefix to the time of its
+// last use, for at most maxCachedPrefixes prefixes.
 type prefixCache map[uint32]time.Duration
 
-// uncached returns how many of a prompt's units have to be prefilled, at least 1.
+// uncached returns the number of a prompt's units that the endpoint has to prefill, at least 1.
 func (c prefixCache) uncached(now time.Duration, p *Prompt) float64 {
 	for _, prefix := range p.Prefixes {
-		if used, known := c[prefix.Hash]; known && now-used < prefixTTL {
+		if lastUse, cached := c[prefix.Hash]; cached && now-lastUse < prefixTTL {
 			return max(1, p.Units-prefix.Units)
 		}
 	}
 	return p.Units
 }
 
-// insert records that a prefix is used.
+// insert records the use of a prefix. It evicts the least recently used one if there are too many.
 func (c *prefixCache) insert(now time.Duration, hash uint32) {
 	if *c == nil {
 		*c = prefixCache{}
@@ -32,9 +32,9 @@
 
 func (c *prefixCache) evictOldest() {
 	oldest, oldestUse := uint32(0), time.Duration(math.MaxInt64)
-	for hash, used := range *c {
-		if used < oldestUse {
-			oldest, oldestUse = hash, used
+	for hash, lastUse := range *c {
+		if lastUse < oldestUse {
+			oldest, oldestUse = hash, lastUse
 		}
 	}
 	delete(*c, oldest)
--- a/internal/fleet/placement/prefix_cache_test.go
+++ b/internal/fleet/placement/prefix_cache_test.go
@@ -9,17 +9,17 @@
 
 func TestPrefixCache(t *testing.T) {
 	Convey("Cached prefixes expire, and their number is bounded", t, func() {
-		var k prefixCache
+		var cache prefixCache
 		prompt := &Prompt{Units: 100, Prefixes: []Prefix{{Hash: 1, Units: 80}, {Hash: 2, Units: 30}}}
-		So(k.uncached(0, prompt), ShouldEqual, 100)
-		k.insert(0, 2)
-		So(k.uncached(time.Second, prompt), ShouldEqual, 70)
-		k.insert(time.Second, 1)
-		So(k.uncached(time.Second, prompt), ShouldEqual, 20)
-		So(k.uncached(2*prefixTTL, prompt), ShouldEqual, 100)
+		So(cache.uncached(0, prompt), ShouldEqual, 100)
+		cache.insert(0, 2)
+		So(cache.uncached(time.Second, prompt), ShouldEqual, 70)
+		cache.insert(time.Second, 1)
+		So(cache.uncached(time.Second, prompt), ShouldEqual, 20)
+		So(cache.uncached(2*prefixTTL, prompt), ShouldEqual, 100)
 		for hash := range uint32(2 * maxCachedPrefixes) {
-			k.insert(2*time.Second, hash+10)
+			cache.insert(2*time.Second, hash+10)
 		}
-		So(len(k), ShouldBeLessThanOrEqualTo, maxCachedPrefixes)
+		So(len(cache), ShouldBeLessThanOrEqualTo, maxCachedPrefixes)
 	})
 }
--- a/internal/fleet/placement/queue.go
+++ b/internal/fleet/placement/queue.go
@@ -5,41 +5,41 @@
 	"time"
 )
 
-// job is a prompt that an endpoint has still to prefill.
+// job is a prompt that an endpoint has not prefilled yet.
 type job struct {
 	serial    uint64
 	priority  int
 	remaining float64 // seconds
 }
 
-// queue models what an endpoint has still to prefill before a new prompt's first token. It is fed with this router's own sends
-// at once and with other routers' as they report them: reports of the endpoint itself would be old on arrival, and the same
-// for all readers. A prefill that has started runs to its end; then the most urgent job is next, the oldest among equals. The
-// first job is the one that runs.
+// queue models the prefills that an endpoint has to finish before it can start that of a new prompt. Calls of this router
+// are added at once, those of other routers when they are reported. Reports by the endpoint itself are not used: they would
+// be outdated on arrival, and all routers would act on the same report. A prefill that has started is not preempted; after
+// it the most urgent job runs, the oldest one among equals. The first job of the list is the one that is running.
 type queue struct {
 	jobs       []job
 	lastSerial uint64
 	updatedAt  time.Duration
 }
 
-// drain lets the endpoint work until now.
-func (q *queue) drain(now time.Duration) {
+// advance removes the work that the endpoint has done until now.
+func (q *queue) advance(now time.Duration) {
 	if now <= q.updatedAt {
 		return
 	}
-	passed := (now - q.updatedAt).Seconds()
+	elapsed := (now - q.updatedAt).Seconds()
 	q.updatedAt = now
 	for len(q.jobs) > 0 {
-		if q.jobs[0].remaining > passed {
-			q.jobs[0].remaining -= passed
+		if q.jobs[0].remaining > elapsed {
+			q.jobs[0].remaining -= elapsed
 			return
 		}
-		passed -= q.jobs[0].remaining
+		elapsed -= q.jobs[0].remaining
 		q.remove(0)
 	}
 }
 
-// remove ends a job. Where it was the running one, the next is moved to the front.
+// remove removes job i. If it was the running one, the job that runs next is moved to the front.
 func (q *queue) remove(i int) {
 	q.jobs = slices.Delete(q.jobs, i, i+1)
 	if i > 0 || len(q.jobs) < 2 {
@@ -56,8 +56,9 @@
 	q.jobs[0] = chosen
 }
 
-// waitFor returns how many seconds of prefill are expected in front of a new prompt of a priority. A less urgent job that waits
-// may start before the new prompt arrives, the likelier the less is in front of it; the longest one is taken to.
+// waitFor returns the expected seconds until the endpoint can start to prefill a new prompt of a priority. A less urgent job
+// in the queue may start before the new prompt arrives at the endpoint; this is the more likely the less work is ahead of
+// it. The longest one is assumed to do so.
 func (q *queue) waitFor(priority int) float64 {
 	ahead, longest := 0.0, 0.0
 	for i := range q.jobs {
@@ -70,7 +71,7 @@
 	return ahead + longest*max(0, 1-ahead/certainOvertakeSeconds)
 }
 
-// total returns how many seconds all jobs take.
+// total returns the remaining seconds of all jobs.
 func (q *queue) total() float64 {
 	sum := 0.0
 	for i := range q.jobs {
@@ -79,9 +80,10 @@
 	return sum
 }
 
-// push adds a job that takes so many seconds. It returns the job's serial number.
+// push adds a job that takes the given seconds, and returns its serial number. The total is limited to maxQueueSeconds. If
+// there are maxQueueJobs already, the time is added to the last job.
 func (q *queue) push(now time.Duration, priority int, seconds float64) uint64 {
-	q.drain(now)
+	q.advance(now)
 	seconds = min(seconds, max(0, maxQueueSeconds-q.total()))
 	if len(q.jobs) >= maxQueueJobs {
 		q.jobs[len(q.jobs)-1].remaining += seconds
@@ -92,7 +94,8 @@
 	return q.lastSerial
 }
 
-// complete records that the first token of a job came: it and the jobs pushed before it that are as urgent have ended.
+// complete records that the first token of a job has arrived: the job, and those that were pushed before it and are at least
+// as urgent, are removed.
 func (q *queue) complete(serial uint64, priority int) {
 	for i := len(q.jobs) - 1; i >= 0; i-- {
 		if q.jobs[i].serial <= serial && q.jobs[i].priority <= priority {
--- a/internal/fleet/placement/queue_test.go
+++ b/internal/fleet/placement/queue_test.go
@@ -8,22 +8,22 @@
 )
 
 func TestQueue(t *testing.T) {
-	Convey("A running prefill ends before the most urgent one starts", t, func() {
+	Convey("A running prefill is not preempted by a more urgent one", t, func() {
 		var q queue
 		q.push(0, 1, 0.2)
 		q.push(0, 1, 0.3)
 		q.push(0, 0, 0.1)
 		So(q.waitFor(0), ShouldAlmostEqual, 0.3, 1e-9)
 		So(q.waitFor(1), ShouldAlmostEqual, 0.6, 1e-9)
-		q.drain(200 * time.Millisecond)
+		q.advance(200 * time.Millisecond)
 		So(q.jobs[0].priority, ShouldEqual, 0)
-		So(q.waitFor(0), ShouldAlmostEqual, 0.1+0.3*(1-0.1/certainOvertakeSeconds), 1e-9) // the other one may start first
-		q.drain(350 * time.Millisecond)
-		So(q.waitFor(0), ShouldAlmostEqual, 0.25, 1e-9) // the other one runs
-		q.drain(time.Second)
+		So(q.waitFor(0), ShouldAlmostEqual, 0.1+0.3*(1-0.1/certainOvertakeSeconds), 1e-9) // the less urgent job may start first
+		q.advance(350 * time.Millisecond)
+		So(q.waitFor(0), ShouldAlmostEqual, 0.25, 1e-9) // the less urgent job is running
+		q.advance(time.Second)
 		So(q.jobs, ShouldBeEmpty)
 	})
-	Convey("A first token completes the jobs in front of it", t, func() {
+	Convey("A first token completes its job and the earlier ones, not later ones", t, func() {
 		var q queue
 		serial := q.push(0, 0, 0.5)
 		q.push(0, 0, 0.003)
--- a/internal/fleet/placement/rate.go
+++ b/internal/fleet/placement/rate.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// rateMeter is an exponentially weighted average of a rate over rateMemory.
+// rateMeter is an exponentially weighted average of a rate, with a decay time of rateDecayTime.
 type rateMeter struct {
-	rate      float64 // 1/s at updatedAt
+	rate      float64 // per second, at updatedAt
 	updatedAt time.Duration
 }
 
 func (r *rateMeter) decay(now time.Duration) {
 	if now > r.updatedAt {
-		r.rate *= remainingWeight(now-r.updatedAt, float64(rateMemory))
+		r.rate *= remainingWeight(now-r.updatedAt, float64(rateDecayTime))
 		r.updatedAt = now
 	}
 }
@@ -21,16 +21,16 @@
 // count counts one event.
 func (r *rateMeter) count(now time.Duration) {
 	r.decay(now)
-	r.rate += 1 / rateMemory.Seconds()
+	r.rate += 1 / rateDecayTime.Seconds()
 }
 
-// now returns the rate in events a second.
+// now returns the rate in events per second.
 func (r *rateMeter) now(now time.Duration) float64 {
 	r.decay(now)
 	return r.rate
 }
 
-// remainingWeight returns what a sample weighs after a time, with a memory in nanoseconds.
-func remainingWeight(elapsed time.Duration, memory float64) float64 {
-	return math.Exp(-float64(elapsed) / memory)
+// remainingWeight returns the weight of a sample after a time. It falls to 1/e after decayTime, in nanoseconds.
+func remainingWeight(elapsed time.Duration, decayTime float64) float64 {
+	return math.Exp(-float64(elapsed) / decayTime)
 }
--- a/internal/fleet/placement/rows.go
+++ b/internal/fleet/placement/rows.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// bucketEdges divide the share of the target latency that is spent before the draw.
+// bucketEdges divide calls into buckets by the share of the target latency that has passed before the draw.
 var bucketEdges = [...]float64{0.1, 0.3, 0.6}
 
-// bucketCount is how many rows a table has.
+// bucketCount is the number of buckets, and of rows of a table.
 const bucketCount = len(bucketEdges) + 1
 
-// bucketFor returns the row for a call that has spent a share of its target.
+// bucketFor returns the bucket of a call, given the share of its target that has passed.
 func bucketFor(spentShare float64) int {
 	for i, edge := range bucketEdges {
 		if spentShare < edge {
@@ -18,7 +18,7 @@
 	return bucketCount - 1
 }
 
-// bucketMidpoint returns the share of the target that a bucket's calls are taken to have spent.
+// bucketMidpoint returns the share of the target that is assumed to have passed for the calls of a bucket.
 func bucketMidpoint(bucket int) float64 {
 	low, high := 0.0, 1.0
 	if bucket > 0 {
@@ -30,10 +30,10 @@
 	return (low + high) / 2
 }
 
-// rows are shares by bucket and endpoint. Each row sums to one.
+// rows are the endpoints' shares of the calls, by bucket and endpoint. Each row sums to one.
 type rows [bucketCount][]float64
 
-// evenRows splits all calls evenly.
+// evenRows returns rows in which all endpoints have the same share.
 func evenRows(endpoints int) rows {
 	var r rows
 	for k := range r {
--- a/internal/fleet/placement/service.go
+++ b/internal/fleet/placement/service.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// service is the state of one service: its endpoints, its tables and what all its endpoints share.
+// service is the state of one service: its endpoints, its tables and the models that its endpoints share.
 type service struct {
-	endpoints   []*Endpoint // ready ones, in the order of the list
-	tables      map[time.Duration]*table
-	inFlight    int
-	prefill     prefillModel
-	accuracy    accuracy
-	stalls      stallModel
-	tokens      tokenTimes
-	promptsSeen bool                    // some call has stated the length of its prompt
-	candidates  []candidate             // of the last draw, reused
-	calls       rateMeter               // of this router
-	callRate    float64                 // calls a second to one endpoint from all routers, if they are spread evenly
-	meanWeights [priorityLevels]float64 // units a call, by priority
+	endpoints           []*Endpoint // in the order of the last list; suspended ones are included
+	tables              map[time.Duration]*table
+	inFlight            int
+	prefill             prefillModel
+	accuracy            accuracy
+	stalls              stallModel
+	tokens              tokenTimes
+	promptLengthsStated bool                    // at least one call has stated the length of its prompt
+	candidates          []candidate             // of the last draw; the slice is reused
+	calls               rateMeter               // rate of this router's calls
+	callRate            float64                 // calls per second to one endpoint from all routers; see Placer.callRate
+	meanWeights         [priorityLevels]float64 // units per call, by priority; 0: no call yet
 }
 
-// setEndpoints replaces the endpoints. Shares move with their endpoints.
+// setEndpoints replaces the endpoints, and adapts all tables to the new list.
 func (s *service) setEndpoints(list []*Endpoint) {
-	former := s.endpoints
-	if slices.Equal(former, list) {
+	previous := s.endpoints
+	if slices.Equal(previous, list) {
 		return
 	}
 	s.endpoints = list
 	for _, t := range s.tables {
-		t.remap(former, list)
+		t.remap(previous, list)
 	}
 }
 
-// table returns the table of a target latency, which it creates at the first use.
+// table returns the table of a target latency, which is created on first use.
 func (s *service) table(target time.Duration) *table {
 	t := s.tables[target]
 	if t == nil {
@@ -53,10 +53,10 @@
 	placed.serial = s.enqueue(now, e, &call.Prompt, placed.work, placed.Expected)
 }
 
-// enqueue records that an endpoint has a prompt to prefill, and then a stream to write. It returns the serial number of the
-// job in the endpoint's queue.
+// enqueue records that an endpoint has to prefill a prompt, and then to write a stream. It returns the serial number of the
+// job in the endpoint's queue. expected is the expected time to first token.
 func (s *service) enqueue(now time.Duration, e *Endpoint, prompt *Prompt, w work, expected time.Duration) uint64 {
-	s.promptsSeen = s.promptsSeen || prompt.Units > 1
+	s.promptLengthsStated = s.promptLengthsStated || prompt.Units > 1
 	seconds := s.prefill.line().prefill(w) * e.slowness.factor(now)
 	e.prefills.add(now, seconds)
 	serial := e.queue.push(now, prompt.Priority, seconds)
@@ -72,16 +72,16 @@
 	return serial
 }
 
-// recordWeight takes a prompt into the mean weight of its priority.
+// recordWeight updates the mean weight of the prompt's priority.
 func (s *service) recordWeight(prompt *Prompt) {
 	mean := &s.meanWeights[priorityClass(prompt.Priority)]
 	if *mean == 0 {
 		*mean = prompt.weightUnits()
 	}
-	*mean += (prompt.weightUnits() - *mean) / callWeightMemory
+	*mean += (prompt.weightUnits() - *mean) / callWeightDecayCalls
 }
 
-// callWeight returns what a call weighs, in calls of its priority's mean weight.
+// callWeight returns the weight of a call relative to the mean of its priority, between minCallWeight and maxCallWeight.
 func (s *service) callWeight(prompt *Prompt) float64 {
 	mean := s.meanWeights[priorityClass(prompt.Priority)]
 	if mean == 0 {
--- a/internal/fleet/placement/slowness.go
+++ b/internal/fleet/placement/slowness.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// slowness estimates how many times as long as the service's prefill model says an endpoint takes, by the mean logarithm of
+// slowness estimates the ratio of an endpoint's delays to those of the service's prefill model, as the geometric mean over
 // its calls. The zero value is an endpoint of the usual speed.
 type slowness struct {
-	weight, sum float64 // of logarithms
+	weight, sum float64 // of the logarithms of ratios
 	updatedAt   time.Duration
 }
 
@@ -16,21 +16,22 @@
 	if now <= s.updatedAt {
 		return
 	}
-	keep := remainingWeight(now-s.updatedAt, float64(slownessMemory))
-	s.weight *= keep
-	s.sum *= keep
+	retention := remainingWeight(now-s.updatedAt, float64(slownessDecayTime))
+	s.weight *= retention
+	s.sum *= retention
 	s.updatedAt = now
 }
 
-// observe records a call that took so many times as long as the model says.
+// observe records the ratio of a call's delay to that of the model.
 func (s *slowness) observe(now time.Duration, factor float64) {
 	s.decay(now)
-	keep := 1 - 1/slownessMemoryCalls
-	s.weight = s.weight*keep + 1
-	s.sum = s.sum*keep + math.Log(min(max(factor, 1/maxSlownessSample), maxSlownessSample))
+	retention := 1 - 1/slownessDecayCalls
+	s.weight = s.weight*retention + 1
+	s.sum = s.sum*retention + math.Log(min(max(factor, 1/maxSlownessSample), maxSlownessSample))
 }
 
-// factor returns the estimate; 1 within the dead band.
+// factor returns the estimated ratio, moved toward 1 by the factor slownessDeadband. It is 1
+// within the dead band.
 func (s *slowness) factor(now time.Duration) float64 {
 	if s.weight == 0 {
 		return 1
--- a/internal/fleet/placement/slowness_test.go
+++ b/internal/fleet/placement/slowness_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestSlowness(t *testing.T) {
-	Convey("A slow endpoint is distinguished from chance, and its factor decays", t, func() {
+	Convey("A single slow call has little effect, many have a large one, and the factor decays", t, func() {
 		var s slowness
 		So(s.factor(0), ShouldEqual, 1)
 		s.observe(0, 6)
--- a/internal/fleet/placement/solver.go
+++ b/internal/fleet/placement/solver.go
@@ -2,18 +2,18 @@
 
 import "slices"
 
-// The solver of a table's rows: projected gradient ascent on the expected payoff, with a penalty for uneven rows.
+// This file solves a table for its rows, by projected gradient ascent on the expected payoff with a penalty for uneven rows.
 
-// problem is what the rows are solved from.
+// problem holds the inputs that the rows are solved from.
 type problem struct {
 	target        float64              // seconds
-	rates         [bucketCount]float64 // calls a second, by bucket
+	rates         [bucketCount]float64 // calls per second, by bucket
 	delays        []delayFit           // by endpoint
-	failureShares []float64            // of calls, by endpoint
-	otherRates    []float64            // calls a second of other tables, by endpoint
+	failureShares []float64            // share of calls that fail, by endpoint
+	otherRates    []float64            // calls per second that other tables send, by endpoint
 }
 
-// endpointRates returns the calls a second that each endpoint gets under the rows.
+// endpointRates returns the calls per second that each endpoint gets with the rows.
 func (p *problem) endpointRates(r rows) []float64 {
 	rates := slices.Clone(p.otherRates)
 	for k := range r {
@@ -24,18 +24,18 @@
 	return rates
 }
 
-// limit returns the seconds that are left to a bucket's calls.
+// limit returns the seconds that remain of the target for the calls of a bucket.
 func (p *problem) limit(bucket int) float64 { return p.target * (1 - bucketMidpoint(bucket)) }
 
-// payoff returns the share of all calls whose first token is expected in time.
+// payoff returns the expected share of calls whose first token arrives within the target.
 func (p *problem) payoff(r rows) float64 {
 	rates := p.endpointRates(r)
 	sum, total := 0.0, 0.0
 	for k := range r {
 		total += p.rates[k]
 		for e, share := range r[k] {
-			chance, _ := p.delays[e].chanceWithin(p.limit(k), rates[e])
-			sum += p.rates[k] * share * chance * (1 - p.failureShares[e])
+			probability, _ := p.delays[e].probabilityWithin(p.limit(k), rates[e])
+			sum += p.rates[k] * share * probability * (1 - p.failureShares[e])
 		}
 	}
 	if total == 0 {
@@ -44,14 +44,14 @@
 	return sum / total
 }
 
-// solution is the solved rows, and the payoff of the rows before and of these.
+// solution holds the solved rows, and the payoff before and after the solve.
 type solution struct {
 	rows          rows
 	before, after float64
 }
 
-// solve moves rows toward a higher payoff less unevenness. Steps have a fixed length and may overshoot where delays grow
-// steeply with the rate: rows that come out worse than the start are discarded.
+// solve changes rows to increase the payoff minus the unevenness. Steps have a fixed length and may overshoot where delays
+// grow steeply with the rate: if the result is worse than the start, it is discarded.
 func (p *problem) solve(start rows) solution {
 	moved := start.clone()
 	for range gradientSteps {
@@ -64,7 +64,7 @@
 	return solution{rows: moved, before: before, after: after}
 }
 
-// unevenness returns the penalty of the rows for not being even, in payoff.
+// unevenness returns the penalty for the rows' deviation from even shares, in units of payoff.
 func (p *problem) unevenness(r rows) float64 {
 	sum, total := 0.0, 0.0
 	for k := range r {
@@ -80,7 +80,7 @@
 	return sum / total
 }
 
-// step moves rows along the gradient, back onto rows that sum to one.
+// step moves the rows along the gradient, and projects them back to rows that sum to one.
 func (p *problem) step(r rows) {
 	gradient := p.gradient(r, p.endpointRates(r))
 	for k := range r {
@@ -91,16 +91,16 @@
 	}
 }
 
-// gradient returns the gradient of payoff less unevenness, for each row in units of one of its calls.
+// gradient returns the gradient of the payoff minus the unevenness. The values of each row are per call of that row.
 func (p *problem) gradient(r rows, rates []float64) rows {
 	var g rows
 	congestion := make([]float64, len(rates))
 	for k := range r {
 		g[k] = make([]float64, len(rates))
 		for e, share := range r[k] {
-			chance, byRate := p.delays[e].chanceWithin(p.limit(k), rates[e])
-			g[k][e] = chance * (1 - p.failureShares[e])
-			congestion[e] += p.rates[k] * share * byRate * (1 - p.failureShares[e])
+			probability, derivative := p.delays[e].probabilityWithin(p.limit(k), rates[e])
+			g[k][e] = probability * (1 - p.failureShares[e])
+			congestion[e] += p.rates[k] * share * derivative * (1 - p.failureShares[e])
 		}
 	}
 	for k := range g {
@@ -112,11 +112,11 @@
 	return g
 }
 
-// projectOnSimplex moves a row to the nearest one that sums to one and has no share below lowest (Duchi et al., 2008).
-func projectOnSimplex(row []float64, lowest float64) {
+// projectOnSimplex replaces a row by the nearest one that sums to one and has no share below minValue (Duchi et al., 2008).
+func projectOnSimplex(row []float64, minValue float64) {
 	sorted := slices.Clone(row)
 	for i := range sorted {
-		sorted[i] -= lowest
+		sorted[i] -= minValue
 	}
 	slices.SortFunc(sorted, func(a, b float64) int {
 		switch {
@@ -127,7 +127,7 @@
 		}
 		return 0
 	})
-	budget := 1 - lowest*float64(len(row))
+	budget := 1 - minValue*float64(len(row))
 	sum, shift := 0.0, 0.0
 	for i, value := range sorted {
 		sum += value
@@ -136,6 +136,6 @@
 		}
 	}
 	for i := range row {
-		row[i] = lowest + max(0, row[i]-lowest-shift)
+		row[i] = minValue + max(0, row[i]-minValue-shift)
 	}
 }
--- a/internal/fleet/placement/solver_test.go
+++ b/internal/fleet/placement/solver_test.go
@@ -9,7 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against rows that are not distributions, and against a solve that lowers the payoff.
+// TestSolveRaisesPayoff guards against solved rows that are not probability distributions, and against a solve that lowers
+// the payoff.
 func TestSolveRaisesPayoff(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(rt, "endpoints")
@@ -20,9 +21,9 @@
 		for range n {
 			p.delays = append(p.delays, delayFit{
 				base: rapid.Float64Range(0.02, 1).Draw(rt, "base"), slope: rapid.Float64Range(0, 0.05).Draw(rt, "slope"),
-				deviation: rapid.Float64Range(0.02, 0.3).Draw(rt, "spread"),
+				deviation: rapid.Float64Range(0.02, 0.3).Draw(rt, "deviation"),
 			})
-			p.failureShares = append(p.failureShares, rapid.Float64Range(0, 0.5).Draw(rt, "fails"))
+			p.failureShares = append(p.failureShares, rapid.Float64Range(0, 0.5).Draw(rt, "failure share"))
 		}
 		even := evenRows(n)
 		before := p.payoff(even)
@@ -32,21 +33,21 @@
 			for _, share := range row {
 				sum += share
 				if share < 0 {
-					rt.Fatalf("a share of %v", share)
+					rt.Fatalf("share %v is negative", share)
 				}
 			}
 			if math.Abs(sum-1) > 1e-9 {
-				rt.Fatalf("a row sums to %v", sum)
+				rt.Fatalf("row sums to %v, want 1", sum)
 			}
 		}
 		if after := p.payoff(solved); after < before-1e-12 {
-			rt.Fatalf("payoff %v became %v", before, after)
+			rt.Fatalf("solve lowered the payoff from %v to %v", before, after)
 		}
 	})
 }
 
 func TestSolvedRows(t *testing.T) {
-	Convey("An endpoint that failed once gets its share again when it has recovered", t, func() {
+	Convey("A recovered endpoint gets its share of calls again", t, func() {
 		p := problem{target: 0.5, rates: [bucketCount]float64{10, 1, 1, 1}, otherRates: make([]float64, 4), failureShares: []float64{0, 0, 0, 0.6}}
 		for range p.otherRates {
 			p.delays = append(p.delays, delayFit{base: 0.1, deviation: 0.05})
@@ -59,7 +60,7 @@
 		}
 		So(r[0][3], ShouldBeGreaterThan, 0.2)
 	})
-	Convey("Rows that came out worse are discarded", t, func() {
+	Convey("Solved rows that are worse than the start are discarded", t, func() {
 		p := problem{target: 0.5, rates: [bucketCount]float64{20, 20, 20, 20}, otherRates: make([]float64, 12)}
 		for i := range p.otherRates {
 			p.delays = append(p.delays, delayFit{base: 0.3 + 0.7*float64(i%2), slope: 0.05, deviation: 0.02})
@@ -75,7 +76,7 @@
 			r = solved.rows
 		}
 	})
-	Convey("A row moves calls away from an endpoint that is late or fails", t, func() {
+	Convey("A solve moves calls away from endpoints that are late or fail", t, func() {
 		p := problem{target: 0.5, otherRates: make([]float64, 3), failureShares: []float64{0, 0, 0.5}}
 		p.rates = [bucketCount]float64{10, 1, 1, 1}
 		p.delays = []delayFit{{base: 0.1, deviation: 0.05}, {base: 0.9, deviation: 0.05}, {base: 0.1, deviation: 0.05}}
@@ -87,7 +88,7 @@
 		So(rows[0][1], ShouldBeLessThan, 0.1)
 		So(rows[0][2], ShouldBeLessThan, 0.2)
 	})
-	Convey("Calls are divided into buckets by the share of their target that is spent", t, func() {
+	Convey("Calls are divided into buckets by the share of their target that has passed", t, func() {
 		So(bucketFor(0), ShouldEqual, 0)
 		So(bucketFor(0.2), ShouldEqual, 1)
 		So(bucketFor(0.99), ShouldEqual, bucketCount-1)
@@ -95,7 +96,7 @@
 	})
 }
 
-// A solve of one table.
+// BenchmarkSolve measures a solve of one table.
 func BenchmarkSolve(b *testing.B) {
 	for _, n := range []int{12, 112, 1400} {
 		b.Run(fmt.Sprint(n, " endpoints"), func(b *testing.B) {
--- a/internal/fleet/placement/stalls.go
+++ b/internal/fleet/placement/stalls.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// stallModel estimates the longest gap that a prefill causes between a stream's events, as a share of the prefill's time.
-// Engines prefill in chunks of lengths that they don't report. The zero value has no observation.
+// stallModel estimates the longest gap that a prefill causes between two events of a stream, as a share of the prefill's
+// time. The share has to be learned, since engines prefill in chunks whose lengths they don't report. The zero value has no
+// observations.
 type stallModel struct {
 	mean     float64
 	observed bool
 }
 
-func (m *stallModel) observe(seen *Stall) {
-	if !(seen.PrefillTime > 0 && seen.LongestGap >= 0) { // also NaN, of another router
+func (m *stallModel) observe(stall *Stall) {
+	if !(stall.PrefillTime > 0 && stall.LongestGap >= 0) { // also rejects NaN in another router's report
 		return
 	}
 	if !m.observed {
 		m.mean, m.observed = priorStallShare, true
 	}
-	share := min(max(seen.LongestGap/seen.PrefillTime, minStallShare), 1)
-	m.mean += (share - m.mean) / stallMemory
+	share := min(max(stall.LongestGap/stall.PrefillTime, minStallShare), 1)
+	m.mean += (share - m.mean) / stallDecayStreams
 }
 
 func (m *stallModel) share() float64 {
@@ -27,7 +28,7 @@
 	return m.mean
 }
 
-// recentPrefills is a ring of the last prefills that an endpoint was sent.
+// recentPrefills is a ring buffer of the last maxRecentPrefills prefills that were sent to an endpoint.
 type recentPrefills struct {
 	list [maxRecentPrefills]prefillRecord
 	next int
@@ -43,12 +44,13 @@
 	r.next = (r.next + 1) % maxRecentPrefills
 }
 
-// longest returns the seconds of the longest prefill that was sent in a period, bounds included; 0 where none is in the ring.
+// longest returns the duration, in seconds, of the longest prefill that was sent between two times, inclusive. It is 0 if
+// the buffer holds none.
 func (r *recentPrefills) longest(from, to time.Duration) float64 {
 	longest := 0.0
-	for _, each := range r.list {
-		if each.sentAt >= from && each.sentAt <= to {
-			longest = max(longest, each.seconds)
+	for _, record := range r.list {
+		if record.sentAt >= from && record.sentAt <= to {
+			longest = max(longest, record.seconds)
 		}
 	}
 	return longest
--- a/internal/fleet/placement/status.go
+++ b/internal/fleet/placement/status.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// Share is one endpoint's share of a row.
+// Share is an endpoint's share of the calls of a row.
 type Share struct {
 	Endpoint string  `json:"endpoint"`
 	Share    float64 `json:"share"`
 }
 
-// TableStatus is a table in the status that operators see.
+// TableStatus is a table as shown in the router's status.
 type TableStatus struct {
 	Service      string               `json:"service"`
 	TargetMs     int64                `json:"targetMs"`
 	Rows         [bucketCount][]Share `json:"rows"`
-	PayoffBefore float64              `json:"payoffBefore"` // the last solve: share of calls in time
-	PayoffAfter  float64              `json:"payoffAfter"`
+	PayoffBefore float64              `json:"payoffBefore"` // expected share of calls in time, before the last solve
+	PayoffAfter  float64              `json:"payoffAfter"`  // and after it
 }
 
-// Tables returns all tables, ordered by service and target.
+// Tables returns the status of all tables, ordered by service and target.
 func (p *Placer) Tables() []TableStatus {
-	var views []TableStatus
+	var statuses []TableStatus
 	for name, s := range p.services {
 		for target, t := range s.tables {
 			v := TableStatus{Service: name, TargetMs: target.Milliseconds(), PayoffBefore: t.payoffBefore, PayoffAfter: t.payoffAfter}
@@ -33,71 +33,72 @@
 					v.Rows[k] = append(v.Rows[k], Share{Endpoint: s.endpoints[i].ID, Share: share})
 				}
 			}
-			views = append(views, v)
+			statuses = append(statuses, v)
 		}
 	}
-	slices.SortFunc(views, func(a, b TableStatus) int {
+	slices.SortFunc(statuses, func(a, b TableStatus) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.TargetMs, b.TargetMs))
 	})
-	return views
+	return statuses
 }
 
-// SizeStatus compares expected and actual times to first token since the start, for calls of a class of prefilled units.
-type SizeStatus struct {
-	UnitsBelow float64 `json:"unitsBelow,omitempty"` // 0: no bound
+// AccuracyStatus compares expected and actual times to first token since the router's start, for one class of calls by
+// prefilled units.
+type AccuracyStatus struct {
+	UnitsBelow float64 `json:"unitsBelow,omitempty"` // upper bound of the class; 0: none
 	Calls      float64 `json:"calls"`
 	ExpectedMs float64 `json:"expectedMs"` // mean
 	ActualMs   float64 `json:"actualMs"`   // mean
 }
 
-// EndpointStatus is what this router assumes of an endpoint.
+// EndpointStatus is this router's estimate of an endpoint's state.
 type EndpointStatus struct {
-	Endpoint  string  `json:"endpoint"`
-	WaitMs    float64 `json:"waitMs"`    // of a call of the least urgent priority
-	Streams   int     `json:"streams"`   // that probably run there
-	Kept      int     `json:"kept"`      // prefixes cached
-	Slowness  float64 `json:"slowness"`  // times the service's prefill model
-	FailShare float64 `json:"failShare"` // of calls
-	Ejected   bool    `json:"ejected,omitempty"`
+	Endpoint       string  `json:"endpoint"`
+	WaitMs         float64 `json:"waitMs"`    // expected wait of a call of the least urgent priority
+	Streams        int     `json:"streams"`   // streams that are probably running
+	CachedPrefixes int     `json:"kept"`      // number of prefixes
+	Slowness       float64 `json:"slowness"`  // ratio of delays to the service's prefill model
+	FailureShare   float64 `json:"failShare"` // share of calls that fail
+	Ejected        bool    `json:"ejected,omitempty"`
 }
 
-// ServiceStatus is what this router has learned of a service's endpoints.
+// ServiceStatus is what this router has learned about a service's endpoints.
 type ServiceStatus struct {
-	Service     string           `json:"service"`
-	FirstMs     float64          `json:"firstMs"`     // to a first token without prefill
-	UnitUs      float64          `json:"unitUs"`      // more a unit
-	PairMs      float64          `json:"pairMs"`      // more a million pairs of units
-	PauseShare  float64          `json:"pauseShare"`  // of a prefill's time, the stall of streams beside it
-	FirstTokens []SizeStatus     `json:"firstTokens"` // by prefilled units
-	Endpoints   []EndpointStatus `json:"endpoints"`
+	Service    string           `json:"service"`
+	BaseMs     float64          `json:"firstMs"`     // time to first token without prefill
+	PerUnitUs  float64          `json:"unitUs"`      // additional microseconds per prefilled unit
+	PerPairMs  float64          `json:"pairMs"`      // additional milliseconds per million pairs of units
+	StallShare float64          `json:"pauseShare"`  // stall of a stream by a prefill, as a share of the prefill's time
+	Accuracy   []AccuracyStatus `json:"firstTokens"` // by class of prefilled units
+	Endpoints  []EndpointStatus `json:"endpoints"`
 }
 
-// Services returns what this router has learned of all services' endpoints, ordered by service.
+// Services returns the status of all services, ordered by name.
 func (p *Placer) Services(now time.Duration) []ServiceStatus {
-	var views []ServiceStatus
+	var statuses []ServiceStatus
 	for name, s := range p.services {
-		views = append(views, s.view(now, name))
+		statuses = append(statuses, s.status(now, name))
 	}
-	slices.SortFunc(views, func(a, b ServiceStatus) int { return cmp.Compare(a.Service, b.Service) })
-	return views
+	slices.SortFunc(statuses, func(a, b ServiceStatus) int { return cmp.Compare(a.Service, b.Service) })
+	return statuses
 }
 
-func (s *service) view(now time.Duration, name string) ServiceStatus {
+func (s *service) status(now time.Duration, name string) ServiceStatus {
 	line := s.prefill.line()
 	v := ServiceStatus{
-		Service: name, FirstMs: tenths(line.base * 1e3), UnitUs: tenths(line.perUnit * 1e6), PairMs: line.perPair * 1e3,
-		PauseShare: s.stalls.share(), FirstTokens: s.accuracy.views(),
+		Service: name, BaseMs: tenths(line.base * 1e3), PerUnitUs: tenths(line.perUnit * 1e6), PerPairMs: line.perPair * 1e3,
+		StallShare: s.stalls.share(), Accuracy: s.accuracy.statuses(),
 	}
 	for _, e := range s.endpoints {
-		v.Endpoints = append(v.Endpoints, e.view(now, s.callRate))
+		v.Endpoints = append(v.Endpoints, e.status(now, s.callRate))
 	}
 	return v
 }
 
-func (a *accuracy) views() []SizeStatus {
-	var views []SizeStatus
+func (a *accuracy) statuses() []AccuracyStatus {
+	var statuses []AccuracyStatus
 	for class, seen := range a {
-		v := SizeStatus{Calls: seen.calls}
+		v := AccuracyStatus{Calls: seen.calls}
 		if class < len(accuracyBounds) {
 			v.UnitsBelow = accuracyBounds[class]
 		}
@@ -105,18 +106,18 @@
 			v.ExpectedMs = tenths(seen.expected / seen.calls * 1e3)
 			v.ActualMs = tenths(seen.actual / seen.calls * 1e3)
 		}
-		views = append(views, v)
+		statuses = append(statuses, v)
 	}
-	return views
+	return statuses
 }
 
-func (e *Endpoint) view(now time.Duration, callRate float64) EndpointStatus {
-	e.queue.drain(now)
+func (e *Endpoint) status(now time.Duration, callRate float64) EndpointStatus {
+	e.queue.advance(now)
 	return EndpointStatus{
-		Endpoint: e.ID, WaitMs: tenths(e.queue.waitFor(priorityLevels-1) * 1e3), Streams: len(e.streams.running), Kept: len(e.prefixes),
-		Slowness: tenths(e.slowness.factor(now)), FailShare: e.faults.share(now, callRate), Ejected: now < e.ejectedUntil,
+		Endpoint: e.ID, WaitMs: tenths(e.queue.waitFor(priorityLevels-1) * 1e3), Streams: len(e.streams.running), CachedPrefixes: len(e.prefixes),
+		Slowness: tenths(e.slowness.factor(now)), FailureShare: e.faults.share(now, callRate), Ejected: now < e.ejectedUntil,
 	}
 }
 
-// tenths rounds a value to one decimal.
+// tenths rounds a value to one decimal place.
 func tenths(value float64) float64 { return math.Round(value*10) / 10 }
--- a/internal/fleet/placement/streams.go
+++ b/internal/fleet/placement/streams.go
@@ -6,18 +6,20 @@
 	"time"
 )
 
-// The streams that run at an endpoint. A long prompt is prefilled in chunks between their tokens, so that gaps between their
-// events grow: a stream whose gap exceeds its route's bound is late. Long prompts are therefore sent where few streams run.
+// This file models the streams that run at an endpoint. An endpoint prefills a long prompt in chunks, between the tokens of
+// the streams that it runs, which lengthens the gaps between their events. A stream with a gap above its MaxEventGap is
+// late, so long prompts are preferably sent to endpoints with few streams.
 
-// runningStream is a stream at an endpoint.
+// runningStream is a stream that an endpoint writes.
 type runningStream struct {
-	firstToken  time.Duration // expected time
+	firstToken  time.Duration // expected time of the first token
 	duration    time.Duration // expected, from the first token on
-	maxEventGap time.Duration // beyond which the stream is late
-	weight      float64       // in calls of mean weight
+	maxEventGap time.Duration // a stream with a longer gap is late
+	weight      float64       // of the call, relative to the mean weight
 }
 
-// survival returns the probability that the stream still runs at a time. Durations are taken as log-logistic.
+// survival returns the probability that the stream is still running at a time. Durations are assumed to have a log-logistic
+// distribution.
 func (r *runningStream) survival(at time.Duration) float64 {
 	if at <= r.firstToken || r.duration <= 0 {
 		return 1
@@ -25,10 +27,10 @@
 	return 1 / (1 + math.Pow(float64(at-r.firstToken)/float64(r.duration), streamDurationShape))
 }
 
-// streamSet is the streams that run at an endpoint, as far as this router knows, maxStreams at most.
+// streamSet holds the streams that this router assumes to run at an endpoint, at most maxStreams.
 type streamSet struct{ running []runningStream }
 
-// add adds a stream, and drops those that have probably ended.
+// add removes streams that have probably ended, and adds one unless there are maxStreams.
 func (s *streamSet) add(now time.Duration, r runningStream) {
 	s.running = slices.DeleteFunc(s.running, func(other runningStream) bool { return other.survival(now) < minSurvival })
 	if len(s.running) >= maxStreams {
@@ -37,39 +39,39 @@
 	s.running = append(s.running, r)
 }
 
-// stalledCalls returns how many calls of mean weight become late by a prefill that starts at a time and takes so many seconds;
-// stallShare is the stall that it causes, as a share of these.
+// stalledCalls returns the expected number of streams, in calls of mean weight, that a prefill of the given start and
+// seconds makes late. stallShare is the stall that the prefill causes, as a share of its time.
 func (s *streamSet) stalledCalls(start time.Duration, seconds, stallShare float64) float64 {
-	sum, late, gap := 0.0, 0.0, time.Duration(-1)
+	sum, stallProbability, gap := 0.0, 0.0, time.Duration(-1)
 	for i := range s.running {
 		r := &s.running[i]
-		if r.maxEventGap != gap { // most streams have the bound of the one before
+		if r.maxEventGap != gap { // most streams have the same bound as the one before
 			gap = r.maxEventGap
-			late = lateness(stallShare*seconds, gap.Seconds())
+			stallProbability = lateness(stallShare*seconds, gap.Seconds())
 		}
-		if late > minStallChance {
-			sum += r.weight * late * r.survival(start)
+		if stallProbability > minStallProbability {
+			sum += r.weight * stallProbability * r.survival(start)
 		}
 	}
 	return sum
 }
 
-// tokenTimes is the mean seconds that streams take for each token that they may write, by priority. Most write fewer tokens
-// than they may. 0: none has been observed.
+// tokenTimes holds, by priority, the mean duration of streams divided by their maximum of tokens, in seconds; 0 if none has
+// been observed. It is below the time of an actual token, since most streams write fewer tokens than the maximum.
 type tokenTimes [priorityLevels]float64
 
-func (t *tokenTimes) observe(priority int, took time.Duration, tokens float64) {
-	if tokens < 1 || took <= 0 {
+func (t *tokenTimes) observe(priority int, duration time.Duration, tokens float64) {
+	if tokens < 1 || duration <= 0 {
 		return
 	}
 	mean := &t[priorityClass(priority)]
 	if *mean == 0 {
 		*mean = priorTokenTime.Seconds()
 	}
-	*mean += (min(took.Seconds()/tokens, maxTokenTime.Seconds()) - *mean) / tokenTimeMemory
+	*mean += (min(duration.Seconds()/tokens, maxTokenTime.Seconds()) - *mean) / tokenTimeDecayStreams
 }
 
-// duration returns how long a stream that may write so many tokens is expected to run.
+// duration returns the expected duration of a stream that is limited to the given number of tokens.
 func (t *tokenTimes) duration(priority int, tokens float64) time.Duration {
 	mean := t[priorityClass(priority)]
 	if mean == 0 {
--- a/internal/fleet/placement/streams_test.go
+++ b/internal/fleet/placement/streams_test.go
@@ -15,7 +15,7 @@
 		return c
 	}
 	stream := &Prompt{Units: 1000, Output: 400, MaxEventGap: 300 * time.Millisecond}
-	Convey("A long prompt is sent where no stream runs", t, func() {
+	Convey("A long prompt is sent to the endpoint without running streams", t, func() {
 		p := placer(4)
 		for i, e := range p.service("llm").endpoints {
 			if i != 2 {
@@ -29,7 +29,7 @@
 			p.Release(placed)
 		}
 	})
-	Convey("Streams that have ended, and those that tolerate the gap, are not stalled", t, func() {
+	Convey("Streams that have ended, or whose MaxEventGap exceeds the stall, don't count as stalled", t, func() {
 		var s streamSet
 		s.add(0, runningStream{duration: time.Second, maxEventGap: 300 * time.Millisecond, weight: 1})
 		So(s.stalledCalls(0, 0.6, 0.6), ShouldBeGreaterThan, 0.6)
@@ -43,7 +43,7 @@
 		}
 		So(len(s.running), ShouldBeLessThanOrEqualTo, maxStreams)
 	})
-	Convey("The stall by a prefill is learned, also from other routers, within bounds", t, func() {
+	Convey("The stall by a prefill is learned from own and other routers' reports, within bounds", t, func() {
 		p := placer(1)
 		s := p.service("llm")
 		e := s.endpoints[0]
@@ -53,14 +53,14 @@
 		placed := p.Place(0, c)
 		p.RecordFirstToken(0, placed, 10*time.Millisecond)
 		_, ok := p.RecordStreamEnd(time.Second, placed, time.Second, 100*time.Millisecond)
-		So(ok, ShouldBeFalse) // no long prefill meanwhile
+		So(ok, ShouldBeFalse) // no long prefill during the stream
 		recordRemotePrefill(p, time.Second, e, 2*time.Second)
-		seen, ok := p.RecordStreamEnd(3*time.Second, placed, 3*time.Second, 200*time.Millisecond)
+		stall, ok := p.RecordStreamEnd(3*time.Second, placed, 3*time.Second, 200*time.Millisecond)
 		So(ok, ShouldBeTrue)
-		So(seen.LongestGap, ShouldAlmostEqual, 0.2)
+		So(stall.LongestGap, ShouldAlmostEqual, 0.2)
 		So(s.stalls.share(), ShouldBeLessThan, priorStallShare)
 		for range 200 {
-			p.RecordRemoteStall(&seen)
+			p.RecordRemoteStall(&stall)
 		}
 		So(s.stalls.share(), ShouldBeBetween, 0.05, 0.2)
 		p.RecordRemoteStall(&Stall{Endpoint: 1})
@@ -72,16 +72,16 @@
 		So(s.stalls.share(), ShouldBeBetweenOrEqual, 0.9, 1)
 	})
 	Convey("The duration of streams is learned, within bounds", t, func() {
-		var l tokenTimes
-		So(l.duration(1, 100), ShouldEqual, 100*priorTokenTime)
+		var times tokenTimes
+		So(times.duration(1, 100), ShouldEqual, 100*priorTokenTime)
 		for range 1000 {
-			l.observe(1, 2*time.Second, 100)
+			times.observe(1, 2*time.Second, 100)
 		}
-		l.observe(1, time.Second, 0)
-		So(l.duration(1, 100), ShouldAlmostEqual, 2*time.Second, 10*time.Millisecond)
-		So(l.duration(0, 100), ShouldEqual, 100*priorTokenTime)
-		l.observe(99, time.Hour, 1)
-		So(l.duration(-5, 1e300), ShouldBeLessThanOrEqualTo, maxStreamDuration)
-		So(l.duration(1, 1e9), ShouldEqual, maxStreamDuration)
+		times.observe(1, time.Second, 0)
+		So(times.duration(1, 100), ShouldAlmostEqual, 2*time.Second, 10*time.Millisecond)
+		So(times.duration(0, 100), ShouldEqual, 100*priorTokenTime)
+		times.observe(99, time.Hour, 1)
+		So(times.duration(-5, 1e300), ShouldBeLessThanOrEqualTo, maxStreamDuration)
+		So(times.duration(1, 1e9), ShouldEqual, maxStreamDuration)
 	})
 }
