--- a/internal/fleet/placement/call.go
+++ b/internal/fleet/placement/call.go
@@ -17,7 +17,8 @@
 }
 
 // drawKey returns the key for rendezvous hashing: the hash of the longest shared prefix, or a random number where the prompt
-// has none.
+// has none. Calls with the same key go to the same endpoint, as long as the candidates and their
+// weights are the same.
 func (c *Call) drawKey(random *rand.Rand) uint64 {
 	if len(c.Prompt.Prefixes) > 0 {
 		return uint64(c.Prompt.Prefixes[0].Hash) * 0x9e3779b97f4a7c15
--- a/internal/fleet/placement/failure_evidence.go
+++ b/internal/fleet/placement/failure_evidence.go
@@ -13,7 +13,7 @@
 	count         float64 // decayed
 	updatedAt     time.Duration
 	lastFailure   time.Duration
-	backoffFactor float64 // multiplies the decay time; 0: the endpoint has not been failing yet
+	backoffFactor float64 // multiplies the decay time; 0: the endpoint has not been failing since the last reset
 	failing       bool
 }
 
--- a/internal/fleet/placement/feedback.go
+++ b/internal/fleet/placement/feedback.go
@@ -114,7 +114,8 @@
 	}
 }
 
-// RecordOverdue records that the first token of a call of this router is overdue. The call itself stays placed.
+// RecordOverdue records that the first token of a call of this router has not arrived long after it was expected. The call
+// itself stays placed.
 func (p *Placer) RecordOverdue(now time.Duration, e *Endpoint) { p.recordFaults(now, e, 1, true) }
 
 // RecordRemoteFailures records failures, or overdue answers, that another router reports of an endpoint.
--- a/internal/fleet/placement/learned.go
+++ b/internal/fleet/placement/learned.go
@@ -56,8 +56,9 @@
 }
 
 // ImportLearned merges the learned state of another process into that of this router. asOf is the time, on this router's
-// clock, at which the ages in the state apply. This router's own observations take precedence. Entries for unknown endpoints
-// and services are ignored; ImportLearned may be called again with the same state once these are known.
+// clock, at which the ages in the state apply. What this router has observed is kept: of two last uses of a prefix the later
+// one is kept, and a latency model is ignored if its service already has observations. Entries for unknown endpoints and
+// services are ignored; ImportLearned may be called again with the same state once these are known.
 func (p *Placer) ImportLearned(asOf time.Duration, state *LearnedState) {
 	for _, cached := range state.Prefixes[:min(len(state.Prefixes), maxExportedPrefixes)] {
 		e := p.byShortID[cached.Endpoint]
--- a/internal/fleet/placement/placer.go
+++ b/internal/fleet/placement/placer.go
@@ -134,8 +134,8 @@
 	p.service(placed.Endpoint.Service).inFlight--
 }
 
-// callRate estimates the calls per second that one endpoint gets from all routers. It assumes that calls are spread evenly
-// over the routers and over the endpoints.
+// callRate estimates the calls per second that one endpoint gets from all routers. It assumes that clients are spread
+// evenly over the routers, and calls over the endpoints.
 func (p *Placer) callRate(now time.Duration, s *service) float64 {
 	return s.calls.now(now) * float64(p.routers) / float64(max(1, len(s.endpoints)))
 }
--- a/internal/fleet/placement/prefill.go
+++ b/internal/fleet/placement/prefill.go
@@ -50,8 +50,8 @@
 
 // observe adds an observation: the seconds to a first token, without the wait for earlier prefills. Errors are weighted
 // relative to the expected time, so that short and long prompts have the same weight. An observation that differs from the
-// expected time by more than a factor of outlierFactor is clipped to it; initialOutlierFactor is used
-// for the first initialObservations.
+// expected time by more than a factor of outlierFactor is clipped to it; initialOutlierFactor is used for the
+// first initialObservations.
 func (m *prefillModel) observe(w work, seconds, weight float64) {
 	expected := m.line().firstToken(w)
 	outlier := outlierFactor
--- a/internal/fleet/placement/prompt.go
+++ b/internal/fleet/placement/prompt.go
@@ -5,7 +5,7 @@
 // Prompt describes the tokens that an endpoint reads and writes for a call.
 type Prompt struct {
 	Units       float64       // tokens to read; 1 where the request does not state them
-	Output      float64       // maximum of tokens to write; 0 where the request does not state it
+	Output      float64       // maximum number of tokens to write; 0 where the request does not state it
 	Prefixes    []Prefix      // shared with other prompts, the longest first
 	Priority    int           // 0 is the most urgent
 	MaxEventGap time.Duration // a stream with a longer gap between two events counts as late; 0: no bound
--- a/internal/fleet/placement/slowness.go
+++ b/internal/fleet/placement/slowness.go
@@ -30,8 +30,8 @@
 	s.sum = s.sum*retention + math.Log(min(max(factor, 1/maxSlownessSample), maxSlownessSample))
 }
 
-// factor returns the estimated ratio, moved toward 1 by the factor slownessDeadband. It is 1
-// within the dead band.
+// factor returns the estimated ratio, moved toward 1 by the factor slownessDeadband. It is 1 within the
+// dead band.
 func (s *slowness) factor(now time.Duration) float64 {
 	if s.weight == 0 {
 		return 1
--- a/internal/fleet/placement/streams.go
+++ b/internal/fleet/placement/streams.go
@@ -39,8 +39,8 @@
 	s.running = append(s.running, r)
 }
 
-// stalledCalls returns the expected number of streams, in calls of mean weight, that a prefill of the given start and
-// seconds makes late. stallShare is the stall that the prefill causes, as a share of its time.
+// stalledCalls returns the expected number of streams, in calls of mean weight, that become late by a prefill that
+// begins at start and takes the given seconds. stallShare is the stall that the prefill causes, as a share of its time.
 func (s *streamSet) stalledCalls(start time.Duration, seconds, stallShare float64) float64 {
 	sum, stallProbability, gap := 0.0, 0.0, time.Duration(-1)
 	for i := range s.running {
@@ -56,8 +56,8 @@
 	return sum
 }
 
-// tokenTimes holds, by priority, the mean duration of streams divided by their maximum of tokens, in seconds; 0 if none has
-// been observed. It is below the time of an actual token, since most streams write fewer tokens than the maximum.
+// tokenTimes holds, by priority, the mean duration of streams divided by their maximum number of tokens, in seconds; 0 if
+// none has been observed. It is below the time of an actual token, since most streams write fewer tokens than the maximum.
 type tokenTimes [priorityLevels]float64
 
 func (t *tokenTimes) observe(priority int, duration time.Duration, tokens float64) {
--- a/internal/fleet/placement/tuning.go
+++ b/internal/fleet/placement/tuning.go
@@ -14,7 +14,7 @@
 	minDelayChange           = 0.01                   // seconds that a change has to exceed in addition, for short delays
 	significantFailureChange = 0.05                   // change of a failure share that triggers a solve
 	gradientSteps            = 20                     // per solve
-	gradientStepSize         = 0.05                   // change of a share, per unit of the gradient of the payoff
+	gradientStepSize         = 0.05                   // change of a share in each step, per unit of the gradient of the payoff
 	minShare                 = 0.02                   // relative to an even share; keeps the endpoint's delay model up to date
 	evennessPenalty          = 0.02                   // payoff given up for even rows, so that recovered endpoints get calls again
 )
@@ -122,7 +122,7 @@
 	maxTokenTime          = time.Second          // limits the effect of implausible observations
 	tokenTimeDecayStreams = 20.0                 // streams
 	maxOutputTokens       = 1e6                  // limits the effect of what requests state
-	maxStreamDuration     = time.Minute          // limits expected durations
+	maxStreamDuration     = time.Minute          // limits the durations expected from what requests state
 	maxStreams            = 64                   // per endpoint
 	streamDurationShape   = 4.0                  // of log-logistic durations; their logarithm has a standard deviation of about 0.45
 	minSurvival           = 0.02                 // streams with a lower probability of still running are removed
