--- a/internal/fleet/config/pace.go
+++ b/internal/fleet/config/pace.go
@@ -13,8 +13,8 @@
 	}
 }
 
-// PacedSteps is about how often decoding texts of so many bytes calls a Pace.
-func PacedSteps(bytes int) int {
+// EstimatePauses is about how often decoding texts of so many bytes calls a Pace.
+func EstimatePauses(bytes int) int {
 	const bytesPerItem, passes = 260, 2
 	return passes * bytes / bytesPerItem / pacedItems
 }
--- a/internal/fleet/config/tenant.go
+++ b/internal/fleet/config/tenant.go
@@ -6,7 +6,7 @@
 	APIKeys     []string `json:"apiKeys"`
 	Priority    *int     `json:"priority"`
 	Unit        string   `json:"unit"`        // of the quota; UnitTokens, else requests
-	PlainTokens float64  `json:"plainTokens"` // what a request counts for that does not state its tokens; 0: nothing
+	DefaultTokens float64  `json:"plainTokens"` // what a request counts for that does not state its tokens; 0: nothing
 	RatePerS    float64  `json:"ratePerS"`    // units a second
 	Burst       float64  `json:"burst"`       // units
 }
--- a/internal/fleet/proxy/request.go
+++ b/internal/fleet/proxy/request.go
@@ -105,13 +105,13 @@
 	}
 	text := q.http.Header.Get(headerTokenUsage)
 	if text == "" {
-		return t.PlainTokens
+		return t.DefaultTokens
 	}
 	sum := 0.0
 	for part := range strings.SplitSeq(text, ",") {
 		n, ok := parseTokens(part)
 		if !ok {
-			return t.PlainTokens
+			return t.DefaultTokens
 		}
 		sum += n
 	}
--- a/internal/fleet/router/config_fetch.go
+++ b/internal/fleet/router/config_fetch.go
@@ -51,7 +51,7 @@
 
 // buildPace spreads the work over buildSpan; nil: it is urgent, or short.
 func (g *gossip) buildPace(build *dissemination.Build) config.Pace {
-	steps := config.PacedSteps(build.Size())
+	steps := config.EstimatePauses(build.Size())
 	if build.Urgent() || steps == 0 {
 		return nil
 	}
