--- a/internal/fleet/coordinator/acceptor_loop.go
+++ b/internal/fleet/coordinator/acceptor_loop.go
@@ -59,7 +59,7 @@
 func (l *acceptorLoop) publish(durable bool) {
 	h := l.acceptor.HardState()
 	status := AcceptorStatus{
-		Self: h.Self, Config: h.Config, ReadyEpoch: h.ReadyEpoch, Names: l.acceptor.Names(), Durable: durable,
+		Self: h.Self, Config: h.Config, ReadyEpoch: h.ReadyEpoch, Names: l.acceptor.RegisterCount(), Durable: durable,
 	}
 	l.mu.Lock()
 	former := l.published
--- a/internal/fleet/coordinator/main_test.go
+++ b/internal/fleet/coordinator/main_test.go
@@ -84,10 +84,10 @@
 // acceptRequest returns a request to set a counter, under a ballot of epoch 1.
 func acceptRequest(id string, round, count uint64) *register.Request {
 	return &register.Request{Epoch: 1, Accepts: []register.Accept{{
-		Name:    coordination.Name{Kind: coordination.KindCounter, ID: id},
-		Version: register.Version{Ballot: register.Ballot{Epoch: 1, Round: round, Proposer: 9}, Sequence: 1},
-		Change:  &coordination.Change{Counter: &coordination.CounterRecord{Count: count}},
-		Trip:    1,
+		Name:      coordination.Name{Kind: coordination.KindCounter, ID: id},
+		Version:   register.Version{Ballot: register.Ballot{Epoch: 1, Round: round, Proposer: 9}, Sequence: 1},
+		Change:    &coordination.Change{Counter: &coordination.CounterRecord{Count: count}},
+		RoundTrip: 1,
 	}}}
 }
 
--- a/internal/fleet/coordinator/proposer_loop.go
+++ b/internal/fleet/coordinator/proposer_loop.go
@@ -95,7 +95,7 @@
 			due = l.now() + restTick
 			timer.Reset(restTick)
 		}
-		if next, waits := l.proposer.NextDue(); waits && next < due {
+		if next, waits := l.proposer.NextTick(); waits && next < due {
 			due = max(next, l.now()+minTick)
 			timer.Reset(due - l.now())
 		}
@@ -119,7 +119,7 @@
 		l.sendHellos()
 	}
 	l.plan(now, status)
-	l.published.Store(&ProposerStatus{Config: l.proposer.Config(), Names: l.proposer.Names()})
+	l.published.Store(&ProposerStatus{Config: l.proposer.Config(), Names: l.proposer.RegisterCount()})
 }
 
 func (l *proposerLoop) receive(m received) {
@@ -165,7 +165,7 @@
 	if l.service.IsResuming() {
 		return // a call that waited through a pause of this process is its caller's no more
 	}
-	if !l.proposer.Knows(m.Operation.Name) && l.service.acceptor.status().Names >= maxNames {
+	if !l.proposer.HasRegister(m.Operation.Name) && l.service.acceptor.status().Names >= maxNames {
 		l.reply(from, &CallReply{ID: m.ID, Certainty: register.NotExecuted})
 		return
 	}
@@ -296,8 +296,8 @@
 		}
 		l.service.options.Log.Info("changing the acceptors", zap.Uint64("epoch", next.Epoch), zap.Any("acceptors", next.Acceptors),
 			zap.Any("former", next.Previous))
-	case l.planner.AskDue(now, config, status.Self):
-		operation = register.AskNext(config.Epoch)
+	case l.planner.ShouldQueryNext(now, config, status.Self):
+		operation = register.QueryNext(config.Epoch)
 	default:
 		return
 	}
--- a/internal/fleet/coordinator/store_test.go
+++ b/internal/fleet/coordinator/store_test.go
@@ -132,7 +132,7 @@
 		Convey("has what the disk holds once it is read again, and can be written again", func() {
 			So(s.reload(storeOptions(directory)), ShouldBeNil)
 			So(s.hardState, ShouldResemble, hardState)
-			So(s.build(0, coordination.Options{}).Names(), ShouldEqual, 2)
+			So(s.build(0, coordination.Options{}).RegisterCount(), ShouldEqual, 2)
 			So(s.replace(hardState, []register.Stored{storedCounter("a", 3)}), ShouldBeNil)
 			So(storedCounts(directory), ShouldResemble, map[string]uint64{"a": 3})
 		})
--- a/internal/fleet/register/acceptor.go
+++ b/internal/fleet/register/acceptor.go
@@ -61,8 +61,8 @@
 // HardState returns what has to be on the disk.
 func (a *Acceptor) HardState() HardState { return a.hardState }
 
-// Names returns how many registers are stored.
-func (a *Acceptor) Names() int { return len(a.registers) }
+// RegisterCount returns how many registers are stored.
+func (a *Acceptor) RegisterCount() int { return len(a.registers) }
 
 // Snapshot returns all registers, complete.
 func (a *Acceptor) Snapshot(now time.Duration) []Stored {
@@ -160,7 +160,7 @@
 
 func (a *Acceptor) onAccept(now time.Duration, m *Accept) AcceptAck {
 	r := a.register(m.Name)
-	ack := AcceptAck{Name: m.Name, Version: m.Version, Trip: m.Trip, Outcome: Accepted}
+	ack := AcceptAck{Name: m.Name, Version: m.Version, RoundTrip: m.RoundTrip, Outcome: Accepted}
 	switch {
 	case m.Version.Ballot.less(r.promised):
 		ack.Outcome, ack.Promised = Rejected, r.promised
--- a/internal/fleet/register/fuzz_test.go
+++ b/internal/fleet/register/fuzz_test.go
@@ -53,7 +53,7 @@
 		name := coordination.Name{Kind: coordination.Kind(i), ID: "g."}
 		ballot := Ballot{Epoch: 1, Round: 2, Proposer: 3}
 		request.Prepares = append(request.Prepares, Prepare{Name: name, Ballot: ballot})
-		request.Accepts = append(request.Accepts, Accept{Name: name, Version: Version{Ballot: ballot, Sequence: 1}, Change: change, Trip: 1})
+		request.Accepts = append(request.Accepts, Accept{Name: name, Version: Version{Ballot: ballot, Sequence: 1}, Change: change, RoundTrip: 1})
 	}
 	return request
 }
@@ -119,7 +119,7 @@
 		accepted := Version{Ballot: Ballot{Epoch: 1, Round: 1}, Sequence: 1}
 		version := Version{Ballot: ballot, Sequence: 1}
 		reply.Promises = append(reply.Promises, Promise{Name: name, Ballot: ballot, Accepted: accepted, Value: change})
-		reply.Acks = append(reply.Acks, AcceptAck{Name: name, Version: version, Trip: uint64(i), Outcome: AckOutcome(i % 5)})
+		reply.Acks = append(reply.Acks, AcceptAck{Name: name, Version: version, RoundTrip: uint64(i), Outcome: AckOutcome(i % 5)})
 	}
 	return reply
 }
--- a/internal/fleet/register/messages.go
+++ b/internal/fleet/register/messages.go
@@ -23,11 +23,11 @@
 
 // Accept asks an acceptor to store a version. Without a change it asks it to confirm one that the acceptor has.
 type Accept struct {
-	Name    coordination.Name    `cbor:"1,keyasint"`
-	Version Version              `cbor:"2,keyasint"`
-	Base    Version              `cbor:"3,keyasint,omitzero"` // on top of which Change is, unless that is complete
-	Change  *coordination.Change `cbor:"4,keyasint,omitempty"`
-	Trip    uint64               `cbor:"5,keyasint"` // of this proposer; an acknowledgement of a former trip confirms nothing
+	Name      coordination.Name    `cbor:"1,keyasint"`
+	Version   Version              `cbor:"2,keyasint"`
+	Base      Version              `cbor:"3,keyasint,omitzero"` // on top of which Change is, unless that is complete
+	Change    *coordination.Change `cbor:"4,keyasint,omitempty"`
+	RoundTrip uint64               `cbor:"5,keyasint"` // of this proposer; an acknowledgement of a former trip confirms nothing
 }
 
 // Reply goes from an acceptor to a proposer.
@@ -58,11 +58,11 @@
 
 // AcceptAck answers an Accept.
 type AcceptAck struct {
-	Name     coordination.Name `cbor:"1,keyasint"`
-	Version  Version           `cbor:"2,keyasint"`
-	Trip     uint64            `cbor:"3,keyasint"`
-	Outcome  AckOutcome        `cbor:"4,keyasint"`
-	Promised Ballot            `cbor:"5,keyasint,omitzero"`
+	Name      coordination.Name `cbor:"1,keyasint"`
+	Version   Version           `cbor:"2,keyasint"`
+	RoundTrip uint64            `cbor:"3,keyasint"`
+	Outcome   AckOutcome        `cbor:"4,keyasint"`
+	Promised  Ballot            `cbor:"5,keyasint,omitzero"`
 }
 
 // Hello tells who a machine is and which acceptors it knows. Core machines send it to each other at intervals. In answer to a message of
--- a/internal/fleet/register/planner.go
+++ b/internal/fleet/register/planner.go
@@ -87,8 +87,8 @@
 	return Config{Epoch: config.Epoch + 1, Acceptors: acceptors, Previous: config.Acceptors}, true
 }
 
-// AskDue reports whether this machine should now ask what the present acceptors have decided: see AskNext. Only the first live one asks.
-func (p *Planner) AskDue(now time.Duration, config Config, self replication.Replica) bool {
+// ShouldQueryNext reports whether this machine should now ask what the present acceptors have decided: see QueryNext. Only the first live one asks.
+func (p *Planner) ShouldQueryNext(now time.Duration, config Config, self replication.Replica) bool {
 	if config.Epoch == 0 || now < p.nextAsk || p.rank(now, config, self) != 0 {
 		return false
 	}
@@ -215,10 +215,10 @@
 	return coordination.Operation{Kind: coordination.Decide, Name: name, Value: string(encoded)}, nil
 }
 
-// AskNext returns the operation that asks what the present acceptors have decided about the next ones; an empty value: nothing. It settles a
+// QueryNext returns the operation that asks what the present acceptors have decided about the next ones; an empty value: nothing. It settles a
 // proposal that only some acceptor has accepted: either it is decided now, while the machines that it names are there, or never. One that
 // stayed could be decided when the disks of those are long lost.
-func AskNext(epoch uint64) coordination.Operation {
+func QueryNext(epoch uint64) coordination.Operation {
 	return coordination.Operation{Kind: coordination.Decide, Name: nextConfigName(epoch)}
 }
 
--- a/internal/fleet/register/planner_test.go
+++ b/internal/fleet/register/planner_test.go
@@ -212,13 +212,13 @@
 			asked := 0
 			for range 100 {
 				c.pass(100*time.Millisecond, address)
-				if c.planner.AskDue(c.now, c.config, replication.Replica{Address: address}) {
+				if c.planner.ShouldQueryNext(c.now, c.config, replication.Replica{Address: address}) {
 					asked++
 				}
 			}
 			So(asked, ShouldEqual, asks)
 		}
-		So(c.planner.AskDue(c.now, Config{}, replication.Replica{Address: "a"}), ShouldBeFalse)
+		So(c.planner.ShouldQueryNext(c.now, Config{}, replication.Replica{Address: "a"}), ShouldBeFalse)
 	})
 }
 
--- a/internal/fleet/register/planted_test.go
+++ b/internal/fleet/register/planted_test.go
@@ -64,7 +64,7 @@
 	"one former acceptor that took part": {File: "carry_over.go", Edits: []mutation.Edit{{
 		Original: "sealed >= majority(a.hardState.Config.Previous) && ready > 0", Mutated: "sealed > 0 && ready > 0"}}},
 	"acknowledgements of a former trip": {File: "rounds.go", Edits: []mutation.Edit{{
-		Original: "m.Trip != r.trip || m.Version != r.version", Mutated: "m.Version != r.version"}}},
+		Original: "m.RoundTrip != r.trip || m.Version != r.version", Mutated: "m.Version != r.version"}}},
 	"a proposal that stays half decided": {File: "planner.go", Edits: []mutation.Edit{{
 		Original: "p.nextAsk = now + askInterval\n\treturn true", Mutated: "return false"}}},
 	"a former acceptor that was overtaken is silent": {File: "carry_over.go", Edits: []mutation.Edit{{
--- a/internal/fleet/register/proposer.go
+++ b/internal/fleet/register/proposer.go
@@ -51,8 +51,8 @@
 // Config returns the acceptors that the proposer asks.
 func (p *Proposer) Config() Config { return p.config }
 
-// Names returns how many registers the proposer has used.
-func (p *Proposer) Names() int { return len(p.names) }
+// RegisterCount returns how many registers the proposer has used.
+func (p *Proposer) RegisterCount() int { return len(p.names) }
 
 // SetConfig has the proposer ask newer acceptors. What was under way is executed again there: its outcome under the former ones is found
 // with the registers that were carried over.
@@ -132,8 +132,8 @@
 	return active
 }
 
-// NextDue returns when Tick has something to do; ok is false where nothing waits.
-func (p *Proposer) NextDue() (at time.Duration, ok bool) {
+// NextTick returns when Tick has something to do; ok is false where nothing waits.
+func (p *Proposer) NextTick() (at time.Duration, ok bool) {
 	for r := range p.active {
 		if due := r.nextDue(); !ok || due < at {
 			at, ok = due, true
@@ -142,8 +142,8 @@
 	return at, ok
 }
 
-// Knows reports whether the proposer has used a name.
-func (p *Proposer) Knows(name coordination.Name) bool { return p.names[name] != nil }
+// HasRegister reports whether the proposer has used a name.
+func (p *Proposer) HasRegister(name coordination.Name) bool { return p.names[name] != nil }
 
 func (p *Proposer) step() {
 	p.out = &ProposerOutput{}
--- a/internal/fleet/register/rounds.go
+++ b/internal/fleet/register/rounds.go
@@ -129,7 +129,7 @@
 
 // sendAccept sends the round to an acceptor: the change alone where the acceptor has what it is based on, as far as is known.
 func (p *Proposer) sendAccept(now time.Duration, r *proposedRegister, to replication.Replica, progress *acceptorProgress) {
-	accept := Accept{Name: r.name, Version: r.version, Trip: r.trip}
+	accept := Accept{Name: r.name, Version: r.version, RoundTrip: r.trip}
 	switch {
 	case progress.sent == r.version:
 		// It confirms the version, or has been sent it before.
@@ -147,7 +147,7 @@
 func (p *Proposer) onAck(now time.Duration, from replication.Replica, m *AcceptAck) {
 	p.observe(m.Promised)
 	r := p.names[m.Name]
-	if r == nil || r.phase != proposing || m.Trip != r.trip || m.Version != r.version {
+	if r == nil || r.phase != proposing || m.RoundTrip != r.trip || m.Version != r.version {
 		return
 	}
 	progress := r.progressOf(from)
--- a/internal/fleet/register/simulation_change_test.go
+++ b/internal/fleet/register/simulation_change_test.go
@@ -53,10 +53,10 @@
 func (m *machine) plan(now time.Duration) {
 	config, self := m.proposer.Config(), m.acceptor.HardState().Self
 	next, ok := m.planner.Next(now, config, self)
-	if m.deciding != 0 || !ok && !m.planner.AskDue(now, config, self) {
+	if m.deciding != 0 || !ok && !m.planner.ShouldQueryNext(now, config, self) {
 		return
 	}
-	operation := AskNext(config.Epoch)
+	operation := QueryNext(config.Epoch)
 	if ok {
 		var err error
 		if operation, err = DecideNext(next); err != nil {
--- a/internal/fleet/register/wire_format_test.go
+++ b/internal/fleet/register/wire_format_test.go
@@ -32,14 +32,14 @@
 			Request{
 				Epoch:    1,
 				Prepares: []Prepare{{Name: wireName, Ballot: wireBallot, Known: wireVersion}},
-				Accepts:  []Accept{{Name: wireName, Version: wireVersion, Base: wireVersion, Change: wireChange, Trip: 5}},
+				Accepts:  []Accept{{Name: wireName, Version: wireVersion, Base: wireVersion, Change: wireChange, RoundTrip: 5}},
 			},
 			"a301010281a301a2010202616e02a301010202030303a201a301010202030302040381a501a2010202616e02a201a3010102020303020403a201a3010102020303020404a102a101010505",
 		},
 		{
 			Request{
 				Epoch: 1, Prepares: []Prepare{{Name: wireName, Ballot: wireBallot}},
-				Accepts: []Accept{{Name: wireName, Version: wireVersion, Trip: 5}},
+				Accepts: []Accept{{Name: wireName, Version: wireVersion, RoundTrip: 5}},
 			},
 			"a301010281a201a2010202616e02a30101020203030381a301a2010202616e02a201a301010202030302040505",
 		},
@@ -51,8 +51,8 @@
 					{Name: wireName, Ballot: wireBallot},
 				},
 				Acks: []AcceptAck{
-					{Name: wireName, Version: wireVersion, Trip: 3, Outcome: Rejected, Promised: wireBallot},
-					{Name: wireName, Version: wireVersion, Trip: 3, Outcome: Accepted},
+					{Name: wireName, Version: wireVersion, RoundTrip: 3, Outcome: Rejected, Promised: wireBallot},
+					{Name: wireName, Version: wireVersion, RoundTrip: 3, Outcome: Accepted},
 				},
 			},
 			"a301010282a501a2010202616e02a301010202030303a301010202030304a201a3010102020303020405a102a10101a201a2010202616e02a30101020203030382a501a2010202616e02a201a301010202030302040303040205a3010102020303a401a2010202616e02a201a3010102020303020403030401",
