--- a/balance/grey/detector_test.go
+++ b/balance/grey/detector_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// CI has to come to the same verdict every time; -rapid.seed=0 -rapid.checks=1000 looks further.
+// A fixed seed and number of checks make the result in CI reproducible; -rapid.seed=0 -rapid.checks=1000 tests more cases.
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "60"} {
 		if err := flag.Set(name, value); err != nil {
@@ -18,226 +18,230 @@
 	}
 }
 
-const typicalSeconds = 0.06 // seconds of an answer
+const typicalSeconds = 0.06 // typical latency of an answer
 
-// testCluster is endpoints of which each fails a share of its attempts by saying nothing, and another by errors.
+// testCluster simulates endpoints. Each never answers a share of its attempts, and fails another share with errors.
 type testCluster struct {
-	f           *Detector
+	detector    *Detector
 	hosts       []Host
-	hangRate    []float64
-	failureRate []float64
-	slowdown    float64 // times as long as ever that all take
+	hangRate    []float64 // by host
+	failureRate []float64 // by host
+	slowdown    float64   // factor by which all latencies are longer than typical
 	rng         *rand.Rand
-	now         float64
-	aged        float64
+	now         float64 // in seconds
+	decayedAt   float64 // until this time the evidence has been decayed
 }
 
 func newTestCluster(hosts int, seed uint64) *testCluster {
-	return &testCluster{f: NewDetector([]float64{typicalSeconds, 2 * typicalSeconds}), hosts: make([]Host, hosts), hangRate: make([]float64, hosts),
+	return &testCluster{detector: NewDetector([]float64{typicalSeconds, 2 * typicalSeconds}), hosts: make([]Host, hosts), hangRate: make([]float64, hosts),
 		failureRate: make([]float64, hosts), slowdown: 1, rng: rand.New(rand.NewPCG(seed, 0))}
 }
 
-// attempt has one endpoint take one request, whose sender gives up after ten times the typical.
-func (w *testCluster) attempt(host, class int) {
-	h := &w.hosts[host]
-	took := typicalSeconds * float64(class+1) * w.slowdown * math.Exp(0.5*w.rng.NormFloat64())
-	w.f.BeginAssessment()
-	switch x := w.rng.Float64(); {
-	case x < w.hangRate[host] || took > 10*typicalSeconds:
-		hung := w.f.HangProbability(h, class, 10*typicalSeconds, 1, 3)
-		w.f.RecordAbandoned(h, class, 10*typicalSeconds, hung, 3)
-	case x < w.hangRate[host]+w.failureRate[host]:
-		w.f.RecordFailure(h, class, 0)
+// attempt sends one request to an endpoint. The sender abandons it after ten times the typical latency.
+func (c *testCluster) attempt(host, class int) {
+	h := &c.hosts[host]
+	latency := typicalSeconds * float64(class+1) * c.slowdown * math.Exp(0.5*c.rng.NormFloat64())
+	c.detector.BeginAssessment()
+	switch sample := c.rng.Float64(); {
+	case sample < c.hangRate[host] || latency > 10*typicalSeconds:
+		hangProbability := c.detector.HangProbability(h, class, 10*typicalSeconds, 1, 3)
+		c.detector.RecordAbandoned(h, class, 10*typicalSeconds, hangProbability, 3)
+	case sample < c.hangRate[host]+c.failureRate[host]:
+		c.detector.RecordFailure(h, class, 0)
 	default:
-		w.f.RecordAnswer(h, class, took, w.f.HangProbability(h, class, took, 1, 0))
+		c.detector.RecordAnswer(h, class, latency, c.detector.HangProbability(h, class, latency, 1, 0))
 	}
 }
 
-// advance lets time pass and has attempts come at a rate, over all endpoints evenly.
-func (w *testCluster) advance(seconds, rate float64, each func(host int)) {
-	for end := w.now + seconds; ; {
-		w.now += w.rng.ExpFloat64() / rate
-		for ; w.aged+0.25 < math.Min(w.now, end); w.aged += 0.25 {
-			w.f.Decay(0.25)
-			for i := range w.hosts {
-				w.hosts[i].Decay(0.25)
+// advance simulates some seconds with attempts at a rate per second, distributed evenly over all endpoints. It calls
+// afterAttempt, if not nil, after each of them.
+func (c *testCluster) advance(seconds, rate float64, afterAttempt func(host int)) {
+	for end := c.now + seconds; ; {
+		c.now += c.rng.ExpFloat64() / rate
+		for ; c.decayedAt+0.25 < math.Min(c.now, end); c.decayedAt += 0.25 {
+			c.detector.Decay(0.25)
+			for i := range c.hosts {
+				c.hosts[i].Decay(0.25)
 			}
 		}
-		if w.now >= end {
+		if c.now >= end {
 			return
 		}
-		host := w.rng.IntN(len(w.hosts))
-		w.attempt(host, w.rng.IntN(2))
-		if each != nil {
-			each(host)
+		host := c.rng.IntN(len(c.hosts))
+		c.attempt(host, c.rng.IntN(2))
+		if afterAttempt != nil {
+			afterAttempt(host)
 		}
 	}
 }
 
-// Guards against a calm or slow fleet's endpoints being called grey: whatever the rate. Where all fail a good part alike, a
-// few endpoints say little about what is usual, and chance alarms more often.
+// Guards against false positives at any request rate, while all endpoints are healthy, slow or fail alike. If all fail a large
+// share of their attempts, a small cluster is a poor estimate of the common rate, and more false positives are allowed.
 func TestFewFalsePositives(t *testing.T) {
-	attempts, alarms := map[bool]int{}, map[bool]int{}
+	attempts, falsePositives := map[bool]int{}, map[bool]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		w := newTestCluster(rapid.IntRange(2, 20).Draw(t, "hosts"), rapid.Uint64().Draw(t, "seed"))
-		w.slowdown = rapid.SampledFrom([]float64{1, 1, 2.8}).Draw(t, "slow")
-		same := rapid.SampledFrom([]float64{0, 0.001, 0.003, 0.2}).Draw(t, "failing alike")
-		for i := range w.failureRate {
-			w.failureRate[i] = same
-		}
-		rate := rapid.Float64Range(0.2, 50).Draw(t, "rate of an endpoint") * float64(len(w.hosts))
-		was := make([]bool, len(w.hosts))
-		w.advance(4000/rate, rate, func(host int) {
-			attempts[same > 0.1]++
-			if w.hosts[host].Grey() && !was[host] {
-				alarms[same > 0.1]++
+		c := newTestCluster(rapid.IntRange(2, 20).Draw(t, "hosts"), rapid.Uint64().Draw(t, "seed"))
+		c.slowdown = rapid.SampledFrom([]float64{1, 1, 2.8}).Draw(t, "slowdown")
+		commonRate := rapid.SampledFrom([]float64{0, 0.001, 0.003, 0.2}).Draw(t, "common failure rate")
+		for i := range c.failureRate {
+			c.failureRate[i] = commonRate
+		}
+		rate := rapid.Float64Range(0.2, 50).Draw(t, "rate of an endpoint") * float64(len(c.hosts))
+		wasGrey := make([]bool, len(c.hosts))
+		c.advance(4000/rate, rate, func(host int) {
+			attempts[commonRate > 0.1]++
+			if c.hosts[host].Grey() && !wasGrey[host] {
+				falsePositives[commonRate > 0.1]++
 			}
-			was[host] = w.hosts[host].Grey()
+			wasGrey[host] = c.hosts[host].Grey()
 		})
 	})
-	for failing, most := range map[bool]float64{false: 1.0 / 3000, true: 1.0 / 200} {
-		if rate := float64(alarms[failing]) / float64(attempts[failing]); rate > most {
-			t.Errorf("all failing alike: %v: %d alarms in %d attempts", failing, alarms[failing], attempts[failing])
+	for failing, maxRate := range map[bool]float64{false: 1.0 / 3000, true: 1.0 / 200} {
+		if rate := float64(falsePositives[failing]) / float64(attempts[failing]); rate > maxRate {
+			t.Errorf("high common failure rate: %v: %d false positives in %d attempts", failing, falsePositives[failing], attempts[failing])
 		}
 	}
 }
 
-// Guards against an endpoint that fails a good part and goes undetected, or being suspected for long after it has healed.
+// Guards against missing an endpoint that fails a large share of its attempts, and against considering it grey for long after
+// it has recovered.
 func TestDetectionAndRecovery(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newTestCluster(8, rapid.Uint64().Draw(t, "seed"))
+		c := newTestCluster(8, rapid.Uint64().Draw(t, "seed"))
 		share := rapid.Float64Range(0.3, 1).Draw(t, "share")
-		if rapid.Bool().Draw(t, "mute") {
-			w.hangRate[0] = share
+		if rapid.Bool().Draw(t, "hangs") {
+			c.hangRate[0] = share
 		} else {
-			w.failureRate[0] = share
+			c.failureRate[0] = share
 		}
 		rate := 8 * rapid.Float64Range(2, 50).Draw(t, "rate of an endpoint")
-		healthy := w.f.FailureRate(&w.hosts[1], 0, 0, 0)
-		w.advance(10, rate, nil)
-		if !w.hosts[0].Grey() {
-			t.Errorf("not detected: fails %.2f", w.f.FailureRate(&w.hosts[0], 0, 0, 0))
+		initial := c.detector.FailureRate(&c.hosts[1], 0, 0, 0)
+		c.advance(10, rate, nil)
+		if !c.hosts[0].Grey() {
+			t.Errorf("the faulty endpoint is not detected; its estimated failure rate is %.2f", c.detector.FailureRate(&c.hosts[0], 0, 0, 0))
 		}
-		if failing, well := w.f.FailureRate(&w.hosts[0], 0, 0, 0), w.f.FailureRate(&w.hosts[1], 0, 0, 0); failing < 0.25*share || well > 0.1 || healthy > 0.05 {
-			t.Errorf("of %.2f: the failing one is taken for %.2f, another for %.2f, before for %.2f", share, failing, well, healthy)
+		if faulty, healthy := c.detector.FailureRate(&c.hosts[0], 0, 0, 0), c.detector.FailureRate(&c.hosts[1], 0, 0, 0); faulty < 0.25*share || healthy > 0.1 || initial > 0.05 {
+			t.Errorf("true failure rate %.2f: the faulty endpoint is estimated at %.2f, a healthy one at %.2f, and at %.2f before the fault", share, faulty, healthy, initial)
 		}
-		w.hangRate[0], w.failureRate[0] = 0, 0
-		w.advance(60, rate, nil)
-		if w.hosts[0].Grey() {
-			t.Error("still grey a minute after it has healed")
+		c.hangRate[0], c.failureRate[0] = 0, 0
+		c.advance(60, rate, nil)
+		if c.hosts[0].Grey() {
+			t.Error("the endpoint is still grey a minute after its recovery")
 		}
 	})
 }
 
-// Guards against one class's fault at all endpoints being held against them, and one endpoint's with one class being missed.
+// Guards against attributing a class's fault at all endpoints to the endpoints, and against missing an endpoint's fault in one
+// class.
 func TestFaultIsAttributed(t *testing.T) {
 	for seed := range uint64(5) {
-		w := newTestCluster(6, seed)
+		c := newTestCluster(6, seed)
 		for range 3000 { // class 1 fails everywhere; endpoint 0 fails class 0 as well
-			host, class := w.rng.IntN(6), w.rng.IntN(2)
+			host, class := c.rng.IntN(6), c.rng.IntN(2)
 			switch {
-			case class == 1 && w.rng.Float64() < 0.5, class == 0 && host == 0 && w.rng.Float64() < 0.5:
-				w.f.RecordFailure(&w.hosts[host], class, 0)
+			case class == 1 && c.rng.Float64() < 0.5, class == 0 && host == 0 && c.rng.Float64() < 0.5:
+				c.detector.RecordFailure(&c.hosts[host], class, 0)
 			default:
-				w.f.RecordAnswer(&w.hosts[host], class, typicalSeconds, 0)
+				c.detector.RecordAnswer(&c.hosts[host], class, typicalSeconds, 0)
 			}
 		}
-		for host := range w.hosts {
-			if w.hosts[host].Grey() != (host == 0) {
-				t.Errorf("seed %d: endpoint %d is grey: %v", seed, host, w.hosts[host].Grey())
+		for host := range c.hosts {
+			if c.hosts[host].Grey() != (host == 0) {
+				t.Errorf("seed %d: endpoint %d: grey is %v", seed, host, c.hosts[host].Grey())
 			}
 			for class, want := range []float64{0, 0.5} {
 				if host == 0 {
 					want = 0.5
 				}
-				if got := w.f.FailureRate(&w.hosts[host], class, 0, 0); math.Abs(got-want) > 0.08 {
-					t.Errorf("seed %d: endpoint %d fails %.2f of class %d, in truth %.2f", seed, host, got, class, want)
+				if got := c.detector.FailureRate(&c.hosts[host], class, 0, 0); math.Abs(got-want) > 0.08 {
+					t.Errorf("seed %d: endpoint %d has an estimated failure rate of %.2f in class %d, the true one is %.2f", seed, host, got, class, want)
 				}
 			}
 		}
 	}
 }
 
-// Guards against overload being taken for endpoints that hang: while all are slow, a missing answer says little.
+// Guards against mistaking overload for hangs: while all endpoints are slow, a missing answer is weak evidence.
 func TestOverloadIsNotTakenForHangs(t *testing.T) {
-	w := newTestCluster(4, 1)
-	w.advance(20, 100, nil)
-	w.f.BeginAssessment()
-	if calm := w.f.HangProbability(&w.hosts[0], 0, 8*typicalSeconds, 1, 0); calm < 0.5 {
-		t.Errorf("calm, and out for 8 times the typical: hangs with odds of %.2f only", calm)
+	c := newTestCluster(4, 1)
+	c.advance(20, 100, nil)
+	c.detector.BeginAssessment()
+	if p := c.detector.HangProbability(&c.hosts[0], 0, 8*typicalSeconds, 1, 0); p < 0.5 {
+		t.Errorf("normal load, pending for 8 times the typical latency: hang probability is %.2f, want at least 0.5", p)
 	}
-	w.slowdown = 6
-	w.advance(3, 100, nil)
-	w.f.BeginAssessment()
-	if overloaded := w.f.HangProbability(&w.hosts[0], 0, 8*typicalSeconds, 1, 0); overloaded > 0.1 {
-		t.Errorf("all are 6 times slower: hangs with odds of %.2f", overloaded)
+	c.slowdown = 6
+	c.advance(3, 100, nil)
+	c.detector.BeginAssessment()
+	if p := c.detector.HangProbability(&c.hosts[0], 0, 8*typicalSeconds, 1, 0); p > 0.1 {
+		t.Errorf("all endpoints 6 times slower: hang probability is %.2f, want at most 0.1", p)
 	}
 }
 
-// The odds move with each kind of evidence in its direction and stay odds.
+// The hang probability is between 0 and 1. It rises with the attempt's age and the number of later answers, and falls with the
+// endpoint's slowness.
 func TestHangProbabilityIsMonotonic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newTestCluster(3, rapid.Uint64().Draw(t, "seed"))
-		w.hangRate[0] = rapid.Float64Range(0, 0.5).Draw(t, "mute")
-		w.advance(5, 60, nil)
-		w.f.BeginAssessment()
-		age, passed := rapid.Float64Range(0, 2).Draw(t, "age"), rapid.IntRange(0, 5).Draw(t, "passed")
-		slow := rapid.Float64Range(1, 4).Draw(t, "slow")
-		at := func(age, slow float64, passed int) float64 {
-			return w.f.HangProbability(&w.hosts[0], 0, age, slow, passed)
-		}
-		p := at(age, slow, passed)
-		if p < 0 || p > 1 || at(1.5*age, slow, passed) < p-1e-12 || at(age, 2*slow, passed) > p+1e-12 || at(age, slow, passed+1) < p-1e-12 {
-			t.Errorf("%.3f; older %.3f, slower endpoint %.3f, passed once more %.3f", p, at(1.5*age, slow, passed),
-				at(age, 2*slow, passed), at(age, slow, passed+1))
+		c := newTestCluster(3, rapid.Uint64().Draw(t, "seed"))
+		c.hangRate[0] = rapid.Float64Range(0, 0.5).Draw(t, "hang rate")
+		c.advance(5, 60, nil)
+		c.detector.BeginAssessment()
+		age, overtakenBy := rapid.Float64Range(0, 2).Draw(t, "age"), rapid.IntRange(0, 5).Draw(t, "overtaken by")
+		slowness := rapid.Float64Range(1, 4).Draw(t, "slowness")
+		probability := func(age, slowness float64, overtakenBy int) float64 {
+			return c.detector.HangProbability(&c.hosts[0], 0, age, slowness, overtakenBy)
+		}
+		p := probability(age, slowness, overtakenBy)
+		if p < 0 || p > 1 || probability(1.5*age, slowness, overtakenBy) < p-1e-12 || probability(age, 2*slowness, overtakenBy) > p+1e-12 || probability(age, slowness, overtakenBy+1) < p-1e-12 {
+			t.Errorf("hang probability %.3f; older attempt %.3f, slower endpoint %.3f, overtaken once more %.3f", p, probability(1.5*age, slowness, overtakenBy),
+				probability(age, 2*slowness, overtakenBy), probability(age, slowness, overtakenBy+1))
 		}
 	})
 }
 
-var grid = flag.Bool("grid", false, "print how soon a grey endpoint is detected, and how often a healthy one is, for some shares and rates")
+var grid = flag.Bool("grid", false, "print the detection delay of grey endpoints and the false positives of healthy ones, for several shares and rates")
 
-// TestGrid prints the table of docs/design/grey-failures.md: go test ./balance/grey -run Grid -grid -v
+// TestGrid prints the table in docs/design/grey-failures.md. Run it with go test ./balance/grey -run Grid -grid -v
 func TestGrid(t *testing.T) {
 	if !*grid {
-		t.Skip("a measurement: -grid")
+		t.Skip("this is a measurement, which runs with -grid only")
 	}
-	const plays, most = 40, 120.0
+	const runs, maxSeconds = 40, 120.0
 	for _, rate := range []float64{0.2, 0.5, 2, 10, 50} {
-		alarms, hours := 0, 0.0
-		for seed := range uint64(plays) {
-			w := newTestCluster(12, seed)
-			for i := range w.failureRate {
-				w.failureRate[i] = 0.002
+		falsePositives, hours := 0, 0.0
+		for seed := range uint64(runs) {
+			c := newTestCluster(12, seed)
+			for i := range c.failureRate {
+				c.failureRate[i] = 0.002
 			}
-			was := false
-			w.advance(most, 12*rate, func(int) {
-				if w.hosts[0].Grey() && !was {
-					alarms++
+			wasGrey := false
+			c.advance(maxSeconds, 12*rate, func(int) {
+				if c.hosts[0].Grey() && !wasGrey {
+					falsePositives++
 				}
-				was = w.hosts[0].Grey()
+				wasGrey = c.hosts[0].Grey()
 			})
-			hours += most / 3600
+			hours += maxSeconds / 3600
 		}
-		t.Logf("%4.1f a second: %.2f false alarms an hour of an endpoint", rate, float64(alarms)/hours)
+		t.Logf("%4.1f attempts a second: %.2f false positives per endpoint and hour", rate, float64(falsePositives)/hours)
 		for _, share := range []float64{0.05, 0.1, 0.2, 0.5, 1} {
-			var at []float64
-			for seed := range uint64(plays) {
-				w := newTestCluster(12, seed)
-				w.advance(20, 12*rate, nil)
-				w.hangRate[0] = share
-				from := w.now
-				for w.now < from+most && !w.hosts[0].Grey() {
-					w.advance(0.1, 12*rate, nil)
+			var delays []float64
+			for seed := range uint64(runs) {
+				c := newTestCluster(12, seed)
+				c.advance(20, 12*rate, nil)
+				c.hangRate[0] = share
+				start := c.now
+				for c.now < start+maxSeconds && !c.hosts[0].Grey() {
+					c.advance(0.1, 12*rate, nil)
 				}
-				if w.hosts[0].Grey() {
-					at = append(at, w.now-from)
+				if c.hosts[0].Grey() {
+					delays = append(delays, c.now-start)
 				}
 			}
 			mean := 0.0
-			for _, x := range at {
-				mean += x / float64(len(at))
+			for _, delay := range delays {
+				mean += delay / float64(len(delays))
 			}
-			t.Logf("%4.1f a second, mute %3.0f%%: detected %3.0f%%, after %.1f s", rate, 100*share, 100*float64(len(at))/plays, mean)
+			t.Logf("%4.1f attempts a second, %3.0f%% hang: detected in %3.0f%% of runs, after %.1f s", rate, 100*share, 100*float64(len(delays))/runs, mean)
 		}
 	}
 }
--- a/balance/grey/doc.go
+++ b/balance/grey/doc.go
@@ -1,13 +1,17 @@
-// Package grey detects grey failures: hosts that fail a part of their attempts, by errors or by never answering, while they
-// serve the rest (gray failure; Huang et al., HotOS 2017). It is pure: the caller passes ages and reports how each attempt
+// Package grey detects grey failures: hosts that fail some of their attempts, with errors or by never answering, while they
+// serve the others (gray failure; Huang et al., HotOS 2017). It is pure: the caller passes ages and reports how each attempt
 // ended. Its types aren't safe for concurrent use. Package balance is its only caller.
 //
-// It answers two questions. Does this attempt hang? By Bayes' rule, the chance that an answer is late is weighed against the
-// chance that none comes: by how long answers of the class take at present, by how many later attempts the host has
-// answered, and by how often the host has not answered before. And what share of its attempts does this host fail, compared
-// with its peers? A share is shrunk toward what the others fail at the same time of the same classes, so that what all
-// have in common, a class that fails everywhere or a dependency that is down, is held against none of them.
+// It estimates two quantities:
 //
-// An attempt that ends without an answer is no proof: it counts as failed by the odds that it hung. All evidence decays, so
-// that a host that gets no traffic is tried again. docs/design/grey-failures.md has the options and the measurements.
+//   - The probability that a pending attempt hangs (will never be answered). Bayes' rule compares a late answer with no answer,
+//     given the present latency of the class, the number of later attempts that the host has answered, and the share of the
+//     host's earlier attempts that hung.
+//   - The share of a host's attempts that fails. The estimate is shrunk toward the present failure rates of the same classes at
+//     the host's peers. A fault that all hosts share, such as a class that fails everywhere or a dependency that is down, is
+//     therefore not attributed to any one of them.
+//
+// An attempt that ends without an answer is no proof of a hang: it counts as a failure with the probability that it hung as its weight. All
+// evidence decays, so that a host without traffic is tried again. docs/design/grey-failures.md has the options and the
+// measurements.
 package grey
--- a/balance/grey/host.go
+++ b/balance/grey/host.go
@@ -2,17 +2,17 @@
 
 import "math"
 
-// Host is the evidence about one host. The zero value has none.
+// Host holds the evidence about one host. The zero value has no evidence.
 type Host struct {
-	classes        []decayedCount // by class; may be shorter than the detector's
-	hangs          decayedCount
-	recent         decayedCount
-	timeoutsInARow int     // attempts that timed out since the last answer
-	suspicion      float64 // logarithm of the odds that it fails more than its peers: a sum that stays at 0 or over (CUSUM; Page 1954)
-	grey           bool
+	classes             []decayedCount // by class; may be shorter than the detector's
+	hangs               decayedCount
+	recent              decayedCount
+	consecutiveTimeouts int     // time-outs since the last answer
+	suspicion           float64 // log-likelihood ratio of a grey host to a healthy one, summed and kept at or above 0 (CUSUM; Page 1954)
+	grey                bool
 }
 
-// Decay lets so many seconds pass.
+// Decay reduces the weight of the evidence, for seconds that have passed.
 func (h *Host) Decay(seconds float64) {
 	keep := math.Exp(-seconds / decaySeconds)
 	h.hangs.decay(keep)
@@ -24,13 +24,13 @@
 	}
 }
 
-// Grey reports whether the host fails more than its peers, by evidence that chance hardly brings.
+// Grey reports whether the host fails more attempts than its peers, by evidence that is unlikely to be chance.
 func (h *Host) Grey() bool { return h.grey }
 
-// MostlyFailing reports whether the host has failed more attempts of late than it has answered.
+// MostlyFailing reports whether more than half of the host's recent attempts failed.
 func (h *Host) MostlyFailing() bool { return 2*h.recent.failures > h.recent.attempts }
 
-// class is the host's count of a class.
+// class returns the host's counts of a class.
 func (h *Host) class(class int) decayedCount {
 	if class >= len(h.classes) {
 		return decayedCount{}
@@ -38,8 +38,9 @@
 	return h.classes[class]
 }
 
-// suspect takes in an attempt that failed, from 0 to 1, where its peers fail at a rate and a grey host would at greyRate.
-func (h *Host) suspect(failed, peerRate, greyRate float64) {
+// updateSuspicion adds an attempt that failed with probability failed to the evidence that the host is grey. peerRate is the
+// failure rate of a healthy host, greyRate that of a grey one.
+func (h *Host) updateSuspicion(failed, peerRate, greyRate float64) {
 	failed = max(0, failed)
 	h.suspicion += failed*math.Log(greyRate/peerRate) + (1-failed)*math.Log((1-greyRate)/(1-peerRate))
 	h.suspicion = min(maxSuspicion, max(0, h.suspicion))
