--- a/balance/grey/count.go
+++ b/balance/grey/count.go
@@ -3,8 +3,8 @@
 // decayedCount counts attempts and failures; both decay exponentially with time.
 type decayedCount struct{ attempts, failures float64 }
 
-// add counts an attempt. failed is the probability that it failed, from 0 to 1; a negative value cancels part of an earlier
-// failure.
+// add counts an attempt. failed is the probability that it failed, from 0 to 1; a negative value cancels part of an
+// earlier failure.
 func (c *decayedCount) add(failed float64) {
 	c.attempts++
 	c.failures = max(0, c.failures+failed)
--- a/balance/grey/detector.go
+++ b/balance/grey/detector.go
@@ -26,8 +26,8 @@
 	return d
 }
 
-// AddClasses adds the classes that the detector does not have yet. seconds is the expected latency of every class, also of
-// those that exist, which are not changed.
+// AddClasses adds the classes that the detector does not have yet. seconds is the expected latency of every class, also
+// of those that exist, which are not changed.
 func (d *Detector) AddClasses(seconds []float64) {
 	for _, s := range seconds[min(len(d.classes), len(seconds)):] {
 		d.classes = append(d.classes, decayedCount{})
@@ -35,9 +35,10 @@
 	}
 }
 
-// RecordAnswer records an answer with a latency in seconds. hangProbability is that of the attempt's last assessment. If it
-// is above one half, the same amount of an earlier hang and failure is cancelled: for each such attempt that is answered after
-// all, a similar one was probably cancelled in favour of a hedge and counted as a hang although it did not hang.
+// RecordAnswer records an answer with a latency in seconds. hangProbability is that of the attempt's last assessment.
+// If it is above one half, the same amount of an earlier hang and failure is cancelled: for each such attempt that is
+// answered after all, a similar one was probably cancelled in favour of a hedge and counted as a hang although it did
+// not hang.
 func (d *Detector) RecordAnswer(h *Host, class int, seconds, hangProbability float64) {
 	d.recent.add(d.latencies[class].add(seconds), true)
 	d.timeouts.add(0)
@@ -55,9 +56,8 @@
 	d.recordEnd(h, class, 1, hangProbability)
 }
 
-// RecordAbandoned records an attempt that this instance cancelled when it was seconds old. overtakenBy is the number of later
-// attempts that the host had answered by then. It counts as a failure with weight
-// hangProbability.
+// RecordAbandoned records an attempt that this instance cancelled when it was seconds old. overtakenBy is the number of
+// later attempts that the host had answered by then. It counts as a failure with weight hangProbability.
 func (d *Detector) RecordAbandoned(h *Host, class int, seconds, hangProbability float64, overtakenBy int) {
 	if overtakenBy < maxOvertaken {
 		d.recent.add(d.latencies[class].logRatio(seconds), false)
@@ -66,8 +66,9 @@
 }
 
 // RecordTimeout records an attempt that was still pending at its request's deadline. It reports whether the host is
-// unresponsive: whether its number of consecutive time-outs has a probability below unresponsiveProbability at the cluster's present
-// time-out rate. This also works during overload, when HangProbability is scaled down to 0 and a single attempt proves nothing.
+// unresponsive: whether its number of consecutive time-outs has a probability below unresponsiveProbability at the
+// cluster's present time-out rate. This also works during overload, when HangProbability is scaled down to 0 and a
+// single attempt proves nothing.
 func (d *Detector) RecordTimeout(h *Host) (unresponsive bool) {
 	clusterRate := max(minTimeoutRate, d.timeouts.rate(minTimeoutRate, priorTimeoutWeight))
 	d.timeouts.add(1)
@@ -75,8 +76,8 @@
 	return math.Pow(clusterRate, float64(h.consecutiveTimeouts)) < unresponsiveProbability
 }
 
-// recordEnd counts an ended attempt. failed and hung are the probabilities that it failed and that it hung; negative values
-// cancel earlier evidence.
+// recordEnd counts an ended attempt. failed and hung are the probabilities that it failed and that it hung; negative
+// values cancel earlier evidence.
 func (d *Detector) recordEnd(h *Host, class int, failed, hung float64) {
 	for len(h.classes) < len(d.classes) {
 		h.classes = append(h.classes, decayedCount{})
@@ -107,15 +108,17 @@
 	}
 }
 
-// BeginAssessment begins an assessment of all pending attempts. The caller then calls HangProbability once for each of them.
+// BeginAssessment begins an assessment of all pending attempts. The caller then calls HangProbability once for each of
+// them.
 func (d *Detector) BeginAssessment() {
 	d.slowdown = d.recent.slowdown()
 	d.trust = d.recent.trust(d.overdueAttempts)
 	d.overdueAttempts = 0
 }
 
-// HangProbability returns the probability that a pending attempt will never be answered. seconds is its age, slowness the
-// host's mean latency divided by that of its peers, and overtakenBy the number of later attempts that the host has answered.
+// HangProbability returns the probability that a pending attempt will never be answered. seconds is its age, slowness
+// the host's mean latency divided by that of its peers, and overtakenBy the number of later attempts that the host has
+// answered.
 func (d *Detector) HangProbability(h *Host, class int, seconds, slowness float64, overtakenBy int) float64 {
 	model := &d.latencies[class]
 	logRatio := model.logRatio(seconds)
--- a/balance/grey/detector_test.go
+++ b/balance/grey/detector_test.go
@@ -9,7 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// A fixed seed and number of checks make the result in CI reproducible; -rapid.seed=0 -rapid.checks=1000 tests more cases.
+// A fixed seed and number of checks make the result in CI reproducible; -rapid.seed=0 -rapid.checks=1000 tests more
+// cases.
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "60"} {
 		if err := flag.Set(name, value); err != nil {
@@ -75,8 +76,9 @@
 	}
 }
 
-// Guards against false positives at any request rate, while all endpoints are healthy, slow or fail alike. If all fail a large
-// share of their attempts, a small cluster is a poor estimate of the common rate, and more false positives are allowed.
+// Guards against false positives at any request rate, while all endpoints are healthy, slow or fail alike. If all fail
+// a large share of their attempts, a small cluster is a poor estimate of the common rate, and more false positives are
+// allowed.
 func TestFewFalsePositives(t *testing.T) {
 	attempts, falsePositives := map[bool]int{}, map[bool]int{}
 	rapid.Check(t, func(t *rapid.T) {
@@ -103,8 +105,8 @@
 	}
 }
 
-// Guards against missing an endpoint that fails a large share of its attempts, and against considering it grey for long after
-// it has recovered.
+// Guards against missing an endpoint that fails a large share of its attempts, and against considering it grey for long
+// after it has recovered.
 func TestDetectionAndRecovery(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newTestCluster(8, rapid.Uint64().Draw(t, "seed"))
@@ -131,8 +133,8 @@
 	})
 }
 
-// Guards against attributing a class's fault at all endpoints to the endpoints, and against missing an endpoint's fault in one
-// class.
+// Guards against attributing a class's fault at all endpoints to the endpoints, and against missing an endpoint's fault
+// in one class.
 func TestFaultIsAttributed(t *testing.T) {
 	for seed := range uint64(5) {
 		c := newTestCluster(6, seed)
@@ -166,19 +168,19 @@
 	c := newTestCluster(4, 1)
 	c.advance(20, 100, nil)
 	c.detector.BeginAssessment()
-	if p := c.detector.HangProbability(&c.hosts[0], 0, 8*typicalSeconds, 1, 0); p < 0.5 {
-		t.Errorf("normal load, pending for 8 times the typical latency: hang probability is %.2f, want at least 0.5", p)
+	if calm := c.detector.HangProbability(&c.hosts[0], 0, 8*typicalSeconds, 1, 0); calm < 0.5 {
+		t.Errorf("normal load, pending for 8 times the typical latency: hang probability is %.2f, want at least 0.5", calm)
 	}
 	c.slowdown = 6
 	c.advance(3, 100, nil)
 	c.detector.BeginAssessment()
-	if p := c.detector.HangProbability(&c.hosts[0], 0, 8*typicalSeconds, 1, 0); p > 0.1 {
-		t.Errorf("all endpoints 6 times slower: hang probability is %.2f, want at most 0.1", p)
+	if overloaded := c.detector.HangProbability(&c.hosts[0], 0, 8*typicalSeconds, 1, 0); overloaded > 0.1 {
+		t.Errorf("all endpoints 6 times slower: hang probability is %.2f, want at most 0.1", overloaded)
 	}
 }
 
-// The hang probability is between 0 and 1. It rises with the attempt's age and the number of later answers, and falls with the
-// endpoint's slowness.
+// The hang probability is between 0 and 1. It rises with the attempt's age and the number of later answers, and falls
+// with the endpoint's slowness.
 func TestHangProbabilityIsMonotonic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newTestCluster(3, rapid.Uint64().Draw(t, "seed"))
--- a/balance/grey/host.go
+++ b/balance/grey/host.go
@@ -8,7 +8,7 @@
 	hangs               decayedCount
 	recent              decayedCount
 	consecutiveTimeouts int     // time-outs since the last answer
-	suspicion           float64 // log-likelihood ratio of a grey host to a healthy one, summed and kept at or above 0 (CUSUM; Page 1954)
+	suspicion           float64 // sum of log-likelihood ratios of grey to healthy, at least 0 (CUSUM; Page 1954)
 	grey                bool
 }
 
@@ -38,8 +38,8 @@
 	return h.classes[class]
 }
 
-// updateSuspicion adds an attempt that failed with probability failed to the evidence that the host is grey. peerRate is the
-// failure rate of a healthy host, greyRate that of a grey one.
+// updateSuspicion adds an attempt that failed with probability failed to the evidence that the host is grey. peerRate
+// is the failure rate of a healthy host, greyRate that of a grey one.
 func (h *Host) updateSuspicion(failed, peerRate, greyRate float64) {
 	failed = max(0, failed)
 	h.suspicion += failed*math.Log(greyRate/peerRate) + (1-failed)*math.Log((1-greyRate)/(1-peerRate))
--- a/balance/grey/latency.go
+++ b/balance/grey/latency.go
@@ -7,8 +7,9 @@
 
 // latencyModel is the log-normal distribution of a class's latency at hosts that answer.
 type latencyModel struct {
-	priorMean            float64 // logarithm of the expected latency in seconds
-	weight, sum, squares float64 // of the logarithms of latencies in seconds: number, sum, and squared deviations from the mean; all decay
+	priorMean float64 // logarithm of the expected latency in seconds
+	// Decayed number, sum, and squared deviations from the mean, of the logarithms of latencies in seconds.
+	weight, sum, squares float64
 }
 
 // mean returns the mean logarithm of the latency in seconds.
@@ -46,8 +47,8 @@
 	return max(minSpread, math.Sqrt((m.squares+priorSpreadWeight*priorSpread*priorSpread)/(m.weight+priorSpreadWeight)))
 }
 
-// recentLatency sums up the most recent attempts at all hosts: weight is their number, sum that of their logRatios, and fast
-// the number of fast answers. All decay.
+// recentLatency sums up the most recent attempts at all hosts: weight is their number, sum that of their logRatios, and
+// fast the number of fast answers. All decay.
 type recentLatency struct{ weight, sum, fast float64 }
 
 // add records an attempt that was answered, or else abandoned, at an age with the given logRatio. An attempt that was
@@ -73,9 +74,9 @@
 // slowdown returns the logarithm of the ratio of recent latencies to typical ones, at least 0.
 func (r *recentLatency) slowdown() float64 { return max(0, r.sum/(r.weight+priorFastWeight)) }
 
-// trust returns how far a missing answer is evidence of a hang, from 0 to 1. It is 1 while most answers are fast, and 0 if few
-// are: all hosts are then slow or overloaded, and no pending attempt should be considered lost. overdue is the number of
-// pending attempts that are later than a fast answer.
+// trust returns how far a missing answer is evidence of a hang, from 0 to 1. It is 1 while most answers are fast, and 0
+// if few are: all hosts are then slow or overloaded, and no pending attempt should be considered lost. overdue is the
+// number of pending attempts that are later than a fast answer.
 func (r *recentLatency) trust(overdue float64) float64 {
 	fast := (r.fast + priorFastWeight) / (r.weight + priorFastWeight + overdue)
 	return min(1, max(0, (fast-minTrustFastShare)/(fullTrustFastShare-minTrustFastShare)))
--- a/balance/grey/state.go
+++ b/balance/grey/state.go
@@ -8,16 +8,16 @@
 	Failures float64 `json:"Bad"`
 }
 
-// LatencyState is the state of the distribution of a class's latency: the decayed number, sum, and squared deviations from the
-// mean of the logarithms of the latencies in seconds.
+// LatencyState is the state of the distribution of a class's latency: the decayed number, sum, and squared deviations
+// from the mean of the logarithms of the latencies in seconds.
 type LatencyState struct {
 	N       float64 `json:"N"`
 	Sum     float64 `json:"Sum"`
 	Squares float64 `json:"Squares"`
 }
 
-// DetectorState is a Detector's evidence in a form that can be stored and passed to another process. The JSON names are those
-// of stored snapshots and must not change.
+// DetectorState is a Detector's evidence in a form that can be stored and passed to another process. The JSON names are
+// those of stored snapshots and must not change.
 type DetectorState struct {
 	Classes   []CountState   `json:"Classes"` // by class
 	Latencies []LatencyState `json:"Paces"`   // by class
@@ -75,7 +75,8 @@
 	return HostState{Classes: countStates(h.classes), Hangs: h.hangs.state(), Recent: h.recent.state(), Suspicion: h.suspicion, Grey: h.grey}
 }
 
-// Restore returns a host with this evidence, for a detector with the given number of classes. Implausible values are ignored.
+// Restore returns a host with this evidence, for a detector with the given number of classes. Implausible values are
+// ignored.
 func (s *HostState) Restore(classes int) Host {
 	h := Host{hangs: s.Hangs.restore(), recent: s.Recent.restore(), grey: s.Grey}
 	if validCount(s.Suspicion) {
--- a/balance/grey/unresponsive_test.go
+++ b/balance/grey/unresponsive_test.go
@@ -5,9 +5,10 @@
 	"testing"
 )
 
-// Guards against missing an endpoint that never answers while all others are congested: on the platform's large fleet, each
-// sidecar sent such an endpoint one request a second for as long as it hung. For several time-out rates of the other endpoints,
-// the unresponsive one must be detected within a few of its own attempts, with few false positives among the others.
+// Guards against missing an endpoint that never answers while all others are congested: on the platform's large fleet,
+// each sidecar sent such an endpoint one request a second for as long as it hung. For several time-out rates of the
+// other endpoints, the unresponsive one must be detected within a few of its own attempts, with few false positives
+// among the others.
 func TestUnresponsiveDuringOverload(t *testing.T) {
 	for _, c := range []struct {
 		timeoutRate float64 // share of attempts at the other endpoints that time out
