--- a/balance/warmup/warmup_test.go
+++ b/balance/warmup/warmup_test.go
@@ -12,7 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// CI has to come to the same verdict every time; -rapid.seed=0 -rapid.checks=1000 looks further.
+// A fixed seed and number of checks make the result in CI reproducible; -rapid.seed=0 -rapid.checks=1000 tests more
+// cases.
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "40"} {
 		if err := flag.Set(name, value); err != nil {
@@ -22,49 +23,49 @@
 }
 
 const (
-	step          = 20 * time.Millisecond
-	window        = time.Second     // in which the sends to a warming endpoint are counted
-	maxPressure   = 2.5             // times its present capacity x window: the rule
-	lag           = 3 * time.Second // of the list, at instances that learn late; and the pause before a burst
-	played        = 8 * time.Second
-	endpointCount = 12
+	step             = 20 * time.Millisecond
+	window           = time.Second     // over which requests sent to an endpoint that is warming up are counted
+	collapseMultiple = 2.5             // an endpoint collapses at this multiple of its present capacity x window
+	discoveryDelay   = 3 * time.Second // of instances that discover endpoints late; also the length of the pause in traffic
+	runTime          = 8 * time.Second
+	endpointCount    = 12
 )
 
-// endpoint is a minimal endpoint: first come, first served, requests of equal work, no more of them
-// waiting than half of the target latency allows. What it rejects counts as sent and earns nothing.
+// endpoint simulates an endpoint with a first-in, first-out queue and requests of equal work. The queue holds as many
+// requests as a warm endpoint serves in half of the target latency. Rejected requests count as sent and earn nothing.
 type endpoint struct {
-	fails, hangs     bool          // answers nothing: at once with an error, or ever
-	age              time.Duration // at time 0; Config.Duration or more is warm all along
-	speed            float64       // its capacity over what its age says
-	queue            []int         // the instances whose requests wait
-	progress         float64       // requests' worth of work done on the first of them
+	fails, hangs     bool          // it fails all requests at once, or never answers any
+	age              time.Duration // at time 0; an endpoint with Config.Duration or more is warm throughout
+	speed            float64       // ratio of its capacity to the minimum by its age
+	queue            []int         // the instances whose requests are queued
+	progress         float64       // work done on the first queued request, as a share of its work
 	budgets          []Budget      // by instance
-	sent             []float64     // until the end of each step
-	capacityIntegral []float64     // the same of what its present capacity allowed, its integral
+	sent             []float64     // cumulative, at the end of each step
+	capacityIntegral []float64     // cumulative: requests that its present capacity allowed
 	served           []float64
 }
 
-// cluster is instances and endpoints, with a demand. Instances share nothing but the endpoints.
+// cluster simulates instances that share nothing but the endpoints, under a given demand.
 type cluster struct {
-	config          Config
-	statedInstances int     // how many instances there are, as stated to them
-	instances       int     // in truth
-	rate            float64 // requests a second of a warm endpoint
-	initialFactor   float64 // true initial share over the settings'
-	skewed          bool    // the first instance has half of the traffic
-	lateDiscovery   bool    // every other instance learns late of endpoints that warm up; until then it has them as gone, not as warm
-	preferCold      bool    // endpoints that warm up are preferred wherever there is a send; otherwise all alike
-	unbounded       bool    // the mutation: always ready
-	before          float64 // demand over the warm capacity
-	silent          time.Duration
-	after           float64 // demand from the end of the pause on
-	endpoints       []*endpoint
-	random          *rand.Rand
+	config                Config
+	configuredInstances   int     // configured number of instances
+	instances             int     // true number of instances
+	rate                  float64 // requests a second of a warm endpoint
+	initialCapacityFactor float64 // ratio of the true initial share to the configured one
+	skewed                bool    // the first instance gets half of the traffic
+	lateDiscovery         bool    // every other instance discovers warming endpoints late, and does not use them until then
+	preferCold            bool    // warming endpoints with a credit are preferred to warm ones
+	unlimited             bool    // the mutation: no credits are needed
+	loadBefore            float64 // demand before the pause, as a share of the capacity of warm endpoints
+	pauseStart            time.Duration
+	loadAfter             float64 // the same after the pause
+	endpoints             []*endpoint
+	rng                   *rand.Rand
 }
 
 func newCluster(instances int, seed uint64) *cluster {
-	c := &cluster{config: Config{InitialShare: 0.35, Duration: played, TargetLatency: 100 * time.Millisecond}, statedInstances: instances, instances: instances,
-		rate: 200, initialFactor: 1, silent: played, random: rand.New(rand.NewPCG(seed, 0))}
+	c := &cluster{config: Config{InitialShare: 0.35, Duration: runTime, TargetLatency: 100 * time.Millisecond}, configuredInstances: instances, instances: instances,
+		rate: 200, initialCapacityFactor: 1, pauseStart: runTime, rng: rand.New(rand.NewPCG(seed, 0))}
 	for range endpointCount {
 		c.endpoints = append(c.endpoints, &endpoint{speed: 1})
 	}
@@ -73,38 +74,38 @@
 
 func (c *cluster) cold(e *endpoint, now time.Duration) bool { return e.age+now < c.config.Duration }
 
-func (c *cluster) knows(i int, now time.Duration) bool {
-	return !c.lateDiscovery || i%2 == 0 || now >= lag
+func (c *cluster) hasDiscovered(i int, now time.Duration) bool {
+	return !c.lateDiscovery || i%2 == 0 || now >= discoveryDelay
 }
 
-// capacity is what an endpoint can do in truth, in requests a second.
+// capacity returns the true capacity of an endpoint in requests a second.
 func (c *cluster) capacity(e *endpoint, now time.Duration) float64 {
 	truth := c.config
-	truth.InitialShare = min(1, truth.InitialShare*c.initialFactor)
+	truth.InitialShare = min(1, truth.InitialShare*c.initialCapacityFactor)
 	return c.rate * e.speed * truth.Capacity(e.age+now)
 }
 
 func (c *cluster) demand(now time.Duration) float64 {
 	switch {
-	case now < c.silent:
-		return c.before * c.rate * endpointCount
-	case now < c.silent+lag:
+	case now < c.pauseStart:
+		return c.loadBefore * c.rate * endpointCount
+	case now < c.pauseStart+discoveryDelay:
 		return 1e-3
 	}
-	return c.after * c.rate * endpointCount
+	return c.loadAfter * c.rate * endpointCount
 }
 
-func (c *cluster) play() {
+func (c *cluster) run() {
 	for _, e := range c.endpoints {
 		e.budgets = make([]Budget, c.instances)
 		e.sent, e.capacityIntegral, e.served = []float64{0}, []float64{0}, []float64{0}
 	}
-	for now := step; now <= played; now += step {
+	for now := step; now <= runTime; now += step {
 		for _, e := range c.endpoints {
-			did := c.capacity(e, now) * step.Seconds()
-			e.capacityIntegral = append(e.capacityIntegral, last(e.capacityIntegral)+did)
-			e.sent, e.served = append(e.sent, last(e.sent)), append(e.served, last(e.served))
-			if e.progress += did; len(e.queue) == 0 || e.hangs {
+			work := c.capacity(e, now) * step.Seconds()
+			e.capacityIntegral = append(e.capacityIntegral, latest(e.capacityIntegral)+work)
+			e.sent, e.served = append(e.sent, latest(e.sent)), append(e.served, latest(e.served))
+			if e.progress += work; len(e.queue) == 0 || e.hangs {
 				e.progress = 0
 			}
 			for ; e.progress >= 1 && len(e.queue) > 0; e.progress-- {
@@ -113,14 +114,14 @@
 				e.served[len(e.served)-1]++
 			}
 			for i := range e.budgets {
-				if c.cold(e, now) && c.knows(i, now) {
-					e.budgets[i].Tick(now, c.config.TrickleRate(e.age+now, float64(c.statedInstances)), c.random.Float64())
+				if c.cold(e, now) && c.hasDiscovered(i, now) {
+					e.budgets[i].Tick(now, c.config.TrickleRate(e.age+now, float64(c.configuredInstances)), c.rng.Float64())
 				}
 			}
 		}
-		for at := c.next(now); at < step; at += c.next(now) {
-			i := c.random.IntN(c.instances)
-			if c.skewed && c.random.IntN(2) == 0 {
+		for at := c.nextArrival(now); at < step; at += c.nextArrival(now) {
+			i := c.rng.IntN(c.instances)
+			if c.skewed && c.rng.IntN(2) == 0 {
 				i = 0
 			}
 			c.send(i, now)
@@ -128,34 +129,35 @@
 	}
 }
 
-func (c *cluster) next(now time.Duration) time.Duration {
-	return time.Duration(c.random.ExpFloat64() / c.demand(now) * float64(time.Second))
+func (c *cluster) nextArrival(now time.Duration) time.Duration {
+	return time.Duration(c.rng.ExpFloat64() / c.demand(now) * float64(time.Second))
 }
 
-func last(x []float64) float64 { return x[len(x)-1] }
+func latest(x []float64) float64 { return x[len(x)-1] }
 
-// earn is what package balance does with an answer.
+// earn distributes the credits of an answer as package balance does.
 func (c *cluster) earn(i int, now time.Duration) {
 	total := 0.0
 	for _, e := range c.endpoints {
-		if !c.cold(e, now) || c.knows(i, now) {
+		if !c.cold(e, now) || c.hasDiscovered(i, now) {
 			total += c.config.Capacity(e.age + now)
 		}
 	}
 	for _, e := range c.endpoints {
-		if c.cold(e, now) && c.knows(i, now) {
-			e.budgets[i].Earn(now, CreditsPerAnswer*c.config.Capacity(e.age+now)/total, c.random.Float64())
+		if c.cold(e, now) && c.hasDiscovered(i, now) {
+			e.budgets[i].Earn(now, CreditsPerAnswer*c.config.Capacity(e.age+now)/total, c.rng.Float64())
 		}
 	}
 }
 
-// send has an instance send a request to one of the endpoints that it may send to; where there is none it rejects.
+// send sends a request from an instance to a random one of the endpoints that it may use. If there is none, the request
+// is dropped.
 func (c *cluster) send(i int, now time.Duration) {
 	warm, cold := make([]*endpoint, 0, endpointCount), make([]*endpoint, 0, 2*endpointCount)
 	for _, e := range c.endpoints {
 		if !c.cold(e, now) {
 			warm = append(warm, e)
-		} else if c.knows(i, now) && (c.unbounded || e.budgets[i].CanSend(now)) {
+		} else if c.hasDiscovered(i, now) && (c.unlimited || e.budgets[i].CanSend(now)) {
 			cold = append(cold, e)
 		}
 	}
@@ -166,8 +168,8 @@
 	if len(candidates) == 0 {
 		return
 	}
-	e := candidates[c.random.IntN(len(candidates))]
-	if c.cold(e, now) && !c.unbounded {
+	e := candidates[c.rng.IntN(len(candidates))]
+	if c.cold(e, now) && !c.unlimited {
 		e.budgets[i].Spend()
 	}
 	e.sent[len(e.sent)-1]++
@@ -176,105 +178,110 @@
 	}
 }
 
-// pressure is the most that any endpoint was sent in a window while warming up, over what it withstands: N + 2 root of N + 2, N being the
-// multiple of what its present capacity could do in it, or less by the standard deviations of that: sends are whole numbers by
-// chance, and the trickle comes at random, each with at most the variance of a Poisson number of its mean. A number that is four
-// of these out comes up once in 30,000 windows, and only that is left to fleets that are stated a wrong number of instances.
+// pressure returns the maximum ratio of the requests that an endpoint was sent in a window while warming up to its
+// limit, and where that was. The limit is N + 2 sqrt(N) + 2, or less if N plus 4 standard deviations of possible is
+// less; N is the collapse multiple of the requests that its present capacity allowed in the window. The tolerance is
+// needed because credits are rounded at random and the trickle is random, each with at most the variance of a Poisson
+// variable of the same mean. A deviation by four standard deviations occurs once in 30,000 windows; that is the whole
+// tolerance of clusters whose configured number of instances is wrong.
 func (c *cluster) pressure() (worst float64, where string) {
 	n := int(window / step)
 	for k, e := range c.endpoints {
 		for j := n; j < len(e.sent) && c.cold(e, time.Duration(j)*step); j++ {
-			sent, could := e.sent[j]-e.sent[j-n], e.capacityIntegral[j]-e.capacityIntegral[j-n]
-			allowed := maxPressure * could
-			chance := 4 * math.Sqrt(could)
-			if c.statedInstances == c.instances {
-				chance = min(chance, 2*math.Sqrt(allowed)+2)
+			sent, possible := e.sent[j]-e.sent[j-n], e.capacityIntegral[j]-e.capacityIntegral[j-n]
+			allowed := collapseMultiple * possible
+			tolerance := 4 * math.Sqrt(possible)
+			if c.configuredInstances == c.instances {
+				tolerance = min(tolerance, 2*math.Sqrt(allowed)+2)
 			}
-			stands := allowed + chance
-			if p := sent / stands; p > worst {
-				worst, where = p, fmt.Sprintf("endpoint %d in the second to %v: %v sent, N is %.0f", k, time.Duration(j)*step, sent, allowed)
+			limit := allowed + tolerance
+			if p := sent / limit; p > worst {
+				worst, where = p, fmt.Sprintf("endpoint %d in the second before %v: %v requests sent, N is %.0f", k, time.Duration(j)*step, sent, allowed)
 			}
 		}
 	}
 	return worst, where
 }
 
-// clusters are what property 2 is over. A request needs at most a twentieth of the shortest target latency of a warm endpoint (half
-// of what priorWorkShare takes it to need): with more, and half of the instances stated, the trickle alone is too much.
+// clusters generates the clusters of the property tests. At a warm endpoint, a request needs at most a twentieth of the
+// shortest target latency, which is half of priorWorkShare. If requests needed more and half of the true number of
+// instances were configured, the trickle alone would exceed the limit.
 var clusters = rapid.Custom(func(t *rapid.T) *cluster {
-	f := newCluster(rapid.IntRange(1, 60).Draw(t, "instances"), rapid.Uint64().Draw(t, "seed"))
-	f.statedInstances = max(1, int(float64(f.instances)*rapid.SampledFrom([]float64{1, 0.5, 2}).Draw(t, "told")))
-	f.config.InstancesKnown = f.statedInstances == f.instances && rapid.Bool().Draw(t, "sure")
-	f.config.InitialShare = rapid.Float64Range(0.2, 0.5).Draw(t, "share")
-	f.initialFactor = rapid.Float64Range(1, 2).Draw(t, "quick")
-	f.config.TargetLatency = time.Duration(rapid.IntRange(100, 300).Draw(t, "aim")) * time.Millisecond
-	f.skewed = rapid.Bool().Draw(t, "skewed")
-	f.lateDiscovery = rapid.Bool().Draw(t, "late")
-	f.preferCold = rapid.Bool().Draw(t, "cold first")
-	f.before = rapid.Float64Range(0.3, 3).Draw(t, "before")
-	f.silent = time.Duration(rapid.IntRange(0, 8).Draw(t, "silent")) * time.Second
-	f.after = rapid.Float64Range(0.3, 3).Draw(t, "after")
+	c := newCluster(rapid.IntRange(1, 60).Draw(t, "instances"), rapid.Uint64().Draw(t, "seed"))
+	c.configuredInstances = max(1, int(float64(c.instances)*rapid.SampledFrom([]float64{1, 0.5, 2}).Draw(t, "configured factor")))
+	c.config.InstancesKnown = c.configuredInstances == c.instances && rapid.Bool().Draw(t, "instances known")
+	c.config.InitialShare = rapid.Float64Range(0.2, 0.5).Draw(t, "initial share")
+	c.initialCapacityFactor = rapid.Float64Range(1, 2).Draw(t, "initial capacity factor")
+	c.config.TargetLatency = time.Duration(rapid.IntRange(100, 300).Draw(t, "target latency")) * time.Millisecond
+	c.skewed = rapid.Bool().Draw(t, "skewed")
+	c.lateDiscovery = rapid.Bool().Draw(t, "late discovery")
+	c.preferCold = rapid.Bool().Draw(t, "prefer cold")
+	c.loadBefore = rapid.Float64Range(0.3, 3).Draw(t, "load before")
+	c.pauseStart = time.Duration(rapid.IntRange(0, 8).Draw(t, "pause start")) * time.Second
+	c.loadAfter = rapid.Float64Range(0.3, 3).Draw(t, "load after")
 	cold := rapid.SampledFrom([]int{endpointCount, endpointCount / 2, 1}).Draw(t, "cold")
-	for i, b := range f.endpoints {
-		b.speed = rapid.Float64Range(0.8, 1.2).Draw(t, "able")
+	for i, e := range c.endpoints {
+		e.speed = rapid.Float64Range(0.8, 1.2).Draw(t, "speed")
 		if i >= cold {
-			b.age = f.config.Duration
+			e.age = c.config.Duration
 		}
 	}
-	f.endpoints[rapid.IntRange(0, endpointCount-1).Draw(t, "which fails")].fails = rapid.Bool().Draw(t, "fails")
-	f.endpoints[rapid.IntRange(0, endpointCount-1).Draw(t, "which hangs")].hangs = rapid.Bool().Draw(t, "hangs")
-	return f
+	c.endpoints[rapid.IntRange(0, endpointCount-1).Draw(t, "which fails")].fails = rapid.Bool().Draw(t, "fails")
+	c.endpoints[rapid.IntRange(0, endpointCount-1).Draw(t, "which hangs")].hangs = rapid.Bool().Draw(t, "hangs")
+	return c
 })
 
 func TestInstancesStayUnderCollapseMultiple(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := clusters.Draw(t, "fleet")
-		c.play()
+		c.run()
 		if p, where := c.pressure(); p > 1 {
-			t.Fatalf("%.2f of what it stands: %s", p, where)
+			t.Fatalf("%.2f times the limit: %s", p, where)
 		}
 	})
 }
 
-// The property can fail: with the bound dropped, many of the same fleets break it (those of little demand don't).
+// Checks that the property test can fail: without credits, several of the same clusters exceed the limit. Those with
+// little demand do not.
 func TestInstancesExceedMultipleWithoutBudget(t *testing.T) {
-	broke := 0
+	violations := 0
 	for i := range 10 {
 		c := clusters.Example(i)
-		c.unbounded = true
-		c.play()
+		c.unlimited = true
+		c.run()
 		if p, _ := c.pressure(); p > 1 {
-			broke++
+			violations++
 		}
 	}
-	if broke < 3 {
-		t.Errorf("only %d of 10 fleets without a bound broke the rule", broke)
+	if violations < 3 {
+		t.Errorf("only %d of 10 clusters without credits exceeded the limit, want at least 3", violations)
 	}
 }
 
-// A fleet that is warming up as a whole comes up with what it can do, and isn't down after a pause in which all sends expired.
+// A cluster whose endpoints are all warming up serves most of what its capacity allows, also after a pause in which all
+// credits expired.
 func TestColdClusterServes(t *testing.T) {
-	for _, pause := range []time.Duration{played, 2 * time.Second} {
+	for _, pause := range []time.Duration{runTime, 2 * time.Second} {
 		for _, instances := range []int{1, 10, 50} {
-			aim, from, least := 100*time.Millisecond, lag, 0.8
-			if pause < played { // and short requests, of which the trickle brings few: two seconds after it
-				aim, from, least = 500*time.Millisecond, pause+lag+2*time.Second, 0.5
+			targetLatency, start, minShare := 100*time.Millisecond, discoveryDelay, 0.8
+			if pause < runTime { // requests are short against the target latency, so the trickle is slow: measured from 2 s after the pause
+				targetLatency, start, minShare = 500*time.Millisecond, pause+discoveryDelay+2*time.Second, 0.5
 			}
 			t.Run(fmt.Sprint(instances, " instances, pause from ", pause), func(t *testing.T) {
 				var shares []float64
 				for seed := range uint64(3) {
 					c := newCluster(instances, seed)
-					c.before, c.after, c.silent, c.config.TargetLatency = 0.5, 0.5, pause, aim
-					c.play()
-					n, served, could := int(from/step), 0.0, 0.0
+					c.loadBefore, c.loadAfter, c.pauseStart, c.config.TargetLatency = 0.5, 0.5, pause, targetLatency
+					c.run()
+					n, served, possible := int(start/step), 0.0, 0.0
 					for _, e := range c.endpoints {
-						served += last(e.served) - e.served[n]
-						could += last(e.capacityIntegral) - e.capacityIntegral[n]
+						served += latest(e.served) - e.served[n]
+						possible += latest(e.capacityIntegral) - e.capacityIntegral[n]
 					}
-					shares = append(shares, served/min(could, c.demand(played)*(played-from).Seconds()))
+					shares = append(shares, served/min(possible, c.demand(runTime)*(runTime-start).Seconds()))
 				}
-				if slices.Sort(shares); shares[1] < least {
-					t.Errorf("served %.2f of what the endpoints could do", shares)
+				if slices.Sort(shares); shares[1] < minShare {
+					t.Errorf("shares served of what capacity and demand allow, sorted: %.2f", shares)
 				}
 			})
 		}
@@ -282,28 +289,28 @@
 }
 
 func TestCapacity(t *testing.T) {
-	site := Config{InitialShare: 0.4, Duration: 10 * time.Second}
+	config := Config{InitialShare: 0.4, Duration: 10 * time.Second}
 	for _, c := range []struct {
 		age  time.Duration
 		want float64
 	}{{-time.Hour, 0.4}, {0, 0.4}, {5 * time.Second, 0.7}, {10 * time.Second, 1}, {time.Hour, 1}} {
-		if got := site.Capacity(c.age); math.Abs(got-c.want) > 1e-9 {
-			t.Errorf("at age %v it is %v, not %v", c.age, got, c.want)
+		if got := config.Capacity(c.age); math.Abs(got-c.want) > 1e-9 {
+			t.Errorf("the capacity at age %v is %v, want %v", c.age, got, c.want)
 		}
 	}
 }
 
-// All users' trickles together don't depend on how many there are; a number that makes no sense counts as 1.
+// The total trickle rate of all instances does not depend on their number; a number below 1 counts as 1.
 func TestTrickleRateIsShared(t *testing.T) {
-	site := Config{InitialShare: 0.4, Duration: 10 * time.Second, TargetLatency: time.Second}
-	one := site.TrickleRate(0, 1)
+	config := Config{InitialShare: 0.4, Duration: 10 * time.Second, TargetLatency: time.Second}
+	one := config.TrickleRate(0, 1)
 	for _, n := range []float64{-1, 0, 1, 7, 200} {
-		if total := site.TrickleRate(0, n) * max(1, n); math.Abs(total-one) > 1e-9 {
-			t.Errorf("%v users trickle %v together, one %v", n, total, one)
+		if total := config.TrickleRate(0, n) * max(1, n); math.Abs(total-one) > 1e-9 {
+			t.Errorf("the total trickle rate of %v instances is %v, want %v as of one", n, total, one)
 		}
 	}
-	if warm := site.TrickleRate(10*time.Second, 1); math.Abs(one-0.4*warm) > 1e-9 {
-		t.Errorf("it doesn't go by capacity: %v warming up, %v warm", one, warm)
+	if warm := config.TrickleRate(10*time.Second, 1); math.Abs(one-0.4*warm) > 1e-9 {
+		t.Errorf("the trickle rate is not in proportion to capacity: %v warming up, %v warm", one, warm)
 	}
 }
 
@@ -312,34 +319,36 @@
 	b.Earn(time.Second, 1, 0)
 	b.Earn(2*time.Second, 1, 0)
 	b.Spend()
-	if end := 2*time.Second + earnedLifetime; !b.CanSend(end-1) || b.CanSend(end) {
-		t.Error("the send of the later answer is not what is left, or doesn't lapse in its time")
+	if expiry := 2*time.Second + earnedLifetime; !b.CanSend(expiry-1) || b.CanSend(expiry) {
+		t.Error("the credit of the later answer did not remain, or did not expire at its time")
 	}
 	if b.Earn(9*time.Second, 1, 0); !b.CanSend(9 * time.Second) {
-		t.Error("no send was earned after the others expired")
+		t.Error("no credit was earned after the others expired")
 	}
-	b.trickled = []time.Duration{9*time.Second + trickleLifetime}
+	b.trickleExpiries = []time.Duration{9*time.Second + trickleLifetime}
 	if b.Spend(); !b.CanSend(9*time.Second + trickleLifetime) {
-		t.Error("the earned send went before that of the trickle, which expires sooner")
+		t.Error("the earned credit was spent before the trickle credit, which expires sooner")
 	}
 }
 
 func TestFractionalSendsHaveRightMean(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	const n = 10000
-	for _, sends := range []float64{0, 0.03, 0.7, 1, 2.4} {
+	for _, credits := range []float64{0, 0.03, 0.7, 1, 2.4} {
 		var b Budget
 		for range n {
-			b.Earn(0, sends, rng.Float64())
+			b.Earn(0, credits, rng.Float64())
 		}
-		// A Bernoulli number's standard deviation is at most 0.5: 4 of the sum's.
-		if got := float64(len(b.earned)); math.Abs(got-sends*n) > 4*0.5*math.Sqrt(n) {
-			t.Errorf("%v sends for %v answers of %v each", got, n, sends)
+		// The standard deviation of a Bernoulli variable is at most 0.5. The tolerance is 4 standard deviations of the
+		// sum.
+		if got := float64(len(b.earnedExpiries)); math.Abs(got-credits*n) > 4*0.5*math.Sqrt(n) {
+			t.Errorf("%v credits for %v answers of %v credits each", got, n, credits)
 		}
 	}
 }
 
-// The trickle brings what its rate says where nothing is answered, and next to nothing where answers earn four times that.
+// The trickle grants credits at its rate if nothing is answered, and hardly any if answers earn four times as many.
+// times that.
 func TestTrickleYieldsToEarnedSends(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	const rate, seconds = 5.0, 200
@@ -356,12 +365,12 @@
 				got++
 			}
 		}
-		want := rate / (1 + rate*step.Seconds()/2) * seconds // it is looked at once a step
+		want := rate / (1 + rate*step.Seconds()/2) * seconds // Tick is called once a step
 		if answers && float64(got) <= 0.03*want {
 			continue
 		}
 		if answers || math.Abs(float64(got)-want) > 4*math.Sqrt(want) {
-			t.Errorf("answers %v: it brought %d; its rate is %.0f", answers, got, want)
+			t.Errorf("answers %v: %d trickle credits, want about %.0f without answers", answers, got, want)
 		}
 	}
 }
