--- a/balance/warmup/warmup_test.go
+++ b/balance/warmup/warmup_test.go
@@ -348,7 +348,6 @@
 }
 
 // The trickle grants credits at its rate if nothing is answered, and hardly any if answers earn four times as many.
-// times that.
 func TestTrickleYieldsToEarnedSends(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	const rate, seconds = 5.0, 200
--- a/internal/budget/allowance.go
+++ b/internal/budget/allowance.go
@@ -1,39 +1,41 @@
 package budget
 
-// MaxAttempts is how many attempts a sidecar may make of a request with so many extra attempts, if each of them takes its part
-// along. Last says that no tier is below.
-func MaxAttempts(extra int, last bool) int {
+// MaxAttempts returns the number of attempts that a sidecar may make for a request with the given number of extra
+// attempts, if each attempt passes down its part of them. leaf means that there is no tier below.
+func MaxAttempts(extra int, leaf bool) int {
 	n := 1
-	for remaining := extra - PassDown(extra, last); remaining > 0; n++ {
+	for remaining := extra - PassDown(extra, leaf); remaining > 0; n++ {
 		remaining--
-		remaining -= PassDown(remaining, last)
+		remaining -= PassDown(remaining, leaf)
 	}
 	return n
 }
 
-// PassDown is the part of the remaining extra attempts that an attempt takes along for the tiers below: all but one, for what
-// fails below is best retried below, where the least work is repeated; the one is for an endpoint here that does not answer.
-// The last tier has nothing below.
-func PassDown(remaining int, last bool) int {
-	if last {
+// PassDown returns how many of the remaining extra attempts an attempt passes to the tiers below: all but one, because
+// a failure below is best retried below, where the least work is repeated. The one that is kept is for an endpoint of
+// this tier that does not answer. A leaf has no tiers below and passes none.
+func PassDown(remaining int, leaf bool) int {
+	if leaf {
 		return 0
 	}
 	return max(0, remaining-1)
 }
 
-// Allowance is what remains of one request's extra attempts at one sidecar.
+// Allowance tracks the remaining extra attempts of one request at one sidecar.
 type Allowance struct {
 	remaining  int
-	last       bool
-	passedDown []int // by attempt: what it took along, less what was returned
+	leaf       bool
+	passedDown []int // by attempt: extra attempts that were passed down and not returned
 }
 
-// NewAllowance returns the allowance of a request with so many extra attempts. Last says that no tier is below.
-func NewAllowance(extra int, last bool) *Allowance {
-	return &Allowance{remaining: max(0, extra), last: last}
+// NewAllowance returns the allowance of a request with the given number of extra attempts. leaf means that there is no
+// tier below.
+func NewAllowance(extra int, leaf bool) *Allowance {
+	return &Allowance{remaining: max(0, extra), leaf: leaf}
 }
 
-// NextAttempt takes the next attempt, which takes extra along. Ok is false where the request may make no more.
+// NextAttempt starts the next attempt and returns the extra attempts that it passes down. ok is false if the request
+// may make no more attempts.
 func (a *Allowance) NextAttempt() (extra int, ok bool) {
 	if len(a.passedDown) > 0 {
 		if a.remaining == 0 {
@@ -41,21 +43,21 @@
 		}
 		a.remaining--
 	}
-	extra = PassDown(a.remaining, a.last)
+	extra = PassDown(a.remaining, a.leaf)
 	a.remaining -= extra
 	a.passedDown = append(a.passedDown, extra)
 	return extra, true
 }
 
-// ReturnUnused takes in the end of attempt n, counted from 0. What it took along and is known not to have used is returned,
-// once.
-func (a *Allowance) ReturnUnused(n int, r AttemptReport) {
-	if r.Known && n < len(a.passedDown) {
-		a.remaining += max(0, a.passedDown[n]-r.ExtraAttempts)
+// ReturnUnused records the end of attempt n, counted from 0, with its report. The extra attempts that it passed down
+// and that are reported as unused return to the allowance, once.
+func (a *Allowance) ReturnUnused(n int, report AttemptReport) {
+	if report.Known && n < len(a.passedDown) {
+		a.remaining += max(0, a.passedDown[n]-report.ExtraAttempts)
 		a.passedDown[n] = 0
 	}
 }
 
-// Unused is what no attempt has used, as far as is known. When the request has ended it goes back to the pool or the retry
-// budget.
+// Unused returns the number of extra attempts that are not known to be used. They go back to the pool or the retry
+// budget when the request ends.
 func (a *Allowance) Unused() int { return a.remaining }
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -10,7 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// CI has to come to the same verdict every time; -rapid.seed=0 -rapid.checks=10000 looks further.
+// A fixed seed and number of checks make the result in CI reproducible; -rapid.seed=0 -rapid.checks=10000 tests more
+// cases.
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "300"} {
 		if err := flag.Set(name, value); err != nil {
@@ -19,74 +20,74 @@
 	}
 }
 
-// chain is a chain of tiers with a sidecar before each, whose servers call the next tier so many times for each request.
-// Everything fails at random, and whoever may retry does.
+// chain simulates a chain of tiers with a sidecar before each. Servers call the next tier a fixed number of times for
+// each request. Attempts fail at random, and every failure is retried if the allowance permits it.
 type chain struct {
 	t           *rapid.T
-	calls       []int // by tier; the last has none
+	calls       []int // number of calls of a server for each request, by tier; 0 at the last
 	pools       []*SharedPools
 	failureRate float64
 	now         time.Duration
 	nextPool    uint64
-	attempts    []int // attempts, by tier
-	retries     int   // of them not the first of their request at that sidecar
+	attempts    []int // by tier
+	retries     int   // attempts that are not the first of their request at that sidecar
 }
 
-// request is one at the sidecar before a tier, with so many extra attempts; it returns whether it was served and what it
-// has not used.
+// request runs a request at the sidecar before a tier, with the given number of extra attempts. It returns whether the
+// request was served and how many extra attempts were not used.
 func (c *chain) request(tier, extra int) (ok bool, unused int) {
-	last := tier == len(c.calls)-1
-	share := NewAllowance(extra, last)
+	leaf := tier == len(c.calls)-1
+	allowance := NewAllowance(extra, leaf)
 	for n := 0; ; n++ {
-		down, may := share.NextAttempt()
-		if !may {
-			return false, share.Unused()
+		passedDown, permitted := allowance.NextAttempt()
+		if !permitted {
+			return false, allowance.Unused()
 		}
 		if n > 0 {
 			c.retries++
 		}
 		c.attempts[tier]++
-		ok, tried := c.visit(tier, down)
-		share.ReturnUnused(n, tried)
+		ok, report := c.attempt(tier, passedDown)
+		allowance.ReturnUnused(n, report)
 		if ok {
-			return true, share.Unused()
+			return true, allowance.Unused()
 		}
 	}
 }
 
-// visit is an attempt at a server, whose answer may say what its calls took.
-func (c *chain) visit(tier, extra int) (ok bool, tried AttemptReport) {
+// attempt runs an attempt at a server. Its answer may or may not report the extra attempts of its calls.
+func (c *chain) attempt(tier, extra int) (ok bool, report AttemptReport) {
 	c.nextPool++
 	poolID := c.nextPool
 	ok = true
-	carries := rapid.Bool().Draw(c.t, "carries")
+	reports := rapid.Bool().Draw(c.t, "reports")
 	for call := range c.calls[tier] {
 		c.now += time.Millisecond
 		pools := c.pools[tier+1]
-		got := pools.Open(c.now, c.now+time.Second, poolID, extra)
-		served, unused := c.request(tier+1, got)
-		if unused < 0 || unused > got {
-			c.t.Fatalf("of %d extra attempts %d are left", got, unused)
+		granted := pools.Open(c.now, c.now+time.Second, poolID, extra)
+		served, unused := c.request(tier+1, granted)
+		if unused < 0 || unused > granted {
+			c.t.Fatalf("%d extra attempts were granted, %d are returned as unused", granted, unused)
 		}
 		pools.Close(poolID, unused)
-		if t := (AttemptReport{carries, got - unused}); call == 0 {
-			tried = t
+		if callReport := (AttemptReport{reports, granted - unused}); call == 0 {
+			report = callReport
 		} else {
-			tried = tried.Add(t)
+			report = report.Add(callReport)
 		}
 		if ok = served; !ok {
 			break
 		}
 	}
-	return ok && rapid.Float64Range(0, 1).Draw(c.t, "outcome") >= c.failureRate, tried
+	return ok && rapid.Float64Range(0, 1).Draw(c.t, "outcome") >= c.failureRate, report
 }
 
-// Guards against more attempts than were granted: over random chains, failures and orders no request is retried more
-// often than it was granted, in all tiers together, so that the bottom sees at most 1 + grant times the plain calls.
+// Guards against more retries than were granted: for random chains and failures, the retries of a request in all tiers
+// do not exceed its grant, and the last tier gets at most 1 + grant times the plain calls.
 func TestRetriesBoundedByGrant(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := &chain{t: t, calls: rapid.SliceOfN(rapid.IntRange(1, 2), 0, 2).Draw(t, "calls"),
-			failureRate: rapid.SampledFrom([]float64{0, 0.3, 0.7, 1}).Draw(t, "fails")}
+			failureRate: rapid.SampledFrom([]float64{0, 0.3, 0.7, 1}).Draw(t, "failure rate")}
 		c.calls = append(c.calls, 0)
 		c.attempts = make([]int, len(c.calls))
 		plain := 1
@@ -100,35 +101,36 @@
 			t.Errorf("%d attempts were retries, %d granted", c.retries, extra)
 		}
 		if bottom := c.attempts[len(c.attempts)-1]; bottom > (1+extra)*plain {
-			t.Errorf("%d attempts at the bottom of plain %d, %d granted", bottom, plain, extra)
+			t.Errorf("%d attempts at the last tier, %d without retries, %d extra attempts granted", bottom, plain, extra)
 		}
 		if !ok && c.failureRate == 0 {
-			t.Error("failed though nothing did")
+			t.Error("the request failed although no attempt did")
 		}
 	})
 }
 
-// MaxAttempts says beforehand how many attempts an Allowance will allow.
+// Checks that MaxAttempts returns the number of attempts that an Allowance permits.
 func TestMaxAttempts(t *testing.T) {
 	for extra := range 2 * MaxExtraAttempts {
-		for _, last := range []bool{true, false} {
-			s, n, down := NewAllowance(extra, last), 0, 0
+		for _, leaf := range []bool{true, false} {
+			allowance, n, passedDown := NewAllowance(extra, leaf), 0, 0
 			for {
-				d, ok := s.NextAttempt()
+				passed, ok := allowance.NextAttempt()
 				if !ok {
 					break
 				}
-				n, down = n+1, down+d
+				n, passedDown = n+1, passedDown+passed
 			}
-			if n != MaxAttempts(extra, last) || n-1+down+s.Unused() != extra {
-				t.Errorf("%d extra, last %v: %d attempts and %d below, foreseen %d", extra, last, n, down, MaxAttempts(extra, last))
+			if n != MaxAttempts(extra, leaf) || n-1+passedDown+allowance.Unused() != extra {
+				t.Errorf("%d extra attempts, leaf %v: %d attempts, %d passed down; MaxAttempts is %d", extra, leaf, n, passedDown, MaxAttempts(extra, leaf))
 			}
 		}
 	}
 }
 
-// Guards against retries that go on while nothing succeeds: what fails pays for all that it may have used, so that
-// all is bounded by the full bucket, what first attempts earn, and what was open at any one time.
+// Guards against unlimited retries while nothing succeeds. A failed request pays for all extra attempts that it may
+// have used, so that retries are bounded by the full bucket, the tokens that first attempts earn, and the maximum of
+// open grants.
 func TestRetryBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget := NewRetryBudget(rapid.IntRange(1, 50).Draw(t, "instances"))
@@ -137,95 +139,96 @@
 			extra       int
 			clientRetry bool
 		}
-		var out []openRequest
-		full, firsts, used, most := budget.Tokens(), 0.0, 0.0, 0
+		var open []openRequest
+		initialTokens, firstAttempts, used, maxOpen := budget.Tokens(), 0.0, 0.0, 0
 		for range rapid.IntRange(1, 500).Draw(t, "events") {
 			switch rapid.IntRange(0, 2).Draw(t, "event") {
 			case 0:
-				firsts++
-				out = append(out, openRequest{budget.GrantFirst(want), false})
+				firstAttempts++
+				open = append(open, openRequest{budget.GrantFirst(want), false})
 			case 1:
 				if extra, ok := budget.GrantRetry(want); ok {
 					used++
-					out = append(out, openRequest{extra, true})
+					open = append(open, openRequest{extra, true})
 				}
 			default:
-				if len(out) > 0 {
-					i := rapid.IntRange(0, len(out)-1).Draw(t, "which")
-					n := rapid.IntRange(0, out[i].extra).Draw(t, "used")
+				if len(open) > 0 {
+					i := rapid.IntRange(0, len(open)-1).Draw(t, "which")
+					n := rapid.IntRange(0, open[i].extra).Draw(t, "used")
 					used += float64(n)
-					budget.Finish(n, out[i].clientRetry, false)
-					out = append(out[:i], out[i+1:]...)
+					budget.Finish(n, open[i].clientRetry, false)
+					open = append(open[:i], open[i+1:]...)
 				}
 			}
-			most = max(most, len(out))
+			maxOpen = max(maxOpen, len(open))
 		}
-		if bound := full + TokensPerRequest*firsts + float64(want*most); used > bound+1e-9 {
-			t.Errorf("%.1f retries were made for %.0f first attempts that all failed; at most %.1f", used, firsts, bound)
+		if bound := initialTokens + TokensPerRequest*firstAttempts + float64(want*maxOpen); used > bound+1e-9 {
+			t.Errorf("%.1f retries for %.0f first attempts that all failed, want at most %.1f", used, firstAttempts, bound)
 		}
 	})
 	budget := NewRetryBudget(1)
-	for i := range 1000 { // one in three fails for good, after three attempts
+	for i := range 1000 { // one in five fails, after three extra attempts
 		if extra := budget.GrantFirst(3); extra < 3 {
-			t.Fatalf("%d of 3 are granted while they help", extra)
+			t.Fatalf("%d extra attempts are granted while retries help, want 3", extra)
 		}
 		if budget.Finish(3, false, i%5 != 0); budget.Tokens() > tierMaxTokens {
-			t.Fatalf("%.1f tokens are saved", budget.Tokens())
+			t.Fatalf("the bucket holds %.1f tokens, more than its size", budget.Tokens())
 		}
 	}
 }
 
-// What one call leaves over serves the next, side by side calls share, and a pool is not filled twice.
+// Checks that a call can use what earlier calls returned, that concurrent calls share a pool, and that a pool is filled
+// only once.
 func TestSharedPools(t *testing.T) {
 	pools := NewSharedPools()
 	if a, b, c := pools.Open(0, time.Second, 7, 4), pools.Open(0, time.Second, 7, 4), pools.Open(0, time.Second, 7, 4); a != 3 || b != 1 || c != 0 {
-		t.Errorf("side by side they get %d, %d, %d", a, b, c)
+		t.Errorf("concurrent calls get %d, %d, %d extra attempts, want 3, 1, 0", a, b, c)
 	}
 	pools.Close(7, 2)
 	pools.Close(7, 1)
 	pools.Close(7, 0)
 	if n := pools.Open(0, time.Second, 7, 4); n != 2 {
-		t.Errorf("of three left over one call gets %d", n)
+		t.Errorf("a call gets %d of three returned extra attempts, want 2", n)
 	}
 	pools.Close(7, 0)
 	if n := pools.Open(2*time.Second, 3*time.Second, 8, 100); n != MaxExtraAttempts-1 || len(pools.pools) != 1 {
-		t.Errorf("after the first expired: %d pools, a call with 100 gets %d", len(pools.pools), n)
+		t.Errorf("after the first pool expired: %d pools, and a call with 100 extra attempts gets %d", len(pools.pools), n)
 	}
 	for id := range uint64(2 * maxPools) {
 		pools.Open(2*time.Second, 3*time.Second, 100+id, 2)
 	}
 	if len(pools.pools) > maxPools {
-		t.Errorf("%d pools are kept", len(pools.pools))
+		t.Errorf("%d pools are kept, more than maxPools", len(pools.pools))
 	}
 	if n := pools.Open(2*time.Second, 3*time.Second, 1, 8); n != 0 {
-		t.Errorf("with no capacity %d are granted", n)
+		t.Errorf("%d extra attempts are granted with the maximum of pools, want 0", n)
 	}
 }
 
-// What is written is read again; other members pass on; what is invalid is not trusted.
+// Checks that a grant survives a round trip, that other members are kept, and that an invalid grant is ignored.
 func TestGrantRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := Grant{PoolID: rapid.Uint64().Draw(t, "pot"), ExtraAttempts: rapid.IntRange(0, MaxExtraAttempts).Draw(t, "extra"),
-			ValueShare: float64(rapid.IntRange(0, 1000).Draw(t, "worth")) / 1000,
-			Path:       rapid.SliceOfN(rapid.StringMatching(`[a-zA-Z0-9_-]{1,24}`), 0, maxPath).Draw(t, "path")}
+		grant := Grant{PoolID: rapid.Uint64().Draw(t, "pool"), ExtraAttempts: rapid.IntRange(0, MaxExtraAttempts).Draw(t, "extra"),
+			ValueShare: float64(rapid.IntRange(0, 1000).Draw(t, "value share")) / 1000,
+			Path:       rapid.SliceOfN(rapid.StringMatching(`[a-zA-Z0-9_-]{1,24}`), 0, maxPathServices).Draw(t, "path")}
 		rest := rapid.SampledFrom([]string{"", "user=1;p", "a=b , c=%20d"}).Draw(t, "rest")
-		header := c.Join(rest)
-		if len(c.String()) > maxMember {
-			return // it would not be read: ten services of the longest names
+		header := grant.Join(rest)
+		if len(grant.String()) > maxMemberBytes {
+			return // too long to be parsed: ten services with names of the maximum length
 		}
 		got, others, ok := Split(header)
-		if !ok || got.PoolID != c.PoolID || got.ExtraAttempts != c.ExtraAttempts || got.ValueShare != c.ValueShare || !slices.Equal(got.Path, c.Path) {
+		if !ok || got.PoolID != grant.PoolID || got.ExtraAttempts != grant.ExtraAttempts || got.ValueShare != grant.ValueShare || !slices.Equal(got.Path, grant.Path) {
 			t.Errorf("%q is read as %+v, %v", header, got, ok)
 		}
 		if strings.ReplaceAll(others, " ", "") != strings.ReplaceAll(rest, " ", "") {
-			t.Errorf("of %q %q is left", header, others)
+			t.Errorf("%q has the members %q without the grant", header, others)
 		}
 	})
 	for _, header := range []string{"", "pinelb=", "pinelb=1.a.2.3", "pinelb=2.a.2.3.x", "pinelb=1.a.9.3.x", "pinelb=1.a.2.1001.x",
 		"pinelb=1.a.-2.3.x", "pinelb=1.a.2.3.x y", "pinelb=1.a.2.3.x~", "pinelb=1.zz.2.3.x", "pinelb=1.a.2.3.x,pinelb=1.a.2.3.x",
-		"pinelb=1.a.2.3." + strings.Repeat("x~", maxPath) + "x", "pinelb=1.a.2.3.x" + strings.Repeat(",a=b", 2000), "pinelb"} {
-		if c, _, ok := Split(header); ok {
-			t.Errorf("%.60q is taken for %+v", header, c)
+		"pinelb=1.a.2.3." + strings.Repeat("x~", maxPathServices) + "x", "pinelb=1.a.2.3.x" + strings.Repeat(",a=b", 2000), "pinelb"} {
+		if grant, _, ok := Split(header); ok {
+			t.Errorf("%.60q is taken for %+v", header, grant)
 		}
 	}
 }
@@ -237,15 +240,15 @@
 		loop    bool
 	}{{"", 0, false}, {"a b", 0, false}, {"a c b", 0, true}, {"c", 1, false}, {"c c", 1, true}} {
 		if loop := HasLoop(strings.Fields(c.path), "c", c.reentry); loop != c.loop {
-			t.Errorf("%q and %d times allowed: %v", c.path, c.reentry, loop)
+			t.Errorf("path %q, at most %d reentries: loop is %v", c.path, c.reentry, loop)
 		}
 	}
 	path := []string{}
-	for range 3 * maxPath {
+	for range 3 * maxPathServices {
 		path = AppendService(path, "s")
 	}
-	if len(path) != maxPath {
-		t.Errorf("%d services are kept", len(path))
+	if len(path) != maxPathServices {
+		t.Errorf("the path has %d services, want maxPathServices", len(path))
 	}
 }
 
@@ -254,37 +257,38 @@
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, header string) {
-		c, rest, ok := Split(header)
-		if _, _, left := Split(rest); left || len(rest) > len(header) {
-			t.Errorf("%q leaves %q", header, rest)
+		grant, rest, ok := Split(header)
+		if _, _, remains := Split(rest); remains || len(rest) > len(header) {
+			t.Errorf("%q without the grant is %q", header, rest)
 		}
-		if again, _, same := Split(c.Join(rest)); ok && (!same || again.String() != c.String()) {
-			t.Errorf("%q comes back as %+v, %v", header, again, same)
+		if again, _, same := Split(grant.Join(rest)); ok && (!same || again.String() != grant.String()) {
+			t.Errorf("%q is %+v after a round trip, valid: %v", header, again, same)
 		}
 	})
 }
 
-// Guards against a caller's grant being trusted at the edge, a loop passing, and a request that carries nothing being bound.
+// Guards against trusting a caller's grant at the edge, not detecting a loop, and granting nothing to a request without a
+// header.
 func TestTracker(t *testing.T) {
 	edge := NewTracker(Settings{Service: "front", Edge: true, Instances: 1, MaxExtraAttempts: 3}, 1)
 	forged := Grant{PoolID: 1, ExtraAttempts: MaxExtraAttempts, ValueShare: 1, Path: []string{"front"}}
 	a := edge.Open(0, time.Second, forged.Join("user=7"), false)
 	if a.Loop != nil || a.MaxAttempts() != 2 {
-		t.Errorf("at the edge %d attempts are granted, loop %v", a.MaxAttempts(), a.Loop)
+		t.Errorf("the edge permits %d attempts, loop %v; want 2 and no loop", a.MaxAttempts(), a.Loop)
 	}
 	header, _ := edge.NextAttempt(a, 0.5)
-	c, rest, ok := Split(header)
-	if !ok || c.ExtraAttempts != 2 || c.ValueShare != 0.5 || rest != "user=7" || !slices.Equal(c.Path, []string{"front"}) {
-		t.Errorf("%q goes down", header)
+	grant, rest, ok := Split(header)
+	if !ok || grant.ExtraAttempts != 2 || grant.ValueShare != 0.5 || rest != "user=7" || !slices.Equal(grant.Path, []string{"front"}) {
+		t.Errorf("the next tier gets the header %q", header)
 	}
 	back := NewTracker(Settings{Service: "back", Leaf: true, Instances: 1, MaxExtraAttempts: 3}, 2)
 	b := back.Open(0, time.Second, header, true)
 	if b.MaxAttempts() != 3 || b.ValueShare() != 0.5 {
-		t.Errorf("behind it %d attempts at a value share of %v", b.MaxAttempts(), b.ValueShare())
+		t.Errorf("the next tier permits %d attempts at a value share of %v, want 3 at 0.5", b.MaxAttempts(), b.ValueShare())
 	}
 	again := back.Open(0, time.Second, header, false)
 	if again.MaxAttempts() != 1 {
-		t.Errorf("a call beside it may make %d attempts", again.MaxAttempts())
+		t.Errorf("a concurrent call may make %d attempts, want 1", again.MaxAttempts())
 	}
 	ring := NewTracker(Settings{Service: "front", Instances: 1, MaxExtraAttempts: 3}, 3)
 	from, _ := back.NextAttempt(b, 1)
@@ -292,7 +296,7 @@
 		t.Errorf("the loop is %v", l.Loop)
 	}
 	if o := back.Open(0, time.Second, "", false); o.MaxAttempts() != MaxAttempts(3, true) {
-		t.Errorf("one that carries nothing may make %d attempts", o.MaxAttempts())
+		t.Errorf("a request without a header may make %d attempts", o.MaxAttempts())
 	}
 	edge.Close(a, false)
 	fail := func(clientRetry bool) int {
@@ -307,18 +311,18 @@
 		fail(false)
 	}
 	if n := fail(true); n >= 0 {
-		t.Errorf("nothing succeeds, and a client's retry may make %d attempts", n)
+		t.Errorf("while nothing succeeds, a client's retry may make %d attempts, want none", n)
 	}
-	for range 300 { // it pays its debt
+	for range 300 { // earn tokens until the balance is positive
 		edge.Close(edge.Open(0, time.Second, "", false), true)
 	}
 	if n := fail(true); n < 1 {
-		t.Error("all succeeds again, and a retry may make no attempt")
+		t.Error("after all requests succeed again, a client's retry may make no attempt")
 	}
 }
 
-// BenchmarkTracker is a request's whole cost in the tracker of a sidecar behind the first tier: its header read, an attempt's
-// written, its end.
+// BenchmarkTracker measures the whole cost of a request in the tracker of a sidecar after the first tier: parsing its
+// header, writing that of an attempt, and closing it.
 func BenchmarkTracker(b *testing.B) {
 	tracker := NewTracker(Settings{Service: "order", Instances: 1, MaxExtraAttempts: 6}, 1)
 	header := (&Grant{PoolID: 1, ExtraAttempts: 4, ValueShare: 1, Path: []string{"front"}}).Join("")
--- a/internal/budget/grant.go
+++ b/internal/budget/grant.go
@@ -6,33 +6,34 @@
 	"strings"
 )
 
-// Bounds of what is parsed.
+// Limits of a parsed header.
 const (
-	maxHeader  = 4 << 10 // bytes of a baggage header that are parsed and passed on
-	maxMember  = 300     // bytes of our member
-	maxPath    = 10      // services
-	maxService = 24      // bytes of a service's name
+	maxHeaderBytes  = 4 << 10 // of a baggage header; a longer one is neither parsed nor passed on
+	maxMemberBytes  = 300     // of the value of this package's member
+	maxPathServices = 10      // services in a path
+	maxServiceBytes = 24      // of a service's name
 
 	version        = "1"
 	valueShareUnit = 1000
 )
 
-// memberKey is the key of our member of the header "baggage" (W3C Baggage): servers that follow it pass members that they
-// don't know on to their own calls.
+// memberKey is the key of this package's member of the header "baggage" (W3C Baggage). Servers that follow that standard
+// propagate all members to their own calls, also unknown ones.
 const memberKey = "pinelb"
 
-// Grant is what travels with an attempt from one tier to the next, by way of the server between.
+// Grant is the data that an attempt carries from one tier to the next, through the server between them.
 type Grant struct {
-	PoolID        uint64   // of the attempt: all calls that are made for it share its extra attempts
-	ExtraAttempts int      // attempts beyond the first that they may cause together, here and below
-	ValueShare    float64  // share of its class's value that the request has, from 0 to 1
-	Path          []string // services that it has come through, the first first
+	PoolID        uint64   // of the attempt; all calls that are made for it share its extra attempts
+	ExtraAttempts int      // attempts beyond the first that these calls may cause together, here and below
+	ValueShare    float64  // the request's share of its class's value, from 0 to 1
+	Path          []string // services that the request has passed, in order
 }
 
-// Split takes our member out of a baggage header. Rest is the others, as they came. Ok is false where our member is absent,
-// invalid or of another version: it is left out of rest all the same, and g is empty.
+// Split separates this package's member from a baggage header. rest holds the other members; it is empty if the header
+// is too long. ok is false if the member is absent, duplicated, invalid or of another version, or if the header is too
+// long; g is then empty, and rest does not contain the member.
 func Split(header string) (g Grant, rest string, ok bool) {
-	if len(header) > maxHeader {
+	if len(header) > maxHeaderBytes {
 		return Grant{}, "", false
 	}
 	var others []string
@@ -43,7 +44,7 @@
 		case part == "":
 		case !found || strings.TrimSpace(key) != memberKey:
 			others = append(others, part)
-		case ok: // two members are forged
+		case ok: // two such members cannot be genuine
 			return Grant{}, strings.Join(others, ","), false
 		default:
 			g, ok = parse(strings.TrimSpace(value))
@@ -52,24 +53,26 @@
 	return g, strings.Join(others, ","), ok
 }
 
-// Join appends our member to the others.
+// Join returns the baggage header with the grant's member after the members in rest. If that would be too long, it
+// drops rest.
 func (g *Grant) Join(rest string) string {
 	member := memberKey + "=" + g.String()
-	if rest == "" || len(rest)+1+len(member) > maxHeader {
+	if rest == "" || len(rest)+1+len(member) > maxHeaderBytes {
 		return member
 	}
 	return rest + "," + member
 }
 
-// String is the member's value: the version, the pool in hexadecimal, the extra attempts, thousandths of the value share and
-// the path, separated by dots; services in the path by tildes. All of its characters are plain ones of W3C Baggage.
+// String returns the member's value: the version, the pool's number in hexadecimal, the extra attempts, the value share
+// in thousandths and the path, separated by dots. Services in the path are separated by tildes. W3C Baggage allows all
+// of these characters unescaped.
 func (g *Grant) String() string {
 	return fmt.Sprintf("%s.%x.%d.%d.%s", version, g.PoolID, g.ExtraAttempts, int(g.ValueShare*valueShareUnit+0.5), strings.Join(g.Path, "~"))
 }
 
 func parse(value string) (Grant, bool) {
 	parts := strings.Split(value, ".")
-	if len(value) > maxMember || len(parts) != 5 || parts[0] != version {
+	if len(value) > maxMemberBytes || len(parts) != 5 || parts[0] != version {
 		return Grant{}, false
 	}
 	poolID, err := strconv.ParseUint(parts[1], 16, 64)
@@ -96,7 +99,7 @@
 		return nil, true
 	}
 	path := strings.Split(text, "~")
-	if len(path) > maxPath {
+	if len(path) > maxPathServices {
 		return nil, false
 	}
 	for _, service := range path {
--- a/internal/budget/path.go
+++ b/internal/budget/path.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// HasLoop reports whether a request that has come through the services of path is in a loop if it goes to one: whether it has
-// been there more than maxReentries times.
+// HasLoop reports whether a request with the given path is in a loop if it is sent to service: whether the path
+// contains that service more than maxReentries times.
 func HasLoop(path []string, service string, maxReentries int) bool {
 	visits := 0
 	for _, visited := range path {
@@ -14,16 +14,17 @@
 	return visits > maxReentries
 }
 
-// AppendService returns the path with one more service; of a path that is full the oldest but for the first is left out.
+// AppendService returns a copy of path with service at its end. If that has more than maxPathServices, the second
+// service is dropped, so that the first one is kept.
 func AppendService(path []string, service string) []string {
-	out := append(append(make([]string, 0, len(path)+1), path...), service)
-	if len(out) > maxPath {
-		out = append(out[:1], out[2:]...)
+	extended := append(append(make([]string, 0, len(path)+1), path...), service)
+	if len(extended) > maxPathServices {
+		extended = append(extended[:1], extended[2:]...)
 	}
-	return out
+	return extended
 }
 
-// ValidService reports whether a text may name a service: letters, digits, "-" and "_", 24 at most.
+// ValidService reports whether name is a valid name of a service: 1 to 24 ASCII letters, digits, "-" and "_".
 func ValidService(name string) bool {
 	for i := range len(name) {
 		c := name[i]
@@ -31,14 +32,14 @@
 			return false
 		}
 	}
-	return name != "" && len(name) <= maxService
+	return name != "" && len(name) <= maxServiceBytes
 }
 
-// ownOverhead is what a sidecar needs to pass an answer on before its caller disconnects.
-const ownOverhead = 3 * time.Millisecond
+// forwardingOverhead is the time that a sidecar needs to forward an answer before its caller disconnects.
+const forwardingOverhead = 3 * time.Millisecond
 
-// PropagatedTimeout is the time that the next tier is told it has, of what remains here: less the round trip to it, and what
-// this sidecar needs to pass the answer on. It is never negative.
+// PropagatedTimeout returns the time-out to announce to the next tier: the remaining time less the round trip to that
+// tier and the time that this sidecar needs to forward the answer. It is never negative.
 func PropagatedTimeout(remaining, roundTrip time.Duration) time.Duration {
-	return max(0, remaining-roundTrip-ownOverhead)
+	return max(0, remaining-roundTrip-forwardingOverhead)
 }
--- a/internal/budget/pool.go
+++ b/internal/budget/pool.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// maxPools bounds the pools: there is one for each request that a server works on at once, and more are forged.
+// maxPools bounds the number of pools. There is one for each concurrent request of a server; a higher number shows that
+// pool numbers are forged.
 const maxPools = 4096
 
-// openPoolExtension is for how long a pool with open calls is kept beyond its deadline, at a time.
+// openPoolExtension is the time by which the deadline of a pool is extended, each time that it expires with open calls.
 const openPoolExtension = time.Second
 
-// SharedPools are the extra attempts at a sidecar behind the first tier. Calls that a server makes for one request carry the
-// same pool's number and share what is in it, one after another or side by side.
+// SharedPools holds pools of extra attempts at a sidecar of a tier after the first. All calls that a server makes for one
+// request carry the number of the same pool and share its extra attempts, whether they are sequential or concurrent.
 type SharedPools struct {
 	pools    map[uint64]*list.Element
-	byExpiry *list.List // of *pool, in the order of arrival, the first to expire first
+	byExpiry *list.List // of *pool, in the order of arrival, approximately by expiry
 }
 
 type pool struct {
@@ -25,19 +26,20 @@
 	deadline  time.Duration
 }
 
-// NewSharedPools returns no pools.
+// NewSharedPools returns an empty set of pools.
 func NewSharedPools() *SharedPools {
 	return &SharedPools{pools: map[uint64]*list.Element{}, byExpiry: list.New()}
 }
 
-// Open takes in a call at a time now, to be answered by deadline, that carries a pool's number and what was in the pool at
-// first. It takes what remains, but for one where there are more than two: another call may be made beside it.
+// Open records the start of a call at now, to be answered by deadline. id is the number of its pool and extra the
+// pool's initial number of extra attempts. It returns the number that the call may use: all that remain, or all but one
+// if more than two remain, which leaves one for a concurrent call.
 func (s *SharedPools) Open(now, deadline time.Duration, id uint64, extra int) int {
 	s.dropExpired(now)
 	element := s.pools[id]
 	if element == nil {
 		if len(s.pools) >= maxPools {
-			return 0 // nothing is known of it, so nothing is granted
+			return 0 // the pool cannot be tracked, so nothing is granted
 		}
 		element = s.byExpiry.PushBack(&pool{id: id, remaining: max(0, min(extra, MaxExtraAttempts)), deadline: deadline})
 		s.pools[id] = element
@@ -53,7 +55,7 @@
 	return taken
 }
 
-// Close takes in such a call's end, with what it has not used.
+// Close records the end of a call of a pool, and returns its unused extra attempts to the pool.
 func (s *SharedPools) Close(id uint64, unused int) {
 	if element := s.pools[id]; element != nil {
 		p := element.Value.(*pool)
@@ -62,7 +64,8 @@
 	}
 }
 
-// dropExpired forgets pools whose deadline has passed. One with open calls is kept, and moves to the end of the list.
+// dropExpired removes pools whose deadline has passed. A pool with open calls gets a later deadline and moves to the
+// end of the list.
 func (s *SharedPools) dropExpired(now time.Duration) {
 	for element := s.byExpiry.Front(); element != nil; element = s.byExpiry.Front() {
 		p := element.Value.(*pool)
--- a/internal/budget/retry_budget.go
+++ b/internal/budget/retry_budget.go
@@ -1,27 +1,29 @@
 package budget
 
 const (
-	// TokensPerRequest is what a client's first attempt earns: the rate of retries while nothing succeeds.
+	// TokensPerRequest is the number of tokens that a client's first attempt earns: the rate of retries while nothing
+	// succeeds.
 	TokensPerRequest = 0.2
-	// MaxExtraAttempts bounds the extra attempts of a grant that is read; more is no grant of ours.
+	// MaxExtraAttempts bounds the extra attempts of a received grant. A grant with more is invalid.
 	MaxExtraAttempts = 8
 
-	tokensPerSuccess  = 1.0  // that an answer within its target latency earns: while they help, all that are wanted are granted
-	tierMaxTokens     = 60.0 // the bucket's size, over all instances of the first tier,
-	minMaxTokens      = 6.0  // and at least this at each
-	minTokensForGrant = 2.0  // a grant that uses more leaves a debt
+	tokensPerSuccess  = 1.0  // earned by an answer within its target latency; while retries help, all that are wanted are granted
+	tierMaxTokens     = 60.0 // size of the bucket, divided among all instances of the first tier,
+	minMaxTokens      = 6.0  // but at least this at each of them
+	minTokensForGrant = 2.0  // a grant that uses more tokens than this makes the balance negative
 )
 
-// RetryBudget is a token bucket of the retries that an instance of the first tier may cause.
+// RetryBudget is a token bucket that limits the retries that an instance of the first tier may cause.
 type RetryBudget struct{ tokens, maxTokens float64 }
 
-// NewRetryBudget returns a full retry budget of one of so many instances.
+// NewRetryBudget returns a full retry budget for one instance of a tier with the given number of instances.
 func NewRetryBudget(instances int) *RetryBudget {
 	size := max(minMaxTokens, tierMaxTokens/float64(max(1, instances)))
 	return &RetryBudget{tokens: size, maxTokens: size}
 }
 
-// GrantFirst grants a client's first attempt up to want extra attempts, if there are tokens to pay with. The attempt earns.
+// GrantFirst returns the extra attempts that are granted to a client's first attempt: want, or 0 if there are too few
+// tokens. The attempt earns TokensPerRequest.
 func (b *RetryBudget) GrantFirst(want int) (extra int) {
 	b.earn(TokensPerRequest)
 	if b.tokens < minTokensForGrant {
@@ -30,9 +32,9 @@
 	return want
 }
 
-// GrantRetry grants a client's own retry up to want extra attempts. It is paid for itself, and where it can't be, ok is false
-// and it may make no attempt at all: a retry without extra attempts would fail as the first attempt did, and use up what
-// others need.
+// GrantRetry returns the extra attempts that are granted to a client's own retry. The retry itself costs a token. If
+// there are too few tokens, ok is false and the retry must not be attempted at all: without extra attempts it would
+// fail as the first attempt did, and use capacity that others need.
 func (b *RetryBudget) GrantRetry(want int) (extra int, ok bool) {
 	if b.tokens < minTokensForGrant {
 		return 0, false
@@ -41,8 +43,9 @@
 	return want, true
 }
 
-// Finish takes in the end of a request that used so many extra attempts. Good is an answer within its target latency: it gives
-// back what a client's retry paid, and earns. A failure pays for the extra attempts that may have been used.
+// Finish records the end of a request that used the given number of extra attempts. good means an answer within its
+// target latency: it earns tokens and returns the token that a client's retry paid. A failure pays one token for each
+// extra attempt that may have been used.
 func (b *RetryBudget) Finish(used int, clientRetry, good bool) {
 	switch {
 	case !good:
@@ -54,7 +57,7 @@
 	}
 }
 
-// Tokens is how many attempts can be paid for now; below 0 more were used than that.
+// Tokens returns the number of extra attempts that can be paid for now. It is negative after more were used.
 func (b *RetryBudget) Tokens() float64 { return b.tokens }
 
 func (b *RetryBudget) earn(tokens float64) { b.tokens = min(b.maxTokens, b.tokens+tokens) }
--- a/internal/budget/tracker.go
+++ b/internal/budget/tracker.go
@@ -8,15 +8,15 @@
 
 // Settings configure a Tracker.
 type Settings struct {
-	Service          string // that this sidecar sends to
-	Edge             bool   // its callers are outside: grants that they carry are not trusted
-	Leaf             bool   // the service calls no other
-	Instances        int    // of its tier
-	MaxExtraAttempts int    // attempts beyond the first that a client's attempt may cause, 0 to the constant MaxExtra
-	MaxReentries     int    // how often a request may have been at the service before
+	Service          string // name of the service that this sidecar sends to
+	Edge             bool   // its callers are outside the fleet, so their grants are not trusted
+	Leaf             bool   // the service calls no other service
+	Instances        int    // number of sidecars of its tier
+	MaxExtraAttempts int    // attempts beyond the first that a client's attempt may cause, 0 to the constant MaxExtraAttempts
+	MaxReentries     int    // how often a request may already have passed the service
 }
 
-// Tracker tracks the budgets of one sidecar: its retry budget, and the pools that its callers brought.
+// Tracker tracks the budgets of one sidecar: its retry budget, and the pools of its callers.
 type Tracker struct {
 	settings Settings
 	retries  *RetryBudget
@@ -24,7 +24,7 @@
 	rng      *rand.Rand
 }
 
-// NewTracker returns a tracker that knows no requests; seed is for the numbers of pools.
+// NewTracker returns a tracker without requests. seed is the seed of the random pool numbers.
 func NewTracker(s Settings, seed uint64) *Tracker {
 	return &Tracker{
 		settings: s,
@@ -36,21 +36,21 @@
 
 // RequestBudget is the budget of one request.
 type RequestBudget struct {
-	Loop []string // the services that it has come through, if it is in a loop: it may make no attempt
+	Loop []string // the services that the request has passed if it is in a loop, in which case no attempt may be made
 
 	allowance    *Allowance
 	granted      int
 	maxAttempts  int
-	poolID       uint64 // that granted it; 0: the retry budget
+	poolID       uint64 // pool that granted the extra attempts; 0: the retry budget did
 	valueShare   float64
 	clientRetry  bool
 	path         []string
-	otherBaggage string // of the caller's
+	otherBaggage string // other members of the caller's baggage
 	attempts     int
 }
 
-// Open takes in a request's arrival at a time now, with the header "baggage" that it came with. ClientRetry is its client's own
-// mark, and until deadline its caller waits.
+// Open returns the budget of a request that arrives at now. header is its header "baggage", deadline the time until
+// which its caller waits, and clientRetry whether its client marked it as a retry.
 func (t *Tracker) Open(now, deadline time.Duration, header string, clientRetry bool) *RequestBudget {
 	grant, rest, ok := Split(header)
 	r := &RequestBudget{otherBaggage: rest, valueShare: 1, allowance: NewAllowance(0, true)}
@@ -78,16 +78,16 @@
 	return r
 }
 
-// MaxAttempts is how many attempts the request may make here; below 0 is none.
+// MaxAttempts returns the number of attempts that may be made for the request here; a negative number means none.
 func (r *RequestBudget) MaxAttempts() int { return r.maxAttempts }
 
-// ValueShare is the share of its class's value that the tier above gave the request; 0 is none stated.
+// ValueShare returns the request's share of its class's value, as set by the tier above; 0 means that none was set.
 func (r *RequestBudget) ValueShare() float64 { return r.valueShare }
 
-// NextAttempt is the header "baggage" of the next attempt, and its number from 0 on. ValueShare is the request's as the
-// decisions here have it.
+// NextAttempt starts the request's next attempt and returns its header "baggage" and its number, counted from 0.
+// valueShare is the request's share of its class's value by the decisions of this sidecar.
 func (t *Tracker) NextAttempt(r *RequestBudget, valueShare float64) (header string, n int) {
-	extra, _ := r.allowance.NextAttempt() // an attempt that was not foreseen takes nothing along
+	extra, _ := r.allowance.NextAttempt() // an attempt beyond the allowance passes no extra attempts down
 	r.attempts++
 	grant := Grant{
 		PoolID:        t.rng.Uint64() | 1,
@@ -98,13 +98,13 @@
 	return grant.Join(r.otherBaggage), r.attempts - 1
 }
 
-// ReportAttempt takes in the end of an attempt, with what its answer reports. After Close it changes nothing.
+// ReportAttempt records the end of attempt n with the report of its answer. It has no effect after Close.
 func (t *Tracker) ReportAttempt(r *RequestBudget, n int, report AttemptReport) {
 	r.allowance.ReturnUnused(n, report)
 }
 
-// Close takes in a request's end. Good is an answer within its target latency. It returns the report for the caller, which is
-// empty for a failure without an attempt, for another instance may have capacity.
+// Close records the end of a request and returns the report for its caller. good means an answer within its target
+// latency. A failure without any attempt reports nothing, because a retry at another instance may succeed.
 func (t *Tracker) Close(r *RequestBudget, good bool) AttemptReport {
 	report := AttemptReport{
 		Known:         good || r.attempts > 0 || r.Loop != nil,
