--- a/balance/warmup/warmup.go
+++ b/balance/warmup/warmup.go
@@ -30,12 +30,12 @@
 const CreditsPerAnswer = 1.2
 
 const (
-	earnedLifetime  = 2 * time.Second        // of an earned credit, long enough to be used by an instance with one request a second
+	earnedLifetime  = 2 * time.Second        // of an earned credit; an instance with one request a second must be able to use it
 	trickleLifetime = 500 * time.Millisecond // of a trickle credit; short, since no answer justifies it
-	maxTrickleDebt  = 4.0                    // earned credits by which the trickle is reduced; more would suppress it after a pause
+	maxTrickleDebt  = 4.0                    // maximum of trickleDebt; more would suppress the trickle after a pause
 	maxTrickleWait  = 3600.0                 // seconds
 
-	priorWorkShare = 0.1 // assumed work of a request at a warm endpoint before any answer, as a share of the shortest target latency
+	priorWorkShare = 0.1 // assumed work of a request at a warm endpoint, as a share of TargetLatency
 	// trickleGain is the trickle of all instances together, as a multiple of the rate that priorWorkShare allows.
 	// knownInstancesGain is used instead if the number of instances is known: 8,000 random clusters stayed below the
 	// collapse multiple with 2.0, and one in 1,400 exceeded it with 2.4. If half of the true number is configured, some
--- a/balance/warmup/warmup_test.go
+++ b/balance/warmup/warmup_test.go
@@ -264,7 +264,7 @@
 	for _, pause := range []time.Duration{runTime, 2 * time.Second} {
 		for _, instances := range []int{1, 10, 50} {
 			targetLatency, start, minShare := 100*time.Millisecond, discoveryDelay, 0.8
-			if pause < runTime { // requests are short against the target latency, so the trickle is slow: measured from 2 s after the pause
+			if pause < runTime { // short requests, so the trickle is slow: measured from 2 s after the pause
 				targetLatency, start, minShare = 500*time.Millisecond, pause+discoveryDelay+2*time.Second, 0.5
 			}
 			t.Run(fmt.Sprint(instances, " instances, pause from ", pause), func(t *testing.T) {
--- a/internal/pacing/handshake_limit.go
+++ b/internal/pacing/handshake_limit.go
@@ -6,11 +6,12 @@
 )
 
 const (
-	handshakeWindow      = 100 * time.Millisecond // in which the limit counts
-	maxHandshakeLateness = 10 * time.Millisecond  // after its turn, that an instance may open a connection: more than a timer is late
+	handshakeWindow      = 100 * time.Millisecond // over which the limit applies
+	maxHandshakeLateness = 10 * time.Millisecond  // of a connection after its turn; longer than the delay of a timer
 )
 
-// How package balance chooses the hosts that an instance uses: its usedLeast and usersWanted, which its tests compare with these.
+// These constants must equal minSubsetSize and targetInstancesPerEndpoint of package balance, which chooses the hosts
+// that an instance uses. A test of that package compares them.
 const (
 	MinHostsPerInstance    = 8
 	TargetInstancesPerHost = 6
@@ -18,34 +19,38 @@
 
 // HandshakeLimit is a bound on new connections at one upstream host, from all instances together.
 //
-// While no more instances use a host than connections may be opened to it in 100 ms, each has a whole number of them in any
-// 100 ms: no window has more than the bound, whatever the instances do. Beyond that each has one turn in each period of
-// instances / (10 * Handshakes) s, drawn at random by each process for each host. Unused turns expire. A token bucket would not
-// do: after a quiet minute every instance's is full, and when a host resets its connections all connect again at once, which is
-// what the bound is for. Turns by rank would be exact, and all at once where ranks are equal or clocks differ.
+// If at most MaxHandshakes instances use a host, each may open a fixed whole number of connections in any 100 ms, so
+// that the bound holds in every window, whatever the instances do. If more instances use it, each has one turn in each
+// period of instances / (10 * MaxHandshakes) seconds, drawn at random by each process for each host. Unused turns
+// expire.
+//
+// A token bucket would not work: after a minute without new connections, the buckets of all instances are full, and
+// when a host resets its connections all instances reconnect at once, which the bound has to prevent. Turns by rank
+// would be exact, but all would coincide if ranks are equal, and could coincide if clocks differ.
 type HandshakeLimit struct {
-	MaxHandshakes int  // new connections at one host in 100 ms; 0: no bound
-	Instances     int  // of the fleet, by the settings
-	Numbered      bool // the instances' ranks and number are right, so that hosts are used evenly
+	MaxHandshakes int  // new connections at one host in 100 ms, from all instances; 0: no bound
+	Instances     int  // configured number of instances of the fleet
+	Numbered      bool // ranks and number of the instances are exact, so that hosts are used evenly
 }
 
-// InstancesPerHost returns how many instances open connections to one of so many hosts. Where hosts are chosen by instances'
-// names these may be equal or hash unevenly, so that a host may have any number of them: all are counted.
+// InstancesPerHost returns the number of instances that open connections to one of the given number of hosts. If the
+// instances are not Numbered, they choose hosts by hashes of their names, which may be equal or unevenly distributed.
+// Any number of instances may then use one host, so all are counted.
 func (l HandshakeLimit) InstancesPerHost(hosts int) float64 {
 	if !l.Numbered || hosts < 1 {
 		return float64(l.Instances)
 	}
-	used := max(MinHostsPerInstance, (TargetInstancesPerHost*hosts+l.Instances-1)/l.Instances)
-	return float64(l.Instances) * float64(min(hosts, used)) / float64(hosts)
+	hostsPerInstance := max(MinHostsPerInstance, (TargetInstancesPerHost*hosts+l.Instances-1)/l.Instances)
+	return float64(l.Instances) * float64(min(hosts, hostsPerInstance)) / float64(hosts)
 }
 
 // Share is an instance's share of a HandshakeLimit.
 type Share struct {
-	Burst    int           // connections in any Interval; 0: no bound
-	Interval time.Duration // more than 100 ms: connections are opened in the instance's turn alone
+	Burst    int           // maximum number of connections in any Interval; 0: no bound
+	Interval time.Duration // if more than 100 ms, connections are opened only in the instance's turns
 }
 
-// Share returns what one instance may open to one of so many hosts. A single instance is not bounded.
+// Share returns an instance's share of the limit at one of the given number of hosts. A single instance is not bounded.
 func (l HandshakeLimit) Share(hosts int) Share {
 	if l.MaxHandshakes <= 0 || l.Instances <= 1 {
 		return Share{}
@@ -57,26 +62,27 @@
 	return Share{Burst: 1, Interval: time.Duration(math.Ceil(instances / limit * float64(handshakeWindow)))}
 }
 
-// HandshakeLimiter limits one instance's new connections to one host. Its times are of a monotonic clock.
+// HandshakeLimiter limits one instance's new connections to one host. Its times are those of a monotonic clock.
 type HandshakeLimiter struct {
-	// Phase is where the instance's turn is in a period, from 0 to 1, drawn at random.
+	// Phase is the position of the instance's turn in a period, from 0 to 1, drawn at random.
 	Phase  float64
-	opened []time.Duration // the last ones, oldest first
+	opened []time.Duration // times of the last connections, oldest first
 }
 
-// Next returns when the next connection may be opened: now, or at most one period later, two where the share has changed.
+// Next returns the time at which the next connection may be opened: from now to one period later, or two periods if the
+// share has changed.
 func (l *HandshakeLimiter) Next(s Share, now time.Duration) time.Duration {
 	if s.Burst == 0 {
 		return now
 	}
-	earliest := now // by the connections that were opened last
+	earliest := now // limited by the connections that were opened last
 	if n := len(l.opened); n >= s.Burst {
 		earliest = max(now, l.opened[n-s.Burst]+s.Interval)
 	}
 	if s.Interval <= handshakeWindow {
 		return earliest
 	}
-	if n := len(l.opened); n > 0 { // a late one does not cost the next turn
+	if n := len(l.opened); n > 0 { // a connection that was opened late does not cost the next turn
 		earliest = max(now, l.opened[n-1]+s.Interval-maxHandshakeLateness)
 	}
 	firstTurn := time.Duration(l.Phase * float64(s.Interval))
@@ -87,7 +93,7 @@
 	return earliest - sinceTurn + s.Interval
 }
 
-// Allow reports whether a connection may be opened now, and records that it is.
+// Allow reports whether a connection may be opened now, and if so records that it is opened.
 func (l *HandshakeLimiter) Allow(s Share, now time.Duration) bool {
 	if s.Burst == 0 {
 		return true
@@ -95,8 +101,8 @@
 	if l.Next(s, now) > now {
 		return false
 	}
-	if extra := len(l.opened) + 1 - s.Burst; extra > 0 {
-		l.opened = append(l.opened[:0], l.opened[extra:]...)
+	if excess := len(l.opened) + 1 - s.Burst; excess > 0 {
+		l.opened = append(l.opened[:0], l.opened[excess:]...)
 	}
 	l.opened = append(l.opened, now)
 	return true
--- a/internal/pacing/pacer_test.go
+++ b/internal/pacing/pacer_test.go
@@ -17,9 +17,9 @@
 	return time.Duration(rapid.Int64Range(int64(minimum), int64(maximum)).Draw(t, name))
 }
 
-// However calls end and the process is stopped, and though calls are made up to a sixteenth of a period late, an instance leaves
-// three quarters of a period between any two, so that n of them make n calls in that time at most; and none waits longer than
-// stated for its next one: two periods, or the Retry-After and a period.
+// Checks the spacing of an instance's calls for random outcomes, stops of the process, and calls that are up to a
+// sixteenth of a period late. Two calls are at least three quarters of a period apart, so that n instances make at most
+// n calls in that time. The next call is at most two periods away, or a period more than the Retry-After.
 func TestSpacing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := fleets.Draw(t, "fleet")
@@ -34,98 +34,99 @@
 		}
 		expectWait("the start", f.startWindow())
 		lastCall := time.Duration(-1)
-		slowest := max(period, maxCallInterval/2)
+		maxPeriod := max(period, maxCallInterval/2)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			now = p.Next() + drawDuration(t, "late", 0, period/16)
+			now = p.Next() + drawDuration(t, "lateness", 0, period/16)
 			if rapid.IntRange(0, 9).Draw(t, "stop") == 0 {
-				now += drawDuration(t, "stopped", time.Second, time.Minute)
+				now += drawDuration(t, "stop time", time.Second, time.Minute)
 				p.Resumed(now)
-				expectWait("a stop", 2*slowest)
+				expectWait("a stop", 2*maxPeriod)
 				continue
 			}
 			if lastCall >= 0 && now-lastCall < 3*period/4 {
-				t.Fatalf("calls at %s and %s, a period is %s", lastCall, now, period)
+				t.Fatalf("calls at %s and %s, less than three quarters of the period of %s apart", lastCall, now, period)
 			}
 			lastCall = now
 			p.Sent(now)
-			e := Result{Outcome: Outcome(rapid.IntRange(0, int(TimedOut)).Draw(t, "how")), Latency: drawDuration(t, "took", 0, 5*time.Second)}
-			if e.Outcome == Overloaded {
-				e.RetryAfter = drawDuration(t, "advice", 0, 2*time.Minute)
+			result := Result{Outcome: Outcome(rapid.IntRange(0, int(TimedOut)).Draw(t, "outcome")), Latency: drawDuration(t, "latency", 0, 5*time.Second)}
+			if result.Outcome == Overloaded {
+				result.RetryAfter = drawDuration(t, "retry after", 0, 2*time.Minute)
 			}
-			now += e.Latency
-			if e.Outcome == NoChange {
+			now += result.Latency
+			if result.Outcome == NoChange {
 				now += p.WatchWait()
 			}
-			p.Done(now, e)
-			expectWait("a call", max(2*slowest, min(maxRetryAfter, e.RetryAfter)+slowest, maxRetryDelay))
-			if e.RetryAfter > 0 && p.Next() < now+min(maxRetryAfter, e.RetryAfter) {
-				t.Fatalf("the next call is after %s, the Retry-After was %s", p.Next()-now, e.RetryAfter)
+			p.Done(now, result)
+			expectWait("a call", max(2*maxPeriod, min(maxRetryAfter, result.RetryAfter)+maxPeriod, maxRetryDelay))
+			if result.RetryAfter > 0 && p.Next() < now+min(maxRetryAfter, result.RetryAfter) {
+				t.Fatalf("the next call is %s away, the Retry-After was %s", p.Next()-now, result.RetryAfter)
 			}
 			if w := p.Timeout(); w < initialTimeout || w > maxTimeout {
-				t.Fatalf("the time-out is %s", w)
+				t.Fatalf("the time-out of a list is %s", w)
 			}
 			if w := p.WatchWait(); w < f.MinWatchWait/2 || w > maxWatchWait {
 				t.Fatalf("a watch waits for %s", w)
 			} else if p.rate == 1 && w > f.MaxWatchWait() {
-				t.Fatalf("a watch waits for %s, longer than the longest, %s", w, f.MaxWatchWait())
+				t.Fatalf("a watch waits for %s, longer than MaxWatchWait, %s", w, f.MaxWatchWait())
 			}
 		}
 	})
 }
 
-// A simple, slow oracle of an instance's turns: one period after the other from the first, until one fits.
+// Compares nextTurn with a simple, slow oracle, which advances from one turn by single periods until a turn fits.
 func TestNextTurn(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := Fleet{Instances: rapid.IntRange(1, 300).Draw(t, "instances"), Rate: 100, MinWatchWait: time.Second}
 		p := New(f, rand.New(rand.NewPCG(1, 1)), 0)
-		p.turn, p.next = drawDuration(t, "slot", 0, 10*time.Second), 0
+		p.turn, p.next = drawDuration(t, "turn", 0, 10*time.Second), 0
 		now := drawDuration(t, "now", 0, 10*time.Second)
-		from := now
-		if rapid.Bool().Draw(t, "asked") {
-			lastSent := drawDuration(t, "last", 0, now)
-			p.next = lastSent
-			p.Sent(lastSent)
-			from = max(now, lastSent+f.Period())
+		earliest := now
+		if rapid.Bool().Draw(t, "called before") {
+			lastCall := drawDuration(t, "last call", 0, now)
+			p.next = lastCall
+			p.Sent(lastCall)
+			earliest = max(now, lastCall+f.Period())
 		}
 		want := p.turn
-		for want < from {
+		for want < earliest {
 			want += f.Period()
 		}
-		for want-f.Period() >= from {
+		for want-f.Period() >= earliest {
 			want -= f.Period()
 		}
 		if got := p.nextTurn(now); got != want {
-			t.Fatalf("slot %s, now %s, from %s: %s, want %s", p.turn, now, from, got, want)
+			t.Fatalf("turn %s, now %s, earliest %s: next turn is %s, want %s", p.turn, now, earliest, got, want)
 		}
 	})
 }
 
-// How an instance adapts its rate: it halves after each call that is rejected or times out, falls less after slow ones, rises by
-// an eighth with each quick response, and stays where nobody listens.
+// Checks how an instance adapts its rate: it is halved after a call that is rejected or times out, reduced by a quarter
+// after a slow response, raised by an eighth of the full rate after a quick one, and kept while the service is
+// unreachable.
 func TestAdaptiveRate(t *testing.T) {
 	quick, slow := Result{Outcome: Answered}, Result{Outcome: Answered, Latency: time.Second}
 	overloaded, timedOut, down := Result{Outcome: Overloaded}, Result{Outcome: TimedOut}, Result{Outcome: Unreachable}
 	for _, c := range []struct {
 		name    string
-		ends    []Result
+		results []Result
 		rate    float64
 		timeout time.Duration
 	}{
 		{"an unreachable service changes nothing", []Result{down, down, down}, 1, initialTimeout},
 		{"overload", []Result{overloaded, overloaded}, 0.25, initialTimeout},
-		{"never less than a sixteenth", []Result{overloaded, overloaded, overloaded, overloaded, overloaded, overloaded}, minRate, initialTimeout},
-		{"quick responses give it back", []Result{overloaded, overloaded, quick, quick}, 0.5, initialTimeout},
-		{"slow responses take some, and are waited for", []Result{slow}, 0.75, initialTimeout},
-		{"a time-out doubles the time-out", []Result{timedOut, timedOut}, 0.25, maxTimeout},
-		{"and a quick response ends that", []Result{timedOut, quick}, 0.625, initialTimeout},
+		{"the rate is at least a sixteenth", []Result{overloaded, overloaded, overloaded, overloaded, overloaded, overloaded}, minRateShare, initialTimeout},
+		{"quick responses raise the rate", []Result{overloaded, overloaded, quick, quick}, 0.5, initialTimeout},
+		{"a slow response reduces the rate and keeps a sufficient time-out", []Result{slow}, 0.75, initialTimeout},
+		{"timed-out calls raise the time-out to its maximum", []Result{timedOut, timedOut}, 0.25, maxTimeout},
+		{"a quick response resets the time-out", []Result{timedOut, quick}, 0.625, initialTimeout},
 	} {
 		p := New(Fleet{Instances: 100, Rate: 100, MinWatchWait: time.Second}, rand.New(rand.NewPCG(1, 1)), 0)
-		for _, e := range c.ends {
+		for _, result := range c.results {
 			p.Sent(p.Next())
-			p.Done(p.Next()+e.Latency, e)
+			p.Done(p.Next()+result.Latency, result)
 		}
 		if p.rate != c.rate || p.timeout != c.timeout {
-			t.Errorf("%s: rate %v, the time-out is %s; want %v, %s", c.name, p.rate, p.timeout, c.rate, c.timeout)
+			t.Errorf("%s: the rate is %v and the time-out %s; want %v and %s", c.name, p.rate, p.timeout, c.rate, c.timeout)
 		}
 	}
 }
--- a/internal/pacing/retry_after_test.go
+++ b/internal/pacing/retry_after_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Whatever a service sends, the result is a time that can be waited for.
+// Checks that the result for any header is between 0 and a day.
 func FuzzParseRetryAfter(f *testing.F) {
 	for text, want := range map[string]time.Duration{"0.1": 100 * time.Millisecond, "2": 2 * time.Second, "": 0, "-1": 0, "NaN": 0, "Inf": 0, "1e300": 0,
 		"Wed, 21 Oct 2015 07:28:00 GMT": 0} {
