--- a/balance/grey/detector.go
+++ b/balance/grey/detector.go
@@ -57,7 +57,7 @@
 }
 
 // RecordAbandoned records an attempt that this instance cancelled when it was seconds old. overtakenBy is the number of
-// later attempts that the host had answered by then. It counts as a failure with weight hangProbability.
+// later attempts that the host had answered by then. The attempt counts as a failure with weight hangProbability.
 func (d *Detector) RecordAbandoned(h *Host, class int, seconds, hangProbability float64, overtakenBy int) {
 	if overtakenBy < maxOvertaken {
 		d.recent.add(d.latencies[class].logRatio(seconds), false)
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -218,7 +218,7 @@
 		}
 		got, others, ok := Split(header)
 		if !ok || got.PoolID != grant.PoolID || got.ExtraAttempts != grant.ExtraAttempts || got.ValueShare != grant.ValueShare || !slices.Equal(got.Path, grant.Path) {
-			t.Errorf("%q is read as %+v, %v", header, got, ok)
+			t.Errorf("%q is parsed as %+v, valid: %v", header, got, ok)
 		}
 		if strings.ReplaceAll(others, " ", "") != strings.ReplaceAll(rest, " ", "") {
 			t.Errorf("%q has the members %q without the grant", header, others)
@@ -228,7 +228,7 @@
 		"pinelb=1.a.-2.3.x", "pinelb=1.a.2.3.x y", "pinelb=1.a.2.3.x~", "pinelb=1.zz.2.3.x", "pinelb=1.a.2.3.x,pinelb=1.a.2.3.x",
 		"pinelb=1.a.2.3." + strings.Repeat("x~", maxPathServices) + "x", "pinelb=1.a.2.3.x" + strings.Repeat(",a=b", 2000), "pinelb"} {
 		if grant, _, ok := Split(header); ok {
-			t.Errorf("%.60q is taken for %+v", header, grant)
+			t.Errorf("%.60q is invalid, but parsed as %+v", header, grant)
 		}
 	}
 }
--- a/internal/budget/tracker.go
+++ b/internal/budget/tracker.go
@@ -104,7 +104,7 @@
 }
 
 // Close records the end of a request and returns the report for its caller. good means an answer within its target
-// latency. A failure without any attempt reports nothing, because a retry at another instance may succeed.
+// latency. A failure without any attempt reports nothing, because another instance may have capacity for a retry.
 func (t *Tracker) Close(r *RequestBudget, good bool) AttemptReport {
 	report := AttemptReport{
 		Known:         good || r.attempts > 0 || r.Loop != nil,
--- a/internal/pacing/handshake_limit_test.go
+++ b/internal/pacing/handshake_limit_test.go
@@ -24,11 +24,11 @@
 		maxMean                                float64 // expected connections in 100 ms
 	}{
 		{"whole numbers", 5, 5, 12, 20, true, 20},
-		{"one each", 20, 20, 12, 20, true, 20},
+		{"one connection each", 20, 20, 12, 20, true, 20},
 		{"turns", 200, 200, 12, 10, false, 10},
 		{"a subset of 48 hosts", 34, 200, 48, 10, true, 10},
-		{"a third up", 100, 300, 12, 10, false, 10 / 3.},
-		{"a fifth configured", 200, 40, 12, 10, false, 50},
+		{"a third of the instances running", 100, 300, 12, 10, false, 10 / 3.},
+		{"a fifth of the instances configured", 200, 40, 12, 10, false, 50},
 		{"five times as many configured", 40, 200, 12, 10, false, 2},
 	} {
 		maxPeak := c.maxMean
@@ -44,7 +44,7 @@
 			}
 			worst := maxInWindow(all)
 			if float64(worst) > maxPeak || float64(worst) < c.maxMean/2 {
-				t.Errorf("%s, seed %d: %d in 100 ms, want %.1f at most", c.name, seed, worst, maxPeak)
+				t.Errorf("%s, seed %d: %d connections in 100 ms, want at most %.1f", c.name, seed, worst, maxPeak)
 			}
 		}
 	}
--- a/internal/pacing/pacer.go
+++ b/internal/pacing/pacer.go
@@ -71,7 +71,7 @@
 // Outcome tells how a call ended.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes of a call.
 const (
 	Answered    Outcome = iota // with a list, or with changes
 	NoChange                   // a watch timed out without changes
