--- a/balance/warmup/warmup.go
+++ b/balance/warmup/warmup.go
@@ -35,7 +35,7 @@
 	maxTrickleDebt  = 4.0                    // maximum of trickleDebt; more would suppress the trickle after a pause
 	maxTrickleWait  = 3600.0                 // seconds
 
-	priorWorkShare = 0.1 // assumed work of a request at a warm endpoint, as a share of TargetLatency
+	priorWorkShare = 0.1 // assumed work of a request at a warm endpoint before any is answered, as a share of TargetLatency
 	// trickleGain is the trickle of all instances together, as a multiple of the rate that priorWorkShare allows.
 	// knownInstancesGain is used instead if the number of instances is known: 8,000 random clusters stayed below the
 	// collapse multiple with 2.0, and one in 1,400 exceeded it with 2.4. If half of the true number is configured, some
@@ -93,8 +93,8 @@
 	}
 }
 
-// Tick adds a trickle credit if one is due by now. The trickle is a Poisson process with rate credits a second. draw is a
-// uniform random number from 0 to 1.
+// Tick adds a trickle credit if one is due by now, or reduces trickleDebt by 1 instead if that is at least 1. The trickle
+// is a Poisson process with rate credits a second. draw is a uniform random number from 0 to 1.
 func (b *Budget) Tick(now time.Duration, rate, draw float64) {
 	wait := time.Duration(min(-math.Log1p(-draw)/rate, maxTrickleWait) * float64(time.Second)) // exponentially distributed
 	switch {
--- a/balance/warmup/warmup_test.go
+++ b/balance/warmup/warmup_test.go
@@ -179,10 +179,10 @@
 }
 
 // pressure returns the maximum ratio of the requests that an endpoint was sent in a window while warming up to its
-// limit, and where that was. The limit is N + 2 sqrt(N) + 2, or less if N plus 4 standard deviations of possible is
-// less; N is the collapse multiple of the requests that its present capacity allowed in the window. The tolerance is
-// needed because credits are rounded at random and the trickle is random, each with at most the variance of a Poisson
-// variable of the same mean. A deviation by four standard deviations occurs once in 30,000 windows; that is the whole
+// limit, and where that was. With C requests that the endpoint's present capacity allowed in the window, and
+// N = collapseMultiple x C, the limit is the lesser of N + 2 sqrt(N) + 2 and N + 4 sqrt(C). The tolerance is needed
+// because credits are rounded at random and the trickle is random, each with at most the variance of a Poisson variable
+// of the same mean. A deviation by four standard deviations, 4 sqrt(C), occurs once in 30,000 windows; it is the only
 // tolerance of clusters whose configured number of instances is wrong.
 func (c *cluster) pressure() (worst float64, where string) {
 	n := int(window / step)
--- a/internal/budget/allowance.go
+++ b/internal/budget/allowance.go
@@ -58,6 +58,6 @@
 	}
 }
 
-// Unused returns the number of extra attempts that are not known to be used. They go back to the pool or the retry
-// budget when the request ends.
+// Unused returns the number of extra attempts that are known to be unused; those that were passed down and not reported
+// as unused count as used. The unused ones go back to the pool or the retry budget when the request ends.
 func (a *Allowance) Unused() int { return a.remaining }
--- a/internal/budget/grant.go
+++ b/internal/budget/grant.go
@@ -29,9 +29,10 @@
 	Path          []string // services that the request has passed, in order
 }
 
-// Split separates this package's member from a baggage header. rest holds the other members; it is empty if the header
-// is too long. ok is false if the member is absent, duplicated, invalid or of another version, or if the header is too
-// long; g is then empty, and rest does not contain the member.
+// Split separates this package's member from a baggage header. rest holds the other members, unchanged except for white
+// space around them; it is empty if the header is too long. ok is false if the header is too long, has no valid member of
+// this version, or has another such member after the valid one, in which case rest ends there. If ok is false, g is empty
+// and rest still does not contain the member.
 func Split(header string) (g Grant, rest string, ok bool) {
 	if len(header) > maxHeaderBytes {
 		return Grant{}, "", false
--- a/internal/budget/tracker.go
+++ b/internal/budget/tracker.go
@@ -81,7 +81,8 @@
 // MaxAttempts returns the number of attempts that may be made for the request here; a negative number means none.
 func (r *RequestBudget) MaxAttempts() int { return r.maxAttempts }
 
-// ValueShare returns the request's share of its class's value, as set by the tier above; 0 means that none was set.
+// ValueShare returns the request's share of its class's value, as set by the tier above, or 1 if the request came without
+// a trusted grant. Package balance treats 0 as not set.
 func (r *RequestBudget) ValueShare() float64 { return r.valueShare }
 
 // NextAttempt starts the request's next attempt and returns its header "baggage" and its number, counted from 0.
