--- a/balance/action.go
+++ b/balance/action.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// ActionKind is what the caller is to do.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
-// The actions.
+// The kinds of action.
 const (
 	ActSend        ActionKind = iota + 1 // start an attempt
-	ActReject                            // final answer: rejected, a retry is harmless
-	ActFail                              // final answer: failed, the request may have taken effect
+	ActReject                            // final answer: rejected; the client may safely retry
+	ActFail                              // final answer: failed; the request may have taken effect
 	ActCancel                            // cancel an attempt
-	ActTimer                             // deliver an EventTimer later
+	ActTimer                             // deliver an EventTimer after a delay
 	ActFetch                             // fetch the full membership list
 	ActSubscribe                         // subscribe to changes of the membership
 	ActHealthCheck                       // check an endpoint's health
@@ -20,16 +20,16 @@
 	ActLog                               // write a log line
 )
 
-// Action is one thing to do. Only the fields of its kind are set.
+// Action is one action that the caller carries out. Only the fields of its kind are set.
 type Action struct {
 	Kind       ActionKind
 	Request    RequestID
 	Endpoint   EndpointID
 	Attempt    int
-	After      time.Duration // ActSend: time-out; ActTimer: delay; ActReject: retry hint, 0 is none
-	ValueShare float64       // ActSend: share of its class's value that the request has
+	After      time.Duration // ActSend: time-out; ActTimer: delay; ActReject: retry hint, 0 for none
+	ValueShare float64       // ActSend: the request's share of its class's value, 0 to 1
 	Token      Token
-	Peer       int // ActSendPeer: a rank, or -1 for all
+	Peer       int // ActSendPeer: rank of the receiver, or -1 for all peers
 	Data       []byte
 	Text       string
 }
--- a/balance/admission.go
+++ b/balance/admission.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// onRequest accepts a request into the queue, or rejects it.
+// onRequest accepts a request into the queue or rejects it.
 func (b *Balancer) onRequest(ev *Event) {
 	classIndex := min(ev.Class, len(b.classes)-1)
 	class := b.classes[classIndex]
@@ -15,7 +15,7 @@
 		priority:        class.priority * valueShare(ev),
 		unansweredIndex: len(b.unanswered),
 	}
-	if b.takeQuota(ev.Tenant) {
+	if b.consumeQuota(ev.Tenant) {
 		request.overQuota = true
 		request.priority *= b.settings.OverQuotaValue
 	}
@@ -25,7 +25,7 @@
 	}
 	request.maxAttempts = b.maxAttempts(ev)
 	request.retryCost = retryCost(ev)
-	request.usefulUntil = request.latestUseful()
+	request.usefulUntil = request.usefulDeadline()
 	request.queueUntil = b.queueDeadline(request)
 	if ev.Uploading {
 		request.beginUpload(b.now)
@@ -43,9 +43,10 @@
 	b.dispatchQueue()
 }
 
-// takeQuota takes one request from this instance's part of the tenant's quota and reports whether that was used up. Only
-// the first tier sees all of a tenant; the others finish what it has accepted.
-func (b *Balancer) takeQuota(tenant int) (overQuota bool) {
+// consumeQuota takes one token from this instance's share of the tenant's quota and reports overQuota if no token was
+// available. Only the first tier enforces quotas: it alone sees all requests of a tenant, and inner tiers finish the
+// requests that it has accepted.
+func (b *Balancer) consumeQuota(tenant int) (overQuota bool) {
 	if b.settings.Tier > 0 || tenant >= len(b.tenants) || b.tenants[tenant].rate <= 0 {
 		return false
 	}
@@ -57,8 +58,9 @@
 	return false
 }
 
-// queueDeadline is the last moment at which a request may be sent and still meet its target. In the first tier, where no
-// work is lost yet, it is a part of the target, so that a queue does not use up everyone's time.
+// queueDeadline is the latest time at which a queued request can be sent and still meet its target latency. In the
+// first tier, where a rejection wastes no work, requests are queued for at most maxQueueShare of the target latency: a
+// longer queue would use up the time of every request in it.
 func (b *Balancer) queueDeadline(request *requestState) time.Duration {
 	until := request.targetAt - b.classLatency(request.class)
 	if b.settings.Tier == 0 {
@@ -67,7 +69,7 @@
 	return min(max(until, b.now+b.tickInterval), request.deadline)
 }
 
-// rejectsEarly reports whether a request is better rejected before any work is done.
+// rejectsEarly reports whether a request is rejected on arrival, before any work is done for it.
 func (b *Balancer) rejectsEarly(request *requestState) bool {
 	noEndpointInTime := len(b.readyEndpoints) == 0 && b.listExpectedAt > request.queueUntil
 	switch {
@@ -81,29 +83,29 @@
 	return b.shedsLoad(request)
 }
 
-// shedsLoad reports whether a request of the first tier is rejected for want of capacity.
+// shedsLoad reports whether the first tier rejects a request for lack of capacity.
 func (b *Balancer) shedsLoad(request *requestState) bool {
 	queueSeconds := (request.queueUntil - b.now).Seconds()
 	switch {
 	case request.overQuota && (len(b.queue) > 0 || b.limitUtilisation() > maxOverQuotaUse):
 		return true
-	case b.limit < smallLimit && b.unusedLimit+b.limit*queueSeconds < b.priorityReserve(request):
+	case b.limit < smallLimit && b.limitCredit+b.limit*queueSeconds < b.priorityReserve(request):
 		return true
 	}
 	sendRate := b.sends.n / decaySeconds
 	return b.queuedAhead(request) > 1+sendRate*queueSeconds
 }
 
-// canFinishInTime reports whether an attempt that is sent now can still end in time, if it is as quick as the quickest
+// canFinishInTime reports whether an attempt that is sent now would still finish in time with the latency of the fastest
 // tenth of its class.
 func (b *Balancer) canFinishInTime(request *requestState) bool {
 	return b.now+b.detector.FastLatency(request.classIndex) < request.usefulUntil-b.responseMargin()
 }
 
-// responseMargin is how long before the client's deadline the final answer goes out.
+// responseMargin is the time between the final answer and the client's deadline.
 func (b *Balancer) responseMargin() time.Duration { return b.tickInterval + b.settings.TimeResolution }
 
-// limitUtilisation is the share of the limit that is in use.
+// limitUtilisation is the fraction of the concurrency limit, with its burst allowance, that is in use.
 func (b *Balancer) limitUtilisation() float64 {
 	return float64(b.inFlight) / max(1, b.limit+b.burstAllowance())
 }
--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -134,8 +134,8 @@
 			}
 		}
 	}
-	if least < 1.5*w.b.instancePart(minLimit) {
-		t.Errorf("the limit fell to %.1f, hardly over its least, %.1f", least, w.b.instancePart(minLimit))
+	if least < 1.5*w.b.instanceShare(minLimit) {
+		t.Errorf("the limit fell to %.1f, hardly over its least, %.1f", least, w.b.instanceShare(minLimit))
 	}
 }
 
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -15,73 +15,73 @@
 	random       *rand.Rand
 	instanceHash uint64 // of the instance's name; 0 is none
 	now          time.Duration
-	actions      []Action      // of the event in hand
+	actions      []Action      // those of the event that is being handled
 	tickInterval time.Duration // 0 until the first event
 	nextTick     time.Duration
-	pausedTime   time.Duration // for how long in all this process was not scheduled
+	pausedTime   time.Duration // total time during which this process was not scheduled
 
 	classes     []*classState
 	tenants     []tokenBucket
-	requests    map[RequestID]*requestState // until answered and without open attempts
+	requests    map[RequestID]*requestState // unanswered, or with open attempts
 	unanswered  []*requestState
-	queue       []*requestState // waiting to be sent, the most valuable first
-	retryTokens float64         // the retry budget
+	queue       []*requestState // waiting to be sent, in order of descending priority
+	retryTokens float64         // remaining retry budget
 
 	// Endpoints.
-	endpoints      []*endpointState // available and in the subset, or with pending attempts; by EndpointID
+	endpoints      []*endpointState // available and in the subset, or with pending attempts; sorted by EndpointID
 	endpointsByID  map[EndpointID]*endpointState
-	cordoned       map[EndpointID]bool // by operators: they count as draining, whatever the list says
-	readyEndpoints []*endpointState    // all available ones, in ring order
+	cordoned       map[EndpointID]bool // cordoned by operators; treated as draining, whatever their listed state
+	readyEndpoints []*endpointState    // all available endpoints, in ring order
 	groups         map[groupKey]*group
 
-	// The subset and the sharing of endpoints with other instances.
-	instancesPerEndpoint float64 // as far as this instance can tell
-	capacity             float64 // of the available endpoints, in warm ones; the last one over 0. The limit scales with it
+	// The subset and the endpoints shared with other instances.
+	instancesPerEndpoint float64 // estimated number of processes that use each endpoint
+	capacity             float64 // last nonzero capacity of the available endpoints, in warm endpoints
 
 	// The concurrency limit (limit.go).
-	limit               float64     // on the requests of this instance that all endpoints together have in flight
-	limitDither         float64     // 0 to 1, drawn once: how this instance rounds the limit
-	unusedLimit         float64     // request-seconds of a small limit that may still be used
-	limitUse            decayedMean // requests in flight since the limit last moved
-	latencyWindow       decayedMean // latencies as shares of their targets, since the limit last moved
+	limit               float64     // maximum number of this instance's requests in flight, over all endpoints
+	limitDither         float64     // 0 to 1, drawn once: added to the limit before it is rounded down
+	limitCredit         float64     // saved unused part of a small limit, in request-seconds; negative after overuse
+	limitUse            decayedMean // requests in flight since the limit was last adapted
+	latencyWindow       decayedMean // latencies as fractions of their targets, since the limit was last adapted
 	latencyWindowStart  time.Duration
-	baselineWindow      decayedMean // the same, until there are enough for the baseline
-	baseline            float64     // low end of the share of the target that uncongested answers take; 0 is unknown
-	baselineKnown       bool        // it was taken with room under the limit
-	congestionAvoidance bool        // the limit has been cut once: it grows slowly from then on, as TCP's window does
-	congested           bool        // it has been cut, and answers have not been quick since
+	baselineWindow      decayedMean // the same samples, collected until there are enough to update the baseline
+	baseline            float64     // low end of uncongested latencies, as a fraction of their targets; 0 is unknown
+	baselineKnown       bool        // the baseline was measured while the limit was not fully used
+	congestionAvoidance bool        // the limit has been cut at least once and grows slowly, as TCP's window does
+	congested           bool        // the limit has been cut, and latencies have stayed high since
 
 	// Health.
 	detector       *grey.Detector
-	panicMode      bool // most endpoints look unhealthy: health is ignored
+	panicMode      bool // more than half of the endpoints look unhealthy: health is ignored
 	availableCount int  // available endpoints of the subset, at the last assessment
-	unhealthyCount int  // of them unhealthy
-	inFlight       int  // requests in flight at endpoints that count as healthy, but for those that likely hang
+	unhealthyCount int  // number of unhealthy endpoints among them
+	inFlight       int  // requests in flight at healthy endpoints, without attempts that likely hang
 
 	// Routing weights (solve.go).
 	bins             []bin
-	rows             [][]float64 // per bin: the share of each endpoint
+	rows             [][]float64 // by bin: the routing weight of each endpoint; each row sums to 1
 	totalShare       []float64   // each endpoint's share over all bins
 	cumulativeRows   [][]float64 // prefix sums of each row
 	solvedFor        solveInputs
 	solvedAt         time.Duration
-	solveNeeded      bool // a change calls for a solve as soon as one is allowed
-	cachedListSeeded bool // the one send to an endpoint of a cached list has been granted
+	solveNeeded      bool // a change requires a solve as soon as minSolveInterval allows
+	cachedListSeeded bool // the single immediate send to an endpoint of a cached list has been granted
 
 	nextMaintenance time.Duration
 	nextBinRefresh  time.Duration
-	sends           decayedMean // their count, for their rate
-	rejections      decayedMean // per request: 1 is rejected
-	responses       decayedMean // the target latencies of answers, in seconds
+	sends           decayedMean // counts sent attempts, for their rate
+	rejections      decayedMean // fraction of the requests that are rejected
+	responses       decayedMean // target latencies of the answers, in seconds
 
 	// Discovery.
 	subscribed        bool
 	nextSubscribe     time.Duration
 	subscribeFailures int
-	listExpectedAt    time.Duration // when the first list may come; in the past where discovery is always watched
+	listExpectedAt    time.Duration // next poll of discovery; in the past while discovery is watched continuously
 }
 
-// New returns the decision state of one instance, or a *SettingError.
+// New returns the decision state of one instance, or a *SettingError if the settings are invalid.
 func New(s Settings, seed uint64) (*Balancer, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
@@ -102,7 +102,7 @@
 	return b, nil
 }
 
-// Handle takes in one event at a time now, since any fixed moment, and appends the actions that follow from it to out.
+// Handle processes one event and appends the resulting actions to out. The time now is measured from any fixed instant.
 func (b *Balancer) Handle(now time.Duration, ev *Event, out []Action) []Action {
 	b.now = now
 	b.actions = out
@@ -149,7 +149,7 @@
 
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-// jitter draws a time from 0 to d.
+// jitter returns a random duration from 0 to d.
 func (b *Balancer) jitter(d time.Duration) time.Duration {
 	return time.Duration(b.random.Float64() * float64(d))
 }
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -10,7 +10,7 @@
 // BenchmarkDecision is a request's whole cost here: its arrival, its answer, and its part of the ticks, at 1,000 requests
 // a second of which 50 are out at any time.
 func BenchmarkDecision(b *testing.B) {
-	for _, hosts := range append(slices.Clone(slopeSizes), 1000, 5000) {
+	for _, hosts := range append(slices.Clone(fleetSizes), 1000, 5000) {
 		b.Run(fmt.Sprint(hosts, "hosts"), func(b *testing.B) {
 			bal, err := New(testSettings(), 1)
 			if err != nil {
@@ -44,8 +44,8 @@
 	}
 }
 
-// slopeSizes are endpoints at which costs are measured for docs/CAPACITY.md.
-var slopeSizes = []int{12, 106, 212, 425, 850, 1700}
+// fleetSizes are endpoints at which costs are measured for docs/CAPACITY.md.
+var fleetSizes = []int{12, 106, 212, 425, 850, 1700}
 
 // newListedBalancer returns an instance that knows so many endpoints.
 func newListedBalancer(b *testing.B, hosts int) (*Balancer, []Entry) {
@@ -75,7 +75,7 @@
 
 // benchmarkMembership has one endpoint after another restart, and sends the part of the list that sent chooses.
 func benchmarkMembership(b *testing.B, kind ListKind, sent func(entries []Entry, restarted int) []Entry) {
-	for _, hosts := range slopeSizes {
+	for _, hosts := range fleetSizes {
 		b.Run(fmt.Sprint(hosts, "hosts"), func(b *testing.B) {
 			bal, entries := newListedBalancer(b, hosts)
 			var out []Action
--- a/balance/bins.go
+++ b/balance/bins.go
@@ -1,12 +1,13 @@
 package balance
 
-// bin is a part of a class's calls, by the share of their target latency that was spent when they were routed.
+// bin is a histogram bin: the calls of one class with a similar fraction of their target latency spent when they were
+// routed.
 type bin struct {
-	arrivals float64 // since the last refresh
-	share    float64 // of all calls, as of the last refresh
+	arrivals float64 // number of calls since the last refresh
+	share    float64 // fraction of all calls at the last refresh
 }
 
-// binOf is the index of a request's bin.
+// binOf returns the index of a request's bin.
 func (b *Balancer) binOf(request *requestState) int {
 	spent := 1 - float64(request.targetAt-b.now)/float64(request.class.TargetLatency)
 	k := 0
@@ -16,7 +17,7 @@
 	return request.classIndex*binsPerClass + k
 }
 
-// refreshBins takes over the distribution of the calls since the last refresh.
+// refreshBins replaces the distribution of the calls by that of the calls since the last refresh.
 func (b *Balancer) refreshBins() {
 	total := 0.0
 	for i := range b.bins {
@@ -27,7 +28,7 @@
 	}
 }
 
-// binWeights is each bin's share of the calls; even over the classes until some have come.
+// binWeights returns each bin's share of the calls. Before the first calls all classes have equal shares.
 func (b *Balancer) binWeights() []float64 {
 	weights := make([]float64, len(b.bins))
 	for i := range b.bins {
--- a/balance/class.go
+++ b/balance/class.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// classState is a request class and what is learned of it.
+// classState is a request class with its learned statistics.
 type classState struct {
 	Class
-	latency         decayedMean       // of served attempts, in seconds
-	priority        float64           // value per work, as a power of two, at the last maintenance
-	callShare       float64           // its share of all calls, at the last maintenance
-	latencyFactor   float64           // at the last maintenance; see Balancer.latencyFactor
-	recentRemaining [16]time.Duration // ring buffer of the times that its last requests came with
-	arrivals        int               // requests that were put into it
+	latency         decayedMean       // latencies of served attempts, in seconds
+	priority        float64           // value per unit of work, rounded to a power of two, at the last maintenance
+	callShare       float64           // fraction of all calls, at the last maintenance
+	latencyFactor   float64           // see Balancer.latencyFactor; at the last maintenance
+	recentRemaining [16]time.Duration // ring buffer of the remaining times of the latest requests at their arrival
+	arrivals        int               // number of values written to recentRemaining
 }
 
-// usualRemaining records the time that a request came with and returns what requests of the class usually come with: the
-// largest of the last ones but for the top fifth, for a few clients with more patience must not make all others look late.
+// usualRemaining records a request's remaining time and returns the usual remaining time of the class: the 80th
+// percentile of the latest requests. The maximum would make all requests look late as soon as a few clients have a
+// longer time-out.
 func (c *classState) usualRemaining(remaining time.Duration) time.Duration {
 	c.recentRemaining[c.arrivals%len(c.recentRemaining)] = remaining
 	c.arrivals++
@@ -28,9 +29,10 @@
 	return sorted[n-1-n/5]
 }
 
-// timeSpent is how much of its target latency a request has used up before it came. One that comes with less time than is
-// usual for its class may have spent the difference, or its caller has less patience. It is the latter where the request
-// is known to be a first attempt, and is taken to be where the target could not be met any more: the caller still waits.
+// timeSpent estimates how much of its target latency a request had spent before it arrived. A request with less
+// remaining time than is usual for its class has either spent the difference or has a caller with a shorter time-out.
+// The latter is certain for a first attempt at the first tier. It is assumed for a first attempt at an inner tier that
+// could otherwise no longer meet its target latency, because its caller is still waiting.
 func (b *Balancer) timeSpent(class *classState, ev *Event) time.Duration {
 	spent := max(0, class.usualRemaining(ev.Remaining)-ev.Remaining)
 	firstAttempt := b.settings.MarksRetries && !ev.ClientRetry
@@ -40,13 +42,15 @@
 	return spent
 }
 
-// classLatency is the mean latency of a served attempt of the class; a tenth of its target until known.
+// classLatency is the mean latency of the class's served attempts, or initialLatencyShare of its target latency until
+// there are any.
 func (b *Balancer) classLatency(class *classState) time.Duration {
 	return time.Duration(class.latency.mean(initialLatencyShare*class.TargetLatency.Seconds(), 1) * float64(time.Second))
 }
 
-// latencyFactor is the class's latency over the plain mean of all classes': it makes calls of different work comparable.
-// The mean is over classes, not calls, for it must not move when one class is rejected.
+// latencyFactor is the class's latency divided by the mean of all classes' latencies. Latencies are divided by it to
+// make those of different classes comparable. The mean is over classes rather than calls, so that it does not move when
+// calls of one class are rejected.
 func (b *Balancer) latencyFactor(class *classState) float64 {
 	var all decayedMean
 	for _, other := range b.classes {
@@ -55,8 +59,8 @@
 	return max(minLatencyFactor, b.classLatency(class).Seconds()/all.mean(0, 0))
 }
 
-// classPriority is the class's value per work, where values are not per work already, rounded to a power of two: a finer
-// order would starve a class for a difference that is mostly noise.
+// classPriority is the class's value per unit of work, rounded to a power of two. Without the rounding a class could
+// starve because of a small difference that is mostly noise.
 func (b *Balancer) classPriority(class *classState) float64 {
 	value := class.Value
 	if !b.settings.ValueByWork {
--- a/balance/congestion_test.go
+++ b/balance/congestion_test.go
@@ -50,7 +50,7 @@
 		w.b.adaptLimit()
 	}
 	floor := rateSlack * earlyCongestionShare * before / decaySeconds // of all 16
-	if w.b.limit > 0.55*floor && w.b.limit > w.b.instancePart(minLimit)+0.01 {
+	if w.b.limit > 0.55*floor && w.b.limit > w.b.instanceShare(minLimit)+0.01 {
 		t.Errorf("the limit stays at %.1f, with a floor of %.1f for twice as many endpoints", w.b.limit, floor)
 	}
 }
--- a/balance/curve.go
+++ b/balance/curve.go
@@ -1,17 +1,17 @@
 package balance
 
-// latencyCurve is an endpoint's latency against its share of the calls: unloaded/(1 - growth*share), with unloaded the
-// latency in seconds that it would have without load (that of an M/M/1 queue).
+// latencyCurve models an endpoint's latency as a function of its share of the calls, as in an M/M/1 queue:
+// unloaded/(1 - growth*share), where unloaded is the latency without load, in seconds.
 type latencyCurve struct{ unloaded, growth float64 }
 
-// at is the latency at a share, and its slope there.
+// at returns the latency at a share, in seconds, and the slope of the curve there.
 func (c *latencyCurve) at(share float64) (latency, slope float64) {
 	free := max(0.05, 1-c.growth*share)
 	return c.unloaded / free, c.unloaded * c.growth / free / free
 }
 
-// fitCurves fits every endpoint's curve through its latency at its present share. The growth is the same for endpoints of
-// the same speed, and such that the mean endpoint is as utilised as all are in the mean.
+// fitCurves fits every endpoint's curve to its latency at its current share. Endpoints with the same unloaded latency
+// get the same growth, which is scaled so that the average endpoint has the mean utilisation.
 func (b *Balancer) fitCurves(share []float64) []latencyCurve {
 	n := float64(len(b.endpoints))
 	var mean decayedMean
@@ -23,13 +23,14 @@
 	curves := make([]latencyCurve, len(b.endpoints))
 	for i, endpoint := range b.endpoints {
 		latency := b.meanLatency(endpoint)
-		unloaded := latency / (1 + pressure*latency*max(share[i], 0.5/n)) // a small share must not make it look slow
+		unloaded := latency / (1 + pressure*latency*max(share[i], 0.5/n)) // a small share must not make an endpoint look slow
 		curves[i] = latencyCurve{unloaded: unloaded, growth: pressure * unloaded}
 	}
 	return curves
 }
 
-// meanUtilisation is the endpoints' mean utilisation: as reported, or else a middling one, at which load is felt.
+// meanUtilisation is the endpoints' mean reported utilisation, bounded to 0.3 to 0.8. Without reports it is 0.6, a medium
+// utilisation at which latency already depends on load.
 func (b *Balancer) meanUtilisation() float64 {
 	var reported decayedMean
 	for _, endpoint := range b.endpoints {
--- a/balance/endpoint.go
+++ b/balance/endpoint.go
@@ -14,26 +14,26 @@
 	Entry
 	group       *group
 	available   bool          // ready in the list, and not cordoned
-	inSubset    bool          // one of those that this instance sends to
-	listedStart time.Duration // Entry.StartedAt as the list had it
+	inSubset    bool          // this instance sends requests to it
+	listedStart time.Duration // Entry.StartedAt as listed by discovery
 
-	pending        []pendingAttempt // by the time of sending
-	inFlight       int              // of them unlikely to hang, as of the last assessment and since
-	unhealthy      bool             // at the last assessment: its requests in flight count nowhere
-	latency        decayedMean      // of served attempts, in seconds, scaled to the mean class
-	overdueLatency decayedMean      // the same of pending attempts, once they take longer than the mean
+	pending        []pendingAttempt // open attempts, in order of sending
+	inFlight       int              // pending attempts that likely don't hang, updated since the last assessment
+	unhealthy      bool             // at the last assessment; its requests in flight are not in Balancer.inFlight
+	latency        decayedMean      // latencies of served attempts, in seconds, scaled to the mean class
+	overdueLatency decayedMean      // scaled ages of pending attempts that exceed the mean latency, in seconds
 	evidence       grey.Host
 
-	// Outlier ejection, as a circuit breaker: closed, open until ejectedUntil, half-open after that.
+	// Outlier ejection, as a circuit breaker: closed, open until ejectedUntil, then half-open.
 	consecutiveFailures int
 	ejectedUntil        time.Duration
-	ejectionBackoff     time.Duration // length of the last ejection
-	halfOpen            bool          // one request at a time until it has served one
+	ejectionBackoff     time.Duration // duration of the last ejection; 0 after a served attempt
+	halfOpen            bool          // gets one request at a time until it has served one
 
-	lastSignal  time.Duration // when it last answered in any way, by Balancer.runTime
-	lastSuccess time.Duration // when it last served an attempt
+	lastSignal  time.Duration // end of the last attempt that was sent and not cancelled, by Balancer.runTime
+	lastSuccess time.Duration // last served attempt
 
-	warmup      warmup.Budget // what it may be sent while it is warming up
+	warmup      warmup.Budget // sends that it may get while it is warming up
 	utilisation loadValue
 }
 
@@ -45,21 +45,21 @@
 
 // group is what endpoints of the same kind and weight have in common.
 type group struct {
-	latency decayedMean // as endpointState.latency
+	latency decayedMean // see endpointState.latency
 }
 
-// loadValue is the latest value of one load field.
+// loadValue is the smoothed value of one load field.
 type loadValue struct {
 	value float64
 	known bool
 }
 
-// EndpointHealth is the health of an endpoint as the decisions see it, for observers.
+// EndpointHealth is an endpoint's health as used by the decisions, for monitoring.
 type EndpointHealth struct {
 	Endpoint    EndpointID
-	Grey        bool    // it fails more of its attempts than its peers do
-	Ejected     bool    // it gets nothing for a while, or one request at a time until it has served one
-	FailureRate float64 // share of its attempts that fail, of the class of which it fails most
+	Grey        bool    // it fails a larger fraction of its attempts than its peers
+	Ejected     bool    // it gets no requests, or one at a time until it has served one
+	FailureRate float64 // largest failure rate over the classes, 0 to 1
 }
 
 // EndpointHealth appends the health of the endpoints in use, in the order of their EndpointIDs.
@@ -75,7 +75,8 @@
 	return out
 }
 
-// failureRates is the share that an endpoint fails of each class. Pending attempts count by their odds of hanging.
+// failureRates returns an endpoint's failure rate for each class. Pending attempts that likely hang count by their
+// probability of hanging.
 func (b *Balancer) failureRates(endpoint *endpointState) []float64 {
 	hanging, pending := 0.0, 0.0
 	for i := range endpoint.pending {
@@ -91,8 +92,8 @@
 	return rates
 }
 
-// rebuildEndpoints chooses the subset again, drops what is gone and carries the routing weights over; a new endpoint starts
-// with an even share.
+// rebuildEndpoints chooses the subset again, drops removed endpoints and keeps the routing weights of the others; a new
+// endpoint starts with an equal share.
 func (b *Balancer) rebuildEndpoints() {
 	oldIndex := map[*endpointState]int{}
 	for i, endpoint := range b.endpoints {
@@ -103,13 +104,13 @@
 	var unused []EndpointID
 	for id, endpoint := range b.endpointsByID {
 		_, wasUsed := oldIndex[endpoint]
-		mayBeUncordoned := endpoint.State == Ready && b.cordoned[id] // no list need report it then
+		mayBeUncordoned := endpoint.State == Ready && b.cordoned[id] // possibly without another list that reports it
 		switch {
 		case endpoint.available && endpoint.inSubset || len(endpoint.pending) > 0:
 			b.endpoints = append(b.endpoints, endpoint)
 		case !endpoint.available && !mayBeUncordoned:
 			delete(b.endpointsByID, id)
-		case wasUsed: // its connections are of use to other instances, and what was learned of it goes stale
+		case wasUsed: // frees its connections for other instances; its learned statistics would become stale
 			unused = append(unused, endpoint.Endpoint)
 			endpoint.latency = decayedMean{}
 			endpoint.evidence = grey.Host{}
--- a/balance/health.go
+++ b/balance/health.go
@@ -1,7 +1,7 @@
 package balance
 
-// recordFailure takes in a failed attempt of a class at an endpoint; hangProbability is the odds that the endpoint did not
-// answer at all.
+// recordFailure records a failed attempt of a class at an endpoint. The hangProbability is the probability that the
+// endpoint would never have answered.
 func (b *Balancer) recordFailure(endpoint *endpointState, classIndex int, hangProbability float64) {
 	b.detector.RecordFailure(&endpoint.evidence, classIndex, hangProbability)
 	endpoint.consecutiveFailures++
@@ -11,7 +11,8 @@
 	}
 }
 
-// eject takes an endpoint out of use for twice as long as the last time, after which it is half-open.
+// eject takes an endpoint out of use for twice as long as its last ejection, within baseEjectionTime to
+// maxEjectionTime. After that it is half-open.
 func (b *Balancer) eject(endpoint *endpointState) {
 	endpoint.ejectionBackoff = min(maxEjectionTime, max(baseEjectionTime, 2*endpoint.ejectionBackoff))
 	endpoint.ejectedUntil = b.now + endpoint.ejectionBackoff
@@ -20,8 +21,8 @@
 	b.solveNeeded = true
 }
 
-// healthy reports whether an endpoint is neither ejected nor unresponsive. One that has vanished shows only as attempts that
-// stay pending while no other answer comes.
+// healthy reports whether an endpoint is neither ejected nor unresponsive. An endpoint that has crashed without closing
+// its connections can only be recognised by attempts that stay pending while it answers nothing else.
 func (b *Balancer) healthy(endpoint *endpointState) bool {
 	if b.now < endpoint.ejectedUntil {
 		return false
@@ -33,6 +34,6 @@
 	return b.runTime() < max(endpoint.lastSignal, oldest.sentAtRunTime)+b.overdueAfter(oldest.request.class)
 }
 
-// updatePanicMode ignores health when most endpoints look unhealthy: the cause is shared then, and avoiding any of them does
-// not help (Envoy calls it the panic threshold).
+// updatePanicMode sets panic mode, in which health is ignored, when more than half of the endpoints look unhealthy: the
+// cause is then likely a shared one, and avoiding single endpoints does not help (compare Envoy's panic threshold).
 func (b *Balancer) updatePanicMode() { b.panicMode = b.unhealthyCount*2 > b.availableCount }
--- a/balance/hedging.go
+++ b/balance/hedging.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// checkRequest finishes a request that has run out of time, or hedges one that is overdue.
+// checkRequest finishes a request that has run out of time, or else hedges it if its attempt is overdue.
 func (b *Balancer) checkRequest(request *requestState) {
 	outOfTime := b.now >= request.usefulUntil-b.responseMargin()
 	queuedTooLong := request.queued && request.openAttempts == 0 && b.now >= request.queueUntil
@@ -14,15 +14,15 @@
 	b.hedge(request)
 }
 
-// hedge sends a second attempt at a request whose attempt is overdue or likely hangs (a hedged request; Dean and Barroso,
-// The Tail at Scale, 2013). Where the second one likely hangs as well, a third takes the place of the first.
+// hedge sends a second attempt at a request whose first is overdue or likely hangs (a hedged request; Dean and Barroso,
+// The Tail at Scale, 2013). If the second attempt likely hangs as well, a third one replaces the first.
 func (b *Balancer) hedge(request *requestState) {
 	if request.openAttempts == 0 || request.queued || request.class.Idempotency == NonIdempotent || b.now > request.targetAt ||
 		!request.lastAttempt().open {
 		return
 	}
 	last := findPending(request, request.lastAttempt())
-	cost := 1 + (hedgeCost-1)*(1-last.hangProbability) // of an attempt that hangs it is a retry, of a slow one more work
+	cost := 1 + (hedgeCost-1)*(1-last.hangProbability) // 1, as a retry, if the attempt hangs; more if it is slow and adds work
 	firstOpen := slices.IndexFunc(request.attempts, func(attempt attemptState) bool { return attempt.open })
 	third := firstOpen < len(request.attempts)-1
 	switch {
@@ -39,24 +39,25 @@
 	if endpoint == nil {
 		return
 	}
-	if third { // never three at a time
+	if third { // at most two attempts are open at a time
 		b.emit(Action{Kind: ActCancel, Request: request.id, Attempt: firstOpen})
 	}
 	b.send(request, endpoint)
 	b.retryTokens -= cost
 }
 
-// hedgeWorthwhile reports whether a hedge of an overdue attempt is still likely to be in time. Where answers take long, being
-// overdue is no sign of a fault, and hedges would only make answers slower; where requests are rejected, what a hedge takes
-// is missing elsewhere.
+// hedgeWorthwhile reports whether a hedge of an overdue attempt is likely to be answered in time and takes no capacity
+// from other requests. Where all latencies are high, an overdue attempt is no sign of a fault, and hedges would only
+// add load. Where requests are being rejected, a hedge would take the capacity of another request.
 func (b *Balancer) hedgeWorthwhile(class *classState) bool {
 	return b.rejections.mean(0, 0) <= scarcityShare &&
 		float64(b.overdueAfter(class))+hedgeLatencies*float64(b.classLatency(class)) < float64(class.TargetLatency)
 }
 
-// recordAbandoned learns from attempts that are open when their request runs out of time. Their age is a lower bound of their
-// latency, without which the limit would not see that answers are late, unless they hang. An unresponsive endpoint has
-// failed: a cancelled attempt would show nothing, and the next one would go the same way.
+// recordAbandoned learns from the attempts that are open when their request runs out of time. The age of an attempt
+// that does not hang is a lower bound of its latency; without it adaptLimit would not see late answers. An unresponsive
+// endpoint is ejected here, because the outcome of a cancelled attempt is no evidence of a failure, and the next
+// attempt would fail the same way.
 func (b *Balancer) recordAbandoned(request *requestState) {
 	for i := range request.attempts {
 		attempt := &request.attempts[i]
--- a/balance/learned_state.go
+++ b/balance/learned_state.go
@@ -8,70 +8,72 @@
 	"pinelb.example/pinelb/balance/grey"
 )
 
-// LearnedState is what an instance has learned beyond the membership list, as plain values, for the process that succeeds it:
-// within moments on the same machine, or later from a snapshot. Times are durations from now, so that no two clocks have to
-// agree. The JSON names are those of stored snapshots.
+// LearnedState is what an instance has learned, except for the membership list, as plain values for its successor
+// process. The successor takes it over in an upgrade on the same machine, or reads it from a snapshot after a restart.
+// Except where noted, times are relative to the present, so that the clocks of the two processes need not agree. The
+// JSON names are those of stored snapshots.
 type LearnedState struct {
-	Age time.Duration `json:"Past"` // since it was taken
+	Age time.Duration `json:"Past"` // time since the state was taken
 
 	Limit               float64            `json:"Limit"`     // concurrency limit, in requests
-	Capacity            float64            `json:"Able"`      // of the available endpoints, in warm ones
-	Baseline            float64            `json:"Uncrowded"` // share of the target that uncongested answers take
+	Capacity            float64            `json:"Able"`      // of the available endpoints, in warm endpoints
+	Baseline            float64            `json:"Uncrowded"` // uncongested latency as a fraction of its target
 	BaselineKnown       bool               `json:"Known"`
-	CongestionAvoidance bool               `json:"Bounded"` // the limit has been cut once
+	CongestionAvoidance bool               `json:"Bounded"` // the limit has been cut at least once
 	Congested           bool               `json:"Crowded"`
 	RetryTokens         float64            `json:"Retries"`
 	Responses           MeanState          `json:"Served"`  // target latencies of answers, in seconds
-	Rejections          MeanState          `json:"Asked"`   // per request: 1 is rejected
-	Classes             []ClassState       `json:"Classes"` // by class index
+	Rejections          MeanState          `json:"Asked"`   // fraction of the requests that are rejected
+	Classes             []ClassState       `json:"Classes"` // in order of class index
 	Endpoints           []EndpointState    `json:"Hosts"`
 	Detector            grey.DetectorState `json:"Fleet"`
 }
 
-// MeanState is a mean whose samples lose weight with time: the weight of the samples and their sum.
+// MeanState is a mean whose samples lose weight with time: N is the weight of all samples, Sum their weighted sum.
 type MeanState struct {
 	N   float64 `json:"N"`
 	Sum float64 `json:"Sum"`
 }
 
-// ClassState is what was learned of a class.
+// ClassState is the learned state of a class.
 type ClassState struct {
 	Latency         MeanState       `json:"Delay"` // seconds
-	BinShares       []float64       `json:"Bins"`  // of the calls, by the share of their target latency that is spent
-	RecentRemaining []time.Duration `json:"Lefts"` // the times that its last requests came with
+	BinShares       []float64       `json:"Bins"`  // distribution of the calls by the spent fraction of their target latency
+	RecentRemaining []time.Duration `json:"Lefts"` // remaining times of the latest requests at their arrival
 }
 
-// EndpointState is what was learned of an endpoint.
+// EndpointState is the learned state of an endpoint.
 type EndpointState struct {
 	Endpoint            EndpointID     `json:"Endpoint"`
-	StartedAt           time.Duration  `json:"Up"`      // of its process, as it counts; by the clock of Handle
-	ListedStart         time.Duration  `json:"Told"`    // the same, as the list had it
+	StartedAt           time.Duration  `json:"Up"`      // assumed start of its process, by the clock of Handle
+	ListedStart         time.Duration  `json:"Told"`    // start of its process as listed by discovery
 	Latency             MeanState      `json:"Delay"`   // seconds, scaled to the mean class
-	EjectedFor          time.Duration  `json:"Ejected"` // from now
-	EjectionBackoff     time.Duration  `json:"Backoff"` // length of the last ejection
+	EjectedFor          time.Duration  `json:"Ejected"` // remaining duration of its ejection
+	EjectionBackoff     time.Duration  `json:"Backoff"` // duration of the last ejection
 	HalfOpen            bool           `json:"Trial"`
 	ConsecutiveFailures int            `json:"Fails"`
 	Evidence            grey.HostState `json:"Seen"`
 }
 
-// The ages up to which parts of a LearnedState are restored that don't decay by themselves. What decays loses the weight
-// that it would have lost without new observations; an ejection keeps the time that is left of it.
+// The maximum ages at which the parts of a LearnedState that don't decay are restored. Decaying parts lose the weight
+// that they would have lost over that age without new observations, and an ejection is restored for its remaining
+// duration.
 const (
-	MaxLimitAge    = 10 * time.Second // the limit and the congestion: twice as long as an observation counts
-	MaxBaselineAge = time.Minute      // the baseline, which a release of the service can change: it comes down fast and goes up slowly
+	MaxLimitAge    = 10 * time.Second // for the limit and the congestion state: two decay times of an observation
+	MaxBaselineAge = time.Minute      // for the baseline, which falls fast but rises slowly after a release that changes it
 )
 
 const (
-	maxRestoredRequests = 1e6 // bounds limits, capacities and shares
-	maxRestoredSamples  = 1e9 // bounds weights and sums of means
-	minRestoredLatency  = 1e-6
-	maxRestoredLatency  = 3600.0
+	maxRestoredRequests = 1e6    // maximum of limits, capacities and shares
+	maxRestoredSamples  = 1e9    // maximum of the weight and the sum of a mean
+	minRestoredLatency  = 1e-6   // seconds
+	maxRestoredLatency  = 3600.0 // seconds
 )
 
-// DecayWeight is the share of its weight that an observation of an endpoint keeps over an age.
+// DecayWeight returns the fraction of its initial weight that an observation of an endpoint has at an age.
 func DecayWeight(age time.Duration) float64 { return math.Exp(-age.Seconds() / decaySeconds) }
 
-// LearnedState returns what was learned so far.
+// LearnedState returns a copy of what the instance has learned so far.
 func (b *Balancer) LearnedState() *LearnedState {
 	state := &LearnedState{
 		Limit:               b.limit,
@@ -111,8 +113,8 @@
 	return state
 }
 
-// ReorderClasses puts the classes into the order of another process: class i of this state has index newIndex[i] there, or
-// below 0 where that process has no such class. The other process has n classes.
+// ReorderClasses puts the classes into the order of another process with n classes: class i of this state has index
+// newIndex[i] there, which is negative if that process has no such class.
 func (l *LearnedState) ReorderClasses(newIndex []int, n int) {
 	l.Classes = reorder(l.Classes, newIndex, n)
 	l.Detector.Classes = reorder(l.Detector.Classes, newIndex, n)
@@ -124,7 +126,7 @@
 	}
 }
 
-// reorder returns n values, of which value newIndex[i] is from[i].
+// reorder returns n values with from[i] at index newIndex[i]. Values with a negative index are dropped.
 func reorder[T any](from []T, newIndex []int, n int) []T {
 	to := make([]T, n)
 	for i, j := range newIndex {
@@ -135,8 +137,9 @@
 	return to
 }
 
-// Restore takes over what another process learned. It is for an instance that has its membership list and nothing else yet.
-// Values that can't be right are left out: a misleading value may cost a few requests, and must not cost more.
+// Restore applies the learned state of another process. The instance must have its membership list and must not have
+// handled requests yet. Invalid values are skipped; valid but misleading values can cost a few requests, but no more
+// than that.
 func (b *Balancer) Restore(now time.Duration, state *LearnedState) {
 	b.now = now
 	age := max(0, state.Age)
@@ -175,7 +178,7 @@
 func (b *Balancer) restoreClasses(classes []ClassState, age time.Duration) {
 	for i, class := range b.classes[:min(len(b.classes), len(classes))] {
 		learned := &classes[i]
-		class.latency = learned.Latency.restoreLatency(classKeep(DecayWeight(age)))
+		class.latency = learned.Latency.restoreLatency(classDecayFactor(DecayWeight(age)))
 		class.arrivals = copy(class.recentRemaining[:], learned.RecentRemaining)
 		for k, share := range learned.BinShares[:min(binsPerClass, len(learned.BinShares))] {
 			if inRange(share, maxRestoredRequests) {
@@ -185,7 +188,7 @@
 	}
 }
 
-// restoreEndpoint takes over what was learned of an endpoint, unless it is unknown here or has restarted since.
+// restoreEndpoint applies the learned state of an endpoint, unless the endpoint is unknown here or has restarted since.
 func (b *Balancer) restoreEndpoint(learned *EndpointState, age time.Duration) {
 	endpoint := b.endpointsByID[learned.Endpoint]
 	if endpoint == nil || learned.ListedStart < endpoint.listedStart {
@@ -207,21 +210,22 @@
 
 func (m *decayedMean) state() MeanState { return MeanState{m.n, m.sum} }
 
-// restore is the mean with the given share of its weight; empty if it can't be right.
-func (s MeanState) restore(keep float64) decayedMean {
+// restore returns the mean with its weight multiplied by a decay factor, or an empty mean if the state is invalid.
+func (s MeanState) restore(decayFactor float64) decayedMean {
 	if !inRange(s.N, maxRestoredSamples) || !inRange(s.Sum, maxRestoredSamples) {
 		return decayedMean{}
 	}
-	return decayedMean{s.N * keep, s.Sum * keep}
+	return decayedMean{s.N * decayFactor, s.Sum * decayFactor}
 }
 
-// restoreLatency is restore of a latency, whose mean is from a microsecond to an hour: others divide by it.
-func (s MeanState) restoreLatency(keep float64) decayedMean {
+// restoreLatency is like restore, but also returns an empty mean if the mean latency is outside of minRestoredLatency to
+// maxRestoredLatency, because other values are divided by it.
+func (s MeanState) restoreLatency(decayFactor float64) decayedMean {
 	if s.Sum < minRestoredLatency*s.N || s.Sum > maxRestoredLatency*s.N {
 		return decayedMean{}
 	}
-	return s.restore(keep)
+	return s.restore(decayFactor)
 }
 
-// inRange reports whether x is a number from 0 to largest; NaN isn't.
+// inRange reports whether x is from 0 to largest. NaN is not in range.
 func inRange(x, largest float64) bool { return x >= 0 && x <= largest }
--- a/balance/limit.go
+++ b/balance/limit.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// adaptLimit moves the concurrency limit by the share of their target latencies that answers take: congested endpoints turn
-// slow and stay so, and only less work lets them recover. It compares with the baseline, which is what uncongested answers
-// take, as delay-based congestion control does (TCP Vegas; Brakmo and Peterson 1995).
+// adaptLimit adapts the concurrency limit to latencies, measured as fractions of their targets: congested endpoints
+// become slow and recover only when they get less work. As in delay-based congestion control (TCP Vegas; Brakmo and
+// Peterson 1995), latencies are compared with a baseline, the latency without congestion.
 func (b *Balancer) adaptLimit() {
 	if b.latencyWindow.n < minLimitResponses {
 		return
@@ -14,35 +14,37 @@
 	b.updateBaseline()
 	b.baselineKnown = b.baselineKnown || idle && b.baseline > 0
 	threshold := b.congestionThreshold()
-	// An instance with few answers moves the limit seldom, and so by more: congestion grows with time, not with answers.
+	// An instance with few answers adapts the limit less often and therefore in larger steps: congestion grows with
+	// time, not with the number of answers.
 	intervals := float64(b.now-b.latencyWindowStart) / float64(maintenanceInterval)
 	switch {
 	case share > threshold && (b.baselineKnown || !idle):
 		b.cutLimit(share, threshold, intervals)
-	case idle: // the limit was not put to the test
+	case idle: // too little of the limit was used to tell whether it can grow
 	case b.congestionAvoidance:
-		b.limit += max(b.instancePart(1)/10, limitGrowth*b.limit) * min(intervals, maxGrowthIntervals)
+		b.limit += max(b.instanceShare(1)/10, limitGrowth*b.limit) * min(intervals, maxGrowthIntervals)
 	default:
 		b.limit *= math.Pow(initialLimitGrowth, min(intervals, maxGrowthIntervals))
 	}
-	if b.congested && share < congestionEndShare*threshold { // what was in flight beyond the limit is forgiven
-		b.unusedLimit = max(0, b.unusedLimit)
+	if b.congested && share < congestionEndShare*threshold { // clears the negative credit that congestion has caused
+		b.limitCredit = max(0, b.limitCredit)
 		b.congested = false
 	}
-	b.limit = max(b.limit, b.instancePart(minLimit))
+	b.limit = max(b.limit, b.instanceShare(minLimit))
 	b.latencyWindow = decayedMean{}
 	b.latencyWindowStart = b.now
 	b.limitUse = decayedMean{}
 }
 
-// congestionThreshold is the share of their target latencies that answers may take before the limit is cut.
+// congestionThreshold is the mean latency, as a fraction of the targets, above which the limit is cut.
 func (b *Balancer) congestionThreshold() float64 {
 	threshold := initialCongestionShare
 	if b.baselineKnown {
 		threshold = maxCongestionShare
 	}
 	if b.baseline > 0 {
-		// Capped, or an instance that starts during congestion would take it for the baseline and never cut its limit.
+		// Without this maximum, an instance that starts during congestion would take congested latencies for its
+		// baseline and never cut its limit.
 		threshold = min(threshold,
 			max(earlyCongestionShare, earlyCongestionFactor*b.baseline),
 			b.baseline+max((congestionFactor-1)*b.baseline, minCongestionRise))
@@ -50,20 +52,21 @@
 	return threshold
 }
 
-// cutLimit lowers the limit, but not below what the present rate needs at the threshold (Little's law): where others made
-// answers slow, fewer requests in flight make nothing faster.
+// cutLimit lowers the limit, but not below the concurrency that the present rate of answers needs at the threshold
+// latency (Little's law): where other instances cause the congestion, a lower limit here would not make answers faster.
 func (b *Balancer) cutLimit(share, threshold, intervals float64) {
-	cut := b.limit * max(math.Pow(maxLimitCut, intervals), threshold/share)
+	cut := b.limit * max(math.Pow(minLimitCutFactor, intervals), threshold/share)
 	b.limit = max(cut, min(b.limit, rateSlack*threshold*b.responses.sum/decaySeconds))
 	b.congestionAvoidance = true
 	b.congested = true
 }
 
-// backOffLimit lowers the limit a little: an endpoint has rejected a request or a connection.
-func (b *Balancer) backOffLimit() { b.limit = max(b.instancePart(minLimit), b.limit*rejectionBackoff) }
+// backOffLimit lowers the limit slightly after an endpoint has rejected a request or a connection.
+func (b *Balancer) backOffLimit() { b.limit = max(b.instanceShare(minLimit), b.limit*rejectionBackoff) }
 
-// scaleLimitToCapacity scales the limit, and the rate below which it may not fall, with the capacity of the available
-// endpoints, as they warm up, restart, come and go: up as down, or every restart would leave the limit higher.
+// scaleLimitToCapacity scales the limit, and the rate that cutLimit preserves, with the capacity of the available
+// endpoints as these warm up, restart, are added and are removed. It scales down as well as up: otherwise every restart
+// would raise the limit.
 func (b *Balancer) scaleLimitToCapacity() {
 	capacity := 0.0
 	for _, endpoint := range b.readyEndpoints {
@@ -76,8 +79,8 @@
 	}
 }
 
-// updateBaseline moves the baseline toward the low end of what answers take. It waits for more answers than a move of the
-// limit does, for of small samples the low end is mostly chance.
+// updateBaseline moves the baseline toward the low end of the observed latencies. It needs more answers than a change
+// of the limit, because the low end of small samples is mostly noise.
 func (b *Balancer) updateBaseline() {
 	b.baselineWindow.merge(b.latencyWindow)
 	if b.baselineWindow.n < minBaselineResponses {
@@ -87,7 +90,7 @@
 	b.baselineWindow = decayedMean{}
 }
 
-// trackLowEnd moves an estimate of a low end toward a new value: down fast and up slowly.
+// trackLowEnd moves an estimate of a low end toward a new value x: fast if x is lower, slowly if it is higher.
 func trackLowEnd(low, x float64) float64 {
 	switch {
 	case low == 0 || math.IsInf(low, 0):
@@ -98,27 +101,27 @@
 	return low + baselineRise*(x-low)
 }
 
-// instancePart is this instance's part of so many requests an endpoint, when all instances act alike. An endpoint that is
-// warming up counts by its capacity. It may be under 1.
-func (b *Balancer) instancePart(perEndpoint float64) float64 {
+// instanceShare converts a number of requests per endpoint, over all instances, to the equal share of this instance
+// over all endpoints. An endpoint that is warming up counts by its capacity. The result may be below 1.
+func (b *Balancer) instanceShare(perEndpoint float64) float64 {
 	return max(0.01, perEndpoint*b.capacity/b.settings.processCount())
 }
 
-// allowedInFlight is the limit as a whole number of requests. A small limit is kept on average: an instance whose part is
-// one request or two meets three now and then by chance, and all instances together still keep their limit. It may be
-// exceeded for as long as it was not used before.
+// allowedInFlight is the limit on requests in flight for this request, as a whole number. A small limit is kept only on
+// average: an instance with a share of one or two requests gets three at a time now and then by chance, and can accept
+// them without the instances together exceeding their limit. It may do so as long as it has enough limitCredit.
 func (b *Balancer) allowedInFlight(request *requestState) float64 {
 	switch {
 	case b.limit >= smallLimit:
 		return math.Floor(b.limit + b.limitDither)
-	case b.unusedLimit < b.priorityReserve(request):
+	case b.limitCredit < b.priorityReserve(request):
 		return 0
 	}
 	return math.Ceil(b.limit + b.burstAllowance())
 }
 
-// burstAllowance is by how much a small limit may be exceeded for a moment: three standard deviations of a Poisson
-// distribution.
+// burstAllowance is the number of requests by which a small limit may be exceeded for a short time: three standard
+// deviations of a Poisson distribution.
 func (b *Balancer) burstAllowance() float64 {
 	if b.limit >= smallLimit {
 		return 0
@@ -126,8 +129,9 @@
 	return 3 * math.Sqrt(b.limit)
 }
 
-// priorityReserve is how many request-seconds of a small limit have to be unused for a request: the more, the more of the
-// calls have a higher priority. Where one request comes at a time, there is no queue from which to take the most valuable.
+// priorityReserve is the limitCredit, in request-seconds, that a request needs under a small limit. It increases with
+// the share of the calls that have a higher priority. Where requests arrive one at a time there is no queue that could
+// order them by priority, so credit is reserved for the more valuable ones instead.
 func (b *Balancer) priorityReserve(request *requestState) float64 {
 	moreValuable := 0.0
 	for _, class := range b.classes {
@@ -135,5 +139,5 @@
 			moreValuable += class.callShare
 		}
 	}
-	return unusedLimitSeconds * b.limit * maxReserveShare * (2*moreValuable - 1)
+	return limitCreditSeconds * b.limit * maxReserveShare * (2*moreValuable - 1)
 }
--- a/balance/mean.go
+++ b/balance/mean.go
@@ -8,19 +8,19 @@
 	m.sum += x
 }
 
-// merge adds the samples of another one.
+// merge adds the samples of another mean.
 func (m *decayedMean) merge(other decayedMean) {
 	m.n += other.n
 	m.sum += other.sum
 }
 
-// decay leaves the samples the given share of their weight.
-func (m *decayedMean) decay(keep float64) {
-	m.n *= keep
-	m.sum *= keep
+// decay multiplies the weight of the samples by a factor from 0 to 1.
+func (m *decayedMean) decay(factor float64) {
+	m.n *= factor
+	m.sum *= factor
 }
 
-// mean is the mean as if prior had been seen weight times as well.
+// mean returns the mean, with prior counted as an additional sample of the given weight.
 func (m *decayedMean) mean(prior, weight float64) float64 {
 	if m.n+weight <= 0 {
 		return prior
--- a/balance/membership.go
+++ b/balance/membership.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// onMembership takes over a list of discovery's.
+// onMembership applies a membership list from discovery.
 func (b *Balancer) onMembership(ev *Event) {
 	if ev.List == ListFailed {
 		b.subscribed = false
@@ -15,7 +15,7 @@
 		b.subscribed = true
 		b.subscribeFailures = 0
 	}
-	if ev.List != ListDelta { // what a full list leaves out is gone
+	if ev.List != ListDelta { // endpoints that are missing from a full list have been removed
 		for _, endpoint := range b.endpointsByID {
 			endpoint.State = Removed
 			endpoint.available = false
@@ -28,8 +28,8 @@
 	b.solveNeeded = true
 }
 
-// updateEndpoint takes over one entry of a list. A later start is a new process, for which what was learned of the old one
-// is void; its start is never taken to be in the future.
+// updateEndpoint applies one entry of a list. A later start means a new process, so that what was learned of the old
+// one is discarded. A start in the future, from a clock that is ahead, counts as now.
 func (b *Balancer) updateEndpoint(entry Entry) {
 	endpoint := b.endpointsByID[entry.Endpoint]
 	listedStart := entry.StartedAt
@@ -39,7 +39,7 @@
 	case endpoint != nil && endpoint.Cached && !entry.Cached && listedStart == endpoint.listedStart:
 		// The fresh list confirms the cached one.
 	case endpoint != nil && (listedStart <= endpoint.StartedAt || listedStart == endpoint.listedStart):
-		entry.StartedAt = endpoint.StartedAt // missing or moved back: it is no warmer for that
+		entry.StartedAt = endpoint.StartedAt // a missing or earlier start does not make the endpoint warmer
 	default:
 		entry.StartedAt = min(listedStart, b.now)
 		if endpoint == nil {
@@ -60,8 +60,9 @@
 	endpoint.group = b.groups[key]
 }
 
-// onCordon cordons an endpoint, or uncordons one that is cordoned. Operators restart endpoints in between, so that an
-// uncordoned one is warming up and what was learned of it is void, even if the list reports the restart later or never.
+// onCordon cordons an endpoint, or uncordons one that is cordoned. Operators restart endpoints while these are
+// cordoned, so an uncordoned endpoint counts as just started and its learned state is discarded, even if the list
+// reports the restart later or never.
 func (b *Balancer) onCordon(ev *Event) {
 	endpoint := b.endpointsByID[ev.Endpoint]
 	switch {
@@ -86,7 +87,7 @@
 	maxSubscribeDoublings = 5
 )
 
-// subscribe subscribes to discovery, and again after a failure, well before the list counts as stale.
+// subscribe subscribes to discovery, and retries after a failure, well before the list counts as stale.
 func (b *Balancer) subscribe() {
 	if b.settings.PollsDiscovery && !b.subscribed && b.now >= b.nextSubscribe {
 		b.nextSubscribe = b.now + b.settings.MaxListAge/2
--- a/balance/outcomes.go
+++ b/balance/outcomes.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// onOutcome takes in the end of an attempt and decides whether its request goes on.
+// onOutcome records the outcome of an attempt and completes, retries or finishes its request.
 func (b *Balancer) onOutcome(ev *Event) {
 	request := b.requests[ev.Request]
 	if request == nil || ev.Attempt >= len(request.attempts) || !request.attempts[ev.Attempt].open {
@@ -28,8 +28,8 @@
 	b.dispatchQueue()
 }
 
-// retryOrFinish queues a request whose attempts have all failed for a retry, where the retry budget, its time and its
-// idempotency allow one, and else finishes it.
+// retryOrFinish queues a request whose attempts have all failed for a retry if the retry budget, its remaining time and
+// its idempotency allow one, and finishes it otherwise.
 func (b *Balancer) retryOrFinish(request *requestState, mayHaveRun bool) {
 	cost := request.retryCost
 	if !mayHaveRun {
@@ -44,8 +44,8 @@
 	b.enqueue(request)
 }
 
-// onFirstByte completes a request whose answer has begun to stream to the client: no deadline runs any more, and no other
-// attempt is wanted.
+// onFirstByte completes a request whose answer has begun to stream to the client: its deadline no longer applies, and
+// its other attempts are cancelled.
 func (b *Balancer) onFirstByte(ev *Event) {
 	request := b.requests[ev.Request]
 	if request != nil && ev.Attempt < len(request.attempts) && !request.done {
@@ -61,7 +61,7 @@
 	}
 }
 
-// finish gives the final answer: rejected where a client's retry is harmless, failed otherwise.
+// finish gives the final answer: rejected if the client may safely retry, failed otherwise.
 func (b *Balancer) finish(request *requestState) {
 	if request.done {
 		return
@@ -75,7 +75,7 @@
 	b.complete(request)
 }
 
-// canReject reports whether a client's retry of the request is harmless.
+// canReject reports whether the client may safely retry the request, without the risk of a second effect.
 func (b *Balancer) canReject(request *requestState) bool {
 	class := request.class
 	if class.Idempotency == Idempotent || class.Idempotency == IdempotentByKey && class.Scope == ScopeAll {
@@ -87,8 +87,9 @@
 	return true
 }
 
-// retryAfter is when a rejected client should retry, 0 for no hint: the later the more is rejected now, and with jitter, or
-// clients that were rejected together would come back together.
+// retryAfter is the delay after which a rejected client should retry; 0 is no hint. It grows with the fraction of
+// requests that are rejected, and has jitter so that clients that are rejected together don't all retry at the same
+// time.
 func (b *Balancer) retryAfter(request *requestState) time.Duration {
 	target := request.class.TargetLatency
 	switch {
@@ -96,14 +97,15 @@
 		return 0
 	case request.overQuota:
 		return b.settings.MaxRetryAfter
-	case len(b.readyEndpoints) == 0 && b.listExpectedAt > b.now: // no endpoint is known before that
+	case len(b.readyEndpoints) == 0 && b.listExpectedAt > b.now: // no endpoint is available before the next poll
 		return min(b.settings.MaxRetryAfter, b.listExpectedAt-b.now+b.jitter(target/4))
 	}
 	scarcity := 1 / (1 - min(maxScarcity, b.rejections.mean(0, 0)))
 	return min(b.settings.MaxRetryAfter, time.Duration(scarcity*(0.5+b.random.Float64())*float64(target)/4))
 }
 
-// complete marks a request as answered, cancels its open attempts and forgets it once they have ended.
+// complete marks a request as answered and cancels its open attempts, except one whose answer is being streamed. The
+// request is removed when its attempts have ended.
 func (b *Balancer) complete(request *requestState) {
 	request.done = true
 	b.removeUnanswered(request)
--- a/balance/pending.go
+++ b/balance/pending.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// pendingAttempt is an open attempt, as its endpoint has it.
+// pendingAttempt is an open attempt in the list of its endpoint.
 type pendingAttempt struct {
 	request         *requestState
 	sentAt          time.Duration
-	sentAtRunTime   time.Duration // the same by Balancer.runTime
-	overtakenBy     int           // answers of the endpoint to attempts that were sent later
-	hangProbability float64       // that it will never be answered, as of the last assessment
+	sentAtRunTime   time.Duration // sentAt by Balancer.runTime
+	overtakenBy     int           // number of answers of the endpoint to attempts that were sent later
+	hangProbability float64       // probability at the last assessment that the attempt will never be answered
 }
 
-// likelyHung reports whether the attempt more likely hangs than not. It is no sign of congestion then, and doesn't count
-// against the limit.
+// likelyHung reports whether the attempt hangs with a probability above one half. Such an attempt is no sign of
+// congestion and doesn't count against the limit.
 func (p *pendingAttempt) likelyHung() bool { return p.hangProbability > 0.5 }
 
-// pendingIndex is the index of a request's open attempt among those pending at its endpoint.
+// pendingIndex returns the index of a request's open attempt in its endpoint's pending list.
 func pendingIndex(request *requestState, attempt *attemptState) int {
 	return slices.IndexFunc(attempt.endpoint.pending, func(pending pendingAttempt) bool {
 		return pending.request == request && pending.sentAt == attempt.sentAt
 	})
 }
 
-// findPending returns a request's open attempt as its endpoint has it.
+// findPending returns the entry of a request's open attempt in its endpoint's pending list.
 func findPending(request *requestState, attempt *attemptState) *pendingAttempt {
 	return &attempt.endpoint.pending[pendingIndex(request, attempt)]
 }
 
-// addPending records an attempt that is sent now.
+// addPending records that an attempt is sent now.
 func (b *Balancer) addPending(request *requestState, endpoint *endpointState) {
 	endpoint.pending = append(endpoint.pending, pendingAttempt{request: request, sentAt: b.now, sentAtRunTime: b.runTime()})
 	b.addInFlight(endpoint, request.load())
 }
 
-// restartPending counts an attempt as sent now: its request has been uploaded.
+// restartPending resets the time of sending of an attempt to now, when the upload of its request has completed.
 func (b *Balancer) restartPending(request *requestState, attempt *attemptState) {
 	endpoint := attempt.endpoint
 	i := pendingIndex(request, attempt)
@@ -44,12 +44,13 @@
 	attempt.sentAt = b.now
 	pending.sentAt = b.now
 	pending.sentAtRunTime = b.runTime()
-	endpoint.pending = append(slices.Delete(endpoint.pending, i, i+1), pending) // in the order of sending
+	endpoint.pending = append(slices.Delete(endpoint.pending, i, i+1), pending) // keeps the order of sending
 	b.addInFlight(endpoint, 1)
 }
 
-// removePending removes an attempt that has ended and returns it. A served one has overtaken those that were sent before
-// it. Unless this instance ended it, the endpoint has given a sign of life.
+// removePending removes an attempt that has ended and returns it. A served attempt has overtaken the pending ones that
+// were sent before it. An attempt that was sent and not cancelled by this instance counts as a sign that the endpoint
+// is alive.
 func (b *Balancer) removePending(request *requestState, attempt *attemptState, status Status) pendingAttempt {
 	endpoint := attempt.endpoint
 	served := status == OK
@@ -64,24 +65,24 @@
 			endpoint.pending[i].overtakenBy++
 		}
 	}
-	if request.uploading { // the endpoint has had nothing to answer yet
+	if request.uploading { // the endpoint could not answer an incomplete request yet
 		ended.sentAt = b.now
 	}
 	if !ended.likelyHung() {
 		b.addInFlight(endpoint, -request.load())
 	}
-	if served && endpoint.unhealthy && b.now >= endpoint.ejectedUntil { // it has recovered
+	if served && endpoint.unhealthy && b.now >= endpoint.ejectedUntil { // the endpoint has recovered
 		endpoint.unhealthy = false
 		b.inFlight += endpoint.inFlight
 	}
 	return ended
 }
 
-// runTime is for how long this process has been scheduled in all. Pending attempts and unresponsive endpoints are judged by
-// it: while the process itself did not run it could receive nothing.
+// runTime is the time now without the pauses in which this process was not scheduled. Pending attempts and unresponsive
+// endpoints are assessed by it, because the process could not receive answers during a pause.
 func (b *Balancer) runTime() time.Duration { return b.now - b.pausedTime }
 
-// addInFlight counts n more requests in flight at an endpoint; n may be negative.
+// addInFlight adds n, which may be negative, to the number of requests in flight at an endpoint.
 func (b *Balancer) addInFlight(endpoint *endpointState, n int) {
 	endpoint.inFlight += n
 	if !endpoint.unhealthy {
@@ -92,7 +93,7 @@
 // assessPending assesses all pending attempts and the health of their endpoints.
 func (b *Balancer) assessPending() {
 	if late := b.now - b.nextTick; b.nextTick > 0 && late > pauseTicks*b.tickInterval {
-		b.pausedTime += late // this process was not scheduled: no pending attempt is blamed for it
+		b.pausedTime += late // this process was not scheduled: the pause does not count as latency of pending attempts
 	}
 	b.nextTick = b.now + b.tickInterval
 	b.detector.BeginAssessment()
@@ -113,8 +114,9 @@
 	}
 }
 
-// assessEndpoint estimates how likely each pending attempt of an endpoint hangs, and returns how many likely don't. One that
-// is pending for longer than the endpoint's mean latency is evidence of a longer latency.
+// assessEndpoint estimates each pending attempt's probability of hanging, and returns the number of attempts that
+// likely don't hang. An attempt that is pending for longer than the endpoint's mean latency is evidence of a higher
+// latency.
 func (b *Balancer) assessEndpoint(endpoint *endpointState) (inFlight int) {
 	groupLatency := b.groupLatency(endpoint)
 	meanLatency := endpoint.latency.mean(groupLatency, priorCalls)
--- a/balance/queue.go
+++ b/balance/queue.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// enqueue puts a request into the queue: the more valuable first, then the one whose target comes first.
+// enqueue inserts a request into the queue, which is ordered by descending priority, then by the time targetAt.
 func (b *Balancer) enqueue(request *requestState) {
 	request.queued = true
 	i, _ := slices.BinarySearchFunc(b.queue, request, func(queued, request *requestState) int {
@@ -14,8 +14,8 @@
 	b.queue = slices.Insert(b.queue, i, request)
 }
 
-// dispatchQueue sends what can be sent of the queue, in its order. Where one first attempt finds no endpoint, no other one
-// can; a retry may.
+// dispatchQueue sends the queued requests that can be sent, in the order of the queue. When one first attempt finds no
+// endpoint, the other first attempts are skipped, because they would not find one either; a retry still may.
 func (b *Balancer) dispatchQueue() {
 	blocked := false
 	for i := 0; i < len(b.queue); {
@@ -31,7 +31,7 @@
 	}
 }
 
-// queuedAhead is how many queued requests are sent before this one.
+// queuedAhead returns the number of queued requests that are sent before this one.
 func (b *Balancer) queuedAhead(request *requestState) float64 {
 	n := 0
 	for _, queued := range b.queue {
--- a/balance/reconfigure.go
+++ b/balance/reconfigure.go
@@ -2,13 +2,13 @@
 
 import "pinelb.example/pinelb/balance/warmup"
 
-// tokenBucket is this instance's part of a tenant's quota.
+// tokenBucket is this instance's share of a tenant's quota.
 type tokenBucket struct {
-	rate   float64 // tokens a second, and the burst
+	rate   float64 // tokens per second; also the maximum number of saved tokens, if at least 1
 	tokens float64
 }
 
-// applySettings takes over settings. What was learned of the classes that there are stays.
+// applySettings applies settings. Existing classes keep their learned state.
 func (b *Balancer) applySettings(s *Settings) {
 	b.settings = *s
 	b.instanceHash = hashName(s.Name)
@@ -19,7 +19,7 @@
 			b.classes = append(b.classes, &classState{})
 			b.bins = append(b.bins, make([]bin, binsPerClass)...)
 		}
-		changed := *b.classes[i] // requests under way keep the class as it was
+		changed := *b.classes[i] // a copy: requests in progress keep their class unchanged
 		changed.Class = class
 		b.classes[i] = &changed
 	}
@@ -32,10 +32,10 @@
 	b.updateClassWeights()
 }
 
-// onSettings takes over changed settings. What was learned of endpoints and classes stays. Requests under way keep the
-// class that they came with, as it was then, but make no more attempts than are allowed now.
+// onSettings applies changed settings. The learned state of endpoints and classes is kept. Requests in progress keep
+// the class settings from their arrival, but the new maximum number of attempts applies to them.
 func (b *Balancer) onSettings(s *Settings) {
-	b.limit *= b.settings.processCount() / s.processCount() // this process's part of the same limit
+	b.limit *= b.settings.processCount() / s.processCount() // this process's share of the same total limit
 	b.tickInterval = max(minTickInterval, s.TimeResolution)
 	b.applySettings(s)
 	for len(b.rows) < len(b.bins) {
@@ -52,7 +52,7 @@
 	b.solveNeeded = true
 }
 
-// initialLatencies is what an answer of each class is taken to need until some are known, in seconds.
+// initialLatencies returns the assumed latency of each class before any answer, in seconds.
 func initialLatencies(classes []Class) []float64 {
 	var seconds []float64
 	for _, class := range classes {
@@ -61,5 +61,5 @@
 	return seconds
 }
 
-// initialLatencyShare of a class's target latency is what its answers are taken to need until some are known.
+// initialLatencyShare is the assumed latency of a class before any answer, as a fraction of its target latency.
 const initialLatencyShare = 0.1
--- a/balance/request.go
+++ b/balance/request.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// requestState is a request until it is answered and has no open attempts.
+// requestState is a request that is unanswered or has open attempts.
 type requestState struct {
 	id         RequestID
 	class      *classState
 	classIndex int
 
-	deadline    time.Duration // the client's
-	targetAt    time.Duration // until then an answer has its full value
-	queueUntil  time.Duration // the last moment at which it may still wait in the queue
-	usefulUntil time.Duration // the last moment at which an answer has any value
-	arrivedAt   time.Duration // of an upload only
+	deadline    time.Duration // the client's deadline
+	targetAt    time.Duration // an answer up to this time has its full value
+	queueUntil  time.Duration // the request is finished if it is still queued at this time, without an open attempt
+	usefulUntil time.Duration // an answer after this time has no value
+	arrivedAt   time.Duration // time of arrival; set for uploads only
 
-	overQuota     bool // of its tenant
+	overQuota     bool // its tenant's quota was used up
 	priority      float64
 	maxAttempts   int
-	retryCost     float64 // retry tokens a retry costs; 0 where its attempts were granted, and so paid for, by the tier above
-	uploading     bool    // its body still comes: its time has not begun, and no endpoint works on it
-	singleAttempt bool    // it was uploading, and its body is not kept: one attempt at a time
-	retriedBelow  bool    // the tier below has failed after its own retries: no retry here
+	retryCost     float64 // retry tokens per retry; 0 if the calling tier granted its attempts from its own retry budget
+	uploading     bool    // its body is still arriving: its time has not started, and no endpoint works on it yet
+	singleAttempt bool    // one attempt at a time, because the body of an upload is not stored
+	retriedBelow  bool    // the next tier has failed after its own retries: no retry here
 
 	attempts          []attemptState
 	openAttempts      int
-	hasEarlierAttempt bool // earlierAttempt, of another request for the same effect, may have taken effect
+	hasEarlierAttempt bool // earlierAttempt is set: an attempt of another request for the same effect that may have run
 	earlierAttempt    attemptState
 
 	done            bool
@@ -40,14 +40,14 @@
 	endpoint   *endpointState
 	sentAt     time.Duration
 	open       bool
-	mayHaveRun bool // its work may have taken effect
+	mayHaveRun bool // it may have taken effect
 	streamed   bool // its answer is being streamed to the client
 }
 
-// maxUploadTime bounds how long a body may come; whoever reads it aborts it sooner.
+// maxUploadTime is the maximum duration of an upload. The reader of the body aborts a slow upload earlier.
 const maxUploadTime = time.Hour
 
-// beginUpload postpones a request's times until onUploadDone. Until then only an endpoint is chosen.
+// beginUpload postpones a request's times until onUploadDone. Until then the request only gets an endpoint.
 func (r *requestState) beginUpload(now time.Duration) {
 	r.arrivedAt = now
 	r.uploading = true
@@ -61,7 +61,7 @@
 	r.usefulUntil += d
 }
 
-// load is the number of requests in flight for which an attempt at the request counts.
+// load is the number of requests in flight that an attempt of the request counts as: 0 during its upload, then 1.
 func (r *requestState) load() int {
 	if r.uploading {
 		return 0
@@ -69,7 +69,7 @@
 	return 1
 }
 
-// mayHaveRun yields the attempts whose work may have taken effect.
+// mayHaveRun yields the attempts that may have taken effect.
 func (r *requestState) mayHaveRun(yield func(*attemptState) bool) {
 	if r.hasEarlierAttempt && !yield(&r.earlierAttempt) {
 		return
@@ -81,21 +81,21 @@
 	}
 }
 
-// latestUseful is the last moment at which an answer has any value.
-func (r *requestState) latestUseful() time.Duration {
+// usefulDeadline is the latest time at which an answer has any value.
+func (r *requestState) usefulDeadline() time.Duration {
 	if r.class.LateValue == 0 {
 		return min(r.deadline, r.targetAt)
 	}
 	return r.deadline
 }
 
-// valueShare is the share of its class's value that the tier below is told.
+// valueShare is the share of its class's value that is passed to the next tier, 0 to 1.
 func (r *requestState) valueShare() float64 { return min(1, r.priority/r.class.priority) }
 
-// lastAttempt is the latest attempt of a request that has one.
+// lastAttempt returns the latest attempt of a request, which must have at least one.
 func (r *requestState) lastAttempt() *attemptState { return &r.attempts[len(r.attempts)-1] }
 
-// maxAttempts is how many attempts a request may make.
+// maxAttempts returns the maximum number of attempts of a request.
 func (b *Balancer) maxAttempts(ev *Event) int {
 	if ev.MaxAttempts == 0 {
 		return b.settings.MaxAttempts
@@ -103,7 +103,8 @@
 	return min(ev.MaxAttempts, b.settings.MaxAttempts)
 }
 
-// retryCost is what a retry of a request takes from this instance's budget: nothing where its attempts were granted.
+// retryCost returns the retry tokens that each retry of a request costs this instance: none if the calling tier granted
+// its attempts.
 func retryCost(ev *Event) float64 {
 	if ev.MaxAttempts != 0 {
 		return 0
@@ -111,7 +112,7 @@
 	return 1
 }
 
-// valueShare is the share of its class's value that a request came with.
+// valueShare returns the share of its class's value that a request has at its arrival.
 func valueShare(ev *Event) float64 {
 	if ev.ValueShare <= 0 {
 		return 1
@@ -119,8 +120,9 @@
 	return min(1, ev.ValueShare)
 }
 
-// setEarlierAttempt records that another request for the same effect may have run. Where it ran limits which endpoints may
-// get this one; if that endpoint is unknown by now, none may.
+// setEarlierAttempt records that an earlier request for the same effect may have run. Its endpoint determines which
+// endpoints may get this request; if that endpoint is no longer known, none may, unless duplicates are recognised by
+// all endpoints.
 func (b *Balancer) setEarlierAttempt(request *requestState, ev *Event) {
 	request.hasEarlierAttempt = ev.EarlierAttemptAt > 0 && request.class.Idempotency != Idempotent
 	if !request.hasEarlierAttempt {
@@ -136,7 +138,7 @@
 	}
 }
 
-// onUploadDone starts a request's time, and that of its attempt.
+// onUploadDone starts the time of a request and of its open attempt when its upload has completed.
 func (b *Balancer) onUploadDone(ev *Event) {
 	request := b.requests[ev.Request]
 	if request == nil || !request.uploading {
@@ -151,7 +153,7 @@
 	}
 }
 
-// removeUnanswered removes an answered request from the unanswered ones and from the queue.
+// removeUnanswered removes an answered request from the lists of unanswered and of queued requests.
 func (b *Balancer) removeUnanswered(request *requestState) {
 	last := b.unanswered[len(b.unanswered)-1]
 	b.unanswered[request.unansweredIndex], last.unansweredIndex = last, request.unansweredIndex
@@ -162,7 +164,7 @@
 	}
 }
 
-// release forgets a request that is answered and has no open attempts.
+// release deletes a request that is answered and has no open attempts.
 func (b *Balancer) release(request *requestState) {
 	if request.done && request.openAttempts == 0 {
 		delete(b.requests, request.id)
--- a/balance/ring.go
+++ b/balance/ring.go
@@ -7,8 +7,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ringOrder orders the available endpoints so that every stretch has its fair part of each kind: those of one kind by their
-// hashed ids, and the kinds interleaved. With an instanceHash of 0 it is the same at every instance.
+// ringOrder orders the available endpoints so that every contiguous range has a proportional share of each kind:
+// endpoints of one kind are ordered by their hashed IDs, and the kinds are interleaved. With an instanceHash of 0 the
+// order is the same at every instance.
 func ringOrder(all map[EndpointID]*endpointState, instanceHash uint64) []*endpointState {
 	byHash := func(x, y *endpointState) int {
 		return cmp.Compare(hashEndpoint(x.Endpoint, instanceHash), hashEndpoint(y.Endpoint, instanceHash))
@@ -34,7 +35,7 @@
 	return order
 }
 
-// hashName is the hash of an instance's name; 0 where it has none.
+// hashName returns a nonzero hash of an instance's name, or 0 if the name is empty.
 func hashName(name string) uint64 {
 	if name == "" {
 		return 0
@@ -42,7 +43,8 @@
 	return xxhash.Sum64String(name) | 1
 }
 
-// hashEndpoint hashes an endpoint, for each instance in another way (the finaliser of splitmix64, which is one to one).
+// hashEndpoint hashes an endpoint ID differently for each instance, with the finaliser of splitmix64, which is
+// one-to-one.
 func hashEndpoint(id EndpointID, instanceHash uint64) uint64 {
 	x := (uint64(id) ^ instanceHash) + 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/balance/routing.go
+++ b/balance/routing.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// pickEndpoint draws from the row of the request's bin, renormalised over the endpoints that are eligible now; nil where the
-// limit has no room or none is eligible.
+// pickEndpoint draws an eligible endpoint at random with the routing weights of the request's bin. It returns nil if no
+// endpoint is eligible, or if the request has no attempt yet and the limit is used up.
 func (b *Balancer) pickEndpoint(request *requestState) *endpointState {
 	if len(b.endpoints) == 0 {
 		return nil
@@ -15,23 +15,25 @@
 	if inFlight > b.allowedInFlight(request) && len(request.attempts) == 0 {
 		return nil
 	}
-	// Bounded loads (Mirrokni, Thorup and Zadimoghaddam 2018): while some endpoint has less than its share in flight, one that
-	// has more is passed over. Chance alone would congest an endpoint now and then, and a congested one turns slow and stays so.
+	// Bounded loads (Mirrokni, Thorup and Zadimoghaddam 2018): while some eligible endpoint has less than its share in
+	// flight, endpoints with more than theirs are skipped. Random draws alone would congest an endpoint now and then,
+	// and a congested endpoint becomes slow and does not recover quickly.
 	if endpoint := b.drawEndpoint(request, b.binOf(request), inFlight); endpoint != nil {
 		return endpoint
 	}
 	return b.drawEndpoint(request, b.binOf(request), math.Inf(1))
 }
 
-// drawEndpoint draws one of a bin's row over the eligible endpoints that have less than their share of inFlight in flight: by
-// a few draws from the whole row, or else, where such endpoints are few, by reservoir sampling over it.
+// drawEndpoint draws, with a bin's routing weights, an eligible endpoint that has less than its share of inFlight
+// requests. It first makes up to maxSampleDraws draws from the whole row. If none of these fits, it uses reservoir
+// sampling over the row.
 func (b *Balancer) drawEndpoint(request *requestState, bin int, inFlight float64) *endpointState {
 	maxInFlight := min(inFlight, endpointLimitSlack*b.limit)
 	fits := func(i int) bool {
 		endpoint := b.endpoints[i]
 		return float64(endpoint.inFlight) < max(1, math.Ceil(maxInFlight*b.totalShare[i])) && b.eligible(request, endpoint)
 	}
-	for range maxDraws {
+	for range maxSampleDraws {
 		if i, _ := slices.BinarySearch(b.cumulativeRows[bin], b.random.Float64()); i < len(b.endpoints) && fits(i) {
 			return b.endpoints[i]
 		}
--- a/balance/rows.go
+++ b/balance/rows.go
@@ -1,6 +1,6 @@
 package balance
 
-// carryRowsOver gives every endpoint the share that it had at its old index, and a new one an even share.
+// carryRowsOver gives every endpoint the share that it had at its old index, and a new endpoint an equal share.
 func (b *Balancer) carryRowsOver(oldIndex map[*endpointState]int) {
 	rows := make([][]float64, len(b.bins))
 	for k := range rows {
@@ -19,7 +19,7 @@
 	b.accumulateRows()
 }
 
-// sumShares is each endpoint's share of all calls.
+// sumShares returns each endpoint's share of all calls, given the weight of each bin.
 func (b *Balancer) sumShares(weights []float64) []float64 {
 	total := make([]float64, len(b.endpoints))
 	for k, row := range b.rows {
--- a/balance/sending.go
+++ b/balance/sending.go
@@ -1,6 +1,6 @@
 package balance
 
-// send starts an attempt, and reports whether it could. It is the only place that does.
+// send starts an attempt if the rules allow it, and reports whether it did. No other function starts attempts.
 func (b *Balancer) send(request *requestState, endpoint *endpointState) bool {
 	if endpoint == nil || !b.canSend(request, endpoint) {
 		return false
@@ -17,12 +17,12 @@
 	return true
 }
 
-// canSend checks every rule that forbids sending this request to this endpoint now.
+// canSend reports whether the rules allow an attempt of this request at this endpoint now.
 func (b *Balancer) canSend(request *requestState, endpoint *endpointState) bool {
 	switch {
 	case request.done || !b.canFinishInTime(request) || len(request.attempts) >= request.maxAttempts:
 		return false
-	case !endpoint.available: // draining or gone: the grace period is not used
+	case !endpoint.available: // draining or removed; the grace period of a draining endpoint is not used
 		return false
 	case request.openAttempts > 0 && (!b.settings.Hedging || request.singleAttempt):
 		return false
@@ -32,7 +32,7 @@
 	return request.class.Idempotency == Idempotent || b.idempotencyAllows(request, endpoint)
 }
 
-// idempotencyAllows reports whether an attempt at this endpoint can't make an effect take place twice.
+// idempotencyAllows reports whether an attempt at this endpoint cannot cause a second effect.
 func (b *Balancer) idempotencyAllows(request *requestState, endpoint *endpointState) bool {
 	for earlier := range request.mayHaveRun {
 		if !b.withinDedupWindow(request, earlier) || !sameScope(request.class.Scope, earlier.endpoint, endpoint) {
@@ -42,7 +42,7 @@
 	return true
 }
 
-// sameScope reports whether one endpoint recognises duplicates of what the other has run.
+// sameScope reports whether each of two endpoints recognises duplicates of requests that the other has run.
 func sameScope(scope Scope, x, y *endpointState) bool {
 	switch scope {
 	case ScopeZone:
@@ -54,7 +54,8 @@
 	}
 }
 
-// withinDedupWindow reports whether a duplicate of an attempt that may have run would still arrive in time to be recognised.
+// withinDedupWindow reports whether a request that is sent now would arrive while the endpoints still recognise it as a
+// duplicate of an earlier attempt.
 func (b *Balancer) withinDedupWindow(request *requestState, earlier *attemptState) bool {
 	return request.class.Idempotency == IdempotentByKey &&
 		b.now < earlier.sentAt+request.class.DedupWindow-b.settings.ConnectTimeout-b.responseMargin()
--- a/balance/settings.go
+++ b/balance/settings.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Idempotency says how often the work of a class may take effect.
+// Idempotency says whether the requests of a class may run more than once.
 type Idempotency uint8
 
 // The kinds of idempotency.
 const (
-	Idempotent      Idempotency = iota // may run any number of times
-	IdempotentByKey                    // the endpoints of a Scope drop duplicates of one key for Class.DedupWindow
-	NonIdempotent                      // must not run twice
+	Idempotent      Idempotency = iota // a request may run any number of times
+	IdempotentByKey                    // the endpoints of a Scope drop requests with the same key for Class.DedupWindow
+	NonIdempotent                      // a request must not run twice
 )
 
 // Scope is the set of endpoints that recognise duplicates of an IdempotentByKey request.
@@ -21,94 +21,95 @@
 // The scopes of an IdempotentByKey class.
 const (
 	ScopeAll  Scope = iota // all endpoints
-	ScopeZone              // those of one zone
-	ScopeCell              // those of one cell of one zone
+	ScopeZone              // the endpoints of one zone
+	ScopeCell              // the endpoints of one cell of one zone
 )
 
-// Class is what the settings say of one request class.
+// Class is the settings of one request class.
 type Class struct {
-	TargetLatency        time.Duration // an answer within it has the full Value
-	Deadline             time.Duration // how long a client waits, over all its attempts
-	TargetLatencyStretch float64       // the target grows by this many times the request's own work
+	TargetLatency        time.Duration // an answer within this time has the full Value
+	Deadline             time.Duration // time for which a client waits, over all attempts
+	TargetLatencyStretch float64       // multiple of a request's own work that is added to its target latency
 	Idempotency          Idempotency
 	Scope                Scope         // IdempotentByKey only
-	DedupWindow          time.Duration // IdempotentByKey only: how long duplicates are dropped, from the first send that may have run
+	DedupWindow          time.Duration // IdempotentByKey only: duplicates are dropped this long after the first send that may have run
 	Value                float64       // of a served request, relative to the other classes
-	LateValue            float64       // share of Value, 0 to 1, of an answer after TargetLatency
+	LateValue            float64       // fraction of Value, 0 to 1, of an answer after TargetLatency
 	Stream               bool          // answers are streamed
 }
 
-// Tenant is what the settings say of one tenant.
+// Tenant is the settings of one tenant.
 type Tenant struct {
 	Share float64
-	Quota float64 // requests a second, over all instances, that have the full value; 0 is no quota
+	Quota float64 // requests per second, over all instances, that have the full value; 0 is no quota
 }
 
-// Prices are the points that each cost takes off the result, each times its share or rate.
+// Prices are the points by which each cost lowers the result, multiplied by its share or rate.
 type Prices struct{ Waste, Handshake, Probe, Peer, LateFail, CrossZone float64 }
 
-// LoadField names a value of a load report.
+// LoadField identifies a value of a load report.
 type LoadField uint8
 
-// The load fields that the decisions know; all others are LoadOther.
+// The load fields that have a name; all others are LoadOther.
 const (
 	LoadOther       LoadField = iota
 	LoadInFlight              // requests in flight
 	LoadQueue                 // requests queued for service
-	LoadUtilisation           // busy share of the cores, 0 to 1
+	LoadUtilisation           // busy fraction of the cores, 0 to 1
 	LoadServiceMS             // recent service time in milliseconds, without queueing
-	LoadRate                  // requests served a second
-	LoadErrorRate             // errors a second
+	LoadRate                  // requests served per second
+	LoadErrorRate             // errors per second
 )
 
 // Settings is the configuration of one instance.
 type Settings struct {
-	Name            string // of the instance, the same after a restart; empty where only Rank identifies it
+	Name            string // name of the instance, the same after a restart; empty if only Rank identifies it
 	Instances, Rank int    // number of instances of this tier, and the index of this one
-	Processes       int    // of which this instance consists at present, as during an upgrade; 0 is one
+	Processes       int    // number of processes of this instance, more than one during an upgrade; 0 means one
 	Tier, Tiers     int    // index of the tier that this instance sends to, and the number of tiers
 	Zone, Zones     int    // index of this instance's zone, and the number of zones
 	Kinds           int    // number of endpoint kinds
 	Classes         []Class
 	Tenants         []Tenant
-	OverQuotaValue  float64 // share of its value that a request over its tenant's quota has
+	OverQuotaValue  float64 // factor for the priority of a request over its tenant's quota, 0 to 1
 	ValueByWork     bool    // values are per unit of work
-	// PropagatesDeadline says that calls carry the time that their caller has left.
+	// PropagatesDeadline says that calls carry the remaining time of their caller.
 	PropagatesDeadline bool
 	MarksRetries       bool // clients mark their own retries
-	PollsDiscovery     bool // discovery answers only when asked
+	PollsDiscovery     bool // discovery sends lists only in answer to a poll or subscription
 	Weights            bool // listed weights are meaningful
 	LoadFields         []LoadField
-	LoadInline         bool // load reports come with outcomes
+	LoadInline         bool // load reports are part of outcomes
 	Prices             Prices
 
-	TimeResolution time.Duration // the shortest time between two events' times
+	TimeResolution time.Duration // minimum difference between the times of two events
 	Cancel         bool          // attempts may be cancelled
-	Hedging        bool          // a request may have more than one attempt open
+	Hedging        bool          // a request may have more than one open attempt
 	HealthChecks   bool          // health checks are allowed
 	PeerMessages   bool          // instances may send each other messages
 	RetryAfter     bool          // rejections may carry a retry hint
 	MaxRetryAfter  time.Duration
-	MaxAttempts    int // of one request
-	MaxPending     int // requests pending at once
+	MaxAttempts    int // attempts per request
+	MaxPending     int // requests pending at a time
 	ConnectTimeout time.Duration
 
 	ResponseSlack      time.Duration
 	DrainGrace         time.Duration
-	MaxListAge         time.Duration // with PollsDiscovery: the age at which a membership list counts as stale
-	WarmupInitialShare float64       // share of its capacity, over 0 to 1, that an endpoint has right after its start
-	WarmupDuration     time.Duration // until it has all of it
-	CollapseMultiple   float64       // an endpoint collapses that is sent so many times its capacity
-	CollapseWindow     time.Duration // over so long
+	MaxListAge         time.Duration // with PollsDiscovery: age from which a membership list counts as stale
+	WarmupInitialShare float64       // fraction of its capacity that an endpoint has just after its start; above 0, at most 1
+	WarmupDuration     time.Duration // time from an endpoint's start to its full capacity
+	CollapseMultiple   float64       // multiple of its capacity at which an endpoint collapses
+	CollapseWindow     time.Duration // time over which the load is compared with CollapseMultiple
 }
 
-// processCount is the number of processes that share what all instances together may do.
+// processCount is the number of processes of all instances, among which limits and quotas are divided.
 func (s *Settings) processCount() float64 { return float64(s.Instances * max(1, s.Processes)) }
 
-// SettingError is a setting that is missing or out of range, without which no decision can be made.
+// SettingError reports a required setting that is missing or out of range.
 type SettingError struct {
-	// Field is the setting's stable name, such as ColdShare or Classes[1].Deadline. It stands in error texts, and package
-	// config maps it to the key of the configuration file; it does not follow the identifiers of Settings.
+	// Field is the setting's stable name, such as ColdShare or Classes[1].Deadline. It appears in error messages, and
+	// package config maps it to the key of the configuration file. It may differ from the name of the field in
+	// Settings.
 	Field string
 }
 
@@ -116,7 +117,7 @@
 	return fmt.Sprintf("balance: settings: %s is missing or out of range", e.Field)
 }
 
-// Validate returns a *SettingError for the first setting without which no decision can be made, or nil.
+// Validate returns a *SettingError for the first required setting that is missing or out of range, or nil.
 func (s *Settings) Validate() error {
 	switch {
 	case len(s.Classes) == 0:
--- a/balance/simplex.go
+++ b/balance/simplex.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// projectToSimplex moves a row to the nearest point of the probability simplex (Euclidean; Duchi et al. 2008).
+// projectToSimplex replaces a row by the nearest point of the probability simplex (Euclidean projection; Duchi et al.
+// 2008).
 func projectToSimplex(row []float64) {
 	sorted := slices.Clone(row)
 	slices.Sort(sorted)
@@ -21,7 +22,7 @@
 	}
 }
 
-// normalise scales a row to sum one; a row of zeros stays.
+// normalise scales a row so that it sums to 1. A row of zeros is unchanged.
 func normalise(row []float64) {
 	sum := 0.0
 	for _, x := range row {
@@ -34,7 +35,7 @@
 	}
 }
 
-// maxDifference is the largest difference between two lists of the same length.
+// maxDifference returns the largest absolute difference between corresponding elements of two slices of the same length.
 func maxDifference(x, y []float64) float64 {
 	largest := 0.0
 	for i := range x {
--- a/balance/solve.go
+++ b/balance/solve.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// solveInputs is what a solve rested on.
+// solveInputs is the inputs of a solve.
 type solveInputs struct {
 	latency      []float64   // by endpoint, in seconds
 	binShares    []float64   // by bin
 	failureRates [][]float64 // by endpoint and class
 }
 
-// recordSolveInputs keeps what this solve rests on.
+// recordSolveInputs stores the inputs of the present solve for inputsShifted.
 func (b *Balancer) recordSolveInputs(binShares []float64) {
 	b.solvedFor = solveInputs{binShares: binShares}
 	b.solvedAt = b.now
@@ -29,8 +29,8 @@
 		return true
 	}
 	for i, endpoint := range b.endpoints {
-		if math.Abs(b.meanLatency(endpoint)-b.solvedFor.latency[i]) > latencyShift*b.solvedFor.latency[i] ||
-			maxDifference(b.failureRates(endpoint), b.solvedFor.failureRates[i]) > failShift {
+		if math.Abs(b.meanLatency(endpoint)-b.solvedFor.latency[i]) > minLatencyShift*b.solvedFor.latency[i] ||
+			maxDifference(b.failureRates(endpoint), b.solvedFor.failureRates[i]) > minFailureRateShift {
 			return true
 		}
 	}
@@ -38,10 +38,10 @@
 	for i, weight := range b.binWeights() {
 		moved += math.Abs(weight - b.solvedFor.binShares[i])
 	}
-	return moved/2 > binShift
+	return moved/2 > minBinShift
 }
 
-// solve moves every row by projected gradient ascent toward the largest payoff summed over the bins.
+// solve computes the routing weights that maximise the expected payoff over all bins, by projected gradient ascent.
 func (b *Balancer) solve() {
 	if b.solveNeeded {
 		b.rebuildEndpoints()
@@ -53,7 +53,7 @@
 	}
 	n := float64(len(b.endpoints))
 	curves := b.fitCurves(b.sumShares(weights))
-	for _, row := range b.rows { // from even, or an endpoint that was bad would stay out where all pay alike
+	for _, row := range b.rows { // equal shares: a recovered endpoint must regain its share even where the payoff is flat
 		for i := range row {
 			row[i] = 1 / n
 		}
@@ -68,8 +68,9 @@
 	b.accumulateRows()
 }
 
-// ascend takes solveSteps steps from the present rows and returns the best rows that it met. Where curves are steep a step
-// can pass the top: it goes back then and halves the step, or rows would oscillate.
+// ascend makes solveSteps gradient steps from the present rows and returns the best rows found. Where curves are steep,
+// a step can overshoot the maximum. The search then continues from the best rows with half the step size, so that it
+// does not oscillate.
 func (b *Balancer) ascend(weights []float64, curves []latencyCurve) [][]float64 {
 	step := solveStep
 	best, gradient, bestPayoff := b.rows, [][]float64(nil), math.Inf(-1)
@@ -91,8 +92,9 @@
 	return best
 }
 
-// gradient is the payoff summed over the bins, and its slope by each share of each row. A call pays its class's value, in
-// units of the mean value, times the chance that it ends within the time that it has left.
+// gradient returns the expected payoff over all bins and its partial derivatives by each share of each row. The payoff
+// of a call is its class's value, in units of the mean value, times the probability that it is answered within its
+// remaining time.
 func (b *Balancer) gradient(weights []float64, curves []latencyCurve) (gradient [][]float64, payoff float64) {
 	total := b.sumShares(weights)
 	meanValue := 0.0
@@ -100,19 +102,19 @@
 		meanValue += weight * b.classes[k/binsPerClass].Value
 	}
 	gradient = make([][]float64, len(b.bins))
-	congestion := make([]float64, len(curves)) // what one more call on an endpoint costs those already there
+	congestion := make([]float64, len(curves)) // payoff that one more call at an endpoint costs the other calls there
 	for k, row := range b.rows {
 		class := b.classes[k/binsPerClass]
 		lossPerFailure := b.lossPerFailure(class)
-		left := secondsLeft(class, k%binsPerClass)
+		remaining := remainingSeconds(class, k%binsPerClass)
 		gradient[k] = make([]float64, len(curves))
 		for i := range curves {
 			latency, slope := curves[i].at(total[i])
 			value := class.Value / max(meanValue, 1e-9) * (1 - lossPerFailure*b.solvedFor.failureRates[i][k/binsPerClass])
-			late := math.Exp(-left / (class.latencyFactor * latency))
+			late := math.Exp(-remaining / (class.latencyFactor * latency))
 			gradient[k][i] = value * (1 - late)
 			payoff += weights[k] * row[i] * gradient[k][i]
-			congestion[i] += weights[k] * value * row[i] * late * left / (class.latencyFactor * latency * latency) * slope
+			congestion[i] += weights[k] * value * row[i] * late * remaining / (class.latencyFactor * latency * latency) * slope
 		}
 	}
 	for k := range gradient {
@@ -123,7 +125,7 @@
 	return gradient, payoff
 }
 
-// lossPerFailure is the share of a call's value that a failed attempt costs: less where it may be hedged.
+// lossPerFailure is the fraction of a call's value that a failed attempt costs. It is lower where attempts may be hedged.
 func (b *Balancer) lossPerFailure(class *classState) float64 {
 	loss := 1.0
 	if b.settings.Hedging && class.Idempotency != NonIdempotent {
@@ -132,11 +134,11 @@
 	return loss
 }
 
-// secondsLeft is the part of a class's target latency that calls of one of its bins have left.
-func secondsLeft(class *classState, bin int) float64 {
-	left := class.TargetLatency.Seconds()
+// remainingSeconds is the remaining part of the target latency, in seconds, for calls in a bin of a class.
+func remainingSeconds(class *classState, bin int) float64 {
+	remaining := class.TargetLatency.Seconds()
 	if bin > 0 {
-		left *= 1 - binEdges[bin-1]
+		remaining *= 1 - binEdges[bin-1]
 	}
-	return left
+	return remaining
 }
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -1,10 +1,11 @@
 package balance
 
-// chooseSubset picks the endpoints that this instance uses: of a large fleet it would otherwise send each one too few calls
-// to learn from, and all instances together would fill every connection table (compare deterministic subsetting in
-// Beyer et al., Site Reliability Engineering, chapter 20). They are the first in an order that is hashed from the
-// instance's name and their ids, so that no rank is needed and one endpoint more or less changes little. An instance
-// without a name takes a stretch of an order that all instances share, from its rank on.
+// chooseSubset chooses the endpoints that this instance uses. With all endpoints of a large fleet it would send too few
+// calls to each of them to learn from, and all instances together would fill the endpoints' connection tables (compare
+// deterministic subsetting in Beyer et al., Site Reliability Engineering, chapter 20). The subset is the start of an
+// order hashed from the instance's name and the endpoint IDs: this needs no rank, and an added or removed endpoint
+// changes little. An instance without a name uses a contiguous range, chosen by its rank, of an order that is common to
+// all instances.
 func (b *Balancer) chooseSubset() {
 	b.readyEndpoints = ringOrder(b.endpointsByID, b.instanceHash)
 	n := len(b.readyEndpoints)
@@ -19,7 +20,7 @@
 	for i := range n {
 		endpoint := b.readyEndpoints[(first+i)%n]
 		endpoint.inSubset = usable < size && i < 2*size
-		if !endpoint.halfOpen || b.panicMode { // an ejected one stays for its trial, and the next stands in
+		if !endpoint.halfOpen || b.panicMode { // an ejected endpoint stays in the subset for its recovery; the next replaces it
 			usable++
 		}
 	}
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -555,10 +555,10 @@
 		if congestion {
 			look(0.9)
 		}
-		w.b.unusedLimit = -5
+		w.b.limitCredit = -5
 		look(0.1)
-		if forgiven := w.b.unusedLimit >= 0; forgiven != congestion {
-			t.Errorf("after congestion: %v, and %.1f is owed", congestion, -w.b.unusedLimit)
+		if forgiven := w.b.limitCredit >= 0; forgiven != congestion {
+			t.Errorf("after congestion: %v, and %.1f is owed", congestion, -w.b.limitCredit)
 		}
 	}
 }
--- a/balance/tick.go
+++ b/balance/tick.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// onTick checks every unanswered request, and from time to time maintains what was learned.
+// onTick checks every unanswered request, and every maintenanceInterval maintains the learned state.
 func (b *Balancer) onTick() {
 	b.emit(Action{Kind: ActTimer, Token: tickToken, After: b.tickInterval})
 	for _, endpoint := range b.endpoints {
@@ -11,9 +11,9 @@
 		}
 	}
 	b.assessPending()
-	b.accountLimitUse()
+	b.recordLimitUse()
 	b.refillQuotas()
-	for i := len(b.unanswered) - 1; i >= 0; i-- { // completing one moves only a later one
+	for i := len(b.unanswered) - 1; i >= 0; i-- { // in descending order: completing a request only moves one already checked
 		b.checkRequest(b.unanswered[i])
 	}
 	if b.now >= b.nextMaintenance {
@@ -24,15 +24,15 @@
 	b.dispatchQueue()
 }
 
-// accountLimitUse records how much of the limit is used, and saves the unused part of it for a while.
-func (b *Balancer) accountLimitUse() {
+// recordLimitUse records the use of the limit, and adds the unused part to limitCredit, within limitCreditSeconds.
+func (b *Balancer) recordLimitUse() {
 	inFlight := float64(b.inFlight)
 	b.limitUse.add(inFlight)
-	unused := b.unusedLimit + (b.limit-inFlight)*b.tickInterval.Seconds()
-	b.unusedLimit = min(unusedLimitSeconds*b.limit, max(-unusedLimitSeconds*b.limit, unused))
+	unused := b.limitCredit + (b.limit-inFlight)*b.tickInterval.Seconds()
+	b.limitCredit = min(limitCreditSeconds*b.limit, max(-limitCreditSeconds*b.limit, unused))
 }
 
-// refillQuotas adds a tick's tokens to the tenants' quotas.
+// refillQuotas adds the tokens of one tick to the tenants' quotas.
 func (b *Balancer) refillQuotas() {
 	for i := range b.tenants {
 		bucket := &b.tenants[i]
@@ -40,25 +40,25 @@
 	}
 }
 
-// maintain ages what was learned, adapts the limit, and solves for new routing weights when their inputs have moved.
+// maintain decays the learned state, adapts the limit, and computes new routing weights when their inputs have shifted.
 func (b *Balancer) maintain() {
-	keep := math.Exp(-maintenanceInterval.Seconds() / decaySeconds)
+	decayFactor := math.Exp(-maintenanceInterval.Seconds() / decaySeconds)
 	b.detector.Age(maintenanceInterval.Seconds())
-	b.sends.decay(keep)
-	b.responses.decay(keep)
-	b.rejections.decay(keep)
+	b.sends.decay(decayFactor)
+	b.responses.decay(decayFactor)
+	b.rejections.decay(decayFactor)
 	b.scaleLimitToCapacity()
 	b.updateClassWeights()
 	b.adaptLimit()
 	for _, class := range b.classes {
-		class.latency.decay(classKeep(keep))
+		class.latency.decay(classDecayFactor(decayFactor))
 	}
 	for _, endpoint := range b.endpoints {
-		endpoint.latency.decay(keep)
+		endpoint.latency.decay(decayFactor)
 		endpoint.evidence.Age(maintenanceInterval.Seconds())
 	}
 	for _, group := range b.groups {
-		group.latency.decay(keep)
+		group.latency.decay(decayFactor)
 	}
 	b.updatePanicMode()
 	if b.now >= b.nextBinRefresh {
@@ -70,6 +70,7 @@
 	}
 }
 
-// classKeep is what samples of a class keep of their weight while those of an endpoint keep the given share: classes differ
-// for long, endpoints for moments.
-func classKeep(keep float64) float64 { return math.Sqrt(math.Sqrt(keep)) }
+// classDecayFactor returns the decay factor of a class's samples that corresponds to that of an endpoint's samples over
+// the same time. Differences between classes last longer than those between endpoints, so class samples decay four
+// times as slowly.
+func classDecayFactor(endpointFactor float64) float64 { return math.Sqrt(math.Sqrt(endpointFactor)) }
--- a/balance/tunables.go
+++ b/balance/tunables.go
@@ -2,80 +2,85 @@
 
 import "time"
 
-// The tunables of all decisions. Each holds for every deployment; what follows from a setting is derived from it where it is
-// used. docs/design has the measurements behind them.
+// The tunables of all decisions. They are the same for every deployment; values that depend on a setting are derived
+// from it where they are used. The measurements behind the tunables are in docs/design.
 const (
-	minTickInterval     = 10 * time.Millisecond  // how often queued and pending requests are checked
-	maintenanceInterval = 250 * time.Millisecond // how often what was learned is aged and checked
-	decaySeconds        = 5.0                    // after which an observation weighs 1/e
-	binRefreshInterval  = 10 * time.Second       // of the bins' distribution
-	pauseTicks          = 5                      // late by so many ticks, this process was not scheduled for a while
+	minTickInterval     = 10 * time.Millisecond  // between checks of queued and pending requests
+	maintenanceInterval = 250 * time.Millisecond // between decays and checks of the learned state
+	decaySeconds        = 5.0                    // time in which the weight of an observation falls to 1/e
+	binRefreshInterval  = 10 * time.Second       // between refreshes of the distribution over the bins
+	pauseTicks          = 5                      // intervals by which a tick is late after a pause of this process
 )
 
 // Routing weights.
 const (
-	solveSteps       = 20                     // projected gradient steps of a solve
-	solveStep        = 0.05                   // size of a step, for a payoff in units of the mean value
-	minSolveInterval = 500 * time.Millisecond // bounds the CPU of solves
-	latencyShift     = 0.25                   // a latency moved by this share is a significant change
-	binShift         = 0.1                    // so is a move of this share of the calls between bins
-	failShift        = 0.03                   // and a move this large of the share that an endpoint fails of a class
-	exploreShare     = 0.05                   // of each row, split evenly, so that no latency goes stale
-	arrivalWeight    = 1e-3                   // of a request since the last refresh of the bins
-	maxDraws         = 6                      // from a whole row before the eligible endpoints are looked for
+	solveSteps          = 20                     // projected gradient steps per solve
+	solveStep           = 0.05                   // initial step size, for a payoff in units of the mean value
+	minSolveInterval    = 500 * time.Millisecond // limits the CPU time of solves
+	minLatencyShift     = 0.25                   // relative change of a latency that requires a new solve
+	minBinShift         = 0.1                    // share of the calls that moves between bins and requires a new solve
+	minFailureRateShift = 0.03                   // change of a failure rate of an endpoint and class that requires a new solve
+	exploreShare        = 0.05                   // part of each row that is split equally, so that no latency becomes stale
+	arrivalWeight       = 1e-3                   // weight of a request since the last refresh of the bins
+	maxSampleDraws      = 6                      // draws from a whole row before the row is searched for a fitting endpoint
 )
 
-// Latencies, in calls that a prior counts for.
+// Latencies. Prior weights are in calls.
 const (
-	priorCalls           = 5.0  // an endpoint's mean latency is shrunk toward its group's
-	groupPriorCalls      = 0.1  // a group's toward that of the first class
-	overdueFactor        = 3.0  // an attempt pending for so many times its class's mean latency is overdue
-	minLatencyFactor     = 0.05 // of a class
-	utilisationSmoothing = 0.2  // weight of a new report
+	priorCalls           = 5.0  // weight of its group's latency in an endpoint's mean latency
+	groupPriorCalls      = 0.1  // weight of the first class's latency in a group's mean latency
+	overdueFactor        = 3.0  // multiple of its class's mean latency after which a pending attempt is overdue
+	minLatencyFactor     = 0.05 // minimum of a class's latencyFactor
+	utilisationSmoothing = 0.2  // weight of a new report in the exponential moving average
 )
 
 // The concurrency limit.
 const (
-	initialLimit           = 6.0  // requests an endpoint, over all instances, before anything is learned
-	minLimit               = 2.0  // requests an endpoint, over all instances: fewer would leave endpoints idle between calls
-	minLimitResponses      = 4.0  // that a move of the limit rests on: fewer are mostly noise
-	minBaselineResponses   = 30.0 // that the baseline rests on
-	baselineFall           = 0.3  // weight of a new value under the baseline
-	baselineRise           = 0.001
-	congestionFactor       = 2.0  // times the baseline is congestion,
-	minCongestionRise      = 0.07 // and at least this much over it: of an inner tier's few hundredths, twice is little;
-	earlyCongestionShare   = 0.33 // but at most this share of the target, at which many answers are late already,
-	earlyCongestionFactor  = 1.2  // or so many times the baseline,
-	maxCongestionShare     = 0.5  // and at most this share in all
-	initialCongestionShare = 0.3  // the same before there is a baseline that was taken with room under the limit
-	congestionEndShare     = 0.75 // of that threshold: under it the congestion is over
-	minTestedUse           = 0.7  // mean use of the limit from which it may grow: short peaks can wait
-	maxGrowthIntervals     = 4.0  // maintenance intervals' worth of growth at once
-	limitGrowth            = 0.05 // in an interval, after the first cut
-	initialLimitGrowth     = 1.25 // factor in an interval, before it
-	maxLimitCut            = 0.85 // factor in an interval
-	rejectionBackoff       = 0.98 // factor for a rejection by an endpoint
-	rateSlack              = 1.25 // times what the present rate needs is kept: a little too slow is no congestion
-	smallLimit             = 6.0  // requests: an instance's limit under this is kept on average
-	unusedLimitSeconds     = 2.5  // for which an unused part of it is saved
-	maxReserveShare        = 0.8  // of that, reserved from the least valuable requests, and overdrawn for the most valuable
-	endpointLimitSlack     = 1.25 // times its share of the limit is what one endpoint may have in flight
+	initialLimit         = 6.0   // requests per endpoint, over all instances, before anything is learned
+	minLimit             = 2.0   // requests per endpoint, over all instances; less would leave endpoints idle between calls
+	minLimitResponses    = 4.0   // answers needed to adapt the limit; a mean of fewer is mostly noise
+	minBaselineResponses = 30.0  // answers needed to update the baseline
+	baselineFall         = 0.3   // weight of a new value below the baseline
+	baselineRise         = 0.001 // weight of a new value above the baseline
+	// The congestion threshold, as a fraction of the target latency, is congestionFactor times the baseline, but at
+	// least minCongestionRise above the baseline: inner tiers have baselines of a few hundredths, of which twice is
+	// still little. Its upper bound is the larger of earlyCongestionShare, at which many answers are late already, and
+	// earlyCongestionFactor times the baseline, but at most maxCongestionShare.
+	congestionFactor       = 2.0
+	minCongestionRise      = 0.07
+	earlyCongestionShare   = 0.33
+	earlyCongestionFactor  = 1.2
+	maxCongestionShare     = 0.5
+	initialCongestionShare = 0.3  // replaces maxCongestionShare until Balancer.baselineKnown
+	congestionEndShare     = 0.75 // fraction of the threshold below which congestion has ended
+	minTestedUse           = 0.7  // mean use of the limit, as a fraction, from which it may grow; short peaks don't count
+	maxGrowthIntervals     = 4.0  // maximum number of maintenance intervals for which the limit grows at once
+	limitGrowth            = 0.05 // relative growth per maintenance interval after the first cut
+	initialLimitGrowth     = 1.25 // growth factor per maintenance interval before the first cut
+	minLimitCutFactor      = 0.85 // lower bound of the factor of a cut, per maintenance interval
+	rejectionBackoff       = 0.98 // factor after a rejection by an endpoint
+	// A cut keeps rateSlack times the concurrency that the present rate needs: slightly high latency is no congestion.
+	rateSlack          = 1.25
+	smallLimit         = 6.0  // requests; a limit of an instance below this is kept on average only
+	limitCreditSeconds = 2.5  // time for which the unused part of a small limit is saved
+	maxReserveShare    = 0.8  // fraction of the maximum credit that the lowest priority must keep and the highest may overdraw
+	endpointLimitSlack = 1.25 // multiple of its share of the limit that one endpoint may have in flight
 )
 
 // Admission, retries and hedges.
 const (
-	maxQueueShare         = 0.25 // of its target that a first-tier request may be queued
-	maxOverQuotaUse       = 0.5  // of the limit: above it, no traffic over its quota is accepted
-	scarcityShare         = 0.15 // of the requests rejected, from which on first attempts go before clients' retries
-	maxScarcity           = 0.8  // the largest such share that retry hints follow
-	clientRetryPriority   = 0.7  // factor of a client's retry then: less is left of its client's time
+	maxQueueShare         = 0.25 // fraction of its target latency for which a first-tier request may be queued
+	maxOverQuotaUse       = 0.5  // fraction of the limit in use above which requests over their quota are rejected
+	scarcityShare         = 0.15 // fraction of requests rejected above which first attempts go before clients' retries
+	maxScarcity           = 0.8  // upper bound of the fraction of requests rejected in the calculation of retry hints
+	clientRetryPriority   = 0.7  // priority factor of a client's retry above scarcityShare: its client has less time remaining
 	retryTokensPerRequest = 0.2
 	maxRetryTokens        = 10.0
-	rejectedRetryCost     = 0.2 // retry tokens of a retry after a rejection by an endpoint
-	maxHedgeUse           = 0.8 // of the limit: above it, only attempts that likely hang are hedged
-	hedgeCost             = 6.0 // retry tokens of a hedge; one of an attempt that surely hangs costs 1
-	hedgeSavings          = 0.6 // of what a failed attempt costs, where hedges are allowed
-	hedgeLatencies        = 1.5 // mean latencies that a hedge is given
+	rejectedRetryCost     = 0.2 // factor for the cost of a retry after an attempt that cannot have run
+	maxHedgeUse           = 0.8 // fraction of the limit in use above which only attempts that likely hang are hedged
+	hedgeCost             = 6.0 // retry tokens of a hedge of a slow attempt; a hedge of an attempt that surely hangs costs 1
+	hedgeSavings          = 0.6 // fraction of the loss from a failed attempt that hedging avoids
+	hedgeLatencies        = 1.5 // expected latency of a hedge, as a multiple of its class's mean latency
 )
 
 // Health and warm-up.
@@ -83,22 +88,23 @@
 	ejectionThreshold = 3 // consecutive failures
 	baseEjectionTime  = time.Second
 	maxEjectionTime   = 16 * time.Second
-	// cachedTrickleRate is how many sends a second an instance makes to endpoints of a cached list before any of them has
-	// answered: three hundred instances that come back together with twelve such endpoints send each 50, and one alone is
-	// not down.
+	// cachedTrickleRate is the minimum rate, in sends per second, at which an instance sends to the endpoints of a
+	// cached list before any of them has answered. If 300 instances restart together with 12 such endpoints, each
+	// endpoint gets 50 sends per second, and an instance that restarts alone is not without service.
 	cachedTrickleRate = 2.0
 )
 
 // The subset.
 const (
-	targetInstancesPerEndpoint = 6 // fewer load an endpoint unevenly, more fill its connection table
-	minSubsetSize              = 8 // fewer leave too little choice when some fail
+	targetInstancesPerEndpoint = 6 // fewer would load endpoints unevenly, more would fill their connection tables
+	minSubsetSize              = 8 // endpoints; fewer would leave too little choice when some of them fail
 )
 
 // tickToken is the token of the only timer.
 const tickToken Token = 1
 
-// binEdges split a class's calls by the share of the target latency that is spent before they are routed.
+// binEdges are the bounds between a class's bins: the fractions of the target latency that are spent when a call is
+// routed.
 var binEdges = [...]float64{0.1, 0.3, 0.6}
 
 const binsPerClass = len(binEdges) + 1
--- a/balance/warmup.go
+++ b/balance/warmup.go
@@ -6,7 +6,7 @@
 	"pinelb.example/pinelb/balance/warmup"
 )
 
-// uptime is how long an endpoint has been up; one whose start is unknown counts as warm.
+// uptime is the time since an endpoint's start. An endpoint whose start is unknown counts as warm.
 func (b *Balancer) uptime(endpoint *endpointState) time.Duration {
 	if endpoint.StartedAt == 0 {
 		return b.settings.WarmupDuration
@@ -18,7 +18,8 @@
 	return endpoint.StartedAt > 0 && b.now < endpoint.StartedAt+b.settings.WarmupDuration
 }
 
-// trickleRate is how many sends a second go to an endpoint that is warming up without an answer of one of its peers.
+// trickleRate is the rate, in sends per second, at which an endpoint that is warming up gets requests before any
+// endpoint of its group has answered.
 func (b *Balancer) trickleRate(endpoint *endpointState) float64 {
 	rate := b.warmupConfig.TrickleRate(b.uptime(endpoint), b.instancesPerEndpoint)
 	if endpoint.Cached {
@@ -27,8 +28,8 @@
 	return rate
 }
 
-// seedCachedList gives an instance that starts with a cached list one send at once, to any of its endpoints: the rest is
-// earned by answers.
+// seedCachedList grants an instance that starts with a cached list one immediate send to a random endpoint of it. Further
+// sends are earned by answers.
 func (b *Balancer) seedCachedList() {
 	if b.cachedListSeeded {
 		return
@@ -45,8 +46,9 @@
 	}
 }
 
-// earnWarmupSends has an answer earn sends to the endpoints of its group that are warming up; see package warmup. Only
-// endpoints that answer share in it: one that is down or hangs would take a part of the gain away for nothing.
+// earnWarmupSends distributes the sends earned by an answer among the endpoints of its group that are warming up; see
+// package warmup. Only healthy endpoints count in the group's capacity: an endpoint that is down or hangs would take a
+// share of the sends without using it.
 func (b *Balancer) earnWarmupSends(from *endpointState) {
 	if b.warmupConfig.InitialShare < 1 && b.capacity == float64(len(b.readyEndpoints)) { // none is warming up
 		return
