--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestNewNamesTheMissingSetting(t *testing.T) {
-	for want, spoil := range map[string]func(*Settings){
+	for want, invalidate := range map[string]func(*Settings){
 		"Classes":           func(s *Settings) { s.Classes = nil },
 		"Instances":         func(s *Settings) { s.Instances = 0 },
 		"MaxAttempts":       func(s *Settings) { s.MaxAttempts = 0 },
@@ -20,14 +20,14 @@
 		"Classes[1].Memory": func(s *Settings) { s.Classes[1].DedupWindow = 0 },
 	} {
 		s := testSettings()
-		spoil(&s)
+		invalidate(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("error %v does not name %s", err, want)
 		}
 	}
 }
 
-// TestTenantsWithinQuotaComeFirst: a tenant far over its quota is rejected before one within it.
+// Guards against rejecting requests of a tenant within its quota while another tenant is far over its own.
 func TestTenantsWithinQuotaComeFirst(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{Share: 0.5, Quota: 20}, {Share: 0.5, Quota: 25}}
@@ -52,11 +52,11 @@
 		}
 	}
 	if rejected[1]*50 > rejected[0] {
-		t.Errorf("rejected %d of the tenant far over its share and %d of the one within", rejected[0], rejected[1])
+		t.Errorf("rejected %d requests of the tenant far over its quota and %d of the tenant within it", rejected[0], rejected[1])
 	}
 }
 
-// TestInnerTiersDoNotShedLoad: an inner tier does not throw away what upper tiers have paid for.
+// Guards against an inner tier that rejects requests on arrival and so wastes the work of the outer tiers.
 func TestInnerTiersDoNotShedLoad(t *testing.T) {
 	s := testSettings()
 	s.Tier, s.Tiers = 1, 2
@@ -67,11 +67,11 @@
 		w.request(nonIdempotentClass)
 	}
 	if len(w.answerCounts) != 0 {
-		t.Errorf("%d of 40 calls rejected at once by an inner tier", len(w.answerCounts))
+		t.Errorf("an inner tier rejected %d of 40 calls on arrival", len(w.answerCounts))
 	}
 }
 
-// TestRejectedBeforeTheTargetIsMissed: what cannot be sent in time is rejected early, not failed late.
+// Guards against requests that can't be sent in time and fail late instead of being rejected early.
 func TestRejectedBeforeTheTargetIsMissed(t *testing.T) {
 	w := newTestInstance(t, testSettings(), 1)
 	w.listReady(1)
@@ -89,17 +89,17 @@
 		}
 	}
 	if want := 60 - len(w.sends); rejected != want || rejected == 0 {
-		t.Errorf("%d rejected half a target latency after arrival, want the %d unsent", rejected, want)
+		t.Errorf("%d requests rejected half a target latency after arrival, want the %d that were not sent", rejected, want)
 	}
 }
 
-// TestLimitKeptWithSlowWork: where work alone takes much of the target latency, idle endpoints must not be starved.
+// Guards against a limit that leaves endpoints idle because the work alone takes much of the target latency.
 func TestLimitKeptWithSlowWork(t *testing.T) {
 	w := newTestInstance(t, testSettings(), 1)
 	w.listReady(4)
 	w.serveCalls(300, idempotentClass, func(EndpointID) time.Duration { return 180 * ms }) // 0.45 of the target latency, uncongested
 	if w.b.limit < initialLimit*4 {
-		t.Errorf("limit %.1f after calm traffic, started at %.1f", w.b.limit, initialLimit*4)
+		t.Errorf("limit %.1f after uncongested traffic, started at %.1f", w.b.limit, initialLimit*4)
 	}
 }
 
@@ -107,24 +107,24 @@
 	w := newTestInstance(t, testSettings(), 1)
 	w.listReady(4)
 	w.serveCalls(100, idempotentClass, func(EndpointID) time.Duration { return 40 * ms })
-	calm := w.b.limit
+	uncongested := w.b.limit
 	w.serveCalls(100, idempotentClass, func(EndpointID) time.Duration { return 390 * ms })
-	if w.b.limit >= calm {
-		t.Errorf("limit %.1f when congested, %.1f when calm", w.b.limit, calm)
+	if w.b.limit >= uncongested {
+		t.Errorf("limit %.1f under congestion, %.1f without", w.b.limit, uncongested)
 	}
 }
 
-// TestLimitKeepsPresentRate: answers that others make slow must not cut the limit below what the rate
-// needs, or the queue that grows here makes them slower still.
+// Guards against a limit below the concurrency that the present rate needs when other instances cause the high latency:
+// the queue at this instance would grow and add to the latency.
 func TestLimitKeepsPresentRate(t *testing.T) {
 	w := newTestInstance(t, testSettings(), 1)
 	w.listReady(2)
-	least := w.b.limit
-	for step := range 2000 { // 100 requests a second, answered after so long however few are in flight
+	lowestLimit := w.b.limit
+	for step := range 2000 { // 100 requests per second; the latency does not depend on the number in flight
 		delay := 40 * ms
 		if step > 1000 {
 			delay = 100 * ms
-			least = min(least, w.b.limit)
+			lowestLimit = min(lowestLimit, w.b.limit)
 		}
 		w.request(nonIdempotentClass)
 		w.advance(10 * ms)
@@ -134,12 +134,12 @@
 			}
 		}
 	}
-	if least < 1.5*w.b.instanceShare(minLimit) {
-		t.Errorf("the limit fell to %.1f, hardly over its least, %.1f", least, w.b.instanceShare(minLimit))
+	if lowestLimit < 1.5*w.b.instanceShare(minLimit) {
+		t.Errorf("the limit fell to %.1f, close to its minimum of %.1f", lowestLimit, w.b.instanceShare(minLimit))
 	}
 }
 
-// TestHedgesUnderLoad: a request that hangs gets its hedge also when more than half of the limit is in use.
+// Guards against a hanging request that is not hedged because more than half of the limit is in use.
 func TestHedgesUnderLoad(t *testing.T) {
 	w := newTestInstance(t, testSettings(), 1)
 	w.listReady(8)
@@ -151,30 +151,31 @@
 	}
 	w.advance(3 * 40 * ms)
 	for j := first + 1; j < first+8; j++ {
-		w.endAttempt(j, OK, 120*ms) // all but one
+		w.endAttempt(j, OK, 120*ms) // all attempts but one
 	}
-	for range 10 { // what hangs takes no room of the limit
+	for range 10 { // a hanging attempt doesn't count against the limit
 		w.request(nonIdempotentClass)
 	}
-	w.b.retryTokens = maxRetryTokens // some went into hedges of those that were only slow
+	w.b.retryTokens = maxRetryTokens // hedges of attempts that were only slow have used some
 	sent := len(w.sends)
 	if w.b.limitUtilisation() <= maxOverQuotaUse {
-		t.Fatalf("%.2f of the limit in use shows nothing", w.b.limitUtilisation())
+		t.Fatalf("only %.2f of the limit in use, want more than half for this test", w.b.limitUtilisation())
 	}
 	w.advance(30 * ms)
 	if len(w.sends) == sent {
-		t.Error("a request that hangs got no hedge")
+		t.Error("a hanging request was not hedged")
 	}
 }
 
-// TestLimitNeedsEvidence: one quick answer must not make all later ones look congested.
+// Guards against a limit that changes after too few answers: a single fast answer must not make all later ones look
+// congested.
 func TestLimitNeedsEvidence(t *testing.T) {
 	w := newTestInstance(t, testSettings(), 1)
 	w.listReady(4)
 	before := w.b.limit
 	w.serveCalls(int(minLimitResponses)-2, idempotentClass, func(EndpointID) time.Duration { return 300 * ms })
 	if w.b.limit != before {
-		t.Errorf("limit moved to %.1f on fewer answers than it rests on", w.b.limit)
+		t.Errorf("limit changed to %.1f after fewer than minLimitResponses answers", w.b.limit)
 	}
 }
 
@@ -183,7 +184,7 @@
 	w.listReady(4)
 	w.serveCalls(80, nonIdempotentClass, func(EndpointID) time.Duration { return 40 * ms })
 	first := len(w.sends)
-	for range 120 { // endpoint 1 no longer answers, and nothing says so
+	for range 120 { // endpoint 1 no longer answers, but its connections stay open
 		n := len(w.sends)
 		w.request(nonIdempotentClass)
 		w.advance(30 * ms)
@@ -200,13 +201,13 @@
 		}
 	}
 	if lost > 12 {
-		t.Errorf("%d of %d requests went to an endpoint that had become unresponsive", lost, len(w.sends)-first)
+		t.Errorf("%d of %d requests were sent to an unresponsive endpoint", lost, len(w.sends)-first)
 	}
 	if w.b.healthy(w.b.endpoints[0]) {
-		t.Error("unresponsive for seconds with attempts out, and not suspected")
+		t.Error("an endpoint that was unresponsive for seconds with open attempts counts as healthy")
 	}
 	if !w.b.healthy(w.b.endpoints[1]) {
-		t.Error("an answering endpoint is suspected")
+		t.Error("an endpoint that answers counts as unhealthy")
 	}
 }
 
@@ -230,17 +231,17 @@
 		}
 		if i == 200 {
 			if sent > 40 {
-				t.Errorf("%d of 200 requests sent to an endpoint that fails all", sent)
+				t.Errorf("%d of 200 requests sent to an endpoint that fails all its requests", sent)
 			}
 			failing, sent = false, 0
 		}
 	}
 	if sent < 50 {
-		t.Errorf("only %d of 1000 requests after it recovered", sent)
+		t.Errorf("only %d of 1000 requests sent to the endpoint after its recovery", sent)
 	}
 }
 
-// TestSharedFailureEjectsNone: when every endpoint looks bad, all stay in use.
+// Guards against ejecting endpoints when all of them fail because of a shared cause.
 func TestSharedFailureEjectsNone(t *testing.T) {
 	w := newTestInstance(t, testSettings(), 1)
 	w.listReady(4)
@@ -270,19 +271,19 @@
 		}
 		w.advance(5 * ms)
 	}
-	if most := 300*(1+retryTokensPerRequest) + maxRetryTokens; float64(len(w.sends)) > most {
-		t.Errorf("%d attempts for 300 requests that all fail, budget %.0f", len(w.sends), most)
+	if maxAttempts := 300*(1+retryTokensPerRequest) + maxRetryTokens; float64(len(w.sends)) > maxAttempts {
+		t.Errorf("%d attempts for 300 requests that all fail, budget %.0f", len(w.sends), maxAttempts)
 	}
 }
 
-// A few clients that come with more time than all others must not make these look as if theirs was spent:
-// they would be abandoned at arrival.
-func TestPatientClientsDoNotSkewUsualRemaining(t *testing.T) {
+// Guards against a few clients with a long time-out that make the requests of all others look as if their time was spent:
+// those would be rejected on arrival.
+func TestLongTimeoutsDoNotSkewUsualRemaining(t *testing.T) {
 	w := newTestInstance(t, testSettings(), 1)
 	w.listReady(4)
-	ask := func(left time.Duration) RequestID {
+	sendRequest := func(remaining time.Duration) RequestID {
 		w.nextID++
-		w.event(Event{Kind: EventRequest, Request: w.nextID, Class: idempotentClass, Remaining: left})
+		w.event(Event{Kind: EventRequest, Request: w.nextID, Class: idempotentClass, Remaining: remaining})
 		w.advance(20 * ms)
 		if n := len(w.sends); n > 0 && w.sends[n-1].Request == w.nextID {
 			w.endAttempt(n-1, OK, 20*ms)
@@ -290,34 +291,34 @@
 		return w.nextID
 	}
 	for i := range 100 {
-		left := 500 * ms
+		remaining := 500 * ms
 		if i%20 == 10 {
-			left = 1000 * ms // more than a target latency longer
+			remaining = 1000 * ms // longer by more than a target latency
 		}
-		if id := ask(left); w.answerCounts[id] != 0 || w.attemptCounts[id] != 1 {
-			t.Fatalf("request %d, with %v left: rejected or unsent", i, left)
+		if id := sendRequest(remaining); w.answerCounts[id] != 0 || w.attemptCounts[id] != 1 {
+			t.Fatalf("request %d, with %v remaining: rejected or not sent", i, remaining)
 		}
 	}
 	w.nextID++
 	w.event(Event{Kind: EventRequest, Request: w.nextID, Class: idempotentClass, Remaining: 300 * ms})
 	request := w.b.requests[w.nextID]
 	if spent := w.now + request.class.TargetLatency - request.targetAt; spent != 200*ms {
-		t.Errorf("an attempt with 200 ms less than usual is taken to have spent %v", spent)
+		t.Errorf("a request with 200 ms less than usual remaining counts as having spent %v", spent)
 	}
 }
 
-// TestHungAttemptsDoNotCountAgainstLimit: of attempts that hang at endpoints which answer others, none counts against the limit,
-// nor has it cut. Where nothing that was sent later is answered, or they are not overdue, all count.
+// Guards against hanging attempts that count against the limit or cause a cut. An attempt hangs if it is overdue and its
+// endpoint has answered attempts that were sent later; other attempts do count.
 func TestHungAttemptsDoNotCountAgainstLimit(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		answer  bool          // the endpoints answer what was sent after the first four
-		age     time.Duration // of the first four then
-		working int
-		cut     bool // the limit is, when they are abandoned
+		answer  bool          // the endpoints answer the requests after the first four
+		age     time.Duration // of the first four attempts at that time
+		counted int           // number of the first four attempts that count against the limit
+		cut     bool          // whether the limit is cut when the first four requests are abandoned
 	}{
-		{"passed and overdue", true, 300 * ms, 0, false},
-		{"passed", true, 100 * ms, 4, false},
+		{"overtaken and overdue", true, 300 * ms, 0, false},
+		{"overtaken", true, 100 * ms, 4, false},
 		{"overdue", false, 300 * ms, 4, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -343,48 +344,49 @@
 				}
 				w.endAttempt(i, status, 50*ms)
 			}
-			w.b.assessPending() // counts what works
-			working := 0
+			w.b.assessPending() // counts the attempts that likely don't hang
+			counted := 0
 			for _, endpoint := range w.b.endpoints {
-				working += endpoint.inFlight
+				counted += endpoint.inFlight
 			}
-			if working != c.working {
-				t.Errorf("%d of four count, %d expected", working, c.working)
+			if counted != c.counted {
+				t.Errorf("%d of four attempts count against the limit, want %d", counted, c.counted)
 			}
 			before := w.b.limit
-			w.advance(800 * ms) // until their time is up
+			w.advance(800 * ms) // past their deadline
 			if cut := w.b.limit < before; cut != c.cut {
-				t.Errorf("the limit went from %v to %v", before, w.b.limit)
+				t.Errorf("the limit changed from %v to %v", before, w.b.limit)
 			}
 		})
 	}
 }
 
-// TestShortTimeoutIsNotTimeSpent: callers that give less time than others still get their answers, where they are
-// known for first attempts or their target latency would be past already. A retry has spent the difference.
+// Guards against rejecting the requests of callers with a short time-out as if they had spent their time elsewhere. That
+// holds for first attempts at the first tier and for those that could otherwise no longer meet their target latency; a
+// retry has spent the difference.
 func TestShortTimeoutIsNotTimeSpent(t *testing.T) {
 	for _, c := range []struct {
-		name            string
-		tier            int
-		marks, repeated bool
-		left, spent     time.Duration
+		name                string
+		tier                int
+		marksRetries, retry bool
+		remaining, spent    time.Duration
 	}{
 		{"first attempt at the first tier", 0, true, false, 800 * ms, 0},
-		{"unmarked", 0, false, false, 800 * ms, 200 * ms},
-		{"repeated", 0, true, true, 800 * ms, 200 * ms},
-		{"an inner tier's, target latency still possible", 1, true, false, 800 * ms, 200 * ms},
-		{"an inner tier's, target latency past", 1, true, false, 250 * ms, 0},
-		{"repeated, target latency past", 1, true, true, 250 * ms, 750 * ms},
+		{"retries not marked", 0, false, false, 800 * ms, 200 * ms},
+		{"retry", 0, true, true, 800 * ms, 200 * ms},
+		{"inner tier, target latency still possible", 1, true, false, 800 * ms, 200 * ms},
+		{"inner tier, target latency missed", 1, true, false, 250 * ms, 0},
+		{"retry, target latency missed", 1, true, true, 250 * ms, 750 * ms},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := testSettings()
-			s.Tiers, s.Tier, s.MarksRetries = 2, c.tier, c.marks
+			s.Tiers, s.Tier, s.MarksRetries = 2, c.tier, c.marksRetries
 			w := newTestInstance(t, s, 3)
 			w.listReady(2)
-			w.serveCalls(40, idempotentClass, func(EndpointID) time.Duration { return 50 * ms }) // all with 1 s left
-			got := w.b.timeSpent(w.b.classes[idempotentClass], &Event{Remaining: c.left, ClientRetry: c.repeated})
+			w.serveCalls(40, idempotentClass, func(EndpointID) time.Duration { return 50 * ms }) // all with 1 s remaining
+			got := w.b.timeSpent(w.b.classes[idempotentClass], &Event{Remaining: c.remaining, ClientRetry: c.retry})
 			if got != c.spent {
-				t.Errorf("%v left are taken for %v spent, not %v", c.left, got, c.spent)
+				t.Errorf("%v remaining counts as %v spent, want %v", c.remaining, got, c.spent)
 			}
 		})
 	}
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// BenchmarkDecision is a request's whole cost here: its arrival, its answer, and its part of the ticks, at 1,000 requests
-// a second of which 50 are out at any time.
+// BenchmarkDecision measures the total cost of a request: its arrival, its answer and its share of the ticks, at 1,000
+// requests per second with 50 in flight.
 func BenchmarkDecision(b *testing.B) {
 	for _, hosts := range append(slices.Clone(fleetSizes), 1000, 5000) {
 		b.Run(fmt.Sprint(hosts, "hosts"), func(b *testing.B) {
@@ -44,10 +44,10 @@
 	}
 }
 
-// fleetSizes are endpoints at which costs are measured for docs/CAPACITY.md.
+// fleetSizes are the numbers of endpoints for which costs are measured for docs/CAPACITY.md.
 var fleetSizes = []int{12, 106, 212, 425, 850, 1700}
 
-// newListedBalancer returns an instance that knows so many endpoints.
+// newListedBalancer returns an instance with a list of the given number of endpoints, and that list.
 func newListedBalancer(b *testing.B, hosts int) (*Balancer, []Entry) {
 	s := testSettings()
 	s.Instances = hosts
@@ -63,17 +63,17 @@
 	return bal, entries
 }
 
-// BenchmarkList is what a full list costs, of which one endpoint has just restarted.
+// BenchmarkList measures the cost of a full list in which one endpoint has just restarted.
 func BenchmarkList(b *testing.B) {
 	benchmarkMembership(b, ListFull, func(entries []Entry, _ int) []Entry { return entries })
 }
 
-// BenchmarkChange is what one endpoint's restart costs that comes as a change.
-func BenchmarkChange(b *testing.B) {
+// BenchmarkDeltaList measures the cost of a delta list with the restart of one endpoint.
+func BenchmarkDeltaList(b *testing.B) {
 	benchmarkMembership(b, ListDelta, func(entries []Entry, restarted int) []Entry { return entries[restarted : restarted+1] })
 }
 
-// benchmarkMembership has one endpoint after another restart, and sends the part of the list that sent chooses.
+// benchmarkMembership restarts one endpoint per iteration and handles the part of the list that sent selects.
 func benchmarkMembership(b *testing.B, kind ListKind, sent func(entries []Entry, restarted int) []Entry) {
 	for _, hosts := range fleetSizes {
 		b.Run(fmt.Sprint(hosts, "hosts"), func(b *testing.B) {
@@ -90,7 +90,7 @@
 	}
 }
 
-// newBalancerOf60 returns an instance of the platform's large fleet, 13 in number, and a list of 60 endpoints.
+// newBalancerOf60 returns one of 13 instances, as in the platform's large fleet, and a list of 60 endpoints.
 func newBalancerOf60(b *testing.B) (*Balancer, []Entry) {
 	s := testSettings()
 	s.Instances, s.Rank = 13, 5
@@ -105,7 +105,7 @@
 	return bal, entries
 }
 
-// BenchmarkListOf60 is what a full list of 60 endpoints costs, of which one has just restarted.
+// BenchmarkListOf60 measures the cost of a full list of 60 endpoints in which one has just restarted.
 func BenchmarkListOf60(b *testing.B) {
 	bal, entries := newBalancerOf60(b)
 	var out []Action
@@ -117,8 +117,8 @@
 	}
 }
 
-// BenchmarkTickAtRest is a tick with 60 endpoints listed and nothing out; every 25th brings the upkeep.
-func BenchmarkTickAtRest(b *testing.B) {
+// BenchmarkIdleTick measures a tick with 60 endpoints and no open attempt; every 25th tick includes the maintenance.
+func BenchmarkIdleTick(b *testing.B) {
 	bal, entries := newBalancerOf60(b)
 	out := bal.Handle(time.Hour, &Event{Kind: EventMembership, List: ListFull, Entries: entries}, nil)
 	b.ReportAllocs()
--- a/balance/cordon_test.go
+++ b/balance/cordon_test.go
@@ -7,13 +7,13 @@
 	"pgregory.net/rapid"
 )
 
-// TestCordonIsRespected walks an instance through lists, cordons, requests and outcomes in any order. The oracle is two sets of
-// endpoints, those that the lists have as ready and those that are cordoned: whatever is sent goes to one that is in the
-// first and not in the second, and one that was uncordoned is warming up from then on.
+// TestCordonIsRespected drives an instance with lists, cordons, requests and outcomes in random order. The model is two
+// sets of endpoints, those listed as ready and those cordoned: every request must be sent to an endpoint in the first
+// set and not in the second, and an uncordoned endpoint must warm up from the time of its uncordoning.
 func TestCordonIsRespected(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		w := newTestInstance(t, testSettings(), rapid.Uint64().Draw(rt, "seed"))
-		ready, cordoned, back := map[EndpointID]bool{}, map[EndpointID]bool{}, map[EndpointID]time.Duration{}
+		ready, cordoned, uncordonedAt := map[EndpointID]bool{}, map[EndpointID]bool{}, map[EndpointID]time.Duration{}
 		seen, ended := 0, 0
 		for range rapid.IntRange(10, 60).Draw(rt, "steps") {
 			id := EndpointID(rapid.IntRange(1, 4).Draw(rt, "endpoint"))
@@ -28,7 +28,7 @@
 					}
 				}
 				w.list(ListFull, entries...)
-			case 1: // a change
+			case 1: // a delta list
 				state := rapid.SampledFrom([]Availability{Removed, Ready, Draining}).Draw(rt, "state")
 				ready[id] = state == Ready
 				w.list(ListDelta, Entry{Endpoint: id, State: state, Weight: 1})
@@ -37,7 +37,7 @@
 				w.event(Event{Kind: EventCordon, Endpoint: id, Cordoned: true})
 			case 3:
 				if cordoned[id] && ready[id] {
-					back[id] = w.now
+					uncordonedAt[id] = w.now
 				}
 				delete(cordoned, id)
 				w.event(Event{Kind: EventCordon, Endpoint: id})
@@ -53,23 +53,23 @@
 			}
 			for ; seen < len(w.sends); seen++ {
 				if to := w.sends[seen].Endpoint; !ready[to] || cordoned[to] {
-					rt.Fatalf("sent to %d: ready %v, cordoned %v", to, ready[to], cordoned[to])
+					rt.Fatalf("request sent to endpoint %d: ready %v, cordoned %v", to, ready[to], cordoned[to])
 				}
 			}
-			for id, at := range back {
+			for id, at := range uncordonedAt {
 				if endpoint := w.b.endpointsByID[id]; endpoint != nil && ready[id] && endpoint.StartedAt < at && w.now < at+w.b.settings.WarmupDuration {
-					rt.Fatalf("%d was uncordoned at %v and counts as up since %v", id, at, endpoint.StartedAt)
+					rt.Fatalf("endpoint %d was uncordoned at %v and counts as started at %v", id, at, endpoint.StartedAt)
 				}
-				if !ready[id] { // what is gone and listed anew is what the list says
-					delete(back, id)
+				if !ready[id] { // after its removal, an endpoint that is listed again has the listed start
+					delete(uncordonedAt, id)
 				}
 			}
 		}
 	})
 }
 
-// TestUncordonedEndpointIsUsed: an endpoint that was in use before it was cordoned is sent something within 5 s of its return, warming
-// up as it is, and no more than one that is warming up may get.
+// Guards against an endpoint that gets no requests after it was uncordoned: although it is warming up, it must get one
+// within 5 s.
 func TestUncordonedEndpointIsUsed(t *testing.T) {
 	for seed := range uint64(20) {
 		w := newTestInstance(t, testSettings(), seed)
@@ -77,7 +77,7 @@
 		w.serveCalls(100, idempotentClass, func(EndpointID) time.Duration { return 30 * ms })
 		w.event(Event{Kind: EventCordon, Endpoint: 3, Cordoned: true})
 		w.serveCalls(50, idempotentClass, func(EndpointID) time.Duration { return 30 * ms })
-		w.event(Event{Kind: EventCordon, Endpoint: 3, Cordoned: true}) // two calls out need one call back
+		w.event(Event{Kind: EventCordon, Endpoint: 3, Cordoned: true}) // cordoning twice needs only one uncordoning
 		w.event(Event{Kind: EventCordon, Endpoint: 3})
 		from, n := w.now, 0
 		for sent := len(w.sends); w.now < from+5*time.Second; sent = len(w.sends) {
@@ -89,7 +89,7 @@
 			}
 		}
 		if n == 0 {
-			t.Errorf("seed %d: nothing was sent to the endpoint that was uncordoned", seed)
+			t.Errorf("seed %d: nothing was sent to the uncordoned endpoint", seed)
 		}
 	}
 }
--- a/balance/earlier_attempt_test.go
+++ b/balance/earlier_attempt_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Guards against a second run of what an earlier request may have done, as a process that died or is succeeded knew it:
-// such a request goes nowhere, or only where and for as long as its repeats are dropped, and is never called harmless.
+// Guards against a second effect of a request that an earlier process may have sent before it crashed or was replaced.
+// Such a request is only sent to endpoints that recognise it as a duplicate, within the deduplication window. If it
+// can't be sent, it fails rather than being rejected, because a retry by the client is not safe.
 func TestEarlierAttempt(t *testing.T) {
 	all := testSettings()
 	all.Classes[keyedClass].Scope = ScopeAll
@@ -17,15 +18,15 @@
 		at     EndpointID
 		ago    time.Duration
 		sentTo []EndpointID
-		answer ActionKind // where it goes nowhere
+		answer ActionKind // if it is not sent
 	}{
-		{"safe", testSettings(), idempotentClass, 1, 10 * ms, []EndpointID{1, 2, 3, 4}, 0},
-		{"unsafe", testSettings(), nonIdempotentClass, 1, 10 * ms, nil, ActFail},
-		{"keyed, its cell", testSettings(), keyedClass, 1, 100 * ms, []EndpointID{1, 2}, 0},
-		{"keyed, too late", testSettings(), keyedClass, 1, 600 * ms, nil, ActFail},
-		{"keyed, an endpoint that is gone", testSettings(), keyedClass, 9, 100 * ms, nil, ActFail},
-		{"keyed by all", all, keyedClass, 9, 100 * ms, []EndpointID{1, 2, 3, 4}, 0},
-		{"keyed by all, too late", all, keyedClass, 1, 600 * ms, nil, ActFail},
+		{"idempotent", testSettings(), idempotentClass, 1, 10 * ms, []EndpointID{1, 2, 3, 4}, 0},
+		{"non-idempotent", testSettings(), nonIdempotentClass, 1, 10 * ms, nil, ActFail},
+		{"keyed, same cell", testSettings(), keyedClass, 1, 100 * ms, []EndpointID{1, 2}, 0},
+		{"keyed, after the window", testSettings(), keyedClass, 1, 600 * ms, nil, ActFail},
+		{"keyed, removed endpoint", testSettings(), keyedClass, 9, 100 * ms, nil, ActFail},
+		{"keyed with scope all", all, keyedClass, 9, 100 * ms, []EndpointID{1, 2, 3, 4}, 0},
+		{"keyed with scope all, after the window", all, keyedClass, 1, 600 * ms, nil, ActFail},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -40,7 +41,7 @@
 					seen[w.sends[i].Endpoint] = true
 				}
 				if c.sentTo == nil && (len(w.sends) > 0 || w.answers[w.nextID].Kind != c.answer) {
-					t.Fatalf("%d sends, answered at once with %v, want %v", len(w.sends), w.answers[w.nextID].Kind, c.answer)
+					t.Fatalf("%d sends, answered on arrival with action %v, want no send and action %v", len(w.sends), w.answers[w.nextID].Kind, c.answer)
 				}
 			}
 			if len(seen) != len(c.sentTo) {
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -7,7 +7,7 @@
 	"pinelb.example/pinelb/balance"
 )
 
-// A sidecar owns one Balancer, hands it every event with its own clock, and carries out the actions.
+// A sidecar owns one Balancer, passes it every event with the time of its own clock, and carries out the actions.
 func Example() {
 	b, err := balance.New(balance.Settings{
 		Instances: 1, Tiers: 1, MaxAttempts: 3,
--- a/balance/golden_test.go
+++ b/balance/golden_test.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// goldenScripts are the settings and the digests of TestGoldenDecisions, taken at commit 945ccb8. Together with
-// TestRecordedDecisions they reach every random draw of the decisions.
+// goldenScripts are the settings of TestGoldenDecisions with their digests, recorded at commit 945ccb8. Together with
+// TestRecordedDecisions they cover every random draw of the decisions.
 var goldenScripts = []struct {
 	name   string
 	change func(s *Settings)
-	rate   int // requests in a hundred steps
+	rate   int // requests per hundred steps
 	digest string
 }{
 	{"anonymous instance", func(s *Settings) {
@@ -40,8 +40,8 @@
 	}, 20, "5df34b4672a9e55bef75c5bfc97d5bff152780ad6f6b73af85ec4a4e7f4e124d"},
 }
 
-// goldenRun is a script with every kind of event: cold and faulty endpoints, cached lists, uploads, changed settings and a
-// hand-over to a successor half-way.
+// goldenRun drives one instance with every kind of event: warming and faulty endpoints, cached lists, uploads, changed
+// settings and handovers to a successor process.
 type goldenRun struct {
 	recordedRun
 	settings Settings
@@ -86,25 +86,25 @@
 	g.event(ev)
 }
 
-// outcome ends one of the open attempts, by the endpoint that has it: 5 fails in the second quarter of the run, 6 answers
-// nothing in the third, and all are slow for a while in the last.
+// outcome ends a random open attempt with an outcome that depends on its endpoint: endpoint 5 fails in the second
+// quarter of the run, endpoint 6 hardly answers in the third, and all are slow for 3 s in the last.
 func (g *goldenRun) outcome() {
 	if len(g.open) == 0 {
 		return
 	}
 	i := g.random.IntN(len(g.open))
-	a, past := g.open[i], g.now-time.Hour
-	if a.Endpoint == 6 && past > 20*time.Second && past < 30*time.Second && g.random.IntN(40) > 0 {
+	a, elapsed := g.open[i], g.now-time.Hour
+	if a.Endpoint == 6 && elapsed > 20*time.Second && elapsed < 30*time.Second && g.random.IntN(40) > 0 {
 		return
 	}
 	g.open = append(g.open[:i], g.open[i+1:]...)
 	ev := Event{Kind: EventOutcome, Request: a.Request, Attempt: a.Attempt, Endpoint: a.Endpoint,
 		Latency: time.Duration(10+g.random.IntN(60)) * ms * time.Duration(1+a.Endpoint%3)}
-	if g.random.IntN(10) == 0 || a.Endpoint == 5 && past > 10*time.Second && past < 20*time.Second {
+	if g.random.IntN(10) == 0 || a.Endpoint == 5 && elapsed > 10*time.Second && elapsed < 20*time.Second {
 		ev.Status = []Status{Error, Rejected, ConnectFailed, Reset, Timeout, Cancelled, NotSent}[g.random.IntN(7)]
 		ev.RetriedBelow = g.random.IntN(6) == 0
 	}
-	if past > 32*time.Second && past < 35*time.Second {
+	if elapsed > 32*time.Second && elapsed < 35*time.Second {
 		ev.Latency *= 5
 	}
 	ev.Closed = ev.Status == OK && g.random.IntN(3) > 0
@@ -114,7 +114,7 @@
 	g.event(ev)
 }
 
-// handOver puts a successor in place of the instance, which takes over what it learned as JSON.
+// handOver replaces the instance by a successor and restores the learned state there from JSON.
 func (g *goldenRun) handOver(t *testing.T) {
 	t.Helper()
 	text, err := json.Marshal(g.instance.LearnedState())
@@ -138,7 +138,7 @@
 	g.instance.Restore(g.now, &learned)
 }
 
-// recordHealth writes the endpoints' health with the names that the fields had when the digests were taken.
+// recordHealth adds the endpoints' health to the digest, with the field names at the time when the digests were recorded.
 func (g *goldenRun) recordHealth(t *testing.T) {
 	t.Helper()
 	type condition struct {
@@ -184,8 +184,8 @@
 	}
 }
 
-// Guards against decisions that change while code is renamed or moved: a change that is meant to alter them takes new digests
-// and says in its commit what it alters.
+// Guards against unintended changes of decisions when code is renamed or moved. A commit that changes decisions on
+// purpose updates the digests and describes the change.
 func TestGoldenDecisions(t *testing.T) {
 	for i, script := range goldenScripts {
 		t.Run(script.name, func(t *testing.T) {
--- a/balance/granted_test.go
+++ b/balance/granted_test.go
@@ -5,37 +5,38 @@
 	"time"
 )
 
-// requestGranted makes a request with the inputs of a retry budget and returns its sends.
-func (w *testInstance) requestGranted(most int, valueShare float64, left time.Duration) []Action {
+// requestGranted makes a request with granted attempts and a value share from the calling tier, and returns its sends.
+func (w *testInstance) requestGranted(maxAttempts int, valueShare float64, remaining time.Duration) []Action {
 	from := len(w.sends)
 	w.nextID++
-	w.event(Event{Kind: EventRequest, Request: w.nextID, Class: idempotentClass, Remaining: left, MaxAttempts: most, ValueShare: valueShare})
+	w.event(Event{Kind: EventRequest, Request: w.nextID, Class: idempotentClass, Remaining: remaining, MaxAttempts: maxAttempts, ValueShare: valueShare})
 	return w.sends[from:]
 }
 
-// TestGrantedAttempts: a request makes as many attempts as it was granted, also where no retries are left here; none
-// where it was granted none; and after a failure that was tried again below it makes no more.
+// TestGrantedAttempts checks that a request makes as many attempts as the calling tier granted, even if this instance's
+// retry budget is used up, and that it makes no further attempt after a failure that the next tier has retried already.
 func TestGrantedAttempts(t *testing.T) {
 	for _, c := range []struct {
-		most  int
-		final bool
-		want  int
+		granted      int
+		retriedBelow bool
+		want         int
 	}{{0, false, 1}, {1, false, 1}, {2, false, 2}, {3, false, 3}, {9, false, 4}, {3, true, 1}, {-1, false, 0}} {
 		w := newTestInstance(t, testSettings(), 1)
 		w.listReady(8)
 		w.b.retryTokens = 0
-		w.requestGranted(c.most, 0, time.Second)
+		w.requestGranted(c.granted, 0, time.Second)
 		for i := 0; i < len(w.sends); i++ {
 			w.b.retryTokens = 0
-			w.event(Event{Kind: EventOutcome, Request: w.sends[i].Request, Attempt: i, Status: Error, RetriedBelow: c.final, Latency: 5 * ms})
+			w.event(Event{Kind: EventOutcome, Request: w.sends[i].Request, Attempt: i, Status: Error, RetriedBelow: c.retriedBelow, Latency: 5 * ms})
 		}
 		if len(w.sends) != c.want || w.answerCounts[w.nextID] != 1 {
-			t.Errorf("granted %d, final %v: %d attempts and %d answers, want %d", c.most, c.final, len(w.sends), w.answerCounts[w.nextID], c.want)
+			t.Errorf("granted %d, retried below %v: %d attempts and %d answers, want %d attempts", c.granted, c.retriedBelow, len(w.sends), w.answerCounts[w.nextID], c.want)
 		}
 	}
 }
 
-// TestValueSharePropagates: what a tier above makes of a request's value decides here too, and is passed down.
+// TestValueSharePropagates checks that the value share from the calling tier determines the order of the queue and is
+// passed to the next tier.
 func TestValueSharePropagates(t *testing.T) {
 	w := newTestInstance(t, testSettings(), 1)
 	w.listReady(1)
@@ -45,7 +46,7 @@
 	if s := w.requestGranted(0, 0, time.Second); len(s) != 1 || s[0].ValueShare != 1 {
 		t.Errorf("%+v", s)
 	}
-	w.b.limit = 1 // no capacity: what is more valuable goes first
+	w.b.limit = 1 // no capacity: requests are queued by priority
 	for len(w.b.queue) < 2 {
 		w.requestGranted(0, 0.2, time.Second)
 		w.requestGranted(0, 1, time.Second)
@@ -55,24 +56,24 @@
 	}
 }
 
-// TestNoAttemptThatCannotFinishInTime: with less time than the quickest tenth of its class takes, a request is rejected unsent; with
-// more it goes.
+// Guards against attempts that can't finish in time: a request with less remaining time than the latency of the fastest
+// tenth of its class is rejected without an attempt.
 func TestNoAttemptThatCannotFinishInTime(t *testing.T) {
-	set := testSettings()
-	set.MarksRetries = true // less time is then no sign of an attempt that has spent some
-	w := newTestInstance(t, set, 1)
+	settings := testSettings()
+	settings.MarksRetries = true // otherwise a short remaining time would count as time spent on an earlier attempt
+	w := newTestInstance(t, settings, 1)
 	w.listReady(4)
 	w.serveCalls(100, idempotentClass, func(EndpointID) time.Duration { return 60 * ms })
-	quick := w.b.detector.FastLatency(idempotentClass)
-	if quick < 20*ms || quick > 60*ms {
-		t.Fatalf("the quickest tenth takes %v", quick)
+	fastLatency := w.b.detector.FastLatency(idempotentClass)
+	if fastLatency < 20*ms || fastLatency > 60*ms {
+		t.Fatalf("latency of the fastest tenth is %v", fastLatency)
 	}
 	for _, c := range []struct {
-		left  time.Duration
-		sends int
-	}{{w.b.responseMargin() + quick, 0}, {w.b.responseMargin() + quick + ms, 1}, {20 * ms, 0}, {0, 0}} {
-		if s := w.requestGranted(0, 0, c.left); len(s) != c.sends || c.sends == 0 && w.answers[w.nextID].Kind != ActReject {
-			t.Errorf("with %v left: %d sends, answered by %v", c.left, len(s), w.answers[w.nextID].Kind)
+		remaining time.Duration
+		sends     int
+	}{{w.b.responseMargin() + fastLatency, 0}, {w.b.responseMargin() + fastLatency + ms, 1}, {20 * ms, 0}, {0, 0}} {
+		if s := w.requestGranted(0, 0, c.remaining); len(s) != c.sends || c.sends == 0 && w.answers[w.nextID].Kind != ActReject {
+			t.Errorf("with %v remaining: %d sends, answered with action %v", c.remaining, len(s), w.answers[w.nextID].Kind)
 		}
 	}
 }
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -7,7 +7,7 @@
 
 const ms = time.Millisecond
 
-// testSettings is one tier of a small service with one class of each effect.
+// testSettings returns the settings for one tier of a small service with one class of each idempotency.
 func testSettings() Settings {
 	return Settings{
 		Instances: 1, Tiers: 1, Zones: 1, Kinds: 1, OverQuotaValue: 0.1,
@@ -28,7 +28,7 @@
 	nonIdempotentClass
 )
 
-// testInstance drives one instance as a caller would and records its actions.
+// testInstance drives one instance as its caller does, and records its actions.
 type testInstance struct {
 	t              *testing.T
 	b              *Balancer
@@ -36,7 +36,7 @@
 	timers         []timer
 	sends          []Action
 	sentAt         []time.Duration
-	attemptNumbers []int // number of each send among its request's
+	attemptNumbers []int // attempt number of each send
 	answerCounts   map[RequestID]int
 	answers        map[RequestID]Action
 	otherActions   []Action
@@ -87,7 +87,7 @@
 	}
 }
 
-// advance lets time pass, firing timers in order.
+// advance moves the clock forward by d and fires timers in order.
 func (w *testInstance) advance(d time.Duration) {
 	end := w.now + d
 	for {
@@ -112,7 +112,7 @@
 	w.event(Event{Kind: EventMembership, List: kind, Entries: entries})
 }
 
-// listReady lists n ready endpoints, 1 to n, all in cell 0 unless cells says otherwise.
+// listReady sends a full list of n ready endpoints with IDs 1 to n. Endpoint i is in cell cells[i-1], or in cell 0.
 func (w *testInstance) listReady(n int, cells ...int) {
 	var entries []Entry
 	for i := 1; i <= n; i++ {
@@ -131,7 +131,7 @@
 	return w.nextID
 }
 
-// endAttempt reports how the send with this index ended.
+// endAttempt reports the outcome of the attempt w.sends[i].
 func (w *testInstance) endAttempt(i int, status Status, latency time.Duration) {
 	a, n := w.sends[i], w.attemptNumbers[i]
 	w.served[a.Request] = w.served[a.Request] || status == OK
@@ -139,7 +139,7 @@
 		Closed: status == OK, Latency: latency})
 }
 
-// serveCalls plays calls one after another, each with a delay of its own.
+// serveCalls makes calls one after another, each answered after the delay of its endpoint.
 func (w *testInstance) serveCalls(calls, class int, delay func(EndpointID) time.Duration) {
 	for range calls {
 		n := len(w.sends)
--- a/balance/learned_state_test.go
+++ b/balance/learned_state_test.go
@@ -11,7 +11,7 @@
 	"pinelb.example/pinelb/balance/grey"
 )
 
-// learnedInstance returns an instance that has served on endpoints of which one is slow and one hangs.
+// learnedInstance returns an instance that has sent calls to five endpoints, one of them slow, some of them with errors.
 func learnedInstance(t *testing.T, seed uint64) *testInstance {
 	w := newTestInstance(t, testSettings(), seed)
 	w.listReady(5)
@@ -26,7 +26,7 @@
 	return w
 }
 
-// Guards against a successor that knows less, or other things, than the process before it.
+// Guards against learned state that is lost or changed on the way to the successor process.
 func TestLearnedStateRoundTrip(t *testing.T) {
 	old := learnedInstance(t, 1)
 	text, err := json.Marshal(old.b.LearnedState())
@@ -43,21 +43,21 @@
 	w.b.Restore(w.now, &l)
 	if got, want := w.b.LearnedState(), old.b.LearnedState(); !reflect.DeepEqual(got.Endpoints, want.Endpoints) || !reflect.DeepEqual(got.Detector, want.Detector) ||
 		got.Limit != want.Limit || got.Baseline != want.Baseline {
-		t.Errorf("handed over\n%+v\nwas taken over as\n%+v", want, got)
+		t.Errorf("saved state\n%+v\nrestored state\n%+v", want, got)
 	}
 }
 
-// Guards against classes that stand elsewhere at the successor, or not at all.
+// Guards against state that is assigned to the wrong class if the successor has other classes or another order of them.
 func TestReorderClasses(t *testing.T) {
 	l := learnedInstance(t, 1).b.LearnedState()
-	safe, unsafe := l.Classes[idempotentClass], l.Detector.Latencies[nonIdempotentClass]
+	idempotentState, nonIdempotentLatency := l.Classes[idempotentClass], l.Detector.Latencies[nonIdempotentClass]
 	l.ReorderClasses([]int{1, -1, 0}, 2)
-	if len(l.Classes) != 2 || !reflect.DeepEqual(l.Classes[1], safe) || l.Detector.Latencies[0] != unsafe || len(l.Endpoints[0].Evidence.Classes) != 2 {
+	if len(l.Classes) != 2 || !reflect.DeepEqual(l.Classes[1], idempotentState) || l.Detector.Latencies[0] != nonIdempotentLatency || len(l.Endpoints[0].Evidence.Classes) != 2 {
 		t.Errorf("reordered: %+v", l)
 	}
 }
 
-// Guards against values that no process can have learned: whatever comes, the decisions go on and keep to the rules.
+// Guards against invalid values in a restored state: after any input, every request must still get exactly one answer.
 func TestRestoreIgnoresInvalidValues(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		num := rapid.OneOf(rapid.Float64(), rapid.SampledFrom([]float64{0, -1, 1e300, 1e-300, 5}))
@@ -65,18 +65,18 @@
 		count := func() grey.CountState {
 			return grey.CountState{Attempts: num.Draw(rt, "n"), Failures: num.Draw(rt, "bad")}
 		}
-		span := func() time.Duration { return time.Duration(rapid.Int64().Draw(rt, "span")) }
+		duration := func() time.Duration { return time.Duration(rapid.Int64().Draw(rt, "span")) }
 		l := &LearnedState{Limit: num.Draw(rt, "limit"), Capacity: num.Draw(rt, "able"), Baseline: num.Draw(rt, "uncrowded"),
 			RetryTokens: num.Draw(rt, "retries"), Responses: sample(), Rejections: sample(),
 			Detector: grey.DetectorState{Hangs: count(), Timeouts: count()}}
 		for range rapid.IntRange(0, 4).Draw(rt, "classes") {
 			l.Classes = append(l.Classes, ClassState{Latency: sample(), BinShares: []float64{num.Draw(rt, "bin"), num.Draw(rt, "bin")},
-				RecentRemaining: []time.Duration{span()}})
+				RecentRemaining: []time.Duration{duration()}})
 			l.Detector.Classes = append(l.Detector.Classes, count())
 			l.Detector.Latencies = append(l.Detector.Latencies, grey.LatencyState{N: num.Draw(rt, "n"), Sum: num.Draw(rt, "sum"), Squares: num.Draw(rt, "squares")})
 		}
 		for id := range EndpointID(4) {
-			l.Endpoints = append(l.Endpoints, EndpointState{Endpoint: id, StartedAt: span(), ListedStart: span(), Latency: sample(), EjectedFor: span(), EjectionBackoff: span(),
+			l.Endpoints = append(l.Endpoints, EndpointState{Endpoint: id, StartedAt: duration(), ListedStart: duration(), Latency: sample(), EjectedFor: duration(), EjectionBackoff: duration(),
 				ConsecutiveFailures: rapid.Int().Draw(rt, "fails"), Evidence: grey.HostState{Classes: []grey.CountState{count()}, Hangs: count(), Recent: count(),
 					Suspicion: num.Draw(rt, "suspect")}})
 		}
@@ -93,8 +93,8 @@
 	})
 }
 
-// Guards against a snapshot that is believed for longer than what it says can hold: by its age, what is left of the weight of
-// a curve, of an ejection and of the limit.
+// Guards against a snapshot that is used for longer than its values are valid: the weight of latencies, ejections, the
+// limit and the baseline must expire with its age.
 func TestLearnedStateDecays(t *testing.T) {
 	old := learnedInstance(t, 1)
 	l := old.b.LearnedState()
@@ -103,11 +103,11 @@
 		l.Endpoints[i].EjectedFor, l.Endpoints[i].ConsecutiveFailures = 8*time.Second, 2
 	}
 	for _, c := range []struct {
-		past           time.Duration
-		weight         float64
-		ejected        time.Duration
-		fails          int
-		limit, measure bool
+		age                  time.Duration
+		weight               float64
+		ejected              time.Duration
+		failures             int
+		limit, baselineKnown bool
 	}{
 		{0, 1, 8 * time.Second, 2, true, true},
 		{5 * time.Second, 0.3679, 3 * time.Second, 2, true, true},
@@ -119,16 +119,16 @@
 		w.now = old.now
 		w.listReady(5)
 		fresh := w.b.LearnedState()
-		l.Age = c.past
+		l.Age = c.age
 		w.b.Restore(w.now, l)
 		got := w.b.LearnedState()
 		for i, h := range got.Endpoints {
-			if weight := h.Latency.N / l.Endpoints[i].Latency.N; weight < c.weight*0.9 || weight > c.weight*1.1 || h.EjectedFor != c.ejected || h.ConsecutiveFailures != c.fails {
-				t.Errorf("after %v endpoint %d: weight %.2g, ejected for %v, %d failures", c.past, h.Endpoint, weight, h.EjectedFor, h.ConsecutiveFailures)
+			if weight := h.Latency.N / l.Endpoints[i].Latency.N; weight < c.weight*0.9 || weight > c.weight*1.1 || h.EjectedFor != c.ejected || h.ConsecutiveFailures != c.failures {
+				t.Errorf("after %v endpoint %d: weight %.2g, ejected for %v, %d failures", c.age, h.Endpoint, weight, h.EjectedFor, h.ConsecutiveFailures)
 			}
 		}
-		if limit := got.Limit != fresh.Limit; limit != c.limit || got.Congested != c.limit || got.BaselineKnown != c.measure {
-			t.Errorf("after %v: limit %v, congested %v, measure %v", c.past, got.Limit, got.Congested, got.BaselineKnown)
+		if limit := got.Limit != fresh.Limit; limit != c.limit || got.Congested != c.limit || got.BaselineKnown != c.baselineKnown {
+			t.Errorf("after %v: limit %v, congested %v, baseline known %v", c.age, got.Limit, got.Congested, got.BaselineKnown)
 		}
 	}
 }
--- a/balance/reconfigure_test.go
+++ b/balance/reconfigure_test.go
@@ -7,47 +7,48 @@
 	"pgregory.net/rapid"
 )
 
-// TestSettingsChange walks an instance through changes of its settings, requests, outcomes and lists in any order. Whatever
-// comes, each request ends once, keeps the effect that it came with, and never has more attempts than were allowed at its
-// start or since; an unsafe one that may have run is not sent again.
+// TestSettingsChange drives an instance with changes of its settings, requests, outcomes and lists in random order.
+// Each request must end exactly once, keep the idempotency that its class had at its arrival, and never make more
+// attempts than the settings have allowed since then. A non-idempotent request that may have run must not be sent
+// again.
 func TestSettingsChange(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		set := testSettings()
-		w := newTestInstance(t, set, rapid.Uint64().Draw(rt, "seed"))
+		settings := testSettings()
+		w := newTestInstance(t, settings, rapid.Uint64().Draw(rt, "seed"))
 		w.listReady(4)
 		type expected struct {
-			effect Idempotency
-			most   int // sends that there may be yet
-			sent   int
-			mayRun bool
+			idempotency    Idempotency
+			remainingSends int // remaining number of allowed sends
+			sent           int
+			mayHaveRun     bool
 		}
 		open, ended := map[RequestID]*expected{}, 0
 		for range rapid.IntRange(10, 60).Draw(rt, "steps") {
 			switch rapid.IntRange(0, 6).Draw(rt, "step") {
 			case 0:
-				set.Classes = slices.Clone(set.Classes)
-				if len(set.Classes) < 6 && rapid.Bool().Draw(rt, "appears") {
-					set.Classes = append(set.Classes, set.Classes[0])
+				settings.Classes = slices.Clone(settings.Classes)
+				if len(settings.Classes) < 6 && rapid.Bool().Draw(rt, "appears") {
+					settings.Classes = append(settings.Classes, settings.Classes[0])
 				}
-				i := rapid.IntRange(0, len(set.Classes)-1).Draw(rt, "changes")
-				set.Classes[i].Idempotency = Idempotency(rapid.IntRange(0, 2).Draw(rt, "effect"))
-				set.Classes[i].DedupWindow = 600 * ms
-				set.MaxAttempts = rapid.IntRange(1, 4).Draw(rt, "attempts")
-				set.Instances = rapid.IntRange(1, 3).Draw(rt, "instances")
-				changed := set
+				i := rapid.IntRange(0, len(settings.Classes)-1).Draw(rt, "changes")
+				settings.Classes[i].Idempotency = Idempotency(rapid.IntRange(0, 2).Draw(rt, "effect"))
+				settings.Classes[i].DedupWindow = 600 * ms
+				settings.MaxAttempts = rapid.IntRange(1, 4).Draw(rt, "attempts")
+				settings.Instances = rapid.IntRange(1, 3).Draw(rt, "instances")
+				changed := settings
 				w.event(Event{Kind: EventSettings, Settings: &changed})
 				for _, h := range open {
-					h.most = min(h.most, max(0, set.MaxAttempts-h.sent))
+					h.remainingSends = min(h.remainingSends, max(0, settings.MaxAttempts-h.sent))
 				}
 			case 1, 2:
-				class := rapid.IntRange(0, len(set.Classes)-1).Draw(rt, "class")
-				open[w.nextID+1] = &expected{effect: set.Classes[class].Idempotency, most: set.MaxAttempts}
+				class := rapid.IntRange(0, len(settings.Classes)-1).Draw(rt, "class")
+				open[w.nextID+1] = &expected{idempotency: settings.Classes[class].Idempotency, remainingSends: settings.MaxAttempts}
 				w.request(class)
 			case 3, 4:
 				if ended < len(w.sends) {
 					status := rapid.SampledFrom([]Status{OK, Error, Rejected, ConnectFailed, Reset}).Draw(rt, "status")
 					h := open[w.sends[ended].Request]
-					h.mayRun = h.mayRun || status == Error || status == Reset
+					h.mayHaveRun = h.mayHaveRun || status == Error || status == Reset
 					w.endAttempt(ended, status, 20*ms)
 					ended++
 				}
@@ -57,26 +58,26 @@
 				w.advance(ms * 100)
 			}
 			for _, h := range open {
-				h.most, h.sent = h.most+h.sent, 0
+				h.remainingSends, h.sent = h.remainingSends+h.sent, 0
 			}
 			n := map[RequestID]int{}
 			for _, a := range w.sends {
 				n[a.Request]++
 			}
 			for id, h := range open {
-				if h.most -= n[id]; h.most < 0 {
-					rt.Fatalf("request %d has had %d attempts, %d too many", id, n[id], -h.most)
+				if h.remainingSends -= n[id]; h.remainingSends < 0 {
+					rt.Fatalf("request %d has made %d attempts, %d too many", id, n[id], -h.remainingSends)
 				}
 				h.sent = n[id]
-				if request := w.b.requests[id]; request != nil && request.class.Idempotency != h.effect {
-					rt.Fatalf("request %d has effect %d, came with %d", id, request.class.Idempotency, h.effect)
+				if request := w.b.requests[id]; request != nil && request.class.Idempotency != h.idempotency {
+					rt.Fatalf("request %d has idempotency %d, had %d at its arrival", id, request.class.Idempotency, h.idempotency)
 				}
-				if h.effect == NonIdempotent && h.mayRun && n[id] > 0 && w.b.requests[id] != nil && !w.b.requests[id].done {
-					rt.Fatalf("unsafe request %d goes on though it may have run", id)
+				if h.idempotency == NonIdempotent && h.mayHaveRun && n[id] > 0 && w.b.requests[id] != nil && !w.b.requests[id].done {
+					rt.Fatalf("non-idempotent request %d is not done although it may have run", id)
 				}
 			}
 		}
-		w.advance(2 * set.Classes[0].Deadline)
+		w.advance(2 * settings.Classes[0].Deadline)
 		for id := range open {
 			if got := w.answerCounts[id]; got != 1 && !w.served[id] || got > 1 {
 				rt.Fatalf("request %d has %d answers", id, got)
@@ -85,14 +86,14 @@
 	})
 }
 
-// Guards against a change of the settings that forgets what was learned of classes that stay.
+// Guards against a change of the settings that discards the learned state of existing classes.
 func TestSettingsChangeKeepsLearnedState(t *testing.T) {
 	w := learnedInstance(t, 1)
 	before := w.b.LearnedState()
-	set := testSettings()
-	set.Classes = append(set.Classes, set.Classes[0])
-	set.MaxAttempts = 2
-	w.event(Event{Kind: EventSettings, Settings: &set})
+	settings := testSettings()
+	settings.Classes = append(settings.Classes, settings.Classes[0])
+	settings.MaxAttempts = 2
+	w.event(Event{Kind: EventSettings, Settings: &settings})
 	after := w.b.LearnedState()
 	if after.Limit != before.Limit || len(after.Classes) != 4 || after.Classes[0].Latency != before.Classes[0].Latency ||
 		after.Detector.Latencies[1] != before.Detector.Latencies[1] || after.Endpoints[0].Latency != before.Endpoints[0].Latency {
@@ -100,31 +101,31 @@
 	}
 	id := w.request(3)
 	if w.attemptCounts[id] != 1 {
-		t.Errorf("a request of the class that appeared was sent %d times at once", w.attemptCounts[id])
+		t.Errorf("a request of the new class was sent %d times on arrival, want 1", w.attemptCounts[id])
 	}
 }
 
-// Guards against an upgrade that doubles what a sidecar may send: two processes of it have half of the limit each, a
-// warming endpoint's trickle is shared, and what is left alone has all of the limit again.
+// Guards against an upgrade that doubles the load of a sidecar: its two processes must have half of the limit each and
+// share the trickle to warming endpoints, and the remaining process must have the whole limit again.
 func TestProcessesShareLimit(t *testing.T) {
 	w := learnedInstance(t, 1)
-	limit, users := w.b.limit, w.b.instancesPerEndpoint
-	set := testSettings()
-	set.Processes = 2
-	w.event(Event{Kind: EventSettings, Settings: &set})
-	if w.b.limit != limit/2 || w.b.instancesPerEndpoint != 2*users {
-		t.Errorf("beside another the limit is %v of %v, and %v use an endpoint of %v", w.b.limit, limit, w.b.instancesPerEndpoint, users)
+	limit, instancesPerEndpoint := w.b.limit, w.b.instancesPerEndpoint
+	settings := testSettings()
+	settings.Processes = 2
+	w.event(Event{Kind: EventSettings, Settings: &settings})
+	if w.b.limit != limit/2 || w.b.instancesPerEndpoint != 2*instancesPerEndpoint {
+		t.Errorf("with two processes the limit is %v, was %v, and processes per endpoint are %v, were %v", w.b.limit, limit, w.b.instancesPerEndpoint, instancesPerEndpoint)
 	}
-	next := newTestInstance(t, set, 2)
-	next.now = w.now
-	next.listReady(5)
-	next.b.Restore(next.now, w.b.LearnedState())
-	if both := w.b.limit + next.b.limit; both != limit {
-		t.Errorf("both together have %v, want the %v of one", both, limit)
+	successor := newTestInstance(t, settings, 2)
+	successor.now = w.now
+	successor.listReady(5)
+	successor.b.Restore(successor.now, w.b.LearnedState())
+	if total := w.b.limit + successor.b.limit; total != limit {
+		t.Errorf("the limits of both processes add up to %v, want %v", total, limit)
 	}
-	alone := testSettings()
-	next.event(Event{Kind: EventSettings, Settings: &alone})
-	if next.b.limit != limit {
-		t.Errorf("alone the successor has %v, want %v", next.b.limit, limit)
+	singleProcess := testSettings()
+	successor.event(Event{Kind: EventSettings, Settings: &singleProcess})
+	if successor.b.limit != limit {
+		t.Errorf("alone, the successor has a limit of %v, want %v", successor.b.limit, limit)
 	}
 }
--- a/balance/recorded_test.go
+++ b/balance/recorded_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// recordedDecisions is the digest of every action of the script below, taken before balance.go was split by concern. A
-// change that is meant to alter decisions takes a new one, and says in its commit what it alters.
+// recordedDecisions is the digest of all actions of the script below, recorded before balance.go was split by concern.
+// A commit that changes decisions on purpose updates the digest and describes the change.
 const recordedDecisions = "eafaf121f4570bb49d73f0b972332acebeaf1d4d3486607ccd2a1c1e7deeeab4"
 
 // recordedRun drives one instance through a minute of requests, outcomes and lists, all drawn from one seed.
@@ -26,8 +26,8 @@
 	count    int
 }
 
-// recordAction writes an action in the form that the digests were taken in: that of %+v with the names that the fields had
-// then, so that a digest stays the same when a field is renamed.
+// recordAction writes an action in the format of %+v with the field names at the time when the digests were recorded,
+// so that renaming a field does not change a digest.
 func recordAction(out io.Writer, now time.Duration, a *Action) {
 	fmt.Fprintf(out, "%d {Kind:%d Request:%d Endpoint:%d Attempt:%d After:%v Worth:%v Token:%d Peer:%d Data:%v Text:%s}\n",
 		now, a.Kind, a.Request, a.Endpoint, a.Attempt, a.After, a.ValueShare, a.Token, a.Peer, a.Data, a.Text)
@@ -47,7 +47,7 @@
 	}
 }
 
-// fireTimers fires the timers that are due.
+// fireTimers fires the timers that have expired.
 func (s *recordedRun) fireTimers() {
 	for i := 0; i < len(s.timers); i++ {
 		if t := s.timers[i]; t.at <= s.now {
@@ -58,7 +58,7 @@
 	}
 }
 
-// randomOutcome ends one of the open attempts.
+// randomOutcome ends a random open attempt with a random outcome.
 func (s *recordedRun) randomOutcome() {
 	if len(s.open) == 0 {
 		return
@@ -86,7 +86,7 @@
 	s.event(Event{Kind: EventMembership, List: ListFull, Entries: entries})
 }
 
-// Guards against decisions that change while code is only moved.
+// Guards against decisions that change when code is only moved.
 func TestRecordedDecisions(t *testing.T) {
 	settings := testSettings()
 	settings.Instances, settings.Zones = 3, 2
--- a/balance/sending_test.go
+++ b/balance/sending_test.go
@@ -28,42 +28,42 @@
 			sent := len(w.sends)
 			w.advance(time.Second)
 			if w.answerCounts[id] != 1 || len(w.sends) != sent {
-				t.Errorf("class %d, %d endpoints: something went out after the answer", class, n)
+				t.Errorf("class %d, %d endpoints: another attempt or answer after the final answer", class, n)
 			}
 		}
 	}
 }
 
-// TestCanSend checks the edges of the one send path.
+// TestCanSend checks the boundary cases of canSend.
 func TestCanSend(t *testing.T) {
 	w := newTestInstance(t, testSettings(), 1)
 	w.listReady(1)
 	w.advance(50 * ms)
 	endpoint := w.b.endpoints[0]
-	ready := func() *requestState {
+	newRequest := func() *requestState {
 		return &requestState{class: w.b.classes[idempotentClass], usefulUntil: w.now + time.Second, maxAttempts: 4}
 	}
 	for name, c := range map[string]struct {
-		spoil func(*requestState)
-		want  bool
+		change func(*requestState)
+		want   bool
 	}{
-		"fresh":            {func(*requestState) {}, true},
+		"new":              {func(*requestState) {}, true},
 		"answered":         {func(request *requestState) { request.done = true }, false},
 		"at its deadline":  {func(request *requestState) { request.usefulUntil = w.now + w.b.responseMargin() }, false},
 		"just before":      {func(request *requestState) { request.usefulUntil = w.now + w.b.responseMargin() + 1 }, true},
-		"out of attempts":  {func(request *requestState) { request.attempts = make([]attemptState, w.b.settings.MaxAttempts) }, false},
+		"no attempts left": {func(request *requestState) { request.attempts = make([]attemptState, w.b.settings.MaxAttempts) }, false},
 		"one attempt left": {func(request *requestState) { request.attempts = make([]attemptState, w.b.settings.MaxAttempts-1) }, true},
 	} {
-		request := ready()
-		c.spoil(request)
+		request := newRequest()
+		c.change(request)
 		if got := w.b.canSend(request, endpoint); got != c.want {
-			t.Errorf("%s: allowed %v, want %v", name, got, c.want)
+			t.Errorf("%s: canSend returned %v, want %v", name, got, c.want)
 		}
 	}
 }
 
-// TestEndsAtTargetLatency: where a later answer has no value, a request ends just before its target latency and what
-// its open attempt is cancelled; where late answers have value it goes on.
+// TestEndsAtTargetLatency checks that a request ends just before its target latency, with its open attempt cancelled,
+// if a late answer has no value, and that it continues otherwise.
 func TestEndsAtTargetLatency(t *testing.T) {
 	for _, late := range []float64{0, 0.5} {
 		s := testSettings()
@@ -78,28 +78,28 @@
 	}
 }
 
-func TestNoTimeLeftIsRejectedUnsent(t *testing.T) {
-	for _, left := range []time.Duration{0, ms, 12 * ms} {
+func TestNoRemainingTimeIsRejectedWithoutSend(t *testing.T) {
+	for _, remaining := range []time.Duration{0, ms, 12 * ms} {
 		w := newTestInstance(t, testSettings(), 1)
 		w.listReady(2)
-		w.event(Event{Kind: EventRequest, Request: 7, Remaining: left})
+		w.event(Event{Kind: EventRequest, Request: 7, Remaining: remaining})
 		if len(w.sends) != 0 || w.answers[7].Kind != ActReject {
-			t.Errorf("with %v left: %d sends, answer %v; want rejected unsent", left, len(w.sends), w.answers[7].Kind)
+			t.Errorf("with %v remaining: %d sends, answer %v; want a rejection without a send", remaining, len(w.sends), w.answers[7].Kind)
 		}
 	}
 }
 
-func TestNothingAfterClientGone(t *testing.T) {
+func TestNothingAfterClientDisconnects(t *testing.T) {
 	w := newTestInstance(t, testSettings(), 1)
 	w.listReady(3)
 	id := w.request(idempotentClass)
 	w.event(Event{Kind: EventClientDisconnected, Request: id})
 	sent := len(w.sends)
 	w.endAttempt(0, Error, 30*ms)
-	w.event(Event{Kind: EventClientDisconnected, Request: id}) // an id no longer known is ignored
+	w.event(Event{Kind: EventClientDisconnected, Request: id}) // the ID of a completed request is ignored
 	w.advance(2 * time.Second)
 	if len(w.sends) != sent || w.answerCounts[id] != 0 {
-		t.Errorf("%d sends and %d answers after the client left", len(w.sends)-sent, w.answerCounts[id])
+		t.Errorf("%d sends and %d answers after the client disconnected", len(w.sends)-sent, w.answerCounts[id])
 	}
 }
 
@@ -109,11 +109,11 @@
 	w.event(Event{Kind: EventOutcome, Request: 99, Endpoint: 1, Status: OK})
 	w.event(Event{Kind: EventFirstByte, Request: 99, Endpoint: 1})
 	if id := w.request(idempotentClass); w.attemptCounts[id] != 1 {
-		t.Error("a request after stray events was not sent")
+		t.Error("a request after events with unknown IDs was not sent")
 	}
 }
 
-// TestRetryByIdempotency checks what may follow an attempt's end, for each class of effect.
+// TestRetryByIdempotency checks for each idempotency and outcome whether a request is retried, rejected or failed.
 func TestRetryByIdempotency(t *testing.T) {
 	const (
 		retried  = "retried"
@@ -164,7 +164,7 @@
 	}
 }
 
-// TestIdempotencyAllows checks the guard itself at the edges of group and memory.
+// TestIdempotencyAllows checks the boundary cases of idempotencyAllows by scope and deduplication window.
 func TestIdempotencyAllows(t *testing.T) {
 	w := newTestInstance(t, testSettings(), 1)
 	here := &endpointState{Entry: Entry{Endpoint: 1, Cell: 1}}
@@ -175,11 +175,11 @@
 		age  time.Duration
 		want bool
 	}{
-		{"unsafe, may have run", requestState{class: &classState{Class: Class{Idempotency: NonIdempotent}}}, here.Entry, 0, false},
+		{"non-idempotent, may have run", requestState{class: &classState{Class: Class{Idempotency: NonIdempotent}}}, here.Entry, 0, false},
 		{"cell, same", requestState{class: w.b.classes[keyedClass]}, Entry{Cell: 1}, 0, true},
 		{"cell, other", requestState{class: w.b.classes[keyedClass]}, Entry{Cell: 2}, 0, false},
-		{"cell, just remembered", requestState{class: w.b.classes[keyedClass]}, Entry{Cell: 1}, 580 * ms, true},
-		{"cell, just forgotten", requestState{class: w.b.classes[keyedClass]}, Entry{Cell: 1}, 600 * ms, false},
+		{"cell, just within the window", requestState{class: w.b.classes[keyedClass]}, Entry{Cell: 1}, 580 * ms, true},
+		{"cell, just after the window", requestState{class: w.b.classes[keyedClass]}, Entry{Cell: 1}, 600 * ms, false},
 		{"zone, same", requestState{class: &classState{Class: Class{Idempotency: IdempotentByKey, Scope: ScopeZone, DedupWindow: time.Second}}}, Entry{Cell: 9}, 0, true},
 		{"zone, other", requestState{class: &classState{Class: Class{Idempotency: IdempotentByKey, Scope: ScopeZone, DedupWindow: time.Second}}}, Entry{Zone: 1}, 0, false},
 		{"all", requestState{class: &classState{Class: Class{Idempotency: IdempotentByKey, Scope: ScopeAll, DedupWindow: time.Second}}}, Entry{Zone: 1, Cell: 5}, 0, true},
@@ -187,16 +187,16 @@
 		w.b.now, w.b.tickInterval = time.Hour, 10*ms
 		c.r.attempts = []attemptState{{endpoint: here, sentAt: w.b.now - c.age, mayHaveRun: true}}
 		if got := w.b.idempotencyAllows(&c.r, &endpointState{Entry: c.to}); got != c.want {
-			t.Errorf("%s: %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: idempotencyAllows returned %v, want %v", c.name, got, c.want)
 		}
 		c.r.attempts[0].mayHaveRun = false
 		if !w.b.idempotencyAllows(&c.r, &endpointState{Entry: c.to}) {
-			t.Errorf("%s: forbidden though nothing can have run", c.name)
+			t.Errorf("%s: forbidden although no attempt can have run", c.name)
 		}
 	}
 }
 
-// TestDedupWindowStartsAtFirstSend: a later attempt does not renew what the group remembers.
+// Guards against a deduplication window that is measured from the latest instead of the first attempt.
 func TestDedupWindowStartsAtFirstSend(t *testing.T) {
 	w := newTestInstance(t, testSettings(), 1)
 	w.b.now, w.b.tickInterval = time.Hour, 10*ms
@@ -204,20 +204,21 @@
 	r := requestState{class: w.b.classes[keyedClass], attempts: []attemptState{
 		{endpoint: endpoint, sentAt: w.b.now - 650*ms, mayHaveRun: true}, {endpoint: endpoint, sentAt: w.b.now - 100*ms, mayHaveRun: true}}}
 	if w.b.idempotencyAllows(&r, endpoint) {
-		t.Error("sent again after the group has forgotten the first attempt")
+		t.Error("allowed after the deduplication window of the first attempt")
 	}
 }
 
-// TestDedupWindowCoversConnectTimeout: what is sent now may arrive a connect time-out later, and has to be remembered then.
+// Guards against a retry that arrives after the deduplication window, because establishing its connection takes up to the
+// connect time-out.
 func TestDedupWindowCoversConnectTimeout(t *testing.T) {
 	s := testSettings()
 	s.ConnectTimeout = 200 * ms
 	w := newTestInstance(t, s, 1)
 	w.b.now, w.b.tickInterval = time.Hour, 10*ms
-	for ago, want := range map[time.Duration]bool{300 * ms: true, 450 * ms: false} { // of 600 that it is remembered
-		r := requestState{class: w.b.classes[keyedClass], attempts: []attemptState{{endpoint: &endpointState{}, sentAt: w.b.now - ago, mayHaveRun: true}}}
+	for age, want := range map[time.Duration]bool{300 * ms: true, 450 * ms: false} { // the window is 600 ms
+		r := requestState{class: w.b.classes[keyedClass], attempts: []attemptState{{endpoint: &endpointState{}, sentAt: w.b.now - age, mayHaveRun: true}}}
 		if got := w.b.idempotencyAllows(&r, &endpointState{}); got != want {
-			t.Errorf("%v after the first: may be sent again is %v, want %v", ago, got, want)
+			t.Errorf("retry %v after the first attempt: allowed %v, want %v", age, got, want)
 		}
 	}
 }
@@ -230,15 +231,15 @@
 	w.request(idempotentClass)
 	w.advance(800 * ms)
 	if len(w.sends) != 1 {
-		t.Errorf("%d attempts while the first was out, want 1", len(w.sends))
+		t.Errorf("%d attempts, want 1 without hedging", len(w.sends))
 	}
 }
 
-// TestNothingToUnavailableEndpoints: nothing goes to an endpoint that is draining, gone, or missing from a full list.
+// Guards against requests to an endpoint that is draining, removed, or missing from a full list.
 func TestNothingToUnavailableEndpoints(t *testing.T) {
 	for name, update := range map[string]func(*testInstance){
 		"draining": func(w *testInstance) { w.list(ListDelta, Entry{Endpoint: 1, State: Draining, Weight: 1}) },
-		"gone":     func(w *testInstance) { w.list(ListDelta, Entry{Endpoint: 1, State: Removed}) },
+		"removed":  func(w *testInstance) { w.list(ListDelta, Entry{Endpoint: 1, State: Removed}) },
 		"missing":  func(w *testInstance) { w.list(ListFull, Entry{Endpoint: 2, State: Ready, Weight: 1}) },
 	} {
 		w := newTestInstance(t, testSettings(), 1)
@@ -253,7 +254,7 @@
 			w.advance(40 * ms)
 		}
 		if len(w.sends) == sent {
-			t.Errorf("%s: nothing was sent at all", name)
+			t.Errorf("%s: nothing was sent to the other endpoint", name)
 		}
 		for _, a := range w.sends[sent:] {
 			if a.Endpoint == 1 {
@@ -263,22 +264,22 @@
 	}
 }
 
-// TestSubscribesAgain: where discovery must be asked, an instance without a subscription counts as
-// informed of what was listed MaxListAge ago, so it has to ask before, also after every failure.
+// Guards against a membership list that becomes stale: with PollsDiscovery, an instance without a subscription has to
+// subscribe within MaxListAge of the last list or attempt, also after each failure.
 func TestSubscribesAgain(t *testing.T) {
 	s := testSettings()
 	s.PollsDiscovery = true
 	w := newTestInstance(t, s, 3)
 	w.list(ListCached, Entry{Endpoint: 1, State: Ready, Weight: 1})
-	last, asked := w.now, 0
+	last, subscriptions := w.now, 0
 	for range 6000 {
 		w.advance(10 * ms)
 		for _, a := range w.otherActions {
 			if a.Kind == ActSubscribe {
 				if w.now-last >= s.MaxListAge {
-					t.Fatalf("%v between two calls", w.now-last)
+					t.Fatalf("%v between two subscriptions", w.now-last)
 				}
-				last, asked = w.now, asked+1
+				last, subscriptions = w.now, subscriptions+1
 				w.otherActions = nil
 				w.list(ListFailed)
 				break
@@ -286,25 +287,25 @@
 		}
 		w.otherActions = nil
 	}
-	if asked < 6 {
-		t.Errorf("asked %d times in a minute of failures", asked)
+	if subscriptions < 6 {
+		t.Errorf("subscribed only %d times in a minute of failures", subscriptions)
 	}
 	w.advance(s.MaxListAge)
 	w.list(ListDelta)
 	w.otherActions = nil
 	w.advance(30 * time.Second)
 	if len(w.otherActions) != 0 {
-		t.Errorf("asked again while subscribed: %v", w.otherActions)
+		t.Errorf("subscribed again during a subscription: %v", w.otherActions)
 	}
-	w.list(ListFailed) // the subscription dropped
+	w.list(ListFailed) // the subscription ended
 	w.advance(s.MaxListAge - ms)
 	if len(w.otherActions) == 0 {
-		t.Error("did not subscribe again after the subscription dropped")
+		t.Error("did not subscribe again after the end of the subscription")
 	}
 }
 
-// TestWarmupBudget floods instances that act alike and have a warming endpoint among warm ones, and compares
-// what all of them send it in any window with the budget.
+// TestWarmupBudget floods several instances that have one warming endpoint among warm ones, and checks that the
+// requests of all instances to it stay within its capacity times CollapseMultiple in every CollapseWindow.
 func TestWarmupBudget(t *testing.T) {
 	for _, instances := range []int{1, 3} {
 		s := testSettings()
@@ -313,7 +314,7 @@
 		for i := range instances {
 			w := newTestInstance(t, s, uint64(i+1))
 			w.listReady(4)
-			// Each warm endpoint answers every 50 ms, to all instances together.
+			// Each warm endpoint gives one answer per 50 ms, over all instances.
 			gap := time.Duration(instances) * 50 * ms / 4
 			for range int(6 * time.Second / gap) {
 				w.request(idempotentClass)
@@ -333,7 +334,7 @@
 			for range int(5 * time.Second / (5 * ms)) {
 				w.request(idempotentClass)
 				w.advance(5 * ms)
-				for ; done < len(w.sends); done++ { // the warming one too is fast enough: only its budget limits it
+				for ; done < len(w.sends); done++ { // the warming endpoint answers as fast: only its budget limits it
 					w.endAttempt(done, OK, 40*ms)
 				}
 			}
@@ -346,9 +347,9 @@
 			}
 		}
 		if len(at) == 0 {
-			t.Errorf("%d instances: the warming endpoint got nothing at all", instances)
+			t.Errorf("%d instances: the warming endpoint got no requests", instances)
 		}
-		capacity := warm / 4 / 5 // what a warm endpoint did a second
+		capacity := warm / 4 / 5 // requests per second to each warm endpoint
 		for from := time.Duration(0); from < 4*time.Second; from += 50 * ms {
 			n := 0
 			for _, x := range at {
--- a/balance/solve_test.go
+++ b/balance/solve_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// checkRows fails the test unless every row sums to one and has no negative share.
+// checkRows fails the test unless every row sums to 1 and has no negative share.
 func checkRows(t *testing.T, table [][]float64) {
 	t.Helper()
 	for k, row := range table {
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestProject(t *testing.T) {
+func TestProjectToSimplex(t *testing.T) {
 	for _, c := range []struct{ in, want []float64 }{
 		{[]float64{0.5, 0.5}, []float64{0.5, 0.5}},
 		{[]float64{1.5, 0.5}, []float64{1, 0}},
@@ -36,7 +36,7 @@
 		projectToSimplex(got)
 		for i := range got {
 			if math.Abs(got[i]-c.want[i]) > 1e-12 {
-				t.Errorf("project(%v) = %v, want %v", c.in, got, c.want)
+				t.Errorf("projectToSimplex(%v) = %v, want %v", c.in, got, c.want)
 				break
 			}
 		}
@@ -54,8 +54,8 @@
 }
 
 func TestRowMovesTowardPayoff(t *testing.T) {
-	for name, play := range map[string]func(*testInstance){
-		"quick endpoint": func(w *testInstance) {
+	for name, drive := range map[string]func(*testInstance){
+		"fast endpoints": func(w *testInstance) {
 			w.serveCalls(150, idempotentClass, func(e EndpointID) time.Duration {
 				if e == 1 {
 					return 350 * ms
@@ -63,7 +63,7 @@
 				return 60 * ms
 			})
 		},
-		"healthy endpoint": func(w *testInstance) {
+		"healthy endpoints": func(w *testInstance) {
 			for i := range 150 {
 				w.request(nonIdempotentClass)
 				w.advance(40 * ms)
@@ -78,25 +78,25 @@
 	} {
 		w := newTestInstance(t, testSettings(), 2)
 		w.listReady(3)
-		play(w)
+		drive(w)
 		checkRows(t, w.b.rows)
 		if s := w.b.totalShare; s[0] >= s[1] || s[0] >= s[2] {
-			t.Errorf("%s: shares %v, want the first one least", name, s)
+			t.Errorf("%s: shares %v, want the first to be the smallest", name, s)
 		}
 	}
 }
 
-// TestRowsDifferByBin: calls with little time left are kept from the slow endpoint more than others.
+// TestRowsDifferByBin checks that calls with little remaining time are routed to a slow endpoint less often than others.
 func TestRowsDifferByBin(t *testing.T) {
 	w := newTestInstance(t, testSettings(), 2)
 	w.listReady(3)
 	for i := range 200 {
 		w.nextID++
-		left := 1000 * ms
+		remaining := 1000 * ms
 		if i%2 == 1 {
-			left = 700 * ms
+			remaining = 700 * ms
 		}
-		w.event(Event{Kind: EventRequest, Request: w.nextID, Class: idempotentClass, Remaining: left})
+		w.event(Event{Kind: EventRequest, Request: w.nextID, Class: idempotentClass, Remaining: remaining})
 		d := 60 * ms
 		if w.sends[len(w.sends)-1].Endpoint == 1 {
 			d = 250 * ms
@@ -107,7 +107,7 @@
 	fresh, spent := w.b.rows[idempotentClass*binsPerClass], w.b.rows[idempotentClass*binsPerClass+binsPerClass-1]
 	checkRows(t, w.b.rows)
 	if !(spent[0] < fresh[0]) {
-		t.Errorf("slow endpoint's share is %g for calls short of time and %g for others", spent[0], fresh[0])
+		t.Errorf("the slow endpoint's share is %g for calls with little remaining time and %g for others", spent[0], fresh[0])
 	}
 }
 
@@ -119,16 +119,16 @@
 	at := w.b.solvedAt
 	w.serveCalls(100, idempotentClass, steady)
 	if w.b.solvedAt != at {
-		t.Error("solved again though nothing had shifted")
+		t.Error("solved again although no input had shifted")
 	}
 	w.serveCalls(100, idempotentClass, func(e EndpointID) time.Duration { return time.Duration(e) * 100 * ms })
 	if w.b.solvedAt == at {
-		t.Error("not solved though the curves had shifted")
+		t.Error("not solved again although the latencies had shifted")
 	}
 }
 
-// TestSolveDoesNotOscillate: near capacity curves are steep and fixed steps pass the top; like endpoints must
-// keep like shares all the same.
+// Guards against oscillating shares: near capacity the curves are steep, and steps of a fixed size overshoot the maximum.
+// Equal endpoints must keep equal shares.
 func TestSolveDoesNotOscillate(t *testing.T) {
 	w := newTestInstance(t, testSettings(), 2)
 	w.listReady(4)
@@ -141,7 +141,7 @@
 		checkRows(t, w.b.rows)
 		for i, p := range w.b.totalShare {
 			if math.Abs(p-0.25) > 0.05 {
-				t.Fatalf("like endpoints' shares %v, endpoint %d", w.b.totalShare, i)
+				t.Fatalf("shares %v of equal endpoints, unequal at index %d", w.b.totalShare, i)
 			}
 		}
 	}
@@ -158,7 +158,7 @@
 	w.b.accumulateRows()
 	n := map[EndpointID]float64{}
 	for range 3000 {
-		w.b.limit = 100 // limits nothing, and nothing is pending: the draw alone decides
+		w.b.limit = 100 // the limit is not reached and nothing is pending: only the random draw decides
 		id := w.request(idempotentClass)
 		n[w.sends[len(w.sends)-1].Endpoint]++
 		w.event(Event{Kind: EventOutcome, Request: id, Endpoint: w.sends[len(w.sends)-1].Endpoint, Status: OK,
@@ -166,12 +166,12 @@
 	}
 	for i, p := range row {
 		if got := n[EndpointID(i+1)] / 3000; math.Abs(got-p) > 0.04 {
-			t.Errorf("endpoint %d was drawn %.3f of the time, its share is %.1f", i+1, got, p)
+			t.Errorf("endpoint %d was drawn with frequency %.3f, its share is %.1f", i+1, got, p)
 		}
 	}
 }
 
-// TestBoundedLoads: chance must not congest one of several like endpoints.
+// Guards against random draws that congest one of several equal endpoints.
 func TestBoundedLoads(t *testing.T) {
 	w := newTestInstance(t, testSettings(), 5)
 	w.listReady(4)
@@ -180,16 +180,16 @@
 	}
 	for _, endpoint := range w.b.endpoints {
 		if len(endpoint.pending) != 3 {
-			t.Errorf("endpoint %d has %d of 12 requests on four like endpoints", endpoint.Endpoint, len(endpoint.pending))
+			t.Errorf("endpoint %d has %d of 12 requests to four equal endpoints, want 3", endpoint.Endpoint, len(endpoint.pending))
 		}
 	}
 }
 
 func TestSameSeedSameActions(t *testing.T) {
-	play := func(seed uint64, others int) []Action {
+	run := func(seed uint64, others int) []Action {
 		w := newTestInstance(t, testSettings(), seed)
 		w.listReady(5, 1, 1, 2, 2, 3)
-		for i := range others { // instances share nothing: more of them change nothing
+		for i := range others { // other instances in the process must have no effect
 			newTestInstance(t, testSettings(), uint64(100+i)).listReady(3)
 		}
 		for i := range 300 {
@@ -201,23 +201,23 @@
 		}
 		return append(w.sends, w.otherActions...)
 	}
-	first := play(9, 0)
-	if !reflect.DeepEqual(first, play(9, 3)) {
-		t.Error("same seed and events, other actions")
+	first := run(9, 0)
+	if !reflect.DeepEqual(first, run(9, 3)) {
+		t.Error("the same seed and events gave different actions")
 	}
-	if reflect.DeepEqual(first, play(10, 0)) {
-		t.Error("the seed has no effect: the test proves nothing")
+	if reflect.DeepEqual(first, run(10, 0)) {
+		t.Error("another seed gave the same actions, so the comparison above has no value")
 	}
 }
 
-// TestNoEndpointStarves: an endpoint that failed much of what it got and is healthy again gets its part back, and at no time
-// nothing; the rows stay shares that sum to one throughout.
+// TestNoEndpointStarves checks that an endpoint that fails many of its requests still gets some, and gets its share
+// back after its recovery. The rows must be valid shares all the time.
 func TestNoEndpointStarves(t *testing.T) {
 	for _, share := range []float64{0.3, 0.7, 1} {
 		w := newTestInstance(t, testSettings(), 7)
 		w.listReady(4)
 		failing, sent, since := true, 0, 0
-		for i := range 6000 { // 50 a second
+		for i := range 6000 { // 50 requests per second
 			n := len(w.sends)
 			w.request(nonIdempotentClass)
 			w.advance(20 * ms)
@@ -232,12 +232,12 @@
 				w.endAttempt(j, status, 20*ms)
 			}
 			if i-since > 20*50 {
-				t.Fatalf("failing %.1f: nothing for 20 s at %d s", share, i/50)
+				t.Fatalf("failure rate %.1f: no request for 20 s at %d s", share, i/50)
 			}
 			switch i {
 			case 1500:
-				if sent > 300 { // of 375 that would be even
-					t.Errorf("failing %.1f: it got %d of 1500", share, sent)
+				if sent > 300 { // an equal share is 375
+					t.Errorf("failure rate %.1f: the failing endpoint got %d of 1500 requests", share, sent)
 				}
 				failing = false
 			case 3000:
@@ -247,8 +247,8 @@
 				checkRows(t, w.b.rows)
 			}
 		}
-		if sent < 600 { // of 750
-			t.Errorf("failed %.1f: healthy again, and it gets %d of 3000", share, sent)
+		if sent < 600 { // an equal share is 750
+			t.Errorf("failure rate %.1f: after its recovery the endpoint got %d of 3000 requests", share, sent)
 		}
 	}
 }
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -11,21 +11,21 @@
 	"pinelb.example/pinelb/internal/pacing"
 )
 
-// Guards against a bound on handshakes that counts other users of an endpoint than there are.
+// Guards against a handshake limit that assumes another number of instances per endpoint than chooseSubset results in.
 func TestHandshakeLimitUsesSameSubsetSize(t *testing.T) {
 	if pacing.MinHostsPerInstance != minSubsetSize || pacing.TargetInstancesPerHost != targetInstancesPerEndpoint {
-		t.Errorf("package pacing counts by %d and %d, this one chooses by %d and %d", pacing.MinHostsPerInstance, pacing.TargetInstancesPerHost, minSubsetSize, targetInstancesPerEndpoint)
+		t.Errorf("package pacing has %d and %d, package balance has %d and %d", pacing.MinHostsPerInstance, pacing.TargetInstancesPerHost, minSubsetSize, targetInstancesPerEndpoint)
 	}
 }
 
-// Of a large fleet, all instances together must use every endpoint about equally, kind by kind; of a small
-// one, every instance uses all.
+// Guards against uneven load from the choice of subsets: each endpoint of a large fleet must be used by about the same
+// number of instances, also within each kind. In a small fleet every instance uses all endpoints.
 func TestSubsetsCoverEndpointsEvenly(t *testing.T) {
-	for _, c := range []struct{ instances, servers, least, most int }{
+	for _, c := range []struct{ instances, endpoints, minUsers, maxUsers int }{
 		{1, 10, 1, 1},
 		{2, 17, 2, 2},
 		{10, 15, targetInstancesPerEndpoint - 1, targetInstancesPerEndpoint + 1},
-		{13, 16, 6, 7}, // by name 2 to 10: of the platform's large fleet the most used were congested and the least idle
+		{13, 16, 6, 7}, // as the platform's large fleet: subsets by name gave 2 to 10, so that some endpoints were congested and others idle
 		{75, 84, targetInstancesPerEndpoint - 1, targetInstancesPerEndpoint + 2},
 		{84, 168, targetInstancesPerEndpoint - 1, targetInstancesPerEndpoint + 1},
 		{168, 147, targetInstancesPerEndpoint, targetInstancesPerEndpoint + 4},
@@ -37,7 +37,7 @@
 			s.Instances, s.Rank, s.Kinds = c.instances, rank, 2
 			w := newTestInstance(t, s, uint64(rank))
 			var entries []Entry
-			for i := range c.servers {
+			for i := range c.endpoints {
 				entries = append(entries, Entry{Endpoint: EndpointID(i * 7), State: Ready, Weight: 1, Kind: min(i%3, 1)})
 			}
 			w.list(ListFull, entries...)
@@ -47,20 +47,21 @@
 				n++
 				other += x.Kind
 			}
-			if part := float64(other) / float64(n); c.servers > 30 && (part < 0.55 || part > 0.78) {
-				t.Errorf("%d x %d: %d of %d used are of the kind that makes up two thirds", c.instances, c.servers, other, n)
+			if part := float64(other) / float64(n); c.endpoints > 30 && (part < 0.55 || part > 0.78) {
+				t.Errorf("%d instances, %d endpoints: %d of %d endpoints in use are of kind 1, want two thirds", c.instances, c.endpoints, other, n)
 			}
 		}
-		for i := range c.servers {
-			if u := users[EndpointID(i*7)]; u < c.least || u > c.most {
-				t.Errorf("%d x %d: an endpoint has %d users, want %d to %d", c.instances, c.servers, u, c.least, c.most)
+		for i := range c.endpoints {
+			if u := users[EndpointID(i*7)]; u < c.minUsers || u > c.maxUsers {
+				t.Errorf("%d instances, %d endpoints: an endpoint is used by %d instances, want %d to %d", c.instances, c.endpoints, u, c.minUsers, c.maxUsers)
 			}
 		}
 	}
 }
 
-// An endpoint that is ejected gets a stand-in, and keeps its place for its trial.
-func TestStandInForEjectedEndpoint(t *testing.T) {
+// Guards against a smaller subset during an ejection: an ejected endpoint is replaced, but stays in the subset so that
+// it can recover with a trial request.
+func TestEjectedEndpointIsReplaced(t *testing.T) {
 	s := testSettings()
 	s.Instances, s.Rank = 50, 7
 	w := newTestInstance(t, s, 1)
@@ -72,12 +73,12 @@
 	w.b.eject(bad)
 	w.advance(time.Second)
 	if n := len(w.b.endpoints); n != minSubsetSize+1 || !bad.inSubset {
-		t.Fatalf("%d endpoints used (the ejected one: %v), want a stand-in beside it", n, bad.inSubset)
+		t.Fatalf("%d endpoints used (the ejected one: %v), want the ejected one and its replacement", n, bad.inSubset)
 	}
-	bad.halfOpen, bad.ejectedUntil, w.b.solveNeeded = false, 0, true // its trial went well
+	bad.halfOpen, bad.ejectedUntil, w.b.solveNeeded = false, 0, true // as after a served trial request
 	w.advance(time.Second)
 	if n := len(w.b.endpoints); n != minSubsetSize {
-		t.Fatalf("%d endpoints used after its return, want %d", n, minSubsetSize)
+		t.Fatalf("%d endpoints used after its recovery, want %d", n, minSubsetSize)
 	}
 	closed := 0
 	for _, a := range w.otherActions {
@@ -86,11 +87,12 @@
 		}
 	}
 	if closed != 1 {
-		t.Errorf("%d endpoints' idle connections closed, want the stand-in's", closed)
+		t.Errorf("idle connections to %d endpoints closed, want those to the replacement only", closed)
 	}
 }
 
-// When an endpoint that is used drains, the next on the ring takes its place at once.
+// Guards against a smaller subset when an endpoint in it drains: the next endpoint of the ring must replace it
+// immediately.
 func TestSubsetFollowsList(t *testing.T) {
 	s := testSettings()
 	s.Instances, s.Rank = 50, 7
@@ -104,18 +106,18 @@
 	}
 }
 
-// What a limit starts with, and may not fall under, is for an endpoint over all instances: a hundred of them
-// with a floor of two requests an endpoint each let any overload through.
+// Guards against an initial or minimum limit per instance that is not divided by the number of instances: a hundred
+// instances with a minimum of two requests per endpoint each would accept any overload.
 func TestLimitIsDividedByInstances(t *testing.T) {
-	for _, c := range []struct{ instances, servers int }{{1, 10}, {10, 15}, {100, 60}, {130, 70}} {
+	for _, c := range []struct{ instances, endpoints int }{{1, 10}, {10, 15}, {100, 60}, {130, 70}} {
 		s := testSettings()
 		s.Instances = c.instances
 		w := newTestInstance(t, s, 1)
-		w.listReady(c.servers)
-		if all := w.b.limit * float64(c.instances); all > max(float64(c.instances), initialLimit*float64(c.servers))+0.01 {
-			t.Errorf("%d x %d: all instances together start with %.0f in flight", c.instances, c.servers, all)
+		w.listReady(c.endpoints)
+		if total := w.b.limit * float64(c.instances); total > max(float64(c.instances), initialLimit*float64(c.endpoints))+0.01 {
+			t.Errorf("%d instances, %d endpoints: the initial limits of all instances add up to %.0f", c.instances, c.endpoints, total)
 		}
-		for range int(minBaselineResponses) { // a few quick answers, then nothing but late ones
+		for range int(minBaselineResponses) { // a few fast answers, then only late ones
 			w.b.latencyWindow.add(min(1, 0.05/0.4))
 		}
 		w.advance(maintenanceInterval)
@@ -125,24 +127,24 @@
 			}
 			w.advance(maintenanceInterval)
 		}
-		if all := w.b.limit * float64(c.instances); all > max(float64(c.instances), minLimit*float64(c.servers))+0.01 {
-			t.Errorf("%d x %d: with late answers, all instances together may still have %.0f in flight", c.instances, c.servers, all)
+		if total := w.b.limit * float64(c.instances); total > max(float64(c.instances), minLimit*float64(c.endpoints))+0.01 {
+			t.Errorf("%d instances, %d endpoints: the limits of all instances still add up to %.0f after late answers", c.instances, c.endpoints, total)
 		}
 	}
 }
 
-// A limit that is not a whole number must still be reached by some instances, and can then grow: with its
-// fraction cut off everywhere, many instances would have much less in flight than they may, for ever.
+// Guards against a fractional limit that every instance rounds down: the instances together would never reach their
+// limit, and no limit could grow.
 func TestFractionOfLimitIsUsed(t *testing.T) {
-	most := 0.0
+	allowed := 0.0
 	for seed := range uint64(200) {
 		s := testSettings()
 		s.Instances = 200
 		w := newTestInstance(t, s, seed)
 		w.listReady(40)
 		w.b.limit = smallLimit + 0.6
-		most += w.b.allowedInFlight(nil)
-		grown := w.b.limit
+		allowed += w.b.allowedInFlight(nil)
+		before := w.b.limit
 		for range 5 {
 			for range int(minBaselineResponses) {
 				w.b.latencyWindow.add(min(1, 0.05/0.4))
@@ -150,58 +152,59 @@
 			w.b.limitUse = decayedMean{1000, 1000 * w.b.limit}
 			w.advance(maintenanceInterval)
 		}
-		if w.b.limit <= grown {
-			t.Fatalf("seed %d: limit still %.2f though it was reached and answers were quick", seed, w.b.limit)
+		if w.b.limit <= before {
+			t.Fatalf("seed %d: limit still %.2f although it was reached and answers were fast", seed, w.b.limit)
 		}
 	}
-	if mean := most / 200; math.Abs(mean-smallLimit-0.6) > 0.15 {
-		t.Errorf("200 instances with a limit of %.1f have %.2f in flight each", smallLimit+0.6, mean)
+	if mean := allowed / 200; math.Abs(mean-smallLimit-0.6) > 0.15 {
+		t.Errorf("200 instances with a limit of %.1f have a mean of %.2f in flight", smallLimit+0.6, mean)
 	}
 }
 
-// measureInFlight has an instance with a fixed limit take a request each so often, answered after 100 ms, for a while,
-// and returns how many it had in flight on average and at most.
-func measureInFlight(t *testing.T, limit float64, every time.Duration) (mean float64, most int) {
+// measureInFlight sends one request per interval to an instance with a fixed limit for 30 s, with answers after 100 ms,
+// and returns the mean and the maximum number of requests in flight.
+func measureInFlight(t *testing.T, limit float64, interval time.Duration) (mean float64, maxInFlight int) {
 	s := testSettings()
-	s.Instances = 1000 // whose part of the least is small
+	s.Instances = 1000 // for a small share of minLimit
 	w := newTestInstance(t, s, 1)
 	w.listReady(20)
 	const steps = 3000
 	done := 0
 	for step := range steps {
 		w.b.limit = limit
-		if step%int(every/(10*ms)) == 0 {
+		if step%int(interval/(10*ms)) == 0 {
 			w.request(nonIdempotentClass)
 		}
 		w.advance(10 * ms)
 		for ; done < len(w.sends) && w.now-w.sentAt[done] >= 100*ms; done++ {
 			w.endAttempt(done, OK, 100*ms)
 		}
-		out := len(w.sends) - done
-		mean += float64(out) / steps
-		most = max(most, out)
+		inFlight := len(w.sends) - done
+		mean += float64(inFlight) / steps
+		maxInFlight = max(maxInFlight, inFlight)
 	}
-	return mean, most
+	return mean, maxInFlight
 }
 
-// An instance whose share is one request or less must be able to have two or three in flight for a moment, or most of
-// what comes would find it taken; but on average it has no more than its share, however much comes.
+// Guards against an instance with a small limit that rejects most requests because they arrive in short bursts, and
+// against one that exceeds its limit on average under overload.
 func TestSmallLimitIsKeptOnAverage(t *testing.T) {
 	for _, limit := range []float64{0.3, 1, 2.5} {
-		mean, most := measureInFlight(t, limit, 10*ms)
-		if mean > 1.15*limit || mean < 0.8*limit { // a look may raise it before the next step sets it back
-			t.Errorf("a limit of %.1f has %.2f in flight on average of all that comes", limit, mean)
+		mean, maxInFlight := measureInFlight(t, limit, 10*ms)
+		if mean > 1.15*limit || mean < 0.8*limit { // adaptLimit may raise the limit until the next step resets it
+			t.Errorf("with a limit of %.1f, %.2f requests are in flight on average under overload", limit, mean)
 		}
-		if float64(most) < limit+1 || float64(most) > math.Ceil(2.5*limit+3*math.Sqrt(2.5*limit)) {
-			t.Errorf("a limit of %.1f has at most %d in flight", limit, most)
+		if float64(maxInFlight) < limit+1 || float64(maxInFlight) > math.Ceil(2.5*limit+3*math.Sqrt(2.5*limit)) {
+			t.Errorf("with a limit of %.1f, at most %d requests are in flight", limit, maxInFlight)
 		}
 	}
 	if mean, _ := measureInFlight(t, 1, 200*ms); mean < 0.45 {
-		t.Errorf("of 0.5 that come and may be in flight, %.2f are", mean)
+		t.Errorf("%.2f requests in flight on average, want close to the offered 0.5", mean)
 	}
 }
 
-// Where one request comes at a time there is no line to take the best from: the limit has to be kept for them.
+// Guards against less valuable requests that use up a small limit: as requests arrive one at a time there is no queue
+// to order by priority, so part of the limit has to be reserved for the more valuable ones.
 func TestSmallLimitIsReservedByPriority(t *testing.T) {
 	s := testSettings()
 	s.Classes[keyedClass].Value = 4
@@ -210,7 +213,7 @@
 	w.listReady(20)
 	sent, done := [3]int{}, 0
 	class := map[RequestID]int{}
-	for step := range 4000 { // 1.5 of each are offered, and 1 may be in flight
+	for step := range 4000 { // the offered load of each class is 1.5 in flight, and the limit is 1
 		w.b.limit = 1
 		if step%4 < 2 {
 			class[w.request(step%4)] = step % 4
@@ -221,16 +224,16 @@
 			w.endAttempt(done, OK, 60*ms)
 		}
 	}
-	if good, others := sent[keyedClass], sent[idempotentClass]; good < 600 || others > good/2 {
-		t.Errorf("%d of 1000 valuable requests are sent, and %d of 1000 others", good, others)
+	if valuable, others := sent[keyedClass], sent[idempotentClass]; valuable < 600 || others > valuable/2 {
+		t.Errorf("%d of 1000 valuable requests and %d of 1000 others were sent", valuable, others)
 	}
 }
 
-// While more than a few are rejected, a client's first attempt goes before others' repeated ones, of whose time less is
-// left: at a fifth rejected, repeats in turn made the first attempts late. Where little is missing, all are equal, for a
-// repeated one that is rejected is lost.
-func TestFirstAttemptsGoFirstWhenScarce(t *testing.T) {
-	for rejected, need := range map[float64]bool{0: false, 0.1: false, 0.2: true, 1: true} {
+// Guards against clients' retries that delay first attempts while many requests are rejected: with a fifth rejected,
+// retries, which have less time remaining, made the first attempts late. If few requests are rejected, first attempts
+// and retries have equal priority, because a rejected retry is lost.
+func TestFirstAttemptsGoFirstUnderScarcity(t *testing.T) {
+	for rejected, firstGoesFirst := range map[float64]bool{0: false, 0.1: false, 0.2: true, 1: true} {
 		s := testSettings()
 		s.MarksRetries = true
 		w := newTestInstance(t, s, 1)
@@ -241,21 +244,22 @@
 			w.request(nonIdempotentClass)
 		}
 		w.nextID++
-		repeated := w.nextID
-		w.event(Event{Kind: EventRequest, Request: repeated, Class: nonIdempotentClass, Remaining: time.Second, ClientRetry: true})
+		retry := w.nextID
+		w.event(Event{Kind: EventRequest, Request: retry, Class: nonIdempotentClass, Remaining: time.Second, ClientRetry: true})
 		first := w.request(nonIdempotentClass)
-		at := func(id RequestID) int {
+		queueIndex := func(id RequestID) int {
 			return slices.IndexFunc(w.b.queue, func(request *requestState) bool { return request.id == id })
 		}
-		if i, j := at(repeated), at(first); i < 0 || j < 0 || j < i != need {
-			t.Errorf("%.1f rejected: the retry is at %d of the queue, the first at %d", rejected, i, j)
+		if i, j := queueIndex(retry), queueIndex(first); i < 0 || j < 0 || j < i != firstGoesFirst {
+			t.Errorf("%.1f rejected: the retry is at index %d of the queue, the first attempt at %d", rejected, i, j)
 		}
 	}
 }
 
-// The advice when to come back has to grow with what is rejected, and to differ, or all come back together.
+// Guards against rejected clients that all retry at the same time: the retry hint must grow with the fraction of
+// requests that are rejected and must have jitter.
 func TestRetryAfterGrowsWithJitter(t *testing.T) {
-	advice := func(rejected float64) (mean time.Duration, apart int) {
+	measureHints := func(rejected float64) (mean time.Duration, distinct int) {
 		w := newTestInstance(t, testSettings(), 1)
 		w.listReady(1)
 		w.b.settings.MaxRetryAfter = time.Hour
@@ -268,54 +272,55 @@
 		}
 		return mean, len(seen)
 	}
-	calm, apart := advice(0.1)
-	dark, _ := advice(0.9)
-	if dark < 3*calm || apart < 90 {
-		t.Errorf("advice is %v where little is rejected and %v where most is, with %d of 100 different", calm, dark, apart)
+	fewRejected, distinct := measureHints(0.1)
+	manyRejected, _ := measureHints(0.9)
+	if manyRejected < 3*fewRejected || distinct < 90 {
+		t.Errorf("mean hint %v with few rejections and %v with many, %d of 100 hints different", fewRejected, manyRejected, distinct)
 	}
 }
 
-// An instance that has a name needs no number: all instances together use every endpoint about equally, the same after
-// a restart, and one endpoint or instance more changes little.
+// Guards against subsets by name that use endpoints unevenly, differ after a restart, or change much when an endpoint
+// is added.
 func TestSubsetByName(t *testing.T) {
-	used := func(name string, servers int, seed uint64) map[EndpointID]bool {
+	subsetOf := func(name string, endpoints int, seed uint64) map[EndpointID]bool {
 		s := testSettings()
 		s.Name, s.Instances = name, 50
 		w := newTestInstance(t, s, seed)
-		w.listReady(servers)
+		w.listReady(endpoints)
 		out := map[EndpointID]bool{}
 		for _, x := range w.b.endpoints {
 			out[x.Endpoint] = true
 		}
 		return out
 	}
-	users, moved := map[EndpointID]int{}, 0
+	users, changed := map[EndpointID]int{}, 0
 	for i := range 200 {
 		name := fmt.Sprint("n", i)
-		mine := used(name, 50, 1)
-		if len(mine) != minSubsetSize || !maps.Equal(mine, used(name, 50, 2)) {
-			t.Fatalf("%s uses %d endpoints, or others after a restart", name, len(mine))
+		subset := subsetOf(name, 50, 1)
+		if len(subset) != minSubsetSize || !maps.Equal(subset, subsetOf(name, 50, 2)) {
+			t.Fatalf("%s uses %d endpoints, or other ones after a restart", name, len(subset))
 		}
-		for id := range mine {
+		for id := range subset {
 			users[id]++
 		}
-		for id := range used(name, 51, 1) {
-			if !mine[id] {
-				moved++
+		for id := range subsetOf(name, 51, 1) {
+			if !subset[id] {
+				changed++
 			}
 		}
 	}
-	for id := range EndpointID(50) { // 32 of 200 on average, and 4 standard deviations to each side
+	for id := range EndpointID(50) { // 32 of 200 instances on average, within 4 standard deviations
 		if n := users[id+1]; n < 32-21 || n > 32+21 {
-			t.Errorf("endpoint %d has %d users", id+1, n)
+			t.Errorf("endpoint %d is used by %d instances", id+1, n)
 		}
 	}
-	if moved > 200 {
-		t.Errorf("one endpoint more moves %d of 1600 choices", moved)
+	if changed > 200 {
+		t.Errorf("one more endpoint changes %d of 1600 choices", changed)
 	}
 }
 
-// A start that is missing, moves back or lies ahead must not make a warming endpoint look warm, nor keep it warming up for ever.
+// Guards against a listed start that is missing, earlier than before or in the future: it must neither make a warming
+// endpoint look warm nor keep it warming up indefinitely.
 func TestImplausibleStartTimes(t *testing.T) {
 	w := newTestInstance(t, testSettings(), 1)
 	entry := Entry{Endpoint: 1, State: Ready, Weight: 1, StartedAt: w.now}
@@ -324,33 +329,34 @@
 	for _, start := range []time.Duration{entry.StartedAt, 0, entry.StartedAt - time.Hour} {
 		entry.StartedAt = start
 		if w.list(ListDelta, entry); !warmingUp() {
-			t.Errorf("a start listed as %v after %v makes it warm", start, w.now)
+			t.Errorf("a listed start of %v after one of %v makes the endpoint warm", start, w.now)
 		}
 	}
 	w.advance(w.b.settings.WarmupDuration)
 	if warmingUp() {
-		t.Error("warming up for longer than stated")
+		t.Error("the endpoint warms up for longer than WarmupDuration")
 	}
 	entry.StartedAt = w.now + time.Hour // a clock that is ahead
 	w.list(ListDelta, entry)
 	if !warmingUp() {
-		t.Error("a new start in the future is taken for none")
+		t.Error("a new start in the future is not counted as a start")
 	}
 	w.advance(w.b.settings.WarmupDuration / 2)
 	w.list(ListDelta, entry)
 	w.advance(w.b.settings.WarmupDuration / 2)
 	if warmingUp() {
-		t.Error("a start in the future keeps it warming up")
+		t.Error("a start in the future makes the endpoint warm up for longer than WarmupDuration")
 	}
-	entry.StartedAt = w.now // and once it is right, another start, though listed as earlier than the last
+	entry.StartedAt = w.now // another start after the clock was corrected, earlier than the last listed start
 	if w.list(ListDelta, entry); !warmingUp() {
-		t.Error("a start is missed after one in the future")
+		t.Error("a start that follows one in the future is not counted as a start")
 	}
 }
 
-// Congestion grows with time, not with answers: an instance that sees few of them must cut as deep in a second.
+// Guards against an instance with few answers that cuts its limit too slowly: congestion grows with time, not with the
+// number of answers.
 func TestLimitCutsGrowWithTime(t *testing.T) {
-	left := func(answers int, every time.Duration) float64 { // late answers for five seconds
+	limitAfter := func(answers int, interval time.Duration) float64 { // the limit after 5 s of late answers
 		w := newTestInstance(t, testSettings(), 1)
 		w.listReady(10)
 		for range int(minBaselineResponses) {
@@ -358,27 +364,28 @@
 		}
 		w.advance(maintenanceInterval)
 		w.b.limit = 1000
-		for range 5 * time.Second / every {
+		for range 5 * time.Second / interval {
 			for range answers {
 				w.b.latencyWindow.add(min(1, 0.39/0.4))
 			}
-			w.advance(every)
+			w.advance(interval)
 		}
 		return w.b.limit
 	}
-	often, seldom := left(100, maintenanceInterval), left(12, 4*maintenanceInterval)
-	if often > 500 || seldom > 500 || seldom > 3*often {
-		t.Errorf("limit 1000 cut to %.0f with many late answers and %.0f with few", often, seldom)
+	manyAnswers, fewAnswers := limitAfter(100, maintenanceInterval), limitAfter(12, 4*maintenanceInterval)
+	if manyAnswers > 500 || fewAnswers > 500 || fewAnswers > 3*manyAnswers {
+		t.Errorf("limit 1000 cut to %.0f with many late answers and %.0f with few", manyAnswers, fewAnswers)
 	}
 }
 
-// Connects that fail while requests succeed are evidence of a full connection table, not of a dead endpoint.
+// Guards against ejecting an endpoint with a full connection table: failed connects are no sign of a crash while the
+// endpoint serves other requests.
 func TestFailedConnectsOfAnsweringEndpoint(t *testing.T) {
 	for _, answers := range []bool{true, false} {
 		w := newTestInstance(t, testSettings(), 1)
 		w.listReady(1)
 		w.serveCalls(60, idempotentClass, func(EndpointID) time.Duration { return 40 * ms })
-		w.advance(20 * time.Second) // long enough for old answers to weigh little
+		w.advance(20 * time.Second) // old answers have little weight after this time
 		w.b.limit = 20
 		before := w.b.limit
 		var ids []int
@@ -398,7 +405,7 @@
 		}
 		ejected := w.b.endpoints[0].ejectionBackoff > 0
 		if ejected == answers {
-			t.Errorf("other requests answered: %v, endpoint ejected: %v", answers, ejected)
+			t.Errorf("another request answered: %v, endpoint ejected: %v", answers, ejected)
 		}
 		if answers && w.b.limit >= before {
 			t.Errorf("limit %.1f, was %.1f before the connects failed", w.b.limit, before)
@@ -406,26 +413,27 @@
 	}
 }
 
-// An instance that starts during congestion sees nothing but late answers. It must not take them for the uncongested
-// state, or its limit would never fall.
+// Guards against an instance that starts during congestion and takes the high latency for its baseline: its limit would
+// never fall.
 func TestStartDuringCongestion(t *testing.T) {
 	w := newTestInstance(t, testSettings(), 1)
 	w.listReady(10)
 	w.b.limit = 100
 	for range 20 {
 		for range int(minBaselineResponses) {
-			w.b.latencyWindow.add(min(1, 0.6*0.4/0.4)) // six tenths of the target latency, all the time
+			w.b.latencyWindow.add(min(1, 0.6*0.4/0.4)) // a constant latency of 0.6 of the target
 		}
 		w.b.limitUse = decayedMean{1000, 1000 * w.b.limit}
 		w.advance(maintenanceInterval)
 	}
 	if w.b.limit > 50 {
-		t.Errorf("limit %.0f after five seconds of late answers, started at 100", w.b.limit)
+		t.Errorf("limit %.0f after 5 s of high latency, started at 100", w.b.limit)
 	}
 }
 
-// A stand-in that is no longer used may still have requests, but gets no new ones.
-func TestNothingNewOutsideSubset(t *testing.T) {
+// Guards against new requests to an endpoint outside the subset that still has pending attempts, such as the
+// replacement of an ejected endpoint that has recovered.
+func TestNoNewRequestsOutsideSubset(t *testing.T) {
 	s := testSettings()
 	s.Instances, s.Rank = 50, 7
 	w := newTestInstance(t, s, 1)
@@ -434,27 +442,27 @@
 	w.b.eject(bad)
 	w.advance(time.Second)
 	w.b.limit = 100
-	for range 40 { // every endpoint, the stand-in too, has some
+	for range 40 { // every endpoint, including the replacement, gets some requests
 		w.request(idempotentClass)
 	}
-	bad.halfOpen, bad.ejectedUntil = false, 0 // its trial went well
+	bad.halfOpen, bad.ejectedUntil = false, 0 // as after a served trial request
 	w.b.rebuildEndpoints()
-	var left *endpointState
+	var outside *endpointState
 	for _, x := range w.b.endpoints {
 		if !x.inSubset {
-			left = x
+			outside = x
 		}
 	}
-	if left == nil || len(left.pending) == 0 {
-		t.Fatal("no endpoint that left and still has requests")
+	if outside == nil || len(outside.pending) == 0 {
+		t.Fatal("no endpoint outside the subset has pending attempts")
 	}
 	n := len(w.sends)
 	for range 60 {
 		w.request(nonIdempotentClass)
 	}
 	for _, a := range w.sends[n:] {
-		if a.Endpoint == left.Endpoint {
-			t.Fatal("a new request went to an endpoint that is no longer used")
+		if a.Endpoint == outside.Endpoint {
+			t.Fatal("a new request was sent to an endpoint outside the subset")
 		}
 	}
 	if len(w.sends) == n {
@@ -462,8 +470,8 @@
 	}
 }
 
-// Room that is not used in the mean is not widened, however quick the answers: it would turn into congestion when
-// something slows.
+// Guards against a limit that grows although it is not used on average: the unused part would turn into congestion when
+// endpoints become slower.
 func TestLimitGrowsWithMeanUse(t *testing.T) {
 	for _, c := range []struct {
 		use   float64
@@ -480,13 +488,13 @@
 			w.advance(maintenanceInterval)
 		}
 		if w.b.limit > before != c.grows {
-			t.Errorf("limit %.0f to %.0f with %.2f of it in use", before, w.b.limit, c.use)
+			t.Errorf("limit changed from %.0f to %.0f with %.2f of it in use", before, w.b.limit, c.use)
 		}
 	}
 }
 
-// The limit is for what the endpoints can do: a list that is empty first must not leave it at nothing, restarts must
-// not leave it higher each time, and lists that come often must not lose what warms up between them.
+// Guards against a limit that does not follow the capacity of the endpoints: an empty first list must not leave it at
+// zero, restarts must not raise it each time, and frequent lists must not prevent its growth while endpoints warm up.
 func TestLimitFollowsCapacity(t *testing.T) {
 	w := newTestInstance(t, testSettings(), 1)
 	var entries []Entry
@@ -501,7 +509,7 @@
 			w.list(ListFull, entries...)
 		}
 		if math.Abs(w.b.limit-12*initialLimit) > 1 {
-			t.Errorf("limit %.1f after %d restarts of all, with nothing learned", w.b.limit, round)
+			t.Errorf("limit %.1f after %d restarts of all endpoints, with nothing learned", w.b.limit, round)
 		}
 		for i := range entries {
 			entries[i].StartedAt = w.now
@@ -509,7 +517,8 @@
 	}
 }
 
-// Where all are ejected, and used all the same, what they answer still has to earn: no part of nothing.
+// Guards against a division by zero when answers earn sends in panic mode, in which all endpoints are ejected but still
+// used.
 func TestWarmupInPanicMode(t *testing.T) {
 	w := newTestInstance(t, testSettings(), 1)
 	for i := range 4 {
@@ -526,8 +535,8 @@
 	for _, endpoint := range w.b.endpoints {
 		for n := 0; ; n++ {
 			if !endpoint.warmup.CanSend(w.now) {
-				if n == 0 || n > 15 { // 6 on average
-					t.Errorf("endpoint %d has %d rights after 20 answers of one of 4", endpoint.Endpoint, n)
+				if n == 0 || n > 15 { // the mean is 6
+					t.Errorf("endpoint %d has a budget of %d sends after 20 answers of one of 4 endpoints", endpoint.Endpoint, n)
 				}
 				break
 			}
@@ -536,29 +545,29 @@
 	}
 }
 
-// TestLimitDebtForgivenAfterCongestion: an instance with a small limit that had more in flight during congestion does not go on rejecting for seconds
-// once answers are quick again; without congestion it makes up for what it had too much.
-func TestLimitDebtForgivenAfterCongestion(t *testing.T) {
+// Guards against an instance with a small limit that goes on rejecting requests for seconds after congestion, because
+// congestion has made its limit credit negative. Without congestion the negative credit is kept.
+func TestNegativeLimitCreditIsClearedAfterCongestion(t *testing.T) {
 	for _, congestion := range []bool{true, false} {
 		s := testSettings()
 		s.Instances = 10
 		w := newTestInstance(t, s, 1)
 		w.listReady(4)
 		w.b.baseline, w.b.baselineKnown, w.b.limit = 0.1, true, 2
-		look := func(taken float64) {
+		adapt := func(latencyShare float64) {
 			for range 2 * int(minLimitResponses) {
-				w.b.latencyWindow.add(taken)
+				w.b.latencyWindow.add(latencyShare)
 			}
 			w.b.now += maintenanceInterval
 			w.b.adaptLimit()
 		}
 		if congestion {
-			look(0.9)
+			adapt(0.9)
 		}
 		w.b.limitCredit = -5
-		look(0.1)
-		if forgiven := w.b.limitCredit >= 0; forgiven != congestion {
-			t.Errorf("after congestion: %v, and %.1f is owed", congestion, -w.b.limitCredit)
+		adapt(0.1)
+		if cleared := w.b.limitCredit >= 0; cleared != congestion {
+			t.Errorf("after congestion: %v, and the limit credit is %.1f below zero", congestion, -w.b.limitCredit)
 		}
 	}
 }
