--- a/balance/cached_list_test.go
+++ b/balance/cached_list_test.go
@@ -9,11 +9,11 @@
 // arrival with a retry hint if the next list arrives too late for it, and queued otherwise.
 func TestRequestsBeforeFirstList(t *testing.T) {
 	for _, c := range []struct {
-		name       string
-		expectedIn time.Duration // time until the next list
-		endpoints  int
-		rejected   bool // rejected on arrival
-		minHint    time.Duration
+		name          string
+		expectedIn    time.Duration // time until the next list
+		endpointCount int
+		rejected      bool // rejected on arrival
+		minHint       time.Duration
 	}{
 		{"a list in 300 ms", 300 * ms, 0, true, 300 * ms},
 		{"a list in a minute", time.Minute, 0, true, 500 * ms}, // MaxRetryAfter
@@ -21,7 +21,7 @@
 		{"endpoints are listed", time.Minute, 1, false, 0},
 	} {
 		w := newTestInstance(t, testSettings(), 1)
-		w.listReady(c.endpoints)
+		w.listReady(c.endpointCount)
 		w.event(Event{Kind: EventListExpected, ExpectedIn: c.expectedIn})
 		id := w.request(idempotentClass)
 		a, isRejected := w.answers[id]
@@ -32,7 +32,7 @@
 			t.Errorf("%s: unexpected answer %+v", c.name, a)
 		}
 		w.advance(2 * time.Second)
-		if c.endpoints == 0 && w.answerCounts[id] != 1 {
+		if c.endpointCount == 0 && w.answerCounts[id] != 1 {
 			t.Errorf("%s: %d answers", c.name, w.answerCounts[id])
 		}
 	}
--- a/balance/reconfigure_test.go
+++ b/balance/reconfigure_test.go
@@ -109,12 +109,12 @@
 // share the trickle to warming endpoints, and the remaining process must have the whole limit again.
 func TestProcessesShareLimit(t *testing.T) {
 	w := learnedInstance(t, 1)
-	limit, instancesPerEndpoint := w.b.limit, w.b.instancesPerEndpoint
+	limit, previousInstances := w.b.limit, w.b.instancesPerEndpoint
 	settings := testSettings()
 	settings.Processes = 2
 	w.event(Event{Kind: EventSettings, Settings: &settings})
-	if w.b.limit != limit/2 || w.b.instancesPerEndpoint != 2*instancesPerEndpoint {
-		t.Errorf("with two processes the limit is %v, was %v, and processes per endpoint are %v, were %v", w.b.limit, limit, w.b.instancesPerEndpoint, instancesPerEndpoint)
+	if w.b.limit != limit/2 || w.b.instancesPerEndpoint != 2*previousInstances {
+		t.Errorf("with two processes the limit is %v, was %v, and processes per endpoint are %v, were %v", w.b.limit, limit, w.b.instancesPerEndpoint, previousInstances)
 	}
 	successor := newTestInstance(t, settings, 2)
 	successor.now = w.now
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -21,7 +21,7 @@
 // Guards against uneven load from the choice of subsets: each endpoint of a large fleet must be used by about the same
 // number of instances, also within each kind. In a small fleet every instance uses all endpoints.
 func TestSubsetsCoverEndpointsEvenly(t *testing.T) {
-	for _, c := range []struct{ instances, endpoints, minUsers, maxUsers int }{
+	for _, c := range []struct{ instances, endpointCount, minUsers, maxUsers int }{
 		{1, 10, 1, 1},
 		{2, 17, 2, 2},
 		{10, 15, targetInstancesPerEndpoint - 1, targetInstancesPerEndpoint + 1},
@@ -37,7 +37,7 @@
 			s.Instances, s.Rank, s.Kinds = c.instances, rank, 2
 			w := newTestInstance(t, s, uint64(rank))
 			var entries []Entry
-			for i := range c.endpoints {
+			for i := range c.endpointCount {
 				entries = append(entries, Entry{Endpoint: EndpointID(i * 7), State: Ready, Weight: 1, Kind: min(i%3, 1)})
 			}
 			w.list(ListFull, entries...)
@@ -47,13 +47,13 @@
 				n++
 				other += x.Kind
 			}
-			if part := float64(other) / float64(n); c.endpoints > 30 && (part < 0.55 || part > 0.78) {
-				t.Errorf("%d instances, %d endpoints: %d of %d endpoints in use are of kind 1, want two thirds", c.instances, c.endpoints, other, n)
+			if part := float64(other) / float64(n); c.endpointCount > 30 && (part < 0.55 || part > 0.78) {
+				t.Errorf("%d instances, %d endpoints: %d of %d endpoints in use are of kind 1, want two thirds", c.instances, c.endpointCount, other, n)
 			}
 		}
-		for i := range c.endpoints {
+		for i := range c.endpointCount {
 			if u := users[EndpointID(i*7)]; u < c.minUsers || u > c.maxUsers {
-				t.Errorf("%d instances, %d endpoints: an endpoint is used by %d instances, want %d to %d", c.instances, c.endpoints, u, c.minUsers, c.maxUsers)
+				t.Errorf("%d instances, %d endpoints: an endpoint is used by %d instances, want %d to %d", c.instances, c.endpointCount, u, c.minUsers, c.maxUsers)
 			}
 		}
 	}
@@ -109,13 +109,13 @@
 // Guards against an initial or minimum limit per instance that is not divided by the number of instances: a hundred
 // instances with a minimum of two requests per endpoint each would accept any overload.
 func TestLimitIsDividedByInstances(t *testing.T) {
-	for _, c := range []struct{ instances, endpoints int }{{1, 10}, {10, 15}, {100, 60}, {130, 70}} {
+	for _, c := range []struct{ instances, endpointCount int }{{1, 10}, {10, 15}, {100, 60}, {130, 70}} {
 		s := testSettings()
 		s.Instances = c.instances
 		w := newTestInstance(t, s, 1)
-		w.listReady(c.endpoints)
-		if total := w.b.limit * float64(c.instances); total > max(float64(c.instances), initialLimit*float64(c.endpoints))+0.01 {
-			t.Errorf("%d instances, %d endpoints: the initial limits of all instances add up to %.0f", c.instances, c.endpoints, total)
+		w.listReady(c.endpointCount)
+		if total := w.b.limit * float64(c.instances); total > max(float64(c.instances), initialLimit*float64(c.endpointCount))+0.01 {
+			t.Errorf("%d instances, %d endpoints: the initial limits of all instances add up to %.0f", c.instances, c.endpointCount, total)
 		}
 		for range int(minBaselineResponses) { // a few fast answers, then only late ones
 			w.b.latencyWindow.add(min(1, 0.05/0.4))
@@ -127,8 +127,8 @@
 			}
 			w.advance(maintenanceInterval)
 		}
-		if total := w.b.limit * float64(c.instances); total > max(float64(c.instances), minLimit*float64(c.endpoints))+0.01 {
-			t.Errorf("%d instances, %d endpoints: the limits of all instances still add up to %.0f after late answers", c.instances, c.endpoints, total)
+		if total := w.b.limit * float64(c.instances); total > max(float64(c.instances), minLimit*float64(c.endpointCount))+0.01 {
+			t.Errorf("%d instances, %d endpoints: the limits of all instances still add up to %.0f after late answers", c.instances, c.endpointCount, total)
 		}
 	}
 }
@@ -282,11 +282,11 @@
 // Guards against subsets by name that use endpoints unevenly, differ after a restart, or change much when an endpoint
 // is added.
 func TestSubsetByName(t *testing.T) {
-	subsetOf := func(name string, endpoints int, seed uint64) map[EndpointID]bool {
+	subsetOf := func(name string, endpointCount int, seed uint64) map[EndpointID]bool {
 		s := testSettings()
 		s.Name, s.Instances = name, 50
 		w := newTestInstance(t, s, seed)
-		w.listReady(endpoints)
+		w.listReady(endpointCount)
 		out := map[EndpointID]bool{}
 		for _, x := range w.b.endpoints {
 			out[x.Endpoint] = true
