--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -45,7 +45,7 @@
 			rejected[tenant]++
 		}
 		w.advance(5 * ms)
-		for j := range w.sends { // each endpoint answers 20 requests a second
+		for j := range w.sends { // each endpoint answers 20 requests per second
 			if w.b.requests[w.sends[j].Request] != nil && w.now-w.sentAt[j] > 100*ms {
 				w.endAttempt(j, OK, 100*ms)
 			}
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -117,7 +117,7 @@
 	case EventFirstByte:
 		b.onFirstByte(ev)
 	case EventClientDisconnected:
-		b.onClientGone(ev)
+		b.onClientDisconnected(ev)
 	case EventMembership:
 		b.onMembership(ev)
 	case EventUploadDone:
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -10,13 +10,13 @@
 // BenchmarkDecision measures the total cost of a request: its arrival, its answer and its share of the ticks, at 1,000
 // requests per second with 50 in flight.
 func BenchmarkDecision(b *testing.B) {
-	for _, hosts := range append(slices.Clone(fleetSizes), 1000, 5000) {
-		b.Run(fmt.Sprint(hosts, "hosts"), func(b *testing.B) {
+	for _, endpointCount := range append(slices.Clone(fleetSizes), 1000, 5000) {
+		b.Run(fmt.Sprint(endpointCount, "hosts"), func(b *testing.B) {
 			bal, err := New(testSettings(), 1)
 			if err != nil {
 				b.Fatal(err)
 			}
-			entries := make([]Entry, hosts)
+			entries := make([]Entry, endpointCount)
 			for i := range entries {
 				entries[i] = Entry{Endpoint: EndpointID(i + 1), State: Ready, Weight: 1}
 			}
@@ -48,14 +48,14 @@
 var fleetSizes = []int{12, 106, 212, 425, 850, 1700}
 
 // newListedBalancer returns an instance with a list of the given number of endpoints, and that list.
-func newListedBalancer(b *testing.B, hosts int) (*Balancer, []Entry) {
+func newListedBalancer(b *testing.B, endpointCount int) (*Balancer, []Entry) {
 	s := testSettings()
-	s.Instances = hosts
+	s.Instances = endpointCount
 	bal, err := New(s, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
-	entries := make([]Entry, hosts)
+	entries := make([]Entry, endpointCount)
 	for i := range entries {
 		entries[i] = Entry{Endpoint: EndpointID(i + 1), State: Ready, Weight: 1}
 	}
@@ -75,14 +75,14 @@
 
 // benchmarkMembership restarts one endpoint per iteration and handles the part of the list that sent selects.
 func benchmarkMembership(b *testing.B, kind ListKind, sent func(entries []Entry, restarted int) []Entry) {
-	for _, hosts := range fleetSizes {
-		b.Run(fmt.Sprint(hosts, "hosts"), func(b *testing.B) {
-			bal, entries := newListedBalancer(b, hosts)
+	for _, endpointCount := range fleetSizes {
+		b.Run(fmt.Sprint(endpointCount, "hosts"), func(b *testing.B) {
+			bal, entries := newListedBalancer(b, endpointCount)
 			var out []Action
 			b.ReportAllocs()
 			for i := range b.N {
 				now := time.Hour + time.Duration(i+1)*time.Millisecond
-				restarted := i % hosts
+				restarted := i % endpointCount
 				entries[restarted].StartedAt = now
 				out = bal.Handle(now, &Event{Kind: EventMembership, List: kind, Entries: sent(entries, restarted)}, out[:0])
 			}
--- a/balance/earlier_attempt_test.go
+++ b/balance/earlier_attempt_test.go
@@ -12,13 +12,13 @@
 	all := testSettings()
 	all.Classes[keyedClass].Scope = ScopeAll
 	cases := []struct {
-		name   string
-		set    Settings
-		class  int
-		at     EndpointID
-		ago    time.Duration
-		sentTo []EndpointID
-		answer ActionKind // if it is not sent
+		name            string
+		settings        Settings
+		class           int
+		earlierEndpoint EndpointID
+		age             time.Duration
+		sentTo          []EndpointID
+		answer          ActionKind // if it is not sent
 	}{
 		{"idempotent", testSettings(), idempotentClass, 1, 10 * ms, []EndpointID{1, 2, 3, 4}, 0},
 		{"non-idempotent", testSettings(), nonIdempotentClass, 1, 10 * ms, nil, ActFail},
@@ -32,11 +32,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			seen := map[EndpointID]bool{}
 			for seed := range uint64(40) {
-				w := newTestInstance(t, c.set, seed)
+				w := newTestInstance(t, c.settings, seed)
 				w.listReady(4, 0, 0, 1, 1)
 				w.advance(10 * ms)
 				w.nextID++
-				w.event(Event{Kind: EventRequest, Request: w.nextID, Class: c.class, Remaining: 900 * ms, Endpoint: c.at, EarlierAttemptAt: w.now - c.ago})
+				w.event(Event{Kind: EventRequest, Request: w.nextID, Class: c.class, Remaining: 900 * ms, Endpoint: c.earlierEndpoint, EarlierAttemptAt: w.now - c.age})
 				for i := range w.sends {
 					seen[w.sends[i].Endpoint] = true
 				}
--- a/balance/endpoint.go
+++ b/balance/endpoint.go
@@ -43,7 +43,7 @@
 	weight float64
 }
 
-// group is what endpoints of the same kind and weight have in common.
+// group is the learned state that endpoints of the same kind and weight share.
 type group struct {
 	latency decayedMean // see endpointState.latency
 }
--- a/balance/golden_test.go
+++ b/balance/golden_test.go
@@ -45,7 +45,7 @@
 type goldenRun struct {
 	recordedRun
 	settings Settings
-	requests int // per hundred steps
+	requests int // requests per hundred steps
 	next     RequestID
 }
 
@@ -206,7 +206,7 @@
 					g.handOver(t)
 				}
 				if g.now == time.Hour+25*time.Second {
-					g.now += 200 * ms // the process is not scheduled
+					g.now += 200 * ms // a pause in which the process is not scheduled
 				}
 				g.step(t)
 			}
--- a/balance/hedging.go
+++ b/balance/hedging.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// checkRequest finishes a request that has run out of time, or else hedges it if its attempt is overdue.
+// checkRequest finishes a request that has run out of time or was queued for too long. Otherwise it hedges the request if
+// its attempt is overdue.
 func (b *Balancer) checkRequest(request *requestState) {
 	outOfTime := b.now >= request.usefulUntil-b.responseMargin()
 	queuedTooLong := request.queued && request.openAttempts == 0 && b.now >= request.queueUntil
--- a/balance/learned_state.go
+++ b/balance/learned_state.go
@@ -137,9 +137,9 @@
 	return to
 }
 
-// Restore applies the learned state of another process. The instance must have its membership list and must not have
-// handled requests yet. Invalid values are skipped; valid but misleading values can cost a few requests, but no more
-// than that.
+// Restore applies the learned state of another process, with its Age, at the time now. It is meant for an instance that
+// has its membership list and has learned nothing yet. Invalid values are skipped, so that a wrong value costs a few
+// requests at most.
 func (b *Balancer) Restore(now time.Duration, state *LearnedState) {
 	b.now = now
 	age := max(0, state.Age)
--- a/balance/learned_state_test.go
+++ b/balance/learned_state_test.go
@@ -63,11 +63,11 @@
 		num := rapid.OneOf(rapid.Float64(), rapid.SampledFrom([]float64{0, -1, 1e300, 1e-300, 5}))
 		sample := func() MeanState { return MeanState{num.Draw(rt, "n"), num.Draw(rt, "sum")} }
 		count := func() grey.CountState {
-			return grey.CountState{Attempts: num.Draw(rt, "n"), Failures: num.Draw(rt, "bad")}
+			return grey.CountState{Attempts: num.Draw(rt, "n"), Failures: num.Draw(rt, "failures")}
 		}
-		duration := func() time.Duration { return time.Duration(rapid.Int64().Draw(rt, "span")) }
-		l := &LearnedState{Limit: num.Draw(rt, "limit"), Capacity: num.Draw(rt, "able"), Baseline: num.Draw(rt, "uncrowded"),
-			RetryTokens: num.Draw(rt, "retries"), Responses: sample(), Rejections: sample(),
+		duration := func() time.Duration { return time.Duration(rapid.Int64().Draw(rt, "duration")) }
+		l := &LearnedState{Limit: num.Draw(rt, "limit"), Capacity: num.Draw(rt, "capacity"), Baseline: num.Draw(rt, "baseline"),
+			RetryTokens: num.Draw(rt, "retry tokens"), Responses: sample(), Rejections: sample(),
 			Detector: grey.DetectorState{Hangs: count(), Timeouts: count()}}
 		for range rapid.IntRange(0, 4).Draw(rt, "classes") {
 			l.Classes = append(l.Classes, ClassState{Latency: sample(), BinShares: []float64{num.Draw(rt, "bin"), num.Draw(rt, "bin")},
@@ -77,8 +77,8 @@
 		}
 		for id := range EndpointID(4) {
 			l.Endpoints = append(l.Endpoints, EndpointState{Endpoint: id, StartedAt: duration(), ListedStart: duration(), Latency: sample(), EjectedFor: duration(), EjectionBackoff: duration(),
-				ConsecutiveFailures: rapid.Int().Draw(rt, "fails"), Evidence: grey.HostState{Classes: []grey.CountState{count()}, Hangs: count(), Recent: count(),
-					Suspicion: num.Draw(rt, "suspect")}})
+				ConsecutiveFailures: rapid.Int().Draw(rt, "consecutive failures"), Evidence: grey.HostState{Classes: []grey.CountState{count()}, Hangs: count(), Recent: count(),
+					Suspicion: num.Draw(rt, "suspicion")}})
 		}
 		w := newTestInstance(t, testSettings(), 1)
 		w.listReady(4)
--- a/balance/outcomes.go
+++ b/balance/outcomes.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// onClientGone completes a request whose client has disconnected.
-func (b *Balancer) onClientGone(ev *Event) {
+// onClientDisconnected completes a request whose client has disconnected.
+func (b *Balancer) onClientDisconnected(ev *Event) {
 	if request := b.requests[ev.Request]; request != nil && !request.done {
 		b.complete(request)
 	}
--- a/balance/reconfigure.go
+++ b/balance/reconfigure.go
@@ -4,7 +4,7 @@
 
 // tokenBucket is this instance's share of a tenant's quota.
 type tokenBucket struct {
-	rate   float64 // tokens per second; also the maximum number of saved tokens, if at least 1
+	rate   float64 // tokens per second; the bucket holds up to max(1, rate) tokens
 	tokens float64
 }
 
--- a/balance/reconfigure_test.go
+++ b/balance/reconfigure_test.go
@@ -27,13 +27,13 @@
 			switch rapid.IntRange(0, 6).Draw(rt, "step") {
 			case 0:
 				settings.Classes = slices.Clone(settings.Classes)
-				if len(settings.Classes) < 6 && rapid.Bool().Draw(rt, "appears") {
+				if len(settings.Classes) < 6 && rapid.Bool().Draw(rt, "add class") {
 					settings.Classes = append(settings.Classes, settings.Classes[0])
 				}
-				i := rapid.IntRange(0, len(settings.Classes)-1).Draw(rt, "changes")
-				settings.Classes[i].Idempotency = Idempotency(rapid.IntRange(0, 2).Draw(rt, "effect"))
+				i := rapid.IntRange(0, len(settings.Classes)-1).Draw(rt, "changed class")
+				settings.Classes[i].Idempotency = Idempotency(rapid.IntRange(0, 2).Draw(rt, "idempotency"))
 				settings.Classes[i].DedupWindow = 600 * ms
-				settings.MaxAttempts = rapid.IntRange(1, 4).Draw(rt, "attempts")
+				settings.MaxAttempts = rapid.IntRange(1, 4).Draw(rt, "max attempts")
 				settings.Instances = rapid.IntRange(1, 3).Draw(rt, "instances")
 				changed := settings
 				w.event(Event{Kind: EventSettings, Settings: &changed})
@@ -53,7 +53,7 @@
 					ended++
 				}
 			case 5:
-				w.listReady(rapid.IntRange(1, 5).Draw(rt, "servers"))
+				w.listReady(rapid.IntRange(1, 5).Draw(rt, "endpoints"))
 			case 6:
 				w.advance(ms * 100)
 			}
--- a/balance/sending_test.go
+++ b/balance/sending_test.go
@@ -9,7 +9,7 @@
 func TestOneFinalAnswerInTime(t *testing.T) {
 	s := testSettings()
 	for i := range s.Classes {
-		s.Classes[i].LateValue = 0.5 // of value up to the deadline itself
+		s.Classes[i].LateValue = 0.5 // an answer has half of its value until the deadline
 	}
 	for _, class := range []int{idempotentClass, keyedClass, nonIdempotentClass} {
 		for _, n := range []int{0, 1, 3} {
--- a/balance/settings.go
+++ b/balance/settings.go
@@ -44,7 +44,7 @@
 	Quota float64 // requests per second, over all instances, that have the full value; 0 is no quota
 }
 
-// Prices are the points by which each cost lowers the result, multiplied by its share or rate.
+// Prices are the points by which each cost lowers the score, per unit of its share or rate.
 type Prices struct{ Waste, Handshake, Probe, Peer, LateFail, CrossZone float64 }
 
 // LoadField identifies a value of a load report.
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -25,7 +25,7 @@
 		{1, 10, 1, 1},
 		{2, 17, 2, 2},
 		{10, 15, targetInstancesPerEndpoint - 1, targetInstancesPerEndpoint + 1},
-		{13, 16, 6, 7}, // as the platform's large fleet: subsets by name gave 2 to 10, so that some endpoints were congested and others idle
+		{13, 16, 6, 7}, // the large fleet: subsets by name gave 2 to 10, so that some endpoints were congested and others idle
 		{75, 84, targetInstancesPerEndpoint - 1, targetInstancesPerEndpoint + 2},
 		{84, 168, targetInstancesPerEndpoint - 1, targetInstancesPerEndpoint + 1},
 		{168, 147, targetInstancesPerEndpoint, targetInstancesPerEndpoint + 4},
--- a/balance/warmup.go
+++ b/balance/warmup.go
@@ -50,7 +50,7 @@
 // package warmup. Only healthy endpoints count in the group's capacity: an endpoint that is down or hangs would take a
 // share of the sends without using it.
 func (b *Balancer) earnWarmupSends(from *endpointState) {
-	if b.warmupConfig.InitialShare < 1 && b.capacity == float64(len(b.readyEndpoints)) { // none is warming up
+	if b.warmupConfig.InitialShare < 1 && b.capacity == float64(len(b.readyEndpoints)) { // no endpoint is warming up
 		return
 	}
 	groupCapacity := 0.0
