--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -36,7 +36,7 @@
 
 	// The subset and the endpoints shared with other instances.
 	instancesPerEndpoint float64 // estimated number of processes that use each endpoint
-	capacity             float64 // last nonzero capacity of the available endpoints, in warm endpoints
+	capacity             float64 // last nonzero capacity of the available endpoints, in warm endpoints; scales the limit
 
 	// The concurrency limit (limit.go).
 	limit               float64     // maximum number of this instance's requests in flight, over all endpoints
--- a/balance/earlier_attempt_test.go
+++ b/balance/earlier_attempt_test.go
@@ -6,8 +6,9 @@
 )
 
 // Guards against a second effect of a request that an earlier process may have sent before it crashed or was replaced.
-// Such a request is only sent to endpoints that recognise it as a duplicate, within the deduplication window. If it
-// can't be sent, it fails rather than being rejected, because a retry by the client is not safe.
+// Unless it is idempotent, such a request is only sent to endpoints that recognise it as a duplicate, within the
+// deduplication window. If it can't be sent, it fails rather than being rejected, because a retry by the client is
+// not safe.
 func TestEarlierAttempt(t *testing.T) {
 	all := testSettings()
 	all.Classes[keyedClass].Scope = ScopeAll
--- a/balance/endpoint.go
+++ b/balance/endpoint.go
@@ -18,7 +18,7 @@
 	listedStart time.Duration // Entry.StartedAt as listed by discovery
 
 	pending        []pendingAttempt // open attempts, in order of sending
-	inFlight       int              // pending attempts that likely don't hang, updated since the last assessment
+	inFlight       int              // pending attempts that likely don't hang: counted at each assessment, updated in between
 	unhealthy      bool             // at the last assessment; its requests in flight are not in Balancer.inFlight
 	latency        decayedMean      // latencies of served attempts, in seconds, scaled to the mean class
 	overdueLatency decayedMean      // scaled ages of pending attempts that exceed the mean latency, in seconds
--- a/balance/hedging.go
+++ b/balance/hedging.go
@@ -49,7 +49,7 @@
 
 // hedgeWorthwhile reports whether a hedge of an overdue attempt is likely to be answered in time and takes no capacity
 // from other requests. Where all latencies are high, an overdue attempt is no sign of a fault, and hedges would only
-// add load. Where requests are being rejected, a hedge would take the capacity of another request.
+// make answers slower. Where requests are being rejected, a hedge would take the capacity of another request.
 func (b *Balancer) hedgeWorthwhile(class *classState) bool {
 	return b.rejections.mean(0, 0) <= scarcityShare &&
 		float64(b.overdueAfter(class))+hedgeLatencies*float64(b.classLatency(class)) < float64(class.TargetLatency)
--- a/balance/limit.go
+++ b/balance/limit.go
@@ -101,8 +101,9 @@
 	return low + baselineRise*(x-low)
 }
 
-// instanceShare converts a number of requests per endpoint, over all instances, to the equal share of this instance
-// over all endpoints. An endpoint that is warming up counts by its capacity. The result may be below 1.
+// instanceShare multiplies a number of requests per endpoint by the number of endpoints, of which one that is warming up
+// counts by its capacity, and divides the product equally among the processes of all instances. The result may be below
+// 1.
 func (b *Balancer) instanceShare(perEndpoint float64) float64 {
 	return max(0.01, perEndpoint*b.capacity/b.settings.processCount())
 }
--- a/balance/pending.go
+++ b/balance/pending.go
@@ -65,7 +65,7 @@
 			endpoint.pending[i].overtakenBy++
 		}
 	}
-	if request.uploading { // the endpoint could not answer an incomplete request yet
+	if request.uploading { // the attempt's time has not started: the endpoint has not received the whole request
 		ended.sentAt = b.now
 	}
 	if !ended.likelyHung() {
--- a/balance/settings.go
+++ b/balance/settings.go
@@ -11,7 +11,7 @@
 // The kinds of idempotency.
 const (
 	Idempotent      Idempotency = iota // a request may run any number of times
-	IdempotentByKey                    // the endpoints of a Scope drop requests with the same key for Class.DedupWindow
+	IdempotentByKey                    // the endpoints of a Scope drop duplicates with the same key for Class.DedupWindow
 	NonIdempotent                      // a request must not run twice
 )
 
@@ -71,7 +71,7 @@
 	Kinds           int    // number of endpoint kinds
 	Classes         []Class
 	Tenants         []Tenant
-	OverQuotaValue  float64 // factor for the priority of a request over its tenant's quota, 0 to 1
+	OverQuotaValue  float64 // fraction of its value, 0 to 1, that a request over its tenant's quota has
 	ValueByWork     bool    // values are per unit of work
 	// PropagatesDeadline says that calls carry the remaining time of their caller.
 	PropagatesDeadline bool
--- a/balance/solve.go
+++ b/balance/solve.go
@@ -53,7 +53,8 @@
 	}
 	n := float64(len(b.endpoints))
 	curves := b.fitCurves(b.sumShares(weights))
-	for _, row := range b.rows { // equal shares: a recovered endpoint must regain its share even where the payoff is flat
+	// Starts from equal shares: otherwise a recovered endpoint would stay out of use where all payoffs are equal.
+	for _, row := range b.rows {
 		for i := range row {
 			row[i] = 1 / n
 		}
--- a/balance/tunables.go
+++ b/balance/tunables.go
@@ -9,7 +9,7 @@
 	maintenanceInterval = 250 * time.Millisecond // between decays and checks of the learned state
 	decaySeconds        = 5.0                    // time in which the weight of an observation falls to 1/e
 	binRefreshInterval  = 10 * time.Second       // between refreshes of the distribution over the bins
-	pauseTicks          = 5                      // intervals by which a tick is late after a pause of this process
+	pauseTicks          = 5                      // tick intervals; a tick that is later was delayed by a pause of this process
 )
 
 // Routing weights.
@@ -53,7 +53,7 @@
 	maxCongestionShare     = 0.5
 	initialCongestionShare = 0.3  // replaces maxCongestionShare until Balancer.baselineKnown
 	congestionEndShare     = 0.75 // fraction of the threshold below which congestion has ended
-	minTestedUse           = 0.7  // mean use of the limit, as a fraction, from which it may grow; short peaks don't count
+	minTestedUse           = 0.7  // fraction of the limit used on average from which it may grow; requests in short peaks can wait
 	maxGrowthIntervals     = 4.0  // maximum number of maintenance intervals for which the limit grows at once
 	limitGrowth            = 0.05 // relative growth per maintenance interval after the first cut
 	initialLimitGrowth     = 1.25 // growth factor per maintenance interval before the first cut
--- a/balance/warmup.go
+++ b/balance/warmup.go
@@ -18,8 +18,8 @@
 	return endpoint.StartedAt > 0 && b.now < endpoint.StartedAt+b.settings.WarmupDuration
 }
 
-// trickleRate is the rate, in sends per second, at which an endpoint that is warming up gets requests before any
-// endpoint of its group has answered.
+// trickleRate is the rate, in sends per second, at which an endpoint that is warming up gets sends that no answer of its
+// group has earned.
 func (b *Balancer) trickleRate(endpoint *endpointState) float64 {
 	rate := b.warmupConfig.TrickleRate(b.uptime(endpoint), b.instancesPerEndpoint)
 	if endpoint.Cached {
