--- a/internal/fleet/membership/detector.go
+++ b/internal/fleet/membership/detector.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// Failure detection: each router sends heartbeats to its successors on the ring, and monitors its predecessors.
+// Failure detection: each router sends heartbeats to its successors on the ring and monitors its predecessors.
 
-// Timing holds the intervals of the failure detector.
+// Timing holds the intervals and time-outs of the failure detector.
 type Timing struct {
 	HeartbeatInterval time.Duration // between a router's heartbeats
-	FailureTimeout    time.Duration // without a message, after which a monitor declares a router dead
-	TombstoneTTL      time.Duration // after which a member that is dead or has left is forgotten
+	FailureTimeout    time.Duration // time without a message after which a monitor declares a router dead
+	TombstoneTTL      time.Duration // time after which a member that is dead or has left is removed from the list
 }
 
-// DefaultTiming declares a silent router dead in some three seconds.
+// DefaultTiming returns the default timing. A router that sends no messages is declared dead after about three seconds.
 func DefaultTiming() Timing {
 	return Timing{HeartbeatInterval: time.Second, FailureTimeout: 3200 * time.Millisecond, TombstoneTTL: 60 * time.Second}
 }
 
-// monitorsPerMember is how many routers monitor each member.
+// monitorsPerMember is the number of routers that monitor each member.
 const monitorsPerMember = 2
 
-// A member is probed from probeLeadTime before the time-out on. Routers whose views of the ring differ would otherwise wait for
-// heartbeats that are sent to other routers.
+// Probing of a member starts probeLeadTime before its time-out and is repeated every probeInterval. Without probes, a router
+// would declare a live member dead that sends its heartbeats to other routers because its view of the ring differs.
 const (
 	probeLeadTime = 1200 * time.Millisecond
 	probeInterval = 300 * time.Millisecond
 )
 
-// Two ticks further apart than FailureTimeout/pauseDivisor mean that this router itself was paused: all members then get another
-// complete time-out.
+// pauseDivisor determines the time between two ticks, FailureTimeout/pauseDivisor, above which this router itself is assumed to
+// have been paused. The time-outs of all monitored members are then restarted.
 const pauseDivisor = 3
 
-// TickResult is what has to be done after a tick.
+// TickResult lists the actions that the caller has to take after a tick.
 type TickResult struct {
-	Heartbeats []string // addresses that a heartbeat is due to
-	Probes     []string // addresses that a reply is wanted from
+	Heartbeats []string // addresses to which a heartbeat is to be sent
+	Probes     []string // addresses to which a probe is to be sent: a heartbeat that requests a reply
 	Dead       []Member // members that have just been declared dead
 }
 
@@ -55,7 +55,7 @@
 	return result
 }
 
-// purge forgets members that ended long ago.
+// purge removes members that were declared dead or left longer than TombstoneTTL ago.
 func (l *List) purge(now time.Duration) {
 	for address, e := range l.members {
 		if e.Status != Alive && address != l.self.Address && now-e.endedAt > l.timing.TombstoneTTL {
@@ -64,7 +64,7 @@
 	}
 }
 
-// checkLiveness declares a member dead, or has it probed, where its last message lies too long back.
+// checkLiveness declares a member dead, or requests a probe of it, depending on the time since its last message.
 func (l *List) checkLiveness(now time.Duration, e *entry, result *TickResult) {
 	elapsed := now - e.lastContact
 	switch {
@@ -78,8 +78,8 @@
 	}
 }
 
-// refreshMonitored works out whom this router monitors. Members that it did not monitor until now get a complete time-out, and so
-// do all after a pause of this router itself.
+// refreshMonitored updates the set of members that this router monitors. The time-out starts anew for members that it did not
+// monitor before, and for all members after a pause of this router itself.
 func (l *List) refreshMonitored(now time.Duration) {
 	paused := now-l.lastTick > l.timing.FailureTimeout/pauseDivisor
 	l.lastTick = now
@@ -93,13 +93,14 @@
 	l.monitored = monitored
 }
 
-// successors are this router's monitors: those that follow it on the ring.
+// successors returns the addresses of this router's monitors: the members that follow it on the ring.
 func (l *List) successors() []string { return l.neighbours(1) }
 
-// predecessors are the members that this router monitors: those before it on the ring.
+// predecessors returns the addresses of the members that this router monitors: those that precede it on the ring.
 func (l *List) predecessors() []string { return l.neighbours(-1) }
 
-// neighbours are the members next to this router on the ring, the nearest first: with direction 1 after it, with -1 before it.
+// neighbours returns the addresses of the monitorsPerMember members next to this router on the ring, the nearest first.
+// direction is 1 for those that follow it and -1 for those that precede it.
 func (l *List) neighbours(direction int) []string {
 	self := slices.Index(l.ring, l.self.Address)
 	if self < 0 {
--- a/internal/fleet/membership/list.go
+++ b/internal/fleet/membership/list.go
@@ -1,12 +1,14 @@
-// Package membership keeps the list of a fleet's routers and detects their failures. Each router sends heartbeats to the few
-// that follow it on a ring of hashed addresses; those declare it dead when nothing comes, and a router that receives such a
-// report of itself refutes it with a higher incarnation (SWIM: A. Das, I. Gupta, A. Motivala, 2002).
+// Package membership maintains the list of a fleet's routers and detects their failures. Each router sends heartbeats to the
+// monitorsPerMember routers that follow it on a ring of hashed addresses. These declare it dead when no heartbeats arrive, and a
+// router that receives a report of its own death refutes the report with a higher incarnation (SWIM: A. Das, I. Gupta,
+// A. Motivala, 2002).
 //
-// The package is pure: it does no I/O and reads no clock. The dissemination package calls it and carries reports between
+// The package is pure: it does no I/O and reads no clock. The dissemination package calls it and transfers reports between
 // routers. Times are durations since the router's start.
 //
-// Invariants: the ring holds exactly the members that are alive, in the order of their positions; a report replaces another of the
-// same member only with a higher incarnation, or with a later status of the same one; only a member itself raises its incarnation.
+// Invariants: the ring holds exactly the members that are alive, in the order of their positions; a report supersedes another
+// report of the same member only with a higher incarnation, or with a later status and the same incarnation; only the member
+// itself raises its incarnation.
 package membership
 
 import (
@@ -18,26 +20,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// List is one router's knowledge of all routers. Its methods are not safe for concurrent use.
+// List is the list of all routers as one router knows it. Its methods are not safe for concurrent use.
 type List struct {
 	timing        Timing
 	self          Member
-	members       map[string]*entry // by address, this router included
+	members       map[string]*entry // by address, including this router
 	ring          []string          // addresses of the members that are alive, by position
 	nextHeartbeat time.Duration
 	lastTick      time.Duration
-	monitored     map[string]bool // as of the last tick
+	monitored     map[string]bool // addresses of the members that this router monitors, as of the last tick
 }
 
+// entry is a member together with this router's state for it.
 type entry struct {
 	Member
 	position    uint64        // on the ring
-	lastContact time.Duration // last message, or when the member became known or was last reported alive
+	lastContact time.Duration // time of the last message, of the first report, or of the last report that it is alive
 	lastProbe   time.Duration
-	endedAt     time.Duration // when it was declared dead or left
+	endedAt     time.Duration // when the member was declared dead or left
 }
 
-// New returns the list of a router that knows only itself.
+// New returns the list of a router that knows no other routers.
 func New(now time.Duration, self Member, timing Timing) *List {
 	self.Incarnation, self.Status = 1, Alive
 	l := &List{timing: timing, self: self, members: map[string]*entry{}, lastTick: now}
@@ -45,17 +48,17 @@
 	return l
 }
 
-// Self returns this router as it describes itself to others.
+// Self returns this router's report of itself.
 func (l *List) Self() Member { return l.self }
 
-// add adds a member that was not known.
+// add adds a member that is not in the list.
 func (l *List) add(now time.Duration, m Member) {
 	e := &entry{Member: m, position: xxhash.Sum64String(m.Address), lastContact: now}
 	l.members[m.Address] = e
 	l.updateRing(e)
 }
 
-// updateRing inserts a member into the ring or removes it, after its status has changed.
+// updateRing adds a member to the ring or removes it from the ring, according to its status.
 func (l *List) updateRing(e *entry) {
 	i, found := slices.BinarySearchFunc(l.ring, e, func(address string, e *entry) int {
 		return cmp.Or(cmp.Compare(l.members[address].position, e.position), strings.Compare(address, e.Address))
@@ -68,8 +71,8 @@
 	}
 }
 
-// Merge applies other routers' reports and returns those that were new, to be forwarded. Where a report says that this router is
-// dead, or describes an earlier process of it, the refutation is among them.
+// Merge applies other routers' reports and returns the new ones, which are to be forwarded. If a report declares this router
+// dead or describes an earlier process of it, the returned reports include a refutation.
 func (l *List) Merge(now time.Duration, reports []Member) []Member {
 	var changed []Member
 	for _, report := range reports {
@@ -86,12 +89,12 @@
 	return changed
 }
 
-// apply applies a report of another router; it returns false where the report was not new.
+// apply applies a report of another router. It returns false if the report is not new.
 func (l *List) apply(now time.Duration, report Member) bool {
 	known := l.members[report.Address]
 	if known == nil {
 		if report.Status != Alive {
-			return false // its tombstone has been purged already
+			return false // the member has been purged already
 		}
 		l.add(now, report)
 		return true
@@ -109,8 +112,8 @@
 	return true
 }
 
-// refute raises this router's incarnation above that of a report that does not describe it as it is. It returns false where
-// others will reject the report anyway, or the report is true.
+// refute raises this router's incarnation above that of a wrong report of this router. It returns false if the report is
+// accurate, or other routers reject it because of its lower incarnation.
 func (l *List) refute(report *Member) bool {
 	accurate := report.BootID == l.self.BootID && report.Status == l.self.Status
 	if report.Incarnation < l.self.Incarnation || accurate && report.Incarnation == l.self.Incarnation {
@@ -121,7 +124,7 @@
 	return true
 }
 
-// Leave marks this router as left and returns the report to be sent.
+// Leave sets this router's status to Left and returns the report to be sent.
 func (l *List) Leave() Member {
 	l.self.Status = Left
 	own := l.members[l.self.Address]
@@ -130,14 +133,14 @@
 	return l.self
 }
 
-// RecordContact records that a message of a router has been received.
+// RecordContact records that a message from a router has been received.
 func (l *List) RecordContact(now time.Duration, address string) {
 	if e := l.members[address]; e != nil {
 		e.lastContact = now
 	}
 }
 
-// All returns the reports of all members, this router included, ordered by address.
+// All returns the reports of all members, including this router, ordered by address.
 func (l *List) All() []Member {
 	all := make([]Member, 0, len(l.members))
 	for _, e := range l.members {
@@ -147,7 +150,7 @@
 	return all
 }
 
-// Lookup returns what is known of the member with an internal address.
+// Lookup returns the current report of the member with the given internal address.
 func (l *List) Lookup(address string) (Member, bool) {
 	e := l.members[address]
 	if e == nil {
@@ -156,7 +159,7 @@
 	return e.Member, true
 }
 
-// EndedAt returns when a member was declared dead or left; ok is false where it is alive or not known.
+// EndedAt returns when a member was declared dead or left. ok is false if the member is alive or unknown.
 func (l *List) EndedAt(address string) (at time.Duration, ok bool) {
 	e := l.members[address]
 	if e == nil || e.Status == Alive {
@@ -165,7 +168,7 @@
 	return e.endedAt, true
 }
 
-// LiveAddresses returns the addresses of the other members that are alive, in the ring's order.
+// LiveAddresses returns the addresses of the live members except this router, in ring order.
 func (l *List) LiveAddresses() []string {
 	others := make([]string, 0, len(l.ring))
 	for _, address := range l.ring {
@@ -176,7 +179,7 @@
 	return others
 }
 
-// LiveMembers returns the other members that are alive, in the ring's order.
+// LiveMembers returns the live members except this router, in ring order.
 func (l *List) LiveMembers() []Member {
 	others := make([]Member, 0, len(l.ring))
 	for _, address := range l.ring {
@@ -187,7 +190,8 @@
 	return others
 }
 
-// CoreAddresses returns the addresses of the other members that count for the quorum and have not left, in order; they may be dead.
+// CoreAddresses returns the sorted addresses of the members that count for the quorum and have not left, except this router.
+// They include dead members.
 func (l *List) CoreAddresses() []string {
 	var cores []string
 	for address, e := range l.members {
@@ -199,5 +203,5 @@
 	return cores
 }
 
-// LiveCount returns how many members are alive, this router included.
+// LiveCount returns the number of live members, including this router.
 func (l *List) LiveCount() int { return max(1, len(l.ring)) }
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -12,12 +12,12 @@
 	return Member{Address: fmt.Sprintf("10.0.0.%d:1", i), Zone: "z", BootID: uint64(i)}
 }
 
-// fleet is a number of lists whose heartbeats and reports arrive at once, except from and to routers that are down.
+// fleet is a set of lists whose heartbeats and reports arrive without delay, except from and to routers that are down.
 type fleet struct {
 	now         time.Duration
 	lists       map[string]*List
 	down        map[string]bool
-	unreachable map[string]bool // heartbeats to them are lost
+	unreachable map[string]bool // routers to which heartbeats are lost
 }
 
 func newFleet(size int) *fleet {
@@ -31,21 +31,23 @@
 	return f
 }
 
+// distribute delivers reports to all routers, and their refutations as well.
 func (f *fleet) distribute(reports []Member) {
 	for address, l := range f.lists {
 		if f.down[address] {
 			continue
 		}
-		if answers := l.Merge(f.now, reports); len(answers) > 0 {
-			for _, answer := range answers {
-				if answer.Address == address {
-					f.distribute([]Member{answer})
+		if forwarded := l.Merge(f.now, reports); len(forwarded) > 0 {
+			for _, report := range forwarded {
+				if report.Address == address {
+					f.distribute([]Member{report})
 				}
 			}
 		}
 	}
 }
 
+// run advances the time in steps of 100 ms and delivers heartbeats, probes and reports.
 func (f *fleet) run(span time.Duration) {
 	for end := f.now + span; f.now < end; {
 		f.now += 100 * time.Millisecond
@@ -79,11 +81,11 @@
 		for _, l := range f.lists {
 			So(l.Digests(), ShouldEqual, digest)
 		}
-		Convey("detect a failed one within five seconds, and all know", func() {
+		Convey("detect a failed router within five seconds", func() {
 			f.down[member(5).Address] = true
 			f.run(5 * time.Second)
 			So(observer.LiveCount(), ShouldEqual, 11)
-			Convey("and it refutes the report when it receives it", func() {
+			Convey("and the router refutes the report of its death when it receives it", func() {
 				f.down[member(5).Address] = false
 				recovered := f.lists[member(5).Address]
 				dead, _ := observer.Lookup(member(5).Address)
@@ -92,7 +94,7 @@
 				So(observer.LiveCount(), ShouldEqual, 12)
 			})
 		})
-		Convey("replace a former process of a router by a new one", func() {
+		Convey("replace an earlier process of a router by a new one", func() {
 			restarted := member(5)
 			restarted.BootID = 999
 			l := New(f.now, restarted, DefaultTiming())
@@ -101,7 +103,7 @@
 			So(len(changed), ShouldEqual, 1)
 			So(changed[0].Incarnation, ShouldBeGreaterThan, old.Incarnation)
 		})
-		Convey("are not declared dead by one that was paused itself", func() {
+		Convey("are not declared dead by a router that was paused itself", func() {
 			paused := member(7).Address
 			f.down[paused] = true
 			f.run(2 * time.Second)
@@ -109,12 +111,12 @@
 			f.down[paused] = false
 			So(f.lists[paused].Tick(f.now).Dead, ShouldBeEmpty)
 		})
-		Convey("declare nobody dead whose heartbeats go to others, as long as it replies to probes", func() {
+		Convey("do not declare a router dead that replies to probes while its monitors receive no heartbeats", func() {
 			f.unreachable[member(4).Address] = true
 			f.run(20 * time.Second)
 			So(observer.LiveCount(), ShouldEqual, 12)
 		})
-		Convey("probe a failed one a few times, not at each tick", func() {
+		Convey("probe a failed router a few times, not at each tick", func() {
 			f.down[member(5).Address] = true
 			probes := 0
 			for range 60 {
@@ -133,13 +135,13 @@
 			}
 			So(probes, ShouldBeBetweenOrEqual, 2, 2*4)
 		})
-		Convey("forget one that ended long ago", func() {
+		Convey("remove a dead router from the list after the tombstone TTL", func() {
 			f.down[member(5).Address] = true
 			f.run(70 * time.Second)
 			_, known := observer.Lookup(member(5).Address)
 			So(known, ShouldBeFalse)
 		})
-		Convey("know of one that has left", func() {
+		Convey("apply the report of a router that has left", func() {
 			f.distribute([]Member{f.lists[member(2).Address].Leave()})
 			So(observer.LiveCount(), ShouldEqual, 11)
 		})
--- a/internal/fleet/quota/allocator.go
+++ b/internal/fleet/quota/allocator.go
@@ -6,66 +6,69 @@
 	"pinelb.example/pinelb/internal/fleet/config"
 )
 
-// firstView is the number of the first view that a primary leads: no allocator was before it.
+// firstView is the number of the first view that has a primary. No allocator was active before it.
 const firstView = 1
 
-// noRateWait is the wait that is given where a tenant has no rate, so that its bucket never fills.
-const noRateWait = time.Second
+// zeroRateWait is the wait returned for a tenant whose rate is zero, since its bucket never refills.
+const zeroRateWait = time.Second
 
-// Allocator has the token buckets of all tenants, and the leases of shares of their rates. It acts on the primary only.
+// Allocator holds the token buckets of all tenants and leases shares of their rates to routers. Only the primary's allocator
+// is active.
 type Allocator struct {
 	settings     Settings
 	view         uint64
-	activeSince  time.Duration // of an uninterrupted time
-	initialLevel float64       // of buckets, as a part of the allowed overshoot
+	activeSince  time.Duration // start of the current period without interruption
+	initialLevel float64       // level of new buckets, as a fraction of the allowed overshoot
 	buckets      map[string]*bucket
 
-	announced      map[string]bool // routers that have announced their leases of a former allocator
-	allAnnounced   bool            // all that may have some have announced them
-	maxFormerShare float64         // of a rate, that a former allocator may have leased
+	announced        map[string]bool // routers that have announced the leases that a previous allocator granted them
+	allAnnounced     bool            // every router that may hold such leases has announced them
+	maxPreviousShare float64         // maximum share of a rate that a previous allocator may have leased
 }
 
 // bucket is a tenant's token bucket.
 type bucket struct {
-	level     float64 // units; below 0 where more was used than expected
+	level     float64 // units; negative if more were used than expected
 	updatedAt time.Duration
 	leases    map[string]*routerLease // by router
 
-	// unannouncedGain is what the bucket has gained since the allocator started, while it awaits announcements.
-	unannouncedGain float64
+	// accruedWhileAwaiting is the number of units accrued since the allocator started, while it awaits announcements.
+	accruedWhileAwaiting float64
 }
 
-// NewAllocator returns an allocator that acts for no view.
+// NewAllocator returns an allocator that is not active in any view.
 func NewAllocator(settings Settings) *Allocator {
 	return &Allocator{settings: settings, buckets: map[string]*bucket{}, announced: map[string]bool{}}
 }
 
-// View returns the view that the allocator acts for.
+// View returns the number of the view for which the allocator was activated last; 0: none.
 func (a *Allocator) View() uint64 { return a.view }
 
-// Activate has the allocator act for a view. With keep, where this router was the primary of the view before too, it retains its
-// buckets. previousTenure is how long the allocator before this one has acted. If that is short, buckets start with less: so
-// allocators that follow one another within a window start with little more, all together, than one does.
+// Activate makes the allocator active in a view. keep is set if this router was also the primary of the previous view; the
+// buckets are then retained. previousTenure is how long the previous allocator was active. If that is shorter than the window,
+// new buckets start at a lower level, so that several allocators within one window together start with little more than one
+// allocator does.
 func (a *Allocator) Activate(now time.Duration, view uint64, keep bool, previousTenure time.Duration) {
 	if view != a.view && !keep {
 		a.buckets = map[string]*bucket{}
 		a.announced = map[string]bool{}
 		a.allAnnounced = view <= firstView
-		a.maxFormerShare = 1
+		a.maxPreviousShare = 1
 		a.activeSince = now
 		a.initialLevel = initialOvershootShare * min(1, previousTenure.Seconds()/a.settings.Window.Seconds())
 	}
 	a.view = view
 }
 
-// Grant takes up to wanted units out of a tenant's bucket, or none where less than minimum is available. wait is then the time
-// after which minimum will be, if nobody else takes any. A minimum above the bucket's size is never available.
+// Grant takes up to wanted units from a tenant's bucket, or none if fewer than minimum are available. wait is then the time
+// until minimum units are available, provided that no other request takes units meanwhile. A minimum above the bucket's size is
+// never granted.
 func (a *Allocator) Grant(now time.Duration, t *config.Tenant, minimum, wanted float64) (granted float64, wait time.Duration) {
 	b := a.bucket(now, t)
 	available := b.level - b.maxUnreported(now, t) - a.maxUnannouncedUse(now, b)
 	if available < minimum {
 		if t.RatePerS <= 0 {
-			return 0, noRateWait
+			return 0, zeroRateWait
 		}
 		return 0, time.Duration((minimum - available) / t.RatePerS * float64(time.Second))
 	}
@@ -74,7 +77,7 @@
 	return granted, 0
 }
 
-// bucket returns a tenant's bucket as of now.
+// bucket returns a tenant's bucket, updated to now.
 func (a *Allocator) bucket(now time.Duration, t *config.Tenant) *bucket {
 	b := a.buckets[t.Name]
 	if b == nil {
@@ -87,14 +90,14 @@
 	}
 	if end := a.activeSince + LeaseDuration; !a.allAnnounced && b.updatedAt <= end && now > end {
 		a.accrue(end, t, b)
-		b.level -= a.maxUnannouncedUse(end, b) // routers that are cut off may have used it
+		b.level -= a.maxUnannouncedUse(end, b) // routers that are partitioned off may have used these units
 	}
 	a.accrue(now, t, b)
 	b.expireLeases(now, t)
 	return b
 }
 
-// accrue adds a tenant's rate to its bucket until a moment.
+// accrue adds the units that a tenant's rate yields up to the time until to its bucket.
 func (a *Allocator) accrue(until time.Duration, t *config.Tenant, b *bucket) {
 	if until <= b.updatedAt {
 		return
@@ -104,12 +107,13 @@
 	b.updatedAt = until
 	b.clamp(a.settings.bucketSize(t))
 	if a.AwaitsAnnouncements(until) {
-		b.unannouncedGain += max(0, b.level-before)
+		b.accruedWhileAwaiting += max(0, b.level-before)
 	}
 }
 
-// clamp bounds the level by the bucket's size, together with what was written off for expired leases and may be credited
-// again: had it not been written off, the bucket would have overflowed.
+// clamp limits the level to the bucket's size. It also limits the units that were written off for expired leases and may be
+// credited again, so that the level plus these units does not exceed the size: had they not been written off, the bucket would
+// have overflowed.
 func (b *bucket) clamp(size float64) {
 	b.level = min(b.level, size)
 	excess := b.level - size
--- a/internal/fleet/quota/allocator_lease.go
+++ b/internal/fleet/quota/allocator_lease.go
@@ -6,30 +6,30 @@
 	"pinelb.example/pinelb/internal/fleet/config"
 )
 
-// routerLease is the allocator's state of a router's leased share of a tenant's rate.
+// routerLease is the allocator's record of the share of a tenant's rate that a router has leased.
 type routerLease struct {
-	number    uint64        // of the last renewal
-	renewedAt time.Duration // when that came
-	usageRate float64       // the router's recent use in units a second
+	number    uint64        // number of the last renewal
+	renewedAt time.Duration // time of the last renewal
+	usageRate float64       // the router's recent use in units per second
 
-	grantedShare  float64       // that the last renewal was answered with
-	maxShare      float64       // that the router may be using: the granted one, or the one that it reported
-	accruingSince time.Duration // from when on the share may have been used
+	grantedShare  float64       // share granted in the reply to the last renewal
+	maxShare      float64       // maximum share that the router may be using: the granted or the reported one
+	accruingSince time.Duration // time from which the share may have been used
 
-	reported  float64 // units used, as reported with renewals of this number
-	accounted float64 // of them, those used since accruingSince
+	reported  float64 // units used, as reported in renewals with this number
+	accounted float64 // reported units that were used since accruingSince
 
 	expired    bool
-	writtenOff float64 // units that were taken for used when the lease expired
+	writtenOff float64 // unreported units that were charged as used when the lease expired
 }
 
-// maxUnreported returns the units that the router may have used of its share and not reported.
+// maxUnreported returns the units of its share that the router may have used without having reported them.
 func (l *routerLease) maxUnreported(now time.Duration, t *config.Tenant) float64 {
 	until := min(now, l.renewedAt+LeaseDuration)
 	return max(0, l.maxShare*t.RatePerS*(until-l.accruingSince).Seconds()-l.accounted)
 }
 
-// report records the units that a router reports, and returns those that it had not reported before.
+// report records the units that a router reports as used, and returns how many of them it had not reported before.
 func (l *routerLease) report(spent float64) (added float64) {
 	added = max(0, spent-l.reported)
 	l.reported = spent
@@ -37,18 +37,18 @@
 	return added
 }
 
-// restart lets a share accrue from a moment on.
-func (l *routerLease) restart(at time.Duration, share float64) {
+// restartAccrual replaces the leased share by one that accrues from the given time.
+func (l *routerLease) restartAccrual(at time.Duration, share float64) {
 	l.accruingSince, l.maxShare, l.accounted = at, share, 0
 }
 
-// isSameSession reports whether a renewal of that number may come from the process that sent the last one.
+// isSameSession reports whether a renewal with the given number may come from the process that sent the last renewal.
 func (l *routerLease) isSameSession(number uint64) bool {
 	return number >= l.number && number-l.number < maxSessionRenewals
 }
 
-// RenewLease renews a router's lease of a tenant's rate, in a fleet of so many routers, and returns its share of the rate.
-// number is the Renewal's.
+// RenewLease renews a router's lease of a tenant's rate and returns the granted share of the rate. number is the Renewal's
+// Number, routers the number of routers in the fleet.
 func (a *Allocator) RenewLease(now time.Duration, t *config.Tenant, router string, number uint64, routers int, usage Usage) float64 {
 	b := a.bucket(now, t)
 	l := b.leases[router]
@@ -57,21 +57,21 @@
 	case l == nil:
 		l = &routerLease{}
 		b.leases[router] = l
-		a.adoptFormerLease(now, t, b, l, usage)
-	case isRepeat: // the answer to the last renewal was lost: the share in that answer may be in use
+		a.adoptPreviousLease(now, t, b, l, usage)
+	case isRepeat: // the reply to the last renewal was lost; the share that it granted may be in use
 		b.level -= l.report(usage.Spent)
 	case l.isSameSession(number):
 		if number > l.number {
 			l.reported = 0
 		}
 		b.level -= l.report(usage.Spent) - l.writtenOff
-		l.restart(now, usage.Share)
-	default: // another process: what the former one has used is not known
+		l.restartAccrual(now, usage.Share)
+	default: // another process: the use of the previous one is unknown
 		if !l.expired {
 			b.level -= l.maxUnreported(now, t)
 		}
 		l.reported = usage.Spent
-		l.restart(now, 0)
+		l.restartAccrual(now, 0)
 	}
 	b.clamp(a.settings.bucketSize(t))
 	l.number, l.renewedAt, l.usageRate = number, now, usage.RatePerSecond
@@ -83,24 +83,24 @@
 	return l.grantedShare
 }
 
-// adoptFormerLease takes over a share that a former allocator may have leased a router. What was used of it before this
-// allocator started is in the former one's account.
-func (a *Allocator) adoptFormerLease(now time.Duration, t *config.Tenant, b *bucket, l *routerLease, usage Usage) {
+// adoptPreviousLease takes over a share that a previous allocator may have leased to a router. Units that were used before this
+// allocator started count against the previous allocator's bucket.
+func (a *Allocator) adoptPreviousLease(now time.Duration, t *config.Tenant, b *bucket, l *routerLease, usage Usage) {
 	l.reported = usage.Spent
 	if usage.Share <= 0 || !a.AwaitsAnnouncements(now) {
-		l.restart(now, usage.Share)
+		l.restartAccrual(now, usage.Share)
 		return
 	}
-	l.restart(a.activeSince, min(usage.Share, max(0, 1-b.leasedShare(l))))
+	l.restartAccrual(a.activeSince, min(usage.Share, max(0, 1-b.leasedShare(l))))
 	l.accounted = min(usage.Spent, l.maxShare*t.RatePerS*(now-l.accruingSince).Seconds())
 	b.level -= l.accounted
 }
 
-// nextShare returns the share that a lease is renewed with: in proportion to the router's use, as far as the other leases leave
-// that much of the rate.
+// nextShare returns the share to be granted for a renewal. It is proportional to the router's use, and limited to the part of
+// the rate that is not leased to other routers.
 func (a *Allocator) nextShare(now time.Duration, b *bucket, l *routerLease, maxShare float64) float64 {
 	if a.AwaitsAnnouncements(now) {
-		return l.maxShare // the rest may be leased already
+		return l.maxShare // a previous allocator may have leased the rest
 	}
 	sum := 0.0
 	for _, other := range b.leases {
@@ -114,7 +114,7 @@
 	return min(maxShare*l.usageRate/sum, max(0, maxShare-b.leasedShare(l)))
 }
 
-// leasedShare returns the sum of all leased shares but one lease's.
+// leasedShare returns the sum of the shares of all unexpired leases other than except.
 func (b *bucket) leasedShare(except *routerLease) float64 {
 	sum := 0.0
 	for _, l := range b.leases {
@@ -125,7 +125,7 @@
 	return sum
 }
 
-// maxUnreported returns the units that routers may have used of their shares and not reported.
+// maxUnreported returns the units of their shares that routers may have used without having reported them.
 func (b *bucket) maxUnreported(now time.Duration, t *config.Tenant) float64 {
 	sum := 0.0
 	for _, l := range b.leases {
@@ -136,7 +136,8 @@
 	return sum
 }
 
-// expireLeases takes the shares of leases that have expired for used, and forgets old leases.
+// expireLeases charges the unreported units of newly expired leases as used, and deletes leases that were not renewed for
+// expiredLeaseRetention.
 func (b *bucket) expireLeases(now time.Duration, t *config.Tenant) {
 	for router, l := range b.leases {
 		if !l.expired && now-l.renewedAt > LeaseDuration {
--- a/internal/fleet/quota/announcement.go
+++ b/internal/fleet/quota/announcement.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// SetRouters sets the number of routers. A former allocator leased as much as they allow, and a little more.
+// SetRouters sets the number of routers in the fleet. It determines the share of a rate that a previous allocator may have
+// leased: up to fleetSizeTolerance times as much as this allocator leases in a fleet of that size.
 func (a *Allocator) SetRouters(routers int) {
-	a.maxFormerShare = min(1, fleetSizeTolerance*maxLeasedShare(routers))
+	a.maxPreviousShare = min(1, fleetSizeTolerance*maxLeasedShare(routers))
 }
 
-// RecordAnnouncement records that a router has renewed all leases that it has.
+// RecordAnnouncement records that a router has announced its leases by renewing all of them.
 func (a *Allocator) RecordAnnouncement(router string) { a.announced[router] = true }
 
-// ExpectAnnouncements sets which routers may have leases of a former allocator. Once all of them have announced theirs, the
-// allocator awaits no more.
+// ExpectAnnouncements lists the routers that may hold leases of a previous allocator. If all of them have announced their
+// leases, the allocator stops waiting for announcements.
 func (a *Allocator) ExpectAnnouncements(routers []string) {
 	for _, router := range routers {
 		if !a.announced[router] {
@@ -21,16 +22,17 @@
 	a.allAnnounced = true
 }
 
-// AwaitsAnnouncements reports whether routers may use leases of a former allocator that this one does not know.
+// AwaitsAnnouncements reports whether routers may be using leases of a previous allocator that this one does not know.
 func (a *Allocator) AwaitsAnnouncements(now time.Duration) bool {
 	return !a.allAnnounced && now-a.activeSince <= LeaseDuration
 }
 
-// maxUnannouncedUse returns the units that routers may have used of a former allocator's leases that nobody has announced:
-// their part of what the bucket has gained meanwhile. When those leases have expired it is taken for used.
+// maxUnannouncedUse returns the units that routers may have used under unannounced leases of a previous allocator: the maximum
+// share of these leases times the units that the bucket has accrued meanwhile. Once these leases have expired, the bucket is
+// charged for the units.
 func (a *Allocator) maxUnannouncedUse(now time.Duration, b *bucket) float64 {
 	if !a.AwaitsAnnouncements(now) {
 		return 0
 	}
-	return max(0, a.maxFormerShare-b.leasedShare(nil)) * b.unannouncedGain
+	return max(0, a.maxPreviousShare-b.leasedShare(nil)) * b.accruedWhileAwaiting
 }
--- a/internal/fleet/quota/fallback.go
+++ b/internal/fleet/quota/fallback.go
@@ -6,36 +6,39 @@
 	"pinelb.example/pinelb/internal/fleet/config"
 )
 
-// What all routers together may use while they do not reach the allocator. At first it has probably failed, and another one is
-// about to act: nobody uses the rate meanwhile. Later it probably serves the others: a tenth of the routers that is cut off
-// from it for seconds has to stay within the allowed overshoot. A tenant that has been far below its rate for some time gets
-// more at once.
+// Limits on the use of all routers together while they cannot reach the allocator. During earlyFallbackSpan the allocator has
+// probably failed and is about to be replaced, so that no router uses the rate otherwise. Later the allocator is probably
+// serving other routers: if a tenth of the routers is partitioned off from it for seconds, their use has to stay within the
+// allowed overshoot. A tenant whose use was far below its rate for some time gets a larger burst.
 const (
-	earlyFallbackRate  = 0.6 // of the tenant's rate, within earlyFallbackSpan
-	lateFallbackRate   = 0.1 // of the tenant's rate, after it
+	earlyFallbackRate  = 0.6 // fraction of the tenant's rate, during earlyFallbackSpan
+	lateFallbackRate   = 0.1 // fraction of the tenant's rate, after earlyFallbackSpan
 	earlyFallbackSpan  = 1200 * time.Millisecond
-	fallbackBurstShare = 0.1 // of the allowed overshoot of a window, at once
+	fallbackBurstShare = 0.1 // burst, as a fraction of the allowed overshoot of a window
 
-	// fallbackRouterShare is the part of the routers that the fallback rate is computed for, on average. With this figure half
-	// of them may be cut off from an allocator that serves the others: which requests are let through is left to chance.
+	// fallbackRouterShare is the fraction of the routers for which the mean fallback rate is computed. With 0.8, use stays
+	// within the bound if half of the routers are partitioned off from an allocator that serves the others; the difference is
+	// a margin, since requests are admitted at random.
 	fallbackRouterShare = 0.8
 
-	quietThreshold = 0.4  // of its rate: a tenant that seems to use less is quiet
-	quietBurst     = 0.25 // of a second's rate, at once, for a quiet tenant
+	lowUsageThreshold = 0.4  // fraction of its rate below which a tenant's estimated use is low
+	lowUsageBurst     = 0.25 // burst of a tenant with low use, in seconds of its rate
 
-	// fallbackAfterLease is the part of the fallback rate that is left after a lease: leased shares add up to the rate already.
-	fallbackAfterLease = 0.5
+	// fallbackShareAfterLease is the fraction of the fallback rate that applies after a lease, since the leased shares already
+	// add up to the rate.
+	fallbackShareAfterLease = 0.5
 )
 
-// fallbackBucket is a token bucket that is filled at the fallback rate.
+// fallbackBucket is a token bucket that refills at the fallback rate.
 type fallbackBucket struct {
 	level     float64 // units
 	updatedAt time.Duration
 }
 
-// ConsumeFallback takes a request's units out of the fallback rate of one router of so many, which has not reached the
-// allocator for the time unreachable, and reports whether the request may run. One that is larger than the bucket's level is let
-// through at random, so that the mean of what all routers use is right; draw is uniform in [0, 1).
+// ConsumeFallback takes a request's units from this router's part of the fallback rate and reports whether the request is
+// admitted. routers is the number of routers in the fleet, and unreachable the time for which this router has not reached the
+// allocator. A request that is larger than the bucket's level is admitted at random, so that the mean use of all routers
+// matches the fallback rate; draw is a random number, uniform in [0, 1).
 func (q *LocalQuota) ConsumeFallback(now time.Duration, t *config.Tenant, units float64, routers int, unreachable time.Duration, draw float64) bool {
 	local := q.tenant(now, t)
 	routerShare := 1 / float64(max(1, routers))
@@ -44,12 +47,12 @@
 	return local.fallback.consume(now, rate, burst, units, draw)
 }
 
-// ConsumeFallbackAfterLease is ConsumeFallback for a router that had a lease and has no share of the tenant's rate.
+// ConsumeFallbackAfterLease is ConsumeFallback for a router that has had a lease but holds no share of the tenant's rate.
 func (q *LocalQuota) ConsumeFallbackAfterLease(now time.Duration, t *config.Tenant, units float64, routers int, draw float64) bool {
-	return q.ConsumeFallback(now, t, units, int(float64(routers)/fallbackAfterLease), earlyFallbackSpan, draw)
+	return q.ConsumeFallback(now, t, units, int(float64(routers)/fallbackShareAfterLease), earlyFallbackSpan, draw)
 }
 
-// fallbackRate returns a router's rate in units a second.
+// fallbackRate returns a router's fallback rate in units per second.
 func (q *LocalQuota) fallbackRate(t *config.Tenant, routerShare float64, unreachable time.Duration) float64 {
 	rate := lateFallbackRate * t.RatePerS * routerShare
 	if unreachable < earlyFallbackSpan {
@@ -61,28 +64,28 @@
 	return rate
 }
 
-// fallbackBurst returns the units that a router may use at once.
+// fallbackBurst returns the units that a router may use at once: the size of its fallback bucket.
 func (q *LocalQuota) fallbackBurst(local *localTenant, t *config.Tenant, routerShare float64) float64 {
 	burst := fallbackBurstShare * q.settings.overshoot(t) * routerShare
-	if local.steadyRate < quietThreshold*t.RatePerS*routerShare {
-		burst = max(burst, quietBurst*t.RatePerS*routerShare)
+	if local.longTermRate < lowUsageThreshold*t.RatePerS*routerShare {
+		burst = max(burst, lowUsageBurst*t.RatePerS*routerShare)
 	}
 	return burst
 }
 
-// fallbackScale returns the factor for fallback rates by which routers that are cut off stay, in a window, within the part of
-// the overshoot that the allocator's buckets leave.
+// fallbackScale returns the factor applied to fallback rates so that the use of partitioned routers in a window stays within
+// the part of the overshoot that is not reserved for the allocator's buckets.
 func (s Settings) fallbackScale(t *config.Tenant) float64 {
-	used := t.RatePerS * (earlyFallbackRate*earlyFallbackSpan.Seconds() + lateFallbackRate*max(0, s.Window-earlyFallbackSpan).Seconds())
-	if used <= 0 {
+	refill := t.RatePerS * (earlyFallbackRate*earlyFallbackSpan.Seconds() + lateFallbackRate*max(0, s.Window-earlyFallbackSpan).Seconds())
+	if refill <= 0 {
 		return 1
 	}
-	atOnce := max(fallbackBurstShare*s.overshoot(t), quietBurst*t.RatePerS)
-	left := (1-bucketOvershootShare)/fallbackRouterShare*s.overshoot(t) - atOnce
-	return min(1, max(0, left/used))
+	burst := max(fallbackBurstShare*s.overshoot(t), lowUsageBurst*t.RatePerS)
+	remaining := (1-bucketOvershootShare)/fallbackRouterShare*s.overshoot(t) - burst
+	return min(1, max(0, remaining/refill))
 }
 
-// consume refills the bucket and takes units out of it, and reports whether they may be used.
+// consume refills the bucket, takes units from it and reports whether the request is admitted.
 func (b *fallbackBucket) consume(now time.Duration, rate, burst, units, draw float64) bool {
 	b.level = min(b.level+rate*(now-b.updatedAt).Seconds(), burst)
 	b.updatedAt = now
@@ -90,7 +93,7 @@
 		b.level -= units
 		return true
 	}
-	passes := draw*units < b.level
-	b.level = 0 // the draw has used it, whatever came out
-	return passes
+	admitted := draw*units < b.level
+	b.level = 0 // consumed by the draw, even if the request is rejected
+	return admitted
 }
--- a/internal/fleet/quota/lease.go
+++ b/internal/fleet/quota/lease.go
@@ -2,42 +2,45 @@
 
 import "time"
 
-// In addition to granting credit, the allocator leases each router a share of each tenant's rate, in proportion to the router's use. A
-// router that does not reach the allocator, because it is cut off or there is none at present, uses its shares until the lease
-// expires, and reports that use when it renews the lease. Until then the allocator takes a leased share for used from the last
-// renewal on. So grants and leases stay together within one bucket of the tenant's rate, however many routers are cut off. The
-// price is what may have been used since the last renewals: maxUnreportedSpan of the rate at most, while all routers renew.
+// In addition to granting credit, the allocator leases each router a share of each tenant's rate, in proportion to the router's
+// use. A router that cannot reach the allocator, because it is partitioned off or no allocator is active, uses its shares until
+// the lease expires, and reports the use when it renews the lease. Until it does, the allocator counts the leased share as used
+// from the last renewal on. Grants and leases together therefore stay within one bucket of the tenant's rate, no matter how many
+// routers are partitioned off. The cost is that units that may have been used since the last renewals can't be granted: at most
+// the units of maxUnreportedSpan, as long as all routers renew.
 //
-// A new allocator does not know the leases of the former one. Routers announce theirs with their first renewal; as long as one
-// that may have some has not, the rest of the rate counts as leased, for the duration of a lease.
+// A new allocator does not know the leases of the previous one. Routers announce their leases with their first renewal. Until
+// every router that may hold leases has done so, the rest of the rate counts as leased, for at most LeaseDuration.
 
 const (
-	// LeaseDuration is how long a lease may be used after its renewal was sent: a little longer than API keys may be used
-	// without the core, and than a change of primaries takes.
+	// LeaseDuration is how long a lease may be used after its renewal was sent. It is a little longer than the time for which
+	// API keys may be used without the core, and than a change of the primary takes.
 	LeaseDuration = 4500 * time.Millisecond
 
-	// MaxLeaseFleetSize is the largest fleet in which shares are leased. In a larger one leases are renewed so seldom that what
-	// is withheld for them costs more than they bring.
+	// MaxLeaseFleetSize is the maximum number of routers in a fleet with leases. In a larger fleet, leases are renewed so
+	// seldom that the units withheld for them cost more than the leases gain.
 	MaxLeaseFleetSize = 24
 
 	minRenewInterval       = 250 * time.Millisecond
-	renewIntervalPerRouter = 10 * time.Millisecond // so the allocator gets at most a hundred renewals a second
-	maxUnreportedSpan      = 300 * time.Millisecond
-	expiredLeaseRetention  = time.Minute // that an expired lease is remembered, for a router that comes back
+	renewIntervalPerRouter = 10 * time.Millisecond  // limits the allocator's load to 100 renewals per second
+	maxUnreportedSpan      = 300 * time.Millisecond // of a tenant's rate, withheld for unreported use
+	expiredLeaseRetention  = time.Minute            // since its last renewal, for which a lease is kept in case its router reconnects
 
-	// fleetSizeTolerance is the factor by which a former allocator may have leased more, since it knew of fewer routers.
+	// fleetSizeTolerance is the factor by which a previous allocator may have leased more, since it may have known of fewer
+	// routers.
 	fleetSizeTolerance = 1.25
 
-	// maxSessionRenewals is how far the numbers of one session's renewals may lie apart; farther ones are of another session.
+	// maxSessionRenewals bounds the difference between the numbers of two renewals of one session. Renewals whose numbers
+	// differ by as much or more belong to different sessions.
 	maxSessionRenewals = 1 << 20
 )
 
-// RenewInterval returns the time between a router's renewals, in a fleet of so many.
+// RenewInterval returns the time between a router's renewals in a fleet with the given number of routers.
 func RenewInterval(routers int) time.Duration {
 	return max(minRenewInterval, time.Duration(routers)*renewIntervalPerRouter)
 }
 
-// maxLeasedShare returns the part of a rate that is leased, in a fleet of so many routers.
+// maxLeasedShare returns the maximum share of a rate that is leased in a fleet with the given number of routers.
 func maxLeasedShare(routers int) float64 {
 	if routers > MaxLeaseFleetSize {
 		return 0
@@ -45,9 +48,9 @@
 	return min(1, maxUnreportedSpan.Seconds()/RenewInterval(routers).Seconds())
 }
 
-// Usage is what a router reports of a tenant with a renewal.
+// Usage is a router's report of its use of one tenant's quota, sent with a renewal.
 type Usage struct {
-	RatePerSecond float64 // recent use in units a second
+	RatePerSecond float64 // recent use in units per second
 	Share         float64 // leased share of the tenant's rate; 0: none
-	Spent         float64 // units used of the share since the last renewal that was answered
+	Spent         float64 // units of the share used since the last answered renewal
 }
--- a/internal/fleet/quota/lease_test.go
+++ b/internal/fleet/quota/lease_test.go
@@ -12,26 +12,26 @@
 	"pinelb.example/pinelb/internal/fleet/config"
 )
 
-// leasedFleet is an allocator and routers that renew their leases with it, over a network that fails at times.
+// leasedFleet simulates an allocator, and routers that renew their leases over a network with injected faults.
 type leasedFleet struct {
 	now              time.Duration
 	view             uint64
-	activatedAt      time.Duration // the allocator
+	activatedAt      time.Duration // when the allocator was activated
 	allocator        *Allocator    // nil: none is active
 	routers          []*LocalQuota
-	nextRenewal      []time.Duration // when each renews
-	unreachableUntil []time.Duration // until when each can't reach the allocator
-	answersLostUntil []time.Duration // until when answers to each are lost
+	nextRenewal      []time.Duration // time of each router's next renewal
+	unreachableUntil []time.Duration // time until which each router can't reach the allocator
+	repliesLostUntil []time.Duration // time until which replies to each router are lost
 	random           *rand.Rand
 	tenant           *config.Tenant
 
-	withRestarts bool // is among the faults
+	withRestarts bool // restarts of routers are among the faults
 }
 
 func newLeasedFleet(routers int, seed uint64) *leasedFleet {
 	f := &leasedFleet{
 		view: 1, random: rand.New(rand.NewPCG(seed, 8)), nextRenewal: make([]time.Duration, routers),
-		unreachableUntil: make([]time.Duration, routers), answersLostUntil: make([]time.Duration, routers),
+		unreachableUntil: make([]time.Duration, routers), repliesLostUntil: make([]time.Duration, routers),
 	}
 	for i := range routers {
 		q := NewLocalQuota(settings)
@@ -47,7 +47,7 @@
 
 func (f *leasedFleet) name(i int) string { return fmt.Sprint("router-", i) }
 
-// names returns those of all routers.
+// names returns the names of all routers.
 func (f *leasedFleet) names() []string {
 	var all []string
 	for i := range f.routers {
@@ -56,7 +56,7 @@
 	return all
 }
 
-// renewLeases lets each router renew its lease where that is due.
+// renewLeases renews the leases of all routers whose renewal time has come.
 func (f *leasedFleet) renewLeases(t *config.Tenant) {
 	for i, q := range f.routers {
 		if f.now < f.nextRenewal[i] {
@@ -73,17 +73,17 @@
 		}
 		f.allocator.RecordAnnouncement(f.name(i))
 		f.allocator.ExpectAnnouncements(f.names())
-		if f.now >= f.answersLostUntil[i] {
+		if f.now >= f.repliesLostUntil[i] {
 			q.CompleteRenewal(r, shares)
 		}
 	}
 }
 
-// consume sends a request to a router, and reports whether it is let through.
+// consume sends a request to a router and reports whether the request is admitted.
 func (f *leasedFleet) consume(i int, t *config.Tenant, units float64) bool {
 	q := f.routers[i]
 	reachable := f.allocator
-	if f.now < f.unreachableUntil[i] || f.now < f.answersLostUntil[i] {
+	if f.now < f.unreachableUntil[i] || f.now < f.repliesLostUntil[i] {
 		reachable = nil
 	}
 	if charge(f.now, q, reachable, t, units) {
@@ -98,7 +98,7 @@
 	return q.ConsumeFallbackAfterLease(f.now, t, units, len(f.routers), f.random.Float64())
 }
 
-// stopAllocator ends the allocator; another one starts later.
+// stopAllocator stops the allocator. The caller starts another one later.
 func (f *leasedFleet) stopAllocator() { f.allocator = nil }
 
 func (f *leasedFleet) startAllocator() {
@@ -109,11 +109,11 @@
 	f.activatedAt = f.now
 }
 
-// leaseSeeds is how many seeds of each size TestLeasesStayWithinBound plays.
-var leaseSeeds = flag.Int("lease-seeds", 60, "seeds of each size that TestLeasesStayWithinBound plays")
+// leaseSeeds is the number of seeds that TestLeasesStayWithinBound runs for each fleet size.
+var leaseSeeds = flag.Int("lease-seeds", 60, "number of seeds that TestLeasesStayWithinBound runs for each fleet size")
 
-// Guards against use beyond the bound with leases, whoever is cut off, whatever answers are lost, and however often the
-// allocator fails.
+// Guards against use beyond the bound with leases when routers are partitioned off or restart, replies are lost, and allocators
+// fail.
 func TestLeasesStayWithinBound(t *testing.T) {
 	for _, routers := range []int{3, 12, MaxLeaseFleetSize} {
 		t.Run(fmt.Sprint(routers, " routers"), func(t *testing.T) {
@@ -122,15 +122,15 @@
 				f := newLeasedFleet(routers, uint64(seed))
 				t1 := f.tenant
 				f.withRestarts = seed%2 == 1
-				if got, allowed := maxInWindow(f.play(t1, 40*time.Second), settings.Window), allowedInWindow(t1); got > allowed {
-					t.Fatalf("seed %d: %.0f in a window, %.0f are allowed", seed, got, allowed)
+				if got, allowed := maxInWindow(f.simulate(t1, 40*time.Second), settings.Window), allowedInWindow(t1); got > allowed {
+					t.Fatalf("seed %d: %.0f units used in a window, %.0f are allowed", seed, got, allowed)
 				}
 			}
 		})
 	}
 }
 
-// overload sends forty times the rate for a time, evenly, and returns what is let through.
+// overload sends requests for forty times the rate, evenly over the routers, and returns the admitted ones.
 func (f *leasedFleet) overload(span time.Duration) []use {
 	t := f.tenant
 	var uses []use
@@ -146,24 +146,24 @@
 	return uses
 }
 
-// idle lets time pass without requests.
+// idle advances the time without requests.
 func (f *leasedFleet) idle(span time.Duration) {
 	for end := f.now + span; f.now < end; f.now += 5 * time.Millisecond {
 		f.renewLeases(f.tenant)
 	}
 }
 
-// eventSequences are sequences that random ones seldom contain. Each starts with a fleet whose tenant has been at its rate for
-// some time, and returns what the tenant used.
+// eventSequences are sequences of events that random simulations seldom contain. Each starts with a fleet whose tenant has used
+// its full rate for some time, and returns the admitted requests.
 var eventSequences = map[string]func(f *leasedFleet) []use{
-	"a tenant is idle while there is no allocator, uses its shares at once, and goes on with the next allocator": func(f *leasedFleet) []use {
+	"a tenant is idle without an allocator, then uses its shares at once, and continues with the next allocator": func(f *leasedFleet) []use {
 		f.stopAllocator()
 		f.idle(4 * time.Second)
 		uses := f.overload(100 * time.Millisecond)
 		f.startAllocator()
 		return append(uses, f.overload(8*time.Second)...)
 	},
-	"a new allocator follows a burst, and gets no renewal of a router that uses its share": func(f *leasedFleet) []use {
+	"an allocator starts after a burst, and receives no renewals from a router that uses its share": func(f *leasedFleet) []use {
 		f.idle(3 * time.Second)
 		uses := f.overload(200 * time.Millisecond)
 		f.stopAllocator()
@@ -171,28 +171,29 @@
 		f.startAllocator()
 		return append(uses, f.overload(settings.Window)...)
 	},
-	"a router returns that has not used its share, after the others had the time to use all that is there": func(f *leasedFleet) []use {
+	"a router reconnects without having used its share, after the others could use the whole bucket": func(f *leasedFleet) []use {
 		f.unreachableUntil[0] = f.now + 10*time.Second
 		f.idle(9 * time.Second)
 		return f.overload(settings.Window)
 	},
 }
 
-// Guards against use beyond the bound in sequences of events that random ones seldom contain.
+// Guards against use beyond the bound in sequences of events that random simulations seldom contain.
 func TestEventSequencesStayWithinBound(t *testing.T) {
-	for name, play := range eventSequences {
+	for name, runSequence := range eventSequences {
 		t.Run(name, func(t *testing.T) {
 			f := newLeasedFleet(3, 1)
 			f.overload(6 * time.Second)
-			if got, allowed := maxInWindow(play(f), settings.Window), allowedInWindow(f.tenant); got > allowed {
-				t.Errorf("%.0f in a window, %.0f are allowed", got, allowed)
+			if got, allowed := maxInWindow(runSequence(f), settings.Window), allowedInWindow(f.tenant); got > allowed {
+				t.Errorf("%.0f units used in a window, %.0f are allowed", got, allowed)
 			}
 		})
 	}
 }
 
-// play sends up to five times the rate, unevenly over the routers, in the midst of faults.
-func (f *leasedFleet) play(t *config.Tenant, span time.Duration) []use {
+// simulate sends requests for up to five times the rate, unevenly over the routers, while it injects faults. It returns the
+// admitted requests.
+func (f *leasedFleet) simulate(t *config.Tenant, span time.Duration) []use {
 	var uses []use
 	nextFault, restartAt, busyFrom := time.Duration(0), time.Duration(0), time.Duration(0)
 	for f.now < span {
@@ -218,13 +219,13 @@
 	return uses
 }
 
-// restart replaces a router by a new process, which knows nothing.
+// restart replaces a router by a new process without any state.
 func (f *leasedFleet) restart(i int) {
 	f.routers[i] = NewLocalQuota(settings)
 	f.routers[i].StartSession(f.random.Uint64() >> 1)
 }
 
-// injectFault cuts routers off, loses answers, stops the allocator, restarts routers, or lets the tenant be idle.
+// injectFault partitions routers off, drops replies, stops the allocator, makes the tenant idle, or restarts routers.
 func (f *leasedFleet) injectFault(restartAt, busyFrom *time.Duration) {
 	span := time.Duration(f.random.IntN(9000)) * time.Millisecond
 	kinds := 5
@@ -244,7 +245,7 @@
 	case 3:
 		for i := range f.routers {
 			if f.random.IntN(3) == 0 {
-				f.answersLostUntil[i] = f.now + span
+				f.repliesLostUntil[i] = f.now + span
 			}
 		}
 	case 4:
@@ -258,7 +259,7 @@
 	}
 }
 
-// admittedShare returns the part of the units sent that is let through over a time, with a tenant at three quarters of its rate.
+// admittedShare sends requests for three quarters of the tenant's rate and returns the fraction of units that is admitted.
 func (f *leasedFleet) admittedShare(t *config.Tenant, span time.Duration) float64 {
 	sent, admitted := 0.0, 0.0
 	for end := f.now + span; f.now < end; {
@@ -274,30 +275,30 @@
 }
 
 func TestLeases(t *testing.T) {
-	Convey("Twelve routers of a tenant at three quarters of its rate", t, func() {
+	Convey("Twelve routers with a tenant that uses three quarters of its rate", t, func() {
 		f, t := newLeasedFleet(12, 5), tenant()
 		So(f.admittedShare(t, 10*time.Second), ShouldBeGreaterThan, 0.97) // buckets start with a small part of the burst
-		Convey("are let through without an allocator until their leases expire", func() {
+		Convey("admit requests without an allocator until their leases expire", func() {
 			f.stopAllocator()
 			So(f.admittedShare(t, 4*time.Second), ShouldBeGreaterThan, 0.85)
-			Convey("and by the next one, to which they announce their leases", func() {
+			Convey("and with the next allocator, to which they announce their leases", func() {
 				f.startAllocator()
 				f.admittedShare(t, 500*time.Millisecond)
 				So(f.admittedShare(t, 5*time.Second), ShouldBeGreaterThan, 0.9)
 			})
 		})
-		Convey("are not let through without an allocator after their leases have expired", func() {
+		Convey("admit few requests without an allocator after their leases have expired", func() {
 			f.stopAllocator()
 			f.admittedShare(t, LeaseDuration)
-			So(f.admittedShare(t, time.Second), ShouldBeLessThan, 0.4) // the fallback rate, and its burst
+			So(f.admittedShare(t, time.Second), ShouldBeLessThan, 0.4) // the fallback rate and burst
 		})
-		Convey("go on serving where four are cut off, until their leases expire", func() {
+		Convey("continue to admit requests if four are partitioned off, until their leases expire", func() {
 			for i := range 4 {
 				f.unreachableUntil[i] = f.now + time.Hour
 			}
 			So(f.admittedShare(t, 4*time.Second), ShouldBeGreaterThan, 0.85)
 		})
-		Convey("have a new allocator grant at once when all have restarted and have no leases", func() {
+		Convey("get grants from a new allocator immediately if all have restarted and hold no leases", func() {
 			f.startAllocator()
 			for i := range f.routers {
 				f.restart(i)
--- a/internal/fleet/quota/local_lease.go
+++ b/internal/fleet/quota/local_lease.go
@@ -6,31 +6,31 @@
 	"pinelb.example/pinelb/internal/fleet/config"
 )
 
-// usageReportSpan is how long after a tenant's last request renewals report it.
+// usageReportSpan is how long after a tenant's last request renewals still report the tenant's usage.
 const usageReportSpan = 5 * time.Second
 
-// lease is a router's side of the shares that the allocator leases.
-type lease struct {
-	number     uint64        // of the next renewal
-	usableFrom time.Duration // from then on shares accrue
-	expiry     time.Duration // until then they may be used; 0: there was no lease yet
-	sentAt     time.Duration // the last renewal
-	answered   bool          // it was
+// localLease is a router's state of its lease, which covers its shares of all tenants' rates.
+type localLease struct {
+	number     uint64        // number of the next renewal
+	usableFrom time.Duration // time from which the shares accrue
+	expiry     time.Duration // time until which the shares may be used; 0: no renewal has been answered so far
+	sentAt     time.Duration // time at which the last renewal was sent
+	answered   bool          // the last renewal was answered
 }
 
-// Renewal is what a router sends to renew its lease.
+// Renewal is a router's request to renew its lease.
 type Renewal struct {
-	Number uint64           // the same until a renewal with it is answered, then the next one
+	Number uint64           // incremented after each answered renewal; unanswered ones are repeated with the same number
 	Usage  map[string]Usage // by tenant
 	sentAt time.Duration
 }
 
-// StartSession numbers the renewals of this process from first on, which is drawn at random, so that the allocator can tell
-// them from those of an earlier process at the same address.
+// StartSession sets the number of this process's first renewal. The caller draws it at random, so that the allocator can
+// distinguish this process's renewals from those of an earlier process at the same address.
 func (q *LocalQuota) StartSession(first uint64) { q.lease.number = first }
 
-// BeginRenewal returns what is to be sent to renew the lease. Where the last renewal was answered, units of the leased shares
-// that have accrued since then and were not used are forfeited: the allocator counts from this renewal on.
+// BeginRenewal returns the renewal to be sent. If the last renewal was answered, units of the leased shares that have accrued
+// since then and were not used are forfeited, since the allocator lets the shares accrue from this renewal on.
 func (q *LocalQuota) BeginRenewal(now time.Duration) Renewal {
 	r := Renewal{Number: q.lease.number, Usage: map[string]Usage{}, sentAt: now}
 	for name, local := range q.tenants {
@@ -52,7 +52,7 @@
 	return r
 }
 
-// CompleteRenewal applies the shares that a renewal was answered with. The answer to any but the last one is ignored.
+// CompleteRenewal applies the shares that the reply to a renewal grants. Replies to renewals other than the last are ignored.
 func (q *LocalQuota) CompleteRenewal(r Renewal, shares map[string]float64) {
 	if r.sentAt != q.lease.sentAt || r.Number != q.lease.number {
 		return
@@ -71,11 +71,11 @@
 // RenewalAnswered reports whether the last renewal was answered.
 func (q *LocalQuota) RenewalAnswered() bool { return q.lease.answered }
 
-// HasHadLease reports whether any renewal was ever answered. The lease may have expired.
+// HasHadLease reports whether any renewal has been answered. The lease may have expired.
 func (q *LocalQuota) HasHadLease() bool { return q.lease.expiry > 0 }
 
-// ConsumeLease takes a request's units out of the leased share of a tenant's rate. Where too little has accrued, wait is the
-// time until it suffices; ok and wait are zero where there is no share or the lease expires before.
+// ConsumeLease takes a request's units from the leased share of a tenant's rate. If too few units have accrued, ok is false and
+// wait is the time until enough have. wait is 0 if there is no share, or if the lease expires first.
 func (q *LocalQuota) ConsumeLease(now time.Duration, t *config.Tenant, units float64) (ok bool, wait time.Duration) {
 	local := q.tenant(now, t)
 	rate := local.leasedShare * t.RatePerS
@@ -95,9 +95,9 @@
 	return false, wait
 }
 
-// leaseCredit returns what is left of the units that a share has accrued since the lease's last renewal. They are bounded by
-// the size of a bucket, as the allocator's are: else a quiet tenant would use all that it has saved up at once, in addition to what the
-// next allocator grants.
+// leaseCredit returns the unused units that a share has accrued since the lease's last renewal. Like the allocator's, they are
+// limited to the size of a bucket: otherwise a tenant that sent no requests for some time could use all accrued units at once,
+// in addition to the units that the next allocator grants.
 func (l *localTenant) leaseCredit(accrued, bucketSize float64) float64 {
 	credit := accrued - l.unreported - l.forfeited
 	if credit > bucketSize {
--- a/internal/fleet/quota/quota.go
+++ b/internal/fleet/quota/quota.go
@@ -1,22 +1,22 @@
-// Package quota bounds what each tenant uses over all routers together, by leased token buckets.
+// Package quota limits each tenant's use over all routers together, by leased token buckets.
 //
-// The Allocator runs on one router, the primary of the present view. It has a token bucket for each tenant. The other routers
-// each have a LocalQuota. A request takes its units, in this order, from
+// The Allocator is active on one router, the primary of the current view. It has a token bucket for each tenant. Each router
+// has a LocalQuota. A request takes its units from the first of these sources that is available:
 //
-//  1. credit: what the allocator has granted, somewhat ahead of need; it expires after creditTTL,
-//  2. a grant, for which the router asks the allocator,
-//  3. where the allocator does not answer, the leased share of the tenant's rate, until the lease expires,
-//  4. else the fallback rate, a small part of the tenant's rate.
+//  1. credit: units that the allocator has granted in advance; they expire after creditTTL,
+//  2. a grant that the router requests from the allocator,
+//  3. if the allocator does not reply, the leased share of the tenant's rate, until the lease expires,
+//  4. otherwise the fallback rate, a small part of the tenant's rate.
 //
-// Routers renew their leases every RenewInterval and report what they have used of them; lease.go says why grants and leases
-// together stay within the bucket.
+// Routers renew their leases every RenewInterval and report their use of the leased shares; lease.go explains why grants and
+// leases together stay within the bucket.
 //
-// Invariant: in any Settings.Window all routers together let at most
-// (RatePerS*Window + Burst) * (1+OvershootRatio) + OvershootUnits units of a tenant through, whoever the primary is, however
-// often it changes and whichever routers are cut off. The tests play courses of events against this bound.
+// Invariant: in any Settings.Window all routers together admit at most
+// (RatePerS*Window + Burst) * (1+OvershootRatio) + OvershootUnits units of a tenant, whichever router is the primary, however
+// often the primary changes and whichever routers are partitioned off. The tests check sequences of events against this bound.
 //
-// The package is pure: it does no I/O and reads no clock; callers pass the time since some fixed moment and random draws. None
-// of its types is safe for concurrent use.
+// The package is pure: it does no I/O and reads no clock. Callers pass random numbers, and times as durations since a fixed
+// moment. None of its types is safe for concurrent use.
 package quota
 
 import (
@@ -25,17 +25,17 @@
 	"pinelb.example/pinelb/internal/fleet/config"
 )
 
-// Settings are the bounds on the use of tenants.
+// Settings are the limits on the use of each tenant.
 type Settings struct {
-	Window         time.Duration // over which use is bounded
-	OvershootRatio float64       // part of the allowance of a window by which use may exceed it
-	OvershootUnits float64       // units by which use may exceed it in addition
+	Window         time.Duration // time over which use is limited
+	OvershootRatio float64       // fraction of a window's allowance by which use may exceed the allowance
+	OvershootUnits float64       // additional units by which use may exceed the allowance
 }
 
-// How the allowed overshoot of a window is divided.
+// Fractions of the allowed overshoot of a window.
 const (
-	bucketOvershootShare  = 0.65 // for the allocator's buckets, beyond a tenant's burst
-	initialOvershootShare = 0.25 // in buckets of a new allocator: the former one may have granted its burst just before
+	bucketOvershootShare  = 0.65 // capacity of the allocator's buckets, beyond a tenant's burst
+	initialOvershootShare = 0.25 // initial level of a new allocator's buckets, since the previous one may just have granted a burst
 )
 
 // HasQuota reports whether a tenant's use is limited.
--- a/internal/fleet/quota/quota_test.go
+++ b/internal/fleet/quota/quota_test.go
@@ -17,13 +17,14 @@
 	return &config.Tenant{Name: "t", RatePerS: 100000, Burst: 100000, Unit: config.UnitTokens}
 }
 
-// use is a request that was let through.
+// use is an admitted request.
 type use struct {
 	at    time.Duration
 	units float64
 }
 
-// charge takes a request's units out of a router's credit, or of a grant; a nil allocator can't be reached.
+// charge takes a request's units from a router's credit, or from a grant, and reports whether the request is admitted. A nil
+// allocator is an unreachable one.
 func charge(now time.Duration, q *LocalQuota, allocator *Allocator, t *config.Tenant, units float64) bool {
 	ok, want := q.Consume(now, t, units)
 	if ok || allocator == nil {
@@ -37,7 +38,7 @@
 	return true
 }
 
-// maxInWindow returns the largest sum of units over any span of the window.
+// maxInWindow returns the maximum sum of units over any period of the window's length.
 func maxInWindow(uses []use, window time.Duration) float64 {
 	largest, sum, from := 0.0, 0.0, 0
 	for _, u := range uses {
@@ -51,7 +52,7 @@
 	return largest
 }
 
-// allowedInWindow returns the units that a tenant may use in a window: the package's invariant.
+// allowedInWindow returns the units that a tenant may use in a window, according to the package's invariant.
 func allowedInWindow(t *config.Tenant) float64 {
 	return (t.RatePerS*settings.Window.Seconds()+t.Burst)*(1+settings.OvershootRatio) + settings.OvershootUnits
 }
@@ -65,14 +66,14 @@
 	return routers
 }
 
-// startedAllocator returns a new allocator that acts for a view.
+// startedAllocator returns a new allocator that is active in a view.
 func startedAllocator(now time.Duration, view uint64) *Allocator {
 	allocator := NewAllocator(settings)
 	allocator.Activate(now, view, false, settings.Window)
 	return allocator
 }
 
-// Guards against use beyond the bound, whoever the primary is and however often it changes.
+// Guards against use beyond the bound when the primary changes, however often it does.
 func TestUseStaysWithinBoundOverFailovers(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 3))
@@ -80,8 +81,8 @@
 		allocator := startedAllocator(0, 1)
 		routers := newRouters(12)
 		var uses []use
-		// Demand comes in bursts, so that buckets fill in between and bursts are granted completely. The primary changes right
-		// after a burst: the new one knows nothing of what the former one has granted.
+		// Requests arrive in bursts, so that buckets fill in between and bursts are granted completely. The primary changes right
+		// after a burst: the new allocator does not know the units that the previous one has granted.
 		burstStart := time.Duration(4+r.IntN(6)) * time.Second
 		burst := time.Duration(100+r.IntN(1500)) * time.Millisecond
 		for now := time.Duration(0); now < 40*time.Second; now += 2 * time.Millisecond {
@@ -99,7 +100,7 @@
 			}
 		}
 		if got, allowed := maxInWindow(uses, settings.Window), allowedInWindow(t); got > allowed {
-			rt.Fatalf("%.0f in a window, %.0f are allowed", got, allowed)
+			rt.Fatalf("%.0f units used in a window, %.0f are allowed", got, allowed)
 		}
 	})
 }
@@ -116,7 +117,7 @@
 			}
 			So(granted, ShouldBeGreaterThan, 0.99*20*t.RatePerS)
 		})
-		Convey("returns when a rejected request may come again, and grants it then", func() {
+		Convey("returns the wait after which a rejected request is granted", func() {
 			for granted := 1.0; granted > 0; {
 				granted, _ = allocator.Grant(time.Second, t, 10000, 10000)
 			}
@@ -125,19 +126,19 @@
 			granted, _ := allocator.Grant(time.Second+wait+time.Millisecond, t, 10000, 10000)
 			So(granted, ShouldEqual, 10000)
 		})
-		Convey("has buckets that fill from its start, not from a tenant's first request", func() {
+		Convey("fills buckets from its activation on, not from a tenant's first request on", func() {
 			late := 5 * time.Second
 			granted, _ := allocator.Grant(late, t, t.Burst, t.Burst)
 			So(granted, ShouldEqual, t.Burst)
 		})
-		Convey("applies a lower limit at once", func() {
+		Convey("applies a lowered limit immediately", func() {
 			allocator.Grant(5*time.Second, t, 1, 1)
 			lower := *t
 			lower.RatePerS, lower.Burst = 1000, 1000
 			granted, _ := allocator.Grant(5*time.Second, &lower, 90000, 90000)
 			So(granted, ShouldBeLessThanOrEqualTo, lower.Burst+bucketOvershootShare*settings.overshoot(&lower))
 		})
-		Convey("retains its buckets where it acts for the next view too", func() {
+		Convey("retains its buckets if it is active in the next view too", func() {
 			for granted := 1.0; granted > 0; {
 				granted, _ = allocator.Grant(time.Second, t, 10000, 10000)
 			}
@@ -152,12 +153,12 @@
 	Convey("A router's local quota", t, func() {
 		t := tenant()
 		q := NewLocalQuota(settings)
-		Convey("asks for no more than an isolated request needs", func() {
+		Convey("requests only the units of an isolated request", func() {
 			ok, want := q.Consume(time.Second, t, 7000)
 			So(ok, ShouldBeFalse)
 			So(want, ShouldEqual, 7000)
 		})
-		Convey("asks ahead where requests are frequent", func() {
+		Convey("requests credit in advance if requests are frequent", func() {
 			want := 0.0
 			for i := range 200 {
 				_, want = q.Consume(time.Second+time.Duration(i)*5*time.Millisecond, t, 100)
@@ -171,17 +172,17 @@
 			ok, _ = q.Consume(creditTTL*2, t, 100)
 			So(ok, ShouldBeFalse)
 		})
-		Convey("gets credit back for a request that was not executed", func() {
+		Convey("refunds the credit of a request that was not executed", func() {
 			q.AddGrant(0, 0, t, 500)
 			q.Consume(time.Millisecond, t, 500)
 			q.Refund(2*time.Millisecond, t, 500)
 			ok, _ := q.Consume(3*time.Millisecond, t, 500)
 			So(ok, ShouldBeTrue)
 		})
-		Convey("has a fallback rate without the allocator, small for a tenant that may be at its rate", func() {
+		Convey("admits part of the rate without the allocator if the tenant may be using its full rate", func() {
 			So(12*fallbackUse(q, t, time.Second, 100), ShouldBeBetween, 0.3*t.RatePerS, 0.6*t.RatePerS+0.15*settings.overshoot(t))
 		})
-		Convey("has a fallback rate that all routers together may use for a window", func() {
+		Convey("keeps the fallback use of all routers within a window below half of the tenant's rate", func() {
 			used := 0.0
 			random := rand.New(rand.NewPCG(7, 7))
 			for now := time.Second; now < 9*time.Second; now += 10 * time.Millisecond {
@@ -192,7 +193,7 @@
 			So(used, ShouldBeGreaterThan, 0)
 			So(12*used, ShouldBeLessThan, 0.5*8*t.RatePerS)
 		})
-		Convey("has a larger fallback for a tenant that has been quiet", func() {
+		Convey("admits more without the allocator if the tenant's long-term use is low", func() {
 			for now := time.Second; now < 40*time.Second; now += time.Second {
 				q.Consume(now, t, 500)
 			}
@@ -201,7 +202,7 @@
 	})
 }
 
-// fallbackUse returns what a router uses within a second without the allocator, if requests come all the time.
+// fallbackUse returns the units that a router uses in one second without the allocator, with a request every 10 ms.
 func fallbackUse(q *LocalQuota, t *config.Tenant, from time.Duration, units float64) float64 {
 	used := 0.0
 	random := rand.New(rand.NewPCG(4, 4))
@@ -213,25 +214,25 @@
 	return used
 }
 
-// Guards against a large fleet whose routers each let a large request through when the allocator fails: the fleet of 91
-// exceeded its bound by 4 % that way.
+// Guards against use beyond the bound when each router of a large fleet admits a large request after the allocator has failed:
+// a fleet of 91 routers exceeded its bound by 4 %.
 func TestFallbackOfManyRoutersStaysWithinBound(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 5))
 		t := &config.Tenant{Name: "t", RatePerS: 600000, Burst: 600000, Unit: config.UnitTokens}
 		allocator := startedAllocator(0, 1)
 		routers := newRouters(91)
-		// The tenant becomes busy a little before the allocator fails, so that its burst lies in the same window.
+		// The tenant's load rises shortly before the allocator fails, so that the granted burst lies in the same window.
 		failedAt := 12*time.Second + time.Duration(r.IntN(4000))*time.Millisecond
-		busy := failedAt - time.Duration(r.IntN(6000))*time.Millisecond
+		busyFrom := failedAt - time.Duration(r.IntN(6000))*time.Millisecond
 		replacedAt := failedAt + time.Duration(100+r.IntN(1500))*time.Millisecond
 		var uses []use
 		for now := time.Duration(0); now < 24*time.Second; now += 5 * time.Millisecond {
 			if now >= replacedAt && allocator.View() == 1 {
 				allocator = startedAllocator(now, 2)
 			}
-			q, units := routers[r.IntN(len(routers))], float64(500+r.IntN(24000)) // four times the rate
-			if now < busy && r.IntN(30) > 0 {
+			q, units := routers[r.IntN(len(routers))], float64(500+r.IntN(24000)) // four times the rate on average
+			if now < busyFrom && r.IntN(30) > 0 {
 				continue
 			}
 			reachable := allocator
@@ -243,39 +244,40 @@
 			}
 		}
 		if got, allowed := maxInWindow(uses, settings.Window), allowedInWindow(t); got > allowed {
-			rt.Fatalf("%.0f in a window, %.0f are allowed", got, allowed)
+			rt.Fatalf("%.0f units used in a window, %.0f are allowed", got, allowed)
 		}
 	})
 }
 
-// Guards against routers that are cut off, up to half of a large fleet, from a allocator which goes on to serve the others.
+// Guards against use beyond the bound when up to half of a large fleet is partitioned off from an allocator that continues to
+// serve the other routers.
 func TestFallbackBesideAllocatorStaysWithinBound(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 6))
-		cutOff, requestsPerStep := rapid.IntRange(1, 45).Draw(rt, "cut off"), rapid.IntRange(1, 3).Draw(rt, "requests per step")
+		partitionedCount, requestsPerStep := rapid.IntRange(1, 45).Draw(rt, "partitioned routers"), rapid.IntRange(1, 3).Draw(rt, "requests per step")
 		t := &config.Tenant{Name: "t", RatePerS: 600000, Burst: 600000, Unit: config.UnitTokens}
 		allocator := startedAllocator(0, 1)
 		routers := newRouters(91)
-		cut := 12*time.Second + time.Duration(r.IntN(4000))*time.Millisecond
-		busy := cut - time.Duration(r.IntN(6000))*time.Millisecond
+		partitionedAt := 12*time.Second + time.Duration(r.IntN(4000))*time.Millisecond
+		busyFrom := partitionedAt - time.Duration(r.IntN(6000))*time.Millisecond
 		var uses []use
 		for now := time.Duration(0); now < 22*time.Second; now += 5 * time.Millisecond {
-			if now < busy && r.IntN(30) > 0 {
+			if now < busyFrom && r.IntN(30) > 0 {
 				continue
 			}
 			for range requestsPerStep {
 				i, units := r.IntN(len(routers)), float64(500+r.IntN(24000))
 				q, reachable := routers[i], allocator
-				if i < cutOff && now >= cut && now < cut+settings.Window {
+				if i < partitionedCount && now >= partitionedAt && now < partitionedAt+settings.Window {
 					reachable = nil
 				}
-				if charge(now, q, reachable, t, units) || reachable == nil && q.ConsumeFallback(now, t, units, len(routers), now-cut, r.Float64()) {
+				if charge(now, q, reachable, t, units) || reachable == nil && q.ConsumeFallback(now, t, units, len(routers), now-partitionedAt, r.Float64()) {
 					uses = append(uses, use{now, units})
 				}
 			}
 		}
 		if got, allowed := maxInWindow(uses, settings.Window), allowedInWindow(t); got > allowed {
-			rt.Fatalf("%.0f in a window, %.0f are allowed", got, allowed)
+			rt.Fatalf("%.0f units used in a window, %.0f are allowed", got, allowed)
 		}
 	})
 }
--- a/internal/fleet/registry/digests.go
+++ b/internal/fleet/registry/digests.go
@@ -2,13 +2,13 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Buckets is the number of buckets that digests divide one partition of the endpoints into.
+// Buckets is the number of buckets into which digests divide a partition of the endpoints.
 const Buckets = 16
 
-// Digests cover one partition of the endpoints. With more endpoints there are more partitions, which successive digests cover in
-// turn, so that a bucket in which two routers differ stays small.
+// The number of partitions grows with the number of endpoints, so that buckets stay small. Digests cover one partition;
+// successive digests cover the partitions in turn.
 const (
-	targetPartitionSize = 128 // endpoints
+	targetPartitionSize = 128 // endpoints per partition
 	maxPartitions       = 64
 )
 
@@ -16,8 +16,8 @@
 // volume 3, section 6.4): it distributes small numbers over all bits.
 const goldenRatio = 0x9e3779b97f4a7c15
 
-// Digests hold one sum for each bucket of a partition; two routers have equal sums where they know the same. They travel as a
-// CBOR array.
+// Digests holds one checksum for each bucket of a partition. Two routers whose endpoints in a bucket agree in id, state and
+// owner compute the same checksum. Digests is encoded as a CBOR array.
 type Digests struct {
 	_          struct{} `cbor:",toarray"`
 	Partition  uint8
@@ -25,8 +25,9 @@
 	Sums       [Buckets]uint32
 }
 
-// updateDigest recomputes what an endpoint adds to digests; it has to be called after each change. Sequences are left out, since
-// they change with each heartbeat, and so are endpoints that have ended, which a router may have purged or never known.
+// updateDigest recomputes the endpoint's part of its bucket's checksum. It has to be called after each change of the endpoint.
+// Sequences are left out, since they change with each heartbeat, and so are endpoints that have ended, since a router may have
+// purged them or never received a report of them.
 func (e *entry) updateDigest() {
 	e.digest = 0
 	if !e.State.hasEnded() {
@@ -35,14 +36,15 @@
 	}
 }
 
+// bucket returns the index of the endpoint's bucket in Digests.Sums.
 func (e *entry) bucket() int { return int(e.idHash>>59) % Buckets }
 
-// isCoveredBy reports whether the endpoint belongs to the digests' partition.
+// isCoveredBy reports whether the endpoint belongs to the partition that the digests cover.
 func (e *entry) isCoveredBy(d *Digests) bool {
 	return uint8(e.idHash>>50)%max(1, d.Partitions) == d.Partition
 }
 
-// Digests summarises what is known of one partition of the endpoints; successive rounds cover the partitions in turn.
+// Digests returns the digests of one partition of the endpoints. Successive rounds cover the partitions in turn.
 func (r *Registry) Digests(round uint64) Digests {
 	partitions := uint64(1)
 	for partitions < maxPartitions && uint64(len(r.entries)) > partitions*targetPartitionSize {
@@ -51,6 +53,7 @@
 	return r.digests(uint8(round%partitions), uint8(partitions))
 }
 
+// digests returns the digests of the given partition.
 func (r *Registry) digests(partition, partitions uint8) Digests {
 	d := Digests{Partition: partition, Partitions: partitions}
 	for _, e := range r.entries {
@@ -61,8 +64,8 @@
 	return d
 }
 
-// EndpointsDiffering returns the endpoints in the buckets in which another router's digests differ from this router's, in no
-// order. Digests of a partition that can't be are valid: they cover no endpoint, or other ones.
+// EndpointsDiffering returns the endpoints of the buckets in which another router's digests differ from this router's. The order
+// is undefined. Digests with an impossible partition are accepted; they cover no endpoints, or those of another partition.
 func (r *Registry) EndpointsDiffering(theirs Digests) []Endpoint {
 	ours := r.digests(theirs.Partition, theirs.Partitions)
 	if ours == theirs {
--- a/internal/fleet/registry/endpoint.go
+++ b/internal/fleet/registry/endpoint.go
@@ -2,43 +2,44 @@
 
 import "cmp"
 
-// State is what an endpoint reported of itself last, or how it ended.
+// State is the state that an endpoint last reported, or how it ended.
 type State uint8
 
-// The states of an endpoint; of two reports with the same sequence the one with the later state in this list supersedes the other.
+// The states of an endpoint. Of two reports with the same sequence, the one with the later state in this list supersedes the
+// other.
 const (
 	Ready State = iota + 1
 	Draining
-	Expired      // its owner received no heartbeat for too long
-	Deregistered // it announced its end, or another endpoint has its address
+	Expired      // no heartbeat was received in time
+	Deregistered // it announced its shutdown, or another endpoint registered with its address
 )
 
-// hasEnded reports whether the endpoint serves no requests any more.
+// hasEnded reports whether the endpoint no longer serves requests.
 func (s State) hasEnded() bool { return s >= Expired }
 
-// Endpoint is one process of an endpoint as a report describes it. It travels as a CBOR map with the integer keys of its tags;
-// the router's status shows it as JSON under the names of its fields, which therefore stay.
+// Endpoint is a report of one process of an endpoint. It is encoded as a CBOR map with the integer keys of its tags. The
+// router's status shows it as JSON under the names of its fields, which therefore must not change.
 type Endpoint struct {
-	ID       string `cbor:"1,keyasint"` // of the process: a restarted endpoint has another one
+	ID       string `cbor:"1,keyasint"` // identifies the process; a restarted endpoint has another ID
 	Service  string `cbor:"2,keyasint"`
 	Address  string `cbor:"3,keyasint"`
 	Zone     string `cbor:"4,keyasint"`
-	Capacity int    `cbor:"5,keyasint"` // as its heartbeats give it
+	Capacity int    `cbor:"5,keyasint"` // as reported by its heartbeats
 	State    State  `cbor:"6,keyasint"`
-	Sequence uint64 `cbor:"7,keyasint"`           // of its last heartbeat
-	Owner    string `cbor:"8,keyasint,omitempty"` // internal address of the router that receives its heartbeats; empty: none known
-	WarmupMs int64  `cbor:"9,keyasint,omitempty"` // milliseconds of warm-up that remained at its last heartbeat
+	Sequence uint64 `cbor:"7,keyasint"`           // number of its last heartbeat
+	Owner    string `cbor:"8,keyasint,omitempty"` // internal address of the router that receives its heartbeats; empty: unknown
+	WarmupMs int64  `cbor:"9,keyasint,omitempty"` // milliseconds of warm-up remaining at its last heartbeat
 }
 
-// supersedes reports whether this report replaces another one of the same endpoint.
+// supersedes reports whether this report replaces another report of the same endpoint.
 func (e *Endpoint) supersedes(other *Endpoint) bool {
 	if other.State == Deregistered {
-		return false // a process that has ended does not come back
+		return false // a deregistered process never becomes active again
 	}
 	return e.State == Deregistered || cmp.Or(cmp.Compare(e.Sequence, other.Sequence), cmp.Compare(e.State, other.State)) > 0
 }
 
-// differs reports whether two reports differ in more than their sequence.
+// differs reports whether two reports differ in state, owner, address, service or capacity.
 func (e *Endpoint) differs(other *Endpoint) bool {
 	return e.State != other.State || e.Owner != other.Owner || e.Address != other.Address || e.Service != other.Service ||
 		e.Capacity != other.Capacity
--- a/internal/fleet/registry/expiry.go
+++ b/internal/fleet/registry/expiry.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// restoredEndpointTTL is how long a restored endpoint is used of which no report has come yet.
+// restoredEndpointTTL is how long a restored endpoint is used without any report of it.
 const restoredEndpointTTL = 1500 * time.Millisecond
 
-// ExpireStale marks endpoints as Expired and returns them: those that self owns after a time-out without a heartbeat, those of
-// routers that can't receive heartbeats any more after twice the time-out, and restored ones after their time to live.
-// ownerReceives reports whether a router may still receive its endpoints' heartbeats.
+// ExpireStale marks endpoints as Expired and returns them: those owned by self, this router, if their last heartbeat is older than
+// timeout; those of owners that no longer receive heartbeats, if their last report is older than twice the timeout; and restored
+// ones after restoredEndpointTTL. ownerReceives reports whether a router may still receive its endpoints' heartbeats.
 func (r *Registry) ExpireStale(now time.Duration, self string, timeout time.Duration, ownerReceives func(owner string) bool) []Endpoint {
 	var expired []Endpoint
 	for _, e := range r.entries {
@@ -26,7 +26,7 @@
 	return expired
 }
 
-// Purge removes endpoints that ended longer than a time to live ago.
+// Purge removes endpoints that ended longer than ttl ago.
 func (r *Registry) Purge(now, ttl time.Duration) {
 	for id, e := range r.entries {
 		if e.State.hasEnded() && now-e.lastUpdate > ttl {
--- a/internal/fleet/registry/registry.go
+++ b/internal/fleet/registry/registry.go
@@ -1,11 +1,11 @@
-// Package registry keeps the endpoints of all services as one router knows them. The state is soft: endpoints send heartbeats
-// again and again, so that none of it has to be durable.
+// Package registry holds the endpoints of all services as one router knows them. This is soft state: endpoints send heartbeats
+// periodically, so that nothing has to be durable.
 //
-// The package is pure: it does no I/O and reads no clock. The dissemination package calls it and carries reports between routers;
-// the router package reads it. Times are durations since the router's start.
+// The package is pure: it does no I/O and reads no clock. The dissemination package calls it and transfers reports between
+// routers; the router package reads it. Times are durations since the router's start.
 //
-// Invariants: a deregistered endpoint never returns; no heartbeat makes an endpoint ready again that is known to be draining; each
-// endpoint that stops being ready, or is ready at another address, is returned by TakeUnready.
+// Invariants: a deregistered endpoint never becomes active again; a heartbeat never changes an endpoint from draining to ready;
+// each endpoint that stops being ready, or becomes ready at another address, is returned by TakeUnready.
 package registry
 
 import (
@@ -16,20 +16,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Registry is one router's knowledge of all endpoints. Its methods are not safe for concurrent use.
+// Registry holds all endpoints that one router knows. Its methods are not safe for concurrent use.
 type Registry struct {
-	entries     map[string]*entry // by id
-	idByAddress map[string]string // the newest endpoint's id
-	version     uint64            // rises with each change that affects requests
-	newlyEnded  []string          // ids of endpoints that have stopped being ready since TakeUnready
+	entries      map[string]*entry // by id
+	idByAddress  map[string]string // id of the newest endpoint by address
+	version      uint64            // incremented with each change that affects the routing of requests
+	newlyUnready []string          // ids that the next call of TakeUnready returns
 }
 
+// entry is an endpoint together with this router's state for it.
 type entry struct {
 	Endpoint
-	lastUpdate    time.Duration // last change, or last heartbeat where this router is the owner
-	lastAssertion time.Duration // when this router last asserted to others that it receives the heartbeats
+	lastUpdate    time.Duration // time of the last change, or of the last heartbeat if this router is the owner
+	lastAssertion time.Duration // when this router last asserted to other routers that it receives the heartbeats
 	idHash        uint64
-	digest        uint32 // what it adds to a bucket's sum; 0: it is in none
+	digest        uint32 // the endpoint's part of its bucket's checksum; 0: none
 }
 
 // New returns a registry without endpoints.
@@ -37,17 +38,18 @@
 	return &Registry{entries: map[string]*entry{}, idByAddress: map[string]string{}}
 }
 
-// Version returns a number that rises with each change of an endpoint's state, owner, address, service or capacity.
+// Version returns a number that is incremented with each change of an endpoint's state, owner, address, service or capacity.
 func (r *Registry) Version() uint64 { return r.version }
 
-// TakeUnready returns the ids of the endpoints that have stopped being ready since the last call.
+// TakeUnready returns the ids of the endpoints that have stopped being ready, or changed their address while ready, since the
+// last call.
 func (r *Registry) TakeUnready() []string {
-	ended := r.newlyEnded
-	r.newlyEnded = nil
-	return ended
+	unready := r.newlyUnready
+	r.newlyUnready = nil
+	return unready
 }
 
-// Lookup returns what is known of an endpoint.
+// Lookup returns the current report of an endpoint.
 func (r *Registry) Lookup(id string) (Endpoint, bool) {
 	e := r.entries[id]
 	if e == nil {
@@ -56,7 +58,7 @@
 	return e.Endpoint, true
 }
 
-// Ready returns the endpoints that may be sent requests, ordered by id.
+// Ready returns the endpoints to which requests may be sent, ordered by id.
 func (r *Registry) Ready() []Endpoint {
 	var ready []Endpoint
 	for _, e := range r.entries {
@@ -68,13 +70,13 @@
 	return ready
 }
 
-// ApplyHeartbeat applies an endpoint's own report. It returns the changes to be forwarded; ok is false where the report is older
-// than what is known, or the endpoint was deregistered: it is ignored.
+// ApplyHeartbeat applies an endpoint's own report and returns the changes to be forwarded. ok is false if the report is ignored,
+// because it is older than the current one or the endpoint has been deregistered.
 func (r *Registry) ApplyHeartbeat(now time.Duration, report Endpoint) (changed []Endpoint, ok bool) {
 	known := r.entries[report.ID]
 	if known == nil {
 		r.store(now, report)
-		return append(r.deregisterFormer(now, &report), report), true
+		return append(r.deregisterPrevious(now, &report), report), true
 	}
 	if known.State == Deregistered || report.Sequence < known.Sequence && report.State != Deregistered {
 		return nil, false
@@ -83,48 +85,48 @@
 		report = known.deregistration(report)
 	}
 	if known.State == Draining && report.State == Ready {
-		report.State = Draining // draining can't be taken back
+		report.State = Draining // draining can't be cancelled
 	}
 	differs := report.differs(&known.Endpoint)
 	r.store(now, report)
 	if !differs {
 		return nil, true
 	}
-	return append(r.deregisterFormer(now, &report), report), true
+	return append(r.deregisterPrevious(now, &report), report), true
 }
 
-// deregistration completes a report of the endpoint's end, which need not describe the endpoint.
+// deregistration completes a report that deregisters the endpoint, since such a report need not describe the endpoint.
 func (e *entry) deregistration(report Endpoint) Endpoint {
 	report.Service, report.Address, report.Zone, report.Capacity = e.Service, e.Address, e.Zone, e.Capacity
 	report.Sequence = max(report.Sequence, e.Sequence)
 	return report
 }
 
-// deregisterFormer deregisters the endpoint that had the successor's address before, and returns it.
-func (r *Registry) deregisterFormer(now time.Duration, successor *Endpoint) []Endpoint {
+// deregisterPrevious deregisters the endpoint that had the successor's address before, and returns its report.
+func (r *Registry) deregisterPrevious(now time.Duration, successor *Endpoint) []Endpoint {
 	if successor.State == Deregistered {
 		return nil
 	}
-	former := r.entries[r.idByAddress[successor.Address]]
+	previous := r.entries[r.idByAddress[successor.Address]]
 	r.idByAddress[successor.Address] = successor.ID
-	if former == nil || former.ID == successor.ID || former.State == Deregistered {
+	if previous == nil || previous.ID == successor.ID || previous.State == Deregistered {
 		return nil
 	}
-	r.endEndpoint(now, former, Deregistered)
-	return []Endpoint{former.Endpoint}
+	r.endEndpoint(now, previous, Deregistered)
+	return []Endpoint{previous.Endpoint}
 }
 
-// endEndpoint changes the state of an endpoint to one in which it gets no requests, for a reason other than a report.
+// endEndpoint sets the state of an endpoint to Expired or Deregistered, for a reason other than a report.
 func (r *Registry) endEndpoint(now time.Duration, e *entry, state State) {
 	if e.State == Ready {
-		r.newlyEnded = append(r.newlyEnded, e.ID)
+		r.newlyUnready = append(r.newlyUnready, e.ID)
 	}
 	e.State, e.lastUpdate = state, now
 	e.updateDigest()
 	r.version++
 }
 
-// store adds an endpoint, or replaces what is known of it.
+// store adds an endpoint, or replaces the current report of it.
 func (r *Registry) store(now time.Duration, report Endpoint) {
 	known := r.entries[report.ID]
 	if known == nil {
@@ -138,20 +140,21 @@
 		r.version++
 	}
 	if known.State == Ready && (report.State != Ready || report.Address != known.Address) {
-		r.newlyEnded = append(r.newlyEnded, report.ID)
+		r.newlyUnready = append(r.newlyUnready, report.ID)
 	}
 	known.Endpoint, known.lastUpdate = report, now
 	known.updateDigest()
 }
 
-// Merge applies other routers' reports and returns those that were new, to be forwarded, also where only their sequence is: a
-// third router may know a different report with a sequence in between. Where a report says that an endpoint has expired whose
-// heartbeats this router, self, receives, what this router knows is returned in asserted, to be sent to all.
+// Merge applies other routers' reports and returns the new ones in changed, to be forwarded. Reports in which only the sequence
+// is new are forwarded too, since a third router may have a different report with a sequence in between. If an outdated report
+// says that an endpoint has expired, and self, this router, receives the endpoint's heartbeats, the current report is returned in
+// asserted, to be sent to all routers.
 func (r *Registry) Merge(now time.Duration, self string, reports []Endpoint) (changed, asserted []Endpoint) {
 	for _, report := range reports {
 		known := r.entries[report.ID]
 		if known == nil && report.State.hasEnded() {
-			continue // it has been purged already
+			continue // the endpoint has been purged already
 		}
 		if known != nil && !report.supersedes(&known.Endpoint) {
 			if report.State == Expired && known.shouldAssert(now, self) {
@@ -172,8 +175,8 @@
 // minAssertionInterval is the minimum time between two assertions of one endpoint.
 const minAssertionInterval = time.Second
 
-// shouldAssert reports whether this router should assert to others that it receives the endpoint's heartbeats, and records that
-// it does.
+// shouldAssert reports whether this router should assert to other routers that it receives the endpoint's heartbeats. If so, it
+// records the time of the assertion.
 func (e *entry) shouldAssert(now time.Duration, self string) bool {
 	if e.Owner != self || e.State.hasEnded() || e.lastAssertion != 0 && now-e.lastAssertion < minAssertionInterval {
 		return false
@@ -182,8 +185,8 @@
 	return true
 }
 
-// Restore adds endpoints that were known before a restart, where nothing is known of them, and returns those. They are used for a
-// short time, in which their next heartbeat replaces the restored entry.
+// Restore adds endpoints that were ready before a restart and returns the added ones. It skips endpoints that are already
+// registered, or whose address is. Restored endpoints are used for a short time, until their next heartbeat replaces the entry.
 func (r *Registry) Restore(now time.Duration, endpoints []Endpoint) []Endpoint {
 	var restored []Endpoint
 	for _, e := range endpoints {
--- a/internal/fleet/registry/registry_test.go
+++ b/internal/fleet/registry/registry_test.go
@@ -25,7 +25,7 @@
 		So(len(changed), ShouldEqual, 1)
 		version := registry.Version()
 
-		Convey("forwards no heartbeat that reports no change", func() {
+		Convey("does not forward a heartbeat without changes", func() {
 			changed, ok := registry.ApplyHeartbeat(time.Second, endpoint("a", "x:1", 5, Ready))
 			So(ok, ShouldBeTrue)
 			So(changed, ShouldBeEmpty)
@@ -36,7 +36,7 @@
 			So(ok, ShouldBeFalse)
 			So(len(registry.Ready()), ShouldEqual, 1)
 		})
-		Convey("sends no requests to one that is draining, which stays draining", func() {
+		Convey("returns a draining endpoint as unready, and keeps it draining", func() {
 			So(registry.TakeUnready(), ShouldBeEmpty)
 			registry.ApplyHeartbeat(time.Second, endpoint("a", "x:1", 5, Draining))
 			So(registry.Ready(), ShouldBeEmpty)
@@ -45,32 +45,32 @@
 			registry.ApplyHeartbeat(2*time.Second, endpoint("a", "x:1", 6, Ready))
 			So(registry.Ready(), ShouldBeEmpty)
 		})
-		Convey("deregisters an endpoint whose address another one has", func() {
+		Convey("deregisters an endpoint when another one registers with its address", func() {
 			changed, _ := registry.ApplyHeartbeat(time.Second, endpoint("b", "x:1", 1, Ready))
 			So(len(changed), ShouldEqual, 2)
 			So(registry.Ready()[0].ID, ShouldEqual, "b")
 			_, ok := registry.ApplyHeartbeat(time.Second, endpoint("a", "x:1", 9, Ready))
 			So(ok, ShouldBeFalse)
 		})
-		Convey("never takes one back that was deregistered", func() {
+		Convey("ignores reports of a deregistered endpoint", func() {
 			registry.ApplyHeartbeat(time.Second, Endpoint{ID: "a", State: Deregistered})
 			changed, _ := registry.Merge(time.Second, "r1", []Endpoint{endpoint("a", "x:1", 99, Ready)})
 			So(changed, ShouldBeEmpty)
 			So(registry.Ready(), ShouldBeEmpty)
 		})
-		Convey("expires its own endpoint after the time-out, and takes it back with its next heartbeat", func() {
+		Convey("expires an endpoint of its own router after the time-out, and makes it ready again with its next heartbeat", func() {
 			So(registry.ExpireStale(4*time.Second, "r1", 5*time.Second, always), ShouldBeEmpty)
 			So(len(registry.ExpireStale(6*time.Second, "r1", 5*time.Second, always)), ShouldEqual, 1)
 			So(registry.Ready(), ShouldBeEmpty)
 			registry.ApplyHeartbeat(7*time.Second, endpoint("a", "x:1", 5, Ready))
 			So(len(registry.Ready()), ShouldEqual, 1)
 		})
-		Convey("keeps another router's endpoint while that router is alive, and for twice the time-out after it ended", func() {
+		Convey("keeps an endpoint while its owner receives heartbeats, and otherwise until twice the time-out", func() {
 			So(registry.ExpireStale(9*time.Second, "r2", 5*time.Second, always), ShouldBeEmpty)
 			So(registry.ExpireStale(9*time.Second, "r2", 5*time.Second, never), ShouldBeEmpty)
 			So(len(registry.ExpireStale(11*time.Second, "r2", 5*time.Second, never)), ShouldEqual, 1)
 		})
-		Convey("purges ended ones after their time to live, and does not add them again", func() {
+		Convey("purges ended endpoints after their time to live, and does not add them again", func() {
 			registry.ApplyHeartbeat(0, Endpoint{ID: "a", State: Deregistered})
 			registry.Purge(61*time.Second, 60*time.Second)
 			changed, _ := registry.Merge(62*time.Second, "r1", []Endpoint{endpoint("a", "x:1", 9, Deregistered)})
@@ -91,7 +91,8 @@
 	})
 }
 
-// Guards against two routers that exchange all they know and still differ, in whatever order heartbeats reached them.
+// Guards against two routers whose registries still differ after they have exchanged their differences, for any order in which
+// heartbeats reached them.
 func TestRegistriesConverge(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
@@ -113,10 +114,10 @@
 			a.Merge(time.Second, "ra", b.EndpointsDiffering(a.Digests(0)))
 		}
 		if a.Digests(0) != b.Digests(0) {
-			rt.Fatalf("%v and %v", a.Ready(), b.Ready())
+			rt.Fatalf("registries differ after the exchange: %v and %v", a.Ready(), b.Ready())
 		}
 		if len(a.EndpointsDiffering(b.Digests(0))) != 0 {
-			rt.Fatal("equal registries differ")
+			rt.Fatal("differing endpoints are found although the digests are equal")
 		}
 	})
 }
@@ -126,7 +127,7 @@
 	for i := range 2000 {
 		a.ApplyHeartbeat(0, endpoint(fmt.Sprint("e", i), fmt.Sprint("x:", i), 1, Ready))
 	}
-	Convey("Many endpoints are compared partition after partition, and found in as many rounds", t, func() {
+	Convey("Successive rounds compare all partitions of many endpoints", t, func() {
 		transferred := 0
 		for round := range uint64(64) {
 			differing := a.EndpointsDiffering(a.Digests(round))
@@ -140,7 +141,7 @@
 		So(transferred, ShouldEqual, 2000)
 		So(len(b.Ready()), ShouldEqual, 2000)
 	})
-	Convey("One that differs costs few others", t, func() {
+	Convey("A single difference transfers few other endpoints", t, func() {
 		a.ApplyHeartbeat(1, endpoint("e77", "x:77", 2, Draining))
 		transferred := 0
 		for round := range uint64(16) {
@@ -148,7 +149,7 @@
 		}
 		So(transferred, ShouldBeBetween, 0, 40)
 	})
-	Convey("A digest of a partition that can't be is answered all the same", t, func() {
+	Convey("Digests with an impossible partition are accepted", t, func() {
 		for _, d := range []Digests{{}, {Partition: 9, Partitions: 3}, {Partition: 255, Partitions: 255}} {
 			So(len(a.EndpointsDiffering(d)), ShouldBeLessThanOrEqualTo, 2000)
 		}
@@ -156,7 +157,7 @@
 }
 
 func TestAssertionOfOwnership(t *testing.T) {
-	Convey("A router that receives an endpoint's heartbeats asserts so when others report it expired, once a second", t, func() {
+	Convey("A router asserts that it receives an endpoint's heartbeats, at most once a second, if others report the endpoint expired", t, func() {
 		registry := New()
 		owned := endpoint("a", "x:1", 9, Ready)
 		owned.Owner = "r1"
--- a/internal/fleet/retry/budget.go
+++ b/internal/fleet/retry/budget.go
@@ -1,49 +1,49 @@
-// Package retry bounds the retries and hedged requests that routers send: a token bucket for each service, to which each
-// request of a client adds a part of a token and from which each retry takes one. This is the retry budget of Finagle
-// (com.twitter.finagle.service.RetryBudget), with tokens at the start in place of its minimum of retries a second, and a
-// small bucket in place of its expiry of tokens.
+// Package retry limits the retries and hedged requests that routers send. Each service has a token bucket: each client request
+// adds a fraction of a token, and each retry takes one token. This is the retry budget of Finagle
+// (com.twitter.finagle.service.RetryBudget), with initial tokens in place of a minimum number of retries per second, and a
+// small bucket in place of the expiry of tokens.
 //
-// Each router has budgets of its own, which it fills by the requests that it gets itself, so that no agreement among routers
-// is needed. The package is pure: no I/O, no clock. A Budget is not safe for concurrent use: its owner locks.
+// Each router has its own budgets, filled only by the requests that it receives, so that routers need no coordination. The
+// package is pure: it does no I/O and reads no clock. A Budget is not safe for concurrent use; its owner has to lock it.
 package retry
 
 import "time"
 
-// Settings are the bounds that the retries of all routers together are held to: in a Window, Ratio times the requests of
-// clients, and Slack in addition.
+// Settings limit the retries of all routers together: in any Window they may send Ratio retries for each client request, and
+// Slack retries in addition.
 type Settings struct {
-	Ratio  float64       // retries for each request
-	Window time.Duration // over which the bound counts; a Budget, whose bucket is small, keeps it without a clock
-	Slack  float64       // retries in addition, of all routers together
+	Ratio  float64       // retries for each client request
+	Window time.Duration // time to which the limit applies; not used by Budget, whose small bucket keeps the limit without a clock
+	Slack  float64       // additional retries of all routers together
 }
 
 const (
-	// usedRatio is the part of Settings.Ratio that is spent: the bound counts requests in a window, of which routers see
-	// only those that reached them.
-	usedRatio = 0.6
+	// usedRatioShare is the fraction of Settings.Ratio that budgets use. The rest is a margin, since the limit counts requests
+	// in a window, while routers count only requests that have reached them.
+	usedRatioShare = 0.6
 
-	// initialSlack is the part of Settings.Slack that all routers together start with. Each process starts with its part
-	// again, so that restarts within a window have to stay within Slack.
-	initialSlack = 0.25
+	// initialSlackShare is the fraction of Settings.Slack that the initial tokens of all routers add up to. A restarted
+	// process starts with its initial tokens again, so that restarts within a window have to stay within Slack.
+	initialSlackShare = 0.25
 )
 
-// Budget is the retry budget of one router for one service. New makes one.
+// Budget is the retry budget of one router for one service.
 type Budget struct {
-	deposit float64 // tokens that a request adds
+	deposit float64 // tokens added for each client request
 	tokens  float64
-	size    float64 // maximum of tokens
+	size    float64 // maximum number of tokens
 }
 
-// New returns the budget of one router of so many.
+// New returns the budget of one router in a fleet with the given number of routers.
 func New(settings Settings, routers int) *Budget {
-	initial := initialSlack * settings.Slack / float64(max(1, routers))
-	return &Budget{deposit: usedRatio * settings.Ratio, tokens: initial, size: max(1, initial)}
+	initial := initialSlackShare * settings.Slack / float64(max(1, routers))
+	return &Budget{deposit: usedRatioShare * settings.Ratio, tokens: initial, size: max(1, initial)}
 }
 
-// RecordRequest adds the tokens for a request of a client, when it is sent for the first time.
+// RecordRequest adds the tokens for a client request. It is called once for each request, at the first attempt.
 func (b *Budget) RecordRequest() { b.tokens = min(b.tokens+b.deposit, b.size) }
 
-// Withdraw takes the token for a retry and reports whether there was one: else the retry may not be sent.
+// Withdraw takes the token for a retry. It returns false if none is available; the retry must not be sent then.
 func (b *Budget) Withdraw() bool {
 	if b.tokens < 1 {
 		return false
@@ -52,5 +52,5 @@
 	return true
 }
 
-// Refund returns the token of a retry that was not sent.
+// Refund puts back the token of a retry that was not sent.
 func (b *Budget) Refund() { b.tokens = min(b.tokens+1, b.size) }
--- a/internal/fleet/retry/budget_test.go
+++ b/internal/fleet/retry/budget_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// withdrawAll takes all tokens and returns their number.
+// withdrawAll takes all available tokens and returns their number.
 func withdrawAll(b *Budget) int {
 	retries := 0
 	for b.Withdraw() {
@@ -16,7 +16,7 @@
 	return retries
 }
 
-// Guards against retries of all routers together beyond the bound, also when all routers restart.
+// Guards against more retries of all routers together than the limit allows, also if all routers restart once.
 func TestRetriesStayWithinBound(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		settings := Settings{Ratio: 0.2, Window: 10 * time.Second, Slack: 64}
@@ -40,17 +40,17 @@
 		}
 		bound := settings.Ratio*float64(requests*(restarts+1)) + settings.Slack
 		if float64(retries) > bound {
-			rt.Fatalf("%d retries, %.0f are allowed", retries, bound)
+			rt.Fatalf("%d retries sent, %.0f are allowed", retries, bound)
 		}
 	})
 }
 
-// Guards against tokens that are lost when the retry was not sent.
+// Guards against the loss of the token of a retry that was not sent.
 func TestRefundedRetryMayBeSentAgain(t *testing.T) {
 	b := New(Settings{Ratio: 0.2, Slack: 8}, 1)
 	withdrawAll(b)
 	b.Refund()
 	if !b.Withdraw() {
-		t.Error("a retry that was refunded can't be sent")
+		t.Error("no token is available after a refund")
 	}
 }
--- a/internal/fleet/settings/contracts_test.go
+++ b/internal/fleet/settings/contracts_test.go
@@ -6,9 +6,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Guards against a part of the rules that is in force and that nothing serves, without a word.
+// Guards against a contract that is in force and not implemented, and is not reported either.
 func TestUnknownContracts(t *testing.T) {
-	Convey("Contracts that the program does not know are named", t, func() {
+	Convey("Contracts that the program does not implement are returned", t, func() {
 		s := &Settings{Contracts: []string{"base", "coord", "rollouts", "quota", "loans"}}
 		So(s.UnknownContracts(), ShouldResemble, []string{"rollouts", "loans"})
 	})
--- a/internal/fleet/settings/parse.go
+++ b/internal/fleet/settings/parse.go
@@ -10,15 +10,15 @@
 	"github.com/magiconair/properties"
 )
 
-// PathVariable names the environment variable with the settings file's path.
+// PathVariable is the name of the environment variable that contains the settings file's path.
 const PathVariable = "PINELB_CONFIG"
 
-// DefaultPath is where the settings file is when PathVariable is not set.
+// DefaultPath is the settings file's path if PathVariable is not set.
 const DefaultPath = "/etc/pinelb/settings.conf"
 
 const maxPort = 65535
 
-// Path returns where the settings file is.
+// Path returns the path of the settings file.
 func Path() string {
 	if path := os.Getenv(PathVariable); path != "" {
 		return path
@@ -26,7 +26,7 @@
 	return DefaultPath
 }
 
-// Load reads and validates the settings file at path. An error is an fs.PathError, or wraps Parse's.
+// Load reads and validates the settings file at path. An error wraps an *fs.PathError or an error of Parse.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -39,8 +39,8 @@
 	return s, nil
 }
 
-// Parse decodes and validates the text of a settings file. An error is a KeyError where a key is at fault, else package
-// properties'.
+// Parse decodes and validates the text of a settings file. An error is a *KeyError, or one of package properties if the text has
+// invalid syntax.
 func Parse(text []byte) (*Settings, error) {
 	loader := properties.Loader{Encoding: properties.UTF8, DisableExpansion: true}
 	file, err := loader.LoadBytes(text)
@@ -129,10 +129,11 @@
 	}
 }
 
-// fileReader converts a file's values. It records the first error, so that the caller checks once, at the end.
+// fileReader converts the values of a settings file. It records the first error, so that the caller has to check for errors only
+// once, at the end.
 type fileReader struct {
 	file *properties.Properties
-	err  error // a KeyError
+	err  error // a *KeyError
 }
 
 func (r *fileReader) fail(key, reason string) {
@@ -151,7 +152,7 @@
 	return value
 }
 
-// list returns a value's items, which are separated by commas.
+// list returns the items of a comma-separated value.
 func (r *fileReader) list(key string) []string {
 	var items []string
 	for item := range strings.SplitSeq(r.text(key), ",") {
@@ -162,7 +163,7 @@
 	return items
 }
 
-// flag returns a boolean value; false is the default.
+// flag returns a boolean value. The default is false.
 func (r *fileReader) flag(key string) bool {
 	value := r.text(key)
 	if value == "" {
@@ -175,7 +176,7 @@
 	return on
 }
 
-// number returns a value of 0 or more.
+// number returns a non-negative value.
 func (r *fileReader) number(key string, defaultValue float64) float64 {
 	value := r.text(key)
 	if value == "" {
@@ -183,7 +184,7 @@
 	}
 	n, err := strconv.ParseFloat(value, 64)
 	if err != nil || n < 0 {
-		r.fail(key, "is no number of 0 or more")
+		r.fail(key, "is not a non-negative number")
 	}
 	return n
 }
@@ -196,18 +197,18 @@
 	return time.Duration(r.number(key, defaultValue) * float64(time.Second))
 }
 
-// ports returns a range of the form first,last.
+// ports returns the range given by a value of the form first,last.
 func (r *fileReader) ports(key string) PortRange {
 	lowText, highText, found := strings.Cut(r.required(key), ",")
 	low, lowErr := strconv.Atoi(strings.TrimSpace(lowText))
 	high, highErr := strconv.Atoi(strings.TrimSpace(highText))
 	if !found || lowErr != nil || highErr != nil || low < 1 || high < low || high > maxPort {
-		r.fail(key, "is no range of ports")
+		r.fail(key, "is not a port range of the form first,last")
 	}
 	return PortRange{First: low, Last: high}
 }
 
-// group returns the values of all keys with a prefix, by the rest of the key.
+// group returns the values of all keys with a prefix, by the key without the prefix.
 func (r *fileReader) group(prefix string) map[string]string {
 	values := map[string]string{}
 	for _, key := range r.file.Keys() {
--- a/internal/fleet/settings/settings_test.go
+++ b/internal/fleet/settings/settings_test.go
@@ -32,7 +32,7 @@
 bounds.revocationStrict=true
 bounds.revokeMs=5000
 bounds.quotaOver=0.1
-unknown.key=kept out
+unknown.key=ignored
 empty=
 `
 
@@ -47,10 +47,10 @@
 		So(s.SeedAddresses(), ShouldResemble, []string{"10.1.0.14:7680", "10.2.0.32:7680"})
 		So(s.Limits.CPUShare, ShouldEqual, 0.72)
 		So(s.Bounds.Revocation, ShouldEqual, 5*time.Second)
-		So(s.Bounds.Drain, ShouldEqual, 2*time.Second) // its default
+		So(s.Bounds.Drain, ShouldEqual, 2*time.Second) // the default
 		So(s.Tolerance.Machines, ShouldEqual, 1)
 	})
-	Convey("An error names the key at fault", t, func() {
+	Convey("An error contains the key at fault", t, func() {
 		for _, c := range []struct{ from, to, key string }{
 			{"nodeName=front-a-1", "", "nodeName"}, {"ip=10.1.0.14\n", "", "ip"}, {"zone=a", "zone=", "zone"},
 			{"portRange=7680,7695", "portRange=7695,7680", "portRange"}, {"portRange=7680,7695", "", "portRange"},
@@ -64,7 +64,7 @@
 			So(keyError.Key, ShouldEqual, c.key)
 		}
 	})
-	Convey("An error names a file that does not exist", t, func() {
+	Convey("An error contains the path of a file that does not exist", t, func() {
 		path := filepath.Join(t.TempDir(), "none.conf")
 		_, err := Load(path)
 		So(err.Error(), ShouldContainSubstring, path)
@@ -76,7 +76,7 @@
 
 func TestCoordinationSettings(t *testing.T) {
 	parse := func(lines string) (*Settings, error) { return Parse([]byte(validFile + lines)) }
-	Convey("Applications are served where the contracts say so", t, func() {
+	Convey("Coordination is served if the contracts include it", t, func() {
 		for contracts, served := range map[string]bool{
 			"": false, "contracts=": false, "contracts=base": false, "contracts=coordinate,base": false, "contracts=coord": true,
 			"contracts=base,coord": true, "contracts=base, coord ,quota": true,
@@ -89,7 +89,7 @@
 		So(err, ShouldBeNil)
 		So(s.Contracts, ShouldResemble, []string{"base", "coord"})
 	})
-	Convey("The time that puts are kept for is read, and has a default", t, func() {
+	Convey("The time for which puts are kept is read, and has a default", t, func() {
 		s, err := parse("")
 		So(err, ShouldBeNil)
 		So(s.Bounds.History, ShouldEqual, 20*time.Second)
