--- a/internal/fleet/quota/local.go
+++ b/internal/fleet/quota/local.go
@@ -23,7 +23,7 @@
 type LocalQuota struct {
 	settings Settings
 	tenants  map[string]*localTenant
-	lease    localLease
+	lease    lease
 }
 
 // localTenant is a router's state for one tenant.
--- a/internal/fleet/quota/local_lease.go
+++ b/internal/fleet/quota/local_lease.go
@@ -9,8 +9,8 @@
 // usageReportSpan is how long after a tenant's last request renewals still report the tenant's usage.
 const usageReportSpan = 5 * time.Second
 
-// localLease is a router's state of its lease, which covers its shares of all tenants' rates.
-type localLease struct {
+// lease is a router's state of its lease, which covers its shares of all tenants' rates.
+type lease struct {
 	number     uint64        // number of the next renewal
 	usableFrom time.Duration // time from which the shares accrue
 	expiry     time.Duration // time until which the shares may be used; 0: no renewal has been answered so far
