--- a/internal/fleet/quota/allocator.go
+++ b/internal/fleet/quota/allocator.go
@@ -17,7 +17,7 @@
 type Allocator struct {
 	settings     Settings
 	view         uint64
-	activeSince  time.Duration // start of the current period without interruption
+	activeSince  time.Duration // start of the uninterrupted time in which this allocator has been active
 	initialLevel float64       // level of new buckets, as a fraction of the allowed overshoot
 	buckets      map[string]*bucket
 
--- a/internal/fleet/quota/lease.go
+++ b/internal/fleet/quota/lease.go
@@ -24,7 +24,7 @@
 	minRenewInterval       = 250 * time.Millisecond
 	renewIntervalPerRouter = 10 * time.Millisecond  // limits the allocator's load to 100 renewals per second
 	maxUnreportedSpan      = 300 * time.Millisecond // of a tenant's rate, withheld for unreported use
-	expiredLeaseRetention  = time.Minute            // since its last renewal, for which a lease is kept in case its router reconnects
+	expiredLeaseRetention  = time.Minute            // after the last renewal, in case the router reconnects
 
 	// fleetSizeTolerance is the factor by which a previous allocator may have leased more, since it may have known of fewer
 	// routers.
