--- a/internal/fleet/membership/list.go
+++ b/internal/fleet/membership/list.go
@@ -35,7 +35,7 @@
 type entry struct {
 	Member
 	position    uint64        // on the ring
-	lastContact time.Duration // time of the last message, of the first report, or of the last report that it is alive
+	lastContact time.Duration // time of the last message or report that it is alive, or when refreshMonitored restarted its time-out
 	lastProbe   time.Duration
 	endedAt     time.Duration // when the member was declared dead or left
 }
--- a/internal/fleet/quota/allocator.go
+++ b/internal/fleet/quota/allocator.go
@@ -97,7 +97,7 @@
 	return b
 }
 
-// accrue adds the units that a tenant's rate yields up to the time until to its bucket.
+// accrue updates a tenant's bucket to the time until: it adds the units that the tenant's rate has yielded since the last update.
 func (a *Allocator) accrue(until time.Duration, t *config.Tenant, b *bucket) {
 	if until <= b.updatedAt {
 		return
--- a/internal/fleet/quota/fallback.go
+++ b/internal/fleet/quota/fallback.go
@@ -7,9 +7,9 @@
 )
 
 // Limits on the use of all routers together while they cannot reach the allocator. During earlyFallbackSpan the allocator has
-// probably failed and is about to be replaced, so that no router uses the rate otherwise. Later the allocator is probably
-// serving other routers: if a tenth of the routers is partitioned off from it for seconds, their use has to stay within the
-// allowed overshoot. A tenant whose use was far below its rate for some time gets a larger burst.
+// probably failed and is about to be replaced, so that nothing else uses the rate until then. Later the allocator is
+// probably serving other routers: if a tenth of the routers is partitioned off from it for seconds, their use has to stay within
+// the allowed overshoot. A tenant whose use was far below its rate for some time gets a larger burst.
 const (
 	earlyFallbackRate  = 0.6 // fraction of the tenant's rate, during earlyFallbackSpan
 	lateFallbackRate   = 0.1 // fraction of the tenant's rate, after earlyFallbackSpan
--- a/internal/fleet/quota/lease.go
+++ b/internal/fleet/quota/lease.go
@@ -7,7 +7,7 @@
 // the lease expires, and reports the use when it renews the lease. Until it does, the allocator counts the leased share as used
 // from the last renewal on. Grants and leases together therefore stay within one bucket of the tenant's rate, no matter how many
 // routers are partitioned off. The cost is that units that may have been used since the last renewals can't be granted: at most
-// the units of maxUnreportedSpan, as long as all routers renew.
+// the units that the rate yields in maxUnreportedSpan, as long as all routers renew.
 //
 // A new allocator does not know the leases of the previous one. Routers announce their leases with their first renewal. Until
 // every router that may hold leases has done so, the rest of the rate counts as leased, for at most LeaseDuration.
@@ -23,7 +23,7 @@
 
 	minRenewInterval       = 250 * time.Millisecond
 	renewIntervalPerRouter = 10 * time.Millisecond  // limits the allocator's load to 100 renewals per second
-	maxUnreportedSpan      = 300 * time.Millisecond // of a tenant's rate, withheld for unreported use
+	maxUnreportedSpan      = 300 * time.Millisecond // maximum unreported use, as time at a tenant's full rate
 	expiredLeaseRetention  = time.Minute            // after the last renewal, in case the router reconnects
 
 	// fleetSizeTolerance is the factor by which a previous allocator may have leased more, since it may have known of fewer
--- a/internal/fleet/quota/local.go
+++ b/internal/fleet/quota/local.go
@@ -16,7 +16,7 @@
 	minPrefetchRequests = 3                      // expected requests in prefetchSpan that justify a prefetch
 
 	usageTimeConstant    = time.Second     // of the averages usageRate and requestRate
-	longTermTimeConstant = 8 * time.Second // of the average longTermRate
+	longTermTimeConstant = 8 * time.Second // of the average longTermRate, which shows whether a tenant's use is low
 )
 
 // LocalQuota holds one router's credit, leased shares and fallback buckets of all tenants.
--- a/internal/fleet/registry/digests.go
+++ b/internal/fleet/registry/digests.go
@@ -17,7 +17,7 @@
 const goldenRatio = 0x9e3779b97f4a7c15
 
 // Digests holds one checksum for each bucket of a partition. Two routers whose endpoints in a bucket agree in id, state and
-// owner compute the same checksum. Digests is encoded as a CBOR array.
+// owner compute the same checksum; endpoints that have ended are left out. Digests is encoded as a CBOR array.
 type Digests struct {
 	_          struct{} `cbor:",toarray"`
 	Partition  uint8
--- a/internal/fleet/registry/registry.go
+++ b/internal/fleet/registry/registry.go
@@ -186,7 +186,8 @@
 }
 
 // Restore adds endpoints that were ready before a restart and returns the added ones. It skips endpoints that are already
-// registered, or whose address is. Restored endpoints are used for a short time, until their next heartbeat replaces the entry.
+// registered, or whose address is. The next heartbeat of an endpoint replaces its restored entry; without any report the entry
+// expires after restoredEndpointTTL.
 func (r *Registry) Restore(now time.Duration, endpoints []Endpoint) []Endpoint {
 	var restored []Endpoint
 	for _, e := range endpoints {
--- a/internal/fleet/retry/budget.go
+++ b/internal/fleet/retry/budget.go
@@ -13,7 +13,7 @@
 // Slack retries in addition.
 type Settings struct {
 	Ratio  float64       // retries for each client request
-	Window time.Duration // time to which the limit applies; not used by Budget, whose small bucket keeps the limit without a clock
+	Window time.Duration // period over which the limit applies; not used by Budget, whose small bucket keeps the limit without a clock
 	Slack  float64       // additional retries of all routers together
 }
 
--- a/internal/fleet/settings/settings.go
+++ b/internal/fleet/settings/settings.go
@@ -74,7 +74,7 @@
 	Revocation       time.Duration // maximum time until a revoked API key is rejected
 
 	RetryBudgetRatio  float64       // retries for each client request
-	RetryBudgetWindow time.Duration // time to which the limit on retries applies
+	RetryBudgetWindow time.Duration // period over which the limit on retries applies
 	RetryBudgetSlack  float64       // additional retries
 
 	QuotaWindow         time.Duration // time over which a tenant's use is limited
@@ -117,7 +117,7 @@
 func (s *Settings) SeedAddresses() []string {
 	var addresses []string
 	for _, seed := range s.Seeds {
-		host, _, _ := net.SplitHostPort(seed) // can't fail after validate
+		host, _, _ := net.SplitHostPort(seed) // can't fail: validate has checked the seeds
 		addresses = append(addresses, s.internalAddressOf(host))
 	}
 	slices.Sort(addresses)
--- a/internal/fleet/settings/settings_test.go
+++ b/internal/fleet/settings/settings_test.go
@@ -32,7 +32,7 @@
 bounds.revocationStrict=true
 bounds.revokeMs=5000
 bounds.quotaOver=0.1
-unknown.key=ignored
+unknown.key=kept out
 empty=
 `
 
