--- a/internal/fleet/storage/corruption_test.go
+++ b/internal/fleet/storage/corruption_test.go
@@ -11,7 +11,7 @@
 	"pinelb.example/pinelb/internal/fleet/replication"
 )
 
-// written is a log of three records, closed, and the path of its file.
+// writeTestLog writes a log of three records, closes it and returns the path of its segment.
 func writeTestLog(directory string) string {
 	log, _, err := Open[replication.HardState](directory)
 	So(err, ShouldBeNil)
@@ -22,9 +22,10 @@
 	return newestSegment(directory)
 }
 
-// Guards against a replica that comes back older under its former identity, with promises and changes forgotten.
+// Guards against a replica that restarts from a corrupt log under its previous identity, without promises and changes that
+// it had stored.
 func TestCorruptLog(t *testing.T) {
-	Convey("Whatever byte of a log is flipped, it is read completely but for its last record, or found to be corrupt", t, func() {
+	Convey("With a bit flipped in any byte, a log loses at most its last record, or is reported as corrupt", t, func() {
 		directory := t.TempDir()
 		path := writeTestLog(directory)
 		content, err := os.ReadFile(path)
@@ -32,25 +33,25 @@
 		_, all, err := Open[replication.HardState](directory)
 		So(err, ShouldBeNil)
 		So(len(all), ShouldEqual, 3)
-		found := 0
-		for at := range content {
+		corruptCount := 0
+		for offset := range content {
 			corrupted := append([]byte(nil), content...)
-			corrupted[at] ^= 0x10
+			corrupted[offset] ^= 0x10
 			So(os.WriteFile(path, corrupted, 0o600), ShouldBeNil)
 			log, records, err := Open[replication.HardState](directory)
 			var corrupt *CorruptLogError
 			if errors.As(err, &corrupt) {
-				found++
-				So(log, ShouldNotBeNil) // it may start a new generation
+				corruptCount++
+				So(log, ShouldNotBeNil) // it can start a new generation
 				continue
 			}
 			So(err, ShouldBeNil)
 			So(len(records), ShouldBeGreaterThanOrEqualTo, 2)
 			So(records[:2], ShouldResemble, all[:2])
 		}
-		So(found, ShouldBeGreaterThan, len(content)/2)
+		So(corruptCount, ShouldBeGreaterThan, len(content)/2)
 	})
-	Convey("A log that is cut off anywhere in its last record is read up to it", t, func() {
+	Convey("A log that is truncated anywhere in its last record returns the records before it", t, func() {
 		directory := t.TempDir()
 		path := writeTestLog(directory)
 		content, err := os.ReadFile(path)
@@ -81,7 +82,7 @@
 	})
 }
 
-// FuzzReadRecord: nothing that a disk may hold ends the process, or is taken for more than it is.
+// FuzzReadRecord looks for data on which the reader panics, or returns a record that is larger than the data.
 func FuzzReadRecord(f *testing.F) {
 	payload, err := cbor.Marshal(&Record[replication.HardState]{HardState: testHardState(1), Snapshot: []byte("s")})
 	if err != nil {
@@ -91,11 +92,11 @@
 	f.Add(append([]byte{byte(len(record))}, record...))
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01})
 	f.Add([]byte{2, 0, 0})
-	f.Fuzz(func(t *testing.T, text []byte) {
-		_, size, ok := readRecord[replication.HardState](text)
-		if ok && (size <= checksumSize || size > len(text)) {
-			t.Errorf("a record of %d bytes in a text of %d", size, len(text))
+	f.Fuzz(func(t *testing.T, data []byte) {
+		_, size, ok := readRecord[replication.HardState](data)
+		if ok && (size <= checksumSize || size > len(data)) {
+			t.Errorf("got a record of %d bytes in %d bytes of data", size, len(data))
 		}
-		containsRecord[replication.HardState](text)
+		containsRecord[replication.HardState](data)
 	})
 }
--- a/internal/fleet/storage/log.go
+++ b/internal/fleet/storage/log.go
@@ -1,12 +1,12 @@
-// Package storage keeps a replica's hard state and replicated state on a disk that may lose what was not synced, tear what
-// it was writing, fill up, or hang. Only the replica's goroutine calls it (package replica).
+// Package storage persists a replica's hard state and replicated state on a disk that may lose unsynced writes, tear the
+// write in progress, fill up, or hang. Only the replica's goroutine calls it (package replica).
 //
-// A log consists of generations. Each one is a directory of its own, whose first record holds a snapshot of the state and
-// whose further records are a write-ahead log of one segment. A log that has grown is followed by a new generation; nothing
-// is ever renamed or truncated at its front, since a loss of power may keep or lose each such step independently of the
-// others.
+// A log consists of generations. Each generation is a directory of its own: its first record holds a snapshot of the state,
+// and its further records are a write-ahead log of one segment. A log that has grown too large is compacted into a new
+// generation. Files are never renamed, nor truncated at their front, because a power failure may keep or lose each such step
+// independently of the others.
 //
-// Invariant: a record is synced before the next one is written, and a generation before the former one is removed.
+// Invariant: a record is synced before the next one is written, and a generation is synced before the previous one is removed.
 package storage
 
 import (
@@ -25,36 +25,36 @@
 const (
 	generationPrefix = "generation-"
 	directoryMode    = 0o750
-	segmentSize      = 1 << 30 // bytes; more than a generation grows to, so that it is one segment
+	segmentSize      = 1 << 30 // bytes; larger than any generation, so that each generation is a single segment
 
 	minCompactionSize = 256 << 10 // bytes; a smaller log is not compacted
-	maxGrowthFactor   = 4         // of a log, as a multiple of its first record
+	maxGrowthFactor   = 4         // the log is compacted when its size exceeds this multiple of its first record's
 )
 
-// ErrNoGeneration says that the log has no generation that records can be appended to: none was started yet, or the last
-// write failed.
+// ErrNoGeneration reports that no generation is open to append records to: none has been started yet, or the last write
+// failed.
 var ErrNoGeneration = errors.New("storage: no generation is open")
 
-// Record is what one write makes durable.
+// Record is the data that one write makes durable. H is the type of the hard state.
 type Record[H any] struct {
 	HardState H      `cbor:"1,keyasint"`
 	Entry     []byte `cbor:"2,keyasint,omitempty"` // a change of the state
 	Snapshot  []byte `cbor:"3,keyasint,omitempty"` // replaces the state
 }
 
-// Log is a replica's log on the disk. Its methods are not safe for concurrent use.
+// Log is a replica's log on disk. Its methods are not safe for concurrent use.
 type Log[H any] struct {
 	directory       string
-	generation      uint64   // the newest
-	wal             *wal.Log // of the newest generation; nil: not open
-	lastIndex       uint64   // in the write-ahead log
-	size            int      // bytes of the generation's records
-	firstRecordSize int
+	generation      uint64   // number of the newest generation
+	wal             *wal.Log // the newest generation's write-ahead log; nil: not open
+	lastIndex       uint64   // index of the last record in the write-ahead log; 0: none
+	size            int      // total size of the open generation's records, in bytes
+	firstRecordSize int      // bytes
 }
 
-// Open reads what a directory holds, in the order in which it was written, and creates the directory where there is none.
-// No records: the disk is empty. With a *CorruptLogError it returns the log too, which may start a new generation, but not
-// as the replica that wrote the former one.
+// Open returns the log in a directory, and the records of its newest generation that has any, in the order in which they
+// were written. It creates the directory if there is none. An empty disk gives no records. With a *CorruptLogError it also
+// returns the log: it can start a new generation, but the replica must then use a new identity. Other errors are I/O errors.
 func Open[H any](directory string) (*Log[H], []Record[H], error) {
 	if err := os.MkdirAll(directory, directoryMode); err != nil {
 		return nil, nil, wrap(err)
@@ -81,7 +81,7 @@
 	return l, nil, nil
 }
 
-// generations lists the numbers of the directory's generations, the oldest first.
+// generations returns the numbers of the generations in the directory, in ascending order.
 func (l *Log[H]) generations() ([]uint64, error) {
 	entries, err := os.ReadDir(l.directory)
 	if err != nil {
@@ -89,8 +89,8 @@
 	}
 	var numbers []uint64
 	for _, entry := range entries {
-		text, found := strings.CutPrefix(entry.Name(), generationPrefix)
-		number, err := strconv.ParseUint(text, 10, 64)
+		digits, found := strings.CutPrefix(entry.Name(), generationPrefix)
+		number, err := strconv.ParseUint(digits, 10, 64)
 		if found && err == nil {
 			numbers = append(numbers, number)
 		}
@@ -103,21 +103,21 @@
 	return filepath.Join(l.directory, fmt.Sprintf("%s%020d", generationPrefix, generation))
 }
 
-// StartGeneration starts a new generation whose first record holds the snapshot, and removes the former ones. After an
-// error it may be called again.
+// StartGeneration starts a new generation whose first record holds the hard state and the snapshot, makes it durable and
+// removes the previous generations. It may be called again after an error.
 func (l *Log[H]) StartGeneration(hardState H, snapshot []byte) error {
 	l.Close()
 	l.generation++
 	if err := l.createGeneration(Record[H]{HardState: hardState, Snapshot: snapshot}); err != nil {
 		l.Close()
-		_ = os.RemoveAll(l.generationPath(l.generation)) // on a full disk what is left would take the room of the next one
+		_ = os.RemoveAll(l.generationPath(l.generation)) // else it could fill the disk and block the next generation
 		return err
 	}
 	l.removeOldGenerations()
 	return nil
 }
 
-// createGeneration makes a generation's directory and its first record durable.
+// createGeneration creates the directory and the first record of a generation, and makes both durable.
 func (l *Log[H]) createGeneration(first Record[H]) error {
 	path := l.generationPath(l.generation)
 	log, err := wal.Open(path, &wal.Options{SegmentSize: segmentSize, NoCopy: true})
@@ -137,7 +137,8 @@
 	return nil
 }
 
-// removeOldGenerations works on a best effort: what stays is removed with the next generation.
+// removeOldGenerations removes all generations but the newest. It ignores errors: generations that could not be removed
+// are removed when the next generation starts.
 func (l *Log[H]) removeOldGenerations() {
 	numbers, err := l.generations()
 	if err != nil {
@@ -151,7 +152,8 @@
 	_ = syncDirectory(l.directory)
 }
 
-// Append makes a record durable. After an error, which may be ErrNoGeneration, the log has to start a new generation.
+// Append makes a record durable. It returns ErrNoGeneration if no generation is open. After any error, the caller has to
+// start a new generation.
 func (l *Log[H]) Append(record Record[H]) error {
 	if l.wal == nil {
 		return ErrNoGeneration
@@ -168,21 +170,22 @@
 	if err != nil {
 		return wrap(err)
 	}
-	text := addChecksum(payload)
-	if err := l.wal.Write(l.lastIndex+1, text); err != nil {
+	framed := addChecksum(payload)
+	if err := l.wal.Write(l.lastIndex+1, framed); err != nil {
 		return wrap(err)
 	}
 	l.lastIndex++
-	l.size += len(text)
+	l.size += len(framed)
 	return nil
 }
 
-// NeedsCompaction reports whether a new generation is due, because the log has grown or has no open generation.
+// NeedsCompaction reports whether the next write has to start a new generation: the log has grown too large, or no
+// generation is open.
 func (l *Log[H]) NeedsCompaction() bool {
 	return l.wal == nil || l.size > max(minCompactionSize, maxGrowthFactor*l.firstRecordSize)
 }
 
-// Close closes the files. Records can be appended again after StartGeneration.
+// Close closes the open generation, if any. StartGeneration opens the log again.
 func (l *Log[H]) Close() {
 	if l.wal != nil {
 		_ = l.wal.Close() // every record was synced when it was written
@@ -203,7 +206,7 @@
 	return wrap(err)
 }
 
-// wrap names the package in an error; nil stays nil.
+// wrap prefixes an error with the package's name; nil stays nil.
 func wrap(err error) error {
 	if err == nil {
 		return nil
--- a/internal/fleet/storage/log_test.go
+++ b/internal/fleet/storage/log_test.go
@@ -10,20 +10,21 @@
 	"pinelb.example/pinelb/internal/fleet/replication"
 )
 
+// testHardState returns a hard state that has promised a ballot of a round.
 func testHardState(round uint64) replication.HardState {
 	return replication.HardState{
 		Self: replication.Replica{Address: "10.0.0.1:1", Nonce: 7}, Promised: replication.Ballot{Round: round},
 	}
 }
 
-// segment is the only file of the newest generation.
+// newestSegment returns the path of the newest generation's segment.
 func newestSegment(directory string) string {
 	files, _ := filepath.Glob(filepath.Join(directory, generationPrefix+"*", segmentName))
 	return files[len(files)-1]
 }
 
-// openTwoRecords returns a log that holds a snapshot and a change.
-func openTwoRecords(t *testing.T) (directory string, log *Log[replication.HardState]) {
+// openLogWithTwoRecords returns an open log that holds a snapshot and a change, and its directory.
+func openLogWithTwoRecords(t *testing.T) (directory string, log *Log[replication.HardState]) {
 	directory = t.TempDir()
 	log, records, err := Open[replication.HardState](directory)
 	So(err, ShouldBeNil)
@@ -36,9 +37,9 @@
 
 func TestLog(t *testing.T) {
 	Convey("A log with two records", t, func() {
-		directory, log := openTwoRecords(t)
+		directory, log := openLogWithTwoRecords(t)
 
-		Convey("is read again as it was written", func() {
+		Convey("returns the same records when it is opened again", func() {
 			log.Close()
 			_, records, err := Open[replication.HardState](directory)
 			So(err, ShouldBeNil)
@@ -47,14 +48,14 @@
 			So(string(records[1].Entry), ShouldEqual, "change")
 			So(records[1].HardState, ShouldResemble, testHardState(2))
 		})
-		Convey("loses what was torn at its end, at any byte, and nothing before", func() {
+		Convey("loses only its last record when that record is torn at any byte or corrupted", func() {
 			log.Close()
 			path := newestSegment(directory)
 			content, err := os.ReadFile(path)
 			So(err, ShouldBeNil)
-			_, firstOnly, err := Open[replication.HardState](directory)
+			_, complete, err := Open[replication.HardState](directory)
 			So(err, ShouldBeNil)
-			So(len(firstOnly), ShouldEqual, 2)
+			So(len(complete), ShouldEqual, 2)
 			for cut := len(content) - 1; cut > len(content)-20; cut-- {
 				So(os.WriteFile(path, content[:cut], 0o600), ShouldBeNil)
 				_, records, err := Open[replication.HardState](directory)
@@ -73,9 +74,9 @@
 
 func TestGenerations(t *testing.T) {
 	Convey("A log with two records", t, func() {
-		directory, log := openTwoRecords(t)
+		directory, log := openLogWithTwoRecords(t)
 
-		Convey("is followed by a new generation that holds everything, and the former one is removed", func() {
+		Convey("is replaced by a new generation, and the previous generation is removed", func() {
 			So(log.StartGeneration(testHardState(3), []byte("later")), ShouldBeNil)
 			log.Close()
 			generations, err := filepath.Glob(filepath.Join(directory, generationPrefix+"*"))
@@ -86,7 +87,7 @@
 			So(len(records), ShouldEqual, 1)
 			So(string(records[0].Snapshot), ShouldEqual, "later")
 		})
-		Convey("is found again where a new generation was started and never synced", func() {
+		Convey("is still read when a newer generation was started and never synced", func() {
 			log.Close()
 			empty := filepath.Join(directory, generationPrefix+"00000000000000000009")
 			So(os.MkdirAll(empty, 0o750), ShouldBeNil)
@@ -100,16 +101,16 @@
 			So(err, ShouldBeNil)
 			So(string(records[0].Snapshot), ShouldEqual, "on")
 		})
-		Convey("that could not be written appends nothing until a new generation is started", func() {
+		Convey("rejects appends after a failed write until a new generation is started", func() {
 			So(log.wal.Close(), ShouldBeNil)
 			So(log.Append(Record[replication.HardState]{HardState: testHardState(5)}), ShouldNotBeNil)
 			So(log.Append(Record[replication.HardState]{HardState: testHardState(5)}), ShouldEqual, ErrNoGeneration)
 			So(log.NeedsCompaction(), ShouldBeTrue)
 			So(log.StartGeneration(testHardState(5), []byte("again")), ShouldBeNil)
 		})
-		Convey("grows only so far", func() {
-			big := make([]byte, minCompactionSize)
-			So(log.Append(Record[replication.HardState]{HardState: testHardState(6), Entry: big}), ShouldBeNil)
+		Convey("needs compaction once it exceeds its maximum size", func() {
+			large := make([]byte, minCompactionSize)
+			So(log.Append(Record[replication.HardState]{HardState: testHardState(6), Entry: large}), ShouldBeNil)
 			So(log.NeedsCompaction(), ShouldBeTrue)
 		})
 	})
--- a/internal/fleet/storage/record.go
+++ b/internal/fleet/storage/record.go
@@ -11,48 +11,49 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// segmentName is the only segment of a generation, as the write-ahead log names it.
+// segmentName is the file name that the write-ahead log gives to the only segment of a generation.
 const segmentName = "00000000000000000001"
 
-// checksumSize is the size of the checksum (CRC-32C, big endian) before a record's payload, in bytes.
+// checksumSize is the size in bytes of the checksum (CRC-32C, big endian) that precedes a record's payload.
 const checksumSize = 4
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// addChecksum returns a payload with its checksum before it.
+// addChecksum returns a payload preceded by its checksum.
 func addChecksum(payload []byte) []byte {
-	text := make([]byte, checksumSize, checksumSize+len(payload))
-	binary.BigEndian.PutUint32(text, crc32.Checksum(payload, castagnoli))
-	return append(text, payload...)
+	framed := make([]byte, checksumSize, checksumSize+len(payload))
+	binary.BigEndian.PutUint32(framed, crc32.Checksum(payload, castagnoli))
+	return append(framed, payload...)
 }
 
-// verifyChecksum returns the payload of what addChecksum returned; ok is false where the checksum is wrong.
-func verifyChecksum(text []byte) (payload []byte, ok bool) {
-	if len(text) < checksumSize {
+// verifyChecksum returns the payload of a record that addChecksum made; ok is false if the checksum does not match.
+func verifyChecksum(framed []byte) (payload []byte, ok bool) {
+	if len(framed) < checksumSize {
 		return nil, false
 	}
-	payload = text[checksumSize:]
-	return payload, binary.BigEndian.Uint32(text) == crc32.Checksum(payload, castagnoli)
+	payload = framed[checksumSize:]
+	return payload, binary.BigEndian.Uint32(framed) == crc32.Checksum(payload, castagnoli)
 }
 
-// CorruptLogError says that a log holds complete records after one that is not: it was synced, and has changed since. What
-// it holds is of no use to the replica that wrote it, which may have promised or stored more than can be read.
+// CorruptLogError reports a log that has complete records after an invalid one: the invalid record was synced, and was
+// altered since. A replica must not restart from such a log under its previous identity, since it may have promised or
+// stored more than can be read.
 type CorruptLogError struct {
 	Path   string
-	Offset int // in bytes, of the first record that can't be read
+	Offset int // of the first invalid record, in bytes
 }
 
 func (e *CorruptLogError) Error() string {
-	return fmt.Sprintf("storage: %s is damaged at byte %d, and goes on after it", e.Path, e.Offset)
+	return fmt.Sprintf("storage: %s is corrupt at byte %d: complete records follow an invalid one", e.Path, e.Offset)
 }
 
-// readGeneration reads the records of a generation up to the first one that is torn: what follows was never synced. The
-// write-ahead log's own reader refuses such a file, so that its entries (a length as a varint, then the bytes) are read
-// here. Each record was synced before the next one was written, so that only the last one can be torn: a complete record
-// after it means that the log is corrupt.
+// readGeneration reads the records of a generation up to a torn one, which was never synced. A generation without a segment
+// has no records. Each record is synced before the next one is written, so only the last one can be torn: a complete record
+// after an invalid one is reported as a *CorruptLogError. The entries (a length as a varint, then the bytes) are parsed here,
+// because the write-ahead log's own reader rejects a file that ends with a torn entry.
 func readGeneration[H any](directory string) ([]Record[H], error) {
 	path := filepath.Join(directory, segmentName)
-	text, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
 	}
@@ -60,10 +61,10 @@
 		return nil, wrap(err)
 	}
 	var records []Record[H]
-	for offset := 0; offset < len(text); {
-		record, size, ok := readRecord[H](text[offset:])
+	for offset := 0; offset < len(content); {
+		record, size, ok := readRecord[H](content[offset:])
 		if !ok {
-			if containsRecord[H](text[offset+1:]) {
+			if containsRecord[H](content[offset+1:]) {
 				return nil, &CorruptLogError{Path: path, Offset: offset}
 			}
 			break
@@ -74,43 +75,44 @@
 	return records, nil
 }
 
-// readRecord reads the record that a text begins with, and how many bytes it takes; ok is false where there is none.
-func readRecord[H any](text []byte) (record Record[H], size int, ok bool) {
-	length, n := binary.Uvarint(text)
-	if n <= 0 || length < checksumSize || uint64(len(text)-n) < length {
+// readRecord decodes the record at the start of data, and returns its encoded size in bytes; ok is false if data does not
+// start with a complete and valid record.
+func readRecord[H any](data []byte) (record Record[H], size int, ok bool) {
+	length, n := binary.Uvarint(data)
+	if n <= 0 || length < checksumSize || uint64(len(data)-n) < length {
 		return Record[H]{}, 0, false
 	}
 	end := n + int(length)
-	payload, ok := verifyChecksum(text[n:end])
+	payload, ok := verifyChecksum(data[n:end])
 	if !ok || cbor.Unmarshal(payload, &record) != nil {
 		return Record[H]{}, 0, false
 	}
 	return record, end, true
 }
 
-// containsRecord reports whether a complete record begins anywhere in a text.
-func containsRecord[H any](text []byte) bool {
-	for offset := range text {
-		if !hasRecordHeader(text[offset:]) {
-			continue // most offsets: a checksum of what follows would cost much
+// containsRecord reports whether a complete record starts at any offset of data.
+func containsRecord[H any](data []byte) bool {
+	for offset := range data {
+		if !hasRecordHeader(data[offset:]) {
+			continue // cheap test: a checksum at every offset would be expensive
 		}
-		if _, _, ok := readRecord[H](text[offset:]); ok {
+		if _, _, ok := readRecord[H](data[offset:]); ok {
 			return true
 		}
 	}
 	return false
 }
 
-// A record is encoded as a map of one to three pairs, of which the first has the key 1 (RFC 8949, section 3.1).
+// A record is encoded as a CBOR map of one to three pairs, the first of which has the key 1 (RFC 8949, section 3.1).
 const (
 	cborMapMask   = 0xfc
 	cborMapHeader = 0xa0
 	cborFirstKey  = 0x01
 )
 
-// hasRecordHeader reports whether a text may begin with a record, by its length and the head of its payload.
-func hasRecordHeader(text []byte) bool {
-	_, n := binary.Uvarint(text)
-	head := n + checksumSize
-	return n > 0 && len(text) > head+1 && text[head]&cborMapMask == cborMapHeader && text[head+1] == cborFirstKey
+// hasRecordHeader reports whether data may start with a record, judged by its length prefix and the start of its payload.
+func hasRecordHeader(data []byte) bool {
+	_, n := binary.Uvarint(data)
+	payloadStart := n + checksumSize
+	return n > 0 && len(data) > payloadStart+1 && data[payloadStart]&cborMapMask == cborMapHeader && data[payloadStart+1] == cborFirstKey
 }
