--- a/internal/fleet/transport/compression.go
+++ b/internal/fleet/transport/compression.go
@@ -7,37 +7,38 @@
 	"net/http"
 )
 
-// Large messages over TCP travel compressed (gzip, RFC 1952) to routers whose packets say that they understand it: on a link of 100 Mbit/s a
-// change of 4,000 routes takes 83 ms to each of the others. Builds up to 79c0b7a say nothing, and get messages as they are.
+// Large messages over TCP are compressed (gzip, RFC 1952) if the receiver's packets announce that it supports compression.
+// Uncompressed, a change of 4,000 routes takes 83 ms per receiver on a link of 100 Mbit/s. Builds up to 79c0b7a do not
+// announce compression, and are sent uncompressed messages.
 
 const (
-	minCompressedBytes = 4 << 10 // of a body: what is smaller is sent as it is
+	minCompressedBytes = 4 << 10 // smaller bodies are sent uncompressed
 	gzipEncoding       = "gzip"
 )
 
-// recordPeer remembers whether a router understands compressed messages, as its last packet says.
-func (t *Transport) recordPeer(address string, understandsGzip bool) {
+// setGzipSupport records whether a router supports compressed messages, as its last packet announced.
+func (t *Transport) setGzipSupport(address string, supportsGzip bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.gzipPeers[address] == understandsGzip {
+	if t.gzipPeers[address] == supportsGzip {
 		return
 	}
-	if !understandsGzip {
+	if !supportsGzip {
 		delete(t.gzipPeers, address)
 		return
 	}
 	t.gzipPeers[address] = true
 }
 
-func (t *Transport) understandsGzip(address string) bool {
+func (t *Transport) supportsGzip(address string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.gzipPeers[address]
 }
 
-// encodeBody returns a message's body as it is sent to a router, and the name of its encoding; empty: none.
+// encodeBody returns a body as it is sent to a router, and its Content-Encoding; empty: uncompressed.
 func (t *Transport) encodeBody(to string, body []byte) (encoded []byte, encoding string) {
-	if len(body) < minCompressedBytes || !t.understandsGzip(to) {
+	if len(body) < minCompressedBytes || !t.supportsGzip(to) {
 		return body, ""
 	}
 	var out bytes.Buffer
@@ -45,12 +46,13 @@
 	if err != nil {
 		panic(err) // the level is valid
 	}
-	_, _ = w.Write(body) // a buffer takes everything
+	_, _ = w.Write(body) // writing to a buffer can't fail
 	_ = w.Close()
 	return out.Bytes(), gzipEncoding
 }
 
-// decodedBody returns a request's body without its encoding. An error says that the encoding is not known, or its header is damaged.
+// decodedBody returns a reader of a request's decompressed body. It fails if the encoding is unknown (http.ErrNotSupported) or
+// the gzip header is invalid.
 func decodedBody(r *http.Request) (io.Reader, error) {
 	switch r.Header.Get("Content-Encoding") {
 	case "":
--- a/internal/fleet/transport/compression_test.go
+++ b/internal/fleet/transport/compression_test.go
@@ -13,7 +13,8 @@
 	"go.uber.org/goleak"
 )
 
-// Guards against messages that a router of a former build can't read, and against compressed ones that arrive altered or unbounded.
+// Guards against sending compressed messages to a router of an earlier build, which can't read them, and against receiving
+// compressed messages altered or without a size limit.
 func TestCompressedMessages(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	Convey("Two routers of one fleet", t, func() {
@@ -33,12 +34,12 @@
 			return packet
 		}
 
-		Convey("send large messages as they are until the other one's packets say that it understands compressed ones", func() {
+		Convey("send large messages uncompressed unless the receiver's last packet announced gzip support", func() {
 			for _, c := range []struct {
-				says     []byte
+				packet   []byte
 				encoding string
 			}{{nil, ""}, {packetOf(true), gzipEncoding}, {packetOf(false), ""}} {
-				a.receive(c.says)
+				a.receive(c.packet)
 				body, encoding := a.encodeBody(bAddress, []byte(large))
 				So(encoding, ShouldEqual, c.encoding)
 				So(len(body) < len(large)/10, ShouldEqual, encoding != "")
@@ -48,10 +49,10 @@
 				So(cbor.Unmarshal(in.packets[len(in.packets)-1].Body, &text), ShouldBeNil)
 				So(text == large, ShouldBeTrue)
 			}
-			So(b.understandsGzip(aAddress), ShouldBeTrue)
+			So(b.supportsGzip(aAddress), ShouldBeTrue)
 		})
-		Convey("drop what is truncated, of another encoding, or inflates to more than a body may have", func() {
-			b.recordPeer(aAddress, true)
+		Convey("drop bodies that are truncated, of an unknown encoding, or too long when decompressed", func() {
+			b.setGzipSupport(aAddress, true)
 			valid, _ := b.encodeBody(aAddress, []byte(large))
 			bomb, _ := b.encodeBody(aAddress, bytes.Repeat([]byte{0}, maxBodyBytes+1))
 			for i, c := range []struct {
--- a/internal/fleet/transport/packet.go
+++ b/internal/fleet/transport/packet.go
@@ -6,20 +6,20 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Kind says what a message's body is. The callers number the kinds; the numbers are sent.
+// Kind identifies the type of a message's body. Callers assign the numbers, which are part of the protocol.
 type Kind uint8
 
-// Packet is a message as it is sent. The numbers of its fields are part of the protocol.
+// Packet is a message with its envelope, as it is sent. Its field numbers are part of the protocol.
 type Packet struct {
-	Fleet uint32          `cbor:"1,keyasint"` // tells fleets apart that share addresses
+	Fleet uint32          `cbor:"1,keyasint"` // distinguishes fleets that share addresses
 	Kind  Kind            `cbor:"2,keyasint"`
-	From  string          `cbor:"3,keyasint"` // the sender's internal address
-	Nonce uint64          `cbor:"4,keyasint,omitempty"`
+	From  string          `cbor:"3,keyasint"`           // the sender's internal address
+	Nonce uint64          `cbor:"4,keyasint,omitempty"` // of the sending replica's identity, where a replica sends the message
 	Body  cbor.RawMessage `cbor:"5,keyasint"`
-	Gzip  bool            `cbor:"6,keyasint,omitempty"` // the sender understands compressed messages
+	Gzip  bool            `cbor:"6,keyasint,omitempty"` // the sender supports compressed messages
 }
 
-// encode returns the packet of a message. It panics for a message that CBOR has no form for, which is a mistake in the code.
+// encode returns the encoded packet of a message. It panics if CBOR can't represent the message: that is a programming error.
 func (t *Transport) encode(kind Kind, nonce uint64, message any) []byte {
 	body, err := cbor.Marshal(message)
 	if err != nil {
--- a/internal/fleet/transport/receive.go
+++ b/internal/fleet/transport/receive.go
@@ -9,10 +9,11 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-const maxUDPBytes = 64 << 10 // of any datagram
+const receiveBufferBytes = 64 << 10 // no UDP datagram is longer
 
+// receiveDatagrams receives packets over UDP until the socket is closed.
 func (t *Transport) receiveDatagrams() {
-	buffer := make([]byte, maxUDPBytes)
+	buffer := make([]byte, receiveBufferBytes)
 	for {
 		n, _, err := t.udp.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -24,13 +25,15 @@
 	}
 }
 
+// receiveOverTCP handles a POST request that carries a packet.
 func (t *Transport) receiveOverTCP(w http.ResponseWriter, r *http.Request) {
 	if body, ok := t.readBody(w, r); ok {
 		t.receive(body)
 	}
 }
 
-// readBody reads a request's body. One that is truncated or too long is dropped and counted.
+// readBody reads and decompresses a request's body. If it is truncated, too long or of an unknown encoding, the request is
+// counted as dropped and ok is false.
 func (t *Transport) readBody(w http.ResponseWriter, r *http.Request) (body []byte, ok bool) {
 	decoded, err := decodedBody(r)
 	if err == nil {
@@ -43,7 +46,7 @@
 	return body, true
 }
 
-// receive decodes a packet and has it handled.
+// receive decodes a packet and passes it to the handler. It drops and counts invalid packets and those of other fleets.
 func (t *Transport) receive(encoded []byte) {
 	var p Packet
 	if err := cbor.Unmarshal(encoded, &p); err != nil || p.Fleet != t.fleet || p.From == "" {
@@ -51,6 +54,6 @@
 		return
 	}
 	t.Counters.Received.Add(1)
-	t.recordPeer(p.From, p.Gzip)
+	t.setGzipSupport(p.From, p.Gzip)
 	t.handle(&p)
 }
--- a/internal/fleet/transport/send.go
+++ b/internal/fleet/transport/send.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Send sends a message to a router's internal address, once and without acknowledgement. nonce goes into the Packet. Where too
-// many messages are on their way to that router already, this one is dropped and counted.
+// Send sends a message to a router's internal address, once and without acknowledgement. nonce is the Packet's Nonce. A message
+// that is too long for a datagram is dropped and counted if maxInFlight others are in flight to that router.
 func (t *Transport) Send(to string, kind Kind, nonce uint64, message any) {
 	t.sendEncoded(to, t.encode(kind, nonce, message))
 }
 
-// SendAll is Send to several routers, with the message encoded once and no nonce.
+// SendAll sends a message to several routers as Send does, without a nonce. It encodes the message only once.
 func (t *Transport) SendAll(to []string, kind Kind, message any) {
 	packet := t.encode(kind, 0, message)
 	for _, address := range to {
@@ -36,15 +36,15 @@
 	}
 	t.Counters.SentDatagrams.Add(1)
 	t.Counters.SentBytes.Add(uint64(len(packet)))
-	_, _ = t.udp.WriteToUDPAddrPort(packet, address) // datagrams may be lost anyway
+	_, _ = t.udp.WriteToUDPAddrPort(packet, address) // a failed write counts as a lost datagram
 }
 
-// udpAddress returns a receiver's address; ok is false where it is no IP address and port.
+// udpAddress parses a receiver's address and caches the result; ok is false if it is not an IP address and port.
 func (t *Transport) udpAddress(to string) (address netip.AddrPort, ok bool) {
 	t.mu.Lock()
-	address, known := t.udpAddresses[to]
+	address, cached := t.udpAddresses[to]
 	t.mu.Unlock()
-	if known {
+	if cached {
 		return address, true
 	}
 	address, err := netip.ParseAddrPort(to)
@@ -68,11 +68,11 @@
 		defer t.release(to)
 		ctx, cancel := context.WithTimeout(t.ctx, sendTimeout(len(packet)))
 		defer cancel()
-		_, _ = t.post(ctx, to, messagePath, packet) // messages may be lost; the protocols repeat them
+		_, _ = t.post(ctx, to, messagePath, packet) // a failed request counts as a lost message: the protocols resend it
 	})
 }
 
-// reserve counts a message over TCP as in flight; false: there are too many to that router.
+// reserve counts one more message over TCP as in flight. It returns false if maxInFlight are in flight to that router.
 func (t *Transport) reserve(to string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -83,6 +83,7 @@
 	return true
 }
 
+// release counts a message over TCP as no longer in flight.
 func (t *Transport) release(to string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -91,7 +92,7 @@
 	}
 }
 
-// sendTimeout returns how long a message of so many bytes may take, also on a slow link.
+// sendTimeout returns the time-out for a message over TCP of a size in bytes, sent over a link of at least minLinkRate.
 func sendTimeout(size int) time.Duration {
 	return callTimeout + time.Duration(size)*time.Second/minLinkRate
 }
--- a/internal/fleet/transport/transport.go
+++ b/internal/fleet/transport/transport.go
@@ -1,9 +1,10 @@
-// Package transport carries messages between routers: small ones as datagrams, larger ones and calls over TCP, at the same
-// address. Bodies are CBOR (RFC 8949).
+// Package transport carries messages between routers: small messages as UDP datagrams, larger ones and calls over TCP, at the
+// same address. Bodies are CBOR (RFC 8949).
 //
-// Messages are sent once, without acknowledgement: the protocols above repeat them. Calls get an answer or an error. What is
-// truncated, too long or from another fleet is dropped and counted. A Transport may be used by any goroutine; it owns the
-// goroutines that it starts, and Close waits for them.
+// Messages are sent once, without acknowledgement: the protocols that use them resend them. Calls return a reply or an error.
+// Messages and calls that are truncated or too long, and messages from another fleet, are dropped and counted.
+//
+// A Transport is safe for concurrent use. It owns the goroutines that it starts, and Close waits for them.
 package transport
 
 import (
@@ -20,30 +21,30 @@
 )
 
 const (
-	maxDatagramBytes = 1200 // of a packet that is sent as a datagram: it fits the 1,500 bytes of Ethernet without fragments
-	maxBodyBytes     = 32 << 20
-	maxInFlight      = 16 // messages over TCP on their way to one router
+	maxDatagramBytes = 1200     // longer packets are sent over TCP; this fits Ethernet's 1,500 bytes without fragmentation
+	maxBodyBytes     = 32 << 20 // of a request, once decompressed, and of a response
+	maxInFlight      = 16       // messages over TCP to one router
 
 	dialTimeout = 500 * time.Millisecond
-	callTimeout = 2 * time.Second // that a short message may take
-	readTimeout = time.Minute     // that the longest body may take to arrive
+	callTimeout = 2 * time.Second // for sending a short message, and for receiving the header of a request
+	readTimeout = time.Minute     // for receiving a request with the longest body
 	idleTimeout = 10 * time.Second
-	minLinkRate = 100_000 // bytes a second, that a message over TCP is given time for beyond callTimeout
+	minLinkRate = 100_000 // bytes/s; a message over TCP is given callTimeout plus the time that it takes at this rate
 
 	messagePath = "/message"
 )
 
-// Counters count since the start.
+// Counters holds a Transport's counters, which start at 0 when it is created.
 type Counters struct {
 	SentDatagrams atomic.Uint64
 	SentOverTCP   atomic.Uint64 // messages; calls are not counted
-	SentBytes     atomic.Uint64 // of messages, by either way
+	SentBytes     atomic.Uint64 // of messages, over UDP and TCP
 	ReplyBytes    atomic.Uint64 // of replies to calls
 	Received      atomic.Uint64 // messages
-	Dropped       atomic.Uint64 // messages and calls, when sent or received
+	Dropped       atomic.Uint64 // messages that were not sent, and invalid messages and calls that were received
 }
 
-// Transport sends and receives one router's messages. Listen makes one.
+// Transport sends and receives one router's messages. Listen creates one.
 type Transport struct {
 	Counters Counters
 
@@ -54,18 +55,19 @@
 	server  *http.Server
 	client  *http.Client
 	router  *mux.Router
-	ctx     context.Context // ends with Close
+	ctx     context.Context // done after Close
 	cancel  context.CancelFunc
 	tasks   sync.WaitGroup
 
 	mu           sync.Mutex
 	inFlight     map[string]int            // messages over TCP, by receiver
 	udpAddresses map[string]netip.AddrPort // parsed addresses of receivers
-	gzipPeers    map[string]bool           // routers that understand compressed messages
+	gzipPeers    map[string]bool           // addresses of routers that support compressed messages
 }
 
-// Listen binds the router's internal address by UDP; Serve has to follow. Packets of other fleets are dropped. handle is called
-// for each message, by several goroutines; it must not block for long.
+// Listen creates a Transport and binds the router's internal address over UDP; nothing is received before Serve. Packets of
+// other fleets are dropped. handle is called for each message, by several goroutines at a time; it must not block for long.
+// Errors wrap those of package net.
 func Listen(address string, fleet uint32, handle func(*Packet)) (*Transport, error) {
 	local, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
@@ -96,10 +98,11 @@
 	return t, nil
 }
 
-// Context returns a context that ends with Close.
+// Context returns a context that Close cancels.
 func (t *Transport) Context() context.Context { return t.ctx }
 
-// Serve starts to receive, until Close. It returns at once; an error says that the address can't be bound by TCP.
+// Serve starts receiving, until Close, and returns without waiting. It fails if the address can't be bound over TCP; the error
+// wraps that of package net.
 func (t *Transport) Serve() error {
 	listener, err := net.Listen("tcp4", t.address)
 	if err != nil {
@@ -110,7 +113,7 @@
 	return nil
 }
 
-// Close aborts all that is in flight, and waits for its goroutines. Nothing may be sent afterwards.
+// Close aborts all messages and calls in flight, and waits for the Transport's goroutines. Nothing may be sent after Close.
 func (t *Transport) Close() {
 	t.cancel()
 	_ = t.udp.Close()
--- a/internal/fleet/transport/transport_test.go
+++ b/internal/fleet/transport/transport_test.go
@@ -14,7 +14,7 @@
 	"go.uber.org/goleak"
 )
 
-// freeAddress returns a loopback address whose port is free by TCP; that by UDP usually is, too.
+// freeAddress returns a loopback address whose port is free for TCP, and usually for UDP as well.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -25,7 +25,7 @@
 	return l.Addr().String()
 }
 
-// inbox records the packets that arrived.
+// inbox records received packets, and signals each on arrived.
 type inbox struct {
 	mu      sync.Mutex
 	packets []*Packet
@@ -41,6 +41,7 @@
 	i.arrived <- struct{}{}
 }
 
+// listen returns a Transport of a fleet at a free loopback address, and that address.
 func listen(t *testing.T, fleet uint32, handle func(*Packet)) (*Transport, string) {
 	t.Helper()
 	address := freeAddress(t)
@@ -57,7 +58,7 @@
 		in := newInbox()
 		a, aAddress := listen(t, 7, func(*Packet) {})
 		b, bAddress := listen(t, 7, in.handle)
-		stranger, _ := listen(t, 8, func(*Packet) {})
+		otherFleet, _ := listen(t, 8, func(*Packet) {})
 		b.HandleCall("/double", func(body []byte) (any, error) {
 			var s string
 			if err := cbor.Unmarshal(body, &s); err != nil {
@@ -68,11 +69,11 @@
 			}
 			return s + s, nil
 		})
-		for _, tr := range []*Transport{a, b, stranger} {
+		for _, tr := range []*Transport{a, b, otherFleet} {
 			So(tr.Serve(), ShouldBeNil)
 		}
 		Reset(func() {
-			for _, tr := range []*Transport{a, b, stranger} {
+			for _, tr := range []*Transport{a, b, otherFleet} {
 				tr.Close()
 			}
 		})
@@ -99,10 +100,10 @@
 				_, err := conn.Write(packet[:cut])
 				So(err, ShouldBeNil)
 			}
-			stranger.Send(bAddress, 3, 0, "odd")
+			otherFleet.Send(bAddress, 3, 0, "odd")
 			_, err = conn.Write(packet)
 			So(err, ShouldBeNil)
-			<-in.arrived // the complete one, which was sent last
+			<-in.arrived // the complete packet, which was sent last
 			So(b.Counters.Dropped.Load(), ShouldBeGreaterThanOrEqualTo, uint64(len(packet)-1))
 			So(len(in.packets), ShouldEqual, 1)
 		})
@@ -123,7 +124,7 @@
 	})
 }
 
-// Looks for packets on which receiving panics.
+// FuzzReceive looks for packets on which receive panics.
 func FuzzReceive(f *testing.F) {
 	packet, err := cbor.Marshal(&Packet{Fleet: 7, Kind: 3, From: "a:1", Body: cbor.RawMessage{0x01}})
 	if err != nil {
