--- a/internal/fleet/config/change.go
+++ b/internal/fleet/config/change.go
@@ -10,15 +10,16 @@
 
 // Change is one change of the configuration, as the operator sent it. Its CBOR form is replicated and stored.
 type Change struct {
-	Replace bool   `cbor:"1,keyasint"` // Body is a complete configuration; else a Patch
-	Base    int64  `cbor:"2,keyasint"` // the version that it builds on
+	Replace bool   `cbor:"1,keyasint"` // Body is a complete configuration; otherwise a Patch
+	Base    int64  `cbor:"2,keyasint"` // the version of the configuration that the change is based on
 	Body    []byte `cbor:"3,keyasint"` // JSON
 }
 
 // ChangeDigest identifies a change by its content: the first half of its SHA-256 hash.
 type ChangeDigest [sha256.Size / 2]byte
 
-// Digest identifies the change. Two changes with the same kind, base and body are the same one, sent again.
+// Digest returns the change's digest. Changes with equal fields have the same digest, and count as one change that was sent
+// again.
 func (c *Change) Digest() ChangeDigest {
 	hash := sha256.New()
 	var header [9]byte
@@ -31,19 +32,19 @@
 	return ChangeDigest(hash.Sum(nil)[:len(ChangeDigest{})])
 }
 
-// Encode returns the change in its replicated form.
+// Encode returns the change in its replicated form (CBOR). Errors wrap those of package cbor.
 func (c *Change) Encode() ([]byte, error) {
-	text, err := cbor.Marshal(c)
+	encoded, err := cbor.Marshal(c)
 	if err != nil {
 		return nil, fmt.Errorf("config: encode change: %w", err)
 	}
-	return text, nil
+	return encoded, nil
 }
 
-// DecodeChange is the inverse of Encode. An error wraps package cbor's.
-func DecodeChange(text []byte) (*Change, error) {
+// DecodeChange is the inverse of Change.Encode. Errors wrap those of package cbor.
+func DecodeChange(encoded []byte) (*Change, error) {
 	var c Change
-	if err := cbor.Unmarshal(text, &c); err != nil {
+	if err := cbor.Unmarshal(encoded, &c); err != nil {
 		return nil, fmt.Errorf("config: decode change: %w", err)
 	}
 	return &c, nil
--- a/internal/fleet/config/config_test.go
+++ b/internal/fleet/config/config_test.go
@@ -20,12 +20,14 @@
 	"limits":{"maxBodyBytes":100},
 	"tenants":[{"name":"t","apiKeys":["k1","k2"],"ratePerS":5,"burst":5,"unit":"token_count","plainTokens":200}]}`
 
+// mustParse parses a document, and fails the test if it is invalid.
 func mustParse(text string) *Document {
 	d, err := ParseDocument([]byte(text))
 	So(err, ShouldBeNil)
 	return d
 }
 
+// equalJSON reports whether two JSON texts are equal but for white space and the order of fields.
 func equalJSON(a, b []byte) bool {
 	var x, y any
 	So(json.Unmarshal(a, &x), ShouldBeNil)
@@ -39,11 +41,11 @@
 	Convey("A configuration", t, func() {
 		d := mustParse(validDocument)
 		So(d.Version(), ShouldEqual, 7)
-		Convey("is encoded as it was sent, with unknown fields", func() {
+		Convey("is encoded as it was sent, including unknown fields", func() {
 			So(equalJSON(d.Encode(), []byte(validDocument)), ShouldBeTrue)
 			So(string(d.Encode()), ShouldContainSubstring, "1.50")
 		})
-		Convey("is patched by name, and the previous one is unchanged", func() {
+		Convey("is patched by item names, and the previous document is unchanged", func() {
 			patch, err := ParsePatch([]byte(`{"version":9,"upsert":{"services":[{"name":"new"},{"name":"llm","maxConnections":6}]},
 				"remove":{"routes":["ab"]}}`))
 			So(err, ShouldBeNil)
@@ -64,7 +66,7 @@
 	}
 	service := `{"name":"s"}`
 	Convey("An invalid configuration is an InvalidError that names the item", t, func() {
-		for _, c := range []struct{ text, names string }{
+		for _, c := range []struct{ text, expected string }{
 			{validDocument[:len(validDocument)/2], "configuration"},
 			{`{"routes":[]}`, "version"},
 			{`{"version":1,"routes":5}`, "routes"},
@@ -80,13 +82,14 @@
 			err := validate(c.text)
 			var invalid *InvalidError
 			So(errors.As(err, &invalid), ShouldBeTrue)
-			So(err.Error(), ShouldContainSubstring, c.names)
+			So(err.Error(), ShouldContainSubstring, c.expected)
 		}
 		So(validate(documentOf(route, service, "")), ShouldBeNil)
 		So(validate(validDocument), ShouldBeNil)
 	})
 }
 
+// validate parses and validates a configuration.
 func validate(text string) error {
 	d, err := ParseDocument([]byte(text))
 	if err != nil {
@@ -113,14 +116,14 @@
 		}
 		for i, weight := range weights {
 			if share, expected := got[fmt.Sprint("s", i)]/draws, weight/sum; math.Abs(share-expected) > 1.0/draws {
-				t.Errorf("weights %v: backend %d has a share of %v, not %v", weights, i, share, expected)
+				t.Errorf("weights %v: backend %d got a share of %v, want %v", weights, i, share, expected)
 			}
 		}
 	}
 }
 
 func TestTableLookup(t *testing.T) {
-	Convey("Requests are matched by host, longest prefix and key", t, func() {
+	Convey("Requests are matched by host, longest prefix and API key", t, func() {
 		table, err := NewTable(mustParse(validDocument), nil)
 		So(err, ShouldBeNil)
 		So(table.Route("h.example", "/a/b/c").Name, ShouldEqual, "ab")
@@ -148,7 +151,7 @@
 	})
 }
 
-func TestStateRemembersAppliedChanges(t *testing.T) {
+func TestStateRecognisesAppliedChanges(t *testing.T) {
 	Convey("A state recognises applied changes, also after encoding and decoding", t, func() {
 		first := &Change{Replace: true, Base: 0, Body: []byte(validDocument)}
 		second := &Change{Base: 7, Body: []byte(`{"version":9,"remove":{"routes":["ab"]}}`)}
@@ -166,7 +169,7 @@
 		So(decoded.Document.Version(), ShouldEqual, 9)
 		So(equalJSON(decoded.Document.Encode(), state.Document.Encode()), ShouldBeTrue)
 	})
-	Convey("The number of remembered changes is bounded", t, func() {
+	Convey("The number of recorded changes is bounded", t, func() {
 		state := EmptyState()
 		for version := 1; version <= maxAppliedChanges+10; version++ {
 			next, err := state.Apply(&Change{Base: int64(version - 1), Body: fmt.Appendf(nil, `{"version":%d}`, version)})
@@ -177,7 +180,8 @@
 	})
 }
 
-// Guards against a replicated form that earlier processes, disks and peers can't read: the bytes are those of commit b772427.
+// Guards against changes of the replicated form, which other builds and stored logs have to read. The expected bytes are those
+// that commit b772427 wrote.
 func TestReplicatedFormIsStable(t *testing.T) {
 	Convey("Changes and states are encoded as by earlier releases", t, func() {
 		first := &Change{Replace: true, Body: []byte(`{"version":7,"limits":{"x":1},"services":[{"name":"a"}],"b":[1]}`)}
@@ -198,7 +202,7 @@
 	})
 }
 
-// Looks for documents that change when they are encoded and parsed again.
+// FuzzDocument looks for documents that change when they are encoded and parsed again.
 func FuzzDocument(f *testing.F) {
 	f.Add([]byte(validDocument))
 	f.Add([]byte(`{"version":1,"routes":[{"name":"é","x":[1,2]}],"list":[1],"other":[{"name":"n"},{"name":"n"}]}`))
@@ -208,12 +212,12 @@
 		if err != nil {
 			return
 		}
-		again, err := ParseDocument(d.Encode())
+		reparsed, err := ParseDocument(d.Encode())
 		if err != nil {
-			t.Fatalf("%q can't be read again: %v", d.Encode(), err)
+			t.Fatalf("can't parse the encoded document %q: %v", d.Encode(), err)
 		}
-		if string(again.Encode()) != string(d.Encode()) {
-			t.Fatalf("%q became %q", d.Encode(), again.Encode())
+		if string(reparsed.Encode()) != string(d.Encode()) {
+			t.Fatalf("the document %q is encoded as %q after parsing", d.Encode(), reparsed.Encode())
 		}
 	})
 }
--- a/internal/fleet/config/document.go
+++ b/internal/fleet/config/document.go
@@ -1,9 +1,9 @@
-// Package config is the operator's configuration: the Document as it was sent, the Change and Patch that alter it, the
-// replicated State, the validation of it, and the Table that requests are looked up in.
+// Package config defines the operator's configuration: the Document as it was sent, the Change and Patch that modify it, the
+// replicated State, validation, and the Table in which the routes, services and tenants of requests are looked up.
 //
-// It is pure: no I/O and no clock. All values but a Change being built are immutable, so that any goroutine may share them.
-// Field names of the JSON form and numbers of the CBOR form are stored and sent: they never change. Fields that the package
-// does not know are preserved.
+// The package is pure: no I/O and no clock. All values are immutable and may be shared between goroutines, except for a Change
+// that is being built. Names of JSON fields and numbers of CBOR fields never change, since they are stored and sent. Unknown
+// fields are preserved.
 package config
 
 import (
@@ -13,7 +13,7 @@
 	"slices"
 )
 
-// Names of a document's fields that this package interprets; others are preserved as they came.
+// Names of a document's fields that this package interprets; others are preserved as they were sent.
 const (
 	fieldVersion  = "version"
 	fieldRoutes   = "routes"
@@ -22,27 +22,27 @@
 	fieldLimits   = "limits"
 )
 
-// Document is a configuration as the operator sent it: raw JSON, with named items in their order. It is immutable;
-// Apply returns a new one that shares what is unchanged.
+// Document is a configuration as the operator sent it: raw JSON, with the lists of named items in the operator's order. It is
+// immutable; Apply returns a new document that shares all unchanged parts with this one.
 type Document struct {
 	version int64
-	fields  map[string]rawJSON // those that are no list of named items
+	fields  map[string]rawJSON // all but the version and the lists of named items
 	lists   map[string]*itemList
 }
 
-// EmptyDocument returns what is in force before the first configuration: version 0.
+// EmptyDocument returns the document that is in force before the first configuration: version 0, without any fields.
 func EmptyDocument() *Document {
 	return &Document{fields: map[string]rawJSON{}, lists: map[string]*itemList{}}
 }
 
-// Version returns the document's number, which the operator chose; 0 is that of the empty one.
+// Version returns the document's version, which the operator chose; that of the empty document is 0.
 func (d *Document) Version() int64 { return d.version }
 
-// ParseDocument decodes a complete configuration from JSON. An error is an InvalidError. Items are decoded no further
-// than their names: NewTable and CheckSchema check the rest.
+// ParseDocument decodes a complete configuration from JSON. Of each item it decodes only the name: NewTable and CheckSchema
+// validate the rest. An error is an *InvalidError.
 func ParseDocument(text []byte) (*Document, error) { return ParseDocumentPaced(text, nil) }
 
-// ParseDocumentPaced is ParseDocument, with pauses.
+// ParseDocumentPaced is ParseDocument with pauses by pace.
 func ParseDocumentPaced(text []byte, pace Pace) (*Document, error) {
 	var fields map[string]rawJSON
 	if err := decodeJSON(text, &fields); err != nil {
@@ -68,6 +68,7 @@
 	return d, err
 }
 
+// parseVersion decodes the value of the version field. An error is an *InvalidError.
 func parseVersion(text rawJSON) (int64, error) {
 	var version int64
 	if err := decodeJSON(text, &version); err != nil {
@@ -76,7 +77,7 @@
 	return version, nil
 }
 
-// items returns the items of a list by name; nil where the document has no such list.
+// items returns the items of a list by name; nil if the document has no such list.
 func (d *Document) items(field string) map[string]rawJSON {
 	list := d.lists[field]
 	if list == nil {
@@ -85,7 +86,7 @@
 	return list.items
 }
 
-// itemNames returns the names of a list's items in their order.
+// itemNames returns the names of a list's items in the operator's order; nil if the document has no such list.
 func (d *Document) itemNames(field string) []string {
 	list := d.lists[field]
 	if list == nil {
@@ -94,7 +95,8 @@
 	return list.names
 }
 
-// Encode returns the document as JSON. Equal documents have equal encodings: fields and lists are sorted by name.
+// Encode returns the document as JSON. Equal documents have equal encodings: the version comes first, then the other fields
+// sorted by name, then the lists sorted by name.
 func (d *Document) Encode() []byte {
 	out := fmt.Appendf(nil, `{"version":%d`, d.version)
 	for _, name := range sortedKeys(d.fields) {
--- a/internal/fleet/config/errors.go
+++ b/internal/fleet/config/errors.go
@@ -1,11 +1,11 @@
 package config
 
-// InvalidError reports an item of a configuration that is at fault, and why. The operator reads its text in the answer of
-// the control API.
+// InvalidError reports which item of a configuration or change is invalid, and why. The control API returns its text to the
+// operator.
 type InvalidError struct {
 	Item   string // "configuration", "change", the name of a field, or list and name as in "routes checkout"
 	Reason string
-	Err    error // the cause that Unwrap returns; nil: Reason says all
+	Err    error // the cause, which Unwrap returns; nil: none beyond Reason
 }
 
 func (e *InvalidError) Error() string {
--- a/internal/fleet/config/json.go
+++ b/internal/fleet/config/json.go
@@ -6,13 +6,14 @@
 	jsonv1 "github.com/go-json-experiment/json/v1"
 )
 
-// rawJSON is the text of one JSON value as it was sent.
+// rawJSON is the undecoded text of one JSON value, as it was sent.
 type rawJSON = jsontext.Value
 
-// jsonOptions give JSON the meaning that encoding/json gives it: former builds read stored configurations that way.
+// jsonOptions select the semantics of encoding/json, with which earlier builds decoded stored configurations.
 var jsonOptions = json.JoinOptions(jsonv1.DefaultOptionsV1())
 
-// decodeJSON decodes a JSON text as encoding/json does, in one pass: large changes are decoded by routers with a tenth of a processor.
+// decodeJSON decodes a JSON text with the semantics of encoding/json, but in one pass: routers that have only a tenth of a
+// processor decode large changes.
 func decodeJSON(text []byte, into any) error { return json.Unmarshal(text, into, jsonOptions) }
 
 // quoteJSON returns the JSON form of a string.
--- a/internal/fleet/config/list.go
+++ b/internal/fleet/config/list.go
@@ -6,19 +6,20 @@
 	"slices"
 )
 
-// itemList is a list of JSON objects that each have a unique name, in the operator's order.
+// itemList is a list of JSON objects with unique names, in the operator's order.
 type itemList struct {
 	names []string
 	items map[string]rawJSON
 }
 
-// isItemField reports whether a field of a document has to be a list of named items.
+// isItemField reports whether a field of a document must be a list of named items.
 func isItemField(field string) bool {
 	return field == fieldRoutes || field == fieldServices || field == fieldTenants
 }
 
-// parseList decodes the value of a field that is a list of named items. Where an unknown field's value is anything else,
-// isList is false; that of a known field, or one with a name twice, is an InvalidError.
+// parseList decodes the value of a field as a list of named items. If the value is not such a list, isList is false for a
+// field that this package does not interpret, and err is an *InvalidError for the others. A duplicate name is always an
+// *InvalidError.
 func parseList(field string, value rawJSON, pace Pace) (list *itemList, isList bool, err error) {
 	required := isItemField(field)
 	var items []rawJSON
@@ -30,7 +31,7 @@
 	}
 	list = &itemList{items: make(map[string]rawJSON, len(items))}
 	for i, item := range items {
-		pace.after(i)
+		pace.pauseAfter(i)
 		name := itemName(item)
 		if name == "" && required {
 			return nil, false, &InvalidError{Item: field, Reason: "holds an item without a name"}
@@ -46,7 +47,7 @@
 	return list, true, nil
 }
 
-// itemName returns an item's name; empty: it has none, or is no JSON object.
+// itemName returns an item's name; empty: it has none, or is not a JSON object.
 func itemName(item rawJSON) string {
 	var named struct {
 		Name string `json:"name"`
@@ -57,15 +58,15 @@
 	return named.Name
 }
 
-// put replaces the item of that name in its place, or appends it.
+// put replaces the item that has this name, in its position, or appends the item.
 func (l *itemList) put(name string, item rawJSON) {
-	if _, known := l.items[name]; !known {
+	if _, exists := l.items[name]; !exists {
 		l.names = append(l.names, name)
 	}
 	l.items[name] = item
 }
 
-// remove removes the items with these names; those that are not in the list are passed over.
+// remove removes the items with these names. It ignores names that are not in the list.
 func (l *itemList) remove(names []string) {
 	before := len(l.items)
 	for _, name := range names {
@@ -80,7 +81,7 @@
 	})
 }
 
-// clone returns a copy that may be changed; that of nil is an empty list.
+// clone returns a copy that may be modified. The clone of nil is an empty list.
 func (l *itemList) clone() *itemList {
 	if l == nil {
 		return &itemList{items: map[string]rawJSON{}}
--- a/internal/fleet/config/pace.go
+++ b/internal/fleet/config/pace.go
@@ -1,20 +1,20 @@
 package config
 
-// pacedItems is the number of items between two pauses: a millisecond or less of a processor.
-const pacedItems = 50
+// itemsPerPause is the number of items that are decoded between two pauses. They take at most 1 ms of processor time.
+const itemsPerPause = 50
 
-// Pace is called now and then during long work, so that the caller can leave the processor to others. nil: it is not called.
+// Pace is called at intervals during long work and may pause, to yield the processor to other work. nil: no pauses.
 type Pace func()
 
-// after calls the function once after so many items that have been decoded in one list.
-func (p Pace) after(items int) {
-	if p != nil && items > 0 && items%pacedItems == 0 {
+// pauseAfter calls the function if the number of items decoded so far in a list is a multiple of itemsPerPause.
+func (p Pace) pauseAfter(items int) {
+	if p != nil && items > 0 && items%itemsPerPause == 0 {
 		p()
 	}
 }
 
-// EstimatePauses is about how often decoding texts of so many bytes calls a Pace.
+// EstimatePauses returns an estimate of how often decoding JSON of a size in bytes, and making a Table of it, calls a Pace.
 func EstimatePauses(bytes int) int {
 	const bytesPerItem, passes = 260, 2
-	return passes * bytes / bytesPerItem / pacedItems
+	return passes * bytes / bytesPerItem / itemsPerPause
 }
--- a/internal/fleet/config/patch.go
+++ b/internal/fleet/config/patch.go
@@ -5,14 +5,14 @@
 	"maps"
 )
 
-// Patch is a change of named items, as the operator sends it.
+// Patch is a change of named items and of other fields, as the operator sends it.
 type Patch struct {
-	Version rawJSON             `json:"version"` // of the document that results
+	Version rawJSON             `json:"version"` // of the resulting document
 	Upsert  map[string]rawJSON  `json:"upsert"`  // by field: items to insert or replace, or the field's new value
-	Remove  map[string][]string `json:"remove"`  // by field: names of items
+	Remove  map[string][]string `json:"remove"`  // by field: names of the items to remove
 }
 
-// ParsePatch decodes a change from JSON. An error is an InvalidError.
+// ParsePatch decodes a patch from JSON. An error is an *InvalidError.
 func ParsePatch(text []byte) (*Patch, error) {
 	var p Patch
 	if err := decodeJSON(text, &p); err != nil {
@@ -21,10 +21,10 @@
 	return &p, nil
 }
 
-// Apply returns the document that a patch makes of this one: removals first, then insertions. An error is an InvalidError.
+// Apply returns the document that results from a patch: removals come first, then upserts. An error is an *InvalidError.
 func (d *Document) Apply(p *Patch) (*Document, error) { return d.ApplyPaced(p, nil) }
 
-// ApplyPaced is Apply, with pauses.
+// ApplyPaced is Apply with pauses by pace.
 func (d *Document) ApplyPaced(p *Patch, pace Pace) (*Document, error) {
 	version, err := parseVersion(p.Version)
 	if err != nil {
@@ -44,6 +44,8 @@
 	return next, nil
 }
 
+// upsert inserts or replaces the items in value, or sets the field to it if it is not a list of named items. It modifies the
+// document, but none of its lists.
 func (d *Document) upsert(field string, value rawJSON, pace Pace) error {
 	changed, isList, err := parseList(field, value, pace)
 	if err != nil {
--- a/internal/fleet/config/route.go
+++ b/internal/fleet/config/route.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// RouteType says how often a request of a route may be executed.
+// RouteType determines how often a request of a route may be executed.
 type RouteType string
 
 // The types of routes.
 const (
 	Safe      RouteType = "safe"      // idempotent: may be executed more than once
 	Unsafe    RouteType = "unsafe"    // executed at most once for each request of the client
-	Streaming RouteType = "streaming" // as Unsafe, unless the stream may be resumed
+	Streaming RouteType = "streaming" // like Unsafe, unless the route has StreamResume
 )
 
-// Route says where requests of a host and path prefix go.
+// Route defines how requests for a host and path prefix are forwarded.
 type Route struct {
 	Name            string    `json:"name"`
 	Host            string    `json:"host"`
@@ -21,28 +21,28 @@
 	TimeoutMs       float64   `json:"timeoutMs"`
 	TargetLatencyMs float64   `json:"targetLatencyMs"`
 	Priority        int       `json:"priority"`
-	Service         string    `json:"service"`  // used where Backends is empty
-	Backends        []Backend `json:"backends"` // weighted split
+	Service         string    `json:"service"`  // used if Backends is empty
+	Backends        []Backend `json:"backends"` // share the requests by weight
 	MaxAttempts     int       `json:"maxAttempts"`
 	Public          bool      `json:"public"`
-	SessionAffinity bool      `json:"sessionAffinity"` // accepted and not used
+	SessionAffinity bool      `json:"sessionAffinity"` // accepted but not used
 	StreamResume    bool      `json:"streamResume"`    // makes a Streaming route idempotent
 	MaxEventGapMs   float64   `json:"gap_aim_ms"`
 }
 
-// Backend is a service that gets a share of a route's requests.
+// Backend is a service that receives a share of a route's requests.
 type Backend struct {
 	Service string  `json:"service"`
 	Weight  float64 `json:"weight"` // relative to those of the route's other backends
 }
 
-// Timeout returns the longest time that a request may take.
+// Timeout returns the maximum duration of a request.
 func (r *Route) Timeout() time.Duration { return milliseconds(r.TimeoutMs) }
 
-// TargetLatency returns the time within which an answer has its full value.
+// TargetLatency returns the latency up to which a response has its full value.
 func (r *Route) TargetLatency() time.Duration { return milliseconds(r.TargetLatencyMs) }
 
-// MaxEventGap returns the longest gap between events of a stream that is still in time; 0: no bound.
+// MaxEventGap returns the maximum gap between two events of a stream that counts as on time; 0: no limit.
 func (r *Route) MaxEventGap() time.Duration { return milliseconds(r.MaxEventGapMs) }
 
 // Idempotent reports whether a request may be executed more than once.
@@ -50,23 +50,23 @@
 	return r.Type == Safe || r.Type == Streaming && r.StreamResume
 }
 
-// AttemptLimit returns the greatest number of endpoints to which one request of a client may be sent; at least 1.
+// AttemptLimit returns the maximum number of endpoints to which one request of a client may be sent; at least 1.
 func (r *Route) AttemptLimit() int { return max(1, r.MaxAttempts) }
 
-// PickService chooses the service of a request by the backends' weights; draw is uniform in [0, 1).
+// PickService chooses the service of a request by the backends' weights; draw is a uniform random number in [0, 1).
 func (r *Route) PickService(draw float64) string {
 	backends := r.backends()
 	sum := 0.0
 	for _, backend := range backends {
 		sum += backend.Weight
 	}
-	left := draw * sum
+	remaining := draw * sum
 	for _, backend := range backends {
-		if left -= backend.Weight; left < 0 && backend.Weight > 0 {
+		if remaining -= backend.Weight; remaining < 0 && backend.Weight > 0 {
 			return backend.Service
 		}
 	}
-	for _, backend := range backends { // rounding left a rest
+	for _, backend := range backends { // reached only through rounding errors
 		if backend.Weight > 0 {
 			return backend.Service
 		}
@@ -74,7 +74,7 @@
 	return r.Service
 }
 
-// backends returns the services that the route sends to, with their weights.
+// backends returns the route's backends; without any, Service is the only one.
 func (r *Route) backends() []Backend {
 	if len(r.Backends) > 0 {
 		return r.Backends
@@ -82,7 +82,7 @@
 	return []Backend{{Service: r.Service, Weight: 1}}
 }
 
-// validate checks a route's own figures, and that its services exist.
+// validate checks the route's time-out and weights, and that its services exist. An error is an *InvalidError.
 func (r *Route) validate(services map[string]*Service) error {
 	item := "route " + r.Name
 	if r.TimeoutMs <= 0 {
--- a/internal/fleet/config/scale_bench_test.go
+++ b/internal/fleet/config/scale_bench_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// routesPatch is the JSON form of a change that adds routes with the fields that operators send.
+// routesPatch returns the JSON form of a patch that adds routes, numbered upwards from from, with the fields that operators
+// send.
 func routesPatch(version, from, count int) []byte {
 	var text strings.Builder
 	fmt.Fprintf(&text, `{"version":%d,"upsert":{"routes":[`, version)
@@ -22,7 +23,7 @@
 	return []byte(text.String())
 }
 
-// largeState is a state with so many routes, and its table.
+// largeState returns a state with a number of routes, and its table.
 func largeState(tb testing.TB, routes int) (*State, *Table) {
 	tb.Helper()
 	base := `{"version":1,"services":[{"name":"a"},{"name":"b"}],"tenants":[{"name":"t","apiKeys":["k"]}],"routes":[]}`
@@ -40,7 +41,7 @@
 	return state, table
 }
 
-// BenchmarkApply measures what a router pays for one change beside so many routes.
+// BenchmarkApply measures the cost on a router of applying one change, by the numbers of present and of added routes.
 func BenchmarkApply(b *testing.B) {
 	for _, c := range []struct{ present, added int }{{100, 1}, {1760, 1}, {4000, 1}, {350, 1760}, {2110, 4000}} {
 		b.Run(fmt.Sprintf("present=%d/added=%d", c.present, c.added), func(b *testing.B) {
@@ -60,7 +61,7 @@
 	}
 }
 
-// BenchmarkDocument measures what a router pays that takes the complete configuration.
+// BenchmarkDocument measures the cost on a router of decoding a complete configuration, by the number of routes.
 func BenchmarkDocument(b *testing.B) {
 	for _, routes := range []int{100, 1760, 4000} {
 		b.Run(fmt.Sprint(routes), func(b *testing.B) {
@@ -80,7 +81,7 @@
 	}
 }
 
-// BenchmarkCheckSchema measures what the primary pays to validate a change.
+// BenchmarkCheckSchema measures the cost on the primary of validating a change, by the number of added routes.
 func BenchmarkCheckSchema(b *testing.B) {
 	for _, added := range []int{1, 1760, 4000} {
 		b.Run(fmt.Sprint(added), func(b *testing.B) {
--- a/internal/fleet/config/schema.go
+++ b/internal/fleet/config/schema.go
@@ -14,26 +14,26 @@
 //go:embed schema.cue
 var schemaSource string
 
-// itemDefinitions names the schema's definition for the items of each list.
+// itemDefinitions maps each list's field to the schema's definition of its items.
 var itemDefinitions = map[string]string{fieldRoutes: "#Route", fieldServices: "#Service", fieldTenants: "#Tenant"}
 
 const limitsDefinition = "#Limits"
 
-// CheckSchema validates a document's items against the CUE schema, except those that a previous document has as well.
-// An error is an InvalidError that names the item.
+// CheckSchema validates a document's items and limits against the CUE schema, except those that are the same in a previous
+// document. An error is an *InvalidError that names the item.
 //
-// It compiles the schema in a context of its own at each call, since a CUE context retains all that it has compiled.
+// Each call compiles the schema in a new context, since a CUE context retains everything that was compiled in it.
 func CheckSchema(document, previous *Document) error {
 	context := cuecontext.New()
 	schema := context.CompileString(schemaSource)
 	if err := schema.Err(); err != nil {
-		panic(err) // the embedded schema itself is faulty
+		panic(err) // the embedded schema is invalid
 	}
 	for field, definition := range itemDefinitions {
 		rule := schema.LookupPath(cue.ParsePath(definition))
 		items, unchanged := document.items(field), previous.items(field)
 		for _, name := range document.itemNames(field) {
-			if bytes.Equal(unchanged[name], items[name]) || field == fieldRoutes && surelyValidRoute(items[name]) {
+			if bytes.Equal(unchanged[name], items[name]) || field == fieldRoutes && isValidPlainRoute(items[name]) {
 				continue
 			}
 			if err := checkItem(context, rule, field+" "+name, items[name]); err != nil {
@@ -41,13 +41,14 @@
 			}
 		}
 	}
-	limits, given := document.fields[fieldLimits]
-	if !given || bytes.Equal(limits, previous.fields[fieldLimits]) {
+	limits, present := document.fields[fieldLimits]
+	if !present || bytes.Equal(limits, previous.fields[fieldLimits]) {
 		return nil
 	}
 	return checkItem(context, schema.LookupPath(cue.ParsePath(limitsDefinition)), fieldLimits, limits)
 }
 
+// checkItem validates the JSON of an item against a definition of the schema. An error is an *InvalidError.
 func checkItem(context *cue.Context, rule cue.Value, item string, text rawJSON) error {
 	expression, err := cuejson.Extract(item, text)
 	if err != nil {
--- a/internal/fleet/config/schema_routes.go
+++ b/internal/fleet/config/schema_routes.go
@@ -7,10 +7,11 @@
 	"github.com/go-json-experiment/json"
 )
 
-// CUE takes 0.2 ms and 90 KB for one route, so that a change with thousands of them would hold up the primary for seconds. Plain routes
-// are recognised here; whatever is not surely valid is left to the schema, which has the last word and words the error.
+// CUE takes 0.2 ms and 90 KB per route, so a change of thousands of routes would block the primary for seconds. Plain routes,
+// whose validity is easily decided, are therefore accepted here. All other routes are checked against the schema, which also
+// provides the errors.
 
-// plainRoute has the fields that the schema names for routes. nil: the field is absent.
+// plainRoute has the fields of routes that the schema defines. nil: the field is absent.
 type plainRoute struct {
 	Name            *string         `json:"name"`
 	Host            *string         `json:"host"`
@@ -29,18 +30,21 @@
 	Weight  *float64 `json:"weight"`
 }
 
-// surelyValidRoute reports whether a route satisfies the schema's #Route; false: the schema has to say.
-func surelyValidRoute(text rawJSON) bool {
+// isValidPlainRoute reports whether a route certainly satisfies the schema's #Route; false: it has to be checked against the
+// schema.
+func isValidPlainRoute(text rawJSON) bool {
 	var route plainRoute
-	// A null would look like an absent field. Names that differ in case, names that stand twice and numbers that are no int64 are errors.
+	// A null would look like an absent field. Duplicate names and numbers that are not an int64 are errors. Names in another case
+	// are unknown fields, as in the schema.
 	if bytes.Contains(text, []byte("null")) || json.Unmarshal(text, &route) != nil {
 		return false
 	}
 	return isName(route.Name) && route.Host != nil && hasPathPrefix(route.PathPrefix) && isRouteType(route.Type) &&
-		route.TimeoutMs != nil && *route.TimeoutMs > 0 && isAtLeastZero(route.TargetLatencyMs) &&
-		(route.Service == nil || isName(route.Service)) && isAtLeastZero(route.MaxAttempts) && haveValidFields(route.Backends)
+		route.TimeoutMs != nil && *route.TimeoutMs > 0 && isNonNegative(route.TargetLatencyMs) &&
+		(route.Service == nil || isName(route.Service)) && isNonNegative(route.MaxAttempts) && areValidBackends(route.Backends)
 }
 
+// isName reports whether a name is present and not empty.
 func isName(name *string) bool { return name != nil && *name != "" }
 
 func hasPathPrefix(prefix *string) bool { return prefix != nil && strings.HasPrefix(*prefix, "/") }
@@ -49,9 +53,11 @@
 	return name != nil && (RouteType(*name) == Safe || RouteType(*name) == Unsafe || RouteType(*name) == Streaming)
 }
 
-func isAtLeastZero[N int64 | float64](n *N) bool { return n == nil || *n >= 0 }
+// isNonNegative reports whether a number is absent, or 0 or more.
+func isNonNegative[N int64 | float64](n *N) bool { return n == nil || *n >= 0 }
 
-func haveValidFields(backends *[]plainBackend) bool {
+// areValidBackends reports whether a list of backends is absent, or each backend has a service and a weight of 0 or more.
+func areValidBackends(backends *[]plainBackend) bool {
 	if backends == nil {
 		return true
 	}
--- a/internal/fleet/config/schema_routes_test.go
+++ b/internal/fleet/config/schema_routes_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// fieldTexts are values of each field of a route, valid and invalid ones.
+// fieldTexts holds valid and invalid JSON values for each field of a route.
 var fieldTexts = map[string][]string{
 	"name":            {`"a"`, `""`, `null`, `5`, `"\u0061"`, `"\ud800"`},
 	"host":            {`"h"`, `""`, `null`, `[]`},
@@ -32,7 +32,7 @@
 // validRoute holds a valid value of each field that the schema requires.
 var validRoute = map[string]string{"name": `"a"`, "host": `"h"`, "pathPrefix": `"/a/"`, "type": `"safe"`, "timeoutMs": `1`}
 
-// drawRoute draws a route: a valid one, of which some fields are replaced, removed or added.
+// drawRoute draws a valid route in which some fields are then replaced, removed or added.
 func drawRoute(t *rapid.T) string {
 	fields := map[string]string{}
 	for name, text := range validRoute {
@@ -53,49 +53,51 @@
 	}
 	text := "{"
 	for _, name := range names {
-		if value, given := fields[name]; given {
+		if value, present := fields[name]; present {
 			text += fmt.Sprintf("%q:%s,", name, value)
 		}
 	}
-	if rapid.IntRange(0, 9).Draw(t, "twice") == 0 {
+	if rapid.IntRange(0, 9).Draw(t, "duplicate") == 0 {
 		text += `"host":7,`
 	}
 	return text + `"last":1}`
 }
 
-// Guards against a route that is accepted though the schema rejects it. The opposite is allowed: the schema is asked then.
+// Guards against a route that is accepted without the schema although the schema rejects it. The opposite is allowed, since the
+// route is then checked against the schema.
 func TestPlainRoutesSatisfyTheSchema(t *testing.T) {
 	context := cuecontext.New()
 	rule := context.CompileString(schemaSource).LookupPath(cue.ParsePath("#Route"))
 	accepted := 0
 	rapid.Check(t, func(t *rapid.T) {
 		text := drawRoute(t)
-		if !surelyValidRoute(rawJSON(text)) {
+		if !isValidPlainRoute(rawJSON(text)) {
 			return
 		}
 		accepted++
 		if err := checkItem(context, rule, "route", rawJSON(text)); err != nil {
-			t.Fatalf("accepted without the schema, which says %v: %s", err, text)
+			t.Fatalf("accepted a route that the schema rejects with %v: %s", err, text)
 		}
 	})
 	Convey("Plain routes are recognised", t, func() {
 		So(accepted, ShouldBeGreaterThan, 0)
-		So(surelyValidRoute(rawJSON(`{"name":"a","host":"h","pathPrefix":"/a/","type":"streaming","timeoutMs":15000,"targetLatencyMs":800,
+		So(isValidPlainRoute(rawJSON(`{"name":"a","host":"h","pathPrefix":"/a/","type":"streaming","timeoutMs":15000,"targetLatencyMs":800,
 			"priority":1,"backends":[{"service":"a","weight":90}],"maxAttempts":1,"public":false,"gap_aim_ms":250}`)), ShouldBeTrue)
 	})
 }
 
-// Guards against JSON that is read otherwise than by former builds, which used encoding/json, so that stored configurations change.
+// Guards against JSON that is decoded differently than by earlier builds, which used encoding/json: stored configurations would
+// change their meaning.
 func TestJSONIsReadAsByEncodingJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := drawRoute(t)
-		var now, before Route
-		errNow, errBefore := decodeJSON([]byte(text), &now), json.Unmarshal([]byte(text), &before)
-		if (errNow == nil) != (errBefore == nil) {
-			t.Fatalf("error %v, formerly %v: %s", errNow, errBefore, text)
+		var decoded, reference Route
+		err, referenceErr := decodeJSON([]byte(text), &decoded), json.Unmarshal([]byte(text), &reference)
+		if (err == nil) != (referenceErr == nil) {
+			t.Fatalf("error %v, with encoding/json %v: %s", err, referenceErr, text)
 		}
-		if errNow == nil && fmt.Sprintf("%+v", now) != fmt.Sprintf("%+v", before) {
-			t.Fatalf("%+v, formerly %+v: %s", now, before, text)
+		if err == nil && fmt.Sprintf("%+v", decoded) != fmt.Sprintf("%+v", reference) {
+			t.Fatalf("decoded as %+v, with encoding/json as %+v: %s", decoded, reference, text)
 		}
 	})
 }
--- a/internal/fleet/config/state.go
+++ b/internal/fleet/config/state.go
@@ -7,27 +7,28 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// maxAppliedChanges is how many digests of applied changes a state remembers, so that a change which is sent again is
-// recognised. Older ones are forgotten.
+// maxAppliedChanges is the maximum number of digests of applied changes that a state keeps, in order to recognise a change
+// that is sent again. The oldest digests are dropped.
 const maxAppliedChanges = 1024
 
-// State is the replicated state: the configuration and the digests of the last changes that led to it. It is immutable.
+// State is the replicated state: the configuration, and the digests of the last changes that were applied to it. It is
+// immutable.
 type State struct {
 	Document *Document
-	applied  []ChangeDigest // the newest one last
+	applied  []ChangeDigest // the newest last
 }
 
 // EmptyState returns the state before the first change.
 func EmptyState() *State { return &State{Document: EmptyDocument()} }
 
-// HasApplied reports whether a change is among the last that were applied.
+// HasApplied reports whether a change is among the last maxAppliedChanges that were applied.
 func (s *State) HasApplied(digest ChangeDigest) bool { return slices.Contains(s.applied, digest) }
 
-// Apply returns the state after a change. It does not compare the change's base with the present version: the caller
-// does. An error is an InvalidError.
+// Apply returns the state after a change. The caller has to check that the change is based on the present version. An error
+// is an *InvalidError.
 func (s *State) Apply(c *Change) (*State, error) { return s.ApplyPaced(c, nil) }
 
-// ApplyPaced is Apply, with pauses.
+// ApplyPaced is Apply with pauses by pace.
 func (s *State) ApplyPaced(c *Change, pace Pace) (*State, error) {
 	document, err := s.documentAfter(c, pace)
 	if err != nil {
@@ -50,29 +51,29 @@
 	return s.Document.ApplyPaced(patch, pace)
 }
 
-// encodedState is a State as snapshots carry it.
+// encodedState is the form of a State in snapshots.
 type encodedState struct {
 	Document []byte `cbor:"1,keyasint"` // JSON
-	Applied  []byte `cbor:"2,keyasint"` // the digests, one after the other
+	Applied  []byte `cbor:"2,keyasint"` // the digests, concatenated, the newest last
 }
 
-// Encode returns the state in its replicated form.
+// Encode returns the state in its replicated form (CBOR). Errors wrap those of package cbor.
 func (s *State) Encode() ([]byte, error) {
 	e := encodedState{Document: s.Document.Encode()}
 	for _, digest := range s.applied {
 		e.Applied = append(e.Applied, digest[:]...)
 	}
-	text, err := cbor.Marshal(&e)
+	encoded, err := cbor.Marshal(&e)
 	if err != nil {
 		return nil, fmt.Errorf("config: encode state: %w", err)
 	}
-	return text, nil
+	return encoded, nil
 }
 
-// DecodeState is the inverse of Encode. An error wraps package cbor's, or is an InvalidError.
-func DecodeState(text []byte) (*State, error) {
+// DecodeState is the inverse of State.Encode. Errors wrap those of package cbor, or are an *InvalidError.
+func DecodeState(encoded []byte) (*State, error) {
 	var e encodedState
-	if err := cbor.Unmarshal(text, &e); err != nil {
+	if err := cbor.Unmarshal(encoded, &e); err != nil {
 		return nil, fmt.Errorf("config: decode state: %w", err)
 	}
 	document, err := ParseDocument(e.Document)
--- a/internal/fleet/config/table.go
+++ b/internal/fleet/config/table.go
@@ -8,13 +8,13 @@
 	"strings"
 )
 
-// Table is a configuration indexed for the lookups that requests need. It is immutable. The tables in a router's status are others: those of
-// package placement.
+// Table is a configuration that is indexed for the lookups that requests need. It is immutable. It is unrelated to the tables
+// in a router's status, which belong to package placement.
 type Table struct {
 	Document       *Document
 	Version        int64
 	Limits         Limits
-	RequiresAPIKey bool // the configuration has tenants, so that requests carry keys of theirs
+	RequiresAPIKey bool // the configuration has tenants: a request needs the API key of one
 
 	routes       map[string]*Route
 	services     map[string]*Service
@@ -23,29 +23,29 @@
 	tenantsByKey map[string]*Tenant
 }
 
-// NewTable decodes a document and validates what its items say of each other. Items that a previous table has decoded
-// from the same text are shared with it, and so is what is indexed by them: a small change of a large configuration costs little.
-// previous may be nil. An error is an InvalidError.
+// NewTable decodes a document's items and limits, and validates routes, references between items, and uniqueness. Items whose
+// text has not changed since a previous table are shared with that table, and so are the indexes of hosts whose routes have not
+// changed: a small change of a large configuration is cheap. previous may be nil. An error is an *InvalidError.
 func NewTable(document *Document, previous *Table) (*Table, error) {
 	return NewTablePaced(document, previous, nil)
 }
 
-// NewTablePaced is NewTable, with pauses.
+// NewTablePaced is NewTable with pauses by pace.
 func NewTablePaced(document *Document, previous *Table, pace Pace) (*Table, error) {
 	t := &Table{Document: document, Version: document.version}
 	if previous == nil {
 		previous = &Table{Document: EmptyDocument()}
 	}
-	before := previous.Document
-	services, err := decodeItems(document, before, fieldServices, previous.services, pace)
+	previousDocument := previous.Document
+	services, err := decodeItems(document, previousDocument, fieldServices, previous.services, pace)
 	if err != nil {
 		return nil, err
 	}
-	routes, err := decodeItems(document, before, fieldRoutes, previous.routes, pace)
+	routes, err := decodeItems(document, previousDocument, fieldRoutes, previous.routes, pace)
 	if err != nil {
 		return nil, err
 	}
-	tenants, err := decodeItems(document, before, fieldTenants, previous.tenants, pace)
+	tenants, err := decodeItems(document, previousDocument, fieldTenants, previous.tenants, pace)
 	if err != nil {
 		return nil, err
 	}
@@ -66,8 +66,8 @@
 }
 
 func (t *Table) decodeLimits() error {
-	text, given := t.Document.fields[fieldLimits]
-	if !given {
+	text, present := t.Document.fields[fieldLimits]
+	if !present {
 		return nil
 	}
 	if err := decodeJSON(text, &t.Limits); err != nil {
@@ -76,27 +76,27 @@
 	return nil
 }
 
-// decodedItems are the items of one list, and how they differ from those of a previous document.
+// decodedItems holds the items of one list, and how they differ from those of a previous document.
 type decodedItems[T any] struct {
 	items   map[string]*T
-	changed []string // names of those that are new, or whose text differs; in the document's order
-	removed []string // names of those that are gone
+	changed []string // names of items that are new or whose text differs, in the document's order
+	removed []string // names of items that only the previous document has
 }
 
-// decodeItems decodes the items of one list; those whose text is the same as before are taken from decoded, which belongs to
-// that document.
-func decodeItems[T any](document, before *Document, field string, decoded map[string]*T, pace Pace) (decodedItems[T], error) {
-	items, previous := document.items(field), before.items(field)
+// decodeItems decodes the items of one list. Items whose text is the same in previousDocument are taken from decoded, which
+// holds the decoded items of that document.
+func decodeItems[T any](document, previousDocument *Document, field string, decoded map[string]*T, pace Pace) (decodedItems[T], error) {
+	items, previous := document.items(field), previousDocument.items(field)
 	result := decodedItems[T]{items: maps.Clone(decoded)}
 	if result.items == nil {
 		result.items = make(map[string]*T, len(items))
 	}
 	for _, name := range document.itemNames(field) {
 		text := items[name]
-		if former, known := previous[name]; known && sameText(former, text) {
+		if former, found := previous[name]; found && sameText(former, text) {
 			continue
 		}
-		pace.after(len(result.changed))
+		pace.pauseAfter(len(result.changed))
 		item := new(T)
 		if err := decodeJSON(text, item); err != nil {
 			return result, unreadable(field+" "+name, err)
@@ -116,12 +116,13 @@
 	return result, nil
 }
 
-// sameText reports whether two texts are equal. Documents that a change has led to from each other share the texts of what is unchanged.
+// sameText reports whether two texts are equal. A document shares the texts of unchanged items with the document that it was
+// derived from, so comparing addresses is usually enough.
 func sameText(a, b rawJSON) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0] || bytes.Equal(a, b))
 }
 
-// validateRoutes validates routes by themselves: those that changed, or all where services that they may name are gone.
+// validateRoutes validates each changed route, or every route if services were removed, which any route may name.
 func (t *Table) validateRoutes(changed []string, servicesRemoved bool) error {
 	names := changed
 	if servicesRemoved {
@@ -135,10 +136,10 @@
 	return nil
 }
 
-// indexRoutes orders routes for lookup, at the hosts where they differ from those of a previous table. No two may have the same host and
-// prefix.
+// indexRoutes indexes the routes by host. It shares the index of a previous table, except for hosts whose routes differ. Two
+// routes with the same host and path prefix are an *InvalidError.
 func (t *Table) indexRoutes(previous *Table, routes decodedItems[Route]) error {
-	added := map[string][]*Route{} // by each host at which something differs
+	added := map[string][]*Route{} // new and changed routes by host, with an entry for every host whose routes differ
 	for _, name := range slices.Concat(routes.changed, routes.removed) {
 		if former := previous.routes[name]; former != nil && added[former.Host] == nil {
 			added[former.Host] = []*Route{}
@@ -159,7 +160,7 @@
 	return nil
 }
 
-// indexHost replaces the routes of one host: those that are no longer in the table give way to added ones.
+// indexHost rebuilds the index of one host: it drops the routes that are no longer in the table, and adds others.
 func (t *Table) indexHost(host string, added []*Route) error {
 	var routes []*Route
 	for _, route := range t.routesByHost[host] {
@@ -182,12 +183,12 @@
 	return nil
 }
 
-// byPrefix orders routes of one host: the longest prefix first.
+// byPrefix compares routes of one host: the longest prefix sorts first.
 func byPrefix(a, b *Route) int {
 	return cmp.Or(len(b.PathPrefix)-len(a.PathPrefix), strings.Compare(a.PathPrefix, b.PathPrefix), strings.Compare(a.Name, b.Name))
 }
 
-// indexKeys orders tenants by their API keys. No two may share one.
+// indexKeys indexes the tenants by their API keys. A key of two tenants is an *InvalidError.
 func (t *Table) indexKeys() error {
 	t.RequiresAPIKey = len(t.tenants) > 0
 	t.tenantsByKey = map[string]*Tenant{}
@@ -203,7 +204,7 @@
 	return nil
 }
 
-// Route returns the route of a request by its Host header and path: that of the longest prefix; nil: there is none.
+// Route returns the route of a request with this Host header and path: that with the longest matching prefix; nil: none.
 func (t *Table) Route(host, path string) *Route {
 	for _, route := range t.routesByHost[host] {
 		if strings.HasPrefix(path, route.PathPrefix) {
@@ -213,13 +214,13 @@
 	return nil
 }
 
-// TenantByKey returns the tenant that owns an API key; nil: nobody does.
+// TenantByKey returns the tenant that owns an API key; nil: none.
 func (t *Table) TenantByKey(key string) *Tenant { return t.tenantsByKey[key] }
 
-// TenantByName returns the tenant of that name; nil: there is none.
+// TenantByName returns the tenant with that name; nil: none.
 func (t *Table) TenantByName(name string) *Tenant { return t.tenants[name] }
 
-// Service returns the service of that name; nil: there is none.
+// Service returns the service with that name; nil: none.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
 // Services returns the names of all services, sorted.
--- a/internal/fleet/config/table_sharing_test.go
+++ b/internal/fleet/config/table_sharing_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawPatch draws a change of a few routes, services and tenants out of a small set of names, valid or not.
+// drawPatch draws a change of a few routes, services and tenants with names from a small set. The change may be invalid.
 func drawPatch(t *rapid.T, version int) *Change {
 	name := rapid.SampledFrom([]string{"a", "b", "c", "d", "e"})
 	var routes, services, tenants, removedRoutes, removedServices []string
@@ -34,7 +34,7 @@
 		version, join(routes), join(services), join(tenants), join(removedRoutes), join(removedServices))}
 }
 
-// describe lists what lookups in a table find.
+// describe returns the results of lookups in a table as text.
 func describe(table *Table) string {
 	var out strings.Builder
 	for h := range 3 {
@@ -53,7 +53,8 @@
 	return out.String()
 }
 
-// Guards against a table that shares with the one before what it should not, or accepts what a table that is made anew rejects.
+// Guards against a table that shares outdated items or indexes with the previous table, or accepts a document that a table made
+// without a previous one rejects.
 func TestTableAfterChangesIsAsMadeAnew(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := EmptyState()
@@ -66,16 +67,16 @@
 			if err != nil {
 				continue
 			}
-			shared, errShared := NewTable(next.Document, table)
-			anew, errAnew := NewTable(next.Document, nil)
-			if (errShared == nil) != (errAnew == nil) {
-				t.Fatalf("error %v, anew %v", errShared, errAnew)
+			shared, sharedErr := NewTable(next.Document, table)
+			fresh, freshErr := NewTable(next.Document, nil)
+			if (sharedErr == nil) != (freshErr == nil) {
+				t.Fatalf("error %v with a previous table, %v without", sharedErr, freshErr)
 			}
-			if errShared != nil {
+			if sharedErr != nil {
 				continue
 			}
-			if describe(shared) != describe(anew) {
-				t.Fatalf("%s\nanew\n%s", describe(shared), describe(anew))
+			if describe(shared) != describe(fresh) {
+				t.Fatalf("with a previous table:\n%s\nwithout:\n%s", describe(shared), describe(fresh))
 			}
 			state, table = next, shared
 		}
