--- a/internal/fleet/replica/publish.go
+++ b/internal/fleet/replica/publish.go
@@ -10,12 +10,12 @@
 	"pinelb.example/pinelb/internal/fleet/replication"
 )
 
-// publishStep makes known, after a step, what has been decided: it logs a new view, hands a commit to OnCommit, answers the changes and
-// reads that wait, and updates the status. It runs on the replica's goroutine.
+// publishStep publishes the outcome of a step: it logs elections and view changes, passes a commit to OnCommit, answers pending
+// changes and confirmations, and updates the status. It runs on the replica's goroutine.
 func (r *Replica) publishStep() {
 	view := r.node.View()
 	r.logElection(view)
-	r.announceView(view)
+	r.publishView(view)
 	committed, isPrimary := r.node.Committed()
 	if !isPrimary {
 		r.failPending(ErrUnavailable)
@@ -41,26 +41,28 @@
 	}
 }
 
-func (r *Replica) announceView(view replication.View) {
+// publishView logs a view that is newer than the last one, and passes it to OnViewChange.
+func (r *Replica) publishView(view replication.View) {
 	if view.Number <= r.lastView.Number {
 		return
 	}
-	former := r.lastView
+	previous := r.lastView
 	r.lastView = view
 	r.options.Log.Info("view changed",
 		zap.Uint64("number", view.Number),
 		zap.String("primary", view.Primary.Address),
 		zap.Int("members", len(view.Members)),
 		zap.Int("witnesses", len(view.Witnesses)),
-		zap.Strings("membersAdded", addressesWithout(view.Members, former.Members)),
-		zap.Strings("membersRemoved", addressesWithout(former.Members, view.Members)),
-		zap.Strings("witnessesAdded", addressesWithout(view.Witnesses, former.Witnesses)),
-		zap.Strings("witnessesRemoved", addressesWithout(former.Witnesses, view.Witnesses)))
+		zap.Strings("membersAdded", addressesNotIn(view.Members, previous.Members)),
+		zap.Strings("membersRemoved", addressesNotIn(previous.Members, view.Members)),
+		zap.Strings("witnessesAdded", addressesNotIn(view.Witnesses, previous.Witnesses)),
+		zap.Strings("witnessesRemoved", addressesNotIn(previous.Witnesses, view.Witnesses)))
 	r.options.OnViewChange(view)
 }
 
-// addressesWithout returns the addresses of the replicas that are not among others. A disk that was lost makes another replica of a machine.
-func addressesWithout(replicas, others []replication.Replica) []string {
+// addressesNotIn returns the addresses of the replicas that are not among others. A machine that has lost its disk becomes another
+// replica with the same address.
+func addressesNotIn(replicas, others []replication.Replica) []string {
 	var addresses []string
 	for _, replica := range replicas {
 		if !slices.Contains(others, replica) {
@@ -70,7 +72,8 @@
 	return addresses
 }
 
-// logElection logs that this replica became a candidate, and that its election failed. One that succeeds is a view change.
+// logElection logs that this replica has become a candidate, or that its election has failed. A successful election is logged as a
+// view change.
 func (r *Replica) logElection(view replication.View) {
 	isCandidate := r.node.IsCandidate()
 	switch {
@@ -84,7 +87,7 @@
 	r.wasCandidate = isCandidate
 }
 
-// publishCommit makes the committed state known, unless a change is pending: without one, what is stored is committed.
+// publishCommit publishes the stored state, unless a proposal is pending: only without one is the stored state committed.
 func (r *Replica) publishCommit(committed replication.Position) {
 	if r.node.HasPendingProposal() {
 		return
@@ -93,7 +96,7 @@
 	if p := r.pending; p != nil && p.position == committed {
 		commit.Table, commit.Change = p.table, p.change
 		r.pending = nil
-		defer func() { p.done <- nil }() // after OnCommit
+		defer func() { p.done <- nil }() // acknowledges the change after OnCommit
 	} else {
 		table, err := config.NewTable(commit.State.Document, r.table)
 		if err != nil {
@@ -109,7 +112,8 @@
 	r.options.OnCommit(commit)
 }
 
-// resolveConfirmations answers those that wait for a round no later than the last confirmed one.
+// resolveConfirmations answers the confirmations whose since is not after confirmedAt, when the last confirmed heartbeat round was
+// sent.
 func (r *Replica) resolveConfirmations(confirmedAt time.Duration, isConfirmed bool) {
 	waiting := r.confirmations[:0]
 	for _, c := range r.confirmations {
@@ -122,7 +126,7 @@
 	r.confirmations = waiting
 }
 
-// failPending answers the change and the confirmations that wait with an error.
+// failPending answers the pending change and all waiting confirmations with an error.
 func (r *Replica) failPending(err error) {
 	if r.pending != nil {
 		r.pending.done <- err
--- a/internal/fleet/replica/replica.go
+++ b/internal/fleet/replica/replica.go
@@ -1,12 +1,12 @@
-// Package replica runs one replica of the configuration: the protocol of package replication on a clock, a disk and a
-// transport, and the operator's changes on it.
+// Package replica runs one replica of the configuration: it connects the protocol of package replication to a clock, a disk
+// and a transport, and submits the operator's changes to it.
 //
-// Each Replica has one goroutine, which alone drives the protocol and writes to the disk; other goroutines hand it functions
-// to run, and read a status that it publishes after each step. Callbacks (OnCommit, OnViewChange, Send) are called by that
-// goroutine and must not wait for the replica.
+// Each Replica has one goroutine, which alone drives the protocol and writes to the disk. Other goroutines pass functions to it
+// and read the status that it publishes after each step. It also calls the callbacks (OnCommit, OnViewChange, Send), which must
+// not wait for the replica.
 //
-// Invariants: a step's messages are sent after its write is durable; a change is acknowledged after every member of the view
-// has stored it; a read is answered after a majority of the witnesses has confirmed the primary.
+// Invariants: a step's messages are sent only after its write is durable; a change is acknowledged only after every member of
+// the view has stored it; a read is answered only after a majority of the witnesses has confirmed the primary.
 package replica
 
 import (
@@ -26,69 +26,70 @@
 	inboxSize    = 256
 )
 
-// Commit is a configuration that has been acknowledged by all members of a view.
+// Commit is a configuration that all members of a view have stored.
 type Commit struct {
 	View     uint64
 	Sequence uint64
 	State    *config.State
 	Table    *config.Table
-	Change   *config.Change // that led to it from the commit before; nil: not known
+	Change   *config.Change // applied to the previous commit; nil: unknown
 }
 
-// Options are a replica's surroundings.
+// Options configures a replica and connects it to its environment.
 type Options struct {
-	Address            string   // internal, of this machine
-	Directory          string   // empty: no disk
-	BootstrapWitnesses []string // the first witnesses' addresses, at the first start of the whole system; else none
-	Votes              bool     // this machine counts for the quorum
+	Address            string   // this machine's internal address
+	Directory          string   // holds the log; empty: no disk, all state is in memory
+	BootstrapWitnesses []string // addresses of the first witnesses, at the first start of the whole system; otherwise empty
+	Votes              bool     // this machine counts for the quorum, so its replica requests to join the view
 	Tolerance          replication.Tolerance
 	Timing             replication.Timing
 	LocalityOf         func(address string) replication.Locality
-	Peers              func() []string // addresses that may know the primary
+	Peers              func() []string // addresses of machines that may know the primary
 	Send               func(to string, nonce uint64, message replication.Envelope)
 	OnCommit           func(Commit)           // called in order, by the replica's goroutine
 	OnViewChange       func(replication.View) // called in order, by the replica's goroutine
 	Clock              func() time.Duration   // monotonic
-	Log                *zap.Logger            // nil: no log
+	Log                *zap.Logger            // nil: nothing is logged
 }
 
-// Replica is one replica of the configuration. Its methods may be called by any goroutine.
+// Replica is one replica of the configuration. Its methods are safe for concurrent use.
 type Replica struct {
 	options Options
-	inbox   chan func()
+	inbox   chan func() // for the replica's goroutine to run
 	cancel  context.CancelFunc
-	done    chan struct{} // closed when the goroutine has ended
+	done    chan struct{} // closed when the replica's goroutine has ended
 
 	// Owned by the replica's goroutine:
 	node          *replication.Node
 	store         *store
-	pending       *proposal // nil: none
-	published     replication.Position
-	table         *config.Table // of the last commit; nil: not the primary
-	confirmations []*confirmation
-	lastView      replication.View // the last one that was announced
-	wasCandidate  bool             // at the last step
+	pending       *proposal            // the change that is being replicated; nil: none
+	published     replication.Position // of the last published commit
+	table         *config.Table        // of the last published commit; nil: not the primary, or nothing published yet
+	confirmations []*confirmation      // requests that wait for a heartbeat round
+	lastView      replication.View     // the newest published view
+	wasCandidate  bool                 // at the previous step
 
 	mu     sync.Mutex
 	status status
 }
 
-// status is what the replica's goroutine publishes for the others.
+// status is the state that the replica's goroutine publishes for other goroutines.
 type status struct {
-	isPrimary   bool // and has published a commit
+	isPrimary   bool // the replica is the primary and has published a commit
 	view        replication.View
 	state       *config.State // committed
 	table       *config.Table
 	sequence    uint64
-	confirmedAt time.Duration
+	confirmedAt time.Duration // when the last heartbeat round was sent that confirmed the primary
 	isConfirmed bool
-	canStop     bool // it has resigned, and may stop
-	// The last confirmation, kept while this replica changes the composition of its own view.
+	canStop     bool // the replica has resigned and may stop
+	// The last confirmation as the primary, which stays valid while this replica changes the composition of its own view.
 	lastConfirmedAt  time.Duration
 	hasLastConfirmed bool
 }
 
-// Start reads the disk and starts the replica's goroutine, which Close ends.
+// Start reads the log from the disk and starts the replica's goroutine, which Close ends. It fails if the log can't be read or
+// applied. A corrupt log is no error: the replica starts without state, under a new identity.
 func Start(options Options) (*Replica, error) {
 	if options.Log == nil {
 		options.Log = zap.NewNop()
@@ -104,7 +105,7 @@
 	return r, nil
 }
 
-// buildNode makes the protocol's state machine from what the disk holds.
+// buildNode creates the protocol's state machine from the stored hard state.
 func (r *Replica) buildNode() {
 	r.node = replication.New(r.options.Clock(), r.store.hardState, replication.Options{
 		Timing:       r.options.Timing,
@@ -116,12 +117,13 @@
 	})
 }
 
-// Close ends the replica's goroutine and closes the log. What is pending gets ErrUnavailable.
+// Close ends the replica's goroutine and closes the log. Pending calls return ErrUnavailable.
 func (r *Replica) Close() {
 	r.cancel()
 	<-r.done
 }
 
+// run is the replica's goroutine. It publishes the status after each function from the inbox and each tick.
 func (r *Replica) run(ctx context.Context) {
 	defer close(r.done)
 	ticker := time.NewTicker(tickInterval)
@@ -141,16 +143,17 @@
 	}
 }
 
-// do has the replica's goroutine run a function. It returns without waiting for that.
-func (r *Replica) do(f func()) {
+// enqueue passes a function to the replica's goroutine and returns without waiting for it to run. It blocks while the inbox is
+// full. After Close the function does not run.
+func (r *Replica) enqueue(f func()) {
 	select {
 	case r.inbox <- f:
 	case <-r.done:
 	}
 }
 
-// Deliver hands over a message that came for this replica. It drops the message where the inbox is full. An error says that
-// the message can't be decoded.
+// Deliver passes a received message to the protocol. It drops the message if the inbox is full. An error means that the message
+// can't be decoded.
 func (r *Replica) Deliver(from replication.Replica, encoded replication.Envelope) error {
 	message, err := replication.Decode(encoded)
 	if err != nil {
@@ -163,8 +166,8 @@
 	return nil
 }
 
-// execute makes a step's write durable, and then sends its messages. Where the write fails, the replica is as after a
-// restart, with nothing of the step done.
+// execute makes a step's write durable, and then sends the step's messages. If the write fails, it sends nothing and rebuilds
+// the protocol's state machine from the stored hard state, as after a restart.
 func (r *Replica) execute(out *replication.Output) {
 	if out.Write != nil {
 		if err := r.store.write(out.Write, r.proposedState(out.Write)); err != nil {
@@ -179,8 +182,8 @@
 	}
 }
 
-// proposedState returns the state that a write of this replica's own proposal leads to: it has been made when the change was checked, and
-// a large change takes long. nil: the write is another one.
+// proposedState returns the state after a write of this replica's own proposal, and nil for any other write. The state was already
+// computed when the change was checked; computing it again would take long for a large change.
 func (r *Replica) proposedState(w *replication.Write) *config.State {
 	if p := r.pending; p != nil && w.Entry != nil && w.Snapshot == nil && w.HardState.Position == p.position {
 		return p.state
@@ -188,6 +191,7 @@
 	return nil
 }
 
+// send encodes a message, with a snapshot of the stored state if the message needs one, and sends it. It logs errors.
 func (r *Replica) send(outgoing replication.Outgoing) {
 	message := outgoing.Message
 	if outgoing.AttachSnapshot {
@@ -206,11 +210,11 @@
 	r.options.Send(outgoing.To, r.node.Self().Nonce, encoded)
 }
 
-// Resign says that this replica's machine is about to shut down, so that others take over its part.
+// Resign starts handing over this replica's roles, because its machine is about to shut down. It returns without waiting.
 func (r *Replica) Resign() {
-	r.do(func() { r.execute(r.node.Resign(r.options.Clock())) })
+	r.enqueue(func() { r.execute(r.node.Resign(r.options.Clock())) })
 }
 
-// CanStop reports whether a replica that has resigned may stop: its copy and its vote are where they have to be, as far as
-// waiting helps.
+// CanStop reports whether a replica that has resigned may stop: its copy of the state and its vote are not needed any more, or
+// no other replica can take them over.
 func (r *Replica) CanStop() bool { return r.currentStatus().canStop }
--- a/internal/fleet/replica/replica_test.go
+++ b/internal/fleet/replica/replica_test.go
@@ -19,13 +19,13 @@
 
 const ownAddress = "10.0.0.1:1"
 
-// submitTimeout is long enough for a busy machine.
+// submitTimeout is long enough on a heavily loaded machine.
 const submitTimeout = 30 * time.Second
 
-// startAlone starts the only replica of a core that may lose none. Commits go to the channel.
-func startAlone(directory string, bootstrap bool) (*Replica, chan Commit) {
+// startSingle starts the only replica of a fleet that tolerates no failures, and returns a channel of its commits.
+func startSingle(directory string, bootstrap bool) (*Replica, chan Commit) {
 	commits := make(chan Commit, 100)
-	began := time.Now()
+	startedAt := time.Now()
 	options := Options{
 		Address: ownAddress, Directory: directory, Votes: true, Timing: replication.DefaultTiming(), Log: zap.NewNop(),
 		LocalityOf: func(string) replication.Locality {
@@ -34,7 +34,7 @@
 		Peers:    func() []string { return nil },
 		Send:     func(string, uint64, replication.Envelope) {},
 		OnCommit: func(c Commit) { commits <- c }, OnViewChange: func(replication.View) {},
-		Clock: func() time.Duration { return time.Since(began) },
+		Clock: func() time.Duration { return time.Since(startedAt) },
 	}
 	if bootstrap {
 		options.BootstrapWitnesses = []string{ownAddress}
@@ -44,6 +44,7 @@
 	return r, commits
 }
 
+// newChange returns a change by a patch, given as JSON.
 func newChange(base int64, body string) *config.Change {
 	return &config.Change{Base: base, Body: []byte(body)}
 }
@@ -62,40 +63,41 @@
 	}
 }
 
-// alone is the only replica of a core, which has committed a first change to version 3.
-type alone struct {
+// singleReplica is the only replica of a fleet. It has committed a first change, to version 3.
+type singleReplica struct {
 	*Replica
-	directory string
-	first     *config.Change
-	close     func() // may be called twice
+	directory   string
+	firstChange *config.Change
+	close       func() // may be called twice
 }
 
-// startWithChange starts a replica alone, and closes it at the end of the Convey at the latest.
-func startWithChange(t *testing.T) alone {
+// startWithChange starts a single replica and commits its first change. The replica is closed at the end of the Convey at the
+// latest.
+func startWithChange(t *testing.T) singleReplica {
 	directory := t.TempDir()
-	r, commits := startAlone(directory, true)
-	a := alone{
+	r, commits := startSingle(directory, true)
+	a := singleReplica{
 		Replica: r, directory: directory, close: sync.OnceFunc(r.Close),
-		first: newChange(0, `{"version":3,"upsert":{"services":[{"name":"s"}]}}`),
+		firstChange: newChange(0, `{"version":3,"upsert":{"services":[{"name":"s"}]}}`),
 	}
 	Reset(a.close)
-	So(submit(r, a.first), ShouldBeNil)
-	So((<-commits).Table.Version, ShouldEqual, 0) // what it begins with
+	So(submit(r, a.firstChange), ShouldBeNil)
+	So((<-commits).Table.Version, ShouldEqual, 0) // the initial, empty configuration
 	So((<-commits).Table.Version, ShouldEqual, 3)
 	return a
 }
 
 func TestChanges(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	Convey("A replica alone", t, func() {
+	Convey("A single replica", t, func() {
 		a := startWithChange(t)
 
-		Convey("acknowledges the same change again", func() {
-			So(submit(a.Replica, a.first), ShouldBeNil)
+		Convey("acknowledges a change that is submitted again", func() {
+			So(submit(a.Replica, a.firstChange), ShouldBeNil)
 			So(submit(a.Replica, newChange(3, `{"version":4}`)), ShouldBeNil)
-			So(submit(a.Replica, a.first), ShouldBeNil)
+			So(submit(a.Replica, a.firstChange), ShouldBeNil)
 		})
-		Convey("rejects a change of another version, and an invalid one", func() {
+		Convey("rejects a change that is based on another version, and invalid changes", func() {
 			So(submit(a.Replica, newChange(0, `{"version":5}`)), ShouldEqual, ErrConflict)
 			var invalid *config.InvalidError
 			for _, body := range []string{`{"version":3}`, `{"version":2}`, `{"vers`, `{"version":4,"upsert":{"services":[{}]}}`} {
@@ -105,7 +107,7 @@
 			So(err, ShouldBeNil)
 			So(document.Version(), ShouldEqual, 3)
 		})
-		Convey("commits one of two changes of the same version", func() {
+		Convey("commits only one of two changes that are based on the same version", func() {
 			results := make(chan error, 2)
 			go func() { results <- submit(a.Replica, newChange(3, `{"version":10}`)) }()
 			go func() { results <- submit(a.Replica, newChange(3, `{"version":11}`)) }()
@@ -121,65 +123,65 @@
 
 func TestLeadershipConfirmation(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	Convey("A replica alone", t, func() {
+	Convey("A single replica", t, func() {
 		a := startWithChange(t)
 
-		Convey("knows when it was confirmed as the primary, also while its own view is changing", func() {
+		Convey("keeps the time of its last confirmation while the composition of its own view is changing", func() {
 			at, ok := a.LeadershipConfirmedAt()
 			So(ok, ShouldBeTrue)
 			var kept time.Duration
-			var leading bool
+			var hasLease bool
 			done := make(chan struct{})
-			a.do(func() { // nothing else is done meanwhile
+			a.enqueue(func() { // the replica's goroutine publishes no status before this returns
 				defer close(done)
 				a.mu.Lock()
 				a.status.isPrimary, a.status.isConfirmed = false, false
 				a.mu.Unlock()
 				kept, ok = a.LeadershipConfirmedAt()
-				_, _, _, leading = a.ReadLease()
+				_, _, _, hasLease = a.ReadLease()
 			})
 			<-done
 			So(ok, ShouldBeTrue)
 			So(kept, ShouldBeGreaterThanOrEqualTo, at)
-			So(leading, ShouldBeFalse)
+			So(hasLease, ShouldBeFalse)
 		})
 	})
 }
 
 func TestDisk(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	Convey("A replica alone", t, func() {
+	Convey("A single replica", t, func() {
 		a := startWithChange(t)
 
-		Convey("has the configuration after a restart, and knows the changes that led to it", func() {
+		Convey("has the configuration after a restart, and recognises the changes that were applied", func() {
 			a.close()
-			again, _ := startAlone(a.directory, false)
-			defer again.Close()
-			So(submit(again, a.first), ShouldBeNil)
-			document, err := again.Read(context.Background())
+			restarted, _ := startSingle(a.directory, false)
+			defer restarted.Close()
+			So(submit(restarted, a.firstChange), ShouldBeNil)
+			document, err := restarted.Read(context.Background())
 			So(err, ShouldBeNil)
 			So(document.Version(), ShouldEqual, 3)
 		})
-		Convey("acknowledges nothing while its disk fails, and goes on when it works", func() {
-			folder := filepath.Join(a.directory, logDirectory)
-			hidden := folder + ".hidden"
-			So(a.breakDisk(), ShouldBeNil)
-			So(os.Rename(folder, hidden), ShouldBeNil)
-			So(os.WriteFile(folder, nil, 0o600), ShouldBeNil) // a file where the folder should be: nothing can be written
+		Convey("acknowledges no change while its disk fails, and continues when the disk works again", func() {
+			logPath := filepath.Join(a.directory, logDirectory)
+			movedPath := logPath + ".hidden"
+			So(a.closeLog(), ShouldBeNil)
+			So(os.Rename(logPath, movedPath), ShouldBeNil)
+			So(os.WriteFile(logPath, nil, 0o600), ShouldBeNil) // a file in place of the log's directory: writes fail
 			ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 			defer cancel()
 			So(a.Submit(ctx, newChange(3, `{"version":6}`)), ShouldNotBeNil)
-			So(os.Remove(folder), ShouldBeNil)
-			So(os.Rename(hidden, folder), ShouldBeNil)
+			So(os.Remove(logPath), ShouldBeNil)
+			So(os.Rename(movedPath, logPath), ShouldBeNil)
 			So(submit(a.Replica, newChange(3, `{"version":6}`)), ShouldBeNil)
 		})
 	})
 }
 
-// breakDisk closes the log's files under the replica.
-func (r *Replica) breakDisk() error {
+// closeLog closes the log's files while the replica is running, so that its next write fails.
+func (r *Replica) closeLog() error {
 	done := make(chan struct{})
-	r.do(func() { r.store.log.Close(); close(done) })
+	r.enqueue(func() { r.store.log.Close(); close(done) })
 	<-done
 	return nil
 }
--- a/internal/fleet/replica/store.go
+++ b/internal/fleet/replica/store.go
@@ -12,18 +12,18 @@
 	"pinelb.example/pinelb/internal/fleet/storage"
 )
 
-// logDirectory is the log's directory within Options.Directory.
+// logDirectory is the name of the log's directory in Options.Directory.
 const logDirectory = "control"
 
-// store is a replica's hard state and configuration, on the disk and in memory. Only the replica's goroutine uses it.
+// store holds a replica's hard state and configuration, on disk and in memory. Only the replica's goroutine uses it.
 type store struct {
 	log       *storage.Log[replication.HardState] // nil: no disk
 	hardState replication.HardState
 	state     *config.State // at the hard state's position, committed or not
 }
 
-// openStore reads the disk. An empty one, or none, makes a new identity, and so does a corrupt log: the replica that wrote
-// it may have promised or stored more than can be read.
+// openStore reads the log from the disk. If there is no disk, or the disk is empty, the store starts without state, under a new
+// identity. So it does if the log is corrupt: the replica that wrote the log may have promised or stored more than can be read.
 func openStore(options *Options) (*store, error) {
 	nonce := uint64(0)
 	if len(options.BootstrapWitnesses) == 0 {
@@ -57,10 +57,10 @@
 	return s, nil
 }
 
-// newNonce draws the nonce of a new identity; 0 is that of the first start of the whole system.
+// newNonce returns a random nonce for a new identity. It is never 0, the nonce at the first start of the whole system.
 func newNonce() uint64 { return rand.Uint64() | 1 }
 
-// apply returns the state after a write with a snapshot, an entry, both or none of them.
+// apply returns the state after a write that has a snapshot, an entry, both or neither.
 func apply(state *config.State, entry, snapshot []byte) (*config.State, error) {
 	if snapshot != nil {
 		decoded, err := config.DecodeState(snapshot)
@@ -79,8 +79,8 @@
 	return state.Apply(change)
 }
 
-// write makes a step's write durable, and changes the state accordingly. state is the one that the write leads to; nil: it is worked out
-// here. After an error the store is as before.
+// write makes a step's write durable and updates the state. state is the state after the write; nil: it is computed here. After
+// an error the store is unchanged.
 func (s *store) write(w *replication.Write, state *config.State) error {
 	if state == nil {
 		var err error
@@ -97,7 +97,8 @@
 	return nil
 }
 
-// writeLog appends a write that leads to a state, or starts a new generation with that state where the log needs compaction.
+// writeLog appends a write to the log. If the log needs compaction, it starts a new generation with the state after the write
+// instead.
 func (s *store) writeLog(w *replication.Write, state *config.State) error {
 	if !s.log.NeedsCompaction() {
 		return s.log.Append(storage.Record[replication.HardState]{HardState: w.HardState, Entry: w.Entry, Snapshot: w.Snapshot})
@@ -109,6 +110,7 @@
 	return s.log.StartGeneration(w.HardState, snapshot)
 }
 
+// close closes the log, if there is one.
 func (s *store) close() {
 	if s.log != nil {
 		s.log.Close()
--- a/internal/fleet/replica/submit.go
+++ b/internal/fleet/replica/submit.go
@@ -9,39 +9,40 @@
 	"pinelb.example/pinelb/internal/fleet/replication"
 )
 
-// Errors of a change or a read. An invalid change gets a *config.InvalidError.
+// Errors of Submit, Read and ConfirmLeadership. Submit returns a *config.InvalidError for an invalid change.
 var (
-	// ErrUnavailable says that the outcome is not known: the change may have been committed, or may be later.
+	// ErrUnavailable reports that the outcome is unknown: the change may have been committed, or may be committed later.
 	ErrUnavailable = errors.New("replica: the order is not decided")
-	// ErrNotPrimary says that another machine has to be asked.
+	// ErrNotPrimary reports that this replica is not the primary: the call has to be sent to another machine.
 	ErrNotPrimary = errors.New("replica: not the primary")
-	// ErrConflict says that the change is based on another version than the present one.
+	// ErrConflict reports that the change is not based on the present version.
 	ErrConflict = errors.New("replica: another version is in place")
 
-	errSuperseded = errors.New("replica: another order came before")
+	// errSuperseded reports that another change is pending, or was committed since this one was checked. Submit retries.
+	errSuperseded = errors.New("replica: superseded by another change")
 )
 
-// supersededBackoff is the time between attempts of a change while another one is pending.
+// supersededBackoff is the time between attempts to propose a change while another change is pending.
 const supersededBackoff = 5 * time.Millisecond
 
-// proposal is a change under way.
+// proposal is a change that is being replicated, and the state and table after it.
 type proposal struct {
 	position replication.Position
 	change   *config.Change
 	state    *config.State
 	table    *config.Table
-	done     chan error // buffered
+	done     chan error // buffered; receives the outcome
 }
 
-// confirmation waits for a heartbeat round that was sent at a time or later.
+// confirmation is a request to confirm the primary by a heartbeat round that was sent at since or later.
 type confirmation struct {
 	since time.Duration
-	done  chan error // buffered
+	done  chan error // buffered; receives the outcome
 }
 
-// Submit has a change committed. It returns nil once every member of the view has stored it, also where that very change
-// was committed before. Errors: ErrUnavailable, also where ctx is done, ErrNotPrimary, ErrConflict, and a
-// *config.InvalidError, which says what is wrong with the change.
+// Submit commits a change. It returns nil once every member of the view has stored the change, and also if the same change was
+// committed before. Errors are ErrUnavailable, also if ctx is done, ErrNotPrimary, ErrConflict, and a *config.InvalidError that
+// explains what is wrong with the change.
 func (r *Replica) Submit(ctx context.Context, change *config.Change) error {
 	digest := change.Digest()
 	for {
@@ -75,7 +76,7 @@
 	}
 }
 
-// prepare checks a change against the present state and makes the next one.
+// prepare checks a change against the present state, and returns a proposal with the state and table after the change.
 func prepare(state *config.State, table *config.Table, change *config.Change) (*proposal, error) {
 	next, err := state.Apply(change)
 	if err != nil {
@@ -94,14 +95,14 @@
 	return &proposal{change: change, state: next, table: nextTable, done: make(chan error, 1)}, nil
 }
 
-// propose has the members store a change, if the state is still the one that it was checked against; else it returns
-// errSuperseded after a while.
+// propose replicates a change and waits for the outcome. If the state is no longer the one that the change was checked against,
+// or another change is pending, it returns errSuperseded after supersededBackoff.
 func (r *Replica) propose(ctx context.Context, sequence uint64, p *proposal) error {
 	entry, err := p.change.Encode()
 	if err != nil {
 		return err
 	}
-	r.do(func() { r.startProposal(sequence, p, entry) })
+	r.enqueue(func() { r.startProposal(sequence, p, entry) })
 	err = r.wait(ctx, p.done)
 	if !errors.Is(err, errSuperseded) {
 		return err
@@ -114,7 +115,8 @@
 	}
 }
 
-// startProposal runs on the replica's goroutine.
+// startProposal proposes a change to the protocol, if no other change is pending and the state still has the sequence number.
+// It runs on the replica's goroutine.
 func (r *Replica) startProposal(sequence uint64, p *proposal, entry []byte) {
 	if r.pending != nil || r.published.Sequence != sequence || r.node.Position().Sequence != sequence {
 		p.done <- errSuperseded
@@ -130,8 +132,8 @@
 	r.execute(out)
 }
 
-// Read returns the configuration that is in force at a moment after the call. Errors: ErrNotPrimary, and ErrUnavailable,
-// also where ctx is done.
+// Read returns the configuration that was in force at some time after the start of the call. Errors are ErrNotPrimary, and
+// ErrUnavailable, also if ctx is done.
 func (r *Replica) Read(ctx context.Context) (*config.Document, error) {
 	if err := r.ConfirmLeadership(ctx); err != nil {
 		return nil, err
@@ -143,8 +145,8 @@
 	return current.state.Document, nil
 }
 
-// ConfirmLeadership returns nil once a majority of the witnesses has answered a heartbeat round that was sent after the
-// call: no other replica was the primary meanwhile. Errors are those of Read.
+// ConfirmLeadership returns nil once a majority of the witnesses has answered a heartbeat round that was sent after the start of
+// the call: no other replica was the primary when that round was sent. Errors are those of Read.
 func (r *Replica) ConfirmLeadership(ctx context.Context) error {
 	if !r.currentStatus().isPrimary {
 		return ErrNotPrimary
@@ -152,10 +154,10 @@
 	return r.confirm(ctx)
 }
 
-// confirm is ConfirmLeadership also for a primary that has published nothing yet.
+// confirm is ConfirmLeadership, but also works on a primary that has not published a commit yet.
 func (r *Replica) confirm(ctx context.Context) error {
 	c := &confirmation{done: make(chan error, 1)}
-	r.do(func() {
+	r.enqueue(func() {
 		if r.node.Status() != replication.Leading {
 			c.done <- ErrNotPrimary
 			return
@@ -167,7 +169,8 @@
 	return r.wait(ctx, c.done)
 }
 
-// wait returns the outcome of what the replica's goroutine was given to do.
+// wait returns the outcome of a function that was passed to the replica's goroutine. It returns ErrUnavailable if ctx is done or
+// the replica is closed before that.
 func (r *Replica) wait(ctx context.Context, done <-chan error) error {
 	select {
 	case err := <-done:
