--- a/internal/fleet/transport/compression_test.go
+++ b/internal/fleet/transport/compression_test.go
@@ -36,10 +36,10 @@
 
 		Convey("send large messages uncompressed unless the receiver's last packet announced gzip support", func() {
 			for _, c := range []struct {
-				packet   []byte
-				encoding string
+				lastPacket []byte
+				encoding   string
 			}{{nil, ""}, {packetOf(true), gzipEncoding}, {packetOf(false), ""}} {
-				a.receive(c.packet)
+				a.receive(c.lastPacket)
 				body, encoding := a.encodeBody(bAddress, []byte(large))
 				So(encoding, ShouldEqual, c.encoding)
 				So(len(body) < len(large)/10, ShouldEqual, encoding != "")
