--- a/internal/fleet/config/table.go
+++ b/internal/fleet/config/table.go
@@ -93,7 +93,7 @@
 	}
 	for _, name := range document.itemNames(field) {
 		text := items[name]
-		if former, found := previous[name]; found && sameText(former, text) {
+		if previousText, found := previous[name]; found && sameText(previousText, text) {
 			continue
 		}
 		pace.pauseAfter(len(result.changed))
@@ -141,8 +141,8 @@
 func (t *Table) indexRoutes(previous *Table, routes decodedItems[Route]) error {
 	added := map[string][]*Route{} // new and changed routes by host, with an entry for every host whose routes differ
 	for _, name := range slices.Concat(routes.changed, routes.removed) {
-		if former := previous.routes[name]; former != nil && added[former.Host] == nil {
-			added[former.Host] = []*Route{}
+		if previousRoute := previous.routes[name]; previousRoute != nil && added[previousRoute.Host] == nil {
+			added[previousRoute.Host] = []*Route{}
 		}
 		if route := t.routes[name]; route != nil {
 			added[route.Host] = append(added[route.Host], route)
