--- a/internal/fleet/config/pace.go
+++ b/internal/fleet/config/pace.go
@@ -13,7 +13,7 @@
 	}
 }
 
-// EstimatePauses returns an estimate of how often decoding JSON of a size in bytes, and making a Table of it, calls a Pace.
+// EstimatePauses returns about how often a Pace is called while JSON of a given size, in bytes, is decoded and made into a Table.
 func EstimatePauses(bytes int) int {
 	const bytesPerItem, passes = 260, 2
 	return passes * bytes / bytesPerItem / itemsPerPause
--- a/internal/fleet/replica/replica.go
+++ b/internal/fleet/replica/replica.go
@@ -2,8 +2,8 @@
 // and a transport, and submits the operator's changes to it.
 //
 // Each Replica has one goroutine, which alone drives the protocol and writes to the disk. Other goroutines pass functions to it
-// and read the status that it publishes after each step. It also calls the callbacks (OnCommit, OnViewChange, Send), which must
-// not wait for the replica.
+// and read the status that it publishes after each step. The replica's goroutine also calls the callbacks (OnCommit,
+// OnViewChange, Send), which must not wait for the replica.
 //
 // Invariants: a step's messages are sent only after its write is durable; a change is acknowledged only after every member of
 // the view has stored it; a read is answered only after a majority of the witnesses has confirmed the primary.
--- a/internal/fleet/replica/status.go
+++ b/internal/fleet/replica/status.go
@@ -13,9 +13,9 @@
 	return r.status
 }
 
-// ReadLease returns the view and sequence number of the configuration that this replica last published as the primary, and the
-// last time (on Options.Clock) at which the replica was confirmed as the primary, so that this configuration was the newest. ok
-// is false unless this replica is the confirmed primary.
+// ReadLease returns the last time (on Options.Clock) at which this replica was confirmed as the primary. At that time the last
+// configuration that it published was the newest; ReadLease also returns that configuration's view and sequence number. ok is
+// false unless this replica is the confirmed primary.
 func (r *Replica) ReadLease() (view, sequence uint64, at time.Duration, ok bool) {
 	current := r.currentStatus()
 	return current.view.Number, current.sequence, current.confirmedAt, current.isPrimary && current.isConfirmed
--- a/internal/fleet/replica/submit.go
+++ b/internal/fleet/replica/submit.go
@@ -15,7 +15,7 @@
 	ErrUnavailable = errors.New("replica: the order is not decided")
 	// ErrNotPrimary reports that this replica is not the primary: the call has to be sent to another machine.
 	ErrNotPrimary = errors.New("replica: not the primary")
-	// ErrConflict reports that the change is not based on the present version.
+	// ErrConflict reports that the change is based on another version than the present one.
 	ErrConflict = errors.New("replica: another version is in place")
 
 	// errSuperseded reports that another change is pending, or was committed since this one was checked. Submit retries.
--- a/internal/fleet/transport/send.go
+++ b/internal/fleet/transport/send.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// sendTimeout returns the time-out for a message over TCP of a size in bytes, sent over a link of at least minLinkRate.
+// sendTimeout returns the time-out for sending a message of size bytes over TCP, on a link of at least minLinkRate.
 func sendTimeout(size int) time.Duration {
 	return callTimeout + time.Duration(size)*time.Second/minLinkRate
 }
