--- a/internal/fleet/config/config_test.go
+++ b/internal/fleet/config/config_test.go
@@ -27,7 +27,7 @@
 	return d
 }
 
-// equalJSON reports whether two JSON texts are equal but for white space and the order of fields.
+// equalJSON reports whether two JSON texts decode to equal values.
 func equalJSON(a, b []byte) bool {
 	var x, y any
 	So(json.Unmarshal(a, &x), ShouldBeNil)
@@ -180,8 +180,8 @@
 	})
 }
 
-// Guards against changes of the replicated form, which other builds and stored logs have to read. The expected bytes are those
-// that commit b772427 wrote.
+// Guards against changes of the replicated form: routers of earlier builds read it, and logs on disk hold it. The expected bytes
+// are those that commit b772427 wrote.
 func TestReplicatedFormIsStable(t *testing.T) {
 	Convey("Changes and states are encoded as by earlier releases", t, func() {
 		first := &Change{Replace: true, Body: []byte(`{"version":7,"limits":{"x":1},"services":[{"name":"a"}],"b":[1]}`)}
--- a/internal/fleet/config/scale_bench_test.go
+++ b/internal/fleet/config/scale_bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// routesPatch returns the JSON form of a patch that adds routes, numbered upwards from from, with the fields that operators
-// send.
+// routesPatch returns the JSON form of a patch that adds count routes with the fields that operators send. Their numbers start
+// at from.
 func routesPatch(version, from, count int) []byte {
 	var text strings.Builder
 	fmt.Fprintf(&text, `{"version":%d,"upsert":{"routes":[`, version)
--- a/internal/fleet/config/table.go
+++ b/internal/fleet/config/table.go
@@ -14,7 +14,7 @@
 	Document       *Document
 	Version        int64
 	Limits         Limits
-	RequiresAPIKey bool // the configuration has tenants: a request needs the API key of one
+	RequiresAPIKey bool // the configuration has tenants: a request needs the API key of one, unless its route is public
 
 	routes       map[string]*Route
 	services     map[string]*Service
@@ -160,7 +160,7 @@
 	return nil
 }
 
-// indexHost rebuilds the index of one host: it drops the routes that are no longer in the table, and adds others.
+// indexHost rebuilds the index of one host: it drops the routes that are no longer in the table, and adds those in added.
 func (t *Table) indexHost(host string, added []*Route) error {
 	var routes []*Route
 	for _, route := range t.routesByHost[host] {
--- a/internal/fleet/replica/compatibility_test.go
+++ b/internal/fleet/replica/compatibility_test.go
@@ -8,8 +8,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Guards against a build that can't read or continue the log of an earlier build. testdata/disk-b772427 was written by commit
-// b772427, and holds versions 3 and 4 of a configuration.
+// Guards against a build that can't read or continue the log of an earlier build. testdata/disk-b772427 was written by the
+// replica of commit b772427, and holds versions 3 and 4 of a configuration.
 func TestLogOfEarlierBuild(t *testing.T) {
 	Convey("A replica that starts with the log of an earlier build", t, func() {
 		directory := t.TempDir()
--- a/internal/fleet/replica/publish.go
+++ b/internal/fleet/replica/publish.go
@@ -112,8 +112,8 @@
 	r.options.OnCommit(commit)
 }
 
-// resolveConfirmations answers the confirmations whose since is not after confirmedAt, when the last confirmed heartbeat round was
-// sent.
+// resolveConfirmations answers the confirmations that are satisfied by the last confirmed heartbeat round, which was sent at
+// confirmedAt.
 func (r *Replica) resolveConfirmations(confirmedAt time.Duration, isConfirmed bool) {
 	waiting := r.confirmations[:0]
 	for _, c := range r.confirmations {
--- a/internal/fleet/replica/replica_test.go
+++ b/internal/fleet/replica/replica_test.go
@@ -178,7 +178,7 @@
 	})
 }
 
-// closeLog closes the log's files while the replica is running, so that its next write fails.
+// closeLog closes the log's files while the replica is running, so that its next write has to start a new generation.
 func (r *Replica) closeLog() error {
 	done := make(chan struct{})
 	r.enqueue(func() { r.store.log.Close(); close(done) })
--- a/internal/fleet/replica/status.go
+++ b/internal/fleet/replica/status.go
@@ -21,9 +21,9 @@
 	return current.view.Number, current.sequence, current.confirmedAt, current.isPrimary && current.isConfirmed
 }
 
-// LeadershipConfirmedAt returns the last time (on Options.Clock) at which this replica was confirmed as the primary, so that no
-// other view was in force. ok is false if it has not been confirmed since its start, or knows a view with another primary. Unlike
-// ReadLease, the result stays valid while the replica changes the composition of its own view.
+// LeadershipConfirmedAt returns the last time (on Options.Clock) at which this replica was confirmed as the primary. No other view
+// was in force at that time. ok is false if the replica has not been confirmed since its start, or knows a view with another
+// primary. Unlike ReadLease, the result stays valid while the replica changes the composition of its own view.
 func (r *Replica) LeadershipConfirmedAt() (at time.Duration, ok bool) {
 	current := r.currentStatus()
 	return current.lastConfirmedAt, current.hasLastConfirmed
--- a/internal/fleet/replica/submit.go
+++ b/internal/fleet/replica/submit.go
@@ -18,7 +18,8 @@
 	// ErrConflict reports that the change is based on another version than the present one.
 	ErrConflict = errors.New("replica: another version is in place")
 
-	// errSuperseded reports that another change is pending, or was committed since this one was checked. Submit retries.
+	// errSuperseded reports that another change is pending, or that the state has advanced since this change was checked. Submit
+	// retries.
 	errSuperseded = errors.New("replica: superseded by another change")
 )
 
@@ -34,7 +35,7 @@
 	done     chan error // buffered; receives the outcome
 }
 
-// confirmation is a request to confirm the primary by a heartbeat round that was sent at since or later.
+// confirmation is a call that waits until the primary is confirmed by a heartbeat round that was sent at the time since or later.
 type confirmation struct {
 	since time.Duration
 	done  chan error // buffered; receives the outcome
--- a/internal/fleet/storage/log.go
+++ b/internal/fleet/storage/log.go
@@ -110,7 +110,7 @@
 	l.generation++
 	if err := l.createGeneration(Record[H]{HardState: hardState, Snapshot: snapshot}); err != nil {
 		l.Close()
-		_ = os.RemoveAll(l.generationPath(l.generation)) // else it could fill the disk and block the next generation
+		_ = os.RemoveAll(l.generationPath(l.generation)) // on a full disk, its files would take the space of the next generation
 		return err
 	}
 	l.removeOldGenerations()
--- a/internal/fleet/transport/send.go
+++ b/internal/fleet/transport/send.go
@@ -36,7 +36,7 @@
 	}
 	t.Counters.SentDatagrams.Add(1)
 	t.Counters.SentBytes.Add(uint64(len(packet)))
-	_, _ = t.udp.WriteToUDPAddrPort(packet, address) // a failed write counts as a lost datagram
+	_, _ = t.udp.WriteToUDPAddrPort(packet, address) // a failed write is handled like a lost datagram: the protocols resend it
 }
 
 // udpAddress parses a receiver's address and caches the result; ok is false if it is not an IP address and port.
@@ -68,7 +68,7 @@
 		defer t.release(to)
 		ctx, cancel := context.WithTimeout(t.ctx, sendTimeout(len(packet)))
 		defer cancel()
-		_, _ = t.post(ctx, to, messagePath, packet) // a failed request counts as a lost message: the protocols resend it
+		_, _ = t.post(ctx, to, messagePath, packet) // a failed request is handled like a lost message: the protocols resend it
 	})
 }
 
