--- a/internal/fleet/replication/candidate.go
+++ b/internal/fleet/replication/candidate.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// startElection makes this replica a candidate.
+// startElection makes this replica a candidate for the next view.
 func (n *Node) startElection(reason ElectionReason) {
 	n.electionReason = reason
 	n.highestRound = max(n.highestRound, n.hardState.Promised.Round) + 1
@@ -21,7 +21,7 @@
 	n.countPromises()
 }
 
-// caughtUpReplicas returns the replicas that hold this primary's state; nil where this replica is not the primary.
+// caughtUpReplicas returns which replicas have stored this primary's state, or nil if this replica is not leading.
 func (n *Node) caughtUpReplicas() map[Replica]bool {
 	if n.status != Leading {
 		return nil
@@ -33,13 +33,13 @@
 	return caughtUp
 }
 
-// enterPhase begins a phase of the election.
+// enterPhase starts a phase of the election.
 func (n *Node) enterPhase(status Status) {
 	n.status = status
 	n.election.phaseStarted, n.election.resendAt = n.now, n.now+resendInterval
 }
 
-// abandonElection ends an attempt; the next one comes after a random time.
+// abandonElection ends the election without a decision. The next attempt follows after a random delay.
 func (n *Node) abandonElection() {
 	n.election = nil
 	n.status = Following
@@ -62,8 +62,8 @@
 	}
 }
 
-// handlePhaseTimeout waits on for a snapshot that is on its way, goes on without the replicas that have not installed it, if
-// the others suffice, or abandons the election.
+// handlePhaseTimeout handles a phase that takes longer than PhaseTimeout. It keeps waiting for a snapshot transfer,
+// continues without the replicas that have not installed the state if the others suffice, or abandons the election.
 func (n *Node) handlePhaseTimeout() {
 	switch n.status {
 	case Fetching:
@@ -81,8 +81,8 @@
 	return n.now-n.election.phaseStarted > n.options.Timing.SnapshotTimeout
 }
 
-// handleInstallTimeout excludes the replicas that have not installed the state. One that is in contact is waited for where the
-// others don't suffice: the snapshot may be on its way to it.
+// handleInstallTimeout excludes the replicas that have not installed the state, and continues if the others suffice. If
+// they don't, it keeps waiting for replicas that have recently requested the snapshot: the transfer may be in progress.
 func (n *Node) handleInstallTimeout() {
 	e := n.election
 	hasRecentSnapshotRequest := func(r Replica) bool { return e.hasRecentSnapshotRequest(r, n.now, n.options.Timing.PhaseTimeout) }
@@ -127,8 +127,8 @@
 	}
 }
 
-// sendKeepAlive keeps the witnesses from becoming candidates themselves while a snapshot is on its way. Those that receive
-// it answer, so that the candidate knows which of them live.
+// sendKeepAlive repeats Prepare to all witnesses during a snapshot transfer, which keeps them from becoming candidates.
+// Their answers show the candidate which of them are responsive.
 func (n *Node) sendKeepAlive() {
 	for _, witness := range n.hardState.View.Witnesses {
 		n.send(witness, Prepare{View: n.hardState.View, Ballot: n.election.ballot})
@@ -156,7 +156,7 @@
 	n.countPromises()
 }
 
-// nextNumber is the number of the view after the present one.
+// nextNumber returns the number of the view after the current one.
 func (n *Node) nextNumber() uint64 { return n.hardState.View.Number + 1 }
 
 func (n *Node) onReject(message Reject) {
@@ -166,14 +166,14 @@
 	}
 }
 
-// countPromises ends the phase of promises if there are enough of them.
+// countPromises ends the Preparing phase once there are enough promises.
 func (n *Node) countPromises() {
 	e := n.election
 	if !e.hasEnoughPromises(&n.hardState.View, n.now) {
 		return
 	}
 	if proposal, found := e.highestAccepted(); found {
-		e.proposal = proposal // its members hold the state already
+		e.proposal = proposal // its members have installed the state already
 		n.startAccepting()
 		return
 	}
@@ -204,7 +204,8 @@
 	n.startInstalling(message.Snapshot)
 }
 
-// startInstalling has the members of the next view install the state; a nil snapshot is the state that this replica holds.
+// startInstalling proposes the next view and has its members install its initial state. A nil snapshot stands for the
+// state that this replica stores.
 func (n *Node) startInstalling(snapshot []byte) {
 	e := n.election
 	next := n.composition()
@@ -223,7 +224,7 @@
 	n.countInstalled()
 }
 
-// nextPrimary is this replica, unless it is not among the members.
+// nextPrimary returns this replica if it is among the members, else the first member.
 func (n *Node) nextPrimary(members []Replica) Replica {
 	if slices.Contains(members, n.hardState.Self) {
 		return n.hardState.Self
@@ -253,7 +254,7 @@
 	n.countInstalled()
 }
 
-// countInstalled ends the phase of installing once all install targets have installed the state.
+// countInstalled ends the Installing phase once all install targets have installed the state.
 func (n *Node) countInstalled() {
 	if len(n.election.missingInstalls(&n.hardState.View)) > 0 {
 		return
@@ -292,7 +293,8 @@
 	n.countAccepted()
 }
 
-// countAccepted puts a view in force that a majority of the former witnesses has accepted.
+// countAccepted adopts the proposed view, and announces it, once a majority of the current view's witnesses has
+// accepted it.
 func (n *Node) countAccepted() {
 	e := n.election
 	if len(e.accepted) < n.hardState.View.quorum() {
--- a/internal/fleet/replication/cluster_test.go
+++ b/internal/fleet/replication/cluster_test.go
@@ -8,18 +8,19 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// cluster is a world whose messages arrive at once, unless a partition or a rule drops them, and whose clock ticks.
+// cluster is a world whose replicas tick at intervals, and whose messages are delivered at once unless a partition or
+// isDropped drops them.
 type cluster struct {
 	*world
-	down          map[string]bool            // machines without power
+	down          map[string]bool            // addresses of machines without power
 	isPartitioned func(from, to string) bool // nil: there is no partition
-	isDropped     func(envelope) bool        // nil: nothing is lost
+	isDropped     func(envelope) bool        // nil: no message is dropped
 
-	transferTime    time.Duration // that a message with a snapshot takes
+	transferTime    time.Duration // delay of messages with a snapshot
 	delayedMessages []delayedMessage
 }
 
-// delayedMessage is one with a snapshot.
+// delayedMessage is a message with a snapshot, to be delivered at a time.
 type delayedMessage struct {
 	at time.Duration
 	envelope
@@ -36,7 +37,7 @@
 	return c
 }
 
-// run lets time pass.
+// run advances the clock by span, in steps of clusterTick.
 func (c *cluster) run(span time.Duration) {
 	for end := c.now + span; c.now < end; {
 		c.now += clusterTick
@@ -51,7 +52,7 @@
 	}
 }
 
-// deliverDueSnapshots has messages arrive whose time has come.
+// deliverDueSnapshots queues the delayed messages whose delivery time has been reached.
 func (c *cluster) deliverDueSnapshots() {
 	waiting := c.delayedMessages
 	c.delayedMessages = nil
@@ -77,7 +78,8 @@
 	return false
 }
 
-// delaySnapshot delays a message that carries a snapshot; false: it carries none.
+// delaySnapshot delays a message that carries a snapshot. It returns false, without an effect, if the message carries
+// none or transferTime is 0.
 func (c *cluster) delaySnapshot(e envelope) bool {
 	if c.transferTime == 0 || !e.hasSnapshot() {
 		return false
@@ -86,7 +88,7 @@
 	return true
 }
 
-// settle delivers all that is on its way.
+// settle delivers messages until none is in flight, except delayed ones.
 func (c *cluster) settle() {
 	for len(c.sent) > 0 {
 		e := c.sent[0]
@@ -116,7 +118,7 @@
 	return newest
 }
 
-// proposeAndCommit has the primary take a change and reports whether it was acknowledged.
+// proposeAndCommit proposes a change to the primary and reports whether it was acknowledged.
 func (c *cluster) proposeAndCommit() bool {
 	h := c.leader()
 	if h == nil || !c.propose(h) {
@@ -171,7 +173,7 @@
 	})
 }
 
-// Guards against the loss of what was acknowledged when power or a disk is lost.
+// Guards against the loss of acknowledged changes when power or a disk is lost.
 func TestPowerAndDiskLoss(t *testing.T) {
 	Convey("Three replicas of which one may be lost", t, func() {
 		c := newCluster(3, 1)
@@ -209,14 +211,14 @@
 			So(c.leader().state, ShouldResemble, c.acknowledged)
 			So(c.proposeAndCommit(), ShouldBeTrue)
 		})
-		Convey("are led again within half a second when all lost power at once", func() {
+		Convey("have a primary again within half a second when all lost power at once", func() {
 			c.powerOffAll()
 			c.powerOnAll()
 			c.run(500 * time.Millisecond)
 			So(c.leader(), ShouldNotBeNil)
 			So(c.leader().state, ShouldResemble, c.acknowledged)
 		})
-		Convey("are led by another at once when the primary resigns", func() {
+		Convey("have another primary within four ticks when the primary resigns", func() {
 			c.apply(first, first.node.Resign(c.now))
 			c.settle()
 			c.run(4 * clusterTick)
@@ -235,7 +237,7 @@
 		So(c.proposeAndCommit(), ShouldBeTrue)
 		isolated := first.disk.Self.Address
 
-		Convey("whose primary is partitioned from the others: it confirms nothing any more, and the others go on", func() {
+		Convey("whose primary is partitioned from the others: its leadership is not confirmed any more, and the others elect another", func() {
 			c.isPartitioned = func(from, to string) bool { return from == isolated || to == isolated }
 			partitionedAt := c.now
 			c.run(3 * time.Second)
@@ -243,21 +245,21 @@
 			So(confirmed, ShouldBeLessThanOrEqualTo, partitionedAt)
 			So(c.leader(), ShouldNotEqual, first)
 			So(c.proposeAndCommit(), ShouldBeTrue)
-			Convey("and it follows them when the partition heals", func() {
+			Convey("and it follows the new primary when the partition heals", func() {
 				c.isPartitioned = nil
 				c.run(2 * time.Second)
 				So(first.node.Status(), ShouldEqual, Following)
 				So(first.state, ShouldResemble, c.acknowledged)
 			})
 		})
-		Convey("whose primary can send but receives nothing: another takes over", func() {
+		Convey("whose primary can send but receives nothing: another becomes the primary", func() {
 			c.isPartitioned = func(_, to string) bool { return to == isolated }
 			c.run(4 * time.Second)
 			So(c.leader(), ShouldNotBeNil)
 			So(c.leader(), ShouldNotEqual, first)
 			So(c.proposeAndCommit(), ShouldBeTrue)
 		})
-		Convey("of which a backup receives nothing from the primary: it does not replace the primary", func() {
+		Convey("of which a backup is partitioned from the primary only: it does not replace the primary", func() {
 			var backup *host
 			for _, h := range c.replicas {
 				if h != first {
@@ -276,12 +278,12 @@
 }
 
 func TestComposition(t *testing.T) {
-	Convey("A core of three, at its first start", t, func() {
+	Convey("A group of three replicas, at its first start", t, func() {
 		c := newCluster(3, 1)
 		c.run(time.Second)
 		So(c.proposeAndCommit(), ShouldBeTrue)
 
-		Convey("adds machines one after another while all former ones are lost", func() {
+		Convey("adds three machines one after another, each before one of the founders is lost", func() {
 			for i := range 3 {
 				c.lastNonce++
 				added := &host{disk: InitialHardState(address(10+i), c.lastNonce, nil)}
@@ -299,7 +301,7 @@
 			view := c.leader().node.View()
 			So(len(view.Witnesses), ShouldEqual, 3)
 			So(c.leader().state, ShouldResemble, c.acknowledged)
-			Convey("and those that come back decide nothing among themselves", func() {
+			Convey("and the founders, started again, decide no view among themselves", func() {
 				for i := range 3 {
 					c.powerOn(c.replicas[i])
 				}
@@ -308,12 +310,12 @@
 				So(c.proposeAndCommit(), ShouldBeTrue)
 			})
 		})
-		Convey("removes a member whose disk hangs, and acknowledges without it", func() {
+		Convey("removes a member whose disk hangs, and acknowledges changes without it", func() {
 			slow := c.replicas[2]
 			if slow == c.leader() {
 				slow = c.replicas[1]
 			}
-			c.down[slow.disk.Self.Address] = true // its loop waits for the disk: it says nothing
+			c.down[slow.disk.Self.Address] = true // its loop waits for the disk, so that it sends nothing
 			So(c.proposeAndCommit(), ShouldBeFalse)
 			c.run(1500 * time.Millisecond)
 			So(c.leader().state, ShouldResemble, c.acknowledged)
@@ -322,9 +324,10 @@
 	})
 }
 
-// Guards against a quorum of replicas that do not count for it, and against one without those that are needed.
+// Guards against replicas that don't count for the quorum remaining witnesses, and against their removal where too few
+// witnesses would remain to tolerate a loss.
 func TestNonVotingReplicas(t *testing.T) {
-	Convey("Seeds of which only one counts for the quorum make it the only witness, so that it goes on alone after all were restarted", t, func() {
+	Convey("Founders of which only one counts for the quorum make it the only witness, so that it leads alone after a restart", t, func() {
 		c := newCluster(3, 0)
 		counts := c.replicas[1]
 		for _, h := range c.replicas {
@@ -348,7 +351,7 @@
 		So(c.leader().state, ShouldResemble, c.acknowledged)
 		So(c.proposeAndCommit(), ShouldBeTrue)
 	})
-	Convey("Two that count keep a third witness where one may be lost", t, func() {
+	Convey("Two replicas that count for the quorum keep a third witness where one may be lost", t, func() {
 		c := newCluster(3, 1)
 		outsider := c.replicas[0].disk.Self.Address
 		for _, h := range c.replicas {
@@ -360,7 +363,7 @@
 }
 
 func TestTwoDisksLost(t *testing.T) {
-	Convey("Six replicas of which two may be lost acknowledge after two disks are lost at once", t, func() {
+	Convey("Six replicas of which two may be lost acknowledge changes after two disks are lost at once", t, func() {
 		c := newCluster(6, 2)
 		c.run(1500 * time.Millisecond)
 		So(c.proposeAndCommit(), ShouldBeTrue)
--- a/internal/fleet/replication/codec.go
+++ b/internal/fleet/replication/codec.go
@@ -6,27 +6,30 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Envelope is a message as it travels: its kind, and its encoding (CBOR, RFC 8949).
+// Envelope is an encoded message: its kind, and its body in CBOR (RFC 8949).
 type Envelope struct {
 	Kind Kind            `cbor:"1,keyasint"`
 	Body cbor.RawMessage `cbor:"2,keyasint"`
 }
 
-// UnknownKindError says that a message is of a kind that this version does not know.
+// UnknownKindError reports a message of a kind that this version does not support.
 type UnknownKindError struct{ Kind Kind }
 
-func (e *UnknownKindError) Error() string { return fmt.Sprintf("replication: unknown kind %d", e.Kind) }
+func (e *UnknownKindError) Error() string {
+	return fmt.Sprintf("replication: unknown message kind %d", e.Kind)
+}
 
-// Encode returns a message as it travels.
+// Encode returns the encoding of a message.
 func Encode(message Message) (Envelope, error) {
 	body, err := cbor.Marshal(message)
 	if err != nil {
-		return Envelope{}, fmt.Errorf("replication: encode: %w", err)
+		return Envelope{}, fmt.Errorf("replication: encode message: %w", err)
 	}
 	return Envelope{Kind: message.kind(), Body: body}, nil
 }
 
-// Decode reads what Encode returned. An error is an *UnknownKindError, or says why the body is no message of its kind.
+// Decode returns the message that Encode encoded. It returns an *UnknownKindError if the kind is unknown, and another
+// error if the body is not a valid message of its kind.
 func Decode(e Envelope) (Message, error) {
 	decode, known := decoders[e.Kind]
 	if !known {
@@ -34,7 +37,7 @@
 	}
 	message, err := decode(e.Body)
 	if err != nil {
-		return nil, fmt.Errorf("replication: decode: %w", err)
+		return nil, fmt.Errorf("replication: decode message: %w", err)
 	}
 	return message, nil
 }
@@ -68,7 +71,8 @@
 	KindResignAck:          decodeAs[ResignAck],
 }
 
-// WithSnapshot returns a message with a snapshot added. Messages that carry none are returned as they are.
+// WithSnapshot returns a message with a snapshot added, which replaces the change in an Append. Messages of kinds that
+// have no snapshot are returned unchanged.
 func WithSnapshot(message Message, snapshot []byte) Message {
 	switch message := message.(type) {
 	case FetchSnapshotReply:
--- a/internal/fleet/replication/codec_test.go
+++ b/internal/fleet/replication/codec_test.go
@@ -7,9 +7,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Guards against messages that one side writes and the other can't read.
+// Guards against messages that are encoded but can't be decoded, or that change in between.
 func TestCodecKeepsMessages(t *testing.T) {
-	Convey("Every kind of message is read as it was written", t, func() {
+	Convey("Messages are decoded as they were encoded", t, func() {
 		view := View{Number: 3, Primary: Replica{Address: "a:1", Nonce: 4}, Members: []Replica{{Address: "a:1", Nonce: 4}},
 			Witnesses: []Replica{{Address: "b:1"}}}
 		ballot := Ballot{Round: 5, Proposer: Replica{Address: "b:1"}}
@@ -30,7 +30,7 @@
 			So(again, ShouldResemble, encoded)
 		}
 	})
-	Convey("An unknown kind and a cut body are errors", t, func() {
+	Convey("An unknown kind and a truncated body are errors", t, func() {
 		_, err := Decode(Envelope{Kind: 200})
 		var unknown *UnknownKindError
 		So(errors.As(err, &unknown), ShouldBeTrue)
--- a/internal/fleet/replication/composition.go
+++ b/internal/fleet/replication/composition.go
@@ -5,51 +5,52 @@
 	"slices"
 )
 
-// composition chooses the witnesses and the members of the next view. It is pure: it reads the present view and the
-// conditions of the replicas, and changes nothing.
+// composition chooses the witnesses and the members of the next view. It reads the current view and the conditions of
+// the replicas, and has no side effects.
 //
-// The witnesses are an odd number, twice the tolerated loss and one more: an even set survives no more losses than the odd
-// one below it, and one that grows by a joiner before the replica that it is to replace has gone survives fewer. A joiner
-// therefore waits until it can replace a witness that is resigning, unresponsive or lost, and both change in one view.
+// The target is an odd number of witnesses: twice the tolerated loss plus one. An even set survives no more losses than
+// the odd set with one witness less, and a set that adds a joiner before the replica that it replaces has left survives
+// fewer. A joiner is therefore added only when it can replace a witness that is resigning, unresponsive or lost, in the
+// same view change, or while there are fewer witnesses than the target.
 type composition struct {
 	topology
 	self       Replica
-	view       *View // the present one
+	view       *View // the current one
 	conditions conditions
 }
 
-// conditions is what a composition has to know of the replicas at this moment.
+// conditions provides the current conditions of the replicas to a composition.
 type conditions interface {
-	// joiningReplicas returns those that request to join and are no witnesses yet, sorted.
+	// joiningReplicas returns the replicas that request to join and are not witnesses, sorted.
 	joiningReplicas() []Replica
-	// isResponsive reports whether a witness need not be replaced for its silence.
+	// isResponsive reports whether a replica was in contact recently enough to remain a witness.
 	isResponsive(Replica) bool
 	// isResigning reports whether a replica has announced that it shuts down.
 	isResigning(Replica) bool
-	// isPenalized reports whether a replica was slow lately.
+	// isPenalized reports whether a replica may not be added at present because it was slow.
 	isPenalized(Replica) bool
-	// isExcluded reports whether the present election goes on without a replica.
+	// isExcluded reports whether the current election continues without a replica.
 	isExcluded(Replica) bool
-	// isCaughtUp reports whether a replica that is no member holds the present state.
+	// isCaughtUp reports whether a replica that is not a member has stored the current state.
 	isCaughtUp(Replica) bool
 }
 
-// admissibleJoiners returns the joining replicas that may become witnesses now. A primary that changes the composition of
-// its own view adds only those that are caught up, so that the change takes no longer than a few messages.
+// admissibleJoiners returns the joining replicas that may become witnesses now. A primary that changes the composition
+// of its own view adds only replicas that are caught up, so that the view change needs no snapshot transfer.
 func (c composition) admissibleJoiners(onlyCaughtUp bool) []Replica {
 	return slices.DeleteFunc(c.conditions.joiningReplicas(), func(r Replica) bool {
 		return c.conditions.isPenalized(r) || c.conditions.isExcluded(r) || onlyCaughtUp && !c.conditions.isCaughtUp(r)
 	})
 }
 
-// fitness grades witnesses, from the best to the worst.
+// fitness ranks witnesses, from the best to the worst.
 type fitness uint8
 
 // The grades of fitness.
 const (
 	healthy      fitness = iota
-	nonVoting            // it does not count for the quorum
-	resigning            // it has announced that it shuts down
+	nonVoting            // does not count for the quorum
+	resigning            // has announced that it shuts down
 	unresponsive         // no contact for WitnessTimeout
 )
 
@@ -65,8 +66,8 @@
 	return healthy
 }
 
-// nextWitnesses has joiners replace former incarnations of the same machine first, then unfit witnesses, and then fills up
-// to the target.
+// nextWitnesses returns the witnesses of the next view. Joiners first replace former incarnations of their own machine,
+// then witnesses that are not healthy, and then fill the set up to the target.
 func (c composition) nextWitnesses(onlyCaughtUp bool) []Replica {
 	next := slices.Clone(c.view.Witnesses)
 	joiners := slices.DeleteFunc(c.admissibleJoiners(onlyCaughtUp), func(r Replica) bool { return replaceFormerIncarnation(next, r) })
@@ -87,8 +88,8 @@
 	return c.trim(next)
 }
 
-// replaceFormerIncarnation puts a joiner in the place of a witness of the same machine, whose disk was lost. It reports
-// whether there was one.
+// replaceFormerIncarnation replaces, in place, a witness at the joiner's address by the joiner: the machine's disk was
+// lost. It reports whether there was such a witness.
 func replaceFormerIncarnation(witnesses []Replica, joiner Replica) bool {
 	at := slices.IndexFunc(witnesses, func(r Replica) bool { return r.Address == joiner.Address })
 	if at >= 0 {
@@ -97,8 +98,8 @@
 	return at >= 0
 }
 
-// preferredJoiner returns the index of the joiner to be added to others: the first one of the zone or region that has the
-// fewest of them where the loss of one is tolerated, else the first.
+// preferredJoiner returns the index of the joiner to be added to others: the first joiner, or, if the loss of a zone or
+// a region is tolerated, the first joiner from the zone or region with the fewest of the others.
 func (c composition) preferredJoiner(joiners, others []Replica) int {
 	best := 0
 	if c.toleratesLocalityLoss() {
@@ -111,7 +112,7 @@
 	return best
 }
 
-// leastFit returns the index of the witness to be removed first; -1: there is none.
+// leastFit returns the index of the witness to be removed first, or -1 if the list is empty.
 func (c composition) leastFit(witnesses []Replica) int {
 	worst := -1
 	for i, r := range witnesses {
@@ -122,8 +123,9 @@
 	return worst
 }
 
-// lessFit reports whether a witness is to be removed before another one. Of equally fit ones this replica goes last, and
-// one that is no member and in the zone with the most witnesses goes first.
+// lessFit reports whether witness r is to be removed before other. Among witnesses of equal fitness, this replica is
+// removed last. Of the rest, those in the zone or region with the most witnesses are removed first if the loss of one
+// is tolerated, then those that are not members.
 func (c composition) lessFit(r, other Replica, among []Replica) bool {
 	if a, b := c.fitnessOf(r), c.fitnessOf(other); a != b {
 		return a > b
@@ -142,11 +144,11 @@
 	return CompareReplicas(r, other) > 0
 }
 
-// trim removes witnesses beyond the target, and one more where an even number would be left, as long as copies on the
-// remaining ones survive the tolerated loss.
+// trim removes the least fit witnesses while there are more than the target or an even number of them. It stops where
+// copies on the remaining witnesses would not survive the tolerated loss.
 func (c composition) trim(witnesses []Replica) []Replica {
 	if slices.ContainsFunc(witnesses, c.isLocalityUnknown) {
-		return witnesses // one that counts could go, and one that doesn't could stay
+		return witnesses // it might remove a voting witness and keep a non-voting one
 	}
 	for len(witnesses) > 1 && (len(witnesses) > c.witnessTarget() || len(witnesses)%2 == 0) {
 		at := c.leastFit(witnesses)
@@ -159,13 +161,15 @@
 	return witnesses
 }
 
-// isLocalityUnknown reports whether the locality of a responsive replica is not known yet.
+// isLocalityUnknown reports whether a replica is responsive and its locality is not known yet.
 func (c composition) isLocalityUnknown(r Replica) bool {
 	return !c.localityOf(r.Address).Known && c.fitnessOf(r) != unresponsive
 }
 
-// nextMembers chooses who holds the state: this replica, then present members, then others, all of them eligible, of as many
-// zones as can be had. Penalized replicas are chosen only where the others don't suffice, and resigning ones never.
+// nextMembers returns the members of the next view: of the eligible witnesses, this replica first, then current
+// members, then others, up to maxMembers. If the loss of a zone or a region is tolerated, one replica of each zone
+// comes first. Penalized replicas are chosen only if the others would not survive the tolerated loss, and resigning
+// ones never.
 func (c composition) nextMembers(witnesses []Replica, isEligible func(Replica) bool) []Replica {
 	eligible := c.eligibleReplicas(witnesses, isEligible)
 	slices.SortStableFunc(eligible, func(a, b Replica) int {
@@ -177,8 +181,8 @@
 	return slices.Clone(eligible[:min(len(eligible), c.maxMembers())])
 }
 
-// eligibleReplicas returns the replicas that may be members. Those that don't count for the quorum, which have no disk, are
-// left out where the others suffice.
+// eligibleReplicas returns the witnesses that may be members. Those that don't count for the quorum, which have no
+// disk, are omitted if the others survive the tolerated loss.
 func (c composition) eligibleReplicas(witnesses []Replica, isEligible func(Replica) bool) []Replica {
 	var eligible, penalized []Replica
 	for _, r := range c.notResigning(witnesses) {
@@ -199,7 +203,8 @@
 	return eligible
 }
 
-// notResigning returns the replicas of a list that have not announced that they shut down. Only their copies count.
+// notResigning returns the replicas of a list that have not announced a shutdown. Copies on resigning replicas do not
+// count towards the tolerated loss.
 func (c composition) notResigning(replicas []Replica) []Replica {
 	return slices.DeleteFunc(slices.Clone(replicas), c.conditions.isResigning)
 }
--- a/internal/fleet/replication/composition_test.go
+++ b/internal/fleet/replication/composition_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// fixedConditions are the conditions of replicas that a test writes down, by address.
+// fixedConditions are conditions that a test sets; lists of strings hold the addresses of replicas.
 type fixedConditions struct {
 	joining                                                []Replica
 	unresponsive, resigning, penalized, excluded, caughtUp []string
@@ -28,7 +28,7 @@
 	return addresses
 }
 
-// Guards against a choice of the next view that does not follow from the present one and the conditions alone.
+// Guards against a next view that does not follow from the current view and the conditions alone.
 func TestCompositionOfThree(t *testing.T) {
 	a, b, c, d := Replica{Address: "a"}, Replica{Address: "b"}, Replica{Address: "c"}, Replica{Address: "d"}
 	current := View{Number: 7, Primary: a, Members: []Replica{a, b, c}, Witnesses: []Replica{a, b, c}}
@@ -37,15 +37,15 @@
 		onlyCaughtUp       bool
 		witnesses, members []string
 	}{
-		"nothing changes without a reason":                  {fixedConditions{}, false, []string{"a", "b", "c"}, []string{"a", "b", "c"}},
-		"a joiner waits until it can replace a witness":     {fixedConditions{joining: []Replica{d}}, false, []string{"a", "b", "c"}, []string{"a", "b", "c"}},
-		"a joiner replaces an unresponsive witness":         {fixedConditions{joining: []Replica{d}, unresponsive: []string{"b"}}, false, []string{"a", "c", "d"}, []string{"a", "c", "d"}},
-		"a joiner replaces a resigning witness":             {fixedConditions{joining: []Replica{d}, resigning: []string{"c"}}, false, []string{"a", "b", "d"}, []string{"a", "b", "d"}},
-		"a joiner that lacks the state waits":               {fixedConditions{joining: []Replica{d}, resigning: []string{"c"}}, true, []string{"a", "b", "c"}, []string{"a", "b"}},
-		"a joiner that is caught up does not":               {fixedConditions{joining: []Replica{d}, resigning: []string{"c"}, caughtUp: []string{"d"}}, true, []string{"a", "b", "d"}, []string{"a", "b", "d"}},
-		"a former incarnation is replaced at once":          {fixedConditions{joining: []Replica{{Address: "b", Nonce: 5}}}, false, []string{"a", "b", "c"}, []string{"a", "c", "b"}},
-		"a penalized member is left out while two are left": {fixedConditions{penalized: []string{"b"}}, false, []string{"a", "b", "c"}, []string{"a", "c"}},
-		"an excluded joiner is not added":                   {fixedConditions{joining: []Replica{d}, resigning: []string{"c"}, excluded: []string{"d"}}, false, []string{"a", "b", "c"}, []string{"a", "b"}},
+		"no condition changes nothing":                       {fixedConditions{}, false, []string{"a", "b", "c"}, []string{"a", "b", "c"}},
+		"a joiner is not added to healthy witnesses":         {fixedConditions{joining: []Replica{d}}, false, []string{"a", "b", "c"}, []string{"a", "b", "c"}},
+		"a joiner replaces an unresponsive witness":          {fixedConditions{joining: []Replica{d}, unresponsive: []string{"b"}}, false, []string{"a", "c", "d"}, []string{"a", "c", "d"}},
+		"a joiner replaces a resigning witness":              {fixedConditions{joining: []Replica{d}, resigning: []string{"c"}}, false, []string{"a", "b", "d"}, []string{"a", "b", "d"}},
+		"a joiner that is not caught up is not added":        {fixedConditions{joining: []Replica{d}, resigning: []string{"c"}}, true, []string{"a", "b", "c"}, []string{"a", "b"}},
+		"a joiner that is caught up is added":                {fixedConditions{joining: []Replica{d}, resigning: []string{"c"}, caughtUp: []string{"d"}}, true, []string{"a", "b", "d"}, []string{"a", "b", "d"}},
+		"a joiner replaces its machine's former replica":     {fixedConditions{joining: []Replica{{Address: "b", Nonce: 5}}}, false, []string{"a", "b", "c"}, []string{"a", "c", "b"}},
+		"a penalized member is removed if two others remain": {fixedConditions{penalized: []string{"b"}}, false, []string{"a", "b", "c"}, []string{"a", "c"}},
+		"an excluded joiner is not added":                    {fixedConditions{joining: []Replica{d}, resigning: []string{"c"}, excluded: []string{"d"}}, false, []string{"a", "b", "c"}, []string{"a", "b"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			next := composition{
--- a/internal/fleet/replication/doc.go
+++ b/internal/fleet/replication/doc.go
@@ -1,19 +1,22 @@
-// Package replication keeps one state on several machines: a primary with backups, whose views are decided by witnesses
-// that store only epochs. docs/design/router.md explains it.
+// Package replication implements primary-backup replication of one state. The members of a view store the state; its
+// witnesses vote on the next view, for which they store only ballots and views. docs/design/router.md describes the
+// protocol.
 //
-// A view is decided by single-decree Paxos among the witnesses of the view before (Vertical Paxos: Lamport, Malkhi,
-// Zhou, 2009; the roles are those of Viewstamped Replication Revisited: Liskov, Cowling, 2012). A replica's identity
-// belongs to its disk, so that one whose disk was lost is another replica and can't vote on what it has forgotten.
+// A view is decided by single-decree Paxos among the witnesses of the previous view (Vertical Paxos: Lamport, Malkhi,
+// Zhou, 2009); the roles are those of Viewstamped Replication Revisited (Liskov, Cowling, 2012). A replica's identity
+// is stored on its disk. A machine whose disk was lost restarts as a new replica, so that it can't vote under an
+// identity whose promises it no longer has.
 //
-// The package is pure: no I/O, no clock, no goroutines. Node is a state machine in the manner of etcd's raft: messages
-// and ticks go in, and an Output comes out that its owner (package replica) carries out: first the write, then the
-// messages. Only methods of Node change a replica's state; the types that they use (election, primaryState, composition,
-// resignation, snapshotTransfers, penalties) decide nothing beyond their own data. All of it belongs to one goroutine.
+// The package performs no I/O, reads no clock and starts no goroutines. Node is a state machine in the style of etcd's
+// raft: it receives messages and ticks, and returns an Output, which the caller (package replica) carries out: the
+// write first, then the messages. Only methods of Node change a replica's state; the types that they use (election,
+// primaryState, composition, resignation, snapshotTransfers, penalties) manage only their own data. A Node and its data
+// are used by one goroutine.
 //
 // Invariants:
-//   - A replica never takes part under a ballot lower than one that it has promised, over restarts as well.
-//   - A view comes into force when a majority of the former view's witnesses has accepted it, and only after each of its
-//     members has installed the state that it begins with.
-//   - A change is committed when every member of the view has stored it.
-//   - A replica sends nothing that rests on a write before the write is durable.
+//   - A replica never takes part in a ballot lower than one that it has promised, also after a restart.
+//   - A view takes effect once a majority of the previous view's witnesses has accepted it, and only after each of its
+//     members has installed the view's initial state.
+//   - A change is committed once every member of the view has stored it.
+//   - A message that depends on a write is sent only after the write is durable.
 package replication
--- a/internal/fleet/replication/election.go
+++ b/internal/fleet/replication/election.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// promiseGracePeriod is how long a candidate waits for promises beyond a majority, so that all live replicas are in the next view.
+// promiseGracePeriod is how long a candidate waits for further promises after a majority, so that all responsive
+// replicas are part of the next view.
 const promiseGracePeriod = 60 * time.Millisecond
 
-// resendInterval is the time between repeats of messages that were not answered.
+// resendInterval is the time between repeats of unanswered messages.
 const resendInterval = 120 * time.Millisecond
 
-// election is a candidate's attempt to decide the view after the present one: the data of its phases. The candidate's
-// methods are in candidate.go.
+// election holds the data of a candidate's attempt to decide the next view. The methods of Node that carry out its
+// phases are in candidate.go.
 type election struct {
 	ballot       Ballot
 	phaseStarted time.Duration
 	resendAt     time.Duration
-	excluded     map[Replica]bool // replicas that this attempt goes on without
-	caughtUp     map[Replica]bool // replicas that hold the state though they are no members; nil: not known
+	excluded     map[Replica]bool // replicas that this attempt continues without
+	caughtUp     map[Replica]bool // which replicas had stored the primary's state; nil: not the primary before
 
 	// Preparing.
 	promises   map[Replica]Promise
 	majorityAt time.Duration // when a majority had promised; 0: not yet
 
-	// Fetching: the replica whose state the next view begins with, and which state that is.
+	// Fetching: the replica whose state becomes the next view's initial state, and the version of that state.
 	donor              Replica
 	donorPosition      Position
 	donorInstallBallot Ballot
@@ -32,7 +33,7 @@
 	// Installing and Accepting.
 	proposal         View
 	installed        map[Replica]bool
-	snapshotRequests map[Replica]time.Duration // when each replica last said that it lacks the state
+	snapshotRequests map[Replica]time.Duration // when each replica last requested the snapshot
 	accepted         map[Replica]bool
 }
 
@@ -46,11 +47,11 @@
 	}
 }
 
-// onlyCaughtUp reports whether a primary changes the composition of its own view, and so adds only replicas that hold its
-// state.
+// onlyCaughtUp reports whether only replicas that have stored the state may be added: a primary changes the composition
+// of its own view.
 func (e *election) onlyCaughtUp() bool { return e.caughtUp != nil }
 
-// hasPromised reports whether a replica has promised in this attempt. It is false without one.
+// hasPromised reports whether a replica has promised this attempt's ballot. It is false for a nil election.
 func (e *election) hasPromised(r Replica) bool {
 	if e == nil {
 		return false
@@ -59,17 +60,18 @@
 	return promised
 }
 
-// isExcluded reports whether this attempt goes on without a replica. It is false without one.
+// isExcluded reports whether this attempt continues without a replica. It is false for a nil election.
 func (e *election) isExcluded(r Replica) bool {
 	return e != nil && e.excluded[r] && !e.installed[r]
 }
 
-// proposes reports whether a message is about this attempt's proposal.
+// proposes reports whether a message with this view number and ballot refers to this attempt's proposal. It is false
+// for a nil election.
 func (e *election) proposes(number uint64, ballot Ballot) bool {
 	return e != nil && ballot == e.ballot && number == e.proposal.Number
 }
 
-// hasEnoughPromises reports whether all witnesses have promised, or a majority had a while ago.
+// hasEnoughPromises reports whether all witnesses have promised, or a majority had done so promiseGracePeriod ago.
 func (e *election) hasEnoughPromises(view *View, now time.Duration) bool {
 	if len(e.promises) < view.quorum() {
 		return false
@@ -80,7 +82,8 @@
 	return len(e.promises) >= len(view.Witnesses) || now-e.majorityAt >= promiseGracePeriod
 }
 
-// highestAccepted returns the proposal that may have been decided already; ok is false where there is none.
+// highestAccepted returns the proposal with the highest accepted ballot among the promises, which may have been decided
+// already. ok is false if no proposal was accepted.
 func (e *election) highestAccepted() (proposal View, ok bool) {
 	var best Promise
 	for _, p := range e.promises {
@@ -91,8 +94,8 @@
 	return best.Proposal, !best.Accepted.isZero()
 }
 
-// chooseDonor picks the member with the newest state among the candidate itself and those that have promised. Any of them
-// has all that was acknowledged in the present view.
+// chooseDonor chooses the replica with the newest state among the candidate itself and the members that have promised.
+// Each member has stored all changes that were acknowledged in the current view.
 func (e *election) chooseDonor(own *HardState) {
 	e.donor, e.donorPosition, e.donorInstallBallot = own.Self, own.Position, own.InstallBallot
 	for _, member := range own.View.Members {
@@ -103,8 +106,8 @@
 	}
 }
 
-// installTargets returns the replicas that have to install the state before the view is proposed: its members, and
-// witnesses that are new, which shows that they live and store what they are sent.
+// installTargets returns the replicas that must install the state before the view is proposed: its members and its new
+// witnesses. By installing it, a new witness shows that it is reachable and stores what it receives.
 func (e *election) installTargets(current *View) []Replica {
 	newWitnesses := slices.DeleteFunc(slices.Clone(e.proposal.Witnesses), current.HasWitness)
 	return union(e.proposal.Members, newWitnesses)
@@ -115,7 +118,8 @@
 	return slices.DeleteFunc(e.installTargets(current), func(r Replica) bool { return e.installed[r] })
 }
 
-// hasRecentSnapshotRequest reports whether a replica has said within a time that it lacks the state: a snapshot may be on its way.
+// hasRecentSnapshotRequest reports whether a replica requested the snapshot within a time before now: the transfer may
+// be in progress.
 func (e *election) hasRecentSnapshotRequest(r Replica, now, within time.Duration) bool {
 	at, known := e.snapshotRequests[r]
 	return known && now-at < within
--- a/internal/fleet/replication/election_reason.go
+++ b/internal/fleet/replication/election_reason.go
@@ -1,14 +1,14 @@
 package replication
 
-// ElectionReason says why a replica became a candidate.
+// ElectionReason is the reason why a replica became a candidate.
 type ElectionReason uint8
 
 // The reasons of an election.
 const (
 	NoElection          ElectionReason = iota // this replica has not been a candidate since its start
-	PrimaryUnresponsive                       // the primary was silent for the election time-out
-	MemberFailed                              // the primary drops a member that is silent, or late to store a change
-	MemberResigning                           // the primary drops a member that shuts down
+	PrimaryUnresponsive                       // there was no contact with the primary for the election time-out
+	MemberFailed                              // the primary removes a member that is unresponsive or slow
+	MemberResigning                           // the primary removes a member that shuts down
 	CompositionImproves                       // the primary adds replicas, or replaces witnesses
 	PrimaryResigning                          // the primary shuts down
 )
@@ -19,7 +19,7 @@
 	}[r]
 }
 
-// LastElectionReason returns why this replica became a candidate the last time.
+// LastElectionReason returns why this replica last became a candidate.
 func (n *Node) LastElectionReason() ElectionReason { return n.electionReason }
 
 // IsCandidate reports whether this replica is a candidate.
--- a/internal/fleet/replication/fuzz_test.go
+++ b/internal/fleet/replication/fuzz_test.go
@@ -7,8 +7,9 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// FuzzReceive: whatever comes under whatever kind ends no process, and changes nothing that was stored before unless it is a
-// message that can be read.
+// FuzzReceive checks that no kind and body of a message crash the process, and that a message from an unknown replica
+// changes neither the stored view nor the stored position, unless it is of a kind that carries a view, a proposal or a
+// state.
 func FuzzReceive(f *testing.F) {
 	view := View{Number: 1, Primary: Replica{Address: address(1)}, Members: []Replica{{Address: address(1)}}, Witnesses: []Replica{{Address: address(0)}}}
 	ballot := Ballot{Round: 2, Proposer: Replica{Address: address(1)}}
@@ -43,7 +44,7 @@
 		if !known && message.kind() != KindViewNotice && message.kind() != KindHeartbeat && message.kind() != KindAppend &&
 			message.kind() != KindPrepare && message.kind() != KindInstallSnapshot && message.kind() != KindAccept {
 			if target.disk.View.Number != before.View.Number || target.disk.Position != before.Position {
-				t.Errorf("a stranger's %T changes what is stored", message)
+				t.Errorf("a %T from an unknown replica changes the stored view or position", message)
 			}
 		}
 		c.run(200 * time.Millisecond)
--- a/internal/fleet/replication/large_change_test.go
+++ b/internal/fleet/replication/large_change_test.go
@@ -7,7 +7,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Guards against a view that drops a sound member because a large change takes it long to store, and against one that waits for good.
+// Guards against a view change that removes a healthy member because it needs more than AppendTimeout to store a large
+// change, and against one that never comes because the allowance for a large change is too long.
 func TestLargeChangeTakesItsTime(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -19,7 +20,7 @@
 		{"a change of a megabyte that takes 1.2 s", 1 << 20, 1200 * time.Millisecond, false},
 		{"a change of a megabyte that takes 2.5 s", 1 << 20, 2500 * time.Millisecond, true},
 	} {
-		Convey("A member is dropped or waited for: "+c.name, t, func() {
+		Convey("A member that is late is removed or waited for: "+c.name, t, func() {
 			cluster := newCluster(3, 1)
 			cluster.run(time.Second)
 			primary, slowMember, former := cluster.leader(), cluster.backups()[0].disk.Self, cluster.view().Number
--- a/internal/fleet/replication/learners.go
+++ b/internal/fleet/replication/learners.go
@@ -2,29 +2,29 @@
 
 import "slices"
 
-// Learners are replicas that the next view is to add. The primary brings them up to its state before that, beside the
-// changes that it takes, so that a view change transfers no snapshot, however slow a link is.
+// Learners are replicas that the next view is to add. The primary brings them up to date before the view change, while
+// it goes on committing changes, so that the view change itself transfers no snapshot, even over a slow link.
 
-// Bounds of what a primary does for learners.
+// Bounds on the changes that a primary retains for learners, and on the learners that it brings up to date at a time.
 const (
 	maxRetainedEntries    = 64
 	maxRetainedBytes      = 1 << 20
 	maxConcurrentLearners = 2
 )
 
-// retainedEntries are the last changes, in their order, for learners that are a little behind.
+// retainedEntries holds the most recent changes in order, for learners that lack only a few of them.
 type retainedEntries struct {
 	entries []retainedEntry
 	bytes   int
 }
 
-// retainedEntry is a change, and the sequence number that it led to.
+// retainedEntry is a change, and the sequence number of the state after it.
 type retainedEntry struct {
 	sequence uint64
 	entry    []byte
 }
 
-// add retains a change, and drops the oldest ones beyond the bounds.
+// add retains a change, and drops the oldest changes beyond the bounds.
 func (r *retainedEntries) add(sequence uint64, entry []byte) {
 	r.entries = append(r.entries, retainedEntry{sequence: sequence, entry: entry})
 	r.bytes += len(entry)
@@ -34,7 +34,8 @@
 	}
 }
 
-// between returns the changes after one sequence number up to another one; ok is false where one of them is not retained.
+// between returns the changes after one sequence number up to another one. ok is false if they are not all retained, or
+// if upTo is not the last retained one.
 func (r *retainedEntries) between(after, upTo uint64) (entries []retainedEntry, ok bool) {
 	at := slices.IndexFunc(r.entries, func(e retainedEntry) bool { return e.sequence == after+1 })
 	if at < 0 {
@@ -43,7 +44,7 @@
 	return r.entries[at:], r.entries[len(r.entries)-1].sequence == upTo
 }
 
-// learners returns the replicas that the next view would add if they held the state.
+// learners returns the replicas that the next view would add if they had stored the current state.
 func (n *Node) learners() []Replica {
 	view, next := &n.hardState.View, n.composition()
 	witnesses := next.nextWitnesses(false)
@@ -54,7 +55,8 @@
 	})
 }
 
-// syncLearners asks learners whether they hold the state. Those that don't answer with the state that they have.
+// syncLearners asks learners, at intervals, whether they have stored the current state. A learner that has not answers
+// with SnapshotNeeded, which names the state that it stores; sendCatchUp then sends the rest.
 func (n *Node) syncLearners() {
 	learners := n.learners()
 	n.primary.learners = learners[:min(len(learners), maxConcurrentLearners)]
@@ -66,7 +68,8 @@
 	}
 }
 
-// sendCatchUp sends a replica what it lacks: the changes since its position if they are retained, else the snapshot.
+// sendCatchUp brings a replica up to date: it sends the changes since the replica's position if they are retained, else
+// the snapshot.
 func (n *Node) sendCatchUp(to Replica, position Position, installBallot Ballot) {
 	own := n.hardState.Position
 	if installBallot == n.hardState.InstallBallot && position.View == own.View {
--- a/internal/fleet/replication/member.go
+++ b/internal/fleet/replication/member.go
@@ -1,6 +1,6 @@
 package replication
 
-// onFetchSnapshot sends the state to the candidate that this replica has promised.
+// onFetchSnapshot sends a snapshot of the state to the candidate whose ballot this replica has promised.
 func (n *Node) onFetchSnapshot(from Replica, message FetchSnapshot) {
 	if message.Number != n.nextNumber() || message.Ballot != n.hardState.Promised {
 		return
@@ -8,8 +8,8 @@
 	n.sendWithSnapshot(from, FetchSnapshotReply{Number: message.Number, Ballot: message.Ballot, Position: n.hardState.Position})
 }
 
-// onInstallSnapshot stores the state that the next view begins with. No snapshot is needed where this replica holds the
-// same state under its former position.
+// onInstallSnapshot installs the initial state of a view to be decided. No snapshot is needed if this replica stores
+// the same state under its previous position.
 func (n *Node) onInstallSnapshot(from Replica, message InstallSnapshot) {
 	if message.Number <= n.hardState.View.Number {
 		n.sendViewNotice(from)
@@ -32,8 +32,8 @@
 	n.send(from, InstallSnapshotAck{Number: message.Number, Ballot: message.Ballot})
 }
 
-// installBound returns the lowest ballot under which a state for a view may be installed: the highest one under which this
-// replica has installed a state for that view or a later one, or has promised to decide it.
+// installBound returns the lowest ballot under which the initial state of a view may be installed: the highest ballot
+// under which this replica has installed a state for that view or a later one, or that it has promised for that view.
 func (n *Node) installBound(number uint64) Ballot {
 	bound := n.hardState.InstallBallot
 	if n.hardState.Position.View < number {
@@ -45,12 +45,13 @@
 	return bound
 }
 
-// sendSnapshotNeeded says which state is held, to a sender that offers another one.
+// sendSnapshotNeeded requests a snapshot, and reports which state this replica stores.
 func (n *Node) sendSnapshotNeeded(to Replica, number uint64, ballot Ballot) {
 	n.send(to, SnapshotNeeded{Number: number, Ballot: ballot, Position: n.hardState.Position, InstallBallot: n.hardState.InstallBallot})
 }
 
-// installState takes over a state; a nil snapshot is the one that is held already, at another position.
+// installState replaces the stored state by a snapshot, with its position and install ballot. With a nil snapshot the
+// stored state is kept, under the new position and install ballot.
 func (n *Node) installState(position Position, installBallot Ballot, snapshot []byte) {
 	n.hardState.Position, n.hardState.InstallBallot = position, installBallot
 	write := n.persist()
@@ -59,7 +60,7 @@
 	}
 }
 
-// onAppend stores a change, as a member or as a learner that is to become one.
+// onAppend stores a change or a snapshot from the primary, as a member or as a learner.
 func (n *Node) onAppend(from Replica, message Append) {
 	if !n.observeView(message.View) {
 		n.sendViewNotice(from)
--- a/internal/fleet/replication/messages.go
+++ b/internal/fleet/replication/messages.go
@@ -1,6 +1,7 @@
 package replication
 
-// Message is what replicas send each other. The keys of the fields are those of the encoding (CBOR), and never change.
+// Message is a message between replicas. The CBOR keys of its fields never change. A field Number is the number of a
+// view: of the sender's current view, unless its comment says otherwise.
 type Message interface{ kind() Kind }
 
 // Kind is a message's type on the wire. The numbers never change.
@@ -28,15 +29,16 @@
 	KindResignAck
 )
 
-// Heartbeat tells a view's witnesses that its primary lives. ConfirmedAgeMs is how many milliseconds ago the primary sent
-// the last round that a majority of the witnesses answered; above a bound the primary counts as cut off.
+// Heartbeat shows a view's witnesses that its primary is running. ConfirmedAgeMs is the time in milliseconds since the
+// primary sent the last round that a majority of the witnesses acknowledged. Once it reaches the receiver's election
+// time-out, the receiver regards the primary as partitioned and does not count the heartbeat as contact.
 type Heartbeat struct {
 	View           View   `cbor:"1,keyasint"`
 	Round          uint64 `cbor:"2,keyasint"`
 	ConfirmedAgeMs uint64 `cbor:"3,keyasint"`
 }
 
-// HeartbeatAck answers a Heartbeat. Current is false where the witness has promised a later view.
+// HeartbeatAck answers a Heartbeat. Current is false if the witness has promised a ballot for the next view.
 type HeartbeatAck struct {
 	Number    uint64 `cbor:"1,keyasint"`
 	Round     uint64 `cbor:"2,keyasint"`
@@ -44,57 +46,58 @@
 	Resigning bool   `cbor:"4,keyasint,omitempty"` // the witness is resigning
 }
 
-// Join asks a primary to add the sender to the view.
+// Join requests that the sender be added to the view.
 type Join struct {
-	Number uint64 `cbor:"1,keyasint"` // of the newest view that the sender knows
+	Number uint64 `cbor:"1,keyasint"`
 }
 
-// ViewNotice carries a decided view that the receiver does not know.
+// ViewNotice sends a decided view to a replica that may not have received it.
 type ViewNotice struct {
 	View View `cbor:"1,keyasint"`
 }
 
-// Prepare asks a witness of View for its promise to decide the view after it under no lower ballot (Paxos, phase 1).
+// Prepare asks a witness of View to promise that it takes part in no lower ballot for the next view (Paxos, phase 1).
 type Prepare struct {
 	View   View   `cbor:"1,keyasint"`
 	Ballot Ballot `cbor:"2,keyasint"`
 }
 
-// Promise answers Prepare. Accepted is zero where nothing was accepted for the view.
+// Promise answers Prepare. Accepted is zero if the witness has accepted no proposal for the next view.
 type Promise struct {
 	Number        uint64   `cbor:"1,keyasint"` // of the view to be decided
 	Ballot        Ballot   `cbor:"2,keyasint"`
 	Accepted      Ballot   `cbor:"3,keyasint"`
 	Proposal      View     `cbor:"4,keyasint"`
-	Position      Position `cbor:"5,keyasint"`
-	InstallBallot Ballot   `cbor:"6,keyasint"`
+	Position      Position `cbor:"5,keyasint"`           // of the state that the witness stores
+	InstallBallot Ballot   `cbor:"6,keyasint"`           // of that state: see HardState
 	Resigning     bool     `cbor:"7,keyasint,omitempty"` // the witness is resigning
 }
 
-// Reject answers a message under too low a ballot.
+// Reject answers a message whose ballot is too low.
 type Reject struct {
-	Number   uint64 `cbor:"1,keyasint"`
-	Promised Ballot `cbor:"2,keyasint"`
+	Number   uint64 `cbor:"1,keyasint"` // of the view to be decided
+	Promised Ballot `cbor:"2,keyasint"` // the lowest ballot that the sender takes part in
 }
 
-// FetchSnapshot asks a member that has promised the sender's ballot for its state.
+// FetchSnapshot asks a member that has promised the sender's ballot for a snapshot of its state.
 type FetchSnapshot struct {
-	Number uint64 `cbor:"1,keyasint"`
+	Number uint64 `cbor:"1,keyasint"` // of the view to be decided
 	Ballot Ballot `cbor:"2,keyasint"`
 }
 
-// FetchSnapshotReply answers FetchSnapshot.
+// FetchSnapshotReply answers FetchSnapshot with the snapshot of the state at Position.
 type FetchSnapshotReply struct {
-	Number   uint64   `cbor:"1,keyasint"`
+	Number   uint64   `cbor:"1,keyasint"` // of the view to be decided
 	Ballot   Ballot   `cbor:"2,keyasint"`
 	Position Position `cbor:"3,keyasint"`
 	Snapshot []byte   `cbor:"4,keyasint"`
 }
 
-// InstallSnapshot has a member of a view that is to be decided install the state that the view begins with. Without a
-// snapshot it is for a member that holds From under BaseInstallBallot already.
+// InstallSnapshot asks a replica to install the initial state of a view to be decided, as Position. Without a snapshot,
+// only a replica can do so that stores the same state already: at BasePosition, with the install ballot
+// BaseInstallBallot.
 type InstallSnapshot struct {
-	Number            uint64   `cbor:"1,keyasint"`
+	Number            uint64   `cbor:"1,keyasint"` // of the view to be decided
 	Ballot            Ballot   `cbor:"2,keyasint"`
 	Position          Position `cbor:"3,keyasint"`
 	BasePosition      Position `cbor:"4,keyasint"`
@@ -102,26 +105,26 @@
 	Snapshot          []byte   `cbor:"6,keyasint"`
 }
 
-// InstallSnapshotAck answers InstallSnapshot: the state is installed, on the disk.
+// InstallSnapshotAck answers InstallSnapshot: the state is installed and durable.
 type InstallSnapshotAck struct {
-	Number uint64 `cbor:"1,keyasint"`
+	Number uint64 `cbor:"1,keyasint"` // of the view to be decided
 	Ballot Ballot `cbor:"2,keyasint"`
 }
 
-// Accept asks a witness to accept a view (Paxos, phase 2).
+// Accept asks a witness to accept a proposal for the next view (Paxos, phase 2).
 type Accept struct {
 	Ballot   Ballot `cbor:"1,keyasint"`
 	Proposal View   `cbor:"2,keyasint"`
 }
 
-// AcceptAck answers Accept.
+// AcceptAck answers Accept: the witness has accepted the proposal.
 type AcceptAck struct {
-	Number uint64 `cbor:"1,keyasint"`
+	Number uint64 `cbor:"1,keyasint"` // of the proposed view
 	Ballot Ballot `cbor:"2,keyasint"`
 }
 
-// Append sends a change, or with a snapshot the whole state, to a member of the primary's view. Without either it asks
-// whether the member holds Position.
+// Append sends a change, or a snapshot of the whole state, to a member or a learner of the primary's view. Without
+// either it asks whether the receiver has stored the state at Position.
 type Append struct {
 	View          View     `cbor:"1,keyasint"`
 	InstallBallot Ballot   `cbor:"2,keyasint"`
@@ -130,26 +133,27 @@
 	Snapshot      []byte   `cbor:"5,keyasint"`
 }
 
-// AppendAck answers Append: the member has stored all up to Position, on its disk.
+// AppendAck answers Append: the state up to Position is durable on the sender's disk.
 type AppendAck struct {
 	Number   uint64   `cbor:"1,keyasint"`
 	Position Position `cbor:"2,keyasint"`
 }
 
-// SnapshotNeeded answers InstallSnapshot or Append where the sender's state is needed, and says which one is held.
+// SnapshotNeeded answers an InstallSnapshot or Append that can't be applied to the state which the replica stores.
+// Position and InstallBallot identify that state.
 type SnapshotNeeded struct {
-	Number        uint64   `cbor:"1,keyasint"`
-	Ballot        Ballot   `cbor:"2,keyasint"` // of the InstallSnapshot; zero for an Append
+	Number        uint64   `cbor:"1,keyasint"` // that of the InstallSnapshot, or of the current view
+	Ballot        Ballot   `cbor:"2,keyasint"` // of the InstallSnapshot; zero in the answer to an Append
 	Position      Position `cbor:"3,keyasint"`
 	InstallBallot Ballot   `cbor:"4,keyasint"`
 }
 
-// Resign says that a replica is about to shut down, so that another one may replace it at once.
+// Resign announces that the sender is about to shut down, so that it can be replaced without a time-out.
 type Resign struct {
-	Number uint64 `cbor:"1,keyasint"` // of the newest view that the sender knows
+	Number uint64 `cbor:"1,keyasint"`
 }
 
-// ResignAck answers Resign: the replica may stop.
+// ResignAck answers Resign: the resigning replica may stop.
 type ResignAck struct {
 	Number uint64 `cbor:"1,keyasint"`
 }
--- a/internal/fleet/replication/node.go
+++ b/internal/fleet/replication/node.go
@@ -5,39 +5,40 @@
 	"time"
 )
 
-// Status is what a replica is doing.
+// Status is a replica's role, or the phase of its election.
 type Status uint8
 
-// The states of a replica. A candidate goes through them in this order; an election that fails leads back to Following.
+// The states of a replica. A candidate passes through them in this order, and skips Fetching if no member has a newer
+// state, or Fetching and Installing if a proposal was accepted already. A failed election returns it to Following.
 const (
-	Following  Status = iota // another replica is the primary of the view, or there is none
-	Preparing                // candidate: collects promises of the witnesses
+	Following  Status = iota // not a candidate, nor the primary
+	Preparing                // candidate: collects promises from the witnesses
 	Fetching                 // candidate: fetches a newer state than its own from a member
 	Installing               // candidate: has the next view's members install the state
 	Accepting                // candidate: has the witnesses accept the next view
-	Activating               // primary: brings all members to the same state
-	Leading                  // primary: may commit changes
+	Activating               // primary: waits until all members have stored the same state
+	Leading                  // primary: can commit changes
 )
 
 func (s Status) String() string {
 	return [...]string{"following", "preparing", "fetching", "installing", "accepting", "activating", "leading"}[s]
 }
 
-// Node is one replica's state machine. It is the one place where a replica's state changes. Its methods are not safe for
+// Node is the state machine of one replica; only its methods change the replica's state. They are not safe for
 // concurrent use. Times are readings of one monotonic clock.
 //
-// Each method that returns an Output is a step: the Output has to be carried out before the next one.
+// Each method that returns an Output is a step: the caller must carry out the Output before the next step.
 type Node struct {
 	options   Options
 	hardState HardState
 	status    Status
-	out       *Output // of the present step
+	out       *Output // of the current step
 
-	now             time.Duration // of the present step
+	now             time.Duration // of the current step
 	started         time.Duration
-	primaryLastSeen time.Duration // when the view's primary last showed that it is not cut off
+	primaryLastSeen time.Duration // last contact with the primary; elections set it to adjust the time-out
 	nextJoinRequest time.Duration
-	highestRound    uint64 // of any ballot seen
+	highestRound    uint64 // of all ballots seen
 	peers           peerTable
 	penalties       penalties
 	transfers       snapshotTransfers
@@ -49,8 +50,8 @@
 	primary  *primaryState // nil unless this replica is the primary
 }
 
-// New returns a replica as it is after a start, with what its disk holds. A replica that was primary does not go on as
-// primary: it can't know what it sent before its own disk had it, so that it needs a new view.
+// New returns the state machine of a replica that starts with the hard state from its disk. A replica that was the
+// primary does not resume as the primary: it can't know what it had sent before the restart, and so needs a new view.
 func New(now time.Duration, hardState HardState, options Options) *Node {
 	return &Node{
 		options:         options,
@@ -68,26 +69,26 @@
 // Self returns this replica's identity.
 func (n *Node) Self() Replica { return n.hardState.Self }
 
-// View returns the newest view that is known to be decided.
+// View returns the newest view known to be decided.
 func (n *Node) View() View { return n.hardState.View }
 
-// Status returns what the replica is doing.
+// Status returns the replica's role, or the phase of its election.
 func (n *Node) Status() Status { return n.status }
 
-// Position returns the position of the state that is stored, committed or not.
+// Position returns the position of the stored state, committed or not.
 func (n *Node) Position() Position { return n.hardState.Position }
 
-// HardState returns what has to be on the disk.
+// HardState returns the hard state as of the last step. It is durable once that step's Output was carried out.
 func (n *Node) HardState() HardState { return n.hardState }
 
-// step begins a step and returns its output, which is empty yet.
+// step starts a step and returns its output, which is still empty.
 func (n *Node) step(now time.Duration) *Output {
 	n.now = now
 	n.out = &Output{}
 	return n.out
 }
 
-// persist has the hard state written with this step.
+// persist adds the hard state to this step's write, and returns the write.
 func (n *Node) persist() *Write {
 	if n.out.Write == nil {
 		n.out.Write = &Write{}
@@ -110,12 +111,12 @@
 	return topology{tolerance: n.options.Tolerance, localityOf: n.options.LocalityOf}
 }
 
-// composition is the choice of the next view's replicas as things are now.
+// composition returns the composition that chooses the next view's replicas under the current conditions.
 func (n *Node) composition() composition {
 	return composition{topology: n.topology(), self: n.hardState.Self, view: &n.hardState.View, conditions: n}
 }
 
-// Tick lets time pass.
+// Tick checks time-outs, and sends messages that are sent at intervals. The caller calls it regularly.
 func (n *Node) Tick(now time.Duration) *Output {
 	out := n.step(now)
 	switch n.status {
@@ -131,11 +132,13 @@
 	return out
 }
 
-// startupStaggerDivisor shortens the election stagger where no primary was seen since the start: all may have just started.
+// startupStaggerDivisor divides the election stagger while no primary has been seen since the start: all replicas may
+// have just started.
 const startupStaggerDivisor = 4
 
-// checkElectionTimeout makes a member a candidate where the primary is unresponsive. Members wait the longer the later they
-// stand in the view, so that the first live one acts, and resigning ones wait longest: theirs may be the only copy left.
+// checkElectionTimeout makes a member a candidate if the primary is unresponsive. The later a member is in the view's
+// list, the longer it waits, so that the first responsive member becomes the candidate. Resigning members wait longest,
+// but become candidates too: theirs may be the only remaining copy.
 func (n *Node) checkElectionTimeout() {
 	rank := slices.Index(n.hardState.View.Members, n.hardState.Self)
 	if rank < 0 {
@@ -153,11 +156,13 @@
 	}
 }
 
-// primaryUnknownTimeout is how long a witness sees no primary before it asks whether there is a newer view.
+// primaryUnknownTimeout is the time without contact with a primary after which a witness sends join requests, to learn
+// of a newer view.
 const primaryUnknownTimeout = 2 * time.Second
 
-// requestJoin asks the primary, or whoever may know it, to add this replica to the view. A witness that has seen no primary
-// for long asks too: it may have been replaced while it was away, and whoever knows the newer view answers with it.
+// requestJoin sends join requests to the witnesses of the current view and to the join targets. A witness that has had
+// no contact with a primary for primaryUnknownTimeout sends them too: it may have been replaced while it was
+// unreachable, and a replica that has a newer view answers with that view.
 func (n *Node) requestJoin() {
 	isCurrentWitness := n.hardState.View.HasWitness(n.hardState.Self) && (n.primary != nil || n.now-n.primaryLastSeen < primaryUnknownTimeout)
 	if !n.options.RequestsJoin || n.resignation.requested || isCurrentWitness || n.now < n.nextJoinRequest {
@@ -175,7 +180,7 @@
 	}
 }
 
-// adoptView takes over a decided view. It is the only place where the view changes.
+// adoptView replaces the current view by a decided one. It is the only place where the view changes.
 func (n *Node) adoptView(view View) {
 	for _, r := range n.hardState.View.Witnesses {
 		if !view.HasWitness(r) {
@@ -186,20 +191,21 @@
 	n.hardState.Promised, n.hardState.Accepted, n.hardState.Proposal = Ballot{}, Ballot{}, View{}
 	n.stepDown()
 	n.primaryLastSeen = n.now
-	n.resignation.revoke() // the primary of this view has to release this replica again
+	n.resignation.revoke() // only the primary of the current view may release this replica
 	n.persist()
 	if view.Primary == n.hardState.Self {
 		n.activate()
 	}
 }
 
-// stepDown ends this replica's part as a candidate or as the primary.
+// stepDown ends this replica's role as a candidate or as the primary.
 func (n *Node) stepDown() {
 	n.election, n.primary = nil, nil
 	n.status = Following
 }
 
-// observeView adopts a view that is newer than the one known. It returns false where the sender's is the older one.
+// observeView adopts a received view if it is newer than the current one. It returns false if the received view is
+// older.
 func (n *Node) observeView(view View) bool {
 	if view.Number > n.hardState.View.Number && view.isComplete() {
 		n.adoptView(view)
@@ -207,7 +213,7 @@
 	return view.Number >= n.hardState.View.Number
 }
 
-// sendViewNotice tells a replica of the present view.
+// sendViewNotice sends the current view to a replica.
 func (n *Node) sendViewNotice(to Replica) { n.send(to, ViewNotice{View: n.hardState.View}) }
 
 // Receive handles a message from a replica.
@@ -258,14 +264,15 @@
 func (n *Node) onJoin(from Replica, message Join) {
 	n.peers.joinRequests[from] = n.now
 	if !n.hardState.View.HasWitness(from) {
-		n.resignation.revoke() // there is somebody who may replace this replica
+		n.resignation.revoke() // the sender may be able to replace this replica
 	}
 	if message.Number < n.hardState.View.Number {
 		n.sendViewNotice(from)
 	}
 }
 
-// onSnapshotNeeded answers a replica that lacks the state which it was offered, by a candidate or by the primary.
+// onSnapshotNeeded sends the state to a replica that could not apply an InstallSnapshot of this candidate, or an Append
+// of this primary.
 func (n *Node) onSnapshotNeeded(from Replica, message SnapshotNeeded) {
 	e := n.election
 	if n.status == Installing && e.proposes(message.Number, message.Ballot) {
--- a/internal/fleet/replication/options.go
+++ b/internal/fleet/replication/options.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Timing are the intervals and time-outs of the protocol. None of them matters for safety.
+// Timing holds the intervals and time-outs of the protocol. Safety does not depend on them.
 type Timing struct {
 	HeartbeatInterval     time.Duration // between a primary's heartbeat rounds
-	StartupTimeout        time.Duration // election time-out after this replica's own start
-	ElectionTimeout       time.Duration // without contact from a primary, before the first member becomes a candidate
+	StartupTimeout        time.Duration // used instead of ElectionTimeout after this replica's own start
+	ElectionTimeout       time.Duration // time without contact with a primary after which the first member is a candidate
 	ElectionStagger       time.Duration // added to the election time-out for each member after the first
-	MemberTimeout         time.Duration // without contact, after which a primary removes a member
-	AppendTimeout         time.Duration // in which a member has to store a change
+	MemberTimeout         time.Duration // time without contact after which a primary removes a member
+	AppendTimeout         time.Duration // within which members must store a change, if it is not large
 	PhaseTimeout          time.Duration // of each phase of an election
-	SnapshotTimeout       time.Duration // of a phase in which an indispensable member is sent a snapshot
-	JoinInterval          time.Duration // between requests to join
-	MinViewChangeInterval time.Duration // between view changes that only add replicas
-	SlowMemberBackoff     time.Duration // before a member that was removed for being slow is added again; doubles each time
-	WitnessTimeout        time.Duration // without contact, after which a witness may be replaced
+	SnapshotTimeout       time.Duration // of an election phase that waits for the transfer of a snapshot
+	JoinInterval          time.Duration // between join requests
+	MinViewChangeInterval time.Duration // from a view's start to a view change that only adds or replaces replicas
+	SlowMemberBackoff     time.Duration // for which a slow replica is not added again; doubles with each removal
+	WitnessTimeout        time.Duration // time without contact after which a witness may be replaced
 }
 
-// DefaultTiming suits machines in one region.
+// DefaultTiming returns the timing for machines in one region.
 func DefaultTiming() Timing {
 	return Timing{
 		HeartbeatInterval:     150 * time.Millisecond,
@@ -39,16 +39,16 @@
 	}
 }
 
-// Options are a replica's surroundings.
+// Options configure a Node.
 type Options struct {
 	Timing    Timing
 	Tolerance Tolerance
-	// Random draws the pause after a failed election.
+	// Random draws the delay after a failed election.
 	Random *rand.Rand
-	// LocalityOf returns the locality of the machine at an address, as far as it is known.
+	// LocalityOf returns the locality of the machine at an address.
 	LocalityOf func(address string) Locality
-	// JoinTargets returns the addresses that are asked where no primary is known.
+	// JoinTargets returns the addresses that join requests are sent to, beside the witnesses of the current view.
 	JoinTargets func() []string
-	// RequestsJoin makes this replica request to join while it is no witness.
+	// RequestsJoin makes this replica request to join while it is not a witness.
 	RequestsJoin bool
 }
--- a/internal/fleet/replication/peers.go
+++ b/internal/fleet/replication/peers.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// joinRequestTTLIntervals is how many intervals of join requests a request stays in force.
+// joinRequestTTLIntervals is how long a join request is valid, as a multiple of JoinInterval.
 const joinRequestTTLIntervals = 4
 
-// peerTable is what a replica has seen of the others since its start.
+// peerTable holds what a replica has observed of the others since its start.
 type peerTable struct {
-	lastContact     map[Replica]time.Duration // when the last message came
-	joinRequests    map[Replica]time.Duration // when each last requested to join
-	formerWitnesses map[Replica]time.Duration // when each was removed from the view
-	resigning       map[Replica]bool          // those that have announced that they shut down
+	lastContact     map[Replica]time.Duration // when the last message was received
+	joinRequests    map[Replica]time.Duration // when the last join request was received
+	formerWitnesses map[Replica]time.Duration // when each was last removed from the witnesses
+	resigning       map[Replica]bool          // replicas that have announced a shutdown
 }
 
 func newPeerTable() peerTable {
@@ -26,7 +26,7 @@
 	}
 }
 
-// setResigning records whether a replica shuts down.
+// setResigning records whether a replica is resigning.
 func (p *peerTable) setResigning(r Replica, isResigning bool) {
 	if isResigning {
 		p.resigning[r] = true
@@ -35,7 +35,7 @@
 	}
 }
 
-// seenSince reports whether any replica for which the condition holds was in contact, or a witness, after a time.
+// seenSince reports whether any replica that meets the condition was in contact or was still a witness after a time.
 func (p *peerTable) seenSince(since time.Duration, condition func(Replica) bool) bool {
 	for _, seen := range []map[Replica]time.Duration{p.lastContact, p.formerWitnesses} {
 		for r, at := range seen {
@@ -47,9 +47,9 @@
 	return false
 }
 
-// The following methods are the conditions that a composition reads.
+// The following methods implement conditions for a composition, and related checks.
 
-// isLive reports whether a message of a replica came within a time.
+// isLive reports whether a message from a replica was received within a time before now. It is true of this replica.
 func (n *Node) isLive(r Replica, within time.Duration) bool {
 	if r == n.hardState.Self {
 		return true
@@ -58,7 +58,7 @@
 	return known && n.now-at < within
 }
 
-// isLiveMember reports whether a replica was in contact lately enough to be a member.
+// isLiveMember reports whether a replica was in contact recently enough to be a member.
 func (n *Node) isLiveMember(r Replica) bool { return n.isLive(r, n.options.Timing.MemberTimeout) }
 
 func (n *Node) isResponsive(r Replica) bool {
@@ -76,7 +76,8 @@
 
 func (n *Node) isExcluded(r Replica) bool { return n.election.isExcluded(r) }
 
-// isCaughtUp reports whether a replica that is no member holds the primary's state.
+// isCaughtUp reports whether a replica that is not a member has stored the primary's state. For a candidate that was
+// the primary it is the state at the start of the election.
 func (n *Node) isCaughtUp(r Replica) bool {
 	if n.primary != nil {
 		return n.primary.matchPosition[r] == n.hardState.Position
@@ -96,13 +97,14 @@
 	return joining
 }
 
-// canInstall reports to a candidate whether a replica can install the state: it has promised, or requests to join.
+// canInstall reports whether a candidate may expect a replica to install the state: the replica has promised or
+// requests to join, and is not excluded from the election.
 func (n *Node) canInstall(r Replica) bool {
 	return (n.election.hasPromised(r) || n.hasJoinRequest(r)) && !n.isExcluded(r)
 }
 
-// isInSync reports to a primary whether a replica can be a member of the next view: it is live, and holds the state if it
-// is no member yet.
+// isInSync reports whether a primary may choose a replica as a member of the next view: the replica was in contact
+// recently, and is a member already or has stored the current state.
 func (n *Node) isInSync(r Replica) bool {
 	return n.isLiveMember(r) && (n.hardState.View.HasMember(r) || n.isCaughtUp(r))
 }
--- a/internal/fleet/replication/penalties.go
+++ b/internal/fleet/replication/penalties.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// maxPenaltyFactor bounds a penalty, as a multiple of the first one.
+// maxPenaltyFactor is the maximum duration of a penalty, as a multiple of the first one.
 const maxPenaltyFactor = 8
 
-// penalties keep slow replicas out of the members, and out of the witnesses that are added, for a while that doubles with
-// each penalty.
+// penalties keep slow replicas from being chosen as members, and from being added as witnesses, for a time that doubles
+// with each penalty.
 type penalties map[Replica]*penalty
 
 type penalty struct {
@@ -20,7 +20,8 @@
 	return last != nil && now < last.until
 }
 
-// add penalizes a replica, for the first time for initial. A penalty that still runs stays as it is.
+// add penalizes a replica. The first penalty lasts for initial. A penalty that has not expired is neither extended nor
+// doubled.
 func (p penalties) add(r Replica, now, initial time.Duration) {
 	if p.includes(r, now) {
 		return
--- a/internal/fleet/replication/primary.go
+++ b/internal/fleet/replication/primary.go
@@ -10,8 +10,9 @@
 	n.advanceCommit()
 }
 
-// Propose begins a change. It returns false where this replica is not the primary, another change is pending, or too few
-// members would keep it.
+// Propose starts the replication of a change. It returns false if this replica is not leading or has promised a ballot
+// for the next view, if another change is pending, or if copies on the members that are not resigning would not survive
+// the tolerated loss.
 func (n *Node) Propose(now time.Duration, entry []byte) (*Output, bool) {
 	out := n.step(now)
 	if n.status != Leading || n.primary.pending || !n.hardState.Promised.isZero() {
@@ -28,13 +29,15 @@
 	return out, true
 }
 
-// keepsEnoughCopies reports whether the copies on those of some replicas that are not resigning survive the tolerated loss.
+// keepsEnoughCopies reports whether copies on the given replicas survive the tolerated loss, without those on resigning
+// replicas.
 func (n *Node) keepsEnoughCopies(replicas []Replica) bool {
 	c := n.composition()
 	return c.survivesLoss(c.notResigning(replicas))
 }
 
-// Committed returns the position up to which all members hold the state; ok is false on others than a primary.
+// Committed returns the position up to which all members have stored the state. ok is false if this replica is not
+// leading.
 func (n *Node) Committed() (position Position, ok bool) {
 	if n.status != Leading {
 		return Position{}, false
@@ -42,11 +45,12 @@
 	return n.primary.committed, true
 }
 
-// HasPendingProposal reports whether a change is pending.
+// HasPendingProposal reports whether this replica is the primary and has proposed a change that is not committed yet.
 func (n *Node) HasPendingProposal() bool { return n.primary != nil && n.primary.pending }
 
-// LeadershipConfirmedAt returns when the primary sent the last heartbeat round that a majority of the witnesses answered: at
-// that moment no other view was in force. ok is false on others than a primary, and before the first such round.
+// LeadershipConfirmedAt returns when this primary sent the last heartbeat round that a majority of the witnesses has
+// acknowledged: at that time no later view was in effect. ok is false if this replica is not leading, and before the
+// first such round.
 func (n *Node) LeadershipConfirmedAt() (at time.Duration, ok bool) {
 	if n.status != Leading || !n.primary.heartbeats.isConfirmed {
 		return 0, false
@@ -54,7 +58,7 @@
 	return n.primary.heartbeats.confirmedAt, true
 }
 
-// ConfirmLeadership has a primary send a heartbeat round at once.
+// ConfirmLeadership starts a heartbeat round at once if this replica is the primary.
 func (n *Node) ConfirmLeadership(now time.Duration) *Output {
 	out := n.step(now)
 	if n.primary != nil {
@@ -63,7 +67,7 @@
 	return out
 }
 
-// sendAppend sends the last change to the members and learners that lack it.
+// sendAppend sends the last change to the members and learners that have not stored it.
 func (n *Node) sendAppend() {
 	target := n.hardState.Position
 	for _, r := range union(n.hardState.View.Members, n.primary.learners) {
@@ -79,7 +83,7 @@
 	}
 }
 
-// appendMessage is an Append of a position, without a change or a snapshot.
+// appendMessage returns an Append for a position, without a change or a snapshot.
 func (n *Node) appendMessage(position Position) Append {
 	return Append{View: n.hardState.View, InstallBallot: n.hardState.InstallBallot, Position: position}
 }
@@ -93,7 +97,7 @@
 	n.advanceCommit()
 }
 
-// advanceCommit commits what all members have stored, if enough of them are not resigning.
+// advanceCommit commits the last change once all members have stored it, if enough of them are not resigning.
 func (n *Node) advanceCommit() {
 	if !n.keepsEnoughCopies(n.hardState.View.Members) {
 		return
@@ -111,7 +115,8 @@
 	}
 }
 
-// sendHeartbeats opens a heartbeat round. Joining replicas get it too, to learn of the view.
+// sendHeartbeats starts a heartbeat round. It also sends the heartbeat to joining replicas, which learn the view from
+// it.
 func (n *Node) sendHeartbeats() {
 	p := n.primary
 	round := p.heartbeats.start(n.hardState.Self, n.now, n.options.Timing.HeartbeatInterval)
--- a/internal/fleet/replication/primary_state.go
+++ b/internal/fleet/replication/primary_state.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// primaryState is what a primary knows of its view.
+// primaryState holds a primary's data for its view.
 type primaryState struct {
 	startedAt     time.Duration
-	matchPosition map[Replica]Position // what each member or learner has on its disk
+	matchPosition map[Replica]Position // of the state that each member or learner has stored
 	lastSent      map[Replica]time.Duration
 	heartbeats    heartbeatRounds
 
 	committed    Position
-	pending      bool // a change waits for members
+	pending      bool // a change was proposed and is not committed yet
 	pendingSince time.Duration
-	lastEntry    []byte // the last change, for members that have not stored it
+	lastEntry    []byte // the last change, to be sent again to members that have not stored it
 
-	learners []Replica // that are being brought up to the state
+	learners []Replica // replicas that are being brought up to date, to be added by the next view
 	retained retainedEntries
 }
 
@@ -27,29 +27,31 @@
 	}
 }
 
-// setPending records a change that was proposed.
+// setPending records a proposed change, which this replica stores in the same step.
 func (p *primaryState) setPending(now time.Duration, own Replica, position Position, entry []byte) {
 	p.matchPosition[own] = position
 	p.pending, p.pendingSince, p.lastEntry = true, now, entry
 	p.retained.add(position.Sequence, entry)
 }
 
-// needsResend reports whether a replica has not stored a position and is due for a repeated message.
+// needsResend reports whether a replica has not stored a position, and the last message to it is older than
+// resendInterval.
 func (p *primaryState) needsResend(r Replica, position Position, now time.Duration) bool {
 	return p.matchPosition[r] != position && now-p.lastSent[r] > resendInterval
 }
 
-// maxOpenRounds is how many of the last heartbeat rounds may still be answered.
+// maxOpenRounds is the number of heartbeat rounds, counted from the last one, for which acknowledgements are still
+// counted.
 const maxOpenRounds = 8
 
-// heartbeatRounds are a primary's heartbeats to all witnesses. A round that a majority answers confirms that no other view
-// was in force when it was sent.
+// heartbeatRounds tracks a primary's heartbeat rounds. In each the primary sends a heartbeat to all witnesses; once a
+// majority has acknowledged it, no later view was in effect when the round was sent.
 type heartbeatRounds struct {
 	number      uint64 // of the last round
 	open        map[uint64]*heartbeatRound
 	nextAt      time.Duration
 	confirmedAt time.Duration // when the last confirmed round was sent
-	isConfirmed bool          // there was one
+	isConfirmed bool          // at least one round was confirmed
 }
 
 type heartbeatRound struct {
@@ -57,7 +59,7 @@
 	acks map[Replica]bool
 }
 
-// start opens a round, which the primary itself has answered.
+// start starts a round, which the primary itself acknowledges.
 func (h *heartbeatRounds) start(self Replica, now, interval time.Duration) *heartbeatRound {
 	h.number++
 	h.nextAt = now + interval
@@ -67,14 +69,15 @@
 	return round
 }
 
-// confirm records that a majority has answered a round.
+// confirm records that a majority has acknowledged a round.
 func (h *heartbeatRounds) confirm(round *heartbeatRound) {
 	if !h.isConfirmed || h.confirmedAt < round.sent {
 		h.confirmedAt, h.isConfirmed = round.sent, true
 	}
 }
 
-// unconfirmedFor is how long ago the last confirmed round was sent, or since a time if there was none.
+// unconfirmedFor returns the time since the last confirmed round was sent, or the time from since to now if there was
+// none.
 func (h *heartbeatRounds) unconfirmedFor(now, since time.Duration) time.Duration {
 	if h.isConfirmed {
 		return now - h.confirmedAt
--- a/internal/fleet/replication/promise_test.go
+++ b/internal/fleet/replication/promise_test.go
@@ -7,15 +7,16 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// answer has a replica receive a message, and returns its only answer; changed says whether its disk is to hold anything new.
+// answer delivers a message to a replica and returns its only answer; changed reports whether the step writes to the
+// disk.
 func (c *cluster) answer(h *host, from Replica, message Message) (answer Message, changed bool) {
 	out := h.node.Receive(c.now, from, message)
 	So(len(out.Send), ShouldEqual, 1)
 	return out.Send[0].Message, out.Write != nil
 }
 
-// Guards against a witness that goes back on its promise: two candidates could both have a majority, and a primary that was
-// replaced could go on acknowledging.
+// Guards against a witness that breaks its promise: two candidates could both have a majority, and a replaced primary
+// could still acknowledge changes.
 func TestPromiseBinds(t *testing.T) {
 	Convey("A member that has promised a ballot for the next view", t, func() {
 		c := newCluster(3, 1)
@@ -34,26 +35,26 @@
 			So(answer.(Reject).Promised, ShouldResemble, high)
 			So(changed, ShouldBeFalse)
 		}
-		Convey("promises no lower one", func() { rejects(low.Proposer, Prepare{View: view, Ballot: low}) })
-		Convey("accepts nothing under a lower one", func() { rejects(low.Proposer, Accept{Ballot: low, Proposal: next}) })
-		Convey("installs nothing under a lower one", func() {
+		Convey("promises no lower ballot", func() { rejects(low.Proposer, Prepare{View: view, Ballot: low}) })
+		Convey("accepts no proposal under a lower ballot", func() { rejects(low.Proposer, Accept{Ballot: low, Proposal: next}) })
+		Convey("installs no state under a lower ballot", func() {
 			rejects(low.Proposer, InstallSnapshot{Number: next.Number, Ballot: low, Position: Position{View: next.Number}, Snapshot: []byte{0}})
 		})
-		Convey("stores no more changes of the present primary", func() {
+		Convey("stores no more changes of the current primary", func() {
 			position := member.disk.Position
 			position.Sequence++
 			rejects(primary.disk.Self, Append{View: view, InstallBallot: member.disk.InstallBallot, Position: position, Entry: []byte{9}})
 		})
-		Convey("does not confirm the present primary", func() {
+		Convey("does not confirm the current primary", func() {
 			answer, _ := c.answer(member, primary.disk.Self, Heartbeat{View: view, Round: 1000})
 			So(answer, ShouldResemble, HeartbeatAck{Number: view.Number, Round: 1000, Current: false})
 		})
 	})
 }
 
-// Guards against a majority that is made of replicas which have no vote, or have given it away.
+// Guards against a majority that counts replicas which are not witnesses of the view, or have promised the next one.
 func TestPromiseCounts(t *testing.T) {
-	Convey("A primary is not confirmed by witnesses that have promised, nor by others than its witnesses", t, func() {
+	Convey("A primary is not confirmed by witnesses that have promised the next view, nor by replicas that are not witnesses", t, func() {
 		c := newCluster(3, 1)
 		c.run(time.Second)
 		primary := c.leader()
--- a/internal/fleet/replication/resignation.go
+++ b/internal/fleet/replication/resignation.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// A replica whose machine shuts down in a planned way announces it, whatever its part in the view is, and goes on as a
-// witness and a member until the primary releases it: by then its copy and its vote are where they have to be, as far as
-// waiting helps.
+// A replica resigns before a planned shutdown, whatever its role in the view. It remains a witness and a member until
+// the primary releases it: by then other replicas have taken over its copy and its vote, unless there are none that
+// could.
 
-// possibleReplacementTTL is how long a resigning replica is kept in the hope for a replacement that is not in contact any more.
+// possibleReplacementTTL is how long after its last contact a replica is regarded as a possible replacement. A
+// resigning replica is not released while there is one.
 const possibleReplacementTTL = 15 * time.Second
 
-// releaseTTL is how long a release by the primary is valid: the replica asks again, since much may happen until its process
-// has drained its requests.
+// releaseTTL is how long a release by the primary is valid. It expires because the view may change while the process
+// still drains its requests; the replica repeats its announcement, and each answer renews the release.
 const releaseTTL = 4 * resendInterval
 
 // resignation is the state of a replica's own planned shutdown.
 type resignation struct {
 	requested      bool
-	releasedAt     time.Duration // when the primary last said that the replica may stop; 0: it did not
+	releasedAt     time.Duration // when the primary last released this replica; 0: not released
 	nextAnnounceAt time.Duration
 }
 
@@ -27,13 +28,13 @@
 
 func (r *resignation) revoke() { r.releasedAt = 0 }
 
-// isReleased reports whether a release is valid.
+// isReleased reports whether this replica has resigned and holds a valid release.
 func (r *resignation) isReleased(now time.Duration) bool {
 	return r.requested && r.releasedAt > 0 && now-r.releasedAt < releaseTTL
 }
 
-// Resign says that this replica is about to stop. Where it is the primary, another member replaces it; it goes on as the
-// primary until the other one has.
+// Resign announces that this replica is about to stop. If it is the primary, it remains the primary until another
+// member has replaced it.
 func (n *Node) Resign(now time.Duration) *Output {
 	out := n.step(now)
 	n.resignation.requested = true
@@ -41,11 +42,12 @@
 	return out
 }
 
-// CanStop reports whether a replica that has resigned may stop: nobody needs its copy or its vote, or there is nobody who
-// could take them over.
+// CanStop reports whether a replica that has resigned may stop: its copy and its vote are no longer needed, or no other
+// replica could take them over.
 func (n *Node) CanStop() bool { return n.resignation.isReleased(n.now) }
 
-// announceResignation tells the others of the view, repeatedly. The primary answers itself.
+// announceResignation sends Resign to the other replicas of the view, every resendInterval. A primary that may stop
+// releases itself.
 func (n *Node) announceResignation() {
 	if !n.resignation.requested || n.now < n.resignation.nextAnnounceAt {
 		return
@@ -77,10 +79,11 @@
 	}
 }
 
-// startSuccession ends the wait for a primary that is resigning, and makes the first member that is not a candidate.
+// startSuccession handles the resignation of the primary. This replica may then promise to another candidate, as if the
+// primary were unresponsive, and becomes a candidate itself if it is the successor.
 func (n *Node) startSuccession() {
 	if n.status != Following || !n.hardState.Promised.isZero() {
-		return // an election is under way
+		return // an election is in progress
 	}
 	n.primaryLastSeen = min(n.primaryLastSeen, n.now-n.primaryStickiness())
 	if n.successor() == n.hardState.Self {
@@ -88,7 +91,8 @@
 	}
 }
 
-// successor returns the first member beside the primary that is not resigning; zero: there is none.
+// successor returns the first member other than the primary that is not resigning, or the zero Replica if there is
+// none.
 func (n *Node) successor() Replica {
 	for _, member := range n.composition().notResigning(n.hardState.View.Members) {
 		if member != n.hardState.View.Primary {
@@ -104,8 +108,8 @@
 	}
 }
 
-// canRelease reports to a primary whether a resigning replica may stop: it has no part in the view, or the next view would
-// give it the same part, because nobody can take it over.
+// canRelease reports whether this replica is the primary and may release a resigning replica: the resigning replica has
+// no role in the view, or no other replica can take its role over.
 func (n *Node) canRelease(r Replica) bool {
 	if n.status != Leading || n.primary.pending {
 		return false
@@ -120,19 +124,20 @@
 	return !needsVote && !needsCopy
 }
 
-// hasPossibleReplacement reports whether a replica of another machine was seen lately that may come back, or be reached
-// again, and join.
+// hasPossibleReplacement reports whether a possible replacement was in contact or a witness within
+// possibleReplacementTTL: it may start again, or become reachable again, and join.
 func (n *Node) hasPossibleReplacement() bool {
 	return n.peers.seenSince(n.now-possibleReplacementTTL, n.isPossibleReplacement)
 }
 
-// isPossibleReplacement reports whether a replica is of a machine that may vote and has no part in the view.
+// isPossibleReplacement reports whether a replica may vote, and is of a machine that has no witness in the view.
 func (n *Node) isPossibleReplacement(r Replica) bool {
 	isSameMachine := func(w Replica) bool { return w.Address == r.Address }
 	return !slices.ContainsFunc(n.hardState.View.Witnesses, isSameMachine) && !n.topology().isNonVoting(r)
 }
 
-// hasPossibleCopyHolder reports whether there is a replica that may come back, or be reached again, and store a copy.
+// hasPossibleCopyHolder reports whether another replica may store a copy, now or when it is reachable again: a witness
+// that is not resigning, or a possible replacement.
 func (n *Node) hasPossibleCopyHolder() bool {
 	staying := n.composition().notResigning(n.hardState.View.Witnesses)
 	isOther := func(r Replica) bool { return r != n.hardState.Self }
--- a/internal/fleet/replication/resignation_test.go
+++ b/internal/fleet/replication/resignation_test.go
@@ -13,13 +13,13 @@
 	c.settle()
 }
 
-// view is the leader's.
+// view returns the leader's view.
 func (c *cluster) view() *View {
 	view := c.leader().node.View()
 	return &view
 }
 
-// backups are the replicas beside the leader.
+// backups returns the replicas other than the leader.
 func (c *cluster) backups() []*host {
 	var all []*host
 	for _, h := range c.replicas {
@@ -30,7 +30,7 @@
 	return all
 }
 
-// Guards against a resigning replica whose copy or vote is counted on when it has gone.
+// Guards against a resigning replica that stops while its copy or its vote is still needed.
 func TestResignation(t *testing.T) {
 	Convey("Three replicas of which one may be lost", t, func() {
 		c := newCluster(3, 1)
@@ -38,14 +38,14 @@
 		So(c.proposeAndCommit(), ShouldBeTrue)
 		backups := c.backups()
 
-		Convey("release one that only restarts, as soon as it is no member", func() {
+		Convey("release a resigning replica once it is not a member any more, if none can replace it as a witness", func() {
 			c.resign(backups[0])
 			c.run(500 * time.Millisecond)
 			So(backups[0].node.CanStop(), ShouldBeTrue)
 			So(len(c.view().Witnesses), ShouldEqual, 3)
 			So(c.view().HasMember(backups[0].disk.Self), ShouldBeFalse)
 			So(c.proposeAndCommit(), ShouldBeTrue)
-			Convey("and add it again when it is back", func() {
+			Convey("and add it as a member again when it has restarted", func() {
 				c.powerOff(backups[0])
 				c.run(500 * time.Millisecond)
 				c.powerOn(backups[0])
@@ -53,7 +53,7 @@
 				So(c.view().HasMember(backups[0].disk.Self), ShouldBeTrue)
 			})
 		})
-		Convey("replace it by one that requests to join, in one view", func() {
+		Convey("replace it, in one view change, by a replica that requests to join", func() {
 			added := c.join(address(3))
 			c.run(time.Second)
 			So(len(c.view().Witnesses), ShouldEqual, 3)
@@ -67,7 +67,7 @@
 			So(backups[0].node.CanStop(), ShouldBeTrue)
 			So(added.state, ShouldResemble, c.acknowledged)
 		})
-		Convey("do not release it while one that could take its place can't be reached", func() {
+		Convey("do not release it while a possible replacement is unreachable", func() {
 			added := c.join(address(3))
 			c.run(time.Second)
 			c.powerOff(added)
@@ -78,7 +78,7 @@
 	})
 }
 
-// Guards against an acknowledgement that rests on a copy which goes.
+// Guards against an acknowledgement that counts the copy on a resigning replica.
 func TestCommitWhileResigning(t *testing.T) {
 	Convey("Three replicas of which one may be lost", t, func() {
 		c := newCluster(3, 1)
@@ -86,22 +86,22 @@
 		So(c.proposeAndCommit(), ShouldBeTrue)
 		backups := c.backups()
 
-		Convey("acknowledge nothing on the copy of one that is resigning", func() {
+		Convey("acknowledge no change that would need the copy on a resigning replica", func() {
 			c.powerOff(backups[1])
 			c.run(2 * time.Second)
-			So(c.proposeAndCommit(), ShouldBeTrue) // the leader and the first backup hold it
+			So(c.proposeAndCommit(), ShouldBeTrue) // the leader and the first backup have stored the change
 			c.resign(backups[0])
 			c.run(300 * time.Millisecond)
 			So(c.proposeAndCommit(), ShouldBeFalse)
 			So(backups[0].node.CanStop(), ShouldBeFalse)
-			Convey("and go on when another copy is back", func() {
+			Convey("and acknowledge changes again when the other backup has restarted", func() {
 				c.powerOn(backups[1])
 				c.run(2 * time.Second)
 				So(c.proposeAndCommit(), ShouldBeTrue)
 				So(backups[0].node.CanStop(), ShouldBeTrue)
 			})
 		})
-		Convey("release all that resign at once", func() {
+		Convey("release the leader when all replicas resign at once", func() {
 			for _, h := range c.replicas {
 				c.resign(h)
 			}
@@ -112,7 +112,7 @@
 }
 
 func TestHandoverOfASingleReplica(t *testing.T) {
-	Convey("A core of one hands all over to the machine that replaces it", t, func() {
+	Convey("A group of one replica hands its state and its vote over to the machine that replaces it", t, func() {
 		c := newCluster(1, 0)
 		c.run(time.Second)
 		So(c.proposeAndCommit(), ShouldBeTrue)
@@ -130,14 +130,14 @@
 	})
 }
 
-// Guards against a witness that was replaced while it was away and never learns of it.
+// Guards against a witness that was replaced while it was down, and never learns of the newer view.
 func TestReplacedWitnessComesBack(t *testing.T) {
-	Convey("A backup is away for so long that another machine takes its place", t, func() {
+	Convey("A backup is down until another machine has replaced it", t, func() {
 		c := newCluster(3, 1)
 		c.run(time.Second)
 		stopped := c.backups()[0]
 		c.powerOff(stopped)
-		c.run(time.Second) // it is no member any more
+		c.run(time.Second) // removes it from the members
 		added := c.join(address(3))
 		c.run(3 * time.Second)
 		So(c.view().HasWitness(added.disk.Self), ShouldBeTrue)
@@ -145,7 +145,7 @@
 		c.powerOn(stopped)
 		stopped.node.options.JoinTargets = c.addresses
 		c.run(4 * time.Second)
-		Convey("it learns the present view, and can take the place of the next one", func() {
+		Convey("it learns the current view when it is up again, and can replace the next witness that fails", func() {
 			So(stopped.node.View().Number, ShouldEqual, c.leader().node.View().Number)
 			c.powerOff(added)
 			c.run(4 * time.Second)
@@ -155,9 +155,9 @@
 	})
 }
 
-// Guards against a joiner that is counted on though it never stored anything, and against one that blocks all.
+// Guards against a joiner that becomes a witness without having stored anything, and against one that blocks elections.
 func TestJoinerThatStoresNothing(t *testing.T) {
-	Convey("A replica requests to join and answers nothing else, while a witness is lost for good", t, func() {
+	Convey("A replica requests to join but sends no other message, while the primary is lost permanently", t, func() {
 		c := newCluster(3, 1)
 		c.run(time.Second)
 		So(c.proposeAndCommit(), ShouldBeTrue)
@@ -180,7 +180,7 @@
 	})
 }
 
-// Guards against a state that never arrives because it takes longer than a step of a view change.
+// Guards against a snapshot that never arrives because its transfer takes longer than a phase of an election.
 func TestSlowTransfer(t *testing.T) {
 	const snapshotDelay = 3 * time.Second
 	Convey("Three replicas whose snapshot takes three seconds to send", t, func() {
@@ -190,7 +190,7 @@
 		So(c.proposeAndCommit(), ShouldBeTrue)
 		first := c.leader()
 
-		Convey("bring a replaced disk up to date while changes go on", func() {
+		Convey("bring a replica with a new disk up to date while changes are committed", func() {
 			lost := c.backups()[0]
 			c.loseDisk(lost)
 			for range 16 {
@@ -201,10 +201,10 @@
 			So(c.view().HasMember(lost.disk.Self), ShouldBeTrue)
 			So(lost.state, ShouldResemble, c.acknowledged)
 		})
-		Convey("go on when all but one copy has to be made anew", func() {
+		Convey("acknowledge changes again when only one up-to-date copy is left", func() {
 			c.powerOff(c.backups()[0])
 			c.run(2 * time.Second)
-			So(c.proposeAndCommit(), ShouldBeTrue) // on two copies
+			So(c.proposeAndCommit(), ShouldBeTrue) // stored by two replicas
 			stopped := stoppedHost(c, first)
 			c.loseDisk(first)
 			c.powerOn(stopped)
@@ -216,7 +216,7 @@
 	})
 }
 
-// stoppedHost is the machine that is down.
+// stoppedHost returns a machine other than except that is down, or nil.
 func stoppedHost(c *cluster, except *host) *host {
 	for _, h := range c.replicas {
 		if h != except && c.down[h.disk.Self.Address] {
@@ -226,9 +226,10 @@
 	return nil
 }
 
-// Guards against a witness that forgets its promise at a restart, so that two candidates decide one view.
+// Guards against a witness that loses its promise in a restart: two candidates could decide different views of one
+// number.
 func TestPromiseSurvivesRestart(t *testing.T) {
-	Convey("A witness that has promised a ballot and starts again accepts no lower one", t, func() {
+	Convey("A witness that has promised a ballot and restarts accepts no proposal under a lower one", t, func() {
 		c := newCluster(3, 1)
 		view := c.replicas[0].node.View()
 		witness, low, high := c.replicas[0], Ballot{Round: 3, Proposer: c.replicas[1].disk.Self}, Ballot{Round: 4, Proposer: c.replicas[2].disk.Self}
--- a/internal/fleet/replication/search_events_test.go
+++ b/internal/fleet/replication/search_events_test.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// What may happen in a step of a wide walk.
+// The events of a wide walk.
 
-// applyAndRecord carries a step of a replica out, and records what it acknowledges.
+// applyAndRecord carries out the Output of a replica's step, and records what the replica acknowledges.
 func (w *wideWalk) applyAndRecord(h *host, out *Output) {
 	w.apply(h, out)
 	w.recordAcknowledged(h)
 }
 
-// deliverNext delivers some of the messages that wait, not always in their order. One that is delivered may wait on, to come
-// again.
+// deliverNext delivers some of the waiting messages, not always in order. A delivered message may stay in the queue, so
+// that it is delivered again.
 func (w *wideWalk) deliverNext(*host) {
 	for range 1 + w.random.IntN(maxBurst) {
 		if len(w.waiting) == 0 {
@@ -32,19 +32,19 @@
 	}
 }
 
-// deliverAny delivers any message that was ever sent, late or again.
+// deliverAny delivers a random one of all messages sent so far, which may be late or a duplicate.
 func (w *wideWalk) deliverAny(*host) {
 	if len(w.sent) > 0 {
 		w.deliver(w.sent[w.random.IntN(len(w.sent))])
 	}
 }
 
-// loseNext loses some of the messages that wait.
+// loseNext drops some of the waiting messages.
 func (w *wideWalk) loseNext(*host) {
 	w.waiting = slices.DeleteFunc(w.waiting, func(envelope) bool { return w.random.IntN(3) == 0 })
 }
 
-// delaySome delays some of the messages that wait.
+// delaySome removes some of the waiting messages from the queue until releaseDelayed.
 func (w *wideWalk) delaySome(*host) {
 	w.waiting = slices.DeleteFunc(w.waiting, func(e envelope) bool {
 		isDelayed := w.random.IntN(3) == 0
@@ -65,7 +65,7 @@
 	w.applyAndRecord(h, h.node.Tick(w.now))
 }
 
-// tickAll lets time pass, sometimes much of it.
+// tickAll advances the clock by up to 100 ms, or sometimes up to 2 s, and ticks all replicas.
 func (w *wideWalk) tickAll(*host) {
 	maxMilliseconds := 100
 	if w.random.IntN(6) == 0 {
@@ -98,18 +98,18 @@
 }
 
 func (w *wideWalk) restartOne(h *host) {
-	w.logEvent("%s starts again", h.disk.Self.Address)
+	w.logEvent("%s restarts", h.disk.Self.Address)
 	w.restartHost(h)
 }
 
-// restartHost starts a replica with what its disk holds; one that was resigning is not any more.
+// restartHost restarts a replica from its disk. It is not resigning after that.
 func (w *wideWalk) restartHost(h *host) {
 	delete(w.resigning, h)
 	w.restart(h)
 }
 
 func (w *wideWalk) restartAll(*host) {
-	w.logEvent("all lose power")
+	w.logEvent("all replicas lose power")
 	w.waiting, w.delayed = nil, nil
 	for _, h := range w.live() {
 		w.restartHost(h)
@@ -126,7 +126,7 @@
 	w.wipe(h)
 }
 
-// addReplica has a replica with an empty disk come at another address.
+// addReplica starts a replica with an empty disk at a new address.
 func (w *wideWalk) addReplica(*host) {
 	if w.joinerCount == maxJoiners {
 		return
@@ -136,7 +136,7 @@
 	h := &host{disk: InitialHardState(address(len(w.replicas)), w.lastNonce, nil)}
 	w.replicas = append(w.replicas, h)
 	w.restart(h)
-	w.logEvent("%s comes", h.disk.Self.Address)
+	w.logEvent("%s is added", h.disk.Self.Address)
 }
 
 func (w *wideWalk) resignOne(h *host) {
@@ -147,24 +147,25 @@
 	}
 }
 
-// stopReleased stops a resigning replica that was released: for good where no view that anybody knows has it, else to start again.
+// stopReleased stops a resigning replica that was released: permanently if no current or proposed view contains it,
+// else it restarts.
 func (w *wideWalk) stopReleased(*host) {
 	for _, h := range w.replicas {
 		if h.isRemoved || !w.resigning[h] || !h.node.CanStop() {
 			continue
 		}
 		if w.isOut(h) {
-			w.logEvent("%s is gone", h.disk.Self.Address)
+			w.logEvent("%s stops permanently", h.disk.Self.Address)
 			h.isRemoved = true
 			return
 		}
-		w.logEvent("%s ends, and starts again", h.disk.Self.Address)
+		w.logEvent("%s stops and restarts", h.disk.Self.Address)
 		w.restartHost(h)
 		return
 	}
 }
 
-// isOut reports whether the newest view that is known to be decided, and all that may come after it, lacks a replica.
+// isOut reports whether neither the newest decided view nor any accepted proposal contains a replica.
 func (w *wideWalk) isOut(h *host) bool {
 	var newest View
 	for _, other := range w.replicas {
@@ -180,7 +181,7 @@
 	})
 }
 
-// partitionRandomly cuts some replicas from the others, one way or both.
+// partitionRandomly disconnects random pairs of replicas, in one direction or in both.
 func (w *wideWalk) partitionRandomly(*host) {
 	oneWay := w.random.IntN(3) == 0
 	for _, a := range w.replicas {
@@ -190,7 +191,7 @@
 			}
 		}
 	}
-	w.logEvent("links are cut, one way %v", oneWay)
+	w.logEvent("random links are disconnected, one way: %v", oneWay)
 }
 
 func (w *wideWalk) disconnect(a, b *host, oneWay bool) {
@@ -200,13 +201,13 @@
 	}
 }
 
-// isolatePrimary cuts the primary from all others, which go on without it.
+// isolatePrimary disconnects the primary of the newest view from all other replicas.
 func (w *wideWalk) isolatePrimary(*host) {
 	for _, h := range w.live() {
 		if h.node.Status() != Leading || !w.isNewest(h) {
 			continue
 		}
-		w.logEvent("the primary %s is cut off", h.disk.Self.Address)
+		w.logEvent("the primary %s is disconnected from all others", h.disk.Self.Address)
 		for _, other := range w.replicas {
 			if other != h {
 				w.disconnect(h, other, false)
@@ -217,19 +218,19 @@
 
 func (w *wideWalk) healPartitions(*host) {
 	if len(w.partitions) > 0 {
-		w.logEvent("all are joined")
+		w.logEvent("all links are connected again")
 		clear(w.partitions)
 	}
 }
 
-// duelCandidates makes two replicas that don't reach each other candidates at once.
+// duelCandidates disconnects two replicas from each other and makes both candidates.
 func (w *wideWalk) duelCandidates(h *host) {
 	live := w.live()
 	other := live[w.random.IntN(len(live))]
 	if other == h {
 		return
 	}
-	w.logEvent("%s and %s stand beside each other", h.disk.Self.Address, other.disk.Self.Address)
+	w.logEvent("%s and %s become candidates while disconnected from each other", h.disk.Self.Address, other.disk.Self.Address)
 	w.disconnect(h, other, false)
 	w.becomeCandidate(h)
 	w.becomeCandidate(other)
@@ -237,7 +238,7 @@
 
 func (w *wideWalk) requestJoinOne(h *host) { w.requestJoin(h) }
 
-// crashInStep cuts a step of a replica off: before its write, or between its write and its messages.
+// crashInStep crashes a replica in a step, before its write or between its write and its messages, and restarts it.
 func (w *wideWalk) crashInStep(h *host) {
 	w.now += time.Millisecond
 	var out *Output
@@ -253,6 +254,6 @@
 		out.Send = nil
 		w.apply(h, out)
 	}
-	w.logEvent("%s ends in the middle of a step, written %v", h.disk.Self.Address, out.Send == nil)
+	w.logEvent("%s crashes in a step, after its write: %v", h.disk.Self.Address, out.Send == nil)
 	w.restartHost(h)
 }
--- a/internal/fleet/replication/search_test.go
+++ b/internal/fleet/replication/search_test.go
@@ -10,7 +10,8 @@
 // limits bound one walk of the search.
 type limits struct{ elections, proposals, restarts, wipes, steps int }
 
-// walk takes random steps through one world, and says what went wrong and in how many states it has been.
+// walk takes random steps in a world, adds the fingerprints of its states to seen, and returns the first fault, or an
+// empty string.
 func walk(w *world, r *rand.Rand, l limits, seen map[uint64]bool) string {
 	for range l.steps {
 		w.step(r, &l)
@@ -22,7 +23,7 @@
 	return ""
 }
 
-// step does one thing at one replica. The shares are in percent.
+// step performs one random action at a random replica. The probabilities are in percent.
 func (w *world) step(r *rand.Rand, l *limits) {
 	h := w.replicas[r.IntN(len(w.replicas))]
 	switch p := r.IntN(100); {
@@ -68,7 +69,8 @@
 	return false
 }
 
-// advanceTime lets candidates go on with a majority of promises.
+// advanceTime advances the clock by a second and ticks the replicas that are preparing, so that they continue with a
+// majority of the promises.
 func (w *world) advanceTime() {
 	w.now += time.Second
 	for _, h := range w.replicas {
@@ -78,7 +80,7 @@
 	}
 }
 
-// requestJoin has a replica that is no witness ask all others to take it in.
+// requestJoin sends a join request from a replica that is not a witness to all replicas.
 func (w *world) requestJoin(h *host) {
 	if view := h.node.View(); view.HasWitness(h.node.Self()) {
 		return
@@ -88,7 +90,8 @@
 	}
 }
 
-// deliverRandom delivers the next message mostly, loses it sometimes, and else delivers any that was ever sent, late or again.
+// deliverRandom delivers the next message in most cases and skips it in some. Otherwise it delivers a random one of all
+// messages sent so far, which may be late or a duplicate.
 func (w *world) deliverRandom(r *rand.Rand) {
 	if len(w.sent) == 0 {
 		return
@@ -98,7 +101,7 @@
 		w.nextUndelivered++
 		w.deliver(w.sent[w.nextUndelivered-1])
 	case p < 84 && w.nextUndelivered < len(w.sent):
-		w.nextUndelivered++ // lost, or very late
+		w.nextUndelivered++ // lost, or delivered later by the default case
 	default:
 		w.deliver(w.sent[r.IntN(len(w.sent))])
 	}
@@ -111,7 +114,8 @@
 	return out
 }
 
-// search walks through many worlds. It returns the first fault, and how many states and acknowledgements it saw.
+// search takes a number of walks, each in a new world. It returns the first fault, or an empty string, and the numbers
+// of distinct states and of acknowledged changes.
 func search(replicas, tolerance, walks int, m mistake, l limits) (fault string, states, acknowledged int) {
 	seen := map[uint64]bool{}
 	for seed := range walks {
@@ -124,8 +128,8 @@
 	return "", len(seen), acknowledged
 }
 
-// Guards against any order of messages, losses, crashes and lost disks within the tolerance after which a view leads
-// without something that was acknowledged.
+// Guards against any order of messages, losses, crashes and lost disks within the tolerance after which the primary of
+// the newest view lacks an acknowledged change.
 func TestSearchFindsNoLostAcknowledgement(t *testing.T) {
 	for _, c := range []struct{ replicas, tolerance, walks int }{{3, 1, 900}, {4, 1, 700}, {6, 2, 250}} {
 		t.Run(fmt.Sprint(c.replicas, " replicas"), func(t *testing.T) {
@@ -137,15 +141,15 @@
 				t.Error(fault)
 			}
 			if acknowledged < c.walks/4 {
-				t.Errorf("only %d acknowledgements in %d walks: the search does not get far", acknowledged, c.walks)
+				t.Errorf("only %d acknowledgements in %d walks: the search covers too little", acknowledged, c.walks)
 			}
 		})
 	}
 }
 
-// Guards against a search that would find nothing whatever is wrong.
+// Guards against a search that passes although the protocol has a fault.
 func TestSearchFindsPlantedMistakes(t *testing.T) {
-	for name, m := range map[string]mistake{"an amnesiac votes": reusesIdentity, "one copy acknowledges": singleCopyAcks} {
+	for name, m := range map[string]mistake{"a former identity is reused": reusesIdentity, "one copy acknowledges": singleCopyAcks} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			l := limits{elections: 5, proposals: 3, restarts: 2, wipes: 1, steps: 240}
--- a/internal/fleet/replication/search_wide_test.go
+++ b/internal/fleet/replication/search_wide_test.go
@@ -10,45 +10,45 @@
 	"time"
 )
 
-// wideWalks is how many walks TestWideSearch takes with each core; more by a command:
+// wideWalks is the number of walks that TestWideSearch takes with each size of group. To take more:
 //
 //	go test ./internal/fleet/replication -run 'TestWideSearch$' -wide-walks 5000
-var wideWalks = flag.Int("wide-walks", 60, "walks of TestWideSearch with each core")
+var wideWalks = flag.Int("wide-walks", 60, "walks of TestWideSearch with each size of group")
 
-// firstWalk is the first of them: with -wide-walks 1, one walk again.
+// firstWalk is the seed of the first walk. With -wide-walks 1 it repeats a single walk.
 var firstWalk = flag.Uint64("first-walk", 0, "the first walk of TestWideSearch")
 
 const (
-	wideSteps         = 250 // of a walk, for each replica at the start
+	wideSteps         = 250 // steps of a walk for each initial replica
 	wideDeliveryDelay = 4 * time.Millisecond
 	maxJoiners        = 2
-	reorderWindow     = 10 // messages of which any may overtake the others
-	maxBurst          = 12 // messages that are delivered in one step
+	reorderWindow     = 10 // number of waiting messages from which one may be delivered out of order
+	maxBurst          = 12 // maximum number of messages delivered in one step
 )
 
-// wideWalk is a random walk through orders of messages, as search has it, in which replicas also join, resign, are replaced at
-// another address, and are cut off, disks are lost in the middle of all that, and a step may be cut off before its write or
-// between its write and its messages. After it all return that may, and a primary has to come from whatever their disks hold.
+// wideWalk is a random walk as in search, with more kinds of events: replicas also join, resign, are replaced at
+// another address, are partitioned, lose their disks at any time, and crash before a step's write or between its write
+// and its messages. At the end, all replicas that have not stopped permanently restart, and a primary must emerge.
 type wideWalk struct {
 	*world
 	random              *rand.Rand
-	remainingDiskLosses int // that are left: the disks that may be lost in all
+	remainingDiskLosses int // initially the tolerated number
 	joinerCount         int
 	resigning           map[*host]bool
 	pendingReads        []wideRead
 	reads               int
 	script              []string
-	decided             map[uint64]View // by number
+	decided             map[uint64]View // decided views by number
 	weights             []int           // of wideEvents, in this walk
-	waiting             []envelope      // that were sent and not delivered
-	delayed             []envelope      // that are held up on their way
+	waiting             []envelope      // messages that were sent and not delivered
+	delayed             []envelope      // messages that are delivered only after releaseDelayed
 }
 
-// wideRead is a read that waits for a round of the witnesses.
+// wideRead is a read that waits for a confirmed heartbeat round.
 type wideRead struct {
 	at     *host
 	since  time.Duration
-	length int // of what was acknowledged when it came
+	length int // number of acknowledged entries at the time of the request
 }
 
 func newWideWalk(replicas, tolerance int, seed uint64) *wideWalk {
@@ -65,15 +65,15 @@
 	return w
 }
 
-// enqueue has a message wait until it is delivered or lost.
+// enqueue adds a message to the waiting ones.
 func (w *wideWalk) enqueue(e envelope) bool {
 	w.waiting = append(w.waiting, e)
 	w.sent = append(w.sent, e)
 	return true
 }
 
-// drawTiming has some walks in which candidates follow one another without a pause, or never give up: what the usual times
-// keep apart comes together there.
+// drawTiming returns the timing of a walk. In some walks elections follow one another at once, or phases don't time
+// out, so that events coincide which the default timing separates.
 func (w *wideWalk) drawTiming() Timing {
 	t := DefaultTiming()
 	if w.random.IntN(3) == 0 {
@@ -85,7 +85,7 @@
 	return t
 }
 
-// drawWeights has each walk favour some events and nearly exclude others (swarm testing: Groce and others, 2012).
+// drawWeights makes some events frequent and others rare in each walk (swarm testing: Groce and others, 2012).
 func (w *wideWalk) drawWeights() {
 	for i, e := range wideEvents {
 		weight := e.weight * 4
@@ -100,7 +100,7 @@
 	w.script = append(w.script, fmt.Sprintf("%8.3f  ", w.now.Seconds())+fmt.Sprintf(format, values...))
 }
 
-// wideEvents are what may happen, with the weight of each.
+// wideEvents are the events of a walk, with their weights.
 var wideEvents = []struct {
 	weight int
 	do     func(w *wideWalk, h *host)
@@ -129,7 +129,7 @@
 	{2, (*wideWalk).crashInStep},
 }
 
-// step has one thing happen.
+// step performs one random event.
 func (w *wideWalk) step() {
 	live := w.live()
 	h := live[w.random.IntN(len(live))]
@@ -150,7 +150,8 @@
 	return slices.DeleteFunc(slices.Clone(w.replicas), func(h *host) bool { return h.isRemoved })
 }
 
-// checkReads answers reads for which a round was confirmed that began after them.
+// checkReads completes the reads for which a heartbeat round was confirmed that started after them. It returns a fault
+// if a read lacks a change that was acknowledged before it.
 func (w *wideWalk) checkReads() string {
 	fault := ""
 	w.pendingReads = slices.DeleteFunc(w.pendingReads, func(r wideRead) bool {
@@ -163,14 +164,14 @@
 		}
 		w.reads++
 		if len(r.at.state) < r.length && !r.at.node.HasPendingProposal() {
-			fault = fmt.Sprintf("%s answers a read with %d entries, %d were acknowledged before it", r.at.disk.Self.Address, len(r.at.state), r.length)
+			fault = fmt.Sprintf("%s answers a read with %d entries, but %d were acknowledged before it", r.at.disk.Self.Address, len(r.at.state), r.length)
 		}
 		return true
 	})
 	return fault
 }
 
-// checkViews has all replicas agree on what was decided.
+// checkViews returns a fault if two different views were decided under one number.
 func (w *wideWalk) checkViews() string {
 	for _, h := range w.replicas {
 		view := h.node.View()
@@ -187,11 +188,11 @@
 	return a.Number == 0 || a.Primary == b.Primary && slices.Equal(a.Members, b.Members) && slices.Equal(a.Witnesses, b.Witnesses)
 }
 
-// recover has all return that may, on the real times of the protocol, and expects a primary that holds all that was
-// acknowledged and takes orders.
+// recover reconnects and restarts all replicas that have not stopped permanently, with the default timing, and returns
+// a fault unless there is soon a primary that commits a change and has all acknowledged ones.
 func (w *wideWalk) recover() string {
 	clear(w.partitions)
-	w.logEvent("all return")
+	w.logEvent("all replicas restart and are connected")
 	w.replicas = w.live()
 	c := &cluster{world: w.world, down: map[string]bool{}}
 	w.sent, w.waiting, w.delayed = nil, nil, nil
@@ -211,10 +212,10 @@
 			return ""
 		}
 	}
-	return "nobody leads 12 s after all have returned"
+	return "no primary commits a change within 12 s after all replicas have restarted"
 }
 
-// play takes a walk and returns its first fault.
+// play takes a walk and returns its first fault, or an empty string. It adds the fingerprints of its states to seen.
 func (w *wideWalk) play(steps int, seen map[uint64]bool) string {
 	for range steps {
 		w.step()
@@ -229,20 +230,21 @@
 	return w.recover()
 }
 
-// wideCores are how many replicas there are at the start, and how many may be lost.
-var wideCores = []struct{ replicas, tolerance int }{{1, 0}, {2, 0}, {3, 1}, {4, 1}, {5, 2}, {6, 2}}
+// wideGroups are the groups that are tested: the number of initial replicas, and how many of them may be lost.
+var wideGroups = []struct{ replicas, tolerance int }{{1, 0}, {2, 0}, {3, 1}, {4, 1}, {5, 2}, {6, 2}}
 
-// Guards against any order of messages, losses, crashes, comings and leavings after which something acknowledged is gone, a read
-// is older than an acknowledgement before it, or nobody ever leads again.
+// Guards against any order of messages, losses, crashes, joins and resignations after which an acknowledged change is
+// lost, a read lacks a change that was acknowledged before it, two views are decided under one number, or there is no
+// primary again.
 func TestWideSearch(t *testing.T) {
-	for _, core := range wideCores {
-		t.Run(fmt.Sprintf("%d replicas, %d may be lost", core.replicas, core.tolerance), func(t *testing.T) {
+	for _, group := range wideGroups {
+		t.Run(fmt.Sprintf("%d replicas, %d may be lost", group.replicas, group.tolerance), func(t *testing.T) {
 			t.Parallel()
 			seen := map[uint64]bool{}
 			acknowledged, reads := 0, 0
 			for seed := *firstWalk; seed < *firstWalk+uint64(*wideWalks); seed++ {
-				w := newWideWalk(core.replicas, core.tolerance, seed)
-				if fault := w.play(wideSteps*core.replicas, seen); fault != "" {
+				w := newWideWalk(group.replicas, group.tolerance, seed)
+				if fault := w.play(wideSteps*group.replicas, seen); fault != "" {
 					t.Fatalf("walk %d: %s\n%s", seed, fault, w.scriptText())
 				}
 				acknowledged += len(w.acknowledged)
@@ -250,13 +252,13 @@
 			}
 			t.Logf("%d walks, %d states, %d changes acknowledged, %d reads answered", *wideWalks, len(seen), acknowledged, reads)
 			if acknowledged < *wideWalks || reads < *wideWalks/4 {
-				t.Errorf("only %d changes and %d reads: the search does not get far", acknowledged, reads)
+				t.Errorf("only %d changes and %d reads: the search covers too little", acknowledged, reads)
 			}
 		})
 	}
 }
 
-// scriptText is the course of the walk, and what the disks hold in the end.
+// scriptText returns the logged events of the walk, and the final hard state of each replica.
 func (w *wideWalk) scriptText() string {
 	text := ""
 	for _, line := range w.script {
@@ -264,7 +266,7 @@
 	}
 	for _, h := range w.replicas {
 		d := &h.disk
-		text += fmt.Sprintf("%s/%d %s, gone %v: view %d, primary %v, members %v, witnesses %v, promised %v, accepted %v, position %v, %d entries\n",
+		text += fmt.Sprintf("%s/%d %s, removed %v: view %d, primary %v, members %v, witnesses %v, promised %v, accepted %v, position %v, %d entries\n",
 			d.Self.Address, d.Self.Nonce, h.node.Status(), h.isRemoved, d.View.Number, d.View.Primary, d.View.Members, d.View.Witnesses,
 			d.Promised, d.Accepted, d.Position, len(h.state))
 	}
--- a/internal/fleet/replication/second_loss_test.go
+++ b/internal/fleet/replication/second_loss_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// noticed is how long a process goes on at least after it was told to end.
+// shutdownNotice is the minimum time between the signal for a planned shutdown and the end of the process.
 const shutdownNotice = 2500 * time.Millisecond
 
 // join adds a machine with an empty disk that requests to join.
@@ -27,15 +27,16 @@
 	return all
 }
 
-// loseDisk ends a machine that comes back at once with an empty disk.
+// loseDisk restarts a machine with an empty disk.
 func (c *cluster) loseDisk(h *host) {
 	c.wipe(h)
 	c.start(h, DefaultTiming())
 	h.node.options.JoinTargets = c.addresses
 }
 
-// Guards against a planned replacement after which a second loss leaves no majority: three replicas of which one may be
-// lost, a fourth comes, one of the three ends 2.5 s after it was told to, and another one loses its disk then or later.
+// Guards against a planned replacement after which the loss of one more disk leaves no majority. To a group of three,
+// of which one may be lost, a fourth replica is added. One of the three resigns and stops after shutdownNotice; then or
+// later, another replica loses its disk.
 func TestSecondLossAfterReplacement(t *testing.T) {
 	gaps := []time.Duration{0, 300 * time.Millisecond, 800 * time.Millisecond, 1200 * time.Millisecond, 1600 * time.Millisecond,
 		2400 * time.Millisecond, 4 * time.Second}
@@ -45,7 +46,7 @@
 				continue
 			}
 			for _, gap := range gaps {
-				t.Run(fmt.Sprintf("%d resigns, %d is wiped %v later", resigning, wiped, gap), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%d resigns, %d loses its disk %v later", resigning, wiped, gap), func(t *testing.T) {
 					playSecondLoss(t, resigning, wiped, gap)
 				})
 			}
@@ -59,7 +60,7 @@
 	c.join(address(3))
 	c.run(time.Second)
 	if !c.proposeAndCommit() {
-		t.Fatal("no change is taken before the replacement")
+		t.Fatal("no change is committed before the replacement")
 	}
 	leaving := c.replicas[resigning]
 	c.apply(leaving, leaving.node.Resign(c.now))
@@ -74,5 +75,5 @@
 			return
 		}
 	}
-	t.Error("no change is taken 12 s later")
+	t.Error("no change is committed within 12 s after the loss of the disk")
 }
--- a/internal/fleet/replication/simulation_seeds_test.go
+++ b/internal/fleet/replication/simulation_seeds_test.go
@@ -7,42 +7,43 @@
 	"time"
 )
 
-// simulations is how many seeds TestSimulation plays of each setup; thousands by a command:
+// simulations is the number of seeds that TestSimulation plays with each setup. To play thousands:
 //
 //	go test ./internal/fleet/replication -run 'TestSimulation$' -simulations 2000
 var simulations = flag.Int("simulations", 12, "seeds of each setup that TestSimulation plays")
 
-// firstSeed is the first of them: with -simulations 1, one seed again.
+// firstSeed is the first of the seeds. With -simulations 1 it repeats a single simulation.
 var firstSeed = flag.Uint64("first-seed", 0, "the first seed that TestSimulation plays")
 
-// setups are cores of one to six machines.
+// setups are replica groups of one to six machines.
 var setups = map[string]setup{
-	"one, none may be lost":         {machineCount: 1, founderCount: 1},
-	"two, none may be lost":         {machineCount: 2, founderCount: 2},
-	"three, one may be lost":        {machineCount: 3, founderCount: 3, tolerance: Tolerance{Machines: 1}},
-	"three, slow to send":           {machineCount: 3, founderCount: 3, tolerance: Tolerance{Machines: 1}, transferTime: 900 * time.Millisecond},
-	"four, one may be lost":         {machineCount: 4, founderCount: 3, tolerance: Tolerance{Machines: 1}},
-	"five, one may be lost":         {machineCount: 5, founderCount: 3, tolerance: Tolerance{Machines: 1}},
-	"five, two may be lost":         {machineCount: 5, founderCount: 3, tolerance: Tolerance{Machines: 2}},
-	"six, two may be lost":          {machineCount: 6, founderCount: 3, tolerance: Tolerance{Machines: 2}},
-	"three zones, one may be lost":  {machineCount: 3, founderCount: 3, tolerance: Tolerance{Zones: 1}, zones: 3},
-	"six in three zones, one of it": {machineCount: 6, founderCount: 3, tolerance: Tolerance{Zones: 1}, zones: 3},
-	"four founders, one lost":       {machineCount: 4, founderCount: 4, tolerance: Tolerance{Machines: 1}},
-	"six founders, two lost":        {machineCount: 6, founderCount: 6, tolerance: Tolerance{Machines: 2}},
+	"one, none may be lost":          {machineCount: 1, founderCount: 1},
+	"two, none may be lost":          {machineCount: 2, founderCount: 2},
+	"three, one may be lost":         {machineCount: 3, founderCount: 3, tolerance: Tolerance{Machines: 1}},
+	"three, slow transfers":          {machineCount: 3, founderCount: 3, tolerance: Tolerance{Machines: 1}, transferTime: 900 * time.Millisecond},
+	"four, one may be lost":          {machineCount: 4, founderCount: 3, tolerance: Tolerance{Machines: 1}},
+	"five, one may be lost":          {machineCount: 5, founderCount: 3, tolerance: Tolerance{Machines: 1}},
+	"five, two may be lost":          {machineCount: 5, founderCount: 3, tolerance: Tolerance{Machines: 2}},
+	"six, two may be lost":           {machineCount: 6, founderCount: 3, tolerance: Tolerance{Machines: 2}},
+	"three zones, one may be lost":   {machineCount: 3, founderCount: 3, tolerance: Tolerance{Zones: 1}, zones: 3},
+	"six, one zone may be lost":      {machineCount: 6, founderCount: 3, tolerance: Tolerance{Zones: 1}, zones: 3},
+	"four founders, one may be lost": {machineCount: 4, founderCount: 4, tolerance: Tolerance{Machines: 1}},
+	"six founders, two may be lost":  {machineCount: 6, founderCount: 6, tolerance: Tolerance{Machines: 2}},
 }
 
-// withDefaults fills in what setups leave out.
+// withDefaults returns the setup with the default number of zones and the duration.
 func (s setup) withDefaults() setup {
 	if s.zones == 0 {
-		s.zones = 1000 // each machine stands in a zone of its own
+		s.zones = 1000 // each machine is in a zone of its own
 	}
 	s.duration = 60 * time.Second
 	return s
 }
 
-// Guards against any course of events after which something acknowledged is gone, is shown older, or nobody leads.
+// Guards against any sequence of events after which an acknowledged change is lost, a read lacks a change that was
+// acknowledged before it, or there is no primary.
 func TestSimulation(t *testing.T) {
-	var found atomic.Bool // one setup with a fault says enough
+	var found atomic.Bool // stops all setups after the first fault
 	for name, s := range setups {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -61,7 +62,7 @@
 			}
 			t.Logf("%d seeds, %d changes acknowledged, %d reads answered", *simulations, changes, reads)
 			if changes < 20**simulations || reads < 20**simulations {
-				t.Errorf("only %d changes and %d reads: the simulation does not get far", changes, reads)
+				t.Errorf("only %d changes and %d reads: the simulation covers too little", changes, reads)
 			}
 		})
 	}
--- a/internal/fleet/replication/simulation_test.go
+++ b/internal/fleet/replication/simulation_test.go
@@ -10,69 +10,69 @@
 	"time"
 )
 
-// simulation is a core of replicas on a fake clock, a network that delays, loses, duplicates and partitions, and disks that
-// are lost. A seed decides all that happens; what happened is kept as a script.
+// simulation is a replica group with a fake clock, a network that delays, loses and duplicates messages and is
+// partitioned, and disks that are lost. A seed determines all events; they are logged in script.
 type simulation struct {
 	setup      setup
 	random     *rand.Rand
 	now        time.Duration
-	machines   []*machine // also those that are gone for good
+	machines   []*machine // including retired ones
 	queue      []delivery
-	partitions map[[2]string]time.Duration // from, to: until when nothing passes
+	partitions map[[2]string]time.Duration // from, to: time until which messages are lost
 	scheduled  []scheduledAction
 	script     []string
 	fault      string
 
-	acknowledged []byte // entries, in their order, of entrySize bytes each
+	acknowledged []byte // entries in order, of entrySize bytes each
 	proposed     uint16
 	lastNonce    uint64
 	reads        int
-	slowUntil    time.Duration // messages take up to maxSlowDelay until then
-	diskLost     *machine      // the machine whose disk was lost last, until it has caught up
-	healthySince time.Duration
+	slowUntil    time.Duration  // until then, messages are delayed by up to maxSlowDelay
+	diskLost     *machine       // the machine whose disk was lost last; nil once the group has recovered from that
+	healthySince time.Duration  // since when the whole group has been up and connected
 	trace        *traceRecorder // nil: none
 }
 
-// setup is the shape of a core.
+// setup is the configuration of a replica group and of its simulation.
 type setup struct {
 	machineCount int // at the start
-	founderCount int // of them, the seeds
+	founderCount int // how many of them are founders, i.e. initial witnesses
 	tolerance    Tolerance
-	zones        int           // into which machines are divided
-	transferTime time.Duration // that a state takes to be sent
-	duration     time.Duration // for which disruptions come
+	zones        int           // number of zones that machines are distributed over
+	transferTime time.Duration // additional delay of messages with a snapshot
+	duration     time.Duration // of the phase with disruptions
 }
 
 const (
 	entrySize         = 2
 	simulationTick    = 30 * time.Millisecond
-	maxDelay          = 25 * time.Millisecond // that a message takes
+	maxDelay          = 25 * time.Millisecond // of a message
 	maxSlowDelay      = 900 * time.Millisecond
-	catchUpTime       = 4 * time.Second
-	minShutdownNotice = 2500 * time.Millisecond // a process ends no sooner after it was told to
-	maxShutdownGrace  = 7750 * time.Millisecond
-	recoveryTimeout   = 12 * time.Second
+	catchUpTime       = 4 * time.Second         // in which a connected group recovers from a loss
+	minShutdownNotice = 2500 * time.Millisecond // between the signal for a planned shutdown and the end of the process
+	maxShutdownGrace  = 7750 * time.Millisecond // after which the process ends without a release
+	recoveryTimeout   = 12 * time.Second        // from the end of all disruptions to the next committed change
 )
 
-// node is one machine of a simulation.
+// machine is one machine of a simulation.
 type machine struct {
 	*host
 	address          string
 	zone             string
 	isUp             bool
-	isRetired        bool          // for good
-	frozenUntil      time.Duration // until when its process stands still
-	resignedAt       time.Duration // when it was told to end; 0: it was not
-	stopsPermanently bool          // it does not come back after its planned end
-	successor        *machine      // that is to take its place
-	isSuccessor      bool          // it is to take the place of another one, which has not ended
+	isRetired        bool          // stopped or lost permanently
+	frozenUntil      time.Duration // its process is suspended until then
+	resignedAt       time.Duration // when its planned shutdown began; 0: it has not begun
+	stopsPermanently bool          // does not restart after its planned shutdown
+	successor        *machine      // is to replace this machine
+	isSuccessor      bool          // is to replace another machine, which has not stopped yet
 	reads            []readCheck
 }
 
-// readCheck is a read that waits for a round of the witnesses.
+// readCheck is a read that waits for a confirmed heartbeat round.
 type readCheck struct {
 	since  time.Duration
-	length int // of what was acknowledged when it came
+	length int // of simulation.acknowledged at the time of the request
 }
 
 type delivery struct {
@@ -80,7 +80,7 @@
 	envelope
 }
 
-// planned is something that happens later.
+// scheduledAction is an action to be performed at a later time.
 type scheduledAction struct {
 	at time.Duration
 	do func()
@@ -104,7 +104,7 @@
 	return sim
 }
 
-// add makes a machine whose disk is empty.
+// add creates a machine with an empty disk.
 func (s *simulation) add(at string) *machine {
 	m := &machine{host: &host{}, address: at, zone: fmt.Sprint("zone-", len(s.machines)%s.setup.zones)}
 	m.disk = InitialHardState(at, s.nonce(), nil)
@@ -170,7 +170,7 @@
 	return minDuration + time.Duration(s.random.Int64N(int64(maxDuration-minDuration)+1))
 }
 
-// apply does what a step wants done. A machine may lose power between the write and the messages.
+// apply carries out the Output of a machine's step. The machine may lose power between the write and the messages.
 func (s *simulation) apply(m *machine, out *Output) {
 	s.trace.record(m.node, out)
 	if out.Write != nil {
@@ -209,7 +209,8 @@
 	}
 }
 
-// checkPrimary checks the state of a primary with nothing pending after a step.
+// checkPrimary compares the state of a primary that has no pending change with the acknowledged changes, and records
+// the changes that it acknowledges.
 func (s *simulation) checkPrimary(m *machine) {
 	committed, leading := m.node.Committed()
 	if !leading || m.node.HasPendingProposal() || committed != m.node.Position() {
@@ -217,7 +218,7 @@
 	}
 	common := min(len(m.state), len(s.acknowledged))
 	if !bytes.Equal(m.state[:common], s.acknowledged[:common]) {
-		s.fail("%s leads view %d with other content than was acknowledged", m.address, m.node.View().Number)
+		s.fail("%s is primary of view %d, and its state differs from the acknowledged changes", m.address, m.node.View().Number)
 	}
 	if len(m.state) > len(s.acknowledged) {
 		s.acknowledged = slices.Clone(m.state)
@@ -225,7 +226,8 @@
 	s.checkReads(m)
 }
 
-// checkReads answers reads for which a round has been confirmed that began after them.
+// checkReads completes the reads for which a heartbeat round was confirmed that did not start before them. It fails the
+// simulation if a read lacks a change that was acknowledged before it.
 func (s *simulation) checkReads(m *machine) {
 	confirmed, ok := m.node.LeadershipConfirmedAt()
 	m.reads = slices.DeleteFunc(m.reads, func(r readCheck) bool {
@@ -240,7 +242,7 @@
 	})
 }
 
-// step lets a tick pass.
+// step advances the simulation by one tick.
 func (s *simulation) step() {
 	s.now += simulationTick
 	due := s.scheduled
@@ -280,7 +282,8 @@
 	}
 }
 
-// stopResigned ends a machine that was told to end once it is released, or at the end of its grace.
+// stopResigned stops a resigning machine once it is released, but not before minShutdownNotice, or after
+// maxShutdownGrace.
 func (s *simulation) stopResigned(m *machine) {
 	if !m.isUp || m.resignedAt == 0 || s.now-m.resignedAt < minShutdownNotice {
 		return
@@ -289,7 +292,7 @@
 	if !released && s.now-m.resignedAt < maxShutdownGrace {
 		return
 	}
-	s.logEvent("%s ends, released %v", m.address, released)
+	s.logEvent("%s stops, released: %v", m.address, released)
 	m.isUp = false
 	if m.successor != nil {
 		m.successor.isSuccessor = false
@@ -297,9 +300,9 @@
 	switch {
 	case !m.stopsPermanently || released && m.successor.isRunning(s.now) && s.isConnected():
 	case s.canLoseDisk():
-		s.recordLoss(m) // it counts as lost
+		s.recordLoss(m) // without a release in a connected group it counts as a loss
 	default:
-		m.stopsPermanently = false // that would be one loss too many
+		m.stopsPermanently = false // one more loss would exceed the tolerance
 	}
 	m.isRetired = m.stopsPermanently
 	if !m.isRetired {
@@ -307,10 +310,10 @@
 	}
 }
 
-// recordLoss records that a machine or its disk is lost, which has to be made up for before the next loss.
+// recordLoss records that a machine or its disk is lost. No other loss follows until the group has recovered from it.
 func (s *simulation) recordLoss(m *machine) { s.diskLost, s.healthySince = m, s.now }
 
-// isConnected reports whether nothing is cut.
+// isConnected reports whether there is no partition.
 func (s *simulation) isConnected() bool {
 	for _, until := range s.partitions {
 		if until > s.now {
@@ -320,7 +323,8 @@
 	return true
 }
 
-// updateHealth follows whether the whole core has been up and connected, so that a lost disk has been made up for.
+// updateHealth records since when the whole group has been up and connected. After catchUpTime in that state it has
+// recovered from the last loss.
 func (s *simulation) updateHealth() {
 	healthy := s.isConnected() && s.now >= s.slowUntil
 	for _, m := range s.machines {
@@ -343,7 +347,7 @@
 	})
 }
 
-// live are the machines that are not gone.
+// live returns the machines that are not retired.
 func (s *simulation) live() []*machine {
 	return slices.DeleteFunc(slices.Clone(s.machines), func(m *machine) bool { return m.isRetired })
 }
@@ -360,7 +364,7 @@
 	return newest
 }
 
-// proposeChange has some primary take a change, also one that only believes to be it.
+// proposeChange proposes a change to the first machine that accepts it as a primary, which may be of an outdated view.
 func (s *simulation) proposeChange() {
 	for _, m := range s.machines {
 		if !m.isRunning(s.now) || m.node.Status() != Leading {
@@ -376,7 +380,7 @@
 	}
 }
 
-// read asks every machine that believes to be the primary.
+// read starts a read at every machine that is leading, including primaries of outdated views.
 func (s *simulation) read() {
 	for _, m := range s.machines {
 		if m.isRunning(s.now) && m.node.Status() == Leading {
@@ -386,10 +390,10 @@
 	}
 }
 
-// scriptText is the script so far.
+// scriptText returns the events logged so far.
 func (s *simulation) scriptText() string { return strings.Join(s.script, "\n") }
 
-// run plays disruptions, then lets all that may return return, and expects service.
+// run plays the disruptions and then the recovery. It returns the first fault, or an empty string.
 func (s *simulation) run() string {
 	s.runFor(2 * time.Second)
 	next := s.now
@@ -412,7 +416,7 @@
 	}
 }
 
-// issueRequests is the operators' part: orders and reads.
+// issueRequests proposes changes and starts reads at random, as operators would.
 func (s *simulation) issueRequests() {
 	if s.random.IntN(8) == 0 {
 		s.proposeChange()
@@ -422,7 +426,8 @@
 	}
 }
 
-// recover ends all disruptions and expects a primary, that takes orders and holds all, within the time allowed.
+// recover ends all disruptions, and fails the simulation unless within recoveryTimeout a primary has all acknowledged
+// changes and commits another one.
 func (s *simulation) recover() {
 	clear(s.partitions)
 	s.slowUntil = 0
@@ -433,7 +438,7 @@
 			s.startMachine(m)
 		}
 	}
-	s.logEvent("all is back")
+	s.logEvent("all disruptions end")
 	before := len(s.acknowledged)
 	for end := s.now + recoveryTimeout; s.now < end && s.fault == ""; {
 		s.issueRequests()
@@ -442,7 +447,7 @@
 			return
 		}
 	}
-	s.fail("no change was taken within %v after all were back", recoveryTimeout)
+	s.fail("no change was committed within %v after the end of all disruptions", recoveryTimeout)
 	for _, m := range s.live() {
 		d := &m.disk
 		s.logEvent("%s/%d %s, released %v: view %d, primary %v, members %v, witnesses %v, promised %v, accepted %v, position %v, %d bytes",
--- a/internal/fleet/replication/snapshot_transfers.go
+++ b/internal/fleet/replication/snapshot_transfers.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Backoff between transfers of the snapshot to one replica.
+// Backoff between snapshot transfers to the same replica.
 const (
 	initialTransferBackoff = time.Second
 	maxTransferBackoff     = 8 * time.Second
 )
 
-// snapshotTransfers are the transfers of the snapshot that were started, by receiver. A transfer is retried only after a
-// time in which it should have arrived: on a slow link retries would delay the first one.
+// snapshotTransfers tracks the snapshot transfers in progress, by the other replica. A transfer is retried only after a
+// time in which it should have completed: on a slow link, an earlier retry would delay the first transfer.
 type snapshotTransfers map[Replica]*snapshotTransfer
 
 type snapshotTransfer struct {
@@ -17,7 +17,7 @@
 	backoff time.Duration
 }
 
-// tryStart reports whether the snapshot may be sent to a replica now, and records that it is.
+// tryStart reports whether a transfer with a replica may be started or retried now. If so, it records the transfer.
 func (t snapshotTransfers) tryStart(to Replica, now time.Duration) bool {
 	last := t[to]
 	if last == nil {
@@ -32,5 +32,5 @@
 	return true
 }
 
-// finish records that a replica holds the state.
+// finish removes the transfer with a replica, which resets its backoff.
 func (t snapshotTransfers) finish(to Replica) { delete(t, to) }
--- a/internal/fleet/replication/topology.go
+++ b/internal/fleet/replication/topology.go
@@ -2,24 +2,24 @@
 
 import "slices"
 
-// Tolerance is how many machines, zones and regions may be lost at once.
+// Tolerance is the number of machines, of zones and of regions that may be lost at once.
 type Tolerance struct{ Machines, Zones, Regions int }
 
-// Locality is a machine's failure domains, and whether it counts for the quorum. The other fields mean nothing unless it
-// is known.
+// Locality holds a machine's failure domains, and whether the machine counts for the quorum. The other fields are valid
+// only if Known is true.
 type Locality struct {
 	Zone, Region    string
 	Known           bool
 	CountsForQuorum bool
 }
 
-// topology judges sets of replicas by their localities and by what may be lost at once.
+// topology evaluates sets of replicas by their localities and the tolerated loss.
 type topology struct {
 	tolerance  Tolerance
 	localityOf func(address string) Locality
 }
 
-// survivesLoss reports whether a copy is left on one of these replicas when the tolerated number of machines, of zones or
+// survivesLoss reports whether at least one of the replicas remains when the tolerated number of machines, of zones or
 // of regions is lost.
 func (t topology) survivesLoss(replicas []Replica) bool {
 	zones, regions := map[string]bool{}, map[string]bool{}
@@ -31,13 +31,13 @@
 	return len(replicas) > t.tolerance.Machines && len(zones) > t.tolerance.Zones && len(regions) > t.tolerance.Regions
 }
 
-// toleratesLocalityLoss reports whether the loss of a zone or of a region is tolerated at all.
+// toleratesLocalityLoss reports whether the loss of a zone or of a region is tolerated.
 func (t topology) toleratesLocalityLoss() bool {
 	return t.tolerance.Zones > 0 || t.tolerance.Regions > 0
 }
 
-// survivesLocalityLoss reports whether a majority of witnesses is left when a zone or a region is lost, if that is
-// tolerated.
+// survivesLocalityLoss reports whether a majority of the witnesses remains when any one zone or region is lost. It is
+// true if no such loss is tolerated.
 func (t topology) survivesLocalityLoss(witnesses []Replica) bool {
 	if !t.toleratesLocalityLoss() {
 		return true
@@ -45,15 +45,17 @@
 	return !slices.ContainsFunc(witnesses, func(r Replica) bool { return 2*t.localityCount(r, witnesses) >= len(witnesses) })
 }
 
-// witnessTarget is the least number of witnesses of which a majority is left after the tolerated loss.
+// witnessTarget returns the smallest number of witnesses of which a majority remains after the tolerated loss.
 func (t topology) witnessTarget() int {
 	return 2*max(t.tolerance.Machines, t.tolerance.Zones, t.tolerance.Regions) + 1
 }
 
-// maxMembers bounds the members: each of them has to store a change before it is acknowledged.
+// maxMembers returns the maximum number of members. It is bounded because each member must store a change before the
+// change is acknowledged.
 func (t topology) maxMembers() int { return t.witnessTarget() }
 
-// localityCount is how many of a list are in a replica's zone, or in its region if the loss of regions is tolerated.
+// localityCount returns how many replicas of a list are in r's zone, or in r's region if the loss of regions is
+// tolerated.
 func (t topology) localityCount(r Replica, among []Replica) int {
 	locality, count := t.localityOf(r.Address), 0
 	for _, other := range among {
@@ -75,18 +77,18 @@
 	return locality.Known && !locality.CountsForQuorum
 }
 
-// voting returns the replicas that count for the quorum, or of which it is not known.
+// voting returns the replicas that count for the quorum, including those whose locality is unknown.
 func (t topology) voting(replicas []Replica) []Replica {
 	return slices.DeleteFunc(slices.Clone(replicas), t.isNonVoting)
 }
 
-// keepsVotingTolerance reports whether the remaining replicas that count for the quorum still survive the tolerated loss,
-// if those of all did.
+// keepsVotingTolerance reports whether the voting replicas among remaining survive the tolerated loss. It is also true
+// if those among all don't.
 func (t topology) keepsVotingTolerance(all, remaining []Replica) bool {
 	return t.survivesLoss(t.voting(remaining)) || !t.survivesLoss(t.voting(all))
 }
 
-// spreadOverZones puts one replica of each zone first, and keeps the order otherwise.
+// spreadOverZones moves the first replica of each zone to the front, and otherwise keeps the order.
 func (t topology) spreadOverZones(replicas []Replica) []Replica {
 	var first, rest []Replica
 	zones := map[string]bool{}
--- a/internal/fleet/replication/trace_test.go
+++ b/internal/fleet/replication/trace_test.go
@@ -11,8 +11,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// traceRecorder hashes all that replicas say in the course of a test: each step's write and messages in their order, and what
-// the replica reports after it. Two versions of the protocol with the same hash behaved alike in that test.
+// traceRecorder hashes the steps of all replicas in a test: each step's write and messages in order, and the replica's
+// status after it. Two versions of the protocol with the same hash behaved identically in that test.
 type traceRecorder struct {
 	digest *xxhash.Digest
 	steps  int
@@ -20,7 +20,7 @@
 
 func newTraceRecorder() *traceRecorder { return &traceRecorder{digest: xxhash.New()} }
 
-// record adds a step's output. It does nothing on a nil recorder.
+// record adds a step's output and the replica's status after it. It does nothing on a nil recorder.
 func (t *traceRecorder) record(node *Node, out *Output) {
 	if t == nil {
 		return
@@ -45,12 +45,12 @@
 	_, _ = t.digest.Write(encoded)
 }
 
-// text is the hash, and the number of steps that it was taken over.
+// text returns the hash and the number of recorded steps.
 func (t *traceRecorder) text() string {
 	return fmt.Sprintf("%016x over %d steps", t.digest.Sum64(), t.steps)
 }
 
-// Seeds of TestTraceUnchanged of each set-up.
+// Numbers of seeds that TestTraceUnchanged plays with each setup or group.
 const (
 	tracedSimulations = 1
 	tracedWideWalks   = 2
@@ -88,49 +88,49 @@
 	return trace.text()
 }
 
-// goldenTraces are the traces of commit 945ccb8. Only a change of the protocol's behaviour may change one.
+// goldenTraces are the traces recorded at commit 945ccb8. Only a change of the protocol's behaviour may change one.
 var goldenTraces = map[string]string{
-	"simulation of five, one may be lost":         "93a7826f01de8092 over 17510 steps",
-	"simulation of five, two may be lost":         "2249f2dc3272a48d over 22364 steps",
-	"simulation of four founders, one lost":       "cb1adddaf1b42507 over 23307 steps",
-	"simulation of four, one may be lost":         "3bf126f81f1bc0f5 over 17927 steps",
-	"simulation of one, none may be lost":         "e19aecb309ff5d38 over 3843 steps",
-	"simulation of six founders, two lost":        "a56043b4b0cc8697 over 30718 steps",
-	"simulation of six in three zones, one of it": "10dfb8b9d2912d88 over 27584 steps",
-	"simulation of six, two may be lost":          "11fd207f4d0cbc09 over 26062 steps",
-	"simulation of three zones, one may be lost":  "8e657cccfc27644a over 10108 steps",
-	"simulation of three, one may be lost":        "a0e337f796f32fa0 over 10458 steps",
-	"simulation of three, slow to send":           "c825bdc71fdfa0d7 over 9336 steps",
-	"simulation of two, none may be lost":         "c8b009a09610f1ad over 11206 steps",
-	"walks of 1 replicas":                         "e5f8bff0f013a70c over 58 steps",
-	"walks of 2 replicas":                         "80ce543919b8e95a over 958 steps",
-	"walks of 3 replicas":                         "fdbb7450e429f641 over 1674 steps",
-	"walks of 4 replicas":                         "331efb04f310fe05 over 2277 steps",
-	"walks of 5 replicas":                         "ff6c253e0648344f over 2898 steps",
-	"walks of 6 replicas":                         "6b223cd23acf4c0d over 3543 steps",
-	"wide walks of 1 replicas":                    "78282d6ff74b38ae over 189 steps",
-	"wide walks of 2 replicas":                    "895307c5ab4528e5 over 656 steps",
-	"wide walks of 3 replicas":                    "38b189ffffa1f1a4 over 1917 steps",
-	"wide walks of 4 replicas":                    "1ee1fcf01f7bafa0 over 2433 steps",
-	"wide walks of 5 replicas":                    "7288fe1a128efe6a over 4561 steps",
-	"wide walks of 6 replicas":                    "46447bdd62fc9bfb over 5779 steps",
+	"simulation of five, one may be lost":          "93a7826f01de8092 over 17510 steps",
+	"simulation of five, two may be lost":          "2249f2dc3272a48d over 22364 steps",
+	"simulation of four founders, one may be lost": "cb1adddaf1b42507 over 23307 steps",
+	"simulation of four, one may be lost":          "3bf126f81f1bc0f5 over 17927 steps",
+	"simulation of one, none may be lost":          "e19aecb309ff5d38 over 3843 steps",
+	"simulation of six founders, two may be lost":  "a56043b4b0cc8697 over 30718 steps",
+	"simulation of six, one zone may be lost":      "10dfb8b9d2912d88 over 27584 steps",
+	"simulation of six, two may be lost":           "11fd207f4d0cbc09 over 26062 steps",
+	"simulation of three zones, one may be lost":   "8e657cccfc27644a over 10108 steps",
+	"simulation of three, one may be lost":         "a0e337f796f32fa0 over 10458 steps",
+	"simulation of three, slow transfers":          "c825bdc71fdfa0d7 over 9336 steps",
+	"simulation of two, none may be lost":          "c8b009a09610f1ad over 11206 steps",
+	"walks of 1 replicas":                          "e5f8bff0f013a70c over 58 steps",
+	"walks of 2 replicas":                          "80ce543919b8e95a over 958 steps",
+	"walks of 3 replicas":                          "fdbb7450e429f641 over 1674 steps",
+	"walks of 4 replicas":                          "331efb04f310fe05 over 2277 steps",
+	"walks of 5 replicas":                          "ff6c253e0648344f over 2898 steps",
+	"walks of 6 replicas":                          "6b223cd23acf4c0d over 3543 steps",
+	"wide walks of 1 replicas":                     "78282d6ff74b38ae over 189 steps",
+	"wide walks of 2 replicas":                     "895307c5ab4528e5 over 656 steps",
+	"wide walks of 3 replicas":                     "38b189ffffa1f1a4 over 1917 steps",
+	"wide walks of 4 replicas":                     "1ee1fcf01f7bafa0 over 2433 steps",
+	"wide walks of 5 replicas":                     "7288fe1a128efe6a over 4561 steps",
+	"wide walks of 6 replicas":                     "46447bdd62fc9bfb over 5779 steps",
 }
 
-// Guards against a change of shape that changes the order of messages, a write, or a random draw.
+// Guards against a refactoring that changes the order of messages, a write, or the use of random numbers.
 func TestTraceUnchanged(t *testing.T) {
 	check := func(name string, trace func() string) {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			if got := trace(); got != goldenTraces[name] {
-				t.Errorf("the trace is %q, expected %q", got, goldenTraces[name])
+				t.Errorf("the trace is %q, want %q", got, goldenTraces[name])
 			}
 		})
 	}
 	for _, name := range slices.Sorted(maps.Keys(setups)) {
 		check("simulation of "+name, func() string { return traceSimulations(setups[name]) })
 	}
-	for _, core := range wideCores {
-		check(fmt.Sprintf("wide walks of %d replicas", core.replicas), func() string { return traceWideWalks(core.replicas, core.tolerance) })
-		check(fmt.Sprintf("walks of %d replicas", core.replicas), func() string { return traceWalks(core.replicas, core.tolerance) })
+	for _, group := range wideGroups {
+		check(fmt.Sprintf("wide walks of %d replicas", group.replicas), func() string { return traceWideWalks(group.replicas, group.tolerance) })
+		check(fmt.Sprintf("walks of %d replicas", group.replicas), func() string { return traceWalks(group.replicas, group.tolerance) })
 	}
 }
--- a/internal/fleet/replication/view_change.go
+++ b/internal/fleet/replication/view_change.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// viewChangeReason says to a primary why another composition of its view would be better: without an unresponsive, slow or resigning
-// member, if the others suffice, or with replicas that hold the state already. NoElection: it would not.
+// viewChangeReason returns why a primary should change its view: to remove an unresponsive, slow or resigning member if
+// the others suffice, or to add replicas that have stored the state already. It returns NoElection if there is no
+// reason.
 func (n *Node) viewChangeReason() ElectionReason {
 	if n.canDropFailedMember() {
 		return MemberFailed
@@ -23,8 +24,8 @@
 	return NoElection
 }
 
-// canDropFailedMember reports whether a member is unresponsive or late, and the others suffice without it. It penalizes
-// late members.
+// canDropFailedMember reports whether a member is unresponsive or late to store a change, and the others suffice
+// without it. It penalizes late members.
 func (n *Node) canDropFailedMember() bool {
 	isAppendLate := n.isAppendLate()
 	hasFailed := false
@@ -43,11 +44,13 @@
 	return hasFailed && n.keepsEnoughCopies(append(others, n.spareWitnesses()...))
 }
 
-// minAppendBytesPerSecond is how fast a member is expected to receive, decode and store a large change, beside AppendTimeout: a view that drops a
-// sound member costs more than that time.
+// minAppendBytesPerSecond is the rate at which a member is expected to receive, decode and store a change. Members have
+// the time that follows from it in addition to AppendTimeout, because a view change that removes a healthy member costs
+// more than that time.
 const minAppendBytesPerSecond = 1 << 20
 
-// isAppendLate reports whether the members had time enough to store the change that is pending, or the view's first state.
+// isAppendLate reports whether the time in which members must store the pending change, or the view's initial state,
+// has passed.
 func (n *Node) isAppendLate() bool {
 	p := n.primary
 	since, timeout := p.startedAt, n.options.Timing.AppendTimeout
@@ -58,7 +61,8 @@
 	return (p.pending || n.status == Activating) && n.now-since > timeout
 }
 
-// spareWitnesses returns the live witnesses that are no members and were not slow lately.
+// spareWitnesses returns the witnesses that could become members: in contact recently, not penalized, and not members
+// yet.
 func (n *Node) spareWitnesses() []Replica {
 	var spares []Replica
 	for _, r := range n.hardState.View.Witnesses {
@@ -69,7 +73,8 @@
 	return spares
 }
 
-// canDropResigningMember reports whether there is a resigning member that the view can do without at once.
+// canDropResigningMember reports whether there is a resigning member, and the next view can have enough members in sync
+// without it.
 func (n *Node) canDropResigningMember() bool {
 	if !slices.ContainsFunc(n.hardState.View.Members, n.isResigning) {
 		return false
@@ -78,8 +83,8 @@
 	return next.survivesLoss(next.nextMembers(next.nextWitnesses(true), n.isInSync))
 }
 
-// canImproveComposition reports whether a view change would change the composition, and could: all that it would add hold
-// the state.
+// canImproveComposition reports whether a view change would add a member or change the witnesses, using only replicas
+// that have stored the state, and its members would survive the tolerated loss.
 func (n *Node) canImproveComposition() bool {
 	view, next := &n.hardState.View, n.composition()
 	witnesses := next.nextWitnesses(true)
--- a/internal/fleet/replication/witness.go
+++ b/internal/fleet/replication/witness.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// primaryStickiness is how long after contact with the primary a witness promises to nobody else.
+// primaryStickiness returns how long after contact with the primary a witness makes no promise to another candidate.
 func (n *Node) primaryStickiness() time.Duration { return n.options.Timing.ElectionTimeout * 9 / 10 }
 
 func (n *Node) onHeartbeat(from Replica, message Heartbeat) {
@@ -34,26 +34,26 @@
 		return
 	}
 	if n.followsOtherPrimary(from) {
-		return // the primary lives: the sender's own links are at fault
+		return // the primary is responsive: the fault is in the sender's links
 	}
 	if message.Ballot.less(n.hardState.Promised) {
 		n.send(from, Reject{Number: n.nextNumber(), Promised: n.hardState.Promised})
 		return
 	}
 	n.promise(message.Ballot)
-	n.primaryLastSeen = n.now // the candidate is at work, which may have to wait for a snapshot
+	n.primaryLastSeen = n.now // gives the candidate time, as it may have to wait for a snapshot transfer
 	n.send(from, n.currentPromise())
 }
 
-// followsOtherPrimary reports whether this witness has seen a primary lately that is another replica than the candidate, and has
-// promised nothing.
+// followsOtherPrimary reports whether this witness was in contact with a primary other than the candidate within
+// primaryStickiness, and has promised no ballot for the next view.
 func (n *Node) followsOtherPrimary(candidate Replica) bool {
 	primary := n.hardState.View.Primary
 	return candidate != primary && primary != (Replica{}) && n.hardState.Promised.isZero() &&
 		n.now-n.primaryLastSeen < n.primaryStickiness()
 }
 
-// promise binds this replica to a ballot for the next view; as a member it stores no more changes in this one.
+// promise promises a ballot for the next view. From then on this replica stores no more changes of the current view.
 func (n *Node) promise(ballot Ballot) {
 	n.highestRound = max(n.highestRound, ballot.Round)
 	if n.hardState.Promised == ballot {
@@ -67,7 +67,7 @@
 	n.persist()
 }
 
-// currentPromise is the answer to a candidate under the ballot that this replica has promised.
+// currentPromise returns the answer to the candidate whose ballot this replica has promised.
 func (n *Node) currentPromise() Promise {
 	return Promise{
 		Number:        n.nextNumber(),
--- a/internal/fleet/replication/world_test.go
+++ b/internal/fleet/replication/world_test.go
@@ -11,33 +11,33 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// world is a set of replicas with scripted links and a fake clock. Messages that were sent stay on their way: each may be
-// delivered at any time, often or never.
+// world is a set of replicas with a fake clock and a scripted network. All sent messages are kept: each may be
+// delivered at any time, any number of times or never.
 type world struct {
 	now              time.Duration
 	tolerance        Tolerance
 	replicas         []*host
 	sent             []envelope
-	nextUndelivered  int             // the first of them that has not had its turn
-	sentFingerprints map[uint64]bool // fingerprints of messages that were sent
-	acknowledged     []byte          // entries, in their order
+	nextUndelivered  int             // index in sent of the next message to deliver in order
+	sentFingerprints map[uint64]bool // fingerprints of the messages in sent, each of which is kept once
+	acknowledged     []byte          // entries in order
 	mistake          mistake
 	lastNonce        uint64
 	proposed         byte
-	intercept        func(envelope) bool // takes a message that is sent; nil: all are sent
-	deliveryDelay    time.Duration       // that a delivery takes
+	intercept        func(envelope) bool // called for each message; true: it is not added to sent; may be nil
+	deliveryDelay    time.Duration       // by which a delivery advances the clock
 	timing           Timing
-	partitions       map[[2]string]bool // from, to: nothing passes
+	partitions       map[[2]string]bool // from, to: messages are lost
 	trace            *traceRecorder     // nil: none
 }
 
-// mistake is one that is planted, to show that the search finds it.
+// mistake is a fault that is planted to show that the search finds it.
 type mistake int
 
 const (
 	noMistake      mistake = iota
-	reusesIdentity         // a replica whose disk was lost votes under its former identity
-	singleCopyAcks         // a change counts as acknowledged once the primary itself has it
+	reusesIdentity         // a replica whose disk was lost keeps its former identity and votes
+	singleCopyAcks         // a change counts as acknowledged once the primary has stored it
 )
 
 type envelope struct {
@@ -46,17 +46,18 @@
 	message Message
 }
 
-// host is one machine: its replica, and the disk.
+// host is one machine: its replica and its disk.
 type host struct {
 	node      *Node
 	disk      HardState
-	state     []byte // on the disk: the entries held
-	isRemoved bool   // for good
+	state     []byte // on the disk: the stored entries
+	isRemoved bool   // permanently stopped
 }
 
 func address(i int) string { return fmt.Sprintf("10.0.0.%d:1", i+1) }
 
-// searchTiming has no waits that depend on a real clock: the search itself decides what comes late.
+// searchTiming returns a timing that leaves elections and delays to the search: time-outs and intervals are 0 or an
+// hour.
 func searchTiming() Timing {
 	return Timing{
 		HeartbeatInterval: time.Hour, ElectionTimeout: 0, MemberTimeout: time.Hour, AppendTimeout: time.Hour, PhaseTimeout: time.Hour,
@@ -89,7 +90,7 @@
 	})
 }
 
-// apply does what a step wants done, as package replica does it.
+// apply carries out the Output of a replica's step, as package replica does.
 func (w *world) apply(h *host, out *Output) {
 	w.trace.record(h.node, out)
 	if out.Write != nil {
@@ -112,8 +113,8 @@
 	if w.intercept != nil && w.intercept(e) {
 		return
 	}
-	if key := e.fingerprint(); !w.sentFingerprints[key] {
-		w.sentFingerprints[key] = true
+	if print := e.fingerprint(); !w.sentFingerprints[print] {
+		w.sentFingerprints[print] = true
 		w.sent = append(w.sent, e)
 	}
 }
@@ -145,7 +146,7 @@
 	w.recordAcknowledged(h)
 }
 
-// propose has a primary begin a change, if it can.
+// propose proposes a change to a replica, and reports whether the replica has started to replicate it.
 func (w *world) propose(h *host) bool {
 	out, ok := h.node.Propose(w.now, []byte{w.proposed + 1})
 	if !ok {
@@ -157,7 +158,7 @@
 	return true
 }
 
-// recordAcknowledged takes note of what a primary acknowledges: the operator has been told of it.
+// recordAcknowledged records the changes that a primary has committed, and so acknowledged to the operator.
 func (w *world) recordAcknowledged(h *host) {
 	_, leading := h.node.Committed()
 	if leading && (!h.node.HasPendingProposal() || w.mistake == singleCopyAcks) && len(h.state) > len(w.acknowledged) {
@@ -165,10 +166,10 @@
 	}
 }
 
-// restart ends a replica and starts it with what its disk holds.
+// restart replaces a replica's Node by a new one from its disk.
 func (w *world) restart(h *host) { w.start(h, w.timing) }
 
-// wipe takes a replica's disk away.
+// wipe replaces a machine's disk by an empty one and starts a new replica there.
 func (w *world) wipe(h *host) {
 	w.lastNonce++
 	former := h.disk
@@ -181,23 +182,25 @@
 	w.start(h, w.timing)
 }
 
-// fault says what is wrong; empty: nothing.
+// fault returns a description of the first primary whose state contradicts the acknowledged changes, or an empty
+// string.
 func (w *world) fault() string {
 	for _, h := range w.replicas {
 		if _, leading := h.node.Committed(); !leading || h.node.HasPendingProposal() || h.isRemoved {
 			continue
 		}
 		if len(h.state) < len(w.acknowledged) && w.isNewest(h) {
-			return fmt.Sprintf("view %d leads with %v, acknowledged was %v", h.node.View().Number, h.state, w.acknowledged)
+			return fmt.Sprintf("the primary of view %d has stored only %v, but %v was acknowledged", h.node.View().Number, h.state, w.acknowledged)
 		}
 		if common := min(len(h.state), len(w.acknowledged)); !slices.Equal(h.state[:common], w.acknowledged[:common]) {
-			return fmt.Sprintf("view %d holds %v, acknowledged was %v", h.node.View().Number, h.state, w.acknowledged)
+			return fmt.Sprintf("the primary of view %d has stored %v, but %v was acknowledged", h.node.View().Number, h.state, w.acknowledged)
 		}
 	}
 	return ""
 }
 
-// isNewest: a primary that was cut off may go on believing in its view, but can't acknowledge or confirm anything.
+// isNewest reports whether no replica has a newer view. A partitioned primary of an older view may still be leading,
+// but can't acknowledge a change or confirm its leadership.
 func (w *world) isNewest(h *host) bool {
 	for _, other := range w.replicas {
 		if other.node.View().Number > h.node.View().Number {
@@ -207,7 +210,7 @@
 	return true
 }
 
-// fingerprint identifies the state of all replicas, the clock apart.
+// fingerprint returns a hash of the state of all replicas, without the clock.
 func (w *world) fingerprint() uint64 {
 	hash := xxhash.New()
 	for _, h := range w.replicas {
