--- a/internal/fleet/replication/large_change_test.go
+++ b/internal/fleet/replication/large_change_test.go
@@ -9,7 +9,7 @@
 
 // Guards against a view change that removes a healthy member because it needs more than AppendTimeout to store a large
 // change, and against one that never comes because the allowance for a large change is too long.
-func TestLargeChangeTakesItsTime(t *testing.T) {
+func TestLargeChangeExtendsAppendTimeout(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		size    int // bytes of the change
