--- a/internal/fleet/replication/composition.go
+++ b/internal/fleet/replication/composition.go
@@ -27,7 +27,7 @@
 	isResponsive(Replica) bool
 	// isResigning reports whether a replica has announced that it shuts down.
 	isResigning(Replica) bool
-	// isPenalized reports whether a replica may not be added at present because it was slow.
+	// isPenalized reports whether a replica was slow and the penalty for that has not expired.
 	isPenalized(Replica) bool
 	// isExcluded reports whether the current election continues without a replica.
 	isExcluded(Replica) bool
@@ -148,7 +148,7 @@
 // copies on the remaining witnesses would not survive the tolerated loss.
 func (c composition) trim(witnesses []Replica) []Replica {
 	if slices.ContainsFunc(witnesses, c.isLocalityUnknown) {
-		return witnesses // it might remove a voting witness and keep a non-voting one
+		return witnesses // else a voting witness might be removed and a non-voting one kept
 	}
 	for len(witnesses) > 1 && (len(witnesses) > c.witnessTarget() || len(witnesses)%2 == 0) {
 		at := c.leastFit(witnesses)
--- a/internal/fleet/replication/disruption_test.go
+++ b/internal/fleet/replication/disruption_test.go
@@ -52,8 +52,8 @@
 	return s.diskLost == nil && s.setup.tolerance != (Tolerance{})
 }
 
-// loseDisk empties the disks of m and of as many other machines as the tolerance allows at once; duringPowerLoss: while
-// all machines lose power.
+// loseDisk empties the disks of m and of as many other machines as the tolerance allows at once. If duringPowerLoss is
+// set, all machines also lose power.
 func (s *simulation) loseDisk(m *machine, duringPowerLoss bool) {
 	if !s.canLoseDisk() || len(s.acknowledged) == 0 {
 		return
--- a/internal/fleet/replication/election.go
+++ b/internal/fleet/replication/election.go
@@ -19,7 +19,7 @@
 	phaseStarted time.Duration
 	resendAt     time.Duration
 	excluded     map[Replica]bool // replicas that this attempt continues without
-	caughtUp     map[Replica]bool // which replicas had stored the primary's state; nil: not the primary before
+	caughtUp     map[Replica]bool // which replicas had stored this primary's state; nil: it was not leading
 
 	// Preparing.
 	promises   map[Replica]Promise
--- a/internal/fleet/replication/learners.go
+++ b/internal/fleet/replication/learners.go
@@ -50,8 +50,8 @@
 	witnesses := next.nextWitnesses(false)
 	members := next.nextMembers(witnesses, n.isLiveMember)
 	return slices.DeleteFunc(union(witnesses, members), func(r Replica) bool {
-		hasRole := view.HasMember(r) || view.HasWitness(r) && !slices.Contains(members, r)
-		return hasRole || r == n.hardState.Self
+		hasNextRole := view.HasMember(r) || view.HasWitness(r) && !slices.Contains(members, r)
+		return hasNextRole || r == n.hardState.Self
 	})
 }
 
--- a/internal/fleet/replication/member.go
+++ b/internal/fleet/replication/member.go
@@ -45,7 +45,8 @@
 	return bound
 }
 
-// sendSnapshotNeeded requests a snapshot, and reports which state this replica stores.
+// sendSnapshotNeeded answers an InstallSnapshot or Append that can't be applied, and reports which state this replica
+// stores, so that the sender can send what is missing.
 func (n *Node) sendSnapshotNeeded(to Replica, number uint64, ballot Ballot) {
 	n.send(to, SnapshotNeeded{Number: number, Ballot: ballot, Position: n.hardState.Position, InstallBallot: n.hardState.InstallBallot})
 }
--- a/internal/fleet/replication/messages.go
+++ b/internal/fleet/replication/messages.go
@@ -93,9 +93,9 @@
 	Snapshot []byte   `cbor:"4,keyasint"`
 }
 
-// InstallSnapshot asks a replica to install the initial state of a view to be decided, as Position. Without a snapshot,
-// only a replica can do so that stores the same state already: at BasePosition, with the install ballot
-// BaseInstallBallot.
+// InstallSnapshot asks a replica to install the initial state of a view to be decided, whose position is Position.
+// Without a snapshot, the replica can install it only if it stores the same state already: at BasePosition, with the
+// install ballot BaseInstallBallot.
 type InstallSnapshot struct {
 	Number            uint64   `cbor:"1,keyasint"` // of the view to be decided
 	Ballot            Ballot   `cbor:"2,keyasint"`
--- a/internal/fleet/replication/options.go
+++ b/internal/fleet/replication/options.go
@@ -12,12 +12,12 @@
 	ElectionTimeout       time.Duration // time without contact with a primary after which the first member is a candidate
 	ElectionStagger       time.Duration // added to the election time-out for each member after the first
 	MemberTimeout         time.Duration // time without contact after which a primary removes a member
-	AppendTimeout         time.Duration // within which members must store a change, if it is not large
+	AppendTimeout         time.Duration // within which members must store a change; extended by its size / minAppendBytesPerSecond
 	PhaseTimeout          time.Duration // of each phase of an election
 	SnapshotTimeout       time.Duration // of an election phase that waits for the transfer of a snapshot
 	JoinInterval          time.Duration // between join requests
 	MinViewChangeInterval time.Duration // from a view's start to a view change that only adds or replaces replicas
-	SlowMemberBackoff     time.Duration // for which a slow replica is not added again; doubles with each removal
+	SlowMemberBackoff     time.Duration // first penalty of a slow replica; doubles with each penalty, up to maxPenaltyFactor
 	WitnessTimeout        time.Duration // time without contact after which a witness may be replaced
 }
 
--- a/internal/fleet/replication/peers.go
+++ b/internal/fleet/replication/peers.go
@@ -76,8 +76,8 @@
 
 func (n *Node) isExcluded(r Replica) bool { return n.election.isExcluded(r) }
 
-// isCaughtUp reports whether a replica that is not a member has stored the primary's state. For a candidate that was
-// the primary it is the state at the start of the election.
+// isCaughtUp reports whether a replica that is not a member has stored the primary's state. On a candidate that was
+// leading, the answer is that of the start of the election.
 func (n *Node) isCaughtUp(r Replica) bool {
 	if n.primary != nil {
 		return n.primary.matchPosition[r] == n.hardState.Position
--- a/internal/fleet/replication/resignation.go
+++ b/internal/fleet/replication/resignation.go
@@ -10,7 +10,7 @@
 // could.
 
 // possibleReplacementTTL is how long after its last contact a replica is regarded as a possible replacement. A
-// resigning replica is not released while there is one.
+// resigning witness or member is not released while there is one.
 const possibleReplacementTTL = 15 * time.Second
 
 // releaseTTL is how long a release by the primary is valid. It expires because the view may change while the process
--- a/internal/fleet/replication/search_wide_test.go
+++ b/internal/fleet/replication/search_wide_test.go
@@ -189,7 +189,7 @@
 }
 
 // recover reconnects and restarts all replicas that have not stopped permanently, with the default timing, and returns
-// a fault unless there is soon a primary that commits a change and has all acknowledged ones.
+// a fault unless within 12 s a primary commits a change and has all acknowledged ones.
 func (w *wideWalk) recover() string {
 	clear(w.partitions)
 	w.logEvent("all replicas restart and are connected")
--- a/internal/fleet/replication/simulation_seeds_test.go
+++ b/internal/fleet/replication/simulation_seeds_test.go
@@ -43,7 +43,7 @@
 // Guards against any sequence of events after which an acknowledged change is lost, a read lacks a change that was
 // acknowledged before it, or there is no primary.
 func TestSimulation(t *testing.T) {
-	var found atomic.Bool // stops all setups after the first fault
+	var found atomic.Bool // stops all setups after the first fault, since one is enough to fail the test
 	for name, s := range setups {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/fleet/replication/simulation_test.go
+++ b/internal/fleet/replication/simulation_test.go
@@ -282,8 +282,8 @@
 	}
 }
 
-// stopResigned stops a resigning machine once it is released, but not before minShutdownNotice, or after
-// maxShutdownGrace.
+// stopResigned stops a resigning machine once it is released, but not before minShutdownNotice has passed. After
+// maxShutdownGrace it stops the machine without a release.
 func (s *simulation) stopResigned(m *machine) {
 	if !m.isUp || m.resignedAt == 0 || s.now-m.resignedAt < minShutdownNotice {
 		return
--- a/internal/fleet/replication/snapshot_transfers.go
+++ b/internal/fleet/replication/snapshot_transfers.go
@@ -8,8 +8,9 @@
 	maxTransferBackoff     = 8 * time.Second
 )
 
-// snapshotTransfers tracks the snapshot transfers in progress, by the other replica. A transfer is retried only after a
-// time in which it should have completed: on a slow link, an earlier retry would delay the first transfer.
+// snapshotTransfers tracks the snapshot transfers in progress, keyed by the replica that sends to or receives from this
+// one. A transfer is retried only after a time in which it should have completed: on a slow link, an earlier retry would
+// delay the first transfer.
 type snapshotTransfers map[Replica]*snapshotTransfer
 
 type snapshotTransfer struct {
