--- a/internal/fleet/coordinator/acceptor_log.go
+++ b/internal/fleet/coordinator/acceptor_log.go
@@ -10,24 +10,24 @@
 
 // logAcceptorChange logs what has changed between two states of this machine's acceptor, after it was made durable: another set of acceptors,
 // and whether this one takes part. Other changes are too frequent for a log.
-func logAcceptorChange(log *zap.Logger, former, present *AcceptorStatus) {
-	epoch := present.Config.Epoch
-	if epoch != former.Config.Epoch {
-		log.Info("acceptors changed", zap.Uint64("epoch", epoch), zap.Any("acceptors", present.Config.Acceptors),
-			zap.Any("added", without(present.Config.Acceptors, former.Config.Acceptors)),
-			zap.Any("removed", without(former.Config.Acceptors, present.Config.Acceptors)))
+func logAcceptorChange(log *zap.Logger, previous, current *AcceptorStatus) {
+	epoch := current.Config.Epoch
+	if epoch != previous.Config.Epoch {
+		log.Info("acceptors changed", zap.Uint64("epoch", epoch), zap.Any("acceptors", current.Config.Acceptors),
+			zap.Any("added", without(current.Config.Acceptors, previous.Config.Acceptors)),
+			zap.Any("removed", without(previous.Config.Acceptors, current.Config.Acceptors)))
 	}
 	switch {
-	case former.takesPart() && !present.takesPart():
+	case previous.isReady() && !current.isReady():
 		log.Info("acceptor sealed: it takes no part before it has the registers of the new epoch, or none at all", zap.Uint64("epoch", epoch),
-			zap.Bool("isMember", present.Config.Has(present.Self)), zap.Int("registers", present.Names))
-	case present.takesPart() && (!former.takesPart() || epoch != former.Config.Epoch):
-		log.Info("acceptor takes part", zap.Uint64("epoch", epoch), zap.Uint64("nonce", present.Self.Nonce), zap.Int("registers", present.Names))
+			zap.Bool("isMember", current.Config.Has(current.Self)), zap.Int("registers", current.RegisterCount))
+	case current.isReady() && (!previous.isReady() || epoch != previous.Config.Epoch):
+		log.Info("acceptor takes part", zap.Uint64("epoch", epoch), zap.Uint64("nonce", current.Self.Nonce), zap.Int("registers", current.RegisterCount))
 	}
 }
 
 // takesPart reports whether the acceptor may promise and accept in the present epoch.
-func (s *AcceptorStatus) takesPart() bool {
+func (s *AcceptorStatus) isReady() bool {
 	return s.Config.Epoch > 0 && s.ReadyEpoch == s.Config.Epoch && s.Config.Has(s.Self)
 }
 
--- a/internal/fleet/coordinator/acceptor_log_test.go
+++ b/internal/fleet/coordinator/acceptor_log_test.go
@@ -14,7 +14,7 @@
 )
 
 // messagesOf returns the messages that were logged since it was last called.
-func messagesOf(logs *observer.ObservedLogs) []string {
+func takeMessages(logs *observer.ObservedLogs) []string {
 	var messages []string
 	for _, entry := range logs.TakeAll() {
 		messages = append(messages, entry.Message)
@@ -27,31 +27,31 @@
 	Convey("An acceptor that is one of two says", t, func() {
 		core, logs := observer.New(zap.InfoLevel)
 		self, peer, newcomer := replication.Replica{Address: testAddress}, testPeer, replication.Replica{Address: "10.0.0.3:1", Nonce: 7}
-		former := AcceptorStatus{Self: self, Config: register.Config{Epoch: 1, Acceptors: []replication.Replica{self, peer}}, ReadyEpoch: 1, Names: 3}
-		next := former
-		logAcceptorChange(zap.New(core), &AcceptorStatus{Self: self}, &former)
-		So(messagesOf(logs), ShouldResemble, []string{"acceptors changed", "acceptor takes part"})
+		previous := AcceptorStatus{Self: self, Config: register.Config{Epoch: 1, Acceptors: []replication.Replica{self, peer}}, ReadyEpoch: 1, RegisterCount: 3}
+		next := previous
+		logAcceptorChange(zap.New(core), &AcceptorStatus{Self: self}, &previous)
+		So(takeMessages(logs), ShouldResemble, []string{"acceptors changed", "acceptor takes part"})
 
 		Convey("nothing where only registers have changed", func() {
-			next.Names = 4
-			logAcceptorChange(zap.New(core), &former, &next)
+			next.RegisterCount = 4
+			logAcceptorChange(zap.New(core), &previous, &next)
 			So(logs.Len(), ShouldEqual, 0)
 		})
 		Convey("who came and who left, that it is sealed, and that it takes part again", func() {
-			next.Config = register.Config{Epoch: 2, Acceptors: []replication.Replica{self, newcomer}, Previous: former.Config.Acceptors}
-			logAcceptorChange(zap.New(core), &former, &next)
+			next.Config = register.Config{Epoch: 2, Acceptors: []replication.Replica{self, newcomer}, Previous: previous.Config.Acceptors}
+			logAcceptorChange(zap.New(core), &previous, &next)
 			So(logs.All()[0].ContextMap()["added"], ShouldResemble, []replication.Replica{newcomer})
 			So(logs.All()[0].ContextMap()["removed"], ShouldResemble, []replication.Replica{peer})
-			So(messagesOf(logs)[1], ShouldStartWith, "acceptor sealed")
+			So(takeMessages(logs)[1], ShouldStartWith, "acceptor sealed")
 			ready := next
 			ready.ReadyEpoch = 2
 			logAcceptorChange(zap.New(core), &next, &ready)
-			So(messagesOf(logs), ShouldResemble, []string{"acceptor takes part"})
+			So(takeMessages(logs), ShouldResemble, []string{"acceptor takes part"})
 		})
 		Convey("that it takes part, where it had the registers at once", func() {
 			next.Config.Epoch, next.ReadyEpoch = 2, 2
-			logAcceptorChange(zap.New(core), &former, &next)
-			So(messagesOf(logs), ShouldResemble, []string{"acceptors changed", "acceptor takes part"})
+			logAcceptorChange(zap.New(core), &previous, &next)
+			So(takeMessages(logs), ShouldResemble, []string{"acceptors changed", "acceptor takes part"})
 		})
 	})
 }
@@ -68,22 +68,22 @@
 			op := &coordination.Operation{Kind: coordination.Acquire, Name: name, Holder: holder, Hold: time.Second}
 			return register.Completion{Certainty: register.Decided, Result: lock.Execute(now, op, &coordination.Change{})}
 		}
-		note := func(c register.Completion) uint64 {
-			m.service.proposer.noteExpiry(name, &c)
+		recordedExpiries := func(c register.Completion) uint64 {
+			m.service.proposer.recordLockExpiry(name, &c)
 			return m.service.Status().Expired
 		}
-		So(note(acquire(0, "a")), ShouldEqual, 0)
-		So(note(acquire(2*time.Second, "a")), ShouldEqual, 0) // its own
+		So(recordedExpiries(acquire(0, "a")), ShouldEqual, 0)
+		So(recordedExpiries(acquire(2*time.Second, "a")), ShouldEqual, 0) // its own
 		So(logs.Len(), ShouldEqual, 0)
 
 		Convey("that passes on because its time ran out is counted, and named in the log", func() {
-			So(note(acquire(4*time.Second, "b")), ShouldEqual, 1)
+			So(recordedExpiries(acquire(4*time.Second, "b")), ShouldEqual, 1)
 			So(logs.All()[0].ContextMap(), ShouldResemble, map[string]any{"lock": "l", "former": "a", "fence": uint64(3)})
 		})
 		Convey("whose grant is not decided is not", func() {
 			c := acquire(4*time.Second, "b")
 			c.Certainty = register.Unclear
-			So(note(c), ShouldEqual, 0)
+			So(recordedExpiries(c), ShouldEqual, 0)
 		})
 	})
 }
--- a/internal/fleet/coordinator/acceptor_loop.go
+++ b/internal/fleet/coordinator/acceptor_loop.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	acceptorTick  = 100 * time.Millisecond
-	maxGroupWrite = 256 // messages whose changes share one sync
-	retryInterval = 200 * time.Millisecond
+	acceptorTickInterval = 100 * time.Millisecond
+	maxBatchedMessages   = 256 // messages whose changes share one sync
+	retryInterval        = 200 * time.Millisecond
 )
 
 // AcceptorStatus is what other goroutines may know of the acceptor.
 type AcceptorStatus struct {
-	Self       replication.Replica
-	Config     register.Config
-	ReadyEpoch uint64
-	Names      int
-	Durable    bool // its identity is on the disk: it may be named to others
+	Self          replication.Replica
+	Config        register.Config
+	ReadyEpoch    uint64
+	RegisterCount int
+	Durable       bool // its identity is on the disk: it may be named to others
 }
 
 // acceptorLoop runs the machine's acceptor on its disk. What it receives together is made durable by one sync.
 type acceptorLoop struct {
 	service  *Service
-	inbox    chan received
+	inbox    chan receivedMessage
 	store    *store
 	acceptor *register.Acceptor
 	outgoing []register.Outgoing // of the present group: sent once its changes are durable
@@ -40,7 +40,7 @@
 }
 
 func newAcceptorLoop(s *Service, store *store) *acceptorLoop {
-	l := &acceptorLoop{service: s, inbox: make(chan received, inboxSize), store: store}
+	l := &acceptorLoop{service: s, inbox: make(chan receivedMessage, inboxSize), store: store}
 	l.acceptor = store.build(s.options.Clock(), s.options.State)
 	l.publish(false)
 	return l
@@ -59,13 +59,13 @@
 func (l *acceptorLoop) publish(durable bool) {
 	h := l.acceptor.HardState()
 	status := AcceptorStatus{
-		Self: h.Self, Config: h.Config, ReadyEpoch: h.ReadyEpoch, Names: l.acceptor.RegisterCount(), Durable: durable,
+		Self: h.Self, Config: h.Config, ReadyEpoch: h.ReadyEpoch, RegisterCount: l.acceptor.RegisterCount(), Durable: durable,
 	}
 	l.mu.Lock()
-	former := l.published
+	previous := l.published
 	l.published = status
 	l.mu.Unlock()
-	logAcceptorChange(l.service.options.Log, &former, &status)
+	logAcceptorChange(l.service.options.Log, &previous, &status)
 }
 
 func (l *acceptorLoop) run(ctx context.Context) {
@@ -73,14 +73,14 @@
 	if !l.writeIdentity(ctx) {
 		return
 	}
-	ticker := time.NewTicker(acceptorTick)
+	ticker := time.NewTicker(acceptorTickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case m := <-l.inbox:
-			l.handleGroup(ctx, m)
+			l.handleBatch(ctx, m)
 		case <-ticker.C:
 			l.step(ctx, l.acceptor.Tick(l.service.options.Clock()))
 			l.flush(ctx)
@@ -106,9 +106,9 @@
 }
 
 // handleGroup handles a message and those that wait behind it, makes their changes durable by one sync, and sends the answers.
-func (l *acceptorLoop) handleGroup(ctx context.Context, first received) {
+func (l *acceptorLoop) handleBatch(ctx context.Context, first receivedMessage) {
 	l.handle(ctx, first)
-	for range maxGroupWrite {
+	for range maxBatchedMessages {
 		select {
 		case m := <-l.inbox:
 			l.handle(ctx, m)
@@ -120,7 +120,7 @@
 	l.flush(ctx)
 }
 
-func (l *acceptorLoop) handle(ctx context.Context, m received) {
+func (l *acceptorLoop) handle(ctx context.Context, m receivedMessage) {
 	l.step(ctx, l.acceptor.Receive(l.service.options.Clock(), m.from, m.message))
 }
 
@@ -136,7 +136,7 @@
 			err = l.append()
 		}
 		if err != nil {
-			l.recover(ctx, err)
+			l.recoverFromFailedWrite(ctx, err)
 			return
 		}
 	}
@@ -147,7 +147,7 @@
 func (l *acceptorLoop) flush(ctx context.Context) {
 	if len(l.changed) > 0 {
 		if err := l.append(); err != nil {
-			l.recover(ctx, err)
+			l.recoverFromFailedWrite(ctx, err)
 			return
 		}
 	}
@@ -192,7 +192,7 @@
 
 // recover has the acceptor be as after a restart: nothing of the group is sent. What the failed write has left in the file is read, and may not
 // be durable: all of it is written again before the acceptor speaks.
-func (l *acceptorLoop) recover(ctx context.Context, cause error) {
+func (l *acceptorLoop) recoverFromFailedWrite(ctx context.Context, cause error) {
 	l.service.Counters.FailedSyncs.Add(1)
 	l.service.options.Log.Warn("can't write the log of the registers", zap.Error(cause))
 	l.outgoing, l.changed = nil, nil
--- a/internal/fleet/coordinator/acceptor_loop_test.go
+++ b/internal/fleet/coordinator/acceptor_loop_test.go
@@ -22,16 +22,16 @@
 }
 
 // handleTogether has the acceptor handle messages that wait together.
-func (l *acceptorLoop) handleTogether(t *testing.T, messages ...any) {
+func (l *acceptorLoop) handleAsBatch(t *testing.T, messages ...any) {
 	for _, message := range messages {
-		l.inbox <- received{testPeer, message}
+		l.inbox <- receivedMessage{testPeer, message}
 	}
-	l.handleGroup(t.Context(), <-l.inbox)
+	l.handleBatch(t.Context(), <-l.inbox)
 	So(l.inbox, ShouldBeEmpty)
 }
 
 // acknowledged returns the names of the counters whose acceptance was acknowledged.
-func acknowledged(messages []any) []string {
+func acknowledgedCounters(messages []any) []string {
 	var names []string
 	for _, message := range messages {
 		reply, ok := message.(*register.Reply)
@@ -54,25 +54,25 @@
 		defer loop.store.close()
 		m.onSend = func(sent sentMessage) {
 			counts := storedCounts(directory)
-			for _, name := range acknowledged([]any{sent.message}) {
+			for _, name := range acknowledgedCounters([]any{sent.message}) {
 				So(counts, ShouldContainKey, name)
 			}
 		}
 		before := m.service.Counters.Syncs.Load()
-		loop.handleTogether(t, acceptRequest("a", 1, 1), acceptRequest("b", 1, 2), acceptRequest("c", 1, 3))
+		loop.handleAsBatch(t, acceptRequest("a", 1, 1), acceptRequest("b", 1, 2), acceptRequest("c", 1, 3))
 		So(m.service.Counters.Syncs.Load()-before, ShouldEqual, 1)
-		So(acknowledged(m.takeSent()), ShouldResemble, []string{"a", "b", "c"})
+		So(acknowledgedCounters(m.takeSent()), ShouldResemble, []string{"a", "b", "c"})
 
 		Convey("and one that changes nothing needs no sync", func() {
-			loop.handleTogether(t, acceptRequest("a", 1, 1))
+			loop.handleAsBatch(t, acceptRequest("a", 1, 1))
 			So(m.service.Counters.Syncs.Load()-before, ShouldEqual, 1)
-			So(acknowledged(m.takeSent()), ShouldResemble, []string{"a"})
+			So(acknowledgedCounters(m.takeSent()), ShouldResemble, []string{"a"})
 		})
 		Convey("and so is what an acceptor learns of the next acceptors, with the changes before it", func() {
 			next := register.Config{
 				Epoch: 2, Acceptors: []replication.Replica{{Address: testAddress}}, Previous: []replication.Replica{{Address: testAddress}},
 			}
-			loop.handleTogether(t, acceptRequest("d", 1, 4), &register.Hello{Config: next}, acceptRequest("e", 1, 5))
+			loop.handleAsBatch(t, acceptRequest("d", 1, 4), &register.Hello{Config: next}, acceptRequest("e", 1, 5))
 			So(storedCounts(directory), ShouldContainKey, "d")
 			So(storedCounts(directory), ShouldNotContainKey, "e") // it is of a former epoch
 			So(loop.status().ReadyEpoch, ShouldEqual, 2)
@@ -83,21 +83,21 @@
 		m, loop := newAcceptorMachine(t, t.TempDir())
 		defer loop.store.close()
 		before := m.service.Counters.Syncs.Load()
-		for i := range maxGroupWrite + 2 {
-			loop.inbox <- received{testPeer, acceptRequest(fmt.Sprint(i), 1, 1)}
+		for i := range maxBatchedMessages + 2 {
+			loop.inbox <- receivedMessage{testPeer, acceptRequest(fmt.Sprint(i), 1, 1)}
 		}
-		loop.handleGroup(t.Context(), <-loop.inbox)
+		loop.handleBatch(t.Context(), <-loop.inbox)
 		So(len(loop.inbox), ShouldEqual, 1)
-		loop.handleGroup(t.Context(), <-loop.inbox)
+		loop.handleBatch(t.Context(), <-loop.inbox)
 		So(m.service.Counters.Syncs.Load()-before, ShouldEqual, 2)
-		So(acknowledged(m.takeSent()), ShouldHaveLength, maxGroupWrite+2)
+		So(acknowledgedCounters(m.takeSent()), ShouldHaveLength, maxBatchedMessages+2)
 	})
 	Convey("Without a disk there is nothing to sync", t, func() {
 		m, loop := newAcceptorMachine(t, "")
-		loop.handleTogether(t, acceptRequest("a", 1, 1))
-		So(acknowledged(m.takeSent()), ShouldResemble, []string{"a"})
+		loop.handleAsBatch(t, acceptRequest("a", 1, 1))
+		So(acknowledgedCounters(m.takeSent()), ShouldResemble, []string{"a"})
 		So(m.service.Counters.Syncs.Load(), ShouldEqual, 0)
-		So(loop.status().Names, ShouldEqual, 1)
+		So(loop.status().RegisterCount, ShouldEqual, 1)
 	})
 }
 
@@ -107,10 +107,10 @@
 		directory := t.TempDir()
 		m, loop := newAcceptorMachine(t, directory)
 		defer loop.store.close()
-		loop.handleTogether(t, acceptRequest("a", 1, 1))
-		So(acknowledged(m.takeSent()), ShouldResemble, []string{"a"})
+		loop.handleAsBatch(t, acceptRequest("a", 1, 1))
+		So(acknowledgedCounters(m.takeSent()), ShouldResemble, []string{"a"})
 		failNextWrite(directory, loop.store.log)
-		loop.handleTogether(t, acceptRequest("a", 5, 7), acceptRequest("b", 1, 1))
+		loop.handleAsBatch(t, acceptRequest("a", 5, 7), acceptRequest("b", 1, 1))
 
 		Convey("sends nothing", func() {
 			So(m.takeSent(), ShouldBeEmpty)
@@ -121,12 +121,12 @@
 			So(stored, ShouldHaveLength, 1)
 			So(stored[0].Change.Counter.Count, ShouldEqual, 1)
 			So(stored[0].Promised.Round, ShouldEqual, 1)
-			So(loop.status().Names, ShouldEqual, 1)
+			So(loop.status().RegisterCount, ShouldEqual, 1)
 		})
 		Convey("goes on with the same identity, and keeps what it had", func() {
 			m.takeSent()
-			loop.handleTogether(t, acceptRequest("b", 1, 2))
-			So(acknowledged(m.takeSent()), ShouldResemble, []string{"b"})
+			loop.handleAsBatch(t, acceptRequest("b", 1, 2))
+			So(acknowledgedCounters(m.takeSent()), ShouldResemble, []string{"b"})
 			So(storedCounts(directory), ShouldResemble, map[string]uint64{"a": 1, "b": 2})
 			So(loop.status().Self, ShouldResemble, replication.Replica{Address: testAddress})
 		})
@@ -137,10 +137,10 @@
 		defer loop.store.close()
 		failNextWrite(directory, loop.store.log)
 		next := register.Config{Epoch: 2, Acceptors: []replication.Replica{testPeer}, Previous: []replication.Replica{{Address: testAddress}}}
-		loop.handleTogether(t, acceptRequest("a", 1, 1), &register.Collect{Config: next})
+		loop.handleAsBatch(t, acceptRequest("a", 1, 1), &register.Collect{Config: next})
 		So(m.takeSent(), ShouldBeEmpty)
 		So(loop.status().Config.Epoch, ShouldEqual, 1)
-		loop.handleTogether(t, &register.Collect{Config: next})
+		loop.handleAsBatch(t, &register.Collect{Config: next})
 		sent := m.takeSent()
 		So(sent, ShouldHaveLength, 1)
 		So(sent[0].(*register.Collected).Registers, ShouldBeEmpty)
@@ -160,7 +160,7 @@
 
 		m, loop := newAcceptorMachine(t, directory)
 		defer loop.store.close()
-		loop.handleTogether(t, &register.Request{Epoch: 1, Prepares: []register.Prepare{
+		loop.handleAsBatch(t, &register.Request{Epoch: 1, Prepares: []register.Prepare{
 			{Name: coordination.Name{Kind: coordination.KindLock, ID: "l"}, Ballot: register.Ballot{Epoch: 1, Round: 1}}}})
 		So(m.sent, ShouldHaveLength, 1)
 		So(m.sent[0].nonce, ShouldEqual, hardState.Self.Nonce)
--- a/internal/fleet/coordinator/forwarder.go
+++ b/internal/fleet/coordinator/forwarder.go
@@ -28,21 +28,21 @@
 )
 
 const (
-	callTimeout   = 850 * time.Millisecond // of a call: applications turn elsewhere after a second of silence
-	firstWait     = 40 * time.Millisecond  // for any answer, before a proposer is sent a copy
-	silenceWait   = 60 * time.Millisecond  // for any answer to the copy, before the next proposer is asked
-	workingWait   = 350 * time.Millisecond // for the result, from a proposer that says that it works on the call
-	suspicionTime = 3 * time.Second        // for which one that did not answer is asked last
+	callTimeout        = 850 * time.Millisecond // of a call: applications turn elsewhere after a second of silence
+	firstReplyTimeout  = 40 * time.Millisecond  // for any answer, before a proposer is sent a copy
+	resendReplyTimeout = 60 * time.Millisecond  // for any answer to the copy, before the next proposer is asked
+	resultTimeout      = 350 * time.Millisecond // for the result, from a proposer that says that it works on the call
+	suspicionDuration  = 3 * time.Second        // for which one that did not answer is asked last
 )
 
 // forwarder sends calls to proposers.
 type forwarder struct {
 	service *Service
 
-	mu       sync.Mutex
-	pending  map[uint64]chan proposerReply
-	suspects map[string]time.Duration // proposers that did not answer: until when others are asked first
-	process  map[string]uint64        // of each proposer's machine, as it answered last
+	mu             sync.Mutex
+	pending        map[uint64]chan proposerReply
+	suspectedUntil map[string]time.Duration // proposers that did not answer: until when others are asked first
+	lastProcess    map[string]uint64        // of each proposer's machine, as it answered last
 }
 
 // proposerReply is a reply and who sent it.
@@ -56,15 +56,15 @@
 func (f *forwarder) init(s *Service) {
 	f.service = s
 	f.pending = map[uint64]chan proposerReply{}
-	f.suspects = map[string]time.Duration{}
-	f.process = map[string]uint64{}
+	f.suspectedUntil = map[string]time.Duration{}
+	f.lastProcess = map[string]uint64{}
 }
 
 func (f *forwarder) deliver(from string, reply *CallReply) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.suspects, from)
-	f.process[from] = reply.Process
+	delete(f.suspectedUntil, from)
+	f.lastProcess[from] = reply.Process
 	if replies := f.pending[reply.ID]; replies != nil {
 		select {
 		case replies <- proposerReply{proposer: from, CallReply: reply}:
@@ -75,14 +75,14 @@
 
 // proposersOf returns the core machines in the order in which they are asked for a name: by rendezvous hashing, those that did not answer
 // lately last.
-func (f *forwarder) proposersOf(name coordination.Name) []string {
+func (f *forwarder) orderedProposers(name coordination.Name) []string {
 	proposers := f.service.options.Proposers()
 	weight := func(address string) uint64 { return xxhash.Sum64String(name.String() + "\x00" + address) }
 	now := f.service.options.Clock()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	suspected := func(address string) int {
-		if now < f.suspects[address] {
+		if now < f.suspectedUntil[address] {
 			return 1
 		}
 		return 0
@@ -94,17 +94,17 @@
 }
 
 // processOf returns the process that answered last at a proposer's address; 0: none has.
-func (f *forwarder) processOf(address string) uint64 {
+func (f *forwarder) lastProcessOf(address string) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.process[address]
+	return f.lastProcess[address]
 }
 
 func (f *forwarder) suspect(address string) {
 	f.service.Counters.FailedOver.Add(1)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.suspects[address] = f.service.options.Clock() + suspicionTime
+	f.suspectedUntil[address] = f.service.options.Clock() + suspicionDuration
 }
 
 // Execute has an operation executed. park is how long a watch waits for events. Errors: ErrUnclear, ErrOverloaded, ErrNoProposer and
@@ -125,25 +125,25 @@
 	if f.service.IsResuming() {
 		return coordination.Result{}, ErrResuming // its caller may have turned elsewhere
 	}
-	proposers := f.proposersOf(operation.Name)
+	proposers := f.orderedProposers(operation.Name)
 	if len(proposers) == 0 {
 		return coordination.Result{}, ErrNoProposer
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout+park)
 	defer cancel()
 	call := f.newCall(operation, park)
-	defer f.close(call.request.ID)
+	defer f.removePendingCall(call.request.ID)
 	for attempt := 0; ; attempt++ {
 		call.proposer = proposers[attempt%len(proposers)]
-		result, outcome := call.ask(ctx)
+		result, outcome := call.attempt(ctx)
 		switch outcome {
 		case answered:
 			return result, nil
 		case notExecuted:
 			return coordination.Result{}, ErrOverloaded
-		case gaveUp:
+		case outcomeUnclear:
 			return coordination.Result{}, ErrUnclear
-		case silent:
+		case noReply:
 			f.suspect(call.proposer)
 		}
 	}
@@ -151,13 +151,13 @@
 
 // forwardedCall is a call on its way.
 type forwardedCall struct {
-	forwarder *forwarder
-	request   CallRequest
-	deadline  time.Duration
-	replies   chan proposerReply
-	proposer  string // that is asked now
-	sent      int    // copies, to all proposers
-	bound     bool   // the last copy is for one process alone: what that refuses, no later one executes
+	forwarder      *forwarder
+	request        CallRequest
+	deadline       time.Duration
+	replies        chan proposerReply
+	proposer       string // that is asked now
+	copiesSent     int    // copies, to all proposers
+	boundToProcess bool   // the last copy is for one process alone: what that refuses, no later one executes
 }
 
 func (f *forwarder) newCall(operation *coordination.Operation, park time.Duration) *forwardedCall {
@@ -172,92 +172,92 @@
 	return call
 }
 
-func (f *forwarder) close(id uint64) {
+func (f *forwarder) removePendingCall(id uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.pending, id)
 }
 
 // askOutcome is how the asking of one proposer ended.
-type askOutcome uint8
+type attemptOutcome uint8
 
 const (
-	answered    askOutcome = iota + 1
-	notExecuted            // nowhere, and never will be
-	silent                 // no answer of any kind: ask the next one
-	busy                   // it works on the call and takes long: ask the next one too
-	gaveUp                 // the call's time is over, or its outcome is unclear
+	answered       attemptOutcome = iota + 1
+	notExecuted                   // nowhere, and never will be
+	noReply                       // no answer of any kind: ask the next one
+	inProgress                    // it works on the call and takes long: ask the next one too
+	outcomeUnclear                // the call's time is over, or its outcome is unclear
 )
 
 // ask sends the call to a proposer, and waits for as long as one that is alive may take.
-func (c *forwardedCall) ask(ctx context.Context) (coordination.Result, askOutcome) {
-	waits := []time.Duration{firstWait, silenceWait}
+func (c *forwardedCall) attempt(ctx context.Context) (coordination.Result, attemptOutcome) {
+	replyTimeouts := []time.Duration{firstReplyTimeout, resendReplyTimeout}
 	if c.request.Park > 0 {
-		waits = []time.Duration{firstWait, c.request.Park + firstWait, silenceWait}
+		replyTimeouts = []time.Duration{firstReplyTimeout, c.request.Park + firstReplyTimeout, resendReplyTimeout}
 	}
-	outcome := silent
-	for _, wait := range waits {
+	outcome := noReply
+	for _, replyTimeout := range replyTimeouts {
 		c.send()
 		var result coordination.Result
-		if result, outcome = c.await(ctx, wait); outcome != silent && outcome != busy {
+		if result, outcome = c.await(ctx, replyTimeout); outcome != noReply && outcome != inProgress {
 			return result, outcome
 		}
 	}
-	if outcome == silent {
-		return coordination.Result{}, silent
+	if outcome == noReply {
+		return coordination.Result{}, noReply
 	}
-	result, outcome := c.await(ctx, workingWait)
-	if outcome == silent {
-		outcome = busy
+	result, outcome := c.await(ctx, resultTimeout)
+	if outcome == noReply {
+		outcome = inProgress
 	}
 	return result, outcome
 }
 
 // send sends a copy of the call.
 func (c *forwardedCall) send() {
-	c.sent++
+	c.copiesSent++
 	request := c.request
 	request.Timeout = max(0, c.deadline-c.forwarder.service.options.Clock())
-	request.Process = c.forwarder.processOf(c.proposer)
-	c.bound = request.Process != 0
+	request.Process = c.forwarder.lastProcessOf(c.proposer)
+	c.boundToProcess = request.Process != 0
 	c.forwarder.service.send(c.proposer, 0, &request)
 }
 
 // await waits for a reply. The outcome is silent where none comes in time, and busy where the proposer says that it works on the call.
-func (c *forwardedCall) await(ctx context.Context, wait time.Duration) (coordination.Result, askOutcome) {
-	timer := time.NewTimer(wait)
+func (c *forwardedCall) await(ctx context.Context, replyTimeout time.Duration) (coordination.Result, attemptOutcome) {
+	timer := time.NewTimer(replyTimeout)
 	defer timer.Stop()
 	isWorking := false
 	for {
 		select {
 		case <-ctx.Done():
-			return coordination.Result{}, gaveUp
+			return coordination.Result{}, outcomeUnclear
 		case reply := <-c.replies:
-			if result, outcome := c.interpret(reply); outcome != silent && outcome != busy {
+			if result, outcome := c.interpret(reply); outcome != noReply && outcome != inProgress {
 				return result, outcome
-			} else if outcome == busy {
+			} else if outcome == inProgress {
 				isWorking = true
 			}
 		case <-timer.C:
 			if isWorking {
-				return coordination.Result{}, busy
+				return coordination.Result{}, inProgress
 			}
-			return coordination.Result{}, silent
+			return coordination.Result{}, noReply
 		}
 	}
 }
 
 // interpret says what a reply means for the call; silent: nothing. What a former proposer could not do, the present one may.
-func (c *forwardedCall) interpret(reply proposerReply) (coordination.Result, askOutcome) {
+func (c *forwardedCall) interpret(reply proposerReply) (coordination.Result, attemptOutcome) {
 	switch {
 	case reply.Certainty == register.Decided:
 		return reply.Result, answered
 	case reply.proposer != c.proposer:
-		return coordination.Result{}, silent
+		return coordination.Result{}, noReply
 	case reply.Certainty == 0:
-		return coordination.Result{}, busy
-	case reply.Certainty == register.NotExecuted && c.sent == 1 && c.bound:
+		return coordination.Result{}, inProgress
+	case reply.Certainty == register.NotExecuted && c.copiesSent == 1 && c.boundToProcess:
 		return coordination.Result{}, notExecuted
 	}
-	return coordination.Result{}, gaveUp
+	return coordination.Result{}, outcomeUnclear
 }
--- a/internal/fleet/coordinator/forwarder_test.go
+++ b/internal/fleet/coordinator/forwarder_test.go
@@ -16,22 +16,22 @@
 
 // scriptedProposers answer the calls of a machine that has no proposer itself.
 type scriptedProposers struct {
-	service *Service
-	members []string
-	asked   []string // each time a call came
-	reply   func(proposer string, request *CallRequest) *CallReply
+	service            *Service
+	proposers          []string
+	requestedProposers []string // each time a call came
+	reply              func(proposer string, request *CallRequest) *CallReply
 }
 
 func newScriptedProposers(reply func(proposer string, request *CallRequest) *CallReply) *scriptedProposers {
-	p := &scriptedProposers{members: []string{"10.0.0.2:1", "10.0.0.3:1", "10.0.0.4:1"}, reply: reply}
+	p := &scriptedProposers{proposers: []string{"10.0.0.2:1", "10.0.0.3:1", "10.0.0.4:1"}, reply: reply}
 	start := time.Now()
 	service, err := Start(Options{
 		Address:   testAddress,
-		Proposers: func() []string { return slices.Clone(p.members) },
+		Proposers: func() []string { return slices.Clone(p.proposers) },
 		Clock:     func() time.Duration { return time.Since(start) },
 		Send: func(to string, _ uint64, message any) {
 			request := message.(*CallRequest)
-			p.asked = append(p.asked, to)
+			p.requestedProposers = append(p.requestedProposers, to)
 			if reply := p.reply(to, request); reply != nil {
 				p.service.Receive(to, 0, reply)
 			}
@@ -42,18 +42,18 @@
 	return p
 }
 
-func (p *scriptedProposers) order(id string) []string {
-	return p.service.forwarder.proposersOf(coordination.Name{Kind: coordination.KindCounter, ID: id})
+func (p *scriptedProposers) preferenceOrder(id string) []string {
+	return p.service.forwarder.orderedProposers(coordination.Name{Kind: coordination.KindCounter, ID: id})
 }
 
 func (p *scriptedProposers) increment(ctx context.Context) (coordination.Result, error) {
 	return p.service.Execute(ctx, &coordination.Operation{Kind: coordination.Increment, Name: counterName}, 0)
 }
 
-func silence(string, *CallRequest) *CallReply { return nil }
+func sendNoReply(string, *CallRequest) *CallReply { return nil }
 
 // replying returns proposers that answer every call alike.
-func replying(certainty register.Certainty, count uint64) func(string, *CallRequest) *CallReply {
+func replyWith(certainty register.Certainty, count uint64) func(string, *CallRequest) *CallReply {
 	return func(_ string, request *CallRequest) *CallReply {
 		return &CallReply{ID: request.ID, Certainty: certainty, Result: coordination.Result{Outcome: coordination.Done, Count: count}}
 	}
@@ -61,27 +61,27 @@
 
 func TestOrderOfProposers(t *testing.T) {
 	Convey("The order in which proposers are asked for a name", t, func() {
-		p := newScriptedProposers(silence)
+		p := newScriptedProposers(sendNoReply)
 		Convey("is the same whatever order they are known in", func() {
 			for i := range 50 {
-				before := p.order(fmt.Sprint(i))
-				slices.Reverse(p.members)
-				So(p.order(fmt.Sprint(i)), ShouldResemble, before)
+				before := p.preferenceOrder(fmt.Sprint(i))
+				slices.Reverse(p.proposers)
+				So(p.preferenceOrder(fmt.Sprint(i)), ShouldResemble, before)
 			}
 		})
 		Convey("keeps its order without one of them", func() {
 			for i := range 50 {
-				before := p.order(fmt.Sprint(i))
-				lost := p.members[0]
-				p.members = p.members[1:]
-				So(p.order(fmt.Sprint(i)), ShouldResemble, slices.DeleteFunc(before, func(a string) bool { return a == lost }))
-				p.members = append(p.members, lost)
+				before := p.preferenceOrder(fmt.Sprint(i))
+				removed := p.proposers[0]
+				p.proposers = p.proposers[1:]
+				So(p.preferenceOrder(fmt.Sprint(i)), ShouldResemble, slices.DeleteFunc(before, func(a string) bool { return a == removed }))
+				p.proposers = append(p.proposers, removed)
 			}
 		})
 		Convey("begins with each of them for some names", func() {
 			first := map[string]int{}
 			for i := range 300 {
-				first[p.order(fmt.Sprint(i))[0]]++
+				first[p.preferenceOrder(fmt.Sprint(i))[0]]++
 			}
 			So(first, ShouldHaveLength, 3)
 			for _, count := range first {
@@ -92,7 +92,7 @@
 			differ := 0
 			for i := range 50 {
 				lock := coordination.Name{Kind: coordination.KindLock, ID: fmt.Sprint(i)}
-				if p.service.forwarder.proposersOf(lock)[0] != p.order(fmt.Sprint(i))[0] {
+				if p.service.forwarder.orderedProposers(lock)[0] != p.preferenceOrder(fmt.Sprint(i))[0] {
 					differ++
 				}
 			}
@@ -101,16 +101,16 @@
 	})
 }
 
-func TestForwarderTurnsToTheNextProposer(t *testing.T) {
+func TestForwarderFailsOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("A proposer that is silent", t, func() {
-			p := newScriptedProposers(silence)
-			order := p.order(counterName.ID)
+			p := newScriptedProposers(sendNoReply)
+			order := p.preferenceOrder(counterName.ID)
 			p.reply = func(proposer string, request *CallRequest) *CallReply {
 				if proposer == order[0] {
 					return nil
 				}
-				return replying(register.Decided, 7)(proposer, request)
+				return replyWith(register.Decided, 7)(proposer, request)
 			}
 			start := time.Now()
 			result, err := p.increment(t.Context())
@@ -118,21 +118,21 @@
 			Convey("is asked twice, and then the next one, with the same call", func() {
 				So(err, ShouldBeNil)
 				So(result.Count, ShouldEqual, 7)
-				So(p.asked, ShouldResemble, []string{order[0], order[0], order[1]})
-				So(time.Since(start), ShouldEqual, firstWait+silenceWait)
+				So(p.requestedProposers, ShouldResemble, []string{order[0], order[0], order[1]})
+				So(time.Since(start), ShouldEqual, firstReplyTimeout+resendReplyTimeout)
 				So(p.service.Counters.FailedOver.Load(), ShouldEqual, 1)
 			})
 			Convey("is asked last for a while", func() {
 				suspected := append(slices.Clone(order[1:]), order[0])
-				So(p.order(counterName.ID), ShouldResemble, suspected)
-				time.Sleep(suspicionTime - 1)
-				So(p.order(counterName.ID), ShouldResemble, suspected)
+				So(p.preferenceOrder(counterName.ID), ShouldResemble, suspected)
+				time.Sleep(suspicionDuration - 1)
+				So(p.preferenceOrder(counterName.ID), ShouldResemble, suspected)
 				time.Sleep(time.Nanosecond)
-				So(p.order(counterName.ID), ShouldResemble, order)
+				So(p.preferenceOrder(counterName.ID), ShouldResemble, order)
 			})
 			Convey("is asked first again once it answers anything", func() {
 				p.service.Receive(order[0], 0, &CallReply{ID: 1})
-				So(p.order(counterName.ID), ShouldResemble, order)
+				So(p.preferenceOrder(counterName.ID), ShouldResemble, order)
 			})
 		})
 	})
@@ -142,58 +142,58 @@
 func TestForwarderOutcomes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("A call that the first proposer did not execute is refused", t, func() {
-			p := newScriptedProposers(replying(register.NotExecuted, 0))
-			p.service.Receive(p.order(counterName.ID)[0], 0, &CallReply{Process: 7})
+			p := newScriptedProposers(replyWith(register.NotExecuted, 0))
+			p.service.Receive(p.preferenceOrder(counterName.ID)[0], 0, &CallReply{Process: 7})
 			_, err := p.increment(t.Context())
 			So(err, ShouldEqual, ErrOverloaded)
-			So(p.asked, ShouldHaveLength, 1)
+			So(p.requestedProposers, ShouldHaveLength, 1)
 			So(p.service.Counters.Refused.Load(), ShouldEqual, 1)
 		})
 		Convey("A call that is not bound to the process that did not execute it is unclear: the next one may", t, func() {
-			p := newScriptedProposers(replying(register.NotExecuted, 0))
+			p := newScriptedProposers(replyWith(register.NotExecuted, 0))
 			_, err := p.increment(t.Context())
 			So(err, ShouldEqual, ErrUnclear)
 		})
 		Convey("A call that a second proposer did not execute is unclear", t, func() {
-			p := newScriptedProposers(silence)
-			first := p.order(counterName.ID)[0]
+			p := newScriptedProposers(sendNoReply)
+			first := p.preferenceOrder(counterName.ID)[0]
 			p.reply = func(proposer string, request *CallRequest) *CallReply {
 				if proposer == first {
 					return nil
 				}
-				return replying(register.NotExecuted, 0)(proposer, request)
+				return replyWith(register.NotExecuted, 0)(proposer, request)
 			}
 			_, err := p.increment(t.Context())
 			So(err, ShouldEqual, ErrUnclear)
 			So(p.service.Counters.Unclear.Load(), ShouldEqual, 1)
 		})
 		Convey("A call whose outcome a proposer does not know is unclear", t, func() {
-			p := newScriptedProposers(replying(register.Unclear, 0))
+			p := newScriptedProposers(replyWith(register.Unclear, 0))
 			_, err := p.increment(t.Context())
 			So(err, ShouldEqual, ErrUnclear)
-			So(p.asked, ShouldHaveLength, 1)
+			So(p.requestedProposers, ShouldHaveLength, 1)
 		})
 		Convey("A call without any answer is unclear within the caller's second", t, func() {
-			p := newScriptedProposers(silence)
+			p := newScriptedProposers(sendNoReply)
 			start := time.Now()
 			_, err := p.increment(t.Context())
 			So(err, ShouldEqual, ErrUnclear)
 			So(time.Since(start), ShouldBeLessThan, time.Second)
-			So(slices.Compact(slices.Sorted(slices.Values(p.asked))), ShouldHaveLength, 3)
+			So(slices.Compact(slices.Sorted(slices.Values(p.requestedProposers))), ShouldHaveLength, 3)
 		})
 		Convey("A call whose caller has gone is unclear", t, func() {
-			p := newScriptedProposers(silence)
+			p := newScriptedProposers(sendNoReply)
 			ctx, cancel := context.WithCancel(t.Context())
 			cancel()
 			_, err := p.increment(ctx)
 			So(err, ShouldEqual, ErrUnclear)
 		})
 		Convey("A call where no proposer is known is refused", t, func() {
-			p := newScriptedProposers(silence)
-			p.members = nil
+			p := newScriptedProposers(sendNoReply)
+			p.proposers = nil
 			_, err := p.increment(t.Context())
 			So(err, ShouldEqual, ErrNoProposer)
-			So(p.asked, ShouldBeEmpty)
+			So(p.requestedProposers, ShouldBeEmpty)
 			So(p.service.Counters.Refused.Load(), ShouldEqual, 1)
 		})
 	})
@@ -202,15 +202,15 @@
 func TestForwarderMatchesReplies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("A reply to a former call is ignored", t, func() {
-			var former *CallRequest
+			var earlier *CallRequest
 			p := newScriptedProposers(nil)
 			p.reply = func(proposer string, request *CallRequest) *CallReply {
-				if former == nil {
-					former = request
+				if earlier == nil {
+					earlier = request
 				} else {
-					p.service.Receive(proposer, 0, replying(register.Decided, 1)(proposer, former))
+					p.service.Receive(proposer, 0, replyWith(register.Decided, 1)(proposer, earlier))
 				}
-				return replying(register.Decided, 2)(proposer, request)
+				return replyWith(register.Decided, 2)(proposer, request)
 			}
 			for range 2 {
 				result, err := p.increment(t.Context())
@@ -222,15 +222,15 @@
 		Convey("A reply that comes twice answers once", t, func() {
 			p := newScriptedProposers(nil)
 			p.reply = func(proposer string, request *CallRequest) *CallReply {
-				p.service.Receive(proposer, 0, replying(register.Decided, 3)(proposer, request))
-				return replying(register.Decided, 3)(proposer, request)
+				p.service.Receive(proposer, 0, replyWith(register.Decided, 3)(proposer, request))
+				return replyWith(register.Decided, 3)(proposer, request)
 			}
 			result, err := p.increment(t.Context())
 			So(err, ShouldBeNil)
 			So(result.Count, ShouldEqual, 3)
 		})
 		Convey("A watch waits for its events and the time of a call", t, func() {
-			p := newScriptedProposers(silence)
+			p := newScriptedProposers(sendNoReply)
 			start := time.Now()
 			_, err := p.service.Execute(t.Context(), &coordination.Operation{Kind: coordination.Watch}, 400*time.Millisecond)
 			So(err, ShouldEqual, ErrUnclear)
--- a/internal/fleet/coordinator/fuzz_test.go
+++ b/internal/fleet/coordinator/fuzz_test.go
@@ -48,10 +48,10 @@
 		for _, from := range []string{testPeer.Address, testAddress, testPeer.Address} {
 			m.service.Receive(from, 0, message)
 			m.service.proposer.onCall(from, incrementRequest(uint64(kind)))
-			m.settle(t)
+			m.drainInboxes(t)
 			m.now += time.Second
 			m.service.proposer.tick()
-			m.settle(t)
+			m.drainInboxes(t)
 			m.service.acceptor.step(t.Context(), m.service.acceptor.acceptor.Tick(m.now))
 			m.service.acceptor.flush(t.Context())
 		}
--- a/internal/fleet/coordinator/pause.go
+++ b/internal/fleet/coordinator/pause.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	minPause   = 700 * time.Millisecond // without a tick, after which the process was paused: stopped, or starved of its processor
-	resumeTime = 150 * time.Millisecond // in which what waited in the sockets is read
+	minPause       = 700 * time.Millisecond // without a tick, after which the process was paused: stopped, or starved of its processor
+	resumeDuration = 150 * time.Millisecond // in which what waited in the sockets is read
 )
 
 // pauseDetector finds out that the process did not run for a while. Any goroutine may use it.
@@ -19,7 +19,7 @@
 func (d *pauseDetector) tick(now time.Duration) {
 	last := time.Duration(d.lastTick.Swap(int64(now)))
 	if last > 0 && now-last > minPause {
-		d.resumeUntil.Store(int64(now + resumeTime))
+		d.resumeUntil.Store(int64(now + resumeDuration))
 	}
 }
 
--- a/internal/fleet/coordinator/proposer_loop.go
+++ b/internal/fleet/coordinator/proposer_loop.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	minTick       = 2 * time.Millisecond
-	restTick      = 100 * time.Millisecond
-	helloInterval = 500 * time.Millisecond
-	replyTTL      = 5 * time.Second // for which a repeated call gets the first one's reply
-	decideTimeout = 800 * time.Millisecond
-	maxNames      = 50_000 // registers of an acceptor, beyond which no new one is made
+	minTickInterval     = 2 * time.Millisecond
+	maintenanceInterval = 100 * time.Millisecond
+	helloInterval       = 500 * time.Millisecond
+	replyTTL            = 5 * time.Second // for which a repeated call gets the first one's reply
+	decideTimeout       = 800 * time.Millisecond
+	maxRegisters        = 50_000 // registers of an acceptor, beyond which no new one is made
 )
 
 // ProposerStatus is what other goroutines may know of the proposer.
 type ProposerStatus struct {
-	Config register.Config
-	Names  int
+	Config        register.Config
+	RegisterCount int
 }
 
 // callKey identifies a call of another machine.
@@ -36,39 +36,39 @@
 
 // callState is a call that the proposer was asked to execute.
 type callState struct {
-	name  coordination.Name
-	reply *CallReply // nil: it is under way
-	until time.Duration
+	name      coordination.Name
+	reply     *CallReply // nil: it is under way
+	expiresAt time.Duration
 }
 
 // proposerLoop runs the machine's proposer, and the choice of the next acceptors.
 type proposerLoop struct {
-	service   *Service
-	inbox     chan received
-	proposer  *register.Proposer
-	planner   *register.Planner
-	calls     map[callKey]*callState
-	keys      map[uint64]callKey // of the calls under way, by the number that the proposer knows them by
-	lastID    uint64
-	process   uint64            // drawn at the start: a call that is meant for the process before is not executed
-	ready     map[string]uint64 // the newest epoch in which each machine's acceptor is known to take part
-	deciding  uint64            // the number of the call by which the next acceptors are decided; 0: none
-	nextHello time.Duration
-	nextRest  time.Duration
-	published atomic.Pointer[ProposerStatus]
+	service           *Service
+	inbox             chan receivedMessage
+	proposer          *register.Proposer
+	planner           *register.Planner
+	calls             map[callKey]*callState
+	keysByCallID      map[uint64]callKey // of the calls under way, by the number that the proposer knows them by
+	lastID            uint64
+	process           uint64            // drawn at the start: a call that is meant for the process before is not executed
+	readyEpochs       map[string]uint64 // the newest epoch in which each machine's acceptor is known to take part
+	configCallID      uint64            // the number of the call by which the next acceptors are decided; 0: none
+	nextHelloAt       time.Duration
+	nextMaintenanceAt time.Duration
+	published         atomic.Pointer[ProposerStatus]
 }
 
 func newProposerLoop(s *Service) *proposerLoop {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	l := &proposerLoop{
-		service:  s,
-		inbox:    make(chan received, inboxSize),
-		process:  random.Uint64() | 1,
-		proposer: register.NewProposer(register.ProposerOptions{State: s.options.State, Random: random}),
-		planner:  register.NewPlanner(s.options.Tolerance),
-		calls:    map[callKey]*callState{},
-		keys:     map[uint64]callKey{},
-		ready:    map[string]uint64{},
+		service:      s,
+		inbox:        make(chan receivedMessage, inboxSize),
+		process:      random.Uint64() | 1,
+		proposer:     register.NewProposer(register.ProposerOptions{State: s.options.State, Random: random}),
+		planner:      register.NewPlanner(s.options.Tolerance),
+		calls:        map[callKey]*callState{},
+		keysByCallID: map[uint64]callKey{},
+		readyEpochs:  map[string]uint64{},
 	}
 	l.published.Store(&ProposerStatus{})
 	return l
@@ -83,7 +83,7 @@
 func (l *proposerLoop) run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	due := l.now()
+	nextTickAt := l.now()
 	for {
 		select {
 		case <-ctx.Done():
@@ -92,12 +92,12 @@
 			l.receive(m)
 		case <-timer.C:
 			l.tick()
-			due = l.now() + restTick
-			timer.Reset(restTick)
+			nextTickAt = l.now() + maintenanceInterval
+			timer.Reset(maintenanceInterval)
 		}
-		if next, waits := l.proposer.NextTick(); waits && next < due {
-			due = max(next, l.now()+minTick)
-			timer.Reset(due - l.now())
+		if next, isScheduled := l.proposer.NextTick(); isScheduled && next < nextTickAt {
+			nextTickAt = max(next, l.now()+minTickInterval)
+			timer.Reset(nextTickAt - l.now())
 		}
 	}
 }
@@ -106,23 +106,23 @@
 func (l *proposerLoop) tick() {
 	now := l.now()
 	l.execute(l.proposer.Tick(now))
-	if now < l.nextRest {
+	if now < l.nextMaintenanceAt {
 		return
 	}
-	l.nextRest = now + restTick
+	l.nextMaintenanceAt = now + maintenanceInterval
 	status := l.service.acceptor.status()
 	l.setConfig(status.Config)
-	l.planner.Observe(now, l.hello())
-	l.forgetCalls(now)
-	if now >= l.nextHello {
-		l.nextHello = now + helloInterval
+	l.planner.Observe(now, l.newHello())
+	l.removeExpiredCalls(now)
+	if now >= l.nextHelloAt {
+		l.nextHelloAt = now + helloInterval
 		l.sendHellos()
 	}
-	l.plan(now, status)
-	l.published.Store(&ProposerStatus{Config: l.proposer.Config(), Names: l.proposer.RegisterCount()})
+	l.planNextConfig(now, status)
+	l.published.Store(&ProposerStatus{Config: l.proposer.Config(), RegisterCount: l.proposer.RegisterCount()})
 }
 
-func (l *proposerLoop) receive(m received) {
+func (l *proposerLoop) receive(m receivedMessage) {
 	switch message := m.message.(type) {
 	case *register.Reply:
 		l.execute(l.proposer.Receive(l.now(), m.from, message))
@@ -165,33 +165,33 @@
 	if l.service.IsResuming() {
 		return // a call that waited through a pause of this process is its caller's no more
 	}
-	if !l.proposer.HasRegister(m.Operation.Name) && l.service.acceptor.status().Names >= maxNames {
+	if !l.proposer.HasRegister(m.Operation.Name) && l.service.acceptor.status().RegisterCount >= maxRegisters {
 		l.reply(from, &CallReply{ID: m.ID, Certainty: register.NotExecuted})
 		return
 	}
 	now := l.now()
-	l.calls[key] = &callState{name: m.Operation.Name, until: now + m.Timeout + m.Park + replyTTL}
+	l.calls[key] = &callState{name: m.Operation.Name, expiresAt: now + m.Timeout + m.Park + replyTTL}
 	l.lastID++
-	l.keys[l.lastID] = key
+	l.keysByCallID[l.lastID] = key
 	l.execute(l.proposer.Submit(now, &register.Call{
 		ID: l.lastID, Operation: m.Operation, Deadline: now + m.Timeout, ParkUntil: now + m.Park,
 	}))
 }
 
 func (l *proposerLoop) complete(c register.Completion) {
-	if c.ID == l.deciding {
-		l.onDecided(c)
+	if c.ID == l.configCallID {
+		l.onConfigDecided(c)
 		return
 	}
-	key, known := l.keys[c.ID]
+	key, known := l.keysByCallID[c.ID]
 	if !known {
 		return
 	}
-	delete(l.keys, c.ID)
+	delete(l.keysByCallID, c.ID)
 	reply := &CallReply{ID: key.id, Certainty: c.Certainty, Result: c.Result}
 	if state := l.calls[key]; state != nil {
 		state.reply = reply
-		l.noteExpiry(state.name, &c)
+		l.recordLockExpiry(state.name, &c)
 	}
 	l.reply(key.from, reply)
 }
@@ -202,7 +202,7 @@
 }
 
 // noteExpiry counts and logs a lock that has passed on because its holder's time had run out.
-func (l *proposerLoop) noteExpiry(name coordination.Name, c *register.Completion) {
+func (l *proposerLoop) recordLockExpiry(name coordination.Name, c *register.Completion) {
 	if c.Certainty != register.Decided || c.Result.Expired == "" {
 		return
 	}
@@ -211,12 +211,12 @@
 		zap.Uint64("fence", c.Result.Fence))
 }
 
-func (l *proposerLoop) forgetCalls(now time.Duration) {
+func (l *proposerLoop) removeExpiredCalls(now time.Duration) {
 	if l.service.IsResuming() {
 		return // copies of the calls may wait to be read
 	}
 	for key, state := range l.calls {
-		if now > state.until {
+		if now > state.expiresAt {
 			delete(l.calls, key)
 		}
 	}
@@ -228,7 +228,7 @@
 	l.setConfig(m.Config)
 	switch epoch := l.proposer.Config().Epoch; {
 	case m.Config.Epoch < epoch:
-		l.service.send(from, 0, l.hello())
+		l.service.send(from, 0, l.newHello())
 	case m.ReadyEpoch == epoch:
 		l.resume(from)
 	}
@@ -236,10 +236,10 @@
 
 // resume asks an acceptor for what it could not answer before it was ready.
 func (l *proposerLoop) resume(address string) {
-	if l.ready[address] == l.proposer.Config().Epoch {
+	if l.readyEpochs[address] == l.proposer.Config().Epoch {
 		return
 	}
-	l.ready[address] = l.proposer.Config().Epoch
+	l.readyEpochs[address] = l.proposer.Config().Epoch
 	l.execute(l.proposer.Resume(l.now(), address))
 }
 
@@ -250,7 +250,7 @@
 }
 
 // hello returns what this machine says of itself. An acceptor whose identity is not durable is not named.
-func (l *proposerLoop) hello() *register.Hello {
+func (l *proposerLoop) newHello() *register.Hello {
 	options := &l.service.options
 	status := l.service.acceptor.status()
 	hello := &register.Hello{
@@ -263,27 +263,27 @@
 }
 
 func (l *proposerLoop) sendHellos() {
-	hello := l.hello()
-	told := map[string]bool{l.service.options.Address: true}
-	tell := func(address string) {
-		if !told[address] {
-			told[address] = true
+	hello := l.newHello()
+	sentTo := map[string]bool{l.service.options.Address: true}
+	sendOnce := func(address string) {
+		if !sentTo[address] {
+			sentTo[address] = true
 			l.service.options.Send(address, 0, hello)
 		}
 	}
 	for _, peer := range l.service.options.Peers() {
-		tell(peer)
+		sendOnce(peer)
 	}
 	for _, acceptor := range hello.Config.Acceptors {
-		tell(acceptor.Address)
+		sendOnce(acceptor.Address)
 	}
 }
 
 // plan has the present acceptors decide the next ones, where this machine is to propose them, or asks whether they have.
-func (l *proposerLoop) plan(now time.Duration, status AcceptorStatus) {
+func (l *proposerLoop) planNextConfig(now time.Duration, status AcceptorStatus) {
 	config := l.proposer.Config()
 	next, ok := l.planner.Next(now, config, status.Self)
-	if l.deciding != 0 {
+	if l.configCallID != 0 {
 		return
 	}
 	var operation coordination.Operation
@@ -302,13 +302,13 @@
 		return
 	}
 	l.lastID++
-	l.deciding = l.lastID
-	l.execute(l.proposer.Submit(now, &register.Call{ID: l.deciding, Operation: operation, Deadline: now + decideTimeout}))
+	l.configCallID = l.lastID
+	l.execute(l.proposer.Submit(now, &register.Call{ID: l.configCallID, Operation: operation, Deadline: now + decideTimeout}))
 }
 
 // onDecided takes over the acceptors that were decided, and tells the others.
-func (l *proposerLoop) onDecided(c register.Completion) {
-	l.deciding = 0
+func (l *proposerLoop) onConfigDecided(c register.Completion) {
+	l.configCallID = 0
 	if c.Certainty != register.Decided || c.Result.Value == "" {
 		return
 	}
--- a/internal/fleet/coordinator/proposer_loop_test.go
+++ b/internal/fleet/coordinator/proposer_loop_test.go
@@ -15,20 +15,20 @@
 func newProposerMachine(t *testing.T) *machine {
 	m, _ := newAcceptorMachine(t, "")
 	m.service.proposer.tick()
-	m.settle(t)
+	m.drainInboxes(t)
 	So(m.service.proposer.proposer.Config().Epoch, ShouldEqual, 1)
 	m.takeSent()
 	return m
 }
 
 // settle has both loops handle what waits, until nothing does.
-func (m *machine) settle(t *testing.T) {
+func (m *machine) drainInboxes(t *testing.T) {
 	for {
 		select {
-		case received := <-m.service.acceptor.inbox:
-			m.service.acceptor.handleGroup(t.Context(), received)
-		case received := <-m.service.proposer.inbox:
-			m.service.proposer.receive(received)
+		case message := <-m.service.acceptor.inbox:
+			m.service.acceptor.handleBatch(t.Context(), message)
+		case message := <-m.service.proposer.inbox:
+			m.service.proposer.receive(message)
 		default:
 			return
 		}
@@ -36,16 +36,16 @@
 }
 
 // ask has the proposer receive a call of another machine, and returns what that machine is answered.
-func (m *machine) ask(t *testing.T, from string, request *CallRequest) []*CallReply {
+func (m *machine) call(t *testing.T, from string, request *CallRequest) []*CallReply {
 	m.service.Receive(from, 0, request)
-	m.settle(t)
+	m.drainInboxes(t)
 	var replies []*CallReply
 	for _, sent := range m.sent {
 		if reply, ok := sent.message.(*CallReply); ok && sent.to == from {
 			So(reply.Process, ShouldEqual, m.service.proposer.process)
-			unsigned := *reply
-			unsigned.Process = 0
-			replies = append(replies, &unsigned)
+			withoutProcess := *reply
+			withoutProcess.Process = 0
+			replies = append(replies, &withoutProcess)
 		}
 	}
 	m.sent = nil
@@ -58,7 +58,7 @@
 	}
 }
 
-func counted(id, count uint64) []*CallReply {
+func repliesWithCount(id, count uint64) []*CallReply {
 	return []*CallReply{{ID: id, Certainty: register.Decided, Result: coordination.Result{Outcome: coordination.Done, Count: count}}}
 }
 
@@ -69,36 +69,36 @@
 		m := newProposerMachine(t)
 
 		Convey("that comes again after its reply gets the same one", func() {
-			So(m.ask(t, caller, incrementRequest(1)), ShouldResemble, counted(1, 1))
-			So(m.ask(t, caller, incrementRequest(1)), ShouldResemble, counted(1, 1))
+			So(m.call(t, caller, incrementRequest(1)), ShouldResemble, repliesWithCount(1, 1))
+			So(m.call(t, caller, incrementRequest(1)), ShouldResemble, repliesWithCount(1, 1))
 			So(m.service.Counters.Duplicates.Load(), ShouldEqual, 1)
-			So(m.ask(t, caller, incrementRequest(2)), ShouldResemble, counted(2, 2))
+			So(m.call(t, caller, incrementRequest(2)), ShouldResemble, repliesWithCount(2, 2))
 		})
 		Convey("that comes again while it is under way is told so, and gets one result", func() {
 			m.service.proposer.onCall(caller, incrementRequest(1))
 			m.service.proposer.onCall(caller, incrementRequest(1))
-			underWay := &CallReply{ID: 1}
-			So(m.ask(t, caller, incrementRequest(1)), ShouldResemble, append([]*CallReply{underWay, underWay}, counted(1, 1)...))
+			inProgressReply := &CallReply{ID: 1}
+			So(m.call(t, caller, incrementRequest(1)), ShouldResemble, append([]*CallReply{inProgressReply, inProgressReply}, repliesWithCount(1, 1)...))
 			So(m.service.Counters.Duplicates.Load(), ShouldEqual, 2)
 		})
 		Convey("of another machine is another call, also with the same number", func() {
-			So(m.ask(t, caller, incrementRequest(1)), ShouldResemble, counted(1, 1))
-			So(m.ask(t, other, incrementRequest(1)), ShouldResemble, counted(1, 2))
+			So(m.call(t, caller, incrementRequest(1)), ShouldResemble, repliesWithCount(1, 1))
+			So(m.call(t, other, incrementRequest(1)), ShouldResemble, repliesWithCount(1, 2))
 		})
 		Convey("is known for as long as it may come again, and then forgotten", func() {
-			So(m.ask(t, caller, incrementRequest(1)), ShouldResemble, counted(1, 1))
+			So(m.call(t, caller, incrementRequest(1)), ShouldResemble, repliesWithCount(1, 1))
 			m.now += callTimeout + replyTTL
 			m.service.proposer.tick()
-			So(m.ask(t, caller, incrementRequest(1)), ShouldResemble, counted(1, 1))
-			m.now += restTick
+			So(m.call(t, caller, incrementRequest(1)), ShouldResemble, repliesWithCount(1, 1))
+			m.now += maintenanceInterval
 			m.service.proposer.tick()
 			So(m.service.proposer.calls, ShouldBeEmpty)
-			So(m.service.proposer.keys, ShouldBeEmpty)
+			So(m.service.proposer.keysByCallID, ShouldBeEmpty)
 		})
 		Convey("of an operation that its name can't have is ignored", func() {
 			request := incrementRequest(1)
 			request.Operation.Name.Kind = coordination.KindLock
-			So(m.ask(t, caller, request), ShouldBeEmpty)
+			So(m.call(t, caller, request), ShouldBeEmpty)
 			So(m.service.proposer.calls, ShouldBeEmpty)
 		})
 	})
@@ -110,12 +110,12 @@
 		m := newMachine("")
 		m.service.proposer.setConfig(register.Config{Epoch: 1, Acceptors: []replication.Replica{testPeer}})
 		m.now = time.Second
-		So(m.ask(t, caller, incrementRequest(1)), ShouldBeEmpty)
+		So(m.call(t, caller, incrementRequest(1)), ShouldBeEmpty)
 
 		Convey("says after the call's time that it was not executed, while no acceptor was asked to accept it", func() {
 			m.now += callTimeout
 			m.service.proposer.tick()
-			So(m.ask(t, caller, incrementRequest(1)), ShouldContain, &CallReply{ID: 1, Certainty: register.NotExecuted})
+			So(m.call(t, caller, incrementRequest(1)), ShouldContain, &CallReply{ID: 1, Certainty: register.NotExecuted})
 		})
 		Convey("says after the call's time that its outcome is unclear once one was", func() {
 			ballot := register.Ballot{}
@@ -129,11 +129,11 @@
 				}
 			}
 			So(ballot.Round, ShouldBeGreaterThan, 0)
-			m.service.proposer.receive(received{testPeer, &register.Reply{
+			m.service.proposer.receive(receivedMessage{testPeer, &register.Reply{
 				Epoch: 1, Promises: []register.Promise{{Name: counterName, Ballot: ballot}}}})
 			m.now += callTimeout
 			m.service.proposer.tick()
-			So(m.ask(t, caller, incrementRequest(1)), ShouldContain, &CallReply{ID: 1, Certainty: register.Unclear})
+			So(m.call(t, caller, incrementRequest(1)), ShouldContain, &CallReply{ID: 1, Certainty: register.Unclear})
 		})
 	})
 }
@@ -144,9 +144,9 @@
 		m := newProposerMachine(t)
 		request := incrementRequest(1)
 		request.Process = m.service.proposer.process + 1
-		So(m.ask(t, "10.0.0.8:1", request), ShouldResemble, []*CallReply{{ID: 1}})
+		So(m.call(t, "10.0.0.8:1", request), ShouldResemble, []*CallReply{{ID: 1}})
 		So(m.service.proposer.calls, ShouldBeEmpty)
 		request.Process = m.service.proposer.process
-		So(m.ask(t, "10.0.0.8:1", request), ShouldResemble, counted(1, 1))
+		So(m.call(t, "10.0.0.8:1", request), ShouldResemble, repliesWithCount(1, 1))
 	})
 }
--- a/internal/fleet/coordinator/service.go
+++ b/internal/fleet/coordinator/service.go
@@ -140,15 +140,15 @@
 }
 
 // received is a message with its sender.
-type received struct {
+type receivedMessage struct {
 	from    replication.Replica
 	message any
 }
 
 // enqueue puts a message into an inbox, or drops it where that is full.
-func (s *Service) enqueue(inbox chan received, from replication.Replica, message any) {
+func (s *Service) enqueue(inbox chan receivedMessage, from replication.Replica, message any) {
 	select {
-	case inbox <- received{from: from, message: message}:
+	case inbox <- receivedMessage{from: from, message: message}:
 	default:
 		s.Counters.Dropped.Add(1)
 	}
--- a/internal/fleet/coordinator/service_test.go
+++ b/internal/fleet/coordinator/service_test.go
@@ -16,9 +16,9 @@
 )
 
 // core is a set of core machines that send each other messages without delay.
-type core struct {
-	folder string // empty: no disks
-	start  time.Time
+type coreCluster struct {
+	directory string // empty: no disks
+	startedAt time.Time
 
 	mu       sync.Mutex
 	services map[string]*Service // those that run
@@ -28,17 +28,17 @@
 
 const coreMachines = 3
 
-func newCore(folder string) *core {
-	return &core{folder: folder, start: time.Now(), services: map[string]*Service{}}
+func newCoreCluster(directory string) *coreCluster {
+	return &coreCluster{directory: directory, startedAt: time.Now(), services: map[string]*Service{}}
 }
 
-func (c *core) service(address string) *Service {
+func (c *coreCluster) service(address string) *Service {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.services[address]
 }
 
-func (c *core) run(i int, founders []string) *Service {
+func (c *coreCluster) start(i int, founders []string) *Service {
 	address := coreAddress(i)
 	options := Options{
 		Address: address, Zone: fmt.Sprint("z", i), Region: "r", Founders: founders, Core: true, Votes: true,
@@ -47,15 +47,15 @@
 		Peers:     func() []string { return c.addresses(address) },
 		Proposers: func() []string { return c.addresses("") },
 		Leaving:   func() bool { return false },
-		Clock:     func() time.Duration { return time.Since(c.start) },
+		Clock:     func() time.Duration { return time.Since(c.startedAt) },
 		Send: func(to string, nonce uint64, message any) {
 			if s := c.service(to); s != nil {
 				s.Receive(address, nonce, message)
 			}
 		},
 	}
-	if c.folder != "" {
-		options.Directory = filepath.Join(c.folder, fmt.Sprint(i))
+	if c.directory != "" {
+		options.Directory = filepath.Join(c.directory, fmt.Sprint(i))
 	}
 	s, err := Start(options)
 	So(err, ShouldBeNil)
@@ -66,23 +66,23 @@
 }
 
 // addresses returns all machines but one, alive or not.
-func (c *core) addresses(but string) []string {
+func (c *coreCluster) addresses(except string) []string {
 	var all []string
 	for i := range coreMachines {
-		if coreAddress(i) != but {
+		if coreAddress(i) != except {
 			all = append(all, coreAddress(i))
 		}
 	}
 	return all
 }
 
-func (c *core) runAll(founders []string) {
+func (c *coreCluster) startAll(founders []string) {
 	for i := range coreMachines {
-		c.run(i, founders)
+		c.start(i, founders)
 	}
 }
 
-func (c *core) stop(i int) {
+func (c *coreCluster) stop(i int) {
 	s := c.service(coreAddress(i))
 	c.mu.Lock()
 	delete(c.services, coreAddress(i))
@@ -92,14 +92,14 @@
 	}
 }
 
-func (c *core) stopAll() {
+func (c *coreCluster) stopAll() {
 	for i := range coreMachines {
 		c.stop(i)
 	}
 }
 
 // increment has a machine increment the counter, again for as long as it is not clear that it was.
-func (c *core) increment(t *testing.T, i int) uint64 {
+func (c *coreCluster) increment(t *testing.T, i int) uint64 {
 	operation := &coordination.Operation{Kind: coordination.Increment, Name: counterName}
 	for range 20 {
 		result, err := c.service(coreAddress(i)).Execute(t.Context(), operation, 0)
@@ -113,7 +113,7 @@
 }
 
 // awaitReady waits until every running acceptor takes part.
-func (c *core) awaitReady(epoch uint64) {
+func (c *coreCluster) awaitReady(epoch uint64) {
 	for range 300 {
 		ready := 0
 		for i := range coreMachines {
@@ -129,11 +129,11 @@
 	So("all acceptors", ShouldEqual, "ready")
 }
 
-func TestServicesAnswerTogether(t *testing.T) {
+func TestServicesShareState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("Three machines without disks", t, func() {
-			c := newCore("")
-			c.runAll(c.addresses(""))
+			c := newCoreCluster("")
+			c.startAll(c.addresses(""))
 			Reset(c.stopAll)
 			c.awaitReady(1)
 
@@ -172,24 +172,24 @@
 	})
 }
 
-func TestServicesOutliveRestarts(t *testing.T) {
+func TestServicesSurviveRestarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("Three machines with disks", t, func() {
-			c := newCore(t.TempDir())
-			c.runAll(c.addresses(""))
+			c := newCoreCluster(t.TempDir())
+			c.startAll(c.addresses(""))
 			Reset(c.stopAll)
 			c.awaitReady(1)
 			count := c.increment(t, 0)
 
 			Convey("go on counting after all of them have restarted", func() {
 				c.stopAll()
-				c.runAll(nil)
+				c.startAll(nil)
 				So(c.increment(t, 1), ShouldBeGreaterThan, count)
 			})
 			Convey("replace an acceptor whose disk was lost", func() {
 				c.stop(2)
-				c.folder = t.TempDir()
-				c.run(2, nil)
+				c.directory = t.TempDir()
+				c.start(2, nil)
 				c.awaitReady(2)
 				So(c.increment(t, 2), ShouldBeGreaterThan, count)
 				status := c.service(coreAddress(2)).Status()
@@ -201,7 +201,7 @@
 	})
 }
 
-func TestServiceOfOtherMachines(t *testing.T) {
+func TestServiceOfNonCoreMachine(t *testing.T) {
 	Convey("A machine that is not of the core has no loops, and ignores what is for them", t, func() {
 		s, err := Start(Options{Address: testAddress})
 		So(err, ShouldBeNil)
--- a/internal/fleet/coordinator/store.go
+++ b/internal/fleet/coordinator/store.go
@@ -40,7 +40,7 @@
 	s.log = log
 	var corrupt *storage.CorruptLogError
 	if errors.As(err, &corrupt) {
-		s.renew(options, err)
+		s.resetWithNewIdentity(options, err)
 		return s, nil
 	}
 	if err != nil {
@@ -71,7 +71,7 @@
 }
 
 // renew begins without state, under a new identity: the acceptor that wrote the log may have promised or accepted more than can be read.
-func (s *store) renew(options *Options, cause error) {
+func (s *store) resetWithNewIdentity(options *Options, cause error) {
 	options.Log.Error("the log of the registers can't be read: the acceptor starts without state, under a new identity", zap.Error(cause))
 	s.hardState, s.records = register.InitialHardState(options.Address, newNonce(), nil), nil
 }
@@ -85,7 +85,7 @@
 	_, records, err := storage.Open[*register.HardState](filepath.Join(options.Directory, logDirectory))
 	var corrupt *storage.CorruptLogError
 	if errors.As(err, &corrupt) || err == nil && len(records) == 0 {
-		s.renew(options, cmp.Or(err, storage.ErrNoGeneration))
+		s.resetWithNewIdentity(options, cmp.Or(err, storage.ErrNoGeneration))
 		return nil
 	}
 	if err != nil {
--- a/internal/fleet/coordinator/store_test.go
+++ b/internal/fleet/coordinator/store_test.go
@@ -42,7 +42,7 @@
 	return hardState
 }
 
-func onlySegment(directory string) string {
+func segmentPath(directory string) string {
 	newest, _ := newestGeneration(directory)
 	return filepath.Join(newest, "00000000000000000001")
 }
@@ -61,19 +61,19 @@
 			}
 		})
 		Convey("loses a record that is torn, and nothing before", func() {
-			content, err := os.ReadFile(onlySegment(directory))
+			content, err := os.ReadFile(segmentPath(directory))
 			So(err, ShouldBeNil)
-			So(os.WriteFile(onlySegment(directory), content[:len(content)-1], 0o600), ShouldBeNil)
+			So(os.WriteFile(segmentPath(directory), content[:len(content)-1], 0o600), ShouldBeNil)
 			So(storedCounts(directory), ShouldResemble, map[string]uint64{"a": 2})
 			s, err := openStore(storeOptions(directory))
 			So(err, ShouldBeNil)
 			So(s.hardState.Self, ShouldResemble, hardState.Self)
 		})
 		Convey("starts without state under a new identity where a synced record has changed", func() {
-			content, err := os.ReadFile(onlySegment(directory))
+			content, err := os.ReadFile(segmentPath(directory))
 			So(err, ShouldBeNil)
 			content[20] ^= 1
-			So(os.WriteFile(onlySegment(directory), content, 0o600), ShouldBeNil)
+			So(os.WriteFile(segmentPath(directory), content, 0o600), ShouldBeNil)
 			s, err := openStore(storeOptions(directory, testAddress))
 			So(err, ShouldBeNil)
 			So(s.records, ShouldBeEmpty)
@@ -157,9 +157,9 @@
 		for round := range uint64(rounds) {
 			m.now += time.Second
 			for i := range names {
-				loop.inbox <- received{testPeer, acceptRequest(fmt.Sprint(i), round+1, round+1)}
+				loop.inbox <- receivedMessage{testPeer, acceptRequest(fmt.Sprint(i), round+1, round+1)}
 			}
-			loop.handleGroup(t.Context(), <-loop.inbox)
+			loop.handleBatch(t.Context(), <-loop.inbox)
 		}
 		last, _ := newestGeneration(directory)
 		So(last, ShouldNotEqual, first)
