--- a/internal/fleet/coordinator/acceptor_loop.go
+++ b/internal/fleet/coordinator/acceptor_loop.go
@@ -19,11 +19,11 @@
 
 // AcceptorStatus is what other goroutines may know of the acceptor.
 type AcceptorStatus struct {
-	Self          replication.Replica
-	Config        register.Config
-	ReadyEpoch    uint64
-	RegisterCount int
-	Durable       bool // its identity is on the disk: it may be named to others
+	Self       replication.Replica
+	Config     register.Config
+	ReadyEpoch uint64
+	Registers  int
+	Durable    bool // its identity is on the disk: it may be named to others
 }
 
 // acceptorLoop runs the machine's acceptor on its disk. What it receives together is made durable by one sync.
@@ -59,7 +59,7 @@
 func (l *acceptorLoop) publish(durable bool) {
 	h := l.acceptor.HardState()
 	status := AcceptorStatus{
-		Self: h.Self, Config: h.Config, ReadyEpoch: h.ReadyEpoch, RegisterCount: l.acceptor.RegisterCount(), Durable: durable,
+		Self: h.Self, Config: h.Config, ReadyEpoch: h.ReadyEpoch, Registers: l.acceptor.RegisterCount(), Durable: durable,
 	}
 	l.mu.Lock()
 	previous := l.published
@@ -136,7 +136,7 @@
 			err = l.append()
 		}
 		if err != nil {
-			l.recoverFromFailedWrite(ctx, err)
+			l.recover(ctx, err)
 			return
 		}
 	}
@@ -147,7 +147,7 @@
 func (l *acceptorLoop) flush(ctx context.Context) {
 	if len(l.changed) > 0 {
 		if err := l.append(); err != nil {
-			l.recoverFromFailedWrite(ctx, err)
+			l.recover(ctx, err)
 			return
 		}
 	}
@@ -192,7 +192,7 @@
 
 // recover has the acceptor be as after a restart: nothing of the group is sent. What the failed write has left in the file is read, and may not
 // be durable: all of it is written again before the acceptor speaks.
-func (l *acceptorLoop) recoverFromFailedWrite(ctx context.Context, cause error) {
+func (l *acceptorLoop) recover(ctx context.Context, cause error) {
 	l.service.Counters.FailedSyncs.Add(1)
 	l.service.options.Log.Warn("can't write the log of the registers", zap.Error(cause))
 	l.outgoing, l.changed = nil, nil
--- a/internal/fleet/coordinator/forwarder_test.go
+++ b/internal/fleet/coordinator/forwarder_test.go
@@ -105,9 +105,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		Convey("A proposer that is silent", t, func() {
 			p := newScriptedProposers(sendNoReply)
-			order := p.preferenceOrder(counterName.ID)
+			preferenceOrder := p.preferenceOrder(counterName.ID)
 			p.reply = func(proposer string, request *CallRequest) *CallReply {
-				if proposer == order[0] {
+				if proposer == preferenceOrder[0] {
 					return nil
 				}
 				return replyWith(register.Decided, 7)(proposer, request)
@@ -118,21 +118,21 @@
 			Convey("is asked twice, and then the next one, with the same call", func() {
 				So(err, ShouldBeNil)
 				So(result.Count, ShouldEqual, 7)
-				So(p.requestedProposers, ShouldResemble, []string{order[0], order[0], order[1]})
+				So(p.requestedProposers, ShouldResemble, []string{preferenceOrder[0], preferenceOrder[0], preferenceOrder[1]})
 				So(time.Since(start), ShouldEqual, firstReplyTimeout+resendReplyTimeout)
 				So(p.service.Counters.FailedOver.Load(), ShouldEqual, 1)
 			})
 			Convey("is asked last for a while", func() {
-				suspected := append(slices.Clone(order[1:]), order[0])
+				suspected := append(slices.Clone(preferenceOrder[1:]), preferenceOrder[0])
 				So(p.preferenceOrder(counterName.ID), ShouldResemble, suspected)
 				time.Sleep(suspicionDuration - 1)
 				So(p.preferenceOrder(counterName.ID), ShouldResemble, suspected)
 				time.Sleep(time.Nanosecond)
-				So(p.preferenceOrder(counterName.ID), ShouldResemble, order)
+				So(p.preferenceOrder(counterName.ID), ShouldResemble, preferenceOrder)
 			})
 			Convey("is asked first again once it answers anything", func() {
-				p.service.Receive(order[0], 0, &CallReply{ID: 1})
-				So(p.preferenceOrder(counterName.ID), ShouldResemble, order)
+				p.service.Receive(preferenceOrder[0], 0, &CallReply{ID: 1})
+				So(p.preferenceOrder(counterName.ID), ShouldResemble, preferenceOrder)
 			})
 		})
 	})
--- a/internal/fleet/coordinator/proposer_loop.go
+++ b/internal/fleet/coordinator/proposer_loop.go
@@ -24,8 +24,8 @@
 
 // ProposerStatus is what other goroutines may know of the proposer.
 type ProposerStatus struct {
-	Config        register.Config
-	RegisterCount int
+	Config    register.Config
+	Registers int
 }
 
 // callKey identifies a call of another machine.
@@ -112,14 +112,14 @@
 	l.nextMaintenanceAt = now + maintenanceInterval
 	status := l.service.acceptor.status()
 	l.setConfig(status.Config)
-	l.planner.Observe(now, l.newHello())
+	l.planner.Observe(now, l.hello())
 	l.removeExpiredCalls(now)
 	if now >= l.nextHelloAt {
 		l.nextHelloAt = now + helloInterval
 		l.sendHellos()
 	}
 	l.planNextConfig(now, status)
-	l.published.Store(&ProposerStatus{Config: l.proposer.Config(), RegisterCount: l.proposer.RegisterCount()})
+	l.published.Store(&ProposerStatus{Config: l.proposer.Config(), Registers: l.proposer.RegisterCount()})
 }
 
 func (l *proposerLoop) receive(m receivedMessage) {
@@ -165,7 +165,7 @@
 	if l.service.IsResuming() {
 		return // a call that waited through a pause of this process is its caller's no more
 	}
-	if !l.proposer.HasRegister(m.Operation.Name) && l.service.acceptor.status().RegisterCount >= maxRegisters {
+	if !l.proposer.HasRegister(m.Operation.Name) && l.service.acceptor.status().Registers >= maxRegisters {
 		l.reply(from, &CallReply{ID: m.ID, Certainty: register.NotExecuted})
 		return
 	}
@@ -228,7 +228,7 @@
 	l.setConfig(m.Config)
 	switch epoch := l.proposer.Config().Epoch; {
 	case m.Config.Epoch < epoch:
-		l.service.send(from, 0, l.newHello())
+		l.service.send(from, 0, l.hello())
 	case m.ReadyEpoch == epoch:
 		l.resume(from)
 	}
@@ -250,7 +250,7 @@
 }
 
 // hello returns what this machine says of itself. An acceptor whose identity is not durable is not named.
-func (l *proposerLoop) newHello() *register.Hello {
+func (l *proposerLoop) hello() *register.Hello {
 	options := &l.service.options
 	status := l.service.acceptor.status()
 	hello := &register.Hello{
@@ -263,7 +263,7 @@
 }
 
 func (l *proposerLoop) sendHellos() {
-	hello := l.newHello()
+	hello := l.hello()
 	sentTo := map[string]bool{l.service.options.Address: true}
 	sendOnce := func(address string) {
 		if !sentTo[address] {
