--- a/internal/fleet/coordinator/acceptor_log.go
+++ b/internal/fleet/coordinator/acceptor_log.go
@@ -20,9 +20,9 @@
 	switch {
 	case previous.isReady() && !current.isReady():
 		log.Info("acceptor sealed: it takes no part before it has the registers of the new epoch, or none at all", zap.Uint64("epoch", epoch),
-			zap.Bool("isMember", current.Config.Has(current.Self)), zap.Int("registers", current.Registers))
+			zap.Bool("isMember", current.Config.Has(current.Self)), zap.Int("registers", current.StoredRegisters))
 	case current.isReady() && (!previous.isReady() || epoch != previous.Config.Epoch):
-		log.Info("acceptor takes part", zap.Uint64("epoch", epoch), zap.Uint64("nonce", current.Self.Nonce), zap.Int("registers", current.Registers))
+		log.Info("acceptor takes part", zap.Uint64("epoch", epoch), zap.Uint64("nonce", current.Self.Nonce), zap.Int("registers", current.StoredRegisters))
 	}
 }
 
--- a/internal/fleet/coordinator/acceptor_log_test.go
+++ b/internal/fleet/coordinator/acceptor_log_test.go
@@ -27,13 +27,13 @@
 	Convey("An acceptor that is one of two says", t, func() {
 		core, logs := observer.New(zap.InfoLevel)
 		self, peer, newcomer := replication.Replica{Address: testAddress}, testPeer, replication.Replica{Address: "10.0.0.3:1", Nonce: 7}
-		previous := AcceptorStatus{Self: self, Config: register.Config{Epoch: 1, Acceptors: []replication.Replica{self, peer}}, ReadyEpoch: 1, Registers: 3}
+		previous := AcceptorStatus{Self: self, Config: register.Config{Epoch: 1, Acceptors: []replication.Replica{self, peer}}, ReadyEpoch: 1, StoredRegisters: 3}
 		next := previous
 		logAcceptorChange(zap.New(core), &AcceptorStatus{Self: self}, &previous)
 		So(takeMessages(logs), ShouldResemble, []string{"acceptors changed", "acceptor takes part"})
 
 		Convey("nothing where only registers have changed", func() {
-			next.Registers = 4
+			next.StoredRegisters = 4
 			logAcceptorChange(zap.New(core), &previous, &next)
 			So(logs.Len(), ShouldEqual, 0)
 		})
--- a/internal/fleet/coordinator/acceptor_loop.go
+++ b/internal/fleet/coordinator/acceptor_loop.go
@@ -19,11 +19,11 @@
 
 // AcceptorStatus is what other goroutines may know of the acceptor.
 type AcceptorStatus struct {
-	Self       replication.Replica
-	Config     register.Config
-	ReadyEpoch uint64
-	Registers  int
-	Durable    bool // its identity is on the disk: it may be named to others
+	Self            replication.Replica
+	Config          register.Config
+	ReadyEpoch      uint64
+	StoredRegisters int
+	Durable         bool // its identity is on the disk: it may be named to others
 }
 
 // acceptorLoop runs the machine's acceptor on its disk. What it receives together is made durable by one sync.
@@ -59,7 +59,7 @@
 func (l *acceptorLoop) publish(durable bool) {
 	h := l.acceptor.HardState()
 	status := AcceptorStatus{
-		Self: h.Self, Config: h.Config, ReadyEpoch: h.ReadyEpoch, Registers: l.acceptor.RegisterCount(), Durable: durable,
+		Self: h.Self, Config: h.Config, ReadyEpoch: h.ReadyEpoch, StoredRegisters: l.acceptor.RegisterCount(), Durable: durable,
 	}
 	l.mu.Lock()
 	previous := l.published
--- a/internal/fleet/coordinator/acceptor_loop_test.go
+++ b/internal/fleet/coordinator/acceptor_loop_test.go
@@ -97,7 +97,7 @@
 		loop.handleAsBatch(t, acceptRequest("a", 1, 1))
 		So(acknowledgedCounters(m.takeSent()), ShouldResemble, []string{"a"})
 		So(m.service.Counters.Syncs.Load(), ShouldEqual, 0)
-		So(loop.status().Registers, ShouldEqual, 1)
+		So(loop.status().StoredRegisters, ShouldEqual, 1)
 	})
 }
 
@@ -121,7 +121,7 @@
 			So(stored, ShouldHaveLength, 1)
 			So(stored[0].Change.Counter.Count, ShouldEqual, 1)
 			So(stored[0].Promised.Round, ShouldEqual, 1)
-			So(loop.status().Registers, ShouldEqual, 1)
+			So(loop.status().StoredRegisters, ShouldEqual, 1)
 		})
 		Convey("goes on with the same identity, and keeps what it had", func() {
 			m.takeSent()
--- a/internal/fleet/coordinator/proposer_loop.go
+++ b/internal/fleet/coordinator/proposer_loop.go
@@ -24,8 +24,8 @@
 
 // ProposerStatus is what other goroutines may know of the proposer.
 type ProposerStatus struct {
-	Config    register.Config
-	Registers int
+	Config        register.Config
+	UsedRegisters int
 }
 
 // callKey identifies a call of another machine.
@@ -119,7 +119,7 @@
 		l.sendHellos()
 	}
 	l.planNextConfig(now, status)
-	l.published.Store(&ProposerStatus{Config: l.proposer.Config(), Registers: l.proposer.RegisterCount()})
+	l.published.Store(&ProposerStatus{Config: l.proposer.Config(), UsedRegisters: l.proposer.RegisterCount()})
 }
 
 func (l *proposerLoop) receive(m receivedMessage) {
@@ -165,7 +165,7 @@
 	if l.service.IsResuming() {
 		return // a call that waited through a pause of this process is its caller's no more
 	}
-	if !l.proposer.HasRegister(m.Operation.Name) && l.service.acceptor.status().Registers >= maxRegisters {
+	if !l.proposer.HasRegister(m.Operation.Name) && l.service.acceptor.status().StoredRegisters >= maxRegisters {
 		l.reply(from, &CallReply{ID: m.ID, Certainty: register.NotExecuted})
 		return
 	}
--- a/internal/fleet/coordinator/status.go
+++ b/internal/fleet/coordinator/status.go
@@ -33,8 +33,8 @@
 		return status
 	}
 	proposer, acceptor := s.proposer.published.Load(), s.acceptor.status()
-	status.Epoch, status.Acceptors, status.Used = proposer.Config.Epoch, proposer.Config.Acceptors, proposer.Registers
-	status.Acceptor, status.Stored = &acceptor.Self, acceptor.Registers
+	status.Epoch, status.Acceptors, status.Used = proposer.Config.Epoch, proposer.Config.Acceptors, proposer.UsedRegisters
+	status.Acceptor, status.Stored = &acceptor.Self, acceptor.StoredRegisters
 	status.Ready = acceptor.isReady()
 	return status
 }
