--- a/internal/fleet/coordinator/acceptor_log.go
+++ b/internal/fleet/coordinator/acceptor_log.go
@@ -8,8 +8,8 @@
 	"pinelb.example/pinelb/internal/fleet/replication"
 )
 
-// logAcceptorChange logs what has changed between two states of this machine's acceptor, after it was made durable: another set of acceptors,
-// and whether this one takes part. Other changes are too frequent for a log.
+// logAcceptorChange logs a change of the acceptor set, and of whether this machine's acceptor is ready. It is called after
+// the change is durable. Other changes are too frequent to be logged.
 func logAcceptorChange(log *zap.Logger, previous, current *AcceptorStatus) {
 	epoch := current.Config.Epoch
 	if epoch != previous.Config.Epoch {
@@ -19,19 +19,19 @@
 	}
 	switch {
 	case previous.isReady() && !current.isReady():
-		log.Info("acceptor sealed: it takes no part before it has the registers of the new epoch, or none at all", zap.Uint64("epoch", epoch),
+		log.Info("acceptor sealed: not ready until it has collected the registers of the new epoch; a non-member does not collect them", zap.Uint64("epoch", epoch),
 			zap.Bool("isMember", current.Config.Has(current.Self)), zap.Int("registers", current.StoredRegisters))
 	case current.isReady() && (!previous.isReady() || epoch != previous.Config.Epoch):
 		log.Info("acceptor takes part", zap.Uint64("epoch", epoch), zap.Uint64("nonce", current.Self.Nonce), zap.Int("registers", current.StoredRegisters))
 	}
 }
 
-// takesPart reports whether the acceptor may promise and accept in the present epoch.
+// isReady reports whether the acceptor may promise and accept in the current epoch.
 func (s *AcceptorStatus) isReady() bool {
 	return s.Config.Epoch > 0 && s.ReadyEpoch == s.Config.Epoch && s.Config.Has(s.Self)
 }
 
-// without returns the replicas that are not among others.
+// without returns the replicas that are not in others.
 func without(replicas, others []replication.Replica) []replication.Replica {
 	return slices.DeleteFunc(slices.Clone(replicas), func(r replication.Replica) bool { return slices.Contains(others, r) })
 }
--- a/internal/fleet/coordinator/acceptor_loop.go
+++ b/internal/fleet/coordinator/acceptor_loop.go
@@ -13,27 +13,28 @@
 
 const (
 	acceptorTickInterval = 100 * time.Millisecond
-	maxBatchedMessages   = 256 // messages whose changes share one sync
+	maxBatchedMessages   = 256 // further queued messages that are handled with the first one and share its sync
 	retryInterval        = 200 * time.Millisecond
 )
 
-// AcceptorStatus is what other goroutines may know of the acceptor.
+// AcceptorStatus is a copy of the acceptor's state for other goroutines.
 type AcceptorStatus struct {
 	Self            replication.Replica
 	Config          register.Config
-	ReadyEpoch      uint64
-	StoredRegisters int
-	Durable         bool // its identity is on the disk: it may be named to others
+	ReadyEpoch      uint64 // the newest epoch in which the acceptor is ready
+	StoredRegisters int    // number of registers
+	Durable         bool   // the identity in Self is on disk and may be sent to other machines
 }
 
-// acceptorLoop runs the machine's acceptor on its disk. What it receives together is made durable by one sync.
+// acceptorLoop runs the machine's acceptor and writes its state to disk. The changes of a batch of messages are made
+// durable by one sync.
 type acceptorLoop struct {
 	service  *Service
 	inbox    chan receivedMessage
 	store    *store
 	acceptor *register.Acceptor
-	outgoing []register.Outgoing // of the present group: sent once its changes are durable
-	changed  []register.Stored   // of the present group
+	outgoing []register.Outgoing // of the current batch: sent after its changes are durable
+	changed  []register.Stored   // of the current batch: not written yet
 
 	mu        sync.Mutex
 	published AcceptorStatus
@@ -88,7 +89,8 @@
 	}
 }
 
-// writeIdentity makes the acceptor's identity and state durable before it speaks, however long that takes.
+// writeIdentity makes the acceptor's identity and state durable, which is required before it sends any message. It retries
+// until the write succeeds, and returns false if ctx ends before that.
 func (l *acceptorLoop) writeIdentity(ctx context.Context) bool {
 	for l.store.log != nil {
 		err := l.store.replace(l.acceptor.HardState(), l.acceptor.Snapshot(l.service.options.Clock()))
@@ -105,7 +107,8 @@
 	return true
 }
 
-// handleGroup handles a message and those that wait behind it, makes their changes durable by one sync, and sends the answers.
+// handleBatch handles a message and those queued behind it, makes their changes durable by one sync, and then sends the
+// replies.
 func (l *acceptorLoop) handleBatch(ctx context.Context, first receivedMessage) {
 	l.handle(ctx, first)
 	for range maxBatchedMessages {
@@ -124,7 +127,8 @@
 	l.step(ctx, l.acceptor.Receive(l.service.options.Clock(), m.from, m.message))
 }
 
-// step adds a step to the group. One that replaces everything, or changes the hard state alone, is made durable at once.
+// step adds the acceptor's output to the batch. A write that replaces the whole state, or that changes only the hard state,
+// is made durable immediately.
 func (l *acceptorLoop) step(ctx context.Context, out *register.Output) {
 	if w := out.Write; w != nil {
 		l.changed = append(l.changed, w.Changed...)
@@ -143,7 +147,7 @@
 	l.outgoing = append(l.outgoing, out.Send...)
 }
 
-// flush ends a group.
+// flush ends a batch: it makes the remaining changes durable and sends the messages.
 func (l *acceptorLoop) flush(ctx context.Context) {
 	if len(l.changed) > 0 {
 		if err := l.append(); err != nil {
@@ -158,7 +162,7 @@
 	l.outgoing = nil
 }
 
-// append makes the group's changes and the hard state durable.
+// append makes the batch's changes and the hard state durable.
 func (l *acceptorLoop) append() error {
 	if l.store.log == nil {
 		l.changed = nil
@@ -177,7 +181,7 @@
 	return nil
 }
 
-// replace makes the whole state durable, the group's changes with it.
+// replace makes the whole state durable, including the batch's changes.
 func (l *acceptorLoop) replace() error {
 	if l.store.log != nil {
 		l.service.Counters.Syncs.Add(1)
@@ -190,8 +194,9 @@
 	return nil
 }
 
-// recover has the acceptor be as after a restart: nothing of the group is sent. What the failed write has left in the file is read, and may not
-// be durable: all of it is written again before the acceptor speaks.
+// recover handles a failed write. It drops the batch's messages and reloads the acceptor from disk, as after a restart. The
+// log may contain records of the failed write that are not durable, so the whole state is written again before the acceptor
+// sends any message.
 func (l *acceptorLoop) recover(ctx context.Context, cause error) {
 	l.service.Counters.FailedSyncs.Add(1)
 	l.service.options.Log.Warn("can't write the log of the registers", zap.Error(cause))
@@ -211,7 +216,7 @@
 	l.writeIdentity(ctx)
 }
 
-// sleep returns false where ctx has ended.
+// sleep waits for d. It returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/fleet/coordinator/doc.go
+++ b/internal/fleet/coordinator/doc.go
@@ -1,9 +1,9 @@
-// Package coordinator runs the coordination service of one machine: the state machines of package register on a clock, a disk and a
-// transport, and the way of a call to a proposer.
+// Package coordinator runs the coordination service of one machine: it connects the state machines of package register to
+// a clock, a disk and a transport, and forwards calls to proposers.
 //
-// A core machine has an acceptor and a proposer, each with a goroutine of its own, so that a stalled disk does not hold up the machine's
-// proposer. Every machine has a forwarder: it sends a call to the proposer that rendezvous hashing gives the name, and to the next one where
-// no answer comes. Which proposer is asked matters for speed only.
+// A core machine has an acceptor and a proposer, each in its own goroutine, so that a stalled disk does not delay the
+// machine's proposer. Every machine has a forwarder: it sends a call to the proposer that rendezvous hashing selects for the
+// name, and fails over to the next one if that one does not reply. The choice of proposer affects speed, not correctness.
 //
-// Invariant: an acceptor's messages are sent after its write is durable.
+// Invariant: an acceptor's messages are sent only after the write of the same step is durable.
 package coordinator
--- a/internal/fleet/coordinator/forwarder.go
+++ b/internal/fleet/coordinator/forwarder.go
@@ -15,43 +15,45 @@
 	"pinelb.example/pinelb/internal/fleet/register"
 )
 
-// Errors of Execute.
+// Errors returned by Service.Execute.
 var (
-	// ErrUnclear says that the operation may have taken effect, or may yet. It may be repeated.
+	// ErrUnclear means that the outcome is unknown: the operation may have taken effect, or may still take effect. Repeating
+	// it is safe.
 	ErrUnclear = errors.New("coordinator: the outcome is not known")
-	// ErrOverloaded says that the operation was not executed, and never will be: too many wait for the name, or there are too many names.
+	// ErrOverloaded means that the operation was not executed and never will be: too many calls are queued for the name, or
+	// there are too many registers to create another one.
 	ErrOverloaded = errors.New("coordinator: too many calls wait for the name")
-	// ErrNoProposer says that the operation was not executed, and never will be: no core machine is known.
+	// ErrNoProposer means that the operation was not executed and never will be: no core machine is known.
 	ErrNoProposer = errors.New("coordinator: no core machine is known")
-	// ErrResuming says that the operation was not executed, and never will be: this process has just come out of a pause.
+	// ErrResuming means that the operation was not executed and never will be: this process has just resumed after a pause.
 	ErrResuming = errors.New("coordinator: the process was paused")
 )
 
 const (
-	callTimeout        = 850 * time.Millisecond // of a call: applications turn elsewhere after a second of silence
-	firstReplyTimeout  = 40 * time.Millisecond  // for any answer, before a proposer is sent a copy
-	resendReplyTimeout = 60 * time.Millisecond  // for any answer to the copy, before the next proposer is asked
-	resultTimeout      = 350 * time.Millisecond // for the result, from a proposer that says that it works on the call
-	suspicionDuration  = 3 * time.Second        // for which one that did not answer is asked last
+	callTimeout        = 850 * time.Millisecond // of a call, excluding Park; applications fail over after 1 s without a response
+	firstReplyTimeout  = 40 * time.Millisecond  // for any reply to the first copy, before the proposer is sent another one
+	resendReplyTimeout = 60 * time.Millisecond  // for any reply to the last copy, before the next proposer is tried
+	resultTimeout      = 350 * time.Millisecond // for the result, from a proposer that has replied that the call is in progress
+	suspicionDuration  = 3 * time.Second        // for which a proposer that did not reply is tried last
 )
 
-// forwarder sends calls to proposers.
+// forwarder sends calls to proposers and matches their replies.
 type forwarder struct {
 	service *Service
 
 	mu             sync.Mutex
-	pending        map[uint64]chan proposerReply
-	suspectedUntil map[string]time.Duration // proposers that did not answer: until when others are asked first
-	lastProcess    map[string]uint64        // of each proposer's machine, as it answered last
+	pending        map[uint64]chan proposerReply // by call ID
+	suspectedUntil map[string]time.Duration      // by address of a proposer that did not reply: when its suspicion ends
+	lastProcess    map[string]uint64             // by address of a proposer: CallReply.Process of its last reply
 }
 
-// proposerReply is a reply and who sent it.
+// proposerReply is a reply with its sender's address.
 type proposerReply struct {
 	proposer string
 	*CallReply
 }
 
-const maxPendingReplies = 8 // to one call
+const maxPendingReplies = 8 // replies to one call that are received but not handled yet; more are dropped
 
 func (f *forwarder) init(s *Service) {
 	f.service = s
@@ -68,13 +70,13 @@
 	if replies := f.pending[reply.ID]; replies != nil {
 		select {
 		case replies <- proposerReply{proposer: from, CallReply: reply}:
-		default: // more copies are answered than were sent lately
+		default: // the buffer is full of replies to other copies of the call
 		}
 	}
 }
 
-// proposersOf returns the core machines in the order in which they are asked for a name: by rendezvous hashing, those that did not answer
-// lately last.
+// orderedProposers returns the addresses of the core machines in the order in which they are tried for a name: by rendezvous
+// hashing, with suspected ones last.
 func (f *forwarder) orderedProposers(name coordination.Name) []string {
 	proposers := f.service.options.Proposers()
 	weight := func(address string) uint64 { return xxhash.Sum64String(name.String() + "\x00" + address) }
@@ -93,13 +95,14 @@
 	return proposers
 }
 
-// processOf returns the process that answered last at a proposer's address; 0: none has.
+// lastProcessOf returns the process that sent the last reply from a proposer's address, or 0 if there was no reply.
 func (f *forwarder) lastProcessOf(address string) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.lastProcess[address]
 }
 
+// suspect records that a proposer did not reply, so that it is tried last for suspicionDuration.
 func (f *forwarder) suspect(address string) {
 	f.service.Counters.FailedOver.Add(1)
 	f.mu.Lock()
@@ -107,8 +110,8 @@
 	f.suspectedUntil[address] = f.service.options.Clock() + suspicionDuration
 }
 
-// Execute has an operation executed. park is how long a watch waits for events. Errors: ErrUnclear, ErrOverloaded, ErrNoProposer and
-// ErrResuming.
+// Execute has a proposer execute an operation and returns its result. park is the time for which a watch waits for events;
+// the call takes at most callTimeout longer. Errors: ErrUnclear, ErrOverloaded, ErrNoProposer and ErrResuming.
 func (s *Service) Execute(ctx context.Context, operation *coordination.Operation, park time.Duration) (coordination.Result, error) {
 	s.Counters.Calls.Add(1)
 	result, err := s.forwarder.execute(ctx, operation, park)
@@ -123,7 +126,7 @@
 
 func (f *forwarder) execute(ctx context.Context, operation *coordination.Operation, park time.Duration) (coordination.Result, error) {
 	if f.service.IsResuming() {
-		return coordination.Result{}, ErrResuming // its caller may have turned elsewhere
+		return coordination.Result{}, ErrResuming // the caller may already have failed over to another machine
 	}
 	proposers := f.orderedProposers(operation.Name)
 	if len(proposers) == 0 {
@@ -149,15 +152,15 @@
 	}
 }
 
-// forwardedCall is a call on its way.
+// forwardedCall is a call that has been forwarded and has no result yet.
 type forwardedCall struct {
 	forwarder      *forwarder
 	request        CallRequest
-	deadline       time.Duration
+	deadline       time.Duration // by the service's clock, excluding request.Park
 	replies        chan proposerReply
-	proposer       string // that is asked now
-	copiesSent     int    // copies, to all proposers
-	boundToProcess bool   // the last copy is for one process alone: what that refuses, no later one executes
+	proposer       string // address of the proposer that is being tried
+	copiesSent     int    // to all proposers
+	boundToProcess bool   // the last copy may be executed by one process only: if that one refuses it, no later one executes it
 }
 
 func (f *forwarder) newCall(operation *coordination.Operation, park time.Duration) *forwardedCall {
@@ -178,18 +181,19 @@
 	delete(f.pending, id)
 }
 
-// askOutcome is how the asking of one proposer ended.
+// attemptOutcome is the result of trying one proposer.
 type attemptOutcome uint8
 
 const (
 	answered       attemptOutcome = iota + 1
-	notExecuted                   // nowhere, and never will be
-	noReply                       // no answer of any kind: ask the next one
-	inProgress                    // it works on the call and takes long: ask the next one too
-	outcomeUnclear                // the call's time is over, or its outcome is unclear
+	notExecuted                   // by any proposer, and never will be
+	noReply                       // no reply of any kind: fail over to the next proposer
+	inProgress                    // the proposer has the call but sent no result in time: try the next proposer too
+	outcomeUnclear                // the call's time-out has expired, or the proposer can't tell the outcome
 )
 
-// ask sends the call to a proposer, and waits for as long as one that is alive may take.
+// attempt sends the call to the current proposer, resends it if no result comes, and waits longer for the result if the
+// proposer replies that the call is in progress.
 func (c *forwardedCall) attempt(ctx context.Context) (coordination.Result, attemptOutcome) {
 	replyTimeouts := []time.Duration{firstReplyTimeout, resendReplyTimeout}
 	if c.request.Park > 0 {
@@ -213,7 +217,7 @@
 	return result, outcome
 }
 
-// send sends a copy of the call.
+// send sends a copy of the call to the current proposer.
 func (c *forwardedCall) send() {
 	c.copiesSent++
 	request := c.request
@@ -223,7 +227,8 @@
 	c.forwarder.service.send(c.proposer, 0, &request)
 }
 
-// await waits for a reply. The outcome is silent where none comes in time, and busy where the proposer says that it works on the call.
+// await waits for a reply that decides the outcome. If none comes in time, the outcome is inProgress if the proposer has
+// replied that the call is in progress, and noReply otherwise.
 func (c *forwardedCall) await(ctx context.Context, replyTimeout time.Duration) (coordination.Result, attemptOutcome) {
 	timer := time.NewTimer(replyTimeout)
 	defer timer.Stop()
@@ -247,7 +252,8 @@
 	}
 }
 
-// interpret says what a reply means for the call; silent: nothing. What a former proposer could not do, the present one may.
+// interpret returns the outcome that a reply gives the call. It is noReply for a reply to be ignored: unless the call was
+// decided, a reply of an earlier proposer says nothing about the current one, which may still execute the call.
 func (c *forwardedCall) interpret(reply proposerReply) (coordination.Result, attemptOutcome) {
 	switch {
 	case reply.Certainty == register.Decided:
--- a/internal/fleet/coordinator/messages.go
+++ b/internal/fleet/coordinator/messages.go
@@ -11,26 +11,27 @@
 	"pinelb.example/pinelb/internal/fleet/register"
 )
 
-// CallRequest asks a proposer to execute an operation. One that comes again, with the same ID from the same machine, is executed once. The
-// numbers of the fields are part of the protocol.
+// CallRequest asks a proposer to execute an operation. A proposer executes copies with the same ID from the same machine only
+// once. The field numbers are part of the protocol.
 type CallRequest struct {
 	ID        uint64                 `cbor:"1,keyasint"`
 	Operation coordination.Operation `cbor:"2,keyasint"`
-	Timeout   time.Duration          `cbor:"3,keyasint"`           // after which the caller has given up, from when this copy was sent
-	Park      time.Duration          `cbor:"4,keyasint,omitempty"` // of a watch: how long it waits for events
-	Process   uint64                 `cbor:"5,keyasint,omitempty"` // the only process that may execute it; 0: any at the address
+	Timeout   time.Duration          `cbor:"3,keyasint"`           // from sending this copy until the caller's deadline, excluding Park
+	Park      time.Duration          `cbor:"4,keyasint,omitempty"` // of a watch: for how long it waits for events
+	Process   uint64                 `cbor:"5,keyasint,omitempty"` // the only process that may execute it; 0: any process at the address
 }
 
-// CallReply answers a CallRequest. Where that came again while the first copy is under way, or is meant for another
-// process, it has no certainty: the proposer is alive.
+// CallReply answers a CallRequest. Certainty is 0 if an earlier copy of the request is still in progress, or if the request is
+// bound to another process. Such a reply only shows that the proposer is alive.
 type CallReply struct {
 	ID        uint64              `cbor:"1,keyasint"`
 	Certainty register.Certainty  `cbor:"2,keyasint,omitempty"`
 	Result    coordination.Result `cbor:"3,keyasint"`
-	Process   uint64              `cbor:"4,keyasint,omitempty"` // that answers
+	Process   uint64              `cbor:"4,keyasint,omitempty"` // that sent this reply; drawn at random when it started
 }
 
-// decoding takes as many registers as a machine holds; the default ends at 131,072.
+// decoding returns a mode without a limit on the length of arrays: the library's default of 131,072 elements may be too low
+// for the registers of one machine.
 var decoding = sync.OnceValues(cbor.DecOptions{MaxArrayElements: math.MaxInt32}.DecMode)
 
 // Decode decodes a message of this package or of package register, or a record of the log.
--- a/internal/fleet/coordinator/pause.go
+++ b/internal/fleet/coordinator/pause.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	minPause       = 700 * time.Millisecond // without a tick, after which the process was paused: stopped, or starved of its processor
-	resumeDuration = 150 * time.Millisecond // in which what waited in the sockets is read
+	minPause       = 700 * time.Millisecond // without a tick: a longer gap means that the process was stopped or got no CPU time
+	resumeDuration = 150 * time.Millisecond // after a pause, in which messages queued in the sockets are read
 )
 
-// pauseDetector finds out that the process did not run for a while. Any goroutine may use it.
+// pauseDetector detects that the process did not run for longer than minPause. It is safe for concurrent use.
 type pauseDetector struct {
-	lastTick    atomic.Int64 // of the monotonic clock
-	resumeUntil atomic.Int64
+	lastTick    atomic.Int64 // nanoseconds of the monotonic clock; 0: no tick yet
+	resumeUntil atomic.Int64 // nanoseconds of the monotonic clock
 }
 
 func (d *pauseDetector) tick(now time.Duration) {
@@ -23,7 +23,7 @@
 	}
 }
 
-// isResuming reports whether a pause has just ended, also where no tick has come since.
+// isResuming reports whether a pause has just ended, even if there was no tick since its end.
 func (d *pauseDetector) isResuming(now time.Duration) bool {
 	last := time.Duration(d.lastTick.Load())
 	return now < time.Duration(d.resumeUntil.Load()) || last > 0 && now-last > minPause
--- a/internal/fleet/coordinator/proposer_loop.go
+++ b/internal/fleet/coordinator/proposer_loop.go
@@ -17,15 +17,15 @@
 	minTickInterval     = 2 * time.Millisecond
 	maintenanceInterval = 100 * time.Millisecond
 	helloInterval       = 500 * time.Millisecond
-	replyTTL            = 5 * time.Second // for which a repeated call gets the first one's reply
+	replyTTL            = 5 * time.Second // after a call's deadline: for which a copy of the call gets the same reply
 	decideTimeout       = 800 * time.Millisecond
-	maxRegisters        = 50_000 // registers of an acceptor, beyond which no new one is made
+	maxRegisters        = 50_000 // stored by an acceptor; at this count no new register is created
 )
 
-// ProposerStatus is what other goroutines may know of the proposer.
+// ProposerStatus is a copy of the proposer's state for other goroutines.
 type ProposerStatus struct {
 	Config        register.Config
-	UsedRegisters int
+	UsedRegisters int // number of registers that the proposer has used since its start
 }
 
 // callKey identifies a call of another machine.
@@ -34,25 +34,25 @@
 	id   uint64
 }
 
-// callState is a call that the proposer was asked to execute.
+// callState is the state of a call that the proposer has accepted.
 type callState struct {
 	name      coordination.Name
-	reply     *CallReply // nil: it is under way
-	expiresAt time.Duration
+	reply     *CallReply    // nil: the call is in progress
+	expiresAt time.Duration // when the state is removed
 }
 
-// proposerLoop runs the machine's proposer, and the choice of the next acceptors.
+// proposerLoop runs the machine's proposer and the planner that chooses the next acceptor set.
 type proposerLoop struct {
 	service           *Service
 	inbox             chan receivedMessage
 	proposer          *register.Proposer
 	planner           *register.Planner
 	calls             map[callKey]*callState
-	keysByCallID      map[uint64]callKey // of the calls under way, by the number that the proposer knows them by
-	lastID            uint64
-	process           uint64            // drawn at the start: a call that is meant for the process before is not executed
-	readyEpochs       map[string]uint64 // the newest epoch in which each machine's acceptor is known to take part
-	configCallID      uint64            // the number of the call by which the next acceptors are decided; 0: none
+	keysByCallID      map[uint64]callKey // of the calls in progress, by register.Call.ID
+	lastID            uint64             // the highest register.Call.ID in use
+	process           uint64             // drawn at random at the start: a call that is bound to an earlier process is not executed
+	readyEpochs       map[string]uint64  // by address: the newest epoch in which the machine's acceptor has reported to be ready
+	configCallID      uint64             // register.Call.ID of the call that decides or queries the next acceptor set; 0: none
 	nextHelloAt       time.Duration
 	nextMaintenanceAt time.Duration
 	published         atomic.Pointer[ProposerStatus]
@@ -102,7 +102,7 @@
 	}
 }
 
-// tick does what is due.
+// tick lets the proposer handle time-outs and, once per maintenanceInterval, does the periodic work of the loop.
 func (l *proposerLoop) tick() {
 	now := l.now()
 	l.execute(l.proposer.Tick(now))
@@ -133,7 +133,7 @@
 	}
 }
 
-// execute carries out a step of the proposer.
+// execute carries out the output of a proposer's step.
 func (l *proposerLoop) execute(out *register.ProposerOutput) {
 	for _, outgoing := range out.Send {
 		l.service.send(outgoing.To, 0, outgoing.Message)
@@ -143,7 +143,8 @@
 	}
 }
 
-// onCall executes a call, once: where it comes again, it gets the first one's reply.
+// onCall starts to execute a call. A copy of a known call is not executed: it gets the same reply, or one without a certainty
+// while the call is in progress.
 func (l *proposerLoop) onCall(from string, m *CallRequest) {
 	key := callKey{from: from, id: m.ID}
 	if state := l.calls[key]; state != nil {
@@ -160,10 +161,10 @@
 		return
 	}
 	if !m.Operation.Accepts() || l.proposer.Config().Epoch == 0 {
-		return // another machine may know the acceptors
+		return // the forwarder fails over to another machine, which may know the acceptors
 	}
 	if l.service.IsResuming() {
-		return // a call that waited through a pause of this process is its caller's no more
+		return // the call may have been queued during the pause, so that its caller has already given up
 	}
 	if !l.proposer.HasRegister(m.Operation.Name) && l.service.acceptor.status().StoredRegisters >= maxRegisters {
 		l.reply(from, &CallReply{ID: m.ID, Certainty: register.NotExecuted})
@@ -201,7 +202,7 @@
 	l.service.send(to, 0, reply)
 }
 
-// noteExpiry counts and logs a lock that has passed on because its holder's time had run out.
+// recordLockExpiry counts and logs a lock that was granted to another holder because the former holder's lease had expired.
 func (l *proposerLoop) recordLockExpiry(name coordination.Name, c *register.Completion) {
 	if c.Certainty != register.Decided || c.Result.Expired == "" {
 		return
@@ -213,7 +214,7 @@
 
 func (l *proposerLoop) removeExpiredCalls(now time.Duration) {
 	if l.service.IsResuming() {
-		return // copies of the calls may wait to be read
+		return // copies of the calls may still be queued in the sockets
 	}
 	for key, state := range l.calls {
 		if now > state.expiresAt {
@@ -222,7 +223,7 @@
 	}
 }
 
-// onHello learns of acceptors, and tells a machine that knows older ones.
+// onHello adopts a newer acceptor set, or sends the current one to a machine that has an older one.
 func (l *proposerLoop) onHello(from string, m *register.Hello) {
 	l.planner.Observe(l.now(), m)
 	l.setConfig(m.Config)
@@ -234,7 +235,7 @@
 	}
 }
 
-// resume asks an acceptor for what it could not answer before it was ready.
+// resume resends, once per epoch, the requests that an acceptor could not answer before it was ready.
 func (l *proposerLoop) resume(address string) {
 	if l.readyEpochs[address] == l.proposer.Config().Epoch {
 		return
@@ -249,7 +250,7 @@
 	}
 }
 
-// hello returns what this machine says of itself. An acceptor whose identity is not durable is not named.
+// hello returns this machine's Hello. It contains the acceptor's identity only if that is durable.
 func (l *proposerLoop) hello() *register.Hello {
 	options := &l.service.options
 	status := l.service.acceptor.status()
@@ -279,7 +280,8 @@
 	}
 }
 
-// plan has the present acceptors decide the next ones, where this machine is to propose them, or asks whether they have.
+// planNextConfig proposes the next acceptor set to the current acceptors, or queries whether they have decided one, if the
+// planner selects this machine for that. Only one such call is in progress at a time.
 func (l *proposerLoop) planNextConfig(now time.Duration, status AcceptorStatus) {
 	config := l.proposer.Config()
 	next, ok := l.planner.Next(now, config, status.Self)
@@ -306,7 +308,7 @@
 	l.execute(l.proposer.Submit(now, &register.Call{ID: l.configCallID, Operation: operation, Deadline: now + decideTimeout}))
 }
 
-// onDecided takes over the acceptors that were decided, and tells the others.
+// onConfigDecided adopts the acceptor set that was decided, if any, and sends it to the other machines.
 func (l *proposerLoop) onConfigDecided(c register.Completion) {
 	l.configCallID = 0
 	if c.Certainty != register.Decided || c.Result.Value == "" {
--- a/internal/fleet/coordinator/service.go
+++ b/internal/fleet/coordinator/service.go
@@ -14,41 +14,41 @@
 	"pinelb.example/pinelb/internal/fleet/replication"
 )
 
-const inboxSize = 1024 // messages; more are dropped, and sent again by the protocol
+const inboxSize = 1024 // messages; further ones are dropped, and the protocol resends them
 
-// Options are a service's surroundings.
+// Options configure a Service.
 type Options struct {
-	Address   string   // internal, of this machine
+	Address   string   // internal address of this machine
 	Zone      string   // of this machine
 	Region    string   // of this machine
-	Directory string   // empty: no disk
-	Founders  []string // addresses of the first acceptors, at the first start of the whole system; else none
+	Directory string   // where the acceptor stores its registers; empty: in memory only
+	Founders  []string // addresses of the first acceptors at the first start of the whole system; empty at any later start
 	Core      bool     // this machine has an acceptor and a proposer
 	Votes     bool     // this machine counts for the quorum
 	Tolerance replication.Tolerance
 	State     coordination.Options
-	Peers     func() []string // internal addresses of the other core machines, alive or not
-	Proposers func() []string // internal addresses of the core machines that are alive, this one included where it is one
-	Leaving   func() bool     // this machine shuts down
-	Send      func(to string, nonce uint64, message any)
-	Clock     func() time.Duration // monotonic
-	Log       *zap.Logger          // nil: no log
+	Peers     func() []string                            // internal addresses of the other core machines, live or not
+	Proposers func() []string                            // internal addresses of the live core machines, including this one if it is one
+	Leaving   func() bool                                // reports whether this machine is shutting down
+	Send      func(to string, nonce uint64, message any) // nonce: of the sending acceptor's identity, else 0
+	Clock     func() time.Duration                       // monotonic
+	Log       *zap.Logger                                // nil: nothing is logged
 }
 
-// Counters count since the start.
+// Counters count events since the start.
 type Counters struct {
-	Calls        atomic.Uint64 // that this machine took from applications
-	Unclear      atomic.Uint64 // of them: whose outcome is not known
-	Refused      atomic.Uint64 // of them: that were not executed
-	FailedOver   atomic.Uint64 // times that another proposer was asked because the one before did not answer
-	Duplicates   atomic.Uint64 // calls that came to the proposer again
-	Dropped      atomic.Uint64 // messages that found an inbox full
+	Calls        atomic.Uint64 // calls of this machine's applications
+	Unclear      atomic.Uint64 // those of Calls whose outcome is unknown
+	Refused      atomic.Uint64 // those of Calls that were not executed
+	FailedOver   atomic.Uint64 // times that a proposer did not reply, so that the next one was tried
+	Duplicates   atomic.Uint64 // copies of known calls that the proposer received
+	Dropped      atomic.Uint64 // messages that were dropped because an inbox was full
 	Syncs        atomic.Uint64 // writes of the acceptor
 	FailedSyncs  atomic.Uint64 // writes of the acceptor that failed
-	ExpiredLocks atomic.Uint64 // locks that this proposer gave to another because their holder\'s time had run out
+	ExpiredLocks atomic.Uint64 // locks that this proposer granted to another holder because the former holder's lease had expired
 }
 
-// Service is one machine's part of the coordination service. Its methods may be called by any goroutine.
+// Service is one machine's part of the coordination service. Its methods are safe for concurrent use.
 type Service struct {
 	Counters Counters
 
@@ -61,7 +61,8 @@
 	tasks     sync.WaitGroup
 }
 
-// Start reads the disk and starts the service; Close ends it.
+// Start loads the acceptor's state from disk and starts the service; Close stops it. It returns an error if the state can't be
+// read or its directory can't be created.
 func Start(options Options) (*Service, error) {
 	if options.Log == nil {
 		options.Log = zap.NewNop()
@@ -84,20 +85,22 @@
 	return s, nil
 }
 
-// Tick is called at least every 100 ms while the process runs, so that a pause of the process is noticed: from the first call on.
+// Tick has to be called at least every 100 ms while the process runs: a longer gap is detected as a pause of the process.
+// Pauses before the first call are not detected.
 func (s *Service) Tick() { s.pauses.tick(s.options.Clock()) }
 
-// IsResuming reports whether the process has just come out of a pause: what it reads now may have waited in its sockets all the while.
+// IsResuming reports whether the process has just resumed after a pause: messages that it reads now may have been queued in
+// its sockets since before the pause.
 func (s *Service) IsResuming() bool { return s.pauses.isResuming(s.options.Clock()) }
 
-// Close ends the service and closes its files. Calls that are under way end with their context.
+// Close stops the service and closes its files. Calls in progress are not cancelled: they end by their context or time-out.
 func (s *Service) Close() {
 	s.cancel()
 	s.tasks.Wait()
 }
 
-// Receive hands over a message of another machine's service, without waiting. The pointers are those of register.Outgoing, *CallRequest and
-// *CallReply.
+// Receive passes a message of another machine's service to the loop that handles it, without blocking. message is a pointer
+// to one of the message types of register.Outgoing, a *CallRequest or a *CallReply.
 func (s *Service) Receive(from string, nonce uint64, message any) {
 	switch m := message.(type) {
 	case *CallReply:
@@ -139,13 +142,13 @@
 	s.options.Send(to, nonce, message)
 }
 
-// received is a message with its sender.
+// receivedMessage is a message with its sender.
 type receivedMessage struct {
 	from    replication.Replica
 	message any
 }
 
-// enqueue puts a message into an inbox, or drops it where that is full.
+// enqueue puts a message into an inbox, or drops it if the inbox is full.
 func (s *Service) enqueue(inbox chan receivedMessage, from replication.Replica, message any) {
 	select {
 	case inbox <- receivedMessage{from: from, message: message}:
@@ -154,5 +157,6 @@
 	}
 }
 
-// newNonce draws the nonce of a new identity; 0 is that of the first start of the whole system.
+// newNonce draws the nonce of a new acceptor identity. It is never 0, the nonce of the founders at the first start of the whole
+// system.
 func newNonce() uint64 { return rand.Uint64() | 1 }
--- a/internal/fleet/coordinator/status.go
+++ b/internal/fleet/coordinator/status.go
@@ -2,26 +2,26 @@
 
 import "pinelb.example/pinelb/internal/fleet/replication"
 
-// Status is what operators see of a machine's part. The names in JSON are stable.
+// Status is the state of one machine's Service for operators. The names in JSON are stable.
 type Status struct {
-	Epoch      uint64                `json:"epoch"`     // of the acceptors that this machine knows; 0: none
-	Acceptors  []replication.Replica `json:"acceptors"` // that hold the registers
-	Acceptor   *replication.Replica  `json:"acceptor,omitempty"`
-	Ready      bool                  `json:"ready"`  // this machine's acceptor takes part
-	Stored     int                   `json:"stored"` // registers that this machine's acceptor holds
-	Used       int                   `json:"used"`   // registers that this machine's proposer has used
-	Calls      uint64                `json:"calls"`  // the counters count since the start
+	Epoch      uint64                `json:"epoch"`              // of the newest acceptor set that this machine knows; 0: none
+	Acceptors  []replication.Replica `json:"acceptors"`          // of that epoch
+	Acceptor   *replication.Replica  `json:"acceptor,omitempty"` // identity of this machine's acceptor; nil: it has none
+	Ready      bool                  `json:"ready"`              // this machine's acceptor may promise and accept in its epoch
+	Stored     int                   `json:"stored"`             // number of registers that this machine's acceptor stores
+	Used       int                   `json:"used"`               // number of registers that this machine's proposer has used since its start
+	Calls      uint64                `json:"calls"`              // this and the following ones: see Counters
 	Unclear    uint64                `json:"unclear"`
 	Refused    uint64                `json:"refused"`
 	FailedOver uint64                `json:"failedOver"`
 	Duplicates uint64                `json:"duplicates"`
 	Dropped    uint64                `json:"dropped"`
 	Syncs      uint64                `json:"syncs"`
-	SyncErrors uint64                `json:"syncErrors"`
-	Expired    uint64                `json:"expired"` // locks that this machine's proposer gave to another because their holder's time had run out
+	SyncErrors uint64                `json:"syncErrors"` // Counters.FailedSyncs
+	Expired    uint64                `json:"expired"`    // Counters.ExpiredLocks
 }
 
-// Status returns the present state.
+// Status returns the current state. On a machine outside the core, only the counters are set.
 func (s *Service) Status() Status {
 	status := Status{
 		Calls: s.Counters.Calls.Load(), Unclear: s.Counters.Unclear.Load(), Refused: s.Counters.Refused.Load(),
--- a/internal/fleet/coordinator/store.go
+++ b/internal/fleet/coordinator/store.go
@@ -17,16 +17,16 @@
 // logDirectory is the log's directory within Options.Directory.
 const logDirectory = "registers"
 
-// store keeps an acceptor's registers on the disk: a journal of what this acceptor promised and accepted. Only the acceptor's goroutine uses
-// it.
+// store keeps an acceptor's registers on disk, as a log of its promises and accepted values. It is not safe for concurrent
+// use: only the acceptor's goroutine uses it.
 type store struct {
-	log       *storage.Log[*register.HardState] // nil: no disk
-	hardState register.HardState                // as it was read, and then as it was last written
-	records   [][]register.Stored               // as they were read
+	log       *storage.Log[*register.HardState] // nil: in memory only
+	hardState register.HardState                // as last read or written
+	records   [][]register.Stored               // as read, until build
 }
 
-// openStore reads the disk. An empty one, or none, makes a new identity, and so does a corrupt log: the acceptor that wrote it may have
-// promised or accepted more than can be read.
+// openStore reads the log from disk. Without a log, the acceptor has a new identity, or a founder's at the first start of the
+// whole system. With a corrupt log, it starts without state under a new identity: see resetWithNewIdentity.
 func openStore(options *Options) (*store, error) {
 	nonce := uint64(0)
 	if len(options.Founders) == 0 {
@@ -49,7 +49,7 @@
 	return s, s.load(records)
 }
 
-// load takes over the records of a log.
+// load sets the hard state and the registers from the records of a log.
 func (s *store) load(records []storage.Record[*register.HardState]) error {
 	for _, record := range records {
 		var changed []register.Stored
@@ -70,13 +70,14 @@
 	return nil
 }
 
-// renew begins without state, under a new identity: the acceptor that wrote the log may have promised or accepted more than can be read.
+// resetWithNewIdentity discards the state and draws a new identity. The acceptor that wrote the log may have promised or
+// accepted more than can be read, so that continuing under its identity could break its promises.
 func (s *store) resetWithNewIdentity(options *Options, cause error) {
 	options.Log.Error("the log of the registers can't be read: the acceptor starts without state, under a new identity", zap.Error(cause))
 	s.hardState, s.records = register.InitialHardState(options.Address, newNonce(), nil), nil
 }
 
-// reload reads the disk again after a write has failed. What it finds need not be durable.
+// reload reads the log from disk again after a failed write. The records that it finds may not be durable.
 func (s *store) reload(options *Options) error {
 	if s.log == nil {
 		return nil
@@ -94,14 +95,15 @@
 	return s.load(records)
 }
 
-// build makes an acceptor of what the disk holds.
+// build returns an acceptor with the state that was read from disk.
 func (s *store) build(now time.Duration, options coordination.Options) *register.Acceptor {
 	acceptor := register.NewAcceptor(now, s.hardState, s.records, options)
 	s.records = nil
 	return acceptor
 }
 
-// append makes changes durable. The hard state, which is larger than most changes, is written where it has changed.
+// append makes changes and the hard state durable. The hard state is written only if it has changed, because it is larger than
+// most changes.
 func (s *store) append(hardState register.HardState, changed []register.Stored) error {
 	entry, err := cbor.Marshal(changed)
 	if err != nil {
@@ -118,7 +120,7 @@
 	return nil
 }
 
-// replace makes a state durable in place of the former one.
+// replace makes a hard state and all registers durable in a new generation of the log, which replaces the former one.
 func (s *store) replace(hardState register.HardState, all []register.Stored) error {
 	snapshot, err := cbor.Marshal(all)
 	if err != nil {
