--- a/internal/fleet/coordinator/acceptor_log_test.go
+++ b/internal/fleet/coordinator/acceptor_log_test.go
@@ -13,7 +13,7 @@
 	"pinelb.example/pinelb/internal/fleet/replication"
 )
 
-// messagesOf returns the messages that were logged since it was last called.
+// takeMessages returns the messages that were logged since its last call.
 func takeMessages(logs *observer.ObservedLogs) []string {
 	var messages []string
 	for _, entry := range logs.TakeAll() {
@@ -22,9 +22,9 @@
 	return messages
 }
 
-// Guards against acceptors that come and go without a word, and against lines for each call.
+// Guards against changes of the acceptor set that are not logged, and against a log line for each call.
 func TestAcceptorChangesAreLogged(t *testing.T) {
-	Convey("An acceptor that is one of two says", t, func() {
+	Convey("An acceptor that is one of two logs", t, func() {
 		core, logs := observer.New(zap.InfoLevel)
 		self, peer, newcomer := replication.Replica{Address: testAddress}, testPeer, replication.Replica{Address: "10.0.0.3:1", Nonce: 7}
 		previous := AcceptorStatus{Self: self, Config: register.Config{Epoch: 1, Acceptors: []replication.Replica{self, peer}}, ReadyEpoch: 1, StoredRegisters: 3}
@@ -32,12 +32,12 @@
 		logAcceptorChange(zap.New(core), &AcceptorStatus{Self: self}, &previous)
 		So(takeMessages(logs), ShouldResemble, []string{"acceptors changed", "acceptor takes part"})
 
-		Convey("nothing where only registers have changed", func() {
+		Convey("nothing if only registers have changed", func() {
 			next.StoredRegisters = 4
 			logAcceptorChange(zap.New(core), &previous, &next)
 			So(logs.Len(), ShouldEqual, 0)
 		})
-		Convey("who came and who left, that it is sealed, and that it takes part again", func() {
+		Convey("which acceptors were added and removed, that it is sealed, and that it is ready again", func() {
 			next.Config = register.Config{Epoch: 2, Acceptors: []replication.Replica{self, newcomer}, Previous: previous.Config.Acceptors}
 			logAcceptorChange(zap.New(core), &previous, &next)
 			So(logs.All()[0].ContextMap()["added"], ShouldResemble, []replication.Replica{newcomer})
@@ -48,7 +48,7 @@
 			logAcceptorChange(zap.New(core), &next, &ready)
 			So(takeMessages(logs), ShouldResemble, []string{"acceptor takes part"})
 		})
-		Convey("that it takes part, where it had the registers at once", func() {
+		Convey("that it is ready, without having been sealed, if it has the registers immediately", func() {
 			next.Config.Epoch, next.ReadyEpoch = 2, 2
 			logAcceptorChange(zap.New(core), &previous, &next)
 			So(takeMessages(logs), ShouldResemble, []string{"acceptors changed", "acceptor takes part"})
@@ -56,7 +56,7 @@
 	})
 }
 
-// Guards against a lock that passes on without a trace.
+// Guards against an expired lock that is granted to another holder without being counted and logged.
 func TestExpiredLockIsCounted(t *testing.T) {
 	Convey("A lock", t, func() {
 		core, logs := observer.New(zap.DebugLevel)
@@ -73,14 +73,14 @@
 			return m.service.Status().Expired
 		}
 		So(recordedExpiries(acquire(0, "a")), ShouldEqual, 0)
-		So(recordedExpiries(acquire(2*time.Second, "a")), ShouldEqual, 0) // its own
+		So(recordedExpiries(acquire(2*time.Second, "a")), ShouldEqual, 0) // the same holder acquires its expired lock again
 		So(logs.Len(), ShouldEqual, 0)
 
-		Convey("that passes on because its time ran out is counted, and named in the log", func() {
+		Convey("that expired and was granted to another holder is counted and logged", func() {
 			So(recordedExpiries(acquire(4*time.Second, "b")), ShouldEqual, 1)
 			So(logs.All()[0].ContextMap(), ShouldResemble, map[string]any{"lock": "l", "former": "a", "fence": uint64(3)})
 		})
-		Convey("whose grant is not decided is not", func() {
+		Convey("whose grant is not decided is not counted", func() {
 			c := acquire(4*time.Second, "b")
 			c.Certainty = register.Unclear
 			So(recordedExpiries(c), ShouldEqual, 0)
--- a/internal/fleet/coordinator/acceptor_loop_test.go
+++ b/internal/fleet/coordinator/acceptor_loop_test.go
@@ -11,7 +11,7 @@
 	"pinelb.example/pinelb/internal/fleet/replication"
 )
 
-// newAcceptorMachine returns a machine whose acceptor has written its identity.
+// newAcceptorMachine returns a machine whose acceptor has made its identity durable.
 func newAcceptorMachine(t *testing.T, directory string) (*machine, *acceptorLoop) {
 	m := newMachine(directory)
 	loop := m.service.acceptor
@@ -21,7 +21,7 @@
 	return m, loop
 }
 
-// handleTogether has the acceptor handle messages that wait together.
+// handleAsBatch has the acceptor handle messages as one batch.
 func (l *acceptorLoop) handleAsBatch(t *testing.T, messages ...any) {
 	for _, message := range messages {
 		l.inbox <- receivedMessage{testPeer, message}
@@ -30,7 +30,7 @@
 	So(l.inbox, ShouldBeEmpty)
 }
 
-// acknowledged returns the names of the counters whose acceptance was acknowledged.
+// acknowledgedCounters returns the names of the counters whose changes were acknowledged as accepted.
 func acknowledgedCounters(messages []any) []string {
 	var names []string
 	for _, message := range messages {
@@ -48,7 +48,7 @@
 }
 
 func TestAcceptorSharesSyncs(t *testing.T) {
-	Convey("Messages that wait together are made durable by one sync, before any of them is answered", t, func() {
+	Convey("The changes of a batch of messages are made durable by one sync, before any reply is sent", t, func() {
 		directory := t.TempDir()
 		m, loop := newAcceptorMachine(t, directory)
 		defer loop.store.close()
@@ -63,23 +63,23 @@
 		So(m.service.Counters.Syncs.Load()-before, ShouldEqual, 1)
 		So(acknowledgedCounters(m.takeSent()), ShouldResemble, []string{"a", "b", "c"})
 
-		Convey("and one that changes nothing needs no sync", func() {
+		Convey("and a message that changes nothing needs no sync", func() {
 			loop.handleAsBatch(t, acceptRequest("a", 1, 1))
 			So(m.service.Counters.Syncs.Load()-before, ShouldEqual, 1)
 			So(acknowledgedCounters(m.takeSent()), ShouldResemble, []string{"a"})
 		})
-		Convey("and so is what an acceptor learns of the next acceptors, with the changes before it", func() {
+		Convey("and a new acceptor set is made durable together with the changes before it in the batch", func() {
 			next := register.Config{
 				Epoch: 2, Acceptors: []replication.Replica{{Address: testAddress}}, Previous: []replication.Replica{{Address: testAddress}},
 			}
 			loop.handleAsBatch(t, acceptRequest("d", 1, 4), &register.Hello{Config: next}, acceptRequest("e", 1, 5))
 			So(storedCounts(directory), ShouldContainKey, "d")
-			So(storedCounts(directory), ShouldNotContainKey, "e") // it is of a former epoch
+			So(storedCounts(directory), ShouldNotContainKey, "e") // its request is of an earlier epoch
 			So(loop.status().ReadyEpoch, ShouldEqual, 2)
 			So(loop.status().Config, ShouldResemble, next)
 		})
 	})
-	Convey("More messages than a sync is for are made durable by several", t, func() {
+	Convey("More messages than fit into one batch are made durable by several syncs", t, func() {
 		m, loop := newAcceptorMachine(t, t.TempDir())
 		defer loop.store.close()
 		before := m.service.Counters.Syncs.Load()
@@ -92,7 +92,7 @@
 		So(m.service.Counters.Syncs.Load()-before, ShouldEqual, 2)
 		So(acknowledgedCounters(m.takeSent()), ShouldHaveLength, maxBatchedMessages+2)
 	})
-	Convey("Without a disk there is nothing to sync", t, func() {
+	Convey("Without a disk nothing is synced", t, func() {
 		m, loop := newAcceptorMachine(t, "")
 		loop.handleAsBatch(t, acceptRequest("a", 1, 1))
 		So(acknowledgedCounters(m.takeSent()), ShouldResemble, []string{"a"})
@@ -101,9 +101,9 @@
 	})
 }
 
-// Guards against an answer whose change is not on the disk, and against a change that stays in memory alone.
+// Guards against a reply that is sent although its change is not on disk, and against a change that is kept in memory only.
 func TestAcceptorSurvivesFailedWrites(t *testing.T) {
-	Convey("An acceptor of which a write fails", t, func() {
+	Convey("An acceptor whose write fails", t, func() {
 		directory := t.TempDir()
 		m, loop := newAcceptorMachine(t, directory)
 		defer loop.store.close()
@@ -116,14 +116,14 @@
 			So(m.takeSent(), ShouldBeEmpty)
 			So(m.service.Counters.FailedSyncs.Load(), ShouldEqual, 1)
 		})
-		Convey("is as after a restart", func() {
+		Convey("is in the same state as after a restart", func() {
 			stored := loop.acceptor.Snapshot(0)
 			So(stored, ShouldHaveLength, 1)
 			So(stored[0].Change.Counter.Count, ShouldEqual, 1)
 			So(stored[0].Promised.Round, ShouldEqual, 1)
 			So(loop.status().StoredRegisters, ShouldEqual, 1)
 		})
-		Convey("goes on with the same identity, and keeps what it had", func() {
+		Convey("continues with the same identity and its earlier registers", func() {
 			m.takeSent()
 			loop.handleAsBatch(t, acceptRequest("b", 1, 2))
 			So(acknowledgedCounters(m.takeSent()), ShouldResemble, []string{"b"})
@@ -131,7 +131,7 @@
 			So(loop.status().Self, ShouldResemble, replication.Replica{Address: testAddress})
 		})
 	})
-	Convey("An acceptor that can't write the next acceptors does not know them", t, func() {
+	Convey("An acceptor that can't write a new acceptor set does not adopt it", t, func() {
 		directory := t.TempDir()
 		m, loop := newAcceptorMachine(t, directory)
 		defer loop.store.close()
@@ -149,7 +149,7 @@
 }
 
 func TestAcceptorAnswersUnderItsNonce(t *testing.T) {
-	Convey("An acceptor's answers carry the nonce of its disk", t, func() {
+	Convey("An acceptor's replies are sent with the nonce that is stored on its disk", t, func() {
 		directory := t.TempDir()
 		store, err := openStore(storeOptions(directory))
 		So(err, ShouldBeNil)
--- a/internal/fleet/coordinator/forwarder.go
+++ b/internal/fleet/coordinator/forwarder.go
@@ -193,7 +193,8 @@
 )
 
 // attempt sends the call to the current proposer, resends it if no result comes, and waits longer for the result if the
-// proposer replies that the call is in progress.
+// proposer replies that the call is in progress. For a watch, the wait after the second copy includes Park, and a third copy
+// follows it.
 func (c *forwardedCall) attempt(ctx context.Context) (coordination.Result, attemptOutcome) {
 	replyTimeouts := []time.Duration{firstReplyTimeout, resendReplyTimeout}
 	if c.request.Park > 0 {
--- a/internal/fleet/coordinator/forwarder_test.go
+++ b/internal/fleet/coordinator/forwarder_test.go
@@ -14,11 +14,11 @@
 	"pinelb.example/pinelb/internal/fleet/register"
 )
 
-// scriptedProposers answer the calls of a machine that has no proposer itself.
+// scriptedProposers simulates the proposers that receive the calls of a machine without a proposer of its own.
 type scriptedProposers struct {
 	service            *Service
 	proposers          []string
-	requestedProposers []string // each time a call came
+	requestedProposers []string // the proposer of each received copy of a call
 	reply              func(proposer string, request *CallRequest) *CallReply
 }
 
@@ -52,7 +52,7 @@
 
 func sendNoReply(string, *CallRequest) *CallReply { return nil }
 
-// replying returns proposers that answer every call alike.
+// replyWith returns a reply function that answers every call with the same result.
 func replyWith(certainty register.Certainty, count uint64) func(string, *CallRequest) *CallReply {
 	return func(_ string, request *CallRequest) *CallReply {
 		return &CallReply{ID: request.ID, Certainty: certainty, Result: coordination.Result{Outcome: coordination.Done, Count: count}}
@@ -60,16 +60,16 @@
 }
 
 func TestOrderOfProposers(t *testing.T) {
-	Convey("The order in which proposers are asked for a name", t, func() {
+	Convey("The order in which proposers are tried for a name", t, func() {
 		p := newScriptedProposers(sendNoReply)
-		Convey("is the same whatever order they are known in", func() {
+		Convey("does not depend on the order in which they are listed", func() {
 			for i := range 50 {
 				before := p.preferenceOrder(fmt.Sprint(i))
 				slices.Reverse(p.proposers)
 				So(p.preferenceOrder(fmt.Sprint(i)), ShouldResemble, before)
 			}
 		})
-		Convey("keeps its order without one of them", func() {
+		Convey("stays the same for the others if one of them is removed", func() {
 			for i := range 50 {
 				before := p.preferenceOrder(fmt.Sprint(i))
 				removed := p.proposers[0]
@@ -78,7 +78,7 @@
 				p.proposers = append(p.proposers, removed)
 			}
 		})
-		Convey("begins with each of them for some names", func() {
+		Convey("begins with each of them for about a third of the names", func() {
 			first := map[string]int{}
 			for i := range 300 {
 				first[p.preferenceOrder(fmt.Sprint(i))[0]]++
@@ -103,7 +103,7 @@
 
 func TestForwarderFailsOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("A proposer that is silent", t, func() {
+		Convey("A proposer that does not reply", t, func() {
 			p := newScriptedProposers(sendNoReply)
 			preferenceOrder := p.preferenceOrder(counterName.ID)
 			p.reply = func(proposer string, request *CallRequest) *CallReply {
@@ -115,14 +115,14 @@
 			start := time.Now()
 			result, err := p.increment(t.Context())
 
-			Convey("is asked twice, and then the next one, with the same call", func() {
+			Convey("is sent the call twice, and then the next one is sent the same call", func() {
 				So(err, ShouldBeNil)
 				So(result.Count, ShouldEqual, 7)
 				So(p.requestedProposers, ShouldResemble, []string{preferenceOrder[0], preferenceOrder[0], preferenceOrder[1]})
 				So(time.Since(start), ShouldEqual, firstReplyTimeout+resendReplyTimeout)
 				So(p.service.Counters.FailedOver.Load(), ShouldEqual, 1)
 			})
-			Convey("is asked last for a while", func() {
+			Convey("is tried last for suspicionDuration", func() {
 				suspected := append(slices.Clone(preferenceOrder[1:]), preferenceOrder[0])
 				So(p.preferenceOrder(counterName.ID), ShouldResemble, suspected)
 				time.Sleep(suspicionDuration - 1)
@@ -130,7 +130,7 @@
 				time.Sleep(time.Nanosecond)
 				So(p.preferenceOrder(counterName.ID), ShouldResemble, preferenceOrder)
 			})
-			Convey("is asked first again once it answers anything", func() {
+			Convey("is tried first again after any reply from it", func() {
 				p.service.Receive(preferenceOrder[0], 0, &CallReply{ID: 1})
 				So(p.preferenceOrder(counterName.ID), ShouldResemble, preferenceOrder)
 			})
@@ -138,10 +138,10 @@
 	})
 }
 
-// Guards against a refusal of a call that another proposer may execute.
+// Guards against reporting a call as not executed although another proposer may execute it.
 func TestForwarderOutcomes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("A call that the first proposer did not execute is refused", t, func() {
+		Convey("A call that the first proposer refuses is reported as not executed", t, func() {
 			p := newScriptedProposers(replyWith(register.NotExecuted, 0))
 			p.service.Receive(p.preferenceOrder(counterName.ID)[0], 0, &CallReply{Process: 7})
 			_, err := p.increment(t.Context())
@@ -149,12 +149,12 @@
 			So(p.requestedProposers, ShouldHaveLength, 1)
 			So(p.service.Counters.Refused.Load(), ShouldEqual, 1)
 		})
-		Convey("A call that is not bound to the process that did not execute it is unclear: the next one may", t, func() {
+		Convey("A refused call that is not bound to a process is unclear: the next process may execute it", t, func() {
 			p := newScriptedProposers(replyWith(register.NotExecuted, 0))
 			_, err := p.increment(t.Context())
 			So(err, ShouldEqual, ErrUnclear)
 		})
-		Convey("A call that a second proposer did not execute is unclear", t, func() {
+		Convey("A call that the second proposer refuses is unclear: the first one may execute it", t, func() {
 			p := newScriptedProposers(sendNoReply)
 			first := p.preferenceOrder(counterName.ID)[0]
 			p.reply = func(proposer string, request *CallRequest) *CallReply {
@@ -167,13 +167,13 @@
 			So(err, ShouldEqual, ErrUnclear)
 			So(p.service.Counters.Unclear.Load(), ShouldEqual, 1)
 		})
-		Convey("A call whose outcome a proposer does not know is unclear", t, func() {
+		Convey("A call whose outcome the proposer reports as unclear is unclear", t, func() {
 			p := newScriptedProposers(replyWith(register.Unclear, 0))
 			_, err := p.increment(t.Context())
 			So(err, ShouldEqual, ErrUnclear)
 			So(p.requestedProposers, ShouldHaveLength, 1)
 		})
-		Convey("A call without any answer is unclear within the caller's second", t, func() {
+		Convey("A call without any reply is unclear within 1 s, after every proposer was tried", t, func() {
 			p := newScriptedProposers(sendNoReply)
 			start := time.Now()
 			_, err := p.increment(t.Context())
@@ -181,14 +181,14 @@
 			So(time.Since(start), ShouldBeLessThan, time.Second)
 			So(slices.Compact(slices.Sorted(slices.Values(p.requestedProposers))), ShouldHaveLength, 3)
 		})
-		Convey("A call whose caller has gone is unclear", t, func() {
+		Convey("A call whose context is cancelled is unclear", t, func() {
 			p := newScriptedProposers(sendNoReply)
 			ctx, cancel := context.WithCancel(t.Context())
 			cancel()
 			_, err := p.increment(ctx)
 			So(err, ShouldEqual, ErrUnclear)
 		})
-		Convey("A call where no proposer is known is refused", t, func() {
+		Convey("A call without a known proposer is refused", t, func() {
 			p := newScriptedProposers(sendNoReply)
 			p.proposers = nil
 			_, err := p.increment(t.Context())
@@ -201,7 +201,7 @@
 
 func TestForwarderMatchesReplies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("A reply to a former call is ignored", t, func() {
+		Convey("A reply to an earlier call is ignored", t, func() {
 			var earlier *CallRequest
 			p := newScriptedProposers(nil)
 			p.reply = func(proposer string, request *CallRequest) *CallReply {
@@ -219,7 +219,7 @@
 			}
 			So(p.service.forwarder.pending, ShouldBeEmpty)
 		})
-		Convey("A reply that comes twice answers once", t, func() {
+		Convey("A second reply to a call is ignored", t, func() {
 			p := newScriptedProposers(nil)
 			p.reply = func(proposer string, request *CallRequest) *CallReply {
 				p.service.Receive(proposer, 0, replyWith(register.Decided, 3)(proposer, request))
@@ -229,7 +229,7 @@
 			So(err, ShouldBeNil)
 			So(result.Count, ShouldEqual, 3)
 		})
-		Convey("A watch waits for its events and the time of a call", t, func() {
+		Convey("A watch without a reply is unclear after its wait for events and the time-out of a call", t, func() {
 			p := newScriptedProposers(sendNoReply)
 			start := time.Now()
 			_, err := p.service.Execute(t.Context(), &coordination.Operation{Kind: coordination.Watch}, 400*time.Millisecond)
--- a/internal/fleet/coordinator/fuzz_test.go
+++ b/internal/fleet/coordinator/fuzz_test.go
@@ -11,7 +11,7 @@
 	"pinelb.example/pinelb/internal/fleet/replication"
 )
 
-// FuzzServiceReceive: whatever message comes, from another machine or as if from this one, does not end the process.
+// FuzzServiceReceive checks that no decodable message causes a panic, whether its sender is another machine or this one.
 func FuzzServiceReceive(f *testing.F) {
 	group := coordination.Name{Kind: coordination.KindGroup, ID: "g."}
 	next := register.Config{
--- a/internal/fleet/coordinator/main_test.go
+++ b/internal/fleet/coordinator/main_test.go
@@ -29,21 +29,22 @@
 	message any
 }
 
-// machine is a core machine whose loops a test runs by hand, on a clock of its own: no goroutine is started.
+// machine is a core machine whose loops are stepped by the test, on a simulated clock. It starts no goroutine.
 type machine struct {
 	service *Service
 	now     time.Duration
 	sent    []sentMessage
-	onSend  func(sentMessage) // nil: nothing
+	onSend  func(sentMessage) // called for each sent message; nil: not called
 }
 
-// newMachine returns a core machine that is the only founder. An empty directory: no disk.
+// newMachine returns a core machine that is the only founder. If directory is empty, it has no disk.
 func newMachine(directory string) *machine {
 	m, err := buildMachine(directory)
 	So(err, ShouldBeNil)
 	return m
 }
 
+// buildMachine is newMachine for callers outside of Convey.
 func buildMachine(directory string) (*machine, error) {
 	m := &machine{}
 	m.service = &Service{options: Options{
@@ -71,7 +72,7 @@
 	return m, nil
 }
 
-// takeSent returns what was sent to other machines since it was last called.
+// takeSent returns the messages that were sent to other machines since its last call.
 func (m *machine) takeSent() []any {
 	var messages []any
 	for _, sent := range m.sent {
@@ -91,7 +92,7 @@
 	}}}
 }
 
-// storedCounts returns the counters that a disk holds, as after a restart.
+// storedCounts returns the values of the counters that are stored on a disk, by name, as a restarted acceptor reads them.
 func storedCounts(directory string) map[string]uint64 {
 	options := Options{Address: testAddress, Directory: directory, Log: zap.NewNop()}
 	s, err := openStore(&options)
@@ -104,7 +105,7 @@
 	return counts
 }
 
-// newestGeneration returns the directory of a log's newest generation, and the one that the next will have.
+// newestGeneration returns the directories of a log's newest generation and of the one that would follow it.
 func newestGeneration(directory string) (newest, next string) {
 	generations, err := filepath.Glob(filepath.Join(directory, logDirectory, "generation-*"))
 	So(err, ShouldBeNil)
@@ -119,7 +120,8 @@
 	}
 }
 
-// failNextWrite has the next write fail: the log has no open generation, and the next one begins with the wrong segment.
+// failNextWrite makes the next write fail: it closes the log, so that no generation is open, and creates the directory of the
+// next generation with a wrong first segment.
 func failNextWrite(directory string, log *storage.Log[*register.HardState]) {
 	log.Close()
 	_, next := newestGeneration(directory)
--- a/internal/fleet/coordinator/proposer_loop.go
+++ b/internal/fleet/coordinator/proposer_loop.go
@@ -17,7 +17,7 @@
 	minTickInterval     = 2 * time.Millisecond
 	maintenanceInterval = 100 * time.Millisecond
 	helloInterval       = 500 * time.Millisecond
-	replyTTL            = 5 * time.Second // after a call's deadline: for which a copy of the call gets the same reply
+	replyTTL            = 5 * time.Second // for which a copy of a call gets the same reply, after the call's time-out and Park
 	decideTimeout       = 800 * time.Millisecond
 	maxRegisters        = 50_000 // stored by an acceptor; at this count no new register is created
 )
@@ -34,7 +34,7 @@
 	id   uint64
 }
 
-// callState is the state of a call that the proposer has accepted.
+// callState is the state of a call that was submitted to the proposer.
 type callState struct {
 	name      coordination.Name
 	reply     *CallReply    // nil: the call is in progress
@@ -49,9 +49,9 @@
 	planner           *register.Planner
 	calls             map[callKey]*callState
 	keysByCallID      map[uint64]callKey // of the calls in progress, by register.Call.ID
-	lastID            uint64             // the highest register.Call.ID in use
+	lastID            uint64             // the last register.Call.ID that was assigned
 	process           uint64             // drawn at random at the start: a call that is bound to an earlier process is not executed
-	readyEpochs       map[string]uint64  // by address: the newest epoch in which the machine's acceptor has reported to be ready
+	readyEpochs       map[string]uint64  // by address: the newest epoch in which the machine's acceptor has reported that it is ready
 	configCallID      uint64             // register.Call.ID of the call that decides or queries the next acceptor set; 0: none
 	nextHelloAt       time.Duration
 	nextMaintenanceAt time.Duration
--- a/internal/fleet/coordinator/proposer_loop_test.go
+++ b/internal/fleet/coordinator/proposer_loop_test.go
@@ -11,7 +11,7 @@
 	"pinelb.example/pinelb/internal/fleet/replication"
 )
 
-// newProposerMachine returns a machine whose proposer knows its own acceptor.
+// newProposerMachine returns a machine whose proposer has the initial configuration, with the machine's own acceptor.
 func newProposerMachine(t *testing.T) *machine {
 	m, _ := newAcceptorMachine(t, "")
 	m.service.proposer.tick()
@@ -21,7 +21,7 @@
 	return m
 }
 
-// settle has both loops handle what waits, until nothing does.
+// drainInboxes has both loops handle their queued messages until both inboxes are empty.
 func (m *machine) drainInboxes(t *testing.T) {
 	for {
 		select {
@@ -35,7 +35,8 @@
 	}
 }
 
-// ask has the proposer receive a call of another machine, and returns what that machine is answered.
+// call has the proposer receive a call from another machine and returns the replies to that machine, with Process checked and
+// cleared.
 func (m *machine) call(t *testing.T, from string, request *CallRequest) []*CallReply {
 	m.service.Receive(from, 0, request)
 	m.drainInboxes(t)
@@ -62,30 +63,30 @@
 	return []*CallReply{{ID: id, Certainty: register.Decided, Result: coordination.Result{Outcome: coordination.Done, Count: count}}}
 }
 
-// Guards against a call that is executed twice because its caller sent it again.
+// Guards against a call that is executed twice because its caller resent it.
 func TestRepeatedCallIsExecutedOnce(t *testing.T) {
 	const caller, other = "10.0.0.8:1", "10.0.0.9:1"
 	Convey("A call", t, func() {
 		m := newProposerMachine(t)
 
-		Convey("that comes again after its reply gets the same one", func() {
+		Convey("whose copy arrives after the reply gets the same reply", func() {
 			So(m.call(t, caller, incrementRequest(1)), ShouldResemble, repliesWithCount(1, 1))
 			So(m.call(t, caller, incrementRequest(1)), ShouldResemble, repliesWithCount(1, 1))
 			So(m.service.Counters.Duplicates.Load(), ShouldEqual, 1)
 			So(m.call(t, caller, incrementRequest(2)), ShouldResemble, repliesWithCount(2, 2))
 		})
-		Convey("that comes again while it is under way is told so, and gets one result", func() {
+		Convey("whose copies arrive while it is in progress gets replies without a certainty, and one result", func() {
 			m.service.proposer.onCall(caller, incrementRequest(1))
 			m.service.proposer.onCall(caller, incrementRequest(1))
 			inProgressReply := &CallReply{ID: 1}
 			So(m.call(t, caller, incrementRequest(1)), ShouldResemble, append([]*CallReply{inProgressReply, inProgressReply}, repliesWithCount(1, 1)...))
 			So(m.service.Counters.Duplicates.Load(), ShouldEqual, 2)
 		})
-		Convey("of another machine is another call, also with the same number", func() {
+		Convey("from another machine is another call even if it has the same ID", func() {
 			So(m.call(t, caller, incrementRequest(1)), ShouldResemble, repliesWithCount(1, 1))
 			So(m.call(t, other, incrementRequest(1)), ShouldResemble, repliesWithCount(1, 2))
 		})
-		Convey("is known for as long as it may come again, and then forgotten", func() {
+		Convey("is removed after replyTTL, when no copy is expected any more", func() {
 			So(m.call(t, caller, incrementRequest(1)), ShouldResemble, repliesWithCount(1, 1))
 			m.now += callTimeout + replyTTL
 			m.service.proposer.tick()
@@ -95,7 +96,7 @@
 			So(m.service.proposer.calls, ShouldBeEmpty)
 			So(m.service.proposer.keysByCallID, ShouldBeEmpty)
 		})
-		Convey("of an operation that its name can't have is ignored", func() {
+		Convey("of an operation that does not fit the kind of its name is ignored", func() {
 			request := incrementRequest(1)
 			request.Operation.Name.Kind = coordination.KindLock
 			So(m.call(t, caller, request), ShouldBeEmpty)
@@ -106,22 +107,22 @@
 
 func TestCallsWithoutMajority(t *testing.T) {
 	const caller = "10.0.0.8:1"
-	Convey("A proposer whose acceptors are silent", t, func() {
+	Convey("A proposer whose acceptors do not reply", t, func() {
 		m := newMachine("")
 		m.service.proposer.setConfig(register.Config{Epoch: 1, Acceptors: []replication.Replica{testPeer}})
 		m.now = time.Second
 		So(m.call(t, caller, incrementRequest(1)), ShouldBeEmpty)
 
-		Convey("says after the call's time that it was not executed, while no acceptor was asked to accept it", func() {
+		Convey("replies at the time-out that the call was not executed if no accept request was sent for it", func() {
 			m.now += callTimeout
 			m.service.proposer.tick()
 			So(m.call(t, caller, incrementRequest(1)), ShouldContain, &CallReply{ID: 1, Certainty: register.NotExecuted})
 		})
-		Convey("says after the call's time that its outcome is unclear once one was", func() {
+		Convey("replies at the time-out that the outcome is unclear if an accept request was sent for it", func() {
 			ballot := register.Ballot{}
 			m.service.proposer.onCall(caller, incrementRequest(1))
 			m.service.proposer.execute(m.service.proposer.proposer.Tick(m.now + time.Millisecond))
-			m.now += 500 * time.Millisecond // it asks again
+			m.now += 500 * time.Millisecond // the proposer resends its prepare requests
 			m.service.proposer.tick()
 			for _, message := range m.takeSent() {
 				if request, ok := message.(*register.Request); ok {
@@ -138,9 +139,9 @@
 	})
 }
 
-// Guards against a call that one process refused and the next one at its address executes.
+// Guards against a call that one process refused and a later process at the same address executes.
 func TestCallOfFormerProcessIsNotExecuted(t *testing.T) {
-	Convey("A copy of a call that is meant for the process before is answered without being executed", t, func() {
+	Convey("A copy of a call that is bound to an earlier process gets a reply without being executed", t, func() {
 		m := newProposerMachine(t)
 		request := incrementRequest(1)
 		request.Process = m.service.proposer.process + 1
--- a/internal/fleet/coordinator/service.go
+++ b/internal/fleet/coordinator/service.go
@@ -85,8 +85,8 @@
 	return s, nil
 }
 
-// Tick has to be called at least every 100 ms while the process runs: a longer gap is detected as a pause of the process.
-// Pauses before the first call are not detected.
+// Tick has to be called at least every 100 ms while the process runs, so that a pause of the process is detected. Pauses
+// before the first call are not detected.
 func (s *Service) Tick() { s.pauses.tick(s.options.Clock()) }
 
 // IsResuming reports whether the process has just resumed after a pause: messages that it reads now may have been queued in
--- a/internal/fleet/coordinator/service_test.go
+++ b/internal/fleet/coordinator/service_test.go
@@ -15,13 +15,13 @@
 	"pinelb.example/pinelb/internal/fleet/replication"
 )
 
-// core is a set of core machines that send each other messages without delay.
+// coreCluster is a set of core machines that exchange messages without delay.
 type coreCluster struct {
 	directory string // empty: no disks
 	startedAt time.Time
 
 	mu       sync.Mutex
-	services map[string]*Service // those that run
+	services map[string]*Service // the running ones, by address
 }
 
 func coreAddress(i int) string { return fmt.Sprintf("10.0.0.%d:1", i) }
@@ -65,7 +65,7 @@
 	return s
 }
 
-// addresses returns all machines but one, alive or not.
+// addresses returns the addresses of all machines except one, whether they run or not.
 func (c *coreCluster) addresses(except string) []string {
 	var all []string
 	for i := range coreMachines {
@@ -98,7 +98,8 @@
 	}
 }
 
-// increment has a machine increment the counter, again for as long as it is not clear that it was.
+// increment has a machine increment the counter and returns the new count. It retries after an error, so that an attempt with
+// an unclear outcome may have incremented the counter too.
 func (c *coreCluster) increment(t *testing.T, i int) uint64 {
 	operation := &coordination.Operation{Kind: coordination.Increment, Name: counterName}
 	for range 20 {
@@ -112,7 +113,7 @@
 	return 0
 }
 
-// awaitReady waits until every running acceptor takes part.
+// awaitReady waits until all acceptors are ready, in the given epoch or a later one.
 func (c *coreCluster) awaitReady(epoch uint64) {
 	for range 300 {
 		ready := 0
@@ -137,18 +138,18 @@
 			Reset(c.stopAll)
 			c.awaitReady(1)
 
-			Convey("count together, whichever of them is called", func() {
+			Convey("share one counter, whichever of them is called", func() {
 				for n := range uint64(6) {
 					So(c.increment(t, int(n)%coreMachines), ShouldEqual, n+1)
 				}
 			})
-			Convey("go on without one of them", func() {
+			Convey("continue without one of them", func() {
 				before := c.increment(t, 0)
 				c.stop(0)
 				So(c.increment(t, 1), ShouldBeGreaterThan, before)
 				So(c.increment(t, 2), ShouldBeGreaterThan, before+1)
 			})
-			Convey("answer a watch as soon as there is a put", func() {
+			Convey("reply to a watch as soon as there is a put", func() {
 				put := &coordination.Operation{
 					Kind: coordination.Put, Name: coordination.Name{Kind: coordination.KindGroup, ID: "g."}, Key: "g.a", Value: "1"}
 				s := c.service(coreAddress(0))
@@ -159,7 +160,7 @@
 					time.Sleep(300 * time.Millisecond)
 					second := *put
 					second.Value = "2"
-					_, _ = c.service(coreAddress(1)).Execute(t.Context(), &second, 0) // the watch tells whether it succeeded
+					_, _ = c.service(coreAddress(1)).Execute(t.Context(), &second, 0) // the watch shows whether the put succeeded
 				}()
 				watch := &coordination.Operation{Kind: coordination.Watch, Name: put.Name, Since: first.Revision}
 				result, err := s.Execute(t.Context(), watch, 2*time.Second)
@@ -181,7 +182,7 @@
 			c.awaitReady(1)
 			count := c.increment(t, 0)
 
-			Convey("go on counting after all of them have restarted", func() {
+			Convey("continue counting after all of them have restarted", func() {
 				c.stopAll()
 				c.startAll(nil)
 				So(c.increment(t, 1), ShouldBeGreaterThan, count)
@@ -202,7 +203,7 @@
 }
 
 func TestServiceOfNonCoreMachine(t *testing.T) {
-	Convey("A machine that is not of the core has no loops, and ignores what is for them", t, func() {
+	Convey("A machine outside the core has no loops and ignores messages for them", t, func() {
 		s, err := Start(Options{Address: testAddress})
 		So(err, ShouldBeNil)
 		defer s.Close()
--- a/internal/fleet/coordinator/status.go
+++ b/internal/fleet/coordinator/status.go
@@ -5,7 +5,7 @@
 // Status is the state of one machine's Service for operators. The names in JSON are stable.
 type Status struct {
 	Epoch      uint64                `json:"epoch"`              // of the newest acceptor set that this machine knows; 0: none
-	Acceptors  []replication.Replica `json:"acceptors"`          // of that epoch
+	Acceptors  []replication.Replica `json:"acceptors"`          // of that epoch; they store the registers
 	Acceptor   *replication.Replica  `json:"acceptor,omitempty"` // identity of this machine's acceptor; nil: it has none
 	Ready      bool                  `json:"ready"`              // this machine's acceptor may promise and accept in its epoch
 	Stored     int                   `json:"stored"`             // number of registers that this machine's acceptor stores
--- a/internal/fleet/coordinator/store.go
+++ b/internal/fleet/coordinator/store.go
@@ -71,7 +71,7 @@
 }
 
 // resetWithNewIdentity discards the state and draws a new identity. The acceptor that wrote the log may have promised or
-// accepted more than can be read, so that continuing under its identity could break its promises.
+// accepted more than can be read, and continuing under its identity could break its promises.
 func (s *store) resetWithNewIdentity(options *Options, cause error) {
 	options.Log.Error("the log of the registers can't be read: the acceptor starts without state, under a new identity", zap.Error(cause))
 	s.hardState, s.records = register.InitialHardState(options.Address, newNonce(), nil), nil
--- a/internal/fleet/coordinator/store_test.go
+++ b/internal/fleet/coordinator/store_test.go
@@ -28,7 +28,8 @@
 	}
 }
 
-// writeTestStore writes a snapshot with counter a = 1 and two changes, a = 2 and b = 1, and returns the hard state that goes with them.
+// writeTestStore writes a snapshot with counter a = 1 and two changes, a = 2 and b = 1, and returns the last hard state that it
+// has written.
 func writeTestStore(directory string) register.HardState {
 	s, err := openStore(storeOptions(directory, testAddress))
 	So(err, ShouldBeNil)
@@ -52,7 +53,7 @@
 		directory := t.TempDir()
 		hardState := writeTestStore(directory)
 
-		Convey("is read back, whoever the founders are", func() {
+		Convey("is read back, whatever Options.Founders contains", func() {
 			for _, founders := range [][]string{nil, {testAddress}, {"10.0.0.7:1"}} {
 				s, err := openStore(storeOptions(directory, founders...))
 				So(err, ShouldBeNil)
@@ -60,7 +61,7 @@
 				So(storedCounts(directory), ShouldResemble, map[string]uint64{"a": 2, "b": 1})
 			}
 		})
-		Convey("loses a record that is torn, and nothing before", func() {
+		Convey("loses only the last record if that is truncated", func() {
 			content, err := os.ReadFile(segmentPath(directory))
 			So(err, ShouldBeNil)
 			So(os.WriteFile(segmentPath(directory), content[:len(content)-1], 0o600), ShouldBeNil)
@@ -69,7 +70,7 @@
 			So(err, ShouldBeNil)
 			So(s.hardState.Self, ShouldResemble, hardState.Self)
 		})
-		Convey("starts without state under a new identity where a synced record has changed", func() {
+		Convey("starts without state under a new identity if a synced record is corrupt", func() {
 			content, err := os.ReadFile(segmentPath(directory))
 			So(err, ShouldBeNil)
 			content[20] ^= 1
@@ -91,13 +92,13 @@
 
 func TestIdentityOfEmptyDisk(t *testing.T) {
 	Convey("An empty disk", t, func() {
-		Convey("is a founder's at the first start of the whole system", func() {
+		Convey("yields a founder's identity at the first start of the whole system", func() {
 			s, err := openStore(storeOptions(t.TempDir(), testAddress))
 			So(err, ShouldBeNil)
 			So(s.hardState.Self, ShouldResemble, replication.Replica{Address: testAddress})
 			So(s.hardState.ReadyEpoch, ShouldEqual, 1)
 		})
-		Convey("has a new identity at any later one, and takes part in nothing yet", func() {
+		Convey("yields a new identity without an epoch at any later start", func() {
 			first, err := openStore(storeOptions(t.TempDir()))
 			So(err, ShouldBeNil)
 			second, err := openStore(storeOptions(""))
@@ -118,7 +119,7 @@
 }
 
 func TestStoreReloads(t *testing.T) {
-	Convey("A store of which a write failed", t, func() {
+	Convey("A store whose writes failed", t, func() {
 		directory := t.TempDir()
 		hardState := writeTestStore(directory)
 		s, err := openStore(storeOptions(directory))
@@ -129,7 +130,7 @@
 		So(s.append(hardState, []register.Stored{storedCounter("a", 9)}), ShouldNotBeNil)
 		So(s.replace(hardState, []register.Stored{storedCounter("a", 9)}), ShouldNotBeNil)
 
-		Convey("has what the disk holds once it is read again, and can be written again", func() {
+		Convey("has the state on disk after a reload, and can be written again", func() {
 			So(s.reload(storeOptions(directory)), ShouldBeNil)
 			So(s.hardState, ShouldResemble, hardState)
 			So(s.build(0, coordination.Options{}).RegisterCount(), ShouldEqual, 2)
@@ -137,7 +138,7 @@
 			So(storedCounts(directory), ShouldResemble, map[string]uint64{"a": 3})
 		})
 	})
-	Convey("A store without a disk has nothing to read", t, func() {
+	Convey("A store without a disk reloads without an error", t, func() {
 		s, err := openStore(storeOptions("", testAddress))
 		So(err, ShouldBeNil)
 		So(s.reload(storeOptions("")), ShouldBeNil)
@@ -146,7 +147,7 @@
 
 // Guards against registers that are lost when the log starts a new generation.
 func TestCompactionKeepsEverything(t *testing.T) {
-	Convey("A log that grows is compacted, and holds every register afterwards", t, func() {
+	Convey("A growing log is compacted and still contains every register", t, func() {
 		directory := t.TempDir()
 		m := newMachine(directory)
 		loop := m.service.acceptor
@@ -171,7 +172,7 @@
 	})
 }
 
-// Guards against a log that can't be read again because it holds very many registers.
+// Guards against a log that can't be read because it contains more registers than the CBOR decoder's default limit.
 func TestStoreOfManyNames(t *testing.T) {
 	Convey("A store of more registers than CBOR decodes by default is read back", t, func() {
 		const names = 131_072 + 1
--- a/internal/fleet/coordinator/wire_format_test.go
+++ b/internal/fleet/coordinator/wire_format_test.go
@@ -13,7 +13,7 @@
 	"pinelb.example/pinelb/internal/fleet/register"
 )
 
-// Guards against a renamed field that changes what routers of different versions send each other.
+// Guards against a renamed or renumbered field that changes the messages between routers of different versions.
 func TestWireFormat(t *testing.T) {
 	operation := coordination.Operation{Kind: coordination.Watch, Name: coordination.Name{Kind: coordination.KindGroup, ID: "g."}, Since: 9}
 	for _, message := range []struct {
