--- a/internal/fleet/coordinator/acceptor_log.go
+++ b/internal/fleet/coordinator/acceptor_log.go
@@ -19,10 +19,11 @@
 	}
 	switch {
 	case previous.isReady() && !current.isReady():
-		log.Info("acceptor sealed: not ready until it has collected the registers of the new epoch; a non-member does not collect them", zap.Uint64("epoch", epoch),
-			zap.Bool("isMember", current.Config.Has(current.Self)), zap.Int("registers", current.StoredRegisters))
+		log.Info("acceptor sealed: not ready until it has collected the registers of the new epoch; a non-member does not collect them",
+			zap.Uint64("epoch", epoch), zap.Bool("isMember", current.Config.Has(current.Self)), zap.Int("registers", current.StoredRegisters))
 	case current.isReady() && (!previous.isReady() || epoch != previous.Config.Epoch):
-		log.Info("acceptor takes part", zap.Uint64("epoch", epoch), zap.Uint64("nonce", current.Self.Nonce), zap.Int("registers", current.StoredRegisters))
+		log.Info("acceptor takes part", zap.Uint64("epoch", epoch), zap.Uint64("nonce", current.Self.Nonce),
+			zap.Int("registers", current.StoredRegisters))
 	}
 }
 
--- a/internal/fleet/coordinator/acceptor_log_test.go
+++ b/internal/fleet/coordinator/acceptor_log_test.go
@@ -27,7 +27,9 @@
 	Convey("An acceptor that is one of two logs", t, func() {
 		core, logs := observer.New(zap.InfoLevel)
 		self, peer, newcomer := replication.Replica{Address: testAddress}, testPeer, replication.Replica{Address: "10.0.0.3:1", Nonce: 7}
-		previous := AcceptorStatus{Self: self, Config: register.Config{Epoch: 1, Acceptors: []replication.Replica{self, peer}}, ReadyEpoch: 1, StoredRegisters: 3}
+		previous := AcceptorStatus{
+			Self: self, Config: register.Config{Epoch: 1, Acceptors: []replication.Replica{self, peer}}, ReadyEpoch: 1, StoredRegisters: 3,
+		}
 		next := previous
 		logAcceptorChange(zap.New(core), &AcceptorStatus{Self: self}, &previous)
 		So(takeMessages(logs), ShouldResemble, []string{"acceptors changed", "acceptor takes part"})
