--- a/internal/fleet/coordinator/forwarder.go
+++ b/internal/fleet/coordinator/forwarder.go
@@ -138,7 +138,7 @@
 	defer f.removePendingCall(call.request.ID)
 	for attempt := 0; ; attempt++ {
 		call.proposer = proposers[attempt%len(proposers)]
-		result, outcome := call.attempt(ctx)
+		result, outcome := call.tryProposer(ctx)
 		switch outcome {
 		case answered:
 			return result, nil
@@ -189,13 +189,13 @@
 	notExecuted                   // by any proposer, and never will be
 	noReply                       // no reply of any kind: fail over to the next proposer
 	inProgress                    // the proposer has the call but sent no result in time: try the next proposer too
-	outcomeUnclear                // the call's time-out has expired, or the proposer can't tell the outcome
+	outcomeUnclear                // the time-out has expired, or a reply leaves open whether a copy of the call takes effect
 )
 
-// attempt sends the call to the current proposer, resends it if no result comes, and waits longer for the result if the
+// tryProposer sends the call to the current proposer, resends it if no result comes, and waits longer for the result if the
 // proposer replies that the call is in progress. For a watch, the wait after the second copy includes Park, and a third copy
 // follows it.
-func (c *forwardedCall) attempt(ctx context.Context) (coordination.Result, attemptOutcome) {
+func (c *forwardedCall) tryProposer(ctx context.Context) (coordination.Result, attemptOutcome) {
 	replyTimeouts := []time.Duration{firstReplyTimeout, resendReplyTimeout}
 	if c.request.Park > 0 {
 		replyTimeouts = []time.Duration{firstReplyTimeout, c.request.Park + firstReplyTimeout, resendReplyTimeout}
@@ -233,7 +233,7 @@
 func (c *forwardedCall) await(ctx context.Context, replyTimeout time.Duration) (coordination.Result, attemptOutcome) {
 	timer := time.NewTimer(replyTimeout)
 	defer timer.Stop()
-	isWorking := false
+	isInProgress := false
 	for {
 		select {
 		case <-ctx.Done():
@@ -242,10 +242,10 @@
 			if result, outcome := c.interpret(reply); outcome != noReply && outcome != inProgress {
 				return result, outcome
 			} else if outcome == inProgress {
-				isWorking = true
+				isInProgress = true
 			}
 		case <-timer.C:
-			if isWorking {
+			if isInProgress {
 				return coordination.Result{}, inProgress
 			}
 			return coordination.Result{}, noReply
