--- a/internal/fleet/coordinator/forwarder.go
+++ b/internal/fleet/coordinator/forwarder.go
@@ -17,8 +17,8 @@
 
 // Errors returned by Service.Execute.
 var (
-	// ErrUnclear means that the outcome is unknown: the operation may have taken effect, or may still take effect. Repeating
-	// it is safe.
+	// ErrUnclear means that the outcome is unknown: the operation may have taken effect, or may still take effect. The
+	// caller may repeat it, but the repetition is a new call: an increment may then be counted twice.
 	ErrUnclear = errors.New("coordinator: the outcome is not known")
 	// ErrOverloaded means that the operation was not executed and never will be: too many calls are queued for the name, or
 	// there are too many registers to create another one.
@@ -186,15 +186,15 @@
 
 const (
 	answered       attemptOutcome = iota + 1
-	notExecuted                   // by any proposer, and never will be
+	notExecuted                   // not executed by any proposer, and never will be
 	noReply                       // no reply of any kind: fail over to the next proposer
-	inProgress                    // the proposer has the call but sent no result in time: try the next proposer too
-	outcomeUnclear                // the time-out has expired, or a reply leaves open whether a copy of the call takes effect
+	inProgress                    // the proposer is alive but sent no result in time: try the next proposer too
+	outcomeUnclear                // the context has ended, or a reply leaves open whether a copy of the call takes effect
 )
 
 // tryProposer sends the call to the current proposer, resends it if no result comes, and waits longer for the result if the
-// proposer replies that the call is in progress. For a watch, the wait after the second copy includes Park, and a third copy
-// follows it.
+// proposer replies that the call is in progress. In total it waits for as long as a live proposer may take. For a watch, the
+// wait after the second copy includes Park, and a third copy follows it.
 func (c *forwardedCall) tryProposer(ctx context.Context) (coordination.Result, attemptOutcome) {
 	replyTimeouts := []time.Duration{firstReplyTimeout, resendReplyTimeout}
 	if c.request.Park > 0 {
--- a/internal/fleet/coordinator/messages.go
+++ b/internal/fleet/coordinator/messages.go
@@ -30,8 +30,8 @@
 	Process   uint64              `cbor:"4,keyasint,omitempty"` // that sent this reply; drawn at random when it started
 }
 
-// decoding returns a mode without a limit on the length of arrays: the library's default of 131,072 elements may be too low
-// for the registers of one machine.
+// decoding returns a mode with the highest limit on the length of arrays, so that a record or message can contain all
+// registers of a machine. The library's default limit is 131,072 elements.
 var decoding = sync.OnceValues(cbor.DecOptions{MaxArrayElements: math.MaxInt32}.DecMode)
 
 // Decode decodes a message of this package or of package register, or a record of the log.
--- a/internal/fleet/coordinator/proposer_loop_test.go
+++ b/internal/fleet/coordinator/proposer_loop_test.go
@@ -86,7 +86,7 @@
 			So(m.call(t, caller, incrementRequest(1)), ShouldResemble, repliesWithCount(1, 1))
 			So(m.call(t, other, incrementRequest(1)), ShouldResemble, repliesWithCount(1, 2))
 		})
-		Convey("is removed after replyTTL, when no copy is expected any more", func() {
+		Convey("is removed after its time-out and replyTTL, when no copy is expected any more", func() {
 			So(m.call(t, caller, incrementRequest(1)), ShouldResemble, repliesWithCount(1, 1))
 			m.now += callTimeout + replyTTL
 			m.service.proposer.tick()
--- a/internal/fleet/coordinator/service.go
+++ b/internal/fleet/coordinator/service.go
@@ -37,7 +37,7 @@
 
 // Counters count events since the start.
 type Counters struct {
-	Calls        atomic.Uint64 // calls of this machine's applications
+	Calls        atomic.Uint64 // calls that this machine received from applications
 	Unclear      atomic.Uint64 // those of Calls whose outcome is unknown
 	Refused      atomic.Uint64 // those of Calls that were not executed
 	FailedOver   atomic.Uint64 // times that a proposer did not reply, so that the next one was tried
@@ -99,8 +99,8 @@
 	s.tasks.Wait()
 }
 
-// Receive passes a message of another machine's service to the loop that handles it, without blocking. message is a pointer
-// to one of the message types of register.Outgoing, a *CallRequest or a *CallReply.
+// Receive passes a message of another machine's service to the forwarder or the loop that handles it, without blocking.
+// message is a pointer to one of the message types of register.Outgoing, a *CallRequest or a *CallReply.
 func (s *Service) Receive(from string, nonce uint64, message any) {
 	switch m := message.(type) {
 	case *CallReply:
--- a/internal/fleet/coordinator/store.go
+++ b/internal/fleet/coordinator/store.go
@@ -22,7 +22,7 @@
 type store struct {
 	log       *storage.Log[*register.HardState] // nil: in memory only
 	hardState register.HardState                // as last read or written
-	records   [][]register.Stored               // as read, until build
+	records   [][]register.Stored               // as read from the log; nil after build
 }
 
 // openStore reads the log from disk. Without a log, the acceptor has a new identity, or a founder's at the first start of the
