--- a/internal/fleet/register/acceptor.go
+++ b/internal/fleet/register/acceptor.go
@@ -8,33 +8,33 @@
 	"pinelb.example/pinelb/internal/fleet/replication"
 )
 
-// collectInterval is the time between requests for the registers of the former acceptors.
+// collectInterval is the interval at which Collect is sent again to former acceptors that have not answered.
 const collectInterval = 150 * time.Millisecond
 
-// Acceptor stores registers. Its methods are not safe for concurrent use; each returns an Output that has to be carried out before the next
-// call.
+// Acceptor stores registers. Its methods are not safe for concurrent use. A returned Output must be carried out before
+// the next call.
 type Acceptor struct {
-	options     coordination.Options
-	hardState   HardState
-	registers   map[coordination.Name]*storedRegister
-	collected   map[replication.Replica]*Collected // for the present epoch, while it is not ready
-	nextCollect time.Duration
-	early       map[string]bool // machines that asked before it was ready: they are told when it is
-	out         *Output         // of the present step
+	options          coordination.Options
+	hardState        HardState
+	registers        map[coordination.Name]*storedRegister
+	collected        map[replication.Replica]*Collected // answers for the current epoch, until the acceptor is ready
+	nextCollect      time.Duration
+	waitingProposers map[string]bool // addresses of proposers to notify once the acceptor is ready
+	out              *Output         // of the current step
 }
 
-// storedRegister is one register of an acceptor.
+// storedRegister is an acceptor's copy of one register.
 type storedRegister struct {
 	promised Ballot
 	accepted Version
 	state    *coordination.State
 }
 
-// NewAcceptor returns an acceptor as it is after a start, with what its disk holds.
+// NewAcceptor returns an acceptor with the hard state and the registers that were read from its disk.
 func NewAcceptor(now time.Duration, hardState HardState, records [][]Stored, options coordination.Options) *Acceptor {
 	a := &Acceptor{
 		options: options, hardState: hardState, registers: map[coordination.Name]*storedRegister{},
-		collected: map[replication.Replica]*Collected{}, early: map[string]bool{},
+		collected: map[replication.Replica]*Collected{}, waitingProposers: map[string]bool{},
 	}
 	for _, changed := range records {
 		for i := range changed {
@@ -44,8 +44,9 @@
 	return a
 }
 
-// InitialHardState returns what an acceptor with an empty disk begins with. At the first start of the whole system, founders are the
-// addresses of the first acceptors, the same on all machines, and nonce is 0; else founders is empty and nonce is drawn at random.
+// InitialHardState returns the hard state of an acceptor whose disk is empty. At the first start of the whole system,
+// founders lists the addresses of the first acceptors, the same on all machines, and nonce is 0. Otherwise founders is
+// empty and nonce is random.
 func InitialHardState(address string, nonce uint64, founders []string) HardState {
 	h := HardState{Self: replication.Replica{Address: address, Nonce: nonce}}
 	if len(founders) == 0 {
@@ -58,13 +59,13 @@
 	return h
 }
 
-// HardState returns what has to be on the disk.
+// HardState returns the state that must be durable beside the registers.
 func (a *Acceptor) HardState() HardState { return a.hardState }
 
-// RegisterCount returns how many registers are stored.
+// RegisterCount returns the number of stored registers.
 func (a *Acceptor) RegisterCount() int { return len(a.registers) }
 
-// Snapshot returns all registers, complete.
+// Snapshot returns all registers with their complete values, sorted by name.
 func (a *Acceptor) Snapshot(now time.Duration) []Stored {
 	all := make([]Stored, 0, len(a.registers))
 	for name, r := range a.registers {
@@ -74,7 +75,7 @@
 	return all
 }
 
-// Receive handles a message. Messages that are for a proposer are ignored.
+// Receive handles a message. It ignores messages for proposers.
 func (a *Acceptor) Receive(now time.Duration, from replication.Replica, message any) *Output {
 	out := a.step()
 	switch m := message.(type) {
@@ -91,7 +92,7 @@
 	return out
 }
 
-// Tick lets time pass.
+// Tick advances the time: an acceptor that is collecting requests missing registers again.
 func (a *Acceptor) Tick(now time.Duration) *Output {
 	out := a.step()
 	a.collect(now)
@@ -107,7 +108,7 @@
 	a.out.Send = append(a.out.Send, Outgoing{To: to, Message: message})
 }
 
-// persist has the hard state written with this step.
+// persist adds the hard state to the step's write, which it returns.
 func (a *Acceptor) persist() *Write {
 	if a.out.Write == nil {
 		a.out.Write = &Write{}
@@ -116,19 +117,20 @@
 	return a.out.Write
 }
 
-// isReady reports whether the acceptor takes part in the present epoch.
+// isReady reports whether the acceptor takes part in the current epoch.
 func (a *Acceptor) isReady() bool {
 	return a.hardState.Config.Epoch > 0 && a.hardState.ReadyEpoch == a.hardState.Config.Epoch && a.hardState.Config.Has(a.hardState.Self)
 }
 
-// onRequest promises and accepts. A proposer of another epoch is told of the one that is known here: it, or this acceptor, is behind.
+// onRequest handles prepares and accepts. If the proposer is in another epoch, either it or this acceptor is outdated,
+// and the proposer gets this acceptor's Config.
 func (a *Acceptor) onRequest(now time.Duration, from replication.Replica, m *Request) {
 	if m.Epoch != a.hardState.Config.Epoch {
 		a.send(from.Address, &Hello{Config: a.hardState.Config})
 		return
 	}
 	if !a.isReady() {
-		a.early[from.Address] = true
+		a.waitingProposers[from.Address] = true
 		return
 	}
 	reply := &Reply{Epoch: m.Epoch}
@@ -165,7 +167,7 @@
 	case m.Version.Ballot.less(r.promised):
 		ack.Outcome, ack.Promised = Rejected, r.promised
 	case !r.accepted.less(m.Version):
-		// It is accepted already: the version, or a later one of the same ballot.
+		// This version, or a later one of the same ballot, has been accepted already.
 	case !m.Change.IsComplete() && r.accepted != m.Base:
 		ack.Outcome = BaseMissing
 	default:
@@ -174,7 +176,7 @@
 	return ack
 }
 
-// accept stores a version. Accepting under a ballot promises it.
+// accept stores a version. Accepting under a ballot also promises that ballot.
 func (a *Acceptor) accept(now time.Duration, r *storedRegister, m *Accept) {
 	r.promised = m.Version.Ballot
 	r.accepted = m.Version
@@ -187,7 +189,7 @@
 	w.Changed = append(w.Changed, s)
 }
 
-// register returns a name's register, and makes it where there is none.
+// register returns the register of a name and creates it if necessary.
 func (a *Acceptor) register(name coordination.Name) *storedRegister {
 	r, exists := a.registers[name]
 	if !exists {
@@ -197,7 +199,7 @@
 	return r
 }
 
-// restore takes over a stored register, or what has changed of it.
+// restore applies a stored register, or a change of one.
 func (a *Acceptor) restore(now time.Duration, s *Stored) {
 	r := a.register(s.Name)
 	r.promised = s.Promised
@@ -205,7 +207,7 @@
 	r.state.Apply(now, s.Change)
 }
 
-// snapshot returns the register's value; nil: nothing is accepted.
+// snapshot returns the register's complete value, or nil if nothing was accepted.
 func (r *storedRegister) snapshot(now time.Duration) *coordination.Change {
 	if r.accepted == (Version{}) {
 		return nil
--- a/internal/fleet/register/call.go
+++ b/internal/fleet/register/call.go
@@ -6,34 +6,35 @@
 	"pinelb.example/pinelb/internal/fleet/coordination"
 )
 
-// Call is an operation that a proposer is to execute.
+// Call is an operation for a proposer to execute.
 type Call struct {
-	ID        uint64 // the owner's
+	ID        uint64 // assigned by the caller, returned in the Completion
 	Operation coordination.Operation
-	Deadline  time.Duration // when it is given up
-	ParkUntil time.Duration // Watch: when it is answered without events
+	Deadline  time.Duration // time after which the proposer abandons the call
+	ParkUntil time.Duration // Watch: time at which it completes even without events
 
-	proposed bool // a message left that may have it take effect
+	proposed bool // a message was sent that may make the operation take effect
 }
 
-// Certainty says what a completion proves.
+// Certainty says whether the operation of a completed call took effect.
 type Certainty uint8
 
-// The certainties of a completion.
+// The certainties of a Completion.
 const (
-	Decided     Certainty = iota + 1 // a majority holds the state that the result was read from
-	Unclear                          // the operation may have taken effect, or may yet
-	NotExecuted                      // it has not taken effect and never will
+	Decided     Certainty = iota + 1 // a majority has accepted the state from which the result was read
+	Unclear                          // the operation may have taken effect, or may still do so
+	NotExecuted                      // the operation has not taken effect and never will
 )
 
-// Completion answers a call.
+// Completion is the result of a Call.
 type Completion struct {
 	ID        uint64
 	Certainty Certainty
-	Result    coordination.Result // Decided
+	Result    coordination.Result // set if Certainty is Decided
 }
 
-// ProposerOutput is what a proposer's step wants done. Nothing of it has to be durable.
+// ProposerOutput holds the messages to send and the calls completed by one step of a Proposer. None of it has to be
+// durable.
 type ProposerOutput struct {
 	Send      []Outgoing
 	Completed []Completion
--- a/internal/fleet/register/carry_over.go
+++ b/internal/fleet/register/carry_over.go
@@ -11,9 +11,9 @@
 	"pinelb.example/pinelb/internal/fleet/replication"
 )
 
-// This file carries the registers over from the acceptors of one epoch to those of the next.
+// This file implements the transfer of the registers from the acceptors of one epoch to those of the next.
 
-// adopt takes over a newer set of acceptors. From then on the acceptor takes part in no earlier epoch.
+// adopt switches to a newer Config. This seals the acceptor: it no longer takes part in any earlier epoch.
 func (a *Acceptor) adopt(next Config) {
 	if next.Epoch <= a.hardState.Config.Epoch || len(next.Acceptors) == 0 {
 		return
@@ -21,16 +21,17 @@
 	a.hardState.Config = next
 	a.collected = map[replication.Replica]*Collected{}
 	a.nextCollect = 0
-	clear(a.early)
+	clear(a.waitingProposers)
 	a.persist()
 }
 
-// isCollecting reports whether the acceptor belongs to the present epoch and can't take part yet.
+// isCollecting reports whether the acceptor belongs to the current Config but can't take part yet.
 func (a *Acceptor) isCollecting() bool {
 	return a.hardState.Config.Has(a.hardState.Self) && a.hardState.ReadyEpoch < a.hardState.Config.Epoch
 }
 
-// collect asks the former acceptors for their registers, again at intervals, and takes part once a majority has answered.
+// collect requests the registers of the former acceptors every collectInterval, and merges them once hasCollected
+// reports true.
 func (a *Acceptor) collect(now time.Duration) {
 	if !a.isCollecting() {
 		return
@@ -50,12 +51,14 @@
 	}
 }
 
-// wasReady reports whether this acceptor took part in the epoch before one.
+// wasReady reports whether this acceptor took part in the epoch before the given one.
 func (a *Acceptor) wasReady(epoch uint64) bool { return a.hardState.ReadyEpoch+1 >= epoch }
 
-// hasCollected reports whether a majority of the former acceptors is sealed, this one among them where it was one: what was chosen in their
-// epoch is among their registers. What was chosen before it is known to each of them that took part, and so one of these has to be among
-// them. The others may be former acceptors that the change overtook before they had collected: they accepted nothing in that epoch.
+// hasCollected reports whether a majority of the former acceptors is sealed, and at least one of them took part in the
+// former epoch. If this acceptor is one of the former ones, it counts as sealed. Together the registers of a sealed
+// majority contain everything that was chosen in the former epoch. What was chosen in earlier epochs is known only to
+// acceptors that took part in the former one, so one of these is needed. The others may be former acceptors that were
+// still collecting when the next Config was adopted: they accepted nothing in the former epoch.
 func (a *Acceptor) hasCollected() bool {
 	sealed, ready := len(a.collected), 0
 	for _, answer := range a.collected {
@@ -72,8 +75,8 @@
 	return sealed >= majority(a.hardState.Config.Previous) && ready > 0
 }
 
-// onCollect answers with all registers, where this is a former acceptor. Adopting the collector's acceptors has sealed it: the write is
-// durable before the answer is sent.
+// onCollect sends all registers if this is an acceptor of the former epoch. Adopting the collector's Config seals this
+// acceptor, and that write is durable before the registers are sent.
 func (a *Acceptor) onCollect(now time.Duration, from replication.Replica, m *Collect) {
 	a.adopt(m.Config)
 	if !slices.Contains(m.Config.Previous, a.hardState.Self) {
@@ -89,10 +92,10 @@
 	}
 }
 
-// merge takes over the newest version of each register, and takes part from then on. Promises of former epochs mean nothing in this one:
-// their ballots are lower than all of its own.
+// merge keeps the newest version of each collected register and makes the acceptor ready. Promises of former epochs need
+// not be kept: their ballots are lower than all ballots of this epoch.
 func (a *Acceptor) merge(now time.Duration) {
-	for _, former := range a.hardState.Config.Previous { // in their order, so that a simulation replays
+	for _, former := range a.hardState.Config.Previous { // in a fixed order, so that simulations are reproducible
 		if answer := a.collected[former]; answer != nil {
 			for i := range answer.Registers {
 				a.mergeRegister(now, &answer.Registers[i])
@@ -101,7 +104,7 @@
 	}
 	for name := range a.registers {
 		if name.Kind == coordination.KindDecision {
-			delete(a.registers, name) // of a former epoch
+			delete(a.registers, name) // belongs to a former epoch
 		}
 	}
 	clear(a.collected)
@@ -109,10 +112,10 @@
 	w := a.persist()
 	w.Replace = true
 	w.Changed = a.Snapshot(now)
-	for _, address := range slices.Sorted(maps.Keys(a.early)) {
+	for _, address := range slices.Sorted(maps.Keys(a.waitingProposers)) {
 		a.send(address, &Hello{Config: a.hardState.Config, ReadyEpoch: a.hardState.ReadyEpoch})
 	}
-	clear(a.early)
+	clear(a.waitingProposers)
 }
 
 func (a *Acceptor) mergeRegister(now time.Duration, s *Stored) {
@@ -122,7 +125,7 @@
 		r.state.Apply(now, s.Change)
 	}
 	if r.promised.less(r.accepted.Ballot) {
-		r.promised = r.accepted.Ballot // of an acceptor that takes part already
+		r.promised = r.accepted.Ballot // accepted by an acceptor that is ready already
 	}
 }
 
--- a/internal/fleet/register/doc.go
+++ b/internal/fleet/register/doc.go
@@ -1,19 +1,23 @@
-// Package register keeps each name's state at a majority of acceptors, without a log: a register is a value, its version and a promise,
-// and is changed by functions (CASPaxos: Rystsov, 2018; Paxos made simple: Lamport, 2001).
+// Package register keeps the state of each name in a register that is replicated to a majority of acceptors, without a
+// replicated log (CASPaxos: Rystsov, 2018; Paxos Made Simple: Lamport, 2001). A register holds a value, the version of
+// the value and the highest ballot that was promised. Operations are functions that change the value.
 //
-// A Proposer executes operations on registers. It prepares a ballot for a name once, and keeps it: each further round is one trip. A round
-// executes every operation that waits for the name, has a majority accept the changed state, and then tells the results. Where nothing has
-// changed, the round has the acceptors confirm the ballot, so that reads are as strict as writes. Two proposers of one name only slow each
-// other down.
+// A Proposer executes operations on registers. It prepares a ballot for a name once and reuses it, so that each further
+// round takes one round trip. A round executes all queued operations of the name, waits until a majority has accepted
+// the changed state, and only then returns the results. If no operation changed the state, the acceptors confirm the
+// current version under the ballot instead, which makes reads linearizable like writes. Two proposers that compete for
+// a name slow each other down, but don't violate consistency.
 //
-// An Acceptor stores registers; its owner makes each step's write durable before it sends the step's messages. An acceptor is its disk: one
-// that lost it has another nonce, is another acceptor, and votes on nothing old.
+// An Acceptor stores registers. Its owner must make the write of each step durable before it sends the messages of that
+// step. An acceptor is identified by its address and by a nonce on its disk: after the loss of the disk it has another
+// nonce, counts as another acceptor and has no vote under the former identity.
 //
-// The acceptors are those of a Config. The next one is decided by the acceptors of the present one, as a register of its own. An acceptor
-// that learns of it accepts nothing more under the former one (it is sealed), and an acceptor of the next one takes part only once it has
-// collected the registers of a majority of the former acceptors, all sealed. So whatever was chosen before is known to each acceptor that
-// takes part, and no name is decided by two sets at once. A name that nobody touches is carried over with the others.
+// A Config lists the acceptors of an epoch. The acceptors of the current Config decide the next one in a register of
+// its own. An acceptor that learns of the next Config is sealed: it accepts nothing more under the former one. An
+// acceptor of the next Config takes part only after it has collected the registers of a majority of the former
+// acceptors, all of them sealed. Therefore every acceptor that takes part holds whatever was chosen before, and two
+// Configs never decide on a name at the same time. Registers that are not in use are carried over with the others.
 //
-// The package is pure: no I/O, no clock, no goroutines. Proposer and Acceptor are state machines in the manner of package replication; each
-// belongs to one goroutine. Only speed rests on time.
+// The package does no I/O, reads no clock and starts no goroutines. Proposer and Acceptor are state machines like those
+// of package replication; each is used by one goroutine only. Safety does not depend on time, only performance does.
 package register
--- a/internal/fleet/register/half_decided_test.go
+++ b/internal/fleet/register/half_decided_test.go
@@ -13,7 +13,7 @@
 func TestSimulationOutlivesProposalAcceptedByOne(t *testing.T) {
 	s := setups["six, two may be lost"].withDefaults()
 	sim := newSimulation(s, 1)
-	sim.calm = true
+	sim.healed = true
 	sim.runUntil(2 * time.Second)
 
 	// A planner that missed 10.0.0.3 proposed 10.0.0.6 in its place; its machine lost power when one accept had left.
--- a/internal/fleet/register/messages.go
+++ b/internal/fleet/register/messages.go
@@ -5,58 +5,59 @@
 	"pinelb.example/pinelb/internal/fleet/replication"
 )
 
-// The numbers of the fields of all messages are part of the protocol.
+// The field numbers of all messages are part of the protocol.
 
-// Request goes from a proposer to an acceptor.
+// Request is sent by a proposer to an acceptor.
 type Request struct {
 	Epoch    uint64    `cbor:"1,keyasint"`
 	Prepares []Prepare `cbor:"2,keyasint,omitempty"`
 	Accepts  []Accept  `cbor:"3,keyasint,omitempty"`
 }
 
-// Prepare asks an acceptor to take part under no lower ballot, and for what it has accepted.
+// Prepare requests a promise to reject all lower ballots, and the version and value that the acceptor has accepted.
 type Prepare struct {
 	Name   coordination.Name `cbor:"1,keyasint"`
 	Ballot Ballot            `cbor:"2,keyasint"`
-	Known  Version           `cbor:"3,keyasint,omitzero"` // a group of that version need not be sent
+	Known  Version           `cbor:"3,keyasint,omitzero"` // version that the proposer has; only a lock is sent again
 }
 
-// Accept asks an acceptor to store a version. Without a change it asks it to confirm one that the acceptor has.
+// Accept requests that an acceptor store a version. Without a Change it requests the confirmation of a version that the
+// acceptor has stored.
 type Accept struct {
 	Name      coordination.Name    `cbor:"1,keyasint"`
 	Version   Version              `cbor:"2,keyasint"`
-	Base      Version              `cbor:"3,keyasint,omitzero"` // on top of which Change is, unless that is complete
+	Base      Version              `cbor:"3,keyasint,omitzero"` // version to which Change applies, unless Change is complete
 	Change    *coordination.Change `cbor:"4,keyasint,omitempty"`
-	RoundTrip uint64               `cbor:"5,keyasint"` // of this proposer; an acknowledgement of a former trip confirms nothing
+	RoundTrip uint64               `cbor:"5,keyasint"` // round number, unique per proposer: late acknowledgements don't count
 }
 
-// Reply goes from an acceptor to a proposer.
+// Reply is sent by an acceptor to a proposer.
 type Reply struct {
 	Epoch    uint64      `cbor:"1,keyasint"`
 	Promises []Promise   `cbor:"2,keyasint,omitempty"`
 	Acks     []AcceptAck `cbor:"3,keyasint,omitempty"`
 }
 
-// Promise answers a Prepare.
+// Promise is the reply to a Prepare.
 type Promise struct {
 	Name     coordination.Name    `cbor:"1,keyasint"`
 	Ballot   Ballot               `cbor:"2,keyasint"`
-	Promised Ballot               `cbor:"3,keyasint,omitzero"`  // higher than Ballot: rejected
-	Accepted Version              `cbor:"4,keyasint,omitzero"`  // zero: nothing
-	Value    *coordination.Change `cbor:"5,keyasint,omitempty"` // complete; nil: nothing is accepted, or the proposer knows it
+	Promised Ballot               `cbor:"3,keyasint,omitzero"`  // if higher than Ballot, the Prepare was rejected
+	Accepted Version              `cbor:"4,keyasint,omitzero"`  // zero: nothing was accepted
+	Value    *coordination.Change `cbor:"5,keyasint,omitempty"` // complete; nil if rejected, not accepted or known to the proposer
 }
 
-// AckOutcome says what an acceptor did with an Accept.
+// AckOutcome is the outcome of an Accept at an acceptor.
 type AckOutcome uint8
 
 // The outcomes of an Accept.
 const (
 	Accepted    AckOutcome = iota + 1
-	Rejected               // the acceptor has promised AcceptAck.Promised
-	BaseMissing            // it needs the complete value
+	Rejected               // the acceptor has promised the higher ballot AcceptAck.Promised
+	BaseMissing            // the acceptor does not have Accept.Base and needs the complete value
 )
 
-// AcceptAck answers an Accept.
+// AcceptAck is the reply to an Accept.
 type AcceptAck struct {
 	Name      coordination.Name `cbor:"1,keyasint"`
 	Version   Version           `cbor:"2,keyasint"`
@@ -65,34 +66,35 @@
 	Promised  Ballot            `cbor:"5,keyasint,omitzero"`
 }
 
-// Hello tells who a machine is and which acceptors it knows. Core machines send it to each other at intervals. In answer to a message of
-// another epoch, and to one that came before the acceptor was ready, it has no Self.
+// Hello announces a machine's identity and the newest Config that it has. Core machines send it to each other
+// periodically. A Hello has no Self if an acceptor sends it in reply to a Request of another epoch, or to the proposers
+// whose requests arrived before the acceptor was ready.
 type Hello struct {
 	Config     Config              `cbor:"1,keyasint"`
 	Self       replication.Replica `cbor:"2,keyasint"`
-	ReadyEpoch uint64              `cbor:"3,keyasint,omitempty"` // the newest epoch in which Self takes part
+	ReadyEpoch uint64              `cbor:"3,keyasint,omitempty"` // newest epoch in which Self takes part
 	Zone       string              `cbor:"4,keyasint,omitempty"`
 	Region     string              `cbor:"5,keyasint,omitempty"`
-	Leaving    bool                `cbor:"6,keyasint,omitempty"` // it shuts down
-	Votes      bool                `cbor:"7,keyasint,omitempty"` // it counts for the quorum
+	Leaving    bool                `cbor:"6,keyasint,omitempty"` // the machine is shutting down
+	Votes      bool                `cbor:"7,keyasint,omitempty"` // the machine counts for the quorum
 }
 
-// Collect asks an acceptor of Config.Previous for its registers. It seals the acceptor.
+// Collect requests the registers of an acceptor of Config.Previous, and seals that acceptor.
 type Collect struct {
 	Config Config `cbor:"1,keyasint"`
 }
 
-// Collected answers a Collect.
+// Collected is the reply to a Collect.
 type Collected struct {
-	Epoch     uint64   `cbor:"1,keyasint"` // of the Config in the Collect
+	Epoch     uint64   `cbor:"1,keyasint"` // epoch of Collect.Config
 	Registers []Stored `cbor:"2,keyasint"`
-	Ready     bool     `cbor:"3,keyasint,omitempty"` // the acceptor took part in the epoch before; else it accepted nothing in it
+	Ready     bool     `cbor:"3,keyasint,omitempty"` // took part in the previous epoch; else it accepted nothing in it
 }
 
-// Stored is a register as it travels and as it is stored.
+// Stored is the encoded form of a register in messages and on disk.
 type Stored struct {
 	Name     coordination.Name    `cbor:"1,keyasint"`
 	Promised Ballot               `cbor:"2,keyasint,omitzero"`
 	Accepted Version              `cbor:"3,keyasint,omitzero"`
-	Change   *coordination.Change `cbor:"4,keyasint,omitempty"` // nil: only the promise is new, or the version alone
+	Change   *coordination.Change `cbor:"4,keyasint,omitempty"` // nil if only the promise or the version changed
 }
--- a/internal/fleet/register/planner_test.go
+++ b/internal/fleet/register/planner_test.go
@@ -34,7 +34,7 @@
 
 // pass lets the time pass in steps as a machine's ticks do, all machines heard in each, and returns what the machine at an address proposes
 // in the last of them.
-func (c *plannedCore) pass(span time.Duration, at string) (Config, bool) {
+func (c *plannedCore) advance(span time.Duration, at string) (Config, bool) {
 	var next Config
 	var ok bool
 	for end := c.now + span; c.now < end; {
@@ -62,13 +62,13 @@
 func TestPlannerReplacesAcceptors(t *testing.T) {
 	Convey("Three acceptors that are fit stay", t, func() {
 		c := newPlannedCore(oneMachine, 3, "a", "b", "c", "d")
-		_, ok := c.pass(10*time.Second, "a")
+		_, ok := c.advance(10*time.Second, "a")
 		So(ok, ShouldBeFalse)
 	})
 	Convey("One whose disk is lost is replaced by what came back at its address", t, func() {
 		c := newPlannedCore(oneMachine, 3, "a", "b", "c", "d")
 		c.hellos["b"].Self.Nonce, c.hellos["b"].ReadyEpoch = 7, 0
-		next, ok := c.pass(2*time.Second, "a")
+		next, ok := c.advance(2*time.Second, "a")
 		So(ok, ShouldBeTrue)
 		So(next.Epoch, ShouldEqual, 2)
 		So(next.Previous, ShouldResemble, c.config.Acceptors)
@@ -76,27 +76,27 @@
 	})
 	Convey("One that is silent is replaced after its time", t, func() {
 		c := newPlannedCore(oneMachine, 3, "a", "b", "c", "d")
-		c.pass(2*time.Second, "a")
+		c.advance(2*time.Second, "a")
 		delete(c.hellos, "b")
-		_, ok := c.pass(acceptorTimeout-100*time.Millisecond, "a")
+		_, ok := c.advance(acceptorTimeout-100*time.Millisecond, "a")
 		So(ok, ShouldBeFalse)
-		next, ok := c.pass(200*time.Millisecond, "a")
+		next, ok := c.advance(200*time.Millisecond, "a")
 		So(ok, ShouldBeTrue)
 		So(addresses(next), ShouldResemble, []string{"a", "c", "d"})
 	})
 	Convey("One that is silent stays where there is no other machine", t, func() {
 		c := newPlannedCore(oneMachine, 3, "a", "b", "c")
-		c.pass(2*time.Second, "a")
+		c.advance(2*time.Second, "a")
 		delete(c.hellos, "b")
-		_, ok := c.pass(10*time.Second, "a")
+		_, ok := c.advance(10*time.Second, "a")
 		So(ok, ShouldBeFalse)
 	})
 	Convey("One that leaves, and one that no longer counts for the quorum, are replaced at once", t, func() {
 		for _, change := range []func(*Hello){func(h *Hello) { h.Leaving = true }, func(h *Hello) { h.Votes = false }} {
 			c := newPlannedCore(oneMachine, 3, "a", "b", "c", "d")
-			c.pass(2*time.Second, "a")
+			c.advance(2*time.Second, "a")
 			change(c.hellos["b"])
-			next, ok := c.pass(200*time.Millisecond, "a")
+			next, ok := c.advance(200*time.Millisecond, "a")
 			So(ok, ShouldBeTrue)
 			So(addresses(next), ShouldResemble, []string{"a", "c", "d"})
 		}
@@ -107,13 +107,13 @@
 func TestPlannerFillsUp(t *testing.T) {
 	Convey("Acceptors are added up to 2f+1", t, func() {
 		c := newPlannedCore(twoMachines, 3, "a", "b", "c", "d", "e", "f")
-		next, ok := c.pass(2*time.Second, "a")
+		next, ok := c.advance(2*time.Second, "a")
 		So(ok, ShouldBeTrue)
 		So(addresses(next), ShouldResemble, []string{"a", "b", "c", "d", "e"})
 	})
 	Convey("There are three where none may be lost: one may freeze", t, func() {
 		c := newPlannedCore(replication.Tolerance{}, 1, "a", "b", "c", "d")
-		next, ok := c.pass(2*time.Second, "a")
+		next, ok := c.advance(2*time.Second, "a")
 		So(ok, ShouldBeTrue)
 		So(addresses(next), ShouldResemble, []string{"a", "b", "c"})
 	})
@@ -123,7 +123,7 @@
 		c.hellos["e"].Votes = false
 		c.planner.Observe(0, c.hellos["f"])
 		delete(c.hellos, "f")
-		_, ok := c.pass(2*time.Second, "a")
+		_, ok := c.advance(2*time.Second, "a")
 		So(ok, ShouldBeFalse)
 	})
 	Convey("The zone and region with the fewest acceptors comes first", t, func() {
@@ -131,11 +131,11 @@
 		for address, place := range map[string][2]string{"a": {"1", "x"}, "b": {"2", "x"}, "c": {"1", "x"}, "d": {"3", "x"}, "e": {"4", "y"}} {
 			c.hellos[address].Zone, c.hellos[address].Region = place[0], place[1]
 		}
-		next, ok := c.pass(2*time.Second, "a")
+		next, ok := c.advance(2*time.Second, "a")
 		So(ok, ShouldBeTrue)
 		So(addresses(next), ShouldResemble, []string{"a", "b", "e"})
 		c.hellos["e"].Leaving = true
-		next, ok = c.pass(2*time.Second, "a")
+		next, ok = c.advance(2*time.Second, "a")
 		So(ok, ShouldBeTrue)
 		So(addresses(next), ShouldResemble, []string{"a", "b", "d"})
 	})
@@ -147,40 +147,40 @@
 		Convey("while no acceptors are known", func() {
 			c := newPlannedCore(oneMachine, 3, "a", "b", "c", "d")
 			c.config = Config{}
-			_, ok := c.pass(5*time.Second, "a")
+			_, ok := c.advance(5*time.Second, "a")
 			So(ok, ShouldBeFalse)
 		})
 		Convey("by a machine that is no acceptor", func() {
 			c := newPlannedCore(twoMachines, 3, "a", "b", "c", "d")
-			_, ok := c.pass(5*time.Second, "d")
+			_, ok := c.advance(5*time.Second, "d")
 			So(ok, ShouldBeFalse)
 		})
 		Convey("in the first second of an epoch", func() {
 			c := newPlannedCore(twoMachines, 3, "a", "b", "c", "d")
-			_, ok := c.pass(minConfigAge, "a")
+			_, ok := c.advance(minConfigAge, "a")
 			So(ok, ShouldBeFalse)
-			_, ok = c.pass(200*time.Millisecond, "a")
+			_, ok = c.advance(200*time.Millisecond, "a")
 			So(ok, ShouldBeTrue)
 		})
 		Convey("until all live acceptors take part", func() {
 			c := newPlannedCore(twoMachines, 3, "a", "b", "c", "d")
 			c.hellos["b"].ReadyEpoch, c.hellos["c"].ReadyEpoch = 0, 0
-			_, ok := c.pass(4*time.Second, "a")
+			_, ok := c.advance(4*time.Second, "a")
 			So(ok, ShouldBeFalse)
 			c.hellos["c"].ReadyEpoch = 1
-			_, ok = c.pass(time.Second, "a")
+			_, ok = c.advance(time.Second, "a")
 			So(ok, ShouldBeFalse)
 			c.hellos["b"].ReadyEpoch = 1
-			_, ok = c.pass(100*time.Millisecond, "a")
+			_, ok = c.advance(100*time.Millisecond, "a")
 			So(ok, ShouldBeTrue)
 		})
 		Convey("until a majority takes part, where one is late for long", func() {
 			c := newPlannedCore(twoMachines, 3, "a", "b", "c", "d")
 			c.hellos["b"].ReadyEpoch, c.hellos["c"].ReadyEpoch = 0, 0
-			_, ok := c.pass(2*carryOverTimeout, "a")
+			_, ok := c.advance(2*carryOverTimeout, "a")
 			So(ok, ShouldBeFalse)
 			c.hellos["c"].ReadyEpoch = 1
-			_, ok = c.pass(100*time.Millisecond, "a")
+			_, ok = c.advance(100*time.Millisecond, "a")
 			So(ok, ShouldBeTrue)
 		})
 	})
@@ -188,17 +188,17 @@
 		for rank, address := range []string{"a", "b", "c"} {
 			c := newPlannedCore(twoMachines, 3, "a", "b", "c", "d")
 			start := 100 * time.Millisecond // the first tick, in which the change is wanted
-			due := start + max(minConfigAge, time.Duration(rank)*plannerStagger)
-			_, ok := c.pass(due-start, address)
+			due := start + max(minConfigAge, time.Duration(rank)*proposalStagger)
+			_, ok := c.advance(due-start, address)
 			So(ok, ShouldBeFalse)
-			_, ok = c.pass(start, address)
+			_, ok = c.advance(start, address)
 			So(ok, ShouldBeTrue)
 		}
 	})
 	Convey("The second one is the first where that is gone", t, func() {
 		c := newPlannedCore(twoMachines, 3, "a", "b", "c", "d")
 		delete(c.hellos, "a")
-		_, ok := c.pass(1200*time.Millisecond, "b")
+		_, ok := c.advance(1200*time.Millisecond, "b")
 		So(ok, ShouldBeTrue)
 	})
 }
@@ -207,16 +207,16 @@
 func TestPlannerAsks(t *testing.T) {
 	Convey("The first live acceptor asks what is decided, at intervals; no other does", t, func() {
 		c := newPlannedCore(oneMachine, 3, "a", "b", "c", "d")
-		for address, asks := range map[string]int{"a": 5, "b": 0, "d": 0} {
-			c.planner.nextAsk = 0
-			asked := 0
+		for address, wantQueries := range map[string]int{"a": 5, "b": 0, "d": 0} {
+			c.planner.nextQuery = 0
+			queries := 0
 			for range 100 {
-				c.pass(100*time.Millisecond, address)
+				c.advance(100*time.Millisecond, address)
 				if c.planner.ShouldQueryNext(c.now, c.config, replication.Replica{Address: address}) {
-					asked++
+					queries++
 				}
 			}
-			So(asked, ShouldEqual, asks)
+			So(queries, ShouldEqual, wantQueries)
 		}
 		So(c.planner.ShouldQueryNext(c.now, Config{}, replication.Replica{Address: "a"}), ShouldBeFalse)
 	})
--- a/internal/fleet/register/planted_test.go
+++ b/internal/fleet/register/planted_test.go
@@ -27,7 +27,7 @@
 	"a change on another base": {File: "acceptor.go", Edits: []mutation.Edit{{
 		Original: "case !m.Change.IsComplete() && r.accepted != m.Base:", Mutated: "case false:"}}},
 	"a restart while it collects": {File: "acceptor.go", Edits: []mutation.Edit{{
-		Original: "collected: map[replication.Replica]*Collected{}, early", Mutated: "early"}}},
+		Original: "collected: map[replication.Replica]*Collected{}, waitingProposers", Mutated: "waitingProposers"}}},
 }
 
 // plantedInProposers are mistakes of proposers and of the values, found by TestSimulation.
@@ -38,7 +38,7 @@
 	"any version is adopted": {File: "rounds.go", Edits: []mutation.Edit{{
 		Original: "newest.less(progress.promise.Accepted)", Mutated: "newest == (Version{})"}}},
 	"a watch sees what is not chosen": {File: "rounds.go", Edits: []mutation.Edit{{
-		Original: "r.queue = nil\n\tp.lastTrip++", Mutated: "r.queue = nil\n\tp.answerWaiters(now, r)\n\tp.lastTrip++"}}},
+		Original: "r.queue = nil\n\tp.lastRoundTrip++", Mutated: "r.queue = nil\n\tp.answerWaiters(now, r)\n\tp.lastRoundTrip++"}}},
 	"not executed after a message left": {File: "proposer.go", Edits: []mutation.Edit{{
 		Original: "if call.proposed {", Mutated: "if false {"}}},
 	"a lock is freed by another clock": {File: "../coordination/lock.go", Edits: []mutation.Edit{{
@@ -64,9 +64,9 @@
 	"one former acceptor that took part": {File: "carry_over.go", Edits: []mutation.Edit{{
 		Original: "sealed >= majority(a.hardState.Config.Previous) && ready > 0", Mutated: "sealed > 0 && ready > 0"}}},
 	"acknowledgements of a former trip": {File: "rounds.go", Edits: []mutation.Edit{{
-		Original: "m.RoundTrip != r.trip || m.Version != r.version", Mutated: "m.Version != r.version"}}},
+		Original: "m.RoundTrip != r.roundTrip || m.Version != r.version", Mutated: "m.Version != r.version"}}},
 	"a proposal that stays half decided": {File: "planner.go", Edits: []mutation.Edit{{
-		Original: "p.nextAsk = now + askInterval\n\treturn true", Mutated: "return false"}}},
+		Original: "p.nextQuery = now + queryInterval\n\treturn true", Mutated: "return false"}}},
 	"a former acceptor that was overtaken is silent": {File: "carry_over.go", Edits: []mutation.Edit{{
 		Original: "if !slices.Contains(m.Config.Previous, a.hardState.Self) {", Mutated: "if !slices.Contains(m.Config.Previous, a.hardState.Self) || !a.wasReady(m.Config.Epoch) {"}}},
 }
--- a/internal/fleet/register/proposed_register.go
+++ b/internal/fleet/register/proposed_register.go
@@ -7,76 +7,76 @@
 	"pinelb.example/pinelb/internal/fleet/replication"
 )
 
-// phase is what a proposer is doing with a name.
+// phase is the state of the protocol for one name.
 type phase uint8
 
 // The phases of a name.
 const (
-	unprepared phase = iota // there is no ballot
-	preparing               // promises are collected
-	prepared                // the ballot is this proposer's, and no round is under way
-	proposing               // a round is under way
+	unprepared phase = iota // no ballot
+	preparing               // waiting for promises
+	prepared                // a majority has promised the ballot, and no round is in progress
+	proposing               // a round is in progress
 )
 
-// proposedRegister is a proposer's side of one name.
+// proposedRegister is the state that a proposer keeps for one name.
 type proposedRegister struct {
 	name   coordination.Name
 	phase  phase
 	ballot Ballot
 
-	// state is the value of version; both outlive a ballot, as what need not be sent again.
+	// state is the value of version. Both are kept when a ballot is abandoned, as acceptors need not send that version again.
 	state   *coordination.State
 	version Version
 
-	queue   []*Call     // not executed under the present ballot
-	batch   []execution // of the round under way
-	waiters []execution // watches that wait for events; each has the result that it gets where none come
+	queue   []*Call     // not executed under the current ballot
+	batch   []execution // calls of the round in progress
+	waiters []execution // watches that wait for events, with the result to return if there are none until ParkUntil
 
-	trip     uint64                                    // of the round under way
-	base     Version                                   // of the round under way
-	change   *coordination.Change                      // of the round under way; nil: the version is only confirmed
-	progress map[replication.Replica]*acceptorProgress // under the present ballot
+	roundTrip uint64                                    // number of the round in progress
+	base      Version                                   // version before the round in progress
+	change    *coordination.Change                      // of the round in progress; nil: the version is only confirmed
+	progress  map[replication.Replica]*acceptorProgress // under the current ballot
 
 	nextResend     time.Duration
 	resendInterval time.Duration
 	backoffUntil   time.Duration
-	rejections     int // since the last round that a majority accepted
+	rejections     int // ballots rejected since the last round that a majority accepted
 }
 
-// execution is a call with its result. A round's may be told once a majority has accepted the round's version.
+// execution is a call with its result, which is returned only after a majority has accepted the round's version.
 type execution struct {
 	call   *Call
 	result coordination.Result
 }
 
-// acceptorProgress is what an acceptor has done under the present ballot.
+// acceptorProgress is the progress of one acceptor under the current ballot.
 type acceptorProgress struct {
 	promise  *Promise
 	rejected bool
-	acked    bool    // the round under way
-	sent     Version // the newest that it was sent and has not missed; it had that of its promise before
+	acked    bool    // the acceptor acknowledged the round in progress
+	sent     Version // newest version that the acceptor reported in its promise or was sent; zero after BaseMissing
 }
 
 func (r *proposedRegister) isWaiting() bool {
 	return len(r.queue) > 0 || len(r.batch) > 0 || len(r.waiters) > 0 || r.phase == preparing
 }
 
-// nextDue returns when there is something to send again, to begin or to give up.
-func (r *proposedRegister) nextDue() time.Duration {
+// nextTick returns the next time at which Tick must resend a message, start a ballot or round, or complete a watch.
+func (r *proposedRegister) nextTick() time.Duration {
 	if r.phase == preparing || r.phase == proposing {
 		return r.nextResend
 	}
 	if len(r.queue) > 0 {
 		return r.backoffUntil
 	}
-	due := r.waiters[0].call.ParkUntil
+	next := r.waiters[0].call.ParkUntil
 	for _, w := range r.waiters {
-		due = min(due, w.call.ParkUntil)
+		next = min(next, w.call.ParkUntil)
 	}
-	return due
+	return next
 }
 
-// progressOf returns an acceptor's progress under the present ballot.
+// progressOf returns an acceptor's progress under the current ballot and creates it if necessary.
 func (r *proposedRegister) progressOf(acceptor replication.Replica) *acceptorProgress {
 	progress := r.progress[acceptor]
 	if progress == nil {
@@ -100,7 +100,7 @@
 	return r.count(func(a *acceptorProgress) bool { return a.rejected })
 }
 
-// restartResends begins the intervals at which acceptors that don't answer are asked again.
+// restartResends resets the interval at which messages are sent again to acceptors that have not answered.
 func (r *proposedRegister) restartResends(now time.Duration) {
 	r.resendInterval = retransmitInterval
 	r.nextResend = now + retransmitInterval
--- a/internal/fleet/register/proposer.go
+++ b/internal/fleet/register/proposer.go
@@ -11,51 +11,51 @@
 )
 
 const (
-	retransmitInterval    = 60 * time.Millisecond // before acceptors that have not answered are asked again; doubles each time
+	retransmitInterval    = 60 * time.Millisecond // initial resend interval; doubles with each resend
 	maxRetransmitInterval = 240 * time.Millisecond
-	minBackoff            = 4 * time.Millisecond // after a rejection by another proposer's ballot; grows with each
+	minBackoff            = 4 * time.Millisecond // base of the backoff limit, which doubles with each rejection of a ballot
 	maxBackoff            = 250 * time.Millisecond
 	maxBackoffDoublings   = 8
-	maxQueue              = 512 // calls that wait for one name
-	maxWaiters            = 4096
+	maxQueue              = 512  // queued calls of one name
+	maxWaiters            = 4096 // watches of one name that wait for events
 )
 
-// ProposerOptions are a proposer's surroundings.
+// ProposerOptions configures a Proposer.
 type ProposerOptions struct {
 	State  coordination.Options
 	Random *rand.Rand
 }
 
-// Proposer executes operations on registers. Its methods are not safe for concurrent use; each that returns a ProposerOutput is a step,
-// whose output has to be carried out before the next one.
+// Proposer executes operations on registers. Its methods are not safe for concurrent use. A method that returns a
+// ProposerOutput is a step; its output must be carried out before the next step.
 type Proposer struct {
-	options      ProposerOptions
-	id           uint64 // of this process, in its ballots
-	config       Config
-	highestRound uint64
-	lastTrip     uint64
-	names        map[coordination.Name]*proposedRegister
-	active       map[*proposedRegister]bool // those that have something to wait for
-	out          *ProposerOutput            // of the present step
-	requests     map[string]*Request        // of the present step, by acceptor
-}
-
-// NewProposer returns a proposer that knows no acceptors yet.
+	options       ProposerOptions
+	id            uint64 // identifies this process in ballots
+	config        Config
+	highestRound  uint64
+	lastRoundTrip uint64
+	registers     map[coordination.Name]*proposedRegister
+	active        map[*proposedRegister]bool // registers that wait for a message or a time
+	out           *ProposerOutput            // of the current step
+	requests      map[string]*Request        // of the current step, by the acceptor's address
+}
+
+// NewProposer returns a proposer without a Config. Calls are queued until SetConfig.
 func NewProposer(options ProposerOptions) *Proposer {
 	return &Proposer{
 		options: options, id: options.Random.Uint64(),
-		names: map[coordination.Name]*proposedRegister{}, active: map[*proposedRegister]bool{},
+		registers: map[coordination.Name]*proposedRegister{}, active: map[*proposedRegister]bool{},
 	}
 }
 
-// Config returns the acceptors that the proposer asks.
+// Config returns the Config that the proposer uses.
 func (p *Proposer) Config() Config { return p.config }
 
-// RegisterCount returns how many registers the proposer has used.
-func (p *Proposer) RegisterCount() int { return len(p.names) }
+// RegisterCount returns the number of registers that the proposer has used.
+func (p *Proposer) RegisterCount() int { return len(p.registers) }
 
-// SetConfig has the proposer ask newer acceptors. What was under way is executed again there: its outcome under the former ones is found
-// with the registers that were carried over.
+// SetConfig switches to a newer Config; an older one is ignored. Operations in progress are executed again there: if
+// they took effect under the former Config, the registers that were carried over show it.
 func (p *Proposer) SetConfig(now time.Duration, config Config) *ProposerOutput {
 	p.step()
 	if config.Epoch <= p.config.Epoch {
@@ -63,7 +63,7 @@
 	}
 	p.config = config
 	p.highestRound = 0
-	for _, r := range p.names {
+	for _, r := range p.registers {
 		p.abandon(now, r, 0)
 	}
 	for _, r := range p.activeInOrder() {
@@ -72,7 +72,7 @@
 	return p.finish()
 }
 
-// Submit has an operation executed.
+// Submit queues a call for execution. If too many calls of its name are waiting, it completes as NotExecuted at once.
 func (p *Proposer) Submit(now time.Duration, call *Call) *ProposerOutput {
 	p.step()
 	r := p.register(call.Operation.Name)
@@ -100,7 +100,7 @@
 	return p.finish()
 }
 
-// Resume asks an acceptor again that has just become ready.
+// Resume sends the unanswered requests again to an acceptor that has just become ready.
 func (p *Proposer) Resume(now time.Duration, address string) *ProposerOutput {
 	p.step()
 	for _, acceptor := range p.config.Acceptors {
@@ -114,7 +114,8 @@
 	return p.finish()
 }
 
-// Tick lets time pass: what was not answered is sent again, and calls past their deadline are given up.
+// Tick advances the time: unanswered requests are sent again, and calls past their deadline are completed as Unclear or
+// NotExecuted.
 func (p *Proposer) Tick(now time.Duration) *ProposerOutput {
 	p.step()
 	for _, r := range p.activeInOrder() {
@@ -125,32 +126,32 @@
 	return p.finish()
 }
 
-// activeInOrder returns the registers that have something to wait for, always in the same order.
+// activeInOrder returns the active registers sorted by name.
 func (p *Proposer) activeInOrder() []*proposedRegister {
 	active := slices.Collect(maps.Keys(p.active))
 	slices.SortFunc(active, func(a, b *proposedRegister) int { return compareNames(a.name, b.name) })
 	return active
 }
 
-// NextTick returns when Tick has something to do; ok is false where nothing waits.
+// NextTick returns the time of the next Tick that is needed; ok is false if no register is active.
 func (p *Proposer) NextTick() (at time.Duration, ok bool) {
 	for r := range p.active {
-		if due := r.nextDue(); !ok || due < at {
-			at, ok = due, true
+		if next := r.nextTick(); !ok || next < at {
+			at, ok = next, true
 		}
 	}
 	return at, ok
 }
 
-// HasRegister reports whether the proposer has used a name.
-func (p *Proposer) HasRegister(name coordination.Name) bool { return p.names[name] != nil }
+// HasRegister reports whether the proposer has used the register of a name.
+func (p *Proposer) HasRegister(name coordination.Name) bool { return p.registers[name] != nil }
 
 func (p *Proposer) step() {
 	p.out = &ProposerOutput{}
 	p.requests = map[string]*Request{}
 }
 
-// finish returns the step's output, with one message for each acceptor.
+// finish returns the step's output, with at most one Request for each acceptor.
 func (p *Proposer) finish() *ProposerOutput {
 	for _, acceptor := range p.config.Acceptors {
 		if request := p.requests[acceptor.Address]; request != nil {
@@ -160,7 +161,7 @@
 	return p.out
 }
 
-// request returns the step's message to an acceptor.
+// request returns the step's Request to an acceptor and creates it if necessary.
 func (p *Proposer) request(to replication.Replica) *Request {
 	request := p.requests[to.Address]
 	if request == nil {
@@ -175,15 +176,16 @@
 }
 
 func (p *Proposer) register(name coordination.Name) *proposedRegister {
-	r := p.names[name]
+	r := p.registers[name]
 	if r == nil {
 		r = &proposedRegister{name: name, state: coordination.NewState(name.Kind, p.options.State)}
-		p.names[name] = r
+		p.registers[name] = r
 	}
 	return r
 }
 
-// advance begins what can begin: a ballot where there is none, or a round with the calls that wait.
+// advance starts what the queued calls need and the backoff permits: a ballot if there is none, otherwise a round. It
+// also updates the set of active registers.
 func (p *Proposer) advance(now time.Duration, r *proposedRegister) {
 	if len(r.queue) > 0 && p.config.Epoch > 0 && now >= r.backoffUntil {
 		switch r.phase {
@@ -200,9 +202,9 @@
 	}
 }
 
-// expire gives up the calls whose deadline has passed, and answers watches that have waited long enough.
+// expire abandons the calls whose deadline has passed, and completes watches without events at their ParkUntil.
 func (p *Proposer) expire(now time.Duration, r *proposedRegister) {
-	r.queue = slices.DeleteFunc(r.queue, func(c *Call) bool { return p.giveUp(now, c) })
+	r.queue = slices.DeleteFunc(r.queue, func(c *Call) bool { return p.expireCall(now, c) })
 	r.waiters = slices.DeleteFunc(r.waiters, func(w execution) bool {
 		if now < w.call.ParkUntil {
 			return false
@@ -211,18 +213,19 @@
 		return true
 	})
 	if r.phase == preparing && len(r.queue) == 0 {
-		p.abandon(now, r, 0) // nobody waits for the ballot
+		p.abandon(now, r, 0) // no call needs the ballot any more
 	}
 	if r.phase != proposing {
 		return
 	}
 	if !slices.ContainsFunc(r.batch, func(e execution) bool { return now < e.call.Deadline }) {
-		p.abandon(now, r, 0) // its calls are given up with the queue
-		r.queue = slices.DeleteFunc(r.queue, func(c *Call) bool { return p.giveUp(now, c) })
+		p.abandon(now, r, 0) // moves the calls of the round back to the queue, where they expire
+		r.queue = slices.DeleteFunc(r.queue, func(c *Call) bool { return p.expireCall(now, c) })
 	}
 }
 
-func (p *Proposer) giveUp(now time.Duration, call *Call) bool {
+// expireCall completes a call whose deadline has passed, and reports whether it did.
+func (p *Proposer) expireCall(now time.Duration, call *Call) bool {
 	if now < call.Deadline {
 		return false
 	}
@@ -234,7 +237,7 @@
 	return true
 }
 
-// abandon ends the present ballot: the calls of its round wait again, and are executed anew under another ballot.
+// abandon ends the current ballot. The calls of its round return to the queue and are executed again under another ballot.
 func (p *Proposer) abandon(now time.Duration, r *proposedRegister, backoff time.Duration) {
 	calls := make([]*Call, 0, len(r.batch)+len(r.queue))
 	for _, e := range r.batch {
--- a/internal/fleet/register/rounds.go
+++ b/internal/fleet/register/rounds.go
@@ -7,9 +7,9 @@
 	"pinelb.example/pinelb/internal/fleet/replication"
 )
 
-// This file is the protocol of one name: a ballot is prepared, and then rounds are proposed under it.
+// This file implements the protocol for one name: it prepares a ballot and then proposes rounds under it.
 
-// prepare asks the acceptors for a new ballot.
+// prepare sends a new ballot to the acceptors.
 func (p *Proposer) prepare(now time.Duration, r *proposedRegister) {
 	p.highestRound++
 	r.ballot = Ballot{Epoch: p.config.Epoch, Round: p.highestRound, Proposer: p.id}
@@ -28,7 +28,7 @@
 
 func (p *Proposer) onPromise(now time.Duration, from replication.Replica, m *Promise) {
 	p.observe(m.Promised)
-	r := p.names[m.Name]
+	r := p.registers[m.Name]
 	if r == nil || r.phase != preparing || m.Ballot != r.ballot {
 		return
 	}
@@ -45,14 +45,14 @@
 	}
 }
 
-// observe remembers the highest round of the present epoch, so that the next ballot is above it.
+// observe records the highest round of the current epoch, so that the next ballot is higher.
 func (p *Proposer) observe(b Ballot) {
 	if b.Epoch == p.config.Epoch {
 		p.highestRound = max(p.highestRound, b.Round)
 	}
 }
 
-// checkRejections gives a ballot up whose round no majority is left for.
+// checkRejections abandons the ballot if so many acceptors have rejected it that no majority can accept the round.
 func (p *Proposer) checkRejections(now time.Duration, r *proposedRegister) {
 	if len(p.config.Acceptors)-r.rejected() >= majority(p.config.Acceptors) {
 		return
@@ -61,14 +61,15 @@
 	p.advance(now, r)
 }
 
-// backOff leaves the name to the other proposer for a random time, the longer the more often this has happened.
+// backOff abandons the ballot in favour of the competing proposer. The next ballot starts after a random time, whose
+// limit doubles with each rejection, up to maxBackoff.
 func (p *Proposer) backOff(now time.Duration, r *proposedRegister) {
 	r.rejections++
 	limit := min(maxBackoff, minBackoff<<min(r.rejections, maxBackoffDoublings))
 	p.abandon(now, r, time.Duration(p.options.Random.Int64N(int64(limit))))
 }
 
-// adoptNewest takes over the newest version that a majority has told of: whatever was chosen is among them.
+// adoptNewest adopts the newest version in the promises of a majority: any version that was chosen is among them.
 func (p *Proposer) adoptNewest(now time.Duration, r *proposedRegister) {
 	var newest Version
 	for _, progress := range r.progress {
@@ -77,7 +78,7 @@
 		}
 	}
 	var value *coordination.Change
-	for _, acceptor := range p.config.Acceptors { // in their order, so that a simulation replays: ages in copies of one version differ
+	for _, acceptor := range p.config.Acceptors { // fixed order: copies of a version differ in ages, and simulations must be reproducible
 		progress := r.progressOf(acceptor)
 		if progress.promise == nil {
 			continue
@@ -98,8 +99,9 @@
 	r.phase = prepared
 }
 
-// propose executes the calls that wait and has the acceptors accept the state that they lead to. The first round of a ballot proposes even
-// a state that has not changed, so that what a majority holds is known; later ones only have it confirmed.
+// propose executes the queued calls and sends the resulting state to the acceptors. The first round of a ballot proposes
+// the state even if it has not changed, so that a majority is known to hold it. Later rounds without a change only
+// request a confirmation of the version.
 func (p *Proposer) propose(now time.Duration, r *proposedRegister) {
 	change := &coordination.Change{}
 	for _, call := range r.queue {
@@ -107,8 +109,8 @@
 		r.batch = append(r.batch, execution{call: call, result: r.state.Execute(now, &call.Operation, change)})
 	}
 	r.queue = nil
-	p.lastTrip++
-	r.trip, r.base, r.change = p.lastTrip, r.version, nil
+	p.lastRoundTrip++
+	r.roundTrip, r.base, r.change = p.lastRoundTrip, r.version, nil
 	switch {
 	case r.version.Ballot != r.ballot:
 		r.version, r.change = Version{Ballot: r.ballot, Sequence: 1}, change
@@ -127,12 +129,13 @@
 	}
 }
 
-// sendAccept sends the round to an acceptor: the change alone where the acceptor has what it is based on, as far as is known.
+// sendAccept sends the round to an acceptor: only the change if the acceptor presumably has the base version, otherwise
+// the complete value.
 func (p *Proposer) sendAccept(now time.Duration, r *proposedRegister, to replication.Replica, progress *acceptorProgress) {
-	accept := Accept{Name: r.name, Version: r.version, RoundTrip: r.trip}
+	accept := Accept{Name: r.name, Version: r.version, RoundTrip: r.roundTrip}
 	switch {
 	case progress.sent == r.version:
-		// It confirms the version, or has been sent it before.
+		// A confirmation, or a resend of the same version.
 		accept.Base, accept.Change = r.base, r.change
 	case progress.sent == r.base && r.base != r.version:
 		accept.Base, accept.Change = r.base, r.change
@@ -146,8 +149,8 @@
 
 func (p *Proposer) onAck(now time.Duration, from replication.Replica, m *AcceptAck) {
 	p.observe(m.Promised)
-	r := p.names[m.Name]
-	if r == nil || r.phase != proposing || m.RoundTrip != r.trip || m.Version != r.version {
+	r := p.registers[m.Name]
+	if r == nil || r.phase != proposing || m.RoundTrip != r.roundTrip || m.Version != r.version {
 		return
 	}
 	progress := r.progressOf(from)
@@ -167,8 +170,8 @@
 	}
 }
 
-// choose completes the calls of a round that a majority has accepted, and the watches that its puts are for. A ballot that some acceptor
-// has rejected is given up: another proposer has taken the name over.
+// choose completes the calls of a round that a majority has accepted, and the watches for which it has events. If any
+// acceptor has rejected the ballot, the ballot is abandoned, as another proposer has started a higher one.
 func (p *Proposer) choose(now time.Duration, r *proposedRegister) {
 	batch := r.batch
 	r.batch, r.phase, r.rejections = nil, prepared, 0
@@ -187,7 +190,7 @@
 	}
 }
 
-// answerWaiters answers the watches that have events in the present state, which is chosen.
+// answerWaiters completes the watches that have events in the current state, which must be a chosen one.
 func (p *Proposer) answerWaiters(now time.Duration, r *proposedRegister) {
 	waiting := r.waiters[:0]
 	for _, w := range r.waiters {
@@ -202,8 +205,8 @@
 	r.waiters = waiting
 }
 
-// resend asks the acceptors again that have not answered. Where one has rejected the ballot and the others have not made a majority in that
-// time, another ballot is tried.
+// resend sends the requests again to acceptors that have not answered within the resend interval. If an acceptor has
+// rejected the ballot and the others have not formed a majority by then, the proposer backs off instead.
 func (p *Proposer) resend(now time.Duration, r *proposedRegister) {
 	if now < r.nextResend || r.phase != preparing && r.phase != proposing {
 		return
--- a/internal/fleet/register/rounds_test.go
+++ b/internal/fleet/register/rounds_test.go
@@ -46,11 +46,11 @@
 }
 
 // ask delivers the newest request to an acceptor and returns its reply, which has not arrived yet.
-func (c *scriptedCore) ask(address string) *Reply {
+func (c *scriptedCore) deliverRequest(address string) *Reply {
 	return c.acceptors[address].Receive(0, replication.Replica{}, c.requests[address]).Send[0].Message.(*Reply)
 }
 
-func (c *scriptedCore) answer(address string, reply *Reply) {
+func (c *scriptedCore) deliverReply(address string, reply *Reply) {
 	c.execute(c.proposer.Receive(0, replication.Replica{Address: address}, reply))
 }
 
@@ -60,18 +60,18 @@
 		core := newScriptedCore()
 		get := coordination.Operation{Kind: coordination.Get, Name: coordination.Name{Kind: coordination.KindGroup, ID: "g."}, Key: "g.a"}
 		core.submit(1, get)
-		core.answer("a:1", core.ask("a:1"))
-		core.answer("b:1", core.ask("b:1")) // two promises: the first round is under way
-		late := core.ask("c:1")
-		core.answer("a:1", core.ask("a:1"))
-		core.answer("b:1", core.ask("b:1"))
+		core.deliverReply("a:1", core.deliverRequest("a:1"))
+		core.deliverReply("b:1", core.deliverRequest("b:1")) // two promises: the first round is under way
+		late := core.deliverRequest("c:1")
+		core.deliverReply("a:1", core.deliverRequest("a:1"))
+		core.deliverReply("b:1", core.deliverRequest("b:1"))
 		So(core.completed, ShouldHaveLength, 1)
 
 		core.submit(2, get)
-		core.answer("a:1", core.ask("a:1"))
-		core.answer("c:1", late)
+		core.deliverReply("a:1", core.deliverRequest("a:1"))
+		core.deliverReply("c:1", late)
 		So(core.completed, ShouldHaveLength, 1)
-		core.answer("c:1", core.ask("c:1"))
+		core.deliverReply("c:1", core.deliverRequest("c:1"))
 		So(core.completed, ShouldHaveLength, 2)
 		So(core.completed[1].Certainty, ShouldEqual, Decided)
 	})
--- a/internal/fleet/register/simulation_change_test.go
+++ b/internal/fleet/register/simulation_change_test.go
@@ -6,14 +6,14 @@
 type changeStep int
 
 const (
-	noStep        changeStep = iota
-	proposesNext             // a planner has the next acceptors decided
-	learnsNext               // the proposer hears what was decided
-	adoptsNext               // an acceptor is sealed
-	asksFormer               // a new acceptor asks the former ones
-	answersNext              // a former acceptor answers
-	takesPart                // a new acceptor has collected
-	changeStepEnd            // no step
+	noStep            changeStep = iota
+	stepProposeNext              // a planner has the next acceptors decided
+	stepLearnNext                // the proposer hears what was decided
+	stepAdoptNext                // an acceptor is sealed
+	stepCollect                  // a new acceptor asks the former ones
+	stepAnswerCollect            // a former acceptor answers
+	stepBecomeReady              // a new acceptor has collected
+	changeStepEnd                // no step
 )
 
 // isArmed reports whether whoever does a step is to lose power with it.
@@ -25,7 +25,7 @@
 	s.logEvent("%s loses power %s, step %d of a change", m.address, where, step)
 	if s.isArmed(step) {
 		s.armedStep = noStep
-		s.cutOff++
+		s.interruptedChanges++
 	}
 	m.powerOff(s.randomDuration(100*time.Millisecond, 4*time.Second))
 }
@@ -34,16 +34,16 @@
 func (m *machine) changeStepOf(out *Output) changeStep {
 	switch {
 	case out.Write != nil && out.Write.Replace:
-		return takesPart
+		return stepBecomeReady
 	case out.Write != nil && out.Write.HardState.Config.Epoch > m.disk.hardState.Config.Epoch:
-		return adoptsNext
+		return stepAdoptNext
 	}
 	for _, outgoing := range out.Send {
 		switch outgoing.Message.(type) {
 		case *Collect:
-			return asksFormer
+			return stepCollect
 		case *Collected:
-			return answersNext
+			return stepAnswerCollect
 		}
 	}
 	return noStep
@@ -68,8 +68,8 @@
 	m.lastID++
 	m.deciding = m.lastID
 	m.execute(m.proposer.Submit(now, &Call{ID: m.deciding, Operation: operation, Deadline: now + decideTimeout}))
-	if ok && m.sim.isArmed(proposesNext) {
-		m.losePower(proposesNext, "after its proposal")
+	if ok && m.sim.isArmed(stepProposeNext) {
+		m.losePower(stepProposeNext, "after its proposal")
 	}
 }
 
@@ -85,8 +85,8 @@
 		return
 	}
 	m.sim.logEvent("%s learns of epoch %d", m.address, next.Epoch)
-	if m.sim.isArmed(learnsNext) {
-		m.losePower(learnsNext, "before it told")
+	if m.sim.isArmed(stepLearnNext) {
+		m.losePower(stepLearnNext, "before it told")
 		return
 	}
 	m.apply(m.acceptor.Receive(m.clock(), m.acceptor.HardState().Self, &Hello{Config: next}))
--- a/internal/fleet/register/simulation_check_test.go
+++ b/internal/fleet/register/simulation_check_test.go
@@ -20,17 +20,17 @@
 func (k *call) precedes(other *call) bool { return k.endedAt < other.startedAt }
 
 // of returns the calls of one name that were decided.
-func (h *history) of(name coordination.Name) []*call {
+func (h *history) decidedCalls(name coordination.Name) []*call {
 	return slices.DeleteFunc(slices.Clone(h.calls), func(k *call) bool { return k.operation.Name != name || k.certainty != Decided })
 }
 
 // checkHistory checks every name's calls.
 func (s *simulation) checkHistory() {
 	for _, id := range simulatedCounters {
-		s.checkCounter(s.history.of(counterName(id)))
+		s.checkCounter(s.history.decidedCalls(counterName(id)))
 	}
 	for _, id := range simulatedLocks {
-		calls := s.history.of(lockName(id))
+		calls := s.history.decidedCalls(lockName(id))
 		s.checkFences(calls)
 		s.checkHolders(calls)
 	}
@@ -78,7 +78,7 @@
 }
 
 // span is a time for which a holder counts on the lock.
-type span struct {
+type holdPeriod struct {
 	holder      string
 	fence       uint64
 	from, until time.Duration
@@ -87,16 +87,16 @@
 // checkHolders: no two holders count on the lock at once. One counts from the answer until its hold, by its own clock, is over after the
 // sending, and no longer than until it sends a release.
 func (s *simulation) checkHolders(calls []*call) {
-	var spans []span
+	var periods []holdPeriod
 	for _, k := range calls {
 		if !k.isDone() || k.operation.Kind == coordination.Release {
 			continue
 		}
 		until := k.startedAt + time.Duration(float64(k.operation.Hold)/k.client.clockRate)
-		spans = append(spans, span{holder: k.operation.Holder, fence: k.result.Fence, from: k.endedAt, until: min(until, s.releasedAt(k))})
+		periods = append(periods, holdPeriod{holder: k.operation.Holder, fence: k.result.Fence, from: k.endedAt, until: min(until, s.releasedAt(k))})
 	}
-	for i, a := range spans {
-		for _, b := range spans[:i] {
+	for i, a := range periods {
+		for _, b := range periods[:i] {
 			if a.holder != b.holder && a.from < b.until && b.from < a.until {
 				s.fail("%v: %s (fence %d) counts on it from %v until %v, and %s (fence %d) from %v until %v",
 					calls[0].operation.Name, b.holder, b.fence, b.from, b.until, a.holder, a.fence, a.from, a.until)
--- a/internal/fleet/register/simulation_client_test.go
+++ b/internal/fleet/register/simulation_client_test.go
@@ -45,10 +45,10 @@
 	callTimeout    = 850 * time.Millisecond
 	minCallTimeout = 10 * time.Millisecond
 	// maxShortTimeout leaves the first proposer time to answer before the next one is asked.
-	maxShortTimeout = 150 * time.Millisecond
-	resendInterval  = 90 * time.Millisecond
-	sendsEach       = 2
-	watchPark       = 600 * time.Millisecond
+	maxShortTimeout  = 150 * time.Millisecond
+	resendInterval   = 90 * time.Millisecond
+	sendsPerProposer = 2
+	watchPark        = 600 * time.Millisecond
 )
 
 // The names that clients use.
@@ -102,8 +102,8 @@
 }
 
 // pause lets the client make its next call after a while.
-func (c *client) pause(most time.Duration) {
-	c.sim.after(c.sim.randomDuration(20*time.Millisecond, most), func() {
+func (c *client) pause(maxPause time.Duration) {
+	c.sim.after(c.sim.randomDuration(20*time.Millisecond, maxPause), func() {
 		if !c.sim.auditing {
 			c.work()
 		}
@@ -117,7 +117,7 @@
 }
 
 // again repeats a call whose outcome was unclear: to the checks both are one call.
-func (c *client) again(former *call) {
+func (c *client) repeat(former *call) {
 	former.certainty, former.isRepeat = 0, true
 	c.start(former)
 }
@@ -125,7 +125,7 @@
 func (c *client) start(k *call) {
 	s := c.sim
 	k.id, k.sent, k.timeout = s.random.Uint64(), 0, callTimeout
-	if !s.calm && s.oneIn(3) {
+	if !s.healed && s.oneIn(3) {
 		k.timeout = s.randomDuration(minCallTimeout, maxShortTimeout)
 	}
 	k.proposers = k.proposers[:0]
@@ -151,7 +151,7 @@
 	if c.current != k || k.id != id {
 		return
 	}
-	proposer := k.proposers[k.sent/sendsEach%len(k.proposers)]
+	proposer := k.proposers[k.sent/sendsPerProposer%len(k.proposers)]
 	if k.sent == 0 {
 		k.firstBoot = proposer.boot
 	}
@@ -159,7 +159,7 @@
 	c.sim.send(replication.Replica{Address: c.address}, proposer.address, request)
 	k.sent++
 	wait := resendInterval
-	if k.sent%sendsEach == 0 {
+	if k.sent%sendsPerProposer == 0 {
 		wait += k.park
 	}
 	c.sim.after(wait, func() { c.send(k, id) })
@@ -171,7 +171,7 @@
 	if k == nil || k.id != reply.ID {
 		return
 	}
-	if reply.Certainty == NotExecuted && (k.isRepeat || k.sent > sendsEach || reply.Boot != k.firstBoot || k.proposers[0].boot != k.firstBoot) {
+	if reply.Certainty == NotExecuted && (k.isRepeat || k.sent > sendsPerProposer || reply.Boot != k.firstBoot || k.proposers[0].boot != k.firstBoot) {
 		reply.Certainty = Unclear
 	}
 	c.finish(reply.Certainty, reply.Result)
@@ -180,7 +180,7 @@
 func (c *client) finish(certainty Certainty, result coordination.Result) {
 	k := c.current
 	c.current = nil
-	c.sim.decided[certainty]++
+	c.sim.callsByCertainty[certainty]++
 	k.certainty, k.result = certainty, result
 	if certainty != Unclear {
 		k.endedAt = c.sim.now
@@ -249,7 +249,7 @@
 	c.begin(operation, 0, func(k *call) {
 		if k.certainty == Unclear && repeats > 0 {
 			repeats--
-			c.again(k)
+			c.repeat(k)
 			return
 		}
 		if k.certainty == Decided {
--- a/internal/fleet/register/simulation_disruption_test.go
+++ b/internal/fleet/register/simulation_disruption_test.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	settleTime  = 4 * time.Second // within which calls complete once all has healed
-	workTime    = time.Second
-	expiryTime  = 3200 * time.Millisecond // in which the last call is executed, at the latest, and its hold runs out
-	maxDownTime = 4 * time.Second
-	loggedCalls = 200 // of a seed with a fault
+	settleTimeout  = 4 * time.Second // within which calls complete once all has healed
+	workTime       = time.Second
+	expiryTime     = 3200 * time.Millisecond // in which the last call is executed, at the latest, and its hold runs out
+	maxDownTime    = 4 * time.Second
+	maxLoggedCalls = 200 // of a seed with a fault
 )
 
 // run returns the fault of the seed; empty: none. A panic of the code under test is one.
@@ -35,7 +35,7 @@
 		s.runUntil(s.now + s.randomDuration(0, 1200*time.Millisecond))
 	}
 	s.heal()
-	s.runUntil(s.healedAt + settleTime + workTime)
+	s.runUntil(s.healedAt + settleTimeout + workTime)
 	s.auditing = true
 	s.runUntil(s.now + expiryTime)
 	s.audit()
@@ -56,16 +56,16 @@
 	case p < 24:
 		s.loseDisks(1+s.random.IntN(2), down)
 	case p < 29:
-		s.losePowerEverywhere()
+		s.powerOffAll()
 	case p < 39:
 		s.logEvent("%s stands still for %v", m.address, down)
 		m.freeze(down)
 	case p < 53:
-		m.freezeSpan = s.randomDuration(50*time.Millisecond, 3*time.Second)
+		m.nextFreezeDuration = s.randomDuration(50*time.Millisecond, 3*time.Second)
 	case p < 65:
-		s.cut(m, down)
+		s.isolate(m, down)
 	case p < 71:
-		s.splitCore(down)
+		s.partitionCore(down)
 	case p < 76:
 		s.logEvent("the network is slow for %v", down)
 		s.slowUntil = s.now + down
@@ -76,7 +76,7 @@
 		s.logEvent("%s leaves, and is back after %v", m.address, down)
 		m.leave(down)
 	default:
-		s.cutOffNextChange()
+		s.interruptNextChange()
 	}
 }
 
@@ -89,8 +89,8 @@
 	}
 }
 
-// losePowerEverywhere ends all processes at once, and up to two disks with them.
-func (s *simulation) losePowerEverywhere() {
+// powerOffAll ends all processes at once, and up to two disks with them.
+func (s *simulation) powerOffAll() {
 	s.logEvent("all power is lost")
 	for _, m := range s.machines {
 		m.powerOff(s.randomDuration(200*time.Millisecond, 1500*time.Millisecond))
@@ -99,7 +99,7 @@
 }
 
 // cut takes one machine off the network, in one direction or in both.
-func (s *simulation) cut(m *machine, span time.Duration) {
+func (s *simulation) isolate(m *machine, span time.Duration) {
 	direction := s.random.IntN(4)
 	s.logEvent("%s is cut off for %v, direction %d", m.address, span, direction)
 	for _, other := range s.machines {
@@ -115,8 +115,8 @@
 	}
 }
 
-// splitCore divides the machines into two sides.
-func (s *simulation) splitCore(span time.Duration) {
+// partitionCore divides the machines into two sides.
+func (s *simulation) partitionCore(span time.Duration) {
 	s.logEvent("the core is split for %v", span)
 	side := map[*machine]bool{}
 	for _, m := range s.machines {
@@ -142,8 +142,8 @@
 	})
 }
 
-// cutOffNextChange has the acceptors change, and whoever does some step of it lose power.
-func (s *simulation) cutOffNextChange() {
+// interruptNextChange has the acceptors change, and whoever does some step of it lose power.
+func (s *simulation) interruptNextChange() {
 	s.armedStep = changeStep(1 + s.random.IntN(int(changeStepEnd)-1))
 	m := s.machines[s.random.IntN(len(s.machines))]
 	s.logEvent("step %d of the next change is to be cut off; %s goes", s.armedStep, m.address)
@@ -160,11 +160,11 @@
 // heal ends all disruptions. Processes that are down start.
 func (s *simulation) heal() {
 	s.logEvent("all heals")
-	s.calm, s.healedAt = true, s.now
+	s.healed, s.healedAt = true, s.now
 	clear(s.partitions)
 	s.slowUntil, s.lossyUntil, s.armedStep = 0, 0, noStep
 	for _, m := range s.machines {
-		m.freezeSpan, m.leaving = 0, false
+		m.nextFreezeDuration, m.leaving = 0, false
 		if m.isUp {
 			m.thaw()
 		} else {
@@ -175,7 +175,7 @@
 
 // checkService: once all has healed and settled, every call is decided.
 func (s *simulation) checkService(k *call) {
-	if s.calm && k.startedAt >= s.healedAt+settleTime && k.certainty != Decided {
+	if s.healed && k.startedAt >= s.healedAt+settleTimeout && k.certainty != Decided {
 		s.fail("a call of %v that began %v after all had healed is not decided (certainty %d)", k.operation.Name, k.startedAt-s.healedAt, k.certainty)
 	}
 }
@@ -215,7 +215,7 @@
 
 // logState records the last calls and what the disks hold.
 func (s *simulation) logState() {
-	for _, k := range s.history.calls[max(0, len(s.history.calls)-loggedCalls):] {
+	for _, k := range s.history.calls[max(0, len(s.history.calls)-maxLoggedCalls):] {
 		s.logEvent("%s from %v until %v: %+v, certainty %d: %+v", k.client.address, k.startedAt, k.endedAt, k.operation, k.certainty, k.result)
 	}
 	for _, m := range s.machines {
--- a/internal/fleet/register/simulation_group_check_test.go
+++ b/internal/fleet/register/simulation_group_check_test.go
@@ -9,19 +9,19 @@
 // groupCheck checks the calls of one group. Its revisions say in which order the puts took effect, so that the calls need only agree with
 // them and with the time.
 type groupCheck struct {
-	sim       *simulation
-	calls     []*call // decided
-	all       []*call
-	byNumber  map[uint64]shownPut
-	revisions map[shownPut]uint64
-	points    []point
+	sim           *simulation
+	calls         []*call // decided
+	allCalls      []*call
+	putByRevision map[uint64]observedPut
+	revisionByPut map[observedPut]uint64
+	observations  []keyObservation
 }
 
-// shownPut is a put as it was shown. Values are written once.
-type shownPut struct{ key, value string }
+// observedPut is a put as it was shown. Values are written once.
+type observedPut struct{ key, value string }
 
 // point says that a call found a key at a revision.
-type point struct {
+type keyObservation struct {
 	call     *call
 	key      string
 	revision uint64
@@ -29,19 +29,19 @@
 }
 
 func (s *simulation) checkGroup(name coordination.Name) {
-	c := &groupCheck{sim: s, calls: s.history.of(name), byNumber: map[uint64]shownPut{}, revisions: map[shownPut]uint64{}}
+	c := &groupCheck{sim: s, calls: s.history.decidedCalls(name), putByRevision: map[uint64]observedPut{}, revisionByPut: map[observedPut]uint64{}}
 	for _, k := range s.history.calls {
 		if k.operation.Name == name {
-			c.all = append(c.all, k)
+			c.allCalls = append(c.allCalls, k)
 		}
 	}
 	for _, k := range c.calls {
 		c.record(k)
 	}
-	c.checkOrderOfKeys()
-	c.checkOrderOfGroup()
-	for _, k := range c.all {
-		c.checkRefused(k)
+	c.checkKeyOrder()
+	c.checkGroupOrder()
+	for _, k := range c.allCalls {
+		c.checkRejectedPut(k)
 	}
 	for _, k := range c.calls {
 		c.checkMismatch(k)
@@ -57,41 +57,41 @@
 	case r.Outcome == coordination.Full:
 		c.sim.fail("%v is full", o.Name)
 	case o.Kind == coordination.Put && r.Outcome == coordination.Done:
-		c.show(o.Key, o.Value, r.Revision)
-		c.points = append(c.points, point{call: k, key: o.Key, revision: r.Revision, isPut: true})
+		c.observePut(o.Key, o.Value, r.Revision)
+		c.observations = append(c.observations, keyObservation{call: k, key: o.Key, revision: r.Revision, isPut: true})
 	case o.Kind == coordination.Put, o.Kind == coordination.Get:
 		if r.Outcome == coordination.Done {
-			c.show(o.Key, r.Value, r.Revision)
+			c.observePut(o.Key, r.Value, r.Revision)
 		}
-		c.points = append(c.points, point{call: k, key: o.Key, revision: r.Revision}) // 0: there is none
+		c.observations = append(c.observations, keyObservation{call: k, key: o.Key, revision: r.Revision}) // 0: there is none
 	case o.Kind == coordination.Watch:
 		for _, e := range r.Events {
-			c.show(e.Key, e.Value, e.Revision)
-			c.points = append(c.points, point{call: k, key: e.Key, revision: e.Revision})
+			c.observePut(e.Key, e.Value, e.Revision)
+			c.observations = append(c.observations, keyObservation{call: k, key: e.Key, revision: e.Revision})
 		}
 	}
 }
 
 // show: a revision is one put, and a put has one revision.
-func (c *groupCheck) show(key, value string, revision uint64) {
-	put := shownPut{key, value}
-	if other, shown := c.byNumber[revision]; shown && other != put {
+func (c *groupCheck) observePut(key, value string, revision uint64) {
+	put := observedPut{key, value}
+	if other, shown := c.putByRevision[revision]; shown && other != put {
 		c.sim.fail("revision %d is shown with %v and with %v", revision, other, put)
 	}
-	if other, shown := c.revisions[put]; shown && other != revision {
+	if other, shown := c.revisionByPut[put]; shown && other != revision {
 		c.sim.fail("%v is shown under the revisions %d and %d", put, other, revision)
 	}
-	c.byNumber[revision], c.revisions[put] = put, revision
+	c.putByRevision[revision], c.revisionByPut[put] = put, revision
 }
 
-// checkOrderOfKeys: whoever comes after an answer finds what that found, or something newer. A put is newer than all before it. Events are
+// checkKeyOrder: whoever comes after an answer finds what that found, or something newer. A put is newer than all before it. Events are
 // in the past of their watch: they bind later calls only.
-func (c *groupCheck) checkOrderOfKeys() {
-	for _, p := range c.points {
+func (c *groupCheck) checkKeyOrder() {
+	for _, p := range c.observations {
 		if p.call.operation.Kind == coordination.Watch {
 			continue
 		}
-		for _, earlier := range c.points {
+		for _, earlier := range c.observations {
 			if earlier.key != p.key || !earlier.call.precedes(p.call) {
 				continue
 			}
@@ -103,8 +103,8 @@
 	}
 }
 
-// checkOrderOfGroup: puts and watches find the group no older than any call before them found it.
-func (c *groupCheck) checkOrderOfGroup() {
+// checkGroupOrder: puts and watches find the group no older than any call before them found it.
+func (c *groupCheck) checkGroupOrder() {
 	for _, k := range c.calls {
 		isPut := k.operation.Kind == coordination.Put && k.result.Outcome == coordination.Done
 		isWatch := k.operation.Kind == coordination.Watch && k.result.Outcome != coordination.Compacted
@@ -123,13 +123,13 @@
 	}
 }
 
-// checkRefused: a put that was refused is never shown.
-func (c *groupCheck) checkRefused(k *call) {
+// checkRejectedPut: a put that was refused is never shown.
+func (c *groupCheck) checkRejectedPut(k *call) {
 	o := &k.operation
 	if o.Kind != coordination.Put || k.certainty != NotExecuted && (k.certainty != Decided || k.result.Outcome != coordination.Mismatch) {
 		return
 	}
-	if revision, shown := c.revisions[shownPut{o.Key, o.Value}]; shown {
+	if revision, shown := c.revisionByPut[observedPut{o.Key, o.Value}]; shown {
 		c.sim.fail("%s of %v was refused, and is shown under revision %d", o.Value, o.Name, revision)
 	}
 }
@@ -143,16 +143,16 @@
 	if o.IfRevision == nil || *o.IfRevision == revision {
 		c.sim.fail("a put of %s was refused for revision %d, which it asked for", o.Key, revision)
 	}
-	if put, shown := c.byNumber[revision]; shown && put.key != o.Key {
+	if put, shown := c.putByRevision[revision]; shown && put.key != o.Key {
 		c.sim.fail("a refusal names revision %d, which is of %v and not of %s", revision, put, o.Key)
-	} else if !shown && revision != 0 && !c.mayBeUnclear(o.Key, k.endedAt) {
+	} else if !shown && revision != 0 && !c.hasUnclearPut(o.Key, k.endedAt) {
 		c.sim.fail("a refusal names revision %d of %s, which no put can have", revision, o.Key)
 	}
 }
 
-// mayBeUnclear reports whether some put of a key was sent by then whose outcome nobody knows.
-func (c *groupCheck) mayBeUnclear(key string, by time.Duration) bool {
-	for _, k := range c.all {
+// hasUnclearPut reports whether some put of a key was sent by then whose outcome nobody knows.
+func (c *groupCheck) hasUnclearPut(key string, by time.Duration) bool {
+	for _, k := range c.allCalls {
 		if k.operation.Kind == coordination.Put && k.operation.Key == key && k.endedAt == never && k.startedAt <= by {
 			return true
 		}
@@ -167,7 +167,7 @@
 		return
 	}
 	for revision := *o.IfRevision + 1; revision < k.result.Revision; revision++ {
-		if c.byNumber[revision].key == o.Key {
+		if c.putByRevision[revision].key == o.Key {
 			c.sim.fail("a put of %s on top of revision %d has %d, and %d is between", o.Key, *o.IfRevision, k.result.Revision, revision)
 		}
 	}
@@ -190,8 +190,8 @@
 			c.sim.fail("a watch of %v since %d has %d events up to %d", o.Name, o.Since, len(r.Events), r.Revision)
 		}
 	case coordination.Compacted:
-		next := c.byNumber[o.Since+1]
-		for _, put := range c.all {
+		next := c.putByRevision[o.Since+1]
+		for _, put := range c.allCalls {
 			age := time.Duration(float64(k.endedAt-put.startedAt) * (1 + 2*maxClockDrift))
 			if put.operation.Kind == coordination.Put && put.operation.Value == next.value && age < simulatedHistory {
 				c.sim.fail("a watch of %v since %d is told that revision %d is gone, at most %v after it was put", o.Name, o.Since, o.Since+1, age)
--- a/internal/fleet/register/simulation_machine_test.go
+++ b/internal/fleet/register/simulation_machine_test.go
@@ -19,30 +19,30 @@
 	isUp    bool
 	leaving bool
 
-	frozenUntil time.Duration // until when its process stands still
-	waiting     []func()      // what it does then
-	freezeSpan  time.Duration // the next step of the proposer is cut off for so long before its messages leave
-	bootedAt    time.Duration
-	clockOffset time.Duration
-	clockRate   float64
-
-	acceptor  *Acceptor
-	proposer  *Proposer
-	planner   *Planner
-	calls     map[callKey]*callState
-	keys      map[uint64]callKey // of the calls under way, by the number that the proposer knows them by
-	lastID    uint64
-	deciding  uint64 // the number of the call by which the next acceptors are decided; 0: none
-	nextHello time.Duration
-	nextRest  time.Duration
+	frozenUntil        time.Duration // until when its process stands still
+	deferred           []func()      // what it does then
+	nextFreezeDuration time.Duration // the next step of the proposer is cut off for so long before its messages leave
+	bootedAt           time.Duration
+	clockOffset        time.Duration
+	clockRate          float64
+
+	acceptor        *Acceptor
+	proposer        *Proposer
+	planner         *Planner
+	calls           map[callKey]*callState
+	keys            map[uint64]callKey // of the calls under way, by the number that the proposer knows them by
+	lastID          uint64
+	deciding        uint64 // the number of the call by which the next acceptors are decided; 0: none
+	nextHello       time.Duration
+	nextMaintenance time.Duration
 }
 
 // The times of package coordinator's loops.
 const (
-	restTick      = 100 * time.Millisecond
-	helloInterval = 500 * time.Millisecond
-	replyTTL      = 5 * time.Second
-	decideTimeout = 800 * time.Millisecond
+	maintenanceInterval = 100 * time.Millisecond
+	helloInterval       = 500 * time.Millisecond
+	replyTTL            = 5 * time.Second
+	decideTimeout       = 800 * time.Millisecond
 )
 
 // disk is what survives a crash: encoded, as package coordinator stores it.
@@ -105,7 +105,7 @@
 func (m *machine) start() {
 	s := m.sim
 	m.boot++
-	m.isUp, m.leaving, m.frozenUntil, m.freezeSpan, m.waiting = true, false, 0, 0, nil
+	m.isUp, m.leaving, m.frozenUntil, m.nextFreezeDuration, m.deferred = true, false, 0, 0, nil
 	m.bootedAt, m.clockOffset = s.now, s.randomDuration(time.Hour, 2*time.Hour)
 	m.clockRate = 1 + maxClockDrift*(2*s.random.Float64()-1)
 	hardState, records := m.disk.read()
@@ -113,7 +113,7 @@
 	m.proposer = NewProposer(ProposerOptions{State: stateOptions(), Random: rand.New(rand.NewPCG(s.random.Uint64(), 1))})
 	m.planner = NewPlanner(s.setup.tolerance)
 	m.calls, m.keys, m.lastID, m.deciding = map[callKey]*callState{}, map[uint64]callKey{}, 0, 0
-	m.nextHello, m.nextRest = 0, 0
+	m.nextHello, m.nextMaintenance = 0, 0
 	m.scheduleTick(s.randomDuration(0, machineTick))
 }
 
@@ -134,7 +134,7 @@
 	s := m.sim
 	s.lossBudget--
 	s.lastLoss = s.now
-	s.lost[m.disk.hardState.Self] = true
+	s.lostIdentities[m.disk.hardState.Self] = true
 	s.logEvent("%s loses its disk, %v, ready in epoch %d", m.address, m.disk.hardState.Self, m.disk.hardState.ReadyEpoch)
 	m.disk.format(InitialHardState(m.address, s.nonce(), nil))
 	m.powerOff(span)
@@ -159,9 +159,9 @@
 // thaw has the process go on with what waited meanwhile.
 func (m *machine) thaw() {
 	m.frozenUntil = 0
-	waiting, boot := m.waiting, m.boot
-	m.waiting = nil
-	for _, do := range waiting {
+	deferred, boot := m.deferred, m.boot
+	m.deferred = nil
+	for _, do := range deferred {
 		if m.boot == boot {
 			m.whenRunning(do)
 		}
@@ -173,7 +173,7 @@
 	switch {
 	case !m.isUp:
 	case m.sim.now < m.frozenUntil:
-		m.waiting = append(m.waiting, do)
+		m.deferred = append(m.deferred, do)
 	default:
 		do()
 	}
@@ -220,7 +220,7 @@
 func (m *machine) apply(out *Output) {
 	s := m.sim
 	step := m.changeStepOf(out)
-	losesPower := s.isArmed(step) || out.Write != nil && !s.calm && s.oneIn(4000)
+	losesPower := s.isArmed(step) || out.Write != nil && !s.healed && s.oneIn(4000)
 	if losesPower && s.oneIn(2) {
 		m.losePower(step, "before a write")
 		return
@@ -233,7 +233,7 @@
 		m.losePower(step, "after a write")
 		out.Send = slices.DeleteFunc(out.Send, func(Outgoing) bool { return s.oneIn(2) }) // some of them had left
 	}
-	if s.lost[self] && len(out.Send) > 0 {
+	if s.lostIdentities[self] && len(out.Send) > 0 {
 		s.fail("%s sends as %v, whose disk is lost", m.address, self)
 	}
 	for _, outgoing := range out.Send {
@@ -243,10 +243,10 @@
 
 // execute carries out a step of the proposer. The process may stand still between the step and its messages.
 func (m *machine) execute(out *ProposerOutput) {
-	if m.freezeSpan > 0 && len(out.Send)+len(out.Completed) > 0 {
-		m.sim.logEvent("%s stands still for %v between a step and its messages", m.address, m.freezeSpan)
-		m.freeze(m.freezeSpan)
-		m.freezeSpan = 0
+	if m.nextFreezeDuration > 0 && len(out.Send)+len(out.Completed) > 0 {
+		m.sim.logEvent("%s stands still for %v between a step and its messages", m.address, m.nextFreezeDuration)
+		m.freeze(m.nextFreezeDuration)
+		m.nextFreezeDuration = 0
 	}
 	m.whenRunning(func() {
 		for _, outgoing := range out.Send {
@@ -265,10 +265,10 @@
 func (m *machine) tick() {
 	now := m.clock()
 	m.execute(m.proposer.Tick(now))
-	if !m.isUp || now < m.nextRest || m.sim.now < m.frozenUntil {
+	if !m.isUp || now < m.nextMaintenance || m.sim.now < m.frozenUntil {
 		return
 	}
-	m.nextRest = now + restTick
+	m.nextMaintenance = now + maintenanceInterval
 	m.apply(m.acceptor.Tick(now))
 	if !m.isUp {
 		return
--- a/internal/fleet/register/simulation_seeds_test.go
+++ b/internal/fleet/register/simulation_seeds_test.go
@@ -39,7 +39,7 @@
 	for name, s := range setups {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var steps, decided, unclear, epochs, cutOff, lostDisks int
+			var steps, decided, unclear, epochs, interruptedChanges, lostDisks int
 			for seed := *firstSeed; seed < *firstSeed+uint64(*simulations); seed++ {
 				if found.Load() {
 					return
@@ -50,14 +50,14 @@
 					t.Fatalf("seed %d: %s\n%s", seed, fault, sim.scriptText())
 				}
 				steps += sim.steps
-				decided += sim.decided[Decided]
-				unclear += sim.decided[Unclear]
-				epochs += int(sim.newest) - 1
-				cutOff += sim.cutOff
-				lostDisks += len(sim.lost)
+				decided += sim.callsByCertainty[Decided]
+				unclear += sim.callsByCertainty[Unclear]
+				epochs += int(sim.newestEpoch) - 1
+				interruptedChanges += sim.interruptedChanges
+				lostDisks += len(sim.lostIdentities)
 			}
 			t.Logf("%d seeds, %d steps, %d calls decided and %d unclear, %d changes of acceptors, %d cut off, %d disks lost",
-				*simulations, steps, decided, unclear, epochs, cutOff, lostDisks)
+				*simulations, steps, decided, unclear, epochs, interruptedChanges, lostDisks)
 			if decided < 150**simulations || epochs < *simulations/2 {
 				t.Errorf("only %d calls and %d changes: the simulation does not get far", decided, epochs)
 			}
--- a/internal/fleet/register/simulation_test.go
+++ b/internal/fleet/register/simulation_test.go
@@ -17,32 +17,32 @@
 // simulation is a core of machines on a fake clock, a network that delays, loses, doubles and partitions, disks that are lost, and clients.
 // A seed decides all that happens; what happened is kept as a script.
 type simulation struct {
-	setup      setup
-	random     *rand.Rand
-	now        time.Duration
-	events     eventQueue
-	lastEvent  uint64
-	steps      int
-	machines   []*machine
-	clients    []*client
-	partitions map[[2]string]time.Duration // from, to: until when nothing passes
-	slowUntil  time.Duration               // messages take up to maxSlowDelay until then
-	lossyUntil time.Duration               // many messages are lost until then
-	nonces     uint64
-	lost       map[replication.Replica]bool // identities whose disk is gone
-	lossBudget int                          // disks that may be lost until the acceptors have carried over
-	lastLoss   time.Duration
-	proposed   []Config   // by planners
-	armedStep  changeStep // whoever does it next loses power
-	cutOff     int        // changes of acceptors that were cut off
-	newest     uint64     // the newest epoch that some disk holds
-	calm       bool       // all has healed: nothing is lost any more
-	healedAt   time.Duration
-	auditing   bool              // the clients have ended
-	decided    map[Certainty]int // calls, by how they ended
-	history    history
-	script     []string
-	fault      string
+	setup              setup
+	random             *rand.Rand
+	now                time.Duration
+	events             eventQueue
+	lastEvent          uint64
+	steps              int
+	machines           []*machine
+	clients            []*client
+	partitions         map[[2]string]time.Duration // from, to: until when nothing passes
+	slowUntil          time.Duration               // messages take up to maxSlowDelay until then
+	lossyUntil         time.Duration               // many messages are lost until then
+	nonces             uint64
+	lostIdentities     map[replication.Replica]bool // identities whose disk is gone
+	lossBudget         int                          // disks that may be lost until the acceptors have carried over
+	lastLoss           time.Duration
+	proposed           []Config   // by planners
+	armedStep          changeStep // whoever does it next loses power
+	interruptedChanges int        // changes of acceptors that were cut off
+	newestEpoch        uint64     // the newest epoch that some disk holds
+	healed             bool       // all has healed: nothing is lost any more
+	healedAt           time.Duration
+	auditing           bool              // the clients have ended
+	callsByCertainty   map[Certainty]int // calls, by how they ended
+	history            history
+	script             []string
+	fault              string
 }
 
 // setup is the shape of a core.
@@ -55,13 +55,13 @@
 }
 
 const (
-	machineTick      = 20 * time.Millisecond
-	maxDelay         = 20 * time.Millisecond // that a message takes
-	maxSlowDelay     = 400 * time.Millisecond
-	forgetTime       = candidateTimeout + decideTimeout + time.Second // in which no proposal names a disk any more that is lost
-	maxLateness      = 1500 * time.Millisecond                        // of the second copy of a message
-	simulatedHistory = 8 * time.Second                                // longer than any call is under way, freezes included
-	maxClockDrift    = 0.002                                          // of one machine's clock; two of them fit coordination's margin
+	machineTick          = 20 * time.Millisecond
+	maxDelay             = 20 * time.Millisecond // that a message takes
+	maxSlowDelay         = 400 * time.Millisecond
+	staleProposalTimeout = candidateTimeout + decideTimeout + time.Second // in which no proposal names a disk any more that is lost
+	maxDuplicateDelay    = 1500 * time.Millisecond                        // of the second copy of a message
+	simulatedHistory     = 8 * time.Second                                // longer than any call is under way, freezes included
+	maxClockDrift        = 0.002                                          // of one machine's clock; two of them fit coordination's margin
 )
 
 func stateOptions() coordination.Options {
@@ -92,7 +92,7 @@
 func newSimulation(s setup, seed uint64) *simulation {
 	sim := &simulation{
 		setup: s, random: rand.New(rand.NewPCG(seed, 51)), partitions: map[[2]string]time.Duration{},
-		lost: map[replication.Replica]bool{}, decided: map[Certainty]int{},
+		lostIdentities: map[replication.Replica]bool{}, callsByCertainty: map[Certainty]int{},
 	}
 	var founders []string
 	for i := range s.founderCount {
@@ -108,7 +108,7 @@
 		m.start()
 	}
 	sim.addClients()
-	sim.after(0, sim.watchCarryOver)
+	sim.after(0, sim.updateLossBudget)
 	return sim
 }
 
@@ -149,8 +149,8 @@
 
 func (s *simulation) scriptText() string { return strings.Join(s.script, "\n") }
 
-func (s *simulation) randomDuration(least, most time.Duration) time.Duration {
-	return least + time.Duration(s.random.Int64N(int64(most-least)+1))
+func (s *simulation) randomDuration(minDuration, maxDuration time.Duration) time.Duration {
+	return minDuration + time.Duration(s.random.Int64N(int64(maxDuration-minDuration)+1))
 }
 
 // oneIn is true once in so many times.
@@ -258,13 +258,13 @@
 	}
 	chance := s.random.IntN(1000)
 	switch {
-	case s.calm:
+	case s.healed:
 	case chance >= 900 && chance < 940:
 		delay += s.randomDuration(0, maxSlowDelay) // overtaken by others
 	case chance < 5 || s.now < s.lossyUntil && chance < 200:
 		return // lost
 	case chance > 985:
-		s.after(delay+s.randomDuration(0, maxLateness), func() { s.deliver(p) }) // doubled, late
+		s.after(delay+s.randomDuration(0, maxDuplicateDelay), func() { s.deliver(p) }) // doubled, late
 	}
 	s.after(delay, func() { s.deliver(p) })
 }
@@ -285,16 +285,16 @@
 	}
 }
 
-// watchCarryOver allows disks to be lost again once the newest acceptors have all carried over, none of them has accepted a further change,
+// updateLossBudget allows disks to be lost again once the newest acceptors have all carried over, none of them has accepted a further change,
 // which is to be carried over, too, and no planner still counts on the last disk that was lost: as many as the setup tolerates, and as leave a
 // majority of the acceptors that there are.
-func (s *simulation) watchCarryOver() {
+func (s *simulation) updateLossBudget() {
 	newest := s.newestConfig()
-	s.newest = max(s.newest, newest.Epoch)
-	if s.hasCarriedOver(newest) && !s.hasAcceptedNext(newest) && s.now-s.lastLoss >= forgetTime {
+	s.newestEpoch = max(s.newestEpoch, newest.Epoch)
+	if s.hasCarriedOver(newest) && !s.hasAcceptedNext(newest) && s.now-s.lastLoss >= staleProposalTimeout {
 		s.lossBudget = min(s.setup.tolerance.Machines, len(newest.Acceptors)-majority(newest.Acceptors))
 	}
-	s.after(100*time.Millisecond, s.watchCarryOver)
+	s.after(100*time.Millisecond, s.updateLossBudget)
 }
 
 // newestConfig returns the newest acceptors that some disk knows of.
@@ -331,7 +331,7 @@
 	for _, set := range sets {
 		lost := 1
 		for _, r := range set {
-			if s.lost[r] {
+			if s.lostIdentities[r] {
 				lost++
 			}
 		}
@@ -346,6 +346,6 @@
 func (s *simulation) hasAcceptedNext(c Config) bool {
 	return slices.ContainsFunc(s.machines, func(m *machine) bool {
 		r := m.acceptor.registers[nextConfigName(c.Epoch)]
-		return r != nil && r.state.Snapshot(0).Decision.Value != "" && !s.lost[m.acceptor.HardState().Self]
+		return r != nil && r.state.Snapshot(0).Decision.Value != "" && !s.lostIdentities[m.acceptor.HardState().Self]
 	})
 }
--- a/internal/fleet/register/types.go
+++ b/internal/fleet/register/types.go
@@ -9,11 +9,11 @@
 	"pinelb.example/pinelb/internal/fleet/replication"
 )
 
-// Ballot orders the attempts to change a register. The zero Ballot is below all others.
+// Ballot orders the attempts to change a register. The zero Ballot is lower than all others.
 type Ballot struct {
-	Epoch    uint64 `cbor:"1,keyasint"` // of the Config whose acceptors are asked
+	Epoch    uint64 `cbor:"1,keyasint"` // epoch of the Config whose acceptors receive the ballot
 	Round    uint64 `cbor:"2,keyasint"`
-	Proposer uint64 `cbor:"3,keyasint"` // drawn when the proposer's process started, so that no ballot is used twice
+	Proposer uint64 `cbor:"3,keyasint"` // random number of the proposer's process, so that no ballot is used twice
 }
 
 func (b Ballot) compare(other Ballot) int {
@@ -22,7 +22,8 @@
 
 func (b Ballot) less(other Ballot) bool { return b.compare(other) < 0 }
 
-// Version identifies a register's value: the ballot under which it was proposed, and its number among those of that ballot.
+// Version identifies a value of a register by the ballot under which it was proposed and a sequence number within that
+// ballot.
 type Version struct {
 	Ballot   Ballot `cbor:"1,keyasint"`
 	Sequence uint64 `cbor:"2,keyasint"`
@@ -32,11 +33,11 @@
 	return cmp.Or(v.Ballot.compare(other.Ballot), cmp.Compare(v.Sequence, other.Sequence)) < 0
 }
 
-// Config is a set of acceptors. Each is decided by the acceptors of the one before it.
+// Config is the set of acceptors of an epoch. Each Config but the first is decided by the acceptors of the previous one.
 type Config struct {
-	Epoch     uint64                `cbor:"1,keyasint"` // 0: not known
+	Epoch     uint64                `cbor:"1,keyasint"` // 0: the acceptors are not known
 	Acceptors []replication.Replica `cbor:"2,keyasint"`
-	Previous  []replication.Replica `cbor:"3,keyasint,omitempty"` // the acceptors of the epoch before; none: this is the first
+	Previous  []replication.Replica `cbor:"3,keyasint,omitempty"` // acceptors of the previous epoch; empty in the first one
 }
 
 // Has reports whether a replica is one of the acceptors.
@@ -44,7 +45,7 @@
 
 func majority(replicas []replication.Replica) int { return len(replicas)/2 + 1 }
 
-// FirstConfig returns the acceptors at the first start of the whole system.
+// FirstConfig returns the Config of the first start of the whole system. Its acceptors have nonce 0.
 func FirstConfig(founders []string) Config {
 	c := Config{Epoch: 1}
 	for _, address := range founders {
@@ -53,7 +54,7 @@
 	return c
 }
 
-// nextConfigName is the register by which the acceptors of an epoch decide those of the next one.
+// nextConfigName returns the name of the register in which the acceptors of an epoch decide the next Config.
 func nextConfigName(epoch uint64) coordination.Name {
 	return coordination.Name{Kind: coordination.KindDecision, ID: "acceptors after " + strconv.FormatUint(epoch, 10)}
 }
