--- a/internal/fleet/register/fuzz_test.go
+++ b/internal/fleet/register/fuzz_test.go
@@ -17,7 +17,7 @@
 	fuzzPeers     = []replication.Replica{{Address: "a"}, {Address: "b"}, {Address: "c"}, {Address: "b", Nonce: 1}}
 )
 
-// addSeeds adds messages that are valid, each with its number.
+// addSeeds adds the encoded messages to the corpus, each with its index as its kind: whole and truncated to a half.
 func addSeeds(f *testing.F, messages ...any) {
 	for kind, message := range messages {
 		encoded, err := cbor.Marshal(message)
@@ -31,7 +31,7 @@
 	f.Add(uint8(0), uint8(0), []byte{0xf6})
 }
 
-// fuzzChanges are changes of each kind, also of more than one.
+// fuzzChanges returns changes of each kind, and one of two kinds at once.
 func fuzzChanges() []*coordination.Change {
 	event := coordination.Event{Key: "g.a", Value: "v", Revision: 3}
 	return []*coordination.Change{
@@ -46,7 +46,7 @@
 	}
 }
 
-// fuzzRequest is a request with a prepare and an accept for each change, under names of each kind, and of none.
+// fuzzRequest returns a request with a prepare and an accept for each change, under names of all kinds and of invalid ones.
 func fuzzRequest() *Request {
 	request := &Request{Epoch: 1}
 	for i, change := range fuzzChanges() {
@@ -58,7 +58,8 @@
 	return request
 }
 
-// FuzzAcceptorReceive: whatever message comes, also after others, does not end the process, and what is stored can be read again.
+// FuzzAcceptorReceive checks that no message crashes an acceptor, also in combination with others, and that the stored
+// registers can be decoded again.
 func FuzzAcceptorReceive(f *testing.F) {
 	next := Config{Epoch: 2, Acceptors: fuzzAcceptors, Previous: fuzzAcceptors}
 	stored := []Stored{{Name: coordination.Name{Kind: 9, ID: "x"}, Accepted: Version{Sequence: 1}, Change: fuzzChanges()[3]}, {}}
@@ -89,7 +90,7 @@
 	})
 }
 
-// fuzzProposer returns a proposer that prepares a name of each kind.
+// fuzzProposer returns a proposer that is preparing a name of each kind, and its last output.
 func fuzzProposer() (*Proposer, *ProposerOutput) {
 	p := NewProposer(ProposerOptions{State: fuzzOptions, Random: rand.New(rand.NewPCG(1, 2))})
 	p.SetConfig(0, FirstConfig([]string{"a", "b", "c"}))
@@ -109,7 +110,7 @@
 	return p, out
 }
 
-// fuzzReply is a reply that has promises and acknowledgements for each kind of name, for the ballot of the first prepares.
+// fuzzReply returns a reply with promises and acknowledgements for each kind of name, for the ballots of fuzzProposer.
 func fuzzReply() *Reply {
 	p, _ := fuzzProposer()
 	reply := &Reply{Epoch: 1}
@@ -124,7 +125,7 @@
 	return reply
 }
 
-// FuzzProposerReceive: whatever replies come from two acceptors do not end the process, and every call is completed once.
+// FuzzProposerReceive checks that no replies of two acceptors crash a proposer, and that each call completes exactly once.
 func FuzzProposerReceive(f *testing.F) {
 	gap := fuzzReply()
 	gap.Promises[3].Value.Group = &coordination.GroupRecord{Revision: 9, Events: []coordination.Event{{Key: "g.a", Value: "v", Revision: 1}}}
--- a/internal/fleet/register/half_decided_test.go
+++ b/internal/fleet/register/half_decided_test.go
@@ -8,15 +8,15 @@
 	"pinelb.example/pinelb/internal/fleet/replication"
 )
 
-// Guards against a set of acceptors that was proposed long ago, accepted by one acceptor only and decided much later, when machines that it
-// names have lost their disks: with two disks lost at once no majority of it is left, and every register is gone for good.
+// Guards against a Config that was accepted by a single acceptor and is decided much later, when machines in it have
+// lost their disks: if two more disks are lost at once, it has no majority, and all registers are lost permanently.
 func TestSimulationOutlivesProposalAcceptedByOne(t *testing.T) {
 	s := setups["six, two may be lost"].withDefaults()
 	sim := newSimulation(s, 1)
 	sim.healed = true
 	sim.runUntil(2 * time.Second)
 
-	// A planner that missed 10.0.0.3 proposed 10.0.0.6 in its place; its machine lost power when one accept had left.
+	// A planner without Hellos of 10.0.0.3 proposed 10.0.0.6 instead; its machine lost power after sending one Accept.
 	founders := sim.machines[0].disk.hardState.Config.Acceptors
 	next := Config{
 		Epoch: 2, Acceptors: []replication.Replica{founders[0], founders[1], founders[3], founders[4], sim.machines[5].disk.hardState.Self}, Previous: founders,
@@ -29,7 +29,7 @@
 		Name: operation.Name, Version: Version{Ballot: Ballot{Epoch: 1, Round: 1, Proposer: 1}, Sequence: 1},
 		Change: &coordination.Change{Decision: &coordination.DecisionRecord{Value: operation.Value}},
 	}}})
-	sim.runUntil(20 * time.Second) // all is well for long
+	sim.runUntil(20 * time.Second) // a long time without disruptions
 	sim.machines[5].wipe(time.Second)
 	sim.runUntil(40 * time.Second)
 	sim.machines[0].wipe(time.Second)
--- a/internal/fleet/register/planner_identity_test.go
+++ b/internal/fleet/register/planner_identity_test.go
@@ -21,11 +21,11 @@
 	return c
 }
 
-// Guards against changes of acceptors that nothing calls for, each of which carries all registers over.
+// Guards against unnecessary changes of acceptors, each of which transfers all registers.
 func TestPlannerChangesNoAcceptorWithoutNeed(t *testing.T) {
 	config := testConfig(4, "a", "b", "c", "d", "e")
 	self := config.Acceptors[0]
-	Convey("After a restart of all, acceptors that were not heard yet are waited for", t, func() {
+	Convey("After a restart of all machines, acceptors without a Hello are not replaced before acceptorTimeout", t, func() {
 		p := NewPlanner(replication.Tolerance{Machines: 2})
 		for now := time.Duration(0); now < acceptorTimeout; now += 100 * time.Millisecond {
 			for _, r := range append(config.Acceptors[:3:3], replication.Replica{Address: "f", Nonce: 3}) {
@@ -37,7 +37,7 @@
 		_, ok := p.Next(acceptorTimeout, config, self)
 		So(ok, ShouldBeTrue)
 	})
-	Convey("A delayed message of a lost disk does not bring its identity back", t, func() {
+	Convey("A delayed Hello with the identity of a lost disk does not restore that identity", t, func() {
 		p := NewPlanner(replication.Tolerance{Machines: 2})
 		config.Acceptors[4].Nonce = 9
 		for now := time.Duration(0); now < 4*time.Second; now += 100 * time.Millisecond {
@@ -51,7 +51,7 @@
 			So(ok, ShouldBeFalse)
 		}
 	})
-	Convey("The next change waits until the live acceptors have carried the registers over", t, func() {
+	Convey("The next change waits for live acceptors that are not ready, until carryOverTimeout", t, func() {
 		p := NewPlanner(replication.Tolerance{Machines: 2})
 		wiped := replication.Replica{Address: "e", Nonce: 5}
 		proposedAt := time.Duration(-1)
--- a/internal/fleet/register/planner_test.go
+++ b/internal/fleet/register/planner_test.go
@@ -9,15 +9,16 @@
 	"pinelb.example/pinelb/internal/fleet/replication"
 )
 
-// plannedCore is what one machine's planner hears. The machines are a to f, in zones of their own unless a script says otherwise.
+// plannedCore is a core as seen by one machine's planner. Its machines have the addresses a to f, and each has its own
+// zone and region unless a test changes them.
 type plannedCore struct {
 	planner *Planner
 	now     time.Duration
 	config  Config
-	hellos  map[string]*Hello // of the machines that are heard, by address
+	hellos  map[string]*Hello // sent by the live machines, by address
 }
 
-// newPlannedCore returns a core of which the first machines are the acceptors, all heard and ready.
+// newPlannedCore returns a core of live machines, the first of which are the acceptors, all ready.
 func newPlannedCore(tolerance replication.Tolerance, acceptors int, machines ...string) *plannedCore {
 	c := &plannedCore{planner: NewPlanner(tolerance), config: FirstConfig(machines[:acceptors]), hellos: map[string]*Hello{}}
 	for i, address := range machines {
@@ -32,8 +33,8 @@
 	return c
 }
 
-// pass lets the time pass in steps as a machine's ticks do, all machines heard in each, and returns what the machine at an address proposes
-// in the last of them.
+// advance advances the time in ticks of 100 ms with a Hello of each live machine, and returns what the machine at an
+// address proposes in the last tick.
 func (c *plannedCore) advance(span time.Duration, at string) (Config, bool) {
 	var next Config
 	var ok bool
@@ -47,7 +48,7 @@
 	return next, ok
 }
 
-// addresses returns the acceptors' addresses, in their order.
+// addresses returns the addresses of the acceptors, in the order of the Config.
 func addresses(c Config) []string {
 	var all []string
 	for _, r := range c.Acceptors {
@@ -58,14 +59,14 @@
 
 var oneMachine, twoMachines = replication.Tolerance{Machines: 1}, replication.Tolerance{Machines: 2}
 
-// Guards against acceptors that are gone and stay acceptors, or that are replaced without need.
+// Guards against lost acceptors that are not replaced, and against unnecessary replacements.
 func TestPlannerReplacesAcceptors(t *testing.T) {
-	Convey("Three acceptors that are fit stay", t, func() {
+	Convey("Three healthy acceptors are not replaced", t, func() {
 		c := newPlannedCore(oneMachine, 3, "a", "b", "c", "d")
 		_, ok := c.advance(10*time.Second, "a")
 		So(ok, ShouldBeFalse)
 	})
-	Convey("One whose disk is lost is replaced by what came back at its address", t, func() {
+	Convey("An acceptor whose disk is lost is replaced by the new identity at its address", t, func() {
 		c := newPlannedCore(oneMachine, 3, "a", "b", "c", "d")
 		c.hellos["b"].Self.Nonce, c.hellos["b"].ReadyEpoch = 7, 0
 		next, ok := c.advance(2*time.Second, "a")
@@ -74,7 +75,7 @@
 		So(next.Previous, ShouldResemble, c.config.Acceptors)
 		So(next.Acceptors, ShouldResemble, []replication.Replica{{Address: "a"}, {Address: "b", Nonce: 7}, {Address: "c"}})
 	})
-	Convey("One that is silent is replaced after its time", t, func() {
+	Convey("An acceptor that sends no Hello is replaced after acceptorTimeout", t, func() {
 		c := newPlannedCore(oneMachine, 3, "a", "b", "c", "d")
 		c.advance(2*time.Second, "a")
 		delete(c.hellos, "b")
@@ -84,14 +85,14 @@
 		So(ok, ShouldBeTrue)
 		So(addresses(next), ShouldResemble, []string{"a", "c", "d"})
 	})
-	Convey("One that is silent stays where there is no other machine", t, func() {
+	Convey("An acceptor that sends no Hello is not replaced if there is no candidate", t, func() {
 		c := newPlannedCore(oneMachine, 3, "a", "b", "c")
 		c.advance(2*time.Second, "a")
 		delete(c.hellos, "b")
 		_, ok := c.advance(10*time.Second, "a")
 		So(ok, ShouldBeFalse)
 	})
-	Convey("One that leaves, and one that no longer counts for the quorum, are replaced at once", t, func() {
+	Convey("An acceptor that shuts down or no longer counts for the quorum is replaced at once", t, func() {
 		for _, change := range []func(*Hello){func(h *Hello) { h.Leaving = true }, func(h *Hello) { h.Votes = false }} {
 			c := newPlannedCore(oneMachine, 3, "a", "b", "c", "d")
 			c.advance(2*time.Second, "a")
@@ -103,7 +104,7 @@
 	})
 }
 
-// Guards against sets of acceptors that are too small, or that stand in one zone without need.
+// Guards against sets of acceptors that are too small, or concentrated in one zone without need.
 func TestPlannerFillsUp(t *testing.T) {
 	Convey("Acceptors are added up to 2f+1", t, func() {
 		c := newPlannedCore(twoMachines, 3, "a", "b", "c", "d", "e", "f")
@@ -111,13 +112,13 @@
 		So(ok, ShouldBeTrue)
 		So(addresses(next), ShouldResemble, []string{"a", "b", "c", "d", "e"})
 	})
-	Convey("There are three where none may be lost: one may freeze", t, func() {
+	Convey("There are three with a tolerance of no losses, as one may freeze", t, func() {
 		c := newPlannedCore(replication.Tolerance{}, 1, "a", "b", "c", "d")
 		next, ok := c.advance(2*time.Second, "a")
 		So(ok, ShouldBeTrue)
 		So(addresses(next), ShouldResemble, []string{"a", "b", "c"})
 	})
-	Convey("Machines that leave, do not vote or were not heard lately are not taken", t, func() {
+	Convey("Machines that shut down, do not vote or sent no recent Hello are not chosen", t, func() {
 		c := newPlannedCore(twoMachines, 3, "a", "b", "c", "d", "e", "f")
 		c.hellos["d"].Leaving = true
 		c.hellos["e"].Votes = false
@@ -126,7 +127,7 @@
 		_, ok := c.advance(2*time.Second, "a")
 		So(ok, ShouldBeFalse)
 	})
-	Convey("The zone and region with the fewest acceptors comes first", t, func() {
+	Convey("Candidates of the zone and region with the fewest acceptors are preferred", t, func() {
 		c := newPlannedCore(oneMachine, 2, "a", "b", "c", "d", "e")
 		for address, place := range map[string][2]string{"a": {"1", "x"}, "b": {"2", "x"}, "c": {"1", "x"}, "d": {"3", "x"}, "e": {"4", "y"}} {
 			c.hellos[address].Zone, c.hellos[address].Region = place[0], place[1]
@@ -141,28 +142,28 @@
 	})
 }
 
-// Guards against changes that come too early, or that several machines propose at once.
+// Guards against changes that are proposed too early, or by several machines at once.
 func TestPlannerWaits(t *testing.T) {
 	Convey("Nothing is proposed", t, func() {
-		Convey("while no acceptors are known", func() {
+		Convey("while the acceptors are unknown", func() {
 			c := newPlannedCore(oneMachine, 3, "a", "b", "c", "d")
 			c.config = Config{}
 			_, ok := c.advance(5*time.Second, "a")
 			So(ok, ShouldBeFalse)
 		})
-		Convey("by a machine that is no acceptor", func() {
+		Convey("by a machine that is not an acceptor", func() {
 			c := newPlannedCore(twoMachines, 3, "a", "b", "c", "d")
 			_, ok := c.advance(5*time.Second, "d")
 			So(ok, ShouldBeFalse)
 		})
-		Convey("in the first second of an epoch", func() {
+		Convey("within minConfigAge of a new epoch", func() {
 			c := newPlannedCore(twoMachines, 3, "a", "b", "c", "d")
 			_, ok := c.advance(minConfigAge, "a")
 			So(ok, ShouldBeFalse)
 			_, ok = c.advance(200*time.Millisecond, "a")
 			So(ok, ShouldBeTrue)
 		})
-		Convey("until all live acceptors take part", func() {
+		Convey("until all live acceptors are ready", func() {
 			c := newPlannedCore(twoMachines, 3, "a", "b", "c", "d")
 			c.hellos["b"].ReadyEpoch, c.hellos["c"].ReadyEpoch = 0, 0
 			_, ok := c.advance(4*time.Second, "a")
@@ -174,7 +175,7 @@
 			_, ok = c.advance(100*time.Millisecond, "a")
 			So(ok, ShouldBeTrue)
 		})
-		Convey("until a majority takes part, where one is late for long", func() {
+		Convey("until a majority is ready, if one is not ready within carryOverTimeout", func() {
 			c := newPlannedCore(twoMachines, 3, "a", "b", "c", "d")
 			c.hellos["b"].ReadyEpoch, c.hellos["c"].ReadyEpoch = 0, 0
 			_, ok := c.advance(2*carryOverTimeout, "a")
@@ -184,10 +185,10 @@
 			So(ok, ShouldBeTrue)
 		})
 	})
-	Convey("The live acceptors propose one after the other, in the order of their addresses", t, func() {
+	Convey("The live acceptors propose in the order of their addresses, proposalStagger apart", t, func() {
 		for rank, address := range []string{"a", "b", "c"} {
 			c := newPlannedCore(twoMachines, 3, "a", "b", "c", "d")
-			start := 100 * time.Millisecond // the first tick, in which the change is wanted
+			start := 100 * time.Millisecond // the first tick, in which the planner first needs the change
 			due := start + max(minConfigAge, time.Duration(rank)*proposalStagger)
 			_, ok := c.advance(due-start, address)
 			So(ok, ShouldBeFalse)
@@ -195,7 +196,7 @@
 			So(ok, ShouldBeTrue)
 		}
 	})
-	Convey("The second one is the first where that is gone", t, func() {
+	Convey("Without a live first acceptor, the second one proposes first", t, func() {
 		c := newPlannedCore(twoMachines, 3, "a", "b", "c", "d")
 		delete(c.hellos, "a")
 		_, ok := c.advance(1200*time.Millisecond, "b")
@@ -203,9 +204,9 @@
 	})
 }
 
-// Guards against a proposal that stays half decided, and against questions of all machines at once.
+// Guards against a proposal that stays undecided, and against queries by all machines at once.
 func TestPlannerAsks(t *testing.T) {
-	Convey("The first live acceptor asks what is decided, at intervals; no other does", t, func() {
+	Convey("Only the first live acceptor queries the decided Config, every queryInterval", t, func() {
 		c := newPlannedCore(oneMachine, 3, "a", "b", "c", "d")
 		for address, wantQueries := range map[string]int{"a": 5, "b": 0, "d": 0} {
 			c.planner.nextQuery = 0
@@ -222,9 +223,9 @@
 	})
 }
 
-// Guards against a decided value that another machine can't read.
+// Guards against a decided value that another machine can't decode.
 func TestDecidedAcceptorsAreRead(t *testing.T) {
-	Convey("What is decided is read as it was proposed", t, func() {
+	Convey("A proposed Config is equal after encoding and decoding, and an invalid value is an error", t, func() {
 		next := Config{Epoch: 4, Acceptors: []replication.Replica{{Address: "a:1", Nonce: 1<<64 - 1}}, Previous: []replication.Replica{{Address: "b:1"}}}
 		operation, err := DecideNext(next)
 		So(err, ShouldBeNil)
--- a/internal/fleet/register/restart_test.go
+++ b/internal/fleet/register/restart_test.go
@@ -12,14 +12,14 @@
 
 var testOptions = coordination.Options{History: 30 * time.Second, MaxGroupBytes: 1 << 20}
 
-// restarted is the acceptor after a restart with the disk that a write left.
+// restarted returns the acceptor as restored from a disk that holds a single write.
 func restarted(w *Write) *Acceptor {
 	return NewAcceptor(0, w.HardState, [][]Stored{w.Changed}, testOptions)
 }
 
-// Guards against an acceptor that can't take part any more once its process ended between learning of its epoch and being ready.
+// Guards against an acceptor that never becomes ready if its process ended between adopting its epoch and becoming ready.
 func TestAcceptorRestartsWhileItCollects(t *testing.T) {
-	Convey("An acceptor that restarts after it has learned of its epoch collects and becomes ready", t, func() {
+	Convey("An acceptor that restarts after it has adopted its epoch collects and becomes ready", t, func() {
 		founder := replication.Replica{Address: "a"}
 		joiner := NewAcceptor(0, InitialHardState("b", 7, nil), nil, testOptions)
 		config := Config{Epoch: 2, Acceptors: []replication.Replica{founder, {Address: "b", Nonce: 7}}, Previous: []replication.Replica{founder}}
--- a/internal/fleet/register/rounds_test.go
+++ b/internal/fleet/register/rounds_test.go
@@ -11,12 +11,12 @@
 	"pinelb.example/pinelb/internal/fleet/replication"
 )
 
-// scriptedCore is a proposer and three acceptors; the script decides which messages arrive.
+// scriptedCore is a proposer and three acceptors. The test controls which messages are delivered.
 type scriptedCore struct {
 	proposer  *Proposer
 	config    Config
 	acceptors map[string]*Acceptor
-	requests  map[string]*Request // the newest that was sent, by acceptor
+	requests  map[string]*Request // latest request to each acceptor, by address
 	completed []Completion
 }
 
@@ -45,7 +45,7 @@
 	c.execute(c.proposer.Submit(0, &Call{ID: id, Operation: operation, Deadline: time.Second}))
 }
 
-// ask delivers the newest request to an acceptor and returns its reply, which has not arrived yet.
+// deliverRequest delivers the latest request to an acceptor and returns its reply, which is not delivered.
 func (c *scriptedCore) deliverRequest(address string) *Reply {
 	return c.acceptors[address].Receive(0, replication.Replica{}, c.requests[address]).Send[0].Message.(*Reply)
 }
@@ -54,14 +54,14 @@
 	c.execute(c.proposer.Receive(0, replication.Replica{Address: address}, reply))
 }
 
-// Guards against a read that is answered without a majority that confirmed it after it came.
+// Guards against a read that completes although no majority has confirmed the ballot after the read was submitted.
 func TestProposerCountsAcknowledgementsOfTheTrip(t *testing.T) {
-	Convey("A late acknowledgement of the former read confirms nothing", t, func() {
+	Convey("A late acknowledgement of the previous read does not count for the next one", t, func() {
 		core := newScriptedCore()
 		get := coordination.Operation{Kind: coordination.Get, Name: coordination.Name{Kind: coordination.KindGroup, ID: "g."}, Key: "g.a"}
 		core.submit(1, get)
 		core.deliverReply("a:1", core.deliverRequest("a:1"))
-		core.deliverReply("b:1", core.deliverRequest("b:1")) // two promises: the first round is under way
+		core.deliverReply("b:1", core.deliverRequest("b:1")) // two promises: the first round is in progress
 		late := core.deliverRequest("c:1")
 		core.deliverReply("a:1", core.deliverRequest("a:1"))
 		core.deliverReply("b:1", core.deliverRequest("b:1"))
--- a/internal/fleet/register/simulation_change_test.go
+++ b/internal/fleet/register/simulation_change_test.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// changeStep is a step of a change of acceptors, at which whoever does it may be cut off.
+// changeStep is a step of a change of acceptors. The machine that performs it may be made to lose power.
 type changeStep int
 
 const (
 	noStep            changeStep = iota
-	stepProposeNext              // a planner has the next acceptors decided
-	stepLearnNext                // the proposer hears what was decided
-	stepAdoptNext                // an acceptor is sealed
-	stepCollect                  // a new acceptor asks the former ones
-	stepAnswerCollect            // a former acceptor answers
-	stepBecomeReady              // a new acceptor has collected
-	changeStepEnd                // no step
+	stepProposeNext              // a planner proposes the next acceptors
+	stepLearnNext                // the proposer gets the decided acceptors
+	stepAdoptNext                // an acceptor adopts the next Config
+	stepCollect                  // a new acceptor requests the registers of the former ones
+	stepAnswerCollect            // a former acceptor sends its registers
+	stepBecomeReady              // a new acceptor has collected the registers
+	changeStepEnd                // number of steps, including noStep
 )
 
-// isArmed reports whether whoever does a step is to lose power with it.
+// isArmed reports whether the next machine that performs the step is to lose power.
 func (s *simulation) isArmed(step changeStep) bool { return step != noStep && step == s.armedStep }
 
-// losePower ends the machine's process in the middle of a step.
+// losePower ends the machine's process in the middle of a step, and restarts it after a random time.
 func (m *machine) losePower(step changeStep, where string) {
 	s := m.sim
-	s.logEvent("%s loses power %s, step %d of a change", m.address, where, step)
+	s.logEvent("%s loses power %s, in step %d of a change", m.address, where, step)
 	if s.isArmed(step) {
 		s.armedStep = noStep
 		s.interruptedChanges++
@@ -30,7 +30,7 @@
 	m.powerOff(s.randomDuration(100*time.Millisecond, 4*time.Second))
 }
 
-// changeStepOf says which step of a change an acceptor's output is.
+// changeStepOf returns the step of a change that an acceptor's output performs, or noStep.
 func (m *machine) changeStepOf(out *Output) changeStep {
 	switch {
 	case out.Write != nil && out.Write.Replace:
@@ -49,7 +49,7 @@
 	return noStep
 }
 
-// plan has the present acceptors decide the next ones, where this machine is to propose them, or asks whether they have.
+// plan proposes the next acceptors if the planner has chosen any, or queries the decided ones if a query is necessary.
 func (m *machine) plan(now time.Duration) {
 	config, self := m.proposer.Config(), m.acceptor.HardState().Self
 	next, ok := m.planner.Next(now, config, self)
@@ -63,7 +63,7 @@
 			panic(err)
 		}
 		m.sim.proposed = append(m.sim.proposed, next)
-		m.sim.logEvent("%s wants %v in epoch %d", m.address, next.Acceptors, next.Epoch)
+		m.sim.logEvent("%s proposes acceptors %v for epoch %d", m.address, next.Acceptors, next.Epoch)
 	}
 	m.lastID++
 	m.deciding = m.lastID
@@ -73,7 +73,7 @@
 	}
 }
 
-// onDecided takes over the acceptors that were decided, and tells the others.
+// onDecided adopts the decided acceptors and announces them to the other machines.
 func (m *machine) onDecided(c Completion) {
 	m.deciding = 0
 	if c.Certainty != Decided || c.Result.Value == "" {
@@ -81,12 +81,12 @@
 	}
 	next, err := DecodeConfig(c.Result.Value)
 	if err != nil {
-		m.sim.fail("decided acceptors can't be decoded: %v", err)
+		m.sim.fail("can't decode the decided acceptors: %v", err)
 		return
 	}
 	m.sim.logEvent("%s learns of epoch %d", m.address, next.Epoch)
 	if m.sim.isArmed(stepLearnNext) {
-		m.losePower(stepLearnNext, "before it told")
+		m.losePower(stepLearnNext, "before it announces the next acceptors")
 		return
 	}
 	m.apply(m.acceptor.Receive(m.clock(), m.acceptor.HardState().Self, &Hello{Config: next}))
--- a/internal/fleet/register/simulation_check_test.go
+++ b/internal/fleet/register/simulation_check_test.go
@@ -7,8 +7,8 @@
 	"pinelb.example/pinelb/internal/fleet/coordination"
 )
 
-// history is all calls, in the order of their starts. An operation whose outcome is unclear may have taken effect at any time after its
-// start, or never.
+// history holds all calls in the order in which they started. An operation whose outcome is unclear may have taken effect
+// at any time after its start, or never.
 type history struct{ calls []*call }
 
 // isDone reports whether the call is known to have taken effect.
@@ -19,12 +19,12 @@
 // precedes reports whether the call ended before the other one started.
 func (k *call) precedes(other *call) bool { return k.endedAt < other.startedAt }
 
-// of returns the calls of one name that were decided.
+// decidedCalls returns the decided calls of one name.
 func (h *history) decidedCalls(name coordination.Name) []*call {
 	return slices.DeleteFunc(slices.Clone(h.calls), func(k *call) bool { return k.operation.Name != name || k.certainty != Decided })
 }
 
-// checkHistory checks every name's calls.
+// checkHistory checks the calls of all names.
 func (s *simulation) checkHistory() {
 	for _, id := range simulatedCounters {
 		s.checkCounter(s.history.decidedCalls(counterName(id)))
@@ -39,28 +39,30 @@
 	}
 }
 
-// checkCounter: a counter whose unclear increments may leave gaps is linearizable where no number is given twice and numbers rise with time.
+// checkCounter checks that a counter is linearizable: no count is returned twice, and a call that starts after another
+// has ended gets a higher count. Unclear increments may leave gaps.
 func (s *simulation) checkCounter(calls []*call) {
 	for i, k := range calls {
 		for _, earlier := range calls[:i] {
 			if k.result.Count == earlier.result.Count {
-				s.fail("%v gave %d twice", k.operation.Name, k.result.Count)
+				s.fail("%v returned count %d twice", k.operation.Name, k.result.Count)
 			}
 			if earlier.precedes(k) && k.result.Count < earlier.result.Count {
-				s.fail("%v gave %d after %d", k.operation.Name, k.result.Count, earlier.result.Count)
+				s.fail("%v returned count %d after count %d", k.operation.Name, k.result.Count, earlier.result.Count)
 			}
 		}
 	}
 }
 
-// checkFences: no fence is given twice, they rise with time, and none is renewed once a higher one was given.
+// checkFences checks that no fence is returned by two acquires, that fences rise with time, and that a fence is not
+// renewed after a higher one was returned.
 func (s *simulation) checkFences(calls []*call) {
 	for i, k := range calls {
 		if !k.isDone() || k.operation.Kind == coordination.Release {
 			continue
 		}
 		if k.operation.Kind == coordination.Renew && k.result.Fence != k.operation.Fence {
-			s.fail("%v: a renewal of fence %d gave %d", k.operation.Name, k.operation.Fence, k.result.Fence)
+			s.fail("%v: a renewal of fence %d returned fence %d", k.operation.Name, k.operation.Fence, k.result.Fence)
 		}
 		for _, earlier := range calls[:i] {
 			if !earlier.isDone() || earlier.operation.Kind == coordination.Release {
@@ -68,24 +70,24 @@
 			}
 			isAcquire := k.operation.Kind == coordination.Acquire
 			if isAcquire && earlier.operation.Kind == coordination.Acquire && k.result.Fence == earlier.result.Fence {
-				s.fail("%v gave fence %d twice", k.operation.Name, k.result.Fence)
+				s.fail("%v returned fence %d twice", k.operation.Name, k.result.Fence)
 			}
 			if earlier.precedes(k) && (k.result.Fence < earlier.result.Fence || isAcquire && k.result.Fence == earlier.result.Fence) {
-				s.fail("%v gave fence %d after %d", k.operation.Name, k.result.Fence, earlier.result.Fence)
+				s.fail("%v returned fence %d after fence %d", k.operation.Name, k.result.Fence, earlier.result.Fence)
 			}
 		}
 	}
 }
 
-// span is a time for which a holder counts on the lock.
+// holdPeriod is a period in which a holder relies on holding the lock.
 type holdPeriod struct {
 	holder      string
 	fence       uint64
 	from, until time.Duration
 }
 
-// checkHolders: no two holders count on the lock at once. One counts from the answer until its hold, by its own clock, is over after the
-// sending, and no longer than until it sends a release.
+// checkHolders checks that no two holders rely on holding the lock at the same time. A holder does so from the reply
+// until its hold, measured by its own clock from when it sent the call, has expired or it sends a release.
 func (s *simulation) checkHolders(calls []*call) {
 	var periods []holdPeriod
 	for _, k := range calls {
@@ -98,14 +100,15 @@
 	for i, a := range periods {
 		for _, b := range periods[:i] {
 			if a.holder != b.holder && a.from < b.until && b.from < a.until {
-				s.fail("%v: %s (fence %d) counts on it from %v until %v, and %s (fence %d) from %v until %v",
+				s.fail("%v: %s (fence %d) holds it from %v until %v, and %s (fence %d) from %v until %v",
 					calls[0].operation.Name, b.holder, b.fence, b.from, b.until, a.holder, a.fence, a.from, a.until)
 			}
 		}
 	}
 }
 
-// releasedAt returns when a holder next sent a release, clear or not.
+// releasedAt returns the time at which the holder sent the first release after a call, whatever the outcome of the
+// release, or never.
 func (s *simulation) releasedAt(k *call) time.Duration {
 	for _, release := range s.history.calls {
 		o := &release.operation
--- a/internal/fleet/register/wire_format_test.go
+++ b/internal/fleet/register/wire_format_test.go
@@ -22,7 +22,7 @@
 	wireConfig  = Config{Epoch: 2, Acceptors: []replication.Replica{wireReplica}, Previous: []replication.Replica{{Address: "b"}}}
 )
 
-// Guards against a renamed field that changes what routers of different versions send each other and keep on disks.
+// Guards against changes of the encoding of messages and stored data between versions.
 func TestWireFormat(t *testing.T) {
 	for _, message := range []struct {
 		value   any
@@ -68,13 +68,13 @@
 		{HardState{Self: wireReplica, Config: wireConfig, ReadyEpoch: 3}, "a301a2016161020702a301020281a201616102070381a201616202000303"},
 		{HardState{}, "a201a20160020002a2010002f6"},
 	} {
-		Convey(fmt.Sprintf("%T %+v is encoded as before", message.value, message.value), t, func() {
+		Convey(fmt.Sprintf("%T %+v has its fixed encoding", message.value, message.value), t, func() {
 			encoded, err := cbor.Marshal(message.value)
 			So(err, ShouldBeNil)
 			So(hex.EncodeToString(encoded), ShouldEqual, message.encoded)
 		})
 	}
-	Convey("Outcomes and certainties have their numbers", t, func() {
+	Convey("Outcomes and certainties have their fixed numbers", t, func() {
 		So([]AckOutcome{Accepted, Rejected, BaseMissing}, ShouldResemble, []AckOutcome{1, 2, 3})
 		So([]Certainty{Decided, Unclear, NotExecuted}, ShouldResemble, []Certainty{1, 2, 3})
 	})
