--- a/internal/fleet/register/rounds.go
+++ b/internal/fleet/register/rounds.go
@@ -78,7 +78,7 @@
 		}
 	}
 	var value *coordination.Change
-	for _, acceptor := range p.config.Acceptors { // fixed order: copies of a version differ in ages, and simulations must be reproducible
+	for _, acceptor := range p.config.Acceptors { // fixed order for reproducible simulations: copies of a version differ in ages
 		progress := r.progressOf(acceptor)
 		if progress.promise == nil {
 			continue
--- a/internal/fleet/register/simulation_client_test.go
+++ b/internal/fleet/register/simulation_client_test.go
@@ -8,35 +8,35 @@
 	"pinelb.example/pinelb/internal/fleet/replication"
 )
 
-// client is an application that makes one call after the other, as package coordinator's forwarder sends them. A client is one holder of
-// one lock, or counts, or puts, or reads, or watches.
+// client is an application that makes one call at a time, which it sends like the forwarder of package coordinator. Each
+// client does one kind of work: it acquires one lock, increments counters, puts, reads or watches.
 type client struct {
 	sim       *simulation
 	address   string
-	clockRate float64 // of its clock, by which it counts a hold
-	work      func()  // makes the next call
+	clockRate float64 // of its clock, with which it measures a hold
+	work      func()  // starts the next call
 	current   *call
 	values    int
-	since     map[string]uint64 // by group: the last revision that it saw
-	revisions map[string]uint64 // by key: the last revision that it saw
+	since     map[string]uint64 // last observed revision of each group
+	revisions map[string]uint64 // last observed revision of each key
 }
 
-// call is one operation of a client with its outcome.
+// call is an operation of a client, with its outcome.
 type call struct {
 	client    *client
 	operation coordination.Operation
-	startedAt time.Duration // when the first of its messages was sent
-	endedAt   time.Duration // never, where the outcome is unclear
-	certainty Certainty     // 0: under way
+	startedAt time.Duration // time of the first message
+	endedAt   time.Duration // never, if the outcome is unclear
+	certainty Certainty     // 0: in progress
 	result    coordination.Result
 
 	id        uint64
 	park      time.Duration
-	proposers []*machine // in the order in which they are asked
+	proposers []*machine // in the order in which they are tried
 	sent      int
 	isRepeat  bool
-	timeout   time.Duration // after which the proposer gives it up
-	firstBoot int           // of the first proposer when it was first asked
+	timeout   time.Duration // after which the proposer abandons the call
+	firstBoot int           // boot of the first proposer when the call was first sent
 	done      func(*call)
 }
 
@@ -44,14 +44,14 @@
 	never          = time.Duration(1<<63 - 1)
 	callTimeout    = 850 * time.Millisecond
 	minCallTimeout = 10 * time.Millisecond
-	// maxShortTimeout leaves the first proposer time to answer before the next one is asked.
+	// maxShortTimeout lets the first proposer answer before the call is sent to the next one.
 	maxShortTimeout  = 150 * time.Millisecond
 	resendInterval   = 90 * time.Millisecond
 	sendsPerProposer = 2
 	watchPark        = 600 * time.Millisecond
 )
 
-// The names that clients use.
+// The names on which clients operate.
 var (
 	simulatedLocks    = []string{"lock-1", "lock-2"}
 	simulatedCounters = []string{"counter-1", "counter-2"}
@@ -69,7 +69,7 @@
 	return coordination.Name{Kind: coordination.KindCounter, ID: id}
 }
 
-// addClients makes three holders of each lock, and of each other sort as many as there are names.
+// addClients adds three clients for each lock, and two clients for each other kind of work.
 func (s *simulation) addClients() {
 	for _, lock := range simulatedLocks {
 		for range 3 {
@@ -101,7 +101,7 @@
 	return c
 }
 
-// pause lets the client make its next call after a while.
+// pause schedules the client's next call after a random time of at most maxPause.
 func (c *client) pause(maxPause time.Duration) {
 	c.sim.after(c.sim.randomDuration(20*time.Millisecond, maxPause), func() {
 		if !c.sim.auditing {
@@ -110,13 +110,13 @@
 	})
 }
 
-// begin makes a call.
+// begin starts a new call and adds it to the history. done is called with its outcome.
 func (c *client) begin(operation coordination.Operation, park time.Duration, done func(*call)) {
 	c.start(&call{client: c, operation: operation, startedAt: c.sim.now, endedAt: never, park: park, done: done})
 	c.sim.history.calls = append(c.sim.history.calls, c.current)
 }
 
-// again repeats a call whose outcome was unclear: to the checks both are one call.
+// repeat sends a call with an unclear outcome again. The checks treat both as one call.
 func (c *client) repeat(former *call) {
 	former.certainty, former.isRepeat = 0, true
 	c.start(former)
@@ -131,7 +131,7 @@
 	k.proposers = k.proposers[:0]
 	first := len(k.operation.Name.ID) + int(k.operation.Name.ID[len(k.operation.Name.ID)-2])
 	if s.oneIn(4) {
-		first = s.random.IntN(len(s.machines)) // clients don't agree about who is alive
+		first = s.random.IntN(len(s.machines)) // clients disagree about which machines are alive
 	}
 	for i := range s.machines {
 		k.proposers = append(k.proposers, s.machines[(first+i)%len(s.machines)])
@@ -146,7 +146,7 @@
 	c.send(k, id)
 }
 
-// send asks a proposer twice, then the next one.
+// send sends the call sendsPerProposer times to each proposer in turn, until it completes.
 func (c *client) send(k *call, id uint64) {
 	if c.current != k || k.id != id {
 		return
@@ -165,7 +165,8 @@
 	c.sim.after(wait, func() { c.send(k, id) })
 }
 
-// onReply takes an answer. One that says that nothing was executed says so of the process that answers, and of no other that was asked.
+// onReply handles a reply. NotExecuted holds only for the process that replies: if another process may have received the
+// call, the outcome is unclear.
 func (c *client) onReply(reply *callReply) {
 	k := c.current
 	if k == nil || k.id != reply.ID {
@@ -189,7 +190,7 @@
 	k.done(k)
 }
 
-// acquire tries to become the lock's holder, and then holds it for a while.
+// acquire tries to acquire the lock, and then holds it for a random part of the hold.
 func (c *client) acquire(lock string) {
 	hold := c.sim.randomDuration(200*time.Millisecond, 1200*time.Millisecond)
 	c.begin(coordination.Operation{Kind: coordination.Acquire, Name: lockName(lock), Holder: c.address, Hold: hold}, 0, func(k *call) {
@@ -201,7 +202,7 @@
 	})
 }
 
-// hold renews, releases, or lets the time run out.
+// hold renews or releases the lock, or lets its hold expire.
 func (c *client) hold(lock string, fence uint64) {
 	s := c.sim
 	if s.auditing {
@@ -234,7 +235,7 @@
 	return group, group + simulatedCells[c.sim.random.IntN(len(simulatedCells))]
 }
 
-// put writes a value that was never written before, mostly on top of the revision that the client knows.
+// put writes a unique value, mostly on the condition that the key has the last revision that the client observed.
 func (c *client) put() {
 	group, key := c.randomCell()
 	c.values++
@@ -259,7 +260,7 @@
 	})
 }
 
-// readOrPut reads mostly.
+// readOrPut puts a third of the time and reads otherwise.
 func (c *client) readOrPut() {
 	if c.sim.oneIn(3) {
 		c.put()
@@ -274,7 +275,7 @@
 	})
 }
 
-// watch follows a group, sometimes from an old revision.
+// watch watches a group from the last observed revision, or sometimes from an older one.
 func (c *client) watch(group string) {
 	operation := coordination.Operation{Kind: coordination.Watch, Name: groupName(group), Since: c.since[group]}
 	if c.sim.oneIn(8) && operation.Since > 1 {
--- a/internal/fleet/register/simulation_disruption_test.go
+++ b/internal/fleet/register/simulation_disruption_test.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	settleTimeout  = 4 * time.Second // within which calls complete once all has healed
+	settleTimeout  = 4 * time.Second // time after heal until all calls must be decided
 	workTime       = time.Second
-	expiryTime     = 3200 * time.Millisecond // in which the last call is executed, at the latest, and its hold runs out
+	expiryTime     = 3200 * time.Millisecond // time until the last call has been executed and its hold has expired
 	maxDownTime    = 4 * time.Second
-	maxLoggedCalls = 200 // of a seed with a fault
+	maxLoggedCalls = 200 // calls that are logged after a fault
 )
 
-// run returns the fault of the seed; empty: none. A panic of the code under test is one.
+// run runs the simulation and returns its fault, or an empty string. A panic of the code under test is a fault.
 func (s *simulation) run() (fault string) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -27,7 +27,8 @@
 	return s.fault
 }
 
-// play plays disruptions, lets all return, and expects service and everything that was acknowledged.
+// play causes disruptions for the setup's duration, ends them, and checks that all calls are then decided and that no
+// acknowledged operation is lost.
 func (s *simulation) play() {
 	s.runUntil(time.Second)
 	for s.now < s.setup.duration && s.fault == "" {
@@ -45,7 +46,7 @@
 	}
 }
 
-// disrupt does one thing that may happen to a core.
+// disrupt causes a random disruption.
 func (s *simulation) disrupt() {
 	m := s.machines[s.random.IntN(len(s.machines))]
 	down := s.randomDuration(100*time.Millisecond, maxDownTime)
@@ -58,7 +59,7 @@
 	case p < 29:
 		s.powerOffAll()
 	case p < 39:
-		s.logEvent("%s stands still for %v", m.address, down)
+		s.logEvent("%s freezes for %v", m.address, down)
 		m.freeze(down)
 	case p < 53:
 		m.nextFreezeDuration = s.randomDuration(50*time.Millisecond, 3*time.Second)
@@ -70,17 +71,17 @@
 		s.logEvent("the network is slow for %v", down)
 		s.slowUntil = s.now + down
 	case p < 80:
-		s.logEvent("the network loses much for %v", down)
+		s.logEvent("the network is lossy for %v", down)
 		s.lossyUntil = s.now + down
 	case p < 86:
-		s.logEvent("%s leaves, and is back after %v", m.address, down)
+		s.logEvent("%s shuts down, and restarts after %v", m.address, down)
 		m.leave(down)
 	default:
 		s.interruptNextChange()
 	}
 }
 
-// loseDisks wipes as many machines as may lose their disks now, up to a number.
+// loseDisks wipes the disks of up to count machines, as far as mayLoseDisk permits.
 func (s *simulation) loseDisks(count int, down time.Duration) {
 	for _, i := range s.random.Perm(len(s.machines))[:count] {
 		if s.mayLoseDisk(s.machines[i]) {
@@ -89,19 +90,19 @@
 	}
 }
 
-// powerOffAll ends all processes at once, and up to two disks with them.
+// powerOffAll ends all processes at once, and wipes up to two disks.
 func (s *simulation) powerOffAll() {
-	s.logEvent("all power is lost")
+	s.logEvent("all machines lose power")
 	for _, m := range s.machines {
 		m.powerOff(s.randomDuration(200*time.Millisecond, 1500*time.Millisecond))
 	}
 	s.loseDisks(s.random.IntN(3), s.randomDuration(200*time.Millisecond, 1500*time.Millisecond))
 }
 
-// cut takes one machine off the network, in one direction or in both.
+// isolate disconnects one machine from the others, in one direction or in both.
 func (s *simulation) isolate(m *machine, span time.Duration) {
 	direction := s.random.IntN(4)
-	s.logEvent("%s is cut off for %v, direction %d", m.address, span, direction)
+	s.logEvent("%s is isolated for %v, direction %d", m.address, span, direction)
 	for _, other := range s.machines {
 		if other == m {
 			continue
@@ -115,9 +116,9 @@
 	}
 }
 
-// partitionCore divides the machines into two sides.
+// partitionCore partitions the network into two random sides.
 func (s *simulation) partitionCore(span time.Duration) {
-	s.logEvent("the core is split for %v", span)
+	s.logEvent("the core is partitioned for %v", span)
 	side := map[*machine]bool{}
 	for _, m := range s.machines {
 		side[m] = s.oneIn(2)
@@ -131,7 +132,7 @@
 	}
 }
 
-// leave shuts the machine down in an orderly way, and starts it again later.
+// leave shuts the machine down gracefully: its Hellos announce it for 2 s before the process ends. It restarts later.
 func (m *machine) leave(down time.Duration) {
 	m.leaving = true
 	boot := m.boot
@@ -142,11 +143,11 @@
 	})
 }
 
-// interruptNextChange has the acceptors change, and whoever does some step of it lose power.
+// interruptNextChange causes a change of acceptors, and a loss of power of the machine that performs a random step of it.
 func (s *simulation) interruptNextChange() {
 	s.armedStep = changeStep(1 + s.random.IntN(int(changeStepEnd)-1))
 	m := s.machines[s.random.IntN(len(s.machines))]
-	s.logEvent("step %d of the next change is to be cut off; %s goes", s.armedStep, m.address)
+	s.logEvent("step %d of the next change will be interrupted; %s fails or shuts down to cause a change", s.armedStep, m.address)
 	switch {
 	case s.mayLoseDisk(m) && s.oneIn(2):
 		m.wipe(s.randomDuration(100*time.Millisecond, time.Second))
@@ -157,9 +158,9 @@
 	}
 }
 
-// heal ends all disruptions. Processes that are down start.
+// heal ends all disruptions and starts the processes that are down.
 func (s *simulation) heal() {
-	s.logEvent("all heals")
+	s.logEvent("all disruptions end")
 	s.healed, s.healedAt = true, s.now
 	clear(s.partitions)
 	s.slowUntil, s.lossyUntil, s.armedStep = 0, 0, noStep
@@ -173,14 +174,14 @@
 	}
 }
 
-// checkService: once all has healed and settled, every call is decided.
+// checkService checks that every call that starts settleTimeout or more after heal is decided.
 func (s *simulation) checkService(k *call) {
 	if s.healed && k.startedAt >= s.healedAt+settleTimeout && k.certainty != Decided {
-		s.fail("a call of %v that began %v after all had healed is not decided (certainty %d)", k.operation.Name, k.startedAt-s.healedAt, k.certainty)
+		s.fail("a call of %v that started %v after all disruptions ended is not decided (certainty %d)", k.operation.Name, k.startedAt-s.healedAt, k.certainty)
 	}
 }
 
-// audit asks for everything once more: what it is told is checked with the history.
+// audit acquires, increments, watches and reads all names once more. The results are checked with the history.
 func (s *simulation) audit() {
 	var operations []coordination.Operation
 	for _, id := range simulatedLocks {
@@ -203,17 +204,17 @@
 			s.runUntil(s.now + machineTick)
 		}
 		if answer == nil {
-			s.fail("the auditor's call of %v is not answered", operation.Name)
+			s.fail("the auditor's call of %v got no reply", operation.Name)
 			return
 		}
 		if operation.Kind == coordination.Acquire && answer.certainty == Decided && answer.result.Outcome != coordination.Done {
-			s.fail("the auditor's call of %v is not answered as it should: %+v", operation.Name, answer.result)
+			s.fail("the auditor did not acquire %v: %+v", operation.Name, answer.result)
 			return
 		}
 	}
 }
 
-// logState records the last calls and what the disks hold.
+// logState logs the last calls and the hard states of all disks.
 func (s *simulation) logState() {
 	for _, k := range s.history.calls[max(0, len(s.history.calls)-maxLoggedCalls):] {
 		s.logEvent("%s from %v until %v: %+v, certainty %d: %+v", k.client.address, k.startedAt, k.endedAt, k.operation, k.certainty, k.result)
--- a/internal/fleet/register/simulation_group_check_test.go
+++ b/internal/fleet/register/simulation_group_check_test.go
@@ -6,26 +6,26 @@
 	"pinelb.example/pinelb/internal/fleet/coordination"
 )
 
-// groupCheck checks the calls of one group. Its revisions say in which order the puts took effect, so that the calls need only agree with
-// them and with the time.
+// groupCheck checks the calls of one group. The revisions give the order in which the puts took effect, so that it is
+// enough to check that the calls are consistent with the revisions and with real time.
 type groupCheck struct {
 	sim           *simulation
-	calls         []*call // decided
+	calls         []*call // decided calls
 	allCalls      []*call
 	putByRevision map[uint64]observedPut
 	revisionByPut map[observedPut]uint64
 	observations  []keyObservation
 }
 
-// observedPut is a put as it was shown. Values are written once.
+// observedPut is a put that a call returned. Values are unique, so that it identifies the put.
 type observedPut struct{ key, value string }
 
-// point says that a call found a key at a revision.
+// keyObservation is the revision of a key that a call returned.
 type keyObservation struct {
 	call     *call
 	key      string
 	revision uint64
-	isPut    bool // the call made it
+	isPut    bool // the call is the put that created the revision
 }
 
 func (s *simulation) checkGroup(name coordination.Name) {
@@ -50,7 +50,7 @@
 	}
 }
 
-// record takes over what a call has shown.
+// record records the puts and revisions that a call returned.
 func (c *groupCheck) record(k *call) {
 	o, r := &k.operation, &k.result
 	switch {
@@ -63,7 +63,7 @@
 		if r.Outcome == coordination.Done {
 			c.observePut(o.Key, r.Value, r.Revision)
 		}
-		c.observations = append(c.observations, keyObservation{call: k, key: o.Key, revision: r.Revision}) // 0: there is none
+		c.observations = append(c.observations, keyObservation{call: k, key: o.Key, revision: r.Revision}) // 0: the key does not exist
 	case o.Kind == coordination.Watch:
 		for _, e := range r.Events {
 			c.observePut(e.Key, e.Value, e.Revision)
@@ -72,20 +72,20 @@
 	}
 }
 
-// show: a revision is one put, and a put has one revision.
+// observePut checks that a revision belongs to a single put, and a put to a single revision.
 func (c *groupCheck) observePut(key, value string, revision uint64) {
 	put := observedPut{key, value}
 	if other, shown := c.putByRevision[revision]; shown && other != put {
-		c.sim.fail("revision %d is shown with %v and with %v", revision, other, put)
+		c.sim.fail("revision %d is returned for %v and for %v", revision, other, put)
 	}
 	if other, shown := c.revisionByPut[put]; shown && other != revision {
-		c.sim.fail("%v is shown under the revisions %d and %d", put, other, revision)
+		c.sim.fail("%v is returned with the revisions %d and %d", put, other, revision)
 	}
 	c.putByRevision[revision], c.revisionByPut[put] = put, revision
 }
 
-// checkKeyOrder: whoever comes after an answer finds what that found, or something newer. A put is newer than all before it. Events are
-// in the past of their watch: they bind later calls only.
+// checkKeyOrder checks that a call returns the same revision of a key as any call that ended before it started, or a
+// newer one. A put must have a newer one. Events of a watch may be old, so that they are compared to later calls only.
 func (c *groupCheck) checkKeyOrder() {
 	for _, p := range c.observations {
 		if p.call.operation.Kind == coordination.Watch {
@@ -96,14 +96,15 @@
 				continue
 			}
 			if p.revision < earlier.revision || p.isPut && p.revision == earlier.revision {
-				c.sim.fail("%s was at revision %d, and %d at %v is shown to a later call of %v", p.key, earlier.revision, p.revision,
+				c.sim.fail("%s was at revision %d, and revision %d at %v is returned to a later call of %v", p.key, earlier.revision, p.revision,
 					p.call.startedAt, p.call.operation.Kind)
 			}
 		}
 	}
 }
 
-// checkGroupOrder: puts and watches find the group no older than any call before them found it.
+// checkGroupOrder checks that puts and watches return no older revision of the group than any call that ended before
+// they started, and that each put has a newer one.
 func (c *groupCheck) checkGroupOrder() {
 	for _, k := range c.calls {
 		isPut := k.operation.Kind == coordination.Put && k.result.Outcome == coordination.Done
@@ -116,41 +117,41 @@
 				continue
 			}
 			if k.result.Revision < earlier.result.Revision || isPut && k.result.Revision == earlier.result.Revision {
-				c.sim.fail("%v was at revision %d, and a later call of %v at %v finds %d", k.operation.Name, earlier.result.Revision,
+				c.sim.fail("%v was at revision %d, and a later call of %v at %v returns revision %d", k.operation.Name, earlier.result.Revision,
 					k.operation.Kind, k.startedAt, k.result.Revision)
 			}
 		}
 	}
 }
 
-// checkRejectedPut: a put that was refused is never shown.
+// checkRejectedPut checks that no call returns a put that was rejected or not executed.
 func (c *groupCheck) checkRejectedPut(k *call) {
 	o := &k.operation
 	if o.Kind != coordination.Put || k.certainty != NotExecuted && (k.certainty != Decided || k.result.Outcome != coordination.Mismatch) {
 		return
 	}
 	if revision, shown := c.revisionByPut[observedPut{o.Key, o.Value}]; shown {
-		c.sim.fail("%s of %v was refused, and is shown under revision %d", o.Value, o.Name, revision)
+		c.sim.fail("%s of %v was rejected, but is returned with revision %d", o.Value, o.Name, revision)
 	}
 }
 
-// checkMismatch: the revision that a refusal names is not the one that was asked for, and some put of the key has it.
+// checkMismatch checks that the revision in a mismatch differs from the expected one and can belong to a put of the key.
 func (c *groupCheck) checkMismatch(k *call) {
 	if k.result.Outcome != coordination.Mismatch {
 		return
 	}
 	o, revision := &k.operation, k.result.Revision
 	if o.IfRevision == nil || *o.IfRevision == revision {
-		c.sim.fail("a put of %s was refused for revision %d, which it asked for", o.Key, revision)
+		c.sim.fail("a put of %s was rejected for revision %d, which it expected", o.Key, revision)
 	}
 	if put, shown := c.putByRevision[revision]; shown && put.key != o.Key {
-		c.sim.fail("a refusal names revision %d, which is of %v and not of %s", revision, put, o.Key)
+		c.sim.fail("a mismatch returns revision %d, which belongs to %v and not to %s", revision, put, o.Key)
 	} else if !shown && revision != 0 && !c.hasUnclearPut(o.Key, k.endedAt) {
-		c.sim.fail("a refusal names revision %d of %s, which no put can have", revision, o.Key)
+		c.sim.fail("a mismatch returns revision %d of %s, which no put can have", revision, o.Key)
 	}
 }
 
-// hasUnclearPut reports whether some put of a key was sent by then whose outcome nobody knows.
+// hasUnclearPut reports whether a put of a key with an unclear outcome started at or before a time.
 func (c *groupCheck) hasUnclearPut(key string, by time.Duration) bool {
 	for _, k := range c.allCalls {
 		if k.operation.Kind == coordination.Put && k.operation.Key == key && k.endedAt == never && k.startedAt <= by {
@@ -160,7 +161,7 @@
 	return false
 }
 
-// checkCondition: between the revision that a put asked for and its own, the key has no other.
+// checkCondition checks that the key has no revision between the one that a put expected and the one that it created.
 func (c *groupCheck) checkCondition(k *call) {
 	o := &k.operation
 	if o.Kind != coordination.Put || !k.isDone() || o.IfRevision == nil {
@@ -168,12 +169,13 @@
 	}
 	for revision := *o.IfRevision + 1; revision < k.result.Revision; revision++ {
 		if c.putByRevision[revision].key == o.Key {
-			c.sim.fail("a put of %s on top of revision %d has %d, and %d is between", o.Key, *o.IfRevision, k.result.Revision, revision)
+			c.sim.fail("a put of %s that expected revision %d created revision %d, but revision %d lies between them", o.Key, *o.IfRevision, k.result.Revision, revision)
 		}
 	}
 }
 
-// checkWatch: events are all puts of their span in order, and none is withheld that is younger than the history.
+// checkWatch checks that a watch returns all puts of its range of revisions in order, and that events that are younger
+// than simulatedHistory have not been compacted.
 func (c *groupCheck) checkWatch(k *call) {
 	o, r := &k.operation, &k.result
 	if o.Kind != coordination.Watch {
@@ -183,23 +185,23 @@
 	case coordination.Done:
 		for i, e := range r.Events {
 			if e.Revision != o.Since+1+uint64(i) {
-				c.sim.fail("a watch of %v since %d has %d as event %d", o.Name, o.Since, e.Revision, i+1)
+				c.sim.fail("a watch of %v since revision %d returned revision %d as event %d", o.Name, o.Since, e.Revision, i+1)
 			}
 		}
 		if o.Since > 0 && o.Since+uint64(len(r.Events)) != r.Revision {
-			c.sim.fail("a watch of %v since %d has %d events up to %d", o.Name, o.Since, len(r.Events), r.Revision)
+			c.sim.fail("a watch of %v since revision %d returned %d events up to revision %d", o.Name, o.Since, len(r.Events), r.Revision)
 		}
 	case coordination.Compacted:
 		next := c.putByRevision[o.Since+1]
 		for _, put := range c.allCalls {
 			age := time.Duration(float64(k.endedAt-put.startedAt) * (1 + 2*maxClockDrift))
 			if put.operation.Kind == coordination.Put && put.operation.Value == next.value && age < simulatedHistory {
-				c.sim.fail("a watch of %v since %d is told that revision %d is gone, at most %v after it was put", o.Name, o.Since, o.Since+1, age)
+				c.sim.fail("a watch of %v since revision %d finds revision %d compacted, at most %v after the put", o.Name, o.Since, o.Since+1, age)
 			}
 		}
 	case coordination.Pending:
 		if r.Revision > o.Since {
-			c.sim.fail("a watch of %v since %d got no events, and revision %d", o.Name, o.Since, r.Revision)
+			c.sim.fail("a watch of %v since revision %d returned no events, but revision %d", o.Name, o.Since, r.Revision)
 		}
 	}
 }
--- a/internal/fleet/register/simulation_machine_test.go
+++ b/internal/fleet/register/simulation_machine_test.go
@@ -9,19 +9,19 @@
 	"pinelb.example/pinelb/internal/fleet/replication"
 )
 
-// machine is one machine of a simulation: an acceptor with its disk, a proposer and a planner, run as package coordinator runs them.
+// machine is a simulated machine: an acceptor with its disk, a proposer and a planner, run like in package coordinator.
 type machine struct {
 	sim     *simulation
 	address string
 	zone    string
 	disk    disk
-	boot    int // counts starts: what was scheduled before the last one no longer happens
+	boot    int // incremented by each start and stop of the process; cancels events scheduled before
 	isUp    bool
 	leaving bool
 
-	frozenUntil        time.Duration // until when its process stands still
-	deferred           []func()      // what it does then
-	nextFreezeDuration time.Duration // the next step of the proposer is cut off for so long before its messages leave
+	frozenUntil        time.Duration // end of the process's freeze
+	deferred           []func()      // actions to execute after the freeze
+	nextFreezeDuration time.Duration // freeze between the proposer's next step and its messages; 0: none
 	bootedAt           time.Duration
 	clockOffset        time.Duration
 	clockRate          float64
@@ -30,14 +30,14 @@
 	proposer        *Proposer
 	planner         *Planner
 	calls           map[callKey]*callState
-	keys            map[uint64]callKey // of the calls under way, by the number that the proposer knows them by
+	keys            map[uint64]callKey // of the calls in progress, by Call.ID
 	lastID          uint64
-	deciding        uint64 // the number of the call by which the next acceptors are decided; 0: none
+	deciding        uint64 // Call.ID of the operation in progress on the next acceptors; 0: none
 	nextHello       time.Duration
 	nextMaintenance time.Duration
 }
 
-// The times of package coordinator's loops.
+// The intervals and time-outs of package coordinator's loops.
 const (
 	maintenanceInterval = 100 * time.Millisecond
 	helloInterval       = 500 * time.Millisecond
@@ -45,7 +45,7 @@
 	decideTimeout       = 800 * time.Millisecond
 )
 
-// disk is what survives a crash: encoded, as package coordinator stores it.
+// disk is the state that survives a crash, encoded as in package coordinator.
 type disk struct {
 	hardState HardState
 	records   [][]byte
@@ -75,7 +75,7 @@
 	return hardState, records
 }
 
-// callRequest asks a proposer to execute an operation, as package coordinator's does.
+// callRequest requests that a proposer execute an operation, like CallRequest of package coordinator.
 type callRequest struct {
 	ID        uint64                 `cbor:"1,keyasint"`
 	Operation coordination.Operation `cbor:"2,keyasint"`
@@ -83,12 +83,12 @@
 	Park      time.Duration          `cbor:"4,keyasint,omitempty"`
 }
 
-// callReply answers a callRequest.
+// callReply is the reply to a callRequest.
 type callReply struct {
 	ID        uint64              `cbor:"1,keyasint"`
 	Certainty Certainty           `cbor:"2,keyasint"`
 	Result    coordination.Result `cbor:"3,keyasint"`
-	Boot      int                 `cbor:"4,keyasint"` // which process answers
+	Boot      int                 `cbor:"4,keyasint"` // identifies the process that replies
 }
 
 type callKey struct {
@@ -97,11 +97,11 @@
 }
 
 type callState struct {
-	reply *callReply // nil: it is under way
+	reply *callReply // nil: the call is in progress
 	until time.Duration
 }
 
-// start starts the machine's process with what its disk holds. Its clock begins anywhere.
+// start starts the machine's process with the contents of its disk, and its clock at a random time.
 func (m *machine) start() {
 	s := m.sim
 	m.boot++
@@ -117,7 +117,7 @@
 	m.scheduleTick(s.randomDuration(0, machineTick))
 }
 
-// powerOff ends the machine's process, for some time.
+// powerOff ends the machine's process and restarts it after a time.
 func (m *machine) powerOff(span time.Duration) {
 	m.isUp = false
 	m.boot++
@@ -129,7 +129,7 @@
 	})
 }
 
-// wipe takes the machine's disk away; the process ends with it.
+// wipe erases the machine's disk and ends its process, which restarts after a time with a new identity.
 func (m *machine) wipe(span time.Duration) {
 	s := m.sim
 	s.lossBudget--
@@ -140,12 +140,12 @@
 	m.powerOff(span)
 }
 
-// clock is the machine's own: steady, and a little too fast or too slow.
+// clock returns the time of the machine's monotonic clock, which drifts by up to maxClockDrift.
 func (m *machine) clock() time.Duration {
 	return m.clockOffset + time.Duration(float64(m.sim.now-m.bootedAt)*m.clockRate)
 }
 
-// freeze has the machine's process stand still for some time.
+// freeze suspends the machine's process for a time.
 func (m *machine) freeze(span time.Duration) {
 	m.frozenUntil = max(m.frozenUntil, m.sim.now+span)
 	boot := m.boot
@@ -156,7 +156,7 @@
 	})
 }
 
-// thaw has the process go on with what waited meanwhile.
+// thaw resumes the process with the actions that were deferred.
 func (m *machine) thaw() {
 	m.frozenUntil = 0
 	deferred, boot := m.deferred, m.boot
@@ -168,7 +168,7 @@
 	}
 }
 
-// whenRunning does something in the present process, once that no longer stands still.
+// whenRunning executes an action now, or after the freeze if the process is frozen. It drops it if the process is down.
 func (m *machine) whenRunning(do func()) {
 	switch {
 	case !m.isUp:
@@ -216,7 +216,8 @@
 	}
 }
 
-// apply does what a step of the acceptor wants done: first the write, then the messages. The machine may lose power before either.
+// apply carries out a step of the acceptor: first the write, then the messages. The machine may lose power before or
+// after the write.
 func (m *machine) apply(out *Output) {
 	s := m.sim
 	step := m.changeStepOf(out)
@@ -231,20 +232,20 @@
 	self := m.acceptor.HardState().Self
 	if losesPower {
 		m.losePower(step, "after a write")
-		out.Send = slices.DeleteFunc(out.Send, func(Outgoing) bool { return s.oneIn(2) }) // some of them had left
+		out.Send = slices.DeleteFunc(out.Send, func(Outgoing) bool { return s.oneIn(2) }) // the remaining ones were sent before the power loss
 	}
 	if s.lostIdentities[self] && len(out.Send) > 0 {
-		s.fail("%s sends as %v, whose disk is lost", m.address, self)
+		s.fail("%s sends messages as %v, whose disk is lost", m.address, self)
 	}
 	for _, outgoing := range out.Send {
 		s.send(self, outgoing.To, outgoing.Message)
 	}
 }
 
-// execute carries out a step of the proposer. The process may stand still between the step and its messages.
+// execute carries out a step of the proposer. The process may freeze between the step and its messages.
 func (m *machine) execute(out *ProposerOutput) {
 	if m.nextFreezeDuration > 0 && len(out.Send)+len(out.Completed) > 0 {
-		m.sim.logEvent("%s stands still for %v between a step and its messages", m.address, m.nextFreezeDuration)
+		m.sim.logEvent("%s freezes for %v between a step and its messages", m.address, m.nextFreezeDuration)
 		m.freeze(m.nextFreezeDuration)
 		m.nextFreezeDuration = 0
 	}
@@ -261,7 +262,7 @@
 	})
 }
 
-// tick does what is due.
+// tick advances the proposer, and every maintenanceInterval also the acceptor and the planner.
 func (m *machine) tick() {
 	now := m.clock()
 	m.execute(m.proposer.Tick(now))
@@ -287,7 +288,7 @@
 	m.plan(now)
 }
 
-// onCall executes a call, once: where it comes again, it gets the first one's reply.
+// onCall executes a call once. A duplicate gets the reply of the first request, if there is one already.
 func (m *machine) onCall(from string, request *callRequest) {
 	key, now := callKey{from: from, id: request.ID}, m.clock()
 	if state := m.calls[key]; state != nil {
@@ -322,7 +323,7 @@
 	m.sim.send(replication.Replica{Address: m.address}, key.from, reply)
 }
 
-// onHello learns of acceptors, and tells a machine that knows older ones.
+// onHello records a Hello and adopts its Config if that is newer. A sender with an older Config gets a Hello in return.
 func (m *machine) onHello(from string, hello *Hello) {
 	m.planner.Observe(m.clock(), hello)
 	m.setConfig(hello.Config)
--- a/internal/fleet/register/simulation_seeds_test.go
+++ b/internal/fleet/register/simulation_seeds_test.go
@@ -9,15 +9,15 @@
 	"pinelb.example/pinelb/internal/fleet/replication"
 )
 
-// simulations is how many seeds TestSimulation plays of each setup; thousands by a command:
+// simulations is the number of seeds that TestSimulation runs for each setup. To run more of them:
 //
 //	go test ./internal/fleet/register -run 'TestSimulation$' -simulations 2000
-var simulations = flag.Int("simulations", 50, "seeds of each setup that TestSimulation plays")
+var simulations = flag.Int("simulations", 50, "number of seeds that TestSimulation runs for each setup")
 
-// firstSeed is the first of them: with -simulations 1, one seed again.
-var firstSeed = flag.Uint64("first-seed", 0, "the first seed that TestSimulation plays")
+// firstSeed is the first seed. With -simulations 1, only this seed runs, to reproduce a fault.
+var firstSeed = flag.Uint64("first-seed", 0, "first seed that TestSimulation runs")
 
-// setups are cores of three to six machines.
+// setups are the simulated cores, of three to six machines.
 var setups = map[string]setup{
 	"three, one may be lost":  {machineCount: 3, founderCount: 3, tolerance: replication.Tolerance{Machines: 1}},
 	"five, two may be lost":   {machineCount: 5, founderCount: 5, tolerance: replication.Tolerance{Machines: 2}},
@@ -25,17 +25,17 @@
 	"six, three at the start": {machineCount: 6, founderCount: 3, tolerance: replication.Tolerance{Machines: 2}},
 }
 
-// withDefaults fills in what setups leave out.
+// withDefaults sets the fields that are the same in all setups.
 func (s setup) withDefaults() setup {
 	s.zones = 3
 	s.duration = 8 * time.Second
 	return s
 }
 
-// Guards against any course of events after which something acknowledged is gone, is shown older or twice, two count on one lock, or nobody
-// serves.
+// Guards against any sequence of events after which an acknowledged operation is lost, an older state is returned, an
+// operation takes effect twice, two holders rely on the same lock, or calls are no longer decided.
 func TestSimulation(t *testing.T) {
-	var found atomic.Bool // one setup with a fault says enough
+	var found atomic.Bool // a fault in one setup stops the others
 	for name, s := range setups {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -56,16 +56,16 @@
 				interruptedChanges += sim.interruptedChanges
 				lostDisks += len(sim.lostIdentities)
 			}
-			t.Logf("%d seeds, %d steps, %d calls decided and %d unclear, %d changes of acceptors, %d cut off, %d disks lost",
+			t.Logf("%d seeds, %d steps, %d calls decided and %d unclear, %d changes of acceptors, %d interrupted, %d disks lost",
 				*simulations, steps, decided, unclear, epochs, interruptedChanges, lostDisks)
 			if decided < 150**simulations || epochs < *simulations/2 {
-				t.Errorf("only %d calls and %d changes: the simulation does not get far", decided, epochs)
+				t.Errorf("only %d decided calls and %d changes of acceptors: the simulation makes too little progress", decided, epochs)
 			}
 		})
 	}
 }
 
-// Guards against a seed that does not replay what it did: a fault that is found once has to be found again.
+// Guards against simulations that are not reproducible: running a seed again must show the same fault.
 func TestSimulationReplays(t *testing.T) {
 	s := setups["six, two may be lost"].withDefaults()
 	for seed := range uint64(6) {
@@ -73,7 +73,7 @@
 		first.run()
 		second.run()
 		if a, b := first.random.Uint64(), second.random.Uint64(); first.steps != second.steps || a != b {
-			t.Errorf("seed %d: %d steps and then %d", seed, first.steps, second.steps)
+			t.Errorf("seed %d: %d steps in the first run and %d in the second", seed, first.steps, second.steps)
 		}
 	}
 }
--- a/internal/fleet/register/simulation_test.go
+++ b/internal/fleet/register/simulation_test.go
@@ -14,8 +14,8 @@
 	"pinelb.example/pinelb/internal/fleet/replication"
 )
 
-// simulation is a core of machines on a fake clock, a network that delays, loses, doubles and partitions, disks that are lost, and clients.
-// A seed decides all that happens; what happened is kept as a script.
+// simulation is a core of machines and its clients on a simulated clock, with a network that delays, loses, duplicates
+// and partitions, and with disks that may be lost. The seed determines all events, which are logged in script.
 type simulation struct {
 	setup              setup
 	random             *rand.Rand
@@ -25,53 +25,53 @@
 	steps              int
 	machines           []*machine
 	clients            []*client
-	partitions         map[[2]string]time.Duration // from, to: until when nothing passes
-	slowUntil          time.Duration               // messages take up to maxSlowDelay until then
-	lossyUntil         time.Duration               // many messages are lost until then
+	partitions         map[[2]string]time.Duration // end of the partition, by sender and receiver
+	slowUntil          time.Duration               // messages are delayed by up to maxSlowDelay until then
+	lossyUntil         time.Duration               // a fifth of the messages is lost until then
 	nonces             uint64
-	lostIdentities     map[replication.Replica]bool // identities whose disk is gone
-	lossBudget         int                          // disks that may be lost until the acceptors have carried over
+	lostIdentities     map[replication.Replica]bool // identities whose disk was lost
+	lossBudget         int                          // disks that may be lost before the next call of updateLossBudget that resets it
 	lastLoss           time.Duration
-	proposed           []Config   // by planners
-	armedStep          changeStep // whoever does it next loses power
-	interruptedChanges int        // changes of acceptors that were cut off
-	newestEpoch        uint64     // the newest epoch that some disk holds
-	healed             bool       // all has healed: nothing is lost any more
+	proposed           []Config   // proposed by planners
+	armedStep          changeStep // the next machine that performs it loses power
+	interruptedChanges int        // changes of acceptors during which a machine lost power
+	newestEpoch        uint64     // newest epoch on any disk
+	healed             bool       // all disruptions have ended, and no message is lost any more
 	healedAt           time.Duration
-	auditing           bool              // the clients have ended
-	callsByCertainty   map[Certainty]int // calls, by how they ended
+	auditing           bool              // the clients start no more calls
+	callsByCertainty   map[Certainty]int // number of calls that ended
 	history            history
 	script             []string
 	fault              string
 }
 
-// setup is the shape of a core.
+// setup describes a core and the length of its simulation.
 type setup struct {
 	machineCount int
 	founderCount int
 	tolerance    replication.Tolerance
 	zones        int
-	duration     time.Duration // for which disruptions come
+	duration     time.Duration // of the disruptions
 }
 
 const (
 	machineTick          = 20 * time.Millisecond
-	maxDelay             = 20 * time.Millisecond // that a message takes
+	maxDelay             = 20 * time.Millisecond // of a message
 	maxSlowDelay         = 400 * time.Millisecond
-	staleProposalTimeout = candidateTimeout + decideTimeout + time.Second // in which no proposal names a disk any more that is lost
-	maxDuplicateDelay    = 1500 * time.Millisecond                        // of the second copy of a message
-	simulatedHistory     = 8 * time.Second                                // longer than any call is under way, freezes included
-	maxClockDrift        = 0.002                                          // of one machine's clock; two of them fit coordination's margin
+	staleProposalTimeout = candidateTimeout + decideTimeout + time.Second // time after a disk loss until it is in no new proposal
+	maxDuplicateDelay    = 1500 * time.Millisecond                        // of a duplicate after the original message
+	simulatedHistory     = 8 * time.Second                                // longer than any call is in progress, including freezes
+	maxClockDrift        = 0.002                                          // of one clock; two are within package coordination's margin
 )
 
 func stateOptions() coordination.Options {
 	return coordination.Options{History: simulatedHistory, MaxGroupBytes: 1 << 16}
 }
 
-// event is something that happens at a time.
+// event is an action scheduled for a time.
 type event struct {
 	at     time.Duration
-	number uint64 // events of one time happen in the order in which they were scheduled
+	number uint64 // order of scheduling, which orders events of the same time
 	do     func()
 }
 
@@ -119,13 +119,13 @@
 	return s.nonces
 }
 
-// after schedules what happens later.
+// after schedules an action after a time span.
 func (s *simulation) after(span time.Duration, do func()) {
 	s.lastEvent++
 	heap.Push(&s.events, event{at: s.now + span, number: s.lastEvent, do: do})
 }
 
-// runUntil lets the time pass.
+// runUntil executes the events up to a time, or to the first fault.
 func (s *simulation) runUntil(end time.Duration) {
 	for s.fault == "" && len(s.events) > 0 && s.events[0].at <= end {
 		e := heap.Pop(&s.events).(event)
@@ -153,7 +153,7 @@
 	return minDuration + time.Duration(s.random.Int64N(int64(maxDuration-minDuration)+1))
 }
 
-// oneIn is true once in so many times.
+// oneIn returns true with probability 1/n.
 func (s *simulation) oneIn(n int) bool { return s.random.IntN(n) == 0 }
 
 func (s *simulation) machineAt(address string) *machine {
@@ -165,7 +165,7 @@
 	return nil
 }
 
-// packet is a message as it travels: encoded, so that the two sides share no memory.
+// packet is a message in transit. It is encoded, so that sender and receiver share no memory.
 type packet struct {
 	from replication.Replica
 	to   string
@@ -245,7 +245,7 @@
 	return message
 }
 
-// send puts a message on its way. One to the own machine is not lost.
+// send schedules the delivery of a message. A message to the sender's own machine is never lost.
 func (s *simulation) send(from replication.Replica, to string, message any) {
 	p := &packet{from: from, to: to, kind: kindOf(message), body: encode(message)}
 	if from.Address == to {
@@ -260,11 +260,11 @@
 	switch {
 	case s.healed:
 	case chance >= 900 && chance < 940:
-		delay += s.randomDuration(0, maxSlowDelay) // overtaken by others
+		delay += s.randomDuration(0, maxSlowDelay) // reordered
 	case chance < 5 || s.now < s.lossyUntil && chance < 200:
 		return // lost
 	case chance > 985:
-		s.after(delay+s.randomDuration(0, maxDuplicateDelay), func() { s.deliver(p) }) // doubled, late
+		s.after(delay+s.randomDuration(0, maxDuplicateDelay), func() { s.deliver(p) }) // a late duplicate
 	}
 	s.after(delay, func() { s.deliver(p) })
 }
@@ -285,9 +285,9 @@
 	}
 }
 
-// updateLossBudget allows disks to be lost again once the newest acceptors have all carried over, none of them has accepted a further change,
-// which is to be carried over, too, and no planner still counts on the last disk that was lost: as many as the setup tolerates, and as leave a
-// majority of the acceptors that there are.
+// updateLossBudget periodically resets the number of disks that may be lost to the tolerance of the setup, or to fewer if
+// that would leave no majority of the acceptors. It does so only if the newest acceptors are all ready, none of them has
+// accepted a proposal of the next ones, and no planner can still propose the identity that was lost last.
 func (s *simulation) updateLossBudget() {
 	newest := s.newestConfig()
 	s.newestEpoch = max(s.newestEpoch, newest.Epoch)
@@ -297,7 +297,7 @@
 	s.after(100*time.Millisecond, s.updateLossBudget)
 }
 
-// newestConfig returns the newest acceptors that some disk knows of.
+// newestConfig returns the newest Config on any disk.
 func (s *simulation) newestConfig() Config {
 	var newest Config
 	for _, m := range s.machines {
@@ -308,7 +308,7 @@
 	return newest
 }
 
-// hasCarriedOver reports whether all acceptors of a set exist and take part.
+// hasCarriedOver reports whether all acceptors of a Config still have their disks and are ready.
 func (s *simulation) hasCarriedOver(c Config) bool {
 	return !slices.ContainsFunc(c.Acceptors, func(r replication.Replica) bool {
 		h := &s.machineAt(r.Address).disk.hardState
@@ -316,7 +316,8 @@
 	})
 }
 
-// mayLoseDisk reports whether a machine's disk may be lost: each set that is in use, is collected from or may yet be decided keeps a majority.
+// mayLoseDisk reports whether a machine's disk may be lost: lossBudget permits it, and each set of acceptors that is in
+// use, is being collected from or may still be decided keeps a majority.
 func (s *simulation) mayLoseDisk(m *machine) bool {
 	newest := s.newestConfig()
 	sets := [][]replication.Replica{newest.Acceptors}
@@ -342,7 +343,7 @@
 	return s.lossBudget > 0
 }
 
-// hasAcceptedNext reports whether some acceptor has accepted a proposal of the next ones.
+// hasAcceptedNext reports whether any live acceptor identity has accepted a proposal for the next Config.
 func (s *simulation) hasAcceptedNext(c Config) bool {
 	return slices.ContainsFunc(s.machines, func(m *machine) bool {
 		r := m.acceptor.registers[nextConfigName(c.Epoch)]
