--- a/internal/fleet/register/call.go
+++ b/internal/fleet/register/call.go
@@ -10,7 +10,7 @@
 type Call struct {
 	ID        uint64 // assigned by the caller, returned in the Completion
 	Operation coordination.Operation
-	Deadline  time.Duration // time after which the proposer abandons the call
+	Deadline  time.Duration // time after which it completes as Unclear or NotExecuted
 	ParkUntil time.Duration // Watch: time at which it completes even without events
 
 	proposed bool // a message was sent that may make the operation take effect
--- a/internal/fleet/register/planner.go
+++ b/internal/fleet/register/planner.go
@@ -52,8 +52,8 @@
 	if address == "" {
 		return
 	}
-	present, known := p.observations[address]
-	if known && present.hello.Self != hello.Self && now-present.at < candidateTimeout && !p.isConfirmed(now, hello) {
+	previous, known := p.observations[address]
+	if known && previous.hello.Self != hello.Self && now-previous.at < candidateTimeout && !p.isConfirmed(now, hello) {
 		return
 	}
 	delete(p.unconfirmed, address)
--- a/internal/fleet/register/proposer.go
+++ b/internal/fleet/register/proposer.go
@@ -202,7 +202,7 @@
 	}
 }
 
-// expire abandons the calls whose deadline has passed, and completes watches without events at their ParkUntil.
+// expire completes the calls whose deadline has passed, and the watches without events whose ParkUntil has passed.
 func (p *Proposer) expire(now time.Duration, r *proposedRegister) {
 	r.queue = slices.DeleteFunc(r.queue, func(c *Call) bool { return p.expireCall(now, c) })
 	r.waiters = slices.DeleteFunc(r.waiters, func(w execution) bool {
--- a/internal/fleet/register/simulation_client_test.go
+++ b/internal/fleet/register/simulation_client_test.go
@@ -35,7 +35,7 @@
 	proposers []*machine // in the order in which they are tried
 	sent      int
 	isRepeat  bool
-	timeout   time.Duration // after which the proposer abandons the call
+	timeout   time.Duration // from its arrival at a proposer to its Call.Deadline
 	firstBoot int           // boot of the first proposer when the call was first sent
 	done      func(*call)
 }
--- a/internal/fleet/register/simulation_group_check_test.go
+++ b/internal/fleet/register/simulation_group_check_test.go
@@ -75,10 +75,10 @@
 // observePut checks that a revision belongs to a single put, and a put to a single revision.
 func (c *groupCheck) observePut(key, value string, revision uint64) {
 	put := observedPut{key, value}
-	if other, shown := c.putByRevision[revision]; shown && other != put {
+	if other, exists := c.putByRevision[revision]; exists && other != put {
 		c.sim.fail("revision %d is returned for %v and for %v", revision, other, put)
 	}
-	if other, shown := c.revisionByPut[put]; shown && other != revision {
+	if other, exists := c.revisionByPut[put]; exists && other != revision {
 		c.sim.fail("%v is returned with the revisions %d and %d", put, other, revision)
 	}
 	c.putByRevision[revision], c.revisionByPut[put] = put, revision
@@ -130,7 +130,7 @@
 	if o.Kind != coordination.Put || k.certainty != NotExecuted && (k.certainty != Decided || k.result.Outcome != coordination.Mismatch) {
 		return
 	}
-	if revision, shown := c.revisionByPut[observedPut{o.Key, o.Value}]; shown {
+	if revision, exists := c.revisionByPut[observedPut{o.Key, o.Value}]; exists {
 		c.sim.fail("%s of %v was rejected, but is returned with revision %d", o.Value, o.Name, revision)
 	}
 }
@@ -144,9 +144,9 @@
 	if o.IfRevision == nil || *o.IfRevision == revision {
 		c.sim.fail("a put of %s was rejected for revision %d, which it expected", o.Key, revision)
 	}
-	if put, shown := c.putByRevision[revision]; shown && put.key != o.Key {
+	if put, exists := c.putByRevision[revision]; exists && put.key != o.Key {
 		c.sim.fail("a mismatch returns revision %d, which belongs to %v and not to %s", revision, put, o.Key)
-	} else if !shown && revision != 0 && !c.hasUnclearPut(o.Key, k.endedAt) {
+	} else if !exists && revision != 0 && !c.hasUnclearPut(o.Key, k.endedAt) {
 		c.sim.fail("a mismatch returns revision %d of %s, which no put can have", revision, o.Key)
 	}
 }
--- a/internal/fleet/register/simulation_test.go
+++ b/internal/fleet/register/simulation_test.go
@@ -216,7 +216,7 @@
 	case *callReply:
 		return kindCallReply
 	}
-	panic(fmt.Sprintf("no kind of message: %T", message))
+	panic(fmt.Sprintf("unknown message type: %T", message))
 }
 
 func newMessage(kind messageKind) any {
@@ -236,7 +236,7 @@
 	case kindCallReply:
 		return &callReply{}
 	}
-	panic(fmt.Sprintf("no message of kind %d", kind))
+	panic(fmt.Sprintf("unknown message kind: %d", kind))
 }
 
 func (p *packet) message() any {
