--- a/internal/fleet/register/messages.go
+++ b/internal/fleet/register/messages.go
@@ -18,7 +18,7 @@
 type Prepare struct {
 	Name   coordination.Name `cbor:"1,keyasint"`
 	Ballot Ballot            `cbor:"2,keyasint"`
-	Known  Version           `cbor:"3,keyasint,omitzero"` // version that the proposer has; only a lock is sent again
+	Known  Version           `cbor:"3,keyasint,omitzero"` // version that the proposer has: its value is omitted, except for locks
 }
 
 // Accept requests that an acceptor store a version. Without a Change it requests the confirmation of a version that the
--- a/internal/fleet/register/planner.go
+++ b/internal/fleet/register/planner.go
@@ -229,7 +229,8 @@
 	return coordination.Operation{Kind: coordination.Decide, Name: nextConfigName(epoch)}
 }
 
-// DecodeConfig decodes the value of a result of DecideNext or QueryNext. It returns an error for any other value.
+// DecodeConfig decodes the value of a result of DecideNext or QueryNext. It returns an error if that is not an encoded
+// Config, such as the empty value of QueryNext.
 func DecodeConfig(value string) (Config, error) {
 	var c Config
 	err := json.Unmarshal([]byte(value), &c)
