--- a/internal/fleet/control/body.go
+++ b/internal/fleet/control/body.go
@@ -6,14 +6,14 @@
 	"net/http"
 )
 
-// readBody returns a call's body. A longer one than maxBytes is errTooLong.
+// readBody returns a call's body. A longer one than maxBytes is errBodyTooLarge.
 func readBody(r *http.Request, maxBytes int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBytes+1))
 	if err != nil {
 		return nil, err
 	}
 	if int64(len(body)) > maxBytes {
-		return nil, errTooLong
+		return nil, errBodyTooLarge
 	}
 	return body, nil
 }
--- a/internal/fleet/control/cluster_test.go
+++ b/internal/fleet/control/cluster_test.go
@@ -33,13 +33,13 @@
 	tolerance int
 	startedAt time.Time
 
-	mu         sync.Mutex
-	random     *rand.Rand
-	machines   map[string]*machine
-	order      []string
-	partitions map[[2]string]bool
-	events     []string
-	faults     []string
+	mu              sync.Mutex
+	random          *rand.Rand
+	machines        map[string]*machine
+	memberAddresses []string
+	partitions      map[[2]string]bool
+	events          []string
+	faults          []string
 }
 
 // machine is one control plane. Its process may be killed and started again, with its disk or without.
@@ -62,15 +62,15 @@
 		root: root, tolerance: tolerance, startedAt: time.Now(), random: rand.New(rand.NewPCG(seed, 3)),
 		machines: map[string]*machine{}, partitions: map[[2]string]bool{},
 	}
-	var founders []string
+	var bootstrapAddresses []string
 	for i := range machines {
-		founders = append(founders, addressOf(i))
+		bootstrapAddresses = append(bootstrapAddresses, addressOf(i))
 	}
-	for _, address := range founders {
+	for _, address := range bootstrapAddresses {
 		c.addMachine(address)
 	}
-	for _, address := range founders {
-		c.machines[address].start(founders)
+	for _, address := range bootstrapAddresses {
+		c.machines[address].start(bootstrapAddresses)
 	}
 	return c
 }
@@ -79,11 +79,11 @@
 
 // addMachine adds a machine with an empty disk that is off.
 func (c *cluster) addMachine(address string) *machine {
-	m := &machine{cluster: c, address: address, disk: filepath.Join(c.root, strconv.Itoa(len(c.order)))}
+	m := &machine{cluster: c, address: address, disk: filepath.Join(c.root, strconv.Itoa(len(c.memberAddresses)))}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.machines[address] = m
-	c.order = append(c.order, address)
+	c.memberAddresses = append(c.memberAddresses, address)
 	return m
 }
 
@@ -93,23 +93,23 @@
 	c.events = append(c.events, fmt.Sprintf("%8.3f  ", time.Since(c.startedAt).Seconds())+fmt.Sprintf(format, values...))
 }
 
-func (c *cluster) fail(format string, values ...any) {
+func (c *cluster) recordFault(format string, values ...any) {
 	c.logEvent("FAULT: "+format, values...)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.faults = append(c.faults, fmt.Sprintf(format, values...))
 }
 
-func (c *cluster) randomDuration(shortest, longest time.Duration) time.Duration {
+func (c *cluster) randomDuration(minDuration, maxDuration time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return shortest + time.Duration(c.random.Int64N(int64(longest-shortest)+1))
+	return minDuration + time.Duration(c.random.Int64N(int64(maxDuration-minDuration)+1))
 }
 
-func (c *cluster) randomInt(below int) int {
+func (c *cluster) randomInt(limit int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.random.IntN(below)
+	return c.random.IntN(limit)
 }
 
 // running returns the machine at an address; nil: none runs there.
@@ -135,30 +135,30 @@
 }
 
 // setPartitioned cuts machines off from all others, or heals that partition.
-func (c *cluster) setPartitioned(addresses []string, isCut bool) {
+func (c *cluster) setPartitioned(addresses []string, partitioned bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, a := range addresses {
-		for _, b := range c.order {
-			c.partitions[[2]string{a, b}], c.partitions[[2]string{b, a}] = isCut, isCut
+		for _, b := range c.memberAddresses {
+			c.partitions[[2]string{a, b}], c.partitions[[2]string{b, a}] = partitioned, partitioned
 		}
 	}
 }
 
 // deliver lets a message arrive after a time, unless it is lost or a partition stops it.
-func (c *cluster) deliver(from, to string, arrive func(*machine)) {
+func (c *cluster) deliver(from, to string, handle func(*machine)) {
 	if c.randomInt(100) == 0 {
 		return
 	}
 	time.AfterFunc(c.randomDuration(time.Millisecond, 8*time.Millisecond), func() {
 		if m := c.running(to); m != nil && !c.isPartitioned(from, to) {
-			arrive(m)
+			handle(m)
 		}
 	})
 }
 
 // start starts the machine's process with what is on its disk.
-func (m *machine) start(founders []string) {
+func (m *machine) start(bootstrapAddresses []string) {
 	started := time.Now()
 	clock := func() time.Duration { return time.Since(started) }
 	stop := make(chan struct{})
@@ -171,13 +171,13 @@
 	m.clock, m.stop, m.node = clock, stop, node
 	m.mu.Unlock()
 	r, err := replica.Start(replica.Options{
-		Address: m.address, Directory: m.disk, BootstrapWitnesses: founders, Votes: true, Log: zap.NewNop(),
+		Address: m.address, Directory: m.disk, BootstrapWitnesses: bootstrapAddresses, Votes: true, Log: zap.NewNop(),
 		Tolerance: replication.Tolerance{Machines: m.cluster.tolerance}, Timing: replication.DefaultTiming(),
 		LocalityOf: func(a string) replication.Locality {
 			return replication.Locality{Zone: a, Known: true, CountsForQuorum: true}
 		},
 		Peers: m.cluster.peers, Clock: clock, Send: m.sendReplication,
-		OnCommit: m.committed,
+		OnCommit: m.handleCommit,
 		OnViewChange: func(view replication.View) {
 			m.step(func(now time.Duration) *dissemination.Output {
 				if view.Primary.Address != m.address {
@@ -189,7 +189,7 @@
 		},
 	})
 	if err != nil {
-		m.cluster.fail("%s does not start: %v", m.address, err)
+		m.cluster.recordFault("%s does not start: %v", m.address, err)
 		return
 	}
 	m.mu.Lock()
@@ -202,7 +202,7 @@
 func (c *cluster) peers() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]string(nil), c.order...)
+	return append([]string(nil), c.memberAddresses...)
 }
 
 // kill ends the process at once.
@@ -222,7 +222,7 @@
 // wipe deletes the disk of a machine that is off.
 func (m *machine) wipe() {
 	if err := os.RemoveAll(m.disk); err != nil {
-		m.cluster.fail("%v", err)
+		m.cluster.recordFault("%v", err)
 	}
 }
 
@@ -262,7 +262,7 @@
 		}()
 	}
 	if out.BuildError != nil {
-		m.cluster.fail("%s can't use what it received: %v", m.address, out.BuildError)
+		m.cluster.recordFault("%s can't use what it received: %v", m.address, out.BuildError)
 	}
 	if out.Fetch != nil {
 		m.fetch(out.Fetch)
@@ -272,7 +272,7 @@
 // fetch makes a call to another machine, which ends once: by its reply, or by its time-out.
 func (m *machine) fetch(fetch *dissemination.Fetch) {
 	m.mu.Lock()
-	node, asked := m.node, m.clock()
+	node, requestedAt := m.node, m.clock()
 	m.mu.Unlock()
 	var once sync.Once
 	end := func(handle func(now time.Duration) *dissemination.Output) {
@@ -300,7 +300,7 @@
 		m.cluster.deliver(fetch.From, m.address, func(*machine) {
 			timer.Stop()
 			end(func(now time.Duration) *dissemination.Output {
-				return node.HandleFetchReply(now, asked, fetch.From, reply)
+				return node.HandleFetchReply(now, requestedAt, fetch.From, reply)
 			})
 		})
 	})
@@ -309,20 +309,20 @@
 func (m *machine) sendReplication(to string, nonce uint64, message replication.Envelope) {
 	from := replication.Replica{Address: m.address, Nonce: nonce}
 	m.cluster.deliver(m.address, to, func(at *machine) {
-		if err := at.current().Deliver(from, message); err != nil {
-			m.cluster.fail("%s can't read a message: %v", to, err)
+		if err := at.currentReplica().Deliver(from, message); err != nil {
+			m.cluster.recordFault("%s can't read a message: %v", to, err)
 		}
 	})
 }
 
 // current returns the replica of the present process.
-func (m *machine) current() *replica.Replica {
+func (m *machine) currentReplica() *replica.Replica {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.replica
 }
 
-func (m *machine) committed(c replica.Commit) {
+func (m *machine) handleCommit(c replica.Commit) {
 	var encoded []byte
 	if c.Change != nil {
 		encoded, _ = c.Change.Encode()
@@ -351,24 +351,24 @@
 func (d *clusterDelegate) EndpointService(string) string                                 { return "" }
 
 // answer is what an operator got for a call; status 0: a time-out.
-type answer struct {
+type response struct {
 	status   int
 	location string
 	body     string
 }
 
 // call sends a call to one machine. Its answer may be lost.
-func (c *cluster) call(address, method, path, body, base string, lost bool) answer {
+func (c *cluster) call(address, method, path, body, base string, loseResponse bool) response {
 	m := c.running(address)
 	time.Sleep(c.randomDuration(3*time.Millisecond, 9*time.Millisecond))
 	if m == nil {
 		time.Sleep(time.Second)
-		return answer{}
+		return response{}
 	}
 	m.mu.Lock()
 	server := m.server
 	m.mu.Unlock()
-	got := make(chan answer, 1)
+	responses := make(chan response, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() {
@@ -378,42 +378,42 @@
 		}
 		recorder := httptest.NewRecorder()
 		server.ServeHTTP(recorder, request)
-		got <- answer{recorder.Code, recorder.Header().Get("Location"), recorder.Body.String()}
+		responses <- response{recorder.Code, recorder.Header().Get("Location"), recorder.Body.String()}
 	}()
 	select {
-	case a := <-got:
-		if lost || c.running(address) != m {
+	case a := <-responses:
+		if loseResponse || c.running(address) != m {
 			time.Sleep(time.Second)
-			return answer{}
+			return response{}
 		}
 		return a
 	case <-time.After(time.Second):
-		return answer{}
+		return response{}
 	}
 }
 
 // callFollowingRedirects calls a machine and follows up to two redirects.
-func (c *cluster) callFollowingRedirects(address, method, path, body, base string, lost bool) answer {
+func (c *cluster) callFollowingRedirects(address, method, path, body, base string, loseResponse bool) response {
 	for range 3 {
-		a := c.call(address, method, path, body, base, lost)
+		a := c.call(address, method, path, body, base, loseResponse)
 		if a.status != http.StatusTemporaryRedirect {
 			return a
 		}
 		target, err := url.Parse(a.location)
 		if err != nil {
-			c.fail("%s redirects to %s: %v", address, a.location, err)
-			return answer{}
+			c.recordFault("%s redirects to %s: %v", address, a.location, err)
+			return response{}
 		}
 		address, path = target.Host, target.RequestURI()
 	}
-	return answer{}
+	return response{}
 }
 
 // anyAddress returns the address of a random machine of the operators' list.
 func (c *cluster) anyAddress() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.order[c.random.IntN(len(c.order))]
+	return c.memberAddresses[c.random.IntN(len(c.memberAddresses))]
 }
 
 // versionOf returns the version of a configuration; -1: it is no JSON.
--- a/internal/fleet/control/configuration.go
+++ b/internal/fleet/control/configuration.go
@@ -44,7 +44,7 @@
 	}
 	body, err := readBody(r, maxChangeBytes)
 	switch {
-	case errors.Is(err, errTooLong):
+	case errors.Is(err, errBodyTooLarge):
 		return nil, &requestError{status: http.StatusRequestEntityTooLarge, reason: "the configuration is too large"}
 	case err != nil:
 		return nil, &requestError{status: http.StatusBadRequest, reason: "the body did not come whole"}
--- a/internal/fleet/control/coordination.go
+++ b/internal/fleet/control/coordination.go
@@ -28,7 +28,7 @@
 type Coordinator interface {
 	// Execute executes an operation. park is how long a watch waits for events. Errors: a RefusedError where it was not executed and never will
 	// be; any other one says that the outcome is not known.
-	Execute(ctx context.Context, operation *coordination.Operation, park time.Duration) (coordination.Result, error)
+	Execute(ctx context.Context, operation *coordination.Operation, maxWait time.Duration) (coordination.Result, error)
 	// Draining reports whether this machine shuts down, so that watches are to be answered.
 	Draining() bool
 }
@@ -74,30 +74,30 @@
 	IfRevision *uint64 `json:"ifRevision"`
 }
 
-// fenceAnswer, numberAnswer, revisionAnswer, cellAnswer and watchAnswer are the bodies of answers.
-type fenceAnswer struct {
+// fenceResponse, numberResponse, revisionResponse, cellResponse and watchResponse are the bodies of answers.
+type fenceResponse struct {
 	Fence uint64 `json:"fence"`
 }
 
-type numberAnswer struct {
+type numberResponse struct {
 	Value uint64 `json:"value"`
 }
 
-type revisionAnswer struct {
+type revisionResponse struct {
 	Revision uint64 `json:"revision"`
 }
 
-type cellAnswer struct {
+type cellResponse struct {
 	Value    string `json:"value"`
 	Revision uint64 `json:"revision"`
 }
 
-type watchAnswer struct {
-	Events   []eventAnswer `json:"events"`
-	Revision uint64        `json:"revision"`
+type watchResponse struct {
+	Events   []eventResponse `json:"events"`
+	Revision uint64          `json:"revision"`
 }
 
-type eventAnswer struct {
+type eventResponse struct {
 	Name     string `json:"name"`
 	Value    string `json:"value"`
 	Revision uint64 `json:"revision"`
@@ -116,7 +116,7 @@
 		writeJSON(w, http.StatusConflict, struct{}{})
 		return nil
 	}
-	writeJSON(w, http.StatusOK, fenceAnswer{Fence: result.Fence})
+	writeJSON(w, http.StatusOK, fenceResponse{Fence: result.Fence})
 	return nil
 }
 
@@ -159,7 +159,7 @@
 	if err != nil {
 		return coordinationError(op, err)
 	}
-	writeJSON(w, http.StatusOK, numberAnswer{Value: result.Count})
+	writeJSON(w, http.StatusOK, numberResponse{Value: result.Count})
 	return nil
 }
 
@@ -169,11 +169,11 @@
 		return err
 	}
 	var call putCall
-	if err := readCall(r, &call); err != nil {
+	if err := decodeBody(r, &call); err != nil {
 		return err
 	}
 	if call.Value == nil || len(*call.Value) > maxValueBytes {
-		return badField("value", "is missing, or longer than "+strconv.Itoa(maxValueBytes)+" bytes")
+		return invalidField("value", "is missing, or longer than "+strconv.Itoa(maxValueBytes)+" bytes")
 	}
 	op := groupOperation(coordination.Put, key)
 	op.Value, op.IfRevision = *call.Value, call.IfRevision
@@ -183,11 +183,11 @@
 	}
 	switch result.Outcome {
 	case coordination.Mismatch:
-		writeJSON(w, http.StatusPreconditionFailed, revisionAnswer{Revision: result.Revision})
+		writeJSON(w, http.StatusPreconditionFailed, revisionResponse{Revision: result.Revision})
 	case coordination.Full:
 		return &outcomeUnknownError{errGroupFull}
 	default:
-		writeJSON(w, http.StatusOK, revisionAnswer{Revision: result.Revision})
+		writeJSON(w, http.StatusOK, revisionResponse{Revision: result.Revision})
 	}
 	return nil
 }
@@ -205,7 +205,7 @@
 	if result.Outcome == coordination.Missing {
 		return &requestError{status: http.StatusNotFound, reason: "there is no such key"}
 	}
-	writeJSON(w, http.StatusOK, cellAnswer{Value: result.Value, Revision: result.Revision})
+	writeJSON(w, http.StatusOK, cellResponse{Value: result.Value, Revision: result.Revision})
 	return nil
 }
 
@@ -222,16 +222,16 @@
 		return nil, err
 	}
 	var call lockCall
-	if err := readCall(r, &call); err != nil {
+	if err := decodeBody(r, &call); err != nil {
 		return nil, err
 	}
 	if call.Holder == "" || len(call.Holder) > maxNameBytes {
-		return nil, badField("holder", "is missing, or longer than "+strconv.Itoa(maxNameBytes)+" bytes")
+		return nil, invalidField("holder", "is missing, or longer than "+strconv.Itoa(maxNameBytes)+" bytes")
 	}
 	op := &coordination.Operation{Kind: kind, Name: coordination.Name{Kind: coordination.KindLock, ID: id}, Holder: call.Holder}
 	if kind != coordination.Acquire {
 		if call.Fence == nil {
-			return nil, badField("fence", "is missing")
+			return nil, invalidField("fence", "is missing")
 		}
 		op.Fence = *call.Fence
 	}
@@ -239,7 +239,7 @@
 		return op, nil
 	}
 	if call.HoldMs == nil || *call.HoldMs <= 0 || *call.HoldMs > maxHold.Milliseconds() {
-		return nil, badField("holdMs", fmt.Sprintf("is missing, or not between 1 and %d", maxHold.Milliseconds()))
+		return nil, invalidField("holdMs", fmt.Sprintf("is missing, or not between 1 and %d", maxHold.Milliseconds()))
 	}
 	op.Hold = time.Duration(*call.HoldMs) * time.Millisecond
 	return op, nil
@@ -249,12 +249,12 @@
 func readName(r *http.Request) (string, error) {
 	id := mux.Vars(r)["id"]
 	if id == "" || len(id) > maxNameBytes || !utf8.ValidString(id) { // CBOR decodes no other text
-		return "", badField("name", "is empty, longer than "+strconv.Itoa(maxNameBytes)+" bytes, or not UTF-8")
+		return "", invalidField("name", "is empty, longer than "+strconv.Itoa(maxNameBytes)+" bytes, or not UTF-8")
 	}
 	return id, nil
 }
 
-func readCall(r *http.Request, call any) error {
+func decodeBody(r *http.Request, call any) error {
 	body, err := readBody(r, maxCoordinationBytes)
 	if err != nil {
 		return &requestError{status: http.StatusBadRequest, reason: "the body can't be read", err: err}
@@ -265,7 +265,7 @@
 	return nil
 }
 
-func badField(field, reason string) error {
+func invalidField(field, reason string) error {
 	return &requestError{status: http.StatusBadRequest, reason: field + " " + reason}
 }
 
--- a/internal/fleet/control/coordination_test.go
+++ b/internal/fleet/control/coordination_test.go
@@ -15,46 +15,46 @@
 	"pinelb.example/pinelb/internal/fleet/coordination"
 )
 
-// coordinatorAnswer is what a fakeCoordinator answers an operation with.
-type coordinatorAnswer struct {
+// coordinatorResponse is what a fakeCoordinator answers an operation with.
+type coordinatorResponse struct {
 	result coordination.Result
 	err    error
 }
 
 // fakeCoordinator records operations and answers them with a script. Its last answer is repeated.
 type fakeCoordinator struct {
-	answers    []coordinatorAnswer
+	responses  []coordinatorResponse
 	drainAfter int // operations; 0: it does not shut down
 	operations []coordination.Operation
-	parks      []time.Duration
+	maxWaits   []time.Duration
 }
 
 func (c *fakeCoordinator) Execute(
-	ctx context.Context, operation *coordination.Operation, park time.Duration,
+	ctx context.Context, operation *coordination.Operation, maxWait time.Duration,
 ) (coordination.Result, error) {
 	c.operations = append(c.operations, *operation)
-	c.parks = append(c.parks, park)
-	answer := c.answers[min(len(c.operations), len(c.answers))-1]
-	if answer.result.Outcome == coordination.Pending {
-		pause(ctx, park)
+	c.maxWaits = append(c.maxWaits, maxWait)
+	response := c.responses[min(len(c.operations), len(c.responses))-1]
+	if response.result.Outcome == coordination.Pending {
+		pause(ctx, maxWait)
 	}
-	return answer.result, answer.err
+	return response.result, response.err
 }
 
 func (c *fakeCoordinator) Draining() bool {
 	return c.drainAfter > 0 && len(c.operations) >= c.drainAfter
 }
 
-func answering(results ...coordination.Result) *fakeCoordinator {
+func newFakeCoordinator(results ...coordination.Result) *fakeCoordinator {
 	c := &fakeCoordinator{}
 	for _, result := range results {
-		c.answers = append(c.answers, coordinatorAnswer{result: result})
+		c.responses = append(c.responses, coordinatorResponse{result: result})
 	}
 	return c
 }
 
-func failing(err error) *fakeCoordinator {
-	return &fakeCoordinator{answers: []coordinatorAnswer{{err: err}}}
+func newFailingCoordinator(err error) *fakeCoordinator {
+	return &fakeCoordinator{responses: []coordinatorResponse{{err: err}}}
 }
 
 func (c *fakeCoordinator) call(method, path, body string) *httptest.ResponseRecorder {
@@ -119,22 +119,22 @@
 			{"watch", coordination.Result{Outcome: coordination.Compacted}, http.StatusGone,
 				`{"error":"the puts after sinceRevision are no longer kept"}`},
 		} {
-			coordinator := answering(c.result)
+			coordinator := newFakeCoordinator(c.result)
 			call := calls[c.call]
-			answer := coordinator.call(call.method, call.path, call.body)
-			So(answer.Code, ShouldEqual, c.status)
-			So(strings.TrimSpace(answer.Body.String()), ShouldEqual, c.body)
-			So(answer.Header().Get("Content-Type"), ShouldEqual, "application/json")
+			response := coordinator.call(call.method, call.path, call.body)
+			So(response.Code, ShouldEqual, c.status)
+			So(strings.TrimSpace(response.Body.String()), ShouldEqual, c.body)
+			So(response.Header().Get("Content-Type"), ShouldEqual, "application/json")
 			So(coordinator.operations, ShouldResemble, []coordination.Operation{call.operation})
 		}
 	})
 	Convey("A put may leave the revision out, and may have an empty value", t, func() {
-		coordinator := answering(coordination.Result{Outcome: coordination.Done, Revision: 1})
+		coordinator := newFakeCoordinator(coordination.Result{Outcome: coordination.Done, Revision: 1})
 		So(coordinator.call("POST", "/cells/g.a/replace", `{"value":""}`).Code, ShouldEqual, http.StatusOK)
 		So(coordinator.operations[0].IfRevision, ShouldBeNil)
 	})
 	Convey("A put at revision 0 names it", t, func() {
-		coordinator := answering(coordination.Result{Outcome: coordination.Done, Revision: 1})
+		coordinator := newFakeCoordinator(coordination.Result{Outcome: coordination.Done, Revision: 1})
 		So(coordinator.call("POST", "/cells/g.a/replace", `{"value":"v","ifRevision":0}`).Code, ShouldEqual, http.StatusOK)
 		So(*coordinator.operations[0].IfRevision, ShouldEqual, 0)
 	})
@@ -158,9 +158,9 @@
 				if name == "put" {
 					status = http.StatusGatewayTimeout
 				}
-				answer := failing(c.err).call(call.method, call.path, call.body)
-				So(fmt.Sprint(name, " ", answer.Code), ShouldEqual, fmt.Sprint(name, " ", status))
-				So(answer.Header().Get("Retry-After") != "", ShouldEqual, status != http.StatusGatewayTimeout)
+				response := newFailingCoordinator(c.err).call(call.method, call.path, call.body)
+				So(fmt.Sprint(name, " ", response.Code), ShouldEqual, fmt.Sprint(name, " ", status))
+				So(response.Header().Get("Retry-After") != "", ShouldEqual, status != http.StatusGatewayTimeout)
 			}
 		}
 	})
@@ -170,8 +170,8 @@
 func TestPutIntoFullGroup(t *testing.T) {
 	Convey("A put into a full group is not refused, and does not succeed", t, func() {
 		call := testCalls()["put"]
-		answer := answering(coordination.Result{Outcome: coordination.Full}).call(call.method, call.path, call.body)
-		So(answer.Code, ShouldEqual, http.StatusGatewayTimeout)
+		response := newFakeCoordinator(coordination.Result{Outcome: coordination.Full}).call(call.method, call.path, call.body)
+		So(response.Code, ShouldEqual, http.StatusGatewayTimeout)
 	})
 }
 
@@ -182,14 +182,14 @@
 		}
 	})
 	Convey("Calls of operators are answered as before where they are", t, func() {
-		So(answering().call("GET", "/config/read", "").Code, ShouldEqual, http.StatusOK)
+		So(newFakeCoordinator().call("GET", "/config/read", "").Code, ShouldEqual, http.StatusOK)
 	})
 }
 
 func TestInvalidCoordinationCalls(t *testing.T) {
 	longName, longValue := strings.Repeat("x", maxNameBytes+1), strings.Repeat("x", maxValueBytes+1)
 	Convey("An invalid call is rejected, with the field at fault, and not executed", t, func() {
-		for _, c := range []struct{ method, path, body, named string }{
+		for _, c := range []struct{ method, path, body, field string }{
 			{"POST", "/locks/l/begin", `{"holdMs":1}`, "holder"},
 			{"POST", "/locks/l/begin", `{"holder":"","holdMs":1}`, "holder"},
 			{"POST", "/locks/l/begin", `{"holder":3,"holdMs":1}`, "holder"},
@@ -234,15 +234,15 @@
 			{"GET", "/watch/g.?sinceRevision=1&waitMs=-1", "", "waitMs"},
 			{"GET", "/watch/g.?sinceRevision=1&waitMs=9223372036854775808", "", "waitMs"},
 		} {
-			coordinator := answering(coordination.Result{Outcome: coordination.Done})
-			answer := coordinator.call(c.method, c.path, c.body)
-			So(fmt.Sprint(c.path, c.body, answer.Code), ShouldEqual, fmt.Sprint(c.path, c.body, http.StatusBadRequest))
-			So(answer.Body.String(), ShouldContainSubstring, c.named)
+			coordinator := newFakeCoordinator(coordination.Result{Outcome: coordination.Done})
+			response := coordinator.call(c.method, c.path, c.body)
+			So(fmt.Sprint(c.path, c.body, response.Code), ShouldEqual, fmt.Sprint(c.path, c.body, http.StatusBadRequest))
+			So(response.Body.String(), ShouldContainSubstring, c.field)
 			So(coordinator.operations, ShouldBeEmpty)
 		}
 	})
 	Convey("The largest valid fields are taken", t, func() {
-		coordinator := answering(coordination.Result{Outcome: coordination.Done})
+		coordinator := newFakeCoordinator(coordination.Result{Outcome: coordination.Done})
 		holder := fmt.Sprintf(`{"holder":%q,"holdMs":3600000}`, longName[1:])
 		So(coordinator.call("POST", "/locks/"+longName[1:]+"/begin", holder).Code, ShouldEqual, http.StatusOK)
 		So(coordinator.call("POST", "/cells/g.a/replace", fmt.Sprintf(`{"value":%q}`, longValue[1:])).Code, ShouldEqual, http.StatusOK)
--- a/internal/fleet/control/errors.go
+++ b/internal/fleet/control/errors.go
@@ -32,8 +32,8 @@
 
 func (e *unacknowledgedError) Unwrap() error { return e.err }
 
-// errTooLong reports a body beyond the limit of its call.
-var errTooLong = errors.New("it is too long")
+// errBodyTooLarge reports a body beyond the limit of its call.
+var errBodyTooLarge = errors.New("it is too long")
 
 // writeError answers a call that its handler could not serve. Any error that this package does not type says that the call may
 // be served by the primary.
--- a/internal/fleet/control/scenarios_test.go
+++ b/internal/fleet/control/scenarios_test.go
@@ -26,17 +26,17 @@
 type operators struct {
 	cluster *cluster
 
-	mu                sync.Mutex
-	newest            int64            // version that was acknowledged
-	winners           map[int64]string // by base version, the change that was acknowledged
-	acknowledgedCount int
-	readCount         int
-	lastVersion       int64
-	unclear           int // changes of which no answer says what became
+	mu                  sync.Mutex
+	newestAcknowledged  int64            // version that was acknowledged
+	acknowledgedChanges map[int64]string // by base version, the change that was acknowledged
+	acknowledgedCount   int
+	readCount           int
+	lastVersion         int64
+	unknownOutcomeCount int // changes of which no answer says what became
 }
 
 // change sends a change, again after answers that decide nothing, until one tells whether it was applied.
-func (o *operators) change(base int64, alone bool, lostPercent int) (version int64, applied bool) {
+func (o *operators) change(base int64, onlyChange bool, lostResponsePercent int) (version int64, applied bool) {
 	o.mu.Lock()
 	o.lastVersion += 1 + int64(o.cluster.randomInt(3))
 	version = o.lastVersion
@@ -44,21 +44,21 @@
 	name := fmt.Sprintf("s%d", version)
 	body := fmt.Sprintf(`{"version":%d,"upsert":{"services":[{"name":"%s"}]}}`, version, name)
 	for deadline := time.Now().Add(25 * time.Second); time.Now().Before(deadline); {
-		a := o.cluster.callFollowingRedirects(o.cluster.anyAddress(), http.MethodPost, "/config/modify", body, strconv.FormatInt(base, 10), o.cluster.randomInt(100) < lostPercent)
+		a := o.cluster.callFollowingRedirects(o.cluster.anyAddress(), http.MethodPost, "/config/modify", body, strconv.FormatInt(base, 10), o.cluster.randomInt(100) < lostResponsePercent)
 		switch {
 		case a.status == http.StatusOK:
 			o.recordAcknowledged(base, version, name)
 			return version, true
 		case a.status >= 400 && a.status < 500:
-			if alone {
-				o.cluster.fail("change %d on %d, the only one, is rejected: %d %s", version, base, a.status, a.body)
+			if onlyChange {
+				o.cluster.recordFault("change %d on %d, the only one, is rejected: %d %s", version, base, a.status, a.body)
 			}
 			return version, false
 		}
 		time.Sleep(o.cluster.randomDuration(50*time.Millisecond, 300*time.Millisecond))
 	}
 	o.mu.Lock()
-	o.unclear++
+	o.unknownOutcomeCount++
 	o.mu.Unlock()
 	return version, false
 }
@@ -66,19 +66,19 @@
 func (o *operators) recordAcknowledged(base, version int64, name string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if winner, won := o.winners[base]; won && winner != name {
-		o.cluster.fail("%s and %s are both acknowledged on top of %d", winner, name, base)
+	if acknowledged, exists := o.acknowledgedChanges[base]; exists && acknowledged != name {
+		o.cluster.recordFault("%s and %s are both acknowledged on top of %d", acknowledged, name, base)
 	}
-	o.winners[base] = name
-	o.newest = max(o.newest, version)
+	o.acknowledgedChanges[base] = name
+	o.newestAcknowledged = max(o.newestAcknowledged, version)
 	o.acknowledgedCount++
 }
 
 // read reads the configuration. The answer must not be older than what was acknowledged before the call.
 func (o *operators) read() (version int64, ok bool) {
 	o.mu.Lock()
-	newest := o.newest
-	names := slices.Collect(maps.Values(o.winners))
+	newestAcknowledged := o.newestAcknowledged
+	names := slices.Collect(maps.Values(o.acknowledgedChanges))
 	o.mu.Unlock()
 	a := o.cluster.callFollowingRedirects(o.cluster.anyAddress(), http.MethodGet, "/config/read", "", "", false)
 	if a.status != http.StatusOK {
@@ -88,13 +88,13 @@
 	o.mu.Lock()
 	o.readCount++
 	o.mu.Unlock()
-	if version < newest {
-		o.cluster.fail("a read answers version %d after %d was acknowledged", version, newest)
+	if version < newestAcknowledged {
+		o.cluster.recordFault("a read answers version %d after %d was acknowledged", version, newestAcknowledged)
 	}
 	services := servicesOf(a.body)
 	for _, name := range names {
 		if !services[name] {
-			o.cluster.fail("a read answers version %d without %s, which was acknowledged", version, name)
+			o.cluster.recordFault("a read answers version %d without %s, which was acknowledged", version, name)
 			break
 		}
 	}
@@ -112,12 +112,12 @@
 }
 
 // run changes the configuration until a deadline, alone or in competition with another operator.
-func (o *operators) run(deadline time.Time, rivals, lostPercent int, pause time.Duration) {
+func (o *operators) run(deadline time.Time, writers, lostResponsePercent int, pause time.Duration) {
 	var changes sync.WaitGroup
 	for time.Now().Before(deadline) {
 		base := o.readVersion()
-		for range rivals {
-			changes.Go(func() { o.change(base, rivals == 1, lostPercent) })
+		for range writers {
+			changes.Go(func() { o.change(base, writers == 1, lostResponsePercent) })
 		}
 		changes.Wait()
 		o.read()
@@ -127,9 +127,9 @@
 
 // scenario is a sequence of faults during the operators' work.
 type scenario struct {
-	rivals, lostPercent int // concurrent operators; percent of answers that are lost
-	pause               time.Duration
-	injectFaults        func(c *cluster)
+	writers, lostResponsePercent int // concurrent operators; percent of answers that are lost
+	pause                        time.Duration
+	injectFaults                 func(c *cluster)
 }
 
 const (
@@ -139,7 +139,7 @@
 
 // scenarios by name; the number at the front is that of the requirement in docs/design/control-state.md.
 var scenarios = map[string]scenario{
-	"1 a control machine is partitioned for twenty seconds": {rivals: 1, pause: 300 * time.Millisecond, injectFaults: func(c *cluster) {
+	"1 a control machine is partitioned for twenty seconds": {writers: 1, pause: 300 * time.Millisecond, injectFaults: func(c *cluster) {
 		a := []string{c.anyAddress()}
 		c.logEvent("%v is partitioned", a)
 		c.setPartitioned(a, true)
@@ -147,28 +147,28 @@
 		c.setPartitioned(a, false)
 		c.logEvent("the partition heals")
 	}},
-	"1 the core is partitioned in halves, and those that were ahead are killed": {rivals: 1, pause: 300 * time.Millisecond, injectFaults: func(c *cluster) {
+	"1 the core is partitioned in halves, and those that were ahead are killed": {writers: 1, pause: 300 * time.Millisecond, injectFaults: func(c *cluster) {
 		for range 3 {
-			behind := c.anyAddress()
-			c.logEvent("%s misses changes", behind)
-			c.setPartitioned([]string{behind}, true)
+			lagging := c.anyAddress()
+			c.logEvent("%s misses changes", lagging)
+			c.setPartitioned([]string{lagging}, true)
 			time.Sleep(c.randomDuration(time.Second, 5*time.Second))
-			c.setPartitioned([]string{behind}, false)
+			c.setPartitioned([]string{lagging}, false)
 			for _, a := range c.peers() {
-				if a != behind {
+				if a != lagging {
 					c.restart(a, c.randomDuration(100*time.Millisecond, 2*time.Second), false)
 				}
 			}
 			time.Sleep(4 * time.Second)
 		}
 	}},
-	"2 two operators and lost answers": {rivals: 2, lostPercent: 50, pause: 200 * time.Millisecond, injectFaults: func(c *cluster) {
+	"2 two operators and lost answers": {writers: 2, lostResponsePercent: 50, pause: 200 * time.Millisecond, injectFaults: func(c *cluster) {
 		for range 4 {
 			time.Sleep(c.randomDuration(2*time.Second, 6*time.Second))
 			c.restart(c.anyAddress(), c.randomDuration(100*time.Millisecond, 2*time.Second), false)
 		}
 	}},
-	"2 changes repeated at another machine while primaries change": {rivals: 1, lostPercent: 60, pause: 100 * time.Millisecond, injectFaults: func(c *cluster) {
+	"2 changes repeated at another machine while primaries change": {writers: 1, lostResponsePercent: 60, pause: 100 * time.Millisecond, injectFaults: func(c *cluster) {
 		for range 6 {
 			time.Sleep(c.randomDuration(time.Second, 4*time.Second))
 			a := []string{c.anyAddress()}
@@ -178,7 +178,7 @@
 			c.setPartitioned(a, false)
 		}
 	}},
-	"2 changes repeated at a machine that was restored from a snapshot": {rivals: 1, lostPercent: 55, pause: 50 * time.Millisecond, injectFaults: func(c *cluster) {
+	"2 changes repeated at a machine that was restored from a snapshot": {writers: 1, lostResponsePercent: 55, pause: 50 * time.Millisecond, injectFaults: func(c *cluster) {
 		for range 5 {
 			wiped := c.anyAddress()
 			c.restart(wiped, 200*time.Millisecond, true)
@@ -187,13 +187,13 @@
 			time.Sleep(c.randomDuration(2*time.Second, 3*time.Second))
 		}
 	}},
-	"3 a second loss after a planned replacement": {rivals: 1, pause: 300 * time.Millisecond, injectFaults: func(c *cluster) {
-		leaver := c.anyAddress()
+	"3 a second loss after a planned replacement": {writers: 1, pause: 300 * time.Millisecond, injectFaults: func(c *cluster) {
+		retiring := c.anyAddress()
 		added := c.addMachine(addressOf(len(c.peers())))
 		added.start(nil)
-		c.logEvent("%s starts, to replace %s", added.address, leaver)
+		c.logEvent("%s starts, to replace %s", added.address, retiring)
 		time.Sleep(c.randomDuration(500*time.Millisecond, 3*time.Second))
-		c.replace(leaver)
+		c.replace(retiring)
 		time.Sleep(c.randomDuration(0, 3*time.Second))
 		for {
 			if wiped := c.anyAddress(); c.running(wiped) != nil {
@@ -203,9 +203,9 @@
 		}
 		time.Sleep(12 * time.Second)
 	}},
-	"4 hundreds of changes and returning machines": {rivals: 1, pause: 0, injectFaults: func(c *cluster) {
-		away := c.anyAddress()
-		c.restart(away, 12*time.Second, false)
+	"4 hundreds of changes and returning machines": {writers: 1, pause: 0, injectFaults: func(c *cluster) {
+		restarted := c.anyAddress()
+		c.restart(restarted, 12*time.Second, false)
 		time.Sleep(15 * time.Second)
 		wiped := c.anyAddress()
 		c.restart(wiped, time.Second, true)
@@ -242,15 +242,15 @@
 func (c *cluster) replace(address string) {
 	m := c.running(address)
 	c.logEvent("%s resigns", address)
-	m.current().Resign()
+	m.currentReplica().Resign()
 	time.Sleep(2500 * time.Millisecond)
-	for deadline := time.Now().Add(5 * time.Second); !m.current().CanStop() && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(5 * time.Second); !m.currentReplica().CanStop() && time.Now().Before(deadline); {
 		time.Sleep(50 * time.Millisecond)
 	}
-	c.logEvent("%s stops for good, released: %v", address, m.current().CanStop())
+	c.logEvent("%s stops for good, released: %v", address, m.currentReplica().CanStop())
 	m.kill()
 	c.mu.Lock()
-	c.order = slices.DeleteFunc(c.order, func(a string) bool { return a == address })
+	c.memberAddresses = slices.DeleteFunc(c.memberAddresses, func(a string) bool { return a == address })
 	c.mu.Unlock()
 }
 
@@ -268,7 +268,7 @@
 
 func (s scenario) run(t *testing.T, seed uint64) {
 	c := newCluster(t.TempDir(), seed, 3, 1)
-	o := &operators{cluster: c, winners: map[int64]string{}}
+	o := &operators{cluster: c, acknowledgedChanges: map[int64]string{}}
 	defer func() {
 		for _, m := range c.machines {
 			m.kill()
@@ -278,14 +278,14 @@
 	time.Sleep(2 * time.Second)
 	var faults sync.WaitGroup
 	faults.Go(func() { s.injectFaults(c) })
-	o.run(time.Now().Add(scenarioDuration), s.rivals, s.lostPercent, s.pause)
+	o.run(time.Now().Add(scenarioDuration), s.writers, s.lostResponsePercent, s.pause)
 	faults.Wait()
 	time.Sleep(5 * time.Second)
-	o.expectService(t)
+	o.checkRecovery(t)
 	if len(c.faults) > 0 {
 		t.Fatalf("seed %d: %s\n%s", seed, c.faults[0], strings.Join(c.events, "\n"))
 	}
-	t.Logf("seed %d: %d changes acknowledged, %d reads, %d changes unclear", seed, o.acknowledgedCount, o.readCount, o.unclear)
+	t.Logf("seed %d: %d changes acknowledged, %d reads, %d changes unclear", seed, o.acknowledgedCount, o.readCount, o.unknownOutcomeCount)
 	if o.acknowledgedCount < minAcknowledged {
 		t.Errorf("seed %d: only %d changes were acknowledged\n%s", seed, o.acknowledgedCount, strings.Join(c.events, "\n"))
 	}
@@ -293,28 +293,28 @@
 
 // expectService checks that a change is applied, that all machines act on it within configApplyMs, and that all of the core are
 // members.
-func (o *operators) expectService(t *testing.T) {
+func (o *operators) checkRecovery(t *testing.T) {
 	version, applied := o.change(o.readVersion(), true, 0)
 	if !applied {
-		o.cluster.fail("change %d is not applied at the end", version)
+		o.cluster.recordFault("change %d is not applied at the end", version)
 		return
 	}
 	time.Sleep(2 * time.Second)
 	for _, address := range o.cluster.peers() {
 		m := o.cluster.running(address)
 		if m == nil {
-			o.cluster.fail("%s is not running at the end", address)
+			o.cluster.recordFault("%s is not running at the end", address)
 			continue
 		}
 		m.mu.Lock()
 		table := m.node.Config.Table
 		m.mu.Unlock()
 		if table == nil || table.Version != version {
-			o.cluster.fail("%s does not act on version %d at the end", address, version)
+			o.cluster.recordFault("%s does not act on version %d at the end", address, version)
 		}
-		view := m.current().View()
+		view := m.currentReplica().View()
 		if len(view.Members) != 3 {
-			o.cluster.fail("%s knows %d members at the end", address, len(view.Members))
+			o.cluster.recordFault("%s knows %d members at the end", address, len(view.Members))
 		}
 	}
 }
--- a/internal/fleet/control/server_test.go
+++ b/internal/fleet/control/server_test.go
@@ -71,18 +71,18 @@
 			{errors.New("odd"), "", http.StatusServiceUnavailable},
 		} {
 			delegate := &fakeDelegate{err: c.err, primary: c.primary, view: 3}
-			answer := delegate.call("POST", "/config/modify", `{"version":2}`, "X-Base-Version", "1")
-			So(answer.Code, ShouldEqual, c.status)
+			response := delegate.call("POST", "/config/modify", `{"version":2}`, "X-Base-Version", "1")
+			So(response.Code, ShouldEqual, c.status)
 			if c.status == http.StatusTemporaryRedirect {
-				So(answer.Header().Get("Location"), ShouldEqual, "http://10.0.0.2:9/config/modify?view=3")
+				So(response.Header().Get("Location"), ShouldEqual, "http://10.0.0.2:9/config/modify?view=3")
 			}
 			if c.status == http.StatusServiceUnavailable {
 				knownOutcome := !errors.Is(c.err, replica.ErrUnavailable)
-				So(strings.Contains(answer.Body.String(), "no primary is known"), ShouldEqual, knownOutcome)
-				So(strings.Contains(answer.Body.String(), "outcome is not known"), ShouldEqual, !knownOutcome)
+				So(strings.Contains(response.Body.String(), "no primary is known"), ShouldEqual, knownOutcome)
+				So(strings.Contains(response.Body.String(), "outcome is not known"), ShouldEqual, !knownOutcome)
 			}
 			if c.status == http.StatusBadRequest {
-				So(answer.Body.String(), ShouldContainSubstring, "route x")
+				So(response.Body.String(), ShouldContainSubstring, "route x")
 			}
 			So(delegate.changes[0].Base, ShouldEqual, 1)
 			So(delegate.changes[0].Replace, ShouldBeFalse)
@@ -94,9 +94,9 @@
 		So(delegate.changes, ShouldBeEmpty)
 	})
 	Convey("The configuration is read, or the caller is redirected", t, func() {
-		answer := (&fakeDelegate{}).call("GET", "/config/read", "")
-		So(answer.Code, ShouldEqual, http.StatusOK)
-		So(answer.Body.String(), ShouldEqual, `{"version":0}`)
+		response := (&fakeDelegate{}).call("GET", "/config/read", "")
+		So(response.Code, ShouldEqual, http.StatusOK)
+		So(response.Body.String(), ShouldEqual, `{"version":0}`)
 		So((&fakeDelegate{err: replica.ErrNotPrimary, primary: "a:1", view: 3}).call("GET", "/config/read", "").Code, ShouldEqual, 307)
 	})
 }
@@ -105,9 +105,9 @@
 	beat := `{"service":"s","address":"10.0.0.9:1","zone":"z","capacity":8,"state":"draining","warmupMs":5,"sequence":4}`
 	Convey("A heartbeat is reported, and the next one requested here", t, func() {
 		delegate := &fakeDelegate{}
-		answer := delegate.call("POST", "/instances/i-1/heartbeat", beat)
-		So(answer.Code, ShouldEqual, http.StatusOK)
-		So(answer.Body.String(), ShouldContainSubstring, "http://"+ownAddress+"/instances/i-1/heartbeat")
+		response := delegate.call("POST", "/instances/i-1/heartbeat", beat)
+		So(response.Code, ShouldEqual, http.StatusOK)
+		So(response.Body.String(), ShouldContainSubstring, "http://"+ownAddress+"/instances/i-1/heartbeat")
 		So(delegate.reports[0], ShouldResemble, registry.Endpoint{ID: "i-1", Service: "s", Address: "10.0.0.9:1", Zone: "z", Capacity: 8,
 			State: registry.Draining, WarmupMs: 5, Sequence: 4})
 	})
@@ -149,17 +149,17 @@
 			return behind.call("POST", path, `{"version":2}`, "X-Base-Version", "1")
 		}
 		Convey("by a newer view is not redirected to the primary of an older one", func() {
-			answer := send("/config/modify?view=4")
-			So(answer.Code, ShouldEqual, http.StatusServiceUnavailable)
-			So(answer.Header().Get("Retry-After"), ShouldNotBeEmpty)
+			response := send("/config/modify?view=4")
+			So(response.Code, ShouldEqual, http.StatusServiceUnavailable)
+			So(response.Header().Get("Retry-After"), ShouldNotBeEmpty)
 		})
 		Convey("by this view is not redirected", func() {
 			So(send("/config/modify?view=3").Code, ShouldEqual, http.StatusServiceUnavailable)
 		})
 		Convey("by an older one is redirected, with the number of this view", func() {
-			answer := send("/config/modify?view=2")
-			So(answer.Code, ShouldEqual, http.StatusTemporaryRedirect)
-			So(answer.Header().Get("Location"), ShouldEqual, "http://10.0.0.2:9/config/modify?view=3")
+			response := send("/config/modify?view=2")
+			So(response.Code, ShouldEqual, http.StatusTemporaryRedirect)
+			So(response.Header().Get("Location"), ShouldEqual, "http://10.0.0.2:9/config/modify?view=3")
 		})
 		Convey("by what is no number is redirected", func() {
 			So(send("/config/modify?view=x").Code, ShouldEqual, http.StatusTemporaryRedirect)
--- a/internal/fleet/control/watch.go
+++ b/internal/fleet/control/watch.go
@@ -40,25 +40,25 @@
 	if result.Outcome == coordination.Compacted {
 		return &requestError{status: http.StatusGone, reason: "the puts after sinceRevision are no longer kept"}
 	}
-	writeJSON(w, http.StatusOK, newWatchAnswer(result))
+	writeJSON(w, http.StatusOK, newWatchResponse(result))
 	return nil
 }
 
 // awaitEvents repeats a watch until there are events, the deadline has passed, or this machine shuts down. An error is that of the last
 // operation, where none succeeded.
 func (h *coordinationHandlers) awaitEvents(ctx context.Context, op *coordination.Operation, deadline time.Time) (coordination.Result, error) {
-	var last coordination.Result
+	var lastResult coordination.Result
 	for {
 		result, err := h.coordinator.Execute(ctx, op, max(0, min(watchPollInterval, time.Until(deadline))))
 		if err == nil {
-			last = result
+			lastResult = result
 		}
 		isOver := !time.Now().Before(deadline) || h.coordinator.Draining() || ctx.Err() != nil
 		switch {
 		case err == nil && (result.Outcome != coordination.Pending || isOver):
 			return result, nil
-		case err != nil && isOver && last.Outcome != 0:
-			return last, nil
+		case err != nil && isOver && lastResult.Outcome != 0:
+			return lastResult, nil
 		case err != nil && isOver:
 			return coordination.Result{}, err
 		case err != nil:
@@ -76,12 +76,12 @@
 	}
 }
 
-func newWatchAnswer(result coordination.Result) watchAnswer {
-	answer := watchAnswer{Events: []eventAnswer{}, Revision: result.Revision}
+func newWatchResponse(result coordination.Result) watchResponse {
+	response := watchResponse{Events: []eventResponse{}, Revision: result.Revision}
 	for _, e := range result.Events {
-		answer.Events = append(answer.Events, eventAnswer{Name: e.Key, Value: e.Value, Revision: e.Revision})
+		response.Events = append(response.Events, eventResponse{Name: e.Key, Value: e.Value, Revision: e.Revision})
 	}
-	return answer
+	return response
 }
 
 // readUint returns a whole number of a call's query; 0 where it is not given.
@@ -92,7 +92,7 @@
 	}
 	number, err := strconv.ParseUint(text, 10, 63)
 	if err != nil {
-		return 0, badField(name, "is no whole number")
+		return 0, invalidField(name, "is no whole number")
 	}
 	return number, nil
 }
--- a/internal/fleet/control/watch_test.go
+++ b/internal/fleet/control/watch_test.go
@@ -15,51 +15,51 @@
 )
 
 func TestWatchWaits(t *testing.T) {
-	pending := coordinatorAnswer{result: coordination.Result{Outcome: coordination.Pending, Revision: 7}}
-	failure := coordinatorAnswer{err: errors.New("no answer")}
-	events := coordinatorAnswer{result: coordination.Result{
+	pending := coordinatorResponse{result: coordination.Result{Outcome: coordination.Pending, Revision: 7}}
+	failure := coordinatorResponse{err: errors.New("no answer")}
+	events := coordinatorResponse{result: coordination.Result{
 		Outcome: coordination.Done, Revision: 8, Events: []coordination.Event{{Key: "g.a", Value: "v", Revision: 8}}}}
 	const withEvents = `{"events":[{"name":"g.a","value":"v","revision":8}],"revision":8}`
 	const withoutEvents = `{"events":[],"revision":7}`
 
 	for _, c := range []struct {
 		name       string
-		answers    []coordinatorAnswer
+		responses  []coordinatorResponse
 		waitMs     string
 		drainAfter int
 		status     int
 		body       string
 		operations int
-		took       time.Duration
+		duration   time.Duration
 	}{
-		{"answers with events at once", []coordinatorAnswer{events}, "60000", 0, http.StatusOK, withEvents, 1, 0},
-		{"answers as soon as there are events", []coordinatorAnswer{pending, events}, "60000", 0, http.StatusOK, withEvents, 2, watchPollInterval},
-		{"goes on after errors", []coordinatorAnswer{failure, failure, events}, "60000", 0, http.StatusOK, withEvents, 3, 2 * watchRetryInterval},
-		{"goes on after errors and waits", []coordinatorAnswer{pending, failure, events}, "60000", 0, http.StatusOK, withEvents, 3,
+		{"answers with events at once", []coordinatorResponse{events}, "60000", 0, http.StatusOK, withEvents, 1, 0},
+		{"answers as soon as there are events", []coordinatorResponse{pending, events}, "60000", 0, http.StatusOK, withEvents, 2, watchPollInterval},
+		{"goes on after errors", []coordinatorResponse{failure, failure, events}, "60000", 0, http.StatusOK, withEvents, 3, 2 * watchRetryInterval},
+		{"goes on after errors and waits", []coordinatorResponse{pending, failure, events}, "60000", 0, http.StatusOK, withEvents, 3,
 			watchPollInterval + watchRetryInterval},
-		{"answers without events at the end of its time", []coordinatorAnswer{pending}, "1000", 0, http.StatusOK, withoutEvents, 3, time.Second},
-		{"answers without events where its last operation failed", []coordinatorAnswer{pending, failure}, "450", 0, http.StatusOK,
+		{"answers without events at the end of its time", []coordinatorResponse{pending}, "1000", 0, http.StatusOK, withoutEvents, 3, time.Second},
+		{"answers without events where its last operation failed", []coordinatorResponse{pending, failure}, "450", 0, http.StatusOK,
 			withoutEvents, 3, 450 * time.Millisecond},
-		{"fails where no operation succeeded", []coordinatorAnswer{failure}, "100", 0, http.StatusGatewayTimeout, "", 3, 2 * watchRetryInterval},
-		{"answers once this router shuts down", []coordinatorAnswer{pending}, "60000", 1, http.StatusOK, withoutEvents, 1, watchPollInterval},
-		{"answers after an error once this router shuts down", []coordinatorAnswer{pending, failure}, "60000", 2, http.StatusOK,
+		{"fails where no operation succeeded", []coordinatorResponse{failure}, "100", 0, http.StatusGatewayTimeout, "", 3, 2 * watchRetryInterval},
+		{"answers once this router shuts down", []coordinatorResponse{pending}, "60000", 1, http.StatusOK, withoutEvents, 1, watchPollInterval},
+		{"answers after an error once this router shuts down", []coordinatorResponse{pending, failure}, "60000", 2, http.StatusOK,
 			withoutEvents, 2, watchPollInterval},
-		{"asks once where it does not wait", []coordinatorAnswer{pending}, "0", 0, http.StatusOK, withoutEvents, 1, 0},
-		{"asks once where its time is not given", []coordinatorAnswer{pending}, "", 0, http.StatusOK, withoutEvents, 1, 0},
+		{"asks once where it does not wait", []coordinatorResponse{pending}, "0", 0, http.StatusOK, withoutEvents, 1, 0},
+		{"asks once where its time is not given", []coordinatorResponse{pending}, "", 0, http.StatusOK, withoutEvents, 1, 0},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			Convey("A watch "+c.name, t, func() {
-				coordinator := &fakeCoordinator{answers: c.answers, drainAfter: c.drainAfter}
+				coordinator := &fakeCoordinator{responses: c.responses, drainAfter: c.drainAfter}
 				start := time.Now()
-				answer := coordinator.call("GET", "/watch/g.?sinceRevision=7&waitMs="+c.waitMs, "")
-				So(answer.Code, ShouldEqual, c.status)
+				response := coordinator.call("GET", "/watch/g.?sinceRevision=7&waitMs="+c.waitMs, "")
+				So(response.Code, ShouldEqual, c.status)
 				if c.body != "" {
-					So(strings.TrimSpace(answer.Body.String()), ShouldEqual, c.body)
+					So(strings.TrimSpace(response.Body.String()), ShouldEqual, c.body)
 				}
 				So(len(coordinator.operations), ShouldEqual, c.operations)
-				So(time.Since(start), ShouldEqual, c.took)
-				for _, park := range coordinator.parks {
-					So(park, ShouldBeBetweenOrEqual, 0, watchPollInterval)
+				So(time.Since(start), ShouldEqual, c.duration)
+				for _, maxWait := range coordinator.maxWaits {
+					So(maxWait, ShouldBeBetweenOrEqual, 0, watchPollInterval)
 				}
 			})
 		})
@@ -68,17 +68,17 @@
 
 func TestWatchBounds(t *testing.T) {
 	Convey("A watch of a very long time is answered, as one of the longest time", t, func() {
-		coordinator := answering(coordination.Result{Outcome: coordination.Done, Revision: 1})
+		coordinator := newFakeCoordinator(coordination.Result{Outcome: coordination.Done, Revision: 1})
 		So(coordinator.call("GET", "/watch/g.?sinceRevision=1&waitMs=9223372036854775807", "").Code, ShouldEqual, http.StatusOK)
-		So(coordinator.parks, ShouldResemble, []time.Duration{watchPollInterval})
+		So(coordinator.maxWaits, ShouldResemble, []time.Duration{watchPollInterval})
 	})
 	Convey("A watch of a key is one of its group", t, func() {
-		coordinator := answering(coordination.Result{Outcome: coordination.Done, Revision: 1})
+		coordinator := newFakeCoordinator(coordination.Result{Outcome: coordination.Done, Revision: 1})
 		So(coordinator.call("GET", "/watch/g.a", "").Code, ShouldEqual, http.StatusOK)
 		So(coordinator.operations[0].Name.ID, ShouldEqual, "g.")
 	})
 	Convey("A watch ends with its caller", t, func() {
-		handlers := &coordinationHandlers{coordinator: answering(coordination.Result{Outcome: coordination.Pending})}
+		handlers := &coordinationHandlers{coordinator: newFakeCoordinator(coordination.Result{Outcome: coordination.Pending})}
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		_, err := handlers.awaitEvents(ctx, &coordination.Operation{}, time.Now().Add(time.Hour))
