--- a/internal/fleet/control/body.go
+++ b/internal/fleet/control/body.go
@@ -6,7 +6,7 @@
 	"net/http"
 )
 
-// readBody returns a call's body. A longer one than maxBytes is errBodyTooLarge.
+// readBody returns the body of a request. It returns errBodyTooLarge if the body is longer than maxBytes.
 func readBody(r *http.Request, maxBytes int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBytes+1))
 	if err != nil {
@@ -21,5 +21,5 @@
 func writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(value) // the connection is lost: the caller calls again
+	_ = json.NewEncoder(w).Encode(value) // fails only if the connection is lost; the client then retries
 }
--- a/internal/fleet/control/cluster_test.go
+++ b/internal/fleet/control/cluster_test.go
@@ -26,8 +26,8 @@
 	"pinelb.example/pinelb/internal/fleet/replication"
 )
 
-// cluster is a core of complete control planes: replica, log on a disk, control API and dissemination, on a fake clock
-// (testing/synctest) and a scripted network.
+// cluster is a core of machines, each with a replica, its log on disk, the control API and the dissemination. It runs on a fake clock
+// (testing/synctest) and a simulated network.
 type cluster struct {
 	root      string
 	tolerance int
@@ -42,13 +42,13 @@
 	faults          []string
 }
 
-// machine is one control plane. Its process may be killed and started again, with its disk or without.
+// machine is one machine of the core. Its process may be killed and restarted, with its disk or with an empty one.
 type machine struct {
 	cluster *cluster
 	address string
 	disk    string
 
-	mu      sync.Mutex // of what follows
+	mu      sync.Mutex // guards the fields below
 	up      bool
 	replica *replica.Replica
 	node    *dissemination.Gossiper
@@ -77,7 +77,7 @@
 
 func addressOf(i int) string { return fmt.Sprintf("10.0.0.%d:1", i+1) }
 
-// addMachine adds a machine with an empty disk that is off.
+// addMachine adds a machine with an empty disk. Its process is not started.
 func (c *cluster) addMachine(address string) *machine {
 	m := &machine{cluster: c, address: address, disk: filepath.Join(c.root, strconv.Itoa(len(c.memberAddresses)))}
 	c.mu.Lock()
@@ -93,6 +93,7 @@
 	c.events = append(c.events, fmt.Sprintf("%8.3f  ", time.Since(c.startedAt).Seconds())+fmt.Sprintf(format, values...))
 }
 
+// recordFault records a violated expectation, for which the test fails at the end of the run.
 func (c *cluster) recordFault(format string, values ...any) {
 	c.logEvent("FAULT: "+format, values...)
 	c.mu.Lock()
@@ -112,7 +113,7 @@
 	return c.random.IntN(limit)
 }
 
-// running returns the machine at an address; nil: none runs there.
+// running returns the machine at an address, or nil if it is not running.
 func (c *cluster) running(address string) *machine {
 	c.mu.Lock()
 	m := c.machines[address]
@@ -134,7 +135,7 @@
 	return c.partitions[[2]string{from, to}]
 }
 
-// setPartitioned cuts machines off from all others, or heals that partition.
+// setPartitioned partitions machines from all others and from each other, or heals that partition.
 func (c *cluster) setPartitioned(addresses []string, partitioned bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -145,7 +146,7 @@
 	}
 }
 
-// deliver lets a message arrive after a time, unless it is lost or a partition stops it.
+// deliver passes a message to handle after a random delay. It drops 1 % of the messages, and those that arrive across a partition.
 func (c *cluster) deliver(from, to string, handle func(*machine)) {
 	if c.randomInt(100) == 0 {
 		return
@@ -157,7 +158,7 @@
 	})
 }
 
-// start starts the machine's process with what is on its disk.
+// start starts the machine's process with the present content of its disk.
 func (m *machine) start(bootstrapAddresses []string) {
 	started := time.Now()
 	clock := func() time.Duration { return time.Since(started) }
@@ -189,7 +190,7 @@
 		},
 	})
 	if err != nil {
-		m.cluster.recordFault("%s does not start: %v", m.address, err)
+		m.cluster.recordFault("%s failed to start: %v", m.address, err)
 		return
 	}
 	m.mu.Lock()
@@ -205,7 +206,7 @@
 	return append([]string(nil), c.memberAddresses...)
 }
 
-// kill ends the process at once.
+// kill stops the process without a graceful shutdown.
 func (m *machine) kill() {
 	m.mu.Lock()
 	if !m.up {
@@ -219,7 +220,7 @@
 	r.Close()
 }
 
-// wipe deletes the disk of a machine that is off.
+// wipe deletes the disk of a machine whose process is not running.
 func (m *machine) wipe() {
 	if err := os.RemoveAll(m.disk); err != nil {
 		m.cluster.recordFault("%v", err)
@@ -244,7 +245,7 @@
 	}
 }
 
-// step runs a step of the dissemination, and sends its output.
+// step runs a step of the dissemination, and executes the actions in its output.
 func (m *machine) step(do func(now time.Duration) *dissemination.Output) {
 	m.mu.Lock()
 	out := do(m.clock())
@@ -262,14 +263,14 @@
 		}()
 	}
 	if out.BuildError != nil {
-		m.cluster.recordFault("%s can't use what it received: %v", m.address, out.BuildError)
+		m.cluster.recordFault("%s can't build a table from the received configuration: %v", m.address, out.BuildError)
 	}
 	if out.Fetch != nil {
 		m.fetch(out.Fetch)
 	}
 }
 
-// fetch makes a call to another machine, which ends once: by its reply, or by its time-out.
+// fetch sends a request to another machine, and handles either its reply or its time-out, whichever is first.
 func (m *machine) fetch(fetch *dissemination.Fetch) {
 	m.mu.Lock()
 	node, requestedAt := m.node, m.clock()
@@ -278,7 +279,7 @@
 	end := func(handle func(now time.Duration) *dissemination.Output) {
 		once.Do(func() {
 			m.step(func(now time.Duration) *dissemination.Output {
-				if m.node != node { // another process
+				if m.node != node { // the process was restarted in the meantime
 					return &dissemination.Output{}
 				}
 				return handle(now)
@@ -310,18 +311,19 @@
 	from := replication.Replica{Address: m.address, Nonce: nonce}
 	m.cluster.deliver(m.address, to, func(at *machine) {
 		if err := at.currentReplica().Deliver(from, message); err != nil {
-			m.cluster.recordFault("%s can't read a message: %v", to, err)
+			m.cluster.recordFault("%s can't decode a message: %v", to, err)
 		}
 	})
 }
 
-// current returns the replica of the present process.
+// currentReplica returns the replica of the machine's present process.
 func (m *machine) currentReplica() *replica.Replica {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.replica
 }
 
+// handleCommit passes a committed configuration to the dissemination.
 func (m *machine) handleCommit(c replica.Commit) {
 	var encoded []byte
 	if c.Change != nil {
@@ -350,14 +352,14 @@
 func (d *clusterDelegate) HandleEndpointReport(context.Context, registry.Endpoint) error { return nil }
 func (d *clusterDelegate) EndpointService(string) string                                 { return "" }
 
-// answer is what an operator got for a call; status 0: a time-out.
+// response is the response to an operator's call. Status 0 is a time-out.
 type response struct {
 	status   int
 	location string
 	body     string
 }
 
-// call sends a call to one machine. Its answer may be lost.
+// call sends a call to one machine. If loseResponse is set it returns a time-out even if the machine responds in time.
 func (c *cluster) call(address, method, path, body, base string, loseResponse bool) response {
 	m := c.running(address)
 	time.Sleep(c.randomDuration(3*time.Millisecond, 9*time.Millisecond))
@@ -409,14 +411,14 @@
 	return response{}
 }
 
-// anyAddress returns the address of a random machine of the operators' list.
+// anyAddress returns the address of a random machine of the core, running or not.
 func (c *cluster) anyAddress() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.memberAddresses[c.random.IntN(len(c.memberAddresses))]
 }
 
-// versionOf returns the version of a configuration; -1: it is no JSON.
+// versionOf returns the version of a configuration, or -1 if it is not valid JSON.
 func versionOf(text string) int64 {
 	var document struct{ Version int64 }
 	if err := json.Unmarshal([]byte(text), &document); err != nil {
@@ -425,7 +427,7 @@
 	return document.Version
 }
 
-// servicesOf returns the names of a configuration's services.
+// servicesOf returns the names of a configuration's services, or an empty set if it is not valid JSON.
 func servicesOf(text string) map[string]bool {
 	var document struct{ Services []struct{ Name string } }
 	names := map[string]bool{}
--- a/internal/fleet/control/configuration.go
+++ b/internal/fleet/control/configuration.go
@@ -12,15 +12,16 @@
 )
 
 const (
-	// headerBaseVersion names the header with the version of the configuration that a change builds on.
+	// headerBaseVersion is the header with the version of the configuration on which a change is based.
 	headerBaseVersion = "X-Base-Version"
 
 	maxChangeBytes = 16 << 20
-	submitTimeout  = 3 * time.Second // after which a change is answered by 503: it may have been committed, or may be later
+	submitTimeout  = 3 * time.Second // a change that exceeds it is answered with 503: it may have been committed, or may still be
 	readTimeout    = 2 * time.Second
 )
 
-// submitChange returns the handler of changes: of complete configurations, or of named items.
+// submitChange returns the handler of configuration changes. A change replaces the complete configuration if replace is true, and
+// modifies individual items otherwise.
 func (s *Server) submitChange(replace bool) callHandler {
 	return func(w http.ResponseWriter, r *http.Request) error {
 		change, err := readChange(r, replace)
@@ -37,6 +38,7 @@
 	}
 }
 
+// readChange reads a change from a request. Every error is a requestError.
 func readChange(r *http.Request, replace bool) (*config.Change, error) {
 	base, err := strconv.ParseInt(r.Header.Get(headerBaseVersion), 10, 64)
 	if err != nil {
@@ -52,7 +54,8 @@
 	return &config.Change{Replace: replace, Base: base, Body: body}, nil
 }
 
-// submitError returns the error to answer with, for the Delegate's: a requestError where the change itself is at fault.
+// submitError converts an error of Delegate.Submit: to a requestError if the change is invalid or is based on another version than
+// the present one. It returns other errors unchanged.
 func submitError(err error) error {
 	var invalid *config.InvalidError
 	switch {
@@ -72,6 +75,6 @@
 		return err
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(document.Encode()) // the connection is lost: the caller calls again
+	_, _ = w.Write(document.Encode()) // fails only if the connection is lost; the client then retries
 	return nil
 }
--- a/internal/fleet/control/coordination.go
+++ b/internal/fleet/control/coordination.go
@@ -15,30 +15,31 @@
 	"pinelb.example/pinelb/internal/fleet/coordination"
 )
 
-// Bounds of what applications may send.
+// Limits of requests from applications.
 const (
-	maxCoordinationBytes = 64 << 10 // of a body
-	maxNameBytes         = 256      // of a name, a key or a holder
+	maxCoordinationBytes = 64 << 10 // size of a request body
+	maxNameBytes         = 256      // size of a name, a key or a holder
 	maxValueBytes        = 16 << 10
 	maxHold              = time.Hour
 	maxWatchWait         = time.Minute
 )
 
-// Coordinator executes the calls of applications. Its methods are called by several goroutines.
+// Coordinator executes coordination operations for applications. Its methods are called concurrently.
 type Coordinator interface {
-	// Execute executes an operation. park is how long a watch waits for events. Errors: a RefusedError where it was not executed and never will
-	// be; any other one says that the outcome is not known.
+	// Execute executes an operation. A watch waits for events for at most maxWait. The error is a *RefusedError if the operation was not
+	// executed and never will be; any other error means that the outcome is unknown.
 	Execute(ctx context.Context, operation *coordination.Operation, maxWait time.Duration) (coordination.Result, error)
-	// Draining reports whether this machine shuts down, so that watches are to be answered.
+	// Draining reports whether this machine is shutting down, so that waiting watches have to be answered.
 	Draining() bool
 }
 
-// errGroupFull says why a put is not made. A copy of it may yet be made once there is room again, so that it is not refused.
+// errGroupFull reports that a put was not executed because the group of its key is full. The client must not be sent a refusal: a
+// delayed copy of the put may still be executed once the group has room.
 var errGroupFull = errors.New("the group of the key is full")
 
 // RefusedError reports that an operation was not executed and never will be.
 type RefusedError struct {
-	Overloaded bool // too many calls wait; else no machine is known that executes it
+	Overloaded bool // true: too many operations are waiting; false: no machine can execute it at present
 	Err        error
 }
 
@@ -46,7 +47,8 @@
 
 func (e *RefusedError) Unwrap() error { return e.Err }
 
-// HandleCoordination serves the calls of applications, before the first call is served.
+// HandleCoordination adds the routes of the coordination API, whose operations c executes. It must be called before the server
+// serves its first request.
 func (s *Server) HandleCoordination(c Coordinator) {
 	h := &coordinationHandlers{coordinator: c}
 	s.handle(http.MethodPost, "/locks/{id}/begin", h.acquire)
@@ -58,23 +60,23 @@
 	s.handle(http.MethodGet, "/watch/{id}", h.watch)
 }
 
-// coordinationHandlers serve locks, numbers, cells and watches.
+// coordinationHandlers are the handlers of locks, counters, cells (keys with values) and watches.
 type coordinationHandlers struct{ coordinator Coordinator }
 
-// lockCall is the body of a call of a lock. Pointers tell what is missing.
+// lockCall is the body of a call of a lock. A pointer is nil if its field is missing.
 type lockCall struct {
 	Holder string  `json:"holder"`
 	Fence  *uint64 `json:"fence"`
 	HoldMs *int64  `json:"holdMs"`
 }
 
-// putCall is the body of a put.
+// putCall is the body of a put. A pointer is nil if its field is missing.
 type putCall struct {
 	Value      *string `json:"value"`
 	IfRevision *uint64 `json:"ifRevision"`
 }
 
-// fenceResponse, numberResponse, revisionResponse, cellResponse and watchResponse are the bodies of answers.
+// fenceResponse, numberResponse, revisionResponse, cellResponse and watchResponse are the bodies of responses.
 type fenceResponse struct {
 	Fence uint64 `json:"fence"`
 }
@@ -209,13 +211,14 @@
 	return nil
 }
 
-// groupOperation returns an operation on the group of a key.
+// groupOperation returns an operation on a key and its group.
 func groupOperation(kind coordination.OperationKind, key string) *coordination.Operation {
 	return &coordination.Operation{
 		Kind: kind, Name: coordination.Name{Kind: coordination.KindGroup, ID: coordination.GroupOf(key)}, Key: key,
 	}
 }
 
+// readLockCall reads and checks a call of a lock. Every error is a requestError.
 func readLockCall(r *http.Request, kind coordination.OperationKind) (*coordination.Operation, error) {
 	id, err := readName(r)
 	if err != nil {
@@ -245,15 +248,16 @@
 	return op, nil
 }
 
-// readName returns the name in a call's path.
+// readName returns the name of the lock, counter, key or group in the path of a request.
 func readName(r *http.Request) (string, error) {
 	id := mux.Vars(r)["id"]
-	if id == "" || len(id) > maxNameBytes || !utf8.ValidString(id) { // CBOR decodes no other text
+	if id == "" || len(id) > maxNameBytes || !utf8.ValidString(id) { // CBOR text that is not UTF-8 can't be decoded
 		return "", invalidField("name", "is empty, longer than "+strconv.Itoa(maxNameBytes)+" bytes, or not UTF-8")
 	}
 	return id, nil
 }
 
+// decodeBody decodes the JSON body of a request into call, a pointer. Every error is a requestError.
 func decodeBody(r *http.Request, call any) error {
 	body, err := readBody(r, maxCoordinationBytes)
 	if err != nil {
@@ -265,19 +269,20 @@
 	return nil
 }
 
+// invalidField returns the requestError for a missing or invalid field.
 func invalidField(field, reason string) error {
 	return &requestError{status: http.StatusBadRequest, reason: field + " " + reason}
 }
 
-// outcomeUnknownError reports that a call of an application may have taken effect, or may yet.
+// outcomeUnknownError reports that a call of an application may have been executed, or may still be.
 type outcomeUnknownError struct{ err error }
 
 func (e *outcomeUnknownError) Error() string { return "the outcome is not known: " + e.err.Error() }
 
 func (e *outcomeUnknownError) Unwrap() error { return e.err }
 
-// coordinationError returns what a call is answered with where it was not executed, or its outcome is not known. A put is never refused: it
-// may repeat one whose outcome is not known, and a refusal would say that its value is never shown.
+// coordinationError converts an error of Coordinator.Execute to a *RefusedError or an outcomeUnknownError. A put is never refused: it
+// may be the retry of a put whose outcome is unknown, and a refusal would promise that no reader will ever see the value.
 func coordinationError(op *coordination.Operation, err error) error {
 	var refused *RefusedError
 	if op.Kind != coordination.Put && errors.As(err, &refused) {
--- a/internal/fleet/control/coordination_test.go
+++ b/internal/fleet/control/coordination_test.go
@@ -15,16 +15,16 @@
 	"pinelb.example/pinelb/internal/fleet/coordination"
 )
 
-// coordinatorResponse is what a fakeCoordinator answers an operation with.
+// coordinatorResponse is the result of an operation that a fakeCoordinator executes.
 type coordinatorResponse struct {
 	result coordination.Result
 	err    error
 }
 
-// fakeCoordinator records operations and answers them with a script. Its last answer is repeated.
+// fakeCoordinator records operations and returns the responses in their order. It repeats the last one.
 type fakeCoordinator struct {
 	responses  []coordinatorResponse
-	drainAfter int // operations; 0: it does not shut down
+	drainAfter int // number of operations after which it drains; 0: never
 	operations []coordination.Operation
 	maxWaits   []time.Duration
 }
@@ -45,6 +45,7 @@
 	return c.drainAfter > 0 && len(c.operations) >= c.drainAfter
 }
 
+// newFakeCoordinator returns a coordinator whose operations have these results, one after the other.
 func newFakeCoordinator(results ...coordination.Result) *fakeCoordinator {
 	c := &fakeCoordinator{}
 	for _, result := range results {
@@ -53,6 +54,7 @@
 	return c
 }
 
+// newFailingCoordinator returns a coordinator whose operations all fail with err.
 func newFailingCoordinator(err error) *fakeCoordinator {
 	return &fakeCoordinator{responses: []coordinatorResponse{{err: err}}}
 }
@@ -65,7 +67,7 @@
 	return recorder
 }
 
-// testCall is a valid call with the operation that it asks for.
+// testCall is a valid call with the operation that its handler has to execute.
 type testCall struct {
 	method, path, body string
 	operation          coordination.Operation
@@ -93,7 +95,7 @@
 }
 
 func TestCoordinationOutcomes(t *testing.T) {
-	Convey("Each call asks for its operation, and its outcome decides the answer", t, func() {
+	Convey("Each call executes its operation, and the outcome determines the response", t, func() {
 		calls := testCalls()
 		for _, c := range []struct {
 			call   string
@@ -128,21 +130,22 @@
 			So(coordinator.operations, ShouldResemble, []coordination.Operation{call.operation})
 		}
 	})
-	Convey("A put may leave the revision out, and may have an empty value", t, func() {
+	Convey("A put may omit the revision, and may have an empty value", t, func() {
 		coordinator := newFakeCoordinator(coordination.Result{Outcome: coordination.Done, Revision: 1})
 		So(coordinator.call("POST", "/cells/g.a/replace", `{"value":""}`).Code, ShouldEqual, http.StatusOK)
 		So(coordinator.operations[0].IfRevision, ShouldBeNil)
 	})
-	Convey("A put at revision 0 names it", t, func() {
+	Convey("A put with revision 0 passes it to the operation", t, func() {
 		coordinator := newFakeCoordinator(coordination.Result{Outcome: coordination.Done, Revision: 1})
 		So(coordinator.call("POST", "/cells/g.a/replace", `{"value":"v","ifRevision":0}`).Code, ShouldEqual, http.StatusOK)
 		So(*coordinator.operations[0].IfRevision, ShouldEqual, 0)
 	})
 }
 
-// Guards against a refusal of a put that an earlier try of it may have made, and against refusals that were executed.
+// Guards against the refusal of a retried put that an earlier attempt may have executed, and against the refusal of other calls whose
+// outcome is unknown.
 func TestCoordinationErrors(t *testing.T) {
-	Convey("A call is refused only where it was not executed and never will be", t, func() {
+	Convey("A call is refused only if it was not executed and never will be", t, func() {
 		cause := errors.New("cause")
 		for name, call := range testCalls() {
 			for _, c := range []struct {
@@ -166,29 +169,29 @@
 	})
 }
 
-// Guards against a refusal of a put that an earlier try of it may still make, once the group has room again.
+// Guards against the refusal of a put into a full group: a delayed copy of it may be executed once the group has room.
 func TestPutIntoFullGroup(t *testing.T) {
-	Convey("A put into a full group is not refused, and does not succeed", t, func() {
+	Convey("A put into a full group is neither refused nor successful", t, func() {
 		call := testCalls()["put"]
 		response := newFakeCoordinator(coordination.Result{Outcome: coordination.Full}).call(call.method, call.path, call.body)
 		So(response.Code, ShouldEqual, http.StatusGatewayTimeout)
 	})
 }
 
-func TestCoordinationIsServedOnRequest(t *testing.T) {
-	Convey("Calls of applications are answered 404 where they are not served", t, func() {
+func TestCoordinationRoutesAreOptional(t *testing.T) {
+	Convey("Calls of applications are answered with 404 without a Coordinator", t, func() {
 		for _, call := range testCalls() {
 			So((&fakeDelegate{}).call(call.method, call.path, call.body).Code, ShouldEqual, http.StatusNotFound)
 		}
 	})
-	Convey("Calls of operators are answered as before where they are", t, func() {
+	Convey("Calls of operators are still served with a Coordinator", t, func() {
 		So(newFakeCoordinator().call("GET", "/config/read", "").Code, ShouldEqual, http.StatusOK)
 	})
 }
 
 func TestInvalidCoordinationCalls(t *testing.T) {
 	longName, longValue := strings.Repeat("x", maxNameBytes+1), strings.Repeat("x", maxValueBytes+1)
-	Convey("An invalid call is rejected, with the field at fault, and not executed", t, func() {
+	Convey("An invalid call is rejected with the name of the invalid field, and not executed", t, func() {
 		for _, c := range []struct{ method, path, body, field string }{
 			{"POST", "/locks/l/begin", `{"holdMs":1}`, "holder"},
 			{"POST", "/locks/l/begin", `{"holder":"","holdMs":1}`, "holder"},
@@ -241,7 +244,7 @@
 			So(coordinator.operations, ShouldBeEmpty)
 		}
 	})
-	Convey("The largest valid fields are taken", t, func() {
+	Convey("Fields of the maximum size are accepted", t, func() {
 		coordinator := newFakeCoordinator(coordination.Result{Outcome: coordination.Done})
 		holder := fmt.Sprintf(`{"holder":%q,"holdMs":3600000}`, longName[1:])
 		So(coordinator.call("POST", "/locks/"+longName[1:]+"/begin", holder).Code, ShouldEqual, http.StatusOK)
--- a/internal/fleet/control/endpoints.go
+++ b/internal/fleet/control/endpoints.go
@@ -12,7 +12,7 @@
 
 const maxHeartbeatBytes = 64 << 10
 
-// heartbeat is the body of an endpoint's report of itself.
+// heartbeat is the body of an endpoint's heartbeat.
 type heartbeat struct {
 	Service  string `json:"service"`
 	Address  string `json:"address"`
@@ -23,10 +23,10 @@
 	Sequence uint64 `json:"sequence"`
 }
 
-// reportedStates are the values of a heartbeat's state.
+// reportedStates maps the state in a heartbeat to the registry's.
 var reportedStates = map[string]registry.State{"ready": registry.Ready, "draining": registry.Draining}
 
-// heartbeat applies an endpoint's report, and answers with the URL to which it is to send the next one.
+// heartbeat applies an endpoint's heartbeat, and responds with the URL for the endpoint's next one, which is on this router.
 func (s *Server) heartbeat(w http.ResponseWriter, r *http.Request) error {
 	endpoint, err := readHeartbeat(r)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// readHeartbeat decodes and checks a heartbeat.
+// readHeartbeat decodes and checks a heartbeat. Every error is a requestError.
 func readHeartbeat(r *http.Request) (registry.Endpoint, error) {
 	body, err := readBody(r, maxHeartbeatBytes)
 	var beat heartbeat
@@ -65,7 +65,7 @@
 	}, nil
 }
 
-// deregister ends an endpoint's service.
+// deregister applies an endpoint's deregistration.
 func (s *Server) deregister(w http.ResponseWriter, r *http.Request) error {
 	endpoint := registry.Endpoint{ID: mux.Vars(r)["id"], State: registry.Deregistered}
 	if err := s.delegate.HandleEndpointReport(r.Context(), endpoint); err != nil {
--- a/internal/fleet/control/errors.go
+++ b/internal/fleet/control/errors.go
@@ -5,12 +5,12 @@
 	"net/http"
 )
 
-// requestError reports a call that is at fault, so that the caller has to change it. It is answered with its status, and its
-// text as JSON.
+// requestError reports that a call failed because of its content, so that the client has to change it. The response has this
+// status, and the error's text as JSON.
 type requestError struct {
 	status int // 4xx
 	reason string
-	err    error // the cause; nil: reason says all
+	err    error // the cause, or nil
 }
 
 func (e *requestError) Error() string {
@@ -22,8 +22,8 @@
 
 func (e *requestError) Unwrap() error { return e.err }
 
-// unacknowledgedError reports that the end of an endpoint's service can't be acknowledged: the endpoint has to tell another
-// router.
+// unacknowledgedError reports that an endpoint's draining or deregistration can't be acknowledged, because the other routers may
+// not learn of it: the endpoint has to report it to another router.
 type unacknowledgedError struct{ err error }
 
 func (e *unacknowledgedError) Error() string {
@@ -32,11 +32,11 @@
 
 func (e *unacknowledgedError) Unwrap() error { return e.err }
 
-// errBodyTooLarge reports a body beyond the limit of its call.
+// errBodyTooLarge reports a request body that exceeds the limit of its route.
 var errBodyTooLarge = errors.New("it is too long")
 
-// writeError answers a call that its handler could not serve. Any error that this package does not type says that the call may
-// be served by the primary.
+// writeError writes the response to a call whose handler returned an error. An error that is not of one of this package's types
+// means that the primary may be able to serve the call, so the client is redirected.
 func (s *Server) writeError(w http.ResponseWriter, r *http.Request, err error) {
 	var rejected *requestError
 	var unacknowledged *unacknowledgedError
@@ -48,7 +48,7 @@
 		writeJSON(w, rejected.status, map[string]string{"error": rejected.Error()})
 	case errors.As(err, &unacknowledged):
 		http.Error(w, unacknowledged.Error(), http.StatusServiceUnavailable)
-	case errors.As(err, &unknown): // also where its cause is a refusal
+	case errors.As(err, &unknown): // checked before refused, because its cause may be a *RefusedError
 		http.Error(w, unknown.Error(), http.StatusGatewayTimeout)
 	case errors.As(err, &refused):
 		w.Header().Set("Retry-After", retryAfter)
--- a/internal/fleet/control/planted_test.go
+++ b/internal/fleet/control/planted_test.go
@@ -6,14 +6,14 @@
 	"pinelb.example/pinelb/internal/lab/mutation"
 )
 
-// plantedMistakes by the number of the scenarios that find them.
+// plantedMistakes are mutations of the source, by the number of the scenarios that have to detect them.
 var plantedMistakes = map[string]map[string]mutation.Mutant{"2": {
-	"digests of changes that are not replicated": {File: "../config/state.go", Edits: []mutation.Edit{
+	"digests of applied changes that are not replicated": {File: "../config/state.go", Edits: []mutation.Edit{
 		{Original: "for _, digest := range s.applied {", Mutated: "for _, digest := range s.applied[:0] {"}}},
-	"a change that is not checked against the version in place": {File: "../replica/submit.go", Edits: []mutation.Edit{
+	"a change whose base version is not checked": {File: "../replica/submit.go", Edits: []mutation.Edit{
 		{Original: "if change.Base != current.state.Document.Version() {", Mutated: "if false {"}}},
 }, "1": {
-	"a stale primary that rejects a change": {File: "../replica/submit.go", Edits: []mutation.Edit{
+	"a stale primary that rejects a change without confirmation by a majority": {File: "../replica/submit.go", Edits: []mutation.Edit{
 		{Original: "if err := r.confirm(ctx); err != nil {\n\t\t\t\treturn err\n\t\t\t}\n\t\t\tif r.currentStatus()", Mutated: "if r.currentStatus()"}}},
 	"a read without confirmation by a majority": {File: "../replica/submit.go", Edits: []mutation.Edit{
 		{Original: "if err := r.ConfirmLeadership(ctx); err != nil {\n\t\treturn nil, err\n\t}", Mutated: ""}}},
@@ -22,7 +22,7 @@
 		{Original: "e := encodedState{Document: s.Document.Encode()}", Mutated: "e := encodedState{Document: EmptyDocument().Encode()}"}}},
 }}
 
-// Guards against scenarios that would find nothing whatever is wrong.
+// Guards against scenarios that pass even if the source is wrong.
 func TestScenariosFindPlantedMistakes(t *testing.T) {
 	for number, mistakes := range plantedMistakes {
 		mutation.ExpectAllKilled(t, mistakes, "^TestScenarios$/^"+number, "seed ", "-stacks", "40")
--- a/internal/fleet/control/redirect.go
+++ b/internal/fleet/control/redirect.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	// viewParameter names the query parameter with the view to whose primary a caller was redirected.
+	// viewParameter is the query parameter with the number of the view to whose primary a client was redirected.
 	viewParameter = "view"
 
-	// retryAfter is the time after which a caller that can't be redirected is to come back, in seconds. It is a fraction, unlike
-	// the delay of RFC 9110, section 10.2.3: a change of primaries takes less than a second.
+	// retryAfter is the value of the Retry-After header, in seconds. It is a fraction, unlike the delay of RFC 9110, section 10.2.3,
+	// because a new primary takes over in less than a second.
 	retryAfter = "0.2"
 )
 
-// redirect sends a caller to the primary, or asks it to come back where none is known, or where this router is the primary and could not
-// decide the call, as cause says. A caller that was redirected here is redirected only by a newer view than before: two routers that take
-// each other for the primary, one of them by an older view, would else send it to and fro.
+// redirect redirects a client to the primary. It responds with 503 and Retry-After if no primary is known, or if this router is the
+// primary and failed to complete the call, for the reason in cause. A client that was redirected here is redirected again only if
+// this router knows a newer view: otherwise two routers that each consider the other the primary, one of them because its view is
+// outdated, would redirect the client back and forth.
 func (s *Server) redirect(w http.ResponseWriter, r *http.Request, cause error) {
 	view, primary := s.delegate.PrimaryControl()
 	if primary == "" || primary == s.address || view <= redirectView(r) {
@@ -34,7 +35,7 @@
 	w.WriteHeader(http.StatusTemporaryRedirect)
 }
 
-// unavailableText says why a call is answered neither by a decision nor by a redirection.
+// unavailableText returns the text of a response with status 503.
 func unavailableText(cause error) string {
 	if errors.Is(cause, replica.ErrUnavailable) {
 		return "the outcome is not known: send the same again"
@@ -42,7 +43,7 @@
 	return "no primary is known at present"
 }
 
-// redirectView returns the view by which another router redirected a caller here; 0: none did.
+// redirectView returns the number of the view by which another router redirected the client here, or 0 if none did.
 func redirectView(r *http.Request) uint64 {
 	view, err := strconv.ParseUint(r.URL.Query().Get(viewParameter), 10, 64)
 	if err != nil {
--- a/internal/fleet/control/scenarios_test.go
+++ b/internal/fleet/control/scenarios_test.go
@@ -14,28 +14,29 @@
 	"time"
 )
 
-// scenarioSeeds is how many seeds each scenario is run with; more by a command:
+// scenarioSeeds is the number of seeds with which each scenario is run. To run more:
 //
 //	go test ./internal/fleet/control -run TestScenarios -stacks 300
-var scenarioSeeds = flag.Int("stacks", 4, "seeds that TestScenarios runs each scenario with")
+var scenarioSeeds = flag.Int("stacks", 4, "number of seeds that TestScenarios runs each scenario with")
 
-// firstSeed is the first of them: with -stacks 1, one seed is run again.
+// firstSeed is the first of these seeds. With -stacks 1, only this seed is run, to repeat a failure.
 var firstSeed = flag.Uint64("first-stack", 0, "the first seed that TestScenarios uses")
 
-// operators change and read the configuration, and check the answers against each other.
+// operators change and read the configuration, and check that the responses are consistent.
 type operators struct {
 	cluster *cluster
 
 	mu                  sync.Mutex
-	newestAcknowledged  int64            // version that was acknowledged
-	acknowledgedChanges map[int64]string // by base version, the change that was acknowledged
+	newestAcknowledged  int64            // newest version that was acknowledged
+	acknowledgedChanges map[int64]string // by base version, the service that the acknowledged change added
 	acknowledgedCount   int
 	readCount           int
 	lastVersion         int64
-	unknownOutcomeCount int // changes of which no answer says what became
+	unknownOutcomeCount int // changes for which no response reported the outcome
 }
 
-// change sends a change, again after answers that decide nothing, until one tells whether it was applied.
+// change sends a change, and repeats it for up to 25 s until a response reports the outcome. onlyChange says that no other change is
+// based on the same version, so that a rejection is a fault. lostResponsePercent of the responses are lost.
 func (o *operators) change(base int64, onlyChange bool, lostResponsePercent int) (version int64, applied bool) {
 	o.mu.Lock()
 	o.lastVersion += 1 + int64(o.cluster.randomInt(3))
@@ -51,7 +52,7 @@
 			return version, true
 		case a.status >= 400 && a.status < 500:
 			if onlyChange {
-				o.cluster.recordFault("change %d on %d, the only one, is rejected: %d %s", version, base, a.status, a.body)
+				o.cluster.recordFault("change %d, the only one based on %d, was rejected: %d %s", version, base, a.status, a.body)
 			}
 			return version, false
 		}
@@ -67,14 +68,14 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if acknowledged, exists := o.acknowledgedChanges[base]; exists && acknowledged != name {
-		o.cluster.recordFault("%s and %s are both acknowledged on top of %d", acknowledged, name, base)
+		o.cluster.recordFault("%s and %s, both based on version %d, were both acknowledged", acknowledged, name, base)
 	}
 	o.acknowledgedChanges[base] = name
 	o.newestAcknowledged = max(o.newestAcknowledged, version)
 	o.acknowledgedCount++
 }
 
-// read reads the configuration. The answer must not be older than what was acknowledged before the call.
+// read reads the configuration. The response must contain every change that was acknowledged before the call.
 func (o *operators) read() (version int64, ok bool) {
 	o.mu.Lock()
 	newestAcknowledged := o.newestAcknowledged
@@ -89,19 +90,19 @@
 	o.readCount++
 	o.mu.Unlock()
 	if version < newestAcknowledged {
-		o.cluster.recordFault("a read answers version %d after %d was acknowledged", version, newestAcknowledged)
+		o.cluster.recordFault("a read returned version %d after %d was acknowledged", version, newestAcknowledged)
 	}
 	services := servicesOf(a.body)
 	for _, name := range names {
 		if !services[name] {
-			o.cluster.recordFault("a read answers version %d without %s, which was acknowledged", version, name)
+			o.cluster.recordFault("a read returned version %d without %s, which was acknowledged", version, name)
 			break
 		}
 	}
 	return version, true
 }
 
-// readVersion reads until an answer has a version.
+// readVersion repeats a read until it succeeds, and returns the version.
 func (o *operators) readVersion() int64 {
 	for {
 		if version, ok := o.read(); ok {
@@ -111,7 +112,8 @@
 	}
 }
 
-// run changes the configuration until a deadline, alone or in competition with another operator.
+// run changes the configuration until a deadline. In each round, as many operators as writers says send changes that are based on the
+// same version.
 func (o *operators) run(deadline time.Time, writers, lostResponsePercent int, pause time.Duration) {
 	var changes sync.WaitGroup
 	for time.Now().Before(deadline) {
@@ -125,21 +127,21 @@
 	}
 }
 
-// scenario is a sequence of faults during the operators' work.
+// scenario is a sequence of faults that are injected while operators change the configuration.
 type scenario struct {
-	writers, lostResponsePercent int // concurrent operators; percent of answers that are lost
+	writers, lostResponsePercent int // number of concurrent operators; percentage of responses that are lost
 	pause                        time.Duration
 	injectFaults                 func(c *cluster)
 }
 
 const (
 	scenarioDuration = 30 * time.Second
-	minAcknowledged  = 4 // changes that have to be acknowledged in a run for it to prove anything
+	minAcknowledged  = 4 // a run with fewer acknowledged changes fails, because it tests too little
 )
 
-// scenarios by name; the number at the front is that of the requirement in docs/design/control-state.md.
+// scenarios are keyed by name. A name starts with the number of the requirement in docs/design/control-state.md that it tests.
 var scenarios = map[string]scenario{
-	"1 a control machine is partitioned for twenty seconds": {writers: 1, pause: 300 * time.Millisecond, injectFaults: func(c *cluster) {
+	"1 a core machine is partitioned for 20 seconds": {writers: 1, pause: 300 * time.Millisecond, injectFaults: func(c *cluster) {
 		a := []string{c.anyAddress()}
 		c.logEvent("%v is partitioned", a)
 		c.setPartitioned(a, true)
@@ -147,7 +149,7 @@
 		c.setPartitioned(a, false)
 		c.logEvent("the partition heals")
 	}},
-	"1 the core is partitioned in halves, and those that were ahead are killed": {writers: 1, pause: 300 * time.Millisecond, injectFaults: func(c *cluster) {
+	"1 a machine misses changes, and the up-to-date machines are restarted": {writers: 1, pause: 300 * time.Millisecond, injectFaults: func(c *cluster) {
 		for range 3 {
 			lagging := c.anyAddress()
 			c.logEvent("%s misses changes", lagging)
@@ -162,23 +164,23 @@
 			time.Sleep(4 * time.Second)
 		}
 	}},
-	"2 two operators and lost answers": {writers: 2, lostResponsePercent: 50, pause: 200 * time.Millisecond, injectFaults: func(c *cluster) {
+	"2 two operators and lost responses": {writers: 2, lostResponsePercent: 50, pause: 200 * time.Millisecond, injectFaults: func(c *cluster) {
 		for range 4 {
 			time.Sleep(c.randomDuration(2*time.Second, 6*time.Second))
 			c.restart(c.anyAddress(), c.randomDuration(100*time.Millisecond, 2*time.Second), false)
 		}
 	}},
-	"2 changes repeated at another machine while primaries change": {writers: 1, lostResponsePercent: 60, pause: 100 * time.Millisecond, injectFaults: func(c *cluster) {
+	"2 changes retried at another machine during elections": {writers: 1, lostResponsePercent: 60, pause: 100 * time.Millisecond, injectFaults: func(c *cluster) {
 		for range 6 {
 			time.Sleep(c.randomDuration(time.Second, 4*time.Second))
 			a := []string{c.anyAddress()}
-			c.logEvent("%v is partitioned for a moment", a)
+			c.logEvent("%v is partitioned for 0.5 to 2 s", a)
 			c.setPartitioned(a, true)
 			time.Sleep(c.randomDuration(500*time.Millisecond, 2*time.Second))
 			c.setPartitioned(a, false)
 		}
 	}},
-	"2 changes repeated at a machine that was restored from a snapshot": {writers: 1, lostResponsePercent: 55, pause: 50 * time.Millisecond, injectFaults: func(c *cluster) {
+	"2 changes retried at a machine that was restored from a snapshot": {writers: 1, lostResponsePercent: 55, pause: 50 * time.Millisecond, injectFaults: func(c *cluster) {
 		for range 5 {
 			wiped := c.anyAddress()
 			c.restart(wiped, 200*time.Millisecond, true)
@@ -187,11 +189,11 @@
 			time.Sleep(c.randomDuration(2*time.Second, 3*time.Second))
 		}
 	}},
-	"3 a second loss after a planned replacement": {writers: 1, pause: 300 * time.Millisecond, injectFaults: func(c *cluster) {
+	"3 a machine loses its disk after a planned replacement": {writers: 1, pause: 300 * time.Millisecond, injectFaults: func(c *cluster) {
 		retiring := c.anyAddress()
 		added := c.addMachine(addressOf(len(c.peers())))
 		added.start(nil)
-		c.logEvent("%s starts, to replace %s", added.address, retiring)
+		c.logEvent("%s starts as the replacement of %s", added.address, retiring)
 		time.Sleep(c.randomDuration(500*time.Millisecond, 3*time.Second))
 		c.replace(retiring)
 		time.Sleep(c.randomDuration(0, 3*time.Second))
@@ -203,7 +205,7 @@
 		}
 		time.Sleep(12 * time.Second)
 	}},
-	"4 hundreds of changes and returning machines": {writers: 1, pause: 0, injectFaults: func(c *cluster) {
+	"4 hundreds of changes and restarted machines": {writers: 1, pause: 0, injectFaults: func(c *cluster) {
 		restarted := c.anyAddress()
 		c.restart(restarted, 12*time.Second, false)
 		time.Sleep(15 * time.Second)
@@ -215,7 +217,8 @@
 	}},
 }
 
-// restartOthers restarts all other machines, so that a primary is elected that may have been restored from a snapshot.
+// restartOthers restarts all machines but one, so that a new primary is elected. It may be the one that was not restarted, whose state
+// was restored from a snapshot.
 func (c *cluster) restartOthers(address string) {
 	for _, a := range c.peers() {
 		if a != address {
@@ -224,13 +227,13 @@
 	}
 }
 
-// restart kills a machine, and starts it again after a time.
+// restart kills a machine, and starts it again after a delay, with an empty disk if wiped is set.
 func (c *cluster) restart(address string, after time.Duration, wiped bool) {
 	m := c.running(address)
 	if m == nil {
 		return
 	}
-	c.logEvent("%s is killed for %v, its disk lost: %v", address, after, wiped)
+	c.logEvent("%s is killed and restarts after %v, disk wiped: %v", address, after, wiped)
 	m.kill()
 	if wiped {
 		m.wipe()
@@ -238,7 +241,7 @@
 	time.AfterFunc(after, func() { m.start(nil) })
 }
 
-// replace shuts a machine down for good once it is released, or after the grace period.
+// replace makes a machine resign, and removes it once its replica may stop, or after a grace period of 7.5 s.
 func (c *cluster) replace(address string) {
 	m := c.running(address)
 	c.logEvent("%s resigns", address)
@@ -247,15 +250,16 @@
 	for deadline := time.Now().Add(5 * time.Second); !m.currentReplica().CanStop() && time.Now().Before(deadline); {
 		time.Sleep(50 * time.Millisecond)
 	}
-	c.logEvent("%s stops for good, released: %v", address, m.currentReplica().CanStop())
+	c.logEvent("%s is removed, its replica may stop: %v", address, m.currentReplica().CanStop())
 	m.kill()
 	c.mu.Lock()
 	c.memberAddresses = slices.DeleteFunc(c.memberAddresses, func(a string) bool { return a == address })
 	c.mu.Unlock()
 }
 
-// Guards against lost, forked or stale configurations under the operators' worst faults. Each run is a complete control plane on
-// a fake clock: replicas with logs on a disk, the control API, and the dissemination to all.
+// Guards against acknowledged changes that are lost, conflicting changes that are both acknowledged, and stale reads, while machines
+// are partitioned, killed, wiped and replaced. Each run has replicas with logs on disk, the control API and the dissemination, on a
+// fake clock.
 func TestScenarios(t *testing.T) {
 	for name, s := range scenarios {
 		t.Run(name, func(t *testing.T) {
@@ -285,18 +289,18 @@
 	if len(c.faults) > 0 {
 		t.Fatalf("seed %d: %s\n%s", seed, c.faults[0], strings.Join(c.events, "\n"))
 	}
-	t.Logf("seed %d: %d changes acknowledged, %d reads, %d changes unclear", seed, o.acknowledgedCount, o.readCount, o.unknownOutcomeCount)
+	t.Logf("seed %d: %d changes acknowledged, %d reads, %d changes with unknown outcome", seed, o.acknowledgedCount, o.readCount, o.unknownOutcomeCount)
 	if o.acknowledgedCount < minAcknowledged {
 		t.Errorf("seed %d: only %d changes were acknowledged\n%s", seed, o.acknowledgedCount, strings.Join(c.events, "\n"))
 	}
 }
 
-// expectService checks that a change is applied, that all machines act on it within configApplyMs, and that all of the core are
-// members.
+// checkRecovery checks at the end of a run that a change is applied, that all machines use it within configApplyMs, and that the view
+// has all three machines of the core as members.
 func (o *operators) checkRecovery(t *testing.T) {
 	version, applied := o.change(o.readVersion(), true, 0)
 	if !applied {
-		o.cluster.recordFault("change %d is not applied at the end", version)
+		o.cluster.recordFault("change %d was not applied at the end", version)
 		return
 	}
 	time.Sleep(2 * time.Second)
@@ -310,11 +314,11 @@
 		table := m.node.Config.Table
 		m.mu.Unlock()
 		if table == nil || table.Version != version {
-			o.cluster.recordFault("%s does not act on version %d at the end", address, version)
+			o.cluster.recordFault("%s does not use version %d at the end", address, version)
 		}
 		view := m.currentReplica().View()
 		if len(view.Members) != 3 {
-			o.cluster.recordFault("%s knows %d members at the end", address, len(view.Members))
+			o.cluster.recordFault("%s has a view with %d members at the end", address, len(view.Members))
 		}
 	}
 }
--- a/internal/fleet/control/server.go
+++ b/internal/fleet/control/server.go
@@ -1,9 +1,9 @@
-// Package control serves the HTTP API of a router's control address: operators change and read the configuration, and
-// endpoints send heartbeats and deregister.
+// Package control serves the HTTP API of a router's control address: operators change and read the configuration, endpoints send
+// heartbeats and deregister, and applications use the coordination service.
 //
-// Every router serves the API. One that can't serve a call about the configuration, because it is not the primary, redirects
-// the caller to the primary. Endpoints may report to any router. The package has no state but a counter: decisions are the
-// Delegate's.
+// Every router serves the API. A router that can't serve a call about the configuration, because it is not the primary, redirects
+// the client to the primary. Endpoints may report to any router. The package keeps no state but a counter: the Delegate and the
+// Coordinator execute the calls.
 package control
 
 import (
@@ -17,32 +17,32 @@
 	"pinelb.example/pinelb/internal/fleet/registry"
 )
 
-// Delegate is what the API needs of the rest of the router. Its methods are called by several goroutines.
+// Delegate is the interface through which the API uses the rest of the router. Its methods are called concurrently.
 type Delegate interface {
-	// Submit has a change of the configuration committed. Errors are package replica's, or a config.InvalidError.
+	// Submit commits a change of the configuration. Errors are those of replica.Replica.Submit, among them a *config.InvalidError.
 	Submit(ctx context.Context, change *config.Change) error
-	// Read returns the newest committed configuration. Errors are package replica's.
+	// Read returns the newest committed configuration. Errors are those of replica.Replica.Read.
 	Read(ctx context.Context) (*config.Document, error)
-	// PrimaryControl returns the number of the newest view that is known, and the control address of its primary, which
-	// takes changes; empty where that is not known.
+	// PrimaryControl returns the number of the newest known view, and the control address of its primary; the address is empty if
+	// it is not known.
 	PrimaryControl() (view uint64, address string)
-	// HandleEndpointReport applies an endpoint's report of itself. An error says that the end of its service can't be
-	// acknowledged: it is not sure that the other routers learn of it.
+	// HandleEndpointReport applies an endpoint's heartbeat or deregistration. An error means that the endpoint's draining or
+	// deregistration can't be acknowledged, because the other routers may not learn of it.
 	HandleEndpointReport(ctx context.Context, endpoint registry.Endpoint) error
-	// EndpointService returns the service that an endpoint with that ID has named; empty where the endpoint is not known.
+	// EndpointService returns the service of the endpoint with that ID, or an empty string if the endpoint is not known.
 	EndpointService(id string) string
 }
 
-// Server is the API's HTTP handler.
+// Server is the HTTP handler of the API.
 type Server struct {
 	delegate Delegate
-	address  string // of this API
+	address  string // host and port of this API
 	handler  *mux.Router
 
-	Rejected atomic.Uint64 // calls that were answered with a status of 4xx
+	Rejected atomic.Uint64 // calls that failed with a requestError
 }
 
-// NewServer returns the handler of the API that is served at address, a host and port.
+// NewServer returns the handler of an API that is served at address, a host and port.
 func NewServer(delegate Delegate, address string) *Server {
 	s := &Server{delegate: delegate, address: address, handler: mux.NewRouter()}
 	s.handle(http.MethodPost, "/instances/{id}/heartbeat", s.heartbeat)
@@ -55,7 +55,7 @@
 
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.handler.ServeHTTP(w, r) }
 
-// callHandler serves a call. Where it returns an error it has written nothing: writeError answers in its place.
+// callHandler serves a call. If it returns an error it has not written a response: writeError writes it.
 type callHandler func(http.ResponseWriter, *http.Request) error
 
 func (s *Server) handle(method, path string, handler callHandler) {
--- a/internal/fleet/control/server_test.go
+++ b/internal/fleet/control/server_test.go
@@ -15,14 +15,14 @@
 	"pinelb.example/pinelb/internal/fleet/replica"
 )
 
-// fakeDelegate records calls and answers them with what a test has set.
+// fakeDelegate records calls and returns the values that a test has set.
 type fakeDelegate struct {
 	err         error
 	changes     []*config.Change
 	primary     string
 	view        uint64
 	reports     []registry.Endpoint
-	reportError error // for reports that end the service
+	reportError error // returned for reports of a state other than ready
 	service     string
 }
 
@@ -56,7 +56,7 @@
 }
 
 func TestConfigChanges(t *testing.T) {
-	Convey("The outcome of a change decides the answer", t, func() {
+	Convey("The outcome of a change determines the response", t, func() {
 		for _, c := range []struct {
 			err     error
 			primary string
@@ -103,7 +103,7 @@
 
 func TestEndpointReports(t *testing.T) {
 	beat := `{"service":"s","address":"10.0.0.9:1","zone":"z","capacity":8,"state":"draining","warmupMs":5,"sequence":4}`
-	Convey("A heartbeat is reported, and the next one requested here", t, func() {
+	Convey("A heartbeat is reported, and the response has this router's URL for the next one", t, func() {
 		delegate := &fakeDelegate{}
 		response := delegate.call("POST", "/instances/i-1/heartbeat", beat)
 		So(response.Code, ShouldEqual, http.StatusOK)
@@ -116,12 +116,12 @@
 		So(delegate.call("POST", "/instances/i-1/deregister", "").Code, ShouldEqual, http.StatusOK)
 		So(delegate.reports[0].State, ShouldEqual, registry.Deregistered)
 	})
-	Convey("An end that other routers may not learn of is not acknowledged, so that the endpoint tells another router", t, func() {
+	Convey("Draining and deregistration are not acknowledged if the other routers may not learn of them, so that the endpoint reports to another router", t, func() {
 		delegate := &fakeDelegate{reportError: replica.ErrNotPrimary}
 		So(delegate.call("POST", "/instances/i-1/heartbeat", beat).Code, ShouldEqual, http.StatusServiceUnavailable)
 		So(delegate.call("POST", "/instances/i-1/deregister", "").Code, ShouldEqual, http.StatusServiceUnavailable)
-		So(len(delegate.reports), ShouldEqual, 2) // this router sends it nothing more all the same
-		Convey("while a report of a ready endpoint is acknowledged", func() {
+		So(len(delegate.reports), ShouldEqual, 2) // the delegate receives both reports nevertheless
+		Convey("A heartbeat of a ready endpoint is acknowledged nevertheless", func() {
 			ready := strings.Replace(beat, "draining", "ready", 1)
 			So(delegate.call("POST", "/instances/i-1/heartbeat", ready).Code, ShouldEqual, http.StatusOK)
 		})
@@ -141,7 +141,7 @@
 	})
 }
 
-// Guards against two routers that each take the other for the primary and redirect an operator to and fro.
+// Guards against two routers that each consider the other the primary and redirect an operator back and forth.
 func TestRedirectsFollowNewerViews(t *testing.T) {
 	Convey("A caller that another router has redirected", t, func() {
 		behind := &fakeDelegate{err: replica.ErrNotPrimary, primary: "10.0.0.2:9", view: 3}
@@ -153,18 +153,18 @@
 			So(response.Code, ShouldEqual, http.StatusServiceUnavailable)
 			So(response.Header().Get("Retry-After"), ShouldNotBeEmpty)
 		})
-		Convey("by this view is not redirected", func() {
+		Convey("by this router's view is not redirected", func() {
 			So(send("/config/modify?view=3").Code, ShouldEqual, http.StatusServiceUnavailable)
 		})
-		Convey("by an older one is redirected, with the number of this view", func() {
+		Convey("by an older view is redirected, with the number of this router's view", func() {
 			response := send("/config/modify?view=2")
 			So(response.Code, ShouldEqual, http.StatusTemporaryRedirect)
 			So(response.Header().Get("Location"), ShouldEqual, "http://10.0.0.2:9/config/modify?view=3")
 		})
-		Convey("by what is no number is redirected", func() {
+		Convey("by a view that is not a number is redirected", func() {
 			So(send("/config/modify?view=x").Code, ShouldEqual, http.StatusTemporaryRedirect)
 		})
-		Convey("reads follow the same rule", func() {
+		Convey("to read by a newer view is not redirected either", func() {
 			So(behind.call("GET", "/config/read?view=4", "").Code, ShouldEqual, http.StatusServiceUnavailable)
 		})
 	})
--- a/internal/fleet/control/watch.go
+++ b/internal/fleet/control/watch.go
@@ -9,13 +9,14 @@
 	"pinelb.example/pinelb/internal/fleet/coordination"
 )
 
-// watchPollInterval is how long one operation waits for events. A watch repeats it, each time at the machine that then decides the group.
+// watchPollInterval is the maximum time that one operation waits for events. A watch repeats the operation, each time on the machine
+// that decides the group's operations at that time.
 const watchPollInterval = 400 * time.Millisecond
 
-// watchRetryInterval is the pause after an operation that failed.
+// watchRetryInterval is the pause after a failed operation.
 const watchRetryInterval = 50 * time.Millisecond
 
-// watch answers with the puts after a revision, as soon as there are any.
+// watch responds with the puts after a revision, as soon as there are any, or without puts when the client's wait has elapsed.
 func (h *coordinationHandlers) watch(w http.ResponseWriter, r *http.Request) error {
 	group, err := readName(r)
 	if err != nil {
@@ -44,8 +45,8 @@
 	return nil
 }
 
-// awaitEvents repeats a watch until there are events, the deadline has passed, or this machine shuts down. An error is that of the last
-// operation, where none succeeded.
+// awaitEvents repeats a watch until its outcome is no longer Pending, the deadline has passed, ctx is done, or this machine shuts
+// down. It returns an error, that of the last operation, only if no operation succeeded.
 func (h *coordinationHandlers) awaitEvents(ctx context.Context, op *coordination.Operation, deadline time.Time) (coordination.Result, error) {
 	var lastResult coordination.Result
 	for {
@@ -67,6 +68,7 @@
 	}
 }
 
+// pause waits for d, or until ctx is done.
 func pause(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -84,7 +86,7 @@
 	return response
 }
 
-// readUint returns a whole number of a call's query; 0 where it is not given.
+// readUint returns an unsigned integer from the query of a request, or 0 if the parameter is missing. The maximum is 1<<63 - 1.
 func readUint(r *http.Request, name string) (uint64, error) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
--- a/internal/fleet/control/watch_test.go
+++ b/internal/fleet/control/watch_test.go
@@ -32,20 +32,20 @@
 		operations int
 		duration   time.Duration
 	}{
-		{"answers with events at once", []coordinatorResponse{events}, "60000", 0, http.StatusOK, withEvents, 1, 0},
-		{"answers as soon as there are events", []coordinatorResponse{pending, events}, "60000", 0, http.StatusOK, withEvents, 2, watchPollInterval},
-		{"goes on after errors", []coordinatorResponse{failure, failure, events}, "60000", 0, http.StatusOK, withEvents, 3, 2 * watchRetryInterval},
-		{"goes on after errors and waits", []coordinatorResponse{pending, failure, events}, "60000", 0, http.StatusOK, withEvents, 3,
+		{"responds with events at once", []coordinatorResponse{events}, "60000", 0, http.StatusOK, withEvents, 1, 0},
+		{"responds as soon as there are events", []coordinatorResponse{pending, events}, "60000", 0, http.StatusOK, withEvents, 2, watchPollInterval},
+		{"continues after errors", []coordinatorResponse{failure, failure, events}, "60000", 0, http.StatusOK, withEvents, 3, 2 * watchRetryInterval},
+		{"continues after an operation without events and an error", []coordinatorResponse{pending, failure, events}, "60000", 0, http.StatusOK, withEvents, 3,
 			watchPollInterval + watchRetryInterval},
-		{"answers without events at the end of its time", []coordinatorResponse{pending}, "1000", 0, http.StatusOK, withoutEvents, 3, time.Second},
-		{"answers without events where its last operation failed", []coordinatorResponse{pending, failure}, "450", 0, http.StatusOK,
+		{"responds without events when its wait has elapsed", []coordinatorResponse{pending}, "1000", 0, http.StatusOK, withoutEvents, 3, time.Second},
+		{"responds without events if only its last operation failed", []coordinatorResponse{pending, failure}, "450", 0, http.StatusOK,
 			withoutEvents, 3, 450 * time.Millisecond},
-		{"fails where no operation succeeded", []coordinatorResponse{failure}, "100", 0, http.StatusGatewayTimeout, "", 3, 2 * watchRetryInterval},
-		{"answers once this router shuts down", []coordinatorResponse{pending}, "60000", 1, http.StatusOK, withoutEvents, 1, watchPollInterval},
-		{"answers after an error once this router shuts down", []coordinatorResponse{pending, failure}, "60000", 2, http.StatusOK,
+		{"fails if no operation succeeded", []coordinatorResponse{failure}, "100", 0, http.StatusGatewayTimeout, "", 3, 2 * watchRetryInterval},
+		{"responds once this router shuts down", []coordinatorResponse{pending}, "60000", 1, http.StatusOK, withoutEvents, 1, watchPollInterval},
+		{"responds once this router shuts down, even after an error", []coordinatorResponse{pending, failure}, "60000", 2, http.StatusOK,
 			withoutEvents, 2, watchPollInterval},
-		{"asks once where it does not wait", []coordinatorResponse{pending}, "0", 0, http.StatusOK, withoutEvents, 1, 0},
-		{"asks once where its time is not given", []coordinatorResponse{pending}, "", 0, http.StatusOK, withoutEvents, 1, 0},
+		{"executes one operation if its wait is 0", []coordinatorResponse{pending}, "0", 0, http.StatusOK, withoutEvents, 1, 0},
+		{"executes one operation if its wait is not given", []coordinatorResponse{pending}, "", 0, http.StatusOK, withoutEvents, 1, 0},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			Convey("A watch "+c.name, t, func() {
@@ -67,17 +67,17 @@
 }
 
 func TestWatchBounds(t *testing.T) {
-	Convey("A watch of a very long time is answered, as one of the longest time", t, func() {
+	Convey("A watch whose wait exceeds the maximum is served with the maximum", t, func() {
 		coordinator := newFakeCoordinator(coordination.Result{Outcome: coordination.Done, Revision: 1})
 		So(coordinator.call("GET", "/watch/g.?sinceRevision=1&waitMs=9223372036854775807", "").Code, ShouldEqual, http.StatusOK)
 		So(coordinator.maxWaits, ShouldResemble, []time.Duration{watchPollInterval})
 	})
-	Convey("A watch of a key is one of its group", t, func() {
+	Convey("A watch of a key watches its group", t, func() {
 		coordinator := newFakeCoordinator(coordination.Result{Outcome: coordination.Done, Revision: 1})
 		So(coordinator.call("GET", "/watch/g.a", "").Code, ShouldEqual, http.StatusOK)
 		So(coordinator.operations[0].Name.ID, ShouldEqual, "g.")
 	})
-	Convey("A watch ends with its caller", t, func() {
+	Convey("A watch ends when its client disconnects", t, func() {
 		handlers := &coordinationHandlers{coordinator: newFakeCoordinator(coordination.Result{Outcome: coordination.Pending})}
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
