--- a/internal/fleet/control/scenarios_test.go
+++ b/internal/fleet/control/scenarios_test.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// run changes the configuration until a deadline. In each round, as many operators as writers says send changes that are based on the
-// same version.
+// run changes the configuration until a deadline. In each round, a number of operators (writers) concurrently send changes
+// that are based on the same version.
 func (o *operators) run(deadline time.Time, writers, lostResponsePercent int, pause time.Duration) {
 	var changes sync.WaitGroup
 	for time.Now().Before(deadline) {
--- a/internal/fleet/control/server_test.go
+++ b/internal/fleet/control/server_test.go
@@ -120,7 +120,7 @@
 		delegate := &fakeDelegate{reportError: replica.ErrNotPrimary}
 		So(delegate.call("POST", "/instances/i-1/heartbeat", beat).Code, ShouldEqual, http.StatusServiceUnavailable)
 		So(delegate.call("POST", "/instances/i-1/deregister", "").Code, ShouldEqual, http.StatusServiceUnavailable)
-		So(len(delegate.reports), ShouldEqual, 2) // the delegate receives both reports nevertheless
+		So(len(delegate.reports), ShouldEqual, 2) // both are applied: this router sends the endpoint no further requests
 		Convey("A heartbeat of a ready endpoint is acknowledged nevertheless", func() {
 			ready := strings.Replace(beat, "draining", "ready", 1)
 			So(delegate.call("POST", "/instances/i-1/heartbeat", ready).Code, ShouldEqual, http.StatusOK)
