--- a/internal/fleet/control/cluster_test.go
+++ b/internal/fleet/control/cluster_test.go
@@ -26,29 +26,29 @@
 	"pinelb.example/pinelb/internal/fleet/replication"
 )
 
-// cluster is a core of complete control planes: replica, log on a disk, control API and dissemination, on a fake clock
-// (testing/synctest) and a scripted network.
+// cluster is a core of machines, each with a replica, its log on disk, the control API and the dissemination. It runs on a fake clock
+// (testing/synctest) and a simulated network.
 type cluster struct {
 	root      string
 	tolerance int
 	startedAt time.Time
 
-	mu         sync.Mutex
-	random     *rand.Rand
-	machines   map[string]*machine
-	order      []string
-	partitions map[[2]string]bool
-	events     []string
-	faults     []string
+	mu              sync.Mutex
+	random          *rand.Rand
+	machines        map[string]*machine
+	memberAddresses []string
+	partitions      map[[2]string]bool
+	events          []string
+	faults          []string
 }
 
-// machine is one control plane. Its process may be killed and started again, with its disk or without.
+// machine is one machine of the core. Its process may be killed and restarted, with its disk or with an empty one.
 type machine struct {
 	cluster *cluster
 	address string
 	disk    string
 
-	mu      sync.Mutex // of what follows
+	mu      sync.Mutex // guards the fields below
 	up      bool
 	replica *replica.Replica
 	node    *dissemination.Gossiper
@@ -62,28 +62,28 @@
 		root: root, tolerance: tolerance, startedAt: time.Now(), random: rand.New(rand.NewPCG(seed, 3)),
 		machines: map[string]*machine{}, partitions: map[[2]string]bool{},
 	}
-	var founders []string
+	var bootstrapAddresses []string
 	for i := range machines {
-		founders = append(founders, addressOf(i))
+		bootstrapAddresses = append(bootstrapAddresses, addressOf(i))
 	}
-	for _, address := range founders {
+	for _, address := range bootstrapAddresses {
 		c.addMachine(address)
 	}
-	for _, address := range founders {
-		c.machines[address].start(founders)
+	for _, address := range bootstrapAddresses {
+		c.machines[address].start(bootstrapAddresses)
 	}
 	return c
 }
 
 func addressOf(i int) string { return fmt.Sprintf("10.0.0.%d:1", i+1) }
 
-// addMachine adds a machine with an empty disk that is off.
+// addMachine adds a machine with an empty disk. Its process is not started.
 func (c *cluster) addMachine(address string) *machine {
-	m := &machine{cluster: c, address: address, disk: filepath.Join(c.root, strconv.Itoa(len(c.order)))}
+	m := &machine{cluster: c, address: address, disk: filepath.Join(c.root, strconv.Itoa(len(c.memberAddresses)))}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.machines[address] = m
-	c.order = append(c.order, address)
+	c.memberAddresses = append(c.memberAddresses, address)
 	return m
 }
 
@@ -93,26 +93,27 @@
 	c.events = append(c.events, fmt.Sprintf("%8.3f  ", time.Since(c.startedAt).Seconds())+fmt.Sprintf(format, values...))
 }
 
-func (c *cluster) fail(format string, values ...any) {
+// recordFault records a violated expectation, for which the test fails at the end of the run.
+func (c *cluster) recordFault(format string, values ...any) {
 	c.logEvent("FAULT: "+format, values...)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.faults = append(c.faults, fmt.Sprintf(format, values...))
 }
 
-func (c *cluster) randomDuration(shortest, longest time.Duration) time.Duration {
+func (c *cluster) randomDuration(minDuration, maxDuration time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return shortest + time.Duration(c.random.Int64N(int64(longest-shortest)+1))
+	return minDuration + time.Duration(c.random.Int64N(int64(maxDuration-minDuration)+1))
 }
 
-func (c *cluster) randomInt(below int) int {
+func (c *cluster) randomInt(limit int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.random.IntN(below)
+	return c.random.IntN(limit)
 }
 
-// running returns the machine at an address; nil: none runs there.
+// running returns the machine at an address, or nil if it is not running.
 func (c *cluster) running(address string) *machine {
 	c.mu.Lock()
 	m := c.machines[address]
@@ -134,31 +135,31 @@
 	return c.partitions[[2]string{from, to}]
 }
 
-// setPartitioned cuts machines off from all others, or heals that partition.
-func (c *cluster) setPartitioned(addresses []string, isCut bool) {
+// setPartitioned partitions machines from all others and from each other, or heals that partition.
+func (c *cluster) setPartitioned(addresses []string, partitioned bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, a := range addresses {
-		for _, b := range c.order {
-			c.partitions[[2]string{a, b}], c.partitions[[2]string{b, a}] = isCut, isCut
+		for _, b := range c.memberAddresses {
+			c.partitions[[2]string{a, b}], c.partitions[[2]string{b, a}] = partitioned, partitioned
 		}
 	}
 }
 
-// deliver lets a message arrive after a time, unless it is lost or a partition stops it.
-func (c *cluster) deliver(from, to string, arrive func(*machine)) {
+// deliver passes a message to handle after a random delay. It drops 1 % of the messages, and those that arrive across a partition.
+func (c *cluster) deliver(from, to string, handle func(*machine)) {
 	if c.randomInt(100) == 0 {
 		return
 	}
 	time.AfterFunc(c.randomDuration(time.Millisecond, 8*time.Millisecond), func() {
 		if m := c.running(to); m != nil && !c.isPartitioned(from, to) {
-			arrive(m)
+			handle(m)
 		}
 	})
 }
 
-// start starts the machine's process with what is on its disk.
-func (m *machine) start(founders []string) {
+// start starts the machine's process with the present content of its disk.
+func (m *machine) start(bootstrapAddresses []string) {
 	started := time.Now()
 	clock := func() time.Duration { return time.Since(started) }
 	stop := make(chan struct{})
@@ -171,13 +172,13 @@
 	m.clock, m.stop, m.node = clock, stop, node
 	m.mu.Unlock()
 	r, err := replica.Start(replica.Options{
-		Address: m.address, Directory: m.disk, BootstrapWitnesses: founders, Votes: true, Log: zap.NewNop(),
+		Address: m.address, Directory: m.disk, BootstrapWitnesses: bootstrapAddresses, Votes: true, Log: zap.NewNop(),
 		Tolerance: replication.Tolerance{Machines: m.cluster.tolerance}, Timing: replication.DefaultTiming(),
 		LocalityOf: func(a string) replication.Locality {
 			return replication.Locality{Zone: a, Known: true, CountsForQuorum: true}
 		},
 		Peers: m.cluster.peers, Clock: clock, Send: m.sendReplication,
-		OnCommit: m.committed,
+		OnCommit: m.handleCommit,
 		OnViewChange: func(view replication.View) {
 			m.step(func(now time.Duration) *dissemination.Output {
 				if view.Primary.Address != m.address {
@@ -189,7 +190,7 @@
 		},
 	})
 	if err != nil {
-		m.cluster.fail("%s does not start: %v", m.address, err)
+		m.cluster.recordFault("%s failed to start: %v", m.address, err)
 		return
 	}
 	m.mu.Lock()
@@ -202,10 +203,10 @@
 func (c *cluster) peers() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]string(nil), c.order...)
+	return append([]string(nil), c.memberAddresses...)
 }
 
-// kill ends the process at once.
+// kill stops the process without a graceful shutdown.
 func (m *machine) kill() {
 	m.mu.Lock()
 	if !m.up {
@@ -219,10 +220,10 @@
 	r.Close()
 }
 
-// wipe deletes the disk of a machine that is off.
+// wipe deletes the disk of a machine whose process is not running.
 func (m *machine) wipe() {
 	if err := os.RemoveAll(m.disk); err != nil {
-		m.cluster.fail("%v", err)
+		m.cluster.recordFault("%v", err)
 	}
 }
 
@@ -244,7 +245,7 @@
 	}
 }
 
-// step runs a step of the dissemination, and sends its output.
+// step runs a step of the dissemination, and executes the actions in its output.
 func (m *machine) step(do func(now time.Duration) *dissemination.Output) {
 	m.mu.Lock()
 	out := do(m.clock())
@@ -262,23 +263,23 @@
 		}()
 	}
 	if out.BuildError != nil {
-		m.cluster.fail("%s can't use what it received: %v", m.address, out.BuildError)
+		m.cluster.recordFault("%s can't build a table from the received configuration: %v", m.address, out.BuildError)
 	}
 	if out.Fetch != nil {
 		m.fetch(out.Fetch)
 	}
 }
 
-// fetch makes a call to another machine, which ends once: by its reply, or by its time-out.
+// fetch sends a request to another machine, and handles either its reply or its time-out, whichever is first.
 func (m *machine) fetch(fetch *dissemination.Fetch) {
 	m.mu.Lock()
-	node, asked := m.node, m.clock()
+	node, requestedAt := m.node, m.clock()
 	m.mu.Unlock()
 	var once sync.Once
 	end := func(handle func(now time.Duration) *dissemination.Output) {
 		once.Do(func() {
 			m.step(func(now time.Duration) *dissemination.Output {
-				if m.node != node { // another process
+				if m.node != node { // the process was restarted in the meantime
 					return &dissemination.Output{}
 				}
 				return handle(now)
@@ -300,7 +301,7 @@
 		m.cluster.deliver(fetch.From, m.address, func(*machine) {
 			timer.Stop()
 			end(func(now time.Duration) *dissemination.Output {
-				return node.HandleFetchReply(now, asked, fetch.From, reply)
+				return node.HandleFetchReply(now, requestedAt, fetch.From, reply)
 			})
 		})
 	})
@@ -309,20 +310,21 @@
 func (m *machine) sendReplication(to string, nonce uint64, message replication.Envelope) {
 	from := replication.Replica{Address: m.address, Nonce: nonce}
 	m.cluster.deliver(m.address, to, func(at *machine) {
-		if err := at.current().Deliver(from, message); err != nil {
-			m.cluster.fail("%s can't read a message: %v", to, err)
+		if err := at.currentReplica().Deliver(from, message); err != nil {
+			m.cluster.recordFault("%s can't decode a message: %v", to, err)
 		}
 	})
 }
 
-// current returns the replica of the present process.
-func (m *machine) current() *replica.Replica {
+// currentReplica returns the replica of the machine's present process.
+func (m *machine) currentReplica() *replica.Replica {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.replica
 }
 
-func (m *machine) committed(c replica.Commit) {
+// handleCommit passes a committed configuration to the dissemination.
+func (m *machine) handleCommit(c replica.Commit) {
 	var encoded []byte
 	if c.Change != nil {
 		encoded, _ = c.Change.Encode()
@@ -350,25 +352,25 @@
 func (d *clusterDelegate) HandleEndpointReport(context.Context, registry.Endpoint) error { return nil }
 func (d *clusterDelegate) EndpointService(string) string                                 { return "" }
 
-// answer is what an operator got for a call; status 0: a time-out.
-type answer struct {
+// response is the response to an operator's call. Status 0 is a time-out.
+type response struct {
 	status   int
 	location string
 	body     string
 }
 
-// call sends a call to one machine. Its answer may be lost.
-func (c *cluster) call(address, method, path, body, base string, lost bool) answer {
+// call sends a call to one machine. If loseResponse is set it returns a time-out even if the machine responds in time.
+func (c *cluster) call(address, method, path, body, base string, loseResponse bool) response {
 	m := c.running(address)
 	time.Sleep(c.randomDuration(3*time.Millisecond, 9*time.Millisecond))
 	if m == nil {
 		time.Sleep(time.Second)
-		return answer{}
+		return response{}
 	}
 	m.mu.Lock()
 	server := m.server
 	m.mu.Unlock()
-	got := make(chan answer, 1)
+	responses := make(chan response, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() {
@@ -378,45 +380,45 @@
 		}
 		recorder := httptest.NewRecorder()
 		server.ServeHTTP(recorder, request)
-		got <- answer{recorder.Code, recorder.Header().Get("Location"), recorder.Body.String()}
+		responses <- response{recorder.Code, recorder.Header().Get("Location"), recorder.Body.String()}
 	}()
 	select {
-	case a := <-got:
-		if lost || c.running(address) != m {
+	case a := <-responses:
+		if loseResponse || c.running(address) != m {
 			time.Sleep(time.Second)
-			return answer{}
+			return response{}
 		}
 		return a
 	case <-time.After(time.Second):
-		return answer{}
+		return response{}
 	}
 }
 
 // callFollowingRedirects calls a machine and follows up to two redirects.
-func (c *cluster) callFollowingRedirects(address, method, path, body, base string, lost bool) answer {
+func (c *cluster) callFollowingRedirects(address, method, path, body, base string, loseResponse bool) response {
 	for range 3 {
-		a := c.call(address, method, path, body, base, lost)
+		a := c.call(address, method, path, body, base, loseResponse)
 		if a.status != http.StatusTemporaryRedirect {
 			return a
 		}
 		target, err := url.Parse(a.location)
 		if err != nil {
-			c.fail("%s redirects to %s: %v", address, a.location, err)
-			return answer{}
+			c.recordFault("%s redirects to %s: %v", address, a.location, err)
+			return response{}
 		}
 		address, path = target.Host, target.RequestURI()
 	}
-	return answer{}
+	return response{}
 }
 
-// anyAddress returns the address of a random machine of the operators' list.
+// anyAddress returns the address of a random machine of the core, running or not.
 func (c *cluster) anyAddress() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.order[c.random.IntN(len(c.order))]
+	return c.memberAddresses[c.random.IntN(len(c.memberAddresses))]
 }
 
-// versionOf returns the version of a configuration; -1: it is no JSON.
+// versionOf returns the version of a configuration, or -1 if it is not valid JSON.
 func versionOf(text string) int64 {
 	var document struct{ Version int64 }
 	if err := json.Unmarshal([]byte(text), &document); err != nil {
@@ -425,7 +427,7 @@
 	return document.Version
 }
 
-// servicesOf returns the names of a configuration's services.
+// servicesOf returns the names of a configuration's services, or an empty set if it is not valid JSON.
 func servicesOf(text string) map[string]bool {
 	var document struct{ Services []struct{ Name string } }
 	names := map[string]bool{}
--- a/internal/fleet/control/coordination.go
+++ b/internal/fleet/control/coordination.go
@@ -15,30 +15,31 @@
 	"pinelb.example/pinelb/internal/fleet/coordination"
 )
 
-// Bounds of what applications may send.
+// Limits of requests from applications.
 const (
-	maxCoordinationBytes = 64 << 10 // of a body
-	maxNameBytes         = 256      // of a name, a key or a holder
+	maxCoordinationBytes = 64 << 10 // size of a request body
+	maxNameBytes         = 256      // size of a name, a key or a holder
 	maxValueBytes        = 16 << 10
 	maxHold              = time.Hour
 	maxWatchWait         = time.Minute
 )
 
-// Coordinator executes the calls of applications. Its methods are called by several goroutines.
+// Coordinator executes coordination operations for applications. Its methods are called concurrently.
 type Coordinator interface {
-	// Execute executes an operation. park is how long a watch waits for events. Errors: a RefusedError where it was not executed and never will
-	// be; any other one says that the outcome is not known.
-	Execute(ctx context.Context, operation *coordination.Operation, park time.Duration) (coordination.Result, error)
-	// Draining reports whether this machine shuts down, so that watches are to be answered.
+	// Execute executes an operation. A watch waits for events for at most maxWait. The error is a *RefusedError if the operation was not
+	// executed and never will be; any other error means that the outcome is unknown.
+	Execute(ctx context.Context, operation *coordination.Operation, maxWait time.Duration) (coordination.Result, error)
+	// Draining reports whether this machine is shutting down, so that waiting watches have to be answered.
 	Draining() bool
 }
 
-// errGroupFull says why a put is not made. A copy of it may yet be made once there is room again, so that it is not refused.
+// errGroupFull reports that a put was not executed because the group of its key is full. The client must not be sent a refusal: a
+// delayed copy of the put may still be executed once the group has room.
 var errGroupFull = errors.New("the group of the key is full")
 
 // RefusedError reports that an operation was not executed and never will be.
 type RefusedError struct {
-	Overloaded bool // too many calls wait; else no machine is known that executes it
+	Overloaded bool // true: too many operations are waiting; false: no machine can execute it at present
 	Err        error
 }
 
@@ -46,7 +47,8 @@
 
 func (e *RefusedError) Unwrap() error { return e.Err }
 
-// HandleCoordination serves the calls of applications, before the first call is served.
+// HandleCoordination adds the routes of the coordination API, whose operations c executes. It must be called before the server
+// serves its first request.
 func (s *Server) HandleCoordination(c Coordinator) {
 	h := &coordinationHandlers{coordinator: c}
 	s.handle(http.MethodPost, "/locks/{id}/begin", h.acquire)
@@ -58,46 +60,46 @@
 	s.handle(http.MethodGet, "/watch/{id}", h.watch)
 }
 
-// coordinationHandlers serve locks, numbers, cells and watches.
+// coordinationHandlers are the handlers of locks, counters, cells (keys with values) and watches.
 type coordinationHandlers struct{ coordinator Coordinator }
 
-// lockCall is the body of a call of a lock. Pointers tell what is missing.
+// lockCall is the body of a call of a lock. A pointer is nil if its field is missing.
 type lockCall struct {
 	Holder string  `json:"holder"`
 	Fence  *uint64 `json:"fence"`
 	HoldMs *int64  `json:"holdMs"`
 }
 
-// putCall is the body of a put.
+// putCall is the body of a put. A pointer is nil if its field is missing.
 type putCall struct {
 	Value      *string `json:"value"`
 	IfRevision *uint64 `json:"ifRevision"`
 }
 
-// fenceAnswer, numberAnswer, revisionAnswer, cellAnswer and watchAnswer are the bodies of answers.
-type fenceAnswer struct {
+// fenceResponse, numberResponse, revisionResponse, cellResponse and watchResponse are the bodies of responses.
+type fenceResponse struct {
 	Fence uint64 `json:"fence"`
 }
 
-type numberAnswer struct {
+type numberResponse struct {
 	Value uint64 `json:"value"`
 }
 
-type revisionAnswer struct {
+type revisionResponse struct {
 	Revision uint64 `json:"revision"`
 }
 
-type cellAnswer struct {
+type cellResponse struct {
 	Value    string `json:"value"`
 	Revision uint64 `json:"revision"`
 }
 
-type watchAnswer struct {
-	Events   []eventAnswer `json:"events"`
-	Revision uint64        `json:"revision"`
+type watchResponse struct {
+	Events   []eventResponse `json:"events"`
+	Revision uint64          `json:"revision"`
 }
 
-type eventAnswer struct {
+type eventResponse struct {
 	Name     string `json:"name"`
 	Value    string `json:"value"`
 	Revision uint64 `json:"revision"`
@@ -116,7 +118,7 @@
 		writeJSON(w, http.StatusConflict, struct{}{})
 		return nil
 	}
-	writeJSON(w, http.StatusOK, fenceAnswer{Fence: result.Fence})
+	writeJSON(w, http.StatusOK, fenceResponse{Fence: result.Fence})
 	return nil
 }
 
@@ -159,7 +161,7 @@
 	if err != nil {
 		return coordinationError(op, err)
 	}
-	writeJSON(w, http.StatusOK, numberAnswer{Value: result.Count})
+	writeJSON(w, http.StatusOK, numberResponse{Value: result.Count})
 	return nil
 }
 
@@ -169,11 +171,11 @@
 		return err
 	}
 	var call putCall
-	if err := readCall(r, &call); err != nil {
+	if err := decodeBody(r, &call); err != nil {
 		return err
 	}
 	if call.Value == nil || len(*call.Value) > maxValueBytes {
-		return badField("value", "is missing, or longer than "+strconv.Itoa(maxValueBytes)+" bytes")
+		return invalidField("value", "is missing, or longer than "+strconv.Itoa(maxValueBytes)+" bytes")
 	}
 	op := groupOperation(coordination.Put, key)
 	op.Value, op.IfRevision = *call.Value, call.IfRevision
@@ -183,11 +185,11 @@
 	}
 	switch result.Outcome {
 	case coordination.Mismatch:
-		writeJSON(w, http.StatusPreconditionFailed, revisionAnswer{Revision: result.Revision})
+		writeJSON(w, http.StatusPreconditionFailed, revisionResponse{Revision: result.Revision})
 	case coordination.Full:
 		return &outcomeUnknownError{errGroupFull}
 	default:
-		writeJSON(w, http.StatusOK, revisionAnswer{Revision: result.Revision})
+		writeJSON(w, http.StatusOK, revisionResponse{Revision: result.Revision})
 	}
 	return nil
 }
@@ -205,33 +207,34 @@
 	if result.Outcome == coordination.Missing {
 		return &requestError{status: http.StatusNotFound, reason: "there is no such key"}
 	}
-	writeJSON(w, http.StatusOK, cellAnswer{Value: result.Value, Revision: result.Revision})
+	writeJSON(w, http.StatusOK, cellResponse{Value: result.Value, Revision: result.Revision})
 	return nil
 }
 
-// groupOperation returns an operation on the group of a key.
+// groupOperation returns an operation on a key and its group.
 func groupOperation(kind coordination.OperationKind, key string) *coordination.Operation {
 	return &coordination.Operation{
 		Kind: kind, Name: coordination.Name{Kind: coordination.KindGroup, ID: coordination.GroupOf(key)}, Key: key,
 	}
 }
 
+// readLockCall reads and checks a call of a lock. Every error is a requestError.
 func readLockCall(r *http.Request, kind coordination.OperationKind) (*coordination.Operation, error) {
 	id, err := readName(r)
 	if err != nil {
 		return nil, err
 	}
 	var call lockCall
-	if err := readCall(r, &call); err != nil {
+	if err := decodeBody(r, &call); err != nil {
 		return nil, err
 	}
 	if call.Holder == "" || len(call.Holder) > maxNameBytes {
-		return nil, badField("holder", "is missing, or longer than "+strconv.Itoa(maxNameBytes)+" bytes")
+		return nil, invalidField("holder", "is missing, or longer than "+strconv.Itoa(maxNameBytes)+" bytes")
 	}
 	op := &coordination.Operation{Kind: kind, Name: coordination.Name{Kind: coordination.KindLock, ID: id}, Holder: call.Holder}
 	if kind != coordination.Acquire {
 		if call.Fence == nil {
-			return nil, badField("fence", "is missing")
+			return nil, invalidField("fence", "is missing")
 		}
 		op.Fence = *call.Fence
 	}
@@ -239,22 +242,23 @@
 		return op, nil
 	}
 	if call.HoldMs == nil || *call.HoldMs <= 0 || *call.HoldMs > maxHold.Milliseconds() {
-		return nil, badField("holdMs", fmt.Sprintf("is missing, or not between 1 and %d", maxHold.Milliseconds()))
+		return nil, invalidField("holdMs", fmt.Sprintf("is missing, or not between 1 and %d", maxHold.Milliseconds()))
 	}
 	op.Hold = time.Duration(*call.HoldMs) * time.Millisecond
 	return op, nil
 }
 
-// readName returns the name in a call's path.
+// readName returns the name of the lock, counter, key or group in the path of a request.
 func readName(r *http.Request) (string, error) {
 	id := mux.Vars(r)["id"]
-	if id == "" || len(id) > maxNameBytes || !utf8.ValidString(id) { // CBOR decodes no other text
-		return "", badField("name", "is empty, longer than "+strconv.Itoa(maxNameBytes)+" bytes, or not UTF-8")
+	if id == "" || len(id) > maxNameBytes || !utf8.ValidString(id) { // CBOR text that is not UTF-8 can't be decoded
+		return "", invalidField("name", "is empty, longer than "+strconv.Itoa(maxNameBytes)+" bytes, or not UTF-8")
 	}
 	return id, nil
 }
 
-func readCall(r *http.Request, call any) error {
+// decodeBody decodes the JSON body of a request into call, a pointer. Every error is a requestError.
+func decodeBody(r *http.Request, call any) error {
 	body, err := readBody(r, maxCoordinationBytes)
 	if err != nil {
 		return &requestError{status: http.StatusBadRequest, reason: "the body can't be read", err: err}
@@ -265,19 +269,20 @@
 	return nil
 }
 
-func badField(field, reason string) error {
+// invalidField returns the requestError for a missing or invalid field.
+func invalidField(field, reason string) error {
 	return &requestError{status: http.StatusBadRequest, reason: field + " " + reason}
 }
 
-// outcomeUnknownError reports that a call of an application may have taken effect, or may yet.
+// outcomeUnknownError reports that a call of an application may have been executed, or may still be.
 type outcomeUnknownError struct{ err error }
 
 func (e *outcomeUnknownError) Error() string { return "the outcome is not known: " + e.err.Error() }
 
 func (e *outcomeUnknownError) Unwrap() error { return e.err }
 
-// coordinationError returns what a call is answered with where it was not executed, or its outcome is not known. A put is never refused: it
-// may repeat one whose outcome is not known, and a refusal would say that its value is never shown.
+// coordinationError converts an error of Coordinator.Execute to a *RefusedError or an outcomeUnknownError. A put is never refused: it
+// may be the retry of a put whose outcome is unknown, and a refusal would promise that no reader will ever see the value.
 func coordinationError(op *coordination.Operation, err error) error {
 	var refused *RefusedError
 	if op.Kind != coordination.Put && errors.As(err, &refused) {
--- a/internal/fleet/control/coordination_test.go
+++ b/internal/fleet/control/coordination_test.go
@@ -15,46 +15,48 @@
 	"pinelb.example/pinelb/internal/fleet/coordination"
 )
 
-// coordinatorAnswer is what a fakeCoordinator answers an operation with.
-type coordinatorAnswer struct {
+// coordinatorResponse is the result of an operation that a fakeCoordinator executes.
+type coordinatorResponse struct {
 	result coordination.Result
 	err    error
 }
 
-// fakeCoordinator records operations and answers them with a script. Its last answer is repeated.
+// fakeCoordinator records operations and returns the responses in their order. It repeats the last one.
 type fakeCoordinator struct {
-	answers    []coordinatorAnswer
-	drainAfter int // operations; 0: it does not shut down
+	responses  []coordinatorResponse
+	drainAfter int // number of operations after which it drains; 0: never
 	operations []coordination.Operation
-	parks      []time.Duration
+	maxWaits   []time.Duration
 }
 
 func (c *fakeCoordinator) Execute(
-	ctx context.Context, operation *coordination.Operation, park time.Duration,
+	ctx context.Context, operation *coordination.Operation, maxWait time.Duration,
 ) (coordination.Result, error) {
 	c.operations = append(c.operations, *operation)
-	c.parks = append(c.parks, park)
-	answer := c.answers[min(len(c.operations), len(c.answers))-1]
-	if answer.result.Outcome == coordination.Pending {
-		pause(ctx, park)
+	c.maxWaits = append(c.maxWaits, maxWait)
+	response := c.responses[min(len(c.operations), len(c.responses))-1]
+	if response.result.Outcome == coordination.Pending {
+		pause(ctx, maxWait)
 	}
-	return answer.result, answer.err
+	return response.result, response.err
 }
 
 func (c *fakeCoordinator) Draining() bool {
 	return c.drainAfter > 0 && len(c.operations) >= c.drainAfter
 }
 
-func answering(results ...coordination.Result) *fakeCoordinator {
+// newFakeCoordinator returns a coordinator whose operations have these results, one after the other.
+func newFakeCoordinator(results ...coordination.Result) *fakeCoordinator {
 	c := &fakeCoordinator{}
 	for _, result := range results {
-		c.answers = append(c.answers, coordinatorAnswer{result: result})
+		c.responses = append(c.responses, coordinatorResponse{result: result})
 	}
 	return c
 }
 
-func failing(err error) *fakeCoordinator {
-	return &fakeCoordinator{answers: []coordinatorAnswer{{err: err}}}
+// newFailingCoordinator returns a coordinator whose operations all fail with err.
+func newFailingCoordinator(err error) *fakeCoordinator {
+	return &fakeCoordinator{responses: []coordinatorResponse{{err: err}}}
 }
 
 func (c *fakeCoordinator) call(method, path, body string) *httptest.ResponseRecorder {
@@ -65,7 +67,7 @@
 	return recorder
 }
 
-// testCall is a valid call with the operation that it asks for.
+// testCall is a valid call with the operation that its handler has to execute.
 type testCall struct {
 	method, path, body string
 	operation          coordination.Operation
@@ -93,7 +95,7 @@
 }
 
 func TestCoordinationOutcomes(t *testing.T) {
-	Convey("Each call asks for its operation, and its outcome decides the answer", t, func() {
+	Convey("Each call executes its operation, and the outcome determines the response", t, func() {
 		calls := testCalls()
 		for _, c := range []struct {
 			call   string
@@ -119,30 +121,31 @@
 			{"watch", coordination.Result{Outcome: coordination.Compacted}, http.StatusGone,
 				`{"error":"the puts after sinceRevision are no longer kept"}`},
 		} {
-			coordinator := answering(c.result)
+			coordinator := newFakeCoordinator(c.result)
 			call := calls[c.call]
-			answer := coordinator.call(call.method, call.path, call.body)
-			So(answer.Code, ShouldEqual, c.status)
-			So(strings.TrimSpace(answer.Body.String()), ShouldEqual, c.body)
-			So(answer.Header().Get("Content-Type"), ShouldEqual, "application/json")
+			response := coordinator.call(call.method, call.path, call.body)
+			So(response.Code, ShouldEqual, c.status)
+			So(strings.TrimSpace(response.Body.String()), ShouldEqual, c.body)
+			So(response.Header().Get("Content-Type"), ShouldEqual, "application/json")
 			So(coordinator.operations, ShouldResemble, []coordination.Operation{call.operation})
 		}
 	})
-	Convey("A put may leave the revision out, and may have an empty value", t, func() {
-		coordinator := answering(coordination.Result{Outcome: coordination.Done, Revision: 1})
+	Convey("A put may omit the revision, and may have an empty value", t, func() {
+		coordinator := newFakeCoordinator(coordination.Result{Outcome: coordination.Done, Revision: 1})
 		So(coordinator.call("POST", "/cells/g.a/replace", `{"value":""}`).Code, ShouldEqual, http.StatusOK)
 		So(coordinator.operations[0].IfRevision, ShouldBeNil)
 	})
-	Convey("A put at revision 0 names it", t, func() {
-		coordinator := answering(coordination.Result{Outcome: coordination.Done, Revision: 1})
+	Convey("A put with revision 0 passes it to the operation", t, func() {
+		coordinator := newFakeCoordinator(coordination.Result{Outcome: coordination.Done, Revision: 1})
 		So(coordinator.call("POST", "/cells/g.a/replace", `{"value":"v","ifRevision":0}`).Code, ShouldEqual, http.StatusOK)
 		So(*coordinator.operations[0].IfRevision, ShouldEqual, 0)
 	})
 }
 
-// Guards against a refusal of a put that an earlier try of it may have made, and against refusals that were executed.
+// Guards against the refusal of a retried put that an earlier attempt may have executed, and against the refusal of other calls whose
+// outcome is unknown.
 func TestCoordinationErrors(t *testing.T) {
-	Convey("A call is refused only where it was not executed and never will be", t, func() {
+	Convey("A call is refused only if it was not executed and never will be", t, func() {
 		cause := errors.New("cause")
 		for name, call := range testCalls() {
 			for _, c := range []struct {
@@ -158,38 +161,38 @@
 				if name == "put" {
 					status = http.StatusGatewayTimeout
 				}
-				answer := failing(c.err).call(call.method, call.path, call.body)
-				So(fmt.Sprint(name, " ", answer.Code), ShouldEqual, fmt.Sprint(name, " ", status))
-				So(answer.Header().Get("Retry-After") != "", ShouldEqual, status != http.StatusGatewayTimeout)
+				response := newFailingCoordinator(c.err).call(call.method, call.path, call.body)
+				So(fmt.Sprint(name, " ", response.Code), ShouldEqual, fmt.Sprint(name, " ", status))
+				So(response.Header().Get("Retry-After") != "", ShouldEqual, status != http.StatusGatewayTimeout)
 			}
 		}
 	})
 }
 
-// Guards against a refusal of a put that an earlier try of it may still make, once the group has room again.
+// Guards against the refusal of a put into a full group: a delayed copy of it may be executed once the group has room.
 func TestPutIntoFullGroup(t *testing.T) {
-	Convey("A put into a full group is not refused, and does not succeed", t, func() {
+	Convey("A put into a full group is neither refused nor successful", t, func() {
 		call := testCalls()["put"]
-		answer := answering(coordination.Result{Outcome: coordination.Full}).call(call.method, call.path, call.body)
-		So(answer.Code, ShouldEqual, http.StatusGatewayTimeout)
+		response := newFakeCoordinator(coordination.Result{Outcome: coordination.Full}).call(call.method, call.path, call.body)
+		So(response.Code, ShouldEqual, http.StatusGatewayTimeout)
 	})
 }
 
-func TestCoordinationIsServedOnRequest(t *testing.T) {
-	Convey("Calls of applications are answered 404 where they are not served", t, func() {
+func TestCoordinationRoutesAreOptional(t *testing.T) {
+	Convey("Calls of applications are answered with 404 without a Coordinator", t, func() {
 		for _, call := range testCalls() {
 			So((&fakeDelegate{}).call(call.method, call.path, call.body).Code, ShouldEqual, http.StatusNotFound)
 		}
 	})
-	Convey("Calls of operators are answered as before where they are", t, func() {
-		So(answering().call("GET", "/config/read", "").Code, ShouldEqual, http.StatusOK)
+	Convey("Calls of operators are still served with a Coordinator", t, func() {
+		So(newFakeCoordinator().call("GET", "/config/read", "").Code, ShouldEqual, http.StatusOK)
 	})
 }
 
 func TestInvalidCoordinationCalls(t *testing.T) {
 	longName, longValue := strings.Repeat("x", maxNameBytes+1), strings.Repeat("x", maxValueBytes+1)
-	Convey("An invalid call is rejected, with the field at fault, and not executed", t, func() {
-		for _, c := range []struct{ method, path, body, named string }{
+	Convey("An invalid call is rejected with the name of the invalid field, and not executed", t, func() {
+		for _, c := range []struct{ method, path, body, field string }{
 			{"POST", "/locks/l/begin", `{"holdMs":1}`, "holder"},
 			{"POST", "/locks/l/begin", `{"holder":"","holdMs":1}`, "holder"},
 			{"POST", "/locks/l/begin", `{"holder":3,"holdMs":1}`, "holder"},
@@ -234,15 +237,15 @@
 			{"GET", "/watch/g.?sinceRevision=1&waitMs=-1", "", "waitMs"},
 			{"GET", "/watch/g.?sinceRevision=1&waitMs=9223372036854775808", "", "waitMs"},
 		} {
-			coordinator := answering(coordination.Result{Outcome: coordination.Done})
-			answer := coordinator.call(c.method, c.path, c.body)
-			So(fmt.Sprint(c.path, c.body, answer.Code), ShouldEqual, fmt.Sprint(c.path, c.body, http.StatusBadRequest))
-			So(answer.Body.String(), ShouldContainSubstring, c.named)
+			coordinator := newFakeCoordinator(coordination.Result{Outcome: coordination.Done})
+			response := coordinator.call(c.method, c.path, c.body)
+			So(fmt.Sprint(c.path, c.body, response.Code), ShouldEqual, fmt.Sprint(c.path, c.body, http.StatusBadRequest))
+			So(response.Body.String(), ShouldContainSubstring, c.field)
 			So(coordinator.operations, ShouldBeEmpty)
 		}
 	})
-	Convey("The largest valid fields are taken", t, func() {
-		coordinator := answering(coordination.Result{Outcome: coordination.Done})
+	Convey("Fields of the maximum size are accepted", t, func() {
+		coordinator := newFakeCoordinator(coordination.Result{Outcome: coordination.Done})
 		holder := fmt.Sprintf(`{"holder":%q,"holdMs":3600000}`, longName[1:])
 		So(coordinator.call("POST", "/locks/"+longName[1:]+"/begin", holder).Code, ShouldEqual, http.StatusOK)
 		So(coordinator.call("POST", "/cells/g.a/replace", fmt.Sprintf(`{"value":%q}`, longValue[1:])).Code, ShouldEqual, http.StatusOK)
--- a/internal/fleet/control/watch.go
+++ b/internal/fleet/control/watch.go
@@ -9,13 +9,14 @@
 	"pinelb.example/pinelb/internal/fleet/coordination"
 )
 
-// watchPollInterval is how long one operation waits for events. A watch repeats it, each time at the machine that then decides the group.
+// watchPollInterval is the maximum time that one operation waits for events. A watch repeats the operation, each time on the machine
+// that decides the group's operations at that time.
 const watchPollInterval = 400 * time.Millisecond
 
-// watchRetryInterval is the pause after an operation that failed.
+// watchRetryInterval is the pause after a failed operation.
 const watchRetryInterval = 50 * time.Millisecond
 
-// watch answers with the puts after a revision, as soon as there are any.
+// watch responds with the puts after a revision, as soon as there are any, or without puts when the client's wait has elapsed.
 func (h *coordinationHandlers) watch(w http.ResponseWriter, r *http.Request) error {
 	group, err := readName(r)
 	if err != nil {
@@ -40,25 +41,25 @@
 	if result.Outcome == coordination.Compacted {
 		return &requestError{status: http.StatusGone, reason: "the puts after sinceRevision are no longer kept"}
 	}
-	writeJSON(w, http.StatusOK, newWatchAnswer(result))
+	writeJSON(w, http.StatusOK, newWatchResponse(result))
 	return nil
 }
 
-// awaitEvents repeats a watch until there are events, the deadline has passed, or this machine shuts down. An error is that of the last
-// operation, where none succeeded.
+// awaitEvents repeats a watch until its outcome is no longer Pending, the deadline has passed, ctx is done, or this machine shuts
+// down. It returns an error, that of the last operation, only if no operation succeeded.
 func (h *coordinationHandlers) awaitEvents(ctx context.Context, op *coordination.Operation, deadline time.Time) (coordination.Result, error) {
-	var last coordination.Result
+	var lastResult coordination.Result
 	for {
 		result, err := h.coordinator.Execute(ctx, op, max(0, min(watchPollInterval, time.Until(deadline))))
 		if err == nil {
-			last = result
+			lastResult = result
 		}
 		isOver := !time.Now().Before(deadline) || h.coordinator.Draining() || ctx.Err() != nil
 		switch {
 		case err == nil && (result.Outcome != coordination.Pending || isOver):
 			return result, nil
-		case err != nil && isOver && last.Outcome != 0:
-			return last, nil
+		case err != nil && isOver && lastResult.Outcome != 0:
+			return lastResult, nil
 		case err != nil && isOver:
 			return coordination.Result{}, err
 		case err != nil:
@@ -67,6 +68,7 @@
 	}
 }
 
+// pause waits for d, or until ctx is done.
 func pause(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -76,15 +78,15 @@
 	}
 }
 
-func newWatchAnswer(result coordination.Result) watchAnswer {
-	answer := watchAnswer{Events: []eventAnswer{}, Revision: result.Revision}
+func newWatchResponse(result coordination.Result) watchResponse {
+	response := watchResponse{Events: []eventResponse{}, Revision: result.Revision}
 	for _, e := range result.Events {
-		answer.Events = append(answer.Events, eventAnswer{Name: e.Key, Value: e.Value, Revision: e.Revision})
+		response.Events = append(response.Events, eventResponse{Name: e.Key, Value: e.Value, Revision: e.Revision})
 	}
-	return answer
+	return response
 }
 
-// readUint returns a whole number of a call's query; 0 where it is not given.
+// readUint returns an unsigned integer from the query of a request, or 0 if the parameter is missing. The maximum is 1<<63 - 1.
 func readUint(r *http.Request, name string) (uint64, error) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
@@ -92,7 +94,7 @@
 	}
 	number, err := strconv.ParseUint(text, 10, 63)
 	if err != nil {
-		return 0, badField(name, "is no whole number")
+		return 0, invalidField(name, "is no whole number")
 	}
 	return number, nil
 }
