--- a/internal/fleet/coordination/change.go
+++ b/internal/fleet/coordination/change.go
@@ -16,8 +16,8 @@
 	Holder string `cbor:"2,keyasint,omitempty"` // empty: free
 	HoldMs int64  `cbor:"3,keyasint,omitempty"` // from the grant
 	AgeMs  int64  `cbor:"4,keyasint,omitempty"` // the grant was at least so long ago
-	// Calls are the calls that acquired the lock lately, the last one at the end: copies of them change nothing.
-	Calls []uint64 `cbor:"5,keyasint,omitempty"`
+	// CallIDs are the calls that acquired the lock lately, the last one at the end: copies of them change nothing.
+	CallIDs []uint64 `cbor:"5,keyasint,omitempty"`
 }
 
 // CounterRecord is a counter.
--- a/internal/fleet/coordination/late_calls_test.go
+++ b/internal/fleet/coordination/late_calls_test.go
@@ -9,7 +9,7 @@
 
 func acquireBy(holder string, call uint64) *Operation {
 	return &Operation{
-		Kind: Acquire, Name: Name{Kind: KindLock, ID: "l"}, Holder: holder, Hold: 3 * time.Second, Call: call,
+		Kind: Acquire, Name: Name{Kind: KindLock, ID: "l"}, Holder: holder, Hold: 3 * time.Second, CallID: call,
 	}
 }
 
--- a/internal/fleet/coordination/lock.go
+++ b/internal/fleet/coordination/lock.go
@@ -30,7 +30,7 @@
 
 // acquire grants the lock to whoever has it already, too, always with a higher fence: a late call of an earlier hold changes nothing.
 func (l *lock) acquire(now time.Duration, op *Operation, change *Change) Result {
-	if op.Call != 0 && slices.Contains(l.calls, op.Call) {
+	if op.CallID != 0 && slices.Contains(l.calls, op.CallID) {
 		return l.acquiredBefore(op)
 	}
 	if l.holder != op.Holder && !l.isFree(now) {
@@ -40,7 +40,7 @@
 	if l.holder != op.Holder {
 		expired = l.holder
 	}
-	l.remember(op.Call)
+	l.remember(op.CallID)
 	l.extend(now, op)
 	l.holder = op.Holder
 	l.fence++
@@ -50,7 +50,7 @@
 
 // acquiredBefore answers a copy of a call that has acquired the lock: with its fence, as long as no other call has changed the lock.
 func (l *lock) acquiredBefore(op *Operation) Result {
-	if l.calls[len(l.calls)-1] != op.Call || l.holder != op.Holder {
+	if l.calls[len(l.calls)-1] != op.CallID || l.holder != op.Holder {
 		return Result{Outcome: Held}
 	}
 	return Result{Outcome: Done, Fence: l.fence}
@@ -94,7 +94,7 @@
 }
 
 func (l *lock) record(now time.Duration) *LockRecord {
-	r := &LockRecord{Fence: l.fence, Holder: l.holder, Calls: l.calls}
+	r := &LockRecord{Fence: l.fence, Holder: l.holder, CallIDs: l.calls}
 	if l.holder != "" {
 		r.HoldMs = ceilMilliseconds(l.hold)
 		r.AgeMs = max(0, (now - l.grantedAt).Milliseconds())
@@ -104,7 +104,7 @@
 
 func (l *lock) restore(now time.Duration, r *LockRecord) {
 	*l = lock{
-		fence: r.Fence, holder: r.Holder, calls: r.Calls,
+		fence: r.Fence, holder: r.Holder, calls: r.CallIDs,
 		hold:      time.Duration(r.HoldMs) * time.Millisecond,
 		grantedAt: now - time.Duration(r.AgeMs)*time.Millisecond,
 	}
--- a/internal/fleet/coordination/lock_test.go
+++ b/internal/fleet/coordination/lock_test.go
@@ -132,10 +132,10 @@
 		})
 		Convey("yields to one that knows a greater age", func() {
 			younger := &Change{Lock: &LockRecord{Fence: 1, Holder: "a", HoldMs: 2000, AgeMs: 3}}
-			So(Older(younger, snapshot), ShouldEqual, snapshot)
-			So(Older(snapshot, younger), ShouldEqual, snapshot)
-			So(Older(nil, younger), ShouldEqual, younger)
-			So(Older(younger, nil), ShouldEqual, younger)
+			So(OlderGrant(younger, snapshot), ShouldEqual, snapshot)
+			So(OlderGrant(snapshot, younger), ShouldEqual, snapshot)
+			So(OlderGrant(nil, younger), ShouldEqual, younger)
+			So(OlderGrant(younger, nil), ShouldEqual, younger)
 		})
 	})
 }
--- a/internal/fleet/coordination/operation.go
+++ b/internal/fleet/coordination/operation.go
@@ -27,7 +27,7 @@
 	Key        string        `cbor:"6,keyasint,omitempty"`  // Put, Get
 	Value      string        `cbor:"7,keyasint,omitempty"`  // Put, Decide
 	IfRevision *uint64       `cbor:"8,keyasint,omitempty"`  // Put: the revision that the key must have; 0: none yet; nil: any
-	Call       uint64        `cbor:"10,keyasint,omitempty"` // Acquire: identifies the call, of which copies may come late; 0: no copies
+	CallID     uint64        `cbor:"10,keyasint,omitempty"` // Acquire: identifies the call, of which copies may come late; 0: no copies
 	Since      uint64        `cbor:"9,keyasint,omitempty"`  // Watch: the last revision that the watcher knows; 0: it asks for the present one
 }
 
--- a/internal/fleet/coordination/state.go
+++ b/internal/fleet/coordination/state.go
@@ -57,8 +57,8 @@
 	return Result{}
 }
 
-// Accepts reports whether an operation may be executed on its own name.
-func (op *Operation) Accepts() bool {
+// MatchesNameKind reports whether an operation may be executed on its own name.
+func (op *Operation) MatchesNameKind() bool {
 	switch op.Kind {
 	case Acquire, Renew, Release:
 		return op.Name.Kind == KindLock
@@ -112,8 +112,8 @@
 	return &Change{Decision: &decision}
 }
 
-// Older returns that of two snapshots of one version whose lock was granted longer ago, as far as it is known: both ages are lower bounds.
-func Older(a, b *Change) *Change {
+// OlderGrant returns that of two snapshots of one version whose lock was granted longer ago, as far as it is known: both ages are lower bounds.
+func OlderGrant(a, b *Change) *Change {
 	if a == nil || a.Lock != nil && b != nil && b.Lock != nil && b.Lock.AgeMs > a.Lock.AgeMs {
 		return b
 	}
--- a/internal/fleet/coordination/state_test.go
+++ b/internal/fleet/coordination/state_test.go
@@ -43,7 +43,7 @@
 			for kind := range Kind(6) {
 				op := Operation{Kind: operation, Name: Name{Kind: kind, ID: "n"}, Holder: "a", Key: "n", Value: "v"}
 				accepted := kindOf[operation] == kind && kind != 0
-				So(op.Accepts(), ShouldEqual, accepted)
+				So(op.MatchesNameKind(), ShouldEqual, accepted)
 				if !accepted {
 					change := &Change{}
 					So(NewState(kind, testOptions).Execute(0, &op, change), ShouldResemble, Result{})
--- a/internal/fleet/coordinator/forwarder.go
+++ b/internal/fleet/coordinator/forwarder.go
@@ -165,7 +165,7 @@
 		forwarder: f, deadline: f.service.options.Clock() + callTimeout, replies: make(chan proposerReply, maxPendingReplies),
 		request: CallRequest{ID: rand.Uint64(), Operation: *operation, Park: park},
 	}
-	call.request.Operation.Call = call.request.ID
+	call.request.Operation.CallID = call.request.ID
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.pending[call.request.ID] = call.replies
--- a/internal/fleet/coordinator/proposer_loop.go
+++ b/internal/fleet/coordinator/proposer_loop.go
@@ -159,7 +159,7 @@
 		l.reply(from, &CallReply{ID: m.ID})
 		return
 	}
-	if !m.Operation.Accepts() || l.proposer.Config().Epoch == 0 {
+	if !m.Operation.MatchesNameKind() || l.proposer.Config().Epoch == 0 {
 		return // another machine may know the acceptors
 	}
 	if l.service.IsResuming() {
--- a/internal/fleet/register/planner_test.go
+++ b/internal/fleet/register/planner_test.go
@@ -228,7 +228,7 @@
 		next := Config{Epoch: 4, Acceptors: []replication.Replica{{Address: "a:1", Nonce: 1<<64 - 1}}, Previous: []replication.Replica{{Address: "b:1"}}}
 		operation, err := DecideNext(next)
 		So(err, ShouldBeNil)
-		So(operation.Accepts(), ShouldBeTrue)
+		So(operation.MatchesNameKind(), ShouldBeTrue)
 		So(operation.Name, ShouldResemble, nextConfigName(3))
 		decoded, err := DecodeConfig(operation.Value)
 		So(err, ShouldBeNil)
--- a/internal/fleet/register/rounds.go
+++ b/internal/fleet/register/rounds.go
@@ -84,7 +84,7 @@
 		}
 		progress.sent = progress.promise.Accepted
 		if progress.promise.Accepted == newest {
-			value = coordination.Older(value, progress.promise.Value)
+			value = coordination.OlderGrant(value, progress.promise.Value)
 		}
 	}
 	switch {
