--- a/internal/fleet/coordination/change.go
+++ b/internal/fleet/coordination/change.go
@@ -1,54 +1,54 @@
 package coordination
 
-// Change is what operations change in a state: a whole new value, or puts that are added to a group. The numbers of the fields are part of
-// the protocol and of the files.
+// Change is the effect of operations on a State: a complete new value, or puts to append to a group. The field numbers are part of the
+// wire protocol and of the format on disk.
 type Change struct {
 	Lock     *LockRecord     `cbor:"1,keyasint,omitempty"`
 	Counter  *CounterRecord  `cbor:"2,keyasint,omitempty"`
 	Group    *GroupRecord    `cbor:"3,keyasint,omitempty"`
 	Decision *DecisionRecord `cbor:"4,keyasint,omitempty"`
-	Puts     []Event         `cbor:"5,keyasint,omitempty"` // on top of the group that is there
+	Puts     []Event         `cbor:"5,keyasint,omitempty"` // to append to the existing group
 }
 
-// LockRecord is a lock. Fence only rises.
+// LockRecord is the encoded state of a lock. Fence never decreases.
 type LockRecord struct {
 	Fence  uint64 `cbor:"1,keyasint"`
 	Holder string `cbor:"2,keyasint,omitempty"` // empty: free
-	HoldMs int64  `cbor:"3,keyasint,omitempty"` // from the grant
-	AgeMs  int64  `cbor:"4,keyasint,omitempty"` // the grant was at least so long ago
-	// CallIDs are the calls that acquired the lock lately, the last one at the end: copies of them change nothing.
+	HoldMs int64  `cbor:"3,keyasint,omitempty"` // duration of the hold, from the grant
+	AgeMs  int64  `cbor:"4,keyasint,omitempty"` // lower bound of the time since the grant
+	// CallIDs identifies the most recent calls that acquired the lock, the latest one last. Duplicates of these calls change nothing.
 	CallIDs []uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// CounterRecord is a counter.
+// CounterRecord is the encoded state of a counter.
 type CounterRecord struct {
-	Count uint64 `cbor:"1,keyasint"` // the last that was given
+	Count uint64 `cbor:"1,keyasint"` // the last number that was returned
 }
 
-// GroupRecord is a group of cells.
+// GroupRecord is the encoded state of a group of cells.
 type GroupRecord struct {
 	Revision uint64  `cbor:"1,keyasint"`           // of the last put
-	Floor    uint64  `cbor:"2,keyasint,omitempty"` // of the last put whose event is no longer kept
+	Floor    uint64  `cbor:"2,keyasint,omitempty"` // of the last put whose event has been dropped; 0: none
 	Cells    []Cell  `cbor:"3,keyasint,omitempty"`
-	Events   []Event `cbor:"4,keyasint,omitempty"` // the puts after Floor
+	Events   []Event `cbor:"4,keyasint,omitempty"` // the puts after Floor, in ascending order of their revisions
 }
 
-// Cell is a key's present value.
+// Cell is the current value of a key.
 type Cell struct {
 	Key      string `cbor:"1,keyasint"`
 	Value    string `cbor:"2,keyasint"`
-	Revision uint64 `cbor:"3,keyasint"`
+	Revision uint64 `cbor:"3,keyasint"` // of the put that set the value
 }
 
-// DecisionRecord is a decision.
+// DecisionRecord is the encoded state of a decision.
 type DecisionRecord struct {
-	Value string `cbor:"1,keyasint,omitempty"` // empty: not made yet
+	Value string `cbor:"1,keyasint,omitempty"` // empty: not decided yet
 }
 
-// IsEmpty reports whether a change changes nothing.
+// IsEmpty reports whether the change has no effect. A nil change is empty.
 func (c *Change) IsEmpty() bool { return c == nil || !c.IsComplete() && len(c.Puts) == 0 }
 
-// IsComplete reports whether a change replaces the whole state, so that it needs no former one.
+// IsComplete reports whether the change replaces the whole state, so that it applies to any previous one.
 func (c *Change) IsComplete() bool {
 	return c != nil && (c.Lock != nil || c.Counter != nil || c.Group != nil || c.Decision != nil)
 }
--- a/internal/fleet/coordination/group.go
+++ b/internal/fleet/coordination/group.go
@@ -7,42 +7,44 @@
 	"time"
 )
 
-// itemOverhead is what a cell or an event takes beside its key and value, in bytes.
+// itemOverhead is the size of a cell or an event without its key and value, in bytes.
 const itemOverhead = 48
 
-// group is a group of cells with the events of its last puts.
+// group is the state of a group of cells, with the events of its recent puts.
 type group struct {
 	options  Options
 	revision uint64
-	floor    uint64 // the last revision whose event is no longer kept
+	floor    uint64 // the last revision whose event has been dropped; 0: none
 	cells    map[string]Cell
-	events   []timedEvent           // of the revisions after floor, in order
-	puts     map[putIdentity]uint64 // the revisions of the events
-	bytes    int
+	events   []timedEvent           // of the revisions after floor, in ascending order
+	puts     map[putIdentity]uint64 // the revision of each event
+	size     int                    // of all cells and events, in bytes; see itemSize
 }
 
+// timedEvent is an event with a time on the local clock.
 type timedEvent struct {
 	Event
-	at time.Duration // or later
+	putAt time.Duration // upper bound of the time of the put, as Event.AgeMs is a lower bound
 }
 
-// putIdentity identifies a put that is repeated: callers never use a value twice.
+// putIdentity identifies a put and its repetitions: callers use each value only once for a key.
 type putIdentity struct{ key, value string }
 
 func newGroup(options Options) *group {
 	return &group{options: options, cells: map[string]Cell{}, puts: map[putIdentity]uint64{}}
 }
 
+// put sets the value of a key and appends the put to change. A repetition of a put whose revision is still known changes nothing.
 func (g *group) put(now time.Duration, op *Operation, change *Change) Result {
-	if revision, made := g.revisionOf(op.Key, op.Value); made {
+	if revision, exists := g.revisionOf(op.Key, op.Value); exists {
 		return Result{Outcome: Done, Revision: revision}
 	}
-	present := g.cells[op.Key].Revision
-	if op.IfRevision != nil && *op.IfRevision != present {
-		return Result{Outcome: Mismatch, Revision: present}
+	current := g.cells[op.Key].Revision
+	if op.IfRevision != nil && *op.IfRevision != current {
+		return Result{Outcome: Mismatch, Revision: current}
 	}
 	g.compact(now)
-	if g.bytes+2*itemSize(op.Key, op.Value) > g.options.MaxGroupBytes {
+	if g.size+2*itemSize(op.Key, op.Value) > g.options.MaxGroupBytes {
 		return Result{Outcome: Full}
 	}
 	event := Event{Key: op.Key, Value: op.Value, Revision: g.revision + 1}
@@ -51,13 +53,13 @@
 	return Result{Outcome: Done, Revision: event.Revision}
 }
 
-// revisionOf returns the revision of a put that was made before, as long as its event is kept or its value is the present one.
-func (g *group) revisionOf(key, value string) (revision uint64, made bool) {
-	if cell, exists := g.cells[key]; exists && cell.Value == value {
+// revisionOf returns the revision of an earlier put, if its event is still kept or its value is the current one.
+func (g *group) revisionOf(key, value string) (revision uint64, exists bool) {
+	if cell, isSet := g.cells[key]; isSet && cell.Value == value {
 		return cell.Revision, true
 	}
-	revision, made = g.puts[putIdentity{key, value}]
-	return revision, made
+	revision, exists = g.puts[putIdentity{key, value}]
+	return revision, exists
 }
 
 func (g *group) get(key string) Result {
@@ -68,7 +70,7 @@
 	return Result{Outcome: Done, Value: cell.Value, Revision: cell.Revision}
 }
 
-// eventsSince returns every put after a revision, up to the present one.
+// eventsSince returns every put after the revision since, up to the current revision. With since 0 it returns the current revision only.
 func (g *group) eventsSince(since uint64) Result {
 	switch {
 	case since == 0:
@@ -86,7 +88,7 @@
 	return result
 }
 
-// add makes a put. Its revision is the one after the present one.
+// add applies a put, whose revision is the successor of the current one.
 func (g *group) add(now time.Duration, put Event) {
 	g.compact(now)
 	g.setCell(Cell{Key: put.Key, Value: put.Value, Revision: put.Revision})
@@ -95,36 +97,37 @@
 }
 
 func (g *group) setCell(c Cell) {
-	if former, exists := g.cells[c.Key]; exists {
-		g.bytes -= itemSize(former.Key, former.Value)
+	if previous, exists := g.cells[c.Key]; exists {
+		g.size -= itemSize(previous.Key, previous.Value)
 	}
 	g.cells[c.Key] = c
-	g.bytes += itemSize(c.Key, c.Value)
+	g.size += itemSize(c.Key, c.Value)
 }
 
 func (g *group) addEvent(now time.Duration, e Event) {
-	at := now - time.Duration(e.AgeMs)*time.Millisecond
+	putAt := now - time.Duration(e.AgeMs)*time.Millisecond
 	e.AgeMs = 0
-	g.events = append(g.events, timedEvent{Event: e, at: at})
+	g.events = append(g.events, timedEvent{Event: e, putAt: putAt})
 	g.puts[putIdentity{e.Key, e.Value}] = e.Revision
-	g.bytes += itemSize(e.Key, e.Value)
+	g.size += itemSize(e.Key, e.Value)
 }
 
-// compact drops the events that are older than the history.
+// compact drops the events that are older than Options.History.
 func (g *group) compact(now time.Duration) {
-	old := 0
-	for old < len(g.events) && now-g.events[old].at > g.options.History {
-		e := &g.events[old]
+	expired := 0
+	for expired < len(g.events) && now-g.events[expired].putAt > g.options.History {
+		e := &g.events[expired]
 		delete(g.puts, putIdentity{e.Key, e.Value})
-		g.bytes -= itemSize(e.Key, e.Value)
+		g.size -= itemSize(e.Key, e.Value)
 		g.floor = e.Revision
-		old++
+		expired++
 	}
-	if old > 0 {
-		g.events = append(make([]timedEvent, 0, len(g.events)-old+1), g.events[old:]...)
+	if expired > 0 {
+		g.events = append(make([]timedEvent, 0, len(g.events)-expired+1), g.events[expired:]...)
 	}
 }
 
+// record returns the encoded form of the group, with the ages of its events at the time now.
 func (g *group) record(now time.Duration) *GroupRecord {
 	r := &GroupRecord{Revision: g.revision, Floor: g.floor}
 	for _, cell := range g.cells {
@@ -133,12 +136,13 @@
 	slices.SortFunc(r.Cells, func(a, b Cell) int { return strings.Compare(a.Key, b.Key) })
 	for _, e := range g.events {
 		event := e.Event
-		event.AgeMs = max(0, (now - e.at).Milliseconds())
+		event.AgeMs = max(0, (now - e.putAt).Milliseconds())
 		r.Events = append(r.Events, event)
 	}
 	return r
 }
 
+// restore replaces the group by a recorded one.
 func (g *group) restore(now time.Duration, r *GroupRecord) {
 	*g = *newGroup(g.options)
 	g.revision, g.floor = r.Revision, r.Floor
@@ -150,4 +154,5 @@
 	}
 }
 
+// itemSize returns the size of a cell or an event that counts towards Options.MaxGroupBytes.
 func itemSize(key, value string) int { return len(key) + len(value) + itemOverhead }
--- a/internal/fleet/coordination/lock.go
+++ b/internal/fleet/coordination/lock.go
@@ -6,32 +6,35 @@
 )
 
 const (
-	// expiryMargin and expiryDriftDivisor are added to a hold before the lock is another's: clocks of two machines drift apart.
+	// A lock can be granted to another holder expiryMargin and hold/expiryDriftDivisor after the end of its hold: the clocks of two
+	// machines drift apart.
 	expiryMargin       = 20 * time.Millisecond
 	expiryDriftDivisor = 200
 
-	// maxRememberedCalls bounds the calls whose copies are recognised.
-	maxRememberedCalls = 8
+	// maxCallIDs is the maximum number of recent calls whose duplicates are recognised.
+	maxCallIDs = 8
 )
 
-// lock is a lock that its holder loses when its time has run out.
+// lock is the state of a lock, whose holder loses it when the hold expires.
 type lock struct {
 	fence     uint64
 	holder    string // empty: free
 	hold      time.Duration
-	grantedAt time.Duration // or later
-	calls     []uint64      // that acquired it lately, the last one at the end
+	grantedAt time.Duration // upper bound of the time of the grant, as LockRecord.AgeMs is a lower bound
+	callIDs   []uint64      // of the most recent calls that acquired the lock, the latest one last
 }
 
-// isFree reports whether no holder may count on the lock: a lower bound of the time since the grant exceeds the hold.
+// isFree reports whether the lock can be granted to any holder: it is released, or the lower bound of the time since its grant exceeds the
+// hold and the margin for clock drift.
 func (l *lock) isFree(now time.Duration) bool {
 	return l.holder == "" || now-l.grantedAt > l.hold+expiryMargin+l.hold/expiryDriftDivisor
 }
 
-// acquire grants the lock to whoever has it already, too, always with a higher fence: a late call of an earlier hold changes nothing.
+// acquire grants a free lock, or grants the lock again to its current holder. Each grant has a higher fence, so that a delayed call from an
+// earlier hold has no effect.
 func (l *lock) acquire(now time.Duration, op *Operation, change *Change) Result {
-	if op.CallID != 0 && slices.Contains(l.calls, op.CallID) {
-		return l.acquiredBefore(op)
+	if op.CallID != 0 && slices.Contains(l.callIDs, op.CallID) {
+		return l.answerDuplicate(op)
 	}
 	if l.holder != op.Holder && !l.isFree(now) {
 		return Result{Outcome: Held}
@@ -40,7 +43,7 @@
 	if l.holder != op.Holder {
 		expired = l.holder
 	}
-	l.remember(op.CallID)
+	l.addCallID(op.CallID)
 	l.extend(now, op)
 	l.holder = op.Holder
 	l.fence++
@@ -48,25 +51,27 @@
 	return Result{Outcome: Done, Fence: l.fence, Expired: expired}
 }
 
-// acquiredBefore answers a copy of a call that has acquired the lock: with its fence, as long as no other call has changed the lock.
-func (l *lock) acquiredBefore(op *Operation) Result {
-	if l.calls[len(l.calls)-1] != op.CallID || l.holder != op.Holder {
+// answerDuplicate returns the result for a duplicate of a call that acquired the lock: the fence that the call was granted, unless the lock
+// has been released or granted to another call since.
+func (l *lock) answerDuplicate(op *Operation) Result {
+	if l.callIDs[len(l.callIDs)-1] != op.CallID || l.holder != op.Holder {
 		return Result{Outcome: Held}
 	}
 	return Result{Outcome: Done, Fence: l.fence}
 }
 
-func (l *lock) remember(call uint64) {
-	if call == 0 {
+// addCallID records a call that acquired the lock, and drops the earliest one above maxCallIDs.
+func (l *lock) addCallID(callID uint64) {
+	if callID == 0 {
 		return
 	}
-	l.calls = append(slices.Clone(l.calls), call)
-	if len(l.calls) > maxRememberedCalls {
-		l.calls = l.calls[1:]
+	l.callIDs = append(slices.Clone(l.callIDs), callID)
+	if len(l.callIDs) > maxCallIDs {
+		l.callIDs = l.callIDs[1:]
 	}
 }
 
-// renew extends a hold. One that has run out is lost: its holder has given it up.
+// renew extends a hold. A hold that has expired can't be renewed: its holder counts the lock as lost.
 func (l *lock) renew(now time.Duration, op *Operation, change *Change) Result {
 	if l.holder != op.Holder || l.fence != op.Fence || l.isFree(now) {
 		return Result{Outcome: Held}
@@ -76,7 +81,8 @@
 	return Result{Outcome: Done, Fence: l.fence}
 }
 
-// extend sets the hold from now on. It never shortens one of the same holder, which may not have heard of the shorter one.
+// extend starts a hold at the time now. It never shortens a hold of the same holder, who may not have received the answer with the shorter
+// hold.
 func (l *lock) extend(now time.Duration, op *Operation) {
 	hold := op.Hold
 	if l.holder == op.Holder {
@@ -85,6 +91,7 @@
 	l.hold, l.grantedAt = hold, now
 }
 
+// release frees the lock if the holder and the fence are the current ones. Otherwise it changes nothing.
 func (l *lock) release(now time.Duration, op *Operation, change *Change) Result {
 	if l.holder == op.Holder && l.fence == op.Fence {
 		l.holder, l.hold = "", 0
@@ -93,8 +100,10 @@
 	return Result{Outcome: Done}
 }
 
+// record returns the encoded form of the lock, with its age at the time now. The hold is rounded up and the age down, so that no replica
+// frees the lock early.
 func (l *lock) record(now time.Duration) *LockRecord {
-	r := &LockRecord{Fence: l.fence, Holder: l.holder, CallIDs: l.calls}
+	r := &LockRecord{Fence: l.fence, Holder: l.holder, CallIDs: l.callIDs}
 	if l.holder != "" {
 		r.HoldMs = ceilMilliseconds(l.hold)
 		r.AgeMs = max(0, (now - l.grantedAt).Milliseconds())
@@ -102,9 +111,10 @@
 	return r
 }
 
+// restore replaces the lock by a recorded one.
 func (l *lock) restore(now time.Duration, r *LockRecord) {
 	*l = lock{
-		fence: r.Fence, holder: r.Holder, calls: r.CallIDs,
+		fence: r.Fence, holder: r.Holder, callIDs: r.CallIDs,
 		hold:      time.Duration(r.HoldMs) * time.Millisecond,
 		grantedAt: now - time.Duration(r.AgeMs)*time.Millisecond,
 	}
--- a/internal/fleet/coordination/state.go
+++ b/internal/fleet/coordination/state.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Options bound what a state keeps.
+// Options limits how much a State keeps.
 type Options struct {
-	// History is how long the events of a group are kept, at least.
+	// History is the minimum time for which the events of a group are kept.
 	History time.Duration
-	// MaxGroupBytes bounds the keys, values and events of a group: a put beyond it is refused.
+	// MaxGroupBytes limits the total size of the cells and events of a group. A put that would exceed it is rejected.
 	MaxGroupBytes int
 }
 
-// State is one name's value. It belongs to one goroutine.
+// State is the value of one name. It is not safe for concurrent use.
 type State struct {
 	kind     Kind
 	lock     lock
@@ -19,7 +19,7 @@
 	group    *group // nil unless kind is KindGroup
 }
 
-// NewState returns the state of a name that nobody has used.
+// NewState returns the initial state of a name.
 func NewState(kind Kind, options Options) *State {
 	s := &State{kind: kind}
 	if kind == KindGroup {
@@ -28,13 +28,14 @@
 	return s
 }
 
-// Execute decides an operation and changes the state accordingly; what has changed is added to change. The result may be told once a
-// majority holds the changed state.
+// Execute executes an operation on the state and adds the effect to change. The caller must not return the result to a client
+// before a majority of the acceptors has accepted the change.
 //
-// Repeating an operation whose outcome is not known is safe: a holder gets its own lock again with a higher fence, a put that was made
-// gets its first revision for Options.History at least, a counter leaves a gap, and the others change nothing the second time.
+// Repeating an operation whose outcome is unknown is safe: a holder is granted its own lock again with a higher fence; a put returns the
+// revision of its first execution for at least Options.History; a counter leaves a gap; and the other operations change nothing the second
+// time.
 //
-// An operation of another kind than the state is a broken invariant of the caller, and gets the zero Result.
+// An operation whose kind does not match the state violates the caller's invariant and returns the zero Result.
 func (s *State) Execute(now time.Duration, op *Operation, change *Change) Result {
 	switch {
 	case s.kind == KindLock && op.Kind == Acquire:
@@ -57,7 +58,7 @@
 	return Result{}
 }
 
-// MatchesNameKind reports whether an operation may be executed on its own name.
+// MatchesNameKind reports whether the operation can be executed on the kind of its name.
 func (op *Operation) MatchesNameKind() bool {
 	switch op.Kind {
 	case Acquire, Renew, Release:
@@ -72,7 +73,7 @@
 	return false
 }
 
-// Apply makes a change that another copy of this state has executed.
+// Apply applies a change that Execute recorded on another replica of this state.
 func (s *State) Apply(now time.Duration, change *Change) {
 	if change == nil {
 		return
@@ -97,7 +98,7 @@
 	}
 }
 
-// Snapshot returns the change that makes any state of this kind equal to this one.
+// Snapshot returns a complete change: applied to any state of this kind, it makes that state equal to this one.
 func (s *State) Snapshot(now time.Duration) *Change {
 	switch s.kind {
 	case KindLock:
@@ -112,7 +113,8 @@
 	return &Change{Decision: &decision}
 }
 
-// OlderGrant returns that of two snapshots of one version whose lock was granted longer ago, as far as it is known: both ages are lower bounds.
+// OlderGrant returns the one of two snapshots of the same version that has the greater age of the lock. Both ages are lower bounds, so the
+// greater one is the more exact.
 func OlderGrant(a, b *Change) *Change {
 	if a == nil || a.Lock != nil && b != nil && b.Lock != nil && b.Lock.AgeMs > a.Lock.AgeMs {
 		return b
--- a/internal/fleet/coordination/state_test.go
+++ b/internal/fleet/coordination/state_test.go
@@ -11,30 +11,30 @@
 )
 
 func TestCounter(t *testing.T) {
-	Convey("A counter rises by one with each call, also in a copy", t, func() {
+	Convey("A counter increases by one with each call, also in a replica", t, func() {
 		increment := Operation{Kind: Increment, Name: Name{Kind: KindCounter, ID: "c"}}
 		s := NewState(KindCounter, testOptions)
 		So(execute(s, 0, increment), ShouldResemble, Result{Outcome: Done, Count: 1})
 		So(execute(s, 0, increment), ShouldResemble, Result{Outcome: Done, Count: 2})
-		So(execute(copyOf(s, 0), 0, increment), ShouldResemble, Result{Outcome: Done, Count: 3})
+		So(execute(replicaOf(s, 0), 0, increment), ShouldResemble, Result{Outcome: Done, Count: 3})
 		So(execute(s, 0, increment), ShouldResemble, Result{Outcome: Done, Count: 3})
 	})
 }
 
 func TestDecision(t *testing.T) {
-	Convey("A decision is the first value, for everybody, also in a copy", t, func() {
+	Convey("A decision is the first proposed value for every caller, also in a replica", t, func() {
 		decide := func(value string) Operation {
 			return Operation{Kind: Decide, Name: Name{Kind: KindDecision, ID: "d"}, Value: value}
 		}
 		s := NewState(KindDecision, testOptions)
 		So(execute(s, 0, decide("x")), ShouldResemble, Result{Outcome: Done, Value: "x"})
 		So(execute(s, 0, decide("y")), ShouldResemble, Result{Outcome: Done, Value: "x"})
-		So(execute(copyOf(s, 0), 0, decide("y")), ShouldResemble, Result{Outcome: Done, Value: "x"})
+		So(execute(replicaOf(s, 0), 0, decide("y")), ShouldResemble, Result{Outcome: Done, Value: "x"})
 	})
 }
 
 func TestOperationsOfOtherKinds(t *testing.T) {
-	Convey("Each operation is for names of one kind, and changes no other state", t, func() {
+	Convey("Each operation matches names of one kind, and does not change a state of another kind", t, func() {
 		kindOf := map[OperationKind]Kind{
 			Acquire: KindLock, Renew: KindLock, Release: KindLock, Increment: KindCounter, Put: KindGroup, Get: KindGroup, Watch: KindGroup,
 			Decide: KindDecision,
@@ -42,9 +42,9 @@
 		for operation := range OperationKind(10) {
 			for kind := range Kind(6) {
 				op := Operation{Kind: operation, Name: Name{Kind: kind, ID: "n"}, Holder: "a", Key: "n", Value: "v"}
-				accepted := kindOf[operation] == kind && kind != 0
-				So(op.MatchesNameKind(), ShouldEqual, accepted)
-				if !accepted {
+				matches := kindOf[operation] == kind && kind != 0
+				So(op.MatchesNameKind(), ShouldEqual, matches)
+				if !matches {
 					change := &Change{}
 					So(NewState(kind, testOptions).Execute(0, &op, change), ShouldResemble, Result{})
 					So(change.IsEmpty(), ShouldBeTrue)
@@ -54,7 +54,8 @@
 	})
 }
 
-// drawOperation draws an operation of a name of a kind, from few enough values that they meet.
+// drawOperation draws an operation for a name of the given kind. Holders, keys and values come from small ranges, so that operations
+// collide.
 func drawOperation(t *rapid.T, kind Kind, step int) Operation {
 	op := Operation{Name: Name{Kind: kind, ID: "n."}}
 	switch kind {
@@ -68,7 +69,7 @@
 	case KindGroup:
 		op.Kind = rapid.SampledFrom([]OperationKind{Put, Put, Get, Watch}).Draw(t, "operation")
 		op.Key = rapid.SampledFrom([]string{"n.a", "n.b", "n.c"}).Draw(t, "key")
-		op.Value = fmt.Sprint(rapid.IntRange(max(0, step-3), step).Draw(t, "value")) // sometimes one that was put before
+		op.Value = fmt.Sprint(rapid.IntRange(max(0, step-3), step).Draw(t, "value")) // some values repeat those of recent steps
 		op.Since = rapid.Uint64Range(0, 20).Draw(t, "since")
 		if rapid.Bool().Draw(t, "conditional") {
 			revision := rapid.Uint64Range(0, 10).Draw(t, "revision")
@@ -80,8 +81,8 @@
 	return op
 }
 
-// travel returns a change as another machine decodes it.
-func travel(t *rapid.T, c *Change) *Change {
+// encodeAndDecode returns the change as another machine receives it.
+func encodeAndDecode(t *rapid.T, c *Change) *Change {
 	encoded, err := cbor.Marshal(c)
 	if err != nil {
 		t.Fatal(err)
@@ -93,19 +94,19 @@
 	return decoded
 }
 
-// comparable returns all that a state says and does, as text.
-func comparable(s *State, now time.Duration) string {
-	bytes, puts := 0, 0
+// fingerprint returns the complete state as text, for comparison.
+func fingerprint(s *State, now time.Duration) string {
+	size, puts := 0, 0
 	if s.group != nil {
 		s.group.compact(now)
-		bytes, puts = s.group.bytes, len(s.group.puts)
+		size, puts = s.group.size, len(s.group.puts)
 	}
 	encoded, err := cbor.Marshal(s.Snapshot(now))
-	return fmt.Sprintf("%x %d %d %v", encoded, bytes, puts, err)
+	return fmt.Sprintf("%x %d %d %v", encoded, size, puts, err)
 }
 
-// Guards against copies of one name that differ after the same changes.
-func TestCopiesAreEqual(t *testing.T) {
+// Guards against replicas of a name that differ after the same changes.
+func TestReplicasAreEqual(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kind := rapid.SampledFrom([]Kind{KindLock, KindCounter, KindGroup, KindDecision}).Draw(t, "kind")
 		options := Options{History: 2 * time.Second, MaxGroupBytes: 1000}
@@ -121,31 +122,31 @@
 					t.Fatalf("%+v has no outcome", op)
 				}
 			}
-			byChanges.Apply(now, travel(t, change))
+			byChanges.Apply(now, encodeAndDecode(t, change))
 			if step == snapshotAt {
-				bySnapshot.Apply(now, travel(t, original.Snapshot(now)))
+				bySnapshot.Apply(now, encodeAndDecode(t, original.Snapshot(now)))
 			} else {
-				bySnapshot.Apply(now, travel(t, change))
+				bySnapshot.Apply(now, encodeAndDecode(t, change))
 			}
-			for _, other := range []*State{byChanges, bySnapshot} {
-				if comparable(original, now) != comparable(other, now) {
-					t.Fatalf("a copy differs:\n%s\n%s", comparable(original, now), comparable(other, now))
+			for _, replica := range []*State{byChanges, bySnapshot} {
+				if fingerprint(original, now) != fingerprint(replica, now) {
+					t.Fatalf("a replica differs:\n%s\n%s", fingerprint(original, now), fingerprint(replica, now))
 				}
 			}
 		}
 	})
 }
 
-// Guards against a lock that two holders have at once, by what each was told and the time since it asked.
+// Guards against a lock that is held by two holders at once. Each holder counts its hold from the time at which it sent the call.
 func TestHoldsDoNotOverlap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState(KindLock, testOptions)
 		now, heldUntil, holder, fence := time.Duration(0), time.Duration(0), "", uint64(0)
 		for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 2_000_000).Draw(t, "pause")) * time.Microsecond
-			if rapid.Bool().Draw(t, "travels") { // to another proposer, some time later
+			if rapid.Bool().Draw(t, "moves") { // to another proposer, which receives the snapshot with a delay
 				snapshot := s.Snapshot(now)
-				now += time.Duration(rapid.IntRange(0, 500_000).Draw(t, "on the way")) * time.Microsecond
+				now += time.Duration(rapid.IntRange(0, 500_000).Draw(t, "transit time")) * time.Microsecond
 				s = NewState(KindLock, testOptions)
 				s.Apply(now, snapshot)
 			}
@@ -156,9 +157,9 @@
 				heldUntil = now
 			case op.Kind == Release || result.Outcome == Held:
 			case op.Holder != holder && now < heldUntil:
-				t.Fatalf("%s got the lock while it was %s's", op.Holder, holder)
+				t.Fatalf("%s acquired the lock while %s held it", op.Holder, holder)
 			case op.Kind == Acquire && result.Fence <= fence:
-				t.Fatalf("fence %d after %d", result.Fence, fence)
+				t.Fatalf("fence %d granted after fence %d", result.Fence, fence)
 			default:
 				heldUntil, holder, fence = max(now+op.Hold, heldUntil), op.Holder, result.Fence
 			}
@@ -166,7 +167,7 @@
 	})
 }
 
-// drawEvents draws events, of which nothing holds that holds of those that a group records.
+// drawEvents draws events that violate the invariants of those that a group records, such as ascending revisions.
 func drawEvents(t *rapid.T) []Event {
 	var events []Event
 	for range rapid.IntRange(0, 3).Draw(t, "events") {
@@ -178,8 +179,8 @@
 	return events
 }
 
-// drawOddChange draws a change that no state records.
-func drawOddChange(t *rapid.T) *Change {
+// drawInvalidChange draws a change that no state records.
+func drawInvalidChange(t *rapid.T) *Change {
 	c := &Change{Puts: drawEvents(t)}
 	if rapid.Bool().Draw(t, "lock") {
 		c.Lock = &LockRecord{Fence: rapid.Uint64().Draw(t, "fence"), Holder: "a", HoldMs: rapid.Int64().Draw(t, "hold"), AgeMs: rapid.Int64().Draw(t, "age")}
@@ -198,19 +199,19 @@
 	return c
 }
 
-// Guards against a message that no router sends and that ends the process all the same.
-func TestOddChanges(t *testing.T) {
+// Guards against a panic on an invalid message that no router sends.
+func TestInvalidChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kind := rapid.SampledFrom([]Kind{0, KindLock, KindCounter, KindGroup, KindDecision, 9}).Draw(t, "kind")
 		s := NewState(kind, testOptions)
 		for step := range rapid.IntRange(1, 5).Draw(t, "steps") {
 			now := time.Duration(step) * 15 * time.Second
-			s.Apply(now, drawOddChange(t))
+			s.Apply(now, drawInvalidChange(t))
 			for since := range uint64(14) {
 				execute(s, now, watch(since))
 			}
-			execute(s, now, drawOperation(t, rapid.SampledFrom([]Kind{KindLock, KindCounter, KindGroup, KindDecision}).Draw(t, "of"), step))
-			copyOf(s, now).Snapshot(now)
+			execute(s, now, drawOperation(t, rapid.SampledFrom([]Kind{KindLock, KindCounter, KindGroup, KindDecision}).Draw(t, "operation on"), step))
+			replicaOf(s, now).Snapshot(now)
 		}
 	})
 }
--- a/internal/fleet/coordination/wire_format_test.go
+++ b/internal/fleet/coordination/wire_format_test.go
@@ -10,7 +10,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Guards against a renamed field or a reordered kind that changes what routers of different versions send each other and keep on disks.
+// Guards against renamed fields or reordered constants that change the wire protocol between routers of different versions, or the format on
+// disk.
 func TestWireFormat(t *testing.T) {
 	revision := uint64(8)
 	for _, message := range []struct {
@@ -44,13 +45,13 @@
 		},
 		{Change{Lock: &LockRecord{Fence: 1}, Group: &GroupRecord{Revision: 1}, Decision: &DecisionRecord{}}, "a301a1010103a1010104a0"},
 	} {
-		Convey(fmt.Sprintf("%+v is encoded as before", message.value), t, func() {
+		Convey(fmt.Sprintf("%+v has a stable encoding", message.value), t, func() {
 			encoded, err := cbor.Marshal(message.value)
 			So(err, ShouldBeNil)
 			So(hex.EncodeToString(encoded), ShouldEqual, message.encoded)
 		})
 	}
-	Convey("Kinds, operations and outcomes have their numbers", t, func() {
+	Convey("Kinds, operations and outcomes have stable numbers", t, func() {
 		So([]Kind{KindLock, KindCounter, KindGroup, KindDecision}, ShouldResemble, []Kind{1, 2, 3, 4})
 		So([]OperationKind{Acquire, Renew, Release, Increment, Put, Get, Watch, Decide}, ShouldResemble, []OperationKind{1, 2, 3, 4, 5, 6, 7, 8})
 		So([]Outcome{Done, Held, Mismatch, Missing, Compacted, Pending, Full}, ShouldResemble, []Outcome{1, 2, 3, 4, 5, 6, 7})
