--- a/client/attempts.go
+++ b/client/attempts.go
@@ -6,49 +6,51 @@
 	"time"
 )
 
-// The pause before an address is asked again within one call doubles from minBackoff to maxBackoff.
+// Within one call, the pause before the next attempt at the same address doubles from minBackoff to maxBackoff.
 const (
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = time.Second
-	// jitterDivisor: pauses are longer by up to that part of them, so that callers which failed together do not come back together.
+	// Each pause is lengthened by a random part of up to 1/jitterDivisor, so that callers which failed at the same time do not retry at
+	// the same time.
 	jitterDivisor = 4
 )
 
-// attempts are those of one call that did not decide it.
-type attempts struct {
-	tried        []int // by address: how often
+// failedAttempts are the attempts of one call that did not decide it.
+type failedAttempts struct {
+	counts       []int // by address index
 	last         *attemptError
-	unclear      bool // one of them may have taken effect, or may yet
+	unclear      bool // at least one attempt may have taken effect, or may still take effect
 	unclearSince time.Time
 }
 
-func (h *attempts) add(address int, failed *attemptError) {
-	h.tried[address]++
-	h.last = failed
-	if failed.unclear && !h.unclear {
-		h.unclear, h.unclearSince = true, time.Now()
+func (f *failedAttempts) add(address int, failure *attemptError) {
+	f.counts[address]++
+	f.last = failure
+	if failure.unclear && !f.unclear {
+		f.unclear, f.unclearSince = true, time.Now()
 	}
 }
 
-// failure is the error of a call that is not tried again, for a reason.
-func (h *attempts) failure(r *request, reason error) error {
+// callError returns the error of a call that is not retried any more. The reason says why: the context or the retry limit.
+func (f *failedAttempts) callError(r *request, reason error) error {
 	switch {
-	case h.unclear:
-		return fmt.Errorf("%w: %s %s: %w; the last attempt: %w", ErrUnclear, r.method, r.path, reason, h.last.err)
-	case h.last != nil:
-		return &RefusedError{Status: h.last.status, Reason: h.last.err.Error(), Err: reason}
+	case f.unclear:
+		return fmt.Errorf("%w: %s %s: %w; the last attempt: %w", ErrUnclear, r.method, r.path, reason, f.last.err)
+	case f.last != nil:
+		return &RefusedError{Status: f.last.status, Reason: f.last.err.Error(), Err: reason}
 	}
-	return &RefusedError{Reason: "it was not sent", Err: reason}
+	return &RefusedError{Reason: "the call was not sent", Err: reason}
 }
 
-// next returns the address to be asked next, and the time to wait before: from the preferred one on, the first that may be asked soonest.
-func (c *Client) next(h *attempts) (index int, wait time.Duration) {
+// nextAddress returns the index of the address for the next attempt, and the time to wait before it. It chooses the address with the shortest
+// wait; among equal ones, the first in the order of addresses, beginning with the preferred one.
+func (c *Client) nextAddress(f *failedAttempts) (index int, wait time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	for i := range c.addresses {
 		candidate := (c.preferred + i) % len(c.addresses)
-		pause := max(c.notBefore[candidate].Sub(now), backoff(h.tried[candidate]))
+		pause := max(c.notBefore[candidate].Sub(now), backoff(f.counts[candidate]))
 		if i == 0 || pause < wait {
 			index, wait = candidate, pause
 		}
@@ -59,16 +61,17 @@
 	return index, wait + rand.N(wait/jitterDivisor+1)
 }
 
-// backoff is the pause before an address that was asked so often is asked again.
-func backoff(tried int) time.Duration {
-	if tried == 0 {
+// backoff returns the pause before the next attempt at an address, given the number of failed attempts there.
+func backoff(attempts int) time.Duration {
+	if attempts == 0 {
 		return 0
 	}
-	return min(minBackoff<<min(tried-1, 10), maxBackoff)
+	return min(minBackoff<<min(attempts-1, 10), maxBackoff)
 }
 
-// turnFrom has later calls ask the next address first, and leaves this one alone for a while.
-func (c *Client) turnFrom(address int, pause time.Duration) {
+// avoidAddress makes the next address the preferred one if the given address is preferred now. With a pause above 0, no attempt is made at
+// the given address before the pause is over.
+func (c *Client) avoidAddress(address int, pause time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.preferred == address {
--- a/client/call.go
+++ b/client/call.go
@@ -17,68 +17,71 @@
 )
 
 const (
-	maxAnswerBytes = 16 << 20 // of a body: the puts of a group, mostly
-	maxReasonBytes = 512
-	maxRetryAfter  = 30 * time.Second
+	maxResponseBytes = 16 << 20 // of a response body; the largest ones hold the puts of a group
+	maxReasonBytes   = 512      // of a response body that becomes an error text
+	maxRetryAfter    = 30 * time.Second
 )
 
-// request is one call, as it is sent to one address after the other.
+// request describes one call, which may take several attempts at different addresses.
 type request struct {
-	method  string
-	path    string        // with the query
-	body    any           // nil: none
-	into    any           // where the body of the answer goes; nil: it is not read
-	check   func() error  // says what is wrong with the body in into; nil: nothing can be
-	timeout time.Duration // of an attempt
-	decided []int         // statuses that decide the call, beside 200
-	repeat  time.Duration // how long the call is repeated once an attempt is unclear; 0: until the context ends
+	method           string
+	path             string        // with the query
+	body             any           // encoded as JSON; nil: no body
+	decoded          any           // pointer to which the response body is decoded; nil: the body is ignored
+	validate         func() error  // validates decoded; nil: no validation
+	attemptTimeout   time.Duration // of one attempt
+	decisiveStatuses []int         // response statuses that decide the call, in addition to 200
+	// maxUnclearTime limits the retries of the call after its first attempt with an unclear outcome; 0: no limit but the context.
+	maxUnclearTime time.Duration
 }
 
-// answer is what decided a call.
-type answer struct {
+// decision describes the response that decided a call.
+type decision struct {
 	status  int
-	sentAt  time.Time // of the attempt that was answered
+	sentAt  time.Time // when the attempt that received the response was sent
 	address int       // index
 }
 
-// attemptError is an attempt that did not decide the call.
+// attemptError describes an attempt that did not decide the call.
 type attemptError struct {
 	err        error
-	status     int           // 0: no answer
-	unclear    bool          // the attempt may have taken effect, or may yet
-	retryAfter time.Duration // the address wants to be left alone for so long
+	status     int           // of the response; 0: no response
+	unclear    bool          // the attempt may have taken effect, or may still take effect
+	retryAfter time.Duration // pause that the response demands before the next attempt at this address; 0: none
 }
 
-// call makes a call: at one address after the other until one decides it, or the context ends.
-func (c *Client) call(ctx context.Context, r *request) (*answer, error) {
+// call makes attempts at one address after the other until a response decides the call or the context ends. The error is a *RefusedError, or
+// ErrUnclear if an attempt may have taken effect.
+func (c *Client) call(ctx context.Context, r *request) (*decision, error) {
 	body, err := r.encode()
 	if err != nil {
 		return nil, err
 	}
-	history := attempts{tried: make([]int, len(c.addresses))}
+	failures := failedAttempts{counts: make([]int, len(c.addresses))}
 	for {
-		index, wait := c.next(&history)
+		index, wait := c.nextAddress(&failures)
 		if err := sleep(ctx, wait); err != nil {
-			return nil, history.failure(r, err)
+			return nil, failures.callError(r, err)
 		}
-		a, failed := c.attempt(ctx, r, body, index)
-		if failed == nil {
-			return a, nil
+		d, failure := c.attempt(ctx, r, body, index)
+		if failure == nil {
+			return d, nil
 		}
-		if failed.isFinal() {
-			return nil, &RefusedError{Status: failed.status, Reason: failed.err.Error()}
+		if failure.isFinal() {
+			return nil, &RefusedError{Status: failure.status, Reason: failure.err.Error()}
 		}
-		history.add(index, failed)
-		c.turnFrom(index, failed.retryAfter)
+		failures.add(index, failure)
+		c.avoidAddress(index, failure.retryAfter)
 		if err := ctx.Err(); err != nil {
-			return nil, history.failure(r, err)
+			return nil, failures.callError(r, err)
 		}
-		if r.repeat > 0 && history.unclear && time.Since(history.unclearSince) > r.repeat {
-			return nil, history.failure(r, errors.New("a repetition might not be recognized any more"))
+		if r.maxUnclearTime > 0 && failures.unclear && time.Since(failures.unclearSince) > r.maxUnclearTime {
+			return nil, failures.callError(r, errors.New("the service might no longer recognise a repetition of the call"))
 		}
 	}
 }
 
+// encode returns the body as JSON; nil: no body.
 func (r *request) encode() ([]byte, error) {
 	if r.body == nil {
 		return nil, nil
@@ -86,63 +89,65 @@
 	return json.Marshal(r.body)
 }
 
-// attempt asks one address.
-func (c *Client) attempt(ctx context.Context, r *request, body []byte, index int) (*answer, *attemptError) {
-	ctx, cancel := context.WithTimeout(ctx, r.timeout)
+// attempt sends the request to one address and waits up to request.attemptTimeout for the response.
+func (c *Client) attempt(ctx context.Context, r *request, body []byte, index int) (*decision, *attemptError) {
+	ctx, cancel := context.WithTimeout(ctx, r.attemptTimeout)
 	defer cancel()
-	call, err := http.NewRequestWithContext(ctx, r.method, "http://"+c.addresses[index]+r.path, bytes.NewReader(body))
+	httpRequest, err := http.NewRequestWithContext(ctx, r.method, "http://"+c.addresses[index]+r.path, bytes.NewReader(body))
 	if err != nil {
 		return nil, &attemptError{err: err}
 	}
 	if body != nil {
-		call.Header.Set("Content-Type", "application/json")
+		httpRequest.Header.Set("Content-Type", "application/json")
 	}
 	sentAt := time.Now()
-	response, err := c.http.Do(call)
+	response, err := c.http.Do(httpRequest)
 	if err != nil {
-		return nil, &attemptError{err: err, unclear: !isNeverSent(err)}
+		return nil, &attemptError{err: err, unclear: !isDialError(err)}
 	}
 	defer func() { _ = response.Body.Close() }()
-	text, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return nil, &attemptError{err: err, unclear: true}
 	}
-	if status := response.StatusCode; status != http.StatusOK && !slices.Contains(r.decided, status) {
-		return nil, undecided(response, text)
+	if status := response.StatusCode; status != http.StatusOK && !slices.Contains(r.decisiveStatuses, status) {
+		return nil, undecidedError(response, text)
 	}
 	if err := r.decode(response.StatusCode, text); err != nil {
 		return nil, &attemptError{err: err, unclear: true}
 	}
-	return &answer{status: response.StatusCode, sentAt: sentAt, address: index}, nil
+	return &decision{status: response.StatusCode, sentAt: sentAt, address: index}, nil
 }
 
-// decode reads the body of an answer that has one. What can't be read decides nothing.
+// decode decodes and validates the body of a response, if its status comes with a body. A response that can't be decoded does not decide the
+// call.
 func (r *request) decode(status int, text []byte) error {
-	if r.into == nil || status != http.StatusOK && status != http.StatusPreconditionFailed {
+	if r.decoded == nil || status != http.StatusOK && status != http.StatusPreconditionFailed {
 		return nil
 	}
-	if err := json.Unmarshal(text, r.into); err != nil {
-		return fmt.Errorf("the answer can't be read: %w", err)
+	if err := json.Unmarshal(text, r.decoded); err != nil {
+		return fmt.Errorf("can't decode the response body: %w", err)
 	}
-	if r.check == nil {
+	if r.validate == nil {
 		return nil
 	}
-	return r.check()
+	return r.validate()
 }
 
-// undecided judges an answer that does not decide the call. 429 and 503 promise that nothing was done.
-func undecided(response *http.Response, text []byte) *attemptError {
-	failed := &attemptError{err: errors.New(reasonOf(response, text)), status: response.StatusCode, retryAfter: parseRetryAfter(response.Header)}
+// undecidedError returns the error for a response that does not decide the call. The statuses 429 and 503 guarantee that the attempt was not
+// executed.
+func undecidedError(response *http.Response, text []byte) *attemptError {
+	failure := &attemptError{err: errors.New(reasonOf(response, text)), status: response.StatusCode, retryAfter: parseRetryAfter(response.Header)}
 	switch status := response.StatusCode; {
 	case status == http.StatusTooManyRequests, status == http.StatusServiceUnavailable:
-	case failed.isFinal():
+	case failure.isFinal():
 	default:
-		failed.unclear = true
+		failure.unclear = true
 	}
-	return failed
+	return failure
 }
 
-// reasonOf returns what the service says: {"error": reason}, or text.
+// reasonOf returns the error text of a response: from a body {"error": reason}, else the beginning of the body, else the status line.
 func reasonOf(response *http.Response, text []byte) string {
 	var body struct {
 		Error string `json:"error"`
@@ -154,18 +159,19 @@
 	return cmp.Or(reason, response.Status)
 }
 
-// isFinal reports whether every address would refuse the call: it is wrong itself, or the service is off.
+// isFinal reports whether every address would refuse the call, because the call is invalid or the service is switched off.
 func (e *attemptError) isFinal() bool {
 	return e.status >= http.StatusBadRequest && e.status < http.StatusInternalServerError && e.status != http.StatusTooManyRequests
 }
 
-// isNeverSent reports whether there was no connection to send a call on.
-func isNeverSent(err error) bool {
-	var operation *net.OpError
-	return errors.As(err, &operation) && operation.Op == "dial"
+// isDialError reports whether an attempt failed before it was sent, because no connection could be opened.
+func isDialError(err error) bool {
+	var opError *net.OpError
+	return errors.As(err, &opError) && opError.Op == "dial"
 }
 
-// parseRetryAfter reads the header Retry-After: seconds, which pinelb gives as a decimal fraction.
+// parseRetryAfter returns the value of the header Retry-After, at most maxRetryAfter; 0: none. It accepts fractions of seconds, which routers
+// send.
 func parseRetryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
 	if err != nil || !(seconds > 0) {
@@ -174,6 +180,7 @@
 	return time.Duration(min(seconds, maxRetryAfter.Seconds()) * float64(time.Second))
 }
 
+// sleep waits for the duration, or until the context ends, and then returns its error.
 func sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
--- a/client/call_test.go
+++ b/client/call_test.go
@@ -11,22 +11,22 @@
 	"time"
 )
 
-// Guards against a client that stays with an address which does not serve it.
-func TestCallTurnsToNextAddress(t *testing.T) {
+// Guards against a client that keeps using an address that fails.
+func TestCallTriesNextAddress(t *testing.T) {
 	for name, first := range map[string]reply{
-		"a failure": {breakOff: true},
-		"500":       {status: 500},
-		"502":       {status: 502},
-		"503":       {status: 503, retryAfter: "0.2"},
-		"504":       {status: 504},
-		"429":       {status: 429},
-		"silence":   {},
-		"no JSON":   {status: 200, body: "<html>"},
-		"307":       {status: 307},
+		"closed connection": {hangUp: true},
+		"500":               {status: 500},
+		"502":               {status: 502},
+		"503":               {status: 503, retryAfter: "0.2"},
+		"504":               {status: 504},
+		"429":               {status: 429},
+		"no response":       {},
+		"no JSON":           {status: 200, body: "<html>"},
+		"307":               {status: 307},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c, s := scriptedClient(t, inTurn(first, ok(`{"value":7}`)))
+				c, s := scriptedClient(t, replyInOrder(first, ok(`{"value":7}`)))
 				begin := time.Now()
 				for range 2 {
 					number, err := c.Counter("n").Next(t.Context())
@@ -35,7 +35,7 @@
 					}
 				}
 				if got := s.addresses(); got != "a:1 b:1 b:1" {
-					t.Errorf("asked %s", got)
+					t.Errorf("attempts at %s", got)
 				}
 				if took := time.Since(begin); took > time.Second {
 					t.Errorf("took %v", took)
@@ -45,13 +45,13 @@
 	}
 }
 
-// Guards against an address that is asked before the time that it named.
+// Guards against an attempt at an address before the time in its Retry-After header.
 func TestCallHonoursRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		begin := time.Now()
-		var asked []time.Duration
+		var attemptTimes []time.Duration
 		c, s := scriptedClient(t, func(n int, _ scriptedCall) reply {
-			asked = append(asked, time.Since(begin))
+			attemptTimes = append(attemptTimes, time.Since(begin))
 			if n < 3 {
 				return reply{status: 503, retryAfter: []string{"5", "2.5", "4"}[n]}
 			}
@@ -60,28 +60,28 @@
 		if _, err := c.Counter("n").Next(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		if got := s.addresses(); got != "a:1 b:1 c:1 b:1" || asked[3] < 2500*time.Millisecond || asked[3] > 3200*time.Millisecond {
-			t.Errorf("asked %s, at last after %v", got, asked[3])
+		if got := s.addresses(); got != "a:1 b:1 c:1 b:1" || attemptTimes[3] < 2500*time.Millisecond || attemptTimes[3] > 3200*time.Millisecond {
+			t.Errorf("attempts at %s, the last one after %v", got, attemptTimes[3])
 		}
 	})
 }
 
-// Guards against an error that promises more than is known.
-func TestCallTellsWhatIsKnown(t *testing.T) {
+// Guards against an error that calls an outcome certain while it is unclear, or the reverse.
+func TestCallReportsCertainty(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		replies []reply
 		unclear bool
 		status  int
 	}{
-		{"refused by all", []reply{{status: 503}}, false, 503},
+		{"refused by every address", []reply{{status: 503}}, false, 503},
 		{"too many calls", []reply{{status: 429}}, false, 429},
 		{"unclear once, then refused", []reply{{status: 504}, {status: 503}}, true, 0},
-		{"silent", []reply{{}}, true, 0},
+		{"no response", []reply{{}}, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				client, _ := scriptedClient(t, inTurn(c.replies...))
+				client, _ := scriptedClient(t, replyInOrder(c.replies...))
 				ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 				defer cancel()
 				_, err := client.Counter("n").Next(ctx)
@@ -93,16 +93,16 @@
 					t.Errorf("%+v", refused)
 				}
 				if !errors.Is(err, context.DeadlineExceeded) {
-					t.Errorf("%v is not the context's", err)
+					t.Errorf("%v does not wrap the error of the context", err)
 				}
 			})
 		})
 	}
 }
 
-// Guards against a call that is repeated although it would be refused everywhere.
-func TestInvalidCallIsNotRepeated(t *testing.T) {
-	c, s := scriptedClient(t, inTurn(reply{status: 400, body: `{"error":"holder is missing"}`}))
+// Guards against retries of an invalid call, which every address would refuse.
+func TestInvalidCallIsNotRetried(t *testing.T) {
+	c, s := scriptedClient(t, replyInOrder(reply{status: 400, body: `{"error":"holder is missing"}`}))
 	_, err := c.AcquireLock(t.Context(), "l", "", time.Second)
 	var refused *RefusedError
 	if !errors.As(err, &refused) || !refused.IsInvalid() || refused.Reason != "holder is missing" || len(s.recorded()) != 1 {
@@ -117,14 +117,14 @@
 		t.Error(err)
 	}
 	if len(s.recorded()) != 1 {
-		t.Error("what is invalid was sent")
+		t.Error("an invalid call was sent")
 	}
 }
 
-// Guards against transports that behave otherwise than the script in memory: sockets, a port where nobody listens, and connections that end.
+// Guards against differences between real connections and the script in memory: a port without a listener, and connections that are closed.
 func TestCallOverSockets(t *testing.T) {
-	breaking := &script{reply: inTurn(reply{breakOff: true})}
-	answering := &script{reply: inTurn(ok(`{"value":9}`))}
+	hangingUp := &script{reply: replyInOrder(reply{hangUp: true})}
+	answering := &script{reply: replyInOrder(ok(`{"value":9}`))}
 	var addresses []string
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -132,7 +132,7 @@
 	}
 	addresses = append(addresses, closed.Addr().String())
 	_ = closed.Close()
-	for _, s := range []*script{breaking, answering} {
+	for _, s := range []*script{hangingUp, answering} {
 		server := httptest.NewServer(s)
 		defer server.Close()
 		addresses = append(addresses, server.Listener.Addr().String())
@@ -150,8 +150,8 @@
 	}
 }
 
-// Guards against an outcome that is called unclear although nothing was ever sent.
-func TestNobodyListens(t *testing.T) {
+// Guards against an outcome that is reported as unclear although no attempt was sent.
+func TestCallWithoutListener(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -174,7 +174,7 @@
 func TestNewChecksAddresses(t *testing.T) {
 	for _, addresses := range [][]string{nil, {"nowhere"}, {"a:1", ""}} {
 		if _, err := New(addresses, Options{}); err == nil {
-			t.Errorf("%q are taken", addresses)
+			t.Errorf("New accepts the addresses %q", addresses)
 		}
 	}
 }
--- a/client/cells_test.go
+++ b/client/cells_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Guards against outcomes of puts and reads that are mixed up.
-func TestCellsTellOutcomes(t *testing.T) {
-	c, s := scriptedClient(t, inTurn(
+// Guards against confused outcomes of puts and reads.
+func TestCellsReportOutcomes(t *testing.T) {
+	c, s := scriptedClient(t, replyInOrder(
 		ok(`{"revision":931}`), ok(`{"revision":932}`), reply{status: 412, body: `{"revision":940}`},
 		ok(`{"value":"v","revision":940}`), reply{status: 404, body: `{"error":"there is no such key"}`},
 	))
@@ -39,10 +39,10 @@
 	}
 }
 
-// Guards against a put that is sent again with another value, and against one that is given up.
-func TestPutWithoutClearAnswerIsRepeated(t *testing.T) {
+// Guards against a put with an unclear outcome that is retried with another body, or not retried.
+func TestPutWithUnclearOutcomeIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c, s := scriptedClient(t, inTurn(reply{status: 504}, reply{}, reply{breakOff: true}, ok(`{"revision":5}`)))
+		c, s := scriptedClient(t, replyInOrder(reply{status: 504}, reply{}, reply{hangUp: true}, ok(`{"revision":5}`)))
 		if revision, err := c.Cells().PutIf(t.Context(), "g.k", "v", 4); revision != 5 || err != nil {
 			t.Errorf("%d, %v", revision, err)
 		}
@@ -58,17 +58,17 @@
 	})
 }
 
-// Guards against a put that is repeated for longer than the service recognizes it: it would be made twice.
-func TestPutIsNotRepeatedBeyondHistory(t *testing.T) {
+// Guards against a put that is retried for longer than the service recognises repetitions: it would be executed twice.
+func TestPutIsNotRetriedBeyondHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c, _ := scriptedClient(t, inTurn(reply{status: 503}, reply{status: 504}))
+		c, _ := scriptedClient(t, replyInOrder(reply{status: 503}, reply{status: 504}))
 		begin := time.Now()
 		_, err := c.Cells().Put(context.Background(), "g.k", "v")
 		if !errors.Is(err, ErrUnclear) {
 			t.Error(err)
 		}
 		if took := time.Since(begin); took < defaultHistory || took > defaultHistory+2*time.Second {
-			t.Errorf("repeated for %v", took)
+			t.Errorf("retried for %v", took)
 		}
 	})
 }
--- a/client/client.go
+++ b/client/client.go
@@ -14,40 +14,40 @@
 	defaultAttemptTimeout = time.Second
 	defaultHistory        = 15 * time.Second
 	defaultWatchWait      = 10 * time.Second
-	maxIdleConnections    = 32 // to each address
+	maxIdlePerAddress     = 32 // connections
 	idleTimeout           = 30 * time.Second
 )
 
-// Options are a client's settings. The zero value has the defaults.
+// Options configures a Client. Zero fields have the defaults.
 type Options struct {
-	// AttemptTimeout is how long an address may be silent before the next one is asked. Default: 1 s.
+	// AttemptTimeout is how long the client waits for a response of one address before it tries the next one. Default: 1 s.
 	AttemptTimeout time.Duration
-	// History is how long a put without a clear answer is repeated. It has to be below the fleet's bounds.historyS: the service recognizes a
-	// put that comes again for that long. Default: 15 s.
+	// History is how long a put is retried after an attempt with an unclear outcome. It must be below the fleet's setting bounds.historyS,
+	// which is how long the service recognises a repeated put. Default: 15 s.
 	History time.Duration
-	// WatchWait is how long one call of a watch waits for puts; the service answers after a minute at most. Default: 10 s.
+	// WatchWait is how long one call of a Watcher waits for puts. The service answers after one minute at the latest. Default: 10 s.
 	WatchWait time.Duration
-	// Transport makes the connections. Default: one of the client's own, which Close closes.
+	// Transport sends the requests. Default: a transport of the client's own, whose idle connections Close closes.
 	Transport http.RoundTripper
 }
 
-// Client calls the coordination service. Its methods may be called by any goroutine.
+// Client calls the coordination service. It is safe for concurrent use.
 type Client struct {
 	options   Options
 	addresses []string
 	http      http.Client
-	transport *http.Transport // the client's own; nil: Options.Transport
+	transport *http.Transport // the client's own transport; nil: Options.Transport is used
 
 	mu        sync.Mutex
-	preferred int         // index of the address that is asked first
-	notBefore []time.Time // by address: when it may be asked again
+	preferred int         // index of the address for the first attempt of a call
+	notBefore []time.Time // by address: the earliest time of the next attempt
 }
 
-// New returns a client of the fleet whose routers have these control addresses (host:port). Nothing is sent yet. Addresses are asked in the
-// order given: give the nearest first.
+// New returns a client of a fleet whose routers have the given control addresses (host:port). It opens no connection. Attempts are made at
+// the addresses in the given order, so put the nearest address first.
 func New(addresses []string, options Options) (*Client, error) {
 	if len(addresses) == 0 {
-		return nil, errors.New("client: no address")
+		return nil, errors.New("client: no control address is given")
 	}
 	for _, address := range addresses {
 		if _, _, err := net.SplitHostPort(address); err != nil {
@@ -61,7 +61,7 @@
 	if options.Transport == nil {
 		c.transport = &http.Transport{
 			DialContext:         (&net.Dialer{Timeout: options.AttemptTimeout}).DialContext,
-			MaxIdleConnsPerHost: maxIdleConnections,
+			MaxIdleConnsPerHost: maxIdlePerAddress,
 			IdleConnTimeout:     idleTimeout,
 		}
 		options.Transport = c.transport
@@ -73,7 +73,7 @@
 	return c, nil
 }
 
-// Close closes connections that are not in use. Release locks first.
+// Close closes idle connections of the client's own transport. Release locks before.
 func (c *Client) Close() {
 	if c.transport != nil {
 		c.transport.CloseIdleConnections()
--- a/client/counter.go
+++ b/client/counter.go
@@ -5,16 +5,16 @@
 	"net/http"
 )
 
-// Counter gives rising numbers.
+// Counter returns ascending numbers.
 type Counter struct {
 	client *Client
 	name   string
 }
 
-// Counter returns the counter of a name.
+// Counter returns the counter with the given name.
 func (c *Client) Counter(name string) *Counter { return &Counter{client: c, name: name} }
 
-// Next returns a number above each that was given under the name before the call. There may be gaps.
+// Next returns a number that is higher than every number that this counter returned before the call. There may be gaps.
 func (n *Counter) Next(ctx context.Context) (uint64, error) {
 	path, err := pathOf("/numbers/", n.name, "")
 	if err != nil {
@@ -24,7 +24,7 @@
 		Value uint64 `json:"value"`
 	}
 	_, err = n.client.call(ctx, &request{
-		method: http.MethodPost, path: path, body: struct{}{}, into: &number, timeout: n.client.options.AttemptTimeout,
+		method: http.MethodPost, path: path, body: struct{}{}, decoded: &number, attemptTimeout: n.client.options.AttemptTimeout,
 	})
 	return number.Value, err
 }
--- a/client/election.go
+++ b/client/election.go
@@ -5,54 +5,54 @@
 	"errors"
 )
 
-// Election chooses one leader among those that campaign: who holds the lock of the election's name.
+// Election elects one leader among its candidates: the candidate that holds the lock with the name of the election.
 type Election struct {
 	client  *Client
 	name    string
 	options LockOptions
 }
 
-// Election returns the election of a name. Names of elections are names of locks.
+// Election returns the election with the given name. Elections and locks share one namespace.
 func (c *Client) Election(name string, options LockOptions) *Election {
 	return &Election{client: c, name: name, options: options}
 }
 
-// Run campaigns, and calls lead whenever this caller is the leader. The context of lead is cancelled, with the cause ErrLost, when the
-// leadership is lost; lead then has LockOptions.Margin to return, and Run campaigns again. Run returns when lead returns while it is the
-// leader, with its error, and when ctx ends.
+// Run takes part in the election, and calls lead each time this candidate becomes the leader. When the leadership is lost, the context of
+// lead is cancelled with the cause ErrLost; lead must return within LockOptions.Margin, and Run takes part in the election again. Run
+// returns the error of lead if lead returns while this candidate is still the leader. It also returns when ctx ends.
 func (e *Election) Run(ctx context.Context, lead func(ctx context.Context, fence uint64) error) error {
 	for {
 		lock, err := e.client.Acquire(ctx, e.name, e.options)
 		if err != nil {
 			return err
 		}
-		if err := e.serve(ctx, lock, lead); !errors.Is(err, ErrLost) {
+		if err := e.runLeader(ctx, lock, lead); !errors.Is(err, ErrLost) {
 			return err
 		}
 	}
 }
 
-// serve runs lead while the lock is held, and releases the lock. The error is ErrLost where the leadership was lost.
-func (e *Election) serve(ctx context.Context, lock *Lock, lead func(ctx context.Context, fence uint64) error) error {
-	leading, cancel := context.WithCancelCause(ctx)
-	watched := make(chan struct{})
+// runLeader calls lead while the lock is held, and then releases the lock. The error is ErrLost if the leadership was lost.
+func (e *Election) runLeader(ctx context.Context, lock *Lock, lead func(ctx context.Context, fence uint64) error) error {
+	leaderCtx, cancel := context.WithCancelCause(ctx)
+	watcherDone := make(chan struct{})
 	go func() {
-		defer close(watched)
+		defer close(watcherDone)
 		select {
 		case <-lock.Lost():
 			cancel(lock.Err())
-		case <-leading.Done():
+		case <-leaderCtx.Done():
 		}
 	}()
-	err := lead(leading, lock.Fence())
+	err := lead(leaderCtx, lock.Fence())
 	cancel(nil)
-	<-watched
-	lost := lock.Err()
-	release, cancelRelease := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
+	<-watcherDone
+	lostErr := lock.Err()
+	releaseCtx, cancelRelease := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 	defer cancelRelease()
-	_ = lock.Release(release) // else another leads when the time of this one has run out
-	if lost != nil {
-		return lost
+	_ = lock.Release(releaseCtx) // if it fails, another candidate can become the leader when the hold expires
+	if lostErr != nil {
+		return lostErr
 	}
 	return err
 }
--- a/client/errors.go
+++ b/client/errors.go
@@ -7,37 +7,38 @@
 	"strconv"
 )
 
-// Outcomes of calls.
+// Errors that are outcomes of calls.
 var (
-	// ErrHeld says that another holder has the lock.
-	ErrHeld = errors.New("client: the lock is held by another")
-	// ErrLost says that the lock's time has run out, or that another holder has it now.
+	// ErrHeld means that the lock is held by another holder.
+	ErrHeld = errors.New("client: the lock is held by another holder")
+	// ErrLost means that the hold has expired, or that another holder has acquired the lock.
 	ErrLost = errors.New("client: the lock is lost")
-	// ErrReleased says that the lock was released by its holder.
-	ErrReleased = errors.New("client: the lock is released")
-	// ErrNotFound says that there is no such key.
+	// ErrReleased means that the holder has released the lock.
+	ErrReleased = errors.New("client: the lock has been released")
+	// ErrNotFound means that the key does not exist.
 	ErrNotFound = errors.New("client: there is no such key")
-	// ErrCompacted says that puts which a watch has not told are no longer known. Read the keys, and watch from the present revision.
-	ErrCompacted = errors.New("client: puts after the revision are no longer known")
-	// ErrUnclear says that the call may have taken effect, or may yet.
+	// ErrCompacted means that the service has dropped puts which the watch has not returned yet. Read the keys, and start a new watch at the
+	// current revision.
+	ErrCompacted = errors.New("client: puts after the last received revision are no longer known to the service")
+	// ErrUnclear means that the call may have taken effect, or may still take effect.
 	ErrUnclear = errors.New("client: the outcome is not known")
 )
 
-// RevisionMismatchError reports that a put was not made because its key has another revision.
+// RevisionMismatchError means that a conditional put was rejected because the key has another revision.
 type RevisionMismatchError struct {
 	Key      string
-	Revision uint64 // that the key has; 0: there is no such key
+	Revision uint64 // the current revision of the key; 0: the key does not exist
 }
 
 func (e *RevisionMismatchError) Error() string {
 	return "client: key " + strconv.Quote(e.Key) + " has revision " + strconv.FormatUint(e.Revision, 10)
 }
 
-// RefusedError reports that a call was not executed and never will be.
+// RefusedError means that a call was not executed and never will be.
 type RefusedError struct {
-	Status int    // of the last answer; 0: no address was reached, or the call is invalid
-	Reason string // as the service gave it
-	Err    error  // why the call was not tried again; nil: it would be refused again
+	Status int    // of the last response; 0: there was no response, or the client rejected the call as invalid
+	Reason string // from the last response, or from the client if there was none
+	Err    error  // why the call is not retried any more; nil: a retry would be refused again
 }
 
 func (e *RefusedError) Error() string {
@@ -53,5 +54,5 @@
 
 func (e *RefusedError) Unwrap() error { return e.Err }
 
-// IsInvalid reports whether the call itself is wrong, so that it would be refused again.
+// IsInvalid reports whether the call itself is invalid or not served, so that a retry would be refused again.
 func (e *RefusedError) IsInvalid() bool { return e.Err == nil }
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -10,18 +10,18 @@
 	"pinelb.example/pinelb/client"
 )
 
-// newFleet stands for a router's control address.
+// newFleet returns a server that stands in for a router's control address.
 func newFleet() *httptest.Server {
 	mux := http.NewServeMux()
-	answer := func(pattern, body string) {
+	respond := func(pattern, body string) {
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, body) })
 	}
-	answer("POST /locks/nightly-report/begin", `{"fence":41}`)
-	answer("POST /locks/nightly-report/heartbeat", `{}`)
-	answer("POST /locks/nightly-report/finish", `{}`)
-	answer("POST /numbers/bookings", `{"value":5120}`)
-	answer("POST /cells/reports.last/replace", `{"revision":931}`)
-	answer("GET /watch/reports.", `{"events":[{"name":"reports.last","value":"report 5120","revision":931}],"revision":931}`)
+	respond("POST /locks/nightly-report/begin", `{"fence":41}`)
+	respond("POST /locks/nightly-report/heartbeat", `{}`)
+	respond("POST /locks/nightly-report/finish", `{}`)
+	respond("POST /numbers/bookings", `{"value":5120}`)
+	respond("POST /cells/reports.last/replace", `{"revision":931}`)
+	respond("GET /watch/reports.", `{"events":[{"name":"reports.last","value":"report 5120","revision":931}],"revision":931}`)
 	return httptest.NewServer(mux)
 }
 
@@ -48,7 +48,7 @@
 		fmt.Println(err)
 		return
 	}
-	if !lock.IsHeld() { // right before what only the holder may do
+	if !lock.IsHeld() { // check right before the operation that only the holder may perform
 		fmt.Println(lock.Err())
 		return
 	}
--- a/client/lock.go
+++ b/client/lock.go
@@ -10,23 +10,24 @@
 )
 
 const (
-	defaultHold      = 10 * time.Second
-	marginDivisor    = 20 // the default margin is the hold divided by it
-	renewalsEachHold = 3  // so many renewals may fail, roughly, before the lock is lost
-	acquireInterval  = 250 * time.Millisecond
-	releaseTimeout   = time.Second // of a lock that was granted too late
+	defaultHold            = 10 * time.Second
+	defaultMarginDivisor   = 20 // the default margin is the hold divided by this number
+	renewalsPerHold        = 3  // about this number of consecutive renewals can fail before the lock is lost
+	defaultAcquireInterval = 250 * time.Millisecond
+	releaseTimeout         = time.Second // for releasing a lock that was granted too late, or that a former leader held
 )
 
-// LockOptions say how a lock is held. The zero value has the defaults.
+// LockOptions configures how a lock is acquired and held. Zero fields have the defaults.
 type LockOptions struct {
-	// Holder names the holder. No two holders of a lock may have the same name at any time. Default: a random name for each Lock.
+	// Holder is the name of the holder. Two holders of a lock must never have the same name. Default: a random name for each Lock.
 	Holder string
-	// Hold is for how long the lock is granted each time, from 1 ms to 1 h: for so long it stays taken when its holder dies. Default: 10 s.
+	// Hold is the duration of each grant and renewal, from 1 ms to 1 h. If the holder fails, the lock stays held for up to this time.
+	// Default: 10 s.
 	Hold time.Duration
-	// Margin is how long before the end of the hold the lock counts as lost, so that the holder has time to stop. At most half of Hold.
-	// Default: a twentieth of Hold.
+	// Margin is how long before the end of the hold the client treats the lock as lost, so that the holder has time to stop. At most half of
+	// Hold. Default: a twentieth of Hold.
 	Margin time.Duration
-	// Interval is the pause between attempts while another holds the lock. Default: 250 ms.
+	// Interval is the pause between attempts to acquire the lock while another holder has it. Default: 250 ms.
 	Interval time.Duration
 }
 
@@ -35,32 +36,33 @@
 		o.Holder = rand.Text()
 	}
 	setDefault(&o.Hold, defaultHold)
-	setDefault(&o.Margin, o.Hold/marginDivisor)
-	setDefault(&o.Interval, acquireInterval)
+	setDefault(&o.Margin, o.Hold/defaultMarginDivisor)
+	setDefault(&o.Interval, defaultAcquireInterval)
 	if o.Margin > o.Hold/2 {
-		return &RefusedError{Reason: fmt.Sprintf("the margin %v is more than half of the hold %v", o.Margin, o.Hold)}
+		return &RefusedError{Reason: fmt.Sprintf("the margin %v of the lock is more than half of its hold %v", o.Margin, o.Hold)}
 	}
 	return nil
 }
 
-// Lock is a lock that was acquired. It is renewed in the background until it is released or lost. Its methods may be called by any goroutine.
+// Lock is an acquired lock. It is renewed in the background until it is released or lost. It is safe for concurrent use.
 //
-// The holder's time counts from the sending of the last call that succeeded, on the monotonic clock. Once it has run out the lock is lost,
-// whatever is heard later.
+// The hold counts from the time at which the last successful call was sent, on the monotonic clock. When the hold expires, the lock is lost,
+// regardless of responses that arrive later.
 type Lock struct {
 	client  *Client
 	name    string
 	options LockOptions
 	fence   uint64
-	cancel  context.CancelCauseFunc // ends the renewals
-	ended   chan struct{}           // closed when they have ended
+	cancel  context.CancelCauseFunc // stops the renewals
+	done    chan struct{}           // closed when the renewals have stopped
 
 	mu       sync.Mutex
-	deadline time.Time // from which on the lock is lost
-	err      error     // why it is not held any more
+	deadline time.Time // the lock is lost from this time on
+	err      error     // why the lock is not held any more; nil: it is held until deadline
 }
 
-// TryAcquire acquires a lock, or fails with ErrHeld where another has it, and with ErrLost where the grant came too late to be used.
+// TryAcquire acquires a lock. It fails with ErrHeld if another holder has the lock, and with ErrLost if the grant arrived too late to be
+// used: Hold less Margin after the call was sent.
 func (c *Client) TryAcquire(ctx context.Context, name string, options LockOptions) (*Lock, error) {
 	if err := options.setDefaults(); err != nil {
 		return nil, err
@@ -68,26 +70,26 @@
 	return c.tryAcquire(ctx, name, options)
 }
 
-// Acquire acquires a lock, and waits while another has it. Where the context ends first, the error is that of the last attempt, ErrHeld mostly,
-// and the context's.
+// Acquire acquires a lock, and waits while another holder has it. If the context ends first, the error wraps the error of the last attempt,
+// usually ErrHeld, and that of the context.
 func (c *Client) Acquire(ctx context.Context, name string, options LockOptions) (*Lock, error) {
 	if err := options.setDefaults(); err != nil {
 		return nil, err
 	}
-	var held error // of the attempt before
+	var lastErr error // of the previous attempt
 	for {
 		lock, err := c.tryAcquire(ctx, name, options)
 		var refused *RefusedError
 		switch {
 		case errors.Is(err, ErrHeld), errors.Is(err, ErrLost):
-			held = err
-		case held != nil && ctx.Err() != nil && errors.As(err, &refused):
-			return nil, fmt.Errorf("%w: %w", held, ctx.Err())
+			lastErr = err
+		case lastErr != nil && ctx.Err() != nil && errors.As(err, &refused):
+			return nil, fmt.Errorf("%w: %w", lastErr, ctx.Err())
 		default:
 			return lock, err
 		}
-		if ended := sleep(ctx, options.Interval); ended != nil {
-			return nil, fmt.Errorf("%w: %w", held, ended)
+		if ctxErr := sleep(ctx, options.Interval); ctxErr != nil {
+			return nil, fmt.Errorf("%w: %w", lastErr, ctxErr)
 		}
 	}
 }
@@ -98,13 +100,13 @@
 		return nil, err
 	}
 	l := &Lock{
-		client: c, name: name, options: options, fence: grant.Fence, ended: make(chan struct{}),
+		client: c, name: name, options: options, fence: grant.Fence, done: make(chan struct{}),
 		deadline: grant.SentAt.Add(options.Hold - options.Margin),
 	}
 	if !l.IsHeld() {
 		ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 		defer cancel()
-		_ = c.ReleaseLock(ctx, name, options.Holder, grant.Fence) // else it is free when its time has run out
+		_ = c.ReleaseLock(ctx, name, options.Holder, grant.Fence) // if it fails, the lock becomes free when the hold expires
 		return nil, ErrLost
 	}
 	background, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
@@ -119,37 +121,37 @@
 // Holder returns the holder's name.
 func (l *Lock) Holder() string { return l.options.Holder }
 
-// Fence returns the fencing token. It is above each that another holder got before.
+// Fence returns the fencing token. It is higher than that of every earlier grant of the lock.
 func (l *Lock) Fence() uint64 { return l.fence }
 
-// Lost returns a channel that is closed when the lock is not held any more; Err says why. It is closed after Release, too.
-func (l *Lock) Lost() <-chan struct{} { return l.ended }
+// Lost returns a channel that is closed when the lock is not held any more, also after Release. Err returns the reason.
+func (l *Lock) Lost() <-chan struct{} { return l.done }
 
-// Err returns nil while the lock is held, then ErrReleased, or an error that is ErrLost.
+// Err returns nil while the lock is held, and afterwards ErrReleased or an error that wraps ErrLost.
 func (l *Lock) Err() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.err == nil && !time.Now().Before(l.deadline) {
-		l.err = fmt.Errorf("%w: its time has run out", ErrLost)
+		l.err = fmt.Errorf("%w: its hold has expired", ErrLost)
 	}
 	return l.err
 }
 
-// IsHeld reports whether the lock is held at this moment. It looks at the clock itself: after a process was frozen it may be false before Lost
-// is closed.
+// IsHeld reports whether the lock is held now. It reads the clock, so that after a freeze of the process it can return false before Lost is
+// closed.
 func (l *Lock) IsHeld() bool { return l.Err() == nil }
 
-// Release ends the renewals and gives the lock back. From its call on the lock is not held. Where it fails, another can acquire the lock when
-// its time has run out. It may be called again.
+// Release stops the renewals and releases the lock. The lock is not held from the start of this call, even if it fails; after a failure,
+// another holder can acquire the lock when the hold expires. Release may be called again.
 func (l *Lock) Release(ctx context.Context) error {
-	l.end(ErrReleased)
+	l.setErr(ErrReleased)
 	l.cancel(ErrReleased)
-	<-l.ended
+	<-l.done
 	return l.client.ReleaseLock(ctx, l.name, l.options.Holder, l.fence)
 }
 
-// end records why the lock is not held any more. The first reason stays.
-func (l *Lock) end(reason error) {
+// setErr records why the lock is not held any more, unless a reason is already recorded.
+func (l *Lock) setErr(reason error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.err == nil {
@@ -157,7 +159,7 @@
 	}
 }
 
-// extend takes over a renewal, unless the lock's time has run out in the meantime.
+// extend sets the deadline after a renewal that was sent at sentAt, unless the lock has been lost or released since.
 func (l *Lock) extend(sentAt time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -166,7 +168,7 @@
 	}
 }
 
-func (l *Lock) presentDeadline() time.Time {
+func (l *Lock) currentDeadline() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.deadline
@@ -174,24 +176,24 @@
 
 // keepAlive renews the lock until it is lost or released.
 func (l *Lock) keepAlive(ctx context.Context) {
-	defer close(l.ended)
+	defer close(l.done)
 	defer l.cancel(nil)
-	interval := (l.options.Hold - l.options.Margin) / renewalsEachHold
+	interval := (l.options.Hold - l.options.Margin) / renewalsPerHold
 	for {
-		wait := min(interval, time.Until(l.presentDeadline()))
+		wait := min(interval, time.Until(l.currentDeadline()))
 		if sleep(ctx, wait) != nil || !l.IsHeld() {
 			return
 		}
 		if err := l.renew(ctx); err != nil {
-			l.end(fmt.Errorf("%w: %w", ErrLost, err))
+			l.setErr(fmt.Errorf("%w: %w", ErrLost, err))
 			return
 		}
 	}
 }
 
-// renew renews the lock once. It fails when the lock's time has run out, however long an answer takes.
+// renew renews the lock once. It fails at the deadline of the lock at the latest, even if there is no response.
 func (l *Lock) renew(ctx context.Context) error {
-	ctx, cancel := context.WithDeadline(ctx, l.presentDeadline())
+	ctx, cancel := context.WithDeadline(ctx, l.currentDeadline())
 	defer cancel()
 	grant, err := l.client.RenewLock(ctx, l.name, l.options.Holder, l.fence, l.options.Hold)
 	if err != nil {
--- a/client/lock_test.go
+++ b/client/lock_test.go
@@ -11,7 +11,7 @@
 
 const testHold = 3 * time.Second
 
-// lockScript answers begin with a fence, finish with 200, and heartbeats as it is told.
+// lockScript replies to begin with a fence, to finish with 200, and to heartbeats with heartbeat(number of earlier heartbeats).
 func lockScript(heartbeat func(n int) reply) func(int, scriptedCall) reply {
 	heartbeats := 0
 	return func(_ int, call scriptedCall) reply {
@@ -35,8 +35,8 @@
 	return l
 }
 
-// Guards against a lock that is lost although its renewals succeed, and one that is renewed after its release.
-func TestLockIsKeptUntilReleased(t *testing.T) {
+// Guards against a lock that is lost although its renewals succeed, and against renewals after the release.
+func TestLockIsHeldUntilReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, s := scriptedClient(t, lockScript(func(int) reply { return ok(`{}`) }))
 		l := acquire(t, c)
@@ -53,7 +53,7 @@
 		}
 		calls := s.recorded()
 		for _, call := range calls[1:] {
-			if body := lockCallOf(t, call); body.Fence != 41 || body.Holder != "h" {
+			if body := lockRequestOf(t, call); body.Fence != 41 || body.Holder != "h" {
 				t.Errorf("sent %+v", call)
 			}
 		}
@@ -62,14 +62,14 @@
 		}
 		time.Sleep(10 * testHold)
 		if len(s.recorded()) != len(calls) {
-			t.Error("called after the release")
+			t.Error("calls were sent after the release")
 		}
 	})
 }
 
-// Guards against a holder that counts on its lock for longer than from the sending of its last good call.
-func TestLockIsLostWhenItsTimeRunsOut(t *testing.T) {
-	for name, failure := range map[string]reply{"silence": {}, "refusals": {status: 503}, "unclear": {status: 504}} {
+// Guards against a lock that counts as held after its hold, which starts when the last successful call was sent.
+func TestLockIsLostWhenItsHoldExpires(t *testing.T) {
+	for name, failure := range map[string]reply{"no response": {}, "refusals": {status: 503}, "unclear": {status: 504}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c, _ := scriptedClient(t, lockScript(func(n int) reply {
@@ -81,8 +81,8 @@
 				begin := time.Now()
 				l := acquire(t, c)
 				<-l.Lost()
-				lastGood := (testHold - 100*time.Millisecond) / renewalsEachHold
-				if want := lastGood + testHold - 100*time.Millisecond; time.Since(begin) != want || !errors.Is(l.Err(), ErrLost) {
+				lastRenewal := (testHold - 100*time.Millisecond) / renewalsPerHold
+				if want := lastRenewal + testHold - 100*time.Millisecond; time.Since(begin) != want || !errors.Is(l.Err(), ErrLost) {
 					t.Errorf("lost after %v, want %v: %v", time.Since(begin), want, l.Err())
 				}
 			})
@@ -90,8 +90,8 @@
 	}
 }
 
-// Guards against time that is counted from an answer instead of from the sending of the attempt that was answered.
-func TestLockCountsFromSending(t *testing.T) {
+// Guards against a hold that is counted from the response, or from the first attempt, instead of from the sending of the successful attempt.
+func TestHoldCountsFromSending(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := ok(`{"fence":41}`)
 		slow.before = func(context.Context) { time.Sleep(900 * time.Millisecond) }
@@ -110,10 +110,10 @@
 	})
 }
 
-// Guards against a renewal that brings back a lock whose time had run out before its answer was heard.
+// Guards against a renewal that extends a hold that expired before the response arrived.
 func TestLateRenewalHasNoEffect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := &Lock{options: LockOptions{Hold: testHold}, deadline: time.Now().Add(testHold)} // its renewals are frozen with the process
+		l := &Lock{options: LockOptions{Hold: testHold}, deadline: time.Now().Add(testHold)} // no renewals, as in a frozen process
 		time.Sleep(testHold - time.Nanosecond)
 		if !l.IsHeld() {
 			t.Error(l.Err())
@@ -126,14 +126,14 @@
 	})
 }
 
-// Guards against a holder that goes on after another was granted the lock.
+// Guards against a holder that continues after the lock was granted to another one.
 func TestLockIsLostByConflict(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, _ := scriptedClient(t, lockScript(func(int) reply { return reply{status: 409, body: "{}"} }))
 		begin := time.Now()
 		l := acquire(t, c)
 		<-l.Lost()
-		if want := (testHold - 100*time.Millisecond) / renewalsEachHold; time.Since(begin) != want || !errors.Is(l.Err(), ErrLost) {
+		if want := (testHold - 100*time.Millisecond) / renewalsPerHold; time.Since(begin) != want || !errors.Is(l.Err(), ErrLost) {
 			t.Errorf("after %v: %v", time.Since(begin), l.Err())
 		}
 		if err := l.Release(t.Context()); err != nil || !errors.Is(l.Err(), ErrLost) {
@@ -142,17 +142,17 @@
 	})
 }
 
-// Guards against a grant that is used although its time ran out before it was heard.
+// Guards against the use of a grant whose hold expired before the response arrived.
 func TestLateGrantIsNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		late := ok(`{"fence":41}`)
 		late.before = func(context.Context) { time.Sleep(900 * time.Millisecond) }
-		c, s := scriptedClient(t, inTurn(late, ok(`{}`), ok(`{"fence":42}`), ok(`{}`)))
+		c, s := scriptedClient(t, replyInOrder(late, ok(`{}`), ok(`{"fence":42}`), ok(`{}`)))
 		l, err := c.Acquire(t.Context(), "l", LockOptions{Hold: 800 * time.Millisecond})
 		if err != nil || l.Fence() != 42 {
 			t.Fatal(l, err)
 		}
-		if second := s.recorded()[1]; second.path != "/locks/l/finish" || lockCallOf(t, second).Fence != 41 {
+		if second := s.recorded()[1]; second.path != "/locks/l/finish" || lockRequestOf(t, second).Fence != 41 {
 			t.Errorf("%+v", second)
 		}
 		if err := l.Release(t.Context()); err != nil {
@@ -161,11 +161,11 @@
 	})
 }
 
-// Guards against holders that do not wait for their turn, and those that wait for ever.
+// Guards against an Acquire that does not wait for a held lock, and one that waits after its context has ended.
 func TestAcquireWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		held := reply{status: 409, body: "{}"}
-		c, s := scriptedClient(t, inTurn(held, held, ok(`{"fence":2}`), ok(`{}`)))
+		c, s := scriptedClient(t, replyInOrder(held, held, ok(`{"fence":2}`), ok(`{}`)))
 		if _, err := c.TryAcquire(t.Context(), "l", LockOptions{}); !errors.Is(err, ErrHeld) {
 			t.Error(err)
 		}
@@ -175,24 +175,24 @@
 		}
 		_ = l.Release(t.Context())
 		calls := s.recorded()
-		if first, second := lockCallOf(t, calls[0]).Holder, lockCallOf(t, calls[1]).Holder; first == second || first == "" {
+		if first, second := lockRequestOf(t, calls[0]).Holder, lockRequestOf(t, calls[1]).Holder; first == second || first == "" {
 			t.Errorf("holders %q and %q", first, second)
 		}
 
-		c, _ = scriptedClient(t, inTurn(held))
+		c, _ = scriptedClient(t, replyInOrder(held))
 		ctx, cancel := context.WithTimeout(t.Context(), 1100*time.Millisecond)
 		defer cancel()
 		if _, err := c.Acquire(ctx, "l", LockOptions{}); !errors.Is(err, ErrHeld) || !errors.Is(err, context.DeadlineExceeded) {
 			t.Error(err)
 		}
 		if _, err := c.Acquire(t.Context(), "l", LockOptions{Hold: time.Second, Margin: 600 * time.Millisecond}); err == nil {
-			t.Error("a margin of more than half of the hold is taken")
+			t.Error("Acquire accepts a margin of more than half of the hold")
 		}
 	})
 }
 
-// Guards against a leader that is not told of its loss, and against an election that ends with it.
-func TestElectionCampaignsAgain(t *testing.T) {
+// Guards against a leader whose context is not cancelled when the leadership is lost, and against an election that ends then.
+func TestElectionRunsAgainAfterLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fence := 0
 		c, s := scriptedClient(t, func(_ int, call scriptedCall) reply {
--- a/client/script_test.go
+++ b/client/script_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// scriptedCall is a call that a script was sent.
+// scriptedCall is a call that a script has received.
 type scriptedCall struct {
 	address string
 	method  string
@@ -25,20 +25,20 @@
 	body    string
 }
 
-// script answers calls, in memory or on a socket.
+// script is a fake router that sends prepared replies, in memory or on a socket.
 type script struct {
 	mu    sync.Mutex
 	calls []scriptedCall
-	reply func(n int, call scriptedCall) reply // n: how many calls came before
+	reply func(n int, call scriptedCall) reply // n: number of earlier calls
 }
 
-// reply is what a call is answered with.
+// reply is the reply of a script to one call.
 type reply struct {
-	status     int // 0: the call is never answered
+	status     int // 0: there is no response
 	body       string
 	retryAfter string
-	before     func(ctx context.Context) // runs before the answer
-	breakOff   bool                      // the connection ends without an answer
+	before     func(ctx context.Context) // runs before the response
+	hangUp     bool                      // the connection is closed without a response
 }
 
 func (s *script) record(r *http.Request) reply {
@@ -56,7 +56,7 @@
 	return append([]scriptedCall(nil), s.calls...)
 }
 
-// addresses are those of the calls so far.
+// addresses returns the addresses of the calls so far, separated by spaces.
 func (s *script) addresses() string {
 	var addresses []string
 	for _, call := range s.recorded() {
@@ -65,7 +65,7 @@
 	return strings.Join(addresses, " ")
 }
 
-// RoundTrip answers without a socket, so that a test can run on the fake clock of synctest.
+// RoundTrip replies without a socket, so that a test can run on the fake clock of synctest.
 func (s *script) RoundTrip(r *http.Request) (*http.Response, error) {
 	reply := s.record(r)
 	if reply.before != nil {
@@ -77,7 +77,7 @@
 	if err := r.Context().Err(); err != nil {
 		return nil, err
 	}
-	if reply.breakOff {
+	if reply.hangUp {
 		return nil, io.ErrUnexpectedEOF
 	}
 	recorder := httptest.NewRecorder()
@@ -85,11 +85,11 @@
 	return recorder.Result(), nil
 }
 
-// ServeHTTP answers on a socket.
+// ServeHTTP replies on a socket.
 func (s *script) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	reply := s.record(r)
 	switch {
-	case reply.breakOff:
+	case reply.hangUp:
 		panic(http.ErrAbortHandler)
 	case reply.status == 0:
 		<-r.Context().Done()
@@ -106,10 +106,10 @@
 	_, _ = io.WriteString(w, r.body)
 }
 
-// scriptedClient is a client of three addresses, a:1, b:1 and c:1, that a script answers in memory.
-func scriptedClient(t *testing.T, answer func(n int, call scriptedCall) reply) (*Client, *script) {
+// scriptedClient returns a client of three addresses, a:1, b:1 and c:1, and the script that replies for all of them in memory.
+func scriptedClient(t *testing.T, replyTo func(n int, call scriptedCall) reply) (*Client, *script) {
 	t.Helper()
-	s := &script{reply: answer}
+	s := &script{reply: replyTo}
 	c, err := New([]string{"a:1", "b:1", "c:1"}, Options{Transport: s})
 	if err != nil {
 		t.Fatal(err)
@@ -117,19 +117,20 @@
 	return c, s
 }
 
-// inTurn answers the first calls so, and the last of them again and again.
-func inTurn(replies ...reply) func(int, scriptedCall) reply {
+// replyInOrder returns the replies in order, one for each call, and repeats the last one.
+func replyInOrder(replies ...reply) func(int, scriptedCall) reply {
 	return func(n int, _ scriptedCall) reply { return replies[min(n, len(replies)-1)] }
 }
 
+// ok returns a reply with the status 200 and a formatted body.
 func ok(format string, values ...any) reply {
 	return reply{status: http.StatusOK, body: fmt.Sprintf(format, values...)}
 }
 
-// lockCallOf decodes the body of a lock's call.
-func lockCallOf(t *testing.T, call scriptedCall) lockCall {
+// lockRequestOf decodes the body of a call that concerns a lock.
+func lockRequestOf(t *testing.T, call scriptedCall) lockRequest {
 	t.Helper()
-	var body lockCall
+	var body lockRequest
 	if err := json.Unmarshal([]byte(call.body), &body); err != nil {
 		t.Error(err)
 	}
--- a/client/watch.go
+++ b/client/watch.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// emptyGroupInterval is the pause of a watch of a group that has no revision yet.
-const emptyGroupInterval = 250 * time.Millisecond
+// emptyGroupPollInterval is the interval at which a Watcher polls a group without any put yet.
+const emptyGroupPollInterval = 250 * time.Millisecond
 
 // Event is one put.
 type Event struct {
@@ -20,83 +20,84 @@
 	Revision uint64 `json:"revision"`
 }
 
-// Watcher tells the puts of a group of keys, each once, in the order of their revisions. It belongs to one goroutine.
+// Watcher returns the puts of a group of keys, each put once, in ascending order of their revisions. It is not safe for concurrent use.
 type Watcher struct {
 	client   *Client
 	group    string
 	revision uint64
-	started  bool // revision is known
+	started  bool // revision is set
 }
 
-// watchAnswer is the body of an answer to a watch.
-type watchAnswer struct {
+// watchResponse is the body of the response to a watch call.
+type watchResponse struct {
 	Events   []Event `json:"events"`
 	Revision uint64  `json:"revision"`
 }
 
-// Watch watches a group: the beginning that its keys share up to the first dot, dot included. It tells the puts after a revision; 0: after the
-// present one, as the first call of Next finds it. To miss nothing, call Next once (or Start), then read the keys.
+// Watch returns a Watcher of a group, which is the common prefix of its keys up to and including the first dot. The Watcher returns the puts
+// after the given revision; 0: after the revision that is current at the first call of Start or Next. To miss no put, call Start, then read
+// the keys, then call Next.
 func (c *Client) Watch(group string, after uint64) *Watcher {
 	return &Watcher{client: c, group: group, revision: after, started: after > 0}
 }
 
-// Revision returns the revision up to which the puts were told. A later Watch goes on from there.
+// Revision returns the revision up to which the Watcher has returned the puts. Pass it to Watch to continue from there.
 func (w *Watcher) Revision() uint64 { return w.revision }
 
-// Start finds the present revision, where the watch was given none.
+// Start gets the current revision from the service, if Watch was called without a revision.
 func (w *Watcher) Start(ctx context.Context) error {
 	if w.started {
 		return nil
 	}
-	answer, _, err := w.ask(ctx, 0)
+	response, _, err := w.fetch(ctx, 0)
 	if err != nil {
 		return err
 	}
-	w.revision, w.started = answer.Revision, true
+	w.revision, w.started = response.Revision, true
 	return nil
 }
 
-// Next waits for puts and returns them. It goes on at other addresses from the last revision for as long as the context lasts. The error
-// ErrCompacted says that puts are passed over: read the keys again after the Start of a new Watcher.
+// Next waits for puts and returns them. If an address fails, it continues from the last revision at another one, until the context ends. The
+// error ErrCompacted means that puts have been missed: create a new Watcher, call Start, and read the keys again.
 //
-// The first put of a group that had none can't be told: it is ErrCompacted, too.
+// The first put of a group can't be watched: the service returns no puts after revision 0. Next returns ErrCompacted for it, too.
 func (w *Watcher) Next(ctx context.Context) ([]Event, error) {
 	if err := w.Start(ctx); err != nil {
 		return nil, err
 	}
 	for {
-		before := time.Now()
-		answer, address, err := w.ask(ctx, w.revision)
+		sentAt := time.Now()
+		response, address, err := w.fetch(ctx, w.revision)
 		switch {
 		case err != nil:
 			return nil, err
-		case w.revision == 0 && answer.Revision > 0:
+		case w.revision == 0 && response.Revision > 0:
 			return nil, ErrCompacted
-		case len(answer.Events) > 0:
-			w.revision = max(answer.Revision, answer.Events[len(answer.Events)-1].Revision)
-			return answer.Events, nil
+		case len(response.Events) > 0:
+			w.revision = max(response.Revision, response.Events[len(response.Events)-1].Revision)
+			return response.Events, nil
 		}
-		w.revision = max(w.revision, answer.Revision)
-		if err := w.pause(ctx, address, time.Since(before)); err != nil {
+		w.revision = max(w.revision, response.Revision)
+		if err := w.pause(ctx, address, time.Since(sentAt)); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// pause waits before an answer without puts that came early is asked for again: the group is empty, or the router shuts down, and then
-// another one is asked.
+// pause waits before the next call if a response without puts arrived early. Either the group is empty, or the router is shutting down; in
+// the latter case the next call goes to another address.
 func (w *Watcher) pause(ctx context.Context, address int, waited time.Duration) error {
 	if w.revision == 0 {
-		return sleep(ctx, emptyGroupInterval)
+		return sleep(ctx, emptyGroupPollInterval)
 	}
 	if waited < w.client.options.WatchWait/2 {
-		w.client.turnFrom(address, 0)
+		w.client.avoidAddress(address, 0)
 		return sleep(ctx, minBackoff)
 	}
 	return nil
 }
 
-// Events returns the puts one by one, until an error, which is the last element, or the context ends.
+// Events returns an iterator over the puts. It ends with the first error, including that of the context, as its last element.
 func (w *Watcher) Events(ctx context.Context) iter.Seq2[Event, error] {
 	return func(yield func(Event, error) bool) {
 		for {
@@ -114,22 +115,22 @@
 	}
 }
 
-var errNotRising = errors.New("the puts do not rise")
+var errNotAscending = errors.New("the revisions of the puts are not ascending")
 
-// check has an answer whose puts are not those asked for decide nothing.
-func (a *watchAnswer) check(after uint64) error {
-	for _, event := range a.Events {
+// validate returns an error, and clears the response, if the puts are not in ascending order of revisions above the given one.
+func (r *watchResponse) validate(after uint64) error {
+	for _, event := range r.Events {
 		if event.Revision <= after {
-			*a = watchAnswer{}
-			return errNotRising
+			*r = watchResponse{}
+			return errNotAscending
 		}
 		after = event.Revision
 	}
 	return nil
 }
 
-// ask asks for the puts after a revision once.
-func (w *Watcher) ask(ctx context.Context, after uint64) (answer watchAnswer, address int, err error) {
+// fetch makes one call for the puts after a revision. It also returns the index of the address that responded.
+func (w *Watcher) fetch(ctx context.Context, after uint64) (response watchResponse, address int, err error) {
 	query := url.Values{"sinceRevision": {strconv.FormatUint(after, 10)}}
 	wait := time.Duration(0)
 	if after > 0 {
@@ -138,17 +139,17 @@
 	query.Set("waitMs", strconv.FormatInt(wait.Milliseconds(), 10))
 	path, err := pathOf("/watch/", w.group, "?"+query.Encode())
 	if err != nil {
-		return answer, 0, err
+		return response, 0, err
 	}
-	a, err := w.client.call(ctx, &request{
-		method: http.MethodGet, path: path, into: &answer, check: func() error { return answer.check(after) },
-		timeout: wait + w.client.options.AttemptTimeout, decided: []int{http.StatusGone},
+	d, err := w.client.call(ctx, &request{
+		method: http.MethodGet, path: path, decoded: &response, validate: func() error { return response.validate(after) },
+		attemptTimeout: wait + w.client.options.AttemptTimeout, decisiveStatuses: []int{http.StatusGone},
 	})
 	switch {
 	case err != nil:
-		return answer, 0, err
-	case a.status == http.StatusGone:
-		return answer, 0, ErrCompacted
+		return response, 0, err
+	case d.status == http.StatusGone:
+		return response, 0, ErrCompacted
 	}
-	return answer, a.address, nil
+	return response, d.address, nil
 }
