--- a/client/cells.go
+++ b/client/cells.go
@@ -62,19 +62,19 @@
 	return s.put(ctx, key, putRequest{Value: value, IfRevision: &revision})
 }
 
-func (s *Cells) put(ctx context.Context, key string, body putRequest) (uint64, error) {
+func (s *Cells) put(ctx context.Context, key string, payload putRequest) (uint64, error) {
 	path, err := pathOf("/cells/", key, "/replace")
 	if err != nil {
 		return 0, err
 	}
-	if err := checkValue(body.Value); err != nil {
+	if err := checkValue(payload.Value); err != nil {
 		return 0, err
 	}
 	var response struct {
 		Revision uint64 `json:"revision"`
 	}
 	d, err := s.client.call(ctx, &request{
-		method: http.MethodPost, path: path, body: body, decoded: &response, attemptTimeout: s.client.options.AttemptTimeout,
+		method: http.MethodPost, path: path, body: payload, decoded: &response, attemptTimeout: s.client.options.AttemptTimeout,
 		decisiveStatuses: []int{http.StatusPreconditionFailed}, maxUnclearTime: s.client.options.History,
 	})
 	switch {
