--- a/client/call.go
+++ b/client/call.go
@@ -31,7 +31,7 @@
 	validate         func() error  // validates decoded; nil: no validation
 	attemptTimeout   time.Duration // of one attempt
 	decisiveStatuses []int         // response statuses that decide the call, in addition to 200
-	// maxUnclearTime limits the retries of the call after its first attempt with an unclear outcome; 0: no limit but the context.
+	// maxUnclearTime is how long the call is retried after its first attempt with an unclear outcome; 0: until the context ends.
 	maxUnclearTime time.Duration
 }
 
--- a/client/cells_test.go
+++ b/client/cells_test.go
@@ -49,7 +49,7 @@
 		calls := s.recorded()
 		for _, call := range calls {
 			if call.body != calls[0].body {
-				t.Errorf("sent %s after %s", call.body, calls[0].body)
+				t.Errorf("sent the body %s after %s", call.body, calls[0].body)
 			}
 		}
 		if s.addresses() != "a:1 b:1 c:1 a:1" {
--- a/client/lock_test.go
+++ b/client/lock_test.go
@@ -58,7 +58,7 @@
 			}
 		}
 		if last := calls[len(calls)-1]; last.path != "/locks/l/finish" {
-			t.Errorf("at last %s", last.path)
+			t.Errorf("the last call was %s", last.path)
 		}
 		time.Sleep(10 * testHold)
 		if len(s.recorded()) != len(calls) {
@@ -134,7 +134,7 @@
 		l := acquire(t, c)
 		<-l.Lost()
 		if want := (testHold - 100*time.Millisecond) / renewalsPerHold; time.Since(begin) != want || !errors.Is(l.Err(), ErrLost) {
-			t.Errorf("after %v: %v", time.Since(begin), l.Err())
+			t.Errorf("lost after %v: %v", time.Since(begin), l.Err())
 		}
 		if err := l.Release(t.Context()); err != nil || !errors.Is(l.Err(), ErrLost) {
 			t.Errorf("%v, %v", err, l.Err())
@@ -221,7 +221,7 @@
 		}
 		calls := s.recorded()
 		if last := calls[len(calls)-1]; last.path != "/locks/e/finish" {
-			t.Errorf("at last %s", last.path)
+			t.Errorf("the last call was %s", last.path)
 		}
 	})
 }
--- a/internal/fleet/coordination/state_test.go
+++ b/internal/fleet/coordination/state_test.go
@@ -96,13 +96,13 @@
 
 // fingerprint returns the complete state as text, for comparison.
 func fingerprint(s *State, now time.Duration) string {
-	groupSize, puts := 0, 0
+	size, puts := 0, 0
 	if s.group != nil {
 		s.group.compact(now)
-		groupSize, puts = s.group.size, len(s.group.puts)
+		size, puts = s.group.size, len(s.group.puts)
 	}
 	encoded, err := cbor.Marshal(s.Snapshot(now))
-	return fmt.Sprintf("%x %d %d %v", encoded, groupSize, puts, err)
+	return fmt.Sprintf("%x %d %d %v", encoded, size, puts, err)
 }
 
 // Guards against replicas of a name that differ after the same changes.
