--- a/internal/fleet/register/carry_over.go
+++ b/internal/fleet/register/carry_over.go
@@ -56,9 +56,9 @@
 
 // hasCollected reports whether a majority of the former acceptors is sealed, and at least one of them took part in the
 // former epoch. If this acceptor is one of the former ones, it counts as sealed. Together the registers of a sealed
-// majority contain everything that was chosen in the former epoch. What was chosen in earlier epochs is known only to
-// acceptors that took part in the former one, so one of these is needed. The others may be former acceptors that were
-// still collecting when the next Config was adopted: they accepted nothing in the former epoch.
+// majority contain everything that was chosen in the former epoch. What was chosen in earlier epochs is known to each
+// acceptor that took part in the former one, so one of these is needed and sufficient. The others may be former acceptors
+// that were still collecting when the next Config was adopted: they accepted nothing in the former epoch.
 func (a *Acceptor) hasCollected() bool {
 	sealed, ready := len(a.collected), 0
 	for _, answer := range a.collected {
@@ -75,8 +75,8 @@
 	return sealed >= majority(a.hardState.Config.Previous) && ready > 0
 }
 
-// onCollect sends all registers if this is an acceptor of the former epoch. Adopting the collector's Config seals this
-// acceptor, and that write is durable before the registers are sent.
+// onCollect sends the registers, except those of decisions, if this is an acceptor of the former epoch. Adopting the
+// collector's Config seals this acceptor, and that write is durable before the registers are sent.
 func (a *Acceptor) onCollect(now time.Duration, from replication.Replica, m *Collect) {
 	a.adopt(m.Config)
 	if !slices.Contains(m.Config.Previous, a.hardState.Self) {
@@ -92,8 +92,8 @@
 	}
 }
 
-// merge keeps the newest version of each collected register and makes the acceptor ready. Promises of former epochs need
-// not be kept: their ballots are lower than all ballots of this epoch.
+// merge keeps the newest version of each register among its own and the collected ones, and makes the acceptor ready.
+// Promises of former epochs need not be kept: their ballots are lower than all ballots of this epoch.
 func (a *Acceptor) merge(now time.Duration) {
 	for _, former := range a.hardState.Config.Previous { // in a fixed order, so that simulations are reproducible
 		if answer := a.collected[former]; answer != nil {
@@ -125,7 +125,7 @@
 		r.state.Apply(now, s.Change)
 	}
 	if r.promised.less(r.accepted.Ballot) {
-		r.promised = r.accepted.Ballot // accepted by an acceptor that is ready already
+		r.promised = r.accepted.Ballot // of the current epoch if the sender is ready in it already
 	}
 }
 
--- a/internal/fleet/register/messages.go
+++ b/internal/fleet/register/messages.go
@@ -44,7 +44,7 @@
 	Ballot   Ballot               `cbor:"2,keyasint"`
 	Promised Ballot               `cbor:"3,keyasint,omitzero"`  // if higher than Ballot, the Prepare was rejected
 	Accepted Version              `cbor:"4,keyasint,omitzero"`  // zero: nothing was accepted
-	Value    *coordination.Change `cbor:"5,keyasint,omitempty"` // complete; nil if rejected, not accepted or known to the proposer
+	Value    *coordination.Change `cbor:"5,keyasint,omitempty"` // complete; nil: rejected, nothing was accepted, or the proposer has it
 }
 
 // AckOutcome is the outcome of an Accept at an acceptor.
--- a/internal/fleet/register/planner.go
+++ b/internal/fleet/register/planner.go
@@ -112,8 +112,8 @@
 	return slices.Index(live, self)
 }
 
-// isCarriedOver reports whether all live acceptors are ready, as one that is not ready counts like a lost one. After
-// carryOverTimeout, a majority is enough.
+// isCarriedOver reports whether a majority of the acceptors and all live ones are ready, as one that is not ready counts
+// like a lost one. After carryOverTimeout, the majority is enough.
 func (p *Planner) isCarriedOver(now time.Duration, config Config) bool {
 	ready, waiting := 0, 0
 	for _, r := range config.Acceptors {
--- a/internal/fleet/register/proposed_register.go
+++ b/internal/fleet/register/proposed_register.go
@@ -54,7 +54,7 @@
 	promise  *Promise
 	rejected bool
 	acked    bool    // the acceptor acknowledged the round in progress
-	sent     Version // newest version that the acceptor reported in its promise or was sent; zero after BaseMissing
+	sent     Version // newest version that the acceptor reported in its promise or was sent, unless it replied BaseMissing
 }
 
 func (r *proposedRegister) isWaiting() bool {
--- a/internal/fleet/register/proposer.go
+++ b/internal/fleet/register/proposer.go
@@ -54,7 +54,7 @@
 // RegisterCount returns the number of registers that the proposer has used.
 func (p *Proposer) RegisterCount() int { return len(p.registers) }
 
-// SetConfig switches to a newer Config; an older one is ignored. Operations in progress are executed again there: if
+// SetConfig switches to a newer Config, and ignores any other. Operations in progress are executed again there: if
 // they took effect under the former Config, the registers that were carried over show it.
 func (p *Proposer) SetConfig(now time.Duration, config Config) *ProposerOutput {
 	p.step()
--- a/internal/fleet/register/simulation_disruption_test.go
+++ b/internal/fleet/register/simulation_disruption_test.go
@@ -11,7 +11,7 @@
 const (
 	settleTimeout  = 4 * time.Second // time after heal until all calls must be decided
 	workTime       = time.Second
-	expiryTime     = 3200 * time.Millisecond // time until the last call has been executed and its hold has expired
+	expiryTime     = 3200 * time.Millisecond // max. time until the last call has been executed and its hold has expired
 	maxDownTime    = 4 * time.Second
 	maxLoggedCalls = 200 // calls that are logged after a fault
 )
--- a/internal/fleet/register/types.go
+++ b/internal/fleet/register/types.go
@@ -13,7 +13,7 @@
 type Ballot struct {
 	Epoch    uint64 `cbor:"1,keyasint"` // epoch of the Config whose acceptors receive the ballot
 	Round    uint64 `cbor:"2,keyasint"`
-	Proposer uint64 `cbor:"3,keyasint"` // random number of the proposer's process, so that no ballot is used twice
+	Proposer uint64 `cbor:"3,keyasint"` // drawn at random when the proposer's process starts, so that no ballot is used twice
 }
 
 func (b Ballot) compare(other Ballot) int {
--- a/internal/fleet/register/wire_format_test.go
+++ b/internal/fleet/register/wire_format_test.go
@@ -22,7 +22,7 @@
 	wireConfig  = Config{Epoch: 2, Acceptors: []replication.Replica{wireReplica}, Previous: []replication.Replica{{Address: "b"}}}
 )
 
-// Guards against changes of the encoding of messages and stored data between versions.
+// Guards against renamed fields that change the messages between routers of different versions, or the data on disks.
 func TestWireFormat(t *testing.T) {
 	for _, message := range []struct {
 		value   any
