--- a/client/attempts.go
+++ b/client/attempts.go
@@ -39,7 +39,7 @@
 	case f.last != nil:
 		return &RefusedError{Status: f.last.status, Reason: f.last.err.Error(), Err: reason}
 	}
-	return &RefusedError{Reason: "the call was not sent", Err: reason}
+	return &RefusedError{Reason: "it was not sent", Err: reason}
 }
 
 // nextAddress returns the index of the address for the next attempt, and the time to wait before it. It chooses the address with the shortest
--- a/client/call.go
+++ b/client/call.go
@@ -76,7 +76,7 @@
 			return nil, failures.callError(r, err)
 		}
 		if r.maxUnclearTime > 0 && failures.unclear && time.Since(failures.unclearSince) > r.maxUnclearTime {
-			return nil, failures.callError(r, errors.New("the service might no longer recognise a repetition of the call"))
+			return nil, failures.callError(r, errors.New("a repetition might not be recognized any more"))
 		}
 	}
 }
@@ -126,7 +126,7 @@
 		return nil
 	}
 	if err := json.Unmarshal(text, r.decoded); err != nil {
-		return fmt.Errorf("can't decode the response body: %w", err)
+		return fmt.Errorf("the answer can't be read: %w", err)
 	}
 	if r.validate == nil {
 		return nil
@@ -180,7 +180,7 @@
 	return time.Duration(min(seconds, maxRetryAfter.Seconds()) * float64(time.Second))
 }
 
-// sleep waits for the duration, or until the context ends, and then returns its error.
+// sleep waits for the duration or until the context ends, whichever comes first. It returns the error of the context if the context ended.
 func sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
--- a/client/client.go
+++ b/client/client.go
@@ -47,7 +47,7 @@
 // the addresses in the given order, so put the nearest address first.
 func New(addresses []string, options Options) (*Client, error) {
 	if len(addresses) == 0 {
-		return nil, errors.New("client: no control address is given")
+		return nil, errors.New("client: no address")
 	}
 	for _, address := range addresses {
 		if _, _, err := net.SplitHostPort(address); err != nil {
--- a/client/counter.go
+++ b/client/counter.go
@@ -14,7 +14,7 @@
 // Counter returns the counter with the given name.
 func (c *Client) Counter(name string) *Counter { return &Counter{client: c, name: name} }
 
-// Next returns a number that is higher than every number that this counter returned before the call. There may be gaps.
+// Next returns a number that is higher than every number that any caller got under this name before the call. There may be gaps.
 func (n *Counter) Next(ctx context.Context) (uint64, error) {
 	path, err := pathOf("/numbers/", n.name, "")
 	if err != nil {
--- a/client/errors.go
+++ b/client/errors.go
@@ -10,16 +10,16 @@
 // Errors that are outcomes of calls.
 var (
 	// ErrHeld means that the lock is held by another holder.
-	ErrHeld = errors.New("client: the lock is held by another holder")
+	ErrHeld = errors.New("client: the lock is held by another")
 	// ErrLost means that the hold has expired, or that another holder has acquired the lock.
 	ErrLost = errors.New("client: the lock is lost")
 	// ErrReleased means that the holder has released the lock.
-	ErrReleased = errors.New("client: the lock has been released")
+	ErrReleased = errors.New("client: the lock is released")
 	// ErrNotFound means that the key does not exist.
 	ErrNotFound = errors.New("client: there is no such key")
 	// ErrCompacted means that the service has dropped puts which the watch has not returned yet. Read the keys, and start a new watch at the
 	// current revision.
-	ErrCompacted = errors.New("client: puts after the last received revision are no longer known to the service")
+	ErrCompacted = errors.New("client: puts after the revision are no longer known")
 	// ErrUnclear means that the call may have taken effect, or may still take effect.
 	ErrUnclear = errors.New("client: the outcome is not known")
 )
--- a/client/lock.go
+++ b/client/lock.go
@@ -39,7 +39,7 @@
 	setDefault(&o.Margin, o.Hold/defaultMarginDivisor)
 	setDefault(&o.Interval, defaultAcquireInterval)
 	if o.Margin > o.Hold/2 {
-		return &RefusedError{Reason: fmt.Sprintf("the margin %v of the lock is more than half of its hold %v", o.Margin, o.Hold)}
+		return &RefusedError{Reason: fmt.Sprintf("the margin %v is more than half of the hold %v", o.Margin, o.Hold)}
 	}
 	return nil
 }
@@ -121,7 +121,7 @@
 // Holder returns the holder's name.
 func (l *Lock) Holder() string { return l.options.Holder }
 
-// Fence returns the fencing token. It is higher than that of every earlier grant of the lock.
+// Fence returns the fencing token. It is higher than each token that another holder was granted before.
 func (l *Lock) Fence() uint64 { return l.fence }
 
 // Lost returns a channel that is closed when the lock is not held any more, also after Release. Err returns the reason.
@@ -132,7 +132,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.err == nil && !time.Now().Before(l.deadline) {
-		l.err = fmt.Errorf("%w: its hold has expired", ErrLost)
+		l.err = fmt.Errorf("%w: its time has run out", ErrLost)
 	}
 	return l.err
 }
--- a/client/lock_calls.go
+++ b/client/lock_calls.go
@@ -17,9 +17,9 @@
 
 // Grant is the result of acquiring or renewing a lock.
 type Grant struct {
-	Fence uint64 // the fencing token, higher than that of every earlier grant of the lock
-	// SentAt is the time at which the successful attempt was sent, with a reading of the monotonic clock. The lock is held until SentAt plus
-	// the hold.
+	Fence uint64 // the fencing token, higher than each token that another holder was granted before the call
+	// SentAt is the time at which the successful attempt was sent, with a reading of the monotonic clock. The holder can rely on the
+	// lock until SentAt plus the hold.
 	SentAt time.Time
 }
 
--- a/client/name.go
+++ b/client/name.go
@@ -17,7 +17,7 @@
 func pathOf(prefix, name, suffix string) (string, error) {
 	switch {
 	case name == "" || len(name) > MaxNameBytes:
-		return "", &RefusedError{Reason: "the name is empty or longer than " + strconv.Itoa(MaxNameBytes) + " bytes"}
+		return "", &RefusedError{Reason: "the name is empty, or longer than " + strconv.Itoa(MaxNameBytes) + " bytes"}
 	case strings.Contains(name, "/") || name == "." || name == "..":
 		return "", &RefusedError{Reason: "the name " + strconv.Quote(name) + " can't be part of a path"}
 	}
@@ -27,7 +27,7 @@
 // checkValue returns a *RefusedError if the service would reject the value.
 func checkValue(value string) error {
 	if len(value) > MaxValueBytes || !utf8.ValidString(value) {
-		return &RefusedError{Reason: "the value is longer than " + strconv.Itoa(MaxValueBytes) + " bytes, or is not valid UTF-8"}
+		return &RefusedError{Reason: "the value is longer than " + strconv.Itoa(MaxValueBytes) + " bytes, or no UTF-8"}
 	}
 	return nil
 }
--- a/client/watch.go
+++ b/client/watch.go
@@ -115,7 +115,7 @@
 	}
 }
 
-var errNotAscending = errors.New("the revisions of the puts are not ascending")
+var errNotAscending = errors.New("the puts do not rise")
 
 // validate returns an error, and clears the response, if the puts are not in ascending order of revisions above the given one.
 func (r *watchResponse) validate(after uint64) error {
--- a/internal/fleet/coordination/operation.go
+++ b/internal/fleet/coordination/operation.go
@@ -23,7 +23,7 @@
 	Name       Name          `cbor:"2,keyasint"`
 	Holder     string        `cbor:"3,keyasint,omitempty"`  // Acquire, Renew, Release
 	Fence      uint64        `cbor:"4,keyasint,omitempty"`  // Renew, Release
-	Hold       time.Duration `cbor:"5,keyasint,omitempty"`  // Acquire, Renew: how long the lock is held
+	Hold       time.Duration `cbor:"5,keyasint,omitempty"`  // Acquire, Renew: how long the holder can rely on the lock
 	Key        string        `cbor:"6,keyasint,omitempty"`  // Put, Get
 	Value      string        `cbor:"7,keyasint,omitempty"`  // Put, Decide
 	IfRevision *uint64       `cbor:"8,keyasint,omitempty"`  // Put: the required revision of the key; 0: the key does not exist; nil: any
--- a/internal/fleet/coordination/state_test.go
+++ b/internal/fleet/coordination/state_test.go
@@ -167,7 +167,7 @@
 	})
 }
 
-// drawEvents draws events that violate the invariants of those that a group records, such as ascending revisions.
+// drawEvents draws events that need not have the properties of recorded events, such as ascending revisions.
 func drawEvents(t *rapid.T) []Event {
 	var events []Event
 	for range rapid.IntRange(0, 3).Draw(t, "events") {
