--- a/internal/fleet/control/cluster_test.go
+++ b/internal/fleet/control/cluster_test.go
@@ -107,6 +107,7 @@
 	return minDuration + time.Duration(c.random.Int64N(int64(maxDuration-minDuration)+1))
 }
 
+// randomInt returns a random integer from 0 to limit - 1.
 func (c *cluster) randomInt(limit int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fleet/control/coordination.go
+++ b/internal/fleet/control/coordination.go
@@ -39,7 +39,7 @@
 
 // RefusedError reports that an operation was not executed and never will be.
 type RefusedError struct {
-	Overloaded bool // true: too many operations are waiting; false: no machine can execute it at present
+	Overloaded bool // true: too many operations are waiting; false: another reason, e.g. no machine is known that can execute it
 	Err        error
 }
 
--- a/internal/fleet/control/redirect.go
+++ b/internal/fleet/control/redirect.go
@@ -35,7 +35,7 @@
 	w.WriteHeader(http.StatusTemporaryRedirect)
 }
 
-// unavailableText returns the text of a response with status 503.
+// unavailableText returns the text of the 503 response that redirect writes. cause is the error with which the call failed.
 func unavailableText(cause error) string {
 	if errors.Is(cause, replica.ErrUnavailable) {
 		return "the outcome is not known: send the same again"
--- a/internal/fleet/control/server.go
+++ b/internal/fleet/control/server.go
@@ -39,7 +39,7 @@
 	address  string // host and port of this API
 	handler  *mux.Router
 
-	Rejected atomic.Uint64 // calls that failed with a requestError
+	Rejected atomic.Uint64 // calls that failed with a requestError, whose status is 4xx
 }
 
 // NewServer returns the handler of an API that is served at address, a host and port.
