--- a/internal/fleet/proxy/fake_endpoint_test.go
+++ b/internal/fleet/proxy/fake_endpoint_test.go
@@ -207,7 +207,7 @@
 	d := NewDispatcher(func() time.Duration { return time.Since(start) }, retry.Settings{Ratio: 0.2, Slack: 400}, 64)
 	d.SetEndpoints(ready)
 	r := &testProxy{delegate: &fakeDelegate{table: table}}
-	r.proxy = NewServer(r.delegate, d, Options{MaxConfigAge: 4 * time.Second, Stale: time.Second, MaxSuperseded: 1500 * time.Millisecond})
+	r.proxy = NewServer(r.delegate, d, Options{MaxConfigAge: 4 * time.Second, MaxDenialAge: time.Second, MaxSupersededAge: 1500 * time.Millisecond})
 	r.listener = httptest.NewServer(r.proxy)
 	t.Cleanup(r.listener.Close)
 	r.url = r.listener.URL
--- a/internal/fleet/proxy/server.go
+++ b/internal/fleet/proxy/server.go
@@ -25,9 +25,9 @@
 
 // Options are bounds on the age of the configuration.
 type Options struct {
-	MaxConfigAge  time.Duration // age beyond which API keys are not accepted; 0: no bound
-	Stale         time.Duration // age beyond which a request without a route or a valid key gets 503 and not a denial
-	MaxSuperseded time.Duration // age beyond which nothing is served by a configuration that is known to be superseded; 0: no bound
+	MaxConfigAge     time.Duration // age beyond which API keys are not accepted; 0: no bound
+	MaxDenialAge     time.Duration // age beyond which a request without a route or a valid key gets 503 and not a denial
+	MaxSupersededAge time.Duration // age beyond which nothing is served by a configuration that is known to be superseded; 0: no bound
 }
 
 // Server answers clients. It implements [http.Handler].
@@ -54,7 +54,7 @@
 // isOutdated reports whether the configuration, with this age, may lead a request elsewhere than a newer one that was acknowledged too long
 // ago. It is exact: a newer one was acknowledged no earlier than the age says, and the request was sent before now.
 func (s *Server) isOutdated(age time.Duration) bool {
-	return s.options.MaxSuperseded > 0 && age > s.options.MaxSuperseded && s.delegate.ConfigSuperseded()
+	return s.options.MaxSupersededAge > 0 && age > s.options.MaxSupersededAge && s.delegate.ConfigSuperseded()
 }
 
 // Times after which clients may retry.
@@ -84,7 +84,7 @@
 		return
 	}
 	if err := s.admit(q, table); err != nil {
-		if age > s.options.Stale { // a newer configuration may have the route or key
+		if age > s.options.MaxDenialAge { // a newer configuration may have the route or key
 			s.reject(w, http.StatusServiceUnavailable, retrySoon)
 		} else {
 			s.deny(w, err)
--- a/internal/fleet/router/router.go
+++ b/internal/fleet/router/router.go
@@ -95,8 +95,8 @@
 
 func proxyOptions(s *settings.Settings) proxy.Options {
 	options := proxy.Options{
-		Stale:         s.Bounds.ConfigApply * 3 / 4,
-		MaxSuperseded: max(s.Bounds.ConfigApply/2, s.Bounds.ConfigApply-supersededMargin),
+		MaxDenialAge:     s.Bounds.ConfigApply * 3 / 4,
+		MaxSupersededAge: max(s.Bounds.ConfigApply/2, s.Bounds.ConfigApply-supersededMargin),
 	}
 	if s.Bounds.RevocationStrict {
 		options.MaxConfigAge = max(s.Bounds.Revocation/2, s.Bounds.Revocation-keyLeaseMargin)
