--- a/internal/fleet/proxy/admission.go
+++ b/internal/fleet/proxy/admission.go
@@ -9,8 +9,8 @@
 	"pinelb.example/pinelb/internal/fleet/placement"
 )
 
-// denial is an error of the request itself, with the status that the client gets. The request has not run; sending it again
-// as it is would be of no use.
+// denial is an error in the request itself, with the HTTP status of the response. The request has not run, and a retry of the
+// unchanged request would fail again.
 type denial int
 
 const (
@@ -20,10 +20,10 @@
 	errBodyTooLarge   denial = http.StatusRequestEntityTooLarge
 )
 
-// Error returns the status in words.
+// Error returns a message with the text of the HTTP status.
 func (d denial) Error() string { return "proxy: request denied: " + http.StatusText(int(d)) }
 
-// admit finds a request's route, tenant and service. Its errors are denials.
+// admit determines the route, tenant, service and prompt of a request. Its errors are denials.
 func (s *Server) admit(q *request, table *config.Table) error {
 	q.route = table.Route(hostOf(q.http), q.path)
 	if q.route == nil {
@@ -42,7 +42,8 @@
 	return nil
 }
 
-// apiKeyValid reports whether the configuration is fresh enough to accept the request's API key.
+// apiKeyValid reports whether the configuration is recent enough to accept the request's API key. It is true for a request
+// without a tenant.
 func (s *Server) apiKeyValid(q *request) bool {
 	if q.tenant == nil || s.options.MaxConfigAge == 0 {
 		return true
@@ -51,7 +52,8 @@
 	return age < s.options.MaxConfigAge
 }
 
-// charge charges the request to its tenant's quota. Where that is exhausted, wait is when the client may retry.
+// charge charges the request to its tenant's quota. If the quota is exhausted, ok is false and wait is the time after which the
+// client may retry.
 func (s *Server) charge(q *request) (wait time.Duration, ok bool) {
 	if q.tenant == nil {
 		return 0, true
@@ -64,7 +66,7 @@
 	return wait, ok
 }
 
-// refund gives back what was charged for a request that has not run and never will.
+// refund returns the charged units of a request that has not run and will not run to its tenant's quota.
 func (s *Server) refund(q *request) {
 	if q.tenant != nil && q.chargedUnits > 0 {
 		s.delegate.Refund(q.tenant, q.chargedUnits)
--- a/internal/fleet/proxy/announcement.go
+++ b/internal/fleet/proxy/announcement.go
@@ -7,25 +7,26 @@
 	"pinelb.example/pinelb/internal/fleet/placement"
 )
 
-// Announcement is what a router has just met at an endpoint: a prompt that it sent there, or failures. Routers send them to each
-// other, so that each knows the queues of all endpoints, as a CBOR array: the order of the fields is the wire's.
+// Announcement reports to the other routers that this router has sent a prompt to an endpoint, or that the endpoint failed. From
+// announcements, each router estimates the queues of all endpoints. An Announcement is encoded as a CBOR array: the order of its
+// fields is part of the protocol.
 type Announcement struct {
 	_             struct{} `cbor:",toarray"`
-	Origin        uint32   // the router that sent the prompt or met the failures
+	Origin        uint32   // router that sent the prompt or detected the failures
 	Endpoint      uint32   // placement.Endpoint.ShortID
 	Priority      uint8
-	Units         uint32             // that have to be prefilled
+	Units         uint32             // units of the prompt that the endpoint has to prefill
 	Prefixes      []uint32           // placement.Prefix.Hash, the longest first
-	Failures      uint8              // 0: a prompt was sent
-	Overdue       bool               // the failures are answers that are overdue
-	Prompt        uint32             // units in all
-	Output        uint32             // tokens that may be written
-	MaxEventGapMs uint16             // of the stream; 0: no bound
-	Observation   *ObservationReport // the last one since the router's last announcement; nil: none
-	Stall         *StallReport       // the same
+	Failures      uint8              // number of failures; 0: a prompt was sent
+	Overdue       bool               // the failures are overdue first tokens
+	Prompt        uint32             // units of the whole prompt
+	Output        uint32             // maximum number of output tokens; 0: not stated
+	MaxEventGapMs uint16             // maximum gap between two events of the stream that is on time; 0: no bound
+	Observation   *ObservationReport // the latest since the router's previous prompt announcement; nil: none
+	Stall         *StallReport       // the latest since the router's previous prompt announcement; nil: none
 }
 
-// ObservationReport is a [placement.Observation] in an announcement.
+// ObservationReport is the encoding of a [placement.Observation] in an Announcement.
 type ObservationReport struct {
 	_            struct{} `cbor:",toarray"`
 	Endpoint     uint32
@@ -35,7 +36,7 @@
 	WaitMs       uint16
 }
 
-// StallReport is a [placement.Stall] in an announcement.
+// StallReport is the encoding of a [placement.Stall] in an Announcement.
 type StallReport struct {
 	_         struct{} `cbor:",toarray"`
 	Endpoint  uint32
@@ -67,7 +68,7 @@
 	return p
 }
 
-// newObservationReport returns the report of an observation; nil where there is none.
+// newObservationReport returns the encoding of an observation; nil for nil.
 func newObservationReport(o *placement.Observation) *ObservationReport {
 	if o == nil {
 		return nil
@@ -84,7 +85,7 @@
 	}
 }
 
-// newStallReport returns the report of a stall; nil where there is none.
+// newStallReport returns the encoding of a stall; nil for nil.
 func newStallReport(s *placement.Stall) *StallReport {
 	if s == nil {
 		return nil
@@ -96,7 +97,7 @@
 	return &placement.Stall{Endpoint: r.Endpoint, LongestGap: float64(r.LongestMs) / 1000, PrefillTime: float64(r.PrefillMs) / 1000}
 }
 
-// milliseconds rounds seconds to milliseconds, cut to the range of an announcement's field.
+// milliseconds converts seconds to milliseconds, rounded and limited to the range of uint16.
 func milliseconds(seconds float64) uint16 {
 	return uint16(min(max(0, math.Round(seconds*1000)), math.MaxUint16))
 }
--- a/internal/fleet/proxy/answer.go
+++ b/internal/fleet/proxy/answer.go
@@ -12,45 +12,46 @@
 	"pinelb.example/pinelb/internal/upstream"
 )
 
-// relayBuffer is how many bytes of an answer are read and passed on at once.
-const relayBuffer = 4 << 10
+// relayBufferBytes is the maximum number of bytes of a response that are read and relayed at once.
+const relayBufferBytes = 4 << 10
 
-// answerRelay passes one endpoint's answer on as it comes. The head goes with the first piece of the body: an answer that breaks
-// off before has shown the client nothing, and another endpoint's may replace it.
-type answerRelay struct {
+// responseRelay relays the response of one endpoint to the client while it is received. The head is sent together with the first
+// piece of the body. If the response is interrupted before that, the client has received nothing, and the response of another
+// endpoint can replace it.
+type responseRelay struct {
 	forwarding *forwarding
 	reply      *upstream.Reply
 	wait       *firstTokenWait
-	streams    bool // pieces are flushed, and their timing is recorded
-	resumable  bool // complete events only are passed on, so that another endpoint can continue them
+	streams    bool // each piece is flushed, and its timing is recorded
+	resumable  bool // only complete events are relayed, so that another endpoint can continue the stream
 
-	firstAt    time.Time // zero: nothing has been read
-	lastAt     time.Time // of the last read
-	longestGap time.Duration
+	firstReadAt time.Time // of the first piece; zero: nothing has been read
+	lastReadAt  time.Time // of the latest read
+	longestGap  time.Duration
 }
 
-// relay passes an answer on to the client and returns the attempt's outcome.
+// relay relays a response to the client and returns the attempt's outcome.
 func (f *forwarding) relay(ctx context.Context, reply *upstream.Reply, wait *firstTokenWait) outcome {
 	route := f.request.route
 	streams := route.Type == config.Streaming && isSuccess(reply.Status)
-	r := answerRelay{
+	r := responseRelay{
 		forwarding: f, reply: reply, wait: wait,
 		streams: streams, resumable: streams && route.StreamResume && isEventStream(reply.Header),
 	}
 	return r.run(ctx)
 }
 
-func (r *answerRelay) run(ctx context.Context) outcome {
+func (r *responseRelay) run(ctx context.Context) outcome {
 	response := &r.forwarding.response
 	response.events.reset()
-	buffer := make([]byte, relayBuffer)
+	buffer := make([]byte, relayBufferBytes)
 	for {
 		n, err := r.reply.Body.Read(buffer)
 		now := time.Now()
 		if n > 0 && !r.recordPiece(now) {
 			return interrupted
 		}
-		r.lastAt = now
+		r.lastReadAt = now
 		piece := buffer[:n]
 		if r.resumable {
 			piece = response.events.complete(piece, &response.lastEventID)
@@ -68,19 +69,20 @@
 			r.recordEnd(now)
 			return completed
 		default:
-			return r.forwarding.judgeTruncation(ctx, r.wait, r.resumable)
+			return r.forwarding.classifyTruncation(ctx, r.wait, r.resumable)
 		}
 	}
 }
 
-// recordPiece records the time of a piece of the body. It returns false where the attempt was abandoned before the first one.
-func (r *answerRelay) recordPiece(now time.Time) bool {
-	if !r.firstAt.IsZero() {
-		r.longestGap = max(r.longestGap, now.Sub(r.lastAt))
+// recordPiece records the time at which a piece of the body was read. It returns false if the attempt was abandoned before its
+// first piece.
+func (r *responseRelay) recordPiece(now time.Time) bool {
+	if !r.firstReadAt.IsZero() {
+		r.longestGap = max(r.longestGap, now.Sub(r.lastReadAt))
 		return true
 	}
-	r.firstAt = now
-	if !r.wait.arrive() {
+	r.firstReadAt = now
+	if !r.wait.markArrived() {
 		return false
 	}
 	if isSuccess(r.reply.Status) {
@@ -89,15 +91,15 @@
 	return true
 }
 
-// recordEnd records a stream that was passed on completely.
-func (r *answerRelay) recordEnd(now time.Time) {
-	if r.streams && !r.firstAt.IsZero() {
-		r.forwarding.server.dispatcher.recordStreamEnd(r.wait.placement, now.Sub(r.firstAt), r.longestGap)
+// recordEnd records the end of a stream that was relayed completely.
+func (r *responseRelay) recordEnd(now time.Time) {
+	if r.streams && !r.firstReadAt.IsZero() {
+		r.forwarding.server.dispatcher.recordStreamEnd(r.wait.placement, now.Sub(r.firstReadAt), r.longestGap)
 	}
 }
 
-// judgeTruncation returns the outcome of an answer that ended early.
-func (f *forwarding) judgeTruncation(ctx context.Context, wait *firstTokenWait, resumable bool) outcome {
+// classifyTruncation returns the outcome of an attempt whose response ended early.
+func (f *forwarding) classifyTruncation(ctx context.Context, wait *firstTokenWait, resumable bool) outcome {
 	if ctx.Err() == nil {
 		f.server.dispatcher.recordFailure(wait.placement.Endpoint)
 	}
@@ -110,21 +112,21 @@
 	return interrupted
 }
 
-// isEventStream reports whether a body is server-sent events, which can be separated.
+// isEventStream reports whether a body is a stream of server-sent events, which can be split at the events' ends.
 func isEventStream(header http.Header) bool {
 	mediaType, _, err := mime.ParseMediaType(header.Get("Content-Type"))
 	return err == nil && mediaType == "text/event-stream"
 }
 
-// response is what the client gets, over all attempts.
+// response is the client's response, to which several attempts may contribute.
 type response struct {
 	writer      http.ResponseWriter
 	headSent    bool
-	lastEventID string // of the last event that was passed on; empty: none, or events without ids
+	lastEventID string // of the last relayed event that has an id; empty: no such event
 	events      eventSplitter
 }
 
-// sendHead passes an answer's head on.
+// sendHead sends the head of an endpoint's response to the client.
 func (r *response) sendHead(reply *upstream.Reply, resumable bool) {
 	named := connectionTokens(reply.Header)
 	header := r.writer.Header()
@@ -138,7 +140,7 @@
 	if reply.Length >= 0 && !resumable {
 		header.Set("Content-Length", strconv.FormatInt(reply.Length, 10))
 	}
-	// net/http would add these to an answer without them: it is passed on unchanged.
+	// net/http would add these headers to a response without them. The response is relayed unchanged.
 	if _, found := reply.Header["Date"]; !found {
 		header["Date"] = nil
 	}
@@ -149,7 +151,7 @@
 	r.writer.WriteHeader(reply.Status)
 }
 
-// send passes a piece of the body on. It returns false where the client can't be reached.
+// send sends a piece of the body to the client. It returns false if that fails.
 func (r *response) send(piece []byte, flush bool) bool {
 	if len(piece) == 0 {
 		return true
--- a/internal/fleet/proxy/attempt.go
+++ b/internal/fleet/proxy/attempt.go
@@ -12,41 +12,41 @@
 )
 
 const (
-	maxDrain    = 16 << 10 // bytes of an unusable answer that are read so that its connection can be reused
-	headerBytes = 1024     // expected size of a request's head
+	maxDiscardedBytes = 16 << 10 // maximum bytes of an unusable response that are read, to reuse its connection
+	expectedHeadBytes = 1024     // expected size of a request's head
 )
 
-// attempt sends the request to one endpoint and passes its answer on.
+// attempt sends the request to one endpoint and relays its response.
 func (f *forwarding) attempt(ctx context.Context, placed *placement.Placement) outcome {
 	q, dispatcher := f.request, f.server.dispatcher
 	defer dispatcher.release(placed)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	wait := f.awaitFirstToken(placed, cancel)
-	defer func() { f.rerouteTaken = wait.stop() }()
-	message := q.encode(make([]byte, 0, headerBytes+len(q.body)), placed.Endpoint.ID, f.response.lastEventID, time.Until(q.deadline))
+	defer func() { f.rerouteWithdrawn = wait.stop() }()
+	message := q.encode(make([]byte, 0, expectedHeadBytes+len(q.body)), placed.Endpoint.ID, f.response.lastEventID, time.Until(q.deadline))
 	reply, proof, err := dispatcher.Pool.RoundTrip(ctx, &upstream.Exchange{
 		Host: balance.EndpointID(placed.Endpoint.Number), ID: q.id, Method: q.http.Method, Deadline: q.deadline, Message: message,
 	})
 	if err != nil {
-		return f.judgeError(wait, proof)
+		return f.classifyError(wait, proof)
 	}
 	defer reply.Body.Close()
-	if result, usable := f.judgeHead(placed.Endpoint, reply); !usable {
+	if result, usable := f.classifyHead(placed.Endpoint, reply); !usable {
 		return result
 	}
 	return f.relay(ctx, reply, wait)
 }
 
-// judgeError returns the outcome of an exchange that failed before its answer's head.
-func (f *forwarding) judgeError(wait *firstTokenWait, proof upstream.Proof) outcome {
+// classifyError returns the outcome of an exchange that failed before the head of its response was read.
+func (f *forwarding) classifyError(wait *firstTokenWait, proof upstream.Proof) outcome {
 	sent := proof != upstream.NeverSent
 	f.mayHaveRun = f.mayHaveRun || sent
 	if f.request.http.Context().Err() != nil {
 		return clientClosed
 	}
 	dispatcher, endpoint := f.server.dispatcher, wait.placement.Endpoint
-	abandoned := wait.isAbandoned() // this router's own doing, which was reported as overdue
+	abandoned := wait.isAbandoned() // this router cancelled the attempt, and has reported it as overdue
 	if !sent {
 		if !abandoned {
 			dispatcher.recordConnectFailure(endpoint)
@@ -59,11 +59,11 @@
 	return unanswered
 }
 
-// judgeHead judges an answer by its head. Where it is not usable, the result is the attempt's outcome.
-func (f *forwarding) judgeHead(endpoint *placement.Endpoint, reply *upstream.Reply) (result outcome, usable bool) {
+// classifyHead decides by the head of a response whether it may be relayed. If usable is false, result is the attempt's outcome.
+func (f *forwarding) classifyHead(endpoint *placement.Endpoint, reply *upstream.Reply) (result outcome, usable bool) {
 	dispatcher, route := f.server.dispatcher, f.request.route
 	if reply.Header.Get(headerNotExecuted) != "" || reply.Status == http.StatusMisdirectedRequest {
-		_, _ = io.CopyN(io.Discard, reply.Body, maxDrain) // only to reuse the connection
+		_, _ = io.CopyN(io.Discard, reply.Body, maxDiscardedBytes) // allows reuse of the connection
 		dispatcher.recordFailure(endpoint)
 		return notExecuted, false
 	}
@@ -79,7 +79,7 @@
 		}
 	}
 	if f.response.headSent && !(isSuccess(reply.Status) && isEventStream(reply.Header)) {
-		return unanswered, false // only further events can continue what was passed on
+		return unanswered, false // a response that was relayed in part can only be continued by further events
 	}
 	return completed, true
 }
--- a/internal/fleet/proxy/dispatcher.go
+++ b/internal/fleet/proxy/dispatcher.go
@@ -14,14 +14,14 @@
 
 const (
 	connectTimeout    = 400 * time.Millisecond
-	maxConnectionIdle = 60 * time.Second // where an endpoint states no Keep-Alive time-out
+	maxConnectionIdle = 60 * time.Second // for endpoints that state no Keep-Alive time-out
 )
 
 // Dispatcher chooses endpoints and owns the connections to them. It is safe for concurrent use.
 type Dispatcher struct {
 	Pool *upstream.Pool
-	// Announce sends an announcement to the other routers; nil: none are sent. It is set before requests come, and called
-	// without the lock.
+	// Announce sends an announcement to the other routers; nil: none are sent. It must be set before the first request, and is
+	// called without the lock held.
 	Announce func(Announcement)
 
 	clock  func() time.Duration
@@ -35,16 +35,16 @@
 	announcements  tokenBucket
 	failureReports tokenBucket
 
-	// What has not been announced yet, for the next announcement; nil: nothing.
+	// The latest observation and stall that are not yet reported to other routers, for the next announcement; nil: none.
 	unreportedObservation *placement.Observation
 	unreportedStall       *placement.Stall
 }
 
-// NewDispatcher returns a dispatcher without endpoints. It opens at most so many connections. clock is a steady clock.
-func NewDispatcher(clock func() time.Duration, settings retry.Settings, connections int) *Dispatcher {
+// NewDispatcher returns a dispatcher without endpoints, which opens at most maxConnections connections. clock must be monotonic.
+func NewDispatcher(clock func() time.Duration, settings retry.Settings, maxConnections int) *Dispatcher {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	return &Dispatcher{
-		Pool: upstream.NewPool(connectTimeout, maxConnectionIdle, connections), clock: clock, origin: rand.Uint32(),
+		Pool: upstream.NewPool(connectTimeout, maxConnectionIdle, maxConnections), clock: clock, origin: rand.Uint32(),
 		placer: placement.New(random), settings: settings, routers: 1, budgets: map[string]*retry.Budget{},
 		failureReports: tokenBucket{level: failureReportBurst},
 	}
@@ -58,7 +58,7 @@
 	d.placer.SetRouters(routers)
 }
 
-// SetEndpoints replaces the endpoints that may be sent requests.
+// SetEndpoints replaces the list of endpoints that requests may be sent to.
 func (d *Dispatcher) SetEndpoints(ready []registry.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -69,8 +69,8 @@
 	d.removeConnections(removed)
 }
 
-// Suspend keeps requests away from endpoints from now on, also those that wait for a connection, until SetEndpoints lists them
-// again.
+// Suspend stops sending requests to the endpoints with these ids, including requests that wait for a connection, until
+// SetEndpoints lists the endpoints again.
 func (d *Dispatcher) Suspend(ids []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -83,43 +83,44 @@
 	}
 }
 
-// EndpointCount returns how many endpoints of a service were listed last, by SetEndpoints. Ejected ones, and those that Remove has named since,
-// are counted.
+// EndpointCount returns the number of a service's endpoints in the latest SetEndpoints. Ejected and suspended endpoints are
+// included.
 func (d *Dispatcher) EndpointCount(service string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.placer.EndpointCount(service)
 }
 
-// Tables returns the placement's tables, for the status.
+// Tables returns the status of the placement's tables.
 func (d *Dispatcher) Tables() []placement.TableStatus {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.placer.Tables()
 }
 
-// Services returns what has been learned of the endpoints, for the status.
+// Services returns the placement's status of each service, with what was learned about its endpoints.
 func (d *Dispatcher) Services() []placement.ServiceStatus {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.placer.Services(d.clock())
 }
 
-// ExportLearned returns what this router has learned of the endpoints, for one that has just started.
+// ExportLearned returns what this router has learned about the endpoints, for a router that has just started.
 func (d *Dispatcher) ExportLearned() placement.LearnedState {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.placer.ExportLearned(d.clock())
 }
 
-// ImportLearned takes over what another router had learned by a time. It may be called again when more endpoints are known.
+// ImportLearned merges the learned state of another router, whose ages apply at a time on this router's clock. It may be called
+// again with the same state when more endpoints are listed.
 func (d *Dispatcher) ImportLearned(at time.Duration, learned *placement.LearnedState) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.placer.ImportLearned(at, learned)
 }
 
-// ApplyAnnouncements records what other routers announce. This router's own announcements may be among them and are ignored.
+// ApplyAnnouncements records the announcements of other routers. Announcements of this router are ignored.
 func (d *Dispatcher) ApplyAnnouncements(announcements []Announcement) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -145,22 +146,22 @@
 	}
 }
 
-// recordRequest counts a request for a service in its retry budget.
+// recordRequest records a client request in the retry budget of its service.
 func (d *Dispatcher) recordRequest(service string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.budget(service).RecordRequest()
 }
 
-// takeRetry takes one retry out of a service's budget. It returns false where none is left.
-func (d *Dispatcher) takeRetry(service string) bool {
+// withdrawRetry withdraws one retry from a service's budget. It returns false if none is available.
+func (d *Dispatcher) withdrawRetry(service string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.budget(service).Withdraw()
 }
 
-// returnRetry returns a retry that reached no endpoint.
-func (d *Dispatcher) returnRetry(service string) {
+// refundRetry returns a withdrawn retry that has reached no endpoint to the budget.
+func (d *Dispatcher) refundRetry(service string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.budget(service).Refund()
@@ -175,21 +176,22 @@
 	return b
 }
 
-// place chooses a call's endpoint, records that the call is sent there, and announces it where that is worth it. It returns nil
-// where no endpoint may be sent the call; else release has to follow.
+// place chooses an endpoint for a call, records that the call is sent there, and announces calls with much to prefill to other
+// routers, within the rate limit. It returns nil if no endpoint is available; else the caller must call release when the call
+// has ended.
 func (d *Dispatcher) place(call *placement.Call) *placement.Placement {
 	d.mu.Lock()
 	now := d.clock()
 	placed := d.placer.Place(now, call)
-	announces := placed != nil && d.Announce != nil && placed.Units >= minAnnouncedUnits && d.takeAnnouncement(now, placed.Units)
+	shouldAnnounce := placed != nil && d.Announce != nil && placed.Units >= minAnnouncedUnits && d.takeAnnouncement(now, placed.Units)
 	var a Announcement
-	if announces {
+	if shouldAnnounce {
 		a = newAnnouncement(d.origin, placed, call)
 		a.Observation, a.Stall = newObservationReport(d.unreportedObservation), newStallReport(d.unreportedStall)
 		d.unreportedObservation, d.unreportedStall = nil, nil
 	}
 	d.mu.Unlock()
-	if announces {
+	if shouldAnnounce {
 		d.Announce(a)
 	}
 	return placed
@@ -204,14 +206,14 @@
 func (d *Dispatcher) recordFirstToken(placed *placement.Placement, delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	seen := d.placer.RecordFirstToken(d.clock(), placed, delay)
-	d.unreportedObservation = &seen
+	observation := d.placer.RecordFirstToken(d.clock(), placed, delay)
+	d.unreportedObservation = &observation
 }
 
-func (d *Dispatcher) recordStreamEnd(placed *placement.Placement, took, longestGap time.Duration) {
+func (d *Dispatcher) recordStreamEnd(placed *placement.Placement, duration, longestGap time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if stall, ok := d.placer.RecordStreamEnd(d.clock(), placed, took, longestGap); ok {
+	if stall, ok := d.placer.RecordStreamEnd(d.clock(), placed, duration, longestGap); ok {
 		d.unreportedStall = &stall
 	}
 }
@@ -228,14 +230,14 @@
 	d.reportFailure(e, (*placement.Placer).RecordOverdue, true)
 }
 
-// reportFailure records a failure that this router has met at an endpoint, and announces it.
+// reportFailure records a failure of an endpoint that this router has detected, and announces it within the rate limit.
 func (d *Dispatcher) reportFailure(e *placement.Endpoint, record func(*placement.Placer, time.Duration, *placement.Endpoint), overdue bool) {
 	d.mu.Lock()
 	now := d.clock()
 	record(d.placer, now, e)
-	announces := d.Announce != nil && d.takeFailureReport(now)
+	shouldAnnounce := d.Announce != nil && d.takeFailureReport(now)
 	d.mu.Unlock()
-	if announces {
+	if shouldAnnounce {
 		d.Announce(Announcement{Origin: d.origin, Endpoint: e.ShortID(), Failures: 1, Overdue: overdue})
 	}
 }
--- a/internal/fleet/proxy/doc.go
+++ b/internal/fleet/proxy/doc.go
@@ -1,21 +1,22 @@
-// Package proxy is the router's data path: it takes requests from clients, has the placement choose their endpoints, forwards
-// them and passes the answers on.
+// Package proxy is the data path of the router: it receives requests from clients, selects an endpoint for each by the placement
+// (fleet/placement), forwards the request to that endpoint, and relays the response to the client.
 //
-// A request's life, with the files in order:
+// The steps of a request, with their files:
 //
-//   - server.go: ServeHTTP waits for a configuration that may be used, and rejects a request that can't be taken;
+//   - server.go: ServeHTTP waits for a usable configuration, and rejects requests that it cannot serve;
 //   - request.go, prefix_header.go: the request is read completely;
-//   - admission.go: its route, tenant and service are found, and the tenant's quota is charged;
-//   - forward.go: it is sent to one endpoint after another until one answers, within its route's attempts, the retry budget
-//     (fleet/retry) and its deadline;
-//   - attempt.go, encode.go: one endpoint gets it, and the outcome is judged; first_token.go watches for an overdue answer;
-//   - answer.go, events.go: the answer is passed on as it comes.
+//   - admission.go: its route, tenant and service are determined, and the tenant's quota is charged;
+//   - forward.go: it is sent to one endpoint after another until one responds, within the route's maximum number of attempts,
+//     the retry budget (fleet/retry) and the request's deadline;
+//   - attempt.go, encode.go: it is sent to one endpoint, and the outcome of this attempt is classified; first_token.go detects
+//     an overdue first token;
+//   - answer.go, events.go: the response is relayed while it is received.
 //
 // Invariants, each guarded by a test with planted mistakes (planted_test.go): a request that is not idempotent is never sent
-// again once it may have run; a client that gets 503 or 429 without a signature knows that its request has not run and never will;
-// an answer reaches the client that it belongs to; an answer that is truncated does not look complete.
+// again once it may have run; if a client receives 503 or 429 without a signature, its request has not run and will not run; a
+// response reaches only the client whose request it answers; a truncated response does not look complete.
 //
-// A [Dispatcher] holds the placement and the connections for all requests of a router, and exchanges what it observes with other
-// routers' by [Announcement]s, which the router (fleet/router) carries. No request holds its lock during I/O. The package's other
-// state is each request's own, beside the Server's counters and durations.
+// A [Dispatcher] holds the placement and the connections for all requests of a router, and exchanges observations with other
+// routers in [Announcement]s, which the router (fleet/router) transports. Its lock is not held during I/O. Except for the
+// counters and durations of the Server, all other state of the package belongs to a single request.
 package proxy
--- a/internal/fleet/proxy/durations.go
+++ b/internal/fleet/proxy/durations.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// durationMemory is the number of answers after which one weighs 1/e.
-const durationMemory = 50.0
+// durationDecaySamples is the number of further responses after which the weight of a response has decreased to 1/e.
+const durationDecaySamples = 50.0
 
-// durations estimates how long answers of each route take, so that a draining router takes no request that it could not
-// finish. It is safe for concurrent use; the zero value has no observation.
+// durations estimates the response time of each route, so that a draining router rejects requests that it could not finish. It
+// is safe for concurrent use; the zero value has no observation.
 type durations struct {
 	mu     sync.Mutex
 	routes map[string]*routeDuration
 }
 
-// routeDuration is the mean and the mean deviation of a route's answers, in seconds.
+// routeDuration is the mean, and the mean absolute deviation from it, of a route's response times, in seconds.
 type routeDuration struct{ mean, deviation float64 }
 
-func (d *durations) observe(route string, took time.Duration) {
+func (d *durations) observe(route string, duration time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.routes == nil {
@@ -27,15 +27,16 @@
 	}
 	r := d.routes[route]
 	if r == nil {
-		r = &routeDuration{mean: took.Seconds()}
+		r = &routeDuration{mean: duration.Seconds()}
 		d.routes[route] = r
 	}
-	difference := took.Seconds() - r.mean
-	r.mean += difference / durationMemory
-	r.deviation += (math.Abs(difference) - r.deviation) / durationMemory
+	difference := duration.Seconds() - r.mean
+	r.mean += difference / durationDecaySamples
+	r.deviation += (math.Abs(difference) - r.deviation) / durationDecaySamples
 }
 
-// estimate returns how long most answers of a route take, mean plus mean deviation; 0 where none was observed.
+// estimate returns the mean plus the mean deviation of a route's response times, which most responses stay below; 0 if none was
+// observed.
 func (d *durations) estimate(route string) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/fleet/proxy/encode.go
+++ b/internal/fleet/proxy/encode.go
@@ -6,17 +6,16 @@
 	"time"
 )
 
-// encode appends the request as an endpoint gets it (HTTP/1.1). lastEventID is empty where no stream is resumed; timeLeft is
-// until the deadline. The message is written here and not by net/http, whose client sends a request again on its own after
-// some failures.
-func (q *request) encode(out []byte, instance, lastEventID string, timeLeft time.Duration) []byte {
+// encode appends the HTTP/1.1 message that is sent to the endpoint. lastEventID is empty unless a stream is resumed; remaining is
+// the time until the deadline. The message is not encoded by net/http, because its client retries requests after some failures.
+func (q *request) encode(out []byte, instance, lastEventID string, remaining time.Duration) []byte {
 	out = append(out, q.http.Method...)
 	out = append(out, ' ')
 	out = append(out, q.http.RequestURI...)
 	out = append(out, " HTTP/1.1\r\nHost: "...)
 	out = append(out, q.http.Host...)
 	out = q.appendClientHeaders(out, lastEventID != "")
-	out = appendHeader(out, headerDeadline, strconv.FormatInt(max(1, timeLeft.Milliseconds()), 10))
+	out = appendHeader(out, headerDeadline, strconv.FormatInt(max(1, remaining.Milliseconds()), 10))
 	out = appendHeader(out, headerExpectedInstance, instance)
 	out = appendHeader(out, headerPriority, strconv.Itoa(q.priority()))
 	if q.tenant != nil {
@@ -32,7 +31,7 @@
 	return append(out, q.body...)
 }
 
-// appendClientHeaders appends the client's headers that are passed on.
+// appendClientHeaders appends the headers of the client that are forwarded.
 func (q *request) appendClientHeaders(out []byte, resumed bool) []byte {
 	named := connectionTokens(q.http.Header)
 	for name, values := range q.http.Header {
--- a/internal/fleet/proxy/events.go
+++ b/internal/fleet/proxy/events.go
@@ -2,7 +2,8 @@
 
 import "bytes"
 
-// eventSplitter separates server-sent events, so that only complete ones are passed on and their ids are known.
+// eventSplitter splits a stream of server-sent events, so that only complete events are relayed and the id of the last relayed
+// event is known.
 type eventSplitter struct{ partial []byte }
 
 var (
@@ -12,10 +13,11 @@
 
 func (e *eventSplitter) reset() { e.partial = e.partial[:0] }
 
-// empty reports whether no part of an event is left over.
+// empty reports whether no incomplete event is buffered.
 func (e *eventSplitter) empty() bool { return len(e.partial) == 0 }
 
-// complete returns the events that are complete with a piece, and sets lastID to the id of the last one that has one.
+// complete adds a piece of the stream and returns the events that are complete now. If any of them has an id, it sets lastID to
+// the last of these ids.
 func (e *eventSplitter) complete(piece []byte, lastID *string) []byte {
 	e.partial = append(e.partial, piece...)
 	end := bytes.LastIndex(e.partial, eventEnd)
--- a/internal/fleet/proxy/first_token.go
+++ b/internal/fleet/proxy/first_token.go
@@ -8,22 +8,22 @@
 	"pinelb.example/pinelb/internal/fleet/placement"
 )
 
-// When a first token is overdue, and when that is of use.
+// Bounds on when a first token is overdue, and on when its request is sent to another endpoint.
 const (
-	minOverdue       = 600 * time.Millisecond // after the request was sent
-	overdueFactor    = 3                      // times the expected time to first token
-	minTimeToReroute = 300 * time.Millisecond // until the deadline, below which another endpoint is of no use
+	minOverdueTimeout = 600 * time.Millisecond // minimum time from the start of an attempt until its first token is overdue
+	overdueFactor     = 3                      // overdue time, as a multiple of the expected time to first token
+	minRerouteTime    = 300 * time.Millisecond // if less time remains until the deadline, another endpoint could not respond in time
 )
 
-// The states of a firstTokenWait: a first token is awaited until it arrives or the attempt is abandoned, whichever is first.
+// The states of a firstTokenWait. It changes once from tokenPending to one of the other two, and then stays there.
 const (
 	tokenPending int32 = iota
 	tokenArrived
 	attemptAbandoned
 )
 
-// firstTokenWait watches for the first token of one attempt. Where it is overdue, that counts against the endpoint, and a request
-// that may run again is sent elsewhere: most of the time nothing comes any more from an unresponsive endpoint.
+// firstTokenWait waits for the first token of one attempt. If the token is overdue, that is recorded as a failure of the endpoint,
+// and an idempotent request is sent to another endpoint, because an unresponsive endpoint rarely responds later.
 type firstTokenWait struct {
 	placement *placement.Placement
 	sentAt    time.Time
@@ -31,12 +31,12 @@
 	timer     *time.Timer
 }
 
-// awaitFirstToken starts to watch for an attempt's first token. cancel ends the attempt; stop has to follow.
+// awaitFirstToken starts to wait for the first token of an attempt, which cancel ends. The caller must call stop afterwards.
 func (f *forwarding) awaitFirstToken(placed *placement.Placement, cancel context.CancelFunc) *firstTokenWait {
 	w := &firstTokenWait{placement: placed, sentAt: time.Now()}
-	// The timer's goroutine must not read the forwarding, which goes on.
+	// The timer's goroutine must not read f, which the request's goroutine modifies.
 	server, service, reroutable := f.server, f.request.service, f.canReroute()
-	w.timer = time.AfterFunc(overdueAfter(placed), func() {
+	w.timer = time.AfterFunc(overdueTimeout(placed), func() {
 		server.dispatcher.recordOverdue(placed.Endpoint)
 		if reroutable && w.abandon(server.dispatcher, service) {
 			server.Rerouted.Add(1)
@@ -46,40 +46,41 @@
 	return w
 }
 
-// overdueAfter returns how long after an attempt's start its first token is overdue.
-func overdueAfter(placed *placement.Placement) time.Duration {
-	return max(minOverdue, overdueFactor*placed.Expected)
+// overdueTimeout returns the time from the start of an attempt until its first token is overdue.
+func overdueTimeout(placed *placement.Placement) time.Duration {
+	return max(minOverdueTimeout, overdueFactor*placed.Expected)
 }
 
-// canReroute reports whether the request may be sent to another endpoint if this one's first token is overdue.
+// canReroute reports whether the request may be sent to another endpoint if the first token of this attempt is overdue.
 func (f *forwarding) canReroute() bool {
 	q := f.request
 	return q.route.Idempotent() && !f.response.headSent && !f.isLastAttempt() &&
-		f.server.dispatcher.EndpointCount(q.service) > len(f.tried) && time.Until(q.deadline) > minOverdue+minTimeToReroute
+		f.server.dispatcher.EndpointCount(q.service) > len(f.tried) && time.Until(q.deadline) > minOverdueTimeout+minRerouteTime
 }
 
-// abandon gives the attempt up, with a retry taken out of the budget for the next one. It reports whether it could.
+// abandon changes the state to attemptAbandoned and withdraws a retry from the budget for the next attempt. It returns false, and
+// changes nothing, if the budget has no retry or the state is no longer tokenPending.
 func (w *firstTokenWait) abandon(dispatcher *Dispatcher, service string) bool {
-	if !dispatcher.takeRetry(service) {
+	if !dispatcher.withdrawRetry(service) {
 		return false
 	}
 	if !w.state.CompareAndSwap(tokenPending, attemptAbandoned) {
-		dispatcher.returnRetry(service)
+		dispatcher.refundRetry(service)
 		return false
 	}
 	return true
 }
 
-// arrive records that the first token is here. It returns false where the attempt was abandoned before.
-func (w *firstTokenWait) arrive() bool {
+// markArrived records the arrival of the first token. It returns false if the attempt was already abandoned.
+func (w *firstTokenWait) markArrived() bool {
 	w.timer.Stop()
 	return w.state.CompareAndSwap(tokenPending, tokenArrived)
 }
 
-// isAbandoned reports whether the attempt was abandoned, with a retry taken out of the budget for the next one.
+// isAbandoned reports whether the attempt was abandoned. In that case a retry was withdrawn for the next attempt.
 func (w *firstTokenWait) isAbandoned() bool { return w.state.Load() == attemptAbandoned }
 
-// stop ends the watch. It returns what isAbandoned does from now on.
+// stop ends the wait: the attempt can no longer be abandoned. It returns the final value of isAbandoned.
 func (w *firstTokenWait) stop() bool {
 	w.timer.Stop()
 	w.state.CompareAndSwap(tokenPending, tokenArrived)
--- a/internal/fleet/proxy/first_token_test.go
+++ b/internal/fleet/proxy/first_token_test.go
@@ -34,7 +34,7 @@
 	left := func(r *testProxy) int {
 		d := r.proxy.dispatcher
 		taken := 0
-		for d.takeRetry("s") {
+		for d.withdrawRetry("s") {
 			taken++
 		}
 		return taken
@@ -58,7 +58,7 @@
 			So(spent(r), ShouldEqual, 1)
 		})
 		Convey("one that is not idempotent waits for its answer", func() {
-			late := delay(minOverdue+200*time.Millisecond, succeed("late"))
+			late := delay(minOverdueTimeout+200*time.Millisecond, succeed("late"))
 			a, b := newFakeEndpoint(t, "e1", late), newFakeEndpoint(t, "e2", late)
 			r := newTestProxy(t, a, b)
 			for _, path := range []string{"/u/", "/st/"} {
@@ -71,7 +71,7 @@
 			So(spent(r), ShouldEqual, 0)
 		})
 		Convey("the last attempt, one without another endpoint and one beyond the budget wait", func() {
-			late := delay(minOverdue+100*time.Millisecond, succeed("late"))
+			late := delay(minOverdueTimeout+100*time.Millisecond, succeed("late"))
 			a := newFakeEndpoint(t, "e1", late, late)
 			alone := newTestProxy(t, a)
 			_, body, err := alone.do("POST", "/safe/", "")
@@ -81,7 +81,7 @@
 
 			b, c := newFakeEndpoint(t, "e1", late), newFakeEndpoint(t, "e2", late)
 			poor := newTestProxy(t, b, c)
-			for poor.proxy.dispatcher.takeRetry("s") {
+			for poor.proxy.dispatcher.withdrawRetry("s") {
 			}
 			_, body, err = poor.do("POST", "/safe/", "")
 			So(err, ShouldBeNil)
@@ -112,11 +112,11 @@
 		for _, first := range []bool{true, false} {
 			f := &firstTokenWait{placement: &placement.Placement{}, timer: time.NewTimer(time.Hour)}
 			if first {
-				So(f.arrive(), ShouldBeTrue)
+				So(f.markArrived(), ShouldBeTrue)
 				So(f.state.CompareAndSwap(tokenPending, attemptAbandoned), ShouldBeFalse)
 			} else {
 				So(f.state.CompareAndSwap(tokenPending, attemptAbandoned), ShouldBeTrue)
-				So(f.arrive(), ShouldBeFalse)
+				So(f.markArrived(), ShouldBeFalse)
 			}
 			So(f.stop(), ShouldEqual, !first)
 		}
--- a/internal/fleet/proxy/forward.go
+++ b/internal/fleet/proxy/forward.go
@@ -9,30 +9,30 @@
 	"pinelb.example/pinelb/internal/fleet/placement"
 )
 
-// maxUnreachable is how many endpoints of a request may turn out to be unreachable.
-const maxUnreachable = 4
+// maxUnreachableEndpoints is the maximum number of unreachable endpoints after which a request is still sent to another one.
+const maxUnreachableEndpoints = 4
 
-// forwarding is one request on its way to endpoints, over all attempts.
+// forwarding is the state of forwarding one request, over all its attempts.
 type forwarding struct {
 	server   *Server
 	request  *request
 	response response
 
-	tried       []string // ids of endpoints
-	attempts    int      // that reached an endpoint
-	unreachable int      // attempts that did not
+	tried       []string // ids of the endpoints of all attempts
+	attempts    int      // number of attempts that reached an endpoint
+	unreachable int      // number of attempts that did not reach an endpoint
 	mayHaveRun  bool     // an endpoint may have run the request
 
-	retryTaken   bool // a retry was taken out of the budget, for an attempt that has not reached an endpoint yet
-	rerouteTaken bool // the same for the attempt after one that was abandoned because its first token was overdue
+	retryWithdrawn   bool // a retry was withdrawn from the budget, for an attempt that has not yet reached an endpoint
+	rerouteWithdrawn bool // the current attempt was abandoned for an overdue first token, and a retry withdrawn for the next one
 }
 
-// forward sends a request to one endpoint after another until one answers, and answers the client.
+// forward sends a request to one endpoint after another until one responds, and sends the client a response.
 func (s *Server) forward(w http.ResponseWriter, q *request) {
 	ctx, cancel := context.WithDeadline(q.http.Context(), q.deadline)
 	defer cancel()
 	f := &forwarding{server: s, request: q, response: response{writer: w}}
-	defer f.returnUnusedRetry()
+	defer f.refundUnusedRetry()
 	for f.canSend(ctx) {
 		placed := s.dispatcher.place(f.call())
 		if placed == nil {
@@ -57,7 +57,7 @@
 	f.finishUnanswered(ctx)
 }
 
-// canSend reports whether the request may be sent to one more endpoint. It takes a retry out of the budget where that is needed.
+// canSend reports whether the request may be sent to one more endpoint. If that is a retry, it is withdrawn from the budget.
 func (f *forwarding) canSend(ctx context.Context) bool {
 	if ctx.Err() != nil || !f.server.apiKeyValid(f.request) {
 		return false
@@ -65,11 +65,11 @@
 	if f.attempts == 0 {
 		return true
 	}
-	f.retryTaken = f.retryTaken || f.server.dispatcher.takeRetry(f.request.service)
-	return f.retryTaken
+	f.retryWithdrawn = f.retryWithdrawn || f.server.dispatcher.withdrawRetry(f.request.service)
+	return f.retryWithdrawn
 }
 
-// call returns what the choice of the next endpoint depends on.
+// call returns the properties of the request that the choice of its next endpoint depends on.
 func (f *forwarding) call() *placement.Call {
 	q := f.request
 	return &placement.Call{
@@ -78,41 +78,41 @@
 	}
 }
 
-// isLastAttempt reports whether a failure of the next attempt would be the request's.
+// isLastAttempt reports whether no further attempt may follow the next one if that fails.
 func (f *forwarding) isLastAttempt() bool {
 	route := f.request.route
 	return !route.Idempotent() || f.attempts+1 >= route.AttemptLimit()
 }
 
-// recordOutcome counts an attempt by its outcome.
+// recordOutcome updates the counts of attempts, and the withdrawn retries, after an attempt.
 func (f *forwarding) recordOutcome(result outcome) {
 	if result == notSent {
 		f.unreachable++
-		if f.rerouteTaken {
-			f.server.dispatcher.returnRetry(f.request.service) // the next attempt is not a retry yet
+		if f.rerouteWithdrawn {
+			f.server.dispatcher.refundRetry(f.request.service) // the endpoint was not reached: the next attempt needs no additional retry
 		}
-		f.rerouteTaken = false
+		f.rerouteWithdrawn = false
 		return
 	}
 	f.attempts++
-	f.retryTaken, f.rerouteTaken = f.rerouteTaken, false
+	f.retryWithdrawn, f.rerouteWithdrawn = f.rerouteWithdrawn, false
 }
 
-// exhausted reports whether the request may be sent to no further endpoint.
+// exhausted reports whether the request must not be sent to a further endpoint.
 func (f *forwarding) exhausted() bool {
 	route := f.request.route
-	return f.unreachable > maxUnreachable || f.attempts >= route.AttemptLimit() || f.mayHaveRun && !route.Idempotent()
+	return f.unreachable > maxUnreachableEndpoints || f.attempts >= route.AttemptLimit() || f.mayHaveRun && !route.Idempotent()
 }
 
-// returnUnusedRetry gives a retry back that reached no endpoint.
-func (f *forwarding) returnUnusedRetry() {
-	if f.retryTaken {
-		f.server.dispatcher.returnRetry(f.request.service)
+// refundUnusedRetry returns a withdrawn retry to the budget if its attempt has reached no endpoint.
+func (f *forwarding) refundUnusedRetry() {
+	if f.retryWithdrawn {
+		f.server.dispatcher.refundRetry(f.request.service)
 	}
 }
 
-// abort ends a request whose client has closed its connection, or its sending side only: in that case it still reads, and what
-// it gets must neither be a success nor look complete.
+// abort ends a request whose client has closed its connection, or only the sending side of it. In the latter case the client may
+// still read: its response must neither be a success nor look complete.
 func (f *forwarding) abort() {
 	if f.response.headSent {
 		panic(http.ErrAbortHandler)
@@ -120,19 +120,19 @@
 	f.server.fail(f.response.writer, http.StatusBadGateway)
 }
 
-// finishUnanswered answers a request that no endpoint has answered completely.
+// finishUnanswered ends a request for which no endpoint has sent a complete response.
 func (f *forwarding) finishUnanswered(ctx context.Context) {
 	s, q := f.server, f.request
 	if f.response.headSent {
 		s.Truncated.Add(1)
-		panic(http.ErrAbortHandler) // the client sees that the answer is not complete
+		panic(http.ErrAbortHandler) // closes the connection, so that the client detects the truncation
 	}
 	if !f.mayHaveRun {
 		s.refund(q)
-		s.reject(f.response.writer, http.StatusServiceUnavailable, retrySoon)
+		s.reject(f.response.writer, http.StatusServiceUnavailable, shortRetryAfter)
 		return
 	}
-	// A connection's deadline, which is the same, may expire before the context's.
+	// The connection to the endpoint has the same deadline as the context, and may reach it before the context does.
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) || !time.Now().Before(q.deadline) {
 		s.fail(f.response.writer, http.StatusGatewayTimeout)
 		return
--- a/internal/fleet/proxy/outcome.go
+++ b/internal/fleet/proxy/outcome.go
@@ -1,15 +1,15 @@
 package proxy
 
-// outcome is what became of one attempt.
+// outcome is the outcome of one attempt.
 type outcome uint8
 
-// The outcomes. The first three end the request; after the others it may be sent to another endpoint.
+// The outcomes. The first three end the request. After the others, it may be sent to another endpoint.
 const (
-	completed    outcome = iota // the client has its answer
-	clientClosed                // the client has closed its connection, or its sending side
-	truncated                   // the answer broke off after a part had been passed on that nothing can continue
-	notSent                     // the endpoint was not reached: the request did not run there
-	notExecuted                 // the endpoint said that it did not run the request
-	unanswered                  // the request was sent, and no usable answer came
-	interrupted                 // the answer broke off, and another endpoint may replace or continue it
+	completed    outcome = iota // the response was relayed completely
+	clientClosed                // the client has closed its connection, or the sending side of it
+	truncated                   // the response was interrupted after a part was relayed that no other endpoint can continue
+	notSent                     // the endpoint was not reached: the request has not run there and will not
+	notExecuted                 // the endpoint responded that it did not run the request
+	unanswered                  // the request was sent, but no usable response was received
+	interrupted                 // the response was interrupted, and another endpoint may replace or continue it
 )
--- a/internal/fleet/proxy/prefix_header.go
+++ b/internal/fleet/proxy/prefix_header.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	maxTokens   = 1e9 // that a request may state; more is no number of tokens
-	maxPrefixes = 4   // shared prefixes of a prompt that are distinguished
+	maxTokens   = 1e9 // numbers of tokens in headers are valid below this bound
+	maxPrefixes = 4   // maximum number of shared prefixes of a prompt, the longest ones
 )
 
-// parsePrefixes parses the X-Prefix-Hash header, the parts of a prompt "ID:TOKENS,ID:TOKENS,...". It returns the prompt's tokens in
-// all, at least 1, and its shared prefixes from the longest to the shortest. The last part is the request's own. Parts that
-// can't be parsed count no tokens.
+// parsePrefixes parses the X-Prefix-Hash header, which lists the parts of a prompt as "ID:TOKENS,ID:TOKENS,...". It returns the
+// total number of the prompt's tokens, at least 1, and its shared prefixes, the longest first. The last part is not shared with
+// other prompts and ends no shared prefix. A part whose number of tokens is invalid counts as 0 tokens.
 func parsePrefixes(header string) (tokens float64, shared []placement.Prefix) {
 	for at := 0; at < len(header); {
 		end := strings.IndexByte(header[at:], ',')
--- a/internal/fleet/proxy/request.go
+++ b/internal/fleet/proxy/request.go
@@ -14,21 +14,21 @@
 	"pinelb.example/pinelb/internal/fleet/placement"
 )
 
-// request is a client's request, read completely. Admission fills in the rest.
+// request is a client's request. readRequest sets the first group of fields, admission the second.
 type request struct {
 	http       *http.Request
 	body       []byte
 	id         string
-	path       string // as it was sent, without the query
+	path       string // as the client sent it, without the query
 	receivedAt time.Time
 
 	route        *config.Route
-	tenant       *config.Tenant // nil on public routes, and where no key is required
+	tenant       *config.Tenant // nil on public routes, and if the configuration requires no API key
 	service      string
 	prompt       placement.Prompt
 	deadline     time.Time
-	clientSpent  time.Duration // of the route's time-out, before the request came here
-	chargedUnits float64       // of the tenant's quota
+	clientSpent  time.Duration // part of the route's time-out that had passed when the request was received
+	chargedUnits float64       // units charged to the tenant's quota
 }
 
 // readRequest reads a request completely. Its errors are denials.
@@ -52,26 +52,26 @@
 	return q, nil
 }
 
-// readBody reads a body, or one byte more than maxBody of it; 0: no bound.
+// readBody reads a request's body. It stops one byte after maxBody, so that the caller detects a larger body; 0: no bound.
 func readBody(r *http.Request, maxBody int64) ([]byte, error) {
 	if r.ContentLength == 0 {
 		return nil, nil
 	}
-	var from io.Reader = r.Body
+	var reader io.Reader = r.Body
 	if maxBody > 0 {
-		from = io.LimitReader(r.Body, maxBody+1)
+		reader = io.LimitReader(r.Body, maxBody+1)
 	}
 	if r.ContentLength > 0 {
 		body := make([]byte, r.ContentLength)
-		_, err := io.ReadFull(from, body)
+		_, err := io.ReadFull(reader, body)
 		return body, err
 	}
 	var buffer bytes.Buffer
-	_, err := buffer.ReadFrom(from)
+	_, err := buffer.ReadFrom(reader)
 	return buffer.Bytes(), err
 }
 
-// hostOf returns the Host header without its port.
+// hostOf returns the host of the Host header, without the port.
 func hostOf(r *http.Request) string {
 	if host, _, err := net.SplitHostPort(r.Host); err == nil {
 		return host
@@ -79,7 +79,8 @@
 	return r.Host
 }
 
-// setDeadline sets the deadline: the route's time-out, or what the client says that is left of it (X-Deadline-Ms).
+// setDeadline sets the request's deadline from the route's time-out, or from the remaining time that the client states in
+// X-Deadline-Ms if that is shorter.
 func (q *request) setDeadline() {
 	timeout := q.route.Timeout()
 	q.deadline = q.receivedAt.Add(timeout)
@@ -91,14 +92,15 @@
 	if err != nil || ms < 0 {
 		return
 	}
-	left := time.Duration(ms * float64(time.Millisecond))
-	if left < timeout {
-		q.deadline = q.receivedAt.Add(left)
-		q.clientSpent = timeout - left
+	remaining := time.Duration(ms * float64(time.Millisecond))
+	if remaining < timeout {
+		q.deadline = q.receivedAt.Add(remaining)
+		q.clientSpent = timeout - remaining
 	}
 }
 
-// quotaUnits returns what the request counts for in a tenant's quota: 1, or its tokens (X-Token-Usage, "PROMPT,OUTPUT").
+// quotaUnits returns the units that a tenant's quota is charged for the request: 1, or the number of its tokens in the
+// X-Token-Usage header ("PROMPT,OUTPUT"). Without a valid header, the tenant's default applies.
 func (q *request) quotaUnits(t *config.Tenant) float64 {
 	if t.Unit != config.UnitTokens {
 		return 1
@@ -118,29 +120,29 @@
 	return sum
 }
 
-// outputTokens returns how many tokens the request may have written; 0 where it does not state them.
+// outputTokens returns the maximum number of output tokens that X-Token-Usage states; 0 if it states none.
 func (q *request) outputTokens() float64 {
 	_, text, _ := strings.Cut(q.http.Header.Get(headerTokenUsage), ",")
 	n, _ := parseTokens(text)
 	return n
 }
 
-// parseTokens parses a number of tokens of X-Token-Usage.
+// parseTokens parses one number of the X-Token-Usage header.
 func parseTokens(text string) (tokens float64, ok bool) {
 	n, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
-	if err != nil || !(n >= 0 && n < maxTokens) { // also NaN
+	if err != nil || !(n >= 0 && n < maxTokens) { // this form also rejects NaN
 		return 0, false
 	}
 	return n, true
 }
 
-// Levels of the Priority header: a tenant's priority counts before a route's.
+// Levels of the Priority header. A tenant's priority takes precedence over a route's.
 const (
-	routePriorities = 3 // levels of routes within one of tenants
+	routePriorities = 3 // number of route priorities within each tenant priority
 	lowestPriority  = 9
 )
 
-// priority returns the request's priority at an endpoint; 0 is the most urgent.
+// priority returns the request's value of the Priority header, from 0, the most urgent, to lowestPriority.
 func (q *request) priority() int {
 	priority := min(max(0, q.route.Priority), routePriorities-1)
 	if q.tenant != nil && q.tenant.Priority != nil {
--- a/internal/fleet/proxy/server.go
+++ b/internal/fleet/proxy/server.go
@@ -11,38 +11,39 @@
 	"pinelb.example/pinelb/internal/fleet/config"
 )
 
-// Delegate is what the proxy needs of the rest of the router. Its methods are called by all requests' goroutines.
+// Delegate is the rest of the router, as the proxy uses it. Its methods are called concurrently.
 type Delegate interface {
-	// ActiveConfig returns the configuration in force, nil where there is none, and how long ago it was surely the newest.
+	// ActiveConfig returns the active configuration, nil if there is none, and the time since it was last confirmed to be the
+	// newest.
 	ActiveConfig() (table *config.Table, age time.Duration)
-	// ConfigSuperseded reports whether a newer configuration is known to be acknowledged, and is not yet in force here.
+	// ConfigSuperseded reports whether a newer configuration is known to be acknowledged that is not yet active here.
 	ConfigSuperseded() bool
-	// Charge takes units out of a tenant's quota. Where ok is false, nothing was taken and wait is when the client may retry.
+	// Charge charges units to a tenant's quota. If ok is false, nothing was charged, and the client may retry after wait.
 	Charge(ctx context.Context, tenant *config.Tenant, units float64) (ok bool, wait time.Duration)
-	// Refund gives back the units of a request that has not run and never will.
+	// Refund returns the units of a request that has not run and will not run to a tenant's quota.
 	Refund(tenant *config.Tenant, units float64)
 }
 
-// Options are bounds on the age of the configuration.
+// Options are bounds on the age of the active configuration, which is the age that Delegate.ActiveConfig returns.
 type Options struct {
 	MaxConfigAge     time.Duration // age beyond which API keys are not accepted; 0: no bound
-	MaxDenialAge     time.Duration // age beyond which a request without a route or a valid key gets 503 and not a denial
-	MaxSupersededAge time.Duration // age beyond which nothing is served by a configuration that is known to be superseded; 0: no bound
+	MaxDenialAge     time.Duration // age beyond which a request without a route or a valid key is rejected (503) and not denied
+	MaxSupersededAge time.Duration // age beyond which requests are rejected if a newer configuration is known; 0: no bound
 }
 
-// Server answers clients. It implements [http.Handler].
+// Server handles clients' requests. It implements [http.Handler].
 type Server struct {
 	delegate   Delegate
 	dispatcher *Dispatcher
 	options    Options
 
-	drainEnd  atomic.Pointer[time.Time] // when the process ends; nil: it is not draining
+	drainEnd  atomic.Pointer[time.Time] // when the process ends; nil: the server is not draining
 	durations durations
 
-	// Requests by outcome since the start: answered by an endpoint; not run, whether rejected or denied ("refused" in the status);
-	// failed without an answer; truncated answers.
+	// Requests by outcome, since the start: Served have a complete response of an endpoint; Rejected have not run, whether
+	// rejected or denied ("refused" in the status); Failed have no response of an endpoint; Truncated have an incomplete one.
 	Served, Rejected, Failed, Truncated atomic.Uint64
-	Superseded                          atomic.Uint64 // rejected because a newer configuration is not yet in force
+	Superseded                          atomic.Uint64 // requests rejected because a newer configuration is not yet active
 	Rerouted                            atomic.Uint64 // attempts abandoned because their first token was overdue
 }
 
@@ -51,31 +52,32 @@
 	return &Server{delegate: delegate, dispatcher: dispatcher, options: options}
 }
 
-// isOutdated reports whether the configuration, with this age, may lead a request elsewhere than a newer one that was acknowledged too long
-// ago. It is exact: a newer one was acknowledged no earlier than the age says, and the request was sent before now.
+// isOutdated reports whether a newer configuration is known and may have been acknowledged more than MaxSupersededAge before this
+// request, so that serving it by the active configuration could be wrong. age bounds the time since that acknowledgement,
+// because the active configuration was the newest one age ago.
 func (s *Server) isOutdated(age time.Duration) bool {
 	return s.options.MaxSupersededAge > 0 && age > s.options.MaxSupersededAge && s.delegate.ConfigSuperseded()
 }
 
-// Times after which clients may retry.
+// Values of Retry-After for rejected requests.
 const (
-	retrySoon  = 100 * time.Millisecond // another endpoint or router will do
-	retryLater = 300 * time.Millisecond // something has to be repaired first
+	shortRetryAfter = 100 * time.Millisecond // another endpoint or router can probably serve the request
+	longRetryAfter  = 300 * time.Millisecond // the router has no configuration yet
 )
 
-// ServeHTTP answers one request. It panics with [http.ErrAbortHandler] to truncate an answer.
+// ServeHTTP handles one request. It panics with [http.ErrAbortHandler] if the response was truncated.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if s.drainEnd.Load() != nil {
 		w.Header().Set("Connection", "close")
 	}
 	table, age := s.awaitTable(r.Context())
 	if table == nil || table.Version == 0 {
-		s.reject(w, http.StatusServiceUnavailable, retryLater)
+		s.reject(w, http.StatusServiceUnavailable, longRetryAfter)
 		return
 	}
 	if s.isOutdated(age) {
 		s.Superseded.Add(1)
-		s.reject(w, http.StatusServiceUnavailable, retrySoon)
+		s.reject(w, http.StatusServiceUnavailable, shortRetryAfter)
 		return
 	}
 	q, err := readRequest(r, table.Limits)
@@ -84,8 +86,8 @@
 		return
 	}
 	if err := s.admit(q, table); err != nil {
-		if age > s.options.MaxDenialAge { // a newer configuration may have the route or key
-			s.reject(w, http.StatusServiceUnavailable, retrySoon)
+		if age > s.options.MaxDenialAge { // a newer configuration may contain the route or the key
+			s.reject(w, http.StatusServiceUnavailable, shortRetryAfter)
 		} else {
 			s.deny(w, err)
 		}
@@ -93,7 +95,7 @@
 	}
 	q.setDeadline()
 	if !s.apiKeyValid(q) || s.drainEndsBefore(q) {
-		s.reject(w, http.StatusServiceUnavailable, retrySoon)
+		s.reject(w, http.StatusServiceUnavailable, shortRetryAfter)
 		return
 	}
 	if wait, ok := s.charge(q); !ok {
@@ -104,13 +106,13 @@
 	s.forward(w, q)
 }
 
-// A router that has just started gets its configuration within moments: requests wait for it instead of being rejected.
+// A router that has just started receives its configuration shortly afterwards. Requests wait for it and are not rejected at once.
 const (
 	maxStartupWait      = 90 * time.Millisecond
 	startupPollInterval = maxStartupWait / 6
 )
 
-// awaitTable returns the configuration in force and its age. It waits for one that may be used, up to maxStartupWait.
+// awaitTable returns the active configuration and its age. It waits up to maxStartupWait for a usable one.
 func (s *Server) awaitTable(ctx context.Context) (*config.Table, time.Duration) {
 	for until := time.Now().Add(maxStartupWait); ; {
 		table, age := s.delegate.ActiveConfig()
@@ -122,27 +124,27 @@
 	}
 }
 
-// BeginDrain starts a graceful shutdown of the process, which ends at a time: each answer closes its connection, and requests
-// that would probably not be answered by then are rejected.
+// BeginDrain starts a graceful shutdown of the process, which ends at the given time. From now on, each response closes its
+// connection, and requests that would probably not be finished by that time are rejected.
 func (s *Server) BeginDrain(end time.Time) { s.drainEnd.Store(&end) }
 
-// drainEndsBefore reports whether the process will probably end before the request is answered.
+// drainEndsBefore reports whether the process will probably end before the response to a request is complete.
 func (s *Server) drainEndsBefore(q *request) bool {
 	end := s.drainEnd.Load()
 	return end != nil && time.Now().Add(s.durations.estimate(q.route.Name)).After(*end)
 }
 
-// minRetryAfter keeps clients from retrying at once.
+// minRetryAfter is the minimum of Retry-After, so that clients do not retry immediately.
 const minRetryAfter = 0.01 // seconds
 
-// reject promises that the request has not run and never will, and says when the client may retry.
+// reject responds that the request has not run and will not run, and that the client may retry after wait.
 func (s *Server) reject(w http.ResponseWriter, status int, wait time.Duration) {
 	s.Rejected.Add(1)
 	w.Header().Set(headerRetryAfter, strconv.FormatFloat(max(minRetryAfter, wait.Seconds()), 'f', 3, 64))
 	w.WriteHeader(status)
 }
 
-// deny answers a request that is itself at fault, by a denial.
+// deny responds to a request that has an error itself. The status is that of the denial in err.
 func (s *Server) deny(w http.ResponseWriter, err error) {
 	status := errUnreadableBody
 	_ = errors.As(err, &status)
@@ -150,7 +152,7 @@
 	w.WriteHeader(int(status))
 }
 
-// fail answers a request that may have run and has no answer.
+// fail responds to a request that may have run but has no response of an endpoint.
 func (s *Server) fail(w http.ResponseWriter, status int) {
 	s.Failed.Add(1)
 	w.WriteHeader(status)
