--- a/internal/fleet/proxy/admission_test.go
+++ b/internal/fleet/proxy/admission_test.go
@@ -24,7 +24,7 @@
 		}
 		So(e.requests(), ShouldBeEmpty)
 	})
-	Convey("With an old configuration, a request without a route is not denied but rejected with Retry-After", t, func() {
+	Convey("If the configuration is older than MaxDenialAge, a request without a route is rejected with Retry-After and not denied", t, func() {
 		r := newTestProxy(t, newFakeEndpoint(t, "e1"))
 		r.delegate.age = 2 * time.Second
 		response, _, err := r.do("POST", "/none/", "")
--- a/internal/fleet/proxy/announcement_limit.go
+++ b/internal/fleet/proxy/announcement_limit.go
@@ -5,11 +5,11 @@
 // The rate of announcements is bounded for any size and load of the fleet. If not all prompts can be announced, long prompts take
 // precedence.
 const (
-	minAnnouncedUnits          = 400.0  // minimum units to prefill of an announced prompt
-	longPromptUnits            = 6000.0 // from this number of units to prefill, a prompt may use the whole token bucket
-	maxAnnouncementRate        = 1500.0 // per second, of all routers together, in a small fleet
-	largeFleetAnnouncementRate = 1.3e7  // in a large fleet: the same, times the square of the number of routers; about 5 KB/s at 380
-	announcementBurst          = 6.0    // of each router
+	minAnnouncedUnits            = 400.0  // minimum units to prefill of an announced prompt
+	longPromptUnits              = 6000.0 // from this number of units to prefill, a prompt may use the whole token bucket
+	maxAnnouncementRate          = 1500.0 // per second, of all routers together, in a small fleet
+	largeFleetAnnouncementFactor = 1.3e7  // the rate in a large fleet is this divided by routers²; about 5 KB/s at 380 routers
+	announcementBurst            = 6.0    // of each router
 
 	maxFailureReportRate        = 20.0   // failures per second, of each router, in a small fleet
 	largeFleetFailureReportRate = 2000.0 // failures per second, of all routers together, in a large fleet
@@ -38,7 +38,7 @@
 // announcement must not be sent. The shorter the prompt, the more tokens must remain for long prompts. The caller holds the lock.
 func (d *Dispatcher) takeAnnouncement(now time.Duration, units float64) bool {
 	routers := float64(d.routers)
-	rate := min(maxAnnouncementRate, largeFleetAnnouncementRate/(routers*routers)) / routers
+	rate := min(maxAnnouncementRate, largeFleetAnnouncementFactor/(routers*routers)) / routers
 	burst := max(announcementBurst, rate)
 	reserve := 0.5 * burst * max(0, 1-units/longPromptUnits)
 	return d.announcements.take(now, rate, burst, reserve)
--- a/internal/fleet/proxy/attempt.go
+++ b/internal/fleet/proxy/attempt.go
@@ -23,7 +23,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	wait := f.awaitFirstToken(placed, cancel)
-	defer func() { f.rerouteWithdrawn = wait.stop() }()
+	defer func() { f.rerouteRetryWithdrawn = wait.stop() }()
 	message := q.encode(make([]byte, 0, expectedHeadBytes+len(q.body)), placed.Endpoint.ID, f.response.lastEventID, time.Until(q.deadline))
 	reply, proof, err := dispatcher.Pool.RoundTrip(ctx, &upstream.Exchange{
 		Host: balance.EndpointID(placed.Endpoint.Number), ID: q.id, Method: q.http.Method, Deadline: q.deadline, Message: message,
--- a/internal/fleet/proxy/first_token.go
+++ b/internal/fleet/proxy/first_token.go
@@ -31,7 +31,8 @@
 	timer     *time.Timer
 }
 
-// awaitFirstToken starts to wait for the first token of an attempt, which cancel ends. The caller must call stop afterwards.
+// awaitFirstToken starts to wait for the first token of an attempt. cancel must end the attempt. The caller must call stop when
+// the attempt has ended.
 func (f *forwarding) awaitFirstToken(placed *placement.Placement, cancel context.CancelFunc) *firstTokenWait {
 	w := &firstTokenWait{placement: placed, sentAt: time.Now()}
 	// The timer's goroutine must not read f, which the request's goroutine modifies.
--- a/internal/fleet/proxy/first_token_test.go
+++ b/internal/fleet/proxy/first_token_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// delay responds by answer after the given duration.
+// delay waits for the given duration and then responds by answer.
 func delay(duration time.Duration, answer func(net.Conn, *http.Request)) func(net.Conn, *http.Request) {
 	return func(c net.Conn, r *http.Request) {
 		<-time.After(duration)
--- a/internal/fleet/proxy/forward.go
+++ b/internal/fleet/proxy/forward.go
@@ -23,8 +23,8 @@
 	unreachable int      // number of attempts that did not reach an endpoint
 	mayHaveRun  bool     // an endpoint may have run the request
 
-	retryWithdrawn   bool // a retry was withdrawn from the budget, for an attempt that has not yet reached an endpoint
-	rerouteWithdrawn bool // the current attempt was abandoned for an overdue first token, and a retry withdrawn for the next one
+	retryWithdrawn        bool // a retry was withdrawn from the budget, for an attempt that has not yet reached an endpoint
+	rerouteRetryWithdrawn bool // the current attempt was abandoned for an overdue first token, and a retry withdrawn for the next one
 }
 
 // forward sends a request to one endpoint after another until one responds, and sends the client a response.
@@ -88,14 +88,14 @@
 func (f *forwarding) recordOutcome(result outcome) {
 	if result == notSent {
 		f.unreachable++
-		if f.rerouteWithdrawn {
+		if f.rerouteRetryWithdrawn {
 			f.server.dispatcher.refundRetry(f.request.service) // the endpoint was not reached: the next attempt needs no additional retry
 		}
-		f.rerouteWithdrawn = false
+		f.rerouteRetryWithdrawn = false
 		return
 	}
 	f.attempts++
-	f.retryWithdrawn, f.rerouteWithdrawn = f.rerouteWithdrawn, false
+	f.retryWithdrawn, f.rerouteRetryWithdrawn = f.rerouteRetryWithdrawn, false
 }
 
 // exhausted reports whether the request must not be sent to a further endpoint.
--- a/internal/fleet/proxy/planted_test.go
+++ b/internal/fleet/proxy/planted_test.go
@@ -37,7 +37,7 @@
 // Guards against a TestTraffic that does not detect mistakes.
 func TestTrafficFindsPlantedMistakes(t *testing.T) {
 	all := maps.Clone(plantedMistakes)
-	delete(all, continuedAfterTruncation) // classifyHead also stops the continuation of a plain response
+	delete(all, continuedAfterTruncation) // classifyHead prevents the same fault, so that TestTraffic cannot detect it
 	maps.Copy(all, plantedInTraffic)
 	mutation.ExpectAllKilled(t, all, "^TestTraffic$", "seed ", "-traffic-seeds", "40")
 }
--- a/internal/fleet/proxy/request.go
+++ b/internal/fleet/proxy/request.go
@@ -14,7 +14,7 @@
 	"pinelb.example/pinelb/internal/fleet/placement"
 )
 
-// request is a client's request. readRequest sets the first group of fields, admission the second.
+// request is a client's request. readRequest sets the first group of fields; admit, setDeadline and charge set the second.
 type request struct {
 	http       *http.Request
 	body       []byte
@@ -99,8 +99,8 @@
 	}
 }
 
-// quotaUnits returns the units that a tenant's quota is charged for the request: 1, or the number of its tokens in the
-// X-Token-Usage header ("PROMPT,OUTPUT"). Without a valid header, the tenant's default applies.
+// quotaUnits returns the units that a tenant's quota is charged for the request: 1, or, if the quota is in tokens, the sum of the
+// X-Token-Usage header ("PROMPT,OUTPUT"), or the tenant's default if that header is missing or invalid.
 func (q *request) quotaUnits(t *config.Tenant) float64 {
 	if t.Unit != config.UnitTokens {
 		return 1
--- a/internal/fleet/proxy/traffic_test.go
+++ b/internal/fleet/proxy/traffic_test.go
@@ -249,7 +249,7 @@
 	return r
 }
 
-// eventsOf returns the events of a stream with the ids from to to.
+// eventsOf returns the events of a stream whose ids are in the closed interval [from, to].
 func eventsOf(id string, from, to int) string {
 	var text strings.Builder
 	for n := from; n <= to; n++ {
