--- a/internal/fleet/proxy/admission.go
+++ b/internal/fleet/proxy/admission.go
@@ -43,7 +43,7 @@
 }
 
 // apiKeyValid reports whether the configuration is recent enough to accept the request's API key. It is true for a request
-// without a tenant.
+// without a tenant, and if MaxConfigAge is 0.
 func (s *Server) apiKeyValid(q *request) bool {
 	if q.tenant == nil || s.options.MaxConfigAge == 0 {
 		return true
--- a/internal/fleet/proxy/announcement.go
+++ b/internal/fleet/proxy/announcement.go
@@ -21,7 +21,7 @@
 	Overdue       bool               // the failures are overdue first tokens
 	Prompt        uint32             // units of the whole prompt
 	Output        uint32             // maximum number of output tokens; 0: not stated
-	MaxEventGapMs uint16             // maximum gap between two events of the stream that is on time; 0: no bound
+	MaxEventGapMs uint16             // a stream with a longer gap between two events counts as late; 0: no bound
 	Observation   *ObservationReport // the latest since the router's previous prompt announcement; nil: none
 	Stall         *StallReport       // the latest since the router's previous prompt announcement; nil: none
 }
--- a/internal/fleet/proxy/announcement_limit.go
+++ b/internal/fleet/proxy/announcement_limit.go
@@ -8,7 +8,7 @@
 	minAnnouncedUnits            = 400.0  // minimum units to prefill of an announced prompt
 	longPromptUnits              = 6000.0 // from this number of units to prefill, a prompt may use the whole token bucket
 	maxAnnouncementRate          = 1500.0 // per second, of all routers together, in a small fleet
-	largeFleetAnnouncementFactor = 1.3e7  // the rate in a large fleet is this divided by routers²; about 5 KB/s at 380 routers
+	largeFleetAnnouncementFactor = 1.3e7  // per second, of all routers together, in a large fleet, times routers²; about 5 KB/s at 380 routers
 	announcementBurst            = 6.0    // of each router
 
 	maxFailureReportRate        = 20.0   // failures per second, of each router, in a small fleet
--- a/internal/fleet/proxy/at_most_once_test.go
+++ b/internal/fleet/proxy/at_most_once_test.go
@@ -63,7 +63,7 @@
 			So(requestCount(a), ShouldEqual, 2)
 		})
 	})
-	Convey("No request is sent on an idle connection that the endpoint has closed: it is sent once, on a new connection", t, func() {
+	Convey("No request is sent on an idle connection that the endpoint has closed: the request is sent once, on a new connection", t, func() {
 		a := newFakeEndpoint(t, "e1", succeedThenClose(0))
 		r := newTestProxy(t, a)
 		_, _, err := r.do("POST", "/u/", "")
@@ -195,7 +195,7 @@
 }
 
 func TestClientDisconnect(t *testing.T) {
-	Convey("A request is not sent to another endpoint after its client has disconnected", t, func() {
+	Convey("A request whose client disconnects while its endpoint is unresponsive is sent to no other endpoint", t, func() {
 		received := make(chan struct{}, 4)
 		hang := func(c net.Conn, _ *http.Request) {
 			received <- struct{}{}
--- a/internal/fleet/proxy/encode.go
+++ b/internal/fleet/proxy/encode.go
@@ -7,7 +7,8 @@
 )
 
 // encode appends the HTTP/1.1 message that is sent to the endpoint. lastEventID is empty unless a stream is resumed; remaining is
-// the time until the deadline. The message is not encoded by net/http, because its client retries requests after some failures.
+// the time until the deadline. The message is not encoded by net/http, because its client automatically retries requests after
+// some failures.
 func (q *request) encode(out []byte, instance, lastEventID string, remaining time.Duration) []byte {
 	out = append(out, q.http.Method...)
 	out = append(out, ' ')
--- a/internal/fleet/proxy/forward.go
+++ b/internal/fleet/proxy/forward.go
@@ -57,7 +57,8 @@
 	f.finishUnanswered(ctx)
 }
 
-// canSend reports whether the request may be sent to one more endpoint. If that is a retry, it is withdrawn from the budget.
+// canSend reports whether the request may be sent to one more endpoint. If that is a retry, canSend withdraws
+// it from the budget, unless it was withdrawn before.
 func (f *forwarding) canSend(ctx context.Context) bool {
 	if ctx.Err() != nil || !f.server.apiKeyValid(f.request) {
 		return false
--- a/internal/fleet/proxy/server.go
+++ b/internal/fleet/proxy/server.go
@@ -28,7 +28,7 @@
 type Options struct {
 	MaxConfigAge     time.Duration // age beyond which API keys are not accepted; 0: no bound
 	MaxDenialAge     time.Duration // age beyond which a request without a route or a valid key is rejected (503) and not denied
-	MaxSupersededAge time.Duration // age beyond which requests are rejected if a newer configuration is known; 0: no bound
+	MaxSupersededAge time.Duration // age beyond which requests are rejected if a newer configuration is known to be acknowledged; 0: no bound
 }
 
 // Server handles clients' requests. It implements [http.Handler].
@@ -52,9 +52,9 @@
 	return &Server{delegate: delegate, dispatcher: dispatcher, options: options}
 }
 
-// isOutdated reports whether a newer configuration is known and may have been acknowledged more than MaxSupersededAge before this
-// request, so that serving it by the active configuration could be wrong. age bounds the time since that acknowledgement,
-// because the active configuration was the newest one age ago.
+// isOutdated reports whether a newer configuration is known and may have been acknowledged more than MaxSupersededAge ago, so that
+// the active configuration may route the request differently than it must. The bound is exact: the newer configuration was
+// acknowledged at most age ago, because the active one was the newest until then, and the request was sent before this check.
 func (s *Server) isOutdated(age time.Duration) bool {
 	return s.options.MaxSupersededAge > 0 && age > s.options.MaxSupersededAge && s.delegate.ConfigSuperseded()
 }
--- a/internal/fleet/proxy/traffic_test.go
+++ b/internal/fleet/proxy/traffic_test.go
@@ -97,7 +97,7 @@
 	f.log = append(f.log, fmt.Sprintf(format, values...))
 }
 
-// bodyOf returns the body of the request with an id, of about size bytes.
+// bodyOf returns the body of the request with an id, of at most size bytes.
 func bodyOf(id string, size int) string {
 	return strings.Repeat(id+";", size/(len(id)+1))
 }
