--- a/internal/fleet/dissemination/config_exchange.go
+++ b/internal/fleet/dissemination/config_exchange.go
@@ -143,16 +143,16 @@
 
 // ConfigLag describes how far the configuration in force is behind.
 type ConfigLag struct {
-	Known    uint64        // newest sequence that was heard of
-	Received uint64        // newest sequence that was received
-	InForce  uint64        // sequence
-	For      time.Duration // since a newer one than that in force was first heard of; 0: none was
-	Fetching []string      // internal addresses of the routers that are asked
+	Known      uint64        // newest sequence that was heard of
+	Received   uint64        // newest sequence that was received
+	Active     uint64        // sequence
+	TimeBehind time.Duration // since a newer one than that in force was first heard of; 0: none was
+	Fetching   []string      // internal addresses of the routers that are asked
 }
 
 // ConfigLag returns how far the configuration in force is behind.
 func (n *Gossiper) ConfigLag(now time.Duration) ConfigLag {
-	lag := ConfigLag{Known: n.lag.newest, InForce: n.Config.Sequence, For: n.lag.lag(now, n.Config.Sequence)}
+	lag := ConfigLag{Known: n.lag.newest, Active: n.Config.Sequence, TimeBehind: n.lag.lag(now, n.Config.Sequence)}
 	lag.Received, _ = n.Config.Received()
 	for address := range n.fetches.inFlight {
 		lag.Fetching = append(lag.Fetching, address)
@@ -160,5 +160,5 @@
 	return lag
 }
 
-// KnowsNewerConfig reports whether a newer configuration than the one in force was heard of.
-func (n *Gossiper) KnowsNewerConfig() bool { return n.lag.newest > n.Config.Sequence }
+// ConfigSuperseded reports whether a newer configuration than the one in force was heard of.
+func (n *Gossiper) ConfigSuperseded() bool { return n.lag.newest > n.Config.Sequence }
--- a/internal/fleet/router/active_config.go
+++ b/internal/fleet/router/active_config.go
@@ -51,7 +51,7 @@
 		return
 	}
 	at, confirmed := source.ConfirmedAt()
-	next := confirmedConfig{table: source.Table, confirmedAt: at, confirmed: confirmed, superseded: node.KnowsNewerConfig()}
+	next := confirmedConfig{table: source.Table, confirmedAt: at, confirmed: confirmed, superseded: node.ConfigSuperseded()}
 	if current := c.current.Load(); current == nil || *current != next {
 		c.current.Store(&next)
 	}
--- a/internal/fleet/router/config_fetch.go
+++ b/internal/fleet/router/config_fetch.go
@@ -80,7 +80,7 @@
 	g.mu.Lock()
 	now := g.clock()
 	lag := g.node.ConfigLag(now)
-	due := lag.For >= reportedLag && now >= g.nextLagReport
+	due := lag.TimeBehind >= reportedLag && now >= g.nextLagReport
 	if due {
 		g.nextLagReport = now + lagReportsInterval
 	}
@@ -89,9 +89,9 @@
 		return
 	}
 	g.log.Warn("configuration lags",
-		zap.Duration("for", lag.For),
+		zap.Duration("for", lag.TimeBehind),
 		zap.Uint64("known", lag.Known),
 		zap.Uint64("received", lag.Received),
-		zap.Uint64("active", lag.InForce),
+		zap.Uint64("active", lag.Active),
 		zap.Strings("fetchingFrom", lag.Fetching))
 }
--- a/internal/fleet/router/status.go
+++ b/internal/fleet/router/status.go
@@ -97,7 +97,7 @@
 	s.View, s.Primary = g.node.Primary()
 	s.Sequence = g.node.Config.Sequence
 	lag := g.node.ConfigLag(g.clock())
-	s.ConfigLag = ConfigLagStatus{Ms: lag.For.Milliseconds(), Known: lag.Known, Received: lag.Received, Fetching: lag.Fetching}
+	s.ConfigLag = ConfigLagStatus{Ms: lag.TimeBehind.Milliseconds(), Known: lag.Known, Received: lag.Received, Fetching: lag.Fetching}
 	s.Routers = g.node.Members.LiveCount()
 	s.Endpoints = g.node.Registry.Ready()
 }
