--- a/internal/fleet/dissemination/blob.go
+++ b/internal/fleet/dissemination/blob.go
@@ -42,7 +42,7 @@
 }
 
 // open returns the text. Its error wraps ErrBlob.
-func (b Blob) open() ([]byte, error) {
+func (b Blob) inflate() ([]byte, error) {
 	if b.Size == 0 {
 		return b.Data, nil
 	}
@@ -60,11 +60,11 @@
 // inflatedSize is the length of the text.
 func (b Blob) inflatedSize() int { return max(b.Size, len(b.Data)) }
 
-// openAll returns the texts of blobs. Its error wraps ErrBlob.
-func openAll(blobs []Blob) ([][]byte, error) {
+// inflateAll returns the texts of blobs. Its error wraps ErrBlob.
+func inflateAll(blobs []Blob) ([][]byte, error) {
 	texts := make([][]byte, 0, len(blobs))
 	for _, b := range blobs {
-		text, err := b.open()
+		text, err := b.inflate()
 		if err != nil {
 			return nil, err
 		}
--- a/internal/fleet/dissemination/build.go
+++ b/internal/fleet/dissemination/build.go
@@ -54,7 +54,7 @@
 // Table decodes the configuration. It may run on any goroutine; pace may be nil. An error says why something that was received can't be
 // used.
 func (b *Build) Table(pace config.Pace) (*config.Table, error) {
-	document, err := b.startDocument(pace)
+	document, err := b.baseDocument(pace)
 	if err != nil {
 		return nil, err
 	}
@@ -67,11 +67,11 @@
 	return config.NewTablePaced(state.Document, b.previous, pace)
 }
 
-func (b *Build) startDocument(pace config.Pace) (*config.Document, error) {
+func (b *Build) baseDocument(pace config.Pace) (*config.Document, error) {
 	if b.document == nil {
 		return b.previous.Document, nil
 	}
-	text, err := b.document.open()
+	text, err := b.document.inflate()
 	if err != nil {
 		return nil, err
 	}
@@ -79,7 +79,7 @@
 }
 
 func applyBlob(state *config.State, blob Blob, pace config.Pace) (*config.State, error) {
-	text, err := blob.open()
+	text, err := blob.inflate()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/fleet/dissemination/config_exchange.go
+++ b/internal/fleet/dissemination/config_exchange.go
@@ -6,8 +6,8 @@
 	"pinelb.example/pinelb/internal/fleet/config"
 )
 
-// announcedDelay is the time in which a router that has been announced a change should hear of a router near by that has it.
-const announcedDelay = 250 * time.Millisecond
+// announcementFetchDelay is the time in which a router that has been announced a change should hear of a router near by that has it.
+const announcementFetchDelay = 250 * time.Millisecond
 
 // Commit records a configuration that this router, as the primary, has acknowledged. change is the encoded change that led to
 // it; nil: others have to fetch the configuration.
@@ -16,7 +16,7 @@
 	if n.Config.Table != nil && sequence <= n.Config.Sequence {
 		return output
 	}
-	n.lag.hear(now, sequence)
+	n.lag.observe(now, sequence)
 	n.Config.Set(sequence, table, change)
 	n.disseminateChange(sequence, change, 0)
 	return output
@@ -25,24 +25,24 @@
 // handleConfigUpdate takes a change that the update brings, and fetches it where the update does not or where one before it is missing.
 func (n *Gossiper) handleConfigUpdate(from string, update Update, hops uint8) {
 	if update.Announced > 0 {
-		n.lag.hear(n.now, update.Announced)
-		n.fetches.addSource(n.now+announcedDelay, from, update.Announced)
+		n.lag.observe(n.now, update.Announced)
+		n.fetches.addSource(n.now+announcementFetchDelay, from, update.Announced)
 	}
 	if update.Sequence == 0 {
 		return
 	}
 	if update.Change != nil && n.Config.history.append(update.Sequence, newBlob(update.Change)) {
-		n.lag.hear(n.now, update.Sequence)
+		n.lag.observe(n.now, update.Sequence)
 		n.disseminateChange(update.Sequence, update.Change, hops)
 		n.startBuild()
 		return
 	}
-	n.hearOf(update.Sequence, from)
+	n.recordHolder(update.Sequence, from)
 }
 
-// hearOf records that a router holds an acknowledged configuration, and fetches it if it is newer than what has been received.
-func (n *Gossiper) hearOf(sequence uint64, holder string) {
-	n.lag.hear(n.now, sequence)
+// recordHolder records that a router holds an acknowledged configuration, and fetches it if it is newer than what has been received.
+func (n *Gossiper) recordHolder(sequence uint64, holder string) {
+	n.lag.observe(n.now, sequence)
 	if n.Config.history.isNewer(sequence) {
 		n.fetches.addSource(n.now, holder, sequence)
 		n.startFetch()
@@ -60,7 +60,7 @@
 		return
 	}
 	request := FetchRequest{Packed: true, From: n.options.Self.Address}
-	if !n.wantsComplete {
+	if !n.needsCompleteFetch {
 		request.After, _ = n.Config.Received()
 	}
 	n.output.Fetch = &Fetch{From: from, Request: request, Timeout: n.fetches.nextTimeout()}
@@ -87,9 +87,9 @@
 		return output
 	}
 	reply = reply.normalize()
-	n.lag.hear(now, reply.Sequence)
+	n.lag.observe(now, reply.Sequence)
 	if n.Config.history.receive(reply) {
-		n.wantsComplete = false
+		n.needsCompleteFetch = false
 		received, _ := n.Config.Received()
 		n.disseminateChange(received, nil, 1)
 	} else {
@@ -135,7 +135,7 @@
 	case err != nil:
 		n.output.BuildError = err
 		n.Config.history = history{}
-		n.wantsComplete = true
+		n.needsCompleteFetch = true
 	case n.Config.Table == nil || build.sequence > n.Config.Sequence:
 		n.Config.install(build.sequence, table)
 	}
--- a/internal/fleet/dissemination/config_replica.go
+++ b/internal/fleet/dissemination/config_replica.go
@@ -23,27 +23,27 @@
 
 // confirmation says that the configuration with a sequence was the newest at a moment. The zero value says nothing.
 type confirmation struct {
-	known    bool
+	valid    bool
 	sequence uint64
 	at       time.Duration
 }
 
 // ConfirmedAt returns the last moment at which no newer configuration had been acknowledged. ok is false where none is known.
 func (c *ConfigReplica) ConfirmedAt() (at time.Duration, ok bool) {
-	return c.confirmed.at, c.confirmed.known && c.Table != nil
+	return c.confirmed.at, c.confirmed.valid && c.Table != nil
 }
 
 // Confirm records that the configuration with this sequence was the newest at a moment. Where this replica is older, that takes effect
 // once it is no longer.
 func (c *ConfigReplica) Confirm(sequence uint64, at time.Duration) {
 	if c.Table == nil || c.Sequence < sequence {
-		if !c.unconfirmed.known || c.unconfirmed.at < at {
-			c.unconfirmed = confirmation{known: true, sequence: sequence, at: at}
+		if !c.unconfirmed.valid || c.unconfirmed.at < at {
+			c.unconfirmed = confirmation{valid: true, sequence: sequence, at: at}
 		}
 		return
 	}
-	if !c.confirmed.known || c.confirmed.at < at {
-		c.confirmed = confirmation{known: true, sequence: sequence, at: at}
+	if !c.confirmed.valid || c.confirmed.at < at {
+		c.confirmed = confirmation{valid: true, sequence: sequence, at: at}
 	}
 }
 
@@ -63,7 +63,7 @@
 func (c *ConfigReplica) install(sequence uint64, table *config.Table) {
 	c.Sequence, c.Table = sequence, table
 	c.history.trim(sequence)
-	if c.unconfirmed.known && c.unconfirmed.sequence <= sequence {
+	if c.unconfirmed.valid && c.unconfirmed.sequence <= sequence {
 		pending := c.unconfirmed
 		c.unconfirmed = confirmation{}
 		c.Confirm(pending.sequence, pending.at)
@@ -120,7 +120,7 @@
 
 // unpack turns a reply into the form of former builds, which know no blobs, and a document only without changes after it.
 func (c *ConfigReplica) unpack(reply FetchReply) (FetchReply, error) {
-	changes, err := openAll(reply.PackedChanges)
+	changes, err := inflateAll(reply.PackedChanges)
 	if err != nil {
 		return FetchReply{}, err
 	}
--- a/internal/fleet/dissemination/damaged_reply_test.go
+++ b/internal/fleet/dissemination/damaged_reply_test.go
@@ -11,8 +11,8 @@
 	"pinelb.example/pinelb/internal/fleet/membership"
 )
 
-// newLoneRouter is a router that has a configuration with sequence 1 in force, and has heard of a newer one at another router.
-func newLoneRouter() *Gossiper {
+// newOutdatedRouter is a router that has a configuration with sequence 1 in force, and has heard of a newer one at another router.
+func newOutdatedRouter() *Gossiper {
 	n := New(0, Options{
 		Self: membership.Member{Address: address(1), Zone: "z", BootID: 1}, Timing: membership.DefaultTiming(),
 		EndpointHeartbeatInterval: time.Second, Random: rand.New(rand.NewPCG(1, 1)),
@@ -37,7 +37,7 @@
 // Guards against a router that stays behind because something it received can't be decoded.
 func TestDamagedReply(t *testing.T) {
 	Convey("A router that receives what can't be decoded keeps what is in force, and fetches the complete configuration", t, func() {
-		n := newLoneRouter()
+		n := newOutdatedRouter()
 		damaged := newBlob(encodedRoutes())
 		damaged.Data = damaged.Data[:len(damaged.Data)/2]
 		output := n.HandleFetchReply(time.Second, time.Second, address(2), FetchReply{Sequence: 2, PackedChanges: []Blob{damaged}})
@@ -57,7 +57,7 @@
 // Guards against a confirmation that counts for the configuration before, or is lost while the one that it is about is decoded.
 func TestConfirmationOfWhatIsDecoded(t *testing.T) {
 	Convey("A confirmation of what is not yet in force takes effect once it is", t, func() {
-		n := newLoneRouter()
+		n := newOutdatedRouter()
 		output := n.HandleFetchReply(1500*time.Millisecond, time.Second, address(2), FetchReply{
 			Sequence: 2, PackedChanges: []Blob{newBlob(encodedRoutes())}, Fresh: true, AgeMs: 100,
 		})
--- a/internal/fleet/dissemination/endpoint_leave_test.go
+++ b/internal/fleet/dissemination/endpoint_leave_test.go
@@ -11,7 +11,7 @@
 
 // Guards against an endpoint's leave that the primary has applied and that does not reach every connected router within drainMs.
 func TestEndpointLeaveReachesAllRouters(t *testing.T) {
-	const drain = 2 * time.Second
+	const drainTimeout = 2 * time.Second
 	for _, size := range []int{12, 90} {
 		Convey("A leave that the primary applies reaches all routers within drainMs, with a tenth of the datagrams lost", t, func() {
 			f := newFleet(size, 3)
@@ -24,7 +24,7 @@
 			leaving := endpoint
 			leaving.State, leaving.Sequence = registry.Draining, 2
 			f.perform(address(0), f.nodes[address(0)].HandleEndpointLeave(f.now, leaving))
-			f.run(drain)
+			f.run(drainTimeout)
 			for _, a := range f.order {
 				known, ok := f.nodes[a].Registry.Lookup("i-1")
 				So(ok, ShouldBeTrue)
--- a/internal/fleet/dissemination/fetch_world_test.go
+++ b/internal/fleet/dissemination/fetch_simulation_test.go
@@ -17,9 +17,9 @@
 
 // link is what a router sends of replies to fetches.
 type link struct {
-	freeAt    time.Duration
-	ends      []time.Duration // of the copies
-	maxCopies int             // at the same time
+	freeAt       time.Duration
+	ends         []time.Duration // of the copies
+	maxTransfers int             // at the same time
 }
 
 // add counts a copy that takes so long on the link, from now on or after those before it. It returns when the copy ends.
@@ -27,20 +27,20 @@
 	l.freeAt = max(l.freeAt, now) + duration
 	l.ends = slices.DeleteFunc(l.ends, func(end time.Duration) bool { return end <= now })
 	l.ends = append(l.ends, l.freeAt)
-	l.maxCopies = max(l.maxCopies, len(l.ends))
+	l.maxTransfers = max(l.maxTransfers, len(l.ends))
 	return l.freeAt
 }
 
 func (f *fleet) after(delay time.Duration, do func()) {
-	f.later = append(f.later, event{f.now + delay, do})
+	f.scheduled = append(f.scheduled, event{f.now + delay, do})
 }
 
 func (f *fleet) runEvents() {
-	due := f.later
-	f.later = nil
+	due := f.scheduled
+	f.scheduled = nil
 	for _, e := range due {
 		if e.at > f.now {
-			f.later = append(f.later, e)
+			f.scheduled = append(f.scheduled, e)
 			continue
 		}
 		e.do()
@@ -82,12 +82,12 @@
 }
 
 // serve has a router answer a fetch, over its link.
-func (f *fleet) serve(caller string, fetch *Fetch, arrive func(FetchReply), refuse func()) {
+func (f *fleet) serve(caller string, fetch *Fetch, onReply func(FetchReply), onFailure func()) {
 	request := fetch.Request
 	request.Packed = request.Packed && !f.unpackedReplies
 	reply, err := f.nodes[fetch.From].ServeFetch(f.now, request)
 	if err != nil {
-		f.after(fetchDelay, refuse)
+		f.after(fetchDelay, onFailure)
 		return
 	}
 	f.replyBytes += reply.size()
@@ -96,7 +96,7 @@
 		duration := time.Duration(float64(reply.size()) / f.linkRate * float64(time.Second))
 		delay += f.linkOf(fetch.From).add(f.now, duration) - f.now
 	}
-	f.after(delay, func() { arrive(reply) })
+	f.after(delay, func() { onReply(reply) })
 }
 
 // build decodes at the rate that a router has.
--- a/internal/fleet/dissemination/fetcher.go
+++ b/internal/fleet/dissemination/fetcher.go
@@ -88,8 +88,8 @@
 	}
 	address := ""
 	for _, source := range f.sources {
-		_, asked := f.inFlight[source.address]
-		if asked || now < source.notBefore || !isNewer(source.sequence) {
+		_, fetching := f.inFlight[source.address]
+		if fetching || now < source.notBefore || !isNewer(source.sequence) {
 			continue
 		}
 		if address == "" || prefers(source.address) || !prefers(address) {
--- a/internal/fleet/dissemination/history.go
+++ b/internal/fleet/dissemination/history.go
@@ -8,9 +8,9 @@
 // history is the configuration in its encoded form, as other routers fetch it: a run of changes, and a complete document. It may be ahead of
 // the configuration in force, so that a router passes on what it has received before it has decoded it. The zero value is empty.
 type history struct {
-	known   bool   // base is set
-	base    uint64 // sequence before the first of changes
-	changes []Blob // the newest changes
+	initialized bool   // base is set
+	base        uint64 // sequence before the first of changes
+	changes     []Blob // the newest changes
 
 	document         *Blob  // nil: none is encoded
 	documentSequence uint64 // of document
@@ -18,7 +18,7 @@
 
 // last returns the newest sequence that the history leads to; ok is false where it is empty.
 func (h *history) last() (sequence uint64, ok bool) {
-	return h.base + uint64(len(h.changes)), h.known
+	return h.base + uint64(len(h.changes)), h.initialized
 }
 
 // isNewer reports whether a sequence is newer than what the history leads to.
@@ -38,7 +38,7 @@
 
 // restart drops all changes: the history begins after a sequence.
 func (h *history) restart(sequence uint64) {
-	h.known, h.base, h.changes = true, sequence, nil
+	h.initialized, h.base, h.changes = true, sequence, nil
 }
 
 // trim drops the oldest changes beyond maxRetainedChanges, but none after a sequence.
--- a/internal/fleet/dissemination/large_changes_test.go
+++ b/internal/fleet/dissemination/large_changes_test.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	slowLink  = 10e6 / 8 // bytes a second
-	slowCPU   = 4e6      // bytes of JSON a second that a fifth of a processor decodes
-	manyBytes = 1 << 20
+	slowLinkRate   = 10e6 / 8 // bytes a second
+	slowDecodeRate = 4e6      // bytes of JSON a second that a fifth of a processor decodes
+	mebibyte       = 1 << 20
 )
 
 // manyRoutes is a change that adds routes, with the fields that operators send.
@@ -65,24 +65,24 @@
 }
 
 // lagging counts the nodes that have received, or have in force, less than the newest configuration.
-func (o *operator) lagging() (receiving, building int) {
+func (o *operator) countLagging() (notReceived, notActive int) {
 	for _, node := range o.fleet.nodes {
 		if node.Config.history.isNewer(o.sequence) {
-			receiving++
+			notReceived++
 		}
 		if node.Config.Sequence < o.sequence {
-			building++
+			notActive++
 		}
 	}
-	return receiving, building
+	return notReceived, notActive
 }
 
-func (o *operator) maxCopies() int {
-	most := 0
+func (o *operator) maxTransfers() int {
+	highest := 0
 	for _, link := range o.fleet.links {
-		most = max(most, link.maxCopies)
+		highest = max(highest, link.maxTransfers)
 	}
-	return most
+	return highest
 }
 
 // Guards against large changes that take longer to all routers than the rules allow, because routers ask one at the same time and fill its
@@ -91,22 +91,22 @@
 	Convey("A hundred routers on links of 10 Mbit/s, with a fifth of a processor", t, func() {
 		f := newFleet(100, 6)
 		for _, node := range f.nodes {
-			node.copies.bytesPerSecond = slowLink
+			node.transfers.bytesPerSecond = slowLinkRate
 		}
 		f.run(3 * time.Second)
 		o := newOperator(f)
 		f.run(time.Second)
-		f.linkRate, f.decodeRate = slowLink, slowCPU
+		f.linkRate, f.decodeRate = slowLinkRate, slowDecodeRate
 
 		for _, routes := range []int{100, 1760, 4000} {
 			Convey(fmt.Sprintf("all have %d more routes within a second, and never more than three copies are on a link", routes), func() {
 				o.addRoutes(routes)
 				f.run(time.Second)
-				receiving, building := o.lagging()
-				So(receiving, ShouldEqual, 0)
-				So(building, ShouldEqual, 0)
-				So(o.maxCopies(), ShouldBeLessThanOrEqualTo, maxConcurrentCopies)
-				So(f.replyBytes, ShouldBeLessThan, 110*manyBytes/15)
+				notReceived, notActive := o.countLagging()
+				So(notReceived, ShouldEqual, 0)
+				So(notActive, ShouldEqual, 0)
+				So(o.maxTransfers(), ShouldBeLessThanOrEqualTo, maxConcurrentTransfers)
+				So(f.replyBytes, ShouldBeLessThan, 110*mebibyte/15)
 			})
 		}
 		Convey("all have three large changes and small ones that follow each other", func() {
@@ -115,8 +115,8 @@
 				f.run(100 * time.Millisecond)
 			}
 			f.run(1500 * time.Millisecond)
-			_, building := o.lagging()
-			So(building, ShouldEqual, 0)
+			_, notActive := o.countLagging()
+			So(notActive, ShouldEqual, 0)
 			So(f.buildErrors, ShouldEqual, 0)
 		})
 		Convey("a tenth that is partitioned off from all others has it within a second of the end of that", func() {
@@ -127,35 +127,35 @@
 			f.partitioned = func(from, to string) bool { return isolated[from] || isolated[to] }
 			o.addRoutes(4000)
 			f.run(3 * time.Second)
-			_, building := o.lagging()
-			So(building, ShouldEqual, 10)
+			_, notActive := o.countLagging()
+			So(notActive, ShouldEqual, 10)
 			f.partitioned = nil
 			f.run(1700 * time.Millisecond) // a pull each 0.5 s, one in eight to a router thought dead
-			_, building = o.lagging()
-			So(building, ShouldEqual, 0)
+			_, notActive = o.countLagging()
+			So(notActive, ShouldEqual, 0)
 		})
 		Convey("a fetch from a router that is partitioned off midway goes on elsewhere", func() {
 			o.addRoutes(4000)
 			f.run(120 * time.Millisecond) // some have it by then
-			silent := map[string]bool{address(0): true, address(1): true, address(2): true}
-			f.partitioned = func(from, _ string) bool { return silent[from] }
+			unreachable := map[string]bool{address(0): true, address(1): true, address(2): true}
+			f.partitioned = func(from, _ string) bool { return unreachable[from] }
 			f.run(2 * time.Second)
-			receiving, _ := o.lagging()
-			So(receiving, ShouldBeLessThanOrEqualTo, len(silent))
+			notReceived, _ := o.countLagging()
+			So(notReceived, ShouldBeLessThanOrEqualTo, len(unreachable))
 		})
 		Convey("all have it though a twentieth of the messages is lost", func() {
 			f.lossPercent = 5
 			o.addRoutes(4000)
 			f.run(1500 * time.Millisecond)
-			_, building := o.lagging()
-			So(building, ShouldEqual, 0)
+			_, notActive := o.countLagging()
+			So(notActive, ShouldEqual, 0)
 		})
 		Convey("all have it though the replies are those of a former build", func() {
 			f.unpackedReplies = true
 			o.addRoutes(100)
 			f.run(2 * time.Second)
-			_, building := o.lagging()
-			So(building, ShouldEqual, 0)
+			_, notActive := o.countLagging()
+			So(notActive, ShouldEqual, 0)
 		})
 	})
 }
@@ -204,7 +204,7 @@
 			f.end(0, "b", FetchReplied)
 			So(f.nextTimeout(), ShouldEqual, minFetchTimeout)
 		})
-		Convey("has at most three fetches in flight", func() {
+		Convey("has at highest three fetches in flight", func() {
 			f.addSource(0, "c", 1)
 			f.addSource(0, "d", 1)
 			So(f.start(fetchHedgeDelay, any, none), ShouldNotEqual, "")
@@ -218,12 +218,12 @@
 	Convey("The lag counts from the first news of what is not in force", t, func() {
 		var l lagTracker
 		So(l.lag(time.Second, 0), ShouldEqual, 0)
-		l.hear(time.Second, 1)
-		l.hear(2*time.Second, 2)
+		l.observe(time.Second, 1)
+		l.observe(2*time.Second, 2)
 		So(l.lag(4*time.Second, 0), ShouldEqual, 3*time.Second)
 		So(l.lag(4*time.Second, 1), ShouldEqual, 2*time.Second)
 		So(l.lag(4*time.Second, 2), ShouldEqual, 0)
-		l.hear(5*time.Second, 1)
+		l.observe(5*time.Second, 1)
 		So(l.lag(6*time.Second, 2), ShouldEqual, 0)
 	})
 }
@@ -233,9 +233,9 @@
 		large := manyRoutes(1, 0, 1760)
 		Convey("carries large texts compressed, and small ones as they are", func() {
 			for _, text := range [][]byte{nil, []byte("small"), large} {
-				opened, err := newBlob(text).open()
+				inflated, err := newBlob(text).inflate()
 				So(err, ShouldBeNil)
-				So(string(opened), ShouldEqual, string(text))
+				So(string(inflated), ShouldEqual, string(text))
 			}
 			So(len(newBlob(large).Data), ShouldBeLessThan, len(large)/10)
 			So(newBlob([]byte("small")).Size, ShouldEqual, 0)
@@ -246,7 +246,7 @@
 				{Data: b.Data[:len(b.Data)/2], Size: b.Size}, {Data: b.Data, Size: b.Size + 1},
 				{Data: b.Data, Size: maxInflatedBytes + 1}, {Data: b.Data, Size: -1},
 			} {
-				_, err := damaged.open()
+				_, err := damaged.inflate()
 				So(err, ShouldWrap, ErrBlob)
 			}
 		})
--- a/internal/fleet/dissemination/node.go
+++ b/internal/fleet/dissemination/node.go
@@ -78,11 +78,11 @@
 	memberUpdates   updateQueue[membership.Member]
 	endpointUpdates updateQueue[registry.Endpoint]
 
-	fetches       fetcher
-	copies        copyLimiter
-	lag           lagTracker
-	building      bool // a Build has been handed out
-	wantsComplete bool // a build failed: the next fetch asks for the complete configuration
+	fetches            fetcher
+	transfers          transferLimiter
+	lag                lagTracker
+	building           bool // a Build has been handed out
+	needsCompleteFetch bool // a build failed: the next fetch asks for the complete configuration
 }
 
 // New returns a node that knows itself and its seeds.
@@ -95,7 +95,7 @@
 		seeds:           options.Seeds,
 		memberUpdates:   newMemberUpdates(),
 		endpointUpdates: newEndpointUpdates(),
-		copies:          copyLimiter{bytesPerSecond: options.LinkBytesPerSecond},
+		transfers:       transferLimiter{bytesPerSecond: options.LinkBytesPerSecond},
 	}
 }
 
@@ -137,14 +137,14 @@
 // Tick does what is due: heartbeats, probes, the next pull, the expiry of endpoints, and queued updates.
 func (n *Gossiper) Tick(now time.Duration) *Output {
 	output := n.begin(now)
-	due := n.Members.Tick(now)
-	for _, to := range due.Heartbeats {
+	result := n.Members.Tick(now)
+	for _, to := range result.Heartbeats {
 		n.send(to, Heartbeat{})
 	}
-	for _, to := range due.Probes {
+	for _, to := range result.Probes {
 		n.send(to, Heartbeat{WantsReply: true})
 	}
-	n.disseminateMembers(due.Dead, 0)
+	n.disseminateMembers(result.Dead, 0)
 	if now >= n.nextPull {
 		n.nextPull = now + n.pullInterval()
 		n.pull()
--- a/internal/fleet/dissemination/node_test.go
+++ b/internal/fleet/dissemination/node_test.go
@@ -24,7 +24,7 @@
 	sent        int
 	rng         *rand.Rand
 
-	later           []event // that are due at a time, unordered
+	scheduled       []event // that are due at a time, unordered
 	linkRate        float64 // bytes a second that each router sends of replies to fetches; 0: no bound
 	decodeRate      float64 // bytes a second that each router decodes; 0: no bound
 	links           map[string]*link
@@ -110,7 +110,7 @@
 }
 
 // behind counts the nodes that hold an older configuration.
-func (f *fleet) behind(sequence uint64) int {
+func (f *fleet) countBehind(sequence uint64) int {
 	count := 0
 	for _, node := range f.nodes {
 		if node.Config.Sequence < sequence {
@@ -131,7 +131,7 @@
 				f.lossPercent = 5
 				f.commit(1)
 				f.run(time.Second)
-				So(f.behind(1), ShouldEqual, 0)
+				So(f.countBehind(1), ShouldEqual, 0)
 			})
 			Convey("all hold changes that come in quick succession", func() {
 				for sequence := uint64(1); sequence <= 10; sequence++ {
@@ -139,7 +139,7 @@
 					f.run(50 * time.Millisecond)
 				}
 				f.run(time.Second)
-				So(f.behind(10), ShouldEqual, 0)
+				So(f.countBehind(10), ShouldEqual, 0)
 			})
 			Convey("all know within a second that an endpoint is draining", func() {
 				report := registry.Endpoint{ID: "e", Service: "s", Address: "x:1", State: registry.Ready, Sequence: 1, Owner: address(4)}
@@ -162,10 +162,10 @@
 				f.partitioned = func(from, to string) bool { return from == isolated || to == isolated }
 				f.commit(1)
 				f.run(2 * time.Second)
-				So(f.behind(1), ShouldEqual, 1)
+				So(f.countBehind(1), ShouldEqual, 1)
 				f.partitioned = nil
 				f.run(2 * time.Second)
-				So(f.behind(1), ShouldEqual, 0)
+				So(f.countBehind(1), ShouldEqual, 0)
 			})
 			Convey("send few messages while nothing changes", func() {
 				f.commit(1)
@@ -212,10 +212,10 @@
 				}
 			}
 			So(pull.Round, ShouldBeGreaterThan, 0)
-			late := f.now + 10*time.Second
+			receivedAt := f.now + 10*time.Second
 			reply := PullReply{Round: pull.Round, Sequence: 1, Fresh: true, AgeMs: 0}
 			for _, to := range []string{address(0), address(1)} {
-				other.Receive(late, to, reply)
+				other.Receive(receivedAt, to, reply)
 			}
 			at, _ := other.Config.ConfirmedAt()
 			So(at, ShouldBeLessThanOrEqualTo, sentAt+PullInterval*2)
--- a/internal/fleet/dissemination/planted_test.go
+++ b/internal/fleet/dissemination/planted_test.go
@@ -11,7 +11,7 @@
 	"nothing is compressed": {File: "blob.go", Edits: []mutation.Edit{
 		{Original: "if len(text) < minCompressedBytes {", Mutated: "if len(text) >= 0 {"}}},
 	"copies on a link are not bounded": {File: "serve.go", Edits: []mutation.Edit{
-		{Original: "if request.Packed && !n.copies.maySend(now) {", Mutated: "if request.Packed && false {"}}},
+		{Original: "if request.Packed && !n.transfers.maySend(now) {", Mutated: "if request.Packed && false {"}}},
 	"a router waits for the time-out of a fetch": {File: "fetcher.go", Edits: []mutation.Edit{
 		{Original: "return now-f.lastStart >= fetchHedgeDelay", Mutated: "return false"}}},
 	"a router that failed is asked again at once": {File: "fetcher.go", Edits: []mutation.Edit{
@@ -25,9 +25,9 @@
 	"a confirmation is lost while its configuration is decoded": {File: "config_replica.go", Edits: []mutation.Edit{
 		{Original: "if c.unconfirmed.known && c.unconfirmed.sequence <= sequence {", Mutated: "if false {"}}},
 	"after what can't be decoded the same is fetched again": {File: "config_exchange.go", Edits: []mutation.Edit{
-		{Original: "n.Config.history = history{}\n\t\tn.wantsComplete = true", Mutated: "n.wantsComplete = false"}}},
+		{Original: "n.Config.history = history{}\n\t\tn.needsCompleteFetch = true", Mutated: "n.needsCompleteFetch = false"}}},
 	"a busy router names nobody": {File: "serve.go", Edits: []mutation.Edit{
-		{Original: "return all[:min(len(all), maxNamedHolders)]", Mutated: "return all[:0]"}}},
+		{Original: "return all[:min(len(all), maxHoldersPerReply)]", Mutated: "return all[:0]"}}},
 	"what is received is passed on once it is decoded, by pulls": {File: "config_exchange.go", Edits: []mutation.Edit{
 		{Original: "n.disseminateChange(received, nil, 1)", Mutated: "_ = received"}}},
 }
--- a/internal/fleet/dissemination/pull.go
+++ b/internal/fleet/dissemination/pull.go
@@ -137,7 +137,7 @@
 		return
 	}
 	delete(n.pendingPulls, reply.Round)
-	n.hearOf(max(reply.Sequence, reply.Received), from)
+	n.recordHolder(max(reply.Sequence, reply.Received), from)
 	if reply.Fresh {
 		n.Config.Confirm(reply.Sequence, pull.sentAt-time.Duration(reply.AgeMs)*time.Millisecond)
 	}
--- a/internal/fleet/dissemination/quiescence_test.go
+++ b/internal/fleet/dissemination/quiescence_test.go
@@ -56,18 +56,18 @@
 			}
 		})
 		Convey("become quiescent again after some of them were reported dead and their endpoints expired", func() {
-			mistaken := f.nodes[address(30)]
+			reporter := f.nodes[address(30)]
 			var dead []membership.Member
 			var expired []registry.Endpoint
 			for i := 40; i < 50; i++ {
-				m, _ := mistaken.Members.Lookup(address(i))
+				m, _ := reporter.Members.Lookup(address(i))
 				m.Status = membership.Dead
 				dead = append(dead, m)
-				e, _ := mistaken.Registry.Lookup(fmt.Sprint("e", i))
+				e, _ := reporter.Registry.Lookup(fmt.Sprint("e", i))
 				e.State = registry.Expired
 				expired = append(expired, e)
 			}
-			f.perform(address(30), mistaken.Receive(f.now, address(31), Update{Members: dead, Endpoints: expired}))
+			f.perform(address(30), reporter.Receive(f.now, address(31), Update{Members: dead, Endpoints: expired}))
 			f.messageRate(12*time.Second, heartbeat)
 			So(f.messageRate(6*time.Second, heartbeat), ShouldBeLessThan, 12)
 			for _, n := range f.nodes {
@@ -122,7 +122,7 @@
 			f.run(5 * time.Second)
 			f.perform(address(1), f.nodes[address(1)].AnnouncePrimary(f.now, 7))
 			f.run(50 * time.Millisecond)
-			informed := func() (count int) {
+			countInformed := func() (count int) {
 				for _, n := range f.nodes {
 					if view, primary := n.Primary(); view == 7 && primary == address(1) {
 						count++
@@ -130,9 +130,9 @@
 				}
 				return count
 			}
-			So(informed(), ShouldBeGreaterThanOrEqualTo, size*9/10)
+			So(countInformed(), ShouldBeGreaterThanOrEqualTo, size*9/10)
 			f.run(2 * time.Second)
-			So(informed(), ShouldEqual, size)
+			So(countInformed(), ShouldEqual, size)
 			Convey("and an older one is sent to nobody", func() {
 				So(f.nodes[address(2)].AnnouncePrimary(f.now, 6).Send, ShouldBeEmpty)
 				sent := f.sent
--- a/internal/fleet/dissemination/serve_test.go
+++ b/internal/fleet/dissemination/serve_test.go
@@ -12,8 +12,8 @@
 // Guards against routers that wait for one whose link is full though others have what they want.
 func TestBusyRouterNamesHolders(t *testing.T) {
 	Convey("A router on a slow link that has sent three copies", t, func() {
-		n := newLoneRouter()
-		n.copies.bytesPerSecond = slowLink
+		n := newOutdatedRouter()
+		n.transfers.bytesPerSecond = slowLinkRate
 		for i, zone := range map[int]string{4: "far", 5: "near", 6: "near", 7: "near", 8: "near"} {
 			n.Members.Merge(time.Second, []membership.Member{{Address: address(i), Zone: zone, BootID: uint64(i), Status: membership.Alive}})
 		}
