--- a/internal/fleet/dissemination/blob.go
+++ b/internal/fleet/dissemination/blob.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	minCompressedBytes = 1 << 10  // what is smaller travels as it is
-	maxInflatedBytes   = 32 << 20 // of one blob: as much as a body of the transport
+	minCompressedBytes = 1 << 10  // smaller texts are sent uncompressed
+	maxInflatedBytes   = 32 << 20 // of one blob; the transport bounds a body to the same size
 )
 
-// ErrBlob is the error of a blob that can't be inflated, or is larger than any configuration may be.
+// ErrBlob is the error for a blob that can't be inflated or that exceeds maxInflatedBytes.
 var ErrBlob = errors.New("dissemination: invalid blob")
 
-// Blob is an encoded change or document, compressed by DEFLATE (RFC 1951) where it is large: a thousand routes take 14 KB in place of
-// 260 KB, on links of 10 Mbit/s and in the memory of each router.
+// Blob is an encoded change or document, compressed with DEFLATE (RFC 1951) if it is large. Compression reduces a thousand routes from
+// 260 KB to 14 KB, which matters on links of 10 Mbit/s and in the memory of each router.
 type Blob struct {
 	Data []byte `cbor:"1,keyasint"`
-	Size int    `cbor:"2,keyasint,omitempty"` // bytes that Data inflates to; 0: Data is not compressed
+	Size int    `cbor:"2,keyasint,omitempty"` // inflated length of Data in bytes; 0: Data is not compressed
 }
 
-// newBlob compresses a text if that is worth it. It retains the text where it is not.
+// newBlob compresses a text unless the text is short or does not shrink. The blob of an uncompressed text shares its memory.
 func newBlob(text []byte) Blob {
 	if len(text) < minCompressedBytes {
 		return Blob{Data: text}
@@ -31,9 +31,9 @@
 	var out bytes.Buffer
 	w, err := flate.NewWriter(&out, flate.BestSpeed)
 	if err != nil {
-		panic(err) // the level is valid
+		panic(err) // NewWriter fails only for an invalid level
 	}
-	_, _ = w.Write(text) // a buffer takes everything
+	_, _ = w.Write(text) // writes to a bytes.Buffer do not fail
 	_ = w.Close()
 	if out.Len() >= len(text) {
 		return Blob{Data: text}
@@ -41,7 +41,7 @@
 	return Blob{Data: out.Bytes(), Size: len(text)}
 }
 
-// open returns the text. Its error wraps ErrBlob.
+// inflate returns the uncompressed text. Its error wraps ErrBlob.
 func (b Blob) inflate() ([]byte, error) {
 	if b.Size == 0 {
 		return b.Data, nil
@@ -57,10 +57,10 @@
 	return text, nil
 }
 
-// inflatedSize is the length of the text.
+// inflatedSize returns the length of the uncompressed text in bytes.
 func (b Blob) inflatedSize() int { return max(b.Size, len(b.Data)) }
 
-// inflateAll returns the texts of blobs. Its error wraps ErrBlob.
+// inflateAll returns the uncompressed texts of blobs. Its error wraps ErrBlob.
 func inflateAll(blobs []Blob) ([][]byte, error) {
 	texts := make([][]byte, 0, len(blobs))
 	for _, b := range blobs {
--- a/internal/fleet/dissemination/build.go
+++ b/internal/fleet/dissemination/build.go
@@ -6,19 +6,19 @@
 	"pinelb.example/pinelb/internal/fleet/config"
 )
 
-// maxInlineBuildBytes is the size of changes up to which they are put into force at once. Larger ones take so long to decode that the
-// caller does it beside the next steps.
+// maxInlineBuildBytes is the maximum size of a build that runs within the current step. Decoding a larger one would delay the
+// following steps, so the caller runs it concurrently with them.
 const maxInlineBuildBytes = 16 << 10
 
-// Build is the work of decoding what has been received, so that it can be put into force. It is immutable.
+// Build decodes received changes or a received document into a configuration that can be activated. It is immutable.
 type Build struct {
-	sequence uint64        // that it leads to
-	previous *config.Table // nil: there is none
-	document *Blob         // replaces that of previous; nil: the changes follow on previous
+	sequence uint64        // of the configuration that it results in
+	previous *config.Table // the active configuration; nil: none
+	document *Blob         // the changes are applied to it; nil: they are applied to the document of previous
 	changes  []Blob
 }
 
-// pendingBuild returns the work that remains until all that has been received is in force; nil: none.
+// pendingBuild returns the build of the newest configuration received; nil: it is already active, or nothing was received.
 func (c *ConfigReplica) pendingBuild() *Build {
 	last, ok := c.history.last()
 	if !ok || c.Table != nil && c.Sequence >= last {
@@ -36,7 +36,7 @@
 	return &Build{sequence: last, previous: c.Table, document: document, changes: changes}
 }
 
-// Size is the length of all that has to be decoded.
+// Size returns the inflated length, in bytes, of everything that Table decodes.
 func (b *Build) Size() int {
 	size := 0
 	if b.document != nil {
@@ -48,11 +48,11 @@
 	return size
 }
 
-// Urgent reports whether the router has no configuration yet, so that nothing else matters more.
+// Urgent reports whether the router has no active configuration yet, so that the build should run without pauses.
 func (b *Build) Urgent() bool { return b.previous == nil }
 
-// Table decodes the configuration. It may run on any goroutine; pace may be nil. An error says why something that was received can't be
-// used.
+// Table decodes the configuration. It may run on any goroutine; pace may be nil. It returns an error if a received blob can't be
+// inflated, decoded or applied.
 func (b *Build) Table(pace config.Pace) (*config.Table, error) {
 	document, err := b.baseDocument(pace)
 	if err != nil {
--- a/internal/fleet/dissemination/config_exchange.go
+++ b/internal/fleet/dissemination/config_exchange.go
@@ -6,11 +6,12 @@
 	"pinelb.example/pinelb/internal/fleet/config"
 )
 
-// announcementFetchDelay is the time in which a router that has been announced a change should hear of a router near by that has it.
+// announcementFetchDelay is how long a router waits after an announcement before it may fetch from the announcing router. Until then
+// an update should arrive from a closer router that holds the change.
 const announcementFetchDelay = 250 * time.Millisecond
 
-// Commit records a configuration that this router, as the primary, has acknowledged. change is the encoded change that led to
-// it; nil: others have to fetch the configuration.
+// Commit records a configuration that this router, as the primary, has acknowledged. change is the encoded change from the
+// previous configuration; nil: other routers have to fetch the configuration.
 func (n *Gossiper) Commit(now time.Duration, sequence uint64, table *config.Table, change []byte) *Output {
 	output := n.begin(now)
 	if n.Config.Table != nil && sequence <= n.Config.Sequence {
@@ -22,7 +23,7 @@
 	return output
 }
 
-// handleConfigUpdate takes a change that the update brings, and fetches it where the update does not or where one before it is missing.
+// handleConfigUpdate appends the change in an update. It starts a fetch if the update has no change or an earlier change is missing.
 func (n *Gossiper) handleConfigUpdate(from string, update Update, hops uint8) {
 	if update.Announced > 0 {
 		n.lag.observe(n.now, update.Announced)
@@ -40,7 +41,7 @@
 	n.recordHolder(update.Sequence, from)
 }
 
-// recordHolder records that a router holds an acknowledged configuration, and fetches it if it is newer than what has been received.
+// recordHolder records that a router holds an acknowledged configuration, and starts a fetch if that is newer than any received one.
 func (n *Gossiper) recordHolder(sequence uint64, holder string) {
 	n.lag.observe(n.now, sequence)
 	if n.Config.history.isNewer(sequence) {
@@ -49,7 +50,7 @@
 	}
 }
 
-// startFetch starts a fetch where one is due. Routers in the same zone are preferred.
+// startFetch starts a fetch if the fetcher allows one and a router holds a newer configuration. It prefers routers in the same zone.
 func (n *Gossiper) startFetch() {
 	if n.output.Fetch != nil || len(n.fetches.sources) == 0 {
 		return
@@ -66,7 +67,7 @@
 	n.output.Fetch = &Fetch{From: from, Request: request, Timeout: n.fetches.nextTimeout()}
 }
 
-// HandleFetchEnd records a fetch that brought no reply. Another one may follow at once.
+// HandleFetchEnd records that a fetch ended without a reply. Its output may start a fetch from another router.
 func (n *Gossiper) HandleFetchEnd(now time.Duration, from string, outcome FetchOutcome) *Output {
 	output := n.begin(now)
 	n.fetches.end(now, from, outcome)
@@ -74,7 +75,8 @@
 	return output
 }
 
-// HandleFetchReply takes the reply to a fetch that was requested at a moment. What it brings is passed on before it is decoded.
+// HandleFetchReply handles the reply to a fetch; requestedAt is when its request was sent. The router announces the received
+// configuration to others before it decodes it.
 func (n *Gossiper) HandleFetchReply(now, requestedAt time.Duration, from string, reply FetchReply) *Output {
 	output := n.begin(now)
 	n.fetches.end(now, from, FetchReplied)
@@ -93,7 +95,7 @@
 		received, _ := n.Config.Received()
 		n.disseminateChange(received, nil, 1)
 	} else {
-		n.fetches.postpone(from, now+busyBackoff) // another reply came first, or the router has restarted with less
+		n.fetches.postpone(from, now+busyBackoff) // another reply came first, or the router has restarted with an older configuration
 	}
 	if reply.Fresh {
 		n.Config.Confirm(reply.Sequence, requestedAt-time.Duration(reply.AgeMs)*time.Millisecond)
@@ -103,7 +105,7 @@
 	return output
 }
 
-// startBuild puts into force what has been received: at once where that is little, else by the caller.
+// startBuild builds the newest received configuration. A build larger than maxInlineBuildBytes is returned in the output.
 func (n *Gossiper) startBuild() {
 	if n.building {
 		return
@@ -120,7 +122,7 @@
 	}
 }
 
-// HandleBuilt puts into force what a Build has made. err is that of Build.Table.
+// HandleBuilt activates the configuration that a Build produced. table and err are the results of Build.Table.
 func (n *Gossiper) HandleBuilt(now time.Duration, build *Build, table *config.Table, err error) *Output {
 	output := n.begin(now)
 	n.building = false
@@ -129,7 +131,7 @@
 	return output
 }
 
-// finishBuild drops what can't be decoded: it is fetched again, complete.
+// finishBuild activates a built configuration. If the build failed, it drops the history, so that the complete configuration is fetched.
 func (n *Gossiper) finishBuild(build *Build, table *config.Table, err error) {
 	switch {
 	case err != nil:
@@ -141,16 +143,16 @@
 	}
 }
 
-// ConfigLag describes how far the configuration in force is behind.
+// ConfigLag describes how far the active configuration is behind the newest one that this router has been notified of.
 type ConfigLag struct {
-	Known      uint64        // newest sequence that was heard of
-	Received   uint64        // newest sequence that was received
-	Active     uint64        // sequence
-	TimeBehind time.Duration // since a newer one than that in force was first heard of; 0: none was
-	Fetching   []string      // internal addresses of the routers that are asked
+	Known      uint64        // newest acknowledged sequence that the router was notified of
+	Received   uint64        // newest sequence that the router has received
+	Active     uint64        // sequence of the active configuration
+	TimeBehind time.Duration // since the first notification of a sequence newer than Active; 0: there is none
+	Fetching   []string      // internal addresses of the routers from which a fetch is in flight
 }
 
-// ConfigLag returns how far the configuration in force is behind.
+// ConfigLag returns how far the active configuration is behind.
 func (n *Gossiper) ConfigLag(now time.Duration) ConfigLag {
 	lag := ConfigLag{Known: n.lag.newest, Active: n.Config.Sequence, TimeBehind: n.lag.lag(now, n.Config.Sequence)}
 	lag.Received, _ = n.Config.Received()
@@ -160,5 +162,5 @@
 	return lag
 }
 
-// ConfigSuperseded reports whether a newer configuration than the one in force was heard of.
+// ConfigSuperseded reports whether the router was notified of a newer configuration than the active one.
 func (n *Gossiper) ConfigSuperseded() bool { return n.lag.newest > n.Config.Sequence }
--- a/internal/fleet/dissemination/config_replica.go
+++ b/internal/fleet/dissemination/config_replica.go
@@ -7,34 +7,35 @@
 	"pinelb.example/pinelb/internal/fleet/config"
 )
 
-// ErrNoConfiguration is the error of ServeFetch where this router has received no configuration yet.
+// ErrNoConfiguration is the error of ServeFetch if this router has received no configuration yet.
 var ErrNoConfiguration = errors.New("dissemination: no configuration is held")
 
-// ConfigReplica is a router's replica of the configuration, and the last moment at which it was confirmed to be the newest.
-// The zero value is empty. Its methods are not safe for concurrent use.
+// ConfigReplica is a router's replica of the configuration, with the last time at which it was confirmed to be the newest.
+// The zero value is an empty replica. Its methods are not safe for concurrent use.
 type ConfigReplica struct {
-	Sequence uint64        // number of the last change in Table
-	Table    *config.Table // the configuration in force; nil: none
+	Sequence uint64        // of the last change in Table
+	Table    *config.Table // the active configuration; nil: none
 
 	confirmed   confirmation
-	unconfirmed confirmation // of a configuration that has been received and is not yet in force
+	unconfirmed confirmation // of a configuration newer than the active one
 	history     history
 }
 
-// confirmation says that the configuration with a sequence was the newest at a moment. The zero value says nothing.
+// confirmation records that the configuration with a sequence was the newest at a time. The zero value is no confirmation.
 type confirmation struct {
 	valid    bool
 	sequence uint64
 	at       time.Duration
 }
 
-// ConfirmedAt returns the last moment at which no newer configuration had been acknowledged. ok is false where none is known.
+// ConfirmedAt returns the last known time at which no configuration newer than the active one had been acknowledged; ok is false if no
+// such time is known.
 func (c *ConfigReplica) ConfirmedAt() (at time.Duration, ok bool) {
 	return c.confirmed.at, c.confirmed.valid && c.Table != nil
 }
 
-// Confirm records that the configuration with this sequence was the newest at a moment. Where this replica is older, that takes effect
-// once it is no longer.
+// Confirm records that the configuration with a sequence was the newest at a time. If the active configuration is older, the
+// confirmation takes effect when that configuration or a newer one becomes active.
 func (c *ConfigReplica) Confirm(sequence uint64, at time.Duration) {
 	if c.Table == nil || c.Sequence < sequence {
 		if !c.unconfirmed.valid || c.unconfirmed.at < at {
@@ -47,7 +48,7 @@
 	}
 }
 
-// Set puts a newer configuration into force. change is the encoded change that led to it from its predecessor; nil: not known.
+// Set activates a configuration if it is newer. change is the encoded change from the previous configuration; nil: not known.
 func (c *ConfigReplica) Set(sequence uint64, table *config.Table, change []byte) {
 	if c.Table != nil && sequence <= c.Sequence {
 		return
@@ -70,10 +71,10 @@
 	}
 }
 
-// Received returns the newest sequence that this replica has received, whether in force or not; ok is false where that is none.
+// Received returns the newest sequence that this replica has received, active or not; ok is false if it has received none.
 func (c *ConfigReplica) Received() (sequence uint64, ok bool) { return c.history.last() }
 
-// ageMs returns the milliseconds since the configuration was last confirmed, rounded up.
+// ageMs returns the milliseconds since the last confirmation, rounded up; confirmed is false if there is none.
 func (c *ConfigReplica) ageMs(now time.Duration) (age uint64, confirmed bool) {
 	at, confirmed := c.ConfirmedAt()
 	if !confirmed {
@@ -82,8 +83,8 @@
 	return uint64((now - at + time.Millisecond - 1) / time.Millisecond), true
 }
 
-// serveFetch answers another router's request: with the changes that it lacks where all of them are retained, otherwise with the
-// complete configuration. Its error is ErrNoConfiguration, or that of a blob.
+// serveFetch answers another router's request with the changes after the requested sequence, or with the complete configuration if
+// some of those changes are no longer retained. Its error is ErrNoConfiguration or wraps ErrBlob.
 func (c *ConfigReplica) serveFetch(now time.Duration, request FetchRequest) (FetchReply, error) {
 	var reply FetchReply
 	reply.AgeMs, reply.Fresh = c.ageMs(now)
@@ -102,7 +103,7 @@
 	return c.unpack(reply)
 }
 
-// completeHistory returns a document and the changes after it. The document is encoded once for all that fetch it.
+// completeHistory returns a document and the changes after it. It encodes the document only if the history has no usable one.
 func (c *ConfigReplica) completeHistory() (*Blob, []Blob, error) {
 	if document, changes, ok := c.history.complete(); ok {
 		return document, changes, nil
@@ -112,13 +113,14 @@
 	}
 	c.history.setDocument(c.Sequence, newBlob(c.Table.Document.Encode()))
 	document, changes, ok := c.history.complete()
-	if !ok { // no change after the configuration in force is ever dropped
+	if !ok { // unreachable: changes after the active configuration are never dropped
 		return nil, nil, ErrNoConfiguration
 	}
 	return document, changes, nil
 }
 
-// unpack turns a reply into the form of former builds, which know no blobs, and a document only without changes after it.
+// unpack converts a reply to the form for earlier builds. They don't support blobs, and accept either changes or a document without
+// changes after it.
 func (c *ConfigReplica) unpack(reply FetchReply) (FetchReply, error) {
 	changes, err := inflateAll(reply.PackedChanges)
 	if err != nil {
--- a/internal/fleet/dissemination/damaged_reply_test.go
+++ b/internal/fleet/dissemination/damaged_reply_test.go
@@ -11,7 +11,7 @@
 	"pinelb.example/pinelb/internal/fleet/membership"
 )
 
-// newOutdatedRouter is a router that has a configuration with sequence 1 in force, and has heard of a newer one at another router.
+// newOutdatedRouter returns a router whose active configuration has sequence 1, and that is fetching sequence 2 from address(2).
 func newOutdatedRouter() *Gossiper {
 	n := New(0, Options{
 		Self: membership.Member{Address: address(1), Zone: "z", BootID: 1}, Timing: membership.DefaultTiming(),
@@ -34,9 +34,9 @@
 	return encoded
 }
 
-// Guards against a router that stays behind because something it received can't be decoded.
+// Guards against a router that never catches up because a reply to a fetch can't be decoded.
 func TestDamagedReply(t *testing.T) {
-	Convey("A router that receives what can't be decoded keeps what is in force, and fetches the complete configuration", t, func() {
+	Convey("A router that can't decode a reply keeps the active configuration, and fetches the complete one", t, func() {
 		n := newOutdatedRouter()
 		damaged := newBlob(encodedRoutes())
 		damaged.Data = damaged.Data[:len(damaged.Data)/2]
@@ -54,9 +54,9 @@
 	})
 }
 
-// Guards against a confirmation that counts for the configuration before, or is lost while the one that it is about is decoded.
+// Guards against a confirmation that is applied to the previous configuration, or lost, while its own configuration is decoded.
 func TestConfirmationOfWhatIsDecoded(t *testing.T) {
-	Convey("A confirmation of what is not yet in force takes effect once it is", t, func() {
+	Convey("A confirmation of a configuration takes effect when the configuration becomes active", t, func() {
 		n := newOutdatedRouter()
 		output := n.HandleFetchReply(1500*time.Millisecond, time.Second, address(2), FetchReply{
 			Sequence: 2, PackedChanges: []Blob{newBlob(encodedRoutes())}, Fresh: true, AgeMs: 100,
--- a/internal/fleet/dissemination/endpoint_leave_test.go
+++ b/internal/fleet/dissemination/endpoint_leave_test.go
@@ -9,7 +9,7 @@
 	"pinelb.example/pinelb/internal/fleet/registry"
 )
 
-// Guards against an endpoint's leave that the primary has applied and that does not reach every connected router within drainMs.
+// Guards against a leave of an endpoint that the primary applies but that does not reach every connected router within drainMs.
 func TestEndpointLeaveReachesAllRouters(t *testing.T) {
 	const drainTimeout = 2 * time.Second
 	for _, size := range []int{12, 90} {
@@ -32,7 +32,7 @@
 			}
 		})
 	}
-	Convey("A leave that is reported again is pushed again: the routers it was pushed to before may have missed it", t, func() {
+	Convey("A leave that is reported again is pushed again, because the first push may have been lost", t, func() {
 		f := newFleet(3, 3)
 		f.run(5 * time.Second)
 		endpoint := registry.Endpoint{ID: "i-1", Service: "s", Address: "10.1.0.1:1", State: registry.Ready, Sequence: 1, Owner: address(1)}
--- a/internal/fleet/dissemination/fetch_simulation_test.go
+++ b/internal/fleet/dissemination/fetch_simulation_test.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Fetches and builds on the fleet's clock: a reply takes its time on the link of the router that sends it, and decoding takes time too.
+// Simulation of fetches and builds on the fleet's clock: the sender's link rate delays each reply, and the decode rate each build.
 
 const fetchDelay = time.Millisecond // one way
 
-// event is something that happens at a time.
+// event is a function to be run at a simulated time.
 type event struct {
 	at time.Duration
 	do func()
 }
 
-// link is what a router sends of replies to fetches.
+// link simulates a router's link for the fetch replies that it sends.
 type link struct {
 	freeAt       time.Duration
-	ends         []time.Duration // of the copies
-	maxTransfers int             // at the same time
+	ends         []time.Duration // of the transfers in flight
+	maxTransfers int             // highest number of transfers at the same time
 }
 
-// add counts a copy that takes so long on the link, from now on or after those before it. It returns when the copy ends.
+// add adds a transfer that occupies the link for duration, from now or from the end of the transfers before it. It returns its end.
 func (l *link) add(now, duration time.Duration) time.Duration {
 	l.freeAt = max(l.freeAt, now) + duration
 	l.ends = slices.DeleteFunc(l.ends, func(end time.Duration) bool { return end <= now })
@@ -36,9 +36,9 @@
 }
 
 func (f *fleet) runEvents() {
-	due := f.scheduled
+	events := f.scheduled
 	f.scheduled = nil
-	for _, e := range due {
+	for _, e := range events {
 		if e.at > f.now {
 			f.scheduled = append(f.scheduled, e)
 			continue
@@ -58,7 +58,7 @@
 	return f.partitioned != nil && f.partitioned(from, to)
 }
 
-// fetch makes a router's call to another one.
+// fetch simulates a router's call to another one.
 func (f *fleet) fetch(caller string, fetch *Fetch) {
 	requestedAt, ended := f.now, false
 	end := func(outcome FetchOutcome) {
@@ -81,7 +81,7 @@
 	})
 }
 
-// serve has a router answer a fetch, over its link.
+// serve has a router answer a fetch, delayed by its link.
 func (f *fleet) serve(caller string, fetch *Fetch, onReply func(FetchReply), onFailure func()) {
 	request := fetch.Request
 	request.Packed = request.Packed && !f.unpackedReplies
@@ -99,7 +99,7 @@
 	f.after(delay, func() { onReply(reply) })
 }
 
-// build decodes at the rate that a router has.
+// build runs a build after the time that decoding takes at decodeRate.
 func (f *fleet) build(router string, build *Build) {
 	delay := time.Duration(0)
 	if f.decodeRate > 0 {
@@ -107,7 +107,7 @@
 	}
 	f.after(delay, func() {
 		table, err := f.tables[build.sequence], error(nil)
-		if table == nil { // all routers make the same of it
+		if table == nil { // all routers build the same table, so one build serves them all
 			table, err = build.Table(nil)
 			f.tables[build.sequence] = table
 		}
--- a/internal/fleet/dissemination/fetcher.go
+++ b/internal/fleet/dissemination/fetcher.go
@@ -5,46 +5,46 @@
 	"time"
 )
 
-// Fetches bring a configuration that is too large for a push, or that a push did not bring. The fetcher decides when one starts, and from
-// which router: at once with the first news of a newer configuration, and from another router where one fails or takes long, since that one
-// may be partitioned off or its link be full.
+// A router fetches a configuration that is too large for a push or whose push was lost. The fetcher decides when a fetch starts and from
+// which router: at once when a message names a newer configuration, and from another router if a fetch fails or is slow, since the first
+// router may be partitioned off or its link saturated.
 
 const (
-	fetchHedgeDelay      = 300 * time.Millisecond  // until another router is asked beside one that has not replied
-	maxConcurrentFetches = 3                       // of one router
-	minFetchTimeout      = 1500 * time.Millisecond // of a fetch at first
-	maxFetchTimeout      = 12 * time.Second        // of a fetch after others timed out
-	busyBackoff          = 60 * time.Millisecond   // until a router that was busy is asked again
-	failureBackoff       = time.Second             // until a router is asked again whose fetch failed
+	fetchHedgeDelay      = 300 * time.Millisecond  // after the last start, until a concurrent fetch from another router may start
+	maxConcurrentFetches = 3                       // by one router
+	minFetchTimeout      = 1500 * time.Millisecond // minimum, and time-out of the first fetch
+	maxFetchTimeout      = 12 * time.Second        // time-outs double up to this value
+	busyBackoff          = 60 * time.Millisecond   // before the next fetch from a router that was busy
+	failureBackoff       = time.Second             // before the next fetch from a router whose fetch failed or timed out
 	maxFetchSources      = 16
 )
 
-// FetchOutcome says how a fetch ended.
+// FetchOutcome is how a fetch ended.
 type FetchOutcome int
 
 // The outcomes of a fetch.
 const (
-	FetchReplied  FetchOutcome = iota // there is a reply, also where it says Busy
-	FetchTimedOut                     // none came in time
-	FetchFailed                       // the router was not reached, or has no configuration
+	FetchReplied  FetchOutcome = iota // a reply arrived, even if it is Busy
+	FetchTimedOut                     // no reply arrived within the time-out
+	FetchFailed                       // the router was unreachable or returned an error, for example ErrNoConfiguration
 )
 
-// fetchSource is a router that holds a configuration which may be fetched.
+// fetchSource is a router from which a configuration can be fetched.
 type fetchSource struct {
 	address   string
-	sequence  uint64        // newest one that it is known to hold
+	sequence  uint64        // newest sequence that the router is known to hold
 	notBefore time.Duration // earliest time of the next fetch from it
 }
 
-// fetcher keeps the fetches of one router. The zero value is ready.
+// fetcher schedules the fetches of one router. The zero value is ready for use.
 type fetcher struct {
-	sources   []fetchSource // the one that was heard of last comes last
-	inFlight  map[string]time.Duration
+	sources   []fetchSource            // in the order in which they were added
+	inFlight  map[string]time.Duration // start of each fetch in flight, by address
 	lastStart time.Duration
 	timeout   time.Duration // of the next fetch; 0: minFetchTimeout
 }
 
-// addSource records that a router holds a configuration.
+// addSource records that a router holds a configuration. At maxFetchSources, it drops the source that was added first.
 func (f *fetcher) addSource(now time.Duration, address string, sequence uint64) {
 	if i := f.indexOf(address); i >= 0 {
 		if source := &f.sources[i]; sequence > source.sequence {
@@ -62,14 +62,14 @@
 	return slices.IndexFunc(f.sources, func(s fetchSource) bool { return s.address == address })
 }
 
-// postpone has a router asked no earlier than a time.
+// postpone delays the next fetch from a router until notBefore.
 func (f *fetcher) postpone(address string, notBefore time.Duration) {
 	if i := f.indexOf(address); i >= 0 {
 		f.sources[i].notBefore = max(f.sources[i].notBefore, notBefore)
 	}
 }
 
-// mayStart reports whether another fetch may start now, beside those in flight.
+// mayStart reports whether a fetch may start now in addition to those in flight.
 func (f *fetcher) mayStart(now time.Duration) bool {
 	switch len(f.inFlight) {
 	case 0:
@@ -80,8 +80,9 @@
 	return now-f.lastStart >= fetchHedgeDelay
 }
 
-// start picks the router to fetch from now, among those that hold what isNewer accepts, by preference; empty: there is none, or no fetch
-// may start.
+// start starts a fetch and returns the address of the router to fetch from. It chooses among the routers that hold a sequence accepted
+// by isNewer: a preferred one if there is any, and of several the one added last. It returns an empty address if there is no such router
+// or no fetch may start now.
 func (f *fetcher) start(now time.Duration, isNewer func(sequence uint64) bool, prefers func(address string) bool) string {
 	if !f.mayStart(now) {
 		return ""
@@ -106,14 +107,14 @@
 	return address
 }
 
-// end records how a fetch ended. A router that did not reply is not asked again for a while.
+// end records how a fetch ended. After a time-out or failure, the next fetch from that router waits for failureBackoff.
 func (f *fetcher) end(now time.Duration, address string, outcome FetchOutcome) {
 	elapsed := now - f.inFlight[address]
 	delete(f.inFlight, address)
 	switch outcome {
 	case FetchReplied:
 		f.timeout = min(max(minFetchTimeout, 2*elapsed), maxFetchTimeout)
-	case FetchTimedOut: // a large configuration may need more time on a slow link
+	case FetchTimedOut: // a large configuration may need a longer time-out on a slow link
 		f.timeout = min(2*f.nextTimeout(), maxFetchTimeout)
 		f.postpone(address, now+failureBackoff)
 	case FetchFailed:
@@ -121,5 +122,5 @@
 	}
 }
 
-// nextTimeout is the time-out of a fetch that starts now.
+// nextTimeout returns the time-out for a fetch that starts now.
 func (f *fetcher) nextTimeout() time.Duration { return max(minFetchTimeout, f.timeout) }
--- a/internal/fleet/dissemination/history.go
+++ b/internal/fleet/dissemination/history.go
@@ -2,32 +2,32 @@
 
 import "slices"
 
-// maxRetainedChanges is how many of the newest changes a router retains, to bring others up to date that are a little behind.
+// maxRetainedChanges is how many recent changes a router retains, so that a router slightly behind can fetch only what it lacks.
 const maxRetainedChanges = 64
 
-// history is the configuration in its encoded form, as other routers fetch it: a run of changes, and a complete document. It may be ahead of
-// the configuration in force, so that a router passes on what it has received before it has decoded it. The zero value is empty.
+// history is the encoded configuration that other routers fetch: consecutive changes, and a complete document. It may be newer than the
+// active configuration, so that a router can serve a configuration that it has not yet decoded. The zero value is empty.
 type history struct {
 	initialized bool   // base is set
-	base        uint64 // sequence before the first of changes
-	changes     []Blob // the newest changes
+	base        uint64 // sequence before that of the first change
+	changes     []Blob // with the sequences from base+1
 
-	document         *Blob  // nil: none is encoded
+	document         *Blob  // complete configuration; nil: not encoded yet
 	documentSequence uint64 // of document
 }
 
-// last returns the newest sequence that the history leads to; ok is false where it is empty.
+// last returns the newest sequence in the history; ok is false if the history is empty.
 func (h *history) last() (sequence uint64, ok bool) {
 	return h.base + uint64(len(h.changes)), h.initialized
 }
 
-// isNewer reports whether a sequence is newer than what the history leads to.
+// isNewer reports whether a sequence is newer than the history.
 func (h *history) isNewer(sequence uint64) bool {
 	last, ok := h.last()
 	return !ok || sequence > last
 }
 
-// append adds the change that leads to a sequence; false: it does not follow the last one.
+// append adds the change with a sequence. It returns false, and adds nothing, if the sequence does not follow the last one.
 func (h *history) append(sequence uint64, change Blob) bool {
 	if last, ok := h.last(); !ok || sequence != last+1 {
 		return false
@@ -36,12 +36,12 @@
 	return true
 }
 
-// restart drops all changes: the history begins after a sequence.
+// restart drops all changes and makes a sequence the new base.
 func (h *history) restart(sequence uint64) {
 	h.initialized, h.base, h.changes = true, sequence, nil
 }
 
-// trim drops the oldest changes beyond maxRetainedChanges, but none after a sequence.
+// trim drops the oldest changes beyond maxRetainedChanges, but never a change newer than sequence.
 func (h *history) trim(sequence uint64) {
 	surplus := len(h.changes) - maxRetainedChanges
 	if surplus <= 0 || sequence <= h.base {
@@ -52,7 +52,7 @@
 	h.changes = slices.Clone(h.changes[surplus:])
 }
 
-// since returns the changes after a sequence; false: some of them are not retained.
+// since returns the changes after a sequence. It returns false if some of them are not retained or the sequence is newer than the last.
 func (h *history) since(sequence uint64) ([]Blob, bool) {
 	last, ok := h.last()
 	if !ok || sequence < h.base || sequence > last {
@@ -61,12 +61,12 @@
 	return h.changes[sequence-h.base:], true
 }
 
-// setDocument retains the complete configuration with a sequence.
+// setDocument stores the encoded complete configuration with a sequence.
 func (h *history) setDocument(sequence uint64, document Blob) {
 	h.document, h.documentSequence = &document, sequence
 }
 
-// complete returns a document and the changes after it; false: none is encoded that the changes follow.
+// complete returns the document and the changes after it; ok is false if there is no document or some of those changes are not retained.
 func (h *history) complete() (document *Blob, changes []Blob, ok bool) {
 	if h.document == nil {
 		return nil, nil, false
@@ -75,7 +75,7 @@
 	return h.document, changes, ok
 }
 
-// receive adds what a reply in packed form brings. It reports whether the history leads to a newer sequence now.
+// receive adds the document and the changes of a reply in packed form. It reports whether the last sequence of the history increased.
 func (h *history) receive(reply FetchReply) bool {
 	if !h.isNewer(reply.Sequence) {
 		return false
--- a/internal/fleet/dissemination/lag.go
+++ b/internal/fleet/dissemination/lag.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// maxTrackedSequences bounds the list of sequences that a router knows of and lacks; the oldest ones count.
+// maxTrackedSequences bounds the tracked sequences. The oldest are tracked, since the lag is measured from the oldest.
 const maxTrackedSequences = 64
 
-// observedSequence is an acknowledged configuration that this router has heard of.
+// observedSequence is the sequence of an acknowledged configuration that this router was notified of.
 type observedSequence struct {
 	sequence uint64
-	at       time.Duration // when it was first heard of
+	at       time.Duration // time of the first notification
 }
 
-// lagTracker measures for how long a router has known of a configuration that is not in force there. The zero value is ready.
+// lagTracker measures how long ago a router was notified of a configuration that is not yet active. The zero value is ready for use.
 type lagTracker struct {
-	newest  uint64             // sequence, of all that were heard of
-	missing []observedSequence // rising
+	newest  uint64             // newest sequence observed
+	missing []observedSequence // not yet active, in ascending order
 }
 
-// hear records that a configuration with a sequence has been acknowledged.
+// observe records a notification that the configuration with a sequence has been acknowledged.
 func (l *lagTracker) observe(now time.Duration, sequence uint64) {
 	if sequence <= l.newest {
 		return
@@ -28,7 +28,7 @@
 	}
 }
 
-// lag returns for how long a configuration newer than the one in force has been known; 0: none is.
+// lag returns the time since the first notification of a configuration newer than the active sequence; 0: there is none.
 func (l *lagTracker) lag(now time.Duration, active uint64) time.Duration {
 	for len(l.missing) > 0 && l.missing[0].sequence <= active {
 		l.missing = l.missing[1:]
@@ -36,7 +36,7 @@
 	switch {
 	case len(l.missing) > 0:
 		return max(now-l.missing[0].at, 1)
-	case l.newest > active: // it came while the list was full
+	case l.newest > active: // it was observed while the list was full
 		return 1
 	}
 	return 0
--- a/internal/fleet/dissemination/large_changes_test.go
+++ b/internal/fleet/dissemination/large_changes_test.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	slowLinkRate   = 10e6 / 8 // bytes a second
-	slowDecodeRate = 4e6      // bytes of JSON a second that a fifth of a processor decodes
+	slowLinkRate   = 10e6 / 8 // bytes per second
+	slowDecodeRate = 4e6      // bytes of JSON that a fifth of a processor decodes per second
 	mebibyte       = 1 << 20
 )
 
-// manyRoutes is a change that adds routes, with the fields that operators send.
+// manyRoutes returns the body of a change that adds routes, with the fields that operators typically set.
 func manyRoutes(version, from, count int) []byte {
 	var text strings.Builder
 	fmt.Fprintf(&text, `{"version":%d,"upsert":{"routes":[`, version)
@@ -64,7 +64,7 @@
 	o.commit(&config.Change{Base: o.state.Document.Version(), Body: manyRoutes(version, version*100_000, count)})
 }
 
-// lagging counts the nodes that have received, or have in force, less than the newest configuration.
+// countLagging returns how many nodes have not received the newest configuration, and how many have not activated it.
 func (o *operator) countLagging() (notReceived, notActive int) {
 	for _, node := range o.fleet.nodes {
 		if node.Config.history.isNewer(o.sequence) {
@@ -85,8 +85,8 @@
 	return highest
 }
 
-// Guards against large changes that take longer to all routers than the rules allow, because routers ask one at the same time and fill its
-// link: docs/incidents/2026-12-02-config-derwent-grown.md.
+// Guards against large changes that reach all routers later than allowed, because many routers fetch from the same router at once and
+// saturate its link: docs/incidents/2026-12-02-config-derwent-grown.md.
 func TestLargeChanges(t *testing.T) {
 	Convey("A hundred routers on links of 10 Mbit/s, with a fifth of a processor", t, func() {
 		f := newFleet(100, 6)
@@ -99,7 +99,7 @@
 		f.linkRate, f.decodeRate = slowLinkRate, slowDecodeRate
 
 		for _, routes := range []int{100, 1760, 4000} {
-			Convey(fmt.Sprintf("all have %d more routes within a second, and never more than three copies are on a link", routes), func() {
+			Convey(fmt.Sprintf("all activate %d more routes within a second, with at most three transfers on a link", routes), func() {
 				o.addRoutes(routes)
 				f.run(time.Second)
 				notReceived, notActive := o.countLagging()
@@ -109,7 +109,7 @@
 				So(f.replyBytes, ShouldBeLessThan, 110*mebibyte/15)
 			})
 		}
-		Convey("all have three large changes and small ones that follow each other", func() {
+		Convey("all activate three large changes and two small ones in quick succession", func() {
 			for _, routes := range []int{1760, 1, 4000, 1760, 1} {
 				o.addRoutes(routes)
 				f.run(100 * time.Millisecond)
@@ -119,7 +119,7 @@
 			So(notActive, ShouldEqual, 0)
 			So(f.buildErrors, ShouldEqual, 0)
 		})
-		Convey("a tenth that is partitioned off from all others has it within a second of the end of that", func() {
+		Convey("a tenth that was partitioned off from all others activates it within 1.7 s of the end of the partition", func() {
 			isolated := map[string]bool{}
 			for i := 90; i < 100; i++ {
 				isolated[address(i)] = true
@@ -130,27 +130,27 @@
 			_, notActive := o.countLagging()
 			So(notActive, ShouldEqual, 10)
 			f.partitioned = nil
-			f.run(1700 * time.Millisecond) // a pull each 0.5 s, one in eight to a router thought dead
+			f.run(1700 * time.Millisecond) // pulls every 0.5 s, one in eight of them to a member marked dead
 			_, notActive = o.countLagging()
 			So(notActive, ShouldEqual, 0)
 		})
-		Convey("a fetch from a router that is partitioned off midway goes on elsewhere", func() {
+		Convey("a fetch from a router that is partitioned off midway is retried at another router", func() {
 			o.addRoutes(4000)
-			f.run(120 * time.Millisecond) // some have it by then
+			f.run(120 * time.Millisecond) // some routers have received it by then
 			unreachable := map[string]bool{address(0): true, address(1): true, address(2): true}
 			f.partitioned = func(from, _ string) bool { return unreachable[from] }
 			f.run(2 * time.Second)
 			notReceived, _ := o.countLagging()
 			So(notReceived, ShouldBeLessThanOrEqualTo, len(unreachable))
 		})
-		Convey("all have it though a twentieth of the messages is lost", func() {
+		Convey("all activate it although 5% of the messages are lost", func() {
 			f.lossPercent = 5
 			o.addRoutes(4000)
 			f.run(1500 * time.Millisecond)
 			_, notActive := o.countLagging()
 			So(notActive, ShouldEqual, 0)
 		})
-		Convey("all have it though the replies are those of a former build", func() {
+		Convey("all activate it although the replies have the form of earlier builds", func() {
 			f.unpackedReplies = true
 			o.addRoutes(100)
 			f.run(2 * time.Second)
@@ -160,38 +160,38 @@
 	})
 }
 
-// Guards against a router that waits for the time-out of a fetch, or asks the same router again and again.
+// Guards against a router that tries no other router before a fetch times out, or that retries the same router continuously.
 func TestFetcher(t *testing.T) {
-	Convey("A fetcher that knows two routers", t, func() {
+	Convey("A fetcher with two sources", t, func() {
 		any := func(uint64) bool { return true }
 		none := func(string) bool { return false }
 		var f fetcher
 		f.addSource(0, "a", 1)
 		f.addSource(0, "b", 1)
 		So(f.start(0, any, none), ShouldEqual, "b")
-		Convey("asks the other one beside a fetch that takes long, and no third one", func() {
+		Convey("starts a fetch from the other one when the first fetch is slow, and no third fetch", func() {
 			So(f.start(fetchHedgeDelay-1, any, none), ShouldEqual, "")
 			So(f.start(fetchHedgeDelay, any, none), ShouldEqual, "a")
 			So(f.start(2*fetchHedgeDelay, any, none), ShouldEqual, "")
 		})
-		Convey("asks the other one at once where a fetch fails, and the first one again after a while", func() {
+		Convey("fetches from the other one at once if a fetch fails, and from the first one again after the back-off", func() {
 			f.end(1, "b", FetchFailed)
 			So(f.start(1, any, none), ShouldEqual, "a")
 			f.end(2, "a", FetchFailed)
 			So(f.start(3, any, none), ShouldEqual, "")
 			So(f.start(1+failureBackoff, any, none), ShouldEqual, "b")
 		})
-		Convey("asks one that failed again as soon as it is known to hold something newer", func() {
+		Convey("retries a router that failed as soon as it is known to hold a newer configuration", func() {
 			f.end(1, "b", FetchFailed)
 			f.addSource(2, "b", 2)
 			So(f.start(2, func(s uint64) bool { return s > 1 }, none), ShouldEqual, "b")
 		})
-		Convey("prefers routers near by, and asks none that holds nothing newer", func() {
+		Convey("prefers the preferred routers, and ignores routers without a newer configuration", func() {
 			f.end(1, "b", FetchReplied)
 			So(f.start(1, any, func(a string) bool { return a == "a" }), ShouldEqual, "a")
 			So(f.start(1+fetchHedgeDelay, func(uint64) bool { return false }, none), ShouldEqual, "")
 		})
-		Convey("gives the next fetch more time after one that timed out, within bounds", func() {
+		Convey("doubles the time-out after a fetch timed out, within bounds", func() {
 			So(f.nextTimeout(), ShouldEqual, minFetchTimeout)
 			f.end(minFetchTimeout, "b", FetchTimedOut)
 			So(f.nextTimeout(), ShouldEqual, 2*minFetchTimeout)
@@ -204,7 +204,7 @@
 			f.end(0, "b", FetchReplied)
 			So(f.nextTimeout(), ShouldEqual, minFetchTimeout)
 		})
-		Convey("has at highest three fetches in flight", func() {
+		Convey("has at most three fetches in flight", func() {
 			f.addSource(0, "c", 1)
 			f.addSource(0, "d", 1)
 			So(f.start(fetchHedgeDelay, any, none), ShouldNotEqual, "")
@@ -215,7 +215,7 @@
 }
 
 func TestConfigLag(t *testing.T) {
-	Convey("The lag counts from the first news of what is not in force", t, func() {
+	Convey("The lag is measured from the first notification of a configuration that is not active", t, func() {
 		var l lagTracker
 		So(l.lag(time.Second, 0), ShouldEqual, 0)
 		l.observe(time.Second, 1)
@@ -231,7 +231,7 @@
 func TestBlob(t *testing.T) {
 	Convey("A blob", t, func() {
 		large := manyRoutes(1, 0, 1760)
-		Convey("carries large texts compressed, and small ones as they are", func() {
+		Convey("holds large texts compressed, and small ones uncompressed", func() {
 			for _, text := range [][]byte{nil, []byte("small"), large} {
 				inflated, err := newBlob(text).inflate()
 				So(err, ShouldBeNil)
@@ -240,7 +240,7 @@
 			So(len(newBlob(large).Data), ShouldBeLessThan, len(large)/10)
 			So(newBlob([]byte("small")).Size, ShouldEqual, 0)
 		})
-		Convey("that is truncated or states another size is an error", func() {
+		Convey("that is truncated or has a wrong size returns an error", func() {
 			b := newBlob(large)
 			for _, damaged := range []Blob{
 				{Data: b.Data[:len(b.Data)/2], Size: b.Size}, {Data: b.Data, Size: b.Size + 1},
--- a/internal/fleet/dissemination/messages.go
+++ b/internal/fleet/dissemination/messages.go
@@ -5,24 +5,24 @@
 	"pinelb.example/pinelb/internal/fleet/registry"
 )
 
-// The messages travel as CBOR maps with the integer keys of their tags; a key is never given another meaning.
+// The messages are encoded as CBOR maps with the integer keys of their tags. The meaning of a key never changes, also when it is unused.
 
-// Heartbeat is a router's heartbeat to its monitors, and the reply to one that wants a reply.
+// Heartbeat is a router's heartbeat to its monitors, and also the reply to a heartbeat with WantsReply.
 type Heartbeat struct {
-	WantsReply bool `cbor:"1,keyasint,omitempty"` // a probe: the sender has received nothing for long
+	WantsReply bool `cbor:"1,keyasint,omitempty"` // a probe, sent when the sender has not received anything from the router recently
 }
 
-// Pull asks a router for whatever the sender lacks.
+// Pull requests the members and endpoints that the sender lacks, and the state of the configuration.
 type Pull struct {
 	Self      membership.Member  `cbor:"1,keyasint"`
 	Round     uint64             `cbor:"2,keyasint"` // identifies the pull in its reply
-	Sequence  uint64             `cbor:"3,keyasint"` // of the sender's configuration
+	Sequence  uint64             `cbor:"3,keyasint"` // of the sender's active configuration
 	Members   membership.Digests `cbor:"4,keyasint"`
 	Endpoints registry.Digests   `cbor:"5,keyasint"`
 }
 
-// PullReply says when the replying router's configuration was last confirmed. Members and endpoints that the puller lacks
-// follow as Updates.
+// PullReply states when the replying router's configuration was last confirmed. Members and endpoints that the puller lacks
+// follow in Updates.
 type PullReply struct {
 	Round    uint64 `cbor:"1,keyasint"` // as in Pull
 	Sequence uint64 `cbor:"2,keyasint"`
@@ -30,25 +30,25 @@
 	AgeMs    uint64 `cbor:"4,keyasint"` // milliseconds since the configuration with Sequence was confirmed to be the newest
 	View     uint64 `cbor:"5,keyasint"`
 	Primary  string `cbor:"6,keyasint"`           // internal address of the view's primary
-	Received uint64 `cbor:"7,keyasint,omitempty"` // newest sequence that can be fetched; 0: as Sequence
+	Received uint64 `cbor:"7,keyasint,omitempty"` // newest sequence that can be fetched; 0: the same as Sequence
 }
 
-// Update pushes what a router has just learned. Each of its groups of fields may be empty.
+// Update pushes changes to other routers. Each of its groups of fields may be empty.
 type Update struct {
 	Members   []membership.Member `cbor:"1,keyasint,omitempty"`
 	Endpoints []registry.Endpoint `cbor:"2,keyasint,omitempty"`
 	Sequence  uint64              `cbor:"3,keyasint,omitempty"` // of an acknowledged configuration
-	Change    []byte              `cbor:"4,keyasint,omitempty"` // encoded change from the configuration before; empty: to be fetched
-	Hops      uint8               `cbor:"5,keyasint,omitempty"` // how often it has been forwarded
+	Change    []byte              `cbor:"4,keyasint,omitempty"` // encoded change from the previous configuration; empty: it has to be fetched
+	Hops      uint8               `cbor:"5,keyasint,omitempty"` // how many times the update has been forwarded
 	View      uint64              `cbor:"6,keyasint,omitempty"` // a new view
 	Primary   string              `cbor:"7,keyasint,omitempty"` // internal address of the view's primary
-	Announced uint64              `cbor:"8,keyasint,omitempty"` // of an acknowledged configuration to be fetched, from the sender only if nobody else has it
+	Announced uint64              `cbor:"8,keyasint,omitempty"` // of an acknowledged configuration to be fetched, preferably not from the sender
 }
 
-// FetchRequest asks for the configurations after a sequence; 0 asks for the complete configuration.
+// FetchRequest requests the changes after a sequence; 0 requests the complete configuration.
 type FetchRequest struct {
 	After  uint64 `cbor:"1,keyasint"`
-	Packed bool   `cbor:"2,keyasint,omitempty"` // the sender understands packed replies and Busy; builds up to 79c0b7a don't
+	Packed bool   `cbor:"2,keyasint,omitempty"` // the sender supports packed replies and Busy; builds up to 79c0b7a don't
 	From   string `cbor:"3,keyasint,omitempty"` // the sender's internal address
 }
 
@@ -60,15 +60,15 @@
 	Fresh    bool     `cbor:"4,keyasint,omitempty"` // AgeMs is set
 	AgeMs    uint64   `cbor:"5,keyasint,omitempty"` // as in PullReply, at the time of this reply
 
-	// In place of Changes and Document, for those that understand them:
-	PackedChanges  []Blob `cbor:"6,keyasint,omitempty"` // the last of which leads to Sequence
-	PackedDocument *Blob  `cbor:"7,keyasint,omitempty"` // of the sequence before PackedChanges
+	// These replace Changes and Document if the request has Packed:
+	PackedChanges  []Blob `cbor:"6,keyasint,omitempty"` // the last one has Sequence
+	PackedDocument *Blob  `cbor:"7,keyasint,omitempty"` // its sequence is the one before PackedChanges
 
-	Busy    bool     `cbor:"8,keyasint,omitempty"` // other copies are on this router's link: Sequence can be fetched later, or from Holders
-	Holders []string `cbor:"9,keyasint,omitempty"` // internal addresses of routers that got a copy lately
+	Busy    bool     `cbor:"8,keyasint,omitempty"` // the sender's link is saturated: Sequence can be fetched later, or from Holders
+	Holders []string `cbor:"9,keyasint,omitempty"` // internal addresses of routers that have recently fetched it
 }
 
-// normalize turns a reply of a former build into the packed form.
+// normalize converts a reply of an earlier build to the packed form.
 func (r FetchReply) normalize() FetchReply {
 	if r.Document != nil && r.PackedDocument == nil {
 		document := newBlob(r.Document)
@@ -81,7 +81,7 @@
 	return r
 }
 
-// size is the length of what the reply carries, as it is sent.
+// size returns the length in bytes of the changes and the document in the reply, as sent.
 func (r FetchReply) size() int {
 	size := len(r.Document)
 	if r.PackedDocument != nil {
--- a/internal/fleet/dissemination/messages_test.go
+++ b/internal/fleet/dissemination/messages_test.go
@@ -12,8 +12,8 @@
 	"pinelb.example/pinelb/internal/fleet/registry"
 )
 
-// Guards against a renamed or reordered field that changes what routers of different versions send each other. The encodings were
-// written by the version b772427.
+// Guards against a renamed or reordered field that changes the encoding of messages between routers of different versions. The
+// expected encodings were produced by version b772427.
 func TestWireFormat(t *testing.T) {
 	member := membership.Member{
 		Address: "10.0.0.1:1", Control: "10.0.0.1:2", Zone: "z", Region: "r", Core: true, BootID: 7, Incarnation: 3, Status: membership.Dead,
--- a/internal/fleet/dissemination/node.go
+++ b/internal/fleet/dissemination/node.go
@@ -1,10 +1,10 @@
-// Package dissemination distributes what every router of a fleet has to know: the configuration and when it was last
-// confirmed, the endpoints, and the routers themselves. Whatever is new is pushed at once; anti-entropy finds what a push
-// missed, by comparing digests with one router after another (A. Demers et al., "Epidemic algorithms for replicated
+// Package dissemination distributes the state that every router of a fleet needs: the configuration and when it was last
+// confirmed, the endpoints, and the members of the fleet. Changes are pushed at once. Anti-entropy repairs lost pushes:
+// routers periodically compare digests with one other router (A. Demers et al., "Epidemic algorithms for replicated
 // database maintenance", 1987).
 //
-// The package is pure: it does no I/O and reads no clock. The router package calls it, hands it messages and the time, and
-// carries out the Output of each step. Times are durations since the router's start.
+// The package does no I/O and reads no clock. The router package passes it messages and the time, and executes the Output
+// of each step. Times are durations since the router's start.
 //
 // Invariants: a configuration's sequence never decreases; a confirmation's age is never less than the time since the primary
 // confirmed it, however long messages were delayed; the reply to a pull is bounded.
@@ -19,12 +19,12 @@
 )
 
 const (
-	endpointTombstoneTTL     = 60 * time.Second // after which an endpoint that has ended is purged
-	missedHeartbeatsToExpire = 4                // heartbeat intervals of an endpoint without a heartbeat until it expires
+	endpointTombstoneTTL     = 60 * time.Second // after which an endpoint that has ended is removed
+	missedHeartbeatsToExpire = 4                // heartbeat intervals without a heartbeat after which an endpoint expires
 	expiryInterval           = 500 * time.Millisecond
 )
 
-// Outgoing is a message to be sent: Heartbeat, Pull, PullReply or Update.
+// Outgoing is a message to be sent: a Heartbeat, Pull, PullReply or Update.
 type Outgoing struct {
 	To      string // internal address
 	Message any
@@ -32,31 +32,31 @@
 
 // Output is what the caller has to do after a step.
 type Output struct {
-	Send  []Outgoing // in this order
-	Fetch *Fetch     // nil: none
-	Build *Build     // to be done beside the next steps, and handed to HandleBuilt; nil: none
+	Send  []Outgoing // to be sent in this order
+	Fetch *Fetch     // call to make; nil: none
+	Build *Build     // to be run concurrently with the next steps, its result passed to HandleBuilt; nil: none
 
-	BuildError error // says why what was received can't be used; nil: it can
+	BuildError error // why a received configuration can't be used; nil: no build failed
 }
 
-// Fetch is a call to another router, to be made beside the next steps. Its end is handed to HandleFetchEnd or HandleFetchReply.
+// Fetch is a call to another router, to be made concurrently with the next steps. Its end is reported by HandleFetchEnd or HandleFetchReply.
 type Fetch struct {
 	From    string // internal address
 	Request FetchRequest
 	Timeout time.Duration
 }
 
-// Options configure a node.
+// Options configure a Gossiper.
 type Options struct {
 	Self                      membership.Member
 	Seeds                     []string // internal addresses
 	EndpointHeartbeatInterval time.Duration
 	Timing                    membership.Timing
 	Random                    *rand.Rand
-	LinkBytesPerSecond        float64 // of this machine's link; 0: not known
+	LinkBytesPerSecond        float64 // rate of this machine's link; 0: not known
 }
 
-// Gossiper is one router's part in the dissemination. Its methods are not safe for concurrent use.
+// Gossiper runs the dissemination protocol of one router. Its methods are not safe for concurrent use.
 type Gossiper struct {
 	Members  *membership.List
 	Registry *registry.Registry
@@ -81,11 +81,11 @@
 	fetches            fetcher
 	transfers          transferLimiter
 	lag                lagTracker
-	building           bool // a Build has been handed out
+	building           bool // a Build was returned in an Output and HandleBuilt has not been called for it
 	needsCompleteFetch bool // a build failed: the next fetch asks for the complete configuration
 }
 
-// New returns a node that knows itself and its seeds.
+// New returns a Gossiper whose member list holds only its own router; it finds the others through the seeds.
 func New(now time.Duration, options Options) *Gossiper {
 	return &Gossiper{
 		Members:         membership.New(now, options.Self, options.Timing),
@@ -99,10 +99,10 @@
 	}
 }
 
-// SetSeeds replaces the seeds, which are internal addresses.
+// SetSeeds replaces the internal addresses of the seeds.
 func (n *Gossiper) SetSeeds(seeds []string) { n.seeds = seeds }
 
-// Primary returns the newest known view and its primary's internal address; 0 and empty: none is known.
+// Primary returns the newest known view and its primary's internal address, or 0 and an empty address if no view is known.
 func (n *Gossiper) Primary() (view uint64, address string) { return n.view, n.primary }
 
 // SetView records a view and its primary's internal address, unless a newer view is known.
@@ -112,8 +112,8 @@
 	}
 }
 
-// AnnouncePrimary announces to the other routers that this one is the primary of a view, so that they don't ask the former
-// primary until their next pull.
+// AnnouncePrimary announces to the other routers that this one is the primary of a view. Without it, they would send
+// requests to the former primary until their next pull.
 func (n *Gossiper) AnnouncePrimary(now time.Duration, view uint64) *Output {
 	output := n.begin(now)
 	if view > n.view {
@@ -123,7 +123,7 @@
 	return output
 }
 
-// begin starts a step: what it sends is collected in the output.
+// begin starts a step and returns its output, in which the step collects messages, the fetch and the build.
 func (n *Gossiper) begin(now time.Duration) *Output {
 	n.now = now
 	n.output = &Output{}
@@ -134,7 +134,7 @@
 	n.output.Send = append(n.output.Send, Outgoing{To: to, Message: message})
 }
 
-// Tick does what is due: heartbeats, probes, the next pull, the expiry of endpoints, and queued updates.
+// Tick runs the periodic work: heartbeats, probes, pulls, fetches, the expiry of endpoints, and the sending of queued updates.
 func (n *Gossiper) Tick(now time.Duration) *Output {
 	output := n.begin(now)
 	result := n.Members.Tick(now)
@@ -165,7 +165,7 @@
 	n.Registry.Purge(n.now, endpointTombstoneTTL)
 }
 
-// Receive handles another router's message.
+// Receive handles a message of the router with the internal address from.
 func (n *Gossiper) Receive(now time.Duration, from string, message any) *Output {
 	output := n.begin(now)
 	n.Members.RecordContact(now, from)
@@ -197,7 +197,7 @@
 	n.handleConfigUpdate(from, update, hops)
 }
 
-// HandleEndpointHeartbeat applies an endpoint's own report; ok is false where it is older than what is known.
+// HandleEndpointHeartbeat applies an endpoint's own report; ok is false if the report is older than the registered state.
 func (n *Gossiper) HandleEndpointHeartbeat(now time.Duration, report registry.Endpoint) (output *Output, ok bool) {
 	output = n.begin(now)
 	changed, ok := n.Registry.ApplyHeartbeat(now, report)
@@ -205,8 +205,8 @@
 	return output, ok
 }
 
-// HandleEndpointLeave applies another router's report that an endpoint leaves. It is pushed also where this router knew of it:
-// those it was pushed to before may have missed it.
+// HandleEndpointLeave applies another router's report that an endpoint leaves. The leave is pushed even if this router has
+// already applied it, because an earlier push of it may have been lost.
 func (n *Gossiper) HandleEndpointLeave(now time.Duration, endpoint registry.Endpoint) *Output {
 	output := n.begin(now)
 	changed, _ := n.Registry.Merge(now, n.options.Self.Address, []registry.Endpoint{endpoint})
@@ -219,7 +219,7 @@
 	return output
 }
 
-// RestoreEndpoints adds endpoints that an earlier process of this router knew. Any report of their own replaces them.
+// RestoreEndpoints adds endpoints saved by an earlier process of this router. Any report of an endpoint itself replaces its entry.
 func (n *Gossiper) RestoreEndpoints(now time.Duration, endpoints []registry.Endpoint) *Output {
 	output := n.begin(now)
 	n.disseminateEndpoints(n.Registry.Restore(now, endpoints), 0)
--- a/internal/fleet/dissemination/node_test.go
+++ b/internal/fleet/dissemination/node_test.go
@@ -13,24 +13,24 @@
 	"pinelb.example/pinelb/internal/fleet/registry"
 )
 
-// fleet is a number of nodes on one simulated clock. Messages arrive after a millisecond unless they are lost or partitioned off.
+// fleet simulates routers on one clock. A message arrives after a millisecond unless it is lost or crosses a partition.
 type fleet struct {
 	now         time.Duration
 	nodes       map[string]*Gossiper
-	order       []string // of the steps
+	order       []string // of the steps: the addresses of all nodes
 	inFlight    []delivery
 	partitioned func(from, to string) bool
 	lossPercent int
 	sent        int
 	rng         *rand.Rand
 
-	scheduled       []event // that are due at a time, unordered
-	linkRate        float64 // bytes a second that each router sends of replies to fetches; 0: no bound
-	decodeRate      float64 // bytes a second that each router decodes; 0: no bound
+	scheduled       []event // unordered
+	linkRate        float64 // bytes of fetch replies that each router sends per second; 0: not limited
+	decodeRate      float64 // bytes that each router decodes per second; 0: not limited
 	links           map[string]*link
-	tables          map[uint64]*config.Table // by sequence: what builds have made
-	replyBytes      int                      // of all replies to fetches
-	unpackedReplies bool                     // as former builds reply
+	tables          map[uint64]*config.Table // results of builds, by sequence
+	replyBytes      int                      // total size of all fetch replies
+	unpackedReplies bool                     // replies have the form of earlier builds
 	buildErrors     int
 }
 
@@ -55,7 +55,7 @@
 	return f
 }
 
-// perform carries out what a node wants done.
+// perform executes the output of a node.
 func (f *fleet) perform(from string, output *Output) {
 	for _, o := range output.Send {
 		f.sent++
@@ -84,9 +84,9 @@
 				f.perform(a, f.nodes[a].Tick(f.now))
 			}
 		}
-		due := f.inFlight
+		messages := f.inFlight
 		f.inFlight = nil
-		for _, m := range due {
+		for _, m := range messages {
 			if m.at > f.now {
 				f.inFlight = append(f.inFlight, m)
 				continue
@@ -96,7 +96,7 @@
 	}
 }
 
-// commit has the first node acknowledge a configuration.
+// commit has the first node commit and confirm a configuration.
 func (f *fleet) commit(sequence uint64) {
 	change := &config.Change{Replace: true, Body: fmt.Appendf(nil, `{"version":%d}`, sequence)}
 	state, err := config.EmptyState().Apply(change)
@@ -109,7 +109,7 @@
 	f.nodes[address(0)].Config.Confirm(sequence, f.now)
 }
 
-// behind counts the nodes that hold an older configuration.
+// countBehind returns the number of nodes whose active configuration is older than sequence.
 func (f *fleet) countBehind(sequence uint64) int {
 	count := 0
 	for _, node := range f.nodes {
@@ -122,18 +122,18 @@
 
 func TestDissemination(t *testing.T) {
 	for _, size := range []int{12, 90} {
-		Convey(fmt.Sprintf("%d routers that know three seeds", size), t, func() {
+		Convey(fmt.Sprintf("%d routers with three seeds", size), t, func() {
 			f := newFleet(size, 3)
 			f.run(3 * time.Second)
 			So(f.nodes[address(size-1)].Members.LiveCount(), ShouldEqual, size)
 
-			Convey("all hold a change within a second, though a twentieth of the messages is lost", func() {
+			Convey("all activate a change within a second although 5% of the messages are lost", func() {
 				f.lossPercent = 5
 				f.commit(1)
 				f.run(time.Second)
 				So(f.countBehind(1), ShouldEqual, 0)
 			})
-			Convey("all hold changes that come in quick succession", func() {
+			Convey("all activate changes made in quick succession", func() {
 				for sequence := uint64(1); sequence <= 10; sequence++ {
 					f.commit(sequence)
 					f.run(50 * time.Millisecond)
@@ -141,7 +141,7 @@
 				f.run(time.Second)
 				So(f.countBehind(10), ShouldEqual, 0)
 			})
-			Convey("all know within a second that an endpoint is draining", func() {
+			Convey("all list an endpoint as draining within a second", func() {
 				report := registry.Endpoint{ID: "e", Service: "s", Address: "x:1", State: registry.Ready, Sequence: 1, Owner: address(4)}
 				output, ok := f.nodes[address(4)].HandleEndpointHeartbeat(f.now, report)
 				So(ok, ShouldBeTrue)
@@ -187,7 +187,7 @@
 		f.run(time.Second)
 		other := f.nodes[address(2)]
 
-		Convey("have it confirmed as long as the primary confirms it", func() {
+		Convey("have a recent confirmation while the primary keeps confirming it", func() {
 			for range 20 {
 				f.nodes[address(0)].Config.Confirm(1, f.now)
 				f.run(200 * time.Millisecond)
@@ -196,7 +196,7 @@
 			So(fresh, ShouldBeTrue)
 			So(f.now-at, ShouldBeLessThan, 2*time.Second)
 		})
-		Convey("count its age from the primary's last confirmation, and not from the last message", func() {
+		Convey("measure its age from the primary's last confirmation, not from the last message", func() {
 			confirmed, _ := f.nodes[address(0)].Config.ConfirmedAt()
 			f.run(5 * time.Second)
 			at, _ := other.Config.ConfirmedAt()
@@ -220,13 +220,13 @@
 			at, _ := other.Config.ConfirmedAt()
 			So(at, ShouldBeLessThanOrEqualTo, sentAt+PullInterval*2)
 		})
-		Convey("do not confirm a configuration when a newer one is confirmed", func() {
+		Convey("do not apply the confirmation of a newer configuration to an older one", func() {
 			before, _ := other.Config.ConfirmedAt()
 			other.Config.Confirm(2, f.now)
 			at, _ := other.Config.ConfirmedAt()
 			So(at, ShouldEqual, before)
 		})
-		Convey("never return to an older one", func() {
+		Convey("never replace it with an older one", func() {
 			other.Config.Set(0, other.Config.Table, nil)
 			So(other.Config.Sequence, ShouldEqual, 1)
 		})
--- a/internal/fleet/dissemination/pull.go
+++ b/internal/fleet/dissemination/pull.go
@@ -8,22 +8,22 @@
 	"pinelb.example/pinelb/internal/fleet/membership"
 )
 
-// Anti-entropy: what a push missed is found by comparing digests with one router after another.
+// Anti-entropy: comparing digests with one router after another repairs lost pushes.
 
-// PullInterval is the mean time between a router's pulls, once its configuration has been confirmed.
+// PullInterval is the mean time between a router's pulls after its configuration was first confirmed.
 const PullInterval = 500 * time.Millisecond
 
-// initialPullInterval is the time between a router's pulls until then, in a small fleet. In a larger one it grows with the
-// fleet up to PullInterval, so that the core can answer all routers of a fleet that starts at once.
+// initialPullInterval is the time between a router's pulls before its configuration was first confirmed, in a small fleet. In a
+// larger fleet the interval grows with the fleet up to PullInterval, so that the core can answer when all routers start at once.
 const initialPullInterval = 60 * time.Millisecond
 
 const (
-	maxItemsPerReply = 70 // members, and endpoints, in the reply to one pull: later pulls find the others
-	maxPendingPulls  = 8  // pulls whose reply is still accepted
-	recoveryPullOdds = 8  // one pull in so many goes to a router thought dead, or to a seed, so that partitions heal
+	maxItemsPerReply = 70 // members, and likewise endpoints, in the reply to one pull; later pulls return the others
+	maxPendingPulls  = 8  // pulls in flight; the oldest one beyond them is abandoned
+	recoveryPullOdds = 8  // one in this many pulls goes to a member marked dead or to a seed, so that a fleet recovers from partitions
 )
 
-// pendingPull is a pull whose reply is awaited.
+// pendingPull is a pull that has not been answered.
 type pendingPull struct {
 	to     string
 	sentAt time.Duration
@@ -42,7 +42,7 @@
 }
 
 // mayReceiveHeartbeats returns a function that reports whether a router may still receive its endpoints' heartbeats: it is
-// alive, or ended less than a timeout ago, so that the endpoints have had no time to find another router.
+// alive, or ended less than timeout ago, so that its endpoints may not have switched to another router yet.
 func (n *Gossiper) mayReceiveHeartbeats(timeout time.Duration) func(address string) bool {
 	return func(address string) bool {
 		endedAt, ended := n.Members.EndedAt(address)
@@ -50,7 +50,7 @@
 	}
 }
 
-// pull asks one router for updates.
+// pull sends a Pull to one router.
 func (n *Gossiper) pull() {
 	to := n.choosePullPeer()
 	if to == "" {
@@ -65,8 +65,9 @@
 	})
 }
 
-// choosePullPeer alternates between the core, where the configuration was confirmed last, and all live routers; now and then it
-// chooses a router that may have recovered. Empty: there is none.
+// choosePullPeer alternates between the core, which has the most recent confirmation, and all live routers. One in recoveryPullOdds
+// pulls, at random, goes to a recovery candidate, as does any pull while no other router is live. It returns an empty address if there
+// is no router to pull from.
 func (n *Gossiper) choosePullPeer() string {
 	live := n.Members.LiveAddresses()
 	if len(live) == 0 || n.options.Random.IntN(recoveryPullOdds) == 0 {
@@ -83,7 +84,7 @@
 	return n.pickRandom(live)
 }
 
-// recoveryCandidates are routers that may be alive though this one does not know it: seeds, and members thought dead.
+// recoveryCandidates returns the routers that may be alive although they are not listed as alive: seeds, and members marked dead.
 func (n *Gossiper) recoveryCandidates() []string {
 	var candidates []string
 	for _, seed := range n.seeds {
@@ -114,12 +115,13 @@
 	reply.Received, _ = n.Config.Received()
 	reply.AgeMs, reply.Fresh = n.Config.ageMs(n.now)
 	n.send(from, reply)
-	// With maxHops the receiver does not forward them: it alone lacked them.
+	// maxHops keeps the receiver from forwarding the items: only the receiver lacked them.
 	n.memberUpdates.send(n, from, sampleForReply(n.options.Random, n.Members.MembersDiffering(pull.Members)), maxHops)
 	n.endpointUpdates.send(n, from, sampleForReply(n.options.Random, n.Registry.EndpointsDiffering(pull.Endpoints)), maxHops)
 }
 
-// sampleForReply returns what one reply holds of a list: all of it, or a run of it that starts at a random item and wraps.
+// sampleForReply returns the items of a list that go into one reply: all of them up to maxItemsPerReply, otherwise that many
+// consecutive ones from a random position, continued at the start of the list.
 func sampleForReply[T any](random *rand.Rand, list []T) []T {
 	if len(list) <= maxItemsPerReply {
 		return list
@@ -128,8 +130,8 @@
 	return slices.Concat(list[from:], list[:from])[:maxItemsPerReply]
 }
 
-// handlePullReply confirms the configuration. Its age counts from when the pull was sent, so that a delayed reply never makes
-// the confirmation look newer than it is.
+// handlePullReply records the confirmation in a reply, and fetches a newer configuration. The age of the confirmation counts
+// back from when the pull was sent, so that a delayed reply never makes the confirmation look more recent than it is.
 func (n *Gossiper) handlePullReply(from string, reply PullReply) {
 	n.SetView(reply.View, reply.Primary)
 	pull, pending := n.pendingPulls[reply.Round]
--- a/internal/fleet/dissemination/push.go
+++ b/internal/fleet/dissemination/push.go
@@ -7,17 +7,17 @@
 	"pinelb.example/pinelb/internal/fleet/registry"
 )
 
-// Updates are pushed at once to all routers of a small fleet, and over several hops in a larger one.
+// Updates are pushed directly to all routers of a small fleet, and over several hops in a larger one.
 
 const (
-	maxDirectPeers       = 24  // other live routers up to which an update goes to all directly, and is not forwarded
-	fanout               = 4   // routers that an update is sent to in larger fleets
-	maxHops              = 8   // how often an update is forwarded
-	maxItemsPerUpdate    = 7   // members or endpoints in one message, which has to fit a datagram
-	maxInlineChangeBytes = 900 // a larger configuration change is fetched
+	maxDirectPeers       = 24  // maximum number of other live routers to which an update is sent directly, without forwarding
+	fanout               = 4   // number of routers to which an update is sent in each hop, in larger fleets
+	maxHops              = 8   // maximum number of times that an update is forwarded
+	maxItemsPerUpdate    = 7   // members or endpoints in one message, which has to fit into a datagram
+	maxInlineChangeBytes = 900 // larger configuration changes are fetched
 )
 
-// pushTargets are the routers that an update is sent to that has been forwarded so often.
+// pushTargets returns the routers to which an update is sent after it has been forwarded hops times.
 func (n *Gossiper) pushTargets(hops uint8) []string {
 	live := n.Members.LiveAddresses()
 	switch {
@@ -34,7 +34,7 @@
 	n.push(Update{View: n.view, Primary: n.primary, Hops: hops})
 }
 
-// disseminateChange pushes a change, or where it is too large its sequence: it is fetched then, from router to router.
+// disseminateChange pushes a change. If the change is too large, it pushes only the sequence, and routers fetch the change from each other.
 func (n *Gossiper) disseminateChange(sequence uint64, change []byte, hops uint8) {
 	if len(change) > maxInlineChangeBytes {
 		change = nil
@@ -45,14 +45,14 @@
 	}
 }
 
-// announceToAll has every router know of a change that is fetched: the hops of a push miss some.
+// announceToAll sends the sequence of a change that has to be fetched to every live router, because forwarding may miss some routers.
 func (n *Gossiper) announceToAll(sequence uint64) {
 	for _, to := range n.Members.LiveAddresses() {
 		n.send(to, Update{Announced: sequence})
 	}
 }
 
-// push sends one update at once.
+// push sends one update to all push targets.
 func (n *Gossiper) push(update Update) {
 	for _, to := range n.pushTargets(update.Hops) {
 		n.send(to, update)
@@ -67,7 +67,7 @@
 	n.endpointUpdates.disseminate(n, endpoints, hops)
 }
 
-// flushQueues sends what has been queued since the last tick.
+// flushQueues sends the updates that were queued since the last tick.
 func (n *Gossiper) flushQueues() {
 	for hops := range uint8(maxHops + 1) {
 		n.memberUpdates.flush(n, hops)
@@ -75,11 +75,11 @@
 	}
 }
 
-// updateQueue sends updates about members or endpoints: in a small fleet at once, in a larger one with the next tick, so that items
-// that change in quick succession share messages.
+// updateQueue sends updates about members or endpoints: in a small fleet at once, in a larger one at the next tick, so that items
+// that change in quick succession are sent in the same messages.
 type updateQueue[T any] struct {
 	update func(items []T, hops uint8) Update
-	queued [maxHops + 1][]T // by how often they have been forwarded
+	queued [maxHops + 1][]T // by the number of times that the items have been forwarded
 }
 
 func newMemberUpdates() updateQueue[membership.Member] {
@@ -94,7 +94,7 @@
 	}}
 }
 
-// disseminate pushes or queues items; those that have been forwarded too often are dropped.
+// disseminate pushes or queues items; it drops items that have been forwarded more than maxHops times.
 func (q *updateQueue[T]) disseminate(n *Gossiper, items []T, hops uint8) {
 	switch {
 	case len(items) == 0 || hops > maxHops:
@@ -119,7 +119,7 @@
 	}
 }
 
-// flush pushes the items that are queued for a number of hops.
+// flush pushes the queued items that have been forwarded hops times.
 func (q *updateQueue[T]) flush(n *Gossiper, hops uint8) {
 	items := q.queued[hops]
 	q.queued[hops] = nil
--- a/internal/fleet/dissemination/quiescence_test.go
+++ b/internal/fleet/dissemination/quiescence_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// messageRate returns how many messages a router sends per second over a span that starts now.
+// messageRate runs the fleet for span and returns the mean number of messages per second and router. It calls heartbeat every 1200 ms.
 func (f *fleet) messageRate(span time.Duration, heartbeat func()) float64 {
 	before := f.sent
 	for startedAt := f.now; f.now-startedAt < span; f.run(1200 * time.Millisecond) {
@@ -33,7 +33,7 @@
 	return float64(f.sent-before) / span.Seconds() / float64(len(f.order))
 }
 
-// Guards against a fleet that exchanges lists without end, each of its routers taking what another one has just dropped.
+// Guards against a fleet that exchanges lists forever, because each router re-adds entries that another one has just removed.
 func TestLargeFleetBecomesQuiescent(t *testing.T) {
 	Convey("Sixty routers that start at once, with many endpoints", t, func() {
 		const endpoints = 300
@@ -48,7 +48,7 @@
 			f.sendHeartbeats(endpoints, sequence)
 		}
 		f.messageRate(12*time.Second, heartbeat)
-		Convey("agree, and send few messages", func() {
+		Convey("converge, and send few messages", func() {
 			So(f.messageRate(6*time.Second, heartbeat), ShouldBeLessThan, 12)
 			for _, n := range f.nodes {
 				So(n.Members.LiveCount(), ShouldEqual, 60)
@@ -79,7 +79,7 @@
 }
 
 func TestRepliesAreBounded(t *testing.T) {
-	Convey("However much a router lacks, one reply holds a bounded part of it", t, func() {
+	Convey("The reply to a pull is bounded, however many items the puller lacks", t, func() {
 		f := newFleet(1, 1)
 		n := f.nodes[address(0)]
 		for e := range 2000 {
@@ -100,7 +100,7 @@
 		So(output.Send, ShouldResemble, []Outgoing{{To: address(1), Message: Heartbeat{}}})
 		So(f.nodes[address(0)].Receive(0, address(1), Heartbeat{}).Send, ShouldBeEmpty)
 	})
-	Convey("A router that was reported dead a moment ago may still receive heartbeats of its endpoints", t, func() {
+	Convey("A router that was recently reported dead may still receive heartbeats of its endpoints", t, func() {
 		f := newFleet(3, 1)
 		f.run(5 * time.Second)
 		n := f.nodes[address(0)]
@@ -117,7 +117,7 @@
 
 func TestViewsArePushed(t *testing.T) {
 	for _, size := range []int{12, 60} {
-		Convey(fmt.Sprint("A new primary is known to nearly all of ", size, " routers at once, to all with their next pulls"), t, func() {
+		Convey(fmt.Sprint("A new primary reaches nearly all of ", size, " routers at once, and all with their next pulls"), t, func() {
 			f := newFleet(size, 3)
 			f.run(5 * time.Second)
 			f.perform(address(1), f.nodes[address(1)].AnnouncePrimary(f.now, 7))
@@ -133,7 +133,7 @@
 			So(countInformed(), ShouldBeGreaterThanOrEqualTo, size*9/10)
 			f.run(2 * time.Second)
 			So(countInformed(), ShouldEqual, size)
-			Convey("and an older one is sent to nobody", func() {
+			Convey("and an older view is not sent", func() {
 				So(f.nodes[address(2)].AnnouncePrimary(f.now, 6).Send, ShouldBeEmpty)
 				sent := f.sent
 				f.perform(address(3), f.nodes[address(3)].Receive(f.now, address(2), Update{View: 6, Primary: address(2)}))
--- a/internal/fleet/dissemination/serve.go
+++ b/internal/fleet/dissemination/serve.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// Serving fetches: a router sends a bounded number of copies at a time, so that each arrives soon and its link stays free for requests, and
-// names the others those that have one.
+// Serving fetches: a router bounds the transfers of the configuration on its link, so that each ends soon and the link keeps capacity for
+// requests. A busy router replies with the addresses of other routers that hold the configuration.
 
 const (
-	maxConcurrentTransfers = 3                      // on this router's link
-	maxLinkBacklog         = 100 * time.Millisecond // of its link, beyond which no further copy starts
-	maxHoldersPerReply     = 4                      // in one reply
+	maxConcurrentTransfers = 3                      // on this router's link at the same time
+	maxLinkBacklog         = 100 * time.Millisecond // of the link; no transfer starts while the backlog is longer
+	maxHoldersPerReply     = 4
 	maxTrackedTransfers    = 32
 )
 
-// transfer is a copy that was sent to a router.
+// transfer is a reply to a fetch that was sent to a router.
 type transfer struct {
 	to       string
 	sequence uint64
-	endsAt   time.Duration // when it should have arrived
+	endsAt   time.Duration // estimated time of arrival
 }
 
-// transferLimiter bounds the copies on this router's link. The zero value is ready, for a link without a known rate.
+// transferLimiter bounds the transfers on this router's link. The zero value is ready for use, for a link whose rate is not known.
 type transferLimiter struct {
-	bytesPerSecond float64 // of this router's link; 0: not known, and copies take no time
-	sent           []transfer
+	bytesPerSecond float64    // rate of this router's link; 0: not known, transfers count as instantaneous
+	sent           []transfer // the latest, up to maxTrackedTransfers
 }
 
-// inFlight returns the copies that are still on the link, and for how long it is busy with them.
+// inFlight returns the number of transfers in flight, and the time until all of them should have arrived.
 func (l *transferLimiter) inFlight(now time.Duration) (transfers int, backlog time.Duration) {
 	for _, sent := range l.sent {
 		if sent.endsAt > now {
@@ -39,13 +39,13 @@
 	return transfers, backlog
 }
 
-// maySend reports whether another copy may start now.
+// maySend reports whether another transfer may start now.
 func (l *transferLimiter) maySend(now time.Duration) bool {
 	transfers, backlog := l.inFlight(now)
 	return transfers < maxConcurrentTransfers && backlog <= maxLinkBacklog
 }
 
-// add counts a copy of so many bytes.
+// add records the start of a transfer of size bytes.
 func (l *transferLimiter) add(now time.Duration, to string, sequence uint64, size int) {
 	_, backlog := l.inFlight(now)
 	duration := time.Duration(0)
@@ -58,7 +58,7 @@
 	}
 }
 
-// holders are routers that have got a copy with a sequence, the preferred ones first.
+// holders returns up to maxHoldersPerReply usable routers to which this sequence or a newer one was transferred, preferred ones first.
 func (l *transferLimiter) holders(now time.Duration, sequence uint64, usable, prefers func(address string) bool) []string {
 	var preferred, others []string
 	for _, sent := range slices.Backward(l.sent) {
@@ -74,7 +74,7 @@
 	return all[:min(len(all), maxHoldersPerReply)]
 }
 
-// ServeFetch answers another router's request. Its error is ErrNoConfiguration where there is nothing to send.
+// ServeFetch answers another router's request. Its error is ErrNoConfiguration if there is nothing to send, or wraps ErrBlob.
 func (n *Gossiper) ServeFetch(now time.Duration, request FetchRequest) (FetchReply, error) {
 	if request.Packed && !n.transfers.maySend(now) {
 		return n.busyReply(now, request), nil
@@ -87,7 +87,7 @@
 	return reply, nil
 }
 
-// busyReply names the routers in the caller's zone first.
+// busyReply returns a Busy reply whose Holders begin with the routers in the caller's zone.
 func (n *Gossiper) busyReply(now time.Duration, request FetchRequest) FetchReply {
 	zone := n.zoneOf(request.From)
 	usable := func(address string) bool { return address != request.From && n.isAlive(address) }
@@ -96,7 +96,7 @@
 	return FetchReply{Sequence: received, Busy: true, Holders: n.transfers.holders(now, received, usable, inZone)}
 }
 
-// zoneOf returns a router's zone; empty: the router is not known.
+// zoneOf returns a router's zone, empty if the router is not known.
 func (n *Gossiper) zoneOf(address string) string {
 	m, _ := n.Members.Lookup(address)
 	return m.Zone
--- a/internal/fleet/dissemination/serve_test.go
+++ b/internal/fleet/dissemination/serve_test.go
@@ -9,9 +9,9 @@
 	"pinelb.example/pinelb/internal/fleet/membership"
 )
 
-// Guards against routers that wait for one whose link is full though others have what they want.
+// Guards against routers that wait for a router with a saturated link although other routers hold the configuration.
 func TestBusyRouterNamesHolders(t *testing.T) {
-	Convey("A router on a slow link that has sent three copies", t, func() {
+	Convey("A router on a slow link that has started three transfers", t, func() {
 		n := newOutdatedRouter()
 		n.transfers.bytesPerSecond = slowLinkRate
 		for i, zone := range map[int]string{4: "far", 5: "near", 6: "near", 7: "near", 8: "near"} {
@@ -26,20 +26,20 @@
 		for _, from := range []int{4, 5, 6} {
 			So(fetch(time.Second, from).Busy, ShouldBeFalse)
 		}
-		Convey("sends no fourth one, and names nobody while none has arrived", func() {
+		Convey("starts no fourth one, and names no holders before any has arrived", func() {
 			reply := fetch(time.Second, 7)
 			So(reply.Busy, ShouldBeTrue)
 			So(reply.Sequence, ShouldEqual, 2)
 			So(reply.Holders, ShouldBeEmpty)
 			So(reply.size(), ShouldEqual, 0)
 		})
-		Convey("names those that have one later, the caller's zone first, and not the caller", func() {
+		Convey("later names the receivers as holders, those in the caller's zone first, and not the caller", func() {
 			for _, from := range []int{7, 8, 5} {
 				So(fetch(2*time.Second, from).Busy, ShouldBeFalse)
 			}
 			So(fetch(2*time.Second, 5).Holders, ShouldResemble, []string{address(6), address(4)})
 		})
-		Convey("sends them to a former build all the same", func() {
+		Convey("answers a request of an earlier build nevertheless", func() {
 			reply, err := n.ServeFetch(time.Second, FetchRequest{After: 1})
 			So(err, ShouldBeNil)
 			So(len(reply.Changes), ShouldEqual, 1)
