--- a/internal/fleet/dissemination/messages.go
+++ b/internal/fleet/dissemination/messages.go
@@ -52,7 +52,7 @@
 	From   string `cbor:"3,keyasint,omitempty"` // the sender's internal address
 }
 
-// FetchReply holds either the changes after the requested sequence or the complete configuration.
+// FetchReply holds the changes after the requested sequence or the complete configuration; a Busy reply holds neither.
 type FetchReply struct {
 	Sequence uint64   `cbor:"1,keyasint"` // of the last change, or of the document
 	Changes  [][]byte `cbor:"2,keyasint,omitempty"`
--- a/internal/fleet/dissemination/node.go
+++ b/internal/fleet/dissemination/node.go
@@ -82,7 +82,7 @@
 	transfers          transferLimiter
 	lag                lagTracker
 	building           bool // a Build was returned in an Output and HandleBuilt has not been called for it
-	needsCompleteFetch bool // a build failed: the next fetch asks for the complete configuration
+	needsCompleteFetch bool // a build failed: the next fetch requests the complete configuration
 }
 
 // New returns a Gossiper whose member list holds only its own router; it finds the others through the seeds.
--- a/internal/fleet/dissemination/planted_test.go
+++ b/internal/fleet/dissemination/planted_test.go
@@ -23,7 +23,7 @@
 	"a confirmation of a newer configuration is applied to the older one": {File: "config_replica.go", Edits: []mutation.Edit{
 		{Original: "if c.Table == nil || c.Sequence < sequence {", Mutated: "if c.Table == nil {"}}},
 	"a confirmation is lost while its configuration is decoded": {File: "config_replica.go", Edits: []mutation.Edit{
-		{Original: "if c.unconfirmed.known && c.unconfirmed.sequence <= sequence {", Mutated: "if false {"}}},
+		{Original: "if c.unconfirmed.valid && c.unconfirmed.sequence <= sequence {", Mutated: "if false {"}}},
 	"after a failed build, the same changes are fetched again": {File: "config_exchange.go", Edits: []mutation.Edit{
 		{Original: "n.Config.history = history{}\n\t\tn.needsCompleteFetch = true", Mutated: "n.needsCompleteFetch = false"}}},
 	"a busy router names no holders": {File: "serve.go", Edits: []mutation.Edit{
