--- a/internal/fleet/dissemination/config_exchange.go
+++ b/internal/fleet/dissemination/config_exchange.go
@@ -6,50 +6,51 @@
 	"pinelb.example/pinelb/internal/fleet/config"
 )
 
-// announcedDelay is the time in which a router that has been announced a change should hear of a router near by that has it.
-const announcedDelay = 250 * time.Millisecond
+// announcementFetchDelay is how long a router waits after an announcement before it may fetch from the announcing router. Until then
+// an update should arrive from a closer router that holds the change.
+const announcementFetchDelay = 250 * time.Millisecond
 
-// Commit records a configuration that this router, as the primary, has acknowledged. change is the encoded change that led to
-// it; nil: others have to fetch the configuration.
+// Commit records a configuration that this router, as the primary, has acknowledged. change is the encoded change from the
+// previous configuration; nil: other routers have to fetch the configuration.
 func (n *Gossiper) Commit(now time.Duration, sequence uint64, table *config.Table, change []byte) *Output {
 	output := n.begin(now)
 	if n.Config.Table != nil && sequence <= n.Config.Sequence {
 		return output
 	}
-	n.lag.hear(now, sequence)
+	n.lag.observe(now, sequence)
 	n.Config.Set(sequence, table, change)
 	n.disseminateChange(sequence, change, 0)
 	return output
 }
 
-// handleConfigUpdate takes a change that the update brings, and fetches it where the update does not or where one before it is missing.
+// handleConfigUpdate appends the change in an update. It starts a fetch if the update has no change or an earlier change is missing.
 func (n *Gossiper) handleConfigUpdate(from string, update Update, hops uint8) {
 	if update.Announced > 0 {
-		n.lag.hear(n.now, update.Announced)
-		n.fetches.addSource(n.now+announcedDelay, from, update.Announced)
+		n.lag.observe(n.now, update.Announced)
+		n.fetches.addSource(n.now+announcementFetchDelay, from, update.Announced)
 	}
 	if update.Sequence == 0 {
 		return
 	}
 	if update.Change != nil && n.Config.history.append(update.Sequence, newBlob(update.Change)) {
-		n.lag.hear(n.now, update.Sequence)
+		n.lag.observe(n.now, update.Sequence)
 		n.disseminateChange(update.Sequence, update.Change, hops)
 		n.startBuild()
 		return
 	}
-	n.hearOf(update.Sequence, from)
+	n.recordHolder(update.Sequence, from)
 }
 
-// hearOf records that a router holds an acknowledged configuration, and fetches it if it is newer than what has been received.
-func (n *Gossiper) hearOf(sequence uint64, holder string) {
-	n.lag.hear(n.now, sequence)
+// recordHolder records that a router holds an acknowledged configuration, and starts a fetch if that is newer than any received one.
+func (n *Gossiper) recordHolder(sequence uint64, holder string) {
+	n.lag.observe(n.now, sequence)
 	if n.Config.history.isNewer(sequence) {
 		n.fetches.addSource(n.now, holder, sequence)
 		n.startFetch()
 	}
 }
 
-// startFetch starts a fetch where one is due. Routers in the same zone are preferred.
+// startFetch starts a fetch if the fetcher allows one and a router holds a newer configuration. It prefers routers in the same zone.
 func (n *Gossiper) startFetch() {
 	if n.output.Fetch != nil || len(n.fetches.sources) == 0 {
 		return
@@ -60,13 +61,13 @@
 		return
 	}
 	request := FetchRequest{Packed: true, From: n.options.Self.Address}
-	if !n.wantsComplete {
+	if !n.needsCompleteFetch {
 		request.After, _ = n.Config.Received()
 	}
 	n.output.Fetch = &Fetch{From: from, Request: request, Timeout: n.fetches.nextTimeout()}
 }
 
-// HandleFetchEnd records a fetch that brought no reply. Another one may follow at once.
+// HandleFetchEnd records that a fetch ended without a reply. Its output may start a fetch from another router.
 func (n *Gossiper) HandleFetchEnd(now time.Duration, from string, outcome FetchOutcome) *Output {
 	output := n.begin(now)
 	n.fetches.end(now, from, outcome)
@@ -74,7 +75,8 @@
 	return output
 }
 
-// HandleFetchReply takes the reply to a fetch that was requested at a moment. What it brings is passed on before it is decoded.
+// HandleFetchReply handles the reply to a fetch; requestedAt is when its request was sent. The router announces the received
+// configuration to others before it decodes it.
 func (n *Gossiper) HandleFetchReply(now, requestedAt time.Duration, from string, reply FetchReply) *Output {
 	output := n.begin(now)
 	n.fetches.end(now, from, FetchReplied)
@@ -87,13 +89,13 @@
 		return output
 	}
 	reply = reply.normalize()
-	n.lag.hear(now, reply.Sequence)
+	n.lag.observe(now, reply.Sequence)
 	if n.Config.history.receive(reply) {
-		n.wantsComplete = false
+		n.needsCompleteFetch = false
 		received, _ := n.Config.Received()
 		n.disseminateChange(received, nil, 1)
 	} else {
-		n.fetches.postpone(from, now+busyBackoff) // another reply came first, or the router has restarted with less
+		n.fetches.postpone(from, now+busyBackoff) // another reply came first, or the router has restarted with an older configuration
 	}
 	if reply.Fresh {
 		n.Config.Confirm(reply.Sequence, requestedAt-time.Duration(reply.AgeMs)*time.Millisecond)
@@ -103,7 +105,7 @@
 	return output
 }
 
-// startBuild puts into force what has been received: at once where that is little, else by the caller.
+// startBuild builds the newest received configuration. A build larger than maxInlineBuildBytes is returned in the output.
 func (n *Gossiper) startBuild() {
 	if n.building {
 		return
@@ -120,7 +122,7 @@
 	}
 }
 
-// HandleBuilt puts into force what a Build has made. err is that of Build.Table.
+// HandleBuilt activates the configuration that a Build produced. table and err are the results of Build.Table.
 func (n *Gossiper) HandleBuilt(now time.Duration, build *Build, table *config.Table, err error) *Output {
 	output := n.begin(now)
 	n.building = false
@@ -129,30 +131,30 @@
 	return output
 }
 
-// finishBuild drops what can't be decoded: it is fetched again, complete.
+// finishBuild activates a built configuration. If the build failed, it drops the history, so that the complete configuration is fetched.
 func (n *Gossiper) finishBuild(build *Build, table *config.Table, err error) {
 	switch {
 	case err != nil:
 		n.output.BuildError = err
 		n.Config.history = history{}
-		n.wantsComplete = true
+		n.needsCompleteFetch = true
 	case n.Config.Table == nil || build.sequence > n.Config.Sequence:
 		n.Config.install(build.sequence, table)
 	}
 }
 
-// ConfigLag describes how far the configuration in force is behind.
+// ConfigLag describes how far the active configuration is behind the newest one that this router has been notified of.
 type ConfigLag struct {
-	Known    uint64        // newest sequence that was heard of
-	Received uint64        // newest sequence that was received
-	InForce  uint64        // sequence
-	For      time.Duration // since a newer one than that in force was first heard of; 0: none was
-	Fetching []string      // internal addresses of the routers that are asked
+	Known      uint64        // newest acknowledged sequence that the router was notified of
+	Received   uint64        // newest sequence that the router has received
+	Active     uint64        // sequence of the active configuration
+	TimeBehind time.Duration // since the first notification of a sequence newer than Active; 0: there is none
+	Fetching   []string      // internal addresses of the routers from which a fetch is in flight
 }
 
-// ConfigLag returns how far the configuration in force is behind.
+// ConfigLag returns how far the active configuration is behind.
 func (n *Gossiper) ConfigLag(now time.Duration) ConfigLag {
-	lag := ConfigLag{Known: n.lag.newest, InForce: n.Config.Sequence, For: n.lag.lag(now, n.Config.Sequence)}
+	lag := ConfigLag{Known: n.lag.newest, Active: n.Config.Sequence, TimeBehind: n.lag.lag(now, n.Config.Sequence)}
 	lag.Received, _ = n.Config.Received()
 	for address := range n.fetches.inFlight {
 		lag.Fetching = append(lag.Fetching, address)
@@ -160,5 +162,5 @@
 	return lag
 }
 
-// KnowsNewerConfig reports whether a newer configuration than the one in force was heard of.
-func (n *Gossiper) KnowsNewerConfig() bool { return n.lag.newest > n.Config.Sequence }
+// ConfigSuperseded reports whether the router was notified of a newer configuration than the active one.
+func (n *Gossiper) ConfigSuperseded() bool { return n.lag.newest > n.Config.Sequence }
--- a/internal/fleet/dissemination/serve.go
+++ b/internal/fleet/dissemination/serve.go
@@ -5,98 +5,98 @@
 	"time"
 )
 
-// Serving fetches: a router sends a bounded number of copies at a time, so that each arrives soon and its link stays free for requests, and
-// names the others those that have one.
+// Serving fetches: a router bounds the transfers of the configuration on its link, so that each ends soon and the link keeps capacity for
+// requests. A busy router replies with the addresses of other routers that hold the configuration.
 
 const (
-	maxConcurrentCopies = 3                      // on this router's link
-	maxCopyBacklog      = 100 * time.Millisecond // of its link, beyond which no further copy starts
-	maxNamedHolders     = 4                      // in one reply
-	maxRememberedCopies = 32
+	maxConcurrentTransfers = 3                      // on this router's link at the same time
+	maxLinkBacklog         = 100 * time.Millisecond // of the link; no transfer starts while the backlog is longer
+	maxHoldersPerReply     = 4
+	maxTrackedTransfers    = 32
 )
 
-// sentCopy is a copy that was sent to a router.
-type sentCopy struct {
+// transfer is a reply to a fetch that was sent to a router.
+type transfer struct {
 	to       string
 	sequence uint64
-	end      time.Duration // when it should have arrived
+	endsAt   time.Duration // estimated time of arrival
 }
 
-// copyLimiter bounds the copies on this router's link. The zero value is ready, for a link without a known rate.
-type copyLimiter struct {
-	bytesPerSecond float64 // of this router's link; 0: not known, and copies take no time
-	sent           []sentCopy
+// transferLimiter bounds the transfers on this router's link. The zero value is ready for use, for a link whose rate is not known.
+type transferLimiter struct {
+	bytesPerSecond float64    // rate of this router's link; 0: not known, transfers count as instantaneous
+	sent           []transfer // the latest, up to maxTrackedTransfers
 }
 
-// inFlight returns the copies that are still on the link, and for how long it is busy with them.
-func (c *copyLimiter) inFlight(now time.Duration) (copies int, backlog time.Duration) {
-	for _, sent := range c.sent {
-		if sent.end > now {
-			copies++
-			backlog = max(backlog, sent.end-now)
+// inFlight returns the number of transfers in flight, and the time until all of them should have arrived.
+func (l *transferLimiter) inFlight(now time.Duration) (transfers int, backlog time.Duration) {
+	for _, sent := range l.sent {
+		if sent.endsAt > now {
+			transfers++
+			backlog = max(backlog, sent.endsAt-now)
 		}
 	}
-	return copies, backlog
+	return transfers, backlog
 }
 
-// maySend reports whether another copy may start now.
-func (c *copyLimiter) maySend(now time.Duration) bool {
-	copies, backlog := c.inFlight(now)
-	return copies < maxConcurrentCopies && backlog <= maxCopyBacklog
+// maySend reports whether another transfer may start now.
+func (l *transferLimiter) maySend(now time.Duration) bool {
+	transfers, backlog := l.inFlight(now)
+	return transfers < maxConcurrentTransfers && backlog <= maxLinkBacklog
 }
 
-// add counts a copy of so many bytes.
-func (c *copyLimiter) add(now time.Duration, to string, sequence uint64, size int) {
-	_, backlog := c.inFlight(now)
+// add records the start of a transfer of size bytes.
+func (l *transferLimiter) add(now time.Duration, to string, sequence uint64, size int) {
+	_, backlog := l.inFlight(now)
 	duration := time.Duration(0)
-	if c.bytesPerSecond > 0 {
-		duration = time.Duration(float64(size) / c.bytesPerSecond * float64(time.Second))
+	if l.bytesPerSecond > 0 {
+		duration = time.Duration(float64(size) / l.bytesPerSecond * float64(time.Second))
 	}
-	c.sent = append(c.sent, sentCopy{to: to, sequence: sequence, end: now + backlog + duration})
-	if surplus := len(c.sent) - maxRememberedCopies; surplus > 0 {
-		c.sent = slices.Delete(c.sent, 0, surplus)
+	l.sent = append(l.sent, transfer{to: to, sequence: sequence, endsAt: now + backlog + duration})
+	if surplus := len(l.sent) - maxTrackedTransfers; surplus > 0 {
+		l.sent = slices.Delete(l.sent, 0, surplus)
 	}
 }
 
-// holders are routers that have got a copy with a sequence, the preferred ones first.
-func (c *copyLimiter) holders(now time.Duration, sequence uint64, usable, prefers func(address string) bool) []string {
-	var near, far []string
-	for _, sent := range slices.Backward(c.sent) {
+// holders returns up to maxHoldersPerReply usable routers to which this sequence or a newer one was transferred, preferred ones first.
+func (l *transferLimiter) holders(now time.Duration, sequence uint64, usable, prefers func(address string) bool) []string {
+	var preferred, others []string
+	for _, sent := range slices.Backward(l.sent) {
 		switch {
-		case sent.to == "" || sent.sequence < sequence || sent.end > now || !usable(sent.to):
+		case sent.to == "" || sent.sequence < sequence || sent.endsAt > now || !usable(sent.to):
 		case prefers(sent.to):
-			near = append(near, sent.to)
+			preferred = append(preferred, sent.to)
 		default:
-			far = append(far, sent.to)
+			others = append(others, sent.to)
 		}
 	}
-	all := slices.Concat(near, far)
-	return all[:min(len(all), maxNamedHolders)]
+	all := slices.Concat(preferred, others)
+	return all[:min(len(all), maxHoldersPerReply)]
 }
 
-// ServeFetch answers another router's request. Its error is ErrNoConfiguration where there is nothing to send.
+// ServeFetch answers another router's request. Its error is ErrNoConfiguration if there is nothing to send, or wraps ErrBlob.
 func (n *Gossiper) ServeFetch(now time.Duration, request FetchRequest) (FetchReply, error) {
-	if request.Packed && !n.copies.maySend(now) {
+	if request.Packed && !n.transfers.maySend(now) {
 		return n.busyReply(now, request), nil
 	}
 	reply, err := n.Config.serveFetch(now, request)
 	if err != nil {
 		return FetchReply{}, err
 	}
-	n.copies.add(now, request.From, reply.Sequence, reply.size())
+	n.transfers.add(now, request.From, reply.Sequence, reply.size())
 	return reply, nil
 }
 
-// busyReply names the routers in the caller's zone first.
+// busyReply returns a Busy reply whose Holders begin with the routers in the caller's zone.
 func (n *Gossiper) busyReply(now time.Duration, request FetchRequest) FetchReply {
 	zone := n.zoneOf(request.From)
 	usable := func(address string) bool { return address != request.From && n.isAlive(address) }
 	inZone := func(address string) bool { return n.zoneOf(address) == zone }
 	received, _ := n.Config.Received()
-	return FetchReply{Sequence: received, Busy: true, Holders: n.copies.holders(now, received, usable, inZone)}
+	return FetchReply{Sequence: received, Busy: true, Holders: n.transfers.holders(now, received, usable, inZone)}
 }
 
-// zoneOf returns a router's zone; empty: the router is not known.
+// zoneOf returns a router's zone, empty if the router is not known.
 func (n *Gossiper) zoneOf(address string) string {
 	m, _ := n.Members.Lookup(address)
 	return m.Zone
