--- a/internal/fleet/router/announcement_relay.go
+++ b/internal/fleet/router/announcement_relay.go
@@ -13,44 +13,46 @@
 	"pinelb.example/pinelb/internal/fleet/transport"
 )
 
-// In a small fleet a router announces its prompts to all others itself. In a larger one each router sends them to a relay, a router of
-// the core, in its own zone where there is one. The relay collects announcements for a moment and sends them to its own zone, and to
-// one router of the core in each other zone, which sends them to that zone. So the number of messages that a router receives grows with
-// the core and not with the fleet, and each announcement crosses from zone to zone once.
+// In a fleet with at most maxDirectPeers other routers, a router sends announcements of its prompts directly to all of them. In a larger
+// fleet each router sends its announcements to a relay: a core router, in its own zone if that zone has one. The relay batches
+// announcements for batchDelay. It sends each batch to all routers of its own zone, and to one core router in each other zone, which
+// forwards the batch within that zone. The number of messages that a router receives thus grows with the size of the core instead of the
+// fleet, and each announcement is sent to each other zone once.
 
 const (
-	maxDirectPeers              = 24                    // other routers up to which an announcement goes to each directly
-	batchDelay                  = 30 * time.Millisecond // for which a relay collects announcements
-	maxAnnouncementsPerDatagram = 13                    // each has some 84 bytes at most
+	maxDirectPeers              = 24                    // up to this many other live routers, announcements are sent to each directly
+	batchDelay                  = 30 * time.Millisecond // time for which a relay batches announcements
+	maxAnnouncementsPerDatagram = 13                    // an encoded announcement has at most about 84 bytes
 )
 
-// announcementRelay sends this router's announcements, and forwards those of others. Its methods may be called by any goroutine.
+// announcementRelay sends this router's announcements, and forwards those of other routers. Its methods may be called by any goroutine.
 type announcementRelay struct {
 	self string // internal address
 	zone string
-	core bool // this router counts for the quorum
+	core bool // this router is a core router: it counts for the quorum
 	send func(to []string, kind transport.Kind, announcements []proxy.Announcement)
-	wake chan struct{} // the batch is not empty
+	wake chan struct{} // signals run that the batch is not empty
 
-	mu     sync.Mutex // guards what follows
+	mu     sync.Mutex // guards the fields below
 	routes announcementRoutes
 	batch  []proxy.Announcement
 }
 
-// announcementRoutes are the internal addresses that a router sends announcements to.
+// announcementRoutes are the internal addresses to which a router sends announcements.
 type announcementRoutes struct {
-	peers      []string // other routers that are alive
-	relay      string   // the router that sends this one's announcements to all others; empty: this one does
-	local      []string // those of this router's zone
-	remote     []string // those of other zones that have no router of the core
-	zoneRelays []string // one router of the core in each other zone that has one
+	peers      []string // all other live routers
+	relay      string   // core router that distributes this router's announcements; empty: this router distributes them itself
+	local      []string // other live routers of this router's zone
+	remote     []string // live routers of zones that have no live core router
+	zoneRelays []string // one live core router in each other zone that has any
 }
 
+// newRelay returns a relay without peers, which sends its messages by calling send.
 func newRelay(self, zone string, core bool, send func([]string, transport.Kind, []proxy.Announcement)) *announcementRelay {
 	return &announcementRelay{self: self, zone: zone, core: core, send: send, wake: make(chan struct{}, 1)}
 }
 
-// setPeers records which other routers are alive.
+// setPeers computes the routes from the other live routers.
 func (l *announcementRelay) setPeers(live []membership.Member) {
 	routes := l.plan(live)
 	l.mu.Lock()
@@ -58,48 +60,48 @@
 	l.routes = routes
 }
 
-// plan works out the routes.
+// plan computes the routes from the other live routers.
 func (l *announcementRelay) plan(live []membership.Member) announcementRoutes {
 	var routes announcementRoutes
-	var cores []string
-	coresByZone := map[string][]string{}
+	var coreRouters []string
+	coreRoutersByZone := map[string][]string{}
 	for i := range live {
 		m := &live[i]
 		routes.peers = append(routes.peers, m.Address)
 		if m.Core {
-			cores = append(cores, m.Address)
-			coresByZone[m.Zone] = append(coresByZone[m.Zone], m.Address)
+			coreRouters = append(coreRouters, m.Address)
+			coreRoutersByZone[m.Zone] = append(coreRoutersByZone[m.Zone], m.Address)
 		}
 	}
 	if len(live) <= maxDirectPeers {
 		return routes
 	}
 	if !l.core {
-		if routes.relay = l.chooseCore(coresByZone[l.zone]); routes.relay == "" {
-			routes.relay = l.chooseCore(cores)
+		if routes.relay = l.chooseCoreRouter(coreRoutersByZone[l.zone]); routes.relay == "" {
+			routes.relay = l.chooseCoreRouter(coreRouters)
 		}
 	}
 	for i := range live {
 		switch zone := live[i].Zone; {
 		case zone == l.zone:
 			routes.local = append(routes.local, live[i].Address)
-		case len(coresByZone[zone]) == 0:
+		case len(coreRoutersByZone[zone]) == 0:
 			routes.remote = append(routes.remote, live[i].Address)
 		}
 	}
-	for zone, candidates := range coresByZone {
+	for zone, candidates := range coreRoutersByZone {
 		if zone != l.zone {
-			routes.zoneRelays = append(routes.zoneRelays, l.chooseCore(candidates))
+			routes.zoneRelays = append(routes.zoneRelays, l.chooseCoreRouter(candidates))
 		}
 	}
 	return routes
 }
 
-// chooseCore picks a router of the core by rendezvous hashing (Thaler, Ravishankar, 1998), so that the load is even and few choices
-// change when one ends; empty: there is none.
-func (l *announcementRelay) chooseCore(cores []string) string {
+// chooseCoreRouter picks a core router by rendezvous hashing (Thaler, Ravishankar, 1998): the load is spread evenly, and when a core
+// router fails, only the routers that had picked it pick another one. It returns "" if there are no core routers.
+func (l *announcementRelay) chooseCoreRouter(coreRouters []string) string {
 	best, highest := "", uint64(0)
-	for _, core := range cores {
+	for _, core := range coreRouters {
 		if weight := xxhash.Sum64String(core + " " + l.self); best == "" || weight > highest {
 			best, highest = core, weight
 		}
@@ -107,7 +109,7 @@
 	return best
 }
 
-// announce sends an announcement of this router's to the others.
+// announce sends an announcement of this router to all other routers: directly, through a relay, or with the next batch.
 func (l *announcementRelay) announce(a proxy.Announcement) {
 	l.mu.Lock()
 	relay, peers := l.routes.relay, l.routes.peers
@@ -122,18 +124,18 @@
 	}
 }
 
-// enqueue adds announcements to the batch.
+// enqueue adds announcements to the next batch.
 func (l *announcementRelay) enqueue(announcements []proxy.Announcement) {
 	l.mu.Lock()
 	l.batch = append(l.batch, announcements...)
 	l.mu.Unlock()
 	select {
 	case l.wake <- struct{}{}:
-	default: // run has been woken already
+	default: // run has a pending signal already
 	}
 }
 
-// run sends batches, until ctx ends.
+// run sends a batch batchDelay after its first announcement, until ctx is done.
 func (l *announcementRelay) run(ctx context.Context) {
 	delay := time.NewTimer(0)
 	defer delay.Stop()
@@ -154,7 +156,7 @@
 	}
 }
 
-// flush sends the batch.
+// flush sends the batch, in chunks of at most maxAnnouncementsPerDatagram.
 func (l *announcementRelay) flush() {
 	l.mu.Lock()
 	batch, routes := l.batch, l.routes
@@ -166,7 +168,7 @@
 	}
 }
 
-// forwardToZone sends the batch of another zone's relay to this router's zone.
+// forwardToZone forwards announcements from another zone's relay to the other routers of this router's zone.
 func (l *announcementRelay) forwardToZone(announcements []proxy.Announcement) {
 	l.mu.Lock()
 	local := l.routes.local
--- a/internal/fleet/router/announcement_relay_test.go
+++ b/internal/fleet/router/announcement_relay_test.go
@@ -12,7 +12,7 @@
 	"pinelb.example/pinelb/internal/fleet/transport"
 )
 
-// sentMessage is one message of a relay.
+// sentMessage is one call of a relay's send function.
 type sentMessage struct {
 	to    []string
 	kind  transport.Kind
@@ -21,7 +21,7 @@
 
 var zones = []string{"a", "b", "c", "d"}
 
-// fleet returns routers distributed over four zones, the first of which count for the quorum.
+// fleet returns routers distributed over four zones. The first ones, as many as cores says, count for the quorum.
 func fleet(routers, cores int) []membership.Member {
 	var all []membership.Member
 	for i := range routers {
@@ -36,7 +36,7 @@
 		record := func(to []string, kind transport.Kind, a []proxy.Announcement) {
 			messages = append(messages, sentMessage{to, kind, len(a)})
 		}
-		Convey("go to all others at once in a small fleet", func() {
+		Convey("are sent directly to all other routers in a small fleet", func() {
 			l := newRelay("self", "a", false, record)
 			l.setPeers(fleet(11, 3))
 			l.announce(proxy.Announcement{Units: 5})
@@ -44,7 +44,7 @@
 			So(messages[0].kind, ShouldEqual, kindAnnouncement)
 			So(len(messages[0].to), ShouldEqual, 11)
 		})
-		Convey("go to a router of the core in its zone in a large fleet, and to another one when that has ended", func() {
+		Convey("are sent to a core router in its zone in a large fleet, and to another core router after that one has failed", func() {
 			l := newRelay("self", "b", false, record)
 			live := fleet(89, 8)
 			for range 3 {
@@ -59,7 +59,7 @@
 			So([]string{messages[0].to[0], messages[1].to[0]}, ShouldContain, "10.0.0.5:1")
 			So(messages[2].to[0], ShouldNotEqual, "")
 		})
-		Convey("are batched by any router where none of the core is alive, and sent to all", func() {
+		Convey("are batched by the router itself if no core router is alive, and sent to all other routers", func() {
 			l := newRelay("self", "a", false, record)
 			l.setPeers(fleet(89, 0))
 			l.announce(proxy.Announcement{Units: 5})
@@ -67,7 +67,7 @@
 			l.flush()
 			So(len(messages[0].to), ShouldEqual, 89)
 		})
-		Convey("are batched by a router of the core, in messages of a bounded size", func() {
+		Convey("are batched by a core router, in messages of a bounded size", func() {
 			l := newRelay("self", "a", true, record)
 			l.setPeers(fleet(89, 8))
 			l.announce(proxy.Announcement{Units: 5})
@@ -79,13 +79,13 @@
 				So(m.count, ShouldBeLessThanOrEqualTo, maxAnnouncementsPerDatagram)
 			}
 		})
-		Convey("reach every other router once, and each other zone by one message", func() {
-			everyone := fleet(90, 8)
+		Convey("reach every other router once, and are sent to each other zone in one message", func() {
+			allRouters := fleet(90, 8)
 			for _, withoutCore := range []string{"", "c"} {
 				relays := map[string]*announcementRelay{}
 				received := map[string]int{}
 				zoneCrossings := 0
-				for _, m := range everyone {
+				for _, m := range allRouters {
 					m.Core = m.Core && m.Zone != withoutCore
 					var l *announcementRelay
 					l = newRelay(m.Address, m.Zone, m.Core, func(to []string, kind transport.Kind, a []proxy.Announcement) {
@@ -104,19 +104,19 @@
 					})
 					relays[m.Address] = l
 				}
-				for _, m := range everyone {
-					others := slices.DeleteFunc(slices.Clone(everyone), func(other membership.Member) bool { return other.Address == m.Address })
+				for _, m := range allRouters {
+					others := slices.DeleteFunc(slices.Clone(allRouters), func(other membership.Member) bool { return other.Address == m.Address })
 					for i := range others {
 						others[i].Core = others[i].Core && others[i].Zone != withoutCore
 					}
 					relays[m.Address].setPeers(others)
 				}
-				sender := everyone[89]
+				sender := allRouters[89]
 				relays[sender.Address].announce(proxy.Announcement{Units: 5})
 				for _, l := range relays {
 					l.flush()
 				}
-				for _, m := range everyone {
+				for _, m := range allRouters {
 					if m.Address != sender.Address {
 						So(received[m.Address], ShouldEqual, 1)
 					}
@@ -133,7 +133,7 @@
 				cores = append(cores, m.Address)
 			}
 			for i := range 600 {
-				counts[newRelay(fmt.Sprint("router", i), "a", false, record).chooseCore(cores)]++
+				counts[newRelay(fmt.Sprint("router", i), "a", false, record).chooseCoreRouter(cores)]++
 			}
 			for _, count := range counts {
 				So(count, ShouldBeBetween, 60, 150)
--- a/internal/fleet/router/client_test.go
+++ b/internal/fleet/router/client_test.go
@@ -12,7 +12,7 @@
 	"pinelb.example/pinelb/client"
 )
 
-// newClient returns a client that knows all of a core's machines.
+// newClient returns a client with the addresses of all machines of the core.
 func (c *testCore) newClient() *client.Client {
 	var addresses []string
 	for i := range c.size {
@@ -23,15 +23,15 @@
 	return applications
 }
 
-// Guards against a client and routers that understand each other's calls differently, and against a client that stays with a dead machine.
+// Guards against a client and routers that encode or interpret calls differently, and against a client that keeps calling a failed machine.
 func TestClientAgainstCore(t *testing.T) {
-	Convey("An application's client, and a core of five", t, func() {
+	Convey("An application's client works with a core of five routers, also after one has failed", t, func() {
 		core := newTestCore(t.TempDir(), 5)
 		core.startAll(true)
 		Reset(core.killAll)
 		c := core.newClient()
 		Reset(c.Close)
-		ctx, cancel := context.WithTimeout(context.Background(), 4*testPatience)
+		ctx, cancel := context.WithTimeout(context.Background(), 4*testCallTimeout)
 		defer cancel()
 
 		lock, err := c.Acquire(ctx, "l", client.LockOptions{Holder: "a", Hold: 3 * time.Second})
--- a/internal/fleet/router/config_fetch.go
+++ b/internal/fleet/router/config_fetch.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	buildSpan     = 300 * time.Millisecond // over which the decoding of a large change is spread
+	buildSpan     = 300 * time.Millisecond // time over which the decoding of a large configuration is spread
 	maxBuildPause = 20 * time.Millisecond
 
-	reportedLag        = time.Second // of the configuration, from which on it is logged
-	lagReportsInterval = time.Second
+	minLoggedLag   = time.Second // lag of the active configuration from which on it is logged
+	lagLogInterval = time.Second
 )
 
-// fetch asks a router for the configurations that this one lacks.
+// fetch requests the configurations that this router lacks from another router, and passes the outcome to the node.
 func (g *gossip) fetch(fetch *dissemination.Fetch) {
 	ctx, cancel := context.WithTimeout(g.transport.Context(), fetch.Timeout)
 	defer cancel()
@@ -35,6 +35,7 @@
 	})
 }
 
+// fetchOutcome classifies the error of a failed fetch: time-outs are handled differently from refusals.
 func fetchOutcome(err error) dissemination.FetchOutcome {
 	if errors.Is(err, context.DeadlineExceeded) {
 		return dissemination.FetchTimedOut
@@ -42,14 +43,16 @@
 	return dissemination.FetchFailed
 }
 
-// build decodes a configuration without the lock, since a large one takes long. It leaves most of the processor to requests: on a machine
-// with a share of one, they would have to wait for the whole of it.
+// build decodes a configuration without holding the lock, since a large configuration takes long to decode. It pauses between steps to
+// leave most of the processor to requests: on a machine with a fraction of one processor, requests would otherwise wait until the whole
+// configuration is decoded.
 func (g *gossip) build(build *dissemination.Build) {
 	table, err := build.Table(g.buildPace(build))
 	g.step(func(now time.Duration) *dissemination.Output { return g.node.HandleBuilt(now, build, table, err) })
 }
 
-// buildPace spreads the work over buildSpan; nil: it is urgent, or short.
+// buildPace returns a function that pauses between the steps of a build, so that the build takes about buildSpan. It returns nil, for no
+// pauses, if the build is urgent or small.
 func (g *gossip) buildPace(build *dissemination.Build) config.Pace {
 	steps := config.EstimatePauses(build.Size())
 	if build.Urgent() || steps == 0 {
@@ -64,7 +67,7 @@
 	}
 }
 
-// serveFetch answers another router's fetch.
+// serveFetch replies to another router's fetch. It returns an error if the request can't be decoded or is refused.
 func (g *gossip) serveFetch(body []byte) (any, error) {
 	var request dissemination.FetchRequest
 	if err := cbor.Unmarshal(body, &request); err != nil {
@@ -75,14 +78,14 @@
 	return g.node.ServeFetch(g.clock(), request)
 }
 
-// reportLag logs that a newer configuration has been known for long and is not active.
-func (g *gossip) reportLag() {
+// logLag logs, at most once per lagLogInterval, that a newer configuration has been known for minLoggedLag or longer and is not active.
+func (g *gossip) logLag() {
 	g.mu.Lock()
 	now := g.clock()
 	lag := g.node.ConfigLag(now)
-	due := lag.For >= reportedLag && now >= g.nextLagReport
+	due := lag.For >= minLoggedLag && now >= g.nextLagLog
 	if due {
-		g.nextLagReport = now + lagReportsInterval
+		g.nextLagLog = now + lagLogInterval
 	}
 	g.mu.Unlock()
 	if !due {
--- a/internal/fleet/router/config_fetch_test.go
+++ b/internal/fleet/router/config_fetch_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestFetchOutcome(t *testing.T) {
-	Convey("A fetch that timed out is told from one that was refused", t, func() {
+	Convey("A fetch that timed out is distinguished from one that was refused", t, func() {
 		So(fetchOutcome(fmt.Errorf("call: %w", context.DeadlineExceeded)), ShouldEqual, dissemination.FetchTimedOut)
 		So(fetchOutcome(errors.New("refused")), ShouldEqual, dissemination.FetchFailed)
 	})
--- a/internal/fleet/router/coordination.go
+++ b/internal/fleet/router/coordination.go
@@ -14,23 +14,24 @@
 )
 
 const (
-	// historyMargin is how much longer than the bound the puts of a group are kept.
+	// historyMargin is added to the configured history bound: the puts of a group are kept for the sum of both.
 	historyMargin = 10 * time.Second
-	// maxGroupBytes bounds a group's keys, values and events.
+	// maxGroupBytes bounds the total size of a group's keys, values and events.
 	maxGroupBytes = 4 << 20
 )
 
-// coordinationService serves locks, counters, cells and watches to applications, where the settings ask for them. Else it holds no state and
-// sends nothing.
+// coordinationService serves locks, counters, cells and watches to applications, if the settings enable the service. Otherwise it holds no
+// state and sends no messages.
 type coordinationService struct {
 	*environment
 	gossip  *gossip
-	service *coordinator.Service // nil: not served
+	service *coordinator.Service // nil: the service is off, or has not been started
 }
 
+// isServed reports whether the settings enable the service.
 func (c *coordinationService) isServed() bool { return c.settings.ServesCoordination() }
 
-// start starts this machine's part.
+// start starts this machine's coordinator, if the service is enabled. It returns an error if the coordinator can't be started.
 func (c *coordinationService) start() error {
 	if !c.isServed() {
 		return nil
@@ -47,7 +48,7 @@
 		Proposers: c.gossip.liveCore,
 		Leaving:   c.draining.Load,
 		Send: func(to string, nonce uint64, message any) {
-			c.transport.Send(to, kindOfCoordination(message), nonce, message)
+			c.transport.Send(to, coordinationKind(message), nonce, message)
 		},
 		Clock: c.clock,
 		Log:   c.log,
@@ -55,20 +56,22 @@
 	return err
 }
 
-// tick notices pauses of the process.
+// tick lets the coordinator detect that the process was paused.
 func (c *coordinationService) tick() {
 	if c.service != nil {
 		c.service.Tick()
 	}
 }
 
+// close stops the coordinator, if it was started.
 func (c *coordinationService) close() {
 	if c.service != nil {
 		c.service.Close()
 	}
 }
 
-// Execute executes an operation: control.Coordinator.
+// Execute executes an operation, as part of control.Coordinator. It returns a *control.RefusedError if the operation was certainly not
+// executed.
 func (c *coordinationService) Execute(ctx context.Context, operation *coordination.Operation, park time.Duration) (coordination.Result, error) {
 	result, err := c.service.Execute(ctx, operation, park)
 	switch {
@@ -80,10 +83,10 @@
 	return result, err
 }
 
-// Draining reports whether this machine shuts down: control.Coordinator.
+// Draining reports whether this router is shutting down, as part of control.Coordinator.
 func (c *coordinationService) Draining() bool { return c.draining.Load() }
 
-// status returns what operators see; nil: the service is off.
+// status returns the coordinator's status for operators; nil: the service is off.
 func (c *coordinationService) status() *coordinator.Status {
 	if c.service == nil {
 		return nil
@@ -92,7 +95,8 @@
 	return &status
 }
 
-func kindOfCoordination(message any) transport.Kind {
+// coordinationKind returns the kind under which a message of the service is sent.
+func coordinationKind(message any) transport.Kind {
 	switch message.(type) {
 	case *register.Request:
 		return kindRegisterRequest
@@ -110,7 +114,7 @@
 	return kindCoordinationReply
 }
 
-// receive decodes a message and hands it to the service.
+// receive decodes a message and passes it to the service. Messages are ignored while the service is off.
 func (c *coordinationService) receive(p *transport.Packet) error {
 	if c.service == nil {
 		return nil
@@ -123,6 +127,7 @@
 	return nil
 }
 
+// newCoordinationMessage returns an empty message of a kind, to decode into.
 func newCoordinationMessage(kind transport.Kind) any {
 	switch kind {
 	case kindRegisterRequest:
--- a/internal/fleet/router/coordination_service_test.go
+++ b/internal/fleet/router/coordination_service_test.go
@@ -23,7 +23,7 @@
 	"pinelb.example/pinelb/internal/fleet/transport"
 )
 
-// newCoordinationRouter returns a router that does not run, without a transport: a message would end the test.
+// newCoordinationRouter returns a router that is not started and has no transport: an attempt to send a message panics and fails the test.
 func newCoordinationRouter(contracts string) *Router {
 	s, err := settings.Parse([]byte("nodeName=r\nip=127.0.0.1\nzone=z\nregion=r\nzones.z=r\nbootstrap=true\ncountsForQuorum=true\n" +
 		"listen.control=127.0.0.1:1\nportRange=2,2\nseeds=127.0.0.1:1\n" + contracts))
@@ -31,25 +31,26 @@
 	return New(s, zap.NewNop())
 }
 
+// callControl calls a router's control API and returns the status code.
 func callControl(r *Router, path, body string) int {
 	recorder := httptest.NewRecorder()
 	r.controlServer("127.0.0.1:1").ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, path, strings.NewReader(body)))
 	return recorder.Code
 }
 
-// coordinationMessages are one of each kind that the service sends.
+// coordinationMessages returns one message of each kind that the service sends, by kind.
 func coordinationMessages() map[transport.Kind]any {
 	messages := map[transport.Kind]any{}
 	for _, m := range []any{
 		&register.Request{Epoch: 1}, &register.Reply{Epoch: 1}, &register.Hello{}, &register.Collect{}, &register.Collected{},
 		&coordinator.CallRequest{ID: 1}, &coordinator.CallReply{ID: 1},
 	} {
-		messages[kindOfCoordination(m)] = m
+		messages[coordinationKind(m)] = m
 	}
 	return messages
 }
 
-// Guards against state, goroutines or messages of the service where no application calls.
+// Guards against state, goroutines or messages of the service in fleets whose settings don't enable it.
 func TestCoordinationIsOffByDefault(t *testing.T) {
 	for _, contracts := range []string{"", "contracts=\n", "contracts=base,quota\n"} {
 		Convey(fmt.Sprintf("Settings with %q have no coordination service", contracts), t, func() {
@@ -73,7 +74,7 @@
 			r.coordination.close()
 		})
 	}
-	Convey("Settings with the contract have one", t, func() {
+	Convey("Settings with the contract coord enable the coordination service", t, func() {
 		r := newCoordinationRouter("contracts=base,coord\n")
 		So(r.coordination.isServed(), ShouldBeTrue)
 		So(callControl(r, "/locks/l/begin", "{}"), ShouldEqual, http.StatusBadRequest)
@@ -81,14 +82,14 @@
 }
 
 func TestCoordinationMessages(t *testing.T) {
-	Convey("Each message has a kind of its own, which it is decoded by", t, func() {
+	Convey("Each message type has its own kind, by which it is decoded", t, func() {
 		messages := coordinationMessages()
 		So(messages, ShouldHaveLength, 7)
 		for kind, message := range messages {
 			So(newCoordinationMessage(kind), ShouldHaveSameTypeAs, message)
 		}
 	})
-	Convey("A message that can't be decoded is an error", t, func() {
+	Convey("A message that can't be decoded causes an error", t, func() {
 		r := newCoordinationRouter("contracts=coord\n")
 		var err error
 		r.coordination.service, err = coordinator.Start(coordinator.Options{Address: "127.0.0.1:2"})
@@ -103,7 +104,7 @@
 }
 
 func TestCoordinationRefusals(t *testing.T) {
-	Convey("A call is refused only where the service says that it is not executed", t, func() {
+	Convey("A call is refused only if the service reports that it was not executed", t, func() {
 		r := newCoordinationRouter("contracts=coord\n")
 		var proposers []string
 		var err error
@@ -125,7 +126,7 @@
 
 		proposers = []string{"127.0.0.2:2"}
 		_, err = r.coordination.Execute(t.Context(), operation, 0)
-		So(err, ShouldEqual, coordinator.ErrUnclear) // the call was not bound to a process yet
+		So(err, ShouldEqual, coordinator.ErrUnclear) // the call was not yet bound to a process of the proposer
 		_, err = r.coordination.Execute(t.Context(), operation, 0)
 		So(errors.As(err, &refused), ShouldBeTrue)
 		So(refused.Overloaded, ShouldBeTrue)
--- a/internal/fleet/router/coordination_test.go
+++ b/internal/fleet/router/coordination_test.go
@@ -24,12 +24,12 @@
 const (
 	testControlPort  = 24101
 	testInternalPort = 24102
-	testPatience     = 15 * time.Second // for a call to be answered with the wanted status
+	testCallTimeout  = 15 * time.Second // for a call to get the expected status
 )
 
-// testCore is a core of routers on loopback addresses that serves applications.
+// testCore is a core of routers on loopback addresses that runs the coordination service.
 type testCore struct {
-	folder    string
+	root      string
 	size      int
 	contracts string
 	cancels   []context.CancelFunc
@@ -38,15 +38,18 @@
 	client    *http.Client
 }
 
-func newTestCore(folder string, size int) *testCore {
+// newTestCore returns a core of a number of routers that are not started, with data directories under root.
+func newTestCore(root string, size int) *testCore {
 	return &testCore{
-		folder: folder, size: size, contracts: "base,coord", cancels: make([]context.CancelFunc, size), routers: make([]*Router, size),
+		root: root, size: size, contracts: "base,coord", cancels: make([]context.CancelFunc, size), routers: make([]*Router, size),
 		client: &http.Client{Timeout: time.Second},
 	}
 }
 
+// ip returns the address of router i.
 func (c *testCore) ip(i int) string { return fmt.Sprintf("127.7.1.%d", i+1) }
 
+// settingsText returns the settings file of router i.
 func (c *testCore) settingsText(i int, bootstrap bool) string {
 	var seeds []string
 	for seed := range 3 {
@@ -57,8 +60,10 @@
 		i, c.ip(i), i%3, bootstrap, c.ip(i), testControlPort, testInternalPort, testInternalPort, strings.Join(seeds, ","), c.contracts, c.directory(i))
 }
 
-func (c *testCore) directory(i int) string { return filepath.Join(c.folder, fmt.Sprint(i)) }
+// directory returns the data directory of router i.
+func (c *testCore) directory(i int) string { return filepath.Join(c.root, fmt.Sprint(i)) }
 
+// start starts router i.
 func (c *testCore) start(i int, bootstrap bool) {
 	So(os.MkdirAll(c.directory(i), 0o750), ShouldBeNil)
 	s, err := settings.Parse([]byte(c.settingsText(i, bootstrap)))
@@ -75,7 +80,7 @@
 	}
 }
 
-// kill ends a router as a crash would, unless it was killed before. It may still be ending.
+// kill simulates a crash of router i, unless it has already been killed. It does not wait until the router has stopped.
 func (c *testCore) kill(i int) {
 	if c.routers[i] != nil {
 		c.routers[i].Kill()
@@ -83,7 +88,7 @@
 	}
 }
 
-// killAll ends all routers as a crash would.
+// killAll simulates a crash of all routers, and waits until they have stopped.
 func (c *testCore) killAll() {
 	for i := range c.routers {
 		c.kill(i)
@@ -94,12 +99,13 @@
 	}
 }
 
-// call calls a router, and the next ones where it does not answer clearly, until the answer has a status.
+// call sends a request to the routers in turn until one replies with the wanted status, and returns the decoded reply. It fails the test
+// after testCallTimeout.
 func (c *testCore) call(method, path, body string, wanted int) map[string]any {
-	deadline := time.Now().Add(testPatience)
+	deadline := time.Now().Add(testCallTimeout)
 	last := ""
 	for i := 0; time.Now().Before(deadline); i++ {
-		status, answer, err := c.try(i%c.size, method, path, body)
+		status, answer, err := c.callOnce(i%c.size, method, path, body)
 		if err == nil && status == wanted {
 			return answer
 		}
@@ -110,7 +116,8 @@
 	return nil
 }
 
-// coordinationStatus asks a router, as an operator would: its own fields are set while it starts. nil: it does not answer.
+// coordinationStatus requests the status of a router over HTTP: reading the router's fields would be a data race while it starts. It
+// returns nil if the router does not reply.
 func (c *testCore) coordinationStatus(i int) *coordinator.Status {
 	response, err := c.client.Get(fmt.Sprintf("http://%s:%d%s", c.ip(i), testInternalPort, statusPath))
 	if err != nil {
@@ -124,9 +131,9 @@
 	return status.Coordination
 }
 
-// awaitAcceptors waits until each router's acceptor takes part: so many may be lost again as are tolerated.
+// awaitAcceptors waits until the acceptors of all routers are ready. Only then may the tolerated number of machines be lost again.
 func (c *testCore) awaitAcceptors() {
-	deadline := time.Now().Add(testPatience)
+	deadline := time.Now().Add(testCallTimeout)
 	for time.Now().Before(deadline) {
 		ready := 0
 		for i := range c.routers {
@@ -142,7 +149,8 @@
 	So("all acceptors", ShouldEqual, "ready")
 }
 
-func (c *testCore) try(router int, method, path, body string) (status int, answer map[string]any, err error) {
+// callOnce sends one request to a router.
+func (c *testCore) callOnce(router int, method, path, body string) (status int, answer map[string]any, err error) {
 	request, err := http.NewRequest(method, fmt.Sprintf("http://%s:%d%s", c.ip(router), testControlPort, path), bytes.NewBufferString(body))
 	if err != nil {
 		return 0, nil, err
@@ -156,13 +164,13 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	_ = json.Unmarshal(text, &answer) // an error's text is no JSON
+	_ = json.Unmarshal(text, &answer) // error replies are not JSON
 	return response.StatusCode, answer, nil
 }
 
-// Guards against calls of applications that are answered 404.
+// Guards against a running coordination service whose calls get the status 404.
 func TestApplicationCallsAreAnswered(t *testing.T) {
-	Convey("A core of five answers the calls of applications", t, func() {
+	Convey("A core of five routers serves calls of applications", t, func() {
 		core := newTestCore(t.TempDir(), 5)
 		core.startAll(true)
 		Reset(core.killAll)
@@ -178,9 +186,9 @@
 	})
 }
 
-// Guards against acknowledged calls of applications that are lost with two disks and all processes.
+// Guards against the loss of acknowledged calls of applications when all processes crash and two of five disks are lost.
 func TestAcknowledgedApplicationCallsOutliveDisks(t *testing.T) {
-	Convey("A core of five of which two may be lost", t, func() {
+	Convey("A core of five routers that tolerates the loss of two keeps acknowledged calls", t, func() {
 		core := newTestCore(t.TempDir(), 5)
 		core.startAll(true)
 		Reset(core.killAll)
@@ -214,9 +222,9 @@
 	})
 }
 
-// Guards against an operators' page that is wrong where more disks are lost than may be.
+// Guards against a recovery procedure in the operators' manual that does not work after the loss of more disks than tolerated.
 func TestRegistersBeginAnew(t *testing.T) {
-	Convey("A core of five that has lost three disks is not sure of anything", t, func() {
+	Convey("A core of five routers that has lost three disks can't confirm the state of any cell", t, func() {
 		core := newTestCore(t.TempDir(), 5)
 		core.startAll(true)
 		Reset(core.killAll)
@@ -229,7 +237,7 @@
 		core.startAll(false)
 		core.call("GET", "/cells/g1.a/read", "", 504)
 
-		Convey("and serves again, without what it had, once all its disks are empty and it starts as at first", func() {
+		Convey("and serves again, with empty state, after all disks have been wiped and it has been bootstrapped again", func() {
 			core.killAll()
 			for i := range core.size {
 				So(os.RemoveAll(core.directory(i)), ShouldBeNil)
@@ -241,9 +249,9 @@
 	})
 }
 
-// Guards against an operators' page that is wrong on how the service is switched on.
+// Guards against a procedure in the operators' manual that does not enable the service in a running fleet.
 func TestServiceIsSwitchedOn(t *testing.T) {
-	Convey("A core of five that was started without the service has no acceptors", t, func() {
+	Convey("A core of five routers that was bootstrapped without the service has no acceptors", t, func() {
 		core := newTestCore(t.TempDir(), 5)
 		core.contracts = "base"
 		core.startAll(true)
@@ -254,7 +262,7 @@
 		core.startAll(false)
 		core.call("POST", "/numbers/n1", `{}`, 504)
 
-		Convey("and serves once its registers begin anew", func() {
+		Convey("and serves after its registers have been wiped and bootstrapped", func() {
 			core.killAll()
 			for i := range core.size {
 				So(os.RemoveAll(filepath.Join(core.directory(i), "registers")), ShouldBeNil)
--- a/internal/fleet/router/core_size.go
+++ b/internal/fleet/router/core_size.go
@@ -9,28 +9,30 @@
 )
 
 const (
-	coreSizeGrace    = 20 * time.Second // after the start, in which the machines find each other
-	coreSizeInterval = time.Minute      // between two log lines about the core's size
+	coreSizeGrace       = 20 * time.Second // time after the start for the machines to discover each other; no check before
+	coreSizeLogInterval = time.Minute      // between checks of the core's size, each of which may log a warning
 )
 
-// coreSizeCheck warns the operator of a core with fewer machines than its tolerance needs. Only the goroutine of Run uses it.
+// coreSizeCheck logs a warning if the core has fewer machines than its configured tolerance needs. Only the goroutine of Router.Run uses
+// it.
 type coreSizeCheck struct {
 	*environment
 	gossip    *gossip
 	nextCheck time.Duration
 }
 
-// requiredCoreSize returns the least number of machines that count for the quorum of which a majority is left after the tolerated loss, also
-// where their disks are lost while all others lose power: docs/design/control-state.md has why fewer can't do.
+// requiredCoreSize returns the minimum number of machines that count for the quorum: a majority of them must survive the tolerated loss,
+// even if the lost machines lose their disks while all other machines lose power. docs/design/control-state.md explains why a smaller
+// core does not suffice.
 func requiredCoreSize(t settings.Tolerance) int { return 2*max(t.Machines, t.Zones, t.Regions) + 1 }
 
-// tick logs, on machines of the core, that there are too few of them.
+// tick logs the warning, on core machines only, at most once per coreSizeLogInterval.
 func (c *coreSizeCheck) tick() {
 	now := c.clock()
 	if !c.settings.CountsForQuorum || now < max(coreSizeGrace, c.nextCheck) {
 		return
 	}
-	c.nextCheck = now + coreSizeInterval
+	c.nextCheck = now + coreSizeLogInterval
 	size, required := c.gossip.coreSize(), requiredCoreSize(c.settings.Tolerance)
 	if size < required {
 		c.log.Warn("the core has fewer machines than its tolerance needs", zap.Int("machines", size), zap.Int("needed", required))
--- a/internal/fleet/router/core_size_test.go
+++ b/internal/fleet/router/core_size_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestRequiredCoreSize(t *testing.T) {
-	Convey("A core needs twice its tolerance and one machine, by the widest of its tolerances", t, func() {
+	Convey("A core needs one machine more than twice its largest tolerance", t, func() {
 		for _, c := range []struct {
 			tolerance settings.Tolerance
 			required  int
--- a/internal/fleet/router/drain.go
+++ b/internal/fleet/router/drain.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	readinessNoticeTime = 2500 * time.Millisecond // until the platform has noticed that this router is not ready
-	shutdownMargin      = 250 * time.Millisecond  // between the end of the drain and that of the platform's grace period
+	readinessPropagationDelay = 2500 * time.Millisecond // time for the platform's readiness probe to detect that this router is not ready
+	shutdownMargin            = 250 * time.Millisecond  // between the end of the drain and the end of the platform's grace period
 )
 
-// drain shuts the router down gracefully: another router becomes primary, clients are sent elsewhere, and requests in flight are
-// finished, at most until the deadline. Until it returns, this router goes on to take part in the dissemination.
+// drain shuts the router down gracefully: it resigns as primary, directs clients to other routers, and finishes requests in flight, until
+// the deadline at the latest. Until drain returns, the router continues to take part in the dissemination.
 func (r *Router) drain(ticks <-chan time.Time) {
 	deadline := time.Now().Add(r.settings.Bounds.Grace - shutdownMargin)
 	r.stopAcceptingClients(deadline)
 	if r.replica != nil {
 		r.replica.Resign()
 	}
-	r.tickUntil(ticks, time.After(readinessNoticeTime))
+	r.tickUntil(ticks, time.After(readinessPropagationDelay))
 	r.gossip.step(r.gossip.node.Leave)
 	r.tickUntil(ticks, r.finishRequests(deadline))
 	r.awaitReplicaRelease(ticks, deadline)
 }
 
-// stopAcceptingClients makes the router unready and has clients take their next connection elsewhere.
+// stopAcceptingClients makes the router unready and ends keep-alive, so that clients connect to other routers for their next requests.
 func (r *Router) stopAcceptingClients(deadline time.Time) {
 	r.draining.Store(true)
 	r.proxy.BeginDrain(deadline)
@@ -36,8 +36,8 @@
 	r.log.Info("draining")
 }
 
-// finishRequests closes the clients' listener. The channel that it returns is closed when the requests in flight have been finished,
-// or the deadline has passed.
+// finishRequests closes the clients' listener. It returns a channel that is closed once all requests in flight have finished or the
+// deadline has passed.
 func (r *Router) finishRequests(deadline time.Time) <-chan time.Time {
 	finished := make(chan time.Time)
 	go func() {
@@ -52,7 +52,7 @@
 	return finished
 }
 
-// awaitReplicaRelease ticks until this router's replica may stop, or the deadline has passed.
+// awaitReplicaRelease calls tick until this router's replica may stop or the deadline has passed.
 func (r *Router) awaitReplicaRelease(ticks <-chan time.Time, deadline time.Time) {
 	for r.replica != nil && !r.replica.CanStop() && time.Now().Before(deadline) {
 		<-ticks
@@ -60,7 +60,7 @@
 	}
 }
 
-// tickUntil ticks until done is closed or receives.
+// tickUntil calls tick on each of the ticks until done is closed or delivers a value.
 func (r *Router) tickUntil(ticks, done <-chan time.Time) {
 	for {
 		select {
--- a/internal/fleet/router/endpoint_cache.go
+++ b/internal/fleet/router/endpoint_cache.go
@@ -7,35 +7,36 @@
 	"pinelb.example/pinelb/internal/fleet/registry"
 )
 
-// The registry is soft state, which endpoints renew with each heartbeat. After all routers have ended at once, though, the first
-// heartbeats take more than a second to come. Machines with disks therefore cache the list of endpoints for that time.
+// The registry is soft state, which endpoints renew with each heartbeat. If all routers restart at once, however, it takes more than a
+// second until the first heartbeats arrive. Machines with disks therefore keep a copy of the list of endpoints on the disk and use it
+// during that time.
 
 const (
-	endpointCacheName = "endpoints"
-	restoreDelay      = 150 * time.Millisecond // after the start: by then a router that is alive has sent what it knows
-	restoreWindow     = 2 * time.Second        // after the start: later the endpoints themselves have sent heartbeats
+	endpointCacheFileName = "endpoints"
+	restoreDelay          = 150 * time.Millisecond // after the start: by then a live router has sent the endpoints that it knows
+	restoreWindow         = 2 * time.Second        // after the start: by then the endpoints have sent heartbeats, and the copy is not used
 )
 
-// endpointCache is the list of endpoints on the disk. Only the goroutine of Router.Run uses it.
+// endpointCache keeps a copy of the list of endpoints on the disk. Only the goroutine of Router.Run uses it.
 type endpointCache struct {
 	*environment
 	gossip         *gossip
-	file           *stateFile // nil: no disk
-	restored       []registry.Endpoint
-	isRestored     bool   // restored has been used, or it is too late for that
-	writtenVersion uint64 // of the registry
+	file           *stateFile          // nil: no data directory is configured
+	restored       []registry.Endpoint // read from the disk; nil once used
+	isRestored     bool                // restored has been used, or restoreWindow has passed
+	writtenVersion uint64              // registry version of the list on the disk
 }
 
-// start reads what the process before this one wrote.
+// start reads the list that the previous process wrote.
 func (c *endpointCache) start() {
 	if c.settings.DataDir == "" {
 		return
 	}
-	c.file = newStateFile(c.settings.DataDir, endpointCacheName, c.log)
+	c.file = newStateFile(c.settings.DataDir, endpointCacheFileName, c.log)
 	c.file.read(&c.restored)
 }
 
-// tick restores the endpoints once, where no others are known, and writes them where they have changed.
+// tick restores the endpoints once, after restoreDelay, and from restoreWindow on writes the list when it has changed.
 func (c *endpointCache) tick() {
 	now := c.clock()
 	if c.file == nil || now < restoreDelay {
@@ -52,6 +53,7 @@
 	}
 }
 
+// restore adds the endpoints of the previous process to the registry, unless it has a ready endpoint already.
 func (c *endpointCache) restore() {
 	c.gossip.step(func(now time.Duration) *dissemination.Output {
 		if len(c.gossip.node.Registry.Ready()) > 0 {
@@ -62,6 +64,7 @@
 	c.restored = nil
 }
 
+// write writes the list to the disk, unless the registry has not changed since the last write.
 func (c *endpointCache) write(now time.Duration) {
 	endpoints, version := c.gossip.readyEndpoints(c.writtenVersion)
 	if version == c.writtenVersion {
--- a/internal/fleet/router/endpoint_reports.go
+++ b/internal/fleet/router/endpoint_reports.go
@@ -13,33 +13,34 @@
 	"pinelb.example/pinelb/internal/fleet/registry"
 )
 
-// An endpoint whose leave has been acknowledged expects no requests drainMs later, from any router. A router that is partitioned off
-// can inform nobody. A leave is therefore acknowledged only once the primary has it, and a majority of the core has confirmed the
-// primary since: from there it reaches every router that is connected to the core.
+// An endpoint whose leave has been acknowledged expects no requests from any router from drainMs after that on. A partitioned router can't
+// notify other routers of the leave. A leave is therefore acknowledged only after the primary has received it, and a majority of the core
+// has confirmed the primary since then: the leave then reaches every router that is connected to the core.
 
-// leaveTimeout is how long the primary may take: the endpoint tries another router after a second.
+// leaveTimeout bounds the time for the primary's confirmation of a leave. It is below one second, after which the endpoint tries another
+// router.
 const leaveTimeout = 700 * time.Millisecond
 
-// errNoPrimary means that no router is known that could inform all others.
+// errNoPrimary is returned for a leave if no primary is known that could notify all routers, or if the called router can't be primary.
 var errNoPrimary = errors.New("router: no primary is known")
 
 // leaveReply acknowledges an endpoint's leave to the router that reported it.
 type leaveReply struct{}
 
-// ignoredReportsInterval is the least time between two log lines about reports that are ignored.
-const ignoredReportsInterval = time.Second
+// ignoredReportLogInterval is the minimum time between two log lines about ignored reports.
+const ignoredReportLogInterval = time.Second
 
-// endpointReports handles the endpoints' own reports. Its methods may be called by any goroutine.
+// endpointReports handles the reports that endpoints send about themselves: heartbeats and leaves. Its methods may be called by any goroutine.
 type endpointReports struct {
 	*environment
 	gossip *gossip
 
-	ignored      atomic.Uint64 // reports, since the start
-	nextLogAfter atomic.Int64  // time on the clock, in nanoseconds, of the next log line about one
+	ignored      atomic.Uint64 // number of ignored reports since the start
+	nextLogAfter atomic.Int64  // earliest time of the next log line about an ignored report, in nanoseconds on the clock
 }
 
-// handle applies an endpoint's report. One that is older than what is known, or of an endpoint that was deregistered, is ignored without an
-// error. An error means that the other routers may not learn of the endpoint's leave.
+// handle applies an endpoint's report. A report that is older than the last one applied, or whose endpoint has been deregistered, is ignored
+// without an error. An error means that a leave may not reach the other routers.
 func (e *endpointReports) handle(ctx context.Context, endpoint registry.Endpoint) error {
 	endpoint.Owner = e.address()
 	applied := false
@@ -57,12 +58,12 @@
 	return e.reportLeave(ctx, endpoint.ID)
 }
 
-// recordIgnored counts and logs a report that is ignored. It is acknowledged all the same: a late report of an endpoint that goes on is no
-// reason for the endpoint to turn to another router.
+// recordIgnored counts and logs an ignored report. The endpoint still receives an acknowledgement: an error would make a running endpoint
+// switch to another router only because one of its reports arrived late.
 func (e *endpointReports) recordIgnored(endpoint registry.Endpoint) {
 	e.ignored.Add(1)
 	now, next := int64(e.clock()), e.nextLogAfter.Load()
-	if now < next || !e.nextLogAfter.CompareAndSwap(next, now+int64(ignoredReportsInterval)) {
+	if now < next || !e.nextLogAfter.CompareAndSwap(next, now+int64(ignoredReportLogInterval)) {
 		return
 	}
 	e.log.Warn("endpoint's report ignored: late, or the endpoint has been deregistered",
@@ -72,12 +73,13 @@
 		zap.Uint64("ignoredSinceStart", e.ignored.Load()))
 }
 
-// reportLeave reports the leave of an endpoint to the primary, or confirms the leadership where this router is the primary.
+// reportLeave reports the leave of an endpoint to the primary, or, if this router is the primary, confirms its leadership. It returns an
+// error if the leave may not reach the other routers.
 func (e *endpointReports) reportLeave(ctx context.Context, id string) error {
 	endpoint, known := e.gossip.lookupEndpoint(id)
 	primary := e.gossip.primary()
 	if !known || endpoint.State == registry.Ready {
-		return nil // no router sends it requests because of this one
+		return nil // no leave to report: the endpoint is not known, or ready again
 	}
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
@@ -90,7 +92,8 @@
 	return e.transport.Call(ctx, primary, leavePath, endpoint, &leaveReply{})
 }
 
-// serveLeave handles another router's report of a leave, as the primary: it informs all others, and confirms that it is the primary.
+// serveLeave handles a leave that another router reports to this one as the primary: it disseminates the leave to all routers, and has a
+// majority of the core confirm its leadership. It returns an error if the leadership is not confirmed.
 func (e *endpointReports) serveLeave(body []byte) (any, error) {
 	var endpoint registry.Endpoint
 	if err := cbor.Unmarshal(body, &endpoint); err != nil {
--- a/internal/fleet/router/gossip.go
+++ b/internal/fleet/router/gossip.go
@@ -17,27 +17,28 @@
 	"pinelb.example/pinelb/internal/fleet/transport"
 )
 
-// endpointRefreshRest is the pause after the dispatcher took over a list of endpoints, as a multiple of the time that this took: a
-// twentieth of one processor at most goes there, however many endpoints come at once.
-const endpointRefreshRest = 20
+// endpointRefreshPauseFactor is the pause after the dispatcher has applied a list of endpoints, as a multiple of the time that this took.
+// It limits the refresh to a twentieth of one processor, however many endpoints are added at once.
+const endpointRefreshPauseFactor = 20
 
-// bytesPerSecondOfMbps turns the settings' rate of the link into that of the dissemination.
+// bytesPerSecondOfMbps converts the link rate of the settings, in megabits per second, to bytes per second.
 const bytesPerSecondOfMbps = 1e6 / 8
 
-// gossip runs the dissemination: it carries out what the node wants done, and makes the configuration and the endpoints that
-// the node knows those that requests are served by. Its methods may be called by any goroutine.
+// gossip runs the dissemination: it carries out the node's outputs (messages, fetches, builds), and applies the node's configuration and
+// endpoints to the active configuration and the dispatcher. Its methods may be called by any goroutine.
 type gossip struct {
 	*environment
 	config     *activeConfig
 	dispatcher *proxy.Dispatcher
 
-	// mu guards what follows, and the leaseholders. A goroutine that holds it may take the allocator's lock and the dispatcher's; one
-	// that holds the quota client's lock may take mu. It is held while the dispatcher is changed, so that changes keep their order.
+	// mu guards the fields below, and the leaseholderList. A goroutine that holds mu may take the allocator's lock and the dispatcher's; a
+	// goroutine that holds the quota client's lock may take mu. mu is held during changes of the dispatcher, so that they are applied in
+	// order.
 	mu                     sync.Mutex
 	node                   *dissemination.Gossiper
-	appliedRegistryVersion uint64        // of the endpoints that the dispatcher has
-	nextEndpointRefresh    time.Duration // earliest time of the next refresh
-	nextLagReport          time.Duration // earliest time of the next log line about the configuration's lag
+	appliedRegistryVersion uint64        // registry version of the endpoints that were last passed to the dispatcher
+	nextEndpointRefresh    time.Duration // earliest time of the next refreshEndpoints
+	nextLagLog             time.Duration // earliest time of the next log line about the configuration's lag
 }
 
 func newGossip(e *environment, c *activeConfig, d *proxy.Dispatcher) *gossip {
@@ -60,7 +61,7 @@
 	}
 }
 
-// receiveGossip decodes a message for the node and has the node handle it.
+// receiveGossip decodes a message for the node and passes it to the node. It returns an error if the message can't be decoded.
 func receiveGossip[M any](g *gossip, p *transport.Packet) error {
 	var message M
 	if err := cbor.Unmarshal(p.Body, &message); err != nil {
@@ -70,14 +71,14 @@
 	return nil
 }
 
-// step has the node take a step, with the lock held, and carries out its output.
+// step calls a function that advances the node, with the lock held, and carries out the node's output without the lock.
 func (g *gossip) step(step func(now time.Duration) *dissemination.Output) {
 	g.mu.Lock()
 	output := step(g.clock())
 	g.publish()
 	g.mu.Unlock()
 	for _, outgoing := range output.Send {
-		g.transport.Send(outgoing.To, kindOf(outgoing.Message), 0, outgoing.Message)
+		g.transport.Send(outgoing.To, gossipKind(outgoing.Message), 0, outgoing.Message)
 	}
 	if output.BuildError != nil {
 		g.log.Error("received configuration is invalid", zap.Error(output.BuildError))
@@ -90,7 +91,8 @@
 	}
 }
 
-func kindOf(message any) transport.Kind {
+// gossipKind returns the kind under which a message of the node is sent.
+func gossipKind(message any) transport.Kind {
 	switch message.(type) {
 	case dissemination.Heartbeat:
 		return kindHeartbeat
@@ -102,8 +104,8 @@
 	return kindUpdate
 }
 
-// publish makes the node's configuration the active one, and has the dispatcher stop the use of endpoints that have ended. The
-// caller holds the lock.
+// publish makes the node's configuration the active one, and makes the dispatcher stop sending requests to endpoints that are no longer
+// ready. The caller holds the lock.
 func (g *gossip) publish() {
 	g.config.update(g.node)
 	if ended := g.node.Registry.TakeUnready(); len(ended) > 0 {
@@ -111,15 +113,15 @@
 	}
 }
 
-// fleetSnapshot is what one tick needs to know of the fleet.
+// fleetSnapshot is the state of the fleet that one tick uses.
 type fleetSnapshot struct {
-	others  []membership.Member // that are alive
-	routers int                 // alive, this one included
+	others  []membership.Member // other live routers
+	routers int                 // number of live routers, including this one
 	view    uint64
-	primary string // internal address
+	primary string // internal address; empty: not known
 }
 
-// refresh tells the dispatcher of new endpoints and of the number of routers, and returns the fleet as it is now.
+// refresh passes new endpoints and the number of live routers to the dispatcher, and returns the state of the fleet.
 func (g *gossip) refresh() fleetSnapshot {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -130,8 +132,8 @@
 	return fleet
 }
 
-// refreshEndpoints has the dispatcher take over new endpoints. This is done at most once a tick: where many come at once, each list
-// costs as much as all of them. The caller holds the lock.
+// refreshEndpoints passes the list of ready endpoints to the dispatcher if it has changed. It runs at most once per tick instead of once
+// per endpoint, since applying a list takes time proportional to the number of all endpoints. The caller holds the lock.
 func (g *gossip) refreshEndpoints() {
 	version, startedAt := g.node.Registry.Version(), g.clock()
 	if version == g.appliedRegistryVersion || startedAt < g.nextEndpointRefresh {
@@ -139,31 +141,31 @@
 	}
 	g.appliedRegistryVersion = version
 	g.dispatcher.SetEndpoints(g.node.Registry.Ready())
-	g.nextEndpointRefresh = startedAt + endpointRefreshRest*(g.clock()-startedAt)
+	g.nextEndpointRefresh = startedAt + endpointRefreshPauseFactor*(g.clock()-startedAt)
 }
 
-// appliedVersion is the registry's version whose endpoints the dispatcher has.
+// appliedVersion returns the registry version of the endpoints that were last passed to the dispatcher.
 func (g *gossip) appliedVersion() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.appliedRegistryVersion
 }
 
-// confirm records that the configuration with a sequence was the newest at a moment.
+// confirm records that the configuration with a sequence number was the newest one at a time on the clock.
 func (g *gossip) confirm(sequence uint64, at time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.node.Config.Confirm(sequence, at)
 }
 
-// setSeeds replaces the seeds.
+// setSeeds replaces the seeds' internal addresses.
 func (g *gossip) setSeeds(seeds []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.node.SetSeeds(seeds)
 }
 
-// primary returns the internal address of the newest known primary; empty: none is known.
+// primary returns the internal address of the newest known primary, or "" if none is known.
 func (g *gossip) primary() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -171,7 +173,7 @@
 	return address
 }
 
-// primaryMember returns the newest known view and its primary, where that is another router that is known.
+// primaryMember returns the newest known view and its primary. ok is false if the primary is not known or is this router.
 func (g *gossip) primaryMember() (view uint64, primary membership.Member, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -180,21 +182,22 @@
 	return view, primary, known && address != g.address()
 }
 
-// liveCount is how many routers are alive, this one included.
+// liveCount returns the number of live routers, including this one.
 func (g *gossip) liveCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.node.Members.LiveCount()
 }
 
-// liveMembers are the other routers that are alive.
+// liveMembers returns the other live routers.
 func (g *gossip) liveMembers() []membership.Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.node.Members.LiveMembers()
 }
 
-// relayPeer picks a router that may reach the primary where this one does not; empty: none is known.
+// relayPeer picks a random live router, other than the primary, to forward messages to the primary if this router does not reach it. It
+// returns "" if there is none.
 func (g *gossip) relayPeer() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -206,7 +209,8 @@
 	return candidates[rand.IntN(len(candidates))]
 }
 
-// corePeers are machines that may know the primary: the known core, else the seeds.
+// corePeers returns the internal addresses of machines that may know the primary: the known core machines, or, if there are none, the
+// seeds.
 func (g *gossip) corePeers() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -216,14 +220,14 @@
 	return g.settings.SeedAddresses()
 }
 
-// coreSize is the number of machines that count for the quorum, this one included, whether alive or not.
+// coreSize returns the number of known machines that count for the quorum, live or not, plus one for this machine.
 func (g *gossip) coreSize() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return 1 + len(g.node.Members.CoreAddresses())
 }
 
-// localityOf returns where a machine is. A machine that is not known counts as a zone of its own.
+// localityOf returns the zone and region of a machine. A machine that is not known counts as a zone of its own.
 func (g *gossip) localityOf(address string) replication.Locality {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -234,14 +238,14 @@
 	return replication.Locality{Zone: m.Zone, Region: m.Region, Known: true, CountsForQuorum: m.Core}
 }
 
-// lookupEndpoint returns what is known of an endpoint.
+// lookupEndpoint returns the registry's entry of an endpoint, and whether there is one.
 func (g *gossip) lookupEndpoint(id string) (registry.Endpoint, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.node.Registry.Lookup(id)
 }
 
-// readyEndpoints returns the endpoints that are ready, and the registry's version; nil where the version is the known one.
+// readyEndpoints returns the ready endpoints and the registry's version. The endpoints are nil if the version equals knownVersion.
 func (g *gossip) readyEndpoints(knownVersion uint64) ([]registry.Endpoint, uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -252,8 +256,8 @@
 	return g.node.Registry.Ready(), version
 }
 
-// liveCore returns the internal addresses of the core machines that are alive, this one included where it is one; the seeds where no
-// other one is known.
+// liveCore returns the internal addresses of the live core machines, including this machine if it counts for the quorum. If no other live
+// core machine is known, the other seeds take their place.
 func (g *gossip) liveCore() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/fleet/router/grant_cache.go
+++ b/internal/fleet/router/grant_cache.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// grantTTL is the minimum time for which a grant is cached, for a request that is retried because the reply was late or lost.
+// grantTTL is the minimum time for which a grant is cached, for a retry of its request after the reply was late or lost.
 const grantTTL = time.Second
 
-// grantKey identifies a request to the allocator.
+// grantKey identifies a request to the allocator; all attempts of a request have the same key.
 type grantKey struct {
 	from   string // internal address of the requesting router
 	number uint64
 }
 
-// grantCache holds the allocator's last grants, so that requests are idempotent: a retry is granted once. It has two generations, of
-// which the older is dropped when the current one has reached grantTTL. The zero value is empty. Its methods may be called by any
-// goroutine.
+// grantCache holds the allocator's recent grants to make requests idempotent: a retry gets the cached grant. It has two generations; when
+// the current one reaches the age grantTTL, it becomes the previous one, and the former previous one is dropped. The zero value is an
+// empty cache. Its methods may be called by any goroutine.
 type grantCache struct {
 	mu                sync.Mutex
 	current, previous map[grantKey]quotaGrant
-	rotatedAt         time.Duration // when current was started
+	rotatedAt         time.Duration // time on the clock at which current was created
 }
 
-// lookup returns the grant that a request got before.
+// lookup returns the cached grant of a request, and whether there is one.
 func (g *grantCache) lookup(now time.Duration, key grantKey) (quotaGrant, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -35,7 +35,7 @@
 	return grant, found
 }
 
-// store caches a grant. A rejection is not cached: the same request may be granted a moment later.
+// store caches a grant. A rejection is not cached, since a retry of the same request may be granted.
 func (g *grantCache) store(now time.Duration, key grantKey, grant quotaGrant) {
 	if grant.Granted <= 0 {
 		return
@@ -46,7 +46,7 @@
 	g.current[key] = grant
 }
 
-// rotate drops grants that have expired. The caller holds the lock.
+// rotate starts a new generation if the current one has reached the age grantTTL. The caller holds the lock.
 func (g *grantCache) rotate(now time.Duration) {
 	if g.current != nil && now-g.rotatedAt < grantTTL {
 		return
--- a/internal/fleet/router/grant_cache_test.go
+++ b/internal/fleet/router/grant_cache_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestGrantCache(t *testing.T) {
-	Convey("A retried request gets the same reply, and is granted once", t, func() {
+	Convey("A retried request gets the cached grant", t, func() {
 		var g grantCache
 		key := grantKey{from: "10.0.0.1:1", number: 7}
 		_, found := g.lookup(0, key)
@@ -19,7 +19,7 @@
 			So(found, ShouldBeTrue)
 			So(grant.Granted, ShouldEqual, 50)
 		}
-		Convey("but not another router's request", func() {
+		Convey("but another router's request with the same number does not", func() {
 			_, found := g.lookup(0, grantKey{from: "10.0.0.2:1", number: 7})
 			So(found, ShouldBeFalse)
 		})
@@ -35,7 +35,7 @@
 		_, found := g.lookup(0, key)
 		So(found, ShouldBeFalse)
 	})
-	Convey("What is cached is bounded by time", t, func() {
+	Convey("The number of cached grants is bounded by their age", t, func() {
 		var g grantCache
 		for i := range 5000 {
 			g.store(time.Duration(i)*10*time.Millisecond, grantKey{number: uint64(i)}, quotaGrant{Granted: 1})
@@ -44,9 +44,10 @@
 	})
 }
 
-// Guards against a grant that is cached with the origin of the first attempt and sent with it to the second, where nobody waits.
+// Guards against a cached grant that keeps the origin of the first attempt: the reply to a retry on another path would then be sent to a
+// router that does not wait for it.
 func TestCachedGrantFollowsItsRequest(t *testing.T) {
-	Convey("A cached grant names the origin of the present attempt, whichever way the first one came", t, func() {
+	Convey("A cached grant is sent with the origin of the current attempt, even if the first attempt took another path", t, func() {
 		var g grantCache
 		key := grantKey{from: "10.0.0.1:1", number: 7}
 		g.store(0, key, quotaGrant{Number: 7, Granted: 50}.withOrigin(""))
--- a/internal/fleet/router/http_servers.go
+++ b/internal/fleet/router/http_servers.go
@@ -16,13 +16,13 @@
 	maxHeaderBytes    = 64 << 10
 )
 
-// httpServers serve the clients, the control API and the readiness probe. Only the goroutine of Router.Run uses it.
+// httpServers holds the HTTP servers for clients, the control API and the readiness probe. Only the goroutine of Router.Run uses it.
 type httpServers struct {
 	*environment
 	servers []*http.Server
 }
 
-// listen serves HTTP at an address, until close.
+// listen serves HTTP at an address until close is called. It returns an error if the address can't be bound.
 func (h *httpServers) listen(address string, handler http.Handler) (*http.Server, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -41,9 +41,9 @@
 	return server, nil
 }
 
-// close closes all connections. After a drain the requests in flight have been finished or cancelled.
+// close closes all listeners and connections. After a drain, the requests in flight have already been finished or cancelled.
 func (h *httpServers) close() {
 	for _, server := range h.servers {
-		_ = server.Close() // its listener may be closed already
+		_ = server.Close() // the listener may already be closed
 	}
 }
--- a/internal/fleet/router/learned_state_test.go
+++ b/internal/fleet/router/learned_state_test.go
@@ -21,7 +21,7 @@
 		So(received, ShouldNotBeNil)
 		So(at, ShouldEqual, 2*time.Second)
 	})
-	Convey("A router of the core is chosen, of the same zone if there is one", t, func() {
+	Convey("A core router is chosen, in the same zone if there is one, and any router if there is no core router", t, func() {
 		So(chooseLearnedSource(nil, "a"), ShouldEqual, "")
 		live := fleet(20, 8)
 		for range 20 {
--- a/internal/fleet/router/leaseholders.go
+++ b/internal/fleet/router/leaseholders.go
@@ -8,46 +8,46 @@
 	"pinelb.example/pinelb/internal/fleet/quota"
 )
 
-// A new allocator withholds what routers may use of shares that a former one leased, until all possible lease holders have announced
-// theirs, or the duration of a lease has passed. A process that has just started does not know who they are: after a loss of power in
-// the core it may know the core alone, while all others use their shares. Machines of the core therefore write the routers'
-// addresses to the disk, for the process after this one. Where there is no such list, a process that has not run for long treats no
-// number of announcements as complete, until a primary has sent it the list. A primary knows that its list is complete once its
-// allocator has been active for longer than leases of the one before last.
+// A new allocator withholds the quota that routers may still use under shares leased by a former allocator, until all possible lease
+// holders have announced their shares or the duration of a lease has passed. A process that has just started does not know all possible
+// lease holders: after a power loss in the core it may know the core routers only, while all other routers still use their shares. Core
+// machines therefore write the routers' addresses to the disk for their next process. Without such a list, a recently started process
+// never treats the announcements as complete until a primary has sent it a complete list. A primary's list is complete once its allocator
+// awaits no more announcements: from then on, only its own lease holders have shares.
 
 const (
-	leaseholdersName         = "routers"
-	leaseholderCheckInterval = 500 * time.Millisecond // between comparisons of the list with the one on the disk
+	leaseholdersFileName     = "routers"
+	leaseholderCheckInterval = 500 * time.Millisecond // between checks whether the list differs from the one on the disk
 )
 
-// leaseholderList knows the routers that may hold leased shares. The gossip's lock guards restored and isComplete; only the goroutine
-// of Router.Run uses the file and what belongs to it.
+// leaseholderList holds the routers that may hold leased shares. The gossip's lock guards restored and isComplete; only the goroutine of
+// Router.Run uses file, written and nextCheck.
 type leaseholderList struct {
 	*environment
 	gossip *gossip
 
-	restored   []string // known from the process before this one, or from a primary
-	isComplete bool     // restored and the members of the gossip are all
+	restored   []string // from the previous process, a primary, or recordHolder; internal addresses
+	isComplete bool     // restored and the gossip's members together include all possible lease holders
 
-	file      *stateFile // nil: no disk, or not of the core
-	written   []string
-	nextCheck time.Duration
+	file      *stateFile    // nil: no data directory is configured, or this machine does not count for the quorum
+	written   []string      // list on the disk
+	nextCheck time.Duration // earliest time of the next check
 }
 
-// start reads what the process before this one wrote.
+// start reads the list that the previous process wrote.
 func (l *leaseholderList) start() {
-	l.isComplete = l.settings.Bootstrap // there was no process before
+	l.isComplete = l.settings.Bootstrap // at the first start of the whole system no shares are leased
 	if l.settings.DataDir == "" || !l.settings.CountsForQuorum {
 		return
 	}
-	l.file = newStateFile(l.settings.DataDir, leaseholdersName, l.log)
+	l.file = newStateFile(l.settings.DataDir, leaseholdersFileName, l.log)
 	if l.file.read(&l.restored) {
 		l.isComplete = true
 	}
 	l.written = l.restored
 }
 
-// tick writes the list where it has changed.
+// tick writes the list to the disk if it is complete and has changed.
 func (l *leaseholderList) tick() {
 	now := l.clock()
 	if l.file == nil || now < l.nextCheck || !l.file.isDue(now) {
@@ -55,7 +55,7 @@
 	}
 	l.nextCheck = now + leaseholderCheckInterval
 	l.gossip.mu.Lock()
-	all, complete := l.possible()
+	all, complete := l.possibleHolders()
 	l.gossip.mu.Unlock()
 	if !complete || slices.Equal(all, l.written) {
 		return
@@ -64,22 +64,22 @@
 	l.file.write(now, all, l.tasks.Go)
 }
 
-// recordHolder records that a router holds shares of this router's allocator, while no shares of a former one are out. The caller
-// holds the gossip's lock.
+// recordHolder records that a router holds shares of this router's allocator, when no shares of a former allocator are leased any more.
+// The caller holds the gossip's lock.
 func (l *leaseholderList) recordHolder(address string) {
 	l.isComplete = true
 	l.add(address)
 }
 
-// add adds an address. The caller holds the gossip's lock.
+// add adds an internal address, unless the list has it already. The caller holds the gossip's lock.
 func (l *leaseholderList) add(address string) {
 	if !slices.Contains(l.restored, address) {
 		l.restored = append(slices.Clone(l.restored), address)
 	}
 }
 
-// addComplete adds the primary's complete list; empty: it has not sent one.
-func (l *leaseholderList) addComplete(addresses []string) {
+// addCompleteList adds the primary's complete list. An empty list means that the primary did not send one, and is ignored.
+func (l *leaseholderList) addCompleteList(addresses []string) {
 	if len(addresses) == 0 {
 		return
 	}
@@ -91,10 +91,10 @@
 	l.isComplete = true
 }
 
-// possible returns the addresses of the routers that may hold shares of a former allocator: those that are alive, those that ended so
-// lately that they may be partitioned off instead, and those that the process before this one knew and this one has not met.
-// complete is false where there may be others. The caller holds the gossip's lock.
-func (l *leaseholderList) possible() (all []string, complete bool) {
+// possibleHolders returns the internal addresses of the routers that may hold shares of a former allocator: live routers, routers that
+// failed recently enough that they may be partitioned and still hold a lease, and routers in restored that this process has not
+// discovered. complete is false if there may be further holders. The caller holds the gossip's lock.
+func (l *leaseholderList) possibleHolders() (all []string, complete bool) {
 	now, members := l.clock(), l.gossip.node.Members
 	recently := quota.LeaseDuration + membership.DefaultTiming().FailureTimeout
 	for _, m := range members.All() {
@@ -103,7 +103,7 @@
 			all = append(all, m.Address)
 		}
 	}
-	if l.hasOutlivedTombstones() {
+	if l.uptimeExceedsTombstoneTTL() {
 		return all, true
 	}
 	for _, address := range l.restored {
@@ -112,21 +112,23 @@
 		}
 	}
 	slices.Sort(all)
-	return all, l.knowsAll()
+	return all, l.coversAllHolders()
 }
 
-// knowsAll reports whether possible returns all. The caller holds the gossip's lock.
-func (l *leaseholderList) knowsAll() bool { return l.isComplete || l.hasOutlivedTombstones() }
+// coversAllHolders reports whether possibleHolders returns all possible lease holders. The caller holds the gossip's lock.
+func (l *leaseholderList) coversAllHolders() bool {
+	return l.isComplete || l.uptimeExceedsTombstoneTTL()
+}
 
-// wantsComplete reports whether this router needs the primary's list.
-func (l *leaseholderList) wantsComplete() bool {
+// needsCompleteList reports whether this router needs the primary's complete list.
+func (l *leaseholderList) needsCompleteList() bool {
 	l.gossip.mu.Lock()
 	defer l.gossip.mu.Unlock()
-	return !l.knowsAll()
+	return !l.coversAllHolders()
 }
 
-// hasOutlivedTombstones reports whether this process has run so long that every router that was there before it is either known or
-// forgotten by all.
-func (l *leaseholderList) hasOutlivedTombstones() bool {
+// uptimeExceedsTombstoneTTL reports whether this process has run for longer than tombstones of failed members are kept. By then, every
+// router that was a member before this process started is either a known member or has been removed by all routers.
+func (l *leaseholderList) uptimeExceedsTombstoneTTL() bool {
 	return l.clock() > membership.DefaultTiming().TombstoneTTL
 }
--- a/internal/fleet/router/leaseholders_test.go
+++ b/internal/fleet/router/leaseholders_test.go
@@ -17,7 +17,7 @@
 
 const quotaTestWindow = 8 * time.Second
 
-// leaseTestRouter is a router of the core that has run for a time, with nothing of it started.
+// leaseTestRouter returns a core router with a simulated uptime, of which only the list of lease holders is started.
 func leaseTestRouter(directory string, uptime time.Duration, bootstrap bool) *Router {
 	s := &settings.Settings{IP: "10.0.0.1", DataDir: directory, CountsForQuorum: true, Bootstrap: bootstrap}
 	s.Bounds.QuotaWindow, s.Bounds.QuotaOvershootRatio = quotaTestWindow, 0.1
@@ -27,8 +27,8 @@
 	return r
 }
 
-// grantedAfter is what the allocator of a new view grants some time later, in seconds of the rate, when these routers have
-// announced their leases.
+// grantedAfter returns how much the allocator of a new view grants after a time, in seconds of the tenant's rate, if the given routers have
+// announced their shares.
 func (r *Router) grantedAfter(elapsed time.Duration, announced ...string) float64 {
 	t := &config.Tenant{Name: "t", RatePerS: 1000, Burst: 5000}
 	activatedAt := r.clock()
@@ -44,44 +44,46 @@
 	return granted / t.RatePerS
 }
 
-// initialGrant is the quota that a new allocator may grant at once, in seconds of the rate: a quarter of the excess.
+// initialGrant is the quota that a new allocator may grant immediately, in seconds of the tenant's rate: a quarter of the permitted
+// overshoot.
 const initialGrant = 0.25 * 0.1 * (8 + 5)
 
-// Guards against an allocator that grants what partitioned routers still use: a primary that has just started knows few routers.
+// Guards against an allocator that grants quota that partitioned routers still use under their leases. A primary that has just started
+// does not know these routers.
 func TestNewAllocatorOfNewProcess(t *testing.T) {
 	const elapsed = 2 * time.Second
-	const enough = initialGrant + 1.9
+	const minLaterGrant = initialGrant + 1.9
 	Convey("A primary that has just started", t, func() {
 		directory := t.TempDir()
-		Convey("withholds what routers that it does not know may have leased", func() {
+		Convey("withholds the shares that routers unknown to it may have leased", func() {
 			r := leaseTestRouter(directory, time.Second, false)
 			So(r.grantedAfter(elapsed, r.settings.InternalAddress()), ShouldAlmostEqual, initialGrant, 0.01)
 		})
-		Convey("does so as well where its disk names routers that have not announced theirs", func() {
+		Convey("withholds shares if the list on its disk has routers that have not announced their shares", func() {
 			writeLeaseholders(directory, "10.0.0.1:0", "10.0.0.2:0")
 			r := leaseTestRouter(directory, time.Second, false)
 			So(r.grantedAfter(elapsed, r.settings.InternalAddress()), ShouldAlmostEqual, initialGrant, 0.01)
 		})
-		Convey("grants at once when all routers that its disk names have announced theirs", func() {
+		Convey("grants immediately once all routers of the list on its disk have announced their shares", func() {
 			writeLeaseholders(directory, "10.0.0.1:0", "10.0.0.2:0")
 			r := leaseTestRouter(directory, time.Second, false)
-			So(r.grantedAfter(elapsed, r.settings.InternalAddress(), "10.0.0.2:0"), ShouldBeGreaterThan, enough)
+			So(r.grantedAfter(elapsed, r.settings.InternalAddress(), "10.0.0.2:0"), ShouldBeGreaterThan, minLaterGrant)
 		})
-		Convey("has nothing to withhold at the first start of the whole system", func() {
+		Convey("withholds nothing at the first start of the whole system", func() {
 			r := leaseTestRouter(directory, time.Second, true)
-			So(r.grantedAfter(elapsed, r.settings.InternalAddress()), ShouldBeGreaterThan, enough)
+			So(r.grantedAfter(elapsed, r.settings.InternalAddress()), ShouldBeGreaterThan, minLaterGrant)
 		})
-		Convey("does not take a list that can't be read for one", func() {
-			So(os.WriteFile(filepath.Join(directory, leaseholdersName), []byte("torn"), 0o600), ShouldBeNil)
+		Convey("treats an unreadable list as missing", func() {
+			So(os.WriteFile(filepath.Join(directory, leaseholdersFileName), []byte("torn"), 0o600), ShouldBeNil)
 			r := leaseTestRouter(directory, time.Second, false)
 			So(r.grantedAfter(elapsed, r.settings.InternalAddress()), ShouldAlmostEqual, initialGrant, 0.01)
 		})
 	})
-	Convey("A primary that has run for long knows all lease holders", t, func() {
+	Convey("A primary that has run for longer than the tombstone TTL knows all lease holders", t, func() {
 		r := leaseTestRouter("", membership.DefaultTiming().TombstoneTTL+time.Second, false)
-		So(r.grantedAfter(elapsed, r.settings.InternalAddress()), ShouldBeGreaterThan, enough)
+		So(r.grantedAfter(elapsed, r.settings.InternalAddress()), ShouldBeGreaterThan, minLaterGrant)
 	})
-	Convey("A process leaves to the next one the routers that it knows, and those that it has not met yet", t, func() {
+	Convey("A process writes to the disk the live routers and the routers of the previous list that it has not discovered", t, func() {
 		directory := t.TempDir()
 		writeLeaseholders(directory, "10.0.0.9:0")
 		r := leaseTestRouter(directory, time.Second, false)
@@ -89,35 +91,36 @@
 		r.leaseholders.tick()
 		r.tasks.Wait()
 		var written []string
-		So(newStateFile(directory, leaseholdersName, zap.NewNop()).read(&written), ShouldBeTrue)
+		So(newStateFile(directory, leaseholdersFileName, zap.NewNop()).read(&written), ShouldBeTrue)
 		So(written, ShouldResemble, []string{r.settings.InternalAddress(), "10.0.0.2:0", "10.0.0.9:0"})
 	})
-	Convey("A primary whose allocator awaits no announcements any more knows all lease holders, and sends them to others", t, func() {
+	Convey("A primary whose allocator awaits no more announcements has a complete list, which completes other lists", t, func() {
 		primary := leaseTestRouter("", 10*time.Second, false)
-		_, complete := primary.leaseholders.possible()
+		_, complete := primary.leaseholders.possibleHolders()
 		So(complete, ShouldBeFalse)
 		primary.allocatorServer.allocations.Activate(primary.clock()-quota.LeaseDuration-time.Second, 5, false, quotaTestWindow)
 		primary.allocatorServer.recordAnnouncement("10.0.0.2:0")
-		all, complete := primary.leaseholders.possible()
+		all, complete := primary.leaseholders.possibleHolders()
 		So(complete, ShouldBeTrue)
 		So(all, ShouldResemble, []string{primary.settings.InternalAddress(), "10.0.0.2:0"})
 		other := leaseTestRouter("", time.Second, false)
-		other.leaseholders.addComplete(nil)
-		So(other.leaseholders.knowsAll(), ShouldBeFalse)
-		other.leaseholders.addComplete(append(all, "10.0.0.3:0"))
-		all, complete = other.leaseholders.possible()
+		other.leaseholders.addCompleteList(nil)
+		So(other.leaseholders.coversAllHolders(), ShouldBeFalse)
+		other.leaseholders.addCompleteList(append(all, "10.0.0.3:0"))
+		all, complete = other.leaseholders.possibleHolders()
 		So(complete, ShouldBeTrue)
 		So(all, ShouldResemble, []string{other.settings.InternalAddress(), "10.0.0.2:0", "10.0.0.3:0"})
 	})
-	Convey("A process that may not know all leaves no list", t, func() {
+	Convey("A process that may not know all lease holders writes no list", t, func() {
 		directory := t.TempDir()
 		r := leaseTestRouter(directory, time.Second, false)
 		r.leaseholders.tick()
 		r.tasks.Wait()
-		So(newStateFile(directory, leaseholdersName, zap.NewNop()).read(new([]string)), ShouldBeFalse)
+		So(newStateFile(directory, leaseholdersFileName, zap.NewNop()).read(new([]string)), ShouldBeFalse)
 	})
 }
 
+// writeLeaseholders writes a list of lease holders as a previous process would.
 func writeLeaseholders(directory string, addresses ...string) {
-	So(replaceFile(filepath.Join(directory, leaseholdersName), addresses), ShouldBeNil)
+	So(replaceFile(filepath.Join(directory, leaseholdersFileName), addresses), ShouldBeNil)
 }
--- a/internal/fleet/router/messages.go
+++ b/internal/fleet/router/messages.go
@@ -14,7 +14,7 @@
 	"pinelb.example/pinelb/internal/fleet/transport"
 )
 
-// Kinds of messages between routers. Their numbers are part of the protocol: new kinds are added at the end.
+// Kinds of messages between routers. Their numbers are part of the protocol: add new kinds at the end.
 const (
 	kindReplication transport.Kind = iota + 1
 	kindHeartbeat
@@ -24,10 +24,10 @@
 	kindQuotaRequest
 	kindQuotaGrant
 	kindAnnouncement      // to all routers
-	kindAnnouncementRelay // to one router, which sends it to all
+	kindAnnouncementRelay // to a relay, which sends it to all routers
 	kindLeaseRenewal
 	kindLeaseRenewalReply
-	kindAnnouncementZoneRelay // to one router, which sends it to its zone
+	kindAnnouncementZoneRelay // to a core router, which forwards it to its zone
 	kindRegisterRequest       // to an acceptor
 	kindRegisterReply
 	kindRegisterHello
@@ -45,8 +45,8 @@
 	statusPath  = "/status"
 )
 
-// fleetID identifies the fleet in each message, so that messages of other fleets are rejected. It is a hash of the settings that all
-// machines share.
+// fleetID returns the number that identifies the fleet in each message, so that messages of other fleets are rejected. It is a hash of
+// settings that all machines of a fleet share: the zones with their regions, and the ports.
 func fleetID(s *settings.Settings) uint32 {
 	var zones []string
 	for zone, region := range s.RegionOfZone {
@@ -56,8 +56,8 @@
 	return uint32(xxhash.Sum64String(fmt.Sprint(zones, s.Ports)))
 }
 
-// receive handles another router's message; those that can't be decoded are counted as dropped. The transport calls it from several
-// goroutines.
+// receive handles a message of another router. Messages that can't be decoded are counted as dropped. The transport calls receive from
+// several goroutines.
 func (r *Router) receive(p *transport.Packet) {
 	var err error
 	switch p.Kind {
@@ -90,6 +90,7 @@
 	}
 }
 
+// receiveReplication passes a message to the replica. It is ignored if this router has no replica.
 func (r *Router) receiveReplication(p *transport.Packet) error {
 	if r.replica == nil {
 		return nil
@@ -101,7 +102,7 @@
 	return r.replica.Deliver(replication.Replica{Address: p.From, Nonce: p.Nonce}, envelope)
 }
 
-// receiveAnnouncements forwards other routers' announcements where this router is asked to, and applies them.
+// receiveAnnouncements applies other routers' announcements, and forwards them if the message's kind makes this router a relay for them.
 func (r *Router) receiveAnnouncements(p *transport.Packet) error {
 	var announcements []proxy.Announcement
 	if err := cbor.Unmarshal(p.Body, &announcements); err != nil {
--- a/internal/fleet/router/messages_test.go
+++ b/internal/fleet/router/messages_test.go
@@ -17,8 +17,8 @@
 	"pinelb.example/pinelb/internal/fleet/transport"
 )
 
-// Guards against a renamed field or a reordered kind that changes what routers of different versions send each other. The encodings
-// were written by the version b772427.
+// Guards against a renamed field or a reordered kind that makes routers of different versions incompatible. The expected encodings were
+// recorded with version b772427.
 func TestWireFormat(t *testing.T) {
 	for _, message := range []struct {
 		value   any
@@ -48,7 +48,7 @@
 			So(hex.EncodeToString(encoded), ShouldEqual, message.encoded)
 		})
 	}
-	Convey("Kinds of messages have their numbers", t, func() {
+	Convey("The kinds of messages keep their numbers", t, func() {
 		for i, kind := range []transport.Kind{
 			kindReplication, kindHeartbeat, kindPull, kindPullReply, kindUpdate, kindQuotaRequest, kindQuotaGrant, kindAnnouncement,
 			kindAnnouncementRelay, kindLeaseRenewal, kindLeaseRenewalReply, kindAnnouncementZoneRelay, kindRegisterRequest,
@@ -59,7 +59,7 @@
 	})
 }
 
-// Guards against a renamed field that changes the status that operators' scripts read. The text was written by the version b772427.
+// Guards against a renamed field that breaks operators' scripts, which read the status. The expected text was recorded with version b772427.
 func TestStatusFormat(t *testing.T) {
 	Convey("The status has the same fields in JSON as before", t, func() {
 		encoded, err := json.Marshal(Status{
@@ -74,7 +74,7 @@
 			`"replica":{"leading":false,"view":{"Number":0,"Primary":{"Address":"","Nonce":0},"Members":null,"Witnesses":null}},`+
 			`"served":0,"refused":0,"failed":0,"broken":0,"superseded":0,"moved":0,"sentDatagrams":0,"sentBytes":0,"dropped":0,"heartbeatsIgnored":0,"uptimeMs":0}`)
 	})
-	Convey("The part of the coordination service has the same fields in JSON as before, where it is on", t, func() {
+	Convey("The status of the coordination service has the same fields in JSON as before, if the service is on", t, func() {
 		encoded, err := json.Marshal(Status{Coordination: &coordinator.Status{
 			Acceptors: []replication.Replica{{Address: "a", Nonce: 1}}, Acceptor: &replication.Replica{Address: "a", Nonce: 1},
 		}})
--- a/internal/fleet/router/quota_allocator.go
+++ b/internal/fleet/router/quota_allocator.go
@@ -13,12 +13,12 @@
 	"pinelb.example/pinelb/internal/fleet/transport"
 )
 
-// maxLeadershipAge is the age of the primary's confirmation beyond which its allocator is not active: less than the time-out after
-// which witnesses take part in the election of another primary, so that two allocators are never active at once.
+// maxLeadershipAge is the maximum time since the primary's leadership was last confirmed for its allocator to be active. It is less than
+// the time-out after which witnesses take part in the election of another primary, so that two allocators are never active at once.
 const maxLeadershipAge = 600 * time.Millisecond
 
 // allocatorServer is this router's allocator, which grants credit and leases shares to all routers while this router is the primary.
-// Its methods may be called by any goroutine, without the gossip's lock unless they say so.
+// Its methods may be called by any goroutine. The caller must not hold the gossip's lock unless a method's comment requires it.
 type allocatorServer struct {
 	*environment
 	gossip       *gossip
@@ -26,10 +26,10 @@
 	leaseholders *leaseholderList
 	grants       grantCache
 
-	mu            sync.Mutex // guards what follows; where the gossip's lock is needed too, that is taken first
+	mu            sync.Mutex // guards the fields below; if the gossip's lock is needed too, it is taken first
 	allocations   *quota.Allocator
-	activeAddress string        // the router whose allocator is active
-	activeSince   time.Duration // when that became active
+	activeAddress string        // internal address of the router whose allocator is active; empty: not known
+	activeSince   time.Duration // time on the clock at which that allocator became active
 }
 
 func newAllocatorServer(e *environment, g *gossip, c *activeConfig, l *leaseholderList) *allocatorServer {
@@ -38,20 +38,21 @@
 	}
 }
 
+// quotaSettings returns the bounds of quotas from the router's settings.
 func quotaSettings(s *settings.Settings) quota.Settings {
 	return quota.Settings{Window: s.Bounds.QuotaWindow, OvershootRatio: s.Bounds.QuotaOvershootRatio, OvershootUnits: s.Bounds.QuotaOvershootUnits}
 }
 
-// setRouters records how many routers are alive.
+// setRouters records the number of live routers.
 func (a *allocatorServer) setRouters(routers int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.allocations.SetRouters(routers)
 }
 
-// activeTable is the configuration by which this router's allocator acts; nil: the allocator is not active.
+// activeTable returns the configuration that this router's allocator applies, or nil if the allocator is not active.
 func (a *allocatorServer) activeTable() *config.Table {
-	if a.replica == nil || a.draining.Load() { // a router that drains has resigned
+	if a.replica == nil || a.draining.Load() { // a draining router has resigned
 		return nil
 	}
 	confirmedAt, leading := a.replica.LeadershipConfirmedAt()
@@ -62,8 +63,9 @@
 	return table
 }
 
-// grant grants credit of a tenant's quota; false: the allocator is not active, or does not know the tenant.
-func (a *allocatorServer) grant(tenant string, least, want float64) (quotaGrant, bool) {
+// grant grants at least minimum units of credit from a tenant's quota, and up to wanted units, or rejects the request. It returns false if
+// the allocator is not active or the tenant is not configured.
+func (a *allocatorServer) grant(tenant string, minimum, wanted float64) (quotaGrant, bool) {
 	table := a.activeTable()
 	if table == nil {
 		return quotaGrant{}, false
@@ -74,11 +76,12 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	granted, wait := a.allocations.Grant(now, t, least, want)
+	granted, wait := a.allocations.Grant(now, t, minimum, wanted)
 	return quotaGrant{Granted: granted, WaitMs: uint64(wait / time.Millisecond)}, true
 }
 
-// receiveRequest answers a router's request for credit, or forwards it to the primary. A retry gets the reply of the first attempt.
+// receiveRequest replies to a router's request for credit, or forwards it to the primary if this allocator is not active. A retry of a
+// granted request gets the same grant again.
 func (a *allocatorServer) receiveRequest(p *transport.Packet) error {
 	var request quotaRequest
 	if err := cbor.Unmarshal(p.Body, &request); err != nil {
@@ -99,7 +102,7 @@
 	return nil
 }
 
-// receiveRenewal answers a router's renewal of its lease, or forwards it to the primary.
+// receiveRenewal replies to a router's renewal of its lease, or forwards it to the primary if this allocator is not active.
 func (a *allocatorServer) receiveRenewal(p *transport.Packet) error {
 	var renewal leaseRenewal
 	if err := cbor.Unmarshal(p.Body, &renewal); err != nil {
@@ -115,7 +118,8 @@
 	return nil
 }
 
-// forwardToPrimary forwards a message of a router that does not reach the primary. One that has been forwarded before is dropped.
+// forwardToPrimary forwards a message of a router that does not reach the primary. It drops messages without an origin, which their sender
+// did not ask to forward, and messages that have already been forwarded once.
 func (a *allocatorServer) forwardToPrimary(p *transport.Packet, origin string, kind transport.Kind, message any) {
 	if origin != p.From {
 		return
@@ -125,7 +129,7 @@
 	}
 }
 
-// renew renews a router's lease; false: the allocator is not active.
+// renew renews a router's lease of shares. It returns false if the allocator is not active.
 func (a *allocatorServer) renew(from string, renewal *leaseRenewal) (leaseRenewalReply, bool) {
 	table := a.activeTable()
 	if table == nil {
@@ -144,26 +148,27 @@
 		}
 	}
 	a.recordAnnouncement(from)
-	if renewal.WantsLeaseholders && a.leaseholders.knowsAll() {
-		reply.Leaseholders, _ = a.leaseholders.possible()
+	if renewal.WantsLeaseholders && a.leaseholders.coversAllHolders() {
+		reply.Leaseholders, _ = a.leaseholders.possibleHolders()
 	}
 	return reply, true
 }
 
-// recordAnnouncement records that a router has renewed all that it holds. The caller holds the gossip's lock and the allocator's.
+// recordAnnouncement records that a router has announced all shares that it holds, by renewing its lease. The caller holds the gossip's
+// lock and the allocator's.
 func (a *allocatorServer) recordAnnouncement(from string) {
 	if !a.allocations.AwaitsAnnouncements(a.clock()) {
 		a.leaseholders.recordHolder(from)
 		return
 	}
 	a.allocations.RecordAnnouncement(from)
-	if all, complete := a.leaseholders.possible(); complete {
+	if all, complete := a.leaseholders.possibleHolders(); complete {
 		a.allocations.ExpectAnnouncements(all)
 	}
 }
 
-// handleViewChange records whose allocator is active in a new view, and activates this router's where it is the primary. now is the
-// time of the view change.
+// handleViewChange records which router's allocator is active in a new view, and activates this router's allocator if it is the primary.
+// now is the time of the view change.
 func (a *allocatorServer) handleViewChange(now time.Duration, view replication.View) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -173,9 +178,9 @@
 	}
 }
 
-// setActive records whose allocator is active from now on, and returns how long the former one has been. For the first one that a
-// process learns of, which may be one that its disk names, that is not known: it counts as a complete window. The caller holds the
-// lock.
+// setActive records the router whose allocator is active from now on, and returns for how long the former allocator has been active. For
+// the first primary that a process learns of, possibly from its disk, that time is not known and counts as a complete quota window. The
+// caller holds the lock.
 func (a *allocatorServer) setActive(address string) (formerActiveFor time.Duration) {
 	now := a.clock()
 	if a.activeAddress == "" {
@@ -188,7 +193,7 @@
 	return formerActiveFor
 }
 
-// limitedTenant returns the tenant with a name, where it has a quota; else nil.
+// limitedTenant returns the tenant with a name if it has a quota, or nil.
 func limitedTenant(table *config.Table, name string) *config.Tenant {
 	if t := table.TenantByName(name); t != nil && quota.HasQuota(t) {
 		return t
--- a/internal/fleet/router/quota_client.go
+++ b/internal/fleet/router/quota_client.go
@@ -14,37 +14,38 @@
 )
 
 const (
-	minRequestTimeout     = 40 * time.Millisecond  // of one attempt to reach the allocator
-	initialRequestTimeout = 120 * time.Millisecond // the same, before any reply has come
-	requestTimeoutFactor  = 3                      // the time-out, as a multiple of the mean response time
-	responseTimeWindow    = 8                      // replies after which one weighs 1/e in the mean
+	minRequestTimeout     = 40 * time.Millisecond  // minimum time-out of one attempt to reach the allocator
+	initialRequestTimeout = 120 * time.Millisecond // time-out of an attempt before the first reply was received
+	requestTimeoutFactor  = 3                      // time-out of an attempt, as a multiple of the mean response time
+	responseTimeWindow    = 8                      // number of replies after which the weight of an earlier reply in the mean has decayed to about 1/e
 	maxRequestAttempts    = 3
-	fallbackRetryDelay    = 500 * time.Millisecond // Retry-After of a request that the fallback rate rejects
+	fallbackRetryDelay    = 500 * time.Millisecond // retry delay for a request that the fallback rate rejects
 	minRetryDelay         = 20 * time.Millisecond
 )
 
-// quotaClient is a router's side of the quotas: it uses credit that the allocator granted, requests more, renews the lease of shares,
-// and uses the leased share, or the fallback rate, where the allocator can't be reached. Its methods may be called by any goroutine.
+// quotaClient charges this router's requests to the tenants' quotas. It uses credit that the allocator has granted, requests more credit,
+// and renews the lease of shares. If the allocator does not reply, it uses the leased share, or the fallback rate. Its methods may be
+// called by any goroutine.
 type quotaClient struct {
 	*environment
 	gossip       *gossip
 	allocator    *allocatorServer
 	leaseholders *leaseholderList
 
-	mu               sync.Mutex // guards what follows; the gossip's lock may be taken while it is held
+	mu               sync.Mutex // guards the fields below; the gossip's lock may be taken while mu is held
 	local            *quota.LocalQuota
 	lastRequest      uint64                     // number of the last request
-	pending          map[uint64]chan quotaGrant // by the request's number
-	meanResponseTime time.Duration              // 0: no reply has come
+	pending          map[uint64]chan quotaGrant // channels for the replies, by the number of the request
+	meanResponseTime time.Duration              // 0: no reply has been received
 
-	viaPeer         bool          // the last reply came through a peer: this router may not reach the primary
-	unanswered      bool          // the allocator did not reply to the last request
-	unansweredSince time.Duration // set with unanswered
+	viaPeer         bool          // the last reply was forwarded by a peer: this router may not reach the primary
+	unanswered      bool          // a request got no reply, and no later request or renewal has got one
+	unansweredSince time.Duration // time on the clock; valid if unanswered
 
-	renewal     quota.Renewal // the last one that was sent
-	lastRenewal uint64        // its number
-	nextRenewal time.Duration
-	view        uint64 // of the primary that it was sent to
+	renewal     quota.Renewal // last renewal that was sent
+	lastRenewal uint64        // number of the last renewal
+	nextRenewal time.Duration // time of the next renewal
+	view        uint64        // view of the primary to which the last renewal was sent
 }
 
 func newQuotaClient(e *environment, g *gossip, a *allocatorServer, l *leaseholderList) *quotaClient {
@@ -56,18 +57,18 @@
 	return c
 }
 
-// charge takes units out of a tenant's quota: out of credit, else of what the allocator grants, else, where the allocator can't be
-// reached, of the leased share, else of the fallback rate. Where ok is false, wait is the time until a retry makes sense.
+// charge deducts units from a tenant's quota: from credit, or else from a new grant of the allocator. If the allocator does not reply, it
+// uses the leased share, or the fallback rate if there is no share. If ok is false, wait is the recommended delay before a retry.
 func (c *quotaClient) charge(ctx context.Context, t *config.Tenant, units float64) (ok bool, wait time.Duration) {
 	if !quota.HasQuota(t) {
 		return true, 0
 	}
 	now := c.clock()
-	ok, missing := c.consume(now, t, units)
+	ok, want := c.consume(now, t, units)
 	if ok {
 		return true, 0
 	}
-	grant, answered := c.request(ctx, t, units, missing)
+	grant, answered := c.request(ctx, t, units, want)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !answered {
@@ -81,8 +82,8 @@
 	return true, 0
 }
 
-// consume uses credit, or the leased share where the allocator did not reply to the last request. Where neither suffices, want is the
-// number of units to request.
+// consume deducts units from credit, or from the leased share if the allocator did not reply to the last request. If neither suffices, ok
+// is false, and want is the number of units to request from the allocator.
 func (c *quotaClient) consume(now time.Duration, t *config.Tenant, units float64) (ok bool, want float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,7 +94,8 @@
 	return ok, want
 }
 
-// chargeLocally takes units out of a quota where the allocator did not reply. The caller holds the lock.
+// chargeLocally deducts units from the leased share or the fallback rate, after the allocator did not reply to a request that was made at
+// requestedAt. The caller holds the lock.
 func (c *quotaClient) chargeLocally(requestedAt time.Duration, t *config.Tenant, units float64) (bool, time.Duration) {
 	if !c.unanswered {
 		c.unanswered, c.unansweredSince = true, requestedAt
@@ -109,6 +111,7 @@
 	return c.local.ConsumeFallback(now, t, units, routers, requestedAt-c.unansweredSince, rand.Float64()), fallbackRetryDelay
 }
 
+// refund returns the units of a request that never ran to the tenant's quota.
 func (c *quotaClient) refund(t *config.Tenant, units float64) {
 	if !quota.HasQuota(t) {
 		return
@@ -118,15 +121,15 @@
 	c.local.Refund(c.clock(), t, units)
 }
 
-// request asks the allocator for credit, and retries where no reply comes; answered is false where none came at all. All attempts
-// have one number, so that the allocator grants once.
-func (c *quotaClient) request(ctx context.Context, t *config.Tenant, least, want float64) (grant quotaGrant, answered bool) {
+// request requests at least minimum and up to wanted units of credit from the allocator, and retries if an attempt times out. answered is
+// false if no attempt got a reply. All attempts have the same number, so that the allocator grants the request only once.
+func (c *quotaClient) request(ctx context.Context, t *config.Tenant, minimum, wanted float64) (grant quotaGrant, answered bool) {
 	replies := make(chan quotaGrant, maxRequestAttempts)
 	number := c.register(replies)
 	defer c.unregister(number)
-	message := quotaRequest{Number: number, Tenant: t.Name, Min: least, Want: want}
+	message := quotaRequest{Number: number, Tenant: t.Name, Min: minimum, Want: wanted}
 	for attempt := range maxRequestAttempts {
-		if grant, answered := c.allocator.grant(t.Name, least, want); answered {
+		if grant, answered := c.allocator.grant(t.Name, minimum, wanted); answered {
 			return grant, true
 		}
 		if !c.send(attempt, message) {
@@ -144,21 +147,23 @@
 	return quotaGrant{}, false
 }
 
-// send sends one attempt of a request to the primary, or to a peer that forwards it; false: no other router is the primary.
+// send sends one attempt of a request to the primary, or to a peer that forwards it. It returns false if no primary is known or this
+// router is the primary itself.
 func (c *quotaClient) send(attempt int, message quotaRequest) bool {
 	to := c.gossip.primary()
 	if to == "" || to == c.address() {
 		return false
 	}
-	if peer := c.gossip.relayPeer(); peer != "" && c.goesViaPeer(attempt) {
+	if peer := c.gossip.relayPeer(); peer != "" && c.usesPeer(attempt) {
 		to, message.Origin = peer, c.address()
 	}
 	c.transport.Send(to, kindQuotaRequest, 0, message)
 	return true
 }
 
-// goesViaPeer reports whether an attempt goes through a peer: the last one, or where the last reply came so, all but the second.
-func (c *quotaClient) goesViaPeer(attempt int) bool {
+// usesPeer reports whether an attempt (counted from 0) is sent through a peer: only the last one, or, if the last reply was forwarded by a
+// peer, all but the second.
+func (c *quotaClient) usesPeer(attempt int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.viaPeer {
@@ -167,6 +172,7 @@
 	return attempt == maxRequestAttempts-1
 }
 
+// await waits for a reply until the attempt times out or ctx is done. It returns false if no reply was received.
 func (c *quotaClient) await(ctx context.Context, replies <-chan quotaGrant) (quotaGrant, bool) {
 	timeout := time.NewTimer(c.requestTimeout())
 	defer timeout.Stop()
@@ -179,7 +185,8 @@
 	return quotaGrant{}, false
 }
 
-// observeResponseTime updates the mean response time: the primary may be in another region.
+// observeResponseTime updates the mean response time, an exponential moving average. The time-out follows the mean because the primary may
+// be in another region.
 func (c *quotaClient) observeResponseTime(elapsed time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -189,7 +196,7 @@
 	c.meanResponseTime += (elapsed - c.meanResponseTime) / responseTimeWindow
 }
 
-// requestTimeout is how long the reply to one attempt is awaited.
+// requestTimeout returns the time-out of one attempt.
 func (c *quotaClient) requestTimeout() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -199,6 +206,7 @@
 	return max(minRequestTimeout, requestTimeoutFactor*c.meanResponseTime)
 }
 
+// register returns a new request number, whose replies are sent to a channel.
 func (c *quotaClient) register(replies chan quotaGrant) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -207,19 +215,20 @@
 	return c.lastRequest
 }
 
+// unregister makes later replies to a request be ignored.
 func (c *quotaClient) unregister(number uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.pending, number)
 }
 
-// receiveGrant handles the allocator's reply to a request, or forwards it to the router that this one forwarded the request for.
+// receiveGrant handles the allocator's reply to a request, or forwards it to its origin if this router had forwarded the request.
 func (c *quotaClient) receiveGrant(p *transport.Packet) error {
 	var grant quotaGrant
 	if err := cbor.Unmarshal(p.Body, &grant); err != nil {
 		return err
 	}
-	if c.isForOther(grant.Origin) {
+	if c.mustForward(grant.Origin) {
 		c.transport.Send(grant.Origin, kindQuotaGrant, 0, grant)
 		return nil
 	}
@@ -233,10 +242,11 @@
 	return nil
 }
 
-// isForOther reports whether a reply has to be forwarded to its origin.
-func (c *quotaClient) isForOther(origin string) bool { return origin != "" && origin != c.address() }
+// mustForward reports whether a reply has to be forwarded to another router, its origin.
+func (c *quotaClient) mustForward(origin string) bool { return origin != "" && origin != c.address() }
 
-// tick renews the lease where that is due, and at once with a new primary, which does not know the lease.
+// tick renews the lease when the renewal interval has passed, and immediately after a change of the primary, since a new primary does not
+// know the lease.
 func (c *quotaClient) tick(now time.Duration, fleet fleetSnapshot, wantsLeaseholders bool) {
 	message, wasAnswered, due := c.beginRenewal(now, fleet)
 	if !due {
@@ -251,12 +261,12 @@
 	}
 	c.transport.Send(fleet.primary, kindLeaseRenewal, 0, message)
 	if peer := c.gossip.relayPeer(); peer != "" && !wasAnswered {
-		message.Origin = c.address() // this router may not reach the primary
+		message.Origin = c.address() // this router may not reach the primary: the peer forwards a second copy
 		c.transport.Send(peer, kindLeaseRenewal, 0, message)
 	}
 }
 
-// beginRenewal returns the renewal to be sent, and whether the one before was answered; due is false where none is to be sent.
+// beginRenewal returns the renewal to send, and whether the previous one was answered. due is false if no renewal is to be sent now.
 func (c *quotaClient) beginRenewal(now time.Duration, fleet fleetSnapshot) (message leaseRenewal, wasAnswered, due bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -272,13 +282,13 @@
 	return message, wasAnswered, true
 }
 
-// receiveRenewalReply handles the allocator's reply to a renewal, or forwards it as receiveGrant does.
+// receiveRenewalReply handles the allocator's reply to a renewal, or forwards it to its origin if this router had forwarded the renewal.
 func (c *quotaClient) receiveRenewalReply(p *transport.Packet) error {
 	var reply leaseRenewalReply
 	if err := cbor.Unmarshal(p.Body, &reply); err != nil {
 		return err
 	}
-	if c.isForOther(reply.Origin) {
+	if c.mustForward(reply.Origin) {
 		c.transport.Send(reply.Origin, kindLeaseRenewalReply, 0, reply)
 		return nil
 	}
@@ -286,12 +296,13 @@
 	return nil
 }
 
+// applyRenewalReply applies a reply to the last renewal; of a reply to an earlier one, it uses only the list of lease holders.
 func (c *quotaClient) applyRenewalReply(reply leaseRenewalReply) {
-	c.leaseholders.addComplete(reply.Leaseholders)
+	c.leaseholders.addCompleteList(reply.Leaseholders)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if reply.Number != c.lastRenewal {
-		return // of an earlier renewal, or of a process before this one
+		return // reply to an earlier renewal, or to one of a previous process
 	}
 	c.local.CompleteRenewal(c.renewal, reply.Shares)
 	c.unanswered = false
--- a/internal/fleet/router/quota_client_test.go
+++ b/internal/fleet/router/quota_client_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestRequestTimeout(t *testing.T) {
-	Convey("The allocator's reply is awaited for a multiple of the mean response time, and for a minimum", t, func() {
+	Convey("The time-out of a request is a multiple of the mean response time, with a lower bound", t, func() {
 		c := &quotaClient{}
 		So(c.requestTimeout(), ShouldEqual, initialRequestTimeout)
 		for range 50 {
--- a/internal/fleet/router/readiness.go
+++ b/internal/fleet/router/readiness.go
@@ -2,16 +2,17 @@
 
 import "net/http"
 
-// serveReady answers the platform's readiness probe: 200, or 503 where no clients should be sent here.
+// serveReady replies to the platform's readiness probe: 200, or 503 if clients should not be sent to this router.
 func (r *Router) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if !r.isReady() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// isReady reports whether this router can serve clients: it is not draining, it has a configuration that the operator sent, that was
-// confirmed since the start and within unconfirmedAge, with strict revocation also so lately that keys may be used, and an endpoint of a
-// configured service is ready. Ejected endpoints count.
+// isReady reports whether this router can serve clients. It must not be draining, and must have a configuration that an operator submitted
+// and that was confirmed to be the newest less than unconfirmedAge ago; with strict revocation, the age of the confirmation must not
+// exceed MaxConfigAge, beyond which keys are not accepted. At least one endpoint of a configured service must be ready; ejected endpoints
+// count.
 func (r *Router) isReady() bool {
 	table, age := r.ActiveConfig()
 	if r.draining.Load() || table == nil || table.Version == 0 || age >= unconfirmedAge {
--- a/internal/fleet/router/replica.go
+++ b/internal/fleet/router/replica.go
@@ -10,8 +10,8 @@
 	"pinelb.example/pinelb/internal/fleet/replication"
 )
 
-// startReplica starts this machine's replica of the configuration, where the machine counts for the quorum, or is a founder: a seed at
-// the first start of the whole system.
+// startReplica starts this machine's replica of the configuration, if the machine counts for the quorum or is a founder: a seed at the
+// first start of the whole system. It returns an error if the replica can't be started.
 func (r *Router) startReplica() error {
 	s := r.settings
 	founders := r.founders()
@@ -41,7 +41,7 @@
 	return err
 }
 
-// founders are the internal addresses of the machines that are the core at the first start of the whole system; none at any later start.
+// founders returns the internal addresses of the machines that form the core at the first start of the whole system; nil at later starts.
 func (e *environment) founders() []string {
 	if !e.settings.Bootstrap {
 		return nil
@@ -49,16 +49,16 @@
 	return e.settings.SeedAddresses()
 }
 
-// isCore reports whether this machine takes part in decisions: it counts for the quorum, or is a founder.
+// isCore reports whether this machine takes part in the consensus: it counts for the quorum, or is a founder.
 func (e *environment) isCore(founders []string) bool {
 	return e.settings.CountsForQuorum || slices.Contains(founders, e.address())
 }
 
-// handleCommit distributes a configuration that this router's replica has acknowledged as the primary.
+// handleCommit disseminates a configuration that this router's replica has committed as the primary.
 func (r *Router) handleCommit(c replica.Commit) {
 	var change []byte
 	if c.Change != nil {
-		change, _ = c.Change.Encode() // without it the others fetch the configuration
+		change, _ = c.Change.Encode() // after an error, other routers fetch the whole configuration
 	}
 	table := c.Table
 	if table.Version == 0 {
@@ -69,15 +69,16 @@
 	})
 }
 
+// emptyTable returns the configuration of a fleet for which no operator has submitted one.
 func emptyTable() *config.Table {
 	table, err := config.NewTable(config.EmptyDocument(), nil)
 	if err != nil {
-		panic(err) // an empty configuration is valid
+		panic(err) // can't happen: an empty configuration is valid
 	}
 	return table
 }
 
-// handleViewChange records a view that this router's replica has learned of, and announces it where this router is the primary.
+// handleViewChange records a new view of this router's replica, and announces it to the other routers if this router is its primary.
 func (r *Router) handleViewChange(view replication.View) {
 	if view.Primary.Address != r.address() {
 		r.gossip.mu.Lock()
@@ -92,7 +93,7 @@
 	})
 }
 
-// confirmAsPrimary records the confirmation of the configuration by this router's replica, where that is the primary.
+// confirmAsPrimary records, while this router's replica is the primary with a valid read lease, that its configuration is the newest.
 func (r *Router) confirmAsPrimary() {
 	if r.replica == nil {
 		return
--- a/internal/fleet/router/router.go
+++ b/internal/fleet/router/router.go
@@ -1,27 +1,28 @@
-// Package router is the process of one machine of a fleet: it serves clients' requests, the operators' changes of the configuration and
-// the endpoints' heartbeats, and exchanges with the other routers what that takes. The command pinelb and the test lab run it.
+// Package router implements the router process of one machine of a fleet. It serves clients' requests, operators' changes of the
+// configuration and endpoints' heartbeats, and exchanges the state that this requires with the other routers. The command pinelb and the
+// test lab run it.
 //
-// A Router composes components with one job each:
+// A Router is composed of components:
 //
 //	gossip                the dissemination of configuration, endpoints and members; fetches of the configuration
-//	activeConfig          the configuration that requests are served by
-//	endpointReports       the endpoints' own reports, and the acknowledgement of their leaves
-//	endpointCache         the list of endpoints on the disk
-//	leaseholderList       the routers that may hold leased shares of quotas, on the disk too
-//	learnedStateExchange  the learned state of other routers and of the process before this one
-//	quotaClient           this router's use of quotas
-//	allocatorServer      grants and leases to all routers, while this one is the primary; with a grantCache
-//	coreSizeCheck        a warning where the core is smaller than its tolerance needs
+//	activeConfig          the configuration by which requests are served
+//	endpointReports       heartbeats and leaves of endpoints, and the acknowledgement of leaves
+//	endpointCache         a copy of the list of endpoints on the disk
+//	leaseholderList       the routers that may hold leased shares of quotas, also kept on the disk
+//	learnedStateExchange  the learned state of other routers and of the previous process
+//	quotaClient           charges of this router's requests to the tenants' quotas
+//	allocatorServer       grants of credit and leases of shares to all routers, while this router is the primary; uses a grantCache
+//	coreSizeCheck         a warning if the core is smaller than its tolerance needs
 //	announcementRelay     announcements of prompts to the other routers
-//	coordinationService   locks, counters, cells and watches of applications, where the settings ask for them
-//	httpServers           the listeners of the clients, the control API and the readiness probe
+//	coordinationService   locks, counters, cells and watches for applications, if the settings enable them
+//	httpServers           the listeners for clients, the control API and the readiness probe
 //
-// The packages dissemination, membership, registry, quota and placement are pure; I/O, clocks and goroutines are here, in proxy,
-// transport and replica.
+// The packages dissemination, membership, registry, quota and placement perform no I/O, read no clock and start no goroutines;
+// that is done here and in proxy, transport and replica.
 //
 // Locks are taken in this order: quotaClient.mu, gossip.mu, allocatorServer.mu, then those of the dispatcher; the locks of the grant
-// cache, the relay and the learned state are taken last and alone. No lock is held while a message is sent or a file is written. What
-// only the goroutine of Run uses has no lock, and says so.
+// cache, the relay and the learned state are taken last, and only one of them at a time. No lock is held while a message is sent or a file
+// is written. State that only the goroutine of Run uses has no lock; its comment says so.
 package router
 
 import (
@@ -40,13 +41,14 @@
 
 const (
 	tickInterval        = 50 * time.Millisecond
-	reservedDescriptors = 300                    // of the limit: for files, the other listeners and the runtime
-	minConnections      = 64                     // to endpoints, however low the limit of descriptors is
-	keyLeaseMargin      = 600 * time.Millisecond // of revokeMs: may pass between the check of the lease and the send
-	supersededMargin    = 150 * time.Millisecond // of configApplyMs: for what the clocks and the schedulers of two machines differ by
+	reservedDescriptors = 300                    // subtracted from the limit of file descriptors, for files, the other listeners and the runtime
+	minConnections      = 64                     // minimum for connections to endpoints, even if the limit of file descriptors is low
+	keyLeaseMargin      = 600 * time.Millisecond // part of revokeMs that is reserved for the time between the check of the lease and the send
+	supersededMargin    = 150 * time.Millisecond // part of configApplyMs that is reserved for clock drift and scheduling delays between two machines
 )
 
-// Router is one machine's process. New, then Run; the other exported methods may be called by any goroutine.
+// Router is the router process of one machine. Create it with New and start it with Run; the other exported methods may be called by any
+// goroutine.
 type Router struct {
 	*environment
 	killed chan struct{} // closed by Kill
@@ -69,7 +71,7 @@
 	proxyServer *http.Server // serves proxy; nil: clients are not served
 }
 
-// New prepares a router; Run starts it.
+// New returns a router that is not yet started; Run starts it.
 func New(s *settings.Settings, log *zap.Logger) *Router {
 	e := &environment{settings: s, log: log, startedAt: time.Now()}
 	r := &Router{environment: e, killed: make(chan struct{})}
@@ -93,6 +95,7 @@
 	return r
 }
 
+// proxyOptions derives the proxy's time limits from the bounds in the settings.
 func proxyOptions(s *settings.Settings) proxy.Options {
 	options := proxy.Options{
 		Stale:         s.Bounds.ConfigApply * 3 / 4,
@@ -104,7 +107,7 @@
 	return options
 }
 
-// Run serves until ctx ends, and then shuts down gracefully. Its error says what could not be started.
+// Run starts the router, serves until ctx is done, and then shuts down gracefully. It returns an error only if the router can't be started.
 func (r *Router) Run(ctx context.Context) error {
 	if err := r.start(); err != nil {
 		return err
@@ -126,7 +129,8 @@
 	}
 }
 
-// Kill has Run return at once without informing other routers, as a crash would. It is called once, by tests that inject failures.
+// Kill simulates a crash: it makes Run return without a drain and without notifying other routers. Tests that inject failures call it, at
+// most once.
 func (r *Router) Kill() { close(r.killed) }
 
 // Reload applies the settings that can change while the router runs: the seeds.
@@ -135,11 +139,11 @@
 	r.log.Info("settings reloaded", zap.Strings("seeds", s.Seeds))
 }
 
-// start binds the internal address, starts the replica, reads the state on the disk, and then serves: first other routers, then the
-// control API, the readiness probe and clients.
+// start binds the internal address, starts the replica and the coordination service, and reads the state on the disk. Then it serves other
+// routers first, and after that the control API, the readiness probe and clients.
 func (r *Router) start() error {
 	if unknown := r.settings.UnknownContracts(); len(unknown) > 0 {
-		r.log.Warn("contracts are in force that this program does not serve", zap.Strings("contracts", unknown))
+		r.log.Warn("contracts are enabled that this version does not serve", zap.Strings("contracts", unknown))
 	}
 	var err error
 	r.transport, err = transport.Listen(r.address(), fleetID(r.settings), r.receive)
@@ -167,7 +171,7 @@
 	return nil
 }
 
-// handleCalls registers the calls that other routers and operators make.
+// handleCalls registers the handlers for calls of other routers and operators.
 func (r *Router) handleCalls() {
 	r.transport.HandleCall(fetchPath, r.gossip.serveFetch)
 	r.transport.HandleCall(leavePath, r.endpointReports.serveLeave)
@@ -175,7 +179,7 @@
 	r.transport.HandleStatus(statusPath, func() any { return r.Status() })
 }
 
-// listen serves the addresses that the settings name.
+// listen starts the HTTP servers at the addresses in the settings. It returns an error if an address can't be bound.
 func (r *Router) listen() error {
 	var err error
 	if address := r.settings.ControlAddress; address != "" {
@@ -190,6 +194,7 @@
 	return err
 }
 
+// controlServer returns the control API's handler, with the coordination service if that is enabled.
 func (r *Router) controlServer(address string) *control.Server {
 	server := control.NewServer(r, address)
 	if r.coordination.isServed() {
@@ -198,15 +203,15 @@
 	return server
 }
 
-// tick does what is due, in each component.
+// tick runs the periodic work of each component.
 func (r *Router) tick() {
 	r.coordination.tick()
 	r.confirmAsPrimary()
 	r.gossip.step(r.gossip.node.Tick)
-	r.gossip.reportLag()
+	r.gossip.logLag()
 	fleet := r.gossip.refresh()
 	r.allocatorServer.setRouters(fleet.routers)
-	r.quota.tick(r.clock(), fleet, r.leaseholders.wantsComplete())
+	r.quota.tick(r.clock(), fleet, r.leaseholders.needsCompleteList())
 	r.relay.setPeers(fleet.others)
 	r.endpointCache.tick()
 	r.leaseholders.tick()
@@ -214,7 +219,7 @@
 	r.coreSize.tick()
 }
 
-// close stops everything and waits for the goroutines.
+// close stops all components and waits for their goroutines.
 func (r *Router) close() {
 	r.servers.close()
 	if r.replica != nil {
--- a/internal/fleet/router/status.go
+++ b/internal/fleet/router/status.go
@@ -7,48 +7,48 @@
 	"pinelb.example/pinelb/internal/fleet/replication"
 )
 
-// Status is the state of a running router, for operators: "pinelb router status" shows it as JSON. The names of its fields in JSON are
-// stable; registry.Endpoint has those of its Go fields. The counters count since the start.
+// Status is the state of a running router, for operators: "pinelb router status" shows it as JSON. The JSON names of its fields are stable;
+// registry.Endpoint is encoded with the names of its Go fields. Counters count from the start of the process.
 type Status struct {
 	Node          string                    `json:"node"`
 	Ready         bool                      `json:"ready"`
-	Draining      bool                      `json:"draining"` // it shuts down
+	Draining      bool                      `json:"draining"` // the router is shutting down
 	View          uint64                    `json:"view"`
 	Primary       string                    `json:"primary"`    // internal address
-	Version       int64                     `json:"version"`    // of the active configuration, as the operator gave it
-	Sequence      uint64                    `json:"sequence"`   // of the active configuration, in the log
-	LeaseAgeMs    int64                     `json:"leaseAgeMs"` // milliseconds since the configuration was confirmed; -1: never, or an hour or more ago
+	Version       int64                     `json:"version"`    // version of the active configuration, as set by the operator
+	Sequence      uint64                    `json:"sequence"`   // sequence number of the active configuration in the replicated log
+	LeaseAgeMs    int64                     `json:"leaseAgeMs"` // milliseconds since the last confirmation; -1: never, or an hour or more ago
 	ConfigLag     ConfigLagStatus           `json:"configLag"`
-	Routers       int                       `json:"routers"`   // alive, this one included
-	Endpoints     []registry.Endpoint       `json:"endpoints"` // that are ready, of all services, configured or not
+	Routers       int                       `json:"routers"`   // live routers, including this one
+	Endpoints     []registry.Endpoint       `json:"endpoints"` // ready endpoints of all services, configured or not
 	Tables        []placement.TableStatus   `json:"tables"`
 	Services      []placement.ServiceStatus `json:"services"`
 	Replica       *ReplicaStatus            `json:"replica,omitempty"`
-	Served        uint64                    `json:"served"`            // requests
+	Served        uint64                    `json:"served"`            // requests that were served
 	Refused       uint64                    `json:"refused"`           // requests that did not run: rejected (429, 503) or denied (400, 401, 404, 413)
-	Failed        uint64                    `json:"failed"`            // requests that may have run and have no response
+	Failed        uint64                    `json:"failed"`            // requests that may have run but got no response
 	Broken        uint64                    `json:"broken"`            // responses that were truncated
-	Superseded    uint64                    `json:"superseded"`        // of the refused requests: rejected because a newer configuration was not yet in force
+	Superseded    uint64                    `json:"superseded"`        // refused requests: a newer configuration was known but not yet active
 	Moved         uint64                    `json:"moved"`             // attempts that were cancelled because their first token was overdue
 	SentDatagrams uint64                    `json:"sentDatagrams"`     // to other routers
 	SentBytes     uint64                    `json:"sentBytes"`         // to other routers
-	Dropped       uint64                    `json:"dropped"`           // messages of other routers that were invalid
-	Ignored       uint64                    `json:"heartbeatsIgnored"` // endpoints' reports that were late, or of endpoints that were deregistered
-	UptimeMs      int64                     `json:"uptimeMs"`          // milliseconds
+	Dropped       uint64                    `json:"dropped"`           // invalid messages from other routers
+	Ignored       uint64                    `json:"heartbeatsIgnored"` // reports of endpoints that were late or whose endpoint had been deregistered
+	UptimeMs      int64                     `json:"uptimeMs"`          // milliseconds since the start
 	Coordination  *coordinator.Status       `json:"coordination,omitempty"`
 }
 
-// ConfigLagStatus says how far the active configuration is behind the newest one that the router has heard of.
+// ConfigLagStatus describes the lag of the active configuration behind the newest one that the router knows of.
 type ConfigLagStatus struct {
-	Ms       int64    `json:"ms"`       // milliseconds since the router first heard of one that is not active; 0: none
-	Known    uint64   `json:"known"`    // newest sequence heard of
-	Received uint64   `json:"received"` // newest sequence received, active or not
-	Fetching []string `json:"fetching"` // internal addresses of the routers that are asked for it
+	Ms       int64    `json:"ms"`       // milliseconds since the router learned of a newer configuration that is not active; 0: there is none
+	Known    uint64   `json:"known"`    // newest known sequence number
+	Received uint64   `json:"received"` // newest sequence number received, active or not
+	Fetching []string `json:"fetching"` // internal addresses of the routers from which it is being fetched
 }
 
-// ReplicaStatus is what a router's replica of the configuration knows of the views.
+// ReplicaStatus is the state of a router's replica of the configuration.
 type ReplicaStatus struct {
-	ConfirmedPrimary bool             `json:"leading"` // this router is the primary, as a majority has confirmed lately
+	ConfirmedPrimary bool             `json:"leading"` // this router is the primary and holds a read lease from a majority
 	View             replication.View `json:"view"`
 }
 
@@ -71,6 +71,7 @@
 	return s
 }
 
+// replicaStatus returns the state of the replica; nil: this router has none.
 func (r *Router) replicaStatus() *ReplicaStatus {
 	if r.replica == nil {
 		return nil
@@ -102,7 +103,7 @@
 	s.Endpoints = g.node.Registry.Ready()
 }
 
-// SentReplies returns the bytes of replies to other routers' calls since the start: configurations that they fetched, mostly.
+// SentReplies returns the number of bytes of replies to other routers' calls since the start; most of them are fetched configurations.
 func (r *Router) SentReplies() uint64 {
 	if r.transport == nil {
 		return 0
@@ -110,7 +111,7 @@
 	return r.transport.Counters.ReplyBytes.Load()
 }
 
-// Sent returns what this router has sent to others since its start, in bytes of messages and in datagrams.
+// Sent returns the number of bytes of messages and the number of datagrams that this router has sent to other routers since its start.
 func (r *Router) Sent() (bytes, datagrams uint64) {
 	if r.transport == nil {
 		return 0, 0
