--- a/internal/fleet/router/coordination_test.go
+++ b/internal/fleet/router/coordination_test.go
@@ -146,7 +146,7 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	So("all acceptors", ShouldEqual, "ready")
+	So("not all acceptors are ready", ShouldEqual, "all acceptors are ready")
 }
 
 // callOnce sends one request to a router.
