--- a/internal/fleet/router/quota_client.go
+++ b/internal/fleet/router/quota_client.go
@@ -19,7 +19,7 @@
 	requestTimeoutFactor  = 3                      // time-out of an attempt, as a multiple of the mean response time
 	responseTimeWindow    = 8                      // number of replies after which the weight of an earlier reply in the mean has decayed to about 1/e
 	maxRequestAttempts    = 3
-	fallbackRetryDelay    = 500 * time.Millisecond // retry delay for a request that the fallback rate rejects
+	fallbackRetryDelay    = 500 * time.Millisecond // recommended retry delay (Retry-After) of a request that the fallback rate rejects
 	minRetryDelay         = 20 * time.Millisecond
 )
 
