--- a/internal/fleet/router/announcement_relay.go
+++ b/internal/fleet/router/announcement_relay.go
@@ -16,8 +16,9 @@
 // In a fleet with at most maxDirectPeers other routers, a router sends announcements of its prompts directly to all of them. In a larger
 // fleet each router sends its announcements to a relay: a core router, in its own zone if that zone has one. The relay batches
 // announcements for batchDelay. It sends each batch to all routers of its own zone, and to one core router in each other zone, which
-// forwards the batch within that zone. The number of messages that a router receives thus grows with the size of the core instead of the
-// fleet, and each announcement is sent to each other zone once.
+// forwards the batch within that zone; routers of zones without a core router get the batch directly. The number of messages that a router
+// receives thus grows with the size of the core instead of the fleet, and each announcement is sent once to each other zone that has a
+// core router.
 
 const (
 	maxDirectPeers              = 24                    // up to this many other live routers, announcements are sent to each directly
@@ -135,7 +136,7 @@
 	}
 }
 
-// run sends a batch batchDelay after its first announcement, until ctx is done.
+// run sends each batch at most batchDelay after its first announcement, until ctx is done.
 func (l *announcementRelay) run(ctx context.Context) {
 	delay := time.NewTimer(0)
 	defer delay.Stop()
--- a/internal/fleet/router/config_fetch.go
+++ b/internal/fleet/router/config_fetch.go
@@ -51,8 +51,8 @@
 	g.step(func(now time.Duration) *dissemination.Output { return g.node.HandleBuilt(now, build, table, err) })
 }
 
-// buildPace returns a function that pauses between the steps of a build, so that the build takes about buildSpan. It returns nil, for no
-// pauses, if the build is urgent or small.
+// buildPace returns a function that pauses between the steps of a build: for at most maxBuildPause each time, and for about buildSpan in
+// total at most. It returns nil, for no pauses, if the build is urgent or small.
 func (g *gossip) buildPace(build *dissemination.Build) config.Pace {
 	steps := config.EstimatePauses(build.Size())
 	if build.Urgent() || steps == 0 {
--- a/internal/fleet/router/endpoint_cache.go
+++ b/internal/fleet/router/endpoint_cache.go
@@ -14,7 +14,7 @@
 const (
 	endpointCacheFileName = "endpoints"
 	restoreDelay          = 150 * time.Millisecond // after the start: by then a live router has sent the endpoints that it knows
-	restoreWindow         = 2 * time.Second        // after the start: by then the endpoints have sent heartbeats, and the copy is not used
+	restoreWindow         = 2 * time.Second        // after the start: by then the endpoints have sent heartbeats, and the copy is no longer used
 )
 
 // endpointCache keeps a copy of the list of endpoints on the disk. Only the goroutine of Router.Run uses it.
--- a/internal/fleet/router/endpoint_reports.go
+++ b/internal/fleet/router/endpoint_reports.go
@@ -13,9 +13,9 @@
 	"pinelb.example/pinelb/internal/fleet/registry"
 )
 
-// An endpoint whose leave has been acknowledged expects no requests from any router from drainMs after that on. A partitioned router can't
-// notify other routers of the leave. A leave is therefore acknowledged only after the primary has received it, and a majority of the core
-// has confirmed the primary since then: the leave then reaches every router that is connected to the core.
+// Once drainMs have passed since the leave of an endpoint was acknowledged, the endpoint expects no more requests from any router. A
+// partitioned router can't notify other routers of the leave. A leave is therefore acknowledged only after the primary has received it,
+// and a majority of the core has confirmed the primary since then: the leave then reaches every router that is connected to the core.
 
 // leaveTimeout bounds the time for the primary's confirmation of a leave. It is below one second, after which the endpoint tries another
 // router.
@@ -39,8 +39,8 @@
 	nextLogAfter atomic.Int64  // earliest time of the next log line about an ignored report, in nanoseconds on the clock
 }
 
-// handle applies an endpoint's report. A report that is older than the last one applied, or whose endpoint has been deregistered, is ignored
-// without an error. An error means that a leave may not reach the other routers.
+// handle applies an endpoint's report. A report that is older than the known state of the endpoint, or whose endpoint has been
+// deregistered, is ignored without an error. An error means that a leave may not reach the other routers.
 func (e *endpointReports) handle(ctx context.Context, endpoint registry.Endpoint) error {
 	endpoint.Owner = e.address()
 	applied := false
--- a/internal/fleet/router/grant_cache.go
+++ b/internal/fleet/router/grant_cache.go
@@ -46,7 +46,7 @@
 	g.current[key] = grant
 }
 
-// rotate starts a new generation if the current one has reached the age grantTTL. The caller holds the lock.
+// rotate starts a new generation if the current one has reached the age grantTTL, and drops expired grants. The caller holds the lock.
 func (g *grantCache) rotate(now time.Duration) {
 	if g.current != nil && now-g.rotatedAt < grantTTL {
 		return
--- a/internal/fleet/router/leaseholders.go
+++ b/internal/fleet/router/leaseholders.go
@@ -13,7 +13,8 @@
 // lease holders: after a power loss in the core it may know the core routers only, while all other routers still use their shares. Core
 // machines therefore write the routers' addresses to the disk for their next process. Without such a list, a recently started process
 // never treats the announcements as complete until a primary has sent it a complete list. A primary's list is complete once its allocator
-// awaits no more announcements: from then on, only its own lease holders have shares.
+// awaits no more announcements, at the latest when it has been active for longer than leases of the former allocator last: from then on,
+// only its own lease holders have shares.
 
 const (
 	leaseholdersFileName     = "routers"
--- a/internal/fleet/router/quota_allocator.go
+++ b/internal/fleet/router/quota_allocator.go
@@ -168,7 +168,7 @@
 }
 
 // handleViewChange records which router's allocator is active in a new view, and activates this router's allocator if it is the primary.
-// now is the time of the view change.
+// now is the time of the view change. The caller holds the gossip's lock.
 func (a *allocatorServer) handleViewChange(now time.Duration, view replication.View) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/fleet/router/quota_client.go
+++ b/internal/fleet/router/quota_client.go
@@ -58,7 +58,8 @@
 }
 
 // charge deducts units from a tenant's quota: from credit, or else from a new grant of the allocator. If the allocator does not reply, it
-// uses the leased share, or the fallback rate if there is no share. If ok is false, wait is the recommended delay before a retry.
+// uses the leased share, or the fallback rate if there is no share or its lease expires before enough units have accrued. If ok is false,
+// wait is the recommended delay before a retry.
 func (c *quotaClient) charge(ctx context.Context, t *config.Tenant, units float64) (ok bool, wait time.Duration) {
 	if !quota.HasQuota(t) {
 		return true, 0
--- a/internal/fleet/router/quota_messages.go
+++ b/internal/fleet/router/quota_messages.go
@@ -13,7 +13,7 @@
 type quotaRequest struct {
 	Number uint64  `cbor:"1,keyasint"`
 	Tenant string  `cbor:"2,keyasint"`
-	Min    float64 `cbor:"3,keyasint"` // minimum number of units; the allocator grants no fewer
+	Min    float64 `cbor:"3,keyasint"` // minimum number of units; if fewer are available, the request is rejected
 	Want   float64 `cbor:"4,keyasint"` // maximum number of units
 	Origin string  `cbor:"5,keyasint,omitempty"`
 }
--- a/internal/fleet/router/readiness.go
+++ b/internal/fleet/router/readiness.go
@@ -10,9 +10,9 @@
 }
 
 // isReady reports whether this router can serve clients. It must not be draining, and must have a configuration that an operator submitted
-// and that was confirmed to be the newest less than unconfirmedAge ago; with strict revocation, the age of the confirmation must not
-// exceed MaxConfigAge, beyond which keys are not accepted. At least one endpoint of a configured service must be ready; ejected endpoints
-// count.
+// and that was confirmed to be the newest since the start of the process and less than unconfirmedAge ago; with strict revocation, the
+// age of the confirmation must not exceed MaxConfigAge, beyond which keys are not accepted. At least one endpoint of a configured service
+// must be ready; ejected endpoints count.
 func (r *Router) isReady() bool {
 	table, age := r.ActiveConfig()
 	if r.draining.Load() || table == nil || table.Version == 0 || age >= unconfirmedAge {
--- a/internal/fleet/router/status.go
+++ b/internal/fleet/router/status.go
@@ -17,7 +17,7 @@
 	Primary       string                    `json:"primary"`    // internal address
 	Version       int64                     `json:"version"`    // version of the active configuration, as set by the operator
 	Sequence      uint64                    `json:"sequence"`   // sequence number of the active configuration in the replicated log
-	LeaseAgeMs    int64                     `json:"leaseAgeMs"` // milliseconds since the last confirmation; -1: never, or an hour or more ago
+	LeaseAgeMs    int64                     `json:"leaseAgeMs"` // milliseconds since the configuration was last confirmed; -1: never, or an hour or more ago
 	ConfigLag     ConfigLagStatus           `json:"configLag"`
 	Routers       int                       `json:"routers"`   // live routers, including this one
 	Endpoints     []registry.Endpoint       `json:"endpoints"` // ready endpoints of all services, configured or not
@@ -28,7 +28,7 @@
 	Refused       uint64                    `json:"refused"`           // requests that did not run: rejected (429, 503) or denied (400, 401, 404, 413)
 	Failed        uint64                    `json:"failed"`            // requests that may have run but got no response
 	Broken        uint64                    `json:"broken"`            // responses that were truncated
-	Superseded    uint64                    `json:"superseded"`        // refused requests: a newer configuration was known but not yet active
+	Superseded    uint64                    `json:"superseded"`        // refused requests that were rejected because a newer configuration was known but not yet active
 	Moved         uint64                    `json:"moved"`             // attempts that were cancelled because their first token was overdue
 	SentDatagrams uint64                    `json:"sentDatagrams"`     // to other routers
 	SentBytes     uint64                    `json:"sentBytes"`         // to other routers
