--- a/balance/action.go
+++ b/balance/action.go
@@ -5,7 +5,9 @@
 // ActionKind is the kind of an Action.
 type ActionKind uint8
 
-// The kinds of action.
+// The kinds of action. A Balancer never emits ActFetch, ActHealthCheck, ActSendPeer or ActLog. Package driver carries out
+// ActHealthCheck and ActLog, but ignores ActFetch, ActSubscribe and ActSendPeer. For simadapter, package simprotocol
+// encodes every kind.
 const (
 	ActSend        ActionKind = iota + 1 // start an attempt
 	ActReject                            // final answer: rejected; the client may safely retry
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -66,13 +66,13 @@
 	solvedFor        solveInputs
 	solvedAt         time.Duration
 	solveNeeded      bool // a change requires a solve as soon as minSolveInterval allows
-	cachedListSeeded bool // the single immediate send to an endpoint of a cached list has been granted
+	cachedListSeeded bool // the single immediate credit for an endpoint of a cached list has been granted
 
 	nextMaintenance time.Duration
 	nextBinRefresh  time.Duration
 	sends           decayedMean // counts sent attempts, for their rate
 	rejections      decayedMean // fraction of the requests that are rejected
-	responses       decayedMean // target latencies of the answers, in seconds
+	responses       decayedMean // target latencies of the requests of served attempts, in seconds; cutLimit uses their sum
 
 	// Discovery.
 	subscribed        bool
--- a/balance/bins.go
+++ b/balance/bins.go
@@ -1,10 +1,10 @@
 package balance
 
-// bin is a histogram bin: the calls of one class with a similar fraction of their target latency spent when they were
-// routed.
+// bin is a histogram bin: the requests of one class that had spent a similar fraction of their target latency at their
+// arrival. Every attempt is routed by the bin that its request belongs to at that moment.
 type bin struct {
-	arrivals float64 // number of calls since the last refresh
-	share    float64 // fraction of all calls at the last refresh
+	arrivals float64 // number of requests since the last refresh
+	share    float64 // fraction of all requests at the last refresh
 }
 
 // binOf returns the index of a request's bin.
@@ -17,7 +17,7 @@
 	return request.classIndex*binsPerClass + k
 }
 
-// refreshBins replaces the distribution of the calls by that of the calls since the last refresh.
+// refreshBins replaces the distribution of the requests by that of the requests since the last refresh.
 func (b *Balancer) refreshBins() {
 	total := 0.0
 	for i := range b.bins {
@@ -28,7 +28,7 @@
 	}
 }
 
-// binWeights returns each bin's share of the calls. Before the first calls all classes have equal shares.
+// binWeights returns each bin's share of the requests. Before the first request all classes have equal shares.
 func (b *Balancer) binWeights() []float64 {
 	weights := make([]float64, len(b.bins))
 	for i := range b.bins {
--- a/balance/class.go
+++ b/balance/class.go
@@ -11,7 +11,7 @@
 	Class
 	latency         decayedMean       // latencies of served attempts, in seconds
 	priority        float64           // value per unit of work, rounded to a power of two, at the last maintenance
-	callShare       float64           // fraction of all calls, at the last maintenance
+	requestShare    float64           // fraction of all requests, at the last maintenance
 	latencyFactor   float64           // see Balancer.latencyFactor; at the last maintenance
 	recentRemaining [16]time.Duration // ring buffer of the remaining times of the latest requests at their arrival
 	arrivals        int               // number of values written to recentRemaining
@@ -31,8 +31,9 @@
 
 // timeSpent estimates how much of its target latency a request had spent before it arrived. A request with less
 // remaining time than is usual for its class has either spent the difference or has a caller with a shorter time-out.
-// The latter is certain for a first attempt at the first tier. It is assumed for a first attempt at an inner tier that
-// could otherwise no longer meet its target latency, because its caller is still waiting.
+// Where clients mark their retries, a request without the mark is a first attempt. At the first tier, a first attempt
+// has spent nothing. At an inner tier, it is assumed to have spent nothing if it could otherwise no longer meet its
+// target latency, because its caller is still waiting.
 func (b *Balancer) timeSpent(class *classState, ev *Event) time.Duration {
 	spent := max(0, class.usualRemaining(ev.Remaining)-ev.Remaining)
 	firstAttempt := b.settings.MarksRetries && !ev.ClientRetry
@@ -49,8 +50,8 @@
 }
 
 // latencyFactor is the class's latency divided by the mean of all classes' latencies. Latencies are divided by it to
-// make those of different classes comparable. The mean is over classes rather than calls, so that it does not move when
-// calls of one class are rejected.
+// make those of different classes comparable. The mean is over classes rather than requests, so that it does not move when
+// requests of one class are rejected.
 func (b *Balancer) latencyFactor(class *classState) float64 {
 	var all decayedMean
 	for _, other := range b.classes {
@@ -69,14 +70,14 @@
 	return math.Exp2(math.Round(math.Log2(max(value, 1e-6))))
 }
 
-// updateClassWeights computes each class's priority and its share of all calls.
+// updateClassWeights computes each class's priority and its share of all requests.
 func (b *Balancer) updateClassWeights() {
 	for _, class := range b.classes {
 		class.latencyFactor = b.latencyFactor(class)
 		class.priority = b.classPriority(class)
-		class.callShare = 0
+		class.requestShare = 0
 	}
 	for k, weight := range b.binWeights() {
-		b.classes[k/binsPerClass].callShare += weight
+		b.classes[k/binsPerClass].requestShare += weight
 	}
 }
--- a/balance/curve.go
+++ b/balance/curve.go
@@ -1,11 +1,12 @@
 package balance
 
-// latencyCurve models an endpoint's latency as a function of its share of the calls, as in an M/M/1 queue:
+// latencyCurve models an endpoint's latency as a function of its share of the requests, as in an M/M/1 queue:
 // unloaded/(1 - growth*share), where unloaded is the latency without load, in seconds.
 type latencyCurve struct{ unloaded, growth float64 }
 
 // at returns the latency at a share, in seconds, and the slope of the curve there.
 func (c *latencyCurve) at(share float64) (latency, slope float64) {
+	// The lower bound keeps the latency at no more than 20 times unloaded: the formula has a pole where growth*share is 1.
 	free := max(0.05, 1-c.growth*share)
 	return c.unloaded / free, c.unloaded * c.growth / free / free
 }
@@ -19,6 +20,8 @@
 		mean.add(b.meanLatency(endpoint))
 	}
 	utilisation := b.meanUtilisation()
+	// An endpoint's growth is pressure times its unloaded latency. With this pressure, growth*share is the mean utilisation
+	// for an endpoint that has the mean latency and the share 1/n.
 	pressure := n * utilisation / (mean.mean(0, 0) * (1 - utilisation))
 	curves := make([]latencyCurve, len(b.endpoints))
 	for i, endpoint := range b.endpoints {
--- a/balance/endpoint.go
+++ b/balance/endpoint.go
@@ -22,7 +22,7 @@
 	unhealthy      bool             // at the last assessment; its requests in flight are not in Balancer.inFlight
 	latency        decayedMean      // latencies of served attempts, in seconds, scaled to the mean class
 	overdueLatency decayedMean      // scaled ages of pending attempts that exceed the mean latency, in seconds
-	evidence       grey.Host
+	evidence       grey.Host        // of a grey failure: failing some attempts while serving others (package grey)
 
 	// Outlier ejection, as a circuit breaker: closed, open until ejectedUntil, then half-open.
 	consecutiveFailures int
@@ -33,7 +33,7 @@
 	lastSignal  time.Duration // end of the last attempt that was sent and not cancelled, by Balancer.runTime
 	lastSuccess time.Duration // last served attempt
 
-	warmup      warmup.Budget // sends that it may get while it is warming up
+	warmup      warmup.Budget // credits for sends to it while it is warming up
 	utilisation loadValue
 }
 
@@ -57,7 +57,7 @@
 // EndpointHealth is an endpoint's health as used by the decisions, for monitoring.
 type EndpointHealth struct {
 	Endpoint    EndpointID
-	Grey        bool    // it fails a larger fraction of its attempts than its peers
+	Grey        bool    // it fails a larger fraction of its attempts than its peers, while it serves the others (package grey)
 	Ejected     bool    // it gets no requests, or one at a time until it has served one
 	FailureRate float64 // largest failure rate over the classes, 0 to 1
 }
@@ -104,13 +104,16 @@
 	var unused []EndpointID
 	for id, endpoint := range b.endpointsByID {
 		_, wasUsed := oldIndex[endpoint]
-		mayBeUncordoned := endpoint.State == Ready && b.cordoned[id] // possibly without another list that reports it
+		// An operator may uncordon such an endpoint before another list reports it, so it is not deleted.
+		mayBeUncordoned := endpoint.State == Ready && b.cordoned[id]
 		switch {
 		case endpoint.available && endpoint.inSubset || len(endpoint.pending) > 0:
 			b.endpoints = append(b.endpoints, endpoint)
 		case !endpoint.available && !mayBeUncordoned:
 			delete(b.endpointsByID, id)
-		case wasUsed: // frees its connections for other instances; its learned statistics would become stale
+		case wasUsed:
+			// The endpoint is kept, but this instance does not use it any more. Closing its idle connections frees them
+			// for other instances. Its learned statistics are discarded, because they would become stale.
 			unused = append(unused, endpoint.Endpoint)
 			endpoint.latency = decayedMean{}
 			endpoint.evidence = grey.Host{}
--- a/balance/event.go
+++ b/balance/event.go
@@ -14,7 +14,8 @@
 // EventKind is the kind of an Event.
 type EventKind uint8
 
-// The kinds of event.
+// The kinds of event. Handle ignores EventHealthChecked and EventPeer: package driver sends the former after an
+// ActHealthCheck, and package simprotocol decodes both for simadapter.
 const (
 	EventRequest            EventKind = iota + 1 // a client's request has arrived
 	EventOutcome                                 // an attempt has ended
@@ -108,7 +109,7 @@
 	Endpoint     EndpointID
 	Cordoned     bool // EventCordon: true to cordon the endpoint, false to uncordon it
 	Attempt      int
-	Closed       bool // the request has ended
+	Closed       bool // the caller has ended the request, by this outcome or before it: no final answer is needed
 	Status       Status
 	RetriedBelow bool // the attempt failed after the next tier's own retries: another retry here would only repeat those
 	Latency      time.Duration
--- a/balance/hedging.go
+++ b/balance/hedging.go
@@ -15,16 +15,20 @@
 	b.hedge(request)
 }
 
-// hedge sends a second attempt at a request whose first is overdue or likely hangs (a hedged request; Dean and Barroso,
-// The Tail at Scale, 2013). If the second attempt likely hangs as well, a third one replaces the first.
+// hedge sends a second attempt of a request if its only open one is overdue or likely hangs (a hedged request; Dean and
+// Barroso, The Tail at Scale, 2013). If two attempts are open and both likely hang, it cancels the older one,
+// where the settings allow that, and sends another.
 func (b *Balancer) hedge(request *requestState) {
 	if request.openAttempts == 0 || request.queued || request.class.Idempotency == NonIdempotent || b.now > request.targetAt ||
 		!request.lastAttempt().open {
 		return
 	}
 	last := findPending(request, request.lastAttempt())
-	cost := 1 + (hedgeCost-1)*(1-last.hangProbability) // 1, as a retry, if the attempt hangs; more if it is slow and adds work
+	// A hedge of an attempt that surely hangs costs 1, as a retry does. If the attempt is only slow, the hedge adds work
+	// and costs up to hedgeCost.
+	cost := 1 + (hedgeCost-1)*(1-last.hangProbability)
 	firstOpen := slices.IndexFunc(request.attempts, func(attempt attemptState) bool { return attempt.open })
+	// An attempt before the last is open as well: without a cancellation, the hedge would be the third open attempt.
 	third := firstOpen < len(request.attempts)-1
 	switch {
 	case b.retryTokens < cost:
@@ -57,8 +61,8 @@
 
 // recordAbandoned learns from the attempts that are open when their request runs out of time. The age of an attempt
 // that does not hang is a lower bound of its latency; without it adaptLimit would not see late answers. An unresponsive
-// endpoint is ejected here, because the outcome of a cancelled attempt is no evidence of a failure, and the next
-// attempt would fail the same way.
+// endpoint is ejected here, because the next attempt would fail the same way, and because recordOutcome ejects no
+// endpoint for a cancelled attempt: it only counts the attempt as a failure by its probability of hanging.
 func (b *Balancer) recordAbandoned(request *requestState) {
 	for i := range request.attempts {
 		attempt := &request.attempts[i]
--- a/balance/latency.go
+++ b/balance/latency.go
@@ -12,7 +12,7 @@
 	scaled := ev.Latency.Seconds() / class.latencyFactor
 	switch ev.Status {
 	case NotSent:
-	case Cancelled: // by this instance: counts as a failure by its probability of hanging
+	case Cancelled: // by this instance: counts as a failure by its probability of hanging, but ejects no endpoint
 		b.detector.RecordAbandoned(&endpoint.evidence, classIndex, (b.now - pending.sentAt).Seconds(), pending.hangProbability, pending.overtakenBy)
 	case OK:
 		b.recordServed(pending, endpoint, ev.Latency)
@@ -45,7 +45,7 @@
 	endpoint.group.latency.add(scaled)
 	endpoint.lastSuccess = b.now
 	b.detector.RecordAnswer(&endpoint.evidence, classIndex, seconds, pending.hangProbability)
-	b.earnWarmupSends(endpoint)
+	b.earnWarmupCredits(endpoint)
 	b.responses.add(class.TargetLatency.Seconds())
 	if endpoint.halfOpen {
 		b.solveNeeded = true
@@ -63,16 +63,18 @@
 	}
 }
 
-// groupLatency is the mean latency of an endpoint's group, in seconds, scaled to the mean class.
+// groupLatency is the mean latency of an endpoint's group, in seconds, scaled to the mean class. Its prior is the latency
+// of the first class, which is not scaled; the prior has the small weight groupPriorSamples, so that it matters only
+// until the group has answers.
 func (b *Balancer) groupLatency(endpoint *endpointState) float64 {
-	return endpoint.group.latency.mean(b.classLatency(b.classes[0]).Seconds(), groupPriorCalls)
+	return endpoint.group.latency.mean(b.classLatency(b.classes[0]).Seconds(), groupPriorSamples)
 }
 
 // meanLatency is an endpoint's mean latency, in seconds, scaled to the mean class and shrunk toward its group's latency.
 func (b *Balancer) meanLatency(endpoint *endpointState) float64 {
 	samples := endpoint.latency
 	samples.merge(endpoint.overdueLatency)
-	return samples.mean(b.groupLatency(endpoint), priorCalls)
+	return samples.mean(b.groupLatency(endpoint), priorSamples)
 }
 
 // overdueAfter is the time for which an attempt of a class may be pending before it is overdue.
--- a/balance/learned_state.go
+++ b/balance/learned_state.go
@@ -11,7 +11,7 @@
 // LearnedState is what an instance has learned, except for the membership list, as plain values for its successor
 // process. The successor takes it over in an upgrade on the same machine, or reads it from a snapshot after a restart.
 // Except where noted, times are relative to the present, so that the clocks of the two processes need not agree. The
-// JSON names are those of stored snapshots.
+// JSON names, here and in the types of the fields, are those of stored snapshots, and may differ from the fields' names.
 type LearnedState struct {
 	Age time.Duration `json:"Past"` // time since the state was taken
 
@@ -38,7 +38,7 @@
 // ClassState is the learned state of a class.
 type ClassState struct {
 	Latency         MeanState       `json:"Delay"` // seconds
-	BinShares       []float64       `json:"Bins"`  // distribution of the calls by the spent fraction of their target latency
+	BinShares       []float64       `json:"Bins"`  // distribution of the requests by the spent fraction of their target latency
 	RecentRemaining []time.Duration `json:"Lefts"` // remaining times of the latest requests at their arrival
 }
 
--- a/balance/limit.go
+++ b/balance/limit.go
@@ -9,7 +9,7 @@
 	if b.latencyWindow.n < minLimitResponses {
 		return
 	}
-	share := b.latencyWindow.mean(0, 0)
+	share := b.latencyWindow.mean(0, 0) // the mean latency, as a fraction of the targets
 	idle := b.limitUse.mean(0, 0) < minTestedUse*b.limit
 	b.updateBaseline()
 	b.baselineKnown = b.baselineKnown || idle && b.baseline > 0
@@ -21,7 +21,7 @@
 	case share > threshold && (b.baselineKnown || !idle):
 		b.cutLimit(share, threshold, intervals)
 	case idle: // too little of the limit was used to tell whether it can grow
-	case b.congestionAvoidance:
+	case b.congestionAvoidance: // per interval by at least a tenth of a request per endpoint, over all instances
 		b.limit += max(b.instanceShare(1)/10, limitGrowth*b.limit) * min(intervals, maxGrowthIntervals)
 	default:
 		b.limit *= math.Pow(initialLimitGrowth, min(intervals, maxGrowthIntervals))
@@ -90,7 +90,8 @@
 	b.baselineWindow = decayedMean{}
 }
 
-// trackLowEnd moves an estimate of a low end toward a new value x: fast if x is lower, slowly if it is higher.
+// trackLowEnd returns an estimate of a low end, moved toward a new value x: fast if x is lower, slowly if it is higher.
+// An estimate of 0 or infinity is unknown, and x replaces it.
 func trackLowEnd(low, x float64) float64 {
 	switch {
 	case low == 0 || math.IsInf(low, 0):
@@ -101,9 +102,9 @@
 	return low + baselineRise*(x-low)
 }
 
-// instanceShare multiplies a number of requests per endpoint by the number of endpoints, of which one that is warming up
-// counts by its capacity, and divides the product equally among the processes of all instances. The result may be below
-// 1.
+// instanceShare converts a number of requests per endpoint, over all instances, to this process's equal share of the
+// requests at all available endpoints. An endpoint that is warming up counts by its capacity. The share may be below 1,
+// but is at least 0.01.
 func (b *Balancer) instanceShare(perEndpoint float64) float64 {
 	return max(0.01, perEndpoint*b.capacity/b.settings.processCount())
 }
@@ -131,13 +132,13 @@
 }
 
 // priorityReserve is the limitCredit, in request-seconds, that a request needs under a small limit. It increases with
-// the share of the calls that have a higher priority. Where requests arrive one at a time there is no queue that could
+// the share of the requests that have a higher priority. Where requests arrive one at a time there is no queue that could
 // order them by priority, so credit is reserved for the more valuable ones instead.
 func (b *Balancer) priorityReserve(request *requestState) float64 {
 	moreValuable := 0.0
 	for _, class := range b.classes {
 		if class.priority > request.priority {
-			moreValuable += class.callShare
+			moreValuable += class.requestShare
 		}
 	}
 	return limitCreditSeconds * b.limit * maxReserveShare * (2*moreValuable - 1)
--- a/balance/membership.go
+++ b/balance/membership.go
@@ -39,7 +39,9 @@
 	case endpoint != nil && endpoint.Cached && !entry.Cached && listedStart == endpoint.listedStart:
 		// The fresh list confirms the cached one.
 	case endpoint != nil && (listedStart <= endpoint.StartedAt || listedStart == endpoint.listedStart):
-		entry.StartedAt = endpoint.StartedAt // a missing or earlier start does not make the endpoint warmer
+		// The known start is kept: an entry with no start, an earlier one or the one listed before must not make the
+		// endpoint count as warmer.
+		entry.StartedAt = endpoint.StartedAt
 	default:
 		entry.StartedAt = min(listedStart, b.now)
 		if endpoint == nil {
--- a/balance/outcomes.go
+++ b/balance/outcomes.go
@@ -61,7 +61,8 @@
 	}
 }
 
-// finish gives the final answer: rejected if the client may safely retry, failed otherwise.
+// finish completes a request that gets no answer from an endpoint, unless it is done already. Its final answer is
+// "rejected" if the client may safely retry, and "failed" otherwise.
 func (b *Balancer) finish(request *requestState) {
 	if request.done {
 		return
@@ -81,7 +82,7 @@
 	if class.Idempotency == Idempotent || class.Idempotency == IdempotentByKey && class.Scope == ScopeAll {
 		return !request.hasEarlierAttempt || b.withinDedupWindow(request, &request.earlierAttempt)
 	}
-	for range request.mayHaveRun {
+	for range request.mayHaveRun { // a single attempt that may have run is enough
 		return false
 	}
 	return true
@@ -104,8 +105,8 @@
 	return min(b.settings.MaxRetryAfter, time.Duration(scarcity*(0.5+b.random.Float64())*float64(target)/4))
 }
 
-// complete marks a request as answered and cancels its open attempts, except one whose answer is being streamed. The
-// request is removed when its attempts have ended.
+// complete marks a request as done: it is answered, or its client has left. Where the settings allow it, its open
+// attempts are cancelled, except one whose answer is being streamed. The request is deleted when its attempts have ended.
 func (b *Balancer) complete(request *requestState) {
 	request.done = true
 	b.removeUnanswered(request)
--- a/balance/pending.go
+++ b/balance/pending.go
@@ -119,7 +119,7 @@
 // latency.
 func (b *Balancer) assessEndpoint(endpoint *endpointState) (inFlight int) {
 	groupLatency := b.groupLatency(endpoint)
-	meanLatency := endpoint.latency.mean(groupLatency, priorCalls)
+	meanLatency := endpoint.latency.mean(groupLatency, priorSamples)
 	for i := range endpoint.pending {
 		pending := &endpoint.pending[i]
 		if pending.request.uploading {
--- a/balance/queue.go
+++ b/balance/queue.go
@@ -9,6 +9,7 @@
 func (b *Balancer) enqueue(request *requestState) {
 	request.queued = true
 	i, _ := slices.BinarySearchFunc(b.queue, request, func(queued, request *requestState) int {
+		// With targetAt+1, a request is inserted after those with the same priority and targetAt.
 		return cmp.Or(cmp.Compare(request.priority, queued.priority), cmp.Compare(queued.targetAt, request.targetAt+1))
 	})
 	b.queue = slices.Insert(b.queue, i, request)
--- a/balance/reconfigure.go
+++ b/balance/reconfigure.go
@@ -12,6 +12,8 @@
 func (b *Balancer) applySettings(s *Settings) {
 	b.settings = *s
 	b.instanceHash = hashName(s.Name)
+	// TargetLatency becomes the shortest of all classes below. The number of instances counts as exact only if this
+	// instance has no name.
 	b.warmupConfig = warmup.Config{InitialShare: s.WarmupInitialShare, Duration: s.WarmupDuration, TargetLatency: s.Classes[0].TargetLatency, InstancesKnown: s.Name == ""}
 	for i, class := range s.Classes {
 		b.warmupConfig.TargetLatency = min(b.warmupConfig.TargetLatency, class.TargetLatency)
--- a/balance/request.go
+++ b/balance/request.go
@@ -40,14 +40,16 @@
 	endpoint   *endpointState
 	sentAt     time.Duration
 	open       bool
-	mayHaveRun bool // it may have taken effect
+	mayHaveRun bool // it may have taken effect; true from its sending until an outcome rules that out
 	streamed   bool // its answer is being streamed to the client
 }
 
 // maxUploadTime is the maximum duration of an upload. The reader of the body aborts a slow upload earlier.
 const maxUploadTime = time.Hour
 
-// beginUpload postpones a request's times until onUploadDone. Until then the request only gets an endpoint.
+// beginUpload marks a request as uploading and adds maxUploadTime to its deadline, targetAt and usefulUntil. onUploadDone
+// replaces that by the duration of the upload. Until then the request can be sent to an endpoint, but does not count as in
+// flight there.
 func (r *requestState) beginUpload(now time.Duration) {
 	r.arrivedAt = now
 	r.uploading = true
@@ -69,7 +71,8 @@
 	return 1
 }
 
-// mayHaveRun yields the attempts that may have taken effect.
+// mayHaveRun iterates over the attempts that may have taken effect: the earlier attempt of another request, if it is
+// known, and this request's own.
 func (r *requestState) mayHaveRun(yield func(*attemptState) bool) {
 	if r.hasEarlierAttempt && !yield(&r.earlierAttempt) {
 		return
@@ -89,7 +92,8 @@
 	return r.deadline
 }
 
-// valueShare is the share of its class's value that is passed to the next tier, 0 to 1.
+// valueShare is the share of its class's value, 0 to 1, that is passed to the next tier with an attempt: the request's
+// priority relative to that of its class.
 func (r *requestState) valueShare() float64 { return min(1, r.priority/r.class.priority) }
 
 // lastAttempt returns the latest attempt of a request, which must have at least one.
@@ -112,7 +116,8 @@
 	return 1
 }
 
-// valueShare returns the share of its class's value that a request has at its arrival.
+// valueShare returns the share of its class's value, above 0 and up to 1, that a request has at its arrival. Without one
+// from the calling tier, it is 1.
 func valueShare(ev *Event) float64 {
 	if ev.ValueShare <= 0 {
 		return 1
@@ -120,9 +125,9 @@
 	return min(1, ev.ValueShare)
 }
 
-// setEarlierAttempt records that an earlier request for the same effect may have run. Its endpoint determines which
-// endpoints may get this request; if that endpoint is no longer known, none may, unless duplicates are recognised by
-// all endpoints.
+// setEarlierAttempt records that an earlier request for the same effect may have run. If duplicates are recognised only
+// within a zone or cell, only endpoints in that of the earlier request's endpoint may get this request, and none may if
+// that endpoint is no longer known. Requests of Idempotent classes need no such record.
 func (b *Balancer) setEarlierAttempt(request *requestState, ev *Event) {
 	request.hasEarlierAttempt = ev.EarlierAttemptAt > 0 && request.class.Idempotency != Idempotent
 	if !request.hasEarlierAttempt {
--- a/balance/rows.go
+++ b/balance/rows.go
@@ -19,7 +19,7 @@
 	b.accumulateRows()
 }
 
-// sumShares returns each endpoint's share of all calls, given the weight of each bin.
+// sumShares returns each endpoint's share of all requests, given the weight of each bin.
 func (b *Balancer) sumShares(weights []float64) []float64 {
 	total := make([]float64, len(b.endpoints))
 	for k, row := range b.rows {
--- a/balance/settings.go
+++ b/balance/settings.go
@@ -40,11 +40,12 @@
 
 // Tenant is the settings of one tenant.
 type Tenant struct {
-	Share float64
+	Share float64 // not used by the decisions; read from the configuration
 	Quota float64 // requests per second, over all instances, that have the full value; 0 is no quota
 }
 
-// Prices are the points by which each cost lowers the score, per unit of its share or rate.
+// Prices are the points by which each cost lowers the platform's score, per unit of its share or rate. They are read from
+// the configuration, but no decision uses them.
 type Prices struct{ Waste, Handshake, Probe, Peer, LateFail, CrossZone float64 }
 
 // LoadField identifies a value of a load report.
@@ -73,7 +74,7 @@
 	Tenants         []Tenant
 	OverQuotaValue  float64 // fraction of its value, 0 to 1, that a request over its tenant's quota has
 	ValueByWork     bool    // values are per unit of work
-	// PropagatesDeadline says that calls carry the remaining time of their caller.
+	// PropagatesDeadline says that requests carry the remaining time of their caller.
 	PropagatesDeadline bool
 	MarksRetries       bool // clients mark their own retries
 	PollsDiscovery     bool // discovery sends lists only in answer to a poll or subscription
@@ -93,12 +94,12 @@
 	MaxPending     int // requests pending at a time
 	ConnectTimeout time.Duration
 
-	ResponseSlack      time.Duration
-	DrainGrace         time.Duration
+	ResponseSlack      time.Duration // not used by the decisions
+	DrainGrace         time.Duration // not used by the decisions: a draining endpoint gets no new attempts
 	MaxListAge         time.Duration // with PollsDiscovery: age from which a membership list counts as stale
 	WarmupInitialShare float64       // fraction of its capacity that an endpoint has just after its start; above 0, at most 1
 	WarmupDuration     time.Duration // time from an endpoint's start to its full capacity
-	CollapseMultiple   float64       // multiple of its capacity at which an endpoint collapses
+	CollapseMultiple   float64       // multiple of its capacity at which an endpoint that is warming up collapses (goes down)
 	CollapseWindow     time.Duration // time over which the load is compared with CollapseMultiple
 }
 
@@ -117,7 +118,8 @@
 	return fmt.Sprintf("balance: settings: %s is missing or out of range", e.Field)
 }
 
-// Validate returns a *SettingError for the first required setting that is missing or out of range, or nil.
+// Validate returns a *SettingError for the first required setting that is missing or out of range, or nil. The names in
+// the errors are the stable ones of SettingError.Field: Quantum, for example, is TimeResolution.
 func (s *Settings) Validate() error {
 	switch {
 	case len(s.Classes) == 0:
--- a/balance/solve.go
+++ b/balance/solve.go
@@ -93,9 +93,9 @@
 	return best
 }
 
-// gradient returns the expected payoff over all bins and its partial derivatives by each share of each row. The payoff
-// of a call is its class's value, in units of the mean value, times the probability that it is answered within its
-// remaining time.
+// gradient returns the expected payoff over all bins and, for each share of each row, its partial derivative divided by
+// the weight of the row's bin. The payoff of a request is its class's value, in units of the mean value and reduced by the
+// expected loss from failures, times the probability that it is answered within its remaining time.
 func (b *Balancer) gradient(weights []float64, curves []latencyCurve) (gradient [][]float64, payoff float64) {
 	total := b.sumShares(weights)
 	meanValue := 0.0
@@ -103,7 +103,7 @@
 		meanValue += weight * b.classes[k/binsPerClass].Value
 	}
 	gradient = make([][]float64, len(b.bins))
-	congestion := make([]float64, len(curves)) // payoff that one more call at an endpoint costs the other calls there
+	congestion := make([]float64, len(curves)) // payoff that one more request at an endpoint costs the other requests there
 	for k, row := range b.rows {
 		class := b.classes[k/binsPerClass]
 		lossPerFailure := b.lossPerFailure(class)
@@ -126,7 +126,7 @@
 	return gradient, payoff
 }
 
-// lossPerFailure is the fraction of a call's value that a failed attempt costs. It is lower where attempts may be hedged.
+// lossPerFailure is the fraction of a request's value that a failed attempt costs. It is lower where attempts may be hedged.
 func (b *Balancer) lossPerFailure(class *classState) float64 {
 	loss := 1.0
 	if b.settings.Hedging && class.Idempotency != NonIdempotent {
@@ -135,7 +135,7 @@
 	return loss
 }
 
-// remainingSeconds is the remaining part of the target latency, in seconds, for calls in a bin of a class.
+// remainingSeconds is the remaining part of the target latency, in seconds, for requests in a bin of a class.
 func remainingSeconds(class *classState, bin int) float64 {
 	remaining := class.TargetLatency.Seconds()
 	if bin > 0 {
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -1,7 +1,7 @@
 package balance
 
 // chooseSubset chooses the endpoints that this instance uses. With all endpoints of a large fleet it would send too few
-// calls to each of them to learn from, and all instances together would fill the endpoints' connection tables (compare
+// requests to each of them to learn from, and all instances together would fill the endpoints' connection tables (compare
 // deterministic subsetting in Beyer et al., Site Reliability Engineering, chapter 20). The subset is the start of an
 // order hashed from the instance's name and the endpoint IDs: this needs no rank, and an added or removed endpoint
 // changes little. An instance without a name uses a contiguous range, chosen by its rank, of an order that is common to
@@ -19,8 +19,11 @@
 	usable := 0
 	for i := range n {
 		endpoint := b.readyEndpoints[(first+i)%n]
+		// An ejected or half-open endpoint stays in the subset for its recovery, but does not count toward size: the next one
+		// in the order replaces it. However many there are, the subset has at most 2*size endpoints. In panic mode, which
+		// ignores health, they count.
 		endpoint.inSubset = usable < size && i < 2*size
-		if !endpoint.halfOpen || b.panicMode { // an ejected endpoint stays in the subset for its recovery; the next replaces it
+		if !endpoint.halfOpen || b.panicMode {
 			usable++
 		}
 	}
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -530,7 +530,7 @@
 	w.b.assessPending()
 	w.b.updatePanicMode()
 	for range 20 {
-		w.b.earnWarmupSends(w.b.endpoints[0])
+		w.b.earnWarmupCredits(w.b.endpoints[0])
 	}
 	for _, endpoint := range w.b.endpoints {
 		for n := 0; ; n++ {
--- a/balance/tick.go
+++ b/balance/tick.go
@@ -7,6 +7,7 @@
 	b.emit(Action{Kind: ActTimer, Token: tickToken, After: b.tickInterval})
 	for _, endpoint := range b.endpoints {
 		if b.isWarmingUp(endpoint) {
+			// Adds a trickle credit if one is due.
 			endpoint.warmup.Tick(b.now, b.trickleRate(endpoint), b.random.Float64())
 		}
 	}
--- a/balance/tunables.go
+++ b/balance/tunables.go
@@ -18,17 +18,17 @@
 	solveStep           = 0.05                   // initial step size, for a payoff in units of the mean value
 	minSolveInterval    = 500 * time.Millisecond // limits the CPU time of solves
 	minLatencyShift     = 0.25                   // relative change of a latency that requires a new solve
-	minBinShift         = 0.1                    // share of the calls that moves between bins and requires a new solve
+	minBinShift         = 0.1                    // share of the requests that moves between bins and requires a new solve
 	minFailureRateShift = 0.03                   // change of a failure rate of an endpoint and class that requires a new solve
 	exploreShare        = 0.05                   // part of each row that is split equally, so that no latency becomes stale
-	arrivalWeight       = 1e-3                   // weight of a request since the last refresh of the bins
+	arrivalWeight       = 1e-3                   // weight of a request since the last refresh of the bins; all before it together weigh 1
 	maxSampleDraws      = 6                      // draws from a whole row before the row is searched for a fitting endpoint
 )
 
-// Latencies. Prior weights are in calls.
+// Latencies. Prior weights are in samples.
 const (
-	priorCalls           = 5.0  // weight of its group's latency in an endpoint's mean latency
-	groupPriorCalls      = 0.1  // weight of the first class's latency in a group's mean latency
+	priorSamples         = 5.0  // weight of its group's latency in an endpoint's mean latency
+	groupPriorSamples    = 0.1  // weight of the first class's latency in a group's mean latency
 	overdueFactor        = 3.0  // multiple of its class's mean latency after which a pending attempt is overdue
 	minLatencyFactor     = 0.05 // minimum of a class's latencyFactor
 	utilisationSmoothing = 0.2  // weight of a new report in the exponential moving average
@@ -37,15 +37,15 @@
 // The concurrency limit.
 const (
 	initialLimit         = 6.0   // requests per endpoint, over all instances, before anything is learned
-	minLimit             = 2.0   // requests per endpoint, over all instances; less would leave endpoints idle between calls
+	minLimit             = 2.0   // requests per endpoint, over all instances; less would leave endpoints idle between requests
 	minLimitResponses    = 4.0   // answers needed to adapt the limit; a mean of fewer is mostly noise
 	minBaselineResponses = 30.0  // answers needed to update the baseline
 	baselineFall         = 0.3   // weight of a new value below the baseline
 	baselineRise         = 0.001 // weight of a new value above the baseline
-	// The congestion threshold, as a fraction of the target latency, is congestionFactor times the baseline, but at
-	// least minCongestionRise above the baseline: inner tiers have baselines of a few hundredths, of which twice is
-	// still little. Its upper bound is the larger of earlyCongestionShare, at which many answers are late already, and
-	// earlyCongestionFactor times the baseline, but at most maxCongestionShare.
+	// The congestion threshold and the baseline are fractions of the target latency. The threshold is congestionFactor
+	// times the baseline, but at least minCongestionRise above it: inner tiers have baselines of a few hundredths, and
+	// twice that is still a short latency. Two upper bounds apply: maxCongestionShare, and the larger of
+	// earlyCongestionShare, at which many answers are late already, and earlyCongestionFactor times the baseline.
 	congestionFactor       = 2.0
 	minCongestionRise      = 0.07
 	earlyCongestionShare   = 0.33
@@ -71,8 +71,8 @@
 const (
 	maxQueueShare         = 0.25 // fraction of its target latency for which a first-tier request may be queued
 	maxOverQuotaUse       = 0.5  // fraction of the limit in use above which requests over their quota are rejected
-	scarcityShare         = 0.15 // fraction of requests rejected above which first attempts go before clients' retries
-	maxScarcity           = 0.8  // upper bound of the fraction of requests rejected in the calculation of retry hints
+	scarcityShare         = 0.15 // fraction of requests rejected above which clients' retries lose priority and slow attempts get no hedge
+	maxScarcity           = 0.8  // upper bound of the fraction of requests rejected, from which retry hints are calculated
 	clientRetryPriority   = 0.7  // priority factor of a client's retry above scarcityShare: its client has less time remaining
 	retryTokensPerRequest = 0.2
 	maxRetryTokens        = 10.0
@@ -88,9 +88,10 @@
 	ejectionThreshold = 3 // consecutive failures
 	baseEjectionTime  = time.Second
 	maxEjectionTime   = 16 * time.Second
-	// cachedTrickleRate is the minimum rate, in sends per second, at which an instance sends to the endpoints of a
-	// cached list before any of them has answered. If 300 instances restart together with 12 such endpoints, each
-	// endpoint gets 50 sends per second, and an instance that restarts alone is not without service.
+	// cachedTrickleRate is the minimum rate, in credits per second, at which an instance gets trickle credits for the
+	// endpoints of a cached list together; as with any trickle, the credits that answers earn reduce it. If 300
+	// instances restart together with 12 such endpoints, each endpoint gets 50 sends per second, and an instance that
+	// restarts alone is not without service.
 	cachedTrickleRate = 2.0
 )
 
@@ -103,8 +104,8 @@
 // tickToken is the token of the only timer.
 const tickToken Token = 1
 
-// binEdges are the bounds between a class's bins: the fractions of the target latency that are spent when a call is
-// routed.
+// binEdges are the bounds between a class's bins: the fractions of the target latency that a request has
+// spent.
 var binEdges = [...]float64{0.1, 0.3, 0.6}
 
 const binsPerClass = len(binEdges) + 1
--- a/balance/warmup.go
+++ b/balance/warmup.go
@@ -18,8 +18,8 @@
 	return endpoint.StartedAt > 0 && b.now < endpoint.StartedAt+b.settings.WarmupDuration
 }
 
-// trickleRate is the rate, in sends per second, at which an endpoint that is warming up gets sends that no answer of its
-// group has earned.
+// trickleRate is the rate, in credits per second, at which this instance gets credits for an endpoint that is warming up
+// without any answer that earns them; see package warmup.
 func (b *Balancer) trickleRate(endpoint *endpointState) float64 {
 	rate := b.warmupConfig.TrickleRate(b.uptime(endpoint), b.instancesPerEndpoint)
 	if endpoint.Cached {
@@ -28,8 +28,8 @@
 	return rate
 }
 
-// seedCachedList grants an instance that starts with a cached list one immediate send to a random endpoint of it. Further
-// sends are earned by answers.
+// seedCachedList grants an instance that starts with a cached list one immediate credit for a random endpoint of it.
+// Further credits are earned by answers, or come from the trickle.
 func (b *Balancer) seedCachedList() {
 	if b.cachedListSeeded {
 		return
@@ -42,15 +42,17 @@
 	}
 	if len(cached) > 0 {
 		b.cachedListSeeded = true
-		cached[b.random.IntN(len(cached))].warmup.Earn(b.now, 1, 0)
+		cached[b.random.IntN(len(cached))].warmup.Earn(b.now, 1, 0) // one whole credit: nothing to round at random
 	}
 }
 
-// earnWarmupSends distributes the sends earned by an answer among the endpoints of its group that are warming up; see
+// earnWarmupCredits distributes the credits earned by an answer among the endpoints of its group that are warming up; see
 // package warmup. Only healthy endpoints count in the group's capacity: an endpoint that is down or hangs would take a
-// share of the sends without using it.
-func (b *Balancer) earnWarmupSends(from *endpointState) {
-	if b.warmupConfig.InitialShare < 1 && b.capacity == float64(len(b.readyEndpoints)) { // no endpoint is warming up
+// share of the credits without using it.
+func (b *Balancer) earnWarmupCredits(from *endpointState) {
+	// A warm endpoint has a capacity of 1, and one that is warming up less if InitialShare is below 1. If all capacities
+	// add up to the number of endpoints, none is warming up.
+	if b.warmupConfig.InitialShare < 1 && b.capacity == float64(len(b.readyEndpoints)) {
 		return
 	}
 	groupCapacity := 0.0
@@ -61,8 +63,8 @@
 	}
 	for _, endpoint := range b.endpoints {
 		if endpoint.available && endpoint.group == from.group && b.isWarmingUp(endpoint) {
-			sends := warmup.CreditsPerAnswer * b.warmupConfig.Capacity(b.uptime(endpoint)) / groupCapacity
-			endpoint.warmup.Earn(b.now, sends, b.random.Float64())
+			credits := warmup.CreditsPerAnswer * b.warmupConfig.Capacity(b.uptime(endpoint)) / groupCapacity
+			endpoint.warmup.Earn(b.now, credits, b.random.Float64())
 		}
 	}
 }
