--- a/internal/fleet/coordinator/acceptor_log.go
+++ b/internal/fleet/coordinator/acceptor_log.go
@@ -8,8 +8,9 @@
 	"pinelb.example/pinelb/internal/fleet/replication"
 )
 
-// logAcceptorChange logs a change of the acceptor set, and of whether this machine's acceptor is ready. It is called after
-// the change is durable. Other changes are too frequent to be logged.
+// logAcceptorChange logs a change of the acceptor set, and of whether this machine's acceptor is ready. It is called when
+// the status is published: before the state is durable at the start and after a reload, and after the write otherwise. Other
+// changes are too frequent to be logged.
 func logAcceptorChange(log *zap.Logger, previous, current *AcceptorStatus) {
 	epoch := current.Config.Epoch
 	if epoch != previous.Config.Epoch {
--- a/internal/fleet/coordinator/acceptor_loop.go
+++ b/internal/fleet/coordinator/acceptor_loop.go
@@ -23,7 +23,7 @@
 	Config          register.Config
 	ReadyEpoch      uint64 // the newest epoch in which the acceptor is ready
 	StoredRegisters int    // number of registers
-	Durable         bool   // the identity in Self is on disk and may be sent to other machines
+	Durable         bool   // the identity in Self may be sent to other machines: it is on disk, or the store is in memory only
 }
 
 // acceptorLoop runs the machine's acceptor and writes its state to disk. The changes of a batch of messages are made
@@ -127,8 +127,8 @@
 	l.step(ctx, l.acceptor.Receive(l.service.options.Clock(), m.from, m.message))
 }
 
-// step adds the acceptor's output to the batch. A write that replaces the whole state, or that changes only the hard state,
-// is made durable immediately.
+// step adds the acceptor's output to the batch. A write that replaces the whole state is made durable immediately. So is one
+// that changes only the hard state, because flush writes only if there are changed registers.
 func (l *acceptorLoop) step(ctx context.Context, out *register.Output) {
 	if w := out.Write; w != nil {
 		l.changed = append(l.changed, w.Changed...)
--- a/internal/fleet/coordinator/forwarder.go
+++ b/internal/fleet/coordinator/forwarder.go
@@ -30,8 +30,8 @@
 )
 
 const (
-	callTimeout        = 850 * time.Millisecond // of a call, excluding Park; applications fail over after 1 s without a response
-	firstReplyTimeout  = 40 * time.Millisecond  // for any reply to the first copy, before the proposer is sent another one
+	callTimeout        = 850 * time.Millisecond // of a call, plus its Park; applications fail over after 1 s without a response
+	firstReplyTimeout  = 40 * time.Millisecond  // for any reply to the first copy, before the same proposer is sent another copy
 	resendReplyTimeout = 60 * time.Millisecond  // for any reply to the last copy, before the next proposer is tried
 	resultTimeout      = 350 * time.Millisecond // for the result, from a proposer that has replied that the call is in progress
 	suspicionDuration  = 3 * time.Second        // for which a proposer that did not reply is tried last
@@ -160,7 +160,7 @@
 	replies        chan proposerReply
 	proposer       string // address of the proposer that is being tried
 	copiesSent     int    // to all proposers
-	boundToProcess bool   // the last copy may be executed by one process only: if that one refuses it, no later one executes it
+	boundToProcess bool   // the last copy sent names the only process that may execute it (CallRequest.Process)
 }
 
 func (f *forwarder) newCall(operation *coordination.Operation, park time.Duration) *forwardedCall {
@@ -192,9 +192,9 @@
 	outcomeUnclear                // the context has ended, or a reply leaves open whether a copy of the call takes effect
 )
 
-// tryProposer sends the call to the current proposer, resends it if no result comes, and waits longer for the result if the
-// proposer replies that the call is in progress. In total it waits for as long as a live proposer may take. For a watch, the
-// wait after the second copy includes Park, and a third copy follows it.
+// tryProposer sends the call to the current proposer, and resends it if no result comes. If the proposer replies
+// during the last wait, but without a result, tryProposer waits resultTimeout longer for the result. For a watch,
+// the wait after the second copy is longer by Park, and a third copy is sent if it ends without a result.
 func (c *forwardedCall) tryProposer(ctx context.Context) (coordination.Result, attemptOutcome) {
 	replyTimeouts := []time.Duration{firstReplyTimeout, resendReplyTimeout}
 	if c.request.Park > 0 {
--- a/internal/fleet/coordinator/messages.go
+++ b/internal/fleet/coordinator/messages.go
@@ -27,7 +27,7 @@
 	ID        uint64              `cbor:"1,keyasint"`
 	Certainty register.Certainty  `cbor:"2,keyasint,omitempty"`
 	Result    coordination.Result `cbor:"3,keyasint"`
-	Process   uint64              `cbor:"4,keyasint,omitempty"` // that sent this reply; drawn at random when it started
+	Process   uint64              `cbor:"4,keyasint,omitempty"` // the sending process: a number drawn at random at its start
 }
 
 // decoding returns a mode with the highest limit on the length of arrays, so that a record or message can contain all
--- a/internal/fleet/coordinator/pause.go
+++ b/internal/fleet/coordinator/pause.go
@@ -7,7 +7,7 @@
 
 const (
 	minPause       = 700 * time.Millisecond // without a tick: a longer gap means that the process was stopped or got no CPU time
-	resumeDuration = 150 * time.Millisecond // after a pause, in which messages queued in the sockets are read
+	resumeDuration = 150 * time.Millisecond // from the first tick after a pause: time to read messages queued in the sockets
 )
 
 // pauseDetector detects that the process did not run for longer than minPause. It is safe for concurrent use.
--- a/internal/fleet/coordinator/proposer_loop.go
+++ b/internal/fleet/coordinator/proposer_loop.go
@@ -17,9 +17,9 @@
 	minTickInterval     = 2 * time.Millisecond
 	maintenanceInterval = 100 * time.Millisecond
 	helloInterval       = 500 * time.Millisecond
-	replyTTL            = 5 * time.Second // for which a copy of a call gets the same reply, after the call's time-out and Park
+	replyTTL            = 5 * time.Second // how long, after a call's time-out and Park, its copies still get the same reply
 	decideTimeout       = 800 * time.Millisecond
-	maxRegisters        = 50_000 // stored by an acceptor; at this count no new register is created
+	maxRegisters        = 50_000 // if its acceptor stores as many, a machine's proposer refuses calls for names that it hasn't used
 )
 
 // ProposerStatus is a copy of the proposer's state for other goroutines.
@@ -160,8 +160,9 @@
 		l.reply(from, &CallReply{ID: m.ID})
 		return
 	}
+	// An operation that its name's kind doesn't allow gets no reply, nor does any operation while the acceptors are unknown.
 	if !m.Operation.MatchesNameKind() || l.proposer.Config().Epoch == 0 {
-		return // the forwarder fails over to another machine, which may know the acceptors
+		return // the forwarder then tries another machine, which may know the acceptors
 	}
 	if l.service.IsResuming() {
 		return // the call may have been queued during the pause, so that its caller has already given up
--- a/internal/fleet/coordinator/service.go
+++ b/internal/fleet/coordinator/service.go
@@ -24,7 +24,7 @@
 	Directory string   // where the acceptor stores its registers; empty: in memory only
 	Founders  []string // addresses of the first acceptors at the first start of the whole system; empty at any later start
 	Core      bool     // this machine has an acceptor and a proposer
-	Votes     bool     // this machine counts for the quorum
+	Votes     bool     // this machine may be chosen as an acceptor; if not, its acceptor is replaced once there is a candidate
 	Tolerance replication.Tolerance
 	State     coordination.Options
 	Peers     func() []string                            // internal addresses of the other core machines, live or not
@@ -43,8 +43,8 @@
 	FailedOver   atomic.Uint64 // times that a proposer did not reply, so that the next one was tried
 	Duplicates   atomic.Uint64 // copies of known calls that the proposer received
 	Dropped      atomic.Uint64 // messages that were dropped because an inbox was full
-	Syncs        atomic.Uint64 // writes of the acceptor
-	FailedSyncs  atomic.Uint64 // writes of the acceptor that failed
+	Syncs        atomic.Uint64 // attempts of the acceptor to write to disk, except those of writeIdentity
+	FailedSyncs  atomic.Uint64 // those attempts that failed, including those of writeIdentity
 	ExpiredLocks atomic.Uint64 // locks that this proposer granted to another holder because the former holder's lease had expired
 }
 
--- a/internal/fleet/coordinator/store.go
+++ b/internal/fleet/coordinator/store.go
@@ -25,8 +25,9 @@
 	records   [][]register.Stored               // as read from the log; nil after build
 }
 
-// openStore reads the log from disk. Without a log, the acceptor has a new identity, or a founder's at the first start of the
-// whole system. With a corrupt log, it starts without state under a new identity: see resetWithNewIdentity.
+// openStore reads the log from disk. Without a log, the acceptor gets a new identity: its nonce is 0 at the first start of the
+// whole system (Options.Founders is set), and random otherwise. With a corrupt log, it starts without state under
+// a new identity: see resetWithNewIdentity.
 func openStore(options *Options) (*store, error) {
 	nonce := uint64(0)
 	if len(options.Founders) == 0 {
@@ -78,6 +79,8 @@
 }
 
 // reload reads the log from disk again after a failed write. The records that it finds may not be durable.
+// Only the records of the reopened log are used. s.log stays the closed log; the next replace starts a new generation in it,
+// which opens it again.
 func (s *store) reload(options *Options) error {
 	if s.log == nil {
 		return nil
