--- a/internal/fleet/register/planted_test.go
+++ b/internal/fleet/register/planted_test.go
@@ -48,7 +48,7 @@
 	"a renewal shortens a hold": {File: "../coordination/lock.go", Edits: []mutation.Edit{{
 		Original: "hold = max(hold, l.hold-(now-l.grantedAt))", Mutated: "hold = op.Hold"}}},
 	"a repeated put is executed twice": {File: "../coordination/group.go", Edits: []mutation.Edit{{
-		Original: "made := g.revisionOf(op.Key, op.Value); made {", Mutated: "made := g.revisionOf(op.Key, op.Value); made && false {"}}},
+		Original: "exists := g.revisionOf(op.Key, op.Value); exists {", Mutated: "exists := g.revisionOf(op.Key, op.Value); exists && false {"}}},
 	"events are missing from snapshots": {File: "../coordination/group.go", Edits: []mutation.Edit{
 		{Original: "r := &GroupRecord{Revision: g.revision, Floor: g.floor}", Mutated: "r := &GroupRecord{Revision: g.revision, Floor: g.revision}"},
 		{Original: "for _, e := range g.events {\n\t\tevent := e.Event", Mutated: "for _, e := range g.events[:0] {\n\t\tevent := e.Event"}}},
