--- a/internal/fleet/dissemination/config_exchange.go
+++ b/internal/fleet/dissemination/config_exchange.go
@@ -105,7 +105,8 @@
 	return output
 }
 
-// startBuild builds the newest received configuration. A build larger than maxInlineBuildBytes is returned in the output.
+// startBuild builds and activates the newest received configuration. It leaves a build larger than maxInlineBuildBytes to the caller, in
+// the output.
 func (n *Gossiper) startBuild() {
 	if n.building {
 		return
--- a/internal/fleet/dissemination/config_replica.go
+++ b/internal/fleet/dissemination/config_replica.go
@@ -7,7 +7,8 @@
 	"pinelb.example/pinelb/internal/fleet/config"
 )
 
-// ErrNoConfiguration is the error of ServeFetch if this router has received no configuration yet.
+// ErrNoConfiguration is the error of ServeFetch if this router has no configuration that it can send: it has received none yet, a failed
+// Build has emptied its history, or the request is not Packed and no configuration is active.
 var ErrNoConfiguration = errors.New("dissemination: no configuration is held")
 
 // ConfigReplica is a router's replica of the configuration, with the last time at which it was confirmed to be the newest.
@@ -35,7 +36,7 @@
 }
 
 // Confirm records that the configuration with a sequence was the newest at a time. If the active configuration is older, the
-// confirmation takes effect when that configuration or a newer one becomes active.
+// confirmation takes effect when the confirmed configuration or a newer one becomes active.
 func (c *ConfigReplica) Confirm(sequence uint64, at time.Duration) {
 	if c.Table == nil || c.Sequence < sequence {
 		if !c.unconfirmed.valid || c.unconfirmed.at < at {
@@ -71,7 +72,7 @@
 	}
 }
 
-// Received returns the newest sequence that this replica has received, active or not; ok is false if it has received none.
+// Received returns the newest sequence that this replica has received, active or not; ok is false if its history is empty.
 func (c *ConfigReplica) Received() (sequence uint64, ok bool) { return c.history.last() }
 
 // ageMs returns the milliseconds since the last confirmation, rounded up; confirmed is false if there is none.
@@ -83,8 +84,8 @@
 	return uint64((now - at + time.Millisecond - 1) / time.Millisecond), true
 }
 
-// serveFetch answers another router's request with the changes after the requested sequence, or with the complete configuration if
-// some of those changes are no longer retained. Its error is ErrNoConfiguration or wraps ErrBlob.
+// serveFetch answers another router's request with the changes after the requested sequence if all of them are retained, otherwise with
+// the complete configuration. Its error is ErrNoConfiguration or wraps ErrBlob.
 func (c *ConfigReplica) serveFetch(now time.Duration, request FetchRequest) (FetchReply, error) {
 	var reply FetchReply
 	reply.AgeMs, reply.Fresh = c.ageMs(now)
@@ -103,7 +104,8 @@
 	return c.unpack(reply)
 }
 
-// completeHistory returns a document and the changes after it. It encodes the document only if the history has no usable one.
+// completeHistory returns a document and the changes after it. The document is encoded once and then
+// sent to all routers that fetch it, until the history no longer retains the changes after it.
 func (c *ConfigReplica) completeHistory() (*Blob, []Blob, error) {
 	if document, changes, ok := c.history.complete(); ok {
 		return document, changes, nil
@@ -113,7 +115,7 @@
 	}
 	c.history.setDocument(c.Sequence, newBlob(c.Table.Document.Encode()))
 	document, changes, ok := c.history.complete()
-	if !ok { // unreachable: changes after the active configuration are never dropped
+	if !ok { // a failed Build has emptied the history; trim drops no change after the active configuration
 		return nil, nil, ErrNoConfiguration
 	}
 	return document, changes, nil
--- a/internal/fleet/dissemination/damaged_reply_test.go
+++ b/internal/fleet/dissemination/damaged_reply_test.go
@@ -54,7 +54,7 @@
 	})
 }
 
-// Guards against a confirmation that is applied to the previous configuration, or lost, while its own configuration is decoded.
+// Guards against a confirmation that is applied to the previous configuration, or lost, while the confirmed one is decoded.
 func TestConfirmationOfWhatIsDecoded(t *testing.T) {
 	Convey("A confirmation of a configuration takes effect when the configuration becomes active", t, func() {
 		n := newOutdatedRouter()
--- a/internal/fleet/dissemination/fetcher.go
+++ b/internal/fleet/dissemination/fetcher.go
@@ -44,7 +44,8 @@
 	timeout   time.Duration // of the next fetch; 0: minFetchTimeout
 }
 
-// addSource records that a router holds a configuration. At maxFetchSources, it drops the source that was added first.
+// addSource records that a router holds a configuration, which may be fetched from it at now or later. A newer sequence from a known
+// source thus ends its back-off. Beyond maxFetchSources, addSource drops the source that was added first.
 func (f *fetcher) addSource(now time.Duration, address string, sequence uint64) {
 	if i := f.indexOf(address); i >= 0 {
 		if source := &f.sources[i]; sequence > source.sequence {
--- a/internal/fleet/dissemination/lag.go
+++ b/internal/fleet/dissemination/lag.go
@@ -36,7 +36,7 @@
 	switch {
 	case len(l.missing) > 0:
 		return max(now-l.missing[0].at, 1)
-	case l.newest > active: // it was observed while the list was full
+	case l.newest > active: // it was observed while the list was full, so its time is not known
 		return 1
 	}
 	return 0
--- a/internal/fleet/dissemination/messages.go
+++ b/internal/fleet/dissemination/messages.go
@@ -5,7 +5,7 @@
 	"pinelb.example/pinelb/internal/fleet/registry"
 )
 
-// The messages are encoded as CBOR maps with the integer keys of their tags. The meaning of a key never changes, also when it is unused.
+// The messages are encoded as CBOR maps with the integer keys of their tags. A key is never reused with another meaning.
 
 // Heartbeat is a router's heartbeat to its monitors, and also the reply to a heartbeat with WantsReply.
 type Heartbeat struct {
@@ -42,7 +42,9 @@
 	Hops      uint8               `cbor:"5,keyasint,omitempty"` // how many times the update has been forwarded
 	View      uint64              `cbor:"6,keyasint,omitempty"` // a new view
 	Primary   string              `cbor:"7,keyasint,omitempty"` // internal address of the view's primary
-	Announced uint64              `cbor:"8,keyasint,omitempty"` // of an acknowledged configuration to be fetched, preferably not from the sender
+	// Announced is the sequence of an acknowledged configuration to be fetched. It is fetched from the sender only if no other router has
+	// supplied it by the end of announcementFetchDelay.
+	Announced uint64 `cbor:"8,keyasint,omitempty"`
 }
 
 // FetchRequest requests the changes after a sequence; 0 requests the complete configuration.
@@ -61,10 +63,10 @@
 	AgeMs    uint64   `cbor:"5,keyasint,omitempty"` // as in PullReply, at the time of this reply
 
 	// These replace Changes and Document if the request has Packed:
-	PackedChanges  []Blob `cbor:"6,keyasint,omitempty"` // the last one has Sequence
-	PackedDocument *Blob  `cbor:"7,keyasint,omitempty"` // its sequence is the one before PackedChanges
+	PackedChanges  []Blob `cbor:"6,keyasint,omitempty"` // the last one leads to Sequence
+	PackedDocument *Blob  `cbor:"7,keyasint,omitempty"` // of the sequence before the first of PackedChanges
 
-	Busy    bool     `cbor:"8,keyasint,omitempty"` // the sender's link is saturated: Sequence can be fetched later, or from Holders
+	Busy    bool     `cbor:"8,keyasint,omitempty"` // other transfers occupy the sender's link: Sequence can be fetched later, or from Holders
 	Holders []string `cbor:"9,keyasint,omitempty"` // internal addresses of routers that have recently fetched it
 }
 
--- a/internal/fleet/dissemination/node.go
+++ b/internal/fleet/dissemination/node.go
@@ -1,6 +1,6 @@
 // Package dissemination distributes the state that every router of a fleet needs: the configuration and when it was last
 // confirmed, the endpoints, and the members of the fleet. Changes are pushed at once. Anti-entropy repairs lost pushes:
-// routers periodically compare digests with one other router (A. Demers et al., "Epidemic algorithms for replicated
+// each router periodically compares digests with one other router at a time (A. Demers et al., "Epidemic algorithms for replicated
 // database maintenance", 1987).
 //
 // The package does no I/O and reads no clock. The router package passes it messages and the time, and executes the Output
@@ -165,7 +165,7 @@
 	n.Registry.Purge(n.now, endpointTombstoneTTL)
 }
 
-// Receive handles a message of the router with the internal address from.
+// Receive handles a message from another router; from is the internal address of that router.
 func (n *Gossiper) Receive(now time.Duration, from string, message any) *Output {
 	output := n.begin(now)
 	n.Members.RecordContact(now, from)
--- a/internal/fleet/dissemination/node_test.go
+++ b/internal/fleet/dissemination/node_test.go
@@ -17,7 +17,7 @@
 type fleet struct {
 	now         time.Duration
 	nodes       map[string]*Gossiper
-	order       []string // of the steps: the addresses of all nodes
+	order       []string // addresses of all nodes, in the order of their steps
 	inFlight    []delivery
 	partitioned func(from, to string) bool
 	lossPercent int
--- a/internal/fleet/dissemination/pull.go
+++ b/internal/fleet/dissemination/pull.go
@@ -19,7 +19,7 @@
 
 const (
 	maxItemsPerReply = 70 // members, and likewise endpoints, in the reply to one pull; later pulls return the others
-	maxPendingPulls  = 8  // pulls in flight; the oldest one beyond them is abandoned
+	maxPendingPulls  = 8  // latest pulls whose replies are still accepted
 	recoveryPullOdds = 8  // one in this many pulls goes to a member marked dead or to a seed, so that a fleet recovers from partitions
 )
 
@@ -130,8 +130,9 @@
 	return slices.Concat(list[from:], list[:from])[:maxItemsPerReply]
 }
 
-// handlePullReply records the confirmation in a reply, and fetches a newer configuration. The age of the confirmation counts
-// back from when the pull was sent, so that a delayed reply never makes the confirmation look more recent than it is.
+// handlePullReply records the confirmation that a reply holds, and starts a fetch if the other router has a newer configuration.
+// The age of the confirmation counts back from when the pull was sent, so that a delayed reply never makes the confirmation look
+// more recent than it is.
 func (n *Gossiper) handlePullReply(from string, reply PullReply) {
 	n.SetView(reply.View, reply.Primary)
 	pull, pending := n.pendingPulls[reply.Round]
--- a/internal/fleet/dissemination/push.go
+++ b/internal/fleet/dissemination/push.go
@@ -10,9 +10,9 @@
 // Updates are pushed directly to all routers of a small fleet, and over several hops in a larger one.
 
 const (
-	maxDirectPeers       = 24  // maximum number of other live routers to which an update is sent directly, without forwarding
-	fanout               = 4   // number of routers to which an update is sent in each hop, in larger fleets
-	maxHops              = 8   // maximum number of times that an update is forwarded
+	maxDirectPeers       = 24  // up to this many other live routers, an update is sent directly to all and is not forwarded
+	fanout               = 4   // number of routers to which each router sends or forwards an update, in larger fleets
+	maxHops              = 8   // maximum number of hops of an update, including the first
 	maxItemsPerUpdate    = 7   // members or endpoints in one message, which has to fit into a datagram
 	maxInlineChangeBytes = 900 // larger configuration changes are fetched
 )
--- a/internal/fleet/dissemination/serve.go
+++ b/internal/fleet/dissemination/serve.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Serving fetches: a router bounds the transfers of the configuration on its link, so that each ends soon and the link keeps capacity for
-// requests. A busy router replies with the addresses of other routers that hold the configuration.
+// Serving fetches: a router bounds the concurrent transfers of the configuration on its link, so that each ends soon and the link keeps
+// capacity for requests. A busy router replies with the addresses of other routers that hold the configuration.
 
 const (
 	maxConcurrentTransfers = 3                      // on this router's link at the same time
@@ -15,7 +15,7 @@
 	maxTrackedTransfers    = 32
 )
 
-// transfer is a reply to a fetch that was sent to a router.
+// transfer is the sending of a fetch reply to a router.
 type transfer struct {
 	to       string
 	sequence uint64
