--- a/internal/fleet/coordinator/acceptor_loop.go
+++ b/internal/fleet/coordinator/acceptor_loop.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// writeIdentity makes the acceptor's identity and state durable, which is required before it sends any message. It retries
-// until the write succeeds, and returns false if ctx ends before that.
+// writeIdentity makes the acceptor's identity and state durable. It retries until the write succeeds, and returns false if ctx
+// ends before that. At the start, no message is sent unless it succeeds; after a failed write, see recover.
 func (l *acceptorLoop) writeIdentity(ctx context.Context) bool {
 	for l.store.log != nil {
 		err := l.store.replace(l.acceptor.HardState(), l.acceptor.Snapshot(l.service.options.Clock()))
@@ -195,8 +195,9 @@
 }
 
 // recover handles a failed write. It drops the batch's messages and reloads the acceptor from disk, as after a restart. The
-// log may contain records of the failed write that are not durable, so the whole state is written again before the acceptor
-// sends any message.
+// log may contain records of the failed write that are not durable, so the whole state is written again before recover
+// returns, unless ctx ends first. In that case, the acceptor may not have been reloaded, and queued messages may still be
+// handled: a further write is one of the whole state, but messages that need no write may be sent without it.
 func (l *acceptorLoop) recover(ctx context.Context, cause error) {
 	l.service.Counters.FailedSyncs.Add(1)
 	l.service.options.Log.Warn("can't write the log of the registers", zap.Error(cause))
--- a/internal/fleet/coordinator/forwarder.go
+++ b/internal/fleet/coordinator/forwarder.go
@@ -102,7 +102,8 @@
 	return f.lastProcess[address]
 }
 
-// suspect records that a proposer did not reply, so that it is tried last for suspicionDuration.
+// suspect records that a proposer did not reply in the wait after the last copy, so that it is tried last for
+// suspicionDuration.
 func (f *forwarder) suspect(address string) {
 	f.service.Counters.FailedOver.Add(1)
 	f.mu.Lock()
@@ -187,14 +188,14 @@
 const (
 	answered       attemptOutcome = iota + 1
 	notExecuted                   // not executed by any proposer, and never will be
-	noReply                       // no reply of any kind: fail over to the next proposer
+	noReply                       // no reply from the proposer in the wait after the last copy: fail over to the next one
 	inProgress                    // the proposer is alive but sent no result in time: try the next proposer too
 	outcomeUnclear                // the context has ended, or a reply leaves open whether a copy of the call takes effect
 )
 
 // tryProposer sends the call to the current proposer, and resends it if no result comes. If the proposer replies
 // during the last wait, but without a result, tryProposer waits resultTimeout longer for the result. For a watch,
-// the wait after the second copy is longer by Park, and a third copy is sent if it ends without a result.
+// the wait after the second copy is Park plus firstReplyTimeout, and a third copy is sent if it ends without a result.
 func (c *forwardedCall) tryProposer(ctx context.Context) (coordination.Result, attemptOutcome) {
 	replyTimeouts := []time.Duration{firstReplyTimeout, resendReplyTimeout}
 	if c.request.Park > 0 {
--- a/internal/fleet/coordinator/service.go
+++ b/internal/fleet/coordinator/service.go
@@ -40,7 +40,7 @@
 	Calls        atomic.Uint64 // calls that this machine received from applications
 	Unclear      atomic.Uint64 // those of Calls whose outcome is unknown
 	Refused      atomic.Uint64 // those of Calls that were not executed
-	FailedOver   atomic.Uint64 // times that a proposer did not reply, so that the next one was tried
+	FailedOver   atomic.Uint64 // times that a proposer did not reply in the wait after the last copy, so that the next one was tried
 	Duplicates   atomic.Uint64 // copies of known calls that the proposer received
 	Dropped      atomic.Uint64 // messages that were dropped because an inbox was full
 	Syncs        atomic.Uint64 // attempts of the acceptor to write to disk, except those of writeIdentity
